--- /dev/null
+++ b/internal/rehearsal/emulator/recorded_test.go
@@ -0,0 +1,92 @@
+package emulator
+
+import (
+	"encoding/json"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"testing"
+)
+
+var updateRecorded = flag.Bool("update-recorded", false, "write testdata/recorded.json anew")
+
+const (
+	recordedFile  = "testdata/recorded.json"
+	recordedSeeds = 10
+)
+
+// TestRecordedResults holds the results of every scenario in deploy/scenarios on ten seeds, with the hash of
+// all events. Time is virtual, so that a change which is meant to alter no behaviour alters no number here. A
+// change which is meant to alter behaviour writes the file anew with -update-recorded.
+func TestRecordedResults(t *testing.T) {
+	got := playRecordedScenarios(t)
+	if *updateRecorded {
+		writeRecorded(t, got)
+	}
+	text, err := os.ReadFile(recordedFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var want map[string]json.RawMessage
+	if err := json.Unmarshal(text, &want); err != nil {
+		t.Fatal(err)
+	}
+	if len(want) != len(got) {
+		t.Errorf("%d results are recorded, %d were played", len(want), len(got))
+	}
+	for name, result := range got {
+		t.Run(name, func(t *testing.T) {
+			if string(want[name]) != string(result) {
+				t.Errorf("got  %s\nwant %s", result, want[name])
+			}
+		})
+	}
+}
+
+// playRecordedScenarios returns the JSON of each result by the scenario's file and the seed.
+func playRecordedScenarios(t *testing.T) map[string]json.RawMessage {
+	t.Helper()
+	paths, err := filepath.Glob("../../../deploy/scenarios/*.toml")
+	if err != nil || len(paths) == 0 {
+		t.Fatal("no scenarios found", err)
+	}
+	var list []Scenario
+	for _, path := range paths {
+		sc, err := ReadScenario(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		list = append(list, sc)
+	}
+	results, err := Many(list, Seeds(1, recordedSeeds), func() {})
+	if err != nil {
+		t.Fatal(err)
+	}
+	got := map[string]json.RawMessage{}
+	for i, path := range paths {
+		for _, result := range results[i] {
+			text, err := json.Marshal(result)
+			if err != nil {
+				t.Fatal(err)
+			}
+			got[fmt.Sprintf("%s/%d", filepath.Base(path), result.Seed)] = text
+		}
+	}
+	return got
+}
+
+// writeRecorded writes a result a line, in the order of their names, so that differences are easy to read.
+func writeRecorded(t *testing.T, got map[string]json.RawMessage) {
+	t.Helper()
+	text, err := json.Marshal(got)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := os.MkdirAll(filepath.Dir(recordedFile), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(recordedFile, text, 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
