--- /dev/null
+++ b/internal/goldentest/commands.go
@@ -0,0 +1,112 @@
+package goldentest
+
+import (
+	"fmt"
+	"reflect"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/alecthomas/kong"
+)
+
+// Commands lists a command line, sorted: each command with its flags and arguments,
+// and of each all that decides how it is written. The program's name and the help
+// texts do not occur.
+func Commands(app *kong.Application) []string {
+	var lines []string
+	var walk func(path string, node *kong.Node)
+	walk = func(path string, node *kong.Node) {
+		for _, flag := range node.Flags {
+			lines = append(lines, strings.TrimSpace(path+" "+flagLine(flag)))
+		}
+		for i, argument := range node.Positional {
+			lines = append(lines, strings.TrimSpace(fmt.Sprintf("%s argument %d %s", path, i+1, valueLine(argument))))
+		}
+		for _, child := range node.Children {
+			at := strings.TrimSpace(path + " " + child.Name)
+			lines = append(lines, at+commandLine(node, child))
+			walk(at, child)
+		}
+	}
+	walk("", app.Node)
+	slices.Sort(lines)
+	return lines
+}
+
+// commandLine words what is particular of a command.
+func commandLine(parent, command *kong.Node) string {
+	line := ""
+	if parent.DefaultCmd == command {
+		line += " default=" + command.Tag.Default
+	}
+	if command.Hidden {
+		line += " hidden"
+	}
+	for _, alias := range command.Aliases {
+		line += " alias=" + alias
+	}
+	return line + ":"
+}
+
+// flagLine words a flag.
+func flagLine(flag *kong.Flag) string {
+	line := "--" + valueLine(flag.Value)
+	if flag.Short != 0 {
+		line += " short=-" + string(flag.Short)
+	}
+	if flag.Negated {
+		line += " negated"
+	}
+	if flag.Hidden {
+		line += " hidden"
+	}
+	if flag.PlaceHolder != "" {
+		line += " placeholder=" + flag.PlaceHolder
+	}
+	for _, alias := range flag.Aliases {
+		line += " alias=" + alias
+	}
+	for _, group := range flag.Xor {
+		line += " xor=" + group
+	}
+	for _, group := range flag.And {
+		line += " and=" + group
+	}
+	return line
+}
+
+// valueLine words what flags and arguments have in common.
+func valueLine(value *kong.Value) string {
+	line := value.Name + " " + valueKind(value.Target.Type())
+	if value.Required {
+		line += " required"
+	}
+	if value.HasDefault {
+		line += fmt.Sprintf(" default=%q", value.Default)
+	}
+	if value.Enum != "" {
+		line += " enum=" + value.Enum
+	}
+	if value.Tag != nil {
+		for _, name := range value.Tag.Envs {
+			line += " env=" + name
+		}
+	}
+	return line
+}
+
+// valueKind is how a value is written on the command line.
+func valueKind(t reflect.Type) string {
+	switch {
+	case t == reflect.TypeFor[time.Duration]():
+		return "duration"
+	case t.Kind() == reflect.Slice:
+		return "list of " + valueKind(t.Elem())
+	case t.Kind() == reflect.Map:
+		return "map of " + valueKind(t.Key()) + " to " + valueKind(t.Elem())
+	case t.Kind() == reflect.Pointer:
+		return valueKind(t.Elem())
+	}
+	return t.Kind().String()
+}
--- /dev/null
+++ b/internal/goldentest/goldentest.go
@@ -0,0 +1,73 @@
+// Package goldentest holds forms that others depend on, as command lines, keys of
+// files and their defaults, in golden files: a change of Go names that changes such
+// a form fails a test. A golden file holds names of the outside form alone, so that
+// it is the same whatever the Go declarations behind it are called. Only tests
+// import this package.
+package goldentest
+
+import (
+	"flag"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+var update = flag.Bool("update", false, "write golden files instead of comparing with them")
+
+// Compare fails the test if got is not the text of the golden file testdata/file of
+// the package under test. With the flag -update it writes the file.
+func Compare(t *testing.T, file, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", file)
+	if *update {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+		return
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if difference := Difference(string(text), got); difference != "" {
+		t.Errorf("%s: an outside form has changed; golden lines are marked -, today's +:\n%s", path, difference)
+	}
+}
+
+// Difference lists the lines that only one of two texts has, those of want marked
+// with - and those of got with +. It is empty only where the texts are equal.
+func Difference(want, got string) string {
+	if want == got {
+		return ""
+	}
+	var out strings.Builder
+	only := func(mark, of, other string) {
+		count := map[string]int{}
+		for line := range strings.Lines(other) {
+			count[line]++
+		}
+		for line := range strings.Lines(of) {
+			if count[line]--; count[line] < 0 {
+				out.WriteString(mark + strings.TrimSuffix(line, "\n") + "\n")
+			}
+		}
+	}
+	only("-", want, got)
+	only("+", got, want)
+	if out.Len() == 0 {
+		return "the same lines in another order\n"
+	}
+	return out.String()
+}
+
+// Lines joins lines into the text of a golden file.
+func Lines(lines []string) string {
+	if len(lines) == 0 {
+		return ""
+	}
+	return strings.Join(lines, "\n") + "\n"
+}
--- /dev/null
+++ b/internal/goldentest/keys.go
@@ -0,0 +1,132 @@
+package goldentest
+
+import (
+	"encoding"
+	"encoding/json"
+	"reflect"
+	"slices"
+	"strings"
+	"time"
+)
+
+// Keys lists the key paths under which an encoder that reads the struct tag named
+// tag, as json or toml, writes and reads a value of type t, each with the kind of
+// its value, sorted. Elements of lists are named [], those of maps {}. The type's
+// own name, and names of fields that have a tag, do not occur.
+func Keys(t reflect.Type, tag string) []string {
+	k := keys{tag: tag}
+	k.add("", "", t, nil)
+	slices.Sort(k.lines)
+	return k.lines
+}
+
+// keys gathers the key paths of one type.
+type keys struct {
+	tag   string
+	lines []string
+}
+
+var (
+	timeType     = reflect.TypeFor[time.Time]()
+	rawType      = reflect.TypeFor[json.RawMessage]()
+	bytesType    = reflect.TypeFor[[]byte]()
+	textTypes    = []reflect.Type{reflect.TypeFor[encoding.TextMarshaler](), reflect.TypeFor[encoding.TextUnmarshaler]()}
+	encoderTypes = map[string][]reflect.Type{
+		"json": {reflect.TypeFor[json.Marshaler](), reflect.TypeFor[json.Unmarshaler]()},
+		"toml": {reflect.TypeFor[interface{ UnmarshalTOML(any) error }](), reflect.TypeFor[interface{ MarshalTOML() ([]byte, error) }]()},
+	}
+)
+
+// add adds the lines of a value of type t at a path; outer are the structs around it.
+func (k *keys) add(path, options string, t reflect.Type, outer []reflect.Type) {
+	for t.Kind() == reflect.Pointer {
+		t = t.Elem()
+	}
+	if kind := k.special(t); kind != "" {
+		k.line(path, kind, options)
+		return
+	}
+	switch t.Kind() {
+	case reflect.Struct:
+		if slices.Contains(outer, t) {
+			k.line(path, "nested again", options)
+			return
+		}
+		k.fields(path, t, append(slices.Clone(outer), t))
+	case reflect.Slice, reflect.Array:
+		k.add(path+"[]", options, t.Elem(), outer)
+	case reflect.Map:
+		k.add(path+"{}", options, t.Elem(), outer)
+	default:
+		k.line(path, scalar(t.Kind()), options)
+	}
+}
+
+// special is the kind of a type that the encoder does not take apart; empty for others.
+func (k *keys) special(t reflect.Type) string {
+	implements := func(list []reflect.Type) bool {
+		return slices.ContainsFunc(list, func(i reflect.Type) bool { return t.Implements(i) || reflect.PointerTo(t).Implements(i) })
+	}
+	switch {
+	case t == timeType:
+		return "time"
+	case t == rawType:
+		return "any"
+	case t == bytesType:
+		return "bytes"
+	case implements(encoderTypes[k.tag]):
+		return "own encoding"
+	case implements(textTypes):
+		return "text"
+	}
+	return ""
+}
+
+// fields adds the lines of a struct's fields.
+func (k *keys) fields(path string, t reflect.Type, outer []reflect.Type) {
+	for field := range t.Fields() {
+		name, options, _ := strings.Cut(field.Tag.Get(k.tag), ",")
+		inner := field.Type
+		if inner.Kind() == reflect.Pointer {
+			inner = inner.Elem()
+		}
+		promoted := field.Anonymous && name == "" && inner.Kind() == reflect.Struct && k.special(inner) == ""
+		switch {
+		case name == "-" && options == "":
+		case promoted:
+			k.fields(path, inner, outer)
+		case !field.IsExported():
+		default:
+			if name == "" {
+				name = field.Name
+			}
+			if path != "" {
+				name = path + "." + name
+			}
+			k.add(name, options, field.Type, outer)
+		}
+	}
+}
+
+// line adds one line.
+func (k *keys) line(path, kind, options string) {
+	if options != "" {
+		kind += ", " + options
+	}
+	k.lines = append(k.lines, path+": "+kind)
+}
+
+// scalar is the kind of an encoded value that has no parts.
+func scalar(kind reflect.Kind) string {
+	switch kind {
+	case reflect.Bool:
+		return "boolean"
+	case reflect.String:
+		return "string"
+	case reflect.Float32, reflect.Float64:
+		return "number"
+	case reflect.Interface:
+		return "any"
+	}
+	return "integer"
+}
