--- a/internal/goldentest/effects.go
+++ b/internal/goldentest/effects.go
@@ -1,6 +1,7 @@
 package goldentest
 
 import (
+	"encoding/json"
 	"fmt"
 	"maps"
 	"reflect"
@@ -9,6 +10,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"github.com/BurntSushi/toml"
 )
 
 // Effects tells what each key of a document does: it decodes the document, which
@@ -95,16 +98,36 @@
 	return strings.Join(list, ", ")
 }
 
-// Values words all values that a Go value holds that are not zero, in the order of
-// its declaration, without the names of the fields that hold them.
+// Values words all values that a Go value holds that are not zero, sorted, on one
+// line, without the names of the fields that hold them.
 func Values(value any) string {
-	var lines []string
+	var list []string
 	for _, leaf := range leaves(value) {
 		if !leaf.zero {
-			lines = append(lines, leaf.text)
+			list = append(list, leaf.text)
 		}
 	}
-	return Lines(lines)
+	slices.Sort(list)
+	return strings.Join(list, " ")
+}
+
+// Document words a value that a TOML file is decoded into as such a file, its keys
+// sorted, on one line.
+func Document(t *testing.T, value any) string {
+	t.Helper()
+	var text strings.Builder
+	if err := toml.NewEncoder(&text).Encode(value); err != nil {
+		t.Fatal(err)
+	}
+	var document map[string]any
+	if _, err := toml.Decode(text.String(), &document); err != nil {
+		t.Fatal(err)
+	}
+	line, err := json.Marshal(document)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(line)
 }
 
 // leaf is one value without parts.
@@ -165,6 +188,10 @@
 		return time.Duration(v.Int()).String()
 	case v.Kind() == reflect.String:
 		return strconv.Quote(v.String())
+	case v.CanInt(): // a number, also where its type words it by a String method
+		return strconv.FormatInt(v.Int(), 10)
+	case v.CanUint():
+		return strconv.FormatUint(v.Uint(), 10)
 	}
 	return fmt.Sprint(v)
 }
--- /dev/null
+++ b/internal/node/golden_config_test.go
@@ -0,0 +1,63 @@
+package node
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+
+	"hollyyoke.example/hollyyoke/internal/goldentest"
+)
+
+// Keys of the main configuration, complaints, and the variables of the environment
+// with what they go before.
+func TestGoldenConfiguration(t *testing.T) {
+	lines := goldentest.Keys(reflect.TypeFor[config](), "json")
+	const settings = `"settings":{"classes":[{"name":"a","repeat":"retryable"}]}`
+	asked := map[string]bool{}
+	read := func(text string, again bool, environment map[string]string) {
+		path := filepath.Join(t.TempDir(), "config.json")
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		c, _, err := readConfig(path, func(name string) string { asked[name] = true; return environment[name] }, again)
+		c.Settings = nil
+		values, _ := json.Marshal([]any{c.Name, c.Listen, c.Discovery, c.Admin, c.Seed, c.Limits.MemoryMB, c.Limits.Sockets, string(c.Known)})
+		lines = append(lines, fmt.Sprintf("%s again=%v %v: %s; %v", text, again, environment, values, err))
+	}
+	for _, text := range []string{
+		`{}`, `{` + settings + `}`, `{"name":"n","listen":"l","discovery":"d:1","admin_addr":"a","seed":"s","limits":{"memory_mb":1,"sockets":2},"known":{"k":1},` + settings + `}`,
+		`{"name":1}`, `{"limits":{"sockets":"2"}}`, `{"limits":{"memory_mb":true}}`, `{"discovery":"d",` + settings + `}`, `{"unknown":1,` + settings + `}`,
+		`{"settings":{"classes":[{"repeat":"retryable"}]}}`, `{"settings":{"classes":[{"repeat":"often"}]}}`, `{`,
+	} {
+		read(text, false, nil)
+	}
+	names := slices.Sorted(maps.Keys(asked))
+	for _, name := range names {
+		for _, again := range []bool{false, true} {
+			environment := map[string]string{name: "e:9"}
+			read(`{`+settings+`}`, again, environment)
+			read(`{"name":"n","listen":"l","discovery":"d:1","admin_addr":"a",`+settings+`}`, again, environment)
+		}
+	}
+	_, err := listener(func(name string) string {
+		names = append(names, name)
+		return "none"
+	}, "")
+	lines = append(lines, "environment: "+strings.Join(names, " "), fmt.Sprint("listener: ", err))
+	goldentest.Compare(t, "config.golden", goldentest.Lines(lines))
+}
+
+// A seed is hexadecimal digits, or any text.
+func TestGoldenSeed(t *testing.T) {
+	var lines []string
+	for _, seed := range []any{"0000000000000001", "ff", "any text", 12.0, nil} {
+		lines = append(lines, fmt.Sprintf("%v: %d", seed, (&config{Seed: seed}).seed()))
+	}
+	goldentest.Compare(t, "seed.golden", goldentest.Lines(lines))
+}
--- /dev/null
+++ b/internal/rehearsal/recording/golden_test.go
@@ -0,0 +1,50 @@
+package recording
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"hollyyoke.example/hollyyoke/internal/goldentest"
+)
+
+// Keys of the rules, their defaults, and complaints.
+func TestGoldenRules(t *testing.T) {
+	lines := goldentest.Keys(reflect.TypeFor[Rules](), "toml")
+	committed, err := os.ReadFile(filepath.Join("..", "..", "..", "deploy", "rehearsal.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for name, text := range map[string]string{"deploy/rehearsal.toml": string(committed)} {
+		rules, err := ReadRules([]byte(text))
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, rule := range rules.Class {
+			lines = append(lines, fmt.Sprintln(name, rule.Name, rule.Method, rule.Path, rule.Key, rule.KeyOf, rule.LeftMs, rule.Repeat, rule.Slots, rule.Factor,
+				rule.EffortMs, rule.DurationMs, rule.DurationSpread))
+		}
+		lines = append(lines, fmt.Sprintln(name, rules.Redacted.Members, rules.Redacted.Skew, rules.Redacted.Tokens))
+	}
+	const class = "[[class]]\nname = \"a\"\nleft_ms = 5\n"
+	for _, text := range []string{
+		"", "unknown = 1", "[[class]]\nname = \"a b\"", "[[class]]\nname = \"a\"", class + "repeat = \"often\"", class + "key_from = \"mail\"", class + "unknown = 1",
+		class + "slots = -1.0", class + "effort_factor = -1.0", class + "effort_ms = -1.0", class + "duration_ms = -1.0", class + "duration_spread = -1.0",
+		class + "path = \"(\"", class + "key = \"(\"", class + "key = \"a\"", class + "[redacted]\nmembers = -1", class + "[redacted]\nskew = 0.5", class + "name = 3",
+	} {
+		_, err := ReadRules([]byte(text))
+		lines = append(lines, fmt.Sprintf("%q: %v", text, err))
+	}
+	for i, line := range lines {
+		lines[i] = strings.TrimSpace(line)
+	}
+	goldentest.Compare(t, "rules.golden", goldentest.Lines(lines))
+}
+
+// Keys of HAR entries.
+func TestGoldenHAR(t *testing.T) {
+	goldentest.Compare(t, "har.golden", goldentest.Lines(goldentest.Keys(reflect.TypeFor[harEntry](), "json")))
+}
--- /dev/null
+++ b/internal/rehearsal/scale/golden_test.go
@@ -0,0 +1,59 @@
+package scale
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"hollyyoke.example/hollyyoke/internal/goldentest"
+)
+
+// Keys of scenario files, and what the committed ones say with their defaults.
+func TestGoldenScenarios(t *testing.T) {
+	lines := goldentest.Keys(reflect.TypeFor[Scenario](), "toml")
+	paths, err := filepath.Glob(filepath.Join("../../../deploy/scenarios/scale", "*.toml"))
+	if err != nil || len(paths) == 0 {
+		t.Fatalf("no scenarios: %v", err)
+	}
+	for _, path := range paths {
+		scenario, err := ReadScenario(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		lines = append(lines, filepath.Base(path)+": "+goldentest.Document(t, scenario))
+	}
+	for _, text := range []string{"unknown = 1", "workers = 0", "mechanism = \"mail\"", "workers = true"} {
+		path := filepath.Join(t.TempDir(), "scenario.toml")
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		_, err := ReadScenario(path)
+		lines = append(lines, fmt.Sprintf("%q: %s", text, strings.ReplaceAll(fmt.Sprint(err), path, "FILE")))
+	}
+	goldentest.Compare(t, "scenarios.golden", goldentest.Lines(lines))
+}
+
+// What the daemon, the origin's clients and the readers of results are told. What
+// the program and its own children tell each other is no outside form.
+func TestGoldenMessages(t *testing.T) {
+	for file, of := range map[string]reflect.Type{
+		"daemon-config": reflect.TypeFor[daemonConfig](),
+		"known-list":    reflect.TypeFor[knownList](), "listing": reflect.TypeFor[listing](), "record": reflect.TypeFor[Record](),
+		"figure": reflect.TypeFor[Figure](),
+	} {
+		goldentest.Compare(t, filepath.Join("json", file+".golden"), goldentest.Lines(goldentest.Keys(of, "json")))
+	}
+	goldentest.Compare(t, filepath.Join("json", "settings.golden"), string(dispatcherSettings(&Scenario{Dispatchers: 3, Real: 2, WarmAfterS: 1.5}, []string{"a", "b"}, 1))+"\n")
+}
+
+// The kinds and mechanisms that scenario files name.
+func TestGoldenKinds(t *testing.T) {
+	lines := []string{"mechanism " + string(ByDiscovery), "mechanism " + string(ByRelays)}
+	for _, kind := range kinds {
+		lines = append(lines, "event "+string(kind))
+	}
+	goldentest.Compare(t, "kinds.golden", goldentest.Lines(lines))
+}
--- /dev/null
+++ b/internal/settings/golden_test.go
@@ -0,0 +1,115 @@
+package settings
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+
+	"hollyyoke.example/hollyyoke/internal/goldentest"
+)
+
+// fullSettings has every key of the settings with a value other than its default.
+func fullSettings(t *testing.T) map[string]any {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", "settings-full.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var document map[string]any
+	if err := json.Unmarshal(text, &document); err != nil {
+		t.Fatal(err)
+	}
+	return document
+}
+
+// Every key of the settings means what it did.
+func TestGoldenSettings(t *testing.T) {
+	decode := func(text []byte) (any, error) { return Read(text) }
+	goldentest.Compare(t, "settings.golden", goldentest.Effects(t, fullSettings(t), json.Marshal, decode))
+}
+
+// Values of enumerations, and what is said of wrong ones.
+func TestGoldenSettingsValues(t *testing.T) {
+	var lines []string
+	for _, text := range []string{
+		`{"classes":[{"repeat":"retryable"}]}`, `{"classes":[{"repeat":"dedup","group":"zone"}]}`, `{"classes":[{"repeat":"fragile","group":"cell"}]}`,
+		`{"classes":[{"repeat":"dedup","group":"all"}]}`, `{"classes":[{"repeat":"often"}]}`, `{"classes":[{"repeat":"dedup","group":"town"}]}`,
+		`{"worth_by":"job"}`, `{"worth_by":"work"}`, `{"discovery":"push"}`, `{"discovery":"ask"}`, `{"weights":"nominal"}`, `{"weights":"live"}`,
+		`{"reporting":{"via":"answers"}}`, `{"reporting":{"via":"probe"}}`, `{"domain":{"queue_order":"lifo"}}`, `{"domain":{"queue_order":"fifo"}}`,
+		`{"domain":{"report_x0":"free slots"}}`, `{"domain":{"report_x1":"free slots"}}`, `{"domain":{"report_x0":"free memory"}}`,
+		`{"unknown":1}`, `{"limits":{"max_attempts":"3"}}`, `{"classes":[{"slo_us":"3"}]}`, `{"rules":[]}`, `{`,
+	} {
+		s, err := Read([]byte(text))
+		lines = append(lines, fmt.Sprintf("%s: %s; %v", text, goldentest.Values(s), err))
+	}
+	goldentest.Compare(t, "settings-values.golden", goldentest.Lines(lines))
+}
+
+// Reports of load are read by the settings' names and by plain ones.
+func TestGoldenLoadReports(t *testing.T) {
+	var lines []string
+	for _, setting := range []string{"", "x0", "x1"} {
+		s, err := Read([]byte(`{"classes":[]}`))
+		if err != nil {
+			t.Fatal(err)
+		}
+		s.FreeSlots = setting
+		for _, text := range []string{
+			`{"x0":5}`, `{"x1":6}`, `{"outstanding":3}`, `{"inflight":7}`, `{"outstanding":3,"inflight":7}`, `{"backlog":8}`, `{"queue":9}`,
+			`{"backlog":8,"queue":9}`, `{"x0":"5"}`, `{"unknown":1}`, `[]`,
+		} {
+			lines = append(lines, fmt.Sprintf("%q %s: %s", setting, text, goldentest.Values(Load(&s, []byte(text)))))
+		}
+	}
+	goldentest.Compare(t, "load.golden", goldentest.Lines(lines))
+}
+
+// Keys of the operator's tables.
+func TestGoldenOperatorKeys(t *testing.T) {
+	goldentest.Compare(t, "connections-keys.golden", goldentest.Lines(goldentest.Keys(reflect.TypeFor[Connections](), "toml")))
+	goldentest.Compare(t, "membership-keys.golden", goldentest.Lines(goldentest.Keys(reflect.TypeFor[Membership](), "toml")))
+}
+
+// What is said of wrong operator's files, which name keys, and what the committed one says.
+func TestGoldenOperatorFiles(t *testing.T) {
+	var lines []string
+	read := func(name, text string) Operator {
+		path := filepath.Join(t.TempDir(), "operator.toml")
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		var faktory map[string]any
+		o, err := ReadOperator(path, &faktory)
+		lines = append(lines, fmt.Sprintf("%q: faktory %v; %v", name, faktory, err))
+		return o
+	}
+	for _, text := range []string{
+		"[connections]\nunknown = 1", "[unknown]", "[faktory]\nlisten = \"a\"", "[connections]\nknown = [\"a\"]", "[connections]\nfronts = [\"a\"]",
+		"[connections]\nrefuse = \"502\"", "[connections]\nrefuse = \"503\"", "[connections]\non = 1", "[connections]\nlearn_half_life_s = -1.0",
+		"[connections]\nlow_mark = 2.0", "[connections]\nreserve_connections = 9000", "[membership]\non = true", "[membership]\nacknowledge_ms = -1.0",
+		"[[membership.servers]]\naddress = \"a\"", "[[membership.servers]]\naddress = \"a:0\"", "[[membership.servers]]\nzone = \"z\"\naddress = \"a:1\"",
+	} {
+		read(text, text)
+	}
+	committed, err := os.ReadFile(filepath.Join("..", "..", "deploy", "operator.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	o := read("deploy/operator.toml", string(committed))
+	var out strings.Builder
+	o.Connections.Explain(&out)
+	o.Membership.Explain(&out)
+	var told []string
+	for line := range strings.Lines(out.String()) {
+		line, _, _ = strings.Cut(line, "#") // what it is for is prose
+		told = append(told, strings.TrimSpace(line))
+	}
+	slices.Sort(told)
+	lines = append(lines, told...)
+	goldentest.Compare(t, "operator.golden", goldentest.Lines(lines))
+}
