--- /dev/null
+++ b/internal/durable/golden_test.go
@@ -0,0 +1,388 @@
+package durable
+
+import (
+	"bytes"
+	"compress/gzip"
+	"encoding/json"
+	"fmt"
+	"io"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"go.etcd.io/bbolt"
+
+	"hollyyoke.example/hollyyoke/internal/core"
+	"hollyyoke.example/hollyyoke/internal/jobs"
+	"hollyyoke.example/hollyyoke/internal/store"
+)
+
+// These tests hold the form of the store file, byte for byte: files of earlier
+// builds must be read, and a file written now must be one that they read. The
+// golden files hold the stored names only. UPDATE_GOLDEN=1 writes the text files
+// anew; the store file is written anew where it is missing, and only there.
+
+const (
+	goldenStore = "jobs-schema-1.db.gz"
+	goldenStart = 1_700_000_000 * time.Second // Unix time of the sequence's begin, past by any clock
+	farFuture   = 7_258_118_400 * time.Second // the year 2200
+)
+
+// checkGolden compares with a golden file.
+func checkGolden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if os.Getenv("UPDATE_GOLDEN") != "" {
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s differs.\ngot:\n%s\nwant:\n%s", name, got, want)
+	}
+}
+
+// scriptedService is a service in virtual time.
+type scriptedService struct {
+	*Service
+	t   *testing.T
+	now time.Duration
+}
+
+func openScripted(t *testing.T, path string) *scriptedService {
+	t.Helper()
+	s := &scriptedService{t: t, now: goldenStart}
+	loop := core.NewVirtual(func() time.Duration { return s.now })
+	config := Config{Path: path, Jobs: jobs.Config{Lease: time.Minute, Grace: time.Minute, Attempts: 3, Backoff: time.Second, Retain: 24 * time.Hour, Dead: 180 * 24 * time.Hour}}
+	service, err := Open(loop, config, slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	service.Runnable = func(jobs.Job) {}
+	s.Service = service
+	service.Start()
+	return s
+}
+
+// wait turns the loop until a call's caller is told, and returns what it is told.
+func (s *scriptedService) wait(what string, call func(told func(why string))) (why string) {
+	s.t.Helper()
+	over := false
+	call(func(w string) { over, why = true, w })
+	for end := time.Now().Add(patience); !over; time.Sleep(100 * time.Microsecond) {
+		if time.Now().After(end) {
+			s.t.Fatalf("nothing came: %s", what)
+		}
+		s.loop.Turn()
+	}
+	return why
+}
+
+// must is a call that succeeds.
+func (s *scriptedService) must(what string, call func(told func(why string))) {
+	s.t.Helper()
+	if why := s.wait(what, call); why != "" {
+		s.t.Fatalf("%s: %s", what, why)
+	}
+}
+
+func (s *scriptedService) noError(err error) {
+	s.t.Helper()
+	if err != nil {
+		s.t.Fatal(err)
+	}
+}
+
+func (s *scriptedService) push(j jobs.Job, at time.Duration) {
+	s.t.Helper()
+	s.now += time.Millisecond
+	s.must("push "+j.ID, func(told func(string)) { s.Push(j, at, told) })
+}
+
+// lease pushes a job and leases it to a worker.
+func (s *scriptedService) lease(j jobs.Job, worker string, promise jobs.Honours) (fence uint64) {
+	s.t.Helper()
+	s.push(j, 0)
+	s.must("lease "+j.ID, func(told func(string)) {
+		if !s.Assign(j.ID, worker, promise, func(leased jobs.Job, why string) { fence = leased.Fence; told(why) }) {
+			s.t.Fatalf("%s cannot be leased", j.ID)
+		}
+	})
+	return fence
+}
+
+// begin pushes a job, leases it and grants its start.
+func (s *scriptedService) begin(j jobs.Job, worker string, promise jobs.Honours) (fence uint64) {
+	s.t.Helper()
+	fence = s.lease(j, worker, promise)
+	s.must("start "+j.ID, func(told func(string)) { s.Begin(j.ID, fence, told) })
+	return fence
+}
+
+func (s *scriptedService) fail(id string, fence uint64, started bool) {
+	s.t.Helper()
+	s.must("fail "+id, func(told func(string)) { s.Fail(id, fence, "till jammed", started, told) })
+}
+
+// renewal is a job that must not run twice, statusCheck one that may.
+func renewal(id string) jobs.Job {
+	return jobs.Job{ID: id, Class: "renewal", Once: true, Payload: []byte(`{"jid":"` + id + `","args":["member 7"]}`), Sum: 0x0123456789abcdef}
+}
+
+func statusCheck(id string) jobs.Job {
+	return jobs.Job{ID: id, Class: "status-check", Payload: []byte("no JSON <&> \xff"), Sum: 42}
+}
+
+// script goes through a fixed sequence of changes after which the store holds
+// jobs in every state that is stored, each field set in one of them.
+func script(s *scriptedService) {
+	s.t.Helper()
+	s.lapse()
+	s.push(statusCheck("accepted-1"), 0)
+	limited := statusCheck("scheduled-1")
+	limited.Most, limited.Lease, limited.Drops = 9, 90*time.Second, true
+	s.push(limited, farFuture)
+	s.lease(renewal("leased-1"), "w-fences", jobs.Fences)
+	s.lease(statusCheck("leased-2"), "w-nothing", jobs.Nothing)
+	s.begin(renewal("started-1"), "w-tills", jobs.Tills)
+	s.fail("waiting-1", s.begin(statusCheck("waiting-1"), "w-nothing", jobs.Nothing), true)
+	s.fail("ready-never-started", s.lease(renewal("ready-never-started"), "w-fences", jobs.Fences), false)
+	fence := s.begin(renewal("done-1"), "w-fences", jobs.Fences)
+	s.must("ack", func(told func(string)) { s.Ack("done-1", fence, []byte(`{"receipt":17}`), told) })
+	s.fail("dead-1", s.begin(renewal("dead-1"), "w-fences", jobs.Fences), true)
+	dropped := statusCheck("discarded-1")
+	dropped.Most, dropped.Drops = 1, true
+	s.fail("discarded-1", s.begin(dropped, "w-nothing", jobs.Nothing), true)
+	s.operate()
+	s.request()
+	s.must("pause", func(told func(string)) { s.note(pausedNote, []string{"renewal", "status-check"}, told) })
+	s.must("sync", s.Synced)
+}
+
+// lapse lets leases under each promise run out.
+func (s *scriptedService) lapse() {
+	s.t.Helper()
+	for _, id := range []string{"doubt-1", "settled-ran", "settled-not-ran"} {
+		s.lease(renewal(id), "w-nothing", jobs.Nothing)
+	}
+	s.begin(renewal("doubt-started"), "w-fences", jobs.Fences)
+	s.lease(renewal("freed-by-fences"), "w-fences", jobs.Fences)
+	s.lease(renewal("freed-by-tills"), "w-tills", jobs.Tills)
+	s.lease(statusCheck("lapsed-1"), "w-nothing", jobs.Nothing)
+	s.now += 61 * time.Second
+	s.loop.Turn()
+	s.must("the lapses", s.Synced)
+}
+
+// operate does what operators do.
+func (s *scriptedService) operate() {
+	s.t.Helper()
+	s.noError(s.Settle("settled-ran", true, "the till shows it"))
+	s.now += time.Millisecond
+	s.noError(s.Settle("settled-not-ran", false, "the till does not show it"))
+	s.push(statusCheck("moved-discard"), 0)
+	s.noError(s.Move("moved-discard", jobs.Discard, "not wanted", true))
+	s.push(statusCheck("moved-kill"), farFuture)
+	s.noError(s.Move("moved-kill", jobs.Kill, "for later", false))
+	s.fail("moved-requeue", s.begin(renewal("moved-requeue"), "w-fences", jobs.Fences), true)
+	s.now += time.Millisecond
+	s.noError(s.Move("moved-requeue", jobs.Requeue, "the till is mended", true))
+}
+
+// request hands in a job under an idempotency key.
+func (s *scriptedService) request() {
+	s.t.Helper()
+	r := Request{Target: "/renewal/m?x=y", Key: "m", IdempotencyKey: "key-1", Body: []byte("body \x00"), Slots: 1.5, Work: 20 * time.Millisecond}
+	s.push(r.Job("key-1", "renewal", true), 0)
+}
+
+// dump words each record of a store file: its bucket, its key, and its value with
+// what stands before the JSON in hexadecimal.
+func dump(t *testing.T, path string) []byte {
+	t.Helper()
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer db.Close()
+	var out bytes.Buffer
+	err = db.View(func(tx *bbolt.Tx) error {
+		return tx.ForEach(func(bucket []byte, b *bbolt.Bucket) error {
+			return b.ForEach(func(key, value []byte) error {
+				head := len(value)
+				if string(bucket) == "jobs" {
+					head = 9 // the schema and the checksum
+				}
+				_, err := fmt.Fprintf(&out, "%s %q %x %s\n", bucket, key, value[:head], value[head:])
+				return err
+			})
+		})
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return out.Bytes()
+}
+
+// A fixed sequence of changes writes the very records that it has always written.
+func TestGoldenWritten(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "jobs.db")
+	s := openScripted(t, path)
+	script(s)
+	if err := s.Close(); err != nil {
+		t.Fatal(err)
+	}
+	packed := filepath.Join("testdata", goldenStore)
+	if _, err := os.Stat(packed); os.Getenv("UPDATE_GOLDEN") != "" && os.IsNotExist(err) {
+		pack(t, path, packed)
+	}
+	checkGolden(t, "records.txt", dump(t, path))
+}
+
+func pack(t *testing.T, from, to string) {
+	t.Helper()
+	raw, err := os.ReadFile(from)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var out bytes.Buffer
+	zip, _ := gzip.NewWriterLevel(&out, gzip.BestCompression)
+	zip.Write(raw)
+	if err := zip.Close(); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(to, out.Bytes(), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// unpack copies the store file of an earlier build to a folder of the test's.
+func unpack(t *testing.T) (path string) {
+	t.Helper()
+	file, err := os.Open(filepath.Join("testdata", goldenStore))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer file.Close()
+	zip, err := gzip.NewReader(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	raw, err := io.ReadAll(zip)
+	if err != nil {
+		t.Fatal(err)
+	}
+	path = filepath.Join(t.TempDir(), "jobs.db")
+	if err := os.WriteFile(path, raw, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
+// describe words all fields of a job under names of this test's own.
+func describe(j jobs.Job) string {
+	return fmt.Sprintf("%s: class %q, not twice %v, payload %q, sum %d, result %q, state %q, fence %d, worker %q, promise %d, for tills only %v, "+
+		"due %d, attempts %d, at most %d, lease %d, dropped %v, why %q, version %d, sequence %d",
+		j.ID, j.Class, j.Once, j.Payload, j.Sum, j.Result, j.State, j.Fence, j.Worker, j.Honours, j.Only,
+		j.Until, j.Attempts, j.Most, j.Lease, j.Drops, j.Why, j.Version, j.Seq)
+}
+
+// A store file of an earlier build is read: every job with every field, what an
+// idempotency key asked for, the paused classes, and the audit.
+func TestGoldenRead(t *testing.T) {
+	path := unpack(t)
+	st, err := store.Open(path, store.Options{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	var out bytes.Buffer
+	kept, err := read(st, func(id string, value []byte) error {
+		if !strings.HasPrefix(id, auditPrefix) {
+			fmt.Fprintf(&out, "%q: %s\n", id, value)
+		}
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, j := range kept {
+		fmt.Fprintln(&out, describe(j))
+		if r, is := ReadRequest(j); is {
+			fmt.Fprintf(&out, "%s asks for: target %q, key %q, idempotency key %q, body %q, slots %g, work %v\n", j.ID, r.Target, r.Key, r.IdempotencyKey, r.Body, r.Slots, r.Work)
+		}
+	}
+	if records, err := st.Verify(); err != nil || records == 0 {
+		t.Errorf("%d records, %v", records, err)
+	}
+	if err := st.Close(); err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, "jobs.txt", out.Bytes())
+	if want := dump(t, path); !bytes.Equal(want, mustRead(t, "records.txt")) {
+		t.Error("the store file holds other records than today's writer writes")
+	}
+}
+
+func mustRead(t *testing.T, name string) []byte {
+	t.Helper()
+	raw, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return raw
+}
+
+// A service recovers from that file: the states that are derived, and the paused classes.
+func TestGoldenRecovered(t *testing.T) {
+	s := openScripted(t, unpack(t))
+	defer s.Close()
+	var out bytes.Buffer
+	s.Each(func(j jobs.Job) { fmt.Fprintln(&out, describe(j)) })
+	fmt.Fprintf(&out, "paused %v\n", s.paused())
+	checkGolden(t, "recovered.txt", out.Bytes())
+}
+
+// What operators see of it has its form, and so has the audit.
+func TestGoldenShown(t *testing.T) {
+	b, err := OpenBook(unpack(t), func() time.Duration { return goldenStart + 2*time.Minute })
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer b.Close()
+	var out bytes.Buffer
+	lines := json.NewEncoder(&out)
+	list, _ := b.Page(0, 1000, 1000, func(jobs.Job) bool { return true })
+	for _, j := range list {
+		for _, full := range []bool{false, true} {
+			if err := lines.Encode(Show(j, full)); err != nil {
+				t.Fatal(err)
+			}
+		}
+	}
+	for _, a := range b.Audits {
+		if err := lines.Encode(a); err != nil {
+			t.Fatal(err)
+		}
+	}
+	checkGolden(t, "shown.jsonl", out.Bytes())
+}
+
+// States have the numbers by which they are stored, and the names by which they are told.
+func TestGoldenStates(t *testing.T) {
+	for number, want := range []string{"accepted", "scheduled", "ready", "leased", "started", "waiting", "done", "dead", "discarded", "in doubt"} {
+		var j jobs.Job
+		if err := json.Unmarshal(fmt.Appendf(nil, `{"State":%d}`, number), &j); err != nil || j.State.String() != want {
+			t.Errorf("state %d is %q, %v; want %q", number, j.State, err, want)
+		}
+	}
+	if n := len(jobs.States()); n != 10 {
+		t.Errorf("%d states", n)
+	}
+}
