--- /dev/null
+++ b/internal/handover/golden_test.go
@@ -0,0 +1,114 @@
+package handover
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+)
+
+// checkGolden compares with a golden file; UPDATE_GOLDEN=1 writes it anew.
+func checkGolden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if os.Getenv("UPDATE_GOLDEN") != "" {
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s differs.\ngot:\n%s\nwant:\n%s", name, got, want)
+	}
+}
+
+// goldenMessages are messages of every kind, in the order of the golden file.
+func goldenMessages() []Message {
+	out, in := true, false
+	list := json.RawMessage(`{"seq":41,"whole":true,"hosts":[{"host":"s-1","dial":"127.0.0.1:8001"}],"age_ms":1250}`)
+	return []Message{
+		{Hello: &Hello{Discovery: "127.0.0.1:7000", List: list, Out: true, Key: []byte("\x00\x01key of 16 byte\xff")}},
+		{Hello: &Hello{List: json.RawMessage(`null`)}},
+		{Ready: true},
+		{Room: &Room{Descriptors: 768, Memory: 96 << 20}},
+		{Room: &Room{}},
+		{Moved: "127.0.0.1:7001"},
+		{List: list},
+		{Out: &out},
+		{Out: &in},
+		{Charge: &Charge{Backend: "s-1", Amount: 0.125}},
+		{Kept: true},
+	}
+}
+
+// goldenNames are names that are told at once and read again.
+var goldenNames = []uint64{1, 0x0123456789abcdef, 1<<64 - 1}
+
+// All kinds of messages are written byte for byte as they have always been, and
+// read as what they mean: an older process or a newer one is at the other end.
+func TestGoldenMessages(t *testing.T) {
+	p := newPair(t, Path(t.TempDir(), "n"))
+	conn, link := p.call(t)
+	defer conn.Close()
+	p.loop.Post(func() {
+		for _, m := range goldenMessages() {
+			link.Tell(m)
+		}
+		link.TellAll(goldenNames)
+	})
+	var written bytes.Buffer
+	for in := bufio.NewReader(conn); bytes.Count(written.Bytes(), []byte("\n")) < len(goldenMessages())+1; {
+		line, err := in.ReadBytes('\n')
+		if err != nil {
+			t.Fatal(err)
+		}
+		written.Write(line)
+	}
+	checkGolden(t, "messages.jsonl", written.Bytes())
+	golden, err := os.ReadFile(filepath.Join("testdata", "messages.jsonl"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := conn.Write(golden); err != nil {
+		t.Fatal(err)
+	}
+	for i, want := range goldenMessages() {
+		if got := receive(t, p.heard); !reflect.DeepEqual(got, want) {
+			t.Errorf("message %d is read as %+v, want %+v", i, got, want)
+		}
+	}
+	last := receive(t, p.heard)
+	if names, err := last.ReadNames(); err != nil || !reflect.DeepEqual(names, goldenNames) {
+		t.Errorf("names %x, %v", names, err)
+	}
+}
+
+// What a newer process may tell beyond these words is passed over.
+func TestGoldenUnknownWords(t *testing.T) {
+	p := newPair(t, Path(t.TempDir(), "n"))
+	conn, _ := p.call(t)
+	defer conn.Close()
+	fmt.Fprintln(conn, `{"a_word_to_come":{"x":1},"ready":true}`)
+	if got := receive(t, p.heard); !reflect.DeepEqual(got, Message{Ready: true}) {
+		t.Errorf("read as %+v", got)
+	}
+}
+
+// The two meet in a file whose name older and newer builds agree on.
+func TestGoldenPath(t *testing.T) {
+	for dispatcher, want := range map[string]string{
+		"n0 127.0.0.1:80": "/run/d/hollyyoke-abebc10f165f0118.sock",
+		"hollyyoke :7001": "/run/d/hollyyoke-18253651ac8179a5.sock",
+	} {
+		if got := Path("/run/d", dispatcher); got != want {
+			t.Errorf("%q meets at %q, want %q", dispatcher, got, want)
+		}
+	}
+}
