--- /dev/null
+++ b/cmd/hollyyoke/jobs_golden_test.go
@@ -0,0 +1,88 @@
+package main
+
+import (
+	"bytes"
+	"compress/gzip"
+	"io"
+	"os"
+	"path/filepath"
+	"regexp"
+	"testing"
+)
+
+// checkGolden compares with a golden file; UPDATE_GOLDEN=1 writes it anew.
+func checkGolden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if os.Getenv("UPDATE_GOLDEN") != "" {
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s differs.\ngot:\n%s\nwant:\n%s", name, got, want)
+	}
+}
+
+// goldenStore copies the store file of an earlier build to a folder of the test's.
+func goldenStore(t *testing.T) (path string) {
+	t.Helper()
+	file, err := os.Open(filepath.Join("testdata", "jobs-schema-1.db.gz"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer file.Close()
+	zip, err := gzip.NewReader(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	raw, err := io.ReadAll(zip)
+	if err != nil {
+		t.Fatal(err)
+	}
+	path = filepath.Join(t.TempDir(), "jobs.db")
+	if err := os.WriteFile(path, raw, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
+// leaseEnd is the due time of a job that is held: by the clock, a grace time from now.
+var leaseEnd = regexp.MustCompile(`("state": ?"(?:leased|started)".*?"due": ?)"[^"]*"`)
+
+// The commands on the store file of an earlier build print what they always have.
+func TestGoldenJobsCommands(t *testing.T) {
+	store := goldenStore(t)
+	for name, args := range map[string][]string{
+		"jobs-list.txt":      {"list"},
+		"jobs-in-doubt.txt":  {"list", "--state", "in doubt", "--class", "renewal", "--limit", "1"},
+		"jobs-export.jsonl":  {"export"},
+		"jobs-audit.jsonl":   {"audit"},
+		"jobs-show-json.txt": {"show", "doubt-1"},
+		"jobs-show-text.txt": {"show", "discarded-1"},
+		"jobs-show-done.txt": {"show", "done-1"},
+		"jobs-show-idem.txt": {"show", "idem:key-1"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			var out bytes.Buffer
+			if err := command(append([]string{"jobs", "--store", store}, args...), os.Getenv, &out, &out); err != nil {
+				t.Fatal(err)
+			}
+			checkGolden(t, name, leaseEnd.ReplaceAll(out.Bytes(), []byte(`$1"(a grace time from now)"`)))
+		})
+	}
+	snapshot := filepath.Join(filepath.Dir(store), "copy.db")
+	var out bytes.Buffer
+	for _, args := range [][]string{{"--store", store, "snapshot", "copy.db"}, {"--store", snapshot, "verify"}} {
+		if err := command(append([]string{"jobs"}, args...), os.Getenv, &out, &out); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if want := snapshot + ": 34 records, all whole\n"; out.String() != want {
+		t.Errorf("%q, want %q", out.String(), want)
+	}
+}
