--- a/cmd/hollyyoke/main_test.go
+++ b/cmd/hollyyoke/main_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"bytes"
+	"cmp"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -75,6 +76,7 @@
 	script   func(conn net.Conn) // answers each call to discovery; nil: tell does
 	begin    func()              // starts cmd in place of its own Start
 	traced   *sysfault.Process   // the daemon, where its system calls fail
+	program  string              // that is started; empty: the one under test
 	cmd      *exec.Cmd
 	log      record
 	client   *http.Client
@@ -243,7 +245,7 @@
 func (w *world) launch(args ...string) {
 	t := w.t
 	t.Helper()
-	w.cmd = exec.Command(binary, args...)
+	w.cmd = exec.Command(cmp.Or(w.program, binary), args...)
 	w.cmd.Env, w.cmd.ExtraFiles, w.cmd.Stderr = w.environment(), w.files, &w.log
 	if w.begin != nil {
 		w.begin()
--- a/cmd/hollyyoke/node_test.go
+++ b/cmd/hollyyoke/node_test.go
@@ -62,7 +62,7 @@
 
 // beside is a second process of the same dispatcher, in the same world.
 func (w *world) beside(env ...string) *world {
-	next := &world{t: w.t, env: append(append([]string{}, w.env...), env...), files: w.files, listen: w.listen,
+	next := &world{t: w.t, env: append(append([]string{}, w.env...), env...), files: w.files, listen: w.listen, program: w.program,
 		backends: w.backends, config: w.config, path: w.path, client: w.client, watches: w.watches, changes: w.changes}
 	next.launch()
 	return next
--- /dev/null
+++ b/cmd/hollyyoke/versions_test.go
@@ -0,0 +1,252 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// These tests replace a process by one of another build. The programs are taken
+// from the environment; where a variable is unset it is the program under test:
+//
+//	HOLLYYOKE_TEST_PREDECESSOR=/path/to/older/hollyyoke go test -run AcrossVersions ./cmd/hollyyoke
+//	HOLLYYOKE_TEST_SUCCESSOR=/path/to/newer/hollyyoke go test -run AcrossVersions ./cmd/hollyyoke
+//
+// hollyyoke-serve of the same build must lie beside each, or it serves itself.
+
+const (
+	predecessorVariable = "HOLLYYOKE_TEST_PREDECESSOR"
+	successorVariable   = "HOLLYYOKE_TEST_SUCCESSOR"
+)
+
+// load is clients that send without a pause.
+type load struct {
+	address string
+	stop    chan struct{}
+	clients sync.WaitGroup
+
+	mu     sync.Mutex
+	sent   int
+	failed []string
+}
+
+func startLoad(address string, clients int) *load {
+	l := &load{address: address, stop: make(chan struct{})}
+	for c := range clients {
+		l.clients.Add(1)
+		go func() {
+			defer l.clients.Done()
+			l.client(c)
+		}()
+	}
+	return l
+}
+
+// client sends until the load is stopped, now and then on a new connection.
+func (l *load) client(number int) {
+	client := &http.Client{Timeout: patience, Transport: &http.Transport{}}
+	defer client.CloseIdleConnections()
+	for n := 0; ; n++ {
+		select {
+		case <-l.stop:
+			return
+		case <-time.After(time.Millisecond):
+		}
+		id := fmt.Sprintf("load-%d-%d", number, n)
+		status, err := send(client, l.address, id, "")
+		l.mu.Lock()
+		l.sent++
+		if err != nil || status != 200 {
+			l.failed = append(l.failed, fmt.Sprintf("%s: %d, %v", id, status, err))
+		}
+		l.mu.Unlock()
+		if n%20 == 19 {
+			client.CloseIdleConnections()
+		}
+	}
+}
+
+// sentSoFar is how many requests have been answered, or have failed.
+func (l *load) sentSoFar() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.sent
+}
+
+// end stops the clients and tells what has become of their requests.
+func (l *load) end() (sent int, failed []string) {
+	close(l.stop)
+	l.clients.Wait()
+	return l.sent, l.failed
+}
+
+// send sends a renewal, under an idempotency key where there is one.
+func send(client *http.Client, address, id, key string) (status int, err error) {
+	request, err := http.NewRequest("POST", "http://"+address+"/renewal/k", strings.NewReader("x"))
+	if err != nil {
+		return 0, err
+	}
+	request.Header.Set("X-Correlation-Id", id)
+	if key != "" {
+		request.Header.Set("Idempotency-Key", key)
+	}
+	answer, err := client.Do(request)
+	if err != nil {
+		return 0, err
+	}
+	defer answer.Body.Close()
+	_, err = io.Copy(io.Discard, answer.Body)
+	return answer.StatusCode, err
+}
+
+// counted is how often each job has run.
+func counted(b *backend) map[string]int {
+	runs := map[string]int{}
+	for _, arrival := range b.arrivals() {
+		id, _, _ := strings.Cut(arrival, " ")
+		runs[id]++
+	}
+	return runs
+}
+
+// A process is replaced by one of another build while clients send without a
+// pause: none of their requests is lost, refused or run twice, the successor bars
+// the names that its predecessor took, and has where discovery is from it.
+func TestReplacementAcrossVersions(t *testing.T) {
+	first := operate(t, keep(t))
+	first.program = os.Getenv(predecessorVariable)
+	b := first.backend("s-1", done)
+	first.start()
+	first.watch()
+	moved := &world{t: t}
+	address := moved.discovery()
+	first.config["discovery"] = address
+	first.write()
+	first.signal(syscall.SIGHUP)
+	moved.watch()
+	first.config["discovery"] = "127.0.0.1:1" // the next one hears of the right one
+	first.write()
+	l := startLoad(first.listen, 4)
+	first.until("requests before the replacement", func() bool { return l.sentSoFar() > 50 })
+	next := first.besideProgram(os.Getenv(successorVariable))
+	next.until("the successor is ready", next.ready)
+	moved.watch()
+	first.says("a successor has started")
+	first.says("the successor takes clients")
+	before := l.sentSoFar()
+	first.until("requests beside each other", func() bool { return l.sentSoFar() > before+50 })
+	first.signal(syscall.SIGTERM)
+	if code := first.ended(); code != 0 {
+		t.Errorf("the predecessor's exit code: %d", code)
+	}
+	next.says("the former process has gone")
+	before = l.sentSoFar()
+	next.until("requests after the replacement", func() bool { return l.sentSoFar() > before+50 })
+	sent, failed := l.end()
+	for _, text := range failed {
+		t.Error(text)
+	}
+	runs := counted(b)
+	for id, n := range runs {
+		if n != 1 {
+			t.Errorf("%s ran %d times", id, n)
+		}
+	}
+	if len(runs) != sent {
+		t.Errorf("%d jobs ran of %d sent", len(runs), sent)
+	}
+	if status, _ := send(next.client, next.listen, "load-0-0", ""); status != 409 {
+		t.Errorf("a name that the predecessor took: %d", status)
+	}
+	t.Logf("%d requests, none lost", sent)
+}
+
+// besideProgram is a second process of the same dispatcher, of a given program.
+func (w *world) besideProgram(program string) *world {
+	former := w.program
+	w.program = program
+	defer func() { w.program = former }()
+	return w.beside()
+}
+
+// A drained process is replaced by one of another build, which is drained too;
+// and a drain that ends on either side ends on the other.
+func TestDrainAcrossVersions(t *testing.T) {
+	first := operate(t, keep(t))
+	first.program = os.Getenv(predecessorVariable)
+	first.backend("s-1", done)
+	first.start()
+	if status, _ := first.door("PUT", "/control/out-of-service"); status != 200 {
+		t.Fatalf("out of service: %d", status)
+	}
+	next := first.besideProgram(os.Getenv(successorVariable))
+	next.until("the successor is ready", next.ready)
+	if first.health() != 503 || next.health() != 503 {
+		t.Error("the successor of a drained process says that it is healthy")
+	}
+	if status, _ := next.door("PUT", "/control/in-service"); status != 200 {
+		t.Errorf("in service: %d", status)
+	}
+	first.says(`"in service"`)
+	if status, _ := first.door("PUT", "/control/out-of-service"); status != 200 {
+		t.Errorf("out of service: %d", status)
+	}
+	next.says(`"out of service"`)
+	next.until("both are drained", func() bool { return first.health() == 503 && next.health() == 503 })
+}
+
+// The store of durable jobs goes from a process to one of another build: what was
+// done is known to be done, and a job for later is there with its payload.
+func TestDurableJobsAcrossVersions(t *testing.T) {
+	first := operate(t, keep(t))
+	first.program = os.Getenv(predecessorVariable)
+	b := first.backend("s-1", done)
+	ln := listen(t)
+	faktory := ln.Addr().String()
+	ln.Close()
+	dir := t.TempDir()
+	operator := fmt.Sprintf("listen = %q\n[durable]\npath = %q\nqueues = [\"renewal\", \"status-check\"]\n", faktory, filepath.Join(dir, "jobs.db"))
+	for name, text := range map[string]string{"addr": faktory, "faktory.toml": operator} {
+		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	first.env = append(first.env, "HOLLYYOKE_FAKTORY="+filepath.Join(dir, "faktory.toml"))
+	first.start()
+	if status, err := send(first.client, first.listen, "before", "paid-1"); status != 200 {
+		t.Fatalf("a request under an idempotency key: %d, %v", status, err)
+	}
+	producer, err := faktoryDial(dir, map[string]any{"labels": []string{"born_ms:1"}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	push := `PUSH {"jid":"later-001","queue":"renewal","jobtype":"renewal","args":["member 7"],"at":"2999-01-01T00:00:00Z"}`
+	if got, err := producer.do(push); err != nil || !strings.HasPrefix(got, "+OK") {
+		t.Fatalf("%q, %v", got, err)
+	}
+	query := "/control/jobs?full=true"
+	_, list := first.door("GET", query)
+	next := first.besideProgram(os.Getenv(successorVariable))
+	next.until("the successor is ready", next.ready)
+	first.signal(syscall.SIGTERM)
+	next.says("has the durable jobs")
+	if code := first.ended(); code != 0 {
+		t.Errorf("the predecessor's exit code: %d", code)
+	}
+	if _, now := next.door("GET", query); now != list || !strings.Contains(now, "later-001") || !strings.Contains(now, "idem:paid-1") {
+		t.Errorf("the successor's jobs:\n%s\nthe predecessor's:\n%s", now, list)
+	}
+	if status, err := send(next.client, next.listen, "after", "paid-1"); status != 200 {
+		t.Errorf("asked again under the key: %d, %v", status, err)
+	}
+	if n := counted(b)["idem:paid-1"]; n != 1 {
+		t.Errorf("the request ran %d times", n)
+	}
+}
