--- a/internal/rehearsal/recording/golden_test.go
+++ b/internal/rehearsal/recording/golden_test.go
@@ -162,3 +162,24 @@
 		})
 	}
 }
+
+// Of more durations than are kept of a class a sample is, by the seed, and what is
+// drawn from it for entries without one is the same as ever.
+func TestGoldenSample(t *testing.T) {
+	const recorded, missing = 9000, 8
+	var log bytes.Buffer
+	for i := range recorded {
+		log.WriteString(line(morning.Add(time.Duration(i)*time.Second), "GET", fmt.Sprintf("/members/%d/status", i), float64(i+1)/1000))
+	}
+	for i := range missing {
+		log.WriteString(line(morning.Add((recorded+time.Duration(i))*time.Second), "GET", "/members/1/status", -1))
+	}
+	_, list, _ := imported(t, Options{Seed: 7}, log.String())
+	var out bytes.Buffer
+	for _, e := range list {
+		if e.Repairs&DrawnDuration != 0 {
+			fmt.Fprintln(&out, e.Duration)
+		}
+	}
+	checkGolden(t, "sample.txt", out.Bytes())
+}
