--- /dev/null
+++ b/internal/control/golden_test.go
@@ -0,0 +1,302 @@
+package control
+
+import (
+	"flag"
+	"fmt"
+	"io"
+	"log/slog"
+	"net/netip"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+	"time"
+
+	"hollyyoke.example/hollyyoke"
+	"hollyyoke.example/hollyyoke/internal/admit"
+	"hollyyoke.example/hollyyoke/internal/core"
+	"hollyyoke.example/hollyyoke/internal/durable"
+	"hollyyoke.example/hollyyoke/internal/entry"
+	"hollyyoke.example/hollyyoke/internal/invariant"
+	"hollyyoke.example/hollyyoke/internal/jobs"
+	"hollyyoke.example/hollyyoke/internal/net"
+	"hollyyoke.example/hollyyoke/internal/platform"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// golden compares with a file in testdata, line by line. A carriage return is
+// shown as \r there.
+func golden(t *testing.T, name, got string) {
+	t.Helper()
+	got = strings.ReplaceAll(got, "\r", `\r`)
+	path := filepath.Join("testdata", name)
+	if *update {
+		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(string(text), "\n")
+	for i := range max(len(gotLines), len(wantLines)) {
+		switch {
+		case i >= len(gotLines):
+			t.Fatalf("%s:%d: it ends, want %q", path, i+1, wantLines[i])
+		case i >= len(wantLines):
+			t.Fatalf("%s:%d: got %q, want the end", path, i+1, gotLines[i])
+		case gotLines[i] != wantLines[i]:
+			t.Fatalf("%s:%d:\n got %s\nwant %s", path, i+1, gotLines[i], wantLines[i])
+		}
+	}
+}
+
+// changing is what differs from run to run: times to come, and what a bar has left.
+var changing = regexp.MustCompile(`"due":"20[2-8][^"]*"|"for_s":[0-9.]+`)
+
+// transcript makes calls one after the other and writes down both sides' bytes.
+func transcript(t *testing.T, addr string, calls ...string) string {
+	t.Helper()
+	r, text := rig{addr: addr}, strings.Builder{}
+	for _, call := range calls {
+		conn := r.dial(t)
+		method, _, _ := strings.Cut(call, " ")
+		request := call + " HTTP/1.1\r\nHost: h\r\n"
+		if method != "GET" {
+			request += "Content-Length: 0\r\n"
+		}
+		io.WriteString(conn, request+"\r\n")
+		answer, err := io.ReadAll(conn)
+		if err != nil {
+			t.Fatalf("%s: %v", call, err)
+		}
+		masked := changing.ReplaceAllStringFunc(string(answer), func(field string) string {
+			key, _, _ := strings.Cut(field, ":")
+			return key + ":MASKED"
+		})
+		if masked != string(answer) { // its length may differ too
+			masked = regexp.MustCompile(`Content-Length: \d+`).ReplaceAllString(masked, "Content-Length: MASKED")
+		}
+		text.WriteString("> " + call + "\n" + masked + "\n")
+	}
+	return text.String()
+}
+
+// What is answered where nothing is on, and what is wrong with a call.
+func TestGoldenCalls(t *testing.T) {
+	r := newRig(t)
+	text := transcript(t, r.addr,
+		"GET /control/ready", "GET /control/counters", "GET /control/invariants",
+		"PUT /control/out-of-service", "PUT /control/in-service",
+		"GET /control/membership", "GET /control/connections",
+		"PUT /control/connections/bar?prefix=10.0.0.0/8&for=1m", "PUT /control/connections/unbar?prefix=10.0.0.0/8",
+		"GET /control/jobs", "GET /control/jobs/show?id=a", "PUT /control/jobs/snapshot?name=a",
+		"PUT /control/jobs/settle?id=a", "PUT /control/jobs/retry?id=a", "PUT /control/jobs/discard?id=a",
+		"PUT /control/ready", "PUT /control/counters", "PUT /control/invariants", "PUT /control/membership",
+		"PUT /control/connections", "PUT /control/jobs", "PUT /control/jobs/show",
+		"GET /control/out-of-service", "GET /control/in-service", "GET /control/connections/bar",
+		"GET /control/connections/unbar", "GET /control/jobs/snapshot", "GET /control/jobs/settle",
+		"GET /control/jobs/retry", "GET /control/jobs/discard",
+		"GET /", "GET /control", "GET /metrics", "GET /healthz", "HEAD /control/ready",
+		"GET /control/ready HTTP/1.1\r\nHost: h\r\n\r\n behind",
+		"GET /control/ready HTTP/1.1\r\nX-Long: "+strings.Repeat("x", 7000)+"\r\nX:",
+		"nonsense", "PUT /control/ready HTTP/1.1\r\nContent-Length: 70000\r\nX:",
+	)
+	text = strings.ReplaceAll(text, strings.Repeat("x", 7000), "(7000 times x)")
+	r.do(func() { r.ready, r.no = false, io.ErrClosedPipe })
+	text += transcript(t, r.addr, "GET /control/ready", "PUT /control/out-of-service", "PUT /control/in-service")
+	half := r.dial(t)
+	io.WriteString(half, "GET /control/re")
+	answer, err := io.ReadAll(half)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden(t, "calls.golden", text+"> half a call\n"+string(answer))
+}
+
+// The figures and the guard's counts, with something in each field. Every rule
+// is broken a number of times of its own, so that names cannot change places.
+func TestGoldenFigures(t *testing.T) {
+	r := newRig(t)
+	r.do(func() {
+		c := r.core
+		c.List(carrier{c}, hollyyoke.ListComplete, []hollyyoke.Entry{{Worker: "a"}, {Worker: "b"}, {Worker: "d", State: hollyyoke.Stopping}})
+		for i, id := range []string{"done-1", "done-2", "full-1", "hold-1", "hold-2"} {
+			c.Take(deaf{}, uint64(i), core.Job{ID: id, Class: i % 2})
+		}
+		c.Take(deaf{}, 9, core.Job{ID: "fail-1", Class: 1})
+		breakRules(&c.Guard)
+	})
+	golden(t, "figures.golden", transcript(t, r.addr, "GET /control/counters", "GET /control/invariants"))
+}
+
+// breakRules has a guard keep back and find broken what there is a rule for, the
+// n-th rule n times.
+func breakRules(g *invariant.Guard) {
+	times := func(n int, f func()) {
+		for range n {
+			f()
+		}
+	}
+	left := invariant.Send{Left: true, Now: 2, Deadline: 9}
+	duplicate := invariant.Start{Deadline: 9, Fragile: true, MayHaveRun: true}
+	answered := invariant.Start{Deadline: 9, Answered: true}
+	times(1, func() { g.MaySend(left) })
+	times(2, func() { g.MaySend(invariant.Send{Deadline: 9, OldList: true}) })
+	times(3, func() { g.MaySend(invariant.Send{Now: 2, Deadline: 1}) })
+	times(4, func() { g.MaySend(invariant.Send{Now: 2, Deadline: 9, RepeatBy: 1}) })
+	times(5, func() { g.MayStart(duplicate) })
+	times(6, func() { g.MayStart(answered) })
+	fine := invariant.Start{Deadline: 9}
+	times(1, func() { g.CheckSent(fine, left, "s") })
+	times(3, func() { g.CheckSent(invariant.Start{Now: 2, Deadline: 1}, invariant.Send{Deadline: 9}, "s") })
+	times(5, func() { g.CheckSent(duplicate, invariant.Send{Deadline: 9}, "s") })
+	times(6, func() { g.CheckSent(answered, invariant.Send{Deadline: 9}, "s") })
+	times(7, func() { g.CheckClosed(true, "s") })
+}
+
+// newFullRig is a rig with all that a daemon may have: connections that are
+// decided on, durable jobs, and a list that comes by versions.
+func newFullRig(t *testing.T) (r *rig, api *API, service *durable.Service) {
+	t.Helper()
+	r = newRig(t)
+	log := slog.New(slog.DiscardHandler)
+	service, err := durable.Open(r.core.Loop, durable.Config{
+		Path: filepath.Join(t.TempDir(), "jobs.db"), Jobs: jobs.Config{Lease: 50 * time.Millisecond, Grace: time.Millisecond},
+	}, log)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { r.do(func() { service.Close() }) })
+	service.Runnable = func(jobs.Job) {}
+	var engine *net.Engine
+	r.do(func() { engine, err = net.NewEngine(r.core.Loop, 200) })
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(engine.StopListening)
+	r.do(func() {
+		service.Start()
+		guard, bad := entry.Guard(r.core.Loop, engine, entry.Config{
+			Admit: admit.Config{Room: 50, Reserve: 10, Known: []netip.Prefix{netip.MustParsePrefix("10.9.0.0/16")},
+				Address: admit.Caps{Open: 2}},
+			Marks: admit.Marks{Low: 0.5, High: 0.7, Critical: 0.9, Back: 0.1}, Floors: [admit.Kinds]int{1, 2, 3, 4, 5},
+		}, 100, log)
+		if bad != nil {
+			t.Error(bad)
+			return
+		}
+		now := r.core.Loop.Now()
+		for i, addr := range []string{"10.9.0.1", "10.8.0.1", "10.8.0.1", "10.8.0.1"} {
+			guard.Admit.Arrive(now, netip.MustParseAddr(addr), uint64(i))
+		}
+		api = New(r.core, engine, carrier{r.core}, Desk{
+			Ready: func() bool { return true }, Service: func(bool) error { return nil },
+			Entry: guard, Jobs: func() *durable.Service { return service },
+			Membership: func() platform.ControlStats {
+				return platform.ControlStats{
+					BytesRead: 1, BytesWritten: 2, Applied: 3, Refused: 4, Snapshots: 5, Deltas: 6, Acknowledged: 7, Failovers: 8,
+					Version: 9, Server: "10.0.0.1:8601",
+				}
+			},
+		})
+		r.addr, err = api.Listen("127.0.0.1:0")
+	})
+	if err != nil || t.Failed() {
+		t.Fatal(err)
+	}
+	return r, api, service
+}
+
+func TestGoldenMembershipAndConnections(t *testing.T) {
+	r, _, _ := newFullRig(t)
+	golden(t, "connections.golden", transcript(t, r.addr,
+		"GET /control/membership", "GET /control/connections",
+		"PUT /control/connections/bar?prefix=10.1.2.3/24&for=1h", "PUT /control/connections/bar?prefix=10.8.0.1&for=15m",
+		"PUT /control/connections/bar?prefix=2001:db8::/64&for=1m",
+		"GET /control/connections",
+		"PUT /control/connections/bar?prefix=x&for=1h", "PUT /control/connections/bar?prefix=10.1.2.3&for=169h",
+		"PUT /control/connections/bar?prefix=10.1.2.3&for=0s", "PUT /control/connections/bar?prefix=10.1.2.3",
+		"PUT /control/connections/unbar?prefix=10.1.2.0/24", "PUT /control/connections/unbar?prefix=10.1.2.0/24",
+		"PUT /control/connections/unbar?prefix=x",
+	))
+}
+
+func TestGoldenJobs(t *testing.T) {
+	r, _, service := newFullRig(t)
+	stored := func(what string, start func(told func(why string))) {
+		t.Helper()
+		told := make(chan string, 1)
+		r.do(func() { start(func(why string) { told <- why }) })
+		if why := <-told; why != "" {
+			t.Fatalf("%s: %s", what, why)
+		}
+	}
+	push := func(j jobs.Job, at time.Duration) {
+		t.Helper()
+		stored("push "+j.ID, func(told func(string)) { service.Push(j, at, told) })
+	}
+	lease := func(id string) (leased jobs.Job) {
+		t.Helper()
+		stored("lease "+id, func(told func(string)) {
+			service.Assign(id, "w 1", jobs.Nothing, func(j jobs.Job, why string) { leased = j; told(why) })
+		})
+		return leased
+	}
+	later := time.Duration(time.Date(2099, 1, 2, 3, 4, 5, 600e6, time.UTC).UnixNano())
+	push(jobs.Job{ID: "scheduled-1", Class: "renewal", Once: true, Payload: []byte(`{"a": [1]}`)}, later)
+	push(jobs.Job{ID: "ready-1", Class: "status-check", Payload: []byte("no JSON")}, 0)
+	push(jobs.Job{ID: "ready-2", Class: "status-check", Payload: []byte(`{}`)}, 0)
+	push(jobs.Job{ID: "dead-1", Class: "renewal", Once: true, Payload: []byte(`{}`)}, 0)
+	push(jobs.Job{ID: "done-1", Class: "renewal", Once: true, Payload: []byte(`{}`)}, 0)
+	push(jobs.Job{ID: "doubt-1", Class: "renewal", Once: true, Payload: []byte(`{}`)}, 0)
+	push(jobs.Job{ID: "doubt-2", Class: "renewal", Once: true, Payload: []byte(`{}`)}, 0)
+	fence := lease("dead-1").Fence
+	stored("fail", func(told func(string)) { service.Fail("dead-1", fence, "Broken: no till", true, told) })
+	fence = lease("done-1").Fence
+	stored("ack", func(told func(string)) { service.Ack("done-1", fence, []byte("r"), told) })
+	lease("doubt-1")
+	lease("doubt-2")
+	for end := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
+		count := 0
+		r.do(func() { count = service.Counts()[jobs.InDoubt] })
+		if count == 2 {
+			break
+		}
+		if time.Now().After(end) {
+			t.Fatal("no job is in doubt")
+		}
+	}
+	golden(t, "jobs.golden", transcript(t, r.addr,
+		"GET /control/jobs", "GET /control/jobs?full=true", "GET /control/jobs?state=ready", "GET /control/jobs?class=renewal&state=in+doubt",
+		"GET /control/jobs?after=6", "GET /control/jobs?after=x", "GET /control/jobs?state=x", "GET /control/jobs?%",
+		"GET /control/jobs/show?id=ready-1", "GET /control/jobs/show?id=scheduled-1", "GET /control/jobs/show?id=x",
+		"PUT /control/jobs/settle?id=doubt-1&reason=asked&ran=true", "PUT /control/jobs/settle?id=doubt-2&reason=asked&ran=false",
+		"PUT /control/jobs/settle?id=doubt-1&reason=asked", "PUT /control/jobs/settle?id=doubt-1&ran=true",
+		"PUT /control/jobs/settle?id=ready-1&reason=asked&ran=true", "PUT /control/jobs/settle?id=x&reason=asked&ran=true",
+		"PUT /control/jobs/retry?id=dead-1&reason=again", "PUT /control/jobs/retry?id=done-1&reason=again", "PUT /control/jobs/retry?id=x&reason=again",
+		"PUT /control/jobs/discard?id=ready-2&reason=unwanted", "PUT /control/jobs/discard?id=done-1&reason=unwanted", "PUT /control/jobs/discard?reason=x",
+		"PUT /control/jobs/snapshot?name=copy.db", "PUT /control/jobs/snapshot?name=../copy.db", "PUT /control/jobs/snapshot",
+		"GET /control/jobs",
+	))
+}
+
+// A page that is full tells where the next begins.
+func TestGoldenJobsPage(t *testing.T) {
+	r, _, service := newFullRig(t)
+	told := make(chan string, pageJobs+1)
+	r.do(func() {
+		for i := range pageJobs + 1 {
+			service.Push(jobs.Job{ID: fmt.Sprintf("job-%03d", i), Class: "c"}, 0, func(why string) { told <- why })
+		}
+	})
+	for range pageJobs + 1 {
+		if why := <-told; why != "" {
+			t.Fatal(why)
+		}
+	}
+	golden(t, "page.golden", transcript(t, r.addr, "GET /control/jobs", "GET /control/jobs?after=100"))
+}
