--- /dev/null
+++ b/internal/admit/golden_test.go
@@ -0,0 +1,32 @@
+package admit
+
+import (
+	"slices"
+	"strings"
+	"testing"
+)
+
+// The names of reasons, standings, stages and kinds of descriptors are keys of
+// the admin API's JSON.
+func TestNamesInJSON(t *testing.T) {
+	var names []string
+	for r := range reasons {
+		names = append(names, r.String())
+	}
+	for s := Unknown; s <= Front; s++ {
+		names = append(names, s.String())
+	}
+	for s := range stages {
+		names = append(names, s.String())
+	}
+	for k := range Kinds {
+		names = append(names, k.String())
+	}
+	want := strings.Fields("fine barred address_open address_opening address_rate address_half address_bytes " +
+		"prefix_open prefix_opening prefix_rate prefix_half prefix_bytes fair_share full full_known total_rate descriptors " +
+		"bad_proxy_header too_slow answers_not_read too_greedy unknown learned known front " +
+		"asking silent proven half_read busy sessions backends discovery door stores")
+	if !slices.Equal(names, want) {
+		t.Errorf("%q,\n   want %q", names, want)
+	}
+}
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -5,6 +5,7 @@
 	"flag"
 	"fmt"
 	"io"
+	"log/slog"
 	stdnet "net"
 	"os"
 	"path/filepath"
@@ -15,6 +16,8 @@
 
 	"hollyyoke.example/hollyyoke"
 	"hollyyoke.example/hollyyoke/internal/core"
+	"hollyyoke.example/hollyyoke/internal/durable"
+	"hollyyoke.example/hollyyoke/internal/jobs"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
@@ -254,3 +257,60 @@
 	text.WriteString(call.request(0)) // tells what is missing
 	golden(t, "torelay.golden", text.String())
 }
+
+// The answers to requests whose key is kept durably.
+func TestGoldenKeptRequests(t *testing.T) {
+	r := newRig(t, func(s *hollyyoke.Settings) { s.Classes[1].Deadline = time.Second })
+	service, err := durable.Open(r.core.Loop, durable.Config{
+		Path: filepath.Join(t.TempDir(), "jobs.db"), Jobs: jobs.Config{Lease: 20 * time.Millisecond, Grace: time.Millisecond},
+	}, slog.New(slog.DiscardHandler))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { r.do(func() { service.Close() }) })
+	// What is pushed has the end that the first word of its body says.
+	nothing := func(string) {}
+	service.Runnable = func(j jobs.Job) {
+		request, _ := durable.ReadRequest(j)
+		switch word := string(request.Body); {
+		case strings.HasPrefix(word, "discard"):
+			r.core.Loop.Post(func() { service.Move(j.ID, jobs.Discard, "unwanted", true) })
+		case !strings.HasPrefix(word, "hold"):
+			service.Assign(j.ID, "w", jobs.Nothing, func(leased jobs.Job, _ string) {
+				if strings.HasPrefix(word, "done") {
+					service.Ack(j.ID, leased.Fence, []byte("made"), nothing)
+				}
+			})
+		}
+	}
+	var addr string
+	var front *Front
+	r.do(func() {
+		service.Start()
+		r.core.Listen(echo{r.core})
+		front = NewFront(r.core, r.engine, 64<<20, func() bool { return true })
+		front.Keep(nil, []bool{false, true})
+		addr, _ = front.Listen("127.0.0.1:0", 20)
+	})
+	var text strings.Builder
+	ask := func(key, body string) {
+		t.Helper()
+		request := fmt.Sprintf("POST /renewal/k HTTP/1.1\r\nX-Correlation-Id: id\r\nConnection: close\r\nIdempotency-Key: %s\r\nContent-Length: %d\r\n\r\n%s", key, len(body), body)
+		_, in := bad(t, addr, request)
+		answer, err := io.ReadAll(in)
+		if err != nil {
+			t.Error(err)
+		}
+		text.WriteString("> " + key + ", " + body + "\n" + string(answer) + "\n")
+	}
+	ask("key-1", "done") // the other process has the store
+	r.do(func() { front.Keep(service, []bool{false, true}) })
+	ask("key-1", "done")
+	ask("key-1", "done")
+	ask("key-1", "done again")
+	ask("a b", "done")
+	ask("key-2", "hold")
+	ask("key-3", "discard")
+	ask("key-4", "lost")
+	golden(t, "kept.golden", text.String())
+}
