--- a/Makefile
+++ b/Makefile
@@ -20,7 +20,7 @@
 	go tool staticcheck ./...
 	@bad=$$(go list -f '{{join .Imports "\n"}}' ./internal/admit ./internal/jobs ./internal/membership ./internal/freshness ./internal/invariant | grep -E '^(net|net/http|os|os/.*|syscall|io)$$|hollyyoke'); \
 	if [ -n "$$bad" ]; then echo "internal/admit, jobs, membership, freshness and invariant decide and do no I/O, but import $$bad" >&2; exit 1; fi
-	@bad=$$(go list -deps ./cmd/hollyyoke-serve | grep -E '^net/http$$|internal/rehearsal|alecthomas/kong|gonum|protobuf|klauspost|HdrHistogram'); \
+	@bad=$$(go list -deps ./cmd/dispatcher-serve | grep -E '^net/http$$|internal/rehearsal|alecthomas/kong|gonum|protobuf|klauspost|HdrHistogram'); \
 	if [ -n "$$bad" ]; then echo "the daemon must not link $$bad" >&2; exit 1; fi
 	@bad=$$(go list -f '{{join .Imports "\n"}}' ./internal/core | grep -E 'internal/(platform|faktory|net|control|node)$$'); \
 	if [ -n "$$bad" ]; then echo "internal/core knows no front and no socket, but imports $$bad" >&2; exit 1; fi
@@ -28,12 +28,12 @@
 	if [ -n "$$bad" ]; then echo "fronts do not import each other, but one imports $$bad" >&2; exit 1; fi
 	@bad=$$(go list -deps ./internal/rehearsal/standin ./internal/rehearsal/hostile | grep -E 'internal/(platform|faktory|core|net)$$'); \
 	if [ -n "$$bad" ]; then echo "stand-ins must not share code with the fronts, but import $$bad" >&2; exit 1; fi
-	@bad=$$(go list -deps ./cmd/hollyyoke-relay | grep -E 'internal/(rehearsal|platform|faktory|core|net)$$|internal/rehearsal/'); \
+	@bad=$$(go list -deps ./cmd/membership-relay | grep -E 'internal/(rehearsal|platform|faktory|core|net)$$|internal/rehearsal/'); \
 	if [ -n "$$bad" ]; then echo "the relay must link neither the kit nor the dispatcher, but imports $$bad" >&2; exit 1; fi
 
 # The daemon with the Faktory front on loopback, nothing else needed.
 run: build
-	exec bin/hollyyoke --config deploy/faktory-config.json --faktory deploy/faktory.toml
+	exec bin/dispatcher --config deploy/faktory-config.json --faktory deploy/faktory.toml
 
 # A rehearsal from a raw log, with everything it needs started here:
 # make rehearse IN=access.log RULES=rules.toml REPORT=found/report
@@ -42,8 +42,8 @@
 REPORT ?= found/rehearsal
 rehearse: build
 	mkdir -p $(REPORT)
-	bin/hollyyoke-rehearse import --rules $(RULES) --rejects $(REPORT)/rejects.jsonl -o $(REPORT)/recording.rec $(IN)
-	bin/hollyyoke-rehearse run --recording $(REPORT)/recording.rec --report $(REPORT)
+	bin/rehearse import --rules $(RULES) --rejects $(REPORT)/rejects.jsonl -o $(REPORT)/recording.rec $(IN)
+	bin/rehearse run --recording $(REPORT)/recording.rec --report $(REPORT)
 
 # Many seeds of random, overlapping faults over a few dozen real dispatchers, some
 # 35 s each; CI plays a short one with the tests. A failing run names its seed:
@@ -51,11 +51,11 @@
 SEED = 1
 SEEDS = 20
 soak: build
-	bin/hollyyoke-rehearse soak --seed $(SEED) --seeds $(SEEDS)
+	bin/rehearse soak --seed $(SEED) --seeds $(SEEDS)
 
 # The capacity page, from the runs and assumptions in docs/capacity.
 capacity: build
-	bin/hollyyoke-rehearse capacity
+	bin/rehearse capacity
 
 clean:
 	rm -rf bin found
@@ -67,9 +67,9 @@
 # 2 GB of Combined lines made up on the spot, imported on one core: speed and resident memory.
 measure-import: build
 	mkdir -p $(FOUND)
-	bin/hollyyoke-rehearse generate --rate 5000 --for 2600s > $(FOUND)/big.log
+	bin/rehearse generate --rate 5000 --for 2600s > $(FOUND)/big.log
 	ls -l $(FOUND)/big.log
-	GOMAXPROCS=1 bash -c 'time bin/hollyyoke-rehearse import --rules $(RULES) -o $(FOUND)/big.rec $(FOUND)/big.log'
+	GOMAXPROCS=1 bash -c 'time bin/rehearse import --rules $(RULES) -o $(FOUND)/big.rec $(FOUND)/big.log'
 	rm -f $(FOUND)/big.log $(FOUND)/big.rec
 	go test -run '^$$' -bench 'Combined|HAR' -cpu 1 -count 5 ./internal/rehearsal/recording
 
@@ -77,15 +77,15 @@
 measure-fidelity: build
 	mkdir -p $(FOUND)
 	for shape in steady rush morning; do for rate in 100 1000 5000; do \
-	  bin/hollyyoke-rehearse generate --shape $$shape --rate $$rate --mean-ms 10 --precise > $(FOUND)/a.log 2>/dev/null; \
-	  bin/hollyyoke-rehearse import --rules $(RULES) --format 'nginx:$$msec $$remote_addr "$$request" $$status $$request_time' \
+	  bin/rehearse generate --shape $$shape --rate $$rate --mean-ms 10 --precise > $(FOUND)/a.log 2>/dev/null; \
+	  bin/rehearse import --rules $(RULES) --format 'nginx:$$msec $$remote_addr "$$request" $$status $$request_time' \
 	    -o $(FOUND)/a.rec $(FOUND)/a.log > /dev/null; \
-	  echo "== $$shape, $$rate a second"; bin/hollyyoke-rehearse run --recording $(FOUND)/a.rec 2> /dev/null || true; done; done
+	  echo "== $$shape, $$rate a second"; bin/rehearse run --recording $(FOUND)/a.rec 2> /dev/null || true; done; done
 
 # Known clients beside 5,000 hostile ones, with admission on and off, and alone.
 measure-flood: build
-	bin/hollyyoke-rehearse flood --alone
-	bin/hollyyoke-rehearse flood --starve
+	bin/rehearse flood --alone
+	bin/rehearse flood --starve
 
 # What a decision costs, with a million addresses remembered.
 measure-admit:
@@ -98,33 +98,34 @@
 
 # The kill test, 200 kills for each kind of worker.
 measure-kills:
-	HOLLYYOKE_KILLS=200 go test -count=1 -timeout 20m -v -run 'Kills$$' ./cmd/hollyyoke
+	HOLLYYOKE_KILLS=200 go test -count=1 -timeout 20m -v -run 'Kills$$' ./cmd/dispatcher
 
 # A thousand days of each scenario in virtual time, and what a day costs by size.
 measure-days: build
-	bin/hollyyoke-rehearse sim hunt deploy/scenarios/*.toml --seeds 1000
+	bin/rehearse sim hunt deploy/scenarios/*.toml --seeds 1000
 	go test -run '^$$' -bench Day -cpu 1 ./internal/rehearsal/emulator
 
 # What one daemon costs by the number of listed workers, three plays of each size
 # (some eight minutes on an idle machine), and the capacity page anew.
 measure-slopes: build
-	bin/hollyyoke-rehearse slopes -o docs/capacity/slopes.json
-	bin/hollyyoke-rehearse capacity
+	bin/rehearse slopes -o docs/capacity/slopes.json
+	bin/rehearse capacity
 
 # The same of the program as it was before the work on its slopes: that commit in
-# a worktree, with the measuring code of this one.
+# a worktree, with the measuring code of a later one whose programs and packages
+# still had the names that they had there.
 BEFORE = c737ce15028e
+MEASURING_CODE = 1011860e
 BEFORE_DIR = found/before
 SLOPES_FLAGS =
 measure-slopes-before: build
 	rm -rf $(BEFORE_DIR) && git worktree prune && git worktree add --detach $(BEFORE_DIR) $(BEFORE)
-	cp -r internal/rehearsal/capacity $(BEFORE_DIR)/internal/rehearsal/
-	cp cmd/hollyyoke-rehearse/slopes.go cmd/hollyyoke-rehearse/version.go $(BEFORE_DIR)/cmd/hollyyoke-rehearse/
+	cd $(BEFORE_DIR) && git checkout $(MEASURING_CODE) -- internal/rehearsal/capacity cmd/hollyyoke-rehearse/slopes.go cmd/hollyyoke-rehearse/version.go
 	sed -i 's/^\tSim  .*/&\n\tSlopes slopesCmd `cmd:""`/' $(BEFORE_DIR)/cmd/hollyyoke-rehearse/main.go
 	cd $(BEFORE_DIR) && $(MAKE) build
 	$(BEFORE_DIR)/bin/hollyyoke-rehearse slopes $(SLOPES_FLAGS) --program-version $(BEFORE) -o docs/capacity/slopes-before.json
 	git worktree remove --force $(BEFORE_DIR)
-	bin/hollyyoke-rehearse capacity
+	bin/rehearse capacity
 
 # What control costs and how long changes take, before and after: every scenario
 # of the scale run at the target's 21,000 workers, an ordinary day at two smaller
@@ -136,8 +137,8 @@
 	mkdir -p $(SCALE_RUNS) $(FOUND)
 	@failed=0; run() { \
 	  echo "== $$*"; name=$$1; shift; \
-	  bin/hollyyoke-rehearse scale "$$@" --json $(SCALE_RUNS)/scale-$$name.json --chart $(FOUND)/scale-$$name.svg || failed=1; }; \
+	  bin/rehearse scale "$$@" --json $(SCALE_RUNS)/scale-$$name.json --chart $(FOUND)/scale-$$name.svg || failed=1; }; \
 	for size in 200 2100; do run day-$$size deploy/scenarios/scale/day.toml --workers $$size; done; \
 	for name in day rack zone region restart peak relay; do run $$name deploy/scenarios/scale/$$name.toml; done; \
-	bin/hollyyoke-rehearse capacity || failed=1; \
+	bin/rehearse capacity || failed=1; \
 	exit $$failed
--- a/cmd/hollyyoke-serve/main.go
+++ b/cmd/dispatcher-serve/main.go
@@ -1,4 +1,4 @@
-// Command hollyyoke-serve is the dispatcher's process, and nothing else: hollyyoke
+// Command dispatcher-serve is the dispatcher's process, and nothing else: dispatcher
 // becomes it. This file owns its start. It must never link the command line's
 // library, or anything of the kit.
 package main
@@ -20,7 +20,7 @@
 	flag.BoolVar(&f.Trace, "trace", false, "log each step of each req, by the client's name for it")
 	flag.Parse()
 	if err := node.Serve(f, os.Getenv, node.Logger(os.Stderr, *form)); err != nil {
-		fmt.Fprintln(os.Stderr, "hollyyoke:", err)
+		fmt.Fprintln(os.Stderr, "dispatcher:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/hollyyoke/kill_test.go
+++ b/cmd/dispatcher/kill_test.go
@@ -521,7 +521,7 @@
 // it is not granted. A build that looks at no fence lets both run, and the
 // history shows it.
 func TestLateStart(t *testing.T) {
-	broken := filepath.Join(t.TempDir(), "hollyyoke")
+	broken := filepath.Join(t.TempDir(), "dispatcher")
 	if out, err := exec.Command("go", "build", "-tags", "nofence", "-o", broken, ".").CombinedOutput(); err != nil {
 		t.Fatalf("%s%v", out, err)
 	}
--- a/cmd/hollyyoke/main.go
+++ b/cmd/dispatcher/main.go
@@ -1,5 +1,5 @@
-// Command hollyyoke is the dispatcher's command line: serve, check, version. This
-// file owns it. Serving is hollyyoke-serve's, which this process becomes where it
+// Command dispatcher is the dispatcher's command line: serve, check, version. This
+// file owns it. Serving is dispatcher-serve's, which this process becomes where it
 // lies beside it: the command line's library would take two megabytes for as
 // long as the dispatcher runs. It must never start a second process.
 package main
@@ -23,7 +23,7 @@
 
 func main() {
 	if err := command(os.Args[1:], os.Getenv, os.Stdout, os.Stderr); err != nil {
-		fmt.Fprintln(os.Stderr, "hollyyoke:", err)
+		fmt.Fprintln(os.Stderr, "dispatcher:", err)
 		os.Exit(1)
 	}
 }
@@ -66,7 +66,7 @@
 	}
 	var c cli
 	helped := false
-	parser, err := kong.New(&c, kong.Name("hollyyoke"), kong.Writers(out, errs), kong.Exit(func(int) { helped = true }),
+	parser, err := kong.New(&c, kong.Name("dispatcher"), kong.Writers(out, errs), kong.Exit(func(int) { helped = true }),
 		kong.Description("The dispatcher: takes jobs from clients and has workers run them."))
 	if err != nil {
 		return err
@@ -109,7 +109,7 @@
 	if err != nil {
 		return ""
 	}
-	path := filepath.Join(filepath.Dir(self), "hollyyoke-serve")
+	path := filepath.Join(filepath.Dir(self), "dispatcher-serve")
 	if info, err := os.Stat(path); err != nil || !info.Mode().IsRegular() || info.Mode()&0o111 == 0 {
 		return ""
 	}
--- a/cmd/hollyyoke/main_test.go
+++ b/cmd/dispatcher/main_test.go
@@ -41,8 +41,8 @@
 	if err != nil {
 		panic(err)
 	}
-	binary = filepath.Join(dir, "hollyyoke")
-	if out, err := exec.Command("go", "build", "-ldflags=-linkmode=external", "-o", dir, ".", "../hollyyoke-serve").CombinedOutput(); err != nil {
+	binary = filepath.Join(dir, "dispatcher")
+	if out, err := exec.Command("go", "build", "-ldflags=-linkmode=external", "-o", dir, ".", "../dispatcher-serve").CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "%s%v\n", out, err)
 		os.Exit(1)
 	}
--- a/cmd/hollyyoke/membership_test.go
+++ b/cmd/dispatcher/membership_test.go
@@ -30,7 +30,7 @@
 	t.Helper()
 	dir := t.TempDir()
 	program, options := filepath.Join(dir, "relay"), filepath.Join(dir, "relay.toml")
-	if out, err := exec.Command("go", "build", "-o", program, "../hollyyoke-relay").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", program, "../membership-relay").CombinedOutput(); err != nil {
 		t.Fatalf("%s%v", out, err)
 	}
 	text := fmt.Sprintf("[relay]\nname = \"relay-here\"\nzone = \"here\"\nlisten = \"127.0.0.1:0\"\n"+
--- a/cmd/hollyyoke/versions_test.go
+++ b/cmd/dispatcher/versions_test.go
@@ -19,7 +19,7 @@
 //	HOLLYYOKE_TEST_PREDECESSOR=/path/to/older/hollyyoke go test -run AcrossVersions ./cmd/hollyyoke
 //	HOLLYYOKE_TEST_SUCCESSOR=/path/to/newer/hollyyoke go test -run AcrossVersions ./cmd/hollyyoke
 //
-// hollyyoke-serve of the same build must lie beside each, or it serves itself.
+// dispatcher-serve of the same build must lie beside each, or it serves itself.
 
 const (
 	predecessorVariable = "HOLLYYOKE_TEST_PREDECESSOR"
--- a/cmd/hollyyoke-relay/main.go
+++ b/cmd/membership-relay/main.go
@@ -1,4 +1,4 @@
-// Command hollyyoke-relay is a relay of membership and configuration between
+// Command membership-relay is a relay of membership and configuration between
 // discovery and the dispatchers of a zone: serve (the default), check. This file
 // owns its command line and signals; package relay does the work.
 package main
@@ -21,7 +21,7 @@
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	if err := command(os.Args[1:], signals, os.Stdout, os.Stderr); err != nil {
-		fmt.Fprintln(os.Stderr, "hollyyoke-relay:", err)
+		fmt.Fprintln(os.Stderr, "membership-relay:", err)
 		os.Exit(1)
 	}
 }
@@ -39,7 +39,7 @@
 func command(args []string, signals <-chan os.Signal, out, errs io.Writer) error {
 	var c cli
 	helped := false
-	parser, err := kong.New(&c, kong.Name("hollyyoke-relay"), kong.Writers(out, errs), kong.Exit(func(int) { helped = true }),
+	parser, err := kong.New(&c, kong.Name("membership-relay"), kong.Writers(out, errs), kong.Exit(func(int) { helped = true }),
 		kong.Description("Relays membership and configuration from discovery to the dispatchers of a zone."))
 	if err != nil {
 		return err
--- a/cmd/hollyyoke-rehearse/flood.go
+++ b/cmd/rehearse/flood.go
@@ -39,7 +39,7 @@
 	Seed     uint64        `default:"1"`
 	Alone    bool          `help:"Also without any hostile client."`
 	Starve   bool          `help:"Instead: twice the rate, without hostile clients, whole and with no descriptor left by the system in the middle third."`
-	Daemon   string        `help:"The daemon's program; not given: hollyyoke beside this one."`
+	Daemon   string        `help:"The daemon's program; not given: dispatcher beside this one."`
 	JSON     bool          `name:"json" help:"Print as JSON."`
 }
 
--- a/cmd/hollyyoke-rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -1,4 +1,4 @@
-// Command hollyyoke-rehearse turns access logs and HAR files into canonical
+// Command rehearse turns access logs and HAR files into canonical
 // recordings and replays them: to a dispatcher with stand-ins around it, all of
 // which it starts itself, or to one that runs already. This file owns the
 // command line. It must never end with 0 if a rule broke.
@@ -106,7 +106,7 @@
 func run(args []string, in io.Reader, out, errs io.Writer) (code int) {
 	var c cli
 	exit := -1
-	parser, err := kong.New(&c, kong.Name("hollyyoke-rehearse"), kong.Writers(out, errs), kong.Exit(func(code int) { exit = code }),
+	parser, err := kong.New(&c, kong.Name("rehearse"), kong.Writers(out, errs), kong.Exit(func(code int) { exit = code }),
 		kong.Description("Rehearses recorded traffic against the dispatcher, with stand-ins for everything around it."),
 		kong.UsageOnError(), kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
 	if err != nil {
@@ -117,7 +117,7 @@
 		return exit
 	}
 	if err != nil {
-		fmt.Fprintln(errs, "hollyyoke-rehearse:", err)
+		fmt.Fprintln(errs, "rehearse:", err)
 		return exitNot
 	}
 	e := &env{out: out, errs: errs, in: in}
@@ -136,17 +136,17 @@
 	case err == nil:
 		return exitKept
 	case errors.As(err, &b):
-		fmt.Fprintln(errs, "hollyyoke-rehearse:", err)
+		fmt.Fprintln(errs, "rehearse:", err)
 		return exitBroken
 	}
-	fmt.Fprintln(errs, "hollyyoke-rehearse:", err)
+	fmt.Fprintln(errs, "rehearse:", err)
 	return exitNot
 }
 
 type versionCmd struct{}
 
 func (versionCmd) Run(e *env) error {
-	fmt.Fprintf(e.out, "hollyyoke-rehearse %s, recordings of version %d\n", buildVersion(), recording.Version)
+	fmt.Fprintf(e.out, "rehearse %s, recordings of version %d\n", buildVersion(), recording.Version)
 	return nil
 }
 
--- a/cmd/hollyyoke-rehearse/main_test.go
+++ b/cmd/rehearse/main_test.go
@@ -30,12 +30,12 @@
 var daemon string
 
 func TestMain(m *testing.M) {
-	dir, err := os.MkdirTemp("", "hollyyoke-rehearse")
+	dir, err := os.MkdirTemp("", "rehearse")
 	if err != nil {
 		panic(err)
 	}
-	daemon = filepath.Join(dir, "hollyyoke")
-	if out, err := exec.Command("go", "build", "-ldflags=-linkmode=external", "-o", dir, "../hollyyoke", "../hollyyoke-serve").CombinedOutput(); err != nil {
+	daemon = filepath.Join(dir, "dispatcher")
+	if out, err := exec.Command("go", "build", "-ldflags=-linkmode=external", "-o", dir, "../dispatcher", "../dispatcher-serve").CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "%s%v\n", out, err)
 		os.Exit(1)
 	}
--- a/cmd/hollyyoke-rehearse/run.go
+++ b/cmd/rehearse/run.go
@@ -34,7 +34,7 @@
 	Workers   int     `default:"0" help:"Stand-in workers; 0: as many as the recording's work needs."`
 	Cores     float64 `default:"0" help:"Slots of each worker; 0: 3, and 2 of every third."`
 	Noise     float64 `default:"0.1" help:"Coefficient of variation of service times."`
-	Daemon    string  `help:"The daemon's program; not given: hollyyoke beside this one."`
+	Daemon    string  `help:"The daemon's program; not given: dispatcher beside this one."`
 	JSON      bool    `name:"json" help:"Print the report as JSON."`
 }
 
@@ -85,7 +85,7 @@
 	if err != nil {
 		return "", err
 	}
-	path := filepath.Join(filepath.Dir(self), "hollyyoke")
+	path := filepath.Join(filepath.Dir(self), "dispatcher")
 	if _, err := os.Stat(path); err != nil {
 		return "", fmt.Errorf("no daemon beside this program: build it, or name it by --daemon")
 	}
--- a/cmd/hollyyoke-rehearse/scale.go
+++ b/cmd/rehearse/scale.go
@@ -30,8 +30,8 @@
 	JSON        string `name:"json" placeholder:"FILE" help:"Write the figures as JSON."`
 	Chart       string `placeholder:"FILE" help:"Write a chart as SVG."`
 	Changes     string `placeholder:"FILE" help:"Write each change, and how long it took to be in force, as CSV."`
-	Daemon      string `help:"The daemon's program; not given: hollyyoke-serve beside this one."`
-	Relay       string `help:"The relay's program; not given: hollyyoke-relay beside this one."`
+	Daemon      string `help:"The daemon's program; not given: dispatcher-serve beside this one."`
+	Relay       string `help:"The relay's program; not given: membership-relay beside this one."`
 }
 
 func (c *scaleCmd) Run(e *env) error {
@@ -99,14 +99,14 @@
 	return scale.Programs{
 		Hollow: []string{self, "scale-hollow"},
 		Origin: []string{self, "scale-origin"},
-		Daemon: beside(self, c.Daemon, "hollyyoke-serve"),
-		Relay:  beside(self, c.Relay, "hollyyoke-relay"),
+		Daemon: beside(self, c.Daemon, "dispatcher-serve"),
+		Relay:  beside(self, c.Relay, "membership-relay"),
 	}, nil
 }
 
 // commandLine is the command that gives this run again.
 func (c *scaleCmd) commandLine() string {
-	words := []string{"bin/hollyyoke-rehearse", "scale", c.Scenario}
+	words := []string{"bin/rehearse", "scale", c.Scenario}
 	add := func(given bool, flag string, value any) {
 		if given {
 			words = append(words, "--"+flag, fmt.Sprint(value))
--- a/cmd/hollyyoke-rehearse/scale_test.go
+++ b/cmd/rehearse/scale_test.go
@@ -30,7 +30,7 @@
 // The command as a program: what it writes, and its exit code where a bound is broken.
 func TestScaleProgram(t *testing.T) {
 	dir := t.TempDir()
-	program := filepath.Join(dir, "hollyyoke-rehearse")
+	program := filepath.Join(dir, "rehearse")
 	if out, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
--- a/cmd/hollyyoke-rehearse/slopes.go
+++ b/cmd/rehearse/slopes.go
@@ -22,7 +22,7 @@
 	IdleSpan  time.Duration `default:"6s" help:"How long nothing changes."`
 	DeltaSpan time.Duration `default:"20s" help:"How long workers change one by one."`
 	DeltaRate float64       `default:"20" help:"Changes a second in that time."`
-	Daemon    string        `help:"The daemon's program; not given: hollyyoke-serve beside this one."`
+	Daemon    string        `help:"The daemon's program; not given: dispatcher-serve beside this one."`
 	Label     string        `name:"program-version" help:"The version of that program, for the file; not given: this one's."`
 	Append    bool          `help:"Add the plays to those that the file has."`
 	Module    bool          `help:"Only the decision module alone; its series take the place of those that the file has."`
@@ -31,7 +31,7 @@
 
 // command is how the run is started, with what is not as it is by default.
 func (c *slopesCmd) command() string {
-	return fmt.Sprintf("hollyyoke-rehearse slopes --sizes %s --idle-span %v --delta-span %v --delta-rate %g",
+	return fmt.Sprintf("rehearse slopes --sizes %s --idle-span %v --delta-span %v --delta-rate %g",
 		strings.Trim(strings.Join(strings.Fields(fmt.Sprint(c.Sizes)), ","), "[]"), c.IdleSpan, c.DeltaSpan, c.DeltaRate)
 }
 
@@ -43,7 +43,7 @@
 		if err != nil {
 			return err
 		}
-		program = filepath.Join(filepath.Dir(beside), "hollyyoke-serve")
+		program = filepath.Join(filepath.Dir(beside), "dispatcher-serve")
 	}
 	got, err := capacity.Measure(capacity.Config{Program: program, Sizes: c.Sizes, Plays: c.Plays, IdleSpan: c.IdleSpan, DeltaSpan: c.DeltaSpan,
 		DeltaRate: c.DeltaRate, ModuleOnly: c.Module, Progress: func(size, play int) { e.log.Info("measuring", "workers", size, "play", play+1) }})
--- a/cmd/hollyyoke-rehearse/slopes_test.go
+++ b/cmd/rehearse/slopes_test.go
@@ -15,7 +15,7 @@
 func TestSlopes(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "slopes.json")
 	args := []string{"slopes", "--sizes", "34,68,170", "--plays", "1", "--idle-span", "100ms", "--delta-span", "200ms", "--delta-rate", "50",
-		"--daemon", filepath.Join(filepath.Dir(daemon), "hollyyoke-serve"), "--append", "-o", file}
+		"--daemon", filepath.Join(filepath.Dir(daemon), "dispatcher-serve"), "--append", "-o", file}
 	for range 2 {
 		var out, errs bytes.Buffer
 		if code := run(args, strings.NewReader(""), &out, &errs); code != exitKept {
--- a/cmd/hollyyoke-rehearse/soak.go
+++ b/cmd/rehearse/soak.go
@@ -11,7 +11,7 @@
 
 // soakCmd runs dispatchers under random faults that overlap, seed after seed.
 type soakCmd struct {
-	Daemon  string        `help:"The program; hollyyoke-serve beside this one where not given." type:"path"`
+	Daemon  string        `help:"The program; dispatcher-serve beside this one where not given." type:"path"`
 	Seed    uint64        `default:"1" help:"Of the first run's faults."`
 	Seeds   int           `default:"1" help:"Runs, each with the next seed."`
 	Daemons int           `default:"24" help:"Dispatchers."`
@@ -24,7 +24,7 @@
 	if err != nil {
 		return err
 	}
-	program := beside(self, c.Daemon, "hollyyoke-serve")
+	program := beside(self, c.Daemon, "dispatcher-serve")
 	failed := 0
 	for i := range c.Seeds {
 		report, err := soak.Run(context.Background(), soak.Config{
--- a/cmd/hollyyoke-sim/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -1,4 +1,4 @@
-// Command hollyyoke-sim hosts dispatchers on the simulator's wire: it reads
+// Command simulator-adapter hosts dispatchers on the simulator's wire: it reads
 // batches of events on standard input and writes their actions to standard output.
 package main
 
@@ -15,7 +15,7 @@
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "hollyyoke-sim:", err)
+		fmt.Fprintln(os.Stderr, "simulator-adapter:", err)
 		os.Exit(1)
 	}
 }
--- a/internal/rehearsal/capacity/daemon.go
+++ b/internal/rehearsal/capacity/daemon.go
@@ -116,7 +116,7 @@
 	return json.Marshal(s)
 }
 
-// daemon is a running hollyyoke-serve.
+// daemon is a running dispatcher-serve.
 type daemon struct {
 	Process
 	Ready time.Duration // from its start until it answered that it takes clients
--- a/internal/rehearsal/capacity/measure.go
+++ b/internal/rehearsal/capacity/measure.go
@@ -18,7 +18,7 @@
 
 // Config says what to measure.
 type Config struct {
-	Program   string // the daemon, hollyyoke-serve
+	Program   string // the daemon, dispatcher-serve
 	Sizes     []int  // listed workers
 	Plays     int
 	IdleSpan  time.Duration // how long nothing changes
--- a/internal/rehearsal/capacity/scale.go
+++ b/internal/rehearsal/capacity/scale.go
@@ -10,9 +10,9 @@
 )
 
 // This file owns reading the results of scale runs. A file holds a list, one
-// record for each mechanism, as hollyyoke-rehearse scale --json writes it:
+// record for each mechanism, as rehearse scale --json writes it:
 //
-//	[{"command": "bin/hollyyoke-rehearse scale ...", "seed": 27, "workers": 21000,
+//	[{"command": "bin/rehearse scale ...", "seed": 27, "workers": 21000,
 //	  "dispatchers": 68, "real": 2, "mechanism": "relays", "scenario": "zone",
 //	  "figures": [{"name": "in_force.calm.p99", "unit": "s", "value": 0.08, "kind": "measured"}],
 //	  "broken": []}]
--- a/internal/rehearsal/capacity/slopes.go
+++ b/internal/rehearsal/capacity/slopes.go
@@ -16,7 +16,7 @@
 // This file owns the data of slope runs, which is kept as JSON:
 //
 //	{
-//	  "command": "hollyyoke-rehearse slopes ...",   how to run it again
+//	  "command": "rehearse slopes ...",   how to run it again
 //	  "date": "2026-12-02",                         of the last play
 //	  "version": "...",                             of the program measured, as the build tells it
 //	  "cores": 8,                                   of the machine
--- a/internal/rehearsal/scale/cluster.go
+++ b/internal/rehearsal/scale/cluster.go
@@ -23,8 +23,8 @@
 type Programs struct {
 	Hollow []string // this program's own hidden commands
 	Origin []string
-	Daemon string // hollyyoke-serve
-	Relay  string // hollyyoke-relay
+	Daemon string // dispatcher-serve
+	Relay  string // membership-relay
 	Env    []string
 }
 
--- a/internal/rehearsal/scale/report.go
+++ b/internal/rehearsal/scale/report.go
@@ -16,7 +16,7 @@
 
 // Record is one run as JSON. A file holds a list of them, one for each mechanism:
 //
-//	[{"command": "hollyyoke-rehearse scale deploy/scenarios/scale/zone.toml",
+//	[{"command": "rehearse scale deploy/scenarios/scale/zone.toml",
 //	  "seed": 27, "workers": 21000, "dispatchers": 68, "real": 2,
 //	  "mechanism": "relays", "scenario": "zone",
 //	  "figures": [{"name": "in_force.calm.p99", "unit": "s", "value": 0.08, "kind": "measured"}, ...],
--- a/internal/rehearsal/scale/scale_test.go
+++ b/internal/rehearsal/scale/scale_test.go
@@ -212,8 +212,8 @@
 // dispatchers, the relay's own program the relays.
 func TestSmallRunByRelays(t *testing.T) {
 	programs := testPrograms()
-	programs.Relay = filepath.Join(t.TempDir(), "hollyyoke-relay")
-	if out, err := exec.Command("go", "build", "-o", programs.Relay, "../../../cmd/hollyyoke-relay").CombinedOutput(); err != nil {
+	programs.Relay = filepath.Join(t.TempDir(), "membership-relay")
+	if out, err := exec.Command("go", "build", "-o", programs.Relay, "../../../cmd/membership-relay").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
 	s := readScenario(t, "ci.toml")
--- a/internal/rehearsal/soak/soak.go
+++ b/internal/rehearsal/soak/soak.go
@@ -17,7 +17,7 @@
 
 // Config says what to run. Zero values take the defaults told.
 type Config struct {
-	Daemon  string        // the program hollyyoke-serve
+	Daemon  string        // the program dispatcher-serve
 	Seed    uint64        // of the schedule of faults
 	Daemons int           // default 24
 	Workers int           // default 12
--- a/internal/rehearsal/soak/soak_test.go
+++ b/internal/rehearsal/soak/soak_test.go
@@ -19,8 +19,8 @@
 	if err != nil {
 		panic(err)
 	}
-	program = filepath.Join(dir, "hollyyoke-serve")
-	if out, err := exec.Command("go", "build", "-o", program, "../../../cmd/hollyyoke-serve").CombinedOutput(); err != nil {
+	program = filepath.Join(dir, "dispatcher-serve")
+	if out, err := exec.Command("go", "build", "-o", program, "../../../cmd/dispatcher-serve").CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "%s%v\n", out, err)
 		os.Exit(1)
 	}
