--- a/Makefile
+++ b/Makefile
@@ -11,24 +11,24 @@
 # the race detector. Failures that KNOWN-RED.txt lists are printed and passed over.
 test: lint
 	go run ./internal/tools/testgate -race -count=1 ./...
-	go test -count=1 -run Million ./internal/admit
+	go test -count=1 -run Million ./internal/connlimit
 
 lint:
 	@unformatted=$$(gofmt -l .); if [ -n "$$unformatted" ]; then echo "not gofmt'd: $$unformatted" >&2; exit 1; fi
-	@awk '{ gsub(/\t/, "    ") } length > 110 { print FILENAME ":" FNR ": line over 110 characters"; bad = 1 } END { exit bad }' dispatcher.go
+	@awk '{ gsub(/\t/, "    ") } length > 110 { print FILENAME ":" FNR ": line over 110 characters"; bad = 1 } END { exit bad }' decision/dispatcher.go
 	go vet ./...
 	go tool staticcheck ./...
-	@bad=$$(go list -f '{{join .Imports "\n"}}' ./internal/admit ./internal/jobs ./internal/membership ./internal/freshness ./internal/invariant | grep -E '^(net|net/http|os|os/.*|syscall|io)$$|hollyyoke'); \
-	if [ -n "$$bad" ]; then echo "internal/admit, jobs, membership, freshness and invariant decide and do no I/O, but import $$bad" >&2; exit 1; fi
+	@bad=$$(go list -f '{{join .Imports "\n"}}' ./decision ./internal/connlimit ./internal/jobs ./internal/membership ./internal/freshness ./internal/invariant | grep -E '^(net|net/http|os|os/.*|syscall|io)$$|hollyyoke'); \
+	if [ -n "$$bad" ]; then echo "decision, internal/connlimit, jobs, membership, freshness and invariant decide and do no I/O, but import $$bad" >&2; exit 1; fi
 	@bad=$$(go list -deps ./cmd/dispatcher-serve | grep -E '^net/http$$|internal/rehearsal|alecthomas/kong|gonum|protobuf|klauspost|HdrHistogram'); \
 	if [ -n "$$bad" ]; then echo "the daemon must not link $$bad" >&2; exit 1; fi
-	@bad=$$(go list -f '{{join .Imports "\n"}}' ./internal/core | grep -E 'internal/(platform|faktory|net|control|node)$$'); \
-	if [ -n "$$bad" ]; then echo "internal/core knows no front and no socket, but imports $$bad" >&2; exit 1; fi
+	@bad=$$(go list -f '{{join .Imports "\n"}}' ./internal/dispatch | grep -E 'internal/(platform|faktory|transport|admin|daemon)$$'); \
+	if [ -n "$$bad" ]; then echo "internal/dispatch knows no front and no socket, but imports $$bad" >&2; exit 1; fi
 	@bad=$$(go list -deps ./internal/faktory | grep -E 'internal/platform$$'; go list -deps ./internal/platform | grep -E 'internal/faktory$$'); \
 	if [ -n "$$bad" ]; then echo "fronts do not import each other, but one imports $$bad" >&2; exit 1; fi
-	@bad=$$(go list -deps ./internal/rehearsal/standin ./internal/rehearsal/hostile | grep -E 'internal/(platform|faktory|core|net)$$'); \
+	@bad=$$(go list -deps ./internal/rehearsal/standin ./internal/rehearsal/hostileload | grep -E 'internal/(platform|faktory|dispatch|transport)$$'); \
 	if [ -n "$$bad" ]; then echo "stand-ins must not share code with the fronts, but import $$bad" >&2; exit 1; fi
-	@bad=$$(go list -deps ./cmd/membership-relay | grep -E 'internal/(rehearsal|platform|faktory|core|net)$$|internal/rehearsal/'); \
+	@bad=$$(go list -deps ./cmd/membership-relay | grep -E 'internal/(rehearsal|platform|faktory|dispatch|transport)$$|internal/rehearsal/'); \
 	if [ -n "$$bad" ]; then echo "the relay must link neither the kit nor the dispatcher, but imports $$bad" >&2; exit 1; fi
 
 # The daemon with the Faktory front on loopback, nothing else needed.
@@ -89,7 +89,7 @@
 
 # What a decision costs, with a million addresses remembered.
 measure-admit:
-	go test -run '^$$' -bench . -count 5 ./internal/admit ./internal/net
+	go test -run '^$$' -bench . -count 5 ./internal/connlimit ./internal/transport
 
 # What durable jobs cost: changes a second beside the disk's own fsyncs, a million
 # jobs read at a start, what the loop's other work waits.
@@ -103,7 +103,7 @@
 # A thousand days of each scenario in virtual time, and what a day costs by size.
 measure-days: build
 	bin/rehearse sim hunt deploy/scenarios/*.toml --seeds 1000
-	go test -run '^$$' -bench Day -cpu 1 ./internal/rehearsal/emulator
+	go test -run '^$$' -bench Day -cpu 1 ./internal/rehearsal/simulator
 
 # What one daemon costs by the number of listed workers, three plays of each size
 # (some eight minutes on an idle machine), and the capacity page anew.
--- a/cmd/dispatcher/main.go
+++ b/cmd/dispatcher/main.go
@@ -18,7 +18,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"hollyyoke.example/hollyyoke/internal/node"
+	"hollyyoke.example/hollyyoke/internal/daemon"
 )
 
 func main() {
@@ -75,7 +75,7 @@
 	if helped || err != nil {
 		return err
 	}
-	files := node.Files{Faktory: cmp.Or(c.Faktory, env("HOLLYYOKE_FAKTORY")), Operator: cmp.Or(c.Operator, env("HOLLYYOKE_OPERATOR")), Trace: c.Trace}
+	files := daemon.Files{Faktory: cmp.Or(c.Faktory, env("HOLLYYOKE_FAKTORY")), Operator: cmp.Or(c.Operator, env("HOLLYYOKE_OPERATOR")), Trace: c.Trace}
 	switch k.Command() {
 	case "version":
 		version := "(devel)"
@@ -86,7 +86,7 @@
 		return nil
 	case "check", "check <file>":
 		files.Config = c.Check.File
-		return node.Check(files, env, out)
+		return daemon.Check(files, env, out)
 	}
 	if verb, is := strings.CutPrefix(k.Command(), "jobs "); is {
 		verb, _, _ = strings.Cut(verb, " ")
@@ -100,7 +100,7 @@
 			return fmt.Errorf("%s: %w", path, err)
 		}
 	}
-	return node.Serve(files, env, node.Logger(errs, c.LogFormat))
+	return daemon.Serve(files, env, daemon.Logger(errs, c.LogFormat))
 }
 
 // beside is the lean image of the daemon, if it lies beside this program.
--- a/cmd/dispatcher/main_test.go
+++ b/cmd/dispatcher/main_test.go
@@ -21,7 +21,7 @@
 	"testing"
 	"time"
 
-	"hollyyoke.example/hollyyoke/internal/rehearsal/sysfault"
+	"hollyyoke.example/hollyyoke/internal/rehearsal/faultinject"
 )
 
 // These tests start the program and speak to it over sockets, with stand-ins
@@ -68,15 +68,15 @@
 	changes  chan string // lines for the present watch; "silence" ends the lines that show its liveness, "end" the watch
 	listen   string
 	config   map[string]any
-	path     string              // of the file
-	env      []string            // beyond what it is told anyway
-	unready  bool                // start does not wait until it says that it is ready
-	files    []*os.File          // that it inherits
-	first    chan string         // where discovery's first word comes from; nil: it has nothing to tell
-	script   func(conn net.Conn) // answers each call to discovery; nil: tell does
-	begin    func()              // starts cmd in place of its own Start
-	traced   *sysfault.Process   // the daemon, where its system calls fail
-	program  string              // that is started; empty: the one under test
+	path     string               // of the file
+	env      []string             // beyond what it is told anyway
+	unready  bool                 // start does not wait until it says that it is ready
+	files    []*os.File           // that it inherits
+	first    chan string          // where discovery's first word comes from; nil: it has nothing to tell
+	script   func(conn net.Conn)  // answers each call to discovery; nil: tell does
+	begin    func()               // starts cmd in place of its own Start
+	traced   *faultinject.Process // the daemon, where its system calls fail
+	program  string               // that is started; empty: the one under test
 	cmd      *exec.Cmd
 	log      record
 	client   *http.Client
--- a/cmd/dispatcher/shortreads_test.go
+++ b/cmd/dispatcher/shortreads_test.go
@@ -12,11 +12,11 @@
 	"testing"
 	"time"
 
-	"hollyyoke.example/hollyyoke/internal/rehearsal/sysfault"
+	"hollyyoke.example/hollyyoke/internal/rehearsal/faultinject"
 )
 
 // trace runs the daemon of a world under a plan of failing system calls.
-func (w *world) trace(plan sysfault.Plan) {
+func (w *world) trace(plan faultinject.Plan) {
 	w.begin = func() {
 		t := w.t
 		out, err := os.Create(filepath.Join(t.TempDir(), "log"))
@@ -24,7 +24,7 @@
 			t.Fatal(err)
 		}
 		w.cmd.Stderr = out
-		p, err := sysfault.Start(w.cmd, plan)
+		p, err := faultinject.Start(w.cmd, plan)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -72,8 +72,8 @@
 	})
 	discovery := r.discovery()
 	r.config = map[string]any{"discovery": discovery}
-	r.trace(sysfault.Plan{Rules: []sysfault.Rule{{
-		Call: sysfault.SocketRead, Probability: 1, Short: 7, Peer: port(t, discovery), After: fault,
+	r.trace(faultinject.Plan{Rules: []faultinject.Rule{{
+		Call: faultinject.SocketRead, Probability: 1, Short: 7, Peer: port(t, discovery), After: fault,
 	}}})
 	begun := time.Now()
 	r.start()
@@ -86,7 +86,7 @@
 	close(stop)
 	<-over
 	r.checkBound()
-	if r.traced.Struck(sysfault.SocketRead) == 0 {
+	if r.traced.Struck(faultinject.SocketRead) == 0 {
 		t.Error("no read fell short")
 	}
 }
--- a/cmd/dispatcher/syscalls_test.go
+++ b/cmd/dispatcher/syscalls_test.go
@@ -12,27 +12,27 @@
 	"testing"
 	"time"
 
-	"hollyyoke.example/hollyyoke/internal/rehearsal/sysfault"
+	"hollyyoke.example/hollyyoke/internal/rehearsal/faultinject"
 )
 
 // momentary are failures that Linux documents for the calls of a server on a machine in trouble.
-func momentary(probability float64, after, span time.Duration) (rules []sysfault.Rule) {
-	errors := map[sysfault.Call][]syscall.Errno{
-		sysfault.Accept:     {syscall.ECONNABORTED, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO},
-		sysfault.Socket:     {syscall.ENFILE, syscall.ENOBUFS},
-		sysfault.Connect:    {syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENOBUFS},
-		sysfault.Wait:       {syscall.EINTR},
-		sysfault.SocketRead: {syscall.EINTR}, sysfault.SocketWrite: {syscall.EINTR},
-		sysfault.SetOption: {syscall.ENOBUFS},
+func momentary(probability float64, after, span time.Duration) (rules []faultinject.Rule) {
+	errors := map[faultinject.Call][]syscall.Errno{
+		faultinject.Accept:     {syscall.ECONNABORTED, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO},
+		faultinject.Socket:     {syscall.ENFILE, syscall.ENOBUFS},
+		faultinject.Connect:    {syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENOBUFS},
+		faultinject.Wait:       {syscall.EINTR},
+		faultinject.SocketRead: {syscall.EINTR}, faultinject.SocketWrite: {syscall.EINTR},
+		faultinject.SetOption: {syscall.ENOBUFS},
 	}
-	for call := sysfault.SocketRead; call <= sysfault.SetOption; call++ {
+	for call := faultinject.SocketRead; call <= faultinject.SetOption; call++ {
 		for _, e := range errors[call] {
-			rules = append(rules, sysfault.Rule{Call: call, Probability: probability, Error: e, After: after, For: span})
+			rules = append(rules, faultinject.Rule{Call: call, Probability: probability, Error: e, After: after, For: span})
 		}
 	}
 	return append(rules,
-		sysfault.Rule{Call: sysfault.SocketRead, Probability: 0.5, Short: 40, After: after, For: span},
-		sysfault.Rule{Call: sysfault.SocketWrite, Probability: 0.5, Short: 40, After: after, For: span})
+		faultinject.Rule{Call: faultinject.SocketRead, Probability: 0.5, Short: 40, After: after, For: span},
+		faultinject.Rule{Call: faultinject.SocketWrite, Probability: 0.5, Short: 40, After: after, For: span})
 }
 
 // All clients get their answers while system calls fail for a moment, fall short
@@ -45,7 +45,7 @@
 		return false
 	}
 	backends := []*backend{w.backend("s-1", once), w.backend("s-2", once)}
-	w.trace(sysfault.Plan{Seed: 1, Rules: momentary(0.1, after, span)})
+	w.trace(faultinject.Plan{Seed: 1, Rules: momentary(0.1, after, span)})
 	begun := time.Now()
 	w.start()
 	w.client = &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
@@ -68,9 +68,9 @@
 	}
 	open.Wait()
 	t.Logf("answers: %v; read %d, write %d, accept %d, socket %d, connect %d, wait %d, setsockopt %d calls failed or fell short", answers,
-		w.traced.Struck(sysfault.SocketRead), w.traced.Struck(sysfault.SocketWrite), w.traced.Struck(sysfault.Accept),
-		w.traced.Struck(sysfault.Socket), w.traced.Struck(sysfault.Connect), w.traced.Struck(sysfault.Wait), w.traced.Struck(sysfault.SetOption))
-	for call := sysfault.SocketRead; call <= sysfault.SetOption; call++ {
+		w.traced.Struck(faultinject.SocketRead), w.traced.Struck(faultinject.SocketWrite), w.traced.Struck(faultinject.Accept),
+		w.traced.Struck(faultinject.Socket), w.traced.Struck(faultinject.Connect), w.traced.Struck(faultinject.Wait), w.traced.Struck(faultinject.SetOption))
+	for call := faultinject.SocketRead; call <= faultinject.SetOption; call++ {
 		if w.traced.Struck(call) == 0 {
 			t.Errorf("no %v failed", call)
 		}
@@ -105,8 +105,8 @@
 		t.Run(e.Error(), func(t *testing.T) {
 			w := &world{t: t}
 			b := w.backend("s-1", done)
-			w.trace(sysfault.Plan{Seed: 2, Rules: []sysfault.Rule{
-				{Call: sysfault.SocketRead, Probability: 0.3, Error: e, Peer: port(t, b.ln.Addr().String()), After: after, For: span},
+			w.trace(faultinject.Plan{Seed: 2, Rules: []faultinject.Rule{
+				{Call: faultinject.SocketRead, Probability: 0.3, Error: e, Peer: port(t, b.ln.Addr().String()), After: after, For: span},
 			}})
 			begun := time.Now()
 			w.start()
@@ -114,7 +114,7 @@
 			for i := 0; time.Since(begun) < after+span; i++ {
 				w.post("renewal", fmt.Sprint("id-", i), "x", 0)
 			}
-			if w.traced.Struck(sysfault.SocketRead) == 0 {
+			if w.traced.Struck(faultinject.SocketRead) == 0 {
 				t.Error("no read failed")
 			}
 			runs := map[string]int{}
--- a/cmd/rehearse/flood.go
+++ b/cmd/rehearse/flood.go
@@ -16,7 +16,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"hollyyoke.example/hollyyoke/internal/rehearsal/hostile"
+	"hollyyoke.example/hollyyoke/internal/rehearsal/hostileload"
 	"hollyyoke.example/hollyyoke/internal/rehearsal/recording"
 	"hollyyoke.example/hollyyoke/internal/rehearsal/recording/recordingpb"
 	"hollyyoke.example/hollyyoke/internal/rehearsal/replay"
@@ -45,19 +45,19 @@
 
 // part is one part of the run.
 type part struct {
-	Name     string          `json:"name"`
-	Sent     int             `json:"sent"`
-	Served   int             `json:"served"`
-	Answered int             `json:"answered"`
-	Wanted   int             `json:"within_wanted"`
-	P50Ms    float64         `json:"p50_ms"`
-	P99Ms    float64         `json:"p99_ms"`
-	MaxMs    float64         `json:"max_ms"`
-	CPUms    float64         `json:"daemon_cpu_ms_per_s"`
-	Hostile  hostile.Counts  `json:"hostile"`
-	Kept     bool            `json:"rules_kept"`
-	Verdict  string          `json:"verdict"`
-	Door     json.RawMessage `json:"connections,omitempty"`
+	Name     string             `json:"name"`
+	Sent     int                `json:"sent"`
+	Served   int                `json:"served"`
+	Answered int                `json:"answered"`
+	Wanted   int                `json:"within_wanted"`
+	P50Ms    float64            `json:"p50_ms"`
+	P99Ms    float64            `json:"p99_ms"`
+	MaxMs    float64            `json:"max_ms"`
+	CPUms    float64            `json:"daemon_cpu_ms_per_s"`
+	Hostile  hostileload.Counts `json:"hostile"`
+	Kept     bool               `json:"rules_kept"`
+	Verdict  string             `json:"verdict"`
+	Door     json.RawMessage    `json:"connections,omitempty"`
 
 	Refusals, Failures map[string]int
 	seconds            []*replay.Second
@@ -124,14 +124,14 @@
 	for len(from) < c.Clients {
 		from = append(from, from[len(from)-1].Next())
 	}
-	flood := make(chan hostile.Counts, 1)
+	flood := make(chan hostileload.Counts, 1)
 	if clients > 0 {
 		go func() {
-			n, _ := hostile.Run(context.Background(), hostile.Config{To: f.Addr, Seed: c.Seed, Clients: clients, Sources: c.Sources, For: c.For + 2*time.Second})
+			n, _ := hostileload.Run(context.Background(), hostileload.Config{To: f.Addr, Seed: c.Seed, Clients: clients, Sources: c.Sources, For: c.For + 2*time.Second})
 			flood <- n
 		}()
 	} else {
-		flood <- hostile.Counts{}
+		flood <- hostileload.Counts{}
 	}
 	if during != nil {
 		go during(f)
--- a/cmd/rehearse/flood_test.go
+++ b/cmd/rehearse/flood_test.go
@@ -14,7 +14,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"hollyyoke.example/hollyyoke/internal/admit"
+	"hollyyoke.example/hollyyoke/internal/connlimit"
 	"hollyyoke.example/hollyyoke/internal/rehearsal/standin"
 )
 
@@ -54,7 +54,7 @@
 		t.Errorf("on: %+v\noff: %+v", on, off)
 	}
 	var door struct {
-		admit.View
+		connlimit.View
 		Descriptors map[string]map[string]int `json:"descriptors"`
 	}
 	if err := json.Unmarshal(on.Door, &door); err != nil || door.Standing["unknown"] == 0 || door.Reserve != 40 || len(door.Hits) == 0 || door.Descriptors["backends"]["floor"] == 0 {
--- a/cmd/rehearse/golden_test.go
+++ b/cmd/rehearse/golden_test.go
@@ -11,11 +11,11 @@
 
 	"hollyyoke.example/hollyyoke/internal/goldentest"
 	"hollyyoke.example/hollyyoke/internal/rehearsal/capacity"
-	"hollyyoke.example/hollyyoke/internal/rehearsal/emulator"
 	"hollyyoke.example/hollyyoke/internal/rehearsal/recording"
 	"hollyyoke.example/hollyyoke/internal/rehearsal/recording/recordingpb"
 	"hollyyoke.example/hollyyoke/internal/rehearsal/report"
 	"hollyyoke.example/hollyyoke/internal/rehearsal/scale"
+	"hollyyoke.example/hollyyoke/internal/rehearsal/simulator"
 )
 
 // The command line is what operators' units and scripts are written against, and
@@ -49,7 +49,7 @@
 func TestGoldenResults(t *testing.T) {
 	for file, of := range map[string]reflect.Type{
 		"inspect.golden": reflect.TypeFor[contents](), "flood.golden": reflect.TypeFor[part](),
-		"sim.golden": reflect.TypeFor[emulator.Result](), "import.golden": reflect.TypeFor[recording.Report](),
+		"sim.golden": reflect.TypeFor[simulator.Result](), "import.golden": reflect.TypeFor[recording.Report](),
 		"rejects.golden": reflect.TypeFor[recording.Reject](), "report.golden": reflect.TypeFor[report.Report](),
 		"slopes.golden": reflect.TypeFor[capacity.Slopes](), "scale.golden": reflect.TypeFor[scale.Record](),
 		"recording-header.golden": reflect.TypeFor[recordingpb.Header](),
--- a/cmd/rehearse/sim.go
+++ b/cmd/rehearse/sim.go
@@ -14,7 +14,7 @@
 
 	"github.com/BurntSushi/toml"
 
-	"hollyyoke.example/hollyyoke/internal/rehearsal/emulator"
+	"hollyyoke.example/hollyyoke/internal/rehearsal/simulator"
 )
 
 // This file owns the simulator's commands. They must never end with 0 if a rule broke.
@@ -47,10 +47,10 @@
 	Out      string `short:"o" placeholder:"FILE" help:"Where the small scenario goes; standard output where not given."`
 }
 
-func scenarios(paths ...string) (list []emulator.Scenario, err error) {
+func scenarios(paths ...string) (list []simulator.Scenario, err error) {
 	debug.SetMemoryLimit(math.MaxInt64) // days take what they need
 	for _, path := range paths {
-		sc, err := emulator.ReadScenario(path)
+		sc, err := simulator.ReadScenario(path)
 		if err != nil {
 			return nil, err
 		}
@@ -60,9 +60,9 @@
 }
 
 // many plays days and shows how far that is.
-func many(e *env, list []emulator.Scenario, seeds []uint64) ([][]emulator.Result, error) {
+func many(e *env, list []simulator.Scenario, seeds []uint64) ([][]simulator.Result, error) {
 	show, n := progress(e, len(list)*len(seeds)), 0
-	return emulator.Many(list, seeds, func() {
+	return simulator.Many(list, seeds, func() {
 		n++
 		if show != nil {
 			show(n)
@@ -75,7 +75,7 @@
 	if err != nil {
 		return err
 	}
-	results, err := many(e, list, emulator.Seeds(c.From, max(c.Seeds, 1)))
+	results, err := many(e, list, simulator.Seeds(c.From, max(c.Seeds, 1)))
 	if err != nil {
 		return err
 	}
@@ -93,7 +93,7 @@
 	}
 	t.Flush()
 	fmt.Fprintln(e.out, "the worst:")
-	for _, d := range emulator.Worst(list, results, c.Worst) {
+	for _, d := range simulator.Worst(list, results, c.Worst) {
 		fmt.Fprintf(e.out, "  %s, seed %d: %.4f", d.Scenario.Name, d.Result.Seed, d.Result.Score)
 		for _, k := range d.Result.Classes {
 			fmt.Fprintf(e.out, "; %s %.3f (refused %d, failed %d, late %d)", k.Name, k.WorthShare, k.Refused, k.Failed, k.Late)
@@ -114,11 +114,11 @@
 	if err != nil {
 		return err
 	}
-	results, err := many(e, list, emulator.Seeds(c.From, max(c.Seeds, 2)))
+	results, err := many(e, list, simulator.Seeds(c.From, max(c.Seeds, 2)))
 	if err != nil {
 		return err
 	}
-	d := emulator.Compare(results[0], results[1])
+	d := simulator.Compare(results[0], results[1])
 	verdict := "B is better"
 	switch {
 	case d.Noise:
@@ -136,7 +136,7 @@
 	if err != nil {
 		return err
 	}
-	bad := func(r emulator.Result) bool {
+	bad := func(r simulator.Result) bool {
 		if c.When == "broken" {
 			return len(r.Broken) > 0
 		}
@@ -146,14 +146,14 @@
 		}
 		return n > 0
 	}
-	s, err := emulator.New(list[0], c.Seed, nil)
+	s, err := simulator.New(list[0], c.Seed, nil)
 	if err != nil {
 		return err
 	}
 	if !bad(s.Run()) {
 		return fmt.Errorf("%s: with seed %d nothing is %s", c.Scenario, c.Seed, c.When)
 	}
-	small, tries, err := emulator.Shrink(list[0], c.Seed, bad)
+	small, tries, err := simulator.Shrink(list[0], c.Seed, bad)
 	if err != nil {
 		return err
 	}
@@ -198,7 +198,7 @@
 		log = w
 	}
 	began := time.Now()
-	s, err := emulator.New(list[0], c.Seed, log)
+	s, err := simulator.New(list[0], c.Seed, log)
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.Scenario, err)
 	}
--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -9,8 +9,8 @@
 	"io"
 	"os"
 
-	"hollyyoke.example/hollyyoke"
-	"hollyyoke.example/hollyyoke/internal/wire"
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/simwire"
 )
 
 func main() {
@@ -24,7 +24,7 @@
 func run(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, 1<<20)
 	w := bufio.NewWriterSize(out, 1<<20)
-	h := host{dispatchers: map[int64]*hollyyoke.Dispatcher{}, decoder: wire.NewDecoder()}
+	h := host{dispatchers: map[int64]*decision.Dispatcher{}, decoder: simwire.NewDecoder()}
 	var long []byte
 	for {
 		line, err := r.ReadSlice('\n')
@@ -57,11 +57,11 @@
 
 // host holds the instances. They share nothing but the decoder's lists.
 type host struct {
-	decoder     *wire.Decoder
-	encoder     wire.Encoder
-	dispatchers map[int64]*hollyyoke.Dispatcher // nil once it has exited
-	now         wire.Batch
-	actions     []hollyyoke.Action
+	decoder     *simwire.Decoder
+	encoder     simwire.Encoder
+	dispatchers map[int64]*decision.Dispatcher // nil once it has exited
+	now         simwire.Batch
+	actions     []decision.Action
 }
 
 func (h *host) answer(line []byte) ([]byte, error) {
@@ -69,21 +69,21 @@
 	return h.encoder.End(), err
 }
 
-func (h *host) begin(b wire.Batch) {
+func (h *host) begin(b simwire.Batch) {
 	h.now = b
 	h.encoder.Begin(b.Turn)
 }
 
-func (h *host) handle(m *wire.Message) error {
+func (h *host) handle(m *simwire.Message) error {
 	d, known := h.dispatchers[m.Instance]
 	switch m.Op {
-	case wire.Boot:
-		d, err := hollyyoke.New(m.Settings, m.Seed)
+	case simwire.Boot:
+		d, err := decision.New(m.Settings, m.Seed)
 		if err != nil {
 			return fmt.Errorf("dispatcher %d: %w", m.Instance, err)
 		}
 		h.dispatchers[m.Instance] = d
-	case wire.Exit:
+	case simwire.Exit:
 		h.dispatchers[m.Instance] = nil
 	default:
 		if !known {
--- a/api.go
+++ b/decision/api.go
@@ -2,7 +2,7 @@
 // workers: which jobs to take, which worker gets each, when to try again and
 // when to refuse. It is a pure state machine: feed it events with the time at
 // which they happened, and carry out the actions it returns.
-package hollyyoke
+package decision
 
 import (
 	"cmp"
--- a/dispatcher.go
+++ b/decision/dispatcher.go
@@ -1,4 +1,4 @@
-package hollyyoke
+package decision
 
 // The decisions of a dispatcher. Its interface is in api.go, its state in state.go; why: docs/design.md.
 
--- a/example_test.go
+++ b/decision/example_test.go
@@ -1,17 +1,17 @@
-package hollyyoke_test
+package decision_test
 
 import (
 	"fmt"
 	"time"
 
-	"hollyyoke.example/hollyyoke"
+	"hollyyoke.example/hollyyoke/decision"
 )
 
 func Example() {
-	d, err := hollyyoke.New(hollyyoke.Settings{
-		Classes: []hollyyoke.Class{{
+	d, err := decision.New(decision.Settings{
+		Classes: []decision.Class{{
 			Worth: 1, Aim: 200 * time.Millisecond, Stretch: 2, Deadline: 5 * time.Second,
-			Repeat: hollyyoke.Retryable,
+			Repeat: decision.Retryable,
 		}},
 		Peers: 1, Tick: time.Millisecond, MaxAttempts: 3,
 	}, 42)
@@ -19,16 +19,16 @@
 		panic(err)
 	}
 	now := time.Hour // any monotonic clock
-	d.Handle(now, hollyyoke.Event{
-		Kind: hollyyoke.WorkerList, List: hollyyoke.ListComplete,
-		Entries: []hollyyoke.Entry{{Worker: "10.0.0.1:9000"}},
+	d.Handle(now, decision.Event{
+		Kind: decision.WorkerList, List: decision.ListComplete,
+		Entries: []decision.Entry{{Worker: "10.0.0.1:9000"}},
 	}, nil)
-	actions := d.Handle(now, hollyyoke.Event{
-		Kind: hollyyoke.Arrival, Request: 1, Slots: 1,
+	actions := d.Handle(now, decision.Event{
+		Kind: decision.Arrival, Request: 1, Slots: 1,
 		Work: 100 * time.Millisecond, Left: 5 * time.Second,
 	}, nil)
 	for _, a := range actions {
-		if a.Kind == hollyyoke.Assign {
+		if a.Kind == decision.Assign {
 			fmt.Println("send request", a.Request, "to", a.Worker)
 		}
 	}
--- a/reconfigure_test.go
+++ b/decision/reconfigure_test.go
@@ -1,4 +1,4 @@
-package hollyyoke
+package decision
 
 import (
 	"math"
--- a/internal/control/control.go
+++ b/internal/admin/control.go
@@ -3,7 +3,7 @@
 // It words and carries; it must never count, decide when the dispatcher may
 // leave service, share descriptors with the clients' front, nor let a caller
 // that says nothing keep out one that speaks.
-package control
+package admin
 
 import (
 	"encoding/json"
@@ -16,14 +16,16 @@
 	"strings"
 	"time"
 
-	"hollyyoke.example/hollyyoke/internal/admit"
-	"hollyyoke.example/hollyyoke/internal/core"
+	"hollyyoke.example/hollyyoke/internal/connlimit"
+	"hollyyoke.example/hollyyoke/internal/dispatch"
 	"hollyyoke.example/hollyyoke/internal/durable"
-	"hollyyoke.example/hollyyoke/internal/entry"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
 	"hollyyoke.example/hollyyoke/internal/invariant"
 	"hollyyoke.example/hollyyoke/internal/jobs"
-	"hollyyoke.example/hollyyoke/internal/net"
+	"hollyyoke.example/hollyyoke/internal/listener"
 	"hollyyoke.example/hollyyoke/internal/platform"
+	"hollyyoke.example/hollyyoke/internal/slotmap"
+	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
 // Calls is how many connections the API holds at a time. Their descriptors are
@@ -39,7 +41,7 @@
 type Desk struct {
 	Ready   func() bool             // whether this process takes clients
 	Service func(out bool) error    // out of service or back in; an error is a no, worded for the caller
-	Entry   *entry.Entry            // who decides on connections; nil: nobody
+	Entry   *listener.Entry         // who decides on connections; nil: nobody
 	Jobs    func() *durable.Service // the durable jobs; nil: there are none here
 
 	// Membership tells how the dispatcher hears of workers and settings; nil: not told.
@@ -48,29 +50,29 @@
 
 // API is the admin API. It belongs to the loop's goroutine.
 type API struct {
-	core    *core.Core
-	engine  *net.Engine
-	members core.Carrier // whose backends are the membership workers
+	core    *dispatch.Core
+	engine  *transport.Engine
+	members dispatch.Carrier // whose backends are the membership workers
 	desk    Desk
-	calls   core.Table[call]
-	admit   *admit.Admitter // who goes when there is no room
-	ended   []*call         // answered, on their way out
+	calls   slotmap.Table[call]
+	admit   *connlimit.Admitter // who goes when there is no room
+	ended   []*call             // answered, on their way out
 }
 
 // call is one connection until its call has been answered.
 type call struct {
 	api   *API
 	token uint64
-	id    admit.ID
-	conn  *net.Conn
-	in    *net.Buffer
+	id    connlimit.ID
+	conn  *transport.Conn
+	in    *transport.Buffer
 	read  platform.CallReader
-	due   core.Deadline
+	due   eventloop.Deadline
 }
 
 // New returns an API; members is the carrier whose backends the figures are about.
-func New(c *core.Core, e *net.Engine, members core.Carrier, desk Desk) *API {
-	a, err := admit.New(admit.Config{Room: Calls, Grace: youngTime, Nameless: true})
+func New(c *dispatch.Core, e *transport.Engine, members dispatch.Carrier, desk Desk) *API {
+	a, err := connlimit.New(connlimit.Config{Room: Calls, Grace: youngTime, Nameless: true})
 	if err != nil {
 		panic(err) // the figures are constants
 	}
@@ -86,7 +88,7 @@
 	return a.Fix().String(), nil
 }
 
-func (d *API) accept(c *net.Conn) net.Owner {
+func (d *API) accept(c *transport.Conn) transport.Owner {
 	k := &call{api: d, conn: c}
 	k.token = d.calls.Put(k)
 	k.id = d.admit.Adopt(d.core.Loop.Now(), k.token)
@@ -106,12 +108,12 @@
 		return
 	}
 	now := d.core.Loop.Now()
-	token, _, ok := d.admit.Victim(now, admit.ForUnknown, false, nil)
+	token, _, ok := d.admit.Victim(now, connlimit.ForUnknown, false, nil)
 	if !ok {
-		token, _, ok = d.admit.Victim(now, admit.ForMemory, false, nil)
+		token, _, ok = d.admit.Victim(now, connlimit.ForMemory, false, nil)
 	}
 	if !ok { // all have just come
-		token, _, ok = d.admit.Victim(now+youngTime, admit.ForUnknown, false, nil)
+		token, _, ok = d.admit.Victim(now+youngTime, connlimit.ForUnknown, false, nil)
 	}
 	if !ok {
 		return
@@ -140,7 +142,7 @@
 }
 
 // Data takes in what the caller sent.
-func (k *call) Data(_ *net.Conn, b *net.Buffer) {
+func (k *call) Data(_ *transport.Conn, b *transport.Buffer) {
 	if k.in == nil {
 		k.in = b
 		k.api.admit.Begin(k.api.core.Loop.Now(), k.id)
@@ -162,7 +164,7 @@
 }
 
 // Closed is told that the caller has gone.
-func (k *call) Closed(*net.Conn, error) { k.forget() }
+func (k *call) Closed(*transport.Conn, error) { k.forget() }
 
 // expire ends a call that has not come whole in time.
 func (k *call) expire() {
@@ -352,11 +354,11 @@
 	}
 	used, floor, total := e.Budget.Use()
 	d := struct {
-		admit.View
+		connlimit.View
 		Descriptors map[string]map[string]int `json:"descriptors"`
 		Total       int                       `json:"descriptors_total"`
 	}{e.Admit.View(k.api.core.Loop.Now()), map[string]map[string]int{}, total}
-	for kind := range admit.Kinds {
+	for kind := range connlimit.Kinds {
 		d.Descriptors[kind.String()] = map[string]int{"used": used[kind], "floor": floor[kind]}
 	}
 	k.tell(d)
--- a/internal/control/control_test.go
+++ b/internal/admin/control_test.go
@@ -1,4 +1,4 @@
-package control
+package admin
 
 import (
 	"bufio"
@@ -6,33 +6,34 @@
 	"errors"
 	"fmt"
 	"io"
-	stdnet "net"
+	"net"
 	"net/http"
 	"strings"
 	"testing"
 	"time"
 
-	"hollyyoke.example/hollyyoke"
-	"hollyyoke.example/hollyyoke/internal/core"
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/dispatch"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
 	"hollyyoke.example/hollyyoke/internal/invariant"
-	"hollyyoke.example/hollyyoke/internal/net"
+	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
 const patience = 20 * time.Second // no test waits that long unless something is broken
 
 // carrier does at once what a job's id says; others' is a source of its own.
-type carrier struct{ core *core.Core }
+type carrier struct{ core *dispatch.Core }
 
-func (c carrier) Start(f core.Attempt) {
+func (c carrier) Start(f dispatch.Attempt) {
 	c.core.Sent(f.Handle)
 	c.core.Sent(f.Handle) // said twice, it counts once
 	switch f.Job.ID[:4] {
 	case "done":
-		c.core.Ended(f.Handle, hollyyoke.Completed, hollyyoke.Load{}, nil)
+		c.core.Ended(f.Handle, decision.Completed, decision.Load{}, nil)
 	case "fail":
-		c.core.Ended(f.Handle, hollyyoke.Errored, hollyyoke.Load{}, nil)
+		c.core.Ended(f.Handle, decision.Errored, decision.Load{}, nil)
 	case "full":
-		c.core.Ended(f.Handle, hollyyoke.Saturated, hollyyoke.Load{}, nil)
+		c.core.Ended(f.Handle, decision.Saturated, decision.Load{}, nil)
 	}
 }
 func (carrier) Stop(uint64) bool { return false }
@@ -44,11 +45,11 @@
 
 type deaf struct{}
 
-func (deaf) Answer(uint64, core.Answer) {}
+func (deaf) Answer(uint64, dispatch.Answer) {}
 
 // rig is an API on a loop of its own.
 type rig struct {
-	core  *core.Core
+	core  *dispatch.Core
 	addr  string
 	ready bool
 	out   []bool
@@ -57,17 +58,17 @@
 
 func newRig(t testing.TB) *rig {
 	t.Helper()
-	c, err := core.New(core.NewLoop(), hollyyoke.Settings{
-		Classes: []hollyyoke.Class{
+	c, err := dispatch.New(eventloop.NewLoop(), decision.Settings{
+		Classes: []decision.Class{
 			{Name: "status-check", Worth: 3, Aim: time.Second, Deadline: 5 * time.Second},
-			{Name: "renewal", Worth: 5, Aim: time.Second, Deadline: 8 * time.Second, Repeat: hollyyoke.Fragile},
+			{Name: "renewal", Worth: 5, Aim: time.Second, Deadline: 8 * time.Second, Repeat: decision.Fragile},
 		},
 		Tick: time.Millisecond, MaxAttempts: 1,
 	}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	e, err := net.NewEngine(c.Loop, 200)
+	e, err := transport.NewEngine(c.Loop, 200)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,9 +93,9 @@
 	<-done
 }
 
-func (r *rig) dial(t testing.TB) stdnet.Conn {
+func (r *rig) dial(t testing.TB) net.Conn {
 	t.Helper()
-	conn, err := stdnet.Dial("tcp", r.addr)
+	conn, err := net.Dial("tcp", r.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -221,17 +222,17 @@
 	r := newRig(t)
 	r.do(func() {
 		c := r.core
-		c.List(carrier{c}, hollyyoke.ListComplete, []hollyyoke.Entry{
-			{Worker: "a"}, {Worker: "b"}, {Worker: "d", State: hollyyoke.Stopping},
+		c.List(carrier{c}, decision.ListComplete, []decision.Entry{
+			{Worker: "a"}, {Worker: "b"}, {Worker: "d", State: decision.Stopping},
 		})
 		other := others{carrier{c}}
-		c.List(other, hollyyoke.ListComplete, []hollyyoke.Entry{{Worker: "other", Kind: 5}})
+		c.List(other, decision.ListComplete, []decision.Entry{{Worker: "other", Kind: 5}})
 		for i, id := range []string{"done-1", "done-2", "full-1", "hold-1", "hold-2"} {
-			c.Take(deaf{}, uint64(i), core.Job{ID: id, Class: i % 2})
+			c.Take(deaf{}, uint64(i), dispatch.Job{ID: id, Class: i % 2})
 		}
-		c.Take(deaf{}, 9, core.Job{ID: "fail-1", Class: 1})
-		c.HangUp(c.Take(deaf{}, 10, core.Job{ID: "hold-3", Class: 1}))
-		c.Book(0, core.Refused)
+		c.Take(deaf{}, 9, dispatch.Job{ID: "fail-1", Class: 1})
+		c.HangUp(c.Take(deaf{}, 10, dispatch.Job{ID: "hold-3", Class: 1}))
+		c.Book(0, dispatch.Refused)
 	})
 	_, body := r.call(t, calls[1].text)
 	var got map[string]any
--- a/internal/control/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -1,4 +1,4 @@
-package control
+package admin
 
 import (
 	"fmt"
@@ -11,16 +11,16 @@
 	"testing"
 	"time"
 
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/connlimit"
+	"hollyyoke.example/hollyyoke/internal/dispatch"
 	"hollyyoke.example/hollyyoke/internal/goldentest"
+	"hollyyoke.example/hollyyoke/internal/listener"
+	"hollyyoke.example/hollyyoke/internal/transport"
 
-	"hollyyoke.example/hollyyoke"
-	"hollyyoke.example/hollyyoke/internal/admit"
-	"hollyyoke.example/hollyyoke/internal/core"
 	"hollyyoke.example/hollyyoke/internal/durable"
-	"hollyyoke.example/hollyyoke/internal/entry"
 	"hollyyoke.example/hollyyoke/internal/invariant"
 	"hollyyoke.example/hollyyoke/internal/jobs"
-	"hollyyoke.example/hollyyoke/internal/net"
 	"hollyyoke.example/hollyyoke/internal/platform"
 )
 
@@ -100,11 +100,11 @@
 	r := newRig(t)
 	r.do(func() {
 		c := r.core
-		c.List(carrier{c}, hollyyoke.ListComplete, []hollyyoke.Entry{{Worker: "a"}, {Worker: "b"}, {Worker: "d", State: hollyyoke.Stopping}})
+		c.List(carrier{c}, decision.ListComplete, []decision.Entry{{Worker: "a"}, {Worker: "b"}, {Worker: "d", State: decision.Stopping}})
 		for i, id := range []string{"done-1", "done-2", "full-1", "hold-1", "hold-2"} {
-			c.Take(deaf{}, uint64(i), core.Job{ID: id, Class: i % 2})
+			c.Take(deaf{}, uint64(i), dispatch.Job{ID: id, Class: i % 2})
 		}
-		c.Take(deaf{}, 9, core.Job{ID: "fail-1", Class: 1})
+		c.Take(deaf{}, 9, dispatch.Job{ID: "fail-1", Class: 1})
 		breakRules(&c.Guard)
 	})
 	golden(t, "figures.golden", transcript(t, r.addr, "GET /control/counters", "GET /control/invariants"))
@@ -149,18 +149,18 @@
 	}
 	t.Cleanup(func() { r.do(func() { service.Close() }) })
 	service.Runnable = func(jobs.Job) {}
-	var engine *net.Engine
-	r.do(func() { engine, err = net.NewEngine(r.core.Loop, 200) })
+	var engine *transport.Engine
+	r.do(func() { engine, err = transport.NewEngine(r.core.Loop, 200) })
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(engine.StopListening)
 	r.do(func() {
 		service.Start()
-		guard, bad := entry.Guard(r.core.Loop, engine, entry.Config{
-			Admit: admit.Config{Room: 50, Reserve: 10, Known: []netip.Prefix{netip.MustParsePrefix("10.9.0.0/16")},
-				Address: admit.Caps{Open: 2}},
-			Marks: admit.Marks{Low: 0.5, High: 0.7, Critical: 0.9, Back: 0.1}, Floors: [admit.Kinds]int{1, 2, 3, 4, 5},
+		guard, bad := listener.Guard(r.core.Loop, engine, listener.Config{
+			Admit: connlimit.Config{Room: 50, Reserve: 10, Known: []netip.Prefix{netip.MustParsePrefix("10.9.0.0/16")},
+				Address: connlimit.Caps{Open: 2}},
+			Marks: connlimit.Marks{Low: 0.5, High: 0.7, Critical: 0.9, Back: 0.1}, Floors: [connlimit.Kinds]int{1, 2, 3, 4, 5},
 		}, 100, log)
 		if bad != nil {
 			t.Error(bad)
--- a/internal/admit/admit.go
+++ b/internal/connlimit/admit.go
@@ -5,7 +5,7 @@
 // what its reserve holds, let a flood of new addresses push out one that holds
 // connections, choose a connection on which an answer is owed to be closed, nor
 // grow with the number of addresses it sees.
-package admit
+package connlimit
 
 import (
 	"errors"
--- a/internal/admit/race_test.go
+++ b/internal/connlimit/race_test.go
@@ -1,5 +1,5 @@
 //go:build race
 
-package admit
+package connlimit
 
 const raced = true
--- a/internal/admit/view.go
+++ b/internal/connlimit/view.go
@@ -1,4 +1,4 @@
-package admit
+package connlimit
 
 import (
 	"cmp"
--- a/internal/node/golden_config_test.go
+++ b/internal/daemon/golden_config_test.go
@@ -1,4 +1,4 @@
-package node
+package daemon
 
 import (
 	"encoding/json"
@@ -45,7 +45,7 @@
 			read(`{"name":"n","listen":"l","discovery":"d:1","admin_addr":"a",`+settings+`}`, again, environment)
 		}
 	}
-	_, err := listener(func(name string) string {
+	_, err := openListener(func(name string) string {
 		names = append(names, name)
 		return "none"
 	}, "")
--- a/internal/node/node.go
+++ b/internal/daemon/node.go
@@ -1,13 +1,13 @@
 // Package node is the dispatcher as one process: it reads what it is told, joins
 // fronts, core and carriers, and knows the states of the running dispatcher. It
 // must never decide where a job goes, nor who may connect.
-package node
+package daemon
 
 import (
 	"cmp"
 	"errors"
 	"fmt"
-	stdnet "net"
+	"net"
 	"os"
 	"reflect"
 	"runtime/debug"
@@ -16,14 +16,15 @@
 	"strings"
 	"time"
 
-	"hollyyoke.example/hollyyoke"
-	"hollyyoke.example/hollyyoke/internal/core"
-	"hollyyoke.example/hollyyoke/internal/entry"
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/dispatch"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
 	"hollyyoke.example/hollyyoke/internal/faktory"
 	"hollyyoke.example/hollyyoke/internal/handover"
-	"hollyyoke.example/hollyyoke/internal/net"
+	"hollyyoke.example/hollyyoke/internal/listener"
 	"hollyyoke.example/hollyyoke/internal/platform"
 	"hollyyoke.example/hollyyoke/internal/settings"
+	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
 // This file owns the states of the running dispatcher: in service, drained,
@@ -53,32 +54,32 @@
 
 // node is the running dispatcher as operators, signals and the other process see it.
 type node struct {
-	core     *core.Core
-	engine   *net.Engine
+	core     *dispatch.Core
+	engine   *transport.Engine
 	backends *platform.Backends
 	fronts   fronts
-	entry    *entry.Entry       // who decides on connections; nil: nobody
-	follows  bool               // versioned changes are followed in place of the discovery watch
-	config   config             // in force
-	told     hollyyoke.Settings // as the file words them
-	listener stdnet.Listener
+	entry    *listener.Entry   // who decides on connections; nil: nobody
+	follows  bool              // versioned changes are followed in place of the discovery watch
+	config   config            // in force
+	told     decision.Settings // as the file words them
+	listener net.Listener
 	sessions int // of clients, at a time
 
 	inherited bool // the listener is the platform's, and other processes have it
 	path      string
-	meeting   *net.Acceptor  // where a successor calls
-	link      *handover.Link // to the other process, nil without one
-	greeted   bool           // the predecessor has spoken, or has had its time
-	theirs    bool           // the successor takes clients
-	serving   bool           // clients are taken here
+	meeting   *transport.Acceptor // where a successor calls
+	link      *handover.Link      // to the other process, nil without one
+	greeted   bool                // the predecessor has spoken, or has had its time
+	theirs    bool                // the successor takes clients
+	serving   bool                // clients are taken here
 	stopping  bool
 	released  bool         // the Faktory front has been let go of, for the successor
 	open      func() error // opens the Faktory front that a predecessor has; nil: nothing is to be opened
-	room      core.Deadline
+	room      eventloop.Deadline
 }
 
 // former calls the process whose successor this one may be; nil: there is none.
-func (n *node) former(env func(string) string) stdnet.Conn {
+func (n *node) former(env func(string) string) net.Conn {
 	if n.inherited = env("BALANCER_FD") != "" && n.listener != nil; !n.inherited {
 		return nil
 	}
@@ -91,11 +92,11 @@
 }
 
 // start takes clients, beside a predecessor only once they can be served.
-func (n *node) start(former stdnet.Conn) {
+func (n *node) start(former net.Conn) {
 	n.room.Fire = n.tellRoom
 	if former != nil {
 		n.keep(n.config.descriptors()/4, n.memory()/4)
-		err := n.engine.Adopt(former, func(c *net.Conn) net.Owner {
+		err := n.engine.Adopt(former, func(c *transport.Conn) transport.Owner {
 			n.link = handover.NewLink(n.engine, c, n.heardFormer, n.formerGone)
 			n.listenIn()
 			return n.link
@@ -343,7 +344,7 @@
 }
 
 // met is told of a successor.
-func (n *node) met(c *net.Conn) net.Owner {
+func (n *node) met(c *transport.Conn) transport.Owner {
 	if n.stopping || n.link != nil {
 		return nil
 	}
@@ -466,13 +467,13 @@
 // runs: where discovery is, the bounds on connections, and from which servers
 // versioned changes are followed. A file of which any part is wrong changes
 // nothing; what needs a restart is named in the log.
-func (n *node) reload(next config, now hollyyoke.Settings, operator settings.Operator, err error) {
+func (n *node) reload(next config, now decision.Settings, operator settings.Operator, err error) {
 	d, b, c := n.core, n.backends, n.config
 	if err == nil {
 		err = b.CheckList(next.Known)
 	}
 	if err == nil {
-		if _, err = hollyyoke.New(now, 0); err != nil {
+		if _, err = decision.New(now, 0); err != nil {
 			err = fmt.Errorf("config: %w", err)
 		}
 	}
@@ -483,14 +484,14 @@
 	if err == nil {
 		servers, err = follow(&operator.Membership, &n.config, &n.told)
 	}
-	var g entry.Config
+	var g listener.Config
 	table := &operator.Connections
 	if err == nil && n.entry != nil {
 		if g, err = guard(table, n.config.clients()); err == nil && !table.On {
 			err = errors.New("connections.on: only a restart turns it off")
 		}
 		if err == nil {
-			err = n.entry.Set(g, net.Usable(n.config.clients()))
+			err = n.entry.Set(g, transport.Usable(n.config.clients()))
 		}
 	}
 	if err != nil {
@@ -566,7 +567,7 @@
 			f.platform.Refrain()
 		}
 		shut := loop.Now() + lastWindow
-		patience, upstream := shut+net.Lingering, loop.Now()+8*time.Second
+		patience, upstream := shut+transport.Lingering, loop.Now()+8*time.Second
 		var last func()
 		last = func() {
 			ended, now := f.close(), loop.Now()
@@ -575,7 +576,7 @@
 				ended = ended && f.platform.Open() == 0
 			}
 			if d.Owed() > 0 {
-				patience = now + net.Lingering
+				patience = now + transport.Lingering
 			}
 			if now >= shut && d.Owed() == 0 && (ended || now > patience && !f.faktory.Busy() || now > upstream) {
 				// What was answered just now is still on its way out of the sockets.
--- a/internal/node/process.go
+++ b/internal/daemon/process.go
@@ -1,4 +1,4 @@
-package node
+package daemon
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 	"hash/fnv"
 	"io"
 	"log/slog"
-	stdnet "net"
+	"net"
 	"os"
 	"os/signal"
 	"runtime"
@@ -17,16 +17,17 @@
 	"strings"
 	"syscall"
 
-	"hollyyoke.example/hollyyoke"
-	"hollyyoke.example/hollyyoke/internal/control"
-	"hollyyoke.example/hollyyoke/internal/core"
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/admin"
+	"hollyyoke.example/hollyyoke/internal/dispatch"
 	"hollyyoke.example/hollyyoke/internal/durable"
-	"hollyyoke.example/hollyyoke/internal/entry"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
 	"hollyyoke.example/hollyyoke/internal/faktory"
 	"hollyyoke.example/hollyyoke/internal/invariant"
-	"hollyyoke.example/hollyyoke/internal/net"
+	"hollyyoke.example/hollyyoke/internal/listener"
 	"hollyyoke.example/hollyyoke/internal/platform"
 	"hollyyoke.example/hollyyoke/internal/settings"
+	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
 // This file owns the process: what it is told at its start and on SIGHUP, and
@@ -43,8 +44,8 @@
 // loaded is what the files say, checked.
 type loaded struct {
 	config      config
-	told        hollyyoke.Settings // as the file words them: the Faktory front adds to them
-	settings    hollyyoke.Settings
+	told        decision.Settings // as the file words them: the Faktory front adds to them
+	settings    decision.Settings
 	faktory     faktory.Config
 	hasFaktory  bool
 	connections settings.Connections
@@ -91,8 +92,8 @@
 }
 
 // guard makes what the table [connections] says ready for use.
-func guard(c *settings.Connections, descriptors int) (g entry.Config, err error) {
-	if g.Admit, g.Floors, g.Marks, g.WriteStall, err = c.Ready(net.Usable(descriptors)); err != nil {
+func guard(c *settings.Connections, descriptors int) (g listener.Config, err error) {
+	if g.Admit, g.Floors, g.Marks, g.WriteStall, err = c.Ready(transport.Usable(descriptors)); err != nil {
 		return g, fmt.Errorf("connections.%w", err)
 	}
 	g.Say503 = c.Refuse == "503"
@@ -100,7 +101,7 @@
 }
 
 // follow makes what the table [membership] says ready for use.
-func follow(m *settings.Membership, c *config, s *hollyyoke.Settings) (f platform.FollowConfig, err error) {
+func follow(m *settings.Membership, c *config, s *decision.Settings) (f platform.FollowConfig, err error) {
 	if f.Zone, f.Servers, f.Acknowledge, err = m.Ready(s); err != nil {
 		return f, fmt.Errorf("membership.%w", err)
 	}
@@ -114,8 +115,8 @@
 	if err != nil {
 		return err
 	}
-	loop := core.NewLoop()
-	d, err := core.New(loop, l.settings, l.config.seed())
+	loop := eventloop.NewLoop()
+	d, err := dispatch.New(loop, l.settings, l.config.seed())
 	if err != nil {
 		return fmt.Errorf("config: %w", err)
 	}
@@ -128,7 +129,7 @@
 	fmt.Fprintf(out, "descriptors %d, buffers up to %d MB\n", c.descriptors(), c.buffers()>>20)
 	for _, class := range l.settings.Classes {
 		repeat := "must not run twice"
-		if class.Repeat != hollyyoke.Fragile {
+		if class.Repeat != decision.Fragile {
 			repeat = "may be repeated"
 		}
 		fmt.Fprintf(out, "class %s: deadline %v, %s\n", class.Name, class.Deadline, repeat)
@@ -172,7 +173,7 @@
 	Sockets  float64 `json:"sockets"`
 }
 
-func readConfig(path string, env func(string) string, again bool) (c config, s hollyyoke.Settings, err error) {
+func readConfig(path string, env func(string) string, again bool) (c config, s decision.Settings, err error) {
 	if path = cmp.Or(path, env("BALANCER_CONFIG")); path == "" {
 		return c, s, errors.New("config: neither -config nor BALANCER_CONFIG names a file")
 	}
@@ -194,7 +195,7 @@
 		c.Discovery = cmp.Or(env("BALANCER_DISCOVERY"), c.Discovery)
 	}
 	if c.Discovery != "" {
-		if _, _, err := stdnet.SplitHostPort(c.Discovery); err != nil {
+		if _, _, err := net.SplitHostPort(c.Discovery); err != nil {
 			return c, s, fmt.Errorf("config: discovery: %w", err)
 		}
 	}
@@ -245,7 +246,7 @@
 	if c.Admin == "" {
 		return c.descriptors()
 	}
-	return c.descriptors() - control.Calls - 1 // the listener too
+	return c.descriptors() - admin.Calls - 1 // the listener too
 }
 
 // buffers is how many bytes the buffers may take up.
@@ -256,12 +257,12 @@
 	return int(c.Limits.MemoryMB * bufferShare * (1 << 20))
 }
 
-// listener is where clients come: the socket that the platform keeps and that
+// openListener is where clients come: the socket that the platform keeps and that
 // BALANCER_FD numbers, or one of our own.
-func listener(env func(string) string, addr string) (stdnet.Listener, error) {
+func openListener(env func(string) string, addr string) (net.Listener, error) {
 	text := env("BALANCER_FD")
 	if text == "" {
-		ln, err := stdnet.Listen("tcp", addr)
+		ln, err := net.Listen("tcp", addr)
 		if err != nil {
 			return nil, fmt.Errorf("config: listen: %w", err)
 		}
@@ -271,9 +272,9 @@
 	if err == nil && fd < 0 {
 		err = errors.New("a descriptor is not negative")
 	}
-	var ln stdnet.Listener
+	var ln net.Listener
 	if err == nil {
-		ln, err = net.Inherit(fd)
+		ln, err = transport.Inherit(fd)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("BALANCER_FD: %q: %w", text, err)
@@ -309,8 +310,8 @@
 		debug.SetMemoryLimit(int64(mb * (0.6 - bufferShare) * (1 << 20)))
 	}
 	debug.FreeOSMemory() // what reading the command line and the files took is not needed again
-	loop := core.NewLoop()
-	d, err := core.New(loop, s, c.seed())
+	loop := eventloop.NewLoop()
+	d, err := dispatch.New(loop, s, c.seed())
 	if err != nil {
 		return fmt.Errorf("config: %w", err)
 	}
@@ -322,7 +323,7 @@
 	if f.Trace {
 		d.Trace = func(id, step string, more ...any) { log.Info(step, append(more, "id", id)...) }
 	}
-	engine, err := net.NewEngine(loop, c.clients())
+	engine, err := transport.NewEngine(loop, c.clients())
 	if err != nil {
 		return err
 	}
@@ -342,14 +343,14 @@
 	if l.connections.On {
 		g, err := guard(&l.connections, c.clients())
 		if err == nil {
-			n.entry, err = entry.Guard(loop, engine, g, net.Usable(c.clients()), log)
+			n.entry, err = listener.Guard(loop, engine, g, transport.Usable(c.clients()), log)
 		}
 		if err != nil {
 			return fmt.Errorf("%s: %w", f.Operator, err)
 		}
 		n.entry.Idle = backends.Idle
 	}
-	n.sessions = net.Accepted(c.clients())
+	n.sessions = transport.Accepted(c.clients())
 	if l.hasFaktory && c.Listen != "" {
 		n.sessions /= 2 // half for either front
 	}
@@ -360,7 +361,7 @@
 		if n.entry != nil {
 			n.fronts.platform.Use(n.entry)
 		}
-		if n.listener, err = listener(env, c.Listen); err != nil {
+		if n.listener, err = openListener(env, c.Listen); err != nil {
 			return err
 		}
 		d.Log("listening on " + n.listener.Addr().String())
@@ -388,11 +389,11 @@
 		}
 	}
 	if c.Admin != "" {
-		desk := control.Desk{
+		desk := admin.Desk{
 			Ready: n.ready, Service: n.service, Entry: n.entry, Membership: backends.ControlStats,
 			Jobs: func() *durable.Service { return n.fronts.faktory.Jobs() },
 		}
-		api := control.New(d, engine, backends, desk)
+		api := admin.New(d, engine, backends, desk)
 		addr, err := api.Listen(c.Admin)
 		if err != nil {
 			return fmt.Errorf("config: admin_addr: %w", err)
--- a/internal/core/core.go
+++ b/internal/dispatch/core.go
@@ -1,4 +1,4 @@
-package core
+package dispatch
 
 import (
 	"crypto/rand"
@@ -7,9 +7,11 @@
 	"slices"
 	"time"
 
-	"hollyyoke.example/hollyyoke"
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
 	"hollyyoke.example/hollyyoke/internal/invariant"
 	"hollyyoke.example/hollyyoke/internal/settings"
+	"hollyyoke.example/hollyyoke/internal/slotmap"
 )
 
 // This file owns reqs and their attempts: it turns what fronts and carriers
@@ -42,7 +44,7 @@
 	// or 0 if there is none; it returns false if nobody wants the lease any more.
 	Ask(job *Job, backend string, told func(fence uint64) bool)
 	// Ended tells how the attempt under a fence ended.
-	Ended(job *Job, fence uint64, o hollyyoke.Outcome, neverRan bool, result []byte)
+	Ended(job *Job, fence uint64, o decision.Outcome, neverRan bool, result []byte)
 }
 
 // Verdict is the kind of a final answer.
@@ -115,8 +117,8 @@
 
 // Core is one dispatcher. All its methods belong to the loop's goroutine.
 type Core struct {
-	Loop     *Loop
-	Settings hollyyoke.Settings
+	Loop     *eventloop.Loop
+	Settings decision.Settings
 	Seed     uint64 // of the process, for what carriers draw at random
 	Log      func(text string)
 
@@ -134,15 +136,15 @@
 	// backends; nil: those do. It is for measurements without backends.
 	Through Carrier
 
-	module      *hollyyoke.Dispatcher
-	reqs        Table[req]
-	outstanding Table[outstanding]
+	module      *decision.Dispatcher
+	reqs        slotmap.Table[req]
+	outstanding slotmap.Table[outstanding]
 	sources     []Carrier // those that list backends
 	listed      map[string]listing
 	left        map[string]time.Duration // when backends that drain or have gone were notified to
 	ready       int                      // those listed that take new work
-	pending     []hollyyoke.Event
-	actions     []hollyyoke.Action
+	pending     []decision.Event
+	actions     []decision.Action
 	handling    bool
 	owed        int
 	counts      Counts
@@ -207,8 +209,8 @@
 	attempts []attempt
 	out      int
 	answered bool
-	timer    Deadline // the module's own, of the req's number
-	due      Deadline // its last moment
+	timer    eventloop.Deadline // the module's own, of the req's number
+	due      eventloop.Deadline // its last moment
 }
 
 type attempt struct {
@@ -229,13 +231,13 @@
 }
 
 type listing struct {
-	entry  hollyyoke.Entry
+	entry  decision.Entry
 	source Carrier
 }
 
 // New returns a core that knows no backend yet.
-func New(loop *Loop, s hollyyoke.Settings, seed uint64) (*Core, error) {
-	m, err := hollyyoke.New(s, seed)
+func New(loop *eventloop.Loop, s decision.Settings, seed uint64) (*Core, error) {
+	m, err := decision.New(s, seed)
 	if err != nil {
 		return nil, err
 	}
@@ -276,7 +278,7 @@
 
 // ChargedElsewhere tells what the other process sent to a cold backend.
 func (c *Core) ChargedElsewhere(backend string, charge float64) {
-	c.handle(hollyyoke.Event{Kind: hollyyoke.ColdCharge, Worker: backend, Charge: charge})
+	c.handle(decision.Event{Kind: decision.ColdCharge, Worker: backend, Charge: charge})
 }
 
 // Finish gives all reqs that are still open their last moment now.
@@ -357,15 +359,15 @@
 		c.Taken(r.name)
 	}
 	r.due.Fire = func() { c.lastMoment(r) }
-	r.timer.Fire = func() { c.handle(hollyyoke.Event{Kind: hollyyoke.TimerDue, Timer: r.handle}) }
+	r.timer.Fire = func() { c.handle(decision.Event{Kind: decision.TimerDue, Timer: r.handle}) }
 	c.Loop.Set(&r.due, r.deadline)
 	c.owed++
 	c.counts.Taken++
 	if c.Trace != nil {
 		c.Trace(job.ID, "taken", "class", c.Settings.Classes[job.Class].Name, "left", r.deadline-now, "work", job.Work, "owed", c.owed)
 	}
-	c.handle(hollyyoke.Event{
-		Kind: hollyyoke.Arrival, Request: r.handle, Class: job.Class, Slots: job.Slots, Work: job.Work,
+	c.handle(decision.Event{
+		Kind: decision.Arrival, Request: r.handle, Class: job.Class, Slots: job.Slots, Work: job.Work,
 		Left: max(r.deadline-now, 0), ClientRetry: job.Retry, Key: job.Key,
 	})
 	return r.handle
@@ -384,7 +386,7 @@
 		c.Trace(r.job.ID, "hung up", "attempts", len(r.attempts))
 	}
 	c.settle(r)
-	c.handle(hollyyoke.Event{Kind: hollyyoke.HungUp, Request: handle})
+	c.handle(decision.Event{Kind: decision.HungUp, Request: handle})
 	c.tidy(r)
 	return false
 }
@@ -420,12 +422,12 @@
 func (c *Core) lastMoment(r *req) {
 	for i := 0; i < len(r.attempts) && c.reqs.Get(r.handle) == r; i++ {
 		if h := r.attempts[i].handle; c.outstanding.Get(h) != nil {
-			c.stop(h, hollyyoke.Overdue)
+			c.stop(h, decision.Overdue)
 		}
 	}
 	if !r.answered {
 		c.answer(r, Answer{Verdict: Failed})
-		c.handle(hollyyoke.Event{Kind: hollyyoke.HungUp, Request: r.handle})
+		c.handle(decision.Event{Kind: decision.HungUp, Request: r.handle})
 		c.tidy(r)
 	}
 }
@@ -466,7 +468,7 @@
 func (c *Core) tidy(r *req) {
 	for i := 0; r.answered && i < len(r.attempts); i++ {
 		if f := c.outstanding.Get(r.attempts[i].handle); f != nil && !f.left && (f.leasing || r.job.Lease == nil) {
-			c.stop(r.attempts[i].handle, hollyyoke.Recalled)
+			c.stop(r.attempts[i].handle, decision.Recalled)
 		}
 	}
 	if r.answered && r.out == 0 && c.reqs.Get(r.handle) == r {
@@ -482,7 +484,7 @@
 // ---- What carriers report.
 
 // Ended tells how an attempt ended. For Completed, result is the body of the answer.
-func (c *Core) Ended(handle uint64, o hollyyoke.Outcome, load hollyyoke.Load, result []byte) {
+func (c *Core) Ended(handle uint64, o decision.Outcome, load decision.Load, result []byte) {
 	f := c.outstanding.Get(handle)
 	if f == nil {
 		return
@@ -493,19 +495,19 @@
 	}
 	c.outstanding.Drop(handle)
 	r.out--
-	r.attempts[f.attempt].neverRan = o == hollyyoke.Saturated && !c.Settings.FullNoProof ||
-		o == hollyyoke.RefusedConn || o == hollyyoke.Superseded
+	r.attempts[f.attempt].neverRan = o == decision.Saturated && !c.Settings.FullNoProof ||
+		o == decision.RefusedConn || o == decision.Superseded
 	if f.fence != 0 {
 		r.job.Lease.Ended(&r.job, f.fence, o, r.attempts[f.attempt].neverRan, result)
 	}
 	switch {
-	case o == hollyyoke.Completed:
+	case o == decision.Completed:
 		c.answer(r, Answer{Verdict: Served, Result: result})
 	case f.fence != 0 && !r.attempts[f.attempt].neverRan:
 		c.answer(r, Answer{Verdict: Failed})
 	}
-	c.handle(hollyyoke.Event{
-		Kind: hollyyoke.Response, Request: f.req, Attempt: f.attempt, Worker: f.backend,
+	c.handle(decision.Event{
+		Kind: decision.Response, Request: f.req, Attempt: f.attempt, Worker: f.backend,
 		Outcome: o, Settled: r.answered, Load: load,
 	})
 	c.tidy(r)
@@ -530,8 +532,8 @@
 		if r := c.reqs.Get(f.req); c.Trace != nil && r != nil {
 			c.Trace(r.job.ID, "started", "number", f.attempt, "backend", f.backend)
 		}
-		c.handle(hollyyoke.Event{
-			Kind: hollyyoke.Started, Request: f.req, Attempt: f.attempt, Worker: f.backend,
+		c.handle(decision.Event{
+			Kind: decision.Started, Request: f.req, Attempt: f.attempt, Worker: f.backend,
 		})
 	}
 }
@@ -539,15 +541,15 @@
 // Progress tells what share of an attempt is done.
 func (c *Core) Progress(handle uint64, share float64) {
 	if f := c.outstanding.Get(handle); f != nil {
-		c.handle(hollyyoke.Event{
-			Kind: hollyyoke.ProgressMade, Request: f.req, Attempt: f.attempt, Worker: f.backend, Fraction: share,
+		c.handle(decision.Event{
+			Kind: decision.ProgressMade, Request: f.req, Attempt: f.attempt, Worker: f.backend, Fraction: share,
 		})
 	}
 }
 
 // Probed tells a backend's load, asked for or not.
-func (c *Core) Probed(backend string, o hollyyoke.Outcome, load hollyyoke.Load) {
-	c.handle(hollyyoke.Event{Kind: hollyyoke.ProbeResult, Worker: backend, Outcome: o, Load: load})
+func (c *Core) Probed(backend string, o decision.Outcome, load decision.Load) {
+	c.handle(decision.Event{Kind: decision.ProbeResult, Worker: backend, Outcome: o, Load: load})
 }
 
 // Reconfigure makes changes of the settings, all or none: an error names the key that is refused.
@@ -558,7 +560,7 @@
 		return err
 	}
 	c.Settings = next
-	c.handle(hollyyoke.Event{Kind: hollyyoke.Reconfigured, Settings: &next})
+	c.handle(decision.Event{Kind: decision.Reconfigured, Settings: &next})
 	return nil
 }
 
@@ -567,20 +569,20 @@
 
 // List takes in what a source says of its backends. What another source lists
 // stays: a complete list is complete for its own source alone.
-func (c *Core) List(source Carrier, kind hollyyoke.ListKind, entries []hollyyoke.Entry) {
-	ev := hollyyoke.Event{Kind: hollyyoke.WorkerList, List: kind, Entries: entries}
-	if kind == hollyyoke.ListComplete || kind == hollyyoke.ListPersisted {
+func (c *Core) List(source Carrier, kind decision.ListKind, entries []decision.Entry) {
+	ev := decision.Event{Kind: decision.WorkerList, List: kind, Entries: entries}
+	if kind == decision.ListComplete || kind == decision.ListPersisted {
 		for name, l := range c.listed {
 			if l.source == source {
 				c.unlist(name)
-				c.noteLeft(hollyyoke.Entry{Worker: name, State: hollyyoke.Deleted})
+				c.noteLeft(decision.Entry{Worker: name, State: decision.Deleted})
 			}
 		}
-		var others []hollyyoke.Entry
+		var others []decision.Entry
 		for _, l := range c.listed {
 			others = append(others, l.entry)
 		}
-		slices.SortFunc(others, func(a, b hollyyoke.Entry) int { // a map's order would make runs differ
+		slices.SortFunc(others, func(a, b decision.Entry) int { // a map's order would make runs differ
 			if a.Worker < b.Worker {
 				return -1
 			}
@@ -594,10 +596,10 @@
 	for _, e := range entries {
 		c.unlist(e.Worker)
 		c.noteLeft(e)
-		if e.State != hollyyoke.Deleted {
+		if e.State != decision.Deleted {
 			c.listed[e.Worker] = listing{e, source}
 		}
-		if e.State == hollyyoke.Running {
+		if e.State == decision.Running {
 			c.ready++
 		}
 	}
@@ -605,9 +607,9 @@
 }
 
 // noteLeft books when a backend was notified to drain or to have gone.
-func (c *Core) noteLeft(e hollyyoke.Entry) {
+func (c *Core) noteLeft(e decision.Entry) {
 	now := c.Loop.Now()
-	if e.State == hollyyoke.Running {
+	if e.State == decision.Running {
 		delete(c.left, e.Worker)
 	} else if _, known := c.left[e.Worker]; !known {
 		c.left[e.Worker] = now
@@ -629,23 +631,23 @@
 // Suspend tells that a source cannot answer for backends of its list for now: they
 // get nothing until Resume. What is out at them goes on.
 func (c *Core) Suspend(source Carrier, backends []string) {
-	c.suspension(hollyyoke.Suspended, source, backends)
+	c.suspension(decision.Suspended, source, backends)
 }
 
 // Resume takes a suspension back.
 func (c *Core) Resume(source Carrier, backends []string) {
-	c.suspension(hollyyoke.Resumed, source, backends)
+	c.suspension(decision.Resumed, source, backends)
 }
 
-func (c *Core) suspension(kind hollyyoke.EventKind, source Carrier, backends []string) {
-	var entries []hollyyoke.Entry
+func (c *Core) suspension(kind decision.EventKind, source Carrier, backends []string) {
+	var entries []decision.Entry
 	for _, name := range backends {
 		if l, ok := c.listed[name]; ok && l.source == source {
 			entries = append(entries, l.entry)
 		}
 	}
 	if len(entries) > 0 {
-		c.handle(hollyyoke.Event{Kind: kind, Entries: entries})
+		c.handle(decision.Event{Kind: kind, Entries: entries})
 	}
 }
 
@@ -661,7 +663,7 @@
 // unlist forgets a backend, if it is listed.
 func (c *Core) unlist(name string) {
 	l, ok := c.listed[name]
-	if ok && l.entry.State == hollyyoke.Running {
+	if ok && l.entry.State == decision.Running {
 		c.ready--
 	}
 	delete(c.listed, name)
@@ -670,7 +672,7 @@
 // ---- What the module wants done.
 
 // handle feeds the module. What an action brings about at once waits its turn.
-func (c *Core) handle(ev hollyyoke.Event) {
+func (c *Core) handle(ev decision.Event) {
 	outermost := !c.handling
 	if outermost {
 		c.handling = true
@@ -691,38 +693,38 @@
 	c.handling = false
 }
 
-func (c *Core) act(a *hollyyoke.Action) {
+func (c *Core) act(a *decision.Action) {
 	switch a.Kind {
-	case hollyyoke.Assign:
+	case decision.Assign:
 		c.assign(a.Request, a.Worker, a.Charge)
-	case hollyyoke.Refuse, hollyyoke.FinishError:
+	case decision.Refuse, decision.FinishError:
 		if r := c.reqs.Get(a.Request); r != nil {
 			answer := Answer{Verdict: Failed}
-			if a.Kind == hollyyoke.Refuse {
+			if a.Kind == decision.Refuse {
 				answer = Answer{Verdict: Refused, RetryAfter: a.Delay}
 			}
 			c.answer(r, answer)
 			c.tidy(r)
 		}
-	case hollyyoke.StopAttempt:
+	case decision.StopAttempt:
 		if r := c.reqs.Get(a.Request); r != nil && a.Attempt < len(r.attempts) {
-			c.stop(r.attempts[a.Attempt].handle, hollyyoke.Recalled)
+			c.stop(r.attempts[a.Attempt].handle, decision.Recalled)
 		}
-	case hollyyoke.SetTimer:
+	case decision.SetTimer:
 		c.setTimer(a.Timer, c.Loop.Now()+a.Delay)
-	case hollyyoke.Probe:
+	case decision.Probe:
 		if l, ok := c.listed[a.Worker]; ok {
 			c.carrier(l).Probe(a.Worker)
 		}
-	case hollyyoke.Release:
+	case decision.Release:
 		if l, ok := c.listed[a.Worker]; ok {
 			c.carrier(l).Release(a.Worker)
 		}
-	case hollyyoke.Subscribe:
+	case decision.Subscribe:
 		for _, s := range c.sources {
 			s.Subscribe()
 		}
-	case hollyyoke.Log:
+	case decision.Log:
 		c.Log(a.Text)
 	}
 }
@@ -734,8 +736,8 @@
 		}
 		return
 	}
-	c.Loop.Set(&Deadline{Fire: func() {
-		c.handle(hollyyoke.Event{Kind: hollyyoke.TimerDue, Timer: number})
+	c.Loop.Set(&eventloop.Deadline{Fire: func() {
+		c.handle(decision.Event{Kind: decision.TimerDue, Timer: number})
 	}}, at)
 }
 
@@ -751,7 +753,7 @@
 func (c *Core) start(r *req, n int) invariant.Start {
 	return invariant.Start{
 		Now: c.Loop.Now(), Deadline: r.deadline, Answered: r.answered,
-		Fragile:    c.Settings.Classes[r.job.Class].Repeat == hollyyoke.Fragile,
+		Fragile:    c.Settings.Classes[r.job.Class].Repeat == decision.Fragile,
 		MayHaveRun: slices.ContainsFunc(r.attempts[:n], func(a attempt) bool { return !a.neverRan }),
 	}
 }
@@ -784,9 +786,9 @@
 	_, may := c.Guard.MayStart(c.start(r, n))
 	if !may || !ok || n >= max(c.Settings.MaxAttempts, 1) {
 		r.attempts = append(r.attempts, attempt{neverRan: true})
-		c.handle(hollyyoke.Event{
-			Kind: hollyyoke.Response, Request: handle, Attempt: n, Worker: backend,
-			Outcome: hollyyoke.Superseded, Settled: r.answered,
+		c.handle(decision.Event{
+			Kind: decision.Response, Request: handle, Attempt: n, Worker: backend,
+			Outcome: decision.Superseded, Settled: r.answered,
 		})
 		return
 	}
@@ -803,7 +805,7 @@
 	}
 	start := Attempt{
 		Handle: h, Backend: backend, Job: &r.job, Deadline: r.deadline, Until: until, Number: n,
-		Settled: c.Settings.Classes[r.job.Class].Repeat != hollyyoke.Retryable,
+		Settled: c.Settings.Classes[r.job.Class].Repeat != decision.Retryable,
 	}
 	if r.job.Lease == nil {
 		c.carrier(l).Start(start)
@@ -816,7 +818,7 @@
 			return false
 		}
 		if f.leasing, f.fence = false, fence; fence == 0 {
-			c.Ended(h, hollyyoke.Superseded, hollyyoke.Load{}, nil)
+			c.Ended(h, decision.Superseded, decision.Load{}, nil)
 			return true
 		}
 		start.Fence = fence
@@ -832,7 +834,7 @@
 func (c *Core) until(r *req) (until time.Duration) {
 	class := &c.Settings.Classes[r.job.Class]
 	for _, a := range r.attempts {
-		if end := a.at + class.Window - c.Settings.ConnectTimeout/2; class.Repeat == hollyyoke.Dedup && !a.neverRan && (until == 0 || end < until) {
+		if end := a.at + class.Window - c.Settings.ConnectTimeout/2; class.Repeat == decision.Dedup && !a.neverRan && (until == 0 || end < until) {
 			until = end
 		}
 	}
@@ -840,13 +842,13 @@
 }
 
 // stop gives an attempt up. If it is known never to have run, that is what is told.
-func (c *Core) stop(handle uint64, o hollyyoke.Outcome) {
+func (c *Core) stop(handle uint64, o decision.Outcome) {
 	f := c.outstanding.Get(handle)
 	if f == nil {
 		return
 	}
 	if f.leasing || f.carrier.Stop(handle) {
-		o = hollyyoke.Superseded
+		o = decision.Superseded
 	}
-	c.Ended(handle, o, hollyyoke.Load{}, nil)
+	c.Ended(handle, o, decision.Load{}, nil)
 }
--- a/internal/core/core_test.go
+++ b/internal/dispatch/core_test.go
@@ -1,4 +1,4 @@
-package core
+package dispatch
 
 import (
 	"encoding/json"
@@ -8,79 +8,20 @@
 	"testing"
 	"time"
 
-	"hollyyoke.example/hollyyoke"
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
 	"hollyyoke.example/hollyyoke/internal/settings"
 )
 
-// Deadlines fire in order of time, then of setting; moved and withdrawn ones
-// are told apart; one set while firing waits for the next turn.
-func TestDeadlinesFireInOrder(t *testing.T) {
-	l := NewLoop()
-	var fired []int
-	now := l.Now()
-	d := make([]Deadline, 6)
-	for i := range d {
-		d[i].Fire = func() {
-			fired = append(fired, i)
-			if i == 0 {
-				l.Set(&d[0], now)
-			}
-		}
-	}
-	for i, at := range []time.Duration{30, 10, 20, 10, 5, time.Hour} {
-		l.Set(&d[i], now+at)
-	}
-	l.Set(&d[2], now+40) // later than it was
-	l.Clear(&d[4])
-	l.Clear(&d[4])
-	l.unix += time.Minute
-	l.fire()
-	if want := []int{1, 3, 0, 2}; !slices.Equal(fired, want) {
-		t.Fatalf("fired %v, want %v", fired, want)
-	}
-	l.fire()
-	if want := []int{1, 3, 0, 2, 0}; !slices.Equal(fired, want) {
-		t.Fatalf("fired %v, want %v", fired, want)
-	}
-}
-
-// What is posted from elsewhere runs in order, and a deadline wakes the loop.
-func TestLoopRunsWhatIsPosted(t *testing.T) {
-	l := NewLoop()
-	var got []int
-	go func() {
-		for i := range 100 {
-			l.Post(func() { got = append(got, i) })
-		}
-		l.Post(func() { l.After(time.Millisecond, l.Stop) })
-	}()
-	l.Run()
-	if len(got) != 100 || !slices.IsSorted(got) {
-		t.Fatalf("ran %v", got)
-	}
-}
-
-// A handle that was dropped finds nothing, though its slot is in use again.
-func TestTableChecksGenerations(t *testing.T) {
-	var table Table[int]
-	one, two := 1, 2
-	a := table.Put(&one)
-	table.Drop(a)
-	table.Drop(a)
-	b := table.Put(&two)
-	if a == b || a == 0 || table.Get(a) != nil || table.Get(b) != &two || table.Len() != 1 || table.Get(1<<40) != nil {
-		t.Fatalf("handles %d %d, %d slots in use", a, b, table.Len())
-	}
-}
-
 // model follows the reqs of one core. It is the front and the carrier, too.
 type model struct {
 	t      *testing.T
+	now    time.Duration // the loop's clock
 	core   *Core
 	reqs   []*modelReq
 	out    map[uint64]*modelReq // by attempt
 	order  []uint64             // attempts that are out
-	states map[string]hollyyoke.WorkerState
+	states map[string]decision.WorkerState
 }
 
 type modelReq struct {
@@ -110,7 +51,7 @@
 
 func (m *model) Start(f Attempt) {
 	r := m.reqs[f.Job.Body[0]]
-	if m.states[f.Backend] != hollyyoke.Running {
+	if m.states[f.Backend] != decision.Running {
 		m.t.Fatalf("an attempt for %s, which is %v", f.Backend, m.states[f.Backend])
 	}
 	if r.class == 1 && r.ran+r.out > 0 {
@@ -142,19 +83,19 @@
 	return false
 }
 
-func (m *model) end(handle uint64, o hollyyoke.Outcome) {
+func (m *model) end(handle uint64, o decision.Outcome) {
 	r := m.take(handle)
-	if o != hollyyoke.Saturated && o != hollyyoke.RefusedConn {
+	if o != decision.Saturated && o != decision.RefusedConn {
 		r.ran++
 	}
-	m.core.Ended(handle, o, hollyyoke.Load{}, nil)
-	m.core.Ended(handle, hollyyoke.Completed, hollyyoke.Load{}, nil) // a second end must change nothing
+	m.core.Ended(handle, o, decision.Load{}, nil)
+	m.core.Ended(handle, decision.Completed, decision.Load{}, nil) // a second end must change nothing
 }
 
 func (m *model) Release(string)   {}
 func (m *model) Probe(string)     {}
 func (m *model) Subscribe()       {}
-func (m *model) advance(span int) { m.core.Loop.unix += time.Duration(span) * time.Millisecond }
+func (m *model) advance(span int) { m.now += time.Duration(span) * time.Millisecond }
 
 // FuzzReqs checks random steps against the model: one final answer each, nothing
 // that may have run is repeated or refused against its class, nothing is kept.
@@ -167,10 +108,11 @@
 		if len(steps) > 400 {
 			return
 		}
-		c, err := New(NewLoop(), hollyyoke.Settings{
-			Classes: []hollyyoke.Class{
+		m := &model{t: t, now: time.Hour, out: map[uint64]*modelReq{}, states: map[string]decision.WorkerState{}}
+		c, err := New(eventloop.NewVirtual(func() time.Duration { return m.now }), decision.Settings{
+			Classes: []decision.Class{
 				{Worth: 3, LateWorth: 0.25, Aim: 300 * time.Millisecond, Deadline: 2 * time.Second},
-				{Worth: 5, LateWorth: 0.5, Aim: 300 * time.Millisecond, Deadline: 3 * time.Second, Repeat: hollyyoke.Fragile},
+				{Worth: 5, LateWorth: 0.5, Aim: 300 * time.Millisecond, Deadline: 3 * time.Second, Repeat: decision.Fragile},
 			},
 			Tick: time.Millisecond, MaxAttempts: 3, SecondCopies: true, Cancel: len(steps)%2 == 0, TellsStart: true,
 			Progress: 100 * time.Millisecond, ConnectTimeout: 50 * time.Millisecond, MaxRetryAfter: time.Second,
@@ -178,14 +120,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		m := &model{t: t, core: c, out: map[uint64]*modelReq{}, states: map[string]hollyyoke.WorkerState{}}
+		m.core = c
 		c.Listen(m)
-		change := func(name string, s hollyyoke.WorkerState) {
+		change := func(name string, s decision.WorkerState) {
 			m.states[name] = s
-			c.List(m, hollyyoke.ListChanges, []hollyyoke.Entry{{Worker: name, State: s}})
+			c.List(m, decision.ListChanges, []decision.Entry{{Worker: name, State: s}})
 		}
-		change("a", hollyyoke.Running)
-		change("b", hollyyoke.Running)
+		change("a", decision.Running)
+		change("b", decision.Running)
 		for i := 0; i+1 < len(steps); i += 2 {
 			x := int(steps[i+1])
 			switch steps[i] % 10 {
@@ -202,7 +144,7 @@
 				})
 			case 1, 2: // an attempt ends
 				if len(m.order) > 0 {
-					m.end(m.order[x/8%len(m.order)], []hollyyoke.Outcome{0, 1, 2, 3, 4, 5, hollyyoke.Unusable}[x%7])
+					m.end(m.order[x/8%len(m.order)], []decision.Outcome{0, 1, 2, 3, 4, 5, decision.Unusable}[x%7])
 				}
 			case 3: // an attempt tells its start, or its progress
 				if len(m.order) > 0 {
@@ -216,20 +158,20 @@
 					c.HangUp(r.handle)
 				}
 			case 6: // a backend comes, drains or goes
-				change([]string{"a", "b", "c"}[x%3], hollyyoke.WorkerState(x/3%3))
+				change([]string{"a", "b", "c"}[x%3], decision.WorkerState(x/3%3))
 			case 7:
-				c.List(m, hollyyoke.ListError, nil)
+				c.List(m, decision.ListError, nil)
 			default: // time passes
 				m.advance(x * 4)
-				c.Loop.fire()
+				c.Loop.Turn()
 			}
 		}
 		for range 8 { // all deadlines pass
 			m.advance(1000)
-			c.Loop.fire()
+			c.Loop.Turn()
 		}
 		for len(m.order) > 0 {
-			m.end(m.order[0], hollyyoke.Severed)
+			m.end(m.order[0], decision.Severed)
 		}
 		for i, r := range m.reqs {
 			if r.answers == 0 != r.hungUp || r.released != 1 {
@@ -245,7 +187,7 @@
 
 // The latest names stay known when their reqs are over; the number kept is bounded.
 func TestNamesAreBounded(t *testing.T) {
-	c, err := New(NewLoop(), hollyyoke.Settings{Classes: []hollyyoke.Class{{Deadline: time.Second}}}, 1)
+	c, err := New(eventloop.NewLoop(), decision.Settings{Classes: []decision.Class{{Deadline: time.Second}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -273,18 +215,18 @@
 
 // Two sources of backends do not overwrite each other's lists.
 func TestSourcesKeepTheirOwnLists(t *testing.T) {
-	c, err := New(NewLoop(), hollyyoke.Settings{Classes: []hollyyoke.Class{{Deadline: time.Second}}}, 1)
+	c, err := New(eventloop.NewLoop(), decision.Settings{Classes: []decision.Class{{Deadline: time.Second}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	a, b := &model{core: c}, &model{core: c}
-	c.List(a, hollyyoke.ListComplete, []hollyyoke.Entry{{Worker: "a1"}, {Worker: "a2"}})
-	c.List(b, hollyyoke.ListChanges, []hollyyoke.Entry{{Worker: "b1"}, {Worker: "b2", State: hollyyoke.Stopping}})
-	c.List(a, hollyyoke.ListComplete, []hollyyoke.Entry{{Worker: "a2"}})
+	c.List(a, decision.ListComplete, []decision.Entry{{Worker: "a1"}, {Worker: "a2"}})
+	c.List(b, decision.ListChanges, []decision.Entry{{Worker: "b1"}, {Worker: "b2", State: decision.Stopping}})
+	c.List(a, decision.ListComplete, []decision.Entry{{Worker: "a2"}})
 	if len(c.listed) != 3 || c.listed["b1"].source != b || c.Backends() != 2 {
 		t.Fatalf("listed %v", c.listed)
 	}
-	c.List(b, hollyyoke.ListChanges, []hollyyoke.Entry{{Worker: "b1", State: hollyyoke.Deleted}})
+	c.List(b, decision.ListChanges, []decision.Entry{{Worker: "b1", State: decision.Deleted}})
 	if len(c.listed) != 2 || c.Backends() != 1 {
 		t.Fatalf("listed %v", c.listed)
 	}
@@ -304,27 +246,27 @@
 	const window, connect = 2 * time.Second, 200 * time.Millisecond
 	for _, x := range []struct {
 		name   string
-		repeat hollyyoke.Repeat
-		ends   []hollyyoke.Outcome
+		repeat decision.Repeat
+		ends   []decision.Outcome
 		opened []int // the attempt whose window binds; -1: none
 	}{
-		{"may have run at once", hollyyoke.Dedup, []hollyyoke.Outcome{hollyyoke.Errored}, []int{-1, 0}},
-		{"never ran", hollyyoke.Dedup, []hollyyoke.Outcome{hollyyoke.RefusedConn}, []int{-1, -1}},
-		{"may be repeated", hollyyoke.Retryable, []hollyyoke.Outcome{hollyyoke.Errored}, []int{-1, -1}},
-		{"must not run twice", hollyyoke.Fragile, []hollyyoke.Outcome{hollyyoke.RefusedConn}, []int{-1, -1}},
+		{"may have run at once", decision.Dedup, []decision.Outcome{decision.Errored}, []int{-1, 0}},
+		{"never ran", decision.Dedup, []decision.Outcome{decision.RefusedConn}, []int{-1, -1}},
+		{"may be repeated", decision.Retryable, []decision.Outcome{decision.Errored}, []int{-1, -1}},
+		{"must not run twice", decision.Fragile, []decision.Outcome{decision.RefusedConn}, []int{-1, -1}},
 	} {
 		now := time.Hour
-		c, err := New(NewVirtual(func() time.Duration { return now }), hollyyoke.Settings{
-			Classes: []hollyyoke.Class{{Worth: 3, Aim: 300 * time.Millisecond, Deadline: 9 * time.Second, Repeat: x.repeat, Window: window}},
+		c, err := New(eventloop.NewVirtual(func() time.Duration { return now }), decision.Settings{
+			Classes: []decision.Class{{Worth: 3, Aim: 300 * time.Millisecond, Deadline: 9 * time.Second, Repeat: x.repeat, Window: window}},
 			Tick:    time.Millisecond, MaxAttempts: 4, Cancel: true, ConnectTimeout: connect, MaxRetryAfter: time.Second,
 		}, 7)
 		if err != nil {
 			t.Fatal(err)
 		}
 		w := &windows{}
-		w.states = map[string]hollyyoke.WorkerState{}
+		w.states = map[string]decision.WorkerState{}
 		c.Listen(w)
-		c.List(w, hollyyoke.ListComplete, []hollyyoke.Entry{{Worker: "a"}, {Worker: "b"}, {Worker: "c"}, {Worker: "d"}})
+		c.List(w, decision.ListComplete, []decision.Entry{{Worker: "a"}, {Worker: "b"}, {Worker: "c"}, {Worker: "d"}})
 		c.Take(answers(func(Answer) {}), 0, Job{ID: "one", Left: 9 * time.Second, Work: 10 * time.Millisecond})
 		var at []time.Duration
 		for i, o := range x.ends {
@@ -336,7 +278,7 @@
 			}
 			at = append(at, now)
 			now += 50 * time.Millisecond
-			c.Ended(w.got[i].Handle, o, hollyyoke.Load{}, nil)
+			c.Ended(w.got[i].Handle, o, decision.Load{}, nil)
 		}
 		for len(w.got) == len(x.ends) {
 			now += time.Millisecond
@@ -349,7 +291,7 @@
 			if n := x.opened[i]; n >= 0 {
 				want = at[n] + window - connect/2
 			}
-			if f.Until != want || f.Settled != (x.repeat != hollyyoke.Retryable) {
+			if f.Until != want || f.Settled != (x.repeat != decision.Retryable) {
 				t.Errorf("%s: attempt %d until %v, want %v; settled %v", x.name, i, f.Until-time.Hour, want-time.Hour, f.Settled)
 			}
 		}
@@ -360,7 +302,7 @@
 			{[]attempt{{at: 9, neverRan: true}, {at: 20}, {at: 10}}, 10 + window - connect/2},
 			{[]attempt{{at: 9, neverRan: true}, {at: 20, neverRan: true}}, 0},
 		} {
-			if x.repeat != hollyyoke.Dedup {
+			if x.repeat != decision.Dedup {
 				y.want = 0
 			}
 			if got := c.until(&req{attempts: y.attempts}); got != y.want {
@@ -377,28 +319,28 @@
 
 // The number of backends that take new work is kept by difference; it must be that of a count anew.
 func TestBackendsAreCountedByDifference(t *testing.T) {
-	c, err := New(NewLoop(), hollyyoke.Settings{Classes: []hollyyoke.Class{{Deadline: time.Second}}}, 1)
+	c, err := New(eventloop.NewLoop(), decision.Settings{Classes: []decision.Class{{Deadline: time.Second}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	one, other := &model{t: t, core: c}, &model{t: t, core: c}
-	entry := func(name string, state hollyyoke.WorkerState) hollyyoke.Entry {
-		return hollyyoke.Entry{Worker: name, State: state}
+	entry := func(name string, state decision.WorkerState) decision.Entry {
+		return decision.Entry{Worker: name, State: state}
 	}
-	const running, stopping, deleted = hollyyoke.Running, hollyyoke.Stopping, hollyyoke.Deleted
+	const running, stopping, deleted = decision.Running, decision.Stopping, decision.Deleted
 	for i, step := range []struct {
 		source  *model
-		kind    hollyyoke.ListKind
-		entries []hollyyoke.Entry
+		kind    decision.ListKind
+		entries []decision.Entry
 		want    int
 	}{
-		{one, hollyyoke.ListPersisted, []hollyyoke.Entry{entry("a", running), entry("b", stopping), entry("a", running)}, 1},
-		{other, hollyyoke.ListComplete, []hollyyoke.Entry{entry("c", running), entry("d", running)}, 3},
-		{one, hollyyoke.ListChanges, []hollyyoke.Entry{entry("b", running), entry("a", stopping), entry("e", deleted)}, 3},
-		{one, hollyyoke.ListChanges, []hollyyoke.Entry{entry("b", deleted), entry("b", deleted), entry("a", stopping)}, 2},
-		{other, hollyyoke.ListComplete, []hollyyoke.Entry{entry("d", running)}, 1},
-		{one, hollyyoke.ListError, nil, 1},
-		{other, hollyyoke.ListComplete, nil, 0},
+		{one, decision.ListPersisted, []decision.Entry{entry("a", running), entry("b", stopping), entry("a", running)}, 1},
+		{other, decision.ListComplete, []decision.Entry{entry("c", running), entry("d", running)}, 3},
+		{one, decision.ListChanges, []decision.Entry{entry("b", running), entry("a", stopping), entry("e", deleted)}, 3},
+		{one, decision.ListChanges, []decision.Entry{entry("b", deleted), entry("b", deleted), entry("a", stopping)}, 2},
+		{other, decision.ListComplete, []decision.Entry{entry("d", running)}, 1},
+		{one, decision.ListError, nil, 1},
+		{other, decision.ListComplete, nil, 0},
 	} {
 		c.List(step.source, step.kind, step.entries)
 		anew := 0
@@ -415,8 +357,8 @@
 
 // Settings change while a request is open, or not at all.
 func TestReconfigure(t *testing.T) {
-	class := hollyyoke.Class{Worth: 1, Deadline: time.Second}
-	c, err := New(NewLoop(), hollyyoke.Settings{Classes: []hollyyoke.Class{class}, TenantQuotas: []float64{5}}, 1)
+	class := decision.Class{Worth: 1, Deadline: time.Second}
+	c, err := New(eventloop.NewLoop(), decision.Settings{Classes: []decision.Class{class}, TenantQuotas: []float64{5}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -433,27 +375,3 @@
 		t.Fatalf("%v, %+v, before %+v", err, c.Settings, before)
 	}
 }
-
-// What is read right after the process was held up may have waited since it was.
-func TestWaitingAfterAStall(t *testing.T) {
-	var now time.Duration
-	loop := NewVirtual(func() time.Duration { return now })
-	stalls := 0
-	loop.Stalled = func() { stalls++ }
-	var due Deadline
-	due.Fire = func() { loop.Set(&due, now+time.Second) }
-	loop.Set(&due, time.Second)
-	for ; now < 10*time.Second; now += 500 * time.Millisecond {
-		if loop.Turn(); loop.Waiting() != now {
-			t.Errorf("at %v, without a stall: since %v", now, loop.Waiting())
-		}
-	}
-	begin := now - 500*time.Millisecond
-	now += 7 * time.Second
-	if loop.Turn(); loop.Waiting() != begin || stalls != 1 {
-		t.Errorf("right after a stall: since %v, not %v; %d stalls", loop.Waiting(), begin, stalls)
-	}
-	if now += afterStall; loop.Waiting() != now {
-		t.Errorf("later: since %v", loop.Waiting())
-	}
-}
--- a/internal/durable/desk.go
+++ b/internal/durable/desk.go
@@ -6,9 +6,11 @@
 	"slices"
 	"time"
 
-	"hollyyoke.example/hollyyoke"
-	"hollyyoke.example/hollyyoke/internal/core"
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/dispatch"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
 	"hollyyoke.example/hollyyoke/internal/jobs"
+	"hollyyoke.example/hollyyoke/internal/slotmap"
 	"hollyyoke.example/hollyyoke/internal/store"
 )
 
@@ -25,9 +27,9 @@
 // slot is free and kept for it, or a crash in between would leave a job in doubt
 // that nobody had been handed.
 type Wire interface {
-	Make(j jobs.Job) (core.Job, error)   // a job as the core has it
-	Free() [][]int                       // the classes that each free slot wants, dearest first; the longest free first
-	Honours(backend string) jobs.Honours // what a backend has promised
+	Make(j jobs.Job) (dispatch.Job, error) // a job as the core has it
+	Free() [][]int                         // the classes that each free slot wants, dearest first; the longest free first
+	Honours(backend string) jobs.Honours   // what a backend has promised
 	Reserve(backend string, class int, id string, then func(free bool))
 	Unreserve(backend, id string)
 	Beats(backend string) bool // whether it renews its leases itself
@@ -36,17 +38,17 @@
 // Desk belongs to the loop's goroutine.
 type Desk struct {
 	s       *Service
-	core    *core.Core
+	core    *dispatch.Core
 	wire    Wire
 	names   map[string]int
 	backlog [][]string // ids that may run, by class
 	again   [][]string // of them, those that the module gave up, which go first
 	in      map[string]bool
 	out     map[string]*errand // in the core, by id
-	errands core.Table[errand]
+	errands slotmap.Table[errand]
 	offers  int // of them, without a lease
 	paused  map[string]bool
-	turn    core.Deadline
+	turn    eventloop.Deadline
 	stopped bool
 }
 
@@ -59,7 +61,7 @@
 }
 
 // NewDesk joins a service to a core. The service may be started after that.
-func NewDesk(s *Service, c *core.Core, w Wire) *Desk {
+func NewDesk(s *Service, c *dispatch.Core, w Wire) *Desk {
 	d := &Desk{s: s, core: c, wire: w, names: map[string]int{}, backlog: make([][]string, len(c.Settings.Classes)), again: make([][]string, len(c.Settings.Classes)),
 		in: map[string]bool{}, out: map[string]*errand{}, paused: s.paused()}
 	for i, class := range c.Settings.Classes {
@@ -152,7 +154,7 @@
 }
 
 // Answer is told that the core is through with a job. One that has not run comes back to the head of its queue.
-func (d *Desk) Answer(token uint64, a core.Answer) {
+func (d *Desk) Answer(token uint64, a dispatch.Answer) {
 	e := d.errands.Get(token)
 	d.errands.Drop(token)
 	delete(d.out, e.id)
@@ -174,7 +176,7 @@
 }
 
 // Ask leases a job to a backend.
-func (d *Desk) Ask(job *core.Job, backend string, told func(fence uint64) bool) {
+func (d *Desk) Ask(job *dispatch.Job, backend string, told func(fence uint64) bool) {
 	e := d.out[job.ID]
 	id := job.ID
 	if d.stopped {
@@ -218,10 +220,10 @@
 
 // Ended tells what became of a lease. Where nobody can tell whether the job ran,
 // the lease goes on: its worker may come back with what it holds.
-func (d *Desk) Ended(job *core.Job, fence uint64, o hollyyoke.Outcome, neverRan bool, result []byte) {
+func (d *Desk) Ended(job *dispatch.Job, fence uint64, o decision.Outcome, neverRan bool, result []byte) {
 	ignore := func(string) {}
 	switch {
-	case o == hollyyoke.Completed:
+	case o == decision.Completed:
 		d.s.Ack(job.ID, fence, slices.Clone(result), ignore)
 	case neverRan:
 		if e := d.out[job.ID]; e != nil && e.leased {
@@ -229,7 +231,7 @@
 			d.offers++
 		}
 		d.s.Fail(job.ID, fence, o.String(), false, ignore)
-	case o == hollyyoke.Errored:
+	case o == decision.Errored:
 		d.s.Fail(job.ID, fence, o.String(), true, ignore)
 	}
 }
--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -15,7 +15,7 @@
 	"sync"
 	"time"
 
-	"hollyyoke.example/hollyyoke/internal/core"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
 	"hollyyoke.example/hollyyoke/internal/jobs"
 	"hollyyoke.example/hollyyoke/internal/store"
 )
@@ -33,11 +33,11 @@
 
 // Service is all durable jobs of a dispatcher. It belongs to the loop's goroutine.
 type Service struct {
-	loop *core.Loop
+	loop *eventloop.Loop
 	m    *jobs.Machine
 	st   *store.Store
 	log  *slog.Logger
-	due  core.Deadline
+	due  eventloop.Deadline
 
 	// Who waits for a change to be stored, by job, the longest waiting first.
 	pushes, closings, starts map[string][]func(why string)
@@ -59,7 +59,7 @@
 
 // Open opens or makes the store and recovers what is in it. What is wrong with it
 // is an error that names the file; nothing in it is passed over.
-func Open(loop *core.Loop, c Config, log *slog.Logger) (*Service, error) {
+func Open(loop *eventloop.Loop, c Config, log *slog.Logger) (*Service, error) {
 	st, err := store.Open(c.Path, c.Store)
 	if err != nil {
 		return nil, err
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"hollyyoke.example/hollyyoke/internal/core"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
 	"hollyyoke.example/hollyyoke/internal/jobs"
 	"hollyyoke.example/hollyyoke/internal/store"
 )
@@ -21,7 +21,7 @@
 // rig runs a service on a loop of its own.
 type rig struct {
 	t        *testing.T
-	loop     *core.Loop
+	loop     *eventloop.Loop
 	s        *Service
 	log      bytes.Buffer
 	runnable chan jobs.Job
@@ -30,7 +30,7 @@
 
 func open(t *testing.T, c Config) *rig {
 	t.Helper()
-	r := &rig{t: t, loop: core.NewLoop(), runnable: make(chan jobs.Job, 1000), done: make(chan struct{})}
+	r := &rig{t: t, loop: eventloop.NewLoop(), runnable: make(chan jobs.Job, 1000), done: make(chan struct{})}
 	s, err := Open(r.loop, c, slog.New(slog.NewTextHandler(&r.log, nil)))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/durable/golden_test.go
+++ b/internal/durable/golden_test.go
@@ -15,7 +15,7 @@
 
 	"go.etcd.io/bbolt"
 
-	"hollyyoke.example/hollyyoke/internal/core"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
 	"hollyyoke.example/hollyyoke/internal/jobs"
 	"hollyyoke.example/hollyyoke/internal/store"
 )
@@ -59,7 +59,7 @@
 func openScripted(t *testing.T, path string) *scriptedService {
 	t.Helper()
 	s := &scriptedService{t: t, now: goldenStart}
-	loop := core.NewVirtual(func() time.Duration { return s.now })
+	loop := eventloop.NewVirtual(func() time.Duration { return s.now })
 	config := Config{Path: path, Jobs: jobs.Config{Lease: time.Minute, Grace: time.Minute, Attempts: 3, Backoff: time.Second, Retain: 24 * time.Hour, Dead: 180 * 24 * time.Hour}}
 	service, err := Open(loop, config, slog.New(slog.DiscardHandler))
 	if err != nil {
--- a/internal/durable/recover_test.go
+++ b/internal/durable/recover_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"hollyyoke.example/hollyyoke/internal/core"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
 	"hollyyoke.example/hollyyoke/internal/jobs"
 	"hollyyoke.example/hollyyoke/internal/store"
 )
@@ -61,7 +61,7 @@
 			info, _ := os.Stat(path)
 			b.ResetTimer()
 			for range b.N {
-				loop := core.NewLoop()
+				loop := eventloop.NewLoop()
 				s, err := Open(loop, Config{Path: path}, slog.New(slog.DiscardHandler))
 				if err != nil {
 					b.Fatal(err)
@@ -86,7 +86,7 @@
 func BenchmarkLoopStall(b *testing.B) {
 	for _, producers := range []int{0, 16, 256} {
 		b.Run(fmt.Sprint(producers), func(b *testing.B) {
-			loop := core.NewLoop()
+			loop := eventloop.NewLoop()
 			s, err := Open(loop, Config{Path: filepath.Join(b.TempDir(), "jobs.db")}, slog.New(slog.DiscardHandler))
 			if err != nil {
 				b.Fatal(err)
--- a/internal/core/loop.go
+++ b/internal/eventloop/loop.go
@@ -2,7 +2,7 @@
 // owns the module, the clock, the tables of reqs and attempts, and the one
 // ordered structure that all deadlines hang in. It deals in reqs, attempts and
 // outcomes; it must never know a wire, a socket or a file.
-package core
+package eventloop
 
 import (
 	"container/heap"
@@ -240,62 +240,3 @@
 	d.pos = 0
 	return d
 }
-
-// Table is a table of numbered slots. A handle names a slot and its
-// generation, so that one that has been dropped finds nothing, not what has
-// the slot now. Handles are never 0, below 2^62, and never used again.
-type Table[T any] struct {
-	slots []slot[T]
-	free  []uint32
-}
-
-type slot[T any] struct {
-	value      *T
-	generation uint64
-}
-
-const slotBits = 20
-
-// Put stores v and returns its handle.
-func (t *Table[T]) Put(v *T) uint64 {
-	if len(t.free) == 0 {
-		t.slots = append(t.slots, slot[T]{})
-		t.free = append(t.free, uint32(len(t.slots)-1))
-	}
-	n := t.free[len(t.free)-1]
-	t.free = t.free[:len(t.free)-1]
-	s := &t.slots[n]
-	s.generation++
-	s.value = v
-	return s.generation<<slotBits | uint64(n)
-}
-
-// Get finds what a handle names; nil once it has been dropped.
-func (t *Table[T]) Get(handle uint64) *T {
-	n := handle & (1<<slotBits - 1)
-	if n >= uint64(len(t.slots)) || t.slots[n].generation != handle>>slotBits {
-		return nil
-	}
-	return t.slots[n].value
-}
-
-// Drop frees the slot of a handle. Dropping twice does nothing.
-func (t *Table[T]) Drop(handle uint64) {
-	if t.Get(handle) != nil {
-		n := uint32(handle & (1<<slotBits - 1))
-		t.slots[n].value = nil
-		t.free = append(t.free, n)
-	}
-}
-
-// Len is the number of slots in use.
-func (t *Table[T]) Len() int { return len(t.slots) - len(t.free) }
-
-// All calls f for each value, in the order of the slots. f may drop any of them.
-func (t *Table[T]) All(f func(handle uint64, v *T)) {
-	for n := range t.slots {
-		if s := t.slots[n]; s.value != nil {
-			f(s.generation<<slotBits|uint64(n), s.value)
-		}
-	}
-}
--- a/internal/faktory/durable.go
+++ b/internal/faktory/durable.go
@@ -15,9 +15,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"hollyyoke.example/hollyyoke"
-	"hollyyoke.example/hollyyoke/internal/core"
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/dispatch"
 	"hollyyoke.example/hollyyoke/internal/durable"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
 	"hollyyoke.example/hollyyoke/internal/jobs"
 	"hollyyoke.example/hollyyoke/internal/store"
 )
@@ -43,7 +44,7 @@
 	Log *slog.Logger `toml:"-"` // where the audit goes; nil: nowhere
 }
 
-func (c *Durable) check(s *hollyyoke.Settings, listens bool) error {
+func (c *Durable) check(s *decision.Settings, listens bool) error {
 	if c.Path == "" {
 		if len(c.Queues) > 0 {
 			return errors.New("durable.path: missing, so the queues cannot be kept")
@@ -54,7 +55,7 @@
 		return errors.New("durable.path: the server role is off: listen is missing")
 	}
 	for i, q := range c.Queues {
-		if !slices.ContainsFunc(s.Classes, func(c hollyyoke.Class) bool { return c.Name == q }) {
+		if !slices.ContainsFunc(s.Classes, func(c decision.Class) bool { return c.Name == q }) {
 			return fmt.Errorf("durable.queues[%d]: no class %q is served here", i, q)
 		}
 	}
@@ -111,19 +112,19 @@
 		Service: service, desk: durable.NewDesk(service, s.core, s), classes: c.Classes(&s.core.Settings),
 		flush: c.Flush, tracks: map[string]track{},
 	}
-	service.Lapsed = func(j jobs.Job) { s.through(j.ID, j.Fence, hollyyoke.Overdue) }
+	service.Lapsed = func(j jobs.Job) { s.through(j.ID, j.Fence, decision.Overdue) }
 	s.core.Loop.Post(service.Start)
 	return nil
 }
 
 // Make words a stored job for the core.
-func (s *Server) Make(j jobs.Job) (core.Job, error) {
+func (s *Server) Make(j jobs.Job) (dispatch.Job, error) {
 	if r, is := durable.ReadRequest(j); is {
 		class, known := s.classes[j.Class]
 		if !known {
-			return core.Job{}, errUnknown
+			return dispatch.Job{}, errUnknown
 		}
-		return core.Job{ID: j.ID, Class: class, Target: r.Target, Key: r.Key, IdempotencyKey: r.IdempotencyKey, Body: r.Body, Slots: r.Slots, Work: r.Work}, nil
+		return dispatch.Job{ID: j.ID, Class: class, Target: r.Target, Key: r.Key, IdempotencyKey: r.IdempotencyKey, Body: r.Body, Slots: r.Slots, Work: r.Work}, nil
 	}
 	job, _, err := readJob(j.Payload, s.classes, s.core.Loop.Now())
 	return job, err
@@ -145,7 +146,7 @@
 	var parked []*session
 	running := 0
 	for _, w := range s.workers {
-		if w.listed && w.entry.State == hollyyoke.Running {
+		if w.listed && w.entry.State == decision.Running {
 			running++
 			parked = append(parked, w.parked[min(len(w.held), len(w.parked)):]...)
 		}
@@ -175,7 +176,7 @@
 	id    string
 	class int
 	then  func(free bool)
-	due   core.Deadline
+	due   eventloop.Deadline
 }
 
 // Reserve keeps a parked FETCH of a worker for a job, now or when one comes in time.
@@ -185,7 +186,7 @@
 	case w == nil: // another wire's
 		then(true)
 		return
-	case w.entry.State != hollyyoke.Running || len(w.waits) >= max(w.slots, 1):
+	case w.entry.State != decision.Running || len(w.waits) >= max(w.slots, 1):
 		then(false)
 		return
 	}
@@ -243,9 +244,9 @@
 const mostLease = 24 * time.Hour
 
 // durableJob words a job for the service.
-func (s *Server) durableJob(raw []byte, job core.Job, w *work) (j jobs.Job) {
+func (s *Server) durableJob(raw []byte, job dispatch.Job, w *work) (j jobs.Job) {
 	class := s.core.Settings.Classes[job.Class]
-	j = jobs.Job{ID: job.ID, Class: class.Name, Once: class.Repeat != hollyyoke.Retryable, Payload: bytes.Clone(raw)}
+	j = jobs.Job{ID: job.ID, Class: class.Name, Once: class.Repeat != decision.Retryable, Payload: bytes.Clone(raw)}
 	// What makes a job another one; times and the like may differ from one PUSH to its repeat.
 	h := xxhash.New()
 	h.WriteString(class.Name + "\x00" + w.Jobtype)
@@ -265,7 +266,7 @@
 }
 
 // keep takes a job on durably: its producer hears once the disk has it.
-func (n *session) keep(job core.Job, raw []byte, w *work, told func(why string)) {
+func (n *session) keep(job dispatch.Job, raw []byte, w *work, told func(why string)) {
 	n.srv.kept.Push(n.srv.durableJob(raw, job, w), w.at, func(why string) {
 		switch {
 		case why == jobs.OtherJob:
@@ -368,12 +369,12 @@
 		}
 		say(okOr(why))
 	}
-	o := hollyyoke.Completed
+	o := decision.Completed
 	switch verb {
 	case "START":
 		k.Begin(w.Jid, fence, func(why string) {
 			if why != "" { // it will not run it
-				srv.through(w.Jid, fence, hollyyoke.Superseded)
+				srv.through(w.Jid, fence, decision.Superseded)
 			}
 			told(why)
 		})
@@ -381,7 +382,7 @@
 	case "ACK":
 		k.Ack(w.Jid, fence, nil, told)
 	case "FAIL":
-		o = hollyyoke.Errored
+		o = decision.Errored
 		started := w.Started == nil || *w.Started
 		k.Fail(w.Jid, fence, cmp.Or(strings.TrimPrefix(w.Type+": "+w.Message, ": "), "failed"), started, told)
 	}
@@ -391,11 +392,11 @@
 
 // through ends the delivery that went out under a lease: its worker is through
 // with it, or its word no longer counts.
-func (s *Server) through(id string, fence uint64, o hollyyoke.Outcome) {
+func (s *Server) through(id string, fence uint64, o decision.Outcome) {
 	for _, d := range s.deliveries {
 		if d.given && d.attempt.Job.ID == id && d.attempt.Fence == fence {
 			s.drop(d)
-			s.core.Ended(d.attempt.Handle, o, hollyyoke.Load{}, nil)
+			s.core.Ended(d.attempt.Handle, o, decision.Load{}, nil)
 			return
 		}
 	}
--- a/internal/faktory/durable_test.go
+++ b/internal/faktory/durable_test.go
@@ -8,14 +8,14 @@
 	"testing"
 	"time"
 
-	"hollyyoke.example/hollyyoke"
+	"hollyyoke.example/hollyyoke/decision"
 )
 
 // kept runs one life of a front that keeps renewals and status-checks in a file.
 func kept(t *testing.T, file, more string, life func(addr string)) {
 	t.Helper()
 	t.Run("", func(t *testing.T) {
-		addr, _ := front(t, serverOnly+"[durable]\npath = \""+file+"\"\nqueues = [\"renewal\", \"status-check\"]\n"+more, func(s *hollyyoke.Settings) {
+		addr, _ := front(t, serverOnly+"[durable]\npath = \""+file+"\"\nqueues = [\"renewal\", \"status-check\"]\n"+more, func(s *decision.Settings) {
 			for i := range s.Classes {
 				s.Classes[i].Deadline = 2 * time.Second
 			}
@@ -240,7 +240,7 @@
 
 // A table that makes no sense stops the start, by the key that is wrong.
 func TestDurableTable(t *testing.T) {
-	s := hollyyoke.Settings{Classes: []hollyyoke.Class{{Name: "renewal"}}}
+	s := decision.Settings{Classes: []decision.Class{{Name: "renewal"}}}
 	for _, test := range []struct {
 		c    Durable
 		want string
--- a/internal/faktory/faktory_test.go
+++ b/internal/faktory/faktory_test.go
@@ -5,7 +5,7 @@
 	"encoding/json"
 	"fmt"
 	"io"
-	stdnet "net"
+	"net"
 	"os"
 	"path/filepath"
 	"slices"
@@ -14,9 +14,10 @@
 	"testing"
 	"time"
 
-	"hollyyoke.example/hollyyoke"
-	"hollyyoke.example/hollyyoke/internal/core"
-	"hollyyoke.example/hollyyoke/internal/net"
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/dispatch"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
+	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
 // The stand-ins here are written from the public specification of the
@@ -25,12 +26,12 @@
 const patience = 20 * time.Second // no test waits that long unless something is broken
 
 // front runs the front with an operator's file and returns its address.
-func front(t testing.TB, toml string, tune func(*hollyyoke.Settings)) (addr string, c *core.Core) {
+func front(t testing.TB, toml string, tune func(*decision.Settings)) (addr string, c *dispatch.Core) {
 	t.Helper()
-	s := hollyyoke.Settings{
-		Classes: []hollyyoke.Class{
+	s := decision.Settings{
+		Classes: []decision.Class{
 			{Name: "status-check", Worth: 3, LateWorth: 0.25, Aim: 4 * time.Second, Deadline: 5 * time.Second},
-			{Name: "renewal", Worth: 5, LateWorth: 0.5, Aim: 4 * time.Second, Deadline: 8 * time.Second, Repeat: hollyyoke.Fragile},
+			{Name: "renewal", Worth: 5, LateWorth: 0.5, Aim: 4 * time.Second, Deadline: 8 * time.Second, Repeat: decision.Fragile},
 		},
 		Tick: time.Millisecond, MaxAttempts: 3, Cancel: true, TellsStart: true, MaxRetryAfter: 2 * time.Second,
 		ColdFrom: 0.33, WarmAfter: 8600 * time.Millisecond, FallMultiple: 4, FallWindow: time.Second,
@@ -50,11 +51,11 @@
 	if err := Prepare(&s); err != nil {
 		t.Fatal(err)
 	}
-	loop := core.NewLoop()
-	if c, err = core.New(loop, s, 1); err != nil {
+	loop := eventloop.NewLoop()
+	if c, err = dispatch.New(loop, s, 1); err != nil {
 		t.Fatal(err)
 	}
-	engine, err := net.NewEngine(loop, 512)
+	engine, err := transport.NewEngine(loop, 512)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,13 +79,13 @@
 // peer is a client of the protocol.
 type peer struct {
 	t    testing.TB
-	conn stdnet.Conn
+	conn net.Conn
 	r    *bufio.Reader
 }
 
 func dial(t testing.TB, addr string, h hello) *peer {
 	t.Helper()
-	conn, err := stdnet.Dial("tcp", addr)
+	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -229,7 +230,7 @@
 		t.Errorf("endless line: %.60q", got)
 	}
 	for _, first := range []string{`HELLO {"v":3}`, `HELLO x`, `PUSH {}`, `HELLO {"v":2,"wid":"a b"}`} {
-		conn, err := stdnet.Dial("tcp", addr)
+		conn, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -248,7 +249,7 @@
 func TestPassword(t *testing.T) {
 	addr, _ := front(t, serverOnly+"password = \"open sesame\"\n", nil)
 	for _, test := range []struct{ password, want string }{{"open sesame", "+OK"}, {"", "-ERR Invalid password"}} {
-		conn, err := stdnet.Dial("tcp", addr)
+		conn, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -299,7 +300,7 @@
 	})
 }
 
-func onLoop(t *testing.T, c *core.Core, f func()) {
+func onLoop(t *testing.T, c *dispatch.Core, f func()) {
 	t.Helper()
 	done := make(chan struct{})
 	c.Loop.Post(func() { f(); close(done) })
@@ -478,7 +479,7 @@
 // upstream is a server with reservations, after the specification.
 type upstream struct {
 	mu       sync.Mutex
-	ln       stdnet.Listener
+	ln       net.Listener
 	queue    []string          // raw jobs
 	reserved map[string]string // raw jobs by jid
 	closed   map[string]int    // ACKs and FAILs that found a reservation
@@ -490,7 +491,7 @@
 }
 
 func newUpstream(t *testing.T) *upstream {
-	ln, err := stdnet.Listen("tcp", "127.0.0.1:0")
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -508,7 +509,7 @@
 	return u
 }
 
-func (u *upstream) serve(conn stdnet.Conn) {
+func (u *upstream) serve(conn net.Conn) {
 	defer conn.Close()
 	fmt.Fprint(conn, "+HI {\"v\":2,\"s\":\"55104dc76695721d\",\"i\":1545}\r\n")
 	r := bufio.NewReader(conn)
@@ -689,7 +690,7 @@
 	for body, want := range map[string]string{
 		"pay \"now\"": `"args":["k 1","pay \"now\""]}`, "\xff\x00": `"args":["k 1","/wA="],"custom":{"encoding":"base64"}}`,
 	} {
-		raw := string(makeJob(&core.Job{ID: "id-1", Key: "k 1", Body: []byte(body)}, "renewal"))
+		raw := string(makeJob(&dispatch.Job{ID: "id-1", Key: "k 1", Body: []byte(body)}, "renewal"))
 		if !strings.HasSuffix(raw, want) || jidOf(raw) != "id-1" {
 			t.Errorf("%q: %s", body, raw)
 		}
@@ -697,13 +698,13 @@
 }
 
 // echo is a carrier whose one worker does at once what a job's key says.
-type echo struct{ core *core.Core }
+type echo struct{ core *dispatch.Core }
 
-func (e echo) Start(f core.Attempt) {
-	o := map[string]hollyyoke.Outcome{
-		"done": hollyyoke.Completed, "failed": hollyyoke.Errored, "full": hollyyoke.Saturated,
+func (e echo) Start(f dispatch.Attempt) {
+	o := map[string]decision.Outcome{
+		"done": decision.Completed, "failed": decision.Errored, "full": decision.Saturated,
 	}[f.Job.Key]
-	e.core.Ended(f.Handle, o, hollyyoke.Load{}, nil)
+	e.core.Ended(f.Handle, o, decision.Load{}, nil)
 }
 func (echo) Stop(uint64) bool { return false }
 func (echo) Release(string)   {}
@@ -739,13 +740,13 @@
 	f.Add([]byte{0, 9, 1, 200, 0, 3, 12, 12, 1, 1})
 	f.Add([]byte{1, 0, 0, 0})
 	f.Add([]byte{12, 90})
-	addr, c := front(f, serverOnly, func(s *hollyyoke.Settings) { s.MaxAttempts = 1 })
+	addr, c := front(f, serverOnly, func(s *decision.Settings) { s.MaxAttempts = 1 })
 	c.Loop.Post(func() {
-		c.List(echo{c}, hollyyoke.ListChanges, []hollyyoke.Entry{{Worker: "w", Kind: 3}})
+		c.List(echo{c}, decision.ListChanges, []decision.Entry{{Worker: "w", Kind: 3}})
 	})
 	jids := 0
 	f.Fuzz(func(t *testing.T, steps []byte) {
-		conn, err := stdnet.Dial("tcp", addr)
+		conn, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -804,7 +805,7 @@
 }
 
 func TestReadConfigNamesTheField(t *testing.T) {
-	s := hollyyoke.Settings{Classes: []hollyyoke.Class{{Name: "renewal"}}}
+	s := decision.Settings{Classes: []decision.Class{{Name: "renewal"}}}
 	for text, want := range map[string]string{
 		"":                     "listen: missing",
 		"listen = \"nowhere\"": "listen:",
@@ -829,11 +830,11 @@
 func TestMemoryIsBounded(t *testing.T) {
 	m := newMemory()
 	m.begin("in-work", 0)
-	done := core.Answer{Verdict: core.Served, MayHaveRun: true}
+	done := dispatch.Answer{Verdict: dispatch.Served, MayHaveRun: true}
 	for i := range mostJids + 10 {
 		id := fmt.Sprint(i)
 		m.begin(id, time.Second)
-		m.finish(id, done, hollyyoke.Fragile, time.Second)
+		m.finish(id, done, decision.Fragile, time.Second)
 	}
 	if len(m.jids) != mostJids+1 || m.fate("9") != unknown || m.fate("10") != served || m.fate("in-work") != inWork {
 		t.Errorf("%d jids, fates %v %v %v", len(m.jids), m.fate("9"), m.fate("10"), m.fate("in-work"))
--- a/internal/faktory/fwp.go
+++ b/internal/faktory/fwp.go
@@ -13,7 +13,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	stdnet "net"
+	"net"
 	"slices"
 	"strconv"
 	"strings"
@@ -22,11 +22,11 @@
 
 	"github.com/BurntSushi/toml"
 
-	"hollyyoke.example/hollyyoke"
-	"hollyyoke.example/hollyyoke/internal/core"
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/dispatch"
 	"hollyyoke.example/hollyyoke/internal/durable"
-	"hollyyoke.example/hollyyoke/internal/entry"
-	"hollyyoke.example/hollyyoke/internal/net"
+	"hollyyoke.example/hollyyoke/internal/listener"
+	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
 // This file owns the operator's file, the protocol's parser, what a job says,
@@ -50,7 +50,7 @@
 const mostLanes = 64
 
 // ReadConfig reads the operator's file; every error names the field.
-func ReadConfig(path string, s *hollyyoke.Settings) (c Config, err error) {
+func ReadConfig(path string, s *decision.Settings) (c Config, err error) {
 	c = Default()
 	meta, err := toml.DecodeFile(path, &c)
 	if err != nil {
@@ -71,12 +71,12 @@
 }
 
 // Check checks a configuration and fills in what it leaves out; every error names the field.
-func (c *Config) Check(s *hollyyoke.Settings) error {
+func (c *Config) Check(s *decision.Settings) error {
 	if c.Listen == "" && c.Source.Address == "" {
 		return errors.New("listen: missing, and source.address too, so there is nothing to do")
 	}
 	for _, a := range []struct{ field, addr string }{{"listen", c.Listen}, {"source.address", c.Source.Address}} {
-		if _, _, err := stdnet.SplitHostPort(a.addr); a.addr != "" && err != nil {
+		if _, _, err := net.SplitHostPort(a.addr); a.addr != "" && err != nil {
 			return fmt.Errorf("%s: %q is no host:port", a.field, a.addr)
 		}
 	}
@@ -104,7 +104,7 @@
 // Prepare makes room in the settings for kinds of worker that fetch some
 // classes only: kind number base+mask runs the classes whose bits mask has, so
 // that it is the module that keeps a job from a worker that does not want it.
-func Prepare(s *hollyyoke.Settings) error {
+func Prepare(s *decision.Settings) error {
 	if len(s.Classes) > mostClasses {
 		return fmt.Errorf("settings: classes: the Faktory front takes %d at most", mostClasses)
 	}
@@ -133,7 +133,7 @@
 
 // Open starts the roles that the operator's file names. in, which may be nil,
 // decides who may connect.
-func Open(c *core.Core, e *net.Engine, config Config, most int, in *entry.Entry) (f Front, err error) {
+func Open(c *dispatch.Core, e *transport.Engine, config Config, most int, in *listener.Entry) (f Front, err error) {
 	jids := newMemory()
 	if config.Listen != "" {
 		f.Server = NewServer(c, e, config.Password, jids)
@@ -186,7 +186,7 @@
 
 // Movable tells why a process with this front cannot be handed over to a
 // successor; empty: it can, since all that it knows is in the store.
-func (c *Config) Movable(s *hollyyoke.Settings) string {
+func (c *Config) Movable(s *decision.Settings) string {
 	if c.Source.Address != "" {
 		return "it fetches from upstream, whose jids are in memory only"
 	}
@@ -199,7 +199,7 @@
 }
 
 // Classes tells which classes are durable, by number.
-func (c *Durable) Classes(s *hollyyoke.Settings) []bool {
+func (c *Durable) Classes(s *decision.Settings) []bool {
 	classes := make([]bool, len(s.Classes))
 	for i := range s.Classes {
 		classes[i] = slices.Contains(c.Queues, s.Classes[i].Name)
@@ -392,14 +392,14 @@
 )
 
 // readJob reads a job and finds its class; w is what it says beside that.
-func readJob(raw []byte, classes map[string]int, now time.Duration) (j core.Job, w work, err error) {
+func readJob(raw []byte, classes map[string]int, now time.Duration) (j dispatch.Job, w work, err error) {
 	if err := json.Unmarshal(raw, &w); err != nil {
 		return j, w, err
 	}
 	if len(w.Jid) < 8 || len(w.Jid) > 256 || strings.ContainsFunc(w.Jid, func(r rune) bool { return r <= ' ' || r >= 0x7f }) {
 		return j, w, errJid
 	}
-	j = core.Job{ID: w.Jid, Key: w.Custom.Key, Body: raw, Slots: w.Custom.Slots, Since: now, Retry: w.Custom.Repeat}
+	j = dispatch.Job{ID: w.Jid, Key: w.Custom.Key, Body: raw, Slots: w.Custom.Slots, Since: now, Retry: w.Custom.Repeat}
 	if w.Args == nil {
 		return j, w, errArgs
 	}
@@ -437,7 +437,7 @@
 
 // makeJob words a job that came by another wire, for a worker: its key and its
 // body are the args. A body that is no text goes as base64, and custom says so.
-func makeJob(j *core.Job, class string) []byte {
+func makeJob(j *dispatch.Job, class string) []byte {
 	body, custom := string(j.Body), map[string]string(nil)
 	if !utf8.Valid(j.Body) {
 		body, custom = base64.StdEncoding.EncodeToString(j.Body), map[string]string{"encoding": "base64"}
@@ -476,7 +476,7 @@
 type jid struct {
 	fate  fate
 	since time.Duration
-	wait  []func(core.Answer) // told of the answer while it is in work
+	wait  []func(dispatch.Answer) // told of the answer while it is in work
 }
 
 // memory remembers jids, for both roles.
@@ -506,16 +506,16 @@
 }
 
 // finish books what became of a job, and tells those who waited for that.
-func (m *memory) finish(id string, a core.Answer, repeat hollyyoke.Repeat, now time.Duration) {
+func (m *memory) finish(id string, a dispatch.Answer, repeat decision.Repeat, now time.Duration) {
 	j := m.jids[id]
 	if j == nil || j.fate != inWork {
 		return
 	}
 	waiting := j.wait
 	switch {
-	case a.Verdict == core.Served:
+	case a.Verdict == dispatch.Served:
 		m.keep(id, served, now)
-	case a.MayHaveRun && repeat != hollyyoke.Retryable:
+	case a.MayHaveRun && repeat != decision.Retryable:
 		m.keep(id, mayHaveRun, now)
 	default:
 		delete(m.jids, id)
--- a/internal/faktory/golden_config_test.go
+++ b/internal/faktory/golden_config_test.go
@@ -7,14 +7,14 @@
 	"reflect"
 	"testing"
 
-	"hollyyoke.example/hollyyoke"
+	"hollyyoke.example/hollyyoke/decision"
 	"hollyyoke.example/hollyyoke/internal/goldentest"
 )
 
 // Keys of the front's file, what the committed one says, and complaints.
 func TestGoldenConfigurationFile(t *testing.T) {
 	lines := goldentest.Keys(reflect.TypeFor[Config](), "toml")
-	settings := hollyyoke.Settings{Classes: []hollyyoke.Class{{Name: "status-check", Repeat: hollyyoke.Retryable}, {Name: "renewal"}}}
+	settings := decision.Settings{Classes: []decision.Class{{Name: "status-check", Repeat: decision.Retryable}, {Name: "renewal"}}}
 	committed, err := os.ReadFile(filepath.Join("..", "..", "deploy", "faktory.toml"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/faktory/golden_test.go
+++ b/internal/faktory/golden_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"fmt"
-	stdnet "net"
+	"net"
 	"path/filepath"
 	"regexp"
 	"strings"
@@ -40,7 +40,7 @@
 
 // recorded is a session whose bytes are written down.
 type recorded struct {
-	conn stdnet.Conn
+	conn net.Conn
 	from []byte
 }
 
@@ -51,7 +51,7 @@
 // open opens a session and writes its greeting down.
 func (s *script) open(name string) {
 	s.t.Helper()
-	conn, err := stdnet.Dial("tcp", s.addr)
+	conn, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		s.t.Fatal(err)
 	}
--- a/internal/faktory/server.go
+++ b/internal/faktory/server.go
@@ -7,17 +7,19 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	stdnet "net"
+	"net"
 	"slices"
 	"strings"
 	"time"
 
-	"hollyyoke.example/hollyyoke"
-	"hollyyoke.example/hollyyoke/internal/admit"
-	"hollyyoke.example/hollyyoke/internal/core"
-	"hollyyoke.example/hollyyoke/internal/entry"
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/connlimit"
+	"hollyyoke.example/hollyyoke/internal/dispatch"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
 	"hollyyoke.example/hollyyoke/internal/jobs"
-	"hollyyoke.example/hollyyoke/internal/net"
+	"hollyyoke.example/hollyyoke/internal/listener"
+	"hollyyoke.example/hollyyoke/internal/slotmap"
+	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
 // This file owns the server role: producers' PUSHes become reqs, and a parked
@@ -28,18 +30,18 @@
 // Server is the Faktory front's server role. It is a front and a carrier, and
 // belongs to the loop's goroutine.
 type Server struct {
-	core       *core.Core
-	engine     *net.Engine
+	core       *dispatch.Core
+	engine     *transport.Engine
 	password   string
 	classes    map[string]int
 	base       int // the number of kinds that are not masks of classes
-	sessions   core.Table[session]
-	entry      *entry.Entry
+	sessions   slotmap.Table[session]
+	entry      *listener.Entry
 	workers    map[string]*worker // by name, which is the wid with a prefix
 	deliveries map[uint64]*delivery
 	jids       *memory
 	kept       *keep // what is durable; nil: nothing
-	acceptor   *net.Acceptor
+	acceptor   *transport.Acceptor
 	began      time.Duration
 	commands   uint64
 	out        []byte
@@ -49,9 +51,9 @@
 type session struct {
 	srv    *Server
 	token  uint64
-	id     admit.ID
-	conn   *net.Conn
-	in     *net.Buffer
+	id     connlimit.ID
+	conn   *transport.Conn
+	in     *transport.Buffer
 	header bool // a trusted front's, whose PROXY header is awaited
 	salt   string
 	greets bool // HELLO has been taken
@@ -67,14 +69,14 @@
 	wants  []int  // of them, the durable ones, in its order
 	since  uint64 // which FETCH it was that is parked
 
-	reserved string        // the durable job that the parked FETCH is kept for; empty: it is free
-	due      core.Deadline // of a parked FETCH, or of a silent session
+	reserved string             // the durable job that the parked FETCH is kept for; empty: it is free
+	due      eventloop.Deadline // of a parked FETCH, or of a silent session
 }
 
 // worker is one wid: a backend to the module.
 type worker struct {
 	name     string
-	entry    hollyyoke.Entry
+	entry    decision.Entry
 	listed   bool
 	sessions int
 	parked   []*session // its free slots, the longest parked first
@@ -83,15 +85,15 @@
 	working  int
 	honours  jobs.Honours // what it promises of durable jobs
 	slots    int          // the most it ever had parked and in work
-	due      core.Deadline
+	due      eventloop.Deadline
 }
 
 // delivery is one fetch on its way to a worker or in work there.
 type delivery struct {
-	attempt core.Attempt
+	attempt dispatch.Attempt
 	w       *worker
 	given   bool // handed out: from now on it may have run
-	due     core.Deadline
+	due     eventloop.Deadline
 }
 
 const (
@@ -107,17 +109,17 @@
 )
 
 // NewServer returns the server role, with its part of the fleet still empty.
-func NewServer(c *core.Core, e *net.Engine, password string, jids *memory) *Server {
+func NewServer(c *dispatch.Core, e *transport.Engine, password string, jids *memory) *Server {
 	s := &Server{
 		core: c, engine: e, password: password, classes: names(c), base: len(c.Settings.KindNames),
 		workers: map[string]*worker{}, deliveries: map[uint64]*delivery{}, jids: jids, began: c.Loop.Now(),
-		entry: entry.Plain(c.Loop, 1),
+		entry: listener.Plain(c.Loop, 1),
 	}
 	c.Listen(s)
 	return s
 }
 
-func names(c *core.Core) map[string]int {
+func names(c *dispatch.Core) map[string]int {
 	classes := map[string]int{}
 	for i, class := range c.Settings.Classes {
 		classes[class.Name] = i
@@ -126,7 +128,7 @@
 }
 
 // Use makes the server ask an entry who may come in. It must come before Listen.
-func (s *Server) Use(e *entry.Entry) { s.entry = e }
+func (s *Server) Use(e *listener.Entry) { s.entry = e }
 
 const frontNumber = 1 // of this front's tokens, at the entry
 
@@ -134,7 +136,7 @@
 func (s *Server) Listen(addr string, most int) (string, error) {
 	s.entry.Join(frontNumber, s)
 	if s.entry.Guards() {
-		ln, err := stdnet.Listen("tcp", addr)
+		ln, err := net.Listen("tcp", addr)
 		if err != nil {
 			return "", err
 		}
@@ -149,13 +151,13 @@
 	return a.String(), nil
 }
 
-func (s *Server) accept(c *net.Conn) net.Owner {
+func (s *Server) accept(c *transport.Conn) transport.Owner {
 	n := &session{srv: s, conn: c}
 	n.token = s.sessions.Put(n)
 	n.id = s.entry.Come(frontNumber, n.token, c.Pass)
 	n.due.Fire = n.expire
 	s.core.Loop.Set(&n.due, s.core.Loop.Now()+helloTime)
-	if n.header = s.entry.Admit.Standing(n.id) == admit.Front; !n.header {
+	if n.header = s.entry.Admit.Standing(n.id) == connlimit.Front; !n.header {
 		n.greet()
 	}
 	return n
@@ -179,7 +181,7 @@
 func (s *Server) shed() {
 	const some = 16
 	for range some {
-		if !s.entry.Shed(admit.ForUnknown) {
+		if !s.entry.Shed(connlimit.ForUnknown) {
 			return
 		}
 	}
@@ -259,13 +261,13 @@
 }
 
 // Closed is told that the peer has gone. A PUSH whose producer has gone is wanted by nobody any more.
-func (n *session) Closed(*net.Conn, error) {
+func (n *session) Closed(*transport.Conn, error) {
 	push, id, class := n.push, n.jid, n.class
 	n.forget()
 	if push != 0 {
 		n.push = 0
 		ran := n.srv.core.HangUp(push)
-		n.srv.jids.finish(id, core.Answer{Verdict: core.Failed, MayHaveRun: ran},
+		n.srv.jids.finish(id, dispatch.Answer{Verdict: dispatch.Failed, MayHaveRun: ran},
 			n.srv.core.Settings.Classes[class].Repeat, n.srv.core.Loop.Now())
 	}
 }
@@ -279,14 +281,14 @@
 // HungUp tells that nobody wants a PUSH's job any more, as Closed would have told a little later.
 func (s *Server) HungUp(token uint64, mayHaveRun bool) {
 	if n := s.sessions.Get(token); n != nil && n.jid != "" {
-		s.jids.finish(n.jid, core.Answer{Verdict: core.Failed, MayHaveRun: mayHaveRun},
+		s.jids.finish(n.jid, dispatch.Answer{Verdict: dispatch.Failed, MayHaveRun: mayHaveRun},
 			s.core.Settings.Classes[n.class].Repeat, s.core.Loop.Now())
 		n.push, n.jid = 0, ""
 	}
 }
 
 // Data takes in what the peer sent.
-func (n *session) Data(_ *net.Conn, b *net.Buffer) {
+func (n *session) Data(_ *transport.Conn, b *transport.Buffer) {
 	if n.gone {
 		n.srv.engine.Pool.Put(b)
 		return
@@ -300,7 +302,7 @@
 			if !n.busy {
 				n.say("-ERR MALFORMED command " + errLong.Error())
 			}
-			n.srv.entry.Admit.Abuse(n.srv.core.Loop.Now(), n.id, admit.Greedy)
+			n.srv.entry.Admit.Abuse(n.srv.core.Loop.Now(), n.id, connlimit.Greedy)
 			n.Closed(nil, nil) // even while an answer is owed: whoever floods has gone
 			n.conn.End()
 			return
@@ -315,17 +317,17 @@
 // introduce reads a trusted front's header, which tells whose session it is.
 func (n *session) introduce() bool {
 	e := n.srv.entry
-	addr, used, err := entry.Header(n.in.Bytes())
+	addr, used, err := listener.Header(n.in.Bytes())
 	if err == nil && used == 0 {
 		return false
 	}
-	why := admit.BadHeader
+	why := connlimit.BadHeader
 	if err == nil {
-		if why = admit.Fine; addr.IsValid() {
+		if why = connlimit.Fine; addr.IsValid() {
 			why = e.Admit.Identify(n.srv.core.Loop.Now(), n.id, addr)
 		}
 	}
-	if why != admit.Fine {
+	if why != connlimit.Fine {
 		e.Tell(why, addr)
 		n.forget()
 		n.conn.Close()
@@ -482,7 +484,7 @@
 }
 
 // Answer answers a PUSH.
-func (s *Server) Answer(token uint64, a core.Answer) {
+func (s *Server) Answer(token uint64, a dispatch.Answer) {
 	n := s.sessions.Get(token)
 	if n == nil || !n.busy || n.jid == "" {
 		return
@@ -491,13 +493,13 @@
 	s.jids.finish(n.jid, a, repeat, s.core.Loop.Now())
 	n.push, n.jid = 0, ""
 	switch a.Verdict {
-	case core.Served:
+	case dispatch.Served:
 		n.served = true
 		n.say("+OK")
-	case core.Refused:
+	case dispatch.Refused:
 		n.say(refusedLine(a.RetryAfter))
 	default:
-		n.say(failedLine(a.MayHaveRun, repeat == hollyyoke.Retryable))
+		n.say(failedLine(a.MayHaveRun, repeat == decision.Retryable))
 	}
 	n.ready()
 }
@@ -543,7 +545,7 @@
 	w.parked = append(w.parked, n)
 	loop.Set(&n.due, loop.Now()+parkTime)
 	w.slots = max(w.slots, len(w.parked)+w.working)
-	if w.entry.State != hollyyoke.Running {
+	if w.entry.State != decision.Running {
 		return // it gets nothing new, and goes away empty
 	}
 	kind := n.srv.base + mask
@@ -552,14 +554,14 @@
 	}
 	if mask != 0 && (!w.listed || kind != w.entry.Kind) {
 		w.entry.Kind, w.listed = kind, true
-		n.srv.core.List(n.srv, hollyyoke.ListChanges, []hollyyoke.Entry{w.entry})
+		n.srv.core.List(n.srv, decision.ListChanges, []decision.Entry{w.entry})
 	}
 	w.serveHeld(n.srv)
 	if w.serveWaits(n.srv); !n.parked || !w.listed {
 		return
 	}
-	n.srv.core.Probed(w.name, hollyyoke.Completed,
-		hollyyoke.Load{FreeSlots: float64(len(w.parked)), HasFreeSlots: true})
+	n.srv.core.Probed(w.name, decision.Completed,
+		decision.Load{FreeSlots: float64(len(w.parked)), HasFreeSlots: true})
 }
 
 // unpark takes a FETCH off its worker's free slots.
@@ -600,11 +602,11 @@
 		return
 	}
 	n.srv.drop(found)
-	o := hollyyoke.Completed
+	o := decision.Completed
 	if verb == "FAIL" {
-		o = hollyyoke.Errored
+		o = decision.Errored
 	}
-	n.srv.core.Ended(found.attempt.Handle, o, hollyyoke.Load{}, nil)
+	n.srv.core.Ended(found.attempt.Handle, o, decision.Load{}, nil)
 }
 
 // beat takes a worker's liveness. One that says it is quiet, or about to
@@ -674,7 +676,7 @@
 	w := s.workers[prefix+h.Wid]
 	if w == nil {
 		w = &worker{name: prefix + h.Wid}
-		w.entry = hollyyoke.Entry{
+		w.entry = decision.Entry{
 			Worker: w.name, Zone: s.core.Settings.Zone, Kind: s.base, Weight: 1, LastStart: now,
 		}
 		if now-s.began < warmAtStart || !s.anyRunning() {
@@ -707,7 +709,7 @@
 
 func (s *Server) anyRunning() bool {
 	for _, w := range s.workers {
-		if w.listed && w.entry.State == hollyyoke.Running {
+		if w.listed && w.entry.State == decision.Running {
 			return true
 		}
 	}
@@ -725,13 +727,13 @@
 func (s *Server) lose(w *worker) {
 	delete(s.workers, w.name)
 	if w.listed {
-		w.entry.State = hollyyoke.Deleted
-		s.core.List(s, hollyyoke.ListChanges, []hollyyoke.Entry{w.entry})
+		w.entry.State = decision.Deleted
+		s.core.List(s, decision.ListChanges, []decision.Entry{w.entry})
 	}
 	w.returnHeld(s)
 	for _, d := range s.all(w) {
 		s.drop(d)
-		s.core.Ended(d.attempt.Handle, hollyyoke.Severed, hollyyoke.Load{}, nil)
+		s.core.Ended(d.attempt.Handle, decision.Severed, decision.Load{}, nil)
 	}
 }
 
@@ -753,12 +755,12 @@
 
 // drain lets a worker finish what it has, and gives it nothing new.
 func (w *worker) drain(s *Server) {
-	if w.entry.State != hollyyoke.Running {
+	if w.entry.State != decision.Running {
 		return
 	}
-	w.entry.State = hollyyoke.Stopping
+	w.entry.State = decision.Stopping
 	if w.listed {
-		s.core.List(s, hollyyoke.ListChanges, []hollyyoke.Entry{w.entry})
+		s.core.List(s, decision.ListChanges, []decision.Entry{w.entry})
 	}
 	w.returnHeld(s)
 }
@@ -771,23 +773,23 @@
 	for len(w.held) > 0 {
 		d := w.held[0]
 		s.drop(d)
-		s.core.Ended(d.attempt.Handle, hollyyoke.Saturated, hollyyoke.Load{}, nil)
+		s.core.Ended(d.attempt.Handle, decision.Saturated, decision.Load{}, nil)
 	}
 }
 
 // ---- The carrier.
 
 // Start hands a job to a parked FETCH of the worker, or holds it for its next one.
-func (s *Server) Start(f core.Attempt) {
+func (s *Server) Start(f dispatch.Attempt) {
 	w := s.workers[f.Backend]
-	if w == nil || w.entry.State != hollyyoke.Running || len(w.held) >= max(w.slots, 1) {
-		s.core.Ended(f.Handle, hollyyoke.Saturated, hollyyoke.Load{}, nil)
+	if w == nil || w.entry.State != decision.Running || len(w.held) >= max(w.slots, 1) {
+		s.core.Ended(f.Handle, decision.Saturated, decision.Load{}, nil)
 		return
 	}
 	d := &delivery{attempt: f, w: w}
 	d.due.Fire = func() {
 		s.drop(d)
-		s.core.Ended(f.Handle, hollyyoke.Saturated, hollyyoke.Load{}, nil)
+		s.core.Ended(f.Handle, decision.Saturated, decision.Load{}, nil)
 	}
 	s.deliveries[f.Handle] = d
 	if n := w.slotFor(f.Job.Class, f.Job.ID); n != nil {
@@ -840,7 +842,7 @@
 	before := n.conn.Written()
 	if !n.conn.Write(s.out) && n.conn.Written()-before < int64(len(s.out)) {
 		delete(s.deliveries, d.attempt.Handle)
-		s.core.Ended(d.attempt.Handle, hollyyoke.RefusedConn, hollyyoke.Load{}, nil)
+		s.core.Ended(d.attempt.Handle, decision.RefusedConn, decision.Load{}, nil)
 		return
 	}
 	d.given = true
@@ -879,7 +881,7 @@
 // Probe answers from what is known: the parked FETCHes are the free slots.
 func (s *Server) Probe(backend string) {
 	if w := s.workers[backend]; w != nil {
-		s.core.Probed(backend, hollyyoke.Completed,
-			hollyyoke.Load{FreeSlots: float64(len(w.parked)), HasFreeSlots: true})
+		s.core.Probed(backend, decision.Completed,
+			decision.Load{FreeSlots: float64(len(w.parked)), HasFreeSlots: true})
 	}
 }
--- a/internal/faktory/source.go
+++ b/internal/faktory/source.go
@@ -8,8 +8,9 @@
 	"strings"
 	"time"
 
-	"hollyyoke.example/hollyyoke/internal/core"
-	"hollyyoke.example/hollyyoke/internal/net"
+	"hollyyoke.example/hollyyoke/internal/dispatch"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
+	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
 // This file owns the source role: lanes that take jobs from an upstream
@@ -18,8 +19,8 @@
 
 // Source takes jobs from an upstream server. It belongs to the loop's goroutine.
 type Source struct {
-	core    *core.Core
-	engine  *net.Engine
+	core    *dispatch.Core
+	engine  *transport.Engine
 	config  Config
 	classes map[string]int
 	wid     string
@@ -51,10 +52,10 @@
 type lane struct {
 	src     *Source
 	number  int
-	conn    *net.Conn
-	in      *net.Buffer
+	conn    *transport.Conn
+	in      *transport.Buffer
 	step    step
-	due     core.Deadline
+	due     eventloop.Deadline
 	backoff time.Duration
 	turn    int
 	jid     string
@@ -74,7 +75,7 @@
 )
 
 // NewSource returns the source role; Start connects its lanes.
-func NewSource(c *core.Core, e *net.Engine, config Config, jids *memory) *Source {
+func NewSource(c *dispatch.Core, e *transport.Engine, config Config, jids *memory) *Source {
 	s := &Source{core: c, engine: e, config: config, classes: names(c), wid: config.Source.Wid, jids: jids}
 	if s.wid == "" {
 		s.wid = fmt.Sprintf("hollyyoke-%016x", rand.Uint64())
@@ -133,7 +134,7 @@
 	l.turn++
 	turn := l.turn
 	l.step = down
-	l.src.engine.Dial(l.src.config.Source.Address, connectTime, l, func(c *net.Conn, err error) {
+	l.src.engine.Dial(l.src.config.Source.Address, connectTime, l, func(c *transport.Conn, err error) {
 		switch {
 		case turn != l.turn:
 			if c != nil {
@@ -176,7 +177,7 @@
 }
 
 // Closed is told that the upstream server has gone.
-func (l *lane) Closed(c *net.Conn, _ error) {
+func (l *lane) Closed(c *transport.Conn, _ error) {
 	if c == l.conn {
 		l.retry("the connection ended")
 	}
@@ -194,7 +195,7 @@
 }
 
 // Data takes in what the server sent.
-func (l *lane) Data(c *net.Conn, b *net.Buffer) {
+func (l *lane) Data(c *transport.Conn, b *transport.Buffer) {
 	pool := &l.src.engine.Pool
 	if c != l.conn {
 		pool.Put(b)
@@ -370,17 +371,17 @@
 }
 
 // Answer closes the delivery of a lane.
-func (s *Source) Answer(token uint64, a core.Answer) {
+func (s *Source) Answer(token uint64, a dispatch.Answer) {
 	l := s.lanes[token]
 	s.jids.finish(l.jid, a, s.core.Settings.Classes[l.class].Repeat, s.core.Loop.Now())
 	l.close(a)
 }
 
-func (l *lane) close(a core.Answer) {
+func (l *lane) close(a dispatch.Answer) {
 	switch a.Verdict {
-	case core.Served:
+	case dispatch.Served:
 		l.part("ACK", "", "")
-	case core.Refused:
+	case dispatch.Refused:
 		l.part("FAIL", "Refused", fmt.Sprintf("not run; come back after %.3f s", a.RetryAfter.Seconds()))
 	default:
 		l.part("FAIL", "Failed", "it may have run")
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -14,14 +14,14 @@
 	"fmt"
 	"hash/fnv"
 	"io"
-	stdnet "net"
+	"net"
 	"os"
 	"path/filepath"
 	"strconv"
 	"time"
 
-	"hollyyoke.example/hollyyoke/internal/core"
-	"hollyyoke.example/hollyyoke/internal/net"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
+	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
 // Message is one line. What it does not tell is nil or empty.
@@ -87,19 +87,19 @@
 
 // Call calls the process that listens there. An error says that there is none:
 // no file, or one that a process left behind when it died.
-func Call(path string, patience time.Duration) (conn stdnet.Conn, err error) {
+func Call(path string, patience time.Duration) (conn net.Conn, err error) {
 	if path == "" {
 		return nil, errors.New("no folder to meet in")
 	}
 	err = short(path, func(p string) error {
-		conn, err = stdnet.DialTimeout("unix", p, patience)
+		conn, err = net.DialTimeout("unix", p, patience)
 		return err
 	})
 	return conn, err
 }
 
 // Listen waits for a successor, in place of whoever listened there before.
-func Listen(path string) (ln stdnet.Listener, err error) {
+func Listen(path string) (ln net.Listener, err error) {
 	if path == "" {
 		return nil, errors.New("no folder to meet in")
 	}
@@ -107,7 +107,7 @@
 		return nil, err
 	}
 	err = short(path, func(p string) error {
-		l, err := stdnet.ListenUnix("unix", &stdnet.UnixAddr{Name: p, Net: "unix"})
+		l, err := net.ListenUnix("unix", &net.UnixAddr{Name: p, Net: "unix"})
 		if err != nil {
 			return err
 		}
@@ -120,14 +120,14 @@
 
 // Link is the connection between the two processes. It belongs to the loop's goroutine.
 type Link struct {
-	engine *net.Engine
-	conn   *net.Conn
-	in     *net.Buffer
+	engine *transport.Engine
+	conn   *transport.Conn
+	in     *transport.Buffer
 	seen   int // bytes of it without a line end
 	heard  func(Message)
 	lost   func()
 	names  []byte // taken since the last word of them
-	later  core.Deadline
+	later  eventloop.Deadline
 }
 
 const (
@@ -137,7 +137,7 @@
 
 // NewLink returns the owner of a connection between the two. heard gets each
 // message, and lost is called once, when the other process has gone.
-func NewLink(e *net.Engine, c *net.Conn, heard func(Message), lost func()) *Link {
+func NewLink(e *transport.Engine, c *transport.Conn, heard func(Message), lost func()) *Link {
 	l := &Link{engine: e, conn: c, heard: heard, lost: lost}
 	l.later.Fire = l.tellNames
 	return l
@@ -202,14 +202,14 @@
 }
 
 // Closed is told that the other process has gone.
-func (l *Link) Closed(*net.Conn, error) {
+func (l *Link) Closed(*transport.Conn, error) {
 	lost := l.lost
 	l.drop()
 	lost()
 }
 
 // Data takes in what the other process said.
-func (l *Link) Data(c *net.Conn, b *net.Buffer) {
+func (l *Link) Data(c *transport.Conn, b *transport.Buffer) {
 	if l.in == nil {
 		l.in, l.seen = b, 0
 	} else {
@@ -223,7 +223,7 @@
 	for l.in != nil {
 		end := bytes.IndexByte(l.in.Bytes()[l.seen:], '\n')
 		if end < 0 {
-			if l.seen = len(l.in.Bytes()); l.seen == net.BufferSize { // no room for its end
+			if l.seen = len(l.in.Bytes()); l.seen == transport.BufferSize { // no room for its end
 				l.fail()
 			}
 			return
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -3,7 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
-	stdnet "net"
+	"net"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"hollyyoke.example/hollyyoke/internal/core"
-	"hollyyoke.example/hollyyoke/internal/net"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
+	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
 const patience = 20 * time.Second // no test waits that long unless something is broken
@@ -29,9 +29,9 @@
 
 // pair is an engine with a link whose other end the test holds.
 type pair struct {
-	loop  *core.Loop
-	e     *net.Engine
-	ln    stdnet.Listener
+	loop  *eventloop.Loop
+	e     *transport.Engine
+	ln    net.Listener
 	path  string
 	links chan *Link
 	heard chan Message
@@ -40,15 +40,15 @@
 
 func newPair(t testing.TB, path string) *pair {
 	t.Helper()
-	p := &pair{loop: core.NewLoop(), path: path, links: make(chan *Link, 9), heard: make(chan Message, 5000), lost: make(chan bool, 9)}
+	p := &pair{loop: eventloop.NewLoop(), path: path, links: make(chan *Link, 9), heard: make(chan Message, 5000), lost: make(chan bool, 9)}
 	var err error
-	if p.e, err = net.NewEngine(p.loop, 100); err != nil {
+	if p.e, err = transport.NewEngine(p.loop, 100); err != nil {
 		t.Fatal(err)
 	}
 	if p.ln, err = Listen(path); err != nil {
 		t.Fatal(err)
 	}
-	p.e.Serve(p.ln, 1, false, func(c *net.Conn) net.Owner {
+	p.e.Serve(p.ln, 1, false, func(c *transport.Conn) transport.Owner {
 		l := NewLink(p.e, c, func(m Message) { p.heard <- m }, func() { p.lost <- true })
 		p.links <- l
 		return l
@@ -59,7 +59,7 @@
 	return p
 }
 
-func (p *pair) call(t testing.TB) (stdnet.Conn, *Link) {
+func (p *pair) call(t testing.TB) (net.Conn, *Link) {
 	t.Helper()
 	conn, err := Call(p.path, patience)
 	if err != nil {
@@ -196,6 +196,6 @@
 	p := newPair(t, Path(t.TempDir(), "n"))
 	conn, _ := p.call(t)
 	defer conn.Close()
-	go conn.Write([]byte(strings.Repeat("x", 2*net.BufferSize)))
+	go conn.Write([]byte(strings.Repeat("x", 2*transport.BufferSize)))
 	receive(t, p.lost)
 }
--- a/internal/entry/bench_test.go
+++ b/internal/listener/bench_test.go
@@ -1,46 +1,46 @@
-package entry
+package listener
 
 import (
-	stdnet "net"
+	"net"
 	"net/netip"
 	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
 
-	"hollyyoke.example/hollyyoke/internal/admit"
-	"hollyyoke.example/hollyyoke/internal/core"
-	"hollyyoke.example/hollyyoke/internal/net"
+	"hollyyoke.example/hollyyoke/internal/connlimit"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
+	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
 // BenchmarkAccept opens and closes connections as fast as it goes, with a guard
 // and without, in turns within one run: the ratio is what counts.
 func BenchmarkAccept(b *testing.B) {
 	rate := func(guarded bool) float64 {
-		loop := core.NewLoop()
-		engine, err := net.NewEngine(loop, 4096)
+		loop := eventloop.NewLoop()
+		engine, err := transport.NewEngine(loop, 4096)
 		if err != nil {
 			b.Fatal(err)
 		}
-		ln, err := stdnet.Listen("tcp", "127.0.0.1:0")
+		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			b.Fatal(err)
 		}
 		var taken atomic.Int64
-		var a *net.Acceptor
+		var a *transport.Acceptor
 		if guarded {
-			e, err := Guard(loop, engine, Config{Admit: admit.Config{Room: 3000, Reserve: 100, Known: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")},
-				Address: admit.Caps{Open: 2900, PerSecond: 1e6}, Prefix: admit.Caps{Open: 2900}}}, 4000, nil)
+			e, err := Guard(loop, engine, Config{Admit: connlimit.Config{Room: 3000, Reserve: 100, Known: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")},
+				Address: connlimit.Caps{Open: 2900, PerSecond: 1e6}, Prefix: connlimit.Caps{Open: 2900}}}, 4000, nil)
 			if err != nil {
 				b.Fatal(err)
 			}
-			a = engine.ServeGuarded(ln, true, func(c *net.Conn) net.Owner {
+			a = engine.ServeGuarded(ln, true, func(c *transport.Conn) transport.Owner {
 				taken.Add(1)
 				e.Admit.Closed(e.Come(0, uint64(c.Handle), c.Pass))
 				return nil
 			})
 		} else {
-			a = engine.Serve(ln, 3000, true, func(c *net.Conn) net.Owner { taken.Add(1); return nil }, func() {})
+			a = engine.Serve(ln, 3000, true, func(c *transport.Conn) transport.Owner { taken.Add(1); return nil }, func() {})
 		}
 		go loop.Run()
 		defer loop.Post(loop.Stop)
@@ -53,8 +53,8 @@
 			go func() {
 				defer all.Done()
 				for time.Now().Before(stop) {
-					if c, err := stdnet.Dial("tcp", ln.Addr().String()); err == nil {
-						c.(*stdnet.TCPConn).SetLinger(0)
+					if c, err := net.Dial("tcp", ln.Addr().String()); err == nil {
+						c.(*net.TCPConn).SetLinger(0)
 						c.Close()
 					}
 				}
--- a/internal/entry/entry.go
+++ b/internal/listener/entry.go
@@ -3,7 +3,7 @@
 // connections do, makes room where a decision asks for it, and words refusals
 // for logs and operators. It decides nothing itself, and must never keep the
 // accept of the next connection waiting for the loop.
-package entry
+package listener
 
 import (
 	"bufio"
@@ -12,7 +12,7 @@
 	"errors"
 	"log/slog"
 	"math/rand/v2"
-	stdnet "net"
+	"net"
 	"net/netip"
 	"sync"
 	"sync/atomic"
@@ -20,9 +20,9 @@
 
 	"github.com/pires/go-proxyproto"
 
-	"hollyyoke.example/hollyyoke/internal/admit"
-	"hollyyoke.example/hollyyoke/internal/core"
-	"hollyyoke.example/hollyyoke/internal/net"
+	"hollyyoke.example/hollyyoke/internal/connlimit"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
+	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
 // Owner is a front: it closes a session of its own, at once, on which nothing is owed.
@@ -30,9 +30,9 @@
 
 // Config is what the operator's file says, ready for use.
 type Config struct {
-	Admit      admit.Config
-	Floors     [admit.Kinds]int
-	Marks      admit.Marks
+	Admit      connlimit.Config
+	Floors     [connlimit.Kinds]int
+	Marks      connlimit.Marks
 	Say503     bool          // refused ones hear 503; else they are closed
 	WriteStall time.Duration // for which answers may wait to be read; 0: no bound
 }
@@ -40,15 +40,15 @@
 // Entry is one process's. Its fields are set before the first Arrive; all but
 // Arrive and Left belong to the loop's goroutine.
 type Entry struct {
-	Admit  *admit.Admitter
-	Budget *admit.Budget // nil: descriptors are bounded by the engine's gates
-	Idle   func()        // closes idle connections to backends
+	Admit  *connlimit.Admitter
+	Budget *connlimit.Budget // nil: descriptors are bounded by the engine's gates
+	Idle   func()            // closes idle connections to backends
 
-	loop   *core.Loop
-	engine *net.Engine
+	loop   *eventloop.Loop
+	engine *transport.Engine
 	config Config
 	owners [2]Owner
-	due    core.Deadline
+	due    eventloop.Deadline
 	log    *slog.Logger
 	guards bool
 	whole  int // descriptors
@@ -81,8 +81,8 @@
 
 // Plain returns an entry that keeps the order in which sessions are shed and
 // nothing else: what room there is, the engine's gates say.
-func Plain(loop *core.Loop, room int) *Entry {
-	a, err := admit.New(admit.Config{Room: max(room, 1), Nameless: true})
+func Plain(loop *eventloop.Loop, room int) *Entry {
+	a, err := connlimit.New(connlimit.Config{Room: max(room, 1), Nameless: true})
 	if err != nil {
 		panic(err) // a room of one is right
 	}
@@ -90,23 +90,23 @@
 }
 
 // Guard returns an entry that decides on each connection by the operator's file.
-func Guard(loop *core.Loop, engine *net.Engine, c Config, descriptors int, log *slog.Logger) (*Entry, error) {
+func Guard(loop *eventloop.Loop, engine *transport.Engine, c Config, descriptors int, log *slog.Logger) (*Entry, error) {
 	c.Admit.Seed = rand.Uint64()
-	a, err := admit.New(c.Admit)
+	a, err := connlimit.New(c.Admit)
 	if err != nil {
 		return nil, err
 	}
-	b, err := admit.NewBudget(descriptors, c.Floors, c.Marks)
+	b, err := connlimit.NewBudget(descriptors, c.Floors, c.Marks)
 	if err != nil {
 		return nil, err
 	}
 	e := &Entry{Admit: a, Budget: b, loop: loop, engine: engine, config: c, log: log, guards: true, whole: descriptors}
 	e.say503.Store(c.Say503)
 	e.due.Fire = e.look
-	quota := func(kind admit.Kind) net.Quota {
-		return net.Quota{Take: func() bool { return b.Take(kind) }, Give: func() { b.Give(kind) }}
+	quota := func(kind connlimit.Kind) transport.Quota {
+		return transport.Quota{Take: func() bool { return b.Take(kind) }, Give: func() { b.Give(kind) }}
 	}
-	engine.Guard(e, quota(admit.Backends), quota(admit.Discovery))
+	engine.Guard(e, quota(connlimit.Backends), quota(connlimit.Discovery))
 	return e, nil
 }
 
@@ -150,16 +150,16 @@
 func token(number int, t uint64) uint64 { return t | uint64(number)<<63 }
 
 // Come takes in a session of a front. pass is what Arrive gave; 0: it was not asked.
-func (e *Entry) Come(number int, t uint64, pass uint64) admit.ID {
+func (e *Entry) Come(number int, t uint64, pass uint64) connlimit.ID {
 	if pass == 0 {
 		return e.Admit.Adopt(e.loop.Now(), token(number, t))
 	}
-	e.Admit.Own(admit.ID(pass), token(number, t))
-	return admit.ID(pass)
+	e.Admit.Own(connlimit.ID(pass), token(number, t))
+	return connlimit.ID(pass)
 }
 
 // Next is the session that goes first for a need, and what it does; false: there is none.
-func (e *Entry) Next(need admit.Need, spareProven bool) (token uint64, stage admit.Stage, ok bool) {
+func (e *Entry) Next(need connlimit.Need, spareProven bool) (token uint64, stage connlimit.Stage, ok bool) {
 	return e.Admit.Victim(e.loop.Now(), need, spareProven, nil)
 }
 
@@ -171,7 +171,7 @@
 }
 
 // Shed closes the session that goes first for a need; false: there is none.
-func (e *Entry) Shed(need admit.Need) bool {
+func (e *Entry) Shed(need connlimit.Need) bool {
 	token, _, ok := e.Next(need, false)
 	if ok {
 		e.Drop(token)
@@ -189,8 +189,8 @@
 }
 
 // peer is a connection's other end.
-func peer(conn stdnet.Conn) netip.Addr {
-	tcp, ok := conn.RemoteAddr().(*stdnet.TCPAddr)
+func peer(conn net.Conn) netip.Addr {
+	tcp, ok := conn.RemoteAddr().(*net.TCPAddr)
 	if !ok {
 		return netip.IPv4Unspecified()
 	}
@@ -201,26 +201,26 @@
 // Arrive decides on a connection that has just been accepted, on the accepting
 // goroutine. One that may not come in has been answered and closed, but where
 // wait tells that room is to be made for it.
-func (e *Entry) Arrive(conn stdnet.Conn) (pass uint64, in, wait bool) {
+func (e *Entry) Arrive(conn net.Conn) (pass uint64, in, wait bool) {
 	addr := peer(conn)
-	why := admit.Short
-	if e.Budget.Take(admit.Sessions) {
+	why := connlimit.Short
+	if e.Budget.Take(connlimit.Sessions) {
 		e.press()
-		var id admit.ID
-		if id, why = e.Admit.Arrive(e.loop.Now(), addr, 0); why == admit.Fine {
+		var id connlimit.ID
+		if id, why = e.Admit.Arrive(e.loop.Now(), addr, 0); why == connlimit.Fine {
 			return uint64(id), true, false
 		}
-		e.Budget.Give(admit.Sessions)
+		e.Budget.Give(connlimit.Sessions)
 	} else {
 		e.press()
 		e.Admit.Note(why)
 		if e.Admit.Knows(e.loop.Now(), addr) {
-			why = admit.FullKnown
+			why = connlimit.FullKnown
 		}
 	}
-	if why == admit.FullKnown && e.waiting.Add(1) <= mostWaiting {
+	if why == connlimit.FullKnown && e.waiting.Add(1) <= mostWaiting {
 		return 0, false, true
-	} else if why == admit.FullKnown {
+	} else if why == connlimit.FullKnown {
 		e.waiting.Add(-1)
 	}
 	e.refuse(conn, addr, why)
@@ -228,30 +228,30 @@
 }
 
 // Wait is Arrive for one that room is made for, on a goroutine of its own.
-func (e *Entry) Wait(conn stdnet.Conn) (pass uint64, in bool) {
+func (e *Entry) Wait(conn net.Conn) (pass uint64, in bool) {
 	defer e.waiting.Add(-1)
 	addr := peer(conn)
 	for range waitSteps {
-		e.loop.Post(func() { e.Shed(admit.ForKnown) })
+		e.loop.Post(func() { e.Shed(connlimit.ForKnown) })
 		time.Sleep(waitStep)
-		if e.Budget.Take(admit.Sessions) {
+		if e.Budget.Take(connlimit.Sessions) {
 			id, why := e.Admit.Arrive(e.loop.Now(), addr, 0)
-			if why == admit.Fine {
+			if why == connlimit.Fine {
 				return uint64(id), true
 			}
-			e.Budget.Give(admit.Sessions)
+			e.Budget.Give(connlimit.Sessions)
 		}
 	}
-	e.refuse(conn, addr, admit.FullKnown)
+	e.refuse(conn, addr, connlimit.FullKnown)
 	return 0, false
 }
 
 // Left tells that a connection that came in ended before a front had it.
-func (e *Entry) Left(pass uint64) { e.Admit.Closed(admit.ID(pass)) }
+func (e *Entry) Left(pass uint64) { e.Admit.Closed(connlimit.ID(pass)) }
 
 // Give gives a session's descriptor back.
 func (e *Entry) Give() {
-	e.Budget.Give(admit.Sessions)
+	e.Budget.Give(connlimit.Sessions)
 }
 
 // Starved tells that the system had no descriptor left, whatever was counted.
@@ -262,8 +262,8 @@
 }
 
 // refuse ends a connection that may not come in.
-func (e *Entry) refuse(conn stdnet.Conn, addr netip.Addr, why admit.Reason) {
-	tcp, ok := conn.(*stdnet.TCPConn)
+func (e *Entry) refuse(conn net.Conn, addr netip.Addr, why connlimit.Reason) {
+	tcp, ok := conn.(*net.TCPConn)
 	if ok && e.say503.Load() {
 		conn.SetWriteDeadline(time.Now().Add(time.Millisecond)) // it goes into an empty socket at once, or not at all
 		conn.Write([]byte(saidText))
@@ -274,7 +274,7 @@
 }
 
 // Tell logs a refusal, each kind at a bounded rate.
-func (e *Entry) Tell(why admit.Reason, addr netip.Addr) {
+func (e *Entry) Tell(why connlimit.Reason, addr netip.Addr) {
 	if e.log == nil {
 		return
 	}
@@ -325,7 +325,7 @@
 		return
 	}
 	for range someAtATime {
-		if !e.Shed(admit.ForKnown) {
+		if !e.Shed(connlimit.ForKnown) {
 			break
 		}
 	}
@@ -356,7 +356,7 @@
 	if h.Command.IsLocal() {
 		return addr, used, nil // the front's own check of our health
 	}
-	tcp, ok := h.SourceAddr.(*stdnet.TCPAddr)
+	tcp, ok := h.SourceAddr.(*net.TCPAddr)
 	if !ok {
 		return addr, 0, errHeader
 	}
--- a/internal/entry/entry_test.go
+++ b/internal/listener/entry_test.go
@@ -1,4 +1,4 @@
-package entry
+package listener
 
 import (
 	"bytes"
@@ -10,8 +10,8 @@
 
 	"github.com/pires/go-proxyproto"
 
-	"hollyyoke.example/hollyyoke/internal/admit"
-	"hollyyoke.example/hollyyoke/internal/core"
+	"hollyyoke.example/hollyyoke/internal/connlimit"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
 )
 
 func v2(t testing.TB, from string) []byte {
@@ -75,11 +75,11 @@
 // Refusals are logged at a bounded rate, each kind by itself.
 func TestTellIsBounded(t *testing.T) {
 	var out bytes.Buffer
-	e := Plain(core.NewLoop(), 10)
+	e := Plain(eventloop.NewLoop(), 10)
 	e.log = slog.New(slog.NewTextHandler(&out, nil))
 	for range 500 {
-		e.Tell(admit.AddressOpen, netip.MustParseAddr("10.0.0.1"))
-		e.Tell(admit.Slow, netip.MustParseAddr("10.0.0.1"))
+		e.Tell(connlimit.AddressOpen, netip.MustParseAddr("10.0.0.1"))
+		e.Tell(connlimit.Slow, netip.MustParseAddr("10.0.0.1"))
 	}
 	if n := strings.Count(out.String(), "\n"); n != 2 {
 		t.Errorf("%d lines", n)
--- a/internal/platform/answer.go
+++ b/internal/platform/answer.go
@@ -4,9 +4,9 @@
 	"bytes"
 	"encoding/json"
 
-	"hollyyoke.example/hollyyoke"
-	"hollyyoke.example/hollyyoke/internal/net"
+	"hollyyoke.example/hollyyoke/decision"
 	"hollyyoke.example/hollyyoke/internal/settings"
+	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
 // This file reads the answers of backends to attempts and probes. It must never
@@ -15,7 +15,7 @@
 const statusOK = 200
 
 // Data takes in what the backend sent.
-func (l *line) Data(_ *net.Conn, b *net.Buffer) {
+func (l *line) Data(_ *transport.Conn, b *transport.Buffer) {
 	if l.phase == resting { // nothing was asked: what comes is no answer to anything
 		l.set.engine.Pool.Put(b)
 		l.unlist()
@@ -69,7 +69,7 @@
 func (l *line) broken() {
 	l.close()
 	l.tell()
-	l.fail(hollyyoke.Severed)
+	l.fail(decision.Severed)
 }
 
 // step takes one piece out of the input; false: more must come first.
@@ -140,16 +140,16 @@
 	l.last = h.has("Connection", "close") || !chunked && length < 0
 	l.phase = streaming
 	if !l.probe && status != 200 {
-		var load hollyyoke.Load
+		var load decision.Load
 		if v := h.get("X-Backend-Load"); v != nil {
 			load = settings.Load(&l.set.core.Settings, v)
 		}
-		o := hollyyoke.Errored // 500, and what the protocol does not name: it may have run
+		o := decision.Errored // 500, and what the protocol does not name: it may have run
 		if status >= 400 && status < 500 {
-			o = hollyyoke.Unusable
+			o = decision.Unusable
 		}
 		if (status == 503 || status == 504) && bytes.Equal(h.get("X-Unprocessed"), []byte("1")) {
-			o = hollyyoke.Saturated
+			o = decision.Saturated
 		}
 		l.end = &end{o, load, nil}
 	}
@@ -221,7 +221,7 @@
 	if n.ID != l.job.Job.ID {
 		return errMalformed // made for another req
 	}
-	var load hollyyoke.Load
+	var load decision.Load
 	if len(n.Load) > 0 {
 		load = settings.Load(&l.set.core.Settings, n.Load)
 	}
@@ -236,13 +236,13 @@
 		if json.Unmarshal(n.Result, &plain) == nil {
 			result = []byte(plain)
 		}
-		l.end = &end{hollyyoke.Completed, load, result}
+		l.end = &end{decision.Completed, load, result}
 	case "failed":
-		l.end = &end{hollyyoke.Errored, load, nil}
+		l.end = &end{decision.Errored, load, nil}
 	case "returned":
-		l.end = &end{hollyyoke.Saturated, load, nil}
+		l.end = &end{decision.Saturated, load, nil}
 	case "lost":
-		l.end = &end{hollyyoke.Severed, load, nil}
+		l.end = &end{decision.Severed, load, nil}
 	default:
 		return errMalformed
 	}
@@ -255,9 +255,9 @@
 		confirming := l.confirming
 		l.probe = false
 		l.set.core.Loop.Clear(&l.due)
-		o, load := hollyyoke.Errored, hollyyoke.Load{}
+		o, load := decision.Errored, decision.Load{}
 		if l.status == statusOK {
-			o = hollyyoke.Completed
+			o = decision.Completed
 			if l.text != nil {
 				load = settings.Load(&l.set.core.Settings, l.text.Bytes())
 			}
@@ -274,7 +274,7 @@
 		}
 	}
 	if l.attempt != 0 && l.end == nil {
-		l.end = &end{o: hollyyoke.Severed}
+		l.end = &end{o: decision.Severed}
 	}
 	l.over = true
 	return nil
--- a/internal/platform/backend.go
+++ b/internal/platform/backend.go
@@ -9,12 +9,13 @@
 	"strconv"
 	"time"
 
-	"hollyyoke.example/hollyyoke"
-	"hollyyoke.example/hollyyoke/internal/core"
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/dispatch"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
 	"hollyyoke.example/hollyyoke/internal/freshness"
 	"hollyyoke.example/hollyyoke/internal/invariant"
 	"hollyyoke.example/hollyyoke/internal/membership"
-	"hollyyoke.example/hollyyoke/internal/net"
+	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
 // This file owns attempts on the platform's wire, the connections to backends
@@ -26,15 +27,15 @@
 type Backends struct {
 	hold   time.Duration // holdTime; tests that play the other end take longer
 	calm   time.Duration // settleTime; likewise
-	core   *core.Core
-	engine *net.Engine
+	core   *dispatch.Core
+	engine *transport.Engine
 	hosts  map[string]*backend
 	lines  map[uint64]*line // by the attempt that runs on it
 	out    []byte
 	watch  watch
-	first  map[string]hollyyoke.Entry // the list known at the start, until discovery has spoken
-	due    core.Deadline              // until when that is waited for
-	wary   time.Duration              // until when connections are thought to die unseen
+	first  map[string]decision.Entry // the list known at the start, until discovery has spoken
+	due    eventloop.Deadline        // until when that is waited for
+	wary   time.Duration             // until when connections are thought to die unseen
 
 	// Told is called when discovery has told something; nil: nobody wants to know.
 	Told func()
@@ -46,7 +47,7 @@
 
 	age       freshness.Tracker   // how old what hosts holds is
 	knowledge freshness.Knowledge // as the module was told last
-	oldDue    core.Deadline       // when that may change by itself
+	oldDue    eventloop.Deadline  // when that may change by itself
 	usable    bool                // it has been good for something since the start
 
 	follower *follower // follows versioned changes in place of the watch; nil: the watch is open
@@ -56,7 +57,7 @@
 // backend is one backend as discovery told it last.
 type backend struct {
 	name, dial string
-	state      hollyyoke.WorkerState
+	state      decision.WorkerState
 	told       time.Duration // when that state was told
 	host       host          // discovery's words
 	idle       []*line       // the one used last at the end
@@ -79,10 +80,10 @@
 type line struct {
 	set     *Backends
 	b       *backend
-	conn    *net.Conn // nil while dialing
+	conn    *transport.Conn // nil while dialing
 	phase   phase
 	attempt uint64 // the attempt whose outcome is owed; 0: none
-	job     core.Attempt
+	job     dispatch.Attempt
 	probe   bool
 
 	confirming bool          // the probe was made for the attempt, whose request follows
@@ -93,30 +94,30 @@
 	held    bool          // it is not sent yet
 	leaves  time.Duration // when the last byte is to leave: the time left that the request tells runs from here
 	fresh   bool          // the attempt has lost a new connection already
-	in      *net.Buffer
-	seen    int         // bytes of it that hold no end of a head
-	at      int         // bytes of it that have been taken in
-	text    *net.Buffer // the line of the body at hand
+	in      *transport.Buffer
+	seen    int               // bytes of it that hold no end of a head
+	at      int               // bytes of it that have been taken in
+	text    *transport.Buffer // the line of the body at hand
 	chunked bool
 	chunk   chunks
 	left    int // of a body of known length; -1: it ends with the connection
 	last    bool
 	status  int
-	due     core.Deadline // connect, probe, idle or clearing time
-	rested  time.Duration // since when it is idle
-	until   time.Duration // and when it is closed for that, however late the loop is
-	lost    bool          // dialed in vain: whoever wanted it has gone
-	local   bool          // the latest dial failed by this machine's trouble
-	pause   time.Duration // before it was tried again
-	over    bool          // the answer has ended
-	kept    bool          // it has been idle: it may be dead unseen
-	end     *end          // the outcome, until the piece at hand has been read
+	due     eventloop.Deadline // connect, probe, idle or clearing time
+	rested  time.Duration      // since when it is idle
+	until   time.Duration      // and when it is closed for that, however late the loop is
+	lost    bool               // dialed in vain: whoever wanted it has gone
+	local   bool               // the latest dial failed by this machine's trouble
+	pause   time.Duration      // before it was tried again
+	over    bool               // the answer has ended
+	kept    bool               // it has been idle: it may be dead unseen
+	end     *end               // the outcome, until the piece at hand has been read
 }
 
 // end is how an attempt ended.
 type end struct {
-	o      hollyyoke.Outcome
-	load   hollyyoke.Load
+	o      decision.Outcome
+	load   decision.Load
 	result []byte
 }
 
@@ -151,7 +152,7 @@
 )
 
 // NewBackends returns a carrier that follows discovery at addr.
-func NewBackends(c *core.Core, e *net.Engine, discovery string) *Backends {
+func NewBackends(c *dispatch.Core, e *transport.Engine, discovery string) *Backends {
 	s := &Backends{core: c, engine: e, hosts: map[string]*backend{}, lines: map[uint64]*line{}, hold: holdTime, calm: settleTime}
 	s.watch = watch{set: s, addr: discovery, random: rand.New(rand.NewPCG(c.Seed, 0))}
 	s.watch.due.Fire, s.watch.next.Fire = s.watch.expire, s.watch.open
@@ -176,10 +177,10 @@
 func (s *Backends) mostIdle() int { return max(idleInAll/max(s.core.Settings.Peers, 1), 1) }
 
 // Start sends an attempt on the connection used last, or on a new one.
-func (s *Backends) Start(f core.Attempt) {
+func (s *Backends) Start(f dispatch.Attempt) {
 	b := s.hosts[f.Backend]
 	if b == nil {
-		s.core.Ended(f.Handle, hollyyoke.RefusedConn, hollyyoke.Load{}, nil)
+		s.core.Ended(f.Handle, decision.RefusedConn, decision.Load{}, nil)
 		return
 	}
 	l := b.take(f.Settled)
@@ -230,9 +231,9 @@
 	if l.lost {
 		return
 	}
-	s.engine.Dial(l.b.dial, s.connectTime()+50*time.Millisecond, l, func(c *net.Conn, err error) {
-		if l.local = net.Local(err); l.local {
-			if errors.Is(err, net.ErrFull) {
+	s.engine.Dial(l.b.dial, s.connectTime()+50*time.Millisecond, l, func(c *transport.Conn, err error) {
+		if l.local = transport.Local(err); l.local {
+			if errors.Is(err, transport.ErrFull) {
 				s.shed()
 			}
 			s.core.Step(l.correlationID(), "dial tried again", "backend", l.b.name, "error", err)
@@ -240,7 +241,7 @@
 			return
 		}
 		if err != nil {
-			l.fail(hollyyoke.RefusedConn)
+			l.fail(decision.RefusedConn)
 			return
 		}
 		s.core.Loop.Clear(&l.due)
@@ -281,7 +282,7 @@
 
 // late tells whether a backend that drains or has gone may get nothing new any more.
 func (b *backend) late(now, grace time.Duration) bool {
-	return b.state != hollyyoke.Running && now-b.told > max(grace-drainSlack, 0)
+	return b.state != decision.Running && now-b.told > max(grace-drainSlack, 0)
 }
 
 // left is told that a backend drains or has gone. What has not reached it when the
@@ -295,7 +296,7 @@
 			return
 		}
 		for _, l := range s.linesTo(b) {
-			if l.phase == waiting && (b.state == hollyyoke.Deleted || l.conn.Unacknowledged() > 0) {
+			if l.phase == waiting && (b.state == decision.Deleted || l.conn.Unacknowledged() > 0) {
 				l.giveUp()
 			}
 		}
@@ -318,11 +319,11 @@
 func (l *line) giveUp() {
 	l.tellSent()
 	l.close() // first: until then what waits here may still leave, on another goroutine
-	o := hollyyoke.Superseded
+	o := decision.Superseded
 	if l.conn.Passed(l.mark) && !l.confirming {
-		o = hollyyoke.Severed
+		o = decision.Severed
 	}
-	l.settle(o, hollyyoke.Load{}, nil)
+	l.settle(o, decision.Load{}, nil)
 }
 
 // send writes the request of the line's attempt or probe.
@@ -347,18 +348,18 @@
 	s := l.set
 	rule, may := s.core.Guard.MaySend(invariant.Send{
 		Now: now, Deadline: l.job.Deadline, RepeatBy: l.job.Until,
-		Left: l.b.state != hollyyoke.Running, LeftAt: l.b.told, Grace: max(s.core.Settings.DrainGrace-drainSlack, 0),
+		Left: l.b.state != decision.Running, LeftAt: l.b.told, Grace: max(s.core.Settings.DrainGrace-drainSlack, 0),
 		OldList: s.admit(l.b, now) == suspended,
 	})
 	if may {
 		return true
 	}
 	s.core.Step(l.correlationID(), "request kept back", "backend", l.b.name, "rule", rule)
-	outcome := hollyyoke.Superseded
+	outcome := decision.Superseded
 	if rule == invariant.Drain || rule == invariant.Deadline {
-		outcome = hollyyoke.RefusedConn
+		outcome = decision.RefusedConn
 	}
-	l.settle(outcome, hollyyoke.Load{}, nil)
+	l.settle(outcome, decision.Load{}, nil)
 	return false
 }
 
@@ -480,7 +481,7 @@
 // of the backend, and the attempt goes on on another. So may one new one, once.
 func (l *line) unsent() {
 	if !l.kept && l.fresh || l.attempt == 0 {
-		l.fail(hollyyoke.RefusedConn)
+		l.fail(decision.RefusedConn)
 		return
 	}
 	l.confirming, l.probe = false, false
@@ -488,7 +489,7 @@
 }
 
 // appendTarget appends what a job concerns, as its client wrote it or, where its wire has no paths, made anew.
-func appendTarget(out []byte, j *core.Job, class string) []byte {
+func appendTarget(out []byte, j *dispatch.Job, class string) []byte {
 	if j.Target != "" {
 		return append(out, j.Target...)
 	}
@@ -512,13 +513,13 @@
 func (l *line) expire() {
 	switch {
 	case l.conn == nil && l.local: // nothing ran, and the backend is not to blame
-		l.fail(hollyyoke.Superseded)
+		l.fail(decision.Superseded)
 	case l.conn == nil:
-		l.fail(hollyyoke.RefusedConn)
+		l.fail(decision.RefusedConn)
 	case l.held:
 		l.release()
 	case l.probe:
-		l.fail(hollyyoke.Overdue)
+		l.fail(decision.Overdue)
 		l.close()
 	case l.attempt != 0 && l.phase == waiting: // the time of a repeat is over
 		if l.tellSent(); l.conn.Passed(l.mark) {
@@ -532,24 +533,24 @@
 }
 
 // fail tells how what was wanted of the line ended, unless that is told.
-func (l *line) fail(o hollyyoke.Outcome) {
+func (l *line) fail(o decision.Outcome) {
 	l.lost = true
 	if l.confirming {
 		l.unconfirmed()
 		return
 	}
-	if o == hollyyoke.RefusedConn && l.attempt != 0 {
+	if o == decision.RefusedConn && l.attempt != 0 {
 		l.b.proof.Denied(&l.set.age)
 	}
 	if l.probe {
 		l.probe = false
-		l.set.core.Probed(l.b.name, o, hollyyoke.Load{})
+		l.set.core.Probed(l.b.name, o, decision.Load{})
 	}
-	l.settle(o, hollyyoke.Load{}, nil)
+	l.settle(o, decision.Load{}, nil)
 }
 
 // settle tells the outcome of the line's attempt, once.
-func (l *line) settle(o hollyyoke.Outcome, load hollyyoke.Load, result []byte) {
+func (l *line) settle(o decision.Outcome, load decision.Load, result []byte) {
 	if f := l.attempt; f != 0 {
 		l.attempt = 0
 		delete(l.set.lines, f)
@@ -580,7 +581,7 @@
 	if l.conn == nil || l.conn.Handle == 0 {
 		return
 	}
-	if l.last || l.b.state == hollyyoke.Deleted || l.set.hosts[l.b.name] != l.b {
+	if l.last || l.b.state == decision.Deleted || l.set.hosts[l.b.name] != l.b {
 		l.close()
 		return
 	}
@@ -635,10 +636,10 @@
 }
 
 // Closed is told that the backend has closed, or the connection broke.
-func (l *line) Closed(c *net.Conn, _ error) {
+func (l *line) Closed(c *transport.Conn, _ error) {
 	l.set.core.Loop.Clear(&l.due)
 	l.unlist()
-	if l.phase != streaming && l.b.state == hollyyoke.Running {
+	if l.phase != streaming && l.b.state == decision.Running {
 		l.set.wary = l.set.core.Loop.Now() + waryTime
 	}
 	l.tellSent()
@@ -650,7 +651,7 @@
 		l.unsent()
 		return
 	}
-	l.fail(hollyyoke.Severed)
+	l.fail(decision.Severed)
 }
 
 // Release closes the idle connections to a backend.
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -3,16 +3,18 @@
 import (
 	"bytes"
 	"errors"
-	stdnet "net"
+	"net"
 	"net/netip"
 	"strconv"
 	"time"
 
-	"hollyyoke.example/hollyyoke/internal/admit"
-	"hollyyoke.example/hollyyoke/internal/core"
+	"hollyyoke.example/hollyyoke/internal/connlimit"
+	"hollyyoke.example/hollyyoke/internal/dispatch"
 	"hollyyoke.example/hollyyoke/internal/durable"
-	"hollyyoke.example/hollyyoke/internal/entry"
-	"hollyyoke.example/hollyyoke/internal/net"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
+	"hollyyoke.example/hollyyoke/internal/listener"
+	"hollyyoke.example/hollyyoke/internal/slotmap"
+	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
 // This file owns client sessions: it reads requests, hands them to the core as
@@ -22,15 +24,15 @@
 
 // Front is the platform's front. It belongs to the loop's goroutine.
 type Front struct {
-	core     *core.Core
-	engine   *net.Engine
+	core     *dispatch.Core
+	engine   *transport.Engine
 	classes  map[string]int
-	sessions core.Table[session]
+	sessions slotmap.Table[session]
 	out      []byte
 	ready    func() bool
 	memory   int // bytes that buffers may take up before half-read requests are given up
-	entry    *entry.Entry
-	turns    admit.Turns // sessions whose bytes wait for their address's turn
+	entry    *listener.Entry
+	turns    connlimit.Turns // sessions whose bytes wait for their address's turn
 	turning  bool
 	reader   uint64 // the session that is read
 	stopping bool
@@ -40,12 +42,12 @@
 	shared   bool // another process accepts on the same listener
 	shut     bool // nothing is read from clients any more
 	left     bool // to the successor, which is the same dispatcher to those who ask for its health
-	acceptor *net.Acceptor
-	drain    core.Deadline // the drain's next step
-	pressed  bool          // new sessions wait, and none could be closed for them
-	spared   bool          // a proven one was spared for a moment
-	press    core.Deadline
-	quiet    core.Deadline
+	acceptor *transport.Acceptor
+	drain    eventloop.Deadline // the drain's next step
+	pressed  bool               // new sessions wait, and none could be closed for them
+	spared   bool               // a proven one was spared for a moment
+	press    eventloop.Deadline
+	quiet    eventloop.Deadline
 
 	kept        *durable.Service // requests of some classes may be durable; nil: none
 	keptClasses []bool
@@ -55,33 +57,33 @@
 type session struct {
 	front  *Front
 	token  uint64
-	id     admit.ID
+	id     connlimit.ID
 	peer   netip.Addr // whose turn its bytes wait for
 	header bool       // a trusted front's, whose PROXY header is awaited
 	queued bool       // its bytes wait for their turn
 	read0  int64      // bytes written when the write stall began
-	stall  core.Deadline
+	stall  eventloop.Deadline
 	by     time.Duration // when the request at hand must be whole
 	keeps  uint64        // durable requests taken so far
-	conn   *net.Conn
-	in     *net.Buffer   // where the request at hand begins
-	next   *net.Buffer   // what found no room behind it
-	since  time.Duration // when the first byte of the request at hand came
-	req    uint64        // the req that is out, 0 before the core has named it
-	spoken bool          // a byte has come
-	proven bool          // a job of it has been served
-	busy   bool          // an answer is owed
-	gone   bool          // the client has closed
-	last   bool          // the session ends with the answer at hand
-	told   bool          // 100 Continue has been sent
-	served bool          // the answer at hand is a job's that was served
-	over   admit.Reason  // a cap that its half-read request breaks
-	paused bool          // no more is read for now
-	flood  core.Deadline // the next look for more than a session may have unread
-	posted bool          // a turn is on its way
-	scan   scan          // how far the body at hand has been looked at
+	conn   *transport.Conn
+	in     *transport.Buffer  // where the request at hand begins
+	next   *transport.Buffer  // what found no room behind it
+	since  time.Duration      // when the first byte of the request at hand came
+	req    uint64             // the req that is out, 0 before the core has named it
+	spoken bool               // a byte has come
+	proven bool               // a job of it has been served
+	busy   bool               // an answer is owed
+	gone   bool               // the client has closed
+	last   bool               // the session ends with the answer at hand
+	told   bool               // 100 Continue has been sent
+	served bool               // the answer at hand is a job's that was served
+	over   connlimit.Reason   // a cap that its half-read request breaks
+	paused bool               // no more is read for now
+	flood  eventloop.Deadline // the next look for more than a session may have unread
+	posted bool               // a turn is on its way
+	scan   scan               // how far the body at hand has been looked at
 	idleAt time.Duration
-	idle   core.Deadline
+	idle   eventloop.Deadline
 }
 
 const (
@@ -108,9 +110,9 @@
 
 // NewFront returns a front that accepts on addr once Listen is called. Its
 // buffers, with those of others, should not take up more than memory bytes.
-func NewFront(c *core.Core, e *net.Engine, memory int, ready func() bool) *Front {
+func NewFront(c *dispatch.Core, e *transport.Engine, memory int, ready func() bool) *Front {
 	f := &Front{core: c, engine: e, classes: map[string]int{}, memory: memory, ready: ready,
-		entry: entry.Plain(c.Loop, 1)}
+		entry: listener.Plain(c.Loop, 1)}
 	f.press.Fire, f.quiet.Fire, f.drain.Fire = f.pressOn, f.hush, f.drainOn
 	for i, class := range c.Settings.Classes {
 		f.classes[class.Name] = i
@@ -119,11 +121,11 @@
 }
 
 // Use makes the front ask an entry who may come in. It must come before Listen or Serve.
-func (f *Front) Use(e *entry.Entry) { f.entry = e }
+func (f *Front) Use(e *listener.Entry) { f.entry = e }
 
 // Listen starts accepting client sessions, most at a time, and returns the address.
 func (f *Front) Listen(addr string, most int) (string, error) {
-	ln, err := stdnet.Listen("tcp", addr)
+	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return "", err
 	}
@@ -132,7 +134,7 @@
 }
 
 // Serve starts accepting client sessions from a listener, most at a time.
-func (f *Front) Serve(ln stdnet.Listener, most int) {
+func (f *Front) Serve(ln net.Listener, most int) {
 	if !f.entry.Guards() {
 		f.entry.Admit.Resize(most)
 	}
@@ -146,7 +148,7 @@
 
 const frontNumber = 0 // of this front's tokens, at the entry
 
-func (f *Front) accept(c *net.Conn) net.Owner {
+func (f *Front) accept(c *transport.Conn) transport.Owner {
 	if f.shut { // it was in the system's queue
 		c.End()
 		return c.Owner
@@ -158,7 +160,7 @@
 	f.pressed, f.spared = false, false
 	if f.entry.Guards() {
 		s.peer = c.Peer()
-		s.header = f.entry.Admit.Standing(s.id) == admit.Front
+		s.header = f.entry.Admit.Standing(s.id) == connlimit.Front
 	}
 	f.core.Loop.Set(&s.idle, f.core.Loop.Now()+idleTime)
 	f.hush()
@@ -177,7 +179,7 @@
 // just come, since a close that crosses a session's first request costs it.
 func (f *Front) hush() {
 	for f.entry.Admit.Crowds() {
-		if !f.entry.Shed(admit.ForSilence) {
+		if !f.entry.Shed(connlimit.ForSilence) {
 			f.core.Loop.Set(&f.quiet, f.core.Loop.Now()+pressTime)
 			return
 		}
@@ -191,15 +193,15 @@
 	const some = 8
 	room := f.shared // the other process has room: nobody who may be a usual client goes for it
 	for i := range some {
-		token, stage, ok := f.entry.Next(admit.ForUnknown, room)
+		token, stage, ok := f.entry.Next(connlimit.ForUnknown, room)
 		if !ok {
 			f.pressed = i == 0 && !room
 			break
 		}
-		if stage == admit.Proven && i > 0 { // there is room already
+		if stage == connlimit.Proven && i > 0 { // there is room already
 			break
 		}
-		if stage == admit.Proven && !f.spared { // those that have just come may show by then that they only talk
+		if stage == connlimit.Proven && !f.spared { // those that have just come may show by then that they only talk
 			f.spared = true
 			f.core.Loop.Set(&f.press, f.core.Loop.Now()+pressTime)
 			return
@@ -375,7 +377,7 @@
 		due = min(due, again)
 	}
 	s.front.core.Loop.Set(&s.idle, due)
-	if why := s.front.entry.Admit.Begin(now, s.id); why != admit.Fine {
+	if why := s.front.entry.Admit.Begin(now, s.id); why != connlimit.Fine {
 		s.over = why
 	}
 }
@@ -392,7 +394,7 @@
 				s.front.core.Loop.Set(&s.idle, min(s.by, max(again, now+time.Millisecond)))
 				return
 			}
-			s.abuse(admit.Slow)
+			s.abuse(connlimit.Slow)
 		}
 		s.reject(errSlow)
 	case !s.conn.Quiet(): // a request is here, though not read yet
@@ -421,7 +423,7 @@
 }
 
 // abuse books what a peer has done.
-func (s *session) abuse(why admit.Reason) {
+func (s *session) abuse(why connlimit.Reason) {
 	if s.front.entry.Guards() {
 		s.front.entry.Admit.Abuse(s.front.core.Loop.Now(), s.id, why)
 		s.front.entry.Tell(why, s.peer)
@@ -435,7 +437,7 @@
 	case s.busy || s.conn.Written() > s.read0:
 		s.watchStall()
 	default:
-		s.abuse(admit.Stalled)
+		s.abuse(connlimit.Stalled)
 		s.drop()
 	}
 }
@@ -469,7 +471,7 @@
 }
 
 // Closed is told that the client has gone away.
-func (s *session) Closed(*net.Conn, error) {
+func (s *session) Closed(*transport.Conn, error) {
 	busy, req := s.busy, s.req
 	s.forget()
 	if busy {
@@ -487,7 +489,7 @@
 func (f *Front) HungUp(uint64, bool) {}
 
 // Data takes in what the client sent.
-func (s *session) Data(_ *net.Conn, b *net.Buffer) {
+func (s *session) Data(_ *transport.Conn, b *transport.Buffer) {
 	if s.gone {
 		s.front.engine.Pool.Put(b)
 		return
@@ -515,7 +517,7 @@
 		s.last = true
 	}
 	if f := s.front; f.entry.Guards() {
-		if !s.busy && s.in != nil && s.over == admit.Fine {
+		if !s.busy && s.in != nil && s.over == connlimit.Fine {
 			s.over = f.entry.Admit.Holds(s.id, len(s.in.Bytes()))
 		}
 		if f.entry.Level() > 0 || f.turns.Len() > 0 {
@@ -562,7 +564,7 @@
 }
 
 // introduce reads a trusted front's header, which tells whose session it is.
-func (f *Front) introduce(s *session, b *net.Buffer) {
+func (f *Front) introduce(s *session, b *transport.Buffer) {
 	if s.in == nil {
 		s.in = b
 	} else {
@@ -572,10 +574,10 @@
 			return
 		}
 	}
-	addr, used, err := entry.Header(s.in.Bytes())
+	addr, used, err := listener.Header(s.in.Bytes())
 	if err != nil {
-		f.entry.Admit.Note(admit.BadHeader)
-		f.entry.Tell(admit.BadHeader, s.peer)
+		f.entry.Admit.Note(connlimit.BadHeader)
+		f.entry.Tell(connlimit.BadHeader, s.peer)
 		s.drop()
 		return
 	}
@@ -585,7 +587,7 @@
 	}
 	s.header = false
 	if addr.IsValid() {
-		if why := f.entry.Admit.Identify(f.core.Loop.Now(), s.id, addr); why != admit.Fine {
+		if why := f.entry.Admit.Identify(f.core.Loop.Now(), s.id, addr); why != connlimit.Fine {
 			f.entry.Tell(why, addr)
 			s.drop()
 			return
@@ -606,7 +608,7 @@
 func (f *Front) relieve() {
 	for f.full() {
 		var chosen *session
-		_, _, ok := f.entry.Admit.Victim(f.core.Loop.Now(), admit.ForMemory, false, func(token uint64) bool {
+		_, _, ok := f.entry.Admit.Victim(f.core.Loop.Now(), connlimit.ForMemory, false, func(token uint64) bool {
 			s := f.sessions.Get(token)
 			if s == nil || s.in == nil || s.posted || s.token == f.reader {
 				return true
@@ -648,7 +650,7 @@
 func (s *session) read() {
 	s.front.reader = s.token
 	defer func() { s.front.reader = 0 }()
-	if s.over != admit.Fine && !s.busy && s.in != nil { // more half-read requests, or bytes of them, than its address may have
+	if s.over != connlimit.Fine && !s.busy && s.in != nil { // more half-read requests, or bytes of them, than its address may have
 		s.front.entry.Tell(s.over, s.peer)
 		s.reject(errCaps)
 		return
@@ -657,13 +659,13 @@
 		if work == turnWork {
 			s.turn()
 			if s.front.entry.Guards() {
-				s.front.entry.Admit.Note(admit.Greedy)
+				s.front.entry.Admit.Note(connlimit.Greedy)
 			}
 			break
 		}
 		var m message
 		ok, early, err := parseRequest(s.in.Bytes(), &m, &s.scan)
-		if err == nil && !ok && len(s.in.Bytes()) == net.BufferSize {
+		if err == nil && !ok && len(s.in.Bytes()) == transport.BufferSize {
 			err = errBody // a chunked one of more frame than body: it has no room to become whole
 		}
 		if err != nil {
@@ -717,7 +719,7 @@
 func (s *session) request(m *message) {
 	path, _, _ := bytes.Cut(m.b, []byte("?"))
 	status, text, fields := 0, "", ""
-	job := core.Job{Since: s.since}
+	job := dispatch.Job{Since: s.since}
 	class, known := s.front.class(path)
 	switch {
 	case bytes.Equal(path, []byte("/healthz")):
@@ -734,7 +736,7 @@
 	default:
 		if err := readJob(m, &job); err != nil {
 			status, text = 400, err.Error()+"\n"
-			s.front.core.Book(class, core.Failed)
+			s.front.core.Book(class, dispatch.Failed)
 		} else if key := m.get("Idempotency-Key"); len(key) > 0 && s.front.keptClasses != nil && s.front.keptClasses[class] {
 			if isID([]byte(durable.RequestID(string(key)))) {
 				job.Class = class
@@ -742,12 +744,12 @@
 				return
 			}
 			status, text = 400, "Idempotency-Key is not of 1 to 123 letters, digits or -._:~+/=@\n"
-			s.front.core.Book(class, core.Failed)
+			s.front.core.Book(class, dispatch.Failed)
 		} else if s.front.core.Named(job.ID) { // guards the req of that name, which may be another client's
 			status, text = 409, "X-Correlation-Id names another request\n"
-			s.front.core.Book(class, core.Failed)
+			s.front.core.Book(class, dispatch.Failed)
 		} else if s.front.relieve(); s.front.full() {
-			s.front.core.Book(class, core.Refused)
+			s.front.core.Book(class, dispatch.Refused)
 			s.cut(m.size)
 			s.write(503, []byte(errMemory.Error()+"\n"), lateTime, "")
 			return
@@ -776,7 +778,7 @@
 }
 
 // readJob reads what the request's line and fields say.
-func readJob(m *message, job *core.Job) error {
+func readJob(m *message, job *dispatch.Job) error {
 	id := m.get("X-Correlation-Id")
 	if len(id) == 0 {
 		return errors.New("no X-Correlation-Id")
@@ -810,7 +812,7 @@
 }
 
 // take hands a request to the core. The buffer goes with it, and what came behind it moves to a new one.
-func (s *session) take(m *message, job core.Job) {
+func (s *session) take(m *message, job dispatch.Job) {
 	pool, held := &s.front.engine.Pool, s.in
 	s.in = nil
 	if rest := held.Bytes()[m.size:]; len(rest) > 0 {
@@ -838,7 +840,7 @@
 }
 
 // Answer writes the final answer of a session's req.
-func (f *Front) Answer(token uint64, a core.Answer) {
+func (f *Front) Answer(token uint64, a dispatch.Answer) {
 	s := f.sessions.Get(token)
 	if s == nil || !s.busy {
 		return
@@ -846,10 +848,10 @@
 	s.busy = false
 	s.last = s.last || f.closing
 	switch a.Verdict {
-	case core.Served:
+	case dispatch.Served:
 		s.served = true
 		s.write(200, a.Result, 0, "")
-	case core.Refused:
+	case dispatch.Refused:
 		s.write(503, nil, a.RetryAfter, "")
 	default:
 		s.write(502, nil, 0, "")
--- a/internal/platform/crossings_test.go
+++ b/internal/platform/crossings_test.go
@@ -7,7 +7,7 @@
 	"errors"
 	"fmt"
 	"io"
-	stdnet "net"
+	"net"
 	"net/http"
 	"strings"
 	"sync/atomic"
@@ -16,9 +16,9 @@
 	"time"
 	"unsafe"
 
-	"hollyyoke.example/hollyyoke"
-	"hollyyoke.example/hollyyoke/internal/core"
-	"hollyyoke.example/hollyyoke/internal/net"
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/dispatch"
+	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
 // These tests force two events into one turn of the loop: it is held while the
@@ -44,7 +44,7 @@
 }
 
 // write writes and waits until the poller of the program has read some of it.
-func (r *rig) write(t *testing.T, conn stdnet.Conn, text string) {
+func (r *rig) write(t *testing.T, conn net.Conn, text string) {
 	t.Helper()
 	held := r.engine.Pool.Held()
 	if _, err := io.WriteString(conn, text); err != nil {
@@ -54,9 +54,9 @@
 }
 
 // unsent is how many bytes the other end's kernel has not taken.
-func unsent(t *testing.T, conn stdnet.Conn) (n int) {
+func unsent(t *testing.T, conn net.Conn) (n int) {
 	t.Helper()
-	raw, err := conn.(*stdnet.TCPConn).SyscallConn()
+	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,21 +68,21 @@
 
 // held starts a front before a carrier whose attempts end when the test says so.
 func (r *rig) held(memory int) (f *Front, addr string, out holder) {
-	out = holder{echo{r.core}, make(chan core.Attempt, 100)}
+	out = holder{echo{r.core}, make(chan dispatch.Attempt, 100)}
 	r.do(func() {
 		r.core.Listen(out)
-		r.core.List(out, hollyyoke.ListComplete, []hollyyoke.Entry{{Worker: "w"}})
+		r.core.List(out, decision.ListComplete, []decision.Entry{{Worker: "w"}})
 		f = NewFront(r.core, r.engine, memory, func() bool { return true })
 		addr, _ = f.Listen("127.0.0.1:0", 50)
 	})
 	return f, addr, out
 }
 
-func (r *rig) serve(f core.Attempt) {
-	r.do(func() { r.core.Ended(f.Handle, hollyyoke.Completed, hollyyoke.Load{}, []byte("made")) })
+func (r *rig) serve(f dispatch.Attempt) {
+	r.do(func() { r.core.Ended(f.Handle, decision.Completed, decision.Load{}, []byte("made")) })
 }
 
-func started(t *testing.T, out holder) (f core.Attempt) {
+func started(t *testing.T, out holder) (f dispatch.Attempt) {
 	t.Helper()
 	select {
 	case f = <-out.started:
@@ -104,26 +104,26 @@
 	for _, x := range []struct {
 		name   string
 		status int // 0: none
-		cross  func(r *rig, f *Front, conn stdnet.Conn)
+		cross  func(r *rig, f *Front, conn net.Conn)
 	}{
-		{"the request first", 200, func(r *rig, f *Front, conn stdnet.Conn) {
+		{"the request first", 200, func(r *rig, f *Front, conn net.Conn) {
 			release := r.hold()
 			r.write(t, conn, job("crossing"))
 			r.core.Loop.Post(f.Shut)
 			release()
 		}},
-		{"read, and the loop does not know yet", 200, func(r *rig, f *Front, conn stdnet.Conn) {
+		{"read, and the loop does not know yet", 200, func(r *rig, f *Front, conn net.Conn) {
 			release := r.hold()
 			r.core.Loop.Post(f.Shut)
 			r.write(t, conn, job("crossing"))
 			release()
 		}},
-		{"the end first", 0, func(r *rig, f *Front, conn stdnet.Conn) {
+		{"the end first", 0, func(r *rig, f *Front, conn net.Conn) {
 			r.do(f.Shut)
 			r.do(func() {}) // what it has posted
 			io.WriteString(conn, job("crossing"))
 		}},
-		{"half of it read", 503, func(r *rig, f *Front, conn stdnet.Conn) {
+		{"half of it read", 503, func(r *rig, f *Front, conn net.Conn) {
 			release := r.hold()
 			r.core.Loop.Post(f.Shut)
 			text := job("crossing")
@@ -216,7 +216,7 @@
 // A client that leaves while its request waits is noticed, whatever it has sent
 // behind that request: its end does not come through behind bytes that nobody reads.
 func TestLeavingBehindBytes(t *testing.T) {
-	for _, behind := range []int{0, 1, 300, 3 * net.BufferSize, 400 << 10} {
+	for _, behind := range []int{0, 1, 300, 3 * transport.BufferSize, 400 << 10} {
 		r := newRig(t)
 		f, addr, out := r.held(64 << 20)
 		conn, _ := bad(t, addr, job("leaves")+strings.Repeat("x", behind))
@@ -259,7 +259,7 @@
 		addr, _ = NewFront(r.core, r.engine, 64<<20, func() bool { return true }).Listen("127.0.0.1:0", 20)
 	})
 	conn, in := bad(t, addr, "")
-	back, from := stdnet.Conn(nil), (*bufio.Reader)(nil)
+	back, from := net.Conn(nil), (*bufio.Reader)(nil)
 	for i, key := range []string{"5c0f6e1a2b3d4c59a8b7c6d5e4f30211", "", `"quoted", and more`} {
 		text := fmt.Sprintf("POST /status-check/k HTTP/1.1\r\nX-Correlation-Id: key%05d\r\nidempotency-key: %s\r\nContent-Length: 4\r\n\r\nbody", i, key)
 		if key == "" {
@@ -287,16 +287,16 @@
 // ---- Attempts and idle connections.
 
 // backendListener is a backend's listener, and what accepts its next connection.
-func (r *rig) backendListener(t *testing.T) (stdnet.Listener, func() (stdnet.Conn, *bufio.Reader)) {
+func (r *rig) backendListener(t *testing.T) (net.Listener, func() (net.Conn, *bufio.Reader)) {
 	t.Helper()
-	ln, err := stdnet.Listen("tcp", "127.0.0.1:0")
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	return ln, func() (stdnet.Conn, *bufio.Reader) {
+	return ln, func() (net.Conn, *bufio.Reader) {
 		t.Helper()
-		ln.(*stdnet.TCPListener).SetDeadline(time.Now().Add(patience))
+		ln.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
 		conn, err := ln.Accept()
 		if err != nil {
 			t.Fatal(err)
@@ -309,7 +309,7 @@
 
 // sole returns a carrier that knows one backend, whose connections it uses again
 // after a rest of calm. It is for the loop.
-func (r *rig) sole(t *testing.T, ln stdnet.Listener, calm time.Duration) *Backends {
+func (r *rig) sole(t *testing.T, ln net.Listener, calm time.Duration) *Backends {
 	b := NewBackends(r.core, r.engine, "")
 	b.calm = calm
 	if err := b.Known(fmt.Appendf(nil, `{"hosts":[{"host":"s","dial":%q,"health":"ready"}]}`, ln.Addr())); err != nil {
@@ -319,7 +319,7 @@
 }
 
 // answerOnce reads a request and answers it as done.
-func answerOnce(t *testing.T, conn stdnet.Conn, in *bufio.Reader) {
+func answerOnce(t *testing.T, conn net.Conn, in *bufio.Reader) {
 	t.Helper()
 	req, err := http.ReadRequest(in)
 	if err != nil {
@@ -332,12 +332,12 @@
 func (r *rig) take(class int, id string) judge {
 	got := make(judge, 1)
 	r.core.Loop.Post(func() {
-		r.core.Take(got, 0, core.Job{ID: id, Class: class, Target: "/" + r.core.Settings.Classes[class].Name + "/k", Body: []byte("body"), Work: 1e6})
+		r.core.Take(got, 0, dispatch.Job{ID: id, Class: class, Target: "/" + r.core.Settings.Classes[class].Name + "/k", Body: []byte("body"), Work: 1e6})
 	})
 	return got
 }
 
-func verdict(t *testing.T, got judge) core.Verdict {
+func verdict(t *testing.T, got judge) dispatch.Verdict {
 	t.Helper()
 	select {
 	case a := <-got:
@@ -351,16 +351,16 @@
 // What comes on a resting connection is no answer to the next request, and its
 // end is no end of the next attempt, also where both meet in one turn.
 func TestRestingConnectionCrossesARequest(t *testing.T) {
-	for name, cross := range map[string]func(r *rig, conn stdnet.Conn){
-		"a refusal": func(r *rig, conn stdnet.Conn) {
+	for name, cross := range map[string]func(r *rig, conn net.Conn){
+		"a refusal": func(r *rig, conn net.Conn) {
 			r.write(t, conn, "HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")
 		},
-		"half a line": func(r *rig, conn stdnet.Conn) { r.write(t, conn, `{"id":"id00`) },
-		"an answer of its own": func(r *rig, conn stdnet.Conn) {
+		"half a line": func(r *rig, conn net.Conn) { r.write(t, conn, `{"id":"id00`) },
+		"an answer of its own": func(r *rig, conn net.Conn) {
 			r.write(t, conn, strings.ReplaceAll(chunked(done), "IDENTITY", "id000002"))
 		},
-		"its end": func(_ *rig, conn stdnet.Conn) { conn.Close() },
-		"a reset": func(_ *rig, conn stdnet.Conn) { conn.(*stdnet.TCPConn).SetLinger(0); conn.Close() },
+		"its end": func(_ *rig, conn net.Conn) { conn.Close() },
+		"a reset": func(_ *rig, conn net.Conn) { conn.(*net.TCPConn).SetLinger(0); conn.Close() },
 	} {
 		for _, late := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, the loop knows: %v", name, !late), func(t *testing.T) {
@@ -372,7 +372,7 @@
 				first := r.take(1, "id000001")
 				conn, in := next()
 				answerOnce(t, conn, in)
-				if v := verdict(t, first); v != core.Served {
+				if v := verdict(t, first); v != dispatch.Served {
 					t.Fatalf("the first: %v", v)
 				}
 				release := r.hold()
@@ -387,7 +387,7 @@
 				release()
 				other, from := next()
 				answerOnce(t, other, from)
-				if v := verdict(t, second); v != core.Served {
+				if v := verdict(t, second); v != dispatch.Served {
 					t.Errorf("the next request: %v", v)
 				}
 			})
@@ -399,9 +399,9 @@
 // ran: a request that must not run twice goes out on a connection that has
 // rested for longer, or on a new one. Others may use it at once.
 func TestSecondAnswersFindNoFragileRequest(t *testing.T) {
-	r := newRig(t, func(s *hollyyoke.Settings) {
-		s.Classes = append(s.Classes, hollyyoke.Class{Name: "transfer", Worth: 4, Aim: time.Second, Deadline: 8 * time.Second,
-			Repeat: hollyyoke.Dedup, Window: 2 * time.Second})
+	r := newRig(t, func(s *decision.Settings) {
+		s.Classes = append(s.Classes, decision.Class{Name: "transfer", Worth: 4, Aim: time.Second, Deadline: 8 * time.Second,
+			Repeat: decision.Dedup, Window: 2 * time.Second})
 	})
 	ln, next := r.backendListener(t)
 	var b *Backends
@@ -416,7 +416,7 @@
 		fragile := r.take(class, id)
 		other, from := next()
 		answerOnce(t, other, from)
-		if v := verdict(t, fragile); v != core.Served {
+		if v := verdict(t, fragile); v != dispatch.Served {
 			t.Errorf("%s: %v", id, v)
 		}
 		other.Close()
@@ -427,13 +427,13 @@
 	})
 	safe := r.take(0, "id000004")
 	answerOnce(t, conn, in)
-	if v := verdict(t, safe); v != core.Served {
+	if v := verdict(t, safe); v != dispatch.Served {
 		t.Errorf("one that may be repeated: %v", v)
 	}
 	r.do(func() { b.calm = 0 })
 	rested := r.take(1, "id000005")
 	answerOnce(t, conn, in)
-	if v := verdict(t, rested); v != core.Served {
+	if v := verdict(t, rested); v != dispatch.Served {
 		t.Errorf("on a connection that has rested: %v", v)
 	}
 }
@@ -441,7 +441,7 @@
 // A connection that has rested for its time is not used again, though a late
 // loop has not closed it yet.
 func TestRestIsOverBeforeTheLoopKnows(t *testing.T) {
-	r := newRig(t, func(s *hollyyoke.Settings) { s.ConnIdle = 200 * time.Millisecond })
+	r := newRig(t, func(s *decision.Settings) { s.ConnIdle = 200 * time.Millisecond })
 	ln, next := r.backendListener(t)
 	var b *Backends
 	r.do(func() {
@@ -452,7 +452,7 @@
 	closed := make(chan bool, 1)
 	var second judge
 	r.do(func() {
-		r.core.Take(answering(func(a core.Answer) {
+		r.core.Take(answering(func(a dispatch.Answer) {
 			r.core.Loop.Post(func() { // its connection rests by now, and its time passes in this turn
 				end = b.hosts["s"].idle[0].until
 				second = make(judge, 1)
@@ -460,10 +460,10 @@
 				for r.core.Loop.Now() <= end {
 					time.Sleep(time.Millisecond)
 				}
-				r.core.Take(second, 0, core.Job{ID: "id000002", Class: 1, Target: "/renewal/k", Body: []byte("body"), Work: 1e6})
+				r.core.Take(second, 0, dispatch.Job{ID: "id000002", Class: 1, Target: "/renewal/k", Body: []byte("body"), Work: 1e6})
 			})
 			first <- a
-		}), 0, core.Job{ID: "id000001", Class: 1, Target: "/renewal/k", Body: []byte("body"), Work: 1e6})
+		}), 0, dispatch.Job{ID: "id000001", Class: 1, Target: "/renewal/k", Body: []byte("body"), Work: 1e6})
 	})
 	conn, in := next()
 	answerOnce(t, conn, in)
@@ -475,7 +475,7 @@
 	}()
 	other, from := next()
 	answerOnce(t, other, from)
-	if v := verdict(t, second); v != core.Served {
+	if v := verdict(t, second); v != dispatch.Served {
 		t.Errorf("the next request: %v", v)
 	}
 	if !<-closed {
@@ -484,15 +484,15 @@
 }
 
 // answering is a front that calls the test on each answer.
-type answering func(core.Answer)
+type answering func(dispatch.Answer)
 
-func (f answering) Answer(_ uint64, a core.Answer) { f(a) }
+func (f answering) Answer(_ uint64, a dispatch.Answer) { f(a) }
 
 // keyed are settings with a class whose repeats are known for a window, and the time for a connect.
-func keyed(window, connect time.Duration) func(*hollyyoke.Settings) {
-	return func(s *hollyyoke.Settings) {
-		s.Classes = append(s.Classes, hollyyoke.Class{Name: "transfer", Worth: 4, LateWorth: 1, Aim: 8 * time.Second,
-			Deadline: 8 * time.Second, Repeat: hollyyoke.Dedup, Window: window}) // worth waiting for to its end
+func keyed(window, connect time.Duration) func(*decision.Settings) {
+	return func(s *decision.Settings) {
+		s.Classes = append(s.Classes, decision.Class{Name: "transfer", Worth: 4, LateWorth: 1, Aim: 8 * time.Second,
+			Deadline: 8 * time.Second, Repeat: decision.Dedup, Window: window}) // worth waiting for to its end
 		s.MaxAttempts, s.ConnectTimeout = 3, connect
 	}
 }
@@ -531,12 +531,12 @@
 			again, from := next()
 			if inTime {
 				answerOnce(t, again, from)
-				if v := verdict(t, got); v != core.Served {
+				if v := verdict(t, got); v != dispatch.Served {
 					t.Errorf("repeated in time: %v", v)
 				}
 				return
 			}
-			if v := verdict(t, got); v == core.Served { // all backends know a repeat, so it may be refused too
+			if v := verdict(t, got); v == dispatch.Served { // all backends know a repeat, so it may be refused too
 				t.Errorf("with the window over: %v", v)
 			}
 			r.do(func() { b.Idle() })
@@ -560,7 +560,7 @@
 func TestWindowEndsInsideARepeat(t *testing.T) {
 	const window = time.Second
 	r := newRig(t, keyed(window, 100*time.Millisecond))
-	lc := stdnet.ListenConfig{Control: narrow}
+	lc := net.ListenConfig{Control: narrow}
 	ln, err := lc.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -570,7 +570,7 @@
 	r.do(func() {
 		r.sole(t, ln, time.Hour)
 		body := bytes.Repeat([]byte("x"), 64<<10)
-		r.core.Take(got, 0, core.Job{ID: "id000001", Class: 2, Target: "/transfer/k", Body: body, Work: 1e6})
+		r.core.Take(got, 0, dispatch.Job{ID: "id000001", Class: 2, Target: "/transfer/k", Body: body, Work: 1e6})
 	})
 	conn, err := ln.Accept()
 	if err != nil {
@@ -594,7 +594,7 @@
 	again.SetDeadline(time.Now().Add(patience))
 	until(t, "the window is over", func() bool { return r.core.Loop.Now() > first+window })
 	text, _ := io.ReadAll(again) // nothing was read of it up to now
-	if v := verdict(t, got); v == core.Served {
+	if v := verdict(t, got); v == dispatch.Served {
 		t.Errorf("with the window over: %v", v)
 	}
 	if _, body, _ := bytes.Cut(text, []byte("\r\n\r\n")); len(body) >= 64<<10 {
@@ -608,8 +608,8 @@
 	for name, answered := range map[string]bool{"its client left": false, "it was answered": true} {
 		for _, where := range []string{"connecting", "last byte held", "socket full"} {
 			t.Run(name+", "+where, func(t *testing.T) {
-				r := newRig(t, func(s *hollyyoke.Settings) { s.Cancel, s.TellsStart = false, false })
-				lc := stdnet.ListenConfig{}
+				r := newRig(t, func(s *decision.Settings) { s.Cancel, s.TellsStart = false, false })
+				lc := net.ListenConfig{}
 				if where == "socket full" {
 					lc.Control = narrow
 				}
@@ -641,7 +641,7 @@
 						}
 					}
 					body := bytes.Repeat([]byte("x"), 64<<10)
-					req = r.core.Take(got, 0, core.Job{ID: "id000001", Class: 0, Target: "/status-check/k", Body: body, Work: 1e6})
+					req = r.core.Take(got, 0, dispatch.Job{ID: "id000001", Class: 0, Target: "/status-check/k", Body: body, Work: 1e6})
 				})
 				conn, err := ln.Accept()
 				if err != nil {
@@ -681,7 +681,7 @@
 	r.do(func() {
 		r.sole(t, ln, 0)
 	})
-	endless := func(conn stdnet.Conn, text string) (cut chan int) {
+	endless := func(conn net.Conn, text string) (cut chan int) {
 		cut = make(chan int, 1)
 		go func() {
 			n := 0
@@ -697,17 +697,17 @@
 	}
 	for i, x := range []struct {
 		head, more string
-		want       core.Verdict
+		want       dispatch.Verdict
 	}{
-		{strings.TrimSuffix(chunked(done), "0\r\n\r\n"), chunk("more\n"), core.Served},
-		{watchHead, chunk(strings.Repeat("x", 1000)), core.Failed},
-		{watchHead, chunk("\n"), core.Failed},
-		{"HTTP/1.1 200 OK\r\n", "X-More: more\r\n", core.Failed},
+		{strings.TrimSuffix(chunked(done), "0\r\n\r\n"), chunk("more\n"), dispatch.Served},
+		{watchHead, chunk(strings.Repeat("x", 1000)), dispatch.Failed},
+		{watchHead, chunk("\n"), dispatch.Failed},
+		{"HTTP/1.1 200 OK\r\n", "X-More: more\r\n", dispatch.Failed},
 	} {
 		id := fmt.Sprintf("id%06d", i)
 		got := make(judge, 1)
 		r.do(func() {
-			r.core.Take(got, 0, core.Job{ID: id, Class: 1, Target: "/renewal/k", Body: []byte("body"), Work: 1e6, Left: 3 * time.Second})
+			r.core.Take(got, 0, dispatch.Job{ID: id, Class: 1, Target: "/renewal/k", Body: []byte("body"), Work: 1e6, Left: 3 * time.Second})
 		})
 		conn, in := next()
 		if _, err := http.ReadRequest(in); err != nil {
@@ -718,17 +718,17 @@
 		if v := verdict(t, got); v != x.want {
 			t.Errorf("answer %d: %v, want %v", i, v, x.want)
 		}
-		if x.want == core.Served { // beside it
+		if x.want == dispatch.Served { // beside it
 			other := r.take(1, "id000099")
 			conn, in := next()
 			answerOnce(t, conn, in)
-			if v := verdict(t, other); v != core.Served {
+			if v := verdict(t, other); v != dispatch.Served {
 				t.Errorf("beside an endless answer: %v", v)
 			}
 			conn.Close()
 		}
 		receive(t, cut)
-		if held := r.engine.Pool.Held(); held > 8*net.BufferSize {
+		if held := r.engine.Pool.Held(); held > 8*transport.BufferSize {
 			t.Errorf("answer %d: %d bytes are held", i, held)
 		}
 	}
@@ -738,13 +738,13 @@
 
 // call is what the stand-in for discovery got: a connection and what it asked for.
 type call struct {
-	stdnet.Conn
+	net.Conn
 	query string
 }
 
 // calls are those that come to a stand-in for discovery, which answers none by itself.
 func calls(t *testing.T) (addr string, came chan call) {
-	ln, err := stdnet.Listen("tcp", "127.0.0.1:0")
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -787,7 +787,7 @@
 // time that a drain leaves.
 func TestAgentIsCalledAgainAtOnce(t *testing.T) {
 	for _, peers := range []int{1, 300} {
-		r := newRig(t, func(s *hollyyoke.Settings) {
+		r := newRig(t, func(s *decision.Settings) {
 			s.Peers, s.AskWithin, s.DrainGrace = peers, 10*time.Second, 500*time.Millisecond
 		})
 		addr, came := calls(t)
@@ -810,7 +810,7 @@
 			switch i % 4 {
 			case 0: // silent
 			case 1:
-				c.Conn.(*stdnet.TCPConn).SetLinger(0)
+				c.Conn.(*net.TCPConn).SetLinger(0)
 				c.Close()
 			case 2:
 				io.WriteString(c, "HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n")
@@ -881,7 +881,7 @@
 				return read
 			})
 			r.do(func() {
-				if n := len(b.hosts); n != many-1 || b.hosts["s-0"] != nil || b.hosts["s-1"].state != hollyyoke.Stopping || b.hosts["s-2"].state != hollyyoke.Running {
+				if n := len(b.hosts); n != many-1 || b.hosts["s-0"] != nil || b.hosts["s-1"].state != decision.Stopping || b.hosts["s-2"].state != decision.Running {
 					t.Errorf("indent %q in pieces of %d: %d hosts", indent, piece, n)
 				}
 			})
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -4,17 +4,17 @@
 	"errors"
 	"fmt"
 	"io"
-	stdnet "net"
+	"net"
 	"strings"
 	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
 
-	"hollyyoke.example/hollyyoke/internal/admit"
-	"hollyyoke.example/hollyyoke/internal/core"
-	"hollyyoke.example/hollyyoke/internal/entry"
-	"hollyyoke.example/hollyyoke/internal/net"
+	"hollyyoke.example/hollyyoke/internal/connlimit"
+	"hollyyoke.example/hollyyoke/internal/dispatch"
+	"hollyyoke.example/hollyyoke/internal/listener"
+	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
 // These tests hold the discovery watch to the protocol's bound: a change counts as
@@ -30,7 +30,7 @@
 	t.Helper()
 	s := r.core.Settings
 	s.AskForList, s.Peers, s.AskWithin = true, peers, askWithin
-	c, err := core.New(r.core.Loop, s, 1)
+	c, err := dispatch.New(r.core.Loop, s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,7 +84,7 @@
 	common := newRig(t)
 	endings := map[string]func(*testing.T, call){
 		"reset": func(_ *testing.T, c call) {
-			c.Conn.(*stdnet.TCPConn).SetLinger(0)
+			c.Conn.(*net.TCPConn).SetLinger(0)
 			c.Close()
 		},
 		"busy":                  func(_ *testing.T, c call) { io.WriteString(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n") },
@@ -228,7 +228,7 @@
 	t.Helper()
 	const descriptors = 64
 	r = newRig(t).asking(t, 1, 10*time.Second)
-	engine, err := net.NewEngine(r.core.Loop, descriptors)
+	engine, err := transport.NewEngine(r.core.Loop, descriptors)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -237,11 +237,11 @@
 	r.do(func() {
 		f = NewFront(r.core, engine, 64<<20, func() bool { return true })
 		if guarded {
-			usable := net.Usable(descriptors)
-			e, err := entry.Guard(r.core.Loop, engine, entry.Config{
-				Admit:  admit.Config{Room: usable, Address: admit.Caps{Open: usable, PerSecond: 1e6}, Prefix: admit.Caps{Open: usable}},
-				Floors: [admit.Kinds]int{admit.Sessions: 8, admit.Backends: 4, admit.Discovery: 2},
-				Marks:  admit.Marks{Low: 0.8, High: 0.9, Critical: 0.97, Back: 0.05},
+			usable := transport.Usable(descriptors)
+			e, err := listener.Guard(r.core.Loop, engine, listener.Config{
+				Admit:  connlimit.Config{Room: usable, Address: connlimit.Caps{Open: usable, PerSecond: 1e6}, Prefix: connlimit.Caps{Open: usable}},
+				Floors: [connlimit.Kinds]int{connlimit.Sessions: 8, connlimit.Backends: 4, connlimit.Discovery: 2},
+				Marks:  connlimit.Marks{Low: 0.8, High: 0.9, Critical: 0.97, Back: 0.05},
 			}, usable, nil)
 			if err != nil {
 				t.Error(err)
@@ -249,7 +249,7 @@
 			}
 			f.Use(e)
 		}
-		addr, err = f.Listen("127.0.0.1:0", net.Accepted(descriptors))
+		addr, err = f.Listen("127.0.0.1:0", transport.Accepted(descriptors))
 		if err != nil {
 			t.Error(err)
 		}
@@ -263,7 +263,7 @@
 	for {
 		got := make(chan error, 1)
 		r.do(func() {
-			r.engine.Dial(addr, patience, nil, func(_ *net.Conn, err error) { got <- err })
+			r.engine.Dial(addr, patience, nil, func(_ *transport.Conn, err error) { got <- err })
 		})
 		if err := receive(t, got); err != nil {
 			return n
@@ -280,7 +280,7 @@
 			r, f, front := small(t, guarded)
 			other, _ := calls(t) // takes connections and says nothing
 			for range 100 {      // idle clients
-				if conn, err := stdnet.Dial("tcp", front); err == nil {
+				if conn, err := net.Dial("tcp", front); err == nil {
 					t.Cleanup(func() { conn.Close() })
 				}
 			}
@@ -318,7 +318,7 @@
 	r, _, _ := small(t, false)
 	other, own := newStand(t), newStand(t)
 	const load = "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n{\"x0\":1.5}"
-	most := 64 - 24 - net.Accepted(64) // for connections that we open
+	most := 64 - 24 - transport.Accepted(64) // for connections that we open
 	other.mu.Lock()
 	for range most {
 		other.scripts = append(other.scripts, load)
@@ -345,7 +345,7 @@
 	if n := r.fill(t, own.ln.Addr().String()); n != 0 {
 		t.Fatalf("%d descriptors were free", n)
 	}
-	if v := verdict(t, r.take(1, "id000001")); v != core.Served {
+	if v := verdict(t, r.take(1, "id000001")); v != dispatch.Served {
 		t.Errorf("the request ended as %v", v)
 	}
 }
