--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -5,17 +5,17 @@
 	"fmt"
 	"io"
 	"log/slog"
-	stdnet "net"
+	"net"
 	"path/filepath"
 	"regexp"
 	"strings"
 	"testing"
 	"time"
 
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/dispatch"
 	"hollyyoke.example/hollyyoke/internal/goldentest"
 
-	"hollyyoke.example/hollyyoke"
-	"hollyyoke.example/hollyyoke/internal/core"
 	"hollyyoke.example/hollyyoke/internal/durable"
 	"hollyyoke.example/hollyyoke/internal/jobs"
 )
@@ -45,15 +45,15 @@
 	var addr string
 	r.do(func() {
 		r.core.Listen(echo{r.core})
-		r.core.List(echo{r.core}, hollyyoke.ListComplete, []hollyyoke.Entry{{Worker: "w"}})
+		r.core.List(echo{r.core}, decision.ListComplete, []decision.Entry{{Worker: "w"}})
 		addr, _ = NewFront(r.core, r.engine, 64<<20, func() bool { return ready }).Listen("127.0.0.1:0", 200)
-		r.core.Take(make(judge, 1), 0, core.Job{ID: "former", Body: []byte("done")})
-		r.core.Take(make(judge, 1), 0, core.Job{ID: "open", Body: []byte("hold")})
+		r.core.Take(make(judge, 1), 0, dispatch.Job{ID: "former", Body: []byte("done")})
+		r.core.Take(make(judge, 1), 0, dispatch.Job{ID: "open", Body: []byte("hold")})
 	})
 	var text strings.Builder
 	session := func(request string, ends bool) {
 		t.Helper()
-		conn, err := stdnet.Dial("tcp", addr)
+		conn, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -104,10 +104,10 @@
 	golden(t, "statuses.golden", string(text))
 }
 
-// listener accepts connections and hands on the requests' bytes as they are.
-func listener(t *testing.T) (addr string, accept func() *heard) {
+// listenOnLoopback accepts connections and hands on the requests' bytes as they are.
+func listenOnLoopback(t *testing.T) (addr string, accept func() *heard) {
 	t.Helper()
-	ln, err := stdnet.Listen("tcp", "127.0.0.1:0")
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -127,7 +127,7 @@
 // heard is a connection that a worker or a server has accepted.
 type heard struct {
 	t    *testing.T
-	conn stdnet.Conn
+	conn net.Conn
 	in   *bufio.Reader
 	addr string
 }
@@ -153,7 +153,7 @@
 // What a worker is sent: attempts with a path or without, with a key, and a probe.
 func TestGoldenToWorkers(t *testing.T) {
 	r := newRig(t)
-	addr, accept := listener(t)
+	addr, accept := listenOnLoopback(t)
 	var set *Backends
 	r.do(func() {
 		set = NewBackends(r.core, r.engine, "")
@@ -162,7 +162,7 @@
 		}
 	})
 	var text strings.Builder
-	for i, job := range []core.Job{
+	for i, job := range []dispatch.Job{
 		{Class: 1, Target: "/renewal/a/k?q=1", Key: "k", Body: []byte("body\r\n")},
 		{Class: 0, Target: "/status-check", IdempotencyKey: "key-1"},
 		{Class: 1, Key: "a b/ü%", Body: []byte("{}")},
@@ -177,7 +177,7 @@
 		h.conn.Close()
 		select {
 		case a := <-got:
-			if a.Verdict != core.Served || string(a.Result) != "made" {
+			if a.Verdict != dispatch.Served || string(a.Result) != "made" {
 				t.Errorf("job %d: %v %q", i, a.Verdict, a.Result)
 			}
 		case <-time.After(patience):
@@ -194,8 +194,8 @@
 func TestGoldenToDiscovery(t *testing.T) {
 	var text strings.Builder
 	for _, ask := range []bool{false, true} {
-		r := newRig(t, func(s *hollyyoke.Settings) { s.AskForList, s.Peers = ask, 1 })
-		addr, accept := listener(t)
+		r := newRig(t, func(s *decision.Settings) { s.AskForList, s.Peers = ask, 1 })
+		addr, accept := listenOnLoopback(t)
 		r.do(func() {
 			set := NewBackends(r.core, r.engine, addr)
 			set.Subscribe()
@@ -212,7 +212,7 @@
 // the acknowledgement, also of a state in which something is missing.
 func TestGoldenToRelay(t *testing.T) {
 	r := newRig(t)
-	addr, accept := listener(t)
+	addr, accept := listenOnLoopback(t)
 	r.do(func() {
 		set := NewBackends(r.core, r.engine, "")
 		set.Follow((&subject{}).config(0, &server{addr: addr}))
@@ -237,7 +237,7 @@
 
 // The answers to requests whose key is kept durably.
 func TestGoldenKeptRequests(t *testing.T) {
-	r := newRig(t, func(s *hollyyoke.Settings) { s.Classes[1].Deadline = time.Second })
+	r := newRig(t, func(s *decision.Settings) { s.Classes[1].Deadline = time.Second })
 	service, err := durable.Open(r.core.Loop, durable.Config{
 		Path: filepath.Join(t.TempDir(), "jobs.db"), Jobs: jobs.Config{Lease: 20 * time.Millisecond, Grace: time.Millisecond},
 	}, slog.New(slog.DiscardHandler))
--- a/internal/platform/http.go
+++ b/internal/platform/http.go
@@ -10,7 +10,7 @@
 	"strconv"
 	"time"
 
-	"hollyyoke.example/hollyyoke/internal/net"
+	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
 // This file owns the HTTP/1.1 parser. It works on bytes alone, keeps no state
@@ -501,7 +501,7 @@
 
 // collect adds data to the buffer of a session, taking it over where it can.
 // False: there is no room for it.
-func collect(pool *net.Pool, in **net.Buffer, b *net.Buffer) bool {
+func collect(pool *transport.Pool, in **transport.Buffer, b *transport.Buffer) bool {
 	if *in == nil {
 		*in = b
 		return true
--- a/internal/platform/keep.go
+++ b/internal/platform/keep.go
@@ -4,8 +4,8 @@
 	"bytes"
 	"time"
 
-	"hollyyoke.example/hollyyoke"
-	"hollyyoke.example/hollyyoke/internal/core"
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/dispatch"
 	"hollyyoke.example/hollyyoke/internal/durable"
 	"hollyyoke.example/hollyyoke/internal/jobs"
 )
@@ -26,11 +26,11 @@
 
 // keep takes a request on durably and answers what became of the job under its
 // key, or that it is kept, where that is not known before the client gives up.
-func (s *session) keep(m *message, job core.Job, key string) {
+func (s *session) keep(m *message, job dispatch.Job, key string) {
 	f := s.front
 	if f.kept == nil {
 		s.cut(m.size)
-		f.core.Book(job.Class, core.Refused)
+		f.core.Book(job.Class, dispatch.Refused)
 		s.write(503, []byte("the other process has the store\n"), askAgain, "")
 		return
 	}
@@ -40,7 +40,7 @@
 		left = min(left, job.Left)
 	}
 	r := durable.Request{Target: job.Target, Key: job.Key, Body: bytes.Clone(m.body), Slots: job.Slots, Work: job.Work}
-	j := r.Job(key, class.Name, class.Repeat != hollyyoke.Retryable)
+	j := r.Job(key, class.Name, class.Repeat != decision.Retryable)
 	s.cut(m.size)
 	s.busy, s.req = true, 0
 	s.keeps++
--- a/internal/platform/knowledge.go
+++ b/internal/platform/knowledge.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"hollyyoke.example/hollyyoke"
+	"hollyyoke.example/hollyyoke/decision"
 	"hollyyoke.example/hollyyoke/internal/freshness"
-	"hollyyoke.example/hollyyoke/internal/net"
+	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
 // This file owns what may be done by the list of backends as it grows old: it
@@ -74,7 +74,7 @@
 func (s *Backends) suspendAll() {
 	var names []string
 	for name, b := range s.hosts {
-		if b.state == hollyyoke.Running && !b.suspended {
+		if b.state == decision.Running && !b.suspended {
 			b.suspended = true
 			names = append(names, name)
 		}
@@ -143,7 +143,7 @@
 	l.resetAnswer()
 	if !served {
 		l.deny()
-		l.settle(hollyyoke.Superseded, hollyyoke.Load{}, nil)
+		l.settle(decision.Superseded, decision.Load{}, nil)
 		l.rest()
 		return
 	}
@@ -168,7 +168,7 @@
 		return
 	}
 	l.deny()
-	l.settle(hollyyoke.Superseded, hollyyoke.Load{}, nil)
+	l.settle(decision.Superseded, decision.Load{}, nil)
 }
 
 // deny books that the line's backend has not shown that it serves.
@@ -197,7 +197,7 @@
 // failure tells what a call to discovery that ended in vain says of it.
 func (w *watch) failure(err error) freshness.Failure {
 	switch {
-	case w.conn == nil, errStatus(err), net.Local(err):
+	case w.conn == nil, errStatus(err), transport.Local(err):
 		return freshness.NotReached
 	case w.pushed():
 		if w.ok && !w.live {
--- a/internal/platform/leaving_test.go
+++ b/internal/platform/leaving_test.go
@@ -4,7 +4,7 @@
 	"bufio"
 	"fmt"
 	"io"
-	stdnet "net"
+	"net"
 	"net/http"
 	"os"
 	"strconv"
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	"hollyyoke.example/hollyyoke"
-	"hollyyoke.example/hollyyoke/internal/core"
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/dispatch"
 )
 
 // These tests let a client leave while the loop is busy, in the very turn in which something lets an attempt of
@@ -26,12 +26,12 @@
 	t        *testing.T
 	addr     string // of the front
 	backends *Backends
-	accept   []func() (stdnet.Conn, *bufio.Reader) // the backends' next connections
+	accept   []func() (net.Conn, *bufio.Reader) // the backends' next connections
 
-	listeners []stdnet.Listener
+	listeners []net.Listener
 }
 
-func newDeparture(t *testing.T, backends int, change func(*hollyyoke.Settings)) *departure {
+func newDeparture(t *testing.T, backends int, change func(*decision.Settings)) *departure {
 	t.Helper()
 	d := &departure{rig: newRig(t, change), t: t}
 	var hosts []string
@@ -59,7 +59,7 @@
 }
 
 // client sends a request and more bytes behind it.
-func (d *departure) client(path, id string, behind int) stdnet.Conn {
+func (d *departure) client(path, id string, behind int) net.Conn {
 	d.t.Helper()
 	text := fmt.Sprintf("POST %s HTTP/1.1\r\nX-Correlation-Id: %s\r\nX-Weight-Hint: 1000\r\nContent-Length: 4\r\n\r\nbody", path, id)
 	conn, _ := bad(d.t, d.addr, text+strings.Repeat("x", behind))
@@ -80,7 +80,7 @@
 }
 
 // leave closes a client's connection and waits until the front's system has been told.
-func (d *departure) leave(conn stdnet.Conn) {
+func (d *departure) leave(conn net.Conn) {
 	d.t.Helper()
 	local := conn.LocalAddr().String()
 	conn.Close()
@@ -99,7 +99,7 @@
 	return n
 }
 
-func repeats(s *hollyyoke.Settings) { s.MaxAttempts = 3 }
+func repeats(s *decision.Settings) { s.MaxAttempts = 3 }
 
 // The end arrives while the first attempt of a request is due.
 func TestLeavingBeforeTheFirstAttempt(t *testing.T) {
@@ -117,7 +117,7 @@
 
 // The end arrives while a request waits for another with its key, which is over just then.
 func TestLeavingInAKeysTurn(t *testing.T) {
-	d := newDeparture(t, 1, func(s *hollyyoke.Settings) { s.Classes[0].InTurn = true })
+	d := newDeparture(t, 1, func(s *decision.Settings) { s.Classes[0].InTurn = true })
 	d.client("/status-check/k", "id000001", 0)
 	worker, in := d.accept[0]()
 	d.request(in)
@@ -178,7 +178,7 @@
 
 // The end arrives while a hedge is due, since the first attempt does not start.
 func TestLeavingBeforeAHedge(t *testing.T) {
-	d := newDeparture(t, 2, func(s *hollyyoke.Settings) { s.MaxAttempts, s.SecondCopies = 3, true })
+	d := newDeparture(t, 2, func(s *decision.Settings) { s.MaxAttempts, s.SecondCopies = 3, true })
 	conn := d.client("/status-check/k", "id000001", 0)
 	_, in := d.first()
 	d.request(in)
@@ -192,9 +192,9 @@
 }
 
 // first accepts the connection that comes first, at whichever backend.
-func (d *departure) first() (stdnet.Conn, *bufio.Reader) {
+func (d *departure) first() (net.Conn, *bufio.Reader) {
 	d.t.Helper()
-	came := make(chan stdnet.Conn, len(d.listeners))
+	came := make(chan net.Conn, len(d.listeners))
 	for _, ln := range d.listeners {
 		go func() {
 			if conn, err := ln.Accept(); err == nil { // or the test is over
@@ -237,7 +237,7 @@
 			before := time.Now()
 			got := make(judge, 1)
 			d.core.Loop.Post(func() {
-				d.core.Take(got, 0, core.Job{ID: "id000001", Target: "/status-check/k", Body: []byte("body"), Work: 1e6, Left: left})
+				d.core.Take(got, 0, dispatch.Job{ID: "id000001", Target: "/status-check/k", Body: []byte("body"), Work: 1e6, Left: left})
 			})
 			_, in := d.accept[0]()
 			if _, err := in.Peek(1); err != nil {
@@ -252,7 +252,7 @@
 				t.Error("the last byte left behind a time that is over")
 			}
 			if name == "over" {
-				if v := verdict(t, got); v == core.Served {
+				if v := verdict(t, got); v == dispatch.Served {
 					t.Errorf("after its time: %v", v)
 				}
 				return
@@ -264,7 +264,7 @@
 				t.Errorf("%d ms told where less than %v was left, %v", told, left-late, err)
 			}
 			io.WriteString(again, strings.ReplaceAll(chunked(done), "IDENTITY", "id000001"))
-			if v := verdict(t, got); v != core.Served {
+			if v := verdict(t, got); v != dispatch.Served {
 				t.Errorf("begun anew: %v", v)
 			}
 		})
@@ -279,7 +279,7 @@
 		t.Fatal(err)
 	}
 	port := func(addr string) string {
-		_, p, _ := stdnet.SplitHostPort(addr)
+		_, p, _ := net.SplitHostPort(addr)
 		n, _ := strconv.Atoi(p)
 		return fmt.Sprintf(":%04X", n)
 	}
--- a/internal/platform/list.go
+++ b/internal/platform/list.go
@@ -5,13 +5,13 @@
 	"errors"
 	"fmt"
 	"maps"
-	stdnet "net"
+	"net"
 	"slices"
 	"strconv"
 	"strings"
 	"time"
 
-	"hollyyoke.example/hollyyoke"
+	"hollyyoke.example/hollyyoke/decision"
 )
 
 // This file owns the list of backends: how discovery words it, the list known at
@@ -21,7 +21,7 @@
 // Listed tells whether there is a backend that takes new work, by what is known so far.
 func (s *Backends) Listed() bool {
 	for _, b := range s.hosts {
-		if b.state == hollyyoke.Running {
+		if b.state == decision.Running {
 			return true
 		}
 	}
@@ -73,9 +73,9 @@
 	if err != nil {
 		return err
 	}
-	s.first = map[string]hollyyoke.Entry{}
+	s.first = map[string]decision.Entry{}
 	for _, e := range entries {
-		if e.State != hollyyoke.Deleted {
+		if e.State != decision.Deleted {
 			s.first[e.Worker] = e
 		}
 	}
@@ -95,27 +95,27 @@
 }
 
 // begin gives the module the list known at the start, with what has changed since.
-func (s *Backends) begin(changes []hollyyoke.Entry) {
+func (s *Backends) begin(changes []decision.Entry) {
 	if s.first == nil {
 		return
 	}
 	for _, e := range changes {
-		if s.first[e.Worker] = e; e.State == hollyyoke.Deleted {
+		if s.first[e.Worker] = e; e.State == decision.Deleted {
 			delete(s.first, e.Worker)
 		}
 	}
-	entries := slices.SortedFunc(maps.Values(s.first), func(a, b hollyyoke.Entry) int {
+	entries := slices.SortedFunc(maps.Values(s.first), func(a, b decision.Entry) int {
 		return strings.Compare(a.Worker, b.Worker) // a map's order would make runs differ
 	})
 	s.first = nil
 	s.core.Loop.Clear(&s.due)
-	s.core.List(s, hollyyoke.ListPersisted, entries)
+	s.core.List(s, decision.ListPersisted, entries)
 	s.look()
 }
 
 // Tell tells where discovery is, and the list in its words, for a successor.
 func (s *Backends) Tell() (addr string, list json.RawMessage, err error) {
-	words := map[hollyyoke.WorkerState]string{hollyyoke.Running: "ready", hollyyoke.Stopping: "draining"}
+	words := map[decision.WorkerState]string{decision.Running: "ready", decision.Stopping: "draining"}
 	l := hosts{Seq: s.watch.seq, Whole: true, Hosts: []host{}}
 	if f := s.follower; f != nil {
 		if l.Seq = int64(f.version); f.begun && f.resume == f.version {
@@ -161,10 +161,10 @@
 }
 
 // replace puts a complete list in the place of what is known.
-func (s *Backends) replace(entries []hollyyoke.Entry) {
+func (s *Backends) replace(entries []decision.Entry) {
 	s.onlyThese(entries)
 	if s.first == nil {
-		s.core.List(s, hollyyoke.ListComplete, entries)
+		s.core.List(s, decision.ListComplete, entries)
 		return
 	}
 	clear(s.first)
@@ -190,7 +190,7 @@
 }
 
 // onlyThese marks all backends as gone that a complete list lacks.
-func (s *Backends) onlyThese(entries []hollyyoke.Entry) {
+func (s *Backends) onlyThese(entries []decision.Entry) {
 	listed := map[string]bool{}
 	for _, e := range entries {
 		listed[e.Worker] = true
@@ -203,8 +203,8 @@
 }
 
 func (s *Backends) gone(b *backend) {
-	if b.state != hollyyoke.Deleted {
-		b.state, b.told = hollyyoke.Deleted, s.core.Loop.Now()
+	if b.state != decision.Deleted {
+		b.state, b.told = decision.Deleted, s.core.Loop.Now()
 		s.left(b)
 	}
 	b.closeIdle()
@@ -212,11 +212,11 @@
 }
 
 // parse checks a whole list and takes in none of it.
-func (s *Backends) parse(list []host) ([]hollyyoke.Entry, error) {
-	entries := make([]hollyyoke.Entry, 0, len(list))
+func (s *Backends) parse(list []host) ([]decision.Entry, error) {
+	entries := make([]decision.Entry, 0, len(list))
 	for i, h := range list {
 		at := "hosts[" + strconv.Itoa(i) + "]"
-		e := hollyyoke.Entry{
+		e := decision.Entry{
 			Worker: h.Host, Cell: h.Block, Weight: h.Share,
 			Zone: index(s.core.Settings.ZoneNames, h.Site), Kind: index(s.core.Settings.KindNames, h.Class),
 		}
@@ -225,18 +225,18 @@
 		}
 		switch h.Health {
 		case "ready":
-			e.State = hollyyoke.Running
+			e.State = decision.Running
 		case "draining":
-			e.State = hollyyoke.Stopping
+			e.State = decision.Stopping
 		case "gone":
-			e.State = hollyyoke.Deleted
+			e.State = decision.Deleted
 		default:
 			return nil, errors.New(at + ".health: unknown value " + strconv.Quote(h.Health))
 		}
 		if h.Host == "" {
 			return nil, errors.New(at + ".host is empty")
 		}
-		if _, _, err := stdnet.SplitHostPort(h.Dial); err != nil && e.State != hollyyoke.Deleted {
+		if _, _, err := net.SplitHostPort(h.Dial); err != nil && e.State != decision.Deleted {
 			return nil, errors.New(at + ".dial: " + err.Error())
 		}
 		entries = append(entries, e)
@@ -245,7 +245,7 @@
 }
 
 // entries takes in a list, unless some of it is wrong.
-func (s *Backends) entries(list []host) ([]hollyyoke.Entry, error) {
+func (s *Backends) entries(list []host) ([]decision.Entry, error) {
 	entries, err := s.parse(list)
 	if err == nil {
 		s.adopt(list, entries)
@@ -254,11 +254,11 @@
 }
 
 // adopt takes in a list that has been parsed.
-func (s *Backends) adopt(list []host, entries []hollyyoke.Entry) {
+func (s *Backends) adopt(list []host, entries []decision.Entry) {
 	now := s.core.Loop.Now()
 	for i, e := range entries {
 		b := s.hosts[e.Worker]
-		if e.State == hollyyoke.Deleted {
+		if e.State == decision.Deleted {
 			if b != nil {
 				s.gone(b)
 			}
@@ -274,7 +274,7 @@
 		}
 		if b.host = list[i]; b.state != e.State {
 			b.state, b.told = e.State, now
-			if e.State == hollyyoke.Stopping {
+			if e.State == decision.Stopping {
 				s.left(b)
 			}
 		}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -5,7 +5,7 @@
 	"bytes"
 	"fmt"
 	"io"
-	stdnet "net"
+	"net"
 	"net/http"
 	"slices"
 	"strings"
@@ -13,25 +13,26 @@
 	"testing"
 	"time"
 
-	"hollyyoke.example/hollyyoke"
-	"hollyyoke.example/hollyyoke/internal/core"
-	"hollyyoke.example/hollyyoke/internal/net"
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/dispatch"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
+	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
 const patience = 20 * time.Second // no test waits that long unless something is broken
 
 // rig is a core on a loop of its own, with the engine beside it.
 type rig struct {
-	core   *core.Core
-	engine *net.Engine
+	core   *dispatch.Core
+	engine *transport.Engine
 }
 
-func newRig(t testing.TB, changes ...func(*hollyyoke.Settings)) *rig {
+func newRig(t testing.TB, changes ...func(*decision.Settings)) *rig {
 	t.Helper()
-	s := hollyyoke.Settings{
-		Classes: []hollyyoke.Class{
+	s := decision.Settings{
+		Classes: []decision.Class{
 			{Name: "status-check", Worth: 3, LateWorth: 0.25, Aim: 200 * time.Millisecond, Deadline: 5 * time.Second},
-			{Name: "renewal", Worth: 5, LateWorth: 0.5, Aim: 200 * time.Millisecond, Deadline: 8 * time.Second, Repeat: hollyyoke.Fragile},
+			{Name: "renewal", Worth: 5, LateWorth: 0.5, Aim: 200 * time.Millisecond, Deadline: 8 * time.Second, Repeat: decision.Fragile},
 		},
 		Tick: time.Millisecond, MaxAttempts: 1, Cancel: true, TellsStart: true, Probing: true, MaxRetryAfter: time.Second,
 		ConnectTimeout: 2 * time.Second, ConnIdle: 10 * time.Second, FreeSlots: "x0", ZoneNames: []string{"here"},
@@ -39,11 +40,11 @@
 	for _, change := range changes {
 		change(&s)
 	}
-	c, err := core.New(core.NewLoop(), s, 1)
+	c, err := dispatch.New(eventloop.NewLoop(), s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	e, err := net.NewEngine(c.Loop, 900)
+	e, err := transport.NewEngine(c.Loop, 900)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,17 +62,17 @@
 }
 
 // echo is a carrier whose backend does at once what a job's body says.
-type echo struct{ core *core.Core }
+type echo struct{ core *dispatch.Core }
 
-func (e echo) Start(f core.Attempt) {
+func (e echo) Start(f dispatch.Attempt) {
 	word, _, _ := bytes.Cut(f.Job.Body, []byte(" "))
 	if string(word) == "hold" {
 		return
 	}
-	o := map[string]hollyyoke.Outcome{
-		"done": hollyyoke.Completed, "failed": hollyyoke.Errored, "returned": hollyyoke.Saturated,
+	o := map[string]decision.Outcome{
+		"done": decision.Completed, "failed": decision.Errored, "returned": decision.Saturated,
 	}[string(word)]
-	e.core.Ended(f.Handle, o, hollyyoke.Load{}, append([]byte("made "), f.Job.Body...))
+	e.core.Ended(f.Handle, o, decision.Load{}, append([]byte("made "), f.Job.Body...))
 }
 func (echo) Stop(uint64) bool { return false }
 func (echo) Release(string)   {}
@@ -137,17 +138,17 @@
 	var addr string
 	r.do(func() {
 		r.core.Listen(echo{r.core})
-		r.core.List(echo{r.core}, hollyyoke.ListComplete, []hollyyoke.Entry{{Worker: "w"}})
+		r.core.List(echo{r.core}, decision.ListComplete, []decision.Entry{{Worker: "w"}})
 		var err error
 		if addr, err = NewFront(r.core, r.engine, 64<<20, func() bool { return true }).Listen("127.0.0.1:0", 200); err != nil {
 			f.Error(err)
 		}
-		r.core.Take(make(judge, 1), 0, core.Job{ID: "former", Body: []byte("done")})
-		r.core.Take(make(judge, 1), 0, core.Job{ID: "open", Body: []byte("hold")})
+		r.core.Take(make(judge, 1), 0, dispatch.Job{ID: "former", Body: []byte("done")})
+		r.core.Take(make(judge, 1), 0, dispatch.Job{ID: "open", Body: []byte("hold")})
 	})
 	number := 0
 	f.Fuzz(func(t *testing.T, steps []byte) {
-		conn, err := stdnet.Dial("tcp", addr)
+		conn, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -193,11 +194,11 @@
 // them their trust and the first req its own attempts.
 func TestNameInUse(t *testing.T) {
 	r := newRig(t)
-	held := holder{echo{r.core}, make(chan core.Attempt, 10)}
+	held := holder{echo{r.core}, make(chan dispatch.Attempt, 10)}
 	var addr string
 	r.do(func() {
 		r.core.Listen(held)
-		r.core.List(held, hollyyoke.ListComplete, []hollyyoke.Entry{{Worker: "w"}})
+		r.core.List(held, decision.ListComplete, []decision.Entry{{Worker: "w"}})
 		addr, _ = NewFront(r.core, r.engine, 64<<20, func() bool { return true }).Listen("127.0.0.1:0", 20)
 	})
 	post := func() chan int {
@@ -218,7 +219,7 @@
 	if status := <-post(); status != 409 {
 		t.Errorf("the name of an open req: %d", status)
 	}
-	r.do(func() { r.core.Ended(attempt.Handle, hollyyoke.Completed, hollyyoke.Load{}, []byte("made")) })
+	r.do(func() { r.core.Ended(attempt.Handle, decision.Completed, decision.Load{}, []byte("made")) })
 	if status := <-first; status != 200 {
 		t.Errorf("the open req: %d", status)
 	}
@@ -231,9 +232,9 @@
 }
 
 // bad opens a session and sends a text; the rest of the test reads what comes.
-func bad(t *testing.T, addr, text string) (stdnet.Conn, *bufio.Reader) {
+func bad(t *testing.T, addr, text string) (net.Conn, *bufio.Reader) {
 	t.Helper()
-	conn, err := stdnet.Dial("tcp", addr)
+	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -259,7 +260,7 @@
 	var addr string
 	r.do(func() {
 		r.core.Listen(echo{r.core})
-		r.core.List(echo{r.core}, hollyyoke.ListComplete, []hollyyoke.Entry{{Worker: "w"}})
+		r.core.List(echo{r.core}, decision.ListComplete, []decision.Entry{{Worker: "w"}})
 		addr, _ = NewFront(r.core, r.engine, memory, func() bool { return true }).Listen("127.0.0.1:0", most)
 	})
 	return addr
@@ -316,7 +317,7 @@
 // answer, and usual clients are served meanwhile.
 func TestHalfSentRequests(t *testing.T) {
 	const room = 8
-	addr := front(t, room*net.BufferSize, 100)
+	addr := front(t, room*transport.BufferSize, 100)
 	half := "POST /renewal/k HTTP/1.1\r\nX-Correlation-Id: half\r\nContent-Length: 65000\r\n\r\n" + strings.Repeat("x", 64000)
 	var first *bufio.Reader
 	for i := range 3 * room {
@@ -367,23 +368,23 @@
 // holder is a carrier whose attempts end when the test says so.
 type holder struct {
 	echo
-	started chan core.Attempt
+	started chan dispatch.Attempt
 }
 
-func (h holder) Start(f core.Attempt) { h.started <- f }
+func (h holder) Start(f dispatch.Attempt) { h.started <- f }
 
 // stand is a stand-in backend: the n-th request gets the n-th script.
 type stand struct {
 	mu       sync.Mutex
-	ln       stdnet.Listener
+	ln       net.Listener
 	scripts  []string
 	cut      int
 	arrivals map[string]int
-	conns    []stdnet.Conn
+	conns    []net.Conn
 }
 
 func newStand(t testing.TB) *stand {
-	ln, err := stdnet.Listen("tcp", "127.0.0.1:0")
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -404,7 +405,7 @@
 	return s
 }
 
-func (s *stand) serve(conn stdnet.Conn) {
+func (s *stand) serve(conn net.Conn) {
 	defer conn.Close()
 	in := bufio.NewReader(conn)
 	for {
@@ -464,36 +465,36 @@
 // What a backend may answer, and what becomes of a fragile req: the protocol's table.
 var answers = []struct {
 	script string
-	want   core.Verdict
+	want   dispatch.Verdict
 }{
-	{chunked(done), core.Served},
-	{chunked(`{"id":"IDENTITY","state":"started"}`, `{"id":"IDENTITY","state":"running","share":0.5}`, "", done), core.Served},
-	{strings.Replace(chunked(done), "0\r\n\r\n", "0\r\nX-Trailer: 1\r\n\r\n", 1), core.Served},
-	{chunked(`{"id":"IDENTITY","state":"failed"}`), core.Failed},
-	{chunked(`{"id":"IDENTITY","state":"started"}`, `{"id":"IDENTITY","state":"returned"}`), core.Refused},
-	{chunked(`{"id":"IDENTITY","state":"lost"}`), core.Failed},
-	{"HTTP/1.1 500 Error\r\nContent-Length: 3\r\n\r\nbad", core.Failed},
-	{"HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nX-Backend-Load: {\"x0\":0}\r\nContent-Length: 0\r\n\r\n", core.Refused},
-	{"HTTP/1.1 504 Full\r\nX-Unprocessed: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", core.Refused},
-	{"HTTP/1.1 503 Full\r\nContent-Length: 2\r\n\r\nno", core.Failed},
-	{"HTTP/1.1 404 None\r\nContent-Length: 0\r\n\r\n", core.Failed},
-	{"HTTP/1.1 400 Bad\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", core.Failed},
-	{"", core.Failed},
-	{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n" + hangUp + "\r\n1e\r\n{\"id\":\"IDENTITY\",\"state\":\"started\"}\r\n", core.Failed},
-	{chunked(strings.Replace(done, "IDENTITY", "another1", 1)), core.Failed},
-	{chunked(`{"id":"IDENTITY","state":`), core.Failed},
-	{chunked(`{"id":"IDENTITY","state":"dreaming"}`), core.Failed},
-	{chunked(), core.Failed},
-	{"nonsense\r\n\r\n", core.Failed},
-	{plain + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", core.Failed},
-	{plain + hangUp + "\r\n" + doneText, core.Served},
-	{"HTTP/1.1 100 Continue\r\n\r\n" + plain + "Connection: close\r\n" + hangUp + "\r\n" + doneText + "\n", core.Served},
+	{chunked(done), dispatch.Served},
+	{chunked(`{"id":"IDENTITY","state":"started"}`, `{"id":"IDENTITY","state":"running","share":0.5}`, "", done), dispatch.Served},
+	{strings.Replace(chunked(done), "0\r\n\r\n", "0\r\nX-Trailer: 1\r\n\r\n", 1), dispatch.Served},
+	{chunked(`{"id":"IDENTITY","state":"failed"}`), dispatch.Failed},
+	{chunked(`{"id":"IDENTITY","state":"started"}`, `{"id":"IDENTITY","state":"returned"}`), dispatch.Refused},
+	{chunked(`{"id":"IDENTITY","state":"lost"}`), dispatch.Failed},
+	{"HTTP/1.1 500 Error\r\nContent-Length: 3\r\n\r\nbad", dispatch.Failed},
+	{"HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nX-Backend-Load: {\"x0\":0}\r\nContent-Length: 0\r\n\r\n", dispatch.Refused},
+	{"HTTP/1.1 504 Full\r\nX-Unprocessed: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", dispatch.Refused},
+	{"HTTP/1.1 503 Full\r\nContent-Length: 2\r\n\r\nno", dispatch.Failed},
+	{"HTTP/1.1 404 None\r\nContent-Length: 0\r\n\r\n", dispatch.Failed},
+	{"HTTP/1.1 400 Bad\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", dispatch.Failed},
+	{"", dispatch.Failed},
+	{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n" + hangUp + "\r\n1e\r\n{\"id\":\"IDENTITY\",\"state\":\"started\"}\r\n", dispatch.Failed},
+	{chunked(strings.Replace(done, "IDENTITY", "another1", 1)), dispatch.Failed},
+	{chunked(`{"id":"IDENTITY","state":`), dispatch.Failed},
+	{chunked(`{"id":"IDENTITY","state":"dreaming"}`), dispatch.Failed},
+	{chunked(), dispatch.Failed},
+	{"nonsense\r\n\r\n", dispatch.Failed},
+	{plain + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", dispatch.Failed},
+	{plain + hangUp + "\r\n" + doneText, dispatch.Served},
+	{"HTTP/1.1 100 Continue\r\n\r\n" + plain + "Connection: close\r\n" + hangUp + "\r\n" + doneText + "\n", dispatch.Served},
 }
 
 // judge is a front that keeps what it is told.
-type judge chan core.Answer
+type judge chan dispatch.Answer
 
-func (j judge) Answer(_ uint64, a core.Answer) {
+func (j judge) Answer(_ uint64, a dispatch.Answer) {
 	a.Result = slices.Clone(a.Result)
 	j <- a
 }
@@ -532,9 +533,9 @@
 			s.mu.Unlock()
 			got := make(judge, 2)
 			r.do(func() {
-				r.core.Take(got, 0, core.Job{ID: id, Class: 1, Target: "/renewal/k", Body: []byte("b"), Work: 1e6})
+				r.core.Take(got, 0, dispatch.Job{ID: id, Class: 1, Target: "/renewal/k", Body: []byte("b"), Work: 1e6})
 			})
-			var a core.Answer
+			var a dispatch.Answer
 			select {
 			case a = <-got:
 			case <-time.After(patience):
@@ -544,10 +545,10 @@
 			n := s.arrivals[id]
 			s.mu.Unlock()
 			// A kept connection that has just been closed may cost the req; never a second run.
-			if a.Verdict != x.want && !(closed && a.Verdict == core.Failed && n <= 1) || n > 1 {
+			if a.Verdict != x.want && !(closed && a.Verdict == dispatch.Failed && n <= 1) || n > 1 {
 				t.Fatalf("%q: %v, want %v; arrived %d times", x.script, a.Verdict, x.want, n)
 			}
-			if a.Verdict == core.Served && string(a.Result) != "made" {
+			if a.Verdict == dispatch.Served && string(a.Result) != "made" {
 				t.Fatalf("%q: result %q", x.script, a.Result)
 			}
 		}
@@ -559,7 +560,7 @@
 // backend that answers before that byte never gets it.
 func TestLastByteStaysBack(t *testing.T) {
 	r := newRig(t)
-	ln, err := stdnet.Listen("tcp", "127.0.0.1:0")
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -576,12 +577,12 @@
 	take := func(id string) judge {
 		got := make(judge, 1)
 		r.do(func() {
-			r.core.Take(got, 0, core.Job{ID: id, Class: 1, Target: "/renewal/k", Body: []byte("body"), Work: 1e6})
+			r.core.Take(got, 0, dispatch.Job{ID: id, Class: 1, Target: "/renewal/k", Body: []byte("body"), Work: 1e6})
 		})
 		return got
 	}
-	ln.(*stdnet.TCPListener).SetDeadline(time.Now().Add(patience))
-	next := func() (stdnet.Conn, *bufio.Reader) {
+	ln.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
+	next := func() (net.Conn, *bufio.Reader) {
 		conn, err := ln.Accept()
 		if err != nil {
 			t.Fatal(err)
@@ -589,7 +590,7 @@
 		conn.SetDeadline(time.Now().Add(patience))
 		return conn, bufio.NewReader(conn)
 	}
-	serve := func(conn stdnet.Conn, in *bufio.Reader) {
+	serve := func(conn net.Conn, in *bufio.Reader) {
 		req, err := http.ReadRequest(in)
 		if err != nil {
 			t.Fatal(err)
@@ -602,7 +603,7 @@
 	first := take("id000001")
 	conn, in := next()
 	serve(conn, in)
-	if a := <-first; a.Verdict != core.Served {
+	if a := <-first; a.Verdict != dispatch.Served {
 		t.Fatalf("the first: %v", a.Verdict)
 	}
 	conn.Close() // before its time: from now on they are not trusted
@@ -614,18 +615,18 @@
 	again := take("id000012")
 	conn, in = next()
 	serve(conn, in)
-	if a := <-again; a.Verdict != core.Served {
+	if a := <-again; a.Verdict != dispatch.Served {
 		t.Fatalf("the next: %v", a.Verdict)
 	}
 	second := take("id000002")
 	if _, err := in.ReadByte(); err != nil { // on the kept connection
 		t.Fatal(err)
 	}
-	conn.(*stdnet.TCPConn).SetLinger(0)
+	conn.(*net.TCPConn).SetLinger(0)
 	conn.Close()
 	conn, in = next()
 	serve(conn, in)
-	if a := <-second; a.Verdict != core.Served {
+	if a := <-second; a.Verdict != dispatch.Served {
 		t.Errorf("after a reset on its first byte: %v", a.Verdict)
 	}
 	third := take("id000003")
@@ -633,7 +634,7 @@
 		t.Fatal(err)
 	}
 	io.WriteString(conn, "HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")
-	if a := <-third; a.Verdict != core.Refused {
+	if a := <-third; a.Verdict != dispatch.Refused {
 		t.Errorf("turned away early: %v", a.Verdict)
 	}
 	text, err := io.ReadAll(in)
@@ -646,7 +647,7 @@
 // had no deadline there. One that is answered leaves its connection to an attempt.
 func TestProbes(t *testing.T) {
 	r, s := newRig(t), newStand(t)
-	silent, err := stdnet.Listen("tcp", "127.0.0.1:0")
+	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -685,10 +686,10 @@
 		}
 	}
 	got := make(judge, 1)
-	r.do(func() { r.core.Take(got, 0, core.Job{ID: "id000001", Class: 1, Target: "/renewal/k", Work: 1e6}) })
+	r.do(func() { r.core.Take(got, 0, dispatch.Job{ID: "id000001", Class: 1, Target: "/renewal/k", Work: 1e6}) })
 	select {
 	case a := <-got:
-		if a.Verdict != core.Served {
+		if a.Verdict != dispatch.Served {
 			t.Errorf("after the probe: %v", a.Verdict)
 		}
 	case <-time.After(patience):
@@ -711,7 +712,7 @@
 	}
 	f.Add([]byte("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n7fffffff\r\n"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if len(b) > net.BufferSize {
+		if len(b) > transport.BufferSize {
 			return
 		}
 		var m message
@@ -759,12 +760,12 @@
 	var front *Front
 	r.do(func() {
 		r.core.Listen(echo{r.core})
-		r.core.List(echo{r.core}, hollyyoke.ListComplete, []hollyyoke.Entry{{Worker: "w"}})
+		r.core.List(echo{r.core}, decision.ListComplete, []decision.Entry{{Worker: "w"}})
 		front = NewFront(r.core, r.engine, 64<<20, func() bool { return true })
 		addr, _ = front.Listen("127.0.0.1:0", 200)
 	})
 	type peer struct {
-		stdnet.Conn
+		net.Conn
 		in   *bufio.Reader
 		half string // what is left to send of the request at hand
 	}
@@ -798,7 +799,7 @@
 			}
 			switch op := b % 8; {
 			case op == 0 && p == nil:
-				conn, err := stdnet.Dial("tcp", addr)
+				conn, err := net.Dial("tcp", addr)
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/platform/relaycall.go
+++ b/internal/platform/relaycall.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"io"
 
-	"hollyyoke.example/hollyyoke/internal/net"
+	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
 // This file owns the answers of a server of changes: a reader that takes them
@@ -34,7 +34,7 @@
 
 // answerReader takes one answer apart, whatever pieces it comes in.
 type answerReader struct {
-	in      *net.Buffer
+	in      *transport.Buffer
 	seen    int  // bytes of it that hold no end of the head
 	headed  bool // the head has come
 	gzipped bool
@@ -46,14 +46,14 @@
 }
 
 // reset makes the reader ready for the next answer.
-func (r *answerReader) reset(pool *net.Pool) {
+func (r *answerReader) reset(pool *transport.Pool) {
 	pool.Put(r.in)
 	*r = answerReader{}
 }
 
 // feed takes in what has come and calls body with each piece of the answer's
 // body, which is valid during the call. ended tells that the answer is over.
-func (r *answerReader) feed(pool *net.Pool, data []byte, body func(piece []byte) error) (ended bool, err error) {
+func (r *answerReader) feed(pool *transport.Pool, data []byte, body func(piece []byte) error) (ended bool, err error) {
 	if r.in == nil {
 		r.in = pool.Get()
 	}
--- a/internal/platform/relaylink.go
+++ b/internal/platform/relaylink.go
@@ -4,8 +4,8 @@
 	"errors"
 	"time"
 
-	"hollyyoke.example/hollyyoke/internal/core"
-	"hollyyoke.example/hollyyoke/internal/net"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
+	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
 // This file owns a connection to a server of changes, which carries one call at
@@ -33,13 +33,13 @@
 	body      func(piece []byte) error // takes a piece of the answer's body
 	done      func(err error)          // the answer has ended, or never will
 
-	conn    *net.Conn
+	conn    *transport.Conn
 	turn    int // counts the connections, so that what a former one brings is passed over
 	request []byte
 	waiting bool // for an answer, or for the rest of it
 	kept    bool // the connection has carried an answer before: it may be dead unseen
 	answer  answerReader
-	due     core.Deadline
+	due     eventloop.Deadline
 
 	extended bool // due has been put off for bytes on their way
 }
@@ -64,14 +64,14 @@
 	l.kept = false
 	l.due.Fire = l.expire
 	l.set.core.Loop.Set(&l.due, l.set.core.Loop.Now()+linkConnect+linkSilence)
-	l.set.engine.DialReserved(l.addr, linkConnect, l, func(c *net.Conn, err error) {
+	l.set.engine.DialReserved(l.addr, linkConnect, l, func(c *transport.Conn, err error) {
 		switch {
 		case turn != l.turn:
 			if c != nil {
 				c.Close()
 			}
 		case err != nil:
-			if errors.Is(err, net.ErrFull) {
+			if errors.Is(err, transport.ErrFull) {
 				l.set.shed()
 			}
 			l.finish(err)
@@ -110,7 +110,7 @@
 }
 
 // Data takes in what the server sent.
-func (l *link) Data(c *net.Conn, b *net.Buffer) {
+func (l *link) Data(c *transport.Conn, b *transport.Buffer) {
 	defer l.set.engine.Pool.Put(b)
 	if c != l.conn {
 		return
@@ -131,7 +131,7 @@
 }
 
 // Closed is told that the server has closed, or the connection broke.
-func (l *link) Closed(c *net.Conn, _ error) {
+func (l *link) Closed(c *transport.Conn, _ error) {
 	if c == l.conn {
 		l.broken(errEndedLink)
 	}
--- a/internal/platform/relaywatch.go
+++ b/internal/platform/relaywatch.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"hollyyoke.example/hollyyoke/internal/core"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
 	"hollyyoke.example/hollyyoke/internal/membership"
 )
 
@@ -65,17 +65,17 @@
 	refused  membership.Version // the newest that was refused
 	settings map[string]json.RawMessage
 
-	current *subscription   // in use; nil: none
-	trials  []*subscription // that may come into use
-	former  string          // the server in use last
-	mute    bool            // the present outage has had its line in the log
-	attempt core.Deadline   // when the next attempt may begin
+	current *subscription      // in use; nil: none
+	trials  []*subscription    // that may come into use
+	former  string             // the server in use last
+	mute    bool               // the present outage has had its line in the log
+	attempt eventloop.Deadline // when the next attempt may begin
 
 	acknowledged membership.Version // that the server in use was told last
 	calledAt     time.Duration      // when it was told
 	ackPending   bool               // the next call has its time because of a change
 	repairedAt   time.Duration      // when what may be missing was asked for last
-	ack          core.Deadline
+	ack          eventloop.Deadline
 }
 
 // Follow makes the dispatcher follow versioned changes in place of the discovery
--- a/internal/platform/relaywatch_test.go
+++ b/internal/platform/relaywatch_test.go
@@ -8,7 +8,7 @@
 	"errors"
 	"fmt"
 	"io"
-	stdnet "net"
+	"net"
 	"net/http"
 	"os"
 	"slices"
@@ -18,7 +18,7 @@
 	"testing/iotest"
 	"time"
 
-	"hollyyoke.example/hollyyoke"
+	"hollyyoke.example/hollyyoke/decision"
 	"hollyyoke.example/hollyyoke/internal/membership"
 )
 
@@ -29,16 +29,16 @@
 type server struct {
 	t    *testing.T
 	addr string
-	ln   stdnet.Listener
+	ln   net.Listener
 	came chan request
 
 	mu    sync.Mutex
-	conns []stdnet.Conn
+	conns []net.Conn
 }
 
 // request is one call that has come.
 type request struct {
-	stdnet.Conn
+	net.Conn
 	query string
 	gzip  bool
 }
@@ -49,7 +49,7 @@
 
 func newServer(t *testing.T) *server {
 	t.Helper()
-	ln, err := stdnet.Listen("tcp", serverHost+":0")
+	ln, err := net.Listen("tcp", serverHost+":0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,7 +59,7 @@
 	return s
 }
 
-func (s *server) accept(ln stdnet.Listener) {
+func (s *server) accept(ln net.Listener) {
 	for {
 		conn, err := ln.Accept()
 		if err != nil {
@@ -72,7 +72,7 @@
 	}
 }
 
-func (s *server) serve(conn stdnet.Conn) {
+func (s *server) serve(conn net.Conn) {
 	in := bufio.NewReader(conn)
 	for {
 		r, err := http.ReadRequest(in)
@@ -89,7 +89,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, conn := range s.conns {
-		conn.(*stdnet.TCPConn).SetLinger(0)
+		conn.(*net.TCPConn).SetLinger(0)
 		conn.Close()
 	}
 }
@@ -97,7 +97,7 @@
 // revive listens again on the same address.
 func (s *server) revive() {
 	s.t.Helper()
-	ln, err := stdnet.Listen("tcp", s.addr)
+	ln, err := net.Listen("tcp", s.addr)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -169,7 +169,7 @@
 // and the last ones, as many as are far, as those of another.
 func follow(t *testing.T, far int, servers ...*server) *subject {
 	t.Helper()
-	s := &subject{rig: newRig(t, func(s *hollyyoke.Settings) { s.DrainGrace = 500 * time.Millisecond }), t: t}
+	s := &subject{rig: newRig(t, func(s *decision.Settings) { s.DrainGrace = 500 * time.Millisecond }), t: t}
 	s.do(func() {
 		s.core.Log = func(text string) {
 			s.mu.Lock()
@@ -215,7 +215,7 @@
 	var list []string
 	s.do(func() {
 		for name, b := range s.backends.hosts {
-			health := map[hollyyoke.WorkerState]string{hollyyoke.Running: "ready", hollyyoke.Stopping: "draining"}[b.state]
+			health := map[decision.WorkerState]string{decision.Running: "ready", decision.Stopping: "draining"}[b.state]
 			list = append(list, name+"="+health)
 		}
 	})
@@ -689,7 +689,7 @@
 	until(t, "the drain's bytes are taken in", func() (taken bool) {
 		s.do(func() {
 			taken = s.backends.control.BytesRead > before
-			if state := s.backends.hosts["a"].state; taken && state != hollyyoke.Stopping {
+			if state := s.backends.hosts["a"].state; taken && state != decision.Stopping {
 				t.Errorf("the turn behind the bytes sees %v", state)
 			}
 		})
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -7,10 +7,10 @@
 	"strconv"
 	"time"
 
-	"hollyyoke.example/hollyyoke"
-	"hollyyoke.example/hollyyoke/internal/core"
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
 	"hollyyoke.example/hollyyoke/internal/freshness"
-	"hollyyoke.example/hollyyoke/internal/net"
+	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
 // This file owns the discovery watch: the one open call, its timeouts, and the
@@ -56,24 +56,24 @@
 	seq        int64
 	generation int  // counts the calls, so that what an earlier one brings is ignored
 	out        bool // a call is out
-	conn       *net.Conn
-	in         *net.Buffer
+	conn       *transport.Conn
+	in         *transport.Buffer
 	text       objects
 	seen       int  // bytes of in that hold no end of the head
 	ok         bool // the head of the answer has come
 	live       bool // and its first line
 	mute       bool // an agent that does not answer: the log tells so
 	chunk      chunks
-	due        core.Deadline // of the present call, or of the next line
-	extended   bool          // due has been put off for bytes on their way
-	limit      time.Duration // due at the latest
+	due        eventloop.Deadline // of the present call, or of the next line
+	extended   bool               // due has been put off for bytes on their way
+	limit      time.Duration      // due at the latest
 
 	random       *rand.Rand
-	lastContact  time.Duration // when the latest call began or the latest line came
-	notBefore    time.Duration // the earliest time of the next call, after one that failed
-	next         core.Deadline // of the next call
-	nextAt       time.Duration // when that is; 0: not set
-	awaitsModule bool          // the module was told of a failure and has not subscribed since
+	lastContact  time.Duration      // when the latest call began or the latest line came
+	notBefore    time.Duration      // the earliest time of the next call, after one that failed
+	next         eventloop.Deadline // of the next call
+	nextAt       time.Duration      // when that is; 0: not set
+	awaitsModule bool               // the module was told of a failure and has not subscribed since
 }
 
 const (
@@ -180,7 +180,7 @@
 	connect, call := w.timeouts()
 	w.limit = w.lastContact + call
 	loop.Set(&w.due, w.limit)
-	w.set.engine.DialReserved(w.addr, connect, w, func(c *net.Conn, err error) {
+	w.set.engine.DialReserved(w.addr, connect, w, func(c *transport.Conn, err error) {
 		switch {
 		case generation != w.generation:
 			if c != nil {
@@ -245,19 +245,19 @@
 func (w *watch) tellModule() {
 	if !w.awaitsModule {
 		w.awaitsModule = true
-		w.set.core.List(w.set, hollyyoke.ListError, nil)
+		w.set.core.List(w.set, decision.ListError, nil)
 	}
 }
 
 // Closed is told that discovery ended the call.
-func (w *watch) Closed(c *net.Conn, _ error) {
+func (w *watch) Closed(c *transport.Conn, _ error) {
 	if c == w.conn {
 		w.fail(errWatchEnded)
 	}
 }
 
 // Data takes in what discovery sent.
-func (w *watch) Data(c *net.Conn, b *net.Buffer) {
+func (w *watch) Data(c *transport.Conn, b *transport.Buffer) {
 	if c != w.conn {
 		w.set.engine.Pool.Put(b)
 		return
@@ -366,7 +366,7 @@
 	}
 	if len(text) == 0 {
 		if first { // nothing has changed; but the call did not fail, and the module waits for word of it
-			w.set.core.List(w.set, hollyyoke.ListChanges, nil)
+			w.set.core.List(w.set, decision.ListChanges, nil)
 		}
 		return nil
 	}
@@ -379,9 +379,9 @@
 		return err
 	}
 	w.set.core.Step("", "discovery's version", "version", list.Seq, "after", w.seq, "snapshot", list.Whole, "entries", len(entries))
-	kind := hollyyoke.ListChanges
+	kind := decision.ListChanges
 	if list.Whole {
-		kind = hollyyoke.ListComplete
+		kind = decision.ListComplete
 		w.set.onlyThese(entries)
 	}
 	w.seq = list.Seq
--- a/internal/rehearsal/capacity/capacity_test.go
+++ b/internal/rehearsal/capacity/capacity_test.go
@@ -35,7 +35,7 @@
 	}
 	m := a.Mechanisms
 	for _, name := range []string{m.Membership, m.Decisions, m.Resume, m.Configuration, m.Relays, m.Acknowledgement} {
-		if name == missing || name == "hollyyoke" { // the module at the root
+		if name == missing {
 			continue
 		}
 		if info, err := os.Stat(filepath.Join("../../..", name)); err != nil || !info.IsDir() {
--- a/internal/rehearsal/capacity/module.go
+++ b/internal/rehearsal/capacity/module.go
@@ -5,7 +5,7 @@
 	"runtime"
 	"time"
 
-	"hollyyoke.example/hollyyoke"
+	"hollyyoke.example/hollyyoke/decision"
 	"hollyyoke.example/hollyyoke/internal/settings"
 )
 
@@ -37,17 +37,17 @@
 
 // module is a dispatcher's decisions with the smallest driver that keeps them going.
 type module struct {
-	*hollyyoke.Dispatcher
+	*decision.Dispatcher
 	now     time.Duration
 	due     time.Duration // of the sweep; 0: none is asked for
 	sweep   uint64        // its token
 	next    uint64        // the next request
-	actions []hollyyoke.Action
+	actions []decision.Action
 }
 
 // entry is a worker as the module takes it in.
-func entry(i int) hollyyoke.Entry {
-	return hollyyoke.Entry{Worker: workerName(i), Zone: i % Zones, Cell: i / cellWorkers, State: hollyyoke.Running, Weight: 1}
+func entry(i int) decision.Entry {
+	return decision.Entry{Worker: workerName(i), Zone: i % Zones, Cell: i / cellWorkers, State: decision.Running, Weight: 1}
 }
 
 // newModule starts a dispatcher with so many listed workers, one in cold of them
@@ -61,27 +61,27 @@
 	if err != nil {
 		return nil, err
 	}
-	d, err := hollyyoke.New(s, 1)
+	d, err := decision.New(s, 1)
 	if err != nil {
 		return nil, err
 	}
 	m := &module{Dispatcher: d, now: startOfPlay}
-	entries := make([]hollyyoke.Entry, workers)
+	entries := make([]decision.Entry, workers)
 	for i := range entries {
 		entries[i] = entry(i)
 		if cold > 0 && i%cold == 0 {
 			entries[i].LastStart = startOfPlay
 		}
 	}
-	m.handle(hollyyoke.Event{Kind: hollyyoke.WorkerList, List: hollyyoke.ListComplete, Entries: entries})
+	m.handle(decision.Event{Kind: decision.WorkerList, List: decision.ListComplete, Entries: entries})
 	return m, nil
 }
 
 // handle gives the module an event and keeps the timer of the sweep.
-func (m *module) handle(ev hollyyoke.Event) {
+func (m *module) handle(ev decision.Event) {
 	m.actions = m.Handle(m.now, ev, m.actions[:0])
 	for _, a := range m.actions {
-		if a.Kind == hollyyoke.SetTimer && a.Timer == moduleTimer {
+		if a.Kind == decision.SetTimer && a.Timer == moduleTimer {
 			m.due, m.sweep = m.now+a.Delay, a.Timer
 		}
 	}
@@ -91,22 +91,22 @@
 func (m *module) pass(span time.Duration) {
 	if m.now += span; m.due > 0 && m.now >= m.due {
 		m.due = 0
-		m.handle(hollyyoke.Event{Kind: hollyyoke.TimerDue, Timer: m.sweep})
+		m.handle(decision.Event{Kind: decision.TimerDue, Timer: m.sweep})
 	}
 }
 
 // arrive is one request; it returns how long the decision took and the worker.
 func (m *module) arrive(tenant int, left time.Duration) (spent time.Duration, worker string) {
 	m.next++
-	ev := hollyyoke.Event{Kind: hollyyoke.Arrival, Request: m.next, Tenant: tenant, Slots: 1, Work: taskTime, Left: left}
+	ev := decision.Event{Kind: decision.Arrival, Request: m.next, Tenant: tenant, Slots: 1, Work: taskTime, Left: left}
 	began := time.Now()
 	m.actions = m.Handle(m.now, ev, m.actions[:0])
 	spent = time.Since(began)
 	for _, a := range m.actions {
 		switch {
-		case a.Kind == hollyyoke.Assign:
+		case a.Kind == decision.Assign:
 			worker = a.Worker
-		case a.Kind == hollyyoke.SetTimer && a.Timer == moduleTimer:
+		case a.Kind == decision.SetTimer && a.Timer == moduleTimer:
 			m.due, m.sweep = m.now+a.Delay, a.Timer
 		}
 	}
@@ -125,7 +125,7 @@
 			return 0, 0, fmt.Errorf("request %d of %d was given to no worker", i+1, count)
 		}
 		m.pass(taskTime)
-		m.handle(hollyyoke.Event{Kind: hollyyoke.Response, Request: m.next, Worker: worker, Outcome: hollyyoke.Completed, Settled: true})
+		m.handle(decision.Event{Kind: decision.Response, Request: m.next, Worker: worker, Outcome: decision.Completed, Settled: true})
 		m.pass(arrivalGap - taskTime)
 	}
 	return mean, Median(times), nil
@@ -137,9 +137,9 @@
 	for i := range count {
 		e := entry(i / 2 % workers)
 		if i%2 == 0 {
-			e.State = hollyyoke.Stopping
+			e.State = decision.Stopping
 		}
-		m.handle(hollyyoke.Event{Kind: hollyyoke.WorkerList, List: hollyyoke.ListChanges, Entries: []hollyyoke.Entry{e}})
+		m.handle(decision.Event{Kind: decision.WorkerList, List: decision.ListChanges, Entries: []decision.Entry{e}})
 	}
 	return time.Since(began) / time.Duration(count)
 }
@@ -214,7 +214,7 @@
 	const sweeps = 20
 	began := time.Now()
 	for range sweeps {
-		m.handle(hollyyoke.Event{Kind: hollyyoke.TimerDue, Timer: m.sweep})
+		m.handle(decision.Event{Kind: decision.TimerDue, Timer: m.sweep})
 	}
 	s.add(ModuleSweep, UnitSeconds, AxisTasks, held, time.Since(began).Seconds()/sweeps)
 	runtime.KeepAlive(m)
--- a/internal/rehearsal/sysfault/sockets.go
+++ b/internal/rehearsal/faultinject/sockets.go
@@ -1,6 +1,6 @@
 //go:build linux && amd64
 
-package sysfault
+package faultinject
 
 import (
 	"golang.org/x/sys/unix"
--- a/internal/rehearsal/sysfault/sysfault.go
+++ b/internal/rehearsal/faultinject/sysfault.go
@@ -4,7 +4,7 @@
 // short or tell another wall clock, as a seeded plan says. It owns the traced
 // process and its threads. It must never trace a process that it did not start,
 // nor make a call fail in a way that Linux does not document for it.
-package sysfault
+package faultinject
 
 import (
 	"fmt"
--- a/internal/rehearsal/sysfault/sysfault_test.go
+++ b/internal/rehearsal/faultinject/sysfault_test.go
@@ -1,6 +1,6 @@
 //go:build linux && amd64
 
-package sysfault
+package faultinject
 
 import (
 	"fmt"
--- a/internal/rehearsal/hostile/hostile.go
+++ b/internal/rehearsal/hostileload/hostile.go
@@ -2,7 +2,7 @@
 // addresses: kiosks that hold connections and say nothing, send a byte now and
 // then, ask without end, or come and go. What each does comes from a seed. It
 // must never reach beyond loopback, nor go on after its time.
-package hostile
+package hostileload
 
 import (
 	"context"
--- a/internal/rehearsal/scale/driver.go
+++ b/internal/rehearsal/scale/driver.go
@@ -5,8 +5,9 @@
 	"strconv"
 	"time"
 
-	"hollyyoke.example/hollyyoke"
-	"hollyyoke.example/hollyyoke/internal/core"
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/dispatch"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
 )
 
 // This file owns the requests that a hollow dispatcher is asked for and the
@@ -15,19 +16,19 @@
 
 // driver hands requests to one dispatcher, open loop.
 type driver struct {
-	core    *core.Core
+	core    *dispatch.Core
 	traffic Traffic
 	random  *rand.Rand
 	count   func(more trafficCounts)
-	due     core.Deadline
+	due     eventloop.Deadline
 	next    time.Duration
 	told    time.Duration
-	before  core.Counts
+	before  dispatch.Counts
 	busy    time.Duration
 	number  uint64
 }
 
-func newDriver(c *core.Core, traffic Traffic, random *rand.Rand, count func(trafficCounts)) *driver {
+func newDriver(c *dispatch.Core, traffic Traffic, random *rand.Rand, count func(trafficCounts)) *driver {
 	d := &driver{core: c, traffic: traffic, random: random, count: count}
 	d.due.Fire = d.arrive
 	c.Through = &hollowCarrier{core: c, running: map[uint64]*hollowJob{}}
@@ -63,7 +64,7 @@
 func (d *driver) take() {
 	d.number++
 	work := time.Duration(d.traffic.WorkMs * d.random.ExpFloat64() * float64(time.Millisecond))
-	d.core.Take(d, d.number, core.Job{
+	d.core.Take(d, d.number, dispatch.Job{
 		ID:    strconv.FormatUint(d.number, 36),
 		Class: int(d.number % 2),
 		Key:   strconv.FormatUint(d.random.Uint64N(10_000), 36),
@@ -73,7 +74,7 @@
 }
 
 // Answer is told of each final answer; the core counts them.
-func (d *driver) Answer(uint64, core.Answer) {}
+func (d *driver) Answer(uint64, dispatch.Answer) {}
 
 func (d *driver) tell() {
 	now, before := d.core.Counts(), d.before
@@ -85,7 +86,7 @@
 // hollowCarrier takes attempts to workers that are not there: each starts at
 // once, takes as long as its work says and reports the worker's load.
 type hollowCarrier struct {
-	core    *core.Core
+	core    *dispatch.Core
 	running map[uint64]*hollowJob
 	busy    map[string]int // jobs of this dispatcher at each worker
 }
@@ -93,11 +94,11 @@
 // hollowJob is one attempt under way.
 type hollowJob struct {
 	worker string
-	due    core.Deadline
+	due    eventloop.Deadline
 }
 
 // Start begins with an attempt.
-func (h *hollowCarrier) Start(a core.Attempt) {
+func (h *hollowCarrier) Start(a dispatch.Attempt) {
 	if h.busy == nil {
 		h.busy = map[string]int{}
 	}
@@ -116,7 +117,7 @@
 func (h *hollowCarrier) end(handle uint64, job *hollowJob) {
 	h.drop(handle, job)
 	free := float64(machineSlots - h.busy[job.worker])
-	h.core.Ended(handle, hollyyoke.Completed, hollyyoke.Load{FreeSlots: max(free, 0), HasFreeSlots: true}, nil)
+	h.core.Ended(handle, decision.Completed, decision.Load{FreeSlots: max(free, 0), HasFreeSlots: true}, nil)
 }
 
 func (h *hollowCarrier) drop(handle uint64, job *hollowJob) {
@@ -142,7 +143,7 @@
 func (h *hollowCarrier) Probe(worker string) {
 	free := float64(machineSlots - h.busy[worker])
 	h.core.Loop.Post(func() {
-		h.core.Probed(worker, hollyyoke.Completed, hollyyoke.Load{FreeSlots: max(free, 0), HasFreeSlots: true})
+		h.core.Probed(worker, decision.Completed, decision.Load{FreeSlots: max(free, 0), HasFreeSlots: true})
 	})
 }
 
--- a/internal/rehearsal/scale/hollow.go
+++ b/internal/rehearsal/scale/hollow.go
@@ -12,11 +12,12 @@
 	"sync"
 	"time"
 
-	"hollyyoke.example/hollyyoke/internal/core"
+	"hollyyoke.example/hollyyoke/internal/dispatch"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
 	"hollyyoke.example/hollyyoke/internal/membership"
-	"hollyyoke.example/hollyyoke/internal/net"
 	"hollyyoke.example/hollyyoke/internal/platform"
 	"hollyyoke.example/hollyyoke/internal/settings"
+	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
 // This file owns the process that holds hollow dispatchers. Each has the real
@@ -94,7 +95,7 @@
 // hollowProcess is the process at work.
 type hollowProcess struct {
 	config   hollowConfig
-	loop     *core.Loop
+	loop     *eventloop.Loop
 	news     chan struct{} // there is something to report
 	backends []*platform.Backends
 	lists    int64 // belongs to the loop's goroutine, as entries
@@ -117,7 +118,7 @@
 	if err != nil {
 		return err
 	}
-	p := &hollowProcess{loop: core.NewLoop(), out: json.NewEncoder(out), news: make(chan struct{}, 1)}
+	p := &hollowProcess{loop: eventloop.NewLoop(), out: json.NewEncoder(out), news: make(chan struct{}, 1)}
 	if err := json.Unmarshal(line, &p.config); err != nil {
 		return err
 	}
@@ -150,13 +151,13 @@
 	if err != nil {
 		return err
 	}
-	engine, err := net.NewEngine(p.loop, hollowDescriptors)
+	engine, err := transport.NewEngine(p.loop, hollowDescriptors)
 	if err != nil {
 		return err
 	}
 	for i, d := range p.config.Dispatchers {
 		seed := p.config.Seed + uint64(i)
-		c, err := core.New(p.loop, told, seed)
+		c, err := dispatch.New(p.loop, told, seed)
 		if err != nil {
 			return err
 		}
@@ -166,7 +167,7 @@
 }
 
 // open opens one dispatcher, on the loop's goroutine.
-func (p *hollowProcess) open(i int, d hollowDispatcher, c *core.Core, engine *net.Engine, seed uint64) {
+func (p *hollowProcess) open(i int, d hollowDispatcher, c *dispatch.Core, engine *transport.Engine, seed uint64) {
 	backends := platform.NewBackends(c, engine, d.Discovery)
 	if len(d.Servers) > 0 {
 		backends.Applied = func(v membership.Version) { p.note(i, int64(v)) }
--- a/internal/rehearsal/emulator/emulator.go
+++ b/internal/rehearsal/simulator/emulator.go
@@ -3,7 +3,7 @@
 // seed, and nothing waits for a clock. It must never read the system's clock,
 // depend on a map's order, nor run any part of itself on another goroutine: the
 // same scenario and seed give the same events, byte for byte.
-package emulator
+package simulator
 
 import (
 	"cmp"
@@ -18,8 +18,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"hollyyoke.example/hollyyoke"
-	"hollyyoke.example/hollyyoke/internal/core"
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/dispatch"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
 )
 
 // This file owns the virtual day: its clock and events, the dispatchers with
@@ -84,7 +85,7 @@
 type Sim struct {
 	clock
 	sc          Scenario
-	settings    hollyyoke.Settings
+	settings    decision.Settings
 	seed        uint64
 	dispatchers []*dispatcher
 	workers     []*worker
@@ -112,7 +113,7 @@
 	class   int
 	work    time.Duration
 	came    time.Duration
-	verdict core.Verdict
+	verdict dispatch.Verdict
 	ended   time.Duration // 0: it has no answer
 	left    int           // tries
 }
@@ -123,8 +124,8 @@
 	sim      *Sim
 	number   int
 	zone     int
-	loop     *core.Loop
-	core     *core.Core
+	loop     *eventloop.Loop
+	core     *dispatch.Core
 	armed    time.Duration // when its next turn is set; 0: none is
 	tokens   map[uint64]*request
 	token    uint64
@@ -132,9 +133,9 @@
 	watch    bool
 	told     map[string]word // what discovery has told of each worker
 
-	down     bool              // its process was killed
-	restarts int               // processes it has had before this one
-	kept     []hollyyoke.Entry // the list for its next process
+	down     bool             // its process was killed
+	restarts int              // processes it has had before this one
+	kept     []decision.Entry // the list for its next process
 }
 
 // word is what a dispatcher has been told of a worker.
@@ -160,7 +161,7 @@
 		}
 		s.dispatchers = append(s.dispatchers, d)
 		s.after(0, func() {
-			d.list(hollyyoke.ListPersisted, s.entries())
+			d.list(decision.ListPersisted, s.entries())
 		})
 		d.arrivals()
 	}
@@ -175,8 +176,8 @@
 	s := d.sim
 	settings := s.settings
 	settings.Zone = d.zone
-	d.loop = core.NewVirtual(func() time.Duration { return s.now })
-	c, err := core.New(d.loop, settings, seed)
+	d.loop = eventloop.NewVirtual(func() time.Duration { return s.now })
+	c, err := dispatch.New(d.loop, settings, seed)
 	if err != nil {
 		return err
 	}
@@ -192,13 +193,13 @@
 	s.tell(d.number, "killed", "")
 	d.down, d.watch, d.armed = true, false, 0
 	for _, r := range d.tokens {
-		r.verdict, r.ended = core.Failed, s.now
+		r.verdict, r.ended = dispatch.Failed, s.now
 	}
 	clear(d.tokens)
 	clear(d.attempts)
 	for _, e := range s.entries() { // the list that it keeps is the one it was told last
 		if told, ok := d.told[e.Worker]; ok && told.left == 0 {
-			e.State, e.LastStart = hollyyoke.Running, told.started
+			e.State, e.LastStart = decision.Running, told.started
 			d.kept = append(d.kept, e)
 		}
 	}
@@ -214,7 +215,7 @@
 		return
 	}
 	d.down = false
-	d.list(hollyyoke.ListPersisted, d.kept)
+	d.list(decision.ListPersisted, d.kept)
 	d.kept = nil
 }
 
@@ -306,7 +307,7 @@
 		return
 	}
 	if d.down { // nobody listens
-		r.verdict, r.ended = core.Failed, s.now
+		r.verdict, r.ended = dispatch.Failed, s.now
 		return
 	}
 	d.token++
@@ -319,12 +320,12 @@
 	if s.sc.Load.NoHints {
 		hint = 0
 	}
-	d.core.Take(d, d.token, core.Job{ID: id, Class: r.class, Key: r.id, Work: hint, Left: left, Since: s.now, Retry: r.left+1 < s.sc.Load.Tries})
+	d.core.Take(d, d.token, dispatch.Job{ID: id, Class: r.class, Key: r.id, Work: hint, Left: left, Since: s.now, Retry: r.left+1 < s.sc.Load.Tries})
 	d.arm()
 }
 
 // Answer is told the final answer. A refused client comes back when it is told to, while it has tries and time left.
-func (d *dispatcher) Answer(token uint64, a core.Answer) {
+func (d *dispatcher) Answer(token uint64, a dispatch.Answer) {
 	s := d.sim
 	r := d.tokens[token]
 	if r == nil {
@@ -332,7 +333,7 @@
 		return
 	}
 	delete(d.tokens, token)
-	if a.Verdict == core.Refused && r.left > 0 && s.now+a.RetryAfter < r.came+s.settings.Classes[r.class].Deadline {
+	if a.Verdict == dispatch.Refused && r.left > 0 && s.now+a.RetryAfter < r.came+s.settings.Classes[r.class].Deadline {
 		s.after(max(a.RetryAfter, 10*time.Millisecond), func() { d.ask(r) })
 		return
 	}
@@ -341,7 +342,7 @@
 
 // ---- The carrier.
 
-func (s *Sim) entries() (list []hollyyoke.Entry) {
+func (s *Sim) entries() (list []decision.Entry) {
 	for _, w := range s.workers {
 		list = append(list, w.entry())
 	}
@@ -357,17 +358,17 @@
 	s := d.sim
 	s.after(seconds(s.sc.Discovery.LagMs/1000), func() {
 		if !d.down {
-			d.list(hollyyoke.ListComplete, s.entries())
+			d.list(decision.ListComplete, s.entries())
 		}
 	})
 }
 
 // list brings word of workers.
-func (d *dispatcher) list(kind hollyyoke.ListKind, entries []hollyyoke.Entry) {
+func (d *dispatcher) list(kind decision.ListKind, entries []decision.Entry) {
 	for _, e := range entries {
 		was := d.told[e.Worker]
 		now := word{started: e.LastStart}
-		if e.State != hollyyoke.Running {
+		if e.State != decision.Running {
 			now.left = cmp.Or(was.left, d.sim.now)
 		}
 		d.told[e.Worker] = now
@@ -383,7 +384,7 @@
 		if d.watch {
 			s.after(seconds(s.sc.Discovery.LagMs/1000), func() {
 				if !d.down {
-					d.list(hollyyoke.ListChanges, []hollyyoke.Entry{entry})
+					d.list(decision.ListChanges, []decision.Entry{entry})
 				}
 			})
 		}
@@ -391,7 +392,7 @@
 }
 
 // Start sends an attempt to its worker.
-func (d *dispatcher) Start(f core.Attempt) {
+func (d *dispatcher) Start(f dispatch.Attempt) {
 	s, w := d.sim, d.sim.byName[f.Backend]
 	if left := d.told[f.Backend].left; left > 0 && s.now > left+s.settings.DrainGrace+slack {
 		s.wrong("dispatcher %d sent %s to %s, %v after it was told that it drains or is gone", d.number, f.Job.ID, f.Backend, s.now-left)
@@ -414,7 +415,7 @@
 }
 
 // over ends an attempt as its dispatcher hears it.
-func (j *job) over(w *worker, o hollyyoke.Outcome) {
+func (j *job) over(w *worker, o decision.Outcome) {
 	load := w.load()
 	j.back(w, func(d *dispatcher) {
 		delete(d.attempts, j.handle)
@@ -444,9 +445,9 @@
 func (d *dispatcher) Probe(backend string) {
 	s, w := d.sim, d.sim.byName[backend]
 	s.after(s.delay(d.zone, w.zone), func() {
-		o, load := hollyyoke.Completed, w.load()
+		o, load := decision.Completed, w.load()
 		if w.down {
-			o = hollyyoke.RefusedConn
+			o = decision.RefusedConn
 		}
 		s.after(s.delay(d.zone, w.zone), func() {
 			if !d.down {
@@ -504,9 +505,9 @@
 			switch {
 			case q.ended == 0:
 				k.Unanswered++
-			case q.verdict == core.Refused:
+			case q.verdict == dispatch.Refused:
 				k.Refused++
-			case q.verdict == core.Failed:
+			case q.verdict == dispatch.Failed:
 				k.Failed++
 			case took <= c.Aim+time.Duration(c.Stretch*float64(q.work)):
 				k.InAim++
@@ -515,7 +516,7 @@
 				k.Late++
 				worth += c.Worth * c.LateWorth
 			}
-			if q.ended > 0 && q.verdict == core.Served {
+			if q.ended > 0 && q.verdict == dispatch.Served {
 				times = append(times, took)
 			}
 		}
@@ -551,7 +552,7 @@
 	for _, w := range s.workers {
 		for _, run := range w.books {
 			r.Executed++
-			if ran[run.id]++; ran[run.id] == 2 && s.settings.Classes[run.class].Repeat == hollyyoke.Fragile {
+			if ran[run.id]++; ran[run.id] == 2 && s.settings.Classes[run.class].Repeat == decision.Fragile {
 				s.wrong("%s ran twice, the second time on %s at %.6f s", run.id, w.name, (run.at - epoch).Seconds())
 			}
 		}
--- a/internal/rehearsal/emulator/emulator_test.go
+++ b/internal/rehearsal/simulator/emulator_test.go
@@ -1,4 +1,4 @@
-package emulator
+package simulator
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"hollyyoke.example/hollyyoke/internal/core"
+	"hollyyoke.example/hollyyoke/internal/dispatch"
 )
 
 func scenario(t testing.TB, name string) Scenario {
@@ -211,7 +211,7 @@
 	sc.LengthS = 5
 	for name, spoil := range map[string]func(s *Sim){
 		"an answer to a request that has one": func(s *Sim) {
-			s.at(epoch+2*time.Second, func() { s.dispatchers[0].Answer(1, core.Answer{}); s.dispatchers[0].Answer(1, core.Answer{}) })
+			s.at(epoch+2*time.Second, func() { s.dispatchers[0].Answer(1, dispatch.Answer{}); s.dispatchers[0].Answer(1, dispatch.Answer{}) })
 		},
 		"ran twice": func(s *Sim) {
 			s.at(epoch+4*time.Second, func() {
@@ -229,13 +229,15 @@
 			s.at(epoch+4*time.Second, func() {
 				d := s.dispatchers[0]
 				d.told["w1"] = word{left: s.now - s.settings.DrainGrace - slack}
-				d.Start(core.Attempt{Handle: 1 << 40, Backend: "w1", Job: &core.Job{ID: "in time", Work: time.Millisecond}})
+				d.Start(dispatch.Attempt{Handle: 1 << 40, Backend: "w1", Job: &dispatch.Job{ID: "in time", Work: time.Millisecond}})
 				d.told["w1"] = word{left: s.now - s.settings.DrainGrace - slack - 1}
-				d.Start(core.Attempt{Handle: 1<<40 + 1, Backend: "w1", Job: &core.Job{ID: "too late", Work: time.Millisecond}})
+				d.Start(dispatch.Attempt{Handle: 1<<40 + 1, Backend: "w1", Job: &dispatch.Job{ID: "too late", Work: time.Millisecond}})
 			})
 		},
 		"owes": func(s *Sim) {
-			s.at(epoch+20*time.Second, func() { s.dispatchers[1].core.Take(s.dispatchers[1], 1<<40, core.Job{ID: "late", Work: time.Second}) })
+			s.at(epoch+20*time.Second, func() {
+				s.dispatchers[1].core.Take(s.dispatchers[1], 1<<40, dispatch.Job{ID: "late", Work: time.Second})
+			})
 			s.sc.LengthS = 11 // the day ends in its midst
 		},
 	} {
--- a/internal/rehearsal/emulator/experiment.go
+++ b/internal/rehearsal/simulator/experiment.go
@@ -1,4 +1,4 @@
-package emulator
+package simulator
 
 import (
 	"cmp"
--- a/internal/rehearsal/emulator/scenario.go
+++ b/internal/rehearsal/simulator/scenario.go
@@ -1,4 +1,4 @@
-package emulator
+package simulator
 
 import (
 	"cmp"
@@ -12,7 +12,7 @@
 
 	"github.com/BurntSushi/toml"
 
-	"hollyyoke.example/hollyyoke"
+	"hollyyoke.example/hollyyoke/decision"
 )
 
 // This file owns scenario files: a day as data. A key that is not known, or a
@@ -162,11 +162,11 @@
 }
 
 // settings are what each dispatcher is told.
-func (sc *Scenario) settings() (s hollyyoke.Settings) {
+func (sc *Scenario) settings() (s decision.Settings) {
 	for _, c := range sc.Classes {
-		k := hollyyoke.Class{Name: c.Name, Worth: c.Worth, LateWorth: c.LateWorth, Aim: seconds(c.AimMs / 1000), Deadline: seconds(c.DeadlineMs / 1000)}
+		k := decision.Class{Name: c.Name, Worth: c.Worth, LateWorth: c.LateWorth, Aim: seconds(c.AimMs / 1000), Deadline: seconds(c.DeadlineMs / 1000)}
 		if !c.Repeat {
-			k.Repeat = hollyyoke.Fragile
+			k.Repeat = decision.Fragile
 		}
 		s.Classes = append(s.Classes, k)
 	}
--- a/internal/rehearsal/emulator/worker.go
+++ b/internal/rehearsal/simulator/worker.go
@@ -1,4 +1,4 @@
-package emulator
+package simulator
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"hollyyoke.example/hollyyoke"
+	"hollyyoke.example/hollyyoke/decision"
 )
 
 // This file owns the workers' model: slots, a queue in order, a cold start, and
@@ -65,19 +65,19 @@
 	return &worker{sim: s, name: fmt.Sprintf("w%d", i), zone: i % len(s.sc.Net.Zones), slots: s.sc.Workers.Slots, speed: s.sc.Workers.Speed, slow: 1}
 }
 
-func (w *worker) entry() hollyyoke.Entry {
-	e := hollyyoke.Entry{Worker: w.name, Zone: w.zone, Weight: 1, LastStart: w.started}
+func (w *worker) entry() decision.Entry {
+	e := decision.Entry{Worker: w.name, Zone: w.zone, Weight: 1, LastStart: w.started}
 	switch {
 	case w.down:
-		e.State = hollyyoke.Deleted
+		e.State = decision.Deleted
 	case w.drains:
-		e.State = hollyyoke.Stopping
+		e.State = decision.Stopping
 	}
 	return e
 }
 
-func (w *worker) load() hollyyoke.Load {
-	return hollyyoke.Load{FreeSlots: float64(w.slots - len(w.running)), HasFreeSlots: true}
+func (w *worker) load() decision.Load {
+	return decision.Load{FreeSlots: float64(w.slots - len(w.running)), HasFreeSlots: true}
 }
 
 // pace is how fast a slot works now: a fresh worker is slower, and warms in a line.
@@ -96,13 +96,13 @@
 	case j.off:
 		return
 	case w.down:
-		j.over(w, hollyyoke.RefusedConn)
+		j.over(w, decision.RefusedConn)
 		return
 	case w.falls(j):
-		j.over(w, hollyyoke.Severed)
+		j.over(w, decision.Severed)
 		return
 	case len(w.queue) >= w.sim.sc.Workers.Queue:
-		j.over(w, hollyyoke.Saturated)
+		j.over(w, decision.Saturated)
 		return
 	}
 	j.at = w
@@ -189,7 +189,7 @@
 			return
 		}
 		w.running = slices.DeleteFunc(w.running, func(o *job) bool { return o == j })
-		j.over(w, hollyyoke.Completed)
+		j.over(w, decision.Completed)
 		w.fill()
 	})
 }
@@ -227,7 +227,7 @@
 	w.running, w.queue = nil, nil
 	for _, j := range held {
 		j.turn++
-		j.over(w, hollyyoke.Severed)
+		j.over(w, decision.Severed)
 	}
 }
 
--- a/internal/rehearsal/soak/traced_linux_amd64.go
+++ b/internal/rehearsal/soak/traced_linux_amd64.go
@@ -5,7 +5,7 @@
 	"syscall"
 	"time"
 
-	"hollyyoke.example/hollyyoke/internal/rehearsal/sysfault"
+	"hollyyoke.example/hollyyoke/internal/rehearsal/faultinject"
 )
 
 // underFaults makes a plan of failing system calls and stepped clocks, in the
@@ -13,21 +13,21 @@
 func underFaults(seed uint64, span time.Duration) tracer {
 	const often, seldom = 0.2, 0.03
 	from, length := span/4, span/2
-	rule := func(call sysfault.Call, probability float64, e syscall.Errno, short int) sysfault.Rule {
-		return sysfault.Rule{Call: call, Probability: probability, Error: e, Short: short, After: from, For: length}
+	rule := func(call faultinject.Call, probability float64, e syscall.Errno, short int) faultinject.Rule {
+		return faultinject.Rule{Call: call, Probability: probability, Error: e, Short: short, After: from, For: length}
 	}
-	plan := sysfault.Plan{Seed: seed, Rules: []sysfault.Rule{
-		rule(sysfault.SocketRead, often, syscall.EINTR, 0), rule(sysfault.SocketRead, often, 0, 50),
-		rule(sysfault.SocketWrite, often, syscall.EINTR, 0), rule(sysfault.SocketWrite, often, 0, 50),
-		rule(sysfault.Wait, often, syscall.EINTR, 0),
-		rule(sysfault.Accept, seldom, syscall.ECONNABORTED, 0), rule(sysfault.Accept, seldom, syscall.ENOBUFS, 0),
-		rule(sysfault.Socket, seldom, syscall.ENFILE, 0), rule(sysfault.Connect, seldom, syscall.EADDRNOTAVAIL, 0),
-		rule(sysfault.Connect, seldom, syscall.ENETUNREACH, 0), rule(sysfault.SetOption, seldom, syscall.ENOBUFS, 0),
-	}, Steps: []sysfault.Step{
+	plan := faultinject.Plan{Seed: seed, Rules: []faultinject.Rule{
+		rule(faultinject.SocketRead, often, syscall.EINTR, 0), rule(faultinject.SocketRead, often, 0, 50),
+		rule(faultinject.SocketWrite, often, syscall.EINTR, 0), rule(faultinject.SocketWrite, often, 0, 50),
+		rule(faultinject.Wait, often, syscall.EINTR, 0),
+		rule(faultinject.Accept, seldom, syscall.ECONNABORTED, 0), rule(faultinject.Accept, seldom, syscall.ENOBUFS, 0),
+		rule(faultinject.Socket, seldom, syscall.ENFILE, 0), rule(faultinject.Connect, seldom, syscall.EADDRNOTAVAIL, 0),
+		rule(faultinject.Connect, seldom, syscall.ENETUNREACH, 0), rule(faultinject.SetOption, seldom, syscall.ENOBUFS, 0),
+	}, Steps: []faultinject.Step{
 		{After: span / 5, Offset: time.Hour}, {After: span * 2 / 5, Offset: -time.Hour}, {After: span * 3 / 5, Offset: 3 * time.Second},
 	}}
 	return func(command *exec.Cmd) (int, func() string, error) {
-		p, err := sysfault.Start(command, plan)
+		p, err := faultinject.Start(command, plan)
 		if err != nil {
 			return 0, nil, err
 		}
--- a/internal/settings/live.go
+++ b/internal/settings/live.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"hollyyoke.example/hollyyoke"
+	"hollyyoke.example/hollyyoke/decision"
 )
 
 // This file owns the changes of settings while the dispatcher runs. It must
@@ -23,7 +23,7 @@
 
 // Apply makes all changes, or none: an error names the key that is refused. Of
 // two changes of one key the last counts. Slices of s are replaced, not written to.
-func Apply(s *hollyyoke.Settings, changes []Change) error {
+func Apply(s *decision.Settings, changes []Change) error {
 	next := *s
 	next.Classes, next.TenantQuotas = slices.Clone(s.Classes), slices.Clone(s.TenantQuotas)
 	for _, change := range changes {
@@ -35,7 +35,7 @@
 	return nil
 }
 
-func (c Change) apply(s *hollyyoke.Settings) error {
+func (c Change) apply(s *decision.Settings) error {
 	number, wait, err := c.target(s)
 	if err != nil {
 		return err
@@ -53,7 +53,7 @@
 }
 
 // target finds what a key names: a number, or a time in microseconds.
-func (c Change) target(s *hollyyoke.Settings) (number *float64, wait *time.Duration, err error) {
+func (c Change) target(s *decision.Settings) (number *float64, wait *time.Duration, err error) {
 	switch c.Key {
 	case "over_share_worth":
 		return &s.OverQuotaWorth, nil, nil
@@ -82,7 +82,7 @@
 
 var classFields = []string{"worth", "late_worth", "slo_us", "aim_stretch"}
 
-func classField(c *hollyyoke.Class, field string) (number *float64, wait *time.Duration) {
+func classField(c *decision.Class, field string) (number *float64, wait *time.Duration) {
 	switch field {
 	case "worth":
 		return &c.Worth, nil
--- a/internal/settings/membership.go
+++ b/internal/settings/membership.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"time"
 
-	"hollyyoke.example/hollyyoke"
+	"hollyyoke.example/hollyyoke/decision"
 	"hollyyoke.example/hollyyoke/internal/membership"
 )
 
@@ -60,7 +60,7 @@
 
 // Ready turns the table into what the dispatcher of those settings follows. The
 // error names a zone that the settings do not know.
-func (m *Membership) Ready(s *hollyyoke.Settings) (zone string, servers []membership.Server, acknowledge time.Duration, err error) {
+func (m *Membership) Ready(s *decision.Settings) (zone string, servers []membership.Server, acknowledge time.Duration, err error) {
 	zone = m.Zone
 	if zone == "" && s.Zone >= 0 && s.Zone < len(s.ZoneNames) {
 		zone = s.ZoneNames[s.Zone]
--- a/internal/settings/operator.go
+++ b/internal/settings/operator.go
@@ -12,7 +12,7 @@
 
 	"github.com/BurntSushi/toml"
 
-	"hollyyoke.example/hollyyoke/internal/admit"
+	"hollyyoke.example/hollyyoke/internal/connlimit"
 )
 
 // This file owns the operator's file: one TOML file with a table for each
@@ -121,7 +121,7 @@
 
 // Ready turns the table into what decides, for a process that may have so many
 // descriptors for its connections. An error names the key.
-func (c *Connections) Ready(descriptors int) (a admit.Config, floors [admit.Kinds]int, marks admit.Marks, stall time.Duration, err error) {
+func (c *Connections) Ready(descriptors int) (a connlimit.Config, floors [connlimit.Kinds]int, marks connlimit.Marks, stall time.Duration, err error) {
 	prefixes := func(key string, list []string) (out []netip.Prefix) {
 		for i, text := range list {
 			p, e := netip.ParsePrefix(text)
@@ -159,28 +159,28 @@
 		a.Reserve = a.Room / 4
 	}
 	a.Rate = c.UnknownPerS
-	a.Address = admit.Caps{Open: c.AddressOpen, Opening: c.AddressOpening, PerSecond: c.AddressPerS, Burst: c.AddressBurst, Half: c.AddressHalf, Bytes: c.AddressBytes}
-	a.Prefix = admit.Caps{Open: c.PrefixOpen, Opening: c.PrefixOpening, PerSecond: c.PrefixPerS, Burst: c.PrefixBurst, Half: c.PrefixHalf, Bytes: c.PrefixBytes}
+	a.Address = connlimit.Caps{Open: c.AddressOpen, Opening: c.AddressOpening, PerSecond: c.AddressPerS, Burst: c.AddressBurst, Half: c.AddressHalf, Bytes: c.AddressBytes}
+	a.Prefix = connlimit.Caps{Open: c.PrefixOpen, Opening: c.PrefixOpening, PerSecond: c.PrefixPerS, Burst: c.PrefixBurst, Half: c.PrefixHalf, Bytes: c.PrefixBytes}
 	a.V4Bits, a.V6Bits = c.V4Bits, c.V6Bits
-	a.Learn = admit.Learn{On: c.Learn, HalfLife: seconds(c.LearnHalfLife), After: c.LearnAfter, Share: c.LearnShare, Newcomer: c.Newcomers}
+	a.Learn = connlimit.Learn{On: c.Learn, HalfLife: seconds(c.LearnHalfLife), After: c.LearnAfter, Share: c.LearnShare, Newcomer: c.Newcomers}
 	a.Addresses, a.Prefixes = c.Addresses, c.Prefixes
 	a.MinRate, a.RateGrace = c.MinRate, seconds(c.RateGrace/1000)
-	marks = admit.Marks{Low: c.Low, High: c.High, Critical: c.Critical, Back: c.Back}
+	marks = connlimit.Marks{Low: c.Low, High: c.High, Critical: c.Critical, Back: c.Back}
 	or := func(n, def int) int {
 		if n == 0 {
 			return def
 		}
 		return n
 	}
-	floors[admit.Sessions] = or(c.FloorSessions, min(32, descriptors/4))
-	floors[admit.Backends] = or(c.FloorBackends, descriptors/4)
-	floors[admit.Discovery] = or(c.FloorDiscovery, 2)
-	floors[admit.Stores] = c.FloorStores
+	floors[connlimit.Sessions] = or(c.FloorSessions, min(32, descriptors/4))
+	floors[connlimit.Backends] = or(c.FloorBackends, descriptors/4)
+	floors[connlimit.Discovery] = or(c.FloorDiscovery, 2)
+	floors[connlimit.Stores] = c.FloorStores
 	checked := a
 	if err := checked.Check(); err != nil {
 		return a, floors, marks, 0, err
 	}
-	if _, err := admit.NewBudget(descriptors, floors, marks); err != nil {
+	if _, err := connlimit.NewBudget(descriptors, floors, marks); err != nil {
 		return a, floors, marks, 0, err
 	}
 	return a, floors, marks, seconds(c.WriteStall / 1000), nil
--- a/internal/settings/operator_test.go
+++ b/internal/settings/operator_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"hollyyoke.example/hollyyoke"
+	"hollyyoke.example/hollyyoke/decision"
 	"hollyyoke.example/hollyyoke/internal/membership"
 )
 
@@ -55,7 +55,7 @@
 	if err != nil || !o.Membership.On {
 		t.Fatalf("%+v, %v", o.Membership, err)
 	}
-	s := hollyyoke.Settings{Zone: 1, ZoneNames: []string{"z1", "z2"}}
+	s := decision.Settings{Zone: 1, ZoneNames: []string{"z1", "z2"}}
 	zone, servers, acknowledge, err := o.Membership.Ready(&s)
 	want := []membership.Server{{Zone: "z2", Address: "127.0.0.1:8601"}, {Address: "127.0.0.1:8600"}}
 	if zone != "z2" || acknowledge != time.Second || err != nil || len(servers) != 2 || servers[0] != want[0] || servers[1] != want[1] {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -12,16 +12,16 @@
 	"slices"
 	"time"
 
-	"hollyyoke.example/hollyyoke"
+	"hollyyoke.example/hollyyoke/decision"
 )
 
-var repeats = map[string]hollyyoke.Repeat{
-	"retryable": hollyyoke.Retryable, "dedup": hollyyoke.Dedup, "fragile": hollyyoke.Fragile,
+var repeats = map[string]decision.Repeat{
+	"retryable": decision.Retryable, "dedup": decision.Dedup, "fragile": decision.Fragile,
 }
 
-var groups = map[string]hollyyoke.Group{
-	"": hollyyoke.GroupAll, "all": hollyyoke.GroupAll,
-	"zone": hollyyoke.GroupZone, "cell": hollyyoke.GroupCell,
+var groups = map[string]decision.Group{
+	"": decision.GroupAll, "all": decision.GroupAll,
+	"zone": decision.GroupZone, "cell": decision.GroupCell,
 }
 
 // micros is a time on the wire: microseconds, whole or not.
@@ -33,7 +33,7 @@
 }
 
 // Read reads the settings object. Keys that it does not know are passed over.
-func Read(raw []byte) (s hollyyoke.Settings, err error) {
+func Read(raw []byte) (s decision.Settings, err error) {
 	var w struct {
 		Areas          []string `json:"areas"`
 		Kinds          []string `json:"kinds"`
@@ -111,7 +111,7 @@
 		}
 		return s, err
 	}
-	s = hollyyoke.Settings{
+	s = decision.Settings{
 		OverQuotaWorth: w.OverShareWorth,
 		WorthByWork:    w.WorthBy == "work",
 		Zone:           int(w.MyZone),
@@ -158,7 +158,7 @@
 		s.TenantQuotas = append(s.TenantQuotas, t.Quota)
 	}
 	for i, c := range w.Classes {
-		class := hollyyoke.Class{
+		class := decision.Class{
 			Name: c.Name, Worth: c.Worth, LateWorth: c.LateWorth,
 			Aim: c.Aim.duration(), Deadline: c.Deadline.duration(), Window: c.Window.duration(),
 			Kinds: c.RunsOn, Zones: c.ConfinedTo, InTurn: c.InTurn, Stream: c.Stream,
@@ -190,7 +190,7 @@
 
 // Load reads a load report, by the names of the settings or by the plain ones
 // that backends use. What no decision rests on is passed over.
-func Load(s *hollyyoke.Settings, raw []byte) (l hollyyoke.Load) {
+func Load(s *decision.Settings, raw []byte) (l decision.Load) {
 	var report map[string]any
 	if json.Unmarshal(raw, &report) != nil {
 		return l // a report that cannot be read tells nothing
--- a/internal/wire/decode.go
+++ b/internal/simwire/decode.go
@@ -1,6 +1,6 @@
 // Package wire translates the simulator's line protocol to the types of package
 // hollyyoke and back. It takes no decisions.
-package wire
+package simwire
 
 import (
 	"errors"
@@ -10,7 +10,7 @@
 
 	"github.com/valyala/fastjson"
 
-	"hollyyoke.example/hollyyoke"
+	"hollyyoke.example/hollyyoke/decision"
 	"hollyyoke.example/hollyyoke/internal/settings"
 )
 
@@ -28,8 +28,8 @@
 type Message struct {
 	Op       Op
 	Instance int64
-	Event    hollyyoke.Event
-	Settings hollyyoke.Settings
+	Event    decision.Event
+	Settings decision.Settings
 	Seed     uint64
 }
 
@@ -45,7 +45,7 @@
 // outlive a batch.
 type Decoder struct {
 	parser fastjson.Parser
-	tables [tableCount][]hollyyoke.Entry
+	tables [tableCount][]decision.Entry
 	filled [tableCount]bool
 	names  map[string]string // interned worker names
 	free   map[int64]string  // by instance: the report value that tells free slots
@@ -124,16 +124,16 @@
 	case "roster_change":
 		return true, d.roster(v, ev)
 	case "ingress":
-		ev.Kind = hollyyoke.Arrival
+		ev.Kind = decision.Arrival
 		ev.Class, ev.Tenant = v.GetInt("class"), v.GetInt("client_group")
 		ev.Slots = v.GetFloat64("needs")
 		ev.Work, ev.Left = duration(v, "effort_us"), duration(v, "left_us")
 		ev.ClientRetry = v.GetBool("retry")
 		ev.Key = string(v.GetStringBytes("key"))
 	case "first_byte":
-		ev.Kind = hollyyoke.FirstByte
+		ev.Kind = decision.FirstByte
 	case "response":
-		ev.Kind = hollyyoke.Response
+		ev.Kind = decision.Response
 		ev.Settled = v.GetBool("settled")
 		ev.Load = d.load(m.Instance, v.Get("gauge"))
 		if ev.Outcome, err = outcome(v.GetStringBytes("rc")); err != nil {
@@ -142,27 +142,27 @@
 	case "interim":
 		switch v.GetInt("kind") {
 		case 1:
-			ev.Kind = hollyyoke.Started
+			ev.Kind = decision.Started
 		case 2:
-			ev.Kind = hollyyoke.ProgressMade
+			ev.Kind = decision.ProgressMade
 			ev.Fraction = v.GetFloat64("x")
 		default:
 			return false, nil
 		}
 	case "pong":
-		ev.Kind = hollyyoke.ProbeResult
+		ev.Kind = decision.ProbeResult
 		ev.Load = d.load(m.Instance, v.Get("gauge"))
 		ev.Worker = d.intern(v.GetStringBytes("worker"))
 		ev.Outcome, err = outcome(v.GetStringBytes("rc"))
 		return err == nil, err
 	case "hangup":
-		ev.Kind = hollyyoke.HungUp
+		ev.Kind = decision.HungUp
 	case "due":
-		ev.Kind = hollyyoke.TimerDue
+		ev.Kind = decision.TimerDue
 		ev.Timer, err = identity(v, "handle")
 		return err == nil, err
 	case "peer_data":
-		ev.Kind = hollyyoke.PeerMessage
+		ev.Kind = decision.PeerMessage
 		return true, nil
 	default:
 		return false, fmt.Errorf("unknown message %q", cmd)
@@ -182,20 +182,20 @@
 	}
 	elements := v.GetArray("elements")
 	// A new slice each time: dispatchers may still read the one it replaces.
-	list := make([]hollyyoke.Entry, 0, len(elements))
+	list := make([]decision.Entry, 0, len(elements))
 	for _, e := range elements {
-		entry := hollyyoke.Entry{
+		entry := decision.Entry{
 			Worker: d.intern(e.GetStringBytes("worker")),
 			Zone:   e.GetInt("failure_domain"), Kind: e.GetInt("shape"), Cell: e.GetInt("pod"),
 			LastStart: duration(e, "last_start_us"), Weight: e.GetFloat64("capacity_hint"),
 		}
 		switch state := e.GetStringBytes("readiness"); string(state) {
 		case "Running":
-			entry.State = hollyyoke.Running
+			entry.State = decision.Running
 		case "Stopping":
-			entry.State = hollyyoke.Stopping
+			entry.State = decision.Stopping
 		case "Deleted":
-			entry.State = hollyyoke.Deleted
+			entry.State = decision.Deleted
 		default:
 			return fmt.Errorf("table %d: unknown readiness %q", n, state)
 		}
@@ -216,17 +216,17 @@
 	return n, nil
 }
 
-func (d *Decoder) roster(v *fastjson.Value, ev *hollyyoke.Event) error {
-	ev.Kind = hollyyoke.WorkerList
+func (d *Decoder) roster(v *fastjson.Value, ev *decision.Event) error {
+	ev.Kind = decision.WorkerList
 	switch how := v.GetStringBytes("how"); string(how) {
 	case "Partial":
-		ev.List = hollyyoke.ListChanges
+		ev.List = decision.ListChanges
 	case "Complete":
-		ev.List = hollyyoke.ListComplete
+		ev.List = decision.ListComplete
 	case "Persisted":
-		ev.List = hollyyoke.ListPersisted
+		ev.List = decision.ListPersisted
 	case "Error":
-		ev.List = hollyyoke.ListError
+		ev.List = decision.ListError
 		return nil
 	default:
 		return fmt.Errorf("unknown kind of list %q", how)
@@ -252,14 +252,14 @@
 	return s
 }
 
-var outcomes = map[string]hollyyoke.Outcome{
-	"completed": hollyyoke.Completed, "errored": hollyyoke.Errored,
-	"saturated": hollyyoke.Saturated, "overdue": hollyyoke.Overdue,
-	"refused_conn": hollyyoke.RefusedConn, "severed": hollyyoke.Severed,
-	"recalled": hollyyoke.Recalled, "superseded": hollyyoke.Superseded,
+var outcomes = map[string]decision.Outcome{
+	"completed": decision.Completed, "errored": decision.Errored,
+	"saturated": decision.Saturated, "overdue": decision.Overdue,
+	"refused_conn": decision.RefusedConn, "severed": decision.Severed,
+	"recalled": decision.Recalled, "superseded": decision.Superseded,
 }
 
-func outcome(b []byte) (hollyyoke.Outcome, error) {
+func outcome(b []byte) (decision.Outcome, error) {
 	o, ok := outcomes[string(b)]
 	if !ok {
 		return 0, fmt.Errorf("unknown outcome %q", b)
@@ -268,7 +268,7 @@
 }
 
 // load reads a report. Values that no decision rests on are passed over.
-func (d *Decoder) load(instance int64, v *fastjson.Value) (l hollyyoke.Load) {
+func (d *Decoder) load(instance int64, v *fastjson.Value) (l decision.Load) {
 	if v == nil {
 		return l
 	}
--- a/internal/wire/encode.go
+++ b/internal/simwire/encode.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"encoding/json"
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"hollyyoke.example/hollyyoke"
+	"hollyyoke.example/hollyyoke/decision"
 )
 
 // Encoder builds the reply to one batch.
@@ -24,7 +24,7 @@
 }
 
 // Add appends the actions of one instance.
-func (e *Encoder) Add(instance int64, actions []hollyyoke.Action) {
+func (e *Encoder) Add(instance int64, actions []decision.Action) {
 	for i := range actions {
 		e.add(instance, &actions[i])
 	}
@@ -36,7 +36,7 @@
 	return e.buf
 }
 
-func (e *Encoder) add(instance int64, a *hollyyoke.Action) {
+func (e *Encoder) add(instance int64, a *decision.Action) {
 	if !e.empty {
 		e.buf = append(e.buf, ',')
 	}
@@ -46,36 +46,36 @@
 	e.buf = append(e.buf, `","dispatcher":`...)
 	e.buf = strconv.AppendInt(e.buf, instance, 10)
 	switch a.Kind {
-	case hollyyoke.Assign:
+	case decision.Assign:
 		e.number("corr", a.Request)
 		e.text("worker", a.Worker)
-	case hollyyoke.Refuse:
+	case decision.Refuse:
 		e.number("corr", a.Request)
 		if a.Delay > 0 {
 			e.number("come_back_us", microseconds(a.Delay))
 		}
-	case hollyyoke.FinishError:
+	case decision.FinishError:
 		e.number("corr", a.Request)
-	case hollyyoke.StopAttempt:
+	case decision.StopAttempt:
 		e.number("corr", a.Request)
 		e.number("trial", uint64(a.Attempt))
-	case hollyyoke.SetTimer:
+	case decision.SetTimer:
 		e.number("handle", a.Timer)
 		e.number("span_us", min(microseconds(a.Delay), longestTimer))
-	case hollyyoke.Probe, hollyyoke.Release:
+	case decision.Probe, decision.Release:
 		e.text("worker", a.Worker)
-	case hollyyoke.Subscribe:
+	case decision.Subscribe:
 		e.buf = append(e.buf, `,"active":true`...)
-	case hollyyoke.Log:
+	case decision.Log:
 		e.text("reason_text", a.Text)
 	}
 	e.buf = append(e.buf, '}')
 }
 
 var actionNames = [...]string{
-	hollyyoke.Assign: "assign", hollyyoke.Refuse: "not_now", hollyyoke.FinishError: "finish_error",
-	hollyyoke.StopAttempt: "stop_attempt", hollyyoke.SetTimer: "set_alarm", hollyyoke.Probe: "probe",
-	hollyyoke.Subscribe: "listen", hollyyoke.Release: "release", hollyyoke.Log: "say_log",
+	decision.Assign: "assign", decision.Refuse: "not_now", decision.FinishError: "finish_error",
+	decision.StopAttempt: "stop_attempt", decision.SetTimer: "set_alarm", decision.Probe: "probe",
+	decision.Subscribe: "listen", decision.Release: "release", decision.Log: "say_log",
 }
 
 // longestTimer is the longest timer of the wire, 71 minutes, in microseconds.
--- a/internal/wire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"reflect"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"hollyyoke.example/hollyyoke"
+	"hollyyoke.example/hollyyoke/decision"
 )
 
 const bootLine = `{"moment_us":5000000,"turn":1,"msgs":[{"cmd":"boot","dispatcher":3,"rng_seed":77,"params":{` +
@@ -44,16 +44,16 @@
 	if b != (Batch{Now: 5 * time.Second, Turn: 1}) {
 		t.Fatalf("batch %+v", b)
 	}
-	want := hollyyoke.Settings{
-		Classes: []hollyyoke.Class{
+	want := decision.Settings{
+		Classes: []decision.Class{
 			{
 				Name: "q", Worth: 1.5, LateWorth: 0.25, Aim: 200 * time.Millisecond, Stretch: 2.5, Deadline: 5 * time.Second,
-				Repeat: hollyyoke.Dedup, Group: hollyyoke.GroupCell, Window: 4 * time.Second,
+				Repeat: decision.Dedup, Group: decision.GroupCell, Window: 4 * time.Second,
 				Stream: true,
 			},
 			{
 				Worth: 2, Aim: 100 * time.Microsecond, Stretch: 3, Deadline: 9 * time.Second,
-				Repeat: hollyyoke.Fragile, Kinds: []int{1}, Zones: []int{1}, InTurn: true,
+				Repeat: decision.Fragile, Kinds: []int{1}, Zones: []int{1}, InTurn: true,
 			},
 		},
 		TenantQuotas: []float64{12.5}, OverQuotaWorth: 0.1, WorthByWork: true, Zone: 1, Peers: 4,
@@ -72,12 +72,12 @@
 	if !reflect.DeepEqual(got[0].Settings, want) {
 		t.Fatalf("settings\n got %+v\nwant %+v", got[0].Settings, want)
 	}
-	entry := hollyyoke.Entry{
-		Worker: "10.0.0.1:1", Zone: 1, Kind: 2, Cell: 3, State: hollyyoke.Stopping, Weight: 1.5,
+	entry := decision.Entry{
+		Worker: "10.0.0.1:1", Zone: 1, Kind: 2, Cell: 3, State: decision.Stopping, Weight: 1.5,
 		LastStart: 6100 * time.Millisecond,
 	}
 	ev := got[1].Event
-	if ev.List != hollyyoke.ListPersisted || len(ev.Entries) != 1 || ev.Entries[0] != entry {
+	if ev.List != decision.ListPersisted || len(ev.Entries) != 1 || ev.Entries[0] != entry {
 		t.Fatalf("list %+v", ev)
 	}
 }
@@ -89,37 +89,37 @@
 	}
 	for _, test := range []struct {
 		line string
-		want hollyyoke.Event
+		want decision.Event
 	}{
 		{`{"cmd":"ingress","dispatcher":3,"corr":3363244424729028,"effort_us":12000,"class":1,"needs":2,"left_us":240000,` +
 			`"client_group":4,"key":"fn:a","retry":true}`,
-			hollyyoke.Event{
-				Kind: hollyyoke.Arrival, Request: 3363244424729028, Class: 1, Tenant: 4, Slots: 2, Key: "fn:a",
+			decision.Event{
+				Kind: decision.Arrival, Request: 3363244424729028, Class: 1, Tenant: 4, Slots: 2, Key: "fn:a",
 				Work: 12 * time.Millisecond, Left: 240 * time.Millisecond, ClientRetry: true,
 			}},
 		{`{"cmd":"response","dispatcher":3,"corr":7,"trial":1,"worker":"w","rc":"saturated","rtt_us":18500,` +
 			`"settled":true,"gauge":{"x0":0.5,"other":1}}`,
-			hollyyoke.Event{
-				Kind: hollyyoke.Response, Request: 7, Attempt: 1, Worker: "w", Outcome: hollyyoke.Saturated,
+			decision.Event{
+				Kind: decision.Response, Request: 7, Attempt: 1, Worker: "w", Outcome: decision.Saturated,
 				Settled: true,
-				Load:    hollyyoke.Load{FreeSlots: 0.5, HasFreeSlots: true},
+				Load:    decision.Load{FreeSlots: 0.5, HasFreeSlots: true},
 			}},
 		{`{"cmd":"interim","dispatcher":3,"corr":7,"worker":"w","kind":1}`,
-			hollyyoke.Event{Kind: hollyyoke.Started, Request: 7, Worker: "w"}},
+			decision.Event{Kind: decision.Started, Request: 7, Worker: "w"}},
 		{`{"cmd":"interim","dispatcher":3,"corr":7,"worker":"w","kind":2,"x":0.5}`,
-			hollyyoke.Event{Kind: hollyyoke.ProgressMade, Request: 7, Worker: "w", Fraction: 0.5}},
+			decision.Event{Kind: decision.ProgressMade, Request: 7, Worker: "w", Fraction: 0.5}},
 		{`{"cmd":"first_byte","dispatcher":3,"corr":7,"worker":"w","rtt_us":9}`,
-			hollyyoke.Event{Kind: hollyyoke.FirstByte, Request: 7, Worker: "w"}},
+			decision.Event{Kind: decision.FirstByte, Request: 7, Worker: "w"}},
 		{`{"cmd":"pong","dispatcher":3,"worker":"w","rc":"completed","rtt_us":9,"gauge":{"x0":3,"outstanding":2,"backlog":4}}`,
-			hollyyoke.Event{
-				Kind: hollyyoke.ProbeResult, Worker: "w",
-				Load: hollyyoke.Load{FreeSlots: 3, HasFreeSlots: true, Outstanding: 2, HasOutstanding: true, Backlog: 4, HasBacklog: true},
+			decision.Event{
+				Kind: decision.ProbeResult, Worker: "w",
+				Load: decision.Load{FreeSlots: 3, HasFreeSlots: true, Outstanding: 2, HasOutstanding: true, Backlog: 4, HasBacklog: true},
 			}},
-		{`{"cmd":"hangup","dispatcher":3,"corr":7}`, hollyyoke.Event{Kind: hollyyoke.HungUp, Request: 7}},
+		{`{"cmd":"hangup","dispatcher":3,"corr":7}`, decision.Event{Kind: decision.HungUp, Request: 7}},
 		{`{"cmd":"due","dispatcher":3,"handle":4611686018427387904}`,
-			hollyyoke.Event{Kind: hollyyoke.TimerDue, Timer: 1 << 62}},
+			decision.Event{Kind: decision.TimerDue, Timer: 1 << 62}},
 		{`{"cmd":"roster_change","dispatcher":3,"how":"Error"}`,
-			hollyyoke.Event{Kind: hollyyoke.WorkerList, List: hollyyoke.ListError}},
+			decision.Event{Kind: decision.WorkerList, List: decision.ListError}},
 	} {
 		_, got, err := decode(t, d, `{"moment_us":1,"turn":2,"msgs":[`+test.line+`]}`)
 		if err != nil || len(got) != 1 || !reflect.DeepEqual(got[0].Event, test.want) {
@@ -167,17 +167,17 @@
 func TestEncode(t *testing.T) {
 	var e Encoder
 	e.Begin(12)
-	e.Add(3, []hollyyoke.Action{
-		{Kind: hollyyoke.Assign, Request: 7, Worker: "10.0.0.1:1"},
-		{Kind: hollyyoke.Refuse, Request: 7, Delay: 250 * time.Millisecond},
-		{Kind: hollyyoke.Refuse, Request: 8},
-		{Kind: hollyyoke.FinishError, Request: 7},
-		{Kind: hollyyoke.StopAttempt, Request: 7, Attempt: 2},
-		{Kind: hollyyoke.SetTimer, Timer: 1 << 62, Delay: 1500 * time.Nanosecond},
-		{Kind: hollyyoke.Probe, Worker: "w"},
-		{Kind: hollyyoke.Subscribe},
-		{Kind: hollyyoke.Release, Worker: "w"},
-		{Kind: hollyyoke.Log, Text: "say \"é\"\n"},
+	e.Add(3, []decision.Action{
+		{Kind: decision.Assign, Request: 7, Worker: "10.0.0.1:1"},
+		{Kind: decision.Refuse, Request: 7, Delay: 250 * time.Millisecond},
+		{Kind: decision.Refuse, Request: 8},
+		{Kind: decision.FinishError, Request: 7},
+		{Kind: decision.StopAttempt, Request: 7, Attempt: 2},
+		{Kind: decision.SetTimer, Timer: 1 << 62, Delay: 1500 * time.Nanosecond},
+		{Kind: decision.Probe, Worker: "w"},
+		{Kind: decision.Subscribe},
+		{Kind: decision.Release, Worker: "w"},
+		{Kind: decision.Log, Text: "say \"é\"\n"},
 	})
 	const want = `{"turn":12,"cmds":[` +
 		`{"cmd":"assign","dispatcher":3,"corr":7,"worker":"10.0.0.1:1"},` +
--- a/internal/net/net.go
+++ b/internal/transport/net.go
@@ -3,14 +3,14 @@
 // they got; it must never read a protocol, decide what a broken connection
 // means for a req, touch state off the loop's goroutine, or read faster than
 // its owners take in.
-package net
+package transport
 
 import (
 	"encoding/binary"
 	"errors"
 	"io"
 	"math"
-	stdnet "net"
+	"net"
 	"net/netip"
 	"os"
 	"slices"
@@ -23,7 +23,8 @@
 	"github.com/lesismal/nbio"
 	"github.com/lesismal/nbio/logging"
 
-	"hollyyoke.example/hollyyoke/internal/core"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
+	"hollyyoke.example/hollyyoke/internal/slotmap"
 )
 
 // BufferSize is the size of every buffer: a body of 64 KiB with its head, and
@@ -155,7 +156,7 @@
 	gate      *gate
 	asked     int64 // bytes given to Write
 	written   atomic.Int64
-	ending    core.Deadline
+	ending    eventloop.Deadline
 	endBy     time.Duration
 	halfEnded bool
 	skimming  bool // what comes is dropped
@@ -170,11 +171,11 @@
 // Guard decides on connections as they are accepted. Its methods are called off
 // the loop's goroutine, and must not wait for it, but for Wait.
 type Guard interface {
-	Arrive(conn stdnet.Conn) (pass uint64, in, wait bool) // not in and not to wait: it has closed the connection
-	Wait(conn stdnet.Conn) (pass uint64, in bool)         // on a goroutine of its own
-	Left(pass uint64)                                     // one that came in ended before it had an owner
-	Give()                                                // a descriptor of one that came in is free
-	Starved()                                             // the system has no descriptor left
+	Arrive(conn net.Conn) (pass uint64, in, wait bool) // not in and not to wait: it has closed the connection
+	Wait(conn net.Conn) (pass uint64, in bool)         // on a goroutine of its own
+	Left(pass uint64)                                  // one that came in ended before it had an owner
+	Give()                                             // a descriptor of one that came in is free
+	Starved()                                          // the system has no descriptor left
 }
 
 // Quota bounds connections of one kind by what others use too.
@@ -195,13 +196,13 @@
 
 // Engine runs all connections of the program on nbio.
 type Engine struct {
-	Loop *core.Loop
+	Loop *eventloop.Loop
 	Pool Pool
 
 	guard Guard
 
 	nb        *nbio.Engine
-	conns     core.Table[Conn]
+	conns     slotmap.Table[Conn]
 	dials     gate       // connections that we open
 	reserved  gate       // those of them that no other can keep from being opened
 	fence     sync.Mutex // orders what add writes before what nbio's callbacks read
@@ -229,13 +230,13 @@
 
 // Acceptor accepts connections from one listener.
 type Acceptor struct {
-	ln    stdnet.Listener
+	ln    net.Listener
 	gate  *gate
 	fixed bool // its bound is its own, whatever the engine has
 }
 
 // Addr is the address it accepts on.
-func (a *Acceptor) Addr() stdnet.Addr { return a.ln.Addr() }
+func (a *Acceptor) Addr() net.Addr { return a.ln.Addr() }
 
 func (a *Acceptor) String() string { return a.ln.Addr().String() }
 
@@ -371,7 +372,7 @@
 }
 
 // NewEngine starts an engine that keeps to a number of descriptors in all.
-func NewEngine(loop *core.Loop, descriptors int) (*Engine, error) {
+func NewEngine(loop *eventloop.Loop, descriptors int) (*Engine, error) {
 	usable := max(descriptors-spareDescriptors, 8)
 	e := &Engine{Loop: loop, all: descriptors, part: 1, dials: newGate(usable-int(acceptedShare*float64(usable)), wideWindow),
 		reserved: newGate(reservedDials, wideWindow)}
@@ -605,17 +606,17 @@
 
 // Inherit returns the listener that a descriptor of this process is, as one of
 // its own: closing it leaves the socket to the other processes that have it.
-func Inherit(fd int) (stdnet.Listener, error) {
+func Inherit(fd int) (net.Listener, error) {
 	f := os.NewFile(uintptr(fd), "inherited listener")
 	if f == nil {
 		return nil, errors.New("no descriptor")
 	}
 	defer f.Close()
-	ln, err := stdnet.FileListener(f)
+	ln, err := net.FileListener(f)
 	if err != nil {
 		return nil, err
 	}
-	tcp, ok := ln.(*stdnet.TCPListener)
+	tcp, ok := ln.(*net.TCPListener)
 	if !ok {
 		ln.Close()
 		return nil, errors.New("not a listener for TCP")
@@ -626,10 +627,10 @@
 // inherited is a listener whose socket other processes have too, and with it the
 // flag that says whether a call waits. Whoever starts a process may clear it:
 // the accept then waited in the system, and the close for the accept, without end.
-type inherited struct{ *stdnet.TCPListener }
+type inherited struct{ *net.TCPListener }
 
 // Accept sets the flag first, lest it wait where no close reaches it.
-func (l *inherited) Accept() (stdnet.Conn, error) {
+func (l *inherited) Accept() (net.Conn, error) {
 	if raw, err := l.SyscallConn(); err == nil {
 		_ = raw.Control(func(fd uintptr) { _ = syscall.SetNonblock(int(fd), true) })
 	}
@@ -650,7 +651,7 @@
 func (e *Engine) Listen(
 	addr string, most int, narrow bool, own func(c *Conn) Owner, full func(),
 ) (*Acceptor, error) {
-	ln, err := stdnet.Listen("tcp", addr)
+	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
@@ -666,7 +667,7 @@
 
 // Serve accepts connections from a listener, as Listen does.
 func (e *Engine) Serve(
-	ln stdnet.Listener, most int, narrow bool, own func(c *Conn) Owner, full func(),
+	ln net.Listener, most int, narrow bool, own func(c *Conn) Owner, full func(),
 ) *Acceptor {
 	g := newGate(most, wideWindow)
 	if narrow {
@@ -683,7 +684,7 @@
 			conn, err := ln.Accept()
 			if err != nil {
 				g.leave()
-				if errors.Is(err, stdnet.ErrClosed) {
+				if errors.Is(err, net.ErrClosed) {
 					return
 				}
 				if noDescriptor(err) {
@@ -699,7 +700,7 @@
 }
 
 // ServeGuarded accepts connections from a listener, as many as the guard lets in.
-func (e *Engine) ServeGuarded(ln stdnet.Listener, narrow bool, own func(c *Conn) Owner) *Acceptor {
+func (e *Engine) ServeGuarded(ln net.Listener, narrow bool, own func(c *Conn) Owner) *Acceptor {
 	g := newGate(math.MaxInt32, wideWindow)
 	if narrow {
 		g.window = 1
@@ -719,7 +720,7 @@
 	// With no descriptor left, this one is given up for a moment to refuse with.
 	spare, _ := os.Open(os.DevNull)
 	defer func() { spare.Close() }()
-	come := func(conn stdnet.Conn, pass uint64) {
+	come := func(conn net.Conn, pass uint64) {
 		a.gate.enter()
 		e.add(conn, a.gate, pass, own)
 	}
@@ -743,7 +744,7 @@
 					}
 				}()
 			}
-		case errors.Is(err, stdnet.ErrClosed):
+		case errors.Is(err, net.ErrClosed):
 			return
 		case noDescriptor(err):
 			e.guard.Starved()
@@ -765,7 +766,7 @@
 const starvedTime = 5 * time.Millisecond // between looks for a descriptor
 
 // Adopt takes over a connection that was opened elsewhere.
-func (e *Engine) Adopt(conn stdnet.Conn, own func(*Conn) Owner) error {
+func (e *Engine) Adopt(conn net.Conn, own func(*Conn) Owner) error {
 	if !e.dials.try() {
 		_ = conn.Close()
 		return ErrFull
@@ -802,7 +803,7 @@
 // dialFrom opens a connection that has its place behind a gate.
 func (e *Engine) dialFrom(g *gate, addr string, timeout time.Duration, own Owner, done func(*Conn, error)) {
 	go func() {
-		conn, err := stdnet.DialTimeout("tcp", addr, timeout)
+		conn, err := net.DialTimeout("tcp", addr, timeout)
 		if err != nil {
 			g.leave()
 			e.Loop.Post(func() { done(nil, err) })
@@ -828,10 +829,10 @@
 // before any of its data, since both are posted in order. It must be nbio that
 // says when: a connection that it does not hold yet cannot be written to, and
 // an owner that spoke first crashed there.
-func (e *Engine) add(conn stdnet.Conn, g *gate, pass uint64, own func(*Conn) Owner) {
+func (e *Engine) add(conn net.Conn, g *gate, pass uint64, own func(*Conn) Owner) {
 	e.fence.Lock()
 	c := &Conn{engine: e, gate: g, Pass: pass}
-	if tcp, ok := conn.RemoteAddr().(*stdnet.TCPAddr); ok {
+	if tcp, ok := conn.RemoteAddr().(*net.TCPAddr); ok {
 		addr, _ := netip.AddrFromSlice(tcp.IP)
 		c.peer = addr.Unmap()
 	}
@@ -908,7 +909,7 @@
 // become writable with what a write left over, which would never be told where
 // the write was short or interrupted beside a socket that is not full.
 func (c *Conn) writeOut(p []byte) (n int, err error) {
-	err = stdnet.ErrClosed
+	err = net.ErrClosed
 	c.control(func(fd int) {
 		for err = nil; n < len(p) && err == nil; {
 			var written int
--- a/internal/net/net_test.go
+++ b/internal/transport/net_test.go
@@ -1,13 +1,13 @@
-package net
+package transport
 
 import (
 	"bytes"
 	"io"
-	stdnet "net"
+	"net"
 	"testing"
 	"time"
 
-	"hollyyoke.example/hollyyoke/internal/core"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
 )
 
 const patience = 20 * time.Second
@@ -37,7 +37,7 @@
 }
 
 func engine(t *testing.T, descriptors int) *Engine {
-	loop := core.NewLoop()
+	loop := eventloop.NewLoop()
 	e, err := NewEngine(loop, descriptors)
 	if err != nil {
 		t.Fatal(err)
@@ -75,7 +75,7 @@
 // and tells a refused connection; slots are freed when it ends.
 func TestDial(t *testing.T) {
 	e := engine(t, 100)
-	ln, err := stdnet.Listen("tcp", "127.5.6.7:0")
+	ln, err := net.Listen("tcp", "127.5.6.7:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -112,7 +112,7 @@
 // lets all of it leave before the connection closes.
 func TestPartialWritesAndEnd(t *testing.T) {
 	e := engine(t, 100)
-	ln, err := stdnet.Listen("tcp", "127.0.0.1:0")
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -150,7 +150,7 @@
 		t.Fatal(err)
 	}
 	for range 3 {
-		conn, err := stdnet.Dial("tcp", addr.String())
+		conn, err := net.Dial("tcp", addr.String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -203,8 +203,8 @@
 	if err1 != nil || err2 != nil {
 		t.Fatal(err1, err2)
 	}
-	open := func(addr stdnet.Addr) (stdnet.Conn, *Conn) {
-		peer, err := stdnet.Dial("tcp", addr.String())
+	open := func(addr net.Addr) (net.Conn, *Conn) {
+		peer, err := net.Dial("tcp", addr.String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -299,8 +299,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	dial := func() stdnet.Conn {
-		conn, err := stdnet.Dial("tcp", a.String())
+	dial := func() net.Conn {
+		conn, err := net.Dial("tcp", a.String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -316,7 +316,7 @@
 	first, second := dial(), dial()
 	receive(t, opened)
 	receive(t, opened)
-	var peers []stdnet.Conn
+	var peers []net.Conn
 	var conns []*Conn
 	for range 6 {
 		peers = append(peers, dial())
@@ -339,7 +339,7 @@
 	})
 	fly(mostFlying - 1)
 	receive(t, closed)
-	next := []stdnet.Conn{dial(), dial(), dial()}
+	next := []net.Conn{dial(), dial(), dial()}
 	time.Sleep(50 * time.Millisecond) // they should have been accepted; where not, the test shows less
 	close(come)
 	fly(0)
@@ -375,7 +375,7 @@
 	}
 	dial := func(a *Acceptor, n int) {
 		for range n {
-			conn, err := stdnet.Dial("tcp", a.String())
+			conn, err := net.Dial("tcp", a.String())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -426,7 +426,7 @@
 		bytes int
 		heard bool
 	}{{0, true}, {100, true}, {700 << 10, true}, {64 << 20, false}} {
-		conn, err := stdnet.Dial("tcp", a.String())
+		conn, err := net.Dial("tcp", a.String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -463,11 +463,11 @@
 // A connection rests only while nothing of the peer's is here that its owner has
 // not got: no bytes, read or unread, and no end.
 func TestResting(t *testing.T) {
-	for name, act := range map[string]func(*stdnet.TCPConn){
-		"nothing": func(*stdnet.TCPConn) {},
-		"a byte":  func(c *stdnet.TCPConn) { c.Write([]byte("x")) },
-		"its end": func(c *stdnet.TCPConn) { c.CloseWrite() },
-		"a reset": func(c *stdnet.TCPConn) { c.SetLinger(0); c.Close() },
+	for name, act := range map[string]func(*net.TCPConn){
+		"nothing": func(*net.TCPConn) {},
+		"a byte":  func(c *net.TCPConn) { c.Write([]byte("x")) },
+		"its end": func(c *net.TCPConn) { c.CloseWrite() },
+		"a reset": func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 	} {
 		for _, paused := range []bool{false, true} {
 			e := engine(t, 100)
@@ -477,7 +477,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			conn, err := stdnet.Dial("tcp", a.String())
+			conn, err := net.Dial("tcp", a.String())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -489,7 +489,7 @@
 				if !c.Resting() || !c.Quiet() {
 					t.Errorf("%s: it does not rest at first", name)
 				}
-				act(conn.(*stdnet.TCPConn)) // on loopback it is here when the call returns
+				act(conn.(*net.TCPConn)) // on loopback it is here when the call returns
 				if c.Resting() != (name == "nothing") {
 					t.Errorf("%s, paused %v: resting is %v", name, paused, c.Resting())
 				}
@@ -513,7 +513,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		conn, err := stdnet.Dial("tcp", a.String())
+		conn, err := net.Dial("tcp", a.String())
 		if err != nil {
 			t.Fatal(err)
 		}
