--- a/cmd/dispatcher-serve/main.go
+++ b/cmd/dispatcher-serve/main.go
@@ -19,7 +19,7 @@
 	form := flag.String("log-format", "text", "text or json")
 	flag.BoolVar(&f.Trace, "trace", false, "log each step of each req, by the client's name for it")
 	flag.Parse()
-	if err := daemon.Serve(f, os.Getenv, daemon.Logger(os.Stderr, *form)); err != nil {
+	if err := daemon.Serve(f, os.Getenv, daemon.NewLogger(os.Stderr, *form)); err != nil {
 		fmt.Fprintln(os.Stderr, "dispatcher:", err)
 		os.Exit(1)
 	}
--- a/cmd/dispatcher/handover_golden_test.go
+++ b/cmd/dispatcher/handover_golden_test.go
@@ -129,7 +129,7 @@
 // What a successor makes of a predecessor's words, and what it says itself.
 func TestGoldenSuccessor(t *testing.T) {
 	w := operate(t, keep(t))
-	path := handover.Path(w.folder(), "n0 "+w.listen)
+	path := handover.SocketPath(w.folder(), "n0 "+w.listen)
 	ln, err := net.Listen("unix", path)
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/dispatcher/jobs.go
+++ b/cmd/dispatcher/jobs.go
@@ -93,7 +93,7 @@
 	}
 	var d desk = door(c.Door)
 	if c.Store != "" {
-		b, err := durable.OpenBook(c.Store, func() time.Duration { return time.Duration(time.Now().UnixNano()) })
+		b, err := durable.OpenOffline(c.Store, func() time.Duration { return time.Duration(time.Now().UnixNano()) })
 		if err != nil {
 			return err
 		}
@@ -165,20 +165,20 @@
 
 // file is the store of a stopped dispatcher.
 type file struct {
-	*durable.Book
+	*durable.OfflineStore
 	path string
 }
 
 func (f file) snapshot(name string) error { return f.Snapshot(f.path, name) }
 
 func (f file) page(state, class string, after uint64, full bool) (views []durable.View, next uint64, err error) {
-	chosen, err := durable.Chosen(state, class)
+	chosen, err := durable.Filter(state, class)
 	if err != nil {
 		return nil, 0, err
 	}
 	list, next := f.Page(after, 1000, 1_000_000, chosen)
 	for _, j := range list {
-		views = append(views, durable.Show(j, full))
+		views = append(views, durable.NewView(j, full))
 	}
 	return views, next, nil
 }
@@ -188,13 +188,13 @@
 	if !known {
 		return durable.View{}, fmt.Errorf("no job %s", id)
 	}
-	return durable.Show(j, true), nil
+	return durable.NewView(j, true), nil
 }
 
 func (f file) decide(act, id, reason string, ran bool) error {
 	switch act {
 	case "settle":
-		return f.Settle(id, ran, reason)
+		return f.Resolve(id, ran, reason)
 	case "retry":
 		return f.Move(id, jobs.Requeue, reason)
 	}
--- a/cmd/dispatcher/main.go
+++ b/cmd/dispatcher/main.go
@@ -100,7 +100,7 @@
 			return fmt.Errorf("%s: %w", path, err)
 		}
 	}
-	return daemon.Serve(files, env, daemon.Logger(errs, c.LogFormat))
+	return daemon.Serve(files, env, daemon.NewLogger(errs, c.LogFormat))
 }
 
 // beside is the lean image of the daemon, if it lies beside this program.
--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -24,7 +24,7 @@
 func run(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, 1<<20)
 	w := bufio.NewWriterSize(out, 1<<20)
-	h := host{dispatchers: map[int64]*decision.Dispatcher{}, decoder: simwire.NewDecoder()}
+	h := host{dispatchers: map[int64]*decision.Machine{}, decoder: simwire.NewDecoder()}
 	var long []byte
 	for {
 		line, err := r.ReadSlice('\n')
@@ -59,7 +59,7 @@
 type host struct {
 	decoder     *simwire.Decoder
 	encoder     simwire.Encoder
-	dispatchers map[int64]*decision.Dispatcher // nil once it has exited
+	dispatchers map[int64]*decision.Machine // nil once it has exited
 	now         simwire.Batch
 	actions     []decision.Action
 }
--- a/decision/api.go
+++ b/decision/api.go
@@ -13,84 +13,84 @@
 	"time"
 )
 
-// Repeat says what may be done with a request that might already have run.
-type Repeat uint8
+// Idempotency says what may be done with a request that might already have run.
+type Idempotency uint8
 
 // The repeat classes.
 const (
-	Retryable Repeat = iota // may run any number of times
-	Dedup                   // workers of one group discard repeats for a while
-	Fragile                 // must never run twice
+	Idempotent    Idempotency = iota // may run any number of times
+	Deduplicated                     // workers of one group discard repeats for a while
+	NonIdempotent                    // must never run twice
 )
 
-// Group names the workers that discard each other's repeats of a Dedup request.
-type Group uint8
+// DedupScope names the workers that discard each other's repeats of a Dedup request.
+type DedupScope uint8
 
 // The groups of a Dedup class.
 const (
-	GroupAll Group = iota
-	GroupZone
-	GroupCell
+	DedupEverywhere DedupScope = iota
+	DedupWithinZone
+	DedupWithinCell
 )
 
 // Class describes one class of requests.
 type Class struct {
-	Name      string        // as wires call it; no decision rests on it
-	Worth     float64       // worth of an answer inside the aim
-	LateWorth float64       // share of Worth still earned after the aim
-	Aim       time.Duration // answers within Aim + Stretch*work earn full worth; both 0: within Deadline
-	Stretch   float64
-	Deadline  time.Duration // how long a client waits in all
-	Repeat    Repeat
-	Group     Group         // for Dedup
-	Window    time.Duration // for Dedup: how long the group remembers a request
-	Kinds     []int         // the only machine kinds that may run the class; nil: any
-	Zones     []int         // the only zones in which it may run; nil: any
-	InTurn    bool          // requests of such classes with one key run one at a time, as they came
-	Stream    bool          // the answer is a stream, announced by FirstByte
+	Name             string        // as wires call it; no decision rests on it
+	PriorityWeight   float64       // worth of an answer inside the aim
+	LateWeight       float64       // share of Worth still earned after the aim
+	LatencyObjective time.Duration // answers within Aim + Stretch*work earn full worth; both 0: within Deadline
+	ObjectiveStretch float64
+	Deadline         time.Duration // how long a client waits in all
+	Idempotency      Idempotency
+	DedupScope       DedupScope    // for Dedup
+	DedupWindow      time.Duration // for Dedup: how long the group remembers a request
+	Kinds            []int         // the only machine kinds that may run the class; nil: any
+	Zones            []int         // the only zones in which it may run; nil: any
+	Serialized       bool          // requests of such classes with one key run one at a time, as they came
+	Streaming        bool          // the answer is a stream, announced by FirstByte
 }
 
 // Settings are the facts a dispatcher is told when it starts. Only Classes is
 // required, with the Deadline of each; for the rest the zero value is a safe
 // default: nothing that is not allowed is done, and a rule of length 0 is off.
 type Settings struct {
-	Classes        []Class
-	TenantQuotas   []float64 // requests a second over all dispatchers, by tenant; empty: no tenants
-	OverQuotaWorth float64   // worth of a request beyond its tenant's quota, as a fraction
-	WorthByWork    bool      // worth counts per unit of work, not per request
-	Zone           int       // zone of this dispatcher
-	Peers          int       // dispatchers in this tier, itself included
-	Tick           time.Duration
-
-	AskForList bool          // the worker list comes only after Subscribe
-	AskWithin  time.Duration // longest time without asking before the list counts as heard
-
-	ColdFrom     float64       // a fresh worker has at least this fraction of its capacity
-	WarmAfter    time.Duration // and all of it after this time
-	FallMultiple float64       // a cold worker falls over when sent this multiple of its capacity
-	FallWindow   time.Duration // for this long
-
-	FullNoProof bool          // Saturated does not prove that an attempt never ran
-	KeyRest     time.Duration // a key rests this long after an attempt that may still be running
-	ExtraWindow time.Duration // in any such span, the attempts beyond a request's first number at most
-	ExtraFloor  float64       // so many; an ExtraWindow of 0 is no bound at all
-	ExtraRatio  float64       // plus this share of the requests taken in the span
-
-	MaxAttempts    int
-	SecondCopies   bool // a request may have two attempts out at once
-	Cancel         bool // StopAttempt is allowed
-	Probing        bool // Probe is allowed
-	ReportsByProbe bool // load reports come with probes only
-	MaxRetryAfter  time.Duration
-	ConnectTimeout time.Duration
-	ConnIdle       time.Duration // connections unused for so long are closed; 0: unknown
-	TellsStart     bool          // workers tell when a job starts
-	StartsInOrder  bool          // workers start waiting jobs in the order in which they came
-	Progress       time.Duration // interval of progress notes; 0: none
-	CrossZonePrice float64       // points lost when every attempt crosses zones
-	FetchPrice     float64       // points lost when for every request what its key names must be fetched
-	MarksRetry     bool          // clients mark their repeats
-	LiveWeights    bool          // the list's weights fall with the load
+	Classes         []Class
+	TenantQuotas    []float64 // requests a second over all dispatchers, by tenant; empty: no tenants
+	OverQuotaWeight float64   // worth of a request beyond its tenant's quota, as a fraction
+	WeightByWork    bool      // worth counts per unit of work, not per request
+	Zone            int       // zone of this dispatcher
+	Peers           int       // dispatchers in this tier, itself included
+	Tick            time.Duration
+
+	ListBySubscription bool          // the worker list comes only after Subscribe
+	ListPollInterval   time.Duration // longest time without asking before the list counts as heard
+
+	SlowStartFloor    float64       // a fresh worker has at least this fraction of its capacity
+	SlowStartDuration time.Duration // and all of it after this time
+	OverloadMultiple  float64       // a cold worker falls over when sent this multiple of its capacity
+	OverloadWindow    time.Duration // for this long
+
+	SaturatedMayHaveRun bool          // Saturated does not prove that an attempt never ran
+	KeyCooldown         time.Duration // a key rests this long after an attempt that may still be running
+	RetryBudgetWindow   time.Duration // in any such span, the attempts beyond a request's first number at most
+	RetryBudgetFloor    float64       // so many; an ExtraWindow of 0 is no bound at all
+	RetryBudgetRatio    float64       // plus this share of the requests taken in the span
+
+	MaxAttempts           int
+	Hedging               bool // a request may have two attempts out at once
+	Cancellation          bool // StopAttempt is allowed
+	HealthChecks          bool // Probe is allowed
+	LoadByHealthCheck     bool // load reports come with probes only
+	MaxRetryAfter         time.Duration
+	ConnectTimeout        time.Duration
+	ConnectionIdleTimeout time.Duration // connections unused for so long are closed; 0: unknown
+	StartNotices          bool          // workers tell when a job starts
+	StartsInOrder         bool          // workers start waiting jobs in the order in which they came
+	ProgressInterval      time.Duration // interval of progress notes; 0: none
+	CrossZoneCost         float64       // points lost when every attempt crosses zones
+	CacheMissCost         float64       // points lost when for every request what its key names must be fetched
+	ClientsMarkRetries    bool          // clients mark their repeats
+	LoadAdjustedWeights   bool          // the list's weights fall with the load
 
 	// Facts of the deployment for those who carry decisions out; none rests on them.
 	ZoneNames  []string // the names of zones and kinds, by number
@@ -99,9 +99,9 @@
 	DrainGrace time.Duration // how long after the news a draining worker may still be sent to
 }
 
-// Herd tells whether so many dispatchers call for the list that they must not do so at once. The list known
+// LargeFleet tells whether so many dispatchers call for the list that they must not do so at once. The list known
 // serves meanwhile.
-func (s *Settings) Herd() bool { return s.Peers > herdFrom }
+func (s *Settings) LargeFleet() bool { return s.Peers > herdFrom }
 
 // normalize checks the settings and fills in what must not be zero.
 func (s *Settings) normalize() error {
@@ -116,15 +116,15 @@
 		if err := cmp.Or(bound(i, "Kinds", c.Kinds), bound(i, "Zones", c.Zones)); err != nil {
 			return err
 		}
-		if c.Aim == 0 && c.Stretch == 0 {
-			s.Classes[i].Aim = c.Deadline
+		if c.LatencyObjective == 0 && c.ObjectiveStretch == 0 {
+			s.Classes[i].LatencyObjective = c.Deadline
 		}
-		if c.InTurn && c.Stream {
+		if c.Serialized && c.Streaming {
 			return fmt.Errorf("settings: Classes[%d].InTurn: a Stream cannot run in turn", i)
 		}
 		class := fmt.Sprintf("Classes[%d].", i)
-		if err := cmp.Or(amount(class+"Worth", c.Worth), amount(class+"LateWorth", c.LateWorth),
-			amount(class+"Stretch", c.Stretch), amount(class+"Aim", c.Aim.Seconds())); err != nil {
+		if err := cmp.Or(amount(class+"Worth", c.PriorityWeight), amount(class+"LateWorth", c.LateWeight),
+			amount(class+"Stretch", c.ObjectiveStretch), amount(class+"Aim", c.LatencyObjective.Seconds())); err != nil {
 			return err
 		}
 	}
@@ -133,19 +133,19 @@
 			return err
 		}
 	}
-	if err := amount("OverQuotaWorth", s.OverQuotaWorth); err != nil {
+	if err := amount("OverQuotaWorth", s.OverQuotaWeight); err != nil {
 		return err
 	}
-	if !(s.ColdFrom >= 0 && s.ColdFrom <= 1) {
+	if !(s.SlowStartFloor >= 0 && s.SlowStartFloor <= 1) {
 		return errors.New("settings: ColdFrom must be between 0 and 1")
 	}
-	if s.KeyRest < 0 {
+	if s.KeyCooldown < 0 {
 		return errors.New("settings: KeyRest must not be negative")
 	}
-	if err := cmp.Or(amount("ExtraFloor", s.ExtraFloor), amount("ExtraRatio", s.ExtraRatio)); err != nil {
+	if err := cmp.Or(amount("ExtraFloor", s.RetryBudgetFloor), amount("ExtraRatio", s.RetryBudgetRatio)); err != nil {
 		return err
 	}
-	if s.ExtraWindow < 0 || s.ExtraWindow == 0 && s.ExtraFloor+s.ExtraRatio > 0 {
+	if s.RetryBudgetWindow < 0 || s.RetryBudgetWindow == 0 && s.RetryBudgetFloor+s.RetryBudgetRatio > 0 {
 		return errors.New("settings: ExtraWindow must be positive where ExtraFloor or ExtraRatio is given")
 	}
 	s.Peers, s.MaxAttempts = max(s.Peers, 1), max(s.MaxAttempts, 1)
@@ -175,23 +175,23 @@
 // The states of a listed worker.
 const (
 	Running WorkerState = iota
-	Stopping
-	Deleted
+	Draining
+	Removed
 )
 
-// Entry is one worker of a list.
-type Entry struct {
-	Worker    string
+// Endpoint is one worker of a list.
+type Endpoint struct {
+	Name      string
 	Zone      int
 	Kind      int
 	Cell      int
 	State     WorkerState
-	LastStart time.Duration // clock time of the last start; 0: long ago
+	StartedAt time.Duration // clock time of the last start; 0: long ago
 	Weight    float64       // size by the list; with LiveWeights over 1 + the requests it holds a core
 }
 
-// Load is what a worker's load report tells, as far as a decision rests on it.
-type Load struct {
+// LoadReport is what a worker's load report tells, as far as a decision rests on it.
+type LoadReport struct {
 	FreeSlots      float64
 	HasFreeSlots   bool
 	Outstanding    float64 // requests it holds, of all dispatchers
@@ -200,23 +200,23 @@
 	HasBacklog     bool
 }
 
-// Outcome tells how an attempt ended. Unusable: the worker says that the request itself is at fault.
-type Outcome uint8
+// AttemptOutcome tells how an attempt ended. Unusable: the worker says that the request itself is at fault.
+type AttemptOutcome uint8
 
-// The outcomes. Saturated (unless FullNoProof), RefusedConn and Superseded prove that the attempt never ran.
+// The outcomes. Saturated (unless FullNoProof), ConnectionRefused and NotSent prove that the attempt never ran.
 const (
-	Completed Outcome = iota
-	Errored
+	Completed AttemptOutcome = iota
+	Failed
 	Saturated
-	Overdue
-	RefusedConn
-	Severed
-	Recalled
-	Superseded
-	Unusable
+	TimedOut
+	ConnectionRefused
+	ConnectionLost
+	Cancelled
+	NotSent
+	InvalidRequest
 )
 
-func (o Outcome) String() string {
+func (o AttemptOutcome) String() string {
 	return [...]string{"completed", "errored", "saturated", "overdue", "refused", "severed", "recalled", "superseded", "unusable"}[o]
 }
 
@@ -225,20 +225,20 @@
 
 // The kinds of events, with the fields they use.
 const (
-	WorkerList   EventKind = iota // List, Entries
-	Arrival                       // Request, Class, Tenant, Slots, Work, Left, ClientRetry, Key
-	FirstByte                     // Request, Attempt, Worker
-	Response                      // Request, Attempt, Worker, Outcome, Settled, Load
-	Started                       // Request, Attempt, Worker
-	ProgressMade                  // Request, Attempt, Worker, Fraction
-	ProbeResult                   // Worker, Outcome, Load
-	HungUp                        // Request
-	TimerDue                      // Timer
-	PeerMessage                   // ignored: dispatchers share nothing
-	ColdCharge                    // Worker, Charge: what the same dispatcher's other process, while there is one, sent
-	Reconfigured                  // Settings: those that may change while running; Event.Settings tells which
-	Suspended                     // Entries, by Worker: they get nothing until Resumed, whatever lists say meanwhile
-	Resumed                       // Entries, by Worker
+	ListUpdated        EventKind = iota // List, Entries
+	RequestArrived                      // Request, Class, Tenant, Slots, Work, Left, ClientRetry, Key
+	FirstByte                           // Request, Attempt, Worker
+	AttemptEnded                        // Request, Attempt, Worker, Outcome, Settled, Load
+	AttemptStarted                      // Request, Attempt, Worker
+	AttemptProgressed                   // Request, Attempt, Worker, Fraction
+	HealthChecked                       // Worker, Outcome, Load
+	ClientDisconnected                  // Request
+	TimerFired                          // Timer
+	PeerMessage                         // ignored: dispatchers share nothing
+	ReservedElsewhere                   // Worker, Charge: what the same dispatcher's other process, while there is one, sent
+	SettingsChanged                     // Settings: those that may change while running; Event.Settings tells which
+	WorkersSuspended                    // Entries, by Worker: they get nothing until Resumed, whatever lists say meanwhile
+	WorkersResumed                      // Entries, by Worker
 )
 
 // ListKind tells how the entries of a WorkerList event are meant.
@@ -246,10 +246,10 @@
 
 // The kinds of lists.
 const (
-	ListChanges   ListKind = iota // changed entries only
-	ListComplete                  // workers that are absent are gone
-	ListPersisted                 // complete, as last held; may be out of date
-	ListError                     // a call failed or the subscription broke; no entries
+	ListDelta    ListKind = iota // changed entries only
+	ListSnapshot                 // workers that are absent are gone
+	ListCached                   // complete, as last held; may be out of date
+	ListFailed                   // a call failed or the subscription broke; no entries
 )
 
 // Event is one thing that happened to a dispatcher.
@@ -263,17 +263,17 @@
 	Tenant      int
 	Slots       float64
 	Work        time.Duration // hinted run time on a standard core; 0: no hint
-	Left        time.Duration // time until the client gives up this try
+	TimeLeft    time.Duration // time until the client gives up this try
 	ClientRetry bool          // marked as a client's repeat
 	Key         string        // what the request concerns; may be empty
-	Outcome     Outcome
-	Settled     bool // the request has its final answer
-	Load        Load
+	Outcome     AttemptOutcome
+	Answered    bool // the request has its final answer
+	Load        LoadReport
 	Fraction    float64
-	Charge      float64 // of a cold worker's budget
+	Reservation float64 // of a cold worker's budget
 	Timer       uint64
-	List        ListKind
-	Entries     []Entry
+	ListKind    ListKind
+	Endpoints   []Endpoint
 
 	// Settings hold new values of TenantQuotas, OverQuotaWorth and MaxRetryAfter, and of the Worth, LateWorth, Aim
 	// and Stretch of Classes; all else in them is passed over. Requests that are open keep the value and the aim that
@@ -286,39 +286,39 @@
 
 // The kinds of actions, with the fields they use.
 const (
-	Assign      ActionKind = iota // Request, Worker, Charge: start the next attempt
-	Refuse                        // Request, Delay: turned away, safe to try again after Delay
-	FinishError                   // Request: failed, no promise
-	StopAttempt                   // Request, Attempt
-	SetTimer                      // Timer, Delay
-	Probe                         // Worker
-	Subscribe                     // ask for list changes from now on
-	Release                       // Worker: close the idle connections to it
-	Log                           // Text
+	Assign        ActionKind = iota // Request, Worker, Charge: start the next attempt
+	Reject                          // Request, Delay: turned away, safe to try again after Delay
+	Fail                            // Request: failed, no promise
+	CancelAttempt                   // Request, Attempt
+	SetTimer                        // Timer, Delay
+	CheckHealth                     // Worker
+	Subscribe                       // ask for list changes from now on
+	CloseIdle                       // Worker: close the idle connections to it
+	Log                             // Text
 )
 
 // Action is one thing the dispatcher must do, in the order returned.
 type Action struct {
-	Kind    ActionKind
-	Request uint64
-	Attempt int
-	Worker  string
-	Delay   time.Duration
-	Charge  float64 // what the attempt takes of a cold worker's budget; 0: the worker is warm
-	Timer   uint64
-	Text    string
+	Kind        ActionKind
+	Request     uint64
+	Attempt     int
+	Worker      string
+	Delay       time.Duration
+	Reservation float64 // what the attempt takes of a cold worker's budget; 0: the worker is warm
+	Timer       uint64
+	Text        string
 }
 
 // Ejected names the workers that run and that it avoids, since what they did lately looks like failure. One
 // that gets a job now and then to see whether it has come back is still among them. While most look bad the
 // trouble is not theirs: all are used, and none is named.
-func (d *Dispatcher) Ejected() (names []string) {
+func (d *Machine) Ejected() (names []string) {
 	if d.suspects == 0 || d.trustAll() {
 		return nil
 	}
 	for _, w := range d.fleet {
 		if w.suspect && w.State == Running {
-			names = append(names, w.Worker)
+			names = append(names, w.Name)
 		}
 	}
 	return names
--- a/decision/capacity_test.go
+++ b/decision/capacity_test.go
@@ -17,34 +17,34 @@
 const capacityZones = 17
 
 // capacityRig has a fleet over many zones, of which every coldEvery-th worker has just started; 0: none.
-func capacityRig(t testing.TB, workers, coldEvery int) (*Dispatcher, []Entry) {
+func capacityRig(t testing.TB, workers, coldEvery int) (*Machine, []Endpoint) {
 	t.Helper()
 	s := testSettings()
-	s.Peers, s.CrossZonePrice, s.TellsStart = 300, 0.05, true
-	s.Classes = append(s.Classes, Class{Worth: 1, Deadline: 5 * time.Second, Kinds: []int{1}})
+	s.Peers, s.CrossZoneCost, s.StartNotices = 300, 0.05, true
+	s.Classes = append(s.Classes, Class{PriorityWeight: 1, Deadline: 5 * time.Second, Kinds: []int{1}})
 	d, err := New(s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	const start = time.Hour
-	list := make([]Entry, workers)
+	list := make([]Endpoint, workers)
 	for i := range list {
-		list[i] = Entry{Worker: fmt.Sprintf("w%d", i), Zone: i % capacityZones, Kind: i % 3, Cell: i % 1000, State: Running}
+		list[i] = Endpoint{Name: fmt.Sprintf("w%d", i), Zone: i % capacityZones, Kind: i % 3, Cell: i % 1000, State: Running}
 		if coldEvery > 0 && i%coldEvery == 0 {
-			list[i].LastStart = start
+			list[i].StartedAt = start
 		}
 	}
-	d.Handle(start, Event{Kind: WorkerList, List: ListPersisted, Entries: list}, nil)
+	d.Handle(start, Event{Kind: ListUpdated, ListKind: ListCached, Endpoints: list}, nil)
 	d.perSlot, d.perRate = 1e6, 1e6 // no ceiling binds: what is measured is the pick
 	return d, list
 }
 
 // BenchmarkDelta is one worker that drains, or comes back, by a delta of its own.
 func BenchmarkDelta(b *testing.B) {
-	benchmarkDeltas(b, func(list []Entry, i int) Entry {
+	benchmarkDeltas(b, func(list []Endpoint, i int) Endpoint {
 		entry := list[i%len(list)]
 		if i%2 == 0 {
-			entry.State = Stopping
+			entry.State = Draining
 		}
 		return entry
 	})
@@ -52,26 +52,26 @@
 
 // BenchmarkReplace is one worker that goes and one that comes, each by a delta of its own.
 func BenchmarkReplace(b *testing.B) {
-	benchmarkDeltas(b, func(list []Entry, i int) Entry {
+	benchmarkDeltas(b, func(list []Endpoint, i int) Endpoint {
 		entry := list[i/2%len(list)]
 		if i%2 == 0 {
-			entry.State = Deleted
+			entry.State = Removed
 		}
 		return entry
 	})
 }
 
 // benchmarkDeltas measures deltas of one entry each, at each size of the fleet.
-func benchmarkDeltas(b *testing.B, entry func(list []Entry, i int) Entry) {
+func benchmarkDeltas(b *testing.B, entry func(list []Endpoint, i int) Endpoint) {
 	for _, workers := range fleetSizes {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
 			d, list := capacityRig(b, workers, 0)
 			var out []Action
-			entries := make([]Entry, 1)
+			entries := make([]Endpoint, 1)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				entries[0] = entry(list, i)
-				out = d.Handle(d.now, Event{Kind: WorkerList, List: ListChanges, Entries: entries}, out[:0])
+				out = d.Handle(d.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: entries}, out[:0])
 			}
 		})
 	}
@@ -89,14 +89,14 @@
 				for i := 0; b.Loop(); i++ {
 					now += time.Microsecond // the cold stay cold
 					if i%1000 == 0 {
-						out = d.Handle(now, Event{Kind: TimerDue, Timer: beatTimer}, out[:0])
+						out = d.Handle(now, Event{Kind: TimerFired, Timer: beatTimer}, out[:0])
 					}
 					id := uint64(i + 1)
-					out = d.Handle(now, Event{Kind: Arrival, Request: id, Slots: 1, Work: 10 * time.Millisecond,
-						Left: 5 * time.Second}, out[:0])
+					out = d.Handle(now, Event{Kind: RequestArrived, Request: id, Slots: 1, Work: 10 * time.Millisecond,
+						TimeLeft: 5 * time.Second}, out[:0])
 					if a := find(out, Assign); a != nil {
-						out = d.Handle(now, Event{Kind: Response, Request: id, Worker: a.Worker, Outcome: Completed,
-							Settled: true}, out[:0])
+						out = d.Handle(now, Event{Kind: AttemptEnded, Request: id, Worker: a.Worker, Outcome: Completed,
+							Answered: true}, out[:0])
 					}
 				}
 			})
@@ -105,7 +105,7 @@
 }
 
 // listsOf are the lists of a dispatcher in which each worker knows its place.
-func listsOf(d *Dispatcher) map[listID][]*worker {
+func listsOf(d *Machine) map[listID][]*worker {
 	return map[listID][]*worker{inFleet: d.fleet, inPool: d.pool, inNear: d.near, inFresh: d.fresh}
 }
 
@@ -120,7 +120,7 @@
 
 func deltaReadsNoOtherWorker(t *testing.T, workers, index int) {
 	changed := fmt.Sprintf("w%d", index)
-	for _, state := range []WorkerState{Running, Stopping, Deleted} {
+	for _, state := range []WorkerState{Running, Draining, Removed} {
 		d, list := capacityRig(t, workers, 10)
 		w := d.workers[changed]
 		if cold := index%10 == 0; (w.place[inFresh] > 0) != cold || (w.place[inNear] > 0) == cold {
@@ -129,19 +129,19 @@
 		for id, members := range listsOf(d) {
 			for i, other := range members[:len(members)-1] { // the last one takes the place
 				if i != w.place[id]-1 {
-					delete(d.workers, other.Worker)
-					d.workers["nobody "+other.Worker] = nil
+					delete(d.workers, other.Name)
+					d.workers["nobody "+other.Name] = nil
 					members[i] = nil
 				}
 			}
 		}
 		e := list[index]
-		if e.Worker != changed {
-			t.Fatalf("%s is changed", e.Worker)
+		if e.Name != changed {
+			t.Fatalf("%s is changed", e.Name)
 		}
 		e.State = state
-		d.Handle(d.now, Event{Kind: WorkerList, List: ListChanges, Entries: []Entry{e}}, nil)
-		if gone := d.workers[changed] == nil; gone != (state == Deleted) {
+		d.Handle(d.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{e}}, nil)
+		if gone := d.workers[changed] == nil; gone != (state == Removed) {
 			t.Errorf("state %v: gone: %v", state, gone)
 		}
 	}
@@ -152,14 +152,14 @@
 	allocated := map[int]float64{}
 	for _, workers := range fleetSizes {
 		d, list := capacityRig(t, workers, 0)
-		out, entries, i := make([]Action, 0, 8), make([]Entry, 1), 0
+		out, entries, i := make([]Action, 0, 8), make([]Endpoint, 1), 0
 		allocated[workers] = testing.AllocsPerRun(500, func() {
 			entries[0] = list[i/2%workers]
 			if i%2 == 0 {
-				entries[0].State = Deleted
+				entries[0].State = Removed
 			}
 			i++
-			out = d.Handle(d.now, Event{Kind: WorkerList, List: ListChanges, Entries: entries}, out[:0])
+			out = d.Handle(d.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: entries}, out[:0])
 		})
 	}
 	if allocated[21000] > allocated[200]+1 {
@@ -173,8 +173,8 @@
 func TestListsAgreeWithACountAnew(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := testSettings()
-		s.CrossZonePrice, s.FetchPrice = 0.05, 0.1
-		s.Classes = append(s.Classes, Class{Worth: 1, Deadline: 5 * time.Second, Kinds: []int{1}, Zones: []int{0}})
+		s.CrossZoneCost, s.CacheMissCost = 0.05, 0.1
+		s.Classes = append(s.Classes, Class{PriorityWeight: 1, Deadline: 5 * time.Second, Kinds: []int{1}, Zones: []int{0}})
 		a, errA := New(s, 7)
 		b, errB := New(s, 7)
 		if errA != nil || errB != nil {
@@ -191,17 +191,17 @@
 		}
 		for step := range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
-			var entries []Entry
+			var entries []Endpoint
 			for range rapid.IntRange(0, 8).Draw(t, "entries") {
-				entries = append(entries, Entry{
-					Worker: fmt.Sprintf("w%d", rapid.IntRange(0, names-1).Draw(t, "worker")),
-					Zone:   rapid.IntRange(0, 2).Draw(t, "zone"), Kind: rapid.IntRange(0, 2).Draw(t, "kind"),
-					State:     rapid.SampledFrom([]WorkerState{Running, Running, Stopping, Deleted}).Draw(t, "state"),
-					LastStart: now - time.Duration(rapid.IntRange(0, 12000).Draw(t, "age"))*time.Millisecond,
+				entries = append(entries, Endpoint{
+					Name: fmt.Sprintf("w%d", rapid.IntRange(0, names-1).Draw(t, "worker")),
+					Zone: rapid.IntRange(0, 2).Draw(t, "zone"), Kind: rapid.IntRange(0, 2).Draw(t, "kind"),
+					State:     rapid.SampledFrom([]WorkerState{Running, Running, Draining, Removed}).Draw(t, "state"),
+					StartedAt: now - time.Duration(rapid.IntRange(0, 12000).Draw(t, "age"))*time.Millisecond,
 				})
 			}
-			kind := rapid.SampledFrom([]ListKind{ListChanges, ListChanges, ListChanges, ListComplete}).Draw(t, "list")
-			both(Event{Kind: WorkerList, List: kind, Entries: entries})
+			kind := rapid.SampledFrom([]ListKind{ListDelta, ListDelta, ListDelta, ListSnapshot}).Draw(t, "list")
+			both(Event{Kind: ListUpdated, ListKind: kind, Endpoints: entries})
 			if len(a.fleet) > 0 && rapid.Bool().Draw(t, "suspect") {
 				i := rapid.IntRange(0, len(a.fleet)-1).Draw(t, "which")
 				a.judge(a.fleet[i], 1, "fails")
@@ -210,14 +210,14 @@
 			}
 			if rapid.Bool().Draw(t, "arrival") {
 				id := uint64(step + 1)
-				did := both(Event{Kind: Arrival, Request: id, Slots: 1, Work: 10 * time.Millisecond, Left: 5 * time.Second,
+				did := both(Event{Kind: RequestArrived, Request: id, Slots: 1, Work: 10 * time.Millisecond, TimeLeft: 5 * time.Second,
 					Key: rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "key")})
 				if assigned := find(did, Assign); assigned != nil && rapid.Bool().Draw(t, "answered") {
-					both(Event{Kind: Response, Request: id, Worker: assigned.Worker, Outcome: Completed, Settled: true})
+					both(Event{Kind: AttemptEnded, Request: id, Worker: assigned.Worker, Outcome: Completed, Answered: true})
 				}
 			}
 			if rapid.Bool().Draw(t, "beat") {
-				both(Event{Kind: TimerDue, Timer: beatTimer})
+				both(Event{Kind: TimerFired, Timer: beatTimer})
 			}
 			countAnew(t, a)
 		}
@@ -225,20 +225,20 @@
 }
 
 // countAnew checks all that a dispatcher keeps of its workers by difference.
-func countAnew(t *rapid.T, d *Dispatcher) {
+func countAnew(t *rapid.T, d *Machine) {
 	t.Helper()
 	if len(d.fleet) != len(d.workers) {
 		t.Fatalf("%d in the fleet, %d known", len(d.fleet), len(d.workers))
 	}
 	running, suspects, open := 0, 0, map[*Class]int{}
 	for _, w := range d.fleet {
-		if d.workers[w.Worker] != w || w.State == Deleted {
-			t.Fatalf("in the fleet and not known, or gone: %+v", w.Entry)
+		if d.workers[w.Name] != w || w.State == Removed {
+			t.Fatalf("in the fleet and not known, or gone: %+v", w.Endpoint)
 		}
 		cold := w.place[inFresh] > 0 // until the next sweep it stands with the cold ones, though it may be warm by now
 		if !cold && d.warmth(w) < 1 || cold == (w.place[inPool] > 0) ||
 			(!cold && w.Zone == d.s.Zone) != (w.place[inNear] > 0) {
-			t.Fatalf("in the wrong lists: %+v, %v", w.Entry, w.place)
+			t.Fatalf("in the wrong lists: %+v, %v", w.Endpoint, w.place)
 		}
 		if w.State != Running {
 			continue
@@ -259,8 +259,8 @@
 	}
 	for id, members := range listsOf(d) {
 		for i, w := range members {
-			if w.place[id] != i+1 || d.workers[w.Worker] != w {
-				t.Fatalf("list %v: %s stands at %d and takes itself to be at %d", id, w.Worker, i, w.place[id]-1)
+			if w.place[id] != i+1 || d.workers[w.Name] != w {
+				t.Fatalf("list %v: %s stands at %d and takes itself to be at %d", id, w.Name, i, w.place[id]-1)
 			}
 		}
 	}
@@ -268,8 +268,8 @@
 		t.Fatalf("%d on the ring, of %d; in order: %v", len(d.ring), len(d.fleet), slices.IsSortedFunc(d.ring, byHash))
 	}
 	for _, w := range d.ring {
-		if d.workers[w.Worker] != w {
-			t.Fatalf("%s is on the ring and not known", w.Worker)
+		if d.workers[w.Name] != w {
+			t.Fatalf("%s is on the ring and not known", w.Name)
 		}
 	}
 }
@@ -290,11 +290,11 @@
 	}
 	for _, w := range d.fresh {
 		if drawn[w] != 3 {
-			t.Fatalf("%s was drawn %d times in three rounds", w.Worker, drawn[w])
+			t.Fatalf("%s was drawn %d times in three rounds", w.Name, drawn[w])
 		}
 	}
 	before := slices.Clone(d.fresh)
-	d.Handle(d.now, Event{Kind: Arrival, Request: 1, Slots: 1, Work: time.Second, Left: 5 * time.Second}, nil)
+	d.Handle(d.now, Event{Kind: RequestArrived, Request: 1, Slots: 1, Work: time.Second, TimeLeft: 5 * time.Second}, nil)
 	moved := 0
 	for i, w := range d.fresh {
 		if w != before[i] {
@@ -316,25 +316,25 @@
 		t.Fatal(err)
 	}
 	now := time.Hour
-	var list []Entry
+	var list []Endpoint
 	for i := range workers {
-		list = append(list, Entry{Worker: fmt.Sprintf("w%d", i)})
+		list = append(list, Endpoint{Name: fmt.Sprintf("w%d", i)})
 	}
-	d.Handle(now, Event{Kind: WorkerList, List: ListPersisted, Entries: list}, nil)
+	d.Handle(now, Event{Kind: ListUpdated, ListKind: ListCached, Endpoints: list}, nil)
 	const step = time.Second / perSecond
 	id, served, next := uint64(0), map[string]int{}, now
 	arrivals := func(until time.Duration) {
 		for ; now < until; now += step {
 			if now >= next {
 				next += d.beat
-				d.Handle(now, Event{Kind: TimerDue, Timer: beatTimer}, nil)
+				d.Handle(now, Event{Kind: TimerFired, Timer: beatTimer}, nil)
 			}
 			id++
-			did := d.Handle(now, Event{Kind: Arrival, Request: id, Slots: 1, Work: 50 * time.Millisecond,
-				Left: 5 * time.Second}, nil)
+			did := d.Handle(now, Event{Kind: RequestArrived, Request: id, Slots: 1, Work: 50 * time.Millisecond,
+				TimeLeft: 5 * time.Second}, nil)
 			if a := find(did, Assign); a != nil {
 				served[a.Worker]++
-				d.Handle(now, Event{Kind: Response, Request: id, Worker: a.Worker, Outcome: Completed, Settled: true}, nil)
+				d.Handle(now, Event{Kind: AttemptEnded, Request: id, Worker: a.Worker, Outcome: Completed, Answered: true}, nil)
 			}
 		}
 	}
@@ -342,9 +342,9 @@
 	clear(served)
 	start := now
 	for i := 0; i < workers; i += 10 {
-		d.Handle(now, Event{Kind: WorkerList, List: ListChanges, Entries: []Entry{{Worker: fmt.Sprintf("w%d", i), LastStart: start}}}, nil)
+		d.Handle(now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: fmt.Sprintf("w%d", i), StartedAt: start}}}, nil)
 	}
-	arrivals(start + s.WarmAfter)
+	arrivals(start + s.SlowStartDuration)
 	for i := 0; i < workers; i += 10 {
 		if served[fmt.Sprintf("w%d", i)] == 0 {
 			t.Errorf("w%d got no work while it was cold", i)
--- a/decision/dispatcher.go
+++ b/decision/dispatcher.go
@@ -45,46 +45,46 @@
 )
 
 // begin derives the times from the settings and starts permissive.
-func (d *Dispatcher) begin() {
+func (d *Machine) begin() {
 	longest := time.Duration(0)
 	for i, c := range d.s.Classes {
 		longest = max(longest, c.Deadline)
-		d.classWork[i] = max(c.Aim, d.s.Tick).Seconds()
+		d.classWork[i] = max(c.LatencyObjective, d.s.Tick).Seconds()
 	}
 	d.horizon, d.beat = max(longest/4, d.s.Tick), d.beatInterval()
 	d.bucket, d.perSlot, d.own = math.Inf(1), startSlots/float64(d.s.Peers), 2*leastOwn
-	d.perRate, d.idleSafe = d.perSlot, cmp.Or(d.s.ConnIdle, math.MaxInt64/2)
-	if d.homesFrom = mostHomes; d.s.FetchPrice > 0 {
+	d.perRate, d.idleSafe = d.perSlot, cmp.Or(d.s.ConnectionIdleTimeout, math.MaxInt64/2)
+	if d.homesFrom = mostHomes; d.s.CacheMissCost > 0 {
 		d.homesFrom = leastHomes
 	}
 }
 
 // Handle takes in what happened at time now and appends what must be done to out.
-func (d *Dispatcher) Handle(now time.Duration, ev Event, out []Action) []Action {
+func (d *Machine) Handle(now time.Duration, ev Event, out []Action) []Action {
 	d.now, d.actions = max(d.now, now), out
 	switch ev.Kind {
-	case WorkerList:
+	case ListUpdated:
 		d.list(ev)
-	case Arrival:
+	case RequestArrived:
 		d.arrive(ev)
-	case Response:
+	case AttemptEnded:
 		d.response(ev)
-	case Started, ProgressMade:
+	case AttemptStarted, AttemptProgressed:
 		d.note(ev)
-	case ProbeResult:
+	case HealthChecked:
 		d.report(ev)
-	case FirstByte, HungUp: // the client has its answer, or wants none
+	case FirstByte, ClientDisconnected: // the client has its answer, or wants none
 		if r := d.requests[ev.Request]; r != nil {
 			d.end(r)
 		}
-	case TimerDue:
+	case TimerFired:
 		d.timer(ev.Timer)
-	case ColdCharge:
-		d.charged(d.workers[ev.Worker], ev.Charge)
-	case Reconfigured:
+	case ReservedElsewhere:
+		d.charged(d.workers[ev.Worker], ev.Reservation)
+	case SettingsChanged:
 		d.reconfigure(ev.Settings)
-	case Suspended, Resumed:
-		d.suspend(ev.Entries, ev.Kind == Suspended)
+	case WorkersSuspended, WorkersResumed:
+		d.suspend(ev.Endpoints, ev.Kind == WorkersSuspended)
 	}
 	d.drain()
 	out, d.actions = d.actions, nil
@@ -93,18 +93,18 @@
 
 // ---- Admission: the price filter, then lease AND bucket, then the pick.
 
-func (d *Dispatcher) arrive(ev Event) {
+func (d *Machine) arrive(ev Event) {
 	if d.requests[ev.Request] != nil {
 		return
 	}
 	d.countTaken()
 	if ev.Class < 0 || ev.Class >= len(d.s.Classes) {
-		d.act(Action{Kind: FinishError, Request: ev.Request})
+		d.act(Action{Kind: Fail, Request: ev.Request})
 		return
 	}
 	r := &request{id: ev.Request, class: &d.s.Classes[ev.Class], slots: 1}
 	d.requests[r.id] = r
-	r.deadline = d.now + min(ev.Left, r.class.Deadline) - 2*d.s.Tick
+	r.deadline = d.now + min(ev.TimeLeft, r.class.Deadline) - 2*d.s.Tick
 	if ev.Slots > 0 && ev.Slots < math.MaxInt32 {
 		r.slots = ev.Slots
 	}
@@ -114,23 +114,23 @@
 		r.hold = r.work
 		d.classWork[ev.Class] += (r.work - d.classWork[ev.Class]) / fewJobs
 	}
-	r.cost, r.value = r.slots*r.work, r.class.Worth
-	if d.s.WorthByWork {
+	r.cost, r.value = r.slots*r.work, r.class.PriorityWeight
+	if d.s.WeightByWork {
 		r.value *= r.work
 	}
 	// The aim runs from the client's first try: a repeat, or what a stall held, has less time left.
 	full := &d.fullLeft[ev.Class]
-	*full = max(*full, min(ev.Left, r.class.Deadline))
-	gone := max(*full-ev.Left, 0)
+	*full = max(*full, min(ev.TimeLeft, r.class.Deadline))
+	gone := max(*full-ev.TimeLeft, 0)
 	if ev.ClientRetry {
-		gone = max(r.class.Deadline-ev.Left, 0)
+		gone = max(r.class.Deadline-ev.TimeLeft, 0)
 	}
-	ev.ClientRetry = ev.ClientRetry || !d.s.MarksRetry && gone > d.beat
+	ev.ClientRetry = ev.ClientRetry || !d.s.ClientsMarkRetries && gone > d.beat
 	over := d.overQuota(ev)
 	if over {
-		r.value *= d.s.OverQuotaWorth
+		r.value *= d.s.OverQuotaWeight
 	}
-	r.aim = min(d.now+r.class.Aim+seconds(r.class.Stretch*r.work), r.deadline) - gone
+	r.aim = min(d.now+r.class.LatencyObjective+seconds(r.class.ObjectiveStretch*r.work), r.deadline) - gone
 	if !ev.ClientRetry {
 		d.observe(r, pointKey{ev.Class, over, int(math.Log2(r.slots)), int(math.Log2(r.work) / 2)})
 	}
@@ -138,10 +138,10 @@
 		d.giveUp(r)
 		return
 	}
-	if home, met := d.meet(ev.Key); d.s.FetchPrice > 0 || !met && d.suspects == 0 && d.bad < crowded {
+	if home, met := d.meet(ev.Key); d.s.CacheMissCost > 0 || !met && d.suspects == 0 && d.bad < crowded {
 		r.home = home
 	}
-	if r.class.InTurn && ev.Key != "" {
+	if r.class.Serialized && ev.Key != "" {
 		d.lineUp(r, ev.Key)
 	}
 	d.act(Action{Kind: SetTimer, Timer: r.id, Delay: r.deadline - d.now})
@@ -152,7 +152,7 @@
 }
 
 // overQuota tells whether an arrival is beyond its tenant's quota: an even part, or that of the traffic here.
-func (d *Dispatcher) overQuota(ev Event) bool {
+func (d *Machine) overQuota(ev Event) bool {
 	if ev.Tenant < 0 || ev.Tenant >= len(d.tenants) {
 		return false
 	}
@@ -177,12 +177,12 @@
 }
 
 // worthIts is the price filter. It runs before any debit.
-func (d *Dispatcher) worthIts(r *request) bool {
+func (d *Machine) worthIts(r *request) bool {
 	return r.value >= (d.priceC*r.cost+d.priceK*r.hold)*(1-1e-9)
 }
 
 // worthless tells whether an answer earns nothing any more. Given up means answered: no such job is held.
-func (d *Dispatcher) worthless(r *request) bool { return d.now >= r.aim && r.class.LateWorth <= 0 }
+func (d *Machine) worthless(r *request) bool { return d.now >= r.aim && r.class.LateWeight <= 0 }
 
 // byDensity orders the queue: the highest value per cost first, then the nearest aim.
 func byDensity(a, b *request) int {
@@ -191,7 +191,7 @@
 }
 
 // drain places waiting jobs, the highest value per cost first, and passes over a few of each class in vain.
-func (d *Dispatcher) drain() {
+func (d *Machine) drain() {
 	d.wake()
 	clear(d.misses)
 	d.queue = slices.DeleteFunc(d.queue, func(r *request) bool {
@@ -209,15 +209,15 @@
 }
 
 // ceiling is what may be in flight; the room guards against refusals beside idle workers where it is tiny.
-func (d *Dispatcher) ceiling() float64 { return d.perSlot*d.ready() + leaseRoom }
+func (d *Machine) ceiling() float64 { return d.perSlot*d.ready() + leaseRoom }
 
 // leaseFree tells whether the in-flight ceiling lets the request in; one is always let in.
-func (d *Dispatcher) leaseFree(r *request) bool {
+func (d *Machine) leaseFree(r *request) bool {
 	return d.held() <= 0 || d.held()+r.slots <= d.ceiling()
 }
 
 // place ANDs the lease with the bucket and starts an attempt; a deny frees the lease.
-func (d *Dispatcher) place(r *request) bool {
+func (d *Machine) place(r *request) bool {
 	if r.ended || d.awaitsTurn(r) || !d.affordable(r) || !d.leaseFree(r) {
 		return false
 	}
@@ -245,17 +245,17 @@
 
 // ---- The pick: of two sampled ready workers, the lower expected delay.
 
-func (d *Dispatcher) pick(r *request) *worker {
+func (d *Machine) pick(r *request) *worker {
 	// A cold worker with room comes first. Guards against newcomers, in few own sets, idle until warm.
 	if w := d.lower(r, d.nextFresh(), inFresh); w != nil {
 		return w
 	}
 	w := d.lower(r, d.pool, inPool)
-	left, price := max(r.aim-d.now, 0).Seconds(), max(homeBias*d.s.FetchPrice, homeShare)
+	left, price := max(r.aim-d.now, 0).Seconds(), max(homeBias*d.s.CacheMissCost, homeShare)
 	if n := d.lowerHome(r); n != nil && (w == nil || d.delay(r, n)-d.delay(r, w) < price*left) {
 		return n
 	}
-	if price = nearBias * d.s.CrossZonePrice; price > 0 && (w == nil || w.Zone != d.s.Zone) { // two near
+	if price = nearBias * d.s.CrossZoneCost; price > 0 && (w == nil || w.Zone != d.s.Zone) { // two near
 		n := d.lower(r, d.near, inNear)
 		if n != nil && (w == nil || d.delay(r, n)-d.delay(r, w) < price*left) {
 			return n
@@ -265,7 +265,7 @@
 }
 
 // lowerHome samples a key's homes: where a fetch has a price, the next two on a common ring, else more.
-func (d *Dispatcher) lowerHome(r *request) (w *worker) {
+func (d *Machine) lowerHome(r *request) (w *worker) {
 	for n := d.homesFrom; n <= mostHomes && w == nil && r.home != 0; n *= 2 {
 		w = d.lower(r, d.homesOf(r.home, n), inHomes)
 	}
@@ -274,7 +274,7 @@
 
 // lower draws workers until two are ready and returns the one with the lower expected delay. The own set, the
 // head of a random stable order, comes first, lest knowledge of all be old. Draws are bounded for CPU.
-func (d *Dispatcher) lower(r *request, from []*worker, id listID) (best *worker) {
+func (d *Machine) lower(r *request, from []*worker, id listID) (best *worker) {
 	for i, found, drawn := 0, 0, 0; i < len(from) && drawn < mostDraws && found < 2; i++ {
 		span := len(from)
 		if i < d.own { // the own set first, all others only when it has not two ready
@@ -298,19 +298,19 @@
 
 // delay is outstanding slots, own and others' as told, times learned seconds a slot, and the wait seen there.
 // What was told fades, and the mean wait takes its place, lest workers unheard of look the best to all.
-func (d *Dispatcher) delay(r *request, w *worker) float64 {
+func (d *Machine) delay(r *request, w *worker) float64 {
 	fade := math.Exp((max(w.wait.at, w.othersAt) - d.now).Seconds() / d.horizon.Seconds())
 	return (w.out+w.others*fade+r.slots)*d.runTime(r, w) + d.startWait(w) + strangeness*d.meanWait*(1-fade)
 }
 
-func (d *Dispatcher) runTime(r *request, w *worker) float64 {
+func (d *Machine) runTime(r *request, w *worker) float64 {
 	return r.work * cmp.Or(w.pace, d.kindPace[w.Kind], 1) / d.warmth(w)
 }
 
 // startWait is the wait for a start there: learned, fading, at least the oldest own job's so far.
-func (d *Dispatcher) startWait(w *worker) float64 {
+func (d *Machine) startWait(w *worker) float64 {
 	wait := w.wait.get(d.now, d.horizon/4)
-	if d.s.TellsStart && w.unstarted > 0 {
+	if d.s.StartNotices && w.unstarted > 0 {
 		wait = max(wait, (d.now - w.waitFrom).Seconds())
 	}
 	return wait
@@ -323,23 +323,23 @@
 }
 
 // awaitsTurn tells whether an earlier request with its key is not over, or may still run where this has not.
-func (d *Dispatcher) awaitsTurn(r *request) bool {
+func (d *Machine) awaitsTurn(r *request) bool {
 	t := r.turn
 	return t != nil && (t.requests[0] != r || len(r.attempts) == 0 && d.now < t.rested)
 }
 
 // affordable tells whether the budget of attempts beyond a request's first has room, to be safe a tick less.
-func (d *Dispatcher) affordable(r *request) bool {
-	if len(r.attempts) == 0 || d.s.ExtraWindow <= 0 {
+func (d *Machine) affordable(r *request) bool {
+	if len(r.attempts) == 0 || d.s.RetryBudgetWindow <= 0 {
 		return true
 	}
-	d.taken = since(d.taken, d.now-d.s.ExtraWindow+d.s.Tick)
-	d.extra = since(d.extra, d.now-d.s.ExtraWindow-d.s.Tick)
-	return float64(len(d.extra)+1) <= d.s.ExtraFloor+d.s.ExtraRatio*float64(len(d.taken))
+	d.taken = since(d.taken, d.now-d.s.RetryBudgetWindow+d.s.Tick)
+	d.extra = since(d.extra, d.now-d.s.RetryBudgetWindow-d.s.Tick)
+	return float64(len(d.extra)+1) <= d.s.RetryBudgetFloor+d.s.RetryBudgetRatio*float64(len(d.taken))
 }
 
 // allowed is the gate of the rules: open to the class, not draining, no effect that could happen twice.
-func (d *Dispatcher) allowed(r *request, w *worker) bool {
+func (d *Machine) allowed(r *request, w *worker) bool {
 	if w.State != Running || w.suspended || !r.class.mayRunOn(w) || d.sealed(r) {
 		return false
 	}
@@ -347,7 +347,7 @@
 		if a.w == w && d.now-a.sent < d.horizon && len(d.fleet) > 1 {
 			return false // it has just failed this job
 		}
-		if !a.neverRan && r.class.Repeat == Dedup && !r.class.Group.holds(a.w, w) {
+		if !a.neverRan && r.class.Idempotency == Deduplicated && !r.class.DedupScope.holds(a.w, w) {
 			return false
 		}
 	}
@@ -355,18 +355,18 @@
 }
 
 // sealed tells whether no attempt may follow one that may have run: by the class, or as its window is over.
-func (d *Dispatcher) sealed(r *request) bool {
+func (d *Machine) sealed(r *request) bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool {
-		over := r.class.Repeat == Dedup && d.now-a.sent >= r.class.Window-d.s.Tick
-		return !a.neverRan && (over || r.class.Repeat == Fragile)
+		over := r.class.Idempotency == Deduplicated && d.now-a.sent >= r.class.DedupWindow-d.s.Tick
+		return !a.neverRan && (over || r.class.Idempotency == NonIdempotent)
 	})
 }
 
 // busy tells whether a job would wait there in vain, by what the worker has told.
-func (d *Dispatcher) busy(r *request, w *worker) bool {
+func (d *Machine) busy(r *request, w *worker) bool {
 	left := (r.aim - d.now).Seconds() - d.runTime(r, w)
 	if d.now < max(w.full, w.refusal(r.class).until) ||
-		d.s.TellsStart && w.unstarted > 0 && d.now-w.waitFrom > 4*d.s.Tick ||
+		d.s.StartNotices && w.unstarted > 0 && d.now-w.waitFrom > 4*d.s.Tick ||
 		!r.late && d.startWait(w) > left { // late there; held here, the first free worker takes it
 		return true
 	}
@@ -374,17 +374,17 @@
 }
 
 // trustAll: if most look bad, the trouble is not theirs, and all are used.
-func (d *Dispatcher) trustAll() bool { return 2*(d.running-d.suspects) <= len(d.fleet) }
+func (d *Machine) trustAll() bool { return 2*(d.running-d.suspects) <= len(d.fleet) }
 
 // healthy ejects lost zones, and suspects but for a due trial, a fragile one only when half has faded.
-func (d *Dispatcher) healthy(r *request, w *worker) bool {
+func (d *Machine) healthy(r *request, w *worker) bool {
 	return !d.dark(w) && (!w.suspect || d.trustAll() || d.now >= w.retryAt &&
-		(r.class.Repeat != Fragile || w.fail.get(d.now, d.horizon) < suspectFrom/2))
+		(r.class.Idempotency != NonIdempotent || w.fail.get(d.now, d.horizon) < suspectFrom/2))
 }
 
 // dark tells whether a worker's zone looks lost: connects there fail in a row, and others are heard of since.
 // Guards against a time-out for each of its workers at each dispatcher, until the list tells of it.
-func (d *Dispatcher) dark(w *worker) bool {
+func (d *Machine) dark(w *worker) bool {
 	z := d.zone(w.Zone)
 	rest := min(d.s.ConnectTimeout<<min(z.failed, 8), d.horizon) // then a trial is due, ever later
 	return z.failed >= zoneLost && d.now-z.tried < rest && d.heard > z.since
@@ -392,12 +392,12 @@
 
 // coldRoom keeps to this dispatcher's part of what all may send a cold worker, by what warm ones take. It is
 // staked on the first job and on any above it, and never on twice the mean: a busy one thinks all peers busy.
-func (d *Dispatcher) coldRoom(r *request, w *worker) bool {
-	if d.warmth(w) >= 1 || d.s.FallWindow <= 0 { // a rule of length 0 is off
+func (d *Machine) coldRoom(r *request, w *worker) bool {
+	if d.warmth(w) >= 1 || d.s.OverloadWindow <= 0 { // a rule of length 0 is off
 		return true
 	}
-	rate := coldSafety * d.s.FallMultiple * d.warmth(w) * d.warmShare(w.Kind)
-	part := rate * d.s.FallWindow.Seconds()
+	rate := coldSafety * d.s.OverloadMultiple * d.warmth(w) * d.warmShare(w.Kind)
+	part := rate * d.s.OverloadWindow.Seconds()
 	charge := r.charge()
 	most := max(part, min(coldSaved*part, charge))
 	w.cold, w.coldAt = min(w.cold+rate*(d.now-w.coldAt).Seconds(), most), d.now
@@ -413,7 +413,7 @@
 
 // ---- What becomes of attempts.
 
-func (d *Dispatcher) note(ev Event) {
+func (d *Machine) note(ev Event) {
 	r, a := d.attempt(ev)
 	if a == nil {
 		return
@@ -425,44 +425,44 @@
 	}
 	d.started(r.class, a)
 	d.alone(r, ev.Attempt)
-	if d.s.TellsStart && ev.Kind == ProgressMade && ev.Fraction > 0 && ev.Fraction <= 1 {
+	if d.s.StartNotices && ev.Kind == AttemptProgressed && ev.Fraction > 0 && ev.Fraction <= 1 {
 		d.learnPace(a.w, (d.now-a.started).Seconds()/ev.Fraction/r.work)
 	}
 }
 
 // alone calls off the copies of a job that has started elsewhere, or this one if an earlier one is heard of.
-func (d *Dispatcher) alone(r *request, now int) {
+func (d *Machine) alone(r *request, now int) {
 	for i := range r.attempts {
-		if a := &r.attempts[i]; i == now || a.done || !d.s.TellsStart || !d.s.Cancel || r.class.Stream {
+		if a := &r.attempts[i]; i == now || a.done || !d.s.StartNotices || !d.s.Cancellation || r.class.Streaming {
 			continue
 		} else if a.started == 0 {
-			d.act(Action{Kind: StopAttempt, Request: r.id, Attempt: i})
+			d.act(Action{Kind: CancelAttempt, Request: r.id, Attempt: i})
 		} else if !a.mute && !a.w.suspect && a.started < r.attempts[now].started {
-			d.act(Action{Kind: StopAttempt, Request: r.id, Attempt: now})
+			d.act(Action{Kind: CancelAttempt, Request: r.id, Attempt: now})
 		}
 	}
 }
 
-func (d *Dispatcher) response(ev Event) {
+func (d *Machine) response(ev Event) {
 	d.report(ev)
 	r, a := d.attempt(ev)
 	if a == nil {
 		return
 	}
 	w := a.w
-	if ev.Outcome == Unusable { // the job's fault, unless the worker says so of all that it gets
+	if ev.Outcome == InvalidRequest { // the job's fault, unless the worker says so of all that it gets
 		if w.unusable++; w.unusable > oddJobs {
-			ev.Outcome = Errored
+			ev.Outcome = Failed
 		}
 	}
 	fail := w.fail.get(d.now, d.horizon)
-	turnedAway := ev.Outcome == Saturated || ev.Outcome == RefusedConn || ev.Outcome == Superseded
-	a.neverRan = turnedAway && !(ev.Outcome == Saturated && d.s.FullNoProof) // a fact about effects only
+	turnedAway := ev.Outcome == Saturated || ev.Outcome == ConnectionRefused || ev.Outcome == NotSent
+	a.neverRan = turnedAway && !(ev.Outcome == Saturated && d.s.SaturatedMayHaveRun) // a fact about effects only
 	d.returned(r, a, ev.Outcome)
-	if r.turn != nil && (ev.Outcome == Overdue || ev.Outcome == Severed || ev.Outcome == Recalled) {
-		d.rest(r.turn, d.s.KeyRest+d.s.Tick)
+	if r.turn != nil && (ev.Outcome == TimedOut || ev.Outcome == ConnectionLost || ev.Outcome == Cancelled) {
+		d.rest(r.turn, d.s.KeyCooldown+d.s.Tick)
 	}
-	if turnedAway || ev.Outcome == Unusable || ev.Outcome == Recalled && a.started == 0 {
+	if turnedAway || ev.Outcome == InvalidRequest || ev.Outcome == Cancelled && a.started == 0 {
 		d.bucket += r.cost
 		// Guards the cold rule: work that warm workers turn away says nothing of what they can do.
 		w.sent.add(d.now, d.horizon, -r.cost)
@@ -476,17 +476,17 @@
 		d.judge(w, 0.7*fail, "answers again")
 	case Saturated:
 		d.turnedAway(w, r.class)
-	case Unusable: // guards against blaming all workers in turn, and the fleet, for what a client sent
-		if !ev.Settled && !r.ended && r.out == 0 {
-			d.act(Action{Kind: FinishError, Request: r.id})
+	case InvalidRequest: // guards against blaming all workers in turn, and the fleet, for what a client sent
+		if !ev.Answered && !r.ended && r.out == 0 {
+			d.act(Action{Kind: Fail, Request: r.id})
 			d.end(r)
 			return
 		}
-	case Errored, RefusedConn, Severed, Overdue:
-		if ev.Outcome == RefusedConn {
+	case Failed, ConnectionRefused, ConnectionLost, TimedOut:
+		if ev.Outcome == ConnectionRefused {
 			d.unreachable(w)
 		}
-		if ev.Outcome == Severed && a.started == 0 && d.now-a.sent < d.s.ConnectTimeout && a.idle > d.beat {
+		if ev.Outcome == ConnectionLost && a.started == 0 && d.now-a.sent < d.s.ConnectTimeout && a.idle > d.beat {
 			d.lostOn(a)
 			break
 		}
@@ -494,12 +494,12 @@
 	}
 	if ev.Outcome == Completed && d.now <= r.aim {
 		d.served(r)
-	} else if !r.counted && ev.Outcome != Unusable &&
-		(ev.Outcome == Completed || ev.Outcome != Recalled && len(r.attempts) > 1) {
+	} else if !r.counted && ev.Outcome != InvalidRequest &&
+		(ev.Outcome == Completed || ev.Outcome != Cancelled && len(r.attempts) > 1) {
 		// A first failure is about that worker; a job that fails at a second one is about the fleet.
 		d.congested(r, a.sent)
 	}
-	if ev.Settled {
+	if ev.Answered {
 		d.end(r)
 	} else if !r.ended && r.out == 0 && !r.queued {
 		d.again(r)
@@ -508,7 +508,7 @@
 }
 
 // turnedAway books that a worker is full, or for a class whose jobs alone it turns away, ever more seldom.
-func (d *Dispatcher) turnedAway(w *worker, c *Class) {
+func (d *Machine) turnedAway(w *worker, c *Class) {
 	t := w.refusal(c)
 	if t.n++; t.n == 1 {
 		t.from = d.now
@@ -522,7 +522,7 @@
 }
 
 // lostOn learns when unused connections are dropped unseen. The worker is not blamed; older ones are closed.
-func (d *Dispatcher) lostOn(a *attempt) {
+func (d *Machine) lostOn(a *attempt) {
 	if d.now < d.lostAt+4*d.horizon { // one may have another cause
 		d.idleSafe = min(d.idleSafe, a.idle/2)
 		d.log("connections unused for over %v look dead", d.idleSafe)
@@ -536,7 +536,7 @@
 }
 
 // again finds another way for a request whose attempts have failed, as far as its class allows.
-func (d *Dispatcher) again(r *request) {
+func (d *Machine) again(r *request) {
 	left := d.s.MaxAttempts - len(r.attempts)
 	if left <= 0 || d.now >= r.deadline || d.worthless(r) || d.sealed(r) || !d.affordable(r) {
 		d.giveUp(r)
@@ -549,23 +549,23 @@
 }
 
 // giveUp answers a request: turned away where that promises no more than is known, else failed.
-func (d *Dispatcher) giveUp(r *request) {
-	if c := r.class; c.Repeat == Retryable || c.Repeat == Dedup && c.Group == GroupAll || !r.mayHaveRun() {
+func (d *Machine) giveUp(r *request) {
+	if c := r.class; c.Idempotency == Idempotent || c.Idempotency == Deduplicated && c.DedupScope == DedupEverywhere || !r.mayHaveRun() {
 		// Little's law: a slot comes free within a round trip. The jitter keeps clients apart.
 		wait := seconds(d.meanTrip() * (0.5 + d.rng.Float64()))
-		d.act(Action{Kind: Refuse, Request: r.id, Delay: min(wait, max(d.s.MaxRetryAfter, 0))})
+		d.act(Action{Kind: Reject, Request: r.id, Delay: min(wait, max(d.s.MaxRetryAfter, 0))})
 	} else {
-		d.act(Action{Kind: FinishError, Request: r.id})
+		d.act(Action{Kind: Fail, Request: r.id})
 	}
 	d.end(r)
 }
 
 // end marks a request that needs no further decision and calls off what is out for it.
-func (d *Dispatcher) end(r *request) {
+func (d *Machine) end(r *request) {
 	r.ended = true
 	for i := range r.attempts {
-		if !r.attempts[i].done && d.s.Cancel && !r.class.Stream {
-			d.act(Action{Kind: StopAttempt, Request: r.id, Attempt: i})
+		if !r.attempts[i].done && d.s.Cancellation && !r.class.Streaming {
+			d.act(Action{Kind: CancelAttempt, Request: r.id, Attempt: i})
 		}
 	}
 	d.forget(r)
@@ -574,12 +574,12 @@
 // ---- Ceilings.
 
 // bucketBinds tells whether the bucket limits what is sent. Cut unused, it would price work away later.
-func (d *Dispatcher) bucketBinds() bool {
+func (d *Machine) bucketBinds() bool {
 	return d.bucket < d.depth()/2 || d.priceC > 0
 }
 
 // served raises the ceilings that bind: one that grew unused would be stale when it is needed.
-func (d *Dispatcher) served(r *request) {
+func (d *Machine) served(r *request) {
 	d.bad -= d.bad / badSpan
 	step := raiseStep * math.Pow(1-d.bad, 4) / d.ready()
 	if d.held()+r.slots > d.perSlot*d.ready()/2 || d.priceK > 0 {
@@ -592,7 +592,7 @@
 
 // congested cuts the ceilings, once a round trip, by half the recent share of bad outcomes, each weighed by
 // the part of the fleet open to its job. What was sent before the last cut counts no more.
-func (d *Dispatcher) congested(r *request, sent time.Duration) {
+func (d *Machine) congested(r *request, sent time.Duration) {
 	if r.counted = true; sent < d.cutAt {
 		return
 	}
@@ -611,23 +611,23 @@
 
 // ---- Health of a worker.
 
-func (d *Dispatcher) judge(w *worker, fail float64, why string) {
+func (d *Machine) judge(w *worker, fail float64, why string) {
 	w.fail = fading{fail, d.now} // fades, lest a worker without repeatable jobs stay ejected for good
 	if bad := fail >= suspectFrom; bad != w.suspect {
 		d.setSuspect(w, bad)
 		d.backOff(w)
-		d.log("worker %s %s, failure score %.2f", w.Worker, why, fail)
+		d.log("worker %s %s, failure score %.2f", w.Name, why, fail)
 	}
 }
 
-func (d *Dispatcher) backOff(w *worker) {
+func (d *Machine) backOff(w *worker) {
 	w.backoff = min(max(2*w.backoff, d.horizon/8), 2*d.horizon)
 	w.retryAt = d.now + w.backoff
 }
 
 // ---- Timers and the sweep.
 
-func (d *Dispatcher) timer(token uint64) {
+func (d *Machine) timer(token uint64) {
 	switch r := d.requests[token]; {
 	case token == beatTimer:
 		d.sweep()
@@ -639,7 +639,7 @@
 }
 
 // sweep looks after unanswered requests and solves for new prices.
-func (d *Dispatcher) sweep() {
+func (d *Machine) sweep() {
 	d.live = slices.DeleteFunc(d.live, func(r *request) bool { return r.ended })
 	for _, r := range d.live {
 		if !r.late && d.now+seconds(r.work)+d.beat >= r.aim {
@@ -655,7 +655,7 @@
 	slices.SortFunc(d.queue, byDensity) // what has lapsed is worth less now
 	if d.now >= d.solveAt {
 		d.solveAt = d.now + d.horizon/8
-		d.idleSafe = min(d.idleSafe+d.idleSafe/32, cmp.Or(d.s.ConnIdle, d.idleSafe))
+		d.idleSafe = min(d.idleSafe+d.idleSafe/32, cmp.Or(d.s.ConnectionIdleTimeout, d.idleSafe))
 		d.solve()
 	}
 	if d.beating = false; len(d.live) > 0 {
@@ -664,12 +664,12 @@
 }
 
 // lapse marks a job that can hardly be in time. If it waits while room is scarce, it is turned away at once.
-func (d *Dispatcher) lapse(r *request) {
+func (d *Machine) lapse(r *request) {
 	r.late = true
-	if r.out > 1 && d.s.TellsStart && !r.counted && !r.started() {
+	if r.out > 1 && d.s.StartNotices && !r.counted && !r.started() {
 		d.congested(r, r.attempts[0].sent)
 	}
-	if a := r.unstarted(); a != nil && d.s.TellsStart { // its end would tell that a job later
+	if a := r.unstarted(); a != nil && d.s.StartNotices { // its end would tell that a job later
 		if a.idle > d.idleSafe {
 			d.giveUp(r)
 			return
@@ -680,7 +680,7 @@
 			d.congested(r, a.sent)
 		}
 	}
-	r.value *= r.class.LateWorth
+	r.value *= r.class.LateWeight
 	if r.queued && (d.priceC+d.priceK > 0 || !d.leaseFree(r) || d.allSuspended()) || d.inTheWay(r) {
 		d.giveUp(r)
 	}
@@ -688,36 +688,36 @@
 
 // inTheWay tells whether a job that can hardly be in time, and has not started, makes others late: it waits
 // in a worker's queue and earns nothing late, or may be repeated, so called off whole, while many are bad.
-func (d *Dispatcher) inTheWay(r *request) bool {
-	idle := r.class.LateWorth <= 0 || d.bad > crowded && r.class.Repeat == Retryable && r.class.LateWorth < 1
-	return idle && d.s.TellsStart && d.s.Cancel && d.now+seconds(r.work)+d.beat >= r.aim && !r.started()
+func (d *Machine) inTheWay(r *request) bool {
+	idle := r.class.LateWeight <= 0 || d.bad > crowded && r.class.Idempotency == Idempotent && r.class.LateWeight < 1
+	return idle && d.s.StartNotices && d.s.Cancellation && d.now+seconds(r.work)+d.beat >= r.aim && !r.started()
 }
 
 // watch notices silence, the only sign of a vanished machine, and sends a second copy of a job that a suspect
 // holds, or that waits for its start where the first to start has the other called off, unless it has lapsed.
-func (d *Dispatcher) watch(r *request, a *attempt) {
-	limit := 2*d.s.Progress + d.s.ConnectTimeout
-	running := a.started > 0 || !d.s.TellsStart // a job in a worker's queue is silent by nature
-	if d.s.Progress > 0 && running && !a.w.suspect && d.now-max(a.heard, a.w.heard) > limit {
+func (d *Machine) watch(r *request, a *attempt) {
+	limit := 2*d.s.ProgressInterval + d.s.ConnectTimeout
+	running := a.started > 0 || !d.s.StartNotices // a job in a worker's queue is silent by nature
+	if d.s.ProgressInterval > 0 && running && !a.w.suspect && d.now-max(a.heard, a.w.heard) > limit {
 		d.judge(a.w, 1, "is silent")
 	}
 	stuck := (a.w.suspect || d.dark(a.w) || a.started == 0 && a.idle > d.idleSafe) && d.now-a.heard > d.beat
 	stuck = d.mute(r, a) || stuck
-	stuck = stuck || a.started == 0 && !r.late && d.s.TellsStart && d.s.Cancel && d.now-a.sent > d.beat/2
-	if stuck && d.s.SecondCopies && r.class.Repeat != Fragile && len(r.attempts) < d.s.MaxAttempts {
+	stuck = stuck || a.started == 0 && !r.late && d.s.StartNotices && d.s.Cancellation && d.now-a.sent > d.beat/2
+	if stuck && d.s.Hedging && r.class.Idempotency != NonIdempotent && len(r.attempts) < d.s.MaxAttempts {
 		d.place(r)
 	}
 }
 
 // mute tells whether the connection of an attempt looks dead though its worker lives: notes are overdue,
 // or the start is while nothing waits there by what the worker has told since. If it has not, it is asked.
-func (d *Dispatcher) mute(r *request, a *attempt) bool {
-	w, wait := a.w, d.s.Progress/2+d.s.ConnectTimeout
-	if d.s.Progress <= 0 || !d.s.TellsStart || a.mute {
+func (d *Machine) mute(r *request, a *attempt) bool {
+	w, wait := a.w, d.s.ProgressInterval/2+d.s.ConnectTimeout
+	if d.s.ProgressInterval <= 0 || !d.s.StartNotices || a.mute {
 		return a.mute
 	}
 	if a.started > 0 {
-		return d.now-a.heard > d.s.Progress+wait
+		return d.now-a.heard > d.s.ProgressInterval+wait
 	}
 	if !d.s.StartsInOrder || d.now-a.sent <= wait || d.priceC+d.priceK > 0 || len(d.queue) > 0 {
 		return false
@@ -726,24 +726,24 @@
 		if a.mute = w.backlog < 1; a.mute {
 			d.unblock(r, a)
 		}
-	} else if d.s.Probing && d.now-w.probedAt > wait*time.Duration(max(d.s.Peers/herdFrom, 1)) {
+	} else if d.s.HealthChecks && d.now-w.probedAt > wait*time.Duration(max(d.s.Peers/herdFrom, 1)) {
 		w.probedAt = d.now
-		d.act(Action{Kind: Probe, Worker: w.Worker})
+		d.act(Action{Kind: CheckHealth, Worker: w.Name})
 	}
 	return a.mute
 }
 
 // ---- The worker list.
 
-func (d *Dispatcher) list(ev Event) {
-	if ev.List == ListError { // the old list stands; ask again, ever more slowly and not all at once
-		d.listBackoff = min(max(2*d.listBackoff, d.s.AskWithin/20), max(d.s.AskWithin/2, d.s.Tick))
+func (d *Machine) list(ev Event) {
+	if ev.ListKind == ListFailed { // the old list stands; ask again, ever more slowly and not all at once
+		d.listBackoff = min(max(2*d.listBackoff, d.s.ListPollInterval/20), max(d.s.ListPollInterval/2, d.s.Tick))
 		wait := seconds(d.listBackoff.Seconds()*(0.5+d.rng.Float64()/2)) + d.spread()
 		d.act(Action{Kind: SetTimer, Timer: listTimer, Delay: wait})
 		d.log("worker list unavailable, asking again in %v", wait)
 		return
 	}
-	if d.listBackoff = 0; ev.List == ListPersisted && d.s.AskForList {
+	if d.listBackoff = 0; ev.ListKind == ListCached && d.s.ListBySubscription {
 		if wait := d.spread(); wait > 0 {
 			d.act(Action{Kind: SetTimer, Timer: listTimer, Delay: wait})
 		} else {
@@ -754,18 +754,18 @@
 }
 
 // spread is a random wait before a call for the list, lest a herd of dispatchers call at once and in vain.
-func (d *Dispatcher) spread() time.Duration {
-	if !d.s.Herd() {
+func (d *Machine) spread() time.Duration {
+	if !d.s.LargeFleet() {
 		return 0
 	}
 	part := min(float64(d.s.Peers-herdFrom)*herdPart, mostSpread)
-	return seconds(part * d.s.AskWithin.Seconds() * d.rng.Float64())
+	return seconds(part * d.s.ListPollInterval.Seconds() * d.rng.Float64())
 }
 
 // ---- Prices: the dual of the fluid LP over the recent mix.
 
 // solve sets the prices from the recent mix, for what bucket and lease let through in the same span.
-func (d *Dispatcher) solve() {
+func (d *Machine) solve() {
 	bids, jobs := d.recentMix()
 	d.own = max(int(jobs/ownJobs), leastOwn)
 	if d.priceC, d.priceK = 0, 0; jobs >= fewJobs { // a handful of jobs prices nothing
--- a/decision/dispatcher_test.go
+++ b/decision/dispatcher_test.go
@@ -24,7 +24,7 @@
 
 // rig drives one dispatcher by hand.
 type rig struct {
-	*Dispatcher
+	*Machine
 	t       *testing.T
 	actions []Action // of the last event
 	next    uint64
@@ -33,14 +33,14 @@
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
-			{Worth: 1, LateWorth: 0.5, Aim: 200 * time.Millisecond, Stretch: 2, Deadline: 5 * time.Second},
-			{Worth: 3, LateWorth: 0.5, Aim: 200 * time.Millisecond, Stretch: 2, Deadline: 5 * time.Second,
-				Repeat: Fragile},
+			{PriorityWeight: 1, LateWeight: 0.5, LatencyObjective: 200 * time.Millisecond, ObjectiveStretch: 2, Deadline: 5 * time.Second},
+			{PriorityWeight: 3, LateWeight: 0.5, LatencyObjective: 200 * time.Millisecond, ObjectiveStretch: 2, Deadline: 5 * time.Second,
+				Idempotency: NonIdempotent},
 		},
-		WorthByWork: true, Peers: 2, Tick: time.Millisecond, MaxAttempts: 3, SecondCopies: true, Cancel: true,
-		ColdFrom: 0.3, WarmAfter: 8 * time.Second, FallMultiple: 3, FallWindow: 2 * time.Second,
-		MaxRetryAfter: 2 * time.Second, ConnectTimeout: 200 * time.Millisecond, Progress: time.Second,
-		AskWithin: 10 * time.Second,
+		WeightByWork: true, Peers: 2, Tick: time.Millisecond, MaxAttempts: 3, Hedging: true, Cancellation: true,
+		SlowStartFloor: 0.3, SlowStartDuration: 8 * time.Second, OverloadMultiple: 3, OverloadWindow: 2 * time.Second,
+		MaxRetryAfter: 2 * time.Second, ConnectTimeout: 200 * time.Millisecond, ProgressInterval: time.Second,
+		ListPollInterval: 10 * time.Second,
 	}
 }
 
@@ -55,12 +55,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{Dispatcher: d, t: t, next: 1}
-	var list []Entry
+	r := &rig{Machine: d, t: t, next: 1}
+	var list []Endpoint
 	for i := range workers {
-		list = append(list, Entry{Worker: fmt.Sprintf("w%d", i), State: Running})
+		list = append(list, Endpoint{Name: fmt.Sprintf("w%d", i), State: Running})
 	}
-	r.at(time.Hour, Event{Kind: WorkerList, List: ListPersisted, Entries: list})
+	r.at(time.Hour, Event{Kind: ListUpdated, ListKind: ListCached, Endpoints: list})
 	return r
 }
 
@@ -77,15 +77,15 @@
 	id := r.next
 	r.next++
 	r.at(r.now, Event{
-		Kind: Arrival, Request: id, Class: class, Slots: 1, Work: time.Second, Left: 5 * time.Second, Key: key,
+		Kind: RequestArrived, Request: id, Class: class, Slots: 1, Work: time.Second, TimeLeft: 5 * time.Second, Key: key,
 	})
 	return id
 }
 
-func (r *rig) respond(id uint64, n int, o Outcome, after time.Duration) []Action {
-	w := r.requests[id].attempts[n].w.Worker
+func (r *rig) respond(id uint64, n int, o AttemptOutcome, after time.Duration) []Action {
+	w := r.requests[id].attempts[n].w.Name
 	return r.at(r.now+after, Event{
-		Kind: Response, Request: id, Attempt: n, Worker: w, Outcome: o, Settled: o == Completed,
+		Kind: AttemptEnded, Request: id, Attempt: n, Worker: w, Outcome: o, Answered: o == Completed,
 	})
 }
 
@@ -94,7 +94,7 @@
 	if q == nil || len(q.attempts) == 0 {
 		return ""
 	}
-	return q.attempts[len(q.attempts)-1].w.Worker
+	return q.attempts[len(q.attempts)-1].w.Name
 }
 
 // sentTo brings a job of the class and returns the worker it was sent to, if any.
@@ -127,7 +127,7 @@
 	leased, bucket := r.inflight, r.bucket
 	r.priceC = 2 // above class 0's worth a slot-second, below class 1's
 	r.arrive(0)
-	if find(r.actions, Refuse) == nil || find(r.actions, Assign) != nil {
+	if find(r.actions, Reject) == nil || find(r.actions, Assign) != nil {
 		t.Fatalf("worth 1 at price 2 was not refused: %v", r.actions)
 	}
 	if r.inflight != leased || r.bucket != bucket {
@@ -143,7 +143,7 @@
 		t.Fatal("a value equal to the prices is admitted")
 	}
 	r.priceK = 2.1
-	if r.arrive(1); find(r.actions, Refuse) == nil {
+	if r.arrive(1); find(r.actions, Reject) == nil {
 		t.Fatal("hold is not priced")
 	}
 }
@@ -151,7 +151,7 @@
 func TestUnhintedHoldIsFree(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	r.priceK = 100
-	r.at(r.now, Event{Kind: Arrival, Request: 1, Slots: 1, Left: 5 * time.Second})
+	r.at(r.now, Event{Kind: RequestArrived, Request: 1, Slots: 1, TimeLeft: 5 * time.Second})
 	if find(r.actions, Assign) == nil {
 		t.Fatal("an unhinted job pays no hold")
 	}
@@ -218,15 +218,15 @@
 // Its end would tell a job's time later, while more work is sent into the same overload.
 func TestUnstartedLateJobCutsAtOnce(t *testing.T) {
 	s := testSettings()
-	s.TellsStart = true
+	s.StartNotices = true
 	for _, started := range []bool{false, true} {
 		r := newRig(t, s, 4)
 		id := r.arrive(0)
 		q := r.requests[id]
 		if started {
-			r.at(r.now, Event{Kind: Started, Request: id, Worker: r.worker(id)})
+			r.at(r.now, Event{Kind: AttemptStarted, Request: id, Worker: r.worker(id)})
 		}
-		r.at(q.aim-seconds(q.work), Event{Kind: TimerDue, Timer: beatTimer})
+		r.at(q.aim-seconds(q.work), Event{Kind: TimerFired, Timer: beatTimer})
 		if cut := r.perSlot < start; cut == started {
 			t.Fatalf("started %v, cut %v", started, cut)
 		}
@@ -314,7 +314,7 @@
 	s := testSettings()
 	s.Classes[1].Kinds = []int{7}
 	r := newRig(t, s, 10)
-	r.at(r.now, Event{Kind: WorkerList, List: ListChanges, Entries: []Entry{{Worker: "w0", Kind: 7}}})
+	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: "w0", Kind: 7}}})
 	cut := func(class int) float64 {
 		r.now += time.Minute
 		before := r.perSlot
@@ -361,9 +361,9 @@
 // Where crossing zones costs, the own zone wins until its delay outweighs the price.
 func TestOwnZoneBias(t *testing.T) {
 	s := testSettings()
-	s.CrossZonePrice = 0.05
+	s.CrossZoneCost = 0.05
 	r := newRig(t, s, 2)
-	r.at(r.now, Event{Kind: WorkerList, List: ListChanges, Entries: []Entry{{Worker: "w1", Zone: 1}}})
+	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: "w1", Zone: 1}}})
 	r.fleet[0].pace, r.fleet[1].pace = 1, 0.9
 	if r.sentTo(0) != "w0" {
 		t.Fatal("crossed for little")
@@ -379,7 +379,7 @@
 // never heard of, for they looked idle, and waited there four times as long as elsewhere.
 func TestWhatIsKnownOfWorkersGrowsOld(t *testing.T) {
 	s := testSettings()
-	s.TellsStart = true
+	s.StartNotices = true
 	for _, test := range []struct {
 		name     string
 		meanWait float64
@@ -404,7 +404,7 @@
 	}
 	r := newRig(t, s, 2)
 	id := r.arrive(0)
-	r.at(r.now+time.Second, Event{Kind: Started, Request: id, Worker: r.worker(id)})
+	r.at(r.now+time.Second, Event{Kind: AttemptStarted, Request: id, Worker: r.worker(id)})
 	if want := 2.0 / fewJobs; math.Abs(r.meanWait-want) > 1e-9 {
 		t.Errorf("after a first wait of a second the mean is %v, not %v", r.meanWait, want)
 	}
@@ -433,7 +433,7 @@
 	for range 5 {
 		r.arrive(0)
 	}
-	r.at(r.now, Event{Kind: Arrival, Request: 99, Slots: 1, Work: time.Second, Left: 4 * time.Second, ClientRetry: true})
+	r.at(r.now, Event{Kind: RequestArrived, Request: 99, Slots: 1, Work: time.Second, TimeLeft: 4 * time.Second, ClientRetry: true})
 	r.sweep()
 	if _, jobs := r.recentMix(); math.Abs(jobs-5) > 1e-9 {
 		t.Fatalf("%v jobs in the mix, want 5", jobs)
@@ -446,8 +446,8 @@
 	const jobs = 300
 	for i := range jobs {
 		r.at(r.now, Event{
-			Kind: Arrival, Request: uint64(i + 1000), Class: i % 2, Slots: math.Exp2(float64(i % 20)),
-			Work: time.Duration(1+i/20) * time.Millisecond << (i % 13), Left: 5 * time.Second,
+			Kind: RequestArrived, Request: uint64(i + 1000), Class: i % 2, Slots: math.Exp2(float64(i % 20)),
+			Work: time.Duration(1+i/20) * time.Millisecond << (i % 13), TimeLeft: 5 * time.Second,
 		})
 	}
 	bids, n := r.recentMix()
@@ -476,12 +476,12 @@
 
 func TestTenantBeyondQuotaIsWorthLess(t *testing.T) {
 	s := testSettings()
-	s.TenantQuotas, s.OverQuotaWorth = []float64{2, 50}, 0.1
+	s.TenantQuotas, s.OverQuotaWeight = []float64{2, 50}, 0.1
 	r := newRig(t, s, 50)
 	over := 0
 	for id := uint64(1); id <= 40; id++ {
 		r.now += 50 * time.Millisecond // 20 a second, of which the quota here is 1
-		r.at(r.now, Event{Kind: Arrival, Request: id, Tenant: 0, Slots: 1, Work: time.Second, Left: 5 * time.Second})
+		r.at(r.now, Event{Kind: RequestArrived, Request: id, Tenant: 0, Slots: 1, Work: time.Second, TimeLeft: 5 * time.Second})
 		if r.requests[id].value < 0.5 {
 			over++
 		}
@@ -489,11 +489,11 @@
 	if over < 20 {
 		t.Fatalf("%d of 40 judged beyond the quota", over)
 	}
-	r.at(r.now, Event{Kind: Arrival, Request: 41, Slots: 1, Work: time.Second, Left: 4 * time.Second, ClientRetry: true})
+	r.at(r.now, Event{Kind: RequestArrived, Request: 41, Slots: 1, Work: time.Second, TimeLeft: 4 * time.Second, ClientRetry: true})
 	if r.requests[41].value > 0.5 {
 		t.Fatal("a repeat escapes the quota")
 	}
-	r.at(r.now, Event{Kind: Arrival, Request: 42, Tenant: 1, Slots: 1, Work: time.Second, Left: 5 * time.Second})
+	r.at(r.now, Event{Kind: RequestArrived, Request: 42, Tenant: 1, Slots: 1, Work: time.Second, TimeLeft: 5 * time.Second})
 	if r.requests[42].value < 0.5 {
 		t.Fatal("another tenant pays for the burst")
 	}
@@ -505,7 +505,7 @@
 	id := r.arrive(0)
 	bad := r.worker(id)
 	w := r.workers[bad]
-	r.respond(id, 0, Errored, time.Millisecond)
+	r.respond(id, 0, Failed, time.Millisecond)
 	if !w.suspect || w.pace != 0 {
 		t.Fatalf("suspect %v, pace %v", w.suspect, w.pace)
 	}
@@ -549,10 +549,10 @@
 	if r.held() != 6 || r.ready() != 3 || r.sentTo(0) != "" {
 		t.Fatalf("%v of 6 leases and %v of 3 workers count while most are suspects", r.held(), r.ready())
 	}
-	r.at(r.now, Event{Kind: HungUp, Request: r.next - 1})
+	r.at(r.now, Event{Kind: ClientDisconnected, Request: r.next - 1})
 	r.judge(r.fleet[1], 0, "answers again")
-	r.at(r.now, Event{Kind: WorkerList, List: ListChanges, Entries: []Entry{
-		{Worker: suspect.Worker, State: Running, LastStart: r.now}}})
+	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{
+		{Name: suspect.Name, State: Running, StartedAt: r.now}}})
 	for _, id := range stuck {
 		r.respond(id, 0, Completed, 0)
 	}
@@ -585,7 +585,7 @@
 	r.judge(bad, 1, "fails")
 	for range 30 {
 		id := r.arrive(0)
-		if r.worker(id) == bad.Worker || len(r.Ejected()) != 1 || r.Ejected()[0] != bad.Worker {
+		if r.worker(id) == bad.Name || len(r.Ejected()) != 1 || r.Ejected()[0] != bad.Name {
 			t.Fatalf("%v are ejected, and %s gets work", r.Ejected(), r.worker(id))
 		}
 		r.respond(id, 0, Completed, time.Millisecond)
@@ -595,7 +595,7 @@
 		r.now = max(r.now, bad.retryAt)
 		trial := uint64(0)
 		for range 60 {
-			if id := r.arrive(0); r.worker(id) == bad.Worker {
+			if id := r.arrive(0); r.worker(id) == bad.Name {
 				trial = id
 			}
 		}
@@ -615,7 +615,7 @@
 	}
 	r.judge(r.fleet[0], 0, "answers again")
 	r.judge(r.fleet[1], 0, "answers again")
-	r.at(r.now, Event{Kind: WorkerList, List: ListChanges, Entries: []Entry{{Worker: bad.Worker, State: Stopping}}})
+	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: bad.Name, State: Draining}}})
 	if r.Ejected() != nil {
 		t.Fatalf("%v are ejected, and drain", r.Ejected())
 	}
@@ -632,22 +632,22 @@
 		for range 40 {
 			r.respond(r.arrive(0), 0, Completed, 10*time.Millisecond)
 		}
-		r.at(r.now, Event{Kind: WorkerList, List: ListChanges, Entries: []Entry{{Worker: "w0", LastStart: r.now}}})
+		r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: "w0", StartedAt: r.now}}})
 		for range 200 {
 			id := r.arrive(0)
 			for _, a := range r.actions {
-				if a.Kind == Assign && a.Worker != "w0" && a.Charge != 0 {
-					t.Fatalf("a warm worker was charged %v", a.Charge)
+				if a.Kind == Assign && a.Worker != "w0" && a.Reservation != 0 {
+					t.Fatalf("a warm worker was charged %v", a.Reservation)
 				}
 				if a.Kind == Assign && a.Worker == "w0" {
 					sent++
-					charged += a.Charge
+					charged += a.Reservation
 				}
 			}
 			r.respond(id, 0, Completed, 10*time.Millisecond)
-			r.at(r.now, Event{Kind: ColdCharge, Worker: "w0", Charge: other})
+			r.at(r.now, Event{Kind: ReservedElsewhere, Worker: "w0", Reservation: other})
 		}
-		r.at(r.now, Event{Kind: ColdCharge, Worker: "unknown", Charge: 1})
+		r.at(r.now, Event{Kind: ReservedElsewhere, Worker: "unknown", Reservation: 1})
 		return sent, charged
 	}
 	alone, charged := budget(0)
@@ -663,7 +663,7 @@
 	id := r.arrive(0)
 	w := r.workers[r.worker(id)]
 	for end := r.now + 4*time.Second; r.now < end && len(r.requests[id].attempts) < 2; {
-		r.at(r.now+r.beat, Event{Kind: TimerDue, Timer: beatTimer})
+		r.at(r.now+r.beat, Event{Kind: TimerFired, Timer: beatTimer})
 	}
 	if !w.suspect || len(r.requests[id].attempts) != 2 {
 		t.Fatalf("suspect %v, %d attempts", w.suspect, len(r.requests[id].attempts))
@@ -675,22 +675,22 @@
 // are heard of; one job at a time finds out whether it is back.
 func TestLostZoneIsAvoided(t *testing.T) {
 	s := testSettings()
-	s.TellsStart, s.ZoneNames = true, []string{"zarqa-east", "russeifa", "hashemiya"}
+	s.StartNotices, s.ZoneNames = true, []string{"zarqa-east", "russeifa", "hashemiya"}
 	for seed := range uint64(10) {
 		r := newSeededRig(t, s, 12, seed+1)
 		var told []string
-		var entries []Entry
+		var entries []Endpoint
 		for i, w := range r.fleet {
-			entries = append(entries, Entry{Worker: w.Worker, Zone: i % 3, State: Running})
+			entries = append(entries, Endpoint{Name: w.Name, Zone: i % 3, State: Running})
 		}
-		r.at(r.now, Event{Kind: WorkerList, List: ListComplete, Entries: entries})
+		r.at(r.now, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: entries})
 		refuse := func(w *worker) { // a job there whose connect fails
 			q := &request{id: r.next, class: &r.s.Classes[1], slots: 1, work: 1, deadline: r.now + time.Second}
 			r.next++
 			r.requests[q.id] = q
 			r.sent(q, w)
-			for _, a := range r.at(r.now+s.ConnectTimeout, Event{Kind: Response, Request: q.id, Worker: w.Worker,
-				Outcome: RefusedConn, Settled: true}) {
+			for _, a := range r.at(r.now+s.ConnectTimeout, Event{Kind: AttemptEnded, Request: q.id, Worker: w.Name,
+				Outcome: ConnectionRefused, Answered: true}) {
 				told = append(told, a.Text)
 			}
 			r.now += time.Millisecond
@@ -724,7 +724,7 @@
 		}
 		for range 6 {
 			if w := r.workers[r.sentTo(1)]; w != nil && w.Zone == 1 {
-				t.Fatalf("%s of the lost zone was sent a job", w.Worker)
+				t.Fatalf("%s of the lost zone was sent a job", w.Name)
 			}
 		}
 		r.now += 4*s.ConnectTimeout + time.Millisecond
@@ -739,7 +739,7 @@
 		}
 		id := r.arrive(0)
 		r.requests[id].attempts[0].w = zone(1)[3]
-		note := r.at(r.now, Event{Kind: Started, Request: id, Worker: zone(1)[3].Worker})
+		note := r.at(r.now, Event{Kind: AttemptStarted, Request: id, Worker: zone(1)[3].Name})
 		if darkZones() != 0 || find(note, Log).Text != "zone russeifa is there again" {
 			t.Fatalf("a zone that was heard of is still lost: %+v", note)
 		}
@@ -754,8 +754,8 @@
 		if darkZones() != 2 {
 			t.Fatal("one zone is back, the other two are not lost")
 		}
-		entries[1].LastStart = r.now
-		r.at(r.now, Event{Kind: WorkerList, List: ListChanges, Entries: entries[1:2]})
+		entries[1].StartedAt = r.now
+		r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: entries[1:2]})
 		if darkZones() != 1 {
 			t.Fatal("a zone in which a worker started is still lost")
 		}
@@ -784,8 +784,8 @@
 func TestVanishedWhileTheListIsDown(t *testing.T) {
 	r := newRig(t, testSettings(), 3)
 	lost := r.worker(r.arrive(0))
-	r.at(r.now, Event{Kind: WorkerList, List: ListError})
-	r.at(r.now+3*time.Second, Event{Kind: TimerDue, Timer: beatTimer})
+	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListFailed})
+	r.at(r.now+3*time.Second, Event{Kind: TimerFired, Timer: beatTimer})
 	for range 20 {
 		id := r.arrive(0)
 		if r.worker(id) == lost {
@@ -793,7 +793,7 @@
 		}
 		r.respond(id, 0, Completed, time.Millisecond)
 	}
-	r.at(r.now, Event{Kind: WorkerList, List: ListComplete, Entries: []Entry{{Worker: lost}}})
+	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: []Endpoint{{Name: lost}}})
 	if w := r.workers[lost]; !w.suspect || len(r.fleet) != 1 {
 		t.Fatal("the list cleared a silent worker that has not started anew")
 	}
@@ -812,24 +812,24 @@
 		"fragile, notes stop": {1, 0, true, 1}, "fragile, no start": {1, 0, false, 1},
 	} {
 		s := testSettings()
-		s.TellsStart, s.StartsInOrder, s.Probing, s.Peers = true, true, true, 1
-		s.Cancel = false // else a job that waits has a copy anyway
+		s.StartNotices, s.StartsInOrder, s.HealthChecks, s.Peers = true, true, true, 1
+		s.Cancellation = false // else a job that waits has a copy anyway
 		r := newRig(t, s, 4)
 		id := r.arrive(test.class)
 		w := r.workers[r.worker(id)]
 		note := func(q uint64) {
-			r.at(r.now, Event{Kind: Started, Request: q, Worker: r.worker(q)})
+			r.at(r.now, Event{Kind: AttemptStarted, Request: q, Worker: r.worker(q)})
 		}
 		if test.started {
 			note(id)
 		}
 		probes := 0
 		for end := r.now + 1900*time.Millisecond; r.now < end; {
-			r.at(r.now+r.beat, Event{Kind: TimerDue, Timer: beatTimer})
-			if find(r.actions, Probe) != nil {
+			r.at(r.now+r.beat, Event{Kind: TimerFired, Timer: beatTimer})
+			if find(r.actions, CheckHealth) != nil {
 				probes++
-				r.at(r.now, Event{Kind: ProbeResult, Worker: w.Worker, Outcome: Completed,
-					Load: Load{Backlog: float64(test.backlog), HasBacklog: true}})
+				r.at(r.now, Event{Kind: HealthChecked, Worker: w.Name, Outcome: Completed,
+					Load: LoadReport{Backlog: float64(test.backlog), HasBacklog: true}})
 			}
 			w.heard = r.now // by another connection
 		}
@@ -842,9 +842,9 @@
 		if blocked := w.unstarted > 0; !test.started && blocked != (test.backlog > 0) {
 			t.Errorf("%s: %d starts are waited for", name, w.unstarted)
 		}
-		r.at(r.now, Event{Kind: HungUp, Request: id})
+		r.at(r.now, Event{Kind: ClientDisconnected, Request: id})
 		for n := range r.requests[id].attempts {
-			r.respond(id, n, Recalled, 0)
+			r.respond(id, n, Cancelled, 0)
 		}
 		if w.unstarted != 0 || w.out != 0 || r.inflight != 0 {
 			t.Errorf("%s: in the end %d starts are waited for, %v slots out, %v leased", name, w.unstarted, w.out, r.inflight)
@@ -856,17 +856,17 @@
 // second copy that could not be called off would only fill another queue.
 func TestQueuedJobIsNotSilence(t *testing.T) {
 	s := testSettings()
-	s.TellsStart, s.Cancel = true, false
+	s.StartNotices, s.Cancellation = true, false
 	r := newRig(t, s, 2)
 	id := r.arrive(0)
 	w := r.workers[r.worker(id)]
 	for range 30 {
-		r.at(r.now+r.beat, Event{Kind: TimerDue, Timer: beatTimer})
+		r.at(r.now+r.beat, Event{Kind: TimerFired, Timer: beatTimer})
 	}
 	if w.suspect || len(r.requests[id].attempts) != 1 {
 		t.Fatalf("suspect %v, %d attempts for a job that waits in a queue", w.suspect, len(r.requests[id].attempts))
 	}
-	if next := r.arrive(0); r.worker(next) == w.Worker {
+	if next := r.arrive(0); r.worker(next) == w.Name {
 		t.Fatal("more work behind a job that has not started")
 	}
 }
@@ -876,11 +876,11 @@
 // first to start has the other called off. A fragile one has none, nor has one that is late already.
 func TestWaitingJobHasACopy(t *testing.T) {
 	s := testSettings()
-	s.TellsStart = true
+	s.StartNotices = true
 	stopped := func(r *rig) []int {
 		var list []int
 		for _, a := range r.actions {
-			if a.Kind == StopAttempt {
+			if a.Kind == CancelAttempt {
 				list = append(list, a.Attempt)
 			}
 		}
@@ -889,11 +889,11 @@
 	wait := func(class int) (*rig, uint64) {
 		r := newRig(t, s, 4)
 		id := r.arrive(class)
-		r.at(r.now+r.beat, Event{Kind: TimerDue, Timer: beatTimer})
+		r.at(r.now+r.beat, Event{Kind: TimerFired, Timer: beatTimer})
 		return r, id
 	}
 	start := func(r *rig, id uint64, n int) {
-		r.at(r.now+time.Millisecond, Event{Kind: Started, Request: id, Attempt: n, Worker: r.requests[id].attempts[n].w.Worker})
+		r.at(r.now+time.Millisecond, Event{Kind: AttemptStarted, Request: id, Attempt: n, Worker: r.requests[id].attempts[n].w.Name})
 	}
 	for first := range 2 {
 		r, id := wait(0)
@@ -905,7 +905,7 @@
 		if got := stopped(r); len(got) != 1 || got[0] != 1-first {
 			t.Fatalf("attempt %d starts first: called off: %v", first, got)
 		}
-		r.respond(id, 1-first, Recalled, 0)
+		r.respond(id, 1-first, Cancelled, 0)
 		if w := q.attempts[1-first].w; w.unstarted != 0 || w.sent.get(r.now, r.horizon) > 1e-3 {
 			t.Errorf("a copy that never started is still booked: %d, %v", w.unstarted, w.sent)
 		}
@@ -922,7 +922,7 @@
 	r = newRig(t, s, 4)
 	id = r.arrive(0)
 	r.requests[id].late = true
-	r.at(r.now+r.beat, Event{Kind: TimerDue, Timer: beatTimer})
+	r.at(r.now+r.beat, Event{Kind: TimerFired, Timer: beatTimer})
 	if len(r.requests[id].attempts) != 1 {
 		t.Error("a copy of a job that is late")
 	}
@@ -943,11 +943,11 @@
 		"started":                 {0, 0.4, 0, true, false}, "fragile": {1, 0.4, 0, false, false},
 	} {
 		s := testSettings()
-		s.TellsStart = true
+		s.StartNotices = true
 		r := newRig(t, s, 4)
 		id := r.arrive(test.class)
 		if test.started {
-			r.at(r.now, Event{Kind: Started, Request: id, Worker: r.worker(id)})
+			r.at(r.now, Event{Kind: AttemptStarted, Request: id, Worker: r.worker(id)})
 		}
 		var refused, stopped bool
 		for beat := range 20 {
@@ -957,9 +957,9 @@
 			if beat == 16 && test.from > 0 && !r.requests[id].late {
 				t.Fatal("it is not late yet")
 			}
-			r.at(r.now+r.beat, Event{Kind: TimerDue, Timer: beatTimer})
-			refused = refused || find(r.actions, Refuse) != nil
-			stopped = stopped || find(r.actions, StopAttempt) != nil
+			r.at(r.now+r.beat, Event{Kind: TimerFired, Timer: beatTimer})
+			refused = refused || find(r.actions, Reject) != nil
+			stopped = stopped || find(r.actions, CancelAttempt) != nil
 		}
 		if refused != test.away || stopped != test.away {
 			t.Errorf("%s: refused %v, called off %v, want %v", name, refused, stopped, test.away)
@@ -967,8 +967,8 @@
 		r.bad = test.bad
 		const full = 5 * time.Second
 		r.fullLeft[0] = full
-		r.at(r.now, Event{Kind: Arrival, Request: 1 << 40, Class: 0, Work: 100 * time.Millisecond, Left: full / 2})
-		if again := find(r.actions, Refuse) != nil; again != (test.bad > crowded) {
+		r.at(r.now, Event{Kind: RequestArrived, Request: 1 << 40, Class: 0, Work: 100 * time.Millisecond, TimeLeft: full / 2})
+		if again := find(r.actions, Reject) != nil; again != (test.bad > crowded) {
 			t.Errorf("%s: a repeat that comes too late: refused %v", name, again)
 		}
 	}
@@ -982,7 +982,7 @@
 	for seed := range uint64(10) {
 		r := newSeededRig(t, s, 4*mostDraws, seed)
 		for _, w := range r.fleet[1:] { // the first stays warm: what the others may get is measured by it
-			w.LastStart, w.coldAt, w.cold = r.now, r.now, -1
+			w.StartedAt, w.coldAt, w.cold = r.now, r.now, -1
 			w.sent.add(r.now, r.horizon, 0)
 			r.fresh = append(r.fresh, w)
 		}
@@ -999,7 +999,7 @@
 		}
 		first := slices.Clone(r.pool)
 		for _, w := range r.fleet[1:] {
-			w.LastStart = 0
+			w.StartedAt = 0
 		}
 		r.lower(q, r.pool, inPool)
 		moved := 0
@@ -1025,12 +1025,12 @@
 		w := r.workers["w0"]
 		warm := r.workers["w1"]
 		warm.sent.add(r.now, r.horizon, 2)
-		w.LastStart, w.coldAt, w.cold, r.sharesAt = r.now, r.now, 0, 0
+		w.StartedAt, w.coldAt, w.cold, r.sharesAt = r.now, r.now, 0, 0
 		w.sent.add(r.now, r.horizon, 0)
-		r.now += s.FallWindow * 3
+		r.now += s.OverloadWindow * 3
 		share, warmth := r.warmShare(0), r.warmth(w)
 		r.coldRoom(&request{class: &r.s.Classes[0], slots: 1, work: test.work, cost: test.work, mean: 1e-7}, w)
-		most := s.FallMultiple * warmth * share * s.FallWindow.Seconds()
+		most := s.OverloadMultiple * warmth * share * s.OverloadWindow.Seconds()
 		if got := w.cold / most / coldSafety; math.Abs(got-test.windows) > 0.01 {
 			t.Errorf("jobs of %g s: the budget of %.2f windows is saved", test.work, got)
 		}
@@ -1046,7 +1046,7 @@
 	for seed := range uint64(20) {
 		r := newSeededRig(t, testSettings(), 6, seed+1)
 		for i, w := range r.fleet {
-			w.LastStart, w.coldAt, w.cold, w.out = r.now, r.now, 0.06, float64(i)
+			w.StartedAt, w.coldAt, w.cold, w.out = r.now, r.now, 0.06, float64(i)
 			w.sent.add(r.now, r.horizon, 0)
 		}
 		r.fresh = append(r.fresh[:0], r.fleet...)
@@ -1061,9 +1061,9 @@
 // A rule of length 0 is off. Where settings told none, cold workers got nothing until they were warm.
 func TestNoFallRuleBindsNothing(t *testing.T) {
 	s := testSettings()
-	s.FallWindow, s.FallMultiple, s.ColdFrom = 0, 0, 0.9
+	s.OverloadWindow, s.OverloadMultiple, s.SlowStartFloor = 0, 0, 0.9
 	r := newRig(t, s, 1)
-	r.at(r.now, Event{Kind: WorkerList, List: ListChanges, Entries: []Entry{{Worker: "w0", LastStart: r.now}}})
+	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: "w0", StartedAt: r.now}}})
 	if r.sentTo(0) != "w0" {
 		t.Fatal("a cold worker gets nothing though no rule says so")
 	}
@@ -1084,7 +1084,7 @@
 		job := &request{class: &r.s.Classes[0], slots: 1, work: test.work, cost: test.work, mean: 0.5}
 		taken := false
 		for range 1000 {
-			w.LastStart, w.coldAt, w.cold, r.sharesAt = r.now, r.now, 0.1, 0
+			w.StartedAt, w.coldAt, w.cold, r.sharesAt = r.now, r.now, 0.1, 0
 			taken = taken || r.coldRoom(job, w)
 		}
 		if taken != test.want {
@@ -1098,7 +1098,7 @@
 	r := newRig(t, testSettings(), 3)
 	id := r.arrive(1)
 	bad := r.workers[r.worker(id)]
-	r.respond(id, 0, Errored, time.Millisecond)
+	r.respond(id, 0, Failed, time.Millisecond)
 	q := &request{class: &r.s.Classes[1]}
 	if r.healthy(q, bad) {
 		t.Fatal("fragile work trusted to a worker that has just failed")
@@ -1112,12 +1112,12 @@
 func TestFragileFailsRatherThanRunTwice(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	id := r.arrive(1)
-	r.respond(id, 0, Errored, time.Millisecond)
-	if find(r.actions, FinishError) == nil || find(r.actions, Assign) != nil || find(r.actions, Refuse) != nil {
+	r.respond(id, 0, Failed, time.Millisecond)
+	if find(r.actions, Fail) == nil || find(r.actions, Assign) != nil || find(r.actions, Reject) != nil {
 		t.Fatalf("actions %v", r.actions)
 	}
 	id = r.arrive(1)
-	r.respond(id, 0, RefusedConn, time.Millisecond) // proof that it never ran
+	r.respond(id, 0, ConnectionRefused, time.Millisecond) // proof that it never ran
 	if find(r.actions, Assign) == nil {
 		t.Fatal("not sent again though it never ran")
 	}
@@ -1127,7 +1127,7 @@
 // though most workers idled (i3ba968, i403265).
 func TestJobsOfALostKindHoldUpNoOthers(t *testing.T) {
 	s := testSettings()
-	s.Classes[1] = Class{Worth: 9, Aim: 5 * time.Second, Deadline: 5 * time.Second, Kinds: []int{7}}
+	s.Classes[1] = Class{PriorityWeight: 9, LatencyObjective: 5 * time.Second, Deadline: 5 * time.Second, Kinds: []int{7}}
 	r := newRig(t, s, 2)
 	for range 5 * passOver {
 		if r.sentTo(1) != "" {
@@ -1157,9 +1157,9 @@
 	aim := r.requests[id].aim
 	r.priceC, r.solveAt = 0.1, r.now+time.Hour
 	for r.requests[id] != nil && r.now < aim+time.Second {
-		r.at(r.now+r.beat, Event{Kind: TimerDue, Timer: beatTimer})
+		r.at(r.now+r.beat, Event{Kind: TimerFired, Timer: beatTimer})
 	}
-	if a := find(r.actions, Refuse); a == nil || r.now >= aim || a.Delay <= 0 || a.Delay > r.s.MaxRetryAfter {
+	if a := find(r.actions, Reject); a == nil || r.now >= aim || a.Delay <= 0 || a.Delay > r.s.MaxRetryAfter {
 		t.Fatalf("at %v of %v: %v", r.now, aim, r.actions)
 	}
 }
@@ -1174,8 +1174,8 @@
 	if !waits.queued || r.priceC+r.priceK > 0 {
 		t.Fatal("the third job should wait, unpriced")
 	}
-	r.at(waits.aim-seconds(waits.work), Event{Kind: TimerDue, Timer: beatTimer})
-	if !waits.ended || find(r.actions, Refuse) == nil {
+	r.at(waits.aim-seconds(waits.work), Event{Kind: TimerFired, Timer: beatTimer})
+	if !waits.ended || find(r.actions, Reject) == nil {
 		t.Fatal("a job that can hardly be in time waits on, though no lease is free")
 	}
 }
@@ -1196,13 +1196,13 @@
 
 func TestDrainStopsAtOnce(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
-	r.at(r.now, Event{Kind: WorkerList, List: ListChanges, Entries: []Entry{{Worker: "w0", State: Stopping}}})
+	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: "w0", State: Draining}}})
 	for range 4 {
 		if r.sentTo(0) == "w0" {
 			t.Fatal("sent to a draining worker")
 		}
 	}
-	r.at(r.now, Event{Kind: WorkerList, List: ListComplete})
+	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListSnapshot})
 	if r.sentTo(0) != "" {
 		t.Fatal("sent to a worker that a complete list lacks")
 	}
@@ -1210,24 +1210,24 @@
 
 func TestListErrorsBackOffWithJitter(t *testing.T) {
 	s := testSettings()
-	s.AskForList = true
+	s.ListBySubscription = true
 	r := newRig(t, s, 1)
 	if find(r.actions, Subscribe) == nil {
 		t.Fatal("not subscribed at the start")
 	}
 	last := time.Duration(0)
 	for i := range 8 {
-		r.at(r.now, Event{Kind: WorkerList, List: ListError})
+		r.at(r.now, Event{Kind: ListUpdated, ListKind: ListFailed})
 		a := find(r.actions, SetTimer)
-		if find(r.actions, Subscribe) != nil || a == nil || a.Delay > s.AskWithin/2 {
+		if find(r.actions, Subscribe) != nil || a == nil || a.Delay > s.ListPollInterval/2 {
 			t.Fatalf("try %d: %v", i, r.actions)
 		}
 		last = a.Delay
 	}
-	if last < s.AskWithin/4 {
+	if last < s.ListPollInterval/4 {
 		t.Fatalf("still asking every %v after eight failures", last)
 	}
-	if r.at(r.now, Event{Kind: TimerDue, Timer: listTimer}); find(r.actions, Subscribe) == nil {
+	if r.at(r.now, Event{Kind: TimerFired, Timer: listTimer}); find(r.actions, Subscribe) == nil {
 		t.Fatal("not asked again")
 	}
 	if r.sentTo(0) != "w0" {
@@ -1240,8 +1240,8 @@
 // However many they are, all have called early enough for two more calls in that time.
 func TestSpreadOfCallsIsBounded(t *testing.T) {
 	s := testSettings()
-	s.AskForList, s.Peers = true, 300
-	early, late := s.AskWithin, time.Duration(0)
+	s.ListBySubscription, s.Peers = true, 300
+	early, late := s.ListPollInterval, time.Duration(0)
 	for i := range 200 {
 		r := newSeededRig(t, s, 1, uint64(i))
 		a := find(r.actions, SetTimer)
@@ -1250,7 +1250,7 @@
 		}
 		early, late = min(early, a.Delay), max(late, a.Delay)
 	}
-	if late > s.AskWithin/4 || late-early < s.AskWithin/5 {
+	if late > s.ListPollInterval/4 || late-early < s.ListPollInterval/5 {
 		t.Errorf("calls come between %v and %v after the start", early, late)
 	}
 }
@@ -1261,23 +1261,23 @@
 func TestHerdCallsAreSpread(t *testing.T) {
 	const peers, service, patience = 36, time.Second / 7, 2 * time.Second
 	s := testSettings()
-	s.AskForList, s.Peers = true, herdFrom
+	s.ListBySubscription, s.Peers = true, herdFrom
 	if r := newRig(t, s, 1); find(r.actions, Subscribe) == nil || find(r.actions, SetTimer) != nil {
 		t.Fatalf("few dispatchers do not call at once: %v", r.actions)
 	}
 	s.Peers = peers
-	for _, first := range []ListKind{ListPersisted, ListError} {
+	for _, first := range []ListKind{ListCached, ListFailed} {
 		var rigs []*rig
 		var calls []time.Duration // when each calls next
 		for i := range peers {
 			r := newSeededRig(t, s, 1, uint64(i))
-			if first == ListError {
-				r.at(r.now, Event{Kind: WorkerList, List: ListError})
+			if first == ListFailed {
+				r.at(r.now, Event{Kind: ListUpdated, ListKind: ListFailed})
 			}
 			if r.sentTo(0) == "" {
 				t.Fatal("the known list does not serve meanwhile")
 			}
-			r.at(r.now, Event{Kind: WorkerList, List: first})
+			r.at(r.now, Event{Kind: ListUpdated, ListKind: first})
 			a := find(r.actions, SetTimer)
 			if a == nil || find(r.actions, Subscribe) != nil {
 				t.Fatalf("called at once: %v", r.actions)
@@ -1302,7 +1302,7 @@
 			}
 			failed++
 			r := rigs[next]
-			r.at(now+patience, Event{Kind: WorkerList, List: ListError})
+			r.at(now+patience, Event{Kind: ListUpdated, ListKind: ListFailed})
 			calls[next] = now + patience + find(r.actions, SetTimer).Delay
 		}
 		if last > time.Hour+10*time.Second || failed > peers/2 {
@@ -1321,12 +1321,12 @@
 	for i := range peers {
 		r := newRig(t, s, 6)
 		d, _ := New(s, uint64(i+1))
-		list := []Entry{}
+		list := []Endpoint{}
 		for n := range 6 {
-			list = append(list, Entry{Worker: fmt.Sprintf("w%d", n), Kind: n % 2, State: Running})
+			list = append(list, Endpoint{Name: fmt.Sprintf("w%d", n), Kind: n % 2, State: Running})
 		}
-		r.Dispatcher = d
-		r.at(time.Hour, Event{Kind: WorkerList, List: ListPersisted, Entries: list})
+		r.Machine = d
+		r.at(time.Hour, Event{Kind: ListUpdated, ListKind: ListCached, Endpoints: list})
 		rigs = append(rigs, r)
 	}
 	var cold []coldSend
@@ -1337,7 +1337,7 @@
 		n    int
 		w    string
 		ends time.Duration
-		o    Outcome
+		o    AttemptOutcome
 	}
 	var out []running
 	now := time.Duration(time.Hour)
@@ -1362,11 +1362,11 @@
 			out = append(out, x)
 		}
 	}
-	for ; now < start+s.WarmAfter; now += tick {
+	for ; now < start+s.SlowStartDuration; now += tick {
 		if now == start {
 			for _, r := range rigs {
-				handle(r, Event{Kind: WorkerList, List: ListChanges,
-					Entries: []Entry{{Worker: "w1", Kind: 1, State: Running, LastStart: start}}})
+				handle(r, Event{Kind: ListUpdated, ListKind: ListDelta,
+					Endpoints: []Endpoint{{Name: "w1", Kind: 1, State: Running, StartedAt: start}}})
 			}
 		}
 		for i := 0; i < len(out); i++ {
@@ -1374,8 +1374,8 @@
 				out = append(out[:i], out[i+1:]...)
 				load[x.w]--
 				if x.r.requests[x.id] != nil {
-					handle(x.r, Event{Kind: Response, Request: x.id, Attempt: x.n, Worker: x.w, Outcome: x.o,
-						Settled: x.o == Completed})
+					handle(x.r, Event{Kind: AttemptEnded, Request: x.id, Attempt: x.n, Worker: x.w, Outcome: x.o,
+						Answered: x.o == Completed})
 				}
 				i = -1
 			}
@@ -1383,11 +1383,11 @@
 		for i, r := range rigs {
 			if int(now/tick)%10 == i { // ten jobs a second each: far more than there is room for
 				r.next++
-				handle(r, Event{Kind: Arrival, Request: r.next, Slots: 1, Left: 5 * time.Second,
+				handle(r, Event{Kind: RequestArrived, Request: r.next, Slots: 1, TimeLeft: 5 * time.Second,
 					Work: time.Duration(300+r.rng.IntN(2000)) * time.Millisecond})
 			}
 			if r.beating && int(now/tick)%10 == 0 {
-				handle(r, Event{Kind: TimerDue, Timer: beatTimer})
+				handle(r, Event{Kind: TimerFired, Timer: beatTimer})
 			}
 		}
 	}
@@ -1409,12 +1409,12 @@
 	for i, a := range sends {
 		sum := 0.0
 		for _, b := range sends[:i+1] {
-			if b.at > a.at-s.FallWindow {
+			if b.at > a.at-s.OverloadWindow {
 				sum += b.cost
 			}
 		}
-		warmth := s.ColdFrom + (1-s.ColdFrom)*(a.at-start).Seconds()/s.WarmAfter.Seconds()
-		if budget := s.FallMultiple * warmth * capacity * s.FallWindow.Seconds(); sum > budget {
+		warmth := s.SlowStartFloor + (1-s.SlowStartFloor)*(a.at-start).Seconds()/s.SlowStartDuration.Seconds()
+		if budget := s.OverloadMultiple * warmth * capacity * s.OverloadWindow.Seconds(); sum > budget {
 			t.Fatalf("%.2f s of work in a window whose budget is %.2f, %v after the start", sum, budget, a.at-start)
 		}
 	}
@@ -1426,14 +1426,14 @@
 	r := newRig(t, testSettings(), 2)
 	w, warm := r.fleet[0], r.fleet[1]
 	job := &request{class: &r.s.Classes[0], slots: 1, work: 1, cost: 1}
-	w.LastStart, w.coldAt, r.sharesAt = r.now, r.now, 0
+	w.StartedAt, w.coldAt, r.sharesAt = r.now, r.now, 0
 	sent, last := 0, time.Duration(0)
-	for end := r.now + r.s.WarmAfter/2; r.now < end; r.Dispatcher.now += 10 * time.Millisecond {
+	for end := r.now + r.s.SlowStartDuration/2; r.now < end; r.Machine.now += 10 * time.Millisecond {
 		warm.sent = fading{4 * r.horizon.Seconds(), r.now} // four slot-seconds a second
 		if !r.coldRoom(job, w) {
 			continue
 		}
-		rate := coldSafety * r.s.FallMultiple * r.warmth(w) * r.warmShare(0)
+		rate := coldSafety * r.s.OverloadMultiple * r.warmth(w) * r.warmShare(0)
 		if gap := (r.now - last).Seconds(); sent > 1 && (gap < 0.9/rate || gap > 1.2/rate+0.02) {
 			t.Fatalf("%.2f s between two jobs, the budget pays for one in %.2f s", gap, 1/rate)
 		}
@@ -1457,7 +1457,7 @@
 		x.sent.add(r.now, r.horizon, 0.04*r.horizon.Seconds())
 	}
 	job := &request{class: &r.s.Classes[0], slots: 1, work: 0.5, cost: 0.5, mean: 0.5}
-	w.LastStart, r.sharesAt = r.now-r.s.WarmAfter/2, 0
+	w.StartedAt, r.sharesAt = r.now-r.s.SlowStartDuration/2, 0
 	taken := 0
 	const tries = 1000
 	for range tries {
@@ -1490,10 +1490,10 @@
 	for i := range peers {
 		rigs = append(rigs, newSeededRig(t, s, workers, uint64(i+1)))
 	}
-	var newcomers []Entry
+	var newcomers []Endpoint
 	start, now := time.Hour+10*time.Second, time.Duration(time.Hour)
 	for i := range workers {
-		newcomers = append(newcomers, Entry{Worker: fmt.Sprintf("new%d", i), LastStart: start})
+		newcomers = append(newcomers, Endpoint{Name: fmt.Sprintf("new%d", i), StartedAt: start})
 	}
 	var out []job
 	toNew, toAll := 0, 0
@@ -1515,20 +1515,20 @@
 		}
 	}
 	perTick := 0.7 * workers * capacity * tick.Seconds() / 0.35
-	for due, next := 0.0, 0; now < start+s.WarmAfter; now += tick {
+	for due, next := 0.0, 0; now < start+s.SlowStartDuration; now += tick {
 		if now == start {
 			for _, r := range rigs {
-				handle(r, Event{Kind: WorkerList, List: ListChanges, Entries: newcomers})
+				handle(r, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: newcomers})
 			}
 		}
-		if due += perTick; now >= start+s.WarmAfter/2 {
+		if due += perTick; now >= start+s.SlowStartDuration/2 {
 			due += 2 * perTick
 		}
 		for ; due >= 1; due-- {
 			r := rigs[next*37%peers]
 			next++
 			r.next++
-			handle(r, Event{Kind: Arrival, Request: r.next, Slots: 1, Left: 5 * time.Second,
+			handle(r, Event{Kind: RequestArrived, Request: r.next, Slots: 1, TimeLeft: 5 * time.Second,
 				Work: time.Duration(100+r.rng.IntN(500)) * time.Millisecond})
 		}
 		ended := out
@@ -1537,13 +1537,13 @@
 			if x.ends > now {
 				out = append(out, x)
 			} else if q := x.r.requests[x.id]; q != nil {
-				handle(x.r, Event{Kind: Response, Request: x.id, Attempt: len(q.attempts) - 1, Worker: x.w,
-					Outcome: Completed, Settled: true})
+				handle(x.r, Event{Kind: AttemptEnded, Request: x.id, Attempt: len(q.attempts) - 1, Worker: x.w,
+					Outcome: Completed, Answered: true})
 			}
 		}
 		for _, r := range rigs {
 			if r.beating && int(now/tick)%10 == 0 {
-				handle(r, Event{Kind: TimerDue, Timer: beatTimer})
+				handle(r, Event{Kind: TimerFired, Timer: beatTimer})
 			}
 		}
 	}
@@ -1598,7 +1598,7 @@
 		t.Fatalf("with its own set full, a job went to %q", w)
 	}
 	before := slices.Clone(r.pool)
-	r.at(r.now, Event{Kind: WorkerList, List: ListChanges, Entries: []Entry{{Worker: "new"}}})
+	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: "new"}}})
 	moved := 0
 	for i, w := range before {
 		if r.pool[i] != w {
@@ -1614,7 +1614,7 @@
 func TestOwnSetsDiffer(t *testing.T) {
 	var heads []string
 	for seed := range uint64(8) {
-		heads = append(heads, newSeededRig(t, testSettings(), 100, seed).pool[0].Worker)
+		heads = append(heads, newSeededRig(t, testSettings(), 100, seed).pool[0].Name)
 	}
 	slices.Sort(heads)
 	if len(slices.Compact(heads)) < 5 {
@@ -1626,7 +1626,7 @@
 func TestOthersOutstandingCounts(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	r.perSlot = 100
-	r.at(r.now, Event{Kind: ProbeResult, Worker: "w0", Load: Load{Outstanding: 5, HasOutstanding: true}})
+	r.at(r.now, Event{Kind: HealthChecked, Worker: "w0", Load: LoadReport{Outstanding: 5, HasOutstanding: true}})
 	for range 3 {
 		if r.sentTo(0) != "w1" {
 			t.Fatal("a worker with five jobs of others was taken before an idle one")
@@ -1643,9 +1643,9 @@
 		out, id := make([]Action, 0, 64), uint64(1000)
 		counts[workers] = testing.AllocsPerRun(200, func() {
 			id++
-			out = r.Handle(r.now, Event{Kind: Arrival, Request: id, Slots: 1, Work: time.Millisecond, Left: time.Second}, out[:0])
+			out = r.Handle(r.now, Event{Kind: RequestArrived, Request: id, Slots: 1, Work: time.Millisecond, TimeLeft: time.Second}, out[:0])
 			w := r.worker(id)
-			out = r.Handle(r.now+time.Millisecond, Event{Kind: Response, Request: id, Worker: w, Settled: true}, out[:0])
+			out = r.Handle(r.now+time.Millisecond, Event{Kind: AttemptEnded, Request: id, Worker: w, Answered: true}, out[:0])
 		})
 	}
 	if counts[8000] > counts[100]+2 {
@@ -1656,12 +1656,12 @@
 // Lists may be long, name a worker twice, or shrink to nothing; none of it may break the bookkeeping.
 func TestOddListsAreHarmless(t *testing.T) {
 	r := newRig(t, testSettings(), 0)
-	var list []Entry
+	var list []Endpoint
 	for i := range 5000 {
-		list = append(list, Entry{Worker: fmt.Sprintf("w%d", i%4000), Zone: i % 3})
+		list = append(list, Endpoint{Name: fmt.Sprintf("w%d", i%4000), Zone: i % 3})
 	}
 	for range 2 {
-		r.at(r.now, Event{Kind: WorkerList, List: ListComplete, Entries: list})
+		r.at(r.now, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: list})
 		near := 0
 		for _, w := range r.fleet {
 			if w.Zone == r.s.Zone {
@@ -1675,11 +1675,11 @@
 	if r.sentTo(0) == "" {
 		t.Fatal("nothing is sent to a fleet of 4000")
 	}
-	r.at(r.now, Event{Kind: WorkerList, List: ListComplete})
+	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListSnapshot})
 	if r.sentTo(0) != "" || len(r.pool)+len(r.near)+r.running+len(r.open) != 0 {
 		t.Fatal("an empty list leaves workers behind")
 	}
-	r.at(r.now, Event{Kind: WorkerList, List: ListComplete, Entries: list[:1]})
+	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: list[:1]})
 	if r.sentTo(0) != "w0" {
 		t.Fatal("the first worker after an empty list is not used")
 	}
@@ -1707,8 +1707,8 @@
 	w := r.fleet[0]
 	r.judge(w, 1, "fails")
 	w.pace = 9
-	r.at(r.now, Event{Kind: WorkerList, List: ListChanges,
-		Entries: []Entry{{Worker: "w0", State: Running, LastStart: r.now - 20*time.Second}}})
+	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta,
+		Endpoints: []Endpoint{{Name: "w0", State: Running, StartedAt: r.now - 20*time.Second}}})
 	if w.suspect || w.pace != 0 {
 		t.Fatal("the old process is remembered")
 	}
@@ -1721,15 +1721,15 @@
 			for _, slots := range []float64{0, -1, math.NaN(), math.Inf(1), 1e300, 3} {
 				id := r.next
 				r.next++
-				r.at(r.now, Event{Kind: Arrival, Request: id, Slots: slots, Work: work, Left: left, Tenant: -7})
+				r.at(r.now, Event{Kind: RequestArrived, Request: id, Slots: slots, Work: work, TimeLeft: left, Tenant: -7})
 				if q := r.requests[id]; q != nil && !(q.value >= 0 && q.cost > 0 && !math.IsInf(q.cost+q.value, 0)) {
 					t.Fatalf("work %v, left %v, slots %v: %+v", work, left, slots, q)
 				}
 			}
 		}
 	}
-	r.at(r.now, Event{Kind: Arrival, Request: 1 << 40, Class: 99})
-	if find(r.actions, FinishError) == nil {
+	r.at(r.now, Event{Kind: RequestArrived, Request: 1 << 40, Class: 99})
+	if find(r.actions, Fail) == nil {
 		t.Fatal("an unknown class is not answered")
 	}
 	r.solve()
@@ -1744,28 +1744,28 @@
 	for i := range 30000 {
 		id := r.arrive(i % 2)
 		if q := r.requests[id]; q != nil && len(q.attempts) > 0 {
-			o := []Outcome{Completed, Completed, Completed, Errored, Saturated, Severed}[i%6]
+			o := []AttemptOutcome{Completed, Completed, Completed, Failed, Saturated, ConnectionLost}[i%6]
 			r.respond(id, 0, o, 10*time.Millisecond)
 			if q := r.requests[id]; q != nil {
-				r.at(r.now, Event{Kind: HungUp, Request: id})
+				r.at(r.now, Event{Kind: ClientDisconnected, Request: id})
 				for n := range q.attempts {
 					if !q.attempts[n].done {
-						r.respond(id, n, Recalled, time.Millisecond)
+						r.respond(id, n, Cancelled, time.Millisecond)
 					}
 				}
 			}
 		} else if q != nil {
-			r.at(r.now, Event{Kind: HungUp, Request: id})
+			r.at(r.now, Event{Kind: ClientDisconnected, Request: id})
 		}
 		if i%50 == 0 {
-			r.at(r.now, Event{Kind: TimerDue, Timer: beatTimer})
+			r.at(r.now, Event{Kind: TimerFired, Timer: beatTimer})
 			name := fmt.Sprintf("w%d", i/50%6)
-			r.at(r.now, Event{Kind: WorkerList, List: ListChanges, Entries: []Entry{{Worker: name, State: Deleted}}})
-			r.at(r.now, Event{Kind: WorkerList, List: ListChanges,
-				Entries: []Entry{{Worker: fmt.Sprintf("w%d", i/50%6), State: Running}}})
+			r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: name, State: Removed}}})
+			r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta,
+				Endpoints: []Endpoint{{Name: fmt.Sprintf("w%d", i/50%6), State: Running}}})
 		}
 	}
-	r.at(r.now, Event{Kind: TimerDue, Timer: beatTimer})
+	r.at(r.now, Event{Kind: TimerFired, Timer: beatTimer})
 	if n := len(r.requests) + len(r.live) + len(r.queue); n != 0 || r.inflight != 0 || r.stuck != 0 {
 		t.Fatalf("%d requests and %v slots held", n, r.inflight)
 	}
@@ -1778,18 +1778,18 @@
 	for field, change := range map[string]func(*Settings){
 		"Classes is empty":           func(s *Settings) { s.Classes = nil },
 		"Classes[0].Deadline":        func(s *Settings) { s.Classes[0].Deadline = 0 },
-		"Classes[1].Worth":           func(s *Settings) { s.Classes[1].Worth = math.NaN() },
-		"Classes[1].Stretch":         func(s *Settings) { s.Classes[1].Stretch = -1 },
+		"Classes[1].Worth":           func(s *Settings) { s.Classes[1].PriorityWeight = math.NaN() },
+		"Classes[1].Stretch":         func(s *Settings) { s.Classes[1].ObjectiveStretch = -1 },
 		"TenantQuotas[0]":            func(s *Settings) { s.TenantQuotas = []float64{-1} },
-		"OverQuotaWorth":             func(s *Settings) { s.OverQuotaWorth = math.Inf(1) },
-		"ColdFrom must be between 0": func(s *Settings) { s.ColdFrom = 2 },
+		"OverQuotaWorth":             func(s *Settings) { s.OverQuotaWeight = math.Inf(1) },
+		"ColdFrom must be between 0": func(s *Settings) { s.SlowStartFloor = 2 },
 		"Classes[0].Kinds":           func(s *Settings) { s.Classes[0].Kinds = []int{} },
 		"Classes[1].Zones":           func(s *Settings) { s.Classes[1].Zones = []int{0, -1} },
-		"Classes[1].InTurn":          func(s *Settings) { s.Classes[1].InTurn, s.Classes[1].Stream = true, true },
-		"KeyRest":                    func(s *Settings) { s.KeyRest = -1 },
-		"ExtraFloor":                 func(s *Settings) { s.ExtraFloor = math.NaN() },
-		"ExtraRatio":                 func(s *Settings) { s.ExtraRatio = -1 },
-		"ExtraWindow":                func(s *Settings) { s.ExtraRatio = 0.2 },
+		"Classes[1].InTurn":          func(s *Settings) { s.Classes[1].Serialized, s.Classes[1].Streaming = true, true },
+		"KeyRest":                    func(s *Settings) { s.KeyCooldown = -1 },
+		"ExtraFloor":                 func(s *Settings) { s.RetryBudgetFloor = math.NaN() },
+		"ExtraRatio":                 func(s *Settings) { s.RetryBudgetRatio = -1 },
+		"ExtraWindow":                func(s *Settings) { s.RetryBudgetRatio = 0.2 },
 	} {
 		s := testSettings()
 		change(&s)
@@ -1801,7 +1801,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := d.Handle(1, Event{Kind: Arrival, Request: 1, Left: time.Second}, nil); find(got, SetTimer) == nil {
+	if got := d.Handle(1, Event{Kind: RequestArrived, Request: 1, TimeLeft: time.Second}, nil); find(got, SetTimer) == nil {
 		t.Fatalf("bare settings: %v", got)
 	}
 }
@@ -1822,7 +1822,7 @@
 // spread over the fleet, every job fetched what it needed anew.
 func TestKeysHaveHomes(t *testing.T) {
 	s := testSettings()
-	s.FetchPrice = 0.15
+	s.CacheMissCost = 0.15
 	homes := map[string]bool{}
 	var r *rig
 	keyed := func() string { return r.worker(r.arriveWith(0, "k")) }
@@ -1834,7 +1834,7 @@
 		t.Fatalf("20 dispatchers send one key to %d workers", len(homes))
 	}
 	for _, w := range r.ring {
-		if homes[w.Worker] {
+		if homes[w.Name] {
 			w.full = r.now + time.Hour
 		}
 	}
@@ -1846,11 +1846,11 @@
 // Live weights are the only word of others' load on workers that this dispatcher has not used lately.
 func TestLiveWeightsTellOthersLoad(t *testing.T) {
 	s := testSettings()
-	s.LiveWeights = true
+	s.LoadAdjustedWeights = true
 	r := newRig(t, s, 2)
-	r.at(r.now, Event{Kind: WorkerList, List: ListChanges, Entries: []Entry{
-		{Worker: "w0", Weight: 2}, // it holds two requests a core, and did so when this dispatcher started
-		{Worker: "w1", Weight: 6},
+	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{
+		{Name: "w0", Weight: 2}, // it holds two requests a core, and did so when this dispatcher started
+		{Name: "w1", Weight: 6},
 	}})
 	r.serveAllAt("w1", "sent to the worker that others load")
 }
@@ -1859,35 +1859,35 @@
 // (dolny-slask-pisma big-2). A later job that starts there tells; from then on old ones are closed before use.
 func TestDeadConnectionsAreToldAndClosed(t *testing.T) {
 	s := testSettings()
-	s.TellsStart, s.StartsInOrder, s.ConnIdle = true, true, 30*time.Second
-	s.Classes[1].LateWorth = 0.1 // one that earns nothing late is called off before the next job tells
+	s.StartNotices, s.StartsInOrder, s.ConnectionIdleTimeout = true, true, 30*time.Second
+	s.Classes[1].LateWeight = 0.1 // one that earns nothing late is called off before the next job tells
 	r := newRig(t, s, 1)
 	first := r.arrive(1)
 	r.respond(first, 0, Completed, 100*time.Millisecond)
 	r.now += 6 * time.Second
 	r.lostAt = r.now    // one was lost before: a single one may have another cause
 	lost := r.arrive(1) // sent on the connection that was unused for 6 s
-	if find(r.actions, Release) != nil {
+	if find(r.actions, CloseIdle) != nil {
 		t.Fatal("connections closed without a reason")
 	}
 	for range 40 {
-		r.at(r.now+r.beat, Event{Kind: TimerDue, Timer: beatTimer})
+		r.at(r.now+r.beat, Event{Kind: TimerFired, Timer: beatTimer})
 	}
 	next := r.arrive(1)
 	if r.worker(next) == "" {
 		t.Fatal("the worker is kept from work by a job that its connection lost")
 	}
-	r.at(r.now+5*time.Millisecond, Event{Kind: Started, Request: next, Worker: "w0"})
-	if find(r.actions, FinishError) == nil || find(r.actions, StopAttempt) == nil || !r.requests[lost].ended {
+	r.at(r.now+5*time.Millisecond, Event{Kind: AttemptStarted, Request: next, Worker: "w0"})
+	if find(r.actions, Fail) == nil || find(r.actions, CancelAttempt) == nil || !r.requests[lost].ended {
 		t.Fatalf("a lost job is kept: %v", r.actions)
 	}
 	if r.workers["w0"].suspect || r.idleSafe > 3*time.Second {
 		t.Fatalf("suspect %v, bound %v", r.workers["w0"].suspect, r.idleSafe)
 	}
 	r.respond(next, 0, Completed, 100*time.Millisecond)
-	r.at(r.now, Event{Kind: Response, Request: lost, Worker: "w0", Outcome: Recalled})
+	r.at(r.now, Event{Kind: AttemptEnded, Request: lost, Worker: "w0", Outcome: Cancelled})
 	r.now += 4 * time.Second
-	if r.arrive(1); find(r.actions, Release) == nil || find(r.actions, Assign) == nil {
+	if r.arrive(1); find(r.actions, CloseIdle) == nil || find(r.actions, Assign) == nil {
 		t.Fatalf("a connection unused for 4 s is used: %v", r.actions)
 	}
 }
@@ -1895,13 +1895,13 @@
 // A reset right after the send on an old connection is about the connection, not about the worker.
 func TestResetOfAnOldConnectionBlamesNoWorker(t *testing.T) {
 	s := testSettings()
-	s.ConnIdle = 30 * time.Second
+	s.ConnectionIdleTimeout = 30 * time.Second
 	r := newRig(t, s, 1)
 	r.respond(r.arrive(0), 0, Completed, 100*time.Millisecond)
 	r.now += 6 * time.Second
 	r.lostAt = r.now
 	id := r.arrive(0)
-	r.respond(id, 0, Severed, time.Millisecond)
+	r.respond(id, 0, ConnectionLost, time.Millisecond)
 	if w := r.fleet[0]; w.suspect || w.fail.sum > 0 || r.idleSafe != 3*time.Second {
 		t.Fatalf("failure score %v, bound %v", w.fail.sum, r.idleSafe)
 	}
@@ -1910,17 +1910,17 @@
 // Given up means answered: a job that earns nothing once late is turned away when its aim passes.
 func TestWorthlessWaitIsAnsweredAtOnce(t *testing.T) {
 	s := testSettings()
-	s.Classes[0].LateWorth = 0
+	s.Classes[0].LateWeight = 0
 	r := newRig(t, s, 1)
 	r.fleet[0].full = r.now + time.Hour
 	id := r.arrive(0)
 	aim := r.requests[id].aim
-	for find(r.actions, Refuse) == nil {
-		if r.at(r.now+r.beat, Event{Kind: TimerDue, Timer: beatTimer}); r.now > aim {
+	for find(r.actions, Reject) == nil {
+		if r.at(r.now+r.beat, Event{Kind: TimerFired, Timer: beatTimer}); r.now > aim {
 			t.Fatal("still waiting after its aim")
 		}
 	}
-	if a := find(r.actions, Refuse); a.Request != id || a.Delay <= 0 {
+	if a := find(r.actions, Reject); a.Request != id || a.Delay <= 0 {
 		t.Fatalf("refusal %+v", a)
 	}
 }
@@ -1930,11 +1930,11 @@
 // A keyed request that may have run and whose window for repeats is over has nothing to wait for: it is
 // answered then, refused where any worker would know a repeat, else failed.
 func TestOverWindowIsAnsweredAtOnce(t *testing.T) {
-	for group, want := range map[Group]ActionKind{GroupAll: Refuse, GroupZone: FinishError, GroupCell: FinishError} {
-		for _, last := range []Outcome{Errored, Saturated} { // the window ends as it waits, and as it comes back
+	for group, want := range map[DedupScope]ActionKind{DedupEverywhere: Reject, DedupWithinZone: Fail, DedupWithinCell: Fail} {
+		for _, last := range []AttemptOutcome{Failed, Saturated} { // the window ends as it waits, and as it comes back
 			s := testSettings()
-			s.Classes[1].Repeat, s.Classes[1].Group, s.Classes[1].Window = Dedup, group, 1500*time.Millisecond
-			s.Classes[1].Aim, s.Classes[1].Stretch = 5*time.Second, 0
+			s.Classes[1].Idempotency, s.Classes[1].DedupScope, s.Classes[1].DedupWindow = Deduplicated, group, 1500*time.Millisecond
+			s.Classes[1].LatencyObjective, s.Classes[1].ObjectiveStretch = 5*time.Second, 0
 			r := newRig(t, s, 2)
 			id := r.arrive(1)
 			sent := r.requests[id].attempts[0].sent
@@ -1944,7 +1944,7 @@
 			if last == Saturated {
 				r.fleet[0].full, r.fleet[1].full = 0, 0
 			}
-			r.respond(id, 0, Errored, 100*time.Millisecond)
+			r.respond(id, 0, Failed, 100*time.Millisecond)
 			if last == Saturated { // a repeat has gone out in time, and comes back late, never run
 				if q := r.requests[id]; q == nil || len(q.attempts) != 2 {
 					t.Fatalf("group %d: not repeated in time", group)
@@ -1954,7 +1954,7 @@
 				}
 			}
 			for find(r.actions, want) == nil {
-				if r.at(r.now+r.beat, Event{Kind: TimerDue, Timer: beatTimer}); r.now > sent+2*time.Second {
+				if r.at(r.now+r.beat, Event{Kind: TimerFired, Timer: beatTimer}); r.now > sent+2*time.Second {
 					t.Fatalf("group %d, %v: still waiting after its window", group, last)
 				}
 				if find(r.actions, Assign) != nil {
@@ -1970,25 +1970,25 @@
 
 func TestBudgetOfFurtherAttempts(t *testing.T) {
 	s := testSettings()
-	s.ExtraWindow, s.ExtraFloor, s.ExtraRatio = 10*time.Second, 1, 0.25
+	s.RetryBudgetWindow, s.RetryBudgetFloor, s.RetryBudgetRatio = 10*time.Second, 1, 0.25
 	r := newRig(t, s, 8)
 	again := 0
 	for range 8 {
 		id := r.arrive(0)
-		r.respond(id, 0, RefusedConn, time.Millisecond)
+		r.respond(id, 0, ConnectionRefused, time.Millisecond)
 		if find(r.actions, Assign) != nil {
 			again++
 			r.respond(id, 1, Completed, time.Millisecond)
-		} else if find(r.actions, Refuse) == nil {
+		} else if find(r.actions, Reject) == nil {
 			t.Fatalf("neither tried again nor answered: %v", r.actions)
 		}
 	}
 	if again < 1 || again > 3 {
 		t.Fatalf("%d further attempts for 8 requests", again)
 	}
-	r.now += s.ExtraWindow + 2*s.Tick
+	r.now += s.RetryBudgetWindow + 2*s.Tick
 	id := r.arrive(0)
-	if r.respond(id, 0, RefusedConn, time.Millisecond); find(r.actions, Assign) == nil {
+	if r.respond(id, 0, ConnectionRefused, time.Millisecond); find(r.actions, Assign) == nil {
 		t.Fatal("not tried again though the window has passed")
 	}
 }
@@ -1997,8 +1997,8 @@
 // (malopolska-zadania: one was sent while an earlier one was not over). Those without it, or of another, go on.
 func TestKeysRunInTurn(t *testing.T) {
 	s := testSettings()
-	s.KeyRest = 300 * time.Millisecond
-	s.Classes[1].InTurn = true
+	s.KeyCooldown = 300 * time.Millisecond
+	s.Classes[1].Serialized = true
 	r := newRig(t, s, 8)
 	send := func(key string) uint64 { return r.arriveWith(1, key) }
 	first, second := send("a"), send("a")
@@ -2008,12 +2008,12 @@
 	if r.worker(send("b")) == "" || r.worker(send("")) == "" {
 		t.Fatal("another key waits as well")
 	}
-	r.respond(first, 0, Severed, time.Millisecond)
-	r.at(r.now+299*time.Millisecond, Event{Kind: TimerDue, Timer: 1})
+	r.respond(first, 0, ConnectionLost, time.Millisecond)
+	r.at(r.now+299*time.Millisecond, Event{Kind: TimerFired, Timer: 1})
 	if r.worker(second) != "" {
 		t.Fatal("the key has not rested")
 	}
-	r.at(r.now+2*time.Millisecond, Event{Kind: TimerDue, Timer: restTimer})
+	r.at(r.now+2*time.Millisecond, Event{Kind: TimerFired, Timer: restTimer})
 	if r.worker(second) == "" {
 		t.Fatal("not sent when its turn came")
 	}
@@ -2023,17 +2023,17 @@
 // where that is stated: a fragile request is then failed at once (wokanda-hosted).
 func TestPlacementAndFullWithoutProof(t *testing.T) {
 	s := testSettings()
-	s.FullNoProof = true
+	s.SaturatedMayHaveRun = true
 	s.Classes[1].Kinds, s.Classes[1].Zones = []int{1}, []int{2}
 	r := newRig(t, s, 4)
-	r.at(r.now, Event{Kind: WorkerList, List: ListChanges, Entries: []Entry{
-		{Worker: "w0", Kind: 1}, {Worker: "w1", Zone: 2}, {Worker: "w2", Kind: 1, Zone: 2}}})
+	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{
+		{Name: "w0", Kind: 1}, {Name: "w1", Zone: 2}, {Name: "w2", Kind: 1, Zone: 2}}})
 	id := r.arrive(1)
 	if r.worker(id) != "w2" {
 		t.Fatalf("sent to %q", r.worker(id))
 	}
 	r.respond(id, 0, Saturated, time.Millisecond)
-	if find(r.actions, FinishError) == nil || find(r.actions, Assign) != nil || find(r.actions, Refuse) != nil {
+	if find(r.actions, Fail) == nil || find(r.actions, Assign) != nil || find(r.actions, Reject) != nil {
 		t.Fatalf("after 'full' without proof: %v", r.actions)
 	}
 	r.workers["w2"].full = r.now + time.Hour
@@ -2046,7 +2046,7 @@
 // dolny-slask-pisma).
 func TestReportedBacklogCounts(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
-	r.at(r.now, Event{Kind: ProbeResult, Worker: "w0", Load: Load{Backlog: 3, HasBacklog: true}})
+	r.at(r.now, Event{Kind: HealthChecked, Worker: "w0", Load: LoadReport{Backlog: 3, HasBacklog: true}})
 	r.serveAllAt("w1", "sent to the worker with a backlog")
 }
 
@@ -2057,7 +2057,7 @@
 	first := r.arrive(0)
 	aim := r.requests[first].aim
 	r.now += 2 * time.Second
-	r.at(r.now, Event{Kind: Arrival, Request: 99, Slots: 1, Work: time.Second, Left: 3 * time.Second})
+	r.at(r.now, Event{Kind: RequestArrived, Request: 99, Slots: 1, Work: time.Second, TimeLeft: 3 * time.Second})
 	if q := r.requests[99]; q == nil || q.aim != aim {
 		t.Fatalf("the repeat of a job with its aim at %v: %+v", aim, q)
 	}
@@ -2074,8 +2074,8 @@
 	perSlot, worker := r.perSlot, ""
 	for i := range 2 * oddJobs {
 		id := r.arrive(i % 2)
-		out := r.respond(id, 0, Unusable, time.Millisecond)
-		if len(out) == 0 || out[0].Kind != FinishError || out[0].Request != id || r.requests[id] != nil {
+		out := r.respond(id, 0, InvalidRequest, time.Millisecond)
+		if len(out) == 0 || out[0].Kind != Fail || out[0].Request != id || r.requests[id] != nil {
 			t.Fatalf("job %d: %+v", i, out)
 		}
 		good := r.arrive(0)
@@ -2095,7 +2095,7 @@
 			r.respond(id, 0, Completed, time.Second)
 			continue
 		}
-		if r.respond(id, 0, Unusable, time.Millisecond); r.requests[id] == nil || !r.workers[worker].suspect {
+		if r.respond(id, 0, InvalidRequest, time.Millisecond); r.requests[id] == nil || !r.workers[worker].suspect {
 			t.Error("a worker that can use nothing is believed")
 		}
 		break
@@ -2107,7 +2107,7 @@
 // one was put off until it was late.
 func TestClassTurnedAwayIsTakenElsewhere(t *testing.T) {
 	s := testSettings()
-	s.TellsStart = true
+	s.StartNotices = true
 	r := newRig(t, s, 4)
 	turned, picky := map[string]int{}, true
 	serve := func(class int) { // also what was held back and is placed only now
@@ -2115,7 +2115,7 @@
 		for _, id := range slices.Sorted(maps.Keys(r.requests)) {
 			for n := 0; r.requests[id] != nil && n < len(r.requests[id].attempts); n++ {
 				q := r.requests[id]
-				w := q.attempts[n].w.Worker
+				w := q.attempts[n].w.Name
 				if q.attempts[n].done {
 					continue
 				}
@@ -2124,7 +2124,7 @@
 					r.respond(id, n, Saturated, time.Millisecond)
 					continue
 				}
-				r.at(r.now+time.Millisecond, Event{Kind: Started, Request: id, Attempt: n, Worker: w})
+				r.at(r.now+time.Millisecond, Event{Kind: AttemptStarted, Request: id, Attempt: n, Worker: w})
 				r.respond(id, n, Completed, 100*time.Millisecond)
 			}
 		}
@@ -2147,7 +2147,7 @@
 	}
 	for _, w := range r.fleet {
 		if u := w.refusal(&r.s.Classes[1]); u.n != 0 || u.until != 0 {
-			t.Errorf("%s takes the class again, but is held to turn it away: %+v", w.Worker, *u)
+			t.Errorf("%s takes the class again, but is held to turn it away: %+v", w.Name, *u)
 		}
 	}
 }
@@ -2155,9 +2155,9 @@
 // bookings are classes as another customer has them: no hints come, and an answer that is late earns nothing.
 func bookings() Settings {
 	s := testSettings()
-	s.TellsStart = true
+	s.StartNotices = true
 	for i := range s.Classes {
-		s.Classes[i].LateWorth, s.Classes[i].Aim = 0, time.Second
+		s.Classes[i].LateWeight, s.Classes[i].LatencyObjective = 0, time.Second
 	}
 	return s
 }
@@ -2165,7 +2165,7 @@
 // On a busy day of comun-bucuresti seven in ten answers were late and earned nothing, since every worker's queue was
 // full of jobs whose time was over. One that waits there and can't be in time any more is called off.
 func TestWhatEarnsNothingLateIsCalledOffWhereItWaits(t *testing.T) {
-	for class, answer := range []ActionKind{Refuse, FinishError} {
+	for class, answer := range []ActionKind{Reject, Fail} {
 		for _, started := range []bool{false, true} {
 			r := newRig(t, bookings(), 1)
 			id := r.arrive(class) // runs for 1 s, and has 1 s + 2 x 1 s
@@ -2173,19 +2173,19 @@
 				t.Fatal("not sent")
 			}
 			if started {
-				r.at(r.now, Event{Kind: Started, Request: id, Worker: "w0"})
+				r.at(r.now, Event{Kind: AttemptStarted, Request: id, Worker: "w0"})
 			}
 			var actions []Action
 			sweep := func(until time.Duration) {
 				for r.now < time.Hour+until {
-					actions = append(actions, r.at(r.now+r.beat, Event{Kind: TimerDue, Timer: beatTimer})...)
+					actions = append(actions, r.at(r.now+r.beat, Event{Kind: TimerFired, Timer: beatTimer})...)
 				}
 			}
-			if sweep(time.Second); find(actions, StopAttempt) != nil || find(actions, answer) != nil {
+			if sweep(time.Second); find(actions, CancelAttempt) != nil || find(actions, answer) != nil {
 				t.Fatalf("class %d is called off while it can be in time: %v", class, actions)
 			}
 			sweep(3 * time.Second)
-			if off := find(actions, StopAttempt) != nil && find(actions, answer) != nil; off == started {
+			if off := find(actions, CancelAttempt) != nil && find(actions, answer) != nil; off == started {
 				t.Fatalf("class %d, started %v, called off %v: %v", class, started, off, actions)
 			}
 		}
@@ -2198,12 +2198,12 @@
 	job := func(work time.Duration) *request {
 		id := r.next
 		r.next++
-		r.at(r.now, Event{Kind: Arrival, Request: id, Slots: 1, Work: work, Left: 5 * time.Second})
+		r.at(r.now, Event{Kind: RequestArrived, Request: id, Slots: 1, Work: work, TimeLeft: 5 * time.Second})
 		return r.requests[id]
 	}
 	for range 30 {
 		q := job(0)
-		r.at(r.now+time.Second, Event{Kind: Started, Request: q.id, Worker: r.worker(q.id)}) // waits are no part of it
+		r.at(r.now+time.Second, Event{Kind: AttemptStarted, Request: q.id, Worker: r.worker(q.id)}) // waits are no part of it
 		r.respond(q.id, 0, Completed, 300*time.Millisecond)
 	}
 	if got := job(0).work; got < 0.29 || got > 0.45 {
--- a/decision/example_test.go
+++ b/decision/example_test.go
@@ -10,8 +10,8 @@
 func Example() {
 	d, err := decision.New(decision.Settings{
 		Classes: []decision.Class{{
-			Worth: 1, Aim: 200 * time.Millisecond, Stretch: 2, Deadline: 5 * time.Second,
-			Repeat: decision.Retryable,
+			PriorityWeight: 1, LatencyObjective: 200 * time.Millisecond, ObjectiveStretch: 2, Deadline: 5 * time.Second,
+			Idempotency: decision.Idempotent,
 		}},
 		Peers: 1, Tick: time.Millisecond, MaxAttempts: 3,
 	}, 42)
@@ -20,12 +20,12 @@
 	}
 	now := time.Hour // any monotonic clock
 	d.Handle(now, decision.Event{
-		Kind: decision.WorkerList, List: decision.ListComplete,
-		Entries: []decision.Entry{{Worker: "10.0.0.1:9000"}},
+		Kind: decision.ListUpdated, ListKind: decision.ListSnapshot,
+		Endpoints: []decision.Endpoint{{Name: "10.0.0.1:9000"}},
 	}, nil)
 	actions := d.Handle(now, decision.Event{
-		Kind: decision.Arrival, Request: 1, Slots: 1,
-		Work: 100 * time.Millisecond, Left: 5 * time.Second,
+		Kind: decision.RequestArrived, Request: 1, Slots: 1,
+		Work: 100 * time.Millisecond, TimeLeft: 5 * time.Second,
 	}, nil)
 	for _, a := range actions {
 		if a.Kind == decision.Assign {
--- a/decision/reconfigure_test.go
+++ b/decision/reconfigure_test.go
@@ -13,8 +13,8 @@
 	open := r.requests[r.arrive(0)]
 	class, value, aim, beat := open.class, open.value, open.aim, r.beat
 	next := testSettings()
-	next.Classes[0].Worth, next.Classes[0].Aim, next.MaxRetryAfter = 7, 40*time.Millisecond, time.Second
-	r.at(r.now, Event{Kind: Reconfigured, Settings: &next})
+	next.Classes[0].PriorityWeight, next.Classes[0].LatencyObjective, next.MaxRetryAfter = 7, 40*time.Millisecond, time.Second
+	r.at(r.now, Event{Kind: SettingsChanged, Settings: &next})
 	if open.class != class || open.class != &r.s.Classes[0] || open.value != value || open.aim != aim {
 		t.Errorf("an open request changes: %+v", open)
 	}
@@ -34,7 +34,7 @@
 // A quota holds from the change on, higher or lower.
 func TestReconfiguredQuota(t *testing.T) {
 	s := testSettings()
-	s.Peers, s.TenantQuotas, s.OverQuotaWorth = 1, []float64{1000, 1000}, 0.1
+	s.Peers, s.TenantQuotas, s.OverQuotaWeight = 1, []float64{1000, 1000}, 0.1
 	r := newRig(t, s, 2)
 	over := func() (n int) {
 		for range 100 {
@@ -54,7 +54,7 @@
 	}{{1, 90, 100}, {1000, 0, 1}} {
 		next := s
 		next.TenantQuotas = []float64{test.quota, 1000}
-		r.at(r.now, Event{Kind: Reconfigured, Settings: &next})
+		r.at(r.now, Event{Kind: SettingsChanged, Settings: &next})
 		next.TenantQuotas[0] = -1 // the caller's own slice is the caller's
 		if n := over(); n < test.min || n > test.max {
 			t.Errorf("a quota of %v a second: %d of 100 in a second are beyond it", test.quota, n)
@@ -68,16 +68,16 @@
 		"none":             func(*Settings) *Settings { return nil },
 		"a class more":     func(s *Settings) *Settings { s.Classes = append(s.Classes, s.Classes[0]); return s },
 		"a tenant":         func(s *Settings) *Settings { s.TenantQuotas = []float64{1}; return s },
-		"infinite worth":   func(s *Settings) *Settings { s.Classes[1].Worth = math.Inf(1); return s },
-		"a negative aim":   func(s *Settings) *Settings { s.Classes[1].Aim = -1; return s },
-		"no number at all": func(s *Settings) *Settings { s.OverQuotaWorth = math.NaN(); return s },
+		"infinite worth":   func(s *Settings) *Settings { s.Classes[1].PriorityWeight = math.Inf(1); return s },
+		"a negative aim":   func(s *Settings) *Settings { s.Classes[1].LatencyObjective = -1; return s },
+		"no number at all": func(s *Settings) *Settings { s.OverQuotaWeight = math.NaN(); return s },
 	} {
 		r := newRig(t, testSettings(), 2)
 		before := r.s
 		before.Classes = append([]Class(nil), r.s.Classes...)
 		next := testSettings()
-		next.Classes[0].Worth = 9
-		r.at(r.now, Event{Kind: Reconfigured, Settings: change(&next)})
+		next.Classes[0].PriorityWeight = 9
+		r.at(r.now, Event{Kind: SettingsChanged, Settings: change(&next)})
 		if !reflect.DeepEqual(r.s, before) || find(r.actions, Log) == nil {
 			t.Errorf("%s: taken in: %+v", name, r.s)
 		}
--- a/decision/rules_test.go
+++ b/decision/rules_test.go
@@ -29,9 +29,9 @@
 type world struct {
 	t        *rapid.T
 	s        Settings
-	d        *Dispatcher
+	d        *Machine
 	now      time.Duration
-	listed   map[string]Entry // as last told, gone ones included
+	listed   map[string]Endpoint // as last told, gone ones included
 	names    []string
 	late     time.Duration // how long it may have stood still
 	requests map[uint64]*job
@@ -60,7 +60,7 @@
 }
 
 type send struct {
-	worker    Entry
+	worker    Endpoint
 	at        time.Duration
 	done      bool
 	neverRan  bool
@@ -69,47 +69,47 @@
 
 func newWorld(t *rapid.T) *world {
 	repeats := []Class{
-		{Repeat: Retryable}, {Repeat: Fragile},
-		{Repeat: Dedup, Group: GroupAll}, {Repeat: Dedup, Group: GroupZone}, {Repeat: Dedup, Group: GroupCell},
+		{Idempotency: Idempotent}, {Idempotency: NonIdempotent},
+		{Idempotency: Deduplicated, DedupScope: DedupEverywhere}, {Idempotency: Deduplicated, DedupScope: DedupWithinZone}, {Idempotency: Deduplicated, DedupScope: DedupWithinCell},
 	}
 	s := Settings{
 		Peers: 3, Tick: 2 * time.Millisecond,
-		AskForList: rapid.Bool().Draw(t, "ask"), AskWithin: 10 * time.Second,
-		ColdFrom: 0.3, WarmAfter: 8 * time.Second, FallMultiple: 3, FallWindow: 2 * time.Second,
-		MaxAttempts: rapid.IntRange(1, 5).Draw(t, "attempts"), SecondCopies: rapid.Bool().Draw(t, "copies"),
-		Cancel: rapid.Bool().Draw(t, "cancel"), TellsStart: rapid.Bool().Draw(t, "tells start"),
-		Progress: time.Second, WorthByWork: rapid.Bool().Draw(t, "by work"), OverQuotaWorth: 0.2,
-		MaxRetryAfter: 2 * time.Second, ConnectTimeout: 200 * time.Millisecond, CrossZonePrice: 0.05,
+		ListBySubscription: rapid.Bool().Draw(t, "ask"), ListPollInterval: 10 * time.Second,
+		SlowStartFloor: 0.3, SlowStartDuration: 8 * time.Second, OverloadMultiple: 3, OverloadWindow: 2 * time.Second,
+		MaxAttempts: rapid.IntRange(1, 5).Draw(t, "attempts"), Hedging: rapid.Bool().Draw(t, "copies"),
+		Cancellation: rapid.Bool().Draw(t, "cancel"), StartNotices: rapid.Bool().Draw(t, "tells start"),
+		ProgressInterval: time.Second, WeightByWork: rapid.Bool().Draw(t, "by work"), OverQuotaWeight: 0.2,
+		MaxRetryAfter: 2 * time.Second, ConnectTimeout: 200 * time.Millisecond, CrossZoneCost: 0.05,
 	}
 	if rapid.Bool().Draw(t, "tenants") {
 		s.TenantQuotas = []float64{5, 10}
 	}
-	s.FullNoProof = rapid.Bool().Draw(t, "full is no proof")
+	s.SaturatedMayHaveRun = rapid.Bool().Draw(t, "full is no proof")
 	if rapid.Bool().Draw(t, "budget") {
-		s.ExtraWindow, s.ExtraFloor, s.ExtraRatio = 2*time.Second, float64(rapid.IntRange(0, 2).Draw(t, "floor")), 0.2
+		s.RetryBudgetWindow, s.RetryBudgetFloor, s.RetryBudgetRatio = 2*time.Second, float64(rapid.IntRange(0, 2).Draw(t, "floor")), 0.2
 	}
 	order := rapid.Bool().Draw(t, "order")
 	if order {
-		s.KeyRest = rapid.SampledFrom([]time.Duration{0, 300 * time.Millisecond}).Draw(t, "rest")
+		s.KeyCooldown = rapid.SampledFrom([]time.Duration{0, 300 * time.Millisecond}).Draw(t, "rest")
 	}
 	for i, c := range repeats {
-		c.Worth, c.LateWorth = float64(i+1), 0.3
-		c.Aim, c.Stretch, c.Deadline = 200*time.Millisecond, 2, 5*time.Second
-		c.Window = rapid.SampledFrom([]time.Duration{100 * time.Millisecond, 3 * time.Second}).Draw(t, "window")
+		c.PriorityWeight, c.LateWeight = float64(i+1), 0.3
+		c.LatencyObjective, c.ObjectiveStretch, c.Deadline = 200*time.Millisecond, 2, 5*time.Second
+		c.DedupWindow = rapid.SampledFrom([]time.Duration{100 * time.Millisecond, 3 * time.Second}).Draw(t, "window")
 		if i == 1 && rapid.Bool().Draw(t, "kind") {
 			c.Kinds = []int{1}
 		}
 		if i == 3 && rapid.Bool().Draw(t, "zone") {
 			c.Zones = []int{0}
 		}
-		c.InTurn = i != 2 && order
+		c.Serialized = i != 2 && order
 		s.Classes = append(s.Classes, c)
 	}
-	w := &world{t: t, s: s, now: time.Hour, listed: map[string]Entry{}, nextID: 1}
+	w := &world{t: t, s: s, now: time.Hour, listed: map[string]Endpoint{}, nextID: 1}
 	for i := range rapid.IntRange(1, 8).Draw(t, "workers") {
 		name := fmt.Sprintf("w%d", i)
 		w.names = append(w.names, name)
-		w.listed[name] = Entry{Worker: name, Zone: i % 2, Kind: i % 2, Cell: i % 4, State: Running}
+		w.listed[name] = Endpoint{Name: name, Zone: i % 2, Kind: i % 2, Cell: i % 4, State: Running}
 	}
 	w.boot()
 	return w
@@ -122,12 +122,12 @@
 	}
 	w.d, w.requests, w.order, w.timers, w.pending, w.watching = d, map[uint64]*job{}, nil, nil, nil, false
 	w.taken, w.extra, w.rested = nil, nil, map[string]time.Duration{}
-	w.deliver(Event{Kind: WorkerList, List: ListPersisted, Entries: w.entries()})
+	w.deliver(Event{Kind: ListUpdated, ListKind: ListCached, Endpoints: w.entries()})
 }
 
-func (w *world) entries() (list []Entry) {
+func (w *world) entries() (list []Endpoint) {
 	for _, name := range w.names {
-		if e := w.listed[name]; e.State != Deleted {
+		if e := w.listed[name]; e.State != Removed {
 			list = append(list, e)
 		}
 	}
@@ -145,19 +145,19 @@
 	switch a.Kind {
 	case Assign:
 		w.auditAssign(j, a)
-	case Refuse, FinishError:
+	case Reject, Fail:
 		if j == nil || j.answered {
 			w.t.Fatalf("a second answer, or one for an unknown request: %+v", a)
 		}
 		if a.Delay < 0 {
 			w.t.Fatalf("negative delay: %+v", a)
 		}
-		if a.Kind == Refuse && !j.refusable() {
+		if a.Kind == Reject && !j.refusable() {
 			w.t.Fatalf("turned away though it may have run: %+v", j)
 		}
 		j.answered = true
-	case StopAttempt:
-		if !w.s.Cancel || j == nil || a.Attempt >= len(j.sends) {
+	case CancelAttempt:
+		if !w.s.Cancellation || j == nil || a.Attempt >= len(j.sends) {
 			w.t.Fatalf("a stop that is not allowed or names no attempt: %+v", a)
 		}
 		j.sends[a.Attempt].cancelled = true
@@ -167,18 +167,18 @@
 		}
 		w.timers = append(w.timers, timer{w.now + a.Delay, a.Timer})
 	case Subscribe:
-		if w.watching || !w.s.AskForList {
+		if w.watching || !w.s.ListBySubscription {
 			w.t.Fatal("subscribed twice, or where the list is pushed")
 		}
 		w.watching = true
-	case Probe:
+	case CheckHealth:
 		w.t.Fatal("a probe where probing is not allowed")
 	}
 }
 
 func (j *job) refusable() bool {
 	for _, s := range j.sends {
-		if !s.neverRan && (j.class.Repeat == Fragile || j.class.Repeat == Dedup && j.class.Group != GroupAll) {
+		if !s.neverRan && (j.class.Idempotency == NonIdempotent || j.class.Idempotency == Deduplicated && j.class.DedupScope != DedupEverywhere) {
 			return false
 		}
 	}
@@ -201,16 +201,16 @@
 		w.extra = append(w.extra, w.now)
 		extra, taken := 0, 0
 		for _, at := range w.extra {
-			if w.now-at <= w.s.ExtraWindow {
+			if w.now-at <= w.s.RetryBudgetWindow {
 				extra++
 			}
 		}
 		for _, at := range w.taken {
-			if w.now-at < w.s.ExtraWindow {
+			if w.now-at < w.s.RetryBudgetWindow {
 				taken++
 			}
 		}
-		if w.s.ExtraWindow > 0 && float64(extra) > w.s.ExtraFloor+w.s.ExtraRatio*float64(taken) {
+		if w.s.RetryBudgetWindow > 0 && float64(extra) > w.s.RetryBudgetFloor+w.s.RetryBudgetRatio*float64(taken) {
 			w.t.Fatalf("%d further attempts for %d requests", extra, taken)
 		}
 	}
@@ -218,15 +218,15 @@
 		w.t.Fatalf("too many attempts: %+v", a)
 	}
 	for _, s := range j.sends {
-		if !s.done && !w.s.SecondCopies {
+		if !s.done && !w.s.Hedging {
 			w.t.Fatalf("a second copy: %+v", a)
 		}
-		if s.neverRan || j.class.Repeat == Retryable {
+		if s.neverRan || j.class.Idempotency == Idempotent {
 			continue
 		}
-		same := j.class.Group == GroupAll || j.class.Group == GroupZone && s.worker.Zone == e.Zone ||
-			j.class.Group == GroupCell && s.worker.Cell == e.Cell && s.worker.Zone == e.Zone
-		if j.class.Repeat == Fragile || !same || w.now-s.at >= j.class.Window {
+		same := j.class.DedupScope == DedupEverywhere || j.class.DedupScope == DedupWithinZone && s.worker.Zone == e.Zone ||
+			j.class.DedupScope == DedupWithinCell && s.worker.Cell == e.Cell && s.worker.Zone == e.Zone
+		if j.class.Idempotency == NonIdempotent || !same || w.now-s.at >= j.class.DedupWindow {
 			w.t.Fatalf("an effect may happen twice: %+v", j)
 		}
 	}
@@ -235,7 +235,7 @@
 
 // auditTurn checks the order by key: all earlier ones of the key are over, and it has rested.
 func (w *world) auditTurn(j *job) {
-	if j.key == "" || !j.class.InTurn {
+	if j.key == "" || !j.class.Serialized {
 		return
 	}
 	for _, id := range w.order {
@@ -243,7 +243,7 @@
 		if q == j {
 			break
 		}
-		if !q.class.InTurn || q.key != j.key {
+		if !q.class.Serialized || q.key != j.key {
 			continue
 		}
 		if !q.answered || slices.ContainsFunc(q.sends, func(s send) bool { return !s.done }) {
@@ -267,14 +267,14 @@
 			}
 			for n := range j.sends {
 				if !j.sends[n].done {
-					batch = append(batch, w.end(j, n, Overdue))
+					batch = append(batch, w.end(j, n, TimedOut))
 				}
 			}
 		}
 		rest := w.timers[:0]
 		for _, t := range w.timers {
 			if t.at <= w.now {
-				batch = append(batch, Event{Kind: TimerDue, Timer: t.token})
+				batch = append(batch, Event{Kind: TimerFired, Timer: t.token})
 			} else {
 				rest = append(rest, t)
 			}
@@ -292,20 +292,20 @@
 }
 
 // end records the outcome of a send and returns its event.
-func (w *world) end(j *job, n int, o Outcome) Event {
+func (w *world) end(j *job, n int, o AttemptOutcome) Event {
 	s := &j.sends[n]
 	s.done = true
-	s.neverRan = o == Saturated && !w.s.FullNoProof || o == RefusedConn || o == Superseded
-	if j.class.InTurn && (o == Overdue || o == Severed || o == Recalled) {
-		w.rested[j.key] = w.now + w.s.KeyRest
+	s.neverRan = o == Saturated && !w.s.SaturatedMayHaveRun || o == ConnectionRefused || o == NotSent
+	if j.class.Serialized && (o == TimedOut || o == ConnectionLost || o == Cancelled) {
+		w.rested[j.key] = w.now + w.s.KeyCooldown
 	}
 	if o == Completed {
 		j.answered = true
 	}
 	return Event{
-		Kind: Response, Request: j.id, Attempt: n, Worker: s.worker.Worker, Outcome: o,
-		Settled: j.answered,
-		Load:    Load{HasFreeSlots: true, FreeSlots: 1},
+		Kind: AttemptEnded, Request: j.id, Attempt: n, Worker: s.worker.Name, Outcome: o,
+		Answered: j.answered,
+		Load:     LoadReport{HasFreeSlots: true, FreeSlots: 1},
 	}
 }
 
@@ -341,7 +341,7 @@
 		if n := len(w.d.requests) + len(w.d.queue); n != 0 {
 			t.Fatalf("%d requests held after all have ended", n)
 		}
-		w.advance(w.s.KeyRest + 2*w.s.Tick)
+		w.advance(w.s.KeyCooldown + 2*w.s.Tick)
 		if n := len(w.d.turns) + len(w.d.resting); n != 0 {
 			t.Fatalf("%d keys kept after all have ended and rested", n)
 		}
@@ -365,45 +365,45 @@
 		for range rapid.IntRange(1, 5).Draw(t, "late events") {
 			w.arrive()
 			if j, n, ok := w.drawOut(); ok {
-				w.deliver(w.end(j, n, rapid.SampledFrom([]Outcome{Completed, Saturated, Severed}).Draw(t, "late outcome")))
+				w.deliver(w.end(j, n, rapid.SampledFrom([]AttemptOutcome{Completed, Saturated, ConnectionLost}).Draw(t, "late outcome")))
 			}
 		}
 	case 0, 1, 2, 3, 4:
 		w.arrive()
 	case 5, 6, 7, 8:
 		if j, n, ok := w.drawOut(); ok {
-			o := rapid.SampledFrom([]Outcome{Completed, Completed, Errored, Saturated, Overdue, RefusedConn, Severed, Recalled}).Draw(t, "outcome")
-			if o == Recalled && !j.sends[n].cancelled {
-				o = Severed
+			o := rapid.SampledFrom([]AttemptOutcome{Completed, Completed, Failed, Saturated, TimedOut, ConnectionRefused, ConnectionLost, Cancelled}).Draw(t, "outcome")
+			if o == Cancelled && !j.sends[n].cancelled {
+				o = ConnectionLost
 			}
 			ev := w.end(j, n, o)
 			if rapid.Bool().Draw(t, "hang up in the same batch") && !j.answered {
-				w.deliver(Event{Kind: HungUp, Request: j.id})
-				j.answered, ev.Settled = true, true
+				w.deliver(Event{Kind: ClientDisconnected, Request: j.id})
+				j.answered, ev.Answered = true, true
 			}
 			w.deliver(ev)
 			w.deliver(ev) // a late echo must change nothing
 		}
 	case 9:
 		if j, n, ok := w.drawOut(); ok {
-			kind := rapid.SampledFrom([]EventKind{Started, ProgressMade}).Draw(t, "note")
-			w.deliver(Event{Kind: kind, Request: j.id, Attempt: n, Worker: j.sends[n].worker.Worker,
+			kind := rapid.SampledFrom([]EventKind{AttemptStarted, AttemptProgressed}).Draw(t, "note")
+			w.deliver(Event{Kind: kind, Request: j.id, Attempt: n, Worker: j.sends[n].worker.Name,
 				Fraction: rapid.SampledFrom([]float64{-1, 0, 0.5, 1, 7}).Draw(t, "fraction")})
 		}
 	case 10, 11:
 		w.changeList()
 	case 12:
-		if w.s.AskForList && w.watching {
+		if w.s.ListBySubscription && w.watching {
 			w.watching = false
-			w.deliver(Event{Kind: WorkerList, List: ListError})
+			w.deliver(Event{Kind: ListUpdated, ListKind: ListFailed})
 		}
 	case 13:
 		if rapid.IntRange(0, 5).Draw(t, "crash") == 0 {
 			w.boot()
 		}
-		w.deliver(Event{Kind: HungUp, Request: 1 << 50})
-		w.deliver(Event{Kind: Response, Request: 1 << 50, Worker: "nobody"})
-		w.deliver(Event{Kind: TimerDue, Timer: 1 << 50})
+		w.deliver(Event{Kind: ClientDisconnected, Request: 1 << 50})
+		w.deliver(Event{Kind: AttemptEnded, Request: 1 << 50, Worker: "nobody"})
+		w.deliver(Event{Kind: TimerFired, Timer: 1 << 50})
 	default:
 		w.advance(time.Duration(rapid.SampledFrom([]int{1, 5, 50, 400}).Draw(t, "ticks")) * w.s.Tick)
 	}
@@ -423,7 +423,7 @@
 		w.requests[j.id] = j
 		w.order = append(w.order, j.id)
 		w.deliver(Event{
-			Kind: Arrival, Request: j.id, Class: n, Left: left,
+			Kind: RequestArrived, Request: j.id, Class: n, TimeLeft: left,
 			Tenant:      rapid.IntRange(-1, 2).Draw(t, "tenant"),
 			Slots:       rapid.SampledFrom([]float64{1, 2, 4, 0, -3, 1e18}).Draw(t, "slots"),
 			Work:        rapid.SampledFrom([]time.Duration{0, -1, time.Millisecond, time.Second, 1 << 62}).Draw(t, "work"),
@@ -433,19 +433,19 @@
 }
 
 func (w *world) changeList() {
-	if w.s.AskForList && !w.watching {
+	if w.s.ListBySubscription && !w.watching {
 		return
 	}
 	name := rapid.SampledFrom(w.names).Draw(w.t, "worker")
 	e := w.listed[name]
-	switch e.State = rapid.SampledFrom([]WorkerState{Running, Running, Stopping, Deleted}).Draw(w.t, "state"); {
+	switch e.State = rapid.SampledFrom([]WorkerState{Running, Running, Draining, Removed}).Draw(w.t, "state"); {
 	case e.State == Running && rapid.Bool().Draw(w.t, "restart"):
-		e.LastStart = w.now - time.Duration(rapid.IntRange(0, 9).Draw(w.t, "age"))*time.Second
+		e.StartedAt = w.now - time.Duration(rapid.IntRange(0, 9).Draw(w.t, "age"))*time.Second
 	}
 	w.listed[name] = e
 	if rapid.Bool().Draw(w.t, "complete") {
-		w.deliver(Event{Kind: WorkerList, List: ListComplete, Entries: w.entries()})
+		w.deliver(Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: w.entries()})
 	} else {
-		w.deliver(Event{Kind: WorkerList, List: ListChanges, Entries: []Entry{e}})
+		w.deliver(Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{e}})
 	}
 }
--- a/decision/slowstart_test.go
+++ b/decision/slowstart_test.go
@@ -18,26 +18,26 @@
 		run := time.Duration(rapid.IntRange(5, 200).Draw(t, "run in ms")) * time.Millisecond
 		jobs := rapid.IntRange(3, 40).Draw(t, "jobs")
 		d, err := New(Settings{
-			Classes: []Class{{Worth: 1, Aim: aim, Deadline: 4 * aim}}, Peers: rapid.IntRange(20, 30).Draw(t, "peers"),
-			ColdFrom: 0.3, WarmAfter: 8 * time.Second, FallMultiple: 4, FallWindow: time.Second, TellsStart: true, MaxAttempts: 1,
+			Classes: []Class{{PriorityWeight: 1, LatencyObjective: aim, Deadline: 4 * aim}}, Peers: rapid.IntRange(20, 30).Draw(t, "peers"),
+			SlowStartFloor: 0.3, SlowStartDuration: 8 * time.Second, OverloadMultiple: 4, OverloadWindow: time.Second, StartNotices: true, MaxAttempts: 1,
 		}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		now := time.Hour
-		d.Handle(now, Event{Kind: WorkerList, List: ListComplete, Entries: []Entry{{Worker: "warm"}}}, nil)
+		d.Handle(now, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: []Endpoint{{Name: "warm"}}}, nil)
 		for i := range jobs {
 			id := uint64(i + 1)
 			assigned := false
-			for _, a := range d.Handle(now, Event{Kind: Arrival, Request: id, Left: 4 * aim}, nil) {
+			for _, a := range d.Handle(now, Event{Kind: RequestArrived, Request: id, TimeLeft: 4 * aim}, nil) {
 				assigned = assigned || a.Kind == Assign
 			}
 			if !assigned {
 				t.Fatalf("job %d was not assigned", i)
 			}
-			d.Handle(now, Event{Kind: Started, Request: id, Worker: "warm"}, nil)
+			d.Handle(now, Event{Kind: AttemptStarted, Request: id, Worker: "warm"}, nil)
 			now += run
-			d.Handle(now, Event{Kind: Response, Request: id, Worker: "warm", Outcome: Completed, Settled: true}, nil)
+			d.Handle(now, Event{Kind: AttemptEnded, Request: id, Worker: "warm", Outcome: Completed, Answered: true}, nil)
 		}
 		d.sharesAt = 0 // look anew
 		if took := (time.Duration(jobs) * run).Seconds() / d.horizon.Seconds(); d.warmShare(0) > took*1.001 {
@@ -54,7 +54,7 @@
 	now     time.Duration
 	members []*coldMember
 	due     map[time.Duration][]func() // by step
-	entries []Entry
+	entries []Endpoint
 	hints   bool
 	mean    float64 // work of a request, seconds
 	sent    []fleetSend
@@ -62,7 +62,7 @@
 }
 
 // coldMember is one dispatcher: its process, and while one hands over to the next, the other one.
-type coldMember struct{ process, other *Dispatcher }
+type coldMember struct{ process, other *Machine }
 
 // fleetSend is work sent to the cold worker.
 type fleetSend struct {
@@ -78,21 +78,21 @@
 }
 
 // start gives a member a process that knows the list and nothing else.
-func (f *coldFleet) start() *Dispatcher {
+func (f *coldFleet) start() *Machine {
 	d, err := New(f.s, f.random.Uint64())
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	f.handle(nil, d, Event{Kind: WorkerList, List: ListComplete, Entries: f.entries}, 0)
+	f.handle(nil, d, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: f.entries}, 0)
 	return d
 }
 
 // handle feeds a process and carries out what it wants; work is the request's at hand.
-func (f *coldFleet) handle(m *coldMember, d *Dispatcher, ev Event, work float64) {
+func (f *coldFleet) handle(m *coldMember, d *Machine, ev Event, work float64) {
 	for _, a := range d.Handle(f.now, ev, nil) {
 		switch a.Kind {
 		case SetTimer:
-			f.after(a.Delay, func() { f.handle(m, d, Event{Kind: TimerDue, Timer: a.Timer}, 0) })
+			f.after(a.Delay, func() { f.handle(m, d, Event{Kind: TimerFired, Timer: a.Timer}, 0) })
 		case Assign:
 			f.assign(m, d, a, work)
 		}
@@ -100,7 +100,7 @@
 }
 
 // assign runs a job at its worker, in no time but its own: none of them queues.
-func (f *coldFleet) assign(m *coldMember, d *Dispatcher, a Action, work float64) {
+func (f *coldFleet) assign(m *coldMember, d *Machine, a Action, work float64) {
 	run := work
 	if a.Worker == "cold" {
 		f.sent = append(f.sent, fleetSend{f.now, work})
@@ -110,19 +110,19 @@
 			if other == d {
 				other = m.process
 			}
-			f.handle(m, other, Event{Kind: ColdCharge, Worker: a.Worker, Charge: a.Charge}, 0)
+			f.handle(m, other, Event{Kind: ReservedElsewhere, Worker: a.Worker, Reservation: a.Reservation}, 0)
 		}
 	}
-	f.handle(m, d, Event{Kind: Started, Request: a.Request, Worker: a.Worker}, 0)
+	f.handle(m, d, Event{Kind: AttemptStarted, Request: a.Request, Worker: a.Worker}, 0)
 	f.after(seconds(run), func() {
-		f.handle(m, d, Event{Kind: Response, Request: a.Request, Worker: a.Worker, Outcome: Completed, Settled: true}, 0)
+		f.handle(m, d, Event{Kind: AttemptEnded, Request: a.Request, Worker: a.Worker, Outcome: Completed, Answered: true}, 0)
 	})
 }
 
 // warmth is the cold worker's share of its capacity now.
 func (f *coldFleet) warmth() float64 {
-	age := (f.now - f.entries[0].LastStart).Seconds() / f.s.WarmAfter.Seconds()
-	return min(f.s.ColdFrom+(1-f.s.ColdFrom)*age, 1)
+	age := (f.now - f.entries[0].StartedAt).Seconds() / f.s.SlowStartDuration.Seconds()
+	return min(f.s.SlowStartFloor+(1-f.s.SlowStartFloor)*age, 1)
 }
 
 // arrive hands a request to one member.
@@ -130,7 +130,7 @@
 	m := f.members[f.random.IntN(len(f.members))]
 	work := f.mean * f.random.ExpFloat64()
 	f.next++
-	ev := Event{Kind: Arrival, Request: f.next, Left: f.s.Classes[0].Deadline}
+	ev := Event{Kind: RequestArrived, Request: f.next, TimeLeft: f.s.Classes[0].Deadline}
 	if f.hints {
 		ev.Work = seconds(work)
 	} else {
@@ -148,18 +148,18 @@
 		f.random = rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		f.hints, f.mean = rapid.Bool().Draw(t, "hints"), share("work", 0.03, 0.3)
 		f.s = Settings{
-			Classes: []Class{{Worth: 1, Aim: 2 * time.Second, Deadline: 5 * time.Second}},
+			Classes: []Class{{PriorityWeight: 1, LatencyObjective: 2 * time.Second, Deadline: 5 * time.Second}},
 			Peers:   rapid.IntRange(20, 30).Draw(t, "dispatchers"), Tick: time.Millisecond,
-			ColdFrom: share("cold from", 0.1, 0.6), WarmAfter: seconds(share("warm after", 4, 10)),
-			FallMultiple: share("multiple", 1.5, 6), FallWindow: seconds(share("window", 0.5, 2.5)),
-			MaxAttempts: 2, SecondCopies: true, Cancel: true, TellsStart: true,
+			SlowStartFloor: share("cold from", 0.1, 0.6), SlowStartDuration: seconds(share("warm after", 4, 10)),
+			OverloadMultiple: share("multiple", 1.5, 6), OverloadWindow: seconds(share("window", 0.5, 2.5)),
+			MaxAttempts: 2, Hedging: true, Cancellation: true, StartNotices: true,
 		}
 		warm := rapid.IntRange(4, 20).Draw(t, "warm workers")
 		rate, burst := share("rate", 30, 150), share("burst", 1, 3)
 		capacity := rate * burst * f.mean / float64(warm) / share("load in the burst", 0.3, 1) // of one worker
-		f.entries = []Entry{{Worker: "cold", State: Deleted}}
+		f.entries = []Endpoint{{Name: "cold", State: Removed}}
 		for i := range warm {
-			f.entries = append(f.entries, Entry{Worker: fmt.Sprint("w", i)})
+			f.entries = append(f.entries, Endpoint{Name: fmt.Sprint("w", i)})
 		}
 		for range f.s.Peers {
 			f.members = append(f.members, &coldMember{process: f.start()})
@@ -173,9 +173,9 @@
 			delete(f.due, f.now)
 			switch step {
 			case joins:
-				f.entries[0] = Entry{Worker: "cold", LastStart: f.now}
+				f.entries[0] = Endpoint{Name: "cold", StartedAt: f.now}
 				for _, m := range f.members {
-					f.handle(m, m.process, Event{Kind: WorkerList, Entries: f.entries[:1]}, 0)
+					f.handle(m, m.process, Event{Kind: ListUpdated, Endpoints: f.entries[:1]}, 0)
 				}
 			case restarts:
 				killed := rapid.IntRange(0, f.s.Peers).Draw(t, "killed")
@@ -204,11 +204,11 @@
 			}
 			sum := 0.0
 			for _, s := range f.sent {
-				if s.at > f.now-f.s.FallWindow {
+				if s.at > f.now-f.s.OverloadWindow {
 					sum += s.work / f.mean
 				}
 			}
-			n := f.s.FallMultiple * f.warmth() * capacity * f.s.FallWindow.Seconds() / f.mean
+			n := f.s.OverloadMultiple * f.warmth() * capacity * f.s.OverloadWindow.Seconds() / f.mean
 			if sum > n+2*math.Sqrt(n)+2 {
 				t.Fatalf("step %d: sent %.1f requests of mean work, N is %.1f", step, sum, n)
 			}
@@ -228,14 +228,14 @@
 		multiple := rapid.Float64Range(1, 8).Draw(t, "fall multiple")
 		share := rapid.Float64Range(0.01, 4).Draw(t, "work of a warm worker, slots")
 		d, err := New(Settings{
-			Classes: []Class{{Worth: 1, Aim: time.Second, Deadline: 4 * time.Second}}, Peers: rapid.IntRange(20, 30).Draw(t, "peers"),
-			ColdFrom: rapid.Float64Range(0.1, 0.9).Draw(t, "cold from"), WarmAfter: time.Hour, FallMultiple: multiple, FallWindow: window,
+			Classes: []Class{{PriorityWeight: 1, LatencyObjective: time.Second, Deadline: 4 * time.Second}}, Peers: rapid.IntRange(20, 30).Draw(t, "peers"),
+			SlowStartFloor: rapid.Float64Range(0.1, 0.9).Draw(t, "cold from"), SlowStartDuration: time.Hour, OverloadMultiple: multiple, OverloadWindow: window,
 		}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		start := 24 * time.Hour
-		d.Handle(start, Event{Kind: WorkerList, List: ListComplete, Entries: []Entry{{Worker: "cold", LastStart: start - time.Minute}}}, nil)
+		d.Handle(start, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: []Endpoint{{Name: "cold", StartedAt: start - time.Minute}}}, nil)
 		w := d.workers["cold"]
 		w.sent.add(d.now, d.horizon, 0) // it has had its first job
 		d.shares, d.sharesAt = map[int]float64{0: share}, start+time.Hour
--- a/decision/starttime.go
+++ b/decision/starttime.go
@@ -12,9 +12,9 @@
 // just started where the time told would make it warm, and a clock that is ahead may
 // be the reason: a fresh worker would be sent all that a warm one takes. A worker that
 // was out of reach and is as warm as told gets less for a while.
-func (d *Dispatcher) startTime(told time.Duration, news bool) time.Duration {
+func (d *Machine) startTime(told time.Duration, news bool) time.Duration {
 	age := d.now - told
-	if news && told > 0 && d.s.WarmAfter > 0 && age >= d.s.WarmAfter && age < d.s.WarmAfter+clockError {
+	if news && told > 0 && d.s.SlowStartDuration > 0 && age >= d.s.SlowStartDuration && age < d.s.SlowStartDuration+clockError {
 		return d.now
 	}
 	return told
--- a/decision/starttime_test.go
+++ b/decision/starttime_test.go
@@ -16,26 +16,26 @@
 		now   time.Duration
 		cold  bool
 	}{
-		"a new one, the clock is ahead":            {ListChanges, -1, 2*hour - time.Second, 3 * hour, true},
-		"a restarted one, the clock is ahead":      {ListChanges, hour, 2*hour - time.Second, 3 * hour, true},
-		"a new one, the clock is behind":           {ListChanges, -1, 3 * hour, 2 * hour, true},
-		"a new one, the clock is right":            {ListChanges, -1, 2*hour - time.Second, 2 * hour, true},
-		"one known for long":                       {ListChanges, hour, hour, 3 * hour, false},
-		"one of a whole list, started an hour ago": {ListComplete, -1, 2 * hour, 3 * hour, false},
-		"a new one that started long ago":          {ListChanges, -1, hour, 4 * hour, false},
-		"one that started before time was told":    {ListChanges, -1, 0, 3 * hour, false},
+		"a new one, the clock is ahead":            {ListDelta, -1, 2*hour - time.Second, 3 * hour, true},
+		"a restarted one, the clock is ahead":      {ListDelta, hour, 2*hour - time.Second, 3 * hour, true},
+		"a new one, the clock is behind":           {ListDelta, -1, 3 * hour, 2 * hour, true},
+		"a new one, the clock is right":            {ListDelta, -1, 2*hour - time.Second, 2 * hour, true},
+		"one known for long":                       {ListDelta, hour, hour, 3 * hour, false},
+		"one of a whole list, started an hour ago": {ListSnapshot, -1, 2 * hour, 3 * hour, false},
+		"a new one that started long ago":          {ListDelta, -1, hour, 4 * hour, false},
+		"one that started before time was told":    {ListDelta, -1, 0, 3 * hour, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d, err := New(Settings{Classes: []Class{{Deadline: time.Second}}, ColdFrom: 0.3, WarmAfter: warm, FallMultiple: 4, FallWindow: time.Second}, 1)
+			d, err := New(Settings{Classes: []Class{{Deadline: time.Second}}, SlowStartFloor: 0.3, SlowStartDuration: warm, OverloadMultiple: 4, OverloadWindow: time.Second}, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
-			first := []Entry{{Worker: "other"}}
+			first := []Endpoint{{Name: "other"}}
 			if c.known >= 0 {
-				first = append(first, Entry{Worker: "w", LastStart: c.known})
+				first = append(first, Endpoint{Name: "w", StartedAt: c.known})
 			}
-			d.Handle(c.now-hour/2, Event{Kind: WorkerList, List: ListComplete, Entries: first}, nil)
-			list := Event{Kind: WorkerList, List: c.list, Entries: []Entry{{Worker: "w", LastStart: c.told}, {Worker: "other"}}}
+			d.Handle(c.now-hour/2, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: first}, nil)
+			list := Event{Kind: ListUpdated, ListKind: c.list, Endpoints: []Endpoint{{Name: "w", StartedAt: c.told}, {Name: "other"}}}
 			d.Handle(c.now, list, nil)
 			if cold := d.warmth(d.workers["w"]) < 1; cold != c.cold {
 				t.Errorf("cold %v, not %v", cold, c.cold)
@@ -44,7 +44,7 @@
 			if cold := d.warmth(d.workers["w"]) < 1; cold != c.cold {
 				t.Errorf("told again: cold %v, not %v", cold, c.cold)
 			}
-			d.Handle(c.now+warm+time.Second, Event{Kind: TimerDue, Timer: beatTimer}, nil)
+			d.Handle(c.now+warm+time.Second, Event{Kind: TimerFired, Timer: beatTimer}, nil)
 			if c.now >= c.told && d.warmth(d.workers["w"]) < 1 {
 				t.Error("it does not become warm")
 			}
--- a/decision/state.go
+++ b/decision/state.go
@@ -15,7 +15,7 @@
 
 // worker is what a dispatcher knows of one worker.
 type worker struct {
-	Entry
+	Endpoint
 	hash      uint64 // of its name
 	place     [listCount]int
 	listed    uint64        // the last complete list that names it
@@ -100,8 +100,8 @@
 	rested   time.Duration // until when the key rests
 }
 
-// Dispatcher decides for one dispatcher. It is not safe for concurrent use.
-type Dispatcher struct {
+// Machine decides for one dispatcher. It is not safe for concurrent use.
+type Machine struct {
 	suspended int // workers that get nothing for now
 	s         Settings
 	rng       *rand.Rand
@@ -204,11 +204,11 @@
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // New returns a dispatcher that knows no worker yet.
-func New(s Settings, seed uint64) (*Dispatcher, error) {
+func New(s Settings, seed uint64) (*Machine, error) {
 	if err := s.normalize(); err != nil {
 		return nil, err
 	}
-	d := &Dispatcher{
+	d := &Machine{
 		s: s, rng: rand.New(rand.NewPCG(seed, 0)),
 		workers: map[string]*worker{}, zones: map[int]*zone{}, open: map[*Class]int{},
 		kindPace: map[int]float64{}, nominal: map[int]float64{},
@@ -221,14 +221,14 @@
 	return d, nil
 }
 
-func (d *Dispatcher) act(a Action) { d.actions = append(d.actions, a) }
+func (d *Machine) act(a Action) { d.actions = append(d.actions, a) }
 
-func (d *Dispatcher) log(format string, args ...any) {
+func (d *Machine) log(format string, args ...any) {
 	d.act(Action{Kind: Log, Text: fmt.Sprintf(format, args...)})
 }
 
 // attempt finds the attempt of an event, if it is still out.
-func (d *Dispatcher) attempt(ev Event) (*request, *attempt) {
+func (d *Machine) attempt(ev Event) (*request, *attempt) {
 	r := d.requests[ev.Request]
 	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) || r.attempts[ev.Attempt].done {
 		return nil, nil
@@ -237,11 +237,11 @@
 }
 
 // beatInterval is the interval of the sweep, by the shortest aim.
-func (d *Dispatcher) beatInterval() time.Duration {
+func (d *Machine) beatInterval() time.Duration {
 	shortest := time.Duration(math.MaxInt64)
 	for i := range d.s.Classes {
 		c := &d.s.Classes[i]
-		shortest = min(shortest, max(c.Aim, c.Deadline/50))
+		shortest = min(shortest, max(c.LatencyObjective, c.Deadline/50))
 	}
 	return max(shortest/2, d.s.Tick)
 }
@@ -249,7 +249,7 @@
 // reconfigure takes over the settings that may change while running. Classes keep their addresses: open requests,
 // refusals and counts refer to them. Of what is derived from settings only the interval of the sweep depends on these,
 // and follows with the next sweep; the horizon depends on deadlines alone, and what was learned stays.
-func (d *Dispatcher) reconfigure(s *Settings) {
+func (d *Machine) reconfigure(s *Settings) {
 	if s == nil || len(s.Classes) != len(d.s.Classes) || len(s.TenantQuotas) != len(d.s.TenantQuotas) {
 		d.log("settings refused: the number of classes or tenants differs")
 		return
@@ -261,14 +261,14 @@
 	}
 	for i := range d.s.Classes {
 		c, to := &d.s.Classes[i], &next.Classes[i]
-		c.Worth, c.LateWorth, c.Aim, c.Stretch = to.Worth, to.LateWorth, to.Aim, to.Stretch
+		c.PriorityWeight, c.LateWeight, c.LatencyObjective, c.ObjectiveStretch = to.PriorityWeight, to.LateWeight, to.LatencyObjective, to.ObjectiveStretch
 	}
 	d.s.TenantQuotas = slices.Clone(next.TenantQuotas)
-	d.s.OverQuotaWorth, d.s.MaxRetryAfter = next.OverQuotaWorth, next.MaxRetryAfter
+	d.s.OverQuotaWeight, d.s.MaxRetryAfter = next.OverQuotaWeight, next.MaxRetryAfter
 	d.beat = d.beatInterval()
 }
 
-func (d *Dispatcher) startBeat() {
+func (d *Machine) startBeat() {
 	if !d.beating {
 		d.beating = true
 		d.act(Action{Kind: SetTimer, Timer: beatTimer, Delay: d.beat})
@@ -277,7 +277,7 @@
 
 // observe counts a first try into the recent mix, merged with its like. The number of points is bounded,
 // since solving for prices takes its cube: beyond it a job joins the point nearest in size of its class.
-func (d *Dispatcher) observe(r *request, key pointKey) {
+func (d *Machine) observe(r *request, key pointKey) {
 	const mostPoints = 48
 	best, distance := -1, math.MaxInt
 	for i := range d.mix {
@@ -301,8 +301,8 @@
 func abs(x int) int { return max(x, -x) }
 
 // holds tells whether two workers discard each other's repeats.
-func (g Group) holds(a, b *worker) bool {
-	return g == GroupAll || a.Zone == b.Zone && (g == GroupZone || a.Cell == b.Cell)
+func (g DedupScope) holds(a, b *worker) bool {
+	return g == DedupEverywhere || a.Zone == b.Zone && (g == DedupWithinZone || a.Cell == b.Cell)
 }
 
 func (r *request) mayHaveRun() bool {
@@ -325,7 +325,7 @@
 }
 
 // sent books an attempt at w and asks for it.
-func (d *Dispatcher) sent(r *request, w *worker) {
+func (d *Machine) sent(r *request, w *worker) {
 	w.sent.add(d.now, d.horizon, r.cost)
 	charge := r.charge()
 	w.cold -= charge
@@ -349,16 +349,16 @@
 		w.waitFrom = d.now
 	}
 	w.unstarted++
-	if len(r.attempts) > 0 && d.s.ExtraWindow > 0 {
+	if len(r.attempts) > 0 && d.s.RetryBudgetWindow > 0 {
 		d.extra = append(d.extra, d.now)
 	}
 	r.attempts = append(r.attempts, a)
 	r.out++
-	d.act(Action{Kind: Assign, Request: r.id, Worker: w.Worker, Charge: charge})
+	d.act(Action{Kind: Assign, Request: r.id, Worker: w.Name, Reservation: charge})
 }
 
 // charged books what the dispatcher's other process sent a cold worker: the budget is one for both.
-func (d *Dispatcher) charged(w *worker, charge float64) {
+func (d *Machine) charged(w *worker, charge float64) {
 	if w != nil && charge > 0 {
 		w.cold -= charge
 		w.sent.add(d.now, d.horizon, 0) // it has had its first job
@@ -394,20 +394,20 @@
 }
 
 // closeIdle asks for the idle connections to a worker to be closed.
-func (d *Dispatcher) closeIdle(w *worker) {
+func (d *Machine) closeIdle(w *worker) {
 	w.idle = w.idle[:0]
-	d.act(Action{Kind: Release, Worker: w.Worker})
+	d.act(Action{Kind: CloseIdle, Worker: w.Name})
 }
 
 // inDoubt books that a job may have been lost on a connection, so that its worker gets another on a new one.
-func (d *Dispatcher) inDoubt(r *request, a *attempt) {
+func (d *Machine) inDoubt(r *request, a *attempt) {
 	d.left(a.w)
 	a.w.doubt = r
 	d.closeIdle(a.w)
 }
 
 // unblock books that an attempt's start is waited for no more, so that its worker gets others.
-func (d *Dispatcher) unblock(r *request, a *attempt) {
+func (d *Machine) unblock(r *request, a *attempt) {
 	if a.w.doubt != r { // else that is booked
 		d.left(a.w)
 	}
@@ -415,7 +415,7 @@
 }
 
 // overtaken returns the job in doubt at a worker, if a later one of another request has started before it.
-func (d *Dispatcher) overtaken(r *request, a *attempt) (*request, *attempt) {
+func (d *Machine) overtaken(r *request, a *attempt) (*request, *attempt) {
 	q := a.w.doubt
 	if q == nil || q == r {
 		return nil, nil
@@ -428,13 +428,13 @@
 }
 
 // started books an attempt's start, once, and how long it waited for it.
-func (d *Dispatcher) started(class *Class, a *attempt) {
+func (d *Machine) started(class *Class, a *attempt) {
 	if a.started > 0 {
 		return
 	}
 	a.started = d.now
 	a.taken(class)
-	if d.s.TellsStart {
+	if d.s.StartNotices {
 		d.meanWait += ((d.now - a.sent).Seconds() - d.meanWait) / (fewJobs / 2)
 		a.w.wait = fading{(d.startWait(a.w) + (d.now - a.sent).Seconds()) / 2, d.now}
 	}
@@ -444,7 +444,7 @@
 }
 
 // learnPace books how long a worker took for a hinted second, of its own and for its kind.
-func (d *Dispatcher) learnPace(w *worker, pace float64) {
+func (d *Machine) learnPace(w *worker, pace float64) {
 	pace = min(max(pace*d.warmth(w), 1.0/32), 32)
 	old := cmp.Or(w.pace, pace)
 	w.pace = old + (pace-old)/5
@@ -455,7 +455,7 @@
 // learnMean books how long a job without a hint ran: the mean of its class stands for the hints that do not
 // come. What its worker took is corrected from the guess to that: cold workers' budgets come from it, and a
 // guess far above the mean that is learned since would grant them many times the jobs that warm ones take.
-func (d *Dispatcher) learnMean(r *request, a *attempt) {
+func (d *Machine) learnMean(r *request, a *attempt) {
 	run := (d.now - max(a.sent, a.started)).Seconds() * d.warmth(a.w)
 	correction := fading{r.slots*run - r.cost, a.sent}
 	a.w.sent.add(d.now, d.horizon, correction.get(d.now, d.horizon))
@@ -469,7 +469,7 @@
 
 // meet books that a job concerns a key, and tells the key's hash, 0 for none, and whether it was met among the
 // latest jobs: so many that a key met twice has about as large a part of all work as its homes can carry.
-func (d *Dispatcher) meet(key string) (h uint64, met bool) {
+func (d *Machine) meet(key string) (h uint64, met bool) {
 	if key == "" {
 		return 0, false
 	}
@@ -483,20 +483,20 @@
 }
 
 // left books that one attempt fewer waits for its start.
-func (d *Dispatcher) left(w *worker) {
+func (d *Machine) left(w *worker) {
 	w.unstarted = max(w.unstarted-1, 0)
 	w.waitFrom = d.now
 }
 
 // returned books the end of an attempt, and gives back its lease and, after an answer, its connection.
-func (d *Dispatcher) returned(r *request, a *attempt, o Outcome) {
-	if o == Completed || o == Errored || o == Saturated || o == Unusable {
+func (d *Machine) returned(r *request, a *attempt, o AttemptOutcome) {
+	if o == Completed || o == Failed || o == Saturated || o == InvalidRequest {
 		a.w.idle = append(a.w.idle, d.now)
 	}
 	if a.started == 0 && !a.mute {
 		d.left(a.w)
 	}
-	if o == Completed && r.hold == 0 && d.s.TellsStart {
+	if o == Completed && r.hold == 0 && d.s.StartNotices {
 		d.learnMean(r, a)
 	}
 	a.done = true
@@ -511,22 +511,22 @@
 
 // roster applies a list to the workers known. A worker that has started anew keeps only what is
 // outstanding there: all that was learned is about its old process. Changes take work that goes with their number.
-func (d *Dispatcher) roster(ev Event) {
-	complete := ev.List != ListChanges
+func (d *Machine) roster(ev Event) {
+	complete := ev.ListKind != ListDelta
 	if complete {
 		d.lists++
 		d.sharesAt = 0
 	}
-	if d.s.LiveWeights {
-		for _, e := range ev.Entries {
+	if d.s.LoadAdjustedWeights {
+		for _, e := range ev.Endpoints {
 			d.nominal[e.Kind] = max(d.nominal[e.Kind], e.Weight)
 		}
 	}
-	for _, e := range ev.Entries {
+	for _, e := range ev.Endpoints {
 		d.update(e, !complete)
 	}
-	for _, e := range ev.Entries { // only now: a list may name a worker twice, and its last word counts
-		if w := d.workers[e.Worker]; w != nil && w.State == Deleted {
+	for _, e := range ev.Endpoints { // only now: a list may name a worker twice, and its last word counts
+		if w := d.workers[e.Name]; w != nil && w.State == Removed {
 			d.remove(w)
 		}
 	}
@@ -538,15 +538,15 @@
 }
 
 // update takes in what a list says of one worker.
-func (d *Dispatcher) update(e Entry, news bool) {
-	w, told := d.workers[e.Worker], e.LastStart
+func (d *Machine) update(e Endpoint, news bool) {
+	w, told := d.workers[e.Name], e.StartedAt
 	switch {
-	case w == nil && e.State == Deleted:
+	case w == nil && e.State == Removed:
 		return
 	case w == nil:
-		w = &worker{coldAt: d.now, hash: hash(e.Worker)}
-		e.LastStart = d.startTime(told, news)
-		d.workers[e.Worker] = w
+		w = &worker{coldAt: d.now, hash: hash(e.Name)}
+		e.StartedAt = d.startTime(told, news)
+		d.workers[e.Name] = w
 		d.fleet = insert(d.fleet, inFleet, w)
 		d.ringChanged(w)
 		d.reached(e.Zone)
@@ -554,25 +554,25 @@
 		d.setSuspect(w, false)
 		d.count(w, -1)
 		d.reached(e.Zone) // a zone where workers start is there
-		*w = worker{Entry: w.Entry, place: w.place, hash: w.hash, out: w.out, unstarted: w.unstarted,
+		*w = worker{Endpoint: w.Endpoint, place: w.place, hash: w.hash, out: w.out, unstarted: w.unstarted,
 			waitFrom: d.now, coldAt: d.now, suspended: w.suspended}
-		e.LastStart = d.startTime(told, news)
+		e.StartedAt = d.startTime(told, news)
 	default:
 		d.count(w, -1)
 		if told == w.toldStart {
-			e.LastStart = w.LastStart
+			e.StartedAt = w.StartedAt
 		}
 	}
-	w.Entry, w.listed, w.toldStart = e, d.lists, told
+	w.Endpoint, w.listed, w.toldStart = e, d.lists, told
 	d.count(w, 1)
 	d.enlist(w)
-	if d.s.LiveWeights && e.Weight > 0 {
+	if d.s.LoadAdjustedWeights && e.Weight > 0 {
 		w.others, w.othersAt = d.nominal[e.Kind]/e.Weight-1, d.now
 	}
 }
 
 // enlist puts a worker into the lists to draw from that it belongs to: a cold one into that of the cold ones alone.
-func (d *Dispatcher) enlist(w *worker) {
+func (d *Machine) enlist(w *worker) {
 	cold := d.warmth(w) < 1
 	d.fresh = d.member(d.fresh, inFresh, w, cold)
 	d.pool = d.member(d.pool, inPool, w, !cold)
@@ -580,7 +580,7 @@
 }
 
 // member makes a worker a member of a list, at a random place, or none.
-func (d *Dispatcher) member(list []*worker, id listID, w *worker, in bool) []*worker {
+func (d *Machine) member(list []*worker, id listID, w *worker, in bool) []*worker {
 	if !in {
 		return remove(list, id, w)
 	}
@@ -591,7 +591,7 @@
 }
 
 // nextFresh returns the cold workers that the next pick may draw: so many, in turn with all the others.
-func (d *Dispatcher) nextFresh() []*worker {
+func (d *Machine) nextFresh() []*worker {
 	if d.freshNext >= len(d.fresh) {
 		d.freshNext = 0
 	}
@@ -601,18 +601,18 @@
 }
 
 // remove forgets a worker that is gone. Attempts there go on.
-func (d *Dispatcher) remove(w *worker) {
-	d.suspend([]Entry{w.Entry}, false)
+func (d *Machine) remove(w *worker) {
+	d.suspend([]Endpoint{w.Endpoint}, false)
 	d.count(w, -1)
-	w.State = Deleted
-	delete(d.workers, w.Worker)
+	w.State = Removed
+	delete(d.workers, w.Name)
 	d.fleet, d.pool = remove(d.fleet, inFleet, w), remove(d.pool, inPool, w)
 	d.near, d.fresh = remove(d.near, inNear, w), remove(d.fresh, inFresh, w)
 	d.ringChanged(w)
 }
 
 // count books a worker that has come, or that goes, among those that run.
-func (d *Dispatcher) count(w *worker, sign int) {
+func (d *Machine) count(w *worker, sign int) {
 	if w.State != Running {
 		return
 	}
@@ -680,11 +680,11 @@
 
 // byHash orders the ring.
 func byHash(a, b *worker) int {
-	return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.Worker, b.Worker))
+	return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.Name, b.Name))
 }
 
 // ringChanged books that a worker has come or gone. Where that is so of many, the ring is built anew at its next use.
-func (d *Dispatcher) ringChanged(w *worker) {
+func (d *Machine) ringChanged(w *worker) {
 	const many = 16 // part of the ring
 	if d.unringed = append(d.unringed, w); len(d.unringed) > len(d.ring)/many {
 		d.ring, d.unringed = nil, nil
@@ -692,16 +692,16 @@
 }
 
 // updateRing puts those on the ring that have come since its last use, and takes those off that have gone.
-func (d *Dispatcher) updateRing() {
+func (d *Machine) updateRing() {
 	if len(d.ring) == 0 {
 		d.ring = slices.SortedFunc(slices.Values(d.fleet), byHash)
 	}
 	for _, w := range d.unringed {
 		at, found := slices.BinarySearchFunc(d.ring, w, byHash)
 		switch {
-		case w.State != Deleted && !found:
+		case w.State != Removed && !found:
 			d.ring = slices.Insert(d.ring, at, w)
-		case w.State != Deleted:
+		case w.State != Removed:
 			d.ring[at] = w
 		case found && d.ring[at] == w:
 			d.ring = slices.Delete(d.ring, at, at+1)
@@ -711,7 +711,7 @@
 }
 
 // homesOf returns the n workers that follow a key on the ring.
-func (d *Dispatcher) homesOf(key uint64, n int) []*worker {
+func (d *Machine) homesOf(key uint64, n int) []*worker {
 	d.updateRing()
 	at, _ := slices.BinarySearchFunc(d.ring, key, func(w *worker, k uint64) int { return cmp.Compare(w.hash, k) })
 	d.homes = d.homes[:0]
@@ -722,14 +722,14 @@
 }
 
 // shuffled adds a worker to a list in random order, at a random place.
-func (d *Dispatcher) shuffled(list []*worker, id listID, w *worker) []*worker {
+func (d *Machine) shuffled(list []*worker, id listID, w *worker) []*worker {
 	list = insert(list, id, w)
 	swap(list, id, d.rng.IntN(len(list)), len(list)-1)
 	return list
 }
 
 // setSuspect books a verdict, if it is a new one.
-func (d *Dispatcher) setSuspect(w *worker, bad bool) {
+func (d *Machine) setSuspect(w *worker, bad bool) {
 	if bad == w.suspect {
 		return
 	}
@@ -745,7 +745,7 @@
 }
 
 // zone finds what is known of a zone.
-func (d *Dispatcher) zone(n int) *zone {
+func (d *Machine) zone(n int) *zone {
 	if d.zones[n] == nil {
 		d.zones[n] = &zone{}
 	}
@@ -753,14 +753,14 @@
 }
 
 // heardOf books that a worker's zone shows liveness, and returns the time.
-func (d *Dispatcher) heardOf(w *worker) time.Duration {
+func (d *Machine) heardOf(w *worker) time.Duration {
 	d.heard = d.now
 	d.reached(w.Zone)
 	return d.now
 }
 
 // reached books that a zone is there.
-func (d *Dispatcher) reached(n int) {
+func (d *Machine) reached(n int) {
 	z := d.zone(n)
 	if z.failed >= zoneLost {
 		d.log("zone %s is there again", d.zoneName(n))
@@ -769,7 +769,7 @@
 }
 
 // zoneName is what the settings call a zone, else its number.
-func (d *Dispatcher) zoneName(n int) string {
+func (d *Machine) zoneName(n int) string {
 	if n >= 0 && n < len(d.s.ZoneNames) {
 		return d.s.ZoneNames[n]
 	}
@@ -777,7 +777,7 @@
 }
 
 // unreachable books that no connection to a worker came up.
-func (d *Dispatcher) unreachable(w *worker) {
+func (d *Machine) unreachable(w *worker) {
 	z := d.zone(w.Zone)
 	if z.failed++; z.failed == 1 {
 		z.since = d.now
@@ -788,7 +788,7 @@
 }
 
 // enqueue lets a request wait, in the order of byDensity.
-func (d *Dispatcher) enqueue(r *request) {
+func (d *Machine) enqueue(r *request) {
 	at, _ := slices.BinarySearchFunc(d.queue, r, byDensity)
 	d.queue = slices.Insert(d.queue, at, r)
 	r.queued = true
@@ -796,7 +796,7 @@
 
 // held is the number of slots leased that count. Those that suspects hold do not: the ceiling is that of the
 // other workers, whom jobs stuck elsewhere must not starve.
-func (d *Dispatcher) held() float64 {
+func (d *Machine) held() float64 {
 	if d.trustAll() {
 		return d.inflight
 	}
@@ -804,7 +804,7 @@
 }
 
 // ready is the number of ready workers, at least one: those that run, less the suspects unless all are trusted.
-func (d *Dispatcher) ready() float64 {
+func (d *Machine) ready() float64 {
 	if d.trustAll() {
 		return float64(max(d.running, 1))
 	}
@@ -812,27 +812,27 @@
 }
 
 // depth is what the bucket holds when full: the slot-seconds that its rate gives in a horizon.
-func (d *Dispatcher) depth() float64 { return d.perRate * d.ready() * d.horizon.Seconds() }
+func (d *Machine) depth() float64 { return d.perRate * d.ready() * d.horizon.Seconds() }
 
 // meanTrip is the recent mean round trip in seconds, never less than a tick.
-func (d *Dispatcher) meanTrip() float64 { return max(d.roundTrip, d.s.Tick.Seconds()) }
+func (d *Machine) meanTrip() float64 { return max(d.roundTrip, d.s.Tick.Seconds()) }
 
 // share is the part of the running workers that may run jobs of the class.
-func (d *Dispatcher) share(c *Class) float64 {
+func (d *Machine) share(c *Class) float64 {
 	return float64(d.open[c]) / float64(max(d.running, 1))
 }
 
 // warmth is the share of its capacity that a worker surely has.
-func (d *Dispatcher) warmth(w *worker) float64 {
-	age := max(d.now-w.LastStart, 0)
-	if w.LastStart <= 0 || age >= d.s.WarmAfter {
+func (d *Machine) warmth(w *worker) float64 {
+	age := max(d.now-w.StartedAt, 0)
+	if w.StartedAt <= 0 || age >= d.s.SlowStartDuration {
 		return 1
 	}
-	return d.s.ColdFrom + (1-d.s.ColdFrom)*age.Seconds()/d.s.WarmAfter.Seconds()
+	return d.s.SlowStartFloor + (1-d.s.SlowStartFloor)*age.Seconds()/d.s.SlowStartDuration.Seconds()
 }
 
 // dropWarm keeps the list of cold workers to those that still are, and lets the others be drawn with the warm ones.
-func (d *Dispatcher) dropWarm() {
+func (d *Machine) dropWarm() {
 	for i := len(d.fresh) - 1; i >= 0; i-- {
 		if w := d.fresh[i]; d.warmth(w) >= 1 {
 			d.enlist(w)
@@ -843,7 +843,7 @@
 // warmShare is the work a second that a warm worker of the kind takes from this dispatcher: the mean of
 // its kind, or the least of all where no warm one of its kind is known. It is computed once a beat, of a
 // large fleet a part: a walk over all of it at each beat would cost what the fleet does.
-func (d *Dispatcher) warmShare(kind int) float64 {
+func (d *Machine) warmShare(kind int) float64 {
 	if d.sharesAt == 0 || d.now-d.sharesAt >= d.beat {
 		whole := d.sharesAt == 0
 		d.sharesAt = d.now
@@ -868,7 +868,7 @@
 }
 
 // computeShares goes on with the walk over the fleet, to its end if whole, and takes the shares over there.
-func (d *Dispatcher) computeShares(whole bool) {
+func (d *Machine) computeShares(whole bool) {
 	pass := &d.sharePass
 	if whole || pass.count == nil || pass.next > len(d.fleet) {
 		*pass = sharePass{count: map[int]float64{}, shares: map[int]float64{}}
@@ -887,7 +887,7 @@
 }
 
 // addShare takes a worker into the shares, if it is warm.
-func (d *Dispatcher) addShare(pass *sharePass, w *worker) {
+func (d *Machine) addShare(pass *sharePass, w *worker) {
 	if w.State != Running || d.warmth(w) < 1 {
 		return
 	}
@@ -900,19 +900,19 @@
 }
 
 // probe asks workers of the own set in turn for their load; of the cold ones, where none is warm.
-func (d *Dispatcher) probe() {
+func (d *Machine) probe() {
 	from := d.pool
 	if len(from) == 0 {
 		from = d.fresh
 	}
-	for i := 0; i < min(probes, len(from)) && d.s.Probing && d.s.ReportsByProbe; i++ {
+	for i := 0; i < min(probes, len(from)) && d.s.HealthChecks && d.s.LoadByHealthCheck; i++ {
 		d.probeNext++
-		d.act(Action{Kind: Probe, Worker: from[d.probeNext%min(d.own, len(from))].Worker})
+		d.act(Action{Kind: CheckHealth, Worker: from[d.probeNext%min(d.own, len(from))].Name})
 	}
 }
 
 // report keeps what a worker told of its load, if it told anything.
-func (d *Dispatcher) report(ev Event) {
+func (d *Machine) report(ev Event) {
 	w, l := d.workers[ev.Worker], ev.Load
 	if w == nil {
 		return
@@ -934,7 +934,7 @@
 type bid struct{ value, cost, hold float64 }
 
 // recentMix returns the recent mix as bids, and how many jobs are in it. It drops what has faded away.
-func (d *Dispatcher) recentMix() (bids []bid, jobs float64) {
+func (d *Machine) recentMix() (bids []bid, jobs float64) {
 	const faded = 0.01 // of a job
 	d.mix = slices.DeleteFunc(d.mix, func(p point) bool { return p.n.get(d.now, d.horizon) < faded })
 	for i := range d.mix {
@@ -950,7 +950,7 @@
 }
 
 // tenantTraffic is the rate of all tenants' arrivals here, and of their quotas over all dispatchers.
-func (d *Dispatcher) tenantTraffic() (arrivals, quotas float64) {
+func (d *Machine) tenantTraffic() (arrivals, quotas float64) {
 	for i := range d.tenants {
 		arrivals += d.tenants[i].arrivals.get(d.now, d.horizon) / d.horizon.Seconds()
 		quotas += d.s.TenantQuotas[i]
@@ -959,7 +959,7 @@
 }
 
 // forget drops a request that has ended once none of its attempts is out.
-func (d *Dispatcher) forget(r *request) {
+func (d *Machine) forget(r *request) {
 	if !r.ended || r.out > 0 {
 		return
 	}
@@ -971,7 +971,7 @@
 }
 
 // lineUp puts a request last among those of its key.
-func (d *Dispatcher) lineUp(r *request, key string) {
+func (d *Machine) lineUp(r *request, key string) {
 	t := d.turns[key]
 	if t == nil {
 		t = &turn{key: key}
@@ -982,14 +982,14 @@
 }
 
 // rest books that a key rests from now on.
-func (d *Dispatcher) rest(t *turn, span time.Duration) {
+func (d *Machine) rest(t *turn, span time.Duration) {
 	t.rested = d.now + span
 	d.resting = append(d.resting, t)
 	d.act(Action{Kind: SetTimer, Timer: restTimer, Delay: span})
 }
 
 // wake forgets the keys that have rested and are idle.
-func (d *Dispatcher) wake() {
+func (d *Machine) wake() {
 	for len(d.resting) > 0 && d.now >= d.resting[0].rested {
 		d.dropTurn(d.resting[0])
 		d.resting = d.resting[1:]
@@ -997,16 +997,16 @@
 }
 
 // dropTurn forgets a key that is idle and rested.
-func (d *Dispatcher) dropTurn(t *turn) {
+func (d *Machine) dropTurn(t *turn) {
 	if len(t.requests) == 0 && d.now >= t.rested && d.turns[t.key] == t {
 		delete(d.turns, t.key)
 	}
 }
 
 // countTaken books a request for the budget of further attempts, whatever becomes of it.
-func (d *Dispatcher) countTaken() {
-	if d.s.ExtraWindow > 0 {
-		d.taken = append(since(d.taken, d.now-d.s.ExtraWindow), d.now)
+func (d *Machine) countTaken() {
+	if d.s.RetryBudgetWindow > 0 {
+		d.taken = append(since(d.taken, d.now-d.s.RetryBudgetWindow), d.now)
 	}
 }
 
--- a/decision/suspend.go
+++ b/decision/suspend.go
@@ -6,9 +6,9 @@
 // whether they may still be sent to.
 
 // suspend suspends workers, or resumes them. What is out at them goes on.
-func (d *Dispatcher) suspend(entries []Entry, suspended bool) {
+func (d *Machine) suspend(entries []Endpoint, suspended bool) {
 	for _, e := range entries {
-		w := d.workers[e.Worker]
+		w := d.workers[e.Name]
 		if w == nil || w.suspended == suspended {
 			continue
 		}
@@ -22,6 +22,6 @@
 }
 
 // allSuspended tells whether no worker that runs may be sent to.
-func (d *Dispatcher) allSuspended() bool {
+func (d *Machine) allSuspended() bool {
 	return d.suspended > 0 && !slices.ContainsFunc(d.fleet, func(w *worker) bool { return w.State == Running && !w.suspended })
 }
--- a/internal/admin/control.go
+++ b/internal/admin/control.go
@@ -28,21 +28,21 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-// Calls is how many connections the API holds at a time. Their descriptors are
+// MaxCalls is how many connections the API holds at a time. Their descriptors are
 // its own: no number of clients takes one of them.
-const Calls = 16
+const MaxCalls = 16
 
 const (
 	callTime  = 3 * time.Second        // for a call to arrive whole, from its accept on
 	youngTime = 300 * time.Millisecond // within which a caller is about to speak
 )
 
-// Desk is what the API speaks for.
-type Desk struct {
-	Ready   func() bool             // whether this process takes clients
-	Service func(out bool) error    // out of service or back in; an error is a no, worded for the caller
-	Entry   *listener.Entry         // who decides on connections; nil: nobody
-	Jobs    func() *durable.Service // the durable jobs; nil: there are none here
+// Operations is what the API speaks for.
+type Operations struct {
+	Ready           func() bool             // whether this process takes clients
+	SetOutOfService func(out bool) error    // out of service or back in; an error is a no, worded for the caller
+	Gate            *listener.Gate          // who decides on connections; nil: nobody
+	Jobs            func() *durable.Service // the durable jobs; nil: there are none here
 
 	// Membership tells how the dispatcher hears of workers and settings; nil: not told.
 	Membership func() platform.ControlStats
@@ -50,13 +50,13 @@
 
 // API is the admin API. It belongs to the loop's goroutine.
 type API struct {
-	core    *dispatch.Core
+	core    *dispatch.Dispatcher
 	engine  *transport.Engine
-	members dispatch.Carrier // whose backends are the membership workers
-	desk    Desk
-	calls   slotmap.Table[call]
-	admit   *connlimit.Admitter // who goes when there is no room
-	ended   []*call             // answered, on their way out
+	members dispatch.WorkerClient // whose backends are the membership workers
+	desk    Operations
+	calls   slotmap.Map[call]
+	admit   *connlimit.Limiter // who goes when there is no room
+	ended   []*call            // answered, on their way out
 }
 
 // call is one connection until its call has been answered.
@@ -71,8 +71,8 @@
 }
 
 // New returns an API; members is the carrier whose backends the figures are about.
-func New(c *dispatch.Core, e *transport.Engine, members dispatch.Carrier, desk Desk) *API {
-	a, err := connlimit.New(connlimit.Config{Room: Calls, Grace: youngTime, Nameless: true})
+func New(c *dispatch.Dispatcher, e *transport.Engine, members dispatch.WorkerClient, desk Operations) *API {
+	a, err := connlimit.New(connlimit.Config{Capacity: MaxCalls, Grace: youngTime, Anonymous: true})
 	if err != nil {
 		panic(err) // the figures are constants
 	}
@@ -81,16 +81,16 @@
 
 // Listen opens the API at an address, which it returns.
 func (d *API) Listen(addr string) (string, error) {
-	a, err := d.engine.Listen(addr, Calls, true, d.accept, d.room)
+	a, err := d.engine.Listen(addr, MaxCalls, true, d.accept, d.room)
 	if err != nil {
 		return "", err
 	}
-	return a.Fix().String(), nil
+	return a.FixLimit().String(), nil
 }
 
-func (d *API) accept(c *transport.Conn) transport.Owner {
+func (d *API) accept(c *transport.Conn) transport.Handler {
 	k := &call{api: d, conn: c}
-	k.token = d.calls.Put(k)
+	k.token = d.calls.Insert(k)
 	k.id = d.admit.Adopt(d.core.Loop.Now(), k.token)
 	k.due.Fire = k.expire
 	d.core.Loop.Set(&k.due, d.core.Loop.Now()+callTime)
@@ -104,16 +104,16 @@
 // was the only one that had not spoken, and was closed.
 func (d *API) room() {
 	d.prune()
-	if d.calls.Len()+len(d.ended) < Calls { // some have gone since it was full
+	if d.calls.Len()+len(d.ended) < MaxCalls { // some have gone since it was full
 		return
 	}
 	now := d.core.Loop.Now()
-	token, _, ok := d.admit.Victim(now, connlimit.ForUnknown, false, nil)
+	token, _, ok := d.admit.EvictionCandidate(now, connlimit.ForUnknown, false, nil)
 	if !ok {
-		token, _, ok = d.admit.Victim(now, connlimit.ForMemory, false, nil)
+		token, _, ok = d.admit.EvictionCandidate(now, connlimit.ForMemory, false, nil)
 	}
 	if !ok { // all have just come
-		token, _, ok = d.admit.Victim(now+youngTime, connlimit.ForUnknown, false, nil)
+		token, _, ok = d.admit.EvictionCandidate(now+youngTime, connlimit.ForUnknown, false, nil)
 	}
 	if !ok {
 		return
@@ -141,13 +141,13 @@
 	})
 }
 
-// Data takes in what the caller sent.
-func (k *call) Data(_ *transport.Conn, b *transport.Buffer) {
+// OnData takes in what the caller sent.
+func (k *call) OnData(_ *transport.Conn, b *transport.Buffer) {
 	if k.in == nil {
 		k.in = b
-		k.api.admit.Begin(k.api.core.Loop.Now(), k.id)
+		k.api.admit.RequestStarted(k.api.core.Loop.Now(), k.id)
 	} else {
-		fits := k.in.Add(b.Bytes())
+		fits := k.in.Append(b.Bytes())
 		k.api.engine.Pool.Put(b)
 		if !fits {
 			k.answer(413, "the call is too long\n", "")
@@ -163,8 +163,8 @@
 	}
 }
 
-// Closed is told that the caller has gone.
-func (k *call) Closed(*transport.Conn, error) { k.forget() }
+// OnClosed is told that the caller has gone.
+func (k *call) OnClosed(*transport.Conn, error) { k.forget() }
 
 // expire ends a call that has not come whole in time.
 func (k *call) expire() {
@@ -178,7 +178,7 @@
 
 func (k *call) forget() {
 	k.api.admit.Closed(k.id)
-	k.api.calls.Drop(k.token)
+	k.api.calls.Remove(k.token)
 	k.api.core.Loop.Clear(&k.due)
 	k.api.engine.Pool.Put(k.in)
 	k.in = nil
@@ -251,7 +251,7 @@
 	if text := values.Get("after"); err == nil && text != "" {
 		after, err = strconv.ParseUint(text, 10, 64)
 	}
-	chosen, bad := durable.Chosen(values.Get("state"), values.Get("class"))
+	chosen, bad := durable.Filter(values.Get("state"), values.Get("class"))
 	if err = errors.Join(err, bad); err != nil {
 		k.answer(400, err.Error()+"\n", "")
 		return
@@ -262,7 +262,7 @@
 	}{Jobs: []durable.View{}}
 	list, next := k.api.desk.Jobs().Page(after, pageJobs, pageLook, chosen)
 	for _, j := range list {
-		page.Jobs = append(page.Jobs, durable.Show(j, values.Get("full") == "true"))
+		page.Jobs = append(page.Jobs, durable.NewView(j, values.Get("full") == "true"))
 	}
 	page.Next = next
 	k.tell(page)
@@ -276,7 +276,7 @@
 		k.answer(404, "no such job\n", "")
 		return
 	}
-	k.tell(durable.Show(j, true))
+	k.tell(durable.NewView(j, true))
 }
 
 // tell answers with JSON.
@@ -303,7 +303,7 @@
 		k.answer(400, "ran: true or false is needed\n", "")
 		return
 	case act == "settle":
-		err = s.Settle(id, ran == "true", reason)
+		err = s.Resolve(id, ran == "true", reason)
 	case act == "retry":
 		err = s.Move(id, jobs.Requeue, reason, true)
 	default:
@@ -313,7 +313,7 @@
 		k.answer(409, err.Error()+"\n", "")
 		return
 	}
-	s.Synced(k.done)
+	s.AfterSync(k.done)
 }
 
 // done answers a call whose work has been done elsewhere.
@@ -347,18 +347,18 @@
 
 // connections tells who is there and who was refused.
 func (k *call) connections() {
-	e := k.api.desk.Entry
+	e := k.api.desk.Gate
 	if e == nil {
 		k.answer(409, undecided, "")
 		return
 	}
-	used, floor, total := e.Budget.Use()
+	used, floor, total := e.Budget.Usage()
 	d := struct {
 		connlimit.View
 		Descriptors map[string]map[string]int `json:"descriptors"`
 		Total       int                       `json:"descriptors_total"`
-	}{e.Admit.View(k.api.core.Loop.Now()), map[string]map[string]int{}, total}
-	for kind := range connlimit.Kinds {
+	}{e.Limiter.Snapshot(k.api.core.Loop.Now()), map[string]map[string]int{}, total}
+	for kind := range connlimit.DescriptorKinds {
 		d.Descriptors[kind.String()] = map[string]int{"used": used[kind], "floor": floor[kind]}
 	}
 	k.tell(d)
@@ -369,7 +369,7 @@
 // bar keeps a prefix out for a time, or lets it in again. Its sessions on which
 // nothing is owed end.
 func (k *call) bar(query string, out bool) {
-	e := k.api.desk.Entry
+	e := k.api.desk.Gate
 	if e == nil {
 		k.answer(409, undecided, "")
 		return
@@ -385,7 +385,7 @@
 		return
 	}
 	if !out {
-		if !e.Admit.Unbar(prefix) {
+		if !e.Limiter.Unblock(prefix) {
 			k.answer(409, prefix.Masked().String()+" is not barred\n", "")
 			return
 		}
@@ -399,17 +399,17 @@
 		return
 	}
 	now := k.api.core.Loop.Now()
-	if err := e.Admit.Bar(now, prefix, now+span); err != nil {
+	if err := e.Limiter.Block(now, prefix, now+span); err != nil {
 		k.answer(409, err.Error()+"\n", "")
 		return
 	}
-	ended := e.Expel(prefix.Masked())
+	ended := e.EvictPrefix(prefix.Masked())
 	k.api.core.Log(fmt.Sprintf("barred for %v: %s, %d sessions ended", span, prefix.Masked(), ended))
 	k.answer(200, fmt.Sprintf("barred, %d sessions ended\n", ended), "")
 }
 
 func (k *call) service(out bool) {
-	if err := k.api.desk.Service(out); err != nil {
+	if err := k.api.desk.SetOutOfService(out); err != nil {
 		k.answer(409, err.Error()+"\n", "")
 		return
 	}
@@ -443,11 +443,11 @@
 		Ejected     int               `json:"ejected"`
 	}{
 		map[string]uint64{}, map[string]uint64{}, map[string]uint64{}, c.Counts().Sent,
-		c.Owed(), c.Listed(members), c.Ejected(members),
+		c.Unanswered(), c.WorkerCount(members), c.EjectedCount(members),
 	}
 	for i, class := range c.Settings.Classes {
-		t := c.Tally(i)
-		f.Succeeded[class.Name], f.Declined[class.Name], f.Aborted[class.Name] = t.Served, t.Refused, t.Failed
+		t := c.ClassCounts(i)
+		f.Succeeded[class.Name], f.Declined[class.Name], f.Aborted[class.Name] = t.Served, t.Rejected, t.Failed
 	}
 	k.tell(f)
 }
@@ -457,10 +457,10 @@
 	d := k.api
 	k.forget()
 	k.conn.Write(platform.AppendAnswer(nil, status, []byte(text), 0, true, fields))
-	k.conn.End()
+	k.conn.CloseGracefully()
 	d.prune()
 	now := d.core.Loop.Now()
 	k.id = d.admit.Adopt(now, k.token) // as one that has what it came for
-	d.admit.Rest(now, k.id, true)
+	d.admit.BecameIdle(now, k.id, true)
 	d.ended = append(d.ended, k)
 }
