--- a/internal/admin/control_test.go
+++ b/internal/admin/control_test.go
@@ -22,34 +22,34 @@
 const patience = 20 * time.Second // no test waits that long unless something is broken
 
 // carrier does at once what a job's id says; others' is a source of its own.
-type carrier struct{ core *dispatch.Core }
+type carrier struct{ core *dispatch.Dispatcher }
 
 func (c carrier) Start(f dispatch.Attempt) {
-	c.core.Sent(f.Handle)
-	c.core.Sent(f.Handle) // said twice, it counts once
-	switch f.Job.ID[:4] {
+	c.core.AttemptSent(f.Handle)
+	c.core.AttemptSent(f.Handle) // said twice, it counts once
+	switch f.Request.ID[:4] {
 	case "done":
-		c.core.Ended(f.Handle, decision.Completed, decision.Load{}, nil)
+		c.core.AttemptEnded(f.Handle, decision.Completed, decision.LoadReport{}, nil)
 	case "fail":
-		c.core.Ended(f.Handle, decision.Errored, decision.Load{}, nil)
+		c.core.AttemptEnded(f.Handle, decision.Failed, decision.LoadReport{}, nil)
 	case "full":
-		c.core.Ended(f.Handle, decision.Saturated, decision.Load{}, nil)
+		c.core.AttemptEnded(f.Handle, decision.Saturated, decision.LoadReport{}, nil)
 	}
 }
-func (carrier) Stop(uint64) bool { return false }
-func (carrier) Release(string)   {}
-func (carrier) Probe(string)     {}
-func (carrier) Subscribe()       {}
+func (carrier) Cancel(uint64) bool { return false }
+func (carrier) CloseIdle(string)   {}
+func (carrier) CheckHealth(string) {}
+func (carrier) Subscribe()         {}
 
 type others struct{ carrier }
 
 type deaf struct{}
 
-func (deaf) Answer(uint64, dispatch.Answer) {}
+func (deaf) Respond(uint64, dispatch.Response) {}
 
 // rig is an API on a loop of its own.
 type rig struct {
-	core  *dispatch.Core
+	core  *dispatch.Dispatcher
 	addr  string
 	ready bool
 	out   []bool
@@ -58,10 +58,10 @@
 
 func newRig(t testing.TB) *rig {
 	t.Helper()
-	c, err := dispatch.New(eventloop.NewLoop(), decision.Settings{
+	c, err := dispatch.New(eventloop.New(), decision.Settings{
 		Classes: []decision.Class{
-			{Name: "status-check", Worth: 3, Aim: time.Second, Deadline: 5 * time.Second},
-			{Name: "renewal", Worth: 5, Aim: time.Second, Deadline: 8 * time.Second, Repeat: decision.Fragile},
+			{Name: "status-check", PriorityWeight: 3, LatencyObjective: time.Second, Deadline: 5 * time.Second},
+			{Name: "renewal", PriorityWeight: 5, LatencyObjective: time.Second, Deadline: 8 * time.Second, Idempotency: decision.NonIdempotent},
 		},
 		Tick: time.Millisecond, MaxAttempts: 1,
 	}, 1)
@@ -73,10 +73,10 @@
 		t.Fatal(err)
 	}
 	r := &rig{core: c, ready: true}
-	c.Listen(carrier{c})
-	api := New(c, e, carrier{c}, Desk{
-		Ready:   func() bool { return r.ready },
-		Service: func(out bool) error { r.out = append(r.out, out); return r.no },
+	c.AddSource(carrier{c})
+	api := New(c, e, carrier{c}, Operations{
+		Ready:           func() bool { return r.ready },
+		SetOutOfService: func(out bool) error { r.out = append(r.out, out); return r.no },
 	})
 	if r.addr, err = api.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
@@ -222,17 +222,17 @@
 	r := newRig(t)
 	r.do(func() {
 		c := r.core
-		c.List(carrier{c}, decision.ListComplete, []decision.Entry{
-			{Worker: "a"}, {Worker: "b"}, {Worker: "d", State: decision.Stopping},
+		c.UpdateWorkers(carrier{c}, decision.ListSnapshot, []decision.Endpoint{
+			{Name: "a"}, {Name: "b"}, {Name: "d", State: decision.Draining},
 		})
 		other := others{carrier{c}}
-		c.List(other, decision.ListComplete, []decision.Entry{{Worker: "other", Kind: 5}})
+		c.UpdateWorkers(other, decision.ListSnapshot, []decision.Endpoint{{Name: "other", Kind: 5}})
 		for i, id := range []string{"done-1", "done-2", "full-1", "hold-1", "hold-2"} {
-			c.Take(deaf{}, uint64(i), dispatch.Job{ID: id, Class: i % 2})
+			c.Accept(deaf{}, uint64(i), dispatch.Request{ID: id, Class: i % 2})
 		}
-		c.Take(deaf{}, 9, dispatch.Job{ID: "fail-1", Class: 1})
-		c.HangUp(c.Take(deaf{}, 10, dispatch.Job{ID: "hold-3", Class: 1}))
-		c.Book(0, dispatch.Refused)
+		c.Accept(deaf{}, 9, dispatch.Request{ID: "fail-1", Class: 1})
+		c.Cancel(c.Accept(deaf{}, 10, dispatch.Request{ID: "hold-3", Class: 1}))
+		c.CountResponse(0, dispatch.Rejected)
 	})
 	_, body := r.call(t, calls[1].text)
 	var got map[string]any
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -100,11 +100,11 @@
 	r := newRig(t)
 	r.do(func() {
 		c := r.core
-		c.List(carrier{c}, decision.ListComplete, []decision.Entry{{Worker: "a"}, {Worker: "b"}, {Worker: "d", State: decision.Stopping}})
+		c.UpdateWorkers(carrier{c}, decision.ListSnapshot, []decision.Endpoint{{Name: "a"}, {Name: "b"}, {Name: "d", State: decision.Draining}})
 		for i, id := range []string{"done-1", "done-2", "full-1", "hold-1", "hold-2"} {
-			c.Take(deaf{}, uint64(i), dispatch.Job{ID: id, Class: i % 2})
+			c.Accept(deaf{}, uint64(i), dispatch.Request{ID: id, Class: i % 2})
 		}
-		c.Take(deaf{}, 9, dispatch.Job{ID: "fail-1", Class: 1})
+		c.Accept(deaf{}, 9, dispatch.Request{ID: "fail-1", Class: 1})
 		breakRules(&c.Guard)
 	})
 	golden(t, "figures.golden", transcript(t, r.addr, "GET /control/counters", "GET /control/invariants"))
@@ -118,11 +118,11 @@
 			f()
 		}
 	}
-	left := invariant.Send{Left: true, Now: 2, Deadline: 9}
-	duplicate := invariant.Start{Deadline: 9, Fragile: true, MayHaveRun: true}
+	left := invariant.Send{Leaving: true, Now: 2, Deadline: 9}
+	duplicate := invariant.Start{Deadline: 9, NonIdempotent: true, MayHaveRun: true}
 	answered := invariant.Start{Deadline: 9, Answered: true}
 	times(1, func() { g.MaySend(left) })
-	times(2, func() { g.MaySend(invariant.Send{Deadline: 9, OldList: true}) })
+	times(2, func() { g.MaySend(invariant.Send{Deadline: 9, ListStale: true}) })
 	times(3, func() { g.MaySend(invariant.Send{Now: 2, Deadline: 1}) })
 	times(4, func() { g.MaySend(invariant.Send{Now: 2, Deadline: 9, RepeatBy: 1}) })
 	times(5, func() { g.MayStart(duplicate) })
@@ -148,7 +148,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { r.do(func() { service.Close() }) })
-	service.Runnable = func(jobs.Job) {}
+	service.OnRunnable = func(jobs.Job) {}
 	var engine *transport.Engine
 	r.do(func() { engine, err = transport.NewEngine(r.core.Loop, 200) })
 	if err != nil {
@@ -157,10 +157,10 @@
 	t.Cleanup(engine.StopListening)
 	r.do(func() {
 		service.Start()
-		guard, bad := listener.Guard(r.core.Loop, engine, listener.Config{
-			Admit: connlimit.Config{Room: 50, Reserve: 10, Known: []netip.Prefix{netip.MustParsePrefix("10.9.0.0/16")},
-				Address: connlimit.Caps{Open: 2}},
-			Marks: connlimit.Marks{Low: 0.5, High: 0.7, Critical: 0.9, Back: 0.1}, Floors: [connlimit.Kinds]int{1, 2, 3, 4, 5},
+		guard, bad := listener.New(r.core.Loop, engine, listener.Config{
+			Limits: connlimit.Config{Capacity: 50, Reserve: 10, Known: []netip.Prefix{netip.MustParsePrefix("10.9.0.0/16")},
+				Address: connlimit.Limits{Open: 2}},
+			Watermarks: connlimit.Watermarks{Low: 0.5, High: 0.7, Critical: 0.9, Back: 0.1}, DescriptorFloors: [connlimit.DescriptorKinds]int{1, 2, 3, 4, 5},
 		}, 100, log)
 		if bad != nil {
 			t.Error(bad)
@@ -168,11 +168,11 @@
 		}
 		now := r.core.Loop.Now()
 		for i, addr := range []string{"10.9.0.1", "10.8.0.1", "10.8.0.1", "10.8.0.1"} {
-			guard.Admit.Arrive(now, netip.MustParseAddr(addr), uint64(i))
+			guard.Limiter.Admit(now, netip.MustParseAddr(addr), uint64(i))
 		}
-		api = New(r.core, engine, carrier{r.core}, Desk{
-			Ready: func() bool { return true }, Service: func(bool) error { return nil },
-			Entry: guard, Jobs: func() *durable.Service { return service },
+		api = New(r.core, engine, carrier{r.core}, Operations{
+			Ready: func() bool { return true }, SetOutOfService: func(bool) error { return nil },
+			Gate: guard, Jobs: func() *durable.Service { return service },
 			Membership: func() platform.ControlStats {
 				return platform.ControlStats{
 					BytesRead: 1, BytesWritten: 2, Applied: 3, Refused: 4, Snapshots: 5, Deltas: 6, Acknowledged: 7, Failovers: 8,
@@ -219,7 +219,7 @@
 	lease := func(id string) (leased jobs.Job) {
 		t.Helper()
 		stored("lease "+id, func(told func(string)) {
-			service.Assign(id, "w 1", jobs.Nothing, func(j jobs.Job, why string) { leased = j; told(why) })
+			service.Assign(id, "w 1", jobs.NoGuarantee, func(j jobs.Job, why string) { leased = j; told(why) })
 		})
 		return leased
 	}
--- a/internal/connlimit/admit.go
+++ b/internal/connlimit/admit.go
@@ -18,8 +18,8 @@
 // This file owns the decisions about connections. The tables are in table.go,
 // the budget of descriptors in budget.go, turns in turns.go.
 
-// Caps bound what one address, or all of one prefix, may have. 0: no bound.
-type Caps struct {
+// Limits bound what one address, or all of one prefix, may have. 0: no bound.
+type Limits struct {
 	Open      int     // connections
 	Opening   int     // of them, those on which not a byte has come yet
 	PerSecond float64 // new connections
@@ -40,19 +40,19 @@
 // Config is what an Admitter is told. The zero value caps nothing: then only
 // room counts, and who has shown least goes first.
 type Config struct {
-	Room    int     // connections at a time
-	Reserve int     // of them, that unknown ones cannot use
-	Rate    float64 // new connections a second of unknown ones altogether; 0: no bound. Known ones are never counted.
+	Capacity int     // connections at a time
+	Reserve  int     // of them, that unknown ones cannot use
+	Rate     float64 // new connections a second of unknown ones altogether; 0: no bound. Known ones are never counted.
 
-	Address, Prefix Caps
+	Address, Prefix Limits
 	V4Bits, V6Bits  int // of a prefix; defaults 24 and 64
 	Known           []netip.Prefix
-	Fronts          []netip.Prefix // whose PROXY header is believed
+	TrustedProxies  []netip.Prefix // whose PROXY header is believed
 	Learn           Learn
 
 	Addresses, Prefixes int    // that are remembered; defaults 16384 and 4096, never fewer than Room
 	Seed                uint64 // of the places in the tables, which nobody outside should know
-	Nameless            bool   // connections are taken in by Adopt alone: nothing is remembered
+	Anonymous           bool   // connections are taken in by Adopt alone: nothing is remembered
 
 	// Waits, by what a session has shown.
 	Grace      time.Duration // one that has just come is not shed; default 1 s
@@ -99,26 +99,26 @@
 		}
 	}
 	switch {
-	case c.Room < 1:
+	case c.Capacity < 1:
 		return errors.New("room: must be positive")
-	case c.Reserve < 0 || c.Reserve >= c.Room:
-		return fmt.Errorf("reserve: %d is not between 0 and the room of %d", c.Reserve, c.Room)
+	case c.Reserve < 0 || c.Reserve >= c.Capacity:
+		return fmt.Errorf("reserve: %d is not between 0 and the room of %d", c.Reserve, c.Capacity)
 	case c.V4Bits < 1 || c.V4Bits > 32 || c.V6Bits < 1 || c.V6Bits > 128:
 		return errors.New("prefix bits: not between 1 and 32, or 128")
 	case c.Rate < 0 || c.MinRate < 0:
 		return errors.New("rate: must not be negative")
 	case c.Learn.Share < 0 || c.Learn.Share > 1 || c.Learn.Newcomer < 0 || c.Learn.Newcomer > 1:
 		return errors.New("learned or newcomers' share: not between 0 and 1")
-	case len(c.Known) > mostKnown || len(c.Fronts) > mostKnown:
+	case len(c.Known) > mostKnown || len(c.TrustedProxies) > mostKnown:
 		return fmt.Errorf("known or trusted prefixes: more than %d", mostKnown)
 	}
-	for _, caps := range []Caps{c.Address, c.Prefix} {
+	for _, caps := range []Limits{c.Address, c.Prefix} {
 		if caps.Open < 0 || caps.Opening < 0 || caps.PerSecond < 0 || caps.Burst < 0 || caps.Half < 0 || caps.Bytes < 0 {
 			return errors.New("caps: must not be negative")
 		}
 	}
-	c.Addresses, c.Prefixes = max(c.Addresses, c.Room+1), max(c.Prefixes, c.Room+1)
-	if c.Nameless {
+	c.Addresses, c.Prefixes = max(c.Addresses, c.Capacity+1), max(c.Prefixes, c.Capacity+1)
+	if c.Anonymous {
 		c.Addresses, c.Prefixes = 1, 1
 	}
 	return nil
@@ -127,10 +127,10 @@
 // Reason is why something is refused.
 type Reason uint8
 
-// The reasons. Fine: it is not.
+// The reasons. Allowed: it is not.
 const (
-	Fine Reason = iota
-	Barred
+	Allowed Reason = iota
+	Blocked
 	AddressOpen
 	AddressOpening
 	AddressRate
@@ -145,7 +145,7 @@
 	Full
 	FullKnown // for one that the reserve is for: it may come again once room has been made
 	TotalRate
-	Short // descriptors
+	NoDescriptors // descriptors
 	BadHeader
 	Slow
 	Stalled
@@ -159,18 +159,18 @@
 
 func (r Reason) String() string { return reasonNames[r] }
 
-// Standing is what an address is to us.
-type Standing uint8
+// Trust is what an address is to us.
+type Trust uint8
 
-// The standings. Front: a trusted front, whose clients are not told yet.
+// The standings. TrustedProxy: a trusted front, whose clients are not told yet.
 const (
-	Unknown Standing = iota
+	Unknown Trust = iota
 	Learned
 	Known
-	Front
+	TrustedProxy
 )
 
-func (s Standing) String() string { return [...]string{"unknown", "learned", "known", "front"}[s] }
+func (s Trust) String() string { return [...]string{"unknown", "learned", "known", "front"}[s] }
 
 // Stage is what a session has shown and does.
 type Stage uint8
@@ -178,10 +178,10 @@
 // The stages, in the order in which they go where room is needed; Busy, on which
 // an answer is owed, never does.
 const (
-	Asking Stage = iota // it has talked, and no job of it was served; it rests
-	Silent              // not a byte has come
-	Proven              // a job of it was served; it rests
-	Half                // it has sent part of a request
+	Unserved Stage = iota // it has talked, and no job of it was served; it rests
+	Silent                // not a byte has come
+	Proven                // a job of it was served; it rests
+	HalfRead              // it has sent part of a request
 	Busy
 	stages
 )
@@ -193,9 +193,9 @@
 // ID names a connection. 0 is none.
 type ID uint64
 
-// Admitter decides. Its methods may be called from several goroutines, each
+// Limiter decides. Its methods may be called from several goroutines, each
 // call under one lock; given the same calls and times it decides the same.
-type Admitter struct {
+type Limiter struct {
 	mu       sync.Mutex
 	c        Config
 	epoch    time.Duration // of ticks
@@ -230,7 +230,7 @@
 	addr       int32 // places in the tables; -1: none
 	prefix     int32
 	prev, next int32
-	standing   Standing
+	standing   Trust
 	stage      Stage
 	listed     bool
 	open       bool
@@ -246,11 +246,11 @@
 type list struct{ first, last int32 }
 
 // New returns an Admitter; an error names the field of the configuration.
-func New(c Config) (*Admitter, error) {
+func New(c Config) (*Limiter, error) {
 	if err := c.Check(); err != nil {
 		return nil, err
 	}
-	a := &Admitter{free: -1}
+	a := &Limiter{free: -1}
 	for i := range a.lists {
 		for j := range a.lists[i] {
 			a.lists[i][j] = list{-1, -1}
@@ -262,9 +262,9 @@
 	return a, nil
 }
 
-// Set changes the configuration. What is open stays, also above lowered bounds;
+// Reconfigure changes the configuration. What is open stays, also above lowered bounds;
 // the number of addresses that are remembered is that of the start.
-func (a *Admitter) Set(c Config) error {
+func (a *Limiter) Reconfigure(c Config) error {
 	if err := c.Check(); err != nil {
 		return err
 	}
@@ -274,44 +274,44 @@
 	return nil
 }
 
-func (a *Admitter) set(c Config) {
+func (a *Limiter) set(c Config) {
 	a.c = c
-	a.known, a.fronts = newLookup(c.Known), newLookup(c.Fronts)
+	a.known, a.fronts = newLookup(c.Known), newLookup(c.TrustedProxies)
 }
 
-// Resize changes the room and the reserve alone, in step with what the process has.
-func (a *Admitter) Resize(room int) {
+// SetCapacity changes the room and the reserve alone, in step with what the process has.
+func (a *Limiter) SetCapacity(room int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if room = max(room, 1); a.c.Reserve >= room {
 		a.c.Reserve = room - 1
 	}
-	a.c.Room = room
+	a.c.Capacity = room
 }
 
 // fits tells whether there is room for one more of a standing. Unknown ones
 // leave what is unused of the reserve, and but for those that come again after
 // they were turned away a twentieth of the rest. Learned ones may use their part of it,
 // and leave the rest to known ones, and newcomers their share of the other room.
-func (a *Admitter) fits(s Standing, again bool) bool {
-	total := a.count[Unknown] + a.count[Learned] + a.count[Known] + a.count[Front]
-	known := a.count[Known] + a.count[Front]
+func (a *Limiter) fits(s Trust, again bool) bool {
+	total := a.count[Unknown] + a.count[Learned] + a.count[Known] + a.count[TrustedProxy]
+	known := a.count[Known] + a.count[TrustedProxy]
 	part := int(a.c.Learn.Share * float64(a.c.Reserve))
 	if (s == Unknown || s == Learned) && !again {
-		total += max((a.c.Room-a.c.Reserve)/againPart-a.again, 0)
+		total += max((a.c.Capacity-a.c.Reserve)/againPart-a.again, 0)
 	}
 	switch s {
 	case Unknown:
 		total += max(a.c.Reserve-known-min(a.count[Learned], part), 0)
 	case Learned:
-		keep := int(a.c.Learn.Newcomer * float64(a.c.Room-a.c.Reserve))
+		keep := int(a.c.Learn.Newcomer * float64(a.c.Capacity-a.c.Reserve))
 		total += max(a.c.Reserve-part-known, 0) + max(keep-a.count[Unknown], 0)
 	}
-	return total < a.c.Room
+	return total < a.c.Capacity
 }
 
 // tick is a time in the tables' units.
-func (a *Admitter) tick(now time.Duration) tick {
+func (a *Limiter) tick(now time.Duration) tick {
 	if a.epoch == 0 {
 		a.epoch = max(now, 1)
 	}
@@ -319,7 +319,7 @@
 }
 
 // standing is what an address is now.
-func (a *Admitter) standing(now time.Duration, addr netip.Addr, e *entry) Standing {
+func (a *Limiter) standing(now time.Duration, addr netip.Addr, e *entry) Trust {
 	if a.known.has(addr) {
 		return Known
 	}
@@ -329,39 +329,39 @@
 	return Unknown
 }
 
-// Arrive decides on a connection that has just been accepted. token is the
+// Admit decides on a connection that has just been accepted. token is the
 // caller's own name for it, which Victim gives back. Where the reason is not
 // Fine, the caller closes it and says no more of it.
-func (a *Admitter) Arrive(now time.Duration, addr netip.Addr, token uint64) (ID, Reason) {
+func (a *Limiter) Admit(now time.Duration, addr netip.Addr, token uint64) (ID, Reason) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	addr = addr.Unmap()
 	if a.fronts.has(addr) { // its caps are its clients'
-		if !a.fits(Front, false) {
+		if !a.fits(TrustedProxy, false) {
 			return 0, a.refuse(FullKnown)
 		}
-		return a.add(now, token, -1, -1, Front), Fine
+		return a.add(now, token, -1, -1, TrustedProxy), Allowed
 	}
 	at, pre, s, why := a.judge(now, addr)
-	if why != Fine {
+	if why != Allowed {
 		return 0, a.refuse(why)
 	}
-	return a.add(now, token, at, pre, s), Fine
+	return a.add(now, token, at, pre, s), Allowed
 }
 
 // Identify tells whose connection a trusted front's is. Where the reason is not
 // Fine, the caller closes it and calls Closed.
-func (a *Admitter) Identify(now time.Duration, id ID, addr netip.Addr) Reason {
+func (a *Limiter) Identify(now time.Duration, id ID, addr netip.Addr) Reason {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	k, c := a.get(id)
-	if c == nil || c.standing != Front {
-		return Fine
+	if c == nil || c.standing != TrustedProxy {
+		return Allowed
 	}
-	a.count[Front]-- // it does not stand in its own way
+	a.count[TrustedProxy]-- // it does not stand in its own way
 	at, pre, s, why := a.judge(now, addr.Unmap())
-	a.count[Front]++
-	if why != Fine {
+	a.count[TrustedProxy]++
+	if why != Allowed {
 		return a.refuse(why)
 	}
 	if c.again = a.came; c.again {
@@ -370,7 +370,7 @@
 	a.came = false
 	stage := c.stage
 	a.unlist(k)
-	a.count[Front]--
+	a.count[TrustedProxy]--
 	c.standing, c.addr, c.prefix = s, at, pre
 	a.hold(c, 1)
 	a.count[s]++
@@ -379,19 +379,19 @@
 		a.prefixes.entries[pre].opening++
 	}
 	a.enlist(k, stage, now)
-	return Fine
+	return Allowed
 }
 
 // Adopt takes a connection in without a decision, for fronts that bound them by
 // other means; nothing is remembered of its address.
-func (a *Admitter) Adopt(now time.Duration, token uint64) ID {
+func (a *Limiter) Adopt(now time.Duration, token uint64) ID {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.add(now, token, -1, -1, Unknown)
 }
 
-// Own tells the caller's name for a connection that it had none for when it arrived.
-func (a *Admitter) Own(id ID, token uint64) {
+// SetToken tells the caller's name for a connection that it had none for when it arrived.
+func (a *Limiter) SetToken(id ID, token uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if _, c := a.get(id); c != nil {
@@ -400,14 +400,14 @@
 }
 
 // judge decides on an address, and counts it as come if it may.
-func (a *Admitter) judge(now time.Duration, addr netip.Addr) (at, pre int32, s Standing, why Reason) {
+func (a *Limiter) judge(now time.Duration, addr netip.Addr) (at, pre int32, s Trust, why Reason) {
 	for i := 0; i < len(a.bars); i++ {
 		if a.bars[i].until <= now {
 			a.bars[i] = a.bars[len(a.bars)-1]
 			a.bars = a.bars[:len(a.bars)-1]
 			i--
 		} else if a.bars[i].prefix.Contains(addr) {
-			return -1, -1, Unknown, Barred
+			return -1, -1, Unknown, Blocked
 		}
 	}
 	bits := a.c.V6Bits
@@ -428,10 +428,10 @@
 	}
 	// Known ones have no caps but the room: what they are is told by the operator.
 	if s != Known {
-		if why := over(&a.c.Address, e, now, AddressOpen); why != Fine {
+		if why := over(&a.c.Address, e, now, AddressOpen); why != Allowed {
 			return -1, -1, s, why
 		}
-		if why := over(&a.c.Prefix, p, now, PrefixOpen); why != Fine {
+		if why := over(&a.c.Prefix, p, now, PrefixOpen); why != Allowed {
 			return -1, -1, s, why
 		}
 	}
@@ -459,7 +459,7 @@
 	}
 	if s == Unknown {
 		if a.level > 1 {
-			return -1, -1, s, Short
+			return -1, -1, s, NoDescriptors
 		}
 		if a.level > 0 && e != nil && int(e.open) >= a.share() {
 			return -1, -1, s, FairShare
@@ -482,14 +482,14 @@
 	a.addrs.entries[at].away = 0
 	a.addrs.entries[at].come(&a.c.Address, now)
 	a.prefixes.entries[preAt].come(&a.c.Prefix, now)
-	return at, preAt, s, Fine
+	return at, preAt, s, Allowed
 }
 
 // share is how many connections an unknown address may have where room is short.
-func (a *Admitter) share() int { return max((a.c.Room-a.c.Reserve)/(a.active+1), 1) }
+func (a *Limiter) share() int { return max((a.c.Capacity-a.c.Reserve)/(a.active+1), 1) }
 
 // over tells which cap an arrival would break; first is the reason of the open ones.
-func over(c *Caps, e *entry, now time.Duration, first Reason) Reason {
+func over(c *Limits, e *entry, now time.Duration, first Reason) Reason {
 	open, opening, tat := 0, 0, time.Duration(0)
 	if e != nil {
 		open, opening, tat = int(e.open), int(e.opening), e.rate.tat
@@ -502,15 +502,15 @@
 	case c.PerSecond > 0 && !(&gcra{tat}).may(now, c.PerSecond, c.Burst):
 		return first + 2
 	}
-	return Fine
+	return Allowed
 }
 
-func (a *Admitter) refuse(r Reason) Reason {
+func (a *Limiter) refuse(r Reason) Reason {
 	a.hits[r]++
 	return r
 }
 
-func (a *Admitter) add(now time.Duration, token uint64, at, pre int32, s Standing) ID {
+func (a *Limiter) add(now time.Duration, token uint64, at, pre int32, s Trust) ID {
 	k := a.free
 	if k < 0 {
 		a.conns = append(a.conns, conn{generation: 1})
@@ -533,7 +533,7 @@
 }
 
 // hold counts a connection at its address and prefix.
-func (a *Admitter) hold(c *conn, n int32) {
+func (a *Limiter) hold(c *conn, n int32) {
 	if c.addr < 0 {
 		return
 	}
@@ -550,7 +550,7 @@
 	a.prefixes.hold(c.prefix, n)
 }
 
-func (a *Admitter) opening(c *conn, n int32) {
+func (a *Limiter) opening(c *conn, n int32) {
 	a.silent += int(n)
 	if c.addr >= 0 {
 		a.addrs.entries[c.addr].opening += n
@@ -558,7 +558,7 @@
 	}
 }
 
-func (a *Admitter) get(id ID) (int32, *conn) {
+func (a *Limiter) get(id ID) (int32, *conn) {
 	k := int32(uint32(id)) - 1
 	if k < 0 || int(k) >= len(a.conns) {
 		return -1, nil
@@ -572,14 +572,14 @@
 
 // ---- Lists by what connections have shown.
 
-func side(s Standing) int {
+func side(s Trust) int {
 	if s == Unknown {
 		return 0
 	}
 	return 1
 }
 
-func (a *Admitter) enlist(k int32, stage Stage, now time.Duration) {
+func (a *Limiter) enlist(k int32, stage Stage, now time.Duration) {
 	c := &a.conns[k]
 	c.stage, c.since, c.listed = stage, now, true
 	l := &a.lists[side(c.standing)][stage]
@@ -592,7 +592,7 @@
 	l.last = k
 }
 
-func (a *Admitter) unlist(k int32) {
+func (a *Limiter) unlist(k int32) {
 	c := &a.conns[k]
 	if !c.listed {
 		return
@@ -611,7 +611,7 @@
 	c.listed = false
 }
 
-func (a *Admitter) move(k int32, stage Stage, now time.Duration) {
+func (a *Limiter) move(k int32, stage Stage, now time.Duration) {
 	a.unlist(k)
 	if a.conns[k].stage == Silent && stage != Silent {
 		a.opening(&a.conns[k], -1)
@@ -619,24 +619,24 @@
 	a.enlist(k, stage, now)
 }
 
-// Begin tells that the first byte of a request has come.
-func (a *Admitter) Begin(now time.Duration, id ID) Reason {
+// RequestStarted tells that the first byte of a request has come.
+func (a *Limiter) RequestStarted(now time.Duration, id ID) Reason {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	k, c := a.get(id)
 	if c == nil || c.half {
-		return Fine
+		return Allowed
 	}
-	a.move(k, Half, now)
+	a.move(k, HalfRead, now)
 	c.half = true
 	if c.addr < 0 {
-		return Fine
+		return Allowed
 	}
 	e, p := &a.addrs.entries[c.addr], &a.prefixes.entries[c.prefix]
 	e.half++
 	p.half++
 	if c.standing == Known {
-		return Fine
+		return Allowed
 	}
 	switch {
 	case a.c.Address.Half > 0 && int(e.half) > a.c.Address.Half:
@@ -644,16 +644,16 @@
 	case a.c.Prefix.Half > 0 && int(p.half) > a.c.Prefix.Half:
 		return a.refuse(PrefixHalf)
 	}
-	return Fine
+	return Allowed
 }
 
-// Holds tells how many bytes of a half-read request are held.
-func (a *Admitter) Holds(id ID, n int) Reason {
+// SetBuffered tells how many bytes of a half-read request are held.
+func (a *Limiter) SetBuffered(id ID, n int) Reason {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	_, c := a.get(id)
 	if c == nil || c.addr < 0 {
-		return Fine
+		return Allowed
 	}
 	e, p := &a.addrs.entries[c.addr], &a.prefixes.entries[c.prefix]
 	more := int32(n) - c.bytes
@@ -661,7 +661,7 @@
 	e.bytes += more
 	p.bytes += more
 	if c.standing == Known || more <= 0 {
-		return Fine
+		return Allowed
 	}
 	switch {
 	case a.c.Address.Bytes > 0 && int(e.bytes) > a.c.Address.Bytes:
@@ -669,11 +669,11 @@
 	case a.c.Prefix.Bytes > 0 && int(p.bytes) > a.c.Prefix.Bytes:
 		return a.refuse(PrefixBytes)
 	}
-	return Fine
+	return Allowed
 }
 
 // whole gives back what a half-read request counted.
-func (a *Admitter) whole(c *conn) {
+func (a *Limiter) whole(c *conn) {
 	if c.addr >= 0 {
 		e, p := &a.addrs.entries[c.addr], &a.prefixes.entries[c.prefix]
 		if c.half {
@@ -686,8 +686,8 @@
 	c.half, c.bytes = false, 0
 }
 
-// Take tells that a request is whole and an answer is owed.
-func (a *Admitter) Take(now time.Duration, id ID) {
+// RequestComplete tells that a request is whole and an answer is owed.
+func (a *Limiter) RequestComplete(now time.Duration, id ID) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if k, c := a.get(id); c != nil {
@@ -696,9 +696,9 @@
 	}
 }
 
-// Rest tells that nothing is owed on a connection, and none of its request is
+// BecameIdle tells that nothing is owed on a connection, and none of its request is
 // there. served: a job of it has just been served.
-func (a *Admitter) Rest(now time.Duration, id ID, served bool) {
+func (a *Limiter) BecameIdle(now time.Duration, id ID, served bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	k, c := a.get(id)
@@ -710,14 +710,14 @@
 		c.proven = true
 		a.learn(now, c)
 	}
-	stage := Asking
+	stage := Unserved
 	if c.proven {
 		stage = Proven
 	}
 	a.move(k, stage, now)
 }
 
-func (a *Admitter) learn(now time.Duration, c *conn) {
+func (a *Limiter) learn(now time.Duration, c *conn) {
 	if !a.c.Learn.On || c.addr < 0 {
 		return
 	}
@@ -732,9 +732,9 @@
 	a.addrs.keep(c.addr, float64(e.score) >= a.c.Learn.After)
 }
 
-// Abuse tells that a connection's peer is slow, greedy or does not read: a
+// ReportAbuse tells that a connection's peer is slow, greedy or does not read: a
 // learned standing is lost, and not earned again for a minute.
-func (a *Admitter) Abuse(now time.Duration, id ID, why Reason) {
+func (a *Limiter) ReportAbuse(now time.Duration, id ID, why Reason) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.hits[why]++
@@ -759,7 +759,7 @@
 }
 
 // Closed tells that a connection has gone.
-func (a *Admitter) Closed(id ID) {
+func (a *Limiter) Closed(id ID) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	k, c := a.get(id)
@@ -781,30 +781,30 @@
 	c.next, a.free = a.free, k
 }
 
-// Need says what room is needed for.
-type Need uint8
+// EvictionReason says what room is needed for.
+type EvictionReason uint8
 
 // The needs.
 const (
-	ForUnknown Need = iota // any client
-	ForKnown               // a known one: whoever is unknown goes first, and half-read ones of theirs too
-	ForSilence             // too many are silent
-	ForMemory              // buffers are short: half-read requests go
+	ForUnknown EvictionReason = iota // any client
+	ForKnown                         // a known one: whoever is unknown goes first, and half-read ones of theirs too
+	ForSilence                       // too many are silent
+	ForMemory                        // buffers are short: half-read requests go
 )
 
-// Victim names the connection that goes first, by the caller's token: unknown
+// EvictionCandidate names the connection that goes first, by the caller's token: unknown
 // before known ones; of them those that have only talked, then those long
 // silent, then proven ones that rest, then half-read requests; of several the
 // longest unused. One that has just come is spared, for its request is on the
 // way, and one on which an answer is owed always. spareProven: no proven one;
 // spare, which may be nil, names others.
-func (a *Admitter) Victim(now time.Duration, need Need, spareProven bool, spare func(token uint64) bool) (token uint64, stage Stage, ok bool) {
+func (a *Limiter) EvictionCandidate(now time.Duration, need EvictionReason, spareProven bool, spare func(token uint64) bool) (token uint64, stage Stage, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	young := a.c.Grace
-	order := [...]Stage{Asking, Silent, Proven, Half}
+	order := [...]Stage{Unserved, Silent, Proven, HalfRead}
 	if need == ForSilence {
-		if a.silent <= a.c.Room/2 {
+		if a.silent <= a.c.Capacity/2 {
 			return 0, 0, false
 		}
 		young = a.c.SilentTime
@@ -815,12 +815,12 @@
 		}
 		for _, stage := range order {
 			switch {
-			case need == ForSilence && stage != Silent, need == ForMemory && stage != Half, spareProven && stage == Proven:
+			case need == ForSilence && stage != Silent, need == ForMemory && stage != HalfRead, spareProven && stage == Proven:
 				continue
 			}
 			for k := a.lists[side][stage].first; k >= 0; k = a.conns[k].next {
 				c := &a.conns[k]
-				if (stage == Silent || stage == Half) && need != ForMemory && now-c.since < young {
+				if (stage == Silent || stage == HalfRead) && need != ForMemory && now-c.since < young {
 					break // those behind it are younger
 				}
 				if c.owned && (spare == nil || !spare(c.token)) {
@@ -832,16 +832,16 @@
 	return 0, 0, false
 }
 
-// Crowds tells whether too many are silent to be usual clients that opened early.
-func (a *Admitter) Crowds() bool {
+// TooManySilent tells whether too many are silent to be usual clients that opened early.
+func (a *Limiter) TooManySilent() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.silent > a.c.Room/2
+	return a.silent > a.c.Capacity/2
 }
 
 // TooSlow tells whether a request that began at since, and of which so many
 // bytes are there, comes too slowly; if not, when to look again (0: never).
-func (a *Admitter) TooSlow(now, since time.Duration, bytes int) (slow bool, again time.Duration) {
+func (a *Limiter) TooSlow(now, since time.Duration, bytes int) (slow bool, again time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.c.MinRate <= 0 {
@@ -855,8 +855,8 @@
 	return false, due
 }
 
-// Knows tells whether an address is known, or learned.
-func (a *Admitter) Knows(now time.Duration, addr netip.Addr) bool {
+// IsKnown tells whether an address is known, or learned.
+func (a *Limiter) IsKnown(now time.Duration, addr netip.Addr) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var e *entry
@@ -866,24 +866,24 @@
 	return a.fronts.has(addr) || a.standing(now, addr, e) != Unknown
 }
 
-// Note counts a cause that nothing is decided on.
-func (a *Admitter) Note(why Reason) {
+// CountReason counts a cause that nothing is decided on.
+func (a *Limiter) CountReason(why Reason) {
 	a.mu.Lock()
 	a.hits[why]++
 	a.mu.Unlock()
 }
 
-// Press sets the level of pressure: 0 none, 1 idle unknown ones go, 2 unknown
+// SetPressure sets the level of pressure: 0 none, 1 idle unknown ones go, 2 unknown
 // arrivals end at once, 3 even idle connections to backends go.
-func (a *Admitter) Press(level int) {
+func (a *Limiter) SetPressure(level int) {
 	a.mu.Lock()
 	a.level = level
 	a.mu.Unlock()
 }
 
-// Bar keeps a prefix out until a time; those that are open stay, and rest no more
+// Block keeps a prefix out until a time; those that are open stay, and rest no more
 // than any other. An error tells what is wrong.
-func (a *Admitter) Bar(now time.Duration, prefix netip.Prefix, until time.Duration) error {
+func (a *Limiter) Block(now time.Duration, prefix netip.Prefix, until time.Duration) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !prefix.IsValid() || until <= now {
@@ -903,8 +903,8 @@
 	return nil
 }
 
-// Unbar lets a prefix in again; false: it was not barred.
-func (a *Admitter) Unbar(prefix netip.Prefix) bool {
+// Unblock lets a prefix in again; false: it was not barred.
+func (a *Limiter) Unblock(prefix netip.Prefix) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	prefix = prefix.Masked()
@@ -918,7 +918,7 @@
 }
 
 // Tokens of the open connections within a prefix on which nothing is owed, for a bar that ends them.
-func (a *Admitter) Within(prefix netip.Prefix) (tokens []uint64) {
+func (a *Limiter) IdleWithin(prefix netip.Prefix) (tokens []uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for k := range a.conns {
--- a/internal/connlimit/admit_test.go
+++ b/internal/connlimit/admit_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-func mustNew(t testing.TB, c Config) *Admitter {
+func mustNew(t testing.TB, c Config) *Limiter {
 	t.Helper()
 	a, err := New(c)
 	if err != nil {
@@ -23,13 +23,13 @@
 
 func ip(text string) netip.Addr { return netip.MustParseAddr(text) }
 
-func arrive(t *testing.T, a *Admitter, now time.Duration, addr string, want Reason) ID {
+func arrive(t *testing.T, a *Limiter, now time.Duration, addr string, want Reason) ID {
 	t.Helper()
-	id, why := a.Arrive(now, ip(addr), 1)
+	id, why := a.Admit(now, ip(addr), 1)
 	if why != want {
 		t.Fatalf("%s at %v: %v, want %v", addr, now, why, want)
 	}
-	if (why == Fine) != (id != 0) {
+	if (why == Allowed) != (id != 0) {
 		t.Fatalf("%s: %v with id %d", addr, why, id)
 	}
 	return id
@@ -38,77 +38,77 @@
 // Each cap by address and by prefix holds at its figure and is given back.
 func TestCaps(t *testing.T) {
 	const s = time.Second
-	a := mustNew(t, Config{Room: 100, Address: Caps{Open: 3, Opening: 2, PerSecond: 10, Burst: 4, Half: 1, Bytes: 1000},
-		Prefix: Caps{Open: 5, Half: 2, Bytes: 1500}, V4Bits: 24})
-	x := arrive(t, a, s, "10.0.0.1", Fine)
-	arrive(t, a, s, "10.0.0.1", Fine)
+	a := mustNew(t, Config{Capacity: 100, Address: Limits{Open: 3, Opening: 2, PerSecond: 10, Burst: 4, Half: 1, Bytes: 1000},
+		Prefix: Limits{Open: 5, Half: 2, Bytes: 1500}, V4Bits: 24})
+	x := arrive(t, a, s, "10.0.0.1", Allowed)
+	arrive(t, a, s, "10.0.0.1", Allowed)
 	arrive(t, a, s, "10.0.0.1", AddressOpening)
-	if why := a.Begin(s, x); why != Fine {
+	if why := a.RequestStarted(s, x); why != Allowed {
 		t.Fatal(why)
 	}
-	z := arrive(t, a, s, "10.0.0.1", Fine)
+	z := arrive(t, a, s, "10.0.0.1", Allowed)
 	arrive(t, a, s, "10.0.0.1", AddressOpen)
-	if why := a.Begin(s, z); why != AddressHalf {
+	if why := a.RequestStarted(s, z); why != AddressHalf {
 		t.Errorf("a second half-read request: %v", why)
 	}
-	if a.Holds(x, 900) != Fine || a.Holds(z, 101) != AddressBytes {
+	if a.SetBuffered(x, 900) != Allowed || a.SetBuffered(z, 101) != AddressBytes {
 		t.Error("buffered bytes of an address")
 	}
-	y := arrive(t, a, s, "10.0.0.2", Fine)
-	if a.Begin(s, y) != PrefixHalf || a.Holds(y, 600) != PrefixBytes {
+	y := arrive(t, a, s, "10.0.0.2", Allowed)
+	if a.RequestStarted(s, y) != PrefixHalf || a.SetBuffered(y, 600) != PrefixBytes {
 		t.Error("half-read requests and bytes of a prefix")
 	}
-	arrive(t, a, s, "10.0.0.3", Fine)
+	arrive(t, a, s, "10.0.0.3", Allowed)
 	arrive(t, a, s, "10.0.0.4", PrefixOpen)
-	arrive(t, a, s, "10.0.1.1", Fine)
+	arrive(t, a, s, "10.0.1.1", Allowed)
 	a.Closed(z)
 	a.Closed(z) // once more changes nothing
 	a.Closed(y)
 	a.Closed(x)
-	arrive(t, a, s, "10.0.0.1", Fine) // the fourth of its burst
+	arrive(t, a, s, "10.0.0.1", Allowed) // the fourth of its burst
 	arrive(t, a, s, "10.0.0.1", AddressOpening)
-	if err := a.Verify(); err != nil {
+	if err := a.CheckInvariants(); err != nil {
 		t.Error(err)
 	}
-	b := mustNew(t, Config{Room: 100, Address: Caps{PerSecond: 10, Burst: 2}, Prefix: Caps{PerSecond: 20, Burst: 3}, V6Bits: 48})
-	arrive(t, b, s, "2001:db8::1", Fine)
-	arrive(t, b, s, "2001:db8::1", Fine)
+	b := mustNew(t, Config{Capacity: 100, Address: Limits{PerSecond: 10, Burst: 2}, Prefix: Limits{PerSecond: 20, Burst: 3}, V6Bits: 48})
+	arrive(t, b, s, "2001:db8::1", Allowed)
+	arrive(t, b, s, "2001:db8::1", Allowed)
 	arrive(t, b, s, "2001:db8::1", AddressRate)
-	arrive(t, b, s, "2001:db8:0:9::2", Fine)
+	arrive(t, b, s, "2001:db8:0:9::2", Allowed)
 	arrive(t, b, s, "2001:db8::3", PrefixRate)
-	arrive(t, b, s, "::ffff:10.0.0.1", Fine) // IPv4 in other words
-	arrive(t, b, s+100*time.Millisecond, "2001:db8::1", Fine)
+	arrive(t, b, s, "::ffff:10.0.0.1", Allowed) // IPv4 in other words
+	arrive(t, b, s+100*time.Millisecond, "2001:db8::1", Allowed)
 	arrive(t, b, s+100*time.Millisecond, "2001:db8::1", AddressRate)
 }
 
 // Unknown ones never use the reserve; learned ones a part of it, and leave
 // newcomers theirs; abuse loses it.
 func TestReserve(t *testing.T) {
-	c := Config{Room: 38, Reserve: 20, Known: []netip.Prefix{netip.MustParsePrefix("127.9.0.0/24")}, Learn: Learn{On: true, After: 3, Newcomer: 0.2}}
+	c := Config{Capacity: 38, Reserve: 20, Known: []netip.Prefix{netip.MustParsePrefix("127.9.0.0/24")}, Learn: Learn{On: true, After: 3, Newcomer: 0.2}}
 	a := mustNew(t, c)
 	for i := range 18 {
-		arrive(t, a, 0, fmt.Sprintf("10.0.0.%d", i+1), Fine)
+		arrive(t, a, 0, fmt.Sprintf("10.0.0.%d", i+1), Allowed)
 	}
 	arrive(t, a, 0, "10.0.0.99", Full)
 	for i := range 20 {
-		arrive(t, a, 0, fmt.Sprintf("127.9.0.%d", i%3+1), Fine)
+		arrive(t, a, 0, fmt.Sprintf("127.9.0.%d", i%3+1), Allowed)
 	}
 	arrive(t, a, 0, "127.9.0.1", FullKnown)
-	if v := a.View(0); v.InReserve != 20 || v.Standing["known"] != 20 || v.Standing["unknown"] != 18 {
+	if v := a.Snapshot(0); v.InReserve != 20 || v.Standing["known"] != 20 || v.Standing["unknown"] != 18 {
 		t.Errorf("%+v", v)
 	}
 	a = mustNew(t, c)
-	first := arrive(t, a, 0, "10.1.0.1", Fine)
+	first := arrive(t, a, 0, "10.1.0.1", Allowed)
 	for range 3 {
-		a.Begin(0, first)
-		a.Take(0, first)
-		a.Rest(0, first, true)
+		a.RequestStarted(0, first)
+		a.RequestComplete(0, first)
+		a.BecameIdle(0, first, true)
 	}
 	learned := 0
 	var last ID
 	for {
-		id, why := a.Arrive(0, ip("10.1.0.1"), 1)
-		if why != Fine {
+		id, why := a.Admit(0, ip("10.1.0.1"), 1)
+		if why != Allowed {
 			if why != FullKnown {
 				t.Errorf("a learned one is refused for %v", why)
 			}
@@ -122,32 +122,32 @@
 		t.Errorf("%d learned ones come in", learned)
 	}
 	for i := range 2 {
-		arrive(t, a, 0, fmt.Sprintf("10.2.0.%d", i+1), Fine)
+		arrive(t, a, 0, fmt.Sprintf("10.2.0.%d", i+1), Allowed)
 	}
 	for range 10 {
-		arrive(t, a, 0, "127.9.0.1", Fine)
+		arrive(t, a, 0, "127.9.0.1", Allowed)
 	}
-	if a.Standing(last) != Learned {
+	if a.TrustOf(last) != Learned {
 		t.Error("not learned")
 	}
-	a.Abuse(0, last, Slow)
-	if _, why := a.Arrive(0, ip("10.1.0.1"), 1); a.Standing(last) != Unknown || why == FullKnown {
-		t.Errorf("after abuse: %v, %v", a.Standing(last), why)
+	a.ReportAbuse(0, last, Slow)
+	if _, why := a.Admit(0, ip("10.1.0.1"), 1); a.TrustOf(last) != Unknown || why == FullKnown {
+		t.Errorf("after abuse: %v, %v", a.TrustOf(last), why)
 	}
-	a.Rest(time.Second, last, true)
-	if a.Knows(time.Second, ip("10.1.0.1")) {
+	a.BecameIdle(time.Second, last, true)
+	if a.IsKnown(time.Second, ip("10.1.0.1")) {
 		t.Error("learned again at once")
 	}
-	if err := a.Verify(); err != nil {
+	if err := a.CheckInvariants(); err != nil {
 		t.Error(err)
 	}
 	// What was learned decays.
-	b := mustNew(t, Config{Room: 10, Learn: Learn{On: true, After: 2, HalfLife: time.Minute}})
-	id := arrive(t, b, 0, "10.0.0.1", Fine)
+	b := mustNew(t, Config{Capacity: 10, Learn: Learn{On: true, After: 2, HalfLife: time.Minute}})
+	id := arrive(t, b, 0, "10.0.0.1", Allowed)
 	for range 3 {
-		b.Rest(0, id, true)
+		b.BecameIdle(0, id, true)
 	}
-	if !b.Knows(30*time.Second, ip("10.0.0.1")) || b.Knows(2*time.Minute, ip("10.0.0.1")) {
+	if !b.IsKnown(30*time.Second, ip("10.0.0.1")) || b.IsKnown(2*time.Minute, ip("10.0.0.1")) {
 		t.Error("it does not decay by half a minute")
 	}
 }
@@ -155,34 +155,34 @@
 // Who goes first: unknown before known, by what they have shown, the longest
 // unused; the young and those owed an answer never.
 func TestVictims(t *testing.T) {
-	a := mustNew(t, Config{Room: 20, Reserve: 5, Known: []netip.Prefix{netip.MustParsePrefix("127.9.0.0/24")}})
+	a := mustNew(t, Config{Capacity: 20, Reserve: 5, Known: []netip.Prefix{netip.MustParsePrefix("127.9.0.0/24")}})
 	at := func(name uint64, addr string, stage Stage, now time.Duration) ID {
-		id, why := a.Arrive(now, ip(addr), name)
-		if why != Fine {
+		id, why := a.Admit(now, ip(addr), name)
+		if why != Allowed {
 			t.Fatal(why)
 		}
 		switch stage {
-		case Half:
-			a.Begin(now, id)
+		case HalfRead:
+			a.RequestStarted(now, id)
 		case Busy:
-			a.Take(now, id)
-		case Asking, Proven:
-			a.Rest(now, id, stage == Proven)
+			a.RequestComplete(now, id)
+		case Unserved, Proven:
+			a.BecameIdle(now, id, stage == Proven)
 		}
 		return id
 	}
 	const s = time.Second
-	at(1, "127.9.0.1", Asking, 0)
+	at(1, "127.9.0.1", Unserved, 0)
 	at(2, "10.0.0.1", Busy, 0)
-	at(3, "10.0.0.2", Half, 0)
+	at(3, "10.0.0.2", HalfRead, 0)
 	at(4, "10.0.0.3", Proven, 0)
 	at(5, "10.0.0.4", Silent, 0)
-	at(6, "10.0.0.5", Asking, 2*s)
-	at(7, "10.0.0.6", Asking, 1*s)
+	at(6, "10.0.0.5", Unserved, 2*s)
+	at(7, "10.0.0.6", Unserved, 1*s)
 	at(8, "10.0.0.7", Silent, 9*s)
 	var order []uint64
 	for {
-		token, _, ok := a.Victim(10*s-1, ForUnknown, false, nil)
+		token, _, ok := a.EvictionCandidate(10*s-1, ForUnknown, false, nil)
 		if !ok {
 			break
 		}
@@ -196,71 +196,71 @@
 	if !slices.Equal(order, []uint64{6, 7, 5, 4, 3, 1}) {
 		t.Errorf("%v", order)
 	}
-	if _, _, ok := a.Victim(10*s-1, ForKnown, false, nil); ok {
+	if _, _, ok := a.EvictionCandidate(10*s-1, ForKnown, false, nil); ok {
 		t.Error("one that has just come, or that is owed an answer, goes")
 	}
-	if token, _, ok := a.Victim(11*s, ForKnown, true, nil); !ok || token != 8 {
+	if token, _, ok := a.EvictionCandidate(11*s, ForKnown, true, nil); !ok || token != 8 {
 		t.Error(token, ok)
 	}
-	if _, _, ok := a.Victim(11*s, ForKnown, true, func(t uint64) bool { return t == 8 }); ok {
+	if _, _, ok := a.EvictionCandidate(11*s, ForKnown, true, func(t uint64) bool { return t == 8 }); ok {
 		t.Error("one that is spared goes")
 	}
 	for i := range 12 {
 		at(uint64(20+i), fmt.Sprintf("10.0.1.%d", i), Silent, 12*s)
 	}
-	if !a.Crowds() {
+	if !a.TooManySilent() {
 		t.Error("13 of 20 silent are no crowd")
 	}
-	if token, _, ok := a.Victim(12*s, ForSilence, false, nil); !ok || token != 8 {
+	if token, _, ok := a.EvictionCandidate(12*s, ForSilence, false, nil); !ok || token != 8 {
 		t.Error(token, ok)
 	}
-	if err := a.Verify(); err != nil {
+	if err := a.CheckInvariants(); err != nil {
 		t.Error(err)
 	}
 }
 
 func TestPressureBarsFronts(t *testing.T) {
-	a := mustNew(t, Config{Room: 12, Fronts: []netip.Prefix{netip.MustParsePrefix("127.8.0.1/32")}, Address: Caps{Open: 9, Opening: 9}})
-	a.Press(1) // a share: 12 by two addresses, and one more that may come
+	a := mustNew(t, Config{Capacity: 12, TrustedProxies: []netip.Prefix{netip.MustParsePrefix("127.8.0.1/32")}, Address: Limits{Open: 9, Opening: 9}})
+	a.SetPressure(1) // a share: 12 by two addresses, and one more that may come
 	for range 6 {
-		arrive(t, a, 0, "10.0.0.1", Fine)
+		arrive(t, a, 0, "10.0.0.1", Allowed)
 	}
 	arrive(t, a, 0, "10.0.0.1", FairShare)
-	arrive(t, a, 0, "10.0.0.2", Fine)
-	a.Press(2)
-	arrive(t, a, 0, "10.0.0.3", Short)
-	a.Press(0)
-	arrive(t, a, 0, "10.0.0.1", Fine)
-	front := arrive(t, a, 0, "127.8.0.1", Fine)
-	if a.Standing(front) != Front || a.Identify(0, front, ip("10.0.0.2")) != Fine || a.Standing(front) != Unknown {
+	arrive(t, a, 0, "10.0.0.2", Allowed)
+	a.SetPressure(2)
+	arrive(t, a, 0, "10.0.0.3", NoDescriptors)
+	a.SetPressure(0)
+	arrive(t, a, 0, "10.0.0.1", Allowed)
+	front := arrive(t, a, 0, "127.8.0.1", Allowed)
+	if a.TrustOf(front) != TrustedProxy || a.Identify(0, front, ip("10.0.0.2")) != Allowed || a.TrustOf(front) != Unknown {
 		t.Error("a front's client")
 	}
-	second := arrive(t, a, 0, "127.8.0.1", Fine)
-	if err := a.Bar(0, netip.MustParsePrefix("10.0.0.9/24"), time.Minute); err != nil {
+	second := arrive(t, a, 0, "127.8.0.1", Allowed)
+	if err := a.Block(0, netip.MustParsePrefix("10.0.0.9/24"), time.Minute); err != nil {
 		t.Fatal(err)
 	}
-	if why := a.Identify(0, second, ip("10.0.0.2")); why != Barred {
+	if why := a.Identify(0, second, ip("10.0.0.2")); why != Blocked {
 		t.Errorf("a front's barred client: %v", why)
 	}
 	a.Closed(second)
-	arrive(t, a, time.Second, "10.0.0.7", Barred)
-	if got := a.Within(netip.MustParsePrefix("10.0.0.0/24")); len(got) != 9 {
+	arrive(t, a, time.Second, "10.0.0.7", Blocked)
+	if got := a.IdleWithin(netip.MustParsePrefix("10.0.0.0/24")); len(got) != 9 {
 		t.Errorf("%d within", len(got))
 	}
-	if v := a.View(time.Second); len(v.Bars) != 1 || v.Prefixes[0].Open != 9 || v.Hits["barred"] != 2 || v.Hits["fair_share"] != 1 {
+	if v := a.Snapshot(time.Second); len(v.Blocks) != 1 || v.Prefixes[0].Open != 9 || v.Hits["barred"] != 2 || v.Hits["fair_share"] != 1 {
 		t.Errorf("%+v", v)
 	}
-	if !a.Unbar(netip.MustParsePrefix("10.0.0.0/24")) || a.Unbar(netip.MustParsePrefix("10.0.0.0/24")) {
+	if !a.Unblock(netip.MustParsePrefix("10.0.0.0/24")) || a.Unblock(netip.MustParsePrefix("10.0.0.0/24")) {
 		t.Error("unbar")
 	}
-	if err := a.Bar(0, netip.MustParsePrefix("10.0.0.0/24"), time.Second); err != nil {
+	if err := a.Block(0, netip.MustParsePrefix("10.0.0.0/24"), time.Second); err != nil {
 		t.Fatal(err)
 	}
-	arrive(t, a, 2*time.Second, "10.0.0.7", Fine) // its time is over
-	if err := a.Verify(); err != nil {
+	arrive(t, a, 2*time.Second, "10.0.0.7", Allowed) // its time is over
+	if err := a.CheckInvariants(); err != nil {
 		t.Error(err)
 	}
-	slow := mustNew(t, Config{Room: 1, MinRate: 100})
+	slow := mustNew(t, Config{Capacity: 1, MinRate: 100})
 	if s, again := slow.TooSlow(0, 0, 0); s || again != 500*time.Millisecond {
 		t.Error(s, again)
 	}
@@ -273,13 +273,13 @@
 }
 
 func TestBudget(t *testing.T) {
-	floor := [Kinds]int{Sessions: 10, Backends: 20, Discovery: 2}
-	b, err := NewBudget(100, floor, Marks{})
+	floor := [DescriptorKinds]int{ClientConnections: 10, WorkerConnections: 20, DiscoveryConnections: 2}
+	b, err := NewDescriptorBudget(100, floor, Watermarks{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	n, levels := 0, []int{}
-	for b.Take(Sessions) {
+	for b.Acquire(ClientConnections) {
 		n++
 		if l := b.Level(); len(levels) == 0 || levels[len(levels)-1] != l {
 			levels = append(levels, l)
@@ -289,40 +289,40 @@
 		t.Errorf("%d sessions, levels %v: the others' floors are 22", n, levels)
 	}
 	for range 20 {
-		if !b.Take(Backends) {
+		if !b.Acquire(WorkerConnections) {
 			t.Fatal("a floor is not kept")
 		}
 	}
-	if b.Take(Backends) || !b.Take(Discovery) || b.Level() != 3 {
+	if b.Acquire(WorkerConnections) || !b.Acquire(DiscoveryConnections) || b.Level() != 3 {
 		t.Errorf("level %d", b.Level())
 	}
 	for range 7 { // 99 in use down to 92: within the hysteresis of the third mark
-		b.Give(Sessions)
+		b.Release(ClientConnections)
 	}
 	if b.Level() != 3 {
 		t.Errorf("level %d at 92", b.Level())
 	}
-	b.Give(Sessions)
+	b.Release(ClientConnections)
 	if b.Level() != 2 {
 		t.Errorf("level %d at 91", b.Level())
 	}
 	for range 30 {
-		b.Give(Sessions)
+		b.Release(ClientConnections)
 	}
-	b.Force(2)
+	b.ForceLevel(2)
 	forced := b.Level()
-	b.Force(0)
+	b.ForceLevel(0)
 	if forced != 2 || b.Level() != 0 {
 		t.Errorf("forced %d, then %d", forced, b.Level())
 	}
-	if b.Set(50, floor, Marks{}) != nil || b.Level() == 0 || b.Set(10, floor, Marks{}) == nil || b.Set(100, floor, Marks{Low: 0.9, High: 0.8}) == nil {
+	if b.Reconfigure(50, floor, Watermarks{}) != nil || b.Level() == 0 || b.Reconfigure(10, floor, Watermarks{}) == nil || b.Reconfigure(100, floor, Watermarks{Low: 0.9, High: 0.8}) == nil {
 		t.Error("Set")
 	}
 }
 
 // A thousand sessions of one address take one address's turns.
 func TestTurns(t *testing.T) {
-	var turns Turns
+	var turns RoundRobin
 	for i := range 1000 {
 		turns.Add(ip("10.0.0.1"), uint64(i))
 	}
@@ -348,8 +348,8 @@
 }
 
 func TestBadConfig(t *testing.T) {
-	for _, c := range []Config{{}, {Room: 5, Reserve: 5}, {Room: 5, V4Bits: 33}, {Room: 5, Rate: -1}, {Room: 5, Learn: Learn{Share: 2}},
-		{Room: 5, Prefix: Caps{Half: -1}}} {
+	for _, c := range []Config{{}, {Capacity: 5, Reserve: 5}, {Capacity: 5, V4Bits: 33}, {Capacity: 5, Rate: -1}, {Capacity: 5, Learn: Learn{Share: 2}},
+		{Capacity: 5, Prefix: Limits{Half: -1}}} {
 		if _, err := New(c); err == nil {
 			t.Errorf("%+v is taken", c)
 		}
@@ -368,7 +368,7 @@
 
 type naiveConn struct {
 	addr, prefix string
-	s            Standing
+	s            Trust
 	stage        Stage
 	half         bool
 	bytes        int
@@ -393,7 +393,7 @@
 	}
 	if !known {
 		for _, x := range []struct {
-			caps  Caps
+			caps  Limits
 			is    func(*naiveConn) bool
 			name  string
 			first Reason
@@ -413,14 +413,14 @@
 		}
 	}
 	total, in := len(n.conns), n.has(func(c *naiveConn) bool { return c.s == Known })
-	if s == Unknown && total+max(n.c.Reserve-in, 0) >= n.c.Room {
+	if s == Unknown && total+max(n.c.Reserve-in, 0) >= n.c.Capacity {
 		return Full
 	}
-	if s == Known && total >= n.c.Room {
+	if s == Known && total >= n.c.Capacity {
 		return FullKnown
 	}
 	if s == Unknown && n.level > 1 {
-		return Short
+		return NoDescriptors
 	}
 	if s == Unknown && n.level == 1 {
 		active := map[string]int{}
@@ -430,11 +430,11 @@
 			}
 		}
 		mine := n.has(func(c *naiveConn) bool { return c.addr == a })
-		if mine > 0 && mine >= max((n.c.Room-n.c.Reserve)/(len(active)+1), 1) {
+		if mine > 0 && mine >= max((n.c.Capacity-n.c.Reserve)/(len(active)+1), 1) {
 			return FairShare
 		}
 	}
-	for name, c := range map[string]Caps{a: n.c.Address, p: n.c.Prefix} {
+	for name, c := range map[string]Limits{a: n.c.Address, p: n.c.Prefix} {
 		if c.PerSecond > 0 {
 			step := time.Duration(float64(time.Second) / c.PerSecond)
 			if n.tat[name] <= now+step*time.Duration(c.Burst-1) {
@@ -442,14 +442,14 @@
 			}
 		}
 	}
-	return Fine
+	return Allowed
 }
 
 func randomSteps(t *rapid.T) {
-	c := Config{Room: rapid.IntRange(3, 19).Draw(t, "room"), V4Bits: 24, Known: []netip.Prefix{netip.MustParsePrefix("10.0.3.0/24")},
-		Address: Caps{Open: rapid.IntRange(0, 4).Draw(t, "open"), Opening: rapid.IntRange(0, 3).Draw(t, "opening"), PerSecond: 5, Burst: 3},
-		Prefix:  Caps{Open: rapid.IntRange(0, 9).Draw(t, "prefix"), PerSecond: 9, Burst: 6}}
-	c.Reserve = rapid.IntRange(0, c.Room-1).Draw(t, "reserve")
+	c := Config{Capacity: rapid.IntRange(3, 19).Draw(t, "room"), V4Bits: 24, Known: []netip.Prefix{netip.MustParsePrefix("10.0.3.0/24")},
+		Address: Limits{Open: rapid.IntRange(0, 4).Draw(t, "open"), Opening: rapid.IntRange(0, 3).Draw(t, "opening"), PerSecond: 5, Burst: 3},
+		Prefix:  Limits{Open: rapid.IntRange(0, 9).Draw(t, "prefix"), PerSecond: 9, Burst: 6}}
+	c.Reserve = rapid.IntRange(0, c.Capacity-1).Draw(t, "reserve")
 	a, err := New(c)
 	if err != nil {
 		t.Fatal(err)
@@ -463,11 +463,11 @@
 		if what < 4 || len(ids) == 0 {
 			addr := netip.AddrFrom4([4]byte{10, 0, byte(rapid.IntRange(0, 3).Draw(t, "net")), byte(rapid.IntRange(1, 4).Draw(t, "host"))})
 			want := m.arrive(now, addr)
-			id, got := a.Arrive(now, addr, uint64(step+1))
+			id, got := a.Admit(now, addr, uint64(step+1))
 			if got != want {
 				t.Fatalf("step %d: %v at %v: %v, the model says %v", step, addr, now, got, want)
 			}
-			if got == Fine {
+			if got == Allowed {
 				wide, _ := addr.Prefix(24)
 				s := Unknown
 				if c.Known[0].Contains(addr) {
@@ -486,25 +486,25 @@
 				delete(m.conns, id)
 				ids = slices.Delete(ids, i, i+1)
 			case 6:
-				a.Begin(now, id)
-				k.stage, k.half = Half, true
+				a.RequestStarted(now, id)
+				k.stage, k.half = HalfRead, true
 			case 7:
-				a.Take(now, id)
+				a.RequestComplete(now, id)
 				k.stage, k.half, k.bytes = Busy, false, 0
 			case 8:
-				a.Rest(now, id, step%2 == 0)
-				k.stage, k.half, k.bytes = Asking, false, 0
+				a.BecameIdle(now, id, step%2 == 0)
+				k.stage, k.half, k.bytes = Unserved, false, 0
 			case 9:
 				m.level = rapid.IntRange(0, 2).Draw(t, "level")
-				a.Press(m.level)
+				a.SetPressure(m.level)
 			}
 		}
-		if err := a.Verify(); err != nil {
+		if err := a.CheckInvariants(); err != nil {
 			t.Fatalf("step %d: %v", step, err)
 		}
 		unknown := m.has(func(k *naiveConn) bool { return k.s == Unknown })
-		if unknown > c.Room-c.Reserve || len(m.conns) > c.Room {
-			t.Fatalf("step %d: %d unknown of %d, room %d, reserve %d", step, unknown, len(m.conns), c.Room, c.Reserve)
+		if unknown > c.Capacity-c.Reserve || len(m.conns) > c.Capacity {
+			t.Fatalf("step %d: %d unknown of %d, room %d, reserve %d", step, unknown, len(m.conns), c.Capacity, c.Reserve)
 		}
 	}
 }
@@ -540,8 +540,8 @@
 		return m.HeapAlloc
 	}
 	before := heap()
-	a := mustNew(t, Config{Room: room, Reserve: reserve, Known: []netip.Prefix{netip.MustParsePrefix("10.255.0.0/16")},
-		Address: Caps{Open: 20, Opening: 10, PerSecond: 5, Burst: 10, Half: 4}, Prefix: Caps{Open: 100, Half: 30}, Learn: Learn{On: true}})
+	a := mustNew(t, Config{Capacity: room, Reserve: reserve, Known: []netip.Prefix{netip.MustParsePrefix("10.255.0.0/16")},
+		Address: Limits{Open: 20, Opening: 10, PerSecond: 5, Burst: 10, Half: 4}, Prefix: Limits{Open: 100, Half: 30}, Learn: Learn{On: true}})
 	rng := rand.New(rand.NewPCG(1, 2))
 	type open struct {
 		id   ID
@@ -561,26 +561,26 @@
 	try := func(now time.Duration, addr netip.Addr, span time.Duration, busy bool) Reason {
 		attempts++
 		token++
-		id, why := a.Arrive(now, addr, token)
+		id, why := a.Admit(now, addr, token)
 		if why == Full || why == FullKnown { // as the entry does: the longest idle go
 			need := ForUnknown
 			if why == FullKnown {
 				need = ForKnown
 			}
-			if victim, _, ok := a.Victim(now, need, false, nil); ok {
+			if victim, _, ok := a.EvictionCandidate(now, need, false, nil); ok {
 				a.Closed(byToken[victim])
 				delete(byToken, victim)
-				id, why = a.Arrive(now, addr, token)
+				id, why = a.Admit(now, addr, token)
 			}
 		}
-		if why == Fine {
+		if why == Allowed {
 			admitted++
 			byToken[token] = id
-			a.Begin(now, id)
+			a.RequestStarted(now, id)
 			if busy {
-				a.Take(now, id)
+				a.RequestComplete(now, id)
 			} else {
-				a.Rest(now, id, rng.IntN(2) == 0)
+				a.BecameIdle(now, id, rng.IntN(2) == 0)
 			}
 			live = append(live, open{id, now + span, busy})
 		}
@@ -616,14 +616,14 @@
 			try(now, netip.AddrFrom4([4]byte{11, byte(n >> 16), byte(n >> 8), byte(n)}), time.Duration(1+rng.IntN(7))*time.Second, rng.IntN(3) > 0)
 		}
 		for i := range 5 { // known ones
-			if why := try(now, netip.AddrFrom4([4]byte{10, 255, 0, byte(rng.IntN(40))}), 2*time.Second, i%2 == 0); why != Fine {
+			if why := try(now, netip.AddrFrom4([4]byte{10, 255, 0, byte(rng.IntN(40))}), 2*time.Second, i%2 == 0); why != Allowed {
 				knownTurnedAway++
 			}
 		}
 		if !polite.waiting {
 			polite.since, polite.waiting = now, true
 		}
-		if why := try(now, ip("12.0.0.1"), time.Second, false); why == Fine {
+		if why := try(now, ip("12.0.0.1"), time.Second, false); why == Allowed {
 			polite.worst, polite.waiting = max(polite.worst, now-polite.since), false
 		} else if now-polite.since > bound {
 			t.Fatalf("an address that keeps its caps waits since %v at %v: %v; open %v, of those that came again %d", polite.since, now, why, a.count, a.again)
@@ -632,7 +632,7 @@
 			t.Fatalf("%v: %v", now, a.count)
 		}
 		if s%250 == 0 {
-			if err := a.Verify(); err != nil {
+			if err := a.CheckInvariants(); err != nil {
 				t.Fatalf("%v: %v", now, err)
 			}
 		}
@@ -659,8 +659,8 @@
 		full bool
 		keep int
 	}{{"default/refused", true, 0}, {"default/admitted", false, 0}, {"million/refused", true, 1_000_000}, {"million/admitted", false, 1_000_000}} {
-		a := mustNew(b, Config{Room: 1000, Reserve: 200, Known: []netip.Prefix{netip.MustParsePrefix("10.255.0.0/16")}, Addresses: c.keep, Prefixes: c.keep / 10,
-			Address: Caps{Open: 20, Opening: 10, PerSecond: 5, Burst: 10}, Prefix: Caps{Open: 100}})
+		a := mustNew(b, Config{Capacity: 1000, Reserve: 200, Known: []netip.Prefix{netip.MustParsePrefix("10.255.0.0/16")}, Addresses: c.keep, Prefixes: c.keep / 10,
+			Address: Limits{Open: 20, Opening: 10, PerSecond: 5, Burst: 10}, Prefix: Limits{Open: 100}})
 		var list []netip.Addr
 		for n := range 1_000_000 {
 			list = append(list, netip.AddrFrom4([4]byte{11, byte(n >> 16), byte(n >> 8), byte(n)}))
@@ -669,13 +669,13 @@
 		now := time.Duration(0)
 		for _, addr := range list {
 			now += time.Millisecond
-			if id, why := a.Arrive(now, addr, 1); why == Fine {
+			if id, why := a.Admit(now, addr, 1); why == Allowed {
 				a.Closed(id)
 			}
 		}
 		if c.full {
 			for i := range 800 {
-				a.Arrive(now, netip.AddrFrom4([4]byte{12, 0, byte(i / 50), byte(i % 50)}), 1)
+				a.Admit(now, netip.AddrFrom4([4]byte{12, 0, byte(i / 50), byte(i % 50)}), 1)
 			}
 		}
 		b.Run(c.name, func(b *testing.B) {
@@ -683,7 +683,7 @@
 			i := 0
 			for b.Loop() {
 				now += time.Millisecond
-				if id, why := a.Arrive(now, list[i%len(list)], 1); why == Fine {
+				if id, why := a.Admit(now, list[i%len(list)], 1); why == Allowed {
 					a.Closed(id)
 				}
 				i++
--- a/internal/connlimit/budget.go
+++ b/internal/connlimit/budget.go
@@ -9,49 +9,49 @@
 // take, what is kept for the others, and the levels of pressure. It must never
 // let one kind take another's floor.
 
-// Kind is who holds descriptors.
-type Kind uint8
+// DescriptorKind is who holds descriptors.
+type DescriptorKind uint8
 
 // The kinds.
 const (
-	Sessions Kind = iota // of clients, by either front
-	Backends             // connections to workers
-	Discovery
-	Door
-	Stores // files
-	Kinds
+	ClientConnections DescriptorKind = iota // of clients, by either front
+	WorkerConnections                       // connections to workers
+	DiscoveryConnections
+	AdminConnections
+	StoreFiles // files
+	DescriptorKinds
 )
 
-var kindNames = [Kinds]string{"sessions", "backends", "discovery", "door", "stores"}
+var kindNames = [DescriptorKinds]string{"sessions", "backends", "discovery", "door", "stores"}
 
-func (k Kind) String() string { return kindNames[k] }
+func (k DescriptorKind) String() string { return kindNames[k] }
 
-// Marks are the shares of the descriptors at which pressure begins, and how far
+// Watermarks are the shares of the descriptors at which pressure begins, and how far
 // below one it ends.
-type Marks struct {
+type Watermarks struct {
 	Low, High, Critical float64 // defaults 0.8, 0.9, 0.97
 	Back                float64 // default 0.05
 }
 
-// Budget counts descriptors. Its methods may be called from several goroutines.
-type Budget struct {
+// DescriptorBudget counts descriptors. Its methods may be called from several goroutines.
+type DescriptorBudget struct {
 	mu     sync.Mutex
 	total  int
-	floor  [Kinds]int
-	used   [Kinds]int
-	marks  Marks
+	floor  [DescriptorKinds]int
+	used   [DescriptorKinds]int
+	marks  Watermarks
 	level  int
 	forced int // pressure that the system itself told of
 }
 
-// NewBudget returns a budget; an error names what does not fit.
-func NewBudget(total int, floor [Kinds]int, marks Marks) (*Budget, error) {
-	b := &Budget{}
-	return b, b.Set(total, floor, marks)
+// NewDescriptorBudget returns a budget; an error names what does not fit.
+func NewDescriptorBudget(total int, floor [DescriptorKinds]int, marks Watermarks) (*DescriptorBudget, error) {
+	b := &DescriptorBudget{}
+	return b, b.Reconfigure(total, floor, marks)
 }
 
-// Set changes the bounds. What is taken stays taken.
-func (b *Budget) Set(total int, floor [Kinds]int, marks Marks) error {
+// Reconfigure changes the bounds. What is taken stays taken.
+func (b *DescriptorBudget) Reconfigure(total int, floor [DescriptorKinds]int, marks Watermarks) error {
 	for _, d := range []struct {
 		v   *float64
 		def float64
@@ -63,7 +63,7 @@
 	sum := 0
 	for k, n := range floor {
 		if n < 0 {
-			return fmt.Errorf("floor of %s: must not be negative", Kind(k))
+			return fmt.Errorf("floor of %s: must not be negative", DescriptorKind(k))
 		}
 		sum += n
 	}
@@ -82,13 +82,13 @@
 	return nil
 }
 
-// Take takes a descriptor, if that leaves the others their floors.
-func (b *Budget) Take(k Kind) bool {
+// Acquire takes a descriptor, if that leaves the others their floors.
+func (b *DescriptorBudget) Acquire(k DescriptorKind) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.used[k] >= b.floor[k] {
 		all := 1
-		for o := range Kinds {
+		for o := range DescriptorKinds {
 			if all += b.used[o]; o != k {
 				all += max(b.floor[o]-b.used[o], 0)
 			}
@@ -102,17 +102,17 @@
 	return true
 }
 
-// Give gives one back.
-func (b *Budget) Give(k Kind) {
+// Release gives one back.
+func (b *DescriptorBudget) Release(k DescriptorKind) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.used[k]--
 	b.weigh()
 }
 
-// Force raises the level by what the system itself says: it has no descriptor
+// ForceLevel raises the level by what the system itself says: it has no descriptor
 // left, whatever the budget counts. 0 ends that.
-func (b *Budget) Force(level int) {
+func (b *DescriptorBudget) ForceLevel(level int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.forced = level
@@ -120,7 +120,7 @@
 }
 
 // weigh finds the level. It rises at a mark and falls only when use is Back below it.
-func (b *Budget) weigh() {
+func (b *DescriptorBudget) weigh() {
 	all := 0
 	for _, n := range b.used {
 		all += n
@@ -137,14 +137,14 @@
 }
 
 // Level is the pressure: 0 to 3.
-func (b *Budget) Level() int {
+func (b *DescriptorBudget) Level() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return max(b.level, b.forced)
 }
 
-// Use tells what is taken, and of how many.
-func (b *Budget) Use() (used, floor [Kinds]int, total int) {
+// Usage tells what is taken, and of how many.
+func (b *DescriptorBudget) Usage() (used, floor [DescriptorKinds]int, total int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.used, b.floor, b.total
--- a/internal/connlimit/golden_test.go
+++ b/internal/connlimit/golden_test.go
@@ -13,13 +13,13 @@
 	for r := range reasons {
 		names = append(names, r.String())
 	}
-	for s := Unknown; s <= Front; s++ {
+	for s := Unknown; s <= TrustedProxy; s++ {
 		names = append(names, s.String())
 	}
 	for s := range stages {
 		names = append(names, s.String())
 	}
-	for k := range Kinds {
+	for k := range DescriptorKinds {
 		names = append(names, k.String())
 	}
 	want := strings.Fields("fine barred address_open address_opening address_rate address_half address_bytes " +
--- a/internal/connlimit/table.go
+++ b/internal/connlimit/table.go
@@ -70,7 +70,7 @@
 }
 
 // come counts an arrival.
-func (e *entry) come(c *Caps, now time.Duration) {
+func (e *entry) come(c *Limits, now time.Duration) {
 	if c.PerSecond > 0 {
 		e.rate.take(now, c.PerSecond, c.Burst)
 	}
--- a/internal/connlimit/turns.go
+++ b/internal/connlimit/turns.go
@@ -6,8 +6,8 @@
 // than can be looked at once. Each address has one place in the round, however
 // many connections wait behind it.
 
-// Turns is a round of addresses. The zero value is empty. It belongs to one goroutine.
-type Turns struct {
+// RoundRobin is a round of addresses. The zero value is empty. It belongs to one goroutine.
+type RoundRobin struct {
 	waiting map[netip.Addr]*queue
 	round   []*queue // the next first
 	spare   []*queue
@@ -20,7 +20,7 @@
 }
 
 // Add puts a token at the end of its address's queue.
-func (t *Turns) Add(addr netip.Addr, token uint64) {
+func (t *RoundRobin) Add(addr netip.Addr, token uint64) {
 	if t.waiting == nil {
 		t.waiting = map[netip.Addr]*queue{}
 	}
@@ -40,7 +40,7 @@
 }
 
 // Next is the first token of the address whose turn it is.
-func (t *Turns) Next() (token uint64, ok bool) {
+func (t *RoundRobin) Next() (token uint64, ok bool) {
 	if len(t.round) == 0 {
 		return 0, false
 	}
@@ -60,4 +60,4 @@
 }
 
 // Len is how many tokens wait.
-func (t *Turns) Len() int { return t.len }
+func (t *RoundRobin) Len() int { return t.len }
--- a/internal/connlimit/view.go
+++ b/internal/connlimit/view.go
@@ -23,7 +23,7 @@
 	Addresses int               `json:"addresses_remembered"`
 	Learned   int               `json:"addresses_learned"`
 	Prefixes  []PrefixView      `json:"top_prefixes"`
-	Bars      []BarView         `json:"bars"`
+	Blocks    []BlockView       `json:"bars"`
 }
 
 // PrefixView is a prefix's use now.
@@ -35,20 +35,20 @@
 	Bytes   int    `json:"bytes"`
 }
 
-// BarView is a prefix that is kept out.
-type BarView struct {
+// BlockView is a prefix that is kept out.
+type BlockView struct {
 	Prefix string  `json:"prefix"`
 	ForS   float64 `json:"for_s"`
 }
 
 const topPrefixes = 10
 
-// View tells what there is.
-func (a *Admitter) View(now time.Duration) View {
+// Snapshot tells what there is.
+func (a *Limiter) Snapshot(now time.Duration) View {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	v := View{Open: map[string]int{}, Standing: map[string]int{}, Room: a.c.Room, Reserve: a.c.Reserve, Level: a.level, Admitted: a.admitted,
-		Hits: map[string]uint64{}, Addresses: a.addrs.len, Learned: a.addrs.learned, Prefixes: []PrefixView{}, Bars: []BarView{}}
+	v := View{Open: map[string]int{}, Standing: map[string]int{}, Room: a.c.Capacity, Reserve: a.c.Reserve, Level: a.level, Admitted: a.admitted,
+		Hits: map[string]uint64{}, Addresses: a.addrs.len, Learned: a.addrs.learned, Prefixes: []PrefixView{}, Blocks: []BlockView{}}
 	for s := range stages {
 		v.Open[s.String()] = 0
 	}
@@ -58,9 +58,9 @@
 		}
 	}
 	for s, n := range a.count {
-		v.Standing[Standing(s).String()] = n
+		v.Standing[Trust(s).String()] = n
 	}
-	v.InReserve = min(a.c.Reserve, a.count[Known]+a.count[Front]+min(a.count[Learned], int(a.c.Learn.Share*float64(a.c.Reserve))))
+	v.InReserve = min(a.c.Reserve, a.count[Known]+a.count[TrustedProxy]+min(a.count[Learned], int(a.c.Learn.Share*float64(a.c.Reserve))))
 	for r, n := range a.hits {
 		if n > 0 {
 			v.Hits[Reason(r).String()] = n
@@ -83,14 +83,14 @@
 	v.Prefixes = v.Prefixes[:min(len(v.Prefixes), topPrefixes)]
 	for _, b := range a.bars {
 		if b.until > now {
-			v.Bars = append(v.Bars, BarView{b.prefix.String(), (b.until - now).Seconds()})
+			v.Blocks = append(v.Blocks, BlockView{b.prefix.String(), (b.until - now).Seconds()})
 		}
 	}
 	return v
 }
 
-// Standing is what a connection's address counts as; Unknown for none.
-func (a *Admitter) Standing(id ID) Standing {
+// TrustOf is what a connection's address counts as; Unknown for none.
+func (a *Limiter) TrustOf(id ID) Trust {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if _, c := a.get(id); c != nil {
@@ -99,9 +99,9 @@
 	return Unknown
 }
 
-// Verify checks everything that must always hold, slowly: for tests and for
+// CheckInvariants checks everything that must always hold, slowly: for tests and for
 // operators who suspect a fault.
-func (a *Admitter) Verify() error {
+func (a *Limiter) CheckInvariants() error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	type sums struct{ open, opening, half, bytes, unknown int32 }
--- a/internal/daemon/node.go
+++ b/internal/daemon/node.go
@@ -54,11 +54,11 @@
 
 // node is the running dispatcher as operators, signals and the other process see it.
 type node struct {
-	core     *dispatch.Core
+	core     *dispatch.Dispatcher
 	engine   *transport.Engine
 	backends *platform.Backends
 	fronts   fronts
-	entry    *listener.Entry   // who decides on connections; nil: nobody
+	entry    *listener.Gate    // who decides on connections; nil: nobody
 	follows  bool              // versioned changes are followed in place of the discovery watch
 	config   config            // in force
 	told     decision.Settings // as the file words them
@@ -83,8 +83,8 @@
 	if n.inherited = env("BALANCER_FD") != "" && n.listener != nil; !n.inherited {
 		return nil
 	}
-	n.path = handover.Path(env("TMPDIR"), n.config.Name+" "+n.config.Listen)
-	conn, err := handover.Call(n.path, callPatience)
+	n.path = handover.SocketPath(env("TMPDIR"), n.config.Name+" "+n.config.Listen)
+	conn, err := handover.Dial(n.path, callPatience)
 	if err != nil {
 		return nil
 	}
@@ -96,7 +96,7 @@
 	n.room.Fire = n.tellRoom
 	if former != nil {
 		n.keep(n.config.descriptors()/4, n.memory()/4)
-		err := n.engine.Adopt(former, func(c *transport.Conn) transport.Owner {
+		err := n.engine.Adopt(former, func(c *transport.Conn) transport.Handler {
 			n.link = handover.NewLink(n.engine, c, n.heardFormer, n.formerGone)
 			n.listenIn()
 			return n.link
@@ -149,7 +149,7 @@
 	case n.fronts.platform == nil:
 		return errors.New("the Faktory front alone tells no health, and cannot be taken out of service")
 	}
-	n.tell(handover.Message{Out: &out})
+	n.tell(handover.Message{OutOfService: &out})
 	n.drain(out)
 	return nil
 }
@@ -171,22 +171,22 @@
 // tell tells the other process, if there is one.
 func (n *node) tell(m handover.Message) {
 	if n.link != nil {
-		n.link.Tell(m)
+		n.link.Send(m)
 	}
 }
 
 // listenIn lets the other process know what it must not do again.
 func (n *node) listenIn() {
-	n.core.Taken = n.link.Taken
-	n.core.Charged = func(backend string, amount float64) {
-		n.tell(handover.Message{Charge: &handover.Charge{Backend: backend, Amount: amount}})
+	n.core.OnAccepted = n.link.SendAccepted
+	n.core.OnReserved = func(backend string, amount float64) {
+		n.tell(handover.Message{Reservation: &handover.Reservation{Worker: backend, Amount: amount}})
 	}
 }
 
 // alone is told that the other process has gone: all limits are this one's.
 func (n *node) alone() {
 	n.link, n.theirs = nil, false
-	n.core.Taken, n.core.Charged, n.backends.Told = nil, nil, nil
+	n.core.OnAccepted, n.core.OnReserved, n.backends.Told = nil, nil, nil
 	n.core.Loop.Clear(&n.room)
 	n.keep(n.config.descriptors(), n.memory())
 	if n.fronts.platform != nil {
@@ -196,23 +196,23 @@
 
 // heard takes in what either process may tell.
 func (n *node) heard(m handover.Message) {
-	if m.Names != "" {
-		names, err := m.ReadNames()
+	if m.IDs != "" {
+		names, err := m.ReadIDs()
 		if err != nil {
 			n.core.Log("handover: " + err.Error())
 		}
-		n.core.Bar(names)
+		n.core.BlockIDs(names)
 	}
-	if m.Charge != nil {
-		n.core.ChargedElsewhere(m.Charge.Backend, m.Charge.Amount)
+	if m.Reservation != nil {
+		n.core.ReservedElsewhere(m.Reservation.Worker, m.Reservation.Amount)
 	}
-	if m.Out != nil {
-		n.drain(*m.Out)
+	if m.OutOfService != nil {
+		n.drain(*m.OutOfService)
 	}
-	if m.Moved != "" && m.Moved != n.config.Discovery {
-		n.core.Log("discovery moves to " + m.Moved + ", the other process says")
-		n.config.Discovery = m.Moved
-		n.backends.Move(m.Moved)
+	if m.DiscoveryMoved != "" && m.DiscoveryMoved != n.config.Discovery {
+		n.core.Log("discovery moves to " + m.DiscoveryMoved + ", the other process says")
+		n.config.Discovery = m.DiscoveryMoved
+		n.backends.Move(m.DiscoveryMoved)
 	}
 }
 
@@ -223,7 +223,7 @@
 func (n *node) keep(descriptors int, memory int64) {
 	n.engine.Resize(descriptors - (n.config.descriptors() - n.config.clients()))
 	if n.entry != nil {
-		n.entry.Resize(float64(descriptors) / float64(n.config.descriptors()))
+		n.entry.SetShare(float64(descriptors) / float64(n.config.descriptors()))
 	}
 	if n.config.Limits.MemoryMB < 1 {
 		return
@@ -238,15 +238,15 @@
 
 // heardFormer takes in what the predecessor says.
 func (n *node) heardFormer(m handover.Message) {
-	if m.Hello != nil {
-		n.greet(m.Hello)
+	if m.Greeting != nil {
+		n.greet(m.Greeting)
 	}
 	n.heard(m)
-	if m.Kept {
+	if m.StoreReleased {
 		n.take(n.core.Loop.Now() + takeTime)
 	}
-	if m.Room != nil {
-		n.keep(n.config.descriptors()-m.Room.Descriptors, n.memory()-m.Room.Memory)
+	if m.Limits != nil {
+		n.keep(n.config.descriptors()-m.Limits.Descriptors, n.memory()-m.Limits.Memory)
 	}
 	if len(m.List) > 0 {
 		if err := n.backends.Relay(m.List); err != nil {
@@ -256,7 +256,7 @@
 }
 
 // greet begins, by the predecessor's word or, where it has none in time, without.
-func (n *node) greet(hello *handover.Hello) {
+func (n *node) greet(hello *handover.Greeting) {
 	if n.greeted {
 		return
 	}
@@ -264,11 +264,11 @@
 	var list []byte
 	if hello != nil {
 		n.core.Log("beside a running process, as its successor")
-		n.core.Succeed(hello.Key)
+		n.core.AdoptIDKey(hello.IDKey)
 		list = hello.List
 		n.config.Discovery = cmp.Or(hello.Discovery, n.config.Discovery)
 		n.backends.Discovery(n.config.Discovery)
-		if hello.Out {
+		if hello.OutOfService {
 			n.drain(true)
 		}
 	}
@@ -283,7 +283,7 @@
 	if n.stopping {
 		return
 	}
-	if !(n.backends.Heard() && n.core.Backends() > 0) && loop.Now() < until {
+	if !(n.backends.Heard() && n.core.ReadyWorkers() > 0) && loop.Now() < until {
 		loop.After(startStep, func() { n.wait(until) })
 		return
 	}
@@ -340,11 +340,11 @@
 		n.core.Log(fmt.Sprintf("a successor will not find this process: %v", err))
 		return
 	}
-	n.meeting = n.engine.Serve(ln, 1, false, n.met, func() {}).Fix()
+	n.meeting = n.engine.Serve(ln, 1, false, n.met, func() {}).FixLimit()
 }
 
 // met is told of a successor.
-func (n *node) met(c *transport.Conn) transport.Owner {
+func (n *node) met(c *transport.Conn) transport.Handler {
 	if n.stopping || n.link != nil {
 		return nil
 	}
@@ -352,7 +352,7 @@
 	if err != nil {
 		n.core.Log(fmt.Sprintf("the list cannot be handed over: %v", err))
 	}
-	key, names := n.core.Names()
+	key, names := n.core.RequestIDs()
 	n.core.Log("a successor has started")
 	n.link = handover.NewLink(n.engine, c, n.heardNext, n.nextGone)
 	n.listenIn()
@@ -362,8 +362,8 @@
 		}
 	}
 	out := n.fronts.platform.Away()
-	n.tell(handover.Message{Hello: &handover.Hello{Discovery: addr, List: list, Out: out, Key: key}})
-	n.link.TellAll(names)
+	n.tell(handover.Message{Greeting: &handover.Greeting{Discovery: addr, List: list, OutOfService: out, IDKey: key}})
+	n.link.SendIDs(names)
 	n.tellRoom()
 	return n.link
 }
@@ -404,7 +404,7 @@
 	if !n.stopping {
 		n.keep(descriptors, memory)
 	}
-	n.tell(handover.Message{Room: &handover.Room{Descriptors: descriptors, Memory: memory}})
+	n.tell(handover.Message{Limits: &handover.Limits{Descriptors: descriptors, Memory: memory}})
 	n.core.Loop.Set(&n.room, n.core.Loop.Now()+roomStep)
 }
 
@@ -438,7 +438,7 @@
 	f.faktory.Stop()
 	f.faktory.Release(func() {
 		n.released = true
-		n.tell(handover.Message{Kept: true})
+		n.tell(handover.Message{StoreReleased: true})
 	})
 	n.tellRoom()
 	var step func()
@@ -449,10 +449,10 @@
 		}
 		if now >= last {
 			f.platform.Shut()
-			d.Finish()
+			d.ExpireAll()
 		}
 		// At the very last, what has just been answered has half of what is left to be read.
-		if n.released && d.Owed() == 0 && (f.platform.Open() == 0 || now >= last+killMargin/2) && !f.faktory.Busy() {
+		if n.released && d.Unanswered() == 0 && (f.platform.Open() == 0 || now >= last+killMargin/2) && !f.faktory.Busy() {
 			loop.After(lastBytes, loop.Stop)
 			return
 		}
@@ -491,7 +491,7 @@
 			err = errors.New("connections.on: only a restart turns it off")
 		}
 		if err == nil {
-			err = n.entry.Set(g, transport.Usable(n.config.clients()))
+			err = n.entry.Reconfigure(g, transport.ConnectionDescriptors(n.config.clients()))
 		}
 	}
 	if err != nil {
@@ -519,7 +519,7 @@
 	if next.Discovery != c.Discovery {
 		text = "reload: discovery moves to " + next.Discovery
 		b.Move(next.Discovery)
-		n.tell(handover.Message{Moved: next.Discovery})
+		n.tell(handover.Message{DiscoveryMoved: next.Discovery})
 	}
 	if len(restart) > 0 {
 		text += "; changed, but only a restart takes over: " + strings.Join(restart, ", ")
@@ -567,7 +567,7 @@
 			f.platform.Refrain()
 		}
 		shut := loop.Now() + lastWindow
-		patience, upstream := shut+transport.Lingering, loop.Now()+8*time.Second
+		patience, upstream := shut+transport.LingerTime, loop.Now()+8*time.Second
 		var last func()
 		last = func() {
 			ended, now := f.close(), loop.Now()
@@ -575,10 +575,10 @@
 				f.platform.Shut()
 				ended = ended && f.platform.Open() == 0
 			}
-			if d.Owed() > 0 {
-				patience = now + transport.Lingering
+			if d.Unanswered() > 0 {
+				patience = now + transport.LingerTime
 			}
-			if now >= shut && d.Owed() == 0 && (ended || now > patience && !f.faktory.Busy() || now > upstream) {
+			if now >= shut && d.Unanswered() == 0 && (ended || now > patience && !f.faktory.Busy() || now > upstream) {
 				// What was answered just now is still on its way out of the sockets.
 				loop.After(lastBytes, loop.Stop)
 				return
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -93,10 +93,10 @@
 
 // guard makes what the table [connections] says ready for use.
 func guard(c *settings.Connections, descriptors int) (g listener.Config, err error) {
-	if g.Admit, g.Floors, g.Marks, g.WriteStall, err = c.Ready(transport.Usable(descriptors)); err != nil {
+	if g.Limits, g.DescriptorFloors, g.Watermarks, g.WriteStall, err = c.Ready(transport.ConnectionDescriptors(descriptors)); err != nil {
 		return g, fmt.Errorf("connections.%w", err)
 	}
-	g.Say503 = c.Refuse == "503"
+	g.Respond503 = c.Refuse == "503"
 	return g, nil
 }
 
@@ -115,7 +115,7 @@
 	if err != nil {
 		return err
 	}
-	loop := eventloop.NewLoop()
+	loop := eventloop.New()
 	d, err := dispatch.New(loop, l.settings, l.config.seed())
 	if err != nil {
 		return fmt.Errorf("config: %w", err)
@@ -129,7 +129,7 @@
 	fmt.Fprintf(out, "descriptors %d, buffers up to %d MB\n", c.descriptors(), c.buffers()>>20)
 	for _, class := range l.settings.Classes {
 		repeat := "must not run twice"
-		if class.Repeat != decision.Fragile {
+		if class.Idempotency != decision.NonIdempotent {
 			repeat = "may be repeated"
 		}
 		fmt.Fprintf(out, "class %s: deadline %v, %s\n", class.Name, class.Deadline, repeat)
@@ -246,7 +246,7 @@
 	if c.Admin == "" {
 		return c.descriptors()
 	}
-	return c.descriptors() - admin.Calls - 1 // the listener too
+	return c.descriptors() - admin.MaxCalls - 1 // the listener too
 }
 
 // buffers is how many bytes the buffers may take up.
@@ -274,7 +274,7 @@
 	}
 	var ln net.Listener
 	if err == nil {
-		ln, err = transport.Inherit(fd)
+		ln, err = transport.ListenerFromDescriptor(fd)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("BALANCER_FD: %q: %w", text, err)
@@ -282,8 +282,8 @@
 	return ln, nil
 }
 
-// Logger is a process's log, in the form named: json, else text.
-func Logger(w io.Writer, form string) *slog.Logger {
+// NewLogger is a process's log, in the form named: json, else text.
+func NewLogger(w io.Writer, form string) *slog.Logger {
 	if form == "json" {
 		return slog.New(slog.NewJSONHandler(w, nil))
 	}
@@ -310,7 +310,7 @@
 		debug.SetMemoryLimit(int64(mb * (0.6 - bufferShare) * (1 << 20)))
 	}
 	debug.FreeOSMemory() // what reading the command line and the files took is not needed again
-	loop := eventloop.NewLoop()
+	loop := eventloop.New()
 	d, err := dispatch.New(loop, s, c.seed())
 	if err != nil {
 		return fmt.Errorf("config: %w", err)
@@ -343,20 +343,20 @@
 	if l.connections.On {
 		g, err := guard(&l.connections, c.clients())
 		if err == nil {
-			n.entry, err = listener.Guard(loop, engine, g, transport.Usable(c.clients()), log)
+			n.entry, err = listener.New(loop, engine, g, transport.ConnectionDescriptors(c.clients()), log)
 		}
 		if err != nil {
 			return fmt.Errorf("%s: %w", f.Operator, err)
 		}
-		n.entry.Idle = backends.Idle
+		n.entry.CloseIdleWorkers = backends.Idle
 	}
-	n.sessions = transport.Accepted(c.clients())
+	n.sessions = transport.AcceptedShare(c.clients())
 	if l.hasFaktory && c.Listen != "" {
 		n.sessions /= 2 // half for either front
 	}
 	if c.Listen != "" {
 		n.fronts.platform = platform.NewFront(d, engine, c.buffers(), func() bool {
-			return (d.Backends() > 0 || backends.Listed()) && backends.Usable()
+			return (d.ReadyWorkers() > 0 || backends.Listed()) && backends.Usable()
 		})
 		if n.entry != nil {
 			n.fronts.platform.Use(n.entry)
@@ -389,8 +389,8 @@
 		}
 	}
 	if c.Admin != "" {
-		desk := admin.Desk{
-			Ready: n.ready, Service: n.service, Entry: n.entry, Membership: backends.ControlStats,
+		desk := admin.Operations{
+			Ready: n.ready, SetOutOfService: n.service, Gate: n.entry, Membership: backends.ControlStats,
 			Jobs: func() *durable.Service { return n.fronts.faktory.Jobs() },
 		}
 		api := admin.New(d, engine, backends, desk)
@@ -429,6 +429,6 @@
 	}
 	sum := d.Counts()
 	d.Log(fmt.Sprintf("stopped: taken %d, served %d, refused %d, failed %d, hung up %d, attempts %d",
-		sum.Taken, sum.Served, sum.Refused, sum.Failed, sum.HungUp, sum.Attempts))
+		sum.Accepted, sum.Served, sum.Rejected, sum.Failed, sum.Cancelled, sum.Attempts))
 	return nil
 }
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -18,8 +18,8 @@
 // report into the module's events, and carries out the module's actions. It
 // must never decide by itself where a req goes, nor answer one twice.
 
-// Job is what a req asks for, in no wire's words.
-type Job struct {
+// Request is what a req asks for, in no wire's words.
+type Request struct {
 	ID             string // the client's name for it
 	Class          int
 	Key            string // what it concerns; may be empty
@@ -28,86 +28,86 @@
 	Body           []byte // valid until Release
 	Slots          float64
 	Work           time.Duration // hinted run time; 0: no hint
-	Left           time.Duration // how long the client waits, from Since on; 0: as long as the class says
-	Since          time.Duration // clock time from which Left runs
-	Retry          bool          // marked as a client's repeat
+	TimeLeft       time.Duration // how long the client waits, from Since on; 0: as long as the class says
+	ReceivedAt     time.Duration // clock time from which Left runs
+	ClientRetry    bool          // marked as a client's repeat
 
 	Release func() // called once, when the job's bytes are needed no more; may be nil
-	Lease   Lease  // asked before each attempt of a job that is leased; nil: it is not
+	Leaser  Leaser // asked before each attempt of a job that is leased; nil: it is not
 }
 
-// Lease is who leases a job to the backends that its attempts go to. Such a
+// Leaser is who leases a job to the backends that its attempts go to. Such a
 // req is over with its first attempt that may have run: what comes next is its
 // front's to say.
-type Lease interface {
-	// Ask asks for a lease. told is called once, later or at once, with its fence,
+type Leaser interface {
+	// Acquire asks for a lease. told is called once, later or at once, with its fence,
 	// or 0 if there is none; it returns false if nobody wants the lease any more.
-	Ask(job *Job, backend string, told func(fence uint64) bool)
+	Acquire(job *Request, backend string, told func(fence uint64) bool)
 	// Ended tells how the attempt under a fence ended.
-	Ended(job *Job, fence uint64, o decision.Outcome, neverRan bool, result []byte)
+	Ended(job *Request, fence uint64, o decision.AttemptOutcome, neverRan bool, result []byte)
 }
 
-// Verdict is the kind of a final answer.
-type Verdict uint8
+// Outcome is the kind of a final answer.
+type Outcome uint8
 
-// The verdicts. Refused is a rejection, which promises that nothing has run.
+// The verdicts. Rejected is a rejection, which promises that nothing has run.
 const (
-	Served Verdict = iota
-	Refused
+	Served Outcome = iota
+	Rejected
 	Failed
 )
 
-func (v Verdict) String() string { return [...]string{"served", "refused", "failed"}[v] }
+func (v Outcome) String() string { return [...]string{"served", "refused", "failed"}[v] }
 
-// Answer is a final answer.
-type Answer struct {
-	Verdict    Verdict
-	Result     []byte        // what the backend made; valid during the call only
+// Response is a final answer.
+type Response struct {
+	Outcome    Outcome
+	Body       []byte        // what the backend made; valid during the call only
 	RetryAfter time.Duration // for Refused: when to come back; 0: not told
 	MayHaveRun bool          // some attempt of the req may have had an effect
 }
 
-// Front is what hands in reqs. Answer is called once for each req it handed
+// FrontEnd is what hands in reqs. Answer is called once for each req it handed
 // in, unless it hung up first.
-type Front interface {
-	Answer(token uint64, a Answer)
+type FrontEnd interface {
+	Respond(token uint64, a Response)
 }
 
-// Presence is a Front that can see that a client has left before the event of
+// ClientWatcher is a Front that can see that a client has left before the event of
 // it has come: the loop may be busy, or the end lie behind bytes nobody has read.
-type Presence interface {
-	// Left tells whether the client of a request has left.
-	Left(token uint64) bool
-	// HungUp tells that the core has hung up a request for that reason.
-	HungUp(token uint64, mayHaveRun bool)
+type ClientWatcher interface {
+	// ClientLeft tells whether the client of a request has left.
+	ClientLeft(token uint64) bool
+	// RequestCancelled tells that the core has hung up a request for that reason.
+	RequestCancelled(token uint64, mayHaveRun bool)
 }
 
 // Attempt is one attempt, as a carrier sees it.
 type Attempt struct {
-	Handle   uint64
-	Backend  string
-	Job      *Job
-	Deadline time.Duration // when the client gives up
-	Until    time.Duration // a repeat that may run twice from then on must have left whole by then; 0: no bound
-	Settled  bool          // an answer to another request, taken for this one's, could make it run twice
-	Number   int           // how many attempts came before
-	Fence    uint64        // of its lease; 0: it has none
+	Handle       uint64
+	Worker       string
+	Request      *Request
+	Deadline     time.Duration // when the client gives up
+	RepeatBy     time.Duration // a repeat that may run twice from then on must have left whole by then; 0: no bound
+	RepeatUnsafe bool          // an answer to another request, taken for this one's, could make it run twice
+	Number       int           // how many attempts came before
+	Fence        uint64        // of its lease; 0: it has none
 }
 
-// Carrier takes attempts to backends. It reports how each ended by Ended, once,
+// WorkerClient takes attempts to backends. It reports how each ended by Ended, once,
 // unless Stop came first.
-type Carrier interface {
+type WorkerClient interface {
 	Start(f Attempt)
-	Stop(handle uint64) (neverRan bool) // give it up
-	Release(backend string)             // close idle connections
-	Probe(backend string)               // answer with Probed
-	Subscribe()                         // ask for list changes from now on
+	Cancel(handle uint64) (neverRan bool) // give it up
+	CloseIdle(backend string)             // close idle connections
+	CheckHealth(backend string)           // answer with Probed
+	Subscribe()                           // ask for list changes from now on
 }
 
-// Aging is a Carrier whose list of backends may be too old to act on. Refresh is
+// Refresher is a Carrier whose list of backends may be too old to act on. Refresh is
 // called before each event that may make the module send; it suspends and resumes
 // backends by what is known at that moment.
-type Aging interface {
+type Refresher interface {
 	Refresh()
 }
 
@@ -115,8 +115,8 @@
 // up. It covers the way there and a late timer on a shared core.
 const answerMargin = 12 * time.Millisecond
 
-// Core is one dispatcher. All its methods belong to the loop's goroutine.
-type Core struct {
+// Dispatcher is one dispatcher. All its methods belong to the loop's goroutine.
+type Dispatcher struct {
 	Loop     *eventloop.Loop
 	Settings decision.Settings
 	Seed     uint64 // of the process, for what carriers draw at random
@@ -126,20 +126,20 @@
 	Trace func(id, step string, more ...any)
 
 	// What a second process of the same dispatcher must know; nil while there is none.
-	Taken   func(name uint64)                    // a req of that name has come
-	Charged func(backend string, charge float64) // a cold backend got an attempt
+	OnAccepted func(name uint64)                    // a req of that name has come
+	OnReserved func(backend string, charge float64) // a cold backend got an attempt
 
 	// Guard is passed by each start, send, repeat and close.
 	Guard invariant.Guard
 
-	// Through takes all attempts, in place of the sources that list their
+	// ClientOverride takes all attempts, in place of the sources that list their
 	// backends; nil: those do. It is for measurements without backends.
-	Through Carrier
+	ClientOverride WorkerClient
 
-	module      *decision.Dispatcher
-	reqs        slotmap.Table[req]
-	outstanding slotmap.Table[outstanding]
-	sources     []Carrier // those that list backends
+	module      *decision.Machine
+	reqs        slotmap.Map[req]
+	outstanding slotmap.Map[outstanding]
+	sources     []WorkerClient // those that list backends
 	listed      map[string]listing
 	left        map[string]time.Duration // when backends that drain or have gone were notified to
 	ready       int                      // those listed that take new work
@@ -148,7 +148,7 @@
 	handling    bool
 	owed        int
 	counts      Counts
-	tallies     []Tally // by class
+	tallies     []ClassCounts // by class
 	ids         ids
 }
 
@@ -194,17 +194,17 @@
 
 // Counts tells what became of the reqs taken so far. Attempts are those assigned,
 // Sent those of which the last byte left for a backend that its carrier reports.
-type Counts struct{ Taken, Served, Refused, Failed, HungUp, Attempts, Sent uint64 }
+type Counts struct{ Accepted, Served, Rejected, Failed, Cancelled, Attempts, Sent uint64 }
 
-// Tally counts the final answers to requests of one class, those of the fronts too.
-type Tally struct{ Served, Refused, Failed uint64 }
+// ClassCounts counts the final answers to requests of one class, those of the fronts too.
+type ClassCounts struct{ Served, Rejected, Failed uint64 }
 
 type req struct {
 	handle   uint64
 	name     uint64 // its name, hashed
-	front    Front
+	front    FrontEnd
 	token    uint64
-	job      Job
+	job      Request
 	deadline time.Duration
 	attempts []attempt
 	out      int
@@ -223,7 +223,7 @@
 	req     uint64
 	attempt int
 	backend string
-	carrier Carrier
+	carrier WorkerClient
 	sent    bool   // its last byte has left
 	left    bool   // so its carrier says, or its backend has begun with it
 	leasing bool   // it waits for its lease, and no carrier knows of it
@@ -231,93 +231,93 @@
 }
 
 type listing struct {
-	entry  decision.Entry
-	source Carrier
+	entry  decision.Endpoint
+	source WorkerClient
 }
 
 // New returns a core that knows no backend yet.
-func New(loop *eventloop.Loop, s decision.Settings, seed uint64) (*Core, error) {
+func New(loop *eventloop.Loop, s decision.Settings, seed uint64) (*Dispatcher, error) {
 	m, err := decision.New(s, seed)
 	if err != nil {
 		return nil, err
 	}
 	var key [16]byte
 	_, _ = rand.Read(key[:]) // never fails
-	return &Core{
+	return &Dispatcher{
 		Loop: loop, Settings: s, Seed: seed, Log: func(string) {}, module: m, listed: map[string]listing{}, left: map[string]time.Duration{},
-		tallies: make([]Tally, len(s.Classes)),
+		tallies: make([]ClassCounts, len(s.Classes)),
 		ids:     ids{key: key, open: map[uint64]int{}, past: map[uint64]struct{}{}},
 	}, nil
 }
 
-// Step traces a step of the request of that id, or of none, where someone follows them.
-func (c *Core) Step(id, step string, more ...any) {
+// TraceStep traces a step of the request of that id, or of none, where someone follows them.
+func (c *Dispatcher) TraceStep(id, step string, more ...any) {
 	if c.Trace != nil {
 		c.Trace(id, step, more...)
 	}
 }
 
-// Names tells the key of the names of reqs, and the names that are open or were
+// RequestIDs tells the key of the names of reqs, and the names that are open or were
 // lately, for a successor.
-func (c *Core) Names() (key []byte, names []uint64) {
+func (c *Dispatcher) RequestIDs() (key []byte, names []uint64) {
 	for h := range c.ids.open {
 		names = append(names, h)
 	}
 	return c.ids.key[:], append(names, c.ids.ring...)
 }
 
-// Succeed takes over the key of the names. No req may have come yet.
-func (c *Core) Succeed(key []byte) { copy(c.ids.key[:], key) }
+// AdoptIDKey takes over the key of the names. No req may have come yet.
+func (c *Dispatcher) AdoptIDKey(key []byte) { copy(c.ids.key[:], key) }
 
-// Bar lets no req of these names in: the other process has or had them.
-func (c *Core) Bar(names []uint64) {
+// BlockIDs lets no req of these names in: the other process has or had them.
+func (c *Dispatcher) BlockIDs(names []uint64) {
 	for _, h := range names {
 		c.ids.bar(h)
 	}
 }
 
-// ChargedElsewhere tells what the other process sent to a cold backend.
-func (c *Core) ChargedElsewhere(backend string, charge float64) {
-	c.handle(decision.Event{Kind: decision.ColdCharge, Worker: backend, Charge: charge})
+// ReservedElsewhere tells what the other process sent to a cold backend.
+func (c *Dispatcher) ReservedElsewhere(backend string, charge float64) {
+	c.handle(decision.Event{Kind: decision.ReservedElsewhere, Worker: backend, Reservation: charge})
 }
 
-// Finish gives all reqs that are still open their last moment now.
-func (c *Core) Finish() {
-	c.reqs.All(func(_ uint64, r *req) { c.lastMoment(r) })
+// ExpireAll gives all reqs that are still open their last moment now.
+func (c *Dispatcher) ExpireAll() {
+	c.reqs.ForEach(func(_ uint64, r *req) { c.lastMoment(r) })
 }
 
-// Named tells whether a req of that name is open, or was lately. A front that
+// IsKnownID tells whether a req of that name is open, or was lately. A front that
 // lets another in would have two jobs pass for one: the backends turn it away,
 // and the answer of either could be taken for the other's.
-func (c *Core) Named(id string) bool {
+func (c *Dispatcher) IsKnownID(id string) bool {
 	h := c.ids.hash(id)
 	_, past := c.ids.past[h]
 	return past || c.ids.open[h] > 0
 }
 
-// Owed is the number of reqs taken that have no final answer yet.
-func (c *Core) Owed() int { return c.owed }
+// Unanswered is the number of reqs taken that have no final answer yet.
+func (c *Dispatcher) Unanswered() int { return c.owed }
 
 // Counts tells what became of the reqs taken so far.
-func (c *Core) Counts() Counts { return c.counts }
+func (c *Dispatcher) Counts() Counts { return c.counts }
 
-// Tally counts the final answers to requests of a class.
-func (c *Core) Tally(class int) Tally { return c.tallies[class] }
+// ClassCounts counts the final answers to requests of a class.
+func (c *Dispatcher) ClassCounts(class int) ClassCounts { return c.tallies[class] }
 
-// Book counts a final answer that a front gave by itself, without a req.
-func (c *Core) Book(class int, v Verdict) {
+// CountResponse counts a final answer that a front gave by itself, without a req.
+func (c *Dispatcher) CountResponse(class int, v Outcome) {
 	switch t := &c.tallies[class]; v {
 	case Served:
 		t.Served++
-	case Refused:
-		t.Refused++
+	case Rejected:
+		t.Rejected++
 	default:
 		t.Failed++
 	}
 }
 
-// Listed is the number of backends that a source has listed, draining ones too.
-func (c *Core) Listed(source Carrier) (n int) {
+// WorkerCount is the number of backends that a source has listed, draining ones too.
+func (c *Dispatcher) WorkerCount(source WorkerClient) (n int) {
 	for _, l := range c.listed {
 		if l.source == source {
 			n++
@@ -326,8 +326,8 @@
 	return n
 }
 
-// Ejected is the number of those that the module avoids as failing.
-func (c *Core) Ejected(source Carrier) (n int) {
+// EjectedCount is the number of those that the module avoids as failing.
+func (c *Dispatcher) EjectedCount(source WorkerClient) (n int) {
 	for _, name := range c.module.Ejected() {
 		if l, ok := c.listed[name]; ok && l.source == source {
 			n++
@@ -336,65 +336,65 @@
 	return n
 }
 
-// Backends is the number of backends listed that take new work.
-func (c *Core) Backends() (ready int) { return c.ready }
+// ReadyWorkers is the number of backends listed that take new work.
+func (c *Dispatcher) ReadyWorkers() (ready int) { return c.ready }
 
-// Take takes a req. From now on a final answer is owed to front under token.
+// Accept takes a req. From now on a final answer is owed to front under token.
 // It returns the req's handle, for HangUp; the answer may come before it returns.
-func (c *Core) Take(front Front, token uint64, job Job) uint64 {
+func (c *Dispatcher) Accept(front FrontEnd, token uint64, job Request) uint64 {
 	now := c.Loop.Now()
 	r := &req{front: front, token: token, job: job}
 	left := c.Settings.Classes[job.Class].Deadline
-	if job.Left > 0 {
-		left = min(left, job.Left)
+	if job.TimeLeft > 0 {
+		left = min(left, job.TimeLeft)
 	}
-	if job.Since == 0 {
-		job.Since = now
+	if job.ReceivedAt == 0 {
+		job.ReceivedAt = now
 	}
-	r.deadline = max(job.Since+left-answerMargin, now)
-	r.handle = c.reqs.Put(r)
+	r.deadline = max(job.ReceivedAt+left-answerMargin, now)
+	r.handle = c.reqs.Insert(r)
 	r.name = c.ids.hash(job.ID)
 	c.ids.open[r.name]++
-	if c.Taken != nil {
-		c.Taken(r.name)
+	if c.OnAccepted != nil {
+		c.OnAccepted(r.name)
 	}
 	r.due.Fire = func() { c.lastMoment(r) }
-	r.timer.Fire = func() { c.handle(decision.Event{Kind: decision.TimerDue, Timer: r.handle}) }
+	r.timer.Fire = func() { c.handle(decision.Event{Kind: decision.TimerFired, Timer: r.handle}) }
 	c.Loop.Set(&r.due, r.deadline)
 	c.owed++
-	c.counts.Taken++
+	c.counts.Accepted++
 	if c.Trace != nil {
 		c.Trace(job.ID, "taken", "class", c.Settings.Classes[job.Class].Name, "left", r.deadline-now, "work", job.Work, "owed", c.owed)
 	}
 	c.handle(decision.Event{
-		Kind: decision.Arrival, Request: r.handle, Class: job.Class, Slots: job.Slots, Work: job.Work,
-		Left: max(r.deadline-now, 0), ClientRetry: job.Retry, Key: job.Key,
+		Kind: decision.RequestArrived, Request: r.handle, Class: job.Class, Slots: job.Slots, Work: job.Work,
+		TimeLeft: max(r.deadline-now, 0), ClientRetry: job.ClientRetry, Key: job.Key,
 	})
 	return r.handle
 }
 
-// HangUp tells that the client of a req wants no answer any more. It returns
+// Cancel tells that the client of a req wants no answer any more. It returns
 // whether the req may have run by then.
-func (c *Core) HangUp(handle uint64) (mayHaveRun bool) {
+func (c *Dispatcher) Cancel(handle uint64) (mayHaveRun bool) {
 	r := c.reqs.Get(handle)
 	if r == nil || r.answered {
 		return false
 	}
 	defer func() { mayHaveRun = r.mayHaveRun() }() // calling an attempt off may show that it never ran
-	c.counts.HungUp++
+	c.counts.Cancelled++
 	if c.Trace != nil {
 		c.Trace(r.job.ID, "hung up", "attempts", len(r.attempts))
 	}
 	c.settle(r)
-	c.handle(decision.Event{Kind: decision.HungUp, Request: handle})
+	c.handle(decision.Event{Kind: decision.ClientDisconnected, Request: handle})
 	c.tidy(r)
 	return false
 }
 
-// Abandoned tells whether the client of an attempt's request has left. If so, the
+// ClientGone tells whether the client of an attempt's request has left. If so, the
 // request has been hung up and the attempt stopped. A carrier asks it right
 // before the bytes that let the attempt begin.
-func (c *Core) Abandoned(handle uint64) bool {
+func (c *Dispatcher) ClientGone(handle uint64) bool {
 	f := c.outstanding.Get(handle)
 	if f == nil {
 		return true
@@ -404,12 +404,12 @@
 }
 
 // abandoned hangs up a request whose client has left. A leased job is wanted whoever waits.
-func (c *Core) abandoned(r *req) bool {
-	front, ok := r.front.(Presence)
-	if !ok || r.job.Lease != nil || !front.Left(r.token) {
+func (c *Dispatcher) abandoned(r *req) bool {
+	front, ok := r.front.(ClientWatcher)
+	if !ok || r.job.Leaser != nil || !front.ClientLeft(r.token) {
 		return false
 	}
-	front.HungUp(r.token, c.HangUp(r.handle))
+	front.RequestCancelled(r.token, c.Cancel(r.handle))
 	return true
 }
 
@@ -419,43 +419,43 @@
 
 // lastMoment guards against a lost req: what is still out is overdue, and if
 // the module has no word even then, the req has failed.
-func (c *Core) lastMoment(r *req) {
+func (c *Dispatcher) lastMoment(r *req) {
 	for i := 0; i < len(r.attempts) && c.reqs.Get(r.handle) == r; i++ {
 		if h := r.attempts[i].handle; c.outstanding.Get(h) != nil {
-			c.stop(h, decision.Overdue)
+			c.stop(h, decision.TimedOut)
 		}
 	}
 	if !r.answered {
-		c.answer(r, Answer{Verdict: Failed})
-		c.handle(decision.Event{Kind: decision.HungUp, Request: r.handle})
+		c.answer(r, Response{Outcome: Failed})
+		c.handle(decision.Event{Kind: decision.ClientDisconnected, Request: r.handle})
 		c.tidy(r)
 	}
 }
 
 // answer gives the one final answer.
-func (c *Core) answer(r *req, a Answer) {
+func (c *Dispatcher) answer(r *req, a Response) {
 	if r.answered {
 		return
 	}
 	a.MayHaveRun = r.mayHaveRun()
-	c.Book(r.job.Class, a.Verdict)
-	switch a.Verdict {
+	c.CountResponse(r.job.Class, a.Outcome)
+	switch a.Outcome {
 	case Served:
 		c.counts.Served++
-	case Refused:
-		c.counts.Refused++
+	case Rejected:
+		c.counts.Rejected++
 	default:
 		c.counts.Failed++
 	}
 	if c.Trace != nil {
-		c.Trace(r.job.ID, a.Verdict.String(), "attempts", len(r.attempts), "may_have_run", a.MayHaveRun, "left", r.deadline-c.Loop.Now(),
+		c.Trace(r.job.ID, a.Outcome.String(), "attempts", len(r.attempts), "may_have_run", a.MayHaveRun, "left", r.deadline-c.Loop.Now(),
 			"retry_after", a.RetryAfter)
 	}
 	c.settle(r)
-	r.front.Answer(r.token, a)
+	r.front.Respond(r.token, a)
 }
 
-func (c *Core) settle(r *req) {
+func (c *Dispatcher) settle(r *req) {
 	r.answered = true
 	c.owed--
 	c.Loop.Clear(&r.timer)
@@ -465,15 +465,15 @@
 // does, also where the settings let nothing be called off; but for an attempt
 // that has its lease, which is wanted whoever waits, and is its front's to end. The last moment
 // stands until then: an attempt that goes on after the answer ends there too.
-func (c *Core) tidy(r *req) {
+func (c *Dispatcher) tidy(r *req) {
 	for i := 0; r.answered && i < len(r.attempts); i++ {
-		if f := c.outstanding.Get(r.attempts[i].handle); f != nil && !f.left && (f.leasing || r.job.Lease == nil) {
-			c.stop(r.attempts[i].handle, decision.Recalled)
+		if f := c.outstanding.Get(r.attempts[i].handle); f != nil && !f.left && (f.leasing || r.job.Leaser == nil) {
+			c.stop(r.attempts[i].handle, decision.Cancelled)
 		}
 	}
 	if r.answered && r.out == 0 && c.reqs.Get(r.handle) == r {
 		c.Loop.Clear(&r.due)
-		c.reqs.Drop(r.handle)
+		c.reqs.Remove(r.handle)
 		c.ids.drop(r.name)
 		if r.job.Release != nil {
 			r.job.Release()
@@ -483,8 +483,8 @@
 
 // ---- What carriers report.
 
-// Ended tells how an attempt ended. For Completed, result is the body of the answer.
-func (c *Core) Ended(handle uint64, o decision.Outcome, load decision.Load, result []byte) {
+// AttemptEnded tells how an attempt ended. For Completed, result is the body of the answer.
+func (c *Dispatcher) AttemptEnded(handle uint64, o decision.AttemptOutcome, load decision.LoadReport, result []byte) {
 	f := c.outstanding.Get(handle)
 	if f == nil {
 		return
@@ -493,28 +493,28 @@
 	if c.Trace != nil {
 		c.Trace(r.job.ID, "attempt ended", "number", f.attempt, "backend", f.backend, "outcome", o, "sent", f.sent, "load", load)
 	}
-	c.outstanding.Drop(handle)
+	c.outstanding.Remove(handle)
 	r.out--
-	r.attempts[f.attempt].neverRan = o == decision.Saturated && !c.Settings.FullNoProof ||
-		o == decision.RefusedConn || o == decision.Superseded
+	r.attempts[f.attempt].neverRan = o == decision.Saturated && !c.Settings.SaturatedMayHaveRun ||
+		o == decision.ConnectionRefused || o == decision.NotSent
 	if f.fence != 0 {
-		r.job.Lease.Ended(&r.job, f.fence, o, r.attempts[f.attempt].neverRan, result)
+		r.job.Leaser.Ended(&r.job, f.fence, o, r.attempts[f.attempt].neverRan, result)
 	}
 	switch {
 	case o == decision.Completed:
-		c.answer(r, Answer{Verdict: Served, Result: result})
+		c.answer(r, Response{Outcome: Served, Body: result})
 	case f.fence != 0 && !r.attempts[f.attempt].neverRan:
-		c.answer(r, Answer{Verdict: Failed})
+		c.answer(r, Response{Outcome: Failed})
 	}
 	c.handle(decision.Event{
-		Kind: decision.Response, Request: f.req, Attempt: f.attempt, Worker: f.backend,
-		Outcome: o, Settled: r.answered, Load: load,
+		Kind: decision.AttemptEnded, Request: f.req, Attempt: f.attempt, Worker: f.backend,
+		Outcome: o, Answered: r.answered, Load: load,
 	})
 	c.tidy(r)
 }
 
-// Sent tells that the last byte of an attempt has left; told again, it counts once.
-func (c *Core) Sent(handle uint64) {
+// AttemptSent tells that the last byte of an attempt has left; told again, it counts once.
+func (c *Dispatcher) AttemptSent(handle uint64) {
 	if f := c.outstanding.Get(handle); f != nil && !f.sent {
 		f.sent, f.left = true, true
 		c.counts.Sent++
@@ -525,79 +525,79 @@
 	}
 }
 
-// Started tells that a backend has begun with an attempt.
-func (c *Core) Started(handle uint64) {
+// AttemptStarted tells that a backend has begun with an attempt.
+func (c *Dispatcher) AttemptStarted(handle uint64) {
 	if f := c.outstanding.Get(handle); f != nil {
 		f.left = true
 		if r := c.reqs.Get(f.req); c.Trace != nil && r != nil {
 			c.Trace(r.job.ID, "started", "number", f.attempt, "backend", f.backend)
 		}
 		c.handle(decision.Event{
-			Kind: decision.Started, Request: f.req, Attempt: f.attempt, Worker: f.backend,
+			Kind: decision.AttemptStarted, Request: f.req, Attempt: f.attempt, Worker: f.backend,
 		})
 	}
 }
 
-// Progress tells what share of an attempt is done.
-func (c *Core) Progress(handle uint64, share float64) {
+// AttemptProgressed tells what share of an attempt is done.
+func (c *Dispatcher) AttemptProgressed(handle uint64, share float64) {
 	if f := c.outstanding.Get(handle); f != nil {
 		c.handle(decision.Event{
-			Kind: decision.ProgressMade, Request: f.req, Attempt: f.attempt, Worker: f.backend, Fraction: share,
+			Kind: decision.AttemptProgressed, Request: f.req, Attempt: f.attempt, Worker: f.backend, Fraction: share,
 		})
 	}
 }
 
-// Probed tells a backend's load, asked for or not.
-func (c *Core) Probed(backend string, o decision.Outcome, load decision.Load) {
-	c.handle(decision.Event{Kind: decision.ProbeResult, Worker: backend, Outcome: o, Load: load})
+// HealthChecked tells a backend's load, asked for or not.
+func (c *Dispatcher) HealthChecked(backend string, o decision.AttemptOutcome, load decision.LoadReport) {
+	c.handle(decision.Event{Kind: decision.HealthChecked, Worker: backend, Outcome: o, Load: load})
 }
 
 // Reconfigure makes changes of the settings, all or none: an error names the key that is refused.
 // Requests that are open go on with what was decided for them.
-func (c *Core) Reconfigure(changes []settings.Change) error {
+func (c *Dispatcher) Reconfigure(changes []settings.Change) error {
 	next := c.Settings
 	if err := settings.Apply(&next, changes); err != nil {
 		return err
 	}
 	c.Settings = next
-	c.handle(decision.Event{Kind: decision.Reconfigured, Settings: &next})
+	c.handle(decision.Event{Kind: decision.SettingsChanged, Settings: &next})
 	return nil
 }
 
-// Listen makes a carrier a source of backends.
-func (c *Core) Listen(source Carrier) { c.sources = append(c.sources, source) }
+// AddSource makes a carrier a source of backends.
+func (c *Dispatcher) AddSource(source WorkerClient) { c.sources = append(c.sources, source) }
 
-// List takes in what a source says of its backends. What another source lists
+// UpdateWorkers takes in what a source says of its backends. What another source lists
 // stays: a complete list is complete for its own source alone.
-func (c *Core) List(source Carrier, kind decision.ListKind, entries []decision.Entry) {
-	ev := decision.Event{Kind: decision.WorkerList, List: kind, Entries: entries}
-	if kind == decision.ListComplete || kind == decision.ListPersisted {
+func (c *Dispatcher) UpdateWorkers(source WorkerClient, kind decision.ListKind, entries []decision.Endpoint) {
+	ev := decision.Event{Kind: decision.ListUpdated, ListKind: kind, Endpoints: entries}
+	if kind == decision.ListSnapshot || kind == decision.ListCached {
 		for name, l := range c.listed {
 			if l.source == source {
 				c.unlist(name)
-				c.noteLeft(decision.Entry{Worker: name, State: decision.Deleted})
+				c.noteLeft(decision.Endpoint{Name: name, State: decision.Removed})
 			}
 		}
-		var others []decision.Entry
+		var others []decision.Endpoint
 		for _, l := range c.listed {
 			others = append(others, l.entry)
 		}
-		slices.SortFunc(others, func(a, b decision.Entry) int { // a map's order would make runs differ
-			if a.Worker < b.Worker {
+		slices.SortFunc(others, func(a, b decision.Endpoint) int { // a map's order would make runs differ
+			if a.Name < b.Name {
 				return -1
 			}
 			return 1
 		})
-		ev.Entries = append(slices.Clone(entries), others...)
+		ev.Endpoints = append(slices.Clone(entries), others...)
 	}
 	if c.Trace != nil {
 		c.Trace("", "list", "kind", kind, "entries", len(entries))
 	}
 	for _, e := range entries {
-		c.unlist(e.Worker)
+		c.unlist(e.Name)
 		c.noteLeft(e)
-		if e.State != decision.Deleted {
-			c.listed[e.Worker] = listing{e, source}
+		if e.State != decision.Removed {
+			c.listed[e.Name] = listing{e, source}
 		}
 		if e.State == decision.Running {
 			c.ready++
@@ -607,12 +607,12 @@
 }
 
 // noteLeft books when a backend was notified to drain or to have gone.
-func (c *Core) noteLeft(e decision.Entry) {
+func (c *Dispatcher) noteLeft(e decision.Endpoint) {
 	now := c.Loop.Now()
 	if e.State == decision.Running {
-		delete(c.left, e.Worker)
-	} else if _, known := c.left[e.Worker]; !known {
-		c.left[e.Worker] = now
+		delete(c.left, e.Name)
+	} else if _, known := c.left[e.Name]; !known {
+		c.left[e.Name] = now
 	}
 	if len(c.left) > mostLeft { // only what lately left can still be sent to by mistake
 		for name, at := range c.left {
@@ -628,40 +628,40 @@
 	leftKept = time.Minute
 )
 
-// Suspend tells that a source cannot answer for backends of its list for now: they
+// SuspendWorkers tells that a source cannot answer for backends of its list for now: they
 // get nothing until Resume. What is out at them goes on.
-func (c *Core) Suspend(source Carrier, backends []string) {
-	c.suspension(decision.Suspended, source, backends)
+func (c *Dispatcher) SuspendWorkers(source WorkerClient, backends []string) {
+	c.suspension(decision.WorkersSuspended, source, backends)
 }
 
-// Resume takes a suspension back.
-func (c *Core) Resume(source Carrier, backends []string) {
-	c.suspension(decision.Resumed, source, backends)
+// ResumeWorkers takes a suspension back.
+func (c *Dispatcher) ResumeWorkers(source WorkerClient, backends []string) {
+	c.suspension(decision.WorkersResumed, source, backends)
 }
 
-func (c *Core) suspension(kind decision.EventKind, source Carrier, backends []string) {
-	var entries []decision.Entry
+func (c *Dispatcher) suspension(kind decision.EventKind, source WorkerClient, backends []string) {
+	var entries []decision.Endpoint
 	for _, name := range backends {
 		if l, ok := c.listed[name]; ok && l.source == source {
 			entries = append(entries, l.entry)
 		}
 	}
 	if len(entries) > 0 {
-		c.handle(decision.Event{Kind: kind, Entries: entries})
+		c.handle(decision.Event{Kind: kind, Endpoints: entries})
 	}
 }
 
 // refresh brings up to date what the sources know of the age of their lists.
-func (c *Core) refresh() {
+func (c *Dispatcher) refresh() {
 	for _, s := range c.sources {
-		if aging, ok := s.(Aging); ok {
+		if aging, ok := s.(Refresher); ok {
 			aging.Refresh()
 		}
 	}
 }
 
 // unlist forgets a backend, if it is listed.
-func (c *Core) unlist(name string) {
+func (c *Dispatcher) unlist(name string) {
 	l, ok := c.listed[name]
 	if ok && l.entry.State == decision.Running {
 		c.ready--
@@ -672,7 +672,7 @@
 // ---- What the module wants done.
 
 // handle feeds the module. What an action brings about at once waits its turn.
-func (c *Core) handle(ev decision.Event) {
+func (c *Dispatcher) handle(ev decision.Event) {
 	outermost := !c.handling
 	if outermost {
 		c.handling = true
@@ -693,32 +693,32 @@
 	c.handling = false
 }
 
-func (c *Core) act(a *decision.Action) {
+func (c *Dispatcher) act(a *decision.Action) {
 	switch a.Kind {
 	case decision.Assign:
-		c.assign(a.Request, a.Worker, a.Charge)
-	case decision.Refuse, decision.FinishError:
+		c.assign(a.Request, a.Worker, a.Reservation)
+	case decision.Reject, decision.Fail:
 		if r := c.reqs.Get(a.Request); r != nil {
-			answer := Answer{Verdict: Failed}
-			if a.Kind == decision.Refuse {
-				answer = Answer{Verdict: Refused, RetryAfter: a.Delay}
+			answer := Response{Outcome: Failed}
+			if a.Kind == decision.Reject {
+				answer = Response{Outcome: Rejected, RetryAfter: a.Delay}
 			}
 			c.answer(r, answer)
 			c.tidy(r)
 		}
-	case decision.StopAttempt:
+	case decision.CancelAttempt:
 		if r := c.reqs.Get(a.Request); r != nil && a.Attempt < len(r.attempts) {
-			c.stop(r.attempts[a.Attempt].handle, decision.Recalled)
+			c.stop(r.attempts[a.Attempt].handle, decision.Cancelled)
 		}
 	case decision.SetTimer:
 		c.setTimer(a.Timer, c.Loop.Now()+a.Delay)
-	case decision.Probe:
+	case decision.CheckHealth:
 		if l, ok := c.listed[a.Worker]; ok {
-			c.carrier(l).Probe(a.Worker)
+			c.carrier(l).CheckHealth(a.Worker)
 		}
-	case decision.Release:
+	case decision.CloseIdle:
 		if l, ok := c.listed[a.Worker]; ok {
-			c.carrier(l).Release(a.Worker)
+			c.carrier(l).CloseIdle(a.Worker)
 		}
 	case decision.Subscribe:
 		for _, s := range c.sources {
@@ -729,7 +729,7 @@
 	}
 }
 
-func (c *Core) setTimer(number uint64, at time.Duration) {
+func (c *Dispatcher) setTimer(number uint64, at time.Duration) {
 	if r := c.reqs.Get(number); r != nil {
 		if !r.answered {
 			c.Loop.Set(&r.timer, at)
@@ -737,29 +737,29 @@
 		return
 	}
 	c.Loop.Set(&eventloop.Deadline{Fire: func() {
-		c.handle(decision.Event{Kind: decision.TimerDue, Timer: number})
+		c.handle(decision.Event{Kind: decision.TimerFired, Timer: number})
 	}}, at)
 }
 
 // carrier is who takes attempts to a backend.
-func (c *Core) carrier(l listing) Carrier {
-	if c.Through != nil {
-		return c.Through
+func (c *Dispatcher) carrier(l listing) WorkerClient {
+	if c.ClientOverride != nil {
+		return c.ClientOverride
 	}
 	return l.source
 }
 
 // start is what the guard must know of an attempt of a request, the nth from 0 on.
-func (c *Core) start(r *req, n int) invariant.Start {
+func (c *Dispatcher) start(r *req, n int) invariant.Start {
 	return invariant.Start{
 		Now: c.Loop.Now(), Deadline: r.deadline, Answered: r.answered,
-		Fragile:    c.Settings.Classes[r.job.Class].Repeat == decision.Fragile,
-		MayHaveRun: slices.ContainsFunc(r.attempts[:n], func(a attempt) bool { return !a.neverRan }),
+		NonIdempotent: c.Settings.Classes[r.job.Class].Idempotency == decision.NonIdempotent,
+		MayHaveRun:    slices.ContainsFunc(r.attempts[:n], func(a attempt) bool { return !a.neverRan }),
 	}
 }
 
 // checkSent checks an attempt whose last byte has left.
-func (c *Core) checkSent(f *outstanding) {
+func (c *Dispatcher) checkSent(f *outstanding) {
 	r := c.reqs.Get(f.req)
 	if r == nil {
 		return
@@ -767,12 +767,12 @@
 	at, left := c.left[f.backend]
 	start := c.start(r, f.attempt)
 	c.Guard.CheckSent(start, invariant.Send{
-		Now: start.Now, Deadline: r.deadline, Left: left, LeftAt: at, Grace: c.Settings.DrainGrace,
+		Now: start.Now, Deadline: r.deadline, Leaving: left, LeavingSince: at, Grace: c.Settings.DrainGrace,
 	}, "request "+r.job.ID+" to "+f.backend)
 }
 
 // assign starts the next attempt of a req.
-func (c *Core) assign(handle uint64, backend string, charge float64) {
+func (c *Dispatcher) assign(handle uint64, backend string, charge float64) {
 	r := c.reqs.Get(handle)
 	if r == nil {
 		c.Log("the module assigned a req that is over")
@@ -787,38 +787,38 @@
 	if !may || !ok || n >= max(c.Settings.MaxAttempts, 1) {
 		r.attempts = append(r.attempts, attempt{neverRan: true})
 		c.handle(decision.Event{
-			Kind: decision.Response, Request: handle, Attempt: n, Worker: backend,
-			Outcome: decision.Superseded, Settled: r.answered,
+			Kind: decision.AttemptEnded, Request: handle, Attempt: n, Worker: backend,
+			Outcome: decision.NotSent, Answered: r.answered,
 		})
 		return
 	}
-	h := c.outstanding.Put(&outstanding{req: handle, attempt: n, backend: backend, carrier: c.carrier(l)})
+	h := c.outstanding.Insert(&outstanding{req: handle, attempt: n, backend: backend, carrier: c.carrier(l)})
 	until := c.until(r)
 	r.attempts = append(r.attempts, attempt{handle: h, at: c.Loop.Now()})
 	r.out++
 	c.counts.Attempts++
-	if charge > 0 && c.Charged != nil {
-		c.Charged(backend, charge)
+	if charge > 0 && c.OnReserved != nil {
+		c.OnReserved(backend, charge)
 	}
 	if c.Trace != nil {
 		c.Trace(r.job.ID, "attempt", "number", n, "backend", backend, "charge", charge)
 	}
 	start := Attempt{
-		Handle: h, Backend: backend, Job: &r.job, Deadline: r.deadline, Until: until, Number: n,
-		Settled: c.Settings.Classes[r.job.Class].Repeat != decision.Retryable,
+		Handle: h, Worker: backend, Request: &r.job, Deadline: r.deadline, RepeatBy: until, Number: n,
+		RepeatUnsafe: c.Settings.Classes[r.job.Class].Idempotency != decision.Idempotent,
 	}
-	if r.job.Lease == nil {
+	if r.job.Leaser == nil {
 		c.carrier(l).Start(start)
 		return
 	}
 	f := c.outstanding.Get(h)
 	f.leasing = true
-	r.job.Lease.Ask(&r.job, backend, func(fence uint64) bool {
+	r.job.Leaser.Acquire(&r.job, backend, func(fence uint64) bool {
 		if c.outstanding.Get(h) != f {
 			return false
 		}
 		if f.leasing, f.fence = false, fence; fence == 0 {
-			c.Ended(h, decision.Superseded, decision.Load{}, nil)
+			c.AttemptEnded(h, decision.NotSent, decision.LoadReport{}, nil)
 			return true
 		}
 		start.Fence = fence
@@ -831,10 +831,10 @@
 // it: backends drop a repeat that arrives within the window of the first attempt
 // that may have run. It counts from before that one left, and half of the time
 // allowed for a connect, which goes there and back, is left to the way.
-func (c *Core) until(r *req) (until time.Duration) {
+func (c *Dispatcher) until(r *req) (until time.Duration) {
 	class := &c.Settings.Classes[r.job.Class]
 	for _, a := range r.attempts {
-		if end := a.at + class.Window - c.Settings.ConnectTimeout/2; class.Repeat == decision.Dedup && !a.neverRan && (until == 0 || end < until) {
+		if end := a.at + class.DedupWindow - c.Settings.ConnectTimeout/2; class.Idempotency == decision.Deduplicated && !a.neverRan && (until == 0 || end < until) {
 			until = end
 		}
 	}
@@ -842,13 +842,13 @@
 }
 
 // stop gives an attempt up. If it is known never to have run, that is what is told.
-func (c *Core) stop(handle uint64, o decision.Outcome) {
+func (c *Dispatcher) stop(handle uint64, o decision.AttemptOutcome) {
 	f := c.outstanding.Get(handle)
 	if f == nil {
 		return
 	}
-	if f.leasing || f.carrier.Stop(handle) {
-		o = decision.Superseded
+	if f.leasing || f.carrier.Cancel(handle) {
+		o = decision.NotSent
 	}
-	c.Ended(handle, o, decision.Load{}, nil)
+	c.AttemptEnded(handle, o, decision.LoadReport{}, nil)
 }
--- a/internal/durable/audit.go
+++ b/internal/durable/audit.go
@@ -57,8 +57,8 @@
 	return "settled: it did not run"
 }
 
-// Book is a store that no dispatcher has open.
-type Book struct {
+// OfflineStore is a store that no dispatcher has open.
+type OfflineStore struct {
 	st  *store.Store
 	m   *jobs.Machine
 	now func() time.Duration
@@ -67,13 +67,13 @@
 	Audits []Audit // oldest first
 }
 
-// OpenBook opens a store, which a running dispatcher keeps closed to others.
-func OpenBook(path string, now func() time.Duration) (*Book, error) {
+// OpenOffline opens a store, which a running dispatcher keeps closed to others.
+func OpenOffline(path string, now func() time.Duration) (*OfflineStore, error) {
 	st, err := store.Open(path, store.Options{})
 	if err != nil {
 		return nil, err
 	}
-	b := &Book{st: st, m: jobs.New(jobs.Config{}), now: now}
+	b := &OfflineStore{st: st, m: jobs.New(jobs.Config{}), now: now}
 	kept, err := read(st, func(id string, value []byte) error {
 		if !strings.HasPrefix(id, auditPrefix) {
 			return nil
@@ -93,26 +93,26 @@
 }
 
 // Page lists some jobs behind a place in their order.
-func (b *Book) Page(after uint64, most, look int, want func(jobs.Job) bool) ([]jobs.Job, uint64) {
+func (b *OfflineStore) Page(after uint64, most, look int, want func(jobs.Job) bool) ([]jobs.Job, uint64) {
 	return b.m.Page(after, most, look, want)
 }
 
 // Get is a job as it is stored; false: it is not known.
-func (b *Book) Get(id string) (jobs.Job, bool) { return b.m.Get(id) }
+func (b *OfflineStore) Get(id string) (jobs.Job, bool) { return b.m.Get(id) }
 
-// Settle ends a job in doubt by an operator's word.
-func (b *Book) Settle(id string, ran bool, reason string) error {
-	effects, err := b.m.Settle(b.now(), id, ran, reason)
+// Resolve ends a job in doubt by an operator's word.
+func (b *OfflineStore) Resolve(id string, ran bool, reason string) error {
+	effects, err := b.m.Resolve(b.now(), id, ran, reason)
 	return b.keep(effects, err, Audit{ID: id, Act: settled(ran), Why: reason, Operator: true})
 }
 
 // Move moves a job that waits or is dead by an operator's word.
-func (b *Book) Move(id string, to jobs.Move, why string) error {
+func (b *OfflineStore) Move(id string, to jobs.Move, why string) error {
 	effects, err := b.m.Move(b.now(), id, to, why, true)
 	return b.keep(effects, err, Audit{ID: id, Act: to.String(), Why: why, Operator: true})
 }
 
-func (b *Book) keep(effects []jobs.Effect, err error, a Audit) error {
+func (b *OfflineStore) keep(effects []jobs.Effect, err error, a Audit) error {
 	if err != nil {
 		return err
 	}
@@ -129,8 +129,8 @@
 }
 
 // Snapshot writes the store to a file beside it.
-func (b *Book) Snapshot(path, name string) error {
-	to, err := Beside(path, name)
+func (b *OfflineStore) Snapshot(path, name string) error {
+	to, err := SiblingPath(path, name)
 	if err != nil {
 		return err
 	}
@@ -138,7 +138,7 @@
 }
 
 // Close lets go of the file.
-func (b *Book) Close() error { return b.st.Close() }
+func (b *OfflineStore) Close() error { return b.st.Close() }
 
 // View is a job as operators see it.
 type View struct {
@@ -156,8 +156,8 @@
 	Text     string          `json:"payload_text,omitempty"` // of a payload that is no JSON
 }
 
-// Show words a job for operators; full: with what it asks for.
-func Show(j jobs.Job, full bool) View {
+// NewView words a job for operators; full: with what it asks for.
+func NewView(j jobs.Job, full bool) View {
 	v := View{Seq: j.Seq, ID: j.ID, Class: j.Class, State: j.State.String(), Once: j.Once, Worker: j.Worker, Fence: j.Fence, Attempts: j.Attempts, Why: j.Why}
 	if j.Until > 0 && j.State != jobs.Ready && j.State != jobs.InDoubt {
 		v.Due = time.Unix(0, int64(j.Until)).UTC().Format(time.RFC3339Nano)
@@ -170,8 +170,8 @@
 	return v
 }
 
-// Chosen is a filter by state and class, each empty for all.
-func Chosen(state, class string) (func(jobs.Job) bool, error) {
+// Filter is a filter by state and class, each empty for all.
+func Filter(state, class string) (func(jobs.Job) bool, error) {
 	if state != "" && !jobs.IsState(state) {
 		return nil, fmt.Errorf("state: %q is none of %s", state, strings.Join(jobs.States(), ", "))
 	}
--- a/internal/durable/desk.go
+++ b/internal/durable/desk.go
@@ -23,29 +23,29 @@
 // it was not told when to come back.
 const restTime = 250 * time.Millisecond
 
-// Wire is who knows jobs' words and backends' slots. A lease is asked for once a
+// Workers is who knows jobs' words and backends' slots. A lease is asked for once a
 // slot is free and kept for it, or a crash in between would leave a job in doubt
 // that nobody had been handed.
-type Wire interface {
-	Make(j jobs.Job) (dispatch.Job, error) // a job as the core has it
-	Free() [][]int                         // the classes that each free slot wants, dearest first; the longest free first
-	Honours(backend string) jobs.Honours   // what a backend has promised
+type Workers interface {
+	Request(j jobs.Job) (dispatch.Request, error) // a job as the core has it
+	FreeSlots() [][]int                           // the classes that each free slot wants, dearest first; the longest free first
+	Guarantee(backend string) jobs.Guarantee      // what a backend has promised
 	Reserve(backend string, class int, id string, then func(free bool))
 	Unreserve(backend, id string)
-	Beats(backend string) bool // whether it renews its leases itself
+	SendsHeartbeats(backend string) bool // whether it renews its leases itself
 }
 
-// Desk belongs to the loop's goroutine.
-type Desk struct {
+// Scheduler belongs to the loop's goroutine.
+type Scheduler struct {
 	s       *Service
-	core    *dispatch.Core
-	wire    Wire
+	core    *dispatch.Dispatcher
+	wire    Workers
 	names   map[string]int
 	backlog [][]string // ids that may run, by class
 	again   [][]string // of them, those that the module gave up, which go first
 	in      map[string]bool
 	out     map[string]*errand // in the core, by id
-	errands slotmap.Table[errand]
+	errands slotmap.Map[errand]
 	offers  int // of them, without a lease
 	paused  map[string]bool
 	turn    eventloop.Deadline
@@ -60,39 +60,39 @@
 	leased bool
 }
 
-// NewDesk joins a service to a core. The service may be started after that.
-func NewDesk(s *Service, c *dispatch.Core, w Wire) *Desk {
-	d := &Desk{s: s, core: c, wire: w, names: map[string]int{}, backlog: make([][]string, len(c.Settings.Classes)), again: make([][]string, len(c.Settings.Classes)),
+// NewScheduler joins a service to a core. The service may be started after that.
+func NewScheduler(s *Service, c *dispatch.Dispatcher, w Workers) *Scheduler {
+	d := &Scheduler{s: s, core: c, wire: w, names: map[string]int{}, backlog: make([][]string, len(c.Settings.Classes)), again: make([][]string, len(c.Settings.Classes)),
 		in: map[string]bool{}, out: map[string]*errand{}, paused: s.paused()}
 	for i, class := range c.Settings.Classes {
 		d.names[class.Name] = i
 	}
 	d.turn.Fire = d.pump
-	s.Runnable = d.runnable
+	s.OnRunnable = d.runnable
 	return d
 }
 
 // Wake makes the desk look again, soon: a slot has become free.
-func (d *Desk) Wake() {
+func (d *Scheduler) Wake() {
 	if len(d.in) > 0 {
 		d.core.Loop.Set(&d.turn, d.core.Loop.Now())
 	}
 }
 
 // Stop begins a planned end: nothing more is handed to the core.
-func (d *Desk) Stop() { d.stopped = true }
+func (d *Scheduler) Stop() { d.stopped = true }
 
 // Release takes all jobs off the core: what is leased stays so, and its worker
 // will tell whoever has the store next.
-func (d *Desk) Release() {
+func (d *Scheduler) Release() {
 	d.stopped = true
 	for _, e := range d.out {
-		d.core.HangUp(e.req)
+		d.core.Cancel(e.req)
 	}
 	clear(d.out)
 }
 
-func (d *Desk) runnable(j jobs.Job) {
+func (d *Scheduler) runnable(j jobs.Job) {
 	class, known := d.names[j.Class]
 	if !known {
 		d.core.Log(fmt.Sprintf("durable job %s waits: no class %q is served here", j.ID, j.Class))
@@ -107,7 +107,7 @@
 }
 
 // next takes the first job that may run off the queues, in their order.
-func (d *Desk) next(classes []int) (j jobs.Job, class int, ok bool) {
+func (d *Scheduler) next(classes []int) (j jobs.Job, class int, ok bool) {
 	for _, class := range classes {
 		if d.paused[d.core.Settings.Classes[class].Name] {
 			continue
@@ -129,34 +129,34 @@
 }
 
 // pump hands the core a job for each free slot that none has been handed for.
-func (d *Desk) pump() {
+func (d *Scheduler) pump() {
 	if d.stopped {
 		return
 	}
-	slots := d.wire.Free()
+	slots := d.wire.FreeSlots()
 	for i := d.offers; i < len(slots); i++ {
 		j, class, ok := d.next(slots[i])
 		if !ok {
 			continue
 		}
-		job, err := d.wire.Make(j)
+		job, err := d.wire.Request(j)
 		if err != nil { // it was readable when it was taken on
 			d.core.Log(fmt.Sprintf("durable job %s cannot be read, and is dead: %v", j.ID, err))
 			d.s.Move(j.ID, jobs.Kill, err.Error(), true)
 			continue
 		}
-		job.Lease, job.Since = d, 0
+		job.Leaser, job.ReceivedAt = d, 0
 		e := &errand{id: j.ID, class: class}
 		d.out[j.ID] = e
 		d.offers++
-		e.req = d.core.Take(d, d.errands.Put(e), job)
+		e.req = d.core.Accept(d, d.errands.Insert(e), job)
 	}
 }
 
-// Answer is told that the core is through with a job. One that has not run comes back to the head of its queue.
-func (d *Desk) Answer(token uint64, a dispatch.Answer) {
+// Respond is told that the core is through with a job. One that has not run comes back to the head of its queue.
+func (d *Scheduler) Respond(token uint64, a dispatch.Response) {
 	e := d.errands.Get(token)
-	d.errands.Drop(token)
+	d.errands.Remove(token)
 	delete(d.out, e.id)
 	if !e.leased {
 		d.offers--
@@ -175,8 +175,8 @@
 	})
 }
 
-// Ask leases a job to a backend.
-func (d *Desk) Ask(job *dispatch.Job, backend string, told func(fence uint64) bool) {
+// Acquire leases a job to a backend.
+func (d *Scheduler) Acquire(job *dispatch.Request, backend string, told func(fence uint64) bool) {
 	e := d.out[job.ID]
 	id := job.ID
 	if d.stopped {
@@ -195,8 +195,8 @@
 }
 
 // assign leases a job to a backend that has a slot for it.
-func (d *Desk) assign(e *errand, id, backend string, told func(fence uint64) bool, no func()) bool {
-	return d.s.Assign(id, backend, d.wire.Honours(backend), func(j jobs.Job, why string) {
+func (d *Scheduler) assign(e *errand, id, backend string, told func(fence uint64) bool, no func()) bool {
+	return d.s.Assign(id, backend, d.wire.Guarantee(backend), func(j jobs.Job, why string) {
 		if why != "" {
 			no()
 			return
@@ -207,7 +207,7 @@
 				d.offers--
 			}
 		}
-		if !d.wire.Beats(backend) { // its fetch tells that it is alive, until the core gives that up
+		if !d.wire.SendsHeartbeats(backend) { // its fetch tells that it is alive, until the core gives that up
 			d.s.Extend(id, j.Fence, d.core.Loop.Now()+d.core.Settings.Classes[d.names[j.Class]].Deadline)
 		}
 		if !told(j.Fence) {
@@ -220,7 +220,7 @@
 
 // Ended tells what became of a lease. Where nobody can tell whether the job ran,
 // the lease goes on: its worker may come back with what it holds.
-func (d *Desk) Ended(job *dispatch.Job, fence uint64, o decision.Outcome, neverRan bool, result []byte) {
+func (d *Scheduler) Ended(job *dispatch.Request, fence uint64, o decision.AttemptOutcome, neverRan bool, result []byte) {
 	ignore := func(string) {}
 	switch {
 	case o == decision.Completed:
@@ -231,19 +231,19 @@
 			d.offers++
 		}
 		d.s.Fail(job.ID, fence, o.String(), false, ignore)
-	case o == decision.Errored:
+	case o == decision.Failed:
 		d.s.Fail(job.ID, fence, o.String(), true, ignore)
 	}
 }
 
 // Waiting is the number of jobs of a class that may run and are not out.
-func (d *Desk) Waiting(class int) int { return len(d.backlog[class]) + len(d.again[class]) }
+func (d *Scheduler) Waiting(class int) int { return len(d.backlog[class]) + len(d.again[class]) }
 
 // Paused lists the classes that hand nothing out.
-func (d *Desk) Paused() []string { return slices.Sorted(maps.Keys(d.paused)) }
+func (d *Scheduler) Paused() []string { return slices.Sorted(maps.Keys(d.paused)) }
 
 // Pause stops or resumes a class. told hears once the disk has it.
-func (d *Desk) Pause(class string, on bool, told func(why string)) {
+func (d *Scheduler) Pause(class string, on bool, told func(why string)) {
 	if on {
 		d.paused[class] = true
 	} else {
--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -44,10 +44,10 @@
 	hands                    map[string]func(j jobs.Job, why string)
 	watches                  map[string][]func(jobs.Job) // who waits for a job's end
 
-	// Runnable is told each job that may be handed out, and once more when it may be again.
-	Runnable func(j jobs.Job)
-	// Lapsed is told each lease that has run out; nil: nobody wants to know.
-	Lapsed func(j jobs.Job)
+	// OnRunnable is told each job that may be handed out, and once more when it may be again.
+	OnRunnable func(j jobs.Job)
+	// OnLeaseExpired is told each lease that has run out; nil: nobody wants to know.
+	OnLeaseExpired func(j jobs.Job)
 
 	path   string
 	first  []jobs.Effect  // of the recovery, until Start
@@ -160,10 +160,10 @@
 				hand(e.Job, "")
 			}
 		case jobs.Runnable:
-			s.Runnable(e.Job)
+			s.OnRunnable(e.Job)
 		case jobs.Lapsed:
-			if s.Lapsed != nil {
-				s.Lapsed(e.Job)
+			if s.OnLeaseExpired != nil {
+				s.OnLeaseExpired(e.Job)
 			}
 		}
 	}
@@ -213,14 +213,14 @@
 	s.log.Error("durable job not stored", "id", id, "state", before.State.String(), "why", why)
 	switch before.State {
 	case jobs.Accepted:
-		s.run(s.m.NotStored(id, version, why))
+		s.run(s.m.StoreFailed(id, version, why))
 		for len(s.pushes[id]) > 0 { // those who pushed it again meanwhile
 			one(s.pushes, id, "not kept: "+why)
 		}
 	case jobs.Leased:
 		hand := s.hands[id]
 		delete(s.hands, id)
-		effects := s.m.NotStored(id, version, why)
+		effects := s.m.StoreFailed(id, version, why)
 		if hand != nil {
 			hand(before, why)
 		}
@@ -267,7 +267,7 @@
 // Assign leases a job to a worker and calls hand once the lease is on the disk, or
 // with why it is not given. false: the job may not be handed out now, and hand is
 // not called.
-func (s *Service) Assign(id, worker string, h jobs.Honours, hand func(j jobs.Job, why string)) bool {
+func (s *Service) Assign(id, worker string, h jobs.Guarantee, hand func(j jobs.Job, why string)) bool {
 	effects := s.m.Assign(s.loop.Now(), id, worker, h)
 	if len(effects) == 0 {
 		return false
@@ -277,10 +277,10 @@
 	return true
 }
 
-// Begin tells that a worker asks to start a job under a fence. told hears yes
+// StartJob tells that a worker asks to start a job under a fence. told hears yes
 // once the start is on the disk, or that it must not start.
-func (s *Service) Begin(id string, fence uint64, told func(why string)) {
-	effects, no := s.m.Begin(s.loop.Now(), id, fence)
+func (s *Service) StartJob(id string, fence uint64, told func(why string)) {
+	effects, no := s.m.Start(s.loop.Now(), id, fence)
 	if no {
 		s.run(effects)
 		told("the lease is void")
@@ -289,8 +289,8 @@
 	s.answer(effects, jobs.Grant, s.starts, id, told)
 }
 
-// Beat renews all leases of a worker.
-func (s *Service) Beat(worker string) { s.m.Beat(s.loop.Now(), worker) }
+// Heartbeat renews all leases of a worker.
+func (s *Service) Heartbeat(worker string) { s.m.Heartbeat(s.loop.Now(), worker) }
 
 // Ack tells that a job is done, and what came of it. told hears once that is on the disk, or why it does not count.
 func (s *Service) Ack(id string, fence uint64, result []byte, told func(why string)) {
@@ -302,9 +302,9 @@
 	s.answer(s.m.Fail(s.loop.Now(), id, fence, why, started), jobs.Reply, s.closings, id, told)
 }
 
-// Settle ends a job in doubt by an operator's word, with its reason.
-func (s *Service) Settle(id string, ran bool, reason string) error {
-	effects, err := s.m.Settle(s.loop.Now(), id, ran, reason)
+// Resolve ends a job in doubt by an operator's word, with its reason.
+func (s *Service) Resolve(id string, ran bool, reason string) error {
+	effects, err := s.m.Resolve(s.loop.Now(), id, ran, reason)
 	if err != nil {
 		return err
 	}
@@ -346,7 +346,7 @@
 // Snapshot writes the store as it is at one moment to a file of that name beside
 // it. told hears once that is on the disk.
 func (s *Service) Snapshot(name string, told func(why string)) {
-	path, err := Beside(s.path, name)
+	path, err := SiblingPath(s.path, name)
 	if err != nil {
 		told(err.Error())
 		return
@@ -360,16 +360,16 @@
 	}()
 }
 
-// Beside is the path of a file beside a store; a name that leads elsewhere is an error.
-func Beside(path, name string) (string, error) {
+// SiblingPath is the path of a file beside a store; a name that leads elsewhere is an error.
+func SiblingPath(path, name string) (string, error) {
 	if name == "" || name != filepath.Base(name) || strings.HasPrefix(name, ".") {
 		return "", fmt.Errorf("name: %q is no plain file name: a snapshot lies beside the store", name)
 	}
 	return filepath.Join(filepath.Dir(path), name), nil
 }
 
-// Synced calls told once all that has been changed so far is on the disk, or cannot be.
-func (s *Service) Synced(told func(why string)) { s.note(syncedNote, nil, told) }
+// AfterSync calls told once all that has been changed so far is on the disk, or cannot be.
+func (s *Service) AfterSync(told func(why string)) { s.note(syncedNote, nil, told) }
 
 func (s *Service) paused() map[string]bool {
 	paused := map[string]bool{}
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -30,13 +30,13 @@
 
 func open(t *testing.T, c Config) *rig {
 	t.Helper()
-	r := &rig{t: t, loop: eventloop.NewLoop(), runnable: make(chan jobs.Job, 1000), done: make(chan struct{})}
+	r := &rig{t: t, loop: eventloop.New(), runnable: make(chan jobs.Job, 1000), done: make(chan struct{})}
 	s, err := Open(r.loop, c, slog.New(slog.NewTextHandler(&r.log, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.s = s
-	s.Runnable = func(j jobs.Job) { r.runnable <- j }
+	s.OnRunnable = func(j jobs.Job) { r.runnable <- j }
 	go func() { r.loop.Run(); close(r.done) }()
 	r.do(s.Start)
 	return r
@@ -86,7 +86,7 @@
 	r.t.Helper()
 	c := make(chan handed, 1)
 	r.do(func() {
-		if !r.s.Assign(id, "w", jobs.Fences, func(j jobs.Job, why string) { c <- handed{j, why} }) {
+		if !r.s.Assign(id, "w", jobs.HonorsFences, func(j jobs.Job, why string) { c <- handed{j, why} }) {
 			r.t.Errorf("%s may not be handed out", id)
 		}
 	})
@@ -172,7 +172,7 @@
 				t.Errorf("%d attempts", h.j.Attempts)
 			}
 			at("start")
-			later("the start", func(told func(string)) { r.s.Begin("r", h.j.Fence, told) })
+			later("the start", func(told func(string)) { r.s.StartJob("r", h.j.Fence, told) })
 			at("ack")
 			later("the ACK", func(told func(string)) { r.s.Ack("r", h.j.Fence, nil, told) })
 			r.close()
@@ -215,7 +215,7 @@
 	}
 	receive(t, "the job again", r.runnable)
 	now := r.assign("a").j
-	if why := r.told("a void start", func(told func(string)) { r.s.Begin("a", old.Fence, told) }); why == "" {
+	if why := r.told("a void start", func(told func(string)) { r.s.StartJob("a", old.Fence, told) }); why == "" {
 		t.Error("a start under a void lease")
 	}
 	if why := r.told("a void ACK", func(told func(string)) { r.s.Ack("a", old.Fence, nil, told) }); why == "" {
@@ -247,7 +247,7 @@
 	}
 	r.assign("m")
 	held := r.assign("b").j
-	if why := r.told("start", func(told func(string)) { r.s.Begin("b", held.Fence, told) }); why != "" {
+	if why := r.told("start", func(told func(string)) { r.s.StartJob("b", held.Fence, told) }); why != "" {
 		t.Fatal(why)
 	}
 	r.close()
@@ -267,10 +267,10 @@
 		t.Fatalf("what had started is %q", got)
 	}
 	var err error
-	if r.do(func() { err = r.s.Settle("b", true, "") }); err == nil {
+	if r.do(func() { err = r.s.Resolve("b", true, "") }); err == nil {
 		t.Error("settled without a reason")
 	}
-	if r.do(func() { err = r.s.Settle("b", true, "the till shows it") }); err != nil || r.state("b") != "done" {
+	if r.do(func() { err = r.s.Resolve("b", true, "the till shows it") }); err != nil || r.state("b") != "done" {
 		t.Errorf("settled: %v, %s", err, r.state("b"))
 	}
 	if !strings.Contains(r.log.String(), "the till shows it") {
--- a/internal/durable/golden_test.go
+++ b/internal/durable/golden_test.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	service.Runnable = func(jobs.Job) {}
+	service.OnRunnable = func(jobs.Job) {}
 	s.Service = service
 	service.Start()
 	return s
@@ -80,7 +80,7 @@
 		if time.Now().After(end) {
 			s.t.Fatalf("nothing came: %s", what)
 		}
-		s.loop.Turn()
+		s.loop.RunOnce()
 	}
 	return why
 }
@@ -107,7 +107,7 @@
 }
 
 // lease pushes a job and leases it to a worker.
-func (s *scriptedService) lease(j jobs.Job, worker string, promise jobs.Honours) (fence uint64) {
+func (s *scriptedService) lease(j jobs.Job, worker string, promise jobs.Guarantee) (fence uint64) {
 	s.t.Helper()
 	s.push(j, 0)
 	s.must("lease "+j.ID, func(told func(string)) {
@@ -119,10 +119,10 @@
 }
 
 // begin pushes a job, leases it and grants its start.
-func (s *scriptedService) begin(j jobs.Job, worker string, promise jobs.Honours) (fence uint64) {
+func (s *scriptedService) begin(j jobs.Job, worker string, promise jobs.Guarantee) (fence uint64) {
 	s.t.Helper()
 	fence = s.lease(j, worker, promise)
-	s.must("start "+j.ID, func(told func(string)) { s.Begin(j.ID, fence, told) })
+	s.must("start "+j.ID, func(told func(string)) { s.StartJob(j.ID, fence, told) })
 	return fence
 }
 
@@ -149,49 +149,49 @@
 	limited := statusCheck("scheduled-1")
 	limited.Most, limited.Lease, limited.Drops = 9, 90*time.Second, true
 	s.push(limited, farFuture)
-	s.lease(renewal("leased-1"), "w-fences", jobs.Fences)
-	s.lease(statusCheck("leased-2"), "w-nothing", jobs.Nothing)
-	s.begin(renewal("started-1"), "w-tills", jobs.Tills)
-	s.fail("waiting-1", s.begin(statusCheck("waiting-1"), "w-nothing", jobs.Nothing), true)
-	s.fail("ready-never-started", s.lease(renewal("ready-never-started"), "w-fences", jobs.Fences), false)
-	fence := s.begin(renewal("done-1"), "w-fences", jobs.Fences)
+	s.lease(renewal("leased-1"), "w-fences", jobs.HonorsFences)
+	s.lease(statusCheck("leased-2"), "w-nothing", jobs.NoGuarantee)
+	s.begin(renewal("started-1"), "w-tills", jobs.Deduplicates)
+	s.fail("waiting-1", s.begin(statusCheck("waiting-1"), "w-nothing", jobs.NoGuarantee), true)
+	s.fail("ready-never-started", s.lease(renewal("ready-never-started"), "w-fences", jobs.HonorsFences), false)
+	fence := s.begin(renewal("done-1"), "w-fences", jobs.HonorsFences)
 	s.must("ack", func(told func(string)) { s.Ack("done-1", fence, []byte(`{"receipt":17}`), told) })
-	s.fail("dead-1", s.begin(renewal("dead-1"), "w-fences", jobs.Fences), true)
+	s.fail("dead-1", s.begin(renewal("dead-1"), "w-fences", jobs.HonorsFences), true)
 	dropped := statusCheck("discarded-1")
 	dropped.Most, dropped.Drops = 1, true
-	s.fail("discarded-1", s.begin(dropped, "w-nothing", jobs.Nothing), true)
+	s.fail("discarded-1", s.begin(dropped, "w-nothing", jobs.NoGuarantee), true)
 	s.operate()
 	s.request()
 	s.must("pause", func(told func(string)) { s.note(pausedNote, []string{"renewal", "status-check"}, told) })
-	s.must("sync", s.Synced)
+	s.must("sync", s.AfterSync)
 }
 
 // lapse lets leases under each promise run out.
 func (s *scriptedService) lapse() {
 	s.t.Helper()
 	for _, id := range []string{"doubt-1", "settled-ran", "settled-not-ran"} {
-		s.lease(renewal(id), "w-nothing", jobs.Nothing)
+		s.lease(renewal(id), "w-nothing", jobs.NoGuarantee)
 	}
-	s.begin(renewal("doubt-started"), "w-fences", jobs.Fences)
-	s.lease(renewal("freed-by-fences"), "w-fences", jobs.Fences)
-	s.lease(renewal("freed-by-tills"), "w-tills", jobs.Tills)
-	s.lease(statusCheck("lapsed-1"), "w-nothing", jobs.Nothing)
+	s.begin(renewal("doubt-started"), "w-fences", jobs.HonorsFences)
+	s.lease(renewal("freed-by-fences"), "w-fences", jobs.HonorsFences)
+	s.lease(renewal("freed-by-tills"), "w-tills", jobs.Deduplicates)
+	s.lease(statusCheck("lapsed-1"), "w-nothing", jobs.NoGuarantee)
 	s.now += 61 * time.Second
-	s.loop.Turn()
-	s.must("the lapses", s.Synced)
+	s.loop.RunOnce()
+	s.must("the lapses", s.AfterSync)
 }
 
 // operate does what operators do.
 func (s *scriptedService) operate() {
 	s.t.Helper()
-	s.noError(s.Settle("settled-ran", true, "the till shows it"))
+	s.noError(s.Resolve("settled-ran", true, "the till shows it"))
 	s.now += time.Millisecond
-	s.noError(s.Settle("settled-not-ran", false, "the till does not show it"))
+	s.noError(s.Resolve("settled-not-ran", false, "the till does not show it"))
 	s.push(statusCheck("moved-discard"), 0)
 	s.noError(s.Move("moved-discard", jobs.Discard, "not wanted", true))
 	s.push(statusCheck("moved-kill"), farFuture)
 	s.noError(s.Move("moved-kill", jobs.Kill, "for later", false))
-	s.fail("moved-requeue", s.begin(renewal("moved-requeue"), "w-fences", jobs.Fences), true)
+	s.fail("moved-requeue", s.begin(renewal("moved-requeue"), "w-fences", jobs.HonorsFences), true)
 	s.now += time.Millisecond
 	s.noError(s.Move("moved-requeue", jobs.Requeue, "the till is mended", true))
 }
@@ -351,7 +351,7 @@
 
 // What operators see of it has its form, and so has the audit.
 func TestGoldenShown(t *testing.T) {
-	b, err := OpenBook(unpack(t), func() time.Duration { return goldenStart + 2*time.Minute })
+	b, err := OpenOffline(unpack(t), func() time.Duration { return goldenStart + 2*time.Minute })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -361,7 +361,7 @@
 	list, _ := b.Page(0, 1000, 1000, func(jobs.Job) bool { return true })
 	for _, j := range list {
 		for _, full := range []bool{false, true} {
-			if err := lines.Encode(Show(j, full)); err != nil {
+			if err := lines.Encode(NewView(j, full)); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/durable/recover_test.go
+++ b/internal/durable/recover_test.go
@@ -61,13 +61,13 @@
 			info, _ := os.Stat(path)
 			b.ResetTimer()
 			for range b.N {
-				loop := eventloop.NewLoop()
+				loop := eventloop.New()
 				s, err := Open(loop, Config{Path: path}, slog.New(slog.DiscardHandler))
 				if err != nil {
 					b.Fatal(err)
 				}
 				ready := 0
-				s.Runnable = func(jobs.Job) { ready++ }
+				s.OnRunnable = func(jobs.Job) { ready++ }
 				s.Start()
 				if ready != n/10 || s.m.Len() != n {
 					b.Fatalf("%d of %d may run", ready, s.m.Len())
@@ -86,12 +86,12 @@
 func BenchmarkLoopStall(b *testing.B) {
 	for _, producers := range []int{0, 16, 256} {
 		b.Run(fmt.Sprint(producers), func(b *testing.B) {
-			loop := eventloop.NewLoop()
+			loop := eventloop.New()
 			s, err := Open(loop, Config{Path: filepath.Join(b.TempDir(), "jobs.db")}, slog.New(slog.DiscardHandler))
 			if err != nil {
 				b.Fatal(err)
 			}
-			s.Runnable = func(jobs.Job) {}
+			s.OnRunnable = func(jobs.Job) {}
 			go loop.Run()
 			var stop atomic.Bool
 			var pushed atomic.Int64
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -26,9 +26,9 @@
 	stopped bool
 	wake    chan struct{}
 
-	// Stalled is called on the loop's goroutine, before anything else, when the loop
+	// OnStall is called on the loop's goroutine, before anything else, when the loop
 	// goes on after it was held up for longer than stallTime; nil: nobody wants to know.
-	Stalled func()
+	OnStall func()
 
 	stallFrom, stallTo time.Duration // the latest stall; 0: there was none
 	turned             time.Duration // when the latest turn ended
@@ -42,8 +42,8 @@
 // stallTime is by how much a deadline is late that tells of a process that was held up.
 const stallTime = 500 * time.Millisecond
 
-// NewLoop returns a loop whose clock reads Unix time.
-func NewLoop() *Loop {
+// New returns a loop whose clock reads Unix time.
+func New() *Loop {
 	now := time.Now()
 	return &Loop{start: now, unix: time.Duration(now.UnixNano()), wake: make(chan struct{}, 1)}
 }
@@ -63,8 +63,8 @@
 	return &Loop{clock: clock, wake: make(chan struct{}, 1)}
 }
 
-// Turn does what is posted and fires what is due, once.
-func (l *Loop) Turn() (stopped bool) {
+// RunOnce does what is posted and fires what is due, once.
+func (l *Loop) RunOnce() (stopped bool) {
 	l.mu.Lock()
 	work, stopped := l.posted, l.stopped
 	l.posted = l.spare[:0]
@@ -90,17 +90,17 @@
 		return
 	}
 	l.stallFrom, l.stallTo = l.turned, now
-	if l.Stalled != nil {
-		l.Stalled()
+	if l.OnStall != nil {
+		l.OnStall()
 	}
 }
 
 // afterStall is how long after a stall what is read may have waited for its end.
 const afterStall = 100 * time.Millisecond
 
-// Waiting is since when what is read now may have been waiting: since now, but right
+// QueuedSince is since when what is read now may have been waiting: since now, but right
 // after a stall of the process since its begin.
-func (l *Loop) Waiting() time.Duration {
+func (l *Loop) QueuedSince() time.Duration {
 	now := l.Now()
 	if l.stallTo > 0 && now < l.stallTo+afterStall {
 		return l.stallFrom
@@ -108,8 +108,8 @@
 	return now
 }
 
-// Next is when the next Turn has something to do; false: never, as things stand.
-func (l *Loop) Next() (at time.Duration, ok bool) {
+// NextDue is when the next Turn has something to do; false: never, as things stand.
+func (l *Loop) NextDue() (at time.Duration, ok bool) {
 	l.mu.Lock()
 	busy := len(l.posted) > 0 || l.stopped
 	l.mu.Unlock()
@@ -150,7 +150,7 @@
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
-		if l.Turn() {
+		if l.RunOnce() {
 			return
 		}
 		if wait := l.wait(); wait > 0 {
@@ -165,7 +165,7 @@
 
 // wait is how long nothing is due, 0 if something is or work was posted.
 func (l *Loop) wait() time.Duration {
-	at, ok := l.Next()
+	at, ok := l.NextDue()
 	if !ok {
 		return time.Hour
 	}
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -9,7 +9,7 @@
 // Deadlines fire in order of time, then of setting; moved and withdrawn ones
 // are told apart; one set while firing waits for the next turn.
 func TestDeadlinesFireInOrder(t *testing.T) {
-	l := NewLoop()
+	l := New()
 	var fired []int
 	now := l.Now()
 	d := make([]Deadline, 6)
@@ -40,7 +40,7 @@
 
 // What is posted from elsewhere runs in order, and a deadline wakes the loop.
 func TestLoopRunsWhatIsPosted(t *testing.T) {
-	l := NewLoop()
+	l := New()
 	var got []int
 	go func() {
 		for i := range 100 {
@@ -59,21 +59,21 @@
 	var now time.Duration
 	loop := NewVirtual(func() time.Duration { return now })
 	stalls := 0
-	loop.Stalled = func() { stalls++ }
+	loop.OnStall = func() { stalls++ }
 	var due Deadline
 	due.Fire = func() { loop.Set(&due, now+time.Second) }
 	loop.Set(&due, time.Second)
 	for ; now < 10*time.Second; now += 500 * time.Millisecond {
-		if loop.Turn(); loop.Waiting() != now {
-			t.Errorf("at %v, without a stall: since %v", now, loop.Waiting())
+		if loop.RunOnce(); loop.QueuedSince() != now {
+			t.Errorf("at %v, without a stall: since %v", now, loop.QueuedSince())
 		}
 	}
 	begin := now - 500*time.Millisecond
 	now += 7 * time.Second
-	if loop.Turn(); loop.Waiting() != begin || stalls != 1 {
-		t.Errorf("right after a stall: since %v, not %v; %d stalls", loop.Waiting(), begin, stalls)
+	if loop.RunOnce(); loop.QueuedSince() != begin || stalls != 1 {
+		t.Errorf("right after a stall: since %v, not %v; %d stalls", loop.QueuedSince(), begin, stalls)
 	}
-	if now += afterStall; loop.Waiting() != now {
-		t.Errorf("later: since %v", loop.Waiting())
+	if now += afterStall; loop.QueuedSince() != now {
+		t.Errorf("later: since %v", loop.QueuedSince())
 	}
 }
--- a/internal/faktory/durable.go
+++ b/internal/faktory/durable.go
@@ -82,7 +82,7 @@
 // keep is the durable side of the server; nil where all queues are direct.
 type keep struct {
 	*durable.Service
-	desk    *durable.Desk
+	desk    *durable.Scheduler
 	classes []bool // the durable ones
 	flush   bool
 	tracks  map[string]track
@@ -109,22 +109,22 @@
 		return fmt.Errorf("durable.path: %w", err)
 	}
 	s.kept = &keep{
-		Service: service, desk: durable.NewDesk(service, s.core, s), classes: c.Classes(&s.core.Settings),
+		Service: service, desk: durable.NewScheduler(service, s.core, s), classes: c.Classes(&s.core.Settings),
 		flush: c.Flush, tracks: map[string]track{},
 	}
-	service.Lapsed = func(j jobs.Job) { s.through(j.ID, j.Fence, decision.Overdue) }
+	service.OnLeaseExpired = func(j jobs.Job) { s.through(j.ID, j.Fence, decision.TimedOut) }
 	s.core.Loop.Post(service.Start)
 	return nil
 }
 
-// Make words a stored job for the core.
-func (s *Server) Make(j jobs.Job) (dispatch.Job, error) {
+// Request words a stored job for the core.
+func (s *Server) Request(j jobs.Job) (dispatch.Request, error) {
 	if r, is := durable.ReadRequest(j); is {
 		class, known := s.classes[j.Class]
 		if !known {
-			return dispatch.Job{}, errUnknown
+			return dispatch.Request{}, errUnknown
 		}
-		return dispatch.Job{ID: j.ID, Class: class, Target: r.Target, Key: r.Key, IdempotencyKey: r.IdempotencyKey, Body: r.Body, Slots: r.Slots, Work: r.Work}, nil
+		return dispatch.Request{ID: j.ID, Class: class, Target: r.Target, Key: r.Key, IdempotencyKey: r.IdempotencyKey, Body: r.Body, Slots: r.Slots, Work: r.Work}, nil
 	}
 	job, _, err := readJob(j.Payload, s.classes, s.core.Loop.Now())
 	return job, err
@@ -133,16 +133,16 @@
 // others is how many jobs are offered at a time where backends of other wires run, whose slots nobody tells here.
 const others = 16
 
-// Honours is what a worker has promised; those of other wires promise nothing.
-func (s *Server) Honours(backend string) jobs.Honours {
+// Guarantee is what a worker has promised; those of other wires promise nothing.
+func (s *Server) Guarantee(backend string) jobs.Guarantee {
 	if w := s.workers[backend]; w != nil {
 		return w.honours
 	}
-	return jobs.Nothing
+	return jobs.NoGuarantee
 }
 
-// Free lists the durable classes that each parked FETCH wants, in its order.
-func (s *Server) Free() (slots [][]int) {
+// FreeSlots lists the durable classes that each parked FETCH wants, in its order.
+func (s *Server) FreeSlots() (slots [][]int) {
 	var parked []*session
 	running := 0
 	for _, w := range s.workers {
@@ -157,7 +157,7 @@
 			slots = append(slots, n.wants)
 		}
 	}
-	if s.core.Backends() > running {
+	if s.core.ReadyWorkers() > running {
 		var all []int
 		for class, kept := range s.kept.classes {
 			if kept {
@@ -197,8 +197,8 @@
 	w.serveWaits(s)
 }
 
-// Beats tells whether a backend renews its leases itself: those of this wire do.
-func (s *Server) Beats(backend string) bool { return s.workers[backend] != nil }
+// SendsHeartbeats tells whether a backend renews its leases itself: those of this wire do.
+func (s *Server) SendsHeartbeats(backend string) bool { return s.workers[backend] != nil }
 
 // through ends a wait.
 func (w *worker) through(s *Server, x *wait, free bool) {
@@ -244,9 +244,9 @@
 const mostLease = 24 * time.Hour
 
 // durableJob words a job for the service.
-func (s *Server) durableJob(raw []byte, job dispatch.Job, w *work) (j jobs.Job) {
+func (s *Server) durableJob(raw []byte, job dispatch.Request, w *work) (j jobs.Job) {
 	class := s.core.Settings.Classes[job.Class]
-	j = jobs.Job{ID: job.ID, Class: class.Name, Once: class.Repeat != decision.Retryable, Payload: bytes.Clone(raw)}
+	j = jobs.Job{ID: job.ID, Class: class.Name, Once: class.Idempotency != decision.Idempotent, Payload: bytes.Clone(raw)}
 	// What makes a job another one; times and the like may differ from one PUSH to its repeat.
 	h := xxhash.New()
 	h.WriteString(class.Name + "\x00" + w.Jobtype)
@@ -266,7 +266,7 @@
 }
 
 // keep takes a job on durably: its producer hears once the disk has it.
-func (n *session) keep(job dispatch.Job, raw []byte, w *work, told func(why string)) {
+func (n *session) keep(job dispatch.Request, raw []byte, w *work, told func(why string)) {
 	n.srv.kept.Push(n.srv.durableJob(raw, job, w), w.at, func(why string) {
 		switch {
 		case why == jobs.OtherJob:
@@ -372,9 +372,9 @@
 	o := decision.Completed
 	switch verb {
 	case "START":
-		k.Begin(w.Jid, fence, func(why string) {
+		k.StartJob(w.Jid, fence, func(why string) {
 			if why != "" { // it will not run it
-				srv.through(w.Jid, fence, decision.Superseded)
+				srv.through(w.Jid, fence, decision.NotSent)
 			}
 			told(why)
 		})
@@ -382,7 +382,7 @@
 	case "ACK":
 		k.Ack(w.Jid, fence, nil, told)
 	case "FAIL":
-		o = decision.Errored
+		o = decision.Failed
 		started := w.Started == nil || *w.Started
 		k.Fail(w.Jid, fence, cmp.Or(strings.TrimPrefix(w.Type+": "+w.Message, ": "), "failed"), started, told)
 	}
@@ -392,11 +392,11 @@
 
 // through ends the delivery that went out under a lease: its worker is through
 // with it, or its word no longer counts.
-func (s *Server) through(id string, fence uint64, o decision.Outcome) {
+func (s *Server) through(id string, fence uint64, o decision.AttemptOutcome) {
 	for _, d := range s.deliveries {
-		if d.given && d.attempt.Job.ID == id && d.attempt.Fence == fence {
+		if d.given && d.attempt.Request.ID == id && d.attempt.Fence == fence {
 			s.drop(d)
-			s.core.Ended(d.attempt.Handle, o, decision.Load{}, nil)
+			s.core.AttemptEnded(d.attempt.Handle, o, decision.LoadReport{}, nil)
 			return
 		}
 	}
@@ -493,7 +493,7 @@
 		}
 	case "REMOVE":
 		k.move(jobs.Discard, "QUEUE REMOVE", func(j jobs.Job) bool { return j.State == jobs.Ready && slices.Contains(names, j.Class) })
-		k.Synced(func(why string) { told(okOr(why)) })
+		k.AfterSync(func(why string) { told(okOr(why)) })
 	default:
 		told("-ERR MALFORMED QUEUE: PAUSE, RESUME or REMOVE")
 	}
@@ -547,7 +547,7 @@
 		return (m.Filter.Jobtype == "" || m.Filter.Jobtype == cmp.Or(w.Jobtype, j.Class)) &&
 			(m.Filter.Jids == nil || slices.Contains(m.Filter.Jids, j.ID)) && (m.Filter.Regexp == "" || text)
 	})
-	n.srv.kept.Synced(func(why string) {
+	n.srv.kept.AfterSync(func(why string) {
 		if last != nil {
 			why = cmp.Or(why, "REFUSED "+last.Error())
 		}
@@ -567,7 +567,7 @@
 	k.move(jobs.Discard, "FLUSH", func(j jobs.Job) bool {
 		return j.State == jobs.Ready || j.State == jobs.Scheduled || j.State == jobs.Waiting || j.State == jobs.Dead
 	})
-	k.Synced(func(why string) { told(okOr(why)) })
+	k.AfterSync(func(why string) { told(okOr(why)) })
 }
 
 // trackStates are the protocol's names of states.
@@ -651,7 +651,7 @@
 	var step func()
 	step = func() {
 		late := loop.Now() >= limit
-		s.sessions.All(func(_ uint64, n *session) {
+		s.sessions.ForEach(func(_ uint64, n *session) {
 			switch {
 			case n.parked:
 				n.conn.Write([]byte("$-1\r\n"))
--- a/internal/faktory/faktory_test.go
+++ b/internal/faktory/faktory_test.go
@@ -26,15 +26,15 @@
 const patience = 20 * time.Second // no test waits that long unless something is broken
 
 // front runs the front with an operator's file and returns its address.
-func front(t testing.TB, toml string, tune func(*decision.Settings)) (addr string, c *dispatch.Core) {
+func front(t testing.TB, toml string, tune func(*decision.Settings)) (addr string, c *dispatch.Dispatcher) {
 	t.Helper()
 	s := decision.Settings{
 		Classes: []decision.Class{
-			{Name: "status-check", Worth: 3, LateWorth: 0.25, Aim: 4 * time.Second, Deadline: 5 * time.Second},
-			{Name: "renewal", Worth: 5, LateWorth: 0.5, Aim: 4 * time.Second, Deadline: 8 * time.Second, Repeat: decision.Fragile},
+			{Name: "status-check", PriorityWeight: 3, LateWeight: 0.25, LatencyObjective: 4 * time.Second, Deadline: 5 * time.Second},
+			{Name: "renewal", PriorityWeight: 5, LateWeight: 0.5, LatencyObjective: 4 * time.Second, Deadline: 8 * time.Second, Idempotency: decision.NonIdempotent},
 		},
-		Tick: time.Millisecond, MaxAttempts: 3, Cancel: true, TellsStart: true, MaxRetryAfter: 2 * time.Second,
-		ColdFrom: 0.33, WarmAfter: 8600 * time.Millisecond, FallMultiple: 4, FallWindow: time.Second,
+		Tick: time.Millisecond, MaxAttempts: 3, Cancellation: true, StartNotices: true, MaxRetryAfter: 2 * time.Second,
+		SlowStartFloor: 0.33, SlowStartDuration: 8600 * time.Millisecond, OverloadMultiple: 4, OverloadWindow: time.Second,
 		FreeSlots: "x0", DrainGrace: 500 * time.Millisecond,
 	}
 	if tune != nil {
@@ -51,7 +51,7 @@
 	if err := Prepare(&s); err != nil {
 		t.Fatal(err)
 	}
-	loop := eventloop.NewLoop()
+	loop := eventloop.New()
 	if c, err = dispatch.New(loop, s, 1); err != nil {
 		t.Fatal(err)
 	}
@@ -294,13 +294,13 @@
 		t.Errorf("overdue: %q", a)
 	}
 	onLoop(t, c, func() {
-		if c.Owed() != 0 || c.Counts().Refused != 2 || c.Counts().Failed != 1 {
-			t.Errorf("owed %d, counts %+v", c.Owed(), c.Counts())
+		if c.Unanswered() != 0 || c.Counts().Rejected != 2 || c.Counts().Failed != 1 {
+			t.Errorf("owed %d, counts %+v", c.Unanswered(), c.Counts())
 		}
 	})
 }
 
-func onLoop(t *testing.T, c *dispatch.Core, f func()) {
+func onLoop(t *testing.T, c *dispatch.Dispatcher, f func()) {
 	t.Helper()
 	done := make(chan struct{})
 	c.Loop.Post(func() { f(); close(done) })
@@ -690,7 +690,7 @@
 	for body, want := range map[string]string{
 		"pay \"now\"": `"args":["k 1","pay \"now\""]}`, "\xff\x00": `"args":["k 1","/wA="],"custom":{"encoding":"base64"}}`,
 	} {
-		raw := string(makeJob(&dispatch.Job{ID: "id-1", Key: "k 1", Body: []byte(body)}, "renewal"))
+		raw := string(makeJob(&dispatch.Request{ID: "id-1", Key: "k 1", Body: []byte(body)}, "renewal"))
 		if !strings.HasSuffix(raw, want) || jidOf(raw) != "id-1" {
 			t.Errorf("%q: %s", body, raw)
 		}
@@ -698,18 +698,18 @@
 }
 
 // echo is a carrier whose one worker does at once what a job's key says.
-type echo struct{ core *dispatch.Core }
+type echo struct{ core *dispatch.Dispatcher }
 
 func (e echo) Start(f dispatch.Attempt) {
-	o := map[string]decision.Outcome{
-		"done": decision.Completed, "failed": decision.Errored, "full": decision.Saturated,
-	}[f.Job.Key]
-	e.core.Ended(f.Handle, o, decision.Load{}, nil)
+	o := map[string]decision.AttemptOutcome{
+		"done": decision.Completed, "failed": decision.Failed, "full": decision.Saturated,
+	}[f.Request.Key]
+	e.core.AttemptEnded(f.Handle, o, decision.LoadReport{}, nil)
 }
-func (echo) Stop(uint64) bool { return false }
-func (echo) Release(string)   {}
-func (echo) Probe(string)     {}
-func (echo) Subscribe()       {}
+func (echo) Cancel(uint64) bool { return false }
+func (echo) CloseIdle(string)   {}
+func (echo) CheckHealth(string) {}
+func (echo) Subscribe()         {}
 
 // A command, how its answer begins, and whether the session ends with it. JID
 // is a new jid for each run of a step.
@@ -742,7 +742,7 @@
 	f.Add([]byte{12, 90})
 	addr, c := front(f, serverOnly, func(s *decision.Settings) { s.MaxAttempts = 1 })
 	c.Loop.Post(func() {
-		c.List(echo{c}, decision.ListChanges, []decision.Entry{{Worker: "w", Kind: 3}})
+		c.UpdateWorkers(echo{c}, decision.ListDelta, []decision.Endpoint{{Name: "w", Kind: 3}})
 	})
 	jids := 0
 	f.Fuzz(func(t *testing.T, steps []byte) {
@@ -798,7 +798,7 @@
 			t.Fatalf("%+v, used %d of %d, %v", r, used, len(b), err)
 		}
 		parseCommand(b)
-		if j, _, err := readJob(b, map[string]int{"a": 0}, time.Hour); err == nil && (len(j.ID) < 8 || j.Left < 0 || j.Work < 0) {
+		if j, _, err := readJob(b, map[string]int{"a": 0}, time.Hour); err == nil && (len(j.ID) < 8 || j.TimeLeft < 0 || j.Work < 0) {
 			t.Fatalf("%+v", j)
 		}
 	})
@@ -830,11 +830,11 @@
 func TestMemoryIsBounded(t *testing.T) {
 	m := newMemory()
 	m.begin("in-work", 0)
-	done := dispatch.Answer{Verdict: dispatch.Served, MayHaveRun: true}
+	done := dispatch.Response{Outcome: dispatch.Served, MayHaveRun: true}
 	for i := range mostJids + 10 {
 		id := fmt.Sprint(i)
 		m.begin(id, time.Second)
-		m.finish(id, done, decision.Fragile, time.Second)
+		m.finish(id, done, decision.NonIdempotent, time.Second)
 	}
 	if len(m.jids) != mostJids+1 || m.fate("9") != unknown || m.fate("10") != served || m.fate("in-work") != inWork {
 		t.Errorf("%d jids, fates %v %v %v", len(m.jids), m.fate("9"), m.fate("10"), m.fate("in-work"))
--- a/internal/faktory/fwp.go
+++ b/internal/faktory/fwp.go
@@ -133,7 +133,7 @@
 
 // Open starts the roles that the operator's file names. in, which may be nil,
 // decides who may connect.
-func Open(c *dispatch.Core, e *transport.Engine, config Config, most int, in *listener.Entry) (f Front, err error) {
+func Open(c *dispatch.Dispatcher, e *transport.Engine, config Config, most int, in *listener.Gate) (f Front, err error) {
 	jids := newMemory()
 	if config.Listen != "" {
 		f.Server = NewServer(c, e, config.Password, jids)
@@ -392,14 +392,14 @@
 )
 
 // readJob reads a job and finds its class; w is what it says beside that.
-func readJob(raw []byte, classes map[string]int, now time.Duration) (j dispatch.Job, w work, err error) {
+func readJob(raw []byte, classes map[string]int, now time.Duration) (j dispatch.Request, w work, err error) {
 	if err := json.Unmarshal(raw, &w); err != nil {
 		return j, w, err
 	}
 	if len(w.Jid) < 8 || len(w.Jid) > 256 || strings.ContainsFunc(w.Jid, func(r rune) bool { return r <= ' ' || r >= 0x7f }) {
 		return j, w, errJid
 	}
-	j = dispatch.Job{ID: w.Jid, Key: w.Custom.Key, Body: raw, Slots: w.Custom.Slots, Since: now, Retry: w.Custom.Repeat}
+	j = dispatch.Request{ID: w.Jid, Key: w.Custom.Key, Body: raw, Slots: w.Custom.Slots, ReceivedAt: now, ClientRetry: w.Custom.Repeat}
 	if w.Args == nil {
 		return j, w, errArgs
 	}
@@ -427,7 +427,7 @@
 	}
 	const most = 1e12 // keeps the products below in range
 	if ms := w.Custom.LeftMs; ms > 0 {
-		j.Left = time.Duration(min(ms*1e6, most))
+		j.TimeLeft = time.Duration(min(ms*1e6, most))
 	}
 	if us := w.Custom.EffortUs; us > 0 {
 		j.Work = time.Duration(min(us*1e3, most))
@@ -437,7 +437,7 @@
 
 // makeJob words a job that came by another wire, for a worker: its key and its
 // body are the args. A body that is no text goes as base64, and custom says so.
-func makeJob(j *dispatch.Job, class string) []byte {
+func makeJob(j *dispatch.Request, class string) []byte {
 	body, custom := string(j.Body), map[string]string(nil)
 	if !utf8.Valid(j.Body) {
 		body, custom = base64.StdEncoding.EncodeToString(j.Body), map[string]string{"encoding": "base64"}
@@ -476,7 +476,7 @@
 type jid struct {
 	fate  fate
 	since time.Duration
-	wait  []func(dispatch.Answer) // told of the answer while it is in work
+	wait  []func(dispatch.Response) // told of the answer while it is in work
 }
 
 // memory remembers jids, for both roles.
@@ -506,16 +506,16 @@
 }
 
 // finish books what became of a job, and tells those who waited for that.
-func (m *memory) finish(id string, a dispatch.Answer, repeat decision.Repeat, now time.Duration) {
+func (m *memory) finish(id string, a dispatch.Response, repeat decision.Idempotency, now time.Duration) {
 	j := m.jids[id]
 	if j == nil || j.fate != inWork {
 		return
 	}
 	waiting := j.wait
 	switch {
-	case a.Verdict == dispatch.Served:
+	case a.Outcome == dispatch.Served:
 		m.keep(id, served, now)
-	case a.MayHaveRun && repeat != decision.Retryable:
+	case a.MayHaveRun && repeat != decision.Idempotent:
 		m.keep(id, mayHaveRun, now)
 	default:
 		delete(m.jids, id)
--- a/internal/faktory/golden_config_test.go
+++ b/internal/faktory/golden_config_test.go
@@ -14,7 +14,7 @@
 // Keys of the front's file, what the committed one says, and complaints.
 func TestGoldenConfigurationFile(t *testing.T) {
 	lines := goldentest.Keys(reflect.TypeFor[Config](), "toml")
-	settings := decision.Settings{Classes: []decision.Class{{Name: "status-check", Repeat: decision.Retryable}, {Name: "renewal"}}}
+	settings := decision.Settings{Classes: []decision.Class{{Name: "status-check", Idempotency: decision.Idempotent}, {Name: "renewal"}}}
 	committed, err := os.ReadFile(filepath.Join("..", "..", "deploy", "faktory.toml"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/faktory/server.go
+++ b/internal/faktory/server.go
@@ -30,13 +30,13 @@
 // Server is the Faktory front's server role. It is a front and a carrier, and
 // belongs to the loop's goroutine.
 type Server struct {
-	core       *dispatch.Core
+	core       *dispatch.Dispatcher
 	engine     *transport.Engine
 	password   string
 	classes    map[string]int
 	base       int // the number of kinds that are not masks of classes
-	sessions   slotmap.Table[session]
-	entry      *listener.Entry
+	sessions   slotmap.Map[session]
+	entry      *listener.Gate
 	workers    map[string]*worker // by name, which is the wid with a prefix
 	deliveries map[uint64]*delivery
 	jids       *memory
@@ -76,15 +76,15 @@
 // worker is one wid: a backend to the module.
 type worker struct {
 	name     string
-	entry    decision.Entry
+	entry    decision.Endpoint
 	listed   bool
 	sessions int
 	parked   []*session // its free slots, the longest parked first
 	held     []*delivery
 	waits    []*wait // durable jobs that wait for a slot before they are leased
 	working  int
-	honours  jobs.Honours // what it promises of durable jobs
-	slots    int          // the most it ever had parked and in work
+	honours  jobs.Guarantee // what it promises of durable jobs
+	slots    int            // the most it ever had parked and in work
 	due      eventloop.Deadline
 }
 
@@ -109,17 +109,17 @@
 )
 
 // NewServer returns the server role, with its part of the fleet still empty.
-func NewServer(c *dispatch.Core, e *transport.Engine, password string, jids *memory) *Server {
+func NewServer(c *dispatch.Dispatcher, e *transport.Engine, password string, jids *memory) *Server {
 	s := &Server{
 		core: c, engine: e, password: password, classes: names(c), base: len(c.Settings.KindNames),
 		workers: map[string]*worker{}, deliveries: map[uint64]*delivery{}, jids: jids, began: c.Loop.Now(),
-		entry: listener.Plain(c.Loop, 1),
+		entry: listener.NewUnlimited(c.Loop, 1),
 	}
-	c.Listen(s)
+	c.AddSource(s)
 	return s
 }
 
-func names(c *dispatch.Core) map[string]int {
+func names(c *dispatch.Dispatcher) map[string]int {
 	classes := map[string]int{}
 	for i, class := range c.Settings.Classes {
 		classes[class.Name] = i
@@ -128,19 +128,19 @@
 }
 
 // Use makes the server ask an entry who may come in. It must come before Listen.
-func (s *Server) Use(e *listener.Entry) { s.entry = e }
+func (s *Server) Use(e *listener.Gate) { s.entry = e }
 
 const frontNumber = 1 // of this front's tokens, at the entry
 
 // Listen starts accepting producers and workers, most at a time.
 func (s *Server) Listen(addr string, most int) (string, error) {
-	s.entry.Join(frontNumber, s)
-	if s.entry.Guards() {
+	s.entry.AddFrontEnd(frontNumber, s)
+	if s.entry.Enabled() {
 		ln, err := net.Listen("tcp", addr)
 		if err != nil {
 			return "", err
 		}
-		s.acceptor = s.engine.ServeGuarded(ln, false, s.accept)
+		s.acceptor = s.engine.ServeWithAdmission(ln, false, s.accept)
 		return s.acceptor.String(), nil
 	}
 	a, err := s.engine.Listen(addr, most, false, s.accept, s.shed)
@@ -151,13 +151,13 @@
 	return a.String(), nil
 }
 
-func (s *Server) accept(c *transport.Conn) transport.Owner {
+func (s *Server) accept(c *transport.Conn) transport.Handler {
 	n := &session{srv: s, conn: c}
-	n.token = s.sessions.Put(n)
-	n.id = s.entry.Come(frontNumber, n.token, c.Pass)
+	n.token = s.sessions.Insert(n)
+	n.id = s.entry.Accepted(frontNumber, n.token, c.AdmissionToken)
 	n.due.Fire = n.expire
 	s.core.Loop.Set(&n.due, s.core.Loop.Now()+helloTime)
-	if n.header = s.entry.Admit.Standing(n.id) == connlimit.Front; !n.header {
+	if n.header = s.entry.Limiter.TrustOf(n.id) == connlimit.TrustedProxy; !n.header {
 		n.greet()
 	}
 	return n
@@ -181,15 +181,15 @@
 func (s *Server) shed() {
 	const some = 16
 	for range some {
-		if !s.entry.Shed(connlimit.ForUnknown) {
+		if !s.entry.EvictOne(connlimit.ForUnknown) {
 			return
 		}
 	}
 }
 
-// Shed closes a session that the entry has chosen. A worker's is none: what it
+// Evict closes a session that the entry has chosen. A worker's is none: what it
 // holds is a backend's.
-func (s *Server) Shed(token uint64) {
+func (s *Server) Evict(token uint64) {
 	if n := s.sessions.Get(token); n != nil && !n.busy && n.worker == nil {
 		n.forget()
 		n.conn.Close()
@@ -201,7 +201,7 @@
 
 // Close ends producers' sessions between jobs, and workers' once nothing is in work there.
 func (s *Server) Close() {
-	s.sessions.All(func(_ uint64, n *session) {
+	s.sessions.ForEach(func(_ uint64, n *session) {
 		if !n.busy && n.in == nil && (n.worker == nil || n.worker.working == 0) {
 			n.end()
 		}
@@ -229,7 +229,7 @@
 	n.busy = false
 	loop := n.srv.core.Loop
 	if n.worker == nil {
-		n.srv.entry.Admit.Rest(loop.Now(), n.id, n.served)
+		n.srv.entry.Limiter.BecameIdle(loop.Now(), n.id, n.served)
 		n.served = false
 	}
 	loop.Set(&n.due, loop.Now()+silence)
@@ -240,7 +240,7 @@
 
 func (n *session) end() {
 	n.forget()
-	n.conn.End()
+	n.conn.CloseGracefully()
 }
 
 func (n *session) forget() {
@@ -248,8 +248,8 @@
 		return
 	}
 	n.gone = true
-	n.srv.entry.Admit.Closed(n.id)
-	n.srv.sessions.Drop(n.token)
+	n.srv.entry.Limiter.Closed(n.id)
+	n.srv.sessions.Remove(n.token)
 	n.srv.core.Loop.Clear(&n.due)
 	n.srv.engine.Pool.Put(n.in)
 	n.in = nil
@@ -260,35 +260,38 @@
 	}
 }
 
-// Closed is told that the peer has gone. A PUSH whose producer has gone is wanted by nobody any more.
-func (n *session) Closed(*transport.Conn, error) {
+// OnClosed is told that the peer has gone. A PUSH whose producer has gone is wanted by nobody any more.
+func (n *session) OnClosed(*transport.Conn, error) {
 	push, id, class := n.push, n.jid, n.class
 	n.forget()
 	if push != 0 {
 		n.push = 0
-		ran := n.srv.core.HangUp(push)
-		n.srv.jids.finish(id, dispatch.Answer{Verdict: dispatch.Failed, MayHaveRun: ran},
-			n.srv.core.Settings.Classes[class].Repeat, n.srv.core.Loop.Now())
+		ran := n.srv.core.Cancel(push)
+		n.srv.jids.finish(id, dispatch.Response{Outcome: dispatch.Failed, MayHaveRun: ran},
+			n.srv.core.Settings.Classes[class].Idempotency, n.srv.core.Loop.Now())
 	}
 }
 
-// Left tells whether the producer of a PUSH has closed its connection.
-func (s *Server) Left(token uint64) bool {
+// The dispatcher asks a front end for this interface at run time.
+var _ dispatch.ClientWatcher = (*Server)(nil)
+
+// ClientLeft tells whether the producer of a PUSH has closed its connection.
+func (s *Server) ClientLeft(token uint64) bool {
 	n := s.sessions.Get(token)
 	return n == nil || n.conn.PeerClosed()
 }
 
-// HungUp tells that nobody wants a PUSH's job any more, as Closed would have told a little later.
-func (s *Server) HungUp(token uint64, mayHaveRun bool) {
+// RequestCancelled tells that nobody wants a PUSH's job any more, as Closed would have told a little later.
+func (s *Server) RequestCancelled(token uint64, mayHaveRun bool) {
 	if n := s.sessions.Get(token); n != nil && n.jid != "" {
-		s.jids.finish(n.jid, dispatch.Answer{Verdict: dispatch.Failed, MayHaveRun: mayHaveRun},
-			s.core.Settings.Classes[n.class].Repeat, s.core.Loop.Now())
+		s.jids.finish(n.jid, dispatch.Response{Outcome: dispatch.Failed, MayHaveRun: mayHaveRun},
+			s.core.Settings.Classes[n.class].Idempotency, s.core.Loop.Now())
 		n.push, n.jid = 0, ""
 	}
 }
 
-// Data takes in what the peer sent.
-func (n *session) Data(_ *transport.Conn, b *transport.Buffer) {
+// OnData takes in what the peer sent.
+func (n *session) OnData(_ *transport.Conn, b *transport.Buffer) {
 	if n.gone {
 		n.srv.engine.Pool.Put(b)
 		return
@@ -296,15 +299,15 @@
 	if n.in == nil {
 		n.in = b
 	} else {
-		ok := n.in.Add(b.Bytes())
+		ok := n.in.Append(b.Bytes())
 		n.srv.engine.Pool.Put(b)
 		if !ok {
 			if !n.busy {
 				n.say("-ERR MALFORMED command " + errLong.Error())
 			}
-			n.srv.entry.Admit.Abuse(n.srv.core.Loop.Now(), n.id, connlimit.Greedy)
-			n.Closed(nil, nil) // even while an answer is owed: whoever floods has gone
-			n.conn.End()
+			n.srv.entry.Limiter.ReportAbuse(n.srv.core.Loop.Now(), n.id, connlimit.Greedy)
+			n.OnClosed(nil, nil) // even while an answer is owed: whoever floods has gone
+			n.conn.CloseGracefully()
 			return
 		}
 	}
@@ -317,24 +320,24 @@
 // introduce reads a trusted front's header, which tells whose session it is.
 func (n *session) introduce() bool {
 	e := n.srv.entry
-	addr, used, err := listener.Header(n.in.Bytes())
+	addr, used, err := listener.ParseProxyHeader(n.in.Bytes())
 	if err == nil && used == 0 {
 		return false
 	}
 	why := connlimit.BadHeader
 	if err == nil {
-		if why = connlimit.Fine; addr.IsValid() {
-			why = e.Admit.Identify(n.srv.core.Loop.Now(), n.id, addr)
+		if why = connlimit.Allowed; addr.IsValid() {
+			why = e.Limiter.Identify(n.srv.core.Loop.Now(), n.id, addr)
 		}
 	}
-	if why != connlimit.Fine {
-		e.Tell(why, addr)
+	if why != connlimit.Allowed {
+		e.LogRejection(why, addr)
 		n.forget()
 		n.conn.Close()
 		return false
 	}
 	n.header = false
-	if n.in.Cut(used); len(n.in.Bytes()) == 0 {
+	if n.in.Consume(used); len(n.in.Bytes()) == 0 {
 		n.srv.engine.Pool.Put(n.in)
 		n.in = nil
 	}
@@ -359,7 +362,7 @@
 		n.in = nil
 		if behind := held.Bytes()[used:]; len(behind) > 0 {
 			n.in = pool.Get()
-			n.in.Add(behind)
+			n.in.Append(behind)
 		}
 		n.srv.core.Loop.Set(&n.due, n.srv.core.Loop.Now()+silence)
 		n.srv.commands++
@@ -420,9 +423,9 @@
 		n.greets = true
 		if h.Wid != "" {
 			n.worker = n.srv.join(h)
-			n.srv.entry.Admit.Take(n.srv.core.Loop.Now(), n.id)
+			n.srv.entry.Limiter.RequestComplete(n.srv.core.Loop.Now(), n.id)
 		} else {
-			n.srv.entry.Admit.Rest(n.srv.core.Loop.Now(), n.id, false)
+			n.srv.entry.Limiter.BecameIdle(n.srv.core.Loop.Now(), n.id, false)
 		}
 		n.say("+OK")
 		return
@@ -462,9 +465,9 @@
 	job.Release = release
 	srv.jids.begin(job.ID, now)
 	n.busy, n.push, n.jid, n.class = true, 0, job.ID, job.Class
-	srv.entry.Admit.Take(now, n.id)
+	srv.entry.Limiter.RequestComplete(now, n.id)
 	srv.core.Loop.Clear(&n.due)
-	req := srv.core.Take(srv, n.token, job)
+	req := srv.core.Accept(srv, n.token, job)
 	if n.busy && n.jid != "" { // it has no answer yet, and its producer has not left
 		n.push = req
 	}
@@ -483,23 +486,23 @@
 	return ""
 }
 
-// Answer answers a PUSH.
-func (s *Server) Answer(token uint64, a dispatch.Answer) {
+// Respond answers a PUSH.
+func (s *Server) Respond(token uint64, a dispatch.Response) {
 	n := s.sessions.Get(token)
 	if n == nil || !n.busy || n.jid == "" {
 		return
 	}
-	repeat := s.core.Settings.Classes[n.class].Repeat
+	repeat := s.core.Settings.Classes[n.class].Idempotency
 	s.jids.finish(n.jid, a, repeat, s.core.Loop.Now())
 	n.push, n.jid = 0, ""
-	switch a.Verdict {
+	switch a.Outcome {
 	case dispatch.Served:
 		n.served = true
 		n.say("+OK")
-	case dispatch.Refused:
+	case dispatch.Rejected:
 		n.say(refusedLine(a.RetryAfter))
 	default:
-		n.say(failedLine(a.MayHaveRun, repeat == decision.Retryable))
+		n.say(failedLine(a.MayHaveRun, repeat == decision.Idempotent))
 	}
 	n.ready()
 }
@@ -554,14 +557,14 @@
 	}
 	if mask != 0 && (!w.listed || kind != w.entry.Kind) {
 		w.entry.Kind, w.listed = kind, true
-		n.srv.core.List(n.srv, decision.ListChanges, []decision.Entry{w.entry})
+		n.srv.core.UpdateWorkers(n.srv, decision.ListDelta, []decision.Endpoint{w.entry})
 	}
 	w.serveHeld(n.srv)
 	if w.serveWaits(n.srv); !n.parked || !w.listed {
 		return
 	}
-	n.srv.core.Probed(w.name, decision.Completed,
-		decision.Load{FreeSlots: float64(len(w.parked)), HasFreeSlots: true})
+	n.srv.core.HealthChecked(w.name, decision.Completed,
+		decision.LoadReport{FreeSlots: float64(len(w.parked)), HasFreeSlots: true})
 }
 
 // unpark takes a FETCH off its worker's free slots.
@@ -590,7 +593,7 @@
 	n.say("+OK")
 	var found *delivery // by the session's worker; a session without one closes the oldest
 	for _, d := range n.srv.deliveries {
-		if d.given && d.attempt.Job.ID == c.Jid && (n.worker == nil || d.w == n.worker) &&
+		if d.given && d.attempt.Request.ID == c.Jid && (n.worker == nil || d.w == n.worker) &&
 			(found == nil || d.attempt.Handle < found.attempt.Handle) {
 			found = d
 		}
@@ -604,9 +607,9 @@
 	n.srv.drop(found)
 	o := decision.Completed
 	if verb == "FAIL" {
-		o = decision.Errored
+		o = decision.Failed
 	}
-	n.srv.core.Ended(found.attempt.Handle, o, decision.Load{}, nil)
+	n.srv.core.AttemptEnded(found.attempt.Handle, o, decision.LoadReport{}, nil)
 }
 
 // beat takes a worker's liveness. One that says it is quiet, or about to
@@ -629,7 +632,7 @@
 		if b.Wid == "" && n.worker != nil {
 			name = n.worker.name
 		}
-		k.Beat(name)
+		k.Heartbeat(name)
 	}
 	n.say("+OK")
 	if w == nil || b.State == "" {
@@ -648,8 +651,8 @@
 		working, parked = working+w.working, parked+len(w.parked)
 	}
 	faktory := map[string]any{
-		"total_enqueued": s.core.Owed(), "total_processed": counts.Served, "total_failures": counts.Failed,
-		"total_refused": counts.Refused, "total_queues": len(s.classes),
+		"total_enqueued": s.core.Unanswered(), "total_processed": counts.Served, "total_failures": counts.Failed,
+		"total_refused": counts.Rejected, "total_queues": len(s.classes),
 		"tasks": map[string]any{"Working": map[string]any{"size": working}, "Parked": map[string]any{"size": parked}},
 	}
 	if s.kept != nil {
@@ -676,11 +679,11 @@
 	w := s.workers[prefix+h.Wid]
 	if w == nil {
 		w = &worker{name: prefix + h.Wid}
-		w.entry = decision.Entry{
-			Worker: w.name, Zone: s.core.Settings.Zone, Kind: s.base, Weight: 1, LastStart: now,
+		w.entry = decision.Endpoint{
+			Name: w.name, Zone: s.core.Settings.Zone, Kind: s.base, Weight: 1, StartedAt: now,
 		}
 		if now-s.began < warmAtStart || !s.anyRunning() {
-			w.entry.LastStart = 0
+			w.entry.StartedAt = 0
 		}
 		for _, label := range h.Labels {
 			name, value, _ := strings.Cut(label, ":")
@@ -690,14 +693,14 @@
 			case "born_ms":
 				var ms int64
 				if _, err := fmt.Sscan(value, &ms); err == nil && ms >= 0 && ms < 1e13 {
-					w.entry.LastStart = time.Duration(ms) * time.Millisecond
+					w.entry.StartedAt = time.Duration(ms) * time.Millisecond
 				}
 			}
 		}
 		w.due.Fire = func() { s.lose(w) }
 		s.workers[w.name] = w
 	}
-	for label, promise := range map[string]jobs.Honours{"fences:1": jobs.Fences, "idempotent:1": jobs.Tills} {
+	for label, promise := range map[string]jobs.Guarantee{"fences:1": jobs.HonorsFences, "idempotent:1": jobs.Deduplicates} {
 		if slices.Contains(h.Labels, label) {
 			w.honours = max(w.honours, promise)
 		}
@@ -727,13 +730,13 @@
 func (s *Server) lose(w *worker) {
 	delete(s.workers, w.name)
 	if w.listed {
-		w.entry.State = decision.Deleted
-		s.core.List(s, decision.ListChanges, []decision.Entry{w.entry})
+		w.entry.State = decision.Removed
+		s.core.UpdateWorkers(s, decision.ListDelta, []decision.Endpoint{w.entry})
 	}
 	w.returnHeld(s)
 	for _, d := range s.all(w) {
 		s.drop(d)
-		s.core.Ended(d.attempt.Handle, decision.Severed, decision.Load{}, nil)
+		s.core.AttemptEnded(d.attempt.Handle, decision.ConnectionLost, decision.LoadReport{}, nil)
 	}
 }
 
@@ -758,9 +761,9 @@
 	if w.entry.State != decision.Running {
 		return
 	}
-	w.entry.State = decision.Stopping
+	w.entry.State = decision.Draining
 	if w.listed {
-		s.core.List(s, decision.ListChanges, []decision.Entry{w.entry})
+		s.core.UpdateWorkers(s, decision.ListDelta, []decision.Endpoint{w.entry})
 	}
 	w.returnHeld(s)
 }
@@ -773,7 +776,7 @@
 	for len(w.held) > 0 {
 		d := w.held[0]
 		s.drop(d)
-		s.core.Ended(d.attempt.Handle, decision.Saturated, decision.Load{}, nil)
+		s.core.AttemptEnded(d.attempt.Handle, decision.Saturated, decision.LoadReport{}, nil)
 	}
 }
 
@@ -781,18 +784,18 @@
 
 // Start hands a job to a parked FETCH of the worker, or holds it for its next one.
 func (s *Server) Start(f dispatch.Attempt) {
-	w := s.workers[f.Backend]
+	w := s.workers[f.Worker]
 	if w == nil || w.entry.State != decision.Running || len(w.held) >= max(w.slots, 1) {
-		s.core.Ended(f.Handle, decision.Saturated, decision.Load{}, nil)
+		s.core.AttemptEnded(f.Handle, decision.Saturated, decision.LoadReport{}, nil)
 		return
 	}
 	d := &delivery{attempt: f, w: w}
 	d.due.Fire = func() {
 		s.drop(d)
-		s.core.Ended(f.Handle, decision.Saturated, decision.Load{}, nil)
+		s.core.AttemptEnded(f.Handle, decision.Saturated, decision.LoadReport{}, nil)
 	}
 	s.deliveries[f.Handle] = d
-	if n := w.slotFor(f.Job.Class, f.Job.ID); n != nil {
+	if n := w.slotFor(f.Request.Class, f.Request.ID); n != nil {
 		s.give(d, n)
 		return
 	}
@@ -819,7 +822,7 @@
 // serveHeld gives what is held to the slots that fit.
 func (w *worker) serveHeld(s *Server) {
 	for _, d := range slices.Clone(w.held) {
-		if n := w.slotFor(d.attempt.Job.Class, d.attempt.Job.ID); n != nil {
+		if n := w.slotFor(d.attempt.Request.Class, d.attempt.Request.ID); n != nil {
 			w.held = slices.DeleteFunc(w.held, func(o *delivery) bool { return o == d })
 			s.core.Loop.Clear(&d.due)
 			s.give(d, n)
@@ -830,7 +833,7 @@
 // give hands a job out. If the connection is known to be broken, nothing ran.
 func (s *Server) give(d *delivery, n *session) {
 	n.unpark()
-	job := d.attempt.Job
+	job := d.attempt.Request
 	raw := job.Body
 	if job.Target != "" {
 		raw = makeJob(job, s.core.Settings.Classes[job.Class].Name)
@@ -839,16 +842,16 @@
 		raw = withFence(raw, d.attempt.Fence)
 	}
 	s.out = appendBulk(s.out[:0], raw)
-	before := n.conn.Written()
-	if !n.conn.Write(s.out) && n.conn.Written()-before < int64(len(s.out)) {
+	before := n.conn.SentBytes()
+	if !n.conn.Write(s.out) && n.conn.SentBytes()-before < int64(len(s.out)) {
 		delete(s.deliveries, d.attempt.Handle)
-		s.core.Ended(d.attempt.Handle, decision.RefusedConn, decision.Load{}, nil)
+		s.core.AttemptEnded(d.attempt.Handle, decision.ConnectionRefused, decision.LoadReport{}, nil)
 		return
 	}
 	d.given = true
 	d.w.working++
 	n.ready()
-	s.core.Started(d.attempt.Handle)
+	s.core.AttemptStarted(d.attempt.Handle)
 }
 
 // drop forgets a delivery.
@@ -862,8 +865,8 @@
 	d.w.held = slices.DeleteFunc(d.w.held, func(o *delivery) bool { return o == d })
 }
 
-// Stop gives an attempt up. The protocol cannot call a job back that a worker has.
-func (s *Server) Stop(handle uint64) (neverRan bool) {
+// Cancel gives an attempt up. The protocol cannot call a job back that a worker has.
+func (s *Server) Cancel(handle uint64) (neverRan bool) {
 	d := s.deliveries[handle]
 	if d == nil {
 		return false
@@ -872,16 +875,16 @@
 	return !d.given
 }
 
-// Release has nothing to do: the connections are the workers' own.
-func (s *Server) Release(string) {}
+// CloseIdle has nothing to do: the connections are the workers' own.
+func (s *Server) CloseIdle(string) {}
 
 // Subscribe has nothing to do: workers come by themselves.
 func (s *Server) Subscribe() {}
 
-// Probe answers from what is known: the parked FETCHes are the free slots.
-func (s *Server) Probe(backend string) {
+// CheckHealth answers from what is known: the parked FETCHes are the free slots.
+func (s *Server) CheckHealth(backend string) {
 	if w := s.workers[backend]; w != nil {
-		s.core.Probed(backend, decision.Completed,
-			decision.Load{FreeSlots: float64(len(w.parked)), HasFreeSlots: true})
+		s.core.HealthChecked(backend, decision.Completed,
+			decision.LoadReport{FreeSlots: float64(len(w.parked)), HasFreeSlots: true})
 	}
 }
--- a/internal/faktory/source.go
+++ b/internal/faktory/source.go
@@ -19,7 +19,7 @@
 
 // Source takes jobs from an upstream server. It belongs to the loop's goroutine.
 type Source struct {
-	core    *dispatch.Core
+	core    *dispatch.Dispatcher
 	engine  *transport.Engine
 	config  Config
 	classes map[string]int
@@ -75,7 +75,7 @@
 )
 
 // NewSource returns the source role; Start connects its lanes.
-func NewSource(c *dispatch.Core, e *transport.Engine, config Config, jids *memory) *Source {
+func NewSource(c *dispatch.Dispatcher, e *transport.Engine, config Config, jids *memory) *Source {
 	s := &Source{core: c, engine: e, config: config, classes: names(c), wid: config.Source.Wid, jids: jids}
 	if s.wid == "" {
 		s.wid = fmt.Sprintf("hollyyoke-%016x", rand.Uint64())
@@ -117,7 +117,7 @@
 			l.conn.Write([]byte("END\r\n"))
 		}
 		if l.conn != nil {
-			l.conn.End()
+			l.conn.CloseGracefully()
 		}
 		l.conn, l.step = nil, down
 		s.core.Loop.Clear(&l.due)
@@ -161,7 +161,7 @@
 		l.src.core.Log(fmt.Sprintf("upstream, lane %d: %s", l.number, oneLine(why)))
 	}
 	if l.step == closing {
-		if l.conn.Passed(l.mark) {
+		if l.conn.Flushed(l.mark) {
 			l.src.counts.Unconfirmed++
 			l.parting = ""
 		}
@@ -176,8 +176,8 @@
 	l.wait(l.backoff/2 + rand.N(l.backoff/2))
 }
 
-// Closed is told that the upstream server has gone.
-func (l *lane) Closed(c *transport.Conn, _ error) {
+// OnClosed is told that the upstream server has gone.
+func (l *lane) OnClosed(c *transport.Conn, _ error) {
 	if c == l.conn {
 		l.retry("the connection ended")
 	}
@@ -194,8 +194,8 @@
 	}
 }
 
-// Data takes in what the server sent.
-func (l *lane) Data(c *transport.Conn, b *transport.Buffer) {
+// OnData takes in what the server sent.
+func (l *lane) OnData(c *transport.Conn, b *transport.Buffer) {
 	pool := &l.src.engine.Pool
 	if c != l.conn {
 		pool.Put(b)
@@ -204,7 +204,7 @@
 	if l.in == nil {
 		l.in = b
 	} else {
-		ok := l.in.Add(b.Bytes())
+		ok := l.in.Append(b.Bytes())
 		if pool.Put(b); !ok {
 			l.retry("more than was asked for")
 			return
@@ -223,7 +223,7 @@
 		l.in = nil
 		if behind := held.Bytes()[used:]; len(behind) > 0 {
 			l.in = pool.Get()
-			l.in.Add(behind)
+			l.in.Append(behind)
 		}
 		if !l.reply(r, func() { pool.Put(held) }) {
 			pool.Put(held)
@@ -299,7 +299,7 @@
 	l.step = next
 	l.wait(span)
 	l.conn.Write([]byte(line + "\r\n"))
-	l.mark = l.conn.Mark()
+	l.mark = l.conn.WriteOffset()
 }
 
 // next sends what is due on a lane that may send.
@@ -366,22 +366,22 @@
 	s.jids.begin(job.ID, now)
 	l.class = job.Class
 	job.Release = release
-	s.core.Take(s, uint64(l.number), job)
+	s.core.Accept(s, uint64(l.number), job)
 	return true
 }
 
-// Answer closes the delivery of a lane.
-func (s *Source) Answer(token uint64, a dispatch.Answer) {
+// Respond closes the delivery of a lane.
+func (s *Source) Respond(token uint64, a dispatch.Response) {
 	l := s.lanes[token]
-	s.jids.finish(l.jid, a, s.core.Settings.Classes[l.class].Repeat, s.core.Loop.Now())
+	s.jids.finish(l.jid, a, s.core.Settings.Classes[l.class].Idempotency, s.core.Loop.Now())
 	l.close(a)
 }
 
-func (l *lane) close(a dispatch.Answer) {
-	switch a.Verdict {
+func (l *lane) close(a dispatch.Response) {
+	switch a.Outcome {
 	case dispatch.Served:
 		l.part("ACK", "", "")
-	case dispatch.Refused:
+	case dispatch.Rejected:
 		l.part("FAIL", "Refused", fmt.Sprintf("not run; come back after %.3f s", a.RetryAfter.Seconds()))
 	default:
 		l.part("FAIL", "Failed", "it may have run")
--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -39,9 +39,9 @@
 )
 
 const (
-	// NotifiedWithin is the protocol's bound: a change counts as notified this long
+	// NotificationBound is the protocol's bound: a change counts as notified this long
 	// after its source had it and could be reached.
-	NotifiedWithin = 6 * time.Second
+	NotificationBound = 6 * time.Second
 
 	// margin is how much earlier the list counts as old. The grace that a removed
 	// worker has beyond the bound is left to what is on its way.
@@ -67,7 +67,7 @@
 
 // Tracker follows the age of one list. Its zero value has heard nothing since time 0.
 type Tracker struct {
-	CanAsk bool // workers may be asked whether they still serve
+	CanCheckHealth bool // workers may be asked whether they still serve
 
 	startedAt  time.Duration
 	unheard    bool          // the source has not been heard since the start
@@ -80,23 +80,23 @@
 
 // Start begins with a list that was complete at a time unknown, maybe long ago.
 func (t *Tracker) Start(now time.Duration) {
-	*t = Tracker{CanAsk: t.CanAsk, startedAt: now, unheard: true, heardAt: now - NotifiedWithin}
+	*t = Tracker{CanCheckHealth: t.CanCheckHealth, startedAt: now, unheard: true, heardAt: now - NotificationBound}
 }
 
-// Heard tells that a whole message of the source has come: its news, or word that
+// Confirmed tells that a whole message of the source has come: its news, or word that
 // there are none. A message that is read right after the process was held up may have
 // waited for long, and renews nothing.
-func (t *Tracker) Heard(now time.Duration) {
+func (t *Tracker) Confirmed(now time.Duration) {
 	if t.stallEnded > 0 && now < t.stallEnded+resettled {
 		return
 	}
 	t.heardAt, t.failed, t.unheard = now, false, false
 }
 
-// Relayed tells that another process of the same dispatcher has handed its list over,
+// HandedOver tells that another process of the same dispatcher has handed its list over,
 // and how long ago that one heard its source.
-func (t *Tracker) Relayed(now, age time.Duration) {
-	if at := now - age; at > t.heardAt && age < NotifiedWithin {
+func (t *Tracker) HandedOver(now, age time.Duration) {
+	if at := now - age; at > t.heardAt && age < NotificationBound {
 		t.heardAt, t.unheard = at, false
 	}
 }
@@ -109,32 +109,32 @@
 	t.failed, t.failure, t.failedAt = true, f, now
 }
 
-// OldAt is when the list ceases to be current, unless its source is heard before.
-func (t *Tracker) OldAt() time.Duration { return t.heardAt + NotifiedWithin - margin }
+// StaleAt is when the list ceases to be current, unless its source is heard before.
+func (t *Tracker) StaleAt() time.Duration { return t.heardAt + NotificationBound - margin }
 
-// HeardAt is the time up to which everything is known.
-func (t *Tracker) HeardAt() time.Duration { return t.heardAt }
+// ConfirmedAt is the time up to which everything is known.
+func (t *Tracker) ConfirmedAt() time.Duration { return t.heardAt }
 
 // Knowledge tells what the list is good for now.
 func (t *Tracker) Knowledge(now time.Duration) Knowledge {
 	notReached := t.failed && t.failure == NotReached && now < t.failedAt+failureLasts
 	switch {
-	case now < t.OldAt():
+	case now < t.StaleAt():
 		return Current
 	case t.unheard && now >= t.startedAt+longestHold:
 		return Unconfirmed
 	case t.unheard && now < t.startedAt+startHold:
 		return Unknown
-	case notReached, t.CanAsk && !t.unheard:
+	case notReached, t.CanCheckHealth && !t.unheard:
 		return Unconfirmed
 	}
 	return Unknown
 }
 
-// NextLook is when Knowledge may change by itself; 0: it will not.
-func (t *Tracker) NextLook(now time.Duration) time.Duration {
+// NextChange is when Knowledge may change by itself; 0: it will not.
+func (t *Tracker) NextChange(now time.Duration) time.Duration {
 	next := time.Duration(0)
-	for _, at := range []time.Duration{t.OldAt(), t.startedAt + startHold, t.startedAt + longestHold, t.failedAt + failureLasts} {
+	for _, at := range []time.Duration{t.StaleAt(), t.startedAt + startHold, t.startedAt + longestHold, t.failedAt + failureLasts} {
 		if at > now && (next == 0 || at < next) {
 			next = at
 		}
@@ -150,8 +150,8 @@
 }
 
 // Denied tells that the worker could not be reached, or said that it does not serve.
-func (p *Proof) Denied(t *Tracker) { p.denied, p.by = true, t.HeardAt() }
+func (p *Proof) Denied(t *Tracker) { p.denied, p.by = true, t.ConfirmedAt() }
 
 // Holds tells whether the worker may still be asked. One that denied itself may have
 // been removed: what it answers after that proves nothing until the list is current.
-func (p *Proof) Holds(t *Tracker) bool { return !p.denied || p.by != t.HeardAt() }
+func (p *Proof) Holds(t *Tracker) bool { return !p.denied || p.by != t.ConfirmedAt() }
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -31,11 +31,11 @@
 		t.Run(name, func(t *testing.T) {
 			var tracker Tracker
 			tracker.Start(-startHold)
-			tracker.Heard(0)
+			tracker.Confirmed(0)
 			for i, step := range steps {
 				switch step.event {
 				case "heard":
-					tracker.Heard(step.at)
+					tracker.Confirmed(step.at)
 				case "not reached":
 					tracker.Failed(step.at, NotReached)
 				case "broken off":
@@ -61,7 +61,7 @@
 			t.Errorf("at the start: %v", k)
 		}
 	}
-	heard.Heard(101 * s)
+	heard.Confirmed(101 * s)
 	refused.Failed(101*s, NotReached)
 	for at, want := range map[time.Duration][3]Knowledge{
 		102 * s: {Current, Unknown, Unknown}, 105 * s: {Current, Unconfirmed, Unknown}, 108 * s: {Unknown, Unconfirmed, Unconfirmed},
@@ -74,9 +74,9 @@
 
 // Where workers can be asked, a list that was heard once is never of no use.
 func TestAsking(t *testing.T) {
-	tracker := Tracker{CanAsk: true}
+	tracker := Tracker{CanCheckHealth: true}
 	tracker.Start(0)
-	tracker.Heard(s)
+	tracker.Confirmed(s)
 	tracker.Failed(5*s, BrokenOff)
 	if k := tracker.Knowledge(8 * s); k != Unconfirmed {
 		t.Errorf("%v", k)
@@ -86,11 +86,11 @@
 func TestRelayed(t *testing.T) {
 	var tracker Tracker
 	tracker.Start(100 * s)
-	tracker.Relayed(100*s, 7*s)
+	tracker.HandedOver(100*s, 7*s)
 	if k := tracker.Knowledge(100 * s); k != Unknown {
 		t.Errorf("by a list that was old already: %v", k)
 	}
-	tracker.Relayed(101*s, 2*s)
+	tracker.HandedOver(101*s, 2*s)
 	if a, b := tracker.Knowledge(104*s), tracker.Knowledge(105*s); a != Current || b != Unknown {
 		t.Errorf("by a list heard 2 s before: %v, then %v", a, b)
 	}
@@ -102,7 +102,7 @@
 		random := rand.New(rand.NewPCG(seed, 0))
 		var tracker Tracker
 		tracker.Start(-startHold)
-		tracker.Heard(0)
+		tracker.Confirmed(0)
 		for now := time.Duration(0); now < 20*s; now += time.Duration(random.IntN(int(s))) {
 			switch random.IntN(3) {
 			case 0:
@@ -110,7 +110,7 @@
 			case 1:
 				tracker.Stalled(now)
 			}
-			if k := tracker.Knowledge(now); k == Current && now >= NotifiedWithin {
+			if k := tracker.Knowledge(now); k == Current && now >= NotificationBound {
 				t.Fatalf("seed %d: current at %v, though nothing was heard since the start", seed, now)
 			}
 		}
@@ -119,12 +119,12 @@
 
 func TestProof(t *testing.T) {
 	var tracker Tracker
-	tracker.Heard(0)
+	tracker.Confirmed(0)
 	var asked, denied Proof
 	if denied.Denied(&tracker); !asked.Holds(&tracker) || denied.Holds(&tracker) {
 		t.Errorf("a worker that said nothing against itself: %v; one that denied itself: %v", asked.Holds(&tracker), denied.Holds(&tracker))
 	}
-	if tracker.Heard(31 * s); !denied.Holds(&tracker) {
+	if tracker.Confirmed(31 * s); !denied.Holds(&tracker) {
 		t.Error("not asked, though the list was heard since")
 	}
 }
@@ -132,7 +132,7 @@
 func ExampleTracker() {
 	var list Tracker
 	list.Start(-time.Minute)
-	list.Heard(0)
+	list.Confirmed(0)
 	list.Failed(3*time.Second, BrokenOff)
 	fmt.Println(list.Knowledge(5*time.Second), list.Knowledge(6*time.Second))
 	list.Failed(7*time.Second, NotReached)
