--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -34,17 +34,17 @@
 	out, in := true, false
 	list := json.RawMessage(`{"seq":41,"whole":true,"hosts":[{"host":"s-1","dial":"127.0.0.1:8001"}],"age_ms":1250}`)
 	return []Message{
-		{Hello: &Hello{Discovery: "127.0.0.1:7000", List: list, Out: true, Key: []byte("\x00\x01key of 16 byte\xff")}},
-		{Hello: &Hello{List: json.RawMessage(`null`)}},
+		{Greeting: &Greeting{Discovery: "127.0.0.1:7000", List: list, OutOfService: true, IDKey: []byte("\x00\x01key of 16 byte\xff")}},
+		{Greeting: &Greeting{List: json.RawMessage(`null`)}},
 		{Ready: true},
-		{Room: &Room{Descriptors: 768, Memory: 96 << 20}},
-		{Room: &Room{}},
-		{Moved: "127.0.0.1:7001"},
+		{Limits: &Limits{Descriptors: 768, Memory: 96 << 20}},
+		{Limits: &Limits{}},
+		{DiscoveryMoved: "127.0.0.1:7001"},
 		{List: list},
-		{Out: &out},
-		{Out: &in},
-		{Charge: &Charge{Backend: "s-1", Amount: 0.125}},
-		{Kept: true},
+		{OutOfService: &out},
+		{OutOfService: &in},
+		{Reservation: &Reservation{Worker: "s-1", Amount: 0.125}},
+		{StoreReleased: true},
 	}
 }
 
@@ -54,14 +54,14 @@
 // All kinds of messages are written byte for byte as they have always been, and
 // read as what they mean: an older process or a newer one is at the other end.
 func TestGoldenMessages(t *testing.T) {
-	p := newPair(t, Path(t.TempDir(), "n"))
+	p := newPair(t, SocketPath(t.TempDir(), "n"))
 	conn, link := p.call(t)
 	defer conn.Close()
 	p.loop.Post(func() {
 		for _, m := range goldenMessages() {
-			link.Tell(m)
+			link.Send(m)
 		}
-		link.TellAll(goldenNames)
+		link.SendIDs(goldenNames)
 	})
 	var written bytes.Buffer
 	for in := bufio.NewReader(conn); bytes.Count(written.Bytes(), []byte("\n")) < len(goldenMessages())+1; {
@@ -85,14 +85,14 @@
 		}
 	}
 	last := receive(t, p.heard)
-	if names, err := last.ReadNames(); err != nil || !reflect.DeepEqual(names, goldenNames) {
+	if names, err := last.ReadIDs(); err != nil || !reflect.DeepEqual(names, goldenNames) {
 		t.Errorf("names %x, %v", names, err)
 	}
 }
 
 // What a newer process may tell beyond these words is passed over.
 func TestGoldenUnknownWords(t *testing.T) {
-	p := newPair(t, Path(t.TempDir(), "n"))
+	p := newPair(t, SocketPath(t.TempDir(), "n"))
 	conn, _ := p.call(t)
 	defer conn.Close()
 	fmt.Fprintln(conn, `{"a_word_to_come":{"x":1},"ready":true}`)
@@ -107,7 +107,7 @@
 		"n0 127.0.0.1:80": "/run/d/hollyyoke-abebc10f165f0118.sock",
 		"hollyyoke :7001": "/run/d/hollyyoke-18253651ac8179a5.sock",
 	} {
-		if got := Path("/run/d", dispatcher); got != want {
+		if got := SocketPath("/run/d", dispatcher); got != want {
 			t.Errorf("%q meets at %q, want %q", dispatcher, got, want)
 		}
 	}
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -26,40 +26,40 @@
 
 // Message is one line. What it does not tell is nil or empty.
 type Message struct {
-	Hello  *Hello          `json:"hello,omitempty"`          // the old one's first word
-	Names  string          `json:"names,omitempty"`          // of reqs, hashed: taken, here or lately
-	Ready  bool            `json:"ready,omitempty"`          // the new one accepts
-	Room   *Room           `json:"room,omitempty"`           // what the old one keeps of the limits
-	Moved  string          `json:"discovery,omitempty"`      // where discovery is now
-	List   json.RawMessage `json:"list,omitempty"`           // what discovery has told
-	Out    *bool           `json:"out_of_service,omitempty"` // a drain has begun or ended
-	Charge *Charge         `json:"charge,omitempty"`         // a cold backend was sent something
-	Kept   bool            `json:"kept,omitempty"`           // the old one has let go of the durable jobs
-}
-
-// Hello is what the successor starts from.
-type Hello struct {
-	Discovery string          `json:"discovery"`
-	List      json.RawMessage `json:"list"`
-	Out       bool            `json:"out_of_service"`
-	Key       []byte          `json:"key"` // of the names
-}
-
-// Room is what a process keeps of the limits for itself.
-type Room struct {
+	Greeting       *Greeting       `json:"hello,omitempty"`          // the old one's first word
+	IDs            string          `json:"names,omitempty"`          // of reqs, hashed: taken, here or lately
+	Ready          bool            `json:"ready,omitempty"`          // the new one accepts
+	Limits         *Limits         `json:"room,omitempty"`           // what the old one keeps of the limits
+	DiscoveryMoved string          `json:"discovery,omitempty"`      // where discovery is now
+	List           json.RawMessage `json:"list,omitempty"`           // what discovery has told
+	OutOfService   *bool           `json:"out_of_service,omitempty"` // a drain has begun or ended
+	Reservation    *Reservation    `json:"charge,omitempty"`         // a cold backend was sent something
+	StoreReleased  bool            `json:"kept,omitempty"`           // the old one has let go of the durable jobs
+}
+
+// Greeting is what the successor starts from.
+type Greeting struct {
+	Discovery    string          `json:"discovery"`
+	List         json.RawMessage `json:"list"`
+	OutOfService bool            `json:"out_of_service"`
+	IDKey        []byte          `json:"key"` // of the names
+}
+
+// Limits is what a process keeps of the limits for itself.
+type Limits struct {
 	Descriptors int   `json:"descriptors"`
 	Memory      int64 `json:"memory"` // bytes
 }
 
-// Charge is what a fetch takes of a cold backend's budget.
-type Charge struct {
-	Backend string  `json:"backend"`
-	Amount  float64 `json:"amount"`
+// Reservation is what a fetch takes of a cold backend's budget.
+type Reservation struct {
+	Worker string  `json:"backend"`
+	Amount float64 `json:"amount"`
 }
 
-// Path is where the processes of one dispatcher meet, empty without a folder.
+// SocketPath is where the processes of one dispatcher meet, empty without a folder.
 // The name tells the dispatchers apart that share one.
-func Path(folder, dispatcher string) string {
+func SocketPath(folder, dispatcher string) string {
 	if folder == "" {
 		return ""
 	}
@@ -85,9 +85,9 @@
 	return f("/proc/self/fd/" + strconv.Itoa(int(folder.Fd())) + "/" + filepath.Base(path))
 }
 
-// Call calls the process that listens there. An error says that there is none:
+// Dial calls the process that listens there. An error says that there is none:
 // no file, or one that a process left behind when it died.
-func Call(path string, patience time.Duration) (conn net.Conn, err error) {
+func Dial(path string, patience time.Duration) (conn net.Conn, err error) {
 	if path == "" {
 		return nil, errors.New("no folder to meet in")
 	}
@@ -143,8 +143,8 @@
 	return l
 }
 
-// Tell sends a message. One to a process that has gone is lost.
-func (l *Link) Tell(m Message) {
+// Send sends a message. One to a process that has gone is lost.
+func (l *Link) Send(m Message) {
 	text, err := json.Marshal(m)
 	if err != nil {
 		return // no message holds anything that cannot be worded
@@ -152,8 +152,8 @@
 	l.conn.Write(append(text, '\n'))
 }
 
-// Taken tells the other process of a name, soon.
-func (l *Link) Taken(name uint64) {
+// SendAccepted tells the other process of a name, soon.
+func (l *Link) SendAccepted(name uint64) {
 	if len(l.names) == 0 {
 		l.engine.Loop.Set(&l.later, l.engine.Loop.Now()+namesTime)
 	}
@@ -163,22 +163,22 @@
 func (l *Link) tellNames() {
 	for len(l.names) > 0 {
 		n := min(len(l.names), 8*namesMost)
-		l.Tell(Message{Names: base64.StdEncoding.EncodeToString(l.names[:n])})
+		l.Send(Message{IDs: base64.StdEncoding.EncodeToString(l.names[:n])})
 		l.names = l.names[n:]
 	}
 }
 
-// TellAll tells the other process of many names at once.
-func (l *Link) TellAll(names []uint64) {
+// SendIDs tells the other process of many names at once.
+func (l *Link) SendIDs(names []uint64) {
 	for _, n := range names {
-		l.Taken(n)
+		l.SendAccepted(n)
 	}
 	l.tellNames()
 }
 
-// ReadNames reads the names of a message.
-func (m *Message) ReadNames() (names []uint64, err error) {
-	raw, err := base64.StdEncoding.DecodeString(m.Names)
+// ReadIDs reads the names of a message.
+func (m *Message) ReadIDs() (names []uint64, err error) {
+	raw, err := base64.StdEncoding.DecodeString(m.IDs)
 	if err != nil || len(raw)%8 != 0 {
 		return nil, errors.New("names that cannot be read")
 	}
@@ -201,19 +201,19 @@
 	l.heard, l.lost = func(Message) {}, func() {}
 }
 
-// Closed is told that the other process has gone.
-func (l *Link) Closed(*transport.Conn, error) {
+// OnClosed is told that the other process has gone.
+func (l *Link) OnClosed(*transport.Conn, error) {
 	lost := l.lost
 	l.drop()
 	lost()
 }
 
-// Data takes in what the other process said.
-func (l *Link) Data(c *transport.Conn, b *transport.Buffer) {
+// OnData takes in what the other process said.
+func (l *Link) OnData(c *transport.Conn, b *transport.Buffer) {
 	if l.in == nil {
 		l.in, l.seen = b, 0
 	} else {
-		fits := l.in.Add(b.Bytes())
+		fits := l.in.Append(b.Bytes())
 		l.engine.Pool.Put(b)
 		if !fits {
 			l.fail()
@@ -233,7 +233,7 @@
 			l.fail()
 			return
 		}
-		if l.in.Cut(l.seen + end + 1); len(l.in.Bytes()) == 0 {
+		if l.in.Consume(l.seen + end + 1); len(l.in.Bytes()) == 0 {
 			l.engine.Pool.Put(l.in)
 			l.in = nil
 		}
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -40,7 +40,7 @@
 
 func newPair(t testing.TB, path string) *pair {
 	t.Helper()
-	p := &pair{loop: eventloop.NewLoop(), path: path, links: make(chan *Link, 9), heard: make(chan Message, 5000), lost: make(chan bool, 9)}
+	p := &pair{loop: eventloop.New(), path: path, links: make(chan *Link, 9), heard: make(chan Message, 5000), lost: make(chan bool, 9)}
 	var err error
 	if p.e, err = transport.NewEngine(p.loop, 100); err != nil {
 		t.Fatal(err)
@@ -48,7 +48,7 @@
 	if p.ln, err = Listen(path); err != nil {
 		t.Fatal(err)
 	}
-	p.e.Serve(p.ln, 1, false, func(c *transport.Conn) transport.Owner {
+	p.e.Serve(p.ln, 1, false, func(c *transport.Conn) transport.Handler {
 		l := NewLink(p.e, c, func(m Message) { p.heard <- m }, func() { p.lost <- true })
 		p.links <- l
 		return l
@@ -61,7 +61,7 @@
 
 func (p *pair) call(t testing.TB) (net.Conn, *Link) {
 	t.Helper()
-	conn, err := Call(p.path, patience)
+	conn, err := Dial(p.path, patience)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -80,11 +80,11 @@
 	long := filepath.Join(folder, strings.Repeat("long-", 30))
 	os.Mkdir(long, 0o700)
 	for _, dir := range []string{folder, long} {
-		path := Path(dir, "n0 127.0.0.1:80")
-		if path == Path(dir, "n1 127.0.0.1:80") {
+		path := SocketPath(dir, "n0 127.0.0.1:80")
+		if path == SocketPath(dir, "n1 127.0.0.1:80") {
 			t.Error("two dispatchers meet in one place")
 		}
-		if _, err := Call(path, patience); err == nil {
+		if _, err := Dial(path, patience); err == nil {
 			t.Errorf("%s: somebody answers where nobody is", path)
 		}
 		dead, err := Listen(path)
@@ -95,7 +95,7 @@
 		if _, err := os.Lstat(path); err != nil {
 			t.Fatalf("nothing is left of a dead process: %v", err)
 		}
-		if _, err := Call(path, patience); err == nil {
+		if _, err := Dial(path, patience); err == nil {
 			t.Errorf("%s: a dead process answers", path)
 		}
 		p := newPair(t, path)
@@ -103,10 +103,10 @@
 		conn.Close()
 		receive(t, p.lost)
 	}
-	if Path("", "n0") != "" {
+	if SocketPath("", "n0") != "" {
 		t.Error("a place without a folder")
 	}
-	if _, err := Call("", patience); err == nil {
+	if _, err := Dial("", patience); err == nil {
 		t.Error("a call without a folder")
 	}
 	if _, err := Listen(""); err == nil {
@@ -116,7 +116,7 @@
 
 // Names arrive whole, however many; what cannot be read as names is no name.
 func TestNames(t *testing.T) {
-	p := newPair(t, Path(t.TempDir(), "n"))
+	p := newPair(t, SocketPath(t.TempDir(), "n"))
 	conn, l := p.call(t)
 	defer conn.Close()
 	var want, got []uint64
@@ -124,15 +124,15 @@
 		want = append(want, uint64(i)<<40|uint64(i))
 	}
 	p.loop.Post(func() {
-		l.TellAll(want[:5000])
-		l.Taken(want[5000]) // told soon, unasked
+		l.SendIDs(want[:5000])
+		l.SendAccepted(want[5000]) // told soon, unasked
 	})
 	for in := json.NewDecoder(conn); len(got) < len(want); {
 		var m Message
 		if err := in.Decode(&m); err != nil {
 			t.Fatal(err)
 		}
-		names, err := m.ReadNames()
+		names, err := m.ReadIDs()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -142,7 +142,7 @@
 		t.Error("other names came")
 	}
 	for _, bad := range []string{"x", "AAAA"} {
-		if _, err := (&Message{Names: bad}).ReadNames(); err == nil {
+		if _, err := (&Message{IDs: bad}).ReadIDs(); err == nil {
 			t.Errorf("%q is read as names", bad)
 		}
 	}
@@ -157,11 +157,11 @@
 	f.Add([]byte{0, 7})
 	out := true
 	words := []Message{
-		{Ready: true}, {Names: "AAAAAAAAAAA="}, {Out: &out}, {Charge: &Charge{"w", 0.5}}, {Room: &Room{200, 1 << 20}},
-		{Hello: &Hello{"127.0.0.1:1", json.RawMessage(`{"seq":1}`), true, []byte("key")}},
+		{Ready: true}, {IDs: "AAAAAAAAAAA="}, {OutOfService: &out}, {Reservation: &Reservation{"w", 0.5}}, {Limits: &Limits{200, 1 << 20}},
+		{Greeting: &Greeting{"127.0.0.1:1", json.RawMessage(`{"seq":1}`), true, []byte("key")}},
 		{List: json.RawMessage(`{"hosts":["` + strings.Repeat("x", 50000) + `"]}`)},
 	}
-	p := newPair(f, Path(f.TempDir(), "n"))
+	p := newPair(f, SocketPath(f.TempDir(), "n"))
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		conn, _ := p.call(t)
 		sent := 0
@@ -193,7 +193,7 @@
 
 // A line that never ends is given up, and takes up no more than a buffer.
 func TestEndlessLine(t *testing.T) {
-	p := newPair(t, Path(t.TempDir(), "n"))
+	p := newPair(t, SocketPath(t.TempDir(), "n"))
 	conn, _ := p.call(t)
 	defer conn.Close()
 	go conn.Write([]byte(strings.Repeat("x", 2*transport.BufferSize)))
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -13,7 +13,7 @@
 const (
 	None       Rule = iota
 	Drain           // nothing goes to a worker that drains or has gone, beyond the grace
-	OldList         // nothing goes out by a list that may be too old
+	ListStale       // nothing goes out by a list that may be too old
 	Deadline        // nothing goes out once its client waits no more
 	Window          // no repeat arrives once workers have forgotten the first attempt
 	Duplicate       // what must not run twice has one attempt that may have run
@@ -29,37 +29,37 @@
 // Send is what is known as a request, or the last byte of it, is about to leave.
 // Times are those of the dispatcher's clock.
 type Send struct {
-	Now      time.Duration
-	Deadline time.Duration // when the client waits no more
-	RepeatBy time.Duration // when a repeat must have left; 0: it may leave at any time
-	Left     bool          // the worker drains or has gone
-	LeftAt   time.Duration // when that was notified
-	Grace    time.Duration // for which it may be sent to all the same
-	OldList  bool          // the list that names the worker may be too old
+	Now          time.Duration
+	Deadline     time.Duration // when the client waits no more
+	RepeatBy     time.Duration // when a repeat must have left; 0: it may leave at any time
+	Leaving      bool          // the worker drains or has gone
+	LeavingSince time.Duration // when that was notified
+	Grace        time.Duration // for which it may be sent to all the same
+	ListStale    bool          // the list that names the worker may be too old
 }
 
 // broken returns the rule that sending would break, or None.
 func (s Send) broken() Rule {
 	switch {
-	case s.Left && s.Now-s.LeftAt > s.Grace:
+	case s.Leaving && s.Now-s.LeavingSince > s.Grace:
 		return Drain
 	case s.Deadline <= s.Now:
 		return Deadline
 	case s.RepeatBy > 0 && s.Now >= s.RepeatBy:
 		return Window
-	case s.OldList:
-		return OldList
+	case s.ListStale:
+		return ListStale
 	}
 	return None
 }
 
 // Start is what is known as an attempt is about to be made for a request.
 type Start struct {
-	Now        time.Duration
-	Deadline   time.Duration
-	Answered   bool // the request has its final answer
-	Fragile    bool // it must not run twice
-	MayHaveRun bool // an earlier attempt may have
+	Now           time.Duration
+	Deadline      time.Duration
+	Answered      bool // the request has its final answer
+	NonIdempotent bool // it must not run twice
+	MayHaveRun    bool // an earlier attempt may have
 }
 
 func (s Start) broken() Rule {
@@ -68,7 +68,7 @@
 		return Answered
 	case s.Deadline <= s.Now:
 		return Deadline
-	case s.Fragile && s.MayHaveRun:
+	case s.NonIdempotent && s.MayHaveRun:
 		return Duplicate
 	}
 	return None
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -16,12 +16,12 @@
 		want   Rule
 	}{
 		"good":                     {func(*Send) {}, None},
-		"drains, within the grace": {func(x *Send) { x.Left, x.LeftAt, x.Grace = true, 9500*time.Millisecond, 500*time.Millisecond }, None},
-		"drains, beyond the grace": {func(x *Send) { x.Left, x.LeftAt, x.Grace = true, 9499*time.Millisecond, 500*time.Millisecond }, Drain},
+		"drains, within the grace": {func(x *Send) { x.Leaving, x.LeavingSince, x.Grace = true, 9500*time.Millisecond, 500*time.Millisecond }, None},
+		"drains, beyond the grace": {func(x *Send) { x.Leaving, x.LeavingSince, x.Grace = true, 9499*time.Millisecond, 500*time.Millisecond }, Drain},
 		"at its deadline":          {func(x *Send) { x.Deadline = 10 * s }, Deadline},
 		"a repeat in its window":   {func(x *Send) { x.RepeatBy = 11 * s }, None},
 		"a repeat at its end":      {func(x *Send) { x.RepeatBy = 10 * s }, Window},
-		"by an old list":           {func(x *Send) { x.OldList = true }, OldList},
+		"by an old list":           {func(x *Send) { x.ListStale = true }, ListStale},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var g Guard
@@ -48,8 +48,8 @@
 	}{
 		{Start{Now: s, Deadline: 2 * s}, None},
 		{Start{Now: s, Deadline: 2 * s, MayHaveRun: true}, None},
-		{Start{Now: s, Deadline: 2 * s, Fragile: true}, None},
-		{Start{Now: s, Deadline: 2 * s, Fragile: true, MayHaveRun: true}, Duplicate},
+		{Start{Now: s, Deadline: 2 * s, NonIdempotent: true}, None},
+		{Start{Now: s, Deadline: 2 * s, NonIdempotent: true, MayHaveRun: true}, Duplicate},
 		{Start{Now: s, Deadline: 2 * s, Answered: true}, Answered},
 		{Start{Now: 2 * s, Deadline: 2 * s}, Deadline},
 	} {
@@ -64,8 +64,8 @@
 	var reported []string
 	g := Guard{Report: func(r Rule, subject string) { reported = append(reported, r.String()+" "+subject) }}
 	g.CheckSent(Start{Now: s, Deadline: 2 * s}, Send{Now: s, Deadline: 2 * s}, "fine")
-	g.CheckSent(Start{Now: s, Deadline: 2 * s, Fragile: true, MayHaveRun: true}, Send{Now: s, Deadline: 2 * s}, "twice")
-	g.CheckSent(Start{Now: s, Deadline: 2 * s}, Send{Now: s, Deadline: 2 * s, Left: true}, "gone")
+	g.CheckSent(Start{Now: s, Deadline: 2 * s, NonIdempotent: true, MayHaveRun: true}, Send{Now: s, Deadline: 2 * s}, "twice")
+	g.CheckSent(Start{Now: s, Deadline: 2 * s}, Send{Now: s, Deadline: 2 * s, Leaving: true}, "gone")
 	g.CheckClosed(false, "fine")
 	g.CheckClosed(true, "owed")
 	if want := (Counts{"duplicate": 1, "drain": 1, "unanswered": 1}); !maps.Equal(g.Violated(), want) {
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -61,7 +61,7 @@
 	State    State
 	Fence    uint64        // of its newest lease; higher ones make lower ones void
 	Worker   string        // who holds, or held, that lease
-	Honours  Honours       // what that worker has promised
+	Honours  Guarantee     // what that worker has promised
 	Only     bool          // it may have run: it is only for a worker whose till knows
 	Until    time.Duration // the lease's end, or when it is due
 	Attempts int
@@ -73,14 +73,14 @@
 	Seq      uint64        // the order in which jobs were taken on
 }
 
-// Honours is what a worker promises of jobs that must not run twice.
-type Honours uint8
+// Guarantee is what a worker promises of jobs that must not run twice.
+type Guarantee uint8
 
 // The promises.
 const (
-	Nothing Honours = iota
-	Fences          // it asks before it starts, and starts only when granted
-	Tills           // its till knows by id what has been run, by any worker, and runs nothing twice
+	NoGuarantee  Guarantee = iota
+	HonorsFences           // it asks before it starts, and starts only when granted
+	Deduplicates           // its till knows by id what has been run, by any worker, and runs nothing twice
 )
 
 // Config says how long and how often.
@@ -309,9 +309,9 @@
 	return m.take()
 }
 
-// NotStored tells that a version cannot be stored: a job that was being taken on
+// StoreFailed tells that a version cannot be stored: a job that was being taken on
 // is refused, and a lease that was about to be given is not.
-func (m *Machine) NotStored(id string, version uint64, why string) []Effect {
+func (m *Machine) StoreFailed(id string, version uint64, why string) []Effect {
 	e := m.jobs[id]
 	if e == nil || version != e.Version {
 		return nil
@@ -342,9 +342,9 @@
 
 // Assign leases a ready job to the worker that the decision module has chosen.
 // It is handed out once the lease is stored: a crash must find who may run it.
-func (m *Machine) Assign(now time.Duration, id, worker string, h Honours) []Effect {
+func (m *Machine) Assign(now time.Duration, id, worker string, h Guarantee) []Effect {
 	e := m.jobs[id]
-	if e == nil || e.State != Ready || e.Only && h != Tills {
+	if e == nil || e.State != Ready || e.Only && h != Deduplicates {
 		return nil
 	}
 	m.fence++
@@ -360,10 +360,10 @@
 	return e != nil && (e.State == Leased || e.State == Started) && (e.Fence == fence || m.c.broken)
 }
 
-// Begin tells that a worker starts a job. One that honours fences asks first, and
+// Start tells that a worker starts a job. One that honours fences asks first, and
 // starts only on the Grant, which comes once the start is stored; asked again, it
 // is granted again. no: its lease is void.
-func (m *Machine) Begin(now time.Duration, id string, fence uint64) (effects []Effect, no bool) {
+func (m *Machine) Start(now time.Duration, id string, fence uint64) (effects []Effect, no bool) {
 	e := m.jobs[id]
 	if !m.holds(e, fence) || e.State == Leased && e.stored < e.Version && !m.c.broken {
 		return nil, true
@@ -385,8 +385,8 @@
 	return m.take(), false
 }
 
-// Beat renews a worker's leases.
-func (m *Machine) Beat(now time.Duration, worker string) {
+// Heartbeat renews a worker's leases.
+func (m *Machine) Heartbeat(now time.Duration, worker string) {
 	for _, e := range m.leased[worker] {
 		e.Until = max(e.Until, now+m.lease(e))
 	}
@@ -531,10 +531,10 @@
 	switch {
 	case !e.Once:
 		m.again(now, e, "the lease ran out")
-	case e.Honours == Tills:
+	case e.Honours == Deduplicates:
 		m.to(e, Ready)
 		e.Only, e.Why = true, "the lease ran out; it is for workers whose till knows what has been run"
-	case e.Honours == Fences && e.State == Leased:
+	case e.Honours == HonorsFences && e.State == Leased:
 		m.to(e, Ready)
 		e.Why = "the lease ran out; its worker honours fences"
 	default:
@@ -577,9 +577,9 @@
 	return m.take()
 }
 
-// Settle ends a job in doubt by an operator's word: it ran, or it did not and is
+// Resolve ends a job in doubt by an operator's word: it ran, or it did not and is
 // to run. An error says why not.
-func (m *Machine) Settle(now time.Duration, id string, ran bool, reason string) ([]Effect, error) {
+func (m *Machine) Resolve(now time.Duration, id string, ran bool, reason string) ([]Effect, error) {
 	e := m.jobs[id]
 	switch {
 	case e == nil:
--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -38,7 +38,7 @@
 	ids      []string
 }
 
-var promise = [2]Honours{Fences, Fences}
+var promise = [2]Guarantee{HonorsFences, HonorsFences}
 
 func (w *world) clone() *world {
 	c := *w
@@ -99,7 +99,7 @@
 func (w *world) deliver(m message) {
 	switch m.kind {
 	case "hand":
-		if promise[m.worker] == Fences {
+		if promise[m.worker] == HonorsFences {
 			w.air = append(w.air, message{"begin", m.worker, m.id, m.fence})
 		} else {
 			w.held[m.worker][m.id] = m.fence
@@ -107,7 +107,7 @@
 	case "grant":
 		w.held[m.worker][m.id] = m.fence
 	case "begin":
-		effects, no := w.m.Begin(w.now, m.id, m.fence)
+		effects, no := w.m.Start(w.now, m.id, m.fence)
 		if w.do(effects); !no && w.m.c.broken && len(effects) == 0 {
 			w.air = append(w.air, message{"grant", m.worker, m.id, m.fence})
 		} else if !no && w.m.c.broken { // a grant goes to who asked
@@ -159,9 +159,9 @@
 			out = append(out, func(w *world) {
 				fence := w.held[worker][id]
 				delete(w.held[worker], id)
-				if promise[worker] != Tills || w.ran[id] == 0 || w.blind[id] { // else the till says that it has been run
+				if promise[worker] != Deduplicates || w.ran[id] == 0 || w.blind[id] { // else the till says that it has been run
 					w.ran[id]++
-					w.blind[id] = promise[worker] != Tills
+					w.blind[id] = promise[worker] != Deduplicates
 				}
 				w.air = append(w.air, message{"ack", worker, id, fence})
 			})
@@ -210,10 +210,10 @@
 		if e.State == Done && w.ran[e.ID] == 0 {
 			return fmt.Sprintf("job %s is done and never ran", e.ID)
 		}
-		if e.State == InDoubt && promise[0] == Tills && promise[1] == Tills {
+		if e.State == InDoubt && promise[0] == Deduplicates && promise[1] == Deduplicates {
 			return fmt.Sprintf("job %s is in doubt, though tills know", e.ID)
 		}
-		if e.State == InDoubt && promise[0] == Fences && promise[1] == Fences && e.stored > 0 && !strings.Contains(e.Why, "may have run") {
+		if e.State == InDoubt && promise[0] == HonorsFences && promise[1] == HonorsFences && e.stored > 0 && !strings.Contains(e.Why, "may have run") {
 			return fmt.Sprintf("job %s is in doubt without a reason", e.ID)
 		}
 	}
@@ -256,8 +256,8 @@
 // No interleaving runs a job twice or loses one, with workers that honour fences
 // and with ones that do not; with fences not looked at, one is found.
 func TestExplore(t *testing.T) {
-	defer func() { promise = [2]Honours{Fences, Fences} }()
-	for _, f := range [][2]Honours{{Fences, Fences}, {Nothing, Nothing}, {Fences, Nothing}, {Tills, Tills}, {Tills, Fences}, {Tills, Nothing}} {
+	defer func() { promise = [2]Guarantee{HonorsFences, HonorsFences} }()
+	for _, f := range [][2]Guarantee{{HonorsFences, HonorsFences}, {NoGuarantee, NoGuarantee}, {HonorsFences, NoGuarantee}, {Deduplicates, Deduplicates}, {Deduplicates, HonorsFences}, {Deduplicates, NoGuarantee}} {
 		promise = f
 		depth := 10
 		if f[0] != f[1] {
@@ -275,10 +275,10 @@
 	// From a lease that has been handed out on, one job, deeper: a late start
 	// against the next lease. With fences not looked at it is found.
 	for _, test := range []struct {
-		promise [2]Honours
+		promise [2]Guarantee
 		broken  bool
-	}{{[2]Honours{Fences, Fences}, false}, {[2]Honours{Fences, Fences}, true}, {[2]Honours{Nothing, Tills}, false}, {[2]Honours{Tills, Nothing}, false},
-		{[2]Honours{Tills, Tills}, false}, {[2]Honours{Fences, Tills}, false}, {[2]Honours{Tills, Fences}, false}} {
+	}{{[2]Guarantee{HonorsFences, HonorsFences}, false}, {[2]Guarantee{HonorsFences, HonorsFences}, true}, {[2]Guarantee{NoGuarantee, Deduplicates}, false}, {[2]Guarantee{Deduplicates, NoGuarantee}, false},
+		{[2]Guarantee{Deduplicates, Deduplicates}, false}, {[2]Guarantee{HonorsFences, Deduplicates}, false}, {[2]Guarantee{Deduplicates, HonorsFences}, false}} {
 		promise = test.promise
 		w := newWorld(Config{broken: test.broken})
 		w.ids, w.expiries, w.losses = []string{"a"}, 1, 0
@@ -330,10 +330,10 @@
 	check("push", show(m.Push(0, Job{ID: "r", Once: true}, 0)), "store r accepted")
 	check("pushed again before it is stored", show(m.Push(0, Job{ID: "r", Once: true}, 0)), "")
 	check("stored: both hear", show(m.Stored(0, "r", 1)), "answer r accepted; answer r accepted")
-	check("assign", show(m.Assign(0, "r", "w0", Nothing)), "store r leased")
+	check("assign", show(m.Assign(0, "r", "w0", NoGuarantee)), "store r leased")
 	check("its lease is stored", show(m.Stored(0, "r", 2)), "hand r leased")
 	check("nothing is due", show(m.Tick(9*s)), "")
-	m.Beat(9*s, "w0")
+	m.Heartbeat(9*s, "w0")
 	check("renewed", show(m.Tick(15*s)), "")
 	check("it runs out, and may have run", show(m.Tick(20*s)), "lapsed r leased; store r in doubt the lease of worker w0 ran out and the job may have run")
 	check("a late ACK is the proof", show(m.Ack(21*s, "r", 1, nil)), "store r done")
@@ -342,30 +342,30 @@
 
 	m.Push(0, Job{ID: "c"}, 0) // one that may be repeated
 	m.Stored(0, "c", 1)
-	m.Assign(0, "c", "w1", Nothing)
+	m.Assign(0, "c", "w1", NoGuarantee)
 	m.Stored(0, "c", 2)
 	check("it runs out", show(m.Tick(30*s)), "lapsed c leased; store c waiting the lease ran out")
 	m.Tick(32 * s)
 	check("after the backoff", state("c"), "ready")
-	m.Assign(32*s, "c", "w0", Nothing)
+	m.Assign(32*s, "c", "w0", NoGuarantee)
 	m.Stored(32*s, "c", 4)
 	check("the first one's ACK is void", show(m.Ack(33*s, "c", 2, nil)), "reply c leased the lease is void")
 	check("the second fails", show(m.Fail(33*s, "c", 3, "no card", true)), "store c dead no card")
 
 	m.Push(0, Job{ID: "n", Once: true}, 0)
 	m.Stored(0, "n", 1)
-	m.Assign(40*s, "n", "w0", Nothing)
-	check("its lease cannot be stored", show(m.NotStored("n", 2, "disk full"))+state("n"), "ready")
-	m.Assign(41*s, "n", "w0", Nothing)
+	m.Assign(40*s, "n", "w0", NoGuarantee)
+	check("its lease cannot be stored", show(m.StoreFailed("n", 2, "disk full"))+state("n"), "ready")
+	m.Assign(41*s, "n", "w0", NoGuarantee)
 	m.Stored(41*s, "n", 3)
 	check("never started, by its worker's word", show(m.Fail(42*s, "n", 5, "full", false)), "store n ready")
-	check("a push that cannot be stored", show(m.Push(0, Job{ID: "x"}, 0))+"; "+show(m.NotStored("x", 1, "disk full")), "store x accepted; answer x accepted not kept: disk full")
+	check("a push that cannot be stored", show(m.Push(0, Job{ID: "x"}, 0))+"; "+show(m.StoreFailed("x", 1, "disk full")), "store x accepted; answer x accepted not kept: disk full")
 	check("later", show(m.Push(50*s, Job{ID: "l"}, 60*s))+" "+show(m.Stored(50*s, "l", 1))+" "+state("l"), "store l accepted answer l accepted scheduled")
 	m.Tick(60 * s)
 	check("due", state("l"), "ready")
 
 	// A crash: what was leased waits for its worker, then is judged.
-	m.Assign(61*s, "l", "w0", Nothing)
+	m.Assign(61*s, "l", "w0", NoGuarantee)
 	m.Stored(61*s, "l", 2)
 	disk := []Job{}
 	for _, id := range []string{"r", "c", "l"} {
@@ -378,10 +378,10 @@
 	check("done stays done", state("r")+" "+state("c")+" "+state("l"), "done dead leased")
 	check("in the grace time", show(m.Tick(90*s)), "")
 	check("after it", show(m.Tick(93*s)), "lapsed l leased; store l in doubt the lease of worker w0 ran out and the job may have run")
-	if _, err := m.Settle(94*s, "l", true, ""); err == nil {
+	if _, err := m.Resolve(94*s, "l", true, ""); err == nil {
 		t.Error("settled without a reason")
 	}
-	effects, err := m.Settle(94*s, "l", false, "the till shows nothing")
+	effects, err := m.Resolve(94*s, "l", false, "the till shows nothing")
 	check("settled", fmt.Sprint(show(effects), err), "store l ready settled: the till shows nothing<nil>")
 }
 
@@ -408,15 +408,15 @@
 	}
 	check("pushed", told(m.Push(0, Job{ID: "a"}, 0)), "")
 	check("stored", told(m.Stored(0, "a", 1)), "a")
-	check("leased", told(m.Assign(0, "a", "w", Nothing)), "")
-	check("its lease cannot be stored", told(m.NotStored("a", 2, "full")), "a")
-	m.Assign(0, "a", "w", Nothing)
+	check("leased", told(m.Assign(0, "a", "w", NoGuarantee)), "")
+	check("its lease cannot be stored", told(m.StoreFailed("a", 2, "full")), "a")
+	m.Assign(0, "a", "w", NoGuarantee)
 	m.Stored(0, "a", 3)
 	check("never started", told(m.Fail(s, "a", 2, "busy", false)), "a")
 	m.Stored(s, "a", 4)
-	m.Assign(s, "a", "w", Nothing)
+	m.Assign(s, "a", "w", NoGuarantee)
 	m.Stored(s, "a", 5)
-	m.Beat(5*s, "w")
+	m.Heartbeat(5*s, "w")
 	if at, ok := m.Due(); !ok || at > 15*s {
 		t.Errorf("due at %v", at)
 	}
@@ -424,7 +424,7 @@
 	check("run out", told(m.Tick(15*s)), "")
 	m.Stored(15*s, "a", 6)
 	check("after its backoff", told(m.Tick(17*s)), "a")
-	m.Assign(17*s, "a", "w", Nothing)
+	m.Assign(17*s, "a", "w", NoGuarantee)
 	m.Stored(17*s, "a", 7)
 	m.Ack(18*s, "a", 4, nil)
 	m.Stored(18*s, "a", 8)
@@ -477,7 +477,7 @@
 		drain(effects)
 		return err
 	}
-	run := func(id string, h Honours) uint64 {
+	run := func(id string, h Guarantee) uint64 {
 		t.Helper()
 		drain(m.Assign(now, id, "w", h))
 		want(id, Leased)
@@ -488,7 +488,7 @@
 	if why := drain(m.Push(now, Job{ID: "p", Once: true, Sum: 8}, 0)); why != "this id is another job's" {
 		t.Errorf("another job's id: %q", why)
 	}
-	f := run("p", Nothing)
+	f := run("p", NoGuarantee)
 	if move("p", Discard, true) == nil || move("nobody", Kill, true) == nil {
 		t.Error("moved what is leased, or not there")
 	}
@@ -507,14 +507,14 @@
 	want("p", Discarded)
 	// Its own bounds: one attempt, dropped; a lease of its own, which a Beat renews by its own span.
 	drain(m.Push(now, Job{ID: "d", Most: 1, Drops: true}, 0))
-	drain(m.Fail(now, "d", run("d", Nothing), "no", true))
+	drain(m.Fail(now, "d", run("d", NoGuarantee), "no", true))
 	want("d", Discarded)
 	drain(m.Push(now, Job{ID: "l", Lease: 50 * s}, 0))
-	f = run("l", Nothing)
+	f = run("l", NoGuarantee)
 	now = 40 * s
 	drain(m.Tick(now))
 	want("l", Leased)
-	m.Beat(now, "w")
+	m.Heartbeat(now, "w")
 	m.Extend("l", f, 95*s)
 	m.Extend("l", f+1, 500*s) // another's
 	now = 94 * s
@@ -525,14 +525,14 @@
 	want("l", Waiting)
 	// A till that knows: what may have run is free for such tills, and for no other.
 	drain(m.Push(now, Job{ID: "t", Once: true}, 0))
-	run("t", Tills)
+	run("t", Deduplicates)
 	now = 105 * s
 	drain(m.Tick(now))
 	want("t", Ready)
-	if m.Assign(now, "t", "w", Fences) != nil {
+	if m.Assign(now, "t", "w", HonorsFences) != nil {
 		t.Error("handed to a till that does not know what has been run")
 	}
-	run("t", Tills)
+	run("t", Deduplicates)
 	// The clock was set back by a day while the program was down.
 	var disk []Job
 	m.Each(func(j Job) { disk = append(disk, j) })
@@ -546,7 +546,7 @@
 	}
 	want("t", Ready)
 	want("l", Ready)
-	if g := run("l", Nothing); g <= f+1000 { // what was read may be an older copy
+	if g := run("l", NoGuarantee); g <= f+1000 { // what was read may be an older copy
 		t.Errorf("the fence %d is given after %d", g, f)
 	}
 	drain(m.Fail(now, "l", m.jobs["l"].Fence, "busy", false))
--- a/internal/listener/bench_test.go
+++ b/internal/listener/bench_test.go
@@ -17,7 +17,7 @@
 // and without, in turns within one run: the ratio is what counts.
 func BenchmarkAccept(b *testing.B) {
 	rate := func(guarded bool) float64 {
-		loop := eventloop.NewLoop()
+		loop := eventloop.New()
 		engine, err := transport.NewEngine(loop, 4096)
 		if err != nil {
 			b.Fatal(err)
@@ -29,18 +29,18 @@
 		var taken atomic.Int64
 		var a *transport.Acceptor
 		if guarded {
-			e, err := Guard(loop, engine, Config{Admit: connlimit.Config{Room: 3000, Reserve: 100, Known: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")},
-				Address: connlimit.Caps{Open: 2900, PerSecond: 1e6}, Prefix: connlimit.Caps{Open: 2900}}}, 4000, nil)
+			e, err := New(loop, engine, Config{Limits: connlimit.Config{Capacity: 3000, Reserve: 100, Known: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")},
+				Address: connlimit.Limits{Open: 2900, PerSecond: 1e6}, Prefix: connlimit.Limits{Open: 2900}}}, 4000, nil)
 			if err != nil {
 				b.Fatal(err)
 			}
-			a = engine.ServeGuarded(ln, true, func(c *transport.Conn) transport.Owner {
+			a = engine.ServeWithAdmission(ln, true, func(c *transport.Conn) transport.Handler {
 				taken.Add(1)
-				e.Admit.Closed(e.Come(0, uint64(c.Handle), c.Pass))
+				e.Limiter.Closed(e.Accepted(0, uint64(c.Handle), c.AdmissionToken))
 				return nil
 			})
 		} else {
-			a = engine.Serve(ln, 3000, true, func(c *transport.Conn) transport.Owner { taken.Add(1); return nil }, func() {})
+			a = engine.Serve(ln, 3000, true, func(c *transport.Conn) transport.Handler { taken.Add(1); return nil }, func() {})
 		}
 		go loop.Run()
 		defer loop.Post(loop.Stop)
--- a/internal/listener/entry.go
+++ b/internal/listener/entry.go
@@ -25,29 +25,29 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-// Owner is a front: it closes a session of its own, at once, on which nothing is owed.
-type Owner interface{ Shed(token uint64) }
+// FrontEnd is a front: it closes a session of its own, at once, on which nothing is owed.
+type FrontEnd interface{ Evict(token uint64) }
 
 // Config is what the operator's file says, ready for use.
 type Config struct {
-	Admit      connlimit.Config
-	Floors     [connlimit.Kinds]int
-	Marks      connlimit.Marks
-	Say503     bool          // refused ones hear 503; else they are closed
-	WriteStall time.Duration // for which answers may wait to be read; 0: no bound
+	Limits           connlimit.Config
+	DescriptorFloors [connlimit.DescriptorKinds]int
+	Watermarks       connlimit.Watermarks
+	Respond503       bool          // refused ones hear 503; else they are closed
+	WriteStall       time.Duration // for which answers may wait to be read; 0: no bound
 }
 
-// Entry is one process's. Its fields are set before the first Arrive; all but
+// Gate is one process's. Its fields are set before the first Arrive; all but
 // Arrive and Left belong to the loop's goroutine.
-type Entry struct {
-	Admit  *connlimit.Admitter
-	Budget *connlimit.Budget // nil: descriptors are bounded by the engine's gates
-	Idle   func()            // closes idle connections to backends
+type Gate struct {
+	Limiter          *connlimit.Limiter
+	Budget           *connlimit.DescriptorBudget // nil: descriptors are bounded by the engine's gates
+	CloseIdleWorkers func()                      // closes idle connections to backends
 
 	loop   *eventloop.Loop
 	engine *transport.Engine
 	config Config
-	owners [2]Owner
+	owners [2]FrontEnd
 	due    eventloop.Deadline
 	log    *slog.Logger
 	guards bool
@@ -79,111 +79,111 @@
 	saidText    = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 )
 
-// Plain returns an entry that keeps the order in which sessions are shed and
+// NewUnlimited returns an entry that keeps the order in which sessions are shed and
 // nothing else: what room there is, the engine's gates say.
-func Plain(loop *eventloop.Loop, room int) *Entry {
-	a, err := connlimit.New(connlimit.Config{Room: max(room, 1), Nameless: true})
+func NewUnlimited(loop *eventloop.Loop, room int) *Gate {
+	a, err := connlimit.New(connlimit.Config{Capacity: max(room, 1), Anonymous: true})
 	if err != nil {
 		panic(err) // a room of one is right
 	}
-	return &Entry{Admit: a, loop: loop}
+	return &Gate{Limiter: a, loop: loop}
 }
 
-// Guard returns an entry that decides on each connection by the operator's file.
-func Guard(loop *eventloop.Loop, engine *transport.Engine, c Config, descriptors int, log *slog.Logger) (*Entry, error) {
-	c.Admit.Seed = rand.Uint64()
-	a, err := connlimit.New(c.Admit)
+// New returns an entry that decides on each connection by the operator's file.
+func New(loop *eventloop.Loop, engine *transport.Engine, c Config, descriptors int, log *slog.Logger) (*Gate, error) {
+	c.Limits.Seed = rand.Uint64()
+	a, err := connlimit.New(c.Limits)
 	if err != nil {
 		return nil, err
 	}
-	b, err := connlimit.NewBudget(descriptors, c.Floors, c.Marks)
+	b, err := connlimit.NewDescriptorBudget(descriptors, c.DescriptorFloors, c.Watermarks)
 	if err != nil {
 		return nil, err
 	}
-	e := &Entry{Admit: a, Budget: b, loop: loop, engine: engine, config: c, log: log, guards: true, whole: descriptors}
-	e.say503.Store(c.Say503)
+	e := &Gate{Limiter: a, Budget: b, loop: loop, engine: engine, config: c, log: log, guards: true, whole: descriptors}
+	e.say503.Store(c.Respond503)
 	e.due.Fire = e.look
-	quota := func(kind connlimit.Kind) transport.Quota {
-		return transport.Quota{Take: func() bool { return b.Take(kind) }, Give: func() { b.Give(kind) }}
+	quota := func(kind connlimit.DescriptorKind) transport.Quota {
+		return transport.Quota{Acquire: func() bool { return b.Acquire(kind) }, Release: func() { b.Release(kind) }}
 	}
-	engine.Guard(e, quota(connlimit.Backends), quota(connlimit.Discovery))
+	engine.SetAdmission(e, quota(connlimit.WorkerConnections), quota(connlimit.DiscoveryConnections))
 	return e, nil
 }
 
-// Guards tells whether connections are decided on.
-func (e *Entry) Guards() bool { return e.guards }
+// Enabled tells whether connections are decided on.
+func (e *Gate) Enabled() bool { return e.guards }
 
 // WriteStall is how long answers may wait to be read; 0: no bound.
-func (e *Entry) WriteStall() time.Duration { return e.config.WriteStall }
+func (e *Gate) WriteStall() time.Duration { return e.config.WriteStall }
 
-// Set takes over a configuration read anew. What is open stays.
-func (e *Entry) Set(c Config, descriptors int) error {
-	if err := e.Budget.Set(descriptors, c.Floors, c.Marks); err != nil {
+// Reconfigure takes over a configuration read anew. What is open stays.
+func (e *Gate) Reconfigure(c Config, descriptors int) error {
+	if err := e.Budget.Reconfigure(descriptors, c.DescriptorFloors, c.Watermarks); err != nil {
 		return err
 	}
-	if err := e.Admit.Set(c.Admit); err != nil {
+	if err := e.Limiter.Reconfigure(c.Limits); err != nil {
 		return err
 	}
 	e.config = c
-	e.say503.Store(c.Say503)
+	e.say503.Store(c.Respond503)
 	e.press()
 	return nil
 }
 
-// Resize keeps to a part of what the file says, while another process of the
+// SetShare keeps to a part of what the file says, while another process of the
 // same dispatcher has the rest. What is open stays.
-func (e *Entry) Resize(part float64) {
+func (e *Gate) SetShare(part float64) {
 	part = min(max(part, 0.05), 1)
-	floors := e.config.Floors
+	floors := e.config.DescriptorFloors
 	for k := range floors {
 		floors[k] = int(part * float64(floors[k]))
 	}
-	_ = e.Budget.Set(max(int(part*float64(e.whole)), 8), floors, e.config.Marks) // what held whole holds in part
-	e.Admit.Resize(int(part * float64(e.config.Admit.Room)))
+	_ = e.Budget.Reconfigure(max(int(part*float64(e.whole)), 8), floors, e.config.Watermarks) // what held whole holds in part
+	e.Limiter.SetCapacity(int(part * float64(e.config.Limits.Capacity)))
 	e.press()
 }
 
-// Join names the front whose tokens carry a number, 0 or 1.
-func (e *Entry) Join(number int, o Owner) { e.owners[number] = o }
+// AddFrontEnd names the front whose tokens carry a number, 0 or 1.
+func (e *Gate) AddFrontEnd(number int, o FrontEnd) { e.owners[number] = o }
 
 // token is a front's token with the front's number in its top bit.
 func token(number int, t uint64) uint64 { return t | uint64(number)<<63 }
 
-// Come takes in a session of a front. pass is what Arrive gave; 0: it was not asked.
-func (e *Entry) Come(number int, t uint64, pass uint64) connlimit.ID {
+// Accepted takes in a session of a front. pass is what Arrive gave; 0: it was not asked.
+func (e *Gate) Accepted(number int, t uint64, pass uint64) connlimit.ID {
 	if pass == 0 {
-		return e.Admit.Adopt(e.loop.Now(), token(number, t))
+		return e.Limiter.Adopt(e.loop.Now(), token(number, t))
 	}
-	e.Admit.Own(connlimit.ID(pass), token(number, t))
+	e.Limiter.SetToken(connlimit.ID(pass), token(number, t))
 	return connlimit.ID(pass)
 }
 
-// Next is the session that goes first for a need, and what it does; false: there is none.
-func (e *Entry) Next(need connlimit.Need, spareProven bool) (token uint64, stage connlimit.Stage, ok bool) {
-	return e.Admit.Victim(e.loop.Now(), need, spareProven, nil)
+// EvictionCandidate is the session that goes first for a need, and what it does; false: there is none.
+func (e *Gate) EvictionCandidate(need connlimit.EvictionReason, spareProven bool) (token uint64, stage connlimit.Stage, ok bool) {
+	return e.Limiter.EvictionCandidate(e.loop.Now(), need, spareProven, nil)
 }
 
-// Drop closes the session that Next named.
-func (e *Entry) Drop(token uint64) {
+// CloseConnection closes the session that Next named.
+func (e *Gate) CloseConnection(token uint64) {
 	if o := e.owners[token>>63]; o != nil {
-		o.Shed(token &^ (1 << 63))
+		o.Evict(token &^ (1 << 63))
 	}
 }
 
-// Shed closes the session that goes first for a need; false: there is none.
-func (e *Entry) Shed(need connlimit.Need) bool {
-	token, _, ok := e.Next(need, false)
+// EvictOne closes the session that goes first for a need; false: there is none.
+func (e *Gate) EvictOne(need connlimit.EvictionReason) bool {
+	token, _, ok := e.EvictionCandidate(need, false)
 	if ok {
-		e.Drop(token)
+		e.CloseConnection(token)
 	}
 	return ok
 }
 
-// Expel ends the sessions of a prefix on which nothing is owed, and returns how many.
-func (e *Entry) Expel(prefix netip.Prefix) int {
-	tokens := e.Admit.Within(prefix)
+// EvictPrefix ends the sessions of a prefix on which nothing is owed, and returns how many.
+func (e *Gate) EvictPrefix(prefix netip.Prefix) int {
+	tokens := e.Limiter.IdleWithin(prefix)
 	for _, t := range tokens {
-		e.Drop(t)
+		e.CloseConnection(t)
 	}
 	return len(tokens)
 }
@@ -198,23 +198,23 @@
 	return addr.Unmap()
 }
 
-// Arrive decides on a connection that has just been accepted, on the accepting
+// Admit decides on a connection that has just been accepted, on the accepting
 // goroutine. One that may not come in has been answered and closed, but where
 // wait tells that room is to be made for it.
-func (e *Entry) Arrive(conn net.Conn) (pass uint64, in, wait bool) {
+func (e *Gate) Admit(conn net.Conn) (pass uint64, in, wait bool) {
 	addr := peer(conn)
-	why := connlimit.Short
-	if e.Budget.Take(connlimit.Sessions) {
+	why := connlimit.NoDescriptors
+	if e.Budget.Acquire(connlimit.ClientConnections) {
 		e.press()
 		var id connlimit.ID
-		if id, why = e.Admit.Arrive(e.loop.Now(), addr, 0); why == connlimit.Fine {
+		if id, why = e.Limiter.Admit(e.loop.Now(), addr, 0); why == connlimit.Allowed {
 			return uint64(id), true, false
 		}
-		e.Budget.Give(connlimit.Sessions)
+		e.Budget.Release(connlimit.ClientConnections)
 	} else {
 		e.press()
-		e.Admit.Note(why)
-		if e.Admit.Knows(e.loop.Now(), addr) {
+		e.Limiter.CountReason(why)
+		if e.Limiter.IsKnown(e.loop.Now(), addr) {
 			why = connlimit.FullKnown
 		}
 	}
@@ -227,42 +227,42 @@
 	return 0, false, false
 }
 
-// Wait is Arrive for one that room is made for, on a goroutine of its own.
-func (e *Entry) Wait(conn net.Conn) (pass uint64, in bool) {
+// WaitForRoom is Arrive for one that room is made for, on a goroutine of its own.
+func (e *Gate) WaitForRoom(conn net.Conn) (pass uint64, in bool) {
 	defer e.waiting.Add(-1)
 	addr := peer(conn)
 	for range waitSteps {
-		e.loop.Post(func() { e.Shed(connlimit.ForKnown) })
+		e.loop.Post(func() { e.EvictOne(connlimit.ForKnown) })
 		time.Sleep(waitStep)
-		if e.Budget.Take(connlimit.Sessions) {
-			id, why := e.Admit.Arrive(e.loop.Now(), addr, 0)
-			if why == connlimit.Fine {
+		if e.Budget.Acquire(connlimit.ClientConnections) {
+			id, why := e.Limiter.Admit(e.loop.Now(), addr, 0)
+			if why == connlimit.Allowed {
 				return uint64(id), true
 			}
-			e.Budget.Give(connlimit.Sessions)
+			e.Budget.Release(connlimit.ClientConnections)
 		}
 	}
 	e.refuse(conn, addr, connlimit.FullKnown)
 	return 0, false
 }
 
-// Left tells that a connection that came in ended before a front had it.
-func (e *Entry) Left(pass uint64) { e.Admit.Closed(connlimit.ID(pass)) }
+// Abandoned tells that a connection that came in ended before a front had it.
+func (e *Gate) Abandoned(pass uint64) { e.Limiter.Closed(connlimit.ID(pass)) }
 
-// Give gives a session's descriptor back.
-func (e *Entry) Give() {
-	e.Budget.Give(connlimit.Sessions)
+// Release gives a session's descriptor back.
+func (e *Gate) Release() {
+	e.Budget.Release(connlimit.ClientConnections)
 }
 
-// Starved tells that the system had no descriptor left, whatever was counted.
-func (e *Entry) Starved() {
-	e.Budget.Force(2)
+// Exhausted tells that the system had no descriptor left, whatever was counted.
+func (e *Gate) Exhausted() {
+	e.Budget.ForceLevel(2)
 	e.hurt.Store(int64(e.loop.Now()))
 	e.press()
 }
 
 // refuse ends a connection that may not come in.
-func (e *Entry) refuse(conn net.Conn, addr netip.Addr, why connlimit.Reason) {
+func (e *Gate) refuse(conn net.Conn, addr netip.Addr, why connlimit.Reason) {
 	tcp, ok := conn.(*net.TCPConn)
 	if ok && e.say503.Load() {
 		conn.SetWriteDeadline(time.Now().Add(time.Millisecond)) // it goes into an empty socket at once, or not at all
@@ -270,11 +270,11 @@
 		tcp.CloseWrite()
 	}
 	conn.Close()
-	e.Tell(why, addr)
+	e.LogRejection(why, addr)
 }
 
-// Tell logs a refusal, each kind at a bounded rate.
-func (e *Entry) Tell(why connlimit.Reason, addr netip.Addr) {
+// LogRejection logs a refusal, each kind at a bounded rate.
+func (e *Gate) LogRejection(why connlimit.Reason, addr netip.Addr) {
 	if e.log == nil {
 		return
 	}
@@ -293,12 +293,12 @@
 }
 
 // press passes the level of pressure on, and sees to it that it is looked at.
-func (e *Entry) press() {
+func (e *Gate) press() {
 	level := e.Budget.Level()
 	if int32(level) == e.level.Load() && level == 0 {
 		return
 	}
-	e.Admit.Press(level)
+	e.Limiter.SetPressure(level)
 	if e.level.Store(int32(level)); level > 0 && !e.looking.Swap(true) {
 		e.loop.Post(e.look)
 	}
@@ -306,14 +306,14 @@
 
 // look acts on pressure: idle unknown ones go, and at the last level idle
 // connections to backends too.
-func (e *Entry) look() {
+func (e *Gate) look() {
 	now := e.loop.Now()
 	if hurt := e.hurt.Load(); hurt != 0 && now-time.Duration(hurt) > hurtTime {
 		e.hurt.Store(0)
-		e.Budget.Force(0)
+		e.Budget.ForceLevel(0)
 	}
 	level := e.Budget.Level()
-	e.Admit.Press(level)
+	e.Limiter.SetPressure(level)
 	if old := e.level.Swap(int32(level)); int(old) != level && e.log != nil {
 		e.log.Warn("descriptors: pressure changes", "level", level)
 	}
@@ -325,27 +325,27 @@
 		return
 	}
 	for range someAtATime {
-		if !e.Shed(connlimit.ForKnown) {
+		if !e.EvictOne(connlimit.ForKnown) {
 			break
 		}
 	}
-	if level == 3 && e.Idle != nil {
-		e.Idle()
+	if level == 3 && e.CloseIdleWorkers != nil {
+		e.CloseIdleWorkers()
 	}
 	e.loop.Set(&e.due, now+pressTime)
 }
 
 // Level is the pressure now.
-func (e *Entry) Level() int {
+func (e *Gate) Level() int {
 	if e.Budget == nil {
 		return 0
 	}
 	return int(e.level.Load())
 }
 
-// Header reads a PROXY header off the front of b. used is 0 where more must
+// ParseProxyHeader reads a PROXY header off the front of b. used is 0 where more must
 // come first; an error, where there is none or it is not whole in time.
-func Header(b []byte) (addr netip.Addr, used int, err error) {
+func ParseProxyHeader(b []byte) (addr netip.Addr, used int, err error) {
 	if used, err = headerSize(b); used == 0 || err != nil {
 		return addr, 0, err
 	}
--- a/internal/listener/entry_test.go
+++ b/internal/listener/entry_test.go
@@ -34,11 +34,11 @@
 		{v2(t, "10.0.0.1"), "10.0.0.1"}, {v2(t, "2001:db8::1"), "2001:db8::1"}, {local, ""},
 	} {
 		for n := range c.text {
-			if _, used, err := Header(c.text[:n]); used != 0 || err != nil {
+			if _, used, err := ParseProxyHeader(c.text[:n]); used != 0 || err != nil {
 				t.Fatalf("%q: %d, %v", c.text[:n], used, err)
 			}
 		}
-		addr, used, err := Header(append(append([]byte{}, c.text...), "GET /"...))
+		addr, used, err := ParseProxyHeader(append(append([]byte{}, c.text...), "GET /"...))
 		if err != nil || used != len(c.text) || c.addr != "" && addr != netip.MustParseAddr(c.addr) || c.addr == "" && addr.IsValid() {
 			t.Errorf("%q: %v, %d, %v", c.text, addr, used, err)
 		}
@@ -46,7 +46,7 @@
 	huge := append(append([]byte{}, signature...), 0x21, 0x11, 0xff, 0xff)
 	for _, text := range [][]byte{[]byte("GET / HTTP/1.1\r\n"), []byte("PROXY what\r\n"), []byte("PROXY " + strings.Repeat("x", 200)), huge,
 		[]byte("PROXY UNKNOWN\r\n"), append(append([]byte{}, signature...), 0x41, 0x11, 0, 0)} {
-		if addr, used, err := Header(text); err == nil && (used == 0 || addr.IsValid()) {
+		if addr, used, err := ParseProxyHeader(text); err == nil && (used == 0 || addr.IsValid()) {
 			t.Errorf("%q is taken: %v, %d", text, addr, used)
 		}
 	}
@@ -57,7 +57,7 @@
 	f.Add(v2(f, "10.0.0.1"))
 	f.Add(append(append([]byte{}, signature...), 0x21, 0x11, 0, 200))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		_, used, err := Header(text)
+		_, used, err := ParseProxyHeader(text)
 		if used < 0 || used > len(text) || err != nil && used != 0 {
 			t.Fatal(used, err)
 		}
@@ -65,7 +65,7 @@
 			t.Fatal("it waits without end")
 		}
 		for n := range min(len(text), 64) { // what is refused early is refused whole
-			if _, _, early := Header(text[:n]); early != nil && err == nil {
+			if _, _, early := ParseProxyHeader(text[:n]); early != nil && err == nil {
 				t.Fatalf("refused at %d of %d bytes: %v", n, len(text), early)
 			}
 		}
@@ -75,11 +75,11 @@
 // Refusals are logged at a bounded rate, each kind by itself.
 func TestTellIsBounded(t *testing.T) {
 	var out bytes.Buffer
-	e := Plain(eventloop.NewLoop(), 10)
+	e := NewUnlimited(eventloop.New(), 10)
 	e.log = slog.New(slog.NewTextHandler(&out, nil))
 	for range 500 {
-		e.Tell(connlimit.AddressOpen, netip.MustParseAddr("10.0.0.1"))
-		e.Tell(connlimit.Slow, netip.MustParseAddr("10.0.0.1"))
+		e.LogRejection(connlimit.AddressOpen, netip.MustParseAddr("10.0.0.1"))
+		e.LogRejection(connlimit.Slow, netip.MustParseAddr("10.0.0.1"))
 	}
 	if n := strings.Count(out.String(), "\n"); n != 2 {
 		t.Errorf("%d lines", n)
--- a/internal/platform/answer.go
+++ b/internal/platform/answer.go
@@ -14,8 +14,8 @@
 
 const statusOK = 200
 
-// Data takes in what the backend sent.
-func (l *line) Data(_ *transport.Conn, b *transport.Buffer) {
+// OnData takes in what the backend sent.
+func (l *line) OnData(_ *transport.Conn, b *transport.Buffer) {
 	if l.phase == resting { // nothing was asked: what comes is no answer to anything
 		l.set.engine.Pool.Put(b)
 		l.unlist()
@@ -69,7 +69,7 @@
 func (l *line) broken() {
 	l.close()
 	l.tell()
-	l.fail(decision.Severed)
+	l.fail(decision.ConnectionLost)
 }
 
 // step takes one piece out of the input; false: more must come first.
@@ -117,7 +117,7 @@
 	if l.at = 0; l.in == nil {
 		return
 	}
-	if l.in.Cut(at); len(l.in.Bytes()) == 0 {
+	if l.in.Consume(at); len(l.in.Bytes()) == 0 {
 		l.set.engine.Pool.Put(l.in)
 		l.in = nil
 	}
@@ -140,13 +140,13 @@
 	l.last = h.has("Connection", "close") || !chunked && length < 0
 	l.phase = streaming
 	if !l.probe && status != 200 {
-		var load decision.Load
+		var load decision.LoadReport
 		if v := h.get("X-Backend-Load"); v != nil {
 			load = settings.Load(&l.set.core.Settings, v)
 		}
-		o := decision.Errored // 500, and what the protocol does not name: it may have run
+		o := decision.Failed // 500, and what the protocol does not name: it may have run
 		if status >= 400 && status < 500 {
-			o = decision.Unusable
+			o = decision.InvalidRequest
 		}
 		if (status == 503 || status == 504) && bytes.Equal(h.get("X-Unprocessed"), []byte("1")) {
 			o = decision.Saturated
@@ -197,7 +197,7 @@
 	if l.text == nil {
 		l.text = l.set.engine.Pool.Get()
 	}
-	if !l.text.Add(data) {
+	if !l.text.Append(data) {
 		return errBody
 	}
 	return nil
@@ -218,18 +218,18 @@
 	if err := json.Unmarshal(text, &n); err != nil {
 		return err
 	}
-	if n.ID != l.job.Job.ID {
+	if n.ID != l.job.Request.ID {
 		return errMalformed // made for another req
 	}
-	var load decision.Load
+	var load decision.LoadReport
 	if len(n.Load) > 0 {
 		load = settings.Load(&l.set.core.Settings, n.Load)
 	}
 	switch n.State {
 	case "started":
-		l.set.core.Started(l.attempt)
+		l.set.core.AttemptStarted(l.attempt)
 	case "running":
-		l.set.core.Progress(l.attempt, n.Share)
+		l.set.core.AttemptProgressed(l.attempt, n.Share)
 	case "done":
 		result := []byte(n.Result)
 		var plain string
@@ -238,11 +238,11 @@
 		}
 		l.end = &end{decision.Completed, load, result}
 	case "failed":
-		l.end = &end{decision.Errored, load, nil}
+		l.end = &end{decision.Failed, load, nil}
 	case "returned":
 		l.end = &end{decision.Saturated, load, nil}
 	case "lost":
-		l.end = &end{decision.Severed, load, nil}
+		l.end = &end{decision.ConnectionLost, load, nil}
 	default:
 		return errMalformed
 	}
@@ -255,7 +255,7 @@
 		confirming := l.confirming
 		l.probe = false
 		l.set.core.Loop.Clear(&l.due)
-		o, load := decision.Errored, decision.Load{}
+		o, load := decision.Failed, decision.LoadReport{}
 		if l.status == statusOK {
 			o = decision.Completed
 			if l.text != nil {
@@ -264,7 +264,7 @@
 		}
 		l.over = true
 		if !confirming {
-			l.set.core.Probed(l.b.name, o, load)
+			l.set.core.HealthChecked(l.b.name, o, load)
 		}
 		return nil
 	}
@@ -274,7 +274,7 @@
 		}
 	}
 	if l.attempt != 0 && l.end == nil {
-		l.end = &end{o: decision.Severed}
+		l.end = &end{o: decision.ConnectionLost}
 	}
 	l.over = true
 	return nil
--- a/internal/platform/backend.go
+++ b/internal/platform/backend.go
@@ -27,15 +27,15 @@
 type Backends struct {
 	hold   time.Duration // holdTime; tests that play the other end take longer
 	calm   time.Duration // settleTime; likewise
-	core   *dispatch.Core
+	core   *dispatch.Dispatcher
 	engine *transport.Engine
 	hosts  map[string]*backend
 	lines  map[uint64]*line // by the attempt that runs on it
 	out    []byte
 	watch  watch
-	first  map[string]decision.Entry // the list known at the start, until discovery has spoken
-	due    eventloop.Deadline        // until when that is waited for
-	wary   time.Duration             // until when connections are thought to die unseen
+	first  map[string]decision.Endpoint // the list known at the start, until discovery has spoken
+	due    eventloop.Deadline           // until when that is waited for
+	wary   time.Duration                // until when connections are thought to die unseen
 
 	// Told is called when discovery has told something; nil: nobody wants to know.
 	Told func()
@@ -116,8 +116,8 @@
 
 // end is how an attempt ended.
 type end struct {
-	o      decision.Outcome
-	load   decision.Load
+	o      decision.AttemptOutcome
+	load   decision.LoadReport
 	result []byte
 }
 
@@ -152,16 +152,16 @@
 )
 
 // NewBackends returns a carrier that follows discovery at addr.
-func NewBackends(c *dispatch.Core, e *transport.Engine, discovery string) *Backends {
+func NewBackends(c *dispatch.Dispatcher, e *transport.Engine, discovery string) *Backends {
 	s := &Backends{core: c, engine: e, hosts: map[string]*backend{}, lines: map[uint64]*line{}, hold: holdTime, calm: settleTime}
 	s.watch = watch{set: s, addr: discovery, random: rand.New(rand.NewPCG(c.Seed, 0))}
 	s.watch.due.Fire, s.watch.next.Fire = s.watch.expire, s.watch.open
 	s.reconfigure = s.reconfigureCore
 	s.oldDue.Fire = s.look
-	s.age.CanAsk = c.Settings.Probing
-	c.Loop.Stalled = func() { s.age.Stalled(c.Loop.Now()) }
+	s.age.CanCheckHealth = c.Settings.HealthChecks
+	c.Loop.OnStall = func() { s.age.Stalled(c.Loop.Now()) }
 	s.due.Fire = func() { s.begin(nil) }
-	c.Listen(s)
+	c.AddSource(s)
 	return s
 }
 
@@ -178,12 +178,12 @@
 
 // Start sends an attempt on the connection used last, or on a new one.
 func (s *Backends) Start(f dispatch.Attempt) {
-	b := s.hosts[f.Backend]
+	b := s.hosts[f.Worker]
 	if b == nil {
-		s.core.Ended(f.Handle, decision.RefusedConn, decision.Load{}, nil)
+		s.core.AttemptEnded(f.Handle, decision.ConnectionRefused, decision.LoadReport{}, nil)
 		return
 	}
-	l := b.take(f.Settled)
+	l := b.take(f.RepeatUnsafe)
 	if l == nil {
 		l = s.dial(b)
 	}
@@ -205,7 +205,7 @@
 			continue
 		}
 		b.idle = slices.Delete(b.idle, i, i+1)
-		if l.conn.Resting() && (l.until == 0 || now < l.until) {
+		if l.conn.Idle() && (l.until == 0 || now < l.until) {
 			l.set.core.Loop.Clear(&l.due)
 			return l
 		}
@@ -232,16 +232,16 @@
 		return
 	}
 	s.engine.Dial(l.b.dial, s.connectTime()+50*time.Millisecond, l, func(c *transport.Conn, err error) {
-		if l.local = transport.Local(err); l.local {
-			if errors.Is(err, transport.ErrFull) {
+		if l.local = transport.IsLocalError(err); l.local {
+			if errors.Is(err, transport.ErrNoDescriptor) {
 				s.shed()
 			}
-			s.core.Step(l.correlationID(), "dial tried again", "backend", l.b.name, "error", err)
+			s.core.TraceStep(l.correlationID(), "dial tried again", "backend", l.b.name, "error", err)
 			s.core.Loop.After(l.redialPause(), l.connect)
 			return
 		}
 		if err != nil {
-			l.fail(decision.RefusedConn)
+			l.fail(decision.ConnectionRefused)
 			return
 		}
 		s.core.Loop.Clear(&l.due)
@@ -250,7 +250,7 @@
 		case l.lost || l.attempt == 0 && !l.probe:
 			l.lost = false
 			l.rest()
-		case l.attempt != 0 && s.core.Abandoned(l.attempt): // it has stopped the attempt
+		case l.attempt != 0 && s.core.ClientGone(l.attempt): // it has stopped the attempt
 		default:
 			l.send()
 		}
@@ -296,7 +296,7 @@
 			return
 		}
 		for _, l := range s.linesTo(b) {
-			if l.phase == waiting && (b.state == decision.Deleted || l.conn.Unacknowledged() > 0) {
+			if l.phase == waiting && (b.state == decision.Removed || l.conn.Unacknowledged() > 0) {
 				l.giveUp()
 			}
 		}
@@ -319,11 +319,11 @@
 func (l *line) giveUp() {
 	l.tellSent()
 	l.close() // first: until then what waits here may still leave, on another goroutine
-	o := decision.Superseded
-	if l.conn.Passed(l.mark) && !l.confirming {
-		o = decision.Severed
+	o := decision.NotSent
+	if l.conn.Flushed(l.mark) && !l.confirming {
+		o = decision.ConnectionLost
 	}
-	l.settle(o, decision.Load{}, nil)
+	l.settle(o, decision.LoadReport{}, nil)
 }
 
 // send writes the request of the line's attempt or probe.
@@ -347,19 +347,19 @@
 func (l *line) mayLeave(now time.Duration) bool {
 	s := l.set
 	rule, may := s.core.Guard.MaySend(invariant.Send{
-		Now: now, Deadline: l.job.Deadline, RepeatBy: l.job.Until,
-		Left: l.b.state != decision.Running, LeftAt: l.b.told, Grace: max(s.core.Settings.DrainGrace-drainSlack, 0),
-		OldList: s.admit(l.b, now) == suspended,
+		Now: now, Deadline: l.job.Deadline, RepeatBy: l.job.RepeatBy,
+		Leaving: l.b.state != decision.Running, LeavingSince: l.b.told, Grace: max(s.core.Settings.DrainGrace-drainSlack, 0),
+		ListStale: s.admit(l.b, now) == suspended,
 	})
 	if may {
 		return true
 	}
-	s.core.Step(l.correlationID(), "request kept back", "backend", l.b.name, "rule", rule)
-	outcome := decision.Superseded
+	s.core.TraceStep(l.correlationID(), "request kept back", "backend", l.b.name, "rule", rule)
+	outcome := decision.NotSent
 	if rule == invariant.Drain || rule == invariant.Deadline {
-		outcome = decision.RefusedConn
+		outcome = decision.ConnectionRefused
 	}
-	l.settle(outcome, decision.Load{}, nil)
+	l.settle(outcome, decision.LoadReport{}, nil)
 	return false
 }
 
@@ -382,7 +382,7 @@
 		out = append(out, l.b.dial...)
 		out = append(out, "\r\n\r\n"...)
 	} else {
-		j := l.job.Job
+		j := l.job.Request
 		out = append(out, "POST "...)
 		out = appendTarget(out, j, s.core.Settings.Classes[j.Class].Name)
 		out = append(out, " HTTP/1.1\r\nHost: "...)
@@ -401,7 +401,7 @@
 	}
 	s.out = out
 	if s.core.Trace != nil {
-		s.core.Step(l.correlationID(), "request written", "backend", l.b.name, "probe", l.probe, "bytes", len(out), "kept", l.kept, "listed_for", now-l.b.told)
+		s.core.TraceStep(l.correlationID(), "request written", "backend", l.b.name, "probe", l.probe, "bytes", len(out), "kept", l.kept, "listed_for", now-l.b.told)
 	}
 	l.phase = waiting
 	whole := len(out)
@@ -409,7 +409,7 @@
 		whole--
 	}
 	ok := l.conn.Write(out[:whole])
-	l.mark = l.conn.Mark()
+	l.mark = l.conn.WriteOffset()
 	if l.held {
 		l.mark, l.tail = l.mark+1, out[whole]
 	}
@@ -429,24 +429,24 @@
 
 // correlationID names the request of the line's attempt, for the trace; a probe has none.
 func (l *line) correlationID() string {
-	if l.job.Job == nil || l.probe {
+	if l.job.Request == nil || l.probe {
 		return ""
 	}
-	return l.job.Job.ID
+	return l.job.Request.ID
 }
 
 // bound sees to it that a repeat that the socket has not taken whole is given up
 // in time: what waits here would leave whenever the backend makes room.
 func (l *line) bound() {
-	if l.attempt != 0 && l.job.Until > 0 && !l.conn.Passed(l.mark) {
-		l.set.core.Loop.Set(&l.due, l.job.Until)
+	if l.attempt != 0 && l.job.RepeatBy > 0 && !l.conn.Flushed(l.mark) {
+		l.set.core.Loop.Set(&l.due, l.job.RepeatBy)
 	}
 }
 
 // tellSent tells that the attempt's last byte has left, if it has.
 func (l *line) tellSent() {
-	if l.attempt != 0 && !l.confirming && l.phase != resting && !l.held && l.conn.Passed(l.mark) {
-		l.set.core.Sent(l.attempt)
+	if l.attempt != 0 && !l.confirming && l.phase != resting && !l.held && l.conn.Flushed(l.mark) {
+		l.set.core.AttemptSent(l.attempt)
 	}
 }
 
@@ -459,7 +459,7 @@
 		l.close()
 		return
 	}
-	if s.core.Abandoned(l.attempt) { // it has stopped the attempt
+	if s.core.ClientGone(l.attempt) { // it has stopped the attempt
 		return
 	}
 	if now-l.leaves > staleTime {
@@ -481,7 +481,7 @@
 // of the backend, and the attempt goes on on another. So may one new one, once.
 func (l *line) unsent() {
 	if !l.kept && l.fresh || l.attempt == 0 {
-		l.fail(decision.RefusedConn)
+		l.fail(decision.ConnectionRefused)
 		return
 	}
 	l.confirming, l.probe = false, false
@@ -489,7 +489,7 @@
 }
 
 // appendTarget appends what a job concerns, as its client wrote it or, where its wire has no paths, made anew.
-func appendTarget(out []byte, j *dispatch.Job, class string) []byte {
+func appendTarget(out []byte, j *dispatch.Request, class string) []byte {
 	if j.Target != "" {
 		return append(out, j.Target...)
 	}
@@ -513,16 +513,16 @@
 func (l *line) expire() {
 	switch {
 	case l.conn == nil && l.local: // nothing ran, and the backend is not to blame
-		l.fail(decision.Superseded)
+		l.fail(decision.NotSent)
 	case l.conn == nil:
-		l.fail(decision.RefusedConn)
+		l.fail(decision.ConnectionRefused)
 	case l.held:
 		l.release()
 	case l.probe:
-		l.fail(decision.Overdue)
+		l.fail(decision.TimedOut)
 		l.close()
 	case l.attempt != 0 && l.phase == waiting: // the time of a repeat is over
-		if l.tellSent(); l.conn.Passed(l.mark) {
+		if l.tellSent(); l.conn.Flushed(l.mark) {
 			return
 		}
 		l.giveUp()
@@ -533,33 +533,33 @@
 }
 
 // fail tells how what was wanted of the line ended, unless that is told.
-func (l *line) fail(o decision.Outcome) {
+func (l *line) fail(o decision.AttemptOutcome) {
 	l.lost = true
 	if l.confirming {
 		l.unconfirmed()
 		return
 	}
-	if o == decision.RefusedConn && l.attempt != 0 {
+	if o == decision.ConnectionRefused && l.attempt != 0 {
 		l.b.proof.Denied(&l.set.age)
 	}
 	if l.probe {
 		l.probe = false
-		l.set.core.Probed(l.b.name, o, decision.Load{})
+		l.set.core.HealthChecked(l.b.name, o, decision.LoadReport{})
 	}
-	l.settle(o, decision.Load{}, nil)
+	l.settle(o, decision.LoadReport{}, nil)
 }
 
 // settle tells the outcome of the line's attempt, once.
-func (l *line) settle(o decision.Outcome, load decision.Load, result []byte) {
+func (l *line) settle(o decision.AttemptOutcome, load decision.LoadReport, result []byte) {
 	if f := l.attempt; f != 0 {
 		l.attempt = 0
 		delete(l.set.lines, f)
-		l.set.core.Ended(f, o, load, result)
+		l.set.core.AttemptEnded(f, o, load, result)
 	}
 }
 
-// Stop gives an attempt up. Nothing ran if its request had not left whole.
-func (s *Backends) Stop(handle uint64) (neverRan bool) {
+// Cancel gives an attempt up. Nothing ran if its request had not left whole.
+func (s *Backends) Cancel(handle uint64) (neverRan bool) {
 	l := s.lines[handle]
 	if l == nil {
 		return false
@@ -572,7 +572,7 @@
 		return true
 	}
 	l.close() // first: until then what waits here may still leave, on another goroutine
-	return l.phase == resting || l.confirming || !l.conn.Passed(l.mark)
+	return l.phase == resting || l.confirming || !l.conn.Flushed(l.mark)
 }
 
 // rest keeps the line for the next attempt, for a while.
@@ -581,7 +581,7 @@
 	if l.conn == nil || l.conn.Handle == 0 {
 		return
 	}
-	if l.last || l.b.state == decision.Deleted || l.set.hosts[l.b.name] != l.b {
+	if l.last || l.b.state == decision.Removed || l.set.hosts[l.b.name] != l.b {
 		l.close()
 		return
 	}
@@ -590,7 +590,7 @@
 		l.b.idle[0].close()
 		l.b.idle = l.b.idle[1:]
 	}
-	if idle := l.set.core.Settings.ConnIdle; idle > 0 {
+	if idle := l.set.core.Settings.ConnectionIdleTimeout; idle > 0 {
 		l.until = l.rested + max(idle-idleMargin, idle/2)
 		l.set.core.Loop.Set(&l.due, l.until)
 	}
@@ -626,7 +626,7 @@
 		return
 	}
 	if l.set.core.Trace != nil {
-		l.set.core.Step(l.correlationID(), "connection closed", "backend", l.b.name, "phase", l.phase)
+		l.set.core.TraceStep(l.correlationID(), "connection closed", "backend", l.b.name, "phase", l.phase)
 	}
 	if l.phase == waiting {
 		l.conn.Abort()
@@ -635,8 +635,8 @@
 	l.conn.Close()
 }
 
-// Closed is told that the backend has closed, or the connection broke.
-func (l *line) Closed(c *transport.Conn, _ error) {
+// OnClosed is told that the backend has closed, or the connection broke.
+func (l *line) OnClosed(c *transport.Conn, _ error) {
 	l.set.core.Loop.Clear(&l.due)
 	l.unlist()
 	if l.phase != streaming && l.b.state == decision.Running {
@@ -647,22 +647,22 @@
 		l.tell()
 	}
 	l.free()
-	if l.phase == waiting && !c.Passed(l.mark) {
+	if l.phase == waiting && !c.Flushed(l.mark) {
 		l.unsent()
 		return
 	}
-	l.fail(decision.Severed)
+	l.fail(decision.ConnectionLost)
 }
 
-// Release closes the idle connections to a backend.
-func (s *Backends) Release(name string) {
+// CloseIdle closes the idle connections to a backend.
+func (s *Backends) CloseIdle(name string) {
 	if b := s.hosts[name]; b != nil {
 		b.closeIdle()
 	}
 }
 
-// Probe asks a backend for its load.
-func (s *Backends) Probe(name string) {
+// CheckHealth asks a backend for its load.
+func (s *Backends) CheckHealth(name string) {
 	b := s.hosts[name]
 	if b == nil {
 		return
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -24,15 +24,15 @@
 
 // Front is the platform's front. It belongs to the loop's goroutine.
 type Front struct {
-	core     *dispatch.Core
+	core     *dispatch.Dispatcher
 	engine   *transport.Engine
 	classes  map[string]int
-	sessions slotmap.Table[session]
+	sessions slotmap.Map[session]
 	out      []byte
 	ready    func() bool
 	memory   int // bytes that buffers may take up before half-read requests are given up
-	entry    *listener.Entry
-	turns    connlimit.Turns // sessions whose bytes wait for their address's turn
+	entry    *listener.Gate
+	turns    connlimit.RoundRobin // sessions whose bytes wait for their address's turn
 	turning  bool
 	reader   uint64 // the session that is read
 	stopping bool
@@ -110,9 +110,9 @@
 
 // NewFront returns a front that accepts on addr once Listen is called. Its
 // buffers, with those of others, should not take up more than memory bytes.
-func NewFront(c *dispatch.Core, e *transport.Engine, memory int, ready func() bool) *Front {
+func NewFront(c *dispatch.Dispatcher, e *transport.Engine, memory int, ready func() bool) *Front {
 	f := &Front{core: c, engine: e, classes: map[string]int{}, memory: memory, ready: ready,
-		entry: listener.Plain(c.Loop, 1)}
+		entry: listener.NewUnlimited(c.Loop, 1)}
 	f.press.Fire, f.quiet.Fire, f.drain.Fire = f.pressOn, f.hush, f.drainOn
 	for i, class := range c.Settings.Classes {
 		f.classes[class.Name] = i
@@ -121,7 +121,7 @@
 }
 
 // Use makes the front ask an entry who may come in. It must come before Listen or Serve.
-func (f *Front) Use(e *listener.Entry) { f.entry = e }
+func (f *Front) Use(e *listener.Gate) { f.entry = e }
 
 // Listen starts accepting client sessions, most at a time, and returns the address.
 func (f *Front) Listen(addr string, most int) (string, error) {
@@ -135,12 +135,12 @@
 
 // Serve starts accepting client sessions from a listener, most at a time.
 func (f *Front) Serve(ln net.Listener, most int) {
-	if !f.entry.Guards() {
-		f.entry.Admit.Resize(most)
+	if !f.entry.Enabled() {
+		f.entry.Limiter.SetCapacity(most)
 	}
-	f.entry.Join(frontNumber, f)
-	if f.entry.Guards() {
-		f.acceptor = f.engine.ServeGuarded(ln, true, f.accept)
+	f.entry.AddFrontEnd(frontNumber, f)
+	if f.entry.Enabled() {
+		f.acceptor = f.engine.ServeWithAdmission(ln, true, f.accept)
 		return
 	}
 	f.acceptor = f.engine.Serve(ln, most, true, f.accept, f.shed)
@@ -148,27 +148,27 @@
 
 const frontNumber = 0 // of this front's tokens, at the entry
 
-func (f *Front) accept(c *transport.Conn) transport.Owner {
+func (f *Front) accept(c *transport.Conn) transport.Handler {
 	if f.shut { // it was in the system's queue
-		c.End()
-		return c.Owner
+		c.CloseGracefully()
+		return c.Handler
 	}
 	s := &session{front: f, conn: c, idleAt: c.Opened}
 	s.idle.Fire, s.stall.Fire, s.flood.Fire = s.expire, s.stalled, s.flooded
-	s.token = f.sessions.Put(s)
-	s.id = f.entry.Come(frontNumber, s.token, c.Pass)
+	s.token = f.sessions.Insert(s)
+	s.id = f.entry.Accepted(frontNumber, s.token, c.AdmissionToken)
 	f.pressed, f.spared = false, false
-	if f.entry.Guards() {
+	if f.entry.Enabled() {
 		s.peer = c.Peer()
-		s.header = f.entry.Admit.Standing(s.id) == connlimit.Front
+		s.header = f.entry.Limiter.TrustOf(s.id) == connlimit.TrustedProxy
 	}
 	f.core.Loop.Set(&s.idle, f.core.Loop.Now()+idleTime)
 	f.hush()
 	return s
 }
 
-// Shed closes a session that the entry has chosen.
-func (f *Front) Shed(token uint64) {
+// Evict closes a session that the entry has chosen.
+func (f *Front) Evict(token uint64) {
 	if s := f.sessions.Get(token); s != nil && !s.busy && !s.gone {
 		s.drop()
 	}
@@ -178,8 +178,8 @@
 // opened early: those first that have been silent longest, and none that has
 // just come, since a close that crosses a session's first request costs it.
 func (f *Front) hush() {
-	for f.entry.Admit.Crowds() {
-		if !f.entry.Shed(connlimit.ForSilence) {
+	for f.entry.Limiter.TooManySilent() {
+		if !f.entry.EvictOne(connlimit.ForSilence) {
 			f.core.Loop.Set(&f.quiet, f.core.Loop.Now()+pressTime)
 			return
 		}
@@ -193,7 +193,7 @@
 	const some = 8
 	room := f.shared // the other process has room: nobody who may be a usual client goes for it
 	for i := range some {
-		token, stage, ok := f.entry.Next(connlimit.ForUnknown, room)
+		token, stage, ok := f.entry.EvictionCandidate(connlimit.ForUnknown, room)
 		if !ok {
 			f.pressed = i == 0 && !room
 			break
@@ -206,7 +206,7 @@
 			f.core.Loop.Set(&f.press, f.core.Loop.Now()+pressTime)
 			return
 		}
-		f.entry.Drop(token)
+		f.entry.CloseConnection(token)
 	}
 	if f.pressed {
 		f.core.Loop.Set(&f.press, f.core.Loop.Now()+pressTime)
@@ -263,8 +263,8 @@
 // and spares those that are silent and younger than young.
 func (f *Front) endResting(young time.Duration) {
 	now := f.core.Loop.Now()
-	f.sessions.All(func(_ uint64, s *session) {
-		if s.between() && (s.spoken || now-s.conn.Opened >= young) && s.conn.Quiet() {
+	f.sessions.ForEach(func(_ uint64, s *session) {
+		if s.between() && (s.spoken || now-s.conn.Opened >= young) && s.conn.NothingUnread() {
 			s.end()
 		}
 	})
@@ -302,9 +302,9 @@
 	f.stopping, f.closing, f.shut = true, true, true
 	f.core.Loop.Clear(&f.drain)
 	f.Refrain()
-	f.sessions.All(func(_ uint64, s *session) { s.conn.Pause() })
+	f.sessions.ForEach(func(_ uint64, s *session) { s.conn.Pause() })
 	f.core.Loop.Post(func() { // behind all that was read
-		f.sessions.All(func(_ uint64, s *session) { s.shut() })
+		f.sessions.ForEach(func(_ uint64, s *session) { s.shut() })
 	})
 }
 
@@ -332,7 +332,7 @@
 	if f.acceptor == nil {
 		return f.sessions.Len()
 	}
-	return f.acceptor.Open()
+	return f.acceptor.OpenConnections()
 }
 
 // Refrain accepts no more; what comes waits in the backlog for the next process.
@@ -358,7 +358,7 @@
 		span = askingTime
 	}
 	s.idleAt = s.front.core.Loop.Now()
-	s.front.entry.Admit.Rest(s.idleAt, s.id, served)
+	s.front.entry.Limiter.BecameIdle(s.idleAt, s.id, served)
 	s.front.core.Loop.Set(&s.idle, s.idleAt+span)
 }
 
@@ -366,18 +366,18 @@
 // arrive whole in time; the bytes that follow change nothing.
 func (s *session) begin() {
 	now := s.front.core.Loop.Now()
-	s.since = s.front.core.Loop.Waiting()
+	s.since = s.front.core.Loop.QueuedSince()
 	s.by = now + requestTime
 	if !s.spoken {
 		s.spoken = true
 		s.by = min(s.by, max(s.conn.Opened+firstTime, now+lateTime))
 	}
 	due := s.by
-	if slow, again := s.front.entry.Admit.TooSlow(now, now, 0); !slow && again > 0 {
+	if slow, again := s.front.entry.Limiter.TooSlow(now, now, 0); !slow && again > 0 {
 		due = min(due, again)
 	}
 	s.front.core.Loop.Set(&s.idle, due)
-	if why := s.front.entry.Admit.Begin(now, s.id); why != connlimit.Fine {
+	if why := s.front.entry.Limiter.RequestStarted(now, s.id); why != connlimit.Allowed {
 		s.over = why
 	}
 }
@@ -389,7 +389,7 @@
 	case s.in != nil:
 		now := s.front.core.Loop.Now()
 		if now < s.by { // the least rate
-			slow, again := s.front.entry.Admit.TooSlow(now, s.since, len(s.in.Bytes()))
+			slow, again := s.front.entry.Limiter.TooSlow(now, s.since, len(s.in.Bytes()))
 			if !slow {
 				s.front.core.Loop.Set(&s.idle, min(s.by, max(again, now+time.Millisecond)))
 				return
@@ -397,7 +397,7 @@
 			s.abuse(connlimit.Slow)
 		}
 		s.reject(errSlow)
-	case !s.conn.Quiet(): // a request is here, though not read yet
+	case !s.conn.NothingUnread(): // a request is here, though not read yet
 		s.front.core.Loop.Set(&s.idle, s.front.core.Loop.Now()+lateTime)
 	default:
 		s.end()
@@ -411,30 +411,30 @@
 func (s *session) flooded() {
 	switch {
 	case s.gone || !s.paused:
-	case !s.busy || s.conn.Quiet():
+	case !s.busy || s.conn.NothingUnread():
 		s.front.core.Loop.Set(&s.flood, s.front.core.Loop.Now()+floodTime)
 	default:
 		s.last = true
 		s.front.engine.Pool.Put(s.in)
 		s.front.engine.Pool.Put(s.next)
 		s.in, s.next = nil, nil
-		s.conn.Skim(mostFlood)
+		s.conn.Discard(mostFlood)
 	}
 }
 
 // abuse books what a peer has done.
 func (s *session) abuse(why connlimit.Reason) {
-	if s.front.entry.Guards() {
-		s.front.entry.Admit.Abuse(s.front.core.Loop.Now(), s.id, why)
-		s.front.entry.Tell(why, s.peer)
+	if s.front.entry.Enabled() {
+		s.front.entry.Limiter.ReportAbuse(s.front.core.Loop.Now(), s.id, why)
+		s.front.entry.LogRejection(why, s.peer)
 	}
 }
 
 // stalled looks whether answers are read. One on which an answer is owed stays.
 func (s *session) stalled() {
 	switch {
-	case s.gone || s.conn.Waiting() == 0:
-	case s.busy || s.conn.Written() > s.read0:
+	case s.gone || s.conn.UnsentBytes() == 0:
+	case s.busy || s.conn.SentBytes() > s.read0:
 		s.watchStall()
 	default:
 		s.abuse(connlimit.Stalled)
@@ -443,8 +443,8 @@
 }
 
 func (s *session) watchStall() {
-	if span := s.front.entry.WriteStall(); span > 0 && s.conn.Waiting() > 0 {
-		s.read0 = s.conn.Written()
+	if span := s.front.entry.WriteStall(); span > 0 && s.conn.UnsentBytes() > 0 {
+		s.read0 = s.conn.SentBytes()
 		s.front.core.Loop.Set(&s.stall, s.front.core.Loop.Now()+span)
 	}
 }
@@ -453,15 +453,15 @@
 func (s *session) end() {
 	s.front.core.Guard.CheckClosed(s.busy && !s.gone, "client session")
 	s.forget()
-	s.conn.End()
+	s.conn.CloseGracefully()
 }
 
 // forget gives back all that a session holds.
 func (s *session) forget() {
 	if !s.gone {
-		s.front.entry.Admit.Closed(s.id)
+		s.front.entry.Limiter.Closed(s.id)
 	}
-	s.front.sessions.Drop(s.token)
+	s.front.sessions.Remove(s.token)
 	s.front.core.Loop.Clear(&s.idle)
 	s.front.core.Loop.Clear(&s.stall)
 	s.front.core.Loop.Clear(&s.flood)
@@ -470,33 +470,36 @@
 	s.in, s.next, s.gone = nil, nil, true
 }
 
-// Closed is told that the client has gone away.
-func (s *session) Closed(*transport.Conn, error) {
+// OnClosed is told that the client has gone away.
+func (s *session) OnClosed(*transport.Conn, error) {
 	busy, req := s.busy, s.req
 	s.forget()
 	if busy {
-		s.front.core.HangUp(req)
+		s.front.core.Cancel(req)
 	}
 }
 
-// Left tells whether the client of a request has closed its connection.
-func (f *Front) Left(token uint64) bool {
+// The dispatcher asks a front end for this interface at run time.
+var _ dispatch.ClientWatcher = (*Front)(nil)
+
+// ClientLeft tells whether the client of a request has closed its connection.
+func (f *Front) ClientLeft(token uint64) bool {
 	s := f.sessions.Get(token)
 	return s == nil || s.conn.PeerClosed()
 }
 
-// HungUp has nothing to do: the session ends once the poller has told of its client's end.
-func (f *Front) HungUp(uint64, bool) {}
+// RequestCancelled has nothing to do: the session ends once the poller has told of its client's end.
+func (f *Front) RequestCancelled(uint64, bool) {}
 
-// Data takes in what the client sent.
-func (s *session) Data(_ *transport.Conn, b *transport.Buffer) {
+// OnData takes in what the client sent.
+func (s *session) OnData(_ *transport.Conn, b *transport.Buffer) {
 	if s.gone {
 		s.front.engine.Pool.Put(b)
 		return
 	}
 	if s.busy && s.last { // it ends with the answer that is owed: what comes means nothing, but for its end
 		s.front.engine.Pool.Put(b)
-		s.conn.Skim(mostFlood)
+		s.conn.Discard(mostFlood)
 		return
 	}
 	if s.header {
@@ -516,9 +519,9 @@
 		s.front.engine.Pool.Put(b)
 		s.last = true
 	}
-	if f := s.front; f.entry.Guards() {
-		if !s.busy && s.in != nil && s.over == connlimit.Fine {
-			s.over = f.entry.Admit.Holds(s.id, len(s.in.Bytes()))
+	if f := s.front; f.entry.Enabled() {
+		if !s.busy && s.in != nil && s.over == connlimit.Allowed {
+			s.over = f.entry.Limiter.SetBuffered(s.id, len(s.in.Bytes()))
 		}
 		if f.entry.Level() > 0 || f.turns.Len() > 0 {
 			f.queue(s)
@@ -568,16 +571,16 @@
 	if s.in == nil {
 		s.in = b
 	} else {
-		ok := s.in.Add(b.Bytes())
+		ok := s.in.Append(b.Bytes())
 		if f.engine.Pool.Put(b); !ok {
 			s.drop()
 			return
 		}
 	}
-	addr, used, err := listener.Header(s.in.Bytes())
+	addr, used, err := listener.ParseProxyHeader(s.in.Bytes())
 	if err != nil {
-		f.entry.Admit.Note(connlimit.BadHeader)
-		f.entry.Tell(connlimit.BadHeader, s.peer)
+		f.entry.Limiter.CountReason(connlimit.BadHeader)
+		f.entry.LogRejection(connlimit.BadHeader, s.peer)
 		s.drop()
 		return
 	}
@@ -587,8 +590,8 @@
 	}
 	s.header = false
 	if addr.IsValid() {
-		if why := f.entry.Admit.Identify(f.core.Loop.Now(), s.id, addr); why != connlimit.Fine {
-			f.entry.Tell(why, addr)
+		if why := f.entry.Limiter.Identify(f.core.Loop.Now(), s.id, addr); why != connlimit.Allowed {
+			f.entry.LogRejection(why, addr)
 			s.drop()
 			return
 		}
@@ -596,11 +599,11 @@
 	}
 	rest := s.in
 	s.in = nil
-	if rest.Cut(used); len(rest.Bytes()) == 0 {
+	if rest.Consume(used); len(rest.Bytes()) == 0 {
 		f.engine.Pool.Put(rest)
 		return
 	}
-	s.Data(s.conn, rest)
+	s.OnData(s.conn, rest)
 }
 
 // relieve gives up half-read requests while buffers take up too much memory,
@@ -608,7 +611,7 @@
 func (f *Front) relieve() {
 	for f.full() {
 		var chosen *session
-		_, _, ok := f.entry.Admit.Victim(f.core.Loop.Now(), connlimit.ForMemory, false, func(token uint64) bool {
+		_, _, ok := f.entry.Limiter.EvictionCandidate(f.core.Loop.Now(), connlimit.ForMemory, false, func(token uint64) bool {
 			s := f.sessions.Get(token)
 			if s == nil || s.in == nil || s.posted || s.token == f.reader {
 				return true
@@ -624,10 +627,10 @@
 }
 
 // tight tells whether buffers take up so much memory that nothing is read ahead.
-func (f *Front) tight() bool { return 2*f.engine.Pool.Held() > f.memory }
+func (f *Front) tight() bool { return 2*f.engine.Pool.BytesInUse() > f.memory }
 
 // full tells whether buffers take up as much memory as they may.
-func (f *Front) full() bool { return f.engine.Pool.Held() > f.memory }
+func (f *Front) full() bool { return f.engine.Pool.BytesInUse() > f.memory }
 
 // refill moves up what came behind the request at hand.
 func (s *session) refill() {
@@ -638,7 +641,7 @@
 		s.in, s.next = s.next, nil
 		return
 	}
-	if s.next.Cut(s.in.Fill(s.next.Bytes())); len(s.next.Bytes()) == 0 {
+	if s.next.Consume(s.in.Fill(s.next.Bytes())); len(s.next.Bytes()) == 0 {
 		s.front.engine.Pool.Put(s.next)
 		s.next = nil
 	}
@@ -650,16 +653,16 @@
 func (s *session) read() {
 	s.front.reader = s.token
 	defer func() { s.front.reader = 0 }()
-	if s.over != connlimit.Fine && !s.busy && s.in != nil { // more half-read requests, or bytes of them, than its address may have
-		s.front.entry.Tell(s.over, s.peer)
+	if s.over != connlimit.Allowed && !s.busy && s.in != nil { // more half-read requests, or bytes of them, than its address may have
+		s.front.entry.LogRejection(s.over, s.peer)
 		s.reject(errCaps)
 		return
 	}
 	for work := 0; s.in != nil && !s.busy && !s.gone; work++ {
 		if work == turnWork {
 			s.turn()
-			if s.front.entry.Guards() {
-				s.front.entry.Admit.Note(connlimit.Greedy)
+			if s.front.entry.Enabled() {
+				s.front.entry.Limiter.CountReason(connlimit.Greedy)
 			}
 			break
 		}
@@ -719,7 +722,7 @@
 func (s *session) request(m *message) {
 	path, _, _ := bytes.Cut(m.b, []byte("?"))
 	status, text, fields := 0, "", ""
-	job := dispatch.Job{Since: s.since}
+	job := dispatch.Request{ReceivedAt: s.since}
 	class, known := s.front.class(path)
 	switch {
 	case bytes.Equal(path, []byte("/healthz")):
@@ -736,7 +739,7 @@
 	default:
 		if err := readJob(m, &job); err != nil {
 			status, text = 400, err.Error()+"\n"
-			s.front.core.Book(class, dispatch.Failed)
+			s.front.core.CountResponse(class, dispatch.Failed)
 		} else if key := m.get("Idempotency-Key"); len(key) > 0 && s.front.keptClasses != nil && s.front.keptClasses[class] {
 			if isID([]byte(durable.RequestID(string(key)))) {
 				job.Class = class
@@ -744,12 +747,12 @@
 				return
 			}
 			status, text = 400, "Idempotency-Key is not of 1 to 123 letters, digits or -._:~+/=@\n"
-			s.front.core.Book(class, dispatch.Failed)
-		} else if s.front.core.Named(job.ID) { // guards the req of that name, which may be another client's
+			s.front.core.CountResponse(class, dispatch.Failed)
+		} else if s.front.core.IsKnownID(job.ID) { // guards the req of that name, which may be another client's
 			status, text = 409, "X-Correlation-Id names another request\n"
-			s.front.core.Book(class, dispatch.Failed)
+			s.front.core.CountResponse(class, dispatch.Failed)
 		} else if s.front.relieve(); s.front.full() {
-			s.front.core.Book(class, dispatch.Refused)
+			s.front.core.CountResponse(class, dispatch.Rejected)
 			s.cut(m.size)
 			s.write(503, []byte(errMemory.Error()+"\n"), lateTime, "")
 			return
@@ -778,7 +781,7 @@
 }
 
 // readJob reads what the request's line and fields say.
-func readJob(m *message, job *dispatch.Job) error {
+func readJob(m *message, job *dispatch.Request) error {
 	id := m.get("X-Correlation-Id")
 	if len(id) == 0 {
 		return errors.New("no X-Correlation-Id")
@@ -796,12 +799,12 @@
 		if !ok {
 			return errors.New("X-Time-Left-Ms is not a whole number")
 		}
-		job.Left = max(time.Duration(ms)*time.Millisecond, time.Nanosecond)
+		job.TimeLeft = max(time.Duration(ms)*time.Millisecond, time.Nanosecond)
 	}
 	if us, err := strconv.ParseFloat(string(m.get("X-Weight-Hint")), 64); err == nil && us > 0 && us < 1e12 {
 		job.Work = time.Duration(us * float64(time.Microsecond))
 	}
-	job.Retry = bytes.Equal(m.get("X-Repeat"), []byte("1"))
+	job.ClientRetry = bytes.Equal(m.get("X-Repeat"), []byte("1"))
 	for fact := range bytes.SplitSeq(m.get("X-Facts"), []byte(",")) {
 		name, value, _ := bytes.Cut(bytes.TrimSpace(fact), []byte("="))
 		if x, err := strconv.ParseFloat(string(value), 64); err == nil && (string(name) == "slots" || string(name) == "needs") {
@@ -812,46 +815,46 @@
 }
 
 // take hands a request to the core. The buffer goes with it, and what came behind it moves to a new one.
-func (s *session) take(m *message, job dispatch.Job) {
+func (s *session) take(m *message, job dispatch.Request) {
 	pool, held := &s.front.engine.Pool, s.in
 	s.in = nil
 	if rest := held.Bytes()[m.size:]; len(rest) > 0 {
 		s.in = pool.Get()
-		s.in.Add(rest)
+		s.in.Append(rest)
 	}
 	s.refill()
 	job.Body = m.body
 	job.Release = func() { pool.Put(held) }
 	s.busy, s.req = true, 0
 	s.front.core.Loop.Clear(&s.idle)
-	s.front.entry.Admit.Take(s.front.core.Loop.Now(), s.id)
-	req := s.front.core.Take(s.front, s.token, job)
+	s.front.entry.Limiter.RequestComplete(s.front.core.Loop.Now(), s.id)
+	req := s.front.core.Accept(s.front, s.token, job)
 	if s.busy {
 		s.req = req
 	}
 }
 
 func (s *session) cut(n int) {
-	if s.in.Cut(n); len(s.in.Bytes()) == 0 {
+	if s.in.Consume(n); len(s.in.Bytes()) == 0 {
 		s.front.engine.Pool.Put(s.in)
 		s.in = nil
 	}
 	s.refill()
 }
 
-// Answer writes the final answer of a session's req.
-func (f *Front) Answer(token uint64, a dispatch.Answer) {
+// Respond writes the final answer of a session's req.
+func (f *Front) Respond(token uint64, a dispatch.Response) {
 	s := f.sessions.Get(token)
 	if s == nil || !s.busy {
 		return
 	}
 	s.busy = false
 	s.last = s.last || f.closing
-	switch a.Verdict {
+	switch a.Outcome {
 	case dispatch.Served:
 		s.served = true
-		s.write(200, a.Result, 0, "")
-	case dispatch.Refused:
+		s.write(200, a.Body, 0, "")
+	case dispatch.Rejected:
 		s.write(503, nil, a.RetryAfter, "")
 	default:
 		s.write(502, nil, 0, "")
@@ -870,7 +873,7 @@
 	switch {
 	case s.last:
 		s.end()
-	case s.conn.Waiting() > mostWaiting: // guards against a client that asks and never reads
+	case s.conn.UnsentBytes() > mostWaiting: // guards against a client that asks and never reads
 		s.drop()
 	case s.in != nil:
 		s.wait(s.served)
--- a/internal/platform/crossings_test.go
+++ b/internal/platform/crossings_test.go
@@ -46,11 +46,11 @@
 // write writes and waits until the poller of the program has read some of it.
 func (r *rig) write(t *testing.T, conn net.Conn, text string) {
 	t.Helper()
-	held := r.engine.Pool.Held()
+	held := r.engine.Pool.BytesInUse()
 	if _, err := io.WriteString(conn, text); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the poller reads", func() bool { return r.engine.Pool.Held() > held })
+	until(t, "the poller reads", func() bool { return r.engine.Pool.BytesInUse() > held })
 }
 
 // unsent is how many bytes the other end's kernel has not taken.
@@ -70,8 +70,8 @@
 func (r *rig) held(memory int) (f *Front, addr string, out holder) {
 	out = holder{echo{r.core}, make(chan dispatch.Attempt, 100)}
 	r.do(func() {
-		r.core.Listen(out)
-		r.core.List(out, decision.ListComplete, []decision.Entry{{Worker: "w"}})
+		r.core.AddSource(out)
+		r.core.UpdateWorkers(out, decision.ListSnapshot, []decision.Endpoint{{Name: "w"}})
 		f = NewFront(r.core, r.engine, memory, func() bool { return true })
 		addr, _ = f.Listen("127.0.0.1:0", 50)
 	})
@@ -79,7 +79,7 @@
 }
 
 func (r *rig) serve(f dispatch.Attempt) {
-	r.do(func() { r.core.Ended(f.Handle, decision.Completed, decision.Load{}, []byte("made")) })
+	r.do(func() { r.core.AttemptEnded(f.Handle, decision.Completed, decision.LoadReport{}, []byte("made")) })
 }
 
 func started(t *testing.T, out holder) (f dispatch.Attempt) {
@@ -204,7 +204,7 @@
 		t.Fatal("no answer to the first")
 	}
 	release := r.hold()
-	r.core.Loop.Post(func() { f.sessions.All(func(_ uint64, s *session) { s.expire() }) })
+	r.core.Loop.Post(func() { f.sessions.ForEach(func(_ uint64, s *session) { s.expire() }) })
 	r.write(t, conn, job("crossing"))
 	release()
 	r.serve(started(t, out))
@@ -226,7 +226,7 @@
 		}
 		conn.Close()
 		until(t, fmt.Sprintf("the client's end behind %d bytes is noticed", behind), func() (gone bool) {
-			r.do(func() { gone = r.core.Counts().HungUp == 1 && f.Sessions() == 0 })
+			r.do(func() { gone = r.core.Counts().Cancelled == 1 && f.Sessions() == 0 })
 			return gone
 		})
 	}
@@ -332,16 +332,16 @@
 func (r *rig) take(class int, id string) judge {
 	got := make(judge, 1)
 	r.core.Loop.Post(func() {
-		r.core.Take(got, 0, dispatch.Job{ID: id, Class: class, Target: "/" + r.core.Settings.Classes[class].Name + "/k", Body: []byte("body"), Work: 1e6})
+		r.core.Accept(got, 0, dispatch.Request{ID: id, Class: class, Target: "/" + r.core.Settings.Classes[class].Name + "/k", Body: []byte("body"), Work: 1e6})
 	})
 	return got
 }
 
-func verdict(t *testing.T, got judge) dispatch.Verdict {
+func verdict(t *testing.T, got judge) dispatch.Outcome {
 	t.Helper()
 	select {
 	case a := <-got:
-		return a.Verdict
+		return a.Outcome
 	case <-time.After(patience):
 		t.Fatal("no answer")
 	}
@@ -400,8 +400,8 @@
 // rested for longer, or on a new one. Others may use it at once.
 func TestSecondAnswersFindNoFragileRequest(t *testing.T) {
 	r := newRig(t, func(s *decision.Settings) {
-		s.Classes = append(s.Classes, decision.Class{Name: "transfer", Worth: 4, Aim: time.Second, Deadline: 8 * time.Second,
-			Repeat: decision.Dedup, Window: 2 * time.Second})
+		s.Classes = append(s.Classes, decision.Class{Name: "transfer", PriorityWeight: 4, LatencyObjective: time.Second, Deadline: 8 * time.Second,
+			Idempotency: decision.Deduplicated, DedupWindow: 2 * time.Second})
 	})
 	ln, next := r.backendListener(t)
 	var b *Backends
@@ -441,7 +441,7 @@
 // A connection that has rested for its time is not used again, though a late
 // loop has not closed it yet.
 func TestRestIsOverBeforeTheLoopKnows(t *testing.T) {
-	r := newRig(t, func(s *decision.Settings) { s.ConnIdle = 200 * time.Millisecond })
+	r := newRig(t, func(s *decision.Settings) { s.ConnectionIdleTimeout = 200 * time.Millisecond })
 	ln, next := r.backendListener(t)
 	var b *Backends
 	r.do(func() {
@@ -452,7 +452,7 @@
 	closed := make(chan bool, 1)
 	var second judge
 	r.do(func() {
-		r.core.Take(answering(func(a dispatch.Answer) {
+		r.core.Accept(answering(func(a dispatch.Response) {
 			r.core.Loop.Post(func() { // its connection rests by now, and its time passes in this turn
 				end = b.hosts["s"].idle[0].until
 				second = make(judge, 1)
@@ -460,10 +460,10 @@
 				for r.core.Loop.Now() <= end {
 					time.Sleep(time.Millisecond)
 				}
-				r.core.Take(second, 0, dispatch.Job{ID: "id000002", Class: 1, Target: "/renewal/k", Body: []byte("body"), Work: 1e6})
+				r.core.Accept(second, 0, dispatch.Request{ID: "id000002", Class: 1, Target: "/renewal/k", Body: []byte("body"), Work: 1e6})
 			})
 			first <- a
-		}), 0, dispatch.Job{ID: "id000001", Class: 1, Target: "/renewal/k", Body: []byte("body"), Work: 1e6})
+		}), 0, dispatch.Request{ID: "id000001", Class: 1, Target: "/renewal/k", Body: []byte("body"), Work: 1e6})
 	})
 	conn, in := next()
 	answerOnce(t, conn, in)
@@ -484,15 +484,15 @@
 }
 
 // answering is a front that calls the test on each answer.
-type answering func(dispatch.Answer)
+type answering func(dispatch.Response)
 
-func (f answering) Answer(_ uint64, a dispatch.Answer) { f(a) }
+func (f answering) Respond(_ uint64, a dispatch.Response) { f(a) }
 
 // keyed are settings with a class whose repeats are known for a window, and the time for a connect.
 func keyed(window, connect time.Duration) func(*decision.Settings) {
 	return func(s *decision.Settings) {
-		s.Classes = append(s.Classes, decision.Class{Name: "transfer", Worth: 4, LateWorth: 1, Aim: 8 * time.Second,
-			Deadline: 8 * time.Second, Repeat: decision.Dedup, Window: window}) // worth waiting for to its end
+		s.Classes = append(s.Classes, decision.Class{Name: "transfer", PriorityWeight: 4, LateWeight: 1, LatencyObjective: 8 * time.Second,
+			Deadline: 8 * time.Second, Idempotency: decision.Deduplicated, DedupWindow: window}) // worth waiting for to its end
 		s.MaxAttempts, s.ConnectTimeout = 3, connect
 	}
 }
@@ -570,7 +570,7 @@
 	r.do(func() {
 		r.sole(t, ln, time.Hour)
 		body := bytes.Repeat([]byte("x"), 64<<10)
-		r.core.Take(got, 0, dispatch.Job{ID: "id000001", Class: 2, Target: "/transfer/k", Body: body, Work: 1e6})
+		r.core.Accept(got, 0, dispatch.Request{ID: "id000001", Class: 2, Target: "/transfer/k", Body: body, Work: 1e6})
 	})
 	conn, err := ln.Accept()
 	if err != nil {
@@ -608,7 +608,7 @@
 	for name, answered := range map[string]bool{"its client left": false, "it was answered": true} {
 		for _, where := range []string{"connecting", "last byte held", "socket full"} {
 			t.Run(name+", "+where, func(t *testing.T) {
-				r := newRig(t, func(s *decision.Settings) { s.Cancel, s.TellsStart = false, false })
+				r := newRig(t, func(s *decision.Settings) { s.Cancellation, s.StartNotices = false, false })
 				lc := net.ListenConfig{}
 				if where == "socket full" {
 					lc.Control = narrow
@@ -623,9 +623,9 @@
 				var req uint64
 				finish := func() { // what ends it, on the loop
 					if answered {
-						r.core.Finish()
+						r.core.ExpireAll()
 					} else {
-						r.core.HangUp(req)
+						r.core.Cancel(req)
 					}
 					over <- struct{}{}
 				}
@@ -641,7 +641,7 @@
 						}
 					}
 					body := bytes.Repeat([]byte("x"), 64<<10)
-					req = r.core.Take(got, 0, dispatch.Job{ID: "id000001", Class: 0, Target: "/status-check/k", Body: body, Work: 1e6})
+					req = r.core.Accept(got, 0, dispatch.Request{ID: "id000001", Class: 0, Target: "/status-check/k", Body: body, Work: 1e6})
 				})
 				conn, err := ln.Accept()
 				if err != nil {
@@ -665,7 +665,7 @@
 					t.Errorf("%d bytes left for a request that is over", len(text))
 				}
 				until(t, "the request is forgotten", func() (none bool) {
-					r.do(func() { none = r.core.Owed() == 0 && len(b.lines) == 0 })
+					r.do(func() { none = r.core.Unanswered() == 0 && len(b.lines) == 0 })
 					return none
 				})
 			})
@@ -697,7 +697,7 @@
 	}
 	for i, x := range []struct {
 		head, more string
-		want       dispatch.Verdict
+		want       dispatch.Outcome
 	}{
 		{strings.TrimSuffix(chunked(done), "0\r\n\r\n"), chunk("more\n"), dispatch.Served},
 		{watchHead, chunk(strings.Repeat("x", 1000)), dispatch.Failed},
@@ -707,7 +707,7 @@
 		id := fmt.Sprintf("id%06d", i)
 		got := make(judge, 1)
 		r.do(func() {
-			r.core.Take(got, 0, dispatch.Job{ID: id, Class: 1, Target: "/renewal/k", Body: []byte("body"), Work: 1e6, Left: 3 * time.Second})
+			r.core.Accept(got, 0, dispatch.Request{ID: id, Class: 1, Target: "/renewal/k", Body: []byte("body"), Work: 1e6, TimeLeft: 3 * time.Second})
 		})
 		conn, in := next()
 		if _, err := http.ReadRequest(in); err != nil {
@@ -728,7 +728,7 @@
 			conn.Close()
 		}
 		receive(t, cut)
-		if held := r.engine.Pool.Held(); held > 8*transport.BufferSize {
+		if held := r.engine.Pool.BytesInUse(); held > 8*transport.BufferSize {
 			t.Errorf("answer %d: %d bytes are held", i, held)
 		}
 	}
@@ -788,7 +788,7 @@
 func TestAgentIsCalledAgainAtOnce(t *testing.T) {
 	for _, peers := range []int{1, 300} {
 		r := newRig(t, func(s *decision.Settings) {
-			s.Peers, s.AskWithin, s.DrainGrace = peers, 10*time.Second, 500*time.Millisecond
+			s.Peers, s.ListPollInterval, s.DrainGrace = peers, 10*time.Second, 500*time.Millisecond
 		})
 		addr, came := calls(t)
 		var b *Backends
@@ -881,7 +881,7 @@
 				return read
 			})
 			r.do(func() {
-				if n := len(b.hosts); n != many-1 || b.hosts["s-0"] != nil || b.hosts["s-1"].state != decision.Stopping || b.hosts["s-2"].state != decision.Running {
+				if n := len(b.hosts); n != many-1 || b.hosts["s-0"] != nil || b.hosts["s-1"].state != decision.Draining || b.hosts["s-2"].state != decision.Running {
 					t.Errorf("indent %q in pieces of %d: %d hosts", indent, piece, n)
 				}
 			})
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -29,7 +29,7 @@
 func (r *rig) asking(t *testing.T, peers int, askWithin time.Duration) *rig {
 	t.Helper()
 	s := r.core.Settings
-	s.AskForList, s.Peers, s.AskWithin = true, peers, askWithin
+	s.ListBySubscription, s.Peers, s.ListPollInterval = true, peers, askWithin
 	c, err := dispatch.New(r.core.Loop, s, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -237,11 +237,11 @@
 	r.do(func() {
 		f = NewFront(r.core, engine, 64<<20, func() bool { return true })
 		if guarded {
-			usable := transport.Usable(descriptors)
-			e, err := listener.Guard(r.core.Loop, engine, listener.Config{
-				Admit:  connlimit.Config{Room: usable, Address: connlimit.Caps{Open: usable, PerSecond: 1e6}, Prefix: connlimit.Caps{Open: usable}},
-				Floors: [connlimit.Kinds]int{connlimit.Sessions: 8, connlimit.Backends: 4, connlimit.Discovery: 2},
-				Marks:  connlimit.Marks{Low: 0.8, High: 0.9, Critical: 0.97, Back: 0.05},
+			usable := transport.ConnectionDescriptors(descriptors)
+			e, err := listener.New(r.core.Loop, engine, listener.Config{
+				Limits:           connlimit.Config{Capacity: usable, Address: connlimit.Limits{Open: usable, PerSecond: 1e6}, Prefix: connlimit.Limits{Open: usable}},
+				DescriptorFloors: [connlimit.DescriptorKinds]int{connlimit.ClientConnections: 8, connlimit.WorkerConnections: 4, connlimit.DiscoveryConnections: 2},
+				Watermarks:       connlimit.Watermarks{Low: 0.8, High: 0.9, Critical: 0.97, Back: 0.05},
 			}, usable, nil)
 			if err != nil {
 				t.Error(err)
@@ -249,7 +249,7 @@
 			}
 			f.Use(e)
 		}
-		addr, err = f.Listen("127.0.0.1:0", transport.Accepted(descriptors))
+		addr, err = f.Listen("127.0.0.1:0", transport.AcceptedShare(descriptors))
 		if err != nil {
 			t.Error(err)
 		}
@@ -318,7 +318,7 @@
 	r, _, _ := small(t, false)
 	other, own := newStand(t), newStand(t)
 	const load = "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n{\"x0\":1.5}"
-	most := 64 - 24 - transport.Accepted(64) // for connections that we open
+	most := 64 - 24 - transport.AcceptedShare(64) // for connections that we open
 	other.mu.Lock()
 	for range most {
 		other.scripts = append(other.scripts, load)
@@ -335,7 +335,7 @@
 			t.Error(err)
 		}
 		for range most {
-			b.Probe("other")
+			b.CheckHealth("other")
 		}
 	})
 	until(t, "all connections rest", func() (full bool) {
@@ -361,7 +361,7 @@
 			io.WriteString(c, watchHead+chunk(newWorld+"\n"))
 			heardAt := time.Duration(0)
 			until(t, "the list is heard", func() (heard bool) {
-				r.do(func() { heard, heardAt = b.hosts["new"] != nil, b.age.HeardAt() })
+				r.do(func() { heard, heardAt = b.hosts["new"] != nil, b.age.ConfirmedAt() })
 				return heard
 			})
 			io.WriteString(c, chunk(bad))
@@ -370,8 +370,8 @@
 				return refused
 			})
 			r.do(func() {
-				if b.age.HeardAt() != heardAt {
-					t.Errorf("heard at %v, not at %v", b.age.HeardAt(), heardAt)
+				if b.age.ConfirmedAt() != heardAt {
+					t.Errorf("heard at %v, not at %v", b.age.ConfirmedAt(), heardAt)
 				}
 			})
 		})
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -44,11 +44,11 @@
 	ready := true
 	var addr string
 	r.do(func() {
-		r.core.Listen(echo{r.core})
-		r.core.List(echo{r.core}, decision.ListComplete, []decision.Entry{{Worker: "w"}})
+		r.core.AddSource(echo{r.core})
+		r.core.UpdateWorkers(echo{r.core}, decision.ListSnapshot, []decision.Endpoint{{Name: "w"}})
 		addr, _ = NewFront(r.core, r.engine, 64<<20, func() bool { return ready }).Listen("127.0.0.1:0", 200)
-		r.core.Take(make(judge, 1), 0, dispatch.Job{ID: "former", Body: []byte("done")})
-		r.core.Take(make(judge, 1), 0, dispatch.Job{ID: "open", Body: []byte("hold")})
+		r.core.Accept(make(judge, 1), 0, dispatch.Request{ID: "former", Body: []byte("done")})
+		r.core.Accept(make(judge, 1), 0, dispatch.Request{ID: "open", Body: []byte("hold")})
 	})
 	var text strings.Builder
 	session := func(request string, ends bool) {
@@ -162,7 +162,7 @@
 		}
 	})
 	var text strings.Builder
-	for i, job := range []dispatch.Job{
+	for i, job := range []dispatch.Request{
 		{Class: 1, Target: "/renewal/a/k?q=1", Key: "k", Body: []byte("body\r\n")},
 		{Class: 0, Target: "/status-check", IdempotencyKey: "key-1"},
 		{Class: 1, Key: "a b/ü%", Body: []byte("{}")},
@@ -170,21 +170,21 @@
 	} {
 		job.ID, job.Work = fmt.Sprintf("id%06d", i), 1e6
 		got := make(judge, 1)
-		r.do(func() { r.core.Take(got, 0, job) })
+		r.do(func() { r.core.Accept(got, 0, job) })
 		h := accept()
 		text.WriteString(h.request(len(job.Body)) + "\n---\n")
 		io.WriteString(h.conn, strings.ReplaceAll(plain+"Connection: close\r\n\r\n"+doneText, "IDENTITY", job.ID))
 		h.conn.Close()
 		select {
 		case a := <-got:
-			if a.Verdict != dispatch.Served || string(a.Result) != "made" {
-				t.Errorf("job %d: %v %q", i, a.Verdict, a.Result)
+			if a.Outcome != dispatch.Served || string(a.Body) != "made" {
+				t.Errorf("job %d: %v %q", i, a.Outcome, a.Body)
 			}
 		case <-time.After(patience):
 			t.Fatal("no answer")
 		}
 	}
-	r.do(func() { set.Probe("s") })
+	r.do(func() { set.CheckHealth("s") })
 	text.WriteString(accept().request(0))
 	golden(t, "toworkers.golden", text.String())
 }
@@ -194,7 +194,7 @@
 func TestGoldenToDiscovery(t *testing.T) {
 	var text strings.Builder
 	for _, ask := range []bool{false, true} {
-		r := newRig(t, func(s *decision.Settings) { s.AskForList, s.Peers = ask, 1 })
+		r := newRig(t, func(s *decision.Settings) { s.ListBySubscription, s.Peers = ask, 1 })
 		addr, accept := listenOnLoopback(t)
 		r.do(func() {
 			set := NewBackends(r.core, r.engine, addr)
@@ -247,13 +247,13 @@
 	t.Cleanup(func() { r.do(func() { service.Close() }) })
 	// What is pushed has the end that the first word of its body says.
 	nothing := func(string) {}
-	service.Runnable = func(j jobs.Job) {
+	service.OnRunnable = func(j jobs.Job) {
 		request, _ := durable.ReadRequest(j)
 		switch word := string(request.Body); {
 		case strings.HasPrefix(word, "discard"):
 			r.core.Loop.Post(func() { service.Move(j.ID, jobs.Discard, "unwanted", true) })
 		case !strings.HasPrefix(word, "hold"):
-			service.Assign(j.ID, "w", jobs.Nothing, func(leased jobs.Job, _ string) {
+			service.Assign(j.ID, "w", jobs.NoGuarantee, func(leased jobs.Job, _ string) {
 				if strings.HasPrefix(word, "done") {
 					service.Ack(j.ID, leased.Fence, []byte("made"), nothing)
 				}
@@ -264,7 +264,7 @@
 	var front *Front
 	r.do(func() {
 		service.Start()
-		r.core.Listen(echo{r.core})
+		r.core.AddSource(echo{r.core})
 		front = NewFront(r.core, r.engine, 64<<20, func() bool { return true })
 		front.Keep(nil, []bool{false, true})
 		addr, _ = front.Listen("127.0.0.1:0", 20)
--- a/internal/platform/http.go
+++ b/internal/platform/http.go
@@ -506,7 +506,7 @@
 		*in = b
 		return true
 	}
-	ok := (*in).Add(b.Bytes())
+	ok := (*in).Append(b.Bytes())
 	pool.Put(b)
 	return ok
 }
--- a/internal/platform/keep.go
+++ b/internal/platform/keep.go
@@ -26,27 +26,27 @@
 
 // keep takes a request on durably and answers what became of the job under its
 // key, or that it is kept, where that is not known before the client gives up.
-func (s *session) keep(m *message, job dispatch.Job, key string) {
+func (s *session) keep(m *message, job dispatch.Request, key string) {
 	f := s.front
 	if f.kept == nil {
 		s.cut(m.size)
-		f.core.Book(job.Class, dispatch.Refused)
+		f.core.CountResponse(job.Class, dispatch.Rejected)
 		s.write(503, []byte("the other process has the store\n"), askAgain, "")
 		return
 	}
 	loop, class := f.core.Loop, f.core.Settings.Classes[job.Class]
 	left := class.Deadline
-	if job.Left > 0 {
-		left = min(left, job.Left)
+	if job.TimeLeft > 0 {
+		left = min(left, job.TimeLeft)
 	}
 	r := durable.Request{Target: job.Target, Key: job.Key, Body: bytes.Clone(m.body), Slots: job.Slots, Work: job.Work}
-	j := r.Job(key, class.Name, class.Repeat != decision.Retryable)
+	j := r.Job(key, class.Name, class.Idempotency != decision.Idempotent)
 	s.cut(m.size)
 	s.busy, s.req = true, 0
 	s.keeps++
 	n := s.keeps
 	loop.Clear(&s.idle)
-	f.entry.Admit.Take(loop.Now(), s.id)
+	f.entry.Limiter.RequestComplete(loop.Now(), s.id)
 	answer := func(status int, text []byte, after time.Duration) {
 		if f.sessions.Get(s.token) != s || !s.busy || s.keeps != n {
 			return // it has been answered, or nobody waits
@@ -62,7 +62,7 @@
 	later := func() {
 		answer(202, []byte("the job is kept and not over yet: ask again with the same key\n"), askAgain)
 	}
-	loop.After(max(job.Since+left-keptMargin-loop.Now(), 0), later)
+	loop.After(max(job.ReceivedAt+left-keptMargin-loop.Now(), 0), later)
 	f.kept.Push(j, 0, func(why string) {
 		switch {
 		case why == jobs.OtherJob:
--- a/internal/platform/knowledge.go
+++ b/internal/platform/knowledge.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/dispatch"
 	"hollyyoke.example/hollyyoke/internal/freshness"
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
@@ -24,6 +25,9 @@
 	suspended           // not at present
 )
 
+// The dispatcher asks a worker client for this interface at run time.
+var _ dispatch.Refresher = (*Backends)(nil)
+
 // Refresh brings up to date what may be done by the list.
 func (s *Backends) Refresh() {
 	knowledge, now := s.knowledgeNow(), s.core.Loop.Now()
@@ -32,7 +36,7 @@
 		return
 	}
 	s.knowledge = knowledge
-	s.core.Log(fmt.Sprintf("the list of workers is %v, discovery was last heard %v ago", knowledge, (now - s.age.HeardAt()).Round(time.Millisecond)))
+	s.core.Log(fmt.Sprintf("the list of workers is %v, discovery was last heard %v ago", knowledge, (now - s.age.ConfirmedAt()).Round(time.Millisecond)))
 	if knowledge == freshness.Unknown {
 		s.suspendAll()
 		return
@@ -43,7 +47,7 @@
 // look is told that what may be done by the list may have changed by itself.
 func (s *Backends) look() {
 	s.Refresh()
-	if next := s.age.NextLook(s.core.Loop.Now()); next > 0 {
+	if next := s.age.NextChange(s.core.Loop.Now()); next > 0 {
 		s.core.Loop.Set(&s.oldDue, next)
 	}
 }
@@ -55,7 +59,7 @@
 		return freshness.Current
 	}
 	knowledge := s.age.Knowledge(s.core.Loop.Now())
-	if knowledge == freshness.Unconfirmed && !s.core.Settings.Probing {
+	if knowledge == freshness.Unconfirmed && !s.core.Settings.HealthChecks {
 		return freshness.Current
 	}
 	return knowledge
@@ -63,7 +67,7 @@
 
 // heard tells that a whole line of discovery has come.
 func (s *Backends) heard() {
-	s.age.Heard(s.core.Loop.Now())
+	s.age.Confirmed(s.core.Loop.Now())
 	s.look()
 	if s.knowledge == freshness.Unknown { // what is listed anew too
 		s.suspendAll()
@@ -80,7 +84,7 @@
 		}
 	}
 	slices.Sort(names) // a map's order would make runs differ
-	s.core.Suspend(s, names)
+	s.core.SuspendWorkers(s, names)
 }
 
 // suspend suspends one backend until the list is current again.
@@ -89,8 +93,8 @@
 		return
 	}
 	b.suspended = true
-	s.core.Step("", "worker suspended", "backend", b.name)
-	s.core.Suspend(s, []string{b.name})
+	s.core.TraceStep("", "worker suspended", "backend", b.name)
+	s.core.SuspendWorkers(s, []string{b.name})
 }
 
 // resume takes back the suspension of those that may be sent to.
@@ -103,7 +107,7 @@
 		}
 	}
 	slices.Sort(names)
-	s.core.Resume(s, names)
+	s.core.ResumeWorkers(s, names)
 }
 
 // admit tells what may become of a request that is ready to leave for a backend.
@@ -143,12 +147,12 @@
 	l.resetAnswer()
 	if !served {
 		l.deny()
-		l.settle(decision.Superseded, decision.Load{}, nil)
+		l.settle(decision.NotSent, decision.LoadReport{}, nil)
 		l.rest()
 		return
 	}
 	l.b.confirmed = l.asked
-	if l.set.core.Abandoned(attempt) {
+	if l.set.core.ClientGone(attempt) {
 		return
 	}
 	if reusable {
@@ -168,7 +172,7 @@
 		return
 	}
 	l.deny()
-	l.settle(decision.Superseded, decision.Load{}, nil)
+	l.settle(decision.NotSent, decision.LoadReport{}, nil)
 }
 
 // deny books that the line's backend has not shown that it serves.
@@ -183,13 +187,13 @@
 func (l *line) move(fresh bool) {
 	s, attempt := l.set, l.attempt
 	l.attempt = 0
-	n := l.b.take(l.job.Settled)
+	n := l.b.take(l.job.RepeatUnsafe)
 	if n == nil {
 		n = s.dial(l.b)
 	}
 	n.attempt, n.job, n.fresh = attempt, l.job, fresh
 	s.lines[attempt] = n
-	if n.conn != nil && !s.core.Abandoned(attempt) {
+	if n.conn != nil && !s.core.ClientGone(attempt) {
 		n.send()
 	}
 }
@@ -197,7 +201,7 @@
 // failure tells what a call to discovery that ended in vain says of it.
 func (w *watch) failure(err error) freshness.Failure {
 	switch {
-	case w.conn == nil, errStatus(err), transport.Local(err):
+	case w.conn == nil, errStatus(err), transport.IsLocalError(err):
 		return freshness.NotReached
 	case w.pushed():
 		if w.ok && !w.live {
--- a/internal/platform/leaving_test.go
+++ b/internal/platform/leaving_test.go
@@ -92,7 +92,7 @@
 	d.t.Helper()
 	until(d.t, "the client is hung up", func() (over bool) {
 		d.do(func() {
-			over, n = d.core.Counts().HungUp == 1, d.core.Counts().Sent
+			over, n = d.core.Counts().Cancelled == 1, d.core.Counts().Sent
 		})
 		return over
 	})
@@ -117,13 +117,13 @@
 
 // The end arrives while a request waits for another with its key, which is over just then.
 func TestLeavingInAKeysTurn(t *testing.T) {
-	d := newDeparture(t, 1, func(s *decision.Settings) { s.Classes[0].InTurn = true })
+	d := newDeparture(t, 1, func(s *decision.Settings) { s.Classes[0].Serialized = true })
 	d.client("/status-check/k", "id000001", 0)
 	worker, in := d.accept[0]()
 	d.request(in)
 	conn := d.client("/status-check/k", "id000002", 0)
 	until(t, "the second is taken", func() (both bool) {
-		d.do(func() { both = d.core.Owed() == 2 })
+		d.do(func() { both = d.core.Unanswered() == 2 })
 		return both
 	})
 	on := d.hold()
@@ -178,7 +178,7 @@
 
 // The end arrives while a hedge is due, since the first attempt does not start.
 func TestLeavingBeforeAHedge(t *testing.T) {
-	d := newDeparture(t, 2, func(s *decision.Settings) { s.MaxAttempts, s.SecondCopies = 3, true })
+	d := newDeparture(t, 2, func(s *decision.Settings) { s.MaxAttempts, s.Hedging = 3, true })
 	conn := d.client("/status-check/k", "id000001", 0)
 	_, in := d.first()
 	d.request(in)
@@ -237,7 +237,7 @@
 			before := time.Now()
 			got := make(judge, 1)
 			d.core.Loop.Post(func() {
-				d.core.Take(got, 0, dispatch.Job{ID: "id000001", Target: "/status-check/k", Body: []byte("body"), Work: 1e6, Left: left})
+				d.core.Accept(got, 0, dispatch.Request{ID: "id000001", Target: "/status-check/k", Body: []byte("body"), Work: 1e6, TimeLeft: left})
 			})
 			_, in := d.accept[0]()
 			if _, err := in.Peek(1); err != nil {
--- a/internal/platform/list.go
+++ b/internal/platform/list.go
@@ -73,10 +73,10 @@
 	if err != nil {
 		return err
 	}
-	s.first = map[string]decision.Entry{}
+	s.first = map[string]decision.Endpoint{}
 	for _, e := range entries {
-		if e.State != decision.Deleted {
-			s.first[e.Worker] = e
+		if e.State != decision.Removed {
+			s.first[e.Name] = e
 		}
 	}
 	if s.follower != nil {
@@ -84,7 +84,7 @@
 		s.follower.start(&list)
 		return nil
 	}
-	if s.watch.addr == "" || s.core.Settings.AskForList && s.core.Settings.Herd() { // the module says when to call
+	if s.watch.addr == "" || s.core.Settings.ListBySubscription && s.core.Settings.LargeFleet() { // the module says when to call
 		s.begin(nil)
 		s.watch.callInTime(s.watch.lastContact)
 		return nil
@@ -95,27 +95,27 @@
 }
 
 // begin gives the module the list known at the start, with what has changed since.
-func (s *Backends) begin(changes []decision.Entry) {
+func (s *Backends) begin(changes []decision.Endpoint) {
 	if s.first == nil {
 		return
 	}
 	for _, e := range changes {
-		if s.first[e.Worker] = e; e.State == decision.Deleted {
-			delete(s.first, e.Worker)
+		if s.first[e.Name] = e; e.State == decision.Removed {
+			delete(s.first, e.Name)
 		}
 	}
-	entries := slices.SortedFunc(maps.Values(s.first), func(a, b decision.Entry) int {
-		return strings.Compare(a.Worker, b.Worker) // a map's order would make runs differ
+	entries := slices.SortedFunc(maps.Values(s.first), func(a, b decision.Endpoint) int {
+		return strings.Compare(a.Name, b.Name) // a map's order would make runs differ
 	})
 	s.first = nil
 	s.core.Loop.Clear(&s.due)
-	s.core.List(s, decision.ListPersisted, entries)
+	s.core.UpdateWorkers(s, decision.ListCached, entries)
 	s.look()
 }
 
 // Tell tells where discovery is, and the list in its words, for a successor.
 func (s *Backends) Tell() (addr string, list json.RawMessage, err error) {
-	words := map[decision.WorkerState]string{decision.Running: "ready", decision.Stopping: "draining"}
+	words := map[decision.WorkerState]string{decision.Running: "ready", decision.Draining: "draining"}
 	l := hosts{Seq: s.watch.seq, Whole: true, Hosts: []host{}}
 	if f := s.follower; f != nil {
 		if l.Seq = int64(f.version); f.begun && f.resume == f.version {
@@ -128,7 +128,7 @@
 		l.Hosts = append(l.Hosts, h)
 	}
 	slices.SortFunc(l.Hosts, func(a, b host) int { return strings.Compare(a.Host, b.Host) })
-	age := (s.core.Loop.Now() - s.age.HeardAt()).Milliseconds()
+	age := (s.core.Loop.Now() - s.age.ConfirmedAt()).Milliseconds()
 	l.AgeMs = &age
 	list, err = json.Marshal(l)
 	return s.watch.addr, list, err
@@ -154,22 +154,22 @@
 	s.watch.seq = max(s.watch.seq, list.Seq)
 	s.replace(entries)
 	if list.AgeMs != nil {
-		s.age.Relayed(s.core.Loop.Now(), time.Duration(*list.AgeMs)*time.Millisecond)
+		s.age.HandedOver(s.core.Loop.Now(), time.Duration(*list.AgeMs)*time.Millisecond)
 	}
 	s.look()
 	return nil
 }
 
 // replace puts a complete list in the place of what is known.
-func (s *Backends) replace(entries []decision.Entry) {
+func (s *Backends) replace(entries []decision.Endpoint) {
 	s.onlyThese(entries)
 	if s.first == nil {
-		s.core.List(s, decision.ListComplete, entries)
+		s.core.UpdateWorkers(s, decision.ListSnapshot, entries)
 		return
 	}
 	clear(s.first)
 	for _, e := range entries {
-		s.first[e.Worker] = e
+		s.first[e.Name] = e
 	}
 }
 
@@ -190,10 +190,10 @@
 }
 
 // onlyThese marks all backends as gone that a complete list lacks.
-func (s *Backends) onlyThese(entries []decision.Entry) {
+func (s *Backends) onlyThese(entries []decision.Endpoint) {
 	listed := map[string]bool{}
 	for _, e := range entries {
-		listed[e.Worker] = true
+		listed[e.Name] = true
 	}
 	for name, b := range s.hosts {
 		if !listed[name] {
@@ -203,8 +203,8 @@
 }
 
 func (s *Backends) gone(b *backend) {
-	if b.state != decision.Deleted {
-		b.state, b.told = decision.Deleted, s.core.Loop.Now()
+	if b.state != decision.Removed {
+		b.state, b.told = decision.Removed, s.core.Loop.Now()
 		s.left(b)
 	}
 	b.closeIdle()
@@ -212,31 +212,31 @@
 }
 
 // parse checks a whole list and takes in none of it.
-func (s *Backends) parse(list []host) ([]decision.Entry, error) {
-	entries := make([]decision.Entry, 0, len(list))
+func (s *Backends) parse(list []host) ([]decision.Endpoint, error) {
+	entries := make([]decision.Endpoint, 0, len(list))
 	for i, h := range list {
 		at := "hosts[" + strconv.Itoa(i) + "]"
-		e := decision.Entry{
-			Worker: h.Host, Cell: h.Block, Weight: h.Share,
+		e := decision.Endpoint{
+			Name: h.Host, Cell: h.Block, Weight: h.Share,
 			Zone: index(s.core.Settings.ZoneNames, h.Site), Kind: index(s.core.Settings.KindNames, h.Class),
 		}
 		if h.BornMs > 0 && h.BornMs < 1e13 {
-			e.LastStart = time.Duration(h.BornMs * float64(time.Millisecond))
+			e.StartedAt = time.Duration(h.BornMs * float64(time.Millisecond))
 		}
 		switch h.Health {
 		case "ready":
 			e.State = decision.Running
 		case "draining":
-			e.State = decision.Stopping
+			e.State = decision.Draining
 		case "gone":
-			e.State = decision.Deleted
+			e.State = decision.Removed
 		default:
 			return nil, errors.New(at + ".health: unknown value " + strconv.Quote(h.Health))
 		}
 		if h.Host == "" {
 			return nil, errors.New(at + ".host is empty")
 		}
-		if _, _, err := net.SplitHostPort(h.Dial); err != nil && e.State != decision.Deleted {
+		if _, _, err := net.SplitHostPort(h.Dial); err != nil && e.State != decision.Removed {
 			return nil, errors.New(at + ".dial: " + err.Error())
 		}
 		entries = append(entries, e)
@@ -245,7 +245,7 @@
 }
 
 // entries takes in a list, unless some of it is wrong.
-func (s *Backends) entries(list []host) ([]decision.Entry, error) {
+func (s *Backends) entries(list []host) ([]decision.Endpoint, error) {
 	entries, err := s.parse(list)
 	if err == nil {
 		s.adopt(list, entries)
@@ -254,19 +254,19 @@
 }
 
 // adopt takes in a list that has been parsed.
-func (s *Backends) adopt(list []host, entries []decision.Entry) {
+func (s *Backends) adopt(list []host, entries []decision.Endpoint) {
 	now := s.core.Loop.Now()
 	for i, e := range entries {
-		b := s.hosts[e.Worker]
-		if e.State == decision.Deleted {
+		b := s.hosts[e.Name]
+		if e.State == decision.Removed {
 			if b != nil {
 				s.gone(b)
 			}
 			continue
 		}
 		if b == nil {
-			b = &backend{name: e.Worker, dial: list[i].Dial, state: e.State, told: now}
-			s.hosts[e.Worker] = b
+			b = &backend{name: e.Name, dial: list[i].Dial, state: e.State, told: now}
+			s.hosts[e.Name] = b
 		}
 		if b.dial != list[i].Dial {
 			b.closeIdle()
@@ -274,7 +274,7 @@
 		}
 		if b.host = list[i]; b.state != e.State {
 			b.state, b.told = e.State, now
-			if e.State == decision.Stopping {
+			if e.State == decision.Draining {
 				s.left(b)
 			}
 		}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -23,7 +23,7 @@
 
 // rig is a core on a loop of its own, with the engine beside it.
 type rig struct {
-	core   *dispatch.Core
+	core   *dispatch.Dispatcher
 	engine *transport.Engine
 }
 
@@ -31,16 +31,16 @@
 	t.Helper()
 	s := decision.Settings{
 		Classes: []decision.Class{
-			{Name: "status-check", Worth: 3, LateWorth: 0.25, Aim: 200 * time.Millisecond, Deadline: 5 * time.Second},
-			{Name: "renewal", Worth: 5, LateWorth: 0.5, Aim: 200 * time.Millisecond, Deadline: 8 * time.Second, Repeat: decision.Fragile},
+			{Name: "status-check", PriorityWeight: 3, LateWeight: 0.25, LatencyObjective: 200 * time.Millisecond, Deadline: 5 * time.Second},
+			{Name: "renewal", PriorityWeight: 5, LateWeight: 0.5, LatencyObjective: 200 * time.Millisecond, Deadline: 8 * time.Second, Idempotency: decision.NonIdempotent},
 		},
-		Tick: time.Millisecond, MaxAttempts: 1, Cancel: true, TellsStart: true, Probing: true, MaxRetryAfter: time.Second,
-		ConnectTimeout: 2 * time.Second, ConnIdle: 10 * time.Second, FreeSlots: "x0", ZoneNames: []string{"here"},
+		Tick: time.Millisecond, MaxAttempts: 1, Cancellation: true, StartNotices: true, HealthChecks: true, MaxRetryAfter: time.Second,
+		ConnectTimeout: 2 * time.Second, ConnectionIdleTimeout: 10 * time.Second, FreeSlots: "x0", ZoneNames: []string{"here"},
 	}
 	for _, change := range changes {
 		change(&s)
 	}
-	c, err := dispatch.New(eventloop.NewLoop(), s, 1)
+	c, err := dispatch.New(eventloop.New(), s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,22 +62,22 @@
 }
 
 // echo is a carrier whose backend does at once what a job's body says.
-type echo struct{ core *dispatch.Core }
+type echo struct{ core *dispatch.Dispatcher }
 
 func (e echo) Start(f dispatch.Attempt) {
-	word, _, _ := bytes.Cut(f.Job.Body, []byte(" "))
+	word, _, _ := bytes.Cut(f.Request.Body, []byte(" "))
 	if string(word) == "hold" {
 		return
 	}
-	o := map[string]decision.Outcome{
-		"done": decision.Completed, "failed": decision.Errored, "returned": decision.Saturated,
+	o := map[string]decision.AttemptOutcome{
+		"done": decision.Completed, "failed": decision.Failed, "returned": decision.Saturated,
 	}[string(word)]
-	e.core.Ended(f.Handle, o, decision.Load{}, append([]byte("made "), f.Job.Body...))
+	e.core.AttemptEnded(f.Handle, o, decision.LoadReport{}, append([]byte("made "), f.Request.Body...))
 }
-func (echo) Stop(uint64) bool { return false }
-func (echo) Release(string)   {}
-func (echo) Probe(string)     {}
-func (echo) Subscribe()       {}
+func (echo) Cancel(uint64) bool { return false }
+func (echo) CloseIdle(string)   {}
+func (echo) CheckHealth(string) {}
+func (echo) Subscribe()         {}
 
 // A request, what must come back, and whether the session ends with it.
 var exchanges = []struct {
@@ -137,14 +137,14 @@
 	r := newRig(f)
 	var addr string
 	r.do(func() {
-		r.core.Listen(echo{r.core})
-		r.core.List(echo{r.core}, decision.ListComplete, []decision.Entry{{Worker: "w"}})
+		r.core.AddSource(echo{r.core})
+		r.core.UpdateWorkers(echo{r.core}, decision.ListSnapshot, []decision.Endpoint{{Name: "w"}})
 		var err error
 		if addr, err = NewFront(r.core, r.engine, 64<<20, func() bool { return true }).Listen("127.0.0.1:0", 200); err != nil {
 			f.Error(err)
 		}
-		r.core.Take(make(judge, 1), 0, dispatch.Job{ID: "former", Body: []byte("done")})
-		r.core.Take(make(judge, 1), 0, dispatch.Job{ID: "open", Body: []byte("hold")})
+		r.core.Accept(make(judge, 1), 0, dispatch.Request{ID: "former", Body: []byte("done")})
+		r.core.Accept(make(judge, 1), 0, dispatch.Request{ID: "open", Body: []byte("hold")})
 	})
 	number := 0
 	f.Fuzz(func(t *testing.T, steps []byte) {
@@ -197,8 +197,8 @@
 	held := holder{echo{r.core}, make(chan dispatch.Attempt, 10)}
 	var addr string
 	r.do(func() {
-		r.core.Listen(held)
-		r.core.List(held, decision.ListComplete, []decision.Entry{{Worker: "w"}})
+		r.core.AddSource(held)
+		r.core.UpdateWorkers(held, decision.ListSnapshot, []decision.Endpoint{{Name: "w"}})
 		addr, _ = NewFront(r.core, r.engine, 64<<20, func() bool { return true }).Listen("127.0.0.1:0", 20)
 	})
 	post := func() chan int {
@@ -219,7 +219,7 @@
 	if status := <-post(); status != 409 {
 		t.Errorf("the name of an open req: %d", status)
 	}
-	r.do(func() { r.core.Ended(attempt.Handle, decision.Completed, decision.Load{}, []byte("made")) })
+	r.do(func() { r.core.AttemptEnded(attempt.Handle, decision.Completed, decision.LoadReport{}, []byte("made")) })
 	if status := <-first; status != 200 {
 		t.Errorf("the open req: %d", status)
 	}
@@ -259,8 +259,8 @@
 	r := newRig(t)
 	var addr string
 	r.do(func() {
-		r.core.Listen(echo{r.core})
-		r.core.List(echo{r.core}, decision.ListComplete, []decision.Entry{{Worker: "w"}})
+		r.core.AddSource(echo{r.core})
+		r.core.UpdateWorkers(echo{r.core}, decision.ListSnapshot, []decision.Endpoint{{Name: "w"}})
 		addr, _ = NewFront(r.core, r.engine, memory, func() bool { return true }).Listen("127.0.0.1:0", most)
 	})
 	return addr
@@ -465,17 +465,17 @@
 // What a backend may answer, and what becomes of a fragile req: the protocol's table.
 var answers = []struct {
 	script string
-	want   dispatch.Verdict
+	want   dispatch.Outcome
 }{
 	{chunked(done), dispatch.Served},
 	{chunked(`{"id":"IDENTITY","state":"started"}`, `{"id":"IDENTITY","state":"running","share":0.5}`, "", done), dispatch.Served},
 	{strings.Replace(chunked(done), "0\r\n\r\n", "0\r\nX-Trailer: 1\r\n\r\n", 1), dispatch.Served},
 	{chunked(`{"id":"IDENTITY","state":"failed"}`), dispatch.Failed},
-	{chunked(`{"id":"IDENTITY","state":"started"}`, `{"id":"IDENTITY","state":"returned"}`), dispatch.Refused},
+	{chunked(`{"id":"IDENTITY","state":"started"}`, `{"id":"IDENTITY","state":"returned"}`), dispatch.Rejected},
 	{chunked(`{"id":"IDENTITY","state":"lost"}`), dispatch.Failed},
 	{"HTTP/1.1 500 Error\r\nContent-Length: 3\r\n\r\nbad", dispatch.Failed},
-	{"HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nX-Backend-Load: {\"x0\":0}\r\nContent-Length: 0\r\n\r\n", dispatch.Refused},
-	{"HTTP/1.1 504 Full\r\nX-Unprocessed: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", dispatch.Refused},
+	{"HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nX-Backend-Load: {\"x0\":0}\r\nContent-Length: 0\r\n\r\n", dispatch.Rejected},
+	{"HTTP/1.1 504 Full\r\nX-Unprocessed: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", dispatch.Rejected},
 	{"HTTP/1.1 503 Full\r\nContent-Length: 2\r\n\r\nno", dispatch.Failed},
 	{"HTTP/1.1 404 None\r\nContent-Length: 0\r\n\r\n", dispatch.Failed},
 	{"HTTP/1.1 400 Bad\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", dispatch.Failed},
@@ -492,10 +492,10 @@
 }
 
 // judge is a front that keeps what it is told.
-type judge chan dispatch.Answer
+type judge chan dispatch.Response
 
-func (j judge) Answer(_ uint64, a dispatch.Answer) {
-	a.Result = slices.Clone(a.Result)
+func (j judge) Respond(_ uint64, a dispatch.Response) {
+	a.Body = slices.Clone(a.Body)
 	j <- a
 }
 
@@ -533,9 +533,9 @@
 			s.mu.Unlock()
 			got := make(judge, 2)
 			r.do(func() {
-				r.core.Take(got, 0, dispatch.Job{ID: id, Class: 1, Target: "/renewal/k", Body: []byte("b"), Work: 1e6})
+				r.core.Accept(got, 0, dispatch.Request{ID: id, Class: 1, Target: "/renewal/k", Body: []byte("b"), Work: 1e6})
 			})
-			var a dispatch.Answer
+			var a dispatch.Response
 			select {
 			case a = <-got:
 			case <-time.After(patience):
@@ -545,11 +545,11 @@
 			n := s.arrivals[id]
 			s.mu.Unlock()
 			// A kept connection that has just been closed may cost the req; never a second run.
-			if a.Verdict != x.want && !(closed && a.Verdict == dispatch.Failed && n <= 1) || n > 1 {
-				t.Fatalf("%q: %v, want %v; arrived %d times", x.script, a.Verdict, x.want, n)
+			if a.Outcome != x.want && !(closed && a.Outcome == dispatch.Failed && n <= 1) || n > 1 {
+				t.Fatalf("%q: %v, want %v; arrived %d times", x.script, a.Outcome, x.want, n)
 			}
-			if a.Verdict == dispatch.Served && string(a.Result) != "made" {
-				t.Fatalf("%q: result %q", x.script, a.Result)
+			if a.Outcome == dispatch.Served && string(a.Body) != "made" {
+				t.Fatalf("%q: result %q", x.script, a.Body)
 			}
 		}
 	})
@@ -577,7 +577,7 @@
 	take := func(id string) judge {
 		got := make(judge, 1)
 		r.do(func() {
-			r.core.Take(got, 0, dispatch.Job{ID: id, Class: 1, Target: "/renewal/k", Body: []byte("body"), Work: 1e6})
+			r.core.Accept(got, 0, dispatch.Request{ID: id, Class: 1, Target: "/renewal/k", Body: []byte("body"), Work: 1e6})
 		})
 		return got
 	}
@@ -603,8 +603,8 @@
 	first := take("id000001")
 	conn, in := next()
 	serve(conn, in)
-	if a := <-first; a.Verdict != dispatch.Served {
-		t.Fatalf("the first: %v", a.Verdict)
+	if a := <-first; a.Outcome != dispatch.Served {
+		t.Fatalf("the first: %v", a.Outcome)
 	}
 	conn.Close() // before its time: from now on they are not trusted
 	for wary, end := false, time.Now().Add(patience); !wary; time.Sleep(time.Millisecond) {
@@ -615,8 +615,8 @@
 	again := take("id000012")
 	conn, in = next()
 	serve(conn, in)
-	if a := <-again; a.Verdict != dispatch.Served {
-		t.Fatalf("the next: %v", a.Verdict)
+	if a := <-again; a.Outcome != dispatch.Served {
+		t.Fatalf("the next: %v", a.Outcome)
 	}
 	second := take("id000002")
 	if _, err := in.ReadByte(); err != nil { // on the kept connection
@@ -626,16 +626,16 @@
 	conn.Close()
 	conn, in = next()
 	serve(conn, in)
-	if a := <-second; a.Verdict != dispatch.Served {
-		t.Errorf("after a reset on its first byte: %v", a.Verdict)
+	if a := <-second; a.Outcome != dispatch.Served {
+		t.Errorf("after a reset on its first byte: %v", a.Outcome)
 	}
 	third := take("id000003")
 	if _, err := in.Peek(1); err != nil {
 		t.Fatal(err)
 	}
 	io.WriteString(conn, "HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")
-	if a := <-third; a.Verdict != dispatch.Refused {
-		t.Errorf("turned away early: %v", a.Verdict)
+	if a := <-third; a.Outcome != dispatch.Rejected {
+		t.Errorf("turned away early: %v", a.Outcome)
 	}
 	text, err := io.ReadAll(in)
 	if err != nil || !bytes.HasSuffix(text, []byte("\r\n\r\nbod")) {
@@ -660,8 +660,8 @@
 		if err := b.Known(fmt.Appendf(nil, known, s.ln.Addr(), silent.Addr())); err != nil {
 			t.Error(err)
 		}
-		b.Probe("silent")
-		b.Probe("nobody")
+		b.CheckHealth("silent")
+		b.CheckHealth("nobody")
 	})
 	conn, err := silent.Accept()
 	if err != nil {
@@ -674,7 +674,7 @@
 	s.mu.Lock()
 	s.scripts = []string{"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n{\"x0\":1.5}", chunked(done)}
 	s.mu.Unlock()
-	r.do(func() { b.Probe("s") })
+	r.do(func() { b.CheckHealth("s") })
 	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
 		idle := 0
 		r.do(func() { idle = len(b.hosts["s"].idle) })
@@ -686,11 +686,13 @@
 		}
 	}
 	got := make(judge, 1)
-	r.do(func() { r.core.Take(got, 0, dispatch.Job{ID: "id000001", Class: 1, Target: "/renewal/k", Work: 1e6}) })
+	r.do(func() {
+		r.core.Accept(got, 0, dispatch.Request{ID: "id000001", Class: 1, Target: "/renewal/k", Work: 1e6})
+	})
 	select {
 	case a := <-got:
-		if a.Verdict != dispatch.Served {
-			t.Errorf("after the probe: %v", a.Verdict)
+		if a.Outcome != dispatch.Served {
+			t.Errorf("after the probe: %v", a.Outcome)
 		}
 	case <-time.After(patience):
 		t.Fatal("no answer")
@@ -759,8 +761,8 @@
 	var addr string
 	var front *Front
 	r.do(func() {
-		r.core.Listen(echo{r.core})
-		r.core.List(echo{r.core}, decision.ListComplete, []decision.Entry{{Worker: "w"}})
+		r.core.AddSource(echo{r.core})
+		r.core.UpdateWorkers(echo{r.core}, decision.ListSnapshot, []decision.Endpoint{{Name: "w"}})
 		front = NewFront(r.core, r.engine, 64<<20, func() bool { return true })
 		addr, _ = front.Listen("127.0.0.1:0", 200)
 	})
@@ -856,12 +858,12 @@
 				t.Error(err)
 			}
 			for range 5 {
-				b.Probe("s")
+				b.CheckHealth("s")
 			}
 		})
 		for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
 			idle, open := 0, 0
-			r.do(func() { idle, open = len(b.hosts["s"].idle), r.engine.Open() })
+			r.do(func() { idle, open = len(b.hosts["s"].idle), r.engine.OpenConnections() })
 			s.mu.Lock()
 			came := len(s.conns)
 			s.mu.Unlock()
--- a/internal/platform/relaycall.go
+++ b/internal/platform/relaycall.go
@@ -73,7 +73,7 @@
 // drain takes what it can out of the buffer.
 func (r *answerReader) drain(body func(piece []byte) error) error {
 	at := 0
-	defer func() { r.in.Cut(at) }()
+	defer func() { r.in.Consume(at) }()
 	for !r.ended {
 		piece, used, err := r.piece(r.in.Bytes()[at:])
 		if err != nil {
--- a/internal/platform/relaychange.go
+++ b/internal/platform/relaychange.go
@@ -202,7 +202,7 @@
 
 // check checks a whole change. Its settings are in force from here on, unless
 // there is an error: they come last, since what takes them checks them itself.
-func (f *follower) check(c change) ([]decision.Entry, error) {
+func (f *follower) check(c change) ([]decision.Endpoint, error) {
 	if c.wrong != nil {
 		return nil, c.wrong
 	}
@@ -279,17 +279,17 @@
 
 // list tells the module of a change that has been taken in. The first one goes
 // with the list known at the start, as a change of it or in its place.
-func (s *Backends) list(whole bool, entries []decision.Entry) {
+func (s *Backends) list(whole bool, entries []decision.Endpoint) {
 	switch {
 	case whole:
 		s.onlyThese(entries)
 		s.first = nil
 		s.core.Loop.Clear(&s.due)
-		s.core.List(s, decision.ListComplete, entries)
+		s.core.UpdateWorkers(s, decision.ListSnapshot, entries)
 	case s.first != nil:
 		s.begin(entries)
 	case len(entries) > 0:
-		s.core.List(s, decision.ListChanges, entries)
+		s.core.UpdateWorkers(s, decision.ListDelta, entries)
 	}
 }
 
--- a/internal/platform/relaylink.go
+++ b/internal/platform/relaylink.go
@@ -71,7 +71,7 @@
 				c.Close()
 			}
 		case err != nil:
-			if errors.Is(err, transport.ErrFull) {
+			if errors.Is(err, transport.ErrNoDescriptor) {
 				l.set.shed()
 			}
 			l.finish(err)
@@ -101,7 +101,7 @@
 // expire ends a call on which nothing has come in time. The server may have
 // answered while the loop was late: that is waited for once more, and not again.
 func (l *link) expire() {
-	if l.conn != nil && !l.extended && !l.conn.Quiet() {
+	if l.conn != nil && !l.extended && !l.conn.NothingUnread() {
 		l.extended = true
 		l.set.core.Loop.Set(&l.due, l.set.core.Loop.Now()+leastAgentWait)
 		return
@@ -109,8 +109,8 @@
 	l.finish(errSilent)
 }
 
-// Data takes in what the server sent.
-func (l *link) Data(c *transport.Conn, b *transport.Buffer) {
+// OnData takes in what the server sent.
+func (l *link) OnData(c *transport.Conn, b *transport.Buffer) {
 	defer l.set.engine.Pool.Put(b)
 	if c != l.conn {
 		return
@@ -130,8 +130,8 @@
 	}
 }
 
-// Closed is told that the server has closed, or the connection broke.
-func (l *link) Closed(c *transport.Conn, _ error) {
+// OnClosed is told that the server has closed, or the connection broke.
+func (l *link) OnClosed(c *transport.Conn, _ error) {
 	if c == l.conn {
 		l.broken(errEndedLink)
 	}
--- a/internal/platform/relaywatch_test.go
+++ b/internal/platform/relaywatch_test.go
@@ -215,7 +215,7 @@
 	var list []string
 	s.do(func() {
 		for name, b := range s.backends.hosts {
-			health := map[decision.WorkerState]string{decision.Running: "ready", decision.Stopping: "draining"}[b.state]
+			health := map[decision.WorkerState]string{decision.Running: "ready", decision.Draining: "draining"}[b.state]
 			list = append(list, name+"="+health)
 		}
 	})
@@ -593,7 +593,7 @@
 	watch.tell(`{"seq":7,"whole":false,"hosts":[{"host":"a","health":"gone"}],"settings":[{"key":"over_share_worth","value":0.5},{"key":"limits.max_attempts","value":9}]}`)
 	until(t, "it is refused", func() bool { return s.stats().Refused == 1 })
 	s.do(func() {
-		if worth := s.core.Settings.OverQuotaWorth; worth != 0.25 {
+		if worth := s.core.Settings.OverQuotaWeight; worth != 0.25 {
 			t.Errorf("the worth is %v", worth)
 		}
 	})
@@ -689,7 +689,7 @@
 	until(t, "the drain's bytes are taken in", func() (taken bool) {
 		s.do(func() {
 			taken = s.backends.control.BytesRead > before
-			if state := s.backends.hosts["a"].state; taken && state != decision.Stopping {
+			if state := s.backends.hosts["a"].state; taken && state != decision.Draining {
 				t.Errorf("the turn behind the bytes sees %v", state)
 			}
 		})
@@ -706,7 +706,7 @@
 	s := follow(t, 1, home, other)
 	s.known(`{"seq":40,"hosts":[{"host":"k","dial":"127.0.0.1:9","health":"ready"}]}`)
 	until(t, "the known list serves", func() (heard bool) {
-		s.do(func() { heard = s.backends.Heard() && s.core.Backends() == 1 })
+		s.do(func() { heard = s.backends.Heard() && s.core.ReadyWorkers() == 1 })
 		return heard
 	})
 	if n := s.logged(": "); n != 1 {
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -103,7 +103,7 @@
 )
 
 // pushed tells whether lists come from an agent, which is called without the module's word.
-func (w *watch) pushed() bool { return !w.set.core.Settings.AskForList }
+func (w *watch) pushed() bool { return !w.set.core.Settings.ListBySubscription }
 
 // timeouts are how long a call may take to connect, and in all up to its first line.
 func (w *watch) timeouts() (connect, call time.Duration) {
@@ -142,9 +142,9 @@
 // have come while the loop was late: it is waited for once more, and not again,
 // since unread bytes need not make a whole line.
 func (w *watch) expire() {
-	if w.conn != nil && !w.extended && !w.conn.Quiet() {
+	if w.conn != nil && !w.extended && !w.conn.NothingUnread() {
 		w.extended = true
-		w.set.core.Step("", "discovery's timeout extended", "age", w.set.core.Loop.Now()-w.lastContact)
+		w.set.core.TraceStep("", "discovery's timeout extended", "age", w.set.core.Loop.Now()-w.lastContact)
 		w.set.core.Loop.Set(&w.due, w.set.core.Loop.Now()+leastAgentWait)
 		return
 	}
@@ -176,7 +176,7 @@
 	generation := w.generation
 	loop := w.set.core.Loop
 	w.lastContact = loop.Now()
-	w.set.core.Step("", "discovery called", "version", w.seq)
+	w.set.core.TraceStep("", "discovery called", "version", w.seq)
 	connect, call := w.timeouts()
 	w.limit = w.lastContact + call
 	loop.Set(&w.due, w.limit)
@@ -245,19 +245,19 @@
 func (w *watch) tellModule() {
 	if !w.awaitsModule {
 		w.awaitsModule = true
-		w.set.core.List(w.set, decision.ListError, nil)
+		w.set.core.UpdateWorkers(w.set, decision.ListFailed, nil)
 	}
 }
 
-// Closed is told that discovery ended the call.
-func (w *watch) Closed(c *transport.Conn, _ error) {
+// OnClosed is told that discovery ended the call.
+func (w *watch) OnClosed(c *transport.Conn, _ error) {
 	if c == w.conn {
 		w.fail(errWatchEnded)
 	}
 }
 
-// Data takes in what discovery sent.
-func (w *watch) Data(c *transport.Conn, b *transport.Buffer) {
+// OnData takes in what discovery sent.
+func (w *watch) OnData(c *transport.Conn, b *transport.Buffer) {
 	if c != w.conn {
 		w.set.engine.Pool.Put(b)
 		return
@@ -265,14 +265,14 @@
 	defer w.set.engine.Pool.Put(b)
 	w.set.control.BytesRead += int64(len(b.Bytes()))
 	if w.set.core.Trace != nil {
-		w.set.core.Step("", "discovery's bytes", "bytes", len(b.Bytes()))
+		w.set.core.TraceStep("", "discovery's bytes", "bytes", len(b.Bytes()))
 	}
 	for w.conn == c && len(b.Bytes()) > 0 {
 		if w.in == nil {
 			w.in = w.set.engine.Pool.Get()
 		}
 		n := w.in.Fill(b.Bytes())
-		b.Cut(n)
+		b.Consume(n)
 		err := w.read()
 		if err == nil && n == 0 {
 			err = errMalformed // no room for the end of what is a line at the most
@@ -308,7 +308,7 @@
 			return errMalformed
 		}
 		w.ok = true
-		w.in.Cut(h.size)
+		w.in.Consume(h.size)
 	}
 	for conn := w.conn; w.conn == conn; {
 		data, used, err := w.chunk.next(w.in.Bytes())
@@ -325,7 +325,7 @@
 			return err
 		}
 		if w.conn == conn {
-			w.in.Cut(used)
+			w.in.Consume(used)
 		}
 	}
 	return nil
@@ -366,7 +366,7 @@
 	}
 	if len(text) == 0 {
 		if first { // nothing has changed; but the call did not fail, and the module waits for word of it
-			w.set.core.List(w.set, decision.ListChanges, nil)
+			w.set.core.UpdateWorkers(w.set, decision.ListDelta, nil)
 		}
 		return nil
 	}
@@ -378,10 +378,10 @@
 	if err != nil {
 		return err
 	}
-	w.set.core.Step("", "discovery's version", "version", list.Seq, "after", w.seq, "snapshot", list.Whole, "entries", len(entries))
-	kind := decision.ListChanges
+	w.set.core.TraceStep("", "discovery's version", "version", list.Seq, "after", w.seq, "snapshot", list.Whole, "entries", len(entries))
+	kind := decision.ListDelta
 	if list.Whole {
-		kind = decision.ListComplete
+		kind = decision.ListSnapshot
 		w.set.onlyThese(entries)
 	}
 	w.seq = list.Seq
@@ -394,6 +394,6 @@
 	}
 	w.set.first = nil
 	w.set.core.Loop.Clear(&w.set.due)
-	w.set.core.List(w.set, kind, entries)
+	w.set.core.UpdateWorkers(w.set, kind, entries)
 	return nil
 }
--- a/internal/rehearsal/capacity/module.go
+++ b/internal/rehearsal/capacity/module.go
@@ -37,7 +37,7 @@
 
 // module is a dispatcher's decisions with the smallest driver that keeps them going.
 type module struct {
-	*decision.Dispatcher
+	*decision.Machine
 	now     time.Duration
 	due     time.Duration // of the sweep; 0: none is asked for
 	sweep   uint64        // its token
@@ -46,8 +46,8 @@
 }
 
 // entry is a worker as the module takes it in.
-func entry(i int) decision.Entry {
-	return decision.Entry{Worker: workerName(i), Zone: i % Zones, Cell: i / cellWorkers, State: decision.Running, Weight: 1}
+func entry(i int) decision.Endpoint {
+	return decision.Endpoint{Name: workerName(i), Zone: i % Zones, Cell: i / cellWorkers, State: decision.Running, Weight: 1}
 }
 
 // newModule starts a dispatcher with so many listed workers, one in cold of them
@@ -65,15 +65,15 @@
 	if err != nil {
 		return nil, err
 	}
-	m := &module{Dispatcher: d, now: startOfPlay}
-	entries := make([]decision.Entry, workers)
+	m := &module{Machine: d, now: startOfPlay}
+	entries := make([]decision.Endpoint, workers)
 	for i := range entries {
 		entries[i] = entry(i)
 		if cold > 0 && i%cold == 0 {
-			entries[i].LastStart = startOfPlay
+			entries[i].StartedAt = startOfPlay
 		}
 	}
-	m.handle(decision.Event{Kind: decision.WorkerList, List: decision.ListComplete, Entries: entries})
+	m.handle(decision.Event{Kind: decision.ListUpdated, ListKind: decision.ListSnapshot, Endpoints: entries})
 	return m, nil
 }
 
@@ -91,14 +91,14 @@
 func (m *module) pass(span time.Duration) {
 	if m.now += span; m.due > 0 && m.now >= m.due {
 		m.due = 0
-		m.handle(decision.Event{Kind: decision.TimerDue, Timer: m.sweep})
+		m.handle(decision.Event{Kind: decision.TimerFired, Timer: m.sweep})
 	}
 }
 
 // arrive is one request; it returns how long the decision took and the worker.
 func (m *module) arrive(tenant int, left time.Duration) (spent time.Duration, worker string) {
 	m.next++
-	ev := decision.Event{Kind: decision.Arrival, Request: m.next, Tenant: tenant, Slots: 1, Work: taskTime, Left: left}
+	ev := decision.Event{Kind: decision.RequestArrived, Request: m.next, Tenant: tenant, Slots: 1, Work: taskTime, TimeLeft: left}
 	began := time.Now()
 	m.actions = m.Handle(m.now, ev, m.actions[:0])
 	spent = time.Since(began)
@@ -125,7 +125,7 @@
 			return 0, 0, fmt.Errorf("request %d of %d was given to no worker", i+1, count)
 		}
 		m.pass(taskTime)
-		m.handle(decision.Event{Kind: decision.Response, Request: m.next, Worker: worker, Outcome: decision.Completed, Settled: true})
+		m.handle(decision.Event{Kind: decision.AttemptEnded, Request: m.next, Worker: worker, Outcome: decision.Completed, Answered: true})
 		m.pass(arrivalGap - taskTime)
 	}
 	return mean, Median(times), nil
@@ -137,9 +137,9 @@
 	for i := range count {
 		e := entry(i / 2 % workers)
 		if i%2 == 0 {
-			e.State = decision.Stopping
+			e.State = decision.Draining
 		}
-		m.handle(decision.Event{Kind: decision.WorkerList, List: decision.ListChanges, Entries: []decision.Entry{e}})
+		m.handle(decision.Event{Kind: decision.ListUpdated, ListKind: decision.ListDelta, Endpoints: []decision.Endpoint{e}})
 	}
 	return time.Since(began) / time.Duration(count)
 }
@@ -214,7 +214,7 @@
 	const sweeps = 20
 	began := time.Now()
 	for range sweeps {
-		m.handle(decision.Event{Kind: decision.TimerDue, Timer: m.sweep})
+		m.handle(decision.Event{Kind: decision.TimerFired, Timer: m.sweep})
 	}
 	s.add(ModuleSweep, UnitSeconds, AxisTasks, held, time.Since(began).Seconds()/sweeps)
 	runtime.KeepAlive(m)
--- a/internal/rehearsal/scale/driver.go
+++ b/internal/rehearsal/scale/driver.go
@@ -16,7 +16,7 @@
 
 // driver hands requests to one dispatcher, open loop.
 type driver struct {
-	core    *dispatch.Core
+	core    *dispatch.Dispatcher
 	traffic Traffic
 	random  *rand.Rand
 	count   func(more trafficCounts)
@@ -28,17 +28,17 @@
 	number  uint64
 }
 
-func newDriver(c *dispatch.Core, traffic Traffic, random *rand.Rand, count func(trafficCounts)) *driver {
+func newDriver(c *dispatch.Dispatcher, traffic Traffic, random *rand.Rand, count func(trafficCounts)) *driver {
 	d := &driver{core: c, traffic: traffic, random: random, count: count}
 	d.due.Fire = d.arrive
-	c.Through = &hollowCarrier{core: c, running: map[uint64]*hollowJob{}}
+	c.ClientOverride = &hollowCarrier{core: c, running: map[uint64]*hollowJob{}}
 	return d
 }
 
 // start waits until the dispatcher has a list, so that a start is not taken for an overload.
 func (d *driver) start() {
 	loop := d.core.Loop
-	if d.core.Backends() == 0 {
+	if d.core.ReadyWorkers() == 0 {
 		loop.After(trafficStep, d.start)
 		return
 	}
@@ -64,7 +64,7 @@
 func (d *driver) take() {
 	d.number++
 	work := time.Duration(d.traffic.WorkMs * d.random.ExpFloat64() * float64(time.Millisecond))
-	d.core.Take(d, d.number, dispatch.Job{
+	d.core.Accept(d, d.number, dispatch.Request{
 		ID:    strconv.FormatUint(d.number, 36),
 		Class: int(d.number % 2),
 		Key:   strconv.FormatUint(d.random.Uint64N(10_000), 36),
@@ -73,12 +73,12 @@
 	})
 }
 
-// Answer is told of each final answer; the core counts them.
-func (d *driver) Answer(uint64, dispatch.Answer) {}
+// Respond is told of each final answer; the core counts them.
+func (d *driver) Respond(uint64, dispatch.Response) {}
 
 func (d *driver) tell() {
 	now, before := d.core.Counts(), d.before
-	d.count(trafficCounts{Taken: now.Taken - before.Taken, Served: now.Served - before.Served, Refused: now.Refused - before.Refused,
+	d.count(trafficCounts{Taken: now.Accepted - before.Accepted, Served: now.Served - before.Served, Refused: now.Rejected - before.Rejected,
 		Failed: now.Failed - before.Failed, Attempts: now.Attempts - before.Attempts, Busy: d.busy})
 	d.before, d.busy = now, 0
 }
@@ -86,7 +86,7 @@
 // hollowCarrier takes attempts to workers that are not there: each starts at
 // once, takes as long as its work says and reports the worker's load.
 type hollowCarrier struct {
-	core    *dispatch.Core
+	core    *dispatch.Dispatcher
 	running map[uint64]*hollowJob
 	busy    map[string]int // jobs of this dispatcher at each worker
 }
@@ -102,22 +102,22 @@
 	if h.busy == nil {
 		h.busy = map[string]int{}
 	}
-	job := &hollowJob{worker: a.Backend}
+	job := &hollowJob{worker: a.Worker}
 	job.due.Fire = func() { h.end(a.Handle, job) }
 	h.running[a.Handle] = job
 	h.busy[job.worker]++
 	loop := h.core.Loop
 	loop.Post(func() {
-		h.core.Sent(a.Handle)
-		h.core.Started(a.Handle)
+		h.core.AttemptSent(a.Handle)
+		h.core.AttemptStarted(a.Handle)
 	})
-	loop.Set(&job.due, loop.Now()+a.Job.Work)
+	loop.Set(&job.due, loop.Now()+a.Request.Work)
 }
 
 func (h *hollowCarrier) end(handle uint64, job *hollowJob) {
 	h.drop(handle, job)
 	free := float64(machineSlots - h.busy[job.worker])
-	h.core.Ended(handle, decision.Completed, decision.Load{FreeSlots: max(free, 0), HasFreeSlots: true}, nil)
+	h.core.AttemptEnded(handle, decision.Completed, decision.LoadReport{FreeSlots: max(free, 0), HasFreeSlots: true}, nil)
 }
 
 func (h *hollowCarrier) drop(handle uint64, job *hollowJob) {
@@ -127,8 +127,8 @@
 	}
 }
 
-// Stop gives an attempt up, which has begun by then.
-func (h *hollowCarrier) Stop(handle uint64) (neverRan bool) {
+// Cancel gives an attempt up, which has begun by then.
+func (h *hollowCarrier) Cancel(handle uint64) (neverRan bool) {
 	if job := h.running[handle]; job != nil {
 		h.core.Loop.Clear(&job.due)
 		h.drop(handle, job)
@@ -136,14 +136,14 @@
 	return false
 }
 
-// Release has no connections to close.
-func (h *hollowCarrier) Release(string) {}
+// CloseIdle has no connections to close.
+func (h *hollowCarrier) CloseIdle(string) {}
 
-// Probe answers with the load that this dispatcher knows of.
-func (h *hollowCarrier) Probe(worker string) {
+// CheckHealth answers with the load that this dispatcher knows of.
+func (h *hollowCarrier) CheckHealth(worker string) {
 	free := float64(machineSlots - h.busy[worker])
 	h.core.Loop.Post(func() {
-		h.core.Probed(worker, decision.Completed, decision.Load{FreeSlots: max(free, 0), HasFreeSlots: true})
+		h.core.HealthChecked(worker, decision.Completed, decision.LoadReport{FreeSlots: max(free, 0), HasFreeSlots: true})
 	})
 }
 
--- a/internal/rehearsal/scale/hollow.go
+++ b/internal/rehearsal/scale/hollow.go
@@ -118,7 +118,7 @@
 	if err != nil {
 		return err
 	}
-	p := &hollowProcess{loop: eventloop.NewLoop(), out: json.NewEncoder(out), news: make(chan struct{}, 1)}
+	p := &hollowProcess{loop: eventloop.New(), out: json.NewEncoder(out), news: make(chan struct{}, 1)}
 	if err := json.Unmarshal(line, &p.config); err != nil {
 		return err
 	}
@@ -167,7 +167,7 @@
 }
 
 // open opens one dispatcher, on the loop's goroutine.
-func (p *hollowProcess) open(i int, d hollowDispatcher, c *dispatch.Core, engine *transport.Engine, seed uint64) {
+func (p *hollowProcess) open(i int, d hollowDispatcher, c *dispatch.Dispatcher, engine *transport.Engine, seed uint64) {
 	backends := platform.NewBackends(c, engine, d.Discovery)
 	if len(d.Servers) > 0 {
 		backends.Applied = func(v membership.Version) { p.note(i, int64(v)) }
--- a/internal/rehearsal/simulator/emulator.go
+++ b/internal/rehearsal/simulator/emulator.go
@@ -113,7 +113,7 @@
 	class   int
 	work    time.Duration
 	came    time.Duration
-	verdict dispatch.Verdict
+	verdict dispatch.Outcome
 	ended   time.Duration // 0: it has no answer
 	left    int           // tries
 }
@@ -125,7 +125,7 @@
 	number   int
 	zone     int
 	loop     *eventloop.Loop
-	core     *dispatch.Core
+	core     *dispatch.Dispatcher
 	armed    time.Duration // when its next turn is set; 0: none is
 	tokens   map[uint64]*request
 	token    uint64
@@ -133,9 +133,9 @@
 	watch    bool
 	told     map[string]word // what discovery has told of each worker
 
-	down     bool             // its process was killed
-	restarts int              // processes it has had before this one
-	kept     []decision.Entry // the list for its next process
+	down     bool                // its process was killed
+	restarts int                 // processes it has had before this one
+	kept     []decision.Endpoint // the list for its next process
 }
 
 // word is what a dispatcher has been told of a worker.
@@ -161,7 +161,7 @@
 		}
 		s.dispatchers = append(s.dispatchers, d)
 		s.after(0, func() {
-			d.list(decision.ListPersisted, s.entries())
+			d.list(decision.ListCached, s.entries())
 		})
 		d.arrivals()
 	}
@@ -183,7 +183,7 @@
 	}
 	d.core = c
 	c.Trace = func(id, step string, more ...any) { s.tell(d.number, step, id, more...) }
-	c.Listen(d)
+	c.AddSource(d)
 	return nil
 }
 
@@ -198,8 +198,8 @@
 	clear(d.tokens)
 	clear(d.attempts)
 	for _, e := range s.entries() { // the list that it keeps is the one it was told last
-		if told, ok := d.told[e.Worker]; ok && told.left == 0 {
-			e.State, e.LastStart = decision.Running, told.started
+		if told, ok := d.told[e.Name]; ok && told.left == 0 {
+			e.State, e.StartedAt = decision.Running, told.started
 			d.kept = append(d.kept, e)
 		}
 	}
@@ -215,7 +215,7 @@
 		return
 	}
 	d.down = false
-	d.list(decision.ListPersisted, d.kept)
+	d.list(decision.ListCached, d.kept)
 	d.kept = nil
 }
 
@@ -241,7 +241,7 @@
 
 // arm sets the dispatcher's next turn, after anything that may have changed when that is.
 func (d *dispatcher) arm() {
-	at, ok := d.loop.Next()
+	at, ok := d.loop.NextDue()
 	if !ok || d.armed != 0 && d.armed <= at {
 		return
 	}
@@ -254,7 +254,7 @@
 		if d.down {
 			return
 		}
-		d.loop.Turn()
+		d.loop.RunOnce()
 		d.arm()
 	})
 }
@@ -320,12 +320,12 @@
 	if s.sc.Load.NoHints {
 		hint = 0
 	}
-	d.core.Take(d, d.token, dispatch.Job{ID: id, Class: r.class, Key: r.id, Work: hint, Left: left, Since: s.now, Retry: r.left+1 < s.sc.Load.Tries})
+	d.core.Accept(d, d.token, dispatch.Request{ID: id, Class: r.class, Key: r.id, Work: hint, TimeLeft: left, ReceivedAt: s.now, ClientRetry: r.left+1 < s.sc.Load.Tries})
 	d.arm()
 }
 
-// Answer is told the final answer. A refused client comes back when it is told to, while it has tries and time left.
-func (d *dispatcher) Answer(token uint64, a dispatch.Answer) {
+// Respond is told the final answer. A refused client comes back when it is told to, while it has tries and time left.
+func (d *dispatcher) Respond(token uint64, a dispatch.Response) {
 	s := d.sim
 	r := d.tokens[token]
 	if r == nil {
@@ -333,16 +333,16 @@
 		return
 	}
 	delete(d.tokens, token)
-	if a.Verdict == dispatch.Refused && r.left > 0 && s.now+a.RetryAfter < r.came+s.settings.Classes[r.class].Deadline {
+	if a.Outcome == dispatch.Rejected && r.left > 0 && s.now+a.RetryAfter < r.came+s.settings.Classes[r.class].Deadline {
 		s.after(max(a.RetryAfter, 10*time.Millisecond), func() { d.ask(r) })
 		return
 	}
-	r.verdict, r.ended = a.Verdict, s.now
+	r.verdict, r.ended = a.Outcome, s.now
 }
 
 // ---- The carrier.
 
-func (s *Sim) entries() (list []decision.Entry) {
+func (s *Sim) entries() (list []decision.Endpoint) {
 	for _, w := range s.workers {
 		list = append(list, w.entry())
 	}
@@ -358,22 +358,22 @@
 	s := d.sim
 	s.after(seconds(s.sc.Discovery.LagMs/1000), func() {
 		if !d.down {
-			d.list(decision.ListComplete, s.entries())
+			d.list(decision.ListSnapshot, s.entries())
 		}
 	})
 }
 
 // list brings word of workers.
-func (d *dispatcher) list(kind decision.ListKind, entries []decision.Entry) {
+func (d *dispatcher) list(kind decision.ListKind, entries []decision.Endpoint) {
 	for _, e := range entries {
-		was := d.told[e.Worker]
-		now := word{started: e.LastStart}
+		was := d.told[e.Name]
+		now := word{started: e.StartedAt}
 		if e.State != decision.Running {
 			now.left = cmp.Or(was.left, d.sim.now)
 		}
-		d.told[e.Worker] = now
+		d.told[e.Name] = now
 	}
-	d.core.List(d, kind, entries)
+	d.core.UpdateWorkers(d, kind, entries)
 	d.arm()
 }
 
@@ -384,7 +384,7 @@
 		if d.watch {
 			s.after(seconds(s.sc.Discovery.LagMs/1000), func() {
 				if !d.down {
-					d.list(decision.ListChanges, []decision.Entry{entry})
+					d.list(decision.ListDelta, []decision.Endpoint{entry})
 				}
 			})
 		}
@@ -393,13 +393,13 @@
 
 // Start sends an attempt to its worker.
 func (d *dispatcher) Start(f dispatch.Attempt) {
-	s, w := d.sim, d.sim.byName[f.Backend]
-	if left := d.told[f.Backend].left; left > 0 && s.now > left+s.settings.DrainGrace+slack {
-		s.wrong("dispatcher %d sent %s to %s, %v after it was told that it drains or is gone", d.number, f.Job.ID, f.Backend, s.now-left)
+	s, w := d.sim, d.sim.byName[f.Worker]
+	if left := d.told[f.Worker].left; left > 0 && s.now > left+s.settings.DrainGrace+slack {
+		s.wrong("dispatcher %d sent %s to %s, %v after it was told that it drains or is gone", d.number, f.Request.ID, f.Worker, s.now-left)
 	}
-	j := &job{id: f.Job.ID, class: f.Job.Class, work: s.work[f.Job.Key], handle: f.Handle, from: d}
+	j := &job{id: f.Request.ID, class: f.Request.Class, work: s.work[f.Request.Key], handle: f.Handle, from: d}
 	d.attempts[f.Handle] = j
-	d.core.Sent(f.Handle)
+	d.core.AttemptSent(f.Handle)
 	s.after(s.delay(d.zone, w.zone), func() { w.arrive(j) })
 }
 
@@ -415,16 +415,16 @@
 }
 
 // over ends an attempt as its dispatcher hears it.
-func (j *job) over(w *worker, o decision.Outcome) {
+func (j *job) over(w *worker, o decision.AttemptOutcome) {
 	load := w.load()
 	j.back(w, func(d *dispatcher) {
 		delete(d.attempts, j.handle)
-		d.core.Ended(j.handle, o, load, nil)
+		d.core.AttemptEnded(j.handle, o, load, nil)
 	})
 }
 
-// Stop calls an attempt off: the worker drops it if it has not begun by the time it hears.
-func (d *dispatcher) Stop(handle uint64) (neverRan bool) {
+// Cancel calls an attempt off: the worker drops it if it has not begun by the time it hears.
+func (d *dispatcher) Cancel(handle uint64) (neverRan bool) {
 	j := d.attempts[handle]
 	if j == nil {
 		return false
@@ -438,20 +438,20 @@
 	return false
 }
 
-// Release has nothing to do: connections cost nothing here.
-func (d *dispatcher) Release(string) {}
+// CloseIdle has nothing to do: connections cost nothing here.
+func (d *dispatcher) CloseIdle(string) {}
 
-// Probe asks a worker for its load.
-func (d *dispatcher) Probe(backend string) {
+// CheckHealth asks a worker for its load.
+func (d *dispatcher) CheckHealth(backend string) {
 	s, w := d.sim, d.sim.byName[backend]
 	s.after(s.delay(d.zone, w.zone), func() {
 		o, load := decision.Completed, w.load()
 		if w.down {
-			o = decision.RefusedConn
+			o = decision.ConnectionRefused
 		}
 		s.after(s.delay(d.zone, w.zone), func() {
 			if !d.down {
-				d.core.Probed(backend, o, load)
+				d.core.HealthChecked(backend, o, load)
 				d.arm()
 			}
 		})
@@ -500,21 +500,21 @@
 				continue
 			}
 			k.Asked++
-			could += c.Worth
+			could += c.PriorityWeight
 			took := q.ended - q.came
 			switch {
 			case q.ended == 0:
 				k.Unanswered++
-			case q.verdict == dispatch.Refused:
+			case q.verdict == dispatch.Rejected:
 				k.Refused++
 			case q.verdict == dispatch.Failed:
 				k.Failed++
-			case took <= c.Aim+time.Duration(c.Stretch*float64(q.work)):
+			case took <= c.LatencyObjective+time.Duration(c.ObjectiveStretch*float64(q.work)):
 				k.InAim++
-				worth += c.Worth
+				worth += c.PriorityWeight
 			default:
 				k.Late++
-				worth += c.Worth * c.LateWorth
+				worth += c.PriorityWeight * c.LateWeight
 			}
 			if q.ended > 0 && q.verdict == dispatch.Served {
 				times = append(times, took)
@@ -540,19 +540,19 @@
 // than one, and nothing lost on the way. Drains are held at each send (Start), cold workers at each arrival (falls).
 func (s *Sim) check(r *Result) {
 	for _, d := range s.dispatchers {
-		if n := d.core.Owed(); n > 0 {
+		if n := d.core.Unanswered(); n > 0 {
 			s.wrong("dispatcher %d owes %d answers at the end of the day", d.number, n)
 		}
 		c := d.core.Counts()
-		if c.Taken != c.Served+c.Refused+c.Failed+c.HungUp {
-			s.wrong("dispatcher %d took %d requests and ended %+v", d.number, c.Taken, c)
+		if c.Accepted != c.Served+c.Rejected+c.Failed+c.Cancelled {
+			s.wrong("dispatcher %d took %d requests and ended %+v", d.number, c.Accepted, c)
 		}
 	}
 	ran := map[string]int{}
 	for _, w := range s.workers {
 		for _, run := range w.books {
 			r.Executed++
-			if ran[run.id]++; ran[run.id] == 2 && s.settings.Classes[run.class].Repeat == decision.Fragile {
+			if ran[run.id]++; ran[run.id] == 2 && s.settings.Classes[run.class].Idempotency == decision.NonIdempotent {
 				s.wrong("%s ran twice, the second time on %s at %.6f s", run.id, w.name, (run.at - epoch).Seconds())
 			}
 		}
--- a/internal/rehearsal/simulator/emulator_test.go
+++ b/internal/rehearsal/simulator/emulator_test.go
@@ -211,7 +211,10 @@
 	sc.LengthS = 5
 	for name, spoil := range map[string]func(s *Sim){
 		"an answer to a request that has one": func(s *Sim) {
-			s.at(epoch+2*time.Second, func() { s.dispatchers[0].Answer(1, dispatch.Answer{}); s.dispatchers[0].Answer(1, dispatch.Answer{}) })
+			s.at(epoch+2*time.Second, func() {
+				s.dispatchers[0].Respond(1, dispatch.Response{})
+				s.dispatchers[0].Respond(1, dispatch.Response{})
+			})
 		},
 		"ran twice": func(s *Sim) {
 			s.at(epoch+4*time.Second, func() {
@@ -229,14 +232,14 @@
 			s.at(epoch+4*time.Second, func() {
 				d := s.dispatchers[0]
 				d.told["w1"] = word{left: s.now - s.settings.DrainGrace - slack}
-				d.Start(dispatch.Attempt{Handle: 1 << 40, Backend: "w1", Job: &dispatch.Job{ID: "in time", Work: time.Millisecond}})
+				d.Start(dispatch.Attempt{Handle: 1 << 40, Worker: "w1", Request: &dispatch.Request{ID: "in time", Work: time.Millisecond}})
 				d.told["w1"] = word{left: s.now - s.settings.DrainGrace - slack - 1}
-				d.Start(dispatch.Attempt{Handle: 1<<40 + 1, Backend: "w1", Job: &dispatch.Job{ID: "too late", Work: time.Millisecond}})
+				d.Start(dispatch.Attempt{Handle: 1<<40 + 1, Worker: "w1", Request: &dispatch.Request{ID: "too late", Work: time.Millisecond}})
 			})
 		},
 		"owes": func(s *Sim) {
 			s.at(epoch+20*time.Second, func() {
-				s.dispatchers[1].core.Take(s.dispatchers[1], 1<<40, dispatch.Job{ID: "late", Work: time.Second})
+				s.dispatchers[1].core.Accept(s.dispatchers[1], 1<<40, dispatch.Request{ID: "late", Work: time.Second})
 			})
 			s.sc.LengthS = 11 // the day ends in its midst
 		},
--- a/internal/rehearsal/simulator/scenario.go
+++ b/internal/rehearsal/simulator/scenario.go
@@ -164,19 +164,19 @@
 // settings are what each dispatcher is told.
 func (sc *Scenario) settings() (s decision.Settings) {
 	for _, c := range sc.Classes {
-		k := decision.Class{Name: c.Name, Worth: c.Worth, LateWorth: c.LateWorth, Aim: seconds(c.AimMs / 1000), Deadline: seconds(c.DeadlineMs / 1000)}
+		k := decision.Class{Name: c.Name, PriorityWeight: c.Worth, LateWeight: c.LateWorth, LatencyObjective: seconds(c.AimMs / 1000), Deadline: seconds(c.DeadlineMs / 1000)}
 		if !c.Repeat {
-			k.Repeat = decision.Fragile
+			k.Idempotency = decision.NonIdempotent
 		}
 		s.Classes = append(s.Classes, k)
 	}
 	s.Peers, s.Tick, s.ZoneNames, s.KindNames = sc.Dispatchers, 2*time.Millisecond, sc.Net.Zones, []string{"m"}
-	s.AskForList, s.AskWithin = true, 10*time.Second
-	s.ColdFrom, s.WarmAfter = sc.Workers.ColdFrom, seconds(sc.Workers.WarmAfterS)
-	s.FallMultiple, s.FallWindow = sc.Workers.FallMultiple, seconds(sc.Workers.FallS)
-	s.MaxAttempts, s.SecondCopies, s.Cancel, s.Probing = 3, true, true, true
+	s.ListBySubscription, s.ListPollInterval = true, 10*time.Second
+	s.SlowStartFloor, s.SlowStartDuration = sc.Workers.ColdFrom, seconds(sc.Workers.WarmAfterS)
+	s.OverloadMultiple, s.OverloadWindow = sc.Workers.FallMultiple, seconds(sc.Workers.FallS)
+	s.MaxAttempts, s.Hedging, s.Cancellation, s.HealthChecks = 3, true, true, true
 	s.MaxRetryAfter, s.ConnectTimeout = 2*time.Second, 250*time.Millisecond
-	s.TellsStart, s.StartsInOrder = true, true
+	s.StartNotices, s.StartsInOrder = true, true
 	s.FreeSlots, s.DrainGrace = "x0", 500*time.Millisecond
 	return s
 }
--- a/internal/rehearsal/simulator/worker.go
+++ b/internal/rehearsal/simulator/worker.go
@@ -65,19 +65,19 @@
 	return &worker{sim: s, name: fmt.Sprintf("w%d", i), zone: i % len(s.sc.Net.Zones), slots: s.sc.Workers.Slots, speed: s.sc.Workers.Speed, slow: 1}
 }
 
-func (w *worker) entry() decision.Entry {
-	e := decision.Entry{Worker: w.name, Zone: w.zone, Weight: 1, LastStart: w.started}
+func (w *worker) entry() decision.Endpoint {
+	e := decision.Endpoint{Name: w.name, Zone: w.zone, Weight: 1, StartedAt: w.started}
 	switch {
 	case w.down:
-		e.State = decision.Deleted
+		e.State = decision.Removed
 	case w.drains:
-		e.State = decision.Stopping
+		e.State = decision.Draining
 	}
 	return e
 }
 
-func (w *worker) load() decision.Load {
-	return decision.Load{FreeSlots: float64(w.slots - len(w.running)), HasFreeSlots: true}
+func (w *worker) load() decision.LoadReport {
+	return decision.LoadReport{FreeSlots: float64(w.slots - len(w.running)), HasFreeSlots: true}
 }
 
 // pace is how fast a slot works now: a fresh worker is slower, and warms in a line.
@@ -96,10 +96,10 @@
 	case j.off:
 		return
 	case w.down:
-		j.over(w, decision.RefusedConn)
+		j.over(w, decision.ConnectionRefused)
 		return
 	case w.falls(j):
-		j.over(w, decision.Severed)
+		j.over(w, decision.ConnectionLost)
 		return
 	case len(w.queue) >= w.sim.sc.Workers.Queue:
 		j.over(w, decision.Saturated)
@@ -162,7 +162,7 @@
 		w.books = append(w.books, run{j.id, j.class, w.sim.now})
 		j.left, j.since = j.work.Seconds(), w.sim.now
 		w.sim.tell(-1, "runs", j.id, w.name)
-		j.back(w, func(d *dispatcher) { d.core.Started(j.handle) })
+		j.back(w, func(d *dispatcher) { d.core.AttemptStarted(j.handle) })
 		w.due(j)
 	}
 }
@@ -227,7 +227,7 @@
 	w.running, w.queue = nil, nil
 	for _, j := range held {
 		j.turn++
-		j.over(w, decision.Severed)
+		j.over(w, decision.ConnectionLost)
 	}
 }
 
--- a/internal/settings/live.go
+++ b/internal/settings/live.go
@@ -56,7 +56,7 @@
 func (c Change) target(s *decision.Settings) (number *float64, wait *time.Duration, err error) {
 	switch c.Key {
 	case "over_share_worth":
-		return &s.OverQuotaWorth, nil, nil
+		return &s.OverQuotaWeight, nil, nil
 	case "limits.max_retry_after_us":
 		return nil, &s.MaxRetryAfter, nil
 	}
@@ -85,13 +85,13 @@
 func classField(c *decision.Class, field string) (number *float64, wait *time.Duration) {
 	switch field {
 	case "worth":
-		return &c.Worth, nil
+		return &c.PriorityWeight, nil
 	case "late_worth":
-		return &c.LateWorth, nil
+		return &c.LateWeight, nil
 	case "aim_stretch":
-		return &c.Stretch, nil
+		return &c.ObjectiveStretch, nil
 	default:
-		return nil, &c.Aim
+		return nil, &c.LatencyObjective
 	}
 }
 
--- a/internal/settings/live_test.go
+++ b/internal/settings/live_test.go
@@ -27,9 +27,9 @@
 
 // shapes are settings with tenants and without.
 func shapes() map[string]decision.Settings {
-	class := decision.Class{Worth: 1, LateWorth: 0.5, Aim: time.Second, Stretch: 2, Deadline: 5 * time.Second}
+	class := decision.Class{PriorityWeight: 1, LateWeight: 0.5, LatencyObjective: time.Second, ObjectiveStretch: 2, Deadline: 5 * time.Second}
 	return map[string]decision.Settings{
-		"tenants":    {Classes: []decision.Class{class, class}, TenantQuotas: []float64{5, 10, 15}, OverQuotaWorth: 0.2},
+		"tenants":    {Classes: []decision.Class{class, class}, TenantQuotas: []float64{5, 10, 15}, OverQuotaWeight: 0.2},
 		"no tenants": {Classes: []decision.Class{class}, MaxRetryAfter: time.Second},
 	}
 }
@@ -41,11 +41,11 @@
 		want              func(s *decision.Settings)
 	}{
 		{"tenants", "projects[2].quota_per_s", "12.5", "", func(s *decision.Settings) { s.TenantQuotas[2] = 12.5 }},
-		{"tenants", "over_share_worth", "0", "", func(s *decision.Settings) { s.OverQuotaWorth = 0 }},
-		{"tenants", "classes[1].worth", "3", "", func(s *decision.Settings) { s.Classes[1].Worth = 3 }},
-		{"no tenants", "classes[0].late_worth", "0.25", "", func(s *decision.Settings) { s.Classes[0].LateWorth = 0.25 }},
-		{"no tenants", "classes[0].slo_us", "250000", "", func(s *decision.Settings) { s.Classes[0].Aim = 250 * time.Millisecond }},
-		{"no tenants", "classes[0].aim_stretch", "1.5", "", func(s *decision.Settings) { s.Classes[0].Stretch = 1.5 }},
+		{"tenants", "over_share_worth", "0", "", func(s *decision.Settings) { s.OverQuotaWeight = 0 }},
+		{"tenants", "classes[1].worth", "3", "", func(s *decision.Settings) { s.Classes[1].PriorityWeight = 3 }},
+		{"no tenants", "classes[0].late_worth", "0.25", "", func(s *decision.Settings) { s.Classes[0].LateWeight = 0.25 }},
+		{"no tenants", "classes[0].slo_us", "250000", "", func(s *decision.Settings) { s.Classes[0].LatencyObjective = 250 * time.Millisecond }},
+		{"no tenants", "classes[0].aim_stretch", "1.5", "", func(s *decision.Settings) { s.Classes[0].ObjectiveStretch = 1.5 }},
 		{"no tenants", "limits.max_retry_after_us", "2e6", "", func(s *decision.Settings) { s.MaxRetryAfter = 2 * time.Second }},
 		{"tenants", "projects[3].quota_per_s", "1", "out of range, there are 3", nil},
 		{"no tenants", "projects[0].quota_per_s", "1", "out of range, there are 0", nil},
--- a/internal/settings/operator.go
+++ b/internal/settings/operator.go
@@ -121,7 +121,7 @@
 
 // Ready turns the table into what decides, for a process that may have so many
 // descriptors for its connections. An error names the key.
-func (c *Connections) Ready(descriptors int) (a connlimit.Config, floors [connlimit.Kinds]int, marks connlimit.Marks, stall time.Duration, err error) {
+func (c *Connections) Ready(descriptors int) (a connlimit.Config, floors [connlimit.DescriptorKinds]int, marks connlimit.Watermarks, stall time.Duration, err error) {
 	prefixes := func(key string, list []string) (out []netip.Prefix) {
 		for i, text := range list {
 			p, e := netip.ParsePrefix(text)
@@ -132,7 +132,7 @@
 		}
 		return out
 	}
-	a.Known, a.Fronts = prefixes("known", c.Known), prefixes("fronts", c.Fronts)
+	a.Known, a.TrustedProxies = prefixes("known", c.Known), prefixes("fronts", c.Fronts)
 	if err != nil {
 		return a, floors, marks, 0, err
 	}
@@ -151,36 +151,36 @@
 			return a, floors, marks, 0, fmt.Errorf("%s: %g is not between 0 and 1e9", x.key, x.v)
 		}
 	}
-	a.Room, a.Reserve = c.Room, c.Reserve
-	if a.Room == 0 {
-		a.Room = max(descriptors*6/10, 1)
+	a.Capacity, a.Reserve = c.Room, c.Reserve
+	if a.Capacity == 0 {
+		a.Capacity = max(descriptors*6/10, 1)
 	}
 	if a.Reserve == 0 && (len(c.Known) > 0 || c.Learn) {
-		a.Reserve = a.Room / 4
+		a.Reserve = a.Capacity / 4
 	}
 	a.Rate = c.UnknownPerS
-	a.Address = connlimit.Caps{Open: c.AddressOpen, Opening: c.AddressOpening, PerSecond: c.AddressPerS, Burst: c.AddressBurst, Half: c.AddressHalf, Bytes: c.AddressBytes}
-	a.Prefix = connlimit.Caps{Open: c.PrefixOpen, Opening: c.PrefixOpening, PerSecond: c.PrefixPerS, Burst: c.PrefixBurst, Half: c.PrefixHalf, Bytes: c.PrefixBytes}
+	a.Address = connlimit.Limits{Open: c.AddressOpen, Opening: c.AddressOpening, PerSecond: c.AddressPerS, Burst: c.AddressBurst, Half: c.AddressHalf, Bytes: c.AddressBytes}
+	a.Prefix = connlimit.Limits{Open: c.PrefixOpen, Opening: c.PrefixOpening, PerSecond: c.PrefixPerS, Burst: c.PrefixBurst, Half: c.PrefixHalf, Bytes: c.PrefixBytes}
 	a.V4Bits, a.V6Bits = c.V4Bits, c.V6Bits
 	a.Learn = connlimit.Learn{On: c.Learn, HalfLife: seconds(c.LearnHalfLife), After: c.LearnAfter, Share: c.LearnShare, Newcomer: c.Newcomers}
 	a.Addresses, a.Prefixes = c.Addresses, c.Prefixes
 	a.MinRate, a.RateGrace = c.MinRate, seconds(c.RateGrace/1000)
-	marks = connlimit.Marks{Low: c.Low, High: c.High, Critical: c.Critical, Back: c.Back}
+	marks = connlimit.Watermarks{Low: c.Low, High: c.High, Critical: c.Critical, Back: c.Back}
 	or := func(n, def int) int {
 		if n == 0 {
 			return def
 		}
 		return n
 	}
-	floors[connlimit.Sessions] = or(c.FloorSessions, min(32, descriptors/4))
-	floors[connlimit.Backends] = or(c.FloorBackends, descriptors/4)
-	floors[connlimit.Discovery] = or(c.FloorDiscovery, 2)
-	floors[connlimit.Stores] = c.FloorStores
+	floors[connlimit.ClientConnections] = or(c.FloorSessions, min(32, descriptors/4))
+	floors[connlimit.WorkerConnections] = or(c.FloorBackends, descriptors/4)
+	floors[connlimit.DiscoveryConnections] = or(c.FloorDiscovery, 2)
+	floors[connlimit.StoreFiles] = c.FloorStores
 	checked := a
 	if err := checked.Check(); err != nil {
 		return a, floors, marks, 0, err
 	}
-	if _, err := connlimit.NewBudget(descriptors, floors, marks); err != nil {
+	if _, err := connlimit.NewDescriptorBudget(descriptors, floors, marks); err != nil {
 		return a, floors, marks, 0, err
 	}
 	return a, floors, marks, seconds(c.WriteStall / 1000), nil
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -15,13 +15,13 @@
 	"hollyyoke.example/hollyyoke/decision"
 )
 
-var repeats = map[string]decision.Repeat{
-	"retryable": decision.Retryable, "dedup": decision.Dedup, "fragile": decision.Fragile,
+var repeats = map[string]decision.Idempotency{
+	"retryable": decision.Idempotent, "dedup": decision.Deduplicated, "fragile": decision.NonIdempotent,
 }
 
-var groups = map[string]decision.Group{
-	"": decision.GroupAll, "all": decision.GroupAll,
-	"zone": decision.GroupZone, "cell": decision.GroupCell,
+var groups = map[string]decision.DedupScope{
+	"": decision.DedupEverywhere, "all": decision.DedupEverywhere,
+	"zone": decision.DedupWithinZone, "cell": decision.DedupWithinCell,
 }
 
 // micros is a time on the wire: microseconds, whole or not.
@@ -112,40 +112,40 @@
 		return s, err
 	}
 	s = decision.Settings{
-		OverQuotaWorth: w.OverShareWorth,
-		WorthByWork:    w.WorthBy == "work",
-		Zone:           int(w.MyZone),
-		Peers:          int(w.PeersTotal),
-		Tick:           w.Tick.duration(),
-		AskForList:     w.Discovery == "ask",
-		AskWithin:      w.Rules.AskWithin.duration(),
-		ColdFrom:       w.Rules.ColdFrom,
-		WarmAfter:      w.Rules.WarmAfter.duration(),
-		FallMultiple:   w.Rules.Fall,
-		FallWindow:     w.Rules.FallWindow.duration(),
-		FullNoProof:    w.Rules.BusyNo,
-		KeyRest:        w.Rules.KeyRest.duration(),
-		ExtraWindow:    w.Rules.LookBack.duration(),
-		ExtraFloor:     w.Rules.ExtraFloor,
-		ExtraRatio:     w.Rules.ExtraRatio,
-		MaxAttempts:    int(w.Limits.MaxAttempts),
-		SecondCopies:   w.Limits.SecondCopies,
-		Cancel:         w.Limits.Cancel,
-		Probing:        w.Limits.Probing,
-		ReportsByProbe: w.Reporting.Via == "probe",
-		MaxRetryAfter:  w.Limits.MaxRetryAfter.duration(),
-		ConnectTimeout: w.Limits.ConnectTimeout.duration(),
-		ConnIdle:       w.Limits.ConnIdle.duration(),
-		TellsStart:     w.Domain.TellsStart,
-		StartsInOrder:  w.Domain.QueueOrder == "fifo",
-		Progress:       w.Domain.Progress.duration(),
-		CrossZonePrice: w.Prices.CrossZone,
-		FetchPrice:     w.Prices.Origin,
-		MarksRetry:     w.Habits.MarksRetry,
-		LiveWeights:    w.Weights == "live",
-		ZoneNames:      w.Areas,
-		KindNames:      w.Kinds,
-		DrainGrace:     w.Rules.DrainGrace.duration(),
+		OverQuotaWeight:       w.OverShareWorth,
+		WeightByWork:          w.WorthBy == "work",
+		Zone:                  int(w.MyZone),
+		Peers:                 int(w.PeersTotal),
+		Tick:                  w.Tick.duration(),
+		ListBySubscription:    w.Discovery == "ask",
+		ListPollInterval:      w.Rules.AskWithin.duration(),
+		SlowStartFloor:        w.Rules.ColdFrom,
+		SlowStartDuration:     w.Rules.WarmAfter.duration(),
+		OverloadMultiple:      w.Rules.Fall,
+		OverloadWindow:        w.Rules.FallWindow.duration(),
+		SaturatedMayHaveRun:   w.Rules.BusyNo,
+		KeyCooldown:           w.Rules.KeyRest.duration(),
+		RetryBudgetWindow:     w.Rules.LookBack.duration(),
+		RetryBudgetFloor:      w.Rules.ExtraFloor,
+		RetryBudgetRatio:      w.Rules.ExtraRatio,
+		MaxAttempts:           int(w.Limits.MaxAttempts),
+		Hedging:               w.Limits.SecondCopies,
+		Cancellation:          w.Limits.Cancel,
+		HealthChecks:          w.Limits.Probing,
+		LoadByHealthCheck:     w.Reporting.Via == "probe",
+		MaxRetryAfter:         w.Limits.MaxRetryAfter.duration(),
+		ConnectTimeout:        w.Limits.ConnectTimeout.duration(),
+		ConnectionIdleTimeout: w.Limits.ConnIdle.duration(),
+		StartNotices:          w.Domain.TellsStart,
+		StartsInOrder:         w.Domain.QueueOrder == "fifo",
+		ProgressInterval:      w.Domain.Progress.duration(),
+		CrossZoneCost:         w.Prices.CrossZone,
+		CacheMissCost:         w.Prices.Origin,
+		ClientsMarkRetries:    w.Habits.MarksRetry,
+		LoadAdjustedWeights:   w.Weights == "live",
+		ZoneNames:             w.Areas,
+		KindNames:             w.Kinds,
+		DrainGrace:            w.Rules.DrainGrace.duration(),
 	}
 	const freeSlots = "free slots"
 	switch {
@@ -159,15 +159,15 @@
 	}
 	for i, c := range w.Classes {
 		class := decision.Class{
-			Name: c.Name, Worth: c.Worth, LateWorth: c.LateWorth,
-			Aim: c.Aim.duration(), Deadline: c.Deadline.duration(), Window: c.Window.duration(),
-			Kinds: c.RunsOn, Zones: c.ConfinedTo, InTurn: c.InTurn, Stream: c.Stream,
+			Name: c.Name, PriorityWeight: c.Worth, LateWeight: c.LateWorth,
+			LatencyObjective: c.Aim.duration(), Deadline: c.Deadline.duration(), DedupWindow: c.Window.duration(),
+			Kinds: c.RunsOn, Zones: c.ConfinedTo, Serialized: c.InTurn, Streaming: c.Stream,
 		}
 		var ok bool
-		if class.Repeat, ok = repeats[c.Repeat]; !ok {
+		if class.Idempotency, ok = repeats[c.Repeat]; !ok {
 			return s, fmt.Errorf("classes[%d].repeat: unknown value %q", i, c.Repeat)
 		}
-		if class.Group, ok = groups[c.Group]; !ok {
+		if class.DedupScope, ok = groups[c.Group]; !ok {
 			return s, fmt.Errorf("classes[%d].group: unknown value %q", i, c.Group)
 		}
 		if i < len(w.Domain.ClassKind) && w.Domain.ClassKind[i] >= 0 { // a second bound to kinds: both hold
@@ -179,9 +179,9 @@
 		}
 		switch {
 		case c.Stretch != nil:
-			class.Stretch = *c.Stretch
+			class.ObjectiveStretch = *c.Stretch
 		case i < len(w.Domain.ClassStretch):
-			class.Stretch = w.Domain.ClassStretch[i]
+			class.ObjectiveStretch = w.Domain.ClassStretch[i]
 		}
 		s.Classes = append(s.Classes, class)
 	}
@@ -190,7 +190,7 @@
 
 // Load reads a load report, by the names of the settings or by the plain ones
 // that backends use. What no decision rests on is passed over.
-func Load(s *decision.Settings, raw []byte) (l decision.Load) {
+func Load(s *decision.Settings, raw []byte) (l decision.LoadReport) {
 	var report map[string]any
 	if json.Unmarshal(raw, &report) != nil {
 		return l // a report that cannot be read tells nothing
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -28,8 +28,8 @@
 // A load report is read by either set of names; garbage tells nothing.
 func TestLoad(t *testing.T) {
 	s := decision.Settings{FreeSlots: "x0"}
-	full := decision.Load{FreeSlots: 1.5, HasFreeSlots: true, Outstanding: 7, HasOutstanding: true, Backlog: 2, HasBacklog: true}
-	for text, want := range map[string]decision.Load{
+	full := decision.LoadReport{FreeSlots: 1.5, HasFreeSlots: true, Outstanding: 7, HasOutstanding: true, Backlog: 2, HasBacklog: true}
+	for text, want := range map[string]decision.LoadReport{
 		`{"x0":1.5,"outstanding":7,"backlog":2,"x1":9}`: full,
 		`{"x0":1.5,"inflight":7,"queue":2,"util":0.61}`: full,
 		`{"x0":"many","backlog":null}`:                  {}, `nonsense`: {}, ``: {}, `[1]`: {},
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -45,7 +45,7 @@
 // outlive a batch.
 type Decoder struct {
 	parser fastjson.Parser
-	tables [tableCount][]decision.Entry
+	tables [tableCount][]decision.Endpoint
 	filled [tableCount]bool
 	names  map[string]string // interned worker names
 	free   map[int64]string  // by instance: the report value that tells free slots
@@ -124,17 +124,17 @@
 	case "roster_change":
 		return true, d.roster(v, ev)
 	case "ingress":
-		ev.Kind = decision.Arrival
+		ev.Kind = decision.RequestArrived
 		ev.Class, ev.Tenant = v.GetInt("class"), v.GetInt("client_group")
 		ev.Slots = v.GetFloat64("needs")
-		ev.Work, ev.Left = duration(v, "effort_us"), duration(v, "left_us")
+		ev.Work, ev.TimeLeft = duration(v, "effort_us"), duration(v, "left_us")
 		ev.ClientRetry = v.GetBool("retry")
 		ev.Key = string(v.GetStringBytes("key"))
 	case "first_byte":
 		ev.Kind = decision.FirstByte
 	case "response":
-		ev.Kind = decision.Response
-		ev.Settled = v.GetBool("settled")
+		ev.Kind = decision.AttemptEnded
+		ev.Answered = v.GetBool("settled")
 		ev.Load = d.load(m.Instance, v.Get("gauge"))
 		if ev.Outcome, err = outcome(v.GetStringBytes("rc")); err != nil {
 			return false, err
@@ -142,23 +142,23 @@
 	case "interim":
 		switch v.GetInt("kind") {
 		case 1:
-			ev.Kind = decision.Started
+			ev.Kind = decision.AttemptStarted
 		case 2:
-			ev.Kind = decision.ProgressMade
+			ev.Kind = decision.AttemptProgressed
 			ev.Fraction = v.GetFloat64("x")
 		default:
 			return false, nil
 		}
 	case "pong":
-		ev.Kind = decision.ProbeResult
+		ev.Kind = decision.HealthChecked
 		ev.Load = d.load(m.Instance, v.Get("gauge"))
 		ev.Worker = d.intern(v.GetStringBytes("worker"))
 		ev.Outcome, err = outcome(v.GetStringBytes("rc"))
 		return err == nil, err
 	case "hangup":
-		ev.Kind = decision.HungUp
+		ev.Kind = decision.ClientDisconnected
 	case "due":
-		ev.Kind = decision.TimerDue
+		ev.Kind = decision.TimerFired
 		ev.Timer, err = identity(v, "handle")
 		return err == nil, err
 	case "peer_data":
@@ -182,24 +182,24 @@
 	}
 	elements := v.GetArray("elements")
 	// A new slice each time: dispatchers may still read the one it replaces.
-	list := make([]decision.Entry, 0, len(elements))
+	list := make([]decision.Endpoint, 0, len(elements))
 	for _, e := range elements {
-		entry := decision.Entry{
-			Worker: d.intern(e.GetStringBytes("worker")),
-			Zone:   e.GetInt("failure_domain"), Kind: e.GetInt("shape"), Cell: e.GetInt("pod"),
-			LastStart: duration(e, "last_start_us"), Weight: e.GetFloat64("capacity_hint"),
+		entry := decision.Endpoint{
+			Name: d.intern(e.GetStringBytes("worker")),
+			Zone: e.GetInt("failure_domain"), Kind: e.GetInt("shape"), Cell: e.GetInt("pod"),
+			StartedAt: duration(e, "last_start_us"), Weight: e.GetFloat64("capacity_hint"),
 		}
 		switch state := e.GetStringBytes("readiness"); string(state) {
 		case "Running":
 			entry.State = decision.Running
 		case "Stopping":
-			entry.State = decision.Stopping
+			entry.State = decision.Draining
 		case "Deleted":
-			entry.State = decision.Deleted
+			entry.State = decision.Removed
 		default:
 			return fmt.Errorf("table %d: unknown readiness %q", n, state)
 		}
-		if entry.Worker == "" {
+		if entry.Name == "" {
 			return fmt.Errorf("table %d: an entry without a worker", n)
 		}
 		list = append(list, entry)
@@ -217,16 +217,16 @@
 }
 
 func (d *Decoder) roster(v *fastjson.Value, ev *decision.Event) error {
-	ev.Kind = decision.WorkerList
+	ev.Kind = decision.ListUpdated
 	switch how := v.GetStringBytes("how"); string(how) {
 	case "Partial":
-		ev.List = decision.ListChanges
+		ev.ListKind = decision.ListDelta
 	case "Complete":
-		ev.List = decision.ListComplete
+		ev.ListKind = decision.ListSnapshot
 	case "Persisted":
-		ev.List = decision.ListPersisted
+		ev.ListKind = decision.ListCached
 	case "Error":
-		ev.List = decision.ListError
+		ev.ListKind = decision.ListFailed
 		return nil
 	default:
 		return fmt.Errorf("unknown kind of list %q", how)
@@ -238,7 +238,7 @@
 	if !d.filled[n] {
 		return fmt.Errorf("table %d was never sent", n)
 	}
-	ev.Entries = d.tables[n]
+	ev.Endpoints = d.tables[n]
 	return nil
 }
 
@@ -252,14 +252,14 @@
 	return s
 }
 
-var outcomes = map[string]decision.Outcome{
-	"completed": decision.Completed, "errored": decision.Errored,
-	"saturated": decision.Saturated, "overdue": decision.Overdue,
-	"refused_conn": decision.RefusedConn, "severed": decision.Severed,
-	"recalled": decision.Recalled, "superseded": decision.Superseded,
+var outcomes = map[string]decision.AttemptOutcome{
+	"completed": decision.Completed, "errored": decision.Failed,
+	"saturated": decision.Saturated, "overdue": decision.TimedOut,
+	"refused_conn": decision.ConnectionRefused, "severed": decision.ConnectionLost,
+	"recalled": decision.Cancelled, "superseded": decision.NotSent,
 }
 
-func outcome(b []byte) (decision.Outcome, error) {
+func outcome(b []byte) (decision.AttemptOutcome, error) {
 	o, ok := outcomes[string(b)]
 	if !ok {
 		return 0, fmt.Errorf("unknown outcome %q", b)
@@ -268,7 +268,7 @@
 }
 
 // load reads a report. Values that no decision rests on are passed over.
-func (d *Decoder) load(instance int64, v *fastjson.Value) (l decision.Load) {
+func (d *Decoder) load(instance int64, v *fastjson.Value) (l decision.LoadReport) {
 	if v == nil {
 		return l
 	}
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -49,20 +49,20 @@
 	case decision.Assign:
 		e.number("corr", a.Request)
 		e.text("worker", a.Worker)
-	case decision.Refuse:
+	case decision.Reject:
 		e.number("corr", a.Request)
 		if a.Delay > 0 {
 			e.number("come_back_us", microseconds(a.Delay))
 		}
-	case decision.FinishError:
+	case decision.Fail:
 		e.number("corr", a.Request)
-	case decision.StopAttempt:
+	case decision.CancelAttempt:
 		e.number("corr", a.Request)
 		e.number("trial", uint64(a.Attempt))
 	case decision.SetTimer:
 		e.number("handle", a.Timer)
 		e.number("span_us", min(microseconds(a.Delay), longestTimer))
-	case decision.Probe, decision.Release:
+	case decision.CheckHealth, decision.CloseIdle:
 		e.text("worker", a.Worker)
 	case decision.Subscribe:
 		e.buf = append(e.buf, `,"active":true`...)
@@ -73,9 +73,9 @@
 }
 
 var actionNames = [...]string{
-	decision.Assign: "assign", decision.Refuse: "not_now", decision.FinishError: "finish_error",
-	decision.StopAttempt: "stop_attempt", decision.SetTimer: "set_alarm", decision.Probe: "probe",
-	decision.Subscribe: "listen", decision.Release: "release", decision.Log: "say_log",
+	decision.Assign: "assign", decision.Reject: "not_now", decision.Fail: "finish_error",
+	decision.CancelAttempt: "stop_attempt", decision.SetTimer: "set_alarm", decision.CheckHealth: "probe",
+	decision.Subscribe: "listen", decision.CloseIdle: "release", decision.Log: "say_log",
 }
 
 // longestTimer is the longest timer of the wire, 71 minutes, in microseconds.
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -47,23 +47,23 @@
 	want := decision.Settings{
 		Classes: []decision.Class{
 			{
-				Name: "q", Worth: 1.5, LateWorth: 0.25, Aim: 200 * time.Millisecond, Stretch: 2.5, Deadline: 5 * time.Second,
-				Repeat: decision.Dedup, Group: decision.GroupCell, Window: 4 * time.Second,
-				Stream: true,
+				Name: "q", PriorityWeight: 1.5, LateWeight: 0.25, LatencyObjective: 200 * time.Millisecond, ObjectiveStretch: 2.5, Deadline: 5 * time.Second,
+				Idempotency: decision.Deduplicated, DedupScope: decision.DedupWithinCell, DedupWindow: 4 * time.Second,
+				Streaming: true,
 			},
 			{
-				Worth: 2, Aim: 100 * time.Microsecond, Stretch: 3, Deadline: 9 * time.Second,
-				Repeat: decision.Fragile, Kinds: []int{1}, Zones: []int{1}, InTurn: true,
+				PriorityWeight: 2, LatencyObjective: 100 * time.Microsecond, ObjectiveStretch: 3, Deadline: 9 * time.Second,
+				Idempotency: decision.NonIdempotent, Kinds: []int{1}, Zones: []int{1}, Serialized: true,
 			},
 		},
-		TenantQuotas: []float64{12.5}, OverQuotaWorth: 0.1, WorthByWork: true, Zone: 1, Peers: 4,
-		Tick: 2 * time.Millisecond, AskForList: true, AskWithin: 10 * time.Second,
-		ColdFrom: 0.31, WarmAfter: 8600 * time.Millisecond, FallMultiple: 2.5, FallWindow: 2 * time.Second,
-		FullNoProof: true, KeyRest: 300 * time.Millisecond, ExtraWindow: 10 * time.Second, ExtraFloor: 1, ExtraRatio: 0.2,
-		ConnIdle: 30 * time.Second, FetchPrice: 0.15, LiveWeights: true,
-		MaxAttempts: 5, SecondCopies: true, Cancel: true, Probing: true, ReportsByProbe: true,
+		TenantQuotas: []float64{12.5}, OverQuotaWeight: 0.1, WeightByWork: true, Zone: 1, Peers: 4,
+		Tick: 2 * time.Millisecond, ListBySubscription: true, ListPollInterval: 10 * time.Second,
+		SlowStartFloor: 0.31, SlowStartDuration: 8600 * time.Millisecond, OverloadMultiple: 2.5, OverloadWindow: 2 * time.Second,
+		SaturatedMayHaveRun: true, KeyCooldown: 300 * time.Millisecond, RetryBudgetWindow: 10 * time.Second, RetryBudgetFloor: 1, RetryBudgetRatio: 0.2,
+		ConnectionIdleTimeout: 30 * time.Second, CacheMissCost: 0.15, LoadAdjustedWeights: true,
+		MaxAttempts: 5, Hedging: true, Cancellation: true, HealthChecks: true, LoadByHealthCheck: true,
 		MaxRetryAfter: 2 * time.Second, ConnectTimeout: 200 * time.Millisecond,
-		TellsStart: true, Progress: time.Second, CrossZonePrice: 0.03,
+		StartNotices: true, ProgressInterval: time.Second, CrossZoneCost: 0.03,
 		ZoneNames: []string{"a", "b"}, FreeSlots: "x0", DrainGrace: 500 * time.Millisecond,
 	}
 	if len(got) != 2 || got[0].Op != Boot || got[0].Instance != 3 || got[0].Seed != 77 {
@@ -72,12 +72,12 @@
 	if !reflect.DeepEqual(got[0].Settings, want) {
 		t.Fatalf("settings\n got %+v\nwant %+v", got[0].Settings, want)
 	}
-	entry := decision.Entry{
-		Worker: "10.0.0.1:1", Zone: 1, Kind: 2, Cell: 3, State: decision.Stopping, Weight: 1.5,
-		LastStart: 6100 * time.Millisecond,
+	entry := decision.Endpoint{
+		Name: "10.0.0.1:1", Zone: 1, Kind: 2, Cell: 3, State: decision.Draining, Weight: 1.5,
+		StartedAt: 6100 * time.Millisecond,
 	}
 	ev := got[1].Event
-	if ev.List != decision.ListPersisted || len(ev.Entries) != 1 || ev.Entries[0] != entry {
+	if ev.ListKind != decision.ListCached || len(ev.Endpoints) != 1 || ev.Endpoints[0] != entry {
 		t.Fatalf("list %+v", ev)
 	}
 }
@@ -94,32 +94,32 @@
 		{`{"cmd":"ingress","dispatcher":3,"corr":3363244424729028,"effort_us":12000,"class":1,"needs":2,"left_us":240000,` +
 			`"client_group":4,"key":"fn:a","retry":true}`,
 			decision.Event{
-				Kind: decision.Arrival, Request: 3363244424729028, Class: 1, Tenant: 4, Slots: 2, Key: "fn:a",
-				Work: 12 * time.Millisecond, Left: 240 * time.Millisecond, ClientRetry: true,
+				Kind: decision.RequestArrived, Request: 3363244424729028, Class: 1, Tenant: 4, Slots: 2, Key: "fn:a",
+				Work: 12 * time.Millisecond, TimeLeft: 240 * time.Millisecond, ClientRetry: true,
 			}},
 		{`{"cmd":"response","dispatcher":3,"corr":7,"trial":1,"worker":"w","rc":"saturated","rtt_us":18500,` +
 			`"settled":true,"gauge":{"x0":0.5,"other":1}}`,
 			decision.Event{
-				Kind: decision.Response, Request: 7, Attempt: 1, Worker: "w", Outcome: decision.Saturated,
-				Settled: true,
-				Load:    decision.Load{FreeSlots: 0.5, HasFreeSlots: true},
+				Kind: decision.AttemptEnded, Request: 7, Attempt: 1, Worker: "w", Outcome: decision.Saturated,
+				Answered: true,
+				Load:     decision.LoadReport{FreeSlots: 0.5, HasFreeSlots: true},
 			}},
 		{`{"cmd":"interim","dispatcher":3,"corr":7,"worker":"w","kind":1}`,
-			decision.Event{Kind: decision.Started, Request: 7, Worker: "w"}},
+			decision.Event{Kind: decision.AttemptStarted, Request: 7, Worker: "w"}},
 		{`{"cmd":"interim","dispatcher":3,"corr":7,"worker":"w","kind":2,"x":0.5}`,
-			decision.Event{Kind: decision.ProgressMade, Request: 7, Worker: "w", Fraction: 0.5}},
+			decision.Event{Kind: decision.AttemptProgressed, Request: 7, Worker: "w", Fraction: 0.5}},
 		{`{"cmd":"first_byte","dispatcher":3,"corr":7,"worker":"w","rtt_us":9}`,
 			decision.Event{Kind: decision.FirstByte, Request: 7, Worker: "w"}},
 		{`{"cmd":"pong","dispatcher":3,"worker":"w","rc":"completed","rtt_us":9,"gauge":{"x0":3,"outstanding":2,"backlog":4}}`,
 			decision.Event{
-				Kind: decision.ProbeResult, Worker: "w",
-				Load: decision.Load{FreeSlots: 3, HasFreeSlots: true, Outstanding: 2, HasOutstanding: true, Backlog: 4, HasBacklog: true},
+				Kind: decision.HealthChecked, Worker: "w",
+				Load: decision.LoadReport{FreeSlots: 3, HasFreeSlots: true, Outstanding: 2, HasOutstanding: true, Backlog: 4, HasBacklog: true},
 			}},
-		{`{"cmd":"hangup","dispatcher":3,"corr":7}`, decision.Event{Kind: decision.HungUp, Request: 7}},
+		{`{"cmd":"hangup","dispatcher":3,"corr":7}`, decision.Event{Kind: decision.ClientDisconnected, Request: 7}},
 		{`{"cmd":"due","dispatcher":3,"handle":4611686018427387904}`,
-			decision.Event{Kind: decision.TimerDue, Timer: 1 << 62}},
+			decision.Event{Kind: decision.TimerFired, Timer: 1 << 62}},
 		{`{"cmd":"roster_change","dispatcher":3,"how":"Error"}`,
-			decision.Event{Kind: decision.WorkerList, List: decision.ListError}},
+			decision.Event{Kind: decision.ListUpdated, ListKind: decision.ListFailed}},
 	} {
 		_, got, err := decode(t, d, `{"moment_us":1,"turn":2,"msgs":[`+test.line+`]}`)
 		if err != nil || len(got) != 1 || !reflect.DeepEqual(got[0].Event, test.want) {
@@ -139,7 +139,7 @@
 	if err != nil || len(got) != 2 {
 		t.Fatal(got, err)
 	}
-	if a, b := got[0].Event.Entries[0].Worker, got[1].Event.Entries[0].Worker; a != "a" || b != "b" {
+	if a, b := got[0].Event.Endpoints[0].Name, got[1].Event.Endpoints[0].Name; a != "a" || b != "b" {
 		t.Fatalf("workers %s, %s", a, b)
 	}
 }
@@ -169,14 +169,14 @@
 	e.Begin(12)
 	e.Add(3, []decision.Action{
 		{Kind: decision.Assign, Request: 7, Worker: "10.0.0.1:1"},
-		{Kind: decision.Refuse, Request: 7, Delay: 250 * time.Millisecond},
-		{Kind: decision.Refuse, Request: 8},
-		{Kind: decision.FinishError, Request: 7},
-		{Kind: decision.StopAttempt, Request: 7, Attempt: 2},
+		{Kind: decision.Reject, Request: 7, Delay: 250 * time.Millisecond},
+		{Kind: decision.Reject, Request: 8},
+		{Kind: decision.Fail, Request: 7},
+		{Kind: decision.CancelAttempt, Request: 7, Attempt: 2},
 		{Kind: decision.SetTimer, Timer: 1 << 62, Delay: 1500 * time.Nanosecond},
-		{Kind: decision.Probe, Worker: "w"},
+		{Kind: decision.CheckHealth, Worker: "w"},
 		{Kind: decision.Subscribe},
-		{Kind: decision.Release, Worker: "w"},
+		{Kind: decision.CloseIdle, Worker: "w"},
 		{Kind: decision.Log, Text: "say \"é\"\n"},
 	})
 	const want = `{"turn":12,"cmds":[` +
--- a/internal/slotmap/slotmap.go
+++ b/internal/slotmap/slotmap.go
@@ -1,15 +1,15 @@
 package slotmap
 
-// Table is a table of numbered slots. A handle names a slot and its
+// Map is a table of numbered slots. A handle names a slot and its
 // generation, so that one that has been dropped finds nothing, not what has
 // the slot now. Handles are never 0, below 2^62, and never used again.
-type Table[T any] struct {
+type Map[T any] struct {
 	slots []slot[T]
 	free  []uint32
 }
 
-// Put stores v and returns its handle.
-func (t *Table[T]) Put(v *T) uint64 {
+// Insert stores v and returns its handle.
+func (t *Map[T]) Insert(v *T) uint64 {
 	if len(t.free) == 0 {
 		t.slots = append(t.slots, slot[T]{})
 		t.free = append(t.free, uint32(len(t.slots)-1))
@@ -23,7 +23,7 @@
 }
 
 // Get finds what a handle names; nil once it has been dropped.
-func (t *Table[T]) Get(handle uint64) *T {
+func (t *Map[T]) Get(handle uint64) *T {
 	n := handle & (1<<slotBits - 1)
 	if n >= uint64(len(t.slots)) || t.slots[n].generation != handle>>slotBits {
 		return nil
@@ -31,8 +31,8 @@
 	return t.slots[n].value
 }
 
-// Drop frees the slot of a handle. Dropping twice does nothing.
-func (t *Table[T]) Drop(handle uint64) {
+// Remove frees the slot of a handle. Dropping twice does nothing.
+func (t *Map[T]) Remove(handle uint64) {
 	if t.Get(handle) != nil {
 		n := uint32(handle & (1<<slotBits - 1))
 		t.slots[n].value = nil
@@ -41,10 +41,10 @@
 }
 
 // Len is the number of slots in use.
-func (t *Table[T]) Len() int { return len(t.slots) - len(t.free) }
+func (t *Map[T]) Len() int { return len(t.slots) - len(t.free) }
 
-// All calls f for each value, in the order of the slots. f may drop any of them.
-func (t *Table[T]) All(f func(handle uint64, v *T)) {
+// ForEach calls f for each value, in the order of the slots. f may drop any of them.
+func (t *Map[T]) ForEach(f func(handle uint64, v *T)) {
 	for n := range t.slots {
 		if s := t.slots[n]; s.value != nil {
 			f(s.generation<<slotBits|uint64(n), s.value)
