--- a/internal/transport/net.go
+++ b/internal/transport/net.go
@@ -42,8 +42,8 @@
 // Bytes is what the buffer holds.
 func (b *Buffer) Bytes() []byte { return b.array[:b.n] }
 
-// Add appends p if there is room for all of it.
-func (b *Buffer) Add(p []byte) bool {
+// Append appends p if there is room for all of it.
+func (b *Buffer) Append(p []byte) bool {
 	if len(p) > BufferSize-b.n {
 		return false
 	}
@@ -66,8 +66,8 @@
 	}
 }
 
-// Cut drops the first n bytes.
-func (b *Buffer) Cut(n int) { b.n = copy(b.array, b.array[n:b.n]) }
+// Consume drops the first n bytes.
+func (b *Buffer) Consume(n int) { b.n = copy(b.array, b.array[n:b.n]) }
 
 const (
 	page      = 4 << 10
@@ -88,8 +88,8 @@
 	held atomic.Int64
 }
 
-// Held is how many bytes the buffers in use take up.
-func (p *Pool) Held() int { return int(p.held.Load()) }
+// BytesInUse is how many bytes the buffers in use take up.
+func (p *Pool) BytesInUse() int { return int(p.held.Load()) }
 
 // Get returns an empty buffer.
 func (p *Pool) Get() *Buffer {
@@ -135,19 +135,19 @@
 	p.free = append(p.free, b)
 }
 
-// Owner is told what happens to a connection, on the loop's goroutine. It owns
+// Handler is told what happens to a connection, on the loop's goroutine. It owns
 // each buffer that Data hands it. Closed comes once, and last.
-type Owner interface {
-	Data(c *Conn, b *Buffer)
-	Closed(c *Conn, err error)
+type Handler interface {
+	OnData(c *Conn, b *Buffer)
+	OnClosed(c *Conn, err error)
 }
 
 // Conn is one connection. All but its counters belong to the loop's goroutine.
 type Conn struct {
-	Handle uint64 // its slot; 0 until it is open and after it is closed
-	Owner  Owner
-	Opened time.Duration
-	Pass   uint64 // what the guard gave it; 0: it was not asked
+	Handle         uint64 // its slot; 0 until it is open and after it is closed
+	Handler        Handler
+	Opened         time.Duration
+	AdmissionToken uint64 // what the guard gave it; 0: it was not asked
 
 	engine    *Engine
 	peer      netip.Addr
@@ -168,30 +168,30 @@
 	stalled bool       // there may be more to read
 }
 
-// Guard decides on connections as they are accepted. Its methods are called off
+// Admission decides on connections as they are accepted. Its methods are called off
 // the loop's goroutine, and must not wait for it, but for Wait.
-type Guard interface {
-	Arrive(conn net.Conn) (pass uint64, in, wait bool) // not in and not to wait: it has closed the connection
-	Wait(conn net.Conn) (pass uint64, in bool)         // on a goroutine of its own
-	Left(pass uint64)                                  // one that came in ended before it had an owner
-	Give()                                             // a descriptor of one that came in is free
-	Starved()                                          // the system has no descriptor left
+type Admission interface {
+	Admit(conn net.Conn) (pass uint64, in, wait bool) // not in and not to wait: it has closed the connection
+	WaitForRoom(conn net.Conn) (pass uint64, in bool) // on a goroutine of its own
+	Abandoned(pass uint64)                            // one that came in ended before it had an owner
+	Release()                                         // a descriptor of one that came in is free
+	Exhausted()                                       // the system has no descriptor left
 }
 
 // Quota bounds connections of one kind by what others use too.
 type Quota struct {
-	Take func() bool // takes a descriptor; false: none is free
-	Give func()      // gives it back
+	Acquire func() bool // takes a descriptor; false: none is free
+	Release func()      // gives it back
 }
 
-// Guard sets the guard of ServeGuarded, and bounds dials, and those that have
+// SetAdmission sets the guard of ServeGuarded, and bounds dials, and those that have
 // their descriptors reserved, by quotas in place of a share of their own. It
 // must come first.
-func (e *Engine) Guard(g Guard, dials, reserved Quota) {
+func (e *Engine) SetAdmission(g Admission, dials, reserved Quota) {
 	e.guard = g
 	e.dials.full, e.dials.most = math.MaxInt32, math.MaxInt32
-	e.dials.take, e.dials.give = dials.Take, dials.Give
-	e.reserved.take, e.reserved.give = reserved.Take, reserved.Give
+	e.dials.take, e.dials.give = dials.Acquire, dials.Release
+	e.reserved.take, e.reserved.give = reserved.Acquire, reserved.Release
 }
 
 // Engine runs all connections of the program on nbio.
@@ -199,10 +199,10 @@
 	Loop *eventloop.Loop
 	Pool Pool
 
-	guard Guard
+	guard Admission
 
 	nb        *nbio.Engine
-	conns     slotmap.Table[Conn]
+	conns     slotmap.Map[Conn]
 	dials     gate       // connections that we open
 	reserved  gate       // those of them that no other can keep from being opened
 	fence     sync.Mutex // orders what add writes before what nbio's callbacks read
@@ -247,9 +247,9 @@
 	a.gate.close()
 }
 
-// Open is the number of its connections that have not ended, those that linger
+// OpenConnections is the number of its connections that have not ended, those that linger
 // included; before Close, one that is waited for may be among them.
-func (a *Acceptor) Open() int {
+func (a *Acceptor) OpenConnections() int {
 	a.gate.mu.Lock()
 	defer a.gate.mu.Unlock()
 	return a.gate.open
@@ -350,8 +350,8 @@
 // acceptPause is the pause after an accept that failed.
 const acceptPause = 20 * time.Millisecond
 
-// ErrFull tells that no descriptor is free for a connection of ours.
-var ErrFull = errors.New("no descriptor free")
+// ErrNoDescriptor tells that no descriptor is free for a connection of ours.
+var ErrNoDescriptor = errors.New("no descriptor free")
 
 // noDescriptor tells whether a call failed since the process or the system has no descriptor left.
 func noDescriptor(err error) bool {
@@ -365,10 +365,10 @@
 	syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENETDOWN,
 }
 
-// Local tells whether a dial failed by this machine's own trouble, which says
+// IsLocalError tells whether a dial failed by this machine's own trouble, which says
 // nothing of the peer and may be over in a moment.
-func Local(err error) bool {
-	return errors.Is(err, ErrFull) || slices.ContainsFunc(localErrors, func(e error) bool { return errors.Is(err, e) })
+func IsLocalError(err error) bool {
+	return errors.Is(err, ErrNoDescriptor) || slices.ContainsFunc(localErrors, func(e error) bool { return errors.Is(err, e) })
 }
 
 // NewEngine starts an engine that keeps to a number of descriptors in all.
@@ -478,7 +478,7 @@
 	if c.Handle == 0 {
 		c.engine.Pool.Put(b)
 	} else {
-		c.Owner.Data(c, b)
+		c.Handler.OnData(c, b)
 	}
 	c.engine.fly(-1)
 	c.again(func() { c.flight-- })
@@ -510,17 +510,17 @@
 	c.again(func() { c.paused = false })
 }
 
-// Quiet tells whether nothing of the peer's is on its way to the owner, neither
+// NothingUnread tells whether nothing of the peer's is on its way to the owner, neither
 // in a buffer nor unread in the socket: a close now crosses nothing that is here.
-func (c *Conn) Quiet() bool {
+func (c *Conn) NothingUnread() bool {
 	bytes, _ := c.unread()
 	return !bytes
 }
 
-// Resting tells whether the connection is open and nothing of the peer's is
+// Idle tells whether the connection is open and nothing of the peer's is
 // here that the owner has not taken in, its end included: what is asked now
 // cannot be answered by what came before.
-func (c *Conn) Resting() bool {
+func (c *Conn) Idle() bool {
 	bytes, end := c.unread()
 	return !bytes && !end
 }
@@ -579,13 +579,13 @@
 	}
 }
 
-// Accepted is the share of the descriptors that accepted connections may take.
-func Accepted(descriptors int) int {
+// AcceptedShare is the share of the descriptors that accepted connections may take.
+func AcceptedShare(descriptors int) int {
 	return int(acceptedShare * float64(max(descriptors-spareDescriptors, 8)))
 }
 
-// Usable is how many of the descriptors allowed are for connections.
-func Usable(descriptors int) int { return max(descriptors-spareDescriptors, 8) }
+// ConnectionDescriptors is how many of the descriptors allowed are for connections.
+func ConnectionDescriptors(descriptors int) int { return max(descriptors-spareDescriptors, 8) }
 
 // Resize makes the engine keep to another number of descriptors in all, while
 // another process of the same dispatcher has the rest. Bounds move in step, but
@@ -604,9 +604,9 @@
 	}
 }
 
-// Inherit returns the listener that a descriptor of this process is, as one of
+// ListenerFromDescriptor returns the listener that a descriptor of this process is, as one of
 // its own: closing it leaves the socket to the other processes that have it.
-func Inherit(fd int) (net.Listener, error) {
+func ListenerFromDescriptor(fd int) (net.Listener, error) {
 	f := os.NewFile(uintptr(fd), "inherited listener")
 	if f == nil {
 		return nil, errors.New("no descriptor")
@@ -649,7 +649,7 @@
 // narrow one hands over one buffer of a connection at a time, so that an owner
 // who pauses gets no more; what a peer sent just before it closed may be lost.
 func (e *Engine) Listen(
-	addr string, most int, narrow bool, own func(c *Conn) Owner, full func(),
+	addr string, most int, narrow bool, own func(c *Conn) Handler, full func(),
 ) (*Acceptor, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -658,8 +658,8 @@
 	return e.Serve(ln, most, narrow, own, full), nil
 }
 
-// Fix makes the acceptor's bound its own: Resize leaves it as it is.
-func (a *Acceptor) Fix() *Acceptor {
+// FixLimit makes the acceptor's bound its own: Resize leaves it as it is.
+func (a *Acceptor) FixLimit() *Acceptor {
 	a.fixed = true
 	a.gate.resize(1)
 	return a
@@ -667,7 +667,7 @@
 
 // Serve accepts connections from a listener, as Listen does.
 func (e *Engine) Serve(
-	ln net.Listener, most int, narrow bool, own func(c *Conn) Owner, full func(),
+	ln net.Listener, most int, narrow bool, own func(c *Conn) Handler, full func(),
 ) *Acceptor {
 	g := newGate(most, wideWindow)
 	if narrow {
@@ -699,13 +699,13 @@
 	return a
 }
 
-// ServeGuarded accepts connections from a listener, as many as the guard lets in.
-func (e *Engine) ServeGuarded(ln net.Listener, narrow bool, own func(c *Conn) Owner) *Acceptor {
+// ServeWithAdmission accepts connections from a listener, as many as the guard lets in.
+func (e *Engine) ServeWithAdmission(ln net.Listener, narrow bool, own func(c *Conn) Handler) *Acceptor {
 	g := newGate(math.MaxInt32, wideWindow)
 	if narrow {
 		g.window = 1
 	}
-	g.cond.L, g.give = &g.mu, e.guard.Give
+	g.cond.L, g.give = &g.mu, e.guard.Release
 	a := &Acceptor{ln: ln, gate: &g, fixed: true}
 	e.mu.Lock()
 	e.listeners = append(e.listeners, a)
@@ -716,7 +716,7 @@
 
 // guarded accepts as fast as the system gives connections, so that none waits
 // behind those that will be refused: in the kernel's queue all are alike.
-func (e *Engine) guarded(a *Acceptor, own func(*Conn) Owner) {
+func (e *Engine) guarded(a *Acceptor, own func(*Conn) Handler) {
 	// With no descriptor left, this one is given up for a moment to refuse with.
 	spare, _ := os.Open(os.DevNull)
 	defer func() { spare.Close() }()
@@ -733,13 +733,13 @@
 				spare, _ = os.Open(os.DevNull)
 				continue
 			}
-			pass, in, wait := e.guard.Arrive(conn)
+			pass, in, wait := e.guard.Admit(conn)
 			switch {
 			case in:
 				come(conn, pass)
 			case wait:
 				go func() {
-					if pass, in := e.guard.Wait(conn); in {
+					if pass, in := e.guard.WaitForRoom(conn); in {
 						come(conn, pass)
 					}
 				}()
@@ -747,7 +747,7 @@
 		case errors.Is(err, net.ErrClosed):
 			return
 		case noDescriptor(err):
-			e.guard.Starved()
+			e.guard.Exhausted()
 			if spare != nil {
 				spare.Close()
 				if conn, err := a.ln.Accept(); err == nil {
@@ -766,10 +766,10 @@
 const starvedTime = 5 * time.Millisecond // between looks for a descriptor
 
 // Adopt takes over a connection that was opened elsewhere.
-func (e *Engine) Adopt(conn net.Conn, own func(*Conn) Owner) error {
+func (e *Engine) Adopt(conn net.Conn, own func(*Conn) Handler) error {
 	if !e.dials.try() {
 		_ = conn.Close()
-		return ErrFull
+		return ErrNoDescriptor
 	}
 	e.add(conn, &e.dials, 0, own)
 	return nil
@@ -781,9 +781,9 @@
 // four bytes of a 16-byte one, and so reached 0.0.0.0 for any address here; nor
 // does it tell a refused connection from an open one. Its blocking Dial has
 // neither fault, so that waits on a goroutine.
-func (e *Engine) Dial(addr string, timeout time.Duration, own Owner, done func(*Conn, error)) {
+func (e *Engine) Dial(addr string, timeout time.Duration, own Handler, done func(*Conn, error)) {
 	if !e.dials.try() {
-		e.Loop.Post(func() { done(nil, ErrFull) })
+		e.Loop.Post(func() { done(nil, ErrNoDescriptor) })
 		return
 	}
 	e.dialFrom(&e.dials, addr, timeout, own, done)
@@ -792,7 +792,7 @@
 // DialReserved is Dial with a descriptor that other connections cannot take,
 // where one of those is free. It is for the connection without which the rest is
 // of no use, one at a time.
-func (e *Engine) DialReserved(addr string, timeout time.Duration, own Owner, done func(*Conn, error)) {
+func (e *Engine) DialReserved(addr string, timeout time.Duration, own Handler, done func(*Conn, error)) {
 	if e.reserved.try() {
 		e.dialFrom(&e.reserved, addr, timeout, own, done)
 		return
@@ -801,7 +801,7 @@
 }
 
 // dialFrom opens a connection that has its place behind a gate.
-func (e *Engine) dialFrom(g *gate, addr string, timeout time.Duration, own Owner, done func(*Conn, error)) {
+func (e *Engine) dialFrom(g *gate, addr string, timeout time.Duration, own Handler, done func(*Conn, error)) {
 	go func() {
 		conn, err := net.DialTimeout("tcp", addr, timeout)
 		if err != nil {
@@ -809,29 +809,29 @@
 			e.Loop.Post(func() { done(nil, err) })
 			return
 		}
-		e.add(conn, g, 0, func(c *Conn) Owner {
+		e.add(conn, g, 0, func(c *Conn) Handler {
 			if own == nil {
 				own = discard{e}
 			}
-			c.Owner = own
+			c.Handler = own
 			done(c, nil)
-			return c.Owner
+			return c.Handler
 		})
 	}()
 }
 
 type discard struct{ e *Engine }
 
-func (d discard) Data(_ *Conn, b *Buffer) { d.e.Pool.Put(b) }
-func (d discard) Closed(*Conn, error)     {}
+func (d discard) OnData(_ *Conn, b *Buffer) { d.e.Pool.Put(b) }
+func (d discard) OnClosed(*Conn, error)     {}
 
 // add gives a connection to nbio. Its slot is taken on the loop's goroutine
 // before any of its data, since both are posted in order. It must be nbio that
 // says when: a connection that it does not hold yet cannot be written to, and
 // an owner that spoke first crashed there.
-func (e *Engine) add(conn net.Conn, g *gate, pass uint64, own func(*Conn) Owner) {
+func (e *Engine) add(conn net.Conn, g *gate, pass uint64, own func(*Conn) Handler) {
 	e.fence.Lock()
-	c := &Conn{engine: e, gate: g, Pass: pass}
+	c := &Conn{engine: e, gate: g, AdmissionToken: pass}
 	if tcp, ok := conn.RemoteAddr().(*net.TCPAddr); ok {
 		addr, _ := netip.AddrFromSlice(tcp.IP)
 		c.peer = addr.Unmap()
@@ -842,8 +842,8 @@
 		_ = conn.Close()
 		g.leave()
 		e.Loop.Post(func() { // the owner must hear of it all the same
-			if c.Owner = own(c); c.Owner != nil {
-				c.Owner.Closed(c, err)
+			if c.Handler = own(c); c.Handler != nil {
+				c.Handler.OnClosed(c, err)
 			}
 		})
 		return
@@ -853,10 +853,10 @@
 	c.nb = nc
 	c.open = func() {
 		c.open = nil
-		c.Handle = e.conns.Put(c)
+		c.Handle = e.conns.Insert(c)
 		c.Opened = e.Loop.Now()
-		if c.Owner = own(c); c.Owner == nil {
-			c.Owner = discard{e}
+		if c.Handler = own(c); c.Handler == nil {
+			c.Handler = discard{e}
 			c.Close()
 		}
 	}
@@ -867,17 +867,17 @@
 func (c *Conn) gone(err error) {
 	c.engine.Loop.Clear(&c.ending)
 	if c.Handle == 0 {
-		if c.open != nil && c.Pass != 0 { // nbio would not take it
-			c.engine.guard.Left(c.Pass)
+		if c.open != nil && c.AdmissionToken != 0 { // nbio would not take it
+			c.engine.guard.Abandoned(c.AdmissionToken)
 		}
 		return
 	}
 	c.drop()
-	c.Owner.Closed(c, err)
+	c.Handler.OnClosed(c, err)
 }
 
 func (c *Conn) drop() {
-	c.engine.conns.Drop(c.Handle)
+	c.engine.conns.Remove(c.Handle)
 	c.Handle = 0
 	c.engine.Loop.Clear(&c.ending)
 }
@@ -889,7 +889,7 @@
 		return false
 	}
 	c.asked += int64(len(p))
-	if c.Waiting() == int64(len(p)) { // nothing waits from before
+	if c.UnsentBytes() == int64(len(p)) { // nothing waits from before
 		n, err := c.writeOut(p)
 		if err != nil {
 			c.sever()
@@ -931,17 +931,17 @@
 // Peer is the address of the other end.
 func (c *Conn) Peer() netip.Addr { return c.peer }
 
-// Mark is the position behind the last byte given to Write.
-func (c *Conn) Mark() int64 { return c.asked }
+// WriteOffset is the position behind the last byte given to Write.
+func (c *Conn) WriteOffset() int64 { return c.asked }
 
-// Passed tells whether the byte before a mark has gone to the socket.
-func (c *Conn) Passed(mark int64) bool { return c.written.Load() >= mark }
+// Flushed tells whether the byte before a mark has gone to the socket.
+func (c *Conn) Flushed(mark int64) bool { return c.written.Load() >= mark }
 
-// Waiting is how many bytes given to Write the peer has not made room for yet.
-func (c *Conn) Waiting() int64 { return c.asked - c.written.Load() }
+// UnsentBytes is how many bytes given to Write the peer has not made room for yet.
+func (c *Conn) UnsentBytes() int64 { return c.asked - c.written.Load() }
 
-// Written is how many bytes have gone to the socket.
-func (c *Conn) Written() int64 { return c.written.Load() }
+// SentBytes is how many bytes have gone to the socket.
+func (c *Conn) SentBytes() int64 { return c.written.Load() }
 
 // Close closes the connection at once. Its owner hears no more of it.
 func (c *Conn) Close() {
@@ -984,7 +984,7 @@
 			bytes = int(queued)
 		}
 	})
-	return bytes + int(c.Waiting())
+	return bytes + int(c.UnsentBytes())
 }
 
 // sever ends the connection and leaves its descriptor for nbio's poller to
@@ -1009,19 +1009,19 @@
 	lingerFor  = time.Second
 	lingerStep = 5 * time.Millisecond
 
-	// Lingering is how long an ended connection may stay, until it is closed for good.
-	Lingering = lingerFor + 2*severTime
+	// LingerTime is how long an ended connection may stay, until it is closed for good.
+	LingerTime = lingerFor + 2*severTime
 )
 
-// End closes the connection once all that was written has left and the peer
+// CloseGracefully closes the connection once all that was written has left and the peer
 // has closed too, or after a second. Guards against a reset, by bytes of the
 // peer that nobody reads, overtaking the last answer. They are read and dropped
 // one buffer a step, so that a peer that sends without end costs little.
-func (c *Conn) End() {
+func (c *Conn) CloseGracefully() {
 	if c.Handle == 0 || c.endBy > 0 {
 		return
 	}
-	c.Owner = discard{c.engine}
+	c.Handler = discard{c.engine}
 	c.Pause()
 	c.endBy = c.engine.Loop.Now() + lingerFor
 	c.ending.Fire = c.end
@@ -1038,7 +1038,7 @@
 		c.Close()
 		return
 	}
-	if !c.halfEnded && c.Passed(c.asked) {
+	if !c.halfEnded && c.Flushed(c.asked) {
 		c.halfEnded = true
 		c.control(func(fd int) { _ = syscall.Shutdown(fd, syscall.SHUT_WR) })
 	}
@@ -1056,10 +1056,10 @@
 	return n, n > 0 || err == syscall.EAGAIN || err == syscall.EINTR
 }
 
-// Skim drops what the peer sends from now on, one buffer a step and so many
+// Discard drops what the peer sends from now on, one buffer a step and so many
 // bytes at the most. The owner gets none of it, but hears of the peer's end,
 // which else would not come through behind bytes that nobody reads.
-func (c *Conn) Skim(most int) {
+func (c *Conn) Discard(most int) {
 	if c.Handle == 0 || c.endBy > 0 || c.skimming {
 		return
 	}
@@ -1074,8 +1074,8 @@
 	c.ending.Fire()
 }
 
-// Open is the number of connections in their slots.
-func (e *Engine) Open() int { return e.conns.Len() }
+// OpenConnections is the number of connections in their slots.
+func (e *Engine) OpenConnections() int { return e.conns.Len() }
 
 // StopListening closes all listeners.
 func (e *Engine) StopListening() {
--- a/internal/transport/net_test.go
+++ b/internal/transport/net_test.go
@@ -22,8 +22,8 @@
 func newWatcher(e *Engine) *watcher {
 	return &watcher{make(chan string, 1000), make(chan error, 1000), e}
 }
-func (w *watcher) Data(_ *Conn, b *Buffer)     { w.data <- string(b.Bytes()); w.e.Pool.Put(b) }
-func (w *watcher) Closed(_ *Conn, err error)   { w.closed <- err }
+func (w *watcher) OnData(_ *Conn, b *Buffer)   { w.data <- string(b.Bytes()); w.e.Pool.Put(b) }
+func (w *watcher) OnClosed(_ *Conn, err error) { w.closed <- err }
 func (w *watcher) gone(t *testing.T) (e error) { return receive(t, w.closed) }
 
 func receive[T any](t *testing.T, c chan T) (v T) {
@@ -37,7 +37,7 @@
 }
 
 func engine(t *testing.T, descriptors int) *Engine {
-	loop := eventloop.NewLoop()
+	loop := eventloop.New()
 	e, err := NewEngine(loop, descriptors)
 	if err != nil {
 		t.Fatal(err)
@@ -60,7 +60,7 @@
 	err error
 }
 
-func dial(e *Engine, addr string, own Owner) chan dialed {
+func dial(e *Engine, addr string, own Handler) chan dialed {
 	got := make(chan dialed, 1)
 	e.Dial(addr, patience, own, func(c *Conn, err error) {
 		if c != nil {
@@ -98,7 +98,7 @@
 	conn.Close()
 	w.gone(t)
 	do(e, func() {
-		if c.Handle != 0 || e.Open() != 0 || c.Write([]byte("x")) {
+		if c.Handle != 0 || e.OpenConnections() != 0 || c.Write([]byte("x")) {
 			t.Error("the connection is still there")
 		}
 	})
@@ -127,10 +127,10 @@
 	large := bytes.Repeat([]byte("x"), 32<<20) // more than any socket buffer takes
 	do(e, func() {
 		c.Write(large)
-		if c.Passed(c.Mark()) || !c.Passed(5) {
-			t.Errorf("%d of %d bytes have left", c.Written(), c.Mark())
+		if c.Flushed(c.WriteOffset()) || !c.Flushed(5) {
+			t.Errorf("%d of %d bytes have left", c.SentBytes(), c.WriteOffset())
 		}
-		c.End()
+		c.CloseGracefully()
 	})
 	// End waits a second for a peer that is slow, so this one reads at once.
 	n, err := io.Copy(io.Discard, conn)
@@ -145,7 +145,7 @@
 	e := engine(t, 100)
 	w, full := newWatcher(e), make(chan bool, 100)
 	opened := make(chan *Conn, 10)
-	addr, err := e.Listen("127.0.0.1:0", 2, true, func(c *Conn) Owner { opened <- c; return w }, func() { full <- true })
+	addr, err := e.Listen("127.0.0.1:0", 2, true, func(c *Conn) Handler { opened <- c; return w }, func() { full <- true })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -169,7 +169,7 @@
 	dials := 0
 	for ; e.dials.try(); dials++ {
 	}
-	if d := receive(t, dial(e, addr.String(), w)); dials != e.dials.most || d.err != ErrFull {
+	if d := receive(t, dial(e, addr.String(), w)); dials != e.dials.most || d.err != ErrNoDescriptor {
 		t.Errorf("after %d dials: %v", dials, d.err)
 	}
 }
@@ -177,10 +177,10 @@
 func TestBuffers(t *testing.T) {
 	var p Pool
 	b := p.Get()
-	if !b.Add([]byte("abc")) || b.Add(make([]byte, BufferSize)) || !b.Add(make([]byte, BufferSize-3)) || b.Add([]byte("x")) {
+	if !b.Append([]byte("abc")) || b.Append(make([]byte, BufferSize)) || !b.Append(make([]byte, BufferSize-3)) || b.Append([]byte("x")) {
 		t.Error("wrong room")
 	}
-	if b.Cut(2); b.Bytes()[0] != 'c' || len(b.Bytes()) != BufferSize-2 {
+	if b.Consume(2); b.Bytes()[0] != 'c' || len(b.Bytes()) != BufferSize-2 {
 		t.Error("wrong cut")
 	}
 	p.Put(nil)
@@ -197,7 +197,7 @@
 	e := engine(t, 100)
 	w := newWatcher(e)
 	opened := make(chan *Conn, 10)
-	own := func(c *Conn) Owner { opened <- c; return w }
+	own := func(c *Conn) Handler { opened <- c; return w }
 	narrow, err1 := e.Listen("127.0.0.1:0", 10, true, own, func() {})
 	wide, err2 := e.Listen("127.0.0.1:0", 10, false, own, func() {})
 	if err1 != nil || err2 != nil {
@@ -225,7 +225,7 @@
 	do(e, c.Resume)
 	for n := 0; n < total; {
 		n += len(receive(t, w.data))
-		if held := e.Pool.Held(); held > 4*BufferSize {
+		if held := e.Pool.BytesInUse(); held > 4*BufferSize {
 			t.Fatalf("%d bytes are held", held)
 		}
 	}
@@ -259,10 +259,10 @@
 	var small, large []*Buffer
 	for range 40 {
 		b := p.Get()
-		b.Add([]byte("small"))
+		b.Append([]byte("small"))
 		small = append(small, b)
 	}
-	if n := p.Held(); n != 40*page {
+	if n := p.BytesInUse(); n != 40*page {
 		t.Errorf("40 small ones hold %d bytes", n)
 	}
 	for range 40 {
@@ -270,7 +270,7 @@
 		b.Fill(make([]byte, 2*BufferSize))
 		large = append(large, b)
 	}
-	if n := p.Held(); n != 40*page+40*BufferSize {
+	if n := p.BytesInUse(); n != 40*page+40*BufferSize {
 		t.Errorf("with 40 large ones they hold %d bytes", n)
 	}
 	for _, b := range append(small, large...) {
@@ -280,10 +280,10 @@
 	for _, b := range p.free {
 		taken += b.high
 	}
-	if n := p.Held(); n != 0 || taken > 80*coolBytes+warmBytes {
+	if n := p.BytesInUse(); n != 0 || taken > 80*coolBytes+warmBytes {
 		t.Errorf("free, they hold %d bytes and take up %d", n, taken)
 	}
-	if b := p.Get(); !b.Add(make([]byte, BufferSize)) || b.Bytes()[BufferSize-1] != 0 {
+	if b := p.Get(); !b.Append(make([]byte, BufferSize)) || b.Bytes()[BufferSize-1] != 0 {
 		t.Error("a cooled buffer cannot be used again")
 	}
 }
@@ -295,7 +295,7 @@
 	e := engine(t, 100)
 	w := newWatcher(e)
 	opened := make(chan *Conn, 20)
-	a, err := e.Listen("127.0.0.1:0", 20, false, func(c *Conn) Owner { opened <- c; return w }, func() {})
+	a, err := e.Listen("127.0.0.1:0", 20, false, func(c *Conn) Handler { opened <- c; return w }, func() {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -365,7 +365,7 @@
 	e := engine(t, 124)
 	opened := make(chan *Conn, 100)
 	w := newWatcher(e)
-	own := func(c *Conn) Owner { opened <- c; return w }
+	own := func(c *Conn) Handler { opened <- c; return w }
 	serve := func(most int) *Acceptor {
 		a, err := e.Listen("127.0.0.1:0", most, true, own, func() {})
 		if err != nil {
@@ -382,7 +382,7 @@
 			t.Cleanup(func() { conn.Close() })
 		}
 	}
-	wide, fixed := serve(10), serve(4).Fix()
+	wide, fixed := serve(10), serve(4).FixLimit()
 	e.Resize(24 + 50) // half of what is usable
 	dial(wide, 7)
 	dial(fixed, 4)
@@ -418,7 +418,7 @@
 	e := engine(t, 100)
 	w := newWatcher(e)
 	opened := make(chan *Conn, 2)
-	a, err := e.Listen("127.0.0.1:0", 20, true, func(c *Conn) Owner { c.Skim(1 << 20); opened <- c; return w }, func() {})
+	a, err := e.Listen("127.0.0.1:0", 20, true, func(c *Conn) Handler { c.Discard(1 << 20); opened <- c; return w }, func() {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -473,7 +473,7 @@
 			e := engine(t, 100)
 			w := newWatcher(e)
 			opened := make(chan *Conn, 1)
-			a, err := e.Listen("127.0.0.1:0", 20, true, func(c *Conn) Owner { opened <- c; return w }, func() {})
+			a, err := e.Listen("127.0.0.1:0", 20, true, func(c *Conn) Handler { opened <- c; return w }, func() {})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -486,15 +486,15 @@
 				if paused {
 					c.Pause()
 				}
-				if !c.Resting() || !c.Quiet() {
+				if !c.Idle() || !c.NothingUnread() {
 					t.Errorf("%s: it does not rest at first", name)
 				}
 				act(conn.(*net.TCPConn)) // on loopback it is here when the call returns
-				if c.Resting() != (name == "nothing") {
-					t.Errorf("%s, paused %v: resting is %v", name, paused, c.Resting())
+				if c.Idle() != (name == "nothing") {
+					t.Errorf("%s, paused %v: resting is %v", name, paused, c.Idle())
 				}
-				if c.Quiet() != (name != "a byte") {
-					t.Errorf("%s, paused %v: quiet is %v", name, paused, c.Quiet())
+				if c.NothingUnread() != (name != "a byte") {
+					t.Errorf("%s, paused %v: quiet is %v", name, paused, c.NothingUnread())
 				}
 			})
 			conn.Close()
@@ -509,7 +509,7 @@
 		e := engine(t, 100)
 		w := newWatcher(e)
 		opened, full := make(chan *Conn, 1), make(chan bool, 10)
-		a, err := e.Listen("127.0.0.1:0", most, true, func(c *Conn) Owner { opened <- c; return w }, func() { full <- true })
+		a, err := e.Listen("127.0.0.1:0", most, true, func(c *Conn) Handler { opened <- c; return w }, func() { full <- true })
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -522,14 +522,14 @@
 			receive(t, full) // it waits for room
 		}
 		a.Close()
-		if n := a.Open(); n < 1 {
+		if n := a.OpenConnections(); n < 1 {
 			t.Errorf("%d open, one is", n)
 		}
 		conn.Close()
 		w.gone(t)
-		for end := time.Now().Add(patience); a.Open() > 0; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(patience); a.OpenConnections() > 0; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("room for %d: %d open, none is", most, a.Open())
+				t.Fatalf("room for %d: %d open, none is", most, a.OpenConnections())
 			}
 		}
 	}
