--- a/internal/admin/control.go
+++ b/internal/admin/control.go
@@ -456,7 +456,7 @@
 func (k *call) answer(status int, text, fields string) {
 	d := k.api
 	k.forget()
-	k.conn.Write(platform.AppendAnswer(nil, status, []byte(text), 0, true, fields))
+	k.conn.Write(platform.AppendResponse(nil, status, []byte(text), 0, true, fields))
 	k.conn.CloseGracefully()
 	d.prune()
 	now := d.core.Loop.Now()
--- a/internal/daemon/node.go
+++ b/internal/daemon/node.go
@@ -56,7 +56,8 @@
 type node struct {
 	core     *dispatch.Dispatcher
 	engine   *transport.Engine
-	backends *platform.Backends
+	registry *platform.Registry
+	workers  *platform.Backends
 	fronts   fronts
 	entry    *listener.Gate    // who decides on connections; nil: nobody
 	follows  bool              // versioned changes are followed in place of the discovery watch
@@ -118,13 +119,13 @@
 // known starts from a list, the configuration's where there is no newer one.
 func (n *node) known(list []byte) {
 	if len(list) > 0 {
-		err := n.backends.Known(list)
+		err := n.registry.Known(list)
 		if err == nil {
 			return
 		}
 		n.core.Log(fmt.Sprintf("the list handed over: %v", err))
 	}
-	if err := n.backends.Known(n.config.Known); err != nil { // checked at the start
+	if err := n.registry.Known(n.config.Known); err != nil { // checked at the start
 		n.core.Log(err.Error())
 	}
 }
@@ -186,7 +187,7 @@
 // alone is told that the other process has gone: all limits are this one's.
 func (n *node) alone() {
 	n.link, n.theirs = nil, false
-	n.core.OnAccepted, n.core.OnReserved, n.backends.Told = nil, nil, nil
+	n.core.OnAccepted, n.core.OnReserved, n.registry.Told = nil, nil, nil
 	n.core.Loop.Clear(&n.room)
 	n.keep(n.config.descriptors(), n.memory())
 	if n.fronts.platform != nil {
@@ -212,7 +213,7 @@
 	if m.DiscoveryMoved != "" && m.DiscoveryMoved != n.config.Discovery {
 		n.core.Log("discovery moves to " + m.DiscoveryMoved + ", the other process says")
 		n.config.Discovery = m.DiscoveryMoved
-		n.backends.Move(m.DiscoveryMoved)
+		n.registry.Move(m.DiscoveryMoved)
 	}
 }
 
@@ -249,7 +250,7 @@
 		n.keep(n.config.descriptors()-m.Limits.Descriptors, n.memory()-m.Limits.Memory)
 	}
 	if len(m.List) > 0 {
-		if err := n.backends.Relay(m.List); err != nil {
+		if err := n.registry.Relay(m.List); err != nil {
 			n.core.Log(fmt.Sprintf("the list handed over: %v", err))
 		}
 	}
@@ -267,7 +268,7 @@
 		n.core.AdoptIDKey(hello.IDKey)
 		list = hello.List
 		n.config.Discovery = cmp.Or(hello.Discovery, n.config.Discovery)
-		n.backends.Discovery(n.config.Discovery)
+		n.registry.Discovery(n.config.Discovery)
 		if hello.OutOfService {
 			n.drain(true)
 		}
@@ -283,7 +284,7 @@
 	if n.stopping {
 		return
 	}
-	if !(n.backends.Heard() && n.core.ReadyWorkers() > 0) && loop.Now() < until {
+	if !(n.registry.Heard() && n.core.ReadyWorkers() > 0) && loop.Now() < until {
 		loop.After(startStep, func() { n.wait(until) })
 		return
 	}
@@ -348,7 +349,7 @@
 	if n.stopping || n.link != nil {
 		return nil
 	}
-	addr, list, err := n.backends.Tell()
+	addr, list, err := n.registry.Tell()
 	if err != nil {
 		n.core.Log(fmt.Sprintf("the list cannot be handed over: %v", err))
 	}
@@ -356,8 +357,8 @@
 	n.core.Log("a successor has started")
 	n.link = handover.NewLink(n.engine, c, n.heardNext, n.nextGone)
 	n.listenIn()
-	n.backends.Told = func() {
-		if _, list, err := n.backends.Tell(); err == nil {
+	n.registry.Told = func() {
+		if _, list, err := n.registry.Tell(); err == nil {
 			n.tell(handover.Message{List: list})
 		}
 	}
@@ -468,7 +469,7 @@
 // versioned changes are followed. A file of which any part is wrong changes
 // nothing; what needs a restart is named in the log.
 func (n *node) reload(next config, now decision.Settings, operator settings.Operator, err error) {
-	d, b, c := n.core, n.backends, n.config
+	d, b, c := n.core, n.registry, n.config
 	if err == nil {
 		err = b.CheckList(next.Known)
 	}
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -120,7 +120,7 @@
 	if err != nil {
 		return fmt.Errorf("config: %w", err)
 	}
-	if err := platform.NewBackends(d, nil, l.config.Discovery).CheckList(l.config.Known); err != nil {
+	if err := platform.NewRegistry(d, nil, l.config.Discovery).CheckList(l.config.Known); err != nil {
 		return err
 	}
 	c := &l.config
@@ -327,17 +327,18 @@
 	if err != nil {
 		return err
 	}
-	backends := platform.NewBackends(d, engine, c.Discovery)
-	if err := backends.CheckList(c.Known); err != nil {
+	registry := platform.NewRegistry(d, engine, c.Discovery)
+	workers := platform.NewBackends(d, engine, registry)
+	if err := registry.CheckList(c.Known); err != nil {
 		return err
 	}
-	n := &node{core: d, engine: engine, backends: backends, config: c, told: told}
+	n := &node{core: d, engine: engine, registry: registry, workers: workers, config: c, told: told}
 	if l.membership.On {
 		servers, err := follow(&l.membership, &c, &told)
 		if err != nil {
 			return fmt.Errorf("%s: %w", f.Operator, err)
 		}
-		backends.Follow(servers)
+		registry.Follow(servers)
 		n.follows = true
 	}
 	if l.connections.On {
@@ -348,7 +349,7 @@
 		if err != nil {
 			return fmt.Errorf("%s: %w", f.Operator, err)
 		}
-		n.entry.CloseIdleWorkers = backends.Idle
+		n.entry.CloseIdleWorkers = workers.CloseAllIdle
 	}
 	n.sessions = transport.AcceptedShare(c.clients())
 	if l.hasFaktory && c.Listen != "" {
@@ -356,7 +357,7 @@
 	}
 	if c.Listen != "" {
 		n.fronts.platform = platform.NewFront(d, engine, c.buffers(), func() bool {
-			return (d.ReadyWorkers() > 0 || backends.Listed()) && backends.Usable()
+			return (d.ReadyWorkers() > 0 || registry.Listed()) && registry.Usable()
 		})
 		if n.entry != nil {
 			n.fronts.platform.Use(n.entry)
@@ -390,10 +391,10 @@
 	}
 	if c.Admin != "" {
 		desk := admin.Operations{
-			Ready: n.ready, SetOutOfService: n.service, Gate: n.entry, Membership: backends.ControlStats,
+			Ready: n.ready, SetOutOfService: n.service, Gate: n.entry, Membership: registry.ControlStats,
 			Jobs: func() *durable.Service { return n.fronts.faktory.Jobs() },
 		}
-		api := admin.New(d, engine, backends, desk)
+		api := admin.New(d, engine, workers, desk)
 		addr, err := api.Listen(c.Admin)
 		if err != nil {
 			return fmt.Errorf("config: admin_addr: %w", err)
--- a/internal/platform/answer.go
+++ b/internal/platform/answer.go
@@ -23,7 +23,7 @@
 		return
 	}
 	l.tellSent()
-	if !collect(&l.set.engine.Pool, &l.in, b) {
+	if !l.collect(b) {
 		l.broken()
 		return
 	}
@@ -50,6 +50,18 @@
 	l.tell()
 }
 
+// collect adds data to the input buffer, taking it over where it can. It returns
+// false where there is no room for it.
+func (l *line) collect(b *transport.Buffer) bool {
+	if l.in == nil {
+		l.in = b
+		return true
+	}
+	ok := l.in.Append(b.Bytes())
+	l.set.engine.Pool.Put(b)
+	return ok
+}
+
 // tell tells the outcome that the answer held, if any.
 func (l *line) tell() {
 	e := l.end
@@ -77,21 +89,21 @@
 	in := l.in.Bytes()[l.at:]
 	switch {
 	case l.phase == waiting:
-		var h head
-		if ok, err := parseHead(in, &h, &l.seen); !ok {
+		var h Head
+		if ok, err := ParseHead(in, &h, &l.seen); !ok {
 			return false, err
 		}
 		l.seen = 0
-		l.at += h.size
+		l.at += h.Size
 		return true, l.head(&h)
 	case l.chunked:
-		data, used, err := l.chunk.next(in)
+		data, used, err := l.chunk.Next(in)
 		if err != nil || used == 0 {
 			return false, err
 		}
 		err = l.body(data)
 		l.at += used
-		if l.chunk.done && err == nil {
+		if l.chunk.Done() && err == nil {
 			err = l.done()
 		}
 		return true, err
@@ -124,31 +136,31 @@
 }
 
 // head takes in the head of an answer. All but a 200 tell the outcome at once.
-func (l *line) head(h *head) error {
-	status, ok := number(h.b)
-	if !ok || !bytes.HasPrefix(h.a, []byte("HTTP/1.")) {
-		return errMalformed
+func (l *line) head(h *Head) error {
+	status, ok := h.Status()
+	if !ok {
+		return ErrMalformed
 	}
 	if status < 200 {
 		return nil // an interim answer; the real one follows
 	}
-	length, chunked, err := h.framing()
+	length, chunked, err := h.Framing()
 	if err != nil {
 		return err
 	}
-	l.status, l.chunked, l.left, l.chunk = status, chunked, length, chunks{}
-	l.last = h.has("Connection", "close") || !chunked && length < 0
+	l.status, l.chunked, l.left, l.chunk = status, chunked, length, ChunkReader{}
+	l.last = h.HasToken("Connection", "close") || !chunked && length < 0
 	l.phase = streaming
 	if !l.probe && status != 200 {
 		var load decision.LoadReport
-		if v := h.get("X-Backend-Load"); v != nil {
+		if v := h.Get("X-Backend-Load"); v != nil {
 			load = settings.Load(&l.set.core.Settings, v)
 		}
 		o := decision.Failed // 500, and what the protocol does not name: it may have run
 		if status >= 400 && status < 500 {
 			o = decision.InvalidRequest
 		}
-		if (status == 503 || status == 504) && bytes.Equal(h.get("X-Unprocessed"), []byte("1")) {
+		if (status == 503 || status == 504) && bytes.Equal(h.Get("X-Unprocessed"), []byte("1")) {
 			o = decision.Saturated
 		}
 		l.end = &end{o, load, nil}
@@ -198,7 +210,7 @@
 		l.text = l.set.engine.Pool.Get()
 	}
 	if !l.text.Append(data) {
-		return errBody
+		return ErrBodyTooLong
 	}
 	return nil
 }
@@ -219,7 +231,7 @@
 		return err
 	}
 	if n.ID != l.job.Request.ID {
-		return errMalformed // made for another req
+		return ErrMalformed // made for another req
 	}
 	var load decision.LoadReport
 	if len(n.Load) > 0 {
@@ -244,7 +256,7 @@
 	case "lost":
 		l.end = &end{decision.ConnectionLost, load, nil}
 	default:
-		return errMalformed
+		return ErrMalformed
 	}
 	return nil
 }
--- a/internal/platform/backend.go
+++ b/internal/platform/backend.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"cmp"
 	"errors"
-	"math/rand/v2"
 	"slices"
 	"strconv"
 	"time"
@@ -12,9 +11,7 @@
 	"hollyyoke.example/hollyyoke/decision"
 	"hollyyoke.example/hollyyoke/internal/dispatch"
 	"hollyyoke.example/hollyyoke/internal/eventloop"
-	"hollyyoke.example/hollyyoke/internal/freshness"
 	"hollyyoke.example/hollyyoke/internal/invariant"
-	"hollyyoke.example/hollyyoke/internal/membership"
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
@@ -25,46 +22,15 @@
 
 // Backends carries attempts to the backends that discovery lists.
 type Backends struct {
-	hold   time.Duration // holdTime; tests that play the other end take longer
-	calm   time.Duration // settleTime; likewise
-	core   *dispatch.Dispatcher
-	engine *transport.Engine
-	hosts  map[string]*backend
-	lines  map[uint64]*line // by the attempt that runs on it
-	out    []byte
-	watch  watch
-	first  map[string]decision.Endpoint // the list known at the start, until discovery has spoken
-	due    eventloop.Deadline           // until when that is waited for
-	wary   time.Duration                // until when connections are thought to die unseen
-
-	// Told is called when discovery has told something; nil: nobody wants to know.
-	Told func()
-
-	// Applied is called when a version followed has come into force; nil: nobody wants to know.
-	Applied func(v membership.Version)
-
-	reconfigure func(changes []setting) error // puts changed settings in force, all or none
-
-	age       freshness.Tracker   // how old what hosts holds is
-	knowledge freshness.Knowledge // as the module was told last
-	oldDue    eventloop.Deadline  // when that may change by itself
-	usable    bool                // it has been good for something since the start
-
-	follower *follower // follows versioned changes in place of the watch; nil: the watch is open
-	control  ControlStats
-}
-
-// backend is one backend as discovery told it last.
-type backend struct {
-	name, dial string
-	state      decision.WorkerState
-	told       time.Duration // when that state was told
-	host       host          // discovery's words
-	idle       []*line       // the one used last at the end
-
-	proof     freshness.Proof // that it serves
-	confirmed time.Duration   // when the latest probe left that it answered; 0: never
-	suspended bool            // the module was told to send it nothing
+	hold     time.Duration // holdTime; tests that play the other end take longer
+	calm     time.Duration // settleTime; likewise
+	core     *dispatch.Dispatcher
+	engine   *transport.Engine
+	registry *Registry
+	lines    map[uint64]*line     // by the attempt that runs on it
+	idle     map[*backend][]*line // by the worker; the one used last at the end
+	out      []byte
+	wary     time.Duration // until when connections are thought to die unseen
 }
 
 // phase is where the answer on a line stands.
@@ -99,7 +65,7 @@
 	at      int               // bytes of it that have been taken in
 	text    *transport.Buffer // the line of the body at hand
 	chunked bool
-	chunk   chunks
+	chunk   ChunkReader
 	left    int // of a body of known length; -1: it ends with the connection
 	last    bool
 	status  int
@@ -151,20 +117,23 @@
 	longestPause = 40 * time.Millisecond
 )
 
-// NewBackends returns a carrier that follows discovery at addr.
-func NewBackends(c *dispatch.Dispatcher, e *transport.Engine, discovery string) *Backends {
-	s := &Backends{core: c, engine: e, hosts: map[string]*backend{}, lines: map[uint64]*line{}, hold: holdTime, calm: settleTime}
-	s.watch = watch{set: s, addr: discovery, random: rand.New(rand.NewPCG(c.Seed, 0))}
-	s.watch.due.Fire, s.watch.next.Fire = s.watch.expire, s.watch.open
-	s.reconfigure = s.reconfigureCore
-	s.oldDue.Fire = s.look
-	s.age.CanCheckHealth = c.Settings.HealthChecks
-	c.Loop.OnStall = func() { s.age.Stalled(c.Loop.Now()) }
-	s.due.Fire = func() { s.begin(nil) }
+// NewBackends returns a client for the workers that a registry lists.
+func NewBackends(c *dispatch.Dispatcher, e *transport.Engine, registry *Registry) *Backends {
+	s := &Backends{core: c, engine: e, registry: registry, lines: map[uint64]*line{}, idle: map[*backend][]*line{}, hold: holdTime, calm: settleTime}
+	registry.Attach(s)
 	c.AddSource(s)
 	return s
 }
 
+// The dispatcher asks a worker client for this interface at run time.
+var _ dispatch.Refresher = (*Backends)(nil)
+
+// Refresh brings up to date what may be done by the registry's list.
+func (s *Backends) Refresh() { s.registry.Refresh() }
+
+// Subscribe asks the registry for list changes from now on.
+func (s *Backends) Subscribe() { s.registry.Subscribe() }
+
 func (s *Backends) connectTime() time.Duration {
 	if t := s.core.Settings.ConnectTimeout; t > 0 {
 		return t
@@ -178,12 +147,12 @@
 
 // Start sends an attempt on the connection used last, or on a new one.
 func (s *Backends) Start(f dispatch.Attempt) {
-	b := s.hosts[f.Worker]
+	b := s.registry.Worker(f.Worker)
 	if b == nil {
 		s.core.AttemptEnded(f.Handle, decision.ConnectionRefused, decision.LoadReport{}, nil)
 		return
 	}
-	l := b.take(f.RepeatUnsafe)
+	l := s.take(b, f.RepeatUnsafe)
 	if l == nil {
 		l = s.dial(b)
 	}
@@ -197,16 +166,16 @@
 // take returns an idle connection that is still open and on which nothing has
 // come, the newest first, or the newest that has settled. One on which something
 // has come, or that the backend may have closed by now, is closed.
-func (b *backend) take(settled bool) *line {
-	for i := len(b.idle) - 1; i >= 0; i-- {
-		l := b.idle[i]
-		now := l.set.core.Loop.Now()
-		if settled && now-l.rested < l.set.calm {
+func (s *Backends) take(b *backend, settled bool) *line {
+	for i := len(s.idle[b]) - 1; i >= 0; i-- {
+		l := s.idle[b][i]
+		now := s.core.Loop.Now()
+		if settled && now-l.rested < s.calm {
 			continue
 		}
-		b.idle = slices.Delete(b.idle, i, i+1)
+		s.idle[b] = slices.Delete(s.idle[b], i, i+1)
 		if l.conn.Idle() && (l.until == 0 || now < l.until) {
-			l.set.core.Loop.Clear(&l.due)
+			s.core.Loop.Clear(&l.due)
 			return l
 		}
 		l.close()
@@ -234,7 +203,7 @@
 	s.engine.Dial(l.b.dial, s.connectTime()+50*time.Millisecond, l, func(c *transport.Conn, err error) {
 		if l.local = transport.IsLocalError(err); l.local {
 			if errors.Is(err, transport.ErrNoDescriptor) {
-				s.shed()
+				s.CloseAllIdle()
 			}
 			s.core.TraceStep(l.correlationID(), "dial tried again", "backend", l.b.name, "error", err)
 			s.core.Loop.After(l.redialPause(), l.connect)
@@ -263,21 +232,19 @@
 	return l.pause
 }
 
-// Idle closes all idle connections, which cost descriptors that others need more.
-func (s *Backends) Idle() { s.shed() }
-
-// shed closes all idle connections, since no descriptor is free for a new one.
-func (s *Backends) shed() {
-	for _, b := range s.hosts {
-		b.closeIdle()
+// CloseAllIdle closes all idle connections, which cost descriptors that others need more.
+func (s *Backends) CloseAllIdle() {
+	for b := range s.idle {
+		s.CloseIdleTo(b)
 	}
 }
 
-func (b *backend) closeIdle() {
-	for _, l := range b.idle {
+// CloseIdleTo closes the idle connections to a worker.
+func (s *Backends) CloseIdleTo(b *backend) {
+	for _, l := range s.idle[b] {
 		l.close()
 	}
-	b.idle = nil
+	delete(s.idle, b)
 }
 
 // late tells whether a backend that drains or has gone may get nothing new any more.
@@ -285,10 +252,10 @@
 	return b.state != decision.Running && now-b.told > max(grace-drainSlack, 0)
 }
 
-// left is told that a backend drains or has gone. What has not reached it when the
+// WorkerLeaving is told that a backend drains or has gone. What has not reached it when the
 // grace is over must not reach it any more, as it would once a way that was cut
 // off is free. Of one that has gone, only an answer shows that the request was there.
-func (s *Backends) left(b *backend) {
+func (s *Backends) WorkerLeaving(b *backend) {
 	const behind = time.Millisecond // late asks for more than the time itself
 	grace := s.core.Settings.DrainGrace
 	s.core.Loop.After(max(grace-drainSlack, 0)+behind, func() {
@@ -334,7 +301,7 @@
 		l.rest()
 		return
 	}
-	if l.attempt != 0 && s.admit(l.b, now) == confirm {
+	if l.attempt != 0 && s.registry.admit(l.b, now) == confirm {
 		l.ask(now)
 		return
 	}
@@ -349,7 +316,7 @@
 	rule, may := s.core.Guard.MaySend(invariant.Send{
 		Now: now, Deadline: l.job.Deadline, RepeatBy: l.job.RepeatBy,
 		Leaving: l.b.state != decision.Running, LeavingSince: l.b.told, Grace: max(s.core.Settings.DrainGrace-drainSlack, 0),
-		ListStale: s.admit(l.b, now) == suspended,
+		ListStale: s.registry.admit(l.b, now) == suspended,
 	})
 	if may {
 		return true
@@ -540,7 +507,7 @@
 		return
 	}
 	if o == decision.ConnectionRefused && l.attempt != 0 {
-		l.b.proof.Denied(&l.set.age)
+		l.set.registry.ConnectFailed(l.b)
 	}
 	if l.probe {
 		l.probe = false
@@ -581,15 +548,17 @@
 	if l.conn == nil || l.conn.Handle == 0 {
 		return
 	}
-	if l.last || l.b.state == decision.Removed || l.set.hosts[l.b.name] != l.b {
+	if l.last || l.b.state == decision.Removed || l.set.registry.Worker(l.b.name) != l.b {
 		l.close()
 		return
 	}
 	l.kept, l.rested, l.until = true, l.set.core.Loop.Now(), 0
-	if l.b.idle = append(l.b.idle, l); len(l.b.idle) > l.set.mostIdle() { // the one unused longest goes
-		l.b.idle[0].close()
-		l.b.idle = l.b.idle[1:]
+	idleConnections := append(l.set.idle[l.b], l)
+	if len(idleConnections) > l.set.mostIdle() { // the one unused longest goes
+		idleConnections[0].close()
+		idleConnections = idleConnections[1:]
 	}
+	l.set.idle[l.b] = idleConnections
 	if idle := l.set.core.Settings.ConnectionIdleTimeout; idle > 0 {
 		l.until = l.rested + max(idle-idleMargin, idle/2)
 		l.set.core.Loop.Set(&l.due, l.until)
@@ -609,11 +578,9 @@
 }
 
 func (l *line) unlist() {
-	for i, other := range l.b.idle {
-		if other == l {
-			l.b.idle = append(l.b.idle[:i], l.b.idle[i+1:]...)
-			return
-		}
+	i := slices.Index(l.set.idle[l.b], l)
+	if i >= 0 {
+		l.set.idle[l.b] = slices.Delete(l.set.idle[l.b], i, i+1)
 	}
 }
 
@@ -656,18 +623,18 @@
 
 // CloseIdle closes the idle connections to a backend.
 func (s *Backends) CloseIdle(name string) {
-	if b := s.hosts[name]; b != nil {
-		b.closeIdle()
+	if b := s.registry.Worker(name); b != nil {
+		s.CloseIdleTo(b)
 	}
 }
 
 // CheckHealth asks a backend for its load.
 func (s *Backends) CheckHealth(name string) {
-	b := s.hosts[name]
+	b := s.registry.Worker(name)
 	if b == nil {
 		return
 	}
-	l := b.take(false)
+	l := s.take(b, false)
 	if l == nil {
 		l = s.dial(b)
 	}
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -81,7 +81,7 @@
 	paused bool               // no more is read for now
 	flood  eventloop.Deadline // the next look for more than a session may have unread
 	posted bool               // a turn is on its way
-	scan   scan               // how far the body at hand has been looked at
+	scan   ScanState          // how far the body at hand has been looked at
 	idleAt time.Duration
 	idle   eventloop.Deadline
 }
@@ -666,10 +666,10 @@
 			}
 			break
 		}
-		var m message
-		ok, early, err := parseRequest(s.in.Bytes(), &m, &s.scan)
+		var m Message
+		ok, early, err := ParseRequest(s.in.Bytes(), &m, &s.scan)
 		if err == nil && !ok && len(s.in.Bytes()) == transport.BufferSize {
-			err = errBody // a chunked one of more frame than body: it has no room to become whole
+			err = ErrBodyTooLong // a chunked one of more frame than body: it has no room to become whole
 		}
 		if err != nil {
 			s.reject(err)
@@ -682,9 +682,9 @@
 			}
 			break
 		}
-		s.told, s.scan = false, scan{}
-		s.last = s.last || s.front.closing || m.has("Connection", "close") ||
-			bytes.Equal(m.c, []byte("HTTP/1.0")) && !m.has("Connection", "keep-alive")
+		s.told, s.scan = false, ScanState{}
+		s.last = s.last || s.front.closing || m.HasToken("Connection", "close") ||
+			bytes.Equal(m.Version(), []byte("HTTP/1.0")) && !m.HasToken("Connection", "keep-alive")
 		s.request(&m)
 	}
 	if s.gone || s.busy && s.last || s.front.shut { // the rest is skimmed, or not read at all
@@ -715,33 +715,33 @@
 // reject answers what cannot be understood, and ends the session, whose next bytes mean nothing.
 func (s *session) reject(err error) {
 	s.last = true
-	s.write(StatusOf(err), []byte(err.Error()+"\n"), 0, "")
+	s.write(statusOf(err), []byte(err.Error()+"\n"), 0, "")
 }
 
 // request handles one whole request.
-func (s *session) request(m *message) {
-	path, _, _ := bytes.Cut(m.b, []byte("?"))
+func (s *session) request(m *Message) {
+	path, _, _ := bytes.Cut(m.Target(), []byte("?"))
 	status, text, fields := 0, "", ""
 	job := dispatch.Request{ReceivedAt: s.since}
 	class, known := s.front.class(path)
 	switch {
 	case bytes.Equal(path, []byte("/healthz")):
 		status, text = 503, "not ready\n"
-		if !bytes.Equal(m.a, []byte("GET")) && !bytes.Equal(m.a, []byte("HEAD")) {
+		if !bytes.Equal(m.Method(), []byte("GET")) && !bytes.Equal(m.Method(), []byte("HEAD")) {
 			status, text, fields = 405, "GET only\n", "Allow: GET\r\n"
 		} else if s.front.ready() && (!s.front.stopping || s.front.left) && !s.front.away {
 			status, text = 200, "ready\n"
 		}
 	case !known:
 		status, text = 404, "no such class\n"
-	case !bytes.Equal(m.a, []byte("POST")):
+	case !bytes.Equal(m.Method(), []byte("POST")):
 		status, text, fields = 405, "POST only\n", "Allow: POST\r\n"
 	default:
 		if err := readJob(m, &job); err != nil {
 			status, text = 400, err.Error()+"\n"
 			s.front.core.CountResponse(class, dispatch.Failed)
-		} else if key := m.get("Idempotency-Key"); len(key) > 0 && s.front.keptClasses != nil && s.front.keptClasses[class] {
-			if isID([]byte(durable.RequestID(string(key)))) {
+		} else if key := m.Get("Idempotency-Key"); len(key) > 0 && s.front.keptClasses != nil && s.front.keptClasses[class] {
+			if IsIdentifier([]byte(durable.RequestID(string(key)))) {
 				job.Class = class
 				s.keep(m, job, string(key))
 				return
@@ -753,14 +753,14 @@
 			s.front.core.CountResponse(class, dispatch.Failed)
 		} else if s.front.relieve(); s.front.full() {
 			s.front.core.CountResponse(class, dispatch.Rejected)
-			s.cut(m.size)
+			s.cut(m.Size)
 			s.write(503, []byte(errMemory.Error()+"\n"), lateTime, "")
 			return
 		}
 	}
 	if status != 0 {
-		s.cut(m.size)
-		if bytes.Equal(m.a, []byte("HEAD")) { // its answer has no body, so the length would mislead
+		s.cut(m.Size)
+		if bytes.Equal(m.Method(), []byte("HEAD")) { // its answer has no body, so the length would mislead
 			s.last, text = true, ""
 		}
 		s.write(status, []byte(text), 0, fields)
@@ -781,31 +781,31 @@
 }
 
 // readJob reads what the request's line and fields say.
-func readJob(m *message, job *dispatch.Request) error {
-	id := m.get("X-Correlation-Id")
+func readJob(m *Message, job *dispatch.Request) error {
+	id := m.Get("X-Correlation-Id")
 	if len(id) == 0 {
 		return errors.New("no X-Correlation-Id")
 	}
-	if !isID(id) {
+	if !IsIdentifier(id) {
 		return errors.New("X-Correlation-Id is not of 1 to 128 letters, digits or -._:~+/=@")
 	}
-	job.ID, job.Target, job.IdempotencyKey = string(id), string(m.b), string(m.get("Idempotency-Key"))
-	path, _, _ := bytes.Cut(m.b, []byte("?"))
+	job.ID, job.Target, job.IdempotencyKey = string(id), string(m.Target()), string(m.Get("Idempotency-Key"))
+	path, _, _ := bytes.Cut(m.Target(), []byte("?"))
 	if i := bytes.LastIndexByte(path, '/'); i > 0 {
 		job.Key = string(path[i+1:])
 	}
-	if m.count("X-Time-Left-Ms") > 0 { // an empty one is no number either
-		ms, ok := number(m.get("X-Time-Left-Ms"))
+	if m.Count("X-Time-Left-Ms") > 0 { // an empty one is no number either
+		ms, ok := ParseNumber(m.Get("X-Time-Left-Ms"))
 		if !ok {
 			return errors.New("X-Time-Left-Ms is not a whole number")
 		}
 		job.TimeLeft = max(time.Duration(ms)*time.Millisecond, time.Nanosecond)
 	}
-	if us, err := strconv.ParseFloat(string(m.get("X-Weight-Hint")), 64); err == nil && us > 0 && us < 1e12 {
+	if us, err := strconv.ParseFloat(string(m.Get("X-Weight-Hint")), 64); err == nil && us > 0 && us < 1e12 {
 		job.Work = time.Duration(us * float64(time.Microsecond))
 	}
-	job.ClientRetry = bytes.Equal(m.get("X-Repeat"), []byte("1"))
-	for fact := range bytes.SplitSeq(m.get("X-Facts"), []byte(",")) {
+	job.ClientRetry = bytes.Equal(m.Get("X-Repeat"), []byte("1"))
+	for fact := range bytes.SplitSeq(m.Get("X-Facts"), []byte(",")) {
 		name, value, _ := bytes.Cut(bytes.TrimSpace(fact), []byte("="))
 		if x, err := strconv.ParseFloat(string(value), 64); err == nil && (string(name) == "slots" || string(name) == "needs") {
 			job.Slots = x
@@ -815,15 +815,15 @@
 }
 
 // take hands a request to the core. The buffer goes with it, and what came behind it moves to a new one.
-func (s *session) take(m *message, job dispatch.Request) {
+func (s *session) take(m *Message, job dispatch.Request) {
 	pool, held := &s.front.engine.Pool, s.in
 	s.in = nil
-	if rest := held.Bytes()[m.size:]; len(rest) > 0 {
+	if rest := held.Bytes()[m.Size:]; len(rest) > 0 {
 		s.in = pool.Get()
 		s.in.Append(rest)
 	}
 	s.refill()
-	job.Body = m.body
+	job.Body = m.Body
 	job.Release = func() { pool.Put(held) }
 	s.busy, s.req = true, 0
 	s.front.core.Loop.Clear(&s.idle)
@@ -868,7 +868,7 @@
 func (s *session) write(status int, body []byte, retryAfter time.Duration, fields string) {
 	f := s.front
 	s.last = s.last || f.pressed
-	f.out = AppendAnswer(f.out[:0], status, body, retryAfter, s.last, fields)
+	f.out = AppendResponse(f.out[:0], status, body, retryAfter, s.last, fields)
 	s.conn.Write(f.out)
 	switch {
 	case s.last:
--- /dev/null
+++ b/internal/platform/confirm.go
@@ -0,0 +1,68 @@
+package platform
+
+import (
+	"time"
+
+	"hollyyoke.example/hollyyoke/decision"
+)
+
+// ask asks the backend of the line's attempt whether it still serves, before its request.
+func (l *line) ask(now time.Duration) {
+	l.confirming, l.probe, l.asked = true, true, now
+	l.write(now)
+}
+
+// answered goes on with the attempt of a line whose backend has answered a probe made for it.
+func (l *line) answered() {
+	l.confirming = false
+	served := l.status == statusOK
+	reusable := !l.last
+	attempt := l.attempt
+	l.resetAnswer()
+	if !served {
+		l.deny()
+		l.settle(decision.NotSent, decision.LoadReport{}, nil)
+		l.rest()
+		return
+	}
+	l.set.registry.HealthConfirmed(l.b, l.asked)
+	if l.set.core.ClientGone(attempt) {
+		return
+	}
+	if reusable {
+		l.send()
+		return
+	}
+	l.move(false)
+	l.close()
+}
+
+// unconfirmed ends an attempt whose backend has not answered the probe made for it.
+// A kept connection may have been dead for long: the attempt goes on on another.
+func (l *line) unconfirmed() {
+	l.confirming, l.probe = false, false
+	if l.kept {
+		l.move(l.fresh)
+		return
+	}
+	l.deny()
+	l.settle(decision.NotSent, decision.LoadReport{}, nil)
+}
+
+// deny books that the line's backend has not shown that it serves.
+func (l *line) deny() { l.set.registry.HealthDenied(l.b) }
+
+// move takes the line's attempt to another connection of the same backend.
+func (l *line) move(fresh bool) {
+	s, attempt := l.set, l.attempt
+	l.attempt = 0
+	n := s.take(l.b, l.job.RepeatUnsafe)
+	if n == nil {
+		n = s.dial(l.b)
+	}
+	n.attempt, n.job, n.fresh = attempt, l.job, fresh
+	s.lines[attempt] = n
+	if n.conn != nil && !s.core.ClientGone(attempt) {
+		n.send()
+	}
+}
--- a/internal/platform/crossings_test.go
+++ b/internal/platform/crossings_test.go
@@ -310,9 +310,9 @@
 // sole returns a carrier that knows one backend, whose connections it uses again
 // after a rest of calm. It is for the loop.
 func (r *rig) sole(t *testing.T, ln net.Listener, calm time.Duration) *Backends {
-	b := NewBackends(r.core, r.engine, "")
+	b := r.workerClient("")
 	b.calm = calm
-	if err := b.Known(fmt.Appendf(nil, `{"hosts":[{"host":"s","dial":%q,"health":"ready"}]}`, ln.Addr())); err != nil {
+	if err := b.registry.Known(fmt.Appendf(nil, `{"hosts":[{"host":"s","dial":%q,"health":"ready"}]}`, ln.Addr())); err != nil {
 		t.Error(err)
 	}
 	return b
@@ -422,7 +422,7 @@
 		other.Close()
 	}
 	until(t, "the others' ends are noticed", func() (alone bool) {
-		r.do(func() { alone = len(b.hosts["s"].idle) == 1 })
+		r.do(func() { alone = len(b.idle[b.registry.hosts["s"]]) == 1 })
 		return alone
 	})
 	safe := r.take(0, "id000004")
@@ -454,7 +454,7 @@
 	r.do(func() {
 		r.core.Accept(answering(func(a dispatch.Response) {
 			r.core.Loop.Post(func() { // its connection rests by now, and its time passes in this turn
-				end = b.hosts["s"].idle[0].until
+				end = b.idle[b.registry.hosts["s"]][0].until
 				second = make(judge, 1)
 				close(release)
 				for r.core.Loop.Now() <= end {
@@ -539,7 +539,7 @@
 			if v := verdict(t, got); v == dispatch.Served { // all backends know a repeat, so it may be refused too
 				t.Errorf("with the window over: %v", v)
 			}
-			r.do(func() { b.Idle() })
+			r.do(func() { b.CloseAllIdle() })
 			if text, err := io.ReadAll(from); len(text) > 0 || err != nil {
 				t.Errorf("the repeat left all the same: %q, %v", text, err)
 			}
@@ -658,7 +658,7 @@
 				}
 				receive(t, over)
 				go r.do(func() { // a connection that came up and carries nothing rests; it is closed then
-					r.core.Loop.After(time.Second, func() { b.Idle() })
+					r.core.Loop.After(time.Second, func() { b.CloseAllIdle() })
 				})
 				text, _ := io.ReadAll(in)
 				if _, body, _ := bytes.Cut(text, []byte("\r\n\r\n")); len(body) >= 64<<10 || where == "connecting" && len(text) > 0 {
@@ -791,9 +791,9 @@
 			s.Peers, s.ListPollInterval, s.DrainGrace = peers, 10*time.Second, 500*time.Millisecond
 		})
 		addr, came := calls(t)
-		var b *Backends
+		var b *Registry
 		r.do(func() {
-			b = NewBackends(r.core, r.engine, addr)
+			b = r.workerClient(addr).registry
 			if err := b.Known([]byte(`{"seq":41,"hosts":[{"host":"old","dial":"127.0.0.1:9","health":"ready"}]}`)); err != nil {
 				t.Error(err)
 			}
@@ -853,9 +853,9 @@
 		for _, piece := range []int{1 << 20, 4096, 7} {
 			r := newRig(t)
 			addr, came := calls(t)
-			var b *Backends
+			var b *Registry
 			r.do(func() {
-				b = NewBackends(r.core, r.engine, addr)
+				b = r.workerClient(addr).registry
 				b.core.Settings.DrainGrace = time.Minute // the call has its time
 				if err := b.Known(nil); err != nil {
 					t.Error(err)
@@ -895,7 +895,7 @@
 	f.Add([]byte("{\n \"a\": 1\n}\n\r\n[1]\n"), byte(3))
 	f.Fuzz(func(t *testing.T, text []byte, cut byte) {
 		read := func(piece int) (got []string, failed bool) {
-			var o objects
+			var o objectSplitter
 			for at := 0; at < len(text); at += piece {
 				for data := text[at:min(at+piece, len(text))]; len(data) > 0; {
 					object, used, whole, err := o.next(data)
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -37,11 +37,11 @@
 	return &rig{c, r.engine}
 }
 
-// follow makes a carrier that follows discovery at an address.
-func (r *rig) follow(t *testing.T, addr string) (b *Backends) {
+// follow makes a registry that follows discovery at an address.
+func (r *rig) follow(t *testing.T, addr string) (b *Registry) {
 	t.Helper()
 	r.do(func() {
-		b = NewBackends(r.core, r.engine, addr)
+		b = r.workerClient(addr).registry
 		if err := b.Known([]byte(oldList)); err != nil {
 			t.Error(err)
 		}
@@ -329,8 +329,8 @@
 	own.mu.Unlock()
 	var b *Backends
 	r.do(func() {
-		b = NewBackends(r.core, r.engine, "")
-		if err := b.Known(fmt.Appendf(nil, `{"hosts":[{"host":"other","dial":%q,"health":"draining"},{"host":"own","dial":%q,"health":"ready"}]}`,
+		b = r.workerClient("")
+		if err := b.registry.Known(fmt.Appendf(nil, `{"hosts":[{"host":"other","dial":%q,"health":"draining"},{"host":"own","dial":%q,"health":"ready"}]}`,
 			other.ln.Addr(), own.ln.Addr())); err != nil {
 			t.Error(err)
 		}
@@ -339,7 +339,7 @@
 		}
 	})
 	until(t, "all connections rest", func() (full bool) {
-		r.do(func() { full = len(b.hosts["other"].idle) == most })
+		r.do(func() { full = len(b.idle[b.registry.hosts["other"]]) == most })
 		return full
 	})
 	if n := r.fill(t, own.ln.Addr().String()); n != 0 {
--- /dev/null
+++ b/internal/platform/errors.go
@@ -0,0 +1,22 @@
+package platform
+
+import "errors"
+
+// Errors of requests that the front end gives up before it has read them whole.
+var (
+	errSlow   = errors.New("the request did not come in time")
+	errMemory = errors.New("too many requests are half sent")
+	errEnding = errors.New("the dispatcher is ending")
+	errCaps   = errors.New("too many requests of this address are half sent")
+)
+
+// statusOf returns the status code that answers a request which was not read whole.
+func statusOf(err error) int {
+	switch {
+	case errors.Is(err, errSlow):
+		return 408
+	case errors.Is(err, errMemory), errors.Is(err, errCaps), errors.Is(err, errEnding):
+		return 503
+	}
+	return StatusOf(err)
+}
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -97,10 +97,10 @@
 func TestGoldenStatuses(t *testing.T) {
 	var text []byte
 	for _, status := range []int{200, 400, 404, 405, 408, 409, 413, 431, 500, 502, 503} {
-		text = AppendAnswer(text, status, []byte("text\n"), 0, false, "")
+		text = AppendResponse(text, status, []byte("text\n"), 0, false, "")
 	}
-	text = AppendAnswer(text, 503, nil, time.Millisecond, true, "Allow: GET\r\n")
-	text = AppendAnswer(text, 503, []byte("b"), 1499*time.Millisecond, false, "")
+	text = AppendResponse(text, 503, nil, time.Millisecond, true, "Allow: GET\r\n")
+	text = AppendResponse(text, 503, []byte("b"), 1499*time.Millisecond, false, "")
 	golden(t, "statuses.golden", string(text))
 }
 
@@ -156,8 +156,8 @@
 	addr, accept := listenOnLoopback(t)
 	var set *Backends
 	r.do(func() {
-		set = NewBackends(r.core, r.engine, "")
-		if err := set.Known(fmt.Appendf(nil, `{"hosts":[{"host":"s","dial":%q,"site":"here","health":"ready"}]}`, addr)); err != nil {
+		set = r.workerClient("")
+		if err := set.registry.Known(fmt.Appendf(nil, `{"hosts":[{"host":"s","dial":%q,"site":"here","health":"ready"}]}`, addr)); err != nil {
 			t.Error(err)
 		}
 	})
@@ -197,8 +197,7 @@
 		r := newRig(t, func(s *decision.Settings) { s.ListBySubscription, s.Peers = ask, 1 })
 		addr, accept := listenOnLoopback(t)
 		r.do(func() {
-			set := NewBackends(r.core, r.engine, addr)
-			set.Subscribe()
+			r.workerClient(addr).Subscribe()
 		})
 		h := accept()
 		text.WriteString(h.request(0))
@@ -214,7 +213,7 @@
 	r := newRig(t)
 	addr, accept := listenOnLoopback(t)
 	r.do(func() {
-		set := NewBackends(r.core, r.engine, "")
+		set := r.workerClient("").registry
 		set.Follow((&subject{}).config(0, &server{addr: addr}))
 		if err := set.Known([]byte(`{"hosts":[]}`)); err != nil {
 			t.Error(err)
--- a/internal/platform/keep.go
+++ b/internal/platform/keep.go
@@ -26,10 +26,10 @@
 
 // keep takes a request on durably and answers what became of the job under its
 // key, or that it is kept, where that is not known before the client gives up.
-func (s *session) keep(m *message, job dispatch.Request, key string) {
+func (s *session) keep(m *Message, job dispatch.Request, key string) {
 	f := s.front
 	if f.kept == nil {
-		s.cut(m.size)
+		s.cut(m.Size)
 		f.core.CountResponse(job.Class, dispatch.Rejected)
 		s.write(503, []byte("the other process has the store\n"), askAgain, "")
 		return
@@ -39,9 +39,9 @@
 	if job.TimeLeft > 0 {
 		left = min(left, job.TimeLeft)
 	}
-	r := durable.Request{Target: job.Target, Key: job.Key, Body: bytes.Clone(m.body), Slots: job.Slots, Work: job.Work}
+	r := durable.Request{Target: job.Target, Key: job.Key, Body: bytes.Clone(m.Body), Slots: job.Slots, Work: job.Work}
 	j := r.Job(key, class.Name, class.Idempotency != decision.Idempotent)
-	s.cut(m.size)
+	s.cut(m.Size)
 	s.busy, s.req = true, 0
 	s.keeps++
 	n := s.keeps
--- a/internal/platform/knowledge.go
+++ b/internal/platform/knowledge.go
@@ -6,7 +6,6 @@
 	"time"
 
 	"hollyyoke.example/hollyyoke/decision"
-	"hollyyoke.example/hollyyoke/internal/dispatch"
 	"hollyyoke.example/hollyyoke/internal/freshness"
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
@@ -25,11 +24,8 @@
 	suspended           // not at present
 )
 
-// The dispatcher asks a worker client for this interface at run time.
-var _ dispatch.Refresher = (*Backends)(nil)
-
 // Refresh brings up to date what may be done by the list.
-func (s *Backends) Refresh() {
+func (s *Registry) Refresh() {
 	knowledge, now := s.knowledgeNow(), s.core.Loop.Now()
 	s.usable = s.usable || s.first == nil && knowledge != freshness.Unknown
 	if knowledge == s.knowledge {
@@ -45,7 +41,7 @@
 }
 
 // look is told that what may be done by the list may have changed by itself.
-func (s *Backends) look() {
+func (s *Registry) look() {
 	s.Refresh()
 	if next := s.age.NextChange(s.core.Loop.Now()); next > 0 {
 		s.core.Loop.Set(&s.oldDue, next)
@@ -54,7 +50,7 @@
 
 // knowledgeNow tells what the list is good for. One that nobody renews does not
 // grow old, and where backends cannot be asked, an unconfirmed one is served by.
-func (s *Backends) knowledgeNow() freshness.Knowledge {
+func (s *Registry) knowledgeNow() freshness.Knowledge {
 	if s.follower != nil || s.watch.addr == "" || s.first != nil {
 		return freshness.Current
 	}
@@ -66,7 +62,7 @@
 }
 
 // heard tells that a whole line of discovery has come.
-func (s *Backends) heard() {
+func (s *Registry) heard() {
 	s.age.Confirmed(s.core.Loop.Now())
 	s.look()
 	if s.knowledge == freshness.Unknown { // what is listed anew too
@@ -75,7 +71,7 @@
 }
 
 // suspendAll suspends all backends that are listed as running.
-func (s *Backends) suspendAll() {
+func (s *Registry) suspendAll() {
 	var names []string
 	for name, b := range s.hosts {
 		if b.state == decision.Running && !b.suspended {
@@ -84,21 +80,21 @@
 		}
 	}
 	slices.Sort(names) // a map's order would make runs differ
-	s.core.SuspendWorkers(s, names)
+	s.core.SuspendWorkers(s.client, names)
 }
 
 // suspend suspends one backend until the list is current again.
-func (s *Backends) suspend(b *backend) {
+func (s *Registry) suspend(b *backend) {
 	if b.suspended || s.hosts[b.name] != b {
 		return
 	}
 	b.suspended = true
 	s.core.TraceStep("", "worker suspended", "backend", b.name)
-	s.core.SuspendWorkers(s, []string{b.name})
+	s.core.SuspendWorkers(s.client, []string{b.name})
 }
 
 // resume takes back the suspension of those that may be sent to.
-func (s *Backends) resume(may func(*backend) bool) {
+func (s *Registry) resume(may func(*backend) bool) {
 	var names []string
 	for name, b := range s.hosts {
 		if b.suspended && may(b) {
@@ -107,11 +103,11 @@
 		}
 	}
 	slices.Sort(names)
-	s.core.ResumeWorkers(s, names)
+	s.core.ResumeWorkers(s.client, names)
 }
 
 // admit tells what may become of a request that is ready to leave for a backend.
-func (s *Backends) admit(b *backend, now time.Duration) admission {
+func (s *Registry) admit(b *backend, now time.Duration) admission {
 	switch s.knowledgeNow() {
 	case freshness.Current:
 		return admitted
@@ -132,72 +128,6 @@
 // counted from when the probe left: the backend may begin to drain right after it.
 const confirmedPart = 2
 
-// ask asks the backend of the line's attempt whether it still serves, before its request.
-func (l *line) ask(now time.Duration) {
-	l.confirming, l.probe, l.asked = true, true, now
-	l.write(now)
-}
-
-// answered goes on with the attempt of a line whose backend has answered a probe made for it.
-func (l *line) answered() {
-	l.confirming = false
-	served := l.status == statusOK
-	reusable := !l.last
-	attempt := l.attempt
-	l.resetAnswer()
-	if !served {
-		l.deny()
-		l.settle(decision.NotSent, decision.LoadReport{}, nil)
-		l.rest()
-		return
-	}
-	l.b.confirmed = l.asked
-	if l.set.core.ClientGone(attempt) {
-		return
-	}
-	if reusable {
-		l.send()
-		return
-	}
-	l.move(false)
-	l.close()
-}
-
-// unconfirmed ends an attempt whose backend has not answered the probe made for it.
-// A kept connection may have been dead for long: the attempt goes on on another.
-func (l *line) unconfirmed() {
-	l.confirming, l.probe = false, false
-	if l.kept {
-		l.move(l.fresh)
-		return
-	}
-	l.deny()
-	l.settle(decision.NotSent, decision.LoadReport{}, nil)
-}
-
-// deny books that the line's backend has not shown that it serves.
-func (l *line) deny() {
-	l.b.proof.Denied(&l.set.age)
-	if l.set.knowledge == freshness.Unconfirmed {
-		l.set.suspend(l.b)
-	}
-}
-
-// move takes the line's attempt to another connection of the same backend.
-func (l *line) move(fresh bool) {
-	s, attempt := l.set, l.attempt
-	l.attempt = 0
-	n := l.b.take(l.job.RepeatUnsafe)
-	if n == nil {
-		n = s.dial(l.b)
-	}
-	n.attempt, n.job, n.fresh = attempt, l.job, fresh
-	s.lines[attempt] = n
-	if n.conn != nil && !s.core.ClientGone(attempt) {
-		n.send()
-	}
-}
-
 // failure tells what a call to discovery that ended in vain says of it.
 func (w *watch) failure(err error) freshness.Failure {
 	switch {
@@ -215,3 +145,17 @@
 	}
 	return freshness.NotReached
 }
+
+// HealthConfirmed tells that a worker has answered a health check that left at a time.
+func (s *Registry) HealthConfirmed(b *backend, asked time.Duration) { b.confirmed = asked }
+
+// HealthDenied tells that a worker has not shown that it serves, though it was asked.
+func (s *Registry) HealthDenied(b *backend) {
+	b.proof.Denied(&s.age)
+	if s.knowledge == freshness.Unconfirmed {
+		s.suspend(b)
+	}
+}
+
+// ConnectFailed tells that no connection to a worker came up.
+func (s *Registry) ConnectFailed(b *backend) { b.proof.Denied(&s.age) }
--- a/internal/platform/leaving_test.go
+++ b/internal/platform/leaving_test.go
@@ -41,8 +41,8 @@
 		hosts = append(hosts, fmt.Sprintf(`{"host":"s%d","dial":%q,"health":"ready"}`, i, ln.Addr()))
 	}
 	d.do(func() {
-		d.backends = NewBackends(d.core, d.engine, "")
-		if err := d.backends.Known(fmt.Appendf(nil, `{"hosts":[%s]}`, strings.Join(hosts, ","))); err != nil {
+		d.backends = d.workerClient("")
+		if err := d.backends.registry.Known(fmt.Appendf(nil, `{"hosts":[%s]}`, strings.Join(hosts, ","))); err != nil {
 			t.Error(err)
 		}
 		front := NewFront(d.core, d.engine, 64<<20, func() bool { return true })
--- a/internal/platform/list.go
+++ b/internal/platform/list.go
@@ -19,7 +19,7 @@
 // list of which another part is wrong.
 
 // Listed tells whether there is a backend that takes new work, by what is known so far.
-func (s *Backends) Listed() bool {
+func (s *Registry) Listed() bool {
 	for _, b := range s.hosts {
 		if b.state == decision.Running {
 			return true
@@ -59,7 +59,7 @@
 // had its time. Reqs are taken meanwhile and wait for that list, since a client
 // that is let in late has nobody else to go to. In a herd of dispatchers the word
 // of discovery may be long in coming, and the list known serves at once.
-func (s *Backends) Known(raw []byte) error {
+func (s *Registry) Known(raw []byte) error {
 	list := hosts{Whole: true}
 	if len(raw) > 0 {
 		if err := json.Unmarshal(raw, &list); err != nil {
@@ -95,7 +95,7 @@
 }
 
 // begin gives the module the list known at the start, with what has changed since.
-func (s *Backends) begin(changes []decision.Endpoint) {
+func (s *Registry) begin(changes []decision.Endpoint) {
 	if s.first == nil {
 		return
 	}
@@ -109,12 +109,12 @@
 	})
 	s.first = nil
 	s.core.Loop.Clear(&s.due)
-	s.core.UpdateWorkers(s, decision.ListCached, entries)
+	s.core.UpdateWorkers(s.client, decision.ListCached, entries)
 	s.look()
 }
 
 // Tell tells where discovery is, and the list in its words, for a successor.
-func (s *Backends) Tell() (addr string, list json.RawMessage, err error) {
+func (s *Registry) Tell() (addr string, list json.RawMessage, err error) {
 	words := map[decision.WorkerState]string{decision.Running: "ready", decision.Draining: "draining"}
 	l := hosts{Seq: s.watch.seq, Whole: true, Hosts: []host{}}
 	if f := s.follower; f != nil {
@@ -136,7 +136,7 @@
 
 // Relay takes in the list that the predecessor has heard, as long as discovery
 // is silent here. Its word comes first once it speaks.
-func (s *Backends) Relay(raw json.RawMessage) error {
+func (s *Registry) Relay(raw json.RawMessage) error {
 	var list hosts
 	if s.watch.live || s.follower != nil && s.follower.current != nil {
 		return nil
@@ -161,10 +161,10 @@
 }
 
 // replace puts a complete list in the place of what is known.
-func (s *Backends) replace(entries []decision.Endpoint) {
+func (s *Registry) replace(entries []decision.Endpoint) {
 	s.onlyThese(entries)
 	if s.first == nil {
-		s.core.UpdateWorkers(s, decision.ListSnapshot, entries)
+		s.core.UpdateWorkers(s.client, decision.ListSnapshot, entries)
 		return
 	}
 	clear(s.first)
@@ -174,7 +174,7 @@
 }
 
 // CheckList tells what is wrong with a list of backends, and takes in none of it.
-func (s *Backends) CheckList(raw []byte) error {
+func (s *Registry) CheckList(raw []byte) error {
 	var list hosts
 	if len(raw) == 0 {
 		return nil
@@ -190,7 +190,7 @@
 }
 
 // onlyThese marks all backends as gone that a complete list lacks.
-func (s *Backends) onlyThese(entries []decision.Endpoint) {
+func (s *Registry) onlyThese(entries []decision.Endpoint) {
 	listed := map[string]bool{}
 	for _, e := range entries {
 		listed[e.Name] = true
@@ -202,17 +202,17 @@
 	}
 }
 
-func (s *Backends) gone(b *backend) {
+func (s *Registry) gone(b *backend) {
 	if b.state != decision.Removed {
 		b.state, b.told = decision.Removed, s.core.Loop.Now()
-		s.left(b)
+		s.client.WorkerLeaving(b)
 	}
-	b.closeIdle()
+	s.client.CloseIdleTo(b)
 	delete(s.hosts, b.name)
 }
 
 // parse checks a whole list and takes in none of it.
-func (s *Backends) parse(list []host) ([]decision.Endpoint, error) {
+func (s *Registry) parse(list []host) ([]decision.Endpoint, error) {
 	entries := make([]decision.Endpoint, 0, len(list))
 	for i, h := range list {
 		at := "hosts[" + strconv.Itoa(i) + "]"
@@ -245,7 +245,7 @@
 }
 
 // entries takes in a list, unless some of it is wrong.
-func (s *Backends) entries(list []host) ([]decision.Endpoint, error) {
+func (s *Registry) entries(list []host) ([]decision.Endpoint, error) {
 	entries, err := s.parse(list)
 	if err == nil {
 		s.adopt(list, entries)
@@ -254,7 +254,7 @@
 }
 
 // adopt takes in a list that has been parsed.
-func (s *Backends) adopt(list []host, entries []decision.Endpoint) {
+func (s *Registry) adopt(list []host, entries []decision.Endpoint) {
 	now := s.core.Loop.Now()
 	for i, e := range entries {
 		b := s.hosts[e.Name]
@@ -269,13 +269,13 @@
 			s.hosts[e.Name] = b
 		}
 		if b.dial != list[i].Dial {
-			b.closeIdle()
+			s.client.CloseIdleTo(b)
 			b.dial = list[i].Dial
 		}
 		if b.host = list[i]; b.state != e.State {
 			b.state, b.told = e.State, now
 			if e.State == decision.Draining {
-				s.left(b)
+				s.client.WorkerLeaving(b)
 			}
 		}
 	}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -54,6 +54,11 @@
 	return &rig{c, e}
 }
 
+// workerClient returns a worker client with a registry that follows discovery at addr.
+func (r *rig) workerClient(addr string) *Backends {
+	return NewBackends(r.core, r.engine, NewRegistry(r.core, r.engine, addr))
+}
+
 // do runs f on the loop's goroutine.
 func (r *rig) do(f func()) {
 	done := make(chan struct{})
@@ -122,7 +127,7 @@
 	{"POST /renewal/k HTTP/1.1\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400, true},
 	{"POST /renewal/k HTTP/1.1\r\nX-Correlation-Id: IDENTITY\r\nContent-Length: 65537\r\n\r\n", 413, true},
 	{"POST /renewal/k HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n" + strings.Repeat("x", 65537), 413, true},
-	{"POST /renewal/k HTTP/1.1\r\nX-Long: " + strings.Repeat("x", maxHead) + "\r\n\r\n", 431, true},
+	{"POST /renewal/k HTTP/1.1\r\nX-Long: " + strings.Repeat("x", MaxHead) + "\r\n\r\n", 431, true},
 }
 
 // FuzzSession checks a client session against a model: whatever the requests,
@@ -511,10 +516,10 @@
 	}
 	r, s := newRig(f), newStand(f)
 	r.do(func() {
-		b := NewBackends(r.core, r.engine, "")
+		b := r.workerClient("")
 		b.calm = 0 // a connection is used again at once
 		known := fmt.Sprintf(`{"hosts":[{"host":"s","dial":%q,"site":"here","health":"ready"}]}`, s.ln.Addr())
-		if err := b.Known([]byte(known)); err != nil {
+		if err := b.registry.Known([]byte(known)); err != nil {
 			f.Error(err)
 		}
 	})
@@ -567,10 +572,10 @@
 	defer ln.Close()
 	var b *Backends
 	r.do(func() {
-		b = NewBackends(r.core, r.engine, "")
+		b = r.workerClient("")
 		b.hold = 400 * time.Millisecond // this end must act within it, however busy the machine is
 		b.calm = 0                      // a connection is used again at once
-		if err := b.Known(fmt.Appendf(nil, `{"hosts":[{"host":"s","dial":%q,"health":"ready"}]}`, ln.Addr())); err != nil {
+		if err := b.registry.Known(fmt.Appendf(nil, `{"hosts":[{"host":"s","dial":%q,"health":"ready"}]}`, ln.Addr())); err != nil {
 			t.Error(err)
 		}
 	})
@@ -654,10 +659,10 @@
 	defer silent.Close()
 	var b *Backends
 	r.do(func() {
-		b = NewBackends(r.core, r.engine, "")
+		b = r.workerClient("")
 		b.calm = 0 // a connection is used again at once
 		known := `{"hosts":[{"host":"s","dial":%q,"health":"ready"},{"host":"silent","dial":%q,"health":"draining"}]}`
-		if err := b.Known(fmt.Appendf(nil, known, s.ln.Addr(), silent.Addr())); err != nil {
+		if err := b.registry.Known(fmt.Appendf(nil, known, s.ln.Addr(), silent.Addr())); err != nil {
 			t.Error(err)
 		}
 		b.CheckHealth("silent")
@@ -677,7 +682,7 @@
 	r.do(func() { b.CheckHealth("s") })
 	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
 		idle := 0
-		r.do(func() { idle = len(b.hosts["s"].idle) })
+		r.do(func() { idle = len(b.idle[b.registry.hosts["s"]]) })
 		if idle == 1 {
 			break
 		}
@@ -717,32 +722,32 @@
 		if len(b) > transport.BufferSize {
 			return
 		}
-		var m message
-		ok, _, err := parseRequest(slices.Clone(b), &m, new(scan))
-		if ok && (err != nil || m.size > len(b) || len(m.body) > m.size || len(m.body) > maxBody) {
-			t.Fatalf("size %d, body %d of %d bytes, %v", m.size, len(m.body), len(b), err)
+		var m Message
+		ok, _, err := ParseRequest(slices.Clone(b), &m, new(ScanState))
+		if ok && (err != nil || m.Size > len(b) || len(m.Body) > m.Size || len(m.Body) > MaxBody) {
+			t.Fatalf("size %d, body %d of %d bytes, %v", m.Size, len(m.Body), len(b), err)
 		}
 		// In pieces it is the same as at once, and what has been looked at stays so.
-		var sc scan
+		var sc ScanState
 		for n := 1; n <= min(len(b), 700); n++ {
-			var whole, piece message
-			seen, at := sc.head, sc.at
-			ok1, _, err1 := parseRequest(slices.Clone(b[:n]), &whole, new(scan))
-			ok2, _, err2 := parseRequest(slices.Clone(b[:n]), &piece, &sc)
-			if ok1 != ok2 || err1 != err2 || !bytes.Equal(whole.body, piece.body) || whole.size != piece.size && ok1 {
+			var whole, piece Message
+			seen, at := sc.headScanned, sc.bodyScanned
+			ok1, _, err1 := ParseRequest(slices.Clone(b[:n]), &whole, new(ScanState))
+			ok2, _, err2 := ParseRequest(slices.Clone(b[:n]), &piece, &sc)
+			if ok1 != ok2 || err1 != err2 || !bytes.Equal(whole.Body, piece.Body) || whole.Size != piece.Size && ok1 {
 				t.Fatalf("%d bytes of %q: at once %v, %v; in pieces %v, %v", n, b, ok1, err1, ok2, err2)
 			}
 			if ok1 || err1 != nil {
 				break
 			}
-			if sc.need == 0 && !sc.chunked && sc.head != n || sc.head < seen-1 || sc.at < at {
-				t.Fatalf("%d bytes of %q: looked at %d, then %d; body %d, then %d", n, b, seen, sc.head, at, sc.at)
+			if sc.needed == 0 && !sc.chunked && sc.headScanned != n || sc.headScanned < seen-1 || sc.bodyScanned < at {
+				t.Fatalf("%d bytes of %q: looked at %d, then %d; body %d, then %d", n, b, seen, sc.headScanned, at, sc.bodyScanned)
 			}
 		}
-		var h head
-		if ok, _ := parseHead(b, &h, new(int)); ok {
-			h.framing()
-			h.has("Connection", "close")
+		var h Head
+		if ok, _ := ParseHead(b, &h, new(int)); ok {
+			h.Framing()
+			h.HasToken("Connection", "close")
 		}
 	})
 }
@@ -853,8 +858,8 @@
 		s.mu.Unlock()
 		var b *Backends
 		r.do(func() {
-			b = NewBackends(r.core, r.engine, "")
-			if err := b.Known(fmt.Appendf(nil, `{"hosts":[{"host":"s","dial":%q,"health":"ready"}]}`, s.ln.Addr())); err != nil {
+			b = r.workerClient("")
+			if err := b.registry.Known(fmt.Appendf(nil, `{"hosts":[{"host":"s","dial":%q,"health":"ready"}]}`, s.ln.Addr())); err != nil {
 				t.Error(err)
 			}
 			for range 5 {
@@ -863,7 +868,7 @@
 		})
 		for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
 			idle, open := 0, 0
-			r.do(func() { idle, open = len(b.hosts["s"].idle), r.engine.OpenConnections() })
+			r.do(func() { idle, open = len(b.idle[b.registry.hosts["s"]]), r.engine.OpenConnections() })
 			s.mu.Lock()
 			came := len(s.conns)
 			s.mu.Unlock()
--- a/internal/platform/relaycall.go
+++ b/internal/platform/relaycall.go
@@ -40,7 +40,7 @@
 	gzipped bool
 	last    bool // the server closes the connection behind it
 	chunked bool
-	chunk   chunks
+	chunk   ChunkReader
 	left    int // of a body of known length
 	ended   bool
 }
@@ -64,7 +64,7 @@
 			return false, err
 		}
 		if r.ended && (len(data) > 0 || len(r.in.Bytes()) > 0) || n == 0 {
-			return false, errMalformed // bytes behind the answer, or a frame line without end
+			return false, ErrMalformed // bytes behind the answer, or a frame line without end
 		}
 	}
 	return r.ended, nil
@@ -97,16 +97,16 @@
 func (r *answerReader) piece(in []byte) (body []byte, used int, err error) {
 	switch {
 	case !r.headed:
-		var h head
-		ok, err := parseHead(in, &h, &r.seen)
+		var h Head
+		ok, err := ParseHead(in, &h, &r.seen)
 		if !ok {
 			return nil, 0, err
 		}
 		r.seen = 0
-		return nil, h.size, r.begin(&h)
+		return nil, h.Size, r.begin(&h)
 	case r.chunked:
-		body, used, err = r.chunk.next(in)
-		r.ended = r.chunk.done
+		body, used, err = r.chunk.Next(in)
+		r.ended = r.chunk.Done()
 		return body, used, err
 	default:
 		used = min(len(in), r.left)
@@ -117,10 +117,10 @@
 }
 
 // begin takes in the head of the answer.
-func (r *answerReader) begin(h *head) error {
-	status, ok := number(h.b)
-	if !ok || !bytes.HasPrefix(h.a, []byte("HTTP/1.")) {
-		return errMalformed
+func (r *answerReader) begin(h *Head) error {
+	status, ok := h.Status()
+	if !ok {
+		return ErrMalformed
 	}
 	if status < 200 {
 		return nil // an interim answer; the real one follows
@@ -128,20 +128,20 @@
 	if status != 200 {
 		return statusError(status)
 	}
-	length, chunked, err := h.framing()
+	length, chunked, err := h.Framing()
 	if err != nil {
 		return err
 	}
 	if !chunked && length < 0 {
 		return errLength
 	}
-	coding := h.get("Content-Encoding")
-	r.gzipped = equalFold(coding, "gzip")
-	if coding != nil && !r.gzipped && !equalFold(coding, "identity") {
+	coding := h.Get("Content-Encoding")
+	r.gzipped = EqualFold(coding, "gzip")
+	if coding != nil && !r.gzipped && !EqualFold(coding, "identity") {
 		return errCoding
 	}
 	r.headed, r.chunked, r.left = true, chunked, length
-	r.last = h.has("Connection", "close")
+	r.last = h.HasToken("Connection", "close")
 	r.ended = length == 0
 	return nil
 }
--- a/internal/platform/relaychange.go
+++ b/internal/platform/relaychange.go
@@ -223,7 +223,7 @@
 
 // reconfigureCore hands changed settings to the core. The list that goes with them
 // follows in the same turn of the loop.
-func (s *Backends) reconfigureCore(changes []setting) error {
+func (s *Registry) reconfigureCore(changes []setting) error {
 	list := make([]settings.Change, 0, len(changes))
 	for _, c := range changes {
 		list = append(list, settings.Change(c))
@@ -279,17 +279,17 @@
 
 // list tells the module of a change that has been taken in. The first one goes
 // with the list known at the start, as a change of it or in its place.
-func (s *Backends) list(whole bool, entries []decision.Endpoint) {
+func (s *Registry) list(whole bool, entries []decision.Endpoint) {
 	switch {
 	case whole:
 		s.onlyThese(entries)
 		s.first = nil
 		s.core.Loop.Clear(&s.due)
-		s.core.UpdateWorkers(s, decision.ListSnapshot, entries)
+		s.core.UpdateWorkers(s.client, decision.ListSnapshot, entries)
 	case s.first != nil:
 		s.begin(entries)
 	case len(entries) > 0:
-		s.core.UpdateWorkers(s, decision.ListDelta, entries)
+		s.core.UpdateWorkers(s.client, decision.ListDelta, entries)
 	}
 }
 
--- a/internal/platform/relaylink.go
+++ b/internal/platform/relaylink.go
@@ -24,7 +24,7 @@
 
 // link is a connection to a server of changes.
 type link struct {
-	set    *Backends
+	set    *Registry
 	addr   string
 	fields string // header fields of a request
 
@@ -72,7 +72,7 @@
 			}
 		case err != nil:
 			if errors.Is(err, transport.ErrNoDescriptor) {
-				l.set.shed()
+				l.set.client.CloseAllIdle()
 			}
 			l.finish(err)
 		default:
--- a/internal/platform/relaysubscription.go
+++ b/internal/platform/relaysubscription.go
@@ -43,7 +43,7 @@
 	watch    link
 	endedAt  membership.Version // that the server had told when it last ended the watch in order
 	watchDue bool               // it did so during a call, and is called again after that
-	text     objects
+	text     objectSplitter
 	began    time.Duration      // when the object at hand began; 0: none has
 	version  membership.Version // the newest that the server has told here
 
--- a/internal/platform/relaywatch.go
+++ b/internal/platform/relaywatch.go
@@ -54,7 +54,7 @@
 
 // follower follows versioned changes.
 type follower struct {
-	set      *Backends
+	set      *Registry
 	config   FollowConfig
 	selector *membership.Selector
 	rng      *rand.Rand
@@ -82,7 +82,7 @@
 // watch. It is called before Known, on the loop's goroutine. Called again, it
 // takes over other servers and another zone: the one in use stays until a better
 // one has caught up.
-func (s *Backends) Follow(config FollowConfig) {
+func (s *Registry) Follow(config FollowConfig) {
 	if config.Acknowledge <= 0 {
 		config.Acknowledge = defaultAcknowledge
 	}
@@ -102,7 +102,7 @@
 
 // ControlStats tells what the control connections have carried: those to servers of
 // versioned changes, or the discovery watch, of which only the bytes are counted.
-func (s *Backends) ControlStats() ControlStats {
+func (s *Registry) ControlStats() ControlStats {
 	stats := s.control
 	f := s.follower
 	switch {
--- a/internal/platform/relaywatch_test.go
+++ b/internal/platform/relaywatch_test.go
@@ -156,7 +156,7 @@
 type subject struct {
 	*rig
 	t        *testing.T
-	backends *Backends
+	registry *Registry
 
 	mu      sync.Mutex
 	lines   []string // of the log
@@ -176,13 +176,13 @@
 			s.lines = append(s.lines, text)
 			s.mu.Unlock()
 		}
-		s.backends = NewBackends(s.core, s.engine, "")
-		s.backends.Applied = func(v membership.Version) {
+		s.registry = s.workerClient("").registry
+		s.registry.Applied = func(v membership.Version) {
 			s.mu.Lock()
 			s.applied = append(s.applied, v)
 			s.mu.Unlock()
 		}
-		s.backends.Follow(s.config(far, servers...))
+		s.registry.Follow(s.config(far, servers...))
 	})
 	return s
 }
@@ -203,7 +203,7 @@
 func (s *subject) known(list string) *subject {
 	s.t.Helper()
 	s.do(func() {
-		if err := s.backends.Known([]byte(list)); err != nil {
+		if err := s.registry.Known([]byte(list)); err != nil {
 			s.t.Error(err)
 		}
 	})
@@ -214,7 +214,7 @@
 func (s *subject) hosts() string {
 	var list []string
 	s.do(func() {
-		for name, b := range s.backends.hosts {
+		for name, b := range s.registry.hosts {
 			health := map[decision.WorkerState]string{decision.Running: "ready", decision.Draining: "draining"}[b.state]
 			list = append(list, name+"="+health)
 		}
@@ -224,12 +224,12 @@
 }
 
 func (s *subject) version() (v membership.Version) {
-	s.do(func() { v = s.backends.follower.version })
+	s.do(func() { v = s.registry.follower.version })
 	return v
 }
 
 func (s *subject) stats() (stats ControlStats) {
-	s.do(func() { stats = s.backends.ControlStats() })
+	s.do(func() { stats = s.registry.ControlStats() })
 	return stats
 }
 
@@ -332,7 +332,7 @@
 		s.reaches(membership.Version(v), "a=ready "+strings.Join([]string{"b2=ready", "b3=ready", "b4=ready", "b5=ready"}[:v-1], " "))
 	}
 	s.do(func() {
-		if f := s.backends.follower; !f.current.ignoresAfter || f.ackPending {
+		if f := s.registry.follower; !f.current.ignoresAfter || f.ackPending {
 			t.Error("it is called again")
 		}
 	})
@@ -432,7 +432,7 @@
 	s.follows(home)
 	text := chunk(state(6, false, "b=ready") + "\n")
 	watch.tell("")
-	s.do(func() { s.backends.follower.current.watch.expire() }) // its time is up
+	s.do(func() { s.registry.follower.current.watch.expire() }) // its time is up
 	other.serveFirst(5, state(7, false, "c=ready"), 7)
 	s.reaches(7, "a=ready c=ready")
 	io.WriteString(watch, text) // too late
@@ -446,7 +446,7 @@
 	watch := home.serveFirst(0, state(5, true, "a=ready"), 5)
 	s.follows(home)
 	release := s.hold()
-	s.core.Loop.Post(func() { s.backends.follower.current.watch.expire() })
+	s.core.Loop.Post(func() { s.registry.follower.current.watch.expire() })
 	s.write(t, watch, chunk(state(6, false, "a=draining")+"\n"))
 	release()
 	s.reaches(6, "a=draining")
@@ -565,7 +565,7 @@
 		t.Run(field, func(t *testing.T) {
 			home := newServer(t)
 			s := follow(t, 0, home).known(``)
-			s.do(func() { s.backends.reconfigure = onlyWorth(nil) })
+			s.do(func() { s.registry.reconfigure = onlyWorth(nil) })
 			watch := home.serveFirst(0, state(5, true, "a=ready"), 5)
 			watch.tell(`{"seq":6,"whole":false,"hosts":[` + object + `]}`)
 			until(t, "it is refused", func() bool { return s.stats().Refused == 1 })
@@ -645,13 +645,13 @@
 	home := newServer(t)
 	s := follow(t, 0, home).known(``)
 	worth := false
-	s.do(func() { s.backends.reconfigure = onlyWorth(func() { worth = true }) })
+	s.do(func() { s.registry.reconfigure = onlyWorth(func() { worth = true }) })
 	watch := home.serveFirst(0, state(5, true, "a=ready"), 5)
 	s.reaches(5, "a=ready")
 	text := chunk(`{"seq":6,"whole":false,"settings":[{"key":"over_share_worth","value":0.5}],"hosts":[{"host":"b","dial":"127.0.0.1:9","health":"ready"}]}` + "\n")
 	seen, looks := false, 0
 	look := func() {
-		if host := s.backends.hosts["b"] != nil; host != worth {
+		if host := s.registry.hosts["b"] != nil; host != worth {
 			t.Errorf("host %v, setting %v", host, worth)
 		}
 		seen = worth
@@ -669,7 +669,7 @@
 		t.Errorf("%d looks", looks)
 	}
 	s.do(func() {
-		_, list, err := s.backends.Tell()
+		_, list, err := s.registry.Tell()
 		if err != nil || !bytes.Contains(list, []byte(`"settings":[{"key":"over_share_worth","value":0.5}]`)) {
 			t.Errorf("a successor is told %s, %v", list, err)
 		}
@@ -688,8 +688,8 @@
 	watch.tell(state(6, false, "a=draining"))
 	until(t, "the drain's bytes are taken in", func() (taken bool) {
 		s.do(func() {
-			taken = s.backends.control.BytesRead > before
-			if state := s.backends.hosts["a"].state; taken && state != decision.Draining {
+			taken = s.registry.control.BytesRead > before
+			if state := s.registry.hosts["a"].state; taken && state != decision.Draining {
 				t.Errorf("the turn behind the bytes sees %v", state)
 			}
 		})
@@ -706,7 +706,7 @@
 	s := follow(t, 1, home, other)
 	s.known(`{"seq":40,"hosts":[{"host":"k","dial":"127.0.0.1:9","health":"ready"}]}`)
 	until(t, "the known list serves", func() (heard bool) {
-		s.do(func() { heard = s.backends.Heard() && s.core.ReadyWorkers() == 1 })
+		s.do(func() { heard = s.registry.Heard() && s.core.ReadyWorkers() == 1 })
 		return heard
 	})
 	if n := s.logged(": "); n != 1 {
@@ -731,7 +731,7 @@
 	s.reaches(6, "a=ready b=ready")
 	back.answer(state(5, false)) // it is behind by now
 	until(t, "it is passed over", func() (none bool) {
-		s.do(func() { none = len(s.backends.follower.trials) == 0 })
+		s.do(func() { none = len(s.registry.follower.trials) == 0 })
 		return none
 	})
 	s.follows(other)
@@ -752,7 +752,7 @@
 
 // dueNow makes the next attempt at a better server due.
 func (s *subject) dueNow() {
-	f := s.backends.follower
+	f := s.registry.follower
 	f.selector = membership.NewSelector(f.config.Name, f.config.Zone, f.config.Servers, 1)
 	f.step()
 }
@@ -763,7 +763,7 @@
 	s := follow(t, 0, old).known(``)
 	watch := old.serveFirst(0, state(5, true, "a=ready"), 5)
 	s.follows(old)
-	s.do(func() { s.backends.Follow(s.config(0, next)) })
+	s.do(func() { s.registry.Follow(s.config(0, next)) })
 	call := next.expect("after=5&name=d+1")
 	watch.tell(state(6, false, "b=ready"))
 	s.reaches(6, "a=ready b=ready")
@@ -789,7 +789,7 @@
 	until(t, "it is acknowledged", func() bool { return s.stats().Acknowledged == 1 })
 	release := s.hold()
 	s.write(t, watch, chunk(state(6, false, "b=ready")+"\n"))
-	s.core.Loop.Post(s.backends.follower.acknowledge) // with the connection's end on its way
+	s.core.Loop.Post(s.registry.follower.acknowledge) // with the connection's end on its way
 	first.Close()
 	release()
 	for acknowledged := false; !acknowledged; {
@@ -837,8 +837,8 @@
 	home.expect("after=7&name=d+1&acked=5&fleet=1").answer(state(7, false))
 	until(t, "it is acknowledged", func() bool { return s.stats().Acknowledged == 2 })
 	s.do(func() { // the time of the next look at what is missing
-		s.backends.follower.repairedAt -= idleAcknowledge
-		s.backends.follower.acknowledge()
+		s.registry.follower.repairedAt -= idleAcknowledge
+		s.registry.follower.acknowledge()
 	})
 	home.expect("after=5&name=d+1").answer(state(7, false, "a=draining", "b=ready", "c=ready"))
 	until(t, "what was left out is in force", func() bool { return s.hosts() == "a=draining b=ready c=ready" })
@@ -846,8 +846,8 @@
 	s.reaches(8, "a=draining b=ready")
 	home.expect("after=8&name=d+1")
 	s.do(func() {
-		if f := s.backends.follower; f.resume != 8 || s.backends.control.Refused != 1 {
-			t.Errorf("complete up to %d, %d refused", f.resume, s.backends.control.Refused)
+		if f := s.registry.follower; f.resume != 8 || s.registry.control.Refused != 1 {
+			t.Errorf("complete up to %d, %d refused", f.resume, s.registry.control.Refused)
 		}
 	})
 }
@@ -885,7 +885,7 @@
 	watch.tell(strings.Replace(state(8, false, "a=draining"), `"whole":false`, `"whole":false,"exact":true`, 1))
 	s.reaches(8, "a=draining b=ready")
 	s.do(func() {
-		if f := s.backends.follower; f.resume != 8 {
+		if f := s.registry.follower; f.resume != 8 {
 			t.Errorf("complete up to %d", f.resume)
 		}
 	})
--- /dev/null
+++ b/internal/platform/text.go
@@ -0,0 +1,78 @@
+package platform
+
+import "bytes"
+
+const (
+	maxIdentifier = 128 // bytes
+	maxDigits     = 12  // of a number: it fits an int, and no length or time is longer
+)
+
+// EqualFold tells whether b and s are equal but for the case of ASCII letters.
+func EqualFold(b []byte, s string) bool {
+	if len(b) != len(s) {
+		return false
+	}
+	for i := range b {
+		if lower(b[i]) != lower(s[i]) {
+			return false
+		}
+	}
+	return true
+}
+
+func lower(c byte) byte {
+	if 'A' <= c && c <= 'Z' {
+		return c + 'a' - 'A'
+	}
+	return c
+}
+
+// IsIdentifier tells whether b can be a request's correlation ID or idempotency key, and go into a field as it is:
+// 1 to 128 letters, digits or -._:~+/=@.
+func IsIdentifier(b []byte) bool {
+	for _, c := range b {
+		if !isAlphanumeric(c) && bytes.IndexByte([]byte("-._:~+/=@"), c) < 0 {
+			return false
+		}
+	}
+	return len(b) > 0 && len(b) <= maxIdentifier
+}
+
+func isAlphanumeric(c byte) bool {
+	c = lower(c)
+	return 'a' <= c && c <= 'z' || '0' <= c && c <= '9'
+}
+
+// isTarget tells whether a request's target is a path that can be forwarded as it is.
+func isTarget(b []byte) bool {
+	for _, c := range b {
+		if c <= ' ' || c >= 0x7f {
+			return false
+		}
+	}
+	return len(b) > 0 && b[0] == '/'
+}
+
+// isToken tells whether b is a token of RFC 9110, as methods and field names are.
+func isToken(b []byte) bool {
+	for _, c := range b {
+		if c <= ' ' || c >= 0x7f || bytes.IndexByte([]byte(`"(),/:;<=>?@[\]{}`), c) >= 0 {
+			return false
+		}
+	}
+	return len(b) > 0
+}
+
+// ParseNumber reads a decimal number that consists of digits alone.
+func ParseNumber(b []byte) (n int, ok bool) {
+	if len(b) == 0 || len(b) > maxDigits {
+		return 0, false
+	}
+	for _, c := range b {
+		if c < '0' || c > '9' {
+			return 0, false
+		}
+		n = n*10 + int(c-'0')
+	}
+	return n, true
+}
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -19,7 +19,7 @@
 // Subscribe opens the discovery watch, unless a call is out: the module may have
 // set its timer before discovery moved or was called again. It makes no call
 // within leastPause of one that failed.
-func (s *Backends) Subscribe() {
+func (s *Registry) Subscribe() {
 	w := &s.watch
 	w.awaitsModule = false
 	if now := s.core.Loop.Now(); !w.out && s.follower == nil {
@@ -28,11 +28,11 @@
 }
 
 // Discovery sets where discovery is before the first call.
-func (s *Backends) Discovery(addr string) { s.watch.addr = addr }
+func (s *Registry) Discovery(addr string) { s.watch.addr = addr }
 
 // Move goes on with discovery at another address, at once. What the former one
 // has listed stands, and so does every attempt; the watch goes on where it was.
-func (s *Backends) Move(addr string) {
+func (s *Registry) Move(addr string) {
 	s.watch.addr = addr
 	if s.follower == nil {
 		s.watch.open()
@@ -41,29 +41,29 @@
 
 // Heard tells whether the module has a list that has been good for something:
 // discovery's, or the known one after its time.
-func (s *Backends) Heard() bool { return s.first == nil && s.Usable() }
+func (s *Registry) Heard() bool { return s.first == nil && s.Usable() }
 
 // Usable tells whether what is listed has been good enough to send by since the start.
-func (s *Backends) Usable() bool {
+func (s *Registry) Usable() bool {
 	s.Refresh()
 	return s.usable
 }
 
 // watch is the one open call to discovery, or the wait for the module to ask for it again.
 type watch struct {
-	set        *Backends
+	set        *Registry
 	addr       string
 	seq        int64
 	generation int  // counts the calls, so that what an earlier one brings is ignored
 	out        bool // a call is out
 	conn       *transport.Conn
 	in         *transport.Buffer
-	text       objects
+	text       objectSplitter
 	seen       int  // bytes of in that hold no end of the head
 	ok         bool // the head of the answer has come
 	live       bool // and its first line
 	mute       bool // an agent that does not answer: the log tells so
-	chunk      chunks
+	chunk      ChunkReader
 	due        eventloop.Deadline // of the present call, or of the next line
 	extended   bool               // due has been put off for bytes on their way
 	limit      time.Duration      // due at the latest
@@ -164,7 +164,7 @@
 }
 
 // midLine tells whether a part of a line has come and its rest has not.
-func (w *watch) midLine() bool { return w.text.depth > 0 || w.chunk.left > 0 }
+func (w *watch) midLine() bool { return w.text.depth > 0 || w.chunk.MidChunk() }
 
 // open makes the call, in place of one that stands.
 func (w *watch) open() {
@@ -206,7 +206,7 @@
 	if w.conn != nil {
 		w.conn.Close()
 	}
-	w.in, w.text, w.conn, w.out, w.ok, w.live, w.chunk, w.seen = nil, objects{}, nil, false, false, false, chunks{}, 0
+	w.in, w.text, w.conn, w.out, w.ok, w.live, w.chunk, w.seen = nil, objectSplitter{}, nil, false, false, false, ChunkReader{}, 0
 	w.nextAt, w.extended = 0, false
 	w.generation++
 }
@@ -245,7 +245,7 @@
 func (w *watch) tellModule() {
 	if !w.awaitsModule {
 		w.awaitsModule = true
-		w.set.core.UpdateWorkers(w.set, decision.ListFailed, nil)
+		w.set.core.UpdateWorkers(w.set.client, decision.ListFailed, nil)
 	}
 }
 
@@ -275,7 +275,7 @@
 		b.Consume(n)
 		err := w.read()
 		if err == nil && n == 0 {
-			err = errMalformed // no room for the end of what is a line at the most
+			err = ErrMalformed // no room for the end of what is a line at the most
 		}
 		if err != nil && w.conn == c {
 			w.fail(err)
@@ -296,26 +296,26 @@
 
 func (w *watch) read() error {
 	if !w.ok {
-		var h head
-		ok, err := parseHead(w.in.Bytes(), &h, &w.seen)
+		var h Head
+		ok, err := ParseHead(w.in.Bytes(), &h, &w.seen)
 		if !ok {
 			return err
 		}
-		if status, _ := number(h.b); status != statusOK {
+		if status, _ := h.Status(); status != statusOK {
 			return statusError(status)
 		}
-		if !h.has("Transfer-Encoding", "chunked") {
-			return errMalformed
+		if !h.HasToken("Transfer-Encoding", "chunked") {
+			return ErrMalformed
 		}
 		w.ok = true
-		w.in.Consume(h.size)
+		w.in.Consume(h.Size)
 	}
 	for conn := w.conn; w.conn == conn; {
-		data, used, err := w.chunk.next(w.in.Bytes())
+		data, used, err := w.chunk.Next(w.in.Bytes())
 		if err != nil {
 			return err
 		}
-		if w.chunk.done {
+		if w.chunk.Done() {
 			return errWatchEnded
 		}
 		if used == 0 {
@@ -366,7 +366,7 @@
 	}
 	if len(text) == 0 {
 		if first { // nothing has changed; but the call did not fail, and the module waits for word of it
-			w.set.core.UpdateWorkers(w.set, decision.ListDelta, nil)
+			w.set.core.UpdateWorkers(w.set.client, decision.ListDelta, nil)
 		}
 		return nil
 	}
@@ -394,6 +394,6 @@
 	}
 	w.set.first = nil
 	w.set.core.Loop.Clear(&w.set.due)
-	w.set.core.UpdateWorkers(w.set, kind, entries)
+	w.set.core.UpdateWorkers(w.set.client, kind, entries)
 	return nil
 }
--- a/internal/rehearsal/scale/hollow.go
+++ b/internal/rehearsal/scale/hollow.go
@@ -94,13 +94,13 @@
 
 // hollowProcess is the process at work.
 type hollowProcess struct {
-	config   hollowConfig
-	loop     *eventloop.Loop
-	news     chan struct{} // there is something to report
-	backends []*platform.Backends
-	lists    int64 // belongs to the loop's goroutine, as entries
-	entries  int64
-	known    []byte
+	config     hollowConfig
+	loop       *eventloop.Loop
+	news       chan struct{} // there is something to report
+	registries []*platform.Registry
+	lists      int64 // belongs to the loop's goroutine, as entries
+	entries    int64
+	known      []byte
 
 	writing sync.Mutex // guards out
 	out     *json.Encoder
@@ -168,18 +168,19 @@
 
 // open opens one dispatcher, on the loop's goroutine.
 func (p *hollowProcess) open(i int, d hollowDispatcher, c *dispatch.Dispatcher, engine *transport.Engine, seed uint64) {
-	backends := platform.NewBackends(c, engine, d.Discovery)
+	registry := platform.NewRegistry(c, engine, d.Discovery)
+	platform.NewBackends(c, engine, registry)
 	if len(d.Servers) > 0 {
-		backends.Applied = func(v membership.Version) { p.note(i, int64(v)) }
-		backends.Follow(platform.FollowConfig{Name: d.Name, Zone: p.config.Zone, Servers: d.Servers, Seed: seed})
+		registry.Applied = func(v membership.Version) { p.note(i, int64(v)) }
+		registry.Follow(platform.FollowConfig{Name: d.Name, Zone: p.config.Zone, Servers: d.Servers, Seed: seed})
 	} else {
-		backends.Told = func() { p.note(i, backends.Version()) }
+		registry.Told = func() { p.note(i, registry.Version()) }
 	}
 	if p.config.Entries {
 		c.Trace = p.countEntries
 	}
-	p.backends = append(p.backends, backends)
-	if err := backends.Known(p.known); err != nil {
+	p.registries = append(p.registries, registry)
+	if err := registry.Known(p.known); err != nil {
 		p.fail(err)
 		return
 	}
@@ -231,7 +232,7 @@
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
 	own := ownCounts{Lists: p.lists, Entries: p.entries, Allocations: memory.Mallocs}
-	for _, b := range p.backends {
+	for _, b := range p.registries {
 		stats := b.ControlStats()
 		own.add(ownCounts{BytesRead: stats.BytesRead, BytesWritten: stats.BytesWritten})
 	}
