--- a/Makefile
+++ b/Makefile
@@ -22,13 +22,13 @@
 	if [ -n "$$bad" ]; then echo "decision, internal/connlimit, jobs, membership, freshness and invariant decide and do no I/O, but import $$bad" >&2; exit 1; fi
 	@bad=$$(go list -deps ./cmd/dispatcher-serve | grep -E '^net/http$$|internal/rehearsal|alecthomas/kong|gonum|protobuf|klauspost|HdrHistogram'); \
 	if [ -n "$$bad" ]; then echo "the daemon must not link $$bad" >&2; exit 1; fi
-	@bad=$$(go list -f '{{join .Imports "\n"}}' ./internal/dispatch | grep -E 'internal/(platform|faktory|transport|admin|daemon)$$'); \
+	@bad=$$(go list -f '{{join .Imports "\n"}}' ./internal/dispatch | grep -E 'internal/(httpfront|workerclient|discovery|httpwire|faktory|transport|admin|daemon)$$'); \
 	if [ -n "$$bad" ]; then echo "internal/dispatch knows no front and no socket, but imports $$bad" >&2; exit 1; fi
-	@bad=$$(go list -deps ./internal/faktory | grep -E 'internal/platform$$'; go list -deps ./internal/platform | grep -E 'internal/faktory$$'); \
-	if [ -n "$$bad" ]; then echo "fronts do not import each other, but one imports $$bad" >&2; exit 1; fi
-	@bad=$$(go list -deps ./internal/rehearsal/standin ./internal/rehearsal/hostileload | grep -E 'internal/(platform|faktory|dispatch|transport)$$'); \
+	@bad=$$(go list -deps ./internal/faktory | grep -E 'internal/(httpfront|workerclient|discovery)$$'; go list -deps ./internal/httpfront ./internal/workerclient | grep -E 'internal/faktory$$'; go list -deps ./internal/httpfront | grep -E 'internal/(workerclient|discovery)$$'); \
+	if [ -n "$$bad" ]; then echo "front ends and the worker client do not import each other, but one imports $$bad" >&2; exit 1; fi
+	@bad=$$(go list -deps ./internal/rehearsal/standin ./internal/rehearsal/hostileload | grep -E 'internal/(httpfront|workerclient|discovery|httpwire|faktory|dispatch|transport)$$'); \
 	if [ -n "$$bad" ]; then echo "stand-ins must not share code with the fronts, but import $$bad" >&2; exit 1; fi
-	@bad=$$(go list -deps ./cmd/membership-relay | grep -E 'internal/(rehearsal|platform|faktory|dispatch|transport)$$|internal/rehearsal/'); \
+	@bad=$$(go list -deps ./cmd/membership-relay | grep -E 'internal/(rehearsal|httpfront|workerclient|discovery|httpwire|faktory|dispatch|transport)$$|internal/rehearsal/'); \
 	if [ -n "$$bad" ]; then echo "the relay must link neither the kit nor the dispatcher, but imports $$bad" >&2; exit 1; fi
 
 # The daemon with the Faktory front on loopback, nothing else needed.
--- a/internal/admin/control.go
+++ b/internal/admin/control.go
@@ -17,13 +17,14 @@
 	"time"
 
 	"hollyyoke.example/hollyyoke/internal/connlimit"
+	"hollyyoke.example/hollyyoke/internal/discovery"
 	"hollyyoke.example/hollyyoke/internal/dispatch"
 	"hollyyoke.example/hollyyoke/internal/durable"
 	"hollyyoke.example/hollyyoke/internal/eventloop"
+	"hollyyoke.example/hollyyoke/internal/httpwire"
 	"hollyyoke.example/hollyyoke/internal/invariant"
 	"hollyyoke.example/hollyyoke/internal/jobs"
 	"hollyyoke.example/hollyyoke/internal/listener"
-	"hollyyoke.example/hollyyoke/internal/platform"
 	"hollyyoke.example/hollyyoke/internal/slotmap"
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
@@ -45,7 +46,7 @@
 	Jobs            func() *durable.Service // the durable jobs; nil: there are none here
 
 	// Membership tells how the dispatcher hears of workers and settings; nil: not told.
-	Membership func() platform.ControlStats
+	Membership func() discovery.Stats
 }
 
 // API is the admin API. It belongs to the loop's goroutine.
@@ -66,7 +67,7 @@
 	id    connlimit.ID
 	conn  *transport.Conn
 	in    *transport.Buffer
-	read  platform.CallReader
+	read  httpwire.CallReader
 	due   eventloop.Deadline
 }
 
@@ -157,7 +158,7 @@
 	c, whole, err := k.read.Read(k.in.Bytes())
 	switch {
 	case err != nil:
-		k.answer(platform.StatusOf(err), err.Error()+"\n", "")
+		k.answer(httpwire.StatusOf(err), err.Error()+"\n", "")
 	case whole:
 		k.serve(c)
 	}
@@ -185,7 +186,7 @@
 }
 
 // serve answers one whole call.
-func (k *call) serve(c platform.Call) {
+func (k *call) serve(c httpwire.Call) {
 	d := k.api
 	method := "GET"
 	var act func()
@@ -456,7 +457,7 @@
 func (k *call) answer(status int, text, fields string) {
 	d := k.api
 	k.forget()
-	k.conn.Write(platform.AppendResponse(nil, status, []byte(text), 0, true, fields))
+	k.conn.Write(httpwire.AppendResponse(nil, status, []byte(text), 0, true, fields))
 	k.conn.CloseGracefully()
 	d.prune()
 	now := d.core.Loop.Now()
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -13,6 +13,7 @@
 
 	"hollyyoke.example/hollyyoke/decision"
 	"hollyyoke.example/hollyyoke/internal/connlimit"
+	"hollyyoke.example/hollyyoke/internal/discovery"
 	"hollyyoke.example/hollyyoke/internal/dispatch"
 	"hollyyoke.example/hollyyoke/internal/goldentest"
 	"hollyyoke.example/hollyyoke/internal/listener"
@@ -21,7 +22,6 @@
 	"hollyyoke.example/hollyyoke/internal/durable"
 	"hollyyoke.example/hollyyoke/internal/invariant"
 	"hollyyoke.example/hollyyoke/internal/jobs"
-	"hollyyoke.example/hollyyoke/internal/platform"
 )
 
 // golden compares with a file in testdata, line by line. A carriage return is
@@ -173,8 +173,8 @@
 		api = New(r.core, engine, carrier{r.core}, Operations{
 			Ready: func() bool { return true }, SetOutOfService: func(bool) error { return nil },
 			Gate: guard, Jobs: func() *durable.Service { return service },
-			Membership: func() platform.ControlStats {
-				return platform.ControlStats{
+			Membership: func() discovery.Stats {
+				return discovery.Stats{
 					BytesRead: 1, BytesWritten: 2, Applied: 3, Refused: 4, Snapshots: 5, Deltas: 6, Acknowledged: 7, Failovers: 8,
 					Version: 9, Server: "10.0.0.1:8601",
 				}
--- a/internal/daemon/node.go
+++ b/internal/daemon/node.go
@@ -17,14 +17,16 @@
 	"time"
 
 	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/discovery"
 	"hollyyoke.example/hollyyoke/internal/dispatch"
 	"hollyyoke.example/hollyyoke/internal/eventloop"
 	"hollyyoke.example/hollyyoke/internal/faktory"
 	"hollyyoke.example/hollyyoke/internal/handover"
+	"hollyyoke.example/hollyyoke/internal/httpfront"
 	"hollyyoke.example/hollyyoke/internal/listener"
-	"hollyyoke.example/hollyyoke/internal/platform"
 	"hollyyoke.example/hollyyoke/internal/settings"
 	"hollyyoke.example/hollyyoke/internal/transport"
+	"hollyyoke.example/hollyyoke/internal/workerclient"
 )
 
 // This file owns the states of the running dispatcher: in service, drained,
@@ -56,8 +58,8 @@
 type node struct {
 	core     *dispatch.Dispatcher
 	engine   *transport.Engine
-	registry *platform.Registry
-	workers  *platform.Backends
+	registry *discovery.Registry
+	workers  *workerclient.Client
 	fronts   fronts
 	entry    *listener.Gate    // who decides on connections; nil: nobody
 	follows  bool              // versioned changes are followed in place of the discovery watch
@@ -119,13 +121,13 @@
 // known starts from a list, the configuration's where there is no newer one.
 func (n *node) known(list []byte) {
 	if len(list) > 0 {
-		err := n.registry.Known(list)
+		err := n.registry.LoadInitial(list)
 		if err == nil {
 			return
 		}
 		n.core.Log(fmt.Sprintf("the list handed over: %v", err))
 	}
-	if err := n.registry.Known(n.config.Known); err != nil { // checked at the start
+	if err := n.registry.LoadInitial(n.config.Known); err != nil { // checked at the start
 		n.core.Log(err.Error())
 	}
 }
@@ -137,7 +139,7 @@
 
 // ready tells whether this process takes clients.
 func (n *node) ready() bool {
-	return !n.stopping && (n.fronts.platform == nil || n.serving && n.fronts.platform.Serving())
+	return !n.stopping && (n.fronts.platform == nil || n.serving && n.fronts.platform.Ready())
 }
 
 var errStopping = errors.New("the dispatcher is ending and does not come back into service")
@@ -160,10 +162,10 @@
 	case n.stopping: // it is out already
 	case out:
 		n.core.Log("out of service")
-		n.fronts.platform.Withdraw()
+		n.fronts.platform.Drain()
 	default:
 		n.core.Log("in service")
-		n.fronts.platform.Return()
+		n.fronts.platform.EndDrain()
 	}
 }
 
@@ -187,11 +189,11 @@
 // alone is told that the other process has gone: all limits are this one's.
 func (n *node) alone() {
 	n.link, n.theirs = nil, false
-	n.core.OnAccepted, n.core.OnReserved, n.registry.Told = nil, nil, nil
+	n.core.OnAccepted, n.core.OnReserved, n.registry.OnUpdate = nil, nil, nil
 	n.core.Loop.Clear(&n.room)
 	n.keep(n.config.descriptors(), n.memory())
 	if n.fronts.platform != nil {
-		n.fronts.platform.Share(false)
+		n.fronts.platform.SetShared(false)
 	}
 }
 
@@ -213,7 +215,7 @@
 	if m.DiscoveryMoved != "" && m.DiscoveryMoved != n.config.Discovery {
 		n.core.Log("discovery moves to " + m.DiscoveryMoved + ", the other process says")
 		n.config.Discovery = m.DiscoveryMoved
-		n.registry.Move(m.DiscoveryMoved)
+		n.registry.MoveTo(m.DiscoveryMoved)
 	}
 }
 
@@ -231,7 +233,7 @@
 	}
 	debug.SetMemoryLimit(int64(float64(memory) * (0.6 - bufferShare)))
 	if n.fronts.platform != nil {
-		n.fronts.platform.Room(int(float64(memory) * bufferShare))
+		n.fronts.platform.SetMemoryLimit(int(float64(memory) * bufferShare))
 	}
 }
 
@@ -250,7 +252,7 @@
 		n.keep(n.config.descriptors()-m.Limits.Descriptors, n.memory()-m.Limits.Memory)
 	}
 	if len(m.List) > 0 {
-		if err := n.registry.Relay(m.List); err != nil {
+		if err := n.registry.Import(m.List); err != nil {
 			n.core.Log(fmt.Sprintf("the list handed over: %v", err))
 		}
 	}
@@ -268,7 +270,7 @@
 		n.core.AdoptIDKey(hello.IDKey)
 		list = hello.List
 		n.config.Discovery = cmp.Or(hello.Discovery, n.config.Discovery)
-		n.registry.Discovery(n.config.Discovery)
+		n.registry.SetAddress(n.config.Discovery)
 		if hello.OutOfService {
 			n.drain(true)
 		}
@@ -284,12 +286,12 @@
 	if n.stopping {
 		return
 	}
-	if !(n.registry.Heard() && n.core.ReadyWorkers() > 0) && loop.Now() < until {
+	if !(n.registry.Ready() && n.core.ReadyWorkers() > 0) && loop.Now() < until {
 		loop.After(startStep, func() { n.wait(until) })
 		return
 	}
 	if n.link != nil {
-		n.fronts.platform.Share(true)
+		n.fronts.platform.SetShared(true)
 	}
 	n.serve()
 	n.core.Log("takes clients")
@@ -349,7 +351,7 @@
 	if n.stopping || n.link != nil {
 		return nil
 	}
-	addr, list, err := n.registry.Tell()
+	addr, list, err := n.registry.Export()
 	if err != nil {
 		n.core.Log(fmt.Sprintf("the list cannot be handed over: %v", err))
 	}
@@ -357,12 +359,12 @@
 	n.core.Log("a successor has started")
 	n.link = handover.NewLink(n.engine, c, n.heardNext, n.nextGone)
 	n.listenIn()
-	n.registry.Told = func() {
-		if _, list, err := n.registry.Tell(); err == nil {
+	n.registry.OnUpdate = func() {
+		if _, list, err := n.registry.Export(); err == nil {
 			n.tell(handover.Message{List: list})
 		}
 	}
-	out := n.fronts.platform.Away()
+	out := n.fronts.platform.Draining()
 	n.tell(handover.Message{Greeting: &handover.Greeting{Discovery: addr, List: list, OutOfService: out, IDKey: key}})
 	n.link.SendIDs(names)
 	n.tellRoom()
@@ -375,7 +377,7 @@
 	if m.Ready {
 		n.core.Log("the successor takes clients")
 		n.theirs = true
-		n.fronts.platform.Share(true)
+		n.fronts.platform.SetShared(true)
 		n.tellRoom()
 	}
 }
@@ -435,7 +437,7 @@
 	}
 	began := loop.Now()
 	last := began + min(longest, killDeadline) + killAfter - killMargin
-	f.platform.Leave()
+	f.platform.HandOver()
 	f.faktory.Stop()
 	f.faktory.Release(func() {
 		n.released = true
@@ -449,11 +451,11 @@
 			f.close()
 		}
 		if now >= last {
-			f.platform.Shut()
+			f.platform.StopReading()
 			d.ExpireAll()
 		}
 		// At the very last, what has just been answered has half of what is left to be read.
-		if n.released && d.Unanswered() == 0 && (f.platform.Open() == 0 || now >= last+killMargin/2) && !f.faktory.Busy() {
+		if n.released && d.Unanswered() == 0 && (f.platform.OpenConnections() == 0 || now >= last+killMargin/2) && !f.faktory.Busy() {
 			loop.After(lastBytes, loop.Stop)
 			return
 		}
@@ -478,7 +480,7 @@
 			err = fmt.Errorf("config: %w", err)
 		}
 	}
-	var servers platform.FollowConfig
+	var servers discovery.FollowConfig
 	if err == nil && operator.Membership.On != n.follows {
 		err = errors.New("membership.on: only a restart turns it on or off")
 	}
@@ -519,7 +521,7 @@
 	text := "reload: discovery stays at " + c.Discovery
 	if next.Discovery != c.Discovery {
 		text = "reload: discovery moves to " + next.Discovery
-		b.Move(next.Discovery)
+		b.MoveTo(next.Discovery)
 		n.tell(handover.Message{DiscoveryMoved: next.Discovery})
 	}
 	if len(restart) > 0 {
@@ -531,7 +533,7 @@
 
 // fronts are those that are on.
 type fronts struct {
-	platform *platform.Front
+	platform *httpfront.FrontEnd
 	faktory  faktory.Front
 }
 
@@ -539,8 +541,8 @@
 func (f fronts) close() bool {
 	ended := f.faktory.Idle()
 	if f.platform != nil {
-		f.platform.Close()
-		ended = ended && f.platform.Sessions() == 0
+		f.platform.CloseIdle()
+		ended = ended && f.platform.ConnectionCount() == 0
 	}
 	return ended
 }
@@ -559,13 +561,13 @@
 		return
 	}
 	if f.platform != nil {
-		f.platform.Stop()
+		f.platform.BeginShutdown()
 	}
 	f.faktory.Stop()
 	loop.After(arrivalWindow, func() {
 		// For answers that clients have not read yet, and for closings that upstream has not taken.
 		if f.platform != nil { // what comes now waits in the backlog, or is told that nobody listens
-			f.platform.Refrain()
+			f.platform.StopAccepting()
 		}
 		shut := loop.Now() + lastWindow
 		patience, upstream := shut+transport.LingerTime, loop.Now()+8*time.Second
@@ -573,8 +575,8 @@
 		last = func() {
 			ended, now := f.close(), loop.Now()
 			if f.platform != nil && now >= shut {
-				f.platform.Shut()
-				ended = ended && f.platform.Open() == 0
+				f.platform.StopReading()
+				ended = ended && f.platform.OpenConnections() == 0
 			}
 			if d.Unanswered() > 0 {
 				patience = now + transport.LingerTime
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -19,15 +19,17 @@
 
 	"hollyyoke.example/hollyyoke/decision"
 	"hollyyoke.example/hollyyoke/internal/admin"
+	"hollyyoke.example/hollyyoke/internal/discovery"
 	"hollyyoke.example/hollyyoke/internal/dispatch"
 	"hollyyoke.example/hollyyoke/internal/durable"
 	"hollyyoke.example/hollyyoke/internal/eventloop"
 	"hollyyoke.example/hollyyoke/internal/faktory"
+	"hollyyoke.example/hollyyoke/internal/httpfront"
 	"hollyyoke.example/hollyyoke/internal/invariant"
 	"hollyyoke.example/hollyyoke/internal/listener"
-	"hollyyoke.example/hollyyoke/internal/platform"
 	"hollyyoke.example/hollyyoke/internal/settings"
 	"hollyyoke.example/hollyyoke/internal/transport"
+	"hollyyoke.example/hollyyoke/internal/workerclient"
 )
 
 // This file owns the process: what it is told at its start and on SIGHUP, and
@@ -101,7 +103,7 @@
 }
 
 // follow makes what the table [membership] says ready for use.
-func follow(m *settings.Membership, c *config, s *decision.Settings) (f platform.FollowConfig, err error) {
+func follow(m *settings.Membership, c *config, s *decision.Settings) (f discovery.FollowConfig, err error) {
 	if f.Zone, f.Servers, f.Acknowledge, err = m.Ready(s); err != nil {
 		return f, fmt.Errorf("membership.%w", err)
 	}
@@ -120,7 +122,7 @@
 	if err != nil {
 		return fmt.Errorf("config: %w", err)
 	}
-	if err := platform.NewRegistry(d, nil, l.config.Discovery).CheckList(l.config.Known); err != nil {
+	if err := discovery.New(d, nil, l.config.Discovery).CheckList(l.config.Known); err != nil {
 		return err
 	}
 	c := &l.config
@@ -327,8 +329,8 @@
 	if err != nil {
 		return err
 	}
-	registry := platform.NewRegistry(d, engine, c.Discovery)
-	workers := platform.NewBackends(d, engine, registry)
+	registry := discovery.New(d, engine, c.Discovery)
+	workers := workerclient.New(d, engine, registry)
 	if err := registry.CheckList(c.Known); err != nil {
 		return err
 	}
@@ -356,11 +358,11 @@
 		n.sessions /= 2 // half for either front
 	}
 	if c.Listen != "" {
-		n.fronts.platform = platform.NewFront(d, engine, c.buffers(), func() bool {
-			return (d.ReadyWorkers() > 0 || registry.Listed()) && registry.Usable()
+		n.fronts.platform = httpfront.New(d, engine, c.buffers(), func() bool {
+			return (d.ReadyWorkers() > 0 || registry.HasRunning()) && registry.Usable()
 		})
 		if n.entry != nil {
-			n.fronts.platform.Use(n.entry)
+			n.fronts.platform.SetGate(n.entry)
 		}
 		if n.listener, err = openListener(env, c.Listen); err != nil {
 			return err
@@ -372,7 +374,7 @@
 	open := func() (err error) {
 		n.fronts.faktory, err = faktory.Open(d, engine, second, n.sessions, n.entry)
 		if kept := n.fronts.faktory.Jobs(); err == nil && kept != nil && n.fronts.platform != nil {
-			n.fronts.platform.Keep(kept, second.Durable.Classes(&d.Settings))
+			n.fronts.platform.SetDurable(kept, second.Durable.Classes(&d.Settings))
 		}
 		return err
 	}
@@ -382,7 +384,7 @@
 		}
 		n.open = open
 		if n.fronts.platform != nil {
-			n.fronts.platform.Keep(nil, second.Durable.Classes(&d.Settings))
+			n.fronts.platform.SetDurable(nil, second.Durable.Classes(&d.Settings))
 		}
 	} else if l.hasFaktory {
 		if err := open(); err != nil {
@@ -391,7 +393,7 @@
 	}
 	if c.Admin != "" {
 		desk := admin.Operations{
-			Ready: n.ready, SetOutOfService: n.service, Gate: n.entry, Membership: registry.ControlStats,
+			Ready: n.ready, SetOutOfService: n.service, Gate: n.entry, Membership: registry.Stats,
 			Jobs: func() *durable.Service { return n.fronts.faktory.Jobs() },
 		}
 		api := admin.New(d, engine, workers, desk)
--- a/internal/platform/knowledge.go
+++ b/internal/discovery/knowledge.go
@@ -1,4 +1,4 @@
-package platform
+package discovery
 
 import (
 	"fmt"
@@ -15,56 +15,56 @@
 // that may have it. It must never let a list count as current longer than
 // internal/freshness says.
 
-// admission is what may become of a request that is ready to leave for a backend.
-type admission uint8
+// Admission is what may become of a request that is ready to leave for a backend.
+type Admission uint8
 
 const (
-	admitted  admission = iota
-	confirm             // once the backend has shown that it still serves
-	suspended           // not at present
+	Admitted         Admission = iota
+	NeedsHealthCheck           // once the backend has shown that it still serves
+	Suspended                  // not at present
 )
 
 // Refresh brings up to date what may be done by the list.
 func (s *Registry) Refresh() {
-	knowledge, now := s.knowledgeNow(), s.core.Loop.Now()
-	s.usable = s.usable || s.first == nil && knowledge != freshness.Unknown
+	knowledge, now := s.currentKnowledge(), s.dispatcher.Loop.Now()
+	s.usable = s.usable || s.initial == nil && knowledge != freshness.Unknown
 	if knowledge == s.knowledge {
 		return
 	}
 	s.knowledge = knowledge
-	s.core.Log(fmt.Sprintf("the list of workers is %v, discovery was last heard %v ago", knowledge, (now - s.age.ConfirmedAt()).Round(time.Millisecond)))
+	s.dispatcher.Log(fmt.Sprintf("the list of workers is %v, discovery was last heard %v ago", knowledge, (now - s.age.ConfirmedAt()).Round(time.Millisecond)))
 	if knowledge == freshness.Unknown {
 		s.suspendAll()
 		return
 	}
-	s.resume(func(b *backend) bool { return knowledge == freshness.Current || b.proof.Holds(&s.age) })
+	s.resume(func(b *Worker) bool { return knowledge == freshness.Current || b.proof.Holds(&s.age) })
 }
 
-// look is told that what may be done by the list may have changed by itself.
-func (s *Registry) look() {
+// refreshAndSchedule is told that what may be done by the list may have changed by itself.
+func (s *Registry) refreshAndSchedule() {
 	s.Refresh()
-	if next := s.age.NextChange(s.core.Loop.Now()); next > 0 {
-		s.core.Loop.Set(&s.oldDue, next)
+	if next := s.age.NextChange(s.dispatcher.Loop.Now()); next > 0 {
+		s.dispatcher.Loop.Set(&s.ageDue, next)
 	}
 }
 
-// knowledgeNow tells what the list is good for. One that nobody renews does not
+// currentKnowledge tells what the list is good for. One that nobody renews does not
 // grow old, and where backends cannot be asked, an unconfirmed one is served by.
-func (s *Registry) knowledgeNow() freshness.Knowledge {
-	if s.follower != nil || s.watch.addr == "" || s.first != nil {
+func (s *Registry) currentKnowledge() freshness.Knowledge {
+	if s.follower != nil || s.watch.addr == "" || s.initial != nil {
 		return freshness.Current
 	}
-	knowledge := s.age.Knowledge(s.core.Loop.Now())
-	if knowledge == freshness.Unconfirmed && !s.core.Settings.HealthChecks {
+	knowledge := s.age.Knowledge(s.dispatcher.Loop.Now())
+	if knowledge == freshness.Unconfirmed && !s.dispatcher.Settings.HealthChecks {
 		return freshness.Current
 	}
 	return knowledge
 }
 
-// heard tells that a whole line of discovery has come.
-func (s *Registry) heard() {
-	s.age.Confirmed(s.core.Loop.Now())
-	s.look()
+// sourceHeard tells that a whole line of discovery has come.
+func (s *Registry) sourceHeard() {
+	s.age.Confirmed(s.dispatcher.Loop.Now())
+	s.refreshAndSchedule()
 	if s.knowledge == freshness.Unknown { // what is listed anew too
 		s.suspendAll()
 	}
@@ -73,55 +73,55 @@
 // suspendAll suspends all backends that are listed as running.
 func (s *Registry) suspendAll() {
 	var names []string
-	for name, b := range s.hosts {
-		if b.state == decision.Running && !b.suspended {
+	for name, b := range s.workers {
+		if b.State == decision.Running && !b.suspended {
 			b.suspended = true
 			names = append(names, name)
 		}
 	}
 	slices.Sort(names) // a map's order would make runs differ
-	s.core.SuspendWorkers(s.client, names)
+	s.dispatcher.SuspendWorkers(s.client, names)
 }
 
 // suspend suspends one backend until the list is current again.
-func (s *Registry) suspend(b *backend) {
-	if b.suspended || s.hosts[b.name] != b {
+func (s *Registry) suspend(b *Worker) {
+	if b.suspended || s.workers[b.Name] != b {
 		return
 	}
 	b.suspended = true
-	s.core.TraceStep("", "worker suspended", "backend", b.name)
-	s.core.SuspendWorkers(s.client, []string{b.name})
+	s.dispatcher.TraceStep("", "worker suspended", "backend", b.Name)
+	s.dispatcher.SuspendWorkers(s.client, []string{b.Name})
 }
 
 // resume takes back the suspension of those that may be sent to.
-func (s *Registry) resume(may func(*backend) bool) {
+func (s *Registry) resume(may func(*Worker) bool) {
 	var names []string
-	for name, b := range s.hosts {
+	for name, b := range s.workers {
 		if b.suspended && may(b) {
 			b.suspended = false
 			names = append(names, name)
 		}
 	}
 	slices.Sort(names)
-	s.core.ResumeWorkers(s.client, names)
+	s.dispatcher.ResumeWorkers(s.client, names)
 }
 
-// admit tells what may become of a request that is ready to leave for a backend.
-func (s *Registry) admit(b *backend, now time.Duration) admission {
-	switch s.knowledgeNow() {
+// Admit tells what may become of a request that is ready to leave for a backend.
+func (s *Registry) Admit(b *Worker, now time.Duration) Admission {
+	switch s.currentKnowledge() {
 	case freshness.Current:
-		return admitted
+		return Admitted
 	case freshness.Unknown:
-		return suspended
+		return Suspended
 	}
 	if !b.proof.Holds(&s.age) {
 		s.suspend(b)
-		return suspended
+		return Suspended
 	}
-	if b.confirmed > 0 && now-b.confirmed <= s.core.Settings.DrainGrace/confirmedPart {
-		return admitted
+	if b.confirmedAt > 0 && now-b.confirmedAt <= s.dispatcher.Settings.DrainGrace/confirmedPart {
+		return Admitted
 	}
-	return confirm
+	return NeedsHealthCheck
 }
 
 // confirmedPart is the part of a drain's grace for which an answer to a probe holds,
@@ -147,10 +147,10 @@
 }
 
 // HealthConfirmed tells that a worker has answered a health check that left at a time.
-func (s *Registry) HealthConfirmed(b *backend, asked time.Duration) { b.confirmed = asked }
+func (s *Registry) HealthConfirmed(b *Worker, asked time.Duration) { b.confirmedAt = asked }
 
 // HealthDenied tells that a worker has not shown that it serves, though it was asked.
-func (s *Registry) HealthDenied(b *backend) {
+func (s *Registry) HealthDenied(b *Worker) {
 	b.proof.Denied(&s.age)
 	if s.knowledge == freshness.Unconfirmed {
 		s.suspend(b)
@@ -158,4 +158,4 @@
 }
 
 // ConnectFailed tells that no connection to a worker came up.
-func (s *Registry) ConnectFailed(b *backend) { b.proof.Denied(&s.age) }
+func (s *Registry) ConnectFailed(b *Worker) { b.proof.Denied(&s.age) }
--- a/internal/platform/list.go
+++ b/internal/discovery/list.go
@@ -1,4 +1,4 @@
-package platform
+package discovery
 
 import (
 	"encoding/json"
@@ -18,21 +18,21 @@
 // the start, and which backends it makes known. It must never take in a part of a
 // list of which another part is wrong.
 
-// Listed tells whether there is a backend that takes new work, by what is known so far.
-func (s *Registry) Listed() bool {
-	for _, b := range s.hosts {
-		if b.state == decision.Running {
+// HasRunning tells whether there is a backend that takes new work, by what is known so far.
+func (s *Registry) HasRunning() bool {
+	for _, b := range s.workers {
+		if b.State == decision.Running {
 			return true
 		}
 	}
 	return false
 }
 
-// hosts is a list of backends as discovery words it.
-type hosts struct {
-	Seq   int64  `json:"seq"`
-	Whole bool   `json:"whole"`
-	Hosts []host `json:"hosts"`
+// endpointList is a list of backends as discovery words it.
+type endpointList struct {
+	Seq   int64      `json:"seq"`
+	Whole bool       `json:"whole"`
+	Hosts []endpoint `json:"hosts"`
 
 	// Settings are those that were changed up to that version. A list without them
 	// may come from one who does not know of any.
@@ -43,7 +43,7 @@
 	AgeMs *int64 `json:"age_ms,omitempty"`
 }
 
-type host struct {
+type endpoint struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
 	Site   string  `json:"site"`
@@ -54,90 +54,90 @@
 	BornMs float64 `json:"born_ms"`
 }
 
-// Known takes in the list that the dispatcher had before its start. It may be
+// LoadInitial takes in the list that the dispatcher had before its start. It may be
 // old: nothing is sent by it until discovery has told what has changed, or has
 // had its time. Reqs are taken meanwhile and wait for that list, since a client
 // that is let in late has nobody else to go to. In a herd of dispatchers the word
 // of discovery may be long in coming, and the list known serves at once.
-func (s *Registry) Known(raw []byte) error {
-	list := hosts{Whole: true}
+func (s *Registry) LoadInitial(raw []byte) error {
+	list := endpointList{Whole: true}
 	if len(raw) > 0 {
 		if err := json.Unmarshal(raw, &list); err != nil {
 			return err
 		}
 	}
-	s.watch.seq, s.watch.lastContact = list.Seq, s.core.Loop.Now()
-	s.age.Start(s.core.Loop.Now())
-	s.look()
-	entries, err := s.entries(list.Hosts)
+	s.watch.seq, s.watch.lastContact = list.Seq, s.dispatcher.Loop.Now()
+	s.age.Start(s.dispatcher.Loop.Now())
+	s.refreshAndSchedule()
+	entries, err := s.parseAndAdopt(list.Hosts)
 	if err != nil {
 		return err
 	}
-	s.first = map[string]decision.Endpoint{}
+	s.initial = map[string]decision.Endpoint{}
 	for _, e := range entries {
 		if e.State != decision.Removed {
-			s.first[e.Name] = e
+			s.initial[e.Name] = e
 		}
 	}
 	if s.follower != nil {
-		s.core.Loop.Set(&s.due, s.core.Loop.Now()+freshList)
+		s.dispatcher.Loop.Set(&s.initialDue, s.dispatcher.Loop.Now()+freshList)
 		s.follower.start(&list)
 		return nil
 	}
-	if s.watch.addr == "" || s.core.Settings.ListBySubscription && s.core.Settings.LargeFleet() { // the module says when to call
-		s.begin(nil)
+	if s.watch.addr == "" || s.dispatcher.Settings.ListBySubscription && s.dispatcher.Settings.LargeFleet() { // the module says when to call
+		s.publishInitial(nil)
 		s.watch.callInTime(s.watch.lastContact)
 		return nil
 	}
-	s.core.Loop.Set(&s.due, s.core.Loop.Now()+freshList)
+	s.dispatcher.Loop.Set(&s.initialDue, s.dispatcher.Loop.Now()+freshList)
 	s.watch.open()
 	return nil
 }
 
-// begin gives the module the list known at the start, with what has changed since.
-func (s *Registry) begin(changes []decision.Endpoint) {
-	if s.first == nil {
+// publishInitial gives the module the list known at the start, with what has changed since.
+func (s *Registry) publishInitial(changes []decision.Endpoint) {
+	if s.initial == nil {
 		return
 	}
 	for _, e := range changes {
-		if s.first[e.Name] = e; e.State == decision.Removed {
-			delete(s.first, e.Name)
+		if s.initial[e.Name] = e; e.State == decision.Removed {
+			delete(s.initial, e.Name)
 		}
 	}
-	entries := slices.SortedFunc(maps.Values(s.first), func(a, b decision.Endpoint) int {
+	entries := slices.SortedFunc(maps.Values(s.initial), func(a, b decision.Endpoint) int {
 		return strings.Compare(a.Name, b.Name) // a map's order would make runs differ
 	})
-	s.first = nil
-	s.core.Loop.Clear(&s.due)
-	s.core.UpdateWorkers(s.client, decision.ListCached, entries)
-	s.look()
+	s.initial = nil
+	s.dispatcher.Loop.Clear(&s.initialDue)
+	s.dispatcher.UpdateWorkers(s.client, decision.ListCached, entries)
+	s.refreshAndSchedule()
 }
 
-// Tell tells where discovery is, and the list in its words, for a successor.
-func (s *Registry) Tell() (addr string, list json.RawMessage, err error) {
+// Export tells where discovery is, and the list in its words, for a successor.
+func (s *Registry) Export() (addr string, list json.RawMessage, err error) {
 	words := map[decision.WorkerState]string{decision.Running: "ready", decision.Draining: "draining"}
-	l := hosts{Seq: s.watch.seq, Whole: true, Hosts: []host{}}
+	l := endpointList{Seq: s.watch.seq, Whole: true, Hosts: []endpoint{}}
 	if f := s.follower; f != nil {
 		if l.Seq = int64(f.version); f.begun && f.resume == f.version {
 			l.Settings = f.inForce()
 		}
 	}
-	for _, b := range s.hosts {
-		h := b.host
-		h.Health = words[b.state]
+	for _, b := range s.workers {
+		h := b.listed
+		h.Health = words[b.State]
 		l.Hosts = append(l.Hosts, h)
 	}
-	slices.SortFunc(l.Hosts, func(a, b host) int { return strings.Compare(a.Host, b.Host) })
-	age := (s.core.Loop.Now() - s.age.ConfirmedAt()).Milliseconds()
+	slices.SortFunc(l.Hosts, func(a, b endpoint) int { return strings.Compare(a.Host, b.Host) })
+	age := (s.dispatcher.Loop.Now() - s.age.ConfirmedAt()).Milliseconds()
 	l.AgeMs = &age
 	list, err = json.Marshal(l)
 	return s.watch.addr, list, err
 }
 
-// Relay takes in the list that the predecessor has heard, as long as discovery
+// Import takes in the list that the predecessor has heard, as long as discovery
 // is silent here. Its word comes first once it speaks.
-func (s *Registry) Relay(raw json.RawMessage) error {
-	var list hosts
+func (s *Registry) Import(raw json.RawMessage) error {
+	var list endpointList
 	if s.watch.live || s.follower != nil && s.follower.current != nil {
 		return nil
 	}
@@ -147,35 +147,35 @@
 	if s.follower != nil {
 		return s.follower.relay(&list)
 	}
-	entries, err := s.entries(list.Hosts)
+	entries, err := s.parseAndAdopt(list.Hosts)
 	if err != nil {
 		return err
 	}
 	s.watch.seq = max(s.watch.seq, list.Seq)
-	s.replace(entries)
+	s.replaceAll(entries)
 	if list.AgeMs != nil {
-		s.age.HandedOver(s.core.Loop.Now(), time.Duration(*list.AgeMs)*time.Millisecond)
+		s.age.HandedOver(s.dispatcher.Loop.Now(), time.Duration(*list.AgeMs)*time.Millisecond)
 	}
-	s.look()
+	s.refreshAndSchedule()
 	return nil
 }
 
-// replace puts a complete list in the place of what is known.
-func (s *Registry) replace(entries []decision.Endpoint) {
-	s.onlyThese(entries)
-	if s.first == nil {
-		s.core.UpdateWorkers(s.client, decision.ListSnapshot, entries)
+// replaceAll puts a complete list in the place of what is known.
+func (s *Registry) replaceAll(entries []decision.Endpoint) {
+	s.removeUnlisted(entries)
+	if s.initial == nil {
+		s.dispatcher.UpdateWorkers(s.client, decision.ListSnapshot, entries)
 		return
 	}
-	clear(s.first)
+	clear(s.initial)
 	for _, e := range entries {
-		s.first[e.Name] = e
+		s.initial[e.Name] = e
 	}
 }
 
 // CheckList tells what is wrong with a list of backends, and takes in none of it.
 func (s *Registry) CheckList(raw []byte) error {
-	var list hosts
+	var list endpointList
 	if len(raw) == 0 {
 		return nil
 	}
@@ -189,36 +189,36 @@
 	return err
 }
 
-// onlyThese marks all backends as gone that a complete list lacks.
-func (s *Registry) onlyThese(entries []decision.Endpoint) {
+// removeUnlisted marks all backends as gone that a complete list lacks.
+func (s *Registry) removeUnlisted(entries []decision.Endpoint) {
 	listed := map[string]bool{}
 	for _, e := range entries {
 		listed[e.Name] = true
 	}
-	for name, b := range s.hosts {
+	for name, b := range s.workers {
 		if !listed[name] {
-			s.gone(b)
+			s.remove(b)
 		}
 	}
 }
 
-func (s *Registry) gone(b *backend) {
-	if b.state != decision.Removed {
-		b.state, b.told = decision.Removed, s.core.Loop.Now()
+func (s *Registry) remove(b *Worker) {
+	if b.State != decision.Removed {
+		b.State, b.Since = decision.Removed, s.dispatcher.Loop.Now()
 		s.client.WorkerLeaving(b)
 	}
 	s.client.CloseIdleTo(b)
-	delete(s.hosts, b.name)
+	delete(s.workers, b.Name)
 }
 
 // parse checks a whole list and takes in none of it.
-func (s *Registry) parse(list []host) ([]decision.Endpoint, error) {
+func (s *Registry) parse(list []endpoint) ([]decision.Endpoint, error) {
 	entries := make([]decision.Endpoint, 0, len(list))
 	for i, h := range list {
 		at := "hosts[" + strconv.Itoa(i) + "]"
 		e := decision.Endpoint{
 			Name: h.Host, Cell: h.Block, Weight: h.Share,
-			Zone: index(s.core.Settings.ZoneNames, h.Site), Kind: index(s.core.Settings.KindNames, h.Class),
+			Zone: index(s.dispatcher.Settings.ZoneNames, h.Site), Kind: index(s.dispatcher.Settings.KindNames, h.Class),
 		}
 		if h.BornMs > 0 && h.BornMs < 1e13 {
 			e.StartedAt = time.Duration(h.BornMs * float64(time.Millisecond))
@@ -244,8 +244,8 @@
 	return entries, nil
 }
 
-// entries takes in a list, unless some of it is wrong.
-func (s *Registry) entries(list []host) ([]decision.Endpoint, error) {
+// parseAndAdopt takes in a list, unless some of it is wrong.
+func (s *Registry) parseAndAdopt(list []endpoint) ([]decision.Endpoint, error) {
 	entries, err := s.parse(list)
 	if err == nil {
 		s.adopt(list, entries)
@@ -254,26 +254,26 @@
 }
 
 // adopt takes in a list that has been parsed.
-func (s *Registry) adopt(list []host, entries []decision.Endpoint) {
-	now := s.core.Loop.Now()
+func (s *Registry) adopt(list []endpoint, entries []decision.Endpoint) {
+	now := s.dispatcher.Loop.Now()
 	for i, e := range entries {
-		b := s.hosts[e.Name]
+		b := s.workers[e.Name]
 		if e.State == decision.Removed {
 			if b != nil {
-				s.gone(b)
+				s.remove(b)
 			}
 			continue
 		}
 		if b == nil {
-			b = &backend{name: e.Name, dial: list[i].Dial, state: e.State, told: now}
-			s.hosts[e.Name] = b
+			b = &Worker{Name: e.Name, Address: list[i].Dial, State: e.State, Since: now}
+			s.workers[e.Name] = b
 		}
-		if b.dial != list[i].Dial {
+		if b.Address != list[i].Dial {
 			s.client.CloseIdleTo(b)
-			b.dial = list[i].Dial
+			b.Address = list[i].Dial
 		}
-		if b.host = list[i]; b.state != e.State {
-			b.state, b.told = e.State, now
+		if b.listed = list[i]; b.State != e.State {
+			b.State, b.Since = e.State, now
 			if e.State == decision.Draining {
 				s.client.WorkerLeaving(b)
 			}
--- a/internal/platform/objects.go
+++ b/internal/discovery/objects.go
@@ -1,4 +1,4 @@
-package platform
+package discovery
 
 import "errors"
 
--- a/internal/platform/relaycall.go
+++ b/internal/discovery/relaycall.go
@@ -1,4 +1,4 @@
-package platform
+package discovery
 
 import (
 	"bytes"
@@ -7,6 +7,7 @@
 	"fmt"
 	"io"
 
+	"hollyyoke.example/hollyyoke/internal/httpwire"
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
@@ -40,7 +41,7 @@
 	gzipped bool
 	last    bool // the server closes the connection behind it
 	chunked bool
-	chunk   ChunkReader
+	chunk   httpwire.ChunkReader
 	left    int // of a body of known length
 	ended   bool
 }
@@ -64,7 +65,7 @@
 			return false, err
 		}
 		if r.ended && (len(data) > 0 || len(r.in.Bytes()) > 0) || n == 0 {
-			return false, ErrMalformed // bytes behind the answer, or a frame line without end
+			return false, httpwire.ErrMalformed // bytes behind the answer, or a frame line without end
 		}
 	}
 	return r.ended, nil
@@ -97,8 +98,8 @@
 func (r *answerReader) piece(in []byte) (body []byte, used int, err error) {
 	switch {
 	case !r.headed:
-		var h Head
-		ok, err := ParseHead(in, &h, &r.seen)
+		var h httpwire.Head
+		ok, err := httpwire.ParseHead(in, &h, &r.seen)
 		if !ok {
 			return nil, 0, err
 		}
@@ -117,10 +118,10 @@
 }
 
 // begin takes in the head of the answer.
-func (r *answerReader) begin(h *Head) error {
+func (r *answerReader) begin(h *httpwire.Head) error {
 	status, ok := h.Status()
 	if !ok {
-		return ErrMalformed
+		return httpwire.ErrMalformed
 	}
 	if status < 200 {
 		return nil // an interim answer; the real one follows
@@ -136,8 +137,8 @@
 		return errLength
 	}
 	coding := h.Get("Content-Encoding")
-	r.gzipped = EqualFold(coding, "gzip")
-	if coding != nil && !r.gzipped && !EqualFold(coding, "identity") {
+	r.gzipped = httpwire.EqualFold(coding, "gzip")
+	if coding != nil && !r.gzipped && !httpwire.EqualFold(coding, "identity") {
 		return errCoding
 	}
 	r.headed, r.chunked, r.left = true, chunked, length
--- a/internal/platform/relaychange.go
+++ b/internal/discovery/relaychange.go
@@ -1,4 +1,4 @@
-package platform
+package discovery
 
 import (
 	"cmp"
@@ -31,7 +31,7 @@
 	base     membership.Version // that a delta continues from: asked for, or told before it; not on the wire
 	exact    bool               // as of membership.Change: it fits the state at base alone
 	missing  membership.Version // likewise: the first version of which the sender misses something; 0: none
-	hosts    []host
+	hosts    []endpoint
 	settings []setting
 	wrong    error // the first field whose value has the wrong type
 }
@@ -151,7 +151,7 @@
 // for another state.
 func (f *follower) apply(c change) outcome {
 	if c.version < f.version || c.version == f.version && !f.repairs(c) {
-		f.set.begin(nil) // what is known is confirmed
+		f.set.publishInitial(nil) // what is known is confirmed
 		return stale
 	}
 	if !c.whole && c.base < f.version && (c.exact || c.missing > 0) {
@@ -169,7 +169,7 @@
 	f.version, f.begun = c.version, true
 	f.keep(c.settings)
 	f.set.adopt(c.hosts, entries)
-	f.set.list(c.whole, entries)
+	f.set.publishChange(c.whole, entries)
 	f.count(c.whole)
 	return applied
 }
@@ -218,17 +218,17 @@
 	if len(changes) == 0 {
 		return nil
 	}
-	return f.set.reconfigure(changes)
+	return f.set.applySettings(changes)
 }
 
-// reconfigureCore hands changed settings to the core. The list that goes with them
+// reconfigureDispatcher hands changed settings to the core. The list that goes with them
 // follows in the same turn of the loop.
-func (s *Registry) reconfigureCore(changes []setting) error {
+func (s *Registry) reconfigureDispatcher(changes []setting) error {
 	list := make([]settings.Change, 0, len(changes))
 	for _, c := range changes {
 		list = append(list, settings.Change(c))
 	}
-	if err := s.core.Reconfigure(list); err != nil {
+	if err := s.dispatcher.Reconfigure(list); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	return nil
@@ -240,8 +240,8 @@
 		return
 	}
 	f.refused = v
-	f.set.control.Refused++
-	f.set.core.Log(fmt.Sprintf("membership: version %d is refused whole: %v; version %d stays in force", v, err, f.version))
+	f.set.stats.Refused++
+	f.set.dispatcher.Log(fmt.Sprintf("membership: version %d is refused whole: %v; version %d stays in force", v, err, f.version))
 }
 
 // keep remembers the settings in force, for a successor.
@@ -261,40 +261,40 @@
 }
 
 func (f *follower) count(whole bool) {
-	control := &f.set.control
+	control := &f.set.stats
 	control.Applied++
 	if whole {
 		control.Snapshots++
 	} else {
 		control.Deltas++
 	}
-	if f.set.Applied != nil {
-		f.set.Applied(f.version)
+	if f.set.OnVersionApplied != nil {
+		f.set.OnVersionApplied(f.version)
 	}
-	if f.set.Told != nil {
-		f.set.Told()
+	if f.set.OnUpdate != nil {
+		f.set.OnUpdate()
 	}
 	f.scheduleAcknowledgement()
 }
 
-// list tells the module of a change that has been taken in. The first one goes
-// with the list known at the start, as a change of it or in its place.
-func (s *Registry) list(whole bool, entries []decision.Endpoint) {
+// publishChange tells the module of a change that has been taken in. The first one goes
+// with the publishChange known at the start, as a change of it or in its place.
+func (s *Registry) publishChange(whole bool, entries []decision.Endpoint) {
 	switch {
 	case whole:
-		s.onlyThese(entries)
-		s.first = nil
-		s.core.Loop.Clear(&s.due)
-		s.core.UpdateWorkers(s.client, decision.ListSnapshot, entries)
-	case s.first != nil:
-		s.begin(entries)
+		s.removeUnlisted(entries)
+		s.initial = nil
+		s.dispatcher.Loop.Clear(&s.initialDue)
+		s.dispatcher.UpdateWorkers(s.client, decision.ListSnapshot, entries)
+	case s.initial != nil:
+		s.publishInitial(entries)
 	case len(entries) > 0:
-		s.core.UpdateWorkers(s.client, decision.ListDelta, entries)
+		s.dispatcher.UpdateWorkers(s.client, decision.ListDelta, entries)
 	}
 }
 
 // relay takes in the state that the predecessor has in force.
-func (f *follower) relay(list *hosts) error {
+func (f *follower) relay(list *endpointList) error {
 	c := change{version: membership.Version(list.Seq), whole: true, hosts: list.Hosts, settings: list.Settings}
 	if c.version <= f.version {
 		return nil
@@ -309,6 +309,6 @@
 	}
 	f.keep(c.settings)
 	f.set.adopt(c.hosts, entries)
-	f.set.replace(entries)
+	f.set.replaceAll(entries)
 	return nil
 }
--- a/internal/platform/relaylink.go
+++ b/internal/discovery/relaylink.go
@@ -1,4 +1,4 @@
-package platform
+package discovery
 
 import (
 	"errors"
@@ -63,7 +63,7 @@
 	turn := l.turn
 	l.kept = false
 	l.due.Fire = l.expire
-	l.set.core.Loop.Set(&l.due, l.set.core.Loop.Now()+linkConnect+linkSilence)
+	l.set.dispatcher.Loop.Set(&l.due, l.set.dispatcher.Loop.Now()+linkConnect+linkSilence)
 	l.set.engine.DialReserved(l.addr, linkConnect, l, func(c *transport.Conn, err error) {
 		switch {
 		case turn != l.turn:
@@ -89,13 +89,13 @@
 		l.broken(errEndedLink)
 		return
 	}
-	l.set.control.BytesWritten += int64(len(l.request))
+	l.set.stats.BytesWritten += int64(len(l.request))
 }
 
 // extend gives the server time for its next bytes.
 func (l *link) extend() {
 	l.extended = false
-	l.set.core.Loop.Set(&l.due, l.set.core.Loop.Now()+linkSilence)
+	l.set.dispatcher.Loop.Set(&l.due, l.set.dispatcher.Loop.Now()+linkSilence)
 }
 
 // expire ends a call on which nothing has come in time. The server may have
@@ -103,7 +103,7 @@
 func (l *link) expire() {
 	if l.conn != nil && !l.extended && !l.conn.NothingUnread() {
 		l.extended = true
-		l.set.core.Loop.Set(&l.due, l.set.core.Loop.Now()+leastAgentWait)
+		l.set.dispatcher.Loop.Set(&l.due, l.set.dispatcher.Loop.Now()+leastAgentWait)
 		return
 	}
 	l.finish(errSilent)
@@ -115,7 +115,7 @@
 	if c != l.conn {
 		return
 	}
-	l.set.control.BytesRead += int64(len(b.Bytes()))
+	l.set.stats.BytesRead += int64(len(b.Bytes()))
 	if !l.waiting { // nothing was asked: what comes is no answer to anything
 		l.close()
 		return
@@ -153,7 +153,7 @@
 func (l *link) finish(err error) {
 	waiting, last := l.waiting, l.answer.last
 	gzipped := l.answer.gzipped
-	l.set.core.Loop.Clear(&l.due)
+	l.set.dispatcher.Loop.Clear(&l.due)
 	l.answer.reset(&l.set.engine.Pool)
 	l.answer.gzipped = gzipped // for whoever reads the body
 	l.waiting, l.kept = false, true
@@ -167,7 +167,7 @@
 
 // drop forgets the connection.
 func (l *link) drop() {
-	l.set.core.Loop.Clear(&l.due)
+	l.set.dispatcher.Loop.Clear(&l.due)
 	l.answer.reset(&l.set.engine.Pool)
 	l.turn++
 	if conn := l.conn; conn != nil {
--- a/internal/platform/relaysubscription.go
+++ b/internal/discovery/relaysubscription.go
@@ -1,4 +1,4 @@
-package platform
+package discovery
 
 import (
 	"bytes"
@@ -66,7 +66,7 @@
 	t.watch.close()
 }
 
-func (t *subscription) now() time.Duration { return t.follower.set.core.Loop.Now() }
+func (t *subscription) now() time.Duration { return t.follower.set.dispatcher.Loop.Now() }
 
 func (t *subscription) connected() { t.promise = t.now() + answerStagger }
 
@@ -158,7 +158,7 @@
 	t.failed = 0
 	t.noteAfter(c)
 	f.acknowledged = t.asked
-	f.set.control.Acknowledged++
+	f.set.stats.Acknowledged++
 	f.apply(c)
 	if t.watchDue {
 		t.catchUpAgain()
@@ -234,7 +234,7 @@
 func (t *subscription) line(text []byte) error {
 	f := t.follower
 	if len(text) == 0 {
-		f.set.begin(nil) // what is known is confirmed
+		f.set.publishInitial(nil) // what is known is confirmed
 	} else if err := t.change(text); err != nil {
 		return err
 	}
--- a/internal/platform/relaywatch.go
+++ b/internal/discovery/relaywatch.go
@@ -1,4 +1,4 @@
-package platform
+package discovery
 
 import (
 	"encoding/json"
@@ -22,8 +22,8 @@
 	Seed        uint64              // of the jitter
 }
 
-// ControlStats counts what the control connections have carried since the start.
-type ControlStats struct {
+// Stats counts what the control connections have carried since the start.
+type Stats struct {
 	BytesRead    int64 `json:"bytes_read"`    // from servers of changes, or from discovery
 	BytesWritten int64 `json:"bytes_written"` // to them
 	Applied      int64 `json:"applied"`       // changes put in force
@@ -100,10 +100,10 @@
 	s.follower = f
 }
 
-// ControlStats tells what the control connections have carried: those to servers of
+// Stats tells what the control connections have carried: those to servers of
 // versioned changes, or the discovery watch, of which only the bytes are counted.
-func (s *Registry) ControlStats() ControlStats {
-	stats := s.control
+func (s *Registry) Stats() Stats {
+	stats := s.stats
 	f := s.follower
 	switch {
 	case f == nil:
@@ -120,11 +120,11 @@
 
 // start begins to follow, from a list known at the start. Only one that tells the
 // settings that go with its version, as a predecessor's does, is resumed from.
-func (f *follower) start(list *hosts) {
+func (f *follower) start(list *endpointList) {
 	f.version = membership.Version(list.Seq)
 	if list.Settings != nil {
 		if err := f.reconfigure(list.Settings); err != nil {
-			f.set.core.Log("membership: the list known at the start: " + err.Error())
+			f.set.dispatcher.Log("membership: the list known at the start: " + err.Error())
 		} else {
 			f.keep(list.Settings)
 			f.resume, f.begun = f.version, true
@@ -143,7 +143,7 @@
 
 // step begins an attempt, if one is due, and sets the time of the next look.
 func (f *follower) step() {
-	now := f.set.core.Loop.Now()
+	now := f.set.dispatcher.Loop.Now()
 	var wait time.Duration
 	if f.current != nil {
 		wait = f.tryBetter(now)
@@ -151,9 +151,9 @@
 		wait = f.tryNext(now)
 	}
 	if wait > 0 {
-		f.set.core.Loop.Set(&f.attempt, now+wait)
+		f.set.dispatcher.Loop.Set(&f.attempt, now+wait)
 	} else {
-		f.set.core.Loop.Clear(&f.attempt)
+		f.set.dispatcher.Loop.Clear(&f.attempt)
 	}
 }
 
@@ -202,7 +202,7 @@
 // use puts a server in use that has caught up.
 func (f *follower) use(t *subscription) {
 	s := f.set
-	now := s.core.Loop.Now()
+	now := s.dispatcher.Loop.Now()
 	former := f.current
 	f.current = t
 	for _, other := range f.trials {
@@ -218,10 +218,10 @@
 	}
 	f.selector.Working(now, t.server.Address)
 	if f.former != "" && f.former != t.server.Address {
-		s.control.Failovers++
+		s.stats.Failovers++
 	}
 	if f.former != t.server.Address || f.mute {
-		s.core.Log("membership: follows " + t.server.Address + " in zone " + t.server.Zone)
+		s.dispatcher.Log("membership: follows " + t.server.Address + " in zone " + t.server.Zone)
 	}
 	f.former, f.mute = t.server.Address, false
 	f.acknowledged, f.calledAt, f.repairedAt, f.ackPending = t.asked, now, now, false
@@ -231,7 +231,7 @@
 
 // failed is told that a subscription has ended, and goes on with another one.
 func (f *follower) failed(t *subscription, why string) {
-	loop := f.set.core.Loop
+	loop := f.set.dispatcher.Loop
 	t.close()
 	f.selector.Failed(loop.Now(), t.server.Address)
 	if t == f.current {
@@ -247,7 +247,7 @@
 	}
 	if f.current == nil && !f.mute {
 		f.mute = true // an outage has one line in the log, not one for each attempt
-		f.set.core.Log("membership: " + t.server.Address + ": " + why)
+		f.set.dispatcher.Log("membership: " + t.server.Address + ": " + why)
 	}
 	f.step()
 }
@@ -262,7 +262,7 @@
 	if t == nil || t.calling || t.ignoresAfter || f.ackPending {
 		return
 	}
-	loop := f.set.core.Loop
+	loop := f.set.dispatcher.Loop
 	now := loop.Now()
 	if f.version == f.acknowledged && t.failed == 0 || !f.begun {
 		loop.Set(&f.ack, max(f.calledAt+idleAcknowledge, now))
@@ -281,7 +281,7 @@
 	if t == nil || t.calling || t.ignoresAfter {
 		return
 	}
-	now := f.set.core.Loop.Now()
+	now := f.set.dispatcher.Loop.Now()
 	f.calledAt = now
 	after, every := f.version, idleAcknowledge
 	if f.resume == 0 {
--- a/internal/platform/relaywatch_test.go
+++ b/internal/discovery/relaywatch_test.go
@@ -1,4 +1,4 @@
-package platform
+package discovery
 
 import (
 	"bufio"
@@ -20,6 +20,7 @@
 
 	"hollyyoke.example/hollyyoke/decision"
 	"hollyyoke.example/hollyyoke/internal/membership"
+	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
 // These tests play the servers of changes on sockets of their own, request by
@@ -108,7 +109,7 @@
 // expect waits for a call with that query.
 func (s *server) expect(query string) request {
 	s.t.Helper()
-	r := receive(s.t, s.came)
+	r := testkit.Receive(s.t, s.came)
 	if r.query != query {
 		s.t.Fatalf("the call is %q, not %q", r.query, query)
 	}
@@ -137,10 +138,10 @@
 }
 
 // open begins the answer to a watch.
-func (r request) open() { io.WriteString(r, watchHead) }
+func (r request) open() { io.WriteString(r, testkit.WatchHead) }
 
 // tell sends a line of a watch.
-func (r request) tell(text string) { io.WriteString(r, chunk(text+"\n")) }
+func (r request) tell(text string) { io.WriteString(r, testkit.Chunk(text+"\n")) }
 
 // state is an object of a server: hosts as name=health.
 func state(version int, whole bool, hosts ...string) string {
@@ -154,7 +155,7 @@
 
 // subject is a dispatcher that follows servers.
 type subject struct {
-	*rig
+	*testkit.Rig
 	t        *testing.T
 	registry *Registry
 
@@ -169,15 +170,15 @@
 // and the last ones, as many as are far, as those of another.
 func follow(t *testing.T, far int, servers ...*server) *subject {
 	t.Helper()
-	s := &subject{rig: newRig(t, func(s *decision.Settings) { s.DrainGrace = 500 * time.Millisecond }), t: t}
-	s.do(func() {
-		s.core.Log = func(text string) {
+	s := &subject{Rig: testkit.NewRig(t, func(s *decision.Settings) { s.DrainGrace = 500 * time.Millisecond }), t: t}
+	s.Do(func() {
+		s.Dispatcher.Log = func(text string) {
 			s.mu.Lock()
 			s.lines = append(s.lines, text)
 			s.mu.Unlock()
 		}
-		s.registry = s.workerClient("").registry
-		s.registry.Applied = func(v membership.Version) {
+		s.registry = newRegistry(s.Rig, "")
+		s.registry.OnVersionApplied = func(v membership.Version) {
 			s.mu.Lock()
 			s.applied = append(s.applied, v)
 			s.mu.Unlock()
@@ -202,8 +203,8 @@
 // known starts it from a list.
 func (s *subject) known(list string) *subject {
 	s.t.Helper()
-	s.do(func() {
-		if err := s.registry.Known([]byte(list)); err != nil {
+	s.Do(func() {
+		if err := s.registry.LoadInitial([]byte(list)); err != nil {
 			s.t.Error(err)
 		}
 	})
@@ -213,9 +214,9 @@
 // hosts is what is listed, as name=health, in order.
 func (s *subject) hosts() string {
 	var list []string
-	s.do(func() {
-		for name, b := range s.registry.hosts {
-			health := map[decision.WorkerState]string{decision.Running: "ready", decision.Draining: "draining"}[b.state]
+	s.Do(func() {
+		for name, b := range s.registry.workers {
+			health := map[decision.WorkerState]string{decision.Running: "ready", decision.Draining: "draining"}[b.State]
 			list = append(list, name+"="+health)
 		}
 	})
@@ -224,19 +225,19 @@
 }
 
 func (s *subject) version() (v membership.Version) {
-	s.do(func() { v = s.registry.follower.version })
+	s.Do(func() { v = s.registry.follower.version })
 	return v
 }
 
-func (s *subject) stats() (stats ControlStats) {
-	s.do(func() { stats = s.registry.ControlStats() })
+func (s *subject) stats() (stats Stats) {
+	s.Do(func() { stats = s.registry.Stats() })
 	return stats
 }
 
 // reaches waits for a version to be in force, and checks what is listed then.
 func (s *subject) reaches(v membership.Version, hosts string) {
 	s.t.Helper()
-	until(s.t, fmt.Sprintf("version %d is in force", v), func() bool { return s.version() >= v })
+	testkit.Until(s.t, fmt.Sprintf("version %d is in force", v), func() bool { return s.version() >= v })
 	if got, now := s.hosts(), s.version(); now != v || got != hosts {
 		s.t.Fatalf("version %d: %s; want %d: %s", now, got, v, hosts)
 	}
@@ -245,7 +246,7 @@
 // follows waits until a server is in use.
 func (s *subject) follows(server *server) {
 	s.t.Helper()
-	until(s.t, server.addr+" is followed", func() bool { return s.stats().Server == server.addr })
+	testkit.Until(s.t, server.addr+" is followed", func() bool { return s.stats().Server == server.addr })
 }
 
 // logged counts the lines of the log that hold a text.
@@ -301,12 +302,12 @@
 		watch.tell(state(10, false, "b=gone")) // and now tells
 		watch.tell(state(11, false, "a=gone"))
 		s.reaches(11, "c=ready")
-		until(t, "version 11 is acknowledged", func() bool {
-			r := receive(t, home.came)
+		testkit.Until(t, "version 11 is acknowledged", func() bool {
+			r := testkit.Receive(t, home.came)
 			r.answer(state(11, false))
 			return r.query == "after=11&name=d+1"
 		})
-		until(t, "its answer has come", func() bool { return s.stats().Acknowledged >= 3 })
+		testkit.Until(t, "its answer has come", func() bool { return s.stats().Acknowledged >= 3 })
 		stats := s.stats()
 		if stats.Applied != 4 || stats.Snapshots != 1 || stats.Deltas != 3 || stats.Refused != 0 || stats.Failovers != 0 ||
 			stats.BytesRead < 500 || stats.BytesWritten < 100 || stats.Version != 11 {
@@ -331,7 +332,7 @@
 		watch.tell(state(v, false, fmt.Sprintf("b%d=ready", v)))
 		s.reaches(membership.Version(v), "a=ready "+strings.Join([]string{"b2=ready", "b3=ready", "b4=ready", "b5=ready"}[:v-1], " "))
 	}
-	s.do(func() {
+	s.Do(func() {
 		if f := s.registry.follower; !f.current.ignoresAfter || f.ackPending {
 			t.Error("it is called again")
 		}
@@ -345,11 +346,11 @@
 	s := follow(t, 1, home, other).known(``)
 	watch := home.serveFirst(0, state(5, true, "a=ready", "b=ready"), 5)
 	s.reaches(5, "a=ready b=ready")
-	text := chunk(state(6, false, "a=gone", "b=draining") + "\n")
-	release := s.hold()
-	s.write(t, watch, text[:len(text)-8])
+	text := testkit.Chunk(state(6, false, "a=gone", "b=draining") + "\n")
+	release := s.Hold()
+	s.Write(t, watch, text[:len(text)-8])
 	release()
-	s.do(func() {}) // it has been read
+	s.Do(func() {}) // it has been read
 	if got := s.hosts(); got != "a=ready b=ready" {
 		t.Fatalf("half of a change is in force: %s", got)
 	}
@@ -388,7 +389,7 @@
 			case first = <-second.came:
 			case first = <-third.came:
 				next, last = third, second
-			case <-time.After(patience):
+			case <-time.After(testkit.Patience):
 				t.Fatal("no server is asked")
 			}
 			next.came <- first
@@ -409,7 +410,7 @@
 	home.die()
 	home.revive()
 	for {
-		r := receive(t, home.came)
+		r := testkit.Receive(t, home.came)
 		if r.query != "after=8&name=d+1" { // an acknowledgement to the former one
 			continue
 		}
@@ -430,9 +431,9 @@
 	s := follow(t, 1, home, other).known(``)
 	watch := home.serveFirst(0, state(5, true, "a=ready"), 5)
 	s.follows(home)
-	text := chunk(state(6, false, "b=ready") + "\n")
+	text := testkit.Chunk(state(6, false, "b=ready") + "\n")
 	watch.tell("")
-	s.do(func() { s.registry.follower.current.watch.expire() }) // its time is up
+	s.Do(func() { s.registry.follower.current.watch.expire() }) // its time is up
 	other.serveFirst(5, state(7, false, "c=ready"), 7)
 	s.reaches(7, "a=ready c=ready")
 	io.WriteString(watch, text) // too late
@@ -445,9 +446,9 @@
 	s := follow(t, 0, home).known(``)
 	watch := home.serveFirst(0, state(5, true, "a=ready"), 5)
 	s.follows(home)
-	release := s.hold()
-	s.core.Loop.Post(func() { s.registry.follower.current.watch.expire() })
-	s.write(t, watch, chunk(state(6, false, "a=draining")+"\n"))
+	release := s.Hold()
+	s.Dispatcher.Loop.Post(func() { s.registry.follower.current.watch.expire() })
+	s.Write(t, watch, testkit.Chunk(state(6, false, "a=draining")+"\n"))
 	release()
 	s.reaches(6, "a=draining")
 	if n := s.logged("silent"); n != 0 {
@@ -488,16 +489,16 @@
 	home := newServer(t)
 	s := follow(t, 0, home).known(``)
 	first := home.expect("after=0&name=d+1")
-	io.WriteString(first, watchHead)
+	io.WriteString(first, testkit.WatchHead)
 	text := state(5, true, "a=ready")
 	for i := range text {
-		io.WriteString(first, chunk(text[i:i+1]))
+		io.WriteString(first, testkit.Chunk(text[i:i+1]))
 	}
 	io.WriteString(first, "0\r\n\r\n")
 	watch := home.expect("watch=1&after=5&name=d+1")
 	watch.open()
 	s.reaches(5, "a=ready")
-	for _, b := range []byte(chunk(state(6, false, "a=draining", "b=ready") + "\n")) {
+	for _, b := range []byte(testkit.Chunk(state(6, false, "a=draining", "b=ready") + "\n")) {
 		watch.Write([]byte{b})
 	}
 	s.reaches(6, "a=draining b=ready")
@@ -565,10 +566,10 @@
 		t.Run(field, func(t *testing.T) {
 			home := newServer(t)
 			s := follow(t, 0, home).known(``)
-			s.do(func() { s.registry.reconfigure = onlyWorth(nil) })
+			s.Do(func() { s.registry.applySettings = onlyWorth(nil) })
 			watch := home.serveFirst(0, state(5, true, "a=ready"), 5)
 			watch.tell(`{"seq":6,"whole":false,"hosts":[` + object + `]}`)
-			until(t, "it is refused", func() bool { return s.stats().Refused == 1 })
+			testkit.Until(t, "it is refused", func() bool { return s.stats().Refused == 1 })
 			if got := s.hosts(); s.version() != 5 || got != "a=ready" {
 				t.Errorf("version %d: %s", s.version(), got)
 			}
@@ -591,9 +592,9 @@
 	watch.tell(`{"seq":6,"whole":false,"hosts":[],"settings":[{"key":"over_share_worth","value":0.25}]}`)
 	s.reaches(6, "a=ready")
 	watch.tell(`{"seq":7,"whole":false,"hosts":[{"host":"a","health":"gone"}],"settings":[{"key":"over_share_worth","value":0.5},{"key":"limits.max_attempts","value":9}]}`)
-	until(t, "it is refused", func() bool { return s.stats().Refused == 1 })
-	s.do(func() {
-		if worth := s.core.Settings.OverQuotaWeight; worth != 0.25 {
+	testkit.Until(t, "it is refused", func() bool { return s.stats().Refused == 1 })
+	s.Do(func() {
+		if worth := s.Dispatcher.Settings.OverQuotaWeight; worth != 0.25 {
 			t.Errorf("the worth is %v", worth)
 		}
 	})
@@ -632,7 +633,7 @@
 			s.reaches(41, "k=ready n=ready")
 			s.follows(two)
 			return
-		case <-time.After(patience):
+		case <-time.After(testkit.Patience):
 			t.Fatal("no server is asked")
 		}
 	}
@@ -645,13 +646,13 @@
 	home := newServer(t)
 	s := follow(t, 0, home).known(``)
 	worth := false
-	s.do(func() { s.registry.reconfigure = onlyWorth(func() { worth = true }) })
+	s.Do(func() { s.registry.applySettings = onlyWorth(func() { worth = true }) })
 	watch := home.serveFirst(0, state(5, true, "a=ready"), 5)
 	s.reaches(5, "a=ready")
-	text := chunk(`{"seq":6,"whole":false,"settings":[{"key":"over_share_worth","value":0.5}],"hosts":[{"host":"b","dial":"127.0.0.1:9","health":"ready"}]}` + "\n")
+	text := testkit.Chunk(`{"seq":6,"whole":false,"settings":[{"key":"over_share_worth","value":0.5}],"hosts":[{"host":"b","dial":"127.0.0.1:9","health":"ready"}]}` + "\n")
 	seen, looks := false, 0
 	look := func() {
-		if host := s.registry.hosts["b"] != nil; host != worth {
+		if host := s.registry.workers["b"] != nil; host != worth {
 			t.Errorf("host %v, setting %v", host, worth)
 		}
 		seen = worth
@@ -659,17 +660,17 @@
 	}
 	for i := range len(text) {
 		io.WriteString(watch, text[i:i+1])
-		s.do(look)
+		s.Do(look)
 	}
-	until(t, "it is in force", func() bool {
-		s.do(look)
+	testkit.Until(t, "it is in force", func() bool {
+		s.Do(look)
 		return seen
 	})
 	if looks < len(text) {
 		t.Errorf("%d looks", looks)
 	}
-	s.do(func() {
-		_, list, err := s.registry.Tell()
+	s.Do(func() {
+		_, list, err := s.registry.Export()
 		if err != nil || !bytes.Contains(list, []byte(`"settings":[{"key":"over_share_worth","value":0.5}]`)) {
 			t.Errorf("a successor is told %s, %v", list, err)
 		}
@@ -686,10 +687,10 @@
 	home.expect("after=5&name=d+1") // is not answered, so that all bytes from now on are the drain's
 	before := s.stats().BytesRead
 	watch.tell(state(6, false, "a=draining"))
-	until(t, "the drain's bytes are taken in", func() (taken bool) {
-		s.do(func() {
-			taken = s.registry.control.BytesRead > before
-			if state := s.registry.hosts["a"].state; taken && state != decision.Draining {
+	testkit.Until(t, "the drain's bytes are taken in", func() (taken bool) {
+		s.Do(func() {
+			taken = s.registry.stats.BytesRead > before
+			if state := s.registry.workers["a"].State; taken && state != decision.Draining {
 				t.Errorf("the turn behind the bytes sees %v", state)
 			}
 		})
@@ -705,8 +706,8 @@
 	other.die()
 	s := follow(t, 1, home, other)
 	s.known(`{"seq":40,"hosts":[{"host":"k","dial":"127.0.0.1:9","health":"ready"}]}`)
-	until(t, "the known list serves", func() (heard bool) {
-		s.do(func() { heard = s.registry.Heard() && s.core.ReadyWorkers() == 1 })
+	testkit.Until(t, "the known list serves", func() (heard bool) {
+		s.Do(func() { heard = s.registry.Ready() && s.Dispatcher.ReadyWorkers() == 1 })
 		return heard
 	})
 	if n := s.logged(": "); n != 1 {
@@ -725,24 +726,24 @@
 	away := other.serveFirst(0, state(5, true, "a=ready"), 5)
 	s.follows(other)
 	home.revive()
-	s.do(func() { s.dueNow() })
+	s.Do(func() { s.dueNow() })
 	back := home.expect("after=5&name=d+1")
 	away.tell(state(6, false, "b=ready"))
 	s.reaches(6, "a=ready b=ready")
 	back.answer(state(5, false)) // it is behind by now
-	until(t, "it is passed over", func() (none bool) {
-		s.do(func() { none = len(s.registry.follower.trials) == 0 })
+	testkit.Until(t, "it is passed over", func() (none bool) {
+		s.Do(func() { none = len(s.registry.follower.trials) == 0 })
 		return none
 	})
 	s.follows(other)
-	s.do(func() { s.dueNow() })
+	s.Do(func() { s.dueNow() })
 	home.expect("after=6&name=d+1").answer(state(6, false))
 	watch := home.expect("watch=1&after=6&name=d+1")
 	watch.open()
 	away.tell(state(7, false, "c=ready"))
 	s.reaches(7, "a=ready b=ready c=ready")
 	watch.tell(state(6, false))
-	s.do(func() {}) // behind again: the one in use stays
+	s.Do(func() {}) // behind again: the one in use stays
 	s.follows(other)
 	watch.tell(state(7, false, "c=ready"))
 	s.follows(home)
@@ -763,7 +764,7 @@
 	s := follow(t, 0, old).known(``)
 	watch := old.serveFirst(0, state(5, true, "a=ready"), 5)
 	s.follows(old)
-	s.do(func() { s.registry.Follow(s.config(0, next)) })
+	s.Do(func() { s.registry.Follow(s.config(0, next)) })
 	call := next.expect("after=5&name=d+1")
 	watch.tell(state(6, false, "b=ready"))
 	s.reaches(6, "a=ready b=ready")
@@ -786,19 +787,19 @@
 	watch := home.expect("watch=1&after=5&name=d+1")
 	watch.open()
 	home.expect("after=5&name=d+1").answer(state(5, false))
-	until(t, "it is acknowledged", func() bool { return s.stats().Acknowledged == 1 })
-	release := s.hold()
-	s.write(t, watch, chunk(state(6, false, "b=ready")+"\n"))
-	s.core.Loop.Post(s.registry.follower.acknowledge) // with the connection's end on its way
+	testkit.Until(t, "it is acknowledged", func() bool { return s.stats().Acknowledged == 1 })
+	release := s.Hold()
+	s.Write(t, watch, testkit.Chunk(state(6, false, "b=ready")+"\n"))
+	s.Dispatcher.Loop.Post(s.registry.follower.acknowledge) // with the connection's end on its way
 	first.Close()
 	release()
 	for acknowledged := false; !acknowledged; {
-		r := receive(t, home.came)
+		r := testkit.Receive(t, home.came)
 		r.answer(state(6, false))
 		acknowledged = r.query == "after=6&name=d+1"
 	}
 	s.follows(home)
-	until(t, "it is acknowledged", func() bool { return s.stats().Acknowledged >= 2 })
+	testkit.Until(t, "it is acknowledged", func() bool { return s.stats().Acknowledged >= 2 })
 }
 
 // FuzzDecodeChange: what is read is what encoding/json reads of the whole text.
@@ -813,7 +814,7 @@
 		if (err == nil) != (errAgain == nil) || fmt.Sprint(c.hosts, c.version) != fmt.Sprint(again.hosts, again.version) {
 			t.Errorf("%q: %+v, %v; byte by byte %+v, %v", text, c, err, again, errAgain)
 		}
-		var list hosts
+		var list endpointList
 		if json.Unmarshal(text, &list) != nil || err != nil || c.wrong != nil {
 			return
 		}
@@ -830,24 +831,24 @@
 	s := follow(t, 0, home).known(``)
 	watch := home.serveFirst(0, state(5, true, "a=ready"), 5)
 	home.expect("after=5&name=d+1").answer(state(5, false))
-	until(t, "it is acknowledged", func() bool { return s.stats().Acknowledged == 1 })
+	testkit.Until(t, "it is acknowledged", func() bool { return s.stats().Acknowledged == 1 })
 	watch.tell(state(6, false, "a=draining", "b=asleep"))
 	watch.tell(state(7, false, "c=ready"))
 	s.reaches(7, "a=ready c=ready")
 	home.expect("after=7&name=d+1&acked=5&fleet=1").answer(state(7, false))
-	until(t, "it is acknowledged", func() bool { return s.stats().Acknowledged == 2 })
-	s.do(func() { // the time of the next look at what is missing
+	testkit.Until(t, "it is acknowledged", func() bool { return s.stats().Acknowledged == 2 })
+	s.Do(func() { // the time of the next look at what is missing
 		s.registry.follower.repairedAt -= idleAcknowledge
 		s.registry.follower.acknowledge()
 	})
 	home.expect("after=5&name=d+1").answer(state(7, false, "a=draining", "b=ready", "c=ready"))
-	until(t, "what was left out is in force", func() bool { return s.hosts() == "a=draining b=ready c=ready" })
+	testkit.Until(t, "what was left out is in force", func() bool { return s.hosts() == "a=draining b=ready c=ready" })
 	watch.tell(state(8, false, "c=gone"))
 	s.reaches(8, "a=draining b=ready")
 	home.expect("after=8&name=d+1")
-	s.do(func() {
-		if f := s.registry.follower; f.resume != 8 || s.registry.control.Refused != 1 {
-			t.Errorf("complete up to %d, %d refused", f.resume, s.registry.control.Refused)
+	s.Do(func() {
+		if f := s.registry.follower; f.resume != 8 || s.registry.stats.Refused != 1 {
+			t.Errorf("complete up to %d, %d refused", f.resume, s.registry.stats.Refused)
 		}
 	})
 }
@@ -866,7 +867,7 @@
 	if s.version() != 6 || s.hosts() != "a=ready b=draining" {
 		t.Fatalf("version %d: %s", s.version(), s.hosts())
 	}
-	until(t, "the snapshot is in force", func() bool {
+	testkit.Until(t, "the snapshot is in force", func() bool {
 		again.answer(state(8, true, "a=draining", "b=ready"))
 		select {
 		case again = <-home.came: // the first one may have been an acknowledgement that the watch's end overtook
@@ -884,7 +885,7 @@
 	watch := home.serveFirst(0, state(5, true, "a=ready", "b=ready"), 5)
 	watch.tell(strings.Replace(state(8, false, "a=draining"), `"whole":false`, `"whole":false,"exact":true`, 1))
 	s.reaches(8, "a=draining b=ready")
-	s.do(func() {
+	s.Do(func() {
 		if f := s.registry.follower; f.resume != 8 {
 			t.Errorf("complete up to %d", f.resume)
 		}
--- a/internal/platform/watch.go
+++ b/internal/discovery/watch.go
@@ -1,4 +1,4 @@
-package platform
+package discovery
 
 import (
 	"encoding/json"
@@ -10,6 +10,7 @@
 	"hollyyoke.example/hollyyoke/decision"
 	"hollyyoke.example/hollyyoke/internal/eventloop"
 	"hollyyoke.example/hollyyoke/internal/freshness"
+	"hollyyoke.example/hollyyoke/internal/httpwire"
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
@@ -22,26 +23,26 @@
 func (s *Registry) Subscribe() {
 	w := &s.watch
 	w.awaitsModule = false
-	if now := s.core.Loop.Now(); !w.out && s.follower == nil {
+	if now := s.dispatcher.Loop.Now(); !w.out && s.follower == nil {
 		w.callBy(max(now, w.notBefore))
 	}
 }
 
-// Discovery sets where discovery is before the first call.
-func (s *Registry) Discovery(addr string) { s.watch.addr = addr }
+// SetAddress sets where discovery is before the first call.
+func (s *Registry) SetAddress(addr string) { s.watch.addr = addr }
 
-// Move goes on with discovery at another address, at once. What the former one
+// MoveTo goes on with discovery at another address, at once. What the former one
 // has listed stands, and so does every attempt; the watch goes on where it was.
-func (s *Registry) Move(addr string) {
+func (s *Registry) MoveTo(addr string) {
 	s.watch.addr = addr
 	if s.follower == nil {
 		s.watch.open()
 	}
 }
 
-// Heard tells whether the module has a list that has been good for something:
+// Ready tells whether the module has a list that has been good for something:
 // discovery's, or the known one after its time.
-func (s *Registry) Heard() bool { return s.first == nil && s.Usable() }
+func (s *Registry) Ready() bool { return s.initial == nil && s.Usable() }
 
 // Usable tells whether what is listed has been good enough to send by since the start.
 func (s *Registry) Usable() bool {
@@ -63,7 +64,7 @@
 	ok         bool // the head of the answer has come
 	live       bool // and its first line
 	mute       bool // an agent that does not answer: the log tells so
-	chunk      ChunkReader
+	chunk      httpwire.ChunkReader
 	due        eventloop.Deadline // of the present call, or of the next line
 	extended   bool               // due has been put off for bytes on their way
 	limit      time.Duration      // due at the latest
@@ -103,26 +104,26 @@
 )
 
 // pushed tells whether lists come from an agent, which is called without the module's word.
-func (w *watch) pushed() bool { return !w.set.core.Settings.ListBySubscription }
+func (w *watch) pushed() bool { return !w.set.dispatcher.Settings.ListBySubscription }
 
 // timeouts are how long a call may take to connect, and in all up to its first line.
 func (w *watch) timeouts() (connect, call time.Duration) {
 	if !w.pushed() {
 		return watchConnect, watchCall
 	}
-	part := max(w.set.core.Settings.DrainGrace/agentCalls, 2*leastAgentWait)
+	part := max(w.set.dispatcher.Settings.DrainGrace/agentCalls, 2*leastAgentWait)
 	return part, part
 }
 
 // callBy makes the next call at a time, or earlier where one is set for earlier.
 func (w *watch) callBy(at time.Duration) {
-	if at <= w.set.core.Loop.Now() {
+	if at <= w.set.dispatcher.Loop.Now() {
 		w.open()
 		return
 	}
 	if w.nextAt == 0 || at < w.nextAt {
 		w.nextAt = at
-		w.set.core.Loop.Set(&w.next, at)
+		w.set.dispatcher.Loop.Set(&w.next, at)
 	}
 }
 
@@ -133,7 +134,7 @@
 	if w.out || w.addr == "" {
 		return
 	}
-	now := w.set.core.Loop.Now()
+	now := w.set.dispatcher.Loop.Now()
 	left := max(lastContact+nextCallWithin-now, leastPause)
 	w.callBy(now + left/2 + time.Duration(w.random.Int64N(int64(left/2))))
 }
@@ -144,8 +145,8 @@
 func (w *watch) expire() {
 	if w.conn != nil && !w.extended && !w.conn.NothingUnread() {
 		w.extended = true
-		w.set.core.TraceStep("", "discovery's timeout extended", "age", w.set.core.Loop.Now()-w.lastContact)
-		w.set.core.Loop.Set(&w.due, w.set.core.Loop.Now()+leastAgentWait)
+		w.set.dispatcher.TraceStep("", "discovery's timeout extended", "age", w.set.dispatcher.Loop.Now()-w.lastContact)
+		w.set.dispatcher.Loop.Set(&w.due, w.set.dispatcher.Loop.Now()+leastAgentWait)
 		return
 	}
 	w.fail(errSilentWatch)
@@ -174,9 +175,9 @@
 	}
 	w.out = true
 	generation := w.generation
-	loop := w.set.core.Loop
+	loop := w.set.dispatcher.Loop
 	w.lastContact = loop.Now()
-	w.set.core.TraceStep("", "discovery called", "version", w.seq)
+	w.set.dispatcher.TraceStep("", "discovery called", "version", w.seq)
 	connect, call := w.timeouts()
 	w.limit = w.lastContact + call
 	loop.Set(&w.due, w.limit)
@@ -192,7 +193,7 @@
 			w.conn = c
 			request := []byte("GET /v1/servers?watch=1&after=" + strconv.FormatInt(w.seq, 10) +
 				" HTTP/1.1\r\nHost: " + w.addr + "\r\n\r\n")
-			w.set.control.BytesWritten += int64(len(request))
+			w.set.stats.BytesWritten += int64(len(request))
 			c.Write(request)
 		}
 	})
@@ -200,13 +201,13 @@
 
 // drop forgets the present call, and the time of the next.
 func (w *watch) drop() {
-	w.set.core.Loop.Clear(&w.due)
-	w.set.core.Loop.Clear(&w.next)
+	w.set.dispatcher.Loop.Clear(&w.due)
+	w.set.dispatcher.Loop.Clear(&w.next)
 	w.set.engine.Pool.Put(w.in)
 	if w.conn != nil {
 		w.conn.Close()
 	}
-	w.in, w.text, w.conn, w.out, w.ok, w.live, w.chunk, w.seen = nil, objectSplitter{}, nil, false, false, false, ChunkReader{}, 0
+	w.in, w.text, w.conn, w.out, w.ok, w.live, w.chunk, w.seen = nil, objectSplitter{}, nil, false, false, false, httpwire.ChunkReader{}, 0
 	w.nextAt, w.extended = 0, false
 	w.generation++
 }
@@ -215,15 +216,15 @@
 // when to ask again, within what the protocol leaves; an agent is called again
 // at once, and the list known at the start then waits for its whole time.
 func (w *watch) fail(why error) {
-	lastContact, now := w.lastContact, w.set.core.Loop.Now()
+	lastContact, now := w.lastContact, w.set.dispatcher.Loop.Now()
 	failure := w.failure(why)
 	w.drop()
 	w.set.age.Failed(now, failure)
 	defer w.set.Refresh()
 	if !w.pushed() {
-		w.set.core.Log("discovery: " + why.Error())
+		w.set.dispatcher.Log("discovery: " + why.Error())
 		w.notBefore = now + leastPause
-		w.set.begin(nil)
+		w.set.publishInitial(nil)
 		w.tellModule()
 		if failure == freshness.BrokenOff { // it is there, and the bound runs
 			w.callBy(w.notBefore)
@@ -234,9 +235,9 @@
 	}
 	if !w.mute {
 		w.mute = true // an outage has one line in the log, not one for each call
-		w.set.core.Log("discovery: " + why.Error())
+		w.set.dispatcher.Log("discovery: " + why.Error())
 	}
-	w.callBy(now + max(w.set.core.Settings.DrainGrace/agentPauses, leastAgentWait))
+	w.callBy(now + max(w.set.dispatcher.Settings.DrainGrace/agentPauses, leastAgentWait))
 }
 
 // tellModule tells the module that a call failed, unless it has yet to ask again
@@ -245,7 +246,7 @@
 func (w *watch) tellModule() {
 	if !w.awaitsModule {
 		w.awaitsModule = true
-		w.set.core.UpdateWorkers(w.set.client, decision.ListFailed, nil)
+		w.set.dispatcher.UpdateWorkers(w.set.client, decision.ListFailed, nil)
 	}
 }
 
@@ -263,9 +264,9 @@
 		return
 	}
 	defer w.set.engine.Pool.Put(b)
-	w.set.control.BytesRead += int64(len(b.Bytes()))
-	if w.set.core.Trace != nil {
-		w.set.core.TraceStep("", "discovery's bytes", "bytes", len(b.Bytes()))
+	w.set.stats.BytesRead += int64(len(b.Bytes()))
+	if w.set.dispatcher.Trace != nil {
+		w.set.dispatcher.TraceStep("", "discovery's bytes", "bytes", len(b.Bytes()))
 	}
 	for w.conn == c && len(b.Bytes()) > 0 {
 		if w.in == nil {
@@ -275,7 +276,7 @@
 		b.Consume(n)
 		err := w.read()
 		if err == nil && n == 0 {
-			err = ErrMalformed // no room for the end of what is a line at the most
+			err = httpwire.ErrMalformed // no room for the end of what is a line at the most
 		}
 		if err != nil && w.conn == c {
 			w.fail(err)
@@ -291,21 +292,21 @@
 	if w.conn == nil || !w.ok || w.live && !w.midLine() {
 		return
 	}
-	w.set.core.Loop.Set(&w.due, min(w.limit, w.set.core.Loop.Now()+watchPart))
+	w.set.dispatcher.Loop.Set(&w.due, min(w.limit, w.set.dispatcher.Loop.Now()+watchPart))
 }
 
 func (w *watch) read() error {
 	if !w.ok {
-		var h Head
-		ok, err := ParseHead(w.in.Bytes(), &h, &w.seen)
+		var h httpwire.Head
+		ok, err := httpwire.ParseHead(w.in.Bytes(), &h, &w.seen)
 		if !ok {
 			return err
 		}
-		if status, _ := h.Status(); status != statusOK {
+		if status, _ := h.Status(); status != httpwire.StatusOK {
 			return statusError(status)
 		}
 		if !h.HasToken("Transfer-Encoding", "chunked") {
-			return ErrMalformed
+			return httpwire.ErrMalformed
 		}
 		w.ok = true
 		w.in.Consume(h.Size)
@@ -349,51 +350,51 @@
 
 // line takes in one line: the list, changes, or a line that only shows liveness.
 func (w *watch) line(text []byte) (err error) {
-	loop := w.set.core.Loop
+	loop := w.set.dispatcher.Loop
 	w.lastContact = loop.Now()
 	w.limit = w.lastContact + watchLine
 	loop.Set(&w.due, w.limit)
 	defer func() {
 		if err == nil { // what cannot be read tells nothing
-			w.set.heard()
+			w.set.sourceHeard()
 		}
 	}()
 	first := !w.live
 	w.live, w.mute, w.extended = true, false, false
-	if len(text) == 0 && w.set.first != nil {
-		w.set.begin(nil)
+	if len(text) == 0 && w.set.initial != nil {
+		w.set.publishInitial(nil)
 		return nil
 	}
 	if len(text) == 0 {
 		if first { // nothing has changed; but the call did not fail, and the module waits for word of it
-			w.set.core.UpdateWorkers(w.set.client, decision.ListDelta, nil)
+			w.set.dispatcher.UpdateWorkers(w.set.client, decision.ListDelta, nil)
 		}
 		return nil
 	}
-	var list hosts
+	var list endpointList
 	if err := json.Unmarshal(text, &list); err != nil {
 		return err
 	}
-	entries, err := w.set.entries(list.Hosts)
+	entries, err := w.set.parseAndAdopt(list.Hosts)
 	if err != nil {
 		return err
 	}
-	w.set.core.TraceStep("", "discovery's version", "version", list.Seq, "after", w.seq, "snapshot", list.Whole, "entries", len(entries))
+	w.set.dispatcher.TraceStep("", "discovery's version", "version", list.Seq, "after", w.seq, "snapshot", list.Whole, "entries", len(entries))
 	kind := decision.ListDelta
 	if list.Whole {
 		kind = decision.ListSnapshot
-		w.set.onlyThese(entries)
+		w.set.removeUnlisted(entries)
 	}
 	w.seq = list.Seq
-	if w.set.Told != nil {
-		defer w.set.Told()
+	if w.set.OnUpdate != nil {
+		defer w.set.OnUpdate()
 	}
-	if w.set.first != nil && !list.Whole {
-		w.set.begin(entries)
+	if w.set.initial != nil && !list.Whole {
+		w.set.publishInitial(entries)
 		return nil
 	}
-	w.set.first = nil
-	w.set.core.Loop.Clear(&w.set.due)
-	w.set.core.UpdateWorkers(w.set.client, kind, entries)
+	w.set.initial = nil
+	w.set.dispatcher.Loop.Clear(&w.set.initialDue)
+	w.set.dispatcher.UpdateWorkers(w.set.client, kind, entries)
 	return nil
 }
--- a/internal/platform/client.go
+++ b/internal/httpfront/client.go
@@ -1,4 +1,7 @@
-package platform
+// Package httpfront is the HTTP/1.1 front end: it accepts client connections, reads requests, hands them to the
+// dispatcher and writes their responses. It must never decide where a request goes or whether it is retried, never
+// close a connection on which a response is owed, nor write two responses to one request.
+package httpfront
 
 import (
 	"bytes"
@@ -12,6 +15,7 @@
 	"hollyyoke.example/hollyyoke/internal/dispatch"
 	"hollyyoke.example/hollyyoke/internal/durable"
 	"hollyyoke.example/hollyyoke/internal/eventloop"
+	"hollyyoke.example/hollyyoke/internal/httpwire"
 	"hollyyoke.example/hollyyoke/internal/listener"
 	"hollyyoke.example/hollyyoke/internal/slotmap"
 	"hollyyoke.example/hollyyoke/internal/transport"
@@ -22,40 +26,40 @@
 // answer is owed on it, nor write two answers to one request, nor let one
 // client's bytes, connections or haste cost the others their turn.
 
-// Front is the platform's front. It belongs to the loop's goroutine.
-type Front struct {
-	core     *dispatch.Dispatcher
-	engine   *transport.Engine
-	classes  map[string]int
-	sessions slotmap.Map[session]
-	out      []byte
-	ready    func() bool
-	memory   int // bytes that buffers may take up before half-read requests are given up
-	entry    *listener.Gate
-	turns    connlimit.RoundRobin // sessions whose bytes wait for their address's turn
-	turning  bool
-	reader   uint64 // the session that is read
-	stopping bool
-	closing  bool // the arrival window has passed: sessions end between requests
-	away     bool // out of service, for a drain
-	awayAt   time.Duration
-	shared   bool // another process accepts on the same listener
-	shut     bool // nothing is read from clients any more
-	left     bool // to the successor, which is the same dispatcher to those who ask for its health
-	acceptor *transport.Acceptor
-	drain    eventloop.Deadline // the drain's next step
-	pressed  bool               // new sessions wait, and none could be closed for them
-	spared   bool               // a proven one was spared for a moment
-	press    eventloop.Deadline
-	quiet    eventloop.Deadline
+// FrontEnd is the platform's front. It belongs to the loop's goroutine.
+type FrontEnd struct {
+	dispatcher  *dispatch.Dispatcher
+	engine      *transport.Engine
+	classes     map[string]int
+	connections slotmap.Map[clientConnection]
+	out         []byte
+	ready       func() bool
+	memory      int // bytes that buffers may take up before half-read requests are given up
+	entry       *listener.Gate
+	turns       connlimit.RoundRobin // sessions whose bytes wait for their address's turn
+	turning     bool
+	reader      uint64 // the session that is read
+	stopping    bool
+	closing     bool // the arrival window has passed: sessions end between requests
+	away        bool // out of service, for a drain
+	awayAt      time.Duration
+	shared      bool // another process accepts on the same listener
+	shut        bool // nothing is read from clients any more
+	left        bool // to the successor, which is the same dispatcher to those who ask for its health
+	acceptor    *transport.Acceptor
+	drain       eventloop.Deadline // the drain's next step
+	pressed     bool               // new sessions wait, and none could be closed for them
+	spared      bool               // a proven one was spared for a moment
+	press       eventloop.Deadline
+	quiet       eventloop.Deadline
 
 	kept        *durable.Service // requests of some classes may be durable; nil: none
 	keptClasses []bool
 }
 
-// session is one client's connection: it reads a request, waits for its answer, and reads on.
-type session struct {
-	front  *Front
+// clientConnection is one client's connection: it reads a request, waits for its answer, and reads on.
+type clientConnection struct {
+	front  *FrontEnd
 	token  uint64
 	id     connlimit.ID
 	peer   netip.Addr // whose turn its bytes wait for
@@ -81,7 +85,7 @@
 	paused bool               // no more is read for now
 	flood  eventloop.Deadline // the next look for more than a session may have unread
 	posted bool               // a turn is on its way
-	scan   ScanState          // how far the body at hand has been looked at
+	scan   httpwire.ScanState // how far the body at hand has been looked at
 	idleAt time.Duration
 	idle   eventloop.Deadline
 }
@@ -108,10 +112,10 @@
 	mostFlood = 8 << 20               // bytes that are read there to find the client's end
 )
 
-// NewFront returns a front that accepts on addr once Listen is called. Its
+// New returns a front that accepts on addr once Listen is called. Its
 // buffers, with those of others, should not take up more than memory bytes.
-func NewFront(c *dispatch.Dispatcher, e *transport.Engine, memory int, ready func() bool) *Front {
-	f := &Front{core: c, engine: e, classes: map[string]int{}, memory: memory, ready: ready,
+func New(c *dispatch.Dispatcher, e *transport.Engine, memory int, ready func() bool) *FrontEnd {
+	f := &FrontEnd{dispatcher: c, engine: e, classes: map[string]int{}, memory: memory, ready: ready,
 		entry: listener.NewUnlimited(c.Loop, 1)}
 	f.press.Fire, f.quiet.Fire, f.drain.Fire = f.pressOn, f.hush, f.drainOn
 	for i, class := range c.Settings.Classes {
@@ -120,11 +124,11 @@
 	return f
 }
 
-// Use makes the front ask an entry who may come in. It must come before Listen or Serve.
-func (f *Front) Use(e *listener.Gate) { f.entry = e }
+// SetGate makes the front ask an entry who may come in. It must come before Listen or Serve.
+func (f *FrontEnd) SetGate(e *listener.Gate) { f.entry = e }
 
 // Listen starts accepting client sessions, most at a time, and returns the address.
-func (f *Front) Listen(addr string, most int) (string, error) {
+func (f *FrontEnd) Listen(addr string, most int) (string, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return "", err
@@ -134,7 +138,7 @@
 }
 
 // Serve starts accepting client sessions from a listener, most at a time.
-func (f *Front) Serve(ln net.Listener, most int) {
+func (f *FrontEnd) Serve(ln net.Listener, most int) {
 	if !f.entry.Enabled() {
 		f.entry.Limiter.SetCapacity(most)
 	}
@@ -148,28 +152,28 @@
 
 const frontNumber = 0 // of this front's tokens, at the entry
 
-func (f *Front) accept(c *transport.Conn) transport.Handler {
+func (f *FrontEnd) accept(c *transport.Conn) transport.Handler {
 	if f.shut { // it was in the system's queue
 		c.CloseGracefully()
 		return c.Handler
 	}
-	s := &session{front: f, conn: c, idleAt: c.Opened}
+	s := &clientConnection{front: f, conn: c, idleAt: c.Opened}
 	s.idle.Fire, s.stall.Fire, s.flood.Fire = s.expire, s.stalled, s.flooded
-	s.token = f.sessions.Insert(s)
+	s.token = f.connections.Insert(s)
 	s.id = f.entry.Accepted(frontNumber, s.token, c.AdmissionToken)
 	f.pressed, f.spared = false, false
 	if f.entry.Enabled() {
 		s.peer = c.Peer()
 		s.header = f.entry.Limiter.TrustOf(s.id) == connlimit.TrustedProxy
 	}
-	f.core.Loop.Set(&s.idle, f.core.Loop.Now()+idleTime)
+	f.dispatcher.Loop.Set(&s.idle, f.dispatcher.Loop.Now()+idleTime)
 	f.hush()
 	return s
 }
 
 // Evict closes a session that the entry has chosen.
-func (f *Front) Evict(token uint64) {
-	if s := f.sessions.Get(token); s != nil && !s.busy && !s.gone {
+func (f *FrontEnd) Evict(token uint64) {
+	if s := f.connections.Get(token); s != nil && !s.busy && !s.gone {
 		s.drop()
 	}
 }
@@ -177,10 +181,10 @@
 // hush closes silent sessions where they are too many to be usual clients' that
 // opened early: those first that have been silent longest, and none that has
 // just come, since a close that crosses a session's first request costs it.
-func (f *Front) hush() {
+func (f *FrontEnd) hush() {
 	for f.entry.Limiter.TooManySilent() {
 		if !f.entry.EvictOne(connlimit.ForSilence) {
-			f.core.Loop.Set(&f.quiet, f.core.Loop.Now()+pressTime)
+			f.dispatcher.Loop.Set(&f.quiet, f.dispatcher.Loop.Now()+pressTime)
 			return
 		}
 	}
@@ -189,7 +193,7 @@
 // shed makes room for new sessions, and goes on until one of those that wait
 // has come in. It closes sessions at once, lest they linger holding their
 // descriptors. If there is none to close, the next answers end their sessions.
-func (f *Front) shed() {
+func (f *FrontEnd) shed() {
 	const some = 8
 	room := f.shared // the other process has room: nobody who may be a usual client goes for it
 	for i := range some {
@@ -203,113 +207,113 @@
 		}
 		if stage == connlimit.Proven && !f.spared { // those that have just come may show by then that they only talk
 			f.spared = true
-			f.core.Loop.Set(&f.press, f.core.Loop.Now()+pressTime)
+			f.dispatcher.Loop.Set(&f.press, f.dispatcher.Loop.Now()+pressTime)
 			return
 		}
 		f.entry.CloseConnection(token)
 	}
 	if f.pressed {
-		f.core.Loop.Set(&f.press, f.core.Loop.Now()+pressTime)
+		f.dispatcher.Loop.Set(&f.press, f.dispatcher.Loop.Now()+pressTime)
 	}
 }
 
 // pressOn looks again, if those that waited still wait.
-func (f *Front) pressOn() {
+func (f *FrontEnd) pressOn() {
 	if f.pressed || f.spared {
 		f.shed()
 	}
 }
 
 // drop closes a session on which nothing is owed, at once.
-func (s *session) drop() {
-	s.front.core.Guard.CheckClosed(s.busy && !s.gone, "client session")
+func (s *clientConnection) drop() {
+	s.front.dispatcher.Guard.CheckClosed(s.busy && !s.gone, "client session")
 	s.forget()
 	s.conn.Close()
 }
 
-func (s *session) between() bool { return !s.busy && !s.gone && s.in == nil }
+func (s *clientConnection) between() bool { return !s.busy && !s.gone && s.in == nil }
 
-// Stop begins a planned restart: it goes on accepting, but no longer says that it is ready.
-func (f *Front) Stop() { f.stopping = true }
+// BeginShutdown begins a planned restart: it goes on accepting, but no longer says that it is ready.
+func (f *FrontEnd) BeginShutdown() { f.stopping = true }
 
-// Withdraw takes the front out of service: healthz says no at once, and sessions
+// Drain takes the front out of service: healthz says no at once, and sessions
 // end soon, whereas requests that come all the same are served. Said again, it
 // changes nothing.
-func (f *Front) Withdraw() {
+func (f *FrontEnd) Drain() {
 	if !f.away {
-		f.away, f.awayAt = true, f.core.Loop.Now()
-		f.core.Loop.Set(&f.drain, f.awayAt+frontTime)
+		f.away, f.awayAt = true, f.dispatcher.Loop.Now()
+		f.dispatcher.Loop.Set(&f.drain, f.awayAt+frontTime)
 	}
 }
 
-// Return brings the front back into service at once. It must not be called
+// EndDrain brings the front back into service at once. It must not be called
 // after Stop.
-func (f *Front) Return() {
+func (f *FrontEnd) EndDrain() {
 	f.away, f.closing = false, false
-	f.core.Loop.Clear(&f.drain)
+	f.dispatcher.Loop.Clear(&f.drain)
 }
 
 // drainOn goes on with a drain.
-func (f *Front) drainOn() {
+func (f *FrontEnd) drainOn() {
 	f.closing = true
-	now := f.core.Loop.Now()
+	now := f.dispatcher.Loop.Now()
 	if now >= f.awayAt+restTime {
 		f.endResting(lateRest)
 	}
-	f.core.Loop.Set(&f.drain, now+drainStep)
+	f.dispatcher.Loop.Set(&f.drain, now+drainStep)
 }
 
 // endResting ends the sessions between requests on which nothing is on its way,
 // and spares those that are silent and younger than young.
-func (f *Front) endResting(young time.Duration) {
-	now := f.core.Loop.Now()
-	f.sessions.ForEach(func(_ uint64, s *session) {
+func (f *FrontEnd) endResting(young time.Duration) {
+	now := f.dispatcher.Loop.Now()
+	f.connections.ForEach(func(_ uint64, s *clientConnection) {
 		if s.between() && (s.spoken || now-s.conn.Opened >= young) && s.conn.NothingUnread() {
 			s.end()
 		}
 	})
 }
 
-// Close ends all sessions between requests, now and from now on.
-func (f *Front) Close() {
+// CloseIdle ends all sessions between requests, now and from now on.
+func (f *FrontEnd) CloseIdle() {
 	f.closing = true
 	f.endResting(0)
 }
 
-// Share tells whether another process accepts on the same listener.
-func (f *Front) Share(shared bool) { f.shared = shared }
+// SetShared tells whether another process accepts on the same listener.
+func (f *FrontEnd) SetShared(shared bool) { f.shared = shared }
 
-// Room is how many bytes the buffers may take up from now on.
-func (f *Front) Room(memory int) { f.memory = memory }
+// SetMemoryLimit is how many bytes the buffers may take up from now on.
+func (f *FrontEnd) SetMemoryLimit(memory int) { f.memory = memory }
 
-// Leave accepts no more, since the successor does: what is not accepted yet waits
+// HandOver accepts no more, since the successor does: what is not accepted yet waits
 // for that one. Sessions end with their next answer; a close between requests,
 // which may cross one, comes only to those that go on resting.
-func (f *Front) Leave() {
+func (f *FrontEnd) HandOver() {
 	f.stopping, f.closing, f.left = true, true, true
-	f.core.Loop.Clear(&f.drain)
-	f.Refrain()
+	f.dispatcher.Loop.Clear(&f.drain)
+	f.StopAccepting()
 }
 
-// Shut is the point of no return of a planned end. Nothing is read from clients
+// StopReading is the point of no return of a planned end. Nothing is read from clients
 // after it, so nothing of theirs is sent on that comes later. What has been read
 // whole before is answered, also where it is still on its way from the poller; a
 // request that is half read is refused. Said again, it changes nothing.
-func (f *Front) Shut() {
+func (f *FrontEnd) StopReading() {
 	if f.shut {
 		return
 	}
 	f.stopping, f.closing, f.shut = true, true, true
-	f.core.Loop.Clear(&f.drain)
-	f.Refrain()
-	f.sessions.ForEach(func(_ uint64, s *session) { s.conn.Pause() })
-	f.core.Loop.Post(func() { // behind all that was read
-		f.sessions.ForEach(func(_ uint64, s *session) { s.shut() })
+	f.dispatcher.Loop.Clear(&f.drain)
+	f.StopAccepting()
+	f.connections.ForEach(func(_ uint64, s *clientConnection) { s.conn.Pause() })
+	f.dispatcher.Loop.Post(func() { // behind all that was read
+		f.connections.ForEach(func(_ uint64, s *clientConnection) { s.shut() })
 	})
 }
 
 // shut ends a session of which all has come in that will.
-func (s *session) shut() {
+func (s *clientConnection) shut() {
 	if s.queued && !s.header { // its turn has not come
 		s.queued = false
 		s.read()
@@ -326,47 +330,47 @@
 	}
 }
 
-// Open is the number of connections that have not ended, those included that
+// OpenConnections is the number of connections that have not ended, those included that
 // wait for the last answer to be read.
-func (f *Front) Open() int {
+func (f *FrontEnd) OpenConnections() int {
 	if f.acceptor == nil {
-		return f.sessions.Len()
+		return f.connections.Len()
 	}
 	return f.acceptor.OpenConnections()
 }
 
-// Refrain accepts no more; what comes waits in the backlog for the next process.
-func (f *Front) Refrain() {
+// StopAccepting accepts no more; what comes waits in the backlog for the next process.
+func (f *FrontEnd) StopAccepting() {
 	if f.acceptor != nil { // one that ends before it has begun accepts nothing anyway
 		f.acceptor.Close()
 	}
 }
 
-// Away tells whether the front is out of service.
-func (f *Front) Away() bool { return f.away }
+// Draining tells whether the front is out of service.
+func (f *FrontEnd) Draining() bool { return f.away }
 
-// Serving tells whether backends are known, so that jobs have somewhere to go.
-func (f *Front) Serving() bool { return f.ready() }
+// Ready tells whether backends are known, so that jobs have somewhere to go.
+func (f *FrontEnd) Ready() bool { return f.ready() }
 
-// Sessions is the number of sessions open.
-func (f *Front) Sessions() int { return f.sessions.Len() }
+// ConnectionCount is the number of sessions open.
+func (f *FrontEnd) ConnectionCount() int { return f.connections.Len() }
 
 // wait sets how long the session may rest.
-func (s *session) wait(served bool) {
+func (s *clientConnection) wait(served bool) {
 	span := idleTime
 	if s.proven = s.proven || served; !s.proven {
 		span = askingTime
 	}
-	s.idleAt = s.front.core.Loop.Now()
+	s.idleAt = s.front.dispatcher.Loop.Now()
 	s.front.entry.Limiter.BecameIdle(s.idleAt, s.id, served)
-	s.front.core.Loop.Set(&s.idle, s.idleAt+span)
+	s.front.dispatcher.Loop.Set(&s.idle, s.idleAt+span)
 }
 
 // begin is told that the first byte of a request is there. From now on it must
 // arrive whole in time; the bytes that follow change nothing.
-func (s *session) begin() {
-	now := s.front.core.Loop.Now()
-	s.since = s.front.core.Loop.QueuedSince()
+func (s *clientConnection) begin() {
+	now := s.front.dispatcher.Loop.Now()
+	s.since = s.front.dispatcher.Loop.QueuedSince()
 	s.by = now + requestTime
 	if !s.spoken {
 		s.spoken = true
@@ -376,29 +380,29 @@
 	if slow, again := s.front.entry.Limiter.TooSlow(now, now, 0); !slow && again > 0 {
 		due = min(due, again)
 	}
-	s.front.core.Loop.Set(&s.idle, due)
+	s.front.dispatcher.Loop.Set(&s.idle, due)
 	if why := s.front.entry.Limiter.RequestStarted(now, s.id); why != connlimit.Allowed {
 		s.over = why
 	}
 }
 
 // expire ends a session that has waited too long for a request, or for the rest of one.
-func (s *session) expire() {
+func (s *clientConnection) expire() {
 	switch {
 	case s.busy:
 	case s.in != nil:
-		now := s.front.core.Loop.Now()
+		now := s.front.dispatcher.Loop.Now()
 		if now < s.by { // the least rate
 			slow, again := s.front.entry.Limiter.TooSlow(now, s.since, len(s.in.Bytes()))
 			if !slow {
-				s.front.core.Loop.Set(&s.idle, min(s.by, max(again, now+time.Millisecond)))
+				s.front.dispatcher.Loop.Set(&s.idle, min(s.by, max(again, now+time.Millisecond)))
 				return
 			}
 			s.abuse(connlimit.Slow)
 		}
 		s.reject(errSlow)
 	case !s.conn.NothingUnread(): // a request is here, though not read yet
-		s.front.core.Loop.Set(&s.idle, s.front.core.Loop.Now()+lateTime)
+		s.front.dispatcher.Loop.Set(&s.idle, s.front.dispatcher.Loop.Now()+lateTime)
 	default:
 		s.end()
 	}
@@ -408,11 +412,11 @@
 // session has room for. Guards against a client that sent much and has gone: its
 // end does not come through behind what nobody reads, and its request would be
 // sent on for nobody. Such a session ends with its answer.
-func (s *session) flooded() {
+func (s *clientConnection) flooded() {
 	switch {
 	case s.gone || !s.paused:
 	case !s.busy || s.conn.NothingUnread():
-		s.front.core.Loop.Set(&s.flood, s.front.core.Loop.Now()+floodTime)
+		s.front.dispatcher.Loop.Set(&s.flood, s.front.dispatcher.Loop.Now()+floodTime)
 	default:
 		s.last = true
 		s.front.engine.Pool.Put(s.in)
@@ -423,15 +427,15 @@
 }
 
 // abuse books what a peer has done.
-func (s *session) abuse(why connlimit.Reason) {
+func (s *clientConnection) abuse(why connlimit.Reason) {
 	if s.front.entry.Enabled() {
-		s.front.entry.Limiter.ReportAbuse(s.front.core.Loop.Now(), s.id, why)
+		s.front.entry.Limiter.ReportAbuse(s.front.dispatcher.Loop.Now(), s.id, why)
 		s.front.entry.LogRejection(why, s.peer)
 	}
 }
 
 // stalled looks whether answers are read. One on which an answer is owed stays.
-func (s *session) stalled() {
+func (s *clientConnection) stalled() {
 	switch {
 	case s.gone || s.conn.UnsentBytes() == 0:
 	case s.busy || s.conn.SentBytes() > s.read0:
@@ -442,57 +446,57 @@
 	}
 }
 
-func (s *session) watchStall() {
+func (s *clientConnection) watchStall() {
 	if span := s.front.entry.WriteStall(); span > 0 && s.conn.UnsentBytes() > 0 {
 		s.read0 = s.conn.SentBytes()
-		s.front.core.Loop.Set(&s.stall, s.front.core.Loop.Now()+span)
+		s.front.dispatcher.Loop.Set(&s.stall, s.front.dispatcher.Loop.Now()+span)
 	}
 }
 
 // end ends a session on which nothing is owed.
-func (s *session) end() {
-	s.front.core.Guard.CheckClosed(s.busy && !s.gone, "client session")
+func (s *clientConnection) end() {
+	s.front.dispatcher.Guard.CheckClosed(s.busy && !s.gone, "client session")
 	s.forget()
 	s.conn.CloseGracefully()
 }
 
 // forget gives back all that a session holds.
-func (s *session) forget() {
+func (s *clientConnection) forget() {
 	if !s.gone {
 		s.front.entry.Limiter.Closed(s.id)
 	}
-	s.front.sessions.Remove(s.token)
-	s.front.core.Loop.Clear(&s.idle)
-	s.front.core.Loop.Clear(&s.stall)
-	s.front.core.Loop.Clear(&s.flood)
+	s.front.connections.Remove(s.token)
+	s.front.dispatcher.Loop.Clear(&s.idle)
+	s.front.dispatcher.Loop.Clear(&s.stall)
+	s.front.dispatcher.Loop.Clear(&s.flood)
 	s.front.engine.Pool.Put(s.in)
 	s.front.engine.Pool.Put(s.next)
 	s.in, s.next, s.gone = nil, nil, true
 }
 
 // OnClosed is told that the client has gone away.
-func (s *session) OnClosed(*transport.Conn, error) {
+func (s *clientConnection) OnClosed(*transport.Conn, error) {
 	busy, req := s.busy, s.req
 	s.forget()
 	if busy {
-		s.front.core.Cancel(req)
+		s.front.dispatcher.Cancel(req)
 	}
 }
 
 // The dispatcher asks a front end for this interface at run time.
-var _ dispatch.ClientWatcher = (*Front)(nil)
+var _ dispatch.ClientWatcher = (*FrontEnd)(nil)
 
 // ClientLeft tells whether the client of a request has closed its connection.
-func (f *Front) ClientLeft(token uint64) bool {
-	s := f.sessions.Get(token)
+func (f *FrontEnd) ClientLeft(token uint64) bool {
+	s := f.connections.Get(token)
 	return s == nil || s.conn.PeerClosed()
 }
 
 // RequestCancelled has nothing to do: the session ends once the poller has told of its client's end.
-func (f *Front) RequestCancelled(uint64, bool) {}
+func (f *FrontEnd) RequestCancelled(uint64, bool) {}
 
 // OnData takes in what the client sent.
-func (s *session) OnData(_ *transport.Conn, b *transport.Buffer) {
+func (s *clientConnection) OnData(_ *transport.Conn, b *transport.Buffer) {
 	if s.gone {
 		s.front.engine.Pool.Put(b)
 		return
@@ -534,19 +538,19 @@
 
 // queue puts a session's bytes behind those of its address. Guards the turn of
 // one with a single session against one with a thousand.
-func (f *Front) queue(s *session) {
+func (f *FrontEnd) queue(s *clientConnection) {
 	if !s.queued {
 		s.queued = true
 		f.turns.Add(s.peer, s.token)
 	}
 	if !f.turning {
 		f.turning = true
-		f.core.Loop.Post(f.turn)
+		f.dispatcher.Loop.Post(f.turn)
 	}
 }
 
 // turn reads some sessions, each address in its turn, and lets the rest of the loop go on.
-func (f *Front) turn() {
+func (f *FrontEnd) turn() {
 	const some = 8
 	f.turning = false
 	for range some {
@@ -554,7 +558,7 @@
 		if !ok {
 			return
 		}
-		if s := f.sessions.Get(token); s != nil && s.queued && !s.gone {
+		if s := f.connections.Get(token); s != nil && s.queued && !s.gone {
 			s.queued = false
 			s.read()
 		}
@@ -562,12 +566,12 @@
 	f.relieve()
 	if f.turns.Len() > 0 && !f.turning {
 		f.turning = true
-		f.core.Loop.Post(f.turn)
+		f.dispatcher.Loop.Post(f.turn)
 	}
 }
 
 // introduce reads a trusted front's header, which tells whose session it is.
-func (f *Front) introduce(s *session, b *transport.Buffer) {
+func (f *FrontEnd) introduce(s *clientConnection, b *transport.Buffer) {
 	if s.in == nil {
 		s.in = b
 	} else {
@@ -585,12 +589,12 @@
 		return
 	}
 	if used == 0 {
-		f.core.Loop.Set(&s.idle, s.conn.Opened+firstTime)
+		f.dispatcher.Loop.Set(&s.idle, s.conn.Opened+firstTime)
 		return
 	}
 	s.header = false
 	if addr.IsValid() {
-		if why := f.entry.Limiter.Identify(f.core.Loop.Now(), s.id, addr); why != connlimit.Allowed {
+		if why := f.entry.Limiter.Identify(f.dispatcher.Loop.Now(), s.id, addr); why != connlimit.Allowed {
 			f.entry.LogRejection(why, addr)
 			s.drop()
 			return
@@ -608,11 +612,11 @@
 
 // relieve gives up half-read requests while buffers take up too much memory,
 // the oldest first. Guards the memory limit, which ends the program.
-func (f *Front) relieve() {
+func (f *FrontEnd) relieve() {
 	for f.full() {
-		var chosen *session
-		_, _, ok := f.entry.Limiter.EvictionCandidate(f.core.Loop.Now(), connlimit.ForMemory, false, func(token uint64) bool {
-			s := f.sessions.Get(token)
+		var chosen *clientConnection
+		_, _, ok := f.entry.Limiter.EvictionCandidate(f.dispatcher.Loop.Now(), connlimit.ForMemory, false, func(token uint64) bool {
+			s := f.connections.Get(token)
 			if s == nil || s.in == nil || s.posted || s.token == f.reader {
 				return true
 			}
@@ -627,13 +631,13 @@
 }
 
 // tight tells whether buffers take up so much memory that nothing is read ahead.
-func (f *Front) tight() bool { return 2*f.engine.Pool.BytesInUse() > f.memory }
+func (f *FrontEnd) tight() bool { return 2*f.engine.Pool.BytesInUse() > f.memory }
 
 // full tells whether buffers take up as much memory as they may.
-func (f *Front) full() bool { return f.engine.Pool.BytesInUse() > f.memory }
+func (f *FrontEnd) full() bool { return f.engine.Pool.BytesInUse() > f.memory }
 
 // refill moves up what came behind the request at hand.
-func (s *session) refill() {
+func (s *clientConnection) refill() {
 	if s.next == nil {
 		return
 	}
@@ -650,7 +654,7 @@
 // read takes requests out of the buffer until one must be waited for. Guards
 // the other sessions' turns: a client may send hundreds at once, and those
 // behind the one that is out and a buffer more wait in the socket.
-func (s *session) read() {
+func (s *clientConnection) read() {
 	s.front.reader = s.token
 	defer func() { s.front.reader = 0 }()
 	if s.over != connlimit.Allowed && !s.busy && s.in != nil { // more half-read requests, or bytes of them, than its address may have
@@ -666,10 +670,10 @@
 			}
 			break
 		}
-		var m Message
-		ok, early, err := ParseRequest(s.in.Bytes(), &m, &s.scan)
+		var m httpwire.Message
+		ok, early, err := httpwire.ParseRequest(s.in.Bytes(), &m, &s.scan)
 		if err == nil && !ok && len(s.in.Bytes()) == transport.BufferSize {
-			err = ErrBodyTooLong // a chunked one of more frame than body: it has no room to become whole
+			err = httpwire.ErrBodyTooLong // a chunked one of more frame than body: it has no room to become whole
 		}
 		if err != nil {
 			s.reject(err)
@@ -682,7 +686,7 @@
 			}
 			break
 		}
-		s.told, s.scan = false, ScanState{}
+		s.told, s.scan = false, httpwire.ScanState{}
 		s.last = s.last || s.front.closing || m.HasToken("Connection", "close") ||
 			bytes.Equal(m.Version(), []byte("HTTP/1.0")) && !m.HasToken("Connection", "keep-alive")
 		s.request(&m)
@@ -693,7 +697,7 @@
 	if hold := s.next != nil || s.posted || s.busy && s.in != nil && s.front.tight(); hold != s.paused {
 		if s.paused = hold; hold {
 			s.conn.Pause()
-			s.front.core.Loop.Set(&s.flood, s.front.core.Loop.Now()+floodTime)
+			s.front.dispatcher.Loop.Set(&s.flood, s.front.dispatcher.Loop.Now()+floodTime)
 		} else {
 			s.conn.Resume()
 		}
@@ -701,25 +705,25 @@
 }
 
 // turn reads on after the others have had their turn.
-func (s *session) turn() {
+func (s *clientConnection) turn() {
 	if s.posted {
 		return
 	}
 	s.posted = true
-	s.front.core.Loop.Post(func() {
+	s.front.dispatcher.Loop.Post(func() {
 		s.posted = false
 		s.read()
 	})
 }
 
 // reject answers what cannot be understood, and ends the session, whose next bytes mean nothing.
-func (s *session) reject(err error) {
+func (s *clientConnection) reject(err error) {
 	s.last = true
 	s.write(statusOf(err), []byte(err.Error()+"\n"), 0, "")
 }
 
 // request handles one whole request.
-func (s *session) request(m *Message) {
+func (s *clientConnection) request(m *httpwire.Message) {
 	path, _, _ := bytes.Cut(m.Target(), []byte("?"))
 	status, text, fields := 0, "", ""
 	job := dispatch.Request{ReceivedAt: s.since}
@@ -739,20 +743,20 @@
 	default:
 		if err := readJob(m, &job); err != nil {
 			status, text = 400, err.Error()+"\n"
-			s.front.core.CountResponse(class, dispatch.Failed)
+			s.front.dispatcher.CountResponse(class, dispatch.Failed)
 		} else if key := m.Get("Idempotency-Key"); len(key) > 0 && s.front.keptClasses != nil && s.front.keptClasses[class] {
-			if IsIdentifier([]byte(durable.RequestID(string(key)))) {
+			if httpwire.IsIdentifier([]byte(durable.RequestID(string(key)))) {
 				job.Class = class
 				s.keep(m, job, string(key))
 				return
 			}
 			status, text = 400, "Idempotency-Key is not of 1 to 123 letters, digits or -._:~+/=@\n"
-			s.front.core.CountResponse(class, dispatch.Failed)
-		} else if s.front.core.IsKnownID(job.ID) { // guards the req of that name, which may be another client's
+			s.front.dispatcher.CountResponse(class, dispatch.Failed)
+		} else if s.front.dispatcher.IsKnownID(job.ID) { // guards the req of that name, which may be another client's
 			status, text = 409, "X-Correlation-Id names another request\n"
-			s.front.core.CountResponse(class, dispatch.Failed)
+			s.front.dispatcher.CountResponse(class, dispatch.Failed)
 		} else if s.front.relieve(); s.front.full() {
-			s.front.core.CountResponse(class, dispatch.Rejected)
+			s.front.dispatcher.CountResponse(class, dispatch.Rejected)
 			s.cut(m.Size)
 			s.write(503, []byte(errMemory.Error()+"\n"), lateTime, "")
 			return
@@ -771,7 +775,7 @@
 }
 
 // class finds the class that a path names: its first part.
-func (f *Front) class(path []byte) (int, bool) {
+func (f *FrontEnd) class(path []byte) (int, bool) {
 	if len(path) < 2 || path[0] != '/' {
 		return 0, false
 	}
@@ -781,12 +785,12 @@
 }
 
 // readJob reads what the request's line and fields say.
-func readJob(m *Message, job *dispatch.Request) error {
+func readJob(m *httpwire.Message, job *dispatch.Request) error {
 	id := m.Get("X-Correlation-Id")
 	if len(id) == 0 {
 		return errors.New("no X-Correlation-Id")
 	}
-	if !IsIdentifier(id) {
+	if !httpwire.IsIdentifier(id) {
 		return errors.New("X-Correlation-Id is not of 1 to 128 letters, digits or -._:~+/=@")
 	}
 	job.ID, job.Target, job.IdempotencyKey = string(id), string(m.Target()), string(m.Get("Idempotency-Key"))
@@ -795,7 +799,7 @@
 		job.Key = string(path[i+1:])
 	}
 	if m.Count("X-Time-Left-Ms") > 0 { // an empty one is no number either
-		ms, ok := ParseNumber(m.Get("X-Time-Left-Ms"))
+		ms, ok := httpwire.ParseNumber(m.Get("X-Time-Left-Ms"))
 		if !ok {
 			return errors.New("X-Time-Left-Ms is not a whole number")
 		}
@@ -815,7 +819,7 @@
 }
 
 // take hands a request to the core. The buffer goes with it, and what came behind it moves to a new one.
-func (s *session) take(m *Message, job dispatch.Request) {
+func (s *clientConnection) take(m *httpwire.Message, job dispatch.Request) {
 	pool, held := &s.front.engine.Pool, s.in
 	s.in = nil
 	if rest := held.Bytes()[m.Size:]; len(rest) > 0 {
@@ -826,15 +830,15 @@
 	job.Body = m.Body
 	job.Release = func() { pool.Put(held) }
 	s.busy, s.req = true, 0
-	s.front.core.Loop.Clear(&s.idle)
-	s.front.entry.Limiter.RequestComplete(s.front.core.Loop.Now(), s.id)
-	req := s.front.core.Accept(s.front, s.token, job)
+	s.front.dispatcher.Loop.Clear(&s.idle)
+	s.front.entry.Limiter.RequestComplete(s.front.dispatcher.Loop.Now(), s.id)
+	req := s.front.dispatcher.Accept(s.front, s.token, job)
 	if s.busy {
 		s.req = req
 	}
 }
 
-func (s *session) cut(n int) {
+func (s *clientConnection) cut(n int) {
 	if s.in.Consume(n); len(s.in.Bytes()) == 0 {
 		s.front.engine.Pool.Put(s.in)
 		s.in = nil
@@ -843,8 +847,8 @@
 }
 
 // Respond writes the final answer of a session's req.
-func (f *Front) Respond(token uint64, a dispatch.Response) {
-	s := f.sessions.Get(token)
+func (f *FrontEnd) Respond(token uint64, a dispatch.Response) {
+	s := f.connections.Get(token)
 	if s == nil || !s.busy {
 		return
 	}
@@ -865,10 +869,10 @@
 }
 
 // write writes an answer and makes the session ready for the next request, or ends it.
-func (s *session) write(status int, body []byte, retryAfter time.Duration, fields string) {
+func (s *clientConnection) write(status int, body []byte, retryAfter time.Duration, fields string) {
 	f := s.front
 	s.last = s.last || f.pressed
-	f.out = AppendResponse(f.out[:0], status, body, retryAfter, s.last, fields)
+	f.out = httpwire.AppendResponse(f.out[:0], status, body, retryAfter, s.last, fields)
 	s.conn.Write(f.out)
 	switch {
 	case s.last:
--- a/internal/platform/errors.go
+++ b/internal/httpfront/errors.go
@@ -1,6 +1,10 @@
-package platform
+package httpfront
 
-import "errors"
+import (
+	"errors"
+
+	"hollyyoke.example/hollyyoke/internal/httpwire"
+)
 
 // Errors of requests that the front end gives up before it has read them whole.
 var (
@@ -18,5 +22,5 @@
 	case errors.Is(err, errMemory), errors.Is(err, errCaps), errors.Is(err, errEnding):
 		return 503
 	}
-	return StatusOf(err)
+	return httpwire.StatusOf(err)
 }
--- a/internal/platform/keep.go
+++ b/internal/httpfront/keep.go
@@ -1,4 +1,4 @@
-package platform
+package httpfront
 
 import (
 	"bytes"
@@ -7,6 +7,7 @@
 	"hollyyoke.example/hollyyoke/decision"
 	"hollyyoke.example/hollyyoke/internal/dispatch"
 	"hollyyoke.example/hollyyoke/internal/durable"
+	"hollyyoke.example/hollyyoke/internal/httpwire"
 	"hollyyoke.example/hollyyoke/internal/jobs"
 )
 
@@ -15,9 +16,9 @@
 // must never answer with another request's result, nor say that a job is kept
 // before the disk has it.
 
-// Keep makes requests durable that bring an Idempotency-Key, where their class
+// SetDurable makes requests durable that bring an Idempotency-Key, where their class
 // is. s may be nil for now: then they are turned away until it is there.
-func (f *Front) Keep(s *durable.Service, classes []bool) { f.kept, f.keptClasses = s, classes }
+func (f *FrontEnd) SetDurable(s *durable.Service, classes []bool) { f.kept, f.keptClasses = s, classes }
 
 const (
 	keptMargin = 20 * time.Millisecond // by which the answer leaves before the client gives up
@@ -26,15 +27,15 @@
 
 // keep takes a request on durably and answers what became of the job under its
 // key, or that it is kept, where that is not known before the client gives up.
-func (s *session) keep(m *Message, job dispatch.Request, key string) {
+func (s *clientConnection) keep(m *httpwire.Message, job dispatch.Request, key string) {
 	f := s.front
 	if f.kept == nil {
 		s.cut(m.Size)
-		f.core.CountResponse(job.Class, dispatch.Rejected)
+		f.dispatcher.CountResponse(job.Class, dispatch.Rejected)
 		s.write(503, []byte("the other process has the store\n"), askAgain, "")
 		return
 	}
-	loop, class := f.core.Loop, f.core.Settings.Classes[job.Class]
+	loop, class := f.dispatcher.Loop, f.dispatcher.Settings.Classes[job.Class]
 	left := class.Deadline
 	if job.TimeLeft > 0 {
 		left = min(left, job.TimeLeft)
@@ -48,7 +49,7 @@
 	loop.Clear(&s.idle)
 	f.entry.Limiter.RequestComplete(loop.Now(), s.id)
 	answer := func(status int, text []byte, after time.Duration) {
-		if f.sessions.Get(s.token) != s || !s.busy || s.keeps != n {
+		if f.connections.Get(s.token) != s || !s.busy || s.keeps != n {
 			return // it has been answered, or nobody waits
 		}
 		s.busy = false
--- a/internal/platform/chunked.go
+++ b/internal/httpwire/chunked.go
@@ -1,4 +1,4 @@
-package platform
+package httpwire
 
 import (
 	"bytes"
--- a/internal/platform/head.go
+++ b/internal/httpwire/head.go
@@ -1,7 +1,7 @@
 // Package httpwire parses and writes HTTP/1.1 messages for the front end, the worker client, discovery and the
 // admin API. It works on bytes that its callers hold, keeps no connection and no goroutine, and must never
 // panic on any input. Slices that it returns lie in the buffer that was parsed and are valid as long as that is.
-package platform
+package httpwire
 
 import (
 	"bytes"
--- a/internal/platform/response.go
+++ b/internal/httpwire/response.go
@@ -1,4 +1,4 @@
-package platform
+package httpwire
 
 import (
 	"errors"
@@ -6,6 +6,9 @@
 	"time"
 )
 
+// StatusOK is the status code of a response that brings what was asked for.
+const StatusOK = 200
+
 // reasonPhrases are those of the status codes that this program answers with.
 var reasonPhrases = map[int]string{
 	200: "OK",
--- a/internal/rehearsal/scale/hollow.go
+++ b/internal/rehearsal/scale/hollow.go
@@ -12,12 +12,13 @@
 	"sync"
 	"time"
 
+	"hollyyoke.example/hollyyoke/internal/discovery"
 	"hollyyoke.example/hollyyoke/internal/dispatch"
 	"hollyyoke.example/hollyyoke/internal/eventloop"
 	"hollyyoke.example/hollyyoke/internal/membership"
-	"hollyyoke.example/hollyyoke/internal/platform"
 	"hollyyoke.example/hollyyoke/internal/settings"
 	"hollyyoke.example/hollyyoke/internal/transport"
+	"hollyyoke.example/hollyyoke/internal/workerclient"
 )
 
 // This file owns the process that holds hollow dispatchers. Each has the real
@@ -97,7 +98,7 @@
 	config     hollowConfig
 	loop       *eventloop.Loop
 	news       chan struct{} // there is something to report
-	registries []*platform.Registry
+	registries []*discovery.Registry
 	lists      int64 // belongs to the loop's goroutine, as entries
 	entries    int64
 	known      []byte
@@ -168,19 +169,19 @@
 
 // open opens one dispatcher, on the loop's goroutine.
 func (p *hollowProcess) open(i int, d hollowDispatcher, c *dispatch.Dispatcher, engine *transport.Engine, seed uint64) {
-	registry := platform.NewRegistry(c, engine, d.Discovery)
-	platform.NewBackends(c, engine, registry)
+	registry := discovery.New(c, engine, d.Discovery)
+	workerclient.New(c, engine, registry)
 	if len(d.Servers) > 0 {
-		registry.Applied = func(v membership.Version) { p.note(i, int64(v)) }
-		registry.Follow(platform.FollowConfig{Name: d.Name, Zone: p.config.Zone, Servers: d.Servers, Seed: seed})
+		registry.OnVersionApplied = func(v membership.Version) { p.note(i, int64(v)) }
+		registry.Follow(discovery.FollowConfig{Name: d.Name, Zone: p.config.Zone, Servers: d.Servers, Seed: seed})
 	} else {
-		registry.Told = func() { p.note(i, registry.Version()) }
+		registry.OnUpdate = func() { p.note(i, registry.Version()) }
 	}
 	if p.config.Entries {
 		c.Trace = p.countEntries
 	}
 	p.registries = append(p.registries, registry)
-	if err := registry.Known(p.known); err != nil {
+	if err := registry.LoadInitial(p.known); err != nil {
 		p.fail(err)
 		return
 	}
@@ -233,7 +234,7 @@
 	runtime.ReadMemStats(&memory)
 	own := ownCounts{Lists: p.lists, Entries: p.entries, Allocations: memory.Mallocs}
 	for _, b := range p.registries {
-		stats := b.ControlStats()
+		stats := b.Stats()
 		own.add(ownCounts{BytesRead: stats.BytesRead, BytesWritten: stats.BytesWritten})
 	}
 	p.write(hollowReport{Own: &own})
--- a/internal/platform/backend.go
+++ b/internal/workerclient/client.go
@@ -1,4 +1,8 @@
-package platform
+// Package workerclient carries attempts to workers over HTTP/1.1: it owns the connections to them, sends requests and
+// health checks, and reports to the dispatcher how each ended. A Client belongs to the event loop's goroutine. It must
+// never send a request twice by itself once its last byte may have left, nor take a response for one that its request
+// was not made for.
+package workerclient
 
 import (
 	"bytes"
@@ -9,8 +13,10 @@
 	"time"
 
 	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/discovery"
 	"hollyyoke.example/hollyyoke/internal/dispatch"
 	"hollyyoke.example/hollyyoke/internal/eventloop"
+	"hollyyoke.example/hollyyoke/internal/httpwire"
 	"hollyyoke.example/hollyyoke/internal/invariant"
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
@@ -20,17 +26,17 @@
 // never send a request twice by itself once its last byte may have left, nor
 // take an answer for one that it was not made for.
 
-// Backends carries attempts to the backends that discovery lists.
-type Backends struct {
-	hold     time.Duration // holdTime; tests that play the other end take longer
-	calm     time.Duration // settleTime; likewise
-	core     *dispatch.Dispatcher
-	engine   *transport.Engine
-	registry *Registry
-	lines    map[uint64]*line     // by the attempt that runs on it
-	idle     map[*backend][]*line // by the worker; the one used last at the end
-	out      []byte
-	wary     time.Duration // until when connections are thought to die unseen
+// Client carries attempts to the backends that discovery lists.
+type Client struct {
+	lastByteDelay     time.Duration // holdTime; tests that play the other end take longer
+	quietTime         time.Duration // settleTime; likewise
+	dispatcher        *dispatch.Dispatcher
+	engine            *transport.Engine
+	registry          *discovery.Registry
+	connections       map[uint64]*connection              // by the attempt that runs on it
+	idle              map[*discovery.Worker][]*connection // by the worker; the one used last at the end
+	out               []byte
+	holdLastByteUntil time.Duration // until when connections are thought to die unseen
 }
 
 // phase is where the answer on a line stands.
@@ -42,10 +48,10 @@
 	streaming              // inside the body
 )
 
-// line is one connection to a backend. It carries one request at a time.
-type line struct {
-	set     *Backends
-	b       *backend
+// connection is one connection to a backend. It carries one request at a time.
+type connection struct {
+	client  *Client
+	worker  *discovery.Worker
 	conn    *transport.Conn // nil while dialing
 	phase   phase
 	attempt uint64 // the attempt whose outcome is owed; 0: none
@@ -65,7 +71,7 @@
 	at      int               // bytes of it that have been taken in
 	text    *transport.Buffer // the line of the body at hand
 	chunked bool
-	chunk   ChunkReader
+	chunk   httpwire.ChunkReader
 	left    int // of a body of known length; -1: it ends with the connection
 	last    bool
 	status  int
@@ -117,25 +123,25 @@
 	longestPause = 40 * time.Millisecond
 )
 
-// NewBackends returns a client for the workers that a registry lists.
-func NewBackends(c *dispatch.Dispatcher, e *transport.Engine, registry *Registry) *Backends {
-	s := &Backends{core: c, engine: e, registry: registry, lines: map[uint64]*line{}, idle: map[*backend][]*line{}, hold: holdTime, calm: settleTime}
+// New returns a client for the workers that a registry lists.
+func New(c *dispatch.Dispatcher, e *transport.Engine, registry *discovery.Registry) *Client {
+	s := &Client{dispatcher: c, engine: e, registry: registry, connections: map[uint64]*connection{}, idle: map[*discovery.Worker][]*connection{}, lastByteDelay: holdTime, quietTime: settleTime}
 	registry.Attach(s)
 	c.AddSource(s)
 	return s
 }
 
 // The dispatcher asks a worker client for this interface at run time.
-var _ dispatch.Refresher = (*Backends)(nil)
+var _ dispatch.Refresher = (*Client)(nil)
 
 // Refresh brings up to date what may be done by the registry's list.
-func (s *Backends) Refresh() { s.registry.Refresh() }
+func (s *Client) Refresh() { s.registry.Refresh() }
 
 // Subscribe asks the registry for list changes from now on.
-func (s *Backends) Subscribe() { s.registry.Subscribe() }
+func (s *Client) Subscribe() { s.registry.Subscribe() }
 
-func (s *Backends) connectTime() time.Duration {
-	if t := s.core.Settings.ConnectTimeout; t > 0 {
+func (s *Client) connectTime() time.Duration {
+	if t := s.dispatcher.Settings.ConnectTimeout; t > 0 {
 		return t
 	}
 	return anyConnect
@@ -143,13 +149,13 @@
 
 // mostIdle is how many connections to a backend rest here at the most. It holds
 // only so many for all dispatchers together.
-func (s *Backends) mostIdle() int { return max(idleInAll/max(s.core.Settings.Peers, 1), 1) }
+func (s *Client) mostIdle() int { return max(idleInAll/max(s.dispatcher.Settings.Peers, 1), 1) }
 
 // Start sends an attempt on the connection used last, or on a new one.
-func (s *Backends) Start(f dispatch.Attempt) {
+func (s *Client) Start(f dispatch.Attempt) {
 	b := s.registry.Worker(f.Worker)
 	if b == nil {
-		s.core.AttemptEnded(f.Handle, decision.ConnectionRefused, decision.LoadReport{}, nil)
+		s.dispatcher.AttemptEnded(f.Handle, decision.ConnectionRefused, decision.LoadReport{}, nil)
 		return
 	}
 	l := s.take(b, f.RepeatUnsafe)
@@ -157,7 +163,7 @@
 		l = s.dial(b)
 	}
 	l.attempt, l.job, l.fresh = f.Handle, f, false
-	s.lines[f.Handle] = l
+	s.connections[f.Handle] = l
 	if l.conn != nil {
 		l.send()
 	}
@@ -166,16 +172,16 @@
 // take returns an idle connection that is still open and on which nothing has
 // come, the newest first, or the newest that has settled. One on which something
 // has come, or that the backend may have closed by now, is closed.
-func (s *Backends) take(b *backend, settled bool) *line {
+func (s *Client) take(b *discovery.Worker, settled bool) *connection {
 	for i := len(s.idle[b]) - 1; i >= 0; i-- {
 		l := s.idle[b][i]
-		now := s.core.Loop.Now()
-		if settled && now-l.rested < s.calm {
+		now := s.dispatcher.Loop.Now()
+		if settled && now-l.rested < s.quietTime {
 			continue
 		}
 		s.idle[b] = slices.Delete(s.idle[b], i, i+1)
 		if l.conn.Idle() && (l.until == 0 || now < l.until) {
-			s.core.Loop.Clear(&l.due)
+			s.dispatcher.Loop.Clear(&l.due)
 			return l
 		}
 		l.close()
@@ -184,10 +190,10 @@
 }
 
 // dial opens a connection. Silence is an answer too, after the connect time.
-func (s *Backends) dial(b *backend) *line {
-	l := &line{set: s, b: b}
+func (s *Client) dial(b *discovery.Worker) *connection {
+	l := &connection{client: s, worker: b}
 	l.due.Fire = l.expire
-	s.core.Loop.Set(&l.due, s.core.Loop.Now()+s.connectTime())
+	s.dispatcher.Loop.Set(&l.due, s.dispatcher.Loop.Now()+s.connectTime())
 	l.connect()
 	return l
 }
@@ -195,31 +201,31 @@
 // connect dials for a line. Trouble of this machine says nothing of the backend:
 // the dial is tried again within the connect time, ever more slowly, and where no
 // descriptor is free, idle connections are closed first.
-func (l *line) connect() {
-	s := l.set
+func (l *connection) connect() {
+	s := l.client
 	if l.lost {
 		return
 	}
-	s.engine.Dial(l.b.dial, s.connectTime()+50*time.Millisecond, l, func(c *transport.Conn, err error) {
+	s.engine.Dial(l.worker.Address, s.connectTime()+50*time.Millisecond, l, func(c *transport.Conn, err error) {
 		if l.local = transport.IsLocalError(err); l.local {
 			if errors.Is(err, transport.ErrNoDescriptor) {
 				s.CloseAllIdle()
 			}
-			s.core.TraceStep(l.correlationID(), "dial tried again", "backend", l.b.name, "error", err)
-			s.core.Loop.After(l.redialPause(), l.connect)
+			s.dispatcher.TraceStep(l.correlationID(), "dial tried again", "backend", l.worker.Name, "error", err)
+			s.dispatcher.Loop.After(l.redialPause(), l.connect)
 			return
 		}
 		if err != nil {
 			l.fail(decision.ConnectionRefused)
 			return
 		}
-		s.core.Loop.Clear(&l.due)
+		s.dispatcher.Loop.Clear(&l.due)
 		l.conn = c
 		switch {
 		case l.lost || l.attempt == 0 && !l.probe:
 			l.lost = false
 			l.rest()
-		case l.attempt != 0 && s.core.ClientGone(l.attempt): // it has stopped the attempt
+		case l.attempt != 0 && s.dispatcher.ClientGone(l.attempt): // it has stopped the attempt
 		default:
 			l.send()
 		}
@@ -227,43 +233,43 @@
 }
 
 // redialPause is the pause until a dial that failed by this machine's trouble is tried again.
-func (l *line) redialPause() time.Duration {
+func (l *connection) redialPause() time.Duration {
 	l.pause = min(max(2*l.pause, fullPause), longestPause)
 	return l.pause
 }
 
 // CloseAllIdle closes all idle connections, which cost descriptors that others need more.
-func (s *Backends) CloseAllIdle() {
+func (s *Client) CloseAllIdle() {
 	for b := range s.idle {
 		s.CloseIdleTo(b)
 	}
 }
 
 // CloseIdleTo closes the idle connections to a worker.
-func (s *Backends) CloseIdleTo(b *backend) {
+func (s *Client) CloseIdleTo(b *discovery.Worker) {
 	for _, l := range s.idle[b] {
 		l.close()
 	}
 	delete(s.idle, b)
 }
 
-// late tells whether a backend that drains or has gone may get nothing new any more.
-func (b *backend) late(now, grace time.Duration) bool {
-	return b.state != decision.Running && now-b.told > max(grace-drainSlack, 0)
+// drainGraceOver tells whether a worker that drains or was removed may get nothing new any more.
+func drainGraceOver(b *discovery.Worker, now, grace time.Duration) bool {
+	return b.State != decision.Running && now-b.Since > max(grace-drainSlack, 0)
 }
 
 // WorkerLeaving is told that a backend drains or has gone. What has not reached it when the
 // grace is over must not reach it any more, as it would once a way that was cut
 // off is free. Of one that has gone, only an answer shows that the request was there.
-func (s *Backends) WorkerLeaving(b *backend) {
-	const behind = time.Millisecond // late asks for more than the time itself
-	grace := s.core.Settings.DrainGrace
-	s.core.Loop.After(max(grace-drainSlack, 0)+behind, func() {
-		if !b.late(s.core.Loop.Now(), grace) { // it has come back, and may have left anew
+func (s *Client) WorkerLeaving(b *discovery.Worker) {
+	const behind = time.Millisecond // drainGraceOver asks for more than the time itself
+	grace := s.dispatcher.Settings.DrainGrace
+	s.dispatcher.Loop.After(max(grace-drainSlack, 0)+behind, func() {
+		if !drainGraceOver(b, s.dispatcher.Loop.Now(), grace) { // it has come back, and may have left anew
 			return
 		}
 		for _, l := range s.linesTo(b) {
-			if l.phase == waiting && (b.state == decision.Removed || l.conn.Unacknowledged() > 0) {
+			if l.phase == waiting && (b.State == decision.Removed || l.conn.Unacknowledged() > 0) {
 				l.giveUp()
 			}
 		}
@@ -271,19 +277,19 @@
 }
 
 // linesTo finds the connections that carry attempts to a backend, in the order in which those were made.
-func (s *Backends) linesTo(b *backend) (lines []*line) {
-	for _, l := range s.lines {
-		if l.b == b && l.conn != nil {
+func (s *Client) linesTo(b *discovery.Worker) (lines []*connection) {
+	for _, l := range s.connections {
+		if l.worker == b && l.conn != nil {
 			lines = append(lines, l)
 		}
 	}
-	slices.SortFunc(lines, func(a, b *line) int { return cmp.Compare(a.attempt, b.attempt) })
+	slices.SortFunc(lines, func(a, b *connection) int { return cmp.Compare(a.attempt, b.attempt) })
 	return lines
 }
 
 // giveUp ends an attempt whose request has not arrived whole. It may have run
 // all the same where all of it was handed to the kernel.
-func (l *line) giveUp() {
+func (l *connection) giveUp() {
 	l.tellSent()
 	l.close() // first: until then what waits here may still leave, on another goroutine
 	o := decision.NotSent
@@ -294,14 +300,14 @@
 }
 
 // send writes the request of the line's attempt or probe.
-func (l *line) send() {
-	s := l.set
-	now := s.core.Loop.Now()
+func (l *connection) send() {
+	s := l.client
+	now := s.dispatcher.Loop.Now()
 	if l.attempt != 0 && !l.mayLeave(now) {
 		l.rest()
 		return
 	}
-	if l.attempt != 0 && s.registry.admit(l.b, now) == confirm {
+	if l.attempt != 0 && s.registry.Admit(l.worker, now) == discovery.NeedsHealthCheck {
 		l.ask(now)
 		return
 	}
@@ -311,17 +317,17 @@
 // mayLeave tells whether the request of the line's attempt, or the rest of it, may
 // leave now. A connect may have taken so long that what the attempt was made by holds
 // no more. If not, the attempt is over, and has never run.
-func (l *line) mayLeave(now time.Duration) bool {
-	s := l.set
-	rule, may := s.core.Guard.MaySend(invariant.Send{
+func (l *connection) mayLeave(now time.Duration) bool {
+	s := l.client
+	rule, may := s.dispatcher.Guard.MaySend(invariant.Send{
 		Now: now, Deadline: l.job.Deadline, RepeatBy: l.job.RepeatBy,
-		Leaving: l.b.state != decision.Running, LeavingSince: l.b.told, Grace: max(s.core.Settings.DrainGrace-drainSlack, 0),
-		ListStale: s.registry.admit(l.b, now) == suspended,
+		Leaving: l.worker.State != decision.Running, LeavingSince: l.worker.Since, Grace: max(s.dispatcher.Settings.DrainGrace-drainSlack, 0),
+		ListStale: s.registry.Admit(l.worker, now) == discovery.Suspended,
 	})
 	if may {
 		return true
 	}
-	s.core.TraceStep(l.correlationID(), "request kept back", "backend", l.b.name, "rule", rule)
+	s.dispatcher.TraceStep(l.correlationID(), "request kept back", "backend", l.worker.Name, "rule", rule)
 	outcome := decision.NotSent
 	if rule == invariant.Drain || rule == invariant.Deadline {
 		outcome = decision.ConnectionRefused
@@ -331,12 +337,12 @@
 }
 
 // write writes the request of the line's attempt, or a probe.
-func (l *line) write(now time.Duration) {
-	s := l.set
-	l.held = !l.probe && now < s.wary
+func (l *connection) write(now time.Duration) {
+	s := l.client
+	l.held = !l.probe && now < s.holdLastByteUntil
 	l.leaves = now
 	if l.held {
-		l.leaves += s.hold
+		l.leaves += s.lastByteDelay
 	}
 	out := s.out[:0]
 	if l.probe {
@@ -344,16 +350,16 @@
 		if l.confirming {
 			patience = s.connectTime()
 		}
-		s.core.Loop.Set(&l.due, now+patience) // here, so that one on a new connection has it too
+		s.dispatcher.Loop.Set(&l.due, now+patience) // here, so that one on a new connection has it too
 		out = append(out, "GET /load HTTP/1.1\r\nHost: "...)
-		out = append(out, l.b.dial...)
+		out = append(out, l.worker.Address...)
 		out = append(out, "\r\n\r\n"...)
 	} else {
 		j := l.job.Request
 		out = append(out, "POST "...)
-		out = appendTarget(out, j, s.core.Settings.Classes[j.Class].Name)
+		out = appendTarget(out, j, s.dispatcher.Settings.Classes[j.Class].Name)
 		out = append(out, " HTTP/1.1\r\nHost: "...)
-		out = append(out, l.b.dial...)
+		out = append(out, l.worker.Address...)
 		out = append(out, "\r\nX-Correlation-Id: "...)
 		out = append(out, j.ID...)
 		if j.IdempotencyKey != "" {
@@ -367,8 +373,8 @@
 		out = append(out, j.Body...)
 	}
 	s.out = out
-	if s.core.Trace != nil {
-		s.core.TraceStep(l.correlationID(), "request written", "backend", l.b.name, "probe", l.probe, "bytes", len(out), "kept", l.kept, "listed_for", now-l.b.told)
+	if s.dispatcher.Trace != nil {
+		s.dispatcher.TraceStep(l.correlationID(), "request written", "backend", l.worker.Name, "probe", l.probe, "bytes", len(out), "kept", l.kept, "listed_for", now-l.worker.Since)
 	}
 	l.phase = waiting
 	whole := len(out)
@@ -387,7 +393,7 @@
 	}
 	switch {
 	case l.held:
-		s.core.Loop.Set(&l.due, l.leaves)
+		s.dispatcher.Loop.Set(&l.due, l.leaves)
 	case !l.probe:
 		l.bound()
 	}
@@ -395,7 +401,7 @@
 }
 
 // correlationID names the request of the line's attempt, for the trace; a probe has none.
-func (l *line) correlationID() string {
+func (l *connection) correlationID() string {
 	if l.job.Request == nil || l.probe {
 		return ""
 	}
@@ -404,29 +410,29 @@
 
 // bound sees to it that a repeat that the socket has not taken whole is given up
 // in time: what waits here would leave whenever the backend makes room.
-func (l *line) bound() {
+func (l *connection) bound() {
 	if l.attempt != 0 && l.job.RepeatBy > 0 && !l.conn.Flushed(l.mark) {
-		l.set.core.Loop.Set(&l.due, l.job.RepeatBy)
+		l.client.dispatcher.Loop.Set(&l.due, l.job.RepeatBy)
 	}
 }
 
 // tellSent tells that the attempt's last byte has left, if it has.
-func (l *line) tellSent() {
+func (l *connection) tellSent() {
 	if l.attempt != 0 && !l.confirming && l.phase != resting && !l.held && l.conn.Flushed(l.mark) {
-		l.set.core.AttemptSent(l.attempt)
+		l.client.dispatcher.AttemptSent(l.attempt)
 	}
 }
 
 // release sends the last byte of a request.
-func (l *line) release() {
+func (l *connection) release() {
 	l.held = false
-	s := l.set
-	now := s.core.Loop.Now()
+	s := l.client
+	now := s.dispatcher.Loop.Now()
 	if !l.mayLeave(now) {
 		l.close()
 		return
 	}
-	if s.core.ClientGone(l.attempt) { // it has stopped the attempt
+	if s.dispatcher.ClientGone(l.attempt) { // it has stopped the attempt
 		return
 	}
 	if now-l.leaves > staleTime {
@@ -446,7 +452,7 @@
 // unsent is told that the connection broke before the request's last byte had
 // left: nothing ran. A kept one may have been dead for long, which says nothing
 // of the backend, and the attempt goes on on another. So may one new one, once.
-func (l *line) unsent() {
+func (l *connection) unsent() {
 	if !l.kept && l.fresh || l.attempt == 0 {
 		l.fail(decision.ConnectionRefused)
 		return
@@ -477,7 +483,7 @@
 }
 
 // expire is told that a connect, a probe or an idle connection has had its time.
-func (l *line) expire() {
+func (l *connection) expire() {
 	switch {
 	case l.conn == nil && l.local: // nothing ran, and the backend is not to blame
 		l.fail(decision.NotSent)
@@ -500,39 +506,39 @@
 }
 
 // fail tells how what was wanted of the line ended, unless that is told.
-func (l *line) fail(o decision.AttemptOutcome) {
+func (l *connection) fail(o decision.AttemptOutcome) {
 	l.lost = true
 	if l.confirming {
 		l.unconfirmed()
 		return
 	}
 	if o == decision.ConnectionRefused && l.attempt != 0 {
-		l.set.registry.ConnectFailed(l.b)
+		l.client.registry.ConnectFailed(l.worker)
 	}
 	if l.probe {
 		l.probe = false
-		l.set.core.HealthChecked(l.b.name, o, decision.LoadReport{})
+		l.client.dispatcher.HealthChecked(l.worker.Name, o, decision.LoadReport{})
 	}
 	l.settle(o, decision.LoadReport{}, nil)
 }
 
 // settle tells the outcome of the line's attempt, once.
-func (l *line) settle(o decision.AttemptOutcome, load decision.LoadReport, result []byte) {
+func (l *connection) settle(o decision.AttemptOutcome, load decision.LoadReport, result []byte) {
 	if f := l.attempt; f != 0 {
 		l.attempt = 0
-		delete(l.set.lines, f)
-		l.set.core.AttemptEnded(f, o, load, result)
+		delete(l.client.connections, f)
+		l.client.dispatcher.AttemptEnded(f, o, load, result)
 	}
 }
 
 // Cancel gives an attempt up. Nothing ran if its request had not left whole.
-func (s *Backends) Cancel(handle uint64) (neverRan bool) {
-	l := s.lines[handle]
+func (s *Client) Cancel(handle uint64) (neverRan bool) {
+	l := s.connections[handle]
 	if l == nil {
 		return false
 	}
 	l.tellSent()
-	delete(s.lines, handle)
+	delete(s.connections, handle)
 	l.attempt = 0
 	if l.conn == nil { // the connection may serve another
 		l.lost = true
@@ -543,57 +549,57 @@
 }
 
 // rest keeps the line for the next attempt, for a while.
-func (l *line) rest() {
+func (l *connection) rest() {
 	l.resetAnswer()
 	if l.conn == nil || l.conn.Handle == 0 {
 		return
 	}
-	if l.last || l.b.state == decision.Removed || l.set.registry.Worker(l.b.name) != l.b {
+	if l.last || l.worker.State == decision.Removed || l.client.registry.Worker(l.worker.Name) != l.worker {
 		l.close()
 		return
 	}
-	l.kept, l.rested, l.until = true, l.set.core.Loop.Now(), 0
-	idleConnections := append(l.set.idle[l.b], l)
-	if len(idleConnections) > l.set.mostIdle() { // the one unused longest goes
+	l.kept, l.rested, l.until = true, l.client.dispatcher.Loop.Now(), 0
+	idleConnections := append(l.client.idle[l.worker], l)
+	if len(idleConnections) > l.client.mostIdle() { // the one unused longest goes
 		idleConnections[0].close()
 		idleConnections = idleConnections[1:]
 	}
-	l.set.idle[l.b] = idleConnections
-	if idle := l.set.core.Settings.ConnectionIdleTimeout; idle > 0 {
+	l.client.idle[l.worker] = idleConnections
+	if idle := l.client.dispatcher.Settings.ConnectionIdleTimeout; idle > 0 {
 		l.until = l.rested + max(idle-idleMargin, idle/2)
-		l.set.core.Loop.Set(&l.due, l.until)
+		l.client.dispatcher.Loop.Set(&l.due, l.until)
 	}
 }
 
 // resetAnswer forgets the answer that was read, so that the next request can go out.
-func (l *line) resetAnswer() {
+func (l *connection) resetAnswer() {
 	l.phase, l.probe, l.confirming, l.over, l.held, l.status = resting, false, false, false, false, 0
 	l.free()
 }
 
-func (l *line) free() {
-	l.set.engine.Pool.Put(l.in)
-	l.set.engine.Pool.Put(l.text)
+func (l *connection) free() {
+	l.client.engine.Pool.Put(l.in)
+	l.client.engine.Pool.Put(l.text)
 	l.in, l.text, l.at, l.seen = nil, nil, 0, 0
 }
 
-func (l *line) unlist() {
-	i := slices.Index(l.set.idle[l.b], l)
+func (l *connection) unlist() {
+	i := slices.Index(l.client.idle[l.worker], l)
 	if i >= 0 {
-		l.set.idle[l.b] = slices.Delete(l.set.idle[l.b], i, i+1)
+		l.client.idle[l.worker] = slices.Delete(l.client.idle[l.worker], i, i+1)
 	}
 }
 
 // close closes the connection. A request on it that its backend has not begun to
 // answer may not have arrived yet, and must not arrive later: it is given up.
-func (l *line) close() {
-	l.set.core.Loop.Clear(&l.due)
+func (l *connection) close() {
+	l.client.dispatcher.Loop.Clear(&l.due)
 	l.free()
 	if l.conn == nil {
 		return
 	}
-	if l.set.core.Trace != nil {
-		l.set.core.TraceStep(l.correlationID(), "connection closed", "backend", l.b.name, "phase", l.phase)
+	if l.client.dispatcher.Trace != nil {
+		l.client.dispatcher.TraceStep(l.correlationID(), "connection closed", "backend", l.worker.Name, "phase", l.phase)
 	}
 	if l.phase == waiting {
 		l.conn.Abort()
@@ -603,11 +609,11 @@
 }
 
 // OnClosed is told that the backend has closed, or the connection broke.
-func (l *line) OnClosed(c *transport.Conn, _ error) {
-	l.set.core.Loop.Clear(&l.due)
+func (l *connection) OnClosed(c *transport.Conn, _ error) {
+	l.client.dispatcher.Loop.Clear(&l.due)
 	l.unlist()
-	if l.phase != streaming && l.b.state == decision.Running {
-		l.set.wary = l.set.core.Loop.Now() + waryTime
+	if l.phase != streaming && l.worker.State == decision.Running {
+		l.client.holdLastByteUntil = l.client.dispatcher.Loop.Now() + waryTime
 	}
 	l.tellSent()
 	if l.phase == streaming && !l.chunked && l.left < 0 && l.done() == nil { // it ends with the connection
@@ -622,14 +628,14 @@
 }
 
 // CloseIdle closes the idle connections to a backend.
-func (s *Backends) CloseIdle(name string) {
+func (s *Client) CloseIdle(name string) {
 	if b := s.registry.Worker(name); b != nil {
 		s.CloseIdleTo(b)
 	}
 }
 
 // CheckHealth asks a backend for its load.
-func (s *Backends) CheckHealth(name string) {
+func (s *Client) CheckHealth(name string) {
 	b := s.registry.Worker(name)
 	if b == nil {
 		return
--- a/internal/platform/confirm.go
+++ b/internal/workerclient/confirm.go
@@ -1,21 +1,22 @@
-package platform
+package workerclient
 
 import (
 	"time"
 
 	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/httpwire"
 )
 
 // ask asks the backend of the line's attempt whether it still serves, before its request.
-func (l *line) ask(now time.Duration) {
+func (l *connection) ask(now time.Duration) {
 	l.confirming, l.probe, l.asked = true, true, now
 	l.write(now)
 }
 
 // answered goes on with the attempt of a line whose backend has answered a probe made for it.
-func (l *line) answered() {
+func (l *connection) answered() {
 	l.confirming = false
-	served := l.status == statusOK
+	served := l.status == httpwire.StatusOK
 	reusable := !l.last
 	attempt := l.attempt
 	l.resetAnswer()
@@ -25,8 +26,8 @@
 		l.rest()
 		return
 	}
-	l.set.registry.HealthConfirmed(l.b, l.asked)
-	if l.set.core.ClientGone(attempt) {
+	l.client.registry.HealthConfirmed(l.worker, l.asked)
+	if l.client.dispatcher.ClientGone(attempt) {
 		return
 	}
 	if reusable {
@@ -39,7 +40,7 @@
 
 // unconfirmed ends an attempt whose backend has not answered the probe made for it.
 // A kept connection may have been dead for long: the attempt goes on on another.
-func (l *line) unconfirmed() {
+func (l *connection) unconfirmed() {
 	l.confirming, l.probe = false, false
 	if l.kept {
 		l.move(l.fresh)
@@ -50,19 +51,19 @@
 }
 
 // deny books that the line's backend has not shown that it serves.
-func (l *line) deny() { l.set.registry.HealthDenied(l.b) }
+func (l *connection) deny() { l.client.registry.HealthDenied(l.worker) }
 
 // move takes the line's attempt to another connection of the same backend.
-func (l *line) move(fresh bool) {
-	s, attempt := l.set, l.attempt
+func (l *connection) move(fresh bool) {
+	s, attempt := l.client, l.attempt
 	l.attempt = 0
-	n := s.take(l.b, l.job.RepeatUnsafe)
+	n := s.take(l.worker, l.job.RepeatUnsafe)
 	if n == nil {
-		n = s.dial(l.b)
+		n = s.dial(l.worker)
 	}
 	n.attempt, n.job, n.fresh = attempt, l.job, fresh
-	s.lines[attempt] = n
-	if n.conn != nil && !s.core.ClientGone(attempt) {
+	s.connections[attempt] = n
+	if n.conn != nil && !s.dispatcher.ClientGone(attempt) {
 		n.send()
 	}
 }
--- a/internal/platform/leaving_test.go
+++ b/internal/workerclient/leaving_test.go
@@ -1,4 +1,4 @@
-package platform
+package workerclient
 
 import (
 	"bufio"
@@ -15,6 +15,8 @@
 
 	"hollyyoke.example/hollyyoke/decision"
 	"hollyyoke.example/hollyyoke/internal/dispatch"
+	"hollyyoke.example/hollyyoke/internal/httpfront"
+	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
 // These tests let a client leave while the loop is busy, in the very turn in which something lets an attempt of
@@ -22,10 +24,10 @@
 
 // departure is a front with real backends, and a client that leaves.
 type departure struct {
-	*rig
+	*testkit.Rig
 	t        *testing.T
 	addr     string // of the front
-	backends *Backends
+	backends *Client
 	accept   []func() (net.Conn, *bufio.Reader) // the backends' next connections
 
 	listeners []net.Listener
@@ -33,19 +35,19 @@
 
 func newDeparture(t *testing.T, backends int, change func(*decision.Settings)) *departure {
 	t.Helper()
-	d := &departure{rig: newRig(t, change), t: t}
+	d := &departure{Rig: testkit.NewRig(t, change), t: t}
 	var hosts []string
 	for i := range backends {
-		ln, next := d.backendListener(t)
+		ln, next := listenAsWorker(t)
 		d.accept, d.listeners = append(d.accept, next), append(d.listeners, ln)
 		hosts = append(hosts, fmt.Sprintf(`{"host":"s%d","dial":%q,"health":"ready"}`, i, ln.Addr()))
 	}
-	d.do(func() {
-		d.backends = d.workerClient("")
-		if err := d.backends.registry.Known(fmt.Appendf(nil, `{"hosts":[%s]}`, strings.Join(hosts, ","))); err != nil {
+	d.Do(func() {
+		d.backends = newWorkerClient(d.Rig, "")
+		if err := d.backends.registry.LoadInitial(fmt.Appendf(nil, `{"hosts":[%s]}`, strings.Join(hosts, ","))); err != nil {
 			t.Error(err)
 		}
-		front := NewFront(d.core, d.engine, 64<<20, func() bool { return true })
+		front := httpfront.New(d.Dispatcher, d.Engine, 64<<20, func() bool { return true })
 		d.addr, _ = front.Listen("127.0.0.1:0", 50)
 	})
 	return d
@@ -53,7 +55,7 @@
 
 // hold keeps the loop from going on until the release, at the end of the test at the latest.
 func (d *departure) hold() (release func()) {
-	release = sync.OnceFunc(d.rig.hold())
+	release = sync.OnceFunc(d.Rig.Hold())
 	d.t.Cleanup(release)
 	return release
 }
@@ -62,7 +64,7 @@
 func (d *departure) client(path, id string, behind int) net.Conn {
 	d.t.Helper()
 	text := fmt.Sprintf("POST %s HTTP/1.1\r\nX-Correlation-Id: %s\r\nX-Weight-Hint: 1000\r\nContent-Length: 4\r\n\r\nbody", path, id)
-	conn, _ := bad(d.t, d.addr, text+strings.Repeat("x", behind))
+	conn, _ := testkit.Connect(d.t, d.addr, text+strings.Repeat("x", behind))
 	return conn
 }
 
@@ -84,15 +86,15 @@
 	d.t.Helper()
 	local := conn.LocalAddr().String()
 	conn.Close()
-	until(d.t, "the client's end arrives", func() bool { return !established(d.t, d.addr, local) })
+	testkit.Until(d.t, "the client's end arrives", func() bool { return !established(d.t, d.addr, local) })
 }
 
 // sent waits until a client's end has been taken in, and returns how many attempts have left whole.
 func (d *departure) sent() (n uint64) {
 	d.t.Helper()
-	until(d.t, "the client is hung up", func() (over bool) {
-		d.do(func() {
-			over, n = d.core.Counts().Cancelled == 1, d.core.Counts().Sent
+	testkit.Until(d.t, "the client is hung up", func() (over bool) {
+		d.Do(func() {
+			over, n = d.Dispatcher.Counts().Cancelled == 1, d.Dispatcher.Counts().Sent
 		})
 		return over
 	})
@@ -122,12 +124,12 @@
 	worker, in := d.accept[0]()
 	d.request(in)
 	conn := d.client("/status-check/k", "id000002", 0)
-	until(t, "the second is taken", func() (both bool) {
-		d.do(func() { both = d.core.Unanswered() == 2 })
+	testkit.Until(t, "the second is taken", func() (both bool) {
+		d.Do(func() { both = d.Dispatcher.Unanswered() == 2 })
 		return both
 	})
 	on := d.hold()
-	d.write(t, worker, strings.ReplaceAll(chunked(done), "IDENTITY", "id000001"))
+	d.Write(t, worker, strings.ReplaceAll(testkit.ChunkedResponse(testkit.DoneLine), "IDENTITY", "id000001"))
 	d.leave(conn)
 	on()
 	if n := d.sent(); n != 1 {
@@ -141,10 +143,10 @@
 	held, release := make(chan struct{}), make(chan struct{})
 	on := sync.OnceFunc(func() { close(release) })
 	t.Cleanup(on)
-	d.do(func() {
-		d.core.Trace = func(_, step string, _ ...any) {
+	d.Do(func() {
+		d.Dispatcher.Trace = func(_, step string, _ ...any) {
 			if step == "attempt" { // before the word that the connection is up
-				d.core.Loop.Post(func() { close(held); <-release })
+				d.Dispatcher.Loop.Post(func() { close(held); <-release })
 			}
 		}
 	})
@@ -167,7 +169,7 @@
 		worker, in := d.first()
 		d.request(in)
 		on := d.hold()
-		d.write(t, worker, "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n")
+		d.Write(t, worker, "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n")
 		d.leave(conn)
 		on()
 		if n := d.sent(); n != 1 {
@@ -202,7 +204,7 @@
 			}
 		}()
 	}
-	conn := receive(d.t, came)
+	conn := testkit.Receive(d.t, came)
 	d.t.Cleanup(func() { conn.Close() })
 	return conn, bufio.NewReader(conn)
 }
@@ -210,7 +212,9 @@
 // The end arrives while the last byte of a request is held back.
 func TestLeavingBeforeTheLastByte(t *testing.T) {
 	d := newDeparture(t, 1, repeats)
-	d.do(func() { d.backends.wary, d.backends.hold = d.core.Loop.Now()+time.Hour, 200*time.Millisecond })
+	d.Do(func() {
+		d.backends.holdLastByteUntil, d.backends.lastByteDelay = d.Dispatcher.Loop.Now()+time.Hour, 200*time.Millisecond
+	})
 	conn := d.client("/status-check/k", "id000001", 0)
 	_, in := d.accept[0]()
 	if _, err := in.Peek(1); err != nil {
@@ -233,11 +237,13 @@
 	for name, late := range map[string]time.Duration{"late": time.Second, "over": left} {
 		t.Run(name, func(t *testing.T) {
 			d := newDeparture(t, 1, repeats)
-			d.do(func() { d.backends.wary, d.backends.hold = d.core.Loop.Now()+time.Hour, 100*time.Millisecond })
+			d.Do(func() {
+				d.backends.holdLastByteUntil, d.backends.lastByteDelay = d.Dispatcher.Loop.Now()+time.Hour, 100*time.Millisecond
+			})
 			before := time.Now()
-			got := make(judge, 1)
-			d.core.Loop.Post(func() {
-				d.core.Accept(got, 0, dispatch.Request{ID: "id000001", Target: "/status-check/k", Body: []byte("body"), Work: 1e6, TimeLeft: left})
+			got := make(testkit.Responses, 1)
+			d.Dispatcher.Loop.Post(func() {
+				d.Dispatcher.Accept(got, 0, dispatch.Request{ID: "id000001", Target: "/status-check/k", Body: []byte("body"), Work: 1e6, TimeLeft: left})
 			})
 			_, in := d.accept[0]()
 			if _, err := in.Peek(1); err != nil {
@@ -263,7 +269,7 @@
 			if rest := left - time.Since(before); err != nil || time.Duration(told)*time.Millisecond > left-late || rest < 0 {
 				t.Errorf("%d ms told where less than %v was left, %v", told, left-late, err)
 			}
-			io.WriteString(again, strings.ReplaceAll(chunked(done), "IDENTITY", "id000001"))
+			io.WriteString(again, strings.ReplaceAll(testkit.ChunkedResponse(testkit.DoneLine), "IDENTITY", "id000001"))
 			if v := verdict(t, got); v != dispatch.Served {
 				t.Errorf("begun anew: %v", v)
 			}
--- a/internal/platform/answer.go
+++ b/internal/workerclient/response.go
@@ -1,10 +1,11 @@
-package platform
+package workerclient
 
 import (
 	"bytes"
 	"encoding/json"
 
 	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/httpwire"
 	"hollyyoke.example/hollyyoke/internal/settings"
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
@@ -12,12 +13,10 @@
 // This file reads the answers of backends to attempts and probes. It must never
 // take an answer for one that its request was not made for.
 
-const statusOK = 200
-
 // OnData takes in what the backend sent.
-func (l *line) OnData(_ *transport.Conn, b *transport.Buffer) {
+func (l *connection) OnData(_ *transport.Conn, b *transport.Buffer) {
 	if l.phase == resting { // nothing was asked: what comes is no answer to anything
-		l.set.engine.Pool.Put(b)
+		l.client.engine.Pool.Put(b)
 		l.unlist()
 		l.close()
 		return
@@ -36,7 +35,7 @@
 	}
 	l.cut()
 	if l.over && l.confirming {
-		l.set.core.Loop.Clear(&l.due)
+		l.client.dispatcher.Loop.Clear(&l.due)
 		l.last = l.last || l.in != nil
 		l.answered()
 		return
@@ -44,7 +43,7 @@
 	if l.over {
 		l.last = l.last || l.in != nil || l.held // bytes behind the answer, or some of the request still here
 		// Idle first, told then: the attempt that the module starts on this news finds the connection.
-		l.set.core.Loop.Clear(&l.due)
+		l.client.dispatcher.Loop.Clear(&l.due)
 		l.rest()
 	}
 	l.tell()
@@ -52,18 +51,18 @@
 
 // collect adds data to the input buffer, taking it over where it can. It returns
 // false where there is no room for it.
-func (l *line) collect(b *transport.Buffer) bool {
+func (l *connection) collect(b *transport.Buffer) bool {
 	if l.in == nil {
 		l.in = b
 		return true
 	}
 	ok := l.in.Append(b.Bytes())
-	l.set.engine.Pool.Put(b)
+	l.client.engine.Pool.Put(b)
 	return ok
 }
 
 // tell tells the outcome that the answer held, if any.
-func (l *line) tell() {
+func (l *connection) tell() {
 	e := l.end
 	if l.end = nil; e == nil {
 		return
@@ -72,25 +71,25 @@
 		l.close()
 	}
 	if l.phase != resting && l.conn.Handle != 0 {
-		l.set.core.Loop.Set(&l.due, l.set.core.Loop.Now()+clearTime)
+		l.client.dispatcher.Loop.Set(&l.due, l.client.dispatcher.Loop.Now()+clearTime)
 	}
 	l.settle(e.o, e.load, e.result)
 }
 
 // broken gives up a line whose bytes make no sense. The job may have run.
-func (l *line) broken() {
+func (l *connection) broken() {
 	l.close()
 	l.tell()
 	l.fail(decision.ConnectionLost)
 }
 
 // step takes one piece out of the input; false: more must come first.
-func (l *line) step() (bool, error) {
+func (l *connection) step() (bool, error) {
 	in := l.in.Bytes()[l.at:]
 	switch {
 	case l.phase == waiting:
-		var h Head
-		if ok, err := ParseHead(in, &h, &l.seen); !ok {
+		var h httpwire.Head
+		if ok, err := httpwire.ParseHead(in, &h, &l.seen); !ok {
 			return false, err
 		}
 		l.seen = 0
@@ -124,22 +123,22 @@
 
 // cut drops what has been taken in, once for all pieces of it: each cut moves
 // all that is left.
-func (l *line) cut() {
+func (l *connection) cut() {
 	at := l.at
 	if l.at = 0; l.in == nil {
 		return
 	}
 	if l.in.Consume(at); len(l.in.Bytes()) == 0 {
-		l.set.engine.Pool.Put(l.in)
+		l.client.engine.Pool.Put(l.in)
 		l.in = nil
 	}
 }
 
 // head takes in the head of an answer. All but a 200 tell the outcome at once.
-func (l *line) head(h *Head) error {
+func (l *connection) head(h *httpwire.Head) error {
 	status, ok := h.Status()
 	if !ok {
-		return ErrMalformed
+		return httpwire.ErrMalformed
 	}
 	if status < 200 {
 		return nil // an interim answer; the real one follows
@@ -148,13 +147,13 @@
 	if err != nil {
 		return err
 	}
-	l.status, l.chunked, l.left, l.chunk = status, chunked, length, ChunkReader{}
+	l.status, l.chunked, l.left, l.chunk = status, chunked, length, httpwire.ChunkReader{}
 	l.last = h.HasToken("Connection", "close") || !chunked && length < 0
 	l.phase = streaming
 	if !l.probe && status != 200 {
 		var load decision.LoadReport
 		if v := h.Get("X-Backend-Load"); v != nil {
-			load = settings.Load(&l.set.core.Settings, v)
+			load = settings.Load(&l.client.dispatcher.Settings, v)
 		}
 		o := decision.Failed // 500, and what the protocol does not name: it may have run
 		if status >= 400 && status < 500 {
@@ -172,7 +171,7 @@
 }
 
 // body takes in a piece of the body. Each line of a 200 is one object.
-func (l *line) body(data []byte) error {
+func (l *connection) body(data []byte) error {
 	if l.probe {
 		return l.keep(data)
 	}
@@ -192,7 +191,7 @@
 			text = l.text.Bytes()
 		}
 		err := l.news(text)
-		l.set.engine.Pool.Put(l.text)
+		l.client.engine.Pool.Put(l.text)
 		l.text = nil
 		if err != nil || l.end != nil {
 			return err
@@ -202,21 +201,21 @@
 	return nil
 }
 
-func (l *line) keep(data []byte) error {
+func (l *connection) keep(data []byte) error {
 	if len(data) == 0 {
 		return nil
 	}
 	if l.text == nil {
-		l.text = l.set.engine.Pool.Get()
+		l.text = l.client.engine.Pool.Get()
 	}
 	if !l.text.Append(data) {
-		return ErrBodyTooLong
+		return httpwire.ErrBodyTooLong
 	}
 	return nil
 }
 
 // news takes in one object: the start, the progress or the end of a job.
-func (l *line) news(text []byte) error {
+func (l *connection) news(text []byte) error {
 	if text = bytes.TrimSpace(text); len(text) == 0 {
 		return nil
 	}
@@ -231,17 +230,17 @@
 		return err
 	}
 	if n.ID != l.job.Request.ID {
-		return ErrMalformed // made for another req
+		return httpwire.ErrMalformed // made for another req
 	}
 	var load decision.LoadReport
 	if len(n.Load) > 0 {
-		load = settings.Load(&l.set.core.Settings, n.Load)
+		load = settings.Load(&l.client.dispatcher.Settings, n.Load)
 	}
 	switch n.State {
 	case "started":
-		l.set.core.AttemptStarted(l.attempt)
+		l.client.dispatcher.AttemptStarted(l.attempt)
 	case "running":
-		l.set.core.AttemptProgressed(l.attempt, n.Share)
+		l.client.dispatcher.AttemptProgressed(l.attempt, n.Share)
 	case "done":
 		result := []byte(n.Result)
 		var plain string
@@ -256,27 +255,27 @@
 	case "lost":
 		l.end = &end{decision.ConnectionLost, load, nil}
 	default:
-		return ErrMalformed
+		return httpwire.ErrMalformed
 	}
 	return nil
 }
 
 // done is told that the answer has ended. One without its last object is a reset.
-func (l *line) done() error {
+func (l *connection) done() error {
 	if l.probe {
 		confirming := l.confirming
 		l.probe = false
-		l.set.core.Loop.Clear(&l.due)
+		l.client.dispatcher.Loop.Clear(&l.due)
 		o, load := decision.Failed, decision.LoadReport{}
-		if l.status == statusOK {
+		if l.status == httpwire.StatusOK {
 			o = decision.Completed
 			if l.text != nil {
-				load = settings.Load(&l.set.core.Settings, l.text.Bytes())
+				load = settings.Load(&l.client.dispatcher.Settings, l.text.Bytes())
 			}
 		}
 		l.over = true
 		if !confirming {
-			l.set.core.HealthChecked(l.b.name, o, load)
+			l.client.dispatcher.HealthChecked(l.worker.Name, o, load)
 		}
 		return nil
 	}
