--- /dev/null
+++ b/internal/dispatch/attempt_test.go
@@ -0,0 +1,110 @@
+package dispatch
+
+import (
+	"testing"
+	"time"
+
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
+)
+
+// dedupWindow and connectTimeout are the settings of the tests of RepeatBy.
+const (
+	dedupWindow    = 2 * time.Second
+	connectTimeout = 200 * time.Millisecond
+)
+
+// repeatByCase is a request whose attempts end in turn; the attempt after the last of them stays open.
+type repeatByCase struct {
+	name        string
+	idempotency decision.Idempotency
+	outcomes    []decision.AttemptOutcome
+	boundBy     []int // by attempt: the earlier attempt whose window bounds it; -1: none
+}
+
+// A retry must be sent within the window of the first attempt that may have run, less the way to the worker; an attempt
+// that never ran opens no window. Requests of other classes have no bound.
+func TestRepeatBy(t *testing.T) {
+	for _, c := range []repeatByCase{
+		{"may have run", decision.Deduplicated, []decision.AttemptOutcome{decision.Failed}, []int{-1, 0}},
+		{"never ran", decision.Deduplicated, []decision.AttemptOutcome{decision.ConnectionRefused}, []int{-1, -1}},
+		{"idempotent", decision.Idempotent, []decision.AttemptOutcome{decision.Failed}, []int{-1, -1}},
+		{"not idempotent", decision.NonIdempotent, []decision.AttemptOutcome{decision.ConnectionRefused}, []int{-1, -1}},
+	} {
+		t.Run(c.name, func(t *testing.T) { testRepeatBy(t, c) })
+	}
+}
+
+func testRepeatBy(t *testing.T, c repeatByCase) {
+	now := time.Hour
+	d := newTestDispatcher(t, eventloop.NewVirtual(func() time.Duration { return now }), decision.Settings{
+		Classes: []decision.Class{{
+			PriorityWeight:   3,
+			LatencyObjective: 300 * time.Millisecond,
+			Deadline:         9 * time.Second,
+			Idempotency:      c.idempotency,
+			DedupWindow:      dedupWindow,
+		}},
+		Tick:           time.Millisecond,
+		MaxAttempts:    4,
+		Cancellation:   true,
+		ConnectTimeout: connectTimeout,
+		MaxRetryAfter:  time.Second,
+	})
+	client := &recordingClient{}
+	d.AddSource(client)
+	d.UpdateWorkers(client, decision.ListSnapshot, []decision.Endpoint{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "d"}})
+	d.Accept(discardResponses, 0, Request{ID: "one", TimeLeft: 9 * time.Second, Work: 10 * time.Millisecond})
+
+	awaitAttempt := func(number int) {
+		t.Helper()
+		for len(client.started) == number {
+			now += time.Millisecond
+			d.Loop.RunOnce()
+			if now > time.Hour+dedupWindow {
+				t.Fatalf("attempt %d does not start", number)
+			}
+		}
+	}
+	var assignedAt []time.Duration
+	for i, outcome := range c.outcomes {
+		awaitAttempt(i)
+		assignedAt = append(assignedAt, now)
+		now += 50 * time.Millisecond
+		d.AttemptEnded(client.started[i].Handle, outcome, decision.LoadReport{}, nil)
+	}
+	awaitAttempt(len(c.outcomes))
+
+	for i, attempt := range client.started {
+		want := time.Duration(0)
+		if first := c.boundBy[i]; first >= 0 {
+			want = assignedAt[first] + dedupWindow - connectTimeout/2
+		}
+		unsafe := c.idempotency != decision.Idempotent
+		if attempt.RepeatBy != want || attempt.RepeatUnsafe != unsafe {
+			t.Errorf("attempt %d: repeat by %v, want %v; repeat unsafe %v, want %v",
+				i, attempt.RepeatBy-time.Hour, want-time.Hour, attempt.RepeatUnsafe, unsafe)
+		}
+	}
+	checkRepeatBy(t, d, c.idempotency)
+}
+
+// checkRepeatBy checks the bound after attempts that were assigned in another order than they would be.
+func checkRepeatBy(t *testing.T, d *Dispatcher, idempotency decision.Idempotency) {
+	t.Helper()
+	neverRan := attemptRecord{assignedAt: 9, neverRan: true}
+	for _, c := range []struct {
+		attempts []attemptRecord
+		want     time.Duration
+	}{
+		{[]attemptRecord{neverRan, {assignedAt: 20}, {assignedAt: 10}}, 10 + dedupWindow - connectTimeout/2},
+		{[]attemptRecord{neverRan, {assignedAt: 20, neverRan: true}}, 0},
+	} {
+		if idempotency != decision.Deduplicated {
+			c.want = 0
+		}
+		if got := d.repeatBy(&openRequest{attempts: c.attempts}); got != c.want {
+			t.Errorf("after %v: repeat by %v, want %v", c.attempts, got, c.want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/dispatch/request.go
@@ -0,0 +1,212 @@
+package dispatch
+
+import (
+	"slices"
+	"time"
+
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
+)
+
+// responseMargin is how long before the client gives up the final response leaves at the latest. It covers the way to the
+// client and a late timer on a shared core.
+const responseMargin = 12 * time.Millisecond
+
+// Request is what a client asks for, independent of the protocol that it uses.
+type Request struct {
+	ID             string // chosen by the client
+	Class          int    // index in decision.Settings.Classes
+	Key            string // what the request concerns; may be empty
+	Target         string // path and query as the client wrote them; empty where its protocol has none
+	IdempotencyKey string // by which workers recognize a duplicate; may be empty
+	Body           []byte // valid until Release
+	Slots          float64
+	Work           time.Duration // hinted run time; 0: no hint
+	TimeLeft       time.Duration // how long the client waits from ReceivedAt on; 0: as long as the class allows
+	ReceivedAt     time.Duration // clock time; 0: now
+	ClientRetry    bool          // the client has marked it as a retry
+
+	Release func() // called once, when Body is not needed any more; may be nil
+	Leaser  Leaser // asked for a lease before each attempt of a durable job; nil: the request needs none
+}
+
+// openRequest is a request that has no final response yet, or has attempts in flight.
+type openRequest struct {
+	Request
+	handle       uint64
+	idHash       uint64
+	frontEnd     FrontEnd
+	token        uint64        // of the front end
+	deadline     time.Duration // clock time by which the final response leaves
+	attempts     []attemptRecord
+	openAttempts int
+	answered     bool               // it has its final response, or was cancelled
+	timer        eventloop.Deadline // of the machine, under the request's handle
+	expiry       eventloop.Deadline // at deadline
+}
+
+// attemptRecord is what remains known of an attempt for as long as its request is open.
+type attemptRecord struct {
+	handle     uint64        // 0: the attempt was never started
+	assignedAt time.Duration // clock time; the attempt is sent later
+	neverRan   bool
+}
+
+// mayHaveRun reports whether some attempt may have had an effect.
+func (r *openRequest) mayHaveRun() bool { return anyMayHaveRun(r.attempts) }
+
+func anyMayHaveRun(attempts []attemptRecord) bool {
+	return slices.ContainsFunc(attempts, func(a attemptRecord) bool { return !a.neverRan })
+}
+
+// Accept takes a request on: from now on its front end is owed one final response under the token, which may come before
+// Accept returns. It returns the handle of the request for Cancel.
+func (d *Dispatcher) Accept(frontEnd FrontEnd, token uint64, request Request) uint64 {
+	now := d.Loop.Now()
+	open := &openRequest{frontEnd: frontEnd, token: token, Request: request}
+	open.deadline = d.deadlineOf(&request, now)
+	open.handle = d.requests.Insert(open)
+	open.idHash = d.ids.hash(request.ID)
+	d.ids.add(open.idHash)
+	if d.OnAccepted != nil {
+		d.OnAccepted(open.idHash)
+	}
+	open.expiry.Fire = func() { d.expire(open) }
+	open.timer.Fire = func() { d.fireTimer(open.handle) }
+	d.Loop.Set(&open.expiry, open.deadline)
+	d.unanswered++
+	d.counts.Accepted++
+	d.traceAccepted(open)
+	d.handle(decision.Event{
+		Kind:        decision.RequestArrived,
+		Request:     open.handle,
+		Class:       request.Class,
+		Slots:       request.Slots,
+		Work:        request.Work,
+		TimeLeft:    max(open.deadline-now, 0),
+		ClientRetry: request.ClientRetry,
+		Key:         request.Key,
+	})
+	return open.handle
+}
+
+// deadlineOf returns the clock time by which the final response to a request must leave.
+func (d *Dispatcher) deadlineOf(request *Request, now time.Duration) time.Duration {
+	timeLeft := d.Settings.Classes[request.Class].Deadline
+	if request.TimeLeft > 0 {
+		timeLeft = min(timeLeft, request.TimeLeft)
+	}
+	receivedAt := request.ReceivedAt
+	if receivedAt == 0 {
+		receivedAt = now
+	}
+	return max(receivedAt+timeLeft-responseMargin, now)
+}
+
+// Cancel withdraws a request: its client wants no response any more. It returns whether the request may have run by then.
+func (d *Dispatcher) Cancel(handle uint64) (mayHaveRun bool) {
+	request := d.requests.Get(handle)
+	if request == nil || request.answered {
+		return false
+	}
+	d.counts.Cancelled++
+	d.traceCancelled(request)
+	d.resolve(request)
+	d.handle(decision.Event{Kind: decision.ClientDisconnected, Request: handle})
+	d.cleanUp(request)
+	return request.mayHaveRun() // only now: to stop an attempt may show that it never ran
+}
+
+// cancelIfClientLeft cancels a request whose client has disconnected, and reports whether it did. A leased job is wanted
+// whether its client waits or not.
+func (d *Dispatcher) cancelIfClientLeft(request *openRequest) bool {
+	watcher, ok := request.frontEnd.(ClientWatcher)
+	if !ok || request.Leaser != nil || !watcher.ClientLeft(request.token) {
+		return false
+	}
+	mayHaveRun := d.Cancel(request.handle)
+	watcher.RequestCancelled(request.token, mayHaveRun)
+	return true
+}
+
+// ExpireAll makes all open requests expire now.
+func (d *Dispatcher) ExpireAll() {
+	d.requests.ForEach(func(_ uint64, request *openRequest) { d.expire(request) })
+}
+
+// expire ends a request at its deadline: its open attempts have timed out, and if that leaves it without a response, it
+// has failed. No request goes unanswered, whatever the machine does.
+func (d *Dispatcher) expire(request *openRequest) {
+	for i := 0; i < len(request.attempts) && d.requests.Get(request.handle) == request; i++ {
+		d.stopAttempt(request.attempts[i].handle, decision.TimedOut)
+	}
+	if request.answered {
+		return
+	}
+	d.respond(request, Response{Outcome: Failed})
+	d.handle(decision.Event{Kind: decision.ClientDisconnected, Request: request.handle})
+	d.cleanUp(request)
+}
+
+// conclude gives a request the final response that the machine decided on.
+func (d *Dispatcher) conclude(handle uint64, response Response) {
+	request := d.requests.Get(handle)
+	if request == nil {
+		return
+	}
+	d.respond(request, response)
+	d.cleanUp(request)
+}
+
+// respond gives a request its final response, if it has none yet.
+func (d *Dispatcher) respond(request *openRequest, response Response) {
+	if request.answered {
+		return
+	}
+	response.MayHaveRun = request.mayHaveRun()
+	d.countOutcome(request.Class, response.Outcome)
+	d.traceResponse(request, response)
+	d.resolve(request)
+	request.frontEnd.Respond(request.token, response)
+}
+
+// resolve marks a request as answered or cancelled.
+func (d *Dispatcher) resolve(request *openRequest) {
+	request.answered = true
+	d.unanswered--
+	d.Loop.Clear(&request.timer)
+}
+
+// cleanUp stops what an answered request does not need any more, and removes the request once it has no open attempt.
+// Until then its expiry stays set, which ends an attempt that goes on after the response.
+func (d *Dispatcher) cleanUp(request *openRequest) {
+	if !request.answered {
+		return
+	}
+	d.stopUndelivered(request)
+	if request.openAttempts > 0 || d.requests.Get(request.handle) != request {
+		return
+	}
+	d.Loop.Clear(&request.expiry)
+	d.requests.Remove(request.handle)
+	d.ids.end(request.idHash)
+	if request.Release != nil {
+		request.Release()
+	}
+}
+
+// stopUndelivered stops the attempts that have not been delivered to their workers, also where the settings allow no
+// cancellation. An attempt that has its lease goes on: the job is wanted whether its client waits or not, and it is the
+// front end that ends it.
+func (d *Dispatcher) stopUndelivered(request *openRequest) {
+	for i := 0; i < len(request.attempts); i++ {
+		handle := request.attempts[i].handle
+		attempt := d.attempts.Get(handle)
+		if attempt == nil || attempt.delivered {
+			continue
+		}
+		if attempt.awaitsLease || request.Leaser == nil {
+			d.stopAttempt(handle, decision.Cancelled)
+		}
+	}
+}
--- /dev/null
+++ b/internal/dispatch/requestids_test.go
@@ -0,0 +1,41 @@
+package dispatch
+
+import (
+	"testing"
+	"time"
+
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
+)
+
+// The latest request IDs stay known after their requests ended; the number remembered is bounded.
+func TestRecentIDsAreBounded(t *testing.T) {
+	d := newTestDispatcher(t, eventloop.New(), decision.Settings{Classes: []decision.Class{{Deadline: time.Second}}})
+	id := func(i int) string { return string(rune('a'+i%20)) + time.Duration(i).String() }
+	const requests = 2 * maxRecentIDs
+	for i := range requests {
+		responses, cancelled := 0, false
+		frontEnd := respondFunc(func(response Response) {
+			responses++
+			if responses > 1 || cancelled || response.MayHaveRun {
+				t.Fatalf("request %d: response %d, cancelled: %v, may have run: %v", i, responses, cancelled, response.MayHaveRun)
+			}
+		})
+		handle := d.Accept(frontEnd, uint64(i), Request{ID: id(i)})
+		if !d.IsKnownID(id(i)) {
+			t.Fatalf("request %d is open, but its ID is unknown", i)
+		}
+		if responses == 0 {
+			cancelled = true
+			d.Cancel(handle)
+		}
+	}
+	const last = requests - 1
+	const oldestKnown = last - maxRecentIDs + 1
+	if !d.IsKnownID(id(last)) || !d.IsKnownID(id(oldestKnown)) || d.IsKnownID(id(oldestKnown-1)) || d.IsKnownID("other") {
+		t.Error("the known IDs are not those of the latest requests")
+	}
+	if len(d.ids.open) != 0 || len(d.ids.recent) != maxRecentIDs {
+		t.Errorf("%d open, %d recent", len(d.ids.open), len(d.ids.recent))
+	}
+}
--- a/internal/platform/crossings_test.go
+++ b/internal/platform/crossings_test.go
@@ -511,7 +511,7 @@
 			r.do(func() {
 				b = r.sole(t, ln, time.Hour) // each attempt has a connection of its own
 				r.core.Trace = func(_, step string, more ...any) {
-					if step != "attempt" || more[1] != 1 || inTime {
+					if step != dispatch.StepAssigned || more[1] != 1 || inTime {
 						return
 					}
 					first := r.core.Loop.Now() // no attempt came later
@@ -636,7 +636,7 @@
 						b.wary, b.hold = r.core.Loop.Now()+time.Hour, 300*time.Millisecond
 					}
 					r.core.Trace = func(_, step string, _ ...any) {
-						if step == "attempt" && where == "connecting" {
+						if step == dispatch.StepAssigned && where == "connecting" {
 							r.core.Loop.Post(finish) // before the word that the connection is up
 						}
 					}
--- a/internal/platform/leaving_test.go
+++ b/internal/platform/leaving_test.go
@@ -143,7 +143,7 @@
 	t.Cleanup(on)
 	d.do(func() {
 		d.core.Trace = func(_, step string, _ ...any) {
-			if step == "attempt" { // before the word that the connection is up
+			if step == dispatch.StepAssigned { // before the word that the connection is up
 				d.core.Loop.Post(func() { close(held); <-release })
 			}
 		}
--- a/internal/rehearsal/scale/hollow.go
+++ b/internal/rehearsal/scale/hollow.go
@@ -217,7 +217,7 @@
 
 // countEntries hears each step of the core; a list's has the number of its entries.
 func (p *hollowProcess) countEntries(_, step string, more ...any) {
-	if step != "list" {
+	if step != dispatch.StepWorkersUpdated {
 		return
 	}
 	p.lists++
--- a/internal/rehearsal/simulator/emulator.go
+++ b/internal/rehearsal/simulator/emulator.go
@@ -182,7 +182,7 @@
 		return err
 	}
 	d.core = c
-	c.Trace = func(id, step string, more ...any) { s.tell(d.number, step, id, more...) }
+	c.Trace = func(id, step string, more ...any) { s.logStep(d.number, step, id, more) }
 	c.AddSource(d)
 	return nil
 }
