--- /dev/null
+++ b/internal/eventloop/deadline_test.go
@@ -0,0 +1,39 @@
+package eventloop
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+// Deadlines fire in the order of time, then of setting; moved and cleared ones are respected; one that is set while
+// deadlines fire is left to the next turn.
+func TestDeadlinesFireInOrder(t *testing.T) {
+	loop := New()
+	var fired []int
+	now := loop.Now()
+	deadlines := make([]Deadline, 6)
+	for i := range deadlines {
+		deadlines[i].Fire = func() {
+			fired = append(fired, i)
+			if i == 0 {
+				loop.Set(&deadlines[0], now)
+			}
+		}
+	}
+	for i, at := range []time.Duration{30, 10, 20, 10, 5, time.Hour} {
+		loop.Set(&deadlines[i], now+at)
+	}
+	loop.Set(&deadlines[2], now+40) // later than it was
+	loop.Clear(&deadlines[4])
+	loop.Clear(&deadlines[4])
+	loop.startedUnix += time.Minute
+	loop.fireDeadlines()
+	if want := []int{1, 3, 0, 2}; !slices.Equal(fired, want) {
+		t.Fatalf("fired %v, want %v", fired, want)
+	}
+	loop.fireDeadlines()
+	if want := []int{1, 3, 0, 2, 0}; !slices.Equal(fired, want) {
+		t.Fatalf("fired %v, want %v", fired, want)
+	}
+}
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,242 +1,149 @@
-// Package core is the dispatcher between a front and the decision module. It
-// owns the module, the clock, the tables of reqs and attempts, and the one
-// ordered structure that all deadlines hang in. It deals in reqs, attempts and
-// outcomes; it must never know a wire, a socket or a file.
+// Package eventloop runs callbacks and deadlines on one goroutine, in real or in virtual time. State that only its
+// callbacks touch needs no locks.
+//
+// Other goroutines hand work over with [Loop.Post]. Within the loop, a [Deadline] calls a function at a time of the
+// loop's clock: never before it, in the order of the times, and in the order of setting where times are equal. The loop
+// also notices when its process was held up, which [Loop.QueuedSince] accounts for.
 package eventloop
 
 import (
-	"container/heap"
 	"sync"
 	"time"
 )
 
-// This file owns time: the clock, the deadlines and the goroutine on which all
-// state lives. It must never call back on another goroutine, nor fire a
-// deadline before its time.
+// maxSleep is how long Run sleeps where nothing is due. Post and Stop wake it before.
+const maxSleep = time.Hour
 
-// Loop runs everything that touches state on one goroutine. Only Post, Now and
-// Stop may be called from elsewhere.
+// Loop runs callbacks and deadlines. Post, Now and Stop may be called from any goroutine; all else belongs to the loop's
+// own goroutine, which is the one that calls Run or RunOnce.
 type Loop struct {
-	start time.Time
-	unix  time.Duration
-	clock func() time.Duration // virtual time; nil: the system's clock
+	// OnStall is called at the beginning of a turn that finds that the loop was held up; nil: nothing is called.
+	OnStall func()
+
+	started     time.Time
+	startedUnix time.Duration        // started, as Unix time
+	clock       func() time.Duration // of virtual time; nil: the system's monotonic clock
 
-	mu      sync.Mutex
+	mu      sync.Mutex // guards posted and stopped
 	posted  []func()
 	stopped bool
 	wake    chan struct{}
+	spare   []func() // reused for posted
 
-	// OnStall is called on the loop's goroutine, before anything else, when the loop
-	// goes on after it was held up for longer than stallTime; nil: nobody wants to know.
-	OnStall func()
-
-	stallFrom, stallTo time.Duration // the latest stall; 0: there was none
-	turned             time.Duration // when the latest turn ended
+	deadlines    deadlineHeap
+	lastSequence uint64
+	firedAt      time.Duration // when deadlines were last fired
 
-	spare []func()
-	due   deadlines
-	seq   uint64
-	fired time.Duration // up to when deadlines have been fired
+	turnEndedAt time.Duration
+	lastStall   stall
 }
 
-// stallTime is by how much a deadline is late that tells of a process that was held up.
-const stallTime = 500 * time.Millisecond
-
-// New returns a loop whose clock reads Unix time.
+// New returns a loop in real time.
 func New() *Loop {
 	now := time.Now()
-	return &Loop{start: now, unix: time.Duration(now.UnixNano()), wake: make(chan struct{}, 1)}
-}
-
-// Now is Unix time at the start plus what has passed since by the monotonic
-// clock: it compares with times told by others, and never steps.
-func (l *Loop) Now() time.Duration {
-	if l.clock != nil {
-		return l.clock()
-	}
-	return l.unix + time.Since(l.start)
+	return &Loop{started: now, startedUnix: time.Duration(now.UnixNano()), wake: make(chan struct{}, 1)}
 }
 
-// NewVirtual returns a loop in virtual time. Its driver owns the clock, calls
-// Turn when Next says so, and does not call Run.
+// NewVirtual returns a loop in virtual time. Its driver owns the clock and calls RunOnce whenever NextDue says so, instead
+// of Run.
 func NewVirtual(clock func() time.Duration) *Loop {
 	return &Loop{clock: clock, wake: make(chan struct{}, 1)}
 }
 
-// RunOnce does what is posted and fires what is due, once.
-func (l *Loop) RunOnce() (stopped bool) {
-	l.mu.Lock()
-	work, stopped := l.posted, l.stopped
-	l.posted = l.spare[:0]
-	l.mu.Unlock()
-	if stopped {
-		return true
-	}
-	l.noticeStall()
-	for _, f := range work {
-		f()
-	}
-	clear(work)
-	l.spare = work[:0]
-	l.fire()
-	l.turned = l.Now()
-	return false
-}
-
-// noticeStall books that the loop was held up, which a deadline shows that is long past.
-func (l *Loop) noticeStall() {
-	now := l.Now()
-	if len(l.due) == 0 || now-l.due[0].at <= stallTime {
-		return
-	}
-	l.stallFrom, l.stallTo = l.turned, now
-	if l.OnStall != nil {
-		l.OnStall()
-	}
-}
-
-// afterStall is how long after a stall what is read may have waited for its end.
-const afterStall = 100 * time.Millisecond
-
-// QueuedSince is since when what is read now may have been waiting: since now, but right
-// after a stall of the process since its begin.
-func (l *Loop) QueuedSince() time.Duration {
-	now := l.Now()
-	if l.stallTo > 0 && now < l.stallTo+afterStall {
-		return l.stallFrom
-	}
-	return now
-}
-
-// NextDue is when the next Turn has something to do; false: never, as things stand.
-func (l *Loop) NextDue() (at time.Duration, ok bool) {
-	l.mu.Lock()
-	busy := len(l.posted) > 0 || l.stopped
-	l.mu.Unlock()
-	switch {
-	case busy:
-		return l.Now(), true
-	case len(l.due) == 0:
-		return 0, false
+// Now returns the time of the loop's clock: Unix time when the loop was made, plus what has passed since by the monotonic
+// clock. It compares with times of other machines and is not affected by steps of the wall clock.
+func (l *Loop) Now() time.Duration {
+	if l.clock != nil {
+		return l.clock()
 	}
-	return max(l.due[0].at, l.Now()), true
+	return l.startedUnix + time.Since(l.started)
 }
 
-// Post hands f over to the loop's goroutine, in order.
+// Post calls f on the loop's goroutine, after what was posted before.
 func (l *Loop) Post(f func()) {
 	l.mu.Lock()
 	l.posted = append(l.posted, f)
 	l.mu.Unlock()
-	l.kick()
+	l.wakeUp()
 }
 
-// Stop makes Run return after the work at hand.
+// Stop makes Run return after the present turn.
 func (l *Loop) Stop() {
 	l.mu.Lock()
 	l.stopped = true
 	l.mu.Unlock()
-	l.kick()
+	l.wakeUp()
 }
 
-func (l *Loop) kick() {
+func (l *Loop) wakeUp() {
 	select {
 	case l.wake <- struct{}{}:
 	default: // it is awake already
 	}
 }
 
-// Run does what is posted and fires what is due until Stop.
+// Run runs turns until Stop, and sleeps where nothing is due.
 func (l *Loop) Run() {
-	timer := time.NewTimer(time.Hour)
+	timer := time.NewTimer(maxSleep)
 	defer timer.Stop()
 	for {
-		if l.RunOnce() {
+		stopped := l.RunOnce()
+		if stopped {
 			return
 		}
-		if wait := l.wait(); wait > 0 {
-			timer.Reset(wait)
-			select {
-			case <-l.wake:
-			case <-timer.C:
-			}
+		sleep := l.untilNextDue()
+		if sleep == 0 {
+			continue
+		}
+		timer.Reset(sleep)
+		select {
+		case <-l.wake:
+		case <-timer.C:
 		}
 	}
 }
 
-// wait is how long nothing is due, 0 if something is or work was posted.
-func (l *Loop) wait() time.Duration {
-	at, ok := l.NextDue()
-	if !ok {
-		return time.Hour
+// RunOnce runs one turn: it calls what was posted and then fires the deadlines that are due. What is posted meanwhile, and
+// what is set while deadlines fire, is left to the next turn. After Stop it does nothing and returns true.
+func (l *Loop) RunOnce() (stopped bool) {
+	l.mu.Lock()
+	stopped = l.stopped
+	work := l.posted
+	l.posted = l.spare[:0]
+	l.mu.Unlock()
+	if stopped {
+		return true
 	}
-	return max(at-l.Now(), 0)
-}
-
-// fire fires what was due at its start; what that sets for now waits for the next turn.
-func (l *Loop) fire() {
-	now, last := l.Now(), l.seq
-	l.fired = now
-	for len(l.due) > 0 && l.due[0].at <= now && l.due[0].seq <= last {
-		d := l.due[0]
-		heap.Pop(&l.due)
-		d.Fire()
+	l.detectStall()
+	for _, f := range work {
+		f()
 	}
+	clear(work)
+	l.spare = work[:0]
+	l.fireDeadlines()
+	l.turnEndedAt = l.Now()
+	return false
 }
 
-// Deadline is a moment at which Fire is called on the loop's goroutine. Its
-// owner embeds it, and may set it again and again.
-type Deadline struct {
-	Fire func()
-	at   time.Duration
-	seq  uint64
-	pos  int // in the heap, counted from 1; 0: not set
-}
-
-// Set sets d, or moves it, to the time at. One in the past counts as due now:
-// guards against an owner that sets its own again and again before all others.
-func (l *Loop) Set(d *Deadline, at time.Duration) {
-	l.seq++
-	d.at, d.seq = max(at, l.fired), l.seq
-	if d.pos > 0 {
-		heap.Fix(&l.due, d.pos-1)
-		return
+// NextDue returns when the next turn has something to do; ok is false if nothing is posted or set.
+func (l *Loop) NextDue() (at time.Duration, ok bool) {
+	l.mu.Lock()
+	busy := len(l.posted) > 0 || l.stopped
+	l.mu.Unlock()
+	switch {
+	case busy:
+		return l.Now(), true
+	case len(l.deadlines) == 0:
+		return 0, false
 	}
-	heap.Push(&l.due, d)
+	return max(l.deadlines[0].at, l.Now()), true
 }
 
-// Clear withdraws d if it is set.
-func (l *Loop) Clear(d *Deadline) {
-	if d.pos > 0 {
-		heap.Remove(&l.due, d.pos-1)
+// untilNextDue returns how long there is nothing to do, at most maxSleep where nothing is set.
+func (l *Loop) untilNextDue() time.Duration {
+	at, ok := l.NextDue()
+	if !ok {
+		return maxSleep
 	}
-}
-
-// After calls f once, span from now.
-func (l *Loop) After(span time.Duration, f func()) {
-	l.Set(&Deadline{Fire: f}, l.Now()+span)
-}
-
-// deadlines is a heap by time, then by the order in which they were set.
-type deadlines []*Deadline
-
-func (h deadlines) Len() int { return len(h) }
-func (h deadlines) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
-}
-func (h deadlines) Swap(i, j int) {
-	h[i], h[j] = h[j], h[i]
-	h[i].pos, h[j].pos = i+1, j+1
-}
-func (h *deadlines) Push(x any) {
-	d := x.(*Deadline)
-	*h = append(*h, d)
-	d.pos = len(*h)
-}
-func (h *deadlines) Pop() any {
-	old := *h
-	d := old[len(old)-1]
-	old[len(old)-1] = nil
-	*h = old[:len(old)-1]
-	d.pos = 0
-	return d
+	return max(at-l.Now(), 0)
 }
--- /dev/null
+++ b/internal/eventloop/stall_test.go
@@ -0,0 +1,34 @@
+package eventloop
+
+import (
+	"testing"
+	"time"
+)
+
+// What is read right after a stall may have been queued since the stall began.
+func TestQueuedSinceAfterStall(t *testing.T) {
+	var now time.Duration
+	loop := NewVirtual(func() time.Duration { return now })
+	stalls := 0
+	loop.OnStall = func() { stalls++ }
+	var deadline Deadline
+	deadline.Fire = func() { loop.Set(&deadline, now+time.Second) }
+	loop.Set(&deadline, time.Second)
+	const turn = 500 * time.Millisecond
+	for ; now < 10*time.Second; now += turn {
+		loop.RunOnce()
+		if loop.QueuedSince() != now {
+			t.Errorf("at %v, without a stall: since %v", now, loop.QueuedSince())
+		}
+	}
+	begin := now - turn
+	now += 7 * time.Second
+	loop.RunOnce()
+	if loop.QueuedSince() != begin || stalls != 1 {
+		t.Errorf("right after a stall: since %v, not %v; %d stalls", loop.QueuedSince(), begin, stalls)
+	}
+	now += stallSettleTime
+	if loop.QueuedSince() != now {
+		t.Errorf("later: since %v", loop.QueuedSince())
+	}
+}
