--- a/internal/slotmap/slotmap.go
+++ b/internal/slotmap/slotmap.go
@@ -1,60 +1,73 @@
+// Package slotmap provides a map from handles that it assigns to values, backed by a slice of reused slots.
+//
+// A handle names a slot and the slot's generation, which grows with each use. A stale handle therefore finds nothing,
+// never the value that has the slot now. Lookup is an index and a comparison, without hashing.
 package slotmap
 
-// Map is a table of numbered slots. A handle names a slot and its
-// generation, so that one that has been dropped finds nothing, not what has
-// the slot now. Handles are never 0, below 2^62, and never used again.
+const (
+	// indexBits is the number of low bits of a handle that hold the index of the slot; the generation has the others.
+	indexBits = 20
+	indexMask = 1<<indexBits - 1
+)
+
+// Map is a slot map of up to 2^20 values at a time. The zero value is empty and ready to use. Handles are never 0, are
+// below 2^62 and are not used again. A Map is not safe for concurrent use.
 type Map[T any] struct {
 	slots []slot[T]
-	free  []uint32
+	free  []uint32 // indices of the slots not in use
+}
+
+type slot[T any] struct {
+	value      *T // nil: not in use
+	generation uint64
 }
 
-// Insert stores v and returns its handle.
-func (t *Map[T]) Insert(v *T) uint64 {
-	if len(t.free) == 0 {
-		t.slots = append(t.slots, slot[T]{})
-		t.free = append(t.free, uint32(len(t.slots)-1))
+// handle returns the handle of the slot's present value.
+func (s *slot[T]) handle(index uint32) uint64 { return s.generation<<indexBits | uint64(index) }
+
+// Insert stores a value and returns its handle.
+func (m *Map[T]) Insert(value *T) uint64 {
+	if len(m.free) == 0 {
+		m.slots = append(m.slots, slot[T]{})
+		m.free = append(m.free, uint32(len(m.slots)-1))
 	}
-	n := t.free[len(t.free)-1]
-	t.free = t.free[:len(t.free)-1]
-	s := &t.slots[n]
+	last := len(m.free) - 1
+	index := m.free[last]
+	m.free = m.free[:last]
+	s := &m.slots[index]
 	s.generation++
-	s.value = v
-	return s.generation<<slotBits | uint64(n)
+	s.value = value
+	return s.handle(index)
 }
 
-// Get finds what a handle names; nil once it has been dropped.
-func (t *Map[T]) Get(handle uint64) *T {
-	n := handle & (1<<slotBits - 1)
-	if n >= uint64(len(t.slots)) || t.slots[n].generation != handle>>slotBits {
+// Get returns the value of a handle, or nil if it was removed.
+func (m *Map[T]) Get(handle uint64) *T {
+	index := handle & indexMask
+	if index >= uint64(len(m.slots)) || m.slots[index].generation != handle>>indexBits {
 		return nil
 	}
-	return t.slots[n].value
+	return m.slots[index].value
 }
 
-// Remove frees the slot of a handle. Dropping twice does nothing.
-func (t *Map[T]) Remove(handle uint64) {
-	if t.Get(handle) != nil {
-		n := uint32(handle & (1<<slotBits - 1))
-		t.slots[n].value = nil
-		t.free = append(t.free, n)
+// Remove removes the value of a handle. It does nothing if the value was removed before.
+func (m *Map[T]) Remove(handle uint64) {
+	if m.Get(handle) == nil {
+		return
 	}
+	index := uint32(handle & indexMask)
+	m.slots[index].value = nil
+	m.free = append(m.free, index)
 }
 
-// Len is the number of slots in use.
-func (t *Map[T]) Len() int { return len(t.slots) - len(t.free) }
+// Len returns the number of values.
+func (m *Map[T]) Len() int { return len(m.slots) - len(m.free) }
 
-// ForEach calls f for each value, in the order of the slots. f may drop any of them.
-func (t *Map[T]) ForEach(f func(handle uint64, v *T)) {
-	for n := range t.slots {
-		if s := t.slots[n]; s.value != nil {
-			f(s.generation<<slotBits|uint64(n), s.value)
+// ForEach calls f for each value, in the order of the slots. f may remove any of them.
+func (m *Map[T]) ForEach(f func(handle uint64, value *T)) {
+	for index := range m.slots {
+		s := m.slots[index]
+		if s.value != nil {
+			f(s.handle(uint32(index)), s.value)
 		}
 	}
 }
-
-type slot[T any] struct {
-	value      *T
-	generation uint64
-}
-
-const slotBits = 20
