--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,7 +1,9 @@
-// Package invariant owns the rules that every start, send, repeat and close passes,
-// and counts what it kept from happening and what happened all the same. It is pure:
-// time is an argument. It must never decide which worker is best, nor end the
-// program: a violation is counted and reported, and service goes on.
+// Package invariant holds the rules that every start of an attempt, every send and every close of a client connection
+// must keep, whatever the decision machine and the protocols do. A [Guard] checks them twice: before an action, which it
+// then prevents, and after it, where a broken rule is a defect of the program. Violations are counted and reported; they
+// never stop the service.
+//
+// The package does no I/O and takes the time as an argument. It does not choose workers.
 package invariant
 
 import "time"
@@ -11,35 +13,35 @@
 
 // The rules.
 const (
-	None       Rule = iota
-	Drain           // nothing goes to a worker that drains or has gone, beyond the grace
-	ListStale       // nothing goes out by a list that may be too old
-	Deadline        // nothing goes out once its client waits no more
-	Window          // no repeat arrives once workers have forgotten the first attempt
-	Duplicate       // what must not run twice has one attempt that may have run
-	Answered        // nothing goes out for a request that has its final answer
-	Unanswered      // no client is closed on that is owed an answer
+	None       Rule = iota // no rule is broken
+	Drain                  // nothing is sent to a draining or removed worker beyond its grace
+	ListStale              // nothing is sent by an endpoint list that may be stale
+	Deadline               // nothing is sent after the client has given up
+	Window                 // no repeat arrives after workers have forgotten the first attempt
+	Duplicate              // a non-idempotent request has one attempt at most that may have run
+	Answered               // nothing is sent for a request that has its final response
+	Unanswered             // no client connection is closed while a response is owed
 	rules
 )
 
+// String returns the rule as it is written in the admin API and in logs.
 func (r Rule) String() string {
 	return [...]string{"none", "drain", "old_list", "deadline", "window", "duplicate", "answered", "unanswered"}[r]
 }
 
-// Send is what is known as a request, or the last byte of it, is about to leave.
-// Times are those of the dispatcher's clock.
+// Send describes a request whose first or last byte is about to be sent. Times are those of the dispatcher's clock.
 type Send struct {
 	Now          time.Duration
-	Deadline     time.Duration // when the client waits no more
-	RepeatBy     time.Duration // when a repeat must have left; 0: it may leave at any time
-	Leaving      bool          // the worker drains or has gone
-	LeavingSince time.Duration // when that was notified
-	Grace        time.Duration // for which it may be sent to all the same
-	ListStale    bool          // the list that names the worker may be too old
+	Deadline     time.Duration // when the client gives up
+	RepeatBy     time.Duration // when a repeat must have been sent; 0: no bound
+	Leaving      bool          // the worker is draining or was removed
+	LeavingSince time.Duration // when that was reported
+	Grace        time.Duration // how long after that it may still be sent to
+	ListStale    bool          // the endpoint list that names the worker may be stale
 }
 
-// broken returns the rule that sending would break, or None.
-func (s Send) broken() Rule {
+// brokenRule returns the rule that the send would break, or None.
+func (s Send) brokenRule() Rule {
 	switch {
 	case s.Leaving && s.Now-s.LeavingSince > s.Grace:
 		return Drain
@@ -53,16 +55,17 @@
 	return None
 }
 
-// Start is what is known as an attempt is about to be made for a request.
+// Start describes an attempt that is about to be started. Times are those of the dispatcher's clock.
 type Start struct {
 	Now           time.Duration
-	Deadline      time.Duration
-	Answered      bool // the request has its final answer
-	NonIdempotent bool // it must not run twice
-	MayHaveRun    bool // an earlier attempt may have
+	Deadline      time.Duration // when the client gives up
+	Answered      bool          // the request has its final response
+	NonIdempotent bool          // the request must not run twice
+	MayHaveRun    bool          // an earlier attempt may have run
 }
 
-func (s Start) broken() Rule {
+// brokenRule returns the rule that the start would break, or None.
+func (s Start) brokenRule() Rule {
 	switch {
 	case s.Answered:
 		return Answered
@@ -74,68 +77,70 @@
 	return None
 }
 
-// Guard is what all starts, sends, repeats and closes pass. Its zero value guards
-// and counts; it belongs to one goroutine.
+// Guard checks the rules and counts what it prevented and what happened nevertheless. The zero value is ready to use. A
+// Guard is not safe for concurrent use.
 type Guard struct {
-	// Report is told of each violation; nil: nobody is.
+	// Report is called with each violation and what it concerns; nil: violations are only counted.
 	Report func(rule Rule, subject string)
 
 	prevented [rules]uint64
 	violated  [rules]uint64
 }
 
-// MaySend tells whether a request may leave, and if not, which rule keeps it.
-func (g *Guard) MaySend(s Send) (Rule, bool) { return g.prevent(s.broken()) }
+// MaySend reports whether a request may be sent, and if not, which rule forbids it.
+func (g *Guard) MaySend(send Send) (Rule, bool) { return g.prevent(send.brokenRule()) }
 
-// MayStart tells whether an attempt may be made, and if not, which rule keeps it.
-func (g *Guard) MayStart(s Start) (Rule, bool) { return g.prevent(s.broken()) }
+// MayStart reports whether an attempt may be started, and if not, which rule forbids it.
+func (g *Guard) MayStart(start Start) (Rule, bool) { return g.prevent(start.brokenRule()) }
 
-func (g *Guard) prevent(r Rule) (Rule, bool) {
-	if r != None {
-		g.prevented[r]++
+func (g *Guard) prevent(rule Rule) (Rule, bool) {
+	if rule == None {
+		return None, true
 	}
-	return r, r == None
+	g.prevented[rule]++
+	return rule, false
 }
 
-// CheckSent checks, behind the fact, what has left for a worker.
+// CheckSent checks an attempt whose last byte was sent. Of the rules for a send it checks Drain alone: how long the last
+// byte takes to leave is not the dispatcher's choice.
 func (g *Guard) CheckSent(start Start, send Send, subject string) {
-	g.check(start.broken(), subject)
-	if r := send.broken(); r == Drain {
-		g.check(r, subject)
+	g.check(start.brokenRule(), subject)
+	if rule := send.brokenRule(); rule == Drain {
+		g.check(rule, subject)
 	}
 }
 
-// CheckClosed checks, behind the fact, a client's connection that was closed here.
-func (g *Guard) CheckClosed(owed bool, subject string) {
-	if owed {
+// CheckClosed checks a client connection that the dispatcher closed. unanswered says that a response was still owed there.
+func (g *Guard) CheckClosed(unanswered bool, subject string) {
+	if unanswered {
 		g.check(Unanswered, subject)
 	}
 }
 
-func (g *Guard) check(r Rule, subject string) {
-	if r == None {
+func (g *Guard) check(rule Rule, subject string) {
+	if rule == None {
 		return
 	}
-	g.violated[r]++
+	g.violated[rule]++
 	if g.Report != nil {
-		g.Report(r, subject)
+		g.Report(rule, subject)
 	}
 }
 
-// Counts are numbers by the rules' names; rules without any are left out.
+// Counts are numbers by the text of their rule; rules without any are left out.
 type Counts map[string]uint64
 
-// Prevented counts what the guard kept from happening.
-func (g *Guard) Prevented() Counts { return count(&g.prevented) }
+// Prevented returns how many actions the guard has prevented.
+func (g *Guard) Prevented() Counts { return countsByName(&g.prevented) }
 
-// Violated counts what happened all the same.
-func (g *Guard) Violated() Counts { return count(&g.violated) }
+// Violated returns how many actions broke a rule nevertheless.
+func (g *Guard) Violated() Counts { return countsByName(&g.violated) }
 
-func count(numbers *[rules]uint64) Counts {
+func countsByName(numbers *[rules]uint64) Counts {
 	counts := Counts{}
-	for r, n := range numbers {
+	for rule, n := range numbers {
 		if n > 0 {
-			counts[Rule(r).String()] = n
+			counts[Rule(rule).String()] = n
 		}
 	}
 	return counts
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -7,34 +7,43 @@
 	"time"
 )
 
-const s = time.Second
+const (
+	second      = time.Second
+	millisecond = time.Millisecond
+)
 
 func TestMaySend(t *testing.T) {
-	good := Send{Now: 10 * s, Deadline: 12 * s}
+	leaving := func(since time.Duration) func(*Send) {
+		return func(s *Send) {
+			s.Leaving = true
+			s.LeavingSince = since
+			s.Grace = 500 * millisecond
+		}
+	}
 	for name, c := range map[string]struct {
 		change func(*Send)
 		want   Rule
 	}{
-		"good":                     {func(*Send) {}, None},
-		"drains, within the grace": {func(x *Send) { x.Leaving, x.LeavingSince, x.Grace = true, 9500*time.Millisecond, 500*time.Millisecond }, None},
-		"drains, beyond the grace": {func(x *Send) { x.Leaving, x.LeavingSince, x.Grace = true, 9499*time.Millisecond, 500*time.Millisecond }, Drain},
-		"at its deadline":          {func(x *Send) { x.Deadline = 10 * s }, Deadline},
-		"a repeat in its window":   {func(x *Send) { x.RepeatBy = 11 * s }, None},
-		"a repeat at its end":      {func(x *Send) { x.RepeatBy = 10 * s }, Window},
-		"by an old list":           {func(x *Send) { x.ListStale = true }, ListStale},
+		"allowed":                    {func(*Send) {}, None},
+		"draining, within the grace": {leaving(9500 * millisecond), None},
+		"draining, beyond the grace": {leaving(9499 * millisecond), Drain},
+		"at its deadline":            {func(s *Send) { s.Deadline = 10 * second }, Deadline},
+		"a repeat in its window":     {func(s *Send) { s.RepeatBy = 11 * second }, None},
+		"a repeat at its end":        {func(s *Send) { s.RepeatBy = 10 * second }, Window},
+		"by a stale list":            {func(s *Send) { s.ListStale = true }, ListStale},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var g Guard
-			send := good
+			var guard Guard
+			send := Send{Now: 10 * second, Deadline: 12 * second}
 			c.change(&send)
-			if rule, ok := g.MaySend(send); rule != c.want || ok != (c.want == None) {
+			if rule, ok := guard.MaySend(send); rule != c.want || ok != (c.want == None) {
 				t.Errorf("%v, %v", rule, ok)
 			}
 			want := Counts{}
 			if c.want != None {
 				want[c.want.String()] = 1
 			}
-			if got := g.Prevented(); !maps.Equal(got, want) {
+			if got := guard.Prevented(); !maps.Equal(got, want) {
 				t.Errorf("counted %v", got)
 			}
 		})
@@ -46,15 +55,15 @@
 		start Start
 		want  Rule
 	}{
-		{Start{Now: s, Deadline: 2 * s}, None},
-		{Start{Now: s, Deadline: 2 * s, MayHaveRun: true}, None},
-		{Start{Now: s, Deadline: 2 * s, NonIdempotent: true}, None},
-		{Start{Now: s, Deadline: 2 * s, NonIdempotent: true, MayHaveRun: true}, Duplicate},
-		{Start{Now: s, Deadline: 2 * s, Answered: true}, Answered},
-		{Start{Now: 2 * s, Deadline: 2 * s}, Deadline},
+		{Start{Now: second, Deadline: 2 * second}, None},
+		{Start{Now: second, Deadline: 2 * second, MayHaveRun: true}, None},
+		{Start{Now: second, Deadline: 2 * second, NonIdempotent: true}, None},
+		{Start{Now: second, Deadline: 2 * second, NonIdempotent: true, MayHaveRun: true}, Duplicate},
+		{Start{Now: second, Deadline: 2 * second, Answered: true}, Answered},
+		{Start{Now: 2 * second, Deadline: 2 * second}, Deadline},
 	} {
-		var g Guard
-		if rule, ok := g.MayStart(c.start); rule != c.want || ok != (c.want == None) {
+		var guard Guard
+		if rule, ok := guard.MayStart(c.start); rule != c.want || ok != (c.want == None) {
 			t.Errorf("%+v: %v, %v", c.start, rule, ok)
 		}
 	}
@@ -62,20 +71,27 @@
 
 func TestViolationsAreCountedAndReported(t *testing.T) {
 	var reported []string
-	g := Guard{Report: func(r Rule, subject string) { reported = append(reported, r.String()+" "+subject) }}
-	g.CheckSent(Start{Now: s, Deadline: 2 * s}, Send{Now: s, Deadline: 2 * s}, "fine")
-	g.CheckSent(Start{Now: s, Deadline: 2 * s, NonIdempotent: true, MayHaveRun: true}, Send{Now: s, Deadline: 2 * s}, "twice")
-	g.CheckSent(Start{Now: s, Deadline: 2 * s}, Send{Now: s, Deadline: 2 * s, Leaving: true}, "gone")
-	g.CheckClosed(false, "fine")
-	g.CheckClosed(true, "owed")
-	if want := (Counts{"duplicate": 1, "drain": 1, "unanswered": 1}); !maps.Equal(g.Violated(), want) {
-		t.Errorf("counted %v", g.Violated())
+	guard := Guard{Report: func(rule Rule, subject string) { reported = append(reported, rule.String()+" "+subject) }}
+	start := Start{Now: second, Deadline: 2 * second}
+	send := Send{Now: second, Deadline: 2 * second}
+	guard.CheckSent(start, send, "fine")
+	repeat := start
+	repeat.NonIdempotent = true
+	repeat.MayHaveRun = true
+	guard.CheckSent(repeat, send, "twice")
+	toRemoved := send
+	toRemoved.Leaving = true
+	guard.CheckSent(start, toRemoved, "removed")
+	guard.CheckClosed(false, "fine")
+	guard.CheckClosed(true, "client")
+	if want := (Counts{"duplicate": 1, "drain": 1, "unanswered": 1}); !maps.Equal(guard.Violated(), want) {
+		t.Errorf("counted %v", guard.Violated())
 	}
-	if fmt.Sprint(reported) != "[duplicate twice drain gone unanswered owed]" {
+	if fmt.Sprint(reported) != "[duplicate twice drain removed unanswered client]" {
 		t.Errorf("reported %q", reported)
 	}
-	if len(g.Prevented()) > 0 {
-		t.Errorf("prevented %v", g.Prevented())
+	if len(guard.Prevented()) > 0 {
+		t.Errorf("prevented %v", guard.Prevented())
 	}
 }
 
