--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -136,7 +136,9 @@
 
 // AttemptEnded reports how an attempt ended. result is the response body of a completed one, valid during the call only.
 // For an attempt that is not open it does nothing.
-func (d *Dispatcher) AttemptEnded(handle uint64, outcome decision.AttemptOutcome, load decision.LoadReport, result []byte) {
+func (d *Dispatcher) AttemptEnded(
+	handle uint64, outcome decision.AttemptOutcome, load decision.LoadReport, result []byte,
+) {
 	attempt := d.attempts.Get(handle)
 	if attempt == nil {
 		return
--- a/internal/dispatch/trace.go
+++ b/internal/dispatch/trace.go
@@ -44,7 +44,8 @@
 	}
 	timeLeft := request.deadline - d.Loop.Now()
 	d.Trace(request.ID, response.Outcome.String(),
-		"attempts", len(request.attempts), "may_have_run", response.MayHaveRun, "time_left", timeLeft, "retry_after", response.RetryAfter)
+		"attempts", len(request.attempts), "may_have_run", response.MayHaveRun,
+		"time_left", timeLeft, "retry_after", response.RetryAfter)
 }
 
 func (d *Dispatcher) traceAssigned(request *openRequest, number int, worker string, reservation float64) {
--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -1,140 +1,157 @@
-// Package freshness decides whether a list of workers is still good enough to act
-// on. It owns what is known of the list's age: when its source was last heard whole,
-// and how the calls since ended. It is pure: time is an argument, and it must never
-// read a clock, a socket or a list.
+// Package freshness decides whether an endpoint list is still fresh enough to act on. A [Tracker] knows when the list was
+// last confirmed by its source, and how the calls to the source have ended since.
 //
-// The protocol counts a change as notified a fixed time after its source had it and
-// could be reached, whatever became of the calls meanwhile. That bound holds over all
-// calls together, so it is measured here, from the last moment up to which everything
-// is known, and no call or failure moves it.
+// By the protocol, dispatchers count as notified of a change of the list a fixed time after its source had the change and
+// could be reached, whatever became of their calls meanwhile. This bound holds over all calls together. It is therefore
+// measured from the last confirmation, and no call and no failure of one extends it.
+//
+// The package does no I/O and takes the time as an argument.
 package freshness
 
 import "time"
 
-// Knowledge says what may be done by a list.
+// Knowledge says what the list may be used for.
 type Knowledge uint8
 
 const (
-	// Current: no change can count as notified yet that the list lacks.
+	// Current: dispatchers cannot count as notified yet of any change that the list lacks.
 	Current Knowledge = iota
-	// Unconfirmed: the list may be old. A worker may be sent to that shows by itself
-	// that it still serves; where workers cannot be asked, the last list is served by.
+	// Unconfirmed: the list may be stale. A worker may be sent to if a health check shows that it still serves; where there
+	// are no health checks, the list is used as it is.
 	Unconfirmed
-	// Unknown: the list may be old, and nothing else tells which workers may have been
-	// removed. Nothing may be sent.
+	// Unknown: the list may be stale, and nothing else tells which workers may have been removed. Nothing may be sent.
 	Unknown
 )
 
+// String returns the name of the state in lower case.
 func (k Knowledge) String() string { return [...]string{"current", "unconfirmed", "unknown"}[k] }
 
-// Failure says how far a call got that brought nothing.
+// Failure says how far a call to the source got that brought no update.
 type Failure uint8
 
 const (
-	// NotReached: no connection, a reset or refusal before an answer began, or an
-	// answer that says that the source is down or crowded, which look alike.
+	// NotReached: no connection, a reset or a refusal before a response began, or a response that says that the source is
+	// down or overloaded. They cannot be told apart.
 	NotReached Failure = iota
-	// BrokenOff: the source took the call and told nothing, or not all of it.
+	// BrokenOff: the source accepted the call and sent nothing, or an incomplete response.
 	BrokenOff
 )
 
 const (
-	// NotificationBound is the protocol's bound: a change counts as notified this long
-	// after its source had it and could be reached.
+	// NotificationBound is the protocol's bound: dispatchers count as notified of a change this long after its source had
+	// it and could be reached.
 	NotificationBound = 6 * time.Second
 
-	// margin is how much earlier the list counts as old. The grace that a removed
-	// worker has beyond the bound is left to what is on its way.
-	margin = 100 * time.Millisecond
+	// staleMargin is how long before the bound the list ceases to be current. The grace that the protocol gives a removed
+	// worker beyond the bound is left to what is under way.
+	staleMargin = 100 * time.Millisecond
 
-	// failureLasts is for how long a failed call tells of its source: calls come
-	// within 3.8 s of the last contact, and take 3 s at the most.
-	failureLasts = 8 * time.Second
+	// failureValidity is how long a failed call says something about the source. Calls begin within 3.8 s of the last
+	// contact and take 3 s at most.
+	failureValidity = 8 * time.Second
 
-	// startHold is how long a process that has just started waits for its source, also
-	// where calls fail: the list that it was given may be of any age, and workers that
-	// came back after they had been removed answer before they are listed again.
-	startHold = 4 * time.Second
+	// startupWait is how long after its start a process waits for its source, also where calls fail. The list that it was
+	// given may be of any age, and workers that are restarted after their removal respond before they are listed again.
+	startupWait = 4 * time.Second
 
-	// longestHold is how long it waits, whatever becomes of its calls: it has to be
-	// ready within 10 s.
-	longestHold = 8 * time.Second
+	// maxStartupWait is how long it waits whatever becomes of its calls: it must be ready within 10 s.
+	maxStartupWait = 8 * time.Second
 
-	// resettled is how long after a stall of the process what is read may have been
-	// written before it.
-	resettled = 100 * time.Millisecond
+	// stallSettleTime is how long after a stall of the process what is read may have been sent before the stall.
+	stallSettleTime = 100 * time.Millisecond
 )
 
-// Tracker follows the age of one list. Its zero value has heard nothing since time 0.
+// Tracker follows the age of one endpoint list. Its zero value was confirmed at time 0. A Tracker is not safe for
+// concurrent use.
 type Tracker struct {
-	CanCheckHealth bool // workers may be asked whether they still serve
-
-	startedAt  time.Duration
-	unheard    bool          // the source has not been heard since the start
-	heardAt    time.Duration // up to when everything is known
-	failed     bool          // a call has ended in vain since
-	failure    Failure       // the latest of those
-	failedAt   time.Duration
-	stallEnded time.Duration
+	CanCheckHealth bool // workers have health checks
+
+	startedAt      time.Duration
+	neverConfirmed bool          // since the start
+	confirmedAt    time.Duration // all changes up to then are in the list
+	failed         bool          // a call has failed since
+	lastFailure    Failure
+	failedAt       time.Duration // of lastFailure
+	stallEndedAt   time.Duration // 0: there was no stall
 }
 
-// Start begins with a list that was complete at a time unknown, maybe long ago.
+// Start begins with a list of unknown age.
 func (t *Tracker) Start(now time.Duration) {
-	*t = Tracker{CanCheckHealth: t.CanCheckHealth, startedAt: now, unheard: true, heardAt: now - NotificationBound}
+	*t = Tracker{
+		CanCheckHealth: t.CanCheckHealth,
+		startedAt:      now,
+		neverConfirmed: true,
+		confirmedAt:    now - NotificationBound,
+	}
 }
 
-// Confirmed tells that a whole message of the source has come: its news, or word that
-// there are none. A message that is read right after the process was held up may have
-// waited for long, and renews nothing.
+// Confirmed reports that a complete message of the source has arrived: an update, or that there is none. A message that
+// is read right after a stall of the process may have been queued for long, and confirms nothing.
 func (t *Tracker) Confirmed(now time.Duration) {
-	if t.stallEnded > 0 && now < t.stallEnded+resettled {
+	if t.stallEndedAt > 0 && now < t.stallEndedAt+stallSettleTime {
 		return
 	}
-	t.heardAt, t.failed, t.unheard = now, false, false
+	t.confirmedAt = now
+	t.failed = false
+	t.neverConfirmed = false
 }
 
-// HandedOver tells that another process of the same dispatcher has handed its list over,
-// and how long ago that one heard its source.
+// HandedOver reports that another process of the same dispatcher has handed over its list, and how long ago that process
+// had it confirmed.
 func (t *Tracker) HandedOver(now, age time.Duration) {
-	if at := now - age; at > t.heardAt && age < NotificationBound {
-		t.heardAt, t.unheard = at, false
+	confirmedAt := now - age
+	if confirmedAt <= t.confirmedAt || age >= NotificationBound {
+		return
 	}
+	t.confirmedAt = confirmedAt
+	t.neverConfirmed = false
 }
 
-// Stalled tells that the process was held up until now.
-func (t *Tracker) Stalled(now time.Duration) { t.stallEnded = now }
+// Stalled reports that the process was held up until now.
+func (t *Tracker) Stalled(now time.Duration) { t.stallEndedAt = now }
 
-// Failed tells that a call or watch has ended without news.
-func (t *Tracker) Failed(now time.Duration, f Failure) {
-	t.failed, t.failure, t.failedAt = true, f, now
+// Failed reports that a call or watch has ended without an update.
+func (t *Tracker) Failed(now time.Duration, failure Failure) {
+	t.failed = true
+	t.lastFailure = failure
+	t.failedAt = now
 }
 
-// StaleAt is when the list ceases to be current, unless its source is heard before.
-func (t *Tracker) StaleAt() time.Duration { return t.heardAt + NotificationBound - margin }
+// StaleAt returns when the list ceases to be current, unless it is confirmed before.
+func (t *Tracker) StaleAt() time.Duration { return t.confirmedAt + NotificationBound - staleMargin }
 
-// ConfirmedAt is the time up to which everything is known.
-func (t *Tracker) ConfirmedAt() time.Duration { return t.heardAt }
+// ConfirmedAt returns the time up to which all changes are in the list.
+func (t *Tracker) ConfirmedAt() time.Duration { return t.confirmedAt }
 
-// Knowledge tells what the list is good for now.
+// Knowledge returns what the list may be used for now.
 func (t *Tracker) Knowledge(now time.Duration) Knowledge {
-	notReached := t.failed && t.failure == NotReached && now < t.failedAt+failureLasts
 	switch {
 	case now < t.StaleAt():
 		return Current
-	case t.unheard && now >= t.startedAt+longestHold:
+	case t.neverConfirmed && now >= t.startedAt+maxStartupWait:
 		return Unconfirmed
-	case t.unheard && now < t.startedAt+startHold:
+	case t.neverConfirmed && now < t.startedAt+startupWait:
 		return Unknown
-	case notReached, t.CanCheckHealth && !t.unheard:
+	case t.sourceUnreachable(now), t.CanCheckHealth && !t.neverConfirmed:
 		return Unconfirmed
 	}
 	return Unknown
 }
 
-// NextChange is when Knowledge may change by itself; 0: it will not.
+// sourceUnreachable reports whether the last call has failed lately because the source could not be reached.
+func (t *Tracker) sourceUnreachable(now time.Duration) bool {
+	return t.failed && t.lastFailure == NotReached && now < t.failedAt+failureValidity
+}
+
+// NextChange returns when Knowledge may change by the passing of time alone; 0: it will not.
 func (t *Tracker) NextChange(now time.Duration) time.Duration {
 	next := time.Duration(0)
-	for _, at := range []time.Duration{t.StaleAt(), t.startedAt + startHold, t.startedAt + longestHold, t.failedAt + failureLasts} {
+	for _, at := range []time.Duration{
+		t.StaleAt(),
+		t.startedAt + startupWait,
+		t.startedAt + maxStartupWait,
+		t.failedAt + failureValidity,
+	} {
 		if at > now && (next == 0 || at < next) {
 			next = at
 		}
@@ -142,16 +159,19 @@
 	return next
 }
 
-// Proof is what a worker has shown of itself since the list was last current. Its
-// zero value has shown nothing against it.
+// Proof says whether a health check of a worker can still prove that the worker is listed. The zero value says that it
+// can.
 type Proof struct {
-	denied bool
-	by     time.Duration // the list's HeardAt by which denied holds
+	denied      bool
+	confirmedAt time.Duration // of the list, when the worker was denied
 }
 
-// Denied tells that the worker could not be reached, or said that it does not serve.
-func (p *Proof) Denied(t *Tracker) { p.denied, p.by = true, t.ConfirmedAt() }
+// Denied reports that the worker could not be reached, or said that it does not serve.
+func (p *Proof) Denied(t *Tracker) {
+	p.denied = true
+	p.confirmedAt = t.ConfirmedAt()
+}
 
-// Holds tells whether the worker may still be asked. One that denied itself may have
-// been removed: what it answers after that proves nothing until the list is current.
-func (p *Proof) Holds(t *Tracker) bool { return !p.denied || p.by != t.ConfirmedAt() }
+// Holds reports whether the worker may still be asked. One that was denied may have been removed and restarted since: its
+// health checks prove nothing until the list is confirmed again.
+func (p *Proof) Holds(t *Tracker) bool { return !p.denied || p.confirmedAt != t.ConfirmedAt() }
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -7,103 +7,143 @@
 	"time"
 )
 
-const s = time.Second
+const (
+	second      = time.Second
+	millisecond = time.Millisecond
+)
+
+// event is what a step of a test reports to the Tracker; nil: nothing.
+type event func(t *Tracker, now time.Duration)
+
+func confirmed(t *Tracker, now time.Duration)  { t.Confirmed(now) }
+func notReached(t *Tracker, now time.Duration) { t.Failed(now, NotReached) }
+func brokenOff(t *Tracker, now time.Duration)  { t.Failed(now, BrokenOff) }
+func stalled(t *Tracker, now time.Duration)    { t.Stalled(now) }
 
 func TestKnowledge(t *testing.T) {
 	type step struct {
 		at    time.Duration
-		event string // "", "heard", "not reached", "broken off", "stalled"
+		event event
 		want  Knowledge
 	}
 	for name, steps := range map[string][]step{
-		"heard in time": {{5 * s, "heard", Current}, {10 * s, "", Current}, {10900 * time.Millisecond, "", Unknown}},
-		"silence":       {{5800 * time.Millisecond, "", Current}, {6 * s, "", Unknown}},
-		"two calls that break off move nothing": {
-			{3 * s, "broken off", Current}, {5800 * time.Millisecond, "broken off", Current}, {6 * s, "", Unknown}, {7 * s, "heard", Current}},
-		"an outage": {{2 * s, "not reached", Current}, {5 * s, "not reached", Current}, {6 * s, "", Unconfirmed},
-			{9 * s, "not reached", Unconfirmed}, {16 * s, "", Unconfirmed}, {17 * s, "", Unknown}},
-		"an outage whose end brings half an answer": {{5 * s, "not reached", Current}, {7 * s, "broken off", Unknown}},
-		"a broken answer, then an outage":           {{5 * s, "broken off", Current}, {7 * s, "not reached", Unconfirmed}},
+		"confirmed in time": {
+			{5 * second, confirmed, Current},
+			{10 * second, nil, Current},
+			{10900 * millisecond, nil, Unknown},
+		},
+		"silence": {
+			{5800 * millisecond, nil, Current},
+			{6 * second, nil, Unknown},
+		},
+		"calls that break off extend nothing": {
+			{3 * second, brokenOff, Current},
+			{5800 * millisecond, brokenOff, Current},
+			{6 * second, nil, Unknown},
+			{7 * second, confirmed, Current},
+		},
+		"an outage": {
+			{2 * second, notReached, Current},
+			{5 * second, notReached, Current},
+			{6 * second, nil, Unconfirmed},
+			{9 * second, notReached, Unconfirmed},
+			{16 * second, nil, Unconfirmed},
+			{17 * second, nil, Unknown},
+		},
+		"an outage that ends with an incomplete response": {
+			{5 * second, notReached, Current},
+			{7 * second, brokenOff, Unknown},
+		},
+		"an incomplete response, then an outage": {
+			{5 * second, brokenOff, Current},
+			{7 * second, notReached, Unconfirmed},
+		},
 		"what is read right after a stall may be old": {
-			{10 * s, "stalled", Unknown}, {10*s + time.Millisecond, "heard", Unknown}, {11 * s, "heard", Current}},
-		"a short stall": {{2 * s, "heard", Current}, {3 * s, "stalled", Current}, {3*s + time.Millisecond, "heard", Current}, {8 * s, "", Unknown}},
+			{10 * second, stalled, Unknown},
+			{10*second + millisecond, confirmed, Unknown},
+			{11 * second, confirmed, Current},
+		},
+		"a short stall": {
+			{2 * second, confirmed, Current},
+			{3 * second, stalled, Current},
+			{3*second + millisecond, confirmed, Current},
+			{8 * second, nil, Unknown},
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var tracker Tracker
-			tracker.Start(-startHold)
+			tracker.Start(-startupWait)
 			tracker.Confirmed(0)
 			for i, step := range steps {
-				switch step.event {
-				case "heard":
-					tracker.Confirmed(step.at)
-				case "not reached":
-					tracker.Failed(step.at, NotReached)
-				case "broken off":
-					tracker.Failed(step.at, BrokenOff)
-				case "stalled":
-					tracker.Stalled(step.at)
+				if step.event != nil {
+					step.event(&tracker, step.at)
 				}
 				if got := tracker.Knowledge(step.at); got != step.want {
-					t.Errorf("step %d, %v %s: %v, not %v", i, step.at, step.event, got, step.want)
+					t.Errorf("step %d, at %v: %v, not %v", i, step.at, got, step.want)
 				}
 			}
 		})
 	}
 }
 
-// The list that a process starts with is of no use before its source was heard; if
-// nobody answers there, it is, after a while.
+// The list that a process starts with is unknown until its source has confirmed it; if the source does not respond, it
+// becomes unconfirmed after a while.
 func TestStart(t *testing.T) {
-	var heard, refused, silent Tracker
-	for _, tracker := range []*Tracker{&heard, &refused, &silent} {
-		tracker.Start(100 * s)
-		if k := tracker.Knowledge(100 * s); k != Unknown {
+	const start = 100 * second
+	var confirmed, refused, silent Tracker
+	for _, tracker := range []*Tracker{&confirmed, &refused, &silent} {
+		tracker.Start(start)
+		if k := tracker.Knowledge(start); k != Unknown {
 			t.Errorf("at the start: %v", k)
 		}
 	}
-	heard.Confirmed(101 * s)
-	refused.Failed(101*s, NotReached)
-	for at, want := range map[time.Duration][3]Knowledge{
-		102 * s: {Current, Unknown, Unknown}, 105 * s: {Current, Unconfirmed, Unknown}, 108 * s: {Unknown, Unconfirmed, Unconfirmed},
+	confirmed.Confirmed(start + second)
+	refused.Failed(start+second, NotReached)
+	for after, want := range map[time.Duration][3]Knowledge{
+		2 * second: {Current, Unknown, Unknown},
+		5 * second: {Current, Unconfirmed, Unknown},
+		8 * second: {Unknown, Unconfirmed, Unconfirmed},
 	} {
-		if got := [3]Knowledge{heard.Knowledge(at), refused.Knowledge(at), silent.Knowledge(at)}; got != want {
-			t.Errorf("%v after the start: %v, not %v", at-100*s, got, want)
+		at := start + after
+		got := [3]Knowledge{confirmed.Knowledge(at), refused.Knowledge(at), silent.Knowledge(at)}
+		if got != want {
+			t.Errorf("%v after the start: %v, not %v", after, got, want)
 		}
 	}
 }
 
-// Where workers can be asked, a list that was heard once is never of no use.
-func TestAsking(t *testing.T) {
+// Where workers have health checks, a list that was confirmed once never becomes unknown.
+func TestHealthChecksKeepListUsable(t *testing.T) {
 	tracker := Tracker{CanCheckHealth: true}
 	tracker.Start(0)
-	tracker.Confirmed(s)
-	tracker.Failed(5*s, BrokenOff)
-	if k := tracker.Knowledge(8 * s); k != Unconfirmed {
+	tracker.Confirmed(second)
+	tracker.Failed(5*second, BrokenOff)
+	if k := tracker.Knowledge(8 * second); k != Unconfirmed {
 		t.Errorf("%v", k)
 	}
 }
 
-func TestRelayed(t *testing.T) {
+func TestHandedOver(t *testing.T) {
 	var tracker Tracker
-	tracker.Start(100 * s)
-	tracker.HandedOver(100*s, 7*s)
-	if k := tracker.Knowledge(100 * s); k != Unknown {
-		t.Errorf("by a list that was old already: %v", k)
+	tracker.Start(100 * second)
+	tracker.HandedOver(100*second, 7*second)
+	if k := tracker.Knowledge(100 * second); k != Unknown {
+		t.Errorf("by a list that was stale already: %v", k)
 	}
-	tracker.HandedOver(101*s, 2*s)
-	if a, b := tracker.Knowledge(104*s), tracker.Knowledge(105*s); a != Current || b != Unknown {
-		t.Errorf("by a list heard 2 s before: %v, then %v", a, b)
+	tracker.HandedOver(101*second, 2*second)
+	if before, after := tracker.Knowledge(104*second), tracker.Knowledge(105*second); before != Current || after != Unknown {
+		t.Errorf("by a list confirmed 2 s before: %v, then %v", before, after)
 	}
 }
 
-// Whatever calls end in vain, in any order, the list is never current beyond the bound.
-func TestNoFailureMovesTheBound(t *testing.T) {
+// Whatever calls fail, in any order, the list is never current beyond the bound.
+func TestNoFailureExtendsTheBound(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 0))
 		var tracker Tracker
-		tracker.Start(-startHold)
+		tracker.Start(-startupWait)
 		tracker.Confirmed(0)
-		for now := time.Duration(0); now < 20*s; now += time.Duration(random.IntN(int(s))) {
+		for now := time.Duration(0); now < 20*second; now += time.Duration(random.IntN(int(second))) {
 			switch random.IntN(3) {
 			case 0:
 				tracker.Failed(now, Failure(random.IntN(2)))
@@ -111,7 +151,7 @@
 				tracker.Stalled(now)
 			}
 			if k := tracker.Knowledge(now); k == Current && now >= NotificationBound {
-				t.Fatalf("seed %d: current at %v, though nothing was heard since the start", seed, now)
+				t.Fatalf("seed %d: current at %v, though nothing was confirmed since the start", seed, now)
 			}
 		}
 	}
@@ -120,12 +160,14 @@
 func TestProof(t *testing.T) {
 	var tracker Tracker
 	tracker.Confirmed(0)
-	var asked, denied Proof
-	if denied.Denied(&tracker); !asked.Holds(&tracker) || denied.Holds(&tracker) {
-		t.Errorf("a worker that said nothing against itself: %v; one that denied itself: %v", asked.Holds(&tracker), denied.Holds(&tracker))
+	var untouched, denied Proof
+	denied.Denied(&tracker)
+	if !untouched.Holds(&tracker) || denied.Holds(&tracker) {
+		t.Errorf("the zero value holds: %v; after a denial: %v", untouched.Holds(&tracker), denied.Holds(&tracker))
 	}
-	if tracker.Confirmed(31 * s); !denied.Holds(&tracker) {
-		t.Error("not asked, though the list was heard since")
+	tracker.Confirmed(31 * second)
+	if !denied.Holds(&tracker) {
+		t.Error("does not hold, though the list was confirmed since")
 	}
 }
 
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -101,8 +101,7 @@
 	return rule, false
 }
 
-// CheckSent checks an attempt whose last byte was sent. Of the rules for a send it checks Drain alone: how long the last
-// byte takes to leave is not the dispatcher's choice.
+// CheckSent checks an attempt whose last byte was sent: all rules for its start and, of those for a send, Drain.
 func (g *Guard) CheckSent(start Start, send Send, subject string) {
 	g.check(start.brokenRule(), subject)
 	if rule := send.brokenRule(); rule == Drain {
