--- a/internal/dispatch/counts.go
+++ b/internal/dispatch/counts.go
@@ -1,6 +1,6 @@
 package dispatch
 
-// Counts tells what became of the requests accepted since the start.
+// Counts are the numbers of requests accepted since the start, by what became of them, and of their attempts.
 type Counts struct {
 	Accepted, Served, Rejected, Failed, Cancelled uint64
 
--- a/internal/dispatch/trace.go
+++ b/internal/dispatch/trace.go
@@ -4,13 +4,13 @@
 
 // The steps of Dispatcher.Trace and their keys. The step of a final response is its Outcome.
 const (
-	StepAccepted       = "accepted"         // class, time_left, work, unanswered
-	StepAssigned       = "attempt assigned" // number, worker, reservation (of the worker's slow-start budget)
-	StepSent           = "attempt sent"     // number, worker
-	StepStarted        = "attempt started"  // number, worker
-	StepEnded          = "attempt ended"    // number, worker, outcome, sent, load
-	StepCancelled      = "cancelled"        // attempts
-	StepWorkersUpdated = "endpoint list"    // kind, endpoints; the number of endpoints comes last
+	StepAccepted       = "accepted"              // class, time_left, work, unanswered
+	StepAssigned       = "attempt assigned"      // number, worker, reservation (of the worker's slow-start budget)
+	StepSent           = "attempt sent"          // number, worker
+	StepStarted        = "attempt started"       // number, worker
+	StepEnded          = "attempt ended"         // number, worker, outcome, sent, load
+	StepCancelled      = "cancelled"             // attempts
+	StepWorkersUpdated = "endpoint list updated" // kind, endpoints; the number of endpoints comes last
 )
 
 // TraceStep reports a step of the request with this ID, or of none if id is empty, to Trace.
--- a/internal/eventloop/stall.go
+++ b/internal/eventloop/stall.go
@@ -6,8 +6,8 @@
 	// stallThreshold is the lateness of a deadline above which the loop counts as held up: the process was stopped, or got
 	// no processor.
 	stallThreshold = 500 * time.Millisecond
-	// stallSettleTime is how long after a stall what is read may still have been queued during it.
-	stallSettleTime = 100 * time.Millisecond
+	// stallRecoveryTime is how long after a stall what is read may still have been queued during it.
+	stallRecoveryTime = 100 * time.Millisecond
 )
 
 // stall is a span in which the loop was held up. The zero value is none.
@@ -31,7 +31,7 @@
 // its beginning.
 func (l *Loop) QueuedSince() time.Duration {
 	now := l.Now()
-	if l.lastStall.end > 0 && now < l.lastStall.end+stallSettleTime {
+	if l.lastStall.end > 0 && now < l.lastStall.end+stallRecoveryTime {
 		return l.lastStall.begin
 	}
 	return now
--- a/internal/eventloop/stall_test.go
+++ b/internal/eventloop/stall_test.go
@@ -27,7 +27,7 @@
 	if loop.QueuedSince() != begin || stalls != 1 {
 		t.Errorf("right after a stall: since %v, not %v; %d stalls", loop.QueuedSince(), begin, stalls)
 	}
-	now += stallSettleTime
+	now += stallRecoveryTime
 	if loop.QueuedSince() != now {
 		t.Errorf("later: since %v", loop.QueuedSince())
 	}
--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -31,7 +31,7 @@
 
 const (
 	// NotReached: no connection, a reset or a refusal before a response began, or a response that says that the source is
-	// down or overloaded. They cannot be told apart.
+	// down or overloaded. They cannot be distinguished.
 	NotReached Failure = iota
 	// BrokenOff: the source accepted the call and sent nothing, or an incomplete response.
 	BrokenOff
@@ -57,8 +57,8 @@
 	// maxStartupWait is how long it waits whatever becomes of its calls: it must be ready within 10 s.
 	maxStartupWait = 8 * time.Second
 
-	// stallSettleTime is how long after a stall of the process what is read may have been sent before the stall.
-	stallSettleTime = 100 * time.Millisecond
+	// stallRecoveryTime is how long after a stall of the process what is read may have been sent before the stall.
+	stallRecoveryTime = 100 * time.Millisecond
 )
 
 // Tracker follows the age of one endpoint list. Its zero value was confirmed at time 0. A Tracker is not safe for
@@ -88,7 +88,7 @@
 // Confirmed reports that a complete message of the source has arrived: an update, or that there is none. A message that
 // is read right after a stall of the process may have been queued for long, and confirms nothing.
 func (t *Tracker) Confirmed(now time.Duration) {
-	if t.stallEndedAt > 0 && now < t.stallEndedAt+stallSettleTime {
+	if t.stallEndedAt > 0 && now < t.stallEndedAt+stallRecoveryTime {
 		return
 	}
 	t.confirmedAt = now
