--- a/internal/workerclient/crossings_test.go
+++ b/internal/workerclient/crossings_test.go
@@ -275,7 +275,7 @@
 			r.Do(func() {
 				b = newSoleWorkerClient(t, r, ln, time.Hour) // each attempt has a connection of its own
 				r.Dispatcher.Trace = func(_, step string, more ...any) {
-					if step != "attempt" || more[1] != 1 || inTime {
+					if step != dispatch.StepAssigned || more[1] != 1 || inTime {
 						return
 					}
 					first := r.Dispatcher.Loop.Now() // no attempt came later
@@ -400,7 +400,7 @@
 						b.holdLastByteUntil, b.lastByteDelay = r.Dispatcher.Loop.Now()+time.Hour, 300*time.Millisecond
 					}
 					r.Dispatcher.Trace = func(_, step string, _ ...any) {
-						if step == "attempt" && where == "connecting" {
+						if step == dispatch.StepAssigned && where == "connecting" {
 							r.Dispatcher.Loop.Post(finish) // before the word that the connection is up
 						}
 					}
--- a/internal/workerclient/leaving_test.go
+++ b/internal/workerclient/leaving_test.go
@@ -145,7 +145,7 @@
 	t.Cleanup(on)
 	d.Do(func() {
 		d.Dispatcher.Trace = func(_, step string, _ ...any) {
-			if step == "attempt" { // before the word that the connection is up
+			if step == dispatch.StepAssigned { // before the word that the connection is up
 				d.Dispatcher.Loop.Post(func() { close(held); <-release })
 			}
 		}
