--- a/internal/faktory/durable.go
+++ b/internal/faktory/durable.go
@@ -37,7 +37,7 @@
 	Attempts   int      `toml:"attempts"`      // of a job that may be repeated and does not say retry
 	BackoffS   float64  `toml:"backoff_s"`     // before the second attempt, doubled for each more
 	RetainS    float64  `toml:"retain_s"`      // for which a job that is over is known
-	RetainDead float64  `toml:"retain_dead_s"` // for which a dead one is
+	RetainDeadS float64  `toml:"retain_dead_s"` // for which a dead one is
 	DelayMs    float64  `toml:"delay_ms"`      // for which a change waits for others before its fsync
 	Flush      bool     `toml:"flush"`         // whether FLUSH is obeyed
 
@@ -60,7 +60,7 @@
 		}
 	}
 	for key, v := range map[string]float64{"lease_s": c.LeaseS, "grace_s": c.GraceS, "backoff_s": c.BackoffS, "retain_s": c.RetainS,
-		"retain_dead_s": c.RetainDead, "delay_ms": c.DelayMs, "attempts": float64(c.Attempts)} {
+		"retain_dead_s": c.RetainDeadS, "delay_ms": c.DelayMs, "attempts": float64(c.Attempts)} {
 		if v < 0 || v > 1e9 {
 			return fmt.Errorf("durable.%s: %g is not between 0 and 1e9", key, v)
 		}
@@ -74,109 +74,109 @@
 func (c *Durable) config() durable.Config {
 	return durable.Config{
 		Path:  c.Path,
-		Jobs:  jobs.Config{Lease: seconds(c.LeaseS), Grace: seconds(c.GraceS), Attempts: c.Attempts, Backoff: seconds(c.BackoffS), Retain: seconds(c.RetainS), Dead: seconds(c.RetainDead)},
+		Jobs:  jobs.Config{Lease: seconds(c.LeaseS), Grace: seconds(c.GraceS), Attempts: c.Attempts, Backoff: seconds(c.BackoffS), Retain: seconds(c.RetainS), Dead: seconds(c.RetainDeadS)},
 		Store: store.Options{Delay: seconds(c.DelayMs / 1000)},
 	}
 }
 
-// keep is the durable side of the server; nil where all queues are direct.
-type keep struct {
+// durableQueues is the durable side of the server; nil where all queues are direct.
+type durableQueues struct {
 	*durable.Service
-	desk    *durable.Scheduler
+	scheduler    *durable.Scheduler
 	classes []bool // the durable ones
-	flush   bool
-	tracks  map[string]track
-	parks   uint64
+	flushAllowed   bool
+	progress  map[string]jobProgress
+	parkCount   uint64
 }
 
-// track is how far a worker says it is with a job; a restart forgets it.
-type track struct {
+// jobProgress is how far a worker says it is with a job; a restart forgets it.
+type jobProgress struct {
 	Percent int    `json:"percent"`
 	Desc    string `json:"desc"`
 	At      string `json:"updated_at"`
 }
 
-const mostTracks = 10_000
+const maxProgressEntries = 10_000
 
-// Keep makes some queues durable. It must come before Listen.
-func (s *Server) Keep(c Durable) error {
+// EnableDurable makes some queues durable. It must come before Listen.
+func (s *Server) EnableDurable(c Durable) error {
 	log := c.Log
 	if log == nil {
 		log = slog.New(slog.DiscardHandler)
 	}
-	service, err := durable.Open(s.core.Loop, c.config(), log)
+	service, err := durable.Open(s.dispatcher.Loop, c.config(), log)
 	if err != nil {
 		return fmt.Errorf("durable.path: %w", err)
 	}
-	s.kept = &keep{
-		Service: service, desk: durable.NewScheduler(service, s.core, s), classes: c.Classes(&s.core.Settings),
-		flush: c.Flush, tracks: map[string]track{},
+	s.durable = &durableQueues{
+		Service: service, scheduler: durable.NewScheduler(service, s.dispatcher, s), classes: c.Classes(&s.dispatcher.Settings),
+		flushAllowed: c.Flush, progress: map[string]jobProgress{},
 	}
-	service.OnLeaseExpired = func(j jobs.Job) { s.through(j.ID, j.Fence, decision.TimedOut) }
-	s.core.Loop.Post(service.Start)
+	service.OnLeaseExpired = func(j jobs.Job) { s.endDelivery(j.ID, j.Fence, decision.TimedOut) }
+	s.dispatcher.Loop.Post(service.Start)
 	return nil
 }
 
 // Request words a stored job for the core.
 func (s *Server) Request(j jobs.Job) (dispatch.Request, error) {
 	if r, is := durable.ReadRequest(j); is {
-		class, known := s.classes[j.Class]
+		class, known := s.classNumbers[j.Class]
 		if !known {
-			return dispatch.Request{}, errUnknown
+			return dispatch.Request{}, errUnknownClass
 		}
 		return dispatch.Request{ID: j.ID, Class: class, Target: r.Target, Key: r.Key, IdempotencyKey: r.IdempotencyKey, Body: r.Body, Slots: r.Slots, Work: r.Work}, nil
 	}
-	job, _, err := readJob(j.Payload, s.classes, s.core.Loop.Now())
+	job, _, err := parseJob(j.Payload, s.classNumbers, s.dispatcher.Loop.Now())
 	return job, err
 }
 
-// others is how many jobs are offered at a time where backends of other wires run, whose slots nobody tells here.
-const others = 16
+// foreignOffers is how many jobs are offered at a time where backends of other wires run, whose slots nobody tells here.
+const foreignOffers = 16
 
 // Guarantee is what a worker has promised; those of other wires promise nothing.
 func (s *Server) Guarantee(backend string) jobs.Guarantee {
 	if w := s.workers[backend]; w != nil {
-		return w.honours
+		return w.guarantee
 	}
 	return jobs.NoGuarantee
 }
 
 // FreeSlots lists the durable classes that each parked FETCH wants, in its order.
 func (s *Server) FreeSlots() (slots [][]int) {
-	var parked []*session
+	var parked []*connection
 	running := 0
 	for _, w := range s.workers {
-		if w.listed && w.entry.State == decision.Running {
+		if w.listed && w.endpoint.State == decision.Running {
 			running++
-			parked = append(parked, w.parked[min(len(w.held), len(w.parked)):]...)
+			parked = append(parked, w.parked[min(len(w.awaitingFetch), len(w.parked)):]...)
 		}
 	}
-	slices.SortFunc(parked, func(a, b *session) int { return cmp.Compare(a.since, b.since) })
+	slices.SortFunc(parked, func(a, b *connection) int { return cmp.Compare(a.parkSequence, b.parkSequence) })
 	for _, n := range parked {
-		if len(n.wants) > 0 {
-			slots = append(slots, n.wants)
+		if len(n.durableClasses) > 0 {
+			slots = append(slots, n.durableClasses)
 		}
 	}
-	if s.core.ReadyWorkers() > running {
+	if s.dispatcher.ReadyWorkers() > running {
 		var all []int
-		for class, kept := range s.kept.classes {
+		for class, kept := range s.durable.classes {
 			if kept {
 				all = append(all, class)
 			}
 		}
-		for range others {
+		for range foreignOffers {
 			slots = append(slots, all)
 		}
 	}
 	return slots
 }
 
-// wait is a job that waits for a slot of a worker.
-type wait struct {
-	id    string
+// reservation is a job that waits for a slot of a worker.
+type reservation struct {
+	jid    string
 	class int
-	then  func(free bool)
-	due   eventloop.Deadline
+	onResult  func(free bool)
+	deadline   eventloop.Deadline
 }
 
 // Reserve keeps a parked FETCH of a worker for a job, now or when one comes in time.
@@ -186,33 +186,33 @@
 	case w == nil: // another wire's
 		then(true)
 		return
-	case w.entry.State != decision.Running || len(w.waits) >= max(w.slots, 1):
+	case w.endpoint.State != decision.Running || len(w.reservations) >= max(w.maxSlots, 1):
 		then(false)
 		return
 	}
-	x := &wait{id: id, class: class, then: then}
-	x.due.Fire = func() { w.through(s, x, false) }
-	w.waits = append(w.waits, x)
-	s.core.Loop.Set(&x.due, s.core.Loop.Now()+holdTime)
-	w.serveWaits(s)
+	x := &reservation{jid: id, class: class, onResult: then}
+	x.deadline.Fire = func() { w.resolveReservation(s, x, false) }
+	w.reservations = append(w.reservations, x)
+	s.dispatcher.Loop.Set(&x.deadline, s.dispatcher.Loop.Now()+nextFetchTimeout)
+	w.fillReservations(s)
 }
 
 // SendsHeartbeats tells whether a backend renews its leases itself: those of this wire do.
 func (s *Server) SendsHeartbeats(backend string) bool { return s.workers[backend] != nil }
 
-// through ends a wait.
-func (w *worker) through(s *Server, x *wait, free bool) {
-	w.waits = slices.DeleteFunc(w.waits, func(o *wait) bool { return o == x })
-	s.core.Loop.Clear(&x.due)
-	x.then(free)
+// resolveReservation ends a wait.
+func (w *worker) resolveReservation(s *Server, x *reservation, free bool) {
+	w.reservations = slices.DeleteFunc(w.reservations, func(o *reservation) bool { return o == x })
+	s.dispatcher.Loop.Clear(&x.deadline)
+	x.onResult(free)
 }
 
-// serveWaits keeps the slots that are free for those who wait for one.
-func (w *worker) serveWaits(s *Server) {
-	for _, x := range slices.Clone(w.waits) {
-		if n := w.slotFor(x.class, ""); n != nil && slices.Contains(w.waits, x) {
-			n.reserved = x.id
-			w.through(s, x, true)
+// fillReservations keeps the slots that are free for those who wait for one.
+func (w *worker) fillReservations(s *Server) {
+	for _, x := range slices.Clone(w.reservations) {
+		if n := w.slotFor(x.class, ""); n != nil && slices.Contains(w.reservations, x) {
+			n.reservedFor = x.jid
+			w.resolveReservation(s, x, true)
 		}
 	}
 }
@@ -224,28 +224,28 @@
 		return
 	}
 	for _, n := range w.parked {
-		if n.reserved == id {
-			n.reserved = ""
+		if n.reservedFor == id {
+			n.reservedFor = ""
 		}
 	}
-	s.core.Loop.Post(func() { w.serveHeld(s); w.serveWaits(s) })
+	s.dispatcher.Loop.Post(func() { w.deliverAwaiting(s); w.fillReservations(s) })
 }
 
-// wants lists the durable classes of a FETCH, in its order.
-func (s *Server) wants(queues string) (classes []int) {
+// durableClassesOf lists the durable classes of a FETCH, in its order.
+func (s *Server) durableClassesOf(queues string) (classes []int) {
 	for q := range strings.FieldsSeq(queues) {
-		if class, ok := s.classes[q]; ok && s.kept.classes[class] && !slices.Contains(classes, class) {
+		if class, ok := s.classNumbers[q]; ok && s.durable.classes[class] && !slices.Contains(classes, class) {
 			classes = append(classes, class)
 		}
 	}
 	return classes
 }
 
-const mostLease = 24 * time.Hour
+const maxLease = 24 * time.Hour
 
 // durableJob words a job for the service.
 func (s *Server) durableJob(raw []byte, job dispatch.Request, w *work) (j jobs.Job) {
-	class := s.core.Settings.Classes[job.Class]
+	class := s.dispatcher.Settings.Classes[job.Class]
 	j = jobs.Job{ID: job.ID, Class: class.Name, Once: class.Idempotency != decision.Idempotent, Payload: bytes.Clone(raw)}
 	// What makes a job another one; times and the like may differ from one PUSH to its repeat.
 	h := xxhash.New()
@@ -259,15 +259,15 @@
 	if w.Retry != nil {
 		j.Most, j.Drops = max(min(*w.Retry, 1000), 0)+1, *w.Retry < 0
 	}
-	if w.Reserve > 0 {
-		j.Lease = min(seconds(min(w.Reserve, 1e9)), mostLease)
+	if w.ReserveForSeconds > 0 {
+		j.Lease = min(seconds(min(w.ReserveForSeconds, 1e9)), maxLease)
 	}
 	return j
 }
 
-// keep takes a job on durably: its producer hears once the disk has it.
-func (n *session) keep(job dispatch.Request, raw []byte, w *work, told func(why string)) {
-	n.srv.kept.Push(n.srv.durableJob(raw, job, w), w.at, func(why string) {
+// storeJob takes a job on durably: its producer hears once the disk has it.
+func (n *connection) storeJob(job dispatch.Request, raw []byte, w *work, told func(why string)) {
+	n.server.durable.Push(n.server.durableJob(raw, job, w), w.scheduledAt, func(why string) {
 		switch {
 		case why == jobs.OtherJob:
 			why = "NOTUNIQUE " + why
@@ -278,47 +278,47 @@
 	})
 }
 
-// owe makes the session wait until what it asked for is on the disk.
-func (n *session) owe() (told func(line string)) {
+// deferReply makes the session wait until what it asked for is on the disk.
+func (n *connection) deferReply() (told func(line string)) {
 	n.busy = true
-	n.srv.core.Loop.Clear(&n.due)
+	n.server.dispatcher.Loop.Clear(&n.deadline)
 	return func(line string) {
-		if n.gone {
+		if n.closed {
 			return
 		}
-		n.say(line)
-		n.ready()
+		n.writeLine(line)
+		n.resume()
 	}
 }
 
-// okOr is the line of an answer: +OK, or why not.
-func okOr(why string) string {
+// resultLine is the line of an answer: +OK, or why not.
+func resultLine(why string) string {
 	if why == "" {
 		return "+OK"
 	}
-	return "-ERR " + oneLine(why)
+	return "-ERR " + singleLine(why)
 }
 
-// pushBulk takes many jobs at once, and tells those that were not taken on by jid.
-func (n *session) pushBulk(rest []byte) {
+// handlePushBulk takes many jobs at once, and tells those that were not taken on by jid.
+func (n *connection) handlePushBulk(rest []byte) {
 	var list []json.RawMessage
 	if err := json.Unmarshal(rest, &list); err != nil {
-		n.say("-ERR MALFORMED PUSHB: " + oneLine(err.Error()))
+		n.writeLine("-ERR MALFORMED PUSHB: " + singleLine(err.Error()))
 		return
 	}
 	no := map[string]string{}
-	told, open := n.owe(), 1
+	told, open := n.deferReply(), 1
 	done := func() {
 		if open--; open == 0 {
 			raw, _ := json.Marshal(no) // strings always marshal
 			told(strings.TrimSuffix(string(appendBulk(nil, raw)), "\r\n"))
 		}
 	}
-	srv := n.srv
+	srv := n.server
 	for i, raw := range list {
-		job, w, err := readJob(raw, srv.classes, srv.core.Loop.Now())
+		job, w, err := parseJob(raw, srv.classNumbers, srv.dispatcher.Loop.Now())
 		id := cmp.Or(job.ID, fmt.Sprintf("[%d]", i))
-		if err == nil && !srv.kept.classes[job.Class] {
+		if err == nil && !srv.durable.classes[job.Class] {
 			err = errors.New("its queue is direct, and is answered job by job: PUSH it")
 		}
 		if err != nil {
@@ -326,7 +326,7 @@
 			continue
 		}
 		open++
-		n.keep(job, raw, &w, func(why string) {
+		n.storeJob(job, raw, &w, func(why string) {
 			if why != "" {
 				no[id] = why
 			}
@@ -348,33 +348,33 @@
 	Until   string `json:"reserve_until"`
 }
 
-// fence is the lease that a word is about. Without a fence it is the one that
+// fenceOf is the lease that a word is about. Without a fenceOf it is the one that
 // the session's worker holds, or held last; nobody's word is about another's.
-func (n *session) fence(j jobs.Job, w word) uint64 {
+func (n *connection) fenceOf(j jobs.Job, w word) uint64 {
 	if w.Fence == 0 && n.worker != nil && n.worker.name == j.Worker {
 		return j.Fence
 	}
 	return w.Fence
 }
 
-// closeKept takes an ACK or a FAIL of a durable job, or START, by which a worker
+// completeDurable takes an ACK or a FAIL of a durable job, or START, by which a worker
 // that honours fences asks whether it may begin.
-func (n *session) closeKept(verb string, j jobs.Job, w word) {
-	srv, k := n.srv, n.srv.kept
-	fence := n.fence(j, w)
-	say := n.owe()
+func (n *connection) completeDurable(verb string, j jobs.Job, w word) {
+	srv, k := n.server, n.server.durable
+	fence := n.fenceOf(j, w)
+	say := n.deferReply()
 	told := func(why string) {
 		if why != "" {
 			why = "VOID " + why
 		}
-		say(okOr(why))
+		say(resultLine(why))
 	}
 	o := decision.Completed
 	switch verb {
 	case "START":
 		k.StartJob(w.Jid, fence, func(why string) {
 			if why != "" { // it will not run it
-				srv.through(w.Jid, fence, decision.NotSent)
+				srv.endDelivery(w.Jid, fence, decision.NotSent)
 			}
 			told(why)
 		})
@@ -386,17 +386,17 @@
 		started := w.Started == nil || *w.Started
 		k.Fail(w.Jid, fence, cmp.Or(strings.TrimPrefix(w.Type+": "+w.Message, ": "), "failed"), started, told)
 	}
-	delete(k.tracks, w.Jid)
-	srv.through(w.Jid, fence, o)
+	delete(k.progress, w.Jid)
+	srv.endDelivery(w.Jid, fence, o)
 }
 
-// through ends the delivery that went out under a lease: its worker is through
+// endDelivery ends the delivery that went out under a lease: its worker is endDelivery
 // with it, or its word no longer counts.
-func (s *Server) through(id string, fence uint64, o decision.AttemptOutcome) {
+func (s *Server) endDelivery(id string, fence uint64, o decision.AttemptOutcome) {
 	for _, d := range s.deliveries {
-		if d.given && d.attempt.Request.ID == id && d.attempt.Fence == fence {
-			s.drop(d)
-			s.core.AttemptEnded(d.attempt.Handle, o, decision.LoadReport{}, nil)
+		if d.handedOut && d.attempt.Request.ID == id && d.attempt.Fence == fence {
+			s.forgetDelivery(d)
+			s.dispatcher.AttemptEnded(d.attempt.Handle, o, decision.LoadReport{}, nil)
 			return
 		}
 	}
@@ -420,71 +420,71 @@
 	return out
 }
 
-// kept obeys the commands that only make sense where something is kept.
-func (n *session) kept(verb string, rest []byte) {
-	if n.srv.kept == nil {
-		n.say("-ERR Unknown command " + verb + ": no queue is durable here")
+// handleDurableCommand obeys the commands that only make sense where something is handleDurableCommand.
+func (n *connection) handleDurableCommand(verb string, rest []byte) {
+	if n.server.durable == nil {
+		n.writeLine("-ERR Unknown command " + verb + ": no queue is durable here")
 		return
 	}
 	switch verb {
 	case "START":
 		var w word
 		if err := json.Unmarshal(rest, &w); err != nil || w.Jid == "" {
-			n.say("-ERR MALFORMED START: a jid is needed")
+			n.writeLine("-ERR MALFORMED START: a jid is needed")
 			return
 		}
-		j, known := n.srv.kept.Get(w.Jid)
+		j, known := n.server.durable.Get(w.Jid)
 		if !known {
-			n.say("-ERR VOID no such job")
+			n.writeLine("-ERR VOID no such job")
 			return
 		}
-		n.closeKept(verb, j, w)
+		n.completeDurable(verb, j, w)
 	case "PUSHB":
-		n.pushBulk(rest)
+		n.handlePushBulk(rest)
 	case "QUEUE":
-		n.queue(rest)
+		n.handleQueue(rest)
 	case "MUTATE":
-		n.mutate(rest)
+		n.handleMutate(rest)
 	case "FLUSH":
-		n.flushAll()
+		n.handleFlush()
 	case "TRACK":
-		n.tracked(rest)
+		n.handleTrack(rest)
 	}
 }
 
-// queue obeys QUEUE PAUSE, RESUME and REMOVE; * is all durable queues.
-func (n *session) queue(rest []byte) {
-	srv, k := n.srv, n.srv.kept
+// handleQueue obeys QUEUE PAUSE, RESUME and REMOVE; * is all durable queues.
+func (n *connection) handleQueue(rest []byte) {
+	srv, k := n.server, n.server.durable
 	fields := strings.Fields(string(rest))
 	if len(fields) < 2 {
-		n.say("-ERR MALFORMED QUEUE: PAUSE, RESUME or REMOVE, and queues")
+		n.writeLine("-ERR MALFORMED QUEUE: PAUSE, RESUME or REMOVE, and queues")
 		return
 	}
 	var names []string
 	for _, q := range fields[1:] {
-		class, known := srv.classes[q]
+		class, known := srv.classNumbers[q]
 		switch {
 		case q == "*":
-			for name, class := range srv.classes {
+			for name, class := range srv.classNumbers {
 				if k.classes[class] {
 					names = append(names, name)
 				}
 			}
 			slices.Sort(names)
 		case !known || !k.classes[class]:
-			n.say("-ERR UNKNOWN queue " + oneLine(fmt.Sprintf("%.40s", q)) + ": no durable one")
+			n.writeLine("-ERR UNKNOWN queue " + singleLine(fmt.Sprintf("%.40s", q)) + ": no durable one")
 			return
 		default:
 			names = append(names, q)
 		}
 	}
-	told := n.owe()
+	told := n.deferReply()
 	switch op := strings.ToUpper(fields[0]); op {
 	case "PAUSE", "RESUME":
 		for i, name := range names {
-			k.desk.Pause(name, op == "PAUSE", func(why string) {
+			k.scheduler.Pause(name, op == "PAUSE", func(why string) {
 				if i == len(names)-1 { // the last one's word holds all
-					told(okOr(why))
+					told(resultLine(why))
 				}
 			})
 		}
@@ -492,15 +492,15 @@
 			told("+OK")
 		}
 	case "REMOVE":
-		k.move(jobs.Discard, "QUEUE REMOVE", func(j jobs.Job) bool { return j.State == jobs.Ready && slices.Contains(names, j.Class) })
-		k.AfterSync(func(why string) { told(okOr(why)) })
+		k.moveAll(jobs.Discard, "QUEUE REMOVE", func(j jobs.Job) bool { return j.State == jobs.Ready && slices.Contains(names, j.Class) })
+		k.AfterSync(func(why string) { told(resultLine(why)) })
 	default:
 		told("-ERR MALFORMED QUEUE: PAUSE, RESUME or REMOVE")
 	}
 }
 
-// move moves all jobs that are chosen, and tells why some are not.
-func (k *keep) move(to jobs.Move, why string, chosen func(jobs.Job) bool) (last error) {
+// moveAll moves all jobs that are chosen, and tells why some are not.
+func (k *durableQueues) moveAll(to jobs.Move, why string, chosen func(jobs.Job) bool) (last error) {
 	var ids []string
 	k.Each(func(j jobs.Job) {
 		if chosen(j) {
@@ -515,8 +515,8 @@
 	return last
 }
 
-// mutate obeys MUTATE.
-func (n *session) mutate(rest []byte) {
+// handleMutate obeys MUTATE.
+func (n *connection) handleMutate(rest []byte) {
 	var m struct {
 		Cmd    string `json:"cmd"`
 		Target string `json:"target"`
@@ -527,17 +527,17 @@
 		} `json:"filter"`
 	}
 	if err := json.Unmarshal(rest, &m); err != nil {
-		n.say("-ERR MALFORMED MUTATE: " + oneLine(err.Error()))
+		n.writeLine("-ERR MALFORMED MUTATE: " + singleLine(err.Error()))
 		return
 	}
 	state, known := map[string]jobs.State{"scheduled": jobs.Scheduled, "retries": jobs.Waiting, "dead": jobs.Dead}[m.Target]
 	to, able := map[string]jobs.Move{"clear": jobs.Discard, "discard": jobs.Discard, "kill": jobs.Kill, "requeue": jobs.Requeue}[m.Cmd]
 	if _, err := path.Match(m.Filter.Regexp, ""); !known || !able || err != nil {
-		n.say("-ERR MALFORMED MUTATE: cmd is clear, discard, kill or requeue, target is scheduled, retries or dead, regexp has * for any text")
+		n.writeLine("-ERR MALFORMED MUTATE: cmd is clear, discard, kill or requeue, target is scheduled, retries or dead, regexp has * for any text")
 		return
 	}
-	told := n.owe()
-	last := n.srv.kept.move(to, "MUTATE "+m.Cmd, func(j jobs.Job) bool {
+	told := n.deferReply()
+	last := n.server.durable.moveAll(to, "MUTATE "+m.Cmd, func(j jobs.Job) bool {
 		if j.State != state || m.Cmd == "clear" {
 			return j.State == state
 		}
@@ -547,38 +547,38 @@
 		return (m.Filter.Jobtype == "" || m.Filter.Jobtype == cmp.Or(w.Jobtype, j.Class)) &&
 			(m.Filter.Jids == nil || slices.Contains(m.Filter.Jids, j.ID)) && (m.Filter.Regexp == "" || text)
 	})
-	n.srv.kept.AfterSync(func(why string) {
+	n.server.durable.AfterSync(func(why string) {
 		if last != nil {
 			why = cmp.Or(why, "REFUSED "+last.Error())
 		}
-		told(okOr(why))
+		told(resultLine(why))
 	})
 }
 
-// flushAll obeys FLUSH where the operator lets it: all that waits is discarded.
+// handleFlush obeys FLUSH where the operator lets it: all that waits is discarded.
 // What is leased or in doubt stays.
-func (n *session) flushAll() {
-	k := n.srv.kept
-	if !k.flush {
-		n.say("-ERR REFUSED FLUSH is off here: durable.flush in the operator's file")
+func (n *connection) handleFlush() {
+	k := n.server.durable
+	if !k.flushAllowed {
+		n.writeLine("-ERR REFUSED FLUSH is off here: durable.flush in the operator's file")
 		return
 	}
-	told := n.owe()
-	k.move(jobs.Discard, "FLUSH", func(j jobs.Job) bool {
+	told := n.deferReply()
+	k.moveAll(jobs.Discard, "FLUSH", func(j jobs.Job) bool {
 		return j.State == jobs.Ready || j.State == jobs.Scheduled || j.State == jobs.Waiting || j.State == jobs.Dead
 	})
-	k.AfterSync(func(why string) { told(okOr(why)) })
+	k.AfterSync(func(why string) { told(resultLine(why)) })
 }
 
-// trackStates are the protocol's names of states.
-var trackStates = map[jobs.State]string{
+// trackStateNames are the protocol's names of states.
+var trackStateNames = map[jobs.State]string{
 	jobs.Accepted: "enqueued", jobs.Scheduled: "scheduled", jobs.Ready: "enqueued", jobs.Leased: "working", jobs.Started: "working",
 	jobs.Waiting: "failed", jobs.Done: "success", jobs.Dead: "dead", jobs.Discarded: "discarded", jobs.InDoubt: "in doubt",
 }
 
-// tracked obeys TRACK GET and TRACK SET.
-func (n *session) tracked(rest []byte) {
-	k := n.srv.kept
+// handleTrack obeys TRACK GET and TRACK SET.
+func (n *connection) handleTrack(rest []byte) {
+	k := n.server.durable
 	verb, rest := parseCommand(rest)
 	switch verb {
 	case "GET":
@@ -586,50 +586,50 @@
 		j, known := k.Get(id)
 		state := "unknown"
 		if known {
-			state = trackStates[j.State]
+			state = trackStateNames[j.State]
 		}
 		raw, _ := json.Marshal(struct { // strings and numbers always marshal
 			Jid   string `json:"jid"`
 			State string `json:"state"`
 			Why   string `json:"why,omitempty"`
-			track
-		}{id, state, j.Why, k.tracks[id]})
+			jobProgress
+		}{id, state, j.Why, k.progress[id]})
 		n.conn.Write(appendBulk(nil, raw))
 	case "SET":
 		var w word
 		if err := json.Unmarshal(rest, &w); err != nil {
-			n.say("-ERR MALFORMED TRACK: " + oneLine(err.Error()))
+			n.writeLine("-ERR MALFORMED TRACK: " + singleLine(err.Error()))
 			return
 		}
 		j, known := k.Get(w.Jid)
 		if !known || j.State != jobs.Leased && j.State != jobs.Started {
-			n.say("-ERR UNKNOWN jid: no such job is in work")
+			n.writeLine("-ERR UNKNOWN jid: no such job is in work")
 			return
 		}
-		now := n.srv.core.Loop.Now()
+		now := n.server.dispatcher.Loop.Now()
 		if until, err := time.Parse(time.RFC3339Nano, w.Until); err == nil {
-			k.Extend(w.Jid, n.fence(j, w), min(time.Duration(until.UnixNano()), now+mostLease))
+			k.Extend(w.Jid, n.fenceOf(j, w), min(time.Duration(until.UnixNano()), now+maxLease))
 		}
-		if len(k.tracks) >= mostTracks {
-			clear(k.tracks) // of jobs whose workers never closed them
+		if len(k.progress) >= maxProgressEntries {
+			clear(k.progress) // of jobs whose workers never closed them
 		}
-		k.tracks[w.Jid] = track{w.Percent, w.Desc, time.Unix(0, int64(now)).UTC().Format(time.RFC3339)}
-		n.say("+OK")
+		k.progress[w.Jid] = jobProgress{w.Percent, w.Desc, time.Unix(0, int64(now)).UTC().Format(time.RFC3339)}
+		n.writeLine("+OK")
 	default:
-		n.say("-ERR MALFORMED TRACK: GET and a jid, or SET")
+		n.writeLine("-ERR MALFORMED TRACK: GET and a jid, or SET")
 	}
 }
 
-// keptInfo adds what is kept to INFO.
-func (s *Server) keptInfo(faktory map[string]any) {
-	counts := s.kept.Counts()
+// durableInfo adds what is kept to INFO.
+func (s *Server) durableInfo(faktory map[string]any) {
+	counts := s.durable.Counts()
 	queues := map[string]int{}
-	for name, class := range s.classes {
-		if s.kept.classes[class] {
-			queues[name] = s.kept.desk.Waiting(class)
+	for name, class := range s.classNumbers {
+		if s.durable.classes[class] {
+			queues[name] = s.durable.scheduler.Waiting(class)
 		}
 	}
-	faktory["queues"], faktory["paused"] = queues, s.kept.desk.Paused()
+	faktory["queues"], faktory["paused"] = queues, s.durable.scheduler.Paused()
 	faktory["total_enqueued"] = counts[jobs.Ready] + counts[jobs.Accepted]
 	tasks := faktory["tasks"].(map[string]any)
 	for name, n := range map[string]int{"Scheduled": counts[jobs.Scheduled], "Retries": counts[jobs.Waiting], "Dead": counts[jobs.Dead],
@@ -638,20 +638,20 @@
 	}
 }
 
-// releaseTime is how long sessions may wait for the disk before they are cut off.
-const releaseTime = time.Second
+// releaseTimeout is how long sessions may wait for the disk before they are cut off.
+const releaseTimeout = time.Second
 
 // release ends all sessions, each once what it asked for is on the disk, and
 // closes the store: workers come back to the successor with what they hold.
 func (s *Server) release(done func()) {
-	loop, k := s.core.Loop, s.kept
+	loop, k := s.dispatcher.Loop, s.durable
 	s.acceptor.Close()
-	k.desk.Release()
-	limit := loop.Now() + releaseTime
+	k.scheduler.Release()
+	limit := loop.Now() + releaseTimeout
 	var step func()
 	step = func() {
 		late := loop.Now() >= limit
-		s.sessions.ForEach(func(_ uint64, n *session) {
+		s.connections.ForEach(func(_ uint64, n *connection) {
 			switch {
 			case n.parked:
 				n.conn.Write([]byte("$-1\r\n"))
@@ -660,12 +660,12 @@
 				n.end()
 			}
 		})
-		if s.sessions.Len() > 0 {
+		if s.connections.Len() > 0 {
 			loop.After(5*time.Millisecond, step)
 			return
 		}
 		if err := k.Service.Close(); err != nil {
-			s.core.Log(fmt.Sprintf("the store: %v", err))
+			s.dispatcher.Log(fmt.Sprintf("the store: %v", err))
 		}
 		done()
 	}
--- a/internal/faktory/faktory_test.go
+++ b/internal/faktory/faktory_test.go
@@ -226,7 +226,7 @@
 		}
 	}
 	// Guards against memory without bound: a line without an end is cut off.
-	if got := p.do(strings.Repeat("x", maxCommand+100)); !strings.HasPrefix(got, "-ERR MALFORMED") {
+	if got := p.do(strings.Repeat("x", maxCommandBytes+100)); !strings.HasPrefix(got, "-ERR MALFORMED") {
 		t.Errorf("endless line: %.60q", got)
 	}
 	for _, first := range []string{`HELLO {"v":3}`, `HELLO x`, `PUSH {}`, `HELLO {"v":2,"wid":"a b"}`} {
@@ -690,7 +690,7 @@
 	for body, want := range map[string]string{
 		"pay \"now\"": `"args":["k 1","pay \"now\""]}`, "\xff\x00": `"args":["k 1","/wA="],"custom":{"encoding":"base64"}}`,
 	} {
-		raw := string(makeJob(&dispatch.Request{ID: "id-1", Key: "k 1", Body: []byte(body)}, "renewal"))
+		raw := string(encodeJob(&dispatch.Request{ID: "id-1", Key: "k 1", Body: []byte(body)}, "renewal"))
 		if !strings.HasSuffix(raw, want) || jidOf(raw) != "id-1" {
 			t.Errorf("%q: %s", body, raw)
 		}
@@ -798,7 +798,7 @@
 			t.Fatalf("%+v, used %d of %d, %v", r, used, len(b), err)
 		}
 		parseCommand(b)
-		if j, _, err := readJob(b, map[string]int{"a": 0}, time.Hour); err == nil && (len(j.ID) < 8 || j.TimeLeft < 0 || j.Work < 0) {
+		if j, _, err := parseJob(b, map[string]int{"a": 0}, time.Hour); err == nil && (len(j.ID) < 8 || j.TimeLeft < 0 || j.Work < 0) {
 			t.Fatalf("%+v", j)
 		}
 	})
@@ -828,19 +828,19 @@
 
 // The memory is bounded by number and by age, and keeps what is in work.
 func TestMemoryIsBounded(t *testing.T) {
-	m := newMemory()
+	m := newJidMemory()
 	m.begin("in-work", 0)
 	done := dispatch.Response{Outcome: dispatch.Served, MayHaveRun: true}
-	for i := range mostJids + 10 {
+	for i := range maxCompletedJids + 10 {
 		id := fmt.Sprint(i)
 		m.begin(id, time.Second)
 		m.finish(id, done, decision.NonIdempotent, time.Second)
 	}
-	if len(m.jids) != mostJids+1 || m.fate("9") != unknown || m.fate("10") != served || m.fate("in-work") != inWork {
-		t.Errorf("%d jids, fates %v %v %v", len(m.jids), m.fate("9"), m.fate("10"), m.fate("in-work"))
+	if len(m.entries) != maxCompletedJids+1 || m.status("9") != jidUnknown || m.status("10") != jidServed || m.status("in-work") != jidInProgress {
+		t.Errorf("%d jids, fates %v %v %v", len(m.entries), m.status("9"), m.status("10"), m.status("in-work"))
 	}
-	m.begin("new", time.Second+jidAge)
-	if len(m.jids) != 2 || len(m.over) != 0 {
-		t.Errorf("%d jids after their age", len(m.jids))
+	m.begin("new", time.Second+jidRetention)
+	if len(m.entries) != 2 || len(m.completed) != 0 {
+		t.Errorf("%d jids after their age", len(m.entries))
 	}
 }
--- a/internal/faktory/fwp.go
+++ b/internal/faktory/fwp.go
@@ -47,7 +47,7 @@
 	Durable Durable `toml:"durable"`
 }
 
-const mostLanes = 64
+const maxLanes = 64
 
 // ReadConfig reads the operator's file; every error names the field.
 func ReadConfig(path string, s *decision.Settings) (c Config, err error) {
@@ -83,8 +83,8 @@
 	if err := c.Durable.check(s, c.Listen != ""); err != nil {
 		return err
 	}
-	if c.Source.Lanes < 1 || c.Source.Lanes > mostLanes {
-		return fmt.Errorf("source.lanes: %d is not between 1 and %d", c.Source.Lanes, mostLanes)
+	if c.Source.Lanes < 1 || c.Source.Lanes > maxLanes {
+		return fmt.Errorf("source.lanes: %d is not between 1 and %d", c.Source.Lanes, maxLanes)
 	}
 	if len(c.Source.Queues) == 0 {
 		for _, class := range s.Classes {
@@ -99,14 +99,14 @@
 	return nil
 }
 
-const mostClasses = 8
+const maxClasses = 8
 
 // Prepare makes room in the settings for kinds of worker that fetch some
 // classes only: kind number base+mask runs the classes whose bits mask has, so
 // that it is the module that keeps a job from a worker that does not want it.
 func Prepare(s *decision.Settings) error {
-	if len(s.Classes) > mostClasses {
-		return fmt.Errorf("settings: classes: the Faktory front takes %d at most", mostClasses)
+	if len(s.Classes) > maxClasses {
+		return fmt.Errorf("settings: classes: the Faktory front takes %d at most", maxClasses)
 	}
 	base := len(s.KindNames)
 	for i := range s.Classes {
@@ -133,30 +133,30 @@
 
 // Open starts the roles that the operator's file names. in, which may be nil,
 // decides who may connect.
-func Open(c *dispatch.Dispatcher, e *transport.Engine, config Config, most int, in *listener.Gate) (f Front, err error) {
-	jids := newMemory()
+func Open(dispatcher *dispatch.Dispatcher, engine *transport.Engine, config Config, maxConnections int, gate *listener.Gate) (front Front, err error) {
+	jids := newJidMemory()
 	if config.Listen != "" {
-		f.Server = NewServer(c, e, config.Password, jids)
-		if in != nil {
-			f.Server.Use(in)
+		front.Server = NewServer(dispatcher, engine, config.Password, jids)
+		if gate != nil {
+			front.Server.SetGate(gate)
 		}
 		if config.Durable.Path != "" {
-			if err := f.Server.Keep(config.Durable); err != nil {
-				return f, err
+			if err := front.Server.EnableDurable(config.Durable); err != nil {
+				return front, err
 			}
 		}
-		addr, err := f.Server.Listen(config.Listen, most)
+		addr, err := front.Server.Listen(config.Listen, maxConnections)
 		if err != nil {
-			f.End() // its file is free again
-			return f, fmt.Errorf("listen: %w", err)
+			front.End() // its file is free again
+			return front, fmt.Errorf("listen: %w", err)
 		}
-		c.Log("faktory: listening on " + addr)
+		dispatcher.Log("faktory: listening on " + addr)
 	}
 	if config.Source.Address != "" {
-		f.Source = NewSource(c, e, config, jids)
-		f.Source.Start()
+		front.Source = NewSource(dispatcher, engine, config, jids)
+		front.Source.Start()
 	}
-	return f, nil
+	return front, nil
 }
 
 // Stop begins a planned end: nothing more is fetched from upstream.
@@ -164,24 +164,24 @@
 	if f.Source != nil {
 		f.Source.Stop()
 	}
-	if k := f.kept(); k != nil {
-		k.desk.Stop()
+	if k := f.durableQueues(); k != nil {
+		k.scheduler.Stop()
 	}
 }
 
 // Jobs is the service of durable jobs; nil: no queue is durable.
 func (f Front) Jobs() *durable.Service {
-	if k := f.kept(); k != nil {
+	if k := f.durableQueues(); k != nil {
 		return k.Service
 	}
 	return nil
 }
 
-func (f Front) kept() *keep {
+func (f Front) durableQueues() *durableQueues {
 	if f.Server == nil {
 		return nil
 	}
-	return f.Server.kept
+	return f.Server.durable
 }
 
 // Movable tells why a process with this front cannot be handed over to a
@@ -210,7 +210,7 @@
 // Release lets go of the address and of all that is kept, for a successor; done
 // is called once it may take both.
 func (f Front) Release(done func()) {
-	if f.kept() != nil {
+	if f.durableQueues() != nil {
 		f.Server.release(done)
 		return
 	}
@@ -219,7 +219,7 @@
 
 // End lets go of what is kept. Nothing may be asked of the front after that.
 func (f Front) End() error {
-	if k := f.kept(); k != nil {
+	if k := f.durableQueues(); k != nil {
 		return k.Service.Close()
 	}
 	return nil
@@ -238,17 +238,17 @@
 	}
 	if f.Server != nil {
 		f.Server.Close()
-		return f.Server.Sessions() == 0
+		return f.Server.ConnectionCount() == 0
 	}
 	return true
 }
 
 // ---- The parser.
 
-const maxCommand = 70 << 10 // longest command line, and longest bulk string
+const maxCommandBytes = 70 << 10 // longest command line, and longest bulk string
 
 var (
-	errLong     = errors.New("longer than 70 KiB")
+	errTooLong     = errors.New("longer than 70 KiB")
 	errProtocol = errors.New("protocol violation")
 )
 
@@ -256,13 +256,13 @@
 func parseLine(b []byte) (line []byte, used int, err error) {
 	end := bytes.IndexByte(b, '\n')
 	if end < 0 {
-		if len(b) > maxCommand {
-			return nil, 0, errLong
+		if len(b) > maxCommandBytes {
+			return nil, 0, errTooLong
 		}
 		return nil, 0, nil
 	}
-	if end > maxCommand {
-		return nil, 0, errLong
+	if end > maxCommandBytes {
+		return nil, 0, errTooLong
 	}
 	return bytes.TrimSuffix(b[:end], []byte("\r")), end + 1, nil
 }
@@ -304,8 +304,8 @@
 	case n == -1:
 		r.text, r.null = nil, true
 		return r, used, nil
-	case n > maxCommand:
-		return r, 0, errLong
+	case n > maxCommandBytes:
+		return r, 0, errTooLong
 	case len(b) < used+n+2:
 		return r, 0, nil
 	case b[used+n] != '\r' || b[used+n+1] != '\n':
@@ -324,8 +324,8 @@
 	return append(out, "\r\n"...)
 }
 
-// oneLine makes a text fit for a line of the protocol.
-func oneLine(text string) string {
+// singleLine makes a text fit for a line of the protocol.
+func singleLine(text string) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' || r == 0x7f {
 			return ' '
@@ -351,12 +351,12 @@
 	Hash     string   `json:"pwdhash,omitempty"`
 }
 
-const mostIterations = 100_000 // more would let a server keep us busy
+const maxHashIterations = 100_000 // more would let a server keep us busy
 
 // hashPassword is the protocol's answer to a salt.
 func hashPassword(password, salt string, iterations int) string {
 	sum := sha256.Sum256([]byte(password + salt))
-	for range min(iterations, mostIterations) - 1 {
+	for range min(iterations, maxHashIterations) - 1 {
 		sum = sha256.Sum256(sum[:])
 	}
 	return hex.EncodeToString(sum[:])
@@ -372,8 +372,8 @@
 	Args    []json.RawMessage `json:"args"`
 	At      string            `json:"at"`
 	Retry   *int              `json:"retry"`
-	Reserve float64           `json:"reserve_for"`
-	at      time.Duration     // when that is; 0: now
+	ReserveForSeconds float64           `json:"reserve_for"`
+	scheduledAt      time.Duration     // when that is; 0: now
 	Custom  struct {
 		LeftMs   float64 `json:"time_left_ms"`
 		EffortUs float64 `json:"effort_us"`
@@ -384,32 +384,32 @@
 }
 
 var (
-	errLater   = errors.New("at: its queue is direct, and keeps no jobs for later")
-	errJid     = errors.New("jid: 8 to 256 characters without spaces are needed")
-	errArgs    = errors.New("args: an array is needed")
-	errUnknown = errors.New("queue and jobtype: neither is a class served here")
-	errTwo     = errors.New("queue and jobtype: they name two classes")
+	errScheduledOnDirectQueue   = errors.New("at: its queue is direct, and keeps no jobs for later")
+	errInvalidJid     = errors.New("jid: 8 to 256 characters without spaces are needed")
+	errMissingArgs    = errors.New("args: an array is needed")
+	errUnknownClass = errors.New("queue and jobtype: neither is a class served here")
+	errAmbiguousClass     = errors.New("queue and jobtype: they name two classes")
 )
 
-// readJob reads a job and finds its class; w is what it says beside that.
-func readJob(raw []byte, classes map[string]int, now time.Duration) (j dispatch.Request, w work, err error) {
+// parseJob reads a job and finds its class; w is what it says beside that.
+func parseJob(raw []byte, classes map[string]int, now time.Duration) (j dispatch.Request, w work, err error) {
 	if err := json.Unmarshal(raw, &w); err != nil {
 		return j, w, err
 	}
 	if len(w.Jid) < 8 || len(w.Jid) > 256 || strings.ContainsFunc(w.Jid, func(r rune) bool { return r <= ' ' || r >= 0x7f }) {
-		return j, w, errJid
+		return j, w, errInvalidJid
 	}
 	j = dispatch.Request{ID: w.Jid, Key: w.Custom.Key, Body: raw, Slots: w.Custom.Slots, ReceivedAt: now, ClientRetry: w.Custom.Repeat}
 	if w.Args == nil {
-		return j, w, errArgs
+		return j, w, errMissingArgs
 	}
 	byQueue, ok1 := classes[w.Queue]
 	byType, ok2 := classes[w.Jobtype]
 	switch {
 	case !ok1 && !ok2:
-		return j, w, errUnknown
+		return j, w, errUnknownClass
 	case ok1 && ok2 && byQueue != byType:
-		return j, w, errTwo
+		return j, w, errAmbiguousClass
 	case ok1:
 		j.Class = byQueue
 	default:
@@ -422,7 +422,7 @@
 		}
 		if when.After(time.Unix(0, int64(now))) {
 			const latest = 9_000_000_000 // Unix seconds that nanoseconds hold
-			w.at = time.Duration(time.Unix(min(when.Unix(), latest), int64(when.Nanosecond())).UnixNano())
+			w.scheduledAt = time.Duration(time.Unix(min(when.Unix(), latest), int64(when.Nanosecond())).UnixNano())
 		}
 	}
 	const most = 1e12 // keeps the products below in range
@@ -435,9 +435,9 @@
 	return j, w, nil
 }
 
-// makeJob words a job that came by another wire, for a worker: its key and its
+// encodeJob words a job that came by another wire, for a worker: its key and its
 // body are the args. A body that is no text goes as base64, and custom says so.
-func makeJob(j *dispatch.Request, class string) []byte {
+func encodeJob(j *dispatch.Request, class string) []byte {
 	body, custom := string(j.Body), map[string]string(nil)
 	if !utf8.Valid(j.Body) {
 		body, custom = base64.StdEncoding.EncodeToString(j.Body), map[string]string{"encoding": "base64"}
@@ -455,70 +455,70 @@
 // ---- The memory of jids.
 
 // A jid is remembered while its job is in work and, if it was served or may
-// have run and must not again, for jidAge after that: longer than the half
+// have run and must not again, for jidRetention after that: longer than the half
 // hour for which an upstream server reserves a job unless told otherwise. Of
-// those over, the mostJids newest are kept. A restart forgets all.
+// those over, the maxCompletedJids newest are kept. A restart forgets all.
 const (
-	jidAge   = 2 * time.Hour
-	mostJids = 50_000
+	jidRetention   = 2 * time.Hour
+	maxCompletedJids = 50_000
 )
 
-// fate is what became of a jid.
-type fate uint8
+// jidStatus is what became of a jid.
+type jidStatus uint8
 
 const (
-	unknown fate = iota // never seen, or free to run again
-	inWork
-	served
-	mayHaveRun
+	jidUnknown jidStatus = iota // never seen, or free to run again
+	jidInProgress
+	jidServed
+	jidMayHaveRun
 )
 
-type jid struct {
-	fate  fate
+type jidEntry struct {
+	status  jidStatus
 	since time.Duration
-	wait  []func(dispatch.Response) // told of the answer while it is in work
+	onResponse  []func(dispatch.Response) // told of the answer while it is in work
 }
 
-// memory remembers jids, for both roles.
-type memory struct {
-	jids map[string]*jid
-	over []ended // those over, the oldest first; some may have gone on since
+// jidMemory remembers jids, for both roles.
+type jidMemory struct {
+	entries map[string]*jidEntry
+	completed []completedJid // those over, the oldest first; some may have gone on since
 }
 
-type ended struct {
+type completedJid struct {
 	id    string
 	since time.Duration
 }
 
-func newMemory() *memory { return &memory{jids: map[string]*jid{}} }
+func newJidMemory() *jidMemory { return &jidMemory{entries: map[string]*jidEntry{}} }
 
-func (m *memory) fate(id string) fate {
-	if j := m.jids[id]; j != nil {
-		return j.fate
+func (m *jidMemory) status(id string) jidStatus {
+	if j := m.entries[id]; j != nil {
+		return j.status
 	}
-	return unknown
+	return jidUnknown
 }
 
 // begin books that a job goes to work.
-func (m *memory) begin(id string, now time.Duration) {
+func (m *jidMemory) begin(id string, now time.Duration) {
 	m.expire(now)
-	m.jids[id] = &jid{fate: inWork, since: now}
+	m.entries[id] = &jidEntry{status: jidInProgress, since: now}
 }
 
 // finish books what became of a job, and tells those who waited for that.
-func (m *memory) finish(id string, a dispatch.Response, repeat decision.Idempotency, now time.Duration) {
-	j := m.jids[id]
-	if j == nil || j.fate != inWork {
+func (m *jidMemory) finish(id string, a dispatch.Response, repeat decision.Idempotency, now time.Duration) {
+	j := m.entries[id]
+	if j == nil || j.status != jidInProgress {
 		return
 	}
-	waiting := j.wait
+	waiting := j.onResponse
 	switch {
 	case a.Outcome == dispatch.Served:
-		m.keep(id, served, now)
+		m.complete(id, jidServed, now)
 	case a.MayHaveRun && repeat != decision.Idempotent:
-		m.keep(id, mayHaveRun, now)
+		m.complete(id, jidMayHaveRun, now)
 	default:
-		delete(m.jids, id)
+		delete(m.entries, id)
 	}
 	for _, f := range waiting {
 		f(a)
@@ -526,29 +526,29 @@
 }
 
 // confirm books a late acknowledgement: what may have run has run.
-func (m *memory) confirm(id string, now time.Duration) {
-	if j := m.jids[id]; j != nil && j.fate == mayHaveRun {
-		m.keep(id, served, now)
+func (m *jidMemory) confirm(id string, now time.Duration) {
+	if j := m.entries[id]; j != nil && j.status == jidMayHaveRun {
+		m.complete(id, jidServed, now)
 	}
 }
 
-func (m *memory) keep(id string, f fate, now time.Duration) {
-	m.jids[id] = &jid{fate: f, since: now}
-	m.over = append(m.over, ended{id, now})
+func (m *jidMemory) complete(id string, f jidStatus, now time.Duration) {
+	m.entries[id] = &jidEntry{status: f, since: now}
+	m.completed = append(m.completed, completedJid{id, now})
 	m.expire(now)
 }
 
-func (m *memory) expire(now time.Duration) {
-	for len(m.over) > 0 {
-		e := m.over[0]
-		j := m.jids[e.id]
-		stale := j == nil || j.fate == inWork || j.since != e.since
-		if !stale && len(m.over) <= mostJids && now-j.since < jidAge {
+func (m *jidMemory) expire(now time.Duration) {
+	for len(m.completed) > 0 {
+		e := m.completed[0]
+		j := m.entries[e.id]
+		stale := j == nil || j.status == jidInProgress || j.since != e.since
+		if !stale && len(m.completed) <= maxCompletedJids && now-j.since < jidRetention {
 			return
 		}
 		if !stale {
-			delete(m.jids, e.id)
+			delete(m.entries, e.id)
 		}
-		m.over = m.over[1:]
+		m.completed = m.completed[1:]
 	}
 }
--- a/internal/faktory/golden_test.go
+++ b/internal/faktory/golden_test.go
@@ -201,8 +201,8 @@
 	s.do("w", `FETCH renewal`)
 	s.do("w", `END`)
 	s.answer("w")
-	s.do("p", strings.Repeat("z", maxCommand+10))
-	golden(t, "direct.golden", strings.ReplaceAll(s.text.String(), strings.Repeat("z", maxCommand+10), "(too long a line)"))
+	s.do("p", strings.Repeat("z", maxCommandBytes+10))
+	golden(t, "direct.golden", strings.ReplaceAll(s.text.String(), strings.Repeat("z", maxCommandBytes+10), "(too long a line)"))
 }
 
 // With a password, the greeting has a salt and HELLO a hash.
@@ -213,22 +213,22 @@
 	s.answer("p")
 	s.hello("q", "")
 	s.answer("q")
-	golden(t, "password.golden", s.text.String()+hashPassword("open sesame", "0123456789abcdef", iterations)+"\n")
+	golden(t, "password.golden", s.text.String()+hashPassword("open sesame", "0123456789abcdef", hashIterations)+"\n")
 }
 
 // What is refused, since nobody is there to run it or it fails again and again.
 func TestGoldenOutcomes(t *testing.T) {
 	var text strings.Builder
 	for _, after := range []time.Duration{0, 1500 * time.Millisecond} {
-		text.WriteString(refusedLine(after) + "\n")
+		text.WriteString(rejectionLine(after) + "\n")
 	}
 	for _, mayHaveRun := range []bool{false, true} {
 		for _, repeatable := range []bool{false, true} {
-			text.WriteString(failedLine(mayHaveRun, repeatable) + "\n")
+			text.WriteString(failureLine(mayHaveRun, repeatable) + "\n")
 		}
 	}
-	for _, f := range []fate{served, mayHaveRun, inWork} {
-		text.WriteString(closedAgain(f) + "\n")
+	for _, f := range []jidStatus{jidServed, jidMayHaveRun, jidInProgress} {
+		text.WriteString(knownJidLine(f) + "\n")
 	}
 	golden(t, "outcomes.golden", text.String())
 }
--- a/internal/faktory/source.go
+++ b/internal/faktory/source.go
@@ -19,14 +19,14 @@
 
 // Source takes jobs from an upstream server. It belongs to the loop's goroutine.
 type Source struct {
-	core    *dispatch.Dispatcher
+	dispatcher    *dispatch.Dispatcher
 	engine  *transport.Engine
 	config  Config
-	classes map[string]int
+	classNumbers map[string]int
 	wid     string
 	lanes   []*lane // the first only beats
-	jids    *memory
-	quiet   bool // fetches no more
+	jids    *jidMemory
+	draining   bool // fetches no more
 	counts  SourceCounts
 }
 
@@ -34,55 +34,55 @@
 // closings whose answer was lost: upstream has them, or delivers the jid again.
 type SourceCounts struct{ Fetched, Acked, Failed, ClosedAgain, Unconfirmed uint64 }
 
-// step is what a lane waits for.
-type step uint8
+// laneState is what a lane waits for.
+type laneState uint8
 
 const (
-	down    step = iota // not connected
-	greeted             // for HI
-	hailed              // for the answer to HELLO
-	idle                // for nothing: it may send
-	asked               // for the answer to FETCH
-	working             // for the core's final answer
-	closing             // for the answer to ACK or FAIL
-	beating             // for the answer to BEAT
+	laneDown    laneState = iota // not connected
+	laneAwaitingGreeting             // for HI
+	laneAwaitingHello              // for the answer to HELLO
+	laneIdle                // for nothing: it may send
+	laneFetching               // for the answer to FETCH
+	laneWorking             // for the core's final answer
+	laneClosing             // for the answer to ACK or FAIL
+	laneBeating             // for the answer to BEAT
 )
 
 // lane is one connection to the upstream server.
 type lane struct {
-	src     *Source
+	source     *Source
 	number  int
 	conn    *transport.Conn
-	in      *transport.Buffer
-	step    step
-	due     eventloop.Deadline
+	input      *transport.Buffer
+	state    laneState
+	deadline     eventloop.Deadline
 	backoff time.Duration
-	turn    int
+	generation    int
 	jid     string
 	class   int
-	job     bool   // a delivery is in work, whatever becomes of the connection
-	parting string // a closing that has not left whole yet
-	mark    int64
+	jobOpen     bool   // a delivery is in work, whatever becomes of the connection
+	pendingClose string // a closing that has not left whole yet
+	closeOffset    int64
 }
 
 const (
-	connectTime  = 2 * time.Second
-	replyTime    = 5 * time.Second
-	fetchReply   = 10 * time.Second // the server may hold a FETCH for 2 s
-	beatEvery    = 15 * time.Second
-	leastBackoff = 250 * time.Millisecond
-	mostBackoff  = 5 * time.Second
+	connectTimeout  = 2 * time.Second
+	replyTimeout    = 5 * time.Second
+	fetchTimeout   = 10 * time.Second // the server may hold a FETCH for 2 s
+	beatInterval    = 15 * time.Second
+	minBackoff = 250 * time.Millisecond
+	maxBackoff  = 5 * time.Second
 )
 
 // NewSource returns the source role; Start connects its lanes.
-func NewSource(c *dispatch.Dispatcher, e *transport.Engine, config Config, jids *memory) *Source {
-	s := &Source{core: c, engine: e, config: config, classes: names(c), wid: config.Source.Wid, jids: jids}
+func NewSource(c *dispatch.Dispatcher, e *transport.Engine, config Config, jids *jidMemory) *Source {
+	s := &Source{dispatcher: c, engine: e, config: config, classNumbers: classNumbers(c), wid: config.Source.Wid, jids: jids}
 	if s.wid == "" {
 		s.wid = fmt.Sprintf("hollyyoke-%016x", rand.Uint64())
 	}
 	for i := range config.Source.Lanes + 1 {
-		l := &lane{src: s, number: i}
-		l.due.Fire = l.expire
+		l := &lane{source: s, number: i}
+		l.deadline.Fire = l.onDeadline
 		s.lanes = append(s.lanes, l)
 	}
 	return s
@@ -97,13 +97,13 @@
 
 // Stop fetches no more. What is in work goes on.
 func (s *Source) Stop() {
-	s.quiet = true
+	s.draining = true
 }
 
 // Busy is the number of deliveries that are not closed yet, or being fetched.
 func (s *Source) Busy() (n int) {
 	for _, l := range s.lanes {
-		if l.job || l.parting != "" || l.step == asked || l.step == closing {
+		if l.jobOpen || l.pendingClose != "" || l.state == laneFetching || l.state == laneClosing {
 			n++
 		}
 	}
@@ -113,15 +113,15 @@
 // Close ends all lanes.
 func (s *Source) Close() {
 	for _, l := range s.lanes {
-		if l.step >= idle {
+		if l.state >= laneIdle {
 			l.conn.Write([]byte("END\r\n"))
 		}
 		if l.conn != nil {
 			l.conn.CloseGracefully()
 		}
-		l.conn, l.step = nil, down
-		s.core.Loop.Clear(&l.due)
-		l.turn++
+		l.conn, l.state = nil, laneDown
+		s.dispatcher.Loop.Clear(&l.deadline)
+		l.generation++
 	}
 }
 
@@ -131,49 +131,49 @@
 // ---- Connections.
 
 func (l *lane) connect() {
-	l.turn++
-	turn := l.turn
-	l.step = down
-	l.src.engine.Dial(l.src.config.Source.Address, connectTime, l, func(c *transport.Conn, err error) {
+	l.generation++
+	turn := l.generation
+	l.state = laneDown
+	l.source.engine.Dial(l.source.config.Source.Address, connectTimeout, l, func(c *transport.Conn, err error) {
 		switch {
-		case turn != l.turn:
+		case turn != l.generation:
 			if c != nil {
 				c.Close()
 			}
 		case err != nil:
 			l.retry("connect: " + err.Error())
 		default:
-			l.conn, l.step = c, greeted
-			l.wait(replyTime)
+			l.conn, l.state = c, laneAwaitingGreeting
+			l.setDeadline(replyTimeout)
 		}
 	})
 }
 
-func (l *lane) wait(span time.Duration) {
-	l.src.core.Loop.Set(&l.due, l.src.core.Loop.Now()+span)
+func (l *lane) setDeadline(span time.Duration) {
+	l.source.dispatcher.Loop.Set(&l.deadline, l.source.dispatcher.Loop.Now()+span)
 }
 
 // retry drops the connection and comes back later. A delivery in work stays
 // so. A closing that has not left whole is sent anew; one that may have
 // arrived is not: if upstream lacks it, it will deliver the jid again.
 func (l *lane) retry(why string) {
-	if l.step != down || l.backoff == 0 {
-		l.src.core.Log(fmt.Sprintf("upstream, lane %d: %s", l.number, oneLine(why)))
+	if l.state != laneDown || l.backoff == 0 {
+		l.source.dispatcher.Log(fmt.Sprintf("upstream, lane %d: %s", l.number, singleLine(why)))
 	}
-	if l.step == closing {
-		if l.conn.Flushed(l.mark) {
-			l.src.counts.Unconfirmed++
-			l.parting = ""
+	if l.state == laneClosing {
+		if l.conn.Flushed(l.closeOffset) {
+			l.source.counts.Unconfirmed++
+			l.pendingClose = ""
 		}
 	}
 	if l.conn != nil {
 		l.conn.Close()
 	}
-	l.src.engine.Pool.Put(l.in)
-	l.conn, l.in, l.step = nil, nil, down
-	l.turn++
-	l.backoff = min(max(2*l.backoff, leastBackoff), mostBackoff)
-	l.wait(l.backoff/2 + rand.N(l.backoff/2))
+	l.source.engine.Pool.Put(l.input)
+	l.conn, l.input, l.state = nil, nil, laneDown
+	l.generation++
+	l.backoff = min(max(2*l.backoff, minBackoff), maxBackoff)
+	l.setDeadline(l.backoff/2 + rand.N(l.backoff/2))
 }
 
 // OnClosed is told that the upstream server has gone.
@@ -183,12 +183,12 @@
 	}
 }
 
-func (l *lane) expire() {
-	switch l.step {
-	case down:
+func (l *lane) onDeadline() {
+	switch l.state {
+	case laneDown:
 		l.connect()
-	case idle:
-		l.next()
+	case laneIdle:
+		l.advance()
 	default:
 		l.retry("no answer in time")
 	}
@@ -196,22 +196,22 @@
 
 // OnData takes in what the server sent.
 func (l *lane) OnData(c *transport.Conn, b *transport.Buffer) {
-	pool := &l.src.engine.Pool
+	pool := &l.source.engine.Pool
 	if c != l.conn {
 		pool.Put(b)
 		return
 	}
-	if l.in == nil {
-		l.in = b
+	if l.input == nil {
+		l.input = b
 	} else {
-		ok := l.in.Append(b.Bytes())
+		ok := l.input.Append(b.Bytes())
 		if pool.Put(b); !ok {
 			l.retry("more than was asked for")
 			return
 		}
 	}
-	for l.conn == c && l.in != nil {
-		r, used, err := parseReply(l.in.Bytes())
+	for l.conn == c && l.input != nil {
+		r, used, err := parseReply(l.input.Bytes())
 		if err != nil {
 			l.retry(err.Error())
 			return
@@ -219,63 +219,63 @@
 		if used == 0 {
 			return
 		}
-		held := l.in
-		l.in = nil
+		held := l.input
+		l.input = nil
 		if behind := held.Bytes()[used:]; len(behind) > 0 {
-			l.in = pool.Get()
-			l.in.Append(behind)
+			l.input = pool.Get()
+			l.input.Append(behind)
 		}
-		if !l.reply(r, func() { pool.Put(held) }) {
+		if !l.handleReply(r, func() { pool.Put(held) }) {
 			pool.Put(held)
 		}
 	}
 }
 
-// reply takes in one reply; true: it keeps the buffer, and calls release later.
-func (l *lane) reply(r reply, release func()) bool {
-	s := l.src
-	switch l.step {
-	case greeted:
-		l.greet(r)
-	case hailed:
+// handleReply takes in one handleReply; true: it keeps the buffer, and calls release later.
+func (l *lane) handleReply(r reply, release func()) bool {
+	s := l.source
+	switch l.state {
+	case laneAwaitingGreeting:
+		l.handleGreeting(r)
+	case laneAwaitingHello:
 		if r.kind != '+' {
 			l.retry("HELLO: " + string(r.text))
 			return false
 		}
 		l.backoff = 0
-		l.next()
-	case asked:
+		l.advance()
+	case laneFetching:
 		if r.kind == '$' && !r.null && len(r.text) > 0 {
-			return l.take(r.text, release)
+			return l.handleDelivery(r.text, release)
 		}
 		if r.kind == '-' {
 			l.retry("FETCH: " + string(r.text))
 			return false
 		}
-		l.next()
-	case closing:
+		l.advance()
+	case laneClosing:
 		if r.kind == '-' { // upstream does not want it: to send it again would not change that
-			s.core.Log("upstream: closing " + oneLine(l.parting) + ": " + oneLine(string(r.text)))
+			s.dispatcher.Log("upstream: closing " + singleLine(l.pendingClose) + ": " + singleLine(string(r.text)))
 		}
-		l.parting = ""
-		l.next()
-	case beating:
+		l.pendingClose = ""
+		l.advance()
+	case laneBeating:
 		var order struct {
 			State string `json:"state"`
 		}
-		if r.kind != '-' && json.Unmarshal(r.text, &order) == nil && order.State != "" && !s.quiet {
-			s.core.Log("upstream says " + oneLine(order.State) + ": fetching no more")
-			s.quiet = true
+		if r.kind != '-' && json.Unmarshal(r.text, &order) == nil && order.State != "" && !s.draining {
+			s.dispatcher.Log("upstream says " + singleLine(order.State) + ": fetching no more")
+			s.draining = true
 		}
-		l.step = idle
-		l.wait(beatEvery)
+		l.state = laneIdle
+		l.setDeadline(beatInterval)
 	default:
 		l.retry("an answer to nothing")
 	}
 	return false
 }
 
-func (l *lane) greet(r reply) {
+func (l *lane) handleGreeting(r reply) {
 	text, ok := strings.CutPrefix(string(r.text), "HI ")
 	var g greeting
 	if r.kind != '+' || !ok || json.Unmarshal([]byte(text), &g) != nil || g.V != 2 {
@@ -283,127 +283,127 @@
 		return
 	}
 	host, _ := os.Hostname()
-	h := hello{Hostname: host, Wid: l.src.wid, Pid: os.Getpid(), Labels: []string{"hollyyoke"}, V: 2}
+	h := hello{Hostname: host, Wid: l.source.wid, Pid: os.Getpid(), Labels: []string{"hollyyoke"}, V: 2}
 	if g.Salt != "" {
-		if g.Iterations > mostIterations {
+		if g.Iterations > maxHashIterations {
 			l.retry("the greeting asks for too many iterations")
 			return
 		}
-		h.Hash = hashPassword(l.src.config.Source.Password, g.Salt, max(g.Iterations, 1))
+		h.Hash = hashPassword(l.source.config.Source.Password, g.Salt, max(g.Iterations, 1))
 	}
 	raw, _ := json.Marshal(h) // strings and numbers always marshal
-	l.send(hailed, "HELLO "+string(raw), replyTime)
+	l.send(laneAwaitingHello, "HELLO "+string(raw), replyTimeout)
 }
 
-func (l *lane) send(next step, line string, span time.Duration) {
-	l.step = next
-	l.wait(span)
+func (l *lane) send(next laneState, line string, span time.Duration) {
+	l.state = next
+	l.setDeadline(span)
 	l.conn.Write([]byte(line + "\r\n"))
-	l.mark = l.conn.WriteOffset()
+	l.closeOffset = l.conn.WriteOffset()
 }
 
-// next sends what is due on a lane that may send.
-func (l *lane) next() {
-	l.step = idle
+// advance sends what is due on a lane that may send.
+func (l *lane) advance() {
+	l.state = laneIdle
 	switch {
 	case l.number == 0:
-		raw, _ := json.Marshal(map[string]string{"wid": l.src.wid})
-		l.send(beating, "BEAT "+string(raw), replyTime)
-	case l.job:
-		l.step = working
-		l.src.core.Loop.Clear(&l.due)
-	case l.parting != "":
-		l.send(closing, l.parting, replyTime)
-	case l.src.quiet:
-		l.wait(time.Second)
+		raw, _ := json.Marshal(map[string]string{"wid": l.source.wid})
+		l.send(laneBeating, "BEAT "+string(raw), replyTimeout)
+	case l.jobOpen:
+		l.state = laneWorking
+		l.source.dispatcher.Loop.Clear(&l.deadline)
+	case l.pendingClose != "":
+		l.send(laneClosing, l.pendingClose, replyTimeout)
+	case l.source.draining:
+		l.setDeadline(time.Second)
 	default:
-		l.send(asked, "FETCH "+strings.Join(l.src.config.Source.Queues, " "), fetchReply)
+		l.send(laneFetching, "FETCH "+strings.Join(l.source.config.Source.Queues, " "), fetchTimeout)
 	}
 }
 
 // ---- Deliveries.
 
-// take runs a job that was delivered, or closes it again if its jid is known.
-func (l *lane) take(raw []byte, release func()) bool {
-	s := l.src
-	now := s.core.Loop.Now()
+// handleDelivery runs a job that was delivered, or closes it again if its jid is known.
+func (l *lane) handleDelivery(raw []byte, release func()) bool {
+	s := l.source
+	now := s.dispatcher.Loop.Now()
 	s.counts.Fetched++
-	job, w, err := readJob(raw, s.classes, now)
-	if w.at > 0 {
-		err = errLater
+	job, w, err := parseJob(raw, s.classNumbers, now)
+	if w.scheduledAt > 0 {
+		err = errScheduledOnDirectQueue
 	}
-	l.jid, l.job = job.ID, true
+	l.jid, l.jobOpen = job.ID, true
 	if err != nil {
 		var w struct {
 			Jid string `json:"jid"`
 		}
 		if json.Unmarshal(raw, &w) != nil || w.Jid == "" {
-			l.job = false
+			l.jobOpen = false
 			l.retry("a job without a jid")
 			return false
 		}
 		l.jid = w.Jid
-		l.part("FAIL", "Malformed", err.Error())
+		l.closeDelivery("FAIL", "Malformed", err.Error())
 		return false
 	}
-	l.step = working
-	s.core.Loop.Clear(&l.due)
-	switch s.jids.fate(job.ID) {
-	case served:
+	l.state = laneWorking
+	s.dispatcher.Loop.Clear(&l.deadline)
+	switch s.jids.status(job.ID) {
+	case jidServed:
 		s.counts.ClosedAgain++
-		l.part("ACK", "", "")
+		l.closeDelivery("ACK", "", "")
 		return false
-	case mayHaveRun:
+	case jidMayHaveRun:
 		s.counts.ClosedAgain++
-		l.part("FAIL", "Failed", "it may have run before; it does not run again under this jid")
+		l.closeDelivery("FAIL", "Failed", "it may have run before; it does not run again under this jid")
 		return false
-	case inWork: // delivered twice: both are closed by what becomes of the first
+	case jidInProgress: // delivered twice: both are closed by what becomes of the first
 		s.counts.ClosedAgain++
-		known := s.jids.jids[job.ID]
-		known.wait = append(known.wait, l.close)
+		known := s.jids.entries[job.ID]
+		known.onResponse = append(known.onResponse, l.closeWith)
 		return false
 	}
 	s.jids.begin(job.ID, now)
 	l.class = job.Class
 	job.Release = release
-	s.core.Accept(s, uint64(l.number), job)
+	s.dispatcher.Accept(s, uint64(l.number), job)
 	return true
 }
 
 // Respond closes the delivery of a lane.
 func (s *Source) Respond(token uint64, a dispatch.Response) {
 	l := s.lanes[token]
-	s.jids.finish(l.jid, a, s.core.Settings.Classes[l.class].Idempotency, s.core.Loop.Now())
-	l.close(a)
+	s.jids.finish(l.jid, a, s.dispatcher.Settings.Classes[l.class].Idempotency, s.dispatcher.Loop.Now())
+	l.closeWith(a)
 }
 
-func (l *lane) close(a dispatch.Response) {
+func (l *lane) closeWith(a dispatch.Response) {
 	switch a.Outcome {
 	case dispatch.Served:
-		l.part("ACK", "", "")
+		l.closeDelivery("ACK", "", "")
 	case dispatch.Rejected:
-		l.part("FAIL", "Refused", fmt.Sprintf("not run; come back after %.3f s", a.RetryAfter.Seconds()))
+		l.closeDelivery("FAIL", "Refused", fmt.Sprintf("not run; come back after %.3f s", a.RetryAfter.Seconds()))
 	default:
-		l.part("FAIL", "Failed", "it may have run")
+		l.closeDelivery("FAIL", "Failed", "it may have run")
 	}
 }
 
-// part closes the delivery of the lane, now or once it is connected again.
-func (l *lane) part(verb, kind, text string) {
-	l.job = false
+// closeDelivery closes the delivery of the lane, now or once it is connected again.
+func (l *lane) closeDelivery(verb, kind, text string) {
+	l.jobOpen = false
 	c := struct {
 		Jid     string `json:"jid"`
 		Kind    string `json:"errtype,omitempty"`
 		Message string `json:"message,omitempty"`
 	}{l.jid, kind, text}
 	raw, _ := json.Marshal(c) // strings always marshal
-	l.parting = verb + " " + string(raw)
+	l.pendingClose = verb + " " + string(raw)
 	if verb == "ACK" {
-		l.src.counts.Acked++
+		l.source.counts.Acked++
 	} else {
-		l.src.counts.Failed++
+		l.source.counts.Failed++
 	}
-	if l.step == working || l.step == asked {
-		l.next()
+	if l.state == laneWorking || l.state == laneFetching {
+		l.advance()
 	}
 }
