--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -376,8 +376,8 @@
 		return err
 	}
 	if former != nil && l.hasFaktory {
-		if why := second.Movable(&d.Settings); why != "" {
-			return fmt.Errorf("%s: the Faktory front cannot be handed over, %s: end the running process first", cmp.Or(f.Faktory, f.Operator), why)
+		if err := second.Movable(&d.Settings); err != nil {
+			return fmt.Errorf("%s: the Faktory front cannot be handed over, %w: end the running process first", cmp.Or(f.Faktory, f.Operator), err)
 		}
 		n.open = open
 		if n.fronts.platform != nil {
--- a/internal/faktory/durable.go
+++ b/internal/faktory/durable.go
@@ -1,673 +1,205 @@
 package faktory
 
 import (
-	"bytes"
-	"cmp"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"log/slog"
-	"path"
-	"slices"
-	"strconv"
-	"strings"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
-
 	"hollyyoke.example/hollyyoke/decision"
 	"hollyyoke.example/hollyyoke/internal/dispatch"
 	"hollyyoke.example/hollyyoke/internal/durable"
-	"hollyyoke.example/hollyyoke/internal/eventloop"
 	"hollyyoke.example/hollyyoke/internal/jobs"
-	"hollyyoke.example/hollyyoke/internal/store"
 )
 
-// This file owns the protocol's words for durable queues: what a job says of its
-// repeats and its lease, whose word about a lease it is, and the commands that
-// only make sense where something is kept. It must never say +OK to a change
-// that is not on the disk, nor take one worker's word for another's lease.
-
-// Durable is the operator's table of durable queues.
-type Durable struct {
-	Path       string   `toml:"path"`          // the file that keeps the jobs; empty: off
-	Queues     []string `toml:"queues"`        // the durable ones, by class; the others stay direct
-	LeaseS     float64  `toml:"lease_s"`       // without a heartbeat, where a job does not say reserve_for
-	GraceS     float64  `toml:"grace_s"`       // after a start, for workers to come back with what they hold
-	Attempts   int      `toml:"attempts"`      // of a job that may be repeated and does not say retry
-	BackoffS   float64  `toml:"backoff_s"`     // before the second attempt, doubled for each more
-	RetainS    float64  `toml:"retain_s"`      // for which a job that is over is known
-	RetainDeadS float64  `toml:"retain_dead_s"` // for which a dead one is
-	DelayMs    float64  `toml:"delay_ms"`      // for which a change waits for others before its fsync
-	Flush      bool     `toml:"flush"`         // whether FLUSH is obeyed
-
-	Log *slog.Logger `toml:"-"` // where the audit goes; nil: nowhere
-}
-
-func (c *Durable) check(s *decision.Settings, listens bool) error {
-	if c.Path == "" {
-		if len(c.Queues) > 0 {
-			return errors.New("durable.path: missing, so the queues cannot be kept")
-		}
-		return nil
-	}
-	if !listens {
-		return errors.New("durable.path: the server role is off: listen is missing")
-	}
-	for i, q := range c.Queues {
-		if !slices.ContainsFunc(s.Classes, func(c decision.Class) bool { return c.Name == q }) {
-			return fmt.Errorf("durable.queues[%d]: no class %q is served here", i, q)
-		}
-	}
-	for key, v := range map[string]float64{"lease_s": c.LeaseS, "grace_s": c.GraceS, "backoff_s": c.BackoffS, "retain_s": c.RetainS,
-		"retain_dead_s": c.RetainDeadS, "delay_ms": c.DelayMs, "attempts": float64(c.Attempts)} {
-		if v < 0 || v > 1e9 {
-			return fmt.Errorf("durable.%s: %g is not between 0 and 1e9", key, v)
-		}
-	}
-	return nil
-}
-
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+const (
+	// releaseTimeout is how long a release waits for commands whose changes are
+	// not on disk yet, before it closes their connections.
+	releaseTimeout = time.Second
 
-// config is what the service is opened with.
-func (c *Durable) config() durable.Config {
-	return durable.Config{
-		Path:  c.Path,
-		Jobs:  jobs.Config{Lease: seconds(c.LeaseS), Grace: seconds(c.GraceS), Attempts: c.Attempts, Backoff: seconds(c.BackoffS), Retain: seconds(c.RetainS), Dead: seconds(c.RetainDeadS)},
-		Store: store.Options{Delay: seconds(c.DelayMs / 1000)},
-	}
-}
+	// releasePollInterval is how often a release looks for such connections.
+	releasePollInterval = 5 * time.Millisecond
+)
 
-// durableQueues is the durable side of the server; nil where all queues are direct.
+// durableQueues is the durable side of a server: the service that stores jobs,
+// and the scheduler that assigns them to free slots. No answer says +OK to a
+// change before it is on disk, and no worker's report counts for the lease of
+// another.
 type durableQueues struct {
 	*durable.Service
 	scheduler    *durable.Scheduler
-	classes []bool // the durable ones
-	flushAllowed   bool
-	progress  map[string]jobProgress
-	parkCount   uint64
-}
-
-// jobProgress is how far a worker says it is with a job; a restart forgets it.
-type jobProgress struct {
-	Percent int    `json:"percent"`
-	Desc    string `json:"desc"`
-	At      string `json:"updated_at"`
+	classes      []bool // by class number: whether it is durable
+	flushAllowed bool
+	progress     map[string]jobProgress // by jid
+	parkCount    uint64                 // FETCHes parked so far
 }
 
-const maxProgressEntries = 10_000
+var _ durable.Workers = (*Server)(nil)
 
-// EnableDurable makes some queues durable. It must come before Listen.
-func (s *Server) EnableDurable(c Durable) error {
-	log := c.Log
+// EnableDurable makes the queues that config names durable, and starts the
+// service once the loop runs. It must be called before Listen.
+func (s *Server) EnableDurable(config Durable) error {
+	log := config.Log
 	if log == nil {
 		log = slog.New(slog.DiscardHandler)
 	}
-	service, err := durable.Open(s.dispatcher.Loop, c.config(), log)
+	service, err := durable.Open(s.dispatcher.Loop, config.serviceConfig(), log)
 	if err != nil {
 		return fmt.Errorf("durable.path: %w", err)
 	}
 	s.durable = &durableQueues{
-		Service: service, scheduler: durable.NewScheduler(service, s.dispatcher, s), classes: c.Classes(&s.dispatcher.Settings),
-		flushAllowed: c.Flush, progress: map[string]jobProgress{},
+		Service:      service,
+		scheduler:    durable.NewScheduler(service, s.dispatcher, s),
+		classes:      config.Classes(&s.dispatcher.Settings),
+		flushAllowed: config.Flush,
+		progress:     map[string]jobProgress{},
 	}
-	service.OnLeaseExpired = func(j jobs.Job) { s.endDelivery(j.ID, j.Fence, decision.TimedOut) }
+	service.OnLeaseExpired = func(job jobs.Job) { s.endLease(job.ID, job.Fence, decision.TimedOut) }
 	s.dispatcher.Loop.Post(service.Start)
 	return nil
 }
 
-// Request words a stored job for the core.
-func (s *Server) Request(j jobs.Job) (dispatch.Request, error) {
-	if r, is := durable.ReadRequest(j); is {
-		class, known := s.classNumbers[j.Class]
-		if !known {
-			return dispatch.Request{}, errUnknownClass
+// isDurable reports whether the queue of a class is durable.
+func (s *Server) isDurable(class int) bool { return s.durable != nil && s.durable.classes[class] }
+
+// classNumbers returns the durable classes.
+func (q *durableQueues) classNumbers() (classes []int) {
+	for class, isDurable := range q.classes {
+		if isDurable {
+			classes = append(classes, class)
 		}
-		return dispatch.Request{ID: j.ID, Class: class, Target: r.Target, Key: r.Key, IdempotencyKey: r.IdempotencyKey, Body: r.Body, Slots: r.Slots, Work: r.Work}, nil
 	}
-	job, _, err := parseJob(j.Payload, s.classNumbers, s.dispatcher.Loop.Now())
-	return job, err
+	return classes
 }
 
-// foreignOffers is how many jobs are offered at a time where backends of other wires run, whose slots nobody tells here.
-const foreignOffers = 16
-
-// Guarantee is what a worker has promised; those of other wires promise nothing.
-func (s *Server) Guarantee(backend string) jobs.Guarantee {
-	if w := s.workers[backend]; w != nil {
+// Request turns a stored job into a request for the dispatcher.
+func (s *Server) Request(job jobs.Job) (dispatch.Request, error) {
+	stored, isRequest := durable.ReadRequest(job)
+	if !isRequest {
+		request, _, err := parseJob(job.Payload, s.classNumbers, s.dispatcher.Loop.Now())
+		return request, err
+	}
+	class, known := s.classNumbers[job.Class]
+	if !known {
+		return dispatch.Request{}, errUnknownClass
+	}
+	return dispatch.Request{
+		ID:             job.ID,
+		Class:          class,
+		Target:         stored.Target,
+		Key:            stored.Key,
+		IdempotencyKey: stored.IdempotencyKey,
+		Body:           stored.Body,
+		Slots:          stored.Slots,
+		Work:           stored.Work,
+	}, nil
+}
+
+// Guarantee returns what a worker has promised. Workers of other front ends
+// promise nothing.
+func (s *Server) Guarantee(workerName string) jobs.Guarantee {
+	if w := s.workers[workerName]; w != nil {
 		return w.guarantee
 	}
 	return jobs.NoGuarantee
 }
 
-// FreeSlots lists the durable classes that each parked FETCH wants, in its order.
-func (s *Server) FreeSlots() (slots [][]int) {
-	var parked []*connection
-	running := 0
-	for _, w := range s.workers {
-		if w.listed && w.endpoint.State == decision.Running {
-			running++
-			parked = append(parked, w.parked[min(len(w.awaitingFetch), len(w.parked)):]...)
-		}
-	}
-	slices.SortFunc(parked, func(a, b *connection) int { return cmp.Compare(a.parkSequence, b.parkSequence) })
-	for _, n := range parked {
-		if len(n.durableClasses) > 0 {
-			slots = append(slots, n.durableClasses)
-		}
-	}
-	if s.dispatcher.ReadyWorkers() > running {
-		var all []int
-		for class, kept := range s.durable.classes {
-			if kept {
-				all = append(all, class)
-			}
-		}
-		for range foreignOffers {
-			slots = append(slots, all)
-		}
-	}
-	return slots
-}
-
-// reservation is a job that waits for a slot of a worker.
-type reservation struct {
-	jid    string
-	class int
-	onResult  func(free bool)
-	deadline   eventloop.Deadline
-}
-
-// Reserve keeps a parked FETCH of a worker for a job, now or when one comes in time.
-func (s *Server) Reserve(backend string, class int, id string, then func(free bool)) {
-	w := s.workers[backend]
-	switch {
-	case w == nil: // another wire's
-		then(true)
-		return
-	case w.endpoint.State != decision.Running || len(w.reservations) >= max(w.maxSlots, 1):
-		then(false)
-		return
-	}
-	x := &reservation{jid: id, class: class, onResult: then}
-	x.deadline.Fire = func() { w.resolveReservation(s, x, false) }
-	w.reservations = append(w.reservations, x)
-	s.dispatcher.Loop.Set(&x.deadline, s.dispatcher.Loop.Now()+nextFetchTimeout)
-	w.fillReservations(s)
-}
-
-// SendsHeartbeats tells whether a backend renews its leases itself: those of this wire do.
-func (s *Server) SendsHeartbeats(backend string) bool { return s.workers[backend] != nil }
+// SendsHeartbeats reports whether a worker renews its leases itself, as those
+// of this front end do.
+func (s *Server) SendsHeartbeats(workerName string) bool { return s.workers[workerName] != nil }
 
-// resolveReservation ends a wait.
-func (w *worker) resolveReservation(s *Server, x *reservation, free bool) {
-	w.reservations = slices.DeleteFunc(w.reservations, func(o *reservation) bool { return o == x })
-	s.dispatcher.Loop.Clear(&x.deadline)
-	x.onResult(free)
-}
-
-// fillReservations keeps the slots that are free for those who wait for one.
-func (w *worker) fillReservations(s *Server) {
-	for _, x := range slices.Clone(w.reservations) {
-		if n := w.slotFor(x.class, ""); n != nil && slices.Contains(w.reservations, x) {
-			n.reservedFor = x.jid
-			w.resolveReservation(s, x, true)
-		}
-	}
-}
-
-// Unreserve lets go of a slot that was kept for a job.
-func (s *Server) Unreserve(backend, id string) {
-	w := s.workers[backend]
-	if w == nil {
-		return
-	}
-	for _, n := range w.parked {
-		if n.reservedFor == id {
-			n.reservedFor = ""
+// storeJob stores a job and calls onStored once it is on disk, or with the
+// error that its producer gets.
+func (c *connection) storeJob(request dispatch.Request, raw []byte, payload *work, onStored func(error)) {
+	server := c.server
+	class := &server.dispatcher.Settings.Classes[request.Class]
+	job := durableJob(raw, request.ID, payload, class)
+	server.durable.Push(job, payload.scheduledAt, asError(func(err error) {
+		switch {
+		case err == nil:
+			onStored(nil)
+		case err.Error() == jobs.OtherJob:
+			onStored(fmt.Errorf("NOTUNIQUE %w", err))
+		default:
+			onStored(fmt.Errorf("REFUSED %w; pushing it again is harmless", err))
 		}
-	}
-	s.dispatcher.Loop.Post(func() { w.deliverAwaiting(s); w.fillReservations(s) })
+	}))
 }
 
-// durableClassesOf lists the durable classes of a FETCH, in its order.
-func (s *Server) durableClassesOf(queues string) (classes []int) {
-	for q := range strings.FieldsSeq(queues) {
-		if class, ok := s.classNumbers[q]; ok && s.durable.classes[class] && !slices.Contains(classes, class) {
-			classes = append(classes, class)
+// asError adapts a callback to the service, which tells reasons as texts.
+func asError(done func(error)) func(reason string) {
+	return func(reason string) {
+		if reason == "" {
+			done(nil)
+			return
 		}
+		done(errors.New(reason))
 	}
-	return classes
-}
-
-const maxLease = 24 * time.Hour
-
-// durableJob words a job for the service.
-func (s *Server) durableJob(raw []byte, job dispatch.Request, w *work) (j jobs.Job) {
-	class := s.dispatcher.Settings.Classes[job.Class]
-	j = jobs.Job{ID: job.ID, Class: class.Name, Once: class.Idempotency != decision.Idempotent, Payload: bytes.Clone(raw)}
-	// What makes a job another one; times and the like may differ from one PUSH to its repeat.
-	h := xxhash.New()
-	h.WriteString(class.Name + "\x00" + w.Jobtype)
-	for _, arg := range w.Args {
-		var text bytes.Buffer
-		json.Compact(&text, arg) // it has been read
-		h.Write(append(text.Bytes(), 0))
-	}
-	j.Sum = h.Sum64()
-	if w.Retry != nil {
-		j.Most, j.Drops = max(min(*w.Retry, 1000), 0)+1, *w.Retry < 0
-	}
-	if w.ReserveForSeconds > 0 {
-		j.Lease = min(seconds(min(w.ReserveForSeconds, 1e9)), maxLease)
-	}
-	return j
 }
 
-// storeJob takes a job on durably: its producer hears once the disk has it.
-func (n *connection) storeJob(job dispatch.Request, raw []byte, w *work, told func(why string)) {
-	n.server.durable.Push(n.server.durableJob(raw, job, w), w.scheduledAt, func(why string) {
-		switch {
-		case why == jobs.OtherJob:
-			why = "NOTUNIQUE " + why
-		case why != "":
-			why = "REFUSED " + why + "; pushing it again is harmless"
-		}
-		told(why)
-	})
-}
-
-// deferReply makes the session wait until what it asked for is on the disk.
-func (n *connection) deferReply() (told func(line string)) {
-	n.busy = true
-	n.server.dispatcher.Loop.Clear(&n.deadline)
+// deferReply makes the connection wait for the answer to its command. The
+// answer is sent by reply, unless the connection is closed by then.
+func (c *connection) deferReply() (reply func(line string)) {
+	c.busy = true
+	c.server.dispatcher.Loop.Clear(&c.deadline)
 	return func(line string) {
-		if n.closed {
+		if c.closed {
 			return
 		}
-		n.writeLine(line)
-		n.resume()
+		c.writeLine(line)
+		c.resume()
 	}
 }
 
-// resultLine is the line of an answer: +OK, or why not.
-func resultLine(why string) string {
-	if why == "" {
-		return "+OK"
-	}
-	return "-ERR " + singleLine(why)
-}
-
-// handlePushBulk takes many jobs at once, and tells those that were not taken on by jid.
-func (n *connection) handlePushBulk(rest []byte) {
-	var list []json.RawMessage
-	if err := json.Unmarshal(rest, &list); err != nil {
-		n.writeLine("-ERR MALFORMED PUSHB: " + singleLine(err.Error()))
-		return
-	}
-	no := map[string]string{}
-	told, open := n.deferReply(), 1
-	done := func() {
-		if open--; open == 0 {
-			raw, _ := json.Marshal(no) // strings always marshal
-			told(strings.TrimSuffix(string(appendBulk(nil, raw)), "\r\n"))
-		}
-	}
-	srv := n.server
-	for i, raw := range list {
-		job, w, err := parseJob(raw, srv.classNumbers, srv.dispatcher.Loop.Now())
-		id := cmp.Or(job.ID, fmt.Sprintf("[%d]", i))
-		if err == nil && !srv.durable.classes[job.Class] {
-			err = errors.New("its queue is direct, and is answered job by job: PUSH it")
+// moveAll moves the jobs that match, and returns the last error of those that
+// cannot be moved.
+func (q *durableQueues) moveAll(move jobs.Move, reason string, matches func(jobs.Job) bool) (lastError error) {
+	var jids []string
+	q.Each(func(job jobs.Job) {
+		if matches(job) {
+			jids = append(jids, job.ID)
 		}
+	})
+	for _, jid := range jids {
+		err := q.Move(jid, move, reason, false)
 		if err != nil {
-			no[id] = err.Error()
-			continue
+			lastError = err
 		}
-		open++
-		n.storeJob(job, raw, &w, func(why string) {
-			if why != "" {
-				no[id] = why
-			}
-			done()
-		})
-	}
-	done()
-}
-
-// word is a worker's word about a job.
-type word struct {
-	Jid     string `json:"jid"`
-	Fence   uint64 `json:"fence"`   // of the lease that it is about; 0: of the one that the worker holds
-	Started *bool  `json:"started"` // in FAIL: false says that it never began
-	Type    string `json:"errtype"`
-	Message string `json:"message"`
-	Percent int    `json:"percent"`
-	Desc    string `json:"desc"`
-	Until   string `json:"reserve_until"`
-}
-
-// fenceOf is the lease that a word is about. Without a fenceOf it is the one that
-// the session's worker holds, or held last; nobody's word is about another's.
-func (n *connection) fenceOf(j jobs.Job, w word) uint64 {
-	if w.Fence == 0 && n.worker != nil && n.worker.name == j.Worker {
-		return j.Fence
 	}
-	return w.Fence
+	return lastError
 }
 
-// completeDurable takes an ACK or a FAIL of a durable job, or START, by which a worker
-// that honours fences asks whether it may begin.
-func (n *connection) completeDurable(verb string, j jobs.Job, w word) {
-	srv, k := n.server, n.server.durable
-	fence := n.fenceOf(j, w)
-	say := n.deferReply()
-	told := func(why string) {
-		if why != "" {
-			why = "VOID " + why
-		}
-		say(resultLine(why))
-	}
-	o := decision.Completed
-	switch verb {
-	case "START":
-		k.StartJob(w.Jid, fence, func(why string) {
-			if why != "" { // it will not run it
-				srv.endDelivery(w.Jid, fence, decision.NotSent)
-			}
-			told(why)
-		})
-		return
-	case "ACK":
-		k.Ack(w.Jid, fence, nil, told)
-	case "FAIL":
-		o = decision.Failed
-		started := w.Started == nil || *w.Started
-		k.Fail(w.Jid, fence, cmp.Or(strings.TrimPrefix(w.Type+": "+w.Message, ": "), "failed"), started, told)
-	}
-	delete(k.progress, w.Jid)
-	srv.endDelivery(w.Jid, fence, o)
-}
-
-// endDelivery ends the delivery that went out under a lease: its worker is endDelivery
-// with it, or its word no longer counts.
-func (s *Server) endDelivery(id string, fence uint64, o decision.AttemptOutcome) {
-	for _, d := range s.deliveries {
-		if d.handedOut && d.attempt.Request.ID == id && d.attempt.Fence == fence {
-			s.forgetDelivery(d)
-			s.dispatcher.AttemptEnded(d.attempt.Handle, o, decision.LoadReport{}, nil)
-			return
-		}
-	}
-}
-
-// withFence tells a worker the fence of its lease, in the job's custom object.
-func withFence(raw []byte, fence uint64) []byte {
-	var job, custom map[string]json.RawMessage
-	if json.Unmarshal(raw, &job) != nil {
-		return raw // it was readable when it was taken on
-	}
-	if json.Unmarshal(job["custom"], &custom) != nil || custom == nil {
-		custom = map[string]json.RawMessage{}
-	}
-	custom["fence"] = strconv.AppendUint(nil, fence, 10)
-	job["custom"], _ = json.Marshal(custom) // raw messages that have been read marshal
-	out, err := json.Marshal(job)
-	if err != nil {
-		return raw
-	}
-	return out
-}
-
-// handleDurableCommand obeys the commands that only make sense where something is handleDurableCommand.
-func (n *connection) handleDurableCommand(verb string, rest []byte) {
-	if n.server.durable == nil {
-		n.writeLine("-ERR Unknown command " + verb + ": no queue is durable here")
-		return
-	}
-	switch verb {
-	case "START":
-		var w word
-		if err := json.Unmarshal(rest, &w); err != nil || w.Jid == "" {
-			n.writeLine("-ERR MALFORMED START: a jid is needed")
-			return
-		}
-		j, known := n.server.durable.Get(w.Jid)
-		if !known {
-			n.writeLine("-ERR VOID no such job")
-			return
-		}
-		n.completeDurable(verb, j, w)
-	case "PUSHB":
-		n.handlePushBulk(rest)
-	case "QUEUE":
-		n.handleQueue(rest)
-	case "MUTATE":
-		n.handleMutate(rest)
-	case "FLUSH":
-		n.handleFlush()
-	case "TRACK":
-		n.handleTrack(rest)
-	}
+// releaseDurable closes all connections, each once its command is answered,
+// and then the store, and calls done. Workers reconnect to the successor with
+// the jobs that they hold.
+func (s *Server) releaseDurable(done func()) {
+	s.acceptor.Close()
+	s.durable.scheduler.Release()
+	limit := s.dispatcher.Loop.Now() + releaseTimeout
+	s.continueRelease(limit, done)
 }
 
-// handleQueue obeys QUEUE PAUSE, RESUME and REMOVE; * is all durable queues.
-func (n *connection) handleQueue(rest []byte) {
-	srv, k := n.server, n.server.durable
-	fields := strings.Fields(string(rest))
-	if len(fields) < 2 {
-		n.writeLine("-ERR MALFORMED QUEUE: PAUSE, RESUME or REMOVE, and queues")
-		return
-	}
-	var names []string
-	for _, q := range fields[1:] {
-		class, known := srv.classNumbers[q]
+// continueRelease closes the connections that can be closed by now, and goes on
+// later if some are left.
+func (s *Server) continueRelease(limit time.Duration, done func()) {
+	loop := s.dispatcher.Loop
+	late := loop.Now() >= limit
+	s.connections.ForEach(func(_ uint64, c *connection) {
 		switch {
-		case q == "*":
-			for name, class := range srv.classNumbers {
-				if k.classes[class] {
-					names = append(names, name)
-				}
-			}
-			slices.Sort(names)
-		case !known || !k.classes[class]:
-			n.writeLine("-ERR UNKNOWN queue " + singleLine(fmt.Sprintf("%.40s", q)) + ": no durable one")
-			return
-		default:
-			names = append(names, q)
-		}
-	}
-	told := n.deferReply()
-	switch op := strings.ToUpper(fields[0]); op {
-	case "PAUSE", "RESUME":
-		for i, name := range names {
-			k.scheduler.Pause(name, op == "PAUSE", func(why string) {
-				if i == len(names)-1 { // the last one's word holds all
-					told(resultLine(why))
-				}
-			})
-		}
-		if len(names) == 0 {
-			told("+OK")
-		}
-	case "REMOVE":
-		k.moveAll(jobs.Discard, "QUEUE REMOVE", func(j jobs.Job) bool { return j.State == jobs.Ready && slices.Contains(names, j.Class) })
-		k.AfterSync(func(why string) { told(resultLine(why)) })
-	default:
-		told("-ERR MALFORMED QUEUE: PAUSE, RESUME or REMOVE")
-	}
-}
-
-// moveAll moves all jobs that are chosen, and tells why some are not.
-func (k *durableQueues) moveAll(to jobs.Move, why string, chosen func(jobs.Job) bool) (last error) {
-	var ids []string
-	k.Each(func(j jobs.Job) {
-		if chosen(j) {
-			ids = append(ids, j.ID)
-		}
-	})
-	for _, id := range ids {
-		if err := k.Move(id, to, why, false); err != nil {
-			last = err
-		}
-	}
-	return last
-}
-
-// handleMutate obeys MUTATE.
-func (n *connection) handleMutate(rest []byte) {
-	var m struct {
-		Cmd    string `json:"cmd"`
-		Target string `json:"target"`
-		Filter struct {
-			Jobtype string   `json:"jobtype"`
-			Jids    []string `json:"jids"`
-			Regexp  string   `json:"regexp"`
-		} `json:"filter"`
-	}
-	if err := json.Unmarshal(rest, &m); err != nil {
-		n.writeLine("-ERR MALFORMED MUTATE: " + singleLine(err.Error()))
-		return
-	}
-	state, known := map[string]jobs.State{"scheduled": jobs.Scheduled, "retries": jobs.Waiting, "dead": jobs.Dead}[m.Target]
-	to, able := map[string]jobs.Move{"clear": jobs.Discard, "discard": jobs.Discard, "kill": jobs.Kill, "requeue": jobs.Requeue}[m.Cmd]
-	if _, err := path.Match(m.Filter.Regexp, ""); !known || !able || err != nil {
-		n.writeLine("-ERR MALFORMED MUTATE: cmd is clear, discard, kill or requeue, target is scheduled, retries or dead, regexp has * for any text")
-		return
-	}
-	told := n.deferReply()
-	last := n.server.durable.moveAll(to, "MUTATE "+m.Cmd, func(j jobs.Job) bool {
-		if j.State != state || m.Cmd == "clear" {
-			return j.State == state
-		}
-		var w work
-		json.Unmarshal(j.Payload, &w)
-		text, _ := path.Match(m.Filter.Regexp, strings.ReplaceAll(string(j.Payload), "/", " "))
-		return (m.Filter.Jobtype == "" || m.Filter.Jobtype == cmp.Or(w.Jobtype, j.Class)) &&
-			(m.Filter.Jids == nil || slices.Contains(m.Filter.Jids, j.ID)) && (m.Filter.Regexp == "" || text)
-	})
-	n.server.durable.AfterSync(func(why string) {
-		if last != nil {
-			why = cmp.Or(why, "REFUSED "+last.Error())
+		case c.parked:
+			c.writeLine(nullBulk)
+			c.closeGracefully()
+		case !c.busy, late:
+			c.closeGracefully()
 		}
-		told(resultLine(why))
 	})
-}
-
-// handleFlush obeys FLUSH where the operator lets it: all that waits is discarded.
-// What is leased or in doubt stays.
-func (n *connection) handleFlush() {
-	k := n.server.durable
-	if !k.flushAllowed {
-		n.writeLine("-ERR REFUSED FLUSH is off here: durable.flush in the operator's file")
+	if s.connections.Len() > 0 {
+		loop.After(releasePollInterval, func() { s.continueRelease(limit, done) })
 		return
 	}
-	told := n.deferReply()
-	k.moveAll(jobs.Discard, "FLUSH", func(j jobs.Job) bool {
-		return j.State == jobs.Ready || j.State == jobs.Scheduled || j.State == jobs.Waiting || j.State == jobs.Dead
-	})
-	k.AfterSync(func(why string) { told(resultLine(why)) })
-}
-
-// trackStateNames are the protocol's names of states.
-var trackStateNames = map[jobs.State]string{
-	jobs.Accepted: "enqueued", jobs.Scheduled: "scheduled", jobs.Ready: "enqueued", jobs.Leased: "working", jobs.Started: "working",
-	jobs.Waiting: "failed", jobs.Done: "success", jobs.Dead: "dead", jobs.Discarded: "discarded", jobs.InDoubt: "in doubt",
-}
-
-// handleTrack obeys TRACK GET and TRACK SET.
-func (n *connection) handleTrack(rest []byte) {
-	k := n.server.durable
-	verb, rest := parseCommand(rest)
-	switch verb {
-	case "GET":
-		id := string(rest)
-		j, known := k.Get(id)
-		state := "unknown"
-		if known {
-			state = trackStateNames[j.State]
-		}
-		raw, _ := json.Marshal(struct { // strings and numbers always marshal
-			Jid   string `json:"jid"`
-			State string `json:"state"`
-			Why   string `json:"why,omitempty"`
-			jobProgress
-		}{id, state, j.Why, k.progress[id]})
-		n.conn.Write(appendBulk(nil, raw))
-	case "SET":
-		var w word
-		if err := json.Unmarshal(rest, &w); err != nil {
-			n.writeLine("-ERR MALFORMED TRACK: " + singleLine(err.Error()))
-			return
-		}
-		j, known := k.Get(w.Jid)
-		if !known || j.State != jobs.Leased && j.State != jobs.Started {
-			n.writeLine("-ERR UNKNOWN jid: no such job is in work")
-			return
-		}
-		now := n.server.dispatcher.Loop.Now()
-		if until, err := time.Parse(time.RFC3339Nano, w.Until); err == nil {
-			k.Extend(w.Jid, n.fenceOf(j, w), min(time.Duration(until.UnixNano()), now+maxLease))
-		}
-		if len(k.progress) >= maxProgressEntries {
-			clear(k.progress) // of jobs whose workers never closed them
-		}
-		k.progress[w.Jid] = jobProgress{w.Percent, w.Desc, time.Unix(0, int64(now)).UTC().Format(time.RFC3339)}
-		n.writeLine("+OK")
-	default:
-		n.writeLine("-ERR MALFORMED TRACK: GET and a jid, or SET")
-	}
-}
-
-// durableInfo adds what is kept to INFO.
-func (s *Server) durableInfo(faktory map[string]any) {
-	counts := s.durable.Counts()
-	queues := map[string]int{}
-	for name, class := range s.classNumbers {
-		if s.durable.classes[class] {
-			queues[name] = s.durable.scheduler.Waiting(class)
-		}
-	}
-	faktory["queues"], faktory["paused"] = queues, s.durable.scheduler.Paused()
-	faktory["total_enqueued"] = counts[jobs.Ready] + counts[jobs.Accepted]
-	tasks := faktory["tasks"].(map[string]any)
-	for name, n := range map[string]int{"Scheduled": counts[jobs.Scheduled], "Retries": counts[jobs.Waiting], "Dead": counts[jobs.Dead],
-		"InDoubt": counts[jobs.InDoubt], "Leased": counts[jobs.Leased] + counts[jobs.Started], "Done": counts[jobs.Done]} {
-		tasks[name] = map[string]any{"size": n}
-	}
-}
-
-// releaseTimeout is how long sessions may wait for the disk before they are cut off.
-const releaseTimeout = time.Second
-
-// release ends all sessions, each once what it asked for is on the disk, and
-// closes the store: workers come back to the successor with what they hold.
-func (s *Server) release(done func()) {
-	loop, k := s.dispatcher.Loop, s.durable
-	s.acceptor.Close()
-	k.scheduler.Release()
-	limit := loop.Now() + releaseTimeout
-	var step func()
-	step = func() {
-		late := loop.Now() >= limit
-		s.connections.ForEach(func(_ uint64, n *connection) {
-			switch {
-			case n.parked:
-				n.conn.Write([]byte("$-1\r\n"))
-				n.end()
-			case !n.busy, late:
-				n.end()
-			}
-		})
-		if s.connections.Len() > 0 {
-			loop.After(5*time.Millisecond, step)
-			return
-		}
-		if err := k.Service.Close(); err != nil {
-			s.dispatcher.Log(fmt.Sprintf("the store: %v", err))
-		}
-		done()
+	err := s.durable.Service.Close()
+	if err != nil {
+		s.dispatcher.Log(fmt.Sprintf("the store: %v", err))
 	}
-	step()
+	done()
 }
--- /dev/null
+++ b/internal/faktory/front.go
@@ -0,0 +1,124 @@
+// Package faktory speaks the Faktory work protocol in two roles: as a server
+// that producers and workers connect to (Server), and as a consumer of an
+// upstream server (Source). Both hand jobs as requests to the dispatcher that
+// the HTTP front end uses too; workers that connect here are workers of its
+// fleet.
+//
+// A queue is direct or durable. The PUSH of a direct queue is answered when the
+// job has completed, since nothing of it is stored; the PUSH of a durable queue
+// is answered once the job is on disk.
+//
+// The package never decides where a job runs or whether it is retried, and it
+// never hands out again a job that may have run unless its class is idempotent.
+// No input makes it panic. Everything here belongs to the goroutine of the
+// event loop.
+package faktory
+
+import (
+	"fmt"
+
+	"hollyyoke.example/hollyyoke/internal/dispatch"
+	"hollyyoke.example/hollyyoke/internal/durable"
+	"hollyyoke.example/hollyyoke/internal/listener"
+	"hollyyoke.example/hollyyoke/internal/transport"
+)
+
+// Front is the front end as configured: either role, or both, with one memory
+// of jids. A role that is off is nil. The zero value has neither role.
+type Front struct {
+	Server *Server
+	Source *Source
+}
+
+// Open starts the roles that config names. gate decides which connections are
+// admitted; without one, at most maxConnections are. On an error, what was
+// opened is closed again.
+func Open(dispatcher *dispatch.Dispatcher, engine *transport.Engine, config Config, maxConnections int, gate *listener.Gate) (front Front, err error) {
+	jids := newJidMemory()
+	if config.Listen != "" {
+		front.Server = NewServer(dispatcher, engine, config.Password, jids)
+		if gate != nil {
+			front.Server.SetGate(gate)
+		}
+		if config.Durable.Path != "" {
+			err := front.Server.EnableDurable(config.Durable)
+			if err != nil {
+				return front, err
+			}
+		}
+		address, err := front.Server.Listen(config.Listen, maxConnections)
+		if err != nil {
+			front.End() // releases the store's file
+			return front, fmt.Errorf("listen: %w", err)
+		}
+		dispatcher.Log("faktory: listening on " + address)
+	}
+	if config.Source.Address != "" {
+		front.Source = NewSource(dispatcher, engine, config, jids)
+		front.Source.Start()
+	}
+	return front, nil
+}
+
+// Stop begins a graceful shutdown: nothing more is fetched from upstream, and
+// no stored job is offered to workers any more.
+func (f Front) Stop() {
+	if f.Source != nil {
+		f.Source.Stop()
+	}
+	if queues := f.durableQueues(); queues != nil {
+		queues.scheduler.Stop()
+	}
+}
+
+// Jobs returns the service of durable jobs, or nil if no queue is durable.
+func (f Front) Jobs() *durable.Service {
+	if queues := f.durableQueues(); queues != nil {
+		return queues.Service
+	}
+	return nil
+}
+
+func (f Front) durableQueues() *durableQueues {
+	if f.Server == nil {
+		return nil
+	}
+	return f.Server.durable
+}
+
+// Release gives up the address and the store for a successor, and calls done
+// once the successor may take both.
+func (f Front) Release(done func()) {
+	if f.durableQueues() == nil {
+		done()
+		return
+	}
+	f.Server.releaseDurable(done)
+}
+
+// End closes the store. The front end must not be used after that.
+func (f Front) End() error {
+	if queues := f.durableQueues(); queues != nil {
+		return queues.Service.Close()
+	}
+	return nil
+}
+
+// Busy reports whether a delivery from upstream is not closed yet.
+func (f Front) Busy() bool { return f.Source != nil && f.Source.Busy() > 0 }
+
+// Idle closes connections and lanes that have nothing pending, and reports
+// whether none with something pending is left.
+func (f Front) Idle() bool {
+	if f.Busy() {
+		return false
+	}
+	if f.Source != nil {
+		f.Source.Close()
+	}
+	if f.Server == nil {
+		return true
+	}
+	f.Server.Close()
+	return f.Server.ConnectionCount() == 0
+}
--- /dev/null
+++ b/internal/faktory/jidmemory.go
@@ -0,0 +1,119 @@
+package faktory
+
+import (
+	"time"
+
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/dispatch"
+)
+
+// A jid is remembered while its job is in progress and, if it was served or may
+// have run and must not again, for jidRetention after that: longer than the
+// half hour for which an upstream server reserves a job by default. Of the
+// completed ones, the maxCompletedJids newest are remembered. A restart forgets
+// all.
+const (
+	jidRetention     = 2 * time.Hour
+	maxCompletedJids = 50_000
+)
+
+// jidStatus is what is known about a jid.
+type jidStatus uint8
+
+const (
+	jidUnknown jidStatus = iota // never seen, or free to run again
+	jidInProgress
+	jidServed
+	jidMayHaveRun
+)
+
+// jidEntry is a jid that is remembered.
+type jidEntry struct {
+	status     jidStatus
+	since      time.Duration
+	onResponse []func(dispatch.Response) // called with the final answer of a job in progress
+}
+
+// completedJid is a jid in the order of completion.
+type completedJid struct {
+	id    string
+	since time.Duration
+}
+
+// jidMemory recognises jids that come again, on either role. It keeps direct
+// jobs from running twice.
+type jidMemory struct {
+	entries   map[string]*jidEntry
+	completed []completedJid // the oldest first; the jids of some may have begun anew since
+}
+
+func newJidMemory() *jidMemory { return &jidMemory{entries: map[string]*jidEntry{}} }
+
+func (m *jidMemory) status(id string) jidStatus {
+	if entry := m.entries[id]; entry != nil {
+		return entry.status
+	}
+	return jidUnknown
+}
+
+// begin records that a job is in progress.
+func (m *jidMemory) begin(id string, now time.Duration) {
+	m.expire(now)
+	m.entries[id] = &jidEntry{status: jidInProgress, since: now}
+}
+
+// whenFinished calls onResponse with the final answer of a job in progress.
+func (m *jidMemory) whenFinished(id string, onResponse func(dispatch.Response)) {
+	entry := m.entries[id]
+	entry.onResponse = append(entry.onResponse, onResponse)
+}
+
+// finish records the final answer of a job in progress, and passes it to those
+// who wait for it.
+func (m *jidMemory) finish(id string, response dispatch.Response, idempotency decision.Idempotency, now time.Duration) {
+	entry := m.entries[id]
+	if entry == nil || entry.status != jidInProgress {
+		return
+	}
+	waiting := entry.onResponse
+	switch {
+	case response.Outcome == dispatch.Served:
+		m.complete(id, jidServed, now)
+	case response.MayHaveRun && idempotency != decision.Idempotent:
+		m.complete(id, jidMayHaveRun, now)
+	default:
+		delete(m.entries, id)
+	}
+	for _, onResponse := range waiting {
+		onResponse(response)
+	}
+}
+
+// confirm records a late ACK: a job that may have run has run.
+func (m *jidMemory) confirm(id string, now time.Duration) {
+	if m.status(id) == jidMayHaveRun {
+		m.complete(id, jidServed, now)
+	}
+}
+
+func (m *jidMemory) complete(id string, status jidStatus, now time.Duration) {
+	m.entries[id] = &jidEntry{status: status, since: now}
+	m.completed = append(m.completed, completedJid{id: id, since: now})
+	m.expire(now)
+}
+
+// expire forgets completed jids that are too many or too old.
+func (m *jidMemory) expire(now time.Duration) {
+	for len(m.completed) > 0 {
+		oldest := m.completed[0]
+		entry := m.entries[oldest.id]
+		superseded := entry == nil || entry.status == jidInProgress || entry.since != oldest.since
+		if !superseded {
+			if len(m.completed) <= maxCompletedJids && now-entry.since < jidRetention {
+				return
+			}
+			delete(m.entries, oldest.id)
+		}
+		m.completed = m.completed[1:]
+	}
+}
--- /dev/null
+++ b/internal/faktory/jobpayload.go
@@ -0,0 +1,216 @@
+package faktory
+
+import (
+	"bytes"
+	"encoding/base64"
+	"encoding/json"
+	"errors"
+	"strconv"
+	"time"
+	"unicode/utf8"
+
+	"github.com/cespare/xxhash/v2"
+
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/dispatch"
+	"hollyyoke.example/hollyyoke/internal/jobs"
+)
+
+const (
+	minJidLength = 8
+	maxJidLength = 256
+
+	// maxHint bounds the durations that a job's custom object gives, in
+	// nanoseconds as a float, so that conversions stay in range.
+	maxHint = 1e12
+
+	// maxScheduledSeconds is the latest Unix time, in seconds, that an int64 of
+	// nanoseconds holds, rounded down.
+	maxScheduledSeconds = 9_000_000_000
+
+	// maxRetries bounds a durable job's retry field.
+	maxRetries = 1000
+
+	// maxLease bounds a durable job's reserve_for and the extensions of its lease.
+	maxLease = 24 * time.Hour
+
+	// maxReserveSeconds keeps reserve_for in the range of a duration.
+	maxReserveSeconds = 1e9
+)
+
+// Errors of a job's JSON. Their texts are sent to producers and upstream.
+var (
+	errScheduledOnDirectQueue = errors.New("at: its queue is direct, and keeps no jobs for later")
+	errInvalidJid             = errors.New("jid: 8 to 256 characters without spaces are needed")
+	errMissingArgs            = errors.New("args: an array is needed")
+	errUnknownClass           = errors.New("queue and jobtype: neither is a class served here")
+	errAmbiguousClass         = errors.New("queue and jobtype: they name two classes")
+	errInvalidTime            = errors.New("at: no time")
+)
+
+// work is what is read of a job's JSON; the rest passes through untouched.
+//
+// Decoding errors of encoding/json are sent to the peer. They spell the name of
+// this type and the fields of the anonymous struct Custom, which therefore must
+// stay.
+type work struct {
+	Jid               string            `json:"jid"`
+	Queue             string            `json:"queue"`
+	Jobtype           string            `json:"jobtype"`
+	Args              []json.RawMessage `json:"args"`
+	At                string            `json:"at"`
+	Retry             *int              `json:"retry"`
+	ReserveForSeconds float64           `json:"reserve_for"`
+	Custom            struct {
+		LeftMs   float64 `json:"time_left_ms"`
+		EffortUs float64 `json:"effort_us"`
+		Slots    float64 `json:"slots"`
+		Key      string  `json:"key"`
+		Repeat   bool    `json:"repeat"`
+	} `json:"custom"`
+
+	scheduledAt time.Duration // clock time of At; 0: now
+}
+
+// parseJob reads a job's JSON into a request. classes maps the names of classes
+// to their numbers. The request's body is raw itself.
+func parseJob(raw []byte, classes map[string]int, now time.Duration) (request dispatch.Request, payload work, err error) {
+	err = json.Unmarshal(raw, &payload)
+	if err != nil {
+		return request, payload, err
+	}
+	if len(payload.Jid) < minJidLength || len(payload.Jid) > maxJidLength || !hasOnlyGraphicASCII(payload.Jid) {
+		return request, payload, errInvalidJid
+	}
+	request = dispatch.Request{
+		ID:          payload.Jid,
+		Key:         payload.Custom.Key,
+		Body:        raw,
+		Slots:       payload.Custom.Slots,
+		ReceivedAt:  now,
+		ClientRetry: payload.Custom.Repeat,
+	}
+	if payload.Args == nil {
+		return request, payload, errMissingArgs
+	}
+	request.Class, err = payload.class(classes)
+	if err != nil {
+		return request, payload, err
+	}
+	payload.scheduledAt, err = parseSchedule(payload.At, now)
+	if err != nil {
+		return request, payload, err
+	}
+	if ms := payload.Custom.LeftMs; ms > 0 {
+		request.TimeLeft = time.Duration(min(ms*1e6, maxHint))
+	}
+	if us := payload.Custom.EffortUs; us > 0 {
+		request.Work = time.Duration(min(us*1e3, maxHint))
+	}
+	return request, payload, nil
+}
+
+// class returns the number of the class that the job's queue or type names.
+func (w *work) class(classes map[string]int) (int, error) {
+	byQueue, queueKnown := classes[w.Queue]
+	byType, typeKnown := classes[w.Jobtype]
+	switch {
+	case !queueKnown && !typeKnown:
+		return 0, errUnknownClass
+	case queueKnown && typeKnown && byQueue != byType:
+		return 0, errAmbiguousClass
+	case queueKnown:
+		return byQueue, nil
+	}
+	return byType, nil
+}
+
+// parseSchedule returns the clock time at which a job may run; 0: now.
+func parseSchedule(at string, now time.Duration) (time.Duration, error) {
+	if at == "" {
+		return 0, nil
+	}
+	when, err := time.Parse(time.RFC3339Nano, at)
+	if err != nil {
+		return 0, errInvalidTime
+	}
+	if !when.After(time.Unix(0, int64(now))) {
+		return 0, nil
+	}
+	seconds := min(when.Unix(), maxScheduledSeconds)
+	return time.Duration(time.Unix(seconds, int64(when.Nanosecond())).UnixNano()), nil
+}
+
+// encodeJob writes a request of another front end as a job for a worker: its
+// args are the request's key and body. A body that is not UTF-8 is sent as
+// base64, and custom says so.
+func encodeJob(request *dispatch.Request, class string) []byte {
+	body := string(request.Body)
+	var custom map[string]string
+	if !utf8.Valid(request.Body) {
+		body = base64.StdEncoding.EncodeToString(request.Body)
+		custom = map[string]string{"encoding": "base64"}
+	}
+	raw, _ := json.Marshal(struct { // strings and slices of them always marshal
+		Jid     string            `json:"jid"`
+		Queue   string            `json:"queue"`
+		Jobtype string            `json:"jobtype"`
+		Args    []string          `json:"args"`
+		Custom  map[string]string `json:"custom,omitempty"`
+	}{request.ID, class, class, []string{request.Key, body}, custom})
+	return raw
+}
+
+// withFence adds the fence of a lease to the custom object of a job's JSON.
+func withFence(raw []byte, fence uint64) []byte {
+	var job map[string]json.RawMessage
+	err := json.Unmarshal(raw, &job)
+	if err != nil {
+		return raw // it was readable when it was accepted
+	}
+	var custom map[string]json.RawMessage
+	err = json.Unmarshal(job["custom"], &custom)
+	if err != nil || custom == nil {
+		custom = map[string]json.RawMessage{}
+	}
+	custom["fence"] = strconv.AppendUint(nil, fence, 10)
+	job["custom"], _ = json.Marshal(custom) // raw messages that have been read marshal
+	encoded, err := json.Marshal(job)
+	if err != nil {
+		return raw
+	}
+	return encoded
+}
+
+// durableJob returns what the durable service stores of a job.
+func durableJob(raw []byte, id string, payload *work, class *decision.Class) jobs.Job {
+	job := jobs.Job{
+		ID:      id,
+		Class:   class.Name,
+		Once:    class.Idempotency != decision.Idempotent,
+		Payload: bytes.Clone(raw),
+		Sum:     payload.checksum(class.Name),
+	}
+	if payload.Retry != nil {
+		retries := max(min(*payload.Retry, maxRetries), 0)
+		job.Most = retries + 1
+		job.Drops = *payload.Retry < 0
+	}
+	if payload.ReserveForSeconds > 0 {
+		job.Lease = min(seconds(min(payload.ReserveForSeconds, maxReserveSeconds)), maxLease)
+	}
+	return job
+}
+
+// checksum covers what tells two jobs with one jid apart: class, type and args.
+// Times and the like may differ between a PUSH and its repetition.
+func (w *work) checksum(class string) uint64 {
+	hash := xxhash.New()
+	hash.WriteString(class + "\x00" + w.Jobtype)
+	for _, arg := range w.Args {
+		var text bytes.Buffer
+		json.Compact(&text, arg) // it has been decoded, so it is valid
+		hash.Write(append(text.Bytes(), 0))
+	}
+	return hash.Sum64()
+}
--- /dev/null
+++ b/internal/faktory/producer.go
@@ -0,0 +1,137 @@
+package faktory
+
+import (
+	"errors"
+	"fmt"
+	"time"
+
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/dispatch"
+)
+
+// handlePush accepts a job. The answer of a direct queue is the final answer of
+// the job; that of a durable queue says that the job is stored. release frees
+// the buffer that rest lies in.
+func (c *connection) handlePush(rest []byte, release func()) {
+	server := c.server
+	now := server.dispatcher.Loop.Now()
+	request, payload, err := parseJob(rest, server.classNumbers, now)
+	durable := err == nil && server.isDurable(request.Class)
+	if payload.scheduledAt > 0 && !durable {
+		err = errScheduledOnDirectQueue
+	}
+	if err != nil {
+		c.writeLine(invalidJobLine(err))
+		release()
+		return
+	}
+	if durable {
+		reply := c.deferReply()
+		c.storeJob(request, rest, &payload, func(err error) { reply(resultLine(err)) })
+		release()
+		return
+	}
+	if line := knownJidLine(server.jids.status(request.ID)); line != "" {
+		c.writeLine(line)
+		release()
+		return
+	}
+	request.Release = release
+	c.dispatch(request, now)
+}
+
+// dispatch hands the job of a direct queue to the dispatcher.
+func (c *connection) dispatch(request dispatch.Request, now time.Duration) {
+	server := c.server
+	server.jids.begin(request.ID, now)
+	c.busy = true
+	c.pendingRequest = 0
+	c.pendingJid = request.ID
+	c.pendingClass = request.Class
+	server.gate.Limiter.RequestComplete(now, c.admissionID)
+	server.dispatcher.Loop.Clear(&c.deadline)
+	handle := server.dispatcher.Accept(server, c.token, request)
+	if c.busy && c.pendingJid != "" { // it has no answer yet, and its producer has not left
+		c.pendingRequest = handle
+	}
+}
+
+// respond sends the final answer of the pending PUSH.
+func (c *connection) respond(response dispatch.Response) {
+	class := c.pendingClass
+	c.server.finishJid(c.pendingJid, class, response)
+	c.clearPending()
+	switch response.Outcome {
+	case dispatch.Served:
+		c.lastPushServed = true
+		c.writeLine(replyOK)
+	case dispatch.Rejected:
+		c.writeLine(rejectionLine(response.RetryAfter))
+	default:
+		idempotent := c.server.dispatcher.Settings.Classes[class].Idempotency == decision.Idempotent
+		c.writeLine(failureLine(response.MayHaveRun, idempotent))
+	}
+	c.resume()
+}
+
+// cancelPending cancels the pending PUSH of a producer that has left.
+func (c *connection) cancelPending() {
+	request := c.pendingRequest
+	if request == 0 {
+		return
+	}
+	id := c.pendingJid
+	class := c.pendingClass
+	c.pendingRequest = 0
+	mayHaveRun := c.server.dispatcher.Cancel(request)
+	c.server.finishJid(id, class, dispatch.Response{Outcome: dispatch.Failed, MayHaveRun: mayHaveRun})
+}
+
+func (c *connection) clearPending() {
+	c.pendingRequest = 0
+	c.pendingJid = ""
+}
+
+// invalidJobLine is the answer to a PUSH whose job cannot be accepted.
+func invalidJobLine(err error) string {
+	prefix := replyMalformed
+	if errors.Is(err, errUnknownClass) || errors.Is(err, errAmbiguousClass) {
+		prefix = replyUnknown
+	}
+	return prefix + singleLine(err.Error())
+}
+
+// knownJidLine is the answer to the PUSH of a jid that does not run again, or
+// not now; empty: it may run.
+func knownJidLine(status jidStatus) string {
+	switch status {
+	case jidServed: // the answer was lost on the way
+		return replyOK
+	case jidMayHaveRun:
+		return failureLine(true, false)
+	case jidInProgress:
+		return "-ERR REFUSED this jid is in work, pushing it again is harmless; retry after 1.000 s"
+	}
+	return ""
+}
+
+// rejectionLine is the answer to a PUSH whose job has not run. retryAfter 0
+// says nothing about when to retry.
+func rejectionLine(retryAfter time.Duration) string {
+	line := "-ERR REFUSED pushing it again is harmless"
+	if retryAfter > 0 {
+		line += fmt.Sprintf("; retry after %.3f s", retryAfter.Seconds())
+	}
+	return line
+}
+
+// failureLine is the answer to a PUSH whose job has failed.
+func failureLine(mayHaveRun, idempotent bool) string {
+	switch {
+	case !mayHaveRun:
+		return "-ERR FAILED it has not run"
+	case idempotent:
+		return "-ERR FAILED it may have run; its class may be repeated"
+	}
+	return "-ERR FAILED it may have run; it will not be run again under this jid"
+}
--- /dev/null
+++ b/internal/faktory/slots.go
@@ -0,0 +1,239 @@
+package faktory
+
+import (
+	"cmp"
+	"slices"
+	"strings"
+	"time"
+
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
+)
+
+const (
+	parkTimeout      = 2 * time.Second // a FETCH waits so long for a job
+	nextFetchTimeout = time.Second     // a job waits so long for its worker's next FETCH
+
+	// foreignOffers is how many jobs are offered at a time where workers of
+	// other front ends run, whose free slots are not known here.
+	foreignOffers = 16
+)
+
+// reservation is a durable job that waits for a slot of a worker before it is leased.
+type reservation struct {
+	jid      string
+	class    int
+	onResult func(free bool)
+	deadline eventloop.Deadline
+}
+
+// handleFetch parks a worker's FETCH until there is a job for it.
+func (c *connection) handleFetch(rest []byte) {
+	if c.worker == nil {
+		c.writeLine(replyError + "FETCH is for workers: HELLO told no wid")
+		return
+	}
+	c.park(string(rest))
+	c.server.offerSlot(c)
+	if queues := c.server.durable; queues != nil {
+		queues.scheduler.Wake()
+	}
+}
+
+// park records a FETCH of some queues as a free slot of its worker.
+func (c *connection) park(queues string) {
+	c.busy = true
+	c.parked = true
+	c.classMask = c.server.classMaskOf(queues)
+	if durable := c.server.durable; durable != nil {
+		durable.parkCount++
+		c.durableClasses = c.server.durableClassesOf(queues)
+		c.parkSequence = durable.parkCount
+	}
+	w := c.worker
+	w.parked = append(w.parked, c)
+	w.maxSlots = max(w.maxSlots, len(w.parked)+w.inProgress)
+	c.setDeadline(parkTimeout)
+}
+
+// unpark takes a FETCH off its worker's free slots.
+func (c *connection) unpark() {
+	if !c.parked {
+		return
+	}
+	c.parked = false
+	c.reservedFor = ""
+	c.worker.parked = remove(c.worker.parked, c)
+}
+
+// offerSlot gives a newly parked FETCH what waits for it, or else tells the
+// dispatcher of the free slot. A worker that drains gets nothing: its FETCH is
+// answered with no job in time.
+func (s *Server) offerSlot(slot *connection) {
+	w := slot.worker
+	if w.endpoint.State != decision.Running {
+		return
+	}
+	s.extendKind(w, slot.classMask)
+	w.deliverAwaiting(s)
+	w.fillReservations(s)
+	if slot.parked && w.listed {
+		s.reportFreeSlots(w)
+	}
+}
+
+// extendKind adds classes to those that the worker's kind runs, which are what
+// any of its connections has fetched. The first time lists the worker.
+func (s *Server) extendKind(w *worker, classMask int) {
+	kind := s.firstClassKind + classMask
+	if oldMask := w.endpoint.Kind - s.firstClassKind; w.listed && oldMask >= 0 {
+		kind = s.firstClassKind + (oldMask | classMask)
+	}
+	if classMask == 0 || w.listed && kind == w.endpoint.Kind {
+		return
+	}
+	w.endpoint.Kind = kind
+	w.listed = true
+	s.updateEndpoint(w)
+}
+
+// classMaskOf returns the classes that a FETCH names, as bits.
+func (s *Server) classMaskOf(queues string) (mask int) {
+	for queue := range strings.FieldsSeq(queues) {
+		if class, known := s.classNumbers[queue]; known {
+			mask |= 1 << class
+		}
+	}
+	return mask
+}
+
+// durableClassesOf returns the durable classes that a FETCH names, in its order.
+func (s *Server) durableClassesOf(queues string) (classes []int) {
+	for queue := range strings.FieldsSeq(queues) {
+		class, known := s.classNumbers[queue]
+		if known && s.isDurable(class) && !slices.Contains(classes, class) {
+			classes = append(classes, class)
+		}
+	}
+	return classes
+}
+
+// slotFor returns the parked FETCH that is reserved for a job, or else the
+// oldest free one that fetches its class.
+func (w *worker) slotFor(class int, jid string) (free *connection) {
+	for _, slot := range w.parked {
+		if slot.classMask>>class&1 == 0 {
+			continue
+		}
+		if slot.reservedFor != "" && slot.reservedFor == jid {
+			return slot
+		}
+		if slot.reservedFor == "" && free == nil {
+			free = slot
+		}
+	}
+	return free
+}
+
+// deliverAwaiting hands deliveries that wait for a FETCH to the slots that fit.
+func (w *worker) deliverAwaiting(s *Server) {
+	for _, d := range slices.Clone(w.awaitingFetch) {
+		slot := w.slotFor(d.attempt.Request.Class, d.attempt.Request.ID)
+		if slot == nil {
+			continue
+		}
+		w.awaitingFetch = remove(w.awaitingFetch, d)
+		s.dispatcher.Loop.Clear(&d.fetchDeadline)
+		s.handOut(d, slot)
+	}
+}
+
+// FreeSlots returns, for each parked FETCH from the oldest on, the durable
+// classes that it takes, in its order.
+func (s *Server) FreeSlots() (slots [][]int) {
+	parked, running := s.freeParked()
+	for _, c := range parked {
+		if len(c.durableClasses) > 0 {
+			slots = append(slots, c.durableClasses)
+		}
+	}
+	if s.dispatcher.ReadyWorkers() > running {
+		all := s.durable.classNumbers()
+		for range foreignOffers {
+			slots = append(slots, all)
+		}
+	}
+	return slots
+}
+
+// freeParked returns the parked FETCHes that no delivery waits for, from the
+// oldest on, and the number of running workers.
+func (s *Server) freeParked() (parked []*connection, running int) {
+	for _, w := range s.workers {
+		if !w.listed || w.endpoint.State != decision.Running {
+			continue
+		}
+		running++
+		taken := min(len(w.awaitingFetch), len(w.parked))
+		parked = append(parked, w.parked[taken:]...)
+	}
+	slices.SortFunc(parked, func(a, b *connection) int { return cmp.Compare(a.parkSequence, b.parkSequence) })
+	return parked, running
+}
+
+// Reserve keeps a parked FETCH of a worker for a job, now or when one comes in
+// time, and calls onResult with whether there is one. A worker of another front
+// end is always free.
+func (s *Server) Reserve(workerName string, class int, jid string, onResult func(free bool)) {
+	w := s.workers[workerName]
+	if w == nil {
+		onResult(true)
+		return
+	}
+	if w.endpoint.State != decision.Running || len(w.reservations) >= max(w.maxSlots, 1) {
+		onResult(false)
+		return
+	}
+	r := &reservation{jid: jid, class: class, onResult: onResult}
+	r.deadline.Fire = func() { w.resolveReservation(s, r, false) }
+	w.reservations = append(w.reservations, r)
+	loop := s.dispatcher.Loop
+	loop.Set(&r.deadline, loop.Now()+nextFetchTimeout)
+	w.fillReservations(s)
+}
+
+// Unreserve frees a slot that was reserved for a job.
+func (s *Server) Unreserve(workerName, jid string) {
+	w := s.workers[workerName]
+	if w == nil {
+		return
+	}
+	for _, slot := range w.parked {
+		if slot.reservedFor == jid {
+			slot.reservedFor = ""
+		}
+	}
+	s.dispatcher.Loop.Post(func() {
+		w.deliverAwaiting(s)
+		w.fillReservations(s)
+	})
+}
+
+// resolveReservation ends a reservation that waits.
+func (w *worker) resolveReservation(s *Server, r *reservation, free bool) {
+	w.reservations = remove(w.reservations, r)
+	s.dispatcher.Loop.Clear(&r.deadline)
+	r.onResult(free)
+}
+
+// fillReservations reserves free slots for the jobs that wait for one.
+func (w *worker) fillReservations(s *Server) {
+	for _, r := range slices.Clone(w.reservations) {
+		slot := w.slotFor(r.class, "")
+		if slot == nil || !slices.Contains(w.reservations, r) {
+			continue
+		}
+		slot.reservedFor = r.jid
+		w.resolveReservation(s, r, true)
+	}
+}
--- /dev/null
+++ b/internal/faktory/worker.go
@@ -0,0 +1,269 @@
+package faktory
+
+import (
+	"encoding/json"
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/dispatch"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
+	"hollyyoke.example/hollyyoke/internal/jobs"
+)
+
+const (
+	workerNamePrefix    = "faktory:"      // distinguishes wids from the names that discovery uses
+	rejoinTimeout       = time.Second     // a worker without connections is removed after that
+	runningBeforeWindow = 5 * time.Second // who joins so soon after our start was running before it
+
+	maxStartMillis = 1e13 // latest start that a label may tell, in Unix milliseconds
+)
+
+// Labels of a worker's HELLO, in the form name:value.
+const (
+	labelZone       = "zone"         // name of its zone
+	labelStarted    = "born_ms"      // when it started, in Unix milliseconds
+	labelFences     = "fences:1"     // it asks by START whether a lease still holds
+	labelIdempotent = "idempotent:1" // it deduplicates jobs by jid
+)
+
+// States that a worker tells by BEAT when it wants no more jobs.
+const (
+	stateQuiet       = "quiet"
+	stateTerminate   = "terminate"
+	stateTerminating = "terminating"
+)
+
+// worker is one wid, whatever the number of its connections: one worker of the
+// fleet to the dispatcher.
+type worker struct {
+	name           string // the wid with workerNamePrefix
+	endpoint       decision.Endpoint
+	listed         bool          // the dispatcher knows it
+	connections    int           // open ones
+	parked         []*connection // FETCHes that wait, the oldest first: its free slots
+	awaitingFetch  []*delivery   // deliveries that wait for its next FETCH
+	reservations   []*reservation
+	inProgress     int // jobs handed out and not closed
+	guarantee      jobs.Guarantee
+	maxSlots       int // the most it ever had parked and in progress
+	rejoinDeadline eventloop.Deadline
+}
+
+// registerWorker records a connection of a wid. A wid that is new is a worker
+// that has just started and is subject to slow start, unless it was surely
+// running before: it joins right after our own start, or a label tells its
+// start, or there is no other running worker.
+func (s *Server) registerWorker(message hello) *worker {
+	w := s.workers[workerNamePrefix+message.Wid]
+	if w == nil {
+		w = s.newWorker(message)
+		s.workers[w.name] = w
+	}
+	if slices.Contains(message.Labels, labelFences) {
+		w.guarantee = max(w.guarantee, jobs.HonorsFences)
+	}
+	if slices.Contains(message.Labels, labelIdempotent) {
+		w.guarantee = max(w.guarantee, jobs.Deduplicates)
+	}
+	w.connections++
+	s.dispatcher.Loop.Clear(&w.rejoinDeadline)
+	return w
+}
+
+func (s *Server) newWorker(message hello) *worker {
+	now := s.dispatcher.Loop.Now()
+	w := &worker{name: workerNamePrefix + message.Wid}
+	w.endpoint = decision.Endpoint{
+		Name:      w.name,
+		Zone:      s.dispatcher.Settings.Zone,
+		Kind:      s.firstClassKind,
+		Weight:    1,
+		StartedAt: now,
+	}
+	if now-s.startedAt < runningBeforeWindow || !s.hasRunningWorker() {
+		w.endpoint.StartedAt = 0
+	}
+	s.applyLabels(&w.endpoint, message.Labels)
+	w.rejoinDeadline.Fire = func() { s.removeWorker(w) }
+	return w
+}
+
+// applyLabels sets what a worker's labels tell about it. Others are ignored.
+func (s *Server) applyLabels(endpoint *decision.Endpoint, labels []string) {
+	for _, label := range labels {
+		name, value, _ := strings.Cut(label, ":")
+		switch name {
+		case labelZone:
+			endpoint.Zone = slices.Index(s.dispatcher.Settings.ZoneNames, value)
+		case labelStarted:
+			var milliseconds int64
+			_, err := fmt.Sscan(value, &milliseconds)
+			if err == nil && milliseconds >= 0 && milliseconds < maxStartMillis {
+				endpoint.StartedAt = time.Duration(milliseconds) * time.Millisecond
+			}
+		}
+	}
+}
+
+func (s *Server) hasRunningWorker() bool {
+	for _, w := range s.workers {
+		if w.listed && w.endpoint.State == decision.Running {
+			return true
+		}
+	}
+	return false
+}
+
+// updateEndpoint tells the dispatcher of a change of a worker's endpoint, if it
+// knows the worker.
+func (s *Server) updateEndpoint(w *worker) {
+	if w.listed {
+		s.dispatcher.UpdateWorkers(s, decision.ListDelta, []decision.Endpoint{w.endpoint})
+	}
+}
+
+// connectionClosed records the end of a connection of the worker, which is
+// removed if it does not come back in time after the last one.
+func (w *worker) connectionClosed(s *Server) {
+	w.connections--
+	if w.connections == 0 {
+		loop := s.dispatcher.Loop
+		loop.Set(&w.rejoinDeadline, loop.Now()+rejoinTimeout)
+	}
+}
+
+// removeWorker removes a worker that has gone, and with it what was in progress there.
+func (s *Server) removeWorker(w *worker) {
+	delete(s.workers, w.name)
+	w.endpoint.State = decision.Removed
+	s.updateEndpoint(w)
+	w.returnUndelivered(s)
+	for _, d := range s.deliveriesOf(w) {
+		s.endAttempt(d, decision.ConnectionLost)
+	}
+}
+
+// drain lets a worker finish what it has, and gives it nothing new.
+func (w *worker) drain(s *Server) {
+	if w.endpoint.State != decision.Running {
+		return
+	}
+	w.endpoint.State = decision.Draining
+	s.updateEndpoint(w)
+	w.returnUndelivered(s)
+}
+
+// returnUndelivered gives back what waits for a worker's next FETCH: it has not run.
+func (w *worker) returnUndelivered(s *Server) {
+	for len(w.reservations) > 0 {
+		w.resolveReservation(s, w.reservations[0], false)
+	}
+	for len(w.awaitingFetch) > 0 {
+		s.endAttempt(w.awaitingFetch[0], decision.Saturated)
+	}
+}
+
+// handleBeat takes a worker's heartbeat. A worker that says it is quiet or
+// about to terminate drains from now on.
+func (c *connection) handleBeat(rest []byte) {
+	var message beatMessage
+	err := json.Unmarshal(rest, &message)
+	if err != nil {
+		c.writeLine(replyMalformed + "BEAT: " + singleLine(err.Error()))
+		return
+	}
+	name := workerNamePrefix + message.Wid
+	w := c.server.workers[name]
+	if w == nil {
+		w = c.worker
+	}
+	if queues := c.server.durable; queues != nil {
+		if message.Wid == "" && c.worker != nil {
+			name = c.worker.name
+		}
+		queues.Heartbeat(name)
+	}
+	c.writeLine(replyOK)
+	if w == nil {
+		return
+	}
+	switch message.State {
+	case stateQuiet, stateTerminate, stateTerminating:
+		w.drain(c.server)
+	}
+}
+
+// handleCompletion takes an ACK or a FAIL: the outcome of a job. One for a job
+// that is not handed out, or not any more, changes no answer and is accepted
+// all the same.
+func (c *connection) handleCompletion(verb string, rest []byte) {
+	var message word
+	err := json.Unmarshal(rest, &message)
+	if err != nil || message.Jid == "" {
+		c.writeLine(replyMalformed + verb + ": a jid is needed")
+		return
+	}
+	server := c.server
+	if server.durable != nil {
+		job, known := server.durable.Get(message.Jid)
+		if known {
+			c.completeDurable(verb, job, message)
+			return
+		}
+	}
+	c.writeLine(replyOK)
+	d := server.findHandedOut(c.worker, message.Jid)
+	if d == nil {
+		if verb == commandAck {
+			server.jids.confirm(message.Jid, server.dispatcher.Loop.Now())
+		}
+		return
+	}
+	outcome := decision.Completed
+	if verb == commandFail {
+		outcome = decision.Failed
+	}
+	server.endAttempt(d, outcome)
+}
+
+// Subscribe does nothing: workers connect by themselves.
+func (s *Server) Subscribe() {}
+
+// CloseIdle does nothing: the connections are the workers' own.
+func (s *Server) CloseIdle(string) {}
+
+// CheckHealth answers at once from what is known of a worker.
+func (s *Server) CheckHealth(name string) {
+	if w := s.workers[name]; w != nil {
+		s.reportFreeSlots(w)
+	}
+}
+
+// reportFreeSlots tells the dispatcher how many FETCHes of a worker wait.
+func (s *Server) reportFreeSlots(w *worker) {
+	report := decision.LoadReport{FreeSlots: float64(len(w.parked)), HasFreeSlots: true}
+	s.dispatcher.HealthChecked(w.name, decision.Completed, report)
+}
+
+// Start hands an attempt's job to a parked FETCH of its worker, or lets it wait
+// for the worker's next one.
+func (s *Server) Start(attempt dispatch.Attempt) {
+	w := s.workers[attempt.Worker]
+	if w == nil || w.endpoint.State != decision.Running || len(w.awaitingFetch) >= max(w.maxSlots, 1) {
+		s.dispatcher.AttemptEnded(attempt.Handle, decision.Saturated, decision.LoadReport{}, nil)
+		return
+	}
+	d := &delivery{attempt: attempt, worker: w}
+	d.fetchDeadline.Fire = func() { s.endAttempt(d, decision.Saturated) }
+	s.deliveries[attempt.Handle] = d
+	if slot := w.slotFor(attempt.Request.Class, attempt.Request.ID); slot != nil {
+		s.handOut(d, slot)
+		return
+	}
+	w.awaitingFetch = append(w.awaitingFetch, d)
+	loop := s.dispatcher.Loop
+	loop.Set(&d.fetchDeadline, loop.Now()+nextFetchTimeout)
+}
