--- a/internal/durable/request.go
+++ b/internal/durable/request.go
@@ -19,12 +19,12 @@
 
 // Request is what such a client asked for.
 type Request struct {
-	Target         string
-	Key            string // what it concerns
-	IdempotencyKey string `json:"-"` // the client's idempotency key, which the job's id holds
-	Body           []byte
-	Slots          float64
-	Work           time.Duration
+	Target         string        `json:"Target"`
+	Key            string        `json:"Key"` // what it concerns
+	IdempotencyKey string        `json:"-"`   // the client's idempotency key, which the job's id holds
+	Body           []byte        `json:"Body"`
+	Slots          float64       `json:"Slots"`
+	Work           time.Duration `json:"Work"`
 }
 
 // RequestID is the id of the job under a key.
--- a/internal/jobs/jobs.go
+++ b/internal/jobs/jobs.go
@@ -52,25 +52,25 @@
 
 // Job is one, as it is stored. Times are Unix times.
 type Job struct {
-	ID       string
-	Class    string
-	Once     bool // it must not run twice
-	Payload  []byte
-	Sum      uint64 // of what was handed in: another job of the same id differs
-	Result   []byte // of one that is done, where its wire has one
-	State    State
-	Fence    uint64        // of its newest lease; higher ones make lower ones void
-	Worker   string        // who holds, or held, that lease
-	Honours  Guarantee     // what that worker has promised
-	Only     bool          // it may have run: it is only for a worker whose till knows
-	Until    time.Duration // the lease's end, or when it is due
-	Attempts int
-	Most     int           // attempts; 0: as the Config says
-	Lease    time.Duration // 0: as the Config says
-	Drops    bool          // when its attempts are used up it is discarded, not dead
-	Why      string        // it failed, or is in doubt
-	Version  uint64        // of what is stored: one more with each change
-	Seq      uint64        // the order in which jobs were taken on
+	ID       string        `json:"ID"`
+	Class    string        `json:"Class"`
+	Once     bool          `json:"Once"` // it must not run twice
+	Payload  []byte        `json:"Payload"`
+	Sum      uint64        `json:"Sum"`    // of what was handed in: another job of the same id differs
+	Result   []byte        `json:"Result"` // of one that is done, where its wire has one
+	State    State         `json:"State"`
+	Fence    uint64        `json:"Fence"`   // of its newest lease; higher ones make lower ones void
+	Worker   string        `json:"Worker"`  // who holds, or held, that lease
+	Honours  Guarantee     `json:"Honours"` // what that worker has promised
+	Only     bool          `json:"Only"`    // it may have run: it is only for a worker whose till knows
+	Until    time.Duration `json:"Until"`   // the lease's end, or when it is due
+	Attempts int           `json:"Attempts"`
+	Most     int           `json:"Most"`    // attempts; 0: as the Config says
+	Lease    time.Duration `json:"Lease"`   // 0: as the Config says
+	Drops    bool          `json:"Drops"`   // when its attempts are used up it is discarded, not dead
+	Why      string        `json:"Why"`     // it failed, or is in doubt
+	Version  uint64        `json:"Version"` // of what is stored: one more with each change
+	Seq      uint64        `json:"Seq"`     // the order in which jobs were taken on
 }
 
 // Guarantee is what a worker promises of jobs that must not run twice.
