--- a/cmd/dispatcher/jobs.go
+++ b/cmd/dispatcher/jobs.go
@@ -113,7 +113,7 @@
 	case "list":
 		n := 0
 		return each(d, c.List.State, c.List.Class, false, func(v durable.View) bool {
-			fmt.Fprintf(out, "%s\t%s\t%s\t%s\n", v.ID, v.Class, v.State, strings.ReplaceAll(v.Why, "\n", " "))
+			fmt.Fprintf(out, "%s\t%s\t%s\t%s\n", v.ID, v.Class, v.State, strings.ReplaceAll(string(v.Reason), "\n", " "))
 			n++
 			return n != c.List.Limit
 		})
@@ -194,11 +194,11 @@
 func (f file) decide(act, id, reason string, ran bool) error {
 	switch act {
 	case "settle":
-		return f.Resolve(id, ran, reason)
+		return f.Resolve(id, ran, jobs.Reason(reason))
 	case "retry":
-		return f.Move(id, jobs.Requeue, reason)
+		return f.Move(id, jobs.Requeue, jobs.Reason(reason))
 	}
-	return f.Move(id, jobs.Discard, reason)
+	return f.Move(id, jobs.Discard, jobs.Reason(reason))
 }
 
 // door is the operators' door of a running dispatcher.
--- a/internal/admin/control.go
+++ b/internal/admin/control.go
@@ -303,11 +303,11 @@
 		k.answer(400, "ran: true or false is needed\n", "")
 		return
 	case act == "settle":
-		err = s.Resolve(id, ran == "true", reason)
+		err = s.Resolve(id, ran == "true", jobs.Reason(reason))
 	case act == "retry":
-		err = s.Move(id, jobs.Requeue, reason, true)
+		err = s.Move(id, jobs.Requeue, jobs.Reason(reason), true)
 	default:
-		err = s.Move(id, jobs.Discard, reason, true)
+		err = s.Move(id, jobs.Discard, jobs.Reason(reason), true)
 	}
 	if err != nil {
 		k.answer(409, err.Error()+"\n", "")
@@ -317,11 +317,11 @@
 }
 
 // done answers a call whose work has been done elsewhere.
-func (k *call) done(why string) {
+func (k *call) done(err error) {
 	switch {
 	case k.api.calls.Get(k.token) != k: // the caller has gone
-	case why != "":
-		k.answer(500, why+"\n", "")
+	case err != nil:
+		k.answer(500, err.Error()+"\n", "")
 	default:
 		k.answer(200, "done\n", "")
 	}
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -142,7 +142,7 @@
 	r = newRig(t)
 	log := slog.New(slog.DiscardHandler)
 	service, err := durable.Open(r.core.Loop, durable.Config{
-		Path: filepath.Join(t.TempDir(), "jobs.db"), Jobs: jobs.Config{Lease: 50 * time.Millisecond, Grace: time.Millisecond},
+		Path: filepath.Join(t.TempDir(), "jobs.db"), Jobs: jobs.Config{LeaseDuration: 50 * time.Millisecond, RecoveryGrace: time.Millisecond},
 	}, log)
 	if err != nil {
 		t.Fatal(err)
@@ -204,37 +204,37 @@
 
 func TestGoldenJobs(t *testing.T) {
 	r, _, service := newFullRig(t)
-	stored := func(what string, start func(told func(why string))) {
+	stored := func(what string, start func(done func(error))) {
 		t.Helper()
-		told := make(chan string, 1)
-		r.do(func() { start(func(why string) { told <- why }) })
-		if why := <-told; why != "" {
-			t.Fatalf("%s: %s", what, why)
+		result := make(chan error, 1)
+		r.do(func() { start(func(err error) { result <- err }) })
+		if err := <-result; err != nil {
+			t.Fatalf("%s: %v", what, err)
 		}
 	}
 	push := func(j jobs.Job, at time.Duration) {
 		t.Helper()
-		stored("push "+j.ID, func(told func(string)) { service.Push(j, at, told) })
+		stored("push "+j.ID, func(done func(error)) { service.Push(j, at, done) })
 	}
 	lease := func(id string) (leased jobs.Job) {
 		t.Helper()
-		stored("lease "+id, func(told func(string)) {
-			service.Assign(id, "w 1", jobs.NoGuarantee, func(j jobs.Job, why string) { leased = j; told(why) })
+		stored("lease "+id, func(done func(error)) {
+			service.Assign(id, "w 1", jobs.NoGuarantee, func(j jobs.Job, err error) { leased = j; done(err) })
 		})
 		return leased
 	}
 	later := time.Duration(time.Date(2099, 1, 2, 3, 4, 5, 600e6, time.UTC).UnixNano())
-	push(jobs.Job{ID: "scheduled-1", Class: "renewal", Once: true, Payload: []byte(`{"a": [1]}`)}, later)
+	push(jobs.Job{ID: "scheduled-1", Class: "renewal", NonIdempotent: true, Payload: []byte(`{"a": [1]}`)}, later)
 	push(jobs.Job{ID: "ready-1", Class: "status-check", Payload: []byte("no JSON")}, 0)
 	push(jobs.Job{ID: "ready-2", Class: "status-check", Payload: []byte(`{}`)}, 0)
-	push(jobs.Job{ID: "dead-1", Class: "renewal", Once: true, Payload: []byte(`{}`)}, 0)
-	push(jobs.Job{ID: "done-1", Class: "renewal", Once: true, Payload: []byte(`{}`)}, 0)
-	push(jobs.Job{ID: "doubt-1", Class: "renewal", Once: true, Payload: []byte(`{}`)}, 0)
-	push(jobs.Job{ID: "doubt-2", Class: "renewal", Once: true, Payload: []byte(`{}`)}, 0)
+	push(jobs.Job{ID: "dead-1", Class: "renewal", NonIdempotent: true, Payload: []byte(`{}`)}, 0)
+	push(jobs.Job{ID: "done-1", Class: "renewal", NonIdempotent: true, Payload: []byte(`{}`)}, 0)
+	push(jobs.Job{ID: "doubt-1", Class: "renewal", NonIdempotent: true, Payload: []byte(`{}`)}, 0)
+	push(jobs.Job{ID: "doubt-2", Class: "renewal", NonIdempotent: true, Payload: []byte(`{}`)}, 0)
 	fence := lease("dead-1").Fence
-	stored("fail", func(told func(string)) { service.Fail("dead-1", fence, "Broken: no till", true, told) })
+	stored("fail", func(done func(error)) { service.Fail("dead-1", fence, "Broken: no till", true, done) })
 	fence = lease("done-1").Fence
-	stored("ack", func(told func(string)) { service.Ack("done-1", fence, []byte("r"), told) })
+	stored("ack", func(done func(error)) { service.Ack("done-1", fence, []byte("r"), done) })
 	lease("doubt-1")
 	lease("doubt-2")
 	for end := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
@@ -264,15 +264,15 @@
 // A page that is full tells where the next begins.
 func TestGoldenJobsPage(t *testing.T) {
 	r, _, service := newFullRig(t)
-	told := make(chan string, pageJobs+1)
+	results := make(chan error, pageJobs+1)
 	r.do(func() {
 		for i := range pageJobs + 1 {
-			service.Push(jobs.Job{ID: fmt.Sprintf("job-%03d", i), Class: "c"}, 0, func(why string) { told <- why })
+			service.Push(jobs.Job{ID: fmt.Sprintf("job-%03d", i), Class: "c"}, 0, func(err error) { results <- err })
 		}
 	})
 	for range pageJobs + 1 {
-		if why := <-told; why != "" {
-			t.Fatal(why)
+		if err := <-results; err != nil {
+			t.Fatal(err)
 		}
 	}
 	golden(t, "page.golden", transcript(t, r.addr, "GET /control/jobs", "GET /control/jobs?after=100"))
--- a/internal/durable/audit.go
+++ b/internal/durable/audit.go
@@ -17,13 +17,13 @@
 
 // Audit is one line of what was done to a job, or became of it.
 type Audit struct {
-	At       time.Time `json:"at"`
-	ID       string    `json:"id"`
-	Act      string    `json:"act"`
-	Worker   string    `json:"worker,omitempty"`
-	Fence    uint64    `json:"fence,omitempty"`
-	Why      string    `json:"why,omitempty"`
-	Operator bool      `json:"operator,omitempty"` // by an operator's word
+	At       time.Time   `json:"at"`
+	ID       string      `json:"id"`
+	Action   string      `json:"act"`
+	Worker   string      `json:"worker,omitempty"`
+	Fence    uint64      `json:"fence,omitempty"`
+	Reason   jobs.Reason `json:"why,omitempty"`
+	Operator bool        `json:"operator,omitempty"` // by an operator's word
 }
 
 const (
@@ -101,15 +101,15 @@
 func (b *OfflineStore) Get(id string) (jobs.Job, bool) { return b.m.Get(id) }
 
 // Resolve ends a job in doubt by an operator's word.
-func (b *OfflineStore) Resolve(id string, ran bool, reason string) error {
+func (b *OfflineStore) Resolve(id string, ran bool, reason jobs.Reason) error {
 	effects, err := b.m.Resolve(b.now(), id, ran, reason)
-	return b.keep(effects, err, Audit{ID: id, Act: settled(ran), Why: reason, Operator: true})
+	return b.keep(effects, err, Audit{ID: id, Action: settled(ran), Reason: reason, Operator: true})
 }
 
 // Move moves a job that waits or is dead by an operator's word.
-func (b *OfflineStore) Move(id string, to jobs.Move, why string) error {
-	effects, err := b.m.Move(b.now(), id, to, why, true)
-	return b.keep(effects, err, Audit{ID: id, Act: to.String(), Why: why, Operator: true})
+func (b *OfflineStore) Move(id string, to jobs.Move, reason jobs.Reason) error {
+	effects, err := b.m.Move(b.now(), id, to, reason, true)
+	return b.keep(effects, err, Audit{ID: id, Action: to.String(), Reason: reason, Operator: true})
 }
 
 func (b *OfflineStore) keep(effects []jobs.Effect, err error, a Audit) error {
@@ -119,7 +119,7 @@
 	b.n++
 	records := []store.Record{a.record(b.now(), b.n)}
 	for _, e := range effects {
-		if e.Kind == jobs.Store {
+		if e.Kind == jobs.StoreJob {
 			records = append(records, store.Record{ID: e.Job.ID, Value: e.Job})
 		}
 	}
@@ -142,30 +142,30 @@
 
 // View is a job as operators see it.
 type View struct {
-	Seq      uint64          `json:"seq"`
-	ID       string          `json:"id"`
-	Class    string          `json:"class"`
-	State    string          `json:"state"`
-	Once     bool            `json:"must_not_run_twice"`
-	Worker   string          `json:"worker,omitempty"`
-	Fence    uint64          `json:"fence,omitempty"`
-	Attempts int             `json:"attempts"`
-	Due      string          `json:"due,omitempty"` // its lease's end, when it may run, or when it is forgotten
-	Why      string          `json:"why,omitempty"`
-	Payload  json.RawMessage `json:"payload,omitempty"`
-	Text     string          `json:"payload_text,omitempty"` // of a payload that is no JSON
+	Sequence      uint64          `json:"seq"`
+	ID            string          `json:"id"`
+	Class         string          `json:"class"`
+	State         string          `json:"state"`
+	NonIdempotent bool            `json:"must_not_run_twice"`
+	Worker        string          `json:"worker,omitempty"`
+	Fence         uint64          `json:"fence,omitempty"`
+	Attempts      int             `json:"attempts"`
+	DueAt         string          `json:"due,omitempty"` // its lease's end, when it may run, or when it is forgotten
+	Reason        jobs.Reason     `json:"why,omitempty"`
+	Payload       json.RawMessage `json:"payload,omitempty"`
+	PayloadText   string          `json:"payload_text,omitempty"` // of a payload that is no JSON
 }
 
 // NewView words a job for operators; full: with what it asks for.
 func NewView(j jobs.Job, full bool) View {
-	v := View{Seq: j.Seq, ID: j.ID, Class: j.Class, State: j.State.String(), Once: j.Once, Worker: j.Worker, Fence: j.Fence, Attempts: j.Attempts, Why: j.Why}
-	if j.Until > 0 && j.State != jobs.Ready && j.State != jobs.InDoubt {
-		v.Due = time.Unix(0, int64(j.Until)).UTC().Format(time.RFC3339Nano)
+	v := View{Sequence: j.Sequence, ID: j.ID, Class: j.Class, State: j.State.String(), NonIdempotent: j.NonIdempotent, Worker: j.Worker, Fence: j.Fence, Attempts: j.Attempts, Reason: j.Reason}
+	if j.DueAt > 0 && j.State != jobs.Ready && j.State != jobs.InDoubt {
+		v.DueAt = time.Unix(0, int64(j.DueAt)).UTC().Format(time.RFC3339Nano)
 	}
 	if full && json.Valid(j.Payload) {
 		v.Payload = j.Payload
 	} else if full {
-		v.Text = string(j.Payload)
+		v.PayloadText = string(j.Payload)
 	}
 	return v
 }
--- a/internal/durable/desk.go
+++ b/internal/durable/desk.go
@@ -30,7 +30,7 @@
 	Request(j jobs.Job) (dispatch.Request, error) // a job as the core has it
 	FreeSlots() [][]int                           // the classes that each free slot wants, dearest first; the longest free first
 	Guarantee(backend string) jobs.Guarantee      // what a backend has promised
-	Reserve(backend string, class int, id string, then func(free bool))
+	Reserve(backend string, class int, id string, onReserved func(free bool))
 	Unreserve(backend, id string)
 	SendsHeartbeats(backend string) bool // whether it renews its leases itself
 }
@@ -142,7 +142,7 @@
 		job, err := d.wire.Request(j)
 		if err != nil { // it was readable when it was taken on
 			d.core.Log(fmt.Sprintf("durable job %s cannot be read, and is dead: %v", j.ID, err))
-			d.s.Move(j.ID, jobs.Kill, err.Error(), true)
+			d.s.Move(j.ID, jobs.Kill, jobs.Reason(err.Error()), true)
 			continue
 		}
 		job.Leaser, job.ReceivedAt = d, 0
@@ -196,8 +196,8 @@
 
 // assign leases a job to a backend that has a slot for it.
 func (d *Scheduler) assign(e *errand, id, backend string, told func(fence uint64) bool, no func()) bool {
-	return d.s.Assign(id, backend, d.wire.Guarantee(backend), func(j jobs.Job, why string) {
-		if why != "" {
+	return d.s.Assign(id, backend, d.wire.Guarantee(backend), func(j jobs.Job, err error) {
+		if err != nil {
 			no()
 			return
 		}
@@ -212,7 +212,7 @@
 		}
 		if !told(j.Fence) {
 			d.wire.Unreserve(backend, id)
-			d.s.Fail(id, j.Fence, "nobody waited for the lease any more", false, func(string) {})
+			d.s.Fail(id, j.Fence, "nobody waited for the lease any more", false, func(error) {})
 		}
 		d.Wake()
 	})
@@ -221,7 +221,7 @@
 // Ended tells what became of a lease. Where nobody can tell whether the job ran,
 // the lease goes on: its worker may come back with what it holds.
 func (d *Scheduler) Ended(job *dispatch.Request, fence uint64, o decision.AttemptOutcome, neverRan bool, result []byte) {
-	ignore := func(string) {}
+	ignore := func(error) {}
 	switch {
 	case o == decision.Completed:
 		d.s.Ack(job.ID, fence, slices.Clone(result), ignore)
@@ -230,9 +230,9 @@
 			e.leased = false
 			d.offers++
 		}
-		d.s.Fail(job.ID, fence, o.String(), false, ignore)
+		d.s.Fail(job.ID, fence, jobs.Reason(o.String()), false, ignore)
 	case o == decision.Failed:
-		d.s.Fail(job.ID, fence, o.String(), true, ignore)
+		d.s.Fail(job.ID, fence, jobs.Reason(o.String()), true, ignore)
 	}
 }
 
@@ -242,15 +242,15 @@
 // Paused lists the classes that hand nothing out.
 func (d *Scheduler) Paused() []string { return slices.Sorted(maps.Keys(d.paused)) }
 
-// Pause stops or resumes a class. told hears once the disk has it.
-func (d *Scheduler) Pause(class string, on bool, told func(why string)) {
+// Pause pauses or resumes a class and calls done with nil once that is on disk, or with the error.
+func (d *Scheduler) Pause(class string, on bool, done func(error)) {
 	if on {
 		d.paused[class] = true
 	} else {
 		delete(d.paused, class)
 		d.Wake()
 	}
-	d.s.note(pausedNote, d.Paused(), told)
+	d.s.note(pausedNote, d.Paused(), done)
 }
 
 const (
@@ -260,16 +260,8 @@
 )
 
 // note keeps a word of the desk's.
-func (s *Service) note(id string, v any, told func(why string)) {
+func (s *Service) note(id string, v any, done func(error)) {
 	s.st.Put([]store.Record{{ID: id, Value: v}}, func(err error) {
-		s.loop.Post(func() { told(because(err)) })
+		s.loop.Post(func() { done(err) })
 	})
 }
-
-// because is an error as callers are told it: empty for none.
-func because(err error) string {
-	if err == nil {
-		return ""
-	}
-	return err.Error()
-}
--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -40,8 +40,8 @@
 	due  eventloop.Deadline
 
 	// Who waits for a change to be stored, by job, the longest waiting first.
-	pushes, closings, starts map[string][]func(why string)
-	hands                    map[string]func(j jobs.Job, why string)
+	pushes, closings, starts map[string][]func(error)
+	hands                    map[string]func(jobs.Job, error)
 	watches                  map[string][]func(jobs.Job) // who waits for a job's end
 
 	// OnRunnable is told each job that may be handed out, and once more when it may be again.
@@ -66,8 +66,8 @@
 	}
 	s := &Service{
 		loop: loop, path: c.Path, m: jobs.New(c.Jobs), st: st, log: log,
-		pushes: map[string][]func(string){}, closings: map[string][]func(string){}, starts: map[string][]func(string){},
-		hands: map[string]func(jobs.Job, string){}, watches: map[string][]func(jobs.Job){},
+		pushes: map[string][]func(error){}, closings: map[string][]func(error){}, starts: map[string][]func(error){},
+		hands: map[string]func(jobs.Job, error){}, watches: map[string][]func(jobs.Job){},
 	}
 	s.due.Fire = func() { s.run(s.m.Tick(s.loop.Now())) }
 	// Reading a large store is worth all cores; after that the store has one beside the loop's.
@@ -140,40 +140,40 @@
 	}
 	for _, e := range effects {
 		switch e.Kind {
-		case jobs.Store:
+		case jobs.StoreJob:
 			s.put(e.Job)
-		case jobs.Forget:
+		case jobs.DeleteJob:
 			s.st.Put([]store.Record{{ID: e.Job.ID}}, func(err error) {
 				if err != nil { // the next start forgets it
 					s.log.Error("durable job not forgotten", "id", e.Job.ID, "why", err)
 				}
 			})
-		case jobs.Answer:
-			one(s.pushes, e.Job.ID, e.Why)
-		case jobs.Reply:
-			one(s.closings, e.Job.ID, e.Why)
-		case jobs.Grant:
-			one(s.starts, e.Job.ID, e.Why)
-		case jobs.Hand:
+		case jobs.AnswerPush:
+			one(s.pushes, e.Job.ID, e.Err)
+		case jobs.AnswerReport:
+			one(s.closings, e.Job.ID, e.Err)
+		case jobs.GrantStart:
+			one(s.starts, e.Job.ID, e.Err)
+		case jobs.DeliverJob:
 			if hand := s.hands[e.Job.ID]; hand != nil {
 				delete(s.hands, e.Job.ID)
-				hand(e.Job, "")
+				hand(e.Job, nil)
 			}
-		case jobs.Runnable:
+		case jobs.AnnounceRunnable:
 			s.OnRunnable(e.Job)
-		case jobs.Lapsed:
+		case jobs.AnnounceLeaseExpiry:
 			if s.OnLeaseExpired != nil {
 				s.OnLeaseExpired(e.Job)
 			}
 		}
 	}
-	if at, ok := s.m.Due(); ok && !s.closed {
+	if at, ok := s.m.NextDue(); ok && !s.closed {
 		s.loop.Set(&s.due, at)
 	}
 }
 
 // one tells the one who has waited longest.
-func one(waiting map[string][]func(string), id, why string) {
+func one(waiting map[string][]func(error), id string, err error) {
 	list := waiting[id]
 	if len(list) == 0 {
 		return
@@ -181,14 +181,14 @@
 	if waiting[id] = list[1:]; len(list) == 1 {
 		delete(waiting, id)
 	}
-	list[0](why)
+	list[0](err)
 }
 
 // put hands a job over to the store.
 func (s *Service) put(j jobs.Job) {
 	if j.State == jobs.InDoubt || j.State == jobs.Dead {
-		s.audit(Audit{ID: j.ID, Act: j.State.String(), Worker: j.Worker, Fence: j.Fence, Why: j.Why})
-		s.log.Warn("durable job "+j.State.String(), "id", j.ID, "class", j.Class, "worker", j.Worker, "fence", j.Fence, "why", j.Why)
+		s.audit(Audit{ID: j.ID, Action: j.State.String(), Worker: j.Worker, Fence: j.Fence, Reason: j.Reason})
+		s.log.Warn("durable job "+j.State.String(), "id", j.ID, "class", j.Class, "worker", j.Worker, "fence", j.Fence, "reason", j.Reason)
 	}
 	records := append(s.audits, store.Record{ID: j.ID, Value: j})
 	s.audits = nil
@@ -209,20 +209,19 @@
 	if !known || before.Version != version || s.closed {
 		return // what came after it holds all that it held
 	}
-	why := err.Error()
-	s.log.Error("durable job not stored", "id", id, "state", before.State.String(), "why", why)
+	s.log.Error("durable job not stored", "id", id, "state", before.State.String(), "error", err)
 	switch before.State {
 	case jobs.Accepted:
-		s.run(s.m.StoreFailed(id, version, why))
+		s.run(s.m.StoreFailed(id, version, err))
 		for len(s.pushes[id]) > 0 { // those who pushed it again meanwhile
-			one(s.pushes, id, "not kept: "+why)
+			one(s.pushes, id, &jobs.NotStoredError{Cause: err})
 		}
 	case jobs.Leased:
 		hand := s.hands[id]
 		delete(s.hands, id)
-		effects := s.m.StoreFailed(id, version, why)
+		effects := s.m.StoreFailed(id, version, err)
 		if hand != nil {
-			hand(before, why)
+			hand(before, err)
 		}
 		// Not at once: the next lease would meet the same disk.
 		s.loop.After(retryTime, func() { s.run(effects) })
@@ -246,70 +245,70 @@
 }
 
 // answer tells a caller what its call has brought about: at once, or once it is stored.
-func (s *Service) answer(effects []jobs.Effect, kind jobs.EffectKind, waiting map[string][]func(string), id string, told func(why string)) {
+func (s *Service) answer(effects []jobs.Effect, kind jobs.EffectKind, waiting map[string][]func(error), id string, done func(error)) {
 	now, rest := split(effects, kind)
 	if now == nil {
-		waiting[id] = append(waiting[id], told)
+		waiting[id] = append(waiting[id], done)
 	}
 	s.run(rest)
 	if now != nil {
-		told(now.Why)
+		done(now.Err)
 	}
 }
 
-// Push takes a job on, for later if at is in the future. told hears once the job
-// is on the disk, or why it is not kept. A job of an id that is known is not
-// taken on again, and told hears yes.
-func (s *Service) Push(j jobs.Job, at time.Duration, told func(why string)) {
-	s.answer(s.m.Push(s.loop.Now(), j, at), jobs.Answer, s.pushes, j.ID, told)
+// Push accepts job, to run at notBefore at the earliest, and calls onStored with nil once the job is on disk, or
+// with jobs.ErrIDConflict or a *jobs.NotStoredError. Pushing an accepted job again changes nothing and succeeds.
+func (s *Service) Push(job jobs.Job, notBefore time.Duration, onStored func(error)) {
+	s.answer(s.m.Push(s.loop.Now(), job, notBefore), jobs.AnswerPush, s.pushes, job.ID, onStored)
 }
 
-// Assign leases a job to a worker and calls hand once the lease is on the disk, or
-// with why it is not given. false: the job may not be handed out now, and hand is
-// not called.
-func (s *Service) Assign(id, worker string, h jobs.Guarantee, hand func(j jobs.Job, why string)) bool {
-	effects := s.m.Assign(s.loop.Now(), id, worker, h)
+// Assign leases a job to a worker, which has given guarantee, and calls onLeased once the lease is on disk, or with
+// the error for which it is not granted. It returns false, and does not call onLeased, where the job is not ready
+// or needs a worker of another guarantee.
+func (s *Service) Assign(id, worker string, guarantee jobs.Guarantee, onLeased func(jobs.Job, error)) bool {
+	effects := s.m.Assign(s.loop.Now(), id, worker, guarantee)
 	if len(effects) == 0 {
 		return false
 	}
-	s.hands[id] = hand
+	s.hands[id] = onLeased
 	s.run(effects)
 	return true
 }
 
-// StartJob tells that a worker asks to start a job under a fence. told hears yes
-// once the start is on the disk, or that it must not start.
-func (s *Service) StartJob(id string, fence uint64, told func(why string)) {
-	effects, no := s.m.Start(s.loop.Now(), id, fence)
-	if no {
-		s.run(effects)
-		told("the lease is void")
+// StartJob asks whether a worker may start a job under the fence of its lease. It calls onGranted with nil once the
+// start is on disk, or with jobs.ErrLeaseVoid: then the worker must not start it.
+func (s *Service) StartJob(id string, fence uint64, onGranted func(error)) {
+	effects, err := s.m.Start(s.loop.Now(), id, fence)
+	if err != nil {
+		onGranted(err)
 		return
 	}
-	s.answer(effects, jobs.Grant, s.starts, id, told)
+	s.answer(effects, jobs.GrantStart, s.starts, id, onGranted)
 }
 
 // Heartbeat renews all leases of a worker.
 func (s *Service) Heartbeat(worker string) { s.m.Heartbeat(s.loop.Now(), worker) }
 
-// Ack tells that a job is done, and what came of it. told hears once that is on the disk, or why it does not count.
-func (s *Service) Ack(id string, fence uint64, result []byte, told func(why string)) {
-	s.answer(s.m.Ack(s.loop.Now(), id, fence, result), jobs.Reply, s.closings, id, told)
+// Ack reports that a job is done, with its result. It calls onStored with nil once that is on disk, or with
+// jobs.ErrUnknownJob or jobs.ErrLeaseVoid where the report does not count.
+func (s *Service) Ack(id string, fence uint64, result []byte, onStored func(error)) {
+	s.answer(s.m.Ack(s.loop.Now(), id, fence, result), jobs.AnswerReport, s.closings, id, onStored)
 }
 
-// Fail tells that a job failed; started false is the worker's word that it never began.
-func (s *Service) Fail(id string, fence uint64, why string, started bool, told func(why string)) {
-	s.answer(s.m.Fail(s.loop.Now(), id, fence, why, started), jobs.Reply, s.closings, id, told)
+// Fail reports that a job failed, or, with started false, that its worker never began it. It calls onStored as Ack does.
+func (s *Service) Fail(id string, fence uint64, reason jobs.Reason, started bool, onStored func(error)) {
+	s.answer(s.m.Fail(s.loop.Now(), id, fence, reason, started), jobs.AnswerReport, s.closings, id, onStored)
 }
 
-// Resolve ends a job in doubt by an operator's word, with its reason.
-func (s *Service) Resolve(id string, ran bool, reason string) error {
+// Resolve ends the doubt about a job at an operator's request: it ran, or it did not and runs again. A refusal is a
+// *jobs.TransitionError.
+func (s *Service) Resolve(id string, ran bool, reason jobs.Reason) error {
 	effects, err := s.m.Resolve(s.loop.Now(), id, ran, reason)
 	if err != nil {
 		return err
 	}
-	s.audit(Audit{ID: id, Act: settled(ran), Why: reason, Operator: true})
-	s.log.Warn("durable job settled", "id", id, "ran", ran, "reason", reason)
+	s.audit(Audit{ID: id, Action: settled(ran), Reason: reason, Operator: true})
+	s.log.Warn("durable job resolved", "id", id, "ran", ran, "reason", reason)
 	s.run(effects)
 	return nil
 }
@@ -331,31 +330,32 @@
 // Extend renews one lease until a moment that its worker names.
 func (s *Service) Extend(id string, fence uint64, until time.Duration) { s.m.Extend(id, fence, until) }
 
-// Move moves a job that waits or is dead by somebody's word; force is an operator's.
-func (s *Service) Move(id string, to jobs.Move, why string, force bool) error {
-	effects, err := s.m.Move(s.loop.Now(), id, to, why, force)
+// Move discards, kills or requeues a job that waits or is dead; operator tells that an operator asks for it. A
+// refusal is a *jobs.TransitionError.
+func (s *Service) Move(id string, to jobs.Move, reason jobs.Reason, operator bool) error {
+	effects, err := s.m.Move(s.loop.Now(), id, to, reason, operator)
 	if err != nil {
 		return err
 	}
-	s.audit(Audit{ID: id, Act: to.String(), Why: why, Operator: force})
-	s.log.Info("durable job moved", "id", id, "move", to.String(), "why", why, "operator", force)
+	s.audit(Audit{ID: id, Action: to.String(), Reason: reason, Operator: operator})
+	s.log.Info("durable job moved", "id", id, "move", to.String(), "reason", reason, "operator", operator)
 	s.run(effects)
 	return nil
 }
 
-// Snapshot writes the store as it is at one moment to a file of that name beside
-// it. told hears once that is on the disk.
-func (s *Service) Snapshot(name string, told func(why string)) {
+// Snapshot writes a consistent copy of the store to a file of that name beside it, while the store goes on. It calls
+// done with nil once the copy is on disk, or with the error.
+func (s *Service) Snapshot(name string, done func(error)) {
 	path, err := SiblingPath(s.path, name)
 	if err != nil {
-		told(err.Error())
+		done(err)
 		return
 	}
 	go func() {
-		why := because(s.st.Snapshot(path))
+		err := s.st.Snapshot(path)
 		s.loop.Post(func() {
-			s.log.Info("snapshot of the durable jobs", "path", path, "why_not", why)
-			told(why)
+			s.log.Info("snapshot of the durable jobs", "path", path, "error", err)
+			done(err)
 		})
 	}()
 }
@@ -368,8 +368,8 @@
 	return filepath.Join(filepath.Dir(path), name), nil
 }
 
-// AfterSync calls told once all that has been changed so far is on the disk, or cannot be.
-func (s *Service) AfterSync(told func(why string)) { s.note(syncedNote, nil, told) }
+// AfterSync calls done with nil once all changes so far are on disk, or with the store's error.
+func (s *Service) AfterSync(done func(error)) { s.note(syncedNote, nil, done) }
 
 func (s *Service) paused() map[string]bool {
 	paused := map[string]bool{}
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -69,30 +69,39 @@
 	return v
 }
 
-// told runs a call and waits for what its caller is told.
-func (r *rig) told(what string, call func(told func(string))) string {
+// wait starts an operation and waits for its error.
+func (r *rig) wait(what string, start func(done func(error))) error {
 	r.t.Helper()
-	c := make(chan string, 1)
-	r.do(func() { call(func(why string) { c <- why }) })
-	return receive(r.t, what, c)
+	result := make(chan error, 1)
+	r.do(func() { start(func(err error) { result <- err }) })
+	return receive(r.t, what, result)
 }
 
-type handed struct {
-	j   jobs.Job
-	why string
+// leased is what Service.Assign calls onLeased with.
+type leased struct {
+	job jobs.Job
+	err error
 }
 
-func (r *rig) assign(id string) handed {
+func (r *rig) assign(id string) leased {
 	r.t.Helper()
-	c := make(chan handed, 1)
+	c := make(chan leased, 1)
 	r.do(func() {
-		if !r.s.Assign(id, "w", jobs.HonorsFences, func(j jobs.Job, why string) { c <- handed{j, why} }) {
+		if !r.s.Assign(id, "w", jobs.HonorsFences, func(job jobs.Job, err error) { c <- leased{job, err} }) {
 			r.t.Errorf("%s may not be handed out", id)
 		}
 	})
 	return receive(r.t, "a lease", c)
 }
 
+// errorText is the text of an error, empty for none.
+func errorText(err error) string {
+	if err == nil {
+		return ""
+	}
+	return err.Error()
+}
+
 func (r *rig) state(id string) (state string) {
 	r.do(func() {
 		if j, known := r.s.Get(id); known {
@@ -110,7 +119,7 @@
 			path := filepath.Join(t.TempDir(), "jobs.db")
 			var full atomic.Bool
 			var met atomic.Int32
-			r := open(t, Config{Path: path, Store: store.Options{Fault: func() error {
+			r := open(t, Config{Path: path, Store: store.Options{InjectWriteError: func() error {
 				if full.Load() {
 					met.Add(1)
 					return syscall.ENOSPC
@@ -118,13 +127,13 @@
 				return nil
 			}}})
 			at := func(step string) { full.Store(step == at) }
-			push := func() string {
-				return r.told("the push", func(told func(string)) { r.s.Push(jobs.Job{ID: "r", Class: "renewal", Once: true}, 0, told) })
+			push := func() error {
+				return r.wait("the push", func(done func(error)) { r.s.Push(jobs.Job{ID: "r", Class: "renewal", NonIdempotent: true}, 0, done) })
 			}
-			later := func(what string, call func(told func(string))) {
+			later := func(what string, start func(done func(error))) {
 				t.Helper()
-				c := make(chan string, 1)
-				r.do(func() { call(func(why string) { c <- why }) })
+				c := make(chan error, 1)
+				r.do(func() { start(func(err error) { c <- err }) })
 				if full.Load() {
 					for end := time.Now().Add(patience); met.Load() < 2; time.Sleep(time.Millisecond) {
 						if time.Now().After(end) {
@@ -138,50 +147,50 @@
 					}
 					full.Store(false)
 				}
-				if why := receive(t, what, c); why != "" {
-					t.Fatalf("%s: %s", what, why)
+				if err := receive(t, what, c); err != nil {
+					t.Fatalf("%s: %v", what, err)
 				}
 			}
 			at("push")
-			if why := push(); (why != "") != full.Load() || why != "" && !strings.Contains(why, "no space") {
-				t.Fatalf("the push: %q", why)
+			if err := push(); (err != nil) != full.Load() || err != nil && !strings.Contains(err.Error(), "no space") {
+				t.Fatalf("the push: %v", err)
 			}
 			if full.Load() {
 				if r.state("r") != "" {
 					t.Fatal("a job that was refused is kept")
 				}
 				full.Store(false)
-				if why := push(); why != "" {
-					t.Fatal(why)
+				if err := push(); err != nil {
+					t.Fatal(err)
 				}
 			}
 			receive(t, "the job", r.runnable)
 			at("lease")
 			h := r.assign("r")
-			if (h.why != "") != full.Load() {
-				t.Fatalf("the lease: %q", h.why)
+			if (h.err != nil) != full.Load() {
+				t.Fatalf("the lease: %v", h.err)
 			}
 			if full.Load() {
 				full.Store(false)
 				receive(t, "the job again", r.runnable)
-				if h = r.assign("r"); h.why != "" {
-					t.Fatal(h.why)
+				if h = r.assign("r"); h.err != nil {
+					t.Fatal(h.err)
 				}
 			}
-			if h.j.Attempts != 1 {
-				t.Errorf("%d attempts", h.j.Attempts)
+			if h.job.Attempts != 1 {
+				t.Errorf("%d attempts", h.job.Attempts)
 			}
 			at("start")
-			later("the start", func(told func(string)) { r.s.StartJob("r", h.j.Fence, told) })
+			later("the start", func(done func(error)) { r.s.StartJob("r", h.job.Fence, done) })
 			at("ack")
-			later("the ACK", func(told func(string)) { r.s.Ack("r", h.j.Fence, nil, told) })
+			later("the ACK", func(done func(error)) { r.s.Ack("r", h.job.Fence, nil, done) })
 			r.close()
 			r = open(t, Config{Path: path})
 			if got := r.state("r"); got != "done" {
 				t.Errorf("after a restart it is %q", got)
 			}
-			if why := push(); why != "" || len(r.runnable) > 0 {
-				t.Errorf("pushed again: %q, %d may run", why, len(r.runnable))
+			if err := push(); err != nil || len(r.runnable) > 0 {
+				t.Errorf("pushed again: %v, %d may run", err, len(r.runnable))
 			}
 			r.close()
 		})
@@ -191,14 +200,14 @@
 // Callers of one job are told in the order of their calls, whichever waits for the disk; what comes of a lease that
 // has been given again is void.
 func TestCallersAreTold(t *testing.T) {
-	r := open(t, Config{Path: filepath.Join(t.TempDir(), "jobs.db"), Jobs: jobs.Config{Lease: time.Hour}})
+	r := open(t, Config{Path: filepath.Join(t.TempDir(), "jobs.db"), Jobs: jobs.Config{LeaseDuration: time.Hour}})
 	defer r.close()
 	var order []string
 	done := make(chan struct{})
 	r.do(func() {
 		for _, n := range []string{"first", "second", "third"} {
-			r.s.Push(jobs.Job{ID: "a"}, 0, func(why string) {
-				if order = append(order, n+why); len(order) == 3 {
+			r.s.Push(jobs.Job{ID: "a"}, 0, func(err error) {
+				if order = append(order, n+errorText(err)); len(order) == 3 {
 					close(done)
 				}
 			})
@@ -209,46 +218,46 @@
 		t.Errorf("told %v", order)
 	}
 	receive(t, "the job", r.runnable)
-	old := r.assign("a").j
-	if why := r.told("a word that it never began", func(told func(string)) { r.s.Fail("a", old.Fence, "busy", false, told) }); why != "" {
-		t.Fatal(why)
+	old := r.assign("a").job
+	if err := r.wait("a word that it never began", func(done func(error)) { r.s.Fail("a", old.Fence, "busy", false, done) }); err != nil {
+		t.Fatal(err)
 	}
 	receive(t, "the job again", r.runnable)
-	now := r.assign("a").j
-	if why := r.told("a void start", func(told func(string)) { r.s.StartJob("a", old.Fence, told) }); why == "" {
+	now := r.assign("a").job
+	if err := r.wait("a void start", func(done func(error)) { r.s.StartJob("a", old.Fence, done) }); err == nil {
 		t.Error("a start under a void lease")
 	}
-	if why := r.told("a void ACK", func(told func(string)) { r.s.Ack("a", old.Fence, nil, told) }); why == "" {
+	if err := r.wait("a void ACK", func(done func(error)) { r.s.Ack("a", old.Fence, nil, done) }); err == nil {
 		t.Error("an ACK under a void lease counts")
 	}
 	r.do(func() { order = nil })
 	two := make(chan string, 2)
 	r.do(func() { // the second before the first is on the disk
-		r.s.Ack("a", now.Fence, nil, func(why string) { two <- "1" + why })
-		r.s.Ack("a", now.Fence, nil, func(why string) { two <- "2" + why })
+		r.s.Ack("a", now.Fence, nil, func(err error) { two <- "1" + errorText(err) })
+		r.s.Ack("a", now.Fence, nil, func(err error) { two <- "2" + errorText(err) })
 	})
 	if a, b := receive(t, "an ACK", two), receive(t, "an ACK", two); a != "1" || b != "2" {
 		t.Errorf("told %q, %q", a, b)
 	}
-	if why := r.told("no job", func(told func(string)) { r.s.Ack("nobody", 1, nil, told) }); why == "" {
+	if err := r.wait("no job", func(done func(error)) { r.s.Ack("nobody", 1, nil, done) }); err == nil {
 		t.Error("an ACK of a job that nobody knows")
 	}
 }
 
 // A restart hands out what waited, in its order, and leaves what may have run to its worker, then to an operator.
 func TestRestart(t *testing.T) {
-	c := Config{Path: filepath.Join(t.TempDir(), "jobs.db"), Jobs: jobs.Config{Lease: 50 * time.Millisecond, Grace: 50 * time.Millisecond}}
+	c := Config{Path: filepath.Join(t.TempDir(), "jobs.db"), Jobs: jobs.Config{LeaseDuration: 50 * time.Millisecond, RecoveryGrace: 50 * time.Millisecond}}
 	r := open(t, c)
 	for _, id := range []string{"z", "m", "a", "b"} {
-		if why := r.told(id, func(told func(string)) { r.s.Push(jobs.Job{ID: id, Once: true}, 0, told) }); why != "" {
-			t.Fatal(why)
+		if err := r.wait(id, func(done func(error)) { r.s.Push(jobs.Job{ID: id, NonIdempotent: true}, 0, done) }); err != nil {
+			t.Fatal(err)
 		}
 		receive(t, id, r.runnable)
 	}
 	r.assign("m")
-	held := r.assign("b").j
-	if why := r.told("start", func(told func(string)) { r.s.StartJob("b", held.Fence, told) }); why != "" {
-		t.Fatal(why)
+	held := r.assign("b").job
+	if err := r.wait("start", func(done func(error)) { r.s.StartJob("b", held.Fence, done) }); err != nil {
+		t.Fatal(err)
 	}
 	r.close()
 	if _, err := Open(r.loop, Config{Path: c.Path + "/no"}, slog.Default()); err == nil {
--- a/internal/durable/golden_test.go
+++ b/internal/durable/golden_test.go
@@ -60,7 +60,7 @@
 	t.Helper()
 	s := &scriptedService{t: t, now: goldenStart}
 	loop := eventloop.NewVirtual(func() time.Duration { return s.now })
-	config := Config{Path: path, Jobs: jobs.Config{Lease: time.Minute, Grace: time.Minute, Attempts: 3, Backoff: time.Second, Retain: 24 * time.Hour, Dead: 180 * 24 * time.Hour}}
+	config := Config{Path: path, Jobs: jobs.Config{LeaseDuration: time.Minute, RecoveryGrace: time.Minute, MaxAttempts: 3, InitialBackoff: time.Second, Retention: 24 * time.Hour, DeadRetention: 180 * 24 * time.Hour}}
 	service, err := Open(loop, config, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -71,25 +71,28 @@
 	return s
 }
 
-// wait turns the loop until a call's caller is told, and returns what it is told.
-func (s *scriptedService) wait(what string, call func(told func(why string))) (why string) {
+// wait starts an operation, turns the loop until it is done and returns its error.
+func (s *scriptedService) wait(what string, start func(done func(error))) (result error) {
 	s.t.Helper()
-	over := false
-	call(func(w string) { over, why = true, w })
-	for end := time.Now().Add(patience); !over; time.Sleep(100 * time.Microsecond) {
+	finished := false
+	start(func(err error) {
+		finished = true
+		result = err
+	})
+	for end := time.Now().Add(patience); !finished; time.Sleep(100 * time.Microsecond) {
 		if time.Now().After(end) {
 			s.t.Fatalf("nothing came: %s", what)
 		}
 		s.loop.RunOnce()
 	}
-	return why
+	return result
 }
 
-// must is a call that succeeds.
-func (s *scriptedService) must(what string, call func(told func(why string))) {
+// must waits for an operation that succeeds.
+func (s *scriptedService) must(what string, start func(done func(error))) {
 	s.t.Helper()
-	if why := s.wait(what, call); why != "" {
-		s.t.Fatalf("%s: %s", what, why)
+	if err := s.wait(what, start); err != nil {
+		s.t.Fatalf("%s: %v", what, err)
 	}
 }
 
@@ -103,15 +106,15 @@
 func (s *scriptedService) push(j jobs.Job, at time.Duration) {
 	s.t.Helper()
 	s.now += time.Millisecond
-	s.must("push "+j.ID, func(told func(string)) { s.Push(j, at, told) })
+	s.must("push "+j.ID, func(done func(error)) { s.Push(j, at, done) })
 }
 
 // lease pushes a job and leases it to a worker.
 func (s *scriptedService) lease(j jobs.Job, worker string, promise jobs.Guarantee) (fence uint64) {
 	s.t.Helper()
 	s.push(j, 0)
-	s.must("lease "+j.ID, func(told func(string)) {
-		if !s.Assign(j.ID, worker, promise, func(leased jobs.Job, why string) { fence = leased.Fence; told(why) }) {
+	s.must("lease "+j.ID, func(done func(error)) {
+		if !s.Assign(j.ID, worker, promise, func(leased jobs.Job, err error) { fence = leased.Fence; done(err) }) {
 			s.t.Fatalf("%s cannot be leased", j.ID)
 		}
 	})
@@ -122,22 +125,22 @@
 func (s *scriptedService) begin(j jobs.Job, worker string, promise jobs.Guarantee) (fence uint64) {
 	s.t.Helper()
 	fence = s.lease(j, worker, promise)
-	s.must("start "+j.ID, func(told func(string)) { s.StartJob(j.ID, fence, told) })
+	s.must("start "+j.ID, func(done func(error)) { s.StartJob(j.ID, fence, done) })
 	return fence
 }
 
 func (s *scriptedService) fail(id string, fence uint64, started bool) {
 	s.t.Helper()
-	s.must("fail "+id, func(told func(string)) { s.Fail(id, fence, "till jammed", started, told) })
+	s.must("fail "+id, func(done func(error)) { s.Fail(id, fence, "till jammed", started, done) })
 }
 
 // renewal is a job that must not run twice, statusCheck one that may.
 func renewal(id string) jobs.Job {
-	return jobs.Job{ID: id, Class: "renewal", Once: true, Payload: []byte(`{"jid":"` + id + `","args":["member 7"]}`), Sum: 0x0123456789abcdef}
+	return jobs.Job{ID: id, Class: "renewal", NonIdempotent: true, Payload: []byte(`{"jid":"` + id + `","args":["member 7"]}`), PayloadHash: 0x0123456789abcdef}
 }
 
 func statusCheck(id string) jobs.Job {
-	return jobs.Job{ID: id, Class: "status-check", Payload: []byte("no JSON <&> \xff"), Sum: 42}
+	return jobs.Job{ID: id, Class: "status-check", Payload: []byte("no JSON <&> \xff"), PayloadHash: 42}
 }
 
 // script goes through a fixed sequence of changes after which the store holds
@@ -147,7 +150,7 @@
 	s.lapse()
 	s.push(statusCheck("accepted-1"), 0)
 	limited := statusCheck("scheduled-1")
-	limited.Most, limited.Lease, limited.Drops = 9, 90*time.Second, true
+	limited.MaxAttempts, limited.LeaseDuration, limited.DiscardWhenExhausted = 9, 90*time.Second, true
 	s.push(limited, farFuture)
 	s.lease(renewal("leased-1"), "w-fences", jobs.HonorsFences)
 	s.lease(statusCheck("leased-2"), "w-nothing", jobs.NoGuarantee)
@@ -155,14 +158,14 @@
 	s.fail("waiting-1", s.begin(statusCheck("waiting-1"), "w-nothing", jobs.NoGuarantee), true)
 	s.fail("ready-never-started", s.lease(renewal("ready-never-started"), "w-fences", jobs.HonorsFences), false)
 	fence := s.begin(renewal("done-1"), "w-fences", jobs.HonorsFences)
-	s.must("ack", func(told func(string)) { s.Ack("done-1", fence, []byte(`{"receipt":17}`), told) })
+	s.must("ack", func(done func(error)) { s.Ack("done-1", fence, []byte(`{"receipt":17}`), done) })
 	s.fail("dead-1", s.begin(renewal("dead-1"), "w-fences", jobs.HonorsFences), true)
 	dropped := statusCheck("discarded-1")
-	dropped.Most, dropped.Drops = 1, true
+	dropped.MaxAttempts, dropped.DiscardWhenExhausted = 1, true
 	s.fail("discarded-1", s.begin(dropped, "w-nothing", jobs.NoGuarantee), true)
 	s.operate()
 	s.request()
-	s.must("pause", func(told func(string)) { s.note(pausedNote, []string{"renewal", "status-check"}, told) })
+	s.must("pause", func(done func(error)) { s.note(pausedNote, []string{"renewal", "status-check"}, done) })
 	s.must("sync", s.AfterSync)
 }
 
@@ -290,8 +293,8 @@
 func describe(j jobs.Job) string {
 	return fmt.Sprintf("%s: class %q, not twice %v, payload %q, sum %d, result %q, state %q, fence %d, worker %q, promise %d, for tills only %v, "+
 		"due %d, attempts %d, at most %d, lease %d, dropped %v, why %q, version %d, sequence %d",
-		j.ID, j.Class, j.Once, j.Payload, j.Sum, j.Result, j.State, j.Fence, j.Worker, j.Honours, j.Only,
-		j.Until, j.Attempts, j.Most, j.Lease, j.Drops, j.Why, j.Version, j.Seq)
+		j.ID, j.Class, j.NonIdempotent, j.Payload, j.PayloadHash, j.Result, j.State, j.Fence, j.Worker, j.WorkerGuarantee, j.RequiresDeduplication,
+		j.DueAt, j.Attempts, j.MaxAttempts, j.LeaseDuration, j.DiscardWhenExhausted, j.Reason, j.Version, j.Sequence)
 }
 
 // A store file of an earlier build is read: every job with every field, what an
--- a/internal/durable/recover_test.go
+++ b/internal/durable/recover_test.go
@@ -18,7 +18,7 @@
 // fill writes a store of n jobs, as many lives have left it: most are over, some
 // wait, some are leased.
 func fill(tb testing.TB, path string, n int) {
-	st, err := store.Open(path, store.Options{Batch: 20_000})
+	st, err := store.Open(path, store.Options{MaxBatch: 20_000})
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -26,11 +26,11 @@
 	now := time.Duration(time.Now().UnixNano())
 	var records []store.Record
 	for i := range n {
-		j := jobs.Job{ID: fmt.Sprintf("paid-%07d", i), Class: "renewal", Once: true, Seq: uint64(i + 1), Version: 3, Fence: uint64(i + 1), Until: now + time.Hour}
+		j := jobs.Job{ID: fmt.Sprintf("paid-%07d", i), Class: "renewal", NonIdempotent: true, Sequence: uint64(i + 1), Version: 3, Fence: uint64(i + 1), DueAt: now + time.Hour}
 		switch i % 10 {
 		case 0:
 			j.State, j.Payload = jobs.Accepted, payload
-			j.Until = 0
+			j.DueAt = 0
 		case 1:
 			j.State, j.Payload = jobs.Waiting, payload
 		case 2:
@@ -100,7 +100,7 @@
 					for i := 0; !stop.Load(); i++ {
 						done := make(chan struct{})
 						loop.Post(func() {
-							s.Push(jobs.Job{ID: fmt.Sprint(p, "-", i), Class: "renewal", Once: true, Payload: make([]byte, 200)}, 0, func(string) { close(done) })
+							s.Push(jobs.Job{ID: fmt.Sprint(p, "-", i), Class: "renewal", NonIdempotent: true, Payload: make([]byte, 200)}, 0, func(error) { close(done) })
 						})
 						<-done
 						pushed.Add(1)
--- a/internal/durable/request.go
+++ b/internal/durable/request.go
@@ -31,9 +31,9 @@
 func RequestID(key string) string { return requestPrefix + key }
 
 // Job words a request for the service.
-func (r Request) Job(key, class string, once bool) jobs.Job {
+func (r Request) Job(key, class string, nonIdempotent bool) jobs.Job {
 	payload, _ := json.Marshal(r) // text, bytes and numbers always marshal
-	return jobs.Job{ID: RequestID(key), Class: class, Once: once, Payload: payload, Sum: xxhash.Sum64String(class + "\x00" + r.Target + "\x00" + string(r.Body))}
+	return jobs.Job{ID: RequestID(key), Class: class, NonIdempotent: nonIdempotent, Payload: payload, PayloadHash: xxhash.Sum64String(class + "\x00" + r.Target + "\x00" + string(r.Body))}
 }
 
 // ReadRequest reads what a job asks for; false: it came by another wire.
@@ -44,19 +44,20 @@
 	return r, is
 }
 
-// Watch calls told once the job is over or in doubt, and the disk has that.
-func (s *Service) Watch(id string, told func(jobs.Job)) {
-	if j, known := s.m.Get(id); !known || j.State.Over() && s.m.OnDisk(id) {
-		told(j)
+// Watch calls onFinal once the job is in a final state that is on disk, and also where the job is not known or the
+// service closes before that.
+func (s *Service) Watch(id string, onFinal func(jobs.Job)) {
+	if j, known := s.m.Get(id); !known || j.State.IsFinal() && s.m.IsStored(id) {
+		onFinal(j)
 		return
 	}
-	s.watches[id] = append(s.watches[id], told)
+	s.watches[id] = append(s.watches[id], onFinal)
 }
 
 // over tells those who wait for a job.
 func (s *Service) over(id string) {
 	list := s.watches[id]
-	if j, known := s.m.Get(id); len(list) > 0 && (!known || j.State.Over() && s.m.OnDisk(id)) {
+	if j, known := s.m.Get(id); len(list) > 0 && (!known || j.State.IsFinal() && s.m.IsStored(id)) {
 		delete(s.watches, id)
 		for _, told := range list {
 			told(j)
--- a/internal/faktory/durable.go
+++ b/internal/faktory/durable.go
@@ -74,8 +74,8 @@
 func (c *Durable) config() durable.Config {
 	return durable.Config{
 		Path:  c.Path,
-		Jobs:  jobs.Config{Lease: seconds(c.LeaseS), Grace: seconds(c.GraceS), Attempts: c.Attempts, Backoff: seconds(c.BackoffS), Retain: seconds(c.RetainS), Dead: seconds(c.RetainDead)},
-		Store: store.Options{Delay: seconds(c.DelayMs / 1000)},
+		Jobs:  jobs.Config{LeaseDuration: seconds(c.LeaseS), RecoveryGrace: seconds(c.GraceS), MaxAttempts: c.Attempts, InitialBackoff: seconds(c.BackoffS), Retention: seconds(c.RetainS), DeadRetention: seconds(c.RetainDead)},
+		Store: store.Options{GroupCommitDelay: seconds(c.DelayMs / 1000)},
 	}
 }
 
@@ -246,7 +246,7 @@
 // durableJob words a job for the service.
 func (s *Server) durableJob(raw []byte, job dispatch.Request, w *work) (j jobs.Job) {
 	class := s.core.Settings.Classes[job.Class]
-	j = jobs.Job{ID: job.ID, Class: class.Name, Once: class.Idempotency != decision.Idempotent, Payload: bytes.Clone(raw)}
+	j = jobs.Job{ID: job.ID, Class: class.Name, NonIdempotent: class.Idempotency != decision.Idempotent, Payload: bytes.Clone(raw)}
 	// What makes a job another one; times and the like may differ from one PUSH to its repeat.
 	h := xxhash.New()
 	h.WriteString(class.Name + "\x00" + w.Jobtype)
@@ -255,26 +255,27 @@
 		json.Compact(&text, arg) // it has been read
 		h.Write(append(text.Bytes(), 0))
 	}
-	j.Sum = h.Sum64()
+	j.PayloadHash = h.Sum64()
 	if w.Retry != nil {
-		j.Most, j.Drops = max(min(*w.Retry, 1000), 0)+1, *w.Retry < 0
+		j.MaxAttempts, j.DiscardWhenExhausted = max(min(*w.Retry, 1000), 0)+1, *w.Retry < 0
 	}
 	if w.Reserve > 0 {
-		j.Lease = min(seconds(min(w.Reserve, 1e9)), mostLease)
+		j.LeaseDuration = min(seconds(min(w.Reserve, 1e9)), mostLease)
 	}
 	return j
 }
 
 // keep takes a job on durably: its producer hears once the disk has it.
 func (n *session) keep(job dispatch.Request, raw []byte, w *work, told func(why string)) {
-	n.srv.kept.Push(n.srv.durableJob(raw, job, w), w.at, func(why string) {
+	n.srv.kept.Push(n.srv.durableJob(raw, job, w), w.at, func(err error) {
 		switch {
-		case why == jobs.OtherJob:
-			why = "NOTUNIQUE " + why
-		case why != "":
-			why = "REFUSED " + why + "; pushing it again is harmless"
+		case errors.Is(err, jobs.ErrIDConflict):
+			told("NOTUNIQUE " + err.Error())
+		case err != nil:
+			told("REFUSED " + err.Error() + "; pushing it again is harmless")
+		default:
+			told("")
 		}
-		told(why)
 	})
 }
 
@@ -299,6 +300,14 @@
 	return "-ERR " + oneLine(why)
 }
 
+// okOrError is okOr for an error.
+func okOrError(err error) string {
+	if err == nil {
+		return okOr("")
+	}
+	return okOr(err.Error())
+}
+
 // pushBulk takes many jobs at once, and tells those that were not taken on by jid.
 func (n *session) pushBulk(rest []byte) {
 	var list []json.RawMessage
@@ -363,20 +372,20 @@
 	srv, k := n.srv, n.srv.kept
 	fence := n.fence(j, w)
 	say := n.owe()
-	told := func(why string) {
-		if why != "" {
-			why = "VOID " + why
+	told := func(err error) {
+		if err != nil {
+			err = fmt.Errorf("VOID %w", err)
 		}
-		say(okOr(why))
+		say(okOrError(err))
 	}
 	o := decision.Completed
 	switch verb {
 	case "START":
-		k.StartJob(w.Jid, fence, func(why string) {
-			if why != "" { // it will not run it
+		k.StartJob(w.Jid, fence, func(err error) {
+			if err != nil { // it will not run it
 				srv.through(w.Jid, fence, decision.NotSent)
 			}
-			told(why)
+			told(err)
 		})
 		return
 	case "ACK":
@@ -384,7 +393,7 @@
 	case "FAIL":
 		o = decision.Failed
 		started := w.Started == nil || *w.Started
-		k.Fail(w.Jid, fence, cmp.Or(strings.TrimPrefix(w.Type+": "+w.Message, ": "), "failed"), started, told)
+		k.Fail(w.Jid, fence, jobs.Reason(cmp.Or(strings.TrimPrefix(w.Type+": "+w.Message, ": "), "failed")), started, told)
 	}
 	delete(k.tracks, w.Jid)
 	srv.through(w.Jid, fence, o)
@@ -482,9 +491,9 @@
 	switch op := strings.ToUpper(fields[0]); op {
 	case "PAUSE", "RESUME":
 		for i, name := range names {
-			k.desk.Pause(name, op == "PAUSE", func(why string) {
+			k.desk.Pause(name, op == "PAUSE", func(err error) {
 				if i == len(names)-1 { // the last one's word holds all
-					told(okOr(why))
+					told(okOrError(err))
 				}
 			})
 		}
@@ -493,14 +502,14 @@
 		}
 	case "REMOVE":
 		k.move(jobs.Discard, "QUEUE REMOVE", func(j jobs.Job) bool { return j.State == jobs.Ready && slices.Contains(names, j.Class) })
-		k.AfterSync(func(why string) { told(okOr(why)) })
+		k.AfterSync(func(err error) { told(okOrError(err)) })
 	default:
 		told("-ERR MALFORMED QUEUE: PAUSE, RESUME or REMOVE")
 	}
 }
 
 // move moves all jobs that are chosen, and tells why some are not.
-func (k *keep) move(to jobs.Move, why string, chosen func(jobs.Job) bool) (last error) {
+func (k *keep) move(to jobs.Move, why jobs.Reason, chosen func(jobs.Job) bool) (last error) {
 	var ids []string
 	k.Each(func(j jobs.Job) {
 		if chosen(j) {
@@ -537,7 +546,7 @@
 		return
 	}
 	told := n.owe()
-	last := n.srv.kept.move(to, "MUTATE "+m.Cmd, func(j jobs.Job) bool {
+	last := n.srv.kept.move(to, jobs.Reason("MUTATE "+m.Cmd), func(j jobs.Job) bool {
 		if j.State != state || m.Cmd == "clear" {
 			return j.State == state
 		}
@@ -547,11 +556,11 @@
 		return (m.Filter.Jobtype == "" || m.Filter.Jobtype == cmp.Or(w.Jobtype, j.Class)) &&
 			(m.Filter.Jids == nil || slices.Contains(m.Filter.Jids, j.ID)) && (m.Filter.Regexp == "" || text)
 	})
-	n.srv.kept.AfterSync(func(why string) {
-		if last != nil {
-			why = cmp.Or(why, "REFUSED "+last.Error())
+	n.srv.kept.AfterSync(func(err error) {
+		if err == nil && last != nil {
+			err = fmt.Errorf("REFUSED %w", last)
 		}
-		told(okOr(why))
+		told(okOrError(err))
 	})
 }
 
@@ -567,7 +576,7 @@
 	k.move(jobs.Discard, "FLUSH", func(j jobs.Job) bool {
 		return j.State == jobs.Ready || j.State == jobs.Scheduled || j.State == jobs.Waiting || j.State == jobs.Dead
 	})
-	k.AfterSync(func(why string) { told(okOr(why)) })
+	k.AfterSync(func(err error) { told(okOrError(err)) })
 }
 
 // trackStates are the protocol's names of states.
@@ -589,11 +598,11 @@
 			state = trackStates[j.State]
 		}
 		raw, _ := json.Marshal(struct { // strings and numbers always marshal
-			Jid   string `json:"jid"`
-			State string `json:"state"`
-			Why   string `json:"why,omitempty"`
+			Jid   string      `json:"jid"`
+			State string      `json:"state"`
+			Why   jobs.Reason `json:"why,omitempty"`
 			track
-		}{id, state, j.Why, k.tracks[id]})
+		}{id, state, j.Reason, k.tracks[id]})
 		n.conn.Write(appendBulk(nil, raw))
 	case "SET":
 		var w word
--- a/internal/jobs/jobs_test.go
+++ b/internal/jobs/jobs_test.go
@@ -1,7 +1,7 @@
 package jobs
 
 import (
-	"cmp"
+	"errors"
 	"fmt"
 	"maps"
 	"slices"
@@ -15,6 +15,8 @@
 // crashes with and without what the disk had not confirmed. Every interleaving
 // to a depth is tried; states met before with as many steps left are not tried again.
 
+var errDiskFull = errors.New("disk full")
+
 type message struct {
 	kind   string // hand, begin, grant, ack
 	worker int
@@ -46,14 +48,14 @@
 	mm.jobs = map[string]*entry{}
 	for id, e := range w.m.jobs {
 		x := *e
-		x.then = slices.Clone(e.then)
+		x.afterStore = slices.Clone(e.afterStore)
 		mm.jobs[id] = &x
 	}
-	mm.due, mm.leased = nil, map[string]map[string]*entry{}
-	for _, id := range mm.order() {
+	mm.dueQueue, mm.leasesByWorker = nil, map[string]map[string]*entry{}
+	for _, id := range mm.sortedIDs() {
 		mm.index(mm.jobs[id])
 	}
-	mm.out, mm.woken, mm.line = nil, nil, nil // the explorer lists nothing
+	mm.effects, mm.becameReady, mm.inOrder = nil, nil, nil // the explorer lists nothing
 	c.m = &mm
 	c.disk, c.ran, c.answered, c.blind = maps.Clone(w.disk), maps.Clone(w.ran), maps.Clone(w.answered), maps.Clone(w.blind)
 	c.pending, c.air = slices.Clone(w.pending), slices.Clone(w.air)
@@ -66,10 +68,10 @@
 // key tells states apart.
 func (w *world) key() string {
 	var b strings.Builder
-	fmt.Fprint(&b, w.now, w.crashes, w.expiries, w.losses, w.m.fence)
-	for _, id := range w.m.order() {
+	fmt.Fprint(&b, w.now, w.crashes, w.expiries, w.losses, w.m.lastFence)
+	for _, id := range w.m.sortedIDs() {
 		e := w.m.jobs[id]
-		fmt.Fprint(&b, e.Job, e.stored, len(e.then))
+		fmt.Fprint(&b, e.Job, e.storedVersion, len(e.afterStore))
 	}
 	air := slices.Clone(w.air)
 	slices.SortFunc(air, func(a, b message) int { return strings.Compare(fmt.Sprint(a), fmt.Sprint(b)) })
@@ -84,13 +86,13 @@
 			worker = 1
 		}
 		switch e.Kind {
-		case Store:
+		case StoreJob:
 			w.pending = append(w.pending, e.Job)
-		case Answer:
-			w.answered[e.Job.ID] = w.answered[e.Job.ID] || e.Why == ""
-		case Hand:
+		case AnswerPush:
+			w.answered[e.Job.ID] = w.answered[e.Job.ID] || e.Err == nil
+		case DeliverJob:
 			w.air = append(w.air, message{"hand", worker, e.Job.ID, e.Job.Fence})
-		case Grant:
+		case GrantStart:
 			w.air = append(w.air, message{"grant", worker, e.Job.ID, e.Job.Fence})
 		}
 	}
@@ -107,10 +109,10 @@
 	case "grant":
 		w.held[m.worker][m.id] = m.fence
 	case "begin":
-		effects, no := w.m.Start(w.now, m.id, m.fence)
-		if w.do(effects); !no && w.m.c.broken && len(effects) == 0 {
+		effects, err := w.m.Start(w.now, m.id, m.fence)
+		if w.do(effects); err == nil && w.m.config.ignoreFences && len(effects) == 0 {
 			w.air = append(w.air, message{"grant", m.worker, m.id, m.fence})
-		} else if !no && w.m.c.broken { // a grant goes to who asked
+		} else if err == nil && w.m.config.ignoreFences { // a grant goes to who asked
 			for i := range w.air {
 				if w.air[i].kind == "grant" && w.air[i].id == m.id {
 					w.air[i].worker = m.worker
@@ -126,7 +128,7 @@
 func (w *world) steps() (out []func(*world)) {
 	for _, id := range w.ids {
 		if _, known := w.m.Get(id); !known && w.crashes == 2 || !known && !w.answered[id] {
-			out = append(out, func(w *world) { w.do(w.m.Push(w.now, Job{ID: id, Once: true}, 0)) })
+			out = append(out, func(w *world) { w.do(w.m.Push(w.now, Job{ID: id, NonIdempotent: true}, 0)) })
 		}
 	}
 	if len(w.pending) > 0 {
@@ -170,7 +172,7 @@
 	if w.expiries > 0 {
 		out = append(out, func(w *world) {
 			w.expiries--
-			w.now += w.m.c.Lease + w.m.c.Grace + 1
+			w.now += w.m.config.LeaseDuration + w.m.config.RecoveryGrace + 1
 			w.do(w.m.Tick(w.now))
 		})
 	}
@@ -184,9 +186,9 @@
 					}
 				}
 				w.pending, w.air = nil, slices.DeleteFunc(slices.Clone(w.air), func(m message) bool { return m.kind == "begin" || m.kind == "ack" })
-				c := w.m.c
+				c := w.m.config
 				w.m = New(c)
-				w.m.c.broken = c.broken
+				w.m.config.ignoreFences = c.ignoreFences
 				w.m.Recover(w.now, slices.Collect(maps.Values(w.disk)))
 			})
 		}
@@ -213,7 +215,7 @@
 		if e.State == InDoubt && promise[0] == Deduplicates && promise[1] == Deduplicates {
 			return fmt.Sprintf("job %s is in doubt, though tills know", e.ID)
 		}
-		if e.State == InDoubt && promise[0] == HonorsFences && promise[1] == HonorsFences && e.stored > 0 && !strings.Contains(e.Why, "may have run") {
+		if e.State == InDoubt && promise[0] == HonorsFences && promise[1] == HonorsFences && e.storedVersion > 0 && !strings.Contains(string(e.Reason), "may have run") {
 			return fmt.Sprintf("job %s is in doubt without a reason", e.ID)
 		}
 	}
@@ -280,9 +282,9 @@
 	}{{[2]Guarantee{HonorsFences, HonorsFences}, false}, {[2]Guarantee{HonorsFences, HonorsFences}, true}, {[2]Guarantee{NoGuarantee, Deduplicates}, false}, {[2]Guarantee{Deduplicates, NoGuarantee}, false},
 		{[2]Guarantee{Deduplicates, Deduplicates}, false}, {[2]Guarantee{HonorsFences, Deduplicates}, false}, {[2]Guarantee{Deduplicates, HonorsFences}, false}} {
 		promise = test.promise
-		w := newWorld(Config{broken: test.broken})
+		w := newWorld(Config{ignoreFences: test.broken})
 		w.ids, w.expiries, w.losses = []string{"a"}, 1, 0
-		w.do(w.m.Push(0, Job{ID: "a", Once: true}, 0))
+		w.do(w.m.Push(0, Job{ID: "a", NonIdempotent: true}, 0))
 		write := func() {
 			j := w.pending[0]
 			w.pending = nil
@@ -309,14 +311,18 @@
 // script carries out lines of "verb args" and shows what came of it.
 func TestScripts(t *testing.T) {
 	const s = time.Second
-	m := New(Config{Lease: 10 * s, Grace: 5 * s, Attempts: 2})
+	m := New(Config{LeaseDuration: 10 * s, RecoveryGrace: 5 * s, MaxAttempts: 2})
 	show := func(effects []Effect) string {
 		var out []string
 		for _, e := range effects {
-			if e.Kind == Runnable {
+			if e.Kind == AnnounceRunnable {
 				continue
 			}
-			out = append(out, strings.TrimSpace([...]string{"store", "answer", "hand", "grant", "reply", "", "forget", "lapsed"}[e.Kind]+" "+e.Job.ID+" "+e.Job.State.String()+" "+cmp.Or(e.Why, e.Job.Why)))
+			reason := string(e.Job.Reason)
+			if e.Err != nil {
+				reason = e.Err.Error()
+			}
+			out = append(out, strings.TrimSpace([...]string{"store", "answer", "hand", "grant", "reply", "", "forget", "lapsed"}[e.Kind]+" "+e.Job.ID+" "+e.Job.State.String()+" "+reason))
 		}
 		return strings.Join(out, "; ")
 	}
@@ -327,8 +333,8 @@
 			t.Errorf("%s: %q, want %q", what, got, want)
 		}
 	}
-	check("push", show(m.Push(0, Job{ID: "r", Once: true}, 0)), "store r accepted")
-	check("pushed again before it is stored", show(m.Push(0, Job{ID: "r", Once: true}, 0)), "")
+	check("push", show(m.Push(0, Job{ID: "r", NonIdempotent: true}, 0)), "store r accepted")
+	check("pushed again before it is stored", show(m.Push(0, Job{ID: "r", NonIdempotent: true}, 0)), "")
 	check("stored: both hear", show(m.Stored(0, "r", 1)), "answer r accepted; answer r accepted")
 	check("assign", show(m.Assign(0, "r", "w0", NoGuarantee)), "store r leased")
 	check("its lease is stored", show(m.Stored(0, "r", 2)), "hand r leased")
@@ -352,14 +358,14 @@
 	check("the first one's ACK is void", show(m.Ack(33*s, "c", 2, nil)), "reply c leased the lease is void")
 	check("the second fails", show(m.Fail(33*s, "c", 3, "no card", true)), "store c dead no card")
 
-	m.Push(0, Job{ID: "n", Once: true}, 0)
+	m.Push(0, Job{ID: "n", NonIdempotent: true}, 0)
 	m.Stored(0, "n", 1)
 	m.Assign(40*s, "n", "w0", NoGuarantee)
-	check("its lease cannot be stored", show(m.StoreFailed("n", 2, "disk full"))+state("n"), "ready")
+	check("its lease cannot be stored", show(m.StoreFailed("n", 2, errDiskFull))+state("n"), "ready")
 	m.Assign(41*s, "n", "w0", NoGuarantee)
 	m.Stored(41*s, "n", 3)
 	check("never started, by its worker's word", show(m.Fail(42*s, "n", 5, "full", false)), "store n ready")
-	check("a push that cannot be stored", show(m.Push(0, Job{ID: "x"}, 0))+"; "+show(m.StoreFailed("x", 1, "disk full")), "store x accepted; answer x accepted not kept: disk full")
+	check("a push that cannot be stored", show(m.Push(0, Job{ID: "x"}, 0))+"; "+show(m.StoreFailed("x", 1, errDiskFull)), "store x accepted; answer x accepted not kept: disk full")
 	check("later", show(m.Push(50*s, Job{ID: "l"}, 60*s))+" "+show(m.Stored(50*s, "l", 1))+" "+state("l"), "store l accepted answer l accepted scheduled")
 	m.Tick(60 * s)
 	check("due", state("l"), "ready")
@@ -372,8 +378,8 @@
 		j, _ := m.Get(id)
 		disk = append(disk, j)
 	}
-	disk[2].Once = true
-	m = New(Config{Lease: 10 * s, Grace: 30 * s})
+	disk[2].NonIdempotent = true
+	m = New(Config{LeaseDuration: 10 * s, RecoveryGrace: 30 * s})
 	m.Recover(62*s, disk)
 	check("done stays done", state("r")+" "+state("c")+" "+state("l"), "done dead leased")
 	check("in the grace time", show(m.Tick(90*s)), "")
@@ -389,12 +395,12 @@
 // for its time and then forgotten, on the disk too.
 func TestRunnableAndForgotten(t *testing.T) {
 	const s = time.Second
-	m := New(Config{Lease: 10 * s, Grace: 5 * s, Backoff: s, Retain: 100 * s})
+	m := New(Config{LeaseDuration: 10 * s, RecoveryGrace: 5 * s, InitialBackoff: s, Retention: 100 * s})
 	told := func(effects []Effect) (ids string) {
 		for i, e := range effects {
-			if e.Kind == Runnable {
+			if e.Kind == AnnounceRunnable {
 				ids += e.Job.ID
-			} else if i > 0 && effects[i-1].Kind == Runnable {
+			} else if i > 0 && effects[i-1].Kind == AnnounceRunnable {
 				t.Errorf("%v comes after a job that may be handed out", e.Kind)
 			}
 		}
@@ -409,7 +415,7 @@
 	check("pushed", told(m.Push(0, Job{ID: "a"}, 0)), "")
 	check("stored", told(m.Stored(0, "a", 1)), "a")
 	check("leased", told(m.Assign(0, "a", "w", NoGuarantee)), "")
-	check("its lease cannot be stored", told(m.StoreFailed("a", 2, "full")), "a")
+	check("its lease cannot be stored", told(m.StoreFailed("a", 2, errDiskFull)), "a")
 	m.Assign(0, "a", "w", NoGuarantee)
 	m.Stored(0, "a", 3)
 	check("never started", told(m.Fail(s, "a", 2, "busy", false)), "a")
@@ -417,7 +423,7 @@
 	m.Assign(s, "a", "w", NoGuarantee)
 	m.Stored(s, "a", 5)
 	m.Heartbeat(5*s, "w")
-	if at, ok := m.Due(); !ok || at > 15*s {
+	if at, ok := m.NextDue(); !ok || at > 15*s {
 		t.Errorf("due at %v", at)
 	}
 	check("renewed", told(m.Tick(14*s)), "")
@@ -428,22 +434,22 @@
 	m.Stored(17*s, "a", 7)
 	m.Ack(18*s, "a", 4, nil)
 	m.Stored(18*s, "a", 8)
-	if len(m.leased) != 0 {
-		t.Errorf("still held: %v", m.leased)
+	if len(m.leasesByWorker) != 0 {
+		t.Errorf("still held: %v", m.leasesByWorker)
 	}
 	if m.Tick(117 * s); m.Len() != 1 {
 		t.Error("forgotten before its time")
 	}
 	effects := m.Tick(118 * s)
-	if m.Len() != 0 || len(effects) != 1 || effects[0].Kind != Forget {
+	if m.Len() != 0 || len(effects) != 1 || effects[0].Kind != DeleteJob {
 		t.Errorf("%d jobs are kept, %v", m.Len(), effects)
 	}
 	// After a crash: in the order in which they were taken on.
 	m = New(Config{})
-	check("recovered", told(m.Recover(0, []Job{{ID: "z", Seq: 1, State: Accepted, Version: 1}, {ID: "b", Seq: 3, State: Ready, Version: 2},
-		{ID: "y", Seq: 2, State: Waiting, Version: 3}})), "zyb")
-	if m.Push(0, Job{ID: "n"}, 0); m.jobs["n"].Seq != 4 {
-		t.Errorf("the next one taken on is number %d", m.jobs["n"].Seq)
+	check("recovered", told(m.Recover(0, []Job{{ID: "z", Sequence: 1, State: Accepted, Version: 1}, {ID: "b", Sequence: 3, State: Ready, Version: 2},
+		{ID: "y", Sequence: 2, State: Waiting, Version: 3}})), "zyb")
+	if m.Push(0, Job{ID: "n"}, 0); m.jobs["n"].Sequence != 4 {
+		t.Errorf("the next one taken on is number %d", m.jobs["n"].Sequence)
 	}
 }
 
@@ -451,20 +457,20 @@
 // what a clock that was set back does not hold up.
 func TestMovesAndBounds(t *testing.T) {
 	const s = time.Second
-	m := New(Config{Lease: 10 * s, Grace: 5 * s, Attempts: 3, Retain: 100 * s, Dead: 1000 * s})
+	m := New(Config{LeaseDuration: 10 * s, RecoveryGrace: 5 * s, MaxAttempts: 3, Retention: 100 * s, DeadRetention: 1000 * s})
 	now := time.Duration(0)
-	drain := func(effects []Effect) (why string) { // the disk takes all
+	drain := func(effects []Effect) (err error) { // the disk takes all
 		for len(effects) > 0 {
 			e := effects[0]
 			effects = effects[1:]
 			switch e.Kind {
-			case Store:
+			case StoreJob:
 				effects = append(effects, m.Stored(now, e.Job.ID, e.Job.Version)...)
-			case Answer, Reply:
-				why = e.Why
+			case AnswerPush, AnswerReport:
+				err = e.Err
 			}
 		}
-		return why
+		return err
 	}
 	want := func(id string, s State) {
 		t.Helper()
@@ -484,9 +490,9 @@
 		j, _ := m.Get(id)
 		return j.Fence
 	}
-	drain(m.Push(now, Job{ID: "p", Once: true, Sum: 7, Payload: []byte("x")}, 0))
-	if why := drain(m.Push(now, Job{ID: "p", Once: true, Sum: 8}, 0)); why != "this id is another job's" {
-		t.Errorf("another job's id: %q", why)
+	drain(m.Push(now, Job{ID: "p", NonIdempotent: true, PayloadHash: 7, Payload: []byte("x")}, 0))
+	if err := drain(m.Push(now, Job{ID: "p", NonIdempotent: true, PayloadHash: 8}, 0)); !errors.Is(err, ErrIDConflict) || err.Error() != "this id is another job's" {
+		t.Errorf("another job's id: %v", err)
 	}
 	f := run("p", NoGuarantee)
 	if move("p", Discard, true) == nil || move("nobody", Kill, true) == nil {
@@ -506,10 +512,10 @@
 	move("p", Discard, false)
 	want("p", Discarded)
 	// Its own bounds: one attempt, dropped; a lease of its own, which a Beat renews by its own span.
-	drain(m.Push(now, Job{ID: "d", Most: 1, Drops: true}, 0))
+	drain(m.Push(now, Job{ID: "d", MaxAttempts: 1, DiscardWhenExhausted: true}, 0))
 	drain(m.Fail(now, "d", run("d", NoGuarantee), "no", true))
 	want("d", Discarded)
-	drain(m.Push(now, Job{ID: "l", Lease: 50 * s}, 0))
+	drain(m.Push(now, Job{ID: "l", LeaseDuration: 50 * s}, 0))
 	f = run("l", NoGuarantee)
 	now = 40 * s
 	drain(m.Tick(now))
@@ -524,7 +530,7 @@
 	drain(m.Tick(now))
 	want("l", Waiting)
 	// A till that knows: what may have run is free for such tills, and for no other.
-	drain(m.Push(now, Job{ID: "t", Once: true}, 0))
+	drain(m.Push(now, Job{ID: "t", NonIdempotent: true}, 0))
 	run("t", Deduplicates)
 	now = 105 * s
 	drain(m.Tick(now))
@@ -536,7 +542,7 @@
 	// The clock was set back by a day while the program was down.
 	var disk []Job
 	m.Each(func(j Job) { disk = append(disk, j) })
-	c := m.c
+	c := m.config
 	now -= 24 * time.Hour
 	m = New(c)
 	drain(m.Recover(now, disk))
--- a/internal/jobs/nofence.go
+++ b/internal/jobs/nofence.go
@@ -4,4 +4,4 @@
 
 // A build with this tag looks at no fence. It is for the tests of the checkers,
 // which must find what that leads to, and must never be put into service.
-func init() { skipFences = true }
+func init() { ignoreAllFences = true }
--- a/internal/platform/golden_test.go
+++ b/internal/platform/golden_test.go
@@ -239,21 +239,21 @@
 func TestGoldenKeptRequests(t *testing.T) {
 	r := newRig(t, func(s *decision.Settings) { s.Classes[1].Deadline = time.Second })
 	service, err := durable.Open(r.core.Loop, durable.Config{
-		Path: filepath.Join(t.TempDir(), "jobs.db"), Jobs: jobs.Config{Lease: 20 * time.Millisecond, Grace: time.Millisecond},
+		Path: filepath.Join(t.TempDir(), "jobs.db"), Jobs: jobs.Config{LeaseDuration: 20 * time.Millisecond, RecoveryGrace: time.Millisecond},
 	}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { r.do(func() { service.Close() }) })
 	// What is pushed has the end that the first word of its body says.
-	nothing := func(string) {}
+	nothing := func(error) {}
 	service.OnRunnable = func(j jobs.Job) {
 		request, _ := durable.ReadRequest(j)
 		switch word := string(request.Body); {
 		case strings.HasPrefix(word, "discard"):
 			r.core.Loop.Post(func() { service.Move(j.ID, jobs.Discard, "unwanted", true) })
 		case !strings.HasPrefix(word, "hold"):
-			service.Assign(j.ID, "w", jobs.NoGuarantee, func(leased jobs.Job, _ string) {
+			service.Assign(j.ID, "w", jobs.NoGuarantee, func(leased jobs.Job, _ error) {
 				if strings.HasPrefix(word, "done") {
 					service.Ack(j.ID, leased.Fence, []byte("made"), nothing)
 				}
--- a/internal/platform/keep.go
+++ b/internal/platform/keep.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"time"
 
 	"hollyyoke.example/hollyyoke/decision"
@@ -63,13 +64,13 @@
 		answer(202, []byte("the job is kept and not over yet: ask again with the same key\n"), askAgain)
 	}
 	loop.After(max(job.ReceivedAt+left-keptMargin-loop.Now(), 0), later)
-	f.kept.Push(j, 0, func(why string) {
+	f.kept.Push(j, 0, func(err error) {
 		switch {
-		case why == jobs.OtherJob:
+		case errors.Is(err, jobs.ErrIDConflict):
 			answer(422, []byte("Idempotency-Key belongs to another request\n"), 0)
 			return
-		case why != "":
-			answer(503, []byte(why+"\n"), askAgain)
+		case err != nil:
+			answer(503, []byte(err.Error()+"\n"), askAgain)
 			return
 		}
 		f.kept.Watch(j.ID, func(j jobs.Job) {
@@ -79,9 +80,9 @@
 			case jobs.Accepted, jobs.Scheduled, jobs.Ready, jobs.Leased, jobs.Started, jobs.Waiting: // the store goes to a successor
 				later()
 			case jobs.InDoubt:
-				answer(409, []byte("in doubt, an operator settles it: "+j.Why+"\n"), 0)
+				answer(409, []byte("in doubt, an operator settles it: "+string(j.Reason)+"\n"), 0)
 			default:
-				answer(502, []byte(j.State.String()+": "+j.Why+"\n"), 0)
+				answer(502, []byte(j.State.String()+": "+string(j.Reason)+"\n"), 0)
 			}
 		})
 	})
--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -180,7 +180,7 @@
 // and the store goes on.
 func TestDiskErrors(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "jobs.db")
-	s, err := Open(path, Options{Delay: time.Microsecond})
+	s, err := Open(path, Options{GroupCommitDelay: time.Microsecond})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -21,9 +21,9 @@
 	bbolterrors "go.etcd.io/bbolt/errors"
 )
 
-// Schema is the version of what is written. Files of earlier ones are brought
+// SchemaVersion is the version of what is written. Files of earlier ones are brought
 // forward by migrations as they are opened; those of later ones are refused.
-const Schema = 1
+const SchemaVersion = 1
 
 // migrations[n] brings a file from schema n to n+1.
 var migrations = map[uint64]func(*bbolt.Tx) error{}
@@ -36,10 +36,10 @@
 
 // Options bound the store.
 type Options struct {
-	Delay time.Duration // for which changes wait for others before their fsync; 0: only while others are being stored
-	Batch int           // changes in one fsync at most; default 1024
-	Wait  time.Duration // for another process to let go of the file; default 1 s
-	Fault func() error  // for tests: an error that a write meets; nil: none
+	GroupCommitDelay time.Duration // for which changes wait for others before their fsync; 0: only while others are being stored
+	MaxBatch         int           // changes in one fsync at most; default 1024
+	OpenTimeout      time.Duration // for another process to let go of the file; default 1 s
+	InjectWriteError func() error  // for tests: an error that a write meets; nil: none
 }
 
 // Record is what is kept of one job: its id, and its state as the caller words it.
@@ -70,13 +70,13 @@
 // Open opens or makes a file. An error tells what is wrong with it: another
 // process has it, it is damaged, or of a later schema.
 func Open(path string, o Options) (*Store, error) {
-	if o.Batch == 0 {
-		o.Batch = 1024
+	if o.MaxBatch == 0 {
+		o.MaxBatch = 1024
 	}
-	if o.Wait == 0 {
-		o.Wait = time.Second
+	if o.OpenTimeout == 0 {
+		o.OpenTimeout = time.Second
 	}
-	db, err := open(path, o.Wait)
+	db, err := open(path, o.OpenTimeout)
 	if err != nil {
 		return nil, err
 	}
@@ -117,7 +117,7 @@
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		if meta := tx.Bucket(metaName); meta != nil && tx.Bucket(jobsName) != nil {
 			raw := meta.Get(schema)
-			current = len(raw) == 8 && binary.BigEndian.Uint64(raw) == Schema
+			current = len(raw) == 8 && binary.BigEndian.Uint64(raw) == SchemaVersion
 		}
 		return nil
 	})
@@ -135,14 +135,14 @@
 	if _, err := tx.CreateBucketIfNotExists(jobsName); err != nil {
 		return err
 	}
-	version := uint64(Schema)
+	version := uint64(SchemaVersion)
 	if raw := meta.Get(schema); len(raw) == 8 {
 		version = binary.BigEndian.Uint64(raw)
 	}
-	if version > Schema {
-		return fmt.Errorf("its schema is %d; this program knows %d", version, Schema)
+	if version > SchemaVersion {
+		return fmt.Errorf("its schema is %d; this program knows %d", version, SchemaVersion)
 	}
-	for ; version < Schema; version++ {
+	for ; version < SchemaVersion; version++ {
 		step := migrations[version]
 		if step == nil {
 			return fmt.Errorf("no way from schema %d on", version)
@@ -151,7 +151,7 @@
 			return fmt.Errorf("from schema %d on: %w", version, err)
 		}
 	}
-	return meta.Put(schema, binary.BigEndian.AppendUint64(nil, Schema))
+	return meta.Put(schema, binary.BigEndian.AppendUint64(nil, SchemaVersion))
 }
 
 // Put hands changes over, which are stored together or not at all. told is
@@ -182,11 +182,11 @@
 			if n == 0 {
 				break
 			}
-			if n < s.o.Batch && s.o.Delay > 0 && n > 1 {
-				time.Sleep(s.o.Delay) // others are coming: they share the fsync
+			if n < s.o.MaxBatch && s.o.GroupCommitDelay > 0 && n > 1 {
+				time.Sleep(s.o.GroupCommitDelay) // others are coming: they share the fsync
 			}
 			s.mu.Lock()
-			n = min(len(s.queue), s.o.Batch)
+			n = min(len(s.queue), s.o.MaxBatch)
 			batch := s.queue[:n:n]
 			s.queue = s.queue[n:]
 			s.mu.Unlock()
@@ -237,8 +237,8 @@
 				}
 			}
 		}
-		if s.o.Fault != nil {
-			return s.o.Fault()
+		if s.o.InjectWriteError != nil {
+			return s.o.InjectWriteError()
 		}
 		return nil
 	})
@@ -250,7 +250,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("job %s: %w", r.ID, err)
 	}
-	out := binary.AppendUvarint(nil, Schema)
+	out := binary.AppendUvarint(nil, SchemaVersion)
 	out = binary.BigEndian.AppendUint64(out, sum(r.ID, value))
 	return append(out, value...), nil
 }
@@ -268,8 +268,8 @@
 	if n <= 0 || len(raw) < n+8 {
 		return nil, fmt.Errorf("job %q: its record is cut off", id)
 	}
-	if version > Schema {
-		return nil, fmt.Errorf("job %q: its record's schema is %d; this program knows %d", id, version, Schema)
+	if version > SchemaVersion {
+		return nil, fmt.Errorf("job %q: its record's schema is %d; this program knows %d", id, version, SchemaVersion)
 	}
 	value := raw[n+8:]
 	if binary.BigEndian.Uint64(raw[n:]) != sum(id, value) {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -134,7 +134,7 @@
 
 // What cannot be kept is told, takes nothing else with it, and the store goes on.
 func TestWriteFails(t *testing.T) {
-	s, err := Open(filepath.Join(t.TempDir(), "jobs.db"), Options{Delay: 5 * time.Millisecond})
+	s, err := Open(filepath.Join(t.TempDir(), "jobs.db"), Options{GroupCommitDelay: 5 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -144,7 +144,7 @@
 	var mu sync.Mutex
 	failing := true
 	s.mu.Lock()
-	s.o.Fault = func() error {
+	s.o.InjectWriteError = func() error {
 		mu.Lock()
 		defer mu.Unlock()
 		if failing {
@@ -232,7 +232,7 @@
 		s.Put([]Record{{fmt.Sprint("job-", i), job{"accepted", strings.Repeat("y", 200)}}}, func(error) {})
 	}
 	put(t, s, "last", job{"accepted", "marker"})
-	if _, err := Open(path, Options{Wait: 50 * time.Millisecond}); err == nil || !strings.Contains(err.Error(), "another process has it open") {
+	if _, err := Open(path, Options{OpenTimeout: 50 * time.Millisecond}); err == nil || !strings.Contains(err.Error(), "another process has it open") {
 		t.Errorf("opened twice: %v", err)
 	}
 	s.Close()
@@ -282,7 +282,7 @@
 		t.Fatal(err)
 	}
 	db.Update(func(tx *bbolt.Tx) error {
-		return tx.Bucket(metaName).Put(schema, binary.BigEndian.AppendUint64(nil, Schema+1))
+		return tx.Bucket(metaName).Put(schema, binary.BigEndian.AppendUint64(nil, SchemaVersion+1))
 	})
 	db.Close()
 	if _, err := Open(path, Options{}); err == nil || !strings.Contains(err.Error(), "its schema is 2; this program knows 1") {
@@ -450,14 +450,14 @@
 		t.Fatal(err)
 	}
 	db.Update(func(tx *bbolt.Tx) error {
-		return tx.Bucket(metaName).Put(schema, binary.BigEndian.AppendUint64(nil, Schema-1))
+		return tx.Bucket(metaName).Put(schema, binary.BigEndian.AppendUint64(nil, SchemaVersion-1))
 	})
 	db.Close()
 	if _, err := Open(path, Options{}); err == nil || !strings.Contains(err.Error(), "no way from schema 0 on") {
 		t.Fatalf("without a migration: %v", err)
 	}
 	fail := true
-	migrations[Schema-1] = func(tx *bbolt.Tx) error {
+	migrations[SchemaVersion-1] = func(tx *bbolt.Tx) error {
 		raw, err := encode(Record{"a", job{"new", ""}})
 		if err == nil {
 			err = tx.Bucket(jobsName).Put([]byte("a"), raw)
@@ -467,7 +467,7 @@
 		}
 		return err
 	}
-	defer delete(migrations, Schema-1)
+	defer delete(migrations, SchemaVersion-1)
 	if _, err := Open(path, Options{}); err == nil || !strings.Contains(err.Error(), "half way") {
 		t.Fatalf("a migration that fails: %v", err)
 	}
@@ -479,7 +479,7 @@
 		t.Errorf("%v", got)
 	}
 	s.Close()
-	delete(migrations, Schema-1) // it is not needed again
+	delete(migrations, SchemaVersion-1) // it is not needed again
 	if s, err = Open(path, Options{}); err != nil {
 		t.Fatal(err)
 	}
