--- a/internal/faktory/config.go
+++ b/internal/faktory/config.go
@@ -198,14 +198,14 @@
 	return durable.Config{
 		Path: c.Path,
 		Jobs: jobs.Config{
-			Lease:    seconds(c.LeaseS),
-			Grace:    seconds(c.GraceS),
-			Attempts: c.Attempts,
-			Backoff:  seconds(c.BackoffS),
-			Retain:   seconds(c.RetainS),
-			Dead:     seconds(c.RetainDeadS),
+			LeaseDuration:  seconds(c.LeaseS),
+			RecoveryGrace:  seconds(c.GraceS),
+			MaxAttempts:    c.Attempts,
+			InitialBackoff: seconds(c.BackoffS),
+			Retention:      seconds(c.RetainS),
+			DeadRetention:  seconds(c.RetainDeadS),
 		},
-		Store: store.Options{Delay: seconds(c.DelayMs / 1000)},
+		Store: store.Options{GroupCommitDelay: seconds(c.DelayMs / 1000)},
 	}
 }
 
--- a/internal/faktory/durable.go
+++ b/internal/faktory/durable.go
@@ -114,27 +114,16 @@
 	server := c.server
 	class := &server.dispatcher.Settings.Classes[request.Class]
 	job := durableJob(raw, request.ID, payload, class)
-	server.durable.Push(job, payload.scheduledAt, asError(func(err error) {
+	server.durable.Push(job, payload.scheduledAt, func(err error) {
 		switch {
 		case err == nil:
 			onStored(nil)
-		case err.Error() == jobs.OtherJob:
+		case errors.Is(err, jobs.ErrIDConflict):
 			onStored(fmt.Errorf("NOTUNIQUE %w", err))
 		default:
 			onStored(fmt.Errorf("REFUSED %w; pushing it again is harmless", err))
 		}
-	}))
-}
-
-// asError adapts a callback to the service, which tells reasons as texts.
-func asError(done func(error)) func(reason string) {
-	return func(reason string) {
-		if reason == "" {
-			done(nil)
-			return
-		}
-		done(errors.New(reason))
-	}
+	})
 }
 
 // deferReply makes the connection wait for the answer to its command. The
@@ -153,7 +142,7 @@
 
 // moveAll moves the jobs that match, and returns the last error of those that
 // cannot be moved.
-func (q *durableQueues) moveAll(move jobs.Move, reason string, matches func(jobs.Job) bool) (lastError error) {
+func (q *durableQueues) moveAll(move jobs.Move, reason jobs.Reason, matches func(jobs.Job) bool) (lastError error) {
 	var jids []string
 	q.Each(func(job jobs.Job) {
 		if matches(job) {
--- a/internal/faktory/durablecommands.go
+++ b/internal/faktory/durablecommands.go
@@ -33,9 +33,9 @@
 
 // trackReply is the JSON of the answer to TRACK GET.
 type trackReply struct {
-	Jid    string `json:"jid"`
-	State  string `json:"state"`
-	Reason string `json:"why,omitempty"`
+	Jid    string      `json:"jid"`
+	State  string      `json:"state"`
+	Reason jobs.Reason `json:"why,omitempty"`
 	jobProgress
 }
 
@@ -160,12 +160,12 @@
 	}
 	fence := c.fenceOf(job, message)
 	reply := c.deferReply()
-	server.durable.StartJob(message.Jid, fence, asError(func(err error) {
+	server.durable.StartJob(message.Jid, fence, func(err error) {
 		if err != nil { // the worker will not run it
 			server.endLease(message.Jid, fence, decision.NotSent)
 		}
 		reply(leaseResultLine(err))
-	}))
+	})
 }
 
 // completeDurable handles the ACK or FAIL of a durable job.
@@ -173,7 +173,7 @@
 	server := c.server
 	fence := c.fenceOf(job, message)
 	reply := c.deferReply()
-	onStored := asError(func(err error) { reply(leaseResultLine(err)) })
+	onStored := func(err error) { reply(leaseResultLine(err)) }
 	outcome := decision.Completed
 	if verb == commandAck {
 		server.durable.Ack(message.Jid, fence, nil, onStored)
@@ -187,9 +187,9 @@
 }
 
 // failureReason is what is stored of a FAIL.
-func failureReason(message word) string {
+func failureReason(message word) jobs.Reason {
 	text := strings.TrimPrefix(message.Type+": "+message.Message, ": ")
-	return cmp.Or(text, "failed")
+	return jobs.Reason(cmp.Or(text, "failed"))
 }
 
 // leaseResultLine is the reply to a report about a lease.
@@ -220,7 +220,7 @@
 	job, known := queues.Get(jid)
 	if known {
 		answer.State = trackStateNames[job.State]
-		answer.Reason = job.Why
+		answer.Reason = job.Reason
 	}
 	raw, _ := json.Marshal(answer) // strings and numbers always marshal
 	c.writeBulk(raw)
--- a/internal/faktory/jobpayload.go
+++ b/internal/faktory/jobpayload.go
@@ -185,32 +185,32 @@
 // durableJob returns what the durable service stores of a job.
 func durableJob(raw []byte, id string, payload *work, class *decision.Class) jobs.Job {
 	job := jobs.Job{
-		ID:      id,
-		Class:   class.Name,
-		Once:    class.Idempotency != decision.Idempotent,
-		Payload: bytes.Clone(raw),
-		Sum:     payload.checksum(class.Name),
+		ID:            id,
+		Class:         class.Name,
+		NonIdempotent: class.Idempotency != decision.Idempotent,
+		Payload:       bytes.Clone(raw),
+		PayloadHash:   payload.hash(class.Name),
 	}
 	if payload.Retry != nil {
 		retries := max(min(*payload.Retry, maxRetries), 0)
-		job.Most = retries + 1
-		job.Drops = *payload.Retry < 0
+		job.MaxAttempts = retries + 1
+		job.DiscardWhenExhausted = *payload.Retry < 0
 	}
 	if payload.ReserveForSeconds > 0 {
-		job.Lease = min(seconds(min(payload.ReserveForSeconds, maxReserveSeconds)), maxLease)
+		job.LeaseDuration = min(seconds(min(payload.ReserveForSeconds, maxReserveSeconds)), maxLease)
 	}
 	return job
 }
 
-// checksum covers what tells two jobs with one jid apart: class, type and args.
+// hash covers what tells two jobs with one jid apart: class, type and args.
 // Times and the like may differ between a PUSH and its repetition.
-func (w *work) checksum(class string) uint64 {
-	hash := xxhash.New()
-	hash.WriteString(class + "\x00" + w.Jobtype)
+func (w *work) hash(class string) uint64 {
+	digest := xxhash.New()
+	digest.WriteString(class + "\x00" + w.Jobtype)
 	for _, arg := range w.Args {
 		var text bytes.Buffer
 		json.Compact(&text, arg) // it has been decoded, so it is valid
-		hash.Write(append(text.Bytes(), 0))
+		digest.Write(append(text.Bytes(), 0))
 	}
-	return hash.Sum64()
+	return digest.Sum64()
 }
--- a/internal/faktory/queues.go
+++ b/internal/faktory/queues.go
@@ -103,11 +103,11 @@
 	}
 	last := len(names) - 1
 	for i, name := range names {
-		c.server.durable.scheduler.Pause(name, pause, asError(func(err error) {
+		c.server.durable.scheduler.Pause(name, pause, func(err error) {
 			if i == last { // changes reach the disk in order, so all have
 				reply(resultLine(err))
 			}
-		}))
+		})
 	}
 }
 
@@ -128,18 +128,18 @@
 	}
 	reply := c.deferReply()
 	queues := c.server.durable
-	moveError := queues.moveAll(move, "MUTATE "+message.Cmd, func(job jobs.Job) bool {
+	moveError := queues.moveAll(move, jobs.Reason("MUTATE "+message.Cmd), func(job jobs.Job) bool {
 		if job.State != state {
 			return false
 		}
 		return message.Cmd == mutateClear || matchesFilter(job, &message)
 	})
-	queues.AfterSync(asError(func(err error) {
+	queues.AfterSync(func(err error) {
 		if err == nil && moveError != nil {
 			err = fmt.Errorf("REFUSED %w", moveError)
 		}
 		reply(resultLine(err))
-	}))
+	})
 }
 
 // matchesFilter reports whether a job matches all parts of the filter that a
@@ -181,9 +181,9 @@
 }
 
 // discardAll discards the jobs that match, and answers once that is on disk.
-func (c *connection) discardAll(reason string, matches func(jobs.Job) bool) {
+func (c *connection) discardAll(reason jobs.Reason, matches func(jobs.Job) bool) {
 	reply := c.deferReply()
 	queues := c.server.durable
 	queues.moveAll(jobs.Discard, reason, matches)
-	queues.AfterSync(asError(func(err error) { reply(resultLine(err)) }))
+	queues.AfterSync(func(err error) { reply(resultLine(err)) })
 }
