--- a/internal/faktory/config.go
+++ b/internal/faktory/config.go
@@ -65,6 +65,7 @@
 // a successor.
 type DirectQueueError struct{ Queue string }
 
+// Error names the queue.
 func (e *DirectQueueError) Error() string {
 	return fmt.Sprintf("queue %q is direct, and its jids are in memory only", e.Queue)
 }
--- a/internal/faktory/golden_test.go
+++ b/internal/faktory/golden_test.go
@@ -12,17 +12,17 @@
 	"hollyyoke.example/hollyyoke/internal/goldentest"
 )
 
-// golden compares with a file in testdata, line by line.
-func golden(t *testing.T, name, got string) {
+// compareGolden compares with a file in testdata, line by line.
+func compareGolden(t *testing.T, name, got string) {
 	t.Helper()
 	goldentest.Compare(t, name, got)
 }
 
-// changing is what differs from run to run: times, salts, waits and fences.
-var changing = regexp.MustCompile(`"(now|updated_at|s)":"[^"]*"|"(uptime|connections|command_count|fence)":\d+|retry after \d+\.\d{3} s`)
+// volatileFields match what differs from run to run: times, salts, waits and fences.
+var volatileFields = regexp.MustCompile(`"(now|updated_at|s)":"[^"]*"|"(uptime|connections|command_count|fence)":\d+|retry after \d+\.\d{3} s`)
 
-func masked(text string) string {
-	return changing.ReplaceAllStringFunc(text, func(field string) string {
+func maskVolatile(text string) string {
+	return volatileFields.ReplaceAllStringFunc(text, func(field string) string {
 		if key, _, isField := strings.Cut(field, ":"); isField {
 			return key + ":MASKED"
 		}
@@ -30,55 +30,56 @@
 	})
 }
 
-// script is a transcript of sessions, one command after the other, as their bytes are.
-type script struct {
-	t     *testing.T
-	addr  string
-	text  strings.Builder
-	peers map[string]*recorded
+// transcript records the commands and answers of several connections, one command
+// after the other, byte for byte.
+type transcript struct {
+	t           *testing.T
+	addr        string
+	text        strings.Builder
+	connections map[string]*recordedConnection
 }
 
-// recorded is a session whose bytes are written down.
-type recorded struct {
-	conn net.Conn
-	from []byte
+// recordedConnection is a connection of a transcript.
+type recordedConnection struct {
+	conn     net.Conn
+	received []byte
 }
 
-func newScript(t *testing.T, addr string) *script {
-	return &script{t: t, addr: addr, peers: map[string]*recorded{}}
+func newTranscript(t *testing.T, addr string) *transcript {
+	return &transcript{t: t, addr: addr, connections: map[string]*recordedConnection{}}
 }
 
-// open opens a session and writes its greeting down.
-func (s *script) open(name string) {
+// open connects and records the greeting.
+func (s *transcript) open(name string) {
 	s.t.Helper()
 	conn, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	s.t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(2 * patience))
-	s.peers[name] = &recorded{conn: conn}
+	conn.SetDeadline(time.Now().Add(2 * testTimeout))
+	s.connections[name] = &recordedConnection{conn: conn}
 	s.answer(name)
 }
 
-// hello opens a session and says HELLO.
-func (s *script) hello(name, fields string) {
+// hello connects and says HELLO.
+func (s *transcript) hello(name, fields string) {
 	s.t.Helper()
 	s.open(name)
 	s.do(name, `HELLO {"v":2`+fields+`}`)
 }
 
-// send writes a command down and sends it.
-func (s *script) send(name, command string) {
+// send records and sends a command.
+func (s *transcript) send(name, command string) {
 	fmt.Fprintf(&s.text, "%s > %s\n", name, command)
-	s.peers[name].conn.Write([]byte(command + "\r\n"))
+	s.connections[name].conn.Write([]byte(command + "\r\n"))
 }
 
-// answer waits for a whole reply and writes it down with its line ends.
-func (s *script) answer(name string) string {
+// answer waits for a complete reply and records it with its line ends.
+func (s *transcript) answer(name string) string {
 	s.t.Helper()
-	reply := s.peers[name].reply()
-	shown := strings.ReplaceAll(masked(reply), "\r\n", `\r\n`)
+	reply := s.connections[name].reply()
+	shown := strings.ReplaceAll(maskVolatile(reply), "\r\n", `\r\n`)
 	if reply == "" {
 		shown = "(closed)"
 	}
@@ -89,16 +90,16 @@
 	return reply
 }
 
-func (s *script) do(name, command string) string {
+func (s *transcript) do(name, command string) string {
 	s.t.Helper()
 	s.send(name, command)
 	return s.answer(name)
 }
 
-// fetch fetches until there is a job; only what came with one is written down.
-func (s *script) fetch(name, queues string) string {
+// fetch fetches until there is a job; only the FETCH that got it is recorded.
+func (s *transcript) fetch(name, queues string) string {
 	s.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
 		before := s.text.String()
 		reply := s.do(name, "FETCH "+queues)
 		if reply != "$-1\r\n" {
@@ -111,18 +112,18 @@
 	return ""
 }
 
-// reply reads one reply, its line ends included; empty: the session has ended.
-func (r *recorded) reply() string {
-	size := func() int { // of the reply, once it is whole; 0: not yet
-		end := strings.Index(string(r.from), "\r\n")
+// reply reads one reply, its line ends included; empty: the connection is closed.
+func (r *recordedConnection) reply() string {
+	size := func() int { // of the reply, once it is complete; 0: not yet
+		end := strings.Index(string(r.received), "\r\n")
 		var n int
 		if end < 0 {
 			return 0
 		}
-		if _, err := fmt.Sscanf(string(r.from[:end]), "$%d", &n); err == nil && n >= 0 {
+		if _, err := fmt.Sscanf(string(r.received[:end]), "$%d", &n); err == nil && n >= 0 {
 			end += 2 + n
 		}
-		if end += 2; len(r.from) < end {
+		if end += 2; len(r.received) < end {
 			return 0
 		}
 		return end
@@ -130,29 +131,29 @@
 	for size() == 0 {
 		more := make([]byte, 4096)
 		n, err := r.conn.Read(more)
-		if r.from = append(r.from, more[:n]...); err != nil && n == 0 {
+		if r.received = append(r.received, more[:n]...); err != nil && n == 0 {
 			return ""
 		}
 	}
 	n := size()
-	reply := string(r.from[:n])
-	r.from = r.from[n:]
+	reply := string(r.received[:n])
+	r.received = r.received[n:]
 	return reply
 }
 
-// wait waits until a job's state is told as wanted.
-func (s *script) wait(jid, want string) {
+// awaitState waits until a job is in a state.
+func (s *transcript) awaitState(jid, want string) {
 	s.t.Helper()
 	p := dial(s.t, s.addr, hello{})
-	p.until(jid, want)
+	p.awaitState(jid, want)
 	p.conn.Close()
 }
 
-// Every command at the door and of direct queues, in every answer that does not
+// Every command before HELLO and of direct queues, in every answer that does not
 // need a fault.
 func TestGoldenDirect(t *testing.T) {
-	addr, _ := front(t, serverOnly, nil)
-	s := newScript(t, addr)
+	addr, _ := openFront(t, serverConfig, nil)
+	s := newTranscript(t, addr)
 	for i, first := range []string{
 		`HELLO {"v":3}`, `HELLO x`, `HELLO`, `HELLO {"v":"2"}`, `PUSH {}`, `FETCH renewal`, `INFO`, ``, `HELLO {"v":2,"wid":"a b"}`, `END`, strings.Repeat("x", 40),
 	} {
@@ -192,31 +193,31 @@
 	s.send("p", `PUSH {"jid":"direct-04","queue":"renewal","args":[1]}`)
 	s.fetch("w", "renewal")
 	s.hello("q", "")
-	s.do("q", `PUSH {"jid":"direct-04","queue":"renewal","args":[1]}`) // in work
+	s.do("q", `PUSH {"jid":"direct-04","queue":"renewal","args":[1]}`) // in progress
 	s.do("q", `INFO`)
 	s.do("w", `ACK {"jid":"direct-04"}`)
 	s.answer("p")
-	s.do("w", `FETCH renewal`) // goes away empty
+	s.do("w", `FETCH renewal`) // there is no job
 	s.do("w", `BEAT {"wid":"w1","current_state":"quiet","rss_kb":1}`)
 	s.do("w", `FETCH renewal`)
 	s.do("w", `END`)
 	s.answer("w")
 	s.do("p", strings.Repeat("z", maxCommandBytes+10))
-	golden(t, "direct.golden", strings.ReplaceAll(s.text.String(), strings.Repeat("z", maxCommandBytes+10), "(too long a line)"))
+	compareGolden(t, "direct.golden", strings.ReplaceAll(s.text.String(), strings.Repeat("z", maxCommandBytes+10), "(too long a line)"))
 }
 
 // With a password, the greeting has a salt and HELLO a hash.
 func TestGoldenPassword(t *testing.T) {
-	addr, _ := front(t, serverOnly+"password = \"open sesame\"\n", nil)
-	s := newScript(t, addr)
+	addr, _ := openFront(t, serverConfig+"password = \"open sesame\"\n", nil)
+	s := newTranscript(t, addr)
 	s.hello("p", `,"pwdhash":"00"`)
 	s.answer("p")
 	s.hello("q", "")
 	s.answer("q")
-	golden(t, "password.golden", s.text.String()+hashPassword("open sesame", "0123456789abcdef", hashIterations)+"\n")
+	compareGolden(t, "password.golden", s.text.String()+hashPassword("open sesame", "0123456789abcdef", hashIterations)+"\n")
 }
 
-// What is refused, since nobody is there to run it or it fails again and again.
+// Answers to a PUSH that was rejected, has failed, or repeats a known jid.
 func TestGoldenOutcomes(t *testing.T) {
 	var text strings.Builder
 	for _, after := range []time.Duration{0, 1500 * time.Millisecond} {
@@ -230,14 +231,14 @@
 	for _, f := range []jidStatus{jidServed, jidMayHaveRun, jidInProgress} {
 		text.WriteString(knownJidLine(f) + "\n")
 	}
-	golden(t, "outcomes.golden", text.String())
+	compareGolden(t, "outcomes.golden", text.String())
 }
 
 // Every command of durable queues.
 func TestGoldenDurable(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "jobs.db")
-	kept(t, file, "backoff_s = 0.05\nattempts = 1\n", func(addr string) {
-		s := newScript(t, addr)
+	withDurableFront(t, file, "backoff_s = 0.05\nattempts = 1\n", func(addr string) {
+		s := newTranscript(t, addr)
 		s.hello("p", "")
 		s.hello("w", `,"wid":"w1","labels":["fences:1"]`)
 		push := func(jid, class, more string) string {
@@ -262,11 +263,11 @@
 		s.do("p", push("dead-00001", "renewal", `,"custom":{"a":1}`))
 		s.fetch("w", "renewal")
 		s.do("w", `FAIL {"jid":"dead-00001","errtype":"Broken","message":"no till"}`)
-		s.wait("dead-00001", "dead")
+		s.awaitState("dead-00001", "dead")
 		s.do("p", push("dead-00002", "status-check", ""))
 		s.fetch("w", "status-check")
 		s.do("w", `FAIL {"jid":"dead-00002"}`)
-		s.wait("dead-00002", "dead")
+		s.awaitState("dead-00002", "dead")
 		for _, command := range []string{
 			`TRACK GET dead-00001`, `TRACK GET dead-00002`,
 			`MUTATE {"cmd":"requeue","target":"dead","filter":{"jids":["dead-00001"]}}`,
@@ -280,13 +281,13 @@
 		} {
 			s.do("p", command)
 		}
-		golden(t, "durable.golden", s.text.String())
+		compareGolden(t, "durable.golden", s.text.String())
 	})
-	kept(t, file, "flush = true\n", func(addr string) {
-		s := newScript(t, addr)
+	withDurableFront(t, file, "flush = true\n", func(addr string) {
+		s := newTranscript(t, addr)
 		s.hello("p", "")
 		s.do("p", "FLUSH")
 		s.do("p", "TRACK GET dead-00001")
-		golden(t, "flush.golden", s.text.String())
+		compareGolden(t, "flush.golden", s.text.String())
 	})
 }
--- a/internal/faktory/info.go
+++ b/internal/faktory/info.go
@@ -28,7 +28,7 @@
 	TotalFailures  uint64              `json:"total_failures"`
 	TotalProcessed uint64              `json:"total_processed"`
 	TotalQueues    int                 `json:"total_queues"`
-	TotalRefused   uint64              `json:"total_refused"`
+	TotalRejected  uint64              `json:"total_refused"`
 }
 
 // infoDurable is present where queues are durable.
@@ -60,7 +60,7 @@
 		TotalFailures:  counts.Failed,
 		TotalProcessed: counts.Served,
 		TotalQueues:    len(s.classNumbers),
-		TotalRefused:   counts.Rejected,
+		TotalRejected:  counts.Rejected,
 	}
 	if s.durable != nil {
 		s.addDurableInfo(&faktory)
--- a/internal/faktory/lane.go
+++ b/internal/faktory/lane.go
@@ -164,7 +164,7 @@
 		return
 	}
 	for l.conn == conn && !l.input.empty() {
-		r, used, err := parseReply(l.input.bytes())
+		answer, used, err := parseReply(l.input.bytes())
 		if err != nil {
 			l.reconnect(err)
 			return
@@ -173,8 +173,8 @@
 			return
 		}
 		buffer := l.input.take(used) // r lies in it
-		kept := l.handleReply(r, func() { pool.Put(buffer) })
-		if !kept {
+		retained := l.handleReply(answer, func() { pool.Put(buffer) })
+		if !retained {
 			pool.Put(buffer)
 		}
 	}
@@ -182,27 +182,27 @@
 
 // handleReply handles one reply. It returns true if it keeps the reply's
 // buffer, which release frees later.
-func (l *lane) handleReply(r reply, release func()) (kept bool) {
+func (l *lane) handleReply(answer reply, release func()) (retained bool) {
 	switch l.state {
 	case laneAwaitingGreeting:
-		l.handleGreeting(r)
+		l.handleGreeting(answer)
 	case laneAwaitingHello:
-		if r.kind != kindSimple {
-			l.reconnect(fmt.Errorf("HELLO: %s", r.text))
+		if answer.kind != kindSimple {
+			l.reconnect(fmt.Errorf("HELLO: %s", answer.text))
 			return false
 		}
 		l.backoff = 0
 		l.advance()
 	case laneFetching:
-		return l.handleFetchReply(r, release)
+		return l.handleFetchReply(answer, release)
 	case laneClosing:
-		if r.kind == kindError { // upstream does not want it, and would not if it came again
-			l.source.dispatcher.Log("upstream: closing " + singleLine(l.pendingClose) + ": " + singleLine(string(r.text)))
+		if answer.kind == kindError { // upstream does not want it, and would not if it came again
+			l.source.dispatcher.Log("upstream: closing " + singleLine(l.pendingClose) + ": " + singleLine(string(answer.text)))
 		}
 		l.pendingClose = ""
 		l.advance()
 	case laneBeating:
-		l.handleBeatReply(r)
+		l.handleBeatReply(answer)
 	default:
 		l.reconnect(errUnexpectedReply)
 	}
@@ -210,10 +210,10 @@
 }
 
 // handleGreeting answers the server's greeting by HELLO.
-func (l *lane) handleGreeting(r reply) {
+func (l *lane) handleGreeting(answer reply) {
 	var message greeting
-	text, hasPrefix := strings.CutPrefix(string(r.text), greetingPrefix)
-	if r.kind != kindSimple || !hasPrefix {
+	text, hasPrefix := strings.CutPrefix(string(answer.text), greetingPrefix)
+	if answer.kind != kindSimple || !hasPrefix {
 		l.reconnect(errGreetingVersion)
 		return
 	}
@@ -223,7 +223,7 @@
 		return
 	}
 	host, _ := os.Hostname()
-	answer := hello{
+	identity := hello{
 		Hostname: host,
 		Wid:      l.source.wid,
 		Pid:      os.Getpid(),
@@ -235,19 +235,19 @@
 			l.reconnect(errTooManyIterations)
 			return
 		}
-		answer.Hash = hashPassword(l.source.config.Source.Password, message.Salt, max(message.Iterations, 1))
+		identity.Hash = hashPassword(l.source.config.Source.Password, message.Salt, max(message.Iterations, 1))
 	}
-	raw, _ := json.Marshal(answer) // strings and numbers always marshal
+	raw, _ := json.Marshal(identity) // strings and numbers always marshal
 	l.send(laneAwaitingHello, commandHello+" "+string(raw), replyTimeout)
 }
 
 // handleFetchReply handles the answer to FETCH, as handleReply does.
-func (l *lane) handleFetchReply(r reply, release func()) (kept bool) {
-	if r.kind == kindBulk && !r.null && len(r.text) > 0 {
-		return l.handleJob(r.text, release)
+func (l *lane) handleFetchReply(answer reply, release func()) (retained bool) {
+	if answer.kind == kindBulk && !answer.null && len(answer.text) > 0 {
+		return l.handleJob(answer.text, release)
 	}
-	if r.kind == kindError {
-		l.reconnect(fmt.Errorf("FETCH: %s", r.text))
+	if answer.kind == kindError {
+		l.reconnect(fmt.Errorf("FETCH: %s", answer.text))
 		return false
 	}
 	l.advance()
@@ -256,13 +256,13 @@
 
 // handleBeatReply handles the answer to BEAT, by which upstream can ask for an
 // end of fetching.
-func (l *lane) handleBeatReply(r reply) {
+func (l *lane) handleBeatReply(answer reply) {
 	source := l.source
 	var message struct {
 		State string `json:"state"`
 	}
-	if r.kind != kindError && !source.draining {
-		err := json.Unmarshal(r.text, &message)
+	if answer.kind != kindError && !source.draining {
+		err := json.Unmarshal(answer.text, &message)
 		if err == nil && message.State != "" {
 			source.dispatcher.Log("upstream says " + singleLine(message.State) + ": fetching no more")
 			source.draining = true
@@ -302,7 +302,7 @@
 // handleJob runs a job that was delivered, or closes the delivery at once if
 // its jid is known. It returns true if the job keeps the buffer of raw, until
 // it calls release.
-func (l *lane) handleJob(raw []byte, release func()) (kept bool) {
+func (l *lane) handleJob(raw []byte, release func()) (retained bool) {
 	source := l.source
 	now := source.dispatcher.Loop.Now()
 	request, payload, err := parseJob(raw, source.classNumbers, now)
