--- a/internal/faktory/config_test.go
+++ b/internal/faktory/config_test.go
@@ -1,6 +1,7 @@
 package faktory
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
@@ -54,3 +55,23 @@
 		}
 	}
 }
+
+// Only a front end all of whose state is in the store can hand over to a
+// successor; the error says why another cannot.
+func TestMovable(t *testing.T) {
+	settings := decision.Settings{Classes: []decision.Class{{Name: "status-check"}, {Name: "renewal"}}}
+	config := Default()
+	config.Durable.Queues = []string{"status-check", "renewal"}
+	if err := config.Movable(&settings); err != nil {
+		t.Errorf("all queues durable: %v", err)
+	}
+	config.Durable.Queues = []string{"status-check"}
+	var direct *DirectQueueError
+	if err := config.Movable(&settings); !errors.As(err, &direct) || direct.Queue != "renewal" {
+		t.Errorf("one direct queue: %v", err)
+	}
+	config.Source.Address = "127.0.0.1:1"
+	if err := config.Movable(&settings); !errors.Is(err, ErrSourceNotMovable) {
+		t.Errorf("with the source role: %v", err)
+	}
+}
--- a/internal/faktory/durable_test.go
+++ b/internal/faktory/durable_test.go
@@ -146,98 +146,160 @@
 	})
 }
 
-// What the protocol's other commands do, and that each is refused where it cannot be.
+// durableRun is a producer and a worker of a front end with durable queues.
+type durableRun struct {
+	t        *testing.T
+	producer *client
+	worker   *client
+}
+
+func newDurableRun(t *testing.T, address string) *durableRun {
+	return &durableRun{
+		t:        t,
+		producer: dial(t, address, hello{}),
+		worker:   dial(t, address, hello{Wid: "w1"}),
+	}
+}
+
+// lease fetches a job, which must be that of jid.
+func (r *durableRun) lease(queues, jid string) {
+	r.t.Helper()
+	if l := r.worker.lease(queues); l.Jid != jid {
+		r.t.Fatalf("leased %s, not %s", l.Jid, jid)
+	}
+}
+
+// The order of queues in FETCH holds, not the order of PUSHes.
+func (r *durableRun) checkQueueOrder() {
+	r.producer.expect(pushCommand("order-check", "status-check", ""), "+OK")
+	r.producer.expect(pushCommand("order-renewal", "renewal", ""), "+OK")
+	for _, jid := range []string{"order-renewal", "order-check"} {
+		r.lease("renewal status-check", jid)
+		r.worker.expect(`ACK {"jid":"`+jid+`"}`, "+OK")
+	}
+}
+
+// Attempts are bounded, by the job's retry field too. A non-idempotent job that
+// has run is dead after its first failure.
+func (r *durableRun) checkRetries() {
+	r.producer.expect(pushCommand("fails-twice", "status-check", ""), "+OK")
+	for range 2 {
+		r.lease("status-check", "fails-twice")
+		r.worker.expect(`FAIL {"jid":"fails-twice","errtype":"Broken","message":"no till"}`, "+OK")
+	}
+	r.producer.awaitState("fails-twice", "dead")
+	r.producer.expect(strings.Replace(pushCommand("fails-once", "status-check", ""), `"args"`, `"retry":-1,"args"`, 1), "+OK")
+	r.worker.lease("status-check")
+	r.worker.expect(`FAIL {"jid":"fails-once"}`, "+OK")
+	r.producer.awaitState("fails-once", "discarded")
+	r.producer.expect(pushCommand("fails-paid", "renewal", ""), "+OK")
+	r.worker.lease("renewal")
+	r.worker.expect(`FAIL {"jid":"fails-paid","started":false}`, "+OK") // it never began
+	r.worker.lease("renewal")
+	r.worker.expect(`FAIL {"jid":"fails-paid"}`, "+OK")
+	r.producer.awaitState("fails-paid", "dead")
+}
+
+// MUTATE moves what its filter matches, but no job that might run twice.
+func (r *durableRun) checkRequeue() {
+	r.producer.expect(`MUTATE {"cmd":"requeue","target":"dead","filter":{"jids":["fails-paid"]}}`, "-ERR REFUSED")
+	r.producer.expect(`MUTATE {"cmd":"requeue","target":"dead","filter":{"regexp":"*no such thing*"}}`, "+OK")
+	r.producer.awaitState("fails-twice", "dead")
+	r.producer.expect(`MUTATE {"cmd":"requeue","target":"dead","filter":{"regexp":"*fails-tw*"}}`, "+OK")
+	r.lease("status-check", "fails-twice")
+}
+
+// TRACK tells the progress of a job.
+func (r *durableRun) checkProgress() {
+	r.worker.expect(`TRACK SET {"jid":"fails-twice","percent":40,"desc":"at the till"}`, "+OK")
+	if got := r.producer.do("TRACK GET fails-twice"); !strings.Contains(got, `"percent":40`) || !strings.Contains(got, `"working"`) {
+		r.t.Errorf("TRACK: %s", got)
+	}
+	r.worker.expect(`ACK {"jid":"fails-twice"}`, "+OK")
+}
+
+// PUSHB stores several jobs, some for later.
+func (r *durableRun) checkScheduledBulk() {
+	soon := time.Now().Add(300 * time.Millisecond)
+	scheduled := func(jid string, at time.Time) string {
+		return strings.TrimPrefix(strings.Replace(pushCommand(jid, "renewal", ""), `"args"`, `"at":"`+at.Format(time.RFC3339Nano)+`","args"`, 1), "PUSH ")
+	}
+	r.producer.expect("PUSHB ["+scheduled("bulk-00001", soon)+","+scheduled("bulk-00002", soon.Add(time.Hour))+`,{"jid":"x"}]`, `{"[2]":"jid:`)
+	if l := r.worker.lease("renewal"); l.Jid != "bulk-00001" || time.Now().Before(soon) {
+		r.t.Fatalf("leased %+v, %s early", l, time.Until(soon))
+	}
+	r.worker.expect(`ACK {"jid":"bulk-00001"}`, "+OK")
+	r.producer.expect(`MUTATE {"cmd":"kill","target":"scheduled","filter":{"jobtype":"x"}}`, "+OK")
+	r.producer.awaitState("bulk-00002", "dead")
+}
+
+// Invalid commands are rejected.
+func (r *durableRun) checkRejections() {
+	for command, want := range map[string]string{
+		"QUEUE PAUSE":                            "-ERR MALFORMED",
+		"QUEUE STOP *":                           "-ERR MALFORMED",
+		"QUEUE PAUSE nothing":                    "-ERR UNKNOWN",
+		"MUTATE x":                               "-ERR MALFORMED",
+		`MUTATE {"cmd":"kill","target":"ready"}`: "-ERR MALFORMED",
+		"FLUSH":                                  "-ERR REFUSED",
+		"TRACK x":                                "-ERR MALFORMED",
+		`TRACK SET {"jid":"x"}`:                  "-ERR UNKNOWN",
+		"TRACK GET nobodys":                      `{"jid":"nobodys","state":"unknown"`,
+		"START x":                                "-ERR MALFORMED",
+		`START {"jid":"nobodys"}`:                "-ERR VOID",
+		"PUSHB x":                                "-ERR MALFORMED",
+	} {
+		r.producer.expect(command, want)
+	}
+}
+
+// checkPaused checks that a queue which was paused before a restart hands
+// nothing out until it is resumed.
+func (r *durableRun) checkPaused() {
+	if got := r.worker.do("FETCH renewal"); got != "$-1" {
+		r.t.Errorf("paused, and handed out: %q", got)
+	}
+	info := r.producer.do("INFO")
+	for _, want := range []string{`"paused":["renewal"]`, `"renewal":1`, `"Dead":{"size":2}`, `"Done":{"size":4}`, `"total_enqueued":1`} {
+		if !strings.Contains(info, want) {
+			r.t.Errorf("INFO lacks %s: %s", want, info)
+		}
+	}
+	r.producer.expect("QUEUE RESUME *", "+OK")
+	r.lease("renewal", "held-00001")
+}
+
+// QUEUE REMOVE and FLUSH discard jobs that wait, and no leased one.
+func (r *durableRun) checkDiscarding() {
+	p := r.producer
+	p.expect(pushCommand("held-00002", "renewal", ""), "+OK")
+	p.expect("QUEUE REMOVE renewal", "+OK")
+	if stateOf(p, "held-00002") != "discarded" || stateOf(p, "held-00001") != "working" {
+		r.t.Errorf("removed: %s, %s", stateOf(p, "held-00002"), stateOf(p, "held-00001"))
+	}
+	p.expect("FLUSH", "+OK")
+	if stateOf(p, "fails-paid") != "discarded" || stateOf(p, "held-00001") != "working" {
+		r.t.Errorf("flushed: %s, %s", stateOf(p, "fails-paid"), stateOf(p, "held-00001"))
+	}
+}
+
+// The commands of durable queues do what the protocol says, over a restart too.
 func TestDurableCommands(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "jobs.db")
-	withDurableFront(t, file, "backoff_s = 0.05\nattempts = 2\n", func(addr string) {
-		p, w := dial(t, addr, hello{}), dial(t, addr, hello{Wid: "w1"})
-		// FETCH's order of queues holds, not the order of PUSHes.
-		p.expect(pushCommand("order-check", "status-check", ""), "+OK")
-		p.expect(pushCommand("order-renewal", "renewal", ""), "+OK")
-		for _, jid := range []string{"order-renewal", "order-check"} {
-			if l := w.lease("renewal status-check"); l.Jid != jid {
-				t.Fatalf("leased %s, not %s", l.Jid, jid)
-			}
-			w.expect(`ACK {"jid":"`+jid+`"}`, "+OK")
-		}
-		// Repeats are bounded, by the job's own word too; what has run and must not again is dead.
-		p.expect(pushCommand("fails-twice", "status-check", ""), "+OK")
-		for range 2 {
-			if l := w.lease("status-check"); l.Jid != "fails-twice" {
-				t.Fatalf("leased %+v", l)
-			}
-			w.expect(`FAIL {"jid":"fails-twice","errtype":"Broken","message":"no till"}`, "+OK")
-		}
-		p.awaitState("fails-twice", "dead")
-		p.expect(strings.Replace(pushCommand("fails-once", "status-check", ""), `"args"`, `"retry":-1,"args"`, 1), "+OK")
-		w.lease("status-check")
-		w.expect(`FAIL {"jid":"fails-once"}`, "+OK")
-		p.awaitState("fails-once", "discarded")
-		p.expect(pushCommand("fails-paid", "renewal", ""), "+OK")
-		w.lease("renewal")
-		w.expect(`FAIL {"jid":"fails-paid","started":false}`, "+OK") // it never began
-		w.lease("renewal")
-		w.expect(`FAIL {"jid":"fails-paid"}`, "+OK")
-		p.awaitState("fails-paid", "dead")
-		p.expect(`MUTATE {"cmd":"requeue","target":"dead","filter":{"jids":["fails-paid"]}}`, "-ERR REFUSED")
-		p.expect(`MUTATE {"cmd":"requeue","target":"dead","filter":{"regexp":"*no such thing*"}}`, "+OK")
-		p.awaitState("fails-twice", "dead")
-		p.expect(`MUTATE {"cmd":"requeue","target":"dead","filter":{"regexp":"*fails-tw*"}}`, "+OK")
-		if l := w.lease("status-check"); l.Jid != "fails-twice" {
-			t.Fatalf("leased %+v", l)
-		}
-		w.expect(`TRACK SET {"jid":"fails-twice","percent":40,"desc":"at the till"}`, "+OK")
-		if got := p.do("TRACK GET fails-twice"); !strings.Contains(got, `"percent":40`) || !strings.Contains(got, `"working"`) {
-			t.Errorf("TRACK: %s", got)
-		}
-		w.expect(`ACK {"jid":"fails-twice"}`, "+OK")
-		// For later, and by many.
-		soon := time.Now().Add(300 * time.Millisecond)
-		later := func(jid string, at time.Time) string {
-			return strings.TrimPrefix(strings.Replace(pushCommand(jid, "renewal", ""), `"args"`, `"at":"`+at.Format(time.RFC3339Nano)+`","args"`, 1), "PUSH ")
-		}
-		p.expect("PUSHB ["+later("bulk-00001", soon)+","+later("bulk-00002", soon.Add(time.Hour))+`,{"jid":"x"}]`, `{"[2]":"jid:`)
-		if l := w.lease("renewal"); l.Jid != "bulk-00001" || time.Now().Before(soon) {
-			t.Fatalf("leased %+v, %s early", l, time.Until(soon))
-		}
-		w.expect(`ACK {"jid":"bulk-00001"}`, "+OK")
-		p.expect(`MUTATE {"cmd":"kill","target":"scheduled","filter":{"jobtype":"x"}}`, "+OK")
-		p.awaitState("bulk-00002", "dead")
-		// Paused queues hand nothing out, over a restart too.
-		p.expect("QUEUE PAUSE renewal", "+OK")
-		p.expect(pushCommand("held-00001", "renewal", ""), "+OK")
-		for command, want := range map[string]string{
-			"QUEUE PAUSE":  "-ERR MALFORMED",
-			"QUEUE STOP *": "-ERR MALFORMED", "QUEUE PAUSE nothing": "-ERR UNKNOWN", "MUTATE x": "-ERR MALFORMED",
-			`MUTATE {"cmd":"kill","target":"ready"}`: "-ERR MALFORMED", "FLUSH": "-ERR REFUSED", "TRACK x": "-ERR MALFORMED", `TRACK SET {"jid":"x"}`: "-ERR UNKNOWN",
-			"TRACK GET nobodys": `{"jid":"nobodys","state":"unknown"`, "START x": "-ERR MALFORMED", `START {"jid":"nobodys"}`: "-ERR VOID", "PUSHB x": "-ERR MALFORMED",
-		} {
-			p.expect(command, want)
-		}
+	withDurableFront(t, file, "backoff_s = 0.05\nattempts = 2\n", func(address string) {
+		r := newDurableRun(t, address)
+		r.checkQueueOrder()
+		r.checkRetries()
+		r.checkRequeue()
+		r.checkProgress()
+		r.checkScheduledBulk()
+		r.producer.expect("QUEUE PAUSE renewal", "+OK")
+		r.producer.expect(pushCommand("held-00001", "renewal", ""), "+OK")
+		r.checkRejections()
 	})
-	withDurableFront(t, file, "flush = true\n", func(addr string) {
-		p, w := dial(t, addr, hello{}), dial(t, addr, hello{Wid: "w1"})
-		if got := w.do("FETCH renewal"); got != "$-1" {
-			t.Errorf("paused, and handed out: %q", got)
-		}
-		info := p.do("INFO")
-		for _, want := range []string{`"paused":["renewal"]`, `"renewal":1`, `"Dead":{"size":2}`, `"Done":{"size":4}`, `"total_enqueued":1`} {
-			if !strings.Contains(info, want) {
-				t.Errorf("INFO lacks %s: %s", want, info)
-			}
-		}
-		p.expect("QUEUE RESUME *", "+OK")
-		if l := w.lease("renewal"); l.Jid != "held-00001" {
-			t.Fatalf("leased %+v", l)
-		}
-		p.expect(pushCommand("held-00002", "renewal", ""), "+OK")
-		p.expect("QUEUE REMOVE renewal", "+OK")
-		if stateOf(p, "held-00002") != "discarded" || stateOf(p, "held-00001") != "working" {
-			t.Errorf("removed: %s, %s", stateOf(p, "held-00002"), stateOf(p, "held-00001"))
-		}
-		p.expect("FLUSH", "+OK")
-		if stateOf(p, "fails-paid") != "discarded" || stateOf(p, "held-00001") != "working" {
-			t.Errorf("flushed: %s, %s", stateOf(p, "fails-paid"), stateOf(p, "held-00001"))
-		}
+	withDurableFront(t, file, "flush = true\n", func(address string) {
+		r := newDurableRun(t, address)
+		r.checkPaused()
+		r.checkDiscarding()
 	})
 }
