--- a/internal/faktory/lane.go
+++ b/internal/faktory/lane.go
@@ -64,7 +64,7 @@
 	class        int
 	jobOpen      bool   // its job is in progress, whatever becomes of the connection
 	pendingClose string // an ACK or FAIL that has not been answered yet; empty: none
-	closeOffset  int64  // write offset of the connection behind the latest command
+	writeOffset  int64  // of the connection, behind the latest command
 }
 
 // busy reports whether a delivery is not closed yet, or being fetched.
@@ -120,7 +120,7 @@
 	if l.state != laneDown || l.backoff == 0 {
 		l.source.dispatcher.Log(fmt.Sprintf("upstream, lane %d: %s", l.number, singleLine(reason.Error())))
 	}
-	if l.state == laneClosing && l.conn.Flushed(l.closeOffset) {
+	if l.state == laneClosing && l.conn.Flushed(l.writeOffset) {
 		l.pendingClose = ""
 	}
 	if l.conn != nil {
@@ -172,7 +172,7 @@
 		if used == 0 {
 			return
 		}
-		buffer := l.input.take(used) // r lies in it
+		buffer := l.input.take(used) // answer lies in it
 		retained := l.handleReply(answer, func() { pool.Put(buffer) })
 		if !retained {
 			pool.Put(buffer)
@@ -277,7 +277,7 @@
 	l.state = next
 	l.setDeadline(timeout)
 	l.conn.Write([]byte(line + "\r\n"))
-	l.closeOffset = l.conn.WriteOffset()
+	l.writeOffset = l.conn.WriteOffset()
 }
 
 // advance sends what is due on a lane that may send.
@@ -285,7 +285,7 @@
 	l.state = laneIdle
 	switch {
 	case l.number == 0:
-		raw, _ := json.Marshal(map[string]string{"wid": l.source.wid}) // strings always marshal
+		raw, _ := json.Marshal(heartbeat{Wid: l.source.wid}) // strings always marshal
 		l.send(laneBeating, commandBeat+" "+string(raw), replyTimeout)
 	case l.jobOpen:
 		l.state = laneWorking
--- a/internal/faktory/protocol.go
+++ b/internal/faktory/protocol.go
@@ -103,6 +103,11 @@
 	Until   string `json:"reserve_until"`
 }
 
+// heartbeat is the JSON of a BEAT that is sent upstream.
+type heartbeat struct {
+	Wid string `json:"wid"`
+}
+
 // closeMessage is the JSON of an ACK or FAIL that is sent upstream.
 type closeMessage struct {
 	Jid     string `json:"jid"`
