--- a/internal/listener/entry.go
+++ b/internal/listener/entry.go
@@ -227,8 +227,8 @@
 	return 0, false, false
 }
 
-// WaitForRoom is Arrive for one that room is made for, on a goroutine of its own.
-func (e *Gate) WaitForRoom(conn net.Conn) (pass uint64, in bool) {
+// WaitForCapacity is Arrive for one that room is made for, on a goroutine of its own.
+func (e *Gate) WaitForCapacity(conn net.Conn) (pass uint64, in bool) {
 	defer e.waiting.Add(-1)
 	addr := peer(conn)
 	for range waitSteps {
--- /dev/null
+++ b/internal/transport/accept.go
@@ -0,0 +1,199 @@
+package transport
+
+import (
+	"errors"
+	"net"
+	"os"
+	"time"
+)
+
+const (
+	// acceptRetryPause is the pause after an accept that failed, against spinning.
+	acceptRetryPause = 20 * time.Millisecond
+
+	// admissionRetryPause is the same where an Admission decides. It is short, since
+	// connections that will be admitted wait in the kernel's queue with the others.
+	admissionRetryPause = time.Millisecond
+
+	// exhaustedRetryPause is the pause between attempts to get a spare descriptor.
+	exhaustedRetryPause = 5 * time.Millisecond
+)
+
+// Acceptor accepts connections from one listener. Its methods may be called from
+// any goroutine.
+type Acceptor struct {
+	listener   net.Listener
+	group      *connGroup
+	fixedLimit bool // Resize does not change its limit
+}
+
+// Addr returns the address that the acceptor accepts on.
+func (a *Acceptor) Addr() net.Addr { return a.listener.Addr() }
+
+// String returns the text of Addr.
+func (a *Acceptor) String() string { return a.listener.Addr().String() }
+
+// Close accepts no more. Where another process has the same listening socket,
+// that one goes on, and connections in the backlog are left to it.
+func (a *Acceptor) Close() {
+	_ = a.listener.Close()
+	a.group.close()
+}
+
+// OpenConnections returns how many of the acceptor's connections have not ended,
+// those that linger included. Before Close, it may count the place of the next
+// one.
+func (a *Acceptor) OpenConnections() int { return a.group.openConnections() }
+
+// FixLimit keeps Resize from changing the acceptor's limit, and returns the acceptor.
+func (a *Acceptor) FixLimit() *Acceptor {
+	a.fixedLimit = true
+	a.group.resize(1)
+	return a
+}
+
+// Listen accepts connections on an address as Serve does.
+func (e *Engine) Listen(
+	addr string, limit int, singleBuffer bool, newHandler func(*Conn) Handler, onFull func(),
+) (*Acceptor, error) {
+	listener, err := net.Listen("tcp", addr)
+	if err != nil {
+		return nil, err
+	}
+	return e.Serve(listener, limit, singleBuffer, newHandler, onFull), nil
+}
+
+// Serve accepts connections from a listener, at most limit at a time. newHandler
+// returns the handler of each, or nil to close it; onFull is called when one
+// waits since the limit is reached. Both run on the loop's goroutine.
+//
+// singleBuffer hands over one buffer of a connection at a time, so that a handler
+// that pauses gets no more; what a peer sent just before it closed may be lost.
+func (e *Engine) Serve(
+	listener net.Listener, limit int, singleBuffer bool, newHandler func(*Conn) Handler, onFull func(),
+) *Acceptor {
+	a := &Acceptor{listener: listener, group: newConnGroup(limit, windowFor(singleBuffer))}
+	e.mu.Lock()
+	a.group.resize(e.share)
+	e.acceptors = append(e.acceptors, a)
+	e.mu.Unlock()
+	go e.acceptUpToLimit(a, newHandler, onFull)
+	return a
+}
+
+func windowFor(singleBuffer bool) int {
+	if singleBuffer {
+		return narrowWindow
+	}
+	return wideWindow
+}
+
+// acceptUpToLimit accepts connections until the listener is closed, none while
+// the limit is reached.
+func (e *Engine) acceptUpToLimit(a *Acceptor, newHandler func(*Conn) Handler, onFull func()) {
+	for a.group.acquire(func() { e.Loop.Post(onFull) }) {
+		conn, err := a.listener.Accept()
+		if err == nil {
+			e.register(conn, a.group, 0, newHandler)
+			continue
+		}
+		a.group.release()
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
+		if isDescriptorExhausted(err) {
+			e.Loop.Post(onFull)
+		}
+		time.Sleep(acceptRetryPause)
+	}
+}
+
+// ServeWithAdmission accepts connections from a listener and serves those that
+// the engine's Admission admits. newHandler and singleBuffer are as for Serve.
+func (e *Engine) ServeWithAdmission(
+	listener net.Listener, singleBuffer bool, newHandler func(*Conn) Handler,
+) *Acceptor {
+	group := newConnGroup(unlimited, windowFor(singleBuffer))
+	group.quota.Release = e.admission.Release
+	a := &Acceptor{listener: listener, group: group, fixedLimit: true}
+	e.mu.Lock()
+	e.acceptors = append(e.acceptors, a)
+	e.mu.Unlock()
+	go e.acceptWithAdmission(a, newHandler)
+	return a
+}
+
+// acceptWithAdmission accepts as fast as the kernel hands out connections, so that
+// none waits behind those that will be rejected: in the kernel's queue all are
+// alike.
+func (e *Engine) acceptWithAdmission(a *Acceptor, newHandler func(*Conn) Handler) {
+	// Where no descriptor is left, the spare one is given up for a moment to reject
+	// a connection with.
+	spare := openSpareDescriptor()
+	defer func() { spare.Close() }()
+	for {
+		conn, err := a.listener.Accept()
+		switch {
+		case err == nil && spare == nil: // its descriptor is the first that could be had
+			conn.Close()
+			spare = openSpareDescriptor()
+		case err == nil:
+			e.admit(a, conn, newHandler)
+		case errors.Is(err, net.ErrClosed):
+			return
+		case isDescriptorExhausted(err):
+			e.admission.Exhausted()
+			spare = a.rejectOne(spare)
+			if spare == nil { // another goroutine or process took the descriptor
+				time.Sleep(exhaustedRetryPause)
+			}
+		default: // accept(2): a network error of the new connection, or want of memory
+			time.Sleep(admissionRetryPause)
+		}
+	}
+}
+
+// openSpareDescriptor opens a file that stands for a descriptor; nil: there is none.
+func openSpareDescriptor() *os.File {
+	file, err := os.Open(os.DevNull)
+	if err != nil {
+		return nil
+	}
+	return file
+}
+
+// rejectOne accepts and closes one connection with the descriptor of spare, which
+// may be nil, and returns a new spare or nil.
+func (a *Acceptor) rejectOne(spare *os.File) *os.File {
+	if spare != nil {
+		spare.Close()
+		conn, err := a.listener.Accept()
+		if err == nil {
+			conn.Close()
+		}
+	}
+	return openSpareDescriptor()
+}
+
+// admit asks the Admission about a connection and registers an admitted one.
+func (e *Engine) admit(a *Acceptor, conn net.Conn, newHandler func(*Conn) Handler) {
+	token, admitted, wait := e.admission.Admit(conn)
+	if admitted {
+		e.registerAdmitted(a, conn, token, newHandler)
+		return
+	}
+	if !wait {
+		return
+	}
+	go func() {
+		token, admitted := e.admission.WaitForCapacity(conn)
+		if admitted {
+			e.registerAdmitted(a, conn, token, newHandler)
+		}
+	}()
+}
+
+func (e *Engine) registerAdmitted(a *Acceptor, conn net.Conn, token uint64, newHandler func(*Conn) Handler) {
+	a.group.add()
+	e.register(conn, a.group, token, newHandler)
+}
--- /dev/null
+++ b/internal/transport/buffer_test.go
@@ -0,0 +1,57 @@
+package transport
+
+import "testing"
+
+// A buffer is full at BufferSize, and is empty when it is used again.
+func TestBuffers(t *testing.T) {
+	var p Pool
+	b := p.Get()
+	if !b.Append([]byte("abc")) || b.Append(make([]byte, BufferSize)) || !b.Append(make([]byte, BufferSize-3)) || b.Append([]byte("x")) {
+		t.Error("Append does not stop at BufferSize")
+	}
+	b.Consume(2)
+	if b.Bytes()[0] != 'c' || len(b.Bytes()) != BufferSize-2 {
+		t.Error("Consume does not drop the first bytes")
+	}
+	p.Put(nil)
+	p.Put(b)
+	if again := p.Get(); again != b || len(again.Bytes()) != 0 {
+		t.Error("the buffer is not used again, or not empty")
+	}
+}
+
+// Free buffers return their memory to the kernel; those in use count the pages
+// that they have written to.
+func TestBufferResidentMemory(t *testing.T) {
+	var p Pool
+	var small, large []*Buffer
+	for range 40 {
+		b := p.Get()
+		b.Append([]byte("small"))
+		small = append(small, b)
+	}
+	if n := p.BytesInUse(); n != 40*pageSize {
+		t.Errorf("40 small buffers take up %d bytes", n)
+	}
+	for range 40 {
+		b := p.Get()
+		b.Fill(make([]byte, 2*BufferSize))
+		large = append(large, b)
+	}
+	if n := p.BytesInUse(); n != 40*pageSize+40*BufferSize {
+		t.Errorf("with 40 large buffers they take up %d bytes", n)
+	}
+	for _, b := range append(small, large...) {
+		p.Put(b)
+	}
+	resident := 0
+	for _, b := range p.free {
+		resident += b.resident
+	}
+	if n := p.BytesInUse(); n != 0 || resident > 80*minResidentBytes+maxFreeResidentBytes {
+		t.Errorf("all free, %d bytes are in use and %d resident", n, resident)
+	}
+	if b := p.Get(); !b.Append(make([]byte, BufferSize)) || b.Bytes()[BufferSize-1] != 0 {
+		t.Error("a buffer whose memory was returned cannot be used again")
+	}
+}
--- /dev/null
+++ b/internal/transport/conn.go
@@ -0,0 +1,142 @@
+package transport
+
+import (
+	"net"
+	"net/netip"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/lesismal/nbio"
+
+	"hollyyoke.example/hollyyoke/internal/eventloop"
+)
+
+// Handler receives the events of a connection, on the loop's goroutine.
+type Handler interface {
+	// OnData passes a buffer of received bytes, which the handler owns from now on.
+	OnData(c *Conn, b *Buffer)
+
+	// OnClosed is called once, and last, when the connection has ended other than
+	// by a call of its own: io.EOF after the peer's orderly end.
+	OnClosed(c *Conn, err error)
+}
+
+// Conn is one connection. Its fields and methods belong to the loop's goroutine.
+type Conn struct {
+	Handle         uint64 // its slot; 0 until it is open and after it is closed
+	Handler        Handler
+	Opened         time.Duration // when it was opened, by the loop's clock
+	AdmissionToken uint64        // of Admission; 0: it was not asked
+
+	engine      *Engine
+	group       *connGroup
+	peer        netip.Addr
+	socket      *nbio.Conn          // nil where nbio could not duplicate the descriptor
+	newHandler  func(*Conn) Handler // nil once it has been called
+	writeOffset int64               // bytes given to Write
+	sentBytes   atomic.Int64        // bytes that went to the socket
+	closeTimer  eventloop.Deadline  // of a graceful close, Discard or the end of shutDown
+
+	lingerDeadline time.Duration // of CloseGracefully; 0: it was not called
+	writeClosed    bool          // no more is sent
+	discarding     bool          // what comes is dropped
+	discardedBytes int
+
+	readMu    sync.Mutex // guards what follows
+	inTransit int        // buffers on their way to the handler
+	paused    bool       // the handler wants no more for now
+	stalled   bool       // there may be more to read
+}
+
+// discardHandler drops what comes.
+type discardHandler struct{ pool *Pool }
+
+func (d discardHandler) OnData(_ *Conn, b *Buffer) { d.pool.Put(b) }
+func (d discardHandler) OnClosed(*Conn, error)     {}
+
+// register gives a connection that the group counts already to nbio.
+//
+// Its slot is taken on the loop's goroutine before any of its data, since both
+// are posted in order. Only nbio can say when it is open: a connection that it
+// does not hold yet cannot be written to.
+func (e *Engine) register(conn net.Conn, group *connGroup, token uint64, newHandler func(*Conn) Handler) {
+	c := &Conn{engine: e, group: group, AdmissionToken: token, newHandler: newHandler}
+	tcp, ok := conn.RemoteAddr().(*net.TCPAddr)
+	if ok {
+		addr, _ := netip.AddrFromSlice(tcp.IP)
+		c.peer = addr.Unmap()
+	}
+	socket, err := nbio.NBConn(conn) // duplicates the descriptor with dup(2)
+	if err != nil {
+		_ = conn.Close()
+		group.release()
+		e.Loop.Post(func() { c.onRegisterFailed(err) })
+		return
+	}
+	e.sessionMu.Lock()
+	socket.SetSession(c)
+	c.socket = socket
+	e.sessionMu.Unlock()
+	_, _ = e.poller.AddConn(socket) // on an error nbio has closed it and calls onClosed
+}
+
+// onRegisterFailed tells the handler of a connection that never opened.
+func (c *Conn) onRegisterFailed(err error) {
+	c.Handler = c.newHandler(c)
+	if c.Handler != nil {
+		c.Handler.OnClosed(c, err)
+	}
+}
+
+// onOpen takes the connection's slot and asks for its handler.
+func (c *Conn) onOpen() {
+	newHandler := c.newHandler
+	c.newHandler = nil
+	c.Handle = c.engine.conns.Insert(c)
+	c.Opened = c.engine.Loop.Now()
+	c.Handler = newHandler(c)
+	if c.Handler == nil {
+		c.Handler = discardHandler{&c.engine.Pool}
+		c.Close()
+	}
+}
+
+// onSocketClosed frees the connection after nbio has closed its descriptor.
+func (c *Conn) onSocketClosed(err error) {
+	c.engine.Loop.Clear(&c.closeTimer)
+	if c.Handle == 0 {
+		neverOpened := c.newHandler != nil
+		if neverOpened && c.AdmissionToken != 0 {
+			c.engine.admission.Abandoned(c.AdmissionToken)
+		}
+		return
+	}
+	c.freeSlot()
+	c.Handler.OnClosed(c, err)
+}
+
+func (c *Conn) freeSlot() {
+	c.engine.conns.Remove(c.Handle)
+	c.Handle = 0
+	c.engine.Loop.Clear(&c.closeTimer)
+}
+
+// Peer returns the address of the other end.
+func (c *Conn) Peer() netip.Addr { return c.peer }
+
+// control calls f with the descriptor unless nbio has closed it. The descriptor
+// stays this connection's until f returns.
+func (c *Conn) control(f func(fd int)) {
+	c.socket.Lock()
+	defer c.socket.Unlock()
+	closed, _ := c.socket.IsClosed()
+	if closed {
+		return
+	}
+	raw, err := c.socket.SyscallConn()
+	if err != nil {
+		return
+	}
+	_ = raw.Control(func(fd uintptr) { f(int(fd)) })
+}
