--- a/internal/connlimit/admit_test.go
+++ b/internal/connlimit/admit_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-func mustNew(t testing.TB, c Config) *Limiter {
+func newLimiter(t testing.TB, c Config) *Limiter {
 	t.Helper()
 	a, err := New(c)
 	if err != nil {
@@ -21,11 +21,11 @@
 	return a
 }
 
-func ip(text string) netip.Addr { return netip.MustParseAddr(text) }
+func mustParseAddr(text string) netip.Addr { return netip.MustParseAddr(text) }
 
-func arrive(t *testing.T, a *Limiter, now time.Duration, addr string, want Reason) ID {
+func admit(t *testing.T, limiter *Limiter, now time.Duration, addr string, want Reason) ID {
 	t.Helper()
-	id, why := a.Admit(now, ip(addr), 1)
+	id, why := limiter.Admit(now, mustParseAddr(addr), 1)
 	if why != want {
 		t.Fatalf("%s at %v: %v, want %v", addr, now, why, want)
 	}
@@ -36,78 +36,78 @@
 }
 
 // Each cap by address and by prefix holds at its figure and is given back.
-func TestCaps(t *testing.T) {
+func TestLimits(t *testing.T) {
 	const s = time.Second
-	a := mustNew(t, Config{Capacity: 100, Address: Limits{Open: 3, Opening: 2, PerSecond: 10, Burst: 4, Half: 1, Bytes: 1000},
+	limiter := newLimiter(t, Config{Capacity: 100, Address: Limits{Open: 3, Opening: 2, PerSecond: 10, Burst: 4, Half: 1, Bytes: 1000},
 		Prefix: Limits{Open: 5, Half: 2, Bytes: 1500}, V4Bits: 24})
-	x := arrive(t, a, s, "10.0.0.1", Allowed)
-	arrive(t, a, s, "10.0.0.1", Allowed)
-	arrive(t, a, s, "10.0.0.1", AddressOpening)
-	if why := a.RequestStarted(s, x); why != Allowed {
+	x := admit(t, limiter, s, "10.0.0.1", Allowed)
+	admit(t, limiter, s, "10.0.0.1", Allowed)
+	admit(t, limiter, s, "10.0.0.1", AddressOpening)
+	if why := limiter.RequestStarted(s, x); why != Allowed {
 		t.Fatal(why)
 	}
-	z := arrive(t, a, s, "10.0.0.1", Allowed)
-	arrive(t, a, s, "10.0.0.1", AddressOpen)
-	if why := a.RequestStarted(s, z); why != AddressHalf {
+	z := admit(t, limiter, s, "10.0.0.1", Allowed)
+	admit(t, limiter, s, "10.0.0.1", AddressOpen)
+	if why := limiter.RequestStarted(s, z); why != AddressHalf {
 		t.Errorf("a second half-read request: %v", why)
 	}
-	if a.SetBuffered(x, 900) != Allowed || a.SetBuffered(z, 101) != AddressBytes {
+	if limiter.SetBuffered(x, 900) != Allowed || limiter.SetBuffered(z, 101) != AddressBytes {
 		t.Error("buffered bytes of an address")
 	}
-	y := arrive(t, a, s, "10.0.0.2", Allowed)
-	if a.RequestStarted(s, y) != PrefixHalf || a.SetBuffered(y, 600) != PrefixBytes {
+	y := admit(t, limiter, s, "10.0.0.2", Allowed)
+	if limiter.RequestStarted(s, y) != PrefixHalf || limiter.SetBuffered(y, 600) != PrefixBytes {
 		t.Error("half-read requests and bytes of a prefix")
 	}
-	arrive(t, a, s, "10.0.0.3", Allowed)
-	arrive(t, a, s, "10.0.0.4", PrefixOpen)
-	arrive(t, a, s, "10.0.1.1", Allowed)
-	a.Closed(z)
-	a.Closed(z) // once more changes nothing
-	a.Closed(y)
-	a.Closed(x)
-	arrive(t, a, s, "10.0.0.1", Allowed) // the fourth of its burst
-	arrive(t, a, s, "10.0.0.1", AddressOpening)
-	if err := a.CheckInvariants(); err != nil {
+	admit(t, limiter, s, "10.0.0.3", Allowed)
+	admit(t, limiter, s, "10.0.0.4", PrefixOpen)
+	admit(t, limiter, s, "10.0.1.1", Allowed)
+	limiter.Closed(z)
+	limiter.Closed(z) // once more changes nothing
+	limiter.Closed(y)
+	limiter.Closed(x)
+	admit(t, limiter, s, "10.0.0.1", Allowed) // the fourth of its burst
+	admit(t, limiter, s, "10.0.0.1", AddressOpening)
+	if err := limiter.CheckInvariants(); err != nil {
 		t.Error(err)
 	}
-	b := mustNew(t, Config{Capacity: 100, Address: Limits{PerSecond: 10, Burst: 2}, Prefix: Limits{PerSecond: 20, Burst: 3}, V6Bits: 48})
-	arrive(t, b, s, "2001:db8::1", Allowed)
-	arrive(t, b, s, "2001:db8::1", Allowed)
-	arrive(t, b, s, "2001:db8::1", AddressRate)
-	arrive(t, b, s, "2001:db8:0:9::2", Allowed)
-	arrive(t, b, s, "2001:db8::3", PrefixRate)
-	arrive(t, b, s, "::ffff:10.0.0.1", Allowed) // IPv4 in other words
-	arrive(t, b, s+100*time.Millisecond, "2001:db8::1", Allowed)
-	arrive(t, b, s+100*time.Millisecond, "2001:db8::1", AddressRate)
+	rateLimiter := newLimiter(t, Config{Capacity: 100, Address: Limits{PerSecond: 10, Burst: 2}, Prefix: Limits{PerSecond: 20, Burst: 3}, V6Bits: 48})
+	admit(t, rateLimiter, s, "2001:db8::1", Allowed)
+	admit(t, rateLimiter, s, "2001:db8::1", Allowed)
+	admit(t, rateLimiter, s, "2001:db8::1", AddressRate)
+	admit(t, rateLimiter, s, "2001:db8:0:9::2", Allowed)
+	admit(t, rateLimiter, s, "2001:db8::3", PrefixRate)
+	admit(t, rateLimiter, s, "::ffff:10.0.0.1", Allowed) // IPv4 in other words
+	admit(t, rateLimiter, s+100*time.Millisecond, "2001:db8::1", Allowed)
+	admit(t, rateLimiter, s+100*time.Millisecond, "2001:db8::1", AddressRate)
 }
 
 // Unknown ones never use the reserve; learned ones a part of it, and leave
 // newcomers theirs; abuse loses it.
 func TestReserve(t *testing.T) {
-	c := Config{Capacity: 38, Reserve: 20, Known: []netip.Prefix{netip.MustParsePrefix("127.9.0.0/24")}, Learn: Learn{On: true, After: 3, Newcomer: 0.2}}
-	a := mustNew(t, c)
+	config := Config{Capacity: 38, Reserve: 20, Known: []netip.Prefix{netip.MustParsePrefix("127.9.0.0/24")}, Learn: Learn{On: true, After: 3, Newcomer: 0.2}}
+	limiter := newLimiter(t, config)
 	for i := range 18 {
-		arrive(t, a, 0, fmt.Sprintf("10.0.0.%d", i+1), Allowed)
+		admit(t, limiter, 0, fmt.Sprintf("10.0.0.%d", i+1), Allowed)
 	}
-	arrive(t, a, 0, "10.0.0.99", Full)
+	admit(t, limiter, 0, "10.0.0.99", Full)
 	for i := range 20 {
-		arrive(t, a, 0, fmt.Sprintf("127.9.0.%d", i%3+1), Allowed)
+		admit(t, limiter, 0, fmt.Sprintf("127.9.0.%d", i%3+1), Allowed)
 	}
-	arrive(t, a, 0, "127.9.0.1", FullKnown)
-	if v := a.Snapshot(0); v.InReserve != 20 || v.Standing["known"] != 20 || v.Standing["unknown"] != 18 {
+	admit(t, limiter, 0, "127.9.0.1", FullKnown)
+	if v := limiter.Snapshot(0); v.InReserve != 20 || v.Standing["known"] != 20 || v.Standing["unknown"] != 18 {
 		t.Errorf("%+v", v)
 	}
-	a = mustNew(t, c)
-	first := arrive(t, a, 0, "10.1.0.1", Allowed)
+	limiter = newLimiter(t, config)
+	first := admit(t, limiter, 0, "10.1.0.1", Allowed)
 	for range 3 {
-		a.RequestStarted(0, first)
-		a.RequestComplete(0, first)
-		a.BecameIdle(0, first, true)
+		limiter.RequestStarted(0, first)
+		limiter.RequestComplete(0, first)
+		limiter.BecameIdle(0, first, true)
 	}
 	learned := 0
 	var last ID
 	for {
-		id, why := a.Admit(0, ip("10.1.0.1"), 1)
+		id, why := limiter.Admit(0, mustParseAddr("10.1.0.1"), 1)
 		if why != Allowed {
 			if why != FullKnown {
 				t.Errorf("a learned one is refused for %v", why)
@@ -122,145 +122,145 @@
 		t.Errorf("%d learned ones come in", learned)
 	}
 	for i := range 2 {
-		arrive(t, a, 0, fmt.Sprintf("10.2.0.%d", i+1), Allowed)
+		admit(t, limiter, 0, fmt.Sprintf("10.2.0.%d", i+1), Allowed)
 	}
 	for range 10 {
-		arrive(t, a, 0, "127.9.0.1", Allowed)
+		admit(t, limiter, 0, "127.9.0.1", Allowed)
 	}
-	if a.TrustOf(last) != Learned {
+	if limiter.TrustOf(last) != Learned {
 		t.Error("not learned")
 	}
-	a.ReportAbuse(0, last, Slow)
-	if _, why := a.Admit(0, ip("10.1.0.1"), 1); a.TrustOf(last) != Unknown || why == FullKnown {
-		t.Errorf("after abuse: %v, %v", a.TrustOf(last), why)
+	limiter.ReportAbuse(0, last, Slow)
+	if _, why := limiter.Admit(0, mustParseAddr("10.1.0.1"), 1); limiter.TrustOf(last) != Unknown || why == FullKnown {
+		t.Errorf("after abuse: %v, %v", limiter.TrustOf(last), why)
 	}
-	a.BecameIdle(time.Second, last, true)
-	if a.IsKnown(time.Second, ip("10.1.0.1")) {
+	limiter.BecameIdle(time.Second, last, true)
+	if limiter.IsKnown(time.Second, mustParseAddr("10.1.0.1")) {
 		t.Error("learned again at once")
 	}
-	if err := a.CheckInvariants(); err != nil {
+	if err := limiter.CheckInvariants(); err != nil {
 		t.Error(err)
 	}
 	// What was learned decays.
-	b := mustNew(t, Config{Capacity: 10, Learn: Learn{On: true, After: 2, HalfLife: time.Minute}})
-	id := arrive(t, b, 0, "10.0.0.1", Allowed)
+	decaying := newLimiter(t, Config{Capacity: 10, Learn: Learn{On: true, After: 2, HalfLife: time.Minute}})
+	id := admit(t, decaying, 0, "10.0.0.1", Allowed)
 	for range 3 {
-		b.BecameIdle(0, id, true)
+		decaying.BecameIdle(0, id, true)
 	}
-	if !b.IsKnown(30*time.Second, ip("10.0.0.1")) || b.IsKnown(2*time.Minute, ip("10.0.0.1")) {
+	if !decaying.IsKnown(30*time.Second, mustParseAddr("10.0.0.1")) || decaying.IsKnown(2*time.Minute, mustParseAddr("10.0.0.1")) {
 		t.Error("it does not decay by half a minute")
 	}
 }
 
 // Who goes first: unknown before known, by what they have shown, the longest
 // unused; the young and those owed an answer never.
-func TestVictims(t *testing.T) {
-	a := mustNew(t, Config{Capacity: 20, Reserve: 5, Known: []netip.Prefix{netip.MustParsePrefix("127.9.0.0/24")}})
-	at := func(name uint64, addr string, stage Stage, now time.Duration) ID {
-		id, why := a.Admit(now, ip(addr), name)
+func TestEvictionOrder(t *testing.T) {
+	limiter := newLimiter(t, Config{Capacity: 20, Reserve: 5, Known: []netip.Prefix{netip.MustParsePrefix("127.9.0.0/24")}})
+	admitInStage := func(name uint64, addr string, stage Stage, now time.Duration) ID {
+		id, why := limiter.Admit(now, mustParseAddr(addr), name)
 		if why != Allowed {
 			t.Fatal(why)
 		}
 		switch stage {
 		case HalfRead:
-			a.RequestStarted(now, id)
+			limiter.RequestStarted(now, id)
 		case Busy:
-			a.RequestComplete(now, id)
+			limiter.RequestComplete(now, id)
 		case Unserved, Proven:
-			a.BecameIdle(now, id, stage == Proven)
+			limiter.BecameIdle(now, id, stage == Proven)
 		}
 		return id
 	}
 	const s = time.Second
-	at(1, "127.9.0.1", Unserved, 0)
-	at(2, "10.0.0.1", Busy, 0)
-	at(3, "10.0.0.2", HalfRead, 0)
-	at(4, "10.0.0.3", Proven, 0)
-	at(5, "10.0.0.4", Silent, 0)
-	at(6, "10.0.0.5", Unserved, 2*s)
-	at(7, "10.0.0.6", Unserved, 1*s)
-	at(8, "10.0.0.7", Silent, 9*s)
+	admitInStage(1, "127.9.0.1", Unserved, 0)
+	admitInStage(2, "10.0.0.1", Busy, 0)
+	admitInStage(3, "10.0.0.2", HalfRead, 0)
+	admitInStage(4, "10.0.0.3", Proven, 0)
+	admitInStage(5, "10.0.0.4", Silent, 0)
+	admitInStage(6, "10.0.0.5", Unserved, 2*s)
+	admitInStage(7, "10.0.0.6", Unserved, 1*s)
+	admitInStage(8, "10.0.0.7", Silent, 9*s)
 	var order []uint64
 	for {
-		token, _, ok := a.EvictionCandidate(10*s-1, ForUnknown, false, nil)
+		token, _, ok := limiter.EvictionCandidate(10*s-1, ForUnknown, false, nil)
 		if !ok {
 			break
 		}
 		order = append(order, token)
-		for k := range a.conns {
-			if a.conns[k].open && a.conns[k].token == token {
-				a.Closed(ID(uint64(a.conns[k].generation)<<32 | uint64(k+1)))
+		for k := range limiter.connections {
+			if limiter.connections[k].open && limiter.connections[k].token == token {
+				limiter.Closed(ID(uint64(limiter.connections[k].generation)<<32 | uint64(k+1)))
 			}
 		}
 	}
 	if !slices.Equal(order, []uint64{6, 7, 5, 4, 3, 1}) {
 		t.Errorf("%v", order)
 	}
-	if _, _, ok := a.EvictionCandidate(10*s-1, ForKnown, false, nil); ok {
+	if _, _, ok := limiter.EvictionCandidate(10*s-1, ForKnown, false, nil); ok {
 		t.Error("one that has just come, or that is owed an answer, goes")
 	}
-	if token, _, ok := a.EvictionCandidate(11*s, ForKnown, true, nil); !ok || token != 8 {
+	if token, _, ok := limiter.EvictionCandidate(11*s, ForKnown, true, nil); !ok || token != 8 {
 		t.Error(token, ok)
 	}
-	if _, _, ok := a.EvictionCandidate(11*s, ForKnown, true, func(t uint64) bool { return t == 8 }); ok {
+	if _, _, ok := limiter.EvictionCandidate(11*s, ForKnown, true, func(t uint64) bool { return t == 8 }); ok {
 		t.Error("one that is spared goes")
 	}
 	for i := range 12 {
-		at(uint64(20+i), fmt.Sprintf("10.0.1.%d", i), Silent, 12*s)
+		admitInStage(uint64(20+i), fmt.Sprintf("10.0.1.%d", i), Silent, 12*s)
 	}
-	if !a.TooManySilent() {
+	if !limiter.TooManySilent() {
 		t.Error("13 of 20 silent are no crowd")
 	}
-	if token, _, ok := a.EvictionCandidate(12*s, ForSilence, false, nil); !ok || token != 8 {
+	if token, _, ok := limiter.EvictionCandidate(12*s, ForSilence, false, nil); !ok || token != 8 {
 		t.Error(token, ok)
 	}
-	if err := a.CheckInvariants(); err != nil {
+	if err := limiter.CheckInvariants(); err != nil {
 		t.Error(err)
 	}
 }
 
-func TestPressureBarsFronts(t *testing.T) {
-	a := mustNew(t, Config{Capacity: 12, TrustedProxies: []netip.Prefix{netip.MustParsePrefix("127.8.0.1/32")}, Address: Limits{Open: 9, Opening: 9}})
-	a.SetPressure(1) // a share: 12 by two addresses, and one more that may come
+func TestPressureBlocksAndTrustedProxies(t *testing.T) {
+	limiter := newLimiter(t, Config{Capacity: 12, TrustedProxies: []netip.Prefix{netip.MustParsePrefix("127.8.0.1/32")}, Address: Limits{Open: 9, Opening: 9}})
+	limiter.SetPressure(1) // a share: 12 by two addresses, and one more that may come
 	for range 6 {
-		arrive(t, a, 0, "10.0.0.1", Allowed)
-	}
-	arrive(t, a, 0, "10.0.0.1", FairShare)
-	arrive(t, a, 0, "10.0.0.2", Allowed)
-	a.SetPressure(2)
-	arrive(t, a, 0, "10.0.0.3", NoDescriptors)
-	a.SetPressure(0)
-	arrive(t, a, 0, "10.0.0.1", Allowed)
-	front := arrive(t, a, 0, "127.8.0.1", Allowed)
-	if a.TrustOf(front) != TrustedProxy || a.Identify(0, front, ip("10.0.0.2")) != Allowed || a.TrustOf(front) != Unknown {
+		admit(t, limiter, 0, "10.0.0.1", Allowed)
+	}
+	admit(t, limiter, 0, "10.0.0.1", FairShare)
+	admit(t, limiter, 0, "10.0.0.2", Allowed)
+	limiter.SetPressure(2)
+	admit(t, limiter, 0, "10.0.0.3", NoDescriptors)
+	limiter.SetPressure(0)
+	admit(t, limiter, 0, "10.0.0.1", Allowed)
+	proxied := admit(t, limiter, 0, "127.8.0.1", Allowed)
+	if limiter.TrustOf(proxied) != TrustedProxy || limiter.Identify(0, proxied, mustParseAddr("10.0.0.2")) != Allowed || limiter.TrustOf(proxied) != Unknown {
 		t.Error("a front's client")
 	}
-	second := arrive(t, a, 0, "127.8.0.1", Allowed)
-	if err := a.Block(0, netip.MustParsePrefix("10.0.0.9/24"), time.Minute); err != nil {
+	second := admit(t, limiter, 0, "127.8.0.1", Allowed)
+	if err := limiter.Block(0, netip.MustParsePrefix("10.0.0.9/24"), time.Minute); err != nil {
 		t.Fatal(err)
 	}
-	if why := a.Identify(0, second, ip("10.0.0.2")); why != Blocked {
+	if why := limiter.Identify(0, second, mustParseAddr("10.0.0.2")); why != Blocked {
 		t.Errorf("a front's barred client: %v", why)
 	}
-	a.Closed(second)
-	arrive(t, a, time.Second, "10.0.0.7", Blocked)
-	if got := a.IdleWithin(netip.MustParsePrefix("10.0.0.0/24")); len(got) != 9 {
+	limiter.Closed(second)
+	admit(t, limiter, time.Second, "10.0.0.7", Blocked)
+	if got := limiter.IdleWithin(netip.MustParsePrefix("10.0.0.0/24")); len(got) != 9 {
 		t.Errorf("%d within", len(got))
 	}
-	if v := a.Snapshot(time.Second); len(v.Blocks) != 1 || v.Prefixes[0].Open != 9 || v.Hits["barred"] != 2 || v.Hits["fair_share"] != 1 {
+	if v := limiter.Snapshot(time.Second); len(v.Blocks) != 1 || v.Prefixes[0].Open != 9 || v.Hits["barred"] != 2 || v.Hits["fair_share"] != 1 {
 		t.Errorf("%+v", v)
 	}
-	if !a.Unblock(netip.MustParsePrefix("10.0.0.0/24")) || a.Unblock(netip.MustParsePrefix("10.0.0.0/24")) {
+	if !limiter.Unblock(netip.MustParsePrefix("10.0.0.0/24")) || limiter.Unblock(netip.MustParsePrefix("10.0.0.0/24")) {
 		t.Error("unbar")
 	}
-	if err := a.Block(0, netip.MustParsePrefix("10.0.0.0/24"), time.Second); err != nil {
+	if err := limiter.Block(0, netip.MustParsePrefix("10.0.0.0/24"), time.Second); err != nil {
 		t.Fatal(err)
 	}
-	arrive(t, a, 2*time.Second, "10.0.0.7", Allowed) // its time is over
-	if err := a.CheckInvariants(); err != nil {
+	admit(t, limiter, 2*time.Second, "10.0.0.7", Allowed) // its time is over
+	if err := limiter.CheckInvariants(); err != nil {
 		t.Error(err)
 	}
-	slow := mustNew(t, Config{Capacity: 1, MinRate: 100})
+	slow := newLimiter(t, Config{Capacity: 1, MinRate: 100})
 	if s, again := slow.TooSlow(0, 0, 0); s || again != 500*time.Millisecond {
 		t.Error(s, again)
 	}
@@ -272,66 +272,66 @@
 	}
 }
 
-func TestBudget(t *testing.T) {
-	floor := [DescriptorKinds]int{ClientConnections: 10, WorkerConnections: 20, DiscoveryConnections: 2}
-	b, err := NewDescriptorBudget(100, floor, Watermarks{})
+func TestDescriptorBudget(t *testing.T) {
+	floors := [DescriptorKinds]int{ClientConnections: 10, WorkerConnections: 20, DiscoveryConnections: 2}
+	budget, err := NewDescriptorBudget(100, floors, Watermarks{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	n, levels := 0, []int{}
-	for b.Acquire(ClientConnections) {
-		n++
-		if l := b.Level(); len(levels) == 0 || levels[len(levels)-1] != l {
+	acquired, levels := 0, []int{}
+	for budget.Acquire(ClientConnections) {
+		acquired++
+		if l := budget.Level(); len(levels) == 0 || levels[len(levels)-1] != l {
 			levels = append(levels, l)
 		}
 	}
-	if n != 78 || !slices.Equal(levels, []int{0}) {
-		t.Errorf("%d sessions, levels %v: the others' floors are 22", n, levels)
+	if acquired != 78 || !slices.Equal(levels, []int{0}) {
+		t.Errorf("%d sessions, levels %v: the others' floors are 22", acquired, levels)
 	}
 	for range 20 {
-		if !b.Acquire(WorkerConnections) {
+		if !budget.Acquire(WorkerConnections) {
 			t.Fatal("a floor is not kept")
 		}
 	}
-	if b.Acquire(WorkerConnections) || !b.Acquire(DiscoveryConnections) || b.Level() != 3 {
-		t.Errorf("level %d", b.Level())
+	if budget.Acquire(WorkerConnections) || !budget.Acquire(DiscoveryConnections) || budget.Level() != 3 {
+		t.Errorf("level %d", budget.Level())
 	}
 	for range 7 { // 99 in use down to 92: within the hysteresis of the third mark
-		b.Release(ClientConnections)
+		budget.Release(ClientConnections)
 	}
-	if b.Level() != 3 {
-		t.Errorf("level %d at 92", b.Level())
+	if budget.Level() != 3 {
+		t.Errorf("level %d at 92", budget.Level())
 	}
-	b.Release(ClientConnections)
-	if b.Level() != 2 {
-		t.Errorf("level %d at 91", b.Level())
+	budget.Release(ClientConnections)
+	if budget.Level() != 2 {
+		t.Errorf("level %d at 91", budget.Level())
 	}
 	for range 30 {
-		b.Release(ClientConnections)
+		budget.Release(ClientConnections)
 	}
-	b.ForceLevel(2)
-	forced := b.Level()
-	b.ForceLevel(0)
-	if forced != 2 || b.Level() != 0 {
-		t.Errorf("forced %d, then %d", forced, b.Level())
+	budget.ForceLevel(2)
+	forced := budget.Level()
+	budget.ForceLevel(0)
+	if forced != 2 || budget.Level() != 0 {
+		t.Errorf("forced %d, then %d", forced, budget.Level())
 	}
-	if b.Reconfigure(50, floor, Watermarks{}) != nil || b.Level() == 0 || b.Reconfigure(10, floor, Watermarks{}) == nil || b.Reconfigure(100, floor, Watermarks{Low: 0.9, High: 0.8}) == nil {
+	if budget.Reconfigure(50, floors, Watermarks{}) != nil || budget.Level() == 0 || budget.Reconfigure(10, floors, Watermarks{}) == nil || budget.Reconfigure(100, floors, Watermarks{Low: 0.9, High: 0.8}) == nil {
 		t.Error("Set")
 	}
 }
 
 // A thousand sessions of one address take one address's turns.
-func TestTurns(t *testing.T) {
-	var turns RoundRobin
+func TestRoundRobin(t *testing.T) {
+	var roundRobin RoundRobin
 	for i := range 1000 {
-		turns.Add(ip("10.0.0.1"), uint64(i))
+		roundRobin.Add(mustParseAddr("10.0.0.1"), uint64(i))
 	}
 	for i := range 3 {
-		turns.Add(ip(fmt.Sprintf("10.0.0.%d", i+2)), uint64(5000+i))
+		roundRobin.Add(mustParseAddr(fmt.Sprintf("10.0.0.%d", i+2)), uint64(5000+i))
 	}
 	seen := map[uint64]int{}
-	for i := 0; turns.Len() > 0; i++ {
-		token, ok := turns.Next()
+	for i := 0; roundRobin.Len() > 0; i++ {
+		token, ok := roundRobin.Next()
 		if !ok {
 			t.Fatal("empty")
 		}
@@ -347,98 +347,98 @@
 	}
 }
 
-func TestBadConfig(t *testing.T) {
-	for _, c := range []Config{{}, {Capacity: 5, Reserve: 5}, {Capacity: 5, V4Bits: 33}, {Capacity: 5, Rate: -1}, {Capacity: 5, Learn: Learn{Share: 2}},
+func TestInvalidConfig(t *testing.T) {
+	for _, config := range []Config{{}, {Capacity: 5, Reserve: 5}, {Capacity: 5, V4Bits: 33}, {Capacity: 5, Rate: -1}, {Capacity: 5, Learn: Learn{Share: 2}},
 		{Capacity: 5, Prefix: Limits{Half: -1}}} {
-		if _, err := New(c); err == nil {
-			t.Errorf("%+v is taken", c)
+		if _, err := New(config); err == nil {
+			t.Errorf("%+v is taken", config)
 		}
 	}
 }
 
 // ---- Random steps against a naive model.
 
-// naive decides as an Admitter that remembers everything and searches all.
-type naive struct {
-	c     Config
-	conns map[ID]*naiveConn
-	tat   map[string]time.Duration
-	level int
+// modelLimiter decides as an Admitter that remembers everything and searches all.
+type modelLimiter struct {
+	config         Config
+	conns          map[ID]*modelConn
+	nextConforming map[string]time.Duration
+	pressure       int
 }
 
-type naiveConn struct {
+type modelConn struct {
 	addr, prefix string
-	s            Trust
+	trust        Trust
 	stage        Stage
-	half         bool
+	halfRead     bool
 	bytes        int
 }
 
-func (n *naive) has(of func(*naiveConn) bool) (k int) {
-	for _, c := range n.conns {
-		if of(c) {
-			k++
+func (m *modelLimiter) count(matches func(*modelConn) bool) (n int) {
+	for _, c := range m.conns {
+		if matches(c) {
+			n++
 		}
 	}
-	return k
+	return n
 }
 
-func (n *naive) arrive(now time.Duration, addr netip.Addr) Reason {
-	wide, _ := addr.Prefix(n.c.V4Bits)
-	a, p := addr.String(), wide.String()
-	known := slices.ContainsFunc(n.c.Known, func(k netip.Prefix) bool { return k.Contains(addr) })
-	s := Unknown
+func (m *modelLimiter) admit(now time.Duration, addr netip.Addr) Reason {
+	wide, _ := addr.Prefix(m.config.V4Bits)
+	address, prefix := addr.String(), wide.String()
+	known := slices.ContainsFunc(m.config.Known, func(k netip.Prefix) bool { return k.Contains(addr) })
+	trust := Unknown
 	if known {
-		s = Known
+		trust = Known
 	}
 	if !known {
 		for _, x := range []struct {
 			caps  Limits
-			is    func(*naiveConn) bool
+			is    func(*modelConn) bool
 			name  string
 			first Reason
-		}{{n.c.Address, func(c *naiveConn) bool { return c.addr == a }, a, AddressOpen}, {n.c.Prefix, func(c *naiveConn) bool { return c.prefix == p }, p, PrefixOpen}} {
-			if x.caps.Open > 0 && n.has(x.is) >= x.caps.Open {
+		}{{m.config.Address, func(c *modelConn) bool { return c.addr == address }, address, AddressOpen}, {m.config.Prefix, func(c *modelConn) bool { return c.prefix == prefix }, prefix, PrefixOpen}} {
+			if x.caps.Open > 0 && m.count(x.is) >= x.caps.Open {
 				return x.first
 			}
-			if x.caps.Opening > 0 && n.has(func(c *naiveConn) bool { return x.is(c) && c.stage == Silent }) >= x.caps.Opening {
+			if x.caps.Opening > 0 && m.count(func(c *modelConn) bool { return x.is(c) && c.stage == Silent }) >= x.caps.Opening {
 				return x.first + 1
 			}
 			if x.caps.PerSecond > 0 {
 				step := time.Duration(float64(time.Second) / x.caps.PerSecond)
-				if n.tat[x.name] > now+step*time.Duration(x.caps.Burst-1) {
+				if m.nextConforming[x.name] > now+step*time.Duration(x.caps.Burst-1) {
 					return x.first + 2
 				}
 			}
 		}
 	}
-	total, in := len(n.conns), n.has(func(c *naiveConn) bool { return c.s == Known })
-	if s == Unknown && total+max(n.c.Reserve-in, 0) >= n.c.Capacity {
+	total, openKnown := len(m.conns), m.count(func(c *modelConn) bool { return c.trust == Known })
+	if trust == Unknown && total+max(m.config.Reserve-openKnown, 0) >= m.config.Capacity {
 		return Full
 	}
-	if s == Known && total >= n.c.Capacity {
+	if trust == Known && total >= m.config.Capacity {
 		return FullKnown
 	}
-	if s == Unknown && n.level > 1 {
+	if trust == Unknown && m.pressure > 1 {
 		return NoDescriptors
 	}
-	if s == Unknown && n.level == 1 {
+	if trust == Unknown && m.pressure == 1 {
 		active := map[string]int{}
-		for _, c := range n.conns {
-			if c.s == Unknown {
+		for _, c := range m.conns {
+			if c.trust == Unknown {
 				active[c.addr]++
 			}
 		}
-		mine := n.has(func(c *naiveConn) bool { return c.addr == a })
-		if mine > 0 && mine >= max((n.c.Capacity-n.c.Reserve)/(len(active)+1), 1) {
+		mine := m.count(func(c *modelConn) bool { return c.addr == address })
+		if mine > 0 && mine >= max((m.config.Capacity-m.config.Reserve)/(len(active)+1), 1) {
 			return FairShare
 		}
 	}
-	for name, c := range map[string]Limits{a: n.c.Address, p: n.c.Prefix} {
+	for name, c := range map[string]Limits{address: m.config.Address, prefix: m.config.Prefix} {
 		if c.PerSecond > 0 {
 			step := time.Duration(float64(time.Second) / c.PerSecond)
-			if n.tat[name] <= now+step*time.Duration(c.Burst-1) {
-				n.tat[name] = max(n.tat[name], now) + step
+			if m.nextConforming[name] <= now+step*time.Duration(c.Burst-1) {
+				m.nextConforming[name] = max(m.nextConforming[name], now) + step
 			}
 		}
 	}
@@ -446,65 +446,65 @@
 }
 
 func randomSteps(t *rapid.T) {
-	c := Config{Capacity: rapid.IntRange(3, 19).Draw(t, "room"), V4Bits: 24, Known: []netip.Prefix{netip.MustParsePrefix("10.0.3.0/24")},
+	config := Config{Capacity: rapid.IntRange(3, 19).Draw(t, "room"), V4Bits: 24, Known: []netip.Prefix{netip.MustParsePrefix("10.0.3.0/24")},
 		Address: Limits{Open: rapid.IntRange(0, 4).Draw(t, "open"), Opening: rapid.IntRange(0, 3).Draw(t, "opening"), PerSecond: 5, Burst: 3},
 		Prefix:  Limits{Open: rapid.IntRange(0, 9).Draw(t, "prefix"), PerSecond: 9, Burst: 6}}
-	c.Reserve = rapid.IntRange(0, c.Capacity-1).Draw(t, "reserve")
-	a, err := New(c)
+	config.Reserve = rapid.IntRange(0, config.Capacity-1).Draw(t, "reserve")
+	limiter, err := New(config)
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &naive{c: c, conns: map[ID]*naiveConn{}, tat: map[string]time.Duration{}}
+	model := &modelLimiter{config: config, conns: map[ID]*modelConn{}, nextConforming: map[string]time.Duration{}}
 	now := time.Duration(0)
 	var ids []ID
 	for step := range rapid.IntRange(1, 150).Draw(t, "steps") {
 		now += time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond
-		what := rapid.IntRange(0, 9).Draw(t, "what")
-		if what < 4 || len(ids) == 0 {
+		action := rapid.IntRange(0, 9).Draw(t, "what")
+		if action < 4 || len(ids) == 0 {
 			addr := netip.AddrFrom4([4]byte{10, 0, byte(rapid.IntRange(0, 3).Draw(t, "net")), byte(rapid.IntRange(1, 4).Draw(t, "host"))})
-			want := m.arrive(now, addr)
-			id, got := a.Admit(now, addr, uint64(step+1))
+			want := model.admit(now, addr)
+			id, got := limiter.Admit(now, addr, uint64(step+1))
 			if got != want {
 				t.Fatalf("step %d: %v at %v: %v, the model says %v", step, addr, now, got, want)
 			}
 			if got == Allowed {
 				wide, _ := addr.Prefix(24)
 				s := Unknown
-				if c.Known[0].Contains(addr) {
+				if config.Known[0].Contains(addr) {
 					s = Known
 				}
-				m.conns[id] = &naiveConn{addr: addr.String(), prefix: wide.String(), s: s, stage: Silent}
+				model.conns[id] = &modelConn{addr: addr.String(), prefix: wide.String(), trust: s, stage: Silent}
 				ids = append(ids, id)
 			}
 		} else {
 			i := rapid.IntRange(0, len(ids)-1).Draw(t, "which")
 			id := ids[i]
-			k := m.conns[id]
-			switch what {
+			conn := model.conns[id]
+			switch action {
 			case 4, 5:
-				a.Closed(id)
-				delete(m.conns, id)
+				limiter.Closed(id)
+				delete(model.conns, id)
 				ids = slices.Delete(ids, i, i+1)
 			case 6:
-				a.RequestStarted(now, id)
-				k.stage, k.half = HalfRead, true
+				limiter.RequestStarted(now, id)
+				conn.stage, conn.halfRead = HalfRead, true
 			case 7:
-				a.RequestComplete(now, id)
-				k.stage, k.half, k.bytes = Busy, false, 0
+				limiter.RequestComplete(now, id)
+				conn.stage, conn.halfRead, conn.bytes = Busy, false, 0
 			case 8:
-				a.BecameIdle(now, id, step%2 == 0)
-				k.stage, k.half, k.bytes = Unserved, false, 0
+				limiter.BecameIdle(now, id, step%2 == 0)
+				conn.stage, conn.halfRead, conn.bytes = Unserved, false, 0
 			case 9:
-				m.level = rapid.IntRange(0, 2).Draw(t, "level")
-				a.SetPressure(m.level)
+				model.pressure = rapid.IntRange(0, 2).Draw(t, "level")
+				limiter.SetPressure(model.pressure)
 			}
 		}
-		if err := a.CheckInvariants(); err != nil {
+		if err := limiter.CheckInvariants(); err != nil {
 			t.Fatalf("step %d: %v", step, err)
 		}
-		unknown := m.has(func(k *naiveConn) bool { return k.s == Unknown })
-		if unknown > c.Capacity-c.Reserve || len(m.conns) > c.Capacity {
-			t.Fatalf("step %d: %d unknown of %d, room %d, reserve %d", step, unknown, len(m.conns), c.Capacity, c.Reserve)
+		unknown := model.count(func(k *modelConn) bool { return k.trust == Unknown })
+		if unknown > config.Capacity-config.Reserve || len(model.conns) > config.Capacity {
+			t.Fatalf("step %d: %d unknown of %d, room %d, reserve %d", step, unknown, len(model.conns), config.Capacity, config.Reserve)
 		}
 	}
 }
@@ -524,13 +524,13 @@
 		addresses = 1_000_000
 		seconds   = 10_000
 		perSecond = 400
-		room      = 1000
+		capacity  = 1000
 		reserve   = 200
 		hold      = 8 * time.Second // the longest that any session may hold its place
 		retry     = time.Second
 		bound     = hold + retry
 	)
-	if raced {
+	if raceEnabled {
 		t.Skip("make test runs it without the race detector, which has nothing to find in one goroutine")
 	}
 	heap := func() uint64 {
@@ -540,99 +540,99 @@
 		return m.HeapAlloc
 	}
 	before := heap()
-	a := mustNew(t, Config{Capacity: room, Reserve: reserve, Known: []netip.Prefix{netip.MustParsePrefix("10.255.0.0/16")},
+	limiter := newLimiter(t, Config{Capacity: capacity, Reserve: reserve, Known: []netip.Prefix{netip.MustParsePrefix("10.255.0.0/16")},
 		Address: Limits{Open: 20, Opening: 10, PerSecond: 5, Burst: 10, Half: 4}, Prefix: Limits{Open: 100, Half: 30}, Learn: Learn{On: true}})
 	rng := rand.New(rand.NewPCG(1, 2))
-	type open struct {
+	type openConn struct {
 		id   ID
 		ends time.Duration
 		busy bool
 	}
-	var live []open
+	var live []openConn
 	byToken := map[uint64]ID{}
 	seen := make([]uint64, addresses/64+1)
 	distinct := 0
 	token := uint64(0)
-	var polite struct {
+	var wellBehaved struct {
 		since, worst time.Duration
 		waiting      bool
 	}
-	attempts, admitted, knownTurnedAway := 0, 0, 0
-	try := func(now time.Duration, addr netip.Addr, span time.Duration, busy bool) Reason {
+	attempts, admitted, knownRejected := 0, 0, 0
+	admit := func(now time.Duration, addr netip.Addr, span time.Duration, busy bool) Reason {
 		attempts++
 		token++
-		id, why := a.Admit(now, addr, token)
+		id, why := limiter.Admit(now, addr, token)
 		if why == Full || why == FullKnown { // as the entry does: the longest idle go
 			need := ForUnknown
 			if why == FullKnown {
 				need = ForKnown
 			}
-			if victim, _, ok := a.EvictionCandidate(now, need, false, nil); ok {
-				a.Closed(byToken[victim])
+			if victim, _, ok := limiter.EvictionCandidate(now, need, false, nil); ok {
+				limiter.Closed(byToken[victim])
 				delete(byToken, victim)
-				id, why = a.Admit(now, addr, token)
+				id, why = limiter.Admit(now, addr, token)
 			}
 		}
 		if why == Allowed {
 			admitted++
 			byToken[token] = id
-			a.RequestStarted(now, id)
+			limiter.RequestStarted(now, id)
 			if busy {
-				a.RequestComplete(now, id)
+				limiter.RequestComplete(now, id)
 			} else {
-				a.BecameIdle(now, id, rng.IntN(2) == 0)
+				limiter.BecameIdle(now, id, rng.IntN(2) == 0)
 			}
-			live = append(live, open{id, now + span, busy})
+			live = append(live, openConn{id, now + span, busy})
 		}
 		return why
 	}
-	for s := range seconds {
-		now := time.Duration(s) * time.Second
+	for second := range seconds {
+		now := time.Duration(second) * time.Second
 		kept := live[:0]
 		for _, c := range live {
 			if c.ends <= now {
-				a.Closed(c.id)
+				limiter.Closed(c.id)
 			} else {
 				kept = append(kept, c)
 			}
 		}
 		live = kept
-		if s%500 == 0 {
+		if second%500 == 0 {
 			for tok, id := range byToken {
-				if _, c := a.get(id); c == nil {
+				if _, c := limiter.find(id); c == nil {
 					delete(byToken, tok)
 				}
 			}
 		}
 		for range perSecond {
 			n := rng.IntN(addresses)
-			if s%7 == 0 && rng.IntN(2) == 0 {
+			if second%7 == 0 && rng.IntN(2) == 0 {
 				n = rng.IntN(20) // some that come again and again, fewer than a twentieth of the room
 			}
 			if seen[n/64]>>(n%64)&1 == 0 {
 				seen[n/64] |= 1 << (n % 64)
 				distinct++
 			}
-			try(now, netip.AddrFrom4([4]byte{11, byte(n >> 16), byte(n >> 8), byte(n)}), time.Duration(1+rng.IntN(7))*time.Second, rng.IntN(3) > 0)
+			admit(now, netip.AddrFrom4([4]byte{11, byte(n >> 16), byte(n >> 8), byte(n)}), time.Duration(1+rng.IntN(7))*time.Second, rng.IntN(3) > 0)
 		}
 		for i := range 5 { // known ones
-			if why := try(now, netip.AddrFrom4([4]byte{10, 255, 0, byte(rng.IntN(40))}), 2*time.Second, i%2 == 0); why != Allowed {
-				knownTurnedAway++
+			if why := admit(now, netip.AddrFrom4([4]byte{10, 255, 0, byte(rng.IntN(40))}), 2*time.Second, i%2 == 0); why != Allowed {
+				knownRejected++
 			}
 		}
-		if !polite.waiting {
-			polite.since, polite.waiting = now, true
+		if !wellBehaved.waiting {
+			wellBehaved.since, wellBehaved.waiting = now, true
 		}
-		if why := try(now, ip("12.0.0.1"), time.Second, false); why == Allowed {
-			polite.worst, polite.waiting = max(polite.worst, now-polite.since), false
-		} else if now-polite.since > bound {
-			t.Fatalf("an address that keeps its caps waits since %v at %v: %v; open %v, of those that came again %d", polite.since, now, why, a.count, a.again)
+		if why := admit(now, mustParseAddr("12.0.0.1"), time.Second, false); why == Allowed {
+			wellBehaved.worst, wellBehaved.waiting = max(wellBehaved.worst, now-wellBehaved.since), false
+		} else if now-wellBehaved.since > bound {
+			t.Fatalf("an address that keeps its caps waits since %v at %v: %v; open %v, of those that came again %d", wellBehaved.since, now, why, limiter.openByTrust, limiter.openRetries)
 		}
-		if a.count[Unknown]+a.count[Learned] > room-reserve+reserve/2 || a.count[Unknown] > room-reserve {
-			t.Fatalf("%v: %v", now, a.count)
+		if limiter.openByTrust[Unknown]+limiter.openByTrust[Learned] > capacity-reserve+reserve/2 || limiter.openByTrust[Unknown] > capacity-reserve {
+			t.Fatalf("%v: %v", now, limiter.openByTrust)
 		}
-		if s%250 == 0 {
-			if err := a.CheckInvariants(); err != nil {
+		if second%250 == 0 {
+			if err := limiter.CheckInvariants(); err != nil {
 				t.Fatalf("%v: %v", now, err)
 			}
 		}
@@ -640,14 +640,14 @@
 	clear(byToken)
 	byToken, live, seen = nil, nil, nil
 	used := int64(heap()) - int64(before)
-	if distinct < 970_000 || knownTurnedAway > 0 {
-		t.Errorf("%d addresses came, %d known connections were turned away", distinct, knownTurnedAway)
+	if distinct < 970_000 || knownRejected > 0 {
+		t.Errorf("%d addresses came, %d known connections were turned away", distinct, knownRejected)
 	}
 	if used > 8<<20 {
 		t.Errorf("%d bytes are used after a million addresses", used)
 	}
-	t.Logf("%d addresses, %d attempts, %d admitted, %.1f MB, the polite one's longest wait %v", distinct, attempts, admitted, float64(used)/(1<<20), polite.worst)
-	runtime.KeepAlive(a)
+	t.Logf("%d addresses, %d attempts, %d admitted, %.1f MB, the polite one's longest wait %v", distinct, attempts, admitted, float64(used)/(1<<20), wellBehaved.worst)
+	runtime.KeepAlive(limiter)
 }
 
 // BenchmarkDecision decides on arrivals of a million addresses in random order,
@@ -659,23 +659,23 @@
 		full bool
 		keep int
 	}{{"default/refused", true, 0}, {"default/admitted", false, 0}, {"million/refused", true, 1_000_000}, {"million/admitted", false, 1_000_000}} {
-		a := mustNew(b, Config{Capacity: 1000, Reserve: 200, Known: []netip.Prefix{netip.MustParsePrefix("10.255.0.0/16")}, Addresses: c.keep, Prefixes: c.keep / 10,
+		limiter := newLimiter(b, Config{Capacity: 1000, Reserve: 200, Known: []netip.Prefix{netip.MustParsePrefix("10.255.0.0/16")}, Addresses: c.keep, Prefixes: c.keep / 10,
 			Address: Limits{Open: 20, Opening: 10, PerSecond: 5, Burst: 10}, Prefix: Limits{Open: 100}})
-		var list []netip.Addr
+		var addresses []netip.Addr
 		for n := range 1_000_000 {
-			list = append(list, netip.AddrFrom4([4]byte{11, byte(n >> 16), byte(n >> 8), byte(n)}))
+			addresses = append(addresses, netip.AddrFrom4([4]byte{11, byte(n >> 16), byte(n >> 8), byte(n)}))
 		}
-		rand.New(rand.NewPCG(1, 1)).Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
+		rand.New(rand.NewPCG(1, 1)).Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
 		now := time.Duration(0)
-		for _, addr := range list {
+		for _, addr := range addresses {
 			now += time.Millisecond
-			if id, why := a.Admit(now, addr, 1); why == Allowed {
-				a.Closed(id)
+			if id, why := limiter.Admit(now, addr, 1); why == Allowed {
+				limiter.Closed(id)
 			}
 		}
 		if c.full {
 			for i := range 800 {
-				a.Admit(now, netip.AddrFrom4([4]byte{12, 0, byte(i / 50), byte(i % 50)}), 1)
+				limiter.Admit(now, netip.AddrFrom4([4]byte{12, 0, byte(i / 50), byte(i % 50)}), 1)
 			}
 		}
 		b.Run(c.name, func(b *testing.B) {
@@ -683,8 +683,8 @@
 			i := 0
 			for b.Loop() {
 				now += time.Millisecond
-				if id, why := a.Admit(now, list[i%len(list)], 1); why == Allowed {
-					a.Closed(id)
+				if id, why := limiter.Admit(now, addresses[i%len(addresses)], 1); why == Allowed {
+					limiter.Closed(id)
 				}
 				i++
 			}
--- /dev/null
+++ b/internal/connlimit/eviction.go
@@ -0,0 +1,120 @@
+package connlimit
+
+import (
+	"math"
+	"net/netip"
+	"time"
+)
+
+// EvictionReason is what capacity is needed for.
+type EvictionReason uint8
+
+// The reasons for an eviction.
+const (
+	ForUnknown EvictionReason = iota // a connection of any client
+	ForKnown                         // one of a trusted client: only unknown ones are evicted
+	ForSilence                       // too many connections are silent: only silent ones are evicted
+	ForMemory                        // buffers are short: only half-read requests are evicted
+)
+
+// evictionOrder leaves out Busy: an answer is owed.
+var evictionOrder = [...]Stage{Unserved, Silent, Proven, HalfRead}
+
+// EvictionCandidate returns the connection to be evicted first, by the caller's
+// token.
+//
+// Unknown addresses come before trusted ones; of each, the stages come in their
+// order, and in a stage the connection that has been in it the longest.
+// Connections that are silent or half read are spared for a while after they
+// became so, since a request is on its way. spareProven spares those in the stage
+// Proven, and spare, which may be nil, single ones.
+func (l *Limiter) EvictionCandidate(
+	now time.Duration, need EvictionReason, spareProven bool, spare func(token uint64) bool,
+) (token uint64, stage Stage, ok bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if need == ForSilence && !l.tooManySilent() {
+		return 0, 0, false
+	}
+	for side := range l.stageLists {
+		if need == ForKnown && side == trustedSide {
+			break
+		}
+		for _, stage := range evictionOrder {
+			if !mayEvict(need, stage) || spareProven && stage == Proven {
+				continue
+			}
+			latest := l.latestEvictable(now, need, stage)
+			c := l.firstEvictable(&l.stageLists[side][stage], latest, spare)
+			if c != nil {
+				return c.token, stage, true
+			}
+		}
+	}
+	return 0, 0, false
+}
+
+// mayEvict reports whether evicting connections of a stage helps a need.
+func mayEvict(need EvictionReason, stage Stage) bool {
+	switch need {
+	case ForSilence:
+		return stage == Silent
+	case ForMemory:
+		return stage == HalfRead
+	}
+	return true
+}
+
+// latestEvictable returns since when at the latest a connection must have been in a
+// stage to be evicted.
+func (l *Limiter) latestEvictable(now time.Duration, need EvictionReason, stage Stage) time.Duration {
+	switch {
+	case stage != Silent && stage != HalfRead || need == ForMemory:
+		return math.MaxInt64
+	case need == ForSilence:
+		return now - l.config.SilentTime
+	}
+	return now - l.config.Grace
+}
+
+// firstEvictable returns the first connection of a list that may be evicted, of
+// those in it since latest or before; nil: there is none.
+func (l *Limiter) firstEvictable(list *stageList, latest time.Duration, spare func(token uint64) bool) *conn {
+	for index := list.first; index != noIndex; index = l.connections[index].next {
+		c := &l.connections[index]
+		if c.stageSince > latest {
+			return nil // so are all that follow
+		}
+		if c.hasToken && (spare == nil || !spare(c.token)) {
+			return c
+		}
+	}
+	return nil
+}
+
+// TooManySilent reports whether more connections are silent than clients that
+// connect before they have a request would leave so.
+func (l *Limiter) TooManySilent() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.tooManySilent()
+}
+
+func (l *Limiter) tooManySilent() bool { return l.silent > l.config.Capacity/2 }
+
+// IdleWithin returns the tokens of a prefix's connections on which no answer is
+// owed, for a block that ends them.
+func (l *Limiter) IdleWithin(prefix netip.Prefix) (tokens []uint64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for index := range l.connections {
+		c := &l.connections[index]
+		if !c.open || !c.hasToken || c.stage == Busy || c.address < 0 {
+			continue
+		}
+		if prefix.Contains(l.addresses.entries[c.address].key.addr()) {
+			tokens = append(tokens, c.token)
+		}
+	}
+	return tokens
+}
--- a/internal/connlimit/golden_test.go
+++ b/internal/connlimit/golden_test.go
@@ -10,13 +10,13 @@
 // the admin API's JSON.
 func TestNamesInJSON(t *testing.T) {
 	var names []string
-	for r := range reasons {
+	for r := range numReasons {
 		names = append(names, r.String())
 	}
 	for s := Unknown; s <= TrustedProxy; s++ {
 		names = append(names, s.String())
 	}
-	for s := range stages {
+	for s := range numStages {
 		names = append(names, s.String())
 	}
 	for k := range DescriptorKinds {
--- a/internal/connlimit/norace_test.go
+++ b/internal/connlimit/norace_test.go
@@ -2,4 +2,4 @@
 
 package connlimit
 
-const raced = false
+const raceEnabled = false
--- /dev/null
+++ b/internal/connlimit/prefixset.go
@@ -0,0 +1,48 @@
+package connlimit
+
+import (
+	"net/netip"
+	"slices"
+)
+
+// prefixSet finds whether one of some prefixes contains an address, by a map lookup
+// for each length of prefix in it.
+type prefixSet struct {
+	v4Lengths []int
+	v6Lengths []int
+	prefixes  map[netip.Prefix]struct{}
+}
+
+func newPrefixSet(prefixes []netip.Prefix) prefixSet {
+	s := prefixSet{prefixes: map[netip.Prefix]struct{}{}}
+	for _, prefix := range prefixes {
+		prefix = netip.PrefixFrom(prefix.Addr().Unmap(), prefix.Bits()).Masked()
+		s.prefixes[prefix] = struct{}{}
+		lengths := &s.v6Lengths
+		if prefix.Addr().Is4() {
+			lengths = &s.v4Lengths
+		}
+		if !slices.Contains(*lengths, prefix.Bits()) {
+			*lengths = append(*lengths, prefix.Bits())
+		}
+	}
+	return s
+}
+
+func (s *prefixSet) contains(addr netip.Addr) bool {
+	lengths := s.v6Lengths
+	if addr.Is4() {
+		lengths = s.v4Lengths
+	}
+	for _, length := range lengths {
+		prefix, err := addr.Prefix(length)
+		if err != nil {
+			continue
+		}
+		_, found := s.prefixes[prefix]
+		if found {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/internal/connlimit/request.go
@@ -0,0 +1,129 @@
+package connlimit
+
+import "time"
+
+// RequestStarted notes that the first byte of a request has arrived. Where the
+// reason is not Allowed, the request exceeds a limit, but is counted all the same.
+func (l *Limiter) RequestStarted(now time.Duration, id ID) Reason {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	index, c := l.find(id)
+	if c == nil || c.halfRead {
+		return Allowed
+	}
+	l.setStage(index, HalfRead, now)
+	c.halfRead = true
+	if c.address < 0 {
+		return Allowed
+	}
+	address := &l.addresses.entries[c.address]
+	prefix := &l.prefixes.entries[c.prefix]
+	address.halfRead++
+	prefix.halfRead++
+	if c.trust == Known {
+		return Allowed
+	}
+	switch {
+	case exceeds(address.halfRead, l.config.Address.Half):
+		return l.reject(addressReasons.half)
+	case exceeds(prefix.halfRead, l.config.Prefix.Half):
+		return l.reject(prefixReasons.half)
+	}
+	return Allowed
+}
+
+// SetBuffered notes how many bytes of a half-read request are buffered. Where the
+// reason is not Allowed, they exceed a limit, but are counted all the same.
+func (l *Limiter) SetBuffered(id ID, bytes int) Reason {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	_, c := l.find(id)
+	if c == nil || c.address < 0 {
+		return Allowed
+	}
+	address := &l.addresses.entries[c.address]
+	prefix := &l.prefixes.entries[c.prefix]
+	added := int32(bytes) - c.bufferedBytes
+	c.bufferedBytes = int32(bytes)
+	address.bufferedBytes += added
+	prefix.bufferedBytes += added
+	if c.trust == Known || added <= 0 {
+		return Allowed
+	}
+	switch {
+	case exceeds(address.bufferedBytes, l.config.Address.Bytes):
+		return l.reject(addressReasons.bytes)
+	case exceeds(prefix.bufferedBytes, l.config.Prefix.Bytes):
+		return l.reject(prefixReasons.bytes)
+	}
+	return Allowed
+}
+
+// exceeds reports whether a count is above a limit; a limit of 0 is none.
+func exceeds(count int32, limit int) bool { return limit > 0 && int(count) > limit }
+
+// clearHalfRead uncounts a connection's half-read request.
+func (l *Limiter) clearHalfRead(c *conn) {
+	if c.address >= 0 {
+		address := &l.addresses.entries[c.address]
+		prefix := &l.prefixes.entries[c.prefix]
+		if c.halfRead {
+			address.halfRead--
+			prefix.halfRead--
+		}
+		address.bufferedBytes -= c.bufferedBytes
+		prefix.bufferedBytes -= c.bufferedBytes
+	}
+	c.halfRead = false
+	c.bufferedBytes = 0
+}
+
+// RequestComplete notes that a request is complete and an answer is owed.
+func (l *Limiter) RequestComplete(now time.Duration, id ID) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	index, c := l.find(id)
+	if c == nil {
+		return
+	}
+	l.clearHalfRead(c)
+	l.setStage(index, Busy, now)
+}
+
+// BecameIdle notes that no answer is owed on a connection, and no byte of a request
+// has arrived. served says that a request of it was served just now.
+func (l *Limiter) BecameIdle(now time.Duration, id ID, served bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	index, c := l.find(id)
+	if c == nil {
+		return
+	}
+	l.clearHalfRead(c)
+	if served {
+		c.served = true
+		l.countServed(now, c)
+	}
+	stage := Unserved
+	if c.served {
+		stage = Proven
+	}
+	l.setStage(index, stage, now)
+}
+
+// TooSlow reports whether a request whose first byte arrived at since, and of which
+// so many bytes have arrived, is slower than Config.MinRate. If it is not,
+// checkAgain is when to ask again; 0: never.
+func (l *Limiter) TooSlow(now, since time.Duration, bytes int) (slow bool, checkAgain time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.config.MinRate <= 0 {
+		return false, 0
+	}
+	timeForBytes := time.Duration(float64(bytes) / l.config.MinRate * float64(time.Second))
+	due := since + max(l.config.RateGrace, timeForBytes)
+	if now >= due {
+		return true, 0
+	}
+	return false, due
+}
--- /dev/null
+++ b/internal/connlimit/snapshot.go
@@ -0,0 +1,127 @@
+package connlimit
+
+import (
+	"cmp"
+	"net/netip"
+	"slices"
+	"time"
+)
+
+// View is the state of a Limiter as the admin API returns it. Counts are those at
+// the time of the call, but Admitted and Hits, which count since the start.
+type View struct {
+	Open      map[string]int    `json:"open"`     // connections by Stage
+	Standing  map[string]int    `json:"standing"` // connections by Trust
+	Room      int               `json:"room"`     // Config.Capacity
+	Reserve   int               `json:"reserve"`
+	InReserve int               `json:"reserve_used"` // by trusted connections
+	Pressure  int               `json:"pressure"`
+	Admitted  uint64            `json:"admitted"`
+	Hits      map[string]uint64 `json:"refused"` // rejections by Reason
+	Addresses int               `json:"addresses_remembered"`
+	Learned   int               `json:"addresses_learned"`
+	Prefixes  []PrefixView      `json:"top_prefixes"` // those with the most connections
+	Blocks    []BlockView       `json:"bars"`
+}
+
+// PrefixView is what the connections of a prefix use.
+type PrefixView struct {
+	Prefix   string `json:"prefix"`
+	Open     int    `json:"open"`
+	Opening  int    `json:"opening"`
+	HalfRead int    `json:"half_read"`
+	Bytes    int    `json:"bytes"`
+}
+
+// BlockView is a prefix that is blocked.
+type BlockView struct {
+	Prefix string  `json:"prefix"`
+	ForS   float64 `json:"for_s"` // seconds that are left of it
+}
+
+const maxTopPrefixes = 10 // of View.Prefixes
+
+// Snapshot returns the state of the Limiter.
+func (l *Limiter) Snapshot(now time.Duration) View {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	openTrusted := l.openByTrust[Known] + l.openByTrust[TrustedProxy] + min(l.openByTrust[Learned], l.config.learnedReserve())
+	return View{
+		Open:      l.openByStage(),
+		Standing:  l.openByTrustName(),
+		Room:      l.config.Capacity,
+		Reserve:   l.config.Reserve,
+		InReserve: min(l.config.Reserve, openTrusted),
+		Pressure:  l.pressure,
+		Admitted:  l.admitted,
+		Hits:      l.rejectionsByName(),
+		Addresses: l.addresses.size,
+		Learned:   l.addresses.learned,
+		Prefixes:  l.topPrefixes(),
+		Blocks:    l.activeBlocks(now),
+	}
+}
+
+func (l *Limiter) openByStage() map[string]int {
+	open := map[string]int{}
+	for stage := range numStages {
+		open[stage.String()] = 0
+	}
+	for i := range l.connections {
+		c := &l.connections[i]
+		if c.open {
+			open[c.stage.String()]++
+		}
+	}
+	return open
+}
+
+func (l *Limiter) openByTrustName() map[string]int {
+	open := map[string]int{}
+	for trust, n := range l.openByTrust {
+		open[Trust(trust).String()] = n
+	}
+	return open
+}
+
+func (l *Limiter) rejectionsByName() map[string]uint64 {
+	rejections := map[string]uint64{}
+	for reason, n := range l.rejections {
+		if n > 0 {
+			rejections[Reason(reason).String()] = n
+		}
+	}
+	return rejections
+}
+
+func (l *Limiter) topPrefixes() []PrefixView {
+	prefixes := []PrefixView{}
+	for i := range l.prefixes.entries {
+		e := &l.prefixes.entries[i]
+		if !e.used || e.open == 0 {
+			continue
+		}
+		addr := e.key.addr()
+		prefixes = append(prefixes, PrefixView{
+			Prefix:   netip.PrefixFrom(addr, l.config.prefixBits(addr)).String(),
+			Open:     int(e.open),
+			Opening:  int(e.opening),
+			HalfRead: int(e.halfRead),
+			Bytes:    int(e.bufferedBytes),
+		})
+	}
+	slices.SortFunc(prefixes, func(a, b PrefixView) int {
+		return cmp.Or(cmp.Compare(b.Open, a.Open), cmp.Compare(a.Prefix, b.Prefix))
+	})
+	return prefixes[:min(len(prefixes), maxTopPrefixes)]
+}
+
+func (l *Limiter) activeBlocks(now time.Duration) []BlockView {
+	blocks := []BlockView{}
+	for _, b := range l.blocks {
+		if b.until > now {
+			blocks = append(blocks, BlockView{b.prefix.String(), (b.until - now).Seconds()})
+		}
+	}
+	return blocks
+}
--- /dev/null
+++ b/internal/connlimit/trust.go
@@ -0,0 +1,113 @@
+package connlimit
+
+import (
+	"net/netip"
+	"time"
+)
+
+// Trust is what is known of an address.
+type Trust uint8
+
+// The levels of trust.
+const (
+	Unknown      Trust = iota
+	Learned            // enough of its requests were served of late
+	Known              // the configuration names it
+	TrustedProxy       // a proxy whose PROXY header has not named its client yet
+	numTrusts
+)
+
+// trustNames are keys of the admin API's JSON.
+var trustNames = [numTrusts]string{Unknown: "unknown", Learned: "learned", Known: "known", TrustedProxy: "front"}
+
+// String returns the trust's key in the admin API's JSON.
+func (t Trust) String() string { return trustNames[t] }
+
+const (
+	abusePeriod = time.Minute // after abuse, in which an address learns nothing
+	maxScore    = 1e6         // of served requests, so that the decay of an old score is not endless
+)
+
+// trustOf returns the trust in an address whose entry may be nil.
+func (l *Limiter) trustOf(now time.Duration, addr netip.Addr, e *entry) Trust {
+	if l.known.contains(addr) {
+		return Known
+	}
+	learn := &l.config.Learn
+	if e != nil && learn.On && e.scoreAt(l.ticksAt(now), learn.HalfLife) >= learn.After {
+		return Learned
+	}
+	return Unknown
+}
+
+// IsKnown reports whether an address is trusted: a known or learned one, or a
+// trusted proxy.
+func (l *Limiter) IsKnown(now time.Duration, addr netip.Addr) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	index, found := l.addresses.find(keyOf(addr))
+	e := l.addresses.entryAt(index, found)
+	return l.proxies.contains(addr) || l.trustOf(now, addr, e) != Unknown
+}
+
+// TrustOf returns the trust that a connection is counted under, and Unknown for a
+// connection that is closed.
+func (l *Limiter) TrustOf(id ID) Trust {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	_, c := l.find(id)
+	if c == nil {
+		return Unknown
+	}
+	return c.trust
+}
+
+// countServed counts a served request for the trust in a connection's address.
+func (l *Limiter) countServed(now time.Duration, c *conn) {
+	learn := &l.config.Learn
+	if !learn.On || c.address < 0 {
+		return
+	}
+	e := &l.addresses.entries[c.address]
+	t := l.ticksAt(now)
+	if e.abusedAt != 0 && t.since(e.abusedAt) < abusePeriod {
+		return
+	}
+	e.abusedAt = 0
+	e.score = float32(min(e.scoreAt(t, learn.HalfLife)+1, maxScore))
+	e.scoredAt = t
+	l.addresses.setLearned(c.address, float64(e.score) >= learn.After)
+}
+
+// ReportAbuse counts a reason for which a connection's client abuses its place. An
+// address that is Learned becomes Unknown, and cannot be learned for a minute.
+func (l *Limiter) ReportAbuse(now time.Duration, id ID, reason Reason) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.rejections[reason]++
+	index, c := l.find(id)
+	if c == nil || c.address < 0 {
+		return
+	}
+	e := &l.addresses.entries[c.address]
+	t := l.ticksAt(now)
+	e.score = 0
+	e.scoredAt = t
+	e.abusedAt = t
+	l.addresses.setLearned(c.address, false)
+	if c.trust == Learned {
+		l.demote(now, index)
+	}
+}
+
+// demote counts a learned connection as an unknown one.
+func (l *Limiter) demote(now time.Duration, index int32) {
+	c := &l.connections[index]
+	l.removeFromStage(index)
+	l.openByTrust[Learned]--
+	l.countOpen(c, -1)
+	c.trust = Unknown
+	l.countOpen(c, 1)
+	l.openByTrust[Unknown]++
+	l.addToStage(index, c.stage, now)
+}
