--- a/internal/connlimit/config.go
+++ b/internal/connlimit/config.go
@@ -7,9 +7,8 @@
 	"time"
 )
 
+// Defaults of Config.
 const (
-	maxPrefixes = 4096 // of Config.Known, and of Config.TrustedProxies
-
 	defaultGrace          = time.Second
 	defaultSilentTime     = 2500 * time.Millisecond
 	defaultRateGrace      = 500 * time.Millisecond
@@ -21,9 +20,15 @@
 	defaultV6Bits         = 64
 	defaultAddressEntries = 16384
 	defaultPrefixEntries  = 4096
-	maxV4Bits, maxV6Bits  = 32, 128
-	anonymousTableEntries = 1
-	entriesBeyondCapacity = 1 // a connection that is judged needs an entry too
+)
+
+const (
+	maxPrefixes = 4096 // of Config.Known, and of Config.TrustedProxies
+	maxV4Bits   = 32
+	maxV6Bits   = 128
+
+	entriesBeyondCapacity = 1 // a connection needs an entry while it is decided on
+	anonymousTableEntries = 1 // where no address is remembered
 )
 
 // Limits bound what one address, or all addresses of one prefix, may have. 0 is no
--- a/internal/connlimit/golden_test.go
+++ b/internal/connlimit/golden_test.go
@@ -6,21 +6,21 @@
 	"testing"
 )
 
-// The names of reasons, standings, stages and kinds of descriptors are keys of
-// the admin API's JSON.
+// The names of reasons, levels of trust, stages and kinds of descriptors are keys
+// of the admin API's JSON.
 func TestNamesInJSON(t *testing.T) {
 	var names []string
-	for r := range numReasons {
-		names = append(names, r.String())
+	for reason := range NumReasons {
+		names = append(names, reason.String())
 	}
-	for s := Unknown; s <= TrustedProxy; s++ {
-		names = append(names, s.String())
+	for trust := Unknown; trust <= TrustedProxy; trust++ {
+		names = append(names, trust.String())
 	}
-	for s := range numStages {
-		names = append(names, s.String())
+	for stage := range numStages {
+		names = append(names, stage.String())
 	}
-	for k := range DescriptorKinds {
-		names = append(names, k.String())
+	for kind := range DescriptorKinds {
+		names = append(names, kind.String())
 	}
 	want := strings.Fields("fine barred address_open address_opening address_rate address_half address_bytes " +
 		"prefix_open prefix_opening prefix_rate prefix_half prefix_bytes fair_share full full_known total_rate descriptors " +
--- a/internal/connlimit/limiter.go
+++ b/internal/connlimit/limiter.go
@@ -55,7 +55,7 @@
 	activeAddresses int // that have connections counted as unknown
 
 	unknownRate gcra // of Config.Rate
-	rejections  [numReasons]uint64
+	rejections  [NumReasons]uint64
 	admitted    uint64
 }
 
--- a/internal/connlimit/reason.go
+++ b/internal/connlimit/reason.go
@@ -27,11 +27,11 @@
 	Slow                         // a request arrives below Config.MinRate
 	Stalled                      // the client does not read its answers
 	Greedy                       // the client uses more memory than its share
-	numReasons
+	NumReasons                   // the number of reasons
 )
 
 // reasonNames are keys of the admin API's JSON.
-var reasonNames = [numReasons]string{
+var reasonNames = [NumReasons]string{
 	Allowed:        "fine",
 	Blocked:        "barred",
 	AddressOpen:    "address_open",
--- a/internal/connlimit/trust.go
+++ b/internal/connlimit/trust.go
@@ -25,7 +25,7 @@
 
 const (
 	abusePeriod = time.Minute // after abuse, in which an address learns nothing
-	maxScore    = 1e6         // of served requests, so that the decay of an old score is not endless
+	maxScore    = 1e6         // served requests, which bounds how long a score takes to decay
 )
 
 // trustOf returns the trust in an address whose entry may be nil.
