--- /dev/null
+++ b/internal/listener/admission.go
@@ -0,0 +1,116 @@
+package listener
+
+import (
+	"net"
+	"net/netip"
+	"time"
+
+	"hollyyoke.example/hollyyoke/internal/connlimit"
+)
+
+const (
+	maxWaiting        = 32                   // trusted connections for which others are evicted, at a time
+	evictionInterval  = 2 * time.Millisecond // between evictions for one of them
+	evictionAttempts  = 100                  // for one of them, until it is rejected
+	rejectionDeadline = time.Millisecond     // of the 503 response, which fits an empty socket at once or not at all
+
+	rejectionResponse = "HTTP/1.1 503 Service Unavailable\r\n" +
+		"Retry-After: 1\r\n" +
+		"Connection: close\r\n" +
+		"Content-Length: 0\r\n\r\n"
+)
+
+// peerAddr returns the address of a connection's other end.
+func peerAddr(conn net.Conn) netip.Addr {
+	tcp, ok := conn.RemoteAddr().(*net.TCPAddr)
+	if !ok {
+		return netip.IPv4Unspecified()
+	}
+	addr, _ := netip.AddrFromSlice(tcp.IP)
+	return addr.Unmap()
+}
+
+// Admit decides on a connection that was accepted, as transport.Admission says.
+func (g *Gate) Admit(conn net.Conn) (token uint64, admitted, wait bool) {
+	addr := peerAddr(conn)
+	id, reason := g.tryAdmit(addr)
+	if reason == connlimit.Allowed {
+		return uint64(id), true, false
+	}
+	if reason == connlimit.FullKnown && g.startWaiting() {
+		return 0, false, true
+	}
+	g.reject(conn, addr, reason)
+	return 0, false, false
+}
+
+// tryAdmit asks the budget and the limiter about a connection of an address.
+func (g *Gate) tryAdmit(addr netip.Addr) (connlimit.ID, connlimit.Reason) {
+	acquired := g.Budget.Acquire(connlimit.ClientConnections)
+	g.updatePressure()
+	if acquired {
+		return g.admitWithDescriptor(addr)
+	}
+	g.Limiter.CountReason(connlimit.NoDescriptors)
+	if g.Limiter.IsKnown(g.loop.Now(), addr) {
+		return 0, connlimit.FullKnown
+	}
+	return 0, connlimit.NoDescriptors
+}
+
+// admitWithDescriptor asks the limiter, and releases the descriptor that was
+// acquired unless the connection is admitted.
+func (g *Gate) admitWithDescriptor(addr netip.Addr) (connlimit.ID, connlimit.Reason) {
+	id, reason := g.Limiter.Admit(g.loop.Now(), addr, 0)
+	if reason != connlimit.Allowed {
+		g.Budget.Release(connlimit.ClientConnections)
+	}
+	return id, reason
+}
+
+// startWaiting counts a connection that waits, if not too many do.
+func (g *Gate) startWaiting() bool {
+	if g.waiting.Add(1) <= maxWaiting {
+		return true
+	}
+	g.waiting.Add(-1)
+	return false
+}
+
+// WaitForCapacity evicts connections until conn can be admitted, as
+// transport.Admission says.
+func (g *Gate) WaitForCapacity(conn net.Conn) (token uint64, admitted bool) {
+	defer g.waiting.Add(-1)
+	addr := peerAddr(conn)
+	for range evictionAttempts {
+		g.loop.Post(func() { g.EvictOne(connlimit.ForKnown) })
+		time.Sleep(evictionInterval)
+		if !g.Budget.Acquire(connlimit.ClientConnections) {
+			continue
+		}
+		id, reason := g.admitWithDescriptor(addr)
+		if reason == connlimit.Allowed {
+			return uint64(id), true
+		}
+	}
+	g.reject(conn, addr, connlimit.FullKnown)
+	return 0, false
+}
+
+// Abandoned removes an admitted connection that no front end got.
+func (g *Gate) Abandoned(token uint64) { g.Limiter.Closed(connlimit.ID(token)) }
+
+// Release returns the descriptor of an admitted connection.
+func (g *Gate) Release() { g.Budget.Release(connlimit.ClientConnections) }
+
+// reject answers and closes a connection that is not admitted.
+func (g *Gate) reject(conn net.Conn, addr netip.Addr, reason connlimit.Reason) {
+	tcp, ok := conn.(*net.TCPConn)
+	if ok && g.respond503.Load() {
+		tcp.SetWriteDeadline(time.Now().Add(rejectionDeadline))
+		tcp.Write([]byte(rejectionResponse))
+		tcp.CloseWrite()
+	}
+	conn.Close()
+	g.LogRejection(reason, addr)
+}
--- a/internal/listener/bench_test.go
+++ b/internal/listener/bench_test.go
@@ -13,64 +13,88 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-// BenchmarkAccept opens and closes connections as fast as it goes, with a guard
+// BenchmarkAccept opens and closes connections as fast as possible, with admission
 // and without, in turns within one run: the ratio is what counts.
 func BenchmarkAccept(b *testing.B) {
-	rate := func(guarded bool) float64 {
-		loop := eventloop.New()
-		engine, err := transport.NewEngine(loop, 4096)
-		if err != nil {
-			b.Fatal(err)
-		}
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			b.Fatal(err)
-		}
-		var taken atomic.Int64
-		var a *transport.Acceptor
-		if guarded {
-			e, err := New(loop, engine, Config{Limits: connlimit.Config{Capacity: 3000, Reserve: 100, Known: []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")},
-				Address: connlimit.Limits{Open: 2900, PerSecond: 1e6}, Prefix: connlimit.Limits{Open: 2900}}}, 4000, nil)
-			if err != nil {
-				b.Fatal(err)
-			}
-			a = engine.ServeWithAdmission(ln, true, func(c *transport.Conn) transport.Handler {
-				taken.Add(1)
-				e.Limiter.Closed(e.Accepted(0, uint64(c.Handle), c.AdmissionToken))
-				return nil
-			})
-		} else {
-			a = engine.Serve(ln, 3000, true, func(c *transport.Conn) transport.Handler { taken.Add(1); return nil }, func() {})
-		}
-		go loop.Run()
-		defer loop.Post(loop.Stop)
-		defer a.Close()
-		var all sync.WaitGroup
-		begin := time.Now()
-		stop := begin.Add(400 * time.Millisecond)
-		for range 4 {
-			all.Add(1)
-			go func() {
-				defer all.Done()
-				for time.Now().Before(stop) {
-					if c, err := net.Dial("tcp", ln.Addr().String()); err == nil {
-						c.(*net.TCPConn).SetLinger(0)
-						c.Close()
-					}
+	withAdmission := 0.0
+	without := 0.0
+	rounds := 0.0
+	for b.Loop() {
+		without += acceptRate(b, serveWithoutAdmission)
+		withAdmission += acceptRate(b, serveWithAdmission)
+		rounds++
+	}
+	b.ReportMetric(withAdmission/rounds, "admission/s")
+	b.ReportMetric(without/rounds, "plain/s")
+	b.ReportMetric(withAdmission/without, "ratio")
+}
+
+// serveFunc serves a listener and counts what it accepts.
+type serveFunc func(b *testing.B, engine *transport.Engine, listener net.Listener, accepted *atomic.Int64) *transport.Acceptor
+
+// acceptRate returns how many connections a second are accepted.
+func acceptRate(b *testing.B, serve serveFunc) float64 {
+	loop := eventloop.New()
+	engine, err := transport.NewEngine(loop, 4096)
+	if err != nil {
+		b.Fatal(err)
+	}
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		b.Fatal(err)
+	}
+	var accepted atomic.Int64
+	acceptor := serve(b, engine, listener, &accepted)
+	go loop.Run()
+	defer loop.Post(loop.Stop)
+	defer acceptor.Close()
+	begin := time.Now()
+	connectUntil(begin.Add(400*time.Millisecond), listener.Addr().String())
+	return float64(accepted.Load()) / time.Since(begin).Seconds()
+}
+
+// connectUntil opens and resets connections until a deadline.
+func connectUntil(deadline time.Time, addr string) {
+	var clients sync.WaitGroup
+	for range 4 {
+		clients.Add(1)
+		go func() {
+			defer clients.Done()
+			for time.Now().Before(deadline) {
+				conn, err := net.Dial("tcp", addr)
+				if err == nil {
+					conn.(*net.TCPConn).SetLinger(0)
+					conn.Close()
 				}
-			}()
-		}
-		all.Wait()
-		return float64(taken.Load()) / time.Since(begin).Seconds()
+			}
+		}()
 	}
-	var on, off float64
-	n := 0
-	for b.Loop() {
-		off += rate(false)
-		on += rate(true)
-		n++
+	clients.Wait()
+}
+
+func serveWithAdmission(b *testing.B, engine *transport.Engine, listener net.Listener, accepted *atomic.Int64) *transport.Acceptor {
+	config := Config{Limits: connlimit.Config{
+		Capacity: 3000,
+		Reserve:  100,
+		Known:    []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8")},
+		Address:  connlimit.Limits{Open: 2900, PerSecond: 1e6},
+		Prefix:   connlimit.Limits{Open: 2900},
+	}}
+	gate, err := New(engine.Loop, engine, config, 4000, nil)
+	if err != nil {
+		b.Fatal(err)
+	}
+	return engine.ServeWithAdmission(listener, true, func(c *transport.Conn) transport.Handler {
+		accepted.Add(1)
+		gate.Limiter.Closed(gate.Accepted(0, uint64(c.Handle), c.AdmissionToken))
+		return nil
+	})
+}
+
+func serveWithoutAdmission(_ *testing.B, engine *transport.Engine, listener net.Listener, accepted *atomic.Int64) *transport.Acceptor {
+	newHandler := func(*transport.Conn) transport.Handler {
+		accepted.Add(1)
+		return nil
 	}
-	b.ReportMetric(on/float64(n), "guarded/s")
-	b.ReportMetric(off/float64(n), "plain/s")
-	b.ReportMetric(on/off, "ratio")
+	return engine.Serve(listener, 3000, true, newHandler, func() {})
 }
--- /dev/null
+++ b/internal/listener/frontend.go
@@ -0,0 +1,73 @@
+package listener
+
+import (
+	"net/netip"
+
+	"hollyyoke.example/hollyyoke/internal/connlimit"
+)
+
+// FrontEnd serves client connections of one protocol.
+type FrontEnd interface {
+	// Evict closes one of its connections at once, on which no answer is owed.
+	Evict(token uint64)
+}
+
+// A token of a Limiter is the front end's own token with its number in the top bit.
+const (
+	maxFrontEnds  = 2
+	frontEndShift = 63
+	ownTokenMask  = 1<<frontEndShift - 1
+)
+
+func limiterToken(frontEnd int, token uint64) uint64 {
+	return token | uint64(frontEnd)<<frontEndShift
+}
+
+// AddFrontEnd sets the front end with a number, 0 or 1, which its tokens carry.
+func (g *Gate) AddFrontEnd(number int, frontEnd FrontEnd) { g.frontEnds[number] = frontEnd }
+
+// Accepted passes a connection to the front end with a number, under the front
+// end's own token. admissionToken is that of transport.Conn; 0: it was accepted
+// without Admit.
+func (g *Gate) Accepted(number int, token uint64, admissionToken uint64) connlimit.ID {
+	if admissionToken == 0 {
+		return g.Limiter.Adopt(g.loop.Now(), limiterToken(number, token))
+	}
+	id := connlimit.ID(admissionToken)
+	g.Limiter.SetToken(id, limiterToken(number, token))
+	return id
+}
+
+// EvictionCandidate returns the connection to be evicted first, for CloseConnection;
+// see connlimit.Limiter.EvictionCandidate.
+func (g *Gate) EvictionCandidate(need connlimit.EvictionReason, spareProven bool) (token uint64, stage connlimit.Stage, ok bool) {
+	return g.Limiter.EvictionCandidate(g.loop.Now(), need, spareProven, nil)
+}
+
+// CloseConnection closes a connection that EvictionCandidate returned.
+func (g *Gate) CloseConnection(token uint64) {
+	frontEnd := g.frontEnds[token>>frontEndShift]
+	if frontEnd != nil {
+		frontEnd.Evict(token & ownTokenMask)
+	}
+}
+
+// EvictOne closes the connection to be evicted first, and returns false if there is
+// none.
+func (g *Gate) EvictOne(need connlimit.EvictionReason) bool {
+	token, _, ok := g.EvictionCandidate(need, false)
+	if ok {
+		g.CloseConnection(token)
+	}
+	return ok
+}
+
+// EvictPrefix closes the connections of a prefix on which no answer is owed, and
+// returns how many.
+func (g *Gate) EvictPrefix(prefix netip.Prefix) int {
+	tokens := g.Limiter.IdleWithin(prefix)
+	for _, token := range tokens {
+		g.CloseConnection(token)
+	}
+	return len(tokens)
+}
--- /dev/null
+++ b/internal/listener/pressure.go
@@ -0,0 +1,82 @@
+package listener
+
+import (
+	"time"
+
+	"hollyyoke.example/hollyyoke/internal/connlimit"
+)
+
+const (
+	pressureRecheckInterval = 20 * time.Millisecond  // while there is pressure
+	evictionsPerRecheck     = 8                      // connections at most
+	exhaustedPeriod         = 300 * time.Millisecond // after the kernel had no descriptor, in which pressure is high
+)
+
+// Exhausted raises the pressure since the kernel had no descriptor left, whatever
+// the budget counts.
+func (g *Gate) Exhausted() {
+	g.Budget.ForceLevel(connlimit.PressureHigh)
+	g.exhaustedAt.Store(int64(g.loop.Now()))
+	g.updatePressure()
+}
+
+// Level returns the level of pressure, connlimit.PressureNone to PressureCritical.
+func (g *Gate) Level() int {
+	if g.Budget == nil {
+		return connlimit.PressureNone
+	}
+	return int(g.pressure.Load())
+}
+
+// updatePressure passes the budget's level of pressure on, and has it relieved on
+// the loop.
+func (g *Gate) updatePressure() {
+	level := g.Budget.Level()
+	if level == connlimit.PressureNone && g.pressure.Load() == connlimit.PressureNone {
+		return
+	}
+	g.Limiter.SetPressure(level)
+	g.pressure.Store(int32(level))
+	if level > connlimit.PressureNone && !g.relieving.Swap(true) {
+		g.loop.Post(g.relievePressure)
+	}
+}
+
+// relievePressure evicts idle connections of unknown addresses and, at the critical
+// level, closes idle connections to workers. It runs again until there is no
+// pressure.
+func (g *Gate) relievePressure() {
+	now := g.loop.Now()
+	exhaustedAt := g.exhaustedAt.Load()
+	if exhaustedAt != 0 && now-time.Duration(exhaustedAt) > exhaustedPeriod {
+		g.exhaustedAt.Store(0)
+		g.Budget.ForceLevel(connlimit.PressureNone)
+	}
+	level := g.Budget.Level()
+	g.setPressure(level)
+	if level == connlimit.PressureNone {
+		g.relieving.Store(false)
+		if g.Budget.Level() > connlimit.PressureNone { // it rose just now
+			g.updatePressure()
+		}
+		return
+	}
+	for range evictionsPerRecheck {
+		if !g.EvictOne(connlimit.ForKnown) {
+			break
+		}
+	}
+	if level == connlimit.PressureCritical && g.CloseIdleWorkers != nil {
+		g.CloseIdleWorkers()
+	}
+	g.loop.Set(&g.pressureRecheck, now+pressureRecheckInterval)
+}
+
+// setPressure passes a level on and logs a change.
+func (g *Gate) setPressure(level int) {
+	g.Limiter.SetPressure(level)
+	previous := g.pressure.Swap(int32(level))
+	if int(previous) != level && g.logger != nil {
+		g.logger.Warn("descriptor pressure changed", "level", level)
+	}
+}
--- /dev/null
+++ b/internal/listener/rejectlog_test.go
@@ -0,0 +1,27 @@
+package listener
+
+import (
+	"bytes"
+	"log/slog"
+	"net/netip"
+	"strings"
+	"testing"
+
+	"hollyyoke.example/hollyyoke/internal/connlimit"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
+)
+
+// Rejections are logged at a bounded rate, each reason by itself.
+func TestLogRejectionRate(t *testing.T) {
+	var out bytes.Buffer
+	gate := NewUnlimited(eventloop.New(), 10)
+	gate.logger = slog.New(slog.NewTextHandler(&out, nil))
+	for range 500 {
+		gate.LogRejection(connlimit.AddressOpen, netip.MustParseAddr("10.0.0.1"))
+		gate.LogRejection(connlimit.Slow, netip.MustParseAddr("10.0.0.1"))
+	}
+	lines := strings.Count(out.String(), "\n")
+	if lines != 2 {
+		t.Errorf("%d lines for two reasons", lines)
+	}
+}
