--- a/internal/connlimit/norace_test.go
+++ b/internal/connlimit/norace_test.go
@@ -2,4 +2,5 @@
 
 package connlimit
 
+// raceEnabled reports whether the race detector is on.
 const raceEnabled = false
--- a/internal/connlimit/race_test.go
+++ b/internal/connlimit/race_test.go
@@ -2,4 +2,5 @@
 
 package connlimit
 
-const raced = true
+// raceEnabled reports whether the race detector is on.
+const raceEnabled = true
