--- a/internal/connlimit/descriptorbudget.go
+++ b/internal/connlimit/descriptorbudget.go
@@ -169,7 +169,11 @@
 		used += n
 	}
 	share := float64(used) / float64(max(b.total, 1))
-	marks := [...]float64{PressureLow: b.watermarks.Low, PressureHigh: b.watermarks.High, PressureCritical: b.watermarks.Critical}
+	marks := [...]float64{
+		PressureLow:      b.watermarks.Low,
+		PressureHigh:     b.watermarks.High,
+		PressureCritical: b.watermarks.Critical,
+	}
 	for level := PressureLow; level <= PressureCritical; level++ {
 		switch {
 		case share >= marks[level]:
--- a/internal/connlimit/invariants.go
+++ b/internal/connlimit/invariants.go
@@ -42,7 +42,8 @@
 		return err
 	}
 	if counts.openByTrust != l.openByTrust || counts.silent != l.silent {
-		return fmt.Errorf("counted %v and %d silent, there are %v and %d", l.openByTrust, l.silent, counts.openByTrust, counts.silent)
+		return fmt.Errorf("counted %v and %d silent, there are %v and %d",
+			l.openByTrust, l.silent, counts.openByTrust, counts.silent)
 	}
 	for index, n := range counts.byPrefix { // only addresses count it
 		n.openUnknown = 0
--- a/internal/connlimit/stage.go
+++ b/internal/connlimit/stage.go
@@ -16,7 +16,13 @@
 )
 
 // stageNames are keys of the admin API's JSON.
-var stageNames = [numStages]string{Unserved: "asking", Silent: "silent", Proven: "proven", HalfRead: "half_read", Busy: "busy"}
+var stageNames = [numStages]string{
+	Unserved: "asking",
+	Silent:   "silent",
+	Proven:   "proven",
+	HalfRead: "half_read",
+	Busy:     "busy",
+}
 
 // String returns the stage's key in the admin API's JSON.
 func (s Stage) String() string { return stageNames[s] }
--- a/internal/listener/gate.go
+++ b/internal/listener/gate.go
@@ -1,6 +1,6 @@
 // Package listener applies the decisions of package connlimit to connections. Its
 // Gate is the Admission of a transport.Engine: it asks a Limiter about connections
-// as they are accepted, evicts others where that makes room, reacts to pressure on
+// as they are accepted, evicts others where that makes capacity, reacts to pressure on
 // the descriptors, and answers and logs rejections. It also parses PROXY headers.
 //
 // Decisions on accepted connections are made off the event loop, so that a busy
--- a/internal/transport/close_test.go
+++ b/internal/transport/close_test.go
@@ -36,7 +36,7 @@
 	// CloseGracefully waits for at most lingerTimeout, so this peer reads at once.
 	n, err := io.Copy(io.Discard, conn)
 	if n != int64(len(large)+5) || err != nil {
-		t.Errorf("%d bytes came, %v", n, err)
+		t.Errorf("%d bytes arrived, %v", n, err)
 	}
 }
 
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -40,7 +40,7 @@
 
 	lingerDeadline time.Duration // of CloseGracefully; 0: it was not called
 	writeClosed    bool          // no more is sent
-	discarding     bool          // what comes is dropped
+	discarding     bool          // received bytes are dropped
 	discardedBytes int
 
 	readMu    sync.Mutex // guards what follows
@@ -49,7 +49,7 @@
 	stalled   bool       // there may be more to read
 }
 
-// discardHandler drops what comes.
+// discardHandler drops received bytes.
 type discardHandler struct{ pool *Pool }
 
 func (d discardHandler) OnData(_ *Conn, b *Buffer) { d.pool.Put(b) }
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -17,8 +17,8 @@
 }
 
 // Dial opens a connection and calls onDone on the loop's goroutine, with the
-// connection or with an error: ErrNoDescriptor or one of net.Dial. The bytes
-// that come where handler is nil are dropped.
+// connection or with an error: ErrNoDescriptor or one of net.Dial. Where handler
+// is nil, received bytes are dropped.
 //
 // nbio's DialAsync is not used: it reads an IPv4 address out of the first four
 // bytes of a 16-byte one, and so reached 0.0.0.0 for any address; nor does it
