--- /dev/null
+++ b/internal/membership/acktracker.go
@@ -0,0 +1,149 @@
+package membership
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+// AckTracker holds the version that each subscriber acknowledged last, and
+// forgets subscribers that have been silent for longer than the expiry. A relay
+// acknowledges for all subscribers below it, by the lowest of their versions.
+//
+// A subscriber that moves to another relay stays in its predecessor's count until
+// it expires there, and so is counted twice for up to that time.
+//
+// It is created by [NewAckTracker].
+type AckTracker struct {
+	expiry time.Duration
+	byName map[string]*acknowledgement
+
+	// The ends of a list that is ordered by lastSeen.
+	oldest, newest *acknowledgement
+}
+
+type acknowledgement struct {
+	name     string
+	version  Version
+	count    int
+	lastSeen time.Duration
+
+	previous, next *acknowledgement // in the list ordered by lastSeen
+}
+
+// NewAckTracker returns a tracker that forgets subscribers that have been silent
+// for longer than expiry.
+func NewAckTracker(expiry time.Duration) *AckTracker {
+	return &AckTracker{expiry: expiry, byName: map[string]*acknowledgement{}}
+}
+
+// Acknowledge records that the named subscriber has applied version: for itself
+// (count 1), or for count subscribers below it, each of which has at least
+// version. It replaces what the subscriber acknowledged before, also where
+// version is lower, as after a restart. A count of 0 removes the subscriber.
+func (a *AckTracker) Acknowledge(now time.Duration, name string, version Version, count int) {
+	a.expire(now)
+	ack := a.byName[name]
+	if ack != nil {
+		a.unlink(ack)
+	}
+	if count <= 0 {
+		delete(a.byName, name)
+		return
+	}
+	if ack == nil {
+		ack = &acknowledgement{name: name}
+		a.byName[name] = ack
+	}
+	ack.version = version
+	ack.count = count
+	ack.lastSeen = now
+	a.link(ack)
+}
+
+// VersionCount is the number of subscribers that have acknowledged at least Version.
+type VersionCount struct {
+	Version Version
+	Count   int
+}
+
+// Summary counts the live subscribers by version. The zero value means that
+// there are none.
+type Summary struct {
+	Subscribers    int
+	Lowest, Newest Version
+	Cumulative     []VersionCount // an element for each version acknowledged last, oldest first
+}
+
+// Summary counts the live subscribers by version.
+func (a *AckTracker) Summary(now time.Duration) Summary {
+	a.expire(now)
+	counts := map[Version]int{}
+	var summary Summary
+	for ack := a.oldest; ack != nil; ack = ack.next {
+		counts[ack.version] += ack.count
+		summary.Subscribers += ack.count
+	}
+	if len(counts) == 0 {
+		return summary
+	}
+	for version, count := range counts {
+		summary.Cumulative = append(summary.Cumulative, VersionCount{version, count})
+	}
+	slices.SortFunc(summary.Cumulative, func(a, b VersionCount) int { return cmp.Compare(a.Version, b.Version) })
+	summary.Lowest = summary.Cumulative[0].Version
+	summary.Newest = summary.Cumulative[len(summary.Cumulative)-1].Version
+	for i := len(summary.Cumulative) - 2; i >= 0; i-- {
+		summary.Cumulative[i].Count += summary.Cumulative[i+1].Count
+	}
+	return summary
+}
+
+// CountAtLeast returns how many of the live subscribers have acknowledged at
+// least version, and how many there are in total.
+func (a *AckTracker) CountAtLeast(now time.Duration, version Version) (count, total int) {
+	a.expire(now)
+	for ack := a.oldest; ack != nil; ack = ack.next {
+		total += ack.count
+		if ack.version >= version {
+			count += ack.count
+		}
+	}
+	return count, total
+}
+
+// expire removes the subscribers that have been silent for too long.
+func (a *AckTracker) expire(now time.Duration) {
+	for a.oldest != nil && now-a.oldest.lastSeen > a.expiry {
+		expired := a.oldest
+		a.unlink(expired)
+		delete(a.byName, expired.name)
+	}
+}
+
+// link appends ack to the list, as the one seen last.
+func (a *AckTracker) link(ack *acknowledgement) {
+	ack.previous = a.newest
+	ack.next = nil
+	if a.newest != nil {
+		a.newest.next = ack
+	} else {
+		a.oldest = ack
+	}
+	a.newest = ack
+}
+
+func (a *AckTracker) unlink(ack *acknowledgement) {
+	if ack.previous != nil {
+		ack.previous.next = ack.next
+	} else {
+		a.oldest = ack.next
+	}
+	if ack.next != nil {
+		ack.next.previous = ack.previous
+	} else {
+		a.newest = ack.previous
+	}
+	ack.previous = nil
+	ack.next = nil
+}
--- a/internal/membership/backfill_test.go
+++ b/internal/membership/backfill_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// begun is a store of 100 hosts that began with a snapshot of version 50.
-func begun(t *testing.T) *Store {
+// storeFromSnapshot returns a store of 100 workers that started from a snapshot of version 50.
+func storeFromSnapshot(t *testing.T) *Store {
 	t.Helper()
-	snapshot := Change{Version: 50, Whole: true}
+	snapshot := Change{Version: 50, Snapshot: true}
 	for i := range 100 {
-		snapshot.Records = append(snapshot.Records, hostRecord(fmt.Sprint("h", i), healthReady, 0))
+		snapshot.Records = append(snapshot.Records, workerRecord(fmt.Sprint("h", i), healthReady, 0))
 	}
 	s := NewStore(1000)
 	if outcome, err := s.Apply(snapshot); outcome != Applied {
@@ -20,55 +20,55 @@
 }
 
 func TestBackfillLetsSubscribersResume(t *testing.T) {
-	s := begun(t)
-	if !s.NeedsSnapshot(49) {
-		t.Fatal("it resumes from a version that it knows nothing of")
+	store := storeFromSnapshot(t)
+	if !store.NeedsSnapshot(49) {
+		t.Fatal("resumes from a version before its first snapshot")
 	}
-	missed := Change{Version: 52, Base: 40, Records: []Record{hostRecord("h1", healthDraining, 0), hostRecord("old", healthGone, 0)}}
-	if !s.Backfill(missed) {
-		t.Fatal("refused")
+	missed := Change{Version: 52, Base: 40, Records: []Record{workerRecord("h1", healthDraining, 0), workerRecord("old", healthGone, 0)}}
+	if !store.Backfill(missed) {
+		t.Fatal("rejected")
 	}
 	for _, after := range []Version{40, 45, 50, 51} {
-		c, ok := s.Since(after)
-		if !ok || c.Whole || c.Version != 52 || len(c.Records) != 2 || c.Records[0].Key != HostPrefix+"h1" {
-			t.Errorf("since %d: %v, whole %v, version %d, %d records", after, ok, c.Whole, c.Version, len(c.Records))
+		c, ok := store.Since(after)
+		if !ok || c.Snapshot || c.Version != 52 || len(c.Records) != 2 || c.Records[0].Key != WorkerPrefix+"h1" {
+			t.Errorf("since %d: %v, snapshot %v, version %d, %d records", after, ok, c.Snapshot, c.Version, len(c.Records))
 		}
 	}
-	if c, _ := s.Since(39); !c.Whole || len(c.Records) != 100 {
-		t.Errorf("since 39: whole %v, %d records", c.Whole, len(c.Records))
+	if c, _ := store.Since(39); !c.Snapshot || len(c.Records) != 100 {
+		t.Errorf("since 39: snapshot %v, %d records", c.Snapshot, len(c.Records))
 	}
-	if outcome, err := s.Apply(Change{Version: 53, Base: 52, Records: []Record{hostRecord("new", healthReady, 0)}}); outcome != Applied {
+	if outcome, err := store.Apply(Change{Version: 53, Base: 52, Records: []Record{workerRecord("new", healthReady, 0)}}); outcome != Applied {
 		t.Fatal(outcome, err)
 	}
-	if c, _ := s.Since(45); len(c.Records) != 3 {
+	if c, _ := store.Since(45); len(c.Records) != 3 {
 		t.Errorf("since 45, a change later: %d records", len(c.Records))
 	}
 }
 
-func TestBackfillIsRefused(t *testing.T) {
-	record := []Record{hostRecord("h1", healthDraining, 0)}
+func TestBackfillRejects(t *testing.T) {
+	records := []Record{workerRecord("h1", healthDraining, 0)}
 	for name, c := range map[string]Change{
-		"a snapshot":             {Version: 52, Whole: true, Base: 40, Records: record},
-		"made for one state":     {Version: 52, Exact: true, Base: 40, Records: record},
-		"something missing":      {Version: 52, Missing: 51, Base: 40, Records: record},
-		"older than the state":   {Version: 49, Base: 40, Records: record},
-		"no base":                {Version: 52, Records: record},
-		"not from before":        {Version: 52, Base: 50, Records: record},
-		"a record without a key": {Version: 52, Base: 40, Records: []Record{{}}},
+		"a snapshot":                   {Version: 52, Snapshot: true, Base: 40, Records: records},
+		"an exact delta":               {Version: 52, Exact: true, Base: 40, Records: records},
+		"an incomplete sender":         {Version: 52, MissingFrom: 51, Base: 40, Records: records},
+		"older than the state":         {Version: 49, Base: 40, Records: records},
+		"no base":                      {Version: 52, Records: records},
+		"not from before the snapshot": {Version: 52, Base: 50, Records: records},
+		"a record without a key":       {Version: 52, Base: 40, Records: []Record{{}}},
 	} {
-		s := begun(t)
+		s := storeFromSnapshot(t)
 		if s.Backfill(c) || s.Version() != 50 || !s.NeedsSnapshot(45) {
-			t.Errorf("%s: taken in", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
-	good := Change{Version: 52, Base: 40, Records: record}
-	if NewStore(10).Backfill(good) {
-		t.Error("an empty store took it in")
+	valid := Change{Version: 52, Base: 40, Records: records}
+	if NewStore(10).Backfill(valid) {
+		t.Error("an empty store accepted it")
 	}
-	s := begun(t)
-	s.Apply(Change{Version: 51, Base: 50, Records: record})
-	s.Refuse(52)
-	if s.Backfill(Change{Version: 53, Base: 40, Records: record}) {
-		t.Error("a store that misses something took it in")
+	s := storeFromSnapshot(t)
+	s.Apply(Change{Version: 51, Base: 50, Records: records})
+	s.Reject(52)
+	if s.Backfill(Change{Version: 53, Base: 40, Records: records}) {
+		t.Error("an incomplete store accepted it")
 	}
 }
--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// benchmarkSizes are a zone's, a region's and the whole fleet's listed workers.
+// benchmarkSizes are the numbers of listed workers of a zone, a region and the fleet.
 var benchmarkSizes = []int{200, 2100, 21000}
 
-// fleet is a snapshot of hosts, of about 140 bytes each.
-func fleet(v Version, size int) Change {
-	c := Change{Version: v, Whole: true}
+// fleetSnapshot returns a snapshot of workers of about 140 bytes each.
+func fleetSnapshot(version Version, size int) Change {
+	snapshot := Change{Version: version, Snapshot: true}
 	for i := range size {
-		c.Records = append(c.Records, hostRecord(fmt.Sprintf("w-%06x", i), healthReady, 0))
+		snapshot.Records = append(snapshot.Records, workerRecord(fmt.Sprintf("w-%06x", i), healthReady, 0))
 	}
-	return c
+	return snapshot
 }
 
-func bySize(b *testing.B, run func(b *testing.B, size int)) {
+func benchmarkBySize(b *testing.B, run func(b *testing.B, size int)) {
 	for _, size := range benchmarkSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			b.ReportAllocs()
@@ -28,8 +28,8 @@
 }
 
 func BenchmarkParseSnapshot(b *testing.B) {
-	bySize(b, func(b *testing.B, size int) {
-		line := fleet(1, size).Append(nil)
+	benchmarkBySize(b, func(b *testing.B, size int) {
+		line := fleetSnapshot(1, size).Append(nil)
 		b.SetBytes(int64(len(line)))
 		for b.Loop() {
 			if _, err := Parse(line); err != nil {
@@ -40,8 +40,8 @@
 }
 
 func BenchmarkAppendSnapshot(b *testing.B) {
-	bySize(b, func(b *testing.B, size int) {
-		c := fleet(1, size)
+	benchmarkBySize(b, func(b *testing.B, size int) {
+		c := fleetSnapshot(1, size)
 		line := c.Append(nil)
 		b.SetBytes(int64(len(line)))
 		for b.Loop() {
@@ -51,7 +51,7 @@
 }
 
 func BenchmarkParseDelta(b *testing.B) {
-	c := Change{Version: 2, Records: []Record{hostRecord("w-1", healthDraining, 0)}}
+	c := Change{Version: 2, Records: []Record{workerRecord("w-1", healthDraining, 0)}}
 	line := c.Append(nil)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -61,12 +61,12 @@
 	}
 }
 
-// A delta of one host, with a log that is full.
+// A delta of one worker, with a full log.
 func BenchmarkApplyDelta(b *testing.B) {
-	bySize(b, func(b *testing.B, size int) {
+	benchmarkBySize(b, func(b *testing.B, size int) {
 		s := NewStore(size / 2)
-		s.Apply(fleet(1, size))
-		records := fleet(1, size).Records
+		s.Apply(fleetSnapshot(1, size))
+		records := fleetSnapshot(1, size).Records
 		for i := 0; b.Loop(); i++ {
 			at := i % size
 			if outcome, _ := s.Apply(Change{Version: s.Version() + 1, Records: records[at : at+1]}); outcome != Applied {
@@ -77,9 +77,9 @@
 }
 
 func BenchmarkApplySameSnapshot(b *testing.B) {
-	bySize(b, func(b *testing.B, size int) {
+	benchmarkBySize(b, func(b *testing.B, size int) {
 		s := NewStore(size)
-		c := fleet(1, size)
+		c := fleetSnapshot(1, size)
 		for b.Loop() {
 			c.Version = s.Version() + 1
 			if outcome, _ := s.Apply(c); outcome != Applied {
@@ -89,12 +89,12 @@
 	})
 }
 
-// What the subscriber lacks is one host's change.
+// The subscriber lacks the change of one worker.
 func BenchmarkSinceOne(b *testing.B) {
-	bySize(b, func(b *testing.B, size int) {
+	benchmarkBySize(b, func(b *testing.B, size int) {
 		s := NewStore(size)
-		s.Apply(fleet(1, size))
-		s.Apply(Change{Version: 2, Records: []Record{hostRecord("w-1", healthDraining, 0)}})
+		s.Apply(fleetSnapshot(1, size))
+		s.Apply(Change{Version: 2, Records: []Record{workerRecord("w-1", healthDraining, 0)}})
 		for b.Loop() {
 			if c, ok := s.Since(1); !ok || len(c.Records) != 1 {
 				b.Fatal(c, ok)
@@ -103,15 +103,15 @@
 	})
 }
 
-// What the subscriber lacks is an hour's changes at the target's rate.
+// The subscriber lacks an hour's changes at the rate of the scale objective.
 func BenchmarkSinceHour(b *testing.B) {
-	bySize(b, func(b *testing.B, size int) {
+	benchmarkBySize(b, func(b *testing.B, size int) {
 		const changes = 1333
 		s := NewStore(20000)
-		s.Apply(fleet(1, size))
+		s.Apply(fleetSnapshot(1, size))
 		for i := range changes {
 			name := fmt.Sprintf("w-%06x", i%size)
-			s.Apply(Change{Version: s.Version() + 1, Records: []Record{hostRecord(name, healthReady, i)}})
+			s.Apply(Change{Version: s.Version() + 1, Records: []Record{workerRecord(name, healthReady, i)}})
 		}
 		for b.Loop() {
 			if c, ok := s.Since(1); !ok || len(c.Records) != min(changes, size) {
@@ -122,18 +122,18 @@
 }
 
 func BenchmarkSnapshot(b *testing.B) {
-	bySize(b, func(b *testing.B, size int) {
+	benchmarkBySize(b, func(b *testing.B, size int) {
 		s := NewStore(size)
-		s.Apply(fleet(1, size))
+		s.Apply(fleetSnapshot(1, size))
 		for b.Loop() {
 			s.Snapshot()
 		}
 	})
 }
 
-func BenchmarkAcks(b *testing.B) {
-	bySize(b, func(b *testing.B, size int) {
-		a := NewAcks(90 * time.Second)
+func BenchmarkAckTracker(b *testing.B) {
+	benchmarkBySize(b, func(b *testing.B, size int) {
+		a := NewAckTracker(90 * time.Second)
 		names := make([]string, size)
 		for i := range names {
 			names[i] = fmt.Sprintf("d-%06x", i)
@@ -141,13 +141,13 @@
 		b.Run("Heard", func(b *testing.B) {
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				a.Heard(time.Duration(i)*time.Second/time.Duration(size), names[i%size], Version(i), 1)
+				a.Acknowledge(time.Duration(i)*time.Second/time.Duration(size), names[i%size], Version(i), 1)
 			}
 		})
 		b.Run("InForce", func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				a.InForce(0, 1)
+				a.CountAtLeast(0, 1)
 			}
 		})
 	})
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -1,18 +1,19 @@
 // Package membership carries versioned membership and configuration from an
-// origin to a fleet: snapshots, deltas, a bounded log to resume from, a bound on
-// the bytes a subscriber is sent, and the versions that subscribers acknowledge.
+// origin to a fleet of subscribers.
 //
-// It owns the decisions: which change replaces what, what a subscriber lacks,
-// when it may be sent, and who has it in force. It does no I/O, starts no
-// goroutine and reads no clock: time is an argument, and the zero of time is the
-// caller's choice. No type here is safe for concurrent use; one goroutine owns
-// each.
+// An origin numbers its states. [Store] holds the newest state and a bounded,
+// compacted log of changes, from which [Store.Since] answers a subscriber at an
+// older version with a delta, or with a snapshot where the log does not reach
+// back far enough. [Parse] and [Change.Append] read and write the wire form.
+// [Subscribers] and [RateLimiter] decide when a subscriber is sent its next
+// delta; [AckTracker] counts the versions that subscribers have acknowledged.
+// [Failover] and [Selector] decide which server a subscriber follows.
 //
-// It must never let an older version replace a newer one, make a change visible
-// in part, take in any of a change of which some part is wrong, number a version
-// of its own, nor keep more log than it was told.
+// The package does no I/O, starts no goroutine and reads no clock: callers pass
+// the time, as the span since a zero of their choice. No type is safe for
+// concurrent use; each has one owning goroutine.
 //
-// codec.go is the wire form (discovery's), store.go the newest state and its
-// log, pace.go the byte bound, acks.go the acknowledged versions, upstream.go which
-// server a subscriber follows.
+// These invariants hold: an older version never replaces a newer one; a change
+// is applied completely or not at all; versions are passed on, never created;
+// the log never exceeds its limit.
 package membership
--- a/internal/membership/example_test.go
+++ b/internal/membership/example_test.go
@@ -8,7 +8,7 @@
 	"hollyyoke.example/hollyyoke/internal/membership"
 )
 
-// A relay takes in what its upstream sends and tells a subscriber what it lacks.
+// A relay applies what its upstream sends and answers a subscriber with a delta.
 func ExampleStore() {
 	relay := membership.NewStore(20000)
 	for _, line := range []string{
@@ -17,19 +17,19 @@
 		`{"seq":43,"whole":false,"hosts":[{"host":"s-2","dial":"10.1.0.19:8080","health":"ready"}]}`,
 	} {
 		change, err := membership.Parse([]byte(line))
-		if err != nil { // refused whole; the last good state stays
+		if err != nil { // rejected completely; the last valid state stays
 			fmt.Println(err)
-			relay.Refuse(change.Version)
+			relay.Reject(change.Version)
 			continue
 		}
-		if !change.Whole {
-			change.Base = relay.Version() // the line before on this watch
+		if !change.Snapshot {
+			change.Base = relay.Version() // of the line before on this watch
 		}
 		outcome, _ := relay.Apply(change)
 		fmt.Println(relay.Version(), outcome)
 	}
-	lacks, _ := relay.Since(41)
-	os.Stdout.Write(lacks.Append(nil))
+	delta, _ := relay.Since(41)
+	os.Stdout.Write(delta.Append(nil))
 	// Output:
 	// 41 applied
 	// hosts[0].health: unknown value "fine"
@@ -37,27 +37,28 @@
 	// {"seq":43,"whole":false,"missing":42,"hosts":[{"host":"s-2","dial":"10.1.0.19:8080","health":"ready"}]}
 }
 
-// A subscriber's bytes are bounded; what drains or has gone does not wait.
-func ExamplePace() {
-	pace := membership.NewPace(6000)
-	pace.Spend(0, 250_000) // a compressed snapshot
-	fmt.Println(pace.Wait(time.Second, false))
-	pace.Spend(time.Second, 150_000) // the return of a zone: more than 360,000 in a minute
-	fmt.Println(pace.Wait(2*time.Second, false))
-	fmt.Println(pace.Wait(2*time.Second, true))
+// The rate to a subscriber is bounded, but workers that are draining or gone do
+// not wait.
+func ExampleRateLimiter() {
+	limiter := membership.NewRateLimiter(6000)
+	limiter.Spend(0, 250_000) // a compressed snapshot
+	fmt.Println(limiter.Wait(time.Second, false))
+	limiter.Spend(time.Second, 150_000) // a zone comes back: more than 360,000 in a minute
+	fmt.Println(limiter.Wait(2*time.Second, false))
+	fmt.Println(limiter.Wait(2*time.Second, true))
 	// Output:
 	// 0s
 	// 59s
 	// 0s
 }
 
-// A version is in force where it, or a newer one, has been acknowledged.
-func ExampleAcks() {
-	acks := membership.NewAcks(90 * time.Second)
-	acks.Heard(0, "dispatcher-1", 43, 1)
-	acks.Heard(0, "dispatcher-2", 41, 1)
-	acks.Heard(0, "relay-z2", 42, 300) // the lowest of its fleet
-	have, of := acks.InForce(time.Second, 42)
-	fmt.Printf("version 42 is in force at %d of %d\n", have, of)
-	// Output: version 42 is in force at 301 of 302
+// A version has reached a subscriber that has acknowledged it or a newer one.
+func ExampleAckTracker() {
+	tracker := membership.NewAckTracker(90 * time.Second)
+	tracker.Acknowledge(0, "dispatcher-1", 43, 1)
+	tracker.Acknowledge(0, "dispatcher-2", 41, 1)
+	tracker.Acknowledge(0, "relay-z2", 42, 300) // the lowest of its subscribers
+	count, total := tracker.CountAtLeast(time.Second, 42)
+	fmt.Printf("version 42 has reached %d of %d subscribers\n", count, total)
+	// Output: version 42 has reached 301 of 302 subscribers
 }
--- a/internal/membership/failover.go
+++ b/internal/membership/failover.go
@@ -7,101 +7,114 @@
 )
 
 const (
-	// A round of attempts that all failed is followed by a pause that doubles
-	// up to mostBackoff. With the connect and answer time-outs of the caller it
-	// stays well below the 6 s after which a change counts as told.
-	firstBackoff = 100 * time.Millisecond
-	mostBackoff  = time.Second
+	// When each upstream has failed once in a row, the next round of attempts is
+	// preceded by a backoff that doubles up to maxBackoff. Together with the
+	// caller's connect and response timeouts it stays well below the 6 s within
+	// which a change has to reach all subscribers.
+	initialBackoff = 100 * time.Millisecond
+	maxBackoff     = time.Second
 
-	// steadyUpstream is how long an upstream works before its loss counts as the
-	// first failure, so that ones that flap are called with growing pauses.
-	steadyUpstream = 2 * time.Second
+	// maxBackoffShift keeps the doubling from overflowing; maxBackoff holds long before.
+	maxBackoffShift = 10
 
-	// behindLimit is how long all upstreams may be older before that is reported.
-	behindLimit = time.Minute
+	// stableAfter is how long an upstream has to work for its next failure to
+	// count as the first one, so that flapping upstreams are still backed off from.
+	stableAfter = 2 * time.Second
+
+	// behindReportAfter is how long all upstreams may be older before that is reported.
+	behindReportAfter = time.Minute
 )
 
 // Failover decides which of an ordered list of upstreams is called next. A
-// working one is kept until it fails; then the next one is called at once.
+// working upstream is kept until it fails; then the next one is called at once.
+// It is created by [NewFailover].
 type Failover struct {
-	servers     []string
-	current     int
-	failures    int // in a row, over all servers
-	working     bool
-	workingFrom time.Duration
-	random      *rand.Rand
-	notBefore   time.Duration
-	behindSince map[string]time.Duration
-	reported    bool // all of them being behind has been reported
+	servers        []string
+	current        int
+	failures       int // in a row, over all servers
+	working        bool
+	workingSince   time.Duration
+	random         *rand.Rand
+	notBefore      time.Duration
+	behindSince    map[string]time.Duration
+	reportedBehind bool // AllBehind has returned true since a server worked
 }
 
-// NewFailover returns a list that starts at its first server. seed spreads the
-// pauses of different relays.
+// NewFailover returns a Failover that starts with the first of servers, of which
+// there must be one. The seed is that of the backoff's jitter, so that different
+// relays do not retry at the same time.
 func NewFailover(servers []string, seed uint64) *Failover {
-	return &Failover{servers: slices.Clone(servers), random: rand.New(rand.NewPCG(seed, seed)),
-		behindSince: map[string]time.Duration{}}
+	return &Failover{
+		servers:     slices.Clone(servers),
+		random:      rand.New(rand.NewPCG(seed, seed)),
+		behindSince: map[string]time.Duration{},
+	}
 }
 
-// Next is the server to call, and how long to wait before.
+// Next returns the server to call, and how long to wait before the call.
 func (f *Failover) Next(now time.Duration) (server string, wait time.Duration) {
 	return f.servers[f.current], max(f.notBefore-now, 0)
 }
 
-// Working tells that the current server brings changes.
+// Working records that the current server delivers changes.
 func (f *Failover) Working(now time.Duration) {
 	if !f.working {
-		f.working, f.workingFrom = true, now
+		f.working = true
+		f.workingSince = now
 	}
-	f.reported = false
+	f.reportedBehind = false
 	clear(f.behindSince)
 }
 
-// Failed tells that the call to the current server failed or its watch broke.
+// Failed records that the call to the current server failed or its watch broke.
 func (f *Failover) Failed(now time.Duration) {
 	delete(f.behindSince, f.servers[f.current])
 	f.advance(now)
 }
 
-// Behind tells that the current server has an older version than the caller.
+// Behind records that the current server has an older version than the caller.
 func (f *Failover) Behind(now time.Duration) {
-	if _, known := f.behindSince[f.servers[f.current]]; !known {
-		f.behindSince[f.servers[f.current]] = now
+	server := f.servers[f.current]
+	if _, recorded := f.behindSince[server]; !recorded {
+		f.behindSince[server] = now
 	}
 	f.advance(now)
 }
 
+// advance moves on to the next server, after a backoff where all have failed.
 func (f *Failover) advance(now time.Duration) {
-	if f.working && now-f.workingFrom >= steadyUpstream {
+	if f.working && now-f.workingSince >= stableAfter {
 		f.failures = 0
 	}
 	f.working = false
 	f.current = (f.current + 1) % len(f.servers)
 	f.failures++
 	f.notBefore = now
-	if rounds := f.failures / len(f.servers); rounds > 0 && f.failures%len(f.servers) == 0 {
-		pause := min(firstBackoff<<min(rounds-1, 10), mostBackoff)
-		f.notBefore += pause/2 + time.Duration(f.random.Int64N(int64(pause/2)))
+	rounds := f.failures / len(f.servers)
+	if rounds > 0 && f.failures%len(f.servers) == 0 {
+		backoff := min(initialBackoff<<min(rounds-1, maxBackoffShift), maxBackoff)
+		f.notBefore += withJitter(f.random, backoff)
 	}
 }
 
-// AllBehind reports, once until a server works again, that all servers have been
-// behind for over a minute.
+// AllBehind returns true, once until a server works again, when all servers have
+// been behind for over a minute.
 func (f *Failover) AllBehind(now time.Duration) bool {
-	if f.reported || len(f.behindSince) < len(f.servers) {
+	if f.reportedBehind || len(f.behindSince) < len(f.servers) {
 		return false
 	}
 	for _, since := range f.behindSince {
-		if now-since <= behindLimit {
+		if now-since <= behindReportAfter {
 			return false
 		}
 	}
-	f.reported = true
+	f.reportedBehind = true
 	return true
 }
 
-// Replace sets another list. It tells whether the current server is still in
-// it; if not, the first one is called next, at once.
-func (f *Failover) Replace(servers []string) (kept bool) {
+// Replace sets another list of servers. It returns whether the current server is
+// still listed; if not, the first one is called next, at once.
+func (f *Failover) Replace(servers []string) (stillListed bool) {
 	current := f.servers[f.current]
 	f.servers = slices.Clone(servers)
 	for server := range f.behindSince {
@@ -109,11 +122,20 @@
 			delete(f.behindSince, server)
 		}
 	}
-	f.failures, f.notBefore, f.reported = 0, 0, false
-	if i := slices.Index(servers, current); i >= 0 {
-		f.current = i
+	f.failures = 0
+	f.notBefore = 0
+	f.reportedBehind = false
+	index := slices.Index(servers, current)
+	if index >= 0 {
+		f.current = index
 		return true
 	}
-	f.current, f.working = 0, false
+	f.current = 0
+	f.working = false
 	return false
 }
+
+// withJitter returns a random span of between half of wait and wait.
+func withJitter(random *rand.Rand, wait time.Duration) time.Duration {
+	return wait/2 + time.Duration(random.Int64N(int64(wait/2)))
+}
--- a/internal/membership/failover_test.go
+++ b/internal/membership/failover_test.go
@@ -14,26 +14,26 @@
 		}
 		f.Failed(0)
 	}
-	if server, wait := f.Next(0); server != "a" || wait < firstBackoff/2 || wait > firstBackoff {
-		t.Errorf("after a round: %s after %v", server, wait)
+	if server, wait := f.Next(0); server != "a" || wait < initialBackoff/2 || wait > initialBackoff {
+		t.Errorf("after all have failed: %s after %v", server, wait)
 	}
 }
 
-func TestFailoverKeepsWhatWorks(t *testing.T) {
+func TestFailoverKeepsAWorkingServer(t *testing.T) {
 	f := NewFailover([]string{"a", "b"}, 1)
 	f.Failed(0)
 	f.Working(0)
-	f.Working(steadyUpstream)
-	if server, wait := f.Next(steadyUpstream); server != "b" || wait != 0 {
+	f.Working(stableAfter)
+	if server, wait := f.Next(stableAfter); server != "b" || wait != 0 {
 		t.Errorf("%s after %v", server, wait)
 	}
-	f.Failed(steadyUpstream)
-	if server, wait := f.Next(steadyUpstream); server != "a" || wait != 0 {
+	f.Failed(stableAfter)
+	if server, wait := f.Next(stableAfter); server != "a" || wait != 0 {
 		t.Errorf("%s after %v", server, wait)
 	}
 }
 
-// Servers that accept and fail at once are called with growing pauses.
+// Servers that accept and fail at once are called with growing backoff.
 func TestFailoverBacksOffFromFlappingServers(t *testing.T) {
 	f := NewFailover([]string{"a", "b"}, 1)
 	now := time.Duration(0)
@@ -48,14 +48,14 @@
 	}
 }
 
-// The pause is bounded, so that 6 s hold from the moment an upstream is reachable.
+// The backoff is bounded, so that changes arrive within 6 s of an upstream becoming reachable.
 func TestFailoverBackoffIsBounded(t *testing.T) {
 	f := NewFailover([]string{"a"}, 1)
 	now := time.Duration(0)
 	for range 1000 {
 		f.Failed(now)
 		_, wait := f.Next(now)
-		if wait < firstBackoff/2 || wait > mostBackoff {
+		if wait < initialBackoff/2 || wait > maxBackoff {
 			t.Fatalf("wait %v", wait)
 		}
 		now += wait
@@ -69,16 +69,16 @@
 	f := NewFailover([]string{"a", "b"}, 1)
 	f.Behind(0)
 	f.Behind(0)
-	if f.AllBehind(behindLimit) {
+	if f.AllBehind(behindReportAfter) {
 		t.Error("reported within the limit")
 	}
-	if !f.AllBehind(behindLimit+1) || f.AllBehind(behindLimit+2) {
+	if !f.AllBehind(behindReportAfter+1) || f.AllBehind(behindReportAfter+2) {
 		t.Error("not reported exactly once")
 	}
 	f.Working(0)
-	f.Behind(2 * behindLimit)
-	f.Failed(2 * behindLimit) // that it cannot be reached does not make it behind
-	if f.AllBehind(4 * behindLimit) {
+	f.Behind(2 * behindReportAfter)
+	f.Failed(2 * behindReportAfter) // an unreachable server is not behind
+	if f.AllBehind(4 * behindReportAfter) {
 		t.Error("reported though one is only unreachable")
 	}
 }
--- a/internal/membership/main_test.go
+++ b/internal/membership/main_test.go
@@ -6,12 +6,12 @@
 	"testing"
 )
 
-// TestMain gives the property tests a fixed seed and more rounds. What is given
-// on the command line holds instead.
+// TestMain gives the property tests a fixed seed and more checks. Flags of the
+// command line take precedence.
 func TestMain(m *testing.M) {
 	flag.Parse()
-	given := map[string]bool{}
-	flag.Visit(func(f *flag.Flag) { given[f.Name] = true })
+	explicit := map[string]bool{}
+	flag.Visit(func(f *flag.Flag) { explicit[f.Name] = true })
 	defaults := map[string]string{
 		"rapid.seed":       "27",
 		"rapid.nofailfile": "true",
@@ -19,7 +19,7 @@
 		"rapid.steps":      "60",
 	}
 	for name, value := range defaults {
-		if given[name] {
+		if explicit[name] {
 			continue
 		}
 		if err := flag.Set(name, value); err != nil {
--- /dev/null
+++ b/internal/membership/parse.go
@@ -0,0 +1,175 @@
+package membership
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"strconv"
+	"strings"
+)
+
+// Parse reads one line. An error names the field that is wrong, and the Change
+// that comes with it has no records. Where only the content of workers or
+// settings is wrong, its Version and Snapshot are set, for [Store.Reject];
+// otherwise its Version is 0, and the connection that brought the line cannot be
+// read any further. Of several entries with one key the last wins, as in
+// consecutive changes. Parse does not retain line.
+func Parse(line []byte) (Change, error) {
+	var wire wireChange
+	if err := json.Unmarshal(line, &wire); err != nil {
+		return Change{}, fieldError("line", err)
+	}
+	if err := wire.check(); err != nil {
+		return Change{}, err
+	}
+	change := Change{
+		Version:     *wire.Version,
+		Snapshot:    wire.Snapshot,
+		Exact:       wire.Exact,
+		MissingFrom: wire.MissingFrom,
+	}
+	records := make([]Record, 0, len(wire.Workers)+len(wire.Settings))
+	for i, raw := range wire.Workers {
+		record, err := parseWorker(raw)
+		if err != nil {
+			return change, fieldError("hosts["+strconv.Itoa(i)+"]", err)
+		}
+		records = append(records, record)
+	}
+	for i, raw := range wire.Settings {
+		record, err := parseSetting(raw)
+		if err != nil {
+			return change, fieldError("settings["+strconv.Itoa(i)+"]", err)
+		}
+		records = append(records, record)
+	}
+	change.Records = lastOfEachKey(records)
+	return change, nil
+}
+
+func (w *wireChange) check() error {
+	switch {
+	case w.Version == nil:
+		return errors.New("seq: missing")
+	case *w.Version < 0:
+		return fmt.Errorf("seq: %d is negative", *w.Version)
+	case w.MissingFrom < 0 || w.MissingFrom > *w.Version:
+		return fmt.Errorf("missing: %d is not between 0 and seq", w.MissingFrom)
+	}
+	return nil
+}
+
+func parseWorker(raw json.RawMessage) (Record, error) {
+	var worker wireWorker
+	if err := json.Unmarshal(raw, &worker); err != nil {
+		return Record{}, err
+	}
+	switch worker.Health {
+	case healthReady, healthDraining, healthGone:
+	default:
+		return Record{}, &contentError{"health", ": unknown value " + strconv.Quote(worker.Health)}
+	}
+	if worker.Name == "" {
+		return Record{}, &contentError{"host", " is empty"}
+	}
+	if worker.Health != healthGone {
+		if err := checkAddress(worker.Address); err != nil {
+			return Record{}, &contentError{"dial", ": " + err.Error()}
+		}
+	}
+	return Record{
+		Key:     WorkerPrefix + worker.Name,
+		Value:   onOneLine(raw),
+		Deleted: worker.Health == healthGone,
+		Urgent:  worker.Health != healthReady,
+	}, nil
+}
+
+// parseSetting checks the form of a setting. Its value is checked by the
+// subscriber that applies it.
+func parseSetting(raw json.RawMessage) (Record, error) {
+	var setting wireSetting
+	if err := json.Unmarshal(raw, &setting); err != nil {
+		return Record{}, err
+	}
+	if setting.Key == "" {
+		return Record{}, &contentError{"key", " is empty"}
+	}
+	if setting.Value == nil {
+		return Record{}, &contentError{"value", ": missing"}
+	}
+	return Record{
+		Key:     SettingPrefix + setting.Key,
+		Value:   onOneLine(setting.Value),
+		Deleted: string(setting.Value) == "null",
+	}, nil
+}
+
+// contentError says what is wrong with a field of a worker or setting.
+type contentError struct {
+	field   string
+	problem string // with the punctuation that joins it to the field's name
+}
+
+func (e *contentError) Error() string { return e.field + e.problem }
+
+// fieldError names the field that an error is about; path is that of the object
+// that holds the field.
+func fieldError(path string, err error) error {
+	var content *contentError
+	if errors.As(err, &content) {
+		return fmt.Errorf("%s.%w", path, err)
+	}
+	var typeError *json.UnmarshalTypeError
+	if !errors.As(err, &typeError) {
+		return fmt.Errorf("%s: %w", path, err)
+	}
+	if typeError.Field != "" {
+		path += "." + typeError.Field
+	}
+	return errors.New(path + ": unexpected " + typeError.Value)
+}
+
+// checkAddress accepts HOST:PORT as net.SplitHostPort does, which a package
+// without I/O does not import.
+func checkAddress(address string) error {
+	colon := strings.LastIndexByte(address, ':')
+	if colon < 0 {
+		return errors.New("address " + address + ": missing port in address")
+	}
+	host := address[:colon]
+	if strings.HasPrefix(host, "[") {
+		closing := strings.IndexByte(address, ']')
+		switch {
+		case closing < 0:
+			return errors.New("address " + address + ": missing ']' in address")
+		case closing != colon-1:
+			return errors.New("address " + address + ": ']' is not followed by the port")
+		}
+		host = address[1:closing]
+	} else if strings.IndexByte(host, ':') >= 0 {
+		return errors.New("address " + address + ": too many colons in address")
+	}
+	if strings.ContainsAny(host, "[]") || strings.ContainsAny(address[colon:], "[]") {
+		return errors.New("address " + address + ": unexpected bracket in address")
+	}
+	return nil
+}
+
+// lastOfEachKey drops the records that a later one with the same key replaces.
+func lastOfEachKey(records []Record) []Record {
+	last := make(map[string]int, len(records))
+	for i := range records {
+		last[records[i].Key] = i
+	}
+	if len(last) == len(records) {
+		return records
+	}
+	latest := records[:0]
+	for i, record := range records {
+		if last[record.Key] == i {
+			latest = append(latest, record)
+		}
+	}
+	return latest
+}
--- a/internal/membership/subscribers.go
+++ b/internal/membership/subscribers.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// SubscriberID names one watch of a relay.
+// SubscriberID identifies one watch of a relay.
 type SubscriberID uint64
 
-// BatchLimits say how changes that follow each other are coalesced.
+// BatchLimits says how changes that follow each other are coalesced.
 type BatchLimits struct {
-	Interval       time.Duration // between two deltas to a subscriber
+	Interval       time.Duration // minimum between two deltas to a subscriber
 	UrgentInterval time.Duration // the same where the next one holds an urgent change
 }
 
-// Subscribers decides when each subscriber is sent its next delta. It keeps no
-// delta, only the version that a subscriber has: one that reads slowly costs the
-// same as one that reads at once, and catches up by one coalesced delta.
-// The zero value is not usable; see NewSubscribers.
+// Subscribers decides when each subscriber is sent its next delta. It queues no
+// deltas and holds only the version of each subscriber, so that a slow reader
+// costs no more than a fast one and catches up with one coalesced delta.
+// It is created by [NewSubscribers].
 type Subscribers struct {
 	limits      BatchLimits
 	newest      Version
@@ -23,8 +23,8 @@
 }
 
 type subscriber struct {
-	version Version
-	pace    *Pace
+	version Version // including the line that is being written
+	limiter *RateLimiter
 	started bool // its first line has been sent
 	sending bool // a line is being written
 	sentAt  time.Duration
@@ -35,10 +35,11 @@
 	return &Subscribers{limits: limits, subscribers: map[SubscriberID]*subscriber{}}
 }
 
-// Len is the number of subscribers.
+// Len returns the number of subscribers.
 func (s *Subscribers) Len() int { return len(s.subscribers) }
 
-// Changed tells that a newer version is in force; urgent, that it holds an urgent change.
+// Changed records that a newer version is in the store, and whether it holds an
+// urgent change.
 func (s *Subscribers) Changed(version Version, urgent bool) {
 	s.newest = max(s.newest, version)
 	if urgent {
@@ -46,94 +47,106 @@
 	}
 }
 
-// Add takes in a subscriber that has everything up to after. Its first line is
-// due at once, unless it is a delta that its pace holds back. Subscribers with
-// the same pace share one bound.
-func (s *Subscribers) Add(id SubscriberID, after Version, pace *Pace) {
-	s.subscribers[id] = &subscriber{version: after, pace: pace}
+// Add adds a subscriber that has everything up to after. Its first line is due
+// at once, unless it is a delta that its limiter holds back. Subscribers may
+// share a limiter.
+func (s *Subscribers) Add(id SubscriberID, after Version, limiter *RateLimiter) {
+	s.subscribers[id] = &subscriber{version: after, limiter: limiter}
 }
 
-// Remove forgets a subscriber.
+// Remove removes a subscriber.
 func (s *Subscribers) Remove(id SubscriberID) { delete(s.subscribers, id) }
 
-// Version is the version that a subscriber has, counting the line that is being written.
+// Version returns the version that a subscriber has, including the line that is
+// being written; 0 for an unknown subscriber.
 func (s *Subscribers) Version(id SubscriberID) Version {
-	if sub := s.subscribers[id]; sub != nil {
-		return sub.version
+	sub := s.subscribers[id]
+	if sub == nil {
+		return 0
 	}
-	return 0
+	return sub.version
 }
 
-// Sending tells that a line up to version is being written to a subscriber.
+// Sending records that a line up to version is being written to a subscriber.
 // Nothing else is due to it until Sent.
 func (s *Subscribers) Sending(id SubscriberID, version Version) {
-	if sub := s.subscribers[id]; sub != nil {
-		sub.version, sub.sending, sub.started = version, true, true
+	sub := s.subscribers[id]
+	if sub == nil {
+		return
 	}
+	sub.version = version
+	sub.sending = true
+	sub.started = true
 }
 
-// Sent tells that the line has been written, with so many bytes.
+// Sent records that the line has been written, and its size in bytes.
 func (s *Subscribers) Sent(now time.Duration, id SubscriberID, bytes int) {
-	if sub := s.subscribers[id]; sub != nil {
-		sub.sending, sub.sentAt = false, now
-		sub.pace.Spend(now, bytes)
+	sub := s.subscribers[id]
+	if sub == nil {
+		return
 	}
+	sub.sending = false
+	sub.sentAt = now
+	sub.limiter.Spend(now, bytes)
 }
 
-// Due lists the subscribers whose next line is due now. next is when another
-// one will be, if no change comes before; waiting is false where there is none.
+// Due returns the subscribers whose next line is due now, in no order, and the
+// time when another one will be, if no change comes before; waiting is false
+// where there is none.
 func (s *Subscribers) Due(now time.Duration) (due []SubscriberID, next time.Duration, waiting bool) {
 	for id, sub := range s.subscribers {
 		wait, pending := s.wait(now, sub)
-		switch {
-		case !pending:
-		case wait <= 0:
+		if !pending {
+			continue
+		}
+		if wait <= 0 {
 			due = append(due, id)
-		case !waiting || now+wait < next:
-			next, waiting = now+wait, true
+			continue
+		}
+		if !waiting || now+wait < next {
+			next = now + wait
+			waiting = true
 		}
 	}
 	return due, next, waiting
 }
 
-// wait is how long a subscriber's next line has to wait; pending is false where
-// there is none to send.
+// Wait returns how long a subscriber's next line has to wait; pending is false
+// where there is none to send, or no such subscriber.
+func (s *Subscribers) Wait(now time.Duration, id SubscriberID) (wait time.Duration, pending bool) {
+	sub := s.subscribers[id]
+	if sub == nil {
+		return 0, false
+	}
+	return s.wait(now, sub)
+}
+
 func (s *Subscribers) wait(now time.Duration, sub *subscriber) (wait time.Duration, pending bool) {
 	switch {
 	case sub.sending:
 		return 0, false
 	case !sub.started && (sub.version == 0 || sub.version >= s.newest):
-		return 0, true // it has nothing yet, or the line is empty
+		return 0, true // the first line, which is a snapshot or empty
 	case sub.version >= s.newest:
 		return 0, false
 	}
-	urgent := sub.version < s.lastUrgent
+	urgent := s.Urgent(sub.version)
 	interval := s.limits.Interval
 	if urgent {
 		interval = s.limits.UrgentInterval
 	}
-	wait = sub.pace.Wait(now, urgent)
+	wait = sub.limiter.Wait(now, urgent)
 	if sub.started {
 		wait = max(wait, sub.sentAt+interval-now)
 	}
 	return wait, true
 }
 
-// Wait is how long a subscriber's next line has to wait; pending is false where
-// there is none to send.
-func (s *Subscribers) Wait(now time.Duration, id SubscriberID) (wait time.Duration, pending bool) {
-	sub := s.subscribers[id]
-	if sub == nil {
-		return 0, false
-	}
-	return s.wait(now, sub)
-}
-
-// Urgent tells whether a subscriber at version after lacks an urgent change.
+// Urgent reports whether a subscriber at version after lacks an urgent change.
 func (s *Subscribers) Urgent(after Version) bool { return after < s.lastUrgent }
 
-// UpToDate tells for how long everything has been written to a subscriber;
-// false where a line is being written or waits.
+// UpToDate returns how long ago everything was written to a subscriber; false
+// where a line is being written or is due.
 func (s *Subscribers) UpToDate(now time.Duration, id SubscriberID) (time.Duration, bool) {
 	sub := s.subscribers[id]
 	if sub == nil || sub.sending || !sub.started || sub.version < s.newest {
--- /dev/null
+++ b/internal/membership/wire.go
@@ -0,0 +1,146 @@
+package membership
+
+import (
+	"bytes"
+	"encoding/json"
+	"strconv"
+	"strings"
+)
+
+// wireChange is one line of the wire: a JSON object, as discovery writes it, with
+// optional settings. Workers are kept as they are written.
+type wireChange struct {
+	Version     *Version          `json:"seq"`
+	Snapshot    bool              `json:"whole"`
+	Exact       bool              `json:"exact"`
+	MissingFrom Version           `json:"missing"`
+	Workers     []json.RawMessage `json:"hosts"`
+	Settings    []json.RawMessage `json:"settings"`
+}
+
+// wireWorker holds the fields of a worker whose types are checked.
+type wireWorker struct {
+	Name      string  `json:"host"`
+	Address   string  `json:"dial"`
+	Zone      string  `json:"site"`
+	Class     string  `json:"class"`
+	Block     int     `json:"block"`
+	Health    string  `json:"health"`
+	Weight    float64 `json:"share"`
+	StartedMs float64 `json:"born_ms"`
+}
+
+type wireSetting struct {
+	Key   string          `json:"key"`
+	Value json.RawMessage `json:"value"`
+}
+
+// Values of a worker's health on the wire.
+const (
+	healthReady    = "ready"
+	healthDraining = "draining"
+	healthGone     = "gone"
+)
+
+// Append appends the change to dst as one line with its line end, and returns
+// the extended buffer. Base is not written.
+func (c Change) Append(dst []byte) []byte {
+	dst = append(dst, `{"seq":`...)
+	dst = strconv.AppendInt(dst, int64(c.Version), 10)
+	dst = append(dst, `,"whole":`...)
+	dst = strconv.AppendBool(dst, c.Snapshot)
+	if c.Exact {
+		dst = append(dst, `,"exact":true`...)
+	}
+	if c.MissingFrom > 0 {
+		dst = append(dst, `,"missing":`...)
+		dst = strconv.AppendInt(dst, int64(c.MissingFrom), 10)
+	}
+	dst, settings := c.appendWorkers(dst)
+	if settings > 0 {
+		dst = c.appendSettings(dst)
+	}
+	return append(dst, "}\n"...)
+}
+
+// appendWorkers appends the workers, and returns the number of records that are
+// settings.
+func (c Change) appendWorkers(dst []byte) (extended []byte, settings int) {
+	dst = append(dst, `,"hosts":[`...)
+	workers := 0
+	for i := range c.Records {
+		if strings.HasPrefix(c.Records[i].Key, SettingPrefix) {
+			settings++
+			continue
+		}
+		dst = appendSeparator(dst, workers)
+		dst = append(dst, c.Records[i].Value...)
+		workers++
+	}
+	return append(dst, ']'), settings
+}
+
+func (c Change) appendSettings(dst []byte) []byte {
+	dst = append(dst, `,"settings":[`...)
+	count := 0
+	for i := range c.Records {
+		path, isSetting := strings.CutPrefix(c.Records[i].Key, SettingPrefix)
+		if !isSetting {
+			continue
+		}
+		dst = appendSeparator(dst, count)
+		dst = append(dst, `{"key":`...)
+		dst = appendString(dst, path)
+		dst = append(dst, `,"value":`...)
+		dst = append(dst, c.Records[i].Value...)
+		dst = append(dst, '}')
+		count++
+	}
+	return append(dst, ']')
+}
+
+// appendSeparator appends the comma between two elements of an array, of which
+// so many have been written.
+func appendSeparator(dst []byte, written int) []byte {
+	if written > 0 {
+		return append(dst, ',')
+	}
+	return dst
+}
+
+func appendString(dst []byte, text string) []byte {
+	quoted, _ := json.Marshal(text) // a string always marshals
+	return append(dst, quoted...)
+}
+
+// onOneLine removes the line ends that JSON allows between tokens.
+func onOneLine(value json.RawMessage) json.RawMessage {
+	if bytes.IndexByte(value, '\n') < 0 && bytes.IndexByte(value, '\r') < 0 {
+		return value
+	}
+	var line bytes.Buffer
+	if err := json.Compact(&line, value); err != nil {
+		return value // unreachable: value has been parsed
+	}
+	return line.Bytes()
+}
+
+// withHealth returns a worker's JSON object with another health and all other
+// fields unchanged.
+func withHealth(worker json.RawMessage, health string) json.RawMessage {
+	fields := map[string]json.RawMessage{}
+	if err := json.Unmarshal(worker, &fields); err != nil {
+		return worker // unreachable: worker has been parsed
+	}
+	for name := range fields {
+		if strings.EqualFold(name, "health") {
+			delete(fields, name)
+		}
+	}
+	fields["health"] = json.RawMessage(strconv.Quote(health))
+	changed, err := json.Marshal(fields)
+	if err != nil {
+		return worker // unreachable: its parts have been parsed
+	}
+	return changed
+}
--- a/internal/membership/codec_test.go
+++ b/internal/membership/wire_test.go
@@ -11,12 +11,12 @@
 	"pgregory.net/rapid"
 )
 
-// hostRecord is a host as the origin lists it.
-func hostRecord(name, health string, bornMs int) Record {
+// workerRecord returns a worker as the origin lists it.
+func workerRecord(name, health string, startedMs int) Record {
 	value := fmt.Sprintf(`{"host":%q,"dial":"10.1.0.18:8080","site":"a","class":"m2","block":3,`+
-		`"health":%q,"share":1.0,"born_ms":%d}`, name, health, bornMs)
+		`"health":%q,"share":1.0,"born_ms":%d}`, name, health, startedMs)
 	return Record{
-		Key:     HostPrefix + name,
+		Key:     WorkerPrefix + name,
 		Value:   json.RawMessage(value),
 		Deleted: health == healthGone,
 		Urgent:  health != healthReady,
@@ -42,8 +42,8 @@
 	}
 }
 
-func TestParseKeepsNothingOfTheLine(t *testing.T) {
-	line := Change{Version: 1, Records: []Record{hostRecord("a", healthReady, 0), settingRecord("b", "1")}}.Append(nil)
+func TestParseDoesNotRetainTheLine(t *testing.T) {
+	line := Change{Version: 1, Records: []Record{workerRecord("a", healthReady, 0), settingRecord("b", "1")}}.Append(nil)
 	c, err := Parse(line)
 	if err != nil {
 		t.Fatal(err)
@@ -56,8 +56,8 @@
 }
 
 func TestParseNamesTheField(t *testing.T) {
-	const good = `{"host":"a","dial":"h:1","health":"ready"}`
-	host := func(fields string) string { return `{"seq":7,"hosts":[` + good + `,{` + fields + `}]}` }
+	const valid = `{"host":"a","dial":"h:1","health":"ready"}`
+	withWorker := func(fields string) string { return `{"seq":7,"hosts":[` + valid + `,{` + fields + `}]}` }
 	for _, c := range []struct{ line, want string }{
 		{`{"whole":true,"hosts":[]}`, `seq: missing`},
 		{`{"seq":-3}`, `seq: -3 is negative`},
@@ -66,13 +66,13 @@
 		{`{"seq":3,"missing":4}`, `missing: 4 is not between 0 and seq`},
 		{`[]`, `line: unexpected array`},
 		{`{"seq":3,`, `line: unexpected end of JSON input`},
-		{host(`"host":"b","dial":"h:1","health":"x"`), `hosts[1].health: unknown value "x"`},
-		{host(`"host":"b","dial":"h:1"`), `hosts[1].health: unknown value ""`},
-		{host(`"dial":"h:1","health":"ready"`), `hosts[1].host is empty`},
-		{host(`"host":"b","dial":"h","health":"ready"`), `hosts[1].dial: address h: missing port in address`},
-		{host(`"host":"b","dial":"h:1","health":"ready","block":1.5`), `hosts[1].block: unexpected number 1.5`},
-		{host(`"host":"b","dial":"h:1","health":"ready","share":"1"`), `hosts[1].share: unexpected string`},
-		{host(`"host":"b","dial":"h:1","health":"ready","site":4`), `hosts[1].site: unexpected number`},
+		{withWorker(`"host":"b","dial":"h:1","health":"x"`), `hosts[1].health: unknown value "x"`},
+		{withWorker(`"host":"b","dial":"h:1"`), `hosts[1].health: unknown value ""`},
+		{withWorker(`"dial":"h:1","health":"ready"`), `hosts[1].host is empty`},
+		{withWorker(`"host":"b","dial":"h","health":"ready"`), `hosts[1].dial: address h: missing port in address`},
+		{withWorker(`"host":"b","dial":"h:1","health":"ready","block":1.5`), `hosts[1].block: unexpected number 1.5`},
+		{withWorker(`"host":"b","dial":"h:1","health":"ready","share":"1"`), `hosts[1].share: unexpected string`},
+		{withWorker(`"host":"b","dial":"h:1","health":"ready","site":4`), `hosts[1].site: unexpected number`},
 		{`{"seq":7,"hosts":[3]}`, `hosts[0]: unexpected number`},
 		{`{"seq":7,"settings":[{"key":"a","value":1},{"value":1}]}`, `settings[1].key is empty`},
 		{`{"seq":7,"settings":[{"key":"a"}]}`, `settings[0].value: missing`},
@@ -85,30 +85,30 @@
 		if len(change.Records) > 0 {
 			t.Errorf("%s: has records", c.line)
 		}
-		if content := strings.Contains(c.want, "["); content != (change.Version == 7) {
+		if isContentError := strings.Contains(c.want, "["); isContentError != (change.Version == 7) {
 			t.Errorf("%s: version %d", c.line, change.Version)
 		}
 	}
 }
 
-func TestParseTellsWhetherTheRefusedOneIsWhole(t *testing.T) {
-	for _, whole := range []bool{false, true} {
-		c, err := Parse(fmt.Appendf(nil, `{"hosts":[{}],"whole":%v,"seq":7}`, whole))
-		if err == nil || c.Version != 7 || c.Whole != whole {
+func TestParseErrorSaysWhetherTheLineIsASnapshot(t *testing.T) {
+	for _, snapshot := range []bool{false, true} {
+		c, err := Parse(fmt.Appendf(nil, `{"hosts":[{}],"whole":%v,"seq":7}`, snapshot))
+		if err == nil || c.Version != 7 || c.Snapshot != snapshot {
 			t.Errorf("%+v, %v", c, err)
 		}
 	}
 }
 
-func TestParseLastOfOneKeyWins(t *testing.T) {
-	records := []Record{hostRecord("a", healthGone, 0), hostRecord("b", healthReady, 0), hostRecord("a", healthReady, 1)}
+func TestParseKeepsTheLastRecordOfAKey(t *testing.T) {
+	records := []Record{workerRecord("a", healthGone, 0), workerRecord("b", healthReady, 0), workerRecord("a", healthReady, 1)}
 	c, err := Parse(Change{Version: 1, Records: records}.Append(nil))
 	if err != nil || !reflect.DeepEqual(c.Records, records[1:]) {
 		t.Errorf("%+v, %v", c, err)
 	}
 }
 
-// What is appended is one line, and parsed is what it was.
+// A change is appended as one line, and parsing restores it.
 func TestAppendAndParse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := drawChange(t)
@@ -121,29 +121,29 @@
 		if err != nil {
 			t.Fatalf("%s: %v", text, err)
 		}
-		c.Base = 0 // is not written
+		c.Base = 0 // not on the wire
 		if !reflect.DeepEqual(read, c) {
 			t.Fatalf("%+v\nbecame %+v", c, read)
 		}
 	})
 }
 
-// drawChange draws any change of distinct keys, its hosts first.
+// drawChange draws a change of distinct keys, workers first.
 func drawChange(t *rapid.T) Change {
 	c := Change{
-		Version: Version(rapid.Int64Range(0, 1<<53).Draw(t, "version")),
-		Whole:   rapid.Bool().Draw(t, "whole"),
-		Exact:   rapid.Bool().Draw(t, "exact"),
-		Base:    Version(rapid.Int64Range(0, 9).Draw(t, "base")),
-		Records: []Record{},
+		Version:  Version(rapid.Int64Range(0, 1<<53).Draw(t, "version")),
+		Snapshot: rapid.Bool().Draw(t, "snapshot"),
+		Exact:    rapid.Bool().Draw(t, "exact"),
+		Base:     Version(rapid.Int64Range(0, 9).Draw(t, "base")),
+		Records:  []Record{},
 	}
-	c.Missing = Version(rapid.Int64Range(0, int64(c.Version)).Draw(t, "missing"))
+	c.MissingFrom = Version(rapid.Int64Range(0, int64(c.Version)).Draw(t, "missing"))
 	for _, name := range rapid.SliceOfNDistinct(rapid.StringN(1, 8, -1), 0, 3, rapid.ID).Draw(t, "hosts") {
 		health := rapid.SampledFrom([]string{healthReady, healthDraining, healthGone}).Draw(t, "health")
 		object := map[string]any{"host": name, "health": health, "dial": "h:1"}
 		object[rapid.StringMatching("x[a-z]*").Draw(t, "field")] = rapid.String().Draw(t, "value")
 		value, _ := json.Marshal(object)
-		c.Records = append(c.Records, Record{Key: HostPrefix + name, Value: value,
+		c.Records = append(c.Records, Record{Key: WorkerPrefix + name, Value: value,
 			Deleted: health == healthGone, Urgent: health != healthReady})
 	}
 	for _, path := range rapid.SliceOfNDistinct(rapid.StringN(1, 8, -1), 0, 3, rapid.ID).Draw(t, "settings") {
@@ -153,13 +153,13 @@
 	return c
 }
 
-// Addresses are right or wrong as the standard library has it.
+// checkAddress agrees with the standard library.
 func TestCheckAddress(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		address := rapid.StringMatching(`[a1:.\[\]%]{0,8}`).Draw(t, "address")
 		_, _, want := net.SplitHostPort(address)
 		if got := checkAddress(address); (got == nil) != (want == nil) {
-			t.Fatalf("%q: %v, the library says %v", address, got, want)
+			t.Fatalf("%q: %v, net.SplitHostPort says %v", address, got, want)
 		}
 	})
 }
@@ -171,15 +171,15 @@
 	}
 }
 
-// However a line is broken, it is refused or is a whole change.
+// A line is rejected completely or parsed completely.
 func FuzzParse(f *testing.F) {
-	f.Add(fleet(3, 2).Append(nil))
+	f.Add(fleetSnapshot(3, 2).Append(nil))
 	f.Add([]byte(`{"seq":1,"settings":[{"key":"a","value":null}],"exact":true,"missing":1}`))
 	f.Fuzz(func(t *testing.T, line []byte) {
 		c, err := Parse(line)
 		if err != nil {
 			if len(c.Records) > 0 {
-				t.Error("has records beside an error")
+				t.Error("records returned with an error")
 			}
 			return
 		}
--- a/internal/relay/body.go
+++ b/internal/relay/body.go
@@ -30,7 +30,7 @@
 }
 
 func newBody(change membership.Change, counters *counters) *body {
-	return &body{version: change.Version, whole: change.Whole, change: change, counters: counters}
+	return &body{version: change.Version, whole: change.Snapshot, change: change, counters: counters}
 }
 
 // line is the body as one line of JSON.
--- a/internal/relay/messages.go
+++ b/internal/relay/messages.go
@@ -101,10 +101,10 @@
 
 func (m callMessage) acknowledge(s *state) {
 	if m.relay {
-		s.acks.Heard(s.now(), m.name, min(m.acked, m.after), m.fleet)
+		s.acks.Acknowledge(s.now(), m.name, min(m.acked, m.after), m.fleet)
 		return
 	}
-	s.acks.Heard(s.now(), m.name, m.after, 1)
+	s.acks.Acknowledge(s.now(), m.name, m.after, 1)
 }
 
 // answeredMessage tells that a plain call's answer has been written.
@@ -149,7 +149,7 @@
 	case membership.Applied:
 		s.ready = true
 		s.changed(s.now(), s.urgentSince(before))
-	case membership.Refused:
+	case membership.Rejected:
 		if !errors.Is(err, membership.ErrGap) { // a gap is asked for again
 			s.refuse(upstream, change.Version, err)
 		}
@@ -196,7 +196,7 @@
 func (m refusedMessage) handle(s *state) {
 	s.refuse(m.upstream, m.version, m.reason)
 	if s.ready && !m.whole && m.version > s.store.Version() {
-		s.store.Refuse(m.version)
+		s.store.Reject(m.version)
 		s.changed(s.now(), false)
 	}
 }
@@ -213,7 +213,7 @@
 
 func (m positionMessage) handle(s *state) {
 	summary := s.acks.Summary(s.now())
-	m.reply <- position{s.store.Version(), s.store.Resume(), summary.Lowest, summary.Subscribers}
+	m.reply <- position{s.store.Version(), s.store.ResumeVersion(), summary.Lowest, summary.Subscribers}
 }
 
 // upstreamMessage tells that an upstream brings changes, by way of the relays
--- a/internal/relay/state.go
+++ b/internal/relay/state.go
@@ -32,7 +32,7 @@
 	ready       bool // a snapshot has been applied
 	store       *membership.Store
 	changedAt   time.Duration
-	acks        *membership.Acks
+	acks        *membership.AckTracker
 	latency     *latency
 	subscribers *membership.Subscribers
 	watches     map[membership.SubscriberID]*watch
@@ -59,7 +59,7 @@
 
 // peer is a caller with a name: its byte bound outlives its connections.
 type peer struct {
-	pace    membership.Pace
+	pace    membership.RateLimiter
 	heardAt time.Duration
 	watch   membership.SubscriberID // its open watch; 0: none
 	fetches bool                    // its calls take compressed answers
@@ -82,7 +82,7 @@
 		config: config, log: log, now: func() time.Duration { return time.Since(start) },
 		messages: make(chan message), stopped: make(chan struct{}), counters: &counters{},
 		store:   membership.NewStore(config.LogChanges),
-		acks:    membership.NewAcks(time.Duration(config.AckExpiryS) * time.Second),
+		acks:    membership.NewAckTracker(time.Duration(config.AckExpiryS) * time.Second),
 		latency: newLatency(), subscribers: membership.NewSubscribers(limits),
 		watches: map[membership.SubscriberID]*watch{}, peers: map[string]*peer{},
 		deltas: map[membership.Version]*body{},
@@ -182,7 +182,7 @@
 		return nil
 	}
 	line := newBody(change, s.counters)
-	if change.Whole {
+	if change.Snapshot {
 		s.snapshot, s.snapshotAt = line, now
 		return line
 	}
@@ -275,7 +275,7 @@
 	case name != "" && len(s.peers) >= maxPeersPerOpen*s.config.MaxSubscribers:
 		return nil
 	default:
-		p = &peer{pace: membership.NewPace(s.config.BytesPerS)}
+		p = &peer{pace: membership.NewRateLimiter(s.config.BytesPerS)}
 		if name != "" {
 			s.peers[name] = p
 		}
--- a/internal/relay/status.go
+++ b/internal/relay/status.go
@@ -56,10 +56,10 @@
 func (s *state) status() Status {
 	now := s.now()
 	summary := s.acks.Summary(now)
-	have, _ := s.acks.InForce(now, s.store.Version())
+	have, _ := s.acks.CountAtLeast(now, s.store.Version())
 	status := Status{
 		Name: s.config.Name, Zone: s.config.Zone, Version: s.store.Version(), Entries: s.store.Len(),
-		Complete: s.store.Resume() == s.store.Version(),
+		Complete: s.store.ResumeVersion() == s.store.Version(),
 		Upstream: s.upstream, UpstreamSince: s.upstreamSince,
 		Subscribers: summary.Subscribers, Watches: s.subscribers.Len(), Lowest: summary.Lowest, HaveNewest: have,
 		Refused: append([]Refusal{}, s.refused...), RefusedCount: s.refusedCount,
--- a/internal/relay/upstream.go
+++ b/internal/relay/upstream.go
@@ -203,7 +203,7 @@
 		return err
 	}
 	backfill := membership.Change{}
-	if base := max(change.Version-backfillSpan, 1); change.Whole && base < change.Version {
+	if base := max(change.Version-backfillSpan, 1); change.Snapshot && base < change.Version {
 		backfill = f.before(ctx, server, at, base)
 	}
 	reply := make(chan changeReply, 1)
@@ -220,7 +220,7 @@
 		return membership.Change{}
 	}
 	change, err := membership.Parse(answer)
-	if err != nil || change.Whole {
+	if err != nil || change.Snapshot {
 		return membership.Change{}
 	}
 	change.Base = base
@@ -290,11 +290,11 @@
 	if change.Version < after {
 		return false, errBehind
 	}
-	if !change.Whole {
+	if !change.Snapshot {
 		change.Base = after
 	}
 	_, err = f.apply(server, change)
-	return change.Whole, err
+	return change.Snapshot, err
 }
 
 // apply hands a change to the state.
@@ -369,8 +369,8 @@
 		}
 		change, err := membership.Parse(object)
 		if err != nil {
-			f.state.send(refusedMessage{version: change.Version, whole: change.Whole, upstream: server, reason: err})
-			if change.Whole || change.Version == 0 {
+			f.state.send(refusedMessage{version: change.Version, whole: change.Snapshot, upstream: server, reason: err})
+			if change.Snapshot || change.Version == 0 {
 				return errRefusedSnapshot
 			}
 			base, first = max(base, change.Version), false
@@ -379,7 +379,7 @@
 		if first && change.Version < at.version {
 			return errBehind
 		}
-		if !change.Whole {
+		if !change.Snapshot {
 			change.Base = base
 		}
 		applied, err := f.apply(server, change)
