--- a/cmd/dispatcher/membership_test.go
+++ b/cmd/dispatcher/membership_test.go
@@ -84,7 +84,7 @@
 // acknowledged tells whether the one dispatcher has a version in force.
 func acknowledged(version int64) func(relay.Status) bool {
 	return func(status relay.Status) bool {
-		return status.Subscribers == 1 && int64(status.Lowest) == version && int64(status.Version) == version
+		return status.Subscribers == 1 && int64(status.LowestAcknowledged) == version && int64(status.Version) == version
 	}
 }
 
--- a/cmd/membership-relay/bench_test.go
+++ b/cmd/membership-relay/bench_test.go
@@ -13,9 +13,9 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/standin"
 )
 
-// BenchmarkRelay meters a relay's process from outside: what a change of one
-// worker costs it with a list of 21,000, by the number of its subscribers, and
-// its peak resident memory.
+// BenchmarkRelay measures a relay's process from outside: the cost of a change of
+// one worker in a list of 21,000, by the number of subscribers, and the peak
+// resident memory.
 func BenchmarkRelay(b *testing.B) {
 	for _, subscribers := range []int{13, 130, 1300} {
 		b.Run(strconv.Itoa(subscribers), func(b *testing.B) { benchmarkRelay(b, subscribers) })
@@ -29,16 +29,16 @@
 		hosts[i] = standin.Host{Host: fmt.Sprintf("s-%08x", i*0x9e3779b1), Dial: fmt.Sprintf("10.%d.%d.1:8080", i/250, i%250),
 			Site: "a", Class: "m2", Block: i / 40, Health: "ready", Share: 1, BornMs: 1_700_000_000_000 + int64(i)*977}
 	}
-	origin := discovery(b)
+	origin := startDiscovery(b)
 	origin.Set(hosts...)
-	p := start(b, options(origin.Addr))
+	p := startRelay(b, optionsText(origin.Addr))
 	eventually(b, "snapshot", func() bool { return p.status().Version == 1 })
 	arrived := make(chan struct{}, subscribers)
 	for i := range subscribers {
-		follow(b, p.address, i, arrived)
+		followChanges(b, p.address, i, arrived)
 	}
 	before := p.status()
-	used := processorTime(b, p.command.Process.Pid)
+	used := processCPUTime(b, p.command.Process.Pid)
 	b.ResetTimer()
 	for i := range b.N {
 		hosts[0].BornMs = int64(i)
@@ -48,16 +48,16 @@
 		}
 	}
 	b.StopTimer()
-	used = processorTime(b, p.command.Process.Pid) - used
+	used = processCPUTime(b, p.command.Process.Pid) - used
 	after := p.status()
 	b.ReportMetric(float64(used.Microseconds())/float64(b.N), "cpu-µs/change")
 	b.ReportMetric(float64(after.SentBytes-before.SentBytes)/float64(b.N*subscribers), "B/change/subscriber")
-	b.ReportMetric(peakMemory(b, p.command.Process.Pid)/1e6, "peak-MB")
+	b.ReportMetric(peakMemoryBytes(b, p.command.Process.Pid)/1e6, "peak-MB")
 }
 
-// follow makes the calls of a dispatcher that starts, and tells of each change
-// that its watch brings.
-func follow(b *testing.B, address string, number int, arrived chan<- struct{}) {
+// followChanges opens the watch of a dispatcher that has just started, and signals
+// each change that it brings.
+func followChanges(b *testing.B, address string, number int, arrived chan<- struct{}) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		b.Fatal(err)
@@ -83,13 +83,13 @@
 	}()
 }
 
-// processorTime is what a process has used.
-func processorTime(b *testing.B, pid int) time.Duration {
+// processCPUTime returns the CPU time that a process has used.
+func processCPUTime(b *testing.B, pid int) time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		b.Skip(err)
 	}
-	_, rest, _ := strings.Cut(string(text), ") ") // behind the name
+	_, rest, _ := strings.Cut(string(text), ") ") // after the name
 	fields := strings.Fields(rest)
 	const user, system, tick = 11, 12, 10 * time.Millisecond
 	ticks := 0
@@ -103,8 +103,8 @@
 	return time.Duration(ticks) * tick
 }
 
-// peakMemory is the most that was resident, in bytes.
-func peakMemory(b *testing.B, pid int) float64 {
+// peakMemoryBytes returns the maximum resident memory of a process.
+func peakMemoryBytes(b *testing.B, pid int) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		b.Skip(err)
--- a/cmd/membership-relay/main.go
+++ b/cmd/membership-relay/main.go
@@ -1,6 +1,6 @@
-// Command membership-relay is a relay of membership and configuration between
-// discovery and the dispatchers of a zone: serve (the default), check. This file
-// owns its command line and signals; package relay does the work.
+// Command membership-relay relays membership and configuration from discovery to
+// the dispatchers of a zone. It has the subcommands serve (the default) and check.
+// SIGHUP reloads the list of upstreams, SIGTERM and SIGINT shut it down.
 package main
 
 import (
@@ -18,37 +18,43 @@
 )
 
 func main() {
-	signals := make(chan os.Signal, 4)
+	signals := make(chan os.Signal, signalBuffer)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
-	if err := command(os.Args[1:], signals, os.Stdout, os.Stderr); err != nil {
+	if err := runCommand(os.Args[1:], signals, os.Stdout, os.Stderr); err != nil {
 		fmt.Fprintln(os.Stderr, "membership-relay:", err)
 		os.Exit(1)
 	}
 }
 
+// signalBuffer is how many signals may wait to be handled.
+const signalBuffer = 4
+
 // cli is the command line.
 type cli struct {
-	Operator string `required:"" placeholder:"FILE" help:"Options file with the table [relay]; deploy/relay.toml explains it."`
-	Debug    bool   `help:"Log each failed call to an upstream."`
+	OptionsFile string `name:"operator" required:"" placeholder:"FILE" help:"Options file with the table [relay]; deploy/relay.toml explains it."`
+	Debug       bool   `help:"Log each failed call to an upstream."`
 
 	Serve struct{} `cmd:"" default:"1" help:"Run the relay (the default)."`
 	Check struct{} `cmd:"" help:"Check the options file and print every option, without starting anything."`
 }
 
-// command carries out a command line, until a signal ends it.
-func command(args []string, signals <-chan os.Signal, out, errs io.Writer) error {
-	var c cli
-	helped := false
-	parser, err := kong.New(&c, kong.Name("membership-relay"), kong.Writers(out, errs), kong.Exit(func(int) { helped = true }),
+// runCommand runs a command line, until a signal ends it.
+func runCommand(args []string, signals <-chan os.Signal, out, errorOutput io.Writer) error {
+	var options cli
+	helpPrinted := false
+	parser, err := kong.New(&options,
+		kong.Name("membership-relay"),
+		kong.Writers(out, errorOutput),
+		kong.Exit(func(int) { helpPrinted = true }),
 		kong.Description("Relays membership and configuration from discovery to the dispatchers of a zone."))
 	if err != nil {
 		return err
 	}
 	parsed, err := parser.Parse(args)
-	if helped || err != nil {
+	if helpPrinted || err != nil {
 		return err
 	}
-	config, err := relay.Load(c.Operator)
+	config, err := relay.Load(options.OptionsFile)
 	if err != nil {
 		return err
 	}
@@ -57,42 +63,42 @@
 		return nil
 	}
 	level := slog.LevelInfo
-	if c.Debug {
+	if options.Debug {
 		level = slog.LevelDebug
 	}
-	log := slog.New(slog.NewTextHandler(errs, &slog.HandlerOptions{Level: level}))
-	return serve(c.Operator, config, log, signals, out)
+	log := slog.New(slog.NewTextHandler(errorOutput, &slog.HandlerOptions{Level: level}))
+	return serve(options.OptionsFile, config, log, signals, out)
 }
 
 // serve runs the relay until SIGTERM or SIGINT.
 func serve(path string, config relay.Config, log *slog.Logger, signals <-chan os.Signal, out io.Writer) error {
-	r, err := relay.Start(config, log)
+	running, err := relay.Start(config, log)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintln(out, "listening on", r.Addr())
-	if r.AdminAddr() != nil {
-		fmt.Fprintln(out, "admin API on", r.AdminAddr())
+	fmt.Fprintln(out, "listening on", running.Addr())
+	if running.AdminAddr() != nil {
+		fmt.Fprintln(out, "admin API on", running.AdminAddr())
 	}
 	for received := range signals {
 		if received != syscall.SIGHUP {
-			log.Info("ending", "signal", received)
-			return r.Close()
+			log.Info("shutting down", "signal", received)
+			return running.Close()
 		}
-		if err := reload(path, r); err != nil {
-			log.Error("options file not taken over, nothing changes", "reason", err)
+		if err := reload(path, running); err != nil {
+			log.Error("options file rejected, nothing changes", "reason", err)
 			continue
 		}
-		log.Info("upstreams read again")
+		log.Info("upstreams reloaded")
 	}
-	return errors.Join(errors.New("no more signals"), r.Close())
+	return errors.Join(errors.New("signal channel closed"), running.Close())
 }
 
-// reload takes the upstreams over from the options file. All else needs a restart.
-func reload(path string, r *relay.Relay) error {
+// reload applies the upstreams of the options file. All other options need a restart.
+func reload(path string, running *relay.Relay) error {
 	config, err := relay.Load(path)
 	if err != nil {
 		return err
 	}
-	return r.SetUpstreams(config.Upstreams)
+	return running.SetUpstreams(config.Upstreams)
 }
--- a/cmd/membership-relay/main_test.go
+++ b/cmd/membership-relay/main_test.go
@@ -21,68 +21,68 @@
 	"hollyyoke.example/hollyyoke/internal/relay"
 )
 
-// asRelay makes this test's program act as the relay.
-const asRelay = "HOLLYYOKE_TEST_AS_RELAY"
+// runAsRelayVariable is the environment variable that makes the test binary run as the relay.
+const runAsRelayVariable = "HOLLYYOKE_TEST_AS_RELAY"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asRelay) != "" {
+	if os.Getenv(runAsRelayVariable) != "" {
 		main()
 		os.Exit(0)
 	}
 	os.Exit(m.Run())
 }
 
-// generous is how long a condition may take; no verdict depends on less.
-const generous = 60 * time.Second
+// testTimeout is how long a condition may take. It is generous, since the machine may be loaded.
+const testTimeout = 60 * time.Second
 
 func eventually(t testing.TB, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(generous); !condition(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("not in time: %s", what)
 		}
 	}
 }
 
-// process is a relay in a process of its own.
-type process struct {
+// relayProcess is a relay in a process of its own.
+type relayProcess struct {
 	t       testing.TB
 	command *exec.Cmd
 	options string // path of its options file
 	address string
 	admin   string
-	log     lockedText
+	log     lockedBuffer
 }
 
-type lockedText struct {
+type lockedBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *lockedText) Write(p []byte) (int, error) {
+func (l *lockedBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-func (l *lockedText) String() string {
+func (l *lockedBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-func options(upstreams ...string) string {
+func optionsText(upstreams ...string) string {
 	list, _ := json.Marshal(upstreams)
 	return fmt.Sprintf("[relay]\nname = \"relay-a\"\nlisten = \"127.0.0.1:0\"\nadmin_addr = \"127.0.0.1:0\"\nupstreams = %s\n", list)
 }
 
-// start runs one and waits until it listens.
-func start(t testing.TB, text string) *process {
+// startRelay starts a relay and waits until it listens.
+func startRelay(t testing.TB, text string) *relayProcess {
 	t.Helper()
-	p := &process{t: t, options: filepath.Join(t.TempDir(), "relay.toml")}
-	p.write(text)
+	p := &relayProcess{t: t, options: filepath.Join(t.TempDir(), "relay.toml")}
+	p.writeOptions(text)
 	p.command = exec.Command(os.Args[0], "--operator", p.options)
-	p.command.Env = append(os.Environ(), asRelay+"=1")
+	p.command.Env = append(os.Environ(), runAsRelayVariable+"=1")
 	p.command.Stderr = &p.log
 	out, err := p.command.StdoutPipe()
 	if err != nil {
@@ -105,14 +105,14 @@
 	return p
 }
 
-func (p *process) write(text string) {
+func (p *relayProcess) writeOptions(text string) {
 	if err := os.WriteFile(p.options, []byte(text), 0o600); err != nil {
 		p.t.Fatal(err)
 	}
 }
 
-// status asks the admin API.
-func (p *process) status() (status relay.Status) {
+// status returns the status from the admin API.
+func (p *relayProcess) status() (status relay.Status) {
 	p.t.Helper()
 	response, err := http.Get("http://" + p.admin + "/control/membership")
 	if err != nil {
@@ -125,22 +125,22 @@
 	return status
 }
 
-func discovery(t testing.TB, hosts ...string) *standin.Discovery {
+func startDiscovery(t testing.TB, workers ...string) *standin.Discovery {
 	t.Helper()
 	d, err := standin.StartDiscovery(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { d.Close() })
-	for _, host := range hosts {
+	for _, host := range workers {
 		d.Set(standin.Host{Host: host, Dial: "10.0.0.1:80", Site: "a", Class: "m2", Health: "ready"})
 	}
 	return d
 }
 
-// SIGTERM ends watches in order, and the process with exit code 0.
-func TestTermEndsWatchesInOrder(t *testing.T) {
-	p := start(t, options(discovery(t, "x").Addr))
+// SIGTERM ends watches with a complete response, and the process with exit code 0.
+func TestTerminateEndsWatchesCompletely(t *testing.T) {
+	p := startRelay(t, optionsText(startDiscovery(t, "x").Addr))
 	eventually(t, "snapshot", func() bool { return p.status().Version == 1 })
 	response, err := http.Get("http://" + p.address + "/v1/servers?watch=1&after=0&name=d1")
 	if err != nil {
@@ -153,25 +153,25 @@
 	}
 	p.command.Process.Signal(syscall.SIGTERM)
 	if _, err := io.ReadAll(in); err != nil {
-		t.Errorf("the watch was cut: %v", err)
+		t.Errorf("the watch was aborted: %v", err)
 	}
 	if err := p.command.Wait(); err != nil {
 		t.Errorf("%v: %s", err, &p.log)
 	}
 }
 
-// SIGHUP reads the upstreams again; a wrong file changes nothing.
-func TestHangupReadsUpstreams(t *testing.T) {
-	a, b := discovery(t, "x"), discovery(t, "x", "y")
-	p := start(t, options(a.Addr))
+// SIGHUP reloads the upstreams; an invalid file changes nothing.
+func TestHangupReloadsUpstreams(t *testing.T) {
+	a, b := startDiscovery(t, "x"), startDiscovery(t, "x", "y")
+	p := startRelay(t, optionsText(a.Addr))
 	eventually(t, "first upstream", func() bool { return p.status().Upstream == a.Addr })
-	p.write(options(b.Addr) + "batch = 3\n")
+	p.writeOptions(optionsText(b.Addr) + "batch = 3\n")
 	p.command.Process.Signal(syscall.SIGHUP)
 	eventually(t, "line in the log", func() bool { return strings.Contains(p.log.String(), "relay.batch: unknown key") })
 	if status := p.status(); status.Upstream != a.Addr || status.Version != 1 {
-		t.Errorf("after a wrong file: %+v", status)
+		t.Errorf("after an invalid file: %+v", status)
 	}
-	p.write(options(b.Addr))
+	p.writeOptions(optionsText(b.Addr))
 	p.command.Process.Signal(syscall.SIGHUP)
 	eventually(t, "other upstream", func() bool {
 		status := p.status()
@@ -179,15 +179,15 @@
 	})
 }
 
-// A wrong options file is one line and exit code 1, for check and for a start.
-func TestWrongOptions(t *testing.T) {
+// An invalid options file prints one line and exits with code 1, for check and serve.
+func TestInvalidOptions(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "relay.toml")
-	if err := os.WriteFile(path, []byte(options("127.0.0.1:1")+"bytes_per_s = 0\n"), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(optionsText("127.0.0.1:1")+"bytes_per_s = 0\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for _, args := range [][]string{{"check", "--operator", path}, {"--operator", path}} {
 		run := exec.Command(os.Args[0], args...)
-		run.Env = append(os.Environ(), asRelay+"=1")
+		run.Env = append(os.Environ(), runAsRelayVariable+"=1")
 		out, err := run.CombinedOutput()
 		var exit *exec.ExitError
 		if !errors.As(err, &exit) || exit.ExitCode() != 1 {
@@ -201,7 +201,7 @@
 
 func TestCheckPrintsOptions(t *testing.T) {
 	var out, errs bytes.Buffer
-	if err := command([]string{"check", "--operator", "../../deploy/relay.toml"}, nil, &out, &errs); err != nil {
+	if err := runCommand([]string{"check", "--operator", "../../deploy/relay.toml"}, nil, &out, &errs); err != nil {
 		t.Fatal(err)
 	}
 	if !strings.Contains(out.String(), "relay.batch_ms = 1000  # ") {
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -13,32 +13,39 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Config is the table [relay] of a relay's options file. Load fills in the defaults.
+// Config is the table [relay] of a relay's options file. [Load] fills in the defaults.
 type Config struct {
 	Name           string   `toml:"name" help:"this relay's name, unique among all subscribers of its upstream"`
 	Zone           string   `toml:"zone" help:"the zone it serves"`
 	Listen         string   `toml:"listen" help:"address for subscribers"`
 	AdminAddr      string   `toml:"admin_addr" help:"address of the admin API; empty: off"`
-	Upstreams      []string `toml:"upstreams" help:"addresses of discovery or of other relays, tried in order; read again on SIGHUP"`
-	LogChanges     int      `toml:"log_changes" help:"changed entries kept for resumption; older versions get a snapshot"`
-	BatchMs        int      `toml:"batch_ms" help:"least time between two deltas to a subscriber"`
-	UrgentBatchMs  int      `toml:"urgent_batch_ms" help:"the same for deltas with a worker that drains or has gone"`
-	BytesPerS      float64  `toml:"bytes_per_s" help:"sent to a subscriber, in the mean"`
-	AckExpiryS     int      `toml:"ack_expiry_s" help:"after which a silent subscriber no longer counts"`
-	StaleAfterMs   int      `toml:"stale_after_ms" help:"without an upstream after which watches are ended, so that subscribers try another server"`
-	WriteTimeoutMs int      `toml:"write_timeout_ms" help:"for one answer or line, after which a subscriber that does not read is disconnected"`
-	MaxSubscribers int      `toml:"max_subscribers" help:"open watches; further ones are answered 503"`
+	Upstreams      []string `toml:"upstreams" help:"addresses of discovery or of other relays, tried in order; reloaded on SIGHUP"`
+	LogChanges     int      `toml:"log_changes" help:"limit of the change log; subscribers at older versions get a snapshot"`
+	BatchMs        int      `toml:"batch_ms" help:"minimum time between two deltas to a subscriber"`
+	UrgentBatchMs  int      `toml:"urgent_batch_ms" help:"the same for deltas with a worker that is draining or gone"`
+	BytesPerS      float64  `toml:"bytes_per_s" help:"mean rate to a subscriber"`
+	AckExpiryS     int      `toml:"ack_expiry_s" help:"after which a silent subscriber is no longer counted"`
+	StaleAfterMs   int      `toml:"stale_after_ms" help:"without an upstream after which watches are ended, so that subscribers fail over"`
+	WriteTimeoutMs int      `toml:"write_timeout_ms" help:"for one response or line, after which a subscriber that does not read is disconnected"`
+	MaxSubscribers int      `toml:"max_subscribers" help:"open watches; more are rejected with 503"`
 }
 
 // Defaults returns the options that apply where the file has none.
 func Defaults() Config {
 	return Config{
-		LogChanges: 20_000, BatchMs: 1000, UrgentBatchMs: 100, BytesPerS: 6000, AckExpiryS: 90,
-		StaleAfterMs: 2000, WriteTimeoutMs: 5000, MaxSubscribers: 2000,
+		LogChanges:     20_000,
+		BatchMs:        1000,
+		UrgentBatchMs:  100,
+		BytesPerS:      6000,
+		AckExpiryS:     90,
+		StaleAfterMs:   2000,
+		WriteTimeoutMs: 5000,
+		MaxSubscribers: 2000,
 	}
 }
 
-// Load reads and checks an options file. Every error is one line that names the key.
+// Load reads and checks an options file. Every error is one line, and names the
+// key where the content is wrong.
 func Load(path string) (Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -61,15 +68,15 @@
 	return file.Relay, nil
 }
 
-const maxName = 128 // bytes of a relay's or subscriber's name
+const maxNameBytes = 128 // bytes of a relay's or subscriber's name
 
-// Check refuses options that make no sense. The error names the key.
+// Check returns an error that names the first invalid key, or nil.
 func (c *Config) Check() error {
 	if err := checkName(c.Name); err != nil {
 		return fmt.Errorf("name: %w", err)
 	}
 	if strings.Contains(c.Name, ",") {
-		return fmt.Errorf("name: %q holds a comma", c.Name) // relays name each other in lists
+		return fmt.Errorf("name: %q holds a comma", c.Name) // it separates the names in a Via header
 	}
 	if err := checkAddress(c.Listen); err != nil {
 		return fmt.Errorf("listen: %w", err)
@@ -86,9 +93,11 @@
 }
 
 func (c *Config) checkNumbers() error {
-	for _, n := range []struct {
-		key                string
-		value, least, most float64
+	ranges := []struct {
+		key     string
+		value   float64
+		minimum float64
+		maximum float64
 	}{
 		{"log_changes", float64(c.LogChanges), 1, 10_000_000},
 		{"batch_ms", float64(c.BatchMs), 0, 5000},
@@ -98,9 +107,11 @@
 		{"stale_after_ms", float64(c.StaleAfterMs), 100, 60_000},
 		{"write_timeout_ms", float64(c.WriteTimeoutMs), 10, 60_000},
 		{"max_subscribers", float64(c.MaxSubscribers), 1, 100_000},
-	} {
-		if !(n.value >= n.least && n.value <= n.most) {
-			return fmt.Errorf("%s: %g is not between %g and %g", n.key, n.value, n.least, n.most)
+	}
+	for _, option := range ranges {
+		isInRange := option.value >= option.minimum && option.value <= option.maximum // false for NaN
+		if !isInRange {
+			return fmt.Errorf("%s: %g is not between %g and %g", option.key, option.value, option.minimum, option.maximum)
 		}
 	}
 	return nil
@@ -138,8 +149,8 @@
 	if name == "" {
 		return errors.New("is empty")
 	}
-	if len(name) > maxName {
-		return fmt.Errorf("is longer than %d bytes", maxName)
+	if len(name) > maxNameBytes {
+		return fmt.Errorf("is longer than %d bytes", maxNameBytes)
 	}
 	for _, c := range []byte(name) {
 		if c <= ' ' || c > '~' {
@@ -149,7 +160,7 @@
 	return nil
 }
 
-// Explain prints each option with its value and what it is for.
+// Explain writes a line for each option, with its key, its value and a description.
 func (c *Config) Explain(out io.Writer) {
 	value := reflect.ValueOf(*c)
 	for i := range value.NumField() {
@@ -160,4 +171,7 @@
 	}
 }
 
+// ackExpiry is how long a silent subscriber is counted.
+func (c *Config) ackExpiry() time.Duration { return time.Duration(c.AckExpiryS) * time.Second }
+
 func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func write(t *testing.T, text string) string {
+func writeOptions(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "relay.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -17,14 +17,14 @@
 	return path
 }
 
-const goodOptions = `[relay]
+const validOptions = `[relay]
 name = "r"
 listen = "127.0.0.1:0"
 upstreams = ["127.0.0.1:1"]
 `
 
 func TestLoadFillsInDefaults(t *testing.T) {
-	config, err := Load(write(t, goodOptions+"batch_ms = 70\n"))
+	config, err := Load(writeOptions(t, validOptions+"batch_ms = 70\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,22 +36,22 @@
 
 func TestLoadNamesTheKey(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
-		{goodOptions + "burst = 3\n", "relay.burst: unknown key"},
-		{goodOptions + "[other]\nx = 1\n", "other: unknown key"},
+		{validOptions + "burst = 3\n", "relay.burst: unknown key"},
+		{validOptions + "[other]\nx = 1\n", "other: unknown key"},
 		{"[relay]\nlisten = \"127.0.0.1:0\"\nupstreams = [\"127.0.0.1:1\"]\n", "relay.name: is empty"},
-		{strings.Replace(goodOptions, `"r"`, `"a b"`, 1), "relay.name: "},
-		{strings.Replace(goodOptions, "127.0.0.1:0", "127.0.0.1", 1), "relay.listen: "},
-		{strings.Replace(goodOptions, `["127.0.0.1:1"]`, "[]", 1), "relay.upstreams: at least one"},
-		{strings.Replace(goodOptions, `["127.0.0.1:1"]`, `["127.0.0.1:"]`, 1), "relay.upstreams[0]: "},
-		{strings.Replace(goodOptions, `["127.0.0.1:1"]`, `["h:1", "h:1"]`, 1), "relay.upstreams[1]: h:1 is listed twice"},
-		{goodOptions + "admin_addr = \"x\"\n", "relay.admin_addr: "},
-		{goodOptions + "batch_ms = -1\n", "relay.batch_ms: "},
-		{goodOptions + "batch_ms = \"soon\"\n", "batch_ms"},
-		{goodOptions + "bytes_per_s = nan\n", "relay.bytes_per_s: "},
-		{goodOptions + "urgent_batch_ms = 900\n", "relay.urgent_batch_ms: "},
-		{goodOptions + "max_subscribers = 0\n", "relay.max_subscribers: "},
+		{strings.Replace(validOptions, `"r"`, `"a b"`, 1), "relay.name: "},
+		{strings.Replace(validOptions, "127.0.0.1:0", "127.0.0.1", 1), "relay.listen: "},
+		{strings.Replace(validOptions, `["127.0.0.1:1"]`, "[]", 1), "relay.upstreams: at least one"},
+		{strings.Replace(validOptions, `["127.0.0.1:1"]`, `["127.0.0.1:"]`, 1), "relay.upstreams[0]: "},
+		{strings.Replace(validOptions, `["127.0.0.1:1"]`, `["h:1", "h:1"]`, 1), "relay.upstreams[1]: h:1 is listed twice"},
+		{validOptions + "admin_addr = \"x\"\n", "relay.admin_addr: "},
+		{validOptions + "batch_ms = -1\n", "relay.batch_ms: "},
+		{validOptions + "batch_ms = \"soon\"\n", "batch_ms"},
+		{validOptions + "bytes_per_s = nan\n", "relay.bytes_per_s: "},
+		{validOptions + "urgent_batch_ms = 900\n", "relay.urgent_batch_ms: "},
+		{validOptions + "max_subscribers = 0\n", "relay.max_subscribers: "},
 	} {
-		_, err := Load(write(t, c.text))
+		_, err := Load(writeOptions(t, c.text))
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q: %v, not %q", c.text, err, c.want)
 		}
@@ -64,7 +64,7 @@
 		t.Fatal(err)
 	}
 	if config.BatchMs != Defaults().BatchMs || config.MaxSubscribers != Defaults().MaxSubscribers {
-		t.Error("what the file calls defaults are not")
+		t.Error("the deployed file's defaults differ")
 	}
 	var out bytes.Buffer
 	config.Explain(&out)
--- /dev/null
+++ b/internal/relay/failover_test.go
@@ -0,0 +1,361 @@
+package relay
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"net/url"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+)
+
+// When the upstream fails in the middle of a change, no subscriber sees a part of it.
+func TestUpstreamDiesInsideAChange(t *testing.T) {
+	first := changeJSON(1, true, workerJSON("x", "ready"), workerJSON("y", "ready"))
+	second := changeJSON(2, false, workerJSON("x", "draining"), workerJSON("y", "draining"))
+	u := startScriptedUpstream(t, "127.0.0.1:0", first)
+	r, _ := startRelay(t, testConfig(u.address()))
+	s := subscribe(t, r.Addr().String(), "d1")
+	eventually(t, "snapshot", func() bool { return s.hasVersion(1) })
+
+	u.setAnswer(func(url.Values) string { return changeJSON(1, false) })
+	w := u.awaitWatch()
+	w.sendLine(changeJSON(1, false))
+	w.partialLine(second, strings.Index(second, `,{"host":"y"`)) // the first worker is complete
+	reset(w.conn)
+	w = u.awaitWatch()
+	if after := w.query.Get("after"); after != "1" {
+		t.Errorf("resumed after %s", after)
+	}
+	w.sendLine(changeJSON(3, false, workerJSON("y", "draining")))
+	eventually(t, "next change", func() bool { return s.hasVersion(3) })
+	if s.health("x") != "ready" || s.health("y") != "draining" {
+		t.Errorf("x %s, y %s", s.health("x"), s.health("y"))
+	}
+	if seen := s.seenVersions(); !slices.Equal(seen, []int64{1, 3}) {
+		t.Errorf("versions seen: %v", seen)
+	}
+}
+
+// A relay that restarts at the same address with an older version rejects the
+// subscriber until it has caught up.
+func TestSuccessorWithAnOlderVersion(t *testing.T) {
+	u := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(5, true, workerJSON("x", "ready")))
+	first, _ := startRelay(t, testConfig(u.address()))
+	address := first.Addr().String()
+	s := subscribe(t, address, "d1")
+	eventually(t, "version 5", func() bool { return s.hasVersion(5) })
+	first.Close()
+
+	older := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(3, true, workerJSON("x", "ready")))
+	config := testConfig(older.address())
+	config.Listen = address
+	second, _ := startRelay(t, config)
+	eventually(t, "older snapshot", second.hasVersion(3))
+	_, opened, rejected := s.counts()
+	eventually(t, "rejection", func() bool { _, _, n := s.counts(); return n > rejected })
+	if _, now, _ := s.counts(); now != opened {
+		t.Error("a watch was opened for a newer version")
+	}
+	w := older.awaitWatch()
+	w.sendLine(changeJSON(3, false))
+	w.sendLine(changeJSON(6, false, workerJSON("x", "draining")))
+	eventually(t, "version 6", func() bool { return s.hasVersion(6) })
+	if s.health("x") != "draining" {
+		t.Errorf("x is %s", s.health("x"))
+	}
+}
+
+// An upstream that restarts with an older version is skipped.
+func TestUpstreamWithAnOlderVersionIsSkipped(t *testing.T) {
+	a := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(5, true, workerJSON("x", "ready")))
+	b := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(6, false, workerJSON("x", "draining")))
+	r, _ := startRelay(t, testConfig(a.address(), b.address()))
+	s := subscribe(t, r.Addr().String(), "d1")
+	eventually(t, "version 5", func() bool { return s.hasVersion(5) })
+	w := a.awaitWatch()
+	a.setAnswer(func(url.Values) string { return changeJSON(3, true, workerJSON("old", "ready")) })
+	b.setAnswer(func(url.Values) string { return changeJSON(4, true, workerJSON("old", "ready")) })
+	reset(w.conn)
+	eventually(t, "both are called", func() bool { return len(a.singleCalls()) > 1 && len(b.singleCalls()) > 1 })
+	if status := r.Status(); status.Version != 5 {
+		t.Errorf("version %d", status.Version)
+	}
+	b.setAnswer(func(url.Values) string { return changeJSON(6, false, workerJSON("x", "draining")) })
+	eventually(t, "version 6", func() bool { return s.hasVersion(6) })
+	if seen := s.seenVersions(); !slices.Equal(seen, []int64{5, 6}) {
+		t.Errorf("versions seen: %v", seen)
+	}
+}
+
+// breakableLink forwards connections until it is broken.
+type breakableLink struct {
+	listener net.Listener
+	target   string
+	mu       sync.Mutex
+	conns    []net.Conn
+	isBroken bool
+}
+
+func (c *breakableLink) accept() {
+	for {
+		conn, err := c.listener.Accept()
+		if err != nil {
+			return
+		}
+		onward, err := net.Dial("tcp", c.target)
+		c.mu.Lock()
+		if c.isBroken || err != nil {
+			reset(conn)
+			if err == nil {
+				reset(onward)
+			}
+			c.mu.Unlock()
+			continue
+		}
+		c.conns = append(c.conns, conn, onward)
+		c.mu.Unlock()
+		go func() { io.Copy(conn, onward); conn.Close() }()
+		go func() { io.Copy(onward, conn); onward.Close() }()
+	}
+}
+
+func (c *breakableLink) setBroken(broken bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.isBroken = broken
+	for _, conn := range c.conns {
+		reset(conn)
+	}
+	c.conns = nil
+}
+
+func startBreakableLink(t *testing.T, target string) *breakableLink {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	c := &breakableLink{listener: listener, target: target}
+	go c.accept()
+	t.Cleanup(func() { listener.Close(); c.setBroken(true) })
+	return c
+}
+
+// After a partition that outlasts the log of the relay above, the relay below gets
+// a snapshot and then deltas; its subscribers get only the differences.
+func TestPartitionLongerThanTheLog(t *testing.T) {
+	origin := startDiscovery(t, 20)
+	aboveConfig := testConfig(origin.Addr)
+	aboveConfig.LogChanges = 10
+	above, _ := startRelay(t, aboveConfig)
+	link := startBreakableLink(t, above.Addr().String())
+	config := testConfig(link.listener.Addr().String())
+	config.Name, config.StaleAfterMs = "relay-below", 100
+	below, text := startRelay(t, config)
+	s := subscribe(t, below.Addr().String(), "d1")
+	eventually(t, "snapshot", func() bool { return s.hasVersion(1) })
+
+	link.setBroken(true)
+	eventually(t, "the watch ends", func() bool { return strings.Contains(text.String(), "no upstream: ending watches") })
+	eventually(t, "a new watch is rejected", func() bool { _, _, rejected := s.counts(); return rejected > 0 })
+	if line := getLine(t, below.Addr().String(), "name=d2"); line.Version != 1 || len(line.Workers) != 20 {
+		t.Errorf("single call during the partition: version %d, %d workers", line.Version, len(line.Workers))
+	}
+	for i := range 30 {
+		origin.Set(readyWorker(fmt.Sprintf("s-new-%d", i)))
+	}
+	gone := readyWorker("s-00000")
+	gone.Health = "gone"
+	origin.Set(gone)
+	eventually(t, "the relay above has all", above.hasVersion(32))
+	snapshots := above.Status().SentSnapshots
+	link.setBroken(false)
+	eventually(t, "all at the subscriber", func() bool { return s.hasVersion(32) })
+	if above.Status().SentSnapshots == snapshots {
+		t.Error("the relay below got no snapshot")
+	}
+	if workers, _, _ := s.counts(); workers != 49 {
+		t.Errorf("%d workers", workers)
+	}
+	if line := s.lastLine(); line.Snapshot || len(line.Workers) != 31 {
+		t.Errorf("the subscriber got snapshot %v, %d workers", line.Snapshot, len(line.Workers))
+	}
+	origin.Set(readyWorker("s-last"))
+	eventually(t, "a delta after it", func() bool { return s.hasVersion(33) })
+	if line := s.lastLine(); line.Snapshot || len(line.Workers) != 1 {
+		t.Errorf("after the partition: %+v", line)
+	}
+}
+
+// While the upstream flaps, the subscriber's watch stays open and no change is lost.
+func TestUpstreamFlaps(t *testing.T) {
+	origin := startDiscovery(t, 3)
+	r, _ := startRelay(t, testConfig(origin.Addr))
+	s := subscribe(t, r.Addr().String(), "d1")
+	eventually(t, "snapshot", func() bool { return s.hasVersion(1) })
+	for i := range 10 {
+		origin.Down(true)
+		eventually(t, "the loss is seen", func() bool { return r.Status().Upstream == "" })
+		origin.Set(readyWorker(fmt.Sprintf("s-flap-%d", i)))
+		origin.Down(false)
+		eventually(t, "the change", func() bool { return s.hasVersion(int64(2 + i)) })
+	}
+	if workers, opened, _ := s.counts(); workers != 13 || opened != 1 {
+		t.Errorf("%d workers by %d watches", workers, opened)
+	}
+}
+
+// When all upstreams are down at the start, calls are rejected until one is up.
+func TestAllUpstreamsDownAtStart(t *testing.T) {
+	reserved := startScriptedUpstream(t, "127.0.0.1:0", "")
+	address := reserved.address()
+	reserved.stop()
+	other := startScriptedUpstream(t, "127.0.0.1:0", "") // listens and answers 503
+	r, _ := startRelay(t, testConfig(address, other.address()))
+	for _, query := range []string{"", "after=4&name=d1", "watch=1&after=0&name=d1"} {
+		if status, _ := get(t, r.Addr().String(), query); status != http.StatusServiceUnavailable {
+			t.Errorf("%q: status %d", query, status)
+		}
+	}
+	eventually(t, "both are tried", func() bool { return len(other.singleCalls()) > 2 })
+	s := subscribe(t, r.Addr().String(), "d1")
+	eventually(t, "rejection", func() bool { _, _, rejected := s.counts(); return rejected > 0 })
+	startScriptedUpstream(t, address, changeJSON(7, true, workerJSON("x", "ready")))
+	eventually(t, "snapshot", func() bool { return s.hasVersion(7) })
+}
+
+// Invalid JSON and an invalid snapshot leave the last valid state unchanged, and
+// the relay fails over to the next upstream.
+func TestFailoverFromAnUnreadableUpstream(t *testing.T) {
+	unreadable := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(1, true, workerJSON("x", "ready")))
+	valid := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(3, false, workerJSON("x", "draining")))
+	r, text := startRelay(t, testConfig(unreadable.address(), valid.address()))
+	s := subscribe(t, r.Addr().String(), "d1")
+	eventually(t, "snapshot", func() bool { return s.hasVersion(1) })
+	unreadable.setAnswer(func(url.Values) string { return changeJSON(9, true, workerJSON("", "ready")) })
+	w := unreadable.awaitWatch()
+	w.sendLine(`{"seq":2,"whole":false,"hosts":[}`)
+	eventually(t, "the other upstream", func() bool { return s.hasVersion(3) })
+	reset(valid.awaitWatch().conn)
+	eventually(t, "an invalid snapshot is rejected", func() bool { return strings.Contains(text.String(), "hosts[0].host is empty") })
+	if status := r.Status(); status.Version != 3 || status.RejectionCount < 2 {
+		t.Errorf("version %d, %d rejections", status.Version, status.RejectionCount)
+	}
+}
+
+// An invalid list of upstreams changes nothing; a valid one is followed.
+func TestSetUpstreams(t *testing.T) {
+	a := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(1, true, workerJSON("x", "ready")))
+	b := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(2, false, workerJSON("x", "draining")))
+	r, _ := startRelay(t, testConfig(a.address()))
+	s := subscribe(t, r.Addr().String(), "d1")
+	eventually(t, "snapshot", func() bool { return s.hasVersion(1) })
+	if err := r.SetUpstreams([]string{b.address(), "nowhere"}); err == nil || !strings.HasPrefix(err.Error(), "upstreams[1]: ") {
+		t.Errorf("an invalid list: %v", err)
+	}
+	eventually(t, "the first upstream", func() bool { return r.Status().Upstream == a.address() })
+	if err := r.SetUpstreams([]string{b.address()}); err != nil {
+		t.Fatal(err)
+	}
+	eventually(t, "the other upstream", func() bool { return s.hasVersion(2) && r.Status().Upstream == b.address() })
+}
+
+// Relays that may follow each other do not count each other as a working upstream
+// when the origin is down, and all find it again.
+func TestRelaysDoNotFollowEachOther(t *testing.T) {
+	origin := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(1, true, workerJSON("x", "ready")))
+	address := origin.address()
+	relays := make([]*Relay, 3)
+	for i := range relays {
+		config := testConfig(address)
+		config.Name, config.StaleAfterMs = fmt.Sprintf("relay-%d", i), 100
+		relays[i], _ = startRelay(t, config)
+		eventually(t, "snapshot", relays[i].hasVersion(1))
+	}
+	for i, r := range relays {
+		next := relays[(i+1)%len(relays)].Addr().String()
+		if err := r.SetUpstreams([]string{address, next}); err != nil {
+			t.Fatal(err)
+		}
+	}
+	origin.stop()
+	eventually(t, "none has an upstream", func() bool {
+		for _, r := range relays {
+			if status := r.Status(); status.Upstream != "" {
+				return false
+			}
+		}
+		return true
+	})
+	startScriptedUpstream(t, address, changeJSON(2, true, workerJSON("x", "draining")))
+	for _, r := range relays {
+		eventually(t, "the origin again", r.hasVersion(2))
+	}
+}
+
+// An upstream whose changes come by way of this relay is left.
+func TestUpstreamThatFollowsThisRelayIsLeft(t *testing.T) {
+	body := changeJSON(1, true, workerJSON("x", "ready"))
+	loop := startScriptedUpstreamVia(t, "127.0.0.1:0", body, "1.1 another, 1.1 relay-test")
+	valid := startScriptedUpstream(t, "127.0.0.1:0", body)
+	r, _ := startRelay(t, testConfig(loop.address(), valid.address()))
+	go loop.awaitWatch().keepAlive()
+	valid.awaitWatch().sendLine(changeJSON(1, false))
+	eventually(t, "the other upstream", func() bool { return r.Status().Upstream == valid.address() })
+}
+
+func TestVia(t *testing.T) {
+	path := []string{"relay-a", "relay-b"}
+	if got := parseVia([]string{formatVia(path), "HTTP/1.0 proxy"}); !slices.Equal(got, path) {
+		t.Errorf("%q", got)
+	}
+}
+
+// An upstream that is silent for 3 s is left for the next one.
+func TestSilentUpstreamIsLeft(t *testing.T) {
+	a := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(1, true, workerJSON("x", "ready")))
+	b := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(2, false, workerJSON("x", "draining")))
+	r, _ := startRelay(t, testConfig(a.address(), b.address()))
+	s := subscribe(t, r.Addr().String(), "d1")
+	eventually(t, "snapshot", func() bool { return s.hasVersion(1) })
+	a.awaitWatch() // on which nothing is sent
+	eventually(t, "the other upstream", func() bool { return s.hasVersion(2) })
+}
+
+// A relay that starts fetches what changed before its first snapshot, so that
+// subscribers that followed another relay resume by a delta.
+func TestStartBackfillsEarlierChanges(t *testing.T) {
+	asked := make(chan string, 10)
+	origin := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, in *http.Request) {
+		query := in.URL.Query()
+		switch {
+		case query.Get("watch") == "1":
+			io.WriteString(out, changeJSON(3002, false)+"\n")
+			out.(http.Flusher).Flush()
+			<-in.Context().Done()
+		case query.Get("after") == "0":
+			asked <- "snapshot"
+			io.WriteString(out, changeJSON(3000, true, workerJSON("a", "ready"), workerJSON("b", "ready")))
+		default:
+			asked <- query.Get("after")
+			io.WriteString(out, changeJSON(3002, false, workerJSON("b", "draining"), workerJSON("c", "gone")))
+		}
+	}))
+	t.Cleanup(origin.Close)
+	r, _ := startRelay(t, testConfig(origin.Listener.Addr().String()))
+	eventually(t, "the newest version", r.hasVersion(3002))
+	if first, second := <-asked, <-asked; first != "snapshot" || second != "1000" {
+		t.Errorf("asked %s, then after %s", first, second)
+	}
+	line := getLine(t, r.Addr().String(), "after=1500&name=d1")
+	if line.Snapshot || line.Version != 3002 || len(line.Workers) != 2 || line.Workers[0].Health != "draining" {
+		t.Errorf("since 1500: %+v", line)
+	}
+	if line := getLine(t, r.Addr().String(), "after=999&name=d2"); !line.Snapshot || len(line.Workers) != 2 {
+		t.Errorf("since 999: %+v", line)
+	}
+}
--- a/internal/relay/golden_options_test.go
+++ b/internal/relay/golden_options_test.go
@@ -12,19 +12,19 @@
 	"hollyyoke.example/hollyyoke/internal/goldentest"
 )
 
-// Keys, defaults and complaints of the options file.
+// The keys, defaults and error texts of the options file.
 func TestGoldenOptionsFile(t *testing.T) {
 	lines := goldentest.Keys(reflect.TypeFor[Config](), "toml")
 	explain := func(c Config) {
 		var out strings.Builder
 		c.Explain(&out)
-		var told []string
+		var explained []string
 		for line := range strings.Lines(out.String()) {
-			line, _, _ = strings.Cut(line, "#") // what it is for is prose
-			told = append(told, strings.TrimSpace(line))
+			line, _, _ = strings.Cut(line, "#") // the description is prose
+			explained = append(explained, strings.TrimSpace(line))
 		}
-		slices.Sort(told)
-		lines = append(lines, told...)
+		slices.Sort(explained)
+		lines = append(lines, explained...)
 	}
 	explain(Defaults())
 	committed, err := Load(filepath.Join("..", "..", "deploy", "relay.toml"))
--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -15,38 +15,38 @@
 	"time"
 )
 
-// generous is how long a condition may take; no verdict depends on less.
-const generous = 60 * time.Second
+// testTimeout is how long a condition may take. It is generous, since the machine may be loaded.
+const testTimeout = 60 * time.Second
 
 // eventually waits for a condition.
 func eventually(t testing.TB, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(generous); !condition(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("not in time: %s", what)
 		}
 	}
 }
 
-// logText collects a log.
-type logText struct {
+// logBuffer collects a log.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *logText) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-func (l *logText) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-// testConfig is a relay's configuration on a port that the kernel chooses.
+// testConfig returns a configuration with a port that the kernel chooses.
 func testConfig(upstreams ...string) Config {
 	config := Defaults()
 	config.Name, config.Zone, config.Listen, config.Upstreams = "relay-test", "a", "127.0.0.1:0", upstreams
@@ -56,10 +56,10 @@
 	return config
 }
 
-// startRelay starts a relay that ends with the test.
-func startRelay(t testing.TB, config Config) (*Relay, *logText) {
+// startRelay starts a relay that is closed at the end of the test.
+func startRelay(t testing.TB, config Config) (*Relay, *logBuffer) {
 	t.Helper()
-	text := &logText{}
+	text := &logBuffer{}
 	r, err := Start(config, slog.New(slog.NewTextHandler(text, nil)))
 	if err != nil {
 		t.Fatal(err)
@@ -68,39 +68,39 @@
 	return r, text
 }
 
-// testHost is a host as a subscriber reads it.
-type testHost struct {
-	Host   string `json:"host"`
-	Health string `json:"health"`
-	BornMs int64  `json:"born_ms"`
+// testWorker is a listed worker as a subscriber reads it.
+type testWorker struct {
+	Name      string `json:"host"`
+	Health    string `json:"health"`
+	StartedMs int64  `json:"born_ms"`
 }
 
 // testLine is a line as a subscriber reads it.
 type testLine struct {
-	Seq   int64      `json:"seq"`
-	Whole bool       `json:"whole"`
-	Hosts []testHost `json:"hosts"`
+	Version  int64        `json:"seq"`
+	Snapshot bool         `json:"whole"`
+	Workers  []testWorker `json:"hosts"`
 }
 
-// subscriber is a client as a dispatcher is one: it resumes where it was.
+// subscriber is a client that resumes from its last version, as a dispatcher does.
 type subscriber struct {
 	t       *testing.T
 	address string
 	name    string
 
-	mu      sync.Mutex
-	lines   []testLine // all but empty deltas
-	hosts   map[string]testHost
-	version int64
-	opened  int  // watches that were answered 200
-	refused int  // and 503
-	cut     bool // the last watch ended inside a line or without its end
-	wrong   string
+	mu       sync.Mutex
+	lines    []testLine // all but empty deltas
+	workers  map[string]testWorker
+	version  int64
+	opened   int  // watches that were answered with 200
+	rejected int  // and with 503
+	cut      bool // the last watch ended inside a line or without a final chunk
+	failure  string
 }
 
 // subscribe follows a relay until the test ends.
 func subscribe(t *testing.T, address, name string) *subscriber {
-	s := &subscriber{t: t, address: address, name: name, hosts: map[string]testHost{}}
+	s := &subscriber{t: t, address: address, name: name, workers: map[string]testWorker{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -113,14 +113,14 @@
 	t.Cleanup(func() {
 		cancel()
 		<-done
-		if s.wrong != "" {
-			t.Error(s.wrong)
+		if s.failure != "" {
+			t.Error(s.failure)
 		}
 	})
 	return s
 }
 
-// watch makes one call and takes in its lines.
+// watch opens one watch and applies its lines.
 func (s *subscriber) watch(ctx context.Context) {
 	s.mu.Lock()
 	url := fmt.Sprintf("http://%s/v1/servers?watch=1&after=%d&name=%s", s.address, s.version, s.name)
@@ -133,7 +133,7 @@
 	defer response.Body.Close()
 	s.mu.Lock()
 	if response.StatusCode != http.StatusOK {
-		s.refused++
+		s.rejected++
 		s.mu.Unlock()
 		return
 	}
@@ -149,60 +149,60 @@
 			return
 		}
 		if len(bytes.TrimSpace(text)) > 0 {
-			s.take(text)
+			s.applyLine(text)
 		}
 	}
 }
 
-// take applies a line. A line that goes back is a fault.
-func (s *subscriber) take(text []byte) {
+// applyLine applies a line. A version that goes back or is repeated is a failure.
+func (s *subscriber) applyLine(text []byte) {
 	var line testLine
 	err := json.Unmarshal(text, &line)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case err != nil:
-		s.wrong = fmt.Sprintf("unreadable line %q: %v", text, err)
+		s.failure = fmt.Sprintf("unreadable line %q: %v", text, err)
 		return
-	case line.Seq < s.version:
-		s.wrong = fmt.Sprintf("version %d after %d", line.Seq, s.version)
+	case line.Version < s.version:
+		s.failure = fmt.Sprintf("version %d after %d", line.Version, s.version)
 		return
-	case line.Seq == s.version && len(line.Hosts) > 0:
-		s.wrong = fmt.Sprintf("version %d twice", line.Seq)
+	case line.Version == s.version && len(line.Workers) > 0:
+		s.failure = fmt.Sprintf("version %d repeated", line.Version)
 		return
 	}
-	if line.Whole {
-		clear(s.hosts)
+	if line.Snapshot {
+		clear(s.workers)
 	}
-	for _, host := range line.Hosts {
-		if s.hosts[host.Host] = host; host.Health == "gone" {
-			delete(s.hosts, host.Host)
+	for _, host := range line.Workers {
+		if s.workers[host.Name] = host; host.Health == "gone" {
+			delete(s.workers, host.Name)
 		}
 	}
-	if s.version = line.Seq; line.Whole || len(line.Hosts) > 0 {
+	if s.version = line.Version; line.Snapshot || len(line.Workers) > 0 {
 		s.lines = append(s.lines, line)
 	}
 }
 
-// at tells whether it has come to a version.
-func (s *subscriber) at(version int64) bool {
+// hasVersion reports whether the subscriber has exactly that version.
+func (s *subscriber) hasVersion(version int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.version == version
 }
 
-// seen are the versions of the lines that held something.
-func (s *subscriber) seen() (versions []int64) {
+// seenVersions returns the versions of the lines that were not empty.
+func (s *subscriber) seenVersions() (versions []int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, line := range s.lines {
-		versions = append(versions, line.Seq)
+		versions = append(versions, line.Version)
 	}
 	return versions
 }
 
-// last is the newest line that held something.
-func (s *subscriber) last() testLine {
+// lastLine returns the newest line that was not empty.
+func (s *subscriber) lastLine() testLine {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lines[len(s.lines)-1]
@@ -211,16 +211,16 @@
 func (s *subscriber) health(host string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.hosts[host].Health
+	return s.workers[host].Health
 }
 
-func (s *subscriber) counts() (hosts, opened, refused int) {
+func (s *subscriber) counts() (workers, opened, rejected int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.hosts), s.opened, s.refused
+	return len(s.workers), s.opened, s.rejected
 }
 
-// get makes a plain call and returns its status and body.
+// get makes a single call and returns its status and body.
 func get(t *testing.T, address, query string) (int, []byte) {
 	t.Helper()
 	response, err := http.Get("http://" + address + "/v1/servers?" + query)
@@ -235,7 +235,7 @@
 	return response.StatusCode, body
 }
 
-// getLine makes a plain call that must be answered.
+// getLine makes a single call that must succeed.
 func getLine(t *testing.T, address, query string) testLine {
 	t.Helper()
 	status, body := get(t, address, query)
--- a/internal/relay/messages.go
+++ b/internal/relay/messages.go
@@ -8,12 +8,11 @@
 	"hollyyoke.example/hollyyoke/internal/membership"
 )
 
-// This file owns what other goroutines ask of the one that owns the state.
-
-// message is handled on the state's goroutine.
+// message is a request to the goroutine that owns the state, on which handle runs.
+// Reply channels have a buffer of one, so that handle never blocks.
 type message interface{ handle(*state) }
 
-// send hands a message over; false: the relay has ended.
+// send passes a message to the state's goroutine; false if that has ended.
 func (s *state) send(m message) bool {
 	select {
 	case s.messages <- m:
@@ -23,101 +22,106 @@
 	}
 }
 
-// openMessage asks for a watch.
-type openMessage struct {
-	name  string
-	after membership.Version
-	relay bool           // the caller is a relay
-	reply chan openReply // has room for one
+// openWatchMessage opens a watch.
+type openWatchMessage struct {
+	name    string
+	after   membership.Version
+	isRelay bool // the caller is a relay
+	reply   chan openWatchReply
 }
 
-type openReply struct {
-	id    membership.SubscriberID
-	watch *watch
-	path  []string // the relays that changes came by, this one first
-	err   error
+type openWatchReply struct {
+	id        membership.SubscriberID
+	watch     *watch
+	relayPath []string // the relays that changes come by, this one first
+	err       error
 }
 
-func (m openMessage) handle(s *state) {
-	id, w, err := s.openWatch(m.name, m.after)
+func (m openWatchMessage) handle(s *state) {
+	id, opened, err := s.openWatch(m.name, m.after)
 	if err == nil {
-		w.relay = m.relay
+		opened.isRelay = m.isRelay
 	}
-	m.reply <- openReply{id, w, append([]string{s.config.Name}, s.path...), err}
+	path := append([]string{s.config.Name}, s.relayPath...)
+	m.reply <- openWatchReply{id, opened, path, err}
 }
 
-// writtenMessage tells that a watch's line has been written.
-type writtenMessage struct {
-	id    membership.SubscriberID
-	line  *body
-	bytes int
+// lineWrittenMessage says that a line of a watch has been written.
+type lineWrittenMessage struct {
+	id     membership.SubscriberID
+	change *encodedChange
+	bytes  int
 }
 
-func (m writtenMessage) handle(s *state) {
-	s.counters.count(m.line, m.bytes)
+func (m lineWrittenMessage) handle(s *state) {
+	s.counters.recordSent(m.change, m.bytes)
 	now := s.now()
 	s.subscribers.Sent(now, m.id, m.bytes)
-	if wait, pending := s.subscribers.Wait(now, m.id); pending {
+	wait, pending := s.subscribers.Wait(now, m.id)
+	if pending {
 		s.scanAt(now + max(wait, scanInterval))
 	}
 }
 
-// closedMessage tells that a watch's handler has returned.
-type closedMessage struct{ id membership.SubscriberID }
+// watchClosedMessage says that a watch's handler has returned.
+type watchClosedMessage struct{ id membership.SubscriberID }
 
-func (m closedMessage) handle(s *state) {
-	if w := s.watches[m.id]; w != nil {
-		s.remove(m.id, w)
+func (m watchClosedMessage) handle(s *state) {
+	closed := s.watches[m.id]
+	if closed != nil {
+		s.removeWatch(m.id, closed)
 	}
 }
 
-// callMessage is a plain call: the acknowledgement of version after, and the
+// callMessage is a single call: the acknowledgement of version after, and the
 // request for what the caller lacks.
 type callMessage struct {
-	name  string
-	after membership.Version
-	acked membership.Version // by the fleet below the caller, where it is a relay
-	fleet int                // live subscribers below it
-	relay bool               // it speaks for a fleet, not for itself
-	gzip  bool               // it takes compressed answers
-	reply chan callReply     // has room for one
+	name             string
+	after            membership.Version
+	isRelay          bool               // it speaks for the subscribers below it, not for itself
+	ackedBelow       membership.Version // by all subscribers below a relay
+	subscribersBelow int                // live subscribers below a relay
+	acceptsGzip      bool
+	reply            chan callReply
 }
 
 type callReply struct {
-	line *body
-	err  error
+	change *encodedChange
+	err    error
 }
 
 func (m callMessage) handle(s *state) {
-	line, err := s.answer(m.name, m.after)
-	if p := s.peers[m.name]; p != nil {
-		p.fetches = m.gzip
+	change, err := s.answerCall(m.name, m.after)
+	caller := s.peers[m.name]
+	if caller != nil {
+		caller.acceptsGzip = m.acceptsGzip
 	}
 	if err == nil && m.name != "" {
 		m.acknowledge(s)
 	}
-	m.reply <- callReply{line, err}
+	m.reply <- callReply{change, err}
 }
 
 func (m callMessage) acknowledge(s *state) {
-	if m.relay {
-		s.acks.Acknowledge(s.now(), m.name, min(m.acked, m.after), m.fleet)
+	if m.isRelay {
+		s.acks.Acknowledge(s.now(), m.name, min(m.ackedBelow, m.after), m.subscribersBelow)
 		return
 	}
 	s.acks.Acknowledge(s.now(), m.name, m.after, 1)
 }
 
-// answeredMessage tells that a plain call's answer has been written.
-type answeredMessage struct {
-	name  string
-	line  *body
-	bytes int
+// callAnsweredMessage says that the response to a single call has been written.
+type callAnsweredMessage struct {
+	name   string
+	change *encodedChange
+	bytes  int
 }
 
-func (m answeredMessage) handle(s *state) {
-	s.counters.count(m.line, m.bytes)
-	if p := s.peers[m.name]; p != nil {
-		p.pace.Spend(s.now(), m.bytes)
+func (m callAnsweredMessage) handle(s *state) {
+	s.counters.recordSent(m.change, m.bytes)
+	caller := s.peers[m.name]
+	if caller != nil {
+		caller.limiter.Spend(s.now(), m.bytes)
 	}
 }
 
@@ -126,89 +130,89 @@
 
 func (m statusMessage) handle(s *state) { m.reply <- s.status() }
 
-// changeMessage brings a change from upstream.
-type changeMessage struct {
+// applyMessage brings a change from upstream.
+type applyMessage struct {
 	change   membership.Change
 	upstream string
-	reply    chan changeReply // has room for one
+	reply    chan applyReply
 }
 
-type changeReply struct {
-	outcome membership.Outcome
-	version membership.Version // of the state, afterwards
-	err     error
+type applyReply struct {
+	outcome      membership.Outcome
+	stateVersion membership.Version // after the change
+	err          error
 }
 
-func (m changeMessage) handle(s *state) { m.reply <- s.apply(m.change, m.upstream) }
+func (m applyMessage) handle(s *state) { m.reply <- s.apply(m.change, m.upstream) }
 
-// apply takes in a change from upstream.
-func (s *state) apply(change membership.Change, upstream string) changeReply {
+// apply applies a change from upstream.
+func (s *state) apply(change membership.Change, upstream string) applyReply {
 	before := s.store.Version()
 	outcome, err := s.store.Apply(change)
 	switch outcome {
 	case membership.Applied:
-		s.ready = true
-		s.changed(s.now(), s.urgentSince(before))
+		s.hasSnapshot = true
+		s.onStoreChanged(s.now(), s.urgentSince(before))
 	case membership.Rejected:
-		if !errors.Is(err, membership.ErrGap) { // a gap is asked for again
-			s.refuse(upstream, change.Version, err)
+		if !errors.Is(err, membership.ErrGap) { // a gap is filled by the next call
+			s.recordRejection(upstream, change.Version, err)
 		}
 	}
-	return changeReply{outcome, s.store.Version(), err}
+	return applyReply{outcome, s.store.Version(), err}
+}
+
+// urgentSince reports whether an urgent record has changed since a version.
+func (s *state) urgentSince(before membership.Version) bool {
+	if s.store.NeedsSnapshot(before) {
+		return true // what changed is not known
+	}
+	change, _ := s.store.Since(before)
+	return change.Urgent()
 }
 
-// beginMessage brings the first snapshot, and with it what had changed in the
-// versions before, where upstream tells that.
-type beginMessage struct {
+// bootstrapMessage brings the first snapshot, and what changed in the versions
+// before it, where upstream has that.
+type bootstrapMessage struct {
 	snapshot membership.Change
-	backfill membership.Change // its Base 0: there is none
+	backfill membership.Change // with Base 0: there is none
 	upstream string
-	reply    chan changeReply // has room for one
+	reply    chan applyReply
 }
 
-func (m beginMessage) handle(s *state) {
+func (m bootstrapMessage) handle(s *state) {
 	reply := s.apply(m.snapshot, m.upstream)
 	if reply.outcome == membership.Applied && m.backfill.Base > 0 && s.store.Backfill(m.backfill) {
-		s.changed(s.now(), false) // nobody subscribes yet
-		reply.version = s.store.Version()
+		s.onStoreChanged(s.now(), false) // there are no subscribers yet
+		reply.stateVersion = s.store.Version()
 	}
 	m.reply <- reply
 }
 
-// urgentSince tells whether an urgent record has changed since a version.
-func (s *state) urgentSince(before membership.Version) bool {
-	if s.store.NeedsSnapshot(before) {
-		return true // what changed is not known
-	}
-	change, _ := s.store.Since(before)
-	return change.Urgent()
-}
-
-// refusedMessage tells of a line that could not be read, or whose field is
-// wrong. version is 0 where not even that could be read.
-type refusedMessage struct {
-	version  membership.Version
-	whole    bool
-	upstream string
-	reason   error
+// rejectedMessage says that a line from upstream could not be read, or holds an
+// invalid field. version is 0 where not even that could be read.
+type rejectedMessage struct {
+	version    membership.Version
+	isSnapshot bool
+	upstream   string
+	reason     error
 }
 
-func (m refusedMessage) handle(s *state) {
-	s.refuse(m.upstream, m.version, m.reason)
-	if s.ready && !m.whole && m.version > s.store.Version() {
+func (m rejectedMessage) handle(s *state) {
+	s.recordRejection(m.upstream, m.version, m.reason)
+	if s.hasSnapshot && !m.isSnapshot && m.version > s.store.Version() {
 		s.store.Reject(m.version)
-		s.changed(s.now(), false)
+		s.onStoreChanged(s.now(), false)
 	}
 }
 
-// positionMessage asks where this relay and the fleet below it stand.
+// positionMessage asks for the versions of this relay and of the subscribers below it.
 type positionMessage struct{ reply chan position }
 
 type position struct {
-	version membership.Version // in force
-	resume  membership.Version // to ask upstream after
-	acked   membership.Version // by all live subscribers
-	fleet   int
+	version          membership.Version // of the state
+	resumeVersion    membership.Version // see membership.Store
+	ackedBelow       membership.Version // by all live subscribers
+	subscribersBelow int
 }
 
 func (m positionMessage) handle(s *state) {
@@ -216,31 +220,32 @@
 	m.reply <- position{s.store.Version(), s.store.ResumeVersion(), summary.Lowest, summary.Subscribers}
 }
 
-// upstreamMessage tells that an upstream brings changes, by way of the relays
-// named, the nearest first. An empty address: none does.
-type upstreamMessage struct {
-	address string
-	path    []string
+// upstreamChangedMessage says that an upstream delivers changes, by way of the
+// relays in relayPath, the nearest first. With an empty address none does.
+type upstreamChangedMessage struct {
+	address   string
+	relayPath []string
 }
 
-func (m upstreamMessage) handle(s *state) {
-	if m.address != "" && !slices.Equal(m.path, s.path) {
-		s.path = m.path
+func (m upstreamChangedMessage) handle(s *state) {
+	if m.address != "" && !slices.Equal(m.relayPath, s.relayPath) {
+		s.relayPath = m.relayPath
 		s.endRelayWatches()
 	}
 	if m.address == s.upstream {
 		return
 	}
 	if m.address == "" {
-		s.upstreamLost = s.now()
+		s.upstreamLostAt = s.now()
 	}
-	s.upstream, s.upstreamSince = m.address, time.Now()
+	s.upstream = m.address
+	s.upstreamSince = time.Now()
 }
 
-// endMessage has the watches end in order and further calls refused.
-type endMessage struct{}
+// closeMessage ends the watches, and makes the state reject further calls.
+type closeMessage struct{}
 
-func (endMessage) handle(s *state) {
-	s.ending = true
+func (closeMessage) handle(s *state) {
+	s.closing = true
 	s.endWatches()
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,12 +1,15 @@
-// Package relay is a relay of versioned membership and configuration: a client
-// of discovery, or of another relay, upstream, and discovery's snapshot and
-// watch downstream. One for each zone stands between the origin and the zone's
-// dispatchers, so that the origin's load does not grow with the fleet.
+// Package relay implements a relay of versioned membership and configuration. It
+// is a client of discovery, or of another relay, upstream, and serves discovery's
+// snapshot and watch protocol downstream. One relay for each zone stands between
+// the origin and the zone's dispatchers, so that the origin's load does not grow
+// with the number of dispatchers.
 //
-// What replaces what, what a subscriber lacks and when it is sent is decided by
-// package membership; this package owns sockets, files and the one goroutine
-// that owns the state. It must never change a version, show a part of a change,
-// or keep a queue for a subscriber.
+// Package membership decides which change replaces which, what a subscriber lacks
+// and when it is sent. This package has the sockets, the options file and the
+// goroutine that owns the state; all other goroutines send that one messages.
+//
+// A relay passes versions on unchanged, applies and forwards changes completely
+// or not at all, and keeps no queue for a subscriber.
 package relay
 
 import (
@@ -21,26 +24,26 @@
 	"time"
 )
 
-// endTimeout is how long open answers may take after Close has been called.
-const endTimeout = 5 * time.Second
+// shutdownTimeout is how long open responses may take after Close has been called.
+const shutdownTimeout = 5 * time.Second
 
 // Relay is a running relay. Its methods are safe for concurrent use.
 type Relay struct {
-	state    *state
-	follower *follower
-	servers  []*http.Server
-	addr     net.Addr
-	admin    net.Addr
+	state        *state
+	follower     *follower
+	servers      []*http.Server
+	address      net.Addr
+	adminAddress net.Addr // nil: the admin API is off
 
-	cancel    context.CancelFunc // ends the follower
-	followed  chan struct{}      // closed when it has ended
-	stopState chan struct{}
-	closing   sync.Once
-	closed    error
+	cancel       context.CancelFunc // ends the follower
+	followerDone chan struct{}      // closed when the follower has returned
+	stopState    chan struct{}
+	closeOnce    sync.Once
+	closeErr     error
 }
 
-// Start listens and starts to follow the first upstream. Until it has a first
-// snapshot, calls are answered 503.
+// Start listens and starts to follow the first upstream. Until the relay has a
+// first snapshot it answers calls with status 503.
 func Start(config Config, log *slog.Logger) (*Relay, error) {
 	if err := config.Check(); err != nil {
 		return nil, err
@@ -49,54 +52,63 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{state: newState(config, log), addr: listener.Addr(), followed: make(chan struct{}), stopState: make(chan struct{})}
+	started := &Relay{
+		state:        newState(config, log),
+		address:      listener.Addr(),
+		followerDone: make(chan struct{}),
+		stopState:    make(chan struct{}),
+	}
 	if config.AdminAddr != "" {
 		adminListener, err := net.Listen("tcp", config.AdminAddr)
 		if err != nil {
 			listener.Close()
 			return nil, err
 		}
-		r.admin = adminListener.Addr()
-		r.serve(&boundedListener{Listener: adminListener, limit: otherCalls}, admin{r.state})
+		started.adminAddress = adminListener.Addr()
+		started.serve(&boundedListener{Listener: adminListener, limit: extraConnections}, adminHandler{started.state})
 	}
-	connections := int64(2*config.MaxSubscribers + otherCalls)
-	r.serve(&boundedListener{Listener: listener, limit: connections}, &handler{r.state, milliseconds(config.WriteTimeoutMs)})
-	r.follower = newFollower(r.state, config, log)
+	maxConnections := int64(2*config.MaxSubscribers + extraConnections)
+	subscriberHandler := &handler{started.state, milliseconds(config.WriteTimeoutMs)}
+	started.serve(&boundedListener{Listener: listener, limit: maxConnections}, subscriberHandler)
+	started.follower = newFollower(started.state, config, log)
 	ctx, cancel := context.WithCancel(context.Background())
-	r.cancel = cancel
-	go r.state.run(r.stopState)
+	started.cancel = cancel
+	go started.state.run(started.stopState)
 	go func() {
-		defer close(r.followed)
-		r.follower.run(ctx)
+		defer close(started.followerDone)
+		started.follower.run(ctx)
 	}()
-	return r, nil
+	return started, nil
 }
 
 func (r *Relay) serve(listener net.Listener, handler http.Handler) {
 	server := &http.Server{
-		Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: mostHeader,
-		ErrorLog: log.New(io.Discard, "", 0), // what peers do wrong is not this relay's fault
+		Handler:           handler,
+		ReadHeaderTimeout: headerTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ErrorLog:          log.New(io.Discard, "", 0), // clients' errors are not logged
 	}
 	r.servers = append(r.servers, server)
 	go server.Serve(listener)
 }
 
-// Addr is where subscribers are served.
-func (r *Relay) Addr() net.Addr { return r.addr }
+// Addr returns the address where subscribers are served.
+func (r *Relay) Addr() net.Addr { return r.address }
 
-// AdminAddr is where the admin API is served; nil: it is off.
-func (r *Relay) AdminAddr() net.Addr { return r.admin }
+// AdminAddr returns the address of the admin API; nil if it is off.
+func (r *Relay) AdminAddr() net.Addr { return r.adminAddress }
 
-// Status is what the admin API tells.
+// Status returns what the admin API answers. It is zero after Close.
 func (r *Relay) Status() Status {
-	ask := statusMessage{make(chan Status, 1)}
-	if !r.state.send(ask) {
+	request := statusMessage{make(chan Status, 1)}
+	if !r.state.send(request) {
 		return Status{}
 	}
-	return <-ask.reply
+	return <-request.reply
 }
 
-// SetUpstreams replaces the list of upstreams. The present one is kept if it is
+// SetUpstreams replaces the list of upstreams. The current one is kept if it is
 // still listed. An error changes nothing.
 func (r *Relay) SetUpstreams(upstreams []string) error {
 	if err := checkUpstreams(upstreams); err != nil {
@@ -104,23 +116,23 @@
 	}
 	select {
 	case r.follower.servers <- upstreams:
-	case <-r.followed:
+	case <-r.followerDone:
 	}
 	return nil
 }
 
-// Close ends watches in order, refuses further calls and waits until all is
-// answered, for a bounded time.
+// Close ends the watches, rejects further calls and waits, for a bounded time,
+// until all responses have been written.
 func (r *Relay) Close() error {
-	r.closing.Do(func() { r.closed = r.close() })
-	return r.closed
+	r.closeOnce.Do(func() { r.closeErr = r.close() })
+	return r.closeErr
 }
 
 func (r *Relay) close() error {
 	r.cancel()
-	<-r.followed
-	r.state.send(endMessage{})
-	ctx, cancel := context.WithTimeout(context.Background(), endTimeout)
+	<-r.followerDone
+	r.state.send(closeMessage{})
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	var failed error
 	for _, server := range r.servers {
--- /dev/null
+++ b/internal/relay/scripted_upstream_test.go
@@ -0,0 +1,172 @@
+package relay
+
+import (
+	"bufio"
+	"fmt"
+	"net"
+	"net/http"
+	"net/url"
+	"strconv"
+	"sync"
+	"testing"
+	"time"
+)
+
+// scriptedUpstream is an upstream that a test controls step by step, on raw
+// sockets. It shares no code with the relay.
+type scriptedUpstream struct {
+	t        testing.TB
+	listener net.Listener
+	watches  chan *scriptedWatch // each watch that is opened
+	via      string              // header of its watches; set before the first call
+
+	mu     sync.Mutex
+	answer func(url.Values) string // a single call's body; empty: 503
+	calls  []url.Values            // single calls
+	conns  map[net.Conn]bool
+}
+
+// scriptedWatch is a watch that a relay has opened.
+type scriptedWatch struct {
+	conn  net.Conn
+	query url.Values
+}
+
+// startScriptedUpstream starts one at an address that answers all single calls with body.
+func startScriptedUpstream(t testing.TB, address, body string) *scriptedUpstream {
+	t.Helper()
+	return startScriptedUpstreamVia(t, address, body, "1.1 another")
+}
+
+// startScriptedUpstreamVia starts one whose watches have that Via header.
+func startScriptedUpstreamVia(t testing.TB, address, body, via string) *scriptedUpstream {
+	t.Helper()
+	listener, err := net.Listen("tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	u := &scriptedUpstream{t: t, listener: listener, via: via, watches: make(chan *scriptedWatch, 100), conns: map[net.Conn]bool{}}
+	u.setAnswer(func(url.Values) string { return body })
+	go u.accept()
+	t.Cleanup(u.stop)
+	return u
+}
+
+// awaitWatch waits for a relay to open a watch.
+func (u *scriptedUpstream) awaitWatch() *scriptedWatch {
+	u.t.Helper()
+	select {
+	case w := <-u.watches:
+		return w
+	case <-time.After(testTimeout):
+		u.t.Fatal("no watch is opened")
+		return nil
+	}
+}
+
+func (u *scriptedUpstream) address() string { return u.listener.Addr().String() }
+
+// setAnswer sets what single calls are answered with.
+func (u *scriptedUpstream) setAnswer(answer func(url.Values) string) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.answer = answer
+}
+
+// stop closes the listener and resets all connections.
+func (u *scriptedUpstream) stop() {
+	u.listener.Close()
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	for conn := range u.conns {
+		reset(conn)
+	}
+}
+
+func reset(conn net.Conn) {
+	conn.(*net.TCPConn).SetLinger(0)
+	conn.Close()
+}
+
+func (u *scriptedUpstream) accept() {
+	for {
+		conn, err := u.listener.Accept()
+		if err != nil {
+			return
+		}
+		u.mu.Lock()
+		u.conns[conn] = true
+		u.mu.Unlock()
+		go u.serve(conn)
+	}
+}
+
+func (u *scriptedUpstream) serve(conn net.Conn) {
+	in := bufio.NewReader(conn)
+	for {
+		request, err := http.ReadRequest(in)
+		if err != nil {
+			return
+		}
+		query := request.URL.Query()
+		if query.Get("watch") == "1" {
+			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nVia: %s\r\nTransfer-Encoding: chunked\r\n\r\n", u.via)
+			u.watches <- &scriptedWatch{conn, query}
+			return
+		}
+		u.mu.Lock()
+		u.calls = append(u.calls, query)
+		body := u.answer(query)
+		u.mu.Unlock()
+		status := "200 OK"
+		if body == "" {
+			status = "503 Service Unavailable"
+		}
+		fmt.Fprintf(conn, "HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
+	}
+}
+
+// singleCalls returns the single calls that have arrived.
+func (u *scriptedUpstream) singleCalls() []url.Values {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return append([]url.Values{}, u.calls...)
+}
+
+// sendLine sends a line as a chunk.
+func (w *scriptedWatch) sendLine(text string) {
+	text += "\n"
+	fmt.Fprintf(w.conn, "%x\r\n%s\r\n", len(text), text)
+}
+
+// keepAlive sends heartbeats until the relay has disconnected.
+func (w *scriptedWatch) keepAlive() {
+	for {
+		if _, err := fmt.Fprint(w.conn, "1\r\n\n\r\n"); err != nil {
+			return
+		}
+		time.Sleep(100 * time.Millisecond)
+	}
+}
+
+// partialLine sends the first bytes of a line, in a chunk of the complete line's length.
+func (w *scriptedWatch) partialLine(text string, count int) {
+	fmt.Fprintf(w.conn, "%x\r\n%s", len(text)+1, text[:count])
+}
+
+// workerJSON returns a listed worker.
+func workerJSON(name, health string) string {
+	return fmt.Sprintf(`{"host":%q,"dial":"10.0.0.1:80","site":"a","class":"m2","block":3,"health":%q,"share":1,"born_ms":0}`, name, health)
+}
+
+// changeJSON returns a snapshot or delta.
+func changeJSON(version int, isSnapshot bool, workers ...string) string {
+	text := `{"seq":` + strconv.Itoa(version) + `,"whole":` + strconv.FormatBool(isSnapshot) + `,"hosts":[`
+	for i, host := range workers {
+		if i > 0 {
+			text += ","
+		}
+		text += host
+	}
+	return text + "]}"
+}
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -1,124 +1,131 @@
 package relay
 
 import (
-	"encoding/json"
 	"errors"
-	"net"
 	"net/http"
 	"strconv"
 	"strings"
-	"sync/atomic"
 	"time"
 
 	"hollyyoke.example/hollyyoke/internal/membership"
 )
 
-// This file owns discovery's forms towards subscribers. Handlers keep no state:
-// what a subscriber is sent, and when, is decided by the state's goroutine.
-
 const (
-	heartbeat     = 1500 * time.Millisecond // between lines of a watch; subscribers expect one every 2 s
-	headerTimeout = 5 * time.Second
-	idleTimeout   = 2 * time.Minute
-	mostHeader    = 8 << 10   // bytes
-	sendBuffer    = 256 << 10 // bytes in the kernel for one subscriber
-	otherCalls    = 64        // connections beyond two for each subscriber
+	heartbeatInterval = 1500 * time.Millisecond // between lines of a watch; subscribers expect one every 2 s
+	headerTimeout     = 5 * time.Second
+	idleTimeout       = 2 * time.Minute
+	maxHeaderBytes    = 8 << 10
+
+	minGzipBytes       = 512 // shorter responses are not compressed
+	responseHeadBytes  = 160 // counted for a response's head by the rate limit
+	chunkOverheadBytes = 10  // counted for a chunk's framing by the rate limit
+
+	maxVersion          = 1 << 62 // in a query
+	maxSubscribersBelow = 1 << 30 // in a query
 )
 
-// handler answers subscribers.
+// handler serves discovery's protocol to subscribers. It has no state of its own:
+// the state's goroutine decides what a subscriber is sent, and when.
 type handler struct {
 	state        *state
 	writeTimeout time.Duration
 }
 
-func (h *handler) ServeHTTP(out http.ResponseWriter, in *http.Request) {
+// ServeHTTP answers a watch or a single call.
+func (h *handler) ServeHTTP(response http.ResponseWriter, request *http.Request) {
 	switch {
-	case in.URL.Path != "/v1/servers":
-		http.NotFound(out, in)
+	case request.URL.Path != "/v1/servers":
+		http.NotFound(response, request)
 		return
-	case in.Method != http.MethodGet:
-		out.Header().Set("Allow", http.MethodGet)
-		http.Error(out, "only GET", http.StatusMethodNotAllowed)
+	case request.Method != http.MethodGet:
+		response.Header().Set("Allow", http.MethodGet)
+		http.Error(response, "only GET", http.StatusMethodNotAllowed)
 		return
-	case in.ContentLength != 0:
-		out.Header().Set("Connection", "close")
-		http.Error(out, "no body is expected", http.StatusRequestEntityTooLarge)
+	case request.ContentLength != 0:
+		response.Header().Set("Connection", "close")
+		http.Error(response, "no body is expected", http.StatusRequestEntityTooLarge)
 		return
 	}
-	call, err := parseCall(in)
+	call, err := parseCall(request)
 	if err != nil {
-		http.Error(out, err.Error(), http.StatusBadRequest)
+		http.Error(response, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if in.URL.Query().Get("watch") == "1" {
-		h.watch(out, in, call)
+	if request.URL.Query().Get("watch") == "1" {
+		h.watch(response, request, call)
 		return
 	}
-	h.call(out, in, call)
+	h.call(response, request, call)
 }
 
 // parseCall reads a call's query. An error names the parameter.
-func parseCall(in *http.Request) (call callMessage, err error) {
-	query := in.URL.Query()
+func parseCall(request *http.Request) (call callMessage, err error) {
+	query := request.URL.Query()
 	call.name = query.Get("name")
 	if call.name != "" {
 		if err := checkName(call.name); err != nil {
 			return call, errors.New("name: " + err.Error())
 		}
 	}
-	number := func(key string, most int64) int64 {
-		text := query.Get(key)
-		if text == "" || err != nil {
-			return 0
-		}
-		n, e := strconv.ParseInt(text, 10, 64)
-		if e != nil || n < 0 || n > most {
-			err = errors.New(key + ": not a number from 0 to " + strconv.FormatInt(most, 10))
-			return 0
-		}
-		return n
+	after, err := parseNumber("after", query.Get("after"), maxVersion)
+	if err != nil {
+		return call, err
 	}
-	const mostFleet = 1 << 30
-	call.after = membership.Version(number("after", 1<<62))
-	call.acked = membership.Version(number("acked", 1<<62))
-	call.relay = query.Has("fleet")
-	call.fleet = int(number("fleet", mostFleet))
-	return call, err
+	acked, err := parseNumber("acked", query.Get("acked"), maxVersion)
+	if err != nil {
+		return call, err
+	}
+	subscribersBelow, err := parseNumber("fleet", query.Get("fleet"), maxSubscribersBelow)
+	if err != nil {
+		return call, err
+	}
+	call.after = membership.Version(after)
+	call.ackedBelow = membership.Version(acked)
+	call.isRelay = query.Has("fleet")
+	call.subscribersBelow = int(subscribersBelow)
+	return call, nil
 }
 
-// call answers a plain call: a snapshot, or what the caller lacks.
-func (h *handler) call(out http.ResponseWriter, in *http.Request, call callMessage) {
+// parseNumber reads a parameter from 0 to maximum; an empty text is 0.
+func parseNumber(parameter, text string, maximum int64) (int64, error) {
+	if text == "" {
+		return 0, nil
+	}
+	number, err := strconv.ParseInt(text, 10, 64)
+	if err != nil || number < 0 || number > maximum {
+		return 0, errors.New(parameter + ": not a number from 0 to " + strconv.FormatInt(maximum, 10))
+	}
+	return number, nil
+}
+
+// call answers a single call with a snapshot, or with what the caller lacks.
+func (h *handler) call(response http.ResponseWriter, request *http.Request, call callMessage) {
 	call.reply = make(chan callReply, 1)
-	call.gzip = acceptsGzip(in)
+	call.acceptsGzip = acceptsGzip(request)
 	if !h.state.send(call) {
-		refuse(out, errEnding)
+		respondUnavailable(response, errClosing)
 		return
 	}
 	answer := <-call.reply
 	if answer.err != nil {
-		refuse(out, answer.err)
+		respondUnavailable(response, answer.err)
 		return
 	}
-	text := answer.line.line()
-	out.Header().Set("Content-Type", "application/json")
-	if call.gzip && len(text) > gzipFrom {
-		text = answer.line.gzip()
-		out.Header().Set("Content-Encoding", "gzip")
+	body := answer.change.json()
+	response.Header().Set("Content-Type", "application/json")
+	if call.acceptsGzip && len(body) > minGzipBytes {
+		body = answer.change.gzipJSON()
+		response.Header().Set("Content-Encoding", "gzip")
 	}
-	out.Header().Set("Content-Length", strconv.Itoa(len(text)))
-	if h.write(out, text) == nil {
-		h.state.send(answeredMessage{call.name, answer.line, len(text) + headBytes})
+	response.Header().Set("Content-Length", strconv.Itoa(len(body)))
+	if err := h.write(response, body); err != nil {
+		return
 	}
+	h.state.send(callAnsweredMessage{call.name, answer.change, len(body) + responseHeadBytes})
 }
 
-const (
-	gzipFrom  = 512 // bytes; less is not worth it
-	headBytes = 160 // of an answer, as counted for the byte bound
-	lineBytes = 10  // around a chunk, as counted for the byte bound
-)
-
-func acceptsGzip(in *http.Request) bool {
-	for coding := range strings.SplitSeq(in.Header.Get("Accept-Encoding"), ",") {
+func acceptsGzip(request *http.Request) bool {
+	for coding := range strings.SplitSeq(request.Header.Get("Accept-Encoding"), ",") {
 		name, parameters, _ := strings.Cut(coding, ";")
 		if strings.TrimSpace(name) == "gzip" {
 			return strings.ReplaceAll(parameters, " ", "") != "q=0"
@@ -127,146 +134,72 @@
 	return false
 }
 
-// refuse answers 503: the caller tries another server.
-func refuse(out http.ResponseWriter, reason error) {
-	http.Error(out, reason.Error(), http.StatusServiceUnavailable)
+// respondUnavailable answers with status 503, so that the caller fails over.
+func respondUnavailable(response http.ResponseWriter, reason error) {
+	http.Error(response, reason.Error(), http.StatusServiceUnavailable)
 }
 
-// write sends bytes within the time for it.
-func (h *handler) write(out http.ResponseWriter, text []byte) error {
-	control := http.NewResponseController(out)
+// write writes and flushes a part of a response's body within the write timeout.
+func (h *handler) write(response http.ResponseWriter, body []byte) error {
+	control := http.NewResponseController(response)
 	if err := control.SetWriteDeadline(time.Now().Add(h.writeTimeout)); err != nil {
 		return err
 	}
-	if _, err := out.Write(text); err != nil {
+	if _, err := response.Write(body); err != nil {
 		return err
 	}
 	return control.Flush()
 }
 
 // watch answers with changes as they come, until the caller leaves, reads too
-// slowly, or the state ends it.
-func (h *handler) watch(out http.ResponseWriter, in *http.Request, call callMessage) {
-	open := openMessage{name: call.name, after: call.after, relay: call.relay, reply: make(chan openReply, 1)}
+// slowly, or the state ends the watch.
+func (h *handler) watch(response http.ResponseWriter, request *http.Request, call callMessage) {
+	open := openWatchMessage{
+		name:    call.name,
+		after:   call.after,
+		isRelay: call.isRelay,
+		reply:   make(chan openWatchReply, 1),
+	}
 	if !h.state.send(open) {
-		refuse(out, errEnding)
+		respondUnavailable(response, errClosing)
 		return
 	}
 	opened := <-open.reply
 	if opened.err != nil {
-		refuse(out, opened.err)
+		respondUnavailable(response, opened.err)
 		return
 	}
-	defer h.state.send(closedMessage{opened.id})
-	out.Header().Set("Content-Type", "application/json")
-	out.Header().Set("Via", formatVia(opened.path))
-	if http.NewResponseController(out).Flush() != nil {
+	defer h.state.send(watchClosedMessage{opened.id})
+	response.Header().Set("Content-Type", "application/json")
+	response.Header().Set("Via", formatVia(opened.relayPath))
+	if err := http.NewResponseController(response).Flush(); err != nil {
 		return
 	}
-	h.lines(out, in, opened)
-}
-
-// protocolVersion stands before each name in a Via header.
-const protocolVersion = "1.1 "
-
-// formatVia names the relays that changes came by.
-func formatVia(path []string) string {
-	return protocolVersion + strings.Join(path, ", "+protocolVersion)
-}
-
-// parseVia reads what formatVia wrote. Other forms name no relay.
-func parseVia(headers []string) (path []string) {
-	for _, header := range headers {
-		for via := range strings.SplitSeq(header, ",") {
-			if name, ok := strings.CutPrefix(strings.TrimSpace(via), protocolVersion); ok {
-				path = append(path, name)
-			}
-		}
-	}
-	return path
+	h.sendLines(response, request, opened)
 }
 
-func (h *handler) lines(out http.ResponseWriter, in *http.Request, opened openReply) {
-	beat := time.NewTicker(heartbeat)
-	defer beat.Stop()
+// sendLines writes a watch's changes and heartbeats until it ends.
+func (h *handler) sendLines(response http.ResponseWriter, request *http.Request, opened openWatchReply) {
+	heartbeat := time.NewTicker(heartbeatInterval)
+	defer heartbeat.Stop()
 	for {
 		select {
-		case line := <-opened.watch.lines:
-			text := line.line()
-			if h.write(out, text) != nil {
-				panic(http.ErrAbortHandler) // a line was cut: the answer must not look complete
+		case change := <-opened.watch.pending:
+			line := change.json()
+			if err := h.write(response, line); err != nil {
+				panic(http.ErrAbortHandler) // a line was cut: the response must not look complete
 			}
-			h.state.send(writtenMessage{opened.id, line, len(text) + lineBytes})
-			beat.Reset(heartbeat)
-		case <-beat.C:
-			if h.write(out, []byte("\n")) != nil {
+			h.state.send(lineWrittenMessage{opened.id, change, len(line) + chunkOverheadBytes})
+			heartbeat.Reset(heartbeatInterval)
+		case <-heartbeat.C:
+			if err := h.write(response, []byte("\n")); err != nil {
 				panic(http.ErrAbortHandler)
 			}
-			h.state.counters.sentSum.Add(lineBytes)
+			h.state.counters.bytesSent.Add(chunkOverheadBytes)
 		case <-opened.watch.ended:
 			return
-		case <-in.Context().Done():
+		case <-request.Context().Done():
 			return
 		}
 	}
 }
-
-// admin answers operators.
-type admin struct{ state *state }
-
-func (a admin) ServeHTTP(out http.ResponseWriter, in *http.Request) {
-	if in.URL.Path != "/control/membership" || in.Method != http.MethodGet {
-		http.NotFound(out, in)
-		return
-	}
-	ask := statusMessage{make(chan Status, 1)}
-	if !a.state.send(ask) {
-		refuse(out, errEnding)
-		return
-	}
-	text, err := json.MarshalIndent(<-ask.reply, "", "  ")
-	if err != nil {
-		http.Error(out, err.Error(), http.StatusInternalServerError)
-		return
-	}
-	out.Header().Set("Content-Type", "application/json")
-	out.Write(append(text, '\n'))
-}
-
-// boundedListener is a TCP listener that closes connections beyond a limit at once.
-type boundedListener struct {
-	net.Listener
-	limit int64
-	open  atomic.Int64
-}
-
-func (l *boundedListener) Accept() (net.Conn, error) {
-	for {
-		conn, err := l.Listener.Accept()
-		if err != nil {
-			return nil, err
-		}
-		if l.open.Add(1) > l.limit {
-			l.open.Add(-1)
-			conn.Close()
-			continue
-		}
-		tcp := conn.(*net.TCPConn)
-		tcp.SetWriteBuffer(sendBuffer) // else the kernel's default holds
-		return &boundedConn{TCPConn: tcp, listener: l}, nil
-	}
-}
-
-// boundedConn is a TCP connection, so that the server can end its sending first.
-type boundedConn struct {
-	*net.TCPConn
-	listener *boundedListener
-	closed   atomic.Bool
-}
-
-func (c *boundedConn) Close() error {
-	if !c.closed.Swap(true) {
-		c.listener.open.Add(-1)
-	}
-	return c.TCPConn.Close()
-}
--- a/internal/relay/status.go
+++ b/internal/relay/status.go
@@ -6,70 +6,110 @@
 	"hollyyoke.example/hollyyoke/internal/membership"
 )
 
-// keptRefusals is how many refused changes the status lists.
-const keptRefusals = 20
+// listedRejections is how many rejected changes the status lists.
+const listedRejections = 20
 
-// Status is what GET /control/membership answers.
+// Status is what GET /control/membership of the admin API answers.
 type Status struct {
 	Name          string             `json:"name"`
 	Zone          string             `json:"zone"`
 	Version       membership.Version `json:"version"`
 	Entries       int                `json:"entries"`
-	Complete      bool               `json:"complete"`     // nothing is missing by a refused change
-	AgeSeconds    float64            `json:"newest_age_s"` // since the newest version arrived
-	Upstream      string             `json:"upstream"`     // empty: none answers
-	UpstreamSince time.Time          `json:"upstream_since"`
+	Complete      bool               `json:"complete"`       // nothing is missing after a rejected change
+	AgeSeconds    float64            `json:"newest_age_s"`   // since the newest version arrived
+	Upstream      string             `json:"upstream"`       // empty: none works
+	UpstreamSince time.Time          `json:"upstream_since"` // when Upstream last changed
 
-	Subscribers  int                `json:"subscribers"`         // that acknowledged within the expiry
-	Watches      int                `json:"watches"`             // open now
-	Lowest       membership.Version `json:"lowest_acknowledged"` // by all live subscribers
-	HaveNewest   int                `json:"have_newest"`         // subscribers that acknowledged the newest version
-	Refused      []Refusal          `json:"refused"`             // the last ones
-	RefusedCount int                `json:"refused_total"`
+	Subscribers        int                `json:"subscribers"`         // that acknowledged within the expiry
+	Watches            int                `json:"watches"`             // open now
+	LowestAcknowledged membership.Version `json:"lowest_acknowledged"` // by all live subscribers
+	HaveNewest         int                `json:"have_newest"`         // subscribers that acknowledged the newest version
+	Rejections         []Rejection        `json:"refused"`             // the last ones, oldest first
+	RejectionCount     int                `json:"refused_total"`
 
-	SentBytes     int64   `json:"sent_bytes"`
-	SentSnapshots int64   `json:"sent_snapshots"`
-	SentDeltas    int64   `json:"sent_deltas"`
-	Encoded       int64   `json:"encoded_snapshots"`
-	Compressed    int64   `json:"compressed_snapshots"`
-	InForce       InForce `json:"in_force_s"`
+	SentBytes           int64      `json:"sent_bytes"`
+	SentSnapshots       int64      `json:"sent_snapshots"`
+	SentDeltas          int64      `json:"sent_deltas"`
+	EncodedSnapshots    int64      `json:"encoded_snapshots"`
+	CompressedSnapshots int64      `json:"compressed_snapshots"`
+	AckLatency          AckLatency `json:"in_force_s"`
 }
 
-// Refusal is a change that was refused whole.
-type Refusal struct {
+// Rejection is a change that was rejected.
+type Rejection struct {
 	Time     time.Time          `json:"time"`
 	Upstream string             `json:"upstream"`
 	Version  membership.Version `json:"version"` // 0: not readable
 	Reason   string             `json:"reason"`  // names the field
 }
 
-// InForce is the time from a change's arrival here to its acknowledgement by
-// all subscribers, in seconds.
-type InForce struct {
+func (r Rejection) sameAs(upstream string, version membership.Version, reason error) bool {
+	return r.Upstream == upstream && r.Version == version && r.Reason == reason.Error()
+}
+
+// AckLatency is the time from a change's arrival at the relay to its
+// acknowledgement by all subscribers, in seconds.
+type AckLatency struct {
 	Changes int64   `json:"changes"`
 	P50     float64 `json:"p50"`
 	P99     float64 `json:"p99"`
 	Max     float64 `json:"max"`
 }
 
-// status gathers it.
 func (s *state) status() Status {
 	now := s.now()
 	summary := s.acks.Summary(now)
-	have, _ := s.acks.CountAtLeast(now, s.store.Version())
+	haveNewest, _ := s.acks.CountAtLeast(now, s.store.Version())
 	status := Status{
-		Name: s.config.Name, Zone: s.config.Zone, Version: s.store.Version(), Entries: s.store.Len(),
-		Complete: s.store.ResumeVersion() == s.store.Version(),
-		Upstream: s.upstream, UpstreamSince: s.upstreamSince,
-		Subscribers: summary.Subscribers, Watches: s.subscribers.Len(), Lowest: summary.Lowest, HaveNewest: have,
-		Refused: append([]Refusal{}, s.refused...), RefusedCount: s.refusedCount,
-		SentBytes: s.counters.sentSum.Load(), SentSnapshots: s.counters.snapshotsSent.Load(),
-		SentDeltas: s.counters.deltasSent.Load(), Encoded: s.counters.encoded.Load(), Compressed: s.counters.compressed.Load(),
-		InForce: InForce{Changes: s.latency.histogram.TotalCount(), P50: s.latency.seconds(50),
-			P99: s.latency.seconds(99), Max: s.latency.seconds(100)},
+		Name:          s.config.Name,
+		Zone:          s.config.Zone,
+		Version:       s.store.Version(),
+		Entries:       s.store.Len(),
+		Complete:      s.store.ResumeVersion() == s.store.Version(),
+		Upstream:      s.upstream,
+		UpstreamSince: s.upstreamSince,
+
+		Subscribers:        summary.Subscribers,
+		Watches:            s.subscribers.Len(),
+		LowestAcknowledged: summary.Lowest,
+		HaveNewest:         haveNewest,
+		Rejections:         append([]Rejection{}, s.rejections...),
+		RejectionCount:     s.rejectionCount,
+
+		SentBytes:           s.counters.bytesSent.Load(),
+		SentSnapshots:       s.counters.snapshotsSent.Load(),
+		SentDeltas:          s.counters.deltasSent.Load(),
+		EncodedSnapshots:    s.counters.snapshotsEncoded.Load(),
+		CompressedSnapshots: s.counters.snapshotsCompressed.Load(),
+		AckLatency: AckLatency{
+			Changes: s.latency.histogram.TotalCount(),
+			P50:     s.latency.seconds(50),
+			P99:     s.latency.seconds(99),
+			Max:     s.latency.seconds(100),
+		},
 	}
-	if s.ready {
+	if s.hasSnapshot {
 		status.AgeSeconds = (now - s.changedAt).Seconds()
 	}
 	return status
 }
+
+// recordRejection lists and logs a change that was rejected. The last valid state
+// stays. A rejection that repeats the one before is counted and logged once.
+func (s *state) recordRejection(upstream string, version membership.Version, reason error) {
+	last := len(s.rejections) - 1
+	if last >= 0 && s.rejections[last].sameAs(upstream, version, reason) {
+		return
+	}
+	s.rejectionCount++
+	s.log.Error("change rejected, the last valid state stays", "upstream", upstream, "version", version, "reason", reason)
+	s.rejections = append(s.rejections, Rejection{
+		Time:     time.Now(),
+		Upstream: upstream,
+		Version:  version,
+		Reason:   reason.Error(),
+	})
+	if len(s.rejections) > listedRejections {
+		s.rejections = append(s.rejections[:0], s.rejections[len(s.rejections)-listedRejections:]...)
+	}
+}
--- /dev/null
+++ b/internal/relay/subscriber_test.go
@@ -0,0 +1,224 @@
+package relay
+
+import (
+	"bufio"
+	"bytes"
+	"compress/gzip"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"slices"
+	"strings"
+	"testing"
+
+	"hollyyoke.example/hollyyoke/internal/membership"
+)
+
+// When 200 subscribers start at once, the snapshot is encoded once for all.
+func TestManySubscribersStartAtOnce(t *testing.T) {
+	const workers, starting = 21_000, 200
+	origin := startDiscovery(t, workers)
+	r, _ := startRelay(t, testConfig(origin.Addr))
+	eventually(t, "snapshot", r.hasVersion(1))
+	bodies := make(chan []byte, starting)
+	start := make(chan struct{})
+	for i := range starting {
+		go func() {
+			<-start
+			bodies <- getGzip(t, r.Addr().String(), fmt.Sprintf("after=0&name=d%d", i))
+		}()
+	}
+	close(start)
+	first := <-bodies
+	for range starting - 1 {
+		if body := <-bodies; !bytes.Equal(body, first) {
+			t.Fatal("the responses differ")
+		}
+	}
+	if status := r.Status(); status.EncodedSnapshots != 1 || status.CompressedSnapshots != 1 {
+		t.Errorf("encoded %d times, compressed %d times", status.EncodedSnapshots, status.CompressedSnapshots)
+	}
+	eventually(t, "all are counted", func() bool { return r.Status().SentSnapshots == starting })
+	uncompressed, err := gzip.NewReader(bytes.NewReader(first))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var line testLine
+	if err := json.NewDecoder(uncompressed).Decode(&line); err != nil || !line.Snapshot || len(line.Workers) != workers {
+		t.Errorf("%v: snapshot %v, %d workers", err, line.Snapshot, len(line.Workers))
+	}
+}
+
+// getGzip makes a single call and returns its compressed body.
+func getGzip(t *testing.T, address, query string) []byte {
+	request, _ := http.NewRequest(http.MethodGet, "http://"+address+"/v1/servers?"+query, nil)
+	request.Header.Set("Accept-Encoding", "gzip")
+	response, err := (&http.Transport{DisableCompression: true, DisableKeepAlives: true}).RoundTrip(request)
+	if err != nil {
+		t.Error(err)
+		return nil
+	}
+	defer response.Body.Close()
+	body, err := io.ReadAll(response.Body)
+	if err != nil || response.Header.Get("Content-Encoding") != "gzip" || response.ContentLength != int64(len(body)) {
+		t.Errorf("%v: encoding %q, length %d of %d", err, response.Header.Get("Content-Encoding"), len(body), response.ContentLength)
+	}
+	return body
+}
+
+func TestLimits(t *testing.T) {
+	origin := startDiscovery(t, 1)
+	config := testConfig(origin.Addr)
+	config.MaxSubscribers = 2
+	r, _ := startRelay(t, config)
+	eventually(t, "snapshot", r.hasVersion(1))
+	address := r.Addr().String()
+	subscribe(t, address, "d1")
+	subscribe(t, address, "d2")
+	eventually(t, "two watches", func() bool { return r.Status().Watches == 2 })
+	third := subscribe(t, address, "d3")
+	eventually(t, "the third is rejected", func() bool { _, _, rejected := third.counts(); return rejected > 0 })
+	for query, want := range map[string]int{
+		"after=x":          http.StatusBadRequest,
+		"after=-1":         http.StatusBadRequest,
+		"fleet=9999999999": http.StatusBadRequest,
+		"name=%01":         http.StatusBadRequest,
+		"name=" + strings.Repeat("n", maxNameBytes+1): http.StatusBadRequest,
+		"name=" + strings.Repeat("n", 32<<10):         http.StatusRequestHeaderFieldsTooLarge,
+	} {
+		if status, _ := get(t, address, query); status != want {
+			t.Errorf("%.30s: status %d, not %d", query, status, want)
+		}
+	}
+	response, err := http.Post("http://"+address+"/v1/servers", "text/plain", strings.NewReader("x"))
+	if err != nil || response.StatusCode != http.StatusMethodNotAllowed {
+		t.Errorf("POST: %v %v", response, err)
+	}
+	response.Body.Close()
+	for _, name := range []string{"d1", "d2", "d4", "d5", "d6", "d7", "d8"} {
+		getLine(t, address, "after=1&name="+name)
+	}
+	if status, _ := get(t, address, "after=1&name=d9"); status != http.StatusServiceUnavailable {
+		t.Errorf("a name beyond the limit: status %d", status)
+	}
+}
+
+// A long delta is fetched: the watch of a caller that accepts gzip is ended, once
+// for a version, and its next call brings the delta compressed. Other callers get
+// it on the watch.
+func TestLongDeltaIsFetchedCompressed(t *testing.T) {
+	u := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(1, true, workerJSON("first", "ready")))
+	r, _ := startRelay(t, testConfig(u.address()))
+	withoutGzip := subscribe(t, r.Addr().String(), "plain")
+	eventually(t, "the first snapshot", func() bool { return withoutGzip.hasVersion(1) })
+	call := func() *http.Response {
+		t.Helper()
+		request, _ := http.NewRequest(http.MethodGet, "http://"+r.Addr().String()+"/v1/servers?after=1&name=fetches", nil)
+		request.Header.Set("Accept-Encoding", "gzip")
+		response, err := http.DefaultClient.Do(request)
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { response.Body.Close() })
+		return response
+	}
+	if coding := call().Header.Get("Content-Encoding"); coding != "" {
+		t.Errorf("an empty delta is encoded: %q", coding)
+	}
+	watch := func() *bufio.Reader {
+		t.Helper()
+		response, err := http.Get("http://" + r.Addr().String() + "/v1/servers?watch=1&after=1&name=fetches")
+		if err != nil || response.StatusCode != http.StatusOK {
+			t.Fatalf("%v, %v", response, err)
+		}
+		t.Cleanup(func() { response.Body.Close() })
+		return bufio.NewReader(response.Body)
+	}
+	before := watch()
+	if line, err := before.ReadString('\n'); err != nil || !strings.Contains(line, `"seq":1`) {
+		t.Fatalf("%q, %v", line, err)
+	}
+	workers := make([]string, 200)
+	for i := range workers {
+		workers[i] = workerJSON(fmt.Sprintf("s-%d", i), "ready")
+	}
+	up := u.awaitWatch()
+	up.sendLine(changeJSON(2, false, workers...))
+	if rest, err := io.ReadAll(before); err != nil || len(bytes.TrimSpace(rest)) > 0 {
+		t.Errorf("the watch does not end completely: %q, %v", rest, err)
+	}
+	answer := call()
+	unpacked, err := gzip.NewReader(answer.Body)
+	if err != nil || answer.ContentLength > maxPushedBytes/2 {
+		t.Fatalf("%v, %d bytes", err, answer.ContentLength)
+	}
+	var line testLine
+	if err := json.NewDecoder(unpacked).Decode(&line); err != nil || line.Version != 2 || line.Snapshot || len(line.Workers) != len(workers) {
+		t.Errorf("%v, version %d, %d workers", err, line.Version, len(line.Workers))
+	}
+	text, err := watch().ReadString('\n') // it was made to fetch this version once, and watches again
+	if err != nil || !strings.Contains(text, `"s-199"`) {
+		t.Errorf("%.40q, %v", text, err)
+	}
+	eventually(t, "the delta on a watch", func() bool { return withoutGzip.hasVersion(2) })
+	if _, opened, _ := withoutGzip.counts(); opened != 1 {
+		t.Errorf("%d watches of a caller that does not accept gzip", opened)
+	}
+}
+
+// A draining worker is sent at once beyond an exhausted rate limit, together with
+// the changes that wait.
+func TestDrainingIsSentBeyondTheRateLimit(t *testing.T) {
+	workers := make([]string, 5000)
+	for i := range workers {
+		workers[i] = workerJSON(fmt.Sprintf("s-%d", i), "ready")
+	}
+	u := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(1, true, workers...)) // 500 KB: compressed, too, over a minute's budget
+	config := testConfig(u.address())
+	config.BytesPerS = 100
+	r, _ := startRelay(t, config)
+	s := subscribe(t, r.Addr().String(), "d1")
+	eventually(t, "snapshot", func() bool { return s.hasVersion(1) })
+	getLine(t, r.Addr().String(), "after=0&name=polls")
+	eventually(t, "its budget is exhausted", func() bool { return r.Status().SentSnapshots == 2 })
+	w := u.awaitWatch()
+	w.sendLine(changeJSON(1, false))
+	w.sendLine(changeJSON(2, false, workerJSON("new", "ready")))
+	eventually(t, "a change that waits", r.hasVersion(2))
+	for _, name := range []string{"d1", "polls"} {
+		if line := getLine(t, r.Addr().String(), "after=1&name="+name); line.Version != 1 || line.Snapshot || len(line.Workers) != 0 {
+			t.Errorf("a single call of %s bypassed the rate limit: %+v", name, line)
+		}
+	}
+	w.sendLine(changeJSON(3, false, workerJSON("s-7", "draining")))
+	eventually(t, "the draining worker", func() bool { return s.hasVersion(3) })
+	if seen := s.seenVersions(); !slices.Equal(seen, []int64{1, 3}) {
+		t.Errorf("versions seen: %v", seen)
+	}
+	if line := getLine(t, r.Addr().String(), "after=1&name=polls"); line.Version != 3 || len(line.Workers) != 2 {
+		t.Errorf("a single call of polls: %+v", line)
+	}
+	if s.health("s-7") != "draining" || s.health("new") != "ready" {
+		t.Errorf("s-7 %q, new %q", s.health("s-7"), s.health("new"))
+	}
+}
+
+// A subscriber that was disconnected for longer than the log gets a snapshot, then deltas.
+func TestSubscriberAwayLongerThanTheLog(t *testing.T) {
+	origin := startDiscovery(t, 20)
+	config := testConfig(origin.Addr)
+	config.LogChanges = 10
+	r, _ := startRelay(t, config)
+	eventually(t, "snapshot", r.hasVersion(1))
+	for i := range 30 { // one at a time, so that each has an entry of its own in the log
+		origin.Set(readyWorker(fmt.Sprintf("s-new-%d", i)))
+		eventually(t, "change", r.hasVersion(membership.Version(i+2)))
+	}
+	if line := getLine(t, r.Addr().String(), "after=1&name=d1"); !line.Snapshot || line.Version != 31 || len(line.Workers) != 50 {
+		t.Errorf("snapshot %v, version %d, %d workers", line.Snapshot, line.Version, len(line.Workers))
+	}
+	if line := getLine(t, r.Addr().String(), "after=29&name=d1"); line.Snapshot || len(line.Workers) != 2 {
+		t.Errorf("snapshot %v, %d workers", line.Snapshot, len(line.Workers))
+	}
+}
