--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -13,7 +13,7 @@
 	"hollyyoke.example/hollyyoke/internal/goldentest"
 )
 
-// fullSettings has every key of the settings with a value other than its default.
+// fullSettings returns settings in which every key has a value other than its default.
 func fullSettings(t *testing.T) map[string]any {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "settings-full.json"))
@@ -27,13 +27,13 @@
 	return document
 }
 
-// Every key of the settings means what it did.
+// The effect of every key of the settings.
 func TestGoldenSettings(t *testing.T) {
 	decode := func(text []byte) (any, error) { return Read(text) }
 	goldentest.Compare(t, "settings.golden", goldentest.Effects(t, fullSettings(t), json.Marshal, decode))
 }
 
-// Values of enumerations, and what is said of wrong ones.
+// The values of enumerations, and the errors for invalid ones.
 func TestGoldenSettingsValues(t *testing.T) {
 	var lines []string
 	for _, text := range []string{
@@ -50,7 +50,7 @@
 	goldentest.Compare(t, "settings-values.golden", goldentest.Lines(lines))
 }
 
-// Reports of load are read by the settings' names and by plain ones.
+// Load reports are read by the settings' names and by the common ones.
 func TestGoldenLoadReports(t *testing.T) {
 	var lines []string
 	for _, setting := range []string{"", "x0", "x1"} {
@@ -69,13 +69,13 @@
 	goldentest.Compare(t, "load.golden", goldentest.Lines(lines))
 }
 
-// Keys of the operator's tables.
+// The keys of the operator's tables.
 func TestGoldenOperatorKeys(t *testing.T) {
 	goldentest.Compare(t, "connections-keys.golden", goldentest.Lines(goldentest.Keys(reflect.TypeFor[Connections](), "toml")))
 	goldentest.Compare(t, "membership-keys.golden", goldentest.Lines(goldentest.Keys(reflect.TypeFor[Membership](), "toml")))
 }
 
-// What is said of wrong operator's files, which name keys, and what the committed one says.
+// The errors for invalid operator's files, and the values of the deployed one.
 func TestGoldenOperatorFiles(t *testing.T) {
 	var lines []string
 	read := func(name, text string) Operator {
@@ -104,12 +104,12 @@
 	var out strings.Builder
 	o.Connections.Explain(&out)
 	o.Membership.Explain(&out)
-	var told []string
+	var explained []string
 	for line := range strings.Lines(out.String()) {
-		line, _, _ = strings.Cut(line, "#") // what it is for is prose
-		told = append(told, strings.TrimSpace(line))
+		line, _, _ = strings.Cut(line, "#") // the description is prose
+		explained = append(explained, strings.TrimSpace(line))
 	}
-	slices.Sort(told)
-	lines = append(lines, told...)
+	slices.Sort(explained)
+	lines = append(lines, explained...)
 	goldentest.Compare(t, "operator.golden", goldentest.Lines(lines))
 }
--- a/internal/settings/live.go
+++ b/internal/settings/live.go
@@ -12,20 +12,18 @@
 	"hollyyoke.example/hollyyoke/decision"
 )
 
-// This file owns the changes of settings while the dispatcher runs. It must
-// never apply a part of a set of changes of which another part is refused.
-
-// Change is the new value of one setting.
+// Change is the new value of one setting, while the dispatcher runs.
 type Change struct {
-	Key   string // where the settings object has it, such as projects[3].quota_per_s
+	Key   string // the setting's path in the settings object, such as projects[3].quota_per_s
 	Value json.RawMessage
 }
 
-// Apply makes all changes, or none: an error names the key that is refused. Of
-// two changes of one key the last counts. Slices of s are replaced, not written to.
+// Apply applies all changes, or none: an error names the key that is rejected. Of
+// two changes of one key the last wins. Slices of s are replaced, not written to.
 func Apply(s *decision.Settings, changes []Change) error {
 	next := *s
-	next.Classes, next.TenantQuotas = slices.Clone(s.Classes), slices.Clone(s.TenantQuotas)
+	next.Classes = slices.Clone(s.Classes)
+	next.TenantQuotas = slices.Clone(s.TenantQuotas)
 	for _, change := range changes {
 		if err := change.apply(&next); err != nil {
 			return err
@@ -35,76 +33,107 @@
 	return nil
 }
 
-func (c Change) apply(s *decision.Settings) error {
-	number, wait, err := c.target(s)
+func (c Change) apply(settings *decision.Settings) error {
+	field, err := c.field(settings)
 	if err != nil {
 		return err
 	}
-	value, err := amount(c.Value)
+	value, err := parseAmount(c.Value)
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.Key, err)
 	}
-	if wait != nil {
-		*wait = micros(value).duration()
-	} else {
-		*number = value
-	}
+	field.set(value)
 	return nil
 }
 
-// target finds what a key names: a number, or a time in microseconds.
-func (c Change) target(s *decision.Settings) (number *float64, wait *time.Duration, err error) {
+// settingField points to a setting: a number, or a span in microseconds.
+type settingField struct {
+	number *float64
+	span   *time.Duration
+}
+
+func (f settingField) set(value float64) {
+	if f.span != nil {
+		*f.span = Microseconds(value)
+		return
+	}
+	*f.number = value
+}
+
+// field finds the setting that the key names.
+func (c Change) field(settings *decision.Settings) (settingField, error) {
 	switch c.Key {
 	case "over_share_worth":
-		return &s.OverQuotaWeight, nil, nil
+		return settingField{number: &settings.OverQuotaWeight}, nil
 	case "limits.max_retry_after_us":
-		return nil, &s.MaxRetryAfter, nil
+		return settingField{span: &settings.MaxRetryAfter}, nil
 	}
-	list, index, field, ok := element(c.Key)
-	size := -1
-	switch {
-	case !ok:
-	case list == "projects" && field == "quota_per_s":
-		if size = len(s.TenantQuotas); index < size {
-			return &s.TenantQuotas[index], nil, nil
+	element, ok := parseElementKey(c.Key)
+	if !ok {
+		return settingField{}, c.notChangeable()
+	}
+	switch element.list {
+	case "projects":
+		if element.field != "quota_per_s" {
+			return settingField{}, c.notChangeable()
 		}
-	case list == "classes" && slices.Contains(classFields, field):
-		if size = len(s.Classes); index < size {
-			number, wait = classField(&s.Classes[index], field)
-			return number, wait, nil
+		if element.index >= len(settings.TenantQuotas) {
+			return settingField{}, c.outOfRange(len(settings.TenantQuotas))
 		}
+		return settingField{number: &settings.TenantQuotas[element.index]}, nil
+	case "classes":
+		if !slices.Contains(changeableClassFields, element.field) {
+			return settingField{}, c.notChangeable()
+		}
+		if element.index >= len(settings.Classes) {
+			return settingField{}, c.outOfRange(len(settings.Classes))
+		}
+		return classField(&settings.Classes[element.index], element.field), nil
 	}
-	if size >= 0 {
-		return nil, nil, fmt.Errorf("%s: index out of range, there are %d", c.Key, size)
-	}
-	return nil, nil, fmt.Errorf("%q: not a setting that may change while running", c.Key)
+	return settingField{}, c.notChangeable()
+}
+
+func (c Change) notChangeable() error {
+	return fmt.Errorf("%q: not a setting that may change while running", c.Key)
 }
 
-var classFields = []string{"worth", "late_worth", "slo_us", "aim_stretch"}
+func (c Change) outOfRange(length int) error {
+	return fmt.Errorf("%s: index out of range, there are %d", c.Key, length)
+}
+
+var changeableClassFields = []string{"worth", "late_worth", "slo_us", "aim_stretch"}
 
-func classField(c *decision.Class, field string) (number *float64, wait *time.Duration) {
-	switch field {
+// classField returns the field that one of changeableClassFields names.
+func classField(class *decision.Class, name string) settingField {
+	switch name {
 	case "worth":
-		return &c.PriorityWeight, nil
+		return settingField{number: &class.PriorityWeight}
 	case "late_worth":
-		return &c.LateWeight, nil
+		return settingField{number: &class.LateWeight}
 	case "aim_stretch":
-		return &c.ObjectiveStretch, nil
+		return settingField{number: &class.ObjectiveStretch}
 	default:
-		return nil, &c.LatencyObjective
+		return settingField{span: &class.LatencyObjective}
 	}
 }
 
-// element splits a key of the form list[index].field.
-func element(key string) (list string, index int, field string, ok bool) {
+// elementKey is a key of the form list[index].field.
+type elementKey struct {
+	list  string
+	index int
+	field string
+}
+
+func parseElementKey(key string) (elementKey, bool) {
 	list, rest, _ := strings.Cut(key, "[")
 	text, field, _ := strings.Cut(rest, "].")
 	index, err := strconv.Atoi(text)
-	return list, index, field, err == nil && index >= 0 && strconv.Itoa(index) == text
+	isCanonical := err == nil && index >= 0 && strconv.Itoa(index) == text
+	return elementKey{list, index, field}, isCanonical
 }
 
-// amount reads a number that must be finite and not negative.
-func amount(raw json.RawMessage) (float64, error) {
+// parseAmount reads a number that must be finite and not negative.
+func parseAmount(raw json.RawMessage) (float64, error) {
 	var value *float64
 	if err := json.Unmarshal(raw, &value); err != nil || value == nil {
 		return 0, errors.New("must be a finite number")
--- a/internal/settings/live_test.go
+++ b/internal/settings/live_test.go
@@ -25,8 +25,8 @@
 	os.Exit(m.Run())
 }
 
-// shapes are settings with tenants and without.
-func shapes() map[string]decision.Settings {
+// testSettings returns settings with tenants and without.
+func testSettings() map[string]decision.Settings {
 	class := decision.Class{PriorityWeight: 1, LateWeight: 0.5, LatencyObjective: time.Second, ObjectiveStretch: 2, Deadline: 5 * time.Second}
 	return map[string]decision.Settings{
 		"tenants":    {Classes: []decision.Class{class, class}, TenantQuotas: []float64{5, 10, 15}, OverQuotaWeight: 0.2},
@@ -37,7 +37,7 @@
 func TestApplyByKey(t *testing.T) {
 	for _, test := range []struct {
 		shape, key, value string
-		refused           string // empty: it is applied
+		rejected          string // a part of the error; empty: it is applied
 		want              func(s *decision.Settings)
 	}{
 		{"tenants", "projects[2].quota_per_s", "12.5", "", func(s *decision.Settings) { s.TenantQuotas[2] = 12.5 }},
@@ -63,7 +63,7 @@
 		{"tenants", "classes[0].worth", "", "finite number", nil},
 		{"tenants", "classes[0].slo_us", "[1]", "finite number", nil},
 	} {
-		got, want := shapes()[test.shape], shapes()[test.shape]
+		got, want := testSettings()[test.shape], testSettings()[test.shape]
 		err := Apply(&got, []Change{{test.key, json.RawMessage(test.value)}})
 		if test.want != nil {
 			test.want(&want)
@@ -71,21 +71,22 @@
 		if !reflect.DeepEqual(got, want) {
 			t.Errorf("%s, %s = %s: %+v, want %+v", test.shape, test.key, test.value, got, want)
 		}
-		if refused := err != nil; refused != (test.refused != "") {
+		if rejected := err != nil; rejected != (test.rejected != "") {
 			t.Errorf("%s, %s = %s: %v", test.shape, test.key, test.value, err)
-		} else if refused && (!strings.Contains(err.Error(), test.refused) || !strings.Contains(err.Error(), test.key) ||
+		} else if rejected && (!strings.Contains(err.Error(), test.rejected) || !strings.Contains(err.Error(), test.key) ||
 			strings.Contains(err.Error(), "\n")) {
-			t.Errorf("%s, %s = %s: %q tells not the key and %q on one line", test.shape, test.key, test.value, err, test.refused)
+			t.Errorf("%s, %s = %s: %q does not name the key and %q on one line", test.shape, test.key, test.value, err, test.rejected)
 		}
 	}
 }
 
-// A set of changes is made whole or not at all, and what the settings were copied from stays as it was.
-func TestApplyIsAllOrNothing(t *testing.T) {
+// A set of changes is applied completely or not at all, and settings that share
+// memory with the changed ones stay as they were.
+func TestApplyIsAtomic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shape := rapid.SampledFrom([]string{"tenants", "no tenants"}).Draw(t, "shape")
-		got, original := shapes()[shape], shapes()[shape]
-		shared := got
+		applied, original := testSettings()[shape], testSettings()[shape]
+		shared := applied
 		var changes []Change
 		for range rapid.IntRange(1, 5).Draw(t, "changes") {
 			key := rapid.SampledFrom([]string{"projects[%d].quota_per_s", "classes[%d].worth", "classes[%d].late_worth",
@@ -93,20 +94,20 @@
 			value := rapid.SampledFrom([]string{"1", "2.5", "0", "1e6", "-1", "null", "true", "1e400"}).Draw(t, "value")
 			changes = append(changes, Change{fmt.Sprintf(key, rapid.IntRange(-1, 3).Draw(t, "index")), json.RawMessage(value)})
 		}
-		refused := false
-		for _, change := range changes { // each alone tells whether it is refused
-			alone := shapes()[shape]
-			refused = Apply(&alone, []Change{change}) != nil || refused
+		rejected := false
+		for _, change := range changes { // each one alone is applied or rejected
+			alone := testSettings()[shape]
+			rejected = Apply(&alone, []Change{change}) != nil || rejected
 		}
-		err := Apply(&got, changes)
-		if (err != nil) != refused {
-			t.Fatalf("%v: %v, of which one alone is refused: %v", changes, err, refused)
+		err := Apply(&applied, changes)
+		if (err != nil) != rejected {
+			t.Fatalf("%v: %v, of which one alone is rejected: %v", changes, err, rejected)
 		}
-		if err != nil && !reflect.DeepEqual(got, original) {
-			t.Fatalf("%v is refused (%v) and changes something: %+v", changes, err, got)
+		if err != nil && !reflect.DeepEqual(applied, original) {
+			t.Fatalf("%v is rejected (%v) and changes something: %+v", changes, err, applied)
 		}
 		if !reflect.DeepEqual(shared, original) {
-			t.Fatalf("%v writes to what others share", changes)
+			t.Fatalf("%v changes shared memory", changes)
 		}
 	})
 }
--- a/internal/settings/membership.go
+++ b/internal/settings/membership.go
@@ -13,7 +13,7 @@
 )
 
 // Membership is the table [membership]: from which servers the dispatcher follows
-// versioned changes of the list of workers and of its settings.
+// versioned changes of the endpoint list and of its settings.
 type Membership struct {
 	On            bool               `toml:"on" help:"follow versioned changes in place of the discovery watch; only a restart turns it on or off"`
 	Zone          string             `toml:"zone" help:"whose servers come first; default: the zone of the settings"`
@@ -28,61 +28,73 @@
 }
 
 const (
-	defaultAcknowledgeMs = 1000
-	mostAcknowledgeMs    = 30_000 // beyond it a subscriber might count as gone
+	defaultAcknowledge = time.Second
+	maxAcknowledgeMs   = 30_000 // beyond it a subscriber might be counted as gone
 )
 
-// Check tells what is wrong with the table, on or not. The error names the key.
+// Check checks the table, also where it is off. An error names the key.
 func (m *Membership) Check() error {
-	if m.AcknowledgeMs < 0 || m.AcknowledgeMs > mostAcknowledgeMs {
-		return fmt.Errorf("acknowledge_ms: %g is not between 0 and %d", m.AcknowledgeMs, mostAcknowledgeMs)
+	if m.AcknowledgeMs < 0 || m.AcknowledgeMs > maxAcknowledgeMs {
+		return fmt.Errorf("acknowledge_ms: %g is not between 0 and %d", m.AcknowledgeMs, maxAcknowledgeMs)
 	}
 	if m.On && len(m.Servers) == 0 {
 		return fmt.Errorf("servers: none")
 	}
 	seen := map[string]bool{}
-	for i, s := range m.Servers {
-		at := "servers[" + strconv.Itoa(i) + "].address"
-		host, port, err := net.SplitHostPort(s.Address)
-		if err != nil {
-			return fmt.Errorf("%s: %w", at, err)
-		}
-		if n, err := strconv.ParseUint(port, 10, 16); err != nil || n == 0 || host == "" {
-			return fmt.Errorf("%s: %q is no address such as 10.1.0.7:8601", at, s.Address)
+	for i, server := range m.Servers {
+		key := "servers[" + strconv.Itoa(i) + "].address"
+		if err := checkServerAddress(server.Address); err != nil {
+			return fmt.Errorf("%s: %w", key, err)
 		}
-		if seen[s.Address] {
-			return fmt.Errorf("%s: %s stands there twice", at, s.Address)
+		if seen[server.Address] {
+			return fmt.Errorf("%s: %s stands there twice", key, server.Address)
 		}
-		seen[s.Address] = true
+		seen[server.Address] = true
 	}
 	return nil
 }
 
-// Ready turns the table into what the dispatcher of those settings follows. The
-// error names a zone that the settings do not know.
-func (m *Membership) Ready(s *decision.Settings) (zone string, servers []membership.Server, acknowledge time.Duration, err error) {
-	zone = m.Zone
-	if zone == "" && s.Zone >= 0 && s.Zone < len(s.ZoneNames) {
-		zone = s.ZoneNames[s.Zone]
+func checkServerAddress(address string) error {
+	host, port, err := net.SplitHostPort(address)
+	if err != nil {
+		return err
 	}
-	known := func(name string) bool {
-		return name == "" || len(s.ZoneNames) == 0 || slices.Contains(s.ZoneNames, name)
+	number, err := strconv.ParseUint(port, 10, 16)
+	if err != nil || number == 0 || host == "" {
+		return fmt.Errorf("%q is no address such as 10.1.0.7:8601", address)
 	}
-	if !known(m.Zone) {
+	return nil
+}
+
+// Ready turns the table into what a dispatcher with those settings follows: the
+// zone whose servers it prefers, the servers, and the minimum interval between
+// acknowledgements. An error names a zone that the settings do not have.
+func (m *Membership) Ready(settings *decision.Settings) (zone string, servers []membership.Server, acknowledge time.Duration, err error) {
+	if !hasZone(settings, m.Zone) {
 		return "", nil, 0, fmt.Errorf("zone: the settings have no zone %q", m.Zone)
 	}
 	for i, server := range m.Servers {
-		if !known(server.Zone) {
+		if !hasZone(settings, server.Zone) {
 			return "", nil, 0, fmt.Errorf("servers[%d].zone: the settings have no zone %q", i, server.Zone)
 		}
 		servers = append(servers, membership.Server{Zone: server.Zone, Address: server.Address})
 	}
-	acknowledge = defaultAcknowledgeMs * time.Millisecond
+	zone = m.Zone
+	if zone == "" && settings.Zone >= 0 && settings.Zone < len(settings.ZoneNames) {
+		zone = settings.ZoneNames[settings.Zone]
+	}
+	acknowledge = defaultAcknowledge
 	if m.AcknowledgeMs > 0 {
-		acknowledge = seconds(m.AcknowledgeMs / 1000)
+		acknowledge = milliseconds(m.AcknowledgeMs)
 	}
 	return zone, servers, acknowledge, nil
 }
 
-// Explain prints the table's keys, their values and what they are for.
+// hasZone reports whether the settings have a zone. Settings without zone names
+// have every zone.
+func hasZone(s *decision.Settings, name string) bool {
+	return name == "" || len(s.ZoneNames) == 0 || slices.Contains(s.ZoneNames, name)
+}
+
+// Explain writes a line for each key, with its value and a description.
 func (m *Membership) Explain(w io.Writer) { explain(w, "membership", *m) }
--- a/internal/settings/operator_test.go
+++ b/internal/settings/operator_test.go
@@ -11,7 +11,8 @@
 	"hollyyoke.example/hollyyoke/internal/membership"
 )
 
-func operatorFile(t *testing.T, text string) string {
+// writeOperatorFile writes an operator's file and returns its path.
+func writeOperatorFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "operator.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -20,7 +21,7 @@
 	return path
 }
 
-// A table that is wrong is told by its key, also while it is off.
+// An error in the table names the key, also while the table is off.
 func TestMembershipTableNamesTheKey(t *testing.T) {
 	const server = "[[membership.servers]]\naddress = "
 	for text, want := range map[string]string{
@@ -35,7 +36,7 @@
 		server + `"a:1"` + "\n" + server + `"a:1"`:           "membership.servers[1].address: a:1 stands there twice",
 		server + `"a:1"` + "\n[[membership.servers]]\nx = 1": "membership.servers.x: unknown key",
 	} {
-		_, err := ReadOperator(operatorFile(t, "[membership]\n"+text+"\n"), nil)
+		_, err := ReadOperator(writeOperatorFile(t, "[membership]\n"+text+"\n"), nil)
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v, want %q", text, err, want)
 		}
@@ -43,7 +44,7 @@
 }
 
 func TestMembershipTable(t *testing.T) {
-	o, err := ReadOperator(operatorFile(t, `
+	o, err := ReadOperator(writeOperatorFile(t, `
 [membership]
 on = true
 [[membership.servers]]
@@ -69,7 +70,7 @@
 	if _, _, _, err := o.Membership.Ready(&s); err == nil || !strings.Contains(err.Error(), "zone: ") {
 		t.Errorf("an unknown zone: %v", err)
 	}
-	if o, err = ReadOperator(operatorFile(t, "[connections]\non = false\n"), nil); err != nil || o.Membership.On {
+	if o, err = ReadOperator(writeOperatorFile(t, "[connections]\non = false\n"), nil); err != nil || o.Membership.On {
 		t.Errorf("without the table: %+v, %v", o.Membership, err)
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,7 +1,8 @@
-// Package settings reads the settings that a dispatcher is told, as JSON, into
-// the module's Settings: the one reader for the adapter and the daemon. It must
-// never hold a settings type of its own beyond what decoding needs, nor guess
-// at a value that a rule rests on.
+// Package settings reads the settings of a dispatcher. It decodes the JSON object
+// that the platform and the simulator pass into decision.Settings, applies changes
+// of single settings at run time, reads workers' load reports, and reads the
+// operator's TOML file. It is the only reader of these forms; it keeps no settings
+// of its own beyond what decoding needs.
 package settings
 
 import (
@@ -15,196 +16,173 @@
 	"hollyyoke.example/hollyyoke/decision"
 )
 
-var repeats = map[string]decision.Idempotency{
-	"retryable": decision.Idempotent, "dedup": decision.Deduplicated, "fragile": decision.NonIdempotent,
+var idempotencyByName = map[string]decision.Idempotency{
+	"retryable": decision.Idempotent,
+	"dedup":     decision.Deduplicated,
+	"fragile":   decision.NonIdempotent,
 }
 
-var groups = map[string]decision.DedupScope{
-	"": decision.DedupEverywhere, "all": decision.DedupEverywhere,
-	"zone": decision.DedupWithinZone, "cell": decision.DedupWithinCell,
+var dedupScopeByName = map[string]decision.DedupScope{
+	"":     decision.DedupEverywhere,
+	"all":  decision.DedupEverywhere,
+	"zone": decision.DedupWithinZone,
+	"cell": decision.DedupWithinCell,
 }
 
-// micros is a time on the wire: microseconds, whole or not.
-type micros float64
+// Values on the wire.
+const (
+	weightByWork       = "work"
+	listByPolling      = "ask"
+	loadByHealthCheck  = "probe"
+	loadAdjusted       = "live"
+	firstInFirstOut    = "fifo"
+	freeSlotsReport    = "free slots"
+	firstReportedValue = "x0"
+	otherReportedValue = "x1"
+)
+
+// maxMicroseconds bounds spans on the wire, so that sums of a few do not overflow.
+const maxMicroseconds = float64(math.MaxInt64 / 4000)
 
-func (m micros) duration() time.Duration {
-	const most = float64(math.MaxInt64 / 4000)
-	return time.Duration(min(max(float64(m), -most), most)) * time.Microsecond
+// Microseconds converts a span on the wire, in microseconds and whole or not, to a
+// time.Duration of whole microseconds. Spans out of range are clamped.
+func Microseconds(span float64) time.Duration {
+	return time.Duration(min(max(span, -maxMicroseconds), maxMicroseconds)) * time.Microsecond
 }
 
-// Read reads the settings object. Keys that it does not know are passed over.
-func Read(raw []byte) (s decision.Settings, err error) {
-	var w struct {
-		Areas          []string `json:"areas"`
-		Kinds          []string `json:"kinds"`
-		OverShareWorth float64  `json:"over_share_worth"`
-		WorthBy        string   `json:"worth_by"`
-		MyZone         float64  `json:"my_zone"`
-		PeersTotal     float64  `json:"peers_total"`
-		Tick           micros   `json:"tick_us"`
-		Discovery      string   `json:"discovery"`
-		Weights        string   `json:"weights"`
-		Rules          struct {
-			AskWithin  micros  `json:"ask_within_us"`
-			ColdFrom   float64 `json:"cold_from"`
-			WarmAfter  micros  `json:"warm_after_us"`
-			Fall       float64 `json:"fall_multiple"`
-			FallWindow micros  `json:"fall_us"`
-			DrainGrace micros  `json:"drain_grace_us"`
-			BusyNo     bool    `json:"busy_is_no_proof"`
-			KeyRest    micros  `json:"key_rest_us"`
-			LookBack   micros  `json:"look_back_us"`
-			ExtraFloor float64 `json:"extra_floor"`
-			ExtraRatio float64 `json:"extra_ratio"`
-		} `json:"rules"`
-		Limits struct {
-			MaxAttempts    float64 `json:"max_attempts"`
-			SecondCopies   bool    `json:"second_copies"`
-			Cancel         bool    `json:"cancel"`
-			Probing        bool    `json:"probing"`
-			MaxRetryAfter  micros  `json:"max_retry_after_us"`
-			ConnectTimeout micros  `json:"connect_timeout_us"`
-			ConnIdle       micros  `json:"conn_idle_us"`
-		} `json:"limits"`
-		Reporting struct {
-			Via string `json:"via"`
-		} `json:"reporting"`
-		Prices struct {
-			CrossZone float64 `json:"cross_zone"`
-			Origin    float64 `json:"origin"`
-		} `json:"prices"`
-		Habits struct {
-			MarksRetry bool `json:"marks_retry"`
-		} `json:"client_habits"`
-		Domain struct {
-			ClassKind    []float64 `json:"class_kind"`
-			ClassStretch []float64 `json:"class_stretch"`
-			Progress     micros    `json:"progress_us"`
-			QueueOrder   string    `json:"queue_order"`
-			TellsStart   bool      `json:"tells_start"`
-			ReportX0     string    `json:"report_x0"`
-			ReportX1     string    `json:"report_x1"`
-		} `json:"domain"`
-		Projects []struct {
-			Quota float64 `json:"quota_per_s"`
-		} `json:"projects"`
-		Classes []struct {
-			Name       string   `json:"name"`
-			Worth      float64  `json:"worth"`
-			LateWorth  float64  `json:"late_worth"`
-			Aim        micros   `json:"slo_us"`
-			Deadline   micros   `json:"deadline_us"`
-			Stretch    *float64 `json:"aim_stretch"`
-			Repeat     string   `json:"repeat"`
-			Group      string   `json:"group"`
-			Window     micros   `json:"window_us"`
-			RunsOn     []int    `json:"runs_on"`
-			ConfinedTo []int    `json:"confined_to"`
-			InTurn     bool     `json:"one_at_a_time"`
-			Stream     bool     `json:"stream"`
-		} `json:"classes"`
+// Read reads the settings object. Unknown keys are ignored. An error names the
+// key, and no settings are returned with it.
+func Read(raw []byte) (decision.Settings, error) {
+	var wire wireSettings
+	if err := json.Unmarshal(raw, &wire); err != nil {
+		return decision.Settings{}, decodeError(err)
+	}
+	settings := wire.settings()
+	for _, project := range wire.Projects {
+		settings.TenantQuotas = append(settings.TenantQuotas, project.Quota)
 	}
-	if err := json.Unmarshal(raw, &w); err != nil {
-		var wrong *json.UnmarshalTypeError
-		if errors.As(err, &wrong) && wrong.Field != "" {
-			return s, fmt.Errorf("%s: a %s cannot stand here", wrong.Field, wrong.Value)
+	for i := range wire.Classes {
+		class, err := wire.class(i)
+		if err != nil {
+			return decision.Settings{}, err
 		}
-		return s, err
+		settings.Classes = append(settings.Classes, class)
+	}
+	return settings, nil
+}
+
+// decodeError names the key of a value of the wrong type.
+func decodeError(err error) error {
+	var typeError *json.UnmarshalTypeError
+	if errors.As(err, &typeError) && typeError.Field != "" {
+		return fmt.Errorf("%s: a %s cannot stand here", typeError.Field, typeError.Value)
 	}
-	s = decision.Settings{
-		OverQuotaWeight:       w.OverShareWorth,
-		WeightByWork:          w.WorthBy == "work",
-		Zone:                  int(w.MyZone),
-		Peers:                 int(w.PeersTotal),
+	return err
+}
+
+// settings returns the settings without tenants and classes.
+func (w *wireSettings) settings() decision.Settings {
+	return decision.Settings{
+		OverQuotaWeight:       w.OverQuotaWeight,
+		WeightByWork:          w.WeightBy == weightByWork,
+		Zone:                  int(w.Zone),
+		Peers:                 int(w.Peers),
 		Tick:                  w.Tick.duration(),
-		ListBySubscription:    w.Discovery == "ask",
-		ListPollInterval:      w.Rules.AskWithin.duration(),
-		SlowStartFloor:        w.Rules.ColdFrom,
-		SlowStartDuration:     w.Rules.WarmAfter.duration(),
-		OverloadMultiple:      w.Rules.Fall,
-		OverloadWindow:        w.Rules.FallWindow.duration(),
-		SaturatedMayHaveRun:   w.Rules.BusyNo,
-		KeyCooldown:           w.Rules.KeyRest.duration(),
-		RetryBudgetWindow:     w.Rules.LookBack.duration(),
-		RetryBudgetFloor:      w.Rules.ExtraFloor,
-		RetryBudgetRatio:      w.Rules.ExtraRatio,
+		ListBySubscription:    w.Discovery == listByPolling,
+		ListPollInterval:      w.Rules.ListPollInterval.duration(),
+		SlowStartFloor:        w.Rules.SlowStartFloor,
+		SlowStartDuration:     w.Rules.SlowStartDuration.duration(),
+		OverloadMultiple:      w.Rules.OverloadMultiple,
+		OverloadWindow:        w.Rules.OverloadWindow.duration(),
+		SaturatedMayHaveRun:   w.Rules.SaturatedMayHaveRun,
+		KeyCooldown:           w.Rules.KeyCooldown.duration(),
+		RetryBudgetWindow:     w.Rules.RetryBudgetWindow.duration(),
+		RetryBudgetFloor:      w.Rules.RetryBudgetFloor,
+		RetryBudgetRatio:      w.Rules.RetryBudgetRatio,
 		MaxAttempts:           int(w.Limits.MaxAttempts),
-		Hedging:               w.Limits.SecondCopies,
-		Cancellation:          w.Limits.Cancel,
-		HealthChecks:          w.Limits.Probing,
-		LoadByHealthCheck:     w.Reporting.Via == "probe",
+		Hedging:               w.Limits.Hedging,
+		Cancellation:          w.Limits.Cancellation,
+		HealthChecks:          w.Limits.HealthChecks,
+		LoadByHealthCheck:     w.Reporting.Via == loadByHealthCheck,
 		MaxRetryAfter:         w.Limits.MaxRetryAfter.duration(),
 		ConnectTimeout:        w.Limits.ConnectTimeout.duration(),
-		ConnectionIdleTimeout: w.Limits.ConnIdle.duration(),
-		StartNotices:          w.Domain.TellsStart,
-		StartsInOrder:         w.Domain.QueueOrder == "fifo",
-		ProgressInterval:      w.Domain.Progress.duration(),
+		ConnectionIdleTimeout: w.Limits.ConnectionIdleTimeout.duration(),
+		StartNotices:          w.Domain.StartNotices,
+		StartsInOrder:         w.Domain.QueueOrder == firstInFirstOut,
+		ProgressInterval:      w.Domain.ProgressInterval.duration(),
 		CrossZoneCost:         w.Prices.CrossZone,
-		CacheMissCost:         w.Prices.Origin,
-		ClientsMarkRetries:    w.Habits.MarksRetry,
-		LoadAdjustedWeights:   w.Weights == "live",
-		ZoneNames:             w.Areas,
-		KindNames:             w.Kinds,
+		CacheMissCost:         w.Prices.CacheMiss,
+		ClientsMarkRetries:    w.ClientHabits.MarkRetries,
+		LoadAdjustedWeights:   w.Weights == loadAdjusted,
+		ZoneNames:             w.ZoneNames,
+		KindNames:             w.KindNames,
 		DrainGrace:            w.Rules.DrainGrace.duration(),
+		FreeSlots:             w.Domain.freeSlots(),
 	}
-	const freeSlots = "free slots"
+}
+
+// freeSlots returns the name of the reported value that counts free slots; empty
+// where none does.
+func (d *wireDomain) freeSlots() string {
 	switch {
-	case w.Domain.ReportX0 == freeSlots:
-		s.FreeSlots = "x0"
-	case w.Domain.ReportX1 == freeSlots:
-		s.FreeSlots = "x1"
+	case d.FirstReport == freeSlotsReport:
+		return firstReportedValue
+	case d.OtherReport == freeSlotsReport:
+		return otherReportedValue
 	}
-	for _, t := range w.Projects {
-		s.TenantQuotas = append(s.TenantQuotas, t.Quota)
+	return ""
+}
+
+// class returns the class of that index.
+func (w *wireSettings) class(index int) (decision.Class, error) {
+	wire := &w.Classes[index]
+	idempotency, known := idempotencyByName[wire.Idempotency]
+	if !known {
+		return decision.Class{}, fmt.Errorf("classes[%d].repeat: unknown value %q", index, wire.Idempotency)
 	}
-	for i, c := range w.Classes {
-		class := decision.Class{
-			Name: c.Name, PriorityWeight: c.Worth, LateWeight: c.LateWorth,
-			LatencyObjective: c.Aim.duration(), Deadline: c.Deadline.duration(), DedupWindow: c.Window.duration(),
-			Kinds: c.RunsOn, Zones: c.ConfinedTo, Serialized: c.InTurn, Streaming: c.Stream,
-		}
-		var ok bool
-		if class.Idempotency, ok = repeats[c.Repeat]; !ok {
-			return s, fmt.Errorf("classes[%d].repeat: unknown value %q", i, c.Repeat)
-		}
-		if class.DedupScope, ok = groups[c.Group]; !ok {
-			return s, fmt.Errorf("classes[%d].group: unknown value %q", i, c.Group)
-		}
-		if i < len(w.Domain.ClassKind) && w.Domain.ClassKind[i] >= 0 { // a second bound to kinds: both hold
-			kind := int(w.Domain.ClassKind[i])
-			if class.Kinds == nil {
-				class.Kinds = []int{kind}
-			}
-			class.Kinds = slices.DeleteFunc(class.Kinds, func(k int) bool { return k != kind })
-		}
-		switch {
-		case c.Stretch != nil:
-			class.ObjectiveStretch = *c.Stretch
-		case i < len(w.Domain.ClassStretch):
-			class.ObjectiveStretch = w.Domain.ClassStretch[i]
-		}
-		s.Classes = append(s.Classes, class)
+	dedupScope, known := dedupScopeByName[wire.DedupScope]
+	if !known {
+		return decision.Class{}, fmt.Errorf("classes[%d].group: unknown value %q", index, wire.DedupScope)
 	}
-	return s, nil
+	return decision.Class{
+		Name:             wire.Name,
+		PriorityWeight:   wire.PriorityWeight,
+		LateWeight:       wire.LateWeight,
+		LatencyObjective: wire.LatencyObjective.duration(),
+		ObjectiveStretch: w.objectiveStretch(index),
+		Deadline:         wire.Deadline.duration(),
+		Idempotency:      idempotency,
+		DedupScope:       dedupScope,
+		DedupWindow:      wire.DedupWindow.duration(),
+		Kinds:            w.kinds(index),
+		Zones:            wire.Zones,
+		Serialized:       wire.Serialized,
+		Streaming:        wire.Streaming,
+	}, nil
 }
 
-// Load reads a load report, by the names of the settings or by the plain ones
-// that backends use. What no decision rests on is passed over.
-func Load(s *decision.Settings, raw []byte) (l decision.LoadReport) {
-	var report map[string]any
-	if json.Unmarshal(raw, &report) != nil {
-		return l // a report that cannot be read tells nothing
+// kinds returns the kinds of worker that a class may run on; nil: all. The class
+// and the domain may each restrict them, and both restrictions hold.
+func (w *wireSettings) kinds(class int) []int {
+	kinds := w.Classes[class].Kinds
+	if class >= len(w.Domain.KindByClass) || w.Domain.KindByClass[class] < 0 {
+		return kinds
 	}
-	value := func(names ...string) (float64, bool) {
-		for _, name := range names {
-			if x, ok := report[name].(float64); ok && name != "" {
-				return x, true
-			}
-		}
-		return 0, false
+	kind := int(w.Domain.KindByClass[class])
+	if kinds == nil {
+		return []int{kind}
+	}
+	return slices.DeleteFunc(kinds, func(other int) bool { return other != kind })
+}
+
+// objectiveStretch returns the class's own value, or else the domain's for it.
+func (w *wireSettings) objectiveStretch(class int) float64 {
+	own := w.Classes[class].ObjectiveStretch
+	switch {
+	case own != nil:
+		return *own
+	case class < len(w.Domain.StretchByClass):
+		return w.Domain.StretchByClass[class]
 	}
-	l.FreeSlots, l.HasFreeSlots = value(s.FreeSlots)
-	l.Outstanding, l.HasOutstanding = value("outstanding", "inflight")
-	l.Backlog, l.HasBacklog = value("backlog", "queue")
-	return l
+	return 0
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,7 +7,7 @@
 	"hollyyoke.example/hollyyoke/decision"
 )
 
-// A value of the wrong type is told by its field; unknown keys are passed over.
+// The error for a value of the wrong type names the key; unknown keys are ignored.
 func TestReadNamesTheField(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"limits":{"max_attempts":"three"}}`:            "limits.max_attempts",
@@ -25,7 +25,7 @@
 	}
 }
 
-// A load report is read by either set of names; garbage tells nothing.
+// A load report is read by either set of names; an unreadable one is empty.
 func TestLoad(t *testing.T) {
 	s := decision.Settings{FreeSlots: "x0"}
 	full := decision.LoadReport{FreeSlots: 1.5, HasFreeSlots: true, Outstanding: 7, HasOutstanding: true, Backlog: 2, HasBacklog: true}
