--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -96,7 +96,7 @@
 	if g.Limits, g.DescriptorFloors, g.Watermarks, g.WriteStall, err = c.Ready(transport.ConnectionDescriptors(descriptors)); err != nil {
 		return g, fmt.Errorf("connections.%w", err)
 	}
-	g.Respond503 = c.Refuse == "503"
+	g.Respond503 = c.RejectWith == "503"
 	return g, nil
 }
 
--- a/internal/settings/connections.go
+++ b/internal/settings/connections.go
@@ -18,7 +18,7 @@
 	Known  []string `toml:"known" help:"prefixes of known clients, as 10.1.0.0/16: they have the reserve, and no caps"`
 	Fronts []string `toml:"fronts" help:"prefixes of fronts that send a PROXY header (v1 or v2): caps hold for the clients it names"`
 
-	Capacity        int     `toml:"sessions_connections" help:"sessions at a time; 0: six tenths of the descriptors"`
+	Capacity    int     `toml:"sessions_connections" help:"sessions at a time; 0: six tenths of the descriptors"`
 	Reserve     int     `toml:"reserve_connections" help:"of them, that unknown clients cannot use; 0: a quarter of them where clients are known"`
 	UnknownPerS float64 `toml:"unknown_new_per_s" help:"new connections a second of all unknown clients together; 0: no bound"`
 
@@ -50,7 +50,7 @@
 	RateGrace  float64 `toml:"min_rate_after_ms" help:"from its first byte on; default 500"`
 	WriteStall float64 `toml:"write_stall_ms" help:"for which answers may wait to be read; 0: no bound"`
 
-	Refuse         string  `toml:"refuse" help:"how: close (default) or 503"`
+	RejectWith     string  `toml:"refuse" help:"how: close (default) or 503"`
 	Low            float64 `toml:"low_mark" help:"share of descriptors at which idle unknown sessions go; default 0.8"`
 	High           float64 `toml:"high_mark" help:"at which unknown arrivals end at once; default 0.9"`
 	Critical       float64 `toml:"critical_mark" help:"at which even idle connections to workers go; default 0.97"`
@@ -179,10 +179,10 @@
 
 // checkValues checks what connlimit does not.
 func (c *Connections) checkValues() error {
-	switch c.Refuse {
+	switch c.RejectWith {
 	case "", rejectByClosing, rejectWith503:
 	default:
-		return fmt.Errorf("refuse: %q is neither close nor 503", c.Refuse)
+		return fmt.Errorf("refuse: %q is neither close nor 503", c.RejectWith)
 	}
 	amounts := []struct {
 		key   string
