--- a/cmd/simulator-adapter/golden_test.go
+++ b/cmd/simulator-adapter/golden_test.go
@@ -9,15 +9,15 @@
 	"hollyyoke.example/hollyyoke/internal/goldentest"
 )
 
-// golden compares with a file in testdata, byte for byte.
-func golden(t *testing.T, name string, got []byte) {
+// compareGolden compares got with a file in testdata, byte for byte.
+func compareGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	goldentest.Compare(t, name, string(got))
 }
 
-// The wire of the simulator, byte for byte: a recorded conversation of two
-// dispatchers is answered as it was when it was recorded. It holds every command
-// but release, whose form TestEncode of the wire's package holds.
+// A recorded conversation of two dispatchers with the simulator gets the recorded
+// replies, byte for byte. It has every command but release, which TestEncode of
+// package simwire covers.
 func TestConversation(t *testing.T) {
 	in, err := os.ReadFile(filepath.Join("testdata", "conversation.in"))
 	if err != nil {
@@ -31,8 +31,8 @@
 		"assign", "not_now", "finish_error", "stop_attempt", "set_alarm", "probe", "listen", "say_log",
 	} {
 		if !bytes.Contains(out.Bytes(), []byte(`{"cmd":"`+command+`"`)) {
-			t.Errorf("the conversation holds no %s", command)
+			t.Errorf("the conversation has no %s", command)
 		}
 	}
-	golden(t, "conversation.golden", out.Bytes())
+	compareGolden(t, "conversation.golden", out.Bytes())
 }
--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -13,6 +13,10 @@
 	"hollyyoke.example/hollyyoke/internal/simwire"
 )
 
+// bufferBytes is the size of the input and output buffers. Longer lines are
+// collected in a buffer that grows.
+const bufferBytes = 1 << 20
+
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "simulator-adapter:", err)
@@ -20,80 +24,107 @@
 	}
 }
 
-// run answers each line of in with one line on out until in ends.
-func run(in io.Reader, out io.Writer) error {
-	r := bufio.NewReaderSize(in, 1<<20)
-	w := bufio.NewWriterSize(out, 1<<20)
-	h := host{dispatchers: map[int64]*decision.Machine{}, decoder: simwire.NewDecoder()}
-	var long []byte
+// run answers each line of input with one line of output until input ends.
+func run(input io.Reader, output io.Writer) error {
+	lines := lineReader{reader: bufio.NewReaderSize(input, bufferBytes)}
+	writer := bufio.NewWriterSize(output, bufferBytes)
+	instances := host{
+		dispatchers: map[int64]*decision.Machine{},
+		decoder:     simwire.NewDecoder(),
+	}
 	for {
-		line, err := r.ReadSlice('\n')
-		if errors.Is(err, bufio.ErrBufferFull) {
-			long = append(long, line...)
-			continue
-		}
-		if len(long) > 0 {
-			line = append(long, line...)
-			long = long[:0]
-		}
-		if errors.Is(err, io.EOF) && len(line) == 0 {
+		line, err := lines.next()
+		if errors.Is(err, io.EOF) {
 			return nil
 		}
-		if err != nil && !errors.Is(err, io.EOF) {
+		if err != nil {
 			return err
 		}
-		reply, err := h.answer(line)
+		reply, err := instances.answer(line)
 		if err != nil {
 			return err
 		}
-		if _, err := w.Write(reply); err != nil {
+		if _, err := writer.Write(reply); err != nil {
 			return err
 		}
-		if err := w.Flush(); err != nil {
+		if err := writer.Flush(); err != nil {
 			return err
 		}
 	}
 }
 
-// host holds the instances. They share nothing but the decoder's lists.
+// lineReader reads lines of any length.
+type lineReader struct {
+	reader *bufio.Reader
+	long   []byte // collects a line that is longer than the reader's buffer
+}
+
+// next returns the next line, which is valid until the next call; io.EOF where
+// there is none. The last line need not have a line end.
+func (r *lineReader) next() ([]byte, error) {
+	r.long = r.long[:0]
+	for {
+		line, err := r.reader.ReadSlice('\n')
+		if errors.Is(err, bufio.ErrBufferFull) {
+			r.long = append(r.long, line...)
+			continue
+		}
+		if len(r.long) > 0 {
+			r.long = append(r.long, line...)
+			line = r.long
+		}
+		if errors.Is(err, io.EOF) && len(line) > 0 {
+			return line, nil
+		}
+		return line, err
+	}
+}
+
+// host holds the instances. They share nothing but the decoder's tables.
 type host struct {
 	decoder     *simwire.Decoder
 	encoder     simwire.Encoder
-	dispatchers map[int64]*decision.Machine // nil once it has exited
-	now         simwire.Batch
+	dispatchers map[int64]*decision.Machine // nil after an instance has exited
+	batch       simwire.Batch
 	actions     []decision.Action
 }
 
+// answer returns the reply to a line, which is valid until the next call.
 func (h *host) answer(line []byte) ([]byte, error) {
 	err := h.decoder.Decode(line, h.begin, h.handle)
 	return h.encoder.End(), err
 }
 
-func (h *host) begin(b simwire.Batch) {
-	h.now = b
-	h.encoder.Begin(b.Turn)
+func (h *host) begin(batch simwire.Batch) {
+	h.batch = batch
+	h.encoder.Begin(batch.Turn)
 }
 
-func (h *host) handle(m *simwire.Message) error {
-	d, known := h.dispatchers[m.Instance]
-	switch m.Op {
+func (h *host) handle(message *simwire.Message) error {
+	switch message.Operation {
 	case simwire.Boot:
-		d, err := decision.New(m.Settings, m.Seed)
-		if err != nil {
-			return fmt.Errorf("dispatcher %d: %w", m.Instance, err)
-		}
-		h.dispatchers[m.Instance] = d
+		return h.boot(message)
 	case simwire.Exit:
-		h.dispatchers[m.Instance] = nil
-	default:
-		if !known {
-			return fmt.Errorf("dispatcher %d was never started", m.Instance)
-		}
-		if d == nil {
-			return nil
-		}
-		h.actions = d.Handle(h.now.Now, m.Event, h.actions[:0])
-		h.encoder.Add(m.Instance, h.actions)
+		h.dispatchers[message.Instance] = nil
+		return nil
+	}
+	dispatcher, known := h.dispatchers[message.Instance]
+	if !known {
+		return fmt.Errorf("dispatcher %d was never started", message.Instance)
+	}
+	if dispatcher == nil {
+		return nil
+	}
+	h.actions = dispatcher.Handle(h.batch.Now, message.Event, h.actions[:0])
+	h.encoder.Add(message.Instance, h.actions)
+	return nil
+}
+
+func (h *host) boot(message *simwire.Message) error {
+	dispatcher, err := decision.New(message.Settings, message.Seed)
+	if err != nil {
+		return fmt.Errorf("dispatcher %d: %w", message.Instance, err)
 	}
+	h.dispatchers[message.Instance] = dispatcher
 	return nil
 }
--- a/cmd/simulator-adapter/main_test.go
+++ b/cmd/simulator-adapter/main_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-const start = `{"moment_us":1000,"turn":1,"msgs":[` +
+const startLine = `{"moment_us":1000,"turn":1,"msgs":[` +
 	`{"cmd":"boot","dispatcher":0,"rng_seed":1,"params":{"classes":[{"deadline_us":5000000,"repeat":"retryable",` +
 	`"slo_us":200000,"worth":1}],"peers_total":1,"tick_us":1000,"limits":{"max_attempts":2}}},` +
 	`{"cmd":"table","table":0,"elements":[{"worker":"w:1","readiness":"Running"}]},` +
 	`{"cmd":"roster_change","dispatcher":0,"how":"Persisted","table":0}]}` + "\n"
 
 func TestRunServes(t *testing.T) {
-	in := `{"moment_us":1,"turn":0,"msgs":[]}` + "\n" + start +
+	in := `{"moment_us":1,"turn":0,"msgs":[]}` + "\n" + startLine +
 		`{"moment_us":2000,"turn":2,"msgs":[{"cmd":"ingress","dispatcher":0,"corr":9,"class":0,"needs":1,"left_us":5000000}]}` + "\n" +
 		`{"moment_us":3000,"turn":3,"msgs":[{"cmd":"exit","dispatcher":0},{"cmd":"due","dispatcher":0,"handle":9}]}` // no newline
 	var out bytes.Buffer
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestRunRefusesBadInput(t *testing.T) {
+func TestRunRejectsInvalidInput(t *testing.T) {
 	for _, in := range []string{
 		"nonsense\n",
 		`{"moment_us":1,"turn":1,"msgs":[{"cmd":"due","dispatcher":5,"handle":1}]}` + "\n",
@@ -42,17 +42,17 @@
 	}
 }
 
-// The same events give the same actions, run after run.
+// The same events give the same actions in every run.
 func TestRunIsDeterministic(t *testing.T) {
-	var a, b bytes.Buffer
-	in := start + `{"moment_us":2000,"turn":2,"msgs":[{"cmd":"ingress","dispatcher":0,"corr":9,"class":0,"left_us":50000}]}`
-	if err := run(strings.NewReader(in), &a); err != nil {
+	var first, second bytes.Buffer
+	in := startLine + `{"moment_us":2000,"turn":2,"msgs":[{"cmd":"ingress","dispatcher":0,"corr":9,"class":0,"left_us":50000}]}`
+	if err := run(strings.NewReader(in), &first); err != nil {
 		t.Fatal(err)
 	}
-	if err := run(strings.NewReader(in), &b); err != nil {
+	if err := run(strings.NewReader(in), &second); err != nil {
 		t.Fatal(err)
 	}
-	if a.String() != b.String() {
+	if first.String() != second.String() {
 		t.Fatal("two runs differ")
 	}
 }
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -9,107 +9,117 @@
 	"hollyyoke.example/hollyyoke/decision"
 )
 
-// Encoder builds the reply to one batch.
+// maxTimerMicroseconds is the longest timer of the protocol, 71 minutes.
+const maxTimerMicroseconds = 71 * 60 * 1000 * 1000
+
+// commandNames are the names of actions on the wire.
+var commandNames = [...]string{
+	decision.Assign:        "assign",
+	decision.Reject:        "not_now",
+	decision.Fail:          "finish_error",
+	decision.CancelAttempt: "stop_attempt",
+	decision.SetTimer:      "set_alarm",
+	decision.CheckHealth:   "probe",
+	decision.Subscribe:     "listen",
+	decision.CloseIdle:     "release",
+	decision.Log:           "say_log",
+}
+
+// Encoder builds the reply to one batch: Begin, Add for each message, End.
 type Encoder struct {
-	buf   []byte
-	empty bool
+	buffer    []byte
+	hasAction bool
 }
 
-// Begin starts the reply to batch number turn.
+// Begin starts the reply to the batch of that number.
 func (e *Encoder) Begin(turn int64) {
-	e.buf = append(e.buf[:0], `{"turn":`...)
-	e.buf = strconv.AppendInt(e.buf, turn, 10)
-	e.buf = append(e.buf, `,"cmds":[`...)
-	e.empty = true
+	e.buffer = append(e.buffer[:0], `{"turn":`...)
+	e.buffer = strconv.AppendInt(e.buffer, turn, 10)
+	e.buffer = append(e.buffer, `,"cmds":[`...)
+	e.hasAction = false
 }
 
 // Add appends the actions of one instance.
 func (e *Encoder) Add(instance int64, actions []decision.Action) {
 	for i := range actions {
-		e.add(instance, &actions[i])
+		e.appendAction(instance, &actions[i])
 	}
 }
 
-// End closes the reply and returns its line. It is valid until the next Begin.
+// End closes the reply and returns its line, which is valid until the next Begin.
 func (e *Encoder) End() []byte {
-	e.buf = append(e.buf, "]}\n"...)
-	return e.buf
+	e.buffer = append(e.buffer, "]}\n"...)
+	return e.buffer
 }
 
-func (e *Encoder) add(instance int64, a *decision.Action) {
-	if !e.empty {
-		e.buf = append(e.buf, ',')
+func (e *Encoder) appendAction(instance int64, action *decision.Action) {
+	if e.hasAction {
+		e.buffer = append(e.buffer, ',')
 	}
-	e.empty = false
-	e.buf = append(e.buf, `{"cmd":"`...)
-	e.buf = append(e.buf, actionNames[a.Kind]...)
-	e.buf = append(e.buf, `","dispatcher":`...)
-	e.buf = strconv.AppendInt(e.buf, instance, 10)
-	switch a.Kind {
+	e.hasAction = true
+	e.buffer = append(e.buffer, `{"cmd":"`...)
+	e.buffer = append(e.buffer, commandNames[action.Kind]...)
+	e.buffer = append(e.buffer, `","dispatcher":`...)
+	e.buffer = strconv.AppendInt(e.buffer, instance, 10)
+	switch action.Kind {
 	case decision.Assign:
-		e.number("corr", a.Request)
-		e.text("worker", a.Worker)
+		e.appendNumber("corr", action.Request)
+		e.appendText("worker", action.Worker)
 	case decision.Reject:
-		e.number("corr", a.Request)
-		if a.Delay > 0 {
-			e.number("come_back_us", microseconds(a.Delay))
+		e.appendNumber("corr", action.Request)
+		if action.Delay > 0 {
+			e.appendNumber("come_back_us", microsecondsUp(action.Delay))
 		}
 	case decision.Fail:
-		e.number("corr", a.Request)
+		e.appendNumber("corr", action.Request)
 	case decision.CancelAttempt:
-		e.number("corr", a.Request)
-		e.number("trial", uint64(a.Attempt))
+		e.appendNumber("corr", action.Request)
+		e.appendNumber("trial", uint64(action.Attempt))
 	case decision.SetTimer:
-		e.number("handle", a.Timer)
-		e.number("span_us", min(microseconds(a.Delay), longestTimer))
+		e.appendNumber("handle", action.Timer)
+		e.appendNumber("span_us", min(microsecondsUp(action.Delay), maxTimerMicroseconds))
 	case decision.CheckHealth, decision.CloseIdle:
-		e.text("worker", a.Worker)
+		e.appendText("worker", action.Worker)
 	case decision.Subscribe:
-		e.buf = append(e.buf, `,"active":true`...)
+		e.buffer = append(e.buffer, `,"active":true`...)
 	case decision.Log:
-		e.text("reason_text", a.Text)
+		e.appendText("reason_text", action.Text)
 	}
-	e.buf = append(e.buf, '}')
+	e.buffer = append(e.buffer, '}')
 }
 
-var actionNames = [...]string{
-	decision.Assign: "assign", decision.Reject: "not_now", decision.Fail: "finish_error",
-	decision.CancelAttempt: "stop_attempt", decision.SetTimer: "set_alarm", decision.CheckHealth: "probe",
-	decision.Subscribe: "listen", decision.CloseIdle: "release", decision.Log: "say_log",
-}
-
-// longestTimer is the longest timer of the wire, 71 minutes, in microseconds.
-const longestTimer = 71 * 60 * 1000 * 1000
-
-func (e *Encoder) name(name string) {
-	e.buf = append(e.buf, `,"`...)
-	e.buf = append(e.buf, name...)
-	e.buf = append(e.buf, `":`...)
+func (e *Encoder) appendName(name string) {
+	e.buffer = append(e.buffer, `,"`...)
+	e.buffer = append(e.buffer, name...)
+	e.buffer = append(e.buffer, `":`...)
 }
 
-func (e *Encoder) number(name string, n uint64) {
-	e.name(name)
-	e.buf = strconv.AppendUint(e.buf, n, 10)
+func (e *Encoder) appendNumber(name string, number uint64) {
+	e.appendName(name)
+	e.buffer = strconv.AppendUint(e.buffer, number, 10)
 }
 
-func (e *Encoder) text(name, s string) {
-	e.name(name)
-	for i := 0; i < len(s); i++ {
-		if c := s[i]; c < ' ' || c == '"' || c == '\\' || c >= 0x7f {
-			quoted, _ := json.Marshal(s) // a string always marshals
-			e.buf = append(e.buf, quoted...)
+// appendText appends a string field. Only text that needs escapes goes through
+// encoding/json.
+func (e *Encoder) appendText(name, text string) {
+	e.appendName(name)
+	for i := 0; i < len(text); i++ {
+		c := text[i]
+		if c < ' ' || c == '"' || c == '\\' || c >= 0x7f {
+			quoted, _ := json.Marshal(text) // a string always marshals
+			e.buffer = append(e.buffer, quoted...)
 			return
 		}
 	}
-	e.buf = append(e.buf, '"')
-	e.buf = append(e.buf, s...)
-	e.buf = append(e.buf, '"')
+	e.buffer = append(e.buffer, '"')
+	e.buffer = append(e.buffer, text...)
+	e.buffer = append(e.buffer, '"')
 }
 
-// microseconds rounds up, so that a timer is never early.
-func microseconds(d time.Duration) uint64 {
-	if d <= 0 {
+// microsecondsUp rounds up, so that a timer never fires early.
+func microsecondsUp(span time.Duration) uint64 {
+	if span <= 0 {
 		return 0
 	}
-	return uint64(math.Ceil(float64(d) / float64(time.Microsecond)))
+	return uint64(math.Ceil(float64(span) / float64(time.Microsecond)))
 }
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -27,22 +27,22 @@
 	`"readiness":"Stopping","capacity_hint":1.5,"last_start_us":6100000}]},` +
 	`{"cmd":"roster_change","dispatcher":3,"how":"Persisted","serial":41,"table":2}]}`
 
-func decode(t *testing.T, d *Decoder, line string) (b Batch, got []Message, err error) {
+func decode(t *testing.T, d *Decoder, line string) (batch Batch, messages []Message, err error) {
 	t.Helper()
-	err = d.Decode([]byte(line), func(x Batch) { b = x }, func(m *Message) error {
-		got = append(got, *m)
+	err = d.Decode([]byte(line), func(begun Batch) { batch = begun }, func(message *Message) error {
+		messages = append(messages, *message)
 		return nil
 	})
-	return b, got, err
+	return batch, messages, err
 }
 
 func TestDecodeBoot(t *testing.T) {
-	b, got, err := decode(t, NewDecoder(), bootLine)
+	batch, got, err := decode(t, NewDecoder(), bootLine)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if b != (Batch{Now: 5 * time.Second, Turn: 1}) {
-		t.Fatalf("batch %+v", b)
+	if batch != (Batch{Now: 5 * time.Second, Turn: 1}) {
+		t.Fatalf("batch %+v", batch)
 	}
 	want := decision.Settings{
 		Classes: []decision.Class{
@@ -66,7 +66,7 @@
 		StartNotices: true, ProgressInterval: time.Second, CrossZoneCost: 0.03,
 		ZoneNames: []string{"a", "b"}, FreeSlots: "x0", DrainGrace: 500 * time.Millisecond,
 	}
-	if len(got) != 2 || got[0].Op != Boot || got[0].Instance != 3 || got[0].Seed != 77 {
+	if len(got) != 2 || got[0].Operation != Boot || got[0].Instance != 3 || got[0].Seed != 77 {
 		t.Fatalf("messages %+v", got)
 	}
 	if !reflect.DeepEqual(got[0].Settings, want) {
@@ -128,7 +128,8 @@
 	}
 }
 
-// A table's number is reused, even within a batch: each list event takes the one before it.
+// A table's number may be reused within a batch: each list update refers to the
+// table before it.
 func TestDecodeTableReuse(t *testing.T) {
 	table := func(w string) string {
 		return `{"cmd":"table","table":0,"elements":[{"worker":"` + w + `","readiness":"Running"}]}`
@@ -195,7 +196,7 @@
 	}
 }
 
-// FuzzDecode: no input makes the decoder panic.
+// FuzzDecode checks that no input makes the decoder panic.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(bootLine))
 	f.Add([]byte(`{"moment_us":1,"turn":1,"msgs":[{"cmd":"due","dispatcher":3,"handle":77}]}`))
