--- a/internal/tools/testgate/main_test.go
+++ b/internal/tools/testgate/main_test.go
@@ -9,53 +9,53 @@
 )
 
 const (
-	passes = `{"Action":"run","Package":"m/a","Test":"TestGood"}
-{"Action":"pass","Package":"m/a","Test":"TestGood"}
+	passes = `{"Action":"run","Package":"m/a","Test":"TestPasses"}
+{"Action":"pass","Package":"m/a","Test":"TestPasses"}
 `
-	fails = `{"Action":"run","Package":"m/a","Test":"TestBad"}
-{"Action":"fail","Package":"m/a","Test":"TestBad"}
+	fails = `{"Action":"run","Package":"m/a","Test":"TestFails"}
+{"Action":"fail","Package":"m/a","Test":"TestFails"}
 {"Action":"fail","Package":"m/a"}
 `
-	subtestFails = `{"Action":"run","Package":"m/a","Test":"TestBad"}
-{"Action":"run","Package":"m/a","Test":"TestBad/part"}
-{"Action":"fail","Package":"m/a","Test":"TestBad/part"}
-{"Action":"fail","Package":"m/a","Test":"TestBad"}
+	subtestFails = `{"Action":"run","Package":"m/a","Test":"TestFails"}
+{"Action":"run","Package":"m/a","Test":"TestFails/part"}
+{"Action":"fail","Package":"m/a","Test":"TestFails/part"}
+{"Action":"fail","Package":"m/a","Test":"TestFails"}
 {"Action":"fail","Package":"m/a"}
 `
-	panics = `{"Action":"run","Package":"m/a","Test":"TestDead"}
+	panics = `{"Action":"run","Package":"m/a","Test":"TestPanics"}
 {"Action":"fail","Package":"m/a"}
 `
 	noBuild     = `{"Action":"build-fail","Package":"m/b"}` + "\n"
 	packageOnly = `{"Action":"fail","Package":"m/c"}` + "\n"
 )
 
-func TestJudge(t *testing.T) {
-	bad := entry{Package: "a", Test: "TestBad", Cause: "a cause", Issue: "issue 1"}
-	part := entry{Package: "a", Test: "TestBad/part", Cause: "a cause", Issue: "issue 1"}
+func TestEvaluate(t *testing.T) {
+	failing := knownFailure{Package: "a", Test: "TestFails", Cause: "a cause", Issue: "issue 1"}
+	part := knownFailure{Package: "a", Test: "TestFails/part", Cause: "a cause", Issue: "issue 1"}
 	for _, c := range []struct {
 		name, events string
-		known        []entry
+		known        []knownFailure
 		want         string // part of the error; empty: the run passes
 	}{
 		{"all pass", passes, nil, ""},
 		{"no test", "", nil, "no test ran"},
-		{"a failure", passes + fails, nil, "m/a TestBad failed"},
-		{"a listed failure", passes + fails, []entry{bad}, ""},
-		{"a listed subtest", passes + subtestFails, []entry{part}, ""},
-		{"a listed test whose subtest fails", passes + subtestFails, []entry{bad}, "m/a TestBad/part failed"},
-		{"a listed test that passes", passes, []entry{{Package: "a", Test: "TestGood"}}, "remove the entry"},
-		{"an entry without a test", passes, []entry{bad}, "matches no test"},
-		{"an entry of another package", passes + fails, []entry{{Package: "b", Test: "TestBad"}}, "matches no test"},
-		{"a panic beside a listed failure", passes + fails + panics, []entry{bad}, "TestDead did not end"},
-		{"no build beside a listed failure", passes + fails + noBuild, []entry{bad}, "m/b does not build"},
-		{"a package that fails by itself", passes + fails + packageOnly, []entry{bad}, "m/c"},
+		{"a failure", passes + fails, nil, "m/a TestFails failed"},
+		{"a listed failure", passes + fails, []knownFailure{failing}, ""},
+		{"a listed subtest", passes + subtestFails, []knownFailure{part}, ""},
+		{"a listed test whose subtest fails", passes + subtestFails, []knownFailure{failing}, "m/a TestFails/part failed"},
+		{"a listed test that passes", passes, []knownFailure{{Package: "a", Test: "TestPasses"}}, "remove the entry"},
+		{"an entry without a test", passes, []knownFailure{failing}, "matches no test"},
+		{"an entry of another package", passes + fails, []knownFailure{{Package: "b", Test: "TestFails"}}, "matches no test"},
+		{"a panic beside a listed failure", passes + fails + panics, []knownFailure{failing}, "TestPanics did not end"},
+		{"no build beside a listed failure", passes + fails + noBuild, []knownFailure{failing}, "m/b does not build"},
+		{"a package that fails by itself", passes + fails + packageOnly, []knownFailure{failing}, "m/c"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newResults(io.Discard)
 			if err := r.read(strings.NewReader(c.events)); err != nil {
 				t.Fatal(err)
 			}
-			err := r.judge(c.known, nil, io.Discard)
+			err := r.evaluate(c.known, nil)
 			switch {
 			case c.want == "" && err != nil:
 				t.Errorf("fails: %v", err)
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestReadList(t *testing.T) {
+func TestReadKnownFailures(t *testing.T) {
 	line := "internal/core | TestX | a cause | issue 27\n"
 	for _, c := range []struct {
 		name, text, want string
@@ -75,21 +75,21 @@
 		{"comments and one entry", "# a comment\n\n" + line, "", 1},
 		{"three", strings.Repeat(line, 3), "", 3},
 		{"too many", strings.Repeat(line, 4), "3 at most", 0},
-		{"a part missing", "internal/core | TestX | a cause\n", ":1: not of the form", 0},
-		{"an empty part", "# x\ninternal/core |  | a cause | issue 27\n", ":2: not of the form", 0},
+		{"a field missing", "internal/core | TestX | a cause\n", ":1: not of the form", 0},
+		{"an empty field", "# x\ninternal/core |  | a cause | issue 27\n", ":2: not of the form", 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "list")
 			if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			list, err := readList(path)
-			if len(list) != c.entries || (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
-				t.Errorf("%d entries, %v", len(list), err)
+			known, err := readKnownFailures(path)
+			if len(known) != c.entries || (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
+				t.Errorf("%d entries, %v", len(known), err)
 			}
 		})
 	}
-	if list, err := readList(filepath.Join(t.TempDir(), "none")); err != nil || len(list) != 0 {
-		t.Errorf("no file: %v, %v", list, err)
+	if known, err := readKnownFailures(filepath.Join(t.TempDir(), "none")); err != nil || len(known) != 0 {
+		t.Errorf("no file: %v, %v", known, err)
 	}
 }
--- /dev/null
+++ b/internal/tools/testgate/results.go
@@ -0,0 +1,176 @@
+package main
+
+import (
+	"bufio"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"strings"
+)
+
+// maxEventBytes is the length of the longest line of go test that is read.
+const maxEventBytes = 16 << 20
+
+// action is what an event reports.
+type action string
+
+// The actions of `go test -json` that count here.
+const (
+	actionOutput      action = "output"
+	actionBuildOutput action = "build-output"
+	actionBuildFail   action = "build-fail"
+	actionRun         action = "run"
+	actionPass        action = "pass"
+	actionFail        action = "fail"
+	actionSkip        action = "skip"
+)
+
+// event is one line of `go test -json`, as `go doc test2json` describes it.
+type event struct {
+	Action  action
+	Package string
+	Test    string
+	Output  string
+}
+
+// testName names a test; with an empty Test, the package itself.
+type testName struct{ Package, Test string }
+
+func (n testName) String() string { return n.Package + " " + n.Test }
+
+// results collects how each test and each package ended.
+type results struct {
+	out          io.Writer
+	outcomes     map[testName]action // the last of run, pass, fail and skip
+	finished     int                 // tests that passed, failed or were skipped
+	output       map[testName][]string
+	failedBuilds []string // packages
+}
+
+func newResults(out io.Writer) *results {
+	return &results{out: out, outcomes: map[testName]action{}, output: map[testName][]string{}}
+}
+
+// read reads all events. Lines that are no events are printed.
+func (r *results) read(events io.Reader) error {
+	lines := bufio.NewScanner(events)
+	lines.Buffer(nil, maxEventBytes)
+	for lines.Scan() {
+		var read event
+		err := json.Unmarshal(lines.Bytes(), &read)
+		if err != nil || read.Action == "" {
+			fmt.Fprintln(r.out, lines.Text())
+			continue
+		}
+		r.add(read)
+	}
+	return lines.Err()
+}
+
+// add records an event. A test's output is printed if the test fails.
+func (r *results) add(e event) {
+	name := testName{e.Package, e.Test}
+	switch e.Action {
+	case actionOutput:
+		if e.Test == "" {
+			fmt.Fprint(r.out, e.Output)
+			return
+		}
+		r.output[name] = append(r.output[name], e.Output)
+	case actionBuildOutput:
+		fmt.Fprint(r.out, e.Output)
+	case actionBuildFail:
+		r.failedBuilds = append(r.failedBuilds, e.Package)
+	case actionRun:
+		r.outcomes[name] = e.Action
+	case actionPass, actionFail, actionSkip:
+		r.outcomes[name] = e.Action
+		if e.Action == actionFail {
+			fmt.Fprint(r.out, strings.Join(r.output[name], ""))
+		}
+		delete(r.output, name)
+		if e.Test != "" {
+			r.finished++
+		}
+	}
+}
+
+// evaluate returns why the run fails, or nil: go test's result, less the known
+// failures, which are printed. exitErr is the error with which go test exited.
+func (r *results) evaluate(known []knownFailure, exitErr error) error {
+	tolerated := map[testName]bool{}
+	var errs []error
+	for _, failure := range known {
+		name, outcome := r.find(failure)
+		switch outcome {
+		case actionFail:
+			tolerated[name] = true
+			fmt.Fprintf(r.out, "known red: %s: %s (%s)\n", name, failure.Cause, failure.Issue)
+		case "":
+			errs = append(errs, fmt.Errorf("%s: %s matches no test", listFile, failure.Test))
+		default:
+			errs = append(errs, fmt.Errorf("%s: %s is listed, but its outcome is %s: remove the entry", listFile, failure.Test, outcome))
+		}
+	}
+	for _, name := range r.failedBuilds {
+		errs = append(errs, fmt.Errorf("%s does not build", name))
+	}
+	errs = append(errs, r.otherFailures(tolerated)...)
+	if exitErr != nil && len(errs) == 0 && len(tolerated) == 0 {
+		errs = append(errs, fmt.Errorf("go test: %w", exitErr))
+	}
+	if r.finished == 0 {
+		errs = append(errs, errors.New("no test ran"))
+	}
+	return errors.Join(errs...)
+}
+
+// find returns the outcome of the test that an entry names; empty if there is none.
+func (r *results) find(failure knownFailure) (testName, action) {
+	for name, outcome := range r.outcomes {
+		if name.Test == failure.Test && strings.HasSuffix(name.Package, failure.Package) {
+			return name, outcome
+		}
+	}
+	return testName{}, ""
+}
+
+// otherFailures returns the failures that are not tolerated. A package fails with
+// each of its tests, and a test with each of its subtests; a test that has begun
+// and has no outcome took the process down with it.
+func (r *results) otherFailures(tolerated map[testName]bool) (errs []error) {
+	for name, outcome := range r.outcomes {
+		switch {
+		case name.Test != "" && outcome == actionRun:
+			errs = append(errs, fmt.Errorf("%s did not end", name))
+		case outcome == actionFail && !tolerated[name] && !r.failsByInner(name, tolerated):
+			errs = append(errs, fmt.Errorf("%s failed", name))
+		}
+	}
+	return errs
+}
+
+// failsByInner reports whether a package or test failed only since something in it
+// did, which is evaluated by itself: for a package any test, for a test a
+// tolerated subtest.
+func (r *results) failsByInner(outer testName, tolerated map[testName]bool) bool {
+	for inner, outcome := range r.outcomes {
+		if outcome != actionFail || !outer.contains(inner) {
+			continue
+		}
+		if outer.Test == "" || tolerated[inner] {
+			return true
+		}
+	}
+	return false
+}
+
+// contains reports whether inner is a test of the package, or a subtest of the
+// test, that n names.
+func (n testName) contains(inner testName) bool {
+	if inner.Package != n.Package || inner.Test == n.Test {
+		return false
+	}
+	return n.Test == "" || strings.HasPrefix(inner.Test, n.Test+"/")
+}
