--- a/internal/membership/log.go
+++ b/internal/membership/log.go
@@ -58,21 +58,12 @@
 	}
 }
 
-// logSince returns the records of the versions after that one, oldest first; nil
-// where there are none.
-func (s *Store) logSince(after Version) []Record {
-	count := 0
-	first := s.newest
+// firstAfter returns the oldest entry of the versions after that one, and the
+// number of entries from there on.
+func (s *Store) firstAfter(after Version) (first *logEntry, count int) {
 	for entry := s.newest; entry != nil && entry.version > after; entry = entry.older {
 		first = entry
 		count++
 	}
-	if count == 0 {
-		return nil
-	}
-	records := make([]Record, 0, count)
-	for entry := first; entry != nil; entry = entry.newer {
-		records = append(records, entry.record)
-	}
-	return records
+	return first, count
 }
--- a/internal/membership/store.go
+++ b/internal/membership/store.go
@@ -294,7 +294,14 @@
 		Base:        after,
 		Exact:       after == s.exactBase,
 		MissingFrom: s.missingFrom(),
-		Records:     s.logSince(after),
+	}
+	first, count := s.firstAfter(after)
+	if count == 0 {
+		return delta, true
+	}
+	delta.Records = make([]Record, 0, count)
+	for entry := first; entry != nil; entry = entry.newer {
+		delta.Records = append(delta.Records, entry.record)
 	}
 	return delta, true
 }
