--- a/internal/membership/change.go
+++ b/internal/membership/change.go
@@ -37,7 +37,7 @@
 	// Version is that of the receiver's state after the change.
 	Version Version
 
-	// Snapshot means that the change replaces the whole state: what it does not
+	// Snapshot means that the change replaces the entire state: what it does not
 	// hold is deleted. Otherwise the change is a delta.
 	Snapshot bool
 
--- a/internal/membership/ratelimit.go
+++ b/internal/membership/ratelimit.go
@@ -24,7 +24,7 @@
 	bytes float64
 }
 
-// NewRateLimiter returns a limiter with its whole budget left. A rate of 0 or
+// NewRateLimiter returns a limiter with its full budget left. A rate of 0 or
 // less bounds nothing.
 func NewRateLimiter(bytesPerSecond float64) RateLimiter {
 	return RateLimiter{budget: max(bytesPerSecond, 0) * rateWindow.Seconds()}
--- a/internal/membership/store.go
+++ b/internal/membership/store.go
@@ -321,7 +321,7 @@
 	return s.resumeVersion + 1
 }
 
-// Snapshot returns the whole state in the order of its keys, so that equal states
+// Snapshot returns the entire state in the order of its keys, so that equal states
 // make equal snapshots. The cost is proportional to the state; callers should
 // cache the encoded line by version.
 func (s *Store) Snapshot() Change {
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -56,18 +56,9 @@
 		dst = append(dst, `,"missing":`...)
 		dst = strconv.AppendInt(dst, int64(c.MissingFrom), 10)
 	}
-	dst, settings := c.appendWorkers(dst)
-	if settings > 0 {
-		dst = c.appendSettings(dst)
-	}
-	return append(dst, "}\n"...)
-}
-
-// appendWorkers appends the workers, and returns the number of records that are
-// settings.
-func (c Change) appendWorkers(dst []byte) (extended []byte, settings int) {
 	dst = append(dst, `,"hosts":[`...)
 	workers := 0
+	settings := 0
 	for i := range c.Records {
 		if strings.HasPrefix(c.Records[i].Key, SettingPrefix) {
 			settings++
@@ -77,7 +68,11 @@
 		dst = append(dst, c.Records[i].Value...)
 		workers++
 	}
-	return append(dst, ']'), settings
+	dst = append(dst, ']')
+	if settings > 0 {
+		dst = c.appendSettings(dst)
+	}
+	return append(dst, "}\n"...)
 }
 
 func (c Change) appendSettings(dst []byte) []byte {
--- a/internal/relay/failover_test.go
+++ b/internal/relay/failover_test.go
@@ -329,7 +329,7 @@
 // A relay that starts fetches what changed before its first snapshot, so that
 // subscribers that followed another relay resume by a delta.
 func TestStartBackfillsEarlierChanges(t *testing.T) {
-	asked := make(chan string, 10)
+	fetched := make(chan string, 10)
 	origin := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, in *http.Request) {
 		query := in.URL.Query()
 		switch {
@@ -338,18 +338,18 @@
 			out.(http.Flusher).Flush()
 			<-in.Context().Done()
 		case query.Get("after") == "0":
-			asked <- "snapshot"
+			fetched <- "snapshot"
 			io.WriteString(out, changeJSON(3000, true, workerJSON("a", "ready"), workerJSON("b", "ready")))
 		default:
-			asked <- query.Get("after")
+			fetched <- query.Get("after")
 			io.WriteString(out, changeJSON(3002, false, workerJSON("b", "draining"), workerJSON("c", "gone")))
 		}
 	}))
 	t.Cleanup(origin.Close)
 	r, _ := startRelay(t, testConfig(origin.Listener.Addr().String()))
 	eventually(t, "the newest version", r.hasVersion(3002))
-	if first, second := <-asked, <-asked; first != "snapshot" || second != "1000" {
-		t.Errorf("asked %s, then after %s", first, second)
+	if first, second := <-fetched, <-fetched; first != "snapshot" || second != "1000" {
+		t.Errorf("fetched %s, then after %s", first, second)
 	}
 	line := getLine(t, r.Addr().String(), "after=1500&name=d1")
 	if line.Snapshot || line.Version != 3002 || len(line.Workers) != 2 || line.Workers[0].Health != "draining" {
--- a/internal/relay/follower.go
+++ b/internal/relay/follower.go
@@ -40,7 +40,7 @@
 	servers       chan []string        // receives a new list of upstreams
 	workingSignal chan struct{}        // the current upstream delivers changes
 
-	// snapshotOnly holds the upstreams that answer a single call with their whole
+	// snapshotOnly holds the upstreams that answer a single call with their complete
 	// list, whatever version it asks for.
 	snapshotOnly map[string]bool
 }
--- a/internal/relay/upstreamcall.go
+++ b/internal/relay/upstreamcall.go
@@ -20,7 +20,7 @@
 // bootstrap fetches and applies the first snapshot, and the changes in the
 // versions before it, so that subscribers at those versions need no snapshot. An
 // upstream that does not have them, such as one that always answers with its
-// whole list, costs no more than that.
+// complete list, costs no more than that.
 func (f *follower) bootstrap(ctx context.Context, server string, current position) error {
 	body, err := f.fetch(ctx, server, current, 0)
 	if err != nil {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -32,7 +32,7 @@
 // Values on the wire.
 const (
 	weightByWork       = "work"
-	listByPolling      = "ask"
+	listBySubscription = "ask"
 	loadByHealthCheck  = "probe"
 	loadAdjusted       = "live"
 	firstInFirstOut    = "fifo"
@@ -44,8 +44,8 @@
 // maxMicroseconds bounds spans on the wire, so that sums of a few do not overflow.
 const maxMicroseconds = float64(math.MaxInt64 / 4000)
 
-// Microseconds converts a span on the wire, in microseconds and whole or not, to a
-// time.Duration of whole microseconds. Spans out of range are clamped.
+// Microseconds converts a span on the wire, in possibly fractional microseconds, to
+// a time.Duration, truncated to microseconds. Spans out of range are clamped.
 func Microseconds(span float64) time.Duration {
 	return time.Duration(min(max(span, -maxMicroseconds), maxMicroseconds)) * time.Microsecond
 }
@@ -88,7 +88,7 @@
 		Zone:                  int(w.Zone),
 		Peers:                 int(w.Peers),
 		Tick:                  w.Tick.duration(),
-		ListBySubscription:    w.Discovery == listByPolling,
+		ListBySubscription:    w.Discovery == listBySubscription,
 		ListPollInterval:      w.Rules.ListPollInterval.duration(),
 		SlowStartFloor:        w.Rules.SlowStartFloor,
 		SlowStartDuration:     w.Rules.SlowStartDuration.duration(),
--- a/internal/settings/wire.go
+++ b/internal/settings/wire.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// microseconds is a span on the wire, whole or not.
+// microseconds is a span on the wire, possibly fractional.
 type microseconds float64
 
 func (m microseconds) duration() time.Duration { return Microseconds(float64(m)) }
--- a/internal/simwire/field.go
+++ b/internal/simwire/field.go
@@ -45,7 +45,8 @@
 	return field.Uint64()
 }
 
-// readSpan returns a span in microseconds, whole or not; 0 where it is absent.
+// readSpan returns a span given in possibly fractional microseconds; 0 where it is
+// absent.
 func readSpan(object *fastjson.Value, name string) time.Duration {
 	return settings.Microseconds(object.GetFloat64(name))
 }
