--- a/internal/membership/acktracker_test.go
+++ b/internal/membership/acktracker_test.go
@@ -110,11 +110,11 @@
 	if summary.Subscribers > 0 && (summary.Cumulative[0] != VersionCount{summary.Lowest, summary.Subscribers}) {
 		t.Fatalf("%+v", summary)
 	}
-	for i, c := range summary.Cumulative {
-		if count, _ := tracker.CountAtLeast(now, c.Version); count != c.Count {
-			t.Fatalf("%+v, but %d acknowledged %d", summary, count, c.Version)
+	for i, entry := range summary.Cumulative {
+		if count, _ := tracker.CountAtLeast(now, entry.Version); count != entry.Count {
+			t.Fatalf("%+v, but %d acknowledged %d", summary, count, entry.Version)
 		}
-		if i > 0 && summary.Cumulative[i-1].Version >= c.Version {
+		if i > 0 && summary.Cumulative[i-1].Version >= entry.Version {
 			t.Fatalf("%+v", summary)
 		}
 	}
--- a/internal/membership/backfill_test.go
+++ b/internal/membership/backfill_test.go
@@ -12,11 +12,11 @@
 	for i := range 100 {
 		snapshot.Records = append(snapshot.Records, workerRecord(fmt.Sprint("h", i), healthReady, 0))
 	}
-	s := NewStore(1000)
-	if outcome, err := s.Apply(snapshot); outcome != Applied {
+	store := NewStore(1000)
+	if outcome, err := store.Apply(snapshot); outcome != Applied {
 		t.Fatal(outcome, err)
 	}
-	return s
+	return store
 }
 
 func TestBackfillLetsSubscribersResume(t *testing.T) {
@@ -29,9 +29,9 @@
 		t.Fatal("rejected")
 	}
 	for _, after := range []Version{40, 45, 50, 51} {
-		c, ok := store.Since(after)
-		if !ok || c.Snapshot || c.Version != 52 || len(c.Records) != 2 || c.Records[0].Key != WorkerPrefix+"h1" {
-			t.Errorf("since %d: %v, snapshot %v, version %d, %d records", after, ok, c.Snapshot, c.Version, len(c.Records))
+		change, ok := store.Since(after)
+		if !ok || change.Snapshot || change.Version != 52 || len(change.Records) != 2 || change.Records[0].Key != WorkerPrefix+"h1" {
+			t.Errorf("since %d: %v, snapshot %v, version %d, %d records", after, ok, change.Snapshot, change.Version, len(change.Records))
 		}
 	}
 	if c, _ := store.Since(39); !c.Snapshot || len(c.Records) != 100 {
@@ -47,7 +47,7 @@
 
 func TestBackfillRejects(t *testing.T) {
 	records := []Record{workerRecord("h1", healthDraining, 0)}
-	for name, c := range map[string]Change{
+	for name, change := range map[string]Change{
 		"a snapshot":                   {Version: 52, Snapshot: true, Base: 40, Records: records},
 		"an exact delta":               {Version: 52, Exact: true, Base: 40, Records: records},
 		"an incomplete sender":         {Version: 52, MissingFrom: 51, Base: 40, Records: records},
@@ -56,8 +56,8 @@
 		"not from before the snapshot": {Version: 52, Base: 50, Records: records},
 		"a record without a key":       {Version: 52, Base: 40, Records: []Record{{}}},
 	} {
-		s := storeFromSnapshot(t)
-		if s.Backfill(c) || s.Version() != 50 || !s.NeedsSnapshot(45) {
+		store := storeFromSnapshot(t)
+		if store.Backfill(change) || store.Version() != 50 || !store.NeedsSnapshot(45) {
 			t.Errorf("%s: accepted", name)
 		}
 	}
--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -41,18 +41,18 @@
 
 func BenchmarkAppendSnapshot(b *testing.B) {
 	benchmarkBySize(b, func(b *testing.B, size int) {
-		c := fleetSnapshot(1, size)
-		line := c.Append(nil)
+		change := fleetSnapshot(1, size)
+		line := change.Append(nil)
 		b.SetBytes(int64(len(line)))
 		for b.Loop() {
-			line = c.Append(line[:0])
+			line = change.Append(line[:0])
 		}
 	})
 }
 
 func BenchmarkParseDelta(b *testing.B) {
-	c := Change{Version: 2, Records: []Record{workerRecord("w-1", healthDraining, 0)}}
-	line := c.Append(nil)
+	change := Change{Version: 2, Records: []Record{workerRecord("w-1", healthDraining, 0)}}
+	line := change.Append(nil)
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := Parse(line); err != nil {
@@ -64,12 +64,12 @@
 // A delta of one worker, with a full log.
 func BenchmarkApplyDelta(b *testing.B) {
 	benchmarkBySize(b, func(b *testing.B, size int) {
-		s := NewStore(size / 2)
-		s.Apply(fleetSnapshot(1, size))
+		store := NewStore(size / 2)
+		store.Apply(fleetSnapshot(1, size))
 		records := fleetSnapshot(1, size).Records
 		for i := 0; b.Loop(); i++ {
 			at := i % size
-			if outcome, _ := s.Apply(Change{Version: s.Version() + 1, Records: records[at : at+1]}); outcome != Applied {
+			if outcome, _ := store.Apply(Change{Version: store.Version() + 1, Records: records[at : at+1]}); outcome != Applied {
 				b.Fatal(outcome)
 			}
 		}
@@ -78,11 +78,11 @@
 
 func BenchmarkApplySameSnapshot(b *testing.B) {
 	benchmarkBySize(b, func(b *testing.B, size int) {
-		s := NewStore(size)
-		c := fleetSnapshot(1, size)
+		store := NewStore(size)
+		change := fleetSnapshot(1, size)
 		for b.Loop() {
-			c.Version = s.Version() + 1
-			if outcome, _ := s.Apply(c); outcome != Applied {
+			change.Version = store.Version() + 1
+			if outcome, _ := store.Apply(change); outcome != Applied {
 				b.Fatal(outcome)
 			}
 		}
@@ -92,12 +92,12 @@
 // The subscriber lacks the change of one worker.
 func BenchmarkSinceOne(b *testing.B) {
 	benchmarkBySize(b, func(b *testing.B, size int) {
-		s := NewStore(size)
-		s.Apply(fleetSnapshot(1, size))
-		s.Apply(Change{Version: 2, Records: []Record{workerRecord("w-1", healthDraining, 0)}})
+		store := NewStore(size)
+		store.Apply(fleetSnapshot(1, size))
+		store.Apply(Change{Version: 2, Records: []Record{workerRecord("w-1", healthDraining, 0)}})
 		for b.Loop() {
-			if c, ok := s.Since(1); !ok || len(c.Records) != 1 {
-				b.Fatal(c, ok)
+			if change, ok := store.Since(1); !ok || len(change.Records) != 1 {
+				b.Fatal(change, ok)
 			}
 		}
 	})
@@ -107,15 +107,15 @@
 func BenchmarkSinceHour(b *testing.B) {
 	benchmarkBySize(b, func(b *testing.B, size int) {
 		const changes = 1333
-		s := NewStore(20000)
-		s.Apply(fleetSnapshot(1, size))
+		store := NewStore(20000)
+		store.Apply(fleetSnapshot(1, size))
 		for i := range changes {
 			name := fmt.Sprintf("w-%06x", i%size)
-			s.Apply(Change{Version: s.Version() + 1, Records: []Record{workerRecord(name, healthReady, i)}})
+			store.Apply(Change{Version: store.Version() + 1, Records: []Record{workerRecord(name, healthReady, i)}})
 		}
 		for b.Loop() {
-			if c, ok := s.Since(1); !ok || len(c.Records) != min(changes, size) {
-				b.Fatal(len(c.Records), ok)
+			if change, ok := store.Since(1); !ok || len(change.Records) != min(changes, size) {
+				b.Fatal(len(change.Records), ok)
 			}
 		}
 	})
@@ -123,17 +123,17 @@
 
 func BenchmarkSnapshot(b *testing.B) {
 	benchmarkBySize(b, func(b *testing.B, size int) {
-		s := NewStore(size)
-		s.Apply(fleetSnapshot(1, size))
+		store := NewStore(size)
+		store.Apply(fleetSnapshot(1, size))
 		for b.Loop() {
-			s.Snapshot()
+			store.Snapshot()
 		}
 	})
 }
 
 func BenchmarkAckTracker(b *testing.B) {
 	benchmarkBySize(b, func(b *testing.B, size int) {
-		a := NewAckTracker(90 * time.Second)
+		tracker := NewAckTracker(90 * time.Second)
 		names := make([]string, size)
 		for i := range names {
 			names[i] = fmt.Sprintf("d-%06x", i)
@@ -141,13 +141,13 @@
 		b.Run("Heard", func(b *testing.B) {
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				a.Acknowledge(time.Duration(i)*time.Second/time.Duration(size), names[i%size], Version(i), 1)
+				tracker.Acknowledge(time.Duration(i)*time.Second/time.Duration(size), names[i%size], Version(i), 1)
 			}
 		})
 		b.Run("InForce", func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				a.CountAtLeast(0, 1)
+				tracker.CountAtLeast(0, 1)
 			}
 		})
 	})
--- a/internal/membership/failover_test.go
+++ b/internal/membership/failover_test.go
@@ -6,41 +6,41 @@
 )
 
 func TestFailoverTriesTheNextAtOnce(t *testing.T) {
-	f := NewFailover([]string{"a", "b", "c"}, 1)
+	failover := NewFailover([]string{"a", "b", "c"}, 1)
 	for _, want := range []string{"a", "b", "c"} {
-		server, wait := f.Next(0)
+		server, wait := failover.Next(0)
 		if server != want || wait != 0 {
 			t.Errorf("%s after %v, not %s at once", server, wait, want)
 		}
-		f.Failed(0)
+		failover.Failed(0)
 	}
-	if server, wait := f.Next(0); server != "a" || wait < initialBackoff/2 || wait > initialBackoff {
+	if server, wait := failover.Next(0); server != "a" || wait < initialBackoff/2 || wait > initialBackoff {
 		t.Errorf("after all have failed: %s after %v", server, wait)
 	}
 }
 
 func TestFailoverKeepsAWorkingServer(t *testing.T) {
-	f := NewFailover([]string{"a", "b"}, 1)
-	f.Failed(0)
-	f.Working(0)
-	f.Working(stableAfter)
-	if server, wait := f.Next(stableAfter); server != "b" || wait != 0 {
+	failover := NewFailover([]string{"a", "b"}, 1)
+	failover.Failed(0)
+	failover.Working(0)
+	failover.Working(stableAfter)
+	if server, wait := failover.Next(stableAfter); server != "b" || wait != 0 {
 		t.Errorf("%s after %v", server, wait)
 	}
-	f.Failed(stableAfter)
-	if server, wait := f.Next(stableAfter); server != "a" || wait != 0 {
+	failover.Failed(stableAfter)
+	if server, wait := failover.Next(stableAfter); server != "a" || wait != 0 {
 		t.Errorf("%s after %v", server, wait)
 	}
 }
 
 // Servers that accept and fail at once are called with growing backoff.
 func TestFailoverBacksOffFromFlappingServers(t *testing.T) {
-	f := NewFailover([]string{"a", "b"}, 1)
+	failover := NewFailover([]string{"a", "b"}, 1)
 	now := time.Duration(0)
 	for range 100 {
-		f.Working(now)
-		f.Failed(now)
-		_, wait := f.Next(now)
+		failover.Working(now)
+		failover.Failed(now)
+		_, wait := failover.Next(now)
 		now += wait
 	}
 	if now < 25*time.Second {
@@ -50,11 +50,11 @@
 
 // The backoff is bounded, so that changes arrive within 6 s of an upstream becoming reachable.
 func TestFailoverBackoffIsBounded(t *testing.T) {
-	f := NewFailover([]string{"a"}, 1)
+	failover := NewFailover([]string{"a"}, 1)
 	now := time.Duration(0)
 	for range 1000 {
-		f.Failed(now)
-		_, wait := f.Next(now)
+		failover.Failed(now)
+		_, wait := failover.Next(now)
 		if wait < initialBackoff/2 || wait > maxBackoff {
 			t.Fatalf("wait %v", wait)
 		}
@@ -66,36 +66,36 @@
 }
 
 func TestFailoverReportsThatAllAreBehind(t *testing.T) {
-	f := NewFailover([]string{"a", "b"}, 1)
-	f.Behind(0)
-	f.Behind(0)
-	if f.AllBehind(behindReportAfter) {
+	failover := NewFailover([]string{"a", "b"}, 1)
+	failover.Behind(0)
+	failover.Behind(0)
+	if failover.AllBehind(behindReportAfter) {
 		t.Error("reported within the limit")
 	}
-	if !f.AllBehind(behindReportAfter+1) || f.AllBehind(behindReportAfter+2) {
+	if !failover.AllBehind(behindReportAfter+1) || failover.AllBehind(behindReportAfter+2) {
 		t.Error("not reported exactly once")
 	}
-	f.Working(0)
-	f.Behind(2 * behindReportAfter)
-	f.Failed(2 * behindReportAfter) // an unreachable server is not behind
-	if f.AllBehind(4 * behindReportAfter) {
+	failover.Working(0)
+	failover.Behind(2 * behindReportAfter)
+	failover.Failed(2 * behindReportAfter) // an unreachable server is not behind
+	if failover.AllBehind(4 * behindReportAfter) {
 		t.Error("reported though one is only unreachable")
 	}
 }
 
 func TestFailoverReplace(t *testing.T) {
-	f := NewFailover([]string{"a", "b"}, 1)
-	f.Failed(0)
-	if !f.Replace([]string{"c", "b"}) {
+	failover := NewFailover([]string{"a", "b"}, 1)
+	failover.Failed(0)
+	if !failover.Replace([]string{"c", "b"}) {
 		t.Error("b is still listed")
 	}
-	if server, _ := f.Next(0); server != "b" {
+	if server, _ := failover.Next(0); server != "b" {
 		t.Errorf("%s is called", server)
 	}
-	if f.Replace([]string{"d", "e"}) {
+	if failover.Replace([]string{"d", "e"}) {
 		t.Error("b is no longer listed")
 	}
-	if server, wait := f.Next(0); server != "d" || wait != 0 {
+	if server, wait := failover.Next(0); server != "d" || wait != 0 {
 		t.Errorf("%s after %v", server, wait)
 	}
 }
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -9,7 +9,7 @@
 func TestAppendGolden(t *testing.T) {
 	worker := func(health string) Record { return workerRecord("s-1", health, 1722800000000) }
 	const ready = `{"host":"s-1","dial":"10.1.0.18:8080","site":"a","class":"m2","block":3,"health":"ready","share":1.0,"born_ms":1722800000000}`
-	for _, c := range []struct {
+	for _, test := range []struct {
 		change Change
 		want   string
 	}{
@@ -23,8 +23,8 @@
 		}}, `{"seq":43,"whole":false,"hosts":[` + ready + `,{"host":"s-2","health":"gone"}],` +
 			`"settings":[{"key":"limits.x","value":12.5},{"key":"a\"b","value":null}]}`},
 	} {
-		if got := string(c.change.Append(nil)); got != c.want+"\n" {
-			t.Errorf("\n got %swant %s", got, c.want)
+		if got := string(test.change.Append(nil)); got != test.want+"\n" {
+			t.Errorf("\n got %swant %s", got, test.want)
 		}
 	}
 }
--- a/internal/membership/store_test.go
+++ b/internal/membership/store_test.go
@@ -32,11 +32,11 @@
 
 func storeWith(t *testing.T, limit int, changes ...Change) *Store {
 	t.Helper()
-	s := NewStore(limit)
-	for _, c := range changes {
-		mustApply(t, s, c, Applied)
+	store := NewStore(limit)
+	for _, change := range changes {
+		mustApply(t, store, change, Applied)
 	}
-	return s
+	return store
 }
 
 func mustApply(t *testing.T, s *Store, c Change, want Outcome) {
@@ -67,48 +67,48 @@
 
 func expectSince(t *testing.T, s *Store, after Version, want string) {
 	t.Helper()
-	c, ok := s.Since(after)
-	if got := describe(c); !ok || got != want {
+	change, ok := s.Since(after)
+	if got := describe(change); !ok || got != want {
 		t.Errorf("Since(%d): %q, %v; want %q", after, got, ok, want)
 	}
-	if !c.Snapshot && c.Base != after {
-		t.Errorf("Since(%d) continues from %d", after, c.Base)
+	if !change.Snapshot && change.Base != after {
+		t.Errorf("Since(%d) continues from %d", after, change.Base)
 	}
-	if c.Snapshot != s.NeedsSnapshot(after) {
-		t.Errorf("NeedsSnapshot(%d) is %v", after, !c.Snapshot)
+	if change.Snapshot != s.NeedsSnapshot(after) {
+		t.Errorf("NeedsSnapshot(%d) is %v", after, !change.Snapshot)
 	}
 }
 
 func expectState(t *testing.T, s *Store, version, resume Version, want string) {
 	t.Helper()
-	c := s.Snapshot()
-	c.MissingFrom = 0
-	if got := describe(c); got != strings.TrimSpace(fmt.Sprint("snapshot ", version, " ", want)) || s.ResumeVersion() != resume {
+	change := s.Snapshot()
+	change.MissingFrom = 0
+	if got := describe(change); got != strings.TrimSpace(fmt.Sprint("snapshot ", version, " ", want)) || s.ResumeVersion() != resume {
 		t.Errorf("state is %q up to %d, want %d %s up to %d", got, s.ResumeVersion(), version, want, resume)
 	}
 }
 
 func TestApplyAcceptsOnlyNewerChanges(t *testing.T) {
-	s := storeWith(t, 10, snapshot(5, "a=1", "b=1"), delta(6, 5, "a=2"))
-	mustApply(t, s, delta(6, 5, "a=3"), Stale)
-	mustApply(t, s, delta(5, 4, "a=3"), Stale)
-	mustApply(t, s, snapshot(6, "a=3"), Stale)
-	mustApply(t, s, snapshot(3), Stale)
-	expectState(t, s, 6, 6, "a=2 b=1")
-	mustApply(t, s, delta(9, 0, "a=null"), Applied)
-	mustApply(t, s, delta(9, 0, "a=null"), Stale)
-	expectState(t, s, 9, 9, "b=1")
+	store := storeWith(t, 10, snapshot(5, "a=1", "b=1"), delta(6, 5, "a=2"))
+	mustApply(t, store, delta(6, 5, "a=3"), Stale)
+	mustApply(t, store, delta(5, 4, "a=3"), Stale)
+	mustApply(t, store, snapshot(6, "a=3"), Stale)
+	mustApply(t, store, snapshot(3), Stale)
+	expectState(t, store, 6, 6, "a=2 b=1")
+	mustApply(t, store, delta(9, 0, "a=null"), Applied)
+	mustApply(t, store, delta(9, 0, "a=null"), Stale)
+	expectState(t, store, 9, 9, "b=1")
 }
 
 func TestApplyRejectsAtomically(t *testing.T) {
-	s := storeWith(t, 10, snapshot(5, "a=1"))
-	for name, c := range map[string]Change{
+	store := storeWith(t, 10, snapshot(5, "a=1"))
+	for name, change := range map[string]Change{
 		"a gap before it":        delta(9, 7, "a=2"),
 		"a record without a key": {Version: 9, Records: []Record{settingRecord("a", "2"), {}}},
 		"one in a snapshot":      {Version: 9, Snapshot: true, Records: []Record{settingRecord("a", "2"), {}}},
 		"a negative version":     {Version: -1},
 	} {
-		outcome, err := s.Apply(c)
+		outcome, err := store.Apply(change)
 		if outcome != Rejected || err == nil {
 			t.Errorf("%s: %v, %v", name, outcome, err)
 		}
@@ -116,73 +116,73 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	expectState(t, s, 5, 5, "a=1")
+	expectState(t, store, 5, 5, "a=1")
 }
 
 func TestEmptyStoreAnswersNoSubscriber(t *testing.T) {
-	s := NewStore(10)
+	store := NewStore(10)
 	for _, after := range []Version{0, 1} {
-		if c, ok := s.Since(after); ok {
-			t.Errorf("Since(%d): %v", after, c)
+		if change, ok := store.Since(after); ok {
+			t.Errorf("Since(%d): %v", after, change)
 		}
 	}
-	s.Reject(4)
-	if s.Version() != 0 {
+	store.Reject(4)
+	if store.Version() != 0 {
 		t.Error("a store without a state has skipped a change")
 	}
-	mustApply(t, s, snapshot(3, "a=1"), Applied)
-	expectSince(t, s, 0, "snapshot 3 a=1")
+	mustApply(t, store, snapshot(3, "a=1"), Applied)
+	expectSince(t, store, 0, "snapshot 3 a=1")
 }
 
 func TestSinceCoalesces(t *testing.T) {
-	s := storeWith(t, 10, snapshot(1, "a=1", "b=1", "c=1"),
+	store := storeWith(t, 10, snapshot(1, "a=1", "b=1", "c=1"),
 		delta(2, 1, "c=2"), delta(3, 2, "a=2"), delta(5, 3, "c=3", "b=null"))
-	expectSince(t, s, 1, "delta 5 a=2 c=3 b=null")
-	expectSince(t, s, 2, "delta 5 a=2 c=3 b=null")
-	expectSince(t, s, 3, "delta 5 c=3 b=null")
-	expectSince(t, s, 4, "delta 5 c=3 b=null")
-	expectSince(t, s, 5, "delta 5")
-	expectSince(t, s, 0, "snapshot 5 a=2 c=3")
-	if _, ok := s.Since(6); ok {
+	expectSince(t, store, 1, "delta 5 a=2 c=3 b=null")
+	expectSince(t, store, 2, "delta 5 a=2 c=3 b=null")
+	expectSince(t, store, 3, "delta 5 c=3 b=null")
+	expectSince(t, store, 4, "delta 5 c=3 b=null")
+	expectSince(t, store, 5, "delta 5")
+	expectSince(t, store, 0, "snapshot 5 a=2 c=3")
+	if _, ok := store.Since(6); ok {
 		t.Error("Since answers a version that it does not have")
 	}
 }
 
 func TestSinceBeyondTheLogIsASnapshot(t *testing.T) {
-	s := storeWith(t, 2, snapshot(1), delta(2, 1, "a=1"), delta(3, 2, "b=1"), delta(4, 3, "c=1"))
-	expectSince(t, s, 1, "snapshot 4 a=1 b=1 c=1")
-	expectSince(t, s, 2, "delta 4 b=1 c=1")
-	mustApply(t, s, delta(5, 4, "c=2"), Applied) // replaces the earlier entry
-	expectSince(t, s, 2, "delta 5 b=1 c=2")
+	store := storeWith(t, 2, snapshot(1), delta(2, 1, "a=1"), delta(3, 2, "b=1"), delta(4, 3, "c=1"))
+	expectSince(t, store, 1, "snapshot 4 a=1 b=1 c=1")
+	expectSince(t, store, 2, "delta 4 b=1 c=1")
+	mustApply(t, store, delta(5, 4, "c=2"), Applied) // replaces the earlier entry
+	expectSince(t, store, 2, "delta 5 b=1 c=2")
 	expectSince(t, storeWith(t, 0, snapshot(1, "a=1"), delta(2, 1, "a=2")), 1, "snapshot 2 a=2")
 }
 
 func TestDeletedKeysAreTrimmedWithTheLog(t *testing.T) {
-	s := NewStore(3)
+	store := NewStore(3)
 	for v := Version(1); v < 100; v += 2 {
-		mustApply(t, s, delta(v, 0, fmt.Sprint("k", v, "=1")), Applied)
-		mustApply(t, s, delta(v+1, 0, fmt.Sprint("k", v, "=null")), Applied)
+		mustApply(t, store, delta(v, 0, fmt.Sprint("k", v, "=1")), Applied)
+		mustApply(t, store, delta(v+1, 0, fmt.Sprint("k", v, "=null")), Applied)
 	}
-	if s.Len() != 0 || len(s.entries) != 3 || s.logLength != 3 {
-		t.Errorf("%d live, %d entries, %d in the log", s.Len(), len(s.entries), s.logLength)
+	if store.Len() != 0 || len(store.entries) != 3 || store.logLength != 3 {
+		t.Errorf("%d live, %d entries, %d in the log", store.Len(), len(store.entries), store.logLength)
 	}
 }
 
 // A subscriber that has the state before a snapshot is sent only the differences.
 func TestSnapshotIsForwardedAsAnExactDelta(t *testing.T) {
 	before := snapshot(4, "a=1", "b=1", "c=1")
-	s := storeWith(t, 10, before, snapshot(9, "a=1", "b=2", "d=1"))
-	expectSince(t, s, 4, "exact delta 9 b=2 d=1 c=null")
+	store := storeWith(t, 10, before, snapshot(9, "a=1", "b=2", "d=1"))
+	expectSince(t, store, 4, "exact delta 9 b=2 d=1 c=null")
 	for _, after := range []Version{1, 5, 8} { // their state is not known
-		expectSince(t, s, after, "snapshot 9 a=1 b=2 d=1")
+		expectSince(t, store, after, "snapshot 9 a=1 b=2 d=1")
 	}
-	mustApply(t, s, delta(10, 9, "a=2"), Applied)
-	expectSince(t, s, 4, "exact delta 10 b=2 d=1 c=null a=2")
-	expectSince(t, s, 9, "delta 10 a=2")
+	mustApply(t, store, delta(10, 9, "a=2"), Applied)
+	expectSince(t, store, 4, "exact delta 10 b=2 d=1 c=null a=2")
+	expectSince(t, store, 9, "delta 10 a=2")
 
 	// The same holds for the next relay.
 	below := storeWith(t, 10, before)
-	c, _ := s.Since(4)
+	c, _ := store.Since(4)
 	mustApply(t, below, c, Applied)
 	expectSince(t, below, 4, "exact delta 10 b=2 d=1 c=null a=2")
 	expectSince(t, below, 6, "snapshot 10 a=2 b=2 d=1")
@@ -190,14 +190,14 @@
 
 // A worker that a snapshot lacks is deleted, which is urgent.
 func TestWorkerMissingFromASnapshotIsDeletedUrgently(t *testing.T) {
-	s := storeWith(t, 10,
+	store := storeWith(t, 10,
 		Change{Version: 1, Snapshot: true, Records: []Record{workerRecord("w1", healthReady, 7), workerRecord("w2", healthReady, 7)}},
 		Change{Version: 2, Snapshot: true, Records: []Record{workerRecord("w2", healthReady, 7)}})
-	c, _ := s.Since(1)
-	if len(c.Records) != 1 || !c.Urgent() {
-		t.Fatalf("%+v", c)
+	change, _ := store.Since(1)
+	if len(change.Records) != 1 || !change.Urgent() {
+		t.Fatalf("%+v", change)
 	}
-	read, err := Parse(c.Append(nil))
+	read, err := Parse(change.Append(nil))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -208,37 +208,37 @@
 }
 
 func TestDeletionsInASnapshotAreNotStored(t *testing.T) {
-	s := storeWith(t, 10, snapshot(1, "a=1"), snapshot(2, "a=null", "b=null"))
-	expectState(t, s, 2, 2, "")
-	expectSince(t, s, 1, "exact delta 2 a=null")
-	mustApply(t, s, snapshot(3, "a=null"), Applied)
-	expectSince(t, s, 2, "exact delta 3")
+	store := storeWith(t, 10, snapshot(1, "a=1"), snapshot(2, "a=null", "b=null"))
+	expectState(t, store, 2, 2, "")
+	expectSince(t, store, 1, "exact delta 2 a=null")
+	mustApply(t, store, snapshot(3, "a=null"), Applied)
+	expectSince(t, store, 2, "exact delta 3")
 }
 
 func TestDeletedKeyComesBackInASnapshot(t *testing.T) {
 	deleted := settingRecord("a", "1")
 	deleted.Deleted = true
-	s := storeWith(t, 10, snapshot(1, "a=1"), Change{Version: 2, Records: []Record{deleted}}, snapshot(3, "a=1"))
-	expectState(t, s, 3, 3, "a=1")
-	expectSince(t, s, 2, "exact delta 3 a=1")
+	store := storeWith(t, 10, snapshot(1, "a=1"), Change{Version: 2, Records: []Record{deleted}}, snapshot(3, "a=1"))
+	expectState(t, store, 3, 3, "a=1")
+	expectSince(t, store, 2, "exact delta 3 a=1")
 }
 
 func TestRejectedDeltaIsSkipped(t *testing.T) {
-	s := storeWith(t, 10, snapshot(1, "a=1", "b=1"))
-	s.Reject(2)
-	expectState(t, s, 2, 1, "a=1 b=1")
-	mustApply(t, s, delta(3, 2, "b=2"), Applied)
-	expectState(t, s, 3, 1, "a=1 b=2")
-	s.Reject(2) // late: nothing changes
-	expectState(t, s, 3, 1, "a=1 b=2")
-	expectSince(t, s, 2, "delta 3 missing 2 b=2")
-	expectSince(t, s, 0, "snapshot 3 missing 2 a=1 b=2")
+	store := storeWith(t, 10, snapshot(1, "a=1", "b=1"))
+	store.Reject(2)
+	expectState(t, store, 2, 1, "a=1 b=1")
+	mustApply(t, store, delta(3, 2, "b=2"), Applied)
+	expectState(t, store, 3, 1, "a=1 b=2")
+	store.Reject(2) // late: nothing changes
+	expectState(t, store, 3, 1, "a=1 b=2")
+	expectSince(t, store, 2, "delta 3 missing 2 b=2")
+	expectSince(t, store, 0, "snapshot 3 missing 2 a=1 b=2")
 
 	// Asked after ResumeVersion, the upstream brings the rest: also at the same version.
-	mustApply(t, s, delta(3, 1, "a=2", "b=2"), Applied)
-	expectState(t, s, 3, 3, "a=2 b=2")
-	mustApply(t, s, delta(3, 1, "a=2", "b=2"), Stale)
-	expectSince(t, s, 2, "delta 3 a=2 b=2")
+	mustApply(t, store, delta(3, 1, "a=2", "b=2"), Applied)
+	expectState(t, store, 3, 3, "a=2 b=2")
+	mustApply(t, store, delta(3, 1, "a=2", "b=2"), Stale)
+	expectSince(t, store, 2, "delta 3 a=2 b=2")
 }
 
 // The subscriber of an incomplete store learns that it is incomplete.
@@ -247,8 +247,8 @@
 	lower := storeWith(t, 10, snapshot(4, "a=1"))
 	upper.Reject(5)
 	mustApply(t, upper, delta(6, 5, "b=1"), Applied)
-	c, _ := upper.Since(4)
-	mustApply(t, lower, c, Applied)
+	change, _ := upper.Since(4)
+	mustApply(t, lower, change, Applied)
 	expectState(t, lower, 6, 4, "a=1 b=1")
 
 	fresh := NewStore(10)
@@ -259,45 +259,45 @@
 
 // A snapshot from an incomplete sender may hold older records than the state.
 func TestSnapshotFromAnIncompleteSender(t *testing.T) {
-	c := snapshot(9, "a=2")
-	c.MissingFrom = 4
-	expectState(t, storeWith(t, 10, snapshot(5, "a=5"), c), 9, 3, "a=2")
+	change := snapshot(9, "a=2")
+	change.MissingFrom = 4
+	expectState(t, storeWith(t, 10, snapshot(5, "a=5"), change), 9, 3, "a=2")
 }
 
 // An incomplete sender may have an older value of a key than the store.
 func TestNoKeyGoesBackByAnIncompleteSender(t *testing.T) {
-	s := storeWith(t, 10, snapshot(1, "a=1"))
-	s.Reject(2)
-	mustApply(t, s, delta(3, 2, "a=3"), Applied)
+	store := storeWith(t, 10, snapshot(1, "a=1"))
+	store.Reject(2)
+	mustApply(t, store, delta(3, 2, "a=3"), Applied)
 	for _, v := range []Version{3, 4} {
-		c := delta(v, 1, "a=2")
-		c.MissingFrom = 3
-		mustApply(t, s, c, Stale)
+		change := delta(v, 1, "a=2")
+		change.MissingFrom = 3
+		mustApply(t, store, change, Stale)
 	}
-	expectState(t, s, 3, 1, "a=3")
+	expectState(t, store, 3, 1, "a=3")
 }
 
 // An exact delta applies to the state at its base only.
 func TestExactDeltaFitsOneState(t *testing.T) {
 	exact := delta(9, 4, "b=2")
 	exact.Exact = true
-	s := storeWith(t, 10, snapshot(4, "a=1"), delta(6, 4, "a=2"))
-	mustApply(t, s, exact, Stale)
-	expectState(t, s, 6, 6, "a=2")
+	store := storeWith(t, 10, snapshot(4, "a=1"), delta(6, 4, "a=2"))
+	mustApply(t, store, exact, Stale)
+	expectState(t, store, 6, 6, "a=2")
 
 	// The next call for what is missing is answered with a snapshot.
-	s = storeWith(t, 10, snapshot(4, "a=1"))
-	s.Reject(5)
-	mustApply(t, s, exact, Stale)
-	if s.ResumeVersion() != 3 {
-		t.Errorf("would ask after %d again", s.ResumeVersion())
+	store = storeWith(t, 10, snapshot(4, "a=1"))
+	store.Reject(5)
+	mustApply(t, store, exact, Stale)
+	if store.ResumeVersion() != 3 {
+		t.Errorf("would ask after %d again", store.ResumeVersion())
 	}
 }
 
 // With an exact delta from an incomplete sender, records may have gone back to
 // before the base.
 func TestExactDeltaFromAnIncompleteSender(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		rejectedBefore bool
 		missing        Version
 		resume         Version
@@ -308,17 +308,17 @@
 		{true, 8, 5},
 		{true, 0, 5},
 	} {
-		s := storeWith(t, 10, snapshot(5, "a=1"))
+		store := storeWith(t, 10, snapshot(5, "a=1"))
 		base := Version(5)
-		if c.rejectedBefore {
-			s.Reject(6)
+		if test.rejectedBefore {
+			store.Reject(6)
 			base = 6
 		}
 		exact := delta(9, base, "a=2")
-		exact.Exact, exact.MissingFrom = true, c.missing
-		mustApply(t, s, exact, Applied)
-		if s.ResumeVersion() != c.resume {
-			t.Errorf("%+v: resumes after %d", c, s.ResumeVersion())
+		exact.Exact, exact.MissingFrom = true, test.missing
+		mustApply(t, store, exact, Applied)
+		if store.ResumeVersion() != test.resume {
+			t.Errorf("%+v: resumes after %d", test, store.ResumeVersion())
 		}
 	}
 }
@@ -326,13 +326,13 @@
 // An incomplete state differs from the one that others have at its version, and
 // so do its differences to a snapshot.
 func TestNoExactDeltaFromAnIncompleteState(t *testing.T) {
-	s := storeWith(t, 10, snapshot(1, "a=1"))
-	s.Reject(2) // a=2
-	mustApply(t, s, delta(3, 2, "b=1"), Applied)
-	mustApply(t, s, snapshot(4, "a=1", "b=1"), Applied)
-	expectState(t, s, 4, 4, "a=1 b=1")
+	store := storeWith(t, 10, snapshot(1, "a=1"))
+	store.Reject(2) // a=2
+	mustApply(t, store, delta(3, 2, "b=1"), Applied)
+	mustApply(t, store, snapshot(4, "a=1", "b=1"), Applied)
+	expectState(t, store, 4, 4, "a=1 b=1")
 	for _, after := range []Version{1, 2, 3} {
-		expectSince(t, s, after, "snapshot 4 a=1 b=1")
+		expectSince(t, store, after, "snapshot 4 a=1 b=1")
 	}
 }
 
@@ -340,12 +340,12 @@
 func TestSnapshotRepairsAtTheSameVersion(t *testing.T) {
 	first := snapshot(4, "a=1", "b=1")
 	first.MissingFrom = 3
-	s := storeWith(t, 10, first)
-	expectState(t, s, 4, 2, "a=1 b=1")
-	mustApply(t, s, first, Stale)
-	mustApply(t, s, snapshot(4, "a=2"), Applied)
-	expectState(t, s, 4, 4, "a=2")
-	expectSince(t, s, 3, "snapshot 4 a=2")
+	store := storeWith(t, 10, first)
+	expectState(t, store, 4, 2, "a=1 b=1")
+	mustApply(t, store, first, Stale)
+	mustApply(t, store, snapshot(4, "a=2"), Applied)
+	expectState(t, store, 4, 4, "a=2")
+	expectSince(t, store, 3, "snapshot 4 a=2")
 }
 
 func TestEqualStatesMakeEqualSnapshots(t *testing.T) {
@@ -357,12 +357,12 @@
 }
 
 func TestGet(t *testing.T) {
-	s := storeWith(t, 3, snapshot(1, "a=1", "b=1"), delta(2, 1, "b=null"))
-	if r, ok := s.Get("setting/a"); !ok || string(r.Value) != "1" {
+	store := storeWith(t, 3, snapshot(1, "a=1", "b=1"), delta(2, 1, "b=null"))
+	if r, ok := store.Get("setting/a"); !ok || string(r.Value) != "1" {
 		t.Errorf("%v, %v", r, ok)
 	}
 	for _, key := range []string{"setting/b", "setting/c", "host/a"} {
-		if r, ok := s.Get(key); ok {
+		if r, ok := store.Get(key); ok {
 			t.Errorf("%s: %v", key, r)
 		}
 	}
@@ -370,16 +370,16 @@
 
 func TestSinceCostIsProportionalToTheChanges(t *testing.T) {
 	for _, size := range benchmarkSizes {
-		s := storeWith(t, size, fleetSnapshot(1, size),
+		store := storeWith(t, size, fleetSnapshot(1, size),
 			Change{Version: 2, Base: 1, Records: []Record{workerRecord("w-1", healthDraining, 0)}})
-		if allocations := testing.AllocsPerRun(10, func() { s.Since(1) }); allocations > 1 {
+		if allocations := testing.AllocsPerRun(10, func() { store.Since(1) }); allocations > 1 {
 			t.Errorf("%d workers: %v allocations for one changed worker", size, allocations)
 		}
 		record := fleetSnapshot(1, 1).Records
-		v := s.Version()
+		v := store.Version()
 		allocations := testing.AllocsPerRun(10, func() {
 			v++
-			s.Apply(Change{Version: v, Records: record})
+			store.Apply(Change{Version: v, Records: record})
 		})
 		if allocations > 0 {
 			t.Errorf("%d workers: %v allocations to apply one changed worker", size, allocations)
--- a/internal/membership/subscribers_test.go
+++ b/internal/membership/subscribers_test.go
@@ -28,90 +28,90 @@
 }
 
 func TestFirstLineIsDueAtOnce(t *testing.T) {
-	s := testSubscribers()
-	s.Changed(7, false)
+	subscribers := testSubscribers()
+	subscribers.Changed(7, false)
 	exhausted := NewRateLimiter(100)
 	exhausted.Spend(0, 10_000)
-	s.Add(1, 0, &exhausted) // it has nothing
-	s.Add(2, 7, &exhausted) // it has everything: the line is empty
-	s.Add(3, 6, &exhausted) // a delta that waits for its limiter
-	if due := dueSubscribers(s, 0); !slices.Equal(due, []SubscriberID{1, 2}) {
+	subscribers.Add(1, 0, &exhausted) // it has nothing
+	subscribers.Add(2, 7, &exhausted) // it has everything: the line is empty
+	subscribers.Add(3, 6, &exhausted) // a delta that waits for its limiter
+	if due := dueSubscribers(subscribers, 0); !slices.Equal(due, []SubscriberID{1, 2}) {
 		t.Errorf("due: %v", due)
 	}
 }
 
 func TestDeltasAreCoalesced(t *testing.T) {
-	s := testSubscribers()
-	s.Changed(1, false)
+	subscribers := testSubscribers()
+	subscribers.Changed(1, false)
 	var unbounded RateLimiter
-	s.Add(1, 1, &unbounded)
-	sendLine(s, 0, 1, 1, 10)
+	subscribers.Add(1, 1, &unbounded)
+	sendLine(subscribers, 0, 1, 1, 10)
 	for v := Version(2); v < 6; v++ {
-		s.Changed(v, false)
+		subscribers.Changed(v, false)
 	}
-	due, next, waiting := s.Due(10 * millisecond)
+	due, next, waiting := subscribers.Due(10 * millisecond)
 	if len(due) != 0 || !waiting || next != 50*millisecond {
 		t.Errorf("due %v, next %v, waiting %v", due, next, waiting)
 	}
-	if due := dueSubscribers(s, 50*millisecond); len(due) != 1 {
+	if due := dueSubscribers(subscribers, 50*millisecond); len(due) != 1 {
 		t.Errorf("due after the interval: %v", due)
 	}
-	sendLine(s, 50*millisecond, 1, 5, 10)
-	if _, _, waiting := s.Due(time.Hour); waiting {
+	sendLine(subscribers, 50*millisecond, 1, 5, 10)
+	if _, _, waiting := subscribers.Due(time.Hour); waiting {
 		t.Error("something is due without a change")
 	}
 }
 
 func TestUrgentChangeIsSentBeforeItsInterval(t *testing.T) {
-	s := testSubscribers()
+	subscribers := testSubscribers()
 	exhausted := NewRateLimiter(100)
-	s.Changed(1, false)
-	s.Add(1, 1, &exhausted)
-	sendLine(s, 0, 1, 1, 10_000)
-	s.Changed(2, false)
-	if due := dueSubscribers(s, time.Second); len(due) != 0 {
+	subscribers.Changed(1, false)
+	subscribers.Add(1, 1, &exhausted)
+	sendLine(subscribers, 0, 1, 1, 10_000)
+	subscribers.Changed(2, false)
+	if due := dueSubscribers(subscribers, time.Second); len(due) != 0 {
 		t.Error("sent beyond an exhausted budget")
 	}
-	s.Changed(3, true)
-	if due := dueSubscribers(s, time.Second); len(due) != 1 {
+	subscribers.Changed(3, true)
+	if due := dueSubscribers(subscribers, time.Second); len(due) != 1 {
 		t.Error("an urgent change waits for the budget")
 	}
-	sendLine(s, time.Second, 1, 3, 100)
-	s.Changed(4, true)
-	if wait, pending := s.Wait(time.Second, 1); !pending || wait != 20*millisecond {
+	sendLine(subscribers, time.Second, 1, 3, 100)
+	subscribers.Changed(4, true)
+	if wait, pending := subscribers.Wait(time.Second, 1); !pending || wait != 20*millisecond {
 		t.Errorf("the next urgent one: wait %v, pending %v", wait, pending)
 	}
-	sendLine(s, 2*time.Second, 1, 4, 100)
-	s.Changed(5, false)
-	if due := dueSubscribers(s, 3*time.Second); len(due) != 0 {
+	sendLine(subscribers, 2*time.Second, 1, 4, 100)
+	subscribers.Changed(5, false)
+	if due := dueSubscribers(subscribers, 3*time.Second); len(due) != 0 {
 		t.Error("a change after the urgent one counts as urgent")
 	}
 }
 
 func TestNothingIsDueWhileALineIsWritten(t *testing.T) {
-	s := testSubscribers()
+	subscribers := testSubscribers()
 	var unbounded RateLimiter
-	s.Changed(1, false)
-	s.Add(1, 1, &unbounded)
-	s.Sending(1, 1)
-	s.Changed(2, true)
-	if due := dueSubscribers(s, time.Hour); len(due) != 0 {
+	subscribers.Changed(1, false)
+	subscribers.Add(1, 1, &unbounded)
+	subscribers.Sending(1, 1)
+	subscribers.Changed(2, true)
+	if due := dueSubscribers(subscribers, time.Hour); len(due) != 0 {
 		t.Error("a second line at once")
 	}
-	s.Sent(time.Hour, 1, 10)
-	if wait, pending := s.Wait(time.Hour, 1); !pending || wait != 20*millisecond {
+	subscribers.Sent(time.Hour, 1, 10)
+	if wait, pending := subscribers.Wait(time.Hour, 1); !pending || wait != 20*millisecond {
 		t.Errorf("wait %v, pending %v", wait, pending)
 	}
 }
 
 func TestRemovedSubscriberIsForgotten(t *testing.T) {
-	s := testSubscribers()
+	subscribers := testSubscribers()
 	var unbounded RateLimiter
-	s.Add(1, 0, &unbounded)
-	s.Remove(1)
-	s.Sending(1, 3)
-	s.Sent(0, 1, 10)
-	if _, pending := s.Wait(0, 1); pending || s.Len() != 0 || s.Version(1) != 0 {
+	subscribers.Add(1, 0, &unbounded)
+	subscribers.Remove(1)
+	subscribers.Sending(1, 3)
+	subscribers.Sent(0, 1, 10)
+	if _, pending := subscribers.Wait(0, 1); pending || subscribers.Len() != 0 || subscribers.Version(1) != 0 {
 		t.Error("the subscriber is still there")
 	}
 }
@@ -122,27 +122,27 @@
 func TestSubscribersConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const rate, lineSize = 20, 500 // two or three lines a minute
-		s := testSubscribers()
+		subscribers := testSubscribers()
 		limiter := NewRateLimiter(rate)
 		now := time.Duration(0)
 		version := Version(1)
 		anyUrgent := false
-		s.Changed(version, false)
-		s.Add(1, 1, &limiter)
+		subscribers.Changed(version, false)
+		subscribers.Add(1, 1, &limiter)
 		sending := false
 		sent := 0
 		received := Version(0)
 		steps := rapid.IntRange(1, 200).Draw(t, "steps")
 		step := func() {
-			if !sending && slices.Contains(dueSubscribers(s, now), 1) {
-				if s.Sending(1, version); version < received {
+			if !sending && slices.Contains(dueSubscribers(subscribers, now), 1) {
+				if subscribers.Sending(1, version); version < received {
 					t.Fatal("the version went back")
 				}
 				received = version
 				sending = true
 			}
 			if sending && rapid.Bool().Draw(t, "written") {
-				s.Sent(now, 1, lineSize)
+				subscribers.Sent(now, 1, lineSize)
 				sending = false
 				sent += lineSize
 			}
@@ -152,7 +152,7 @@
 				version++
 				changeIsUrgent := rapid.IntRange(0, 9).Draw(t, "drain") == 0
 				anyUrgent = anyUrgent || changeIsUrgent
-				s.Changed(version, changeIsUrgent)
+				subscribers.Changed(version, changeIsUrgent)
 			}
 			now += time.Duration(rapid.IntRange(0, 200).Draw(t, "pause")) * millisecond
 			step()
@@ -161,13 +161,13 @@
 			t.Fatalf("%d bytes in %v", sent, now)
 		}
 		if sending {
-			s.Sent(now, 1, lineSize)
+			subscribers.Sent(now, 1, lineSize)
 		}
-		wait, pending := s.Wait(now, 1)
+		wait, pending := subscribers.Wait(now, 1)
 		if received < version && !pending {
 			t.Fatal("nothing is due to a subscriber that lacks a change")
 		}
-		if received < version && !slices.Contains(dueSubscribers(s, now+wait), 1) {
+		if received < version && !slices.Contains(dueSubscribers(subscribers, now+wait), 1) {
 			t.Fatal("the line is not due after its wait")
 		}
 	})
--- a/internal/membership/wire_test.go
+++ b/internal/membership/wire_test.go
@@ -29,7 +29,7 @@
 	  {"host":"s-2","dial":"10.1.0.19:8080","health":"draining"},
 	  {"host":"s-3","health":"gone"}],
 	 "settings":[{"key":"projects[3].quota_per_s","value":12.5},{"key":"limits.x","value":null}], "later": {}}`
-	c, err := Parse([]byte(line))
+	change, err := Parse([]byte(line))
 	want := Change{Version: 43, Records: []Record{
 		{Key: "host/s-1", Value: []byte(`{"host":"s-1","dial":"10.1.0.18:8080","health":"ready","rack": {"row" : 7}}`)},
 		{Key: "host/s-2", Value: []byte(`{"host":"s-2","dial":"10.1.0.19:8080","health":"draining"}`), Urgent: true},
@@ -37,20 +37,20 @@
 		{Key: "setting/projects[3].quota_per_s", Value: []byte(`12.5`)},
 		{Key: "setting/limits.x", Value: []byte(`null`), Deleted: true},
 	}}
-	if err != nil || !reflect.DeepEqual(c, want) {
-		t.Errorf("%+v, %v", c, err)
+	if err != nil || !reflect.DeepEqual(change, want) {
+		t.Errorf("%+v, %v", change, err)
 	}
 }
 
 func TestParseDoesNotRetainTheLine(t *testing.T) {
 	line := Change{Version: 1, Records: []Record{workerRecord("a", healthReady, 0), settingRecord("b", "1")}}.Append(nil)
-	c, err := Parse(line)
+	change, err := Parse(line)
 	if err != nil {
 		t.Fatal(err)
 	}
-	before := string(c.Append(nil))
+	before := string(change.Append(nil))
 	clear(line)
-	if after := string(c.Append(nil)); after != before {
+	if after := string(change.Append(nil)); after != before {
 		t.Errorf("%s", after)
 	}
 }
@@ -58,7 +58,7 @@
 func TestParseNamesTheField(t *testing.T) {
 	const valid = `{"host":"a","dial":"h:1","health":"ready"}`
 	withWorker := func(fields string) string { return `{"seq":7,"hosts":[` + valid + `,{` + fields + `}]}` }
-	for _, c := range []struct{ line, want string }{
+	for _, test := range []struct{ line, want string }{
 		{`{"whole":true,"hosts":[]}`, `seq: missing`},
 		{`{"seq":-3}`, `seq: -3 is negative`},
 		{`{"seq":"3"}`, `line.seq: unexpected string`},
@@ -78,41 +78,41 @@
 		{`{"seq":7,"settings":[{"key":"a"}]}`, `settings[0].value: missing`},
 		{`{"seq":7,"settings":[{"key":1,"value":1}]}`, `settings[0].key: unexpected number`},
 	} {
-		change, err := Parse([]byte(c.line))
-		if err == nil || err.Error() != c.want {
-			t.Errorf("%s\n%v, want %s", c.line, err, c.want)
+		change, err := Parse([]byte(test.line))
+		if err == nil || err.Error() != test.want {
+			t.Errorf("%s\n%v, want %s", test.line, err, test.want)
 		}
 		if len(change.Records) > 0 {
-			t.Errorf("%s: has records", c.line)
+			t.Errorf("%s: has records", test.line)
 		}
-		if isContentError := strings.Contains(c.want, "["); isContentError != (change.Version == 7) {
-			t.Errorf("%s: version %d", c.line, change.Version)
+		if isContentError := strings.Contains(test.want, "["); isContentError != (change.Version == 7) {
+			t.Errorf("%s: version %d", test.line, change.Version)
 		}
 	}
 }
 
 func TestParseErrorSaysWhetherTheLineIsASnapshot(t *testing.T) {
 	for _, snapshot := range []bool{false, true} {
-		c, err := Parse(fmt.Appendf(nil, `{"hosts":[{}],"whole":%v,"seq":7}`, snapshot))
-		if err == nil || c.Version != 7 || c.Snapshot != snapshot {
-			t.Errorf("%+v, %v", c, err)
+		change, err := Parse(fmt.Appendf(nil, `{"hosts":[{}],"whole":%v,"seq":7}`, snapshot))
+		if err == nil || change.Version != 7 || change.Snapshot != snapshot {
+			t.Errorf("%+v, %v", change, err)
 		}
 	}
 }
 
 func TestParseKeepsTheLastRecordOfAKey(t *testing.T) {
 	records := []Record{workerRecord("a", healthGone, 0), workerRecord("b", healthReady, 0), workerRecord("a", healthReady, 1)}
-	c, err := Parse(Change{Version: 1, Records: records}.Append(nil))
-	if err != nil || !reflect.DeepEqual(c.Records, records[1:]) {
-		t.Errorf("%+v, %v", c, err)
+	change, err := Parse(Change{Version: 1, Records: records}.Append(nil))
+	if err != nil || !reflect.DeepEqual(change.Records, records[1:]) {
+		t.Errorf("%+v, %v", change, err)
 	}
 }
 
 // A change is appended as one line, and parsing restores it.
 func TestAppendAndParse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := drawChange(t)
-		line := c.Append([]byte("before"))
+		change := drawChange(t)
+		line := change.Append([]byte("before"))
 		text := strings.TrimPrefix(string(line), "before")
 		if strings.Index(text, "\n") != len(text)-1 {
 			t.Fatalf("not one line: %q", text)
@@ -121,36 +121,36 @@
 		if err != nil {
 			t.Fatalf("%s: %v", text, err)
 		}
-		c.Base = 0 // not on the wire
-		if !reflect.DeepEqual(read, c) {
-			t.Fatalf("%+v\nbecame %+v", c, read)
+		change.Base = 0 // not on the wire
+		if !reflect.DeepEqual(read, change) {
+			t.Fatalf("%+v\nbecame %+v", change, read)
 		}
 	})
 }
 
 // drawChange draws a change of distinct keys, workers first.
 func drawChange(t *rapid.T) Change {
-	c := Change{
+	change := Change{
 		Version:  Version(rapid.Int64Range(0, 1<<53).Draw(t, "version")),
 		Snapshot: rapid.Bool().Draw(t, "snapshot"),
 		Exact:    rapid.Bool().Draw(t, "exact"),
 		Base:     Version(rapid.Int64Range(0, 9).Draw(t, "base")),
 		Records:  []Record{},
 	}
-	c.MissingFrom = Version(rapid.Int64Range(0, int64(c.Version)).Draw(t, "missing"))
+	change.MissingFrom = Version(rapid.Int64Range(0, int64(change.Version)).Draw(t, "missing"))
 	for _, name := range rapid.SliceOfNDistinct(rapid.StringN(1, 8, -1), 0, 3, rapid.ID).Draw(t, "hosts") {
 		health := rapid.SampledFrom([]string{healthReady, healthDraining, healthGone}).Draw(t, "health")
 		object := map[string]any{"host": name, "health": health, "dial": "h:1"}
 		object[rapid.StringMatching("x[a-z]*").Draw(t, "field")] = rapid.String().Draw(t, "value")
 		value, _ := json.Marshal(object)
-		c.Records = append(c.Records, Record{Key: WorkerPrefix + name, Value: value,
+		change.Records = append(change.Records, Record{Key: WorkerPrefix + name, Value: value,
 			Deleted: health == healthGone, Urgent: health != healthReady})
 	}
 	for _, path := range rapid.SliceOfNDistinct(rapid.StringN(1, 8, -1), 0, 3, rapid.ID).Draw(t, "settings") {
 		value := rapid.SampledFrom([]string{"1", `"x"`, `[1, 2]`, "null"}).Draw(t, "value")
-		c.Records = append(c.Records, settingRecord(path, value))
+		change.Records = append(change.Records, settingRecord(path, value))
 	}
-	return c
+	return change
 }
 
 // checkAddress agrees with the standard library.
@@ -176,16 +176,16 @@
 	f.Add(fleetSnapshot(3, 2).Append(nil))
 	f.Add([]byte(`{"seq":1,"settings":[{"key":"a","value":null}],"exact":true,"missing":1}`))
 	f.Fuzz(func(t *testing.T, line []byte) {
-		c, err := Parse(line)
+		change, err := Parse(line)
 		if err != nil {
-			if len(c.Records) > 0 {
+			if len(change.Records) > 0 {
 				t.Error("records returned with an error")
 			}
 			return
 		}
-		again, err := Parse(c.Append(nil))
-		if err != nil || !reflect.DeepEqual(c, again) {
-			t.Errorf("%+v became %+v, %v", c, again, err)
+		again, err := Parse(change.Append(nil))
+		if err != nil || !reflect.DeepEqual(change, again) {
+			t.Errorf("%+v became %+v, %v", change, again, err)
 		}
 	})
 }
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -35,7 +35,7 @@
 }
 
 func TestLoadNamesTheKey(t *testing.T) {
-	for _, c := range []struct{ text, want string }{
+	for _, test := range []struct{ text, want string }{
 		{validOptions + "burst = 3\n", "relay.burst: unknown key"},
 		{validOptions + "[other]\nx = 1\n", "other: unknown key"},
 		{"[relay]\nlisten = \"127.0.0.1:0\"\nupstreams = [\"127.0.0.1:1\"]\n", "relay.name: is empty"},
@@ -51,9 +51,9 @@
 		{validOptions + "urgent_batch_ms = 900\n", "relay.urgent_batch_ms: "},
 		{validOptions + "max_subscribers = 0\n", "relay.max_subscribers: "},
 	} {
-		_, err := Load(writeOptions(t, c.text))
-		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: %v, not %q", c.text, err, c.want)
+		_, err := Load(writeOptions(t, test.text))
+		if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%q: %v, not %q", test.text, err, test.want)
 		}
 	}
 }
--- a/internal/relay/failover_test.go
+++ b/internal/relay/failover_test.go
@@ -17,26 +17,26 @@
 func TestUpstreamDiesInsideAChange(t *testing.T) {
 	first := changeJSON(1, true, workerJSON("x", "ready"), workerJSON("y", "ready"))
 	second := changeJSON(2, false, workerJSON("x", "draining"), workerJSON("y", "draining"))
-	u := startScriptedUpstream(t, "127.0.0.1:0", first)
-	r, _ := startRelay(t, testConfig(u.address()))
-	s := subscribe(t, r.Addr().String(), "d1")
-	eventually(t, "snapshot", func() bool { return s.hasVersion(1) })
+	upstream := startScriptedUpstream(t, "127.0.0.1:0", first)
+	running, _ := startRelay(t, testConfig(upstream.address()))
+	client := subscribe(t, running.Addr().String(), "d1")
+	eventually(t, "snapshot", func() bool { return client.hasVersion(1) })
 
-	u.setAnswer(func(url.Values) string { return changeJSON(1, false) })
-	w := u.awaitWatch()
-	w.sendLine(changeJSON(1, false))
-	w.partialLine(second, strings.Index(second, `,{"host":"y"`)) // the first worker is complete
-	reset(w.conn)
-	w = u.awaitWatch()
-	if after := w.query.Get("after"); after != "1" {
+	upstream.setAnswer(func(url.Values) string { return changeJSON(1, false) })
+	upstreamWatch := upstream.awaitWatch()
+	upstreamWatch.sendLine(changeJSON(1, false))
+	upstreamWatch.partialLine(second, strings.Index(second, `,{"host":"y"`)) // the first worker is complete
+	reset(upstreamWatch.conn)
+	upstreamWatch = upstream.awaitWatch()
+	if after := upstreamWatch.query.Get("after"); after != "1" {
 		t.Errorf("resumed after %s", after)
 	}
-	w.sendLine(changeJSON(3, false, workerJSON("y", "draining")))
-	eventually(t, "next change", func() bool { return s.hasVersion(3) })
-	if s.health("x") != "ready" || s.health("y") != "draining" {
-		t.Errorf("x %s, y %s", s.health("x"), s.health("y"))
+	upstreamWatch.sendLine(changeJSON(3, false, workerJSON("y", "draining")))
+	eventually(t, "next change", func() bool { return client.hasVersion(3) })
+	if client.health("x") != "ready" || client.health("y") != "draining" {
+		t.Errorf("x %s, y %s", client.health("x"), client.health("y"))
 	}
-	if seen := s.seenVersions(); !slices.Equal(seen, []int64{1, 3}) {
+	if seen := client.seenVersions(); !slices.Equal(seen, []int64{1, 3}) {
 		t.Errorf("versions seen: %v", seen)
 	}
 }
@@ -44,11 +44,11 @@
 // A relay that restarts at the same address with an older version rejects the
 // subscriber until it has caught up.
 func TestSuccessorWithAnOlderVersion(t *testing.T) {
-	u := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(5, true, workerJSON("x", "ready")))
-	first, _ := startRelay(t, testConfig(u.address()))
+	upstream := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(5, true, workerJSON("x", "ready")))
+	first, _ := startRelay(t, testConfig(upstream.address()))
 	address := first.Addr().String()
-	s := subscribe(t, address, "d1")
-	eventually(t, "version 5", func() bool { return s.hasVersion(5) })
+	client := subscribe(t, address, "d1")
+	eventually(t, "version 5", func() bool { return client.hasVersion(5) })
 	first.Close()
 
 	older := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(3, true, workerJSON("x", "ready")))
@@ -56,17 +56,17 @@
 	config.Listen = address
 	second, _ := startRelay(t, config)
 	eventually(t, "older snapshot", second.hasVersion(3))
-	_, opened, rejected := s.counts()
-	eventually(t, "rejection", func() bool { _, _, n := s.counts(); return n > rejected })
-	if _, now, _ := s.counts(); now != opened {
+	_, opened, rejected := client.counts()
+	eventually(t, "rejection", func() bool { _, _, n := client.counts(); return n > rejected })
+	if _, now, _ := client.counts(); now != opened {
 		t.Error("a watch was opened for a newer version")
 	}
-	w := older.awaitWatch()
-	w.sendLine(changeJSON(3, false))
-	w.sendLine(changeJSON(6, false, workerJSON("x", "draining")))
-	eventually(t, "version 6", func() bool { return s.hasVersion(6) })
-	if s.health("x") != "draining" {
-		t.Errorf("x is %s", s.health("x"))
+	upstreamWatch := older.awaitWatch()
+	upstreamWatch.sendLine(changeJSON(3, false))
+	upstreamWatch.sendLine(changeJSON(6, false, workerJSON("x", "draining")))
+	eventually(t, "version 6", func() bool { return client.hasVersion(6) })
+	if client.health("x") != "draining" {
+		t.Errorf("x is %s", client.health("x"))
 	}
 }
 
@@ -74,20 +74,20 @@
 func TestUpstreamWithAnOlderVersionIsSkipped(t *testing.T) {
 	a := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(5, true, workerJSON("x", "ready")))
 	b := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(6, false, workerJSON("x", "draining")))
-	r, _ := startRelay(t, testConfig(a.address(), b.address()))
-	s := subscribe(t, r.Addr().String(), "d1")
-	eventually(t, "version 5", func() bool { return s.hasVersion(5) })
-	w := a.awaitWatch()
+	running, _ := startRelay(t, testConfig(a.address(), b.address()))
+	client := subscribe(t, running.Addr().String(), "d1")
+	eventually(t, "version 5", func() bool { return client.hasVersion(5) })
+	upstreamWatch := a.awaitWatch()
 	a.setAnswer(func(url.Values) string { return changeJSON(3, true, workerJSON("old", "ready")) })
 	b.setAnswer(func(url.Values) string { return changeJSON(4, true, workerJSON("old", "ready")) })
-	reset(w.conn)
+	reset(upstreamWatch.conn)
 	eventually(t, "both are called", func() bool { return len(a.singleCalls()) > 1 && len(b.singleCalls()) > 1 })
-	if status := r.Status(); status.Version != 5 {
+	if status := running.Status(); status.Version != 5 {
 		t.Errorf("version %d", status.Version)
 	}
 	b.setAnswer(func(url.Values) string { return changeJSON(6, false, workerJSON("x", "draining")) })
-	eventually(t, "version 6", func() bool { return s.hasVersion(6) })
-	if seen := s.seenVersions(); !slices.Equal(seen, []int64{5, 6}) {
+	eventually(t, "version 6", func() bool { return client.hasVersion(6) })
+	if seen := client.seenVersions(); !slices.Equal(seen, []int64{5, 6}) {
 		t.Errorf("versions seen: %v", seen)
 	}
 }
@@ -156,12 +156,12 @@
 	config := testConfig(link.listener.Addr().String())
 	config.Name, config.StaleAfterMs = "relay-below", 100
 	below, text := startRelay(t, config)
-	s := subscribe(t, below.Addr().String(), "d1")
-	eventually(t, "snapshot", func() bool { return s.hasVersion(1) })
+	client := subscribe(t, below.Addr().String(), "d1")
+	eventually(t, "snapshot", func() bool { return client.hasVersion(1) })
 
 	link.setBroken(true)
 	eventually(t, "the watch ends", func() bool { return strings.Contains(text.String(), "no upstream: ending watches") })
-	eventually(t, "a new watch is rejected", func() bool { _, _, rejected := s.counts(); return rejected > 0 })
+	eventually(t, "a new watch is rejected", func() bool { _, _, rejected := client.counts(); return rejected > 0 })
 	if line := getLine(t, below.Addr().String(), "name=d2"); line.Version != 1 || len(line.Workers) != 20 {
 		t.Errorf("single call during the partition: version %d, %d workers", line.Version, len(line.Workers))
 	}
@@ -174,19 +174,19 @@
 	eventually(t, "the relay above has all", above.hasVersion(32))
 	snapshots := above.Status().SentSnapshots
 	link.setBroken(false)
-	eventually(t, "all at the subscriber", func() bool { return s.hasVersion(32) })
+	eventually(t, "all at the subscriber", func() bool { return client.hasVersion(32) })
 	if above.Status().SentSnapshots == snapshots {
 		t.Error("the relay below got no snapshot")
 	}
-	if workers, _, _ := s.counts(); workers != 49 {
+	if workers, _, _ := client.counts(); workers != 49 {
 		t.Errorf("%d workers", workers)
 	}
-	if line := s.lastLine(); line.Snapshot || len(line.Workers) != 31 {
+	if line := client.lastLine(); line.Snapshot || len(line.Workers) != 31 {
 		t.Errorf("the subscriber got snapshot %v, %d workers", line.Snapshot, len(line.Workers))
 	}
 	origin.Set(readyWorker("s-last"))
-	eventually(t, "a delta after it", func() bool { return s.hasVersion(33) })
-	if line := s.lastLine(); line.Snapshot || len(line.Workers) != 1 {
+	eventually(t, "a delta after it", func() bool { return client.hasVersion(33) })
+	if line := client.lastLine(); line.Snapshot || len(line.Workers) != 1 {
 		t.Errorf("after the partition: %+v", line)
 	}
 }
@@ -194,17 +194,17 @@
 // While the upstream flaps, the subscriber's watch stays open and no change is lost.
 func TestUpstreamFlaps(t *testing.T) {
 	origin := startDiscovery(t, 3)
-	r, _ := startRelay(t, testConfig(origin.Addr))
-	s := subscribe(t, r.Addr().String(), "d1")
-	eventually(t, "snapshot", func() bool { return s.hasVersion(1) })
+	running, _ := startRelay(t, testConfig(origin.Addr))
+	client := subscribe(t, running.Addr().String(), "d1")
+	eventually(t, "snapshot", func() bool { return client.hasVersion(1) })
 	for i := range 10 {
 		origin.Down(true)
-		eventually(t, "the loss is seen", func() bool { return r.Status().Upstream == "" })
+		eventually(t, "the loss is seen", func() bool { return running.Status().Upstream == "" })
 		origin.Set(readyWorker(fmt.Sprintf("s-flap-%d", i)))
 		origin.Down(false)
-		eventually(t, "the change", func() bool { return s.hasVersion(int64(2 + i)) })
+		eventually(t, "the change", func() bool { return client.hasVersion(int64(2 + i)) })
 	}
-	if workers, opened, _ := s.counts(); workers != 13 || opened != 1 {
+	if workers, opened, _ := client.counts(); workers != 13 || opened != 1 {
 		t.Errorf("%d workers by %d watches", workers, opened)
 	}
 }
@@ -215,17 +215,17 @@
 	address := reserved.address()
 	reserved.stop()
 	other := startScriptedUpstream(t, "127.0.0.1:0", "") // listens and answers 503
-	r, _ := startRelay(t, testConfig(address, other.address()))
+	running, _ := startRelay(t, testConfig(address, other.address()))
 	for _, query := range []string{"", "after=4&name=d1", "watch=1&after=0&name=d1"} {
-		if status, _ := get(t, r.Addr().String(), query); status != http.StatusServiceUnavailable {
+		if status, _ := get(t, running.Addr().String(), query); status != http.StatusServiceUnavailable {
 			t.Errorf("%q: status %d", query, status)
 		}
 	}
 	eventually(t, "both are tried", func() bool { return len(other.singleCalls()) > 2 })
-	s := subscribe(t, r.Addr().String(), "d1")
-	eventually(t, "rejection", func() bool { _, _, rejected := s.counts(); return rejected > 0 })
+	client := subscribe(t, running.Addr().String(), "d1")
+	eventually(t, "rejection", func() bool { _, _, rejected := client.counts(); return rejected > 0 })
 	startScriptedUpstream(t, address, changeJSON(7, true, workerJSON("x", "ready")))
-	eventually(t, "snapshot", func() bool { return s.hasVersion(7) })
+	eventually(t, "snapshot", func() bool { return client.hasVersion(7) })
 }
 
 // Invalid JSON and an invalid snapshot leave the last valid state unchanged, and
@@ -233,16 +233,16 @@
 func TestFailoverFromAnUnreadableUpstream(t *testing.T) {
 	unreadable := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(1, true, workerJSON("x", "ready")))
 	valid := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(3, false, workerJSON("x", "draining")))
-	r, text := startRelay(t, testConfig(unreadable.address(), valid.address()))
-	s := subscribe(t, r.Addr().String(), "d1")
-	eventually(t, "snapshot", func() bool { return s.hasVersion(1) })
+	running, text := startRelay(t, testConfig(unreadable.address(), valid.address()))
+	client := subscribe(t, running.Addr().String(), "d1")
+	eventually(t, "snapshot", func() bool { return client.hasVersion(1) })
 	unreadable.setAnswer(func(url.Values) string { return changeJSON(9, true, workerJSON("", "ready")) })
-	w := unreadable.awaitWatch()
-	w.sendLine(`{"seq":2,"whole":false,"hosts":[}`)
-	eventually(t, "the other upstream", func() bool { return s.hasVersion(3) })
+	upstreamWatch := unreadable.awaitWatch()
+	upstreamWatch.sendLine(`{"seq":2,"whole":false,"hosts":[}`)
+	eventually(t, "the other upstream", func() bool { return client.hasVersion(3) })
 	reset(valid.awaitWatch().conn)
 	eventually(t, "an invalid snapshot is rejected", func() bool { return strings.Contains(text.String(), "hosts[0].host is empty") })
-	if status := r.Status(); status.Version != 3 || status.RejectionCount < 2 {
+	if status := running.Status(); status.Version != 3 || status.RejectionCount < 2 {
 		t.Errorf("version %d, %d rejections", status.Version, status.RejectionCount)
 	}
 }
@@ -251,17 +251,17 @@
 func TestSetUpstreams(t *testing.T) {
 	a := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(1, true, workerJSON("x", "ready")))
 	b := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(2, false, workerJSON("x", "draining")))
-	r, _ := startRelay(t, testConfig(a.address()))
-	s := subscribe(t, r.Addr().String(), "d1")
-	eventually(t, "snapshot", func() bool { return s.hasVersion(1) })
-	if err := r.SetUpstreams([]string{b.address(), "nowhere"}); err == nil || !strings.HasPrefix(err.Error(), "upstreams[1]: ") {
+	running, _ := startRelay(t, testConfig(a.address()))
+	client := subscribe(t, running.Addr().String(), "d1")
+	eventually(t, "snapshot", func() bool { return client.hasVersion(1) })
+	if err := running.SetUpstreams([]string{b.address(), "nowhere"}); err == nil || !strings.HasPrefix(err.Error(), "upstreams[1]: ") {
 		t.Errorf("an invalid list: %v", err)
 	}
-	eventually(t, "the first upstream", func() bool { return r.Status().Upstream == a.address() })
-	if err := r.SetUpstreams([]string{b.address()}); err != nil {
+	eventually(t, "the first upstream", func() bool { return running.Status().Upstream == a.address() })
+	if err := running.SetUpstreams([]string{b.address()}); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the other upstream", func() bool { return s.hasVersion(2) && r.Status().Upstream == b.address() })
+	eventually(t, "the other upstream", func() bool { return client.hasVersion(2) && running.Status().Upstream == b.address() })
 }
 
 // Relays that may follow each other do not count each other as a working upstream
@@ -302,10 +302,10 @@
 	body := changeJSON(1, true, workerJSON("x", "ready"))
 	loop := startScriptedUpstreamVia(t, "127.0.0.1:0", body, "1.1 another, 1.1 relay-test")
 	valid := startScriptedUpstream(t, "127.0.0.1:0", body)
-	r, _ := startRelay(t, testConfig(loop.address(), valid.address()))
+	running, _ := startRelay(t, testConfig(loop.address(), valid.address()))
 	go loop.awaitWatch().keepAlive()
 	valid.awaitWatch().sendLine(changeJSON(1, false))
-	eventually(t, "the other upstream", func() bool { return r.Status().Upstream == valid.address() })
+	eventually(t, "the other upstream", func() bool { return running.Status().Upstream == valid.address() })
 }
 
 func TestVia(t *testing.T) {
@@ -319,11 +319,11 @@
 func TestSilentUpstreamIsLeft(t *testing.T) {
 	a := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(1, true, workerJSON("x", "ready")))
 	b := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(2, false, workerJSON("x", "draining")))
-	r, _ := startRelay(t, testConfig(a.address(), b.address()))
-	s := subscribe(t, r.Addr().String(), "d1")
-	eventually(t, "snapshot", func() bool { return s.hasVersion(1) })
+	running, _ := startRelay(t, testConfig(a.address(), b.address()))
+	client := subscribe(t, running.Addr().String(), "d1")
+	eventually(t, "snapshot", func() bool { return client.hasVersion(1) })
 	a.awaitWatch() // on which nothing is sent
-	eventually(t, "the other upstream", func() bool { return s.hasVersion(2) })
+	eventually(t, "the other upstream", func() bool { return client.hasVersion(2) })
 }
 
 // A relay that starts fetches what changed before its first snapshot, so that
@@ -346,16 +346,16 @@
 		}
 	}))
 	t.Cleanup(origin.Close)
-	r, _ := startRelay(t, testConfig(origin.Listener.Addr().String()))
-	eventually(t, "the newest version", r.hasVersion(3002))
+	running, _ := startRelay(t, testConfig(origin.Listener.Addr().String()))
+	eventually(t, "the newest version", running.hasVersion(3002))
 	if first, second := <-fetched, <-fetched; first != "snapshot" || second != "1000" {
 		t.Errorf("fetched %s, then after %s", first, second)
 	}
-	line := getLine(t, r.Addr().String(), "after=1500&name=d1")
+	line := getLine(t, running.Addr().String(), "after=1500&name=d1")
 	if line.Snapshot || line.Version != 3002 || len(line.Workers) != 2 || line.Workers[0].Health != "draining" {
 		t.Errorf("since 1500: %+v", line)
 	}
-	if line := getLine(t, r.Addr().String(), "after=999&name=d2"); !line.Snapshot || len(line.Workers) != 2 {
+	if line := getLine(t, running.Addr().String(), "after=999&name=d2"); !line.Snapshot || len(line.Workers) != 2 {
 		t.Errorf("since 999: %+v", line)
 	}
 }
--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -64,9 +64,9 @@
 	up := startScriptedUpstream(t, "127.0.0.1:0", "")
 	config := testConfig(up.address())
 	config.AdminAddr = "127.0.0.1:0"
-	r, _ := startRelay(t, config)
+	running, _ := startRelay(t, config)
 	var text strings.Builder
-	subscribers, operators := r.Addr().String(), r.AdminAddr().String()
+	subscribers, operators := running.Addr().String(), running.AdminAddr().String()
 	exchangeAll := func(requests ...string) {
 		t.Helper()
 		for _, request := range requests {
@@ -83,7 +83,7 @@
 	})
 	watch := up.awaitWatch()
 	go watch.keepAlive()
-	eventually(t, "the snapshot has arrived", func() bool { s := r.Status(); return s.Version == 41 && s.Upstream != "" })
+	eventually(t, "the snapshot has arrived", func() bool { s := running.Status(); return s.Version == 41 && s.Upstream != "" })
 	longName := strings.Repeat("x", maxNameBytes+1)
 	exchangeAll(
 		"GET /v1/servers?after=0&name=d1 HTTP/1.1\r\n", "GET /v1/servers?after=41&name=d1 HTTP/1.1\r\n",
@@ -94,12 +94,12 @@
 		"GET /v1/servers?name=a%0Ab HTTP/1.1\r\n", "POST /v1/servers HTTP/1.1\r\nContent-Length: 0\r\n",
 		"HEAD /v1/servers HTTP/1.1\r\n", "GET /v1/servers/ HTTP/1.1\r\n", "GET / HTTP/1.1\r\n", "GET /healthz HTTP/1.1\r\n",
 	)
-	eventually(t, "all sent changes are counted", func() bool { s := r.Status(); return s.SentSnapshots == 3 && s.SentDeltas == 2 })
+	eventually(t, "all sent changes are counted", func() bool { s := running.Status(); return s.SentSnapshots == 3 && s.SentDeltas == 2 })
 	for _, request := range []string{"GET /control/membership HTTP/1.1\r\n", "PUT /control/membership HTTP/1.1\r\nContent-Length: 0\r\n", "GET /control/ready HTTP/1.1\r\n"} {
 		exchange(t, &text, operators, request)
 	}
 	watch.sendLine(changeJSON(42, false, workerJSON("a", "asleep")))
-	eventually(t, "a change is rejected", func() bool { return r.Status().RejectionCount == 1 && r.Status().Version == 42 })
+	eventually(t, "a change is rejected", func() bool { return running.Status().RejectionCount == 1 && running.Status().Version == 42 })
 	exchange(t, &text, operators, "GET /control/membership HTTP/1.1\r\n")
 	compareGolden(t, "serves.golden", text.String())
 }
@@ -108,11 +108,11 @@
 // settings, and a complete end.
 func TestGoldenWatch(t *testing.T) {
 	up := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(41, true, workerJSON("a", "ready"), workerJSON("b", "ready")))
-	r, _ := startRelay(t, testConfig(up.address()))
+	running, _ := startRelay(t, testConfig(up.address()))
 	above := up.awaitWatch()
 	go above.keepAlive()
-	eventually(t, "the snapshot has arrived", func() bool { s := r.Status(); return s.Version == 41 && s.Upstream != "" })
-	conn, err := net.Dial("tcp", r.Addr().String())
+	eventually(t, "the snapshot has arrived", func() bool { s := running.Status(); return s.Version == 41 && s.Upstream != "" })
+	conn, err := net.Dial("tcp", running.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -155,17 +155,17 @@
 	copyChunks(`"seq":42`)
 	above.sendLine(strings.TrimSuffix(changeJSON(43, false, workerJSON("b", "gone")), "}") + `,"settings":[{"key":"limits.x","value":3},{"key":"y","value":null}]}`)
 	copyChunks(`"seq":43`)
-	go r.Close()
+	go running.Close()
 	copyChunks("never")
 	compareGolden(t, "watch.golden", text.String())
 }
 
 func TestGoldenCompressed(t *testing.T) {
 	up := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(41, true, workerJSON("a", "ready"), workerJSON(strings.Repeat("long", 200), "ready")))
-	r, _ := startRelay(t, testConfig(up.address()))
+	running, _ := startRelay(t, testConfig(up.address()))
 	go up.awaitWatch().keepAlive()
-	eventually(t, "the snapshot has arrived", r.hasVersion(41))
-	request, _ := http.NewRequest(http.MethodGet, "http://"+r.Addr().String()+"/v1/servers?after=0", nil)
+	eventually(t, "the snapshot has arrived", running.hasVersion(41))
+	request, _ := http.NewRequest(http.MethodGet, "http://"+running.Addr().String()+"/v1/servers?after=0", nil)
 	request.Header.Set("Accept-Encoding", "gzip")
 	response, err := http.DefaultTransport.RoundTrip(request)
 	if err != nil {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -37,23 +37,23 @@
 
 func TestSnapshotThenDeltas(t *testing.T) {
 	origin := startDiscovery(t, 3)
-	r, _ := startRelay(t, testConfig(origin.Addr))
-	eventually(t, "snapshot", r.hasVersion(1))
-	s := subscribe(t, r.Addr().String(), "d1")
-	eventually(t, "snapshot at the subscriber", func() bool { return s.hasVersion(1) })
+	running, _ := startRelay(t, testConfig(origin.Addr))
+	eventually(t, "snapshot", running.hasVersion(1))
+	client := subscribe(t, running.Addr().String(), "d1")
+	eventually(t, "snapshot at the subscriber", func() bool { return client.hasVersion(1) })
 	origin.Set(readyWorker("s-new"))
-	eventually(t, "delta at the subscriber", func() bool { return s.hasVersion(2) })
-	if line := s.lastLine(); line.Snapshot || len(line.Workers) != 1 || line.Workers[0].Name != "s-new" {
+	eventually(t, "delta at the subscriber", func() bool { return client.hasVersion(2) })
+	if line := client.lastLine(); line.Snapshot || len(line.Workers) != 1 || line.Workers[0].Name != "s-new" {
 		t.Errorf("delta %+v", line)
 	}
-	if line := getLine(t, r.Addr().String(), "after=1&name=d2"); line.Snapshot || line.Version != 2 || len(line.Workers) != 1 {
+	if line := getLine(t, running.Addr().String(), "after=1&name=d2"); line.Snapshot || line.Version != 2 || len(line.Workers) != 1 {
 		t.Errorf("single call after 1: %+v", line)
 	}
 	eventually(t, "the complete list by a single call", func() bool { // a snapshot may be somewhat older than the newest change
-		line := getLine(t, r.Addr().String(), "")
+		line := getLine(t, running.Addr().String(), "")
 		return line.Snapshot && line.Version == 2 && len(line.Workers) == 4
 	})
-	if status, _ := get(t, r.Addr().String(), "after=3&name=d2"); status != http.StatusServiceUnavailable {
+	if status, _ := get(t, running.Addr().String(), "after=3&name=d2"); status != http.StatusServiceUnavailable {
 		t.Errorf("a caller with a newer version: status %d", status)
 	}
 }
@@ -61,23 +61,23 @@
 // An invalid change is rejected completely, with one log line that names the
 // field; the next valid one is applied.
 func TestInvalidChangeIsRejectedAtomically(t *testing.T) {
-	u := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(1, true, workerJSON("x", "ready"), workerJSON("y", "ready")))
-	r, text := startRelay(t, testConfig(u.address()))
-	s := subscribe(t, r.Addr().String(), "d1")
-	eventually(t, "snapshot", func() bool { return s.hasVersion(1) })
-	w := u.awaitWatch()
-	w.sendLine(changeJSON(1, false))
-	w.sendLine(changeJSON(2, false, workerJSON("x", "draining"), workerJSON("y", "asleep")))
-	w.sendLine(changeJSON(3, false, workerJSON("y", "draining")))
-	eventually(t, "the valid change", func() bool { return s.hasVersion(3) })
-	if s.health("x") != "ready" || s.health("y") != "draining" {
-		t.Errorf("x %s, y %s", s.health("x"), s.health("y"))
+	upstream := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(1, true, workerJSON("x", "ready"), workerJSON("y", "ready")))
+	running, text := startRelay(t, testConfig(upstream.address()))
+	client := subscribe(t, running.Addr().String(), "d1")
+	eventually(t, "snapshot", func() bool { return client.hasVersion(1) })
+	upstreamWatch := upstream.awaitWatch()
+	upstreamWatch.sendLine(changeJSON(1, false))
+	upstreamWatch.sendLine(changeJSON(2, false, workerJSON("x", "draining"), workerJSON("y", "asleep")))
+	upstreamWatch.sendLine(changeJSON(3, false, workerJSON("y", "draining")))
+	eventually(t, "the valid change", func() bool { return client.hasVersion(3) })
+	if client.health("x") != "ready" || client.health("y") != "draining" {
+		t.Errorf("x %s, y %s", client.health("x"), client.health("y"))
 	}
 	const reason = `hosts[1].health: unknown value "asleep"`
 	if n := strings.Count(text.String(), "change rejected"); n != 1 || !strings.Contains(text.String(), "hosts[1].health") {
 		t.Errorf("%d lines: %s", n, text)
 	}
-	status := r.Status()
+	status := running.Status()
 	if status.RejectionCount != 1 || len(status.Rejections) != 1 || status.Rejections[0].Reason != reason || status.Rejections[0].Version != 2 {
 		t.Errorf("rejections: %+v", status.Rejections)
 	}
@@ -85,23 +85,23 @@
 
 // What a rejected change left out is fetched again once its entry is valid, or replaced.
 func TestRejectedChangeIsFetchedAgain(t *testing.T) {
-	u := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(1, true, workerJSON("x", "ready")))
-	r, _ := startRelay(t, testConfig(u.address()))
-	s := subscribe(t, r.Addr().String(), "d1")
-	eventually(t, "snapshot", func() bool { return s.hasVersion(1) })
-	w := u.awaitWatch()
-	w.sendLine(changeJSON(1, false))
-	w.sendLine(changeJSON(2, false, workerJSON("x", "asleep"), workerJSON("y", "ready")))
-	u.setAnswer(func(query url.Values) string { // y has not changed since
+	upstream := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(1, true, workerJSON("x", "ready")))
+	running, _ := startRelay(t, testConfig(upstream.address()))
+	client := subscribe(t, running.Addr().String(), "d1")
+	eventually(t, "snapshot", func() bool { return client.hasVersion(1) })
+	upstreamWatch := upstream.awaitWatch()
+	upstreamWatch.sendLine(changeJSON(1, false))
+	upstreamWatch.sendLine(changeJSON(2, false, workerJSON("x", "asleep"), workerJSON("y", "ready")))
+	upstream.setAnswer(func(query url.Values) string { // y has not changed since
 		if query.Get("after") == "1" {
 			return changeJSON(3, false, workerJSON("x", "draining"), workerJSON("y", "ready"))
 		}
 		return changeJSON(3, false, workerJSON("x", "draining"))
 	})
-	w.sendLine(changeJSON(3, false, workerJSON("x", "draining")))
-	eventually(t, "version 3", func() bool { return s.hasVersion(3) })
-	eventually(t, "nothing is missing", func() bool { return r.Status().Entries == 2 && r.Status().Complete })
-	line := getLine(t, r.Addr().String(), "after=0&name=d2")
+	upstreamWatch.sendLine(changeJSON(3, false, workerJSON("x", "draining")))
+	eventually(t, "version 3", func() bool { return client.hasVersion(3) })
+	eventually(t, "nothing is missing", func() bool { return running.Status().Entries == 2 && running.Status().Complete })
+	line := getLine(t, running.Addr().String(), "after=0&name=d2")
 	if line.Version != 3 || len(line.Workers) != 2 {
 		t.Errorf("%+v", line)
 	}
@@ -145,16 +145,16 @@
 // Close ends watches with a complete response.
 func TestCloseEndsWatchesCompletely(t *testing.T) {
 	origin := startDiscovery(t, 3)
-	r, _ := startRelay(t, testConfig(origin.Addr))
-	eventually(t, "snapshot", r.hasVersion(1))
-	s := subscribe(t, r.Addr().String(), "d1")
-	eventually(t, "watch", func() bool { return s.hasVersion(1) })
-	if err := r.Close(); err != nil {
+	running, _ := startRelay(t, testConfig(origin.Addr))
+	eventually(t, "snapshot", running.hasVersion(1))
+	client := subscribe(t, running.Addr().String(), "d1")
+	eventually(t, "watch", func() bool { return client.hasVersion(1) })
+	if err := running.Close(); err != nil {
 		t.Fatal(err)
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.cut {
+	client.mu.Lock()
+	defer client.mu.Unlock()
+	if client.cut {
 		t.Error("the watch was aborted")
 	}
 }
--- a/internal/relay/slowreader_test.go
+++ b/internal/relay/slowreader_test.go
@@ -17,24 +17,24 @@
 // is queued for the slow one.
 func TestSlowReader(t *testing.T) {
 	const changes, maxGrowth = 40, 2 << 20
-	u := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(1, true, workerJSON("x", "ready")))
-	config := testConfig(u.address())
+	upstream := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(1, true, workerJSON("x", "ready")))
+	config := testConfig(upstream.address())
 	config.WriteTimeoutMs = 60_000 // the slow one stays connected while memory is measured
-	r, _ := startRelay(t, config)
-	eventually(t, "snapshot", r.hasVersion(1))
+	running, _ := startRelay(t, config)
+	eventually(t, "snapshot", running.hasVersion(1))
 	fast := make([]*subscriber, 50)
 	for i := range fast {
-		fast[i] = subscribe(t, r.Addr().String(), fmt.Sprintf("fast-%d", i))
+		fast[i] = subscribe(t, running.Addr().String(), fmt.Sprintf("fast-%d", i))
 	}
-	slow := dialSlowReader(t, r.Addr().String())
-	eventually(t, "all watch", func() bool { return r.Status().Watches == 51 })
+	slow := dialSlowReader(t, running.Addr().String())
+	eventually(t, "all watch", func() bool { return running.Status().Watches == 51 })
 	for _, s := range fast {
 		eventually(t, "snapshot", func() bool { return s.hasVersion(1) })
 	}
-	w := u.awaitWatch()
+	upstreamWatch := upstream.awaitWatch()
 	before := heapBytes()
 	for i := range changes {
-		w.sendLine(changeJSON(i+2, false, largeWorker(), workerJSON(fmt.Sprintf("once-%d", i), "ready")))
+		upstreamWatch.sendLine(changeJSON(i+2, false, largeWorker(), workerJSON(fmt.Sprintf("once-%d", i), "ready")))
 		for _, s := range fast {
 			eventually(t, "change at a fast subscriber", func() bool { return s.hasVersion(int64(i + 2)) })
 		}
@@ -45,7 +45,7 @@
 		}
 		s.dropLines()
 	}
-	if status := r.Status(); status.Watches != 51 {
+	if status := running.Status(); status.Watches != 51 {
 		t.Errorf("%d watches", status.Watches)
 	}
 	grown := heapBytes() - before
@@ -53,29 +53,29 @@
 	if grown > maxGrowth { // the changes are 3.2 MB, of which the kernel buffers 0.8 MB
 		t.Errorf("%d bytes more on the heap", grown)
 	}
-	if line := getLine(t, r.Addr().String(), "after=1&name=slow"); line.Version != 1 || len(line.Workers) != 0 {
+	if line := getLine(t, running.Addr().String(), "after=1&name=slow"); line.Version != 1 || len(line.Workers) != 0 {
 		t.Error("a single call brings what the watch is delivering")
 	}
 	slow.Close()
-	eventually(t, "the slow subscriber is removed", func() bool { return r.Status().Watches == 50 })
+	eventually(t, "the slow subscriber is removed", func() bool { return running.Status().Watches == 50 })
 }
 
 // A subscriber that does not read is disconnected at the write timeout.
 func TestSlowReaderIsDisconnected(t *testing.T) {
-	u := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(1, true, workerJSON("x", "ready")))
-	config := testConfig(u.address())
+	upstream := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(1, true, workerJSON("x", "ready")))
+	config := testConfig(upstream.address())
 	config.WriteTimeoutMs = 50
-	r, _ := startRelay(t, config)
-	eventually(t, "snapshot", r.hasVersion(1))
-	slow := dialSlowReader(t, r.Addr().String())
-	eventually(t, "it watches", func() bool { return r.Status().Watches == 1 })
-	w := u.awaitWatch()
-	for i := 2; r.Status().Watches == 1; i++ {
+	running, _ := startRelay(t, config)
+	eventually(t, "snapshot", running.hasVersion(1))
+	slow := dialSlowReader(t, running.Addr().String())
+	eventually(t, "it watches", func() bool { return running.Status().Watches == 1 })
+	upstreamWatch := upstream.awaitWatch()
+	for i := 2; running.Status().Watches == 1; i++ {
 		if i > 10_000 {
 			t.Fatal("never disconnected")
 		}
-		w.sendLine(changeJSON(i, false, largeWorker()))
-		eventually(t, "change", r.hasVersion(membership.Version(i)))
+		upstreamWatch.sendLine(changeJSON(i, false, largeWorker()))
+		eventually(t, "change", running.hasVersion(membership.Version(i)))
 	}
 	slow.SetReadDeadline(time.Now().Add(testTimeout))
 	text, err := io.ReadAll(slow)
--- a/internal/relay/subscriber_test.go
+++ b/internal/relay/subscriber_test.go
@@ -19,14 +19,14 @@
 func TestManySubscribersStartAtOnce(t *testing.T) {
 	const workers, starting = 21_000, 200
 	origin := startDiscovery(t, workers)
-	r, _ := startRelay(t, testConfig(origin.Addr))
-	eventually(t, "snapshot", r.hasVersion(1))
+	running, _ := startRelay(t, testConfig(origin.Addr))
+	eventually(t, "snapshot", running.hasVersion(1))
 	bodies := make(chan []byte, starting)
 	start := make(chan struct{})
 	for i := range starting {
 		go func() {
 			<-start
-			bodies <- getGzip(t, r.Addr().String(), fmt.Sprintf("after=0&name=d%d", i))
+			bodies <- getGzip(t, running.Addr().String(), fmt.Sprintf("after=0&name=d%d", i))
 		}()
 	}
 	close(start)
@@ -36,10 +36,10 @@
 			t.Fatal("the responses differ")
 		}
 	}
-	if status := r.Status(); status.EncodedSnapshots != 1 || status.CompressedSnapshots != 1 {
+	if status := running.Status(); status.EncodedSnapshots != 1 || status.CompressedSnapshots != 1 {
 		t.Errorf("encoded %d times, compressed %d times", status.EncodedSnapshots, status.CompressedSnapshots)
 	}
-	eventually(t, "all are counted", func() bool { return r.Status().SentSnapshots == starting })
+	eventually(t, "all are counted", func() bool { return running.Status().SentSnapshots == starting })
 	uncompressed, err := gzip.NewReader(bytes.NewReader(first))
 	if err != nil {
 		t.Fatal(err)
@@ -71,12 +71,12 @@
 	origin := startDiscovery(t, 1)
 	config := testConfig(origin.Addr)
 	config.MaxSubscribers = 2
-	r, _ := startRelay(t, config)
-	eventually(t, "snapshot", r.hasVersion(1))
-	address := r.Addr().String()
+	running, _ := startRelay(t, config)
+	eventually(t, "snapshot", running.hasVersion(1))
+	address := running.Addr().String()
 	subscribe(t, address, "d1")
 	subscribe(t, address, "d2")
-	eventually(t, "two watches", func() bool { return r.Status().Watches == 2 })
+	eventually(t, "two watches", func() bool { return running.Status().Watches == 2 })
 	third := subscribe(t, address, "d3")
 	eventually(t, "the third is rejected", func() bool { _, _, rejected := third.counts(); return rejected > 0 })
 	for query, want := range map[string]int{
@@ -108,13 +108,13 @@
 // for a version, and its next call brings the delta compressed. Other callers get
 // it on the watch.
 func TestLongDeltaIsFetchedCompressed(t *testing.T) {
-	u := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(1, true, workerJSON("first", "ready")))
-	r, _ := startRelay(t, testConfig(u.address()))
-	withoutGzip := subscribe(t, r.Addr().String(), "plain")
+	upstream := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(1, true, workerJSON("first", "ready")))
+	running, _ := startRelay(t, testConfig(upstream.address()))
+	withoutGzip := subscribe(t, running.Addr().String(), "plain")
 	eventually(t, "the first snapshot", func() bool { return withoutGzip.hasVersion(1) })
 	call := func() *http.Response {
 		t.Helper()
-		request, _ := http.NewRequest(http.MethodGet, "http://"+r.Addr().String()+"/v1/servers?after=1&name=fetches", nil)
+		request, _ := http.NewRequest(http.MethodGet, "http://"+running.Addr().String()+"/v1/servers?after=1&name=fetches", nil)
 		request.Header.Set("Accept-Encoding", "gzip")
 		response, err := http.DefaultClient.Do(request)
 		if err != nil {
@@ -128,7 +128,7 @@
 	}
 	watch := func() *bufio.Reader {
 		t.Helper()
-		response, err := http.Get("http://" + r.Addr().String() + "/v1/servers?watch=1&after=1&name=fetches")
+		response, err := http.Get("http://" + running.Addr().String() + "/v1/servers?watch=1&after=1&name=fetches")
 		if err != nil || response.StatusCode != http.StatusOK {
 			t.Fatalf("%v, %v", response, err)
 		}
@@ -143,7 +143,7 @@
 	for i := range workers {
 		workers[i] = workerJSON(fmt.Sprintf("s-%d", i), "ready")
 	}
-	up := u.awaitWatch()
+	up := upstream.awaitWatch()
 	up.sendLine(changeJSON(2, false, workers...))
 	if rest, err := io.ReadAll(before); err != nil || len(bytes.TrimSpace(rest)) > 0 {
 		t.Errorf("the watch does not end completely: %q, %v", rest, err)
@@ -174,33 +174,33 @@
 	for i := range workers {
 		workers[i] = workerJSON(fmt.Sprintf("s-%d", i), "ready")
 	}
-	u := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(1, true, workers...)) // 500 KB: compressed, too, over a minute's budget
-	config := testConfig(u.address())
+	upstream := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(1, true, workers...)) // 500 KB: compressed, too, over a minute's budget
+	config := testConfig(upstream.address())
 	config.BytesPerS = 100
-	r, _ := startRelay(t, config)
-	s := subscribe(t, r.Addr().String(), "d1")
-	eventually(t, "snapshot", func() bool { return s.hasVersion(1) })
-	getLine(t, r.Addr().String(), "after=0&name=polls")
-	eventually(t, "its budget is exhausted", func() bool { return r.Status().SentSnapshots == 2 })
-	w := u.awaitWatch()
-	w.sendLine(changeJSON(1, false))
-	w.sendLine(changeJSON(2, false, workerJSON("new", "ready")))
-	eventually(t, "a change that waits", r.hasVersion(2))
+	running, _ := startRelay(t, config)
+	client := subscribe(t, running.Addr().String(), "d1")
+	eventually(t, "snapshot", func() bool { return client.hasVersion(1) })
+	getLine(t, running.Addr().String(), "after=0&name=polls")
+	eventually(t, "its budget is exhausted", func() bool { return running.Status().SentSnapshots == 2 })
+	upstreamWatch := upstream.awaitWatch()
+	upstreamWatch.sendLine(changeJSON(1, false))
+	upstreamWatch.sendLine(changeJSON(2, false, workerJSON("new", "ready")))
+	eventually(t, "a change that waits", running.hasVersion(2))
 	for _, name := range []string{"d1", "polls"} {
-		if line := getLine(t, r.Addr().String(), "after=1&name="+name); line.Version != 1 || line.Snapshot || len(line.Workers) != 0 {
+		if line := getLine(t, running.Addr().String(), "after=1&name="+name); line.Version != 1 || line.Snapshot || len(line.Workers) != 0 {
 			t.Errorf("a single call of %s bypassed the rate limit: %+v", name, line)
 		}
 	}
-	w.sendLine(changeJSON(3, false, workerJSON("s-7", "draining")))
-	eventually(t, "the draining worker", func() bool { return s.hasVersion(3) })
-	if seen := s.seenVersions(); !slices.Equal(seen, []int64{1, 3}) {
+	upstreamWatch.sendLine(changeJSON(3, false, workerJSON("s-7", "draining")))
+	eventually(t, "the draining worker", func() bool { return client.hasVersion(3) })
+	if seen := client.seenVersions(); !slices.Equal(seen, []int64{1, 3}) {
 		t.Errorf("versions seen: %v", seen)
 	}
-	if line := getLine(t, r.Addr().String(), "after=1&name=polls"); line.Version != 3 || len(line.Workers) != 2 {
+	if line := getLine(t, running.Addr().String(), "after=1&name=polls"); line.Version != 3 || len(line.Workers) != 2 {
 		t.Errorf("a single call of polls: %+v", line)
 	}
-	if s.health("s-7") != "draining" || s.health("new") != "ready" {
-		t.Errorf("s-7 %q, new %q", s.health("s-7"), s.health("new"))
+	if client.health("s-7") != "draining" || client.health("new") != "ready" {
+		t.Errorf("s-7 %q, new %q", client.health("s-7"), client.health("new"))
 	}
 }
 
@@ -209,16 +209,16 @@
 	origin := startDiscovery(t, 20)
 	config := testConfig(origin.Addr)
 	config.LogChanges = 10
-	r, _ := startRelay(t, config)
-	eventually(t, "snapshot", r.hasVersion(1))
+	running, _ := startRelay(t, config)
+	eventually(t, "snapshot", running.hasVersion(1))
 	for i := range 30 { // one at a time, so that each has an entry of its own in the log
 		origin.Set(readyWorker(fmt.Sprintf("s-new-%d", i)))
-		eventually(t, "change", r.hasVersion(membership.Version(i+2)))
+		eventually(t, "change", running.hasVersion(membership.Version(i+2)))
 	}
-	if line := getLine(t, r.Addr().String(), "after=1&name=d1"); !line.Snapshot || line.Version != 31 || len(line.Workers) != 50 {
+	if line := getLine(t, running.Addr().String(), "after=1&name=d1"); !line.Snapshot || line.Version != 31 || len(line.Workers) != 50 {
 		t.Errorf("snapshot %v, version %d, %d workers", line.Snapshot, line.Version, len(line.Workers))
 	}
-	if line := getLine(t, r.Addr().String(), "after=29&name=d1"); line.Snapshot || len(line.Workers) != 2 {
+	if line := getLine(t, running.Addr().String(), "after=29&name=d1"); line.Snapshot || len(line.Workers) != 2 {
 		t.Errorf("snapshot %v, %d workers", line.Snapshot, len(line.Workers))
 	}
 }
