--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -28,42 +28,42 @@
 )
 
 // follow makes a registry that follows discovery at an address.
-func followDiscovery(t *testing.T, r *testkit.Rig, addr string) (b *Registry) {
+func followDiscovery(t *testing.T, r *testkit.Rig, addr string) (registry *Registry) {
 	t.Helper()
 	r.Do(func() {
-		b = newRegistry(r, addr)
-		if err := b.LoadInitial([]byte(oldList)); err != nil {
+		registry = newRegistry(r, addr)
+		if err := registry.LoadInitial([]byte(oldList)); err != nil {
 			t.Error(err)
 		}
 	})
-	return b
+	return registry
 }
 
 // inTime checks, on the loop, that whatever became of the last call, an answer to
 // the next fits into the protocol's bound, counted from the last contact.
 func (w *watch) inTime(t *testing.T) {
 	t.Helper()
-	now := w.set.dispatcher.Loop.Now()
-	switch latest := max(w.lastContact+notifiedWithin-answerWithin, w.notBefore); {
-	case w.out:
-	case w.nextAt == 0:
+	now := w.registry.dispatcher.Loop.Now()
+	switch latest := max(w.lastContact+notificationBound-answerTimeout, w.notBefore); {
+	case w.calling:
+	case w.nextCallAt == 0:
 		t.Error("no call is out, and none is to come")
-	case w.nextAt > latest:
-		t.Errorf("the next call comes %v after the last contact", w.nextAt-w.lastContact)
-	case w.nextAt < w.notBefore && w.notBefore > now:
-		t.Errorf("the next call comes %v before its time", w.notBefore-w.nextAt)
+	case w.nextCallAt > latest:
+		t.Errorf("the next call comes %v after the last contact", w.nextCallAt-w.lastContact)
+	case w.nextCallAt < w.notBefore && w.notBefore > now:
+		t.Errorf("the next call comes %v before its time", w.notBefore-w.nextCallAt)
 	}
 }
 
 // The parts of the bound: a call that is never answered or a watch that falls
 // silent, the pause that follows, and the answer to the next call.
 func TestTimeoutsFitTheBound(t *testing.T) {
-	for _, silence := range []time.Duration{watchCall, watchLine} {
-		if sum := silence + leastPause + answerWithin; sum > notifiedWithin {
+	for _, silence := range []time.Duration{watchCallTimeout, watchLineTimeout} {
+		if sum := silence + minBackoff + answerTimeout; sum > notificationBound {
 			t.Errorf("%v of silence, the least pause and an answer take %v", silence, sum)
 		}
 	}
-	if watchConnect+answerWithin > watchCall+leastPause+answerWithin || watchConnect > watchCall {
+	if watchConnectTimeout+answerTimeout > watchCallTimeout+minBackoff+answerTimeout || watchConnectTimeout > watchCallTimeout {
 		t.Error("a call may take longer to connect than in all")
 	}
 }
@@ -91,23 +91,23 @@
 					t.Parallel()
 					r := common.WithSubscription(t, peers, askWithin)
 					addr, came := calls(t)
-					b := followDiscovery(t, r, addr)
+					registry := followDiscovery(t, r, addr)
 					r.Do(func() { // the first call of a large fleet has its spread
-						b.watch.inTime(t)
-						b.Subscribe()
+						registry.watch.inTime(t)
+						registry.Subscribe()
 					})
 					end(t, testkit.Receive(t, came))
 					testkit.Until(t, "the call has failed", func() (failed bool) {
 						r.Do(func() {
-							failed = b.watch.lastContact > 0 && !b.watch.out
-							b.watch.inTime(t)
+							failed = registry.watch.lastContact > 0 && !registry.watch.calling
+							registry.watch.inTime(t)
 						})
 						return failed || len(came) > 0
 					})
 					c := testkit.Receive(t, came)
 					io.WriteString(c, testkit.WatchHead+testkit.Chunk(newWorld+"\n"))
 					testkit.Until(t, "the list is heard", func() (heard bool) {
-						r.Do(func() { heard = b.workers["new"] != nil && b.workers["old"] == nil })
+						r.Do(func() { heard = registry.workers["new"] != nil && registry.workers["old"] == nil })
 						return heard
 					})
 				})
@@ -130,25 +130,25 @@
 				}
 			}
 		})
-		b := followDiscovery(t, r, addr)
+		registry := followDiscovery(t, r, addr)
 		for range 12 {
-			r.Do(func() { b.watch.open() }) // in place of the pause
+			r.Do(func() { registry.watch.open() }) // in place of the pause
 			testkit.Until(t, "the call is refused", func() (failed bool) {
-				r.Do(func() { failed = !b.watch.out })
+				r.Do(func() { failed = !registry.watch.calling })
 				return failed
 			})
-			r.Do(func() { b.watch.inTime(t) })
+			r.Do(func() { registry.watch.inTime(t) })
 		}
 		if n := told.Load(); n != 1 {
 			t.Errorf("%d peers: the module was told %d times, and set as many timers", peers, n)
 		}
 		r.Do(func() { // the module's timer may have no delay
-			b.watch.fail(errors.New("broken"))
-			b.Subscribe()
-			if b.watch.out && r.Dispatcher.Loop.Now() < b.watch.notBefore {
+			registry.watch.fail(errors.New("broken"))
+			registry.Subscribe()
+			if registry.watch.calling && r.Dispatcher.Loop.Now() < registry.watch.notBefore {
 				t.Error("called again without a pause")
 			}
-			b.watch.inTime(t)
+			registry.watch.inTime(t)
 		})
 	}
 }
@@ -159,24 +159,24 @@
 	r := testkit.NewRig(t).WithSubscription(t, 300, time.Hour)
 	former, came := calls(t)
 	next, moved := calls(t)
-	b := followDiscovery(t, r, former)
-	r.Do(func() { b.Subscribe() }) // without the spread of a large fleet
+	registry := followDiscovery(t, r, former)
+	r.Do(func() { registry.Subscribe() }) // without the spread of a large fleet
 	testkit.Receive(t, came).Close()
 	testkit.Until(t, "the call has failed", func() (failed bool) {
-		r.Do(func() { failed = b.watch.nextAt > 0 })
+		r.Do(func() { failed = registry.watch.nextCallAt > 0 })
 		return failed
 	})
 	r.Do(func() {
-		b.MoveTo(next)
-		if !b.watch.out || b.watch.nextAt != 0 {
+		registry.MoveTo(next)
+		if !registry.watch.calling || registry.watch.nextCallAt != 0 {
 			t.Error("the new address is not called at once, or twice")
 		}
 	})
 	testkit.Receive(t, moved).Close()
 	testkit.Until(t, "the call to the new address has failed", func() (failed bool) {
 		r.Do(func() {
-			failed = b.watch.nextAt > 0
-			b.watch.inTime(t)
+			failed = registry.watch.nextCallAt > 0
+			registry.watch.inTime(t)
 		})
 		return failed
 	})
@@ -184,10 +184,10 @@
 	if c.query != "watch=1&after=41" {
 		t.Errorf("asked for %s", c.query)
 	}
-	r.Do(func() { b.Subscribe() }) // a timer of the outage before: the call stands
+	r.Do(func() { registry.Subscribe() }) // a timer of the outage before: the call stands
 	io.WriteString(c, testkit.WatchHead+testkit.Chunk(newWorld+"\n"))
 	testkit.Until(t, "the list is heard", func() (heard bool) {
-		r.Do(func() { heard = b.workers["new"] != nil && b.watch.seq == 43 })
+		r.Do(func() { heard = registry.workers["new"] != nil && registry.watch.version == 43 })
 		return heard
 	})
 	if len(came) > 0 {
@@ -263,19 +263,19 @@
 				t.Error("no descriptor is left for attempts")
 			}
 			addr, came := calls(t)
-			b := followDiscovery(t, r, addr)
+			registry := followDiscovery(t, r, addr)
 			for range 3 { // an outage
 				testkit.Receive(t, came).Close()
 				testkit.Until(t, "the call has failed", func() (failed bool) {
-					r.Do(func() { failed = !b.watch.out })
+					r.Do(func() { failed = !registry.watch.calling })
 					return failed
 				})
-				r.Do(func() { b.watch.open() }) // in place of the pause
+				r.Do(func() { registry.watch.open() }) // in place of the pause
 			}
 			c := testkit.Receive(t, came)
 			io.WriteString(c, testkit.WatchHead+testkit.Chunk(newWorld+"\n"))
 			testkit.Until(t, "the list is heard", func() (heard bool) {
-				r.Do(func() { heard = b.workers["new"] != nil })
+				r.Do(func() { heard = registry.workers["new"] != nil })
 				return heard
 			})
 		})
@@ -288,22 +288,22 @@
 		t.Run(name, func(t *testing.T) {
 			r := testkit.NewRig(t).WithSubscription(t, 1, time.Hour)
 			addr, came := calls(t)
-			b := followDiscovery(t, r, addr)
+			registry := followDiscovery(t, r, addr)
 			c := testkit.Receive(t, came)
 			io.WriteString(c, testkit.WatchHead+testkit.Chunk(newWorld+"\n"))
 			heardAt := time.Duration(0)
 			testkit.Until(t, "the list is heard", func() (heard bool) {
-				r.Do(func() { heard, heardAt = b.workers["new"] != nil, b.age.ConfirmedAt() })
+				r.Do(func() { heard, heardAt = registry.workers["new"] != nil, registry.tracker.ConfirmedAt() })
 				return heard
 			})
 			io.WriteString(c, testkit.Chunk(bad))
 			testkit.Until(t, "the line is refused", func() (refused bool) {
-				r.Do(func() { refused = b.watch.conn == nil || b.watch.generation > 2 })
+				r.Do(func() { refused = registry.watch.conn == nil || registry.watch.generation > 2 })
 				return refused
 			})
 			r.Do(func() {
-				if b.age.ConfirmedAt() != heardAt {
-					t.Errorf("heard at %v, not at %v", b.age.ConfirmedAt(), heardAt)
+				if registry.tracker.ConfirmedAt() != heardAt {
+					t.Errorf("heard at %v, not at %v", registry.tracker.ConfirmedAt(), heardAt)
 				}
 			})
 		})
--- a/internal/discovery/forms_test.go
+++ b/internal/discovery/forms_test.go
@@ -57,10 +57,10 @@
 			s.Peers, s.ListPollInterval, s.DrainGrace = peers, 10*time.Second, 500*time.Millisecond
 		})
 		addr, came := calls(t)
-		var b *Registry
+		var registry *Registry
 		r.Do(func() {
-			b = newRegistry(r, addr)
-			if err := b.LoadInitial([]byte(`{"seq":41,"hosts":[{"host":"old","dial":"127.0.0.1:9","health":"ready"}]}`)); err != nil {
+			registry = newRegistry(r, addr)
+			if err := registry.LoadInitial([]byte(`{"seq":41,"hosts":[{"host":"old","dial":"127.0.0.1:9","health":"ready"}]}`)); err != nil {
 				t.Error(err)
 			}
 		})
@@ -89,7 +89,7 @@
 			io.WriteString(c, testkit.WatchHead+testkit.Chunk(`{"seq":43,"whole":true,"hosts":[{"host":"new","dial":"127.0.0.1:9","health":"ready"}]}`+"\n"))
 			heard := false
 			for end := time.Now().Add(200 * time.Millisecond); !heard && time.Now().Before(end); time.Sleep(time.Millisecond) {
-				r.Do(func() { heard = b.workers["new"] != nil && b.workers["old"] == nil && b.watch.live })
+				r.Do(func() { heard = registry.workers["new"] != nil && registry.workers["old"] == nil && registry.watch.established })
 			}
 			if heard {
 				break
@@ -110,7 +110,7 @@
 	word := func(seq int64, whole bool, n int, health string) list {
 		l := list{Seq: seq, Whole: whole}
 		for i := range n {
-			l.Hosts = append(l.Hosts, endpoint{Host: fmt.Sprintf("s-%d", i), Dial: "127.0.0.1:9", Health: health, Site: "he\\\"}{re"})
+			l.Hosts = append(l.Hosts, endpoint{Name: fmt.Sprintf("s-%d", i), Address: "127.0.0.1:9", Health: health, Zone: "he\\\"}{re"})
 		}
 		return l
 	}
@@ -119,11 +119,11 @@
 		for _, piece := range []int{1 << 20, 4096, 7} {
 			r := testkit.NewRig(t)
 			addr, came := calls(t)
-			var b *Registry
+			var registry *Registry
 			r.Do(func() {
-				b = newRegistry(r, addr)
-				b.dispatcher.Settings.DrainGrace = time.Minute // the call has its time
-				if err := b.LoadInitial(nil); err != nil {
+				registry = newRegistry(r, addr)
+				registry.dispatcher.Settings.DrainGrace = time.Minute // the call has its time
+				if err := registry.LoadInitial(nil); err != nil {
 					t.Error(err)
 				}
 			})
@@ -143,11 +143,11 @@
 			}
 			out.Flush()
 			testkit.Until(t, fmt.Sprintf("indent %q in pieces of %d is read", indent, piece), func() (read bool) {
-				r.Do(func() { read = b.watch.seq == 4 })
+				r.Do(func() { read = registry.watch.version == 4 })
 				return read
 			})
 			r.Do(func() {
-				if n := len(b.workers); n != many-1 || b.workers["s-0"] != nil || b.workers["s-1"].State != decision.Draining || b.workers["s-2"].State != decision.Running {
+				if n := len(registry.workers); n != many-1 || registry.workers["s-0"] != nil || registry.workers["s-1"].State != decision.Draining || registry.workers["s-2"].State != decision.Running {
 					t.Errorf("indent %q in pieces of %d: %d hosts", indent, piece, n)
 				}
 			})
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -33,9 +33,9 @@
 	r := testkit.NewRig(t)
 	addr, accept := testkit.ListenOnLoopback(t)
 	r.Do(func() {
-		set := newRegistry(r, "")
-		set.Follow((&subject{}).config(0, &server{addr: addr}))
-		if err := set.LoadInitial([]byte(`{"hosts":[]}`)); err != nil {
+		registry := newRegistry(r, "")
+		registry.Follow((&subject{}).config(0, &server{addr: addr}))
+		if err := registry.LoadInitial([]byte(`{"hosts":[]}`)); err != nil {
 			t.Error(err)
 		}
 	})
--- a/internal/discovery/knowledge.go
+++ b/internal/discovery/knowledge.go
@@ -27,34 +27,34 @@
 // Refresh brings up to date what may be done by the list.
 func (s *Registry) Refresh() {
 	knowledge, now := s.currentKnowledge(), s.dispatcher.Loop.Now()
-	s.usable = s.usable || s.initial == nil && knowledge != freshness.Unknown
+	s.usable = s.usable || s.initialEntries == nil && knowledge != freshness.Unknown
 	if knowledge == s.knowledge {
 		return
 	}
 	s.knowledge = knowledge
-	s.dispatcher.Log(fmt.Sprintf("the list of workers is %v, discovery was last heard %v ago", knowledge, (now - s.age.ConfirmedAt()).Round(time.Millisecond)))
+	s.dispatcher.Log(fmt.Sprintf("the list of workers is %v, discovery was last heard %v ago", knowledge, (now - s.tracker.ConfirmedAt()).Round(time.Millisecond)))
 	if knowledge == freshness.Unknown {
 		s.suspendAll()
 		return
 	}
-	s.resume(func(b *Worker) bool { return knowledge == freshness.Current || b.proof.Holds(&s.age) })
+	s.resume(func(b *Worker) bool { return knowledge == freshness.Current || b.proof.Holds(&s.tracker) })
 }
 
 // refreshAndSchedule is told that what may be done by the list may have changed by itself.
 func (s *Registry) refreshAndSchedule() {
 	s.Refresh()
-	if next := s.age.NextChange(s.dispatcher.Loop.Now()); next > 0 {
-		s.dispatcher.Loop.Set(&s.ageDue, next)
+	if next := s.tracker.NextChange(s.dispatcher.Loop.Now()); next > 0 {
+		s.dispatcher.Loop.Set(&s.freshnessTimer, next)
 	}
 }
 
 // currentKnowledge tells what the list is good for. One that nobody renews does not
 // grow old, and where backends cannot be asked, an unconfirmed one is served by.
 func (s *Registry) currentKnowledge() freshness.Knowledge {
-	if s.follower != nil || s.watch.addr == "" || s.initial != nil {
+	if s.follower != nil || s.watch.address == "" || s.initialEntries != nil {
 		return freshness.Current
 	}
-	knowledge := s.age.Knowledge(s.dispatcher.Loop.Now())
+	knowledge := s.tracker.Knowledge(s.dispatcher.Loop.Now())
 	if knowledge == freshness.Unconfirmed && !s.dispatcher.Settings.HealthChecks {
 		return freshness.Current
 	}
@@ -63,7 +63,7 @@
 
 // sourceHeard tells that a whole line of discovery has come.
 func (s *Registry) sourceHeard() {
-	s.age.Confirmed(s.dispatcher.Loop.Now())
+	s.tracker.Confirmed(s.dispatcher.Loop.Now())
 	s.refreshAndSchedule()
 	if s.knowledge == freshness.Unknown { // what is listed anew too
 		s.suspendAll()
@@ -114,11 +114,11 @@
 	case freshness.Unknown:
 		return Suspended
 	}
-	if !b.proof.Holds(&s.age) {
+	if !b.proof.Holds(&s.tracker) {
 		s.suspend(b)
 		return Suspended
 	}
-	if b.confirmedAt > 0 && now-b.confirmedAt <= s.dispatcher.Settings.DrainGrace/confirmedPart {
+	if b.healthConfirmedAt > 0 && now-b.healthConfirmedAt <= s.dispatcher.Settings.DrainGrace/confirmedPart {
 		return Admitted
 	}
 	return NeedsHealthCheck
@@ -128,34 +128,34 @@
 // counted from when the probe left: the backend may begin to drain right after it.
 const confirmedPart = 2
 
-// failure tells what a call to discovery that ended in vain says of it.
-func (w *watch) failure(err error) freshness.Failure {
+// classifyFailure tells what a call to discovery that ended in vain says of it.
+func (w *watch) classifyFailure(err error) freshness.Failure {
 	switch {
 	case w.conn == nil, errStatus(err), transport.IsLocalError(err):
 		return freshness.NotReached
-	case w.pushed():
-		if w.ok && !w.live {
+	case w.usesAgent():
+		if w.headRead && !w.established {
 			return freshness.BrokenOff
 		}
 		return freshness.NotReached
-	case err == errWatchEnded && w.live && !w.midLine(): // as when it goes down
+	case err == errWatchEnded && w.established && !w.midLine(): // as when it goes down
 		return freshness.NotReached
-	case w.ok:
+	case w.headRead:
 		return freshness.BrokenOff
 	}
 	return freshness.NotReached
 }
 
 // HealthConfirmed tells that a worker has answered a health check that left at a time.
-func (s *Registry) HealthConfirmed(b *Worker, asked time.Duration) { b.confirmedAt = asked }
+func (s *Registry) HealthConfirmed(b *Worker, asked time.Duration) { b.healthConfirmedAt = asked }
 
 // HealthDenied tells that a worker has not shown that it serves, though it was asked.
 func (s *Registry) HealthDenied(b *Worker) {
-	b.proof.Denied(&s.age)
+	b.proof.Denied(&s.tracker)
 	if s.knowledge == freshness.Unconfirmed {
 		s.suspend(b)
 	}
 }
 
 // ConnectFailed tells that no connection to a worker came up.
-func (s *Registry) ConnectFailed(b *Worker) { b.proof.Denied(&s.age) }
+func (s *Registry) ConnectFailed(b *Worker) { b.proof.Denied(&s.tracker) }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -30,13 +30,13 @@
 
 // endpointList is a list of backends as discovery words it.
 type endpointList struct {
-	Seq   int64      `json:"seq"`
-	Whole bool       `json:"whole"`
-	Hosts []endpoint `json:"hosts"`
+	Version   int64      `json:"seq"`
+	Snapshot bool       `json:"whole"`
+	Endpoints []endpoint `json:"hosts"`
 
 	// Settings are those that were changed up to that version. A list without them
 	// may come from one who does not know of any.
-	Settings []setting `json:"settings,omitzero"`
+	Settings []settingChange `json:"settings,omitzero"`
 
 	// AgeMs is how long ago, in milliseconds, discovery was last heard whole by who
 	// hands the list over. Discovery's own lists have none.
@@ -44,14 +44,14 @@
 }
 
 type endpoint struct {
-	Host   string  `json:"host"`
-	Dial   string  `json:"dial"`
-	Site   string  `json:"site"`
-	Class  string  `json:"class"`
-	Block  int     `json:"block"`
+	Name   string  `json:"host"`
+	Address   string  `json:"dial"`
+	Zone   string  `json:"site"`
+	Kind  string  `json:"class"`
+	Cell  int     `json:"block"`
 	Health string  `json:"health"`
-	Share  float64 `json:"share"`
-	BornMs float64 `json:"born_ms"`
+	Weight  float64 `json:"share"`
+	StartedAtMs float64 `json:"born_ms"`
 }
 
 // LoadInitial takes in the list that the dispatcher had before its start. It may be
@@ -60,55 +60,55 @@
 // that is let in late has nobody else to go to. In a herd of dispatchers the word
 // of discovery may be long in coming, and the list known serves at once.
 func (s *Registry) LoadInitial(raw []byte) error {
-	list := endpointList{Whole: true}
+	list := endpointList{Snapshot: true}
 	if len(raw) > 0 {
 		if err := json.Unmarshal(raw, &list); err != nil {
 			return err
 		}
 	}
-	s.watch.seq, s.watch.lastContact = list.Seq, s.dispatcher.Loop.Now()
-	s.age.Start(s.dispatcher.Loop.Now())
+	s.watch.version, s.watch.lastContact = list.Version, s.dispatcher.Loop.Now()
+	s.tracker.Start(s.dispatcher.Loop.Now())
 	s.refreshAndSchedule()
-	entries, err := s.parseAndAdopt(list.Hosts)
+	entries, err := s.parseAndAdopt(list.Endpoints)
 	if err != nil {
 		return err
 	}
-	s.initial = map[string]decision.Endpoint{}
+	s.initialEntries = map[string]decision.Endpoint{}
 	for _, e := range entries {
 		if e.State != decision.Removed {
-			s.initial[e.Name] = e
+			s.initialEntries[e.Name] = e
 		}
 	}
 	if s.follower != nil {
-		s.dispatcher.Loop.Set(&s.initialDue, s.dispatcher.Loop.Now()+freshList)
+		s.dispatcher.Loop.Set(&s.initialTimeout, s.dispatcher.Loop.Now()+initialListTimeout)
 		s.follower.start(&list)
 		return nil
 	}
-	if s.watch.addr == "" || s.dispatcher.Settings.ListBySubscription && s.dispatcher.Settings.LargeFleet() { // the module says when to call
+	if s.watch.address == "" || s.dispatcher.Settings.ListBySubscription && s.dispatcher.Settings.LargeFleet() { // the module says when to call
 		s.publishInitial(nil)
-		s.watch.callInTime(s.watch.lastContact)
+		s.watch.scheduleReconnect(s.watch.lastContact)
 		return nil
 	}
-	s.dispatcher.Loop.Set(&s.initialDue, s.dispatcher.Loop.Now()+freshList)
+	s.dispatcher.Loop.Set(&s.initialTimeout, s.dispatcher.Loop.Now()+initialListTimeout)
 	s.watch.open()
 	return nil
 }
 
 // publishInitial gives the module the list known at the start, with what has changed since.
 func (s *Registry) publishInitial(changes []decision.Endpoint) {
-	if s.initial == nil {
+	if s.initialEntries == nil {
 		return
 	}
 	for _, e := range changes {
-		if s.initial[e.Name] = e; e.State == decision.Removed {
-			delete(s.initial, e.Name)
+		if s.initialEntries[e.Name] = e; e.State == decision.Removed {
+			delete(s.initialEntries, e.Name)
 		}
 	}
-	entries := slices.SortedFunc(maps.Values(s.initial), func(a, b decision.Endpoint) int {
+	entries := slices.SortedFunc(maps.Values(s.initialEntries), func(a, b decision.Endpoint) int {
 		return strings.Compare(a.Name, b.Name) // a map's order would make runs differ
 	})
-	s.initial = nil
-	s.dispatcher.Loop.Clear(&s.initialDue)
+	s.initialEntries = nil
+	s.dispatcher.Loop.Clear(&s.initialTimeout)
 	s.dispatcher.UpdateWorkers(s.client, decision.ListCached, entries)
 	s.refreshAndSchedule()
 }
@@ -116,45 +116,45 @@
 // Export tells where discovery is, and the list in its words, for a successor.
 func (s *Registry) Export() (addr string, list json.RawMessage, err error) {
 	words := map[decision.WorkerState]string{decision.Running: "ready", decision.Draining: "draining"}
-	l := endpointList{Seq: s.watch.seq, Whole: true, Hosts: []endpoint{}}
+	l := endpointList{Version: s.watch.version, Snapshot: true, Endpoints: []endpoint{}}
 	if f := s.follower; f != nil {
-		if l.Seq = int64(f.version); f.begun && f.resume == f.version {
-			l.Settings = f.inForce()
+		if l.Version = int64(f.version); f.resumable && f.completeThrough == f.version {
+			l.Settings = f.appliedSettings()
 		}
 	}
 	for _, b := range s.workers {
-		h := b.listed
+		h := b.endpoint
 		h.Health = words[b.State]
-		l.Hosts = append(l.Hosts, h)
+		l.Endpoints = append(l.Endpoints, h)
 	}
-	slices.SortFunc(l.Hosts, func(a, b endpoint) int { return strings.Compare(a.Host, b.Host) })
-	age := (s.dispatcher.Loop.Now() - s.age.ConfirmedAt()).Milliseconds()
+	slices.SortFunc(l.Endpoints, func(a, b endpoint) int { return strings.Compare(a.Name, b.Name) })
+	age := (s.dispatcher.Loop.Now() - s.tracker.ConfirmedAt()).Milliseconds()
 	l.AgeMs = &age
 	list, err = json.Marshal(l)
-	return s.watch.addr, list, err
+	return s.watch.address, list, err
 }
 
 // Import takes in the list that the predecessor has heard, as long as discovery
 // is silent here. Its word comes first once it speaks.
 func (s *Registry) Import(raw json.RawMessage) error {
 	var list endpointList
-	if s.watch.live || s.follower != nil && s.follower.current != nil {
+	if s.watch.established || s.follower != nil && s.follower.active != nil {
 		return nil
 	}
 	if err := json.Unmarshal(raw, &list); err != nil {
 		return err
 	}
 	if s.follower != nil {
-		return s.follower.relay(&list)
+		return s.follower.adoptHandover(&list)
 	}
-	entries, err := s.parseAndAdopt(list.Hosts)
+	entries, err := s.parseAndAdopt(list.Endpoints)
 	if err != nil {
 		return err
 	}
-	s.watch.seq = max(s.watch.seq, list.Seq)
+	s.watch.version = max(s.watch.version, list.Version)
 	s.replaceAll(entries)
 	if list.AgeMs != nil {
-		s.age.HandedOver(s.dispatcher.Loop.Now(), time.Duration(*list.AgeMs)*time.Millisecond)
+		s.tracker.HandedOver(s.dispatcher.Loop.Now(), time.Duration(*list.AgeMs)*time.Millisecond)
 	}
 	s.refreshAndSchedule()
 	return nil
@@ -163,13 +163,13 @@
 // replaceAll puts a complete list in the place of what is known.
 func (s *Registry) replaceAll(entries []decision.Endpoint) {
 	s.removeUnlisted(entries)
-	if s.initial == nil {
+	if s.initialEntries == nil {
 		s.dispatcher.UpdateWorkers(s.client, decision.ListSnapshot, entries)
 		return
 	}
-	clear(s.initial)
+	clear(s.initialEntries)
 	for _, e := range entries {
-		s.initial[e.Name] = e
+		s.initialEntries[e.Name] = e
 	}
 }
 
@@ -181,7 +181,7 @@
 	}
 	err := json.Unmarshal(raw, &list)
 	if err == nil {
-		_, err = s.parse(list.Hosts)
+		_, err = s.parse(list.Endpoints)
 	}
 	if err != nil {
 		err = fmt.Errorf("config: known: %w", err)
@@ -217,11 +217,11 @@
 	for i, h := range list {
 		at := "hosts[" + strconv.Itoa(i) + "]"
 		e := decision.Endpoint{
-			Name: h.Host, Cell: h.Block, Weight: h.Share,
-			Zone: index(s.dispatcher.Settings.ZoneNames, h.Site), Kind: index(s.dispatcher.Settings.KindNames, h.Class),
+			Name: h.Name, Cell: h.Cell, Weight: h.Weight,
+			Zone: index(s.dispatcher.Settings.ZoneNames, h.Zone), Kind: index(s.dispatcher.Settings.KindNames, h.Kind),
 		}
-		if h.BornMs > 0 && h.BornMs < 1e13 {
-			e.StartedAt = time.Duration(h.BornMs * float64(time.Millisecond))
+		if h.StartedAtMs > 0 && h.StartedAtMs < 1e13 {
+			e.StartedAt = time.Duration(h.StartedAtMs * float64(time.Millisecond))
 		}
 		switch h.Health {
 		case "ready":
@@ -233,10 +233,10 @@
 		default:
 			return nil, errors.New(at + ".health: unknown value " + strconv.Quote(h.Health))
 		}
-		if h.Host == "" {
+		if h.Name == "" {
 			return nil, errors.New(at + ".host is empty")
 		}
-		if _, _, err := net.SplitHostPort(h.Dial); err != nil && e.State != decision.Removed {
+		if _, _, err := net.SplitHostPort(h.Address); err != nil && e.State != decision.Removed {
 			return nil, errors.New(at + ".dial: " + err.Error())
 		}
 		entries = append(entries, e)
@@ -265,14 +265,14 @@
 			continue
 		}
 		if b == nil {
-			b = &Worker{Name: e.Name, Address: list[i].Dial, State: e.State, Since: now}
+			b = &Worker{Name: e.Name, Address: list[i].Address, State: e.State, Since: now}
 			s.workers[e.Name] = b
 		}
-		if b.Address != list[i].Dial {
+		if b.Address != list[i].Address {
 			s.client.CloseIdleTo(b)
-			b.Address = list[i].Dial
+			b.Address = list[i].Address
 		}
-		if b.listed = list[i]; b.State != e.State {
+		if b.endpoint = list[i]; b.State != e.State {
 			b.State, b.Since = e.State, now
 			if e.State == decision.Draining {
 				s.client.WorkerLeaving(b)
--- a/internal/discovery/objects.go
+++ b/internal/discovery/objects.go
@@ -13,7 +13,7 @@
 }
 
 const (
-	maxObject          = 4 << 20  // bytes of an object; a list of ten thousand backends has a third of it
+	maxObjectBytes          = 4 << 20  // bytes of an object; a list of ten thousand backends has a third of it
 	keptObjectCapacity = 64 << 10 // bytes that are kept for the next one
 )
 
@@ -57,7 +57,7 @@
 	if o.depth > 0 {
 		o.part = append(o.part, data[from:]...)
 	}
-	if len(o.part) > maxObject {
+	if len(o.part) > maxObjectBytes {
 		return nil, 0, false, errObject
 	}
 	return nil, len(data), false, nil
--- a/internal/discovery/registry.go
+++ b/internal/discovery/registry.go
@@ -38,8 +38,8 @@
 	client     WorkerClient
 	workers    map[string]*Worker
 	watch      watch
-	initial    map[string]decision.Endpoint // the list known at the start, until discovery has spoken
-	initialDue eventloop.Deadline           // until when that is waited for
+	initialEntries    map[string]decision.Endpoint // the list known at the start, until discovery has spoken
+	initialTimeout eventloop.Deadline           // until when that is waited for
 
 	// OnUpdate is called when discovery has told something; nil: nobody wants to know.
 	OnUpdate func()
@@ -47,11 +47,11 @@
 	// OnVersionApplied is called when a version followed has come into force; nil: nobody wants to know.
 	OnVersionApplied func(v membership.Version)
 
-	applySettings func(changes []setting) error // puts changed settings in force, all or none
+	applySettings func(changes []settingChange) error // puts changed settings in force, all or none
 
-	age       freshness.Tracker   // how old what hosts holds is
+	tracker       freshness.Tracker   // how old what hosts holds is
 	knowledge freshness.Knowledge // as the module was told last
-	ageDue    eventloop.Deadline  // when that may change by itself
+	freshnessTimer    eventloop.Deadline  // when that may change by itself
 	usable    bool                // it has been good for something since the start
 
 	follower *follower // follows versioned changes in place of the watch; nil: the watch is open
@@ -63,24 +63,24 @@
 	Name, Address string
 	State         decision.WorkerState
 	Since         time.Duration // when that state was told
-	listed        endpoint      // discovery's words
+	endpoint        endpoint      // discovery's words
 
 	proof       freshness.Proof // that it serves
-	confirmedAt time.Duration   // when the latest probe left that it answered; 0: never
+	healthConfirmedAt time.Duration   // when the latest probe left that it answered; 0: never
 	suspended   bool            // the module was told to send it nothing
 }
 
 // New returns a registry that follows discovery at addr.
 func New(d *dispatch.Dispatcher, e *transport.Engine, addr string) *Registry {
 	s := &Registry{dispatcher: d, engine: e, workers: map[string]*Worker{}}
-	s.watch = watch{set: s, addr: addr, random: rand.New(rand.NewPCG(d.Seed, 0))}
-	s.watch.due.Fire = s.watch.expire
-	s.watch.next.Fire = s.watch.open
+	s.watch = watch{registry: s, address: addr, random: rand.New(rand.NewPCG(d.Seed, 0))}
+	s.watch.timeout.Fire = s.watch.onTimeout
+	s.watch.nextCall.Fire = s.watch.open
 	s.applySettings = s.reconfigureDispatcher
-	s.ageDue.Fire = s.refreshAndSchedule
-	s.age.CanCheckHealth = d.Settings.HealthChecks
-	d.Loop.OnStall = func() { s.age.Stalled(d.Loop.Now()) }
-	s.initialDue.Fire = func() { s.publishInitial(nil) }
+	s.freshnessTimer.Fire = s.refreshAndSchedule
+	s.tracker.CanCheckHealth = d.Settings.HealthChecks
+	d.Loop.OnStall = func() { s.tracker.Stalled(d.Loop.Now()) }
+	s.initialTimeout.Fire = func() { s.publishInitial(nil) }
 	return s
 }
 
--- a/internal/discovery/relaycall.go
+++ b/internal/discovery/relaycall.go
@@ -16,14 +16,14 @@
 // sent. It must never hold more of a server's bytes than its bounds say.
 
 const (
-	mostInflated = 64 << 20 // bytes of a body once it is inflated; 21,000 workers have 3 MB
-	mostGathered = 16 << 20 // bytes of a body as it was sent
-	firstGather  = 64 << 10 // room that is made on the word of its length alone
+	maxDecompressedBytes = 64 << 20 // bytes of a body once it is inflated; 21,000 workers have 3 MB
+	maxBodyBytes = 16 << 20 // bytes of a body as it was sent
+	initialBodyCapacity  = 64 << 10 // room that is made on the word of its length alone
 )
 
 var (
-	errInflated = fmt.Errorf("the answer has over %d MB", mostInflated>>20)
-	errGathered = fmt.Errorf("the answer has over %d MB as it was sent", mostGathered>>20)
+	errDecompressedTooLarge = fmt.Errorf("the answer has over %d MB", maxDecompressedBytes>>20)
+	errBodyTooLarge = fmt.Errorf("the answer has over %d MB as it was sent", maxBodyBytes>>20)
 	errCoding   = errors.New("the answer is in a coding that was not asked for")
 	errLength   = errors.New("the answer does not say where it ends")
 )
@@ -33,8 +33,8 @@
 
 func (e statusError) Error() string { return fmt.Sprintf("status %d", int(e)) }
 
-// answerReader takes one answer apart, whatever pieces it comes in.
-type answerReader struct {
+// responseReader takes one answer apart, whatever pieces it comes in.
+type responseReader struct {
 	in      *transport.Buffer
 	seen    int  // bytes of it that hold no end of the head
 	headed  bool // the head has come
@@ -47,14 +47,14 @@
 }
 
 // reset makes the reader ready for the next answer.
-func (r *answerReader) reset(pool *transport.Pool) {
+func (r *responseReader) reset(pool *transport.Pool) {
 	pool.Put(r.in)
-	*r = answerReader{}
+	*r = responseReader{}
 }
 
 // feed takes in what has come and calls body with each piece of the answer's
 // body, which is valid during the call. ended tells that the answer is over.
-func (r *answerReader) feed(pool *transport.Pool, data []byte, body func(piece []byte) error) (ended bool, err error) {
+func (r *responseReader) feed(pool *transport.Pool, data []byte, body func(piece []byte) error) (ended bool, err error) {
 	if r.in == nil {
 		r.in = pool.Get()
 	}
@@ -72,7 +72,7 @@
 }
 
 // drain takes what it can out of the buffer.
-func (r *answerReader) drain(body func(piece []byte) error) error {
+func (r *responseReader) drain(body func(piece []byte) error) error {
 	at := 0
 	defer func() { r.in.Consume(at) }()
 	for !r.ended {
@@ -95,7 +95,7 @@
 
 // piece takes the next piece of an answer from the start of in: the head, a part
 // of the body, or bytes of its frame. used 0: more must come first.
-func (r *answerReader) piece(in []byte) (body []byte, used int, err error) {
+func (r *responseReader) piece(in []byte) (body []byte, used int, err error) {
 	switch {
 	case !r.headed:
 		var h httpwire.Head
@@ -118,7 +118,7 @@
 }
 
 // begin takes in the head of the answer.
-func (r *answerReader) begin(h *httpwire.Head) error {
+func (r *responseReader) begin(h *httpwire.Head) error {
 	status, ok := h.Status()
 	if !ok {
 		return httpwire.ErrMalformed
@@ -147,60 +147,60 @@
 	return nil
 }
 
-// gathered is the body of an answer as it was sent.
-type gathered struct{ bytes []byte }
+// responseBody is the body of an answer as it was sent.
+type responseBody struct{ data []byte }
 
-// add takes in a piece of it, for an answer of which left bytes are still to come.
-func (g *gathered) add(piece []byte, left int) error {
-	if len(g.bytes)+len(piece) > mostGathered {
-		return errGathered
+// append takes in a piece of it, for an answer of which left bytes are still to come.
+func (g *responseBody) append(piece []byte, left int) error {
+	if len(g.data)+len(piece) > maxBodyBytes {
+		return errBodyTooLarge
 	}
-	if g.bytes == nil {
-		g.bytes = make([]byte, 0, min(len(piece)+left, firstGather))
+	if g.data == nil {
+		g.data = make([]byte, 0, min(len(piece)+left, initialBodyCapacity))
 	}
-	g.bytes = append(g.bytes, piece...)
+	g.data = append(g.data, piece...)
 	return nil
 }
 
 // decode reads the one change that the body holds.
-func (g *gathered) decode(gzipped bool) (change, error) {
-	var in io.Reader = bytes.NewReader(g.bytes)
+func (g *responseBody) decode(gzipped bool) (change, error) {
+	var in io.Reader = bytes.NewReader(g.data)
 	if gzipped {
 		inflated, err := gzip.NewReader(in)
 		if err != nil {
 			return change{}, err
 		}
-		in = &bounded{inflated, mostInflated}
+		in = &limitedReader{inflated, maxDecompressedBytes}
 	}
-	return decodeChange(&compact{in: in})
+	return decodeChange(&whitespaceCompactor{in: in})
 }
 
-// bounded reads up to a bound, and fails beyond it.
-type bounded struct {
+// limitedReader reads up to a bound, and fails beyond it.
+type limitedReader struct {
 	in   io.Reader
 	left int
 }
 
-func (b *bounded) Read(p []byte) (int, error) {
+func (b *limitedReader) Read(p []byte) (int, error) {
 	if b.left <= 0 {
-		return 0, errInflated
+		return 0, errDecompressedTooLarge
 	}
 	n, err := b.in.Read(p[:min(len(p), b.left)])
 	b.left -= n
 	return n, err
 }
 
-// compact reads JSON with each run of white space outside of strings cut down to
+// whitespaceCompactor reads JSON with each run of white space outside of strings cut down to
 // one space. Guards against megabytes of it, which a decoder that waits for the
 // next token looks at again for each piece that comes.
-type compact struct {
+type whitespaceCompactor struct {
 	in     io.Reader
 	quoted bool // inside a string
 	masked bool // behind a backslash there
 	space  bool // the last byte was white space
 }
 
-func (c *compact) Read(p []byte) (int, error) {
+func (c *whitespaceCompactor) Read(p []byte) (int, error) {
 	for {
 		n, err := c.in.Read(p)
 		if n = c.squeeze(p[:n]); n > 0 || err != nil {
@@ -210,7 +210,7 @@
 }
 
 // squeeze cuts p down in place and returns what is left of it.
-func (c *compact) squeeze(p []byte) (n int) {
+func (c *whitespaceCompactor) squeeze(p []byte) (n int) {
 	for _, b := range p {
 		space := false
 		switch {
--- a/internal/discovery/relaychange.go
+++ b/internal/discovery/relaychange.go
@@ -18,8 +18,8 @@
 // It must never put a part of a change in force of which another part is wrong,
 // nor an older version in place of a newer one.
 
-// setting is a changed setting as it stands on the wire.
-type setting struct {
+// settingChange is a changed settingChange as it stands on the wire.
+type settingChange struct {
 	Key   string          `json:"key"`
 	Value json.RawMessage `json:"value"`
 }
@@ -27,20 +27,20 @@
 // change is one object of a server: a snapshot or a delta.
 type change struct {
 	version  membership.Version
-	whole    bool
+	snapshot    bool
 	base     membership.Version // that a delta continues from: asked for, or told before it; not on the wire
 	exact    bool               // as of membership.Change: it fits the state at base alone
-	missing  membership.Version // likewise: the first version of which the sender misses something; 0: none
-	hosts    []endpoint
-	settings []setting
-	wrong    error // the first field whose value has the wrong type
+	missingFrom  membership.Version // likewise: the first version of which the sender misses something; 0: none
+	endpoints    []endpoint
+	settings []settingChange
+	typeError    error // the first field whose value has the wrong type
 }
 
-// mostElements bounds the arrays of a change: an element that takes three bytes
+// maxElements bounds the arrays of a change: an element that takes three bytes
 // of its text takes a hundred times as many here.
-const mostElements = 200_000
+const maxElements = 200_000
 
-var errElements = fmt.Errorf("an array has over %d elements", mostElements)
+var errTooManyElements = fmt.Errorf("an array has over %d elements", maxElements)
 
 // decodeChange reads one object. It decodes host by host as the bytes come:
 // guards the memory, where the text of a whole snapshot has megabytes.
@@ -74,15 +74,15 @@
 	case "seq":
 		return named("seq", d.Decode(&c.version))
 	case "whole":
-		return named("whole", d.Decode(&c.whole))
+		return named("whole", d.Decode(&c.snapshot))
 	case "exact":
 		return named("exact", d.Decode(&c.exact))
 	case "missing":
-		return named("missing", d.Decode(&c.missing))
+		return named("missing", d.Decode(&c.missingFrom))
 	case "hosts":
-		return array(d, "hosts", &c.hosts, &c.wrong)
+		return array(d, "hosts", &c.endpoints, &c.typeError)
 	case "settings":
-		return array(d, "settings", &c.settings, &c.wrong)
+		return array(d, "settings", &c.settings, &c.typeError)
 	}
 	var skipped json.RawMessage
 	return d.Decode(&skipped)
@@ -107,8 +107,8 @@
 		} else if err != nil && !ok {
 			return err
 		}
-		if *out = append(*out, element); len(*out) > mostElements {
-			return errElements
+		if *out = append(*out, element); len(*out) > maxElements {
+			return errTooManyElements
 		}
 	}
 	return expect(d, json.Delim(']'))
@@ -137,76 +137,76 @@
 	return fmt.Errorf("%s: a %s cannot stand here", field, wrong.Value)
 }
 
-// outcome is what a change has led to.
-type outcome uint8
+// changeOutcome is what a change has led to.
+type changeOutcome uint8
 
 const (
-	applied   outcome = iota // it is in force
-	stale                    // it tells nothing newer
-	refused                  // some of it is wrong: none of it is in force
-	misfitted                // it is newer, but does not fit the state in force
+	changeApplied   changeOutcome = iota // it is in force
+	changeStale                    // it tells nothing newer
+	changeRejected                  // some of it is wrong: none of it is in force
+	changeMismatched                // it is newer, but does not fit the state in force
 )
 
 // apply puts a change in force as a whole, unless it is not newer, wrong, or made
 // for another state.
-func (f *follower) apply(c change) outcome {
+func (f *follower) apply(c change) changeOutcome {
 	if c.version < f.version || c.version == f.version && !f.repairs(c) {
-		f.set.publishInitial(nil) // what is known is confirmed
-		return stale
+		f.registry.publishInitial(nil) // what is known is confirmed
+		return changeStale
 	}
-	if !c.whole && c.base < f.version && (c.exact || c.missing > 0) {
+	if !c.snapshot && c.base < f.version && (c.exact || c.missingFrom > 0) {
 		if c.exact && f.repairs(c) {
-			f.resume = max(min(f.resume, c.base-1), 0) // asked for from there, it is a snapshot
+			f.completeThrough = max(min(f.completeThrough, c.base-1), 0) // asked for from there, it is a snapshot
 		}
-		return misfitted
+		return changeMismatched
 	}
-	entries, err := f.check(c)
+	entries, err := f.validate(c)
 	if err != nil {
-		f.refuse(c.version, err)
-		return refused
+		f.reject(c.version, err)
+		return changeRejected
 	}
-	f.resume = f.resumeWith(c)
-	f.version, f.begun = c.version, true
-	f.keep(c.settings)
-	f.set.adopt(c.hosts, entries)
-	f.set.publishChange(c.whole, entries)
-	f.count(c.whole)
-	return applied
+	f.completeThrough = f.completeThroughWith(c)
+	f.version, f.resumable = c.version, true
+	f.rememberSettings(c.settings)
+	f.registry.adopt(c.endpoints, entries)
+	f.registry.publishChange(c.snapshot, entries)
+	f.recordApplied(c.snapshot)
+	return changeApplied
 }
 
 // covers tells whether a change goes back to where something may be missing.
-func (f *follower) covers(c change) bool { return c.whole || c.base <= f.resume }
+func (f *follower) covers(c change) bool { return c.snapshot || c.base <= f.completeThrough }
 
 // repairs tells whether a change brings what is missing.
 func (f *follower) repairs(c change) bool {
-	return f.resume < f.version && c.missing == 0 && f.covers(c)
+	return f.completeThrough < f.version && c.missingFrom == 0 && f.covers(c)
 }
 
-// resumeWith is the version up to which nothing is missing with a change, as in
+// completeThroughWith is the version up to which nothing is missing with a change, as in
 // membership.Store.
-func (f *follower) resumeWith(c change) membership.Version {
+func (f *follower) completeThroughWith(c change) membership.Version {
 	sender := c.version
-	if c.missing > 0 {
-		sender = c.missing - 1
+	if c.missingFrom > 0 {
+		sender = c.missingFrom - 1
 	}
 	switch {
-	case c.whole || c.exact && f.resume == f.version && c.base == f.version:
+	case c.snapshot || c.exact && f.completeThrough == f.version && c.base == f.version:
 		return sender
 	case c.exact:
-		return min(f.resume, sender)
+		return min(f.completeThrough, sender)
 	case f.covers(c):
-		return max(f.resume, sender)
+		return max(f.completeThrough, sender)
 	}
-	return f.resume
+	return f.completeThrough
 }
 
-// check checks a whole change. Its settings are in force from here on, unless
+// validate checks a whole change. Its settings are in force from here on, unless
 // there is an error: they come last, since what takes them checks them itself.
-func (f *follower) check(c change) ([]decision.Endpoint, error) {
-	if c.wrong != nil {
-		return nil, c.wrong
+func (f *follower) validate(c change) ([]decision.Endpoint, error) {
+	if c.typeError != nil {
+		return nil, c.typeError
 	}
-	entries, err := f.set.parse(c.hosts)
+	entries, err := f.registry.parse(c.endpoints)
 	if err != nil {
 		return nil, err
 	}
@@ -214,16 +214,16 @@
 }
 
 // reconfigure hands changed settings on; all are taken or none.
-func (f *follower) reconfigure(changes []setting) error {
+func (f *follower) reconfigure(changes []settingChange) error {
 	if len(changes) == 0 {
 		return nil
 	}
-	return f.set.applySettings(changes)
+	return f.registry.applySettings(changes)
 }
 
 // reconfigureDispatcher hands changed settings to the core. The list that goes with them
 // follows in the same turn of the loop.
-func (s *Registry) reconfigureDispatcher(changes []setting) error {
+func (s *Registry) reconfigureDispatcher(changes []settingChange) error {
 	list := make([]settings.Change, 0, len(changes))
 	for _, c := range changes {
 		list = append(list, settings.Change(c))
@@ -234,45 +234,45 @@
 	return nil
 }
 
-// refuse logs a change that is wrong, once.
-func (f *follower) refuse(v membership.Version, err error) {
-	if v <= f.refused {
+// reject logs a change that is wrong, once.
+func (f *follower) reject(v membership.Version, err error) {
+	if v <= f.rejectedVersion {
 		return
 	}
-	f.refused = v
-	f.set.stats.Refused++
-	f.set.dispatcher.Log(fmt.Sprintf("membership: version %d is refused whole: %v; version %d stays in force", v, err, f.version))
+	f.rejectedVersion = v
+	f.registry.stats.Refused++
+	f.registry.dispatcher.Log(fmt.Sprintf("membership: version %d is refused whole: %v; version %d stays in force", v, err, f.version))
 }
 
-// keep remembers the settings in force, for a successor.
-func (f *follower) keep(changes []setting) {
+// rememberSettings remembers the settings in force, for a successor.
+func (f *follower) rememberSettings(changes []settingChange) {
 	for _, c := range changes {
 		f.settings[c.Key] = c.Value
 	}
 }
 
-// inForce are the settings that were changed since the start, by key.
-func (f *follower) inForce() []setting {
-	out := []setting{}
+// appliedSettings are the settings that were changed since the start, by key.
+func (f *follower) appliedSettings() []settingChange {
+	out := []settingChange{}
 	for _, key := range slices.SortedFunc(maps.Keys(f.settings), cmp.Compare[string]) {
-		out = append(out, setting{key, f.settings[key]})
+		out = append(out, settingChange{key, f.settings[key]})
 	}
 	return out
 }
 
-func (f *follower) count(whole bool) {
-	control := &f.set.stats
+func (f *follower) recordApplied(whole bool) {
+	control := &f.registry.stats
 	control.Applied++
 	if whole {
 		control.Snapshots++
 	} else {
 		control.Deltas++
 	}
-	if f.set.OnVersionApplied != nil {
-		f.set.OnVersionApplied(f.version)
+	if f.registry.OnVersionApplied != nil {
+		f.registry.OnVersionApplied(f.version)
 	}
-	if f.set.OnUpdate != nil {
-		f.set.OnUpdate()
+	if f.registry.OnUpdate != nil {
+		f.registry.OnUpdate()
 	}
 	f.scheduleAcknowledgement()
 }
@@ -283,32 +283,32 @@
 	switch {
 	case whole:
 		s.removeUnlisted(entries)
-		s.initial = nil
-		s.dispatcher.Loop.Clear(&s.initialDue)
+		s.initialEntries = nil
+		s.dispatcher.Loop.Clear(&s.initialTimeout)
 		s.dispatcher.UpdateWorkers(s.client, decision.ListSnapshot, entries)
-	case s.initial != nil:
+	case s.initialEntries != nil:
 		s.publishInitial(entries)
 	case len(entries) > 0:
 		s.dispatcher.UpdateWorkers(s.client, decision.ListDelta, entries)
 	}
 }
 
-// relay takes in the state that the predecessor has in force.
-func (f *follower) relay(list *endpointList) error {
-	c := change{version: membership.Version(list.Seq), whole: true, hosts: list.Hosts, settings: list.Settings}
+// adoptHandover takes in the state that the predecessor has in force.
+func (f *follower) adoptHandover(list *endpointList) error {
+	c := change{version: membership.Version(list.Version), snapshot: true, endpoints: list.Endpoints, settings: list.Settings}
 	if c.version <= f.version {
 		return nil
 	}
-	entries, err := f.check(c)
+	entries, err := f.validate(c)
 	if err != nil {
 		return err
 	}
-	f.version, f.resume = c.version, 0
+	f.version, f.completeThrough = c.version, 0
 	if list.Settings != nil {
-		f.resume, f.begun = c.version, true
+		f.completeThrough, f.resumable = c.version, true
 	}
-	f.keep(c.settings)
-	f.set.adopt(c.hosts, entries)
-	f.set.replaceAll(entries)
+	f.rememberSettings(c.settings)
+	f.registry.adopt(c.endpoints, entries)
+	f.registry.replaceAll(entries)
 	return nil
 }
--- a/internal/discovery/relaylink.go
+++ b/internal/discovery/relaylink.go
@@ -19,13 +19,13 @@
 
 var (
 	errSilent    = errors.New("silent")
-	errEndedLink = errors.New("the connection ended")
+	errConnectionClosed = errors.New("the connection ended")
 )
 
-// link is a connection to a server of changes.
-type link struct {
-	set    *Registry
-	addr   string
+// httpConn is a connection to a server of changes.
+type httpConn struct {
+	registry    *Registry
+	address   string
 	fields string // header fields of a request
 
 	connected func()                   // a connection is there
@@ -38,17 +38,17 @@
 	request []byte
 	waiting bool // for an answer, or for the rest of it
 	kept    bool // the connection has carried an answer before: it may be dead unseen
-	answer  answerReader
+	answer  responseReader
 	due     eventloop.Deadline
 
 	extended bool // due has been put off for bytes on their way
 }
 
 // get makes a call, on the connection that is there or on a new one.
-func (l *link) get(target string) {
+func (l *httpConn) get(target string) {
 	l.request = append(l.request[:0], "GET "...)
 	l.request = append(append(l.request, target...), " HTTP/1.1\r\nHost: "...)
-	l.request = append(append(l.request, l.addr...), "\r\n"...)
+	l.request = append(append(l.request, l.address...), "\r\n"...)
 	l.request = append(append(l.request, l.fields...), "\r\n"...)
 	l.waiting = true
 	if l.conn != nil {
@@ -58,13 +58,13 @@
 	l.dial()
 }
 
-func (l *link) dial() {
+func (l *httpConn) dial() {
 	l.turn++
 	turn := l.turn
 	l.kept = false
-	l.due.Fire = l.expire
-	l.set.dispatcher.Loop.Set(&l.due, l.set.dispatcher.Loop.Now()+linkConnect+linkSilence)
-	l.set.engine.DialReserved(l.addr, linkConnect, l, func(c *transport.Conn, err error) {
+	l.due.Fire = l.onTimeout
+	l.registry.dispatcher.Loop.Set(&l.due, l.registry.dispatcher.Loop.Now()+linkConnect+linkSilence)
+	l.registry.engine.DialReserved(l.address, linkConnect, l, func(c *transport.Conn, err error) {
 		switch {
 		case turn != l.turn:
 			if c != nil {
@@ -72,7 +72,7 @@
 			}
 		case err != nil:
 			if errors.Is(err, transport.ErrNoDescriptor) {
-				l.set.client.CloseAllIdle()
+				l.registry.client.CloseAllIdle()
 			}
 			l.finish(err)
 		default:
@@ -83,45 +83,45 @@
 	})
 }
 
-func (l *link) send() {
+func (l *httpConn) send() {
 	l.extend()
 	if !l.conn.Write(l.request) {
-		l.broken(errEndedLink)
+		l.broken(errConnectionClosed)
 		return
 	}
-	l.set.stats.BytesWritten += int64(len(l.request))
+	l.registry.stats.BytesWritten += int64(len(l.request))
 }
 
 // extend gives the server time for its next bytes.
-func (l *link) extend() {
+func (l *httpConn) extend() {
 	l.extended = false
-	l.set.dispatcher.Loop.Set(&l.due, l.set.dispatcher.Loop.Now()+linkSilence)
+	l.registry.dispatcher.Loop.Set(&l.due, l.registry.dispatcher.Loop.Now()+linkSilence)
 }
 
-// expire ends a call on which nothing has come in time. The server may have
+// onTimeout ends a call on which nothing has come in time. The server may have
 // answered while the loop was late: that is waited for once more, and not again.
-func (l *link) expire() {
+func (l *httpConn) onTimeout() {
 	if l.conn != nil && !l.extended && !l.conn.NothingUnread() {
 		l.extended = true
-		l.set.dispatcher.Loop.Set(&l.due, l.set.dispatcher.Loop.Now()+leastAgentWait)
+		l.registry.dispatcher.Loop.Set(&l.due, l.registry.dispatcher.Loop.Now()+minAgentWait)
 		return
 	}
 	l.finish(errSilent)
 }
 
 // OnData takes in what the server sent.
-func (l *link) OnData(c *transport.Conn, b *transport.Buffer) {
-	defer l.set.engine.Pool.Put(b)
+func (l *httpConn) OnData(c *transport.Conn, b *transport.Buffer) {
+	defer l.registry.engine.Pool.Put(b)
 	if c != l.conn {
 		return
 	}
-	l.set.stats.BytesRead += int64(len(b.Bytes()))
+	l.registry.stats.BytesRead += int64(len(b.Bytes()))
 	if !l.waiting { // nothing was asked: what comes is no answer to anything
 		l.close()
 		return
 	}
 	l.extend()
-	ended, err := l.answer.feed(&l.set.engine.Pool, b.Bytes(), l.body)
+	ended, err := l.answer.feed(&l.registry.engine.Pool, b.Bytes(), l.body)
 	switch {
 	case err != nil || ended:
 		l.finish(err)
@@ -131,15 +131,15 @@
 }
 
 // OnClosed is told that the server has closed, or the connection broke.
-func (l *link) OnClosed(c *transport.Conn, _ error) {
+func (l *httpConn) OnClosed(c *transport.Conn, _ error) {
 	if c == l.conn {
-		l.broken(errEndedLink)
+		l.broken(errConnectionClosed)
 	}
 }
 
 // broken ends a call whose connection has gone, or makes it anew where that may
 // have been dead for long.
-func (l *link) broken(err error) {
+func (l *httpConn) broken(err error) {
 	again := l.waiting && l.kept && l.answer.in == nil
 	if again {
 		l.drop()
@@ -150,11 +150,11 @@
 }
 
 // finish ends the call. The connection is kept after a whole answer.
-func (l *link) finish(err error) {
+func (l *httpConn) finish(err error) {
 	waiting, last := l.waiting, l.answer.last
 	gzipped := l.answer.gzipped
-	l.set.dispatcher.Loop.Clear(&l.due)
-	l.answer.reset(&l.set.engine.Pool)
+	l.registry.dispatcher.Loop.Clear(&l.due)
+	l.answer.reset(&l.registry.engine.Pool)
 	l.answer.gzipped = gzipped // for whoever reads the body
 	l.waiting, l.kept = false, true
 	if err != nil || last {
@@ -166,9 +166,9 @@
 }
 
 // drop forgets the connection.
-func (l *link) drop() {
-	l.set.dispatcher.Loop.Clear(&l.due)
-	l.answer.reset(&l.set.engine.Pool)
+func (l *httpConn) drop() {
+	l.registry.dispatcher.Loop.Clear(&l.due)
+	l.answer.reset(&l.registry.engine.Pool)
 	l.turn++
 	if conn := l.conn; conn != nil {
 		l.conn = nil
@@ -177,7 +177,7 @@
 }
 
 // close ends the link; done is not called any more.
-func (l *link) close() {
+func (l *httpConn) close() {
 	l.waiting = false
 	l.drop()
 }
--- a/internal/discovery/relaysubscription.go
+++ b/internal/discovery/relaysubscription.go
@@ -23,9 +23,9 @@
 	errLine     = errors.New("an object of the watch does not end")
 	errWatchEnd = errors.New("the watch ended")
 
-	// errMisfitted ends a watch whose server goes on from a state that is not the
+	// errBaseMismatch ends a watch whose server goes on from a state that is not the
 	// one in force here. A new call tells it which one is.
-	errMisfitted = errors.New("a delta does not fit the version in force")
+	errBaseMismatch = errors.New("a delta does not fit the version in force")
 )
 
 // subscription is what stands with one server.
@@ -34,47 +34,47 @@
 	server   membership.Server
 	promise  time.Duration // no other attempt begins beside this one until then
 
-	calls   link // catches up and acknowledges
+	pollConn   httpConn // catches up and acknowledges
 	calling bool
 	asked   membership.Version // that the last call told
-	body    gathered
+	body    responseBody
 	failed  int // calls in a row
 
-	watch    link
+	watchConn    httpConn
 	endedAt  membership.Version // that the server had told when it last ended the watch in order
 	watchDue bool               // it did so during a call, and is called again after that
 	text     objectSplitter
 	began    time.Duration      // when the object at hand began; 0: none has
 	version  membership.Version // the newest that the server has told here
 
-	// ignoresAfter tells that the server answers calls with its whole list, whatever
+	// ignoresVersion tells that the server answers calls with its whole list, whatever
 	// version they tell: to acknowledge there would cost a snapshot each time.
-	ignoresAfter bool
+	ignoresVersion bool
 }
 
 // start makes the call that catches up.
 func (t *subscription) start() {
-	set := t.follower.set
-	t.calls = link{set: set, addr: t.server.Address, fields: "Accept-Encoding: gzip\r\n",
+	set := t.follower.registry
+	t.pollConn = httpConn{registry: set, address: t.server.Address, fields: "Accept-Encoding: gzip\r\n",
 		body: t.gather, progress: t.receives, connected: t.connected}
-	t.watch = link{set: set, addr: t.server.Address, body: t.lines, progress: t.watching, connected: t.connected, done: t.watchEnded}
-	t.call(t.follower.after(), t.caughtUp)
+	t.watchConn = httpConn{registry: set, address: t.server.Address, body: t.lines, progress: t.watching, connected: t.connected, done: t.watchEnded}
+	t.call(t.follower.resumeVersion(), t.caughtUp)
 }
 
 func (t *subscription) close() {
-	t.calls.close()
-	t.watch.close()
+	t.pollConn.close()
+	t.watchConn.close()
 }
 
-func (t *subscription) now() time.Duration { return t.follower.set.dispatcher.Loop.Now() }
+func (t *subscription) now() time.Duration { return t.follower.registry.dispatcher.Loop.Now() }
 
 func (t *subscription) connected() { t.promise = t.now() + answerStagger }
 
 // receiving tells whether an answer to the first call is coming in.
-func (t *subscription) receiving() bool { return t.calling && t.calls.answer.headed }
+func (t *subscription) receiving() bool { return t.calling && t.pollConn.answer.headed }
 
 func (t *subscription) receives() {
-	if len(t.body.bytes) == 0 {
+	if len(t.body.data) == 0 {
 		t.promise = t.now() + receiveStagger
 	}
 }
@@ -88,7 +88,7 @@
 // incomplete is what a call says where something is missing up to the version
 // that it tells: only the version before that is in force.
 func (t *subscription) incomplete(after membership.Version) string {
-	resume := t.follower.resume
+	resume := t.follower.completeThrough
 	if resume >= after {
 		return ""
 	}
@@ -99,21 +99,21 @@
 func (t *subscription) call(after membership.Version, then func(c change, err error)) {
 	t.calling = true
 	t.asked = after
-	t.calls.done = func(err error) {
+	t.pollConn.done = func(err error) {
 		t.calling = false
 		body := t.body
-		t.body = gathered{}
+		t.body = responseBody{}
 		var c change
 		if err == nil {
-			c, err = body.decode(t.calls.answer.gzipped)
+			c, err = body.decode(t.pollConn.answer.gzipped)
 			c.base = after
 		}
 		then(c, err)
 	}
-	t.calls.get(t.target("", after) + t.incomplete(after))
+	t.pollConn.get(t.target("", after) + t.incomplete(after))
 }
 
-func (t *subscription) gather(piece []byte) error { return t.body.add(piece, t.calls.answer.left) }
+func (t *subscription) gather(piece []byte) error { return t.body.append(piece, t.pollConn.answer.left) }
 
 // caughtUp takes in the first answer, and opens the watch behind it.
 func (t *subscription) caughtUp(c change, err error) {
@@ -122,26 +122,26 @@
 		err = fmt.Errorf("it is behind: version %d, and %d is in force here", c.version, f.version)
 	}
 	if err != nil {
-		f.failed(t, err.Error())
+		f.subscriptionFailed(t, err.Error())
 		return
 	}
 	t.noteAfter(c)
 	t.version = c.version
-	if f.apply(c) == misfitted {
-		f.failed(t, errMisfitted.Error())
+	if f.apply(c) == changeMismatched {
+		f.subscriptionFailed(t, errBaseMismatch.Error())
 		return
 	}
 	t.promise = t.now() + answerStagger
-	t.watch.get(t.target("watch=1&", c.version))
-	if t == f.current {
-		f.acknowledged, f.calledAt = t.asked, t.now()
+	t.watchConn.get(t.target("watch=1&", c.version))
+	if t == f.active {
+		f.acknowledgedVersion, f.acknowledgedAt = t.asked, t.now()
 		f.scheduleAcknowledgement()
 	}
 }
 
 // noteAfter notes a server that ignores the version that it is told.
 func (t *subscription) noteAfter(c change) {
-	t.ignoresAfter = t.ignoresAfter || t.asked > 0 && c.whole && c.version == t.asked
+	t.ignoresVersion = t.ignoresVersion || t.asked > 0 && c.snapshot && c.version == t.asked
 }
 
 // acknowledged takes in the answer to an acknowledgement.
@@ -149,7 +149,7 @@
 	f := t.follower
 	if err != nil {
 		if t.failed++; t.failed >= mostAckFailures || t.watchDue {
-			f.failed(t, err.Error())
+			f.subscriptionFailed(t, err.Error())
 			return
 		}
 		f.scheduleAcknowledgement()
@@ -157,8 +157,8 @@
 	}
 	t.failed = 0
 	t.noteAfter(c)
-	f.acknowledged = t.asked
-	f.set.stats.Acknowledged++
+	f.acknowledgedVersion = t.asked
+	f.registry.stats.Acknowledged++
 	f.apply(c)
 	if t.watchDue {
 		t.catchUpAgain()
@@ -171,8 +171,8 @@
 
 // watching is told that some of the watch has come.
 func (t *subscription) watching() {
-	if f := t.follower; f.current == nil && t.watch.answer.headed {
-		f.use(t)
+	if f := t.follower; f.active == nil && t.watchConn.answer.headed {
+		f.activate(t)
 	}
 }
 
@@ -188,7 +188,7 @@
 	if err == nil {
 		err = errWatchEnd
 	}
-	t.follower.failed(t, err.Error())
+	t.follower.subscriptionFailed(t, err.Error())
 }
 
 // catchUpAgain calls for what the watch has left out, after the call that is out,
@@ -197,12 +197,12 @@
 	if t.watchDue = t.calling; t.watchDue {
 		return
 	}
-	t.call(t.follower.after(), t.caughtUp)
+	t.call(t.follower.resumeVersion(), t.caughtUp)
 }
 
 // lines takes in a piece of the watch.
 func (t *subscription) lines(data []byte) error {
-	if t.watch.answer.gzipped {
+	if t.watchConn.answer.gzipped {
 		return errCoding
 	}
 	for len(data) > 0 {
@@ -234,12 +234,12 @@
 func (t *subscription) line(text []byte) error {
 	f := t.follower
 	if len(text) == 0 {
-		f.set.publishInitial(nil) // what is known is confirmed
+		f.registry.publishInitial(nil) // what is known is confirmed
 	} else if err := t.change(text); err != nil {
 		return err
 	}
-	if t != f.current && t.version >= f.version {
-		f.use(t)
+	if t != f.active && t.version >= f.version {
+		f.activate(t)
 	}
 	return nil
 }
@@ -254,8 +254,8 @@
 	}
 	c.base = t.version
 	t.version = c.version
-	if t.follower.apply(c) == misfitted {
-		return errMisfitted
+	if t.follower.apply(c) == changeMismatched {
+		return errBaseMismatch
 	}
 	return nil
 }
--- a/internal/discovery/relaywatch.go
+++ b/internal/discovery/relaywatch.go
@@ -47,35 +47,35 @@
 	mostReceiving  = 2               // answers that come in at a time
 
 	defaultAcknowledge = time.Second
-	idleAcknowledge    = 30 * time.Second // with nothing new, so that the subscriber counts as live
-	repairSnapshot     = 5 * time.Minute  // between calls for a snapshot in place of one that was refused
+	idleAcknowledgeInterval    = 30 * time.Second // with nothing new, so that the subscriber counts as live
+	snapshotRepairInterval     = 5 * time.Minute  // between calls for a snapshot in place of one that was refused
 	mostAckFailures    = 3                // in a row; then the server counts as failed
 )
 
 // follower follows versioned changes.
 type follower struct {
-	set      *Registry
+	registry      *Registry
 	config   FollowConfig
 	selector *membership.Selector
-	rng      *rand.Rand
+	random      *rand.Rand
 
 	version  membership.Version // in force
-	resume   membership.Version // up to it nothing is missing; below version after a refused change
-	begun    bool               // it came from a server, settings and all, and not from a mere list
-	refused  membership.Version // the newest that was refused
+	completeThrough   membership.Version // up to it nothing is missing; below version after a refused change
+	resumable    bool               // it came from a server, settings and all, and not from a mere list
+	rejectedVersion  membership.Version // the newest that was refused
 	settings map[string]json.RawMessage
 
-	current *subscription      // in use; nil: none
-	trials  []*subscription    // that may come into use
-	former  string             // the server in use last
-	mute    bool               // the present outage has had its line in the log
-	attempt eventloop.Deadline // when the next attempt may begin
+	active *subscription      // in use; nil: none
+	candidates  []*subscription    // that may come into use
+	lastServer  string             // the server in use last
+	outageLogged    bool               // the present outage has had its line in the log
+	attemptTimer eventloop.Deadline // when the next attempt may begin
 
-	acknowledged membership.Version // that the server in use was told last
-	calledAt     time.Duration      // when it was told
-	ackPending   bool               // the next call has its time because of a change
-	repairedAt   time.Duration      // when what may be missing was asked for last
-	ack          eventloop.Deadline
+	acknowledgedVersion membership.Version // that the server in use was told last
+	acknowledgedAt     time.Duration      // when it was told
+	acknowledgementDue   bool               // the next call has its time because of a change
+	repairRequestedAt   time.Duration      // when what may be missing was asked for last
+	acknowledgementTimer          eventloop.Deadline
 }
 
 // Follow makes the dispatcher follow versioned changes in place of the discovery
@@ -89,14 +89,14 @@
 	if f := s.follower; f != nil {
 		f.config = config
 		f.selector.Reset(config.Zone, config.Servers)
-		f.step()
+		f.connect()
 		return
 	}
-	f := &follower{set: s, config: config, settings: map[string]json.RawMessage{},
+	f := &follower{registry: s, config: config, settings: map[string]json.RawMessage{},
 		selector: membership.NewSelector(config.Name, config.Zone, config.Servers, config.Seed),
-		rng:      rand.New(rand.NewPCG(config.Seed, 1))}
-	f.attempt.Fire = f.step
-	f.ack.Fire = f.acknowledge
+		random:      rand.New(rand.NewPCG(config.Seed, 1))}
+	f.attemptTimer.Fire = f.connect
+	f.acknowledgementTimer.Fire = f.acknowledge
 	s.follower = f
 }
 
@@ -107,12 +107,12 @@
 	f := s.follower
 	switch {
 	case f == nil:
-		if stats.Version = membership.Version(s.watch.seq); s.watch.live {
-			stats.Server = s.watch.addr
+		if stats.Version = membership.Version(s.watch.version); s.watch.established {
+			stats.Server = s.watch.address
 		}
 		return stats
-	case f.current != nil:
-		stats.Server = f.current.server.Address
+	case f.active != nil:
+		stats.Server = f.active.server.Address
 	}
 	stats.Version = f.version
 	return stats
@@ -121,46 +121,46 @@
 // start begins to follow, from a list known at the start. Only one that tells the
 // settings that go with its version, as a predecessor's does, is resumed from.
 func (f *follower) start(list *endpointList) {
-	f.version = membership.Version(list.Seq)
+	f.version = membership.Version(list.Version)
 	if list.Settings != nil {
 		if err := f.reconfigure(list.Settings); err != nil {
-			f.set.dispatcher.Log("membership: the list known at the start: " + err.Error())
+			f.registry.dispatcher.Log("membership: the list known at the start: " + err.Error())
 		} else {
-			f.keep(list.Settings)
-			f.resume, f.begun = f.version, true
+			f.rememberSettings(list.Settings)
+			f.completeThrough, f.resumable = f.version, true
 		}
 	}
-	f.step()
+	f.connect()
 }
 
-// after is the version from which a server is asked to go on; 0: all of it.
-func (f *follower) after() membership.Version {
-	if !f.begun {
+// resumeVersion is the version from which a server is asked to go on; 0: all of it.
+func (f *follower) resumeVersion() membership.Version {
+	if !f.resumable {
 		return 0
 	}
 	return f.version
 }
 
-// step begins an attempt, if one is due, and sets the time of the next look.
-func (f *follower) step() {
-	now := f.set.dispatcher.Loop.Now()
+// connect begins an attempt, if one is due, and sets the time of the next look.
+func (f *follower) connect() {
+	now := f.registry.dispatcher.Loop.Now()
 	var wait time.Duration
-	if f.current != nil {
-		wait = f.tryBetter(now)
+	if f.active != nil {
+		wait = f.attemptPreferred(now)
 	} else {
-		wait = f.tryNext(now)
+		wait = f.attemptNext(now)
 	}
 	if wait > 0 {
-		f.set.dispatcher.Loop.Set(&f.attempt, now+wait)
+		f.registry.dispatcher.Loop.Set(&f.attemptTimer, now+wait)
 	} else {
-		f.set.dispatcher.Loop.Clear(&f.attempt)
+		f.registry.dispatcher.Loop.Clear(&f.attemptTimer)
 	}
 }
 
-// tryNext begins an attempt at the next server, unless one is promising.
-func (f *follower) tryNext(now time.Duration) (wait time.Duration) {
+// attemptNext begins an attempt at the next server, unless one is promising.
+func (f *follower) attemptNext(now time.Duration) (wait time.Duration) {
 	receiving := 0
-	for _, t := range f.trials {
+	for _, t := range f.candidates {
 		wait = max(wait, t.promise-now)
 		if t.receiving() {
 			receiving++
@@ -176,80 +176,80 @@
 	if wait > 0 {
 		return wait
 	}
-	f.try(server, now)
+	f.beginAttempt(server, now)
 	return connectStagger
 }
 
-// tryBetter begins an attempt at a server that may replace the one in use.
-func (f *follower) tryBetter(now time.Duration) (wait time.Duration) {
-	if len(f.trials) > 0 {
+// attemptPreferred begins an attempt at a server that may replace the one in use.
+func (f *follower) attemptPreferred(now time.Duration) (wait time.Duration) {
+	if len(f.candidates) > 0 {
 		return answerStagger
 	}
-	server, wait, ok := f.selector.Better(now, f.current.server.Address)
+	server, wait, ok := f.selector.Better(now, f.active.server.Address)
 	if !ok || wait > 0 {
 		return wait
 	}
-	f.try(server, now)
+	f.beginAttempt(server, now)
 	return answerStagger
 }
 
-func (f *follower) try(server membership.Server, now time.Duration) {
+func (f *follower) beginAttempt(server membership.Server, now time.Duration) {
 	t := &subscription{follower: f, server: server, promise: now + connectStagger}
-	f.trials = append(f.trials, t)
+	f.candidates = append(f.candidates, t)
 	t.start()
 }
 
-// use puts a server in use that has caught up.
-func (f *follower) use(t *subscription) {
-	s := f.set
+// activate puts a server in activate that has caught up.
+func (f *follower) activate(t *subscription) {
+	s := f.registry
 	now := s.dispatcher.Loop.Now()
-	former := f.current
-	f.current = t
-	for _, other := range f.trials {
+	former := f.active
+	f.active = t
+	for _, other := range f.candidates {
 		if other != t {
 			f.selector.Abandoned(other.server.Address)
 			other.close()
 		}
 	}
-	f.trials = nil
+	f.candidates = nil
 	if former != nil {
 		f.selector.Abandoned(former.server.Address)
 		former.close()
 	}
 	f.selector.Working(now, t.server.Address)
-	if f.former != "" && f.former != t.server.Address {
+	if f.lastServer != "" && f.lastServer != t.server.Address {
 		s.stats.Failovers++
 	}
-	if f.former != t.server.Address || f.mute {
+	if f.lastServer != t.server.Address || f.outageLogged {
 		s.dispatcher.Log("membership: follows " + t.server.Address + " in zone " + t.server.Zone)
 	}
-	f.former, f.mute = t.server.Address, false
-	f.acknowledged, f.calledAt, f.repairedAt, f.ackPending = t.asked, now, now, false
+	f.lastServer, f.outageLogged = t.server.Address, false
+	f.acknowledgedVersion, f.acknowledgedAt, f.repairRequestedAt, f.acknowledgementDue = t.asked, now, now, false
 	f.scheduleAcknowledgement()
-	f.step()
+	f.connect()
 }
 
-// failed is told that a subscription has ended, and goes on with another one.
-func (f *follower) failed(t *subscription, why string) {
-	loop := f.set.dispatcher.Loop
+// subscriptionFailed is told that a subscription has ended, and goes on with another one.
+func (f *follower) subscriptionFailed(t *subscription, why string) {
+	loop := f.registry.dispatcher.Loop
 	t.close()
 	f.selector.Failed(loop.Now(), t.server.Address)
-	if t == f.current {
-		f.current = nil
-		loop.Clear(&f.ack)
-		f.mute = false
+	if t == f.active {
+		f.active = nil
+		loop.Clear(&f.acknowledgementTimer)
+		f.outageLogged = false
 	}
-	for i, other := range f.trials {
+	for i, other := range f.candidates {
 		if other == t {
-			f.trials = append(f.trials[:i:i], f.trials[i+1:]...)
+			f.candidates = append(f.candidates[:i:i], f.candidates[i+1:]...)
 			break
 		}
 	}
-	if f.current == nil && !f.mute {
-		f.mute = true // an outage has one line in the log, not one for each attempt
-		f.set.dispatcher.Log("membership: " + t.server.Address + ": " + why)
+	if f.active == nil && !f.outageLogged {
+		f.outageLogged = true // an outage has one line in the log, not one for each attempt
+		f.registry.dispatcher.Log("membership: " + t.server.Address + ": " + why)
 	}
-	f.step()
+	f.connect()
 }
 
 // ---- Acknowledgements.
@@ -258,37 +258,37 @@
 // which tells it the version in force: after a change not at once, but at a
 // random moment, lest all subscribers of a server call it together.
 func (f *follower) scheduleAcknowledgement() {
-	t := f.current
-	if t == nil || t.calling || t.ignoresAfter || f.ackPending {
+	t := f.active
+	if t == nil || t.calling || t.ignoresVersion || f.acknowledgementDue {
 		return
 	}
-	loop := f.set.dispatcher.Loop
+	loop := f.registry.dispatcher.Loop
 	now := loop.Now()
-	if f.version == f.acknowledged && t.failed == 0 || !f.begun {
-		loop.Set(&f.ack, max(f.calledAt+idleAcknowledge, now))
+	if f.version == f.acknowledgedVersion && t.failed == 0 || !f.resumable {
+		loop.Set(&f.acknowledgementTimer, max(f.acknowledgedAt+idleAcknowledgeInterval, now))
 		return
 	}
-	f.ackPending = true
-	spread := time.Duration(f.rng.Int64N(int64(f.config.Acknowledge)))
-	loop.Set(&f.ack, max(f.calledAt+f.config.Acknowledge, now+spread))
+	f.acknowledgementDue = true
+	spread := time.Duration(f.random.Int64N(int64(f.config.Acknowledge)))
+	loop.Set(&f.acknowledgementTimer, max(f.acknowledgedAt+f.config.Acknowledge, now+spread))
 }
 
 // acknowledge calls the server in use. What the answer holds that the watch has
 // missed is applied. Now and then it asks for what a refused change left out.
 func (f *follower) acknowledge() {
-	f.ackPending = false
-	t := f.current
-	if t == nil || t.calling || t.ignoresAfter {
+	f.acknowledgementDue = false
+	t := f.active
+	if t == nil || t.calling || t.ignoresVersion {
 		return
 	}
-	now := f.set.dispatcher.Loop.Now()
-	f.calledAt = now
-	after, every := f.version, idleAcknowledge
-	if f.resume == 0 {
-		every = repairSnapshot
+	now := f.registry.dispatcher.Loop.Now()
+	f.acknowledgedAt = now
+	after, every := f.version, idleAcknowledgeInterval
+	if f.completeThrough == 0 {
+		every = snapshotRepairInterval
 	}
-	if f.resume < f.version && now-f.repairedAt >= every {
-		f.repairedAt, after = now, f.resume
+	if f.completeThrough < f.version && now-f.repairRequestedAt >= every {
+		f.repairRequestedAt, after = now, f.completeThrough
 	}
 	t.call(after, t.acknowledged)
 }
--- a/internal/discovery/relaywatch_test.go
+++ b/internal/discovery/relaywatch_test.go
@@ -333,7 +333,7 @@
 		s.reaches(membership.Version(v), "a=ready "+strings.Join([]string{"b2=ready", "b3=ready", "b4=ready", "b5=ready"}[:v-1], " "))
 	}
 	s.Do(func() {
-		if f := s.registry.follower; !f.current.ignoresAfter || f.ackPending {
+		if f := s.registry.follower; !f.active.ignoresVersion || f.acknowledgementDue {
 			t.Error("it is called again")
 		}
 	})
@@ -433,7 +433,7 @@
 	s.follows(home)
 	text := testkit.Chunk(state(6, false, "b=ready") + "\n")
 	watch.tell("")
-	s.Do(func() { s.registry.follower.current.watch.expire() }) // its time is up
+	s.Do(func() { s.registry.follower.active.watchConn.onTimeout() }) // its time is up
 	other.serveFirst(5, state(7, false, "c=ready"), 7)
 	s.reaches(7, "a=ready c=ready")
 	io.WriteString(watch, text) // too late
@@ -447,7 +447,7 @@
 	watch := home.serveFirst(0, state(5, true, "a=ready"), 5)
 	s.follows(home)
 	release := s.Hold()
-	s.Dispatcher.Loop.Post(func() { s.registry.follower.current.watch.expire() })
+	s.Dispatcher.Loop.Post(func() { s.registry.follower.active.watchConn.onTimeout() })
 	s.Write(t, watch, testkit.Chunk(state(6, false, "a=draining")+"\n"))
 	release()
 	s.reaches(6, "a=draining")
@@ -522,8 +522,8 @@
 		body []byte
 		why  error
 	}{
-		"white space": {bomb(`{"seq":9,"whole":true,`, " ", mostInflated), errInflated},
-		"elements":    {bomb(`{"seq":9,"whole":true,"hosts":[`, "{},", mostElements*3), errElements},
+		"white space": {bomb(`{"seq":9,"whole":true,`, " ", maxDecompressedBytes), errDecompressedTooLarge},
+		"elements":    {bomb(`{"seq":9,"whole":true,"hosts":[`, "{},", maxElements*3), errTooManyElements},
 	} {
 		t.Run(name, func(t *testing.T) {
 			home, other := newServer(t), newServer(t)
@@ -538,15 +538,15 @@
 			}
 		})
 	}
-	var g gathered
+	var g responseBody
 	var err error
-	for range mostGathered>>20 + 1 {
-		if err = errors.Join(err, g.add(make([]byte, 1<<20), 0)); err != nil {
+	for range maxBodyBytes>>20 + 1 {
+		if err = errors.Join(err, g.append(make([]byte, 1<<20), 0)); err != nil {
 			break
 		}
 	}
-	if !errors.Is(err, errGathered) || len(g.bytes) > mostGathered {
-		t.Errorf("%d bytes are gathered, %v", len(g.bytes), err)
+	if !errors.Is(err, errBodyTooLarge) || len(g.data) > maxBodyBytes {
+		t.Errorf("%d bytes are gathered, %v", len(g.data), err)
 	}
 }
 
@@ -604,8 +604,8 @@
 }
 
 // onlyWorth takes changes of one setting, all or none, and tells them.
-func onlyWorth(told func()) func([]setting) error {
-	return func(changes []setting) error {
+func onlyWorth(told func()) func([]settingChange) error {
+	return func(changes []settingChange) error {
 		for i, c := range changes {
 			if c.Key != "over_share_worth" {
 				return fmt.Errorf("settings[%d]: %s cannot change while the program runs", i, c.Key)
@@ -732,7 +732,7 @@
 	s.reaches(6, "a=ready b=ready")
 	back.answer(state(5, false)) // it is behind by now
 	testkit.Until(t, "it is passed over", func() (none bool) {
-		s.Do(func() { none = len(s.registry.follower.trials) == 0 })
+		s.Do(func() { none = len(s.registry.follower.candidates) == 0 })
 		return none
 	})
 	s.follows(other)
@@ -755,7 +755,7 @@
 func (s *subject) dueNow() {
 	f := s.registry.follower
 	f.selector = membership.NewSelector(f.config.Name, f.config.Zone, f.config.Servers, 1)
-	f.step()
+	f.connect()
 }
 
 // Other servers, said anew: the one in use stays until a new one has caught up.
@@ -810,15 +810,15 @@
 	f.Add([]byte("{ \"seq\" :\n\n 1 , \"hosts\":[ {\"host\": \"a  \\\"  b\" } ] }"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		c, err := decodeChange(bytes.NewReader(text))
-		again, errAgain := decodeChange(&compact{in: iotest.OneByteReader(bytes.NewReader(text))})
-		if (err == nil) != (errAgain == nil) || fmt.Sprint(c.hosts, c.version) != fmt.Sprint(again.hosts, again.version) {
+		again, errAgain := decodeChange(&whitespaceCompactor{in: iotest.OneByteReader(bytes.NewReader(text))})
+		if (err == nil) != (errAgain == nil) || fmt.Sprint(c.endpoints, c.version) != fmt.Sprint(again.endpoints, again.version) {
 			t.Errorf("%q: %+v, %v; byte by byte %+v, %v", text, c, err, again, errAgain)
 		}
 		var list endpointList
-		if json.Unmarshal(text, &list) != nil || err != nil || c.wrong != nil {
+		if json.Unmarshal(text, &list) != nil || err != nil || c.typeError != nil {
 			return
 		}
-		if fmt.Sprint(c.hosts, c.version, c.whole) != fmt.Sprint(list.Hosts, list.Seq, list.Whole) {
+		if fmt.Sprint(c.endpoints, c.version, c.snapshot) != fmt.Sprint(list.Endpoints, list.Version, list.Snapshot) {
 			t.Errorf("%q: %+v, want %+v", text, c, list)
 		}
 	})
@@ -838,7 +838,7 @@
 	home.expect("after=7&name=d+1&acked=5&fleet=1").answer(state(7, false))
 	testkit.Until(t, "it is acknowledged", func() bool { return s.stats().Acknowledged == 2 })
 	s.Do(func() { // the time of the next look at what is missing
-		s.registry.follower.repairedAt -= idleAcknowledge
+		s.registry.follower.repairRequestedAt -= idleAcknowledgeInterval
 		s.registry.follower.acknowledge()
 	})
 	home.expect("after=5&name=d+1").answer(state(7, false, "a=draining", "b=ready", "c=ready"))
@@ -847,8 +847,8 @@
 	s.reaches(8, "a=draining b=ready")
 	home.expect("after=8&name=d+1")
 	s.Do(func() {
-		if f := s.registry.follower; f.resume != 8 || s.registry.stats.Refused != 1 {
-			t.Errorf("complete up to %d, %d refused", f.resume, s.registry.stats.Refused)
+		if f := s.registry.follower; f.completeThrough != 8 || s.registry.stats.Refused != 1 {
+			t.Errorf("complete up to %d, %d refused", f.completeThrough, s.registry.stats.Refused)
 		}
 	})
 }
@@ -886,8 +886,8 @@
 	watch.tell(strings.Replace(state(8, false, "a=draining"), `"whole":false`, `"whole":false,"exact":true`, 1))
 	s.reaches(8, "a=draining b=ready")
 	s.Do(func() {
-		if f := s.registry.follower; f.resume != 8 {
-			t.Errorf("complete up to %d", f.resume)
+		if f := s.registry.follower; f.completeThrough != 8 {
+			t.Errorf("complete up to %d", f.completeThrough)
 		}
 	})
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -22,19 +22,19 @@
 // within leastPause of one that failed.
 func (s *Registry) Subscribe() {
 	w := &s.watch
-	w.awaitsModule = false
-	if now := s.dispatcher.Loop.Now(); !w.out && s.follower == nil {
-		w.callBy(max(now, w.notBefore))
+	w.failureReported = false
+	if now := s.dispatcher.Loop.Now(); !w.calling && s.follower == nil {
+		w.scheduleCall(max(now, w.notBefore))
 	}
 }
 
 // SetAddress sets where discovery is before the first call.
-func (s *Registry) SetAddress(addr string) { s.watch.addr = addr }
+func (s *Registry) SetAddress(addr string) { s.watch.address = addr }
 
 // MoveTo goes on with discovery at another address, at once. What the former one
 // has listed stands, and so does every attempt; the watch goes on where it was.
 func (s *Registry) MoveTo(addr string) {
-	s.watch.addr = addr
+	s.watch.address = addr
 	if s.follower == nil {
 		s.watch.open()
 	}
@@ -42,7 +42,7 @@
 
 // Ready tells whether the module has a list that has been good for something:
 // discovery's, or the known one after its time.
-func (s *Registry) Ready() bool { return s.initial == nil && s.Usable() }
+func (s *Registry) Ready() bool { return s.initialEntries == nil && s.Usable() }
 
 // Usable tells whether what is listed has been good enough to send by since the start.
 func (s *Registry) Usable() bool {
@@ -52,101 +52,101 @@
 
 // watch is the one open call to discovery, or the wait for the module to ask for it again.
 type watch struct {
-	set        *Registry
-	addr       string
-	seq        int64
+	registry        *Registry
+	address       string
+	version        int64
 	generation int  // counts the calls, so that what an earlier one brings is ignored
-	out        bool // a call is out
+	calling        bool // a call is out
 	conn       *transport.Conn
-	in         *transport.Buffer
-	text       objectSplitter
-	seen       int  // bytes of in that hold no end of the head
-	ok         bool // the head of the answer has come
-	live       bool // and its first line
-	mute       bool // an agent that does not answer: the log tells so
-	chunk      httpwire.ChunkReader
-	due        eventloop.Deadline // of the present call, or of the next line
-	extended   bool               // due has been put off for bytes on their way
-	limit      time.Duration      // due at the latest
+	buffer         *transport.Buffer
+	splitter       objectSplitter
+	scanned       int  // bytes of in that hold no end of the head
+	headRead         bool // the head of the answer has come
+	established       bool // and its first line
+	outageLogged       bool // an agent that does not answer: the log tells so
+	chunks      httpwire.ChunkReader
+	timeout        eventloop.Deadline // of the present call, or of the next line
+	timeoutExtended   bool               // due has been put off for bytes on their way
+	deadline      time.Duration      // due at the latest
 
 	random       *rand.Rand
 	lastContact  time.Duration      // when the latest call began or the latest line came
 	notBefore    time.Duration      // the earliest time of the next call, after one that failed
-	next         eventloop.Deadline // of the next call
-	nextAt       time.Duration      // when that is; 0: not set
-	awaitsModule bool               // the module was told of a failure and has not subscribed since
+	nextCall         eventloop.Deadline // of the next call
+	nextCallAt       time.Duration      // when that is; 0: not set
+	failureReported bool               // the module was told of a failure and has not subscribed since
 }
 
 const (
-	freshList    = time.Second // the first word of discovery is waited for so long
-	watchConnect = time.Second
-	watchCall    = 3 * time.Second // from the begin of a call to its first line: discovery handles calls in turn
-	watchLine    = 3 * time.Second // between lines; one comes every 2 s at the latest
-	watchPart    = time.Second     // between the parts of an answer that has begun, or of a line
+	initialListTimeout    = time.Second // the first word of discovery is waited for so long
+	watchConnectTimeout = time.Second
+	watchCallTimeout    = 3 * time.Second // from the begin of a call to its first line: discovery handles calls in turn
+	watchLineTimeout    = 3 * time.Second // between lines; one comes every 2 s at the latest
+	watchPartTimeout    = time.Second     // between the parts of an answer that has begun, or of a line
 
-	// The protocol counts a change as told notifiedWithin after discovery had it
+	// The protocol counts a change as told notificationBound after discovery had it
 	// and could be reached, whatever became of the calls meanwhile. Discovery may
 	// come back just after it was last heard or called in vain: the next call
 	// begins early enough for its answer to fit in, counted from that moment,
 	// however long the module would wait.
-	notifiedWithin = 6 * time.Second
-	answerWithin   = 2200 * time.Millisecond // calls are answered, or fail, after 2 s in turn; the rest is for the way
-	nextCallWithin = notifiedWithin - answerWithin
-	leastPause     = 100 * time.Millisecond // from a call that failed to the next, where settings allow less
+	notificationBound = 6 * time.Second
+	answerTimeout   = 2200 * time.Millisecond // calls are answered, or fail, after 2 s in turn; the rest is for the way
+	maxReconnectDelay = notificationBound - answerTimeout
+	minBackoff     = 100 * time.Millisecond // from a call that failed to the next, where settings allow less
 
 	// Where lists are pushed, an agent on this machine has them. It answers at
 	// once and at no cost, and what it has counts as told, watch or not: a call
 	// that is not answered, and the pause to the next, must both fit into the
 	// time that a drain leaves.
-	agentCalls     = 4 // part of that time that a call may take
-	agentPauses    = 8 // part of it from a call that failed to the next
-	leastAgentWait = 10 * time.Millisecond
+	agentCallFraction     = 4 // part of that time that a call may take
+	agentBackoffFraction    = 8 // part of it from a call that failed to the next
+	minAgentWait = 10 * time.Millisecond
 )
 
-// pushed tells whether lists come from an agent, which is called without the module's word.
-func (w *watch) pushed() bool { return !w.set.dispatcher.Settings.ListBySubscription }
+// usesAgent tells whether lists come from an agent, which is called without the module's word.
+func (w *watch) usesAgent() bool { return !w.registry.dispatcher.Settings.ListBySubscription }
 
 // timeouts are how long a call may take to connect, and in all up to its first line.
 func (w *watch) timeouts() (connect, call time.Duration) {
-	if !w.pushed() {
-		return watchConnect, watchCall
+	if !w.usesAgent() {
+		return watchConnectTimeout, watchCallTimeout
 	}
-	part := max(w.set.dispatcher.Settings.DrainGrace/agentCalls, 2*leastAgentWait)
+	part := max(w.registry.dispatcher.Settings.DrainGrace/agentCallFraction, 2*minAgentWait)
 	return part, part
 }
 
-// callBy makes the next call at a time, or earlier where one is set for earlier.
-func (w *watch) callBy(at time.Duration) {
-	if at <= w.set.dispatcher.Loop.Now() {
+// scheduleCall makes the next call at a time, or earlier where one is set for earlier.
+func (w *watch) scheduleCall(at time.Duration) {
+	if at <= w.registry.dispatcher.Loop.Now() {
 		w.open()
 		return
 	}
-	if w.nextAt == 0 || at < w.nextAt {
-		w.nextAt = at
-		w.set.dispatcher.Loop.Set(&w.next, at)
+	if w.nextCallAt == 0 || at < w.nextCallAt {
+		w.nextCallAt = at
+		w.registry.dispatcher.Loop.Set(&w.nextCall, at)
 	}
 }
 
-// callInTime makes the next call within nextCallWithin of the last contact with
+// scheduleReconnect makes the next call within nextCallWithin of the last contact with
 // discovery, unless the module asks for it earlier. The time is spread, since
 // an outage ends the watches of all dispatchers at once.
-func (w *watch) callInTime(lastContact time.Duration) {
-	if w.out || w.addr == "" {
+func (w *watch) scheduleReconnect(lastContact time.Duration) {
+	if w.calling || w.address == "" {
 		return
 	}
-	now := w.set.dispatcher.Loop.Now()
-	left := max(lastContact+nextCallWithin-now, leastPause)
-	w.callBy(now + left/2 + time.Duration(w.random.Int64N(int64(left/2))))
+	now := w.registry.dispatcher.Loop.Now()
+	left := max(lastContact+maxReconnectDelay-now, minBackoff)
+	w.scheduleCall(now + left/2 + time.Duration(w.random.Int64N(int64(left/2))))
 }
 
-// expire ends a call or a watch on which nothing has come in time. An answer may
+// onTimeout ends a call or a watch on which nothing has come in time. An answer may
 // have come while the loop was late: it is waited for once more, and not again,
 // since unread bytes need not make a whole line.
-func (w *watch) expire() {
-	if w.conn != nil && !w.extended && !w.conn.NothingUnread() {
-		w.extended = true
-		w.set.dispatcher.TraceStep("", "discovery's timeout extended", "age", w.set.dispatcher.Loop.Now()-w.lastContact)
-		w.set.dispatcher.Loop.Set(&w.due, w.set.dispatcher.Loop.Now()+leastAgentWait)
+func (w *watch) onTimeout() {
+	if w.conn != nil && !w.timeoutExtended && !w.conn.NothingUnread() {
+		w.timeoutExtended = true
+		w.registry.dispatcher.TraceStep("", "discovery's timeout extended", "age", w.registry.dispatcher.Loop.Now()-w.lastContact)
+		w.registry.dispatcher.Loop.Set(&w.timeout, w.registry.dispatcher.Loop.Now()+minAgentWait)
 		return
 	}
 	w.fail(errSilentWatch)
@@ -165,23 +165,23 @@
 }
 
 // midLine tells whether a part of a line has come and its rest has not.
-func (w *watch) midLine() bool { return w.text.depth > 0 || w.chunk.MidChunk() }
+func (w *watch) midLine() bool { return w.splitter.depth > 0 || w.chunks.MidChunk() }
 
 // open makes the call, in place of one that stands.
 func (w *watch) open() {
-	w.drop()
-	if w.addr == "" {
+	w.reset()
+	if w.address == "" {
 		return
 	}
-	w.out = true
+	w.calling = true
 	generation := w.generation
-	loop := w.set.dispatcher.Loop
+	loop := w.registry.dispatcher.Loop
 	w.lastContact = loop.Now()
-	w.set.dispatcher.TraceStep("", "discovery called", "version", w.seq)
+	w.registry.dispatcher.TraceStep("", "discovery called", "version", w.version)
 	connect, call := w.timeouts()
-	w.limit = w.lastContact + call
-	loop.Set(&w.due, w.limit)
-	w.set.engine.DialReserved(w.addr, connect, w, func(c *transport.Conn, err error) {
+	w.deadline = w.lastContact + call
+	loop.Set(&w.timeout, w.deadline)
+	w.registry.engine.DialReserved(w.address, connect, w, func(c *transport.Conn, err error) {
 		switch {
 		case generation != w.generation:
 			if c != nil {
@@ -191,24 +191,24 @@
 			w.fail(err)
 		default:
 			w.conn = c
-			request := []byte("GET /v1/servers?watch=1&after=" + strconv.FormatInt(w.seq, 10) +
-				" HTTP/1.1\r\nHost: " + w.addr + "\r\n\r\n")
-			w.set.stats.BytesWritten += int64(len(request))
+			request := []byte("GET /v1/servers?watch=1&after=" + strconv.FormatInt(w.version, 10) +
+				" HTTP/1.1\r\nHost: " + w.address + "\r\n\r\n")
+			w.registry.stats.BytesWritten += int64(len(request))
 			c.Write(request)
 		}
 	})
 }
 
-// drop forgets the present call, and the time of the next.
-func (w *watch) drop() {
-	w.set.dispatcher.Loop.Clear(&w.due)
-	w.set.dispatcher.Loop.Clear(&w.next)
-	w.set.engine.Pool.Put(w.in)
+// reset forgets the present call, and the time of the next.
+func (w *watch) reset() {
+	w.registry.dispatcher.Loop.Clear(&w.timeout)
+	w.registry.dispatcher.Loop.Clear(&w.nextCall)
+	w.registry.engine.Pool.Put(w.buffer)
 	if w.conn != nil {
 		w.conn.Close()
 	}
-	w.in, w.text, w.conn, w.out, w.ok, w.live, w.chunk, w.seen = nil, objectSplitter{}, nil, false, false, false, httpwire.ChunkReader{}, 0
-	w.nextAt, w.extended = 0, false
+	w.buffer, w.splitter, w.conn, w.calling, w.headRead, w.established, w.chunks, w.scanned = nil, objectSplitter{}, nil, false, false, false, httpwire.ChunkReader{}, 0
+	w.nextCallAt, w.timeoutExtended = 0, false
 	w.generation++
 }
 
@@ -216,37 +216,37 @@
 // when to ask again, within what the protocol leaves; an agent is called again
 // at once, and the list known at the start then waits for its whole time.
 func (w *watch) fail(why error) {
-	lastContact, now := w.lastContact, w.set.dispatcher.Loop.Now()
-	failure := w.failure(why)
-	w.drop()
-	w.set.age.Failed(now, failure)
-	defer w.set.Refresh()
-	if !w.pushed() {
-		w.set.dispatcher.Log("discovery: " + why.Error())
-		w.notBefore = now + leastPause
-		w.set.publishInitial(nil)
-		w.tellModule()
+	lastContact, now := w.lastContact, w.registry.dispatcher.Loop.Now()
+	failure := w.classifyFailure(why)
+	w.reset()
+	w.registry.tracker.Failed(now, failure)
+	defer w.registry.Refresh()
+	if !w.usesAgent() {
+		w.registry.dispatcher.Log("discovery: " + why.Error())
+		w.notBefore = now + minBackoff
+		w.registry.publishInitial(nil)
+		w.reportFailure()
 		if failure == freshness.BrokenOff { // it is there, and the bound runs
-			w.callBy(w.notBefore)
+			w.scheduleCall(w.notBefore)
 			return
 		}
-		w.callInTime(lastContact)
+		w.scheduleReconnect(lastContact)
 		return
 	}
-	if !w.mute {
-		w.mute = true // an outage has one line in the log, not one for each call
-		w.set.dispatcher.Log("discovery: " + why.Error())
+	if !w.outageLogged {
+		w.outageLogged = true // an outage has one line in the log, not one for each call
+		w.registry.dispatcher.Log("discovery: " + why.Error())
 	}
-	w.callBy(now + max(w.set.dispatcher.Settings.DrainGrace/agentPauses, leastAgentWait))
+	w.scheduleCall(now + max(w.registry.dispatcher.Settings.DrainGrace/agentBackoffFraction, minAgentWait))
 }
 
-// tellModule tells the module that a call failed, unless it has yet to ask again
+// reportFailure tells the module that a call failed, unless it has yet to ask again
 // after an earlier one: each word of it sets a timer of its own, which cannot be
 // withdrawn, and calls would become more and more.
-func (w *watch) tellModule() {
-	if !w.awaitsModule {
-		w.awaitsModule = true
-		w.set.dispatcher.UpdateWorkers(w.set.client, decision.ListFailed, nil)
+func (w *watch) reportFailure() {
+	if !w.failureReported {
+		w.failureReported = true
+		w.registry.dispatcher.UpdateWorkers(w.registry.client, decision.ListFailed, nil)
 	}
 }
 
@@ -260,21 +260,21 @@
 // OnData takes in what discovery sent.
 func (w *watch) OnData(c *transport.Conn, b *transport.Buffer) {
 	if c != w.conn {
-		w.set.engine.Pool.Put(b)
+		w.registry.engine.Pool.Put(b)
 		return
 	}
-	defer w.set.engine.Pool.Put(b)
-	w.set.stats.BytesRead += int64(len(b.Bytes()))
-	if w.set.dispatcher.Trace != nil {
-		w.set.dispatcher.TraceStep("", "discovery's bytes", "bytes", len(b.Bytes()))
+	defer w.registry.engine.Pool.Put(b)
+	w.registry.stats.BytesRead += int64(len(b.Bytes()))
+	if w.registry.dispatcher.Trace != nil {
+		w.registry.dispatcher.TraceStep("", "discovery's bytes", "bytes", len(b.Bytes()))
 	}
 	for w.conn == c && len(b.Bytes()) > 0 {
-		if w.in == nil {
-			w.in = w.set.engine.Pool.Get()
+		if w.buffer == nil {
+			w.buffer = w.registry.engine.Pool.Get()
 		}
-		n := w.in.Fill(b.Bytes())
+		n := w.buffer.Fill(b.Bytes())
 		b.Consume(n)
-		err := w.read()
+		err := w.readAnswer()
 		if err == nil && n == 0 {
 			err = httpwire.ErrMalformed // no room for the end of what is a line at the most
 		}
@@ -283,22 +283,22 @@
 			return
 		}
 	}
-	w.boundPart()
+	w.limitPartialAnswer()
 }
 
-// boundPart gives up an answer whose rest is long in coming, so that calls that
+// limitPartialAnswer gives up an answer whose rest is long in coming, so that calls that
 // break off leave time for others within the bound.
-func (w *watch) boundPart() {
-	if w.conn == nil || !w.ok || w.live && !w.midLine() {
+func (w *watch) limitPartialAnswer() {
+	if w.conn == nil || !w.headRead || w.established && !w.midLine() {
 		return
 	}
-	w.set.dispatcher.Loop.Set(&w.due, min(w.limit, w.set.dispatcher.Loop.Now()+watchPart))
+	w.registry.dispatcher.Loop.Set(&w.timeout, min(w.deadline, w.registry.dispatcher.Loop.Now()+watchPartTimeout))
 }
 
-func (w *watch) read() error {
-	if !w.ok {
+func (w *watch) readAnswer() error {
+	if !w.headRead {
 		var h httpwire.Head
-		ok, err := httpwire.ParseHead(w.in.Bytes(), &h, &w.seen)
+		ok, err := httpwire.ParseHead(w.buffer.Bytes(), &h, &w.scanned)
 		if !ok {
 			return err
 		}
@@ -308,66 +308,66 @@
 		if !h.HasToken("Transfer-Encoding", "chunked") {
 			return httpwire.ErrMalformed
 		}
-		w.ok = true
-		w.in.Consume(h.Size)
+		w.headRead = true
+		w.buffer.Consume(h.Size)
 	}
 	for conn := w.conn; w.conn == conn; {
-		data, used, err := w.chunk.Next(w.in.Bytes())
+		data, used, err := w.chunks.Next(w.buffer.Bytes())
 		if err != nil {
 			return err
 		}
-		if w.chunk.Done() {
+		if w.chunks.Done() {
 			return errWatchEnded
 		}
 		if used == 0 {
 			return nil
 		}
-		if err := w.lines(data); err != nil {
+		if err := w.readLines(data); err != nil {
 			return err
 		}
 		if w.conn == conn {
-			w.in.Consume(used)
+			w.buffer.Consume(used)
 		}
 	}
 	return nil
 }
 
-func (w *watch) lines(data []byte) error {
+func (w *watch) readLines(data []byte) error {
 	for conn := w.conn; len(data) > 0 && w.conn == conn; {
-		object, used, whole, err := w.text.next(data)
+		object, used, whole, err := w.splitter.next(data)
 		if err != nil {
 			return err
 		}
 		if data = data[used:]; !whole {
 			continue
 		}
-		if err := w.line(object); err != nil {
+		if err := w.readLine(object); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// line takes in one line: the list, changes, or a line that only shows liveness.
-func (w *watch) line(text []byte) (err error) {
-	loop := w.set.dispatcher.Loop
+// readLine takes in one readLine: the list, changes, or a readLine that only shows liveness.
+func (w *watch) readLine(text []byte) (err error) {
+	loop := w.registry.dispatcher.Loop
 	w.lastContact = loop.Now()
-	w.limit = w.lastContact + watchLine
-	loop.Set(&w.due, w.limit)
+	w.deadline = w.lastContact + watchLineTimeout
+	loop.Set(&w.timeout, w.deadline)
 	defer func() {
 		if err == nil { // what cannot be read tells nothing
-			w.set.sourceHeard()
+			w.registry.sourceHeard()
 		}
 	}()
-	first := !w.live
-	w.live, w.mute, w.extended = true, false, false
-	if len(text) == 0 && w.set.initial != nil {
-		w.set.publishInitial(nil)
+	first := !w.established
+	w.established, w.outageLogged, w.timeoutExtended = true, false, false
+	if len(text) == 0 && w.registry.initialEntries != nil {
+		w.registry.publishInitial(nil)
 		return nil
 	}
 	if len(text) == 0 {
 		if first { // nothing has changed; but the call did not fail, and the module waits for word of it
-			w.set.dispatcher.UpdateWorkers(w.set.client, decision.ListDelta, nil)
+			w.registry.dispatcher.UpdateWorkers(w.registry.client, decision.ListDelta, nil)
 		}
 		return nil
 	}
@@ -375,26 +375,26 @@
 	if err := json.Unmarshal(text, &list); err != nil {
 		return err
 	}
-	entries, err := w.set.parseAndAdopt(list.Hosts)
+	entries, err := w.registry.parseAndAdopt(list.Endpoints)
 	if err != nil {
 		return err
 	}
-	w.set.dispatcher.TraceStep("", "discovery's version", "version", list.Seq, "after", w.seq, "snapshot", list.Whole, "entries", len(entries))
+	w.registry.dispatcher.TraceStep("", "discovery's version", "version", list.Version, "after", w.version, "snapshot", list.Snapshot, "entries", len(entries))
 	kind := decision.ListDelta
-	if list.Whole {
+	if list.Snapshot {
 		kind = decision.ListSnapshot
-		w.set.removeUnlisted(entries)
+		w.registry.removeUnlisted(entries)
 	}
-	w.seq = list.Seq
-	if w.set.OnUpdate != nil {
-		defer w.set.OnUpdate()
+	w.version = list.Version
+	if w.registry.OnUpdate != nil {
+		defer w.registry.OnUpdate()
 	}
-	if w.set.initial != nil && !list.Whole {
-		w.set.publishInitial(entries)
+	if w.registry.initialEntries != nil && !list.Snapshot {
+		w.registry.publishInitial(entries)
 		return nil
 	}
-	w.set.initial = nil
-	w.set.dispatcher.Loop.Clear(&w.set.initialDue)
-	w.set.dispatcher.UpdateWorkers(w.set.client, kind, entries)
+	w.registry.initialEntries = nil
+	w.registry.dispatcher.Loop.Clear(&w.registry.initialTimeout)
+	w.registry.dispatcher.UpdateWorkers(w.registry.client, kind, entries)
 	return nil
 }
