--- /dev/null
+++ b/internal/discovery/acknowledgement.go
@@ -0,0 +1,81 @@
+package discovery
+
+import "time"
+
+const (
+	defaultAcknowledgeInterval = time.Second
+	idleAcknowledgeInterval    = 30 * time.Second // with nothing new, so that the subscriber counts as alive
+	snapshotRepairInterval     = 5 * time.Minute  // between polls for a complete snapshot after a rejected one
+
+	// maxFailedAcknowledgements in a row mark the server as failed.
+	maxFailedAcknowledgements = 3
+)
+
+// scheduleAcknowledgement schedules the next poll of the server in use, which tells it the version in force. After a
+// change that is not at once but at a random moment, so that the subscribers of a server do not poll it together.
+func (f *follower) scheduleAcknowledgement() {
+	s := f.active
+	if s == nil || s.polling || s.ignoresVersion || f.acknowledgementScheduled {
+		return
+	}
+	loop := f.registry.dispatcher.Loop
+	now := loop.Now()
+	upToDate := f.version == f.acknowledgedVersion && s.failedAcknowledgements == 0
+	if upToDate || !f.resumable {
+		loop.Set(&f.acknowledgementTimer, max(f.acknowledgedAt+idleAcknowledgeInterval, now))
+		return
+	}
+	f.acknowledgementScheduled = true
+	jitter := time.Duration(f.random.Int64N(int64(f.config.Acknowledge)))
+	loop.Set(&f.acknowledgementTimer, max(f.acknowledgedAt+f.config.Acknowledge, now+jitter))
+}
+
+// acknowledge polls the server in use from the version in force. From time to time it polls from an earlier version
+// instead, for what a rejected change has left out.
+func (f *follower) acknowledge() {
+	f.acknowledgementScheduled = false
+	s := f.active
+	if s == nil || s.polling || s.ignoresVersion {
+		return
+	}
+	now := f.registry.dispatcher.Loop.Now()
+	f.acknowledgedAt = now
+	after := f.version
+	if f.completeThrough < f.version && now-f.repairRequestedAt >= f.repairInterval() {
+		f.repairRequestedAt = now
+		after = f.completeThrough
+	}
+	s.poll(after, s.onAcknowledged)
+}
+
+// repairInterval returns the time between polls for what a rejected change has left out.
+func (f *follower) repairInterval() time.Duration {
+	if f.completeThrough == 0 { // the repair is a snapshot
+		return snapshotRepairInterval
+	}
+	return idleAcknowledgeInterval
+}
+
+// onAcknowledged applies the answer to an acknowledgement, which may hold changes that the watch has yet to bring.
+func (s *subscription) onAcknowledged(c change, err error) {
+	f := s.follower
+	if err != nil {
+		s.failedAcknowledgements++
+		if s.failedAcknowledgements >= maxFailedAcknowledgements || s.reopenWatch {
+			f.subscriptionFailed(s, err)
+			return
+		}
+		f.scheduleAcknowledgement()
+		return
+	}
+	s.failedAcknowledgements = 0
+	s.detectIgnoredVersion(c)
+	f.acknowledgedVersion = s.polledVersion
+	f.registry.stats.Acknowledged++
+	f.apply(c)
+	if s.reopenWatch {
+		s.catchUp()
+		return
+	}
+	f.scheduleAcknowledgement()
+}
--- /dev/null
+++ b/internal/discovery/change.go
@@ -0,0 +1,139 @@
+package discovery
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+
+	"hollyyoke.example/hollyyoke/internal/membership"
+)
+
+// settingChange is the new value of a setting in its wire form.
+type settingChange struct {
+	Key   string          `json:"key"`
+	Value json.RawMessage `json:"value"`
+}
+
+// change is one object of a membership server: a snapshot or a delta.
+type change struct {
+	version     membership.Version
+	snapshot    bool
+	exact       bool               // a delta that applies to the state at base alone, as in membership.Change
+	missingFrom membership.Version // the first version of which the sender misses something; 0: none
+	endpoints   []endpoint
+	settings    []settingChange
+
+	base      membership.Version // that a delta continues from: the one asked for, or the one before it on the watch
+	typeError error              // the first field whose value has the wrong JSON type
+}
+
+// maxElements bounds the arrays of a change, since an element of three bytes of text takes a hundred times as many in
+// memory.
+const maxElements = 200_000
+
+var (
+	errTooManyElements = fmt.Errorf("an array has over %d elements", maxElements)
+	errTrailingData    = errors.New("there is data after the object")
+)
+
+// decodeChange reads one object and the end of the text. It decodes element by element as bytes come, so that the text
+// of a large snapshot is never in memory at once. A value of the wrong type sets typeError and is no error here, so
+// that the version is known of a change that is rejected.
+func decodeChange(source io.Reader) (change, error) {
+	var c change
+	decoder := json.NewDecoder(source)
+	if err := expectToken(decoder, json.Delim('{')); err != nil {
+		return c, err
+	}
+	for decoder.More() {
+		key, err := decoder.Token()
+		if err != nil {
+			return c, err
+		}
+		if err := c.decodeField(decoder, key); err != nil {
+			return c, err
+		}
+	}
+	if err := expectToken(decoder, json.Delim('}')); err != nil {
+		return c, err
+	}
+	if _, err := decoder.Token(); err != io.EOF {
+		return c, errTrailingData
+	}
+	return c, nil
+}
+
+// decodeField reads the value of one key. Unknown keys are skipped.
+func (c *change) decodeField(decoder *json.Decoder, key json.Token) error {
+	switch key {
+	case "seq":
+		return describeTypeError("seq", decoder.Decode(&c.version))
+	case "whole":
+		return describeTypeError("whole", decoder.Decode(&c.snapshot))
+	case "exact":
+		return describeTypeError("exact", decoder.Decode(&c.exact))
+	case "missing":
+		return describeTypeError("missing", decoder.Decode(&c.missingFrom))
+	case "hosts":
+		return decodeArray(decoder, "hosts", &c.endpoints, &c.typeError)
+	case "settings":
+		return decodeArray(decoder, "settings", &c.settings, &c.typeError)
+	}
+	var skipped json.RawMessage
+	return decoder.Decode(&skipped)
+}
+
+// decodeArray reads an array, or null for none, element by element. The first element with a value of the wrong type
+// is described in typeError, unless that is set already, and the rest is read all the same.
+func decodeArray[T any](decoder *json.Decoder, field string, out *[]T, typeError *error) error {
+	token, err := decoder.Token()
+	switch {
+	case err != nil:
+		return err
+	case token == nil:
+		return nil
+	case token != json.Delim('['):
+		return fmt.Errorf("%s is not an array", field)
+	}
+	for decoder.More() {
+		var element T
+		err := decoder.Decode(&element)
+		_, wrongType := errors.AsType[*json.UnmarshalTypeError](err)
+		if err != nil && !wrongType {
+			return err
+		}
+		if wrongType && *typeError == nil {
+			*typeError = describeTypeError(fmt.Sprintf("%s[%d]", field, len(*out)), err)
+		}
+		*out = append(*out, element)
+		if len(*out) > maxElements {
+			return errTooManyElements
+		}
+	}
+	return expectToken(decoder, json.Delim(']'))
+}
+
+// expectToken reads one token and fails if it is another than want.
+func expectToken(decoder *json.Decoder, want json.Token) error {
+	token, err := decoder.Token()
+	if err != nil {
+		return err
+	}
+	if token != want {
+		return fmt.Errorf("unexpected %v, want %v", token, want)
+	}
+	return nil
+}
+
+// describeTypeError names the field of a value of the wrong JSON type. Other errors, and nil, are returned as they are.
+func describeTypeError(field string, err error) error {
+	wrong, ok := errors.AsType[*json.UnmarshalTypeError](err)
+	if !ok {
+		return err
+	}
+	if wrong.Field != "" {
+		field += "." + wrong.Field
+	}
+	return fmt.Errorf("%s: unexpected %s", field, wrong.Value)
+}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -13,6 +13,7 @@
 
 	"hollyyoke.example/hollyyoke/internal/connlimit"
 	"hollyyoke.example/hollyyoke/internal/dispatch"
+	"hollyyoke.example/hollyyoke/internal/freshness"
 	"hollyyoke.example/hollyyoke/internal/httpfront"
 	"hollyyoke.example/hollyyoke/internal/listener"
 	"hollyyoke.example/hollyyoke/internal/testkit"
@@ -44,7 +45,7 @@
 func (w *watch) inTime(t *testing.T) {
 	t.Helper()
 	now := w.registry.dispatcher.Loop.Now()
-	switch latest := max(w.lastContact+notificationBound-answerTimeout, w.notBefore); {
+	switch latest := max(w.lastContact+freshness.NotificationBound-answerTimeout, w.notBefore); {
 	case w.calling:
 	case w.nextCallAt == 0:
 		t.Error("no call is out, and none is to come")
@@ -59,7 +60,7 @@
 // silent, the pause that follows, and the answer to the next call.
 func TestTimeoutsFitTheBound(t *testing.T) {
 	for _, silence := range []time.Duration{watchCallTimeout, watchLineTimeout} {
-		if sum := silence + minBackoff + answerTimeout; sum > notificationBound {
+		if sum := silence + minBackoff + answerTimeout; sum > freshness.NotificationBound {
 			t.Errorf("%v of silence, the least pause and an answer take %v", silence, sum)
 		}
 	}
--- /dev/null
+++ b/internal/discovery/endpointlist.go
@@ -0,0 +1,135 @@
+package discovery
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net"
+	"slices"
+	"time"
+
+	"hollyyoke.example/hollyyoke/decision"
+)
+
+// endpointList is a list of workers, or a change of one, in its wire form. The same form serves the discovery watch,
+// the initial endpoint list in the configuration and the handover to a successor.
+type endpointList struct {
+	Version   int64      `json:"seq"`
+	Snapshot  bool       `json:"whole"` // the list is complete; false: it tells what has changed
+	Endpoints []endpoint `json:"hosts"`
+
+	// Settings are all settings that were changed up to Version. nil: the sender does not know of any, which is
+	// different from an empty list.
+	Settings []settingChange `json:"settings,omitzero"`
+
+	// AgeMs is how long ago, in milliseconds, the process that hands the list over last heard all that discovery
+	// had. nil: not told, as in discovery's own lists.
+	AgeMs *int64 `json:"age_ms,omitempty"`
+}
+
+// endpoint is one worker in its wire form.
+type endpoint struct {
+	Name        string  `json:"host"`
+	Address     string  `json:"dial"` // host:port
+	Zone        string  `json:"site"`
+	Kind        string  `json:"class"`
+	Cell        int     `json:"block"`
+	Health      string  `json:"health"` // one of the health constants
+	Weight      float64 `json:"share"`
+	StartedAtMs float64 `json:"born_ms"` // when the worker started; 0: not told
+}
+
+// The values of endpoint.Health.
+const (
+	healthReady    = "ready"
+	healthDraining = "draining"
+	healthGone     = "gone" // the worker was removed
+)
+
+// maxStartedAtMs bounds the start times that are believed. Later ones count as not told.
+const maxStartedAtMs = 1e13
+
+var errNoName = errors.New("host is empty")
+
+// CheckList returns what is wrong with an initial endpoint list in its wire form, and applies none of it. The empty
+// text is a valid list.
+func (r *Registry) CheckList(raw []byte) error {
+	if len(raw) == 0 {
+		return nil
+	}
+	var list endpointList
+	err := json.Unmarshal(raw, &list)
+	if err == nil {
+		_, err = r.parse(list.Endpoints)
+	}
+	if err != nil {
+		return fmt.Errorf("config: known: %w", err)
+	}
+	return nil
+}
+
+// parse checks a list and applies none of it. An error names the field by its keys on the wire.
+func (r *Registry) parse(list []endpoint) ([]decision.Endpoint, error) {
+	entries := make([]decision.Endpoint, 0, len(list))
+	for i := range list {
+		entry, err := r.parseEndpoint(&list[i])
+		if err != nil {
+			return nil, fmt.Errorf("hosts[%d].%w", i, err)
+		}
+		entries = append(entries, entry)
+	}
+	return entries, nil
+}
+
+// parseEndpoint checks one endpoint. The address of a removed worker is not checked.
+func (r *Registry) parseEndpoint(listed *endpoint) (decision.Endpoint, error) {
+	entry := decision.Endpoint{
+		Name:   listed.Name,
+		Cell:   listed.Cell,
+		Weight: listed.Weight,
+		Zone:   slices.Index(r.dispatcher.Settings.ZoneNames, listed.Zone), // -1: a zone that no setting names
+		Kind:   slices.Index(r.dispatcher.Settings.KindNames, listed.Kind),
+	}
+	if listed.StartedAtMs > 0 && listed.StartedAtMs < maxStartedAtMs {
+		entry.StartedAt = time.Duration(listed.StartedAtMs * float64(time.Millisecond))
+	}
+	state, err := parseHealth(listed.Health)
+	if err != nil {
+		return entry, err
+	}
+	entry.State = state
+	if listed.Name == "" {
+		return entry, errNoName
+	}
+	if state == decision.Removed {
+		return entry, nil
+	}
+	if _, _, err := net.SplitHostPort(listed.Address); err != nil {
+		return entry, fmt.Errorf("dial: %w", err)
+	}
+	return entry, nil
+}
+
+// parseHealth returns the state that a health value stands for.
+func parseHealth(health string) (decision.WorkerState, error) {
+	switch health {
+	case healthReady:
+		return decision.Running, nil
+	case healthDraining:
+		return decision.Draining, nil
+	case healthGone:
+		return decision.Removed, nil
+	}
+	return decision.Removed, fmt.Errorf("health: unknown value %q", health)
+}
+
+// formatHealth returns the health value of a state, the inverse of parseHealth.
+func formatHealth(state decision.WorkerState) string {
+	switch state {
+	case decision.Running:
+		return healthReady
+	case decision.Draining:
+		return healthDraining
+	}
+	return healthGone
+}
--- /dev/null
+++ b/internal/discovery/follower.go
@@ -0,0 +1,233 @@
+package discovery
+
+import (
+	"encoding/json"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"hollyyoke.example/hollyyoke/internal/eventloop"
+	"hollyyoke.example/hollyyoke/internal/membership"
+)
+
+// FollowConfig is how a dispatcher follows membership servers.
+type FollowConfig struct {
+	Name        string              // the subscriber's name, the same after a restart
+	Zone        string              // whose servers are preferred
+	Servers     []membership.Server // relays and origins, at least one
+	Acknowledge time.Duration       // least time between acknowledgements; 0: one second
+	Seed        uint64              // of the jitter
+}
+
+// An attempt that has no connection by connectStagger, or no response by answerStagger, does not hold up the next one
+// and goes on beside it: the first to catch up is used. connectStagger covers a round trip between regions,
+// answerStagger a server that is busy.
+const (
+	connectStagger = 150 * time.Millisecond
+	answerStagger  = 500 * time.Millisecond
+	receiveStagger = 3 * time.Second // for a response that has begun
+	maxReceiving   = 2               // responses that arrive at a time
+)
+
+// followerRandomStream is the PCG stream of the jitter, apart from others of the same seed.
+const followerRandomStream = 1
+
+// follower follows membership servers: it chooses the one in use, replaces one that failed, moves back to a preferred
+// one, and holds the version in force. A server in use is kept until another has caught up with that version.
+type follower struct {
+	registry *Registry
+	config   FollowConfig
+	selector *membership.Selector
+	random   *rand.Rand
+
+	version         membership.Version         // in force
+	completeThrough membership.Version         // nothing is missing up to it; below version after a rejected change
+	resumable       bool                       // version includes its settings, so that a server can continue from it
+	rejectedVersion membership.Version         // the newest that was rejected
+	settings        map[string]json.RawMessage // changed since the start, by key
+
+	active       *subscription   // in use; nil: none
+	candidates   []*subscription // that may come into use
+	lastServer   string          // address of the server used last
+	outageLogged bool            // the present outage has its log line
+	attemptTimer eventloop.Deadline
+
+	acknowledgedVersion      membership.Version // that the server in use was told last
+	acknowledgedAt           time.Duration      // when it was told
+	acknowledgementScheduled bool               // for a version that it was not told
+	acknowledgementTimer     eventloop.Deadline
+	repairRequestedAt        time.Duration // when what a rejected change left out was asked for last
+}
+
+// Follow makes the registry follow membership servers in place of the discovery watch. It must be called before
+// LoadInitial. Called again, it takes over other servers and another zone: the server in use stays until a better one
+// has caught up.
+func (r *Registry) Follow(config FollowConfig) {
+	if config.Acknowledge <= 0 {
+		config.Acknowledge = defaultAcknowledgeInterval
+	}
+	if f := r.follower; f != nil {
+		f.config = config
+		f.selector.Reset(config.Zone, config.Servers)
+		f.connect()
+		return
+	}
+	f := &follower{
+		registry: r,
+		config:   config,
+		selector: membership.NewSelector(config.Name, config.Zone, config.Servers, config.Seed),
+		random:   rand.New(rand.NewPCG(config.Seed, followerRandomStream)),
+		settings: map[string]json.RawMessage{},
+	}
+	f.attemptTimer.Fire = f.connect
+	f.acknowledgementTimer.Fire = f.acknowledge
+	r.follower = f
+}
+
+// start begins to follow from the initial list. Servers continue from its version only if the list has the settings of
+// that version, as a predecessor's has.
+func (f *follower) start(list *endpointList) {
+	f.version = membership.Version(list.Version)
+	if list.Settings != nil {
+		if err := f.applySettings(list.Settings); err != nil {
+			f.registry.dispatcher.Log("membership: initial endpoint list: " + err.Error())
+		} else {
+			f.rememberSettings(list.Settings)
+			f.completeThrough = f.version
+			f.resumable = true
+		}
+	}
+	f.connect()
+}
+
+// resumeVersion returns the version from which a server is asked to continue; 0: it is asked for a snapshot.
+func (f *follower) resumeVersion() membership.Version {
+	if !f.resumable {
+		return 0
+	}
+	return f.version
+}
+
+// connect starts an attempt at a server, if one is due, and schedules its next call.
+func (f *follower) connect() {
+	loop := f.registry.dispatcher.Loop
+	now := loop.Now()
+	var wait time.Duration
+	if f.active != nil {
+		wait = f.attemptPreferred(now)
+	} else {
+		wait = f.attemptNext(now)
+	}
+	if wait > 0 {
+		loop.Set(&f.attemptTimer, now+wait)
+	} else {
+		loop.Clear(&f.attemptTimer)
+	}
+}
+
+// attemptNext starts an attempt at the next server, unless one in progress is promising. It returns how long to wait
+// before the next call.
+func (f *follower) attemptNext(now time.Duration) time.Duration {
+	var exclusive time.Duration
+	receiving := 0
+	for _, candidate := range f.candidates {
+		exclusive = max(exclusive, candidate.exclusiveUntil-now)
+		if candidate.receiving() {
+			receiving++
+		}
+	}
+	if exclusive > 0 {
+		return exclusive
+	}
+	if receiving >= maxReceiving {
+		return answerStagger
+	}
+	server, wait := f.selector.Next(now)
+	if wait > 0 {
+		return wait
+	}
+	f.beginAttempt(server, now)
+	return connectStagger
+}
+
+// attemptPreferred starts an attempt at a server that is preferred to the one in use. It returns how long to wait
+// before the next call; 0: no server is preferred.
+func (f *follower) attemptPreferred(now time.Duration) time.Duration {
+	if len(f.candidates) > 0 {
+		return answerStagger
+	}
+	server, wait, ok := f.selector.Better(now, f.active.server.Address)
+	if !ok || wait > 0 {
+		return wait
+	}
+	f.beginAttempt(server, now)
+	return answerStagger
+}
+
+// beginAttempt subscribes to a server as a candidate.
+func (f *follower) beginAttempt(server membership.Server, now time.Duration) {
+	candidate := &subscription{follower: f, server: server, exclusiveUntil: now + connectStagger}
+	f.candidates = append(f.candidates, candidate)
+	candidate.start()
+}
+
+// activate puts a server in use that has caught up, and gives up the one before and all other candidates.
+func (f *follower) activate(s *subscription) {
+	now := f.registry.dispatcher.Loop.Now()
+	previous := f.active
+	f.active = s
+	for _, candidate := range f.candidates {
+		if candidate != s {
+			f.abandon(candidate)
+		}
+	}
+	f.candidates = nil
+	if previous != nil {
+		f.abandon(previous)
+	}
+	f.selector.Working(now, s.server.Address)
+	f.recordServer(s.server)
+	f.acknowledgedVersion = s.polledVersion
+	f.acknowledgedAt = now
+	f.acknowledgementScheduled = false
+	f.repairRequestedAt = now
+	f.scheduleAcknowledgement()
+	f.connect()
+}
+
+// abandon closes a subscription in favour of another, which is no failure of its server.
+func (f *follower) abandon(s *subscription) {
+	f.selector.Abandoned(s.server.Address)
+	s.close()
+}
+
+// recordServer counts and logs a change of the server in use.
+func (f *follower) recordServer(server membership.Server) {
+	moved := f.lastServer != server.Address
+	if moved && f.lastServer != "" {
+		f.registry.stats.Failovers++
+	}
+	if moved || f.outageLogged {
+		f.registry.dispatcher.Log("membership: following " + server.Address + " in zone " + server.Zone)
+	}
+	f.lastServer = server.Address
+	f.outageLogged = false
+}
+
+// subscriptionFailed closes a subscription that has failed, and goes on with another server.
+func (f *follower) subscriptionFailed(failed *subscription, cause error) {
+	loop := f.registry.dispatcher.Loop
+	failed.close()
+	f.selector.Failed(loop.Now(), failed.server.Address)
+	if failed == f.active {
+		f.active = nil
+		loop.Clear(&f.acknowledgementTimer)
+		f.outageLogged = false
+	}
+	f.candidates = slices.DeleteFunc(f.candidates, func(s *subscription) bool { return s == failed })
+	if f.active == nil && !f.outageLogged {
+		f.outageLogged = true // one log line for an outage, not one for each attempt
+		f.registry.dispatcher.Log("membership: " + failed.server.Address + ": " + cause.Error())
+	}
+	f.connect()
+}
--- a/internal/discovery/forms_test.go
+++ b/internal/discovery/forms_test.go
@@ -89,7 +89,9 @@
 			io.WriteString(c, testkit.WatchHead+testkit.Chunk(`{"seq":43,"whole":true,"hosts":[{"host":"new","dial":"127.0.0.1:9","health":"ready"}]}`+"\n"))
 			heard := false
 			for end := time.Now().Add(200 * time.Millisecond); !heard && time.Now().Before(end); time.Sleep(time.Millisecond) {
-				r.Do(func() { heard = registry.workers["new"] != nil && registry.workers["old"] == nil && registry.watch.established })
+				r.Do(func() {
+					heard = registry.workers["new"] != nil && registry.workers["old"] == nil && registry.watch.established
+				})
 			}
 			if heard {
 				break
--- /dev/null
+++ b/internal/discovery/handover.go
@@ -0,0 +1,70 @@
+package discovery
+
+import (
+	"encoding/json"
+	"slices"
+	"strings"
+	"time"
+
+	"hollyyoke.example/hollyyoke/decision"
+)
+
+// Export returns the address of discovery, and the list in its wire form, for a successor process.
+func (r *Registry) Export() (addr string, list json.RawMessage, err error) {
+	exported := endpointList{Version: r.watch.version, Snapshot: true, Endpoints: []endpoint{}}
+	if f := r.follower; f != nil {
+		exported.Version = int64(f.version)
+		if f.resumable && f.completeThrough == f.version {
+			exported.Settings = f.appliedSettings()
+		}
+	}
+	for _, worker := range r.workers {
+		listed := worker.endpoint
+		listed.Health = formatHealth(worker.State)
+		exported.Endpoints = append(exported.Endpoints, listed)
+	}
+	slices.SortFunc(exported.Endpoints, func(a, b endpoint) int { return strings.Compare(a.Name, b.Name) })
+	age := (r.dispatcher.Loop.Now() - r.tracker.ConfirmedAt()).Milliseconds()
+	exported.AgeMs = &age
+	list, err = json.Marshal(exported)
+	return r.watch.address, list, err
+}
+
+// Import takes in the list that a predecessor process has exported, unless the source has been heard here already.
+// Nothing is applied of a list that is wrong, for which an error is returned.
+func (r *Registry) Import(raw json.RawMessage) error {
+	if r.watch.established || r.follower != nil && r.follower.active != nil {
+		return nil
+	}
+	var list endpointList
+	if err := json.Unmarshal(raw, &list); err != nil {
+		return err
+	}
+	if r.follower != nil {
+		return r.follower.adoptHandover(&list)
+	}
+	entries, err := r.parseAndAdopt(list.Endpoints)
+	if err != nil {
+		return err
+	}
+	r.watch.version = max(r.watch.version, list.Version)
+	r.replaceAll(entries)
+	if list.AgeMs != nil {
+		r.tracker.HandedOver(r.dispatcher.Loop.Now(), time.Duration(*list.AgeMs)*time.Millisecond)
+	}
+	r.refreshAndSchedule()
+	return nil
+}
+
+// replaceAll puts a complete list, which has been adopted, in place of what is known. The initial list stays withheld.
+func (r *Registry) replaceAll(entries []decision.Endpoint) {
+	r.removeUnlisted(entries)
+	if r.initialEntries == nil {
+		r.dispatcher.UpdateWorkers(r.client, decision.ListSnapshot, entries)
+		return
+	}
+	clear(r.initialEntries)
+	for _, entry := range entries {
+		r.initialEntries[entry.Name] = entry
+	}
+}
--- /dev/null
+++ b/internal/discovery/httpconn.go
@@ -0,0 +1,192 @@
+package discovery
+
+import (
+	"errors"
+	"time"
+
+	"hollyyoke.example/hollyyoke/internal/eventloop"
+	"hollyyoke.example/hollyyoke/internal/transport"
+)
+
+const (
+	connectTimeout = time.Second
+
+	// responseIdleTimeout is the longest time without a byte of a response; a watch has one every 2 s.
+	responseIdleTimeout = 3 * time.Second
+)
+
+var errConnectionClosed = errors.New("the connection was closed")
+
+// httpConn is a client connection to a membership server. It carries one request at a time and is kept for the next
+// one. Its callbacks run on the event loop's goroutine and must be set before the first request.
+type httpConn struct {
+	registry     *Registry
+	address      string // host:port
+	headerFields string // of each request, each field ended by CRLF
+
+	onConnected func()                   // a connection was established
+	onProgress  func()                   // a part of the response has come, not its end
+	onBody      func(piece []byte) error // takes a piece of the body; an error ends the request
+	onDone      func(err error)          // the request is complete, or has failed
+
+	conn             *transport.Conn // nil: none
+	generation       int             // counts connections: what a callback of an earlier one brings is ignored
+	request          []byte
+	awaitingResponse bool // or its rest
+	reused           bool // the connection has carried a response before, and may have been closed unnoticed since
+	response         responseReader
+	timeout          eventloop.Deadline
+	timeoutExtended  bool // by unreadDataGrace
+}
+
+var _ transport.Handler = (*httpConn)(nil)
+
+// get sends a GET request, on the connection that is open or on a new one.
+func (h *httpConn) get(target string) {
+	h.request = append(h.request[:0], "GET "...)
+	h.request = append(h.request, target...)
+	h.request = append(h.request, " HTTP/1.1\r\nHost: "...)
+	h.request = append(h.request, h.address...)
+	h.request = append(h.request, "\r\n"...)
+	h.request = append(h.request, h.headerFields...)
+	h.request = append(h.request, "\r\n"...)
+	h.awaitingResponse = true
+	if h.conn != nil {
+		h.send()
+		return
+	}
+	h.dial()
+}
+
+// dial opens a connection and sends the request on it.
+func (h *httpConn) dial() {
+	h.generation++
+	generation := h.generation
+	h.reused = false
+	h.timeout.Fire = h.onTimeout
+	loop := h.registry.dispatcher.Loop
+	loop.Set(&h.timeout, loop.Now()+connectTimeout+responseIdleTimeout)
+	h.registry.engine.DialReserved(h.address, connectTimeout, h, func(conn *transport.Conn, err error) {
+		switch {
+		case generation != h.generation:
+			if conn != nil {
+				conn.Close()
+			}
+		case err != nil:
+			if errors.Is(err, transport.ErrNoDescriptor) {
+				h.registry.client.CloseAllIdle()
+			}
+			h.finish(err)
+		default:
+			h.conn = conn
+			h.onConnected()
+			h.send()
+		}
+	})
+}
+
+// send writes the request.
+func (h *httpConn) send() {
+	h.restartTimeout()
+	if !h.conn.Write(h.request) {
+		h.connectionLost()
+		return
+	}
+	h.registry.stats.BytesWritten += int64(len(h.request))
+}
+
+// restartTimeout gives the server time for its next bytes.
+func (h *httpConn) restartTimeout() {
+	h.timeoutExtended = false
+	loop := h.registry.dispatcher.Loop
+	loop.Set(&h.timeout, loop.Now()+responseIdleTimeout)
+}
+
+// onTimeout ends a request on which nothing has come in time. Where bytes are waiting to be read, it is extended once,
+// and not again.
+func (h *httpConn) onTimeout() {
+	if h.conn == nil || h.timeoutExtended || h.conn.NothingUnread() {
+		h.finish(errTimeout)
+		return
+	}
+	h.timeoutExtended = true
+	loop := h.registry.dispatcher.Loop
+	loop.Set(&h.timeout, loop.Now()+unreadDataGrace)
+}
+
+// OnData implements transport.Handler: it reads what the server has sent.
+func (h *httpConn) OnData(conn *transport.Conn, received *transport.Buffer) {
+	pool := &h.registry.engine.Pool
+	defer pool.Put(received)
+	if conn != h.conn {
+		return
+	}
+	h.registry.stats.BytesRead += int64(len(received.Bytes()))
+	if !h.awaitingResponse { // nothing was requested, so this is no response to anything
+		h.close()
+		return
+	}
+	h.restartTimeout()
+	done, err := h.response.feed(pool, received.Bytes(), h.onBody)
+	switch {
+	case err != nil || done:
+		h.finish(err)
+	case h.conn == conn:
+		h.onProgress()
+	}
+}
+
+// OnClosed implements transport.Handler: the server has closed the connection, or it broke.
+func (h *httpConn) OnClosed(conn *transport.Conn, _ error) {
+	if conn == h.conn {
+		h.connectionLost()
+	}
+}
+
+// connectionLost ends a request whose connection is gone, or repeats it on a new connection where the old one may have
+// been closed before the request.
+func (h *httpConn) connectionLost() {
+	retry := h.awaitingResponse && h.reused && h.response.buffer == nil
+	if retry {
+		h.disconnect()
+		h.dial()
+		return
+	}
+	h.finish(errConnectionClosed)
+}
+
+// finish ends the request. The connection is kept after a complete response.
+func (h *httpConn) finish(err error) {
+	wasAwaiting := h.awaitingResponse
+	closesConnection := h.response.closesConnection
+	gzipped := h.response.gzipped
+	h.registry.dispatcher.Loop.Clear(&h.timeout)
+	h.response.reset(&h.registry.engine.Pool)
+	h.response.gzipped = gzipped // read by onDone
+	h.awaitingResponse = false
+	h.reused = true
+	if err != nil || closesConnection {
+		h.disconnect()
+	}
+	if wasAwaiting {
+		h.onDone(err)
+	}
+}
+
+// disconnect closes the connection, if there is one, and forgets it.
+func (h *httpConn) disconnect() {
+	h.registry.dispatcher.Loop.Clear(&h.timeout)
+	h.response.reset(&h.registry.engine.Pool)
+	h.generation++
+	conn := h.conn
+	if conn != nil {
+		h.conn = nil
+		conn.Close()
+	}
+}
+
+// close ends the request without a call of onDone, and disconnects.
+func (h *httpConn) close() {
+	h.awaitingResponse = false
+	h.disconnect()
+}
--- /dev/null
+++ b/internal/discovery/objectsplitter.go
@@ -0,0 +1,91 @@
+package discovery
+
+import "errors"
+
+const (
+	maxObjectBytes      = 4 << 20  // of one object; a list of ten thousand workers has a third of it
+	maxRetainedCapacity = 64 << 10 // bytes of buffer that are kept for the next object
+)
+
+var errInvalidObject = errors.New("not a JSON object, or one of over 4 MB")
+
+// stringTracker tells which bytes of a JSON text belong to a string.
+type stringTracker struct {
+	inString bool
+	escaped  bool // the previous byte was a backslash inside a string
+}
+
+// inside reports whether c, the next byte, belongs to a string that has begun, which includes its closing quote. The
+// caller sets inString at an opening quote.
+func (s *stringTracker) inside(c byte) bool {
+	if s.escaped {
+		s.escaped = false
+		return true
+	}
+	if !s.inString {
+		return false
+	}
+	s.escaped = c == '\\'
+	s.inString = c != '"'
+	return true
+}
+
+// objectSplitter splits a stream into JSON objects, however it arrives: an object may span lines and reads, and a line
+// may hold several. It also reports the line ends between objects, which a server sends to show that it is alive. It
+// does not check that an object is well-formed.
+type objectSplitter struct {
+	partial []byte // the beginning of an object whose end has not come
+	depth   int    // of nested objects and arrays; 0: between objects
+	text    stringTracker
+}
+
+// next takes bytes from the start of data up to the end of an object, which it returns, or up to a line end between
+// objects, for which it returns an empty object. The object is valid until the next call. used is the number of bytes
+// taken. complete is false if the data ends first, all of which is taken then.
+func (o *objectSplitter) next(data []byte) (object []byte, used int, complete bool, err error) {
+	if o.depth == 0 {
+		o.discard()
+	}
+	start := 0 // of the part of the object that data holds
+	for i, c := range data {
+		switch {
+		case o.text.inside(c):
+		case o.depth == 0 && c == '\n':
+			return nil, i + 1, true, nil
+		case c == ' ' || c == '\t' || c == '\r':
+		case c == '{' || c == '[' && o.depth > 0:
+			if o.depth == 0 {
+				start = i
+			}
+			o.depth++
+		case o.depth == 0:
+			return nil, 0, false, errInvalidObject
+		case c == '"':
+			o.text.inString = true
+		case c == '}' || c == ']':
+			o.depth--
+			if o.depth == 0 {
+				o.partial = append(o.partial, data[start:i+1]...)
+				return o.partial, i + 1, true, nil
+			}
+		}
+	}
+	if o.depth > 0 {
+		o.partial = append(o.partial, data[start:]...)
+	}
+	if len(o.partial) > maxObjectBytes {
+		return nil, 0, false, errInvalidObject
+	}
+	return nil, len(data), false, nil
+}
+
+// discard empties the buffer for the next object, and frees a large one.
+func (o *objectSplitter) discard() {
+	o.partial = o.partial[:0]
+	if cap(o.partial) > maxRetainedCapacity {
+		o.partial = nil
+	}
+}
+
+// midObject reports whether an object has begun and not ended.
+func (o *objectSplitter) midObject() bool { return o.depth > 0 }
--- a/internal/discovery/registry.go
+++ b/internal/discovery/registry.go
@@ -1,14 +1,17 @@
-// Package discovery owns what is known of the workers: the endpoint list, since when it is known, and whether it may
-// be acted on. It follows one source of changes, either discovery's watch or a server of versioned changes (package
-// membership), checks each list or change as a whole, and gives it to the dispatcher on behalf of the worker client.
+// Package discovery keeps the endpoint list: which workers there are, how recently their source was heard, and whether
+// the list may still be acted on.
 //
-// A Registry belongs to the event loop's goroutine. It must never take in a part of a list of which another part is
-// wrong, replace a newer version by an older one, nor let a list count as current longer than package freshness says.
+// A [Registry] follows one source of updates. The source is either the discovery watch, a single long-lived HTTP call
+// whose answer is a stream of lists and changes, or one of several membership servers (origins and relays, package
+// membership), which serve numbered versions as snapshots and deltas. Each list or change is checked as a whole before
+// any of it is applied, an older version never replaces a newer one, and package freshness decides how long a list
+// counts as current. What is applied is reported to the dispatcher on behalf of the worker client.
+//
+// A Registry and everything it owns belong to the event loop's goroutine.
 package discovery
 
 import (
 	"math/rand/v2"
-	"time"
 
 	"hollyyoke.example/hollyyoke/decision"
 	"hollyyoke.example/hollyyoke/internal/dispatch"
@@ -18,74 +21,89 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-// WorkerClient is the worker client under whose name the registry gives its list to the dispatcher. It is told of
-// changes that matter to connections.
+// WorkerClient is the worker client on whose behalf the registry reports its list to the dispatcher. The registry
+// notifies it of changes that matter to connections.
 type WorkerClient interface {
 	dispatch.WorkerClient
-	// WorkerLeaving tells that a worker drains or was removed, from now on.
-	WorkerLeaving(b *Worker)
+	// WorkerLeaving reports that a worker has begun to drain or was removed.
+	WorkerLeaving(worker *Worker)
 	// CloseIdleTo closes the idle connections to a worker that was removed or whose address has changed.
-	CloseIdleTo(b *Worker)
-	// CloseAllIdle closes the idle connections to all workers, since no descriptor is free.
+	CloseIdleTo(worker *Worker)
+	// CloseAllIdle closes the idle connections to all workers, since no file descriptor is free.
 	CloseAllIdle()
 }
 
-// Registry is what is known of the workers: the endpoint list, since when it is known, and whether it may be acted on.
-// It belongs to the loop's goroutine.
+// Registry is the endpoint list and the state of the source that it comes from. It belongs to the event loop's
+// goroutine.
 type Registry struct {
 	dispatcher *dispatch.Dispatcher
 	engine     *transport.Engine
 	client     WorkerClient
-	workers    map[string]*Worker
-	watch      watch
-	initialEntries    map[string]decision.Endpoint // the list known at the start, until discovery has spoken
-	initialTimeout eventloop.Deadline           // until when that is waited for
+	workers    map[string]*Worker // by name; removed workers are not in it
 
-	// OnUpdate is called when discovery has told something; nil: nobody wants to know.
-	OnUpdate func()
+	watch    watch     // the discovery watch; unused while follower is set
+	follower *follower // follows membership servers; nil: the discovery watch is the source
+	stats    Stats
 
-	// OnVersionApplied is called when a version followed has come into force; nil: nobody wants to know.
-	OnVersionApplied func(v membership.Version)
+	// initialEntries is the initial endpoint list, by worker name, which is withheld from the dispatcher until the
+	// source is heard or initialTimeout expires; nil: a list has been published.
+	initialEntries map[string]decision.Endpoint
+	initialTimeout eventloop.Deadline
 
-	applySettings func(changes []settingChange) error // puts changed settings in force, all or none
+	tracker        freshness.Tracker   // the age of the list
+	knowledge      freshness.Knowledge // as last reported to the dispatcher
+	freshnessTimer eventloop.Deadline  // when the knowledge may change by itself
+	usable         bool                // the published list has been good enough to send by since the start
 
-	tracker       freshness.Tracker   // how old what hosts holds is
-	knowledge freshness.Knowledge // as the module was told last
-	freshnessTimer    eventloop.Deadline  // when that may change by itself
-	usable    bool                // it has been good for something since the start
+	// applySettings puts changed settings in force, all or none.
+	applySettings func(changes []settingChange) error
 
-	follower *follower // follows versioned changes in place of the watch; nil: the watch is open
-	stats    Stats
-}
-
-// Worker is one worker as discovery told it last.
-type Worker struct {
-	Name, Address string
-	State         decision.WorkerState
-	Since         time.Duration // when that state was told
-	endpoint        endpoint      // discovery's words
+	// OnUpdate, unless nil, is called after a list or change of the source has been applied.
+	OnUpdate func()
 
-	proof       freshness.Proof // that it serves
-	healthConfirmedAt time.Duration   // when the latest probe left that it answered; 0: never
-	suspended   bool            // the module was told to send it nothing
+	// OnVersionApplied, unless nil, is called with each version of a membership server that has been applied.
+	OnVersionApplied func(version membership.Version)
 }
 
-// New returns a registry that follows discovery at addr.
+// New returns a registry that follows the discovery service at addr, a host:port; empty: there is none.
 func New(d *dispatch.Dispatcher, e *transport.Engine, addr string) *Registry {
-	s := &Registry{dispatcher: d, engine: e, workers: map[string]*Worker{}}
-	s.watch = watch{registry: s, address: addr, random: rand.New(rand.NewPCG(d.Seed, 0))}
-	s.watch.timeout.Fire = s.watch.onTimeout
-	s.watch.nextCall.Fire = s.watch.open
-	s.applySettings = s.reconfigureDispatcher
-	s.freshnessTimer.Fire = s.refreshAndSchedule
-	s.tracker.CanCheckHealth = d.Settings.HealthChecks
-	d.Loop.OnStall = func() { s.tracker.Stalled(d.Loop.Now()) }
-	s.initialTimeout.Fire = func() { s.publishInitial(nil) }
-	return s
+	r := &Registry{dispatcher: d, engine: e, workers: map[string]*Worker{}}
+	r.watch = watch{registry: r, address: addr, random: rand.New(rand.NewPCG(d.Seed, 0))}
+	r.watch.timeout.Fire = r.watch.onTimeout
+	r.watch.nextCall.Fire = r.watch.open
+	r.applySettings = r.reconfigureDispatcher
+	r.freshnessTimer.Fire = r.refreshAndSchedule
+	r.initialTimeout.Fire = func() { r.publishInitial(nil) }
+	r.tracker.CanCheckHealth = d.Settings.HealthChecks
+	d.Loop.OnStall = func() { r.tracker.Stalled(d.Loop.Now()) }
+	return r
 }
 
-// Attach names the worker client. It must come before the first list.
-func (s *Registry) Attach(client WorkerClient) { s.client = client }
+// Attach sets the worker client. It must be called before the first list is loaded.
+func (r *Registry) Attach(client WorkerClient) { r.client = client }
 
-// Worker finds a listed worker; nil: there is none of that name.
-func (s *Registry) Worker(name string) *Worker { return s.workers[name] }
+// Worker returns the listed worker of that name, or nil.
+func (r *Registry) Worker(name string) *Worker { return r.workers[name] }
+
+// HasRunning reports whether a listed worker accepts new work.
+func (r *Registry) HasRunning() bool {
+	for _, worker := range r.workers {
+		if worker.State == decision.Running {
+			return true
+		}
+	}
+	return false
+}
+
+// Version is the newest version that the discovery watch has applied; 0: none.
+func (r *Registry) Version() int64 { return r.watch.version }
+
+// Ready reports whether the dispatcher has been given a list that has been usable: one of the source's, or the initial
+// endpoint list after its timeout.
+func (r *Registry) Ready() bool { return r.initialEntries == nil && r.Usable() }
+
+// Usable reports whether the list has, at any time since the start, been fresh enough to send requests by.
+func (r *Registry) Usable() bool {
+	r.Refresh()
+	return r.usable
+}
--- a/internal/discovery/relaywatch_test.go
+++ b/internal/discovery/relaywatch_test.go
@@ -333,7 +333,7 @@
 		s.reaches(membership.Version(v), "a=ready "+strings.Join([]string{"b2=ready", "b3=ready", "b4=ready", "b5=ready"}[:v-1], " "))
 	}
 	s.Do(func() {
-		if f := s.registry.follower; !f.active.ignoresVersion || f.acknowledgementDue {
+		if f := s.registry.follower; !f.active.ignoresVersion || f.acknowledgementScheduled {
 			t.Error("it is called again")
 		}
 	})
@@ -451,7 +451,7 @@
 	s.Write(t, watch, testkit.Chunk(state(6, false, "a=draining")+"\n"))
 	release()
 	s.reaches(6, "a=draining")
-	if n := s.logged("silent"); n != 0 {
+	if n := s.logged(errTimeout.Error()); n != 0 {
 		t.Error("the watch counts as silent")
 	}
 }
@@ -558,9 +558,9 @@
 		"hosts[1].health: unknown value":                          good + `,{"host":"b","dial":"127.0.0.1:9","health":"asleep"}`,
 		"hosts[1].dial":                                           good + `,{"host":"b","dial":"nowhere","health":"ready"}`,
 		"hosts[1].host is empty":                                  good + `,{"dial":"127.0.0.1:9","health":"ready"}`,
-		"hosts[1].block: a string cannot stand here":              good + `,{"host":"b","block":"7"}`,
+		"hosts[1].block: unexpected string":                       good + `,{"host":"b","block":"7"}`,
 		"limits.max_attempts":                                     good + `],"settings":[{"key":"over_share_worth","value":2},{"key":"limits.max_attempts","value":3}`,
-		"settings[0].key: a number cannot stand here":             good + `],"settings":[{"key":7}`,
+		"settings[0].key: unexpected number":                      good + `],"settings":[{"key":7}`,
 		"hosts[0].health: unknown value \"asleep\"; version 5 st": `{"host":"a","dial":"127.0.0.1:9","health":"asleep"},` + good,
 	} {
 		t.Run(field, func(t *testing.T) {
@@ -576,7 +576,7 @@
 			watch.tell(state(7, false, "c=ready"))
 			s.reaches(7, "a=ready c=ready")
 			s.follows(home)
-			if n := s.logged("is refused whole"); n != 1 || s.logged(field) != 1 {
+			if n := s.logged("rejected: "); n != 1 || s.logged(field) != 1 {
 				t.Errorf("%d lines, %d name the field: %q", n, s.logged(field), s.lines)
 			}
 		})
@@ -810,7 +810,7 @@
 	f.Add([]byte("{ \"seq\" :\n\n 1 , \"hosts\":[ {\"host\": \"a  \\\"  b\" } ] }"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		c, err := decodeChange(bytes.NewReader(text))
-		again, errAgain := decodeChange(&whitespaceCompactor{in: iotest.OneByteReader(bytes.NewReader(text))})
+		again, errAgain := decodeChange(&whitespaceCompactor{source: iotest.OneByteReader(bytes.NewReader(text))})
 		if (err == nil) != (errAgain == nil) || fmt.Sprint(c.endpoints, c.version) != fmt.Sprint(again.endpoints, again.version) {
 			t.Errorf("%q: %+v, %v; byte by byte %+v, %v", text, c, err, again, errAgain)
 		}
--- /dev/null
+++ b/internal/discovery/subscription.go
@@ -0,0 +1,260 @@
+package discovery
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"net/url"
+	"strconv"
+	"time"
+
+	"hollyyoke.example/hollyyoke/internal/membership"
+)
+
+// maxObjectTime is how long one object of a watch may take to arrive, against a server that sends without end.
+const maxObjectTime = time.Minute
+
+var (
+	errUnendedObject = errors.New("an object of the watch does not end")
+
+	// errBaseMismatch ends a watch whose server continues from a state that is not in force here. The next poll
+	// tells the server which one is.
+	errBaseMismatch = errors.New("a delta does not fit the version in force")
+)
+
+// subscription is the state with one membership server. It uses two connections: a poll asks for what is newer than a
+// version, to catch up and later to acknowledge, and its response may be compressed; the watch, opened once caught up,
+// streams the changes after that.
+type subscription struct {
+	follower *follower
+	server   membership.Server
+
+	exclusiveUntil time.Duration // until then no attempt at another server is started beside this one
+
+	pollConn               httpConn
+	polling                bool
+	polledVersion          membership.Version // that the last poll asked to continue from
+	pollBody               responseBody
+	failedAcknowledgements int // in a row
+
+	watchConn       httpConn
+	splitter        objectSplitter
+	objectStartedAt time.Duration      // when the object that is arriving began; 0: none is
+	version         membership.Version // the newest that the server has told
+	watchEndVersion membership.Version // the newest when the server last ended the watch in order
+	reopenWatch     bool               // it did so during a poll: catch up and open the watch again after that
+
+	// ignoresVersion is set where the server answers polls with its complete list, whatever version they tell, so that
+	// each acknowledgement there would cost a snapshot.
+	ignoresVersion bool
+}
+
+// start sends the poll that catches up.
+func (s *subscription) start() {
+	registry := s.follower.registry
+	s.pollConn = httpConn{
+		registry:     registry,
+		address:      s.server.Address,
+		headerFields: "Accept-Encoding: gzip\r\n",
+		onConnected:  s.onConnected,
+		onProgress:   s.onPollProgress,
+		onBody:       s.onPollBody,
+	}
+	s.watchConn = httpConn{
+		registry:    registry,
+		address:     s.server.Address,
+		onConnected: s.onConnected,
+		onProgress:  s.onWatchProgress,
+		onBody:      s.onWatchBody,
+		onDone:      s.onWatchEnded,
+	}
+	s.poll(s.follower.resumeVersion(), s.onCaughtUp)
+}
+
+// close ends the subscription. The follower is not notified.
+func (s *subscription) close() {
+	s.pollConn.close()
+	s.watchConn.close()
+}
+
+func (s *subscription) now() time.Duration { return s.follower.registry.dispatcher.Loop.Now() }
+
+func (s *subscription) onConnected() { s.exclusiveUntil = s.now() + answerStagger }
+
+// receiving reports whether the response to a poll is arriving.
+func (s *subscription) receiving() bool { return s.polling && s.pollConn.response.headRead }
+
+// requestTarget returns the target of a poll, or of a watch with the parameter for one in prefix.
+func (s *subscription) requestTarget(prefix string, after membership.Version) string {
+	return "/v1/servers?" + prefix + "after=" + strconv.FormatInt(int64(after), 10) +
+		"&name=" + url.QueryEscape(s.follower.config.Name)
+}
+
+// incompleteParameters returns what a poll adds to its target where changes up to the version that it tells are
+// missing: only the version before them is acknowledged as in force.
+func (s *subscription) incompleteParameters(after membership.Version) string {
+	completeThrough := s.follower.completeThrough
+	if completeThrough >= after {
+		return ""
+	}
+	return "&acked=" + strconv.FormatInt(int64(completeThrough), 10) + "&fleet=1"
+}
+
+// poll asks for what is newer than a version, which also acknowledges that one, and calls onChange with the answer.
+func (s *subscription) poll(after membership.Version, onChange func(c change, err error)) {
+	s.polling = true
+	s.polledVersion = after
+	s.pollConn.onDone = func(err error) {
+		s.polling = false
+		body := s.pollBody
+		s.pollBody = responseBody{}
+		var c change
+		if err == nil {
+			c, err = body.decode(s.pollConn.response.gzipped)
+			c.base = after
+		}
+		onChange(c, err)
+	}
+	s.pollConn.get(s.requestTarget("", after) + s.incompleteParameters(after))
+}
+
+func (s *subscription) onPollProgress() {
+	if len(s.pollBody.data) == 0 {
+		s.exclusiveUntil = s.now() + receiveStagger
+	}
+}
+
+func (s *subscription) onPollBody(piece []byte) error {
+	return s.pollBody.append(piece, s.pollConn.response.remaining)
+}
+
+// onCaughtUp applies the answer to the poll that catches up, and opens the watch after it.
+func (s *subscription) onCaughtUp(c change, err error) {
+	f := s.follower
+	if err == nil && c.version < f.version {
+		err = fmt.Errorf("the server is behind: it has version %d, and %d is in force here", c.version, f.version)
+	}
+	if err != nil {
+		f.subscriptionFailed(s, err)
+		return
+	}
+	s.detectIgnoredVersion(c)
+	s.version = c.version
+	if f.apply(c) == changeMismatched {
+		f.subscriptionFailed(s, errBaseMismatch)
+		return
+	}
+	s.exclusiveUntil = s.now() + answerStagger
+	s.watchConn.get(s.requestTarget("watch=1&", c.version))
+	if s == f.active {
+		f.acknowledgedVersion = s.polledVersion
+		f.acknowledgedAt = s.now()
+		f.scheduleAcknowledgement()
+	}
+}
+
+// detectIgnoredVersion sets ignoresVersion by an answer that repeats the version it was told as a snapshot.
+func (s *subscription) detectIgnoredVersion(c change) {
+	if s.polledVersion > 0 && c.snapshot && c.version == s.polledVersion {
+		s.ignoresVersion = true
+	}
+}
+
+// catchUp polls for what the watch has left out and opens the watch again, after the poll in progress, if there is one.
+func (s *subscription) catchUp() {
+	s.reopenWatch = s.polling
+	if s.polling {
+		return
+	}
+	s.poll(s.follower.resumeVersion(), s.onCaughtUp)
+}
+
+// onWatchProgress puts the server in use as its watch begins, if no other is.
+func (s *subscription) onWatchProgress() {
+	f := s.follower
+	if f.active == nil && s.watchConn.response.headRead {
+		f.activate(s)
+	}
+}
+
+// onWatchEnded handles the end of the watch. A server ends it in order where a change is better fetched by a poll,
+// whose response is compressed. One that does so again without anything newer has failed.
+func (s *subscription) onWatchEnded(err error) {
+	if err == nil && s.version > s.watchEndVersion {
+		s.watchEndVersion = s.version
+		s.catchUp()
+		return
+	}
+	if err == nil {
+		err = errWatchEnded
+	}
+	s.follower.subscriptionFailed(s, err)
+}
+
+// onWatchBody reads a piece of the watch.
+func (s *subscription) onWatchBody(data []byte) error {
+	if s.watchConn.response.gzipped {
+		return errContentCoding
+	}
+	for len(data) > 0 {
+		object, used, complete, err := s.splitter.next(data)
+		if err != nil {
+			return err
+		}
+		data = data[used:]
+		if !complete {
+			break
+		}
+		s.objectStartedAt = 0
+		if err := s.readLine(object); err != nil {
+			return err
+		}
+	}
+	return s.checkObjectTime()
+}
+
+// checkObjectTime fails once an object has been arriving for too long.
+func (s *subscription) checkObjectTime() error {
+	now := s.now()
+	switch {
+	case !s.splitter.midObject():
+		s.objectStartedAt = 0
+	case s.objectStartedAt == 0:
+		s.objectStartedAt = now
+	case now-s.objectStartedAt > maxObjectTime:
+		return errUnendedObject
+	}
+	return nil
+}
+
+// readLine handles one line of the watch: a change, or an empty line that only shows that the server is alive. A server
+// that has caught up with the version in force replaces the one in use.
+func (s *subscription) readLine(text []byte) error {
+	f := s.follower
+	if len(text) == 0 {
+		f.registry.publishInitial(nil) // the state in force is confirmed
+	} else if err := s.readChange(text); err != nil {
+		return err
+	}
+	if s != f.active && s.version >= f.version {
+		f.activate(s)
+	}
+	return nil
+}
+
+// readChange applies a change of the watch.
+func (s *subscription) readChange(text []byte) error {
+	c, err := decodeChange(bytes.NewReader(text))
+	if err != nil {
+		return err
+	}
+	if c.version < s.version {
+		return fmt.Errorf("version %d after version %d on one watch", c.version, s.version)
+	}
+	c.base = s.version
+	s.version = c.version
+	if s.follower.apply(c) == changeMismatched {
+		return errBaseMismatch
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/discovery/update.go
@@ -0,0 +1,97 @@
+package discovery
+
+import (
+	"hollyyoke.example/hollyyoke/decision"
+)
+
+// parseAndAdopt checks a list and adopts it, or returns an error and adopts none of it.
+func (r *Registry) parseAndAdopt(list []endpoint) ([]decision.Endpoint, error) {
+	entries, err := r.parse(list)
+	if err != nil {
+		return nil, err
+	}
+	r.adopt(list, entries)
+	return entries, nil
+}
+
+// adopt updates the workers by a list and its parsed form. Workers that are not in the list stay as they are.
+func (r *Registry) adopt(list []endpoint, entries []decision.Endpoint) {
+	for i, entry := range entries {
+		worker := r.workers[entry.Name]
+		switch {
+		case entry.State != decision.Removed:
+			r.upsert(worker, &list[i], entry.State)
+		case worker != nil:
+			r.remove(worker)
+		}
+	}
+}
+
+// upsert updates a worker by its listed endpoint, or adds it where worker is nil.
+func (r *Registry) upsert(worker *Worker, listed *endpoint, state decision.WorkerState) {
+	now := r.dispatcher.Loop.Now()
+	if worker == nil {
+		worker = &Worker{Name: listed.Name, Address: listed.Address, State: state, Since: now}
+		r.workers[listed.Name] = worker
+	}
+	if worker.Address != listed.Address {
+		r.client.CloseIdleTo(worker)
+		worker.Address = listed.Address
+	}
+	worker.endpoint = *listed
+	if worker.State == state {
+		return
+	}
+	worker.State = state
+	worker.Since = now
+	if state == decision.Draining {
+		r.client.WorkerLeaving(worker)
+	}
+}
+
+// removeUnlisted removes the workers that a complete list lacks.
+func (r *Registry) removeUnlisted(entries []decision.Endpoint) {
+	listed := make(map[string]bool, len(entries))
+	for _, entry := range entries {
+		listed[entry.Name] = true
+	}
+	for name, worker := range r.workers {
+		if !listed[name] {
+			r.remove(worker)
+		}
+	}
+}
+
+// remove removes one worker. Requests in flight there are left to the worker client.
+func (r *Registry) remove(worker *Worker) {
+	if worker.State != decision.Removed {
+		worker.State = decision.Removed
+		worker.Since = r.dispatcher.Loop.Now()
+		r.client.WorkerLeaving(worker)
+	}
+	r.client.CloseIdleTo(worker)
+	delete(r.workers, worker.Name)
+}
+
+// publish reports a list or change of the source, which has been adopted, to the dispatcher. A change that is the first
+// update goes out with the initial endpoint list; a snapshot replaces that list.
+func (r *Registry) publish(snapshot bool, entries []decision.Endpoint) {
+	switch {
+	case snapshot:
+		r.removeUnlisted(entries)
+		r.initialEntries = nil
+		r.dispatcher.Loop.Clear(&r.initialTimeout)
+		r.dispatcher.UpdateWorkers(r.client, decision.ListSnapshot, entries)
+	case r.initialEntries != nil:
+		r.publishInitial(entries)
+	default:
+		r.dispatcher.UpdateWorkers(r.client, decision.ListDelta, entries)
+	}
+}
+
+// notifyUpdate calls OnUpdate, if anything is set there.
+func (r *Registry) notifyUpdate() {
+	if r.OnUpdate != nil {
+		r.OnUpdate()
+	}
+}
--- /dev/null
+++ b/internal/discovery/worker.go
@@ -0,0 +1,37 @@
+package discovery
+
+import (
+	"time"
+
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/freshness"
+)
+
+// Worker is one worker as its source listed it last.
+type Worker struct {
+	Name    string
+	Address string // host:port
+	State   decision.WorkerState
+	Since   time.Duration // loop time at which State was learned
+
+	endpoint          endpoint // as listed
+	proof             freshness.Proof
+	healthConfirmedAt time.Duration // when the latest health check that succeeded was sent; 0: never
+	suspended         bool          // the dispatcher was told to send it nothing
+}
+
+// HealthConfirmed reports that a worker has passed a health check that was sent at loop time sentAt.
+func (r *Registry) HealthConfirmed(worker *Worker, sentAt time.Duration) {
+	worker.healthConfirmedAt = sentAt
+}
+
+// HealthDenied reports that a worker failed a health check. It is suspended where the list alone does not vouch for it.
+func (r *Registry) HealthDenied(worker *Worker) {
+	worker.proof.Denied(&r.tracker)
+	if r.knowledge == freshness.Unconfirmed {
+		r.suspend(worker)
+	}
+}
+
+// ConnectFailed reports that no connection to a worker could be established.
+func (r *Registry) ConnectFailed(worker *Worker) { worker.proof.Denied(&r.tracker) }
