--- /dev/null
+++ b/internal/discovery/change_test.go
@@ -0,0 +1,31 @@
+package discovery
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"testing"
+	"testing/iotest"
+)
+
+// FuzzDecodeChange: what is read is what encoding/json reads of the whole text.
+func FuzzDecodeChange(f *testing.F) {
+	f.Add([]byte(encodeChange(3, true, "a=ready")))
+	f.Add([]byte(`{"seq":1,"more":[{}],"hosts":null,"settings":[{"key":"k","value":[1]}]}`))
+	f.Add([]byte(`{"seq":1,"hosts":[{"host":7}]} x`))
+	f.Add([]byte("{ \"seq\" :\n\n 1 , \"hosts\":[ {\"host\": \"a  \\\"  b\" } ] }"))
+	f.Fuzz(func(t *testing.T, text []byte) {
+		c, err := decodeChange(bytes.NewReader(text))
+		again, errAgain := decodeChange(&whitespaceCompactor{source: iotest.OneByteReader(bytes.NewReader(text))})
+		if (err == nil) != (errAgain == nil) || fmt.Sprint(c.endpoints, c.version) != fmt.Sprint(again.endpoints, again.version) {
+			t.Errorf("%q: %+v, %v; byte by byte %+v, %v", text, c, err, again, errAgain)
+		}
+		var list endpointList
+		if json.Unmarshal(text, &list) != nil || err != nil || c.typeError != nil {
+			return
+		}
+		if fmt.Sprint(c.endpoints, c.version, c.snapshot) != fmt.Sprint(list.Endpoints, list.Version, list.Snapshot) {
+			t.Errorf("%q: %+v, want %+v", text, c, list)
+		}
+	})
+}
--- a/internal/discovery/staleness.go
+++ b/internal/discovery/staleness.go
@@ -52,8 +52,8 @@
 	return knowledge
 }
 
-// sourceHeard records that a complete line of the discovery watch has been applied.
-func (r *Registry) sourceHeard() {
+// sourceConfirmed records that a complete line of the discovery watch has been applied.
+func (r *Registry) sourceConfirmed() {
 	r.tracker.Confirmed(r.dispatcher.Loop.Now())
 	r.refreshAndSchedule()
 	if r.knowledge == freshness.Unknown { // workers listed just now are not suspended yet
--- a/internal/discovery/watchreader.go
+++ b/internal/discovery/watchreader.go
@@ -132,7 +132,7 @@
 	} else if first || w.registry.initialEntries != nil {
 		w.registry.publish(false, nil) // nothing has changed, which the dispatcher waits to hear after a call
 	}
-	w.registry.sourceHeard()
+	w.registry.sourceConfirmed()
 	return nil
 }
 
