--- a/internal/discovery/acknowledgement.go
+++ b/internal/discovery/acknowledgement.go
@@ -11,7 +11,7 @@
 	maxFailedAcknowledgements = 3
 )
 
-// scheduleAcknowledgement schedules the next poll of the server in use, which tells it the version in force. After a
+// scheduleAcknowledgement schedules the next poll of the server in use, which sends it the version in force. After a
 // change that is not at once but at a random moment, so that the subscribers of a server do not poll it together.
 func (f *follower) scheduleAcknowledgement() {
 	s := f.active
--- a/internal/discovery/acknowledgement_test.go
+++ b/internal/discovery/acknowledgement_test.go
@@ -9,73 +9,72 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// A server that has nothing for versions that it is told is not asked for a
-// snapshot again and again.
+// A server that answers an acknowledgement with a complete snapshot gets no more of them.
 func TestNoAcknowledgementToServerThatIgnoresVersion(t *testing.T) {
 	home := newServer(t)
-	s := startFollower(t, 0, home).loadInitial(``)
+	follower := startFollower(t, 0, home).loadInitial(``)
 	watch := home.serveFirstPoll(0, encodeChange(1, true, "a=ready"), 1)
-	home.expectRequest("after=1&name=d+1").answer(encodeChange(1, true, "a=ready"))
+	home.expectRequest(pollQuery(1)).answer(encodeChange(1, true, "a=ready"))
 	for v := 2; v < 6; v++ {
 		watch.sendLine(encodeChange(v, false, fmt.Sprintf("b%d=ready", v)))
-		s.waitForVersion(membership.Version(v), "a=ready "+strings.Join([]string{"b2=ready", "b3=ready", "b4=ready", "b5=ready"}[:v-1], " "))
+		follower.waitForVersion(membership.Version(v), "a=ready "+strings.Join([]string{"b2=ready", "b3=ready", "b4=ready", "b5=ready"}[:v-1], " "))
 	}
-	s.Do(func() {
-		if f := s.registry.follower; !f.active.ignoresVersion || f.acknowledgementScheduled {
-			t.Error("it is called again")
+	follower.Do(func() {
+		if f := follower.registry.follower; !f.active.ignoresVersion || f.acknowledgementScheduled {
+			t.Error("another acknowledgement is scheduled")
 		}
 	})
 }
 
-// A kept connection that the server has closed meanwhile is made anew.
+// An acknowledgement is retried on a new connection where the server has closed the kept one.
 func TestAcknowledgementOnClosedConnection(t *testing.T) {
 	home := newServer(t)
-	s := startFollower(t, 0, home).loadInitial(``)
-	first := home.expectRequest("after=0&name=d+1")
+	follower := startFollower(t, 0, home).loadInitial(``)
+	first := home.expectRequest(pollQuery(0))
 	first.answer(encodeChange(5, true, "a=ready"))
-	watch := home.expectRequest("watch=1&after=5&name=d+1")
+	watch := home.expectRequest(watchQuery(5))
 	watch.openWatch()
-	home.expectRequest("after=5&name=d+1").answer(encodeChange(5, false))
-	testkit.Until(t, "it is acknowledged", func() bool { return s.stats().Acknowledged == 1 })
-	release := s.Hold()
-	s.Write(t, watch, testkit.Chunk(encodeChange(6, false, "b=ready")+"\n"))
-	s.Dispatcher.Loop.Post(s.registry.follower.acknowledge) // with the connection's end on its way
+	home.expectRequest(pollQuery(5)).answer(encodeChange(5, false))
+	testkit.Until(t, "it is acknowledged", func() bool { return follower.stats().Acknowledged == 1 })
+	release := follower.Hold()
+	follower.Write(t, watch, testkit.Chunk(encodeChange(6, false, "b=ready")+"\n"))
+	follower.Dispatcher.Loop.Post(follower.registry.follower.acknowledge) // while the close of the connection is on its way
 	first.Close()
 	release()
 	for acknowledged := false; !acknowledged; {
 		r := testkit.Receive(t, home.requests)
 		r.answer(encodeChange(6, false))
-		acknowledged = r.query == "after=6&name=d+1"
+		acknowledged = r.query == pollQuery(6)
 	}
-	s.waitForServer(home)
-	testkit.Until(t, "it is acknowledged", func() bool { return s.stats().Acknowledged >= 2 })
+	follower.waitForServer(home)
+	testkit.Until(t, "it is acknowledged", func() bool { return follower.stats().Acknowledged >= 2 })
 }
 
-// After a refused change only the version before it is acknowledged as in force,
-// until a call brings what was left out.
+// After a rejected change only the version before it is acknowledged as in force, until a poll brings what was left
+// out.
 func TestRepairAfterRejectedChange(t *testing.T) {
 	home := newServer(t)
-	s := startFollower(t, 0, home).loadInitial(``)
+	follower := startFollower(t, 0, home).loadInitial(``)
 	watch := home.serveFirstPoll(0, encodeChange(5, true, "a=ready"), 5)
-	home.expectRequest("after=5&name=d+1").answer(encodeChange(5, false))
-	testkit.Until(t, "it is acknowledged", func() bool { return s.stats().Acknowledged == 1 })
+	home.expectRequest(pollQuery(5)).answer(encodeChange(5, false))
+	testkit.Until(t, "it is acknowledged", func() bool { return follower.stats().Acknowledged == 1 })
 	watch.sendLine(encodeChange(6, false, "a=draining", "b=asleep"))
 	watch.sendLine(encodeChange(7, false, "c=ready"))
-	s.waitForVersion(7, "a=ready c=ready")
-	home.expectRequest("after=7&name=d+1&acked=5&fleet=1").answer(encodeChange(7, false))
-	testkit.Until(t, "it is acknowledged", func() bool { return s.stats().Acknowledged == 2 })
-	s.Do(func() { // the time of the next look at what is missing
-		s.registry.follower.repairRequestedAt -= idleAcknowledgeInterval
-		s.registry.follower.acknowledge()
+	follower.waitForVersion(7, "a=ready c=ready")
+	home.expectRequest(pollQuery(7) + "&acked=5&fleet=1").answer(encodeChange(7, false))
+	testkit.Until(t, "it is acknowledged", func() bool { return follower.stats().Acknowledged == 2 })
+	follower.Do(func() { // the next repair is due
+		follower.registry.follower.repairRequestedAt -= idleAcknowledgeInterval
+		follower.registry.follower.acknowledge()
 	})
-	home.expectRequest("after=5&name=d+1").answer(encodeChange(7, false, "a=draining", "b=ready", "c=ready"))
-	testkit.Until(t, "what was left out is in force", func() bool { return s.workers() == "a=draining b=ready c=ready" })
+	home.expectRequest(pollQuery(5)).answer(encodeChange(7, false, "a=draining", "b=ready", "c=ready"))
+	testkit.Until(t, "what was left out is in force", func() bool { return follower.workers() == "a=draining b=ready c=ready" })
 	watch.sendLine(encodeChange(8, false, "c=gone"))
-	s.waitForVersion(8, "a=draining b=ready")
-	home.expectRequest("after=8&name=d+1")
-	s.Do(func() {
-		if f := s.registry.follower; f.completeThrough != 8 || s.registry.stats.Refused != 1 {
-			t.Errorf("complete up to %d, %d refused", f.completeThrough, s.registry.stats.Refused)
+	follower.waitForVersion(8, "a=draining b=ready")
+	home.expectRequest(pollQuery(8))
+	follower.Do(func() {
+		if f := follower.registry.follower; f.completeThrough != 8 || follower.registry.stats.Refused != 1 {
+			t.Errorf("complete through %d, %d rejected", f.completeThrough, follower.registry.stats.Refused)
 		}
 	})
 }
--- a/internal/discovery/change_test.go
+++ b/internal/discovery/change_test.go
@@ -8,7 +8,7 @@
 	"testing/iotest"
 )
 
-// FuzzDecodeChange: what is read is what encoding/json reads of the whole text.
+// FuzzDecodeChange checks that decodeChange reads what encoding/json reads of the whole text, also byte by byte.
 func FuzzDecodeChange(f *testing.F) {
 	f.Add([]byte(encodeChange(3, true, "a=ready")))
 	f.Add([]byte(`{"seq":1,"more":[{}],"hosts":null,"settings":[{"key":"k","value":[1]}]}`))
--- a/internal/discovery/descriptors_test.go
+++ b/internal/discovery/descriptors_test.go
@@ -14,18 +14,18 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-// newSmallRig makes a rig whose engine has few descriptors, with a guard or without.
-func newSmallRig(t *testing.T, guarded bool) (r *testkit.Rig, f *httpfront.FrontEnd, addr string) {
+// newSmallRig returns a rig whose engine has few descriptors, and a front end, with connection limits or without.
+func newSmallRig(t *testing.T, limited bool) (rig *testkit.Rig, frontEnd *httpfront.FrontEnd, addr string) {
 	t.Helper()
 	const descriptors = 64
-	r = testkit.NewRig(t).WithSubscription(t, 1, 10*time.Second)
-	r.LimitDescriptors(t, descriptors)
-	r.Do(func() {
+	rig = testkit.NewRig(t).WithSubscription(t, 1, 10*time.Second)
+	rig.LimitDescriptors(t, descriptors)
+	rig.Do(func() {
 		var err error
-		f = httpfront.New(r.Dispatcher, r.Engine, 64<<20, func() bool { return true })
-		if guarded {
+		frontEnd = httpfront.New(rig.Dispatcher, rig.Engine, 64<<20, func() bool { return true })
+		if limited {
 			usable := transport.ConnectionDescriptors(descriptors)
-			e, err := listener.New(r.Dispatcher.Loop, r.Engine, listener.Config{
+			gate, err := listener.New(rig.Dispatcher.Loop, rig.Engine, listener.Config{
 				Limits:           connlimit.Config{Capacity: usable, Address: connlimit.Limits{Open: usable, PerSecond: 1e6}, Prefix: connlimit.Limits{Open: usable}},
 				DescriptorFloors: [connlimit.DescriptorKinds]int{connlimit.ClientConnections: 8, connlimit.WorkerConnections: 4, connlimit.DiscoveryConnections: 2},
 				Watermarks:       connlimit.Watermarks{Low: 0.8, High: 0.9, Critical: 0.97, Back: 0.05},
@@ -34,49 +34,49 @@
 				t.Error(err)
 				return
 			}
-			f.SetGate(e)
+			frontEnd.SetGate(gate)
 		}
-		addr, err = f.Listen("127.0.0.1:0", transport.AcceptedShare(descriptors))
+		addr, err = frontEnd.Listen("127.0.0.1:0", transport.AcceptedShare(descriptors))
 		if err != nil {
 			t.Error(err)
 		}
 	})
-	return r, f, addr
+	return rig, frontEnd, addr
 }
 
-// Idle clients and attempts have all descriptors that they can get, while
-// discovery is down: it is called all the same, and heard once it is back.
+// Idle clients and attempts hold all descriptors that they can get while discovery is down: it is called all the same,
+// and its list is applied once it is back.
 func TestDiscoveryHasReservedDescriptor(t *testing.T) {
-	for _, guarded := range []bool{false, true} {
-		t.Run(fmt.Sprint("guarded ", guarded), func(t *testing.T) {
-			r, f, front := newSmallRig(t, guarded)
-			other, _ := listenForCalls(t) // takes connections and says nothing
-			for range 100 {               // idle clients
-				if conn, err := net.Dial("tcp", front); err == nil {
+	for _, limited := range []bool{false, true} {
+		t.Run(fmt.Sprint("limited ", limited), func(t *testing.T) {
+			rig, frontEnd, frontEndAddr := newSmallRig(t, limited)
+			silentAddr, _ := listenForCalls(t) // accepts connections and never answers
+			for range 100 {                    // idle clients
+				if conn, err := net.Dial("tcp", frontEndAddr); err == nil {
 					t.Cleanup(func() { conn.Close() })
 				}
 			}
-			testkit.Until(t, "the clients have come in", func() (in bool) {
-				r.Do(func() { in = f.ConnectionCount() >= 8 })
-				return in
+			testkit.Until(t, "the clients are connected", func() (connected bool) {
+				rig.Do(func() { connected = frontEnd.ConnectionCount() >= 8 })
+				return connected
 			})
-			if n := r.FillDescriptors(t, other); n == 0 {
+			if n := rig.FillDescriptors(t, silentAddr); n == 0 {
 				t.Error("no descriptor is left for attempts")
 			}
 			addr, calls := listenForCalls(t)
-			registry := followDiscovery(t, r, addr)
+			registry := followDiscovery(t, rig, addr)
 			for range 3 { // an outage
 				testkit.Receive(t, calls).Close()
 				testkit.Until(t, "the call has failed", func() (failed bool) {
-					r.Do(func() { failed = !registry.watch.calling })
+					rig.Do(func() { failed = !registry.watch.calling })
 					return failed
 				})
-				r.Do(func() { registry.watch.open() }) // in place of the pause
+				rig.Do(func() { registry.watch.open() }) // in place of the backoff
 			}
-			c := testkit.Receive(t, calls)
-			io.WriteString(c, testkit.WatchHead+testkit.Chunk(laterSnapshot+"\n"))
+			call := testkit.Receive(t, calls)
+			io.WriteString(call, testkit.WatchHead+testkit.Chunk(laterSnapshot+"\n"))
 			testkit.Until(t, "the list is heard", func() (heard bool) {
-				r.Do(func() { heard = registry.workers["new"] != nil })
+				rig.Do(func() { heard = registry.workers["new"] != nil })
 				return heard
 			})
 		})
--- a/internal/discovery/discoveryserver_test.go
+++ b/internal/discovery/discoveryserver_test.go
@@ -10,16 +10,17 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
+// An initial endpoint list, and a later snapshot of discovery that replaces it.
 const (
 	initialList   = `{"seq":41,"hosts":[{"host":"old","dial":"127.0.0.1:9","health":"ready"}]}`
 	laterSnapshot = `{"seq":43,"whole":true,"hosts":[{"host":"new","dial":"127.0.0.1:9","health":"ready"}]}`
 )
 
-// follow makes a registry that follows discovery at an address.
-func followDiscovery(t *testing.T, r *testkit.Rig, addr string) (registry *Registry) {
+// followDiscovery returns a registry that follows discovery at an address from initialList.
+func followDiscovery(t *testing.T, rig *testkit.Rig, addr string) (registry *Registry) {
 	t.Helper()
-	r.Do(func() {
-		registry = newRegistry(r, addr)
+	rig.Do(func() {
+		registry = newRegistry(rig, addr)
 		if err := registry.LoadInitial([]byte(initialList)); err != nil {
 			t.Error(err)
 		}
@@ -49,21 +50,21 @@
 func (stubClient) CloseAllIdle() {}
 
 // newRegistry returns a registry that follows discovery at addr for a worker client without connections.
-func newRegistry(r *testkit.Rig, addr string) *Registry {
-	registry := New(r.Dispatcher, r.Engine, addr)
+func newRegistry(rig *testkit.Rig, addr string) *Registry {
+	registry := New(rig.Dispatcher, rig.Engine, addr)
 	client := stubClient{registry}
 	registry.Attach(client)
-	r.Dispatcher.AddSource(client)
+	rig.Dispatcher.AddSource(client)
 	return registry
 }
 
-// discoveryCall is what the stand-in for discovery got: a connection and what it asked for.
+// discoveryCall is a request that a stand-in for discovery has received, with its connection.
 type discoveryCall struct {
 	net.Conn
 	query string
 }
 
-// listenForCalls are those that come to a stand-in for discovery, which answers none by itself.
+// listenForCalls starts a stand-in for discovery, which answers no call by itself.
 func listenForCalls(t *testing.T) (addr string, calls chan discoveryCall) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/discovery/endpointlist.go
+++ b/internal/discovery/endpointlist.go
@@ -15,7 +15,7 @@
 // the initial endpoint list in the configuration and the handover to a successor.
 type endpointList struct {
 	Version   int64      `json:"seq"`
-	Snapshot  bool       `json:"whole"` // the list is complete; false: it tells what has changed
+	Snapshot  bool       `json:"whole"` // the list is complete; false: it holds changes alone
 	Endpoints []endpoint `json:"hosts"`
 
 	// Settings are all settings that were changed up to Version. nil: the sender does not know of any, which is
@@ -23,7 +23,7 @@
 	Settings []settingChange `json:"settings,omitzero"`
 
 	// AgeMs is how long ago, in milliseconds, the process that hands the list over last heard all that discovery
-	// had. nil: not told, as in discovery's own lists.
+	// had. nil: unknown, as in discovery's own lists.
 	AgeMs *int64 `json:"age_ms,omitempty"`
 }
 
@@ -36,7 +36,7 @@
 	Cell        int     `json:"block"`
 	Health      string  `json:"health"` // one of the health constants
 	Weight      float64 `json:"share"`
-	StartedAtMs float64 `json:"born_ms"` // when the worker started; 0: not told
+	StartedAtMs float64 `json:"born_ms"` // when the worker started; 0: unknown
 }
 
 // The values of endpoint.Health.
@@ -46,7 +46,7 @@
 	healthGone     = "gone" // the worker was removed
 )
 
-// maxStartedAtMs bounds the start times that are believed. Later ones count as not told.
+// maxStartedAtMs bounds the start times that are believed. Later ones count as unknown.
 const maxStartedAtMs = 1e13
 
 var errNoName = errors.New("host is empty")
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -52,9 +52,9 @@
 	outageLogged bool            // the present outage has its log line
 	attemptTimer eventloop.Deadline
 
-	acknowledgedVersion      membership.Version // that the server in use was told last
-	acknowledgedAt           time.Duration      // when it was told
-	acknowledgementScheduled bool               // for a version that it was not told
+	acknowledgedVersion      membership.Version // last sent to the server in use
+	acknowledgedAt           time.Duration      // when it was sent
+	acknowledgementScheduled bool               // for a version that was not sent yet
 	acknowledgementTimer     eventloop.Deadline
 	repairRequestedAt        time.Duration // when what a rejected change left out was asked for last
 }
--- a/internal/discovery/follower_test.go
+++ b/internal/discovery/follower_test.go
@@ -9,104 +9,107 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// The plain course: a compressed or plain snapshot, deltas on the watch, and an
-// acknowledgement after each, on the connection that is kept.
+// Without faults: a compressed or plain snapshot, deltas on the watch, and an acknowledgement after each, on the
+// connection that is kept.
 func TestFollow(t *testing.T) {
 	for _, compressed := range []bool{true, false} {
 		home := newServer(t)
-		s := startFollower(t, 0, home).loadInitial(``)
-		first := home.expectRequest("after=0&name=d+1")
+		follower := startFollower(t, 0, home).loadInitial(``)
+		first := home.expectRequest(pollQuery(0))
 		if text := encodeChange(7, true, "a=ready", "b=ready"); compressed {
 			first.answerCompressed(text)
 		} else {
 			first.answer(text)
 		}
-		watch := home.expectRequest("watch=1&after=7&name=d+1")
+		watch := home.expectRequest(watchQuery(7))
 		watch.openWatch()
-		s.waitForVersion(7, "a=ready b=ready")
-		ack := home.expectRequest("after=7&name=d+1")
+		follower.waitForVersion(7, "a=ready b=ready")
+		ack := home.expectRequest(pollQuery(7))
 		if ack.Conn != first.Conn {
 			t.Error("the acknowledgement has a connection of its own")
 		}
 		ack.answer(encodeChange(7, false))
 		watch.sendLine(encodeChange(9, false, "a=draining", "c=ready"))
-		s.waitForVersion(9, "a=draining b=ready c=ready")
-		home.expectRequest("after=9&name=d+1").answer(encodeChange(10, false, "b=gone")) // what the watch has missed
-		s.waitForVersion(10, "a=draining c=ready")
-		watch.sendLine(encodeChange(10, false, "b=gone")) // and now tells
+		follower.waitForVersion(9, "a=draining b=ready c=ready")
+		home.expectRequest(pollQuery(9)).answer(encodeChange(10, false, "b=gone")) // which the watch has yet to bring
+		follower.waitForVersion(10, "a=draining c=ready")
+		watch.sendLine(encodeChange(10, false, "b=gone")) // as it does now
 		watch.sendLine(encodeChange(11, false, "a=gone"))
-		s.waitForVersion(11, "c=ready")
+		follower.waitForVersion(11, "c=ready")
 		testkit.Until(t, "version 11 is acknowledged", func() bool {
 			r := testkit.Receive(t, home.requests)
 			r.answer(encodeChange(11, false))
-			return r.query == "after=11&name=d+1"
+			return r.query == pollQuery(11)
 		})
-		testkit.Until(t, "its answer has come", func() bool { return s.stats().Acknowledged >= 3 })
-		stats := s.stats()
+		testkit.Until(t, "its answer is read", func() bool { return follower.stats().Acknowledged >= 3 })
+		stats := follower.stats()
 		if stats.Applied != 4 || stats.Snapshots != 1 || stats.Deltas != 3 || stats.Refused != 0 || stats.Failovers != 0 ||
 			stats.BytesRead < 500 || stats.BytesWritten < 100 || stats.Version != 11 {
 			t.Errorf("%+v", stats)
 		}
-		s.mu.Lock()
-		if want := []membership.Version{7, 9, 10, 11}; !slices.Equal(s.applied, want) {
-			t.Errorf("applied %v, want %v", s.applied, want)
+		follower.mu.Lock()
+		if want := []membership.Version{7, 9, 10, 11}; !slices.Equal(follower.applied, want) {
+			t.Errorf("applied %v, want %v", follower.applied, want)
 		}
-		s.mu.Unlock()
+		follower.mu.Unlock()
 	}
 }
 
-// A server dies in the middle of a change: none of it is in force, and the next
-// server is asked from the version in force.
+// A server fails in the middle of a change: none of it is in force, and the next server is polled from the version in
+// force.
 func TestServerFailsMidChange(t *testing.T) {
-	home, other := newServer(t), newServer(t)
-	s := startFollower(t, 1, home, other).loadInitial(``)
+	home := newServer(t)
+	other := newServer(t)
+	follower := startFollower(t, 1, home, other).loadInitial(``)
 	watch := home.serveFirstPoll(0, encodeChange(5, true, "a=ready", "b=ready"), 5)
-	s.waitForVersion(5, "a=ready b=ready")
+	follower.waitForVersion(5, "a=ready b=ready")
 	text := testkit.Chunk(encodeChange(6, false, "a=gone", "b=draining") + "\n")
-	release := s.Hold()
-	s.Write(t, watch, text[:len(text)-8])
+	release := follower.Hold()
+	follower.Write(t, watch, text[:len(text)-8])
 	release()
-	s.Do(func() {}) // it has been read
-	if got := s.workers(); got != "a=ready b=ready" {
+	follower.Do(func() {}) // it has been read
+	if got := follower.workers(); got != "a=ready b=ready" {
 		t.Fatalf("half of a change is in force: %s", got)
 	}
 	home.stop()
 	other.serveFirstPoll(5, encodeChange(6, false, "a=gone", "b=draining"), 6)
-	s.waitForVersion(6, "b=draining")
-	s.waitForServer(other)
-	if stats := s.stats(); stats.Failovers != 1 {
+	follower.waitForVersion(6, "b=draining")
+	follower.waitForServer(other)
+	if stats := follower.stats(); stats.Failovers != 1 {
 		t.Errorf("%d failovers", stats.Failovers)
 	}
 }
 
-// A server that is behind never takes the version in force back: it is passed
-// over, whether it says so by a status, by an older version on its first call or
-// by one on its watch.
+// A server that is behind never replaces the version in force: it is skipped, whether it answers the first poll with a
+// status or an older version, or sends an older version on its watch.
 func TestServersBehindAreSkipped(t *testing.T) {
 	old := encodeChange(3, true, "old=ready")
 	for name, behind := range map[string]func(*testServer){
-		"a status":       func(s *testServer) { s.expectRequest("after=5&name=d+1").answerUnavailable() },
-		"older snapshot": func(s *testServer) { s.expectRequest("after=5&name=d+1").answer(old) },
-		"older delta":    func(s *testServer) { s.expectRequest("after=5&name=d+1").answerCompressed(encodeChange(4, false)) },
+		"a status":       func(follower *testServer) { follower.expectRequest(pollQuery(5)).answerUnavailable() },
+		"older snapshot": func(s *testServer) { s.expectRequest(pollQuery(5)).answer(old) },
+		"older delta":    func(s *testServer) { s.expectRequest(pollQuery(5)).answerCompressed(encodeChange(4, false)) },
 		"older watch": func(s *testServer) {
 			watch := s.serveFirstPoll(5, encodeChange(5, false), 5)
 			watch.sendLine(old)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			home, second, third := newServer(t), newServer(t), newServer(t)
+			home := newServer(t)
+			second := newServer(t)
+			third := newServer(t)
 			s := startFollower(t, 2, home, second, third).loadInitial(``)
 			home.serveFirstPoll(0, encodeChange(5, true, "a=ready"), 5)
 			s.waitForServer(home)
 			home.stop()
-			next, last := second, third
+			next := second
+			last := third
 			var first request
 			select {
 			case first = <-second.requests:
 			case first = <-third.requests:
-				next, last = third, second
+				next, last = last, next
 			case <-time.After(testkit.Patience):
-				t.Fatal("no server is asked")
+				t.Fatal("no server is polled")
 			}
 			next.requests <- first
 			behind(next)
@@ -117,121 +120,124 @@
 	}
 }
 
-// The successor of a server comes back with an older version than it had.
+// A server is restarted with an older version than it had.
 func TestRestartedServerWithOlderVersion(t *testing.T) {
 	home := newServer(t)
-	s := startFollower(t, 0, home).loadInitial(``)
+	follower := startFollower(t, 0, home).loadInitial(``)
 	home.serveFirstPoll(0, encodeChange(8, true, "a=ready", "b=ready"), 8)
-	s.waitForVersion(8, "a=ready b=ready")
+	follower.waitForVersion(8, "a=ready b=ready")
 	home.stop()
 	home.restart()
 	for {
 		r := testkit.Receive(t, home.requests)
-		if r.query != "after=8&name=d+1" { // an acknowledgement to the former one
+		if r.query != pollQuery(8) { // an acknowledgement on the old connection
 			continue
 		}
 		r.answer(encodeChange(2, true, "old=ready"))
 		break
 	}
-	home.expectRequest("after=8&name=d+1").answer(encodeChange(3, true, "old=ready"))
-	if got := s.workers(); s.version() != 8 || got != "a=ready b=ready" {
-		t.Fatalf("version %d: %s", s.version(), got)
+	home.expectRequest(pollQuery(8)).answer(encodeChange(3, true, "old=ready"))
+	if got := follower.workers(); follower.version() != 8 || got != "a=ready b=ready" {
+		t.Fatalf("version %d: %s", follower.version(), got)
 	}
 	home.serveFirstPoll(8, encodeChange(9, false, "b=gone"), 9)
-	s.waitForVersion(9, "a=ready")
+	follower.waitForVersion(9, "a=ready")
 }
 
-// Two servers of the zone, one behind: the other one's version is in force.
+// Of two servers of the zone one is behind: the version of the other is put in force.
 func TestTwoServersOneBehind(t *testing.T) {
-	one, two := newServer(t), newServer(t)
-	s := startFollower(t, 0, one, two)
-	s.loadInitial(`{"seq":40,"settings":[],"hosts":[{"host":"k","dial":"127.0.0.1:9","health":"ready"}]}`)
+	one := newServer(t)
+	two := newServer(t)
+	follower := startFollower(t, 0, one, two)
+	follower.loadInitial(`{"seq":40,"settings":[],"hosts":[{"host":"k","dial":"127.0.0.1:9","health":"ready"}]}`)
 	for range 2 {
 		select {
 		case r := <-one.requests:
 			r.answer(encodeChange(39, true, "old=ready"))
 		case r := <-two.requests:
 			r.answer(encodeChange(41, false, "n=ready"))
-			two.expectRequest("watch=1&after=41&name=d+1").openWatch()
-			s.waitForVersion(41, "k=ready n=ready")
-			s.waitForServer(two)
+			two.expectRequest(watchQuery(41)).openWatch()
+			follower.waitForVersion(41, "k=ready n=ready")
+			follower.waitForServer(two)
 			return
 		case <-time.After(testkit.Patience):
-			t.Fatal("no server is asked")
+			t.Fatal("no server is polled")
 		}
 	}
-	t.Fatal("the one that is not behind is not asked")
+	t.Fatal("the server that is not behind is not polled")
 }
 
-// All servers are down at the start: the known list serves in its time, and the
-// server that comes up is found.
+// All servers are down at the start: the initial list is used after its timeout, and the server that comes up is found.
 func TestAllServersDownAtStart(t *testing.T) {
-	home, other := newServer(t), newServer(t)
+	home := newServer(t)
+	other := newServer(t)
 	home.stop()
 	other.stop()
-	s := startFollower(t, 1, home, other)
-	s.loadInitial(`{"seq":40,"hosts":[{"host":"k","dial":"127.0.0.1:9","health":"ready"}]}`)
-	testkit.Until(t, "the known list serves", func() (heard bool) {
-		s.Do(func() { heard = s.registry.Ready() && s.Dispatcher.ReadyWorkers() == 1 })
-		return heard
+	follower := startFollower(t, 1, home, other)
+	follower.loadInitial(`{"seq":40,"hosts":[{"host":"k","dial":"127.0.0.1:9","health":"ready"}]}`)
+	testkit.Until(t, "the initial list is used", func() (ready bool) {
+		follower.Do(func() { ready = follower.registry.Ready() && follower.Dispatcher.ReadyWorkers() == 1 })
+		return ready
 	})
-	if n := s.countLogLines(": "); n != 1 {
-		t.Errorf("the outage has %d lines: %q", n, s.logLines)
+	if n := follower.countLogLines(": "); n != 1 {
+		t.Errorf("the outage has %d log lines: %q", n, follower.logLines)
 	}
 	other.restart()
-	other.serveFirstPoll(0, encodeChange(44, true, "k=draining"), 44) // of its settings nothing is known: all is asked for
-	s.waitForVersion(44, "k=draining")
+	other.serveFirstPoll(0, encodeChange(44, true, "k=draining"), 44) // its settings are unknown, so a snapshot is asked for
+	follower.waitForVersion(44, "k=draining")
 }
 
-// Back to the own zone's server once it works, and not before it has caught up.
+// The follower returns to the server of its own zone once that works, and not before it has caught up.
 func TestReturnToLocalZone(t *testing.T) {
-	home, other := newServer(t), newServer(t)
+	home := newServer(t)
+	other := newServer(t)
 	home.stop()
-	s := startFollower(t, 1, home, other).loadInitial(``)
+	follower := startFollower(t, 1, home, other).loadInitial(``)
 	away := other.serveFirstPoll(0, encodeChange(5, true, "a=ready"), 5)
-	s.waitForServer(other)
+	follower.waitForServer(other)
 	home.restart()
-	s.Do(func() { s.makeAttemptDue() })
-	back := home.expectRequest("after=5&name=d+1")
+	follower.Do(func() { follower.makeAttemptDue() })
+	back := home.expectRequest(pollQuery(5))
 	away.sendLine(encodeChange(6, false, "b=ready"))
-	s.waitForVersion(6, "a=ready b=ready")
-	back.answer(encodeChange(5, false)) // it is behind by now
-	testkit.Until(t, "it is passed over", func() (none bool) {
-		s.Do(func() { none = len(s.registry.follower.candidates) == 0 })
+	follower.waitForVersion(6, "a=ready b=ready")
+	back.answer(encodeChange(5, false)) // behind by now
+	testkit.Until(t, "it is skipped", func() (none bool) {
+		follower.Do(func() { none = len(follower.registry.follower.candidates) == 0 })
 		return none
 	})
-	s.waitForServer(other)
-	s.Do(func() { s.makeAttemptDue() })
-	home.expectRequest("after=6&name=d+1").answer(encodeChange(6, false))
-	watch := home.expectRequest("watch=1&after=6&name=d+1")
+	follower.waitForServer(other)
+	follower.Do(func() { follower.makeAttemptDue() })
+	home.expectRequest(pollQuery(6)).answer(encodeChange(6, false))
+	watch := home.expectRequest(watchQuery(6))
 	watch.openWatch()
 	away.sendLine(encodeChange(7, false, "c=ready"))
-	s.waitForVersion(7, "a=ready b=ready c=ready")
+	follower.waitForVersion(7, "a=ready b=ready c=ready")
 	watch.sendLine(encodeChange(6, false))
-	s.Do(func() {}) // behind again: the one in use stays
-	s.waitForServer(other)
+	follower.Do(func() {}) // behind again: the server in use stays
+	follower.waitForServer(other)
 	watch.sendLine(encodeChange(7, false, "c=ready"))
-	s.waitForServer(home)
+	follower.waitForServer(home)
 	watch.sendLine(encodeChange(8, false, "a=gone"))
-	s.waitForVersion(8, "b=ready c=ready")
+	follower.waitForVersion(8, "b=ready c=ready")
 }
 
-// Other servers, said anew: the one in use stays until a new one has caught up.
+// Follow is called again with other servers: the one in use stays until a new one has caught up.
 func TestFollowAgainWithOtherServers(t *testing.T) {
-	old, next := newServer(t), newServer(t)
-	s := startFollower(t, 0, old).loadInitial(``)
+	old := newServer(t)
+	next := newServer(t)
+	follower := startFollower(t, 0, old).loadInitial(``)
 	watch := old.serveFirstPoll(0, encodeChange(5, true, "a=ready"), 5)
-	s.waitForServer(old)
-	s.Do(func() { s.registry.Follow(s.followConfig(0, next)) })
-	call := next.expectRequest("after=5&name=d+1")
+	follower.waitForServer(old)
+	follower.Do(func() { follower.registry.Follow(follower.followConfig(0, next)) })
+	call := next.expectRequest(pollQuery(5))
 	watch.sendLine(encodeChange(6, false, "b=ready"))
-	s.waitForVersion(6, "a=ready b=ready")
+	follower.waitForVersion(6, "a=ready b=ready")
 	call.answer(encodeChange(6, false, "b=ready"))
-	other := next.expectRequest("watch=1&after=6&name=d+1")
+	other := next.expectRequest(watchQuery(6))
 	other.openWatch()
 	other.sendLine("")
-	s.waitForServer(next)
+	follower.waitForServer(next)
 	if _, err := watch.Read(make([]byte, 1)); err == nil {
-		t.Error("the former watch is open")
+		t.Error("the previous watch is open")
 	}
 }
--- a/internal/discovery/initiallist.go
+++ b/internal/discovery/initiallist.go
@@ -17,7 +17,7 @@
 // source. Nothing is applied of a list that is wrong, for which an error is returned.
 //
 // The list may be old. Requests are accepted at once, since a client has no other dispatcher to turn to, but they wait
-// until the source has told what has changed, or initialListTimeout has passed. In a large fleet of dispatchers that
+// until the source has sent what has changed, or initialListTimeout has passed. In a large fleet of dispatchers that
 // subscribe in turn the first update may take long, and the initial list is used at once.
 func (r *Registry) LoadInitial(raw []byte) error {
 	list := endpointList{Snapshot: true}
--- a/internal/discovery/membershipserver_test.go
+++ b/internal/discovery/membershipserver_test.go
@@ -16,29 +16,27 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// These tests play the servers of changes on sockets of their own, request by
-// request and where it matters byte by byte.
-
-// testServer is a testServer of changes that answers nothing by itself.
+// testServer is a membership server that answers nothing by itself: tests script it request by request and, where it
+// matters, byte by byte.
 type testServer struct {
 	t        *testing.T
 	addr     string
-	ln       net.Listener
+	listener net.Listener
 	requests chan request
 
 	mu    sync.Mutex
 	conns []net.Conn
 }
 
-// request is one call that has come.
+// request is one request that a testServer has received.
 type request struct {
 	net.Conn
 	query string
 	gzip  bool
 }
 
-// loopbackHost is an address of the loopback network that this process has to
-// itself: a port of a server that is down must be free when it comes back.
+// loopbackHost is a loopback address that this process has to itself, so that the port of a stopped server stays free
+// until it is restarted.
 var loopbackHost = fmt.Sprintf("127.88.%d.%d", os.Getpid()>>8&0xff, os.Getpid()&0xff)
 
 func newServer(t *testing.T) *testServer {
@@ -47,7 +45,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &testServer{t: t, addr: ln.Addr().String(), ln: ln, requests: make(chan request, 1000)}
+	s := &testServer{t: t, addr: ln.Addr().String(), listener: ln, requests: make(chan request, 1000)}
 	t.Cleanup(s.stop)
 	go s.accept(ln)
 	return s
@@ -79,7 +77,7 @@
 
 // stop resets all connections and refuses new ones.
 func (s *testServer) stop() {
-	s.ln.Close()
+	s.listener.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, conn := range s.conns {
@@ -95,16 +93,16 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.ln = ln
+	s.listener = ln
 	go s.accept(ln)
 }
 
-// expectRequest waits for a call with that query.
+// expectRequest waits for the next request and checks its query. All but watches must accept gzip.
 func (s *testServer) expectRequest(query string) request {
 	s.t.Helper()
 	r := testkit.Receive(s.t, s.requests)
 	if r.query != query {
-		s.t.Fatalf("the call is %q, not %q", r.query, query)
+		s.t.Fatalf("the request is %q, want %q", r.query, query)
 	}
 	if r.gzip == strings.HasPrefix(query, "watch") {
 		s.t.Errorf("%q asks for gzip: %v", query, r.gzip)
@@ -112,12 +110,12 @@
 	return r
 }
 
-// answer answers a call with a body.
+// answer answers a poll with a body.
 func (r request) answer(text string) {
 	fmt.Fprintf(r, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 }
 
-// answerCompressed answers a call with a gzip body.
+// answerCompressed answers a poll with a gzip body.
 func (r request) answerCompressed(text string) {
 	var body bytes.Buffer
 	w := gzip.NewWriter(&body)
@@ -130,32 +128,33 @@
 	io.WriteString(r, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 }
 
-// openWatch begins the answer to a watch.
+// openWatch begins the response to a watch.
 func (r request) openWatch() { io.WriteString(r, testkit.WatchHead) }
 
-// sendLine sends a line of a watch.
+// sendLine sends one line of a watch.
 func (r request) sendLine(text string) { io.WriteString(r, testkit.Chunk(text+"\n")) }
 
-// encodeChange is an object of a server: hosts as name=health.
-func encodeChange(version int, whole bool, hosts ...string) string {
+// encodeChange returns a snapshot or delta in its wire form, with workers given as name=health.
+func encodeChange(version int, snapshot bool, workers ...string) string {
 	var list []string
-	for _, text := range hosts {
+	for _, text := range workers {
 		name, health, _ := strings.Cut(text, "=")
 		list = append(list, fmt.Sprintf(`{"host":%q,"dial":"127.0.0.1:9","health":%q}`, name, health))
 	}
-	return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`, version, whole, strings.Join(list, ","))
+	return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`, version, snapshot, strings.Join(list, ","))
 }
 
-const (
-	pollQuery  = "after=%d&name=d+1"
-	watchQuery = "watch=1&after=%d&name=d+1"
-)
+// pollQuery is the query of a poll that continues from a version.
+func pollQuery(after int) string { return fmt.Sprintf("after=%d&name=d+1", after) }
+
+// watchQuery is the query of a watch that continues from a version.
+func watchQuery(after int) string { return fmt.Sprintf("watch=1&after=%d&name=d+1", after) }
 
-// serveFirstPoll answers the first call and opens the watch.
+// serveFirstPoll answers the poll that catches up, from one version, and opens the watch after another.
 func (s *testServer) serveFirstPoll(from int, object string, version int) request {
 	s.t.Helper()
-	s.expectRequest(fmt.Sprintf(pollQuery, from)).answer(object)
-	watch := s.expectRequest(fmt.Sprintf(watchQuery, version))
+	s.expectRequest(pollQuery(from)).answer(object)
+	watch := s.expectRequest(watchQuery(version))
 	watch.openWatch()
 	return watch
 }
--- a/internal/discovery/objectsplitter_test.go
+++ b/internal/discovery/objectsplitter_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// FuzzObjectSplitter: objects come out of a stream as they went in, however it is cut.
+// FuzzObjectSplitter checks that objects come out of a stream as they went in, however it is cut.
 func FuzzObjectSplitter(f *testing.F) {
 	f.Add([]byte(`{"a":{"b":[1,"}{"]}}`+"\n\n"+`{"c":"\\\""}{"d":[]}`), byte(1))
 	f.Add([]byte("{\n \"a\": 1\n}\n\r\n[1]\n"), byte(3))
--- a/internal/discovery/subscription.go
+++ b/internal/discovery/subscription.go
@@ -18,7 +18,7 @@
 	errUnendedObject = errors.New("an object of the watch does not end")
 
 	// errBaseMismatch ends a watch whose server continues from a state that is not in force here. The next poll
-	// tells the server which one is.
+	// names the version in force.
 	errBaseMismatch = errors.New("a delta does not fit the version in force")
 )
 
@@ -40,11 +40,11 @@
 	watchConn       httpConn
 	splitter        objectSplitter
 	objectStartedAt time.Duration      // when the object that is arriving began; 0: none is
-	version         membership.Version // the newest that the server has told
+	version         membership.Version // the newest that the server has sent
 	watchEndVersion membership.Version // the newest when the server last ended the watch in order
 	reopenWatch     bool               // it did so during a poll: catch up and open the watch again after that
 
-	// ignoresVersion is set where the server answers polls with its complete list, whatever version they tell, so that
+	// ignoresVersion is set where the server answers polls with its complete list, whatever version they continue from, so that
 	// each acknowledgement there would cost a snapshot.
 	ignoresVersion bool
 }
@@ -90,7 +90,7 @@
 		"&name=" + url.QueryEscape(s.follower.config.Name)
 }
 
-// incompleteParameters returns what a poll adds to its target where changes up to the version that it tells are
+// incompleteParameters returns what a poll adds to its target where changes up to the version it continues from are
 // missing: only the version before them is acknowledged as in force.
 func (s *subscription) incompleteParameters(after membership.Version) string {
 	completeThrough := s.follower.completeThrough
@@ -153,7 +153,7 @@
 	}
 }
 
-// detectIgnoredVersion sets ignoresVersion by an answer that repeats the version it was told as a snapshot.
+// detectIgnoredVersion sets ignoresVersion by an answer that sends the version polled from again, as a snapshot.
 func (s *subscription) detectIgnoredVersion(c change) {
 	if s.polledVersion > 0 && c.snapshot && c.version == s.polledVersion {
 		s.ignoresVersion = true
--- a/internal/discovery/testfollower_test.go
+++ b/internal/discovery/testfollower_test.go
@@ -13,21 +13,20 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// testFollower is a dispatcher that follows servers.
+// testFollower is a dispatcher that follows membership servers.
 type testFollower struct {
 	*testkit.Rig
 	t        *testing.T
 	registry *Registry
 
 	mu       sync.Mutex
-	logLines []string // of the log
+	logLines []string
 	applied  []membership.Version
 }
 
 const localZone = "near"
 
-// startFollower starts a dispatcher that follows the first servers as those of its zone
-// and the last ones, as many as are far, as those of another.
+// startFollower returns a dispatcher that follows servers. The last of them, as many as far says, are in other zones.
 func startFollower(t *testing.T, far int, servers ...*testServer) *testFollower {
 	t.Helper()
 	s := &testFollower{Rig: testkit.NewRig(t, func(s *decision.Settings) { s.DrainGrace = 500 * time.Millisecond }), t: t}
@@ -48,7 +47,7 @@
 	return s
 }
 
-func (s *testFollower) followConfig(far int, servers ...*testServer) FollowConfig {
+func (f *testFollower) followConfig(far int, servers ...*testServer) FollowConfig {
 	config := FollowConfig{Name: "d 1", Zone: localZone, Acknowledge: 10 * time.Millisecond, Seed: 1}
 	for i, server := range servers {
 		zone := localZone
@@ -60,23 +59,23 @@
 	return config
 }
 
-// loadInitial starts it from a list.
-func (s *testFollower) loadInitial(list string) *testFollower {
-	s.t.Helper()
-	s.Do(func() {
-		if err := s.registry.LoadInitial([]byte(list)); err != nil {
-			s.t.Error(err)
+// loadInitial starts it from an initial endpoint list.
+func (f *testFollower) loadInitial(list string) *testFollower {
+	f.t.Helper()
+	f.Do(func() {
+		if err := f.registry.LoadInitial([]byte(list)); err != nil {
+			f.t.Error(err)
 		}
 	})
-	return s
+	return f
 }
 
-// workers is what is listed, as name=health, in order.
-func (s *testFollower) workers() string {
+// workers returns the listed workers as name=health, sorted.
+func (f *testFollower) workers() string {
 	var list []string
-	s.Do(func() {
-		for name, b := range s.registry.workers {
-			health := map[decision.WorkerState]string{decision.Running: "ready", decision.Draining: "draining"}[b.State]
+	f.Do(func() {
+		for name, worker := range f.registry.workers {
+			health := map[decision.WorkerState]string{decision.Running: "ready", decision.Draining: "draining"}[worker.State]
 			list = append(list, name+"="+health)
 		}
 	})
@@ -84,36 +83,36 @@
 	return strings.Join(list, " ")
 }
 
-func (s *testFollower) version() (v membership.Version) {
-	s.Do(func() { v = s.registry.follower.version })
-	return v
+func (f *testFollower) version() (version membership.Version) {
+	f.Do(func() { version = f.registry.follower.version })
+	return version
 }
 
-func (s *testFollower) stats() (stats Stats) {
-	s.Do(func() { stats = s.registry.Stats() })
+func (f *testFollower) stats() (stats Stats) {
+	f.Do(func() { stats = f.registry.Stats() })
 	return stats
 }
 
-// waitForVersion waits for a version to be in force, and checks what is listed then.
-func (s *testFollower) waitForVersion(v membership.Version, hosts string) {
-	s.t.Helper()
-	testkit.Until(s.t, fmt.Sprintf("version %d is in force", v), func() bool { return s.version() >= v })
-	if got, now := s.workers(), s.version(); now != v || got != hosts {
-		s.t.Fatalf("version %d: %s; want %d: %s", now, got, v, hosts)
+// waitForVersion waits until a version is in force, and checks the workers listed then.
+func (f *testFollower) waitForVersion(version membership.Version, workers string) {
+	f.t.Helper()
+	testkit.Until(f.t, fmt.Sprintf("version %d is in force", version), func() bool { return f.version() >= version })
+	if got, now := f.workers(), f.version(); now != version || got != workers {
+		f.t.Fatalf("version %d: %s; want %d: %s", now, got, version, workers)
 	}
 }
 
 // waitForServer waits until a server is in use.
-func (s *testFollower) waitForServer(server *testServer) {
-	s.t.Helper()
-	testkit.Until(s.t, server.addr+" is followed", func() bool { return s.stats().Server == server.addr })
+func (f *testFollower) waitForServer(server *testServer) {
+	f.t.Helper()
+	testkit.Until(f.t, server.addr+" is followed", func() bool { return f.stats().Server == server.addr })
 }
 
-// countLogLines counts the lines of the log that hold a text.
-func (s *testFollower) countLogLines(text string) (n int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, line := range s.logLines {
+// countLogLines counts the log lines that contain a text.
+func (f *testFollower) countLogLines(text string) (n int) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, line := range f.logLines {
 		if strings.Contains(line, text) {
 			n++
 		}
@@ -121,14 +120,14 @@
 	return n
 }
 
-// makeAttemptDue makes the next attempt at a better server due.
+// makeAttemptDue makes the next attempt at a preferred server due.
 func (s *testFollower) makeAttemptDue() {
 	f := s.registry.follower
 	f.selector = membership.NewSelector(f.config.Name, f.config.Zone, f.config.Servers, 1)
 	f.connect()
 }
 
-// acceptOneSetting takes changes of one setting, all or none, and tells them.
+// acceptOneSetting accepts changes of one setting alone, all or none, and calls onAccepted, unless it is nil.
 func acceptOneSetting(onAccepted func()) func([]settingChange) error {
 	return func(changes []settingChange) error {
 		for i, c := range changes {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -44,7 +44,7 @@
 	nextCall        eventloop.Deadline // starts the next call
 	nextCallAt      time.Duration      // when that is; 0: not scheduled
 	notBefore       time.Duration      // the earliest time of the next call, after one that failed
-	failureReported bool               // the dispatcher was told of a failure and has not called Subscribe since
+	failureReported bool               // a failure was reported to the dispatcher and has not called Subscribe since
 	outageLogged    bool               // the present outage of an agent has its log line
 }
 
@@ -140,7 +140,7 @@
 }
 
 // fail ends a call that failed, or a watch that broke, and schedules the next call. An agent is called again by itself,
-// and the initial list stays withheld meanwhile; else the dispatcher is told, and calls Subscribe when it chooses to.
+// and the initial list stays withheld meanwhile; else the failure is reported to the dispatcher, which calls Subscribe when it chooses to.
 func (w *watch) fail(cause error) {
 	dispatcher := w.registry.dispatcher
 	now := dispatcher.Loop.Now()
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -12,36 +12,39 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// A line that cannot be read tells nothing: the list is as old as before.
+// A line that cannot be read does not renew the list.
 func TestMalformedLineDoesNotRenewList(t *testing.T) {
-	for name, bad := range map[string]string{"no JSON": "{]\n", "a host without a name": `{"seq":44,"hosts":[{"host":"","health":"ready"}]}` + "\n"} {
+	for name, line := range map[string]string{"no JSON": "{]\n", "an endpoint without a name": `{"seq":44,"hosts":[{"host":"","health":"ready"}]}` + "\n"} {
 		t.Run(name, func(t *testing.T) {
-			r := testkit.NewRig(t).WithSubscription(t, 1, time.Hour)
+			rig := testkit.NewRig(t).WithSubscription(t, 1, time.Hour)
 			addr, calls := listenForCalls(t)
-			registry := followDiscovery(t, r, addr)
-			c := testkit.Receive(t, calls)
-			io.WriteString(c, testkit.WatchHead+testkit.Chunk(laterSnapshot+"\n"))
+			registry := followDiscovery(t, rig, addr)
+			call := testkit.Receive(t, calls)
+			io.WriteString(call, testkit.WatchHead+testkit.Chunk(laterSnapshot+"\n"))
 			confirmedAt := time.Duration(0)
-			testkit.Until(t, "the list is heard", func() (heard bool) {
-				r.Do(func() { heard, confirmedAt = registry.workers["new"] != nil, registry.tracker.ConfirmedAt() })
-				return heard
+			testkit.Until(t, "the list is applied", func() (applied bool) {
+				rig.Do(func() {
+					applied = registry.workers["new"] != nil
+					confirmedAt = registry.tracker.ConfirmedAt()
+				})
+				return applied
 			})
-			io.WriteString(c, testkit.Chunk(bad))
-			testkit.Until(t, "the line is refused", func() (refused bool) {
-				r.Do(func() { refused = registry.watch.conn == nil || registry.watch.generation > 2 })
-				return refused
+			io.WriteString(call, testkit.Chunk(line))
+			testkit.Until(t, "the line is rejected", func() (rejected bool) {
+				rig.Do(func() { rejected = registry.watch.conn == nil || registry.watch.generation > 2 })
+				return rejected
 			})
-			r.Do(func() {
+			rig.Do(func() {
 				if registry.tracker.ConfirmedAt() != confirmedAt {
-					t.Errorf("heard at %v, not at %v", registry.tracker.ConfirmedAt(), confirmedAt)
+					t.Errorf("confirmed at %v, not at %v", registry.tracker.ConfirmedAt(), confirmedAt)
 				}
 			})
 		})
 	}
 }
 
-// A watch may tell an object on one line or on many, several in a chunk, one over
-// several chunks, and larger than a buffer.
+// An object of the watch may be on one line or many, several may share a chunk, and one may span chunks and be larger
+// than a buffer.
 func TestWatchAcceptsAnyFraming(t *testing.T) {
 	type list struct {
 		Seq   int64      `json:"seq"`
@@ -58,12 +61,12 @@
 	const many = 1500 // indented, over 200 KB
 	for _, indent := range []string{"", "  "} {
 		for _, piece := range []int{1 << 20, 4096, 7} {
-			r := testkit.NewRig(t)
+			rig := testkit.NewRig(t)
 			addr, calls := listenForCalls(t)
 			var registry *Registry
-			r.Do(func() {
-				registry = newRegistry(r, addr)
-				registry.dispatcher.Settings.DrainGrace = time.Minute // the call has its time
+			rig.Do(func() {
+				registry = newRegistry(rig, addr)
+				registry.dispatcher.Settings.DrainGrace = time.Minute // the call does not time out
 				if err := registry.LoadInitial(nil); err != nil {
 					t.Error(err)
 				}
@@ -76,20 +79,20 @@
 				}
 				text += string(raw) + "\n"
 			}
-			c := testkit.Receive(t, calls)
-			out := bufio.NewWriter(c)
+			call := testkit.Receive(t, calls)
+			out := bufio.NewWriter(call)
 			out.WriteString(testkit.WatchHead)
 			for at := 0; at < len(text); at += piece {
 				out.WriteString(testkit.Chunk(text[at:min(at+piece, len(text))]))
 			}
 			out.Flush()
 			testkit.Until(t, fmt.Sprintf("indent %q in pieces of %d is read", indent, piece), func() (read bool) {
-				r.Do(func() { read = registry.watch.version == 4 })
+				rig.Do(func() { read = registry.watch.version == 4 })
 				return read
 			})
-			r.Do(func() {
+			rig.Do(func() {
 				if n := len(registry.workers); n != many-1 || registry.workers["s-0"] != nil || registry.workers["s-1"].State != decision.Draining || registry.workers["s-2"].State != decision.Running {
-					t.Errorf("indent %q in pieces of %d: %d hosts", indent, piece, n)
+					t.Errorf("indent %q in pieces of %d: %d workers", indent, piece, n)
 				}
 			})
 		}
--- a/internal/discovery/watchreader.go
+++ b/internal/discovery/watchreader.go
@@ -130,7 +130,7 @@
 			return err
 		}
 	} else if first || w.registry.initialEntries != nil {
-		w.registry.publish(false, nil) // nothing has changed, which the dispatcher waits to hear after a call
+		w.registry.publish(false, nil) // nothing has changed, which the dispatcher waits for after a call
 	}
 	w.registry.sourceConfirmed()
 	return nil
--- a/internal/discovery/worker.go
+++ b/internal/discovery/worker.go
@@ -17,7 +17,7 @@
 	endpoint          endpoint // as listed
 	proof             freshness.Proof
 	healthConfirmedAt time.Duration // when the latest health check that succeeded was sent; 0: never
-	suspended         bool          // the dispatcher was told to send it nothing
+	suspended         bool          // the dispatcher sends it nothing
 }
 
 // HealthConfirmed reports that a worker has passed a health check that was sent at loop time sentAt.
