--- a/internal/discovery/objectsplitter_test.go
+++ b/internal/discovery/objectsplitter_test.go
@@ -13,17 +13,18 @@
 	f.Add([]byte("{\n \"a\": 1\n}\n\r\n[1]\n"), byte(3))
 	f.Fuzz(func(t *testing.T, text []byte, cut byte) {
 		read := func(piece int) (got []string, failed bool) {
-			var o objectSplitter
+			var splitter objectSplitter
 			for at := 0; at < len(text); at += piece {
 				for data := text[at:min(at+piece, len(text))]; len(data) > 0; {
-					object, used, whole, err := o.next(data)
+					object, used, complete, err := splitter.next(data)
 					if err != nil {
 						return got, true
 					}
 					if used == 0 {
 						t.Fatalf("nothing is taken of %q", data)
 					}
-					if data = data[used:]; whole {
+					data = data[used:]
+					if complete {
 						got = append(got, string(object))
 					}
 				}
@@ -35,13 +36,13 @@
 		if fmt.Sprint(at1, failed1) != fmt.Sprint(atN, failedN) {
 			t.Fatalf("%q at once: %q, %v; in pieces of %d: %q, %v", text, at1, failed1, cut%64+1, atN, failedN)
 		}
-		whole := json.NewDecoder(bytes.NewReader(text))
+		decoder := json.NewDecoder(bytes.NewReader(text))
 		for _, object := range at1 {
 			if object == "" {
 				continue
 			}
 			var want json.RawMessage
-			if err := whole.Decode(&want); err != nil {
+			if err := decoder.Decode(&want); err != nil {
 				break // its reader will say so
 			}
 			if string(want) != object {
--- a/internal/discovery/subscription.go
+++ b/internal/discovery/subscription.go
@@ -44,8 +44,8 @@
 	watchEndVersion membership.Version // the newest when the server last ended the watch in order
 	reopenWatch     bool               // it did so during a poll: catch up and open the watch again after that
 
-	// ignoresVersion is set where the server answers polls with its complete list, whatever version they continue from, so that
-	// each acknowledgement there would cost a snapshot.
+	// ignoresVersion is set where the server answers polls with its complete list, whatever version they continue
+	// from, so that each acknowledgement there would cost a snapshot.
 	ignoresVersion bool
 }
 
--- a/internal/discovery/testfollower_test.go
+++ b/internal/discovery/testfollower_test.go
@@ -121,10 +121,11 @@
 }
 
 // makeAttemptDue makes the next attempt at a preferred server due.
-func (s *testFollower) makeAttemptDue() {
-	f := s.registry.follower
-	f.selector = membership.NewSelector(f.config.Name, f.config.Zone, f.config.Servers, 1)
-	f.connect()
+func (f *testFollower) makeAttemptDue() {
+	followed := f.registry.follower
+	config := followed.config
+	followed.selector = membership.NewSelector(config.Name, config.Zone, config.Servers, 1)
+	followed.connect()
 }
 
 // acceptOneSetting accepts changes of one setting alone, all or none, and calls onAccepted, unless it is nil.
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -139,8 +139,9 @@
 	w.generation++
 }
 
-// fail ends a call that failed, or a watch that broke, and schedules the next call. An agent is called again by itself,
-// and the initial list stays withheld meanwhile; else the failure is reported to the dispatcher, which calls Subscribe when it chooses to.
+// fail ends a call that failed, or a watch that broke, and schedules the next call. An agent is called again after a
+// short backoff, and the initial list stays withheld meanwhile. In other cases the failure is reported to the
+// dispatcher, which calls Subscribe when it chooses to.
 func (w *watch) fail(cause error) {
 	dispatcher := w.registry.dispatcher
 	now := dispatcher.Loop.Now()
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -47,14 +47,14 @@
 // than a buffer.
 func TestWatchAcceptsAnyFraming(t *testing.T) {
 	type list struct {
-		Seq   int64      `json:"seq"`
-		Whole bool       `json:"whole"`
-		Hosts []endpoint `json:"hosts"`
+		Version   int64      `json:"seq"`
+		Snapshot  bool       `json:"whole"`
+		Endpoints []endpoint `json:"hosts"`
 	}
-	makeList := func(seq int64, whole bool, n int, health string) list {
-		l := list{Seq: seq, Whole: whole}
+	makeList := func(version int64, snapshot bool, n int, health string) list {
+		l := list{Version: version, Snapshot: snapshot}
 		for i := range n {
-			l.Hosts = append(l.Hosts, endpoint{Name: fmt.Sprintf("s-%d", i), Address: "127.0.0.1:9", Health: health, Zone: "he\\\"}{re"})
+			l.Endpoints = append(l.Endpoints, endpoint{Name: fmt.Sprintf("s-%d", i), Address: "127.0.0.1:9", Health: health, Zone: "he\\\"}{re"})
 		}
 		return l
 	}
