--- /dev/null
+++ b/internal/discovery/discoveryserver_test.go
@@ -0,0 +1,90 @@
+package discovery
+
+import (
+	"bufio"
+	"net"
+	"net/http"
+	"testing"
+
+	"hollyyoke.example/hollyyoke/internal/dispatch"
+	"hollyyoke.example/hollyyoke/internal/testkit"
+)
+
+// An initial endpoint list, and a later snapshot of discovery that replaces it.
+const (
+	initialList   = `{"seq":41,"hosts":[{"host":"old","dial":"127.0.0.1:9","health":"ready"}]}`
+	laterSnapshot = `{"seq":43,"whole":true,"hosts":[{"host":"new","dial":"127.0.0.1:9","health":"ready"}]}`
+)
+
+// followDiscovery returns a registry that follows discovery at an address from initialList.
+func followDiscovery(t *testing.T, rig *testkit.Rig, addr string) (registry *Registry) {
+	t.Helper()
+	rig.Do(func() {
+		registry = newRegistry(rig, addr)
+		if err := registry.LoadInitial([]byte(initialList)); err != nil {
+			t.Error(err)
+		}
+	})
+	return registry
+}
+
+// stubClient is a worker client without connections: the tests are about the registry's list alone.
+type stubClient struct{ registry *Registry }
+
+func (stubClient) Start(dispatch.Attempt) {}
+
+func (stubClient) Cancel(uint64) bool { return true }
+
+func (stubClient) CloseIdle(string) {}
+
+func (stubClient) CheckHealth(string) {}
+
+func (c stubClient) Subscribe() { c.registry.Subscribe() }
+
+func (c stubClient) Refresh() { c.registry.Refresh() }
+
+func (stubClient) WorkerLeaving(*Worker) {}
+
+func (stubClient) CloseIdleTo(*Worker) {}
+
+func (stubClient) CloseAllIdle() {}
+
+// newRegistry returns a registry that follows discovery at addr for a worker client without connections.
+func newRegistry(rig *testkit.Rig, addr string) *Registry {
+	registry := New(rig.Dispatcher, rig.Engine, addr)
+	client := stubClient{registry}
+	registry.Attach(client)
+	rig.Dispatcher.AddSource(client)
+	return registry
+}
+
+// discoveryCall is a request that a stand-in for discovery has received, with its connection.
+type discoveryCall struct {
+	net.Conn
+	query string
+}
+
+// listenForCalls starts a stand-in for discovery, which answers no call by itself.
+func listenForCalls(t *testing.T) (addr string, calls chan discoveryCall) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	calls = make(chan discoveryCall, 100)
+	t.Cleanup(func() { ln.Close() })
+	go func() {
+		for {
+			conn, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			t.Cleanup(func() { conn.Close() })
+			go func() {
+				if req, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
+					calls <- discoveryCall{conn, req.URL.RawQuery}
+				}
+			}()
+		}
+	}()
+	return ln.Addr().String(), calls
+}
--- /dev/null
+++ b/internal/discovery/follower_test.go
@@ -0,0 +1,243 @@
+package discovery
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"hollyyoke.example/hollyyoke/internal/membership"
+	"hollyyoke.example/hollyyoke/internal/testkit"
+)
+
+// Without faults: a compressed or plain snapshot, deltas on the watch, and an acknowledgement after each, on the
+// connection that is kept.
+func TestFollow(t *testing.T) {
+	for _, compressed := range []bool{true, false} {
+		home := newServer(t)
+		follower := startFollower(t, 0, home).loadInitial(``)
+		first := home.expectRequest(pollQuery(0))
+		if text := encodeChange(7, true, "a=ready", "b=ready"); compressed {
+			first.answerCompressed(text)
+		} else {
+			first.answer(text)
+		}
+		watch := home.expectRequest(watchQuery(7))
+		watch.openWatch()
+		follower.waitForVersion(7, "a=ready b=ready")
+		ack := home.expectRequest(pollQuery(7))
+		if ack.Conn != first.Conn {
+			t.Error("the acknowledgement has a connection of its own")
+		}
+		ack.answer(encodeChange(7, false))
+		watch.sendLine(encodeChange(9, false, "a=draining", "c=ready"))
+		follower.waitForVersion(9, "a=draining b=ready c=ready")
+		home.expectRequest(pollQuery(9)).answer(encodeChange(10, false, "b=gone")) // which the watch has yet to bring
+		follower.waitForVersion(10, "a=draining c=ready")
+		watch.sendLine(encodeChange(10, false, "b=gone")) // as it does now
+		watch.sendLine(encodeChange(11, false, "a=gone"))
+		follower.waitForVersion(11, "c=ready")
+		testkit.Until(t, "version 11 is acknowledged", func() bool {
+			r := testkit.Receive(t, home.requests)
+			r.answer(encodeChange(11, false))
+			return r.query == pollQuery(11)
+		})
+		testkit.Until(t, "its answer is read", func() bool { return follower.stats().Acknowledged >= 3 })
+		stats := follower.stats()
+		if stats.Applied != 4 || stats.Snapshots != 1 || stats.Deltas != 3 || stats.Refused != 0 || stats.Failovers != 0 ||
+			stats.BytesRead < 500 || stats.BytesWritten < 100 || stats.Version != 11 {
+			t.Errorf("%+v", stats)
+		}
+		follower.mu.Lock()
+		if want := []membership.Version{7, 9, 10, 11}; !slices.Equal(follower.applied, want) {
+			t.Errorf("applied %v, want %v", follower.applied, want)
+		}
+		follower.mu.Unlock()
+	}
+}
+
+// A server fails in the middle of a change: none of it is in force, and the next server is polled from the version in
+// force.
+func TestServerFailsMidChange(t *testing.T) {
+	home := newServer(t)
+	other := newServer(t)
+	follower := startFollower(t, 1, home, other).loadInitial(``)
+	watch := home.serveFirstPoll(0, encodeChange(5, true, "a=ready", "b=ready"), 5)
+	follower.waitForVersion(5, "a=ready b=ready")
+	text := testkit.Chunk(encodeChange(6, false, "a=gone", "b=draining") + "\n")
+	release := follower.Hold()
+	follower.Write(t, watch, text[:len(text)-8])
+	release()
+	follower.Do(func() {}) // it has been read
+	if got := follower.workers(); got != "a=ready b=ready" {
+		t.Fatalf("half of a change is in force: %s", got)
+	}
+	home.stop()
+	other.serveFirstPoll(5, encodeChange(6, false, "a=gone", "b=draining"), 6)
+	follower.waitForVersion(6, "b=draining")
+	follower.waitForServer(other)
+	if stats := follower.stats(); stats.Failovers != 1 {
+		t.Errorf("%d failovers", stats.Failovers)
+	}
+}
+
+// A server that is behind never replaces the version in force: it is skipped, whether it answers the first poll with a
+// status or an older version, or sends an older version on its watch.
+func TestServersBehindAreSkipped(t *testing.T) {
+	old := encodeChange(3, true, "old=ready")
+	for name, behind := range map[string]func(*testServer){
+		"a status":       func(follower *testServer) { follower.expectRequest(pollQuery(5)).answerUnavailable() },
+		"older snapshot": func(s *testServer) { s.expectRequest(pollQuery(5)).answer(old) },
+		"older delta":    func(s *testServer) { s.expectRequest(pollQuery(5)).answerCompressed(encodeChange(4, false)) },
+		"older watch": func(s *testServer) {
+			watch := s.serveFirstPoll(5, encodeChange(5, false), 5)
+			watch.sendLine(old)
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			home := newServer(t)
+			second := newServer(t)
+			third := newServer(t)
+			s := startFollower(t, 2, home, second, third).loadInitial(``)
+			home.serveFirstPoll(0, encodeChange(5, true, "a=ready"), 5)
+			s.waitForServer(home)
+			home.stop()
+			next := second
+			last := third
+			var first request
+			select {
+			case first = <-second.requests:
+			case first = <-third.requests:
+				next, last = last, next
+			case <-time.After(testkit.Patience):
+				t.Fatal("no server is polled")
+			}
+			next.requests <- first
+			behind(next)
+			last.serveFirstPoll(5, encodeChange(6, false, "b=ready"), 6)
+			s.waitForVersion(6, "a=ready b=ready")
+			s.waitForServer(last)
+		})
+	}
+}
+
+// A server is restarted with an older version than it had.
+func TestRestartedServerWithOlderVersion(t *testing.T) {
+	home := newServer(t)
+	follower := startFollower(t, 0, home).loadInitial(``)
+	home.serveFirstPoll(0, encodeChange(8, true, "a=ready", "b=ready"), 8)
+	follower.waitForVersion(8, "a=ready b=ready")
+	home.stop()
+	home.restart()
+	for {
+		r := testkit.Receive(t, home.requests)
+		if r.query != pollQuery(8) { // an acknowledgement on the old connection
+			continue
+		}
+		r.answer(encodeChange(2, true, "old=ready"))
+		break
+	}
+	home.expectRequest(pollQuery(8)).answer(encodeChange(3, true, "old=ready"))
+	if got := follower.workers(); follower.version() != 8 || got != "a=ready b=ready" {
+		t.Fatalf("version %d: %s", follower.version(), got)
+	}
+	home.serveFirstPoll(8, encodeChange(9, false, "b=gone"), 9)
+	follower.waitForVersion(9, "a=ready")
+}
+
+// Of two servers of the zone one is behind: the version of the other is put in force.
+func TestTwoServersOneBehind(t *testing.T) {
+	one := newServer(t)
+	two := newServer(t)
+	follower := startFollower(t, 0, one, two)
+	follower.loadInitial(`{"seq":40,"settings":[],"hosts":[{"host":"k","dial":"127.0.0.1:9","health":"ready"}]}`)
+	for range 2 {
+		select {
+		case r := <-one.requests:
+			r.answer(encodeChange(39, true, "old=ready"))
+		case r := <-two.requests:
+			r.answer(encodeChange(41, false, "n=ready"))
+			two.expectRequest(watchQuery(41)).openWatch()
+			follower.waitForVersion(41, "k=ready n=ready")
+			follower.waitForServer(two)
+			return
+		case <-time.After(testkit.Patience):
+			t.Fatal("no server is polled")
+		}
+	}
+	t.Fatal("the server that is not behind is not polled")
+}
+
+// All servers are down at the start: the initial list is used after its timeout, and the server that comes up is found.
+func TestAllServersDownAtStart(t *testing.T) {
+	home := newServer(t)
+	other := newServer(t)
+	home.stop()
+	other.stop()
+	follower := startFollower(t, 1, home, other)
+	follower.loadInitial(`{"seq":40,"hosts":[{"host":"k","dial":"127.0.0.1:9","health":"ready"}]}`)
+	testkit.Until(t, "the initial list is used", func() (ready bool) {
+		follower.Do(func() { ready = follower.registry.Ready() && follower.Dispatcher.ReadyWorkers() == 1 })
+		return ready
+	})
+	if n := follower.countLogLines(": "); n != 1 {
+		t.Errorf("the outage has %d log lines: %q", n, follower.logLines)
+	}
+	other.restart()
+	other.serveFirstPoll(0, encodeChange(44, true, "k=draining"), 44) // its settings are unknown, so a snapshot is asked for
+	follower.waitForVersion(44, "k=draining")
+}
+
+// The follower returns to the server of its own zone once that works, and not before it has caught up.
+func TestReturnToLocalZone(t *testing.T) {
+	home := newServer(t)
+	other := newServer(t)
+	home.stop()
+	follower := startFollower(t, 1, home, other).loadInitial(``)
+	away := other.serveFirstPoll(0, encodeChange(5, true, "a=ready"), 5)
+	follower.waitForServer(other)
+	home.restart()
+	follower.Do(func() { follower.makeAttemptDue() })
+	back := home.expectRequest(pollQuery(5))
+	away.sendLine(encodeChange(6, false, "b=ready"))
+	follower.waitForVersion(6, "a=ready b=ready")
+	back.answer(encodeChange(5, false)) // behind by now
+	testkit.Until(t, "it is skipped", func() (none bool) {
+		follower.Do(func() { none = len(follower.registry.follower.candidates) == 0 })
+		return none
+	})
+	follower.waitForServer(other)
+	follower.Do(func() { follower.makeAttemptDue() })
+	home.expectRequest(pollQuery(6)).answer(encodeChange(6, false))
+	watch := home.expectRequest(watchQuery(6))
+	watch.openWatch()
+	away.sendLine(encodeChange(7, false, "c=ready"))
+	follower.waitForVersion(7, "a=ready b=ready c=ready")
+	watch.sendLine(encodeChange(6, false))
+	follower.Do(func() {}) // behind again: the server in use stays
+	follower.waitForServer(other)
+	watch.sendLine(encodeChange(7, false, "c=ready"))
+	follower.waitForServer(home)
+	watch.sendLine(encodeChange(8, false, "a=gone"))
+	follower.waitForVersion(8, "b=ready c=ready")
+}
+
+// Follow is called again with other servers: the one in use stays until a new one has caught up.
+func TestFollowAgainWithOtherServers(t *testing.T) {
+	old := newServer(t)
+	next := newServer(t)
+	follower := startFollower(t, 0, old).loadInitial(``)
+	watch := old.serveFirstPoll(0, encodeChange(5, true, "a=ready"), 5)
+	follower.waitForServer(old)
+	follower.Do(func() { follower.registry.Follow(follower.followConfig(0, next)) })
+	call := next.expectRequest(pollQuery(5))
+	watch.sendLine(encodeChange(6, false, "b=ready"))
+	follower.waitForVersion(6, "a=ready b=ready")
+	call.answer(encodeChange(6, false, "b=ready"))
+	other := next.expectRequest(watchQuery(6))
+	other.openWatch()
+	other.sendLine("")
+	follower.waitForServer(next)
+	if _, err := watch.Read(make([]byte, 1)); err == nil {
+		t.Error("the previous watch is open")
+	}
+}
--- /dev/null
+++ b/internal/discovery/responsebody_test.go
@@ -0,0 +1,58 @@
+package discovery
+
+import (
+	"bytes"
+	"compress/gzip"
+	"errors"
+	"fmt"
+	"io"
+	"strings"
+	"testing"
+)
+
+// A response that decompresses to more than its limit, or has more bytes as sent or more elements than theirs, is
+// rejected, and the next server is polled.
+func TestResponseBodyLimits(t *testing.T) {
+	compressBomb := func(text string, unit string, size int) []byte {
+		var body bytes.Buffer
+		w := gzip.NewWriter(&body)
+		io.WriteString(w, text)
+		piece := strings.Repeat(unit, 1<<20/len(unit))
+		for n := 0; n <= size; n += len(piece) {
+			io.WriteString(w, piece)
+		}
+		w.Close()
+		return body.Bytes()
+	}
+	for name, test := range map[string]struct {
+		body []byte
+		want error
+	}{
+		"white space": {compressBomb(`{"seq":9,"whole":true,`, " ", maxDecompressedBytes), errDecompressedTooLarge},
+		"elements":    {compressBomb(`{"seq":9,"whole":true,"hosts":[`, "{},", maxElements*3), errTooManyElements},
+	} {
+		t.Run(name, func(t *testing.T) {
+			home := newServer(t)
+			other := newServer(t)
+			follower := startFollower(t, 1, home, other).loadInitial(``)
+			first := home.expectRequest(pollQuery(0))
+			fmt.Fprintf(first, "HTTP/1.1 200 OK\r\nContent-Encoding: gzip\r\nContent-Length: %d\r\n\r\n", len(test.body))
+			first.Write(test.body)
+			other.serveFirstPoll(0, encodeChange(5, true, "a=ready"), 5)
+			follower.waitForVersion(5, "a=ready")
+			if follower.countLogLines(test.want.Error()) != 1 {
+				t.Errorf("no log line has %q", test.want)
+			}
+		})
+	}
+	var body responseBody
+	var err error
+	for range maxBodyBytes>>20 + 1 {
+		if err = errors.Join(err, body.append(make([]byte, 1<<20), 0)); err != nil {
+			break
+		}
+	}
+	if !errors.Is(err, errBodyTooLarge) || len(body.data) > maxBodyBytes {
+		t.Errorf("the body has %d bytes, %v", len(body.data), err)
+	}
+}
