--- a/internal/workerclient/client_test.go
+++ b/internal/workerclient/client_test.go
@@ -21,11 +21,11 @@
 	return New(r.Dispatcher, r.Engine, discovery.New(r.Dispatcher, r.Engine, addr))
 }
 
-// FuzzFetch checks a connection to a backend against a model: whatever the
+// FuzzWorkerResponses checks a connection to a backend against a model: whatever the
 // backend answers, and wherever the bytes are cut apart, the req ends as the
 // protocol's table says, and its request arrives once at most, also where the
 // connection kept from the last one has just been closed.
-func FuzzFetch(f *testing.F) {
+func FuzzWorkerResponses(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 1, 0, 255, 1, 33, 2, 90})
 	f.Add([]byte{0, 0, 64, 0, 64, 0, 64, 255})
 	for i := range testkit.WorkerResponses {
@@ -34,7 +34,7 @@
 	r, s := testkit.NewRig(f), testkit.NewScriptedWorker(f)
 	r.Do(func() {
 		b := newWorkerClient(r, "")
-		b.quietTime = 0 // a connection is used again at once
+		b.reuseDelay = 0 // a connection is used again at once
 		known := fmt.Sprintf(`{"hosts":[{"host":"s","dial":%q,"site":"here","health":"ready"}]}`, s.Listener.Addr())
 		if err := b.registry.LoadInitial([]byte(known)); err != nil {
 			f.Error(err)
@@ -80,7 +80,7 @@
 // A connection that turns out dead on a request costs nothing, even a fragile
 // one: its last byte stays back until the connection has shown that it lives. A
 // backend that answers before that byte never gets it.
-func TestLastByteStaysBack(t *testing.T) {
+func TestLastByteIsHeldBack(t *testing.T) {
 	r := testkit.NewRig(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -91,7 +91,7 @@
 	r.Do(func() {
 		b = newWorkerClient(r, "")
 		b.lastByteDelay = 400 * time.Millisecond // this end must act within it, however busy the machine is
-		b.quietTime = 0                          // a connection is used again at once
+		b.reuseDelay = 0                         // a connection is used again at once
 		if err := b.registry.LoadInitial(fmt.Appendf(nil, `{"hosts":[{"host":"s","dial":%q,"health":"ready"}]}`, ln.Addr())); err != nil {
 			t.Error(err)
 		}
@@ -167,7 +167,7 @@
 
 // A probe that is not answered ends, also on a connection of its own: it once
 // had no deadline there. One that is answered leaves its connection to an attempt.
-func TestProbes(t *testing.T) {
+func TestHealthChecks(t *testing.T) {
 	r, s := testkit.NewRig(t), testkit.NewScriptedWorker(t)
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -177,7 +177,7 @@
 	var b *Client
 	r.Do(func() {
 		b = newWorkerClient(r, "")
-		b.quietTime = 0 // a connection is used again at once
+		b.reuseDelay = 0 // a connection is used again at once
 		known := `{"hosts":[{"host":"s","dial":%q,"health":"ready"},{"host":"silent","dial":%q,"health":"draining"}]}`
 		if err := b.registry.LoadInitial(fmt.Appendf(nil, known, s.Listener.Addr(), silent.Addr())); err != nil {
 			t.Error(err)
@@ -228,8 +228,8 @@
 
 // A backend holds only so many connections for all dispatchers together: the
 // more dispatchers there are, the fewer rest here, the one used last among them.
-func TestRestingConnectionsScaleDown(t *testing.T) {
-	for _, x := range []struct{ peers, rest int }{{idleInAll / 3, 3}, {48 * idleInAll, 1}} {
+func TestIdleConnectionsScaleWithDispatchers(t *testing.T) {
+	for _, x := range []struct{ peers, rest int }{{fleetIdleConnections / 3, 3}, {48 * fleetIdleConnections, 1}} {
 		r, s := testkit.NewRig(t), testkit.NewScriptedWorker(t)
 		r.Dispatcher.Settings.Peers = x.peers
 		const load = "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n{\"x0\":1.5}"
--- a/internal/workerclient/leaving_test.go
+++ b/internal/workerclient/clientleaves_test.go
@@ -22,29 +22,29 @@
 // These tests let a client leave while the loop is busy, in the very turn in which something lets an attempt of
 // its request begin, and before the loop is told of the end. The system knows that end by then: no attempt begins.
 
-// departure is a front with real backends, and a client that leaves.
-type departure struct {
+// departureRig is a front with real backends, and a client that leaves.
+type departureRig struct {
 	*testkit.Rig
-	t        *testing.T
-	addr     string // of the front
-	backends *Client
-	accept   []func() (net.Conn, *bufio.Reader) // the backends' next connections
+	t          *testing.T
+	addr       string // of the front
+	client     *Client
+	acceptNext []func() (net.Conn, *bufio.Reader) // the backends' next connections
 
 	listeners []net.Listener
 }
 
-func newDeparture(t *testing.T, backends int, change func(*decision.Settings)) *departure {
+func newDepartureRig(t *testing.T, backends int, change func(*decision.Settings)) *departureRig {
 	t.Helper()
-	d := &departure{Rig: testkit.NewRig(t, change), t: t}
+	d := &departureRig{Rig: testkit.NewRig(t, change), t: t}
 	var hosts []string
 	for i := range backends {
 		ln, next := listenAsWorker(t)
-		d.accept, d.listeners = append(d.accept, next), append(d.listeners, ln)
+		d.acceptNext, d.listeners = append(d.acceptNext, next), append(d.listeners, ln)
 		hosts = append(hosts, fmt.Sprintf(`{"host":"s%d","dial":%q,"health":"ready"}`, i, ln.Addr()))
 	}
 	d.Do(func() {
-		d.backends = newWorkerClient(d.Rig, "")
-		if err := d.backends.registry.LoadInitial(fmt.Appendf(nil, `{"hosts":[%s]}`, strings.Join(hosts, ","))); err != nil {
+		d.client = newWorkerClient(d.Rig, "")
+		if err := d.client.registry.LoadInitial(fmt.Appendf(nil, `{"hosts":[%s]}`, strings.Join(hosts, ","))); err != nil {
 			t.Error(err)
 		}
 		front := httpfront.New(d.Dispatcher, d.Engine, 64<<20, func() bool { return true })
@@ -53,23 +53,23 @@
 	return d
 }
 
-// hold keeps the loop from going on until the release, at the end of the test at the latest.
-func (d *departure) hold() (release func()) {
+// holdLoop keeps the loop from going on until the release, at the end of the test at the latest.
+func (d *departureRig) holdLoop() (release func()) {
 	release = sync.OnceFunc(d.Rig.Hold())
 	d.t.Cleanup(release)
 	return release
 }
 
-// client sends a request and more bytes behind it.
-func (d *departure) client(path, id string, behind int) net.Conn {
+// connectClient sends a request and more bytes behind it.
+func (d *departureRig) connectClient(path, id string, behind int) net.Conn {
 	d.t.Helper()
 	text := fmt.Sprintf("POST %s HTTP/1.1\r\nX-Correlation-Id: %s\r\nX-Weight-Hint: 1000\r\nContent-Length: 4\r\n\r\nbody", path, id)
 	conn, _ := testkit.Connect(d.t, d.addr, text+strings.Repeat("x", behind))
 	return conn
 }
 
-// request reads a whole request at a backend.
-func (d *departure) request(in *bufio.Reader) *http.Request {
+// readRequest reads a whole readRequest at a backend.
+func (d *departureRig) readRequest(in *bufio.Reader) *http.Request {
 	d.t.Helper()
 	req, err := http.ReadRequest(in)
 	if err != nil {
@@ -81,16 +81,16 @@
 	return req
 }
 
-// leave closes a client's connection and waits until the front's system has been told.
-func (d *departure) leave(conn net.Conn) {
+// closeClient closes a client's connection and waits until the front's system has been told.
+func (d *departureRig) closeClient(conn net.Conn) {
 	d.t.Helper()
 	local := conn.LocalAddr().String()
 	conn.Close()
 	testkit.Until(d.t, "the client's end arrives", func() bool { return !established(d.t, d.addr, local) })
 }
 
-// sent waits until a client's end has been taken in, and returns how many attempts have left whole.
-func (d *departure) sent() (n uint64) {
+// awaitCancelled waits until a client's end has been taken in, and returns how many attempts have left whole.
+func (d *departureRig) awaitCancelled() (n uint64) {
 	d.t.Helper()
 	testkit.Until(d.t, "the client is hung up", func() (over bool) {
 		d.Do(func() {
@@ -101,45 +101,45 @@
 	return n
 }
 
-func repeats(s *decision.Settings) { s.MaxAttempts = 3 }
+func withRetries(s *decision.Settings) { s.MaxAttempts = 3 }
 
 // The end arrives while the first attempt of a request is due.
-func TestLeavingBeforeTheFirstAttempt(t *testing.T) {
+func TestClientLeavesBeforeFirstAttempt(t *testing.T) {
 	for _, behind := range []int{0, 300} {
-		d := newDeparture(t, 1, repeats)
-		on := d.hold()
-		conn := d.client("/status-check/k", "id000001", behind)
-		d.leave(conn)
+		d := newDepartureRig(t, 1, withRetries)
+		on := d.holdLoop()
+		conn := d.connectClient("/status-check/k", "id000001", behind)
+		d.closeClient(conn)
 		on()
-		if n := d.sent(); n > 0 {
+		if n := d.awaitCancelled(); n > 0 {
 			t.Errorf("%d bytes behind: %d attempts for a client that had left", behind, n)
 		}
 	}
 }
 
 // The end arrives while a request waits for another with its key, which is over just then.
-func TestLeavingInAKeysTurn(t *testing.T) {
-	d := newDeparture(t, 1, func(s *decision.Settings) { s.Classes[0].Serialized = true })
-	d.client("/status-check/k", "id000001", 0)
-	worker, in := d.accept[0]()
-	d.request(in)
-	conn := d.client("/status-check/k", "id000002", 0)
+func TestClientLeavesWhileSerialized(t *testing.T) {
+	d := newDepartureRig(t, 1, func(s *decision.Settings) { s.Classes[0].Serialized = true })
+	d.connectClient("/status-check/k", "id000001", 0)
+	worker, in := d.acceptNext[0]()
+	d.readRequest(in)
+	conn := d.connectClient("/status-check/k", "id000002", 0)
 	testkit.Until(t, "the second is taken", func() (both bool) {
 		d.Do(func() { both = d.Dispatcher.Unanswered() == 2 })
 		return both
 	})
-	on := d.hold()
+	on := d.holdLoop()
 	d.Write(t, worker, strings.ReplaceAll(testkit.ChunkedResponse(testkit.DoneLine), "IDENTITY", "id000001"))
-	d.leave(conn)
+	d.closeClient(conn)
 	on()
-	if n := d.sent(); n != 1 {
+	if n := d.awaitCancelled(); n != 1 {
 		t.Errorf("%d attempts, of which the first was wanted", n)
 	}
 }
 
 // The end arrives while the connection to a backend comes up.
-func TestLeavingDuringADial(t *testing.T) {
-	d := newDeparture(t, 1, repeats)
+func TestClientLeavesDuringDial(t *testing.T) {
+	d := newDepartureRig(t, 1, withRetries)
 	held, release := make(chan struct{}), make(chan struct{})
 	on := sync.OnceFunc(func() { close(release) })
 	t.Cleanup(on)
@@ -150,51 +150,51 @@
 			}
 		}
 	})
-	conn := d.client("/status-check/k", "id000001", 0)
+	conn := d.connectClient("/status-check/k", "id000001", 0)
 	<-held
-	d.accept[0]()
+	d.acceptNext[0]()
 	time.Sleep(100 * time.Millisecond) // for the poller to post that it is up; were it slower, the test would only show less
-	d.leave(conn)
+	d.closeClient(conn)
 	on()
-	if n := d.sent(); n > 0 {
+	if n := d.awaitCancelled(); n > 0 {
 		t.Errorf("%d attempts for a client that had left", n)
 	}
 }
 
 // The end arrives beside a failed attempt, after which a retry is due.
-func TestLeavingBeforeARetry(t *testing.T) {
+func TestClientLeavesBeforeRetry(t *testing.T) {
 	for _, behind := range []int{0, 300} {
-		d := newDeparture(t, 2, repeats)
-		conn := d.client("/status-check/k", "id000001", behind)
-		worker, in := d.first()
-		d.request(in)
-		on := d.hold()
+		d := newDepartureRig(t, 2, withRetries)
+		conn := d.connectClient("/status-check/k", "id000001", behind)
+		worker, in := d.acceptAny()
+		d.readRequest(in)
+		on := d.holdLoop()
 		d.Write(t, worker, "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n")
-		d.leave(conn)
+		d.closeClient(conn)
 		on()
-		if n := d.sent(); n != 1 {
+		if n := d.awaitCancelled(); n != 1 {
 			t.Errorf("%d bytes behind: %d attempts, of which the first was wanted", behind, n)
 		}
 	}
 }
 
 // The end arrives while a hedge is due, since the first attempt does not start.
-func TestLeavingBeforeAHedge(t *testing.T) {
-	d := newDeparture(t, 2, func(s *decision.Settings) { s.MaxAttempts, s.Hedging = 3, true })
-	conn := d.client("/status-check/k", "id000001", 0)
-	_, in := d.first()
-	d.request(in)
-	on := d.hold()
-	d.leave(conn)
+func TestClientLeavesBeforeHedge(t *testing.T) {
+	d := newDepartureRig(t, 2, func(s *decision.Settings) { s.MaxAttempts, s.Hedging = 3, true })
+	conn := d.connectClient("/status-check/k", "id000001", 0)
+	_, in := d.acceptAny()
+	d.readRequest(in)
+	on := d.holdLoop()
+	d.closeClient(conn)
 	time.Sleep(300 * time.Millisecond) // beyond the sweep's interval: the hedge is due whatever the machine does
 	on()
-	if n := d.sent(); n > 1 {
+	if n := d.awaitCancelled(); n > 1 {
 		t.Errorf("%d attempts, of which the first was wanted", n)
 	}
 }
 
-// first accepts the connection that comes first, at whichever backend.
-func (d *departure) first() (net.Conn, *bufio.Reader) {
+// acceptAny accepts the connection that comes acceptAny, at whichever backend.
+func (d *departureRig) acceptAny() (net.Conn, *bufio.Reader) {
 	d.t.Helper()
 	came := make(chan net.Conn, len(d.listeners))
 	for _, ln := range d.listeners {
@@ -210,21 +210,21 @@
 }
 
 // The end arrives while the last byte of a request is held back.
-func TestLeavingBeforeTheLastByte(t *testing.T) {
-	d := newDeparture(t, 1, repeats)
+func TestClientLeavesBeforeLastByte(t *testing.T) {
+	d := newDepartureRig(t, 1, withRetries)
 	d.Do(func() {
-		d.backends.holdLastByteUntil, d.backends.lastByteDelay = d.Dispatcher.Loop.Now()+time.Hour, 200*time.Millisecond
+		d.client.holdLastByteUntil, d.client.lastByteDelay = d.Dispatcher.Loop.Now()+time.Hour, 200*time.Millisecond
 	})
-	conn := d.client("/status-check/k", "id000001", 0)
-	_, in := d.accept[0]()
+	conn := d.connectClient("/status-check/k", "id000001", 0)
+	_, in := d.acceptNext[0]()
 	if _, err := in.Peek(1); err != nil {
 		t.Fatal(err)
 	}
-	on := d.hold()
-	d.leave(conn)
+	on := d.holdLoop()
+	d.closeClient(conn)
 	time.Sleep(220 * time.Millisecond) // the last byte is due, whatever the machine does
 	on()
-	if n := d.sent(); n > 0 {
+	if n := d.awaitCancelled(); n > 0 {
 		t.Errorf("%d attempts for a client that had left", n)
 	}
 }
@@ -232,24 +232,24 @@
 // What a request tells of the time left is true when its last byte leaves: a
 // last byte that was held back for longer than planned goes nowhere, and the
 // request begins anew, or is over.
-func TestTimeLeftIsTrueAtTheLastByte(t *testing.T) {
+func TestTimeLeftHoldsAtLastByte(t *testing.T) {
 	const left = 3 * time.Second
 	for name, late := range map[string]time.Duration{"late": time.Second, "over": left} {
 		t.Run(name, func(t *testing.T) {
-			d := newDeparture(t, 1, repeats)
+			d := newDepartureRig(t, 1, withRetries)
 			d.Do(func() {
-				d.backends.holdLastByteUntil, d.backends.lastByteDelay = d.Dispatcher.Loop.Now()+time.Hour, 100*time.Millisecond
+				d.client.holdLastByteUntil, d.client.lastByteDelay = d.Dispatcher.Loop.Now()+time.Hour, 100*time.Millisecond
 			})
 			before := time.Now()
 			got := make(testkit.Responses, 1)
 			d.Dispatcher.Loop.Post(func() {
 				d.Dispatcher.Accept(got, 0, dispatch.Request{ID: "id000001", Target: "/status-check/k", Body: []byte("body"), Work: 1e6, TimeLeft: left})
 			})
-			_, in := d.accept[0]()
+			_, in := d.acceptNext[0]()
 			if _, err := in.Peek(1); err != nil {
 				t.Fatal(err)
 			}
-			on := d.hold()
+			on := d.holdLoop()
 			for time.Since(before) < late {
 				time.Sleep(time.Millisecond)
 			}
@@ -258,19 +258,19 @@
 				t.Error("the last byte left behind a time that is over")
 			}
 			if name == "over" {
-				if v := verdict(t, got); v == dispatch.Served {
+				if v := awaitOutcome(t, got); v == dispatch.Served {
 					t.Errorf("after its time: %v", v)
 				}
 				return
 			}
-			again, from := d.accept[0]()
-			req := d.request(from)
+			again, from := d.acceptNext[0]()
+			req := d.readRequest(from)
 			told, err := strconv.Atoi(req.Header.Get("X-Time-Left-Ms"))
 			if rest := left - time.Since(before); err != nil || time.Duration(told)*time.Millisecond > left-late || rest < 0 {
 				t.Errorf("%d ms told where less than %v was left, %v", told, left-late, err)
 			}
 			io.WriteString(again, strings.ReplaceAll(testkit.ChunkedResponse(testkit.DoneLine), "IDENTITY", "id000001"))
-			if v := verdict(t, got); v != dispatch.Served {
+			if v := awaitOutcome(t, got); v != dispatch.Served {
 				t.Errorf("begun anew: %v", v)
 			}
 		})
--- a/internal/workerclient/descriptors_test.go
+++ b/internal/workerclient/dial_test.go
@@ -53,7 +53,7 @@
 	if n := r.FillDescriptors(t, own.Listener.Addr().String()); n != 0 {
 		t.Fatalf("%d descriptors were free", n)
 	}
-	if v := verdict(t, accept(r, 1, "id000001")); v != dispatch.Served {
+	if v := awaitOutcome(t, acceptRequest(r, 1, "id000001")); v != dispatch.Served {
 		t.Errorf("the request ended as %v", v)
 	}
 }
--- a/internal/workerclient/golden_test.go
+++ b/internal/workerclient/golden_test.go
@@ -12,7 +12,7 @@
 )
 
 // What a worker is sent: attempts with a path or without, with a key, and a probe.
-func TestGoldenToWorkers(t *testing.T) {
+func TestGoldenRequests(t *testing.T) {
 	r := testkit.NewRig(t)
 	addr, accept := testkit.ListenOnLoopback(t)
 	var set *Client
--- /dev/null
+++ b/internal/workerclient/healthcheck.go
@@ -0,0 +1,108 @@
+package workerclient
+
+import (
+	"time"
+
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/httpwire"
+	"hollyyoke.example/hollyyoke/internal/settings"
+)
+
+// defaultHealthCheckTimeout is how long a worker may take to respond to a health check that no attempt waits for.
+const defaultHealthCheckTimeout = time.Second
+
+// CheckHealth asks a worker, given by its name, for its load report.
+func (c *Client) CheckHealth(name string) {
+	worker := c.registry.Worker(name)
+	if worker == nil {
+		return
+	}
+	conn := c.acquire(worker, false)
+	conn.healthCheck = true
+	if conn.conn != nil {
+		conn.send()
+	}
+}
+
+// healthCheckTimeout returns how long the worker may take to respond to the health check at hand.
+func (c *connection) healthCheckTimeout() time.Duration {
+	if c.confirming {
+		return c.client.connectTimeout()
+	}
+	return defaultHealthCheckTimeout
+}
+
+// appendHealthCheck appends a health check's request to out.
+func (c *connection) appendHealthCheck(out []byte) []byte {
+	out = append(out, "GET /load HTTP/1.1\r\nHost: "...)
+	out = append(out, c.worker.Address...)
+	return append(out, "\r\n\r\n"...)
+}
+
+// finishHealthCheck takes in the response to a health check, which has ended.
+func (c *connection) finishHealthCheck() {
+	c.healthCheck = false
+	c.client.loop().Clear(&c.timer)
+	outcome := decision.Failed
+	var load decision.LoadReport
+	if c.status == httpwire.StatusOK {
+		outcome = decision.Completed
+		if c.line != nil {
+			load = settings.Load(&c.client.dispatcher.Settings, c.line.Bytes())
+		}
+	}
+	c.responseComplete = true
+	if !c.confirming {
+		c.client.dispatcher.HealthChecked(c.worker.Name, outcome, load)
+	}
+}
+
+// confirmHealth sends a health check, which must succeed before the attempt's request is sent.
+func (c *connection) confirmHealth(now time.Duration) {
+	c.confirming = true
+	c.healthCheck = true
+	c.healthCheckSentAt = now
+	c.write(now)
+}
+
+// confirmationAnswered goes on with the attempt once the worker has responded to the health check sent for it.
+func (c *connection) confirmationAnswered() {
+	c.confirming = false
+	healthy := c.status == httpwire.StatusOK
+	reusable := !c.closeAfter
+	handle := c.handle
+	c.resetResponse()
+	if !healthy {
+		c.rejectUnconfirmed()
+		c.release()
+		return
+	}
+	c.client.registry.HealthConfirmed(c.worker, c.healthCheckSentAt)
+	if c.client.dispatcher.ClientGone(handle) { // the dispatcher has cancelled the attempt
+		return
+	}
+	if reusable {
+		c.send()
+		return
+	}
+	c.moveAttempt(false)
+	c.close()
+}
+
+// confirmationFailed is called when the worker has not responded to the health check sent for an attempt. If the
+// connection was reused, the worker may have closed it long ago, so the attempt goes on on another.
+func (c *connection) confirmationFailed() {
+	c.confirming = false
+	c.healthCheck = false
+	if c.reused {
+		c.moveAttempt(c.newConnectionFailed)
+		return
+	}
+	c.rejectUnconfirmed()
+}
+
+// rejectUnconfirmed ends an attempt whose worker has not shown that it serves.
+func (c *connection) rejectUnconfirmed() {
+	c.client.registry.HealthDenied(c.worker)
+	c.complete(attemptResult{outcome: decision.NotSent})
+}
--- /dev/null
+++ b/internal/workerclient/pool.go
@@ -0,0 +1,107 @@
+package workerclient
+
+import (
+	"slices"
+	"time"
+
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/discovery"
+)
+
+const (
+	// fleetIdleConnections is how many idle connections a worker holds for all dispatchers together.
+	fleetIdleConnections = 96
+
+	// idleMargin is how long before the worker's own idle timeout a connection is closed.
+	idleMargin = time.Second
+
+	// defaultReuseDelay is how long a connection must have been idle before a request is sent on it that must not run
+	// twice. A second response to the request before may come some milliseconds late, and where it says that nothing
+	// ran it does not name its request.
+	defaultReuseDelay = 20 * time.Millisecond
+)
+
+// maxIdlePerWorker returns how many idle connections this dispatcher may keep to a worker.
+func (c *Client) maxIdlePerWorker() int {
+	return max(fleetIdleConnections/max(c.dispatcher.Settings.Peers, 1), 1)
+}
+
+// acquire returns an idle connection to a worker, or else a new one, which is still being dialed.
+func (c *Client) acquire(worker *discovery.Worker, repeatUnsafe bool) *connection {
+	conn := c.takeIdle(worker, repeatUnsafe)
+	if conn == nil {
+		conn = c.dial(worker)
+	}
+	return conn
+}
+
+// takeIdle removes the connection used last from the idle ones and returns it, or nil if there is none. For a request
+// that is unsafe to repeat, it passes over connections used less than the reuse delay ago. Connections that the worker
+// may have closed, or has sent something on, are closed.
+func (c *Client) takeIdle(worker *discovery.Worker, repeatUnsafe bool) *connection {
+	for i := len(c.idle[worker]) - 1; i >= 0; i-- {
+		conn := c.idle[worker][i]
+		now := c.loop().Now()
+		if repeatUnsafe && now-conn.idleSince < c.reuseDelay {
+			continue
+		}
+		c.idle[worker] = slices.Delete(c.idle[worker], i, i+1)
+		if conn.conn.Idle() && (conn.idleUntil == 0 || now < conn.idleUntil) {
+			c.loop().Clear(&conn.timer)
+			return conn
+		}
+		conn.close()
+	}
+	return nil
+}
+
+// CloseAllIdle closes all idle connections, to free their descriptors.
+func (c *Client) CloseAllIdle() {
+	for worker := range c.idle {
+		c.CloseIdleTo(worker)
+	}
+}
+
+// CloseIdleTo closes the idle connections to a worker.
+func (c *Client) CloseIdleTo(worker *discovery.Worker) {
+	for _, conn := range c.idle[worker] {
+		conn.close()
+	}
+	delete(c.idle, worker)
+}
+
+// release makes the connection idle, so that the next attempt can use it, or closes it if none may.
+func (c *connection) release() {
+	c.resetResponse()
+	if c.conn == nil || c.conn.Handle == 0 {
+		return
+	}
+	if c.closeAfter || c.worker.State == decision.Removed || c.client.registry.Worker(c.worker.Name) != c.worker {
+		c.close()
+		return
+	}
+	loop := c.client.loop()
+	c.reused = true
+	c.idleSince = loop.Now()
+	c.idleUntil = 0
+	idleConnections := append(c.client.idle[c.worker], c)
+	if len(idleConnections) > c.client.maxIdlePerWorker() {
+		leastRecentlyUsed := idleConnections[0]
+		leastRecentlyUsed.close()
+		idleConnections = idleConnections[1:]
+	}
+	c.client.idle[c.worker] = idleConnections
+	idleTimeout := c.client.dispatcher.Settings.ConnectionIdleTimeout
+	if idleTimeout > 0 {
+		c.idleUntil = c.idleSince + max(idleTimeout-idleMargin, idleTimeout/2)
+		loop.Set(&c.timer, c.idleUntil)
+	}
+}
+
+// removeIdle removes the connection from the idle ones, if it is among them.
+func (c *connection) removeIdle() {
+	i := slices.Index(c.client.idle[c.worker], c)
+	if i >= 0 {
+		c.client.idle[c.worker] = slices.Delete(c.client.idle[c.worker], i, i+1)
+	}
+}
--- a/internal/workerclient/crossings_test.go
+++ b/internal/workerclient/races_test.go
@@ -26,7 +26,7 @@
 	ln, next := listenAsWorker(t)
 	var addr string
 	r.Do(func() {
-		newSoleWorkerClient(t, r, ln, settleTime)
+		newSoleWorkerClient(t, r, ln, defaultReuseDelay)
 		addr, _ = httpfront.New(r.Dispatcher, r.Engine, 64<<20, func() bool { return true }).Listen("127.0.0.1:0", 20)
 	})
 	conn, in := testkit.Connect(t, addr, "")
@@ -80,15 +80,15 @@
 // after a rest of calm. It is for the loop.
 func newSoleWorkerClient(t *testing.T, r *testkit.Rig, ln net.Listener, calm time.Duration) *Client {
 	b := newWorkerClient(r, "")
-	b.quietTime = calm
+	b.reuseDelay = calm
 	if err := b.registry.LoadInitial(fmt.Appendf(nil, `{"hosts":[{"host":"s","dial":%q,"health":"ready"}]}`, ln.Addr())); err != nil {
 		t.Error(err)
 	}
 	return b
 }
 
-// answerOnce reads a request and answers it as done.
-func answerOnce(t *testing.T, conn net.Conn, in *bufio.Reader) {
+// serveOnce reads a request and answers it as done.
+func serveOnce(t *testing.T, conn net.Conn, in *bufio.Reader) {
 	t.Helper()
 	req, err := http.ReadRequest(in)
 	if err != nil {
@@ -98,7 +98,7 @@
 	io.WriteString(conn, strings.ReplaceAll(testkit.ChunkedResponse(testkit.DoneLine), "IDENTITY", req.Header.Get("X-Correlation-Id")))
 }
 
-func accept(r *testkit.Rig, class int, id string) testkit.Responses {
+func acceptRequest(r *testkit.Rig, class int, id string) testkit.Responses {
 	got := make(testkit.Responses, 1)
 	r.Dispatcher.Loop.Post(func() {
 		r.Dispatcher.Accept(got, 0, dispatch.Request{ID: id, Class: class, Target: "/" + r.Dispatcher.Settings.Classes[class].Name + "/k", Body: []byte("body"), Work: 1e6})
@@ -106,7 +106,7 @@
 	return got
 }
 
-func verdict(t *testing.T, got testkit.Responses) dispatch.Outcome {
+func awaitOutcome(t *testing.T, got testkit.Responses) dispatch.Outcome {
 	t.Helper()
 	select {
 	case a := <-got:
@@ -119,7 +119,7 @@
 
 // What comes on a resting connection is no answer to the next request, and its
 // end is no end of the next attempt, also where both meet in one turn.
-func TestRestingConnectionCrossesARequest(t *testing.T) {
+func TestIdleConnectionIsNotTakenForAResponse(t *testing.T) {
 	for name, cross := range map[string]func(r *testkit.Rig, conn net.Conn){
 		"a refusal": func(r *testkit.Rig, conn net.Conn) {
 			r.Write(t, conn, "HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")
@@ -138,25 +138,25 @@
 				r.Do(func() {
 					newSoleWorkerClient(t, r, ln, 0)
 				})
-				first := accept(r, 1, "id000001")
+				first := acceptRequest(r, 1, "id000001")
 				conn, in := next()
-				answerOnce(t, conn, in)
-				if v := verdict(t, first); v != dispatch.Served {
+				serveOnce(t, conn, in)
+				if v := awaitOutcome(t, first); v != dispatch.Served {
 					t.Fatalf("the first: %v", v)
 				}
 				release := r.Hold()
 				var second testkit.Responses
 				if late {
-					second = accept(r, 1, "id000002")
+					second = acceptRequest(r, 1, "id000002")
 				}
 				cross(r, conn)
 				if !late {
-					second = accept(r, 1, "id000002")
+					second = acceptRequest(r, 1, "id000002")
 				}
 				release()
 				other, from := next()
-				answerOnce(t, other, from)
-				if v := verdict(t, second); v != dispatch.Served {
+				serveOnce(t, other, from)
+				if v := awaitOutcome(t, second); v != dispatch.Served {
 					t.Errorf("the next request: %v", v)
 				}
 			})
@@ -167,7 +167,7 @@
 // A second answer that comes late names no request where it says that nothing
 // ran: a request that must not run twice goes out on a connection that has
 // rested for longer, or on a new one. Others may use it at once.
-func TestSecondAnswersFindNoFragileRequest(t *testing.T) {
+func TestUnsafeRequestWaitsForReuseDelay(t *testing.T) {
 	r := testkit.NewRig(t, func(s *decision.Settings) {
 		s.Classes = append(s.Classes, decision.Class{Name: "transfer", PriorityWeight: 4, LatencyObjective: time.Second, Deadline: 8 * time.Second,
 			Idempotency: decision.Deduplicated, DedupWindow: 2 * time.Second})
@@ -177,15 +177,15 @@
 	r.Do(func() {
 		b = newSoleWorkerClient(t, r, ln, time.Hour)
 	})
-	first := accept(r, 1, "id000001")
+	first := acceptRequest(r, 1, "id000001")
 	conn, in := next()
-	answerOnce(t, conn, in)
-	verdict(t, first)
+	serveOnce(t, conn, in)
+	awaitOutcome(t, first)
 	for class, id := range map[int]string{1: "id000002", 2: "id000003"} { // neither on the first connection
-		fragile := accept(r, class, id)
+		fragile := acceptRequest(r, class, id)
 		other, from := next()
-		answerOnce(t, other, from)
-		if v := verdict(t, fragile); v != dispatch.Served {
+		serveOnce(t, other, from)
+		if v := awaitOutcome(t, fragile); v != dispatch.Served {
 			t.Errorf("%s: %v", id, v)
 		}
 		other.Close()
@@ -194,22 +194,22 @@
 		r.Do(func() { alone = len(b.idle[b.registry.Worker("s")]) == 1 })
 		return alone
 	})
-	safe := accept(r, 0, "id000004")
-	answerOnce(t, conn, in)
-	if v := verdict(t, safe); v != dispatch.Served {
+	safe := acceptRequest(r, 0, "id000004")
+	serveOnce(t, conn, in)
+	if v := awaitOutcome(t, safe); v != dispatch.Served {
 		t.Errorf("one that may be repeated: %v", v)
 	}
-	r.Do(func() { b.quietTime = 0 })
-	rested := accept(r, 1, "id000005")
-	answerOnce(t, conn, in)
-	if v := verdict(t, rested); v != dispatch.Served {
+	r.Do(func() { b.reuseDelay = 0 })
+	rested := acceptRequest(r, 1, "id000005")
+	serveOnce(t, conn, in)
+	if v := awaitOutcome(t, rested); v != dispatch.Served {
 		t.Errorf("on a connection that has rested: %v", v)
 	}
 }
 
 // A connection that has rested for its time is not used again, though a late
 // loop has not closed it yet.
-func TestRestIsOverBeforeTheLoopKnows(t *testing.T) {
+func TestExpiredIdleConnectionIsNotReused(t *testing.T) {
 	r := testkit.NewRig(t, func(s *decision.Settings) { s.ConnectionIdleTimeout = 200 * time.Millisecond })
 	ln, next := listenAsWorker(t)
 	var b *Client
@@ -223,7 +223,7 @@
 	r.Do(func() {
 		r.Dispatcher.Accept(testkit.RespondFunc(func(a dispatch.Response) {
 			r.Dispatcher.Loop.Post(func() { // its connection rests by now, and its time passes in this turn
-				end = b.idle[b.registry.Worker("s")][0].until
+				end = b.idle[b.registry.Worker("s")][0].idleUntil
 				second = make(testkit.Responses, 1)
 				close(release)
 				for r.Dispatcher.Loop.Now() <= end {
@@ -235,16 +235,16 @@
 		}), 0, dispatch.Request{ID: "id000001", Class: 1, Target: "/renewal/k", Body: []byte("body"), Work: 1e6})
 	})
 	conn, in := next()
-	answerOnce(t, conn, in)
-	verdict(t, first)
+	serveOnce(t, conn, in)
+	awaitOutcome(t, first)
 	<-release
 	go func() {
 		_, err := in.ReadByte()
 		closed <- errors.Is(err, io.EOF)
 	}()
 	other, from := next()
-	answerOnce(t, other, from)
-	if v := verdict(t, second); v != dispatch.Served {
+	serveOnce(t, other, from)
+	if v := awaitOutcome(t, second); v != dispatch.Served {
 		t.Errorf("the next request: %v", v)
 	}
 	if !<-closed {
@@ -252,8 +252,8 @@
 	}
 }
 
-// keyed are settings with a class whose repeats are known for a window, and the time for a connect.
-func keyed(window, connect time.Duration) func(*decision.Settings) {
+// withDeduplicatedClass are settings with a class whose repeats are known for a window, and the time for a connect.
+func withDeduplicatedClass(window, connect time.Duration) func(*decision.Settings) {
 	return func(s *decision.Settings) {
 		s.Classes = append(s.Classes, decision.Class{Name: "transfer", PriorityWeight: 4, LateWeight: 1, LatencyObjective: 8 * time.Second,
 			Deadline: 8 * time.Second, Idempotency: decision.Deduplicated, DedupWindow: window}) // worth waiting for to its end
@@ -262,14 +262,14 @@
 }
 
 // The window for repeats ends while the connection of a repeat comes up: it is not sent.
-func TestWindowEndsBeforeARepeatLeaves(t *testing.T) {
+func TestDedupWindowEndsBeforeRetryIsSent(t *testing.T) {
 	for _, inTime := range []bool{true, false} {
 		t.Run(fmt.Sprint("in time: ", inTime), func(t *testing.T) {
 			window, connect := 4*time.Second, 2*time.Second
 			if !inTime {
 				window, connect = 2*time.Second, 3900*time.Millisecond // the connect may take longer than the window
 			}
-			r := testkit.NewRig(t, keyed(window, connect))
+			r := testkit.NewRig(t, withDeduplicatedClass(window, connect))
 			ln, next := listenAsWorker(t)
 			var b *Client
 			r.Do(func() {
@@ -286,7 +286,7 @@
 					})
 				}
 			})
-			got := accept(r, 2, "id000001")
+			got := acceptRequest(r, 2, "id000001")
 			conn, in := next()
 			if _, err := http.ReadRequest(in); err != nil {
 				t.Fatal(err)
@@ -294,13 +294,13 @@
 			io.WriteString(conn, "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n") // it may have run
 			again, from := next()
 			if inTime {
-				answerOnce(t, again, from)
-				if v := verdict(t, got); v != dispatch.Served {
+				serveOnce(t, again, from)
+				if v := awaitOutcome(t, got); v != dispatch.Served {
 					t.Errorf("repeated in time: %v", v)
 				}
 				return
 			}
-			if v := verdict(t, got); v == dispatch.Served { // all backends know a repeat, so it may be refused too
+			if v := awaitOutcome(t, got); v == dispatch.Served { // all backends know a repeat, so it may be refused too
 				t.Errorf("with the window over: %v", v)
 			}
 			r.Do(func() { b.CloseAllIdle() })
@@ -311,8 +311,8 @@
 	}
 }
 
-// narrow makes the system take only so much of a request that nobody reads.
-func narrow(_, _ string, raw syscall.RawConn) error {
+// shrinkReceiveBuffer makes the system take only so much of a request that nobody reads.
+func shrinkReceiveBuffer(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
 		syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 2048)
 		syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_MAXSEG, 500)
@@ -321,10 +321,10 @@
 
 // A repeat of which the system took a part is given up when its window ends: the
 // rest would leave whenever the backend makes room.
-func TestWindowEndsInsideARepeat(t *testing.T) {
+func TestDedupWindowEndsDuringRetry(t *testing.T) {
 	const window = time.Second
-	r := testkit.NewRig(t, keyed(window, 100*time.Millisecond))
-	lc := net.ListenConfig{Control: narrow}
+	r := testkit.NewRig(t, withDeduplicatedClass(window, 100*time.Millisecond))
+	lc := net.ListenConfig{Control: shrinkReceiveBuffer}
 	ln, err := lc.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -358,7 +358,7 @@
 	again.SetDeadline(time.Now().Add(testkit.Patience))
 	testkit.Until(t, "the window is over", func() bool { return r.Dispatcher.Loop.Now() > first+window })
 	text, _ := io.ReadAll(again) // nothing was read of it up to now
-	if v := verdict(t, got); v == dispatch.Served {
+	if v := awaitOutcome(t, got); v == dispatch.Served {
 		t.Errorf("with the window over: %v", v)
 	}
 	if _, body, _ := bytes.Cut(text, []byte("\r\n\r\n")); len(body) >= 64<<10 {
@@ -368,14 +368,14 @@
 
 // A request that is over is not sent on, though a connect, a held last byte or a
 // full socket stood before it and the settings let no attempt be called off.
-func TestNothingLeavesForARequestThatIsOver(t *testing.T) {
+func TestCompletedRequestIsNotSent(t *testing.T) {
 	for name, answered := range map[string]bool{"its client left": false, "it was answered": true} {
 		for _, where := range []string{"connecting", "last byte held", "socket full"} {
 			t.Run(name+", "+where, func(t *testing.T) {
 				r := testkit.NewRig(t, func(s *decision.Settings) { s.Cancellation, s.StartNotices = false, false })
 				lc := net.ListenConfig{}
 				if where == "socket full" {
-					lc.Control = narrow
+					lc.Control = shrinkReceiveBuffer
 				}
 				ln, err := lc.Listen(t.Context(), "tcp", "127.0.0.1:0")
 				if err != nil {
@@ -395,7 +395,7 @@
 				}
 				var b *Client
 				r.Do(func() {
-					b = newSoleWorkerClient(t, r, ln, settleTime)
+					b = newSoleWorkerClient(t, r, ln, defaultReuseDelay)
 					if where == "last byte held" {
 						b.holdLastByteUntil, b.lastByteDelay = r.Dispatcher.Loop.Now()+time.Hour, 300*time.Millisecond
 					}
@@ -439,7 +439,7 @@
 
 // An answer that never ends is cut: behind its last object the connection has a
 // second, and carries no other request; an object that never ends is no answer.
-func TestEndlessAnswers(t *testing.T) {
+func TestEndlessResponses(t *testing.T) {
 	r := testkit.NewRig(t)
 	ln, next := listenAsWorker(t)
 	r.Do(func() {
@@ -479,14 +479,14 @@
 		}
 		io.WriteString(conn, strings.ReplaceAll(x.head, "IDENTITY", id))
 		cut := endless(conn, x.more)
-		if v := verdict(t, got); v != x.want {
+		if v := awaitOutcome(t, got); v != x.want {
 			t.Errorf("answer %d: %v, want %v", i, v, x.want)
 		}
 		if x.want == dispatch.Served { // beside it
-			other := accept(r, 1, "id000099")
+			other := acceptRequest(r, 1, "id000099")
 			conn, in := next()
-			answerOnce(t, conn, in)
-			if v := verdict(t, other); v != dispatch.Served {
+			serveOnce(t, conn, in)
+			if v := awaitOutcome(t, other); v != dispatch.Served {
 				t.Errorf("beside an endless answer: %v", v)
 			}
 			conn.Close()
--- /dev/null
+++ b/internal/workerclient/request.go
@@ -0,0 +1,143 @@
+package workerclient
+
+import (
+	"bytes"
+	"strconv"
+	"time"
+
+	"hollyyoke.example/hollyyoke/internal/discovery"
+	"hollyyoke.example/hollyyoke/internal/dispatch"
+)
+
+// send sends the request of the connection's attempt, or its health check. Where the worker must first show that it
+// serves, it sends a health check before the attempt's request.
+func (c *connection) send() {
+	now := c.client.loop().Now()
+	if c.handle != 0 && !c.permitSend(now) {
+		c.release()
+		return
+	}
+	if c.handle != 0 && c.client.registry.Admit(c.worker, now) == discovery.NeedsHealthCheck {
+		c.confirmHealth(now)
+		return
+	}
+	c.write(now)
+}
+
+// write writes the health check or the attempt's request, of which the last byte may be held back.
+func (c *connection) write(now time.Duration) {
+	loop := c.client.loop()
+	c.planLastByte(now)
+	var out []byte
+	if c.healthCheck {
+		loop.Set(&c.timer, now+c.healthCheckTimeout()) // here, so that it holds on a new connection too
+		out = c.appendHealthCheck(c.client.out[:0])
+	} else {
+		out = c.appendRequest(c.client.out[:0])
+	}
+	c.client.out = out
+	c.traceWrite(now, len(out))
+	c.phase = awaitingHead
+	sentNow := len(out)
+	if c.lastByteHeld {
+		sentNow--
+	}
+	written := c.conn.Write(out[:sentNow])
+	c.requestEnd = c.conn.WriteOffset()
+	if c.lastByteHeld {
+		c.requestEnd++
+		c.lastByte = out[sentNow]
+	}
+	if !written {
+		c.close()
+		c.retryUnsent()
+		return
+	}
+	switch {
+	case c.lastByteHeld:
+		loop.Set(&c.timer, c.lastByteDue)
+	case !c.healthCheck:
+		c.setRetryDeadline()
+	}
+	c.reportSent()
+}
+
+// traceWrite traces that a request is written.
+func (c *connection) traceWrite(now time.Duration, size int) {
+	dispatcher := c.client.dispatcher
+	if dispatcher.Trace == nil {
+		return
+	}
+	dispatcher.TraceStep(c.correlationID(), "request written", "worker", c.worker.Name, "health_check", c.healthCheck,
+		"bytes", size, "reused", c.reused, "listed_for", now-c.worker.Since)
+}
+
+// appendRequest appends the request of the connection's attempt to out.
+func (c *connection) appendRequest(out []byte) []byte {
+	request := c.attempt.Request
+	out = append(out, "POST "...)
+	out = appendTarget(out, request, c.client.dispatcher.Settings.Classes[request.Class].Name)
+	out = append(out, " HTTP/1.1\r\nHost: "...)
+	out = append(out, c.worker.Address...)
+	out = append(out, "\r\nX-Correlation-Id: "...)
+	out = append(out, request.ID...)
+	if request.IdempotencyKey != "" {
+		out = append(out, "\r\nIdempotency-Key: "...)
+		out = append(out, request.IdempotencyKey...)
+	}
+	out = append(out, "\r\nX-Time-Left-Ms: "...)
+	timeLeft := c.attempt.Deadline - c.lastByteDue
+	out = strconv.AppendInt(out, max(timeLeft.Milliseconds(), 1), 10)
+	out = append(out, "\r\nContent-Length: "...)
+	out = strconv.AppendInt(out, int64(len(request.Body)), 10)
+	out = append(out, "\r\n\r\n"...)
+	return append(out, request.Body...)
+}
+
+// appendTarget appends a request's target: the one that its client gave or, where the client's protocol has none, one
+// made of the class and the key.
+func appendTarget(out []byte, request *dispatch.Request, class string) []byte {
+	if request.Target != "" {
+		return append(out, request.Target...)
+	}
+	out = append(out, '/')
+	out = append(out, class...)
+	if request.Key == "" {
+		return out
+	}
+	out = append(out, '/')
+	return appendPathEscaped(out, request.Key)
+}
+
+// appendPathEscaped appends a path segment, percent-encoded where a path needs it.
+func appendPathEscaped(out []byte, segment string) []byte {
+	const hexDigits = "0123456789ABCDEF"
+	for i := range len(segment) {
+		c := segment[i]
+		printable := c > ' ' && c < 0x7f
+		if printable && bytes.IndexByte([]byte(`/?#%"<>`), c) < 0 {
+			out = append(out, c)
+		} else {
+			out = append(out, '%', hexDigits[c>>4], hexDigits[c&15])
+		}
+	}
+	return out
+}
+
+// setRetryDeadline sets the timer by which a retry must have left entirely, if the socket has not taken all of it: the
+// rest would leave whenever the worker makes room.
+func (c *connection) setRetryDeadline() {
+	if c.handle != 0 && c.attempt.RepeatBy > 0 && !c.requestFlushed() {
+		c.client.loop().Set(&c.timer, c.attempt.RepeatBy)
+	}
+}
+
+// requestFlushed tells whether the socket has taken all of the latest request.
+func (c *connection) requestFlushed() bool { return c.conn.Flushed(c.requestEnd) }
+
+// reportSent reports that the last byte of the attempt's request has left, if it has.
+func (c *connection) reportSent() {
+	if c.handle != 0 && !c.confirming && c.phase != idle && !c.lastByteHeld && c.requestFlushed() {
+		c.client.dispatcher.AttemptSent(c.handle)
+	}
+}
--- a/internal/workerclient/response.go
+++ b/internal/workerclient/response.go
@@ -2,7 +2,7 @@
 
 import (
 	"bytes"
-	"encoding/json"
+	"time"
 
 	"hollyyoke.example/hollyyoke/decision"
 	"hollyyoke.example/hollyyoke/internal/httpwire"
@@ -10,190 +10,230 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-// This file reads the answers of backends to attempts and probes. It must never
-// take an answer for one that its request was not made for.
+// responseEndTimeout is how long the rest of a response may take once the attempt's outcome is known.
+const responseEndTimeout = time.Second
 
-// OnData takes in what the backend sent.
-func (l *connection) OnData(_ *transport.Conn, b *transport.Buffer) {
-	if l.phase == resting { // nothing was asked: what comes is no answer to anything
-		l.client.engine.Pool.Put(b)
-		l.unlist()
-		l.close()
+// OnData takes in bytes that the worker has sent. It implements transport.Handler.
+func (c *connection) OnData(_ *transport.Conn, b *transport.Buffer) {
+	if c.phase == idle { // no request was sent, so this is no response
+		c.client.engine.Pool.Put(b)
+		c.removeIdle()
+		c.close()
 		return
 	}
-	l.tellSent()
-	if !l.collect(b) {
-		l.broken()
+	c.reportSent()
+	if !c.appendInput(b) || c.parseInput() != nil {
+		c.failMalformed()
 		return
 	}
-	for more := true; more && !l.over && l.in != nil && l.at < len(l.in.Bytes()); {
-		var err error
-		if more, err = l.step(); err != nil {
-			l.broken()
+	c.dropConsumed()
+	if c.responseComplete {
+		c.client.loop().Clear(&c.timer)
+		bytesBehind := c.input != nil
+		c.closeAfter = c.closeAfter || bytesBehind
+		if c.confirming {
+			c.confirmationAnswered()
 			return
 		}
+		c.closeAfter = c.closeAfter || c.lastByteHeld // the worker must not get the rest of the request any more
+		c.release()                                   // before the report: an attempt that it starts can use the connection
 	}
-	l.cut()
-	if l.over && l.confirming {
-		l.client.dispatcher.Loop.Clear(&l.due)
-		l.last = l.last || l.in != nil
-		l.answered()
-		return
+	c.reportResult()
+}
+
+// appendInput adds data to the input, whose buffer it takes over where it can. It returns false if there is no room.
+func (c *connection) appendInput(b *transport.Buffer) bool {
+	if c.input == nil {
+		c.input = b
+		return true
 	}
-	if l.over {
-		l.last = l.last || l.in != nil || l.held // bytes behind the answer, or some of the request still here
-		// Idle first, told then: the attempt that the module starts on this news finds the connection.
-		l.client.dispatcher.Loop.Clear(&l.due)
-		l.rest()
+	fits := c.input.Append(b.Bytes())
+	c.client.engine.Pool.Put(b)
+	return fits
+}
+
+// parseInput parses as much of the input as it can.
+func (c *connection) parseInput() error {
+	for !c.responseComplete && c.input != nil && c.consumed < len(c.input.Bytes()) {
+		progress, err := c.parseNext(c.input.Bytes()[c.consumed:])
+		if err != nil {
+			return err
+		}
+		if !progress {
+			return nil
+		}
 	}
-	l.tell()
+	return nil
 }
 
-// collect adds data to the input buffer, taking it over where it can. It returns
-// false where there is no room for it.
-func (l *connection) collect(b *transport.Buffer) bool {
-	if l.in == nil {
-		l.in = b
-		return true
+// dropConsumed drops what has been parsed, once for all pieces: each removal moves all bytes behind it.
+func (c *connection) dropConsumed() {
+	consumed := c.consumed
+	c.consumed = 0
+	if c.input == nil {
+		return
+	}
+	c.input.Consume(consumed)
+	if len(c.input.Bytes()) == 0 {
+		c.client.engine.Pool.Put(c.input)
+		c.input = nil
 	}
-	ok := l.in.Append(b.Bytes())
-	l.client.engine.Pool.Put(b)
-	return ok
 }
 
-// tell tells the outcome that the answer held, if any.
-func (l *connection) tell() {
-	e := l.end
-	if l.end = nil; e == nil {
+// reportResult reports the attempt's result, if the response has stated it.
+func (c *connection) reportResult() {
+	result := c.result
+	c.result = nil
+	if result == nil {
 		return
 	}
-	if l.held { // what is told as over must not begin now
-		l.close()
+	if c.lastByteHeld { // an attempt that is reported as ended must not begin
+		c.close()
 	}
-	if l.phase != resting && l.conn.Handle != 0 {
-		l.client.dispatcher.Loop.Set(&l.due, l.client.dispatcher.Loop.Now()+clearTime)
+	if c.phase != idle && c.conn.Handle != 0 {
+		loop := c.client.loop()
+		loop.Set(&c.timer, loop.Now()+responseEndTimeout)
 	}
-	l.settle(e.o, e.load, e.result)
+	c.complete(*result)
+}
+
+// failMalformed closes a connection whose bytes are no valid response. The attempt may have run.
+func (c *connection) failMalformed() {
+	c.close()
+	c.reportResult()
+	c.fail(decision.ConnectionLost)
 }
 
-// broken gives up a line whose bytes make no sense. The job may have run.
-func (l *connection) broken() {
-	l.close()
-	l.tell()
-	l.fail(decision.ConnectionLost)
+// resetResponse discards the state of the response, so that the next request can be sent.
+func (c *connection) resetResponse() {
+	c.phase = idle
+	c.healthCheck = false
+	c.confirming = false
+	c.responseComplete = false
+	c.lastByteHeld = false
+	c.status = 0
+	c.freeBuffers()
 }
 
-// step takes one piece out of the input; false: more must come first.
-func (l *connection) step() (bool, error) {
-	in := l.in.Bytes()[l.at:]
+// parseNext parses the next piece of the response. It returns false if more bytes are needed for that.
+func (c *connection) parseNext(input []byte) (progress bool, err error) {
 	switch {
-	case l.phase == waiting:
-		var h httpwire.Head
-		if ok, err := httpwire.ParseHead(in, &h, &l.seen); !ok {
-			return false, err
-		}
-		l.seen = 0
-		l.at += h.Size
-		return true, l.head(&h)
-	case l.chunked:
-		data, used, err := l.chunk.Next(in)
-		if err != nil || used == 0 {
-			return false, err
-		}
-		err = l.body(data)
-		l.at += used
-		if l.chunk.Done() && err == nil {
-			err = l.done()
-		}
-		return true, err
+	case c.phase == awaitingHead:
+		return c.parseHead(input)
+	case c.chunked:
+		return c.parseChunk(input)
 	default:
-		n := len(in)
-		if l.left >= 0 {
-			n = min(n, l.left)
-			l.left -= n
-		}
-		err := l.body(in[:n])
-		l.at += n
-		if l.left == 0 && err == nil {
-			err = l.done()
-		}
-		return true, err
+		return true, c.parsePlainBody(input)
 	}
 }
 
-// cut drops what has been taken in, once for all pieces of it: each cut moves
-// all that is left.
-func (l *connection) cut() {
-	at := l.at
-	if l.at = 0; l.in == nil {
-		return
-	}
-	if l.in.Consume(at); len(l.in.Bytes()) == 0 {
-		l.client.engine.Pool.Put(l.in)
-		l.in = nil
-	}
+// parseHead parses the head of a response.
+func (c *connection) parseHead(input []byte) (progress bool, err error) {
+	var head httpwire.Head
+	complete, err := httpwire.ParseHead(input, &head, &c.headScanned)
+	if !complete {
+		return false, err
+	}
+	c.headScanned = 0
+	c.consumed += head.Size
+	return true, c.takeHead(&head)
+}
+
+// parseChunk parses data or framing of a chunked body.
+func (c *connection) parseChunk(input []byte) (progress bool, err error) {
+	data, used, err := c.chunks.Next(input)
+	if err != nil || used == 0 {
+		return false, err
+	}
+	err = c.takeBody(data)
+	c.consumed += used
+	if err == nil && c.chunks.Done() {
+		err = c.finishResponse()
+	}
+	return true, err
 }
 
-// head takes in the head of an answer. All but a 200 tell the outcome at once.
-func (l *connection) head(h *httpwire.Head) error {
-	status, ok := h.Status()
-	if !ok {
+// parsePlainBody parses a body that has a length, or that ends with the connection.
+func (c *connection) parsePlainBody(input []byte) error {
+	size := len(input)
+	if c.bodyLeft >= 0 {
+		size = min(size, c.bodyLeft)
+		c.bodyLeft -= size
+	}
+	err := c.takeBody(input[:size])
+	c.consumed += size
+	if err == nil && c.bodyLeft == 0 {
+		err = c.finishResponse()
+	}
+	return err
+}
+
+// takeHead takes in the head of a response. Each status but 200 states the attempt's result by itself.
+func (c *connection) takeHead(head *httpwire.Head) error {
+	status, valid := head.Status()
+	if !valid {
 		return httpwire.ErrMalformed
 	}
 	if status < 200 {
-		return nil // an interim answer; the real one follows
+		return nil // an interim response; the final one follows
 	}
-	length, chunked, err := h.Framing()
+	length, chunked, err := head.Framing()
 	if err != nil {
 		return err
 	}
-	l.status, l.chunked, l.left, l.chunk = status, chunked, length, httpwire.ChunkReader{}
-	l.last = h.HasToken("Connection", "close") || !chunked && length < 0
-	l.phase = streaming
-	if !l.probe && status != 200 {
-		var load decision.LoadReport
-		if v := h.Get("X-Backend-Load"); v != nil {
-			load = settings.Load(&l.client.dispatcher.Settings, v)
-		}
-		o := decision.Failed // 500, and what the protocol does not name: it may have run
-		if status >= 400 && status < 500 {
-			o = decision.InvalidRequest
-		}
-		if (status == 503 || status == 504) && bytes.Equal(h.Get("X-Unprocessed"), []byte("1")) {
-			o = decision.Saturated
-		}
-		l.end = &end{o, load, nil}
+	c.status = status
+	c.chunked = chunked
+	c.chunks = httpwire.ChunkReader{}
+	c.bodyLeft = length
+	endsWithConnection := !chunked && length < 0
+	c.closeAfter = endsWithConnection || head.HasToken("Connection", "close")
+	c.phase = streamingBody
+	if !c.healthCheck && status != httpwire.StatusOK {
+		c.result = &attemptResult{outcome: outcomeOfStatus(status, head), load: c.loadOfHead(head)}
 	}
 	if length == 0 {
-		return l.done()
+		return c.finishResponse()
 	}
 	return nil
 }
 
-// body takes in a piece of the body. Each line of a 200 is one object.
-func (l *connection) body(data []byte) error {
-	if l.probe {
-		return l.keep(data)
+// outcomeOfStatus returns the outcome that a response other than 200 states.
+func outcomeOfStatus(status int, head *httpwire.Head) decision.AttemptOutcome {
+	unprocessed := bytes.Equal(head.Get("X-Unprocessed"), []byte("1"))
+	switch {
+	case (status == 503 || status == 504) && unprocessed:
+		return decision.Saturated
+	case status >= 400 && status < 500:
+		return decision.InvalidRequest
+	default: // 500, and what the protocol does not define: the attempt may have run
+		return decision.Failed
+	}
+}
+
+// loadOfHead returns the load report in a response's head, if any.
+func (c *connection) loadOfHead(head *httpwire.Head) decision.LoadReport {
+	report := head.Get("X-Backend-Load")
+	if report == nil {
+		return decision.LoadReport{}
+	}
+	return settings.Load(&c.client.dispatcher.Settings, report)
+}
+
+// takeBody takes in a piece of the body. Each line in that of a 200 is a job update.
+func (c *connection) takeBody(data []byte) error {
+	if c.healthCheck {
+		return c.bufferLine(data)
 	}
-	if l.status != 200 || l.attempt == 0 || l.end != nil {
+	if c.status != httpwire.StatusOK || c.handle == 0 || c.result != nil {
 		return nil
 	}
 	for len(data) > 0 {
 		end := bytes.IndexByte(data, '\n')
 		if end < 0 {
-			return l.keep(data)
+			return c.bufferLine(data)
 		}
-		text := data[:end]
-		if l.text != nil {
-			if err := l.keep(text); err != nil {
-				return err
-			}
-			text = l.text.Bytes()
-		}
-		err := l.news(text)
-		l.client.engine.Pool.Put(l.text)
-		l.text = nil
-		if err != nil || l.end != nil {
+		err := c.takeLine(data[:end])
+		if err != nil || c.result != nil {
 			return err
 		}
 		data = data[end+1:]
@@ -201,92 +241,50 @@
 	return nil
 }
 
-func (l *connection) keep(data []byte) error {
-	if len(data) == 0 {
-		return nil
-	}
-	if l.text == nil {
-		l.text = l.client.engine.Pool.Get()
-	}
-	if !l.text.Append(data) {
-		return httpwire.ErrBodyTooLong
+// takeLine takes in the end of a line, whose begin may be buffered.
+func (c *connection) takeLine(text []byte) error {
+	if c.line != nil {
+		err := c.bufferLine(text)
+		if err != nil {
+			return err
+		}
+		text = c.line.Bytes()
 	}
-	return nil
+	err := c.takeUpdate(text)
+	c.client.engine.Pool.Put(c.line)
+	c.line = nil
+	return err
 }
 
-// news takes in one object: the start, the progress or the end of a job.
-func (l *connection) news(text []byte) error {
-	if text = bytes.TrimSpace(text); len(text) == 0 {
+// bufferLine keeps a part of a line until the rest has come.
+func (c *connection) bufferLine(data []byte) error {
+	if len(data) == 0 {
 		return nil
 	}
-	var n struct {
-		ID     string          `json:"id"`
-		State  string          `json:"state"`
-		Share  float64         `json:"share"`
-		Result json.RawMessage `json:"result"`
-		Load   json.RawMessage `json:"load"`
-	}
-	if err := json.Unmarshal(text, &n); err != nil {
-		return err
+	if c.line == nil {
+		c.line = c.client.engine.Pool.Get()
 	}
-	if n.ID != l.job.Request.ID {
-		return httpwire.ErrMalformed // made for another req
-	}
-	var load decision.LoadReport
-	if len(n.Load) > 0 {
-		load = settings.Load(&l.client.dispatcher.Settings, n.Load)
-	}
-	switch n.State {
-	case "started":
-		l.client.dispatcher.AttemptStarted(l.attempt)
-	case "running":
-		l.client.dispatcher.AttemptProgressed(l.attempt, n.Share)
-	case "done":
-		result := []byte(n.Result)
-		var plain string
-		if json.Unmarshal(n.Result, &plain) == nil {
-			result = []byte(plain)
-		}
-		l.end = &end{decision.Completed, load, result}
-	case "failed":
-		l.end = &end{decision.Failed, load, nil}
-	case "returned":
-		l.end = &end{decision.Saturated, load, nil}
-	case "lost":
-		l.end = &end{decision.ConnectionLost, load, nil}
-	default:
-		return httpwire.ErrMalformed
+	if !c.line.Append(data) {
+		return httpwire.ErrBodyTooLong
 	}
 	return nil
 }
 
-// done is told that the answer has ended. One without its last object is a reset.
-func (l *connection) done() error {
-	if l.probe {
-		confirming := l.confirming
-		l.probe = false
-		l.client.dispatcher.Loop.Clear(&l.due)
-		o, load := decision.Failed, decision.LoadReport{}
-		if l.status == httpwire.StatusOK {
-			o = decision.Completed
-			if l.text != nil {
-				load = settings.Load(&l.client.dispatcher.Settings, l.text.Bytes())
-			}
-		}
-		l.over = true
-		if !confirming {
-			l.client.dispatcher.HealthChecked(l.worker.Name, o, load)
-		}
+// finishResponse is called at the end of the response. An attempt whose result it has not stated counts as lost.
+func (c *connection) finishResponse() error {
+	if c.healthCheck {
+		c.finishHealthCheck()
 		return nil
 	}
-	if l.text != nil && l.attempt != 0 && l.end == nil { // the last line may lack its line end
-		if err := l.news(l.text.Bytes()); err != nil {
+	if c.line != nil && c.handle != 0 && c.result == nil { // the last line may have no line end
+		err := c.takeUpdate(c.line.Bytes())
+		if err != nil {
 			return err
 		}
 	}
-	if l.attempt != 0 && l.end == nil {
-		l.end = &end{o: decision.ConnectionLost}
+	if c.handle != 0 && c.result == nil {
+		c.result = &attemptResult{outcome: decision.ConnectionLost}
 	}
-	l.over = true
+	c.responseComplete = true
 	return nil
 }
--- /dev/null
+++ b/internal/workerclient/sendguard.go
@@ -0,0 +1,34 @@
+package workerclient
+
+import (
+	"time"
+
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/discovery"
+	"hollyyoke.example/hollyyoke/internal/invariant"
+)
+
+// permitSend tells whether the request of the connection's attempt, or its last byte, may be sent now. If not, the
+// attempt is over and has never run. What the attempt was started by may not hold any more, since a connect takes time.
+func (c *connection) permitSend(now time.Duration) bool {
+	dispatcher := c.client.dispatcher
+	rule, permitted := dispatcher.Guard.MaySend(invariant.Send{
+		Now:          now,
+		Deadline:     c.attempt.Deadline,
+		RepeatBy:     c.attempt.RepeatBy,
+		Leaving:      c.worker.State != decision.Running,
+		LeavingSince: c.worker.Since,
+		Grace:        sendGrace(dispatcher.Settings.DrainGrace),
+		ListStale:    c.client.registry.Admit(c.worker, now) == discovery.Suspended,
+	})
+	if permitted {
+		return true
+	}
+	dispatcher.TraceStep(c.correlationID(), "request not sent", "worker", c.worker.Name, "rule", rule)
+	outcome := decision.NotSent
+	if rule == invariant.Drain || rule == invariant.Deadline {
+		outcome = decision.ConnectionRefused
+	}
+	c.complete(attemptResult{outcome: outcome})
+	return false
+}
