--- a/internal/workerclient/client_test.go
+++ b/internal/workerclient/client_test.go
@@ -16,95 +16,93 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// workerClient returns a worker client with a registry that follows discovery at addr.
-func newWorkerClient(r *testkit.Rig, addr string) *Client {
-	return New(r.Dispatcher, r.Engine, discovery.New(r.Dispatcher, r.Engine, addr))
+// newWorkerClient returns a worker client with a registry that follows discovery at addr.
+func newWorkerClient(rig *testkit.Rig, addr string) *Client {
+	return New(rig.Dispatcher, rig.Engine, discovery.New(rig.Dispatcher, rig.Engine, addr))
 }
 
-// FuzzWorkerResponses checks a connection to a backend against a model: whatever the
-// backend answers, and wherever the bytes are cut apart, the req ends as the
-// protocol's table says, and its request arrives once at most, also where the
-// connection kept from the last one has just been closed.
+// FuzzWorkerResponses checks a worker connection against a model: whatever the worker responds, and wherever the bytes
+// are split, the request ends as the protocol's table says, and it arrives at most once, also where the connection
+// reused from the request before has just been closed.
 func FuzzWorkerResponses(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 1, 0, 255, 1, 33, 2, 90})
 	f.Add([]byte{0, 0, 64, 0, 64, 0, 64, 255})
 	for i := range testkit.WorkerResponses {
 		f.Add([]byte{0, 0, byte(i), 101, 0, 3, byte(i), 254, 0, 0})
 	}
-	r, s := testkit.NewRig(f), testkit.NewScriptedWorker(f)
-	r.Do(func() {
-		b := newWorkerClient(r, "")
-		b.reuseDelay = 0 // a connection is used again at once
-		known := fmt.Sprintf(`{"hosts":[{"host":"s","dial":%q,"site":"here","health":"ready"}]}`, s.Listener.Addr())
-		if err := b.registry.LoadInitial([]byte(known)); err != nil {
+	rig, worker := testkit.NewRig(f), testkit.NewScriptedWorker(f)
+	rig.Do(func() {
+		client := newWorkerClient(rig, "")
+		client.reuseDelay = 0 // a connection is used again at once
+		endpointList := fmt.Sprintf(`{"hosts":[{"host":"s","dial":%q,"site":"here","health":"ready"}]}`, worker.Listener.Addr())
+		if err := client.registry.LoadInitial([]byte(endpointList)); err != nil {
 			f.Error(err)
 		}
 	})
 	number := 0
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		for i := 0; i+1 < len(steps) && i < 20; i += 2 {
-			x := testkit.WorkerResponses[int(steps[i])%64%len(testkit.WorkerResponses)]
+			response := testkit.WorkerResponses[int(steps[i])%64%len(testkit.WorkerResponses)]
 			closed := steps[i]&64 != 0
 			if closed {
-				s.HangUp()
+				worker.HangUp()
 			}
 			number++
 			id := fmt.Sprintf("id%06d", number) // as long as what it replaces
-			s.Mu.Lock()
-			s.Scripts, s.Cut = []string{x.Script}, int(steps[i+1])
-			s.Mu.Unlock()
-			got := make(testkit.Responses, 2)
-			r.Do(func() {
-				r.Dispatcher.Accept(got, 0, dispatch.Request{ID: id, Class: 1, Target: "/renewal/k", Body: []byte("b"), Work: 1e6})
+			worker.Mu.Lock()
+			worker.Scripts, worker.Cut = []string{response.Script}, int(steps[i+1])
+			worker.Mu.Unlock()
+			responses := make(testkit.Responses, 2)
+			rig.Do(func() {
+				rig.Dispatcher.Accept(responses, 0, dispatch.Request{ID: id, Class: 1, Target: "/renewal/k", Body: []byte("b"), Work: 1e6})
 			})
-			var a dispatch.Response
+			var got dispatch.Response
 			select {
-			case a = <-got:
+			case got = <-responses:
 			case <-time.After(testkit.Patience):
-				t.Fatalf("no answer to %q", x.Script)
+				t.Fatalf("no response to %q", response.Script)
 			}
-			s.Mu.Lock()
-			n := s.Arrivals[id]
-			s.Mu.Unlock()
-			// A kept connection that has just been closed may cost the req; never a second run.
-			if a.Outcome != x.Want && !(closed && a.Outcome == dispatch.Failed && n <= 1) || n > 1 {
-				t.Fatalf("%q: %v, want %v; arrived %d times", x.Script, a.Outcome, x.Want, n)
+			worker.Mu.Lock()
+			arrivals := worker.Arrivals[id]
+			worker.Mu.Unlock()
+			// A reused connection that has just been closed may cost the request, but never cause a second run.
+			if got.Outcome != response.Want && !(closed && got.Outcome == dispatch.Failed && arrivals <= 1) || arrivals > 1 {
+				t.Fatalf("%q: %v, want %v; arrived %d times", response.Script, got.Outcome, response.Want, arrivals)
 			}
-			if a.Outcome == dispatch.Served && string(a.Body) != "made" {
-				t.Fatalf("%q: result %q", x.Script, a.Body)
+			if got.Outcome == dispatch.Served && string(got.Body) != "made" {
+				t.Fatalf("%q: result %q", response.Script, got.Body)
 			}
 		}
 	})
 }
 
-// A connection that turns out dead on a request costs nothing, even a fragile
-// one: its last byte stays back until the connection has shown that it lives. A
-// backend that answers before that byte never gets it.
+// A connection that breaks under a request does not cost the request, even if it is not idempotent: its last byte is
+// held back until the connection has shown that it is open. A worker that responds before that byte never gets it.
 func TestLastByteIsHeldBack(t *testing.T) {
-	r := testkit.NewRig(t)
+	rig := testkit.NewRig(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	var b *Client
-	r.Do(func() {
-		b = newWorkerClient(r, "")
-		b.lastByteDelay = 400 * time.Millisecond // this end must act within it, however busy the machine is
-		b.reuseDelay = 0                         // a connection is used again at once
-		if err := b.registry.LoadInitial(fmt.Appendf(nil, `{"hosts":[{"host":"s","dial":%q,"health":"ready"}]}`, ln.Addr())); err != nil {
+	var client *Client
+	rig.Do(func() {
+		client = newWorkerClient(rig, "")
+		client.lastByteDelay = 400 * time.Millisecond // this end must act within it, however busy the machine is
+		client.reuseDelay = 0                         // a connection is used again at once
+		if err := client.registry.LoadInitial(fmt.Appendf(nil, `{"hosts":[{"host":"s","dial":%q,"health":"ready"}]}`, ln.Addr())); err != nil {
 			t.Error(err)
 		}
 	})
-	take := func(id string) testkit.Responses {
+	acceptRequest := func(id string) testkit.Responses {
 		got := make(testkit.Responses, 1)
-		r.Do(func() {
-			r.Dispatcher.Accept(got, 0, dispatch.Request{ID: id, Class: 1, Target: "/renewal/k", Body: []byte("body"), Work: 1e6})
+		rig.Do(func() {
+			rig.Dispatcher.Accept(got, 0, dispatch.Request{ID: id, Class: 1, Target: "/renewal/k", Body: []byte("body"), Work: 1e6})
 		})
 		return got
 	}
 	ln.(*net.TCPListener).SetDeadline(time.Now().Add(testkit.Patience))
-	next := func() (net.Conn, *bufio.Reader) {
+	acceptConnection := func() (net.Conn, *bufio.Reader) {
 		conn, err := ln.Accept()
 		if err != nil {
 			t.Fatal(err)
@@ -112,7 +110,7 @@
 		conn.SetDeadline(time.Now().Add(testkit.Patience))
 		return conn, bufio.NewReader(conn)
 	}
-	serve := func(conn net.Conn, in *bufio.Reader) {
+	serveRequest := func(conn net.Conn, in *bufio.Reader) {
 		req, err := http.ReadRequest(in)
 		if err != nil {
 			t.Fatal(err)
@@ -122,68 +120,68 @@
 		}
 		io.WriteString(conn, strings.ReplaceAll(testkit.ChunkedResponse(testkit.DoneLine), "IDENTITY", req.Header.Get("X-Correlation-Id")))
 	}
-	first := take("id000001")
-	conn, in := next()
-	serve(conn, in)
+	first := acceptRequest("id000001")
+	conn, in := acceptConnection()
+	serveRequest(conn, in)
 	if a := <-first; a.Outcome != dispatch.Served {
-		t.Fatalf("the first: %v", a.Outcome)
+		t.Fatalf("the first request: %v", a.Outcome)
 	}
-	conn.Close() // before its time: from now on they are not trusted
-	for wary, end := false, time.Now().Add(testkit.Patience); !wary; time.Sleep(time.Millisecond) {
-		if r.Do(func() { wary = b.holdLastByteUntil > 0 }); time.Now().After(end) {
-			t.Fatal("a connection closed before its time goes unnoticed")
+	conn.Close() // unexpectedly: from now on, last bytes are held back
+	for holding, end := false, time.Now().Add(testkit.Patience); !holding; time.Sleep(time.Millisecond) {
+		if rig.Do(func() { holding = client.holdLastByteUntil > 0 }); time.Now().After(end) {
+			t.Fatal("the unexpected close of a connection goes unnoticed")
 		}
 	}
-	again := take("id000012")
-	conn, in = next()
-	serve(conn, in)
+	again := acceptRequest("id000012")
+	conn, in = acceptConnection()
+	serveRequest(conn, in)
 	if a := <-again; a.Outcome != dispatch.Served {
-		t.Fatalf("the next: %v", a.Outcome)
+		t.Fatalf("the request after the close: %v", a.Outcome)
 	}
-	second := take("id000002")
-	if _, err := in.ReadByte(); err != nil { // on the kept connection
+	second := acceptRequest("id000002")
+	if _, err := in.ReadByte(); err != nil { // on the reused connection
 		t.Fatal(err)
 	}
 	conn.(*net.TCPConn).SetLinger(0)
 	conn.Close()
-	conn, in = next()
-	serve(conn, in)
+	conn, in = acceptConnection()
+	serveRequest(conn, in)
 	if a := <-second; a.Outcome != dispatch.Served {
 		t.Errorf("after a reset on its first byte: %v", a.Outcome)
 	}
-	third := take("id000003")
+	third := acceptRequest("id000003")
 	if _, err := in.Peek(1); err != nil {
 		t.Fatal(err)
 	}
 	io.WriteString(conn, "HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")
 	if a := <-third; a.Outcome != dispatch.Rejected {
-		t.Errorf("turned away early: %v", a.Outcome)
+		t.Errorf("rejected before the last byte: %v", a.Outcome)
 	}
 	text, err := io.ReadAll(in)
 	if err != nil || !bytes.HasSuffix(text, []byte("\r\n\r\nbod")) {
-		t.Errorf("it went on to send %q, %v", text, err)
+		t.Errorf("the request's bytes are %q, %v", text, err)
 	}
 }
 
-// A probe that is not answered ends, also on a connection of its own: it once
-// had no deadline there. One that is answered leaves its connection to an attempt.
+// A health check that gets no response times out, also on a new connection. One that gets a response leaves its
+// connection to an attempt.
 func TestHealthChecks(t *testing.T) {
-	r, s := testkit.NewRig(t), testkit.NewScriptedWorker(t)
+	rig, worker := testkit.NewRig(t), testkit.NewScriptedWorker(t)
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer silent.Close()
-	var b *Client
-	r.Do(func() {
-		b = newWorkerClient(r, "")
-		b.reuseDelay = 0 // a connection is used again at once
-		known := `{"hosts":[{"host":"s","dial":%q,"health":"ready"},{"host":"silent","dial":%q,"health":"draining"}]}`
-		if err := b.registry.LoadInitial(fmt.Appendf(nil, known, s.Listener.Addr(), silent.Addr())); err != nil {
+	var client *Client
+	rig.Do(func() {
+		client = newWorkerClient(rig, "")
+		client.reuseDelay = 0 // a connection is used again at once
+		endpointList := `{"hosts":[{"host":"s","dial":%q,"health":"ready"},{"host":"silent","dial":%q,"health":"draining"}]}`
+		if err := client.registry.LoadInitial(fmt.Appendf(nil, endpointList, worker.Listener.Addr(), silent.Addr())); err != nil {
 			t.Error(err)
 		}
-		b.CheckHealth("silent")
-		b.CheckHealth("nobody")
+		client.CheckHealth("silent")
+		client.CheckHealth("unlisted")
 	})
 	conn, err := silent.Accept()
 	if err != nil {
@@ -191,75 +189,75 @@
 	}
 	conn.SetDeadline(time.Now().Add(testkit.Patience))
 	if text, err := io.ReadAll(conn); err != nil || !bytes.HasPrefix(text, []byte("GET /load HTTP/1.1\r\n")) {
-		t.Errorf("probed by %q, %v", text, err)
+		t.Errorf("the health check is %q, %v", text, err)
 	}
-	s.Mu.Lock()
-	s.Scripts = []string{"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n{\"x0\":1.5}", testkit.ChunkedResponse(testkit.DoneLine)}
-	s.Mu.Unlock()
-	r.Do(func() { b.CheckHealth("s") })
+	worker.Mu.Lock()
+	worker.Scripts = []string{"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n{\"x0\":1.5}", testkit.ChunkedResponse(testkit.DoneLine)}
+	worker.Mu.Unlock()
+	rig.Do(func() { client.CheckHealth("s") })
 	for end := time.Now().Add(testkit.Patience); ; time.Sleep(time.Millisecond) {
 		idle := 0
-		r.Do(func() { idle = len(b.idle[b.registry.Worker("s")]) })
+		rig.Do(func() { idle = len(client.idle[client.registry.Worker("s")]) })
 		if idle == 1 {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("the probe's connection does not come to rest")
+			t.Fatal("the health check's connection does not become idle")
 		}
 	}
 	got := make(testkit.Responses, 1)
-	r.Do(func() {
-		r.Dispatcher.Accept(got, 0, dispatch.Request{ID: "id000001", Class: 1, Target: "/renewal/k", Work: 1e6})
+	rig.Do(func() {
+		rig.Dispatcher.Accept(got, 0, dispatch.Request{ID: "id000001", Class: 1, Target: "/renewal/k", Work: 1e6})
 	})
 	select {
 	case a := <-got:
 		if a.Outcome != dispatch.Served {
-			t.Errorf("after the probe: %v", a.Outcome)
+			t.Errorf("after the health check: %v", a.Outcome)
 		}
 	case <-time.After(testkit.Patience):
-		t.Fatal("no answer")
+		t.Fatal("no response")
 	}
-	s.Mu.Lock()
-	defer s.Mu.Unlock()
-	if len(s.Conns) != 1 {
-		t.Errorf("%d connections", len(s.Conns))
+	worker.Mu.Lock()
+	defer worker.Mu.Unlock()
+	if len(worker.Conns) != 1 {
+		t.Errorf("%d connections", len(worker.Conns))
 	}
 }
 
-// A backend holds only so many connections for all dispatchers together: the
-// more dispatchers there are, the fewer rest here, the one used last among them.
+// A worker holds a limited number of idle connections for all dispatchers together: the more dispatchers there are, the
+// fewer each keeps.
 func TestIdleConnectionsScaleWithDispatchers(t *testing.T) {
-	for _, x := range []struct{ peers, rest int }{{fleetIdleConnections / 3, 3}, {48 * fleetIdleConnections, 1}} {
-		r, s := testkit.NewRig(t), testkit.NewScriptedWorker(t)
-		r.Dispatcher.Settings.Peers = x.peers
+	for _, test := range []struct{ peers, maxIdle int }{{fleetIdleConnections / 3, 3}, {48 * fleetIdleConnections, 1}} {
+		rig, worker := testkit.NewRig(t), testkit.NewScriptedWorker(t)
+		rig.Dispatcher.Settings.Peers = test.peers
 		const load = "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n{\"x0\":1.5}"
-		s.Mu.Lock()
-		s.Scripts = []string{load, load, load, load, load}
-		s.Mu.Unlock()
-		var b *Client
-		r.Do(func() {
-			b = newWorkerClient(r, "")
-			if err := b.registry.LoadInitial(fmt.Appendf(nil, `{"hosts":[{"host":"s","dial":%q,"health":"ready"}]}`, s.Listener.Addr())); err != nil {
+		worker.Mu.Lock()
+		worker.Scripts = []string{load, load, load, load, load}
+		worker.Mu.Unlock()
+		var client *Client
+		rig.Do(func() {
+			client = newWorkerClient(rig, "")
+			if err := client.registry.LoadInitial(fmt.Appendf(nil, `{"hosts":[{"host":"s","dial":%q,"health":"ready"}]}`, worker.Listener.Addr())); err != nil {
 				t.Error(err)
 			}
 			for range 5 {
-				b.CheckHealth("s")
+				client.CheckHealth("s")
 			}
 		})
 		for end := time.Now().Add(testkit.Patience); ; time.Sleep(time.Millisecond) {
 			idle, open := 0, 0
-			r.Do(func() { idle, open = len(b.idle[b.registry.Worker("s")]), r.Engine.OpenConnections() })
-			s.Mu.Lock()
-			came := len(s.Conns)
-			s.Mu.Unlock()
-			if idle > x.rest {
-				t.Fatalf("%d dispatchers: %d connections rest, %d at the most", x.peers, idle, x.rest)
+			rig.Do(func() { idle, open = len(client.idle[client.registry.Worker("s")]), rig.Engine.OpenConnections() })
+			worker.Mu.Lock()
+			accepted := len(worker.Conns)
+			worker.Mu.Unlock()
+			if idle > test.maxIdle {
+				t.Fatalf("%d dispatchers: %d connections are idle, at most %d may be", test.peers, idle, test.maxIdle)
 			}
-			if came == 5 && idle == x.rest && open == x.rest {
+			if accepted == 5 && idle == test.maxIdle && open == test.maxIdle {
 				break
 			}
 			if time.Now().After(end) {
-				t.Fatalf("%d dispatchers: %d connections came, %d rest, %d are open", x.peers, came, idle, open)
+				t.Fatalf("%d dispatchers: %d connections accepted, %d idle, %d open", test.peers, accepted, idle, open)
 			}
 		}
 	}
--- a/internal/workerclient/clientleaves_test.go
+++ b/internal/workerclient/clientleaves_test.go
@@ -19,25 +19,25 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// These tests let a client leave while the loop is busy, in the very turn in which something lets an attempt of
-// its request begin, and before the loop is told of the end. The system knows that end by then: no attempt begins.
+// These tests let a client close its connection while the event loop is busy, just before the loop handles an event by
+// which an attempt of its request would begin. The kernel knows of the close by then, so no attempt may begin.
 
-// departureRig is a front with real backends, and a client that leaves.
+// departureRig is a front end with workers, and a client that leaves.
 type departureRig struct {
 	*testkit.Rig
 	t          *testing.T
 	addr       string // of the front
 	client     *Client
-	acceptNext []func() (net.Conn, *bufio.Reader) // the backends' next connections
+	acceptNext []func() (net.Conn, *bufio.Reader) // the workers' next connections
 
 	listeners []net.Listener
 }
 
-func newDepartureRig(t *testing.T, backends int, change func(*decision.Settings)) *departureRig {
+func newDepartureRig(t *testing.T, workers int, change func(*decision.Settings)) *departureRig {
 	t.Helper()
 	d := &departureRig{Rig: testkit.NewRig(t, change), t: t}
 	var hosts []string
-	for i := range backends {
+	for i := range workers {
 		ln, next := listenAsWorker(t)
 		d.acceptNext, d.listeners = append(d.acceptNext, next), append(d.listeners, ln)
 		hosts = append(hosts, fmt.Sprintf(`{"host":"s%d","dial":%q,"health":"ready"}`, i, ln.Addr()))
@@ -53,14 +53,14 @@
 	return d
 }
 
-// holdLoop keeps the loop from going on until the release, at the end of the test at the latest.
+// holdLoop blocks the event loop until release is called, or until the test ends.
 func (d *departureRig) holdLoop() (release func()) {
 	release = sync.OnceFunc(d.Rig.Hold())
 	d.t.Cleanup(release)
 	return release
 }
 
-// connectClient sends a request and more bytes behind it.
+// connectClient connects a client that sends a request and a number of bytes behind it.
 func (d *departureRig) connectClient(path, id string, behind int) net.Conn {
 	d.t.Helper()
 	text := fmt.Sprintf("POST %s HTTP/1.1\r\nX-Correlation-Id: %s\r\nX-Weight-Hint: 1000\r\nContent-Length: 4\r\n\r\nbody", path, id)
@@ -68,7 +68,7 @@
 	return conn
 }
 
-// readRequest reads a whole readRequest at a backend.
+// readRequest reads a request at a worker.
 func (d *departureRig) readRequest(in *bufio.Reader) *http.Request {
 	d.t.Helper()
 	req, err := http.ReadRequest(in)
@@ -81,135 +81,135 @@
 	return req
 }
 
-// closeClient closes a client's connection and waits until the front's system has been told.
+// closeClient closes a client's connection and waits until the kernel at the front end's side knows of it.
 func (d *departureRig) closeClient(conn net.Conn) {
 	d.t.Helper()
 	local := conn.LocalAddr().String()
 	conn.Close()
-	testkit.Until(d.t, "the client's end arrives", func() bool { return !established(d.t, d.addr, local) })
+	testkit.Until(d.t, "the client's close arrives", func() bool { return !established(d.t, d.addr, local) })
 }
 
-// awaitCancelled waits until a client's end has been taken in, and returns how many attempts have left whole.
-func (d *departureRig) awaitCancelled() (n uint64) {
+// awaitCancelled waits until a client's request has been cancelled, and returns how many attempts were sent entirely.
+func (d *departureRig) awaitCancelled() (sent uint64) {
 	d.t.Helper()
-	testkit.Until(d.t, "the client is hung up", func() (over bool) {
+	testkit.Until(d.t, "the request is cancelled", func() (cancelled bool) {
 		d.Do(func() {
-			over, n = d.Dispatcher.Counts().Cancelled == 1, d.Dispatcher.Counts().Sent
+			cancelled, sent = d.Dispatcher.Counts().Cancelled == 1, d.Dispatcher.Counts().Sent
 		})
-		return over
+		return cancelled
 	})
-	return n
+	return sent
 }
 
 func withRetries(s *decision.Settings) { s.MaxAttempts = 3 }
 
-// The end arrives while the first attempt of a request is due.
+// The client closes while the first attempt of its request is due.
 func TestClientLeavesBeforeFirstAttempt(t *testing.T) {
 	for _, behind := range []int{0, 300} {
 		d := newDepartureRig(t, 1, withRetries)
-		on := d.holdLoop()
+		release := d.holdLoop()
 		conn := d.connectClient("/status-check/k", "id000001", behind)
 		d.closeClient(conn)
-		on()
+		release()
 		if n := d.awaitCancelled(); n > 0 {
 			t.Errorf("%d bytes behind: %d attempts for a client that had left", behind, n)
 		}
 	}
 }
 
-// The end arrives while a request waits for another with its key, which is over just then.
+// The client closes while its request waits for another with the same key, which ends just then.
 func TestClientLeavesWhileSerialized(t *testing.T) {
 	d := newDepartureRig(t, 1, func(s *decision.Settings) { s.Classes[0].Serialized = true })
 	d.connectClient("/status-check/k", "id000001", 0)
 	worker, in := d.acceptNext[0]()
 	d.readRequest(in)
 	conn := d.connectClient("/status-check/k", "id000002", 0)
-	testkit.Until(t, "the second is taken", func() (both bool) {
+	testkit.Until(t, "the second request is accepted", func() (both bool) {
 		d.Do(func() { both = d.Dispatcher.Unanswered() == 2 })
 		return both
 	})
-	on := d.holdLoop()
+	release := d.holdLoop()
 	d.Write(t, worker, strings.ReplaceAll(testkit.ChunkedResponse(testkit.DoneLine), "IDENTITY", "id000001"))
 	d.closeClient(conn)
-	on()
+	release()
 	if n := d.awaitCancelled(); n != 1 {
-		t.Errorf("%d attempts, of which the first was wanted", n)
+		t.Errorf("%d attempts, want the first only", n)
 	}
 }
 
-// The end arrives while the connection to a backend comes up.
+// The client closes while the connection to the worker is being opened.
 func TestClientLeavesDuringDial(t *testing.T) {
 	d := newDepartureRig(t, 1, withRetries)
-	held, release := make(chan struct{}), make(chan struct{})
-	on := sync.OnceFunc(func() { close(release) })
-	t.Cleanup(on)
+	loopBlocked, release := make(chan struct{}), make(chan struct{})
+	unblock := sync.OnceFunc(func() { close(release) })
+	t.Cleanup(unblock)
 	d.Do(func() {
 		d.Dispatcher.Trace = func(_, step string, _ ...any) {
-			if step == "attempt" { // before the word that the connection is up
-				d.Dispatcher.Loop.Post(func() { close(held); <-release })
+			if step == "attempt" { // before the event that the connection is open
+				d.Dispatcher.Loop.Post(func() { close(loopBlocked); <-release })
 			}
 		}
 	})
 	conn := d.connectClient("/status-check/k", "id000001", 0)
-	<-held
+	<-loopBlocked
 	d.acceptNext[0]()
-	time.Sleep(100 * time.Millisecond) // for the poller to post that it is up; were it slower, the test would only show less
+	time.Sleep(100 * time.Millisecond) // for the poller to post that event; if it is slower, the test only shows less
 	d.closeClient(conn)
-	on()
+	unblock()
 	if n := d.awaitCancelled(); n > 0 {
 		t.Errorf("%d attempts for a client that had left", n)
 	}
 }
 
-// The end arrives beside a failed attempt, after which a retry is due.
+// The client closes when an attempt has failed and a retry is due.
 func TestClientLeavesBeforeRetry(t *testing.T) {
 	for _, behind := range []int{0, 300} {
 		d := newDepartureRig(t, 2, withRetries)
 		conn := d.connectClient("/status-check/k", "id000001", behind)
 		worker, in := d.acceptAny()
 		d.readRequest(in)
-		on := d.holdLoop()
+		release := d.holdLoop()
 		d.Write(t, worker, "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n")
 		d.closeClient(conn)
-		on()
+		release()
 		if n := d.awaitCancelled(); n != 1 {
-			t.Errorf("%d bytes behind: %d attempts, of which the first was wanted", behind, n)
+			t.Errorf("%d bytes behind: %d attempts, want the first only", behind, n)
 		}
 	}
 }
 
-// The end arrives while a hedge is due, since the first attempt does not start.
+// The client closes while a hedge is due, since the first attempt does not start.
 func TestClientLeavesBeforeHedge(t *testing.T) {
 	d := newDepartureRig(t, 2, func(s *decision.Settings) { s.MaxAttempts, s.Hedging = 3, true })
 	conn := d.connectClient("/status-check/k", "id000001", 0)
 	_, in := d.acceptAny()
 	d.readRequest(in)
-	on := d.holdLoop()
+	release := d.holdLoop()
 	d.closeClient(conn)
 	time.Sleep(300 * time.Millisecond) // beyond the sweep's interval: the hedge is due whatever the machine does
-	on()
+	release()
 	if n := d.awaitCancelled(); n > 1 {
-		t.Errorf("%d attempts, of which the first was wanted", n)
+		t.Errorf("%d attempts, want the first only", n)
 	}
 }
 
-// acceptAny accepts the connection that comes acceptAny, at whichever backend.
+// acceptAny accepts the connection that comes first, at whichever worker.
 func (d *departureRig) acceptAny() (net.Conn, *bufio.Reader) {
 	d.t.Helper()
-	came := make(chan net.Conn, len(d.listeners))
+	accepted := make(chan net.Conn, len(d.listeners))
 	for _, ln := range d.listeners {
 		go func() {
-			if conn, err := ln.Accept(); err == nil { // or the test is over
-				came <- conn
+			if conn, err := ln.Accept(); err == nil { // or the test has ended
+				accepted <- conn
 			}
 		}()
 	}
-	conn := testkit.Receive(d.t, came)
+	conn := testkit.Receive(d.t, accepted)
 	d.t.Cleanup(func() { conn.Close() })
 	return conn, bufio.NewReader(conn)
 }
 
-// The end arrives while the last byte of a request is held back.
+// The client closes while the last byte of its request is held back.
 func TestClientLeavesBeforeLastByte(t *testing.T) {
 	d := newDepartureRig(t, 1, withRetries)
 	d.Do(func() {
@@ -220,21 +220,20 @@
 	if _, err := in.Peek(1); err != nil {
 		t.Fatal(err)
 	}
-	on := d.holdLoop()
+	release := d.holdLoop()
 	d.closeClient(conn)
 	time.Sleep(220 * time.Millisecond) // the last byte is due, whatever the machine does
-	on()
+	release()
 	if n := d.awaitCancelled(); n > 0 {
 		t.Errorf("%d attempts for a client that had left", n)
 	}
 }
 
-// What a request tells of the time left is true when its last byte leaves: a
-// last byte that was held back for longer than planned goes nowhere, and the
-// request begins anew, or is over.
+// The time left that a request states holds when its last byte leaves: a last byte that was held back for longer than
+// planned is not sent, and the request is sent anew or ends.
 func TestTimeLeftHoldsAtLastByte(t *testing.T) {
-	const left = 3 * time.Second
-	for name, late := range map[string]time.Duration{"late": time.Second, "over": left} {
+	const timeLeft = 3 * time.Second
+	for name, heldFor := range map[string]time.Duration{"late": time.Second, "over": timeLeft} {
 		t.Run(name, func(t *testing.T) {
 			d := newDepartureRig(t, 1, withRetries)
 			d.Do(func() {
@@ -243,41 +242,41 @@
 			before := time.Now()
 			got := make(testkit.Responses, 1)
 			d.Dispatcher.Loop.Post(func() {
-				d.Dispatcher.Accept(got, 0, dispatch.Request{ID: "id000001", Target: "/status-check/k", Body: []byte("body"), Work: 1e6, TimeLeft: left})
+				d.Dispatcher.Accept(got, 0, dispatch.Request{ID: "id000001", Target: "/status-check/k", Body: []byte("body"), Work: 1e6, TimeLeft: timeLeft})
 			})
 			_, in := d.acceptNext[0]()
 			if _, err := in.Peek(1); err != nil {
 				t.Fatal(err)
 			}
-			on := d.holdLoop()
-			for time.Since(before) < late {
+			release := d.holdLoop()
+			for time.Since(before) < heldFor {
 				time.Sleep(time.Millisecond)
 			}
-			on()
+			release()
 			if text, _ := io.ReadAll(in); strings.HasSuffix(string(text), "body") {
-				t.Error("the last byte left behind a time that is over")
+				t.Error("the last byte was sent too late")
 			}
 			if name == "over" {
 				if v := awaitOutcome(t, got); v == dispatch.Served {
-					t.Errorf("after its time: %v", v)
+					t.Errorf("after its deadline: %v", v)
 				}
 				return
 			}
-			again, from := d.acceptNext[0]()
-			req := d.readRequest(from)
-			told, err := strconv.Atoi(req.Header.Get("X-Time-Left-Ms"))
-			if rest := left - time.Since(before); err != nil || time.Duration(told)*time.Millisecond > left-late || rest < 0 {
-				t.Errorf("%d ms told where less than %v was left, %v", told, left-late, err)
+			secondConn, secondInput := d.acceptNext[0]()
+			req := d.readRequest(secondInput)
+			statedMs, err := strconv.Atoi(req.Header.Get("X-Time-Left-Ms"))
+			if remaining := timeLeft - time.Since(before); err != nil || time.Duration(statedMs)*time.Millisecond > timeLeft-heldFor || remaining < 0 {
+				t.Errorf("X-Time-Left-Ms is %d where less than %v was left, %v", statedMs, timeLeft-heldFor, err)
 			}
-			io.WriteString(again, strings.ReplaceAll(testkit.ChunkedResponse(testkit.DoneLine), "IDENTITY", "id000001"))
+			io.WriteString(secondConn, strings.ReplaceAll(testkit.ChunkedResponse(testkit.DoneLine), "IDENTITY", "id000001"))
 			if v := awaitOutcome(t, got); v != dispatch.Served {
-				t.Errorf("begun anew: %v", v)
+				t.Errorf("sent anew: %v", v)
 			}
 		})
 	}
 }
 
-// established tells whether the system still has a connection from one address to another as open at the far end.
+// established tells whether the kernel lists a connection from one address to another as open at the far end.
 func established(t *testing.T, to, from string) bool {
 	t.Helper()
 	text, err := os.ReadFile("/proc/self/net/tcp")
