--- /dev/null
+++ b/internal/httpfront/eviction.go
@@ -0,0 +1,94 @@
+package httpfront
+
+import (
+	"time"
+
+	"hollyyoke.example/hollyyoke/internal/connlimit"
+)
+
+const (
+	evictionInterval   = 50 * time.Millisecond // between attempts to evict connections
+	evictionsPerCall   = 8                     // of makeRoom
+	memoryShortDivisor = 2                     // memory is short when this part of the limit is in use
+)
+
+// Evict closes a connection that the gate has chosen, unless a response is owed on it. It implements
+// listener.FrontEnd.
+func (f *FrontEnd) Evict(token uint64) {
+	c := f.connections.Get(token)
+	if c != nil && !c.responseOwed && !c.closed {
+		c.closeNow()
+	}
+}
+
+// evictSilent closes connections on which nothing has come, while there are more than usual clients open ahead of
+// their requests. Those that have been silent longest go first, and none that is new: a close that crosses a
+// connection's first request loses it.
+func (f *FrontEnd) evictSilent() {
+	for f.gate.Limiter.TooManySilent() {
+		if !f.gate.EvictOne(connlimit.ForSilence) {
+			f.loop().Set(&f.silenceTimer, f.loop().Now()+evictionInterval)
+			return
+		}
+	}
+}
+
+// makeRoom evicts some connections for new ones that wait, and goes on until one of those has been accepted. If there
+// is none to evict, connections end with their next responses.
+func (f *FrontEnd) makeRoom() {
+	spareProven := f.listenerShared // the other process has room
+	for evicted := range evictionsPerCall {
+		token, stage, found := f.gate.EvictionCandidate(connlimit.ForUnknown, spareProven)
+		if !found {
+			f.roomNeeded = evicted == 0 && !spareProven
+			break
+		}
+		if stage == connlimit.Proven && evicted > 0 { // there is room already
+			break
+		}
+		if stage == connlimit.Proven && !f.provenSpared { // by the next look, new connections may have become candidates
+			f.provenSpared = true
+			f.loop().Set(&f.evictionTimer, f.loop().Now()+evictionInterval)
+			return
+		}
+		f.gate.CloseConnection(token) // at once: one that closes gracefully keeps its descriptor for a while
+	}
+	if f.roomNeeded {
+		f.loop().Set(&f.evictionTimer, f.loop().Now()+evictionInterval)
+	}
+}
+
+// retryEviction makes room again if no connection has been accepted since the last time.
+func (f *FrontEnd) retryEviction() {
+	if f.roomNeeded || f.provenSpared {
+		f.makeRoom()
+	}
+}
+
+// freeMemory rejects incomplete requests while buffers take up more than the memory limit, the oldest first.
+func (f *FrontEnd) freeMemory() {
+	for f.memoryExhausted() {
+		var chosen *clientConnection
+		spare := func(token uint64) bool {
+			c := f.connections.Get(token)
+			if c == nil || c.input == nil || c.readPosted || c.token == f.reading {
+				return true
+			}
+			chosen = c
+			return false
+		}
+		_, _, found := f.gate.Limiter.EvictionCandidate(f.loop().Now(), connlimit.ForMemory, false, spare)
+		if !found {
+			return
+		}
+		chosen.reject(errMemory)
+	}
+}
+
+// memoryShort tells whether buffers take up so much memory that no request is read ahead.
+func (f *FrontEnd) memoryShort() bool {
+	return memoryShortDivisor*f.engine.Pool.BytesInUse() > f.memoryLimit
+}
+
+// memoryExhausted tells whether buffers take up more memory than the limit.
+func (f *FrontEnd) memoryExhausted() bool { return f.engine.Pool.BytesInUse() > f.memoryLimit }
--- /dev/null
+++ b/internal/httpfront/frontend.go
@@ -0,0 +1,167 @@
+// Package httpfront is the HTTP/1.1 front end: it accepts client connections, reads requests, hands them to the
+// dispatcher and writes their responses.
+//
+// A FrontEnd belongs to the event loop's goroutine; none of its methods may be called from another one. It does not
+// decide where a request goes or whether it is retried. It never closes a connection on which a response is owed, and
+// never writes two responses to one request. What one client sends must not keep others from being served.
+package httpfront
+
+import (
+	"net"
+	"time"
+
+	"hollyyoke.example/hollyyoke/internal/connlimit"
+	"hollyyoke.example/hollyyoke/internal/dispatch"
+	"hollyyoke.example/hollyyoke/internal/durable"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
+	"hollyyoke.example/hollyyoke/internal/listener"
+	"hollyyoke.example/hollyyoke/internal/slotmap"
+	"hollyyoke.example/hollyyoke/internal/transport"
+)
+
+// frontEndNumber is this front end's number at the gate.
+const frontEndNumber = 0
+
+// FrontEnd serves HTTP/1.1 clients.
+type FrontEnd struct {
+	dispatcher  *dispatch.Dispatcher
+	engine      *transport.Engine
+	gate        *listener.Gate
+	acceptor    *transport.Acceptor // nil until Serve
+	classes     map[string]int      // by their names
+	connections slotmap.Map[clientConnection]
+	out         []byte      // scratch space in which a response is put together
+	ready       func() bool // whether workers are known
+	memoryLimit int         // bytes that buffers may take up before incomplete requests are rejected
+
+	// fairness between addresses
+	turns      connlimit.RoundRobin // connections whose input waits for their address's turn
+	turnPosted bool                 // takeTurns is in the loop's queue
+	reading    uint64               // token of the connection that is being read
+
+	// shutdown and drain
+	shuttingDown       bool // a restart has begun: not ready any more
+	draining           bool // out of service
+	drainStartedAt     time.Duration
+	drainTimer         eventloop.Deadline // the drain's next step
+	closeAfterResponse bool               // connections end with their next response
+	readingStopped     bool               // nothing is read from clients any more
+	handedOver         bool               // a successor accepts, so that the service as a whole is ready
+	listenerShared     bool               // another process accepts on the same listener
+
+	// eviction
+	roomNeeded    bool // new connections wait, and none could be closed for them
+	provenSpared  bool // a proven connection was spared until the next look
+	evictionTimer eventloop.Deadline
+	silenceTimer  eventloop.Deadline
+
+	durable        *durable.Service // nil: none, or not there yet
+	durableClasses []bool           // by class; nil: none is durable
+}
+
+// The dispatcher and the gate ask a front end for these interfaces, the first of them at run time.
+var (
+	_ dispatch.ClientWatcher = (*FrontEnd)(nil)
+	_ dispatch.FrontEnd      = (*FrontEnd)(nil)
+	_ listener.FrontEnd      = (*FrontEnd)(nil)
+)
+
+// New returns a front end that accepts connections once Listen or Serve is called. The buffers of the engine, which
+// others may share, should not take up more than memoryLimit bytes. ready tells whether workers are known.
+func New(d *dispatch.Dispatcher, e *transport.Engine, memoryLimit int, ready func() bool) *FrontEnd {
+	f := &FrontEnd{
+		dispatcher:  d,
+		engine:      e,
+		gate:        listener.NewUnlimited(d.Loop, 1),
+		classes:     map[string]int{},
+		memoryLimit: memoryLimit,
+		ready:       ready,
+	}
+	f.evictionTimer.Fire = f.retryEviction
+	f.silenceTimer.Fire = f.evictSilent
+	f.drainTimer.Fire = f.continueDrain
+	for i, class := range d.Settings.Classes {
+		f.classes[class.Name] = i
+	}
+	return f
+}
+
+// SetGate sets the gate that admits connections. It must be called before Listen or Serve.
+func (f *FrontEnd) SetGate(gate *listener.Gate) { f.gate = gate }
+
+// Listen starts accepting up to maxConnections connections on an address, and returns the address.
+func (f *FrontEnd) Listen(addr string, maxConnections int) (string, error) {
+	ln, err := net.Listen("tcp", addr)
+	if err != nil {
+		return "", err
+	}
+	f.Serve(ln, maxConnections)
+	return ln.Addr().String(), nil
+}
+
+// Serve starts accepting connections from a listener, up to maxConnections unless the gate limits them.
+func (f *FrontEnd) Serve(ln net.Listener, maxConnections int) {
+	if !f.gate.Enabled() {
+		f.gate.Limiter.SetCapacity(maxConnections)
+	}
+	f.gate.AddFrontEnd(frontEndNumber, f)
+	if f.gate.Enabled() {
+		f.acceptor = f.engine.ServeWithAdmission(ln, true, f.accept)
+		return
+	}
+	f.acceptor = f.engine.Serve(ln, maxConnections, true, f.accept, f.makeRoom)
+}
+
+// accept takes over a connection that the acceptor has accepted, and returns its handler.
+func (f *FrontEnd) accept(conn *transport.Conn) transport.Handler {
+	if f.readingStopped { // it was in the loop's queue
+		conn.CloseGracefully()
+		return conn.Handler
+	}
+	c := &clientConnection{frontEnd: f, conn: conn}
+	c.timer.Fire = c.onTimer
+	c.stallTimer.Fire = c.checkStall
+	c.floodTimer.Fire = c.checkFlood
+	c.token = f.connections.Insert(c)
+	c.limiterID = f.gate.Accepted(frontEndNumber, c.token, conn.AdmissionToken)
+	f.roomNeeded = false
+	f.provenSpared = false
+	if f.gate.Enabled() {
+		c.peer = conn.Peer()
+		c.awaitsProxyHeader = f.gate.Limiter.TrustOf(c.limiterID) == connlimit.TrustedProxy
+	}
+	f.loop().Set(&c.timer, f.loop().Now()+idleTimeout)
+	f.evictSilent()
+	return c
+}
+
+// StopAccepting accepts no more connections; those in the backlog wait for the next process.
+func (f *FrontEnd) StopAccepting() {
+	if f.acceptor != nil {
+		f.acceptor.Close()
+	}
+}
+
+// SetShared tells the front end whether another process accepts on the same listener.
+func (f *FrontEnd) SetShared(shared bool) { f.listenerShared = shared }
+
+// SetMemoryLimit sets how many bytes the buffers may take up from now on.
+func (f *FrontEnd) SetMemoryLimit(limit int) { f.memoryLimit = limit }
+
+// Ready tells whether workers are known, so that requests can be forwarded.
+func (f *FrontEnd) Ready() bool { return f.ready() }
+
+// ConnectionCount returns the number of connections on which requests may come or responses are owed.
+func (f *FrontEnd) ConnectionCount() int { return f.connections.Len() }
+
+// OpenConnections returns the number of connections that have not been closed entirely, those included whose client
+// has yet to read the last response.
+func (f *FrontEnd) OpenConnections() int {
+	if f.acceptor == nil {
+		return f.connections.Len()
+	}
+	return f.acceptor.OpenConnections()
+}
+
+// loop returns the event loop that the front end runs on.
+func (f *FrontEnd) loop() *eventloop.Loop { return f.dispatcher.Loop }
--- a/internal/httpfront/platform_test.go
+++ b/internal/httpfront/frontend_test.go
@@ -309,13 +309,17 @@
 				p.half = ""
 				ask(text, 200)
 			case op == 4:
-				r.Do(func() { front.Drain(); r.Dispatcher.Loop.Clear(&front.drain) }) // its time passes when a step says so
+				r.Do(func() { front.Drain(); r.Dispatcher.Loop.Clear(&front.drainTimer) }) // its time passes when a step says so
 				away = true
 			case op == 5 && away:
-				r.Do(func() { front.drainOn(); r.Dispatcher.Loop.Clear(&front.drain) })
+				r.Do(func() { front.continueDrain(); r.Dispatcher.Loop.Clear(&front.drainTimer) })
 				closing = true
 			case op == 6 && away:
-				r.Do(func() { front.awayAt -= restTime; front.drainOn(); r.Dispatcher.Loop.Clear(&front.drain) })
+				r.Do(func() {
+					front.drainStartedAt -= drainIdleTime
+					front.continueDrain()
+					r.Dispatcher.Loop.Clear(&front.drainTimer)
+				})
 				closing, resting = true, true
 			case op == 7:
 				r.Do(front.EndDrain)
--- /dev/null
+++ b/internal/httpfront/idempotency.go
@@ -0,0 +1,132 @@
+package httpfront
+
+import (
+	"bytes"
+	"errors"
+	"time"
+
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/dispatch"
+	"hollyyoke.example/hollyyoke/internal/durable"
+	"hollyyoke.example/hollyyoke/internal/httpwire"
+	"hollyyoke.example/hollyyoke/internal/jobs"
+)
+
+const (
+	// durableResponseMargin is how long before the client's deadline it is told that its job is not done.
+	durableResponseMargin = 20 * time.Millisecond
+	// durableRetryAfter is when a client may ask again for a job that is not done, or that could not be stored.
+	durableRetryAfter = time.Second
+)
+
+// SetDurable makes requests with an idempotency key durable, in the classes for which durableClasses, by class, holds
+// true. They are stored as jobs: a request with the same key is for the same run, also after a restart. service may be
+// nil while another process has the store; such requests are rejected until it is set.
+func (f *FrontEnd) SetDurable(service *durable.Service, durableClasses []bool) {
+	f.durable = service
+	f.durableClasses = durableClasses
+}
+
+// isDurable tells whether requests of a class are durable if they have an idempotency key.
+func (f *FrontEnd) isDurable(class int) bool {
+	return f.durableClasses != nil && f.durableClasses[class]
+}
+
+// admitDurable stores a request as a job and responds with the job's result, or before the client's deadline that the
+// job is not done yet.
+func (c *clientConnection) admitDurable(m *httpwire.Message, request dispatch.Request, key string) {
+	f := c.frontEnd
+	if !httpwire.IsIdentifier([]byte(durable.RequestID(key))) {
+		c.rejectInvalid(m, request.Class, 400, "Idempotency-Key is not of 1 to 123 letters, digits or -._:~+/=@\n")
+		return
+	}
+	if f.durable == nil {
+		c.consumeInput(m.Size)
+		f.dispatcher.CountResponse(request.Class, dispatch.Rejected)
+		response := textResponse(503, "the other process has the store\n")
+		response.retryAfter = durableRetryAfter
+		c.writeResponse(response)
+		return
+	}
+	job := f.durableJob(request, m.Body, key)
+	c.consumeInput(m.Size)
+	c.durableRequests++
+	c.beginService()
+	pending := pendingResponse{connection: c, number: c.durableRequests}
+	untilResponse := request.ReceivedAt + f.clientTimeout(request) - durableResponseMargin - f.loop().Now()
+	f.loop().After(max(untilResponse, 0), pending.notDone)
+	f.durable.Push(job, 0, func(err error) {
+		if err != nil {
+			pending.notStored(err)
+			return
+		}
+		f.durable.Watch(job.ID, pending.ended)
+	})
+}
+
+// durableJob returns the job that a request is stored as.
+func (f *FrontEnd) durableJob(request dispatch.Request, body []byte, key string) jobs.Job {
+	class := f.dispatcher.Settings.Classes[request.Class]
+	stored := durable.Request{
+		Target: request.Target,
+		Key:    request.Key,
+		Body:   bytes.Clone(body),
+		Slots:  request.Slots,
+		Work:   request.Work,
+	}
+	return stored.Job(key, class.Name, class.Idempotency != decision.Idempotent)
+}
+
+// clientTimeout returns how long the client of a request waits in all.
+func (f *FrontEnd) clientTimeout(request dispatch.Request) time.Duration {
+	timeout := f.dispatcher.Settings.Classes[request.Class].Deadline
+	if request.TimeLeft > 0 {
+		timeout = min(timeout, request.TimeLeft)
+	}
+	return timeout
+}
+
+// pendingResponse is the response to a durable request, of which only the first that is written counts.
+type pendingResponse struct {
+	connection *clientConnection
+	number     uint64 // of the request among the connection's durable ones
+}
+
+// write writes the response, if it is still owed.
+func (p pendingResponse) write(status int, body []byte, retryAfter time.Duration) {
+	c := p.connection
+	connected := c.frontEnd.connections.Get(c.token) == c
+	if !connected || !c.responseOwed || c.durableRequests != p.number {
+		return
+	}
+	served := status == httpwire.StatusOK
+	c.completeService(httpResponse{status: status, body: body, retryAfter: retryAfter, served: served})
+}
+
+// notDone responds that the job is stored and not done yet.
+func (p pendingResponse) notDone() {
+	p.write(202, []byte("the job is kept and not over yet: ask again with the same key\n"), durableRetryAfter)
+}
+
+// notStored responds that the job was not stored.
+func (p pendingResponse) notStored(err error) {
+	if errors.Is(err, jobs.ErrIDConflict) {
+		p.write(422, []byte("Idempotency-Key belongs to another request\n"), 0)
+		return
+	}
+	p.write(503, []byte(err.Error()+"\n"), durableRetryAfter)
+}
+
+// ended responds with the result of a job that has ended, or that is handed over to a successor with its store.
+func (p pendingResponse) ended(job jobs.Job) {
+	switch job.State {
+	case jobs.Done:
+		p.write(httpwire.StatusOK, job.Result, 0)
+	case jobs.Accepted, jobs.Scheduled, jobs.Ready, jobs.Leased, jobs.Started, jobs.Waiting: // the store is handed over
+		p.notDone()
+	case jobs.InDoubt:
+		p.write(409, []byte("in doubt, an operator settles it: "+string(job.Reason)+"\n"), 0)
+	default:
+		p.write(502, []byte(job.State.String()+": "+string(job.Reason)+"\n"), 0)
+	}
+}
--- /dev/null
+++ b/internal/httpfront/input.go
@@ -0,0 +1,151 @@
+package httpfront
+
+import (
+	"bytes"
+
+	"hollyyoke.example/hollyyoke/internal/connlimit"
+	"hollyyoke.example/hollyyoke/internal/httpwire"
+	"hollyyoke.example/hollyyoke/internal/transport"
+)
+
+// maxRequestsPerTurn is how many requests of one connection are read before the loop goes on with others.
+const maxRequestsPerTurn = 16
+
+// appendInput adds data to the input, or to the overflow if there is no room.
+func (c *clientConnection) appendInput(b *transport.Buffer) {
+	switch {
+	case c.input == nil:
+		c.input = b
+	case c.overflow == nil:
+		c.overflow = b
+		c.refillInput()
+	default: // cannot happen before the overflow has found room, since the connection is paused until then
+		c.frontEnd.engine.Pool.Put(b)
+		c.closeAfterResponse = true
+	}
+}
+
+// refillInput moves data from the overflow to the input.
+func (c *clientConnection) refillInput() {
+	if c.overflow == nil {
+		return
+	}
+	if c.input == nil {
+		c.input = c.overflow
+		c.overflow = nil
+		return
+	}
+	moved := c.input.Fill(c.overflow.Bytes())
+	c.overflow.Consume(moved)
+	if len(c.overflow.Bytes()) == 0 {
+		c.frontEnd.engine.Pool.Put(c.overflow)
+		c.overflow = nil
+	}
+}
+
+// consumeInput removes a request of a number of bytes from the input.
+func (c *clientConnection) consumeInput(size int) {
+	c.input.Consume(size)
+	if len(c.input.Bytes()) == 0 {
+		c.frontEnd.engine.Pool.Put(c.input)
+		c.input = nil
+	}
+	c.refillInput()
+}
+
+// read handles the requests in the input, until one is incomplete or must be waited for.
+func (c *clientConnection) read() {
+	f := c.frontEnd
+	f.reading = c.token
+	defer func() { f.reading = 0 }()
+	if c.capExceeded != connlimit.Allowed && !c.responseOwed && c.input != nil {
+		f.gate.LogRejection(c.capExceeded, c.peer)
+		c.reject(errCaps)
+		return
+	}
+	err := c.readRequests()
+	if err != nil {
+		c.reject(err)
+		return
+	}
+	c.updatePause()
+}
+
+// readRequests handles requests until one is incomplete, a response is owed, or the others must have their turn.
+func (c *clientConnection) readRequests() error {
+	for count := 0; c.input != nil && !c.responseOwed && !c.closed; count++ {
+		if count == maxRequestsPerTurn {
+			c.postRead()
+			if c.frontEnd.gate.Enabled() {
+				c.frontEnd.gate.Limiter.CountReason(connlimit.Greedy)
+			}
+			return nil
+		}
+		var m httpwire.Message
+		complete, err := c.parseRequest(&m)
+		if !complete {
+			return err
+		}
+		c.continueSent = false
+		c.scan = httpwire.ScanState{}
+		c.closeAfterResponse = c.closeAfterResponse || c.frontEnd.closeAfterResponse || !wantsKeepAlive(&m)
+		c.route(&m)
+	}
+	return nil
+}
+
+// parseRequest parses the request at the start of the input. If its client waits for 100 Continue, it sends that.
+func (c *clientConnection) parseRequest(m *httpwire.Message) (complete bool, err error) {
+	input := c.input.Bytes()
+	complete, expectsContinue, err := httpwire.ParseRequest(input, m, &c.scan)
+	if err != nil {
+		return false, err
+	}
+	if !complete && len(input) == transport.BufferSize { // chunked, and with so much framing that it can never fit
+		return false, httpwire.ErrBodyTooLong
+	}
+	if expectsContinue && !c.continueSent {
+		c.continueSent = true
+		c.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
+	}
+	return complete, nil
+}
+
+// wantsKeepAlive tells whether the client means to send more requests on the connection.
+func wantsKeepAlive(m *httpwire.Message) bool {
+	if m.HasToken("Connection", "close") {
+		return false
+	}
+	return !bytes.Equal(m.Version(), []byte("HTTP/1.0")) || m.HasToken("Connection", "keep-alive")
+}
+
+// updatePause stops reading from the socket while there is input that cannot be handled yet, or lets it go on.
+func (c *clientConnection) updatePause() {
+	f := c.frontEnd
+	if c.closed || c.responseOwed && c.closeAfterResponse || f.readingStopped { // what comes is discarded, or not read
+		return
+	}
+	pause := c.overflow != nil || c.readPosted || c.responseOwed && c.input != nil && f.memoryShort()
+	if pause == c.paused {
+		return
+	}
+	c.paused = pause
+	if !pause {
+		c.conn.Resume()
+		return
+	}
+	c.conn.Pause()
+	f.loop().Set(&c.floodTimer, f.loop().Now()+floodCheckInterval)
+}
+
+// postRead goes on reading once the loop has handled what is in its queue.
+func (c *clientConnection) postRead() {
+	if c.readPosted {
+		return
+	}
+	c.readPosted = true
+	c.frontEnd.loop().Post(func() {
+		c.readPosted = false
+		c.read()
+	})
+}
--- a/internal/httpfront/crossings_test.go
+++ b/internal/httpfront/races_test.go
@@ -174,7 +174,7 @@
 		t.Fatal("no answer to the first")
 	}
 	release := r.Hold()
-	r.Dispatcher.Loop.Post(func() { f.connections.ForEach(func(_ uint64, s *clientConnection) { s.expire() }) })
+	r.Dispatcher.Loop.Post(func() { f.connections.ForEach(func(_ uint64, s *clientConnection) { s.onTimer() }) })
 	r.Write(t, conn, testkit.RequestText("crossing"))
 	release()
 	completeAttempt(r, started(t, out))
@@ -209,9 +209,9 @@
 	_, in := testkit.Connect(t, addr, testkit.RequestText("first")+"POST /renewal/k HTTP/1.1\r\n")
 	attempt := started(t, out)
 	r.Do(func() {
-		f.memory = 1
-		f.relieve()
-		f.memory = 64 << 20
+		f.memoryLimit = 1
+		f.freeMemory()
+		f.memoryLimit = 64 << 20
 	})
 	completeAttempt(r, attempt)
 	if code := testkit.Status(in); code != 200 {
--- /dev/null
+++ b/internal/httpfront/request.go
@@ -0,0 +1,190 @@
+package httpfront
+
+import (
+	"bytes"
+	"errors"
+	"strconv"
+	"time"
+
+	"hollyyoke.example/hollyyoke/internal/dispatch"
+	"hollyyoke.example/hollyyoke/internal/httpwire"
+)
+
+const (
+	// memoryRetryAfter is when a client may try again whose request found no memory.
+	memoryRetryAfter = time.Second
+	// maxWeightHint is the least X-Weight-Hint, in microseconds, that is too large to be one.
+	maxWeightHint = 1e12
+)
+
+// Errors of requests whose header fields cannot be used. Clients get their texts.
+var (
+	errNoCorrelationID      = errors.New("no X-Correlation-Id")
+	errInvalidCorrelationID = errors.New("X-Correlation-Id is not of 1 to 128 letters, digits or -._:~+/=@")
+	errInvalidTimeLeft      = errors.New("X-Time-Left-Ms is not a whole number")
+)
+
+// route handles a complete request at the start of the input.
+func (c *clientConnection) route(m *httpwire.Message) {
+	path, _, _ := bytes.Cut(m.Target(), []byte("?"))
+	if bytes.Equal(path, []byte("/healthz")) {
+		c.respondDirectly(m, c.frontEnd.healthResponse(m))
+		return
+	}
+	class, known := c.frontEnd.classOf(path)
+	if !known {
+		c.respondDirectly(m, textResponse(404, "no such class\n"))
+		return
+	}
+	if !bytes.Equal(m.Method(), []byte("POST")) {
+		c.respondDirectly(m, methodNotAllowed("POST"))
+		return
+	}
+	c.admit(m, class)
+}
+
+// admit hands a request for a class to the dispatcher or to the durable service, or rejects it.
+func (c *clientConnection) admit(m *httpwire.Message, class int) {
+	f := c.frontEnd
+	request, err := parseRequestFields(m)
+	if err != nil {
+		c.rejectInvalid(m, class, 400, err.Error()+"\n")
+		return
+	}
+	request.ReceivedAt = c.requestStartedAt
+	request.Class = class
+	key := m.Get("Idempotency-Key")
+	if len(key) > 0 && f.isDurable(class) {
+		c.admitDurable(m, request, string(key))
+		return
+	}
+	if f.dispatcher.IsKnownID(request.ID) { // it may be another client's request
+		c.rejectInvalid(m, class, 409, "X-Correlation-Id names another request\n")
+		return
+	}
+	f.freeMemory()
+	if f.memoryExhausted() {
+		f.dispatcher.CountResponse(class, dispatch.Rejected)
+		c.consumeInput(m.Size)
+		response := textResponse(503, errMemory.Error()+"\n")
+		response.retryAfter = memoryRetryAfter
+		c.writeResponse(response)
+		return
+	}
+	c.dispatch(m, request)
+}
+
+// rejectInvalid responds to a request for a class that cannot be served as it is.
+func (c *clientConnection) rejectInvalid(m *httpwire.Message, class, status int, text string) {
+	c.frontEnd.dispatcher.CountResponse(class, dispatch.Failed)
+	c.respondDirectly(m, textResponse(status, text))
+}
+
+// classOf returns the class that a path names by its first segment.
+func (f *FrontEnd) classOf(path []byte) (class int, known bool) {
+	if len(path) < 2 || path[0] != '/' {
+		return 0, false
+	}
+	name, _, _ := bytes.Cut(path[1:], []byte("/"))
+	class, known = f.classes[string(name)]
+	return class, known
+}
+
+// parseRequestFields returns what the request line and the header fields state.
+func parseRequestFields(m *httpwire.Message) (dispatch.Request, error) {
+	id := m.Get("X-Correlation-Id")
+	if len(id) == 0 {
+		return dispatch.Request{}, errNoCorrelationID
+	}
+	if !httpwire.IsIdentifier(id) {
+		return dispatch.Request{}, errInvalidCorrelationID
+	}
+	timeLeft, err := parseTimeLeft(m)
+	if err != nil {
+		return dispatch.Request{}, err
+	}
+	return dispatch.Request{
+		ID:             string(id),
+		Key:            keyOf(m.Target()),
+		Target:         string(m.Target()),
+		IdempotencyKey: string(m.Get("Idempotency-Key")),
+		TimeLeft:       timeLeft,
+		Work:           parseWeightHint(m.Get("X-Weight-Hint")),
+		Slots:          parseSlots(m.Get("X-Facts")),
+		ClientRetry:    bytes.Equal(m.Get("X-Repeat"), []byte("1")),
+	}, nil
+}
+
+// keyOf returns the key in a target: the last segment of its path, if that is not the class.
+func keyOf(target []byte) string {
+	path, _, _ := bytes.Cut(target, []byte("?"))
+	i := bytes.LastIndexByte(path, '/')
+	if i <= 0 {
+		return ""
+	}
+	return string(path[i+1:])
+}
+
+// parseTimeLeft returns how long the client still waits, at least a nanosecond, or 0 if it does not state that.
+func parseTimeLeft(m *httpwire.Message) (time.Duration, error) {
+	if m.Count("X-Time-Left-Ms") == 0 {
+		return 0, nil
+	}
+	milliseconds, valid := httpwire.ParseNumber(m.Get("X-Time-Left-Ms"))
+	if !valid {
+		return 0, errInvalidTimeLeft
+	}
+	return max(time.Duration(milliseconds)*time.Millisecond, time.Nanosecond), nil
+}
+
+// parseWeightHint returns the hinted run time, or 0 if the field holds none.
+func parseWeightHint(field []byte) time.Duration {
+	microseconds, err := strconv.ParseFloat(string(field), 64)
+	if err != nil || !(microseconds > 0 && microseconds < maxWeightHint) { // NaN is no hint either
+		return 0
+	}
+	return time.Duration(microseconds * float64(time.Microsecond))
+}
+
+// parseSlots returns the number of slots that the last of the facts "slots" and "needs" states, or 0.
+func parseSlots(facts []byte) float64 {
+	slots := 0.0
+	for fact := range bytes.SplitSeq(facts, []byte(",")) {
+		name, value, _ := bytes.Cut(bytes.TrimSpace(fact), []byte("="))
+		number, err := strconv.ParseFloat(string(value), 64)
+		if err == nil && (string(name) == "slots" || string(name) == "needs") {
+			slots = number
+		}
+	}
+	return slots
+}
+
+// dispatch hands a request to the dispatcher. The input's buffer goes with it; what came behind moves to a new one.
+func (c *clientConnection) dispatch(m *httpwire.Message, request dispatch.Request) {
+	f := c.frontEnd
+	pool := &f.engine.Pool
+	buffer := c.input
+	c.input = nil
+	rest := buffer.Bytes()[m.Size:]
+	if len(rest) > 0 {
+		c.input = pool.Get()
+		c.input.Append(rest)
+	}
+	c.refillInput()
+	request.Body = m.Body
+	request.Release = func() { pool.Put(buffer) }
+	c.beginService()
+	handle := f.dispatcher.Accept(f, c.token, request)
+	if c.responseOwed {
+		c.request = handle
+	}
+}
+
+// beginService notes that a request is complete and its response is owed.
+func (c *clientConnection) beginService() {
+	f := c.frontEnd
+	c.responseOwed = true
+	c.request = 0
+	f.loop().Clear(&c.timer)
+	f.gate.Limiter.RequestComplete(f.loop().Now(), c.limiterID)
+}
--- /dev/null
+++ b/internal/httpfront/response.go
@@ -0,0 +1,112 @@
+package httpfront
+
+import (
+	"bytes"
+	"time"
+
+	"hollyyoke.example/hollyyoke/internal/dispatch"
+	"hollyyoke.example/hollyyoke/internal/httpwire"
+)
+
+// maxUnsentBytes is how many bytes of responses a client may leave unread.
+const maxUnsentBytes = 256 << 10
+
+// httpResponse is a response to a client.
+type httpResponse struct {
+	status     int
+	body       []byte
+	retryAfter time.Duration // 0: not stated
+	fields     string        // further header fields, each with its line end
+	served     bool          // a worker has served the request
+}
+
+// textResponse returns a response with a text that the front end gives by itself.
+func textResponse(status int, text string) httpResponse {
+	return httpResponse{status: status, body: []byte(text)}
+}
+
+// methodNotAllowed returns the response to a request for a target that allows one method only.
+func methodNotAllowed(allowed string) httpResponse {
+	response := textResponse(405, allowed+" only\n")
+	response.fields = "Allow: " + allowed + "\r\n"
+	return response
+}
+
+// Respond writes the response to a request that was handed to the dispatcher. It implements dispatch.FrontEnd.
+func (f *FrontEnd) Respond(token uint64, response dispatch.Response) {
+	c := f.connections.Get(token)
+	if c == nil || !c.responseOwed {
+		return
+	}
+	switch response.Outcome {
+	case dispatch.Served:
+		c.completeService(httpResponse{status: 200, body: response.Body, served: true})
+	case dispatch.Rejected:
+		c.completeService(httpResponse{status: 503, retryAfter: response.RetryAfter})
+	default:
+		c.completeService(httpResponse{status: 502})
+	}
+}
+
+// completeService writes the response that is owed, and goes on reading.
+func (c *clientConnection) completeService(response httpResponse) {
+	c.responseOwed = false
+	c.closeAfterResponse = c.closeAfterResponse || c.frontEnd.closeAfterResponse
+	c.writeResponse(response)
+	if (c.paused || c.input != nil) && !c.closed {
+		c.postRead() // not now, since the dispatcher may be the caller
+	}
+}
+
+// healthResponse is the response to a health check.
+func (f *FrontEnd) healthResponse(m *httpwire.Message) httpResponse {
+	isGet := bytes.Equal(m.Method(), []byte("GET"))
+	isHead := bytes.Equal(m.Method(), []byte("HEAD"))
+	if !isGet && !isHead {
+		return methodNotAllowed("GET")
+	}
+	ready := f.ready() && (!f.shuttingDown || f.handedOver) && !f.draining
+	if !ready {
+		return textResponse(503, "not ready\n")
+	}
+	return textResponse(200, "ready\n")
+}
+
+// respondDirectly removes a request from the input and responds to it.
+func (c *clientConnection) respondDirectly(m *httpwire.Message, response httpResponse) {
+	c.consumeInput(m.Size)
+	if bytes.Equal(m.Method(), []byte("HEAD")) { // its response has no body, so that the length would mislead
+		c.closeAfterResponse = true
+		response.body = nil
+	}
+	c.writeResponse(response)
+}
+
+// reject responds to a request that cannot be read to its end, and closes the connection: where the next request would
+// begin is not known.
+func (c *clientConnection) reject(err error) {
+	c.closeAfterResponse = true
+	c.writeResponse(textResponse(statusOf(err), err.Error()+"\n"))
+}
+
+// writeResponse writes a response, and makes the connection ready for the next request or closes it.
+func (c *clientConnection) writeResponse(response httpResponse) {
+	f := c.frontEnd
+	c.closeAfterResponse = c.closeAfterResponse || f.roomNeeded
+	f.out = httpwire.AppendResponse(f.out[:0], response.status, response.body, response.retryAfter, c.closeAfterResponse, response.fields)
+	c.conn.Write(f.out)
+	switch {
+	case c.closeAfterResponse:
+		c.closeGracefully()
+	case c.conn.UnsentBytes() > maxUnsentBytes:
+		c.closeNow()
+	case c.input != nil:
+		c.becomeIdle(response.served)
+		c.startRequest()
+	default:
+		c.becomeIdle(response.served)
+	}
+	if !c.closed {
+		c.watchStall()
+	}
+}
