--- a/internal/httpfront/connection.go
+++ b/internal/httpfront/connection.go
@@ -37,7 +37,7 @@
 	floodTimer        eventloop.Deadline // the next check for more input than there is room for
 
 	// response
-	responseOwed       bool   // a request is being served
+	responsePending    bool   // a request is being served
 	request            uint64 // its handle; 0: the dispatcher has not returned it yet, or the request is durable
 	durableRequests    uint64 // number of durable requests so far
 	closeAfterResponse bool
@@ -52,7 +52,7 @@
 	case c.closed:
 		f.engine.Pool.Put(b)
 		return
-	case c.responseOwed && c.closeAfterResponse: // no request can follow; only the client's close matters
+	case c.responsePending && c.closeAfterResponse: // no request can follow; only the client's close matters
 		f.engine.Pool.Put(b)
 		c.conn.Discard(maxDiscardedBytes)
 		return
@@ -60,12 +60,12 @@
 		c.takeProxyHeader(b)
 		return
 	}
-	if c.input == nil && !c.responseOwed {
+	if c.input == nil && !c.responsePending {
 		c.startRequest()
 	}
 	c.appendInput(b)
 	if f.gate.Enabled() {
-		if !c.responseOwed && c.input != nil && c.capExceeded == connlimit.Allowed {
+		if !c.responsePending && c.input != nil && c.capExceeded == connlimit.Allowed {
 			c.capExceeded = f.gate.Limiter.SetBuffered(c.limiterID, len(c.input.Bytes()))
 		}
 		if f.gate.Level() > 0 || f.turns.Len() > 0 {
@@ -79,10 +79,10 @@
 
 // OnClosed is called when the client has closed the connection, or it broke. It implements transport.Handler.
 func (c *clientConnection) OnClosed(*transport.Conn, error) {
-	responseOwed := c.responseOwed
+	responsePending := c.responsePending
 	request := c.request
 	c.release()
-	if responseOwed {
+	if responsePending {
 		c.frontEnd.dispatcher.Cancel(request)
 	}
 }
@@ -97,28 +97,28 @@
 // RequestCancelled implements dispatch.ClientWatcher. It does nothing: the connection is released when OnClosed comes.
 func (f *FrontEnd) RequestCancelled(uint64, bool) {}
 
-// betweenRequests tells whether no request has begun and no response is owed.
+// betweenRequests tells whether no request has begun and no response is pending.
 func (c *clientConnection) betweenRequests() bool {
-	return !c.responseOwed && !c.closed && c.input == nil
+	return !c.responsePending && !c.closed && c.input == nil
 }
 
-// closeNow closes a connection on which no response is owed, at once.
+// closeNow closes a connection on which no response is pending, at once.
 func (c *clientConnection) closeNow() {
-	c.checkNothingOwed()
+	c.checkNoResponsePending()
 	c.release()
 	c.conn.Close()
 }
 
-// closeGracefully closes a connection on which no response is owed, once the client has got all that was written.
+// closeGracefully closes a connection on which no response is pending, once the client has got all that was written.
 func (c *clientConnection) closeGracefully() {
-	c.checkNothingOwed()
+	c.checkNoResponsePending()
 	c.release()
 	c.conn.CloseGracefully()
 }
 
-// checkNothingOwed reports a violation if the connection is about to be closed while a response is owed.
-func (c *clientConnection) checkNothingOwed() {
-	c.frontEnd.dispatcher.Guard.CheckClosed(c.responseOwed && !c.closed, "client connection")
+// checkNoResponsePending reports a violation if the connection is about to be closed while a response is pending.
+func (c *clientConnection) checkNoResponsePending() {
+	c.frontEnd.dispatcher.Guard.CheckClosed(c.responsePending && !c.closed, "client connection")
 }
 
 // release gives back all that the connection holds.
--- a/internal/httpfront/drain.go
+++ b/internal/httpfront/drain.go
@@ -100,7 +100,7 @@
 	}
 	switch {
 	case c.closed:
-	case c.responseOwed:
+	case c.responsePending:
 		c.closeAfterResponse = true
 		c.conn.Resume() // only to notice the client's close
 	case c.input != nil && !c.awaitsProxyHeader:
--- a/internal/httpfront/errors.go
+++ b/internal/httpfront/errors.go
@@ -6,7 +6,7 @@
 	"hollyyoke.example/hollyyoke/internal/httpwire"
 )
 
-// Errors of requests that the front end gives up before it has read them whole.
+// Errors of requests that the front end rejects before they are complete. Clients get their texts.
 var (
 	errSlow   = errors.New("the request did not come in time")
 	errMemory = errors.New("too many requests are half sent")
@@ -14,7 +14,7 @@
 	errCaps   = errors.New("too many requests of this address are half sent")
 )
 
-// statusOf returns the status code that answers a request which was not read whole.
+// statusOf returns the status code for a request that was rejected before it was complete.
 func statusOf(err error) int {
 	switch {
 	case errors.Is(err, errSlow):
--- a/internal/httpfront/eviction.go
+++ b/internal/httpfront/eviction.go
@@ -8,15 +8,15 @@
 
 const (
 	evictionInterval   = 50 * time.Millisecond // between attempts to evict connections
-	evictionsPerCall   = 8                     // of makeRoom
+	evictionsPerCall   = 8                     // of evictForCapacity
 	memoryShortDivisor = 2                     // memory is short when this part of the limit is in use
 )
 
-// Evict closes a connection that the gate has chosen, unless a response is owed on it. It implements
+// Evict closes a connection that the gate has chosen, unless a response is pending on it. It implements
 // listener.FrontEnd.
 func (f *FrontEnd) Evict(token uint64) {
 	c := f.connections.Get(token)
-	if c != nil && !c.responseOwed && !c.closed {
+	if c != nil && !c.responsePending && !c.closed {
 		c.closeNow()
 	}
 }
@@ -33,14 +33,14 @@
 	}
 }
 
-// makeRoom evicts some connections for new ones that wait, and goes on until one of those has been accepted. If there
+// evictForCapacity evicts some connections for new ones that wait, and goes on until one of those has been accepted. If there
 // is none to evict, connections end with their next responses.
-func (f *FrontEnd) makeRoom() {
+func (f *FrontEnd) evictForCapacity() {
 	spareProven := f.listenerShared // the other process has room
 	for evicted := range evictionsPerCall {
 		token, stage, found := f.gate.EvictionCandidate(connlimit.ForUnknown, spareProven)
 		if !found {
-			f.roomNeeded = evicted == 0 && !spareProven
+			f.capacityExhausted = evicted == 0 && !spareProven
 			break
 		}
 		if stage == connlimit.Proven && evicted > 0 { // there is room already
@@ -53,15 +53,15 @@
 		}
 		f.gate.CloseConnection(token) // at once: one that closes gracefully keeps its descriptor for a while
 	}
-	if f.roomNeeded {
+	if f.capacityExhausted {
 		f.loop().Set(&f.evictionTimer, f.loop().Now()+evictionInterval)
 	}
 }
 
 // retryEviction makes room again if no connection has been accepted since the last time.
 func (f *FrontEnd) retryEviction() {
-	if f.roomNeeded || f.provenSpared {
-		f.makeRoom()
+	if f.capacityExhausted || f.provenSpared {
+		f.evictForCapacity()
 	}
 }
 
--- a/internal/httpfront/frontend.go
+++ b/internal/httpfront/frontend.go
@@ -2,7 +2,7 @@
 // dispatcher and writes their responses.
 //
 // A FrontEnd belongs to the event loop's goroutine; none of its methods may be called from another one. It does not
-// decide where a request goes or whether it is retried. It never closes a connection on which a response is owed, and
+// decide where a request goes or whether it is retried. It never closes a connection on which a response is pending, and
 // never writes two responses to one request. What one client sends must not keep others from being served.
 package httpfront
 
@@ -50,10 +50,10 @@
 	listenerShared     bool               // another process accepts on the same listener
 
 	// eviction
-	roomNeeded    bool // new connections wait, and none could be closed for them
-	provenSpared  bool // a proven connection was spared until the next look
-	evictionTimer eventloop.Deadline
-	silenceTimer  eventloop.Deadline
+	capacityExhausted bool // new connections wait, and none could be closed for them
+	provenSpared      bool // a proven connection was spared until the next look
+	evictionTimer     eventloop.Deadline
+	silenceTimer      eventloop.Deadline
 
 	durable        *durable.Service // nil: none, or not there yet
 	durableClasses []bool           // by class; nil: none is durable
@@ -68,11 +68,11 @@
 
 // New returns a front end that accepts connections once Listen or Serve is called. The buffers of the engine, which
 // others may share, should not take up more than memoryLimit bytes. ready tells whether workers are known.
-func New(d *dispatch.Dispatcher, e *transport.Engine, memoryLimit int, ready func() bool) *FrontEnd {
+func New(dispatcher *dispatch.Dispatcher, engine *transport.Engine, memoryLimit int, ready func() bool) *FrontEnd {
 	f := &FrontEnd{
-		dispatcher:  d,
-		engine:      e,
-		gate:        listener.NewUnlimited(d.Loop, 1),
+		dispatcher:  dispatcher,
+		engine:      engine,
+		gate:        listener.NewUnlimited(dispatcher.Loop, 1),
 		classes:     map[string]int{},
 		memoryLimit: memoryLimit,
 		ready:       ready,
@@ -80,7 +80,7 @@
 	f.evictionTimer.Fire = f.retryEviction
 	f.silenceTimer.Fire = f.evictSilent
 	f.drainTimer.Fire = f.continueDrain
-	for i, class := range d.Settings.Classes {
+	for i, class := range dispatcher.Settings.Classes {
 		f.classes[class.Name] = i
 	}
 	return f
@@ -109,7 +109,7 @@
 		f.acceptor = f.engine.ServeWithAdmission(ln, true, f.accept)
 		return
 	}
-	f.acceptor = f.engine.Serve(ln, maxConnections, true, f.accept, f.makeRoom)
+	f.acceptor = f.engine.Serve(ln, maxConnections, true, f.accept, f.evictForCapacity)
 }
 
 // accept takes over a connection that the acceptor has accepted, and returns its handler.
@@ -124,7 +124,7 @@
 	c.floodTimer.Fire = c.checkFlood
 	c.token = f.connections.Insert(c)
 	c.limiterID = f.gate.Accepted(frontEndNumber, c.token, conn.AdmissionToken)
-	f.roomNeeded = false
+	f.capacityExhausted = false
 	f.provenSpared = false
 	if f.gate.Enabled() {
 		c.peer = conn.Peer()
@@ -151,7 +151,7 @@
 // Ready tells whether workers are known, so that requests can be forwarded.
 func (f *FrontEnd) Ready() bool { return f.ready() }
 
-// ConnectionCount returns the number of connections on which requests may come or responses are owed.
+// ConnectionCount returns the number of connections on which requests may come or responses are pending.
 func (f *FrontEnd) ConnectionCount() int { return f.connections.Len() }
 
 // OpenConnections returns the number of connections that have not been closed entirely, those included whose client
--- a/internal/httpfront/idempotency.go
+++ b/internal/httpfront/idempotency.go
@@ -34,33 +34,33 @@
 
 // admitDurable stores a request as a job and responds with the job's result, or before the client's deadline that the
 // job is not done yet.
-func (c *clientConnection) admitDurable(m *httpwire.Message, request dispatch.Request, key string) {
+func (c *clientConnection) admitDurable(message *httpwire.Message, request dispatch.Request, key string) {
 	f := c.frontEnd
 	if !httpwire.IsIdentifier([]byte(durable.RequestID(key))) {
-		c.rejectInvalid(m, request.Class, 400, "Idempotency-Key is not of 1 to 123 letters, digits or -._:~+/=@\n")
+		c.rejectInvalid(message, request.Class, 400, "Idempotency-Key is not of 1 to 123 letters, digits or -._:~+/=@\n")
 		return
 	}
 	if f.durable == nil {
-		c.consumeInput(m.Size)
+		c.consumeInput(message.Size)
 		f.dispatcher.CountResponse(request.Class, dispatch.Rejected)
 		response := textResponse(503, "the other process has the store\n")
 		response.retryAfter = durableRetryAfter
 		c.writeResponse(response)
 		return
 	}
-	job := f.durableJob(request, m.Body, key)
-	c.consumeInput(m.Size)
+	job := f.durableJob(request, message.Body, key)
+	c.consumeInput(message.Size)
 	c.durableRequests++
 	c.beginService()
-	pending := pendingResponse{connection: c, number: c.durableRequests}
+	response := durableResponse{connection: c, number: c.durableRequests}
 	untilResponse := request.ReceivedAt + f.clientTimeout(request) - durableResponseMargin - f.loop().Now()
-	f.loop().After(max(untilResponse, 0), pending.notDone)
+	f.loop().After(max(untilResponse, 0), response.notDone)
 	f.durable.Push(job, 0, func(err error) {
 		if err != nil {
-			pending.notStored(err)
+			response.notStored(err)
 			return
 		}
-		f.durable.Watch(job.ID, pending.ended)
+		f.durable.Watch(job.ID, response.ended)
 	})
 }
 
@@ -86,17 +86,17 @@
 	return timeout
 }
 
-// pendingResponse is the response to a durable request, of which only the first that is written counts.
-type pendingResponse struct {
+// durableResponse is the response to a durable request, of which only the first that is written counts.
+type durableResponse struct {
 	connection *clientConnection
 	number     uint64 // of the request among the connection's durable ones
 }
 
-// write writes the response, if it is still owed.
-func (p pendingResponse) write(status int, body []byte, retryAfter time.Duration) {
+// write writes the response, if it is still pending.
+func (p durableResponse) write(status int, body []byte, retryAfter time.Duration) {
 	c := p.connection
 	connected := c.frontEnd.connections.Get(c.token) == c
-	if !connected || !c.responseOwed || c.durableRequests != p.number {
+	if !connected || !c.responsePending || c.durableRequests != p.number {
 		return
 	}
 	served := status == httpwire.StatusOK
@@ -104,12 +104,12 @@
 }
 
 // notDone responds that the job is stored and not done yet.
-func (p pendingResponse) notDone() {
+func (p durableResponse) notDone() {
 	p.write(202, []byte("the job is kept and not over yet: ask again with the same key\n"), durableRetryAfter)
 }
 
 // notStored responds that the job was not stored.
-func (p pendingResponse) notStored(err error) {
+func (p durableResponse) notStored(err error) {
 	if errors.Is(err, jobs.ErrIDConflict) {
 		p.write(422, []byte("Idempotency-Key belongs to another request\n"), 0)
 		return
@@ -118,7 +118,7 @@
 }
 
 // ended responds with the result of a job that has ended, or that is handed over to a successor with its store.
-func (p pendingResponse) ended(job jobs.Job) {
+func (p durableResponse) ended(job jobs.Job) {
 	switch job.State {
 	case jobs.Done:
 		p.write(httpwire.StatusOK, job.Result, 0)
--- a/internal/httpfront/input.go
+++ b/internal/httpfront/input.go
@@ -58,7 +58,7 @@
 	f := c.frontEnd
 	f.reading = c.token
 	defer func() { f.reading = 0 }()
-	if c.capExceeded != connlimit.Allowed && !c.responseOwed && c.input != nil {
+	if c.capExceeded != connlimit.Allowed && !c.responsePending && c.input != nil {
 		f.gate.LogRejection(c.capExceeded, c.peer)
 		c.reject(errCaps)
 		return
@@ -71,9 +71,9 @@
 	c.updatePause()
 }
 
-// readRequests handles requests until one is incomplete, a response is owed, or the others must have their turn.
+// readRequests handles requests until one is incomplete, a response is pending, or the others must have their turn.
 func (c *clientConnection) readRequests() error {
-	for count := 0; c.input != nil && !c.responseOwed && !c.closed; count++ {
+	for count := 0; c.input != nil && !c.responsePending && !c.closed; count++ {
 		if count == maxRequestsPerTurn {
 			c.postRead()
 			if c.frontEnd.gate.Enabled() {
@@ -81,23 +81,23 @@
 			}
 			return nil
 		}
-		var m httpwire.Message
-		complete, err := c.parseRequest(&m)
+		var message httpwire.Message
+		complete, err := c.parseRequest(&message)
 		if !complete {
 			return err
 		}
 		c.continueSent = false
 		c.scan = httpwire.ScanState{}
-		c.closeAfterResponse = c.closeAfterResponse || c.frontEnd.closeAfterResponse || !wantsKeepAlive(&m)
-		c.route(&m)
+		c.closeAfterResponse = c.closeAfterResponse || c.frontEnd.closeAfterResponse || !wantsKeepAlive(&message)
+		c.route(&message)
 	}
 	return nil
 }
 
 // parseRequest parses the request at the start of the input. If its client waits for 100 Continue, it sends that.
-func (c *clientConnection) parseRequest(m *httpwire.Message) (complete bool, err error) {
+func (c *clientConnection) parseRequest(message *httpwire.Message) (complete bool, err error) {
 	input := c.input.Bytes()
-	complete, expectsContinue, err := httpwire.ParseRequest(input, m, &c.scan)
+	complete, expectsContinue, err := httpwire.ParseRequest(input, message, &c.scan)
 	if err != nil {
 		return false, err
 	}
@@ -112,20 +112,20 @@
 }
 
 // wantsKeepAlive tells whether the client means to send more requests on the connection.
-func wantsKeepAlive(m *httpwire.Message) bool {
-	if m.HasToken("Connection", "close") {
+func wantsKeepAlive(message *httpwire.Message) bool {
+	if message.HasToken("Connection", "close") {
 		return false
 	}
-	return !bytes.Equal(m.Version(), []byte("HTTP/1.0")) || m.HasToken("Connection", "keep-alive")
+	return !bytes.Equal(message.Version(), []byte("HTTP/1.0")) || message.HasToken("Connection", "keep-alive")
 }
 
 // updatePause stops reading from the socket while there is input that cannot be handled yet, or lets it go on.
 func (c *clientConnection) updatePause() {
 	f := c.frontEnd
-	if c.closed || c.responseOwed && c.closeAfterResponse || f.readingStopped { // what comes is discarded, or not read
+	if c.closed || c.responsePending && c.closeAfterResponse || f.readingStopped { // what comes is discarded, or not read
 		return
 	}
-	pause := c.overflow != nil || c.readPosted || c.responseOwed && c.input != nil && f.memoryShort()
+	pause := c.overflow != nil || c.readPosted || c.responsePending && c.input != nil && f.memoryShort()
 	if pause == c.paused {
 		return
 	}
--- a/internal/httpfront/races_test.go
+++ b/internal/httpfront/races_test.go
@@ -19,12 +19,11 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-// These tests force two events into one turn of the loop: it is held while the
-// other end writes, closes or resets, and goes on once the kernel or the poller
-// shows that this has arrived. None of them sleeps and hopes.
+// These tests force two events into one turn of the event loop: it is blocked while the client writes, closes or
+// resets, and goes on once the kernel or the poller shows that this has arrived. None of them relies on a sleep.
 
-// unsent is how many bytes the other end's kernel has not taken.
-func unsent(t *testing.T, conn net.Conn) (n int) {
+// unsentBytes returns how many bytes the other end's kernel has not acknowledged.
+func unsentBytes(t *testing.T, conn net.Conn) (n int) {
 	t.Helper()
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -36,64 +35,66 @@
 	return n
 }
 
-// held starts a front before a carrier whose attempts end when the test says so.
-func startHolding(r *testkit.Rig, memory int) (f *FrontEnd, addr string, out testkit.HoldingClient) {
-	out = testkit.HoldingClient{EchoClient: testkit.EchoClient{Dispatcher: r.Dispatcher}, Started: make(chan dispatch.Attempt, 100)}
-	r.Do(func() {
-		r.Dispatcher.AddSource(out)
-		r.Dispatcher.UpdateWorkers(out, decision.ListSnapshot, []decision.Endpoint{{Name: "w"}})
-		f = New(r.Dispatcher, r.Engine, memory, func() bool { return true })
+// startWithHoldingClient starts a front end with a worker client whose attempts end when the test says so.
+func startWithHoldingClient(rig *testkit.Rig, memoryLimit int) (f *FrontEnd, addr string, worker testkit.HoldingClient) {
+	worker = testkit.HoldingClient{EchoClient: testkit.EchoClient{Dispatcher: rig.Dispatcher}, Started: make(chan dispatch.Attempt, 100)}
+	rig.Do(func() {
+		rig.Dispatcher.AddSource(worker)
+		rig.Dispatcher.UpdateWorkers(worker, decision.ListSnapshot, []decision.Endpoint{{Name: "w"}})
+		f = New(rig.Dispatcher, rig.Engine, memoryLimit, func() bool { return true })
 		addr, _ = f.Listen("127.0.0.1:0", 50)
 	})
-	return f, addr, out
+	return f, addr, worker
 }
 
-func completeAttempt(r *testkit.Rig, f dispatch.Attempt) {
-	r.Do(func() { r.Dispatcher.AttemptEnded(f.Handle, decision.Completed, decision.LoadReport{}, []byte("made")) })
+func completeAttempt(rig *testkit.Rig, attempt dispatch.Attempt) {
+	rig.Do(func() {
+		rig.Dispatcher.AttemptEnded(attempt.Handle, decision.Completed, decision.LoadReport{}, []byte("made"))
+	})
 }
 
-func started(t *testing.T, out testkit.HoldingClient) (f dispatch.Attempt) {
+func awaitAttempt(t *testing.T, worker testkit.HoldingClient) (attempt dispatch.Attempt) {
 	t.Helper()
 	select {
-	case f = <-out.Started:
+	case attempt = <-worker.Started:
 	case <-time.After(testkit.Patience):
-		t.Fatal("nothing was sent on")
+		t.Fatal("nothing was forwarded")
 	}
-	return f
+	return attempt
 }
 
-// ended tells how a session ends: true, orderly; false, by a reset.
-func ended(in *bufio.Reader) bool {
+// endsInOrder tells whether a connection ends by an orderly close, not by a reset.
+func endsInOrder(in *bufio.Reader) bool {
 	_, err := in.ReadByte()
 	return err == io.EOF
 }
 
-// The point of no return of a planned end: what was read before it is answered,
-// whether the loop had it or not; what comes after it is never sent on.
-func TestShutCrossesARequest(t *testing.T) {
-	for _, x := range []struct {
+// What was read before StopReading is served, whether the loop has handled it or not; what comes after it is never
+// forwarded.
+func TestStopReadingDuringARequest(t *testing.T) {
+	for _, test := range []struct {
 		name   string
 		status int // 0: none
-		cross  func(r *testkit.Rig, f *FrontEnd, conn net.Conn)
+		cross  func(rig *testkit.Rig, f *FrontEnd, conn net.Conn)
 	}{
-		{"the request first", 200, func(r *testkit.Rig, f *FrontEnd, conn net.Conn) {
+		{"the request comes first", 200, func(r *testkit.Rig, f *FrontEnd, conn net.Conn) {
 			release := r.Hold()
 			r.Write(t, conn, testkit.RequestText("crossing"))
 			r.Dispatcher.Loop.Post(f.StopReading)
 			release()
 		}},
-		{"read, and the loop does not know yet", 200, func(r *testkit.Rig, f *FrontEnd, conn net.Conn) {
+		{"read, and not handled by the loop yet", 200, func(r *testkit.Rig, f *FrontEnd, conn net.Conn) {
 			release := r.Hold()
 			r.Dispatcher.Loop.Post(f.StopReading)
 			r.Write(t, conn, testkit.RequestText("crossing"))
 			release()
 		}},
-		{"the end first", 0, func(r *testkit.Rig, f *FrontEnd, conn net.Conn) {
+		{"StopReading comes first", 0, func(r *testkit.Rig, f *FrontEnd, conn net.Conn) {
 			r.Do(f.StopReading)
-			r.Do(func() {}) // what it has posted
+			r.Do(func() {}) // runs after what it has posted
 			io.WriteString(conn, testkit.RequestText("crossing"))
 		}},
-		{"half of it read", 503, func(r *testkit.Rig, f *FrontEnd, conn net.Conn) {
+		{"half of the request read", 503, func(r *testkit.Rig, f *FrontEnd, conn net.Conn) {
 			release := r.Hold()
 			r.Dispatcher.Loop.Post(f.StopReading)
 			text := testkit.RequestText("crossing")
@@ -102,31 +103,31 @@
 			io.WriteString(conn, text[len(text)/2:])
 		}},
 	} {
-		t.Run(x.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			r := testkit.NewRig(t)
-			f, addr, out := startHolding(r, 64<<20)
-			conn, in := testkit.Connect(t, addr, testkit.RequestText("first")) // a usual client's, that rests now
-			completeAttempt(r, started(t, out))
+			f, addr, worker := startWithHoldingClient(r, 64<<20)
+			conn, in := testkit.Connect(t, addr, testkit.RequestText("first")) // of a usual client, which is idle now
+			completeAttempt(r, awaitAttempt(t, worker))
 			if testkit.Status(in) != 200 {
-				t.Fatal("no answer to the first")
+				t.Fatal("no response to the first request")
 			}
-			x.cross(r, f, conn)
-			if x.status == 200 {
-				completeAttempt(r, started(t, out))
+			test.cross(r, f, conn)
+			if test.status == 200 {
+				completeAttempt(r, awaitAttempt(t, worker))
 			}
-			if x.status != 0 {
+			if test.status != 0 {
 				resp, err := http.ReadResponse(in, nil)
-				if err != nil || resp.StatusCode != x.status || !resp.Close {
-					t.Fatalf("%+v, %v; want %d and the session's end", resp, err, x.status)
+				if err != nil || resp.StatusCode != test.status || !resp.Close {
+					t.Fatalf("%+v, %v; want %d and the connection's end", resp, err, test.status)
 				}
 				io.Copy(io.Discard, resp.Body)
 			}
-			if !ended(in) {
-				t.Error("the session does not end in order")
+			if !endsInOrder(in) {
+				t.Error("the connection is not closed in order")
 			}
 			r.Do(func() {})
-			if n := len(out.Started); n != 0 {
-				t.Errorf("%d requests were sent on after the end", n)
+			if n := len(worker.Started); n != 0 {
+				t.Errorf("%d requests were forwarded after StopReading", n)
 			}
 			testkit.Until(t, "all connections end", func() (none bool) {
 				r.Do(func() { none = f.OpenConnections() == 0 && f.ConnectionCount() == 0 })
@@ -136,12 +137,12 @@
 	}
 }
 
-// A client that sends without end holds neither its own answer nor the end.
-func TestShutBesideAClientThatKeepsSending(t *testing.T) {
-	r := testkit.NewRig(t)
-	f, addr, out := startHolding(r, 64<<20)
+// A client that sends without end delays neither its own response nor the shutdown.
+func TestStopReadingWithAFloodingClient(t *testing.T) {
+	rig := testkit.NewRig(t)
+	f, addr, worker := startWithHoldingClient(rig, 64<<20)
 	conn, in := testkit.Connect(t, addr, testkit.RequestText("first"))
-	attempt := started(t, out)
+	attempt := awaitAttempt(t, worker)
 	var sent atomic.Int64
 	go func() {
 		junk := make([]byte, 16<<10)
@@ -153,72 +154,51 @@
 		}
 	}()
 	testkit.Until(t, "much has been sent", func() bool { return sent.Load() > 100<<10 })
-	r.Do(f.StopReading)
-	completeAttempt(r, attempt)
+	rig.Do(f.StopReading)
+	completeAttempt(rig, attempt)
 	if code := testkit.Status(in); code != 200 {
-		t.Errorf("its answer: %d", code)
+		t.Errorf("its response: %d", code)
 	}
 	testkit.Until(t, "its connection ends", func() (none bool) {
-		r.Do(func() { none = f.OpenConnections() == 0 })
+		rig.Do(func() { none = f.OpenConnections() == 0 })
 		return none
 	})
 }
 
-// A session's time for resting is up in the turn in which its next request comes.
-func TestRestIsOverAsARequestComes(t *testing.T) {
-	r := testkit.NewRig(t)
-	f, addr, out := startHolding(r, 64<<20)
+// A connection's idle timeout ends in the turn of the loop in which its next request comes.
+func TestIdleTimeoutAsARequestComes(t *testing.T) {
+	rig := testkit.NewRig(t)
+	f, addr, worker := startWithHoldingClient(rig, 64<<20)
 	conn, in := testkit.Connect(t, addr, testkit.RequestText("first"))
-	completeAttempt(r, started(t, out))
+	completeAttempt(rig, awaitAttempt(t, worker))
 	if testkit.Status(in) != 200 {
-		t.Fatal("no answer to the first")
+		t.Fatal("no response to the first request")
 	}
-	release := r.Hold()
-	r.Dispatcher.Loop.Post(func() { f.connections.ForEach(func(_ uint64, s *clientConnection) { s.onTimer() }) })
-	r.Write(t, conn, testkit.RequestText("crossing"))
+	release := rig.Hold()
+	rig.Dispatcher.Loop.Post(func() { f.connections.ForEach(func(_ uint64, s *clientConnection) { s.onTimer() }) })
+	rig.Write(t, conn, testkit.RequestText("crossing"))
 	release()
-	completeAttempt(r, started(t, out))
+	completeAttempt(rig, awaitAttempt(t, worker))
 	if code := testkit.Status(in); code != 200 {
 		t.Errorf("the crossing request: %d", code)
 	}
 }
 
-// A client that leaves while its request waits is noticed, whatever it has sent
-// behind that request: its end does not come through behind bytes that nobody reads.
-func TestLeavingBehindBytes(t *testing.T) {
+// A client that closes while its request waits is noticed, whatever it has sent behind that request: its close cannot
+// be read behind bytes that nobody reads.
+func TestClientLeavesBehindUnreadBytes(t *testing.T) {
 	for _, behind := range []int{0, 1, 300, 3 * transport.BufferSize, 400 << 10} {
-		r := testkit.NewRig(t)
-		f, addr, out := startHolding(r, 64<<20)
+		rig := testkit.NewRig(t)
+		f, addr, worker := startWithHoldingClient(rig, 64<<20)
 		conn, _ := testkit.Connect(t, addr, testkit.RequestText("leaves")+strings.Repeat("x", behind))
-		started(t, out)
-		if behind == 400<<10 && unsent(t, conn) == 0 {
-			t.Fatal("the system took all of it, which shows nothing")
+		awaitAttempt(t, worker)
+		if behind == 400<<10 && unsentBytes(t, conn) == 0 {
+			t.Fatal("the kernel has taken all of it, which shows nothing")
 		}
 		conn.Close()
-		testkit.Until(t, fmt.Sprintf("the client's end behind %d bytes is noticed", behind), func() (gone bool) {
-			r.Do(func() { gone = r.Dispatcher.Counts().Cancelled == 1 && f.ConnectionCount() == 0 })
+		testkit.Until(t, fmt.Sprintf("the client's close behind %d bytes is noticed", behind), func() (gone bool) {
+			rig.Do(func() { gone = rig.Dispatcher.Counts().Cancelled == 1 && f.ConnectionCount() == 0 })
 			return gone
 		})
 	}
 }
-
-// Memory is never made by giving up a session on which an answer is owed.
-func TestReliefSparesWhatIsOwed(t *testing.T) {
-	r := testkit.NewRig(t)
-	f, addr, out := startHolding(r, 64<<20)
-	_, in := testkit.Connect(t, addr, testkit.RequestText("first")+"POST /renewal/k HTTP/1.1\r\n")
-	attempt := started(t, out)
-	r.Do(func() {
-		f.memoryLimit = 1
-		f.freeMemory()
-		f.memoryLimit = 64 << 20
-	})
-	completeAttempt(r, attempt)
-	if code := testkit.Status(in); code != 200 {
-		t.Errorf("the answer owed: %d", code)
-	}
-}
-
-// ---- Attempts and idle connections.
-
-// ---- Discovery.
--- a/internal/httpfront/request.go
+++ b/internal/httpfront/request.go
@@ -25,59 +25,59 @@
 )
 
 // route handles a complete request at the start of the input.
-func (c *clientConnection) route(m *httpwire.Message) {
-	path, _, _ := bytes.Cut(m.Target(), []byte("?"))
+func (c *clientConnection) route(message *httpwire.Message) {
+	path, _, _ := bytes.Cut(message.Target(), []byte("?"))
 	if bytes.Equal(path, []byte("/healthz")) {
-		c.respondDirectly(m, c.frontEnd.healthResponse(m))
+		c.respondDirectly(message, c.frontEnd.healthResponse(message))
 		return
 	}
 	class, known := c.frontEnd.classOf(path)
 	if !known {
-		c.respondDirectly(m, textResponse(404, "no such class\n"))
+		c.respondDirectly(message, textResponse(404, "no such class\n"))
 		return
 	}
-	if !bytes.Equal(m.Method(), []byte("POST")) {
-		c.respondDirectly(m, methodNotAllowed("POST"))
+	if !bytes.Equal(message.Method(), []byte("POST")) {
+		c.respondDirectly(message, methodNotAllowed("POST"))
 		return
 	}
-	c.admit(m, class)
+	c.admit(message, class)
 }
 
 // admit hands a request for a class to the dispatcher or to the durable service, or rejects it.
-func (c *clientConnection) admit(m *httpwire.Message, class int) {
+func (c *clientConnection) admit(message *httpwire.Message, class int) {
 	f := c.frontEnd
-	request, err := parseRequestFields(m)
+	request, err := parseRequestFields(message)
 	if err != nil {
-		c.rejectInvalid(m, class, 400, err.Error()+"\n")
+		c.rejectInvalid(message, class, 400, err.Error()+"\n")
 		return
 	}
 	request.ReceivedAt = c.requestStartedAt
 	request.Class = class
-	key := m.Get("Idempotency-Key")
+	key := message.Get("Idempotency-Key")
 	if len(key) > 0 && f.isDurable(class) {
-		c.admitDurable(m, request, string(key))
+		c.admitDurable(message, request, string(key))
 		return
 	}
 	if f.dispatcher.IsKnownID(request.ID) { // it may be another client's request
-		c.rejectInvalid(m, class, 409, "X-Correlation-Id names another request\n")
+		c.rejectInvalid(message, class, 409, "X-Correlation-Id names another request\n")
 		return
 	}
 	f.freeMemory()
 	if f.memoryExhausted() {
 		f.dispatcher.CountResponse(class, dispatch.Rejected)
-		c.consumeInput(m.Size)
+		c.consumeInput(message.Size)
 		response := textResponse(503, errMemory.Error()+"\n")
 		response.retryAfter = memoryRetryAfter
 		c.writeResponse(response)
 		return
 	}
-	c.dispatch(m, request)
+	c.dispatch(message, request)
 }
 
 // rejectInvalid responds to a request for a class that cannot be served as it is.
-func (c *clientConnection) rejectInvalid(m *httpwire.Message, class, status int, text string) {
+func (c *clientConnection) rejectInvalid(message *httpwire.Message, class, status int, text string) {
 	c.frontEnd.dispatcher.CountResponse(class, dispatch.Failed)
-	c.respondDirectly(m, textResponse(status, text))
+	c.respondDirectly(message, textResponse(status, text))
 }
 
 // classOf returns the class that a path names by its first segment.
@@ -91,27 +91,27 @@
 }
 
 // parseRequestFields returns what the request line and the header fields state.
-func parseRequestFields(m *httpwire.Message) (dispatch.Request, error) {
-	id := m.Get("X-Correlation-Id")
+func parseRequestFields(message *httpwire.Message) (dispatch.Request, error) {
+	id := message.Get("X-Correlation-Id")
 	if len(id) == 0 {
 		return dispatch.Request{}, errNoCorrelationID
 	}
 	if !httpwire.IsIdentifier(id) {
 		return dispatch.Request{}, errInvalidCorrelationID
 	}
-	timeLeft, err := parseTimeLeft(m)
+	timeLeft, err := parseTimeLeft(message)
 	if err != nil {
 		return dispatch.Request{}, err
 	}
 	return dispatch.Request{
 		ID:             string(id),
-		Key:            keyOf(m.Target()),
-		Target:         string(m.Target()),
-		IdempotencyKey: string(m.Get("Idempotency-Key")),
+		Key:            keyOf(message.Target()),
+		Target:         string(message.Target()),
+		IdempotencyKey: string(message.Get("Idempotency-Key")),
 		TimeLeft:       timeLeft,
-		Work:           parseWeightHint(m.Get("X-Weight-Hint")),
-		Slots:          parseSlots(m.Get("X-Facts")),
-		ClientRetry:    bytes.Equal(m.Get("X-Repeat"), []byte("1")),
+		Work:           parseWeightHint(message.Get("X-Weight-Hint")),
+		Slots:          parseSlots(message.Get("X-Facts")),
+		ClientRetry:    bytes.Equal(message.Get("X-Repeat"), []byte("1")),
 	}, nil
 }
 
@@ -126,11 +126,11 @@
 }
 
 // parseTimeLeft returns how long the client still waits, at least a nanosecond, or 0 if it does not state that.
-func parseTimeLeft(m *httpwire.Message) (time.Duration, error) {
-	if m.Count("X-Time-Left-Ms") == 0 {
+func parseTimeLeft(message *httpwire.Message) (time.Duration, error) {
+	if message.Count("X-Time-Left-Ms") == 0 {
 		return 0, nil
 	}
-	milliseconds, valid := httpwire.ParseNumber(m.Get("X-Time-Left-Ms"))
+	milliseconds, valid := httpwire.ParseNumber(message.Get("X-Time-Left-Ms"))
 	if !valid {
 		return 0, errInvalidTimeLeft
 	}
@@ -160,30 +160,30 @@
 }
 
 // dispatch hands a request to the dispatcher. The input's buffer goes with it; what came behind moves to a new one.
-func (c *clientConnection) dispatch(m *httpwire.Message, request dispatch.Request) {
+func (c *clientConnection) dispatch(message *httpwire.Message, request dispatch.Request) {
 	f := c.frontEnd
 	pool := &f.engine.Pool
 	buffer := c.input
 	c.input = nil
-	rest := buffer.Bytes()[m.Size:]
+	rest := buffer.Bytes()[message.Size:]
 	if len(rest) > 0 {
 		c.input = pool.Get()
 		c.input.Append(rest)
 	}
 	c.refillInput()
-	request.Body = m.Body
+	request.Body = message.Body
 	request.Release = func() { pool.Put(buffer) }
 	c.beginService()
 	handle := f.dispatcher.Accept(f, c.token, request)
-	if c.responseOwed {
+	if c.responsePending {
 		c.request = handle
 	}
 }
 
-// beginService notes that a request is complete and its response is owed.
+// beginService notes that a request is complete and its response is pending.
 func (c *clientConnection) beginService() {
 	f := c.frontEnd
-	c.responseOwed = true
+	c.responsePending = true
 	c.request = 0
 	f.loop().Clear(&c.timer)
 	f.gate.Limiter.RequestComplete(f.loop().Now(), c.limiterID)
--- a/internal/httpfront/response.go
+++ b/internal/httpfront/response.go
@@ -35,7 +35,7 @@
 // Respond writes the response to a request that was handed to the dispatcher. It implements dispatch.FrontEnd.
 func (f *FrontEnd) Respond(token uint64, response dispatch.Response) {
 	c := f.connections.Get(token)
-	if c == nil || !c.responseOwed {
+	if c == nil || !c.responsePending {
 		return
 	}
 	switch response.Outcome {
@@ -48,9 +48,9 @@
 	}
 }
 
-// completeService writes the response that is owed, and goes on reading.
+// completeService writes the pending response, and goes on reading.
 func (c *clientConnection) completeService(response httpResponse) {
-	c.responseOwed = false
+	c.responsePending = false
 	c.closeAfterResponse = c.closeAfterResponse || c.frontEnd.closeAfterResponse
 	c.writeResponse(response)
 	if (c.paused || c.input != nil) && !c.closed {
@@ -59,9 +59,9 @@
 }
 
 // healthResponse is the response to a health check.
-func (f *FrontEnd) healthResponse(m *httpwire.Message) httpResponse {
-	isGet := bytes.Equal(m.Method(), []byte("GET"))
-	isHead := bytes.Equal(m.Method(), []byte("HEAD"))
+func (f *FrontEnd) healthResponse(message *httpwire.Message) httpResponse {
+	isGet := bytes.Equal(message.Method(), []byte("GET"))
+	isHead := bytes.Equal(message.Method(), []byte("HEAD"))
 	if !isGet && !isHead {
 		return methodNotAllowed("GET")
 	}
@@ -73,9 +73,9 @@
 }
 
 // respondDirectly removes a request from the input and responds to it.
-func (c *clientConnection) respondDirectly(m *httpwire.Message, response httpResponse) {
-	c.consumeInput(m.Size)
-	if bytes.Equal(m.Method(), []byte("HEAD")) { // its response has no body, so that the length would mislead
+func (c *clientConnection) respondDirectly(message *httpwire.Message, response httpResponse) {
+	c.consumeInput(message.Size)
+	if bytes.Equal(message.Method(), []byte("HEAD")) { // its response has no body, so that the length would mislead
 		c.closeAfterResponse = true
 		response.body = nil
 	}
@@ -92,7 +92,7 @@
 // writeResponse writes a response, and makes the connection ready for the next request or closes it.
 func (c *clientConnection) writeResponse(response httpResponse) {
 	f := c.frontEnd
-	c.closeAfterResponse = c.closeAfterResponse || f.roomNeeded
+	c.closeAfterResponse = c.closeAfterResponse || f.capacityExhausted
 	f.out = httpwire.AppendResponse(f.out[:0], response.status, response.body, response.retryAfter, c.closeAfterResponse, response.fields)
 	c.conn.Write(f.out)
 	switch {
--- a/internal/httpfront/timeouts.go
+++ b/internal/httpfront/timeouts.go
@@ -70,7 +70,7 @@
 func (c *clientConnection) onTimer() {
 	loop := c.frontEnd.loop()
 	switch {
-	case c.responseOwed:
+	case c.responsePending:
 	case c.input != nil:
 		c.checkIncomplete()
 	case !c.conn.NothingUnread(): // a request has come, though it has not been read
@@ -102,7 +102,7 @@
 	loop := c.frontEnd.loop()
 	switch {
 	case c.closed || !c.paused:
-	case !c.responseOwed || c.conn.NothingUnread():
+	case !c.responsePending || c.conn.NothingUnread():
 		loop.Set(&c.floodTimer, loop.Now()+floodCheckInterval)
 	default:
 		c.closeAfterResponse = true
@@ -121,11 +121,11 @@
 	}
 }
 
-// checkStall closes the connection if the client has read nothing since the timer was set, unless a response is owed.
+// checkStall closes the connection if the client has read nothing since the timer was set, unless a response is pending.
 func (c *clientConnection) checkStall() {
 	switch {
 	case c.closed || c.conn.UnsentBytes() == 0:
-	case c.responseOwed || c.conn.SentBytes() > c.sentAtStall:
+	case c.responsePending || c.conn.SentBytes() > c.sentAtStall:
 		c.watchStall()
 	default:
 		c.reportAbuse(connlimit.Stalled)
--- a/internal/workerclient/client.go
+++ b/internal/workerclient/client.go
@@ -35,19 +35,19 @@
 var _ dispatch.Refresher = (*Client)(nil)
 
 // New returns a client for the workers that a registry lists, and makes it the dispatcher's.
-func New(d *dispatch.Dispatcher, e *transport.Engine, registry *discovery.Registry) *Client {
-	c := &Client{
-		dispatcher:    d,
-		engine:        e,
+func New(dispatcher *dispatch.Dispatcher, engine *transport.Engine, registry *discovery.Registry) *Client {
+	client := &Client{
+		dispatcher:    dispatcher,
+		engine:        engine,
 		registry:      registry,
 		connections:   map[uint64]*connection{},
 		idle:          map[*discovery.Worker][]*connection{},
 		lastByteDelay: defaultLastByteDelay,
 		reuseDelay:    defaultReuseDelay,
 	}
-	registry.Attach(c)
-	d.AddSource(c)
-	return c
+	registry.Attach(client)
+	dispatcher.AddSource(client)
+	return client
 }
 
 // Refresh makes the registry check which workers its list still allows requests to.
