--- a/internal/discovery/relaywatch_test.go
+++ b/internal/discovery/relaywatch_test.go
@@ -347,7 +347,7 @@
 	watch := home.serveFirst(0, state(5, true, "a=ready", "b=ready"), 5)
 	s.reaches(5, "a=ready b=ready")
 	text := testkit.Chunk(state(6, false, "a=gone", "b=draining") + "\n")
-	release := s.Hold()
+	release := s.BlockLoop()
 	s.Write(t, watch, text[:len(text)-8])
 	release()
 	s.Do(func() {}) // it has been read
@@ -446,7 +446,7 @@
 	s := follow(t, 0, home).known(``)
 	watch := home.serveFirst(0, state(5, true, "a=ready"), 5)
 	s.follows(home)
-	release := s.Hold()
+	release := s.BlockLoop()
 	s.Dispatcher.Loop.Post(func() { s.registry.follower.current.watch.expire() })
 	s.Write(t, watch, testkit.Chunk(state(6, false, "a=draining")+"\n"))
 	release()
@@ -788,7 +788,7 @@
 	watch.open()
 	home.expect("after=5&name=d+1").answer(state(5, false))
 	testkit.Until(t, "it is acknowledged", func() bool { return s.stats().Acknowledged == 1 })
-	release := s.Hold()
+	release := s.BlockLoop()
 	s.Write(t, watch, testkit.Chunk(state(6, false, "b=ready")+"\n"))
 	s.Dispatcher.Loop.Post(s.registry.follower.acknowledge) // with the connection's end on its way
 	first.Close()
--- a/internal/httpfront/drain_test.go
+++ b/internal/httpfront/drain_test.go
@@ -26,8 +26,8 @@
 	var addr string
 	var frontEnd *FrontEnd
 	rig.Do(func() {
-		rig.Dispatcher.AddSource(testkit.EchoClient{Dispatcher: rig.Dispatcher})
-		rig.Dispatcher.UpdateWorkers(testkit.EchoClient{Dispatcher: rig.Dispatcher}, decision.ListSnapshot, []decision.Endpoint{{Name: "w"}})
+		rig.Dispatcher.AddSource(testkit.EchoWorkerClient{Dispatcher: rig.Dispatcher})
+		rig.Dispatcher.UpdateWorkers(testkit.EchoWorkerClient{Dispatcher: rig.Dispatcher}, decision.ListSnapshot, []decision.Endpoint{{Name: "w"}})
 		frontEnd = New(rig.Dispatcher, rig.Engine, 64<<20, func() bool { return true })
 		addr, _ = frontEnd.Listen("127.0.0.1:0", 200)
 	})
--- a/internal/httpfront/eviction_test.go
+++ b/internal/httpfront/eviction_test.go
@@ -22,11 +22,11 @@
 		if i == 0 {
 			first = in
 		}
-		if _, usual := testkit.Connect(t, addr, testkit.RequestText(fmt.Sprint("usual-", i))); testkit.Status(usual) != 200 {
+		if _, usual := testkit.Connect(t, addr, testkit.RequestWithID(fmt.Sprint("usual-", i))); testkit.ReadStatus(usual) != 200 {
 			t.Fatalf("beside %d incomplete requests a usual one gets no response", i)
 		}
 	}
-	if code := testkit.Status(first); code != 503 {
+	if code := testkit.ReadStatus(first); code != 503 {
 		t.Errorf("the oldest got %d", code)
 	}
 }
@@ -34,29 +34,29 @@
 // Connections whose requests have not been served are evicted first, and a proven one stays, even if it is older.
 func TestEvictionSparesProvenConnections(t *testing.T) {
 	addr := startEchoFrontEnd(t, 64<<20, 4)
-	proven, in := testkit.Connect(t, addr, testkit.RequestText("first"))
-	if testkit.Status(in) != 200 {
+	proven, in := testkit.Connect(t, addr, testkit.RequestWithID("first"))
+	if testkit.ReadStatus(in) != 200 {
 		t.Fatal("no response")
 	}
 	const health = "GET /healthz HTTP/1.1\r\n\r\n"
 	for range 3 {
-		if _, talk := testkit.Connect(t, addr, health); testkit.Status(talk) != 200 {
+		if _, talk := testkit.Connect(t, addr, health); testkit.ReadStatus(talk) != 200 {
 			t.Fatal("no response")
 		}
 	}
 	for i := range 8 { // each needs the place of an unproven one
-		if _, talk := testkit.Connect(t, addr, health); testkit.Status(talk) != 200 {
+		if _, talk := testkit.Connect(t, addr, health); testkit.ReadStatus(talk) != 200 {
 			t.Fatalf("%d: no response", i)
 		}
 	}
-	if io.WriteString(proven, testkit.RequestText("second")); testkit.Status(in) != 200 {
+	if io.WriteString(proven, testkit.RequestWithID("second")); testkit.ReadStatus(in) != 200 {
 		t.Error("the proven connection was closed")
 	}
 	// A silent one is evicted when there is no room, but not at once.
 	for range 6 {
 		testkit.Connect(t, addr, "")
 	}
-	if _, talk := testkit.Connect(t, addr, health); testkit.Status(talk) != 200 {
+	if _, talk := testkit.Connect(t, addr, health); testkit.ReadStatus(talk) != 200 {
 		t.Error("silent connections keep all others out")
 	}
 }
@@ -65,7 +65,7 @@
 func TestFreeMemorySparesPendingResponses(t *testing.T) {
 	rig := testkit.NewRig(t)
 	f, addr, worker := startWithHoldingClient(rig, 64<<20)
-	_, in := testkit.Connect(t, addr, testkit.RequestText("first")+"POST /renewal/k HTTP/1.1\r\n")
+	_, in := testkit.Connect(t, addr, testkit.RequestWithID("first")+"POST /renewal/k HTTP/1.1\r\n")
 	attempt := awaitAttempt(t, worker)
 	rig.Do(func() {
 		f.memoryLimit = 1
@@ -73,7 +73,7 @@
 		f.memoryLimit = 64 << 20
 	})
 	completeAttempt(rig, attempt)
-	if code := testkit.Status(in); code != 200 {
+	if code := testkit.ReadStatus(in); code != 200 {
 		t.Errorf("the pending response: %d", code)
 	}
 }
--- a/internal/httpfront/frontend_test.go
+++ b/internal/httpfront/frontend_test.go
@@ -27,8 +27,8 @@
 	rig := testkit.NewRig(f)
 	var addr string
 	rig.Do(func() {
-		rig.Dispatcher.AddSource(testkit.EchoClient{Dispatcher: rig.Dispatcher})
-		rig.Dispatcher.UpdateWorkers(testkit.EchoClient{Dispatcher: rig.Dispatcher}, decision.ListSnapshot, []decision.Endpoint{{Name: "w"}})
+		rig.Dispatcher.AddSource(testkit.EchoWorkerClient{Dispatcher: rig.Dispatcher})
+		rig.Dispatcher.UpdateWorkers(testkit.EchoWorkerClient{Dispatcher: rig.Dispatcher}, decision.ListSnapshot, []decision.Endpoint{{Name: "w"}})
 		var err error
 		if addr, err = New(rig.Dispatcher, rig.Engine, 64<<20, func() bool { return true }).Listen("127.0.0.1:0", 200); err != nil {
 			f.Error(err)
@@ -83,7 +83,7 @@
 // worker, each of which rejects it, and they would count as faulty.
 func TestCorrelationIDInUse(t *testing.T) {
 	rig := testkit.NewRig(t)
-	worker := testkit.HoldingClient{EchoClient: testkit.EchoClient{Dispatcher: rig.Dispatcher}, Started: make(chan dispatch.Attempt, 10)}
+	worker := testkit.HoldingWorkerClient{EchoWorkerClient: testkit.EchoWorkerClient{Dispatcher: rig.Dispatcher}, Started: make(chan dispatch.Attempt, 10)}
 	var addr string
 	rig.Do(func() {
 		rig.Dispatcher.AddSource(worker)
@@ -127,8 +127,8 @@
 	rig := testkit.NewRig(t)
 	var addr string
 	rig.Do(func() {
-		rig.Dispatcher.AddSource(testkit.EchoClient{Dispatcher: rig.Dispatcher})
-		rig.Dispatcher.UpdateWorkers(testkit.EchoClient{Dispatcher: rig.Dispatcher}, decision.ListSnapshot, []decision.Endpoint{{Name: "w"}})
+		rig.Dispatcher.AddSource(testkit.EchoWorkerClient{Dispatcher: rig.Dispatcher})
+		rig.Dispatcher.UpdateWorkers(testkit.EchoWorkerClient{Dispatcher: rig.Dispatcher}, decision.ListSnapshot, []decision.Endpoint{{Name: "w"}})
 		addr, _ = New(rig.Dispatcher, rig.Engine, memoryLimit, func() bool { return true }).Listen("127.0.0.1:0", maxConnections)
 	})
 	return addr
@@ -140,7 +140,7 @@
 	for _, text := range []string{"POST /renewal/k HTTP/1.1\r\nX-Note: ", "POST /renewal/k HTTP/1.1\r\nContent-Length: 60000\r\n\r\n"} {
 		conn, in := testkit.Connect(t, addr, text)
 		status := make(chan int, 1)
-		go func() { status <- testkit.Status(in) }()
+		go func() { status <- testkit.ReadStatus(in) }()
 		for code := -1; code < 0; {
 			select {
 			case code = <-status:
@@ -161,15 +161,15 @@
 	conn, in := testkit.Connect(t, addr, "")
 	go func() {
 		for i := range requests {
-			io.WriteString(conn, strings.Replace(testkit.RequestText(fmt.Sprint("many-", i)), "4\r\n\r\ndone", "2000\r\n\r\ndone"+strings.Repeat(" ", 1996), 1))
+			io.WriteString(conn, strings.Replace(testkit.RequestWithID(fmt.Sprint("many-", i)), "4\r\n\r\ndone", "2000\r\n\r\ndone"+strings.Repeat(" ", 1996), 1))
 		}
 	}()
 	for i := range requests {
-		if code := testkit.Status(in); code != 200 {
+		if code := testkit.ReadStatus(in); code != 200 {
 			t.Fatalf("response %d: %d", i, code)
 		}
 		if i == 100 {
-			if _, other := testkit.Connect(t, addr, testkit.RequestText("other")); testkit.Status(other) != 200 {
+			if _, other := testkit.Connect(t, addr, testkit.RequestWithID("other")); testkit.ReadStatus(other) != 200 {
 				t.Error("another client gets no response")
 			}
 		}
--- a/internal/httpfront/golden_test.go
+++ b/internal/httpfront/golden_test.go
@@ -32,8 +32,8 @@
 	ready := true
 	var addr string
 	rig.Do(func() {
-		rig.Dispatcher.AddSource(testkit.EchoClient{Dispatcher: rig.Dispatcher})
-		rig.Dispatcher.UpdateWorkers(testkit.EchoClient{Dispatcher: rig.Dispatcher}, decision.ListSnapshot, []decision.Endpoint{{Name: "w"}})
+		rig.Dispatcher.AddSource(testkit.EchoWorkerClient{Dispatcher: rig.Dispatcher})
+		rig.Dispatcher.UpdateWorkers(testkit.EchoWorkerClient{Dispatcher: rig.Dispatcher}, decision.ListSnapshot, []decision.Endpoint{{Name: "w"}})
 		addr, _ = New(rig.Dispatcher, rig.Engine, 64<<20, func() bool { return ready }).Listen("127.0.0.1:0", 200)
 		rig.Dispatcher.Accept(make(testkit.Responses, 1), 0, dispatch.Request{ID: "former", Body: []byte("done")})
 		rig.Dispatcher.Accept(make(testkit.Responses, 1), 0, dispatch.Request{ID: "open", Body: []byte("hold")})
@@ -63,7 +63,7 @@
 		shown := regexp.MustCompile(`x{100,}`).ReplaceAllStringFunc(request, func(many string) string {
 			return fmt.Sprintf("(%d times x)", len(many))
 		})
-		text.WriteString("> " + strings.ReplaceAll(shown, "\n", "\n> ") + "\n" + testkit.Masked(got) + "\n")
+		text.WriteString("> " + strings.ReplaceAll(shown, "\n", "\n> ") + "\n" + testkit.MaskVolatile(got) + "\n")
 	}
 	for i, x := range testkit.Exchanges {
 		exchange(strings.ReplaceAll(x.Request, "IDENTITY", fmt.Sprintf("id%06d", i)), x.Ends)
@@ -121,7 +121,7 @@
 	var frontEnd *FrontEnd
 	rig.Do(func() {
 		service.Start()
-		rig.Dispatcher.AddSource(testkit.EchoClient{Dispatcher: rig.Dispatcher})
+		rig.Dispatcher.AddSource(testkit.EchoWorkerClient{Dispatcher: rig.Dispatcher})
 		frontEnd = New(rig.Dispatcher, rig.Engine, 64<<20, func() bool { return true })
 		frontEnd.SetDurable(nil, []bool{false, true})
 		addr, _ = frontEnd.Listen("127.0.0.1:0", 20)
--- a/internal/httpfront/races_test.go
+++ b/internal/httpfront/races_test.go
@@ -36,8 +36,8 @@
 }
 
 // startWithHoldingClient starts a front end with a worker client whose attempts end when the test says so.
-func startWithHoldingClient(rig *testkit.Rig, memoryLimit int) (f *FrontEnd, addr string, worker testkit.HoldingClient) {
-	worker = testkit.HoldingClient{EchoClient: testkit.EchoClient{Dispatcher: rig.Dispatcher}, Started: make(chan dispatch.Attempt, 100)}
+func startWithHoldingClient(rig *testkit.Rig, memoryLimit int) (f *FrontEnd, addr string, worker testkit.HoldingWorkerClient) {
+	worker = testkit.HoldingWorkerClient{EchoWorkerClient: testkit.EchoWorkerClient{Dispatcher: rig.Dispatcher}, Started: make(chan dispatch.Attempt, 100)}
 	rig.Do(func() {
 		rig.Dispatcher.AddSource(worker)
 		rig.Dispatcher.UpdateWorkers(worker, decision.ListSnapshot, []decision.Endpoint{{Name: "w"}})
@@ -53,7 +53,7 @@
 	})
 }
 
-func awaitAttempt(t *testing.T, worker testkit.HoldingClient) (attempt dispatch.Attempt) {
+func awaitAttempt(t *testing.T, worker testkit.HoldingWorkerClient) (attempt dispatch.Attempt) {
 	t.Helper()
 	select {
 	case attempt = <-worker.Started:
@@ -78,26 +78,26 @@
 		cross  func(rig *testkit.Rig, f *FrontEnd, conn net.Conn)
 	}{
 		{"the request comes first", 200, func(r *testkit.Rig, f *FrontEnd, conn net.Conn) {
-			release := r.Hold()
-			r.Write(t, conn, testkit.RequestText("crossing"))
+			release := r.BlockLoop()
+			r.Write(t, conn, testkit.RequestWithID("crossing"))
 			r.Dispatcher.Loop.Post(f.StopReading)
 			release()
 		}},
 		{"read, and not handled by the loop yet", 200, func(r *testkit.Rig, f *FrontEnd, conn net.Conn) {
-			release := r.Hold()
+			release := r.BlockLoop()
 			r.Dispatcher.Loop.Post(f.StopReading)
-			r.Write(t, conn, testkit.RequestText("crossing"))
+			r.Write(t, conn, testkit.RequestWithID("crossing"))
 			release()
 		}},
 		{"StopReading comes first", 0, func(r *testkit.Rig, f *FrontEnd, conn net.Conn) {
 			r.Do(f.StopReading)
 			r.Do(func() {}) // runs after what it has posted
-			io.WriteString(conn, testkit.RequestText("crossing"))
+			io.WriteString(conn, testkit.RequestWithID("crossing"))
 		}},
 		{"half of the request read", 503, func(r *testkit.Rig, f *FrontEnd, conn net.Conn) {
-			release := r.Hold()
+			release := r.BlockLoop()
 			r.Dispatcher.Loop.Post(f.StopReading)
-			text := testkit.RequestText("crossing")
+			text := testkit.RequestWithID("crossing")
 			r.Write(t, conn, text[:len(text)/2])
 			release()
 			io.WriteString(conn, text[len(text)/2:])
@@ -106,9 +106,9 @@
 		t.Run(test.name, func(t *testing.T) {
 			r := testkit.NewRig(t)
 			f, addr, worker := startWithHoldingClient(r, 64<<20)
-			conn, in := testkit.Connect(t, addr, testkit.RequestText("first")) // of a usual client, which is idle now
+			conn, in := testkit.Connect(t, addr, testkit.RequestWithID("first")) // of a usual client, which is idle now
 			completeAttempt(r, awaitAttempt(t, worker))
-			if testkit.Status(in) != 200 {
+			if testkit.ReadStatus(in) != 200 {
 				t.Fatal("no response to the first request")
 			}
 			test.cross(r, f, conn)
@@ -141,7 +141,7 @@
 func TestStopReadingWithAFloodingClient(t *testing.T) {
 	rig := testkit.NewRig(t)
 	f, addr, worker := startWithHoldingClient(rig, 64<<20)
-	conn, in := testkit.Connect(t, addr, testkit.RequestText("first"))
+	conn, in := testkit.Connect(t, addr, testkit.RequestWithID("first"))
 	attempt := awaitAttempt(t, worker)
 	var sent atomic.Int64
 	go func() {
@@ -156,7 +156,7 @@
 	testkit.Until(t, "much has been sent", func() bool { return sent.Load() > 100<<10 })
 	rig.Do(f.StopReading)
 	completeAttempt(rig, attempt)
-	if code := testkit.Status(in); code != 200 {
+	if code := testkit.ReadStatus(in); code != 200 {
 		t.Errorf("its response: %d", code)
 	}
 	testkit.Until(t, "its connection ends", func() (none bool) {
@@ -169,17 +169,17 @@
 func TestIdleTimeoutAsARequestComes(t *testing.T) {
 	rig := testkit.NewRig(t)
 	f, addr, worker := startWithHoldingClient(rig, 64<<20)
-	conn, in := testkit.Connect(t, addr, testkit.RequestText("first"))
+	conn, in := testkit.Connect(t, addr, testkit.RequestWithID("first"))
 	completeAttempt(rig, awaitAttempt(t, worker))
-	if testkit.Status(in) != 200 {
+	if testkit.ReadStatus(in) != 200 {
 		t.Fatal("no response to the first request")
 	}
-	release := rig.Hold()
+	release := rig.BlockLoop()
 	rig.Dispatcher.Loop.Post(func() { f.connections.ForEach(func(_ uint64, s *clientConnection) { s.onTimer() }) })
-	rig.Write(t, conn, testkit.RequestText("crossing"))
+	rig.Write(t, conn, testkit.RequestWithID("crossing"))
 	release()
 	completeAttempt(rig, awaitAttempt(t, worker))
-	if code := testkit.Status(in); code != 200 {
+	if code := testkit.ReadStatus(in); code != 200 {
 		t.Errorf("the crossing request: %d", code)
 	}
 }
@@ -190,7 +190,7 @@
 	for _, behind := range []int{0, 1, 300, 3 * transport.BufferSize, 400 << 10} {
 		rig := testkit.NewRig(t)
 		f, addr, worker := startWithHoldingClient(rig, 64<<20)
-		conn, _ := testkit.Connect(t, addr, testkit.RequestText("leaves")+strings.Repeat("x", behind))
+		conn, _ := testkit.Connect(t, addr, testkit.RequestWithID("leaves")+strings.Repeat("x", behind))
 		awaitAttempt(t, worker)
 		if behind == 400<<10 && unsentBytes(t, conn) == 0 {
 			t.Fatal("the kernel has taken all of it, which shows nothing")
--- a/internal/httpwire/parse_test.go
+++ b/internal/httpwire/parse_test.go
@@ -9,10 +9,11 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-// FuzzParse: no input makes the parsers panic, and a body never grows.
-func FuzzParse(f *testing.F) {
-	for _, x := range testkit.Exchanges {
-		f.Add([]byte(x.Request))
+// FuzzParseRequest checks that no input makes the parsers panic, that a body fits its message, and that input which
+// comes byte by byte is parsed as if it came at once.
+func FuzzParseRequest(f *testing.F) {
+	for _, exchange := range testkit.Exchanges {
+		f.Add([]byte(exchange.Request))
 	}
 	for _, x := range testkit.WorkerResponses {
 		f.Add([]byte(x.Script))
@@ -22,32 +23,32 @@
 		if len(b) > transport.BufferSize {
 			return
 		}
-		var m Message
-		ok, _, err := ParseRequest(slices.Clone(b), &m, new(ScanState))
-		if ok && (err != nil || m.Size > len(b) || len(m.Body) > m.Size || len(m.Body) > MaxBody) {
-			t.Fatalf("size %d, body %d of %d bytes, %v", m.Size, len(m.Body), len(b), err)
+		var message Message
+		complete, _, err := ParseRequest(slices.Clone(b), &message, new(ScanState))
+		if complete && (err != nil || message.Size > len(b) || len(message.Body) > message.Size || len(message.Body) > MaxBody) {
+			t.Fatalf("size %d, body %d of %d bytes, %v", message.Size, len(message.Body), len(b), err)
 		}
-		// In pieces it is the same as at once, and what has been looked at stays so.
-		var sc ScanState
+		// What has been scanned is not scanned again.
+		var state ScanState
 		for n := 1; n <= min(len(b), 700); n++ {
-			var whole, piece Message
-			seen, at := sc.headScanned, sc.bodyScanned
-			ok1, _, err1 := ParseRequest(slices.Clone(b[:n]), &whole, new(ScanState))
-			ok2, _, err2 := ParseRequest(slices.Clone(b[:n]), &piece, &sc)
-			if ok1 != ok2 || err1 != err2 || !bytes.Equal(whole.Body, piece.Body) || whole.Size != piece.Size && ok1 {
-				t.Fatalf("%d bytes of %q: at once %v, %v; in pieces %v, %v", n, b, ok1, err1, ok2, err2)
+			var atOnce, inPieces Message
+			headBefore, bodyBefore := state.headScanned, state.bodyScanned
+			completeAtOnce, _, errAtOnce := ParseRequest(slices.Clone(b[:n]), &atOnce, new(ScanState))
+			completeInPieces, _, errInPieces := ParseRequest(slices.Clone(b[:n]), &inPieces, &state)
+			if completeAtOnce != completeInPieces || errAtOnce != errInPieces || !bytes.Equal(atOnce.Body, inPieces.Body) || atOnce.Size != inPieces.Size && completeAtOnce {
+				t.Fatalf("%d bytes of %q: at once %v, %v; in pieces %v, %v", n, b, completeAtOnce, errAtOnce, completeInPieces, errInPieces)
 			}
-			if ok1 || err1 != nil {
+			if completeAtOnce || errAtOnce != nil {
 				break
 			}
-			if sc.needed == 0 && !sc.chunked && sc.headScanned != n || sc.headScanned < seen-1 || sc.bodyScanned < at {
-				t.Fatalf("%d bytes of %q: looked at %d, then %d; body %d, then %d", n, b, seen, sc.headScanned, at, sc.bodyScanned)
+			if state.needed == 0 && !state.chunked && state.headScanned != n || state.headScanned < headBefore-1 || state.bodyScanned < bodyBefore {
+				t.Fatalf("%d bytes of %q: head scanned to %d, then %d; body to %d, then %d", n, b, headBefore, state.headScanned, bodyBefore, state.bodyScanned)
 			}
 		}
-		var h Head
-		if ok, _ := ParseHead(b, &h, new(int)); ok {
-			h.Framing()
-			h.HasToken("Connection", "close")
+		var head Head
+		if ok, _ := ParseHead(b, &head, new(int)); ok {
+			head.Framing()
+			head.HasToken("Connection", "close")
 		}
 	})
 }
--- a/internal/testkit/httpcases.go
+++ b/internal/testkit/httpcases.go
@@ -21,7 +21,8 @@
 	Ends    bool
 }
 
-// A request, what must come back, and whether the session ends with it.
+// Exchanges are requests to a front end whose workers are an EchoWorkerClient. The IDs "former" and "open" belong to
+// other requests.
 var Exchanges = []Exchange{
 	{"POST /status-check/k HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: IDENTITY\r\nContent-Length: 6\r\n\r\ndone 1", 200, false},
 	{"POST /renewal/k?q=1 HTTP/1.1\r\nx-correlation-id: IDENTITY\r\nContent-Length: 6\r\n\r\nfailed", 502, false},
@@ -70,7 +71,7 @@
 	Want   dispatch.Outcome
 }
 
-// What a backend may answer, and what becomes of a fragile req: the protocol's table.
+// WorkerResponses is the protocol's table of responses.
 var WorkerResponses = []WorkerResponse{
 	{ChunkedResponse(DoneLine), dispatch.Served},
 	{ChunkedResponse(`{"id":"IDENTITY","state":"started"}`, `{"id":"IDENTITY","state":"running","share":0.5}`, "", DoneLine), dispatch.Served},
@@ -96,23 +97,40 @@
 	{"HTTP/1.1 100 Continue\r\n\r\n" + StatusLineOK + "Connection: close\r\n" + HangUpField + "\r\n" + DoneText + "\n", dispatch.Served},
 }
 
-// ChunkedResponse words lines as the ChunkedResponse answer of a backend.
+// ChunkedResponse returns a worker's response with a chunk for each line.
 func ChunkedResponse(lines ...string) string {
-	text := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-	for _, l := range lines {
-		text += fmt.Sprintf("%x\r\n%s\n\r\n", len(l)+1, l)
+	text := WatchHead
+	for _, line := range lines {
+		text += Chunk(line + "\n")
 	}
 	return text + "0\r\n\r\n"
 }
 
+// Parts of responses. IDENTITY stands for the request's ID.
 const (
-	DoneLine     = `{"id":"IDENTITY","from":"s","state":"done","result":"made","load":{"x0":1.5,"backlog":2}}`
+	// StatusLineOK is the status line of a 200.
 	StatusLineOK = "HTTP/1.1 200 OK\r\n"
-	HangUpField  = "X-Note: HANG UP\r\n"
-	DoneText     = `{"id":"IDENTITY","state":"done","result":"made"}`
+	// WatchHead is the head of a chunked 200, as a watch of discovery gets it.
+	WatchHead = StatusLineOK + "Transfer-Encoding: chunked\r\n\r\n"
+	// HangUpField makes a ScriptedWorker close the connection behind the response.
+	HangUpField = "X-Note: HANG UP\r\n"
+	// DoneLine is a job update with a result and a load report.
+	DoneLine = `{"id":"IDENTITY","from":"s","state":"done","result":"made","load":{"x0":1.5,"backlog":2}}`
+	// DoneText is a job update with a result alone.
+	DoneText = `{"id":"IDENTITY","state":"done","result":"made"}`
+	// LoadResponse is a response to a health check.
+	LoadResponse = StatusLineOK + "Content-Length: 10\r\n\r\n{\"x0\":1.5}"
 )
 
-// Connect opens a session and sends a text; the rest of the test reads what comes.
+// Chunk returns a chunk of a chunked body.
+func Chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
+
+// RequestWithID returns a request of the class renewal that an EchoWorkerClient completes.
+func RequestWithID(id string) string {
+	return "POST /renewal/k HTTP/1.1\r\nX-Correlation-Id: " + id + "\r\nContent-Length: 4\r\n\r\ndone"
+}
+
+// Connect opens a client connection, which is closed at the end of the test, and sends a text.
 func Connect(t *testing.T, addr, text string) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -125,20 +143,12 @@
 	return conn, bufio.NewReader(conn)
 }
 
-// Status reads an answer; 0: the session has ended without.
-func Status(in *bufio.Reader) int {
-	resp, err := http.ReadResponse(in, nil)
+// ReadStatus reads a response and returns its status code, or 0 if the connection has ended before it.
+func ReadStatus(in *bufio.Reader) int {
+	response, err := http.ReadResponse(in, nil)
 	if err != nil {
 		return 0
 	}
-	io.Copy(io.Discard, resp.Body)
-	return resp.StatusCode
+	io.Copy(io.Discard, response.Body)
+	return response.StatusCode
 }
-
-func RequestText(id string) string {
-	return "POST /renewal/k HTTP/1.1\r\nX-Correlation-Id: " + id + "\r\nContent-Length: 4\r\n\r\ndone"
-}
-
-const WatchHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-
-func Chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
--- a/internal/testkit/rig.go
+++ b/internal/testkit/rig.go
@@ -1,5 +1,5 @@
-// Package testkit holds what the tests of the front end, the worker client and discovery share: a dispatcher on a loop
-// of its own, stand-ins for clients and workers, and the tables of requests and responses. Only tests import it.
+// Package testkit holds what the tests of the front end, the worker client and discovery share: a dispatcher on an
+// event loop of its own, stand-ins for clients and workers, and tables of requests and responses. Only tests import it.
 package testkit
 
 import (
@@ -14,114 +14,140 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-// Rig is a core on a loop of its own, with the engine beside it.
+const (
+	// Patience is how long a test waits for anything. None takes that long unless something is broken.
+	Patience = 20 * time.Second
+
+	pollInterval       = 100 * time.Microsecond
+	defaultDescriptors = 900 // of a rig's engine
+)
+
+// Rig is a dispatcher with its transport engine, on an event loop of its own.
 type Rig struct {
 	Dispatcher *dispatch.Dispatcher
 	Engine     *transport.Engine
 }
 
-// Do runs f on the loop's goroutine.
-func (r *Rig) Do(f func()) {
-	done := make(chan struct{})
-	r.Dispatcher.Loop.Post(func() { f(); close(done) })
-	<-done
-}
-
+// NewRig starts a rig, which is stopped at the end of the test. It has the class status-check, whose requests are
+// idempotent, and the class renewal, whose requests are not. The changes are applied to its settings.
 func NewRig(t testing.TB, changes ...func(*decision.Settings)) *Rig {
 	t.Helper()
-	s := decision.Settings{
-		Classes: []decision.Class{
-			{Name: "status-check", PriorityWeight: 3, LateWeight: 0.25, LatencyObjective: 200 * time.Millisecond, Deadline: 5 * time.Second},
-			{Name: "renewal", PriorityWeight: 5, LateWeight: 0.5, LatencyObjective: 200 * time.Millisecond, Deadline: 8 * time.Second, Idempotency: decision.NonIdempotent},
-		},
-		Tick: time.Millisecond, MaxAttempts: 1, Cancellation: true, StartNotices: true, HealthChecks: true, MaxRetryAfter: time.Second,
-		ConnectTimeout: 2 * time.Second, ConnectionIdleTimeout: 10 * time.Second, FreeSlots: "x0", ZoneNames: []string{"here"},
-	}
+	settings := defaultSettings()
 	for _, change := range changes {
-		change(&s)
+		change(&settings)
 	}
-	c, err := dispatch.New(eventloop.New(), s, 1)
+	dispatcher, err := dispatch.New(eventloop.New(), settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	e, err := transport.NewEngine(c.Loop, 900)
+	loop := dispatcher.Loop
+	engine, err := transport.NewEngine(loop, defaultDescriptors)
 	if err != nil {
 		t.Fatal(err)
 	}
-	done := make(chan struct{})
-	go func() { c.Loop.Run(); close(done) }()
-	t.Cleanup(func() { c.Loop.Stop(); <-done; e.StopListening() })
-	return &Rig{c, e}
+	stopped := make(chan struct{})
+	go func() {
+		loop.Run()
+		close(stopped)
+	}()
+	t.Cleanup(func() {
+		loop.Stop()
+		<-stopped
+		engine.StopListening()
+	})
+	return &Rig{Dispatcher: dispatcher, Engine: engine}
 }
 
-const Patience = 20 * time.Second // no test waits that long unless something is broken
-
-// Hold keeps the loop from going on until the release.
-func (r *Rig) Hold() (release func()) {
-	held, on := make(chan struct{}), make(chan struct{})
-	r.Dispatcher.Loop.Post(func() { close(held); <-on })
-	<-held
-	return func() { close(on) }
+// defaultSettings returns the settings of a rig.
+func defaultSettings() decision.Settings {
+	return decision.Settings{
+		Classes: []decision.Class{
+			{
+				Name: "status-check", PriorityWeight: 3, LateWeight: 0.25,
+				LatencyObjective: 200 * time.Millisecond, Deadline: 5 * time.Second,
+			},
+			{
+				Name: "renewal", PriorityWeight: 5, LateWeight: 0.5,
+				LatencyObjective: 200 * time.Millisecond, Deadline: 8 * time.Second,
+				Idempotency: decision.NonIdempotent,
+			},
+		},
+		Tick:                  time.Millisecond,
+		MaxAttempts:           1,
+		Cancellation:          true,
+		StartNotices:          true,
+		HealthChecks:          true,
+		MaxRetryAfter:         time.Second,
+		ConnectTimeout:        2 * time.Second,
+		ConnectionIdleTimeout: 10 * time.Second,
+		FreeSlots:             "x0",
+		ZoneNames:             []string{"here"},
+	}
 }
 
-// Write writes and waits until the poller of the program has read some of it.
-func (r *Rig) Write(t *testing.T, conn net.Conn, text string) {
-	t.Helper()
-	held := r.Engine.Pool.BytesInUse()
-	if _, err := io.WriteString(conn, text); err != nil {
-		t.Fatal(err)
-	}
-	Until(t, "the poller reads", func() bool { return r.Engine.Pool.BytesInUse() > held })
+// Do runs f on the event loop and waits for its end.
+func (r *Rig) Do(f func()) {
+	done := make(chan struct{})
+	r.Dispatcher.Loop.Post(func() {
+		f()
+		close(done)
+	})
+	<-done
 }
 
-// Until waits for a condition.
-func Until(t *testing.T, what string, holds func() bool) {
-	t.Helper()
-	for end := time.Now().Add(Patience); !holds(); time.Sleep(100 * time.Microsecond) {
-		if time.Now().After(end) {
-			t.Fatal("in vain: ", what)
-		}
-	}
+// BlockLoop blocks the event loop until release is called.
+func (r *Rig) BlockLoop() (release func()) {
+	blocked := make(chan struct{})
+	released := make(chan struct{})
+	r.Dispatcher.Loop.Post(func() {
+		close(blocked)
+		<-released
+	})
+	<-blocked
+	return func() { close(released) }
 }
 
-func Receive[T any](t *testing.T, c chan T) (v T) {
+// Write writes a text to a connection and waits until the rig's poller has read some of it.
+func (r *Rig) Write(t *testing.T, conn net.Conn, text string) {
 	t.Helper()
-	select {
-	case v = <-c:
-	case <-time.After(Patience):
-		t.Fatal("nothing came")
+	inUse := r.Engine.Pool.BytesInUse()
+	if _, err := io.WriteString(conn, text); err != nil {
+		t.Fatal(err)
 	}
-	return v
+	Until(t, "the poller reads", func() bool { return r.Engine.Pool.BytesInUse() > inUse })
 }
 
-// WithSubscription makes a rig, on the loop and the engine of r, of a fleet that asks for its list.
-func (r *Rig) WithSubscription(t *testing.T, peers int, askWithin time.Duration) *Rig {
+// WithSubscription returns another rig, on the loop and the engine of r, whose dispatcher is one of a number of peers
+// and polls for its endpoint list.
+func (r *Rig) WithSubscription(t *testing.T, peers int, pollInterval time.Duration) *Rig {
 	t.Helper()
-	s := r.Dispatcher.Settings
-	s.ListBySubscription, s.Peers, s.ListPollInterval = true, peers, askWithin
-	c, err := dispatch.New(r.Dispatcher.Loop, s, 1)
+	settings := r.Dispatcher.Settings
+	settings.ListBySubscription = true
+	settings.Peers = peers
+	settings.ListPollInterval = pollInterval
+	dispatcher, err := dispatch.New(r.Dispatcher.Loop, settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &Rig{c, r.Engine}
+	return &Rig{Dispatcher: dispatcher, Engine: r.Engine}
 }
 
-// FillDescriptors takes the descriptors that attempts may have, and returns how many those are.
-func (r *Rig) FillDescriptors(t *testing.T, addr string) (n int) {
+// FillDescriptors opens connections to an address until no descriptor is left for them, and returns their number.
+func (r *Rig) FillDescriptors(t *testing.T, addr string) (opened int) {
 	t.Helper()
 	for {
-		got := make(chan error, 1)
+		dialed := make(chan error, 1)
 		r.Do(func() {
-			r.Engine.Dial(addr, Patience, nil, func(_ *transport.Conn, err error) { got <- err })
+			r.Engine.Dial(addr, Patience, nil, func(_ *transport.Conn, err error) { dialed <- err })
 		})
-		if err := Receive(t, got); err != nil {
-			return n
+		if err := Receive(t, dialed); err != nil {
+			return opened
 		}
-		n++
+		opened++
 	}
 }
 
-// LimitDescriptors gives the rig an engine of its own that keeps to a number of descriptors.
+// LimitDescriptors gives the rig a new engine, which keeps to a number of descriptors.
 func (r *Rig) LimitDescriptors(t testing.TB, descriptors int) {
 	t.Helper()
 	engine, err := transport.NewEngine(r.Dispatcher.Loop, descriptors)
@@ -131,3 +157,26 @@
 	t.Cleanup(engine.StopListening)
 	r.Engine = engine
 }
+
+// Until waits until a condition holds, which what describes.
+func Until(t *testing.T, what string, holds func() bool) {
+	t.Helper()
+	end := time.Now().Add(Patience)
+	for !holds() {
+		if time.Now().After(end) {
+			t.Fatal("timed out waiting until ", what)
+		}
+		time.Sleep(pollInterval)
+	}
+}
+
+// Receive returns what comes from a channel.
+func Receive[T any](t *testing.T, c chan T) (value T) {
+	t.Helper()
+	select {
+	case value = <-c:
+	case <-time.After(Patience):
+		t.Fatal("timed out waiting for a value")
+	}
+	return value
+}
--- a/internal/testkit/scriptedworker.go
+++ b/internal/testkit/scriptedworker.go
@@ -11,75 +11,126 @@
 	"time"
 )
 
-// ScriptedWorker is a ScriptedWorker-in backend: the n-th request gets the n-th script.
+// splitSteps is the number of places at which a response can be split.
+const splitSteps = 256
+
+// ScriptedWorker is a worker that responds to its n-th request with its n-th script, whatever the request. Its methods
+// may be called from any goroutine.
 type ScriptedWorker struct {
-	Mu       sync.Mutex
-	Listener net.Listener
-	Scripts  []string
-	Cut      int
-	Arrivals map[string]int
-	Conns    []net.Conn
+	listener net.Listener
+
+	mutex       sync.Mutex
+	scripts     []string
+	split       int
+	arrivals    map[string]int // by correlation ID
+	connections []net.Conn     // accepted since the latest HangUp
+}
+
+// NewScriptedWorker starts a worker, which is stopped at the end of the test. It has no scripts yet.
+func NewScriptedWorker(t testing.TB) *ScriptedWorker {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	worker := &ScriptedWorker{listener: ln, arrivals: map[string]int{}}
+	t.Cleanup(func() {
+		ln.Close()
+		worker.HangUp()
+	})
+	go worker.acceptConnections()
+	return worker
+}
+
+// Addr returns the address at which the worker accepts connections.
+func (w *ScriptedWorker) Addr() string { return w.listener.Addr().String() }
+
+// SetScripts sets the responses to the next requests. IDENTITY in them stands for the request's correlation ID. The
+// worker closes the connection after one that has no head or that holds HangUpField, and when no script is left.
+func (w *ScriptedWorker) SetScripts(scripts ...string) {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	w.scripts = scripts
+}
+
+// SplitResponses makes the worker write each response in two parts, of which the first has split/256 of the bytes.
+func (w *ScriptedWorker) SplitResponses(split int) {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	w.split = split
+}
+
+// Arrivals returns how many requests with a correlation ID have come.
+func (w *ScriptedWorker) Arrivals(id string) int {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	return w.arrivals[id]
+}
+
+// ConnectionsAccepted returns how many connections have been accepted since the latest HangUp.
+func (w *ScriptedWorker) ConnectionsAccepted() int {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	return len(w.connections)
 }
 
-func (s *ScriptedWorker) serve(conn net.Conn) {
+// HangUp closes all connections, as a worker does with idle ones.
+func (w *ScriptedWorker) HangUp() {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	for _, conn := range w.connections {
+		conn.Close()
+	}
+	w.connections = nil
+}
+
+// acceptConnections serves connections until the listener is closed.
+func (w *ScriptedWorker) acceptConnections() {
+	for {
+		conn, err := w.listener.Accept()
+		if err != nil {
+			return
+		}
+		w.mutex.Lock()
+		w.connections = append(w.connections, conn)
+		w.mutex.Unlock()
+		go w.serve(conn)
+	}
+}
+
+// serve responds to the requests of a connection.
+func (w *ScriptedWorker) serve(conn net.Conn) {
 	defer conn.Close()
 	in := bufio.NewReader(conn)
 	for {
-		req, err := http.ReadRequest(in)
+		request, err := http.ReadRequest(in)
 		if err != nil {
 			return
 		}
-		io.Copy(io.Discard, req.Body)
-		id := req.Header.Get("X-Correlation-Id")
-		s.Mu.Lock()
-		s.Arrivals[id]++
-		if len(s.Scripts) == 0 {
-			s.Mu.Unlock()
+		io.Copy(io.Discard, request.Body)
+		response, split, found := w.nextScript(request.Header.Get("X-Correlation-Id"))
+		if !found {
 			return
 		}
-		text, cut := strings.ReplaceAll(s.Scripts[0], "IDENTITY", id), s.Cut
-		s.Scripts = s.Scripts[1:]
-		s.Mu.Unlock()
-		cut = cut * len(text) / 256
-		conn.Write([]byte(text[:cut]))
-		if cut%2 == 1 {
-			time.Sleep(time.Millisecond)
+		conn.Write([]byte(response[:split]))
+		if split%2 == 1 {
+			time.Sleep(time.Millisecond) // so that the parts arrive apart, sometimes
 		}
-		conn.Write([]byte(text[cut:]))
-		if strings.Contains(text, "HANG UP") || !strings.Contains(text, "\r\n\r\n") {
+		conn.Write([]byte(response[split:]))
+		if strings.Contains(response, HangUpField) || !strings.Contains(response, "\r\n\r\n") {
 			return
 		}
 	}
 }
 
-// HangUp closes all connections, as a backend does with idle ones.
-func (s *ScriptedWorker) HangUp() {
-	s.Mu.Lock()
-	defer s.Mu.Unlock()
-	for _, c := range s.Conns {
-		c.Close()
+// nextScript counts a request and returns the response to it, with the length of its first part.
+func (w *ScriptedWorker) nextScript(id string) (response string, split int, found bool) {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	w.arrivals[id]++
+	if len(w.scripts) == 0 {
+		return "", 0, false
 	}
-	s.Conns = nil
-}
-
-func NewScriptedWorker(t testing.TB) *ScriptedWorker {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	s := &ScriptedWorker{Listener: ln, Arrivals: map[string]int{}}
-	t.Cleanup(func() { ln.Close(); s.HangUp() })
-	go func() {
-		for {
-			conn, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			s.Mu.Lock()
-			s.Conns = append(s.Conns, conn)
-			s.Mu.Unlock()
-			go s.serve(conn)
-		}
-	}()
-	return s
+	response = strings.ReplaceAll(w.scripts[0], "IDENTITY", id)
+	w.scripts = w.scripts[1:]
+	return response, w.split * len(response) / splitSteps, true
 }
--- a/internal/testkit/stubs.go
+++ b/internal/testkit/stubs.go
@@ -8,45 +8,63 @@
 	"hollyyoke.example/hollyyoke/internal/dispatch"
 )
 
-// EchoClient is a carrier whose backend does at once what a job's body says.
-type EchoClient struct{ Dispatcher *dispatch.Dispatcher }
+// The stubs take the place of a worker client and of a front end.
+var (
+	_ dispatch.WorkerClient = EchoWorkerClient{}
+	_ dispatch.WorkerClient = HoldingWorkerClient{}
+	_ dispatch.FrontEnd     = Responses(nil)
+	_ dispatch.FrontEnd     = RespondFunc(nil)
+)
+
+// EchoWorkerClient is a worker client whose attempts end at once, as the first word of the request's body says: done,
+// failed or returned. One that says hold does not end.
+type EchoWorkerClient struct{ Dispatcher *dispatch.Dispatcher }
 
-func (e EchoClient) Start(f dispatch.Attempt) {
-	word, _, _ := bytes.Cut(f.Request.Body, []byte(" "))
+// Start reports the attempt's outcome, with the request's body behind "made " as the result.
+func (e EchoWorkerClient) Start(attempt dispatch.Attempt) {
+	word, _, _ := bytes.Cut(attempt.Request.Body, []byte(" "))
 	if string(word) == "hold" {
 		return
 	}
-	o := map[string]decision.AttemptOutcome{
+	outcome := map[string]decision.AttemptOutcome{
 		"done": decision.Completed, "failed": decision.Failed, "returned": decision.Saturated,
 	}[string(word)]
-	e.Dispatcher.AttemptEnded(f.Handle, o, decision.LoadReport{}, append([]byte("made "), f.Request.Body...))
+	result := append([]byte("made "), attempt.Request.Body...)
+	e.Dispatcher.AttemptEnded(attempt.Handle, outcome, decision.LoadReport{}, result)
 }
 
-func (EchoClient) Cancel(uint64) bool { return false }
+// Cancel says that the attempt may have run.
+func (EchoWorkerClient) Cancel(uint64) (neverRan bool) { return false }
 
-func (EchoClient) CloseIdle(string) {}
+// CloseIdle does nothing: there are no connections.
+func (EchoWorkerClient) CloseIdle(string) {}
 
-func (EchoClient) CheckHealth(string) {}
+// CheckHealth does nothing: no outcome is reported.
+func (EchoWorkerClient) CheckHealth(string) {}
 
-func (EchoClient) Subscribe() {}
+// Subscribe does nothing: the test gives the endpoint list.
+func (EchoWorkerClient) Subscribe() {}
 
-// HoldingClient is a carrier whose attempts end when the test says so.
-type HoldingClient struct {
-	EchoClient
-	Started chan dispatch.Attempt
+// HoldingWorkerClient is a worker client whose attempts end when the test reports it.
+type HoldingWorkerClient struct {
+	EchoWorkerClient
+	Started chan dispatch.Attempt // gets each attempt; it must have room for all
 }
 
-func (h HoldingClient) Start(f dispatch.Attempt) { h.Started <- f }
+// Start passes the attempt to the test.
+func (h HoldingWorkerClient) Start(attempt dispatch.Attempt) { h.Started <- attempt }
 
-// Responses is a front that keeps what it is told.
+// Responses is a front end that collects its responses. It must have room for all.
 type Responses chan dispatch.Response
 
-func (j Responses) Respond(_ uint64, a dispatch.Response) {
-	a.Body = slices.Clone(a.Body)
-	j <- a
+// Respond adds a response with a copy of its body.
+func (r Responses) Respond(_ uint64, response dispatch.Response) {
+	response.Body = slices.Clone(response.Body)
+	r <- response
 }
 
-// RespondFunc is a front that calls the test on each answer.
+// RespondFunc is a front end that calls a function with each response, on the event loop.
 type RespondFunc func(dispatch.Response)
 
-func (f RespondFunc) Respond(_ uint64, a dispatch.Response) { f(a) }
+// Respond calls the function.
+func (f RespondFunc) Respond(_ uint64, response dispatch.Response) { f(response) }
--- a/internal/workerclient/client_test.go
+++ b/internal/workerclient/client_test.go
@@ -7,6 +7,7 @@
 	"io"
 	"net"
 	"net/http"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -34,7 +35,7 @@
 	rig.Do(func() {
 		client := newWorkerClient(rig, "")
 		client.reuseDelay = 0 // a connection is used again at once
-		endpointList := fmt.Sprintf(`{"hosts":[{"host":"s","dial":%q,"site":"here","health":"ready"}]}`, worker.Listener.Addr())
+		endpointList := fmt.Sprintf(`{"hosts":[{"host":"s","dial":%q,"site":"here","health":"ready"}]}`, worker.Addr())
 		if err := client.registry.LoadInitial([]byte(endpointList)); err != nil {
 			f.Error(err)
 		}
@@ -49,9 +50,8 @@
 			}
 			number++
 			id := fmt.Sprintf("id%06d", number) // as long as what it replaces
-			worker.Mu.Lock()
-			worker.Scripts, worker.Cut = []string{response.Script}, int(steps[i+1])
-			worker.Mu.Unlock()
+			worker.SetScripts(response.Script)
+			worker.SplitResponses(int(steps[i+1]))
 			responses := make(testkit.Responses, 2)
 			rig.Do(func() {
 				rig.Dispatcher.Accept(responses, 0, dispatch.Request{ID: id, Class: 1, Target: "/renewal/k", Body: []byte("b"), Work: 1e6})
@@ -62,9 +62,7 @@
 			case <-time.After(testkit.Patience):
 				t.Fatalf("no response to %q", response.Script)
 			}
-			worker.Mu.Lock()
-			arrivals := worker.Arrivals[id]
-			worker.Mu.Unlock()
+			arrivals := worker.Arrivals(id)
 			// A reused connection that has just been closed may cost the request, but never cause a second run.
 			if got.Outcome != response.Want && !(closed && got.Outcome == dispatch.Failed && arrivals <= 1) || arrivals > 1 {
 				t.Fatalf("%q: %v, want %v; arrived %d times", response.Script, got.Outcome, response.Want, arrivals)
@@ -177,7 +175,7 @@
 		client = newWorkerClient(rig, "")
 		client.reuseDelay = 0 // a connection is used again at once
 		endpointList := `{"hosts":[{"host":"s","dial":%q,"health":"ready"},{"host":"silent","dial":%q,"health":"draining"}]}`
-		if err := client.registry.LoadInitial(fmt.Appendf(nil, endpointList, worker.Listener.Addr(), silent.Addr())); err != nil {
+		if err := client.registry.LoadInitial(fmt.Appendf(nil, endpointList, worker.Addr(), silent.Addr())); err != nil {
 			t.Error(err)
 		}
 		client.CheckHealth("silent")
@@ -191,9 +189,7 @@
 	if text, err := io.ReadAll(conn); err != nil || !bytes.HasPrefix(text, []byte("GET /load HTTP/1.1\r\n")) {
 		t.Errorf("the health check is %q, %v", text, err)
 	}
-	worker.Mu.Lock()
-	worker.Scripts = []string{"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n{\"x0\":1.5}", testkit.ChunkedResponse(testkit.DoneLine)}
-	worker.Mu.Unlock()
+	worker.SetScripts(testkit.LoadResponse, testkit.ChunkedResponse(testkit.DoneLine))
 	rig.Do(func() { client.CheckHealth("s") })
 	for end := time.Now().Add(testkit.Patience); ; time.Sleep(time.Millisecond) {
 		idle := 0
@@ -217,10 +213,8 @@
 	case <-time.After(testkit.Patience):
 		t.Fatal("no response")
 	}
-	worker.Mu.Lock()
-	defer worker.Mu.Unlock()
-	if len(worker.Conns) != 1 {
-		t.Errorf("%d connections", len(worker.Conns))
+	if n := worker.ConnectionsAccepted(); n != 1 {
+		t.Errorf("%d connections", n)
 	}
 }
 
@@ -230,14 +224,11 @@
 	for _, test := range []struct{ peers, maxIdle int }{{fleetIdleConnections / 3, 3}, {48 * fleetIdleConnections, 1}} {
 		rig, worker := testkit.NewRig(t), testkit.NewScriptedWorker(t)
 		rig.Dispatcher.Settings.Peers = test.peers
-		const load = "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n{\"x0\":1.5}"
-		worker.Mu.Lock()
-		worker.Scripts = []string{load, load, load, load, load}
-		worker.Mu.Unlock()
+		worker.SetScripts(slices.Repeat([]string{testkit.LoadResponse}, 5)...)
 		var client *Client
 		rig.Do(func() {
 			client = newWorkerClient(rig, "")
-			if err := client.registry.LoadInitial(fmt.Appendf(nil, `{"hosts":[{"host":"s","dial":%q,"health":"ready"}]}`, worker.Listener.Addr())); err != nil {
+			if err := client.registry.LoadInitial(fmt.Appendf(nil, `{"hosts":[{"host":"s","dial":%q,"health":"ready"}]}`, worker.Addr())); err != nil {
 				t.Error(err)
 			}
 			for range 5 {
@@ -247,9 +238,7 @@
 		for end := time.Now().Add(testkit.Patience); ; time.Sleep(time.Millisecond) {
 			idle, open := 0, 0
 			rig.Do(func() { idle, open = len(client.idle[client.registry.Worker("s")]), rig.Engine.OpenConnections() })
-			worker.Mu.Lock()
-			accepted := len(worker.Conns)
-			worker.Mu.Unlock()
+			accepted := worker.ConnectionsAccepted()
 			if idle > test.maxIdle {
 				t.Fatalf("%d dispatchers: %d connections are idle, at most %d may be", test.peers, idle, test.maxIdle)
 			}
--- a/internal/workerclient/clientleaves_test.go
+++ b/internal/workerclient/clientleaves_test.go
@@ -55,7 +55,7 @@
 
 // holdLoop blocks the event loop until release is called, or until the test ends.
 func (d *departureRig) holdLoop() (release func()) {
-	release = sync.OnceFunc(d.Rig.Hold())
+	release = sync.OnceFunc(d.Rig.BlockLoop())
 	d.t.Cleanup(release)
 	return release
 }
--- a/internal/workerclient/dial_test.go
+++ b/internal/workerclient/dial_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 	"time"
 
@@ -24,21 +25,14 @@
 		}
 	})
 	other, own := testkit.NewScriptedWorker(t), testkit.NewScriptedWorker(t)
-	const load = "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n{\"x0\":1.5}"
 	maxDials := descriptors - 24 - transport.AcceptedShare(descriptors) // for connections that we open
-	other.Mu.Lock()
-	for range maxDials {
-		other.Scripts = append(other.Scripts, load)
-	}
-	other.Mu.Unlock()
-	own.Mu.Lock()
-	own.Scripts = []string{testkit.ChunkedResponse(testkit.DoneLine)}
-	own.Mu.Unlock()
+	other.SetScripts(slices.Repeat([]string{testkit.LoadResponse}, maxDials)...)
+	own.SetScripts(testkit.ChunkedResponse(testkit.DoneLine))
 	var client *Client
 	rig.Do(func() {
 		client = newWorkerClient(rig, "")
 		if err := client.registry.LoadInitial(fmt.Appendf(nil, `{"hosts":[{"host":"other","dial":%q,"health":"draining"},{"host":"own","dial":%q,"health":"ready"}]}`,
-			other.Listener.Addr(), own.Listener.Addr())); err != nil {
+			other.Addr(), own.Addr())); err != nil {
 			t.Error(err)
 		}
 		for range maxDials {
@@ -49,7 +43,7 @@
 		rig.Do(func() { full = len(client.idle[client.registry.Worker("other")]) == maxDials })
 		return full
 	})
-	if n := rig.FillDescriptors(t, own.Listener.Addr().String()); n != 0 {
+	if n := rig.FillDescriptors(t, own.Addr()); n != 0 {
 		t.Fatalf("%d descriptors were free", n)
 	}
 	if v := awaitOutcome(t, acceptRequest(rig, 1, "id000001")); v != dispatch.Served {
--- a/internal/workerclient/races_test.go
+++ b/internal/workerclient/races_test.go
@@ -49,7 +49,7 @@
 			t.Errorf("%q was passed on as %q", key, got)
 		}
 		io.WriteString(workerConn, strings.ReplaceAll(testkit.ChunkedResponse(testkit.DoneLine), "IDENTITY", req.Header.Get("X-Correlation-Id")))
-		if code := testkit.Status(in); code != 200 {
+		if code := testkit.ReadStatus(in); code != 200 {
 			t.Errorf("the status is %d", code)
 		}
 	}
@@ -144,7 +144,7 @@
 				if v := awaitOutcome(t, first); v != dispatch.Served {
 					t.Fatalf("the first request: %v", v)
 				}
-				release := r.Hold()
+				release := r.BlockLoop()
 				var second testkit.Responses
 				if acceptFirst {
 					second = acceptRequest(r, 1, "id000002")
