--- a/internal/httpfront/drain_test.go
+++ b/internal/httpfront/drain_test.go
@@ -9,7 +9,6 @@
 	"testing"
 	"time"
 
-	"hollyyoke.example/hollyyoke/decision"
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
@@ -23,14 +22,7 @@
 	f.Add([]byte{0, 2, 8, 9, 16, 18, 4, 5, 6, 3, 9, 19, 7, 24, 25, 26, 27})
 	f.Add([]byte{4, 5, 0, 2, 6, 3, 8, 9, 7, 16, 17, 4, 6, 17, 7, 4, 4, 7, 7, 16, 17})
 	rig := testkit.NewRig(f)
-	var addr string
-	var frontEnd *FrontEnd
-	rig.Do(func() {
-		rig.Dispatcher.AddSource(testkit.EchoWorkerClient{Dispatcher: rig.Dispatcher})
-		rig.Dispatcher.UpdateWorkers(testkit.EchoWorkerClient{Dispatcher: rig.Dispatcher}, decision.ListSnapshot, []decision.Endpoint{{Name: "w"}})
-		frontEnd = New(rig.Dispatcher, rig.Engine, 64<<20, func() bool { return true })
-		addr, _ = frontEnd.Listen("127.0.0.1:0", 200)
-	})
+	frontEnd, addr := newEchoFrontEnd(f, rig, 64<<20, 200, alwaysReady)
 	type client struct {
 		net.Conn
 		in   *bufio.Reader
--- a/internal/httpfront/frontend_test.go
+++ b/internal/httpfront/frontend_test.go
@@ -25,17 +25,8 @@
 		f.Add([]byte{0, 1, byte(i), 20, 3, 0})
 	}
 	rig := testkit.NewRig(f)
-	var addr string
-	rig.Do(func() {
-		rig.Dispatcher.AddSource(testkit.EchoWorkerClient{Dispatcher: rig.Dispatcher})
-		rig.Dispatcher.UpdateWorkers(testkit.EchoWorkerClient{Dispatcher: rig.Dispatcher}, decision.ListSnapshot, []decision.Endpoint{{Name: "w"}})
-		var err error
-		if addr, err = New(rig.Dispatcher, rig.Engine, 64<<20, func() bool { return true }).Listen("127.0.0.1:0", 200); err != nil {
-			f.Error(err)
-		}
-		rig.Dispatcher.Accept(make(testkit.Responses, 1), 0, dispatch.Request{ID: "former", Body: []byte("done")})
-		rig.Dispatcher.Accept(make(testkit.Responses, 1), 0, dispatch.Request{ID: "open", Body: []byte("hold")})
-	})
+	_, addr := newEchoFrontEnd(f, rig, 64<<20, 200, alwaysReady)
+	acceptNamedRequests(rig)
 	number := 0
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		conn, err := net.Dial("tcp", addr)
@@ -83,13 +74,7 @@
 // worker, each of which rejects it, and they would count as faulty.
 func TestCorrelationIDInUse(t *testing.T) {
 	rig := testkit.NewRig(t)
-	worker := testkit.HoldingWorkerClient{EchoWorkerClient: testkit.EchoWorkerClient{Dispatcher: rig.Dispatcher}, Started: make(chan dispatch.Attempt, 10)}
-	var addr string
-	rig.Do(func() {
-		rig.Dispatcher.AddSource(worker)
-		rig.Dispatcher.UpdateWorkers(worker, decision.ListSnapshot, []decision.Endpoint{{Name: "w"}})
-		addr, _ = New(rig.Dispatcher, rig.Engine, 64<<20, func() bool { return true }).Listen("127.0.0.1:0", 20)
-	})
+	_, addr, worker := startWithHoldingClient(rig, 64<<20)
 	post := func() chan int {
 		got := make(chan int, 1)
 		go func() {
@@ -108,9 +93,7 @@
 	if status := <-post(); status != 409 {
 		t.Errorf("the ID of an open request: %d", status)
 	}
-	rig.Do(func() {
-		rig.Dispatcher.AttemptEnded(attempt.Handle, decision.Completed, decision.LoadReport{}, []byte("made"))
-	})
+	completeAttempt(rig, attempt)
 	if status := <-first; status != 200 {
 		t.Errorf("the open request: %d", status)
 	}
@@ -122,15 +105,39 @@
 	}
 }
 
-// startEchoFrontEnd starts a front end with an echo client, and returns its address.
-func startEchoFrontEnd(t *testing.T, memoryLimit, maxConnections int) string {
-	rig := testkit.NewRig(t)
-	var addr string
+// alwaysReady tells a front end that workers are known.
+func alwaysReady() bool { return true }
+
+// newEchoFrontEnd starts a front end with an echo client on a rig.
+func newEchoFrontEnd(t testing.TB, rig *testkit.Rig, memoryLimit, maxConnections int, ready func() bool) (frontEnd *FrontEnd, addr string) {
+	t.Helper()
 	rig.Do(func() {
-		rig.Dispatcher.AddSource(testkit.EchoWorkerClient{Dispatcher: rig.Dispatcher})
-		rig.Dispatcher.UpdateWorkers(testkit.EchoWorkerClient{Dispatcher: rig.Dispatcher}, decision.ListSnapshot, []decision.Endpoint{{Name: "w"}})
-		addr, _ = New(rig.Dispatcher, rig.Engine, memoryLimit, func() bool { return true }).Listen("127.0.0.1:0", maxConnections)
+		worker := testkit.EchoWorkerClient{Dispatcher: rig.Dispatcher}
+		rig.Dispatcher.AddSource(worker)
+		rig.Dispatcher.UpdateWorkers(worker, decision.ListSnapshot, []decision.Endpoint{{Name: "w"}})
+		frontEnd = New(rig.Dispatcher, rig.Engine, memoryLimit, ready)
+		var err error
+		addr, err = frontEnd.Listen("127.0.0.1:0", maxConnections)
+		if err != nil {
+			t.Error(err)
+		}
+	})
+	return frontEnd, addr
+}
+
+// acceptNamedRequests accepts the requests whose IDs testkit.Exchanges use: one that is completed, and one that stays
+// open.
+func acceptNamedRequests(rig *testkit.Rig) {
+	rig.Do(func() {
+		rig.Dispatcher.Accept(make(testkit.Responses, 1), 0, dispatch.Request{ID: "former", Body: []byte("done")})
+		rig.Dispatcher.Accept(make(testkit.Responses, 1), 0, dispatch.Request{ID: "open", Body: []byte("hold")})
 	})
+}
+
+// startEchoFrontEnd starts a rig and a front end with an echo client, and returns its address.
+func startEchoFrontEnd(t *testing.T, memoryLimit, maxConnections int) string {
+	t.Helper()
+	_, addr := newEchoFrontEnd(t, testkit.NewRig(t), memoryLimit, maxConnections, alwaysReady)
 	return addr
 }
 
--- a/internal/httpfront/golden_test.go
+++ b/internal/httpfront/golden_test.go
@@ -12,12 +12,10 @@
 	"time"
 
 	"hollyyoke.example/hollyyoke/decision"
-	"hollyyoke.example/hollyyoke/internal/dispatch"
-	"hollyyoke.example/hollyyoke/internal/httpwire"
-	"hollyyoke.example/hollyyoke/internal/testkit"
-
 	"hollyyoke.example/hollyyoke/internal/durable"
+	"hollyyoke.example/hollyyoke/internal/httpwire"
 	"hollyyoke.example/hollyyoke/internal/jobs"
+	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
 // lastExchange ends a connection in order. Its response is not written to the golden file.
@@ -30,14 +28,8 @@
 func TestGoldenResponses(t *testing.T) {
 	rig := testkit.NewRig(t)
 	ready := true
-	var addr string
-	rig.Do(func() {
-		rig.Dispatcher.AddSource(testkit.EchoWorkerClient{Dispatcher: rig.Dispatcher})
-		rig.Dispatcher.UpdateWorkers(testkit.EchoWorkerClient{Dispatcher: rig.Dispatcher}, decision.ListSnapshot, []decision.Endpoint{{Name: "w"}})
-		addr, _ = New(rig.Dispatcher, rig.Engine, 64<<20, func() bool { return ready }).Listen("127.0.0.1:0", 200)
-		rig.Dispatcher.Accept(make(testkit.Responses, 1), 0, dispatch.Request{ID: "former", Body: []byte("done")})
-		rig.Dispatcher.Accept(make(testkit.Responses, 1), 0, dispatch.Request{ID: "open", Body: []byte("hold")})
-	})
+	_, addr := newEchoFrontEnd(t, rig, 64<<20, 200, func() bool { return ready })
+	acceptNamedRequests(rig)
 	var text strings.Builder
 	exchange := func(request string, ends bool) {
 		t.Helper()
--- /dev/null
+++ b/internal/httpwire/example_test.go
@@ -0,0 +1,32 @@
+package httpwire_test
+
+import (
+	"fmt"
+	"time"
+
+	"hollyyoke.example/hollyyoke/internal/httpwire"
+)
+
+// A request that comes in two pieces is parsed once both are there.
+func ExampleParseRequest() {
+	var message httpwire.Message
+	var state httpwire.ScanState
+	input := []byte("POST /renewal/k HTTP/1.1\r\nContent-Length: 4\r\n\r\nbo")
+	complete, _, err := httpwire.ParseRequest(input, &message, &state)
+	fmt.Println(complete, err)
+
+	input = append(input, "dy"...)
+	complete, _, err = httpwire.ParseRequest(input, &message, &state)
+	fmt.Println(complete, err)
+	fmt.Printf("%s %s %s\n", message.Method(), message.Target(), message.Body)
+	// Output:
+	// false <nil>
+	// true <nil>
+	// POST /renewal/k body
+}
+
+func ExampleAppendResponse() {
+	response := httpwire.AppendResponse(nil, 503, nil, 250*time.Millisecond, true, "")
+	fmt.Printf("%q\n", response)
+	// Output: "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 0.250\r\nConnection: close\r\n\r\n"
+}
--- a/internal/workerclient/client_test.go
+++ b/internal/workerclient/client_test.go
@@ -78,36 +78,12 @@
 // held back until the connection has shown that it is open. A worker that responds before that byte never gets it.
 func TestLastByteIsHeldBack(t *testing.T) {
 	rig := testkit.NewRig(t)
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
+	ln, acceptConnection := listenAsWorker(t)
 	var client *Client
 	rig.Do(func() {
-		client = newWorkerClient(rig, "")
+		client = newSoleWorkerClient(t, rig, ln, 0)   // a connection is used again at once
 		client.lastByteDelay = 400 * time.Millisecond // this end must act within it, however busy the machine is
-		client.reuseDelay = 0                         // a connection is used again at once
-		if err := client.registry.LoadInitial(fmt.Appendf(nil, `{"hosts":[{"host":"s","dial":%q,"health":"ready"}]}`, ln.Addr())); err != nil {
-			t.Error(err)
-		}
 	})
-	acceptRequest := func(id string) testkit.Responses {
-		got := make(testkit.Responses, 1)
-		rig.Do(func() {
-			rig.Dispatcher.Accept(got, 0, dispatch.Request{ID: id, Class: 1, Target: "/renewal/k", Body: []byte("body"), Work: 1e6})
-		})
-		return got
-	}
-	ln.(*net.TCPListener).SetDeadline(time.Now().Add(testkit.Patience))
-	acceptConnection := func() (net.Conn, *bufio.Reader) {
-		conn, err := ln.Accept()
-		if err != nil {
-			t.Fatal(err)
-		}
-		conn.SetDeadline(time.Now().Add(testkit.Patience))
-		return conn, bufio.NewReader(conn)
-	}
 	serveRequest := func(conn net.Conn, in *bufio.Reader) {
 		req, err := http.ReadRequest(in)
 		if err != nil {
@@ -118,7 +94,7 @@
 		}
 		io.WriteString(conn, strings.ReplaceAll(testkit.ChunkedResponse(testkit.DoneLine), "IDENTITY", req.Header.Get("X-Correlation-Id")))
 	}
-	first := acceptRequest("id000001")
+	first := acceptRequest(rig, 1, "id000001")
 	conn, in := acceptConnection()
 	serveRequest(conn, in)
 	if a := <-first; a.Outcome != dispatch.Served {
@@ -130,13 +106,13 @@
 			t.Fatal("the unexpected close of a connection goes unnoticed")
 		}
 	}
-	again := acceptRequest("id000012")
+	again := acceptRequest(rig, 1, "id000012")
 	conn, in = acceptConnection()
 	serveRequest(conn, in)
 	if a := <-again; a.Outcome != dispatch.Served {
 		t.Fatalf("the request after the close: %v", a.Outcome)
 	}
-	second := acceptRequest("id000002")
+	second := acceptRequest(rig, 1, "id000002")
 	if _, err := in.ReadByte(); err != nil { // on the reused connection
 		t.Fatal(err)
 	}
@@ -147,7 +123,7 @@
 	if a := <-second; a.Outcome != dispatch.Served {
 		t.Errorf("after a reset on its first byte: %v", a.Outcome)
 	}
-	third := acceptRequest("id000003")
+	third := acceptRequest(rig, 1, "id000003")
 	if _, err := in.Peek(1); err != nil {
 		t.Fatal(err)
 	}
