--- a/internal/discovery/acknowledgement_test.go
+++ b/internal/discovery/acknowledgement_test.go
@@ -36,7 +36,7 @@
 	watch.openWatch()
 	home.expectRequest(pollQuery(5)).answer(encodeChange(5, false))
 	testkit.Until(t, "it is acknowledged", func() bool { return follower.stats().Acknowledged == 1 })
-	release := follower.Hold()
+	release := follower.BlockLoop()
 	follower.Write(t, watch, testkit.Chunk(encodeChange(6, false, "b=ready")+"\n"))
 	follower.Dispatcher.Loop.Post(follower.registry.follower.acknowledge) // while the close of the connection is on its way
 	first.Close()
--- a/internal/discovery/follower_test.go
+++ b/internal/discovery/follower_test.go
@@ -64,7 +64,7 @@
 	watch := home.serveFirstPoll(0, encodeChange(5, true, "a=ready", "b=ready"), 5)
 	follower.waitForVersion(5, "a=ready b=ready")
 	text := testkit.Chunk(encodeChange(6, false, "a=gone", "b=draining") + "\n")
-	release := follower.Hold()
+	release := follower.BlockLoop()
 	follower.Write(t, watch, text[:len(text)-8])
 	release()
 	follower.Do(func() {}) // it has been read
--- a/internal/discovery/subscription_test.go
+++ b/internal/discovery/subscription_test.go
@@ -33,7 +33,7 @@
 	follower := startFollower(t, 0, home).loadInitial(``)
 	watch := home.serveFirstPoll(0, encodeChange(5, true, "a=ready"), 5)
 	follower.waitForServer(home)
-	release := follower.Hold()
+	release := follower.BlockLoop()
 	follower.Dispatcher.Loop.Post(func() { follower.registry.follower.active.watchConn.onTimeout() })
 	follower.Write(t, watch, testkit.Chunk(encodeChange(6, false, "a=draining")+"\n"))
 	release()
