--- /dev/null
+++ b/internal/jobs/due.go
@@ -0,0 +1,93 @@
+package jobs
+
+import (
+	"container/heap"
+	"time"
+)
+
+// dueEntry is a time at which a job may be due.
+type dueEntry struct {
+	at time.Duration
+	id string
+}
+
+// dueHeap is a heap of due times, the earliest first; it implements heap.Interface.
+type dueHeap []dueEntry
+
+func (h dueHeap) Len() int { return len(h) }
+
+func (h dueHeap) Less(i, j int) bool {
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].id < h[j].id
+}
+
+func (h dueHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+
+func (h *dueHeap) Push(x any) { *h = append(*h, x.(dueEntry)) }
+
+func (h *dueHeap) Pop() any {
+	old := *h
+	last := old[len(old)-1]
+	*h = old[:len(old)-1]
+	return last
+}
+
+// scheduleDue has Tick look at a job at a time.
+func (m *Machine) scheduleDue(id string, at time.Duration) { heap.Push(&m.dueQueue, dueEntry{at, id}) }
+
+// NextDue is when Tick has something to do; false: never, as things stand.
+func (m *Machine) NextDue() (at time.Duration, ok bool) {
+	if len(m.dueQueue) == 0 {
+		return 0, false
+	}
+	first := m.dueQueue[0]
+	e := m.jobs[first.id]
+	if e != nil && e.State.isHeld() {
+		return max(first.at, e.DueAt), true // the lease has been renewed since
+	}
+	return first.at, true
+}
+
+// Tick acts on all that is due: schedules, retries, leases that have expired, and retentions that are over.
+func (m *Machine) Tick(now time.Duration) []Effect {
+	var later []dueEntry
+	for len(m.dueQueue) > 0 && m.dueQueue[0].at <= now {
+		due := heap.Pop(&m.dueQueue).(dueEntry)
+		e := m.jobs[due.id]
+		switch {
+		case e == nil || e.State == Accepted || e.State == Ready || e.State == InDoubt:
+			// Outdated: nothing is due by itself in these states.
+		case e.DueAt > now: // renewed, or scheduled for something else
+			later = append(later, dueEntry{e.DueAt, due.id})
+		case e.State == Leased && e.beingStored(): // it is not known yet whether the lease is stored
+			later = append(later, dueEntry{now + m.leaseDuration(e), due.id})
+		default:
+			m.actOnDue(now, e)
+		}
+	}
+	for _, due := range later {
+		m.scheduleDue(due.id, due.at)
+	}
+	return m.takeEffects()
+}
+
+// actOnDue acts on one job that is due.
+func (m *Machine) actOnDue(now time.Duration, e *entry) {
+	switch e.State {
+	case Scheduled, Waiting:
+		m.setState(e, Ready) // not stored: Recover derives it
+	case Leased, Started:
+		m.expireLease(now, e)
+	case Done, Dead, Discarded:
+		m.deleteExpired(now, e)
+	}
+}
+
+// deleteExpired deletes a job whose retention is over, or waits until its last change is stored.
+func (m *Machine) deleteExpired(now time.Duration, e *entry) {
+	if e.beingStored() {
+		m.scheduleDue(e.ID, now+m.config.LeaseDuration)
+		return
+	}
+	m.remove(e)
+	m.emit(Effect{Kind: DeleteJob, Job: e.Job})
+}
--- /dev/null
+++ b/internal/jobs/storing.go
@@ -0,0 +1,94 @@
+package jobs
+
+import (
+	"slices"
+	"time"
+)
+
+// Push accepts a job, to run at notBefore at the earliest. Its producer is answered once the job is stored. Where a
+// job of the same id is known already nothing changes: the producer is answered with success, or with ErrIDConflict
+// where the payload hashes differ.
+func (m *Machine) Push(now time.Duration, job Job, notBefore time.Duration) []Effect {
+	if known := m.jobs[job.ID]; known != nil {
+		m.pushAgain(known, job)
+		return m.takeEffects()
+	}
+	m.lastSequence++
+	job.State = Accepted
+	job.Fence = 0
+	job.Worker = ""
+	job.Attempts = 0
+	job.Version = 0
+	job.DueAt = 0
+	job.Sequence = m.lastSequence
+	if notBefore > now {
+		job.DueAt = notBefore
+	}
+	e := &entry{Job: job}
+	m.add(e)
+	m.storeThen(e, AnswerPush)
+	return m.takeEffects()
+}
+
+// pushAgain answers the producer of a job whose id is known.
+func (m *Machine) pushAgain(known *entry, job Job) {
+	answer := Effect{Kind: AnswerPush, Job: known.Job}
+	switch {
+	case known.PayloadHash != job.PayloadHash:
+		answer.Err = ErrIDConflict
+		m.emit(answer)
+	case known.storedVersion == 0: // answered together with the first push
+		known.afterStore = append(known.afterStore, deferredEffect{1, answer})
+	default:
+		m.emit(answer)
+	}
+}
+
+// Stored reports that a version of a job is on disk.
+func (m *Machine) Stored(now time.Duration, id string, version uint64) []Effect {
+	e := m.jobs[id]
+	if e == nil {
+		return nil
+	}
+	e.storedVersion = max(e.storedVersion, version)
+	if e.State == Accepted {
+		m.setState(e, stateUntilDue(now, e, Scheduled))
+	}
+	for len(e.afterStore) > 0 && e.afterStore[0].version <= e.storedVersion {
+		effect := e.afterStore[0].effect
+		e.afterStore = e.afterStore[1:]
+		leaseEnded := e.State != Leased || e.Fence != effect.Job.Fence
+		if effect.Kind == DeliverJob && leaseEnded {
+			continue // nobody has received the job under that lease
+		}
+		m.emit(effect)
+	}
+	return m.takeEffects()
+}
+
+// stateUntilDue is Ready for a job that is due, and before that the state in which it waits.
+func stateUntilDue(now time.Duration, e *entry, before State) State {
+	if e.DueAt > now {
+		return before
+	}
+	return Ready
+}
+
+// StoreFailed reports that a version of a job cannot be stored. A job that was being accepted is refused with a
+// NotStoredError, and a lease that was about to be granted is taken back; any other change has happened already, and
+// the caller must store it again.
+func (m *Machine) StoreFailed(id string, version uint64, cause error) []Effect {
+	e := m.jobs[id]
+	if e == nil || version != e.Version {
+		return nil
+	}
+	switch e.State {
+	case Accepted:
+		m.remove(e)
+		m.emit(Effect{Kind: AnswerPush, Job: e.Job, Err: &NotStoredError{cause}})
+	case Leased: // it has not been delivered, as that waits for the store
+		e.afterStore = slices.DeleteFunc(e.afterStore, func(d deferredEffect) bool { return d.effect.Kind == DeliverJob })
+		m.releaseUnstarted(e)
+	}
+	return m.takeEffects()
+}
