--- /dev/null
+++ b/internal/store/load.go
@@ -0,0 +1,81 @@
+package store
+
+import (
+	"errors"
+	"runtime"
+	"sync"
+
+	"go.etcd.io/bbolt"
+)
+
+// loadChunkSize is how many records one goroutine of Load decodes at a time.
+const loadChunkSize = 4096
+
+// Load reads all records, in the order of their ids, and returns what parse makes of them. Several goroutines call
+// parse at a time, each record once; where it returns false the record is left out. The bytes are valid during the
+// call only. A damaged record is an error that names it.
+func Load[T any](s *Store, parse func(id string, value []byte) (T, bool, error)) (all []T, err error) {
+	defer recoverDamaged("", &err)
+	var chunks []*loadChunk[T]
+	err = s.db.View(func(tx *bbolt.Tx) error {
+		var running sync.WaitGroup
+		defer running.Wait() // the records are valid until the transaction ends
+		slots := make(chan struct{}, runtime.GOMAXPROCS(0))
+		start := func(c *loadChunk[T]) {
+			chunks = append(chunks, c)
+			slots <- struct{}{}
+			running.Go(func() {
+				defer func() { <-slots }()
+				c.parseAll(parse)
+			})
+		}
+		chunk := &loadChunk[T]{}
+		err := tx.Bucket(recordsBucket).ForEach(func(id, raw []byte) error {
+			chunk.ids = append(chunk.ids, string(id))
+			chunk.raw = append(chunk.raw, raw)
+			if len(chunk.ids) == loadChunkSize {
+				start(chunk)
+				chunk = &loadChunk[T]{}
+			}
+			return nil
+		})
+		start(chunk)
+		return err
+	})
+	for _, c := range chunks {
+		all = append(all, c.parsed...)
+		err = errors.Join(err, c.err)
+	}
+	return all, err
+}
+
+// loadChunk is some records that one goroutine decodes.
+type loadChunk[T any] struct {
+	ids    []string
+	raw    [][]byte
+	parsed []T
+	err    error // of the first record that cannot be read
+}
+
+// parseAll decodes the records up to the first that cannot be read.
+func (c *loadChunk[T]) parseAll(parse func(id string, value []byte) (T, bool, error)) {
+	defer recoverDamaged("", &c.err)
+	c.parsed = make([]T, 0, len(c.ids))
+	for i, id := range c.ids {
+		value, err := decode(id, c.raw[i])
+		if err != nil {
+			c.err = err
+			return
+		}
+		parsed, keep, err := parse(id, value)
+		if err != nil {
+			c.err = err
+			return
+		}
+		if keep {
+			c.parsed = append(c.parsed, parsed)
+		}
+	}
+	c.ids = nil
+	c.raw = nil
+}
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -144,7 +144,7 @@
 	var mu sync.Mutex
 	failing := true
 	s.mu.Lock()
-	s.o.InjectWriteError = func() error {
+	s.options.InjectWriteError = func() error {
 		mu.Lock()
 		defer mu.Unlock()
 		if failing {
@@ -282,7 +282,7 @@
 		t.Fatal(err)
 	}
 	db.Update(func(tx *bbolt.Tx) error {
-		return tx.Bucket(metaName).Put(schema, binary.BigEndian.AppendUint64(nil, SchemaVersion+1))
+		return tx.Bucket(metaBucket).Put(schemaKey, binary.BigEndian.AppendUint64(nil, SchemaVersion+1))
 	})
 	db.Close()
 	if _, err := Open(path, Options{}); err == nil || !strings.Contains(err.Error(), "its schema is 2; this program knows 1") {
@@ -450,7 +450,7 @@
 		t.Fatal(err)
 	}
 	db.Update(func(tx *bbolt.Tx) error {
-		return tx.Bucket(metaName).Put(schema, binary.BigEndian.AppendUint64(nil, SchemaVersion-1))
+		return tx.Bucket(metaBucket).Put(schemaKey, binary.BigEndian.AppendUint64(nil, SchemaVersion-1))
 	})
 	db.Close()
 	if _, err := Open(path, Options{}); err == nil || !strings.Contains(err.Error(), "no way from schema 0 on") {
@@ -460,7 +460,7 @@
 	migrations[SchemaVersion-1] = func(tx *bbolt.Tx) error {
 		raw, err := encode(Record{"a", job{"new", ""}})
 		if err == nil {
-			err = tx.Bucket(jobsName).Put([]byte("a"), raw)
+			err = tx.Bucket(recordsBucket).Put([]byte("a"), raw)
 		}
 		if fail {
 			return errors.New("half way")
--- /dev/null
+++ b/internal/store/verify.go
@@ -0,0 +1,27 @@
+package store
+
+import (
+	"errors"
+
+	"go.etcd.io/bbolt"
+)
+
+// Verify checks the file's own structure and the checksum of every record. It returns how many records there are, and
+// all that is wrong.
+func (s *Store) Verify() (records int, err error) {
+	err = s.db.View(func(tx *bbolt.Tx) error {
+		var problems []error
+		for problem := range tx.Check() {
+			problems = append(problems, problem)
+		}
+		err := tx.Bucket(recordsBucket).ForEach(func(id, raw []byte) error {
+			records++
+			if _, err := decode(string(id), raw); err != nil {
+				problems = append(problems, err)
+			}
+			return nil
+		})
+		return errors.Join(append(problems, err)...)
+	})
+	return records, err
+}
--- /dev/null
+++ b/internal/store/writer.go
@@ -0,0 +1,126 @@
+package store
+
+import (
+	"time"
+
+	"go.etcd.io/bbolt"
+)
+
+// change is a set of records that are stored together or not at all.
+type change struct {
+	records  []Record
+	onStored func(error)
+}
+
+// Put hands over records, which are stored together or not at all. onStored is called once, in the order of the Puts,
+// on the store's goroutine: with nil once the disk has the records, or with the error for which they are not stored.
+// After Close it is called at once with ErrClosed.
+func (s *Store) Put(records []Record, onStored func(error)) {
+	s.mu.Lock()
+	if s.closed {
+		s.mu.Unlock()
+		onStored(ErrClosed)
+		return
+	}
+	s.queue = append(s.queue, change{records, onStored})
+	s.mu.Unlock()
+	s.wakeWriter()
+}
+
+// wakeWriter lets the writer look at the queue; a wake-up that it has not received yet does as well.
+func (s *Store) wakeWriter() {
+	select {
+	case s.wake <- struct{}{}:
+	default:
+	}
+}
+
+// write stores changes as they come, all that have come at a time, until the store is closed and the queue empty.
+func (s *Store) write() {
+	defer close(s.writerStopped)
+	for range s.wake {
+		for {
+			batch := s.nextBatch()
+			if len(batch) == 0 {
+				break
+			}
+			s.commit(batch)
+		}
+		if s.isFinished() {
+			return
+		}
+	}
+}
+
+// nextBatch takes the next changes off the queue, after the time for which they wait for others.
+func (s *Store) nextBatch() []change {
+	waiting := s.queueLen()
+	if waiting > 1 && waiting < s.options.MaxBatch && s.options.GroupCommitDelay > 0 {
+		time.Sleep(s.options.GroupCommitDelay)
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	n := min(len(s.queue), s.options.MaxBatch)
+	batch := s.queue[:n:n]
+	s.queue = s.queue[n:]
+	return batch
+}
+
+func (s *Store) queueLen() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.queue)
+}
+
+// isFinished tells whether the store is closed and everything has been written.
+func (s *Store) isFinished() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.closed && len(s.queue) == 0
+}
+
+// commit stores a batch. If that fails, the changes are tried one at a time, so that one that cannot be stored does
+// not take others with it.
+func (s *Store) commit(batch []change) {
+	err := s.update(batch)
+	if err == nil || len(batch) == 1 {
+		for _, c := range batch {
+			c.onStored(err)
+		}
+		return
+	}
+	for i := range batch {
+		batch[i].onStored(s.update(batch[i : i+1]))
+	}
+}
+
+// update stores changes in one transaction.
+func (s *Store) update(batch []change) (err error) {
+	defer recoverDamaged("", &err)
+	return s.db.Update(func(tx *bbolt.Tx) error {
+		bucket := tx.Bucket(recordsBucket)
+		for _, c := range batch {
+			for _, record := range c.records {
+				if err := putRecord(bucket, record); err != nil {
+					return err
+				}
+			}
+		}
+		if s.options.InjectWriteError != nil {
+			return s.options.InjectWriteError()
+		}
+		return nil
+	})
+}
+
+func putRecord(bucket *bbolt.Bucket, record Record) error {
+	key := []byte(record.ID)
+	if record.Value == nil {
+		return bucket.Delete(key)
+	}
+	raw, err := encode(record)
+	if err != nil {
+		return err
+	}
+	return bucket.Put(key, raw)
+}
