--- a/internal/durable/golden_test.go
+++ b/internal/durable/golden_test.go
@@ -20,14 +20,14 @@
 	"hollyyoke.example/hollyyoke/internal/store"
 )
 
-// These tests hold the form of the store file, byte for byte: files of earlier
-// builds must be read, and a file written now must be one that they read. The
-// golden files hold the stored names only. UPDATE_GOLDEN=1 writes the text files
-// anew; the store file is written anew where it is missing, and only there.
+// These tests check the form of the store file, byte for byte: files of earlier builds must be read, and a file that is
+// written now must be one that they read. The golden files hold the stored names only. UPDATE_GOLDEN=1 writes the text
+// files again; the store file is written again only where it is missing.
 
+// The store file of an earlier build, and Unix times of the script.
 const (
 	goldenStore = "jobs-schema-1.db.gz"
-	goldenStart = 1_700_000_000 * time.Second // Unix time of the sequence's begin, past by any clock
+	goldenStart = 1_700_000_000 * time.Second // Unix time at which the sequence begins, in the past by any clock
 	farFuture   = 7_258_118_400 * time.Second // the year 2200
 )
 
@@ -110,21 +110,21 @@
 }
 
 // lease pushes a job and leases it to a worker.
-func (s *scriptedService) lease(j jobs.Job, worker string, promise jobs.Guarantee) (fence uint64) {
+func (s *scriptedService) lease(j jobs.Job, worker string, guarantee jobs.Guarantee) (fence uint64) {
 	s.t.Helper()
 	s.push(j, 0)
 	s.must("lease "+j.ID, func(done func(error)) {
-		if !s.Assign(j.ID, worker, promise, func(leased jobs.Job, err error) { fence = leased.Fence; done(err) }) {
+		if !s.Assign(j.ID, worker, guarantee, func(leased jobs.Job, err error) { fence = leased.Fence; done(err) }) {
 			s.t.Fatalf("%s cannot be leased", j.ID)
 		}
 	})
 	return fence
 }
 
-// begin pushes a job, leases it and grants its start.
-func (s *scriptedService) begin(j jobs.Job, worker string, promise jobs.Guarantee) (fence uint64) {
+// start pushes a job, leases it and grants its start.
+func (s *scriptedService) start(j jobs.Job, worker string, guarantee jobs.Guarantee) (fence uint64) {
 	s.t.Helper()
-	fence = s.lease(j, worker, promise)
+	fence = s.lease(j, worker, guarantee)
 	s.must("start "+j.ID, func(done func(error)) { s.StartJob(j.ID, fence, done) })
 	return fence
 }
@@ -134,7 +134,7 @@
 	s.must("fail "+id, func(done func(error)) { s.Fail(id, fence, "till jammed", started, done) })
 }
 
-// renewal is a job that must not run twice, statusCheck one that may.
+// renewal is a non-idempotent job, statusCheck an idempotent one.
 func renewal(id string) jobs.Job {
 	return jobs.Job{ID: id, Class: "renewal", NonIdempotent: true, Payload: []byte(`{"jid":"` + id + `","args":["member 7"]}`), PayloadHash: 0x0123456789abcdef}
 }
@@ -143,49 +143,52 @@
 	return jobs.Job{ID: id, Class: "status-check", Payload: []byte("no JSON <&> \xff"), PayloadHash: 42}
 }
 
-// script goes through a fixed sequence of changes after which the store holds
-// jobs in every state that is stored, each field set in one of them.
-func script(s *scriptedService) {
+// runScript makes a fixed sequence of changes, after which the store holds jobs in every state that is stored, and each
+// field is set in one of them.
+func runScript(s *scriptedService) {
 	s.t.Helper()
-	s.lapse()
+	s.expireLeases()
 	s.push(statusCheck("accepted-1"), 0)
 	limited := statusCheck("scheduled-1")
-	limited.MaxAttempts, limited.LeaseDuration, limited.DiscardWhenExhausted = 9, 90*time.Second, true
+	limited.MaxAttempts = 9
+	limited.LeaseDuration = 90 * time.Second
+	limited.DiscardWhenExhausted = true
 	s.push(limited, farFuture)
 	s.lease(renewal("leased-1"), "w-fences", jobs.HonorsFences)
 	s.lease(statusCheck("leased-2"), "w-nothing", jobs.NoGuarantee)
-	s.begin(renewal("started-1"), "w-tills", jobs.Deduplicates)
-	s.fail("waiting-1", s.begin(statusCheck("waiting-1"), "w-nothing", jobs.NoGuarantee), true)
+	s.start(renewal("started-1"), "w-tills", jobs.Deduplicates)
+	s.fail("waiting-1", s.start(statusCheck("waiting-1"), "w-nothing", jobs.NoGuarantee), true)
 	s.fail("ready-never-started", s.lease(renewal("ready-never-started"), "w-fences", jobs.HonorsFences), false)
-	fence := s.begin(renewal("done-1"), "w-fences", jobs.HonorsFences)
+	fence := s.start(renewal("done-1"), "w-fences", jobs.HonorsFences)
 	s.must("ack", func(done func(error)) { s.Ack("done-1", fence, []byte(`{"receipt":17}`), done) })
-	s.fail("dead-1", s.begin(renewal("dead-1"), "w-fences", jobs.HonorsFences), true)
-	dropped := statusCheck("discarded-1")
-	dropped.MaxAttempts, dropped.DiscardWhenExhausted = 1, true
-	s.fail("discarded-1", s.begin(dropped, "w-nothing", jobs.NoGuarantee), true)
-	s.operate()
-	s.request()
-	s.must("pause", func(done func(error)) { s.note(pausedNote, []string{"renewal", "status-check"}, done) })
+	s.fail("dead-1", s.start(renewal("dead-1"), "w-fences", jobs.HonorsFences), true)
+	discarded := statusCheck("discarded-1")
+	discarded.MaxAttempts = 1
+	discarded.DiscardWhenExhausted = true
+	s.fail("discarded-1", s.start(discarded, "w-nothing", jobs.NoGuarantee), true)
+	s.operatorRequests()
+	s.pushRequest()
+	s.must("pause", func(done func(error)) { s.storeRecord(pausedRecord, []string{"renewal", "status-check"}, done) })
 	s.must("sync", s.AfterSync)
 }
 
-// lapse lets leases under each promise run out.
-func (s *scriptedService) lapse() {
+// expireLeases lets leases under each guarantee expire.
+func (s *scriptedService) expireLeases() {
 	s.t.Helper()
 	for _, id := range []string{"doubt-1", "settled-ran", "settled-not-ran"} {
 		s.lease(renewal(id), "w-nothing", jobs.NoGuarantee)
 	}
-	s.begin(renewal("doubt-started"), "w-fences", jobs.HonorsFences)
+	s.start(renewal("doubt-started"), "w-fences", jobs.HonorsFences)
 	s.lease(renewal("freed-by-fences"), "w-fences", jobs.HonorsFences)
 	s.lease(renewal("freed-by-tills"), "w-tills", jobs.Deduplicates)
 	s.lease(statusCheck("lapsed-1"), "w-nothing", jobs.NoGuarantee)
 	s.now += 61 * time.Second
 	s.loop.RunOnce()
-	s.must("the lapses", s.AfterSync)
+	s.must("the expiries", s.AfterSync)
 }
 
-// operate does what operators do.
-func (s *scriptedService) operate() {
+// operatorRequests resolves and moves jobs.
+func (s *scriptedService) operatorRequests() {
 	s.t.Helper()
 	s.noError(s.Resolve("settled-ran", true, "the till shows it"))
 	s.now += time.Millisecond
@@ -194,20 +197,20 @@
 	s.noError(s.Move("moved-discard", jobs.Discard, "not wanted", true))
 	s.push(statusCheck("moved-kill"), farFuture)
 	s.noError(s.Move("moved-kill", jobs.Kill, "for later", false))
-	s.fail("moved-requeue", s.begin(renewal("moved-requeue"), "w-fences", jobs.HonorsFences), true)
+	s.fail("moved-requeue", s.start(renewal("moved-requeue"), "w-fences", jobs.HonorsFences), true)
 	s.now += time.Millisecond
 	s.noError(s.Move("moved-requeue", jobs.Requeue, "the till is mended", true))
 }
 
-// request hands in a job under an idempotency key.
-func (s *scriptedService) request() {
+// pushRequest pushes a job under an idempotency key.
+func (s *scriptedService) pushRequest() {
 	s.t.Helper()
 	r := Request{Target: "/renewal/m?x=y", Key: "m", IdempotencyKey: "key-1", Body: []byte("body \x00"), Slots: 1.5, Work: 20 * time.Millisecond}
 	s.push(r.Job("key-1", "renewal", true), 0)
 }
 
-// dump words each record of a store file: its bucket, its key, and its value with
-// what stands before the JSON in hexadecimal.
+// dump describes each record of a store file: its bucket, its key, and its value with what comes before the JSON in
+// hexadecimal.
 func dump(t *testing.T, path string) []byte {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true})
@@ -234,11 +237,11 @@
 	return out.Bytes()
 }
 
-// A fixed sequence of changes writes the very records that it has always written.
+// A fixed sequence of changes writes exactly the records that it has always written.
 func TestGoldenWritten(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "jobs.db")
 	s := openScripted(t, path)
-	script(s)
+	runScript(s)
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -266,7 +269,7 @@
 	}
 }
 
-// unpack copies the store file of an earlier build to a folder of the test's.
+// unpack copies the store file of an earlier build to a temporary directory.
 func unpack(t *testing.T) (path string) {
 	t.Helper()
 	file, err := os.Open(filepath.Join("testdata", goldenStore))
@@ -289,7 +292,7 @@
 	return path
 }
 
-// describe words all fields of a job under names of this test's own.
+// describe lists all fields of a job under names of this test's own.
 func describe(j jobs.Job) string {
 	return fmt.Sprintf("%s: class %q, not twice %v, payload %q, sum %d, result %q, state %q, fence %d, worker %q, promise %d, for tills only %v, "+
 		"due %d, attempts %d, at most %d, lease %d, dropped %v, why %q, version %d, sequence %d",
@@ -306,7 +309,7 @@
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
-	kept, err := read(st, func(id string, value []byte) error {
+	stored, err := readJobs(st, func(id string, value []byte) error {
 		if !strings.HasPrefix(id, auditPrefix) {
 			fmt.Fprintf(&out, "%q: %s\n", id, value)
 		}
@@ -315,7 +318,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, j := range kept {
+	for _, j := range stored {
 		fmt.Fprintln(&out, describe(j))
 		if r, is := ReadRequest(j); is {
 			fmt.Fprintf(&out, "%s asks for: target %q, key %q, idempotency key %q, body %q, slots %g, work %v\n", j.ID, r.Target, r.Key, r.IdempotencyKey, r.Body, r.Slots, r.Work)
@@ -348,20 +351,24 @@
 	defer s.Close()
 	var out bytes.Buffer
 	s.Each(func(j jobs.Job) { fmt.Fprintln(&out, describe(j)) })
-	fmt.Fprintf(&out, "paused %v\n", s.paused())
+	paused := map[string]bool{}
+	for _, class := range s.pausedClasses {
+		paused[class] = true
+	}
+	fmt.Fprintf(&out, "paused %v\n", paused)
 	checkGolden(t, "recovered.txt", out.Bytes())
 }
 
-// What operators see of it has its form, and so has the audit.
+// Views and audits keep their JSON form.
 func TestGoldenShown(t *testing.T) {
-	b, err := OpenOffline(unpack(t), func() time.Duration { return goldenStart + 2*time.Minute })
+	offline, err := OpenOffline(unpack(t), func() time.Duration { return goldenStart + 2*time.Minute })
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer b.Close()
+	defer offline.Close()
 	var out bytes.Buffer
 	lines := json.NewEncoder(&out)
-	list, _ := b.Page(0, 1000, 1000, func(jobs.Job) bool { return true })
+	list, _ := offline.Page(0, 1000, 1000, func(jobs.Job) bool { return true })
 	for _, j := range list {
 		for _, full := range []bool{false, true} {
 			if err := lines.Encode(NewView(j, full)); err != nil {
@@ -369,7 +376,7 @@
 			}
 		}
 	}
-	for _, a := range b.Audits {
+	for _, a := range offline.Audits {
 		if err := lines.Encode(a); err != nil {
 			t.Fatal(err)
 		}
@@ -377,7 +384,7 @@
 	checkGolden(t, "shown.jsonl", out.Bytes())
 }
 
-// States have the numbers by which they are stored, and the names by which they are told.
+// States keep the numbers by which they are stored, and their names.
 func TestGoldenStates(t *testing.T) {
 	for number, want := range []string{"accepted", "scheduled", "ready", "leased", "started", "waiting", "done", "dead", "discarded", "in doubt"} {
 		var j jobs.Job
--- /dev/null
+++ b/internal/durable/records.go
@@ -0,0 +1,46 @@
+package durable
+
+import (
+	"encoding/json"
+	"fmt"
+	"strings"
+	"sync"
+
+	"hollyyoke.example/hollyyoke/internal/jobs"
+	"hollyyoke.example/hollyyoke/internal/store"
+)
+
+// The ids of records in the store that are no jobs; no job's id begins with a zero byte.
+const (
+	metaPrefix   = "\x00"
+	pausedRecord = metaPrefix + "paused" // the names of the paused classes
+	syncedRecord = metaPrefix + "synced" // never written; AfterSync deletes it to wait for the changes before it
+	auditPrefix  = metaPrefix + "audit-"
+)
+
+// readJobs reads all jobs of a store. readOther is called with each record that is no job, one at a time, in no order.
+func readJobs(file *store.Store, readOther func(id string, value []byte) error) ([]jobs.Job, error) {
+	var mu sync.Mutex
+	return store.Load(file, func(id string, value []byte) (job jobs.Job, isJob bool, err error) {
+		if strings.HasPrefix(id, metaPrefix) {
+			mu.Lock()
+			defer mu.Unlock()
+			return job, false, readOther(id, value)
+		}
+		if err := json.Unmarshal(value, &job); err != nil {
+			return job, true, fmt.Errorf("job %q: %w", id, err)
+		}
+		return job, true, nil
+	})
+}
+
+// readRecord reads a record that is no job. Audits that are too old are deleted with the next change.
+func (s *Service) readRecord(id string, value []byte) error {
+	if id == pausedRecord {
+		return json.Unmarshal(value, &s.pausedClasses)
+	}
+	if isExpiredAudit(id, s.loop.Now()) {
+		s.pendingAudits = append(s.pendingAudits, store.Record{ID: id})
+	}
+	return nil
+}
--- a/internal/durable/recover_test.go
+++ b/internal/durable/recover_test.go
@@ -15,8 +15,7 @@
 	"hollyyoke.example/hollyyoke/internal/store"
 )
 
-// fill writes a store of n jobs, as many lives have left it: most are over, some
-// wait, some are leased.
+// fill writes a store of n jobs as a long service leaves it: most are over, some wait, some are leased.
 func fill(tb testing.TB, path string, n int) {
 	st, err := store.Open(path, store.Options{MaxBatch: 20_000})
 	if err != nil {
@@ -39,9 +38,9 @@
 			j.State = jobs.Done
 		}
 		if records = append(records, store.Record{ID: j.ID, Value: j}); len(records) == 10_000 || i == n-1 {
-			told := make(chan error, 1)
-			st.Put(records, func(err error) { told <- err })
-			if err := <-told; err != nil {
+			stored := make(chan error, 1)
+			st.Put(records, func(err error) { stored <- err })
+			if err := <-stored; err != nil {
 				tb.Fatal(err)
 			}
 			records = nil
@@ -52,7 +51,7 @@
 	}
 }
 
-// The time to ready: every job is in one state and what may run is told.
+// The time until all jobs are recovered and the runnable ones announced.
 func BenchmarkRecover(b *testing.B) {
 	for _, n := range []int{100_000, 1_000_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -69,8 +68,8 @@
 				ready := 0
 				s.OnRunnable = func(jobs.Job) { ready++ }
 				s.Start()
-				if ready != n/10 || s.m.Len() != n {
-					b.Fatalf("%d of %d may run", ready, s.m.Len())
+				if ready != n/10 || s.machine.Len() != n {
+					b.Fatalf("%d of %d may run", ready, s.machine.Len())
 				}
 				b.StopTimer()
 				s.Close()
@@ -81,8 +80,7 @@
 	}
 }
 
-// What the loop's other work waits while producers push and all is stored: ticks
-// a millisecond apart, by how much they are late, with the store and without.
+// How long other work of the loop waits while producers push: how late ticks are that are a millisecond apart.
 func BenchmarkLoopStall(b *testing.B) {
 	for _, producers := range []int{0, 16, 256} {
 		b.Run(fmt.Sprint(producers), func(b *testing.B) {
--- /dev/null
+++ b/internal/durable/scheduler.go
@@ -0,0 +1,226 @@
+package durable
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"time"
+
+	"hollyyoke.example/hollyyoke/internal/dispatch"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
+	"hollyyoke.example/hollyyoke/internal/jobs"
+	"hollyyoke.example/hollyyoke/internal/slotmap"
+)
+
+// defaultRetryAfter is how long a job that the dispatcher has rejected waits here, where the rejection does not say.
+const defaultRetryAfter = 250 * time.Millisecond
+
+// Workers is what the Scheduler must know of workers and of the payloads of jobs.
+type Workers interface {
+	// Request converts a job to a request for the dispatcher.
+	Request(job jobs.Job) (dispatch.Request, error)
+	// FreeSlots lists, for each free slot, the classes that it takes, in order of preference; the slot that has been
+	// free longest comes first.
+	FreeSlots() [][]int
+	// Guarantee is what a worker has promised of non-idempotent jobs.
+	Guarantee(worker string) jobs.Guarantee
+	// Reserve reserves a slot of a worker for a job and calls onReserved with true, now or once a slot is free, or
+	// with false where none is free in time. A lease is stored only after that: a crash in between would leave a job
+	// in doubt that nobody has received.
+	Reserve(worker string, class int, id string, onReserved func(reserved bool))
+	// Unreserve releases a slot that was reserved for a job.
+	Unreserve(worker, id string)
+	// SendsHeartbeats tells whether a worker renews its leases itself.
+	SendsHeartbeats(worker string) bool
+}
+
+// Scheduler queues runnable jobs by class and hands them to the dispatcher, one for each free slot; the decision
+// module then picks the worker or rejects the job. A job is at the dispatcher at most once at a time. Jobs that are
+// queued here put no load on the dispatcher.
+type Scheduler struct {
+	service    *Service
+	dispatcher *dispatch.Dispatcher
+	workers    Workers
+	classes    map[string]int // the index of each class by its name
+	paused     map[string]bool
+
+	// Queues of ids by class. A job that has been leased or has ended since is skipped when it comes up.
+	queued   [][]string
+	rejected [][]string // jobs that the dispatcher has rejected, after their wait; they go first
+	isQueued map[string]bool
+
+	assignments         slotmap.Map[assignment]
+	assignmentsByJob    map[string]*assignment
+	unleasedAssignments int
+
+	pumpTimer eventloop.Deadline
+	stopped   bool
+}
+
+// The Scheduler is the front end of its jobs, and grants the leases of their attempts.
+var (
+	_ dispatch.FrontEnd = (*Scheduler)(nil)
+	_ dispatch.Leaser   = (*Scheduler)(nil)
+)
+
+// assignment is a job at the dispatcher.
+type assignment struct {
+	id      string
+	request uint64 // the dispatcher's handle
+	class   int
+	leased  bool
+}
+
+// NewScheduler joins a service to a dispatcher. The service must be started after that.
+func NewScheduler(service *Service, dispatcher *dispatch.Dispatcher, workers Workers) *Scheduler {
+	classCount := len(dispatcher.Settings.Classes)
+	s := &Scheduler{
+		service: service, dispatcher: dispatcher, workers: workers, classes: map[string]int{}, paused: map[string]bool{},
+		queued: make([][]string, classCount), rejected: make([][]string, classCount), isQueued: map[string]bool{},
+		assignmentsByJob: map[string]*assignment{},
+	}
+	for i, class := range dispatcher.Settings.Classes {
+		s.classes[class.Name] = i
+	}
+	for _, class := range service.pausedClasses {
+		s.paused[class] = true
+	}
+	s.pumpTimer.Fire = s.pump
+	service.OnRunnable = s.enqueue
+	return s
+}
+
+// Wake lets the scheduler look for jobs soon: a slot has become free.
+func (s *Scheduler) Wake() {
+	if len(s.isQueued) > 0 {
+		s.dispatcher.Loop.Set(&s.pumpTimer, s.dispatcher.Loop.Now())
+	}
+}
+
+// Stop begins a graceful shutdown: no more jobs are handed to the dispatcher.
+func (s *Scheduler) Stop() { s.stopped = true }
+
+// Release takes all jobs back from the dispatcher. Leases stay as they are, and their workers will report to whoever
+// opens the store next.
+func (s *Scheduler) Release() {
+	s.stopped = true
+	for _, a := range s.assignmentsByJob {
+		s.dispatcher.Cancel(a.request)
+	}
+	clear(s.assignmentsByJob)
+}
+
+// enqueue queues a job that has become runnable.
+func (s *Scheduler) enqueue(job jobs.Job) {
+	class, known := s.classes[job.Class]
+	if !known {
+		s.dispatcher.Log(fmt.Sprintf("durable job %s waits: no class %q is served here", job.ID, job.Class))
+		return
+	}
+	if s.assignmentsByJob[job.ID] != nil || s.isQueued[job.ID] {
+		return // Respond queues it again when its assignment ends
+	}
+	s.isQueued[job.ID] = true
+	s.queued[class] = append(s.queued[class], job.ID)
+	s.Wake()
+}
+
+// dequeue takes the first job that may run from the queues of some classes, in the order of the classes.
+func (s *Scheduler) dequeue(classes []int) (job jobs.Job, class int, ok bool) {
+	for _, class := range classes {
+		if s.paused[s.dispatcher.Settings.Classes[class].Name] {
+			continue
+		}
+		for s.Waiting(class) > 0 {
+			job, known := s.service.Get(s.popID(class))
+			if known && job.State == jobs.Ready {
+				return job, class, true
+			}
+		}
+	}
+	return jobs.Job{}, 0, false
+}
+
+// popID takes the first id from the queues of a class, which are not both empty.
+func (s *Scheduler) popID(class int) string {
+	queue := &s.rejected[class]
+	if len(*queue) == 0 {
+		queue = &s.queued[class]
+	}
+	id := (*queue)[0]
+	*queue = (*queue)[1:]
+	delete(s.isQueued, id)
+	return id
+}
+
+// pump hands the dispatcher a job for each free slot that no job without a lease is meant for.
+func (s *Scheduler) pump() {
+	if s.stopped {
+		return
+	}
+	slots := s.workers.FreeSlots()
+	for i := s.unleasedAssignments; i < len(slots); i++ {
+		job, class, ok := s.dequeue(slots[i])
+		if ok {
+			s.assign(job, class)
+		}
+	}
+}
+
+// assign hands a job to the dispatcher.
+func (s *Scheduler) assign(job jobs.Job, class int) {
+	request, err := s.workers.Request(job)
+	if err != nil { // it could be read when it was accepted
+		s.dispatcher.Log(fmt.Sprintf("durable job %s cannot be read, and is dead: %v", job.ID, err))
+		s.service.Move(job.ID, jobs.Kill, jobs.Reason(err.Error()), true)
+		return
+	}
+	request.Leaser = s
+	request.ReceivedAt = 0
+	a := &assignment{id: job.ID, class: class}
+	s.assignmentsByJob[job.ID] = a
+	s.unleasedAssignments++
+	a.request = s.dispatcher.Accept(s, s.assignments.Insert(a), request)
+}
+
+// Respond is called when the dispatcher is through with a job. A job that has not run waits and goes to the head of
+// its queue.
+func (s *Scheduler) Respond(token uint64, response dispatch.Response) {
+	a := s.assignments.Get(token)
+	s.assignments.Remove(token)
+	delete(s.assignmentsByJob, a.id)
+	if !a.leased {
+		s.unleasedAssignments--
+	}
+	job, known := s.service.Get(a.id)
+	if !known || job.State != jobs.Ready {
+		return
+	}
+	retryAfter := defaultRetryAfter
+	if response.RetryAfter > 0 {
+		retryAfter = response.RetryAfter
+	}
+	s.isQueued[a.id] = true
+	s.dispatcher.Loop.After(retryAfter, func() {
+		s.rejected[a.class] = append(s.rejected[a.class], a.id)
+		s.Wake()
+	})
+}
+
+// Waiting is the number of jobs of a class that may run and are not at the dispatcher.
+func (s *Scheduler) Waiting(class int) int { return len(s.queued[class]) + len(s.rejected[class]) }
+
+// Paused lists the paused classes by name, sorted.
+func (s *Scheduler) Paused() []string { return slices.Sorted(maps.Keys(s.paused)) }
+
+// Pause pauses or resumes a class and calls done with nil once that is on disk, or with the error. Jobs of a paused
+// class are not handed out.
+func (s *Scheduler) Pause(class string, paused bool, done func(error)) {
+	if paused {
+		s.paused[class] = true
+	} else {
+		delete(s.paused, class)
+		s.Wake()
+	}
+	s.service.storeRecord(pausedRecord, s.Paused(), done)
+}
--- a/internal/durable/durable_test.go
+++ b/internal/durable/service_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"log/slog"
 	"path/filepath"
 	"slices"
@@ -16,42 +17,45 @@
 	"hollyyoke.example/hollyyoke/internal/store"
 )
 
+// patience is how long these tests wait for anything that must come.
 const patience = 20 * time.Second
 
-// rig runs a service on a loop of its own.
-type rig struct {
+// testService runs a service on a loop of its own.
+type testService struct {
 	t        *testing.T
 	loop     *eventloop.Loop
-	s        *Service
+	service        *Service
 	log      bytes.Buffer
 	runnable chan jobs.Job
 	done     chan struct{}
 }
 
-func open(t *testing.T, c Config) *rig {
+// openTest opens a service and runs its loop.
+func openTest(t *testing.T, c Config) *testService {
 	t.Helper()
-	r := &rig{t: t, loop: eventloop.New(), runnable: make(chan jobs.Job, 1000), done: make(chan struct{})}
+	r := &testService{t: t, loop: eventloop.New(), runnable: make(chan jobs.Job, 1000), done: make(chan struct{})}
 	s, err := Open(r.loop, c, slog.New(slog.NewTextHandler(&r.log, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.s = s
+	r.service = s
 	s.OnRunnable = func(j jobs.Job) { r.runnable <- j }
 	go func() { r.loop.Run(); close(r.done) }()
 	r.do(s.Start)
 	return r
 }
 
-func (r *rig) do(f func()) {
+// do runs a function on the loop.
+func (r *testService) do(f func()) {
 	done := make(chan struct{})
 	r.loop.Post(func() { f(); close(done) })
 	<-done
 }
 
-// close ends the service as a planned end does.
-func (r *rig) close() {
+// close closes the service as a graceful shutdown does.
+func (r *testService) close() {
 	r.do(func() {
-		if err := r.s.Close(); err != nil {
+		if err := r.service.Close(); err != nil {
 			r.t.Error(err)
 		}
 	})
@@ -59,6 +63,7 @@
 	<-r.done
 }
 
+// receive waits for a value.
 func receive[T any](t *testing.T, what string, c chan T) (v T) {
 	t.Helper()
 	select {
@@ -70,7 +75,7 @@
 }
 
 // wait starts an operation and waits for its error.
-func (r *rig) wait(what string, start func(done func(error))) error {
+func (r *testService) wait(what string, start func(done func(error))) error {
 	r.t.Helper()
 	result := make(chan error, 1)
 	r.do(func() { start(func(err error) { result <- err }) })
@@ -83,12 +88,13 @@
 	err error
 }
 
-func (r *rig) assign(id string) leased {
+// assign leases a job to a worker that honors fences.
+func (r *testService) assign(id string) leased {
 	r.t.Helper()
 	c := make(chan leased, 1)
 	r.do(func() {
-		if !r.s.Assign(id, "w", jobs.HonorsFences, func(job jobs.Job, err error) { c <- leased{job, err} }) {
-			r.t.Errorf("%s may not be handed out", id)
+		if !r.service.Assign(id, "w", jobs.HonorsFences, func(job jobs.Job, err error) { c <- leased{job, err} }) {
+			r.t.Errorf("%s cannot be leased", id)
 		}
 	})
 	return receive(r.t, "a lease", c)
@@ -102,24 +108,25 @@
 	return err.Error()
 }
 
-func (r *rig) state(id string) (state string) {
+// state is the name of a job's state, empty where it is not known.
+func (r *testService) state(id string) (state string) {
 	r.do(func() {
-		if j, known := r.s.Get(id); known {
+		if j, known := r.service.Get(id); known {
 			state = j.State.String()
 		}
 	})
 	return state
 }
 
-// The disk is full at each write in turn, for a while. What cannot be kept is refused and leaves nothing behind, a
-// lease that cannot be stored is not given, and what has happened already is told once the disk has it.
+// The disk is full at each write in turn, for a while. A push that cannot be stored is refused and leaves nothing behind,
+// a lease that cannot be stored is not granted, and what has happened already is acknowledged once it is on disk.
 func TestDiskFullAtEachWrite(t *testing.T) {
 	for _, at := range []string{"push", "lease", "start", "ack", "nowhere"} {
 		t.Run(at, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "jobs.db")
 			var full atomic.Bool
 			var met atomic.Int32
-			r := open(t, Config{Path: path, Store: store.Options{InjectWriteError: func() error {
+			r := openTest(t, Config{Path: path, Store: store.Options{InjectWriteError: func() error {
 				if full.Load() {
 					met.Add(1)
 					return syscall.ENOSPC
@@ -128,9 +135,9 @@
 			}}})
 			at := func(step string) { full.Store(step == at) }
 			push := func() error {
-				return r.wait("the push", func(done func(error)) { r.s.Push(jobs.Job{ID: "r", Class: "renewal", NonIdempotent: true}, 0, done) })
+				return r.wait("the push", func(done func(error)) { r.service.Push(jobs.Job{ID: "r", Class: "renewal", NonIdempotent: true}, 0, done) })
 			}
-			later := func(what string, start func(done func(error))) {
+			eventually := func(what string, start func(done func(error))) {
 				t.Helper()
 				c := make(chan error, 1)
 				r.do(func() { start(func(err error) { c <- err }) })
@@ -142,7 +149,7 @@
 					}
 					select {
 					case <-c:
-						t.Fatal(what + " was told before the disk had it")
+						t.Fatal(what + " was acknowledged before the disk had it")
 					default:
 					}
 					full.Store(false)
@@ -157,7 +164,7 @@
 			}
 			if full.Load() {
 				if r.state("r") != "" {
-					t.Fatal("a job that was refused is kept")
+					t.Fatal("a job that was refused is known")
 				}
 				full.Store(false)
 				if err := push(); err != nil {
@@ -166,26 +173,26 @@
 			}
 			receive(t, "the job", r.runnable)
 			at("lease")
-			h := r.assign("r")
-			if (h.err != nil) != full.Load() {
-				t.Fatalf("the lease: %v", h.err)
+			lease := r.assign("r")
+			if (lease.err != nil) != full.Load() {
+				t.Fatalf("the lease: %v", lease.err)
 			}
 			if full.Load() {
 				full.Store(false)
 				receive(t, "the job again", r.runnable)
-				if h = r.assign("r"); h.err != nil {
-					t.Fatal(h.err)
+				if lease = r.assign("r"); lease.err != nil {
+					t.Fatal(lease.err)
 				}
 			}
-			if h.job.Attempts != 1 {
-				t.Errorf("%d attempts", h.job.Attempts)
+			if lease.job.Attempts != 1 {
+				t.Errorf("%d attempts", lease.job.Attempts)
 			}
 			at("start")
-			later("the start", func(done func(error)) { r.s.StartJob("r", h.job.Fence, done) })
+			eventually("the start", func(done func(error)) { r.service.StartJob("r", lease.job.Fence, done) })
 			at("ack")
-			later("the ACK", func(done func(error)) { r.s.Ack("r", h.job.Fence, nil, done) })
+			eventually("the ack", func(done func(error)) { r.service.Ack("r", lease.job.Fence, nil, done) })
 			r.close()
-			r = open(t, Config{Path: path})
+			r = openTest(t, Config{Path: path})
 			if got := r.state("r"); got != "done" {
 				t.Errorf("after a restart it is %q", got)
 			}
@@ -197,16 +204,16 @@
 	}
 }
 
-// Callers of one job are told in the order of their calls, whichever waits for the disk; what comes of a lease that
-// has been given again is void.
-func TestCallersAreTold(t *testing.T) {
-	r := open(t, Config{Path: filepath.Join(t.TempDir(), "jobs.db"), Jobs: jobs.Config{LeaseDuration: time.Hour}})
+// Callers are answered in the order of their calls, whichever wait for the disk; reports under a lease that has been
+// granted again are void.
+func TestCallersAreAnswered(t *testing.T) {
+	r := openTest(t, Config{Path: filepath.Join(t.TempDir(), "jobs.db"), Jobs: jobs.Config{LeaseDuration: time.Hour}})
 	defer r.close()
 	var order []string
 	done := make(chan struct{})
 	r.do(func() {
 		for _, n := range []string{"first", "second", "third"} {
-			r.s.Push(jobs.Job{ID: "a"}, 0, func(err error) {
+			r.service.Push(jobs.Job{ID: "a"}, 0, func(err error) {
 				if order = append(order, n+errorText(err)); len(order) == 3 {
 					close(done)
 				}
@@ -215,58 +222,58 @@
 	})
 	receive(t, "three answers", done)
 	if !slices.Equal(order, []string{"first", "second", "third"}) {
-		t.Errorf("told %v", order)
+		t.Errorf("answered %v", order)
 	}
 	receive(t, "the job", r.runnable)
-	old := r.assign("a").job
-	if err := r.wait("a word that it never began", func(done func(error)) { r.s.Fail("a", old.Fence, "busy", false, done) }); err != nil {
+	first := r.assign("a").job
+	if err := r.wait("a report that it never began", func(done func(error)) { r.service.Fail("a", first.Fence, "busy", false, done) }); err != nil {
 		t.Fatal(err)
 	}
 	receive(t, "the job again", r.runnable)
-	now := r.assign("a").job
-	if err := r.wait("a void start", func(done func(error)) { r.s.StartJob("a", old.Fence, done) }); err == nil {
-		t.Error("a start under a void lease")
+	second := r.assign("a").job
+	if err := r.wait("a void start", func(done func(error)) { r.service.StartJob("a", first.Fence, done) }); !errors.Is(err, jobs.ErrLeaseVoid) {
+		t.Errorf("a start under a void lease: %v", err)
 	}
-	if err := r.wait("a void ACK", func(done func(error)) { r.s.Ack("a", old.Fence, nil, done) }); err == nil {
-		t.Error("an ACK under a void lease counts")
+	if err := r.wait("a void ack", func(done func(error)) { r.service.Ack("a", first.Fence, nil, done) }); !errors.Is(err, jobs.ErrLeaseVoid) {
+		t.Errorf("an ack under a void lease: %v", err)
 	}
 	r.do(func() { order = nil })
-	two := make(chan string, 2)
+	answers := make(chan string, 2)
 	r.do(func() { // the second before the first is on the disk
-		r.s.Ack("a", now.Fence, nil, func(err error) { two <- "1" + errorText(err) })
-		r.s.Ack("a", now.Fence, nil, func(err error) { two <- "2" + errorText(err) })
+		r.service.Ack("a", second.Fence, nil, func(err error) { answers <- "1" + errorText(err) })
+		r.service.Ack("a", second.Fence, nil, func(err error) { answers <- "2" + errorText(err) })
 	})
-	if a, b := receive(t, "an ACK", two), receive(t, "an ACK", two); a != "1" || b != "2" {
-		t.Errorf("told %q, %q", a, b)
+	if a, b := receive(t, "an answer", answers), receive(t, "an answer", answers); a != "1" || b != "2" {
+		t.Errorf("answered %q, %q", a, b)
 	}
-	if err := r.wait("no job", func(done func(error)) { r.s.Ack("nobody", 1, nil, done) }); err == nil {
-		t.Error("an ACK of a job that nobody knows")
+	if err := r.wait("an ack of an unknown job", func(done func(error)) { r.service.Ack("nobody", 1, nil, done) }); !errors.Is(err, jobs.ErrUnknownJob) {
+		t.Errorf("an ack of an unknown job: %v", err)
 	}
 }
 
-// A restart hands out what waited, in its order, and leaves what may have run to its worker, then to an operator.
+// A restart announces what waited, in its order, and leaves what may have run to its worker, then to an operator.
 func TestRestart(t *testing.T) {
 	c := Config{Path: filepath.Join(t.TempDir(), "jobs.db"), Jobs: jobs.Config{LeaseDuration: 50 * time.Millisecond, RecoveryGrace: 50 * time.Millisecond}}
-	r := open(t, c)
+	r := openTest(t, c)
 	for _, id := range []string{"z", "m", "a", "b"} {
-		if err := r.wait(id, func(done func(error)) { r.s.Push(jobs.Job{ID: id, NonIdempotent: true}, 0, done) }); err != nil {
+		if err := r.wait(id, func(done func(error)) { r.service.Push(jobs.Job{ID: id, NonIdempotent: true}, 0, done) }); err != nil {
 			t.Fatal(err)
 		}
 		receive(t, id, r.runnable)
 	}
 	r.assign("m")
 	held := r.assign("b").job
-	if err := r.wait("start", func(done func(error)) { r.s.StartJob("b", held.Fence, done) }); err != nil {
+	if err := r.wait("start", func(done func(error)) { r.service.StartJob("b", held.Fence, done) }); err != nil {
 		t.Fatal(err)
 	}
 	r.close()
 	if _, err := Open(r.loop, Config{Path: c.Path + "/no"}, slog.Default()); err == nil {
 		t.Error("opened where no file can be")
 	}
-	r = open(t, c)
+	r = openTest(t, c)
 	defer r.close()
 	var ids []string
-	for range 3 { // its worker honours fences and never asked to start m: it is free after the grace time
+	for range 3 { // the worker of m honors fences and never asked to start it, so m is runnable after the grace time
 		ids = append(ids, receive(t, "what waited", r.runnable).ID)
 	}
 	if !slices.Equal(ids, []string{"z", "a", "m"}) {
@@ -276,17 +283,17 @@
 		t.Fatalf("what had started is %q", got)
 	}
 	var err error
-	if r.do(func() { err = r.s.Resolve("b", true, "") }); err == nil {
-		t.Error("settled without a reason")
+	if r.do(func() { err = r.service.Resolve("b", true, "") }); err == nil {
+		t.Error("resolved without a reason")
 	}
-	if r.do(func() { err = r.s.Resolve("b", true, "the till shows it") }); err != nil || r.state("b") != "done" {
-		t.Errorf("settled: %v, %s", err, r.state("b"))
+	if r.do(func() { err = r.service.Resolve("b", true, "the till shows it") }); err != nil || r.state("b") != "done" {
+		t.Errorf("resolved: %v, %s", err, r.state("b"))
 	}
 	if !strings.Contains(r.log.String(), "the till shows it") {
 		t.Error("the reason is not in the log")
 	}
 	var counts map[jobs.State]int
-	if r.do(func() { counts = r.s.Counts() }); counts[jobs.Ready] != 3 || counts[jobs.Done] != 1 || len(counts) != 2 {
+	if r.do(func() { counts = r.service.Counts() }); counts[jobs.Ready] != 3 || counts[jobs.Done] != 1 || len(counts) != 2 {
 		t.Errorf("counted %v", counts)
 	}
 }
