--- a/cmd/dispatcher/jobs.go
+++ b/cmd/dispatcher/jobs.go
@@ -5,23 +5,18 @@
 	"errors"
 	"fmt"
 	"io"
-	"net/http"
-	"net/url"
 	"strings"
 	"time"
 
 	"hollyyoke.example/hollyyoke/internal/durable"
-	"hollyyoke.example/hollyyoke/internal/jobs"
 	"hollyyoke.example/hollyyoke/internal/store"
 )
 
-// This file owns the operators' commands on durable jobs. It must never change a
-// job without a reason, nor open a file that a dispatcher has open: that one is
-// spoken to through its door.
-
+// jobsCmd is the command line of the commands on durable jobs. They work on the store file of a stopped dispatcher, or
+// through the admin API of a running one. Each change of a job needs a reason, which is kept in the audit.
 type jobsCmd struct {
-	Store string `placeholder:"FILE" help:"The file of a stopped dispatcher."`
-	Door  string `placeholder:"HOST:PORT" help:"The operators' door of a running one."`
+	Store        string `placeholder:"FILE" help:"The file of a stopped dispatcher."`
+	AdminAddress string `name:"door" placeholder:"HOST:PORT" help:"The operators' door of a running one."`
 
 	List struct {
 		State string `help:"Only in this state, as 'in doubt'."`
@@ -39,12 +34,12 @@
 		ID     string `arg:""`
 		Reason string `required:"" help:"For the audit."`
 	} `cmd:"" help:"Let one that waits or is dead not run."`
-	Settle struct {
+	Resolve struct {
 		ID     string `arg:""`
 		Ran    bool   `xor:"fate" required:"" help:"It ran: it is done."`
 		NotRan bool   `xor:"fate" required:"" help:"It did not run: it runs now."`
 		Reason string `required:"" help:"For the audit: how you know."`
-	} `cmd:"" help:"End the doubt about one."`
+	} `cmd:"" name:"settle" help:"End the doubt about one."`
 	Export   struct{} `cmd:"" help:"All jobs with what they ask for, a line of JSON each."`
 	Audit    struct{} `cmd:"" help:"What was done to jobs and by whose word, a line of JSON each; of a stopped dispatcher."`
 	Snapshot struct {
@@ -54,105 +49,126 @@
 	Verify  struct{} `cmd:"" help:"Check the file's structure and every record; of a stopped dispatcher."`
 }
 
-// desk is where the commands go: a file or a door.
-type desk interface {
-	page(state, class string, after uint64, full bool) (list []durable.View, next uint64, err error)
+// compactTimeout is how long compact waits for another process to close the file.
+const compactTimeout = time.Second
+
+// jobChange is a change of a job that an operator requests. Its text is the admin API's path.
+type jobChange string
+
+const (
+	retryJob   jobChange = "retry"
+	discardJob jobChange = "discard"
+	resolveJob jobChange = "settle"
+)
+
+// jobsBackend is where the commands look for jobs: a store file or the admin API.
+type jobsBackend interface {
+	// page lists some jobs, those that were accepted after a sequence number; next is the one to continue after; 0:
+	// there are no more.
+	page(state, class string, after uint64, withPayload bool) (list []durable.View, next uint64, err error)
 	show(id string) (durable.View, error)
-	decide(act, id, reason string, ran bool) error
+	// change changes a job; ran matters to resolveJob only.
+	change(change jobChange, id, reason string, ran bool) error
 	snapshot(name string) error
 }
 
+// run carries out one of the commands by its name.
 func (c *jobsCmd) run(verb string, out io.Writer) error {
-	if (c.Store == "") == (c.Door == "") {
+	if (c.Store == "") == (c.AdminAddress == "") {
 		return errors.New("jobs: either --store or --door is needed")
 	}
-	if verb == "verify" || verb == "audit" || verb == "compact" {
-		if c.Store == "" {
-			return fmt.Errorf("jobs: %s needs --store: the file of a stopped dispatcher", verb)
-		}
+	switch verb {
+	case "verify", "audit", "compact":
+		return c.runOnStore(verb, out)
 	}
-	if verb == "compact" {
-		before, after, err := store.Compact(c.Store, time.Second)
-		if err == nil {
-			fmt.Fprintf(out, "%s: %d bytes before, %d bytes now\n", c.Store, before, after)
-		}
+	if c.Store == "" {
+		return c.runOnBackend(adminAPI(c.AdminAddress), verb, out)
+	}
+	offline, err := openOffline(c.Store)
+	if err != nil {
 		return err
 	}
-	if verb == "verify" {
-		st, err := store.Open(c.Store, store.Options{})
-		if err != nil {
-			return err
-		}
-		defer st.Close()
-		n, err := st.Verify()
-		if err != nil {
-			return fmt.Errorf("%s: %w", c.Store, err)
-		}
-		fmt.Fprintf(out, "%s: %d records, all whole\n", c.Store, n)
-		return nil
+	defer offline.Close()
+	return c.runOnBackend(storeFile{offline, c.Store}, verb, out)
+}
+
+// runOnStore carries out the commands that need the store of a stopped dispatcher.
+func (c *jobsCmd) runOnStore(verb string, out io.Writer) error {
+	if c.Store == "" {
+		return fmt.Errorf("jobs: %s needs --store: the file of a stopped dispatcher", verb)
 	}
-	var d desk = door(c.Door)
-	if c.Store != "" {
-		b, err := durable.OpenOffline(c.Store, func() time.Duration { return time.Duration(time.Now().UnixNano()) })
-		if err != nil {
-			return err
-		}
-		defer b.Close()
-		if verb == "audit" {
-			lines := json.NewEncoder(out)
-			for _, a := range b.Audits {
-				if err := lines.Encode(a); err != nil {
-					return err
-				}
-			}
-			return nil
-		}
-		d = file{b, c.Store}
+	switch verb {
+	case "compact":
+		return compactStore(c.Store, out)
+	case "verify":
+		return verifyStore(c.Store, out)
+	default:
+		return printAudits(c.Store, out)
 	}
+}
+
+// runOnBackend carries out the other commands.
+func (c *jobsCmd) runOnBackend(backend jobsBackend, verb string, out io.Writer) error {
 	switch verb {
 	case "list":
-		n := 0
-		return each(d, c.List.State, c.List.Class, false, func(v durable.View) bool {
-			fmt.Fprintf(out, "%s\t%s\t%s\t%s\n", v.ID, v.Class, v.State, strings.ReplaceAll(string(v.Reason), "\n", " "))
-			n++
-			return n != c.List.Limit
-		})
+		return c.list(backend, out)
 	case "export":
-		lines := json.NewEncoder(out)
-		var failed error
-		err := each(d, "", "", true, func(v durable.View) bool {
-			failed = lines.Encode(v)
-			return failed == nil
-		})
-		return errors.Join(err, failed)
+		return exportJobs(backend, out)
 	case "show":
-		v, err := d.show(c.Show.ID)
-		if err != nil {
-			return err
-		}
-		text, err := json.MarshalIndent(v, "", "  ")
-		fmt.Fprintf(out, "%s\n", text)
-		return err
+		return showJob(backend, c.Show.ID, out)
 	case "snapshot":
-		return d.snapshot(c.Snapshot.Name)
+		return backend.snapshot(c.Snapshot.Name)
 	case "retry":
-		return d.decide("retry", c.Retry.ID, c.Retry.Reason, false)
+		return backend.change(retryJob, c.Retry.ID, c.Retry.Reason, false)
 	case "discard":
-		return d.decide("discard", c.Discard.ID, c.Discard.Reason, false)
+		return backend.change(discardJob, c.Discard.ID, c.Discard.Reason, false)
 	default:
-		return d.decide("settle", c.Settle.ID, c.Settle.Reason, c.Settle.Ran)
+		return backend.change(resolveJob, c.Resolve.ID, c.Resolve.Reason, c.Resolve.Ran)
+	}
+}
+
+// list prints a line for each job that is asked for.
+func (c *jobsCmd) list(backend jobsBackend, out io.Writer) error {
+	listed := 0
+	return forEachJob(backend, c.List.State, c.List.Class, false, func(view durable.View) (more bool) {
+		reason := strings.ReplaceAll(string(view.Reason), "\n", " ")
+		fmt.Fprintf(out, "%s\t%s\t%s\t%s\n", view.ID, view.Class, view.State, reason)
+		listed++
+		return listed != c.List.Limit
+	})
+}
+
+// exportJobs prints all jobs with their payloads.
+func exportJobs(backend jobsBackend, out io.Writer) error {
+	lines := json.NewEncoder(out)
+	var encodeErr error
+	err := forEachJob(backend, "", "", true, func(view durable.View) (more bool) {
+		encodeErr = lines.Encode(view)
+		return encodeErr == nil
+	})
+	return errors.Join(err, encodeErr)
+}
+
+func showJob(backend jobsBackend, id string, out io.Writer) error {
+	view, err := backend.show(id)
+	if err != nil {
+		return err
 	}
+	text, err := json.MarshalIndent(view, "", "  ")
+	fmt.Fprintf(out, "%s\n", text)
+	return err
 }
 
-// each goes over all pages until it is told to end.
-func each(d desk, state, class string, full bool, f func(durable.View) bool) error {
-	for after := uint64(0); ; {
-		list, next, err := d.page(state, class, after, full)
+// forEachJob visits all jobs of a state and class, each empty for all, until visit returns false.
+func forEachJob(backend jobsBackend, state, class string, withPayload bool, visit func(durable.View) (more bool)) error {
+	after := uint64(0)
+	for {
+		list, next, err := backend.page(state, class, after, withPayload)
 		if err != nil {
 			return err
 		}
-		for _, v := range list {
-			if !f(v) {
+		for _, view := range list {
+			if !visit(view) {
 				return nil
 			}
 		}
@@ -163,89 +179,40 @@
 	}
 }
 
-// file is the store of a stopped dispatcher.
-type file struct {
-	*durable.OfflineStore
-	path string
-}
-
-func (f file) snapshot(name string) error { return f.Snapshot(f.path, name) }
-
-func (f file) page(state, class string, after uint64, full bool) (views []durable.View, next uint64, err error) {
-	chosen, err := durable.Filter(state, class)
+func compactStore(path string, out io.Writer) error {
+	before, after, err := store.Compact(path, compactTimeout)
 	if err != nil {
-		return nil, 0, err
-	}
-	list, next := f.Page(after, 1000, 1_000_000, chosen)
-	for _, j := range list {
-		views = append(views, durable.NewView(j, full))
-	}
-	return views, next, nil
-}
-
-func (f file) show(id string) (durable.View, error) {
-	j, known := f.Get(id)
-	if !known {
-		return durable.View{}, fmt.Errorf("no job %s", id)
-	}
-	return durable.NewView(j, true), nil
-}
-
-func (f file) decide(act, id, reason string, ran bool) error {
-	switch act {
-	case "settle":
-		return f.Resolve(id, ran, jobs.Reason(reason))
-	case "retry":
-		return f.Move(id, jobs.Requeue, jobs.Reason(reason))
+		return err
 	}
-	return f.Move(id, jobs.Discard, jobs.Reason(reason))
+	fmt.Fprintf(out, "%s: %d bytes before, %d bytes now\n", path, before, after)
+	return nil
 }
 
-// door is the operators' door of a running dispatcher.
-type door string
-
-const doorTime = 60 * time.Second // a snapshot of a large store takes its time
-
-func (d door) call(method, path string, query url.Values, into any) error {
-	r, err := http.NewRequest(method, "http://"+string(d)+"/control/jobs"+path+"?"+query.Encode(), nil)
+func verifyStore(path string, out io.Writer) error {
+	file, err := store.Open(path, store.Options{})
 	if err != nil {
 		return err
 	}
-	answer, err := (&http.Client{Timeout: doorTime}).Do(r)
+	defer file.Close()
+	records, err := file.Verify()
 	if err != nil {
-		return err
+		return fmt.Errorf("%s: %w", path, err)
 	}
-	defer answer.Body.Close()
-	text, err := io.ReadAll(answer.Body)
-	switch {
-	case err != nil:
-		return err
-	case answer.StatusCode != 200:
-		return fmt.Errorf("the door at %s: %s", string(d), strings.TrimSpace(string(text)))
-	case into == nil:
-		return nil
-	}
-	return json.Unmarshal(text, into)
-}
-
-func (d door) snapshot(name string) error {
-	return d.call("PUT", "/snapshot", url.Values{"name": {name}}, nil)
+	fmt.Fprintf(out, "%s: %d records, all whole\n", path, records)
+	return nil
 }
 
-func (d door) page(state, class string, after uint64, full bool) ([]durable.View, uint64, error) {
-	var p struct {
-		Jobs []durable.View `json:"jobs"`
-		Next uint64         `json:"next"`
+func printAudits(path string, out io.Writer) error {
+	offline, err := openOffline(path)
+	if err != nil {
+		return err
 	}
-	err := d.call("GET", "", url.Values{"state": {state}, "class": {class}, "after": {fmt.Sprint(after)}, "full": {fmt.Sprint(full)}}, &p)
-	return p.Jobs, p.Next, err
-}
-
-func (d door) show(id string) (v durable.View, err error) {
-	err = d.call("GET", "/show", url.Values{"id": {id}}, &v)
-	return v, err
-}
-
-func (d door) decide(act, id, reason string, ran bool) error {
-	return d.call("PUT", "/"+act, url.Values{"id": {id}, "reason": {reason}, "ran": {fmt.Sprint(ran)}}, nil)
+	defer offline.Close()
+	lines := json.NewEncoder(out)
+	for _, audit := range offline.Audits {
+		if err := lines.Encode(audit); err != nil {
+			return err
+		}
+	}
+	return nil
 }
--- /dev/null
+++ b/cmd/dispatcher/jobs_store.go
@@ -0,0 +1,60 @@
+package main
+
+import (
+	"fmt"
+	"time"
+
+	"hollyyoke.example/hollyyoke/internal/durable"
+	"hollyyoke.example/hollyyoke/internal/jobs"
+)
+
+// Bounds of one page of jobs of a store file.
+const (
+	storePageSize    = 1000
+	storePageMaxScan = 1_000_000
+)
+
+// storeFile is the store of a stopped dispatcher; it implements jobsBackend.
+type storeFile struct {
+	*durable.OfflineStore
+	path string
+}
+
+var _ jobsBackend = storeFile{}
+
+func openOffline(path string) (*durable.OfflineStore, error) {
+	return durable.OpenOffline(path, func() time.Duration { return time.Duration(time.Now().UnixNano()) })
+}
+
+func (f storeFile) snapshot(name string) error { return f.Snapshot(f.path, name) }
+
+func (f storeFile) page(state, class string, after uint64, withPayload bool) (views []durable.View, next uint64, err error) {
+	filter, err := durable.Filter(state, class)
+	if err != nil {
+		return nil, 0, err
+	}
+	list, next := f.Page(after, storePageSize, storePageMaxScan, filter)
+	for _, job := range list {
+		views = append(views, durable.NewView(job, withPayload))
+	}
+	return views, next, nil
+}
+
+func (f storeFile) show(id string) (durable.View, error) {
+	job, known := f.Get(id)
+	if !known {
+		return durable.View{}, fmt.Errorf("no job %s", id)
+	}
+	return durable.NewView(job, true), nil
+}
+
+func (f storeFile) change(change jobChange, id, reason string, ran bool) error {
+	switch change {
+	case resolveJob:
+		return f.Resolve(id, ran, jobs.Reason(reason))
+	case retryJob:
+		return f.Move(id, jobs.Requeue, jobs.Reason(reason))
+	default:
+		return f.Move(id, jobs.Discard, jobs.Reason(reason))
+	}
+}
--- a/internal/durable/service_test.go
+++ b/internal/durable/service_test.go
@@ -24,7 +24,7 @@
 type testService struct {
 	t        *testing.T
 	loop     *eventloop.Loop
-	service        *Service
+	service  *Service
 	log      bytes.Buffer
 	runnable chan jobs.Job
 	done     chan struct{}
@@ -135,7 +135,9 @@
 			}}})
 			at := func(step string) { full.Store(step == at) }
 			push := func() error {
-				return r.wait("the push", func(done func(error)) { r.service.Push(jobs.Job{ID: "r", Class: "renewal", NonIdempotent: true}, 0, done) })
+				return r.wait("the push", func(done func(error)) {
+					r.service.Push(jobs.Job{ID: "r", Class: "renewal", NonIdempotent: true}, 0, done)
+				})
 			}
 			eventually := func(what string, start func(done func(error))) {
 				t.Helper()
