--- a/internal/durable/doc.go
+++ b/internal/durable/doc.go
@@ -6,7 +6,7 @@
 //
 // A caller's callback runs with nil only once the change that it asked for is on disk. A change that has happened
 // already, such as a worker's report, is written again until the disk takes it; a push or a lease that cannot be
-// stored is refused instead. What a job's state allows is decided by package jobs alone.
+// stored is rejected instead. What a job's state allows is decided by package jobs alone.
 //
 // # Concurrency
 //
--- a/internal/durable/leasing.go
+++ b/internal/durable/leasing.go
@@ -20,24 +20,24 @@
 		onAcquired(0)
 		return
 	}
-	refuse := func() {
+	reject := func() {
 		s.workers.Unreserve(worker, id)
 		onAcquired(0)
 	}
 	s.workers.Reserve(worker, request.Class, id, func(reserved bool) {
 		if !reserved {
-			refuse()
+			reject()
 			return
 		}
 		assigned := s.service.Assign(id, worker, s.workers.Guarantee(worker), func(job jobs.Job, err error) {
 			if err != nil {
-				refuse()
+				reject()
 				return
 			}
 			s.onLeased(a, job, onAcquired)
 		})
 		if !assigned {
-			refuse()
+			reject()
 		}
 	})
 }
--- a/internal/durable/service.go
+++ b/internal/durable/service.go
@@ -198,7 +198,7 @@
 	s.answerWhenStored(effects, jobs.AnswerReport, s.reportWaiters, id, onStored)
 }
 
-// Resolve ends the doubt about a job at an operator's request: it ran, or it did not and runs again. A refusal is a
+// Resolve ends the doubt about a job at an operator's request: it ran, or it did not and runs again. An error is a
 // *jobs.TransitionError.
 func (s *Service) Resolve(id string, ran bool, reason jobs.Reason) error {
 	effects, err := s.machine.Resolve(s.loop.Now(), id, ran, reason)
@@ -211,8 +211,8 @@
 	return nil
 }
 
-// Move discards, kills or requeues a job that waits or is dead; operator tells that an operator asks for it. A
-// refusal is a *jobs.TransitionError.
+// Move discards, kills or requeues a job that waits or is dead; operator tells that an operator asks for it. An
+// error is a *jobs.TransitionError.
 func (s *Service) Move(id string, move jobs.Move, reason jobs.Reason, operator bool) error {
 	effects, err := s.machine.Move(s.loop.Now(), id, move, reason, operator)
 	if err != nil {
--- a/internal/durable/service_test.go
+++ b/internal/durable/service_test.go
@@ -118,7 +118,7 @@
 	return state
 }
 
-// The disk is full at each write in turn, for a while. A push that cannot be stored is refused and leaves nothing behind,
+// The disk is full at each write in turn, for a while. A push that cannot be stored is rejected and leaves nothing behind,
 // a lease that cannot be stored is not granted, and what has happened already is acknowledged once it is on disk.
 func TestDiskFullAtEachWrite(t *testing.T) {
 	for _, at := range []string{"push", "lease", "start", "ack", "nowhere"} {
@@ -166,7 +166,7 @@
 			}
 			if full.Load() {
 				if r.state("r") != "" {
-					t.Fatal("a job that was refused is known")
+					t.Fatal("a job that was rejected is known")
 				}
 				full.Store(false)
 				if err := push(); err != nil {
--- a/internal/durable/storing.go
+++ b/internal/durable/storing.go
@@ -42,25 +42,25 @@
 	s.log.Error("durable job not stored", "id", id, "state", job.State.String(), "error", err)
 	switch job.State {
 	case jobs.Accepted:
-		s.refusePush(job, err)
+		s.rejectPush(job, err)
 	case jobs.Leased:
-		s.refuseLease(job, err)
+		s.rejectLease(job, err)
 	default: // the change has happened
 		s.loop.After(storeRetryInterval, func() { s.storeAgain(id, version) })
 	}
 }
 
-// refusePush answers all producers of a job that could not be stored.
-func (s *Service) refusePush(job jobs.Job, err error) {
+// rejectPush answers all producers of a job that could not be stored.
+func (s *Service) rejectPush(job jobs.Job, err error) {
 	s.carryOut(s.machine.StoreFailed(job.ID, job.Version, err))
 	for len(s.pushWaiters[job.ID]) > 0 { // those who have pushed it again meanwhile
 		s.pushWaiters.notifyFirst(job.ID, &jobs.NotStoredError{Cause: err})
 	}
 }
 
-// refuseLease takes back a lease that could not be stored. The job is announced as runnable after a pause, as the next
+// rejectLease takes back a lease that could not be stored. The job is announced as runnable after a pause, as the next
 // lease would meet the same disk.
-func (s *Service) refuseLease(job jobs.Job, err error) {
+func (s *Service) rejectLease(job jobs.Job, err error) {
 	onLeased := s.takeLeaseWaiter(job.ID)
 	effects := s.machine.StoreFailed(job.ID, job.Version, err)
 	if onLeased != nil {
--- a/internal/jobs/doc.go
+++ b/internal/jobs/doc.go
@@ -26,7 +26,7 @@
 // # Leases and fences
 //
 // A lease gives one job to one worker until its expiry, which heartbeats move on. Its fence is a number that is
-// higher than that of all earlier leases; a report under another fence than the newest one is refused with
+// higher than that of all earlier leases; a report under another fence than the newest one is rejected with
 // ErrLeaseVoid. An idempotent job is retried when its lease expires. A non-idempotent job may run again only on proof
 // that it did not run, or that running it again does no harm:
 //
--- a/internal/jobs/errors.go
+++ b/internal/jobs/errors.go
@@ -5,22 +5,22 @@
 	"fmt"
 )
 
-// The reasons for which a request about a job is refused. Their texts reach producers, workers and operators.
+// The reasons for which a request about a job is rejected. Their texts reach producers, workers and operators.
 var (
-	// ErrIDConflict refuses a job whose id another job has already.
+	// ErrIDConflict rejects a job whose id another job has already.
 	ErrIDConflict = errors.New("this id is another job's")
-	// ErrUnknownJob refuses a report about a job that is not known, or no longer.
+	// ErrUnknownJob rejects a report about a job that is not known, or no longer.
 	ErrUnknownJob = errors.New("no such job")
-	// ErrLeaseVoid refuses a report under a lease that has expired or has been replaced.
+	// ErrLeaseVoid rejects a report under a lease that has expired or has been replaced.
 	ErrLeaseVoid = errors.New("the lease is void")
 
-	// ErrNotInDoubt refuses to resolve a job that is not in doubt.
+	// ErrNotInDoubt rejects to resolve a job that is not in doubt.
 	ErrNotInDoubt = errors.New("the job is not in doubt")
-	// ErrReasonRequired refuses to resolve a job without a reason for the audit.
+	// ErrReasonRequired rejects to resolve a job without a reason for the audit.
 	ErrReasonRequired = errors.New("a reason is needed")
-	// ErrNotMovable refuses to move a job that is neither waiting nor dead.
+	// ErrNotMovable rejects to move a job that is neither waiting nor dead.
 	ErrNotMovable = errors.New("only a job that waits or is dead can be moved")
-	// ErrOperatorRequired refuses to requeue a dead non-idempotent job but at an operator's request.
+	// ErrOperatorRequired rejects to requeue a dead non-idempotent job but at an operator's request.
 	ErrOperatorRequired = errors.New("only an operator may requeue a non-idempotent job")
 )
 
@@ -47,11 +47,14 @@
 	}
 }
 
+// Unwrap returns Cause.
 func (e *TransitionError) Unwrap() error { return e.Cause }
 
-// NotStoredError refuses a job that could not be stored; Cause is the store's error.
+// NotStoredError rejects a job that could not be stored; Cause is the store's error.
 type NotStoredError struct{ Cause error }
 
+// Error is the text that producers get.
 func (e *NotStoredError) Error() string { return "not kept: " + e.Cause.Error() }
 
+// Unwrap returns Cause.
 func (e *NotStoredError) Unwrap() error { return e.Cause }
--- a/internal/jobs/errors_test.go
+++ b/internal/jobs/errors_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The texts of refusals reach clients and operators and must stay; their causes are found by errors.Is.
+// The texts of rejections reach clients and operators and must stay; their causes are found by errors.Is.
 func TestErrorTexts(t *testing.T) {
 	store := errors.New("no space left on device")
 	for _, test := range []struct {
--- a/internal/jobs/machine_test.go
+++ b/internal/jobs/machine_test.go
@@ -14,7 +14,7 @@
 	DeleteJob: "delete", AnnounceLeaseExpiry: "expired",
 }
 
-// The life of jobs step by step: each call and the effects that it has.
+// The states of jobs step by step: each call and the effects that it has.
 func TestScripts(t *testing.T) {
 	const s = time.Second
 	m := New(Config{LeaseDuration: 10 * s, RecoveryGrace: 5 * s, MaxAttempts: 2})
--- a/internal/jobs/operator.go
+++ b/internal/jobs/operator.go
@@ -38,6 +38,7 @@
 
 var moveNames = [...]string{"discard", "kill", "requeue"}
 
+// String is the name of the move.
 func (move Move) String() string { return moveNames[move] }
 
 // Move moves a job that waits or is dead. operator tells that an operator asks for it; nobody else may requeue a dead
--- a/internal/jobs/reason.go
+++ b/internal/jobs/reason.go
@@ -7,6 +7,7 @@
 type Reason string
 
 // The reasons that an expired lease leaves with its job.
+// They are stored; "till" stands for a worker that deduplicates.
 const (
 	reasonLeaseExpired       Reason = "the lease ran out"
 	reasonNeedsDeduplication Reason = "the lease ran out; it is for workers whose till knows what has been run"
--- a/internal/jobs/state.go
+++ b/internal/jobs/state.go
@@ -24,6 +24,7 @@
 	"accepted", "scheduled", "ready", "leased", "started", "waiting", "done", "dead", "discarded", "in doubt",
 }
 
+// String is the name of the state.
 func (s State) String() string { return stateNames[s] }
 
 // States lists the names of all states.
--- a/internal/jobs/storing.go
+++ b/internal/jobs/storing.go
@@ -74,7 +74,7 @@
 	return Ready
 }
 
-// StoreFailed reports that a version of a job cannot be stored. A job that was being accepted is refused with a
+// StoreFailed reports that a version of a job cannot be stored. A job that was being accepted is rejected with a
 // NotStoredError, and a lease that was about to be granted is taken back; any other change has happened already, and
 // the caller must store it again.
 func (m *Machine) StoreFailed(id string, version uint64, cause error) []Effect {
--- a/internal/store/disk_errors_test.go
+++ b/internal/store/disk_errors_test.go
@@ -18,7 +18,7 @@
 const diskErrorsChild = "STORE_DISK_ERRORS_CHILD"
 
 // Errors of the system at real writes: the file cannot be written to for a while, or cannot grow. The changes that meet
-// them are refused and leave nothing behind, and the store goes on. This runs in a child process, as the limit on file
+// them are rejected and leave nothing behind, and the store goes on. This runs in a child process, as the limit on file
 // sizes holds for a whole process and would also meet the log that go test has it write.
 func TestDiskErrors(t *testing.T) {
 	if os.Getenv(diskErrorsChild) != "" {
@@ -61,7 +61,7 @@
 	for i := range 200 {
 		id, text := fmt.Sprint("job-", random.IntN(40)), strings.Repeat("z", random.IntN(3000))
 		readOnly := random.IntN(3) == 0
-		if readOnly { // the system refuses each write
+		if readOnly { // the system rejects each write
 			syscall.Dup3(int(reader.Fd()), descriptor, syscall.O_CLOEXEC)
 		}
 		err := try(id, text)
--- a/internal/store/schema.go
+++ b/internal/store/schema.go
@@ -8,7 +8,7 @@
 )
 
 // SchemaVersion is the version of the files and records that are written. Open brings files of earlier versions
-// forward by migrations and refuses those of later ones.
+// forward by migrations and rejects those of later ones.
 const SchemaVersion = 1
 
 // migrations[n] brings a file from schema n to n+1.
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -47,8 +47,8 @@
 	return got
 }
 
-// Open, Load and Verify refuse files that are open elsewhere, damaged or of a later schema, and name them.
-func TestRefused(t *testing.T) {
+// Open, Load and Verify reject files that are open elsewhere, damaged or of a later schema, and name them.
+func TestRejectedFiles(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "jobs.db")
 	s, err := Open(path, Options{})
