--- a/decision/api.go
+++ b/decision/api.go
@@ -101,7 +101,7 @@
 
 // LargeFleet tells whether so many dispatchers call for the list that they must not do so at once. The list known
 // serves meanwhile.
-func (s *Settings) LargeFleet() bool { return s.Peers > herdFrom }
+func (s *Settings) LargeFleet() bool { return s.Peers > largeFleetThreshold }
 
 // normalize checks the settings and fills in what must not be zero.
 func (s *Settings) normalize() error {
@@ -113,7 +113,7 @@
 		if c.Deadline <= 0 {
 			return fmt.Errorf("settings: Classes[%d].Deadline must be positive", i)
 		}
-		if err := cmp.Or(bound(i, "Kinds", c.Kinds), bound(i, "Zones", c.Zones)); err != nil {
+		if err := cmp.Or(checkPlacement(i, "Kinds", c.Kinds), checkPlacement(i, "Zones", c.Zones)); err != nil {
 			return err
 		}
 		if c.LatencyObjective == 0 && c.ObjectiveStretch == 0 {
@@ -123,17 +123,17 @@
 			return fmt.Errorf("settings: Classes[%d].InTurn: a Stream cannot run in turn", i)
 		}
 		class := fmt.Sprintf("Classes[%d].", i)
-		if err := cmp.Or(amount(class+"Worth", c.PriorityWeight), amount(class+"LateWorth", c.LateWeight),
-			amount(class+"Stretch", c.ObjectiveStretch), amount(class+"Aim", c.LatencyObjective.Seconds())); err != nil {
+		if err := cmp.Or(checkAmount(class+"Worth", c.PriorityWeight), checkAmount(class+"LateWorth", c.LateWeight),
+			checkAmount(class+"Stretch", c.ObjectiveStretch), checkAmount(class+"Aim", c.LatencyObjective.Seconds())); err != nil {
 			return err
 		}
 	}
 	for i, q := range s.TenantQuotas {
-		if err := amount(fmt.Sprintf("TenantQuotas[%d]", i), q); err != nil {
+		if err := checkAmount(fmt.Sprintf("TenantQuotas[%d]", i), q); err != nil {
 			return err
 		}
 	}
-	if err := amount("OverQuotaWorth", s.OverQuotaWeight); err != nil {
+	if err := checkAmount("OverQuotaWorth", s.OverQuotaWeight); err != nil {
 		return err
 	}
 	if !(s.SlowStartFloor >= 0 && s.SlowStartFloor <= 1) {
@@ -142,7 +142,7 @@
 	if s.KeyCooldown < 0 {
 		return errors.New("settings: KeyRest must not be negative")
 	}
-	if err := cmp.Or(amount("ExtraFloor", s.RetryBudgetFloor), amount("ExtraRatio", s.RetryBudgetRatio)); err != nil {
+	if err := cmp.Or(checkAmount("ExtraFloor", s.RetryBudgetFloor), checkAmount("ExtraRatio", s.RetryBudgetRatio)); err != nil {
 		return err
 	}
 	if s.RetryBudgetWindow < 0 || s.RetryBudgetWindow == 0 && s.RetryBudgetFloor+s.RetryBudgetRatio > 0 {
@@ -153,16 +153,16 @@
 	return nil
 }
 
-// amount checks a number that must be finite and not negative.
-func amount(field string, x float64) error {
+// checkAmount checks a number that must be finite and not negative.
+func checkAmount(field string, x float64) error {
 	if !(x >= 0) || math.IsInf(x, 0) {
 		return fmt.Errorf("settings: %s must be finite and not negative", field)
 	}
 	return nil
 }
 
-// bound checks where a class may run.
-func bound(class int, field string, list []int) error {
+// checkPlacement checks where a class may run.
+func checkPlacement(class int, field string, list []int) error {
 	if list != nil && (len(list) == 0 || slices.Min(list) < 0) {
 		return fmt.Errorf("settings: Classes[%d].%s must name one at least, or be nil", class, field)
 	}
@@ -312,12 +312,12 @@
 // Ejected names the workers that run and that it avoids, since what they did lately looks like failure. One
 // that gets a job now and then to see whether it has come back is still among them. While most look bad the
 // trouble is not theirs: all are used, and none is named.
-func (d *Machine) Ejected() (names []string) {
-	if d.suspects == 0 || d.trustAll() {
+func (m *Machine) Ejected() (names []string) {
+	if m.ejectedCount == 0 || m.inPanic() {
 		return nil
 	}
-	for _, w := range d.fleet {
-		if w.suspect && w.State == Running {
+	for _, w := range m.fleet {
+		if w.ejected && w.State == Running {
 			names = append(names, w.Name)
 		}
 	}
--- a/decision/capacity_test.go
+++ b/decision/capacity_test.go
@@ -35,7 +35,7 @@
 		}
 	}
 	d.Handle(start, Event{Kind: ListUpdated, ListKind: ListCached, Endpoints: list}, nil)
-	d.perSlot, d.perRate = 1e6, 1e6 // no ceiling binds: what is measured is the pick
+	d.concurrencyPerWorker, d.workRatePerWorker = 1e6, 1e6 // no ceiling binds: what is measured is the pick
 	return d, list
 }
 
@@ -89,7 +89,7 @@
 				for i := 0; b.Loop(); i++ {
 					now += time.Microsecond // the cold stay cold
 					if i%1000 == 0 {
-						out = d.Handle(now, Event{Kind: TimerFired, Timer: beatTimer}, out[:0])
+						out = d.Handle(now, Event{Kind: TimerFired, Timer: sweepTimer}, out[:0])
 					}
 					id := uint64(i + 1)
 					out = d.Handle(now, Event{Kind: RequestArrived, Request: id, Slots: 1, Work: 10 * time.Millisecond,
@@ -106,7 +106,7 @@
 
 // listsOf are the lists of a dispatcher in which each worker knows its place.
 func listsOf(d *Machine) map[listID][]*worker {
-	return map[listID][]*worker{inFleet: d.fleet, inPool: d.pool, inNear: d.near, inFresh: d.fresh}
+	return map[listID][]*worker{inFleet: d.fleet, inWarmWorkers: d.warmWorkers, inLocalWarmWorkers: d.localWarmWorkers, inWarmingUp: d.warmingUp}
 }
 
 // A delta of one worker must take no work that goes with the fleet: it reads no other worker, but for the one that
@@ -123,12 +123,12 @@
 	for _, state := range []WorkerState{Running, Draining, Removed} {
 		d, list := capacityRig(t, workers, 10)
 		w := d.workers[changed]
-		if cold := index%10 == 0; (w.place[inFresh] > 0) != cold || (w.place[inNear] > 0) == cold {
-			t.Fatalf("%s stands in the wrong lists: %v", changed, w.place)
+		if cold := index%10 == 0; (w.positions[inWarmingUp] > 0) != cold || (w.positions[inLocalWarmWorkers] > 0) == cold {
+			t.Fatalf("%s stands in the wrong lists: %v", changed, w.positions)
 		}
 		for id, members := range listsOf(d) {
 			for i, other := range members[:len(members)-1] { // the last one takes the place
-				if i != w.place[id]-1 {
+				if i != w.positions[id]-1 {
 					delete(d.workers, other.Name)
 					d.workers["nobody "+other.Name] = nil
 					members[i] = nil
@@ -204,8 +204,8 @@
 			both(Event{Kind: ListUpdated, ListKind: kind, Endpoints: entries})
 			if len(a.fleet) > 0 && rapid.Bool().Draw(t, "suspect") {
 				i := rapid.IntRange(0, len(a.fleet)-1).Draw(t, "which")
-				a.judge(a.fleet[i], 1, "fails")
-				b.judge(b.fleet[i], 1, "fails")
+				a.setFailureScore(a.fleet[i], 1, "fails")
+				b.setFailureScore(b.fleet[i], 1, "fails")
 				a.actions, b.actions = nil, nil
 			}
 			if rapid.Bool().Draw(t, "arrival") {
@@ -217,7 +217,7 @@
 				}
 			}
 			if rapid.Bool().Draw(t, "beat") {
-				both(Event{Kind: TimerFired, Timer: beatTimer})
+				both(Event{Kind: TimerFired, Timer: sweepTimer})
 			}
 			countAnew(t, a)
 		}
@@ -235,37 +235,37 @@
 		if d.workers[w.Name] != w || w.State == Removed {
 			t.Fatalf("in the fleet and not known, or gone: %+v", w.Endpoint)
 		}
-		cold := w.place[inFresh] > 0 // until the next sweep it stands with the cold ones, though it may be warm by now
-		if !cold && d.warmth(w) < 1 || cold == (w.place[inPool] > 0) ||
-			(!cold && w.Zone == d.s.Zone) != (w.place[inNear] > 0) {
-			t.Fatalf("in the wrong lists: %+v, %v", w.Endpoint, w.place)
+		cold := w.positions[inWarmingUp] > 0 // until the next sweep it stands with the cold ones, though it may be warm by now
+		if !cold && d.capacityFraction(w) < 1 || cold == (w.positions[inWarmWorkers] > 0) ||
+			(!cold && w.Zone == d.settings.Zone) != (w.positions[inLocalWarmWorkers] > 0) {
+			t.Fatalf("in the wrong lists: %+v, %v", w.Endpoint, w.positions)
 		}
 		if w.State != Running {
 			continue
 		}
 		running++
-		if w.suspect {
+		if w.ejected {
 			suspects++
 		}
-		for i := range d.s.Classes {
-			if c := &d.s.Classes[i]; c.mayRunOn(w) {
+		for i := range d.settings.Classes {
+			if c := &d.settings.Classes[i]; c.mayRunOn(w) {
 				open[c]++
 			}
 		}
 	}
-	if d.running != running || d.suspects != suspects || !maps.Equal(d.open, open) {
+	if d.runningCount != running || d.ejectedCount != suspects || !maps.Equal(d.eligible, open) {
 		t.Fatalf("%d run, %d of them suspects, open %v; counted %d, %d, %v",
-			d.running, d.suspects, d.open, running, suspects, open)
+			d.runningCount, d.ejectedCount, d.eligible, running, suspects, open)
 	}
 	for id, members := range listsOf(d) {
 		for i, w := range members {
-			if w.place[id] != i+1 || d.workers[w.Name] != w {
-				t.Fatalf("list %v: %s stands at %d and takes itself to be at %d", id, w.Name, i, w.place[id]-1)
+			if w.positions[id] != i+1 || d.workers[w.Name] != w {
+				t.Fatalf("list %v: %s stands at %d and takes itself to be at %d", id, w.Name, i, w.positions[id]-1)
 			}
 		}
 	}
-	if d.updateRing(); len(d.ring) != len(d.fleet) || !slices.IsSortedFunc(d.ring, byHash) {
-		t.Fatalf("%d on the ring, of %d; in order: %v", len(d.ring), len(d.fleet), slices.IsSortedFunc(d.ring, byHash))
+	if d.updateRing(); len(d.ring) != len(d.fleet) || !slices.IsSortedFunc(d.ring, compareByHash) {
+		t.Fatalf("%d on the ring, of %d; in order: %v", len(d.ring), len(d.fleet), slices.IsSortedFunc(d.ring, compareByHash))
 	}
 	for _, w := range d.ring {
 		if d.workers[w.Name] != w {
@@ -278,30 +278,30 @@
 func TestColdDrawsAreBoundedAndInTurn(t *testing.T) {
 	d, _ := capacityRig(t, 21000, 1)
 	drawn := map[*worker]int{}
-	rounds := (len(d.fresh) + coldDraws - 1) / coldDraws
+	rounds := (len(d.warmingUp) + maxWarmingUpDraws - 1) / maxWarmingUpDraws
 	for range 3 * rounds {
-		members := d.nextFresh()
-		if len(members) == 0 || len(members) > coldDraws {
+		members := d.nextWarmingUp()
+		if len(members) == 0 || len(members) > maxWarmingUpDraws {
 			t.Fatalf("%d cold workers are drawn for one pick", len(members))
 		}
 		for _, w := range members {
 			drawn[w]++
 		}
 	}
-	for _, w := range d.fresh {
+	for _, w := range d.warmingUp {
 		if drawn[w] != 3 {
 			t.Fatalf("%s was drawn %d times in three rounds", w.Name, drawn[w])
 		}
 	}
-	before := slices.Clone(d.fresh)
+	before := slices.Clone(d.warmingUp)
 	d.Handle(d.now, Event{Kind: RequestArrived, Request: 1, Slots: 1, Work: time.Second, TimeLeft: 5 * time.Second}, nil)
 	moved := 0
-	for i, w := range d.fresh {
+	for i, w := range d.warmingUp {
 		if w != before[i] {
 			moved++
 		}
 	}
-	if moved > 2*coldDraws {
+	if moved > 2*maxWarmingUpDraws {
 		t.Fatalf("%d cold workers were moved for one pick", moved)
 	}
 }
@@ -326,8 +326,8 @@
 	arrivals := func(until time.Duration) {
 		for ; now < until; now += step {
 			if now >= next {
-				next += d.beat
-				d.Handle(now, Event{Kind: TimerFired, Timer: beatTimer}, nil)
+				next += d.sweepInterval
+				d.Handle(now, Event{Kind: TimerFired, Timer: sweepTimer}, nil)
 			}
 			id++
 			did := d.Handle(now, Event{Kind: RequestArrived, Request: id, Slots: 1, Work: 50 * time.Millisecond,
@@ -357,39 +357,39 @@
 func TestSharesOfALargeFleetAreComputedInParts(t *testing.T) {
 	const workers = 21000
 	d, _ := capacityRig(t, workers, 10)
-	d.horizon = 1000 * time.Hour // what was sent does not fade meanwhile
+	d.planningHorizon = 1000 * time.Hour // what was sent does not fade meanwhile
 	take := func(seconds float64) (share float64) {
 		for _, w := range d.fleet {
-			w.sent = fading{seconds, d.now}
+			w.recentWork = decayingValue{seconds, d.now}
 		}
-		return seconds / d.horizon.Seconds()
+		return seconds / d.planningHorizon.Seconds()
 	}
 	near := func(a, b float64) bool { return a > b*0.999 && a < b*1.001 }
 	first := take(100)
-	if got := d.warmShare(0); !near(got, first) {
+	if got := d.warmWorkRate(0); !near(got, first) {
 		t.Fatalf("at first %v, not %v", got, first)
 	}
 	second := take(300)
 	beats := 0
-	for ; !near(d.warmShare(0), second); beats++ {
-		if beats > 2*workers/shareSteps+2 {
-			t.Fatalf("%v after %d beats, not %v", d.warmShare(0), beats, second)
+	for ; !near(d.warmWorkRate(0), second); beats++ {
+		if beats > 2*workers/scanWorkersPerSweep+2 {
+			t.Fatalf("%v after %d beats, not %v", d.warmWorkRate(0), beats, second)
 		}
-		if at := d.sharePass.next; at%shareSteps != 0 || at > workers {
+		if at := d.warmWorkRateScan.next; at%scanWorkersPerSweep != 0 || at > workers {
 			t.Fatalf("%d workers were looked at after %d beats", at, beats)
 		}
-		d.now += d.beat
+		d.now += d.sweepInterval
 	}
-	if beats < workers/shareSteps {
-		t.Errorf("%d beats for %d workers, of which one looks at %d", beats, workers, shareSteps)
+	if beats < workers/scanWorkersPerSweep {
+		t.Errorf("%d beats for %d workers, of which one looks at %d", beats, workers, scanWorkersPerSweep)
 	}
-	small, _ := capacityRig(t, shareSteps, 10)
-	small.warmShare(0)
+	small, _ := capacityRig(t, scanWorkersPerSweep, 10)
+	small.warmWorkRate(0)
 	for _, w := range small.fleet {
-		w.sent = fading{100, small.now + small.beat}
+		w.recentWork = decayingValue{100, small.now + small.sweepInterval}
 	}
-	small.now += small.beat
-	if got, want := small.warmShare(0), 100/small.horizon.Seconds(); !near(got, want) {
+	small.now += small.sweepInterval
+	if got, want := small.warmWorkRate(0), 100/small.planningHorizon.Seconds(); !near(got, want) {
 		t.Errorf("a fleet that one beat looks at whole has %v, not %v", got, want)
 	}
 }
--- a/decision/dispatcher_test.go
+++ b/decision/dispatcher_test.go
@@ -11,14 +11,14 @@
 )
 
 // start is the ceiling per worker that a dispatcher of testSettings starts with.
-const start = startSlots / 2
+const start = initialSlotsPerWorker / 2
 
 // Many dispatchers must not start with ceilings that add up to many times what a worker holds.
 func TestStartCeilingsAreShared(t *testing.T) {
 	s := testSettings()
 	s.Peers = 22
-	if r := newRig(t, s, 2); math.Abs(r.perSlot*22-startSlots) > 1e-9 || r.perRate != r.perSlot {
-		t.Fatalf("22 dispatchers start with %v slots a worker each", r.perSlot)
+	if r := newRig(t, s, 2); math.Abs(r.concurrencyPerWorker*22-initialSlotsPerWorker) > 1e-9 || r.workRatePerWorker != r.concurrencyPerWorker {
+		t.Fatalf("22 dispatchers start with %v slots a worker each", r.concurrencyPerWorker)
 	}
 }
 
@@ -83,7 +83,7 @@
 }
 
 func (r *rig) respond(id uint64, n int, o AttemptOutcome, after time.Duration) []Action {
-	w := r.requests[id].attempts[n].w.Name
+	w := r.requests[id].attempts[n].worker.Name
 	return r.at(r.now+after, Event{
 		Kind: AttemptEnded, Request: id, Attempt: n, Worker: w, Outcome: o, Answered: o == Completed,
 	})
@@ -94,7 +94,7 @@
 	if q == nil || len(q.attempts) == 0 {
 		return ""
 	}
-	return q.attempts[len(q.attempts)-1].w.Name
+	return q.attempts[len(q.attempts)-1].worker.Name
 }
 
 // sentTo brings a job of the class and returns the worker it was sent to, if any.
@@ -124,25 +124,25 @@
 func TestFilterPrecedesDebits(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	r.arrive(0)
-	leased, bucket := r.inflight, r.bucket
-	r.priceC = 2 // above class 0's worth a slot-second, below class 1's
+	leased, bucket := r.inFlight, r.bucketTokens
+	r.workPrice = 2 // above class 0's worth a slot-second, below class 1's
 	r.arrive(0)
 	if find(r.actions, Reject) == nil || find(r.actions, Assign) != nil {
 		t.Fatalf("worth 1 at price 2 was not refused: %v", r.actions)
 	}
-	if r.inflight != leased || r.bucket != bucket {
+	if r.inFlight != leased || r.bucketTokens != bucket {
 		t.Fatal("a refused job was debited")
 	}
 	r.arrive(1)
 	if find(r.actions, Assign) == nil {
 		t.Fatal("worth 3 at price 2 was not sent")
 	}
-	r.priceC, r.priceK = 1, 2
+	r.workPrice, r.slotPrice = 1, 2
 	r.arrive(1)
 	if find(r.actions, Assign) == nil {
 		t.Fatal("a value equal to the prices is admitted")
 	}
-	r.priceK = 2.1
+	r.slotPrice = 2.1
 	if r.arrive(1); find(r.actions, Reject) == nil {
 		t.Fatal("hold is not priced")
 	}
@@ -150,7 +150,7 @@
 
 func TestUnhintedHoldIsFree(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
-	r.priceK = 100
+	r.slotPrice = 100
 	r.at(r.now, Event{Kind: RequestArrived, Request: 1, Slots: 1, TimeLeft: 5 * time.Second})
 	if find(r.actions, Assign) == nil {
 		t.Fatal("an unhinted job pays no hold")
@@ -159,57 +159,57 @@
 
 func TestAxesAreANDedAndTheLeaseFreed(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
-	r.perSlot = 0.5 // two slots, and the room
-	for range 2 + int(leaseRoom) {
+	r.concurrencyPerWorker = 0.5 // two slots, and the room
+	for range 2 + int(concurrencyHeadroom) {
 		r.arrive(0)
 	}
-	if r.inflight != 2+leaseRoom {
-		t.Fatalf("%v slots leased under a ceiling of two and room for %v", r.inflight, leaseRoom)
+	if r.inFlight != 2+concurrencyHeadroom {
+		t.Fatalf("%v slots leased under a ceiling of two and room for %v", r.inFlight, concurrencyHeadroom)
 	}
 	if r.sentTo(0) != "" {
 		t.Fatal("lease above the ceiling")
 	}
 	r = newRig(t, testSettings(), 4)
-	r.bucket, r.bucketAt, r.perRate = 0.5, r.now, 1
-	if id := r.arrive(0); r.worker(id) != "" || r.inflight != 0 {
-		t.Fatalf("bucket denied, yet sent or %v slots leased", r.inflight)
+	r.bucketTokens, r.bucketRefilledAt, r.workRatePerWorker = 0.5, r.now, 1
+	if id := r.arrive(0); r.worker(id) != "" || r.inFlight != 0 {
+		t.Fatalf("bucket denied, yet sent or %v slots leased", r.inFlight)
 	}
 	r = newRig(t, testSettings(), 1)
-	r.fleet[0].full = r.now + time.Second
+	r.fleet[0].saturatedUntil = r.now + time.Second
 	bucket := 1.5
-	r.bucket, r.bucketAt = bucket, r.now
-	if id := r.arrive(0); r.worker(id) != "" || r.inflight != 0 || r.bucket != bucket {
+	r.bucketTokens, r.bucketRefilledAt = bucket, r.now
+	if id := r.arrive(0); r.worker(id) != "" || r.inFlight != 0 || r.bucketTokens != bucket {
 		t.Fatal("no ready worker, yet a lease or debit was kept")
 	}
 }
 
 func TestCeilingsLearn(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
-	r.perSlot = 1.2
-	before := r.perSlot
+	r.concurrencyPerWorker = 1.2
+	before := r.concurrencyPerWorker
 	a, b := r.arrive(0), r.arrive(0)
 	r.respond(a, 0, Completed, time.Second)
-	if r.perSlot <= before {
+	if r.concurrencyPerWorker <= before {
 		t.Fatal("no step up for a job served at the ceiling")
 	}
-	before = r.perSlot
+	before = r.concurrencyPerWorker
 	r.respond(b, 0, Completed, 4*time.Second) // late
-	if r.perSlot >= before {
+	if r.concurrencyPerWorker >= before {
 		t.Fatal("no cut for a late answer")
 	}
-	r.bad, before = 1, r.perSlot
-	r.congested(&request{class: &r.s.Classes[0]}, r.now)
-	if r.perSlot != before {
+	r.badRatio, before = 1, r.concurrencyPerWorker
+	r.cutCeilings(&request{class: &r.settings.Classes[0]}, r.now)
+	if r.concurrencyPerWorker != before {
 		t.Fatal("two cuts within a round trip")
 	}
 	for range 1000 {
 		r.now += time.Minute
-		r.bad = 1
-		r.congested(&request{class: &r.s.Classes[0]}, r.now)
+		r.badRatio = 1
+		r.cutCeilings(&request{class: &r.settings.Classes[0]}, r.now)
 	}
 	// A dispatcher that restarted amid overload once cut itself to nothing before it knew a round trip (i1d0b2b).
-	if r.perSlot != start/4 || r.perRate < start/4 {
-		t.Fatalf("ceilings fell to %v and %v, below a quarter of where they start", r.perSlot, r.perRate)
+	if r.concurrencyPerWorker != start/4 || r.workRatePerWorker < start/4 {
+		t.Fatalf("ceilings fell to %v and %v, below a quarter of where they start", r.concurrencyPerWorker, r.workRatePerWorker)
 	}
 }
 
@@ -226,12 +226,12 @@
 		if started {
 			r.at(r.now, Event{Kind: AttemptStarted, Request: id, Worker: r.worker(id)})
 		}
-		r.at(q.aim-seconds(q.work), Event{Kind: TimerFired, Timer: beatTimer})
-		if cut := r.perSlot < start; cut == started {
+		r.at(q.objective-seconds(q.work), Event{Kind: TimerFired, Timer: sweepTimer})
+		if cut := r.concurrencyPerWorker < start; cut == started {
 			t.Fatalf("started %v, cut %v", started, cut)
 		}
-		before := r.bad
-		if r.respond(id, 0, Completed, 2*time.Second); !started && r.bad != before {
+		before := r.badRatio
+		if r.respond(id, 0, Completed, 2*time.Second); !started && r.badRatio != before {
 			t.Fatal("a late job was counted twice")
 		}
 	}
@@ -240,12 +240,12 @@
 // Prices for a smaller budget than the lease lets in turned work away beside idle workers (ibd4ec3).
 func TestPricesSeeTheRoom(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
-	r.perSlot, r.perRate = 0, 1e6
-	for range fewJobs + 5 {
-		r.observe(&request{value: 0.1, cost: 0.1, hold: 0.1}, pointKey{})
+	r.concurrencyPerWorker, r.workRatePerWorker = 0, 1e6
+	for range minPricedJobs + 5 {
+		r.addToMix(&request{value: 0.1, cost: 0.1, holdTime: 0.1}, jobGroupKey{})
 	}
-	if r.solve(); r.priceC+r.priceK > 0 {
-		t.Fatalf("prices %v and %v though the room holds all of the mix", r.priceC, r.priceK)
+	if r.solvePrices(); r.workPrice+r.slotPrice > 0 {
+		t.Fatalf("prices %v and %v though the room holds all of the mix", r.workPrice, r.slotPrice)
 	}
 }
 
@@ -255,25 +255,25 @@
 	s := testSettings()
 	s.Peers = 100
 	r := newRig(t, s, 4)
-	r.perRate = 1
-	if r.perSlot*r.ready() >= 1 || r.sentTo(0) == "" || r.sentTo(0) == "" {
-		t.Fatalf("a second job was held back at a ceiling of %v slots", r.perSlot*r.ready())
+	r.workRatePerWorker = 1
+	if r.concurrencyPerWorker*r.readyWorkers() >= 1 || r.sentTo(0) == "" || r.sentTo(0) == "" {
+		t.Fatalf("a second job was held back at a ceiling of %v slots", r.concurrencyPerWorker*r.readyWorkers())
 	}
 }
 
 func TestUnusedBucketIsNotCut(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	id := r.arrive(0)
-	r.bad = 1
+	r.badRatio = 1
 	r.respond(id, 0, Completed, 4*time.Second)
-	if r.perRate != start || r.perSlot >= start {
-		t.Fatalf("rate %v, slots %v", r.perRate, r.perSlot)
+	if r.workRatePerWorker != start || r.concurrencyPerWorker >= start {
+		t.Fatalf("rate %v, slots %v", r.workRatePerWorker, r.concurrencyPerWorker)
 	}
 	r = newRig(t, testSettings(), 4)
 	id = r.arrive(0)
-	r.bucket, r.bad = 0, 1
+	r.bucketTokens, r.badRatio = 0, 1
 	r.respond(id, 0, Completed, 4*time.Second)
-	if r.perRate >= start {
+	if r.workRatePerWorker >= start {
 		t.Fatal("a bucket that binds is not cut")
 	}
 }
@@ -287,13 +287,13 @@
 		ids = append(ids, r.arrive(0))
 	}
 	r.respond(ids[0], 0, Completed, 4*time.Second)
-	after := r.perSlot
+	after := r.concurrencyPerWorker
 	for _, id := range ids[1:] {
-		r.roundTrip = 0.001
+		r.meanLatency = 0.001
 		r.respond(id, 0, Completed, 100*time.Millisecond)
 	}
-	if after >= start || r.perSlot != after {
-		t.Fatalf("ceiling %v after the first late answer, %v after the others", after, r.perSlot)
+	if after >= start || r.concurrencyPerWorker != after {
+		t.Fatalf("ceiling %v after the first late answer, %v after the others", after, r.concurrencyPerWorker)
 	}
 }
 
@@ -302,9 +302,9 @@
 	r := newRig(t, testSettings(), 3)
 	id := r.arrive(1)
 	w := r.workers[r.worker(id)]
-	r.judge(w, 1, "is silent")
-	r.now += w.backoff
-	if !r.healthy(&request{class: &r.s.Classes[0]}, w) {
+	r.setFailureScore(w, 1, "is silent")
+	r.now += w.ejectionBackoff
+	if !r.usable(&request{class: &r.settings.Classes[0]}, w) {
 		t.Fatal("never tried again while a job is stuck there")
 	}
 }
@@ -317,10 +317,10 @@
 	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: "w0", Kind: 7}}})
 	cut := func(class int) float64 {
 		r.now += time.Minute
-		before := r.perSlot
-		r.bad = 0.5
-		r.congested(&request{class: &r.s.Classes[class]}, r.now)
-		return 1 - r.perSlot/before
+		before := r.concurrencyPerWorker
+		r.badRatio = 0.5
+		r.cutCeilings(&request{class: &r.settings.Classes[class]}, r.now)
+		return 1 - r.concurrencyPerWorker/before
 	}
 	all, one := cut(0), cut(1)
 	if one <= 0 || one > all/9 {
@@ -334,25 +334,25 @@
 	id := r.arrive(0)
 	first := r.worker(id)
 	r.respond(id, 0, Saturated, time.Millisecond)
-	if r.perSlot != start || r.worker(id) == first {
-		t.Fatalf("ceiling %v, sent again to %v", r.perSlot, r.worker(id))
+	if r.concurrencyPerWorker != start || r.worker(id) == first {
+		t.Fatalf("ceiling %v, sent again to %v", r.concurrencyPerWorker, r.worker(id))
 	}
 	r.respond(id, 1, Saturated, time.Millisecond)
-	if r.perSlot >= start || r.bad == 0 {
+	if r.concurrencyPerWorker >= start || r.badRatio == 0 {
 		t.Fatal("a second failure is about the fleet")
 	}
 }
 
 func TestPickTakesTheLowerExpectedDelay(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
-	r.fleet[0].pace, r.fleet[1].pace = 2, 0.5
-	r.perSlot = 100
+	r.fleet[0].runTimeRatio, r.fleet[1].runTimeRatio = 2, 0.5
+	r.concurrencyPerWorker = 100
 	for range 3 {
 		if r.sentTo(0) != "w1" {
 			t.Fatal("the slower of two idle workers was taken")
 		}
 	}
-	r.fleet[1].out = 10
+	r.fleet[1].outstanding = 10
 	if r.sentTo(0) != "w0" {
 		t.Fatal("outstanding slots do not count")
 	}
@@ -364,11 +364,11 @@
 	s.CrossZoneCost = 0.05
 	r := newRig(t, s, 2)
 	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: "w1", Zone: 1}}})
-	r.fleet[0].pace, r.fleet[1].pace = 1, 0.9
+	r.fleet[0].runTimeRatio, r.fleet[1].runTimeRatio = 1, 0.9
 	if r.sentTo(0) != "w0" {
 		t.Fatal("crossed for little")
 	}
-	r.fleet[0].out = 5
+	r.fleet[0].outstanding = 5
 	if r.sentTo(0) != "w1" {
 		t.Fatal("own zone kept at any delay")
 	}
@@ -394,8 +394,8 @@
 		got := map[string]int{}
 		for seed := range uint64(20) {
 			r := newSeededRig(t, s, 2, seed+1)
-			r.meanWait = test.meanWait
-			r.fleet[0].others, r.fleet[0].othersAt = test.others, r.now-test.age
+			r.meanStartWait = test.meanWait
+			r.fleet[0].othersOutstanding, r.fleet[0].othersOutstandingAt = test.others, r.now-test.age
 			got[r.sentTo(0)]++
 		}
 		if test.want != "" && got[test.want] != 20 || test.want == "" && (got["w0"] < 3 || got["w1"] < 3) {
@@ -405,23 +405,23 @@
 	r := newRig(t, s, 2)
 	id := r.arrive(0)
 	r.at(r.now+time.Second, Event{Kind: AttemptStarted, Request: id, Worker: r.worker(id)})
-	if want := 2.0 / fewJobs; math.Abs(r.meanWait-want) > 1e-9 {
-		t.Errorf("after a first wait of a second the mean is %v, not %v", r.meanWait, want)
+	if want := 2.0 / minPricedJobs; math.Abs(r.meanStartWait-want) > 1e-9 {
+		t.Errorf("after a first wait of a second the mean is %v, not %v", r.meanStartWait, want)
 	}
 }
 
 func TestFewJobsPriceNothing(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
-	r.perSlot, r.perRate = 0.01, 0.01
-	for i := range 3 * fewJobs {
+	r.concurrencyPerWorker, r.workRatePerWorker = 0.01, 0.01
+	for i := range 3 * minPricedJobs {
 		r.arrive(0)
-		r.solve()
+		r.solvePrices()
 		// What has faded a little already does not count in full.
-		if priced := r.priceC+r.priceK > 0; priced && i < fewJobs-1 {
+		if priced := r.workPrice+r.slotPrice > 0; priced && i < minPricedJobs-1 {
 			t.Fatalf("priced from %d jobs", i+1)
 		}
 	}
-	if r.priceC+r.priceK == 0 {
+	if r.workPrice+r.slotPrice == 0 {
 		t.Fatal("scarcity is not priced")
 	}
 }
@@ -429,7 +429,7 @@
 // Jobs that wait, and clients' repeats, count once in the mix.
 func TestMixCountsFirstTriesOnce(t *testing.T) {
 	r := newRig(t, testSettings(), 1)
-	r.fleet[0].full = r.now + time.Hour
+	r.fleet[0].saturatedUntil = r.now + time.Hour
 	for range 5 {
 		r.arrive(0)
 	}
@@ -454,7 +454,7 @@
 	if len(bids) > 50 || math.Abs(n-jobs) > 1e-6 {
 		t.Fatalf("%v jobs in %d points, want %d jobs in a few dozen", n, len(bids), jobs)
 	}
-	r.now += 12 * r.horizon
+	r.now += 12 * r.planningHorizon
 	r.arrive(0)
 	if bids, _ := r.recentMix(); len(bids) != 1 {
 		t.Fatalf("%d points are left of a mix that has faded away", len(bids)-1)
@@ -465,12 +465,12 @@
 // was never taken.
 func TestPricesFallToZero(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
-	for range 2 * fewJobs {
+	for range 2 * minPricedJobs {
 		r.arrive(0)
 	}
-	r.perSlot, r.perRate = 1e6, 1e6
-	if r.solve(); r.priceC != 0 || r.priceK != 0 {
-		t.Fatalf("prices %v, %v with budgets to spare", r.priceC, r.priceK)
+	r.concurrencyPerWorker, r.workRatePerWorker = 1e6, 1e6
+	if r.solvePrices(); r.workPrice != 0 || r.slotPrice != 0 {
+		t.Fatalf("prices %v, %v with budgets to spare", r.workPrice, r.slotPrice)
 	}
 }
 
@@ -506,16 +506,16 @@
 	bad := r.worker(id)
 	w := r.workers[bad]
 	r.respond(id, 0, Failed, time.Millisecond)
-	if !w.suspect || w.pace != 0 {
-		t.Fatalf("suspect %v, pace %v", w.suspect, w.pace)
+	if !w.ejected || w.runTimeRatio != 0 {
+		t.Fatalf("suspect %v, pace %v", w.ejected, w.runTimeRatio)
 	}
 	for range 20 {
 		if r.sentTo(0) == bad {
 			t.Fatal("sent to a suspect at once")
 		}
 	}
-	r.now += w.backoff
-	r.perSlot, r.perRate, r.bucket = 100, 100, 1e6
+	r.now += w.ejectionBackoff
+	r.concurrencyPerWorker, r.workRatePerWorker, r.bucketTokens = 100, 100, 1e6
 	trials := 0
 	for range 40 {
 		r.arrive(0)
@@ -534,30 +534,30 @@
 // (ie64e29). While most are suspects, though, all leases count, lest ejecting them lift the ceiling.
 func TestLeasesOnSuspectsDoNotCount(t *testing.T) {
 	r := newRig(t, testSettings(), 3)
-	r.perSlot = (6 - leaseRoom) / 3
+	r.concurrencyPerWorker = (6 - concurrencyHeadroom) / 3
 	var stuck []uint64
 	for len(stuck) < 6 {
 		stuck = append(stuck, r.arrive(0))
 	}
 	suspect := r.fleet[0]
-	held := suspect.out
-	r.judge(suspect, 1, "is silent")
-	if r.inflight != 6 || held == 0 || r.held() != 6-held {
-		t.Fatalf("%v of 6 leases count though a suspect holds %v", r.held(), held)
+	held := suspect.outstanding
+	r.setFailureScore(suspect, 1, "is silent")
+	if r.inFlight != 6 || held == 0 || r.countedInFlight() != 6-held {
+		t.Fatalf("%v of 6 leases count though a suspect holds %v", r.countedInFlight(), held)
 	}
-	r.judge(r.fleet[1], 1, "is silent")
-	if r.held() != 6 || r.ready() != 3 || r.sentTo(0) != "" {
-		t.Fatalf("%v of 6 leases and %v of 3 workers count while most are suspects", r.held(), r.ready())
+	r.setFailureScore(r.fleet[1], 1, "is silent")
+	if r.countedInFlight() != 6 || r.readyWorkers() != 3 || r.sentTo(0) != "" {
+		t.Fatalf("%v of 6 leases and %v of 3 workers count while most are suspects", r.countedInFlight(), r.readyWorkers())
 	}
 	r.at(r.now, Event{Kind: ClientDisconnected, Request: r.next - 1})
-	r.judge(r.fleet[1], 0, "answers again")
+	r.setFailureScore(r.fleet[1], 0, "answers again")
 	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{
 		{Name: suspect.Name, State: Running, StartedAt: r.now}}})
 	for _, id := range stuck {
 		r.respond(id, 0, Completed, 0)
 	}
-	if r.inflight != 0 || r.stuck != 0 {
-		t.Fatalf("%v leases, %v of them stuck, after all have ended", r.inflight, r.stuck)
+	if r.inFlight != 0 || r.inFlightAtEjected != 0 {
+		t.Fatalf("%v leases, %v of them stuck, after all have ended", r.inFlight, r.inFlightAtEjected)
 	}
 }
 
@@ -565,9 +565,9 @@
 func TestMostSuspectsMeansNone(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	for _, w := range r.fleet[:3] {
-		r.judge(w, 1, "fails")
+		r.setFailureScore(w, 1, "fails")
 	}
-	r.fleet[3].full = r.now + time.Hour
+	r.fleet[3].saturatedUntil = r.now + time.Hour
 	if r.sentTo(0) == "" {
 		t.Fatal("nothing was sent though most look bad")
 	}
@@ -577,12 +577,12 @@
 // drains, and none at all while most look bad and all are used.
 func TestEjectedIsWhatIsAvoided(t *testing.T) {
 	r := newRig(t, testSettings(), 5)
-	r.perSlot, r.perRate, r.bucket = 1000, 1000, 1e6
+	r.concurrencyPerWorker, r.workRatePerWorker, r.bucketTokens = 1000, 1000, 1e6
 	bad := r.fleet[2]
 	if r.Ejected() != nil {
 		t.Fatalf("%v are ejected at the start", r.Ejected())
 	}
-	r.judge(bad, 1, "fails")
+	r.setFailureScore(bad, 1, "fails")
 	for range 30 {
 		id := r.arrive(0)
 		if r.worker(id) == bad.Name || len(r.Ejected()) != 1 || r.Ejected()[0] != bad.Name {
@@ -591,8 +591,8 @@
 		r.respond(id, 0, Completed, time.Millisecond)
 	}
 	trials := 0
-	for ; bad.suspect && trials < 5; trials++ {
-		r.now = max(r.now, bad.retryAt)
+	for ; bad.ejected && trials < 5; trials++ {
+		r.now = max(r.now, bad.trialAt)
 		trial := uint64(0)
 		for range 60 {
 			if id := r.arrive(0); r.worker(id) == bad.Name {
@@ -608,13 +608,13 @@
 		t.Fatalf("%v are ejected after %d trials that were served", r.Ejected(), trials)
 	}
 	for _, w := range r.fleet[:3] {
-		r.judge(w, 1, "fails")
+		r.setFailureScore(w, 1, "fails")
 	}
 	if r.Ejected() != nil {
 		t.Fatalf("%v are ejected while most look bad", r.Ejected())
 	}
-	r.judge(r.fleet[0], 0, "answers again")
-	r.judge(r.fleet[1], 0, "answers again")
+	r.setFailureScore(r.fleet[0], 0, "answers again")
+	r.setFailureScore(r.fleet[1], 0, "answers again")
 	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: bad.Name, State: Draining}}})
 	if r.Ejected() != nil {
 		t.Fatalf("%v are ejected, and drain", r.Ejected())
@@ -628,7 +628,7 @@
 		s := testSettings()
 		s.Peers = 1
 		r := newRig(t, s, 4)
-		r.perSlot, r.perRate, r.bucket = 1000, 1000, 1e6
+		r.concurrencyPerWorker, r.workRatePerWorker, r.bucketTokens = 1000, 1000, 1e6
 		for range 40 {
 			r.respond(r.arrive(0), 0, Completed, 10*time.Millisecond)
 		}
@@ -663,10 +663,10 @@
 	id := r.arrive(0)
 	w := r.workers[r.worker(id)]
 	for end := r.now + 4*time.Second; r.now < end && len(r.requests[id].attempts) < 2; {
-		r.at(r.now+r.beat, Event{Kind: TimerFired, Timer: beatTimer})
+		r.at(r.now+r.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
 	}
-	if !w.suspect || len(r.requests[id].attempts) != 2 {
-		t.Fatalf("suspect %v, %d attempts", w.suspect, len(r.requests[id].attempts))
+	if !w.ejected || len(r.requests[id].attempts) != 2 {
+		t.Fatalf("suspect %v, %d attempts", w.ejected, len(r.requests[id].attempts))
 	}
 }
 
@@ -685,10 +685,10 @@
 		}
 		r.at(r.now, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: entries})
 		refuse := func(w *worker) { // a job there whose connect fails
-			q := &request{id: r.next, class: &r.s.Classes[1], slots: 1, work: 1, deadline: r.now + time.Second}
+			q := &request{id: r.next, class: &r.settings.Classes[1], slots: 1, work: 1, deadline: r.now + time.Second}
 			r.next++
 			r.requests[q.id] = q
-			r.sent(q, w)
+			r.startAttempt(q, w)
 			for _, a := range r.at(r.now+s.ConnectTimeout, Event{Kind: AttemptEnded, Request: q.id, Worker: w.Name,
 				Outcome: ConnectionRefused, Answered: true}) {
 				told = append(told, a.Text)
@@ -705,21 +705,21 @@
 		}
 		darkZones := func() (n int) {
 			for z := range 3 {
-				if r.dark(zone(z)[3]) {
+				if r.zoneUnreachable(zone(z)[3]) {
 					n++
 				}
 			}
 			return n
 		}
 		refuse(zone(1)[0])
-		r.heardOf(zone(0)[0])
+		r.markSeen(zone(0)[0])
 		if darkZones() != 0 {
 			t.Fatal("one failed connect darkens a zone")
 		}
 		refuse(zone(1)[1])
-		r.heardOf(zone(0)[0])
+		r.markSeen(zone(0)[0])
 		said := slices.Contains(told, "zone russeifa looks lost: 2 connects failed in a row")
-		if darkZones() != 1 || !r.dark(zone(1)[3]) || !said {
+		if darkZones() != 1 || !r.zoneUnreachable(zone(1)[3]) || !said {
 			t.Fatalf("a zone of which two workers in a row cannot be reached is not lost: %q", told)
 		}
 		for range 6 {
@@ -733,12 +733,12 @@
 		}
 		refuse(zone(1)[2]) // the trial fails: the next one comes later
 		r.now += 4*s.ConnectTimeout + time.Millisecond
-		r.heardOf(zone(0)[0])
+		r.markSeen(zone(0)[0])
 		if darkZones() != 1 {
 			t.Fatal("trials do not become rarer")
 		}
 		id := r.arrive(0)
-		r.requests[id].attempts[0].w = zone(1)[3]
+		r.requests[id].attempts[0].worker = zone(1)[3]
 		note := r.at(r.now, Event{Kind: AttemptStarted, Request: id, Worker: zone(1)[3].Name})
 		if darkZones() != 0 || find(note, Log).Text != "zone russeifa is there again" {
 			t.Fatalf("a zone that was heard of is still lost: %+v", note)
@@ -750,7 +750,7 @@
 		if darkZones() != 0 {
 			t.Fatal("all zones are lost at once")
 		}
-		r.heardOf(zone(0)[0])
+		r.markSeen(zone(0)[0])
 		if darkZones() != 2 {
 			t.Fatal("one zone is back, the other two are not lost")
 		}
@@ -759,21 +759,21 @@
 		if darkZones() != 1 {
 			t.Fatal("a zone in which a worker started is still lost")
 		}
-		r.now += r.horizon
-		if r.dark(zone(2)[3]) {
+		r.now += r.planningHorizon
+		if r.zoneUnreachable(zone(2)[3]) {
 			t.Fatal("no trial is due after a horizon")
 		}
-		r.heardOf(zone(0)[0])
-		r.sent(&request{class: &r.s.Classes[0], slots: 1, work: 1}, zone(2)[0])
-		if !r.dark(zone(2)[3]) {
+		r.markSeen(zone(0)[0])
+		r.startAttempt(&request{class: &r.settings.Classes[0], slots: 1, work: 1}, zone(2)[0])
+		if !r.zoneUnreachable(zone(2)[3]) {
 			t.Fatal("two trials at once")
 		}
 		// A job that runs there and may be repeated is not waited for: silence is told after two seconds only.
-		q := &request{id: r.next, class: &r.s.Classes[0], slots: 1, work: 1, cost: 1, aim: r.now + 5*time.Second}
-		r.sent(q, zone(2)[3])
-		r.started(q.class, &q.attempts[0])
-		r.now += 2 * r.beat
-		if r.watch(q, &q.attempts[0]); len(q.attempts) != 2 {
+		q := &request{id: r.next, class: &r.settings.Classes[0], slots: 1, work: 1, cost: 1, objective: r.now + 5*time.Second}
+		r.startAttempt(q, zone(2)[3])
+		r.recordStart(q.class, &q.attempts[0])
+		r.now += 2 * r.sweepInterval
+		if r.superviseAttempt(q, &q.attempts[0]); len(q.attempts) != 2 {
 			t.Fatalf("a job in a lost zone has %d attempts", len(q.attempts))
 		}
 	}
@@ -785,7 +785,7 @@
 	r := newRig(t, testSettings(), 3)
 	lost := r.worker(r.arrive(0))
 	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListFailed})
-	r.at(r.now+3*time.Second, Event{Kind: TimerFired, Timer: beatTimer})
+	r.at(r.now+3*time.Second, Event{Kind: TimerFired, Timer: sweepTimer})
 	for range 20 {
 		id := r.arrive(0)
 		if r.worker(id) == lost {
@@ -794,7 +794,7 @@
 		r.respond(id, 0, Completed, time.Millisecond)
 	}
 	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: []Endpoint{{Name: lost}}})
-	if w := r.workers[lost]; !w.suspect || len(r.fleet) != 1 {
+	if w := r.workers[lost]; !w.ejected || len(r.fleet) != 1 {
 		t.Fatal("the list cleared a silent worker that has not started anew")
 	}
 }
@@ -825,16 +825,16 @@
 		}
 		probes := 0
 		for end := r.now + 1900*time.Millisecond; r.now < end; {
-			r.at(r.now+r.beat, Event{Kind: TimerFired, Timer: beatTimer})
+			r.at(r.now+r.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
 			if find(r.actions, CheckHealth) != nil {
 				probes++
 				r.at(r.now, Event{Kind: HealthChecked, Worker: w.Name, Outcome: Completed,
 					Load: LoadReport{Backlog: float64(test.backlog), HasBacklog: true}})
 			}
-			w.heard = r.now // by another connection
+			w.lastSeen = r.now // by another connection
 		}
-		if n := len(r.requests[id].attempts); n != test.want || w.suspect {
-			t.Errorf("%s: %d attempts, want %d; suspect %v", name, n, test.want, w.suspect)
+		if n := len(r.requests[id].attempts); n != test.want || w.ejected {
+			t.Errorf("%s: %d attempts, want %d; suspect %v", name, n, test.want, w.ejected)
 		}
 		if test.started != (probes == 0) || probes > 3 {
 			t.Errorf("%s: %d probes", name, probes)
@@ -846,8 +846,8 @@
 		for n := range r.requests[id].attempts {
 			r.respond(id, n, Cancelled, 0)
 		}
-		if w.unstarted != 0 || w.out != 0 || r.inflight != 0 {
-			t.Errorf("%s: in the end %d starts are waited for, %v slots out, %v leased", name, w.unstarted, w.out, r.inflight)
+		if w.unstarted != 0 || w.outstanding != 0 || r.inFlight != 0 {
+			t.Errorf("%s: in the end %d starts are waited for, %v slots out, %v leased", name, w.unstarted, w.outstanding, r.inFlight)
 		}
 	}
 }
@@ -861,10 +861,10 @@
 	id := r.arrive(0)
 	w := r.workers[r.worker(id)]
 	for range 30 {
-		r.at(r.now+r.beat, Event{Kind: TimerFired, Timer: beatTimer})
+		r.at(r.now+r.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
 	}
-	if w.suspect || len(r.requests[id].attempts) != 1 {
-		t.Fatalf("suspect %v, %d attempts for a job that waits in a queue", w.suspect, len(r.requests[id].attempts))
+	if w.ejected || len(r.requests[id].attempts) != 1 {
+		t.Fatalf("suspect %v, %d attempts for a job that waits in a queue", w.ejected, len(r.requests[id].attempts))
 	}
 	if next := r.arrive(0); r.worker(next) == w.Name {
 		t.Fatal("more work behind a job that has not started")
@@ -889,16 +889,16 @@
 	wait := func(class int) (*rig, uint64) {
 		r := newRig(t, s, 4)
 		id := r.arrive(class)
-		r.at(r.now+r.beat, Event{Kind: TimerFired, Timer: beatTimer})
+		r.at(r.now+r.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
 		return r, id
 	}
 	start := func(r *rig, id uint64, n int) {
-		r.at(r.now+time.Millisecond, Event{Kind: AttemptStarted, Request: id, Attempt: n, Worker: r.requests[id].attempts[n].w.Name})
+		r.at(r.now+time.Millisecond, Event{Kind: AttemptStarted, Request: id, Attempt: n, Worker: r.requests[id].attempts[n].worker.Name})
 	}
 	for first := range 2 {
 		r, id := wait(0)
 		q := r.requests[id]
-		if len(q.attempts) != 2 || q.attempts[0].w == q.attempts[1].w {
+		if len(q.attempts) != 2 || q.attempts[0].worker == q.attempts[1].worker {
 			t.Fatalf("%d attempts for a job that waits", len(q.attempts))
 		}
 		start(r, id, first)
@@ -906,12 +906,12 @@
 			t.Fatalf("attempt %d starts first: called off: %v", first, got)
 		}
 		r.respond(id, 1-first, Cancelled, 0)
-		if w := q.attempts[1-first].w; w.unstarted != 0 || w.sent.get(r.now, r.horizon) > 1e-3 {
-			t.Errorf("a copy that never started is still booked: %d, %v", w.unstarted, w.sent)
+		if w := q.attempts[1-first].worker; w.unstarted != 0 || w.recentWork.get(r.now, r.planningHorizon) > 1e-3 {
+			t.Errorf("a copy that never started is still booked: %d, %v", w.unstarted, w.recentWork)
 		}
 	}
 	r, id := wait(0)
-	r.requests[id].attempts[0].started = r.now
+	r.requests[id].attempts[0].startedAt = r.now
 	start(r, id, 1)
 	if got := stopped(r); len(got) != 1 || got[0] != 1 {
 		t.Errorf("the later start is not called off: %v", got)
@@ -922,7 +922,7 @@
 	r = newRig(t, s, 4)
 	id = r.arrive(0)
 	r.requests[id].late = true
-	r.at(r.now+r.beat, Event{Kind: TimerFired, Timer: beatTimer})
+	r.at(r.now+r.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
 	if len(r.requests[id].attempts) != 1 {
 		t.Error("a copy of a job that is late")
 	}
@@ -951,24 +951,24 @@
 		}
 		var refused, stopped bool
 		for beat := range 20 {
-			if r.bad = 0; beat >= test.from {
-				r.bad = test.bad
+			if r.badRatio = 0; beat >= test.from {
+				r.badRatio = test.bad
 			}
 			if beat == 16 && test.from > 0 && !r.requests[id].late {
 				t.Fatal("it is not late yet")
 			}
-			r.at(r.now+r.beat, Event{Kind: TimerFired, Timer: beatTimer})
+			r.at(r.now+r.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
 			refused = refused || find(r.actions, Reject) != nil
 			stopped = stopped || find(r.actions, CancelAttempt) != nil
 		}
 		if refused != test.away || stopped != test.away {
 			t.Errorf("%s: refused %v, called off %v, want %v", name, refused, stopped, test.away)
 		}
-		r.bad = test.bad
+		r.badRatio = test.bad
 		const full = 5 * time.Second
-		r.fullLeft[0] = full
+		r.maxTimeLeft[0] = full
 		r.at(r.now, Event{Kind: RequestArrived, Request: 1 << 40, Class: 0, Work: 100 * time.Millisecond, TimeLeft: full / 2})
-		if again := find(r.actions, Reject) != nil; again != (test.bad > crowded) {
+		if again := find(r.actions, Reject) != nil; again != (test.bad > overloadBadRatio) {
 			t.Errorf("%s: a repeat that comes too late: refused %v", name, again)
 		}
 	}
@@ -980,35 +980,35 @@
 	s := testSettings()
 	s.Peers = 300
 	for seed := range uint64(10) {
-		r := newSeededRig(t, s, 4*mostDraws, seed)
+		r := newSeededRig(t, s, 4*maxWarmDraws, seed)
 		for _, w := range r.fleet[1:] { // the first stays warm: what the others may get is measured by it
-			w.StartedAt, w.coldAt, w.cold = r.now, r.now, -1
-			w.sent.add(r.now, r.horizon, 0)
-			r.fresh = append(r.fresh, w)
+			w.StartedAt, w.slowStartBudgetAt, w.slowStartBudget = r.now, r.now, -1
+			w.recentWork.add(r.now, r.planningHorizon, 0)
+			r.warmingUp = append(r.warmingUp, w)
 		}
-		r.fleet[0].sent.add(r.now, r.horizon, 100)
-		r.sharesAt = 0
+		r.fleet[0].recentWork.add(r.now, r.planningHorizon, 100)
+		r.warmWorkRatesAt = 0
 		room := r.fleet[len(r.fleet)-1]
-		room.cold = 100
-		q := &request{class: &r.s.Classes[0], slots: 1, work: 1, mean: 1, cost: 1, aim: r.now + time.Minute}
-		if w := r.lower(q, r.fresh, inFresh); w != room {
-			t.Fatalf("seed %d: the one cold worker of %d that has room is not found: %v", seed, len(r.fresh), w)
+		room.slowStartBudget = 100
+		q := &request{class: &r.settings.Classes[0], slots: 1, work: 1, classMeanWork: 1, cost: 1, objective: r.now + time.Minute}
+		if w := r.pickFrom(q, r.warmingUp, inWarmingUp); w != room {
+			t.Fatalf("seed %d: the one cold worker of %d that has room is not found: %v", seed, len(r.warmingUp), w)
 		}
-		for _, w := range r.pool {
-			w.full = r.now + time.Second
+		for _, w := range r.warmWorkers {
+			w.saturatedUntil = r.now + time.Second
 		}
-		first := slices.Clone(r.pool)
+		first := slices.Clone(r.warmWorkers)
 		for _, w := range r.fleet[1:] {
 			w.StartedAt = 0
 		}
-		r.lower(q, r.pool, inPool)
+		r.pickFrom(q, r.warmWorkers, inWarmWorkers)
 		moved := 0
-		for i := mostDraws; i < len(first); i++ {
-			if r.pool[i] != first[i] {
+		for i := maxWarmDraws; i < len(first); i++ {
+			if r.warmWorkers[i] != first[i] {
 				moved++
 			}
 		}
-		if moved > mostDraws {
+		if moved > maxWarmDraws {
 			t.Fatalf("%d warm ones were drawn in vain", moved)
 		}
 	}
@@ -1024,19 +1024,19 @@
 		r := newRig(t, s, 2)
 		w := r.workers["w0"]
 		warm := r.workers["w1"]
-		warm.sent.add(r.now, r.horizon, 2)
-		w.StartedAt, w.coldAt, w.cold, r.sharesAt = r.now, r.now, 0, 0
-		w.sent.add(r.now, r.horizon, 0)
+		warm.recentWork.add(r.now, r.planningHorizon, 2)
+		w.StartedAt, w.slowStartBudgetAt, w.slowStartBudget, r.warmWorkRatesAt = r.now, r.now, 0, 0
+		w.recentWork.add(r.now, r.planningHorizon, 0)
 		r.now += s.OverloadWindow * 3
-		share, warmth := r.warmShare(0), r.warmth(w)
-		r.coldRoom(&request{class: &r.s.Classes[0], slots: 1, work: test.work, cost: test.work, mean: 1e-7}, w)
+		share, warmth := r.warmWorkRate(0), r.capacityFraction(w)
+		r.withinSlowStartBudget(&request{class: &r.settings.Classes[0], slots: 1, work: test.work, cost: test.work, classMeanWork: 1e-7}, w)
 		most := s.OverloadMultiple * warmth * share * s.OverloadWindow.Seconds()
-		if got := w.cold / most / coldSafety; math.Abs(got-test.windows) > 0.01 {
+		if got := w.slowStartBudget / most / slowStartSafety; math.Abs(got-test.windows) > 0.01 {
 			t.Errorf("jobs of %g s: the budget of %.2f windows is saved", test.work, got)
 		}
 	}
-	if 2*coldSafety > 0.8 {
-		t.Errorf("few dispatchers may send %.2f of the rule's budget in a window", 2*coldSafety)
+	if 2*slowStartSafety > 0.8 {
+		t.Errorf("few dispatchers may send %.2f of the rule's budget in a window", 2*slowStartSafety)
 	}
 }
 
@@ -1046,13 +1046,13 @@
 	for seed := range uint64(20) {
 		r := newSeededRig(t, testSettings(), 6, seed+1)
 		for i, w := range r.fleet {
-			w.StartedAt, w.coldAt, w.cold, w.out = r.now, r.now, 0.06, float64(i)
-			w.sent.add(r.now, r.horizon, 0)
+			w.StartedAt, w.slowStartBudgetAt, w.slowStartBudget, w.outstanding = r.now, r.now, 0.06, float64(i)
+			w.recentWork.add(r.now, r.planningHorizon, 0)
 		}
-		r.fresh = append(r.fresh[:0], r.fleet...)
-		r.shares, r.sharesAt = map[int]float64{0: 0.1}, r.now
-		job := &request{class: &r.s.Classes[0], slots: 1, work: 0.05, cost: 0.05, mean: 0.05, aim: r.now + time.Second}
-		if picked := r.lower(job, r.fresh, inFresh); picked != r.fresh[0] {
+		r.warmingUp = append(r.warmingUp[:0], r.fleet...)
+		r.warmWorkRates, r.warmWorkRatesAt = map[int]float64{0: 0.1}, r.now
+		job := &request{class: &r.settings.Classes[0], slots: 1, work: 0.05, cost: 0.05, classMeanWork: 0.05, objective: r.now + time.Second}
+		if picked := r.pickFrom(job, r.warmingUp, inWarmingUp); picked != r.warmingUp[0] {
 			t.Fatalf("seed %d: the first that had room was passed over", seed)
 		}
 	}
@@ -1080,12 +1080,12 @@
 	}{{0.9, true}, {1.1, false}} {
 		r := newRig(t, s, 2)
 		w := r.fleet[0]
-		r.fleet[1].sent.add(r.now, r.horizon, r.horizon.Seconds()) // a slot-second a second from this one alone
-		job := &request{class: &r.s.Classes[0], slots: 1, work: test.work, cost: test.work, mean: 0.5}
+		r.fleet[1].recentWork.add(r.now, r.planningHorizon, r.planningHorizon.Seconds()) // a slot-second a second from this one alone
+		job := &request{class: &r.settings.Classes[0], slots: 1, work: test.work, cost: test.work, classMeanWork: 0.5}
 		taken := false
 		for range 1000 {
-			w.StartedAt, w.coldAt, w.cold, r.sharesAt = r.now, r.now, 0.1, 0
-			taken = taken || r.coldRoom(job, w)
+			w.StartedAt, w.slowStartBudgetAt, w.slowStartBudget, r.warmWorkRatesAt = r.now, r.now, 0.1, 0
+			taken = taken || r.withinSlowStartBudget(job, w)
 		}
 		if taken != test.want {
 			t.Errorf("a job of %.1f s where the mean is 0.5: taken %v", test.work, taken)
@@ -1099,12 +1099,12 @@
 	id := r.arrive(1)
 	bad := r.workers[r.worker(id)]
 	r.respond(id, 0, Failed, time.Millisecond)
-	q := &request{class: &r.s.Classes[1]}
-	if r.healthy(q, bad) {
+	q := &request{class: &r.settings.Classes[1]}
+	if r.usable(q, bad) {
 		t.Fatal("fragile work trusted to a worker that has just failed")
 	}
-	r.now += 3 * r.horizon
-	if !r.healthy(q, bad) {
+	r.now += 3 * r.planningHorizon
+	if !r.usable(q, bad) {
 		t.Fatal("ejected for good")
 	}
 }
@@ -1129,7 +1129,7 @@
 	s := testSettings()
 	s.Classes[1] = Class{PriorityWeight: 9, LatencyObjective: 5 * time.Second, Deadline: 5 * time.Second, Kinds: []int{7}}
 	r := newRig(t, s, 2)
-	for range 5 * passOver {
+	for range 5 * maxQueueSkips {
 		if r.sentTo(1) != "" {
 			t.Fatal("there is no worker of that kind")
 		}
@@ -1152,14 +1152,14 @@
 
 func TestWaitingJobIsRefusedBeforeItsAimWhenScarce(t *testing.T) {
 	r := newRig(t, testSettings(), 1)
-	r.fleet[0].full = r.now + time.Hour
+	r.fleet[0].saturatedUntil = r.now + time.Hour
 	id := r.arrive(0)
-	aim := r.requests[id].aim
-	r.priceC, r.solveAt = 0.1, r.now+time.Hour
+	aim := r.requests[id].objective
+	r.workPrice, r.nextPricingAt = 0.1, r.now+time.Hour
 	for r.requests[id] != nil && r.now < aim+time.Second {
-		r.at(r.now+r.beat, Event{Kind: TimerFired, Timer: beatTimer})
+		r.at(r.now+r.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
 	}
-	if a := find(r.actions, Reject); a == nil || r.now >= aim || a.Delay <= 0 || a.Delay > r.s.MaxRetryAfter {
+	if a := find(r.actions, Reject); a == nil || r.now >= aim || a.Delay <= 0 || a.Delay > r.settings.MaxRetryAfter {
 		t.Fatalf("at %v of %v: %v", r.now, aim, r.actions)
 	}
 }
@@ -1167,14 +1167,14 @@
 // At full ceilings and prices of zero, late jobs stayed in the queue and made fresh ones late (i1e0ef8).
 func TestLapsedJobIsRefusedWhileNoLeaseIsFree(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
-	r.perSlot = (2 - leaseRoom) / 2
+	r.concurrencyPerWorker = (2 - concurrencyHeadroom) / 2
 	r.arrive(0)
 	r.arrive(0)
 	waits := r.requests[r.arrive(0)]
-	if !waits.queued || r.priceC+r.priceK > 0 {
+	if !waits.queued || r.workPrice+r.slotPrice > 0 {
 		t.Fatal("the third job should wait, unpriced")
 	}
-	r.at(waits.aim-seconds(waits.work), Event{Kind: TimerFired, Timer: beatTimer})
+	r.at(waits.objective-seconds(waits.work), Event{Kind: TimerFired, Timer: sweepTimer})
 	if !waits.ended || find(r.actions, Reject) == nil {
 		t.Fatal("a job that can hardly be in time waits on, though no lease is free")
 	}
@@ -1183,9 +1183,9 @@
 // A job that lapses while it waits is worth less and must fall behind those still in time.
 func TestLapsedJobFallsBack(t *testing.T) {
 	r := newRig(t, testSettings(), 1)
-	r.fleet[0].full = r.now + time.Hour
+	r.fleet[0].saturatedUntil = r.now + time.Hour
 	high := r.arrive(1)
-	r.lapse(r.requests[high])
+	r.markLate(r.requests[high])
 	r.requests[high].value /= 10
 	low := r.arrive(0)
 	r.sweep()
@@ -1227,7 +1227,7 @@
 	if last < s.ListPollInterval/4 {
 		t.Fatalf("still asking every %v after eight failures", last)
 	}
-	if r.at(r.now, Event{Kind: TimerFired, Timer: listTimer}); find(r.actions, Subscribe) == nil {
+	if r.at(r.now, Event{Kind: TimerFired, Timer: subscribeTimer}); find(r.actions, Subscribe) == nil {
 		t.Fatal("not asked again")
 	}
 	if r.sentTo(0) != "w0" {
@@ -1261,7 +1261,7 @@
 func TestHerdCallsAreSpread(t *testing.T) {
 	const peers, service, patience = 36, time.Second / 7, 2 * time.Second
 	s := testSettings()
-	s.ListBySubscription, s.Peers = true, herdFrom
+	s.ListBySubscription, s.Peers = true, largeFleetThreshold
 	if r := newRig(t, s, 1); find(r.actions, Subscribe) == nil || find(r.actions, SetTimer) != nil {
 		t.Fatalf("few dispatchers do not call at once: %v", r.actions)
 	}
@@ -1384,10 +1384,10 @@
 			if int(now/tick)%10 == i { // ten jobs a second each: far more than there is room for
 				r.next++
 				handle(r, Event{Kind: RequestArrived, Request: r.next, Slots: 1, TimeLeft: 5 * time.Second,
-					Work: time.Duration(300+r.rng.IntN(2000)) * time.Millisecond})
+					Work: time.Duration(300+r.random.IntN(2000)) * time.Millisecond})
 			}
-			if r.beating && int(now/tick)%10 == 0 {
-				handle(r, Event{Kind: TimerFired, Timer: beatTimer})
+			if r.sweepScheduled && int(now/tick)%10 == 0 {
+				handle(r, Event{Kind: TimerFired, Timer: sweepTimer})
 			}
 		}
 	}
@@ -1425,21 +1425,21 @@
 func TestColdJobsKeepAnEvenPace(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	w, warm := r.fleet[0], r.fleet[1]
-	job := &request{class: &r.s.Classes[0], slots: 1, work: 1, cost: 1}
-	w.StartedAt, w.coldAt, r.sharesAt = r.now, r.now, 0
+	job := &request{class: &r.settings.Classes[0], slots: 1, work: 1, cost: 1}
+	w.StartedAt, w.slowStartBudgetAt, r.warmWorkRatesAt = r.now, r.now, 0
 	sent, last := 0, time.Duration(0)
-	for end := r.now + r.s.SlowStartDuration/2; r.now < end; r.Machine.now += 10 * time.Millisecond {
-		warm.sent = fading{4 * r.horizon.Seconds(), r.now} // four slot-seconds a second
-		if !r.coldRoom(job, w) {
+	for end := r.now + r.settings.SlowStartDuration/2; r.now < end; r.Machine.now += 10 * time.Millisecond {
+		warm.recentWork = decayingValue{4 * r.planningHorizon.Seconds(), r.now} // four slot-seconds a second
+		if !r.withinSlowStartBudget(job, w) {
 			continue
 		}
-		rate := coldSafety * r.s.OverloadMultiple * r.warmth(w) * r.warmShare(0)
+		rate := slowStartSafety * r.settings.OverloadMultiple * r.capacityFraction(w) * r.warmWorkRate(0)
 		if gap := (r.now - last).Seconds(); sent > 1 && (gap < 0.9/rate || gap > 1.2/rate+0.02) {
 			t.Fatalf("%.2f s between two jobs, the budget pays for one in %.2f s", gap, 1/rate)
 		}
 		sent, last = sent+1, r.now
-		w.sent.add(r.now, r.horizon, 1e-9) // the first has gone
-		w.cold -= job.cost
+		w.recentWork.add(r.now, r.planningHorizon, 1e-9) // the first has gone
+		w.slowStartBudget -= job.cost
 	}
 	if sent < 4 {
 		t.Fatalf("%d jobs were sent", sent)
@@ -1454,17 +1454,17 @@
 	r := newRig(t, s, 2)
 	w := r.fleet[0]
 	for _, x := range r.fleet {
-		x.sent.add(r.now, r.horizon, 0.04*r.horizon.Seconds())
+		x.recentWork.add(r.now, r.planningHorizon, 0.04*r.planningHorizon.Seconds())
 	}
-	job := &request{class: &r.s.Classes[0], slots: 1, work: 0.5, cost: 0.5, mean: 0.5}
-	w.StartedAt, r.sharesAt = r.now-r.s.SlowStartDuration/2, 0
+	job := &request{class: &r.settings.Classes[0], slots: 1, work: 0.5, cost: 0.5, classMeanWork: 0.5}
+	w.StartedAt, r.warmWorkRatesAt = r.now-r.settings.SlowStartDuration/2, 0
 	taken := 0
 	const tries = 1000
 	for range tries {
-		w.coldAt, w.cold = r.now, 0.01
-		if r.coldRoom(job, w) {
+		w.slowStartBudgetAt, w.slowStartBudget = r.now, 0.01
+		if r.withinSlowStartBudget(job, w) {
 			taken++
-		} else if w.cold != 0 {
+		} else if w.slowStartBudget != 0 {
 			t.Fatal("what was staked is still there")
 		}
 	}
@@ -1529,7 +1529,7 @@
 			next++
 			r.next++
 			handle(r, Event{Kind: RequestArrived, Request: r.next, Slots: 1, TimeLeft: 5 * time.Second,
-				Work: time.Duration(100+r.rng.IntN(500)) * time.Millisecond})
+				Work: time.Duration(100+r.random.IntN(500)) * time.Millisecond})
 		}
 		ended := out
 		out = nil
@@ -1542,8 +1542,8 @@
 			}
 		}
 		for _, r := range rigs {
-			if r.beating && int(now/tick)%10 == 0 {
-				handle(r, Event{Kind: TimerFired, Timer: beatTimer})
+			if r.sweepScheduled && int(now/tick)%10 == 0 {
+				handle(r, Event{Kind: TimerFired, Timer: sweepTimer})
 			}
 		}
 	}
@@ -1561,19 +1561,19 @@
 // the dispatcher's share of CPU.
 func TestPickDrawsAreBounded(t *testing.T) {
 	r := newRig(t, testSettings(), 300)
-	r.perSlot, r.perRate, r.bucket = 100, 100, 1e6
+	r.concurrencyPerWorker, r.workRatePerWorker, r.bucketTokens = 100, 100, 1e6
 	for _, w := range r.fleet {
-		w.full = r.now + time.Hour
+		w.saturatedUntil = r.now + time.Hour
 	}
 	r.arrive(0)
-	before, moved := slices.Clone(r.pool), 0
-	r.lower(r.queue[0], r.pool, inPool)
-	for i, w := range r.pool {
+	before, moved := slices.Clone(r.warmWorkers), 0
+	r.pickFrom(r.queue[0], r.warmWorkers, inWarmWorkers)
+	for i, w := range r.warmWorkers {
 		if w != before[i] {
 			moved++
 		}
 	}
-	if moved > 2*mostDraws {
+	if moved > 2*maxWarmDraws {
 		t.Fatalf("%d workers were moved for one pick", moved)
 	}
 }
@@ -1588,20 +1588,20 @@
 		used[r.worker(id)] = true
 		r.respond(id, 0, Completed, 10*time.Millisecond)
 	}
-	if len(used) > 2*leastOwn {
+	if len(used) > 2*minSubsetSize {
 		t.Fatalf("100 jobs, one at a time, went to %d workers", len(used))
 	}
-	for _, w := range r.pool[:r.own] {
-		w.full = r.now + time.Hour
+	for _, w := range r.warmWorkers[:r.subsetSize] {
+		w.saturatedUntil = r.now + time.Hour
 	}
 	if w := r.sentTo(0); w == "" || used[w] {
 		t.Fatalf("with its own set full, a job went to %q", w)
 	}
-	before := slices.Clone(r.pool)
+	before := slices.Clone(r.warmWorkers)
 	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: "new"}}})
 	moved := 0
 	for i, w := range before {
-		if r.pool[i] != w {
+		if r.warmWorkers[i] != w {
 			moved++
 		}
 	}
@@ -1614,7 +1614,7 @@
 func TestOwnSetsDiffer(t *testing.T) {
 	var heads []string
 	for seed := range uint64(8) {
-		heads = append(heads, newSeededRig(t, testSettings(), 100, seed).pool[0].Name)
+		heads = append(heads, newSeededRig(t, testSettings(), 100, seed).warmWorkers[0].Name)
 	}
 	slices.Sort(heads)
 	if len(slices.Compact(heads)) < 5 {
@@ -1625,7 +1625,7 @@
 // What others have outstanding at a worker delays a job there as much as own jobs do.
 func TestOthersOutstandingCounts(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
-	r.perSlot = 100
+	r.concurrencyPerWorker = 100
 	r.at(r.now, Event{Kind: HealthChecked, Worker: "w0", Load: LoadReport{Outstanding: 5, HasOutstanding: true}})
 	for range 3 {
 		if r.sentTo(0) != "w1" {
@@ -1664,19 +1664,19 @@
 		r.at(r.now, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: list})
 		near := 0
 		for _, w := range r.fleet {
-			if w.Zone == r.s.Zone {
+			if w.Zone == r.settings.Zone {
 				near++
 			}
 		}
-		if len(r.fleet) != 4000 || len(r.pool) != 4000 || len(r.near) != near || len(r.workers) != 4000 {
-			t.Fatalf("%d workers, %d to draw, %d of %d near", len(r.fleet), len(r.pool), len(r.near), near)
+		if len(r.fleet) != 4000 || len(r.warmWorkers) != 4000 || len(r.localWarmWorkers) != near || len(r.workers) != 4000 {
+			t.Fatalf("%d workers, %d to draw, %d of %d near", len(r.fleet), len(r.warmWorkers), len(r.localWarmWorkers), near)
 		}
 	}
 	if r.sentTo(0) == "" {
 		t.Fatal("nothing is sent to a fleet of 4000")
 	}
 	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListSnapshot})
-	if r.sentTo(0) != "" || len(r.pool)+len(r.near)+r.running+len(r.open) != 0 {
+	if r.sentTo(0) != "" || len(r.warmWorkers)+len(r.localWarmWorkers)+r.runningCount+len(r.eligible) != 0 {
 		t.Fatal("an empty list leaves workers behind")
 	}
 	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: list[:1]})
@@ -1705,11 +1705,11 @@
 func TestRestartForgets(t *testing.T) {
 	r := newRig(t, testSettings(), 3)
 	w := r.fleet[0]
-	r.judge(w, 1, "fails")
-	w.pace = 9
+	r.setFailureScore(w, 1, "fails")
+	w.runTimeRatio = 9
 	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta,
 		Endpoints: []Endpoint{{Name: "w0", State: Running, StartedAt: r.now - 20*time.Second}}})
-	if w.suspect || w.pace != 0 {
+	if w.ejected || w.runTimeRatio != 0 {
 		t.Fatal("the old process is remembered")
 	}
 }
@@ -1732,9 +1732,9 @@
 	if find(r.actions, Fail) == nil {
 		t.Fatal("an unknown class is not answered")
 	}
-	r.solve()
-	if !(r.priceC >= 0 && r.priceK >= 0) || math.IsInf(r.priceC+r.priceK, 0) {
-		t.Fatalf("prices %v, %v", r.priceC, r.priceK)
+	r.solvePrices()
+	if !(r.workPrice >= 0 && r.slotPrice >= 0) || math.IsInf(r.workPrice+r.slotPrice, 0) {
+		t.Fatalf("prices %v, %v", r.workPrice, r.slotPrice)
 	}
 }
 
@@ -1749,7 +1749,7 @@
 			if q := r.requests[id]; q != nil {
 				r.at(r.now, Event{Kind: ClientDisconnected, Request: id})
 				for n := range q.attempts {
-					if !q.attempts[n].done {
+					if !q.attempts[n].ended {
 						r.respond(id, n, Cancelled, time.Millisecond)
 					}
 				}
@@ -1758,16 +1758,16 @@
 			r.at(r.now, Event{Kind: ClientDisconnected, Request: id})
 		}
 		if i%50 == 0 {
-			r.at(r.now, Event{Kind: TimerFired, Timer: beatTimer})
+			r.at(r.now, Event{Kind: TimerFired, Timer: sweepTimer})
 			name := fmt.Sprintf("w%d", i/50%6)
 			r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: name, State: Removed}}})
 			r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta,
 				Endpoints: []Endpoint{{Name: fmt.Sprintf("w%d", i/50%6), State: Running}}})
 		}
 	}
-	r.at(r.now, Event{Kind: TimerFired, Timer: beatTimer})
-	if n := len(r.requests) + len(r.live) + len(r.queue); n != 0 || r.inflight != 0 || r.stuck != 0 {
-		t.Fatalf("%d requests and %v slots held", n, r.inflight)
+	r.at(r.now, Event{Kind: TimerFired, Timer: sweepTimer})
+	if n := len(r.requests) + len(r.unanswered) + len(r.queue); n != 0 || r.inFlight != 0 || r.inFlightAtEjected != 0 {
+		t.Fatalf("%d requests and %v slots held", n, r.inFlight)
 	}
 	if len(r.workers) != 6 || len(r.fleet) != 6 || len(r.mix) > 100 {
 		t.Fatalf("%d workers, %d in the fleet, %d points", len(r.workers), len(r.fleet), len(r.mix))
@@ -1809,11 +1809,11 @@
 // Rough hints: a hundred jobs picked for their small hints were twelve times larger than those said, and pushed a
 // cold worker over (hcf25ac): 0.8 s by their hints, where it could do 7 in the window. They are charged more.
 func TestSmallHintsDoNotFloodAColdWorker(t *testing.T) {
-	small := &request{slots: 1, work: 0.008, cost: 0.008, mean: 0.14}
-	if c := small.charge(); c < 0.03 {
+	small := &request{slots: 1, work: 0.008, cost: 0.008, classMeanWork: 0.14}
+	if c := small.slowStartCost(); c < 0.03 {
 		t.Fatalf("a job that ran for 40 ms and more is charged %v s", c)
 	}
-	if large := (&request{slots: 2, work: 0.2, cost: 0.4, mean: 0.14}); large.charge() != large.cost {
+	if large := (&request{slots: 2, work: 0.2, cost: 0.4, classMeanWork: 0.14}); large.slowStartCost() != large.cost {
 		t.Fatal("a large hint is taken as it is")
 	}
 }
@@ -1835,7 +1835,7 @@
 	}
 	for _, w := range r.ring {
 		if homes[w.Name] {
-			w.full = r.now + time.Hour
+			w.saturatedUntil = r.now + time.Hour
 		}
 	}
 	if w := keyed(); w == "" || homes[w] {
@@ -1865,13 +1865,13 @@
 	first := r.arrive(1)
 	r.respond(first, 0, Completed, 100*time.Millisecond)
 	r.now += 6 * time.Second
-	r.lostAt = r.now    // one was lost before: a single one may have another cause
+	r.connectionLostAt = r.now    // one was lost before: a single one may have another cause
 	lost := r.arrive(1) // sent on the connection that was unused for 6 s
 	if find(r.actions, CloseIdle) != nil {
 		t.Fatal("connections closed without a reason")
 	}
 	for range 40 {
-		r.at(r.now+r.beat, Event{Kind: TimerFired, Timer: beatTimer})
+		r.at(r.now+r.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
 	}
 	next := r.arrive(1)
 	if r.worker(next) == "" {
@@ -1881,8 +1881,8 @@
 	if find(r.actions, Fail) == nil || find(r.actions, CancelAttempt) == nil || !r.requests[lost].ended {
 		t.Fatalf("a lost job is kept: %v", r.actions)
 	}
-	if r.workers["w0"].suspect || r.idleSafe > 3*time.Second {
-		t.Fatalf("suspect %v, bound %v", r.workers["w0"].suspect, r.idleSafe)
+	if r.workers["w0"].ejected || r.safeIdleTime > 3*time.Second {
+		t.Fatalf("suspect %v, bound %v", r.workers["w0"].ejected, r.safeIdleTime)
 	}
 	r.respond(next, 0, Completed, 100*time.Millisecond)
 	r.at(r.now, Event{Kind: AttemptEnded, Request: lost, Worker: "w0", Outcome: Cancelled})
@@ -1899,11 +1899,11 @@
 	r := newRig(t, s, 1)
 	r.respond(r.arrive(0), 0, Completed, 100*time.Millisecond)
 	r.now += 6 * time.Second
-	r.lostAt = r.now
+	r.connectionLostAt = r.now
 	id := r.arrive(0)
 	r.respond(id, 0, ConnectionLost, time.Millisecond)
-	if w := r.fleet[0]; w.suspect || w.fail.sum > 0 || r.idleSafe != 3*time.Second {
-		t.Fatalf("failure score %v, bound %v", w.fail.sum, r.idleSafe)
+	if w := r.fleet[0]; w.ejected || w.failureScore.value > 0 || r.safeIdleTime != 3*time.Second {
+		t.Fatalf("failure score %v, bound %v", w.failureScore.value, r.safeIdleTime)
 	}
 }
 
@@ -1912,11 +1912,11 @@
 	s := testSettings()
 	s.Classes[0].LateWeight = 0
 	r := newRig(t, s, 1)
-	r.fleet[0].full = r.now + time.Hour
+	r.fleet[0].saturatedUntil = r.now + time.Hour
 	id := r.arrive(0)
-	aim := r.requests[id].aim
+	aim := r.requests[id].objective
 	for find(r.actions, Reject) == nil {
-		if r.at(r.now+r.beat, Event{Kind: TimerFired, Timer: beatTimer}); r.now > aim {
+		if r.at(r.now+r.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer}); r.now > aim {
 			t.Fatal("still waiting after its aim")
 		}
 	}
@@ -1937,12 +1937,12 @@
 			s.Classes[1].LatencyObjective, s.Classes[1].ObjectiveStretch = 5*time.Second, 0
 			r := newRig(t, s, 2)
 			id := r.arrive(1)
-			sent := r.requests[id].attempts[0].sent
+			sent := r.requests[id].attempts[0].sentAt
 			for _, w := range r.fleet {
-				w.full = r.now + time.Hour
+				w.saturatedUntil = r.now + time.Hour
 			}
 			if last == Saturated {
-				r.fleet[0].full, r.fleet[1].full = 0, 0
+				r.fleet[0].saturatedUntil, r.fleet[1].saturatedUntil = 0, 0
 			}
 			r.respond(id, 0, Failed, 100*time.Millisecond)
 			if last == Saturated { // a repeat has gone out in time, and comes back late, never run
@@ -1954,7 +1954,7 @@
 				}
 			}
 			for find(r.actions, want) == nil {
-				if r.at(r.now+r.beat, Event{Kind: TimerFired, Timer: beatTimer}); r.now > sent+2*time.Second {
+				if r.at(r.now+r.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer}); r.now > sent+2*time.Second {
 					t.Fatalf("group %d, %v: still waiting after its window", group, last)
 				}
 				if find(r.actions, Assign) != nil {
@@ -2013,7 +2013,7 @@
 	if r.worker(second) != "" {
 		t.Fatal("the key has not rested")
 	}
-	r.at(r.now+2*time.Millisecond, Event{Kind: TimerFired, Timer: restTimer})
+	r.at(r.now+2*time.Millisecond, Event{Kind: TimerFired, Timer: cooldownTimer})
 	if r.worker(second) == "" {
 		t.Fatal("not sent when its turn came")
 	}
@@ -2036,7 +2036,7 @@
 	if find(r.actions, Fail) == nil || find(r.actions, Assign) != nil || find(r.actions, Reject) != nil {
 		t.Fatalf("after 'full' without proof: %v", r.actions)
 	}
-	r.workers["w2"].full = r.now + time.Hour
+	r.workers["w2"].saturatedUntil = r.now + time.Hour
 	if w := r.sentTo(1); w != "" {
 		t.Fatalf("sent to %q though its only worker is full", w)
 	}
@@ -2055,10 +2055,10 @@
 func TestUnmarkedRepeatsKeepTheirAim(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	first := r.arrive(0)
-	aim := r.requests[first].aim
+	aim := r.requests[first].objective
 	r.now += 2 * time.Second
 	r.at(r.now, Event{Kind: RequestArrived, Request: 99, Slots: 1, Work: time.Second, TimeLeft: 3 * time.Second})
-	if q := r.requests[99]; q == nil || q.aim != aim {
+	if q := r.requests[99]; q == nil || q.objective != aim {
 		t.Fatalf("the repeat of a job with its aim at %v: %+v", aim, q)
 	}
 	if _, jobs := r.recentMix(); jobs > 1 {
@@ -2071,8 +2071,8 @@
 // ceilings. A worker that says so of all that it gets is at fault itself.
 func TestUnusableJobBlamesNoWorker(t *testing.T) {
 	r := newRig(t, testSettings(), 3)
-	perSlot, worker := r.perSlot, ""
-	for i := range 2 * oddJobs {
+	perSlot, worker := r.concurrencyPerWorker, ""
+	for i := range 2 * maxConsecutiveInvalid {
 		id := r.arrive(i % 2)
 		out := r.respond(id, 0, InvalidRequest, time.Millisecond)
 		if len(out) == 0 || out[0].Kind != Fail || out[0].Request != id || r.requests[id] != nil {
@@ -2082,20 +2082,20 @@
 		worker = r.worker(good)
 		r.respond(good, 0, Completed, time.Second)
 		for _, w := range r.fleet {
-			w.unusable = 0
+			w.consecutiveInvalid = 0
 		}
 	}
-	if r.suspects != 0 || r.perSlot < perSlot || r.inflight != 0 {
-		t.Errorf("%d suspects, ceiling %v of %v, %v in flight", r.suspects, r.perSlot, perSlot, r.inflight)
+	if r.ejectedCount != 0 || r.concurrencyPerWorker < perSlot || r.inFlight != 0 {
+		t.Errorf("%d suspects, ceiling %v of %v, %v in flight", r.ejectedCount, r.concurrencyPerWorker, perSlot, r.inFlight)
 	}
-	r.workers[worker].unusable = oddJobs
+	r.workers[worker].consecutiveInvalid = maxConsecutiveInvalid
 	for {
 		id := r.arrive(0)
 		if r.worker(id) != worker {
 			r.respond(id, 0, Completed, time.Second)
 			continue
 		}
-		if r.respond(id, 0, InvalidRequest, time.Millisecond); r.requests[id] == nil || !r.workers[worker].suspect {
+		if r.respond(id, 0, InvalidRequest, time.Millisecond); r.requests[id] == nil || !r.workers[worker].ejected {
 			t.Error("a worker that can use nothing is believed")
 		}
 		break
@@ -2115,11 +2115,11 @@
 		for _, id := range slices.Sorted(maps.Keys(r.requests)) {
 			for n := 0; r.requests[id] != nil && n < len(r.requests[id].attempts); n++ {
 				q := r.requests[id]
-				w := q.attempts[n].w.Name
-				if q.attempts[n].done {
+				w := q.attempts[n].worker.Name
+				if q.attempts[n].ended {
 					continue
 				}
-				if picky && q.class == &r.s.Classes[1] && (w == "w0" || w == "w1") {
+				if picky && q.class == &r.settings.Classes[1] && (w == "w0" || w == "w1") {
 					turned[w]++
 					r.respond(id, n, Saturated, time.Millisecond)
 					continue
@@ -2146,7 +2146,7 @@
 		serve(1)
 	}
 	for _, w := range r.fleet {
-		if u := w.refusal(&r.s.Classes[1]); u.n != 0 || u.until != 0 {
+		if u := w.rejectionsOf(&r.settings.Classes[1]); u.count != 0 || u.blockedUntil != 0 {
 			t.Errorf("%s takes the class again, but is held to turn it away: %+v", w.Name, *u)
 		}
 	}
@@ -2178,7 +2178,7 @@
 			var actions []Action
 			sweep := func(until time.Duration) {
 				for r.now < time.Hour+until {
-					actions = append(actions, r.at(r.now+r.beat, Event{Kind: TimerFired, Timer: beatTimer})...)
+					actions = append(actions, r.at(r.now+r.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})...)
 				}
 			}
 			if sweep(time.Second); find(actions, CancelAttempt) != nil || find(actions, answer) != nil {
@@ -2223,8 +2223,8 @@
 		r := newSeededRig(t, testSettings(), 50, seed)
 		homes[r.worker(r.arriveWith(0, "k"))] = true
 		for name, wrong := range map[string]func(*rig){
-			"a suspect":         func(r *rig) { r.judge(r.fleet[0], 1, "fails") },
-			"many bad outcomes": func(r *rig) { r.bad = crowded },
+			"a suspect":         func(r *rig) { r.setFailureScore(r.fleet[0], 1, "fails") },
+			"many bad outcomes": func(r *rig) { r.badRatio = overloadBadRatio },
 		} { // then what is known of workers counts for more than what they keep
 			r := newSeededRig(t, testSettings(), 50, seed)
 			wrong(r)
@@ -2237,13 +2237,13 @@
 			r.respond(id, 0, Completed, time.Second)
 		}
 	}
-	if len(homes) > mostHomes || len(homes) < mostHomes/2 {
+	if len(homes) > maxOwners || len(homes) < maxOwners/2 {
 		t.Fatalf("60 dispatchers send a rare key to %d workers", len(homes))
 	}
-	if len(trouble) < 2*3*mostHomes {
+	if len(trouble) < 2*3*maxOwners {
 		t.Fatalf("in trouble they send a rare key to %d workers", len(trouble)/2)
 	}
-	if len(often) < 3*mostHomes {
+	if len(often) < 3*maxOwners {
 		t.Fatalf("they send one that they meet all the time to %d", len(often))
 	}
 }
--- a/decision/dual_test.go
+++ b/decision/dual_test.go
@@ -24,7 +24,7 @@
 		a.Set(i, n+i, 1)
 		b[i] = 1
 		a.Set(n, i, p.cost)
-		a.Set(n+1, i, p.hold)
+		a.Set(n+1, i, p.holdTime)
 	}
 	a.Set(n, 2*n, 1)
 	a.Set(n+1, 2*n+1, 1)
@@ -39,7 +39,7 @@
 func dualAt(bids []bid, budgetC, budgetK, c, k float64) float64 {
 	sum := budgetC*c + budgetK*k
 	for _, p := range bids {
-		sum += math.Max(0, p.value-c*p.cost-k*p.hold)
+		sum += math.Max(0, p.value-c*p.cost-k*p.holdTime)
 	}
 	return sum
 }
@@ -65,7 +65,7 @@
 		// Ties go to the most selective prices: on a grid that holds every lone bid's vertex none with
 		// the same dual is higher.
 		for _, p := range bids {
-			for _, v := range [][2]float64{{p.value / p.cost, 0}, {0, p.value / p.hold}} {
+			for _, v := range [][2]float64{{p.value / p.cost, 0}, {0, p.value / p.holdTime}} {
 				if math.IsInf(v[1], 0) || math.IsNaN(v[1]) {
 					continue
 				}
--- a/decision/reconfigure_test.go
+++ b/decision/reconfigure_test.go
@@ -11,22 +11,22 @@
 func TestReconfigureWhileRequestsAreOpen(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
 	open := r.requests[r.arrive(0)]
-	class, value, aim, beat := open.class, open.value, open.aim, r.beat
+	class, value, aim, beat := open.class, open.value, open.objective, r.sweepInterval
 	next := testSettings()
 	next.Classes[0].PriorityWeight, next.Classes[0].LatencyObjective, next.MaxRetryAfter = 7, 40*time.Millisecond, time.Second
 	r.at(r.now, Event{Kind: SettingsChanged, Settings: &next})
-	if open.class != class || open.class != &r.s.Classes[0] || open.value != value || open.aim != aim {
+	if open.class != class || open.class != &r.settings.Classes[0] || open.value != value || open.objective != aim {
 		t.Errorf("an open request changes: %+v", open)
 	}
 	later := r.requests[r.arrive(0)]
-	if later.class != class || later.value != 7*value || later.aim != aim-160*time.Millisecond {
-		t.Errorf("a later request has value %v and aim %v; the former %v and %v", later.value, later.aim, value, aim)
+	if later.class != class || later.value != 7*value || later.objective != aim-160*time.Millisecond {
+		t.Errorf("a later request has value %v and aim %v; the former %v and %v", later.value, later.objective, value, aim)
 	}
-	if r.beat >= beat || r.beat != r.beatInterval() || r.s.MaxRetryAfter != time.Second {
-		t.Errorf("a sweep each %v, before %v; told to come back in %v at the most", r.beat, beat, r.s.MaxRetryAfter)
+	if r.sweepInterval >= beat || r.sweepInterval != r.shortestSweepInterval() || r.settings.MaxRetryAfter != time.Second {
+		t.Errorf("a sweep each %v, before %v; told to come back in %v at the most", r.sweepInterval, beat, r.settings.MaxRetryAfter)
 	}
 	r.respond(open.id, 0, Completed, time.Second)
-	if r.requests[open.id] != nil || r.share(class) != 1 {
+	if r.requests[open.id] != nil || r.eligibleShare(class) != 1 {
 		t.Errorf("the open request cannot end as before")
 	}
 }
@@ -73,13 +73,13 @@
 		"no number at all": func(s *Settings) *Settings { s.OverQuotaWeight = math.NaN(); return s },
 	} {
 		r := newRig(t, testSettings(), 2)
-		before := r.s
-		before.Classes = append([]Class(nil), r.s.Classes...)
+		before := r.settings
+		before.Classes = append([]Class(nil), r.settings.Classes...)
 		next := testSettings()
 		next.Classes[0].PriorityWeight = 9
 		r.at(r.now, Event{Kind: SettingsChanged, Settings: change(&next)})
-		if !reflect.DeepEqual(r.s, before) || find(r.actions, Log) == nil {
-			t.Errorf("%s: taken in: %+v", name, r.s)
+		if !reflect.DeepEqual(r.settings, before) || find(r.actions, Log) == nil {
+			t.Errorf("%s: taken in: %+v", name, r.settings)
 		}
 	}
 }
--- a/decision/rules_test.go
+++ b/decision/rules_test.go
@@ -342,11 +342,11 @@
 			t.Fatalf("%d requests held after all have ended", n)
 		}
 		w.advance(w.s.KeyCooldown + 2*w.s.Tick)
-		if n := len(w.d.turns) + len(w.d.resting); n != 0 {
+		if n := len(w.d.keyQueues) + len(w.d.coolingDown); n != 0 {
 			t.Fatalf("%d keys kept after all have ended and rested", n)
 		}
-		if w.d.inflight != 0 {
-			t.Fatalf("%v slots leased after all have ended", w.d.inflight)
+		if w.d.inFlight != 0 {
+			t.Fatalf("%v slots leased after all have ended", w.d.inFlight)
 		}
 	})
 }
--- a/decision/slowstart_test.go
+++ b/decision/slowstart_test.go
@@ -39,9 +39,9 @@
 			now += run
 			d.Handle(now, Event{Kind: AttemptEnded, Request: id, Worker: "warm", Outcome: Completed, Answered: true}, nil)
 		}
-		d.sharesAt = 0 // look anew
-		if took := (time.Duration(jobs) * run).Seconds() / d.horizon.Seconds(); d.warmShare(0) > took*1.001 {
-			t.Errorf("%d jobs of %v count as %.3f of a slot, and took %.3f", jobs, run, d.warmShare(0), took)
+		d.warmWorkRatesAt = 0 // look anew
+		if took := (time.Duration(jobs) * run).Seconds() / d.planningHorizon.Seconds(); d.warmWorkRate(0) > took*1.001 {
+			t.Errorf("%d jobs of %v count as %.3f of a slot, and took %.3f", jobs, run, d.warmWorkRate(0), took)
 		}
 	})
 }
@@ -220,7 +220,7 @@
 // then, however busy warm workers are: each has saved at most a window's part, gets one more, and may go beyond by half
 // of one. Jobs larger than a part, and the first, are a matter of chance, which the protocol allows for.
 func TestColdReservationsStayWithinTheBudget(t *testing.T) {
-	if sum := 2.5 * coldSafety; sum > 1+1e-9 {
+	if sum := 2.5 * slowStartSafety; sum > 1+1e-9 {
 		t.Errorf("a saved part, a window's and half of one come to %.2f of the budget", sum)
 	}
 	rapid.Check(t, func(t *rapid.T) {
@@ -237,19 +237,19 @@
 		start := 24 * time.Hour
 		d.Handle(start, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: []Endpoint{{Name: "cold", StartedAt: start - time.Minute}}}, nil)
 		w := d.workers["cold"]
-		w.sent.add(d.now, d.horizon, 0) // it has had its first job
-		d.shares, d.sharesAt = map[int]float64{0: share}, start+time.Hour
+		w.recentWork.add(d.now, d.planningHorizon, 0) // it has had its first job
+		d.warmWorkRates, d.warmWorkRatesAt = map[int]float64{0: share}, start+time.Hour
 		var sent []fleetSend
 		for range 300 {
 			d.now += rapid.SampledFrom([]time.Duration{0, 0, 0, window / 50, window / 50, window / 10, 2 * window}).Draw(t, "pause")
-			part := coldSafety * multiple * d.warmth(w) * share * window.Seconds()
+			part := slowStartSafety * multiple * d.capacityFraction(w) * share * window.Seconds()
 			work := rapid.SampledFrom([]float64{0.05, 0.05, 0.3, 1}).Draw(t, "work, parts") * part
-			r := &request{class: &d.s.Classes[0], slots: 1, work: work, mean: work, cost: work, hold: work}
-			if d.coldRoom(r, w) {
-				if w.cold -= r.charge(); w.cold < -part/2*(1+1e-9) {
-					t.Fatalf("%.3f of a part beyond what was there", -w.cold/part)
+			r := &request{class: &d.settings.Classes[0], slots: 1, work: work, classMeanWork: work, cost: work, holdTime: work}
+			if d.withinSlowStartBudget(r, w) {
+				if w.slowStartBudget -= r.slowStartCost(); w.slowStartBudget < -part/2*(1+1e-9) {
+					t.Fatalf("%.3f of a part beyond what was there", -w.slowStartBudget/part)
 				}
-				sent = append(sent, fleetSend{d.now, r.charge()})
+				sent = append(sent, fleetSend{d.now, r.slowStartCost()})
 			}
 			sum := 0.0
 			for _, s := range sent {
@@ -257,7 +257,7 @@
 					sum += s.work
 				}
 			}
-			if allowed := multiple * d.warmth(w) * share * window.Seconds(); sum > allowed*(1+1e-9) {
+			if allowed := multiple * d.capacityFraction(w) * share * window.Seconds(); sum > allowed*(1+1e-9) {
 				t.Fatalf("%.3f of the budget in a window", sum/allowed)
 			}
 		}
--- a/decision/starttime.go
+++ b/decision/starttime.go
@@ -12,10 +12,10 @@
 // just started where the time told would make it warm, and a clock that is ahead may
 // be the reason: a fresh worker would be sent all that a warm one takes. A worker that
 // was out of reach and is as warm as told gets less for a while.
-func (d *Machine) startTime(told time.Duration, news bool) time.Duration {
-	age := d.now - told
-	if news && told > 0 && d.s.SlowStartDuration > 0 && age >= d.s.SlowStartDuration && age < d.s.SlowStartDuration+clockError {
-		return d.now
+func (m *Machine) startTime(told time.Duration, news bool) time.Duration {
+	age := m.now - told
+	if news && told > 0 && m.settings.SlowStartDuration > 0 && age >= m.settings.SlowStartDuration && age < m.settings.SlowStartDuration+clockError {
+		return m.now
 	}
 	return told
 }
--- a/decision/starttime_test.go
+++ b/decision/starttime_test.go
@@ -37,15 +37,15 @@
 			d.Handle(c.now-hour/2, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: first}, nil)
 			list := Event{Kind: ListUpdated, ListKind: c.list, Endpoints: []Endpoint{{Name: "w", StartedAt: c.told}, {Name: "other"}}}
 			d.Handle(c.now, list, nil)
-			if cold := d.warmth(d.workers["w"]) < 1; cold != c.cold {
+			if cold := d.capacityFraction(d.workers["w"]) < 1; cold != c.cold {
 				t.Errorf("cold %v, not %v", cold, c.cold)
 			}
 			d.Handle(c.now+time.Second, list, nil) // told again, it is no news
-			if cold := d.warmth(d.workers["w"]) < 1; cold != c.cold {
+			if cold := d.capacityFraction(d.workers["w"]) < 1; cold != c.cold {
 				t.Errorf("told again: cold %v, not %v", cold, c.cold)
 			}
-			d.Handle(c.now+warm+time.Second, Event{Kind: TimerFired, Timer: beatTimer}, nil)
-			if c.now >= c.told && d.warmth(d.workers["w"]) < 1 {
+			d.Handle(c.now+warm+time.Second, Event{Kind: TimerFired, Timer: sweepTimer}, nil)
+			if c.now >= c.told && d.capacityFraction(d.workers["w"]) < 1 {
 				t.Error("it does not become warm")
 			}
 		})
--- a/decision/suspend.go
+++ b/decision/suspend.go
@@ -5,23 +5,23 @@
 // This file owns the suspension of workers: their carrier cannot tell for now
 // whether they may still be sent to.
 
-// suspend suspends workers, or resumes them. What is out at them goes on.
-func (d *Machine) suspend(entries []Endpoint, suspended bool) {
+// setSuspended suspends workers, or resumes them. What is out at them goes on.
+func (m *Machine) setSuspended(entries []Endpoint, suspended bool) {
 	for _, e := range entries {
-		w := d.workers[e.Name]
+		w := m.workers[e.Name]
 		if w == nil || w.suspended == suspended {
 			continue
 		}
 		w.suspended = suspended
 		if suspended {
-			d.suspended++
+			m.suspendedCount++
 		} else {
-			d.suspended--
+			m.suspendedCount--
 		}
 	}
 }
 
 // allSuspended tells whether no worker that runs may be sent to.
-func (d *Machine) allSuspended() bool {
-	return d.suspended > 0 && !slices.ContainsFunc(d.fleet, func(w *worker) bool { return w.State == Running && !w.suspended })
+func (m *Machine) allSuspended() bool {
+	return m.suspendedCount > 0 && !slices.ContainsFunc(m.fleet, func(w *worker) bool { return w.State == Running && !w.suspended })
 }
