--- a/decision/capacity_test.go
+++ b/decision/capacity_test.go
@@ -204,8 +204,8 @@
 			both(Event{Kind: ListUpdated, ListKind: kind, Endpoints: entries})
 			if len(a.fleet) > 0 && rapid.Bool().Draw(t, "suspect") {
 				i := rapid.IntRange(0, len(a.fleet)-1).Draw(t, "which")
-				a.setFailureScore(a.fleet[i], 1, "fails")
-				b.setFailureScore(b.fleet[i], 1, "fails")
+				a.setFailureScore(a.fleet[i], 1, attemptsFail)
+				b.setFailureScore(b.fleet[i], 1, attemptsFail)
 				a.actions, b.actions = nil, nil
 			}
 			if rapid.Bool().Draw(t, "arrival") {
--- a/decision/dispatcher_test.go
+++ b/decision/dispatcher_test.go
@@ -302,7 +302,7 @@
 	r := newRig(t, testSettings(), 3)
 	id := r.arrive(1)
 	w := r.workers[r.worker(id)]
-	r.setFailureScore(w, 1, "is silent")
+	r.setFailureScore(w, 1, reportsNoMore)
 	r.now += w.ejectionBackoff
 	if !r.usable(&request{class: &r.settings.Classes[0]}, w) {
 		t.Fatal("never tried again while a job is stuck there")
@@ -541,16 +541,16 @@
 	}
 	suspect := r.fleet[0]
 	held := suspect.outstanding
-	r.setFailureScore(suspect, 1, "is silent")
+	r.setFailureScore(suspect, 1, reportsNoMore)
 	if r.inFlight != 6 || held == 0 || r.countedInFlight() != 6-held {
 		t.Fatalf("%v of 6 leases count though a suspect holds %v", r.countedInFlight(), held)
 	}
-	r.setFailureScore(r.fleet[1], 1, "is silent")
+	r.setFailureScore(r.fleet[1], 1, reportsNoMore)
 	if r.countedInFlight() != 6 || r.readyWorkers() != 3 || r.sentTo(0) != "" {
 		t.Fatalf("%v of 6 leases and %v of 3 workers count while most are suspects", r.countedInFlight(), r.readyWorkers())
 	}
 	r.at(r.now, Event{Kind: ClientDisconnected, Request: r.next - 1})
-	r.setFailureScore(r.fleet[1], 0, "answers again")
+	r.setFailureScore(r.fleet[1], 0, answersAgain)
 	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{
 		{Name: suspect.Name, State: Running, StartedAt: r.now}}})
 	for _, id := range stuck {
@@ -565,7 +565,7 @@
 func TestMostSuspectsMeansNone(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	for _, w := range r.fleet[:3] {
-		r.setFailureScore(w, 1, "fails")
+		r.setFailureScore(w, 1, attemptsFail)
 	}
 	r.fleet[3].saturatedUntil = r.now + time.Hour
 	if r.sentTo(0) == "" {
@@ -582,7 +582,7 @@
 	if r.Ejected() != nil {
 		t.Fatalf("%v are ejected at the start", r.Ejected())
 	}
-	r.setFailureScore(bad, 1, "fails")
+	r.setFailureScore(bad, 1, attemptsFail)
 	for range 30 {
 		id := r.arrive(0)
 		if r.worker(id) == bad.Name || len(r.Ejected()) != 1 || r.Ejected()[0] != bad.Name {
@@ -608,13 +608,13 @@
 		t.Fatalf("%v are ejected after %d trials that were served", r.Ejected(), trials)
 	}
 	for _, w := range r.fleet[:3] {
-		r.setFailureScore(w, 1, "fails")
+		r.setFailureScore(w, 1, attemptsFail)
 	}
 	if r.Ejected() != nil {
 		t.Fatalf("%v are ejected while most look bad", r.Ejected())
 	}
-	r.setFailureScore(r.fleet[0], 0, "answers again")
-	r.setFailureScore(r.fleet[1], 0, "answers again")
+	r.setFailureScore(r.fleet[0], 0, answersAgain)
+	r.setFailureScore(r.fleet[1], 0, answersAgain)
 	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: bad.Name, State: Draining}}})
 	if r.Ejected() != nil {
 		t.Fatalf("%v are ejected, and drain", r.Ejected())
@@ -718,7 +718,7 @@
 		}
 		refuse(zone(1)[1])
 		r.markSeen(zone(0)[0])
-		said := slices.Contains(told, "zone russeifa looks lost: 2 connects failed in a row")
+		said := slices.Contains(told, "zone russeifa looks unreachable: 2 connects failed in a row")
 		if darkZones() != 1 || !r.zoneUnreachable(zone(1)[3]) || !said {
 			t.Fatalf("a zone of which two workers in a row cannot be reached is not lost: %q", told)
 		}
@@ -740,7 +740,7 @@
 		id := r.arrive(0)
 		r.requests[id].attempts[0].worker = zone(1)[3]
 		note := r.at(r.now, Event{Kind: AttemptStarted, Request: id, Worker: zone(1)[3].Name})
-		if darkZones() != 0 || find(note, Log).Text != "zone russeifa is there again" {
+		if darkZones() != 0 || find(note, Log).Text != "zone russeifa is reachable again" {
 			t.Fatalf("a zone that was heard of is still lost: %+v", note)
 		}
 		for z := range 3 { // nothing is heard of any more: the trouble is ours
@@ -1705,7 +1705,7 @@
 func TestRestartForgets(t *testing.T) {
 	r := newRig(t, testSettings(), 3)
 	w := r.fleet[0]
-	r.setFailureScore(w, 1, "fails")
+	r.setFailureScore(w, 1, attemptsFail)
 	w.runTimeRatio = 9
 	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta,
 		Endpoints: []Endpoint{{Name: "w0", State: Running, StartedAt: r.now - 20*time.Second}}})
@@ -1776,20 +1776,20 @@
 
 func TestSettingsAreChecked(t *testing.T) {
 	for field, change := range map[string]func(*Settings){
-		"Classes is empty":           func(s *Settings) { s.Classes = nil },
-		"Classes[0].Deadline":        func(s *Settings) { s.Classes[0].Deadline = 0 },
-		"Classes[1].Worth":           func(s *Settings) { s.Classes[1].PriorityWeight = math.NaN() },
-		"Classes[1].Stretch":         func(s *Settings) { s.Classes[1].ObjectiveStretch = -1 },
-		"TenantQuotas[0]":            func(s *Settings) { s.TenantQuotas = []float64{-1} },
-		"OverQuotaWorth":             func(s *Settings) { s.OverQuotaWeight = math.Inf(1) },
-		"ColdFrom must be between 0": func(s *Settings) { s.SlowStartFloor = 2 },
-		"Classes[0].Kinds":           func(s *Settings) { s.Classes[0].Kinds = []int{} },
-		"Classes[1].Zones":           func(s *Settings) { s.Classes[1].Zones = []int{0, -1} },
-		"Classes[1].InTurn":          func(s *Settings) { s.Classes[1].Serialized, s.Classes[1].Streaming = true, true },
-		"KeyRest":                    func(s *Settings) { s.KeyCooldown = -1 },
-		"ExtraFloor":                 func(s *Settings) { s.RetryBudgetFloor = math.NaN() },
-		"ExtraRatio":                 func(s *Settings) { s.RetryBudgetRatio = -1 },
-		"ExtraWindow":                func(s *Settings) { s.RetryBudgetRatio = 0.2 },
+		"Classes is empty":                 func(s *Settings) { s.Classes = nil },
+		"Classes[0].Deadline":              func(s *Settings) { s.Classes[0].Deadline = 0 },
+		"Classes[1].PriorityWeight":        func(s *Settings) { s.Classes[1].PriorityWeight = math.NaN() },
+		"Classes[1].ObjectiveStretch":      func(s *Settings) { s.Classes[1].ObjectiveStretch = -1 },
+		"TenantQuotas[0]":                  func(s *Settings) { s.TenantQuotas = []float64{-1} },
+		"OverQuotaWeight":                  func(s *Settings) { s.OverQuotaWeight = math.Inf(1) },
+		"SlowStartFloor must be between 0": func(s *Settings) { s.SlowStartFloor = 2 },
+		"Classes[0].Kinds":                 func(s *Settings) { s.Classes[0].Kinds = []int{} },
+		"Classes[1].Zones":                 func(s *Settings) { s.Classes[1].Zones = []int{0, -1} },
+		"Classes[1].Serialized":            func(s *Settings) { s.Classes[1].Serialized, s.Classes[1].Streaming = true, true },
+		"KeyCooldown":                      func(s *Settings) { s.KeyCooldown = -1 },
+		"RetryBudgetFloor":                 func(s *Settings) { s.RetryBudgetFloor = math.NaN() },
+		"RetryBudgetRatio":                 func(s *Settings) { s.RetryBudgetRatio = -1 },
+		"RetryBudgetWindow":                func(s *Settings) { s.RetryBudgetRatio = 0.2 },
 	} {
 		s := testSettings()
 		change(&s)
@@ -1865,8 +1865,8 @@
 	first := r.arrive(1)
 	r.respond(first, 0, Completed, 100*time.Millisecond)
 	r.now += 6 * time.Second
-	r.connectionLostAt = r.now    // one was lost before: a single one may have another cause
-	lost := r.arrive(1) // sent on the connection that was unused for 6 s
+	r.connectionLostAt = r.now // one was lost before: a single one may have another cause
+	lost := r.arrive(1)        // sent on the connection that was unused for 6 s
 	if find(r.actions, CloseIdle) != nil {
 		t.Fatal("connections closed without a reason")
 	}
@@ -2223,7 +2223,7 @@
 		r := newSeededRig(t, testSettings(), 50, seed)
 		homes[r.worker(r.arriveWith(0, "k"))] = true
 		for name, wrong := range map[string]func(*rig){
-			"a suspect":         func(r *rig) { r.setFailureScore(r.fleet[0], 1, "fails") },
+			"a suspect":         func(r *rig) { r.setFailureScore(r.fleet[0], 1, attemptsFail) },
 			"many bad outcomes": func(r *rig) { r.badRatio = overloadBadRatio },
 		} { // then what is known of workers counts for more than what they keep
 			r := newSeededRig(t, testSettings(), 50, seed)
--- /dev/null
+++ b/decision/event.go
@@ -0,0 +1,140 @@
+package decision
+
+import "time"
+
+// EventKind tells which fields of an Event are set.
+type EventKind uint8
+
+// The kinds of events, with the fields that they use.
+const (
+	ListUpdated        EventKind = iota // ListKind, Endpoints
+	RequestArrived                      // Request, Class, Tenant, Slots, Work, TimeLeft, ClientRetry, Key
+	FirstByte                           // Request, Attempt, Worker: the client has the head of a stream
+	AttemptEnded                        // Request, Attempt, Worker, Outcome, Answered, Load
+	AttemptStarted                      // Request, Attempt, Worker
+	AttemptProgressed                   // Request, Attempt, Worker, Fraction
+	HealthChecked                       // Worker, Outcome, Load
+	ClientDisconnected                  // Request
+	TimerFired                          // Timer
+	PeerMessage                         // ignored: dispatchers share nothing
+	ReservedElsewhere                   // Worker, Reservation: sent by the process that is replaced, or its successor
+	SettingsChanged                     // Settings
+	WorkersSuspended                    // Endpoints, by Name: they get nothing until WorkersResumed, whatever lists say
+	WorkersResumed                      // Endpoints, by Name
+)
+
+// Event is one thing that happened to a dispatcher.
+type Event struct {
+	Kind EventKind
+
+	Request     uint64 // below 2^62, never reused
+	Attempt     int    // number of the attempt within its request, from 0
+	Worker      string // by Endpoint.Name
+	Class       int    // index into Settings.Classes
+	Tenant      int    // index into Settings.TenantQuotas; any other number: no tenant
+	Slots       float64
+	Work        time.Duration // hinted run time on a standard core; 0: no hint
+	TimeLeft    time.Duration // time until the client gives up this try
+	ClientRetry bool          // the client marked it as a retry
+	Key         string        // what the request concerns; may be empty
+	Outcome     AttemptOutcome
+	Answered    bool // the request has its final answer
+	Load        LoadReport
+	Fraction    float64 // part of the work that is done, 0 to 1
+	Reservation float64 // part of a worker's slow-start budget, in hinted slot-seconds
+	Timer       uint64
+	ListKind    ListKind
+	Endpoints   []Endpoint
+
+	// Settings hold new values of TenantQuotas, OverQuotaWeight and MaxRetryAfter, and of the PriorityWeight,
+	// LateWeight, LatencyObjective and ObjectiveStretch of Classes; all else in them is ignored. Open requests keep
+	// the value and the objective that they came with. Settings that New would refuse, or with other numbers of
+	// classes or tenants, change nothing.
+	Settings *Settings
+}
+
+// AttemptOutcome tells how an attempt ended.
+type AttemptOutcome uint8
+
+// The outcomes. ConnectionRefused, NotSent and, unless Settings.SaturatedMayHaveRun, Saturated prove that the attempt
+// never ran.
+const (
+	Completed AttemptOutcome = iota
+	Failed
+	Saturated // the worker is full, or does not take the class
+	TimedOut
+	ConnectionRefused
+	ConnectionLost
+	Cancelled
+	NotSent
+	InvalidRequest // the worker says that the request itself is at fault
+)
+
+// String returns the name that recordings and the simulator's wire use; these spellings are stored and must stay.
+func (o AttemptOutcome) String() string {
+	return [...]string{
+		"completed", "errored", "saturated", "overdue", "refused", "severed", "recalled", "superseded", "unusable",
+	}[o]
+}
+
+// neverRan tells whether the outcome proves that the attempt had no effect.
+func (o AttemptOutcome) neverRan(s *Settings) bool {
+	return o.turnedAway() && !(o == Saturated && s.SaturatedMayHaveRun)
+}
+
+// turnedAway tells whether the worker did not take the attempt, as far as the dispatcher's own books go.
+func (o AttemptOutcome) turnedAway() bool {
+	return o == Saturated || o == ConnectionRefused || o == NotSent
+}
+
+// mayStillRun tells whether the worker may go on with the attempt though its connection is gone.
+func (o AttemptOutcome) mayStillRun() bool {
+	return o == TimedOut || o == ConnectionLost || o == Cancelled
+}
+
+// keepsConnection tells whether the worker has answered, so that the connection can be used again.
+func (o AttemptOutcome) keepsConnection() bool {
+	return o == Completed || o == Failed || o == Saturated || o == InvalidRequest
+}
+
+// ListKind tells how the endpoints of a ListUpdated event are meant.
+type ListKind uint8
+
+// The kinds of lists.
+const (
+	ListDelta    ListKind = iota // changed endpoints only
+	ListSnapshot                 // workers that are absent are gone
+	ListCached                   // complete, as last known; may be out of date
+	ListFailed                   // a call failed or the subscription broke; no endpoints
+)
+
+// WorkerState is what the list says of a worker.
+type WorkerState uint8
+
+// The states of a listed worker.
+const (
+	Running  WorkerState = iota
+	Draining             // finishes what it has and gets nothing new
+	Removed
+)
+
+// Endpoint is one worker of an endpoint list.
+type Endpoint struct {
+	Name      string // identity and address
+	Zone      int
+	Kind      int // machine kind
+	Cell      int // deduplication cell within the zone
+	State     WorkerState
+	StartedAt time.Duration // time of the last start, on the scale of Handle's; 0: long ago
+	Weight    float64       // size; with LoadAdjustedWeights divided by 1 + the requests it holds per core
+}
+
+// LoadReport is what a worker tells of its load, as far as a decision rests on it.
+type LoadReport struct {
+	FreeSlots      float64
+	HasFreeSlots   bool
+	Outstanding    float64 // requests in flight there, of all dispatchers
+	HasOutstanding bool
+	Backlog        float64 // requests that wait there; counts as load where Outstanding is missing
+	HasBacklog     bool
+}
--- /dev/null
+++ b/decision/machine.go
@@ -0,0 +1,171 @@
+package decision
+
+import (
+	"cmp"
+	"math"
+	"math/rand/v2"
+	"time"
+)
+
+// Machine decides for one dispatcher; the package comment describes its protocol. It is not safe for concurrent use.
+type Machine struct {
+	settings Settings
+	random   *rand.Rand
+	now      time.Duration // time of the event at hand
+	actions  []Action      // for the event at hand, so far
+
+	planningHorizon time.Duration // span over which the recent past is averaged
+	sweepInterval   time.Duration
+	sweepScheduled  bool
+
+	// Workers: see worker.go, endpoints.go and lists.go.
+	workers          map[string]*worker // by name
+	fleet            []*worker          // all of them
+	warmWorkers      []*worker          // those that are warmed up, in the order in which they are drawn
+	localWarmWorkers []*worker          // those of them in the dispatcher's own zone
+	warmingUp        []*worker          // those in slow start
+	warmingUpNext    int                // index at which the next pick begins to draw them
+	subsetSize       int                // so many at the head of a list make up the dispatcher's subset
+	snapshots        uint64             // complete lists so far
+	runningCount     int                // workers in state Running
+	ejectedCount     int                // running workers that are ejected
+	suspendedCount   int                // workers that are suspended
+	eligible         map[*Class]int     // running workers that may run the class; absent: none
+	nominalWeight    map[int]float64    // the largest weight seen, by machine kind
+	healthCheckNext  int                // counts the health checks, to go round the subset
+	listBackoff      time.Duration      // after the latest failure of the list; 0: it did not fail
+
+	// Consistent hashing: see ring.go.
+	ring          []*worker // the fleet by hash, but for ringChanges
+	ringChanges   []*worker // workers that came or went since the ring was last used
+	owners        []*worker // buffer of ownersOf
+	initialOwners int       // owners of a key that are looked at first
+	recentKeys    []uint64  // hashes of the latest requests' keys
+
+	// Zones: see zone.go.
+	zones    map[int]*zone
+	lastSeen time.Duration // when any worker last showed that it lives
+
+	// Requests: see request.go, queue.go, serialization.go and retry.go.
+	requests    map[uint64]*request
+	unanswered  []*request     // by arrival; answered ones leave with the next sweep
+	queue       []*request     // waiting, by compareByValue
+	misses      map[*Class]int // requests of a class that could not be placed in one dispatchQueue
+	keyQueues   map[string]*keyQueue
+	coolingDown []*keyQueue     // the first to end first
+	arrivals    []time.Duration // in the last RetryBudgetWindow
+	retries     []time.Duration // attempts beyond a request's first in the last RetryBudgetWindow
+
+	// Ceilings: see ceilings.go.
+	inFlight             float64 // slots of all outstanding attempts
+	inFlightAtEjected    float64 // those of them at ejected workers
+	concurrencyPerWorker float64 // learned ceiling of slots in flight per ready worker
+	workRatePerWorker    float64 // learned rate of the token bucket, slot-seconds a second per ready worker
+	bucketTokens         float64 // slot-seconds left in the token bucket
+	bucketRefilledAt     time.Duration
+	badRatio             float64 // recent share of bad outcomes, 0 to 1
+	ceilingsCutAt        time.Duration
+
+	// Prices: see pricing.go and mix.go.
+	mix           []jobGroup
+	workPrice     float64 // value per slot-second of work
+	slotPrice     float64 // value per second for which a slot is held
+	nextPricingAt time.Duration
+	tenants       []tenant
+
+	// What is learned of run times and connections: see estimates.go and connection.go.
+	meanLatency      float64         // recent mean time of a completed attempt, seconds
+	meanStartWait    float64         // recent mean wait for a start at workers, seconds
+	classMeanWork    []float64       // recent mean run time by class, seconds, hinted or learned
+	learnedRuns      []float64       // attempts without a hint that it was learned from, by class
+	kindRunTimeRatio map[int]float64 // mean runTimeRatio of workers, by machine kind
+	maxTimeLeft      []time.Duration // the longest TimeLeft of an arrival, by class: that of a first try
+	safeIdleTime     time.Duration   // connections unused for longer may be dead
+	connectionLostAt time.Duration   // when one was found dead last
+
+	// Slow start: see slowstart.go.
+	warmWorkRates    map[int]float64 // work a second that a warm worker takes from this dispatcher, by kind
+	warmWorkRatesAt  time.Duration   // when they were last worked on; 0: they are unknown
+	warmWorkRateScan workRateScan
+}
+
+// New returns a machine that knows no worker yet, or an error that names the field of the settings which is wrong.
+// The seed determines all random choices.
+func New(s Settings, seed uint64) (*Machine, error) {
+	if err := s.normalize(); err != nil {
+		return nil, err
+	}
+	m := &Machine{
+		settings:         s,
+		random:           rand.New(rand.NewPCG(seed, 0)),
+		workers:          map[string]*worker{},
+		zones:            map[int]*zone{},
+		eligible:         map[*Class]int{},
+		kindRunTimeRatio: map[int]float64{},
+		nominalWeight:    map[int]float64{},
+		requests:         map[uint64]*request{},
+		misses:           map[*Class]int{},
+		keyQueues:        map[string]*keyQueue{},
+		classMeanWork:    make([]float64, len(s.Classes)),
+		maxTimeLeft:      make([]time.Duration, len(s.Classes)),
+		learnedRuns:      make([]float64, len(s.Classes)),
+		tenants:          make([]tenant, len(s.TenantQuotas)),
+	}
+	m.initEstimates()
+	return m, nil
+}
+
+// initEstimates derives spans of time from the settings, and sets what is learned to permissive first values.
+func (m *Machine) initEstimates() {
+	longestDeadline := time.Duration(0)
+	for i := range m.settings.Classes {
+		c := &m.settings.Classes[i]
+		longestDeadline = max(longestDeadline, c.Deadline)
+		m.classMeanWork[i] = max(c.LatencyObjective, m.settings.Tick).Seconds()
+	}
+	m.planningHorizon = max(longestDeadline/4, m.settings.Tick)
+	m.sweepInterval = m.shortestSweepInterval()
+	m.bucketTokens = math.Inf(1)
+	m.concurrencyPerWorker = initialSlotsPerWorker / float64(m.settings.Peers)
+	m.workRatePerWorker = m.concurrencyPerWorker
+	m.subsetSize = 2 * minSubsetSize
+	m.safeIdleTime = cmp.Or(m.settings.ConnectionIdleTimeout, math.MaxInt64/2)
+	m.initialOwners = maxOwners
+	if m.settings.CacheMissCost > 0 {
+		m.initialOwners = minOwners
+	}
+}
+
+// Handle takes in what happened at time now and appends what must be done to out, which it returns.
+func (m *Machine) Handle(now time.Duration, ev Event, out []Action) []Action {
+	m.now = max(m.now, now)
+	m.actions = out
+	switch ev.Kind {
+	case ListUpdated:
+		m.handleList(ev)
+	case RequestArrived:
+		m.handleArrival(ev)
+	case AttemptEnded:
+		m.handleAttemptEnded(ev)
+	case AttemptStarted, AttemptProgressed:
+		m.handleProgress(ev)
+	case HealthChecked:
+		m.recordLoad(ev)
+	case FirstByte, ClientDisconnected: // the client has its answer, or wants none
+		if r := m.requests[ev.Request]; r != nil {
+			m.finish(r)
+		}
+	case TimerFired:
+		m.handleTimer(ev.Timer)
+	case ReservedElsewhere:
+		m.recordReservedElsewhere(m.workers[ev.Worker], ev.Reservation)
+	case SettingsChanged:
+		m.reconfigure(ev.Settings)
+	case WorkersSuspended, WorkersResumed:
+		m.setSuspended(ev.Endpoints, ev.Kind == WorkersSuspended)
+	}
+	m.dispatchQueue()
+	out = m.actions
+	m.actions = nil
+	return out
+}
--- /dev/null
+++ b/decision/mix.go
@@ -0,0 +1,78 @@
+package decision
+
+import (
+	"math"
+	"slices"
+)
+
+const (
+	maxJobGroups  = 48   // groups of the mix; solving for prices takes the cube of their number
+	fadedJobCount = 0.01 // requests left of a group below which it is dropped
+)
+
+// jobGroup is a group of like requests of the recent mix. All four are sums over its requests.
+type jobGroup struct {
+	key      jobGroupKey
+	count    decayingValue
+	value    decayingValue
+	cost     decayingValue
+	holdTime decayingValue
+}
+
+// jobGroupKey tells which requests are alike.
+type jobGroupKey struct {
+	class     int
+	overQuota bool
+	slots     int // logarithm to base 2, rounded
+	work      int // logarithm to base 4, rounded
+}
+
+// bid is the total value, cost and hold time of a group of like requests.
+type bid struct {
+	value    float64
+	cost     float64 // slot-seconds of work
+	holdTime float64 // seconds
+}
+
+// addToMix counts a first try into the recent mix. Where the mix has its largest number of groups, a request joins the
+// one of its class that is nearest in size.
+func (m *Machine) addToMix(r *request, key jobGroupKey) {
+	nearest := -1
+	distance := math.MaxInt
+	for i := range m.mix {
+		k := m.mix[i].key
+		d := abs(k.slots-key.slots) + abs(k.work-key.work)
+		if k.class == key.class && k.overQuota == key.overQuota && d < distance {
+			nearest = i
+			distance = d
+		}
+	}
+	if nearest < 0 || distance > 0 && len(m.mix) < maxJobGroups {
+		nearest = len(m.mix)
+		m.mix = append(m.mix, jobGroup{key: key})
+	}
+	g := &m.mix[nearest]
+	g.count.add(m.now, m.planningHorizon, 1)
+	g.value.add(m.now, m.planningHorizon, r.value)
+	g.cost.add(m.now, m.planningHorizon, r.cost)
+	g.holdTime.add(m.now, m.planningHorizon, r.holdTime)
+}
+
+func abs(x int) int { return max(x, -x) }
+
+// recentMix returns the recent mix as bids, and how many requests are in it. It drops what has faded away.
+func (m *Machine) recentMix() (bids []bid, jobs float64) {
+	m.mix = slices.DeleteFunc(m.mix, func(g jobGroup) bool {
+		return g.count.get(m.now, m.planningHorizon) < fadedJobCount
+	})
+	for i := range m.mix {
+		g := &m.mix[i]
+		jobs += g.count.get(m.now, m.planningHorizon)
+		bids = append(bids, bid{
+			value:    g.value.get(m.now, m.planningHorizon),
+			cost:     g.cost.get(m.now, m.planningHorizon),
+			holdTime: g.holdTime.get(m.now, m.planningHorizon),
+		})
+	}
+	return bids, jobs
+}
--- /dev/null
+++ b/decision/outlier.go
@@ -0,0 +1,109 @@
+package decision
+
+import "time"
+
+// The failure score of a worker lies between 0 and 1 and fades over the planning horizon, lest a worker that no
+// repeatable request can try stay ejected for good.
+const (
+	ejectionThreshold  = 0.4 // failure score from which a worker is ejected
+	failureScoreFactor = 0.7 // by which a completed attempt multiplies the score; a failed one goes half the way to 1
+	// maxConsecutiveInvalid is how many requests in a row a worker may call invalid and be believed.
+	maxConsecutiveInvalid = 4
+)
+
+// healthReason says, in logs, why a worker was ejected or taken back.
+type healthReason string
+
+const (
+	answersAgain  healthReason = "answers again"
+	attemptsFail  healthReason = "fails"
+	reportsNoMore healthReason = "is silent"
+)
+
+// Ejected returns the names of the running workers that get no requests, since what they did lately looks like failure.
+// One that gets a request now and then, to try whether it has come back, is still among them. In panic, when most
+// workers look bad, all are used and none is named.
+func (m *Machine) Ejected() (names []string) {
+	if m.ejectedCount == 0 || m.inPanic() {
+		return nil
+	}
+	for _, w := range m.fleet {
+		if w.ejected && w.State == Running {
+			names = append(names, w.Name)
+		}
+	}
+	return names
+}
+
+// inPanic tells whether at least half of the fleet cannot be used. Then the fault is not theirs, and ejected workers
+// are used as well.
+func (m *Machine) inPanic() bool { return 2*(m.runningCount-m.ejectedCount) <= len(m.fleet) }
+
+// usable tells whether a worker may get the request as far as its health and that of its zone go. An ejected worker gets
+// a trial now and then, and one that must not run twice only once half of its failure score has faded.
+func (m *Machine) usable(r *request, w *worker) bool {
+	if m.zoneUnreachable(w) {
+		return false
+	}
+	if !w.ejected || m.inPanic() {
+		return true
+	}
+	if m.now < w.trialAt {
+		return false
+	}
+	return r.class.Idempotency != NonIdempotent ||
+		w.failureScore.get(m.now, m.planningHorizon) < ejectionThreshold/2
+}
+
+// setFailureScore records a worker's new failure score, and ejects it or takes it back.
+func (m *Machine) setFailureScore(w *worker, score float64, reason healthReason) {
+	w.failureScore = decayingValue{value: score, at: m.now}
+	eject := score >= ejectionThreshold
+	if eject == w.ejected {
+		return
+	}
+	m.setEjected(w, eject)
+	m.scheduleTrial(w)
+	m.logf("worker %s %s, failure score %.2f", w.Name, reason, score)
+}
+
+// setEjected ejects a worker or takes it back, and moves what is in flight there between the two counts.
+func (m *Machine) setEjected(w *worker, ejected bool) {
+	if ejected == w.ejected {
+		return
+	}
+	sign := 1
+	if !ejected {
+		sign = -1
+	}
+	m.inFlightAtEjected += float64(sign) * w.outstanding
+	if w.State == Running {
+		m.ejectedCount += sign
+	}
+	w.ejected = ejected
+	w.ejectionBackoff = 0
+}
+
+// scheduleTrial sets when an ejected worker may get a request again.
+func (m *Machine) scheduleTrial(w *worker) {
+	w.ejectionBackoff = m.nextBackoff(w.ejectionBackoff)
+	w.trialAt = m.now + w.ejectionBackoff
+}
+
+// nextBackoff doubles a backoff, from an eighth of the planning horizon up to twice the horizon.
+func (m *Machine) nextBackoff(previous time.Duration) time.Duration {
+	return min(max(2*previous, m.planningHorizon/8), 2*m.planningHorizon)
+}
+
+// believedOutcome is the outcome of an attempt that counts. InvalidRequest blames the request, unless the worker says so
+// of all that it gets: then the worker has failed.
+func (w *worker) believedOutcome(outcome AttemptOutcome) AttemptOutcome {
+	if outcome != InvalidRequest {
+		return outcome
+	}
+	w.consecutiveInvalid++
+	if w.consecutiveInvalid > maxConsecutiveInvalid {
+		return Failed
+	}
+	return outcome
+}
--- /dev/null
+++ b/decision/quota.go
@@ -0,0 +1,50 @@
+package decision
+
+import (
+	"math"
+	"time"
+)
+
+// tenant is a token bucket for one tenant's traffic at this dispatcher.
+type tenant struct {
+	tokens     float64 // arrivals left inside the quota
+	refilledAt time.Duration
+	arrivals   decayingValue // first tries
+}
+
+// overQuota tells whether an arrival is beyond its tenant's quota. The dispatcher grants an even part of the quota, or
+// the part of all traffic that arrives here if that is more. A client's retry was counted at its first try.
+func (m *Machine) overQuota(tenant int, isRetry bool) bool {
+	if tenant < 0 || tenant >= len(m.tenants) {
+		return false
+	}
+	t := &m.tenants[tenant]
+	if isRetry {
+		return t.tokens < 1
+	}
+	t.arrivals.add(m.now, m.planningHorizon, 1)
+	arrivals, quotas := m.tenantTraffic()
+	part := max(1/float64(m.settings.Peers), arrivals/max(quotas, math.SmallestNonzeroFloat32))
+	allowed := part * m.settings.TenantQuotas[tenant]
+	capacity := max(allowed*m.planningHorizon.Seconds()/2, 1)
+	if t.refilledAt == 0 {
+		t.tokens = capacity
+	}
+	t.tokens = min(t.tokens+allowed*(m.now-t.refilledAt).Seconds(), capacity)
+	t.refilledAt = m.now
+	if t.tokens < 1 {
+		return true
+	}
+	t.tokens--
+	return false
+}
+
+// tenantTraffic is the rate at which all tenants' requests arrive here, and the sum of their quotas over all
+// dispatchers, both a second.
+func (m *Machine) tenantTraffic() (arrivals, quotas float64) {
+	for i := range m.tenants {
+		arrivals += m.tenants[i].arrivals.get(m.now, m.planningHorizon) / m.planningHorizon.Seconds()
+		quotas += m.settings.TenantQuotas[i]
+	}
+	return arrivals, quotas
+}
--- a/decision/reconfigure_test.go
+++ b/decision/reconfigure_test.go
@@ -39,7 +39,7 @@
 	over := func() (n int) {
 		for range 100 {
 			r.now += 10 * time.Millisecond
-			if r.overQuota(Event{}) {
+			if r.overQuota(0, false) {
 				n++
 			}
 		}
--- /dev/null
+++ b/decision/request.go
@@ -0,0 +1,76 @@
+package decision
+
+import (
+	"slices"
+	"time"
+)
+
+// request is a client's request, until it has its answer and all its attempts have ended.
+type request struct {
+	id            uint64
+	class         *Class
+	slots         float64
+	work          float64 // hinted run time in seconds, else the recent mean of its class
+	classMeanWork float64 // that mean when it arrived
+	value         float64 // what an answer earns now
+	cost          float64 // slots times work: slot-seconds
+	holdTime      float64 // hinted run time in seconds; 0: no hint, the slot is not priced
+	objective     time.Duration
+	deadline      time.Duration
+	keyQueue      *keyQueue     // of a serialized request
+	keyHash       uint64        // places the request at its key's owners; 0: anywhere
+	notBefore     time.Duration // the next attempt waits until then
+	attempts      []attempt
+	outstanding   int  // attempts that have not ended
+	queued        bool // it waits in the queue
+	late          bool // it can hardly meet its objective
+	countedAsBad  bool // the ceilings were cut for it
+	ended         bool // it has its answer, or needs none
+}
+
+// mayHaveRun tells whether one of its attempts may have had an effect.
+func (r *request) mayHaveRun() bool {
+	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return !a.neverRan })
+}
+
+// hasStarted tells whether an outstanding attempt is known to have started.
+func (r *request) hasStarted() bool {
+	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return !a.ended && a.startedAt > 0 })
+}
+
+// unstartedAttempt returns the only outstanding attempt if it is not known to have started, else nil.
+func (r *request) unstartedAttempt() *attempt {
+	if r.outstanding != 1 {
+		return nil
+	}
+	for i := range r.attempts {
+		a := &r.attempts[i]
+		if !a.ended && a.startedAt == 0 {
+			return a
+		}
+	}
+	return nil
+}
+
+// finish marks a request that needs no further decision, and cancels its outstanding attempts. A stream is left to run
+// until its client goes.
+func (m *Machine) finish(r *request) {
+	r.ended = true
+	for i := range r.attempts {
+		if !r.attempts[i].ended && m.settings.Cancellation && !r.class.Streaming {
+			m.emit(Action{Kind: CancelAttempt, Request: r.id, Attempt: i})
+		}
+	}
+	m.forgetIfOver(r)
+}
+
+// forgetIfOver drops a request that has ended and has no outstanding attempt.
+func (m *Machine) forgetIfOver(r *request) {
+	if !r.ended || r.outstanding > 0 {
+		return
+	}
+	delete(m.requests, r.id)
+	if r.keyQueue != nil {
+		m.leaveKeyQueue(r)
+	}
+}
--- /dev/null
+++ b/decision/saturation.go
@@ -0,0 +1,70 @@
+package decision
+
+import "time"
+
+// saturationLatencies is the part of the mean latency for which a full worker is left alone: a slot comes free there
+// within it as often as not.
+const saturationLatencies = 0.25
+
+// classRejections is how a worker turns away requests of one class.
+type classRejections struct {
+	lastAcceptedAt  time.Duration // when the latest request was sent that it took
+	count           int           // requests turned away since
+	firstRejectedAt time.Duration // of those
+	backoff         time.Duration
+	blockedUntil    time.Duration // it gets none of the class until then
+}
+
+// rejectionsOf returns how the worker turns away requests of a class.
+func (w *worker) rejectionsOf(c *Class) *classRejections {
+	if w.rejections[c] == nil {
+		if w.rejections == nil {
+			w.rejections = map[*Class]*classRejections{}
+		}
+		w.rejections[c] = &classRejections{}
+	}
+	return w.rejections[c]
+}
+
+// recordAccepted records that the worker has taken an attempt at a request of a class.
+func (a *attempt) recordAccepted(c *Class) {
+	rejections := a.worker.rejectionsOf(c)
+	if a.sentAt > rejections.lastAcceptedAt {
+		*rejections = classRejections{lastAcceptedAt: a.sentAt}
+	}
+}
+
+// acceptsOtherClasses tells whether the worker has taken requests of other classes that were sent after a moment.
+func (w *worker) acceptsOtherClasses(c *Class, after time.Duration) bool {
+	for other, rejections := range w.rejections {
+		if other != c && rejections.lastAcceptedAt > after {
+			return true
+		}
+	}
+	return false
+}
+
+// recordSaturated records that a worker has turned away a request: it is full for a moment, or, where it takes other
+// classes meanwhile, does not take this one, and gets it after an ever longer backoff.
+func (m *Machine) recordSaturated(w *worker, c *Class) {
+	rejections := w.rejectionsOf(c)
+	rejections.count++
+	if rejections.count == 1 {
+		rejections.firstRejectedAt = m.now
+	}
+	if rejections.count == 1 || !w.acceptsOtherClasses(c, rejections.firstRejectedAt) {
+		w.saturatedUntil = m.now + seconds(m.meanLatency*saturationLatencies)
+		return
+	}
+	rejections.backoff = m.nextBackoff(rejections.backoff)
+	rejections.blockedUntil = m.now + rejections.backoff
+}
+
+// saturated tells whether the worker is known to have no room for the request now.
+func (m *Machine) saturated(r *request, w *worker) bool {
+	if m.now < max(w.saturatedUntil, w.rejectionsOf(r.class).blockedUntil) {
+		return true
+	}
+	reportFresh := w.freeSlotsAt > 0 && m.now-w.freeSlotsAt < max(seconds(m.meanLatency), m.sweepInterval)
+	return reportFresh && w.freeSlots < r.slots
+}
--- /dev/null
+++ b/decision/sweep.go
@@ -0,0 +1,116 @@
+package decision
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+)
+
+const (
+	// pricingsPerHorizon is how often in a planning horizon the prices are solved again.
+	pricingsPerHorizon = 8
+	// sweepsPerObjective is the number of sweeps within the shortest latency objective.
+	sweepsPerObjective = 2
+	// minObjectivePart is the inverse of the part of the deadline that a latency objective counts as at the least.
+	minObjectivePart = 50
+)
+
+// shortestSweepInterval derives the interval of the sweep from the shortest latency objective.
+func (m *Machine) shortestSweepInterval() time.Duration {
+	shortest := time.Duration(math.MaxInt64)
+	for i := range m.settings.Classes {
+		c := &m.settings.Classes[i]
+		shortest = min(shortest, max(c.LatencyObjective, c.Deadline/minObjectivePart))
+	}
+	return max(shortest/sweepsPerObjective, m.settings.Tick)
+}
+
+// scheduleSweep sets the timer of the next sweep, unless it is set. Without unanswered requests there is no sweep.
+func (m *Machine) scheduleSweep() {
+	if !m.sweepScheduled {
+		m.sweepScheduled = true
+		m.emit(Action{Kind: SetTimer, Timer: sweepTimer, Delay: m.sweepInterval})
+	}
+}
+
+// sweep decides what the passing of time alone brings: which requests are late, stuck or worth nothing any more, which
+// workers have warmed up, and the prices.
+func (m *Machine) sweep() {
+	m.unanswered = slices.DeleteFunc(m.unanswered, func(r *request) bool { return r.ended })
+	for _, r := range m.unanswered {
+		m.sweepRequest(r)
+	}
+	m.promoteWarmedUp()
+	slices.SortFunc(m.queue, compareByValue) // late requests are worth less now
+	if m.now >= m.nextPricingAt {
+		m.nextPricingAt = m.now + m.planningHorizon/pricingsPerHorizon
+		grown := m.safeIdleTime + m.safeIdleTime/safeIdleTimeGrowth
+		m.safeIdleTime = min(grown, cmp.Or(m.settings.ConnectionIdleTimeout, m.safeIdleTime))
+		m.solvePrices()
+	}
+	m.sweepScheduled = false
+	if len(m.unanswered) > 0 {
+		m.scheduleSweep()
+	}
+}
+
+// sweepRequest looks after one unanswered request.
+func (m *Machine) sweepRequest(r *request) {
+	if !r.late && m.hardlyInTime(r) {
+		m.markLate(r)
+	} else if r.queued && (m.worthless(r) || m.mustNotRepeat(r)) || r.late && m.delaysOthers(r) {
+		m.rejectOrFail(r)
+	}
+	last := len(r.attempts) - 1
+	if r.outstanding == 1 && !r.attempts[last].ended {
+		m.superviseAttempt(r, &r.attempts[last])
+	}
+}
+
+// hardlyInTime tells whether the request would miss its objective if it started now, or with the next sweep.
+func (m *Machine) hardlyInTime(r *request) bool {
+	return m.now+seconds(r.work)+m.sweepInterval >= r.objective
+}
+
+// markLate marks a request that can hardly be in time, and lowers its value to that of a late answer. It is rejected at
+// once if it waits while capacity is scarce, or delays others. An attempt that is not known to have started tells of
+// overload now, where its end would tell much later; unless its connection may be dead.
+func (m *Machine) markLate(r *request) {
+	r.late = true
+	if r.outstanding > 1 && m.settings.StartNotices && !r.countedAsBad && !r.hasStarted() {
+		m.cutCeilings(r, r.attempts[0].sentAt)
+	}
+	unstarted := r.unstartedAttempt()
+	if unstarted != nil && m.settings.StartNotices {
+		switch {
+		case unstarted.connectionIdle > m.safeIdleTime:
+			m.rejectOrFail(r)
+			return
+		case unstarted.connectionIdle > m.sweepInterval && m.settings.StartsInOrder:
+			m.markPossiblyLost(r, unstarted)
+		default:
+			m.cutCeilings(r, unstarted.sentAt)
+		}
+	}
+	r.value *= r.class.LateWeight
+	if r.queued && m.capacityScarce(r) || m.delaysOthers(r) {
+		m.rejectOrFail(r)
+	}
+}
+
+// capacityScarce tells whether a waiting request has little hope of a worker soon.
+func (m *Machine) capacityScarce(r *request) bool {
+	return m.workPrice+m.slotPrice > 0 || !m.withinConcurrency(r) || m.allSuspended()
+}
+
+// delaysOthers tells whether a request that can hardly be in time, and has not started, stands before others in its
+// worker's queue for little: it earns nothing late, or may be repeated while many outcomes are bad.
+func (m *Machine) delaysOthers(r *request) bool {
+	earnsNothing := r.class.LateWeight <= 0
+	overloaded := m.badRatio > overloadBadRatio && r.class.Idempotency == Idempotent && r.class.LateWeight < 1
+	if !earnsNothing && !overloaded {
+		return false
+	}
+	return m.settings.StartNotices && m.settings.Cancellation && m.hardlyInTime(r) && !r.hasStarted()
+}
