--- a/decision/action.go
+++ b/decision/action.go
@@ -34,7 +34,7 @@
 }
 
 // emit appends an action to those of the event at hand.
-func (m *Machine) emit(a Action) { m.actions = append(m.actions, a) }
+func (m *Machine) emit(action Action) { m.actions = append(m.actions, action) }
 
 // logf emits text for operators.
 func (m *Machine) logf(format string, args ...any) {
--- a/decision/attempt.go
+++ b/decision/attempt.go
@@ -12,191 +12,199 @@
 	neverRan     bool // it has ended and proved to have had no effect
 	unresponsive bool // its connection looks dead: its start is no longer awaited
 
-	// connectionIdle is for how long its connection may have been unused before, where the worker seemed to have room
-	// to start it at once; else 0, and a late start proves nothing.
+	// connectionIdle is for how long its connection may have been unused before, where the worker seemed to
+	// have room to start it at once; else 0, and a late start proves nothing.
 	connectionIdle time.Duration
 }
 
 // outstandingAttempt returns the attempt that an event is about, or nils if it has ended or is unknown.
-func (m *Machine) outstandingAttempt(ev *Event) (*request, *attempt) {
-	r := m.requests[ev.Request]
-	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) || r.attempts[ev.Attempt].ended {
+func (m *Machine) outstandingAttempt(event *Event) (*request, *attempt) {
+	request := m.requests[event.Request]
+	if request == nil || event.Attempt < 0 || event.Attempt >= len(request.attempts) {
 		return nil, nil
 	}
-	return r, &r.attempts[ev.Attempt]
+	attempt := &request.attempts[event.Attempt]
+	if attempt.ended {
+		return nil, nil
+	}
+	return request, attempt
 }
 
 // startAttempt emits an attempt at a worker and records it.
-func (m *Machine) startAttempt(r *request, w *worker) {
-	w.recentWork.add(m.now, m.planningHorizon, r.cost)
-	reservation := r.slowStartCost()
-	w.slowStartBudget -= reservation
-	if m.capacityFraction(w) >= 1 {
+func (m *Machine) startAttempt(request *request, worker *worker) {
+	worker.recentWork.add(m.now, m.planningHorizon, request.cost)
+	reservation := request.slowStartCost()
+	worker.slowStartBudget -= reservation
+	if m.capacityFraction(worker) >= 1 {
 		reservation = 0
 	}
-	w.outstanding += r.slots
-	if w.ejected {
-		m.inFlightAtEjected += r.slots
+	worker.outstanding += request.slots
+	if worker.ejected {
+		m.inFlightAtEjected += request.slots
 	}
-	w.freeSlots -= r.slots
-	m.zone(w.Zone).lastAttemptAt = m.now
-	a := attempt{worker: w, sentAt: m.now, lastSeen: m.now}
-	a.connectionIdle = m.takeIdleConnection(w)
-	if w.unstarted == 0 {
-		w.unstartedSince = m.now
+	worker.freeSlots -= request.slots
+	m.zone(worker.Zone).lastAttemptAt = m.now
+	attempt := attempt{worker: worker, sentAt: m.now, lastSeen: m.now}
+	attempt.connectionIdle = m.takeIdleConnection(worker)
+	if worker.unstarted == 0 {
+		worker.unstartedSince = m.now
 	}
-	w.unstarted++
-	if len(r.attempts) > 0 && m.settings.RetryBudgetWindow > 0 {
+	worker.unstarted++
+	if len(request.attempts) > 0 && m.settings.RetryBudgetWindow > 0 {
 		m.retries = append(m.retries, m.now)
 	}
-	r.attempts = append(r.attempts, a)
-	r.outstanding++
-	m.emit(Action{Kind: Assign, Request: r.id, Worker: w.Name, Reservation: reservation})
+	request.attempts = append(request.attempts, attempt)
+	request.outstanding++
+	m.emit(Action{Kind: Assign, Request: request.id, Worker: worker.Name, Reservation: reservation})
 }
 
 // handleProgress takes in that an attempt has started, or how far it is.
-func (m *Machine) handleProgress(ev Event) {
-	r, a := m.outstandingAttempt(&ev)
-	if a == nil {
+func (m *Machine) handleProgress(event Event) {
+	request, attempt := m.outstandingAttempt(&event)
+	if attempt == nil {
 		return
 	}
-	a.lastSeen = m.now
-	m.markSeen(a.worker)
-	if lostRequest, lost := m.overtakenAttempt(r, a); lost != nil {
+	attempt.lastSeen = m.now
+	m.markSeen(attempt.worker)
+	if lostRequest, lost := m.overtakenAttempt(request, attempt); lost != nil {
 		m.recordDeadConnection(lost)
 		m.rejectOrFail(lostRequest)
 	}
-	m.recordStart(r.class, a)
-	m.cancelOtherAttempts(r, ev.Attempt)
-	if m.settings.StartNotices && ev.Kind == AttemptProgressed && ev.Fraction > 0 && ev.Fraction <= 1 {
-		m.learnRunTimeRatio(a.worker, (m.now-a.startedAt).Seconds()/ev.Fraction/r.work)
+	m.recordStart(request.class, attempt)
+	m.cancelOtherAttempts(request, event.Attempt)
+	tellsSpeed := event.Kind == AttemptProgressed && event.Fraction > 0 && event.Fraction <= 1
+	if m.settings.StartNotices && tellsSpeed {
+		m.learnRunTimeRatio(attempt.worker, (m.now-attempt.startedAt).Seconds()/event.Fraction/request.work)
 	}
 }
 
 // recordStart records, once, that an attempt runs, and how long it waited for that.
-func (m *Machine) recordStart(class *Class, a *attempt) {
-	if a.startedAt > 0 {
+func (m *Machine) recordStart(class *Class, attempt *attempt) {
+	if attempt.startedAt > 0 {
 		return
 	}
-	a.startedAt = m.now
-	a.recordAccepted(class)
+	attempt.startedAt = m.now
+	attempt.recordAccepted(class)
 	if m.settings.StartNotices {
-		waited := (m.now - a.sentAt).Seconds()
+		waited := (m.now - attempt.sentAt).Seconds()
 		m.meanStartWait += (waited - m.meanStartWait) / startWaitSpan
-		expected := m.expectedStartWait(a.worker)
-		a.worker.startWait = decayingValue{value: (expected + waited) / 2, at: m.now}
+		expected := m.expectedStartWait(attempt.worker)
+		attempt.worker.startWait = decayingValue{value: (expected + waited) / 2, at: m.now}
 	}
-	if !a.unresponsive {
-		m.removeUnstarted(a.worker)
+	if !attempt.unresponsive {
+		m.removeUnstarted(attempt.worker)
 	}
 }
 
 // removeUnstarted records that one attempt fewer waits for its start.
-func (m *Machine) removeUnstarted(w *worker) {
-	w.unstarted = max(w.unstarted-1, 0)
-	w.unstartedSince = m.now
+func (m *Machine) removeUnstarted(worker *worker) {
+	worker.unstarted = max(worker.unstarted-1, 0)
+	worker.unstartedSince = m.now
 }
 
-// handleAttemptEnded takes in the end of an attempt: what it used is released, what it tells is learned, and its request
-// is finished or retried.
-func (m *Machine) handleAttemptEnded(ev Event) {
-	m.recordLoad(ev)
-	r, a := m.outstandingAttempt(&ev)
-	if a == nil {
+// handleAttemptEnded takes in the end of an attempt: what it used is released, what it tells is learned,
+// and its request is finished or retried.
+func (m *Machine) handleAttemptEnded(event Event) {
+	m.recordLoad(event)
+	request, attempt := m.outstandingAttempt(&event)
+	if attempt == nil {
 		return
 	}
-	outcome := a.worker.believedOutcome(ev.Outcome)
-	a.neverRan = outcome.neverRan(&m.settings)
-	m.releaseAttempt(r, a, outcome)
-	if r.keyQueue != nil && outcome.mayStillRun() {
-		m.startCooldown(r.keyQueue, m.settings.KeyCooldown+m.settings.Tick)
+	outcome := attempt.worker.believedOutcome(event.Outcome)
+	attempt.neverRan = outcome.neverRan(&m.settings)
+	m.releaseAttempt(request, attempt, outcome)
+	if request.keyQueue != nil && outcome.mayStillRun() {
+		m.startCooldown(request.keyQueue, m.settings.KeyCooldown+m.settings.Tick)
 	}
-	if outcome.turnedAway() || outcome == InvalidRequest || outcome == Cancelled && a.startedAt == 0 {
-		m.refundWork(r, a.worker)
+	if outcome.turnedAway() || outcome == InvalidRequest || outcome == Cancelled && attempt.startedAt == 0 {
+		m.refundWork(request, attempt.worker)
 	}
-	if outcome == InvalidRequest && !ev.Answered && !r.ended && r.outstanding == 0 {
-		// The request is at fault: it is not tried at other workers, and neither they nor the fleet are blamed.
-		m.emit(Action{Kind: Fail, Request: r.id})
-		m.finish(r)
+	if outcome == InvalidRequest && !event.Answered && !request.ended && request.outstanding == 0 {
+		// The request is at fault: it is not tried at other workers, and neither they nor the fleet are
+		// blamed.
+		m.emit(Action{Kind: Fail, Request: request.id})
+		m.finish(request)
 		return
 	}
-	m.recordOutcome(r, a, outcome)
-	m.adjustCeilings(r, a, outcome)
-	if ev.Answered {
-		m.finish(r)
-	} else if !r.ended && r.outstanding == 0 && !r.queued {
-		m.retry(r)
+	m.recordOutcome(request, attempt, outcome)
+	m.adjustCeilings(request, attempt, outcome)
+	if event.Answered {
+		m.finish(request)
+	} else if !request.ended && request.outstanding == 0 && !request.queued {
+		m.retry(request)
 	}
-	m.forgetIfOver(r)
+	m.forgetIfOver(request)
 }
 
-// releaseAttempt records the end of an attempt, and gives back its slots and, after an answer, its connection.
-func (m *Machine) releaseAttempt(r *request, a *attempt, outcome AttemptOutcome) {
-	w := a.worker
+// releaseAttempt records the end of an attempt, and gives back its slots and, after an answer, its
+// connection.
+func (m *Machine) releaseAttempt(request *request, attempt *attempt, outcome AttemptOutcome) {
+	worker := attempt.worker
 	if outcome.keepsConnection() {
-		w.idleConnections = append(w.idleConnections, m.now)
+		worker.idleConnections = append(worker.idleConnections, m.now)
 	}
-	if a.startedAt == 0 && !a.unresponsive {
-		m.removeUnstarted(w)
+	if attempt.startedAt == 0 && !attempt.unresponsive {
+		m.removeUnstarted(worker)
 	}
-	if outcome == Completed && r.holdTime == 0 && m.settings.StartNotices {
-		m.learnClassMeanWork(r, a)
+	if outcome == Completed && request.holdTime == 0 && m.settings.StartNotices {
+		m.learnClassMeanWork(request, attempt)
 	}
-	a.ended = true
-	r.outstanding--
-	w.outstanding -= r.slots
-	w.freeSlots += r.slots
-	m.inFlight = max(m.inFlight-r.slots, 0)
-	if w.ejected {
-		m.inFlightAtEjected -= r.slots
+	attempt.ended = true
+	request.outstanding--
+	worker.outstanding -= request.slots
+	worker.freeSlots += request.slots
+	m.inFlight = max(m.inFlight-request.slots, 0)
+	if worker.ejected {
+		m.inFlightAtEjected -= request.slots
 	}
 }
 
-// refundWork gives back the work of an attempt that did not run: to the token bucket, and off the worker's recent work,
-// since what warm workers turn away tells nothing of what one in slow start can do.
-func (m *Machine) refundWork(r *request, w *worker) {
-	m.bucketTokens += r.cost
-	w.recentWork.add(m.now, m.planningHorizon, -r.cost)
+// refundWork gives back the work of an attempt that did not run: to the token bucket, and off the worker's
+// recent work, since what warm workers turn away tells nothing of what one in slow start can do.
+func (m *Machine) refundWork(request *request, worker *worker) {
+	m.bucketTokens += request.cost
+	worker.recentWork.add(m.now, m.planningHorizon, -request.cost)
 }
 
-// recordOutcome learns what the end of an attempt tells of its worker. Only completed ones teach speed: a fast error
-// must not look like a fast worker.
-func (m *Machine) recordOutcome(r *request, a *attempt, outcome AttemptOutcome) {
-	w := a.worker
-	score := w.failureScore.get(m.now, m.planningHorizon)
+// recordOutcome learns what the end of an attempt tells of its worker. Only completed ones teach speed: a
+// fast error must not look like a fast worker.
+func (m *Machine) recordOutcome(request *request, attempt *attempt, outcome AttemptOutcome) {
+	worker := attempt.worker
+	score := worker.failureScore.get(m.now, m.planningHorizon)
 	switch outcome {
 	case Completed:
-		w.consecutiveInvalid = 0
-		m.markSeen(w)
-		a.recordAccepted(r.class)
-		m.learnRunTimeRatio(w, (m.now-max(a.sentAt, a.startedAt)).Seconds()/r.work)
-		m.meanLatency += ((m.now - a.sentAt).Seconds() - m.meanLatency) / meanSpan
-		m.setFailureScore(w, failureScoreFactor*score, answersAgain)
+		worker.consecutiveInvalid = 0
+		m.markSeen(worker)
+		attempt.recordAccepted(request.class)
+		m.learnRunTimeRatio(worker, (m.now-max(attempt.sentAt, attempt.startedAt)).Seconds()/request.work)
+		m.meanLatency += ((m.now - attempt.sentAt).Seconds() - m.meanLatency) / meanSpan
+		m.setFailureScore(worker, failureScoreFactor*score, answersAgain)
 	case Saturated:
-		m.recordSaturated(w, r.class)
+		m.recordSaturated(worker, request.class)
 	case Failed, ConnectionRefused, ConnectionLost, TimedOut:
 		if outcome == ConnectionRefused {
-			m.recordConnectFailure(w)
+			m.recordConnectFailure(worker)
 		}
-		if outcome == ConnectionLost && m.connectionWasDead(a) {
-			m.recordDeadConnection(a)
+		if outcome == ConnectionLost && m.connectionWasDead(attempt) {
+			m.recordDeadConnection(attempt)
 			return
 		}
-		m.setFailureScore(w, (1+score)/2, attemptsFail)
+		m.setFailureScore(worker, (1+score)/2, attemptsFail)
 	}
 }
 
-// adjustCeilings raises the ceilings for an answer in time and cuts them for a bad outcome, once for each request. A
-// first attempt that fails is about its worker; a request that fails at a second one is about the fleet.
-func (m *Machine) adjustCeilings(r *request, a *attempt, outcome AttemptOutcome) {
-	if outcome == Completed && m.now <= r.objective {
-		m.raiseCeilings(r)
+// adjustCeilings raises the ceilings for an answer in time and cuts them for a bad outcome, once for each
+// request. A first attempt that fails is about its worker; a request that fails at a second one is about
+// the fleet.
+func (m *Machine) adjustCeilings(request *request, attempt *attempt, outcome AttemptOutcome) {
+	if outcome == Completed && m.now <= request.objective {
+		m.raiseCeilings(request)
 		return
 	}
-	if r.countedAsBad || outcome == InvalidRequest {
+	if request.countedAsBad || outcome == InvalidRequest {
 		return
 	}
-	if outcome == Completed || outcome != Cancelled && len(r.attempts) > 1 {
-		m.cutCeilings(r, a.sentAt)
+	if outcome == Completed || outcome != Cancelled && len(request.attempts) > 1 {
+		m.cutCeilings(request, attempt.sentAt)
 	}
 }
--- a/decision/capacity_test.go
+++ b/decision/capacity_test.go
@@ -122,25 +122,25 @@
 	changed := fmt.Sprintf("w%d", index)
 	for _, state := range []WorkerState{Running, Draining, Removed} {
 		d, list := capacityRig(t, workers, 10)
-		w := d.workers[changed]
-		if cold := index%10 == 0; (w.positions[inWarmingUp] > 0) != cold || (w.positions[inLocalWarmWorkers] > 0) == cold {
-			t.Fatalf("%s stands in the wrong lists: %v", changed, w.positions)
+		worker := d.workers[changed]
+		if cold := index%10 == 0; (worker.positions[inWarmingUp] > 0) != cold || (worker.positions[inLocalWarmWorkers] > 0) == cold {
+			t.Fatalf("%s stands in the wrong lists: %v", changed, worker.positions)
 		}
 		for id, members := range listsOf(d) {
 			for i, other := range members[:len(members)-1] { // the last one takes the place
-				if i != w.positions[id]-1 {
+				if i != worker.positions[id]-1 {
 					delete(d.workers, other.Name)
 					d.workers["nobody "+other.Name] = nil
 					members[i] = nil
 				}
 			}
 		}
-		e := list[index]
-		if e.Name != changed {
-			t.Fatalf("%s is changed", e.Name)
+		endpoint := list[index]
+		if endpoint.Name != changed {
+			t.Fatalf("%s is changed", endpoint.Name)
 		}
-		e.State = state
-		d.Handle(d.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{e}}, nil)
+		endpoint.State = state
+		d.Handle(d.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{endpoint}}, nil)
 		if gone := d.workers[changed] == nil; gone != (state == Removed) {
 			t.Errorf("state %v: gone: %v", state, gone)
 		}
@@ -182,9 +182,9 @@
 		}
 		now := time.Hour
 		names := rapid.IntRange(1, 60).Draw(t, "names")
-		both := func(ev Event) []Action {
-			did := a.Handle(now, ev, nil)
-			if other := b.Handle(now, ev, nil); !slices.Equal(did, other) {
+		both := func(event Event) []Action {
+			did := a.Handle(now, event, nil)
+			if other := b.Handle(now, event, nil); !slices.Equal(did, other) {
 				t.Fatalf("one seed, two ways: %v and %v", did, other)
 			}
 			return did
@@ -231,25 +231,25 @@
 		t.Fatalf("%d in the fleet, %d known", len(d.fleet), len(d.workers))
 	}
 	running, suspects, open := 0, 0, map[*Class]int{}
-	for _, w := range d.fleet {
-		if d.workers[w.Name] != w || w.State == Removed {
-			t.Fatalf("in the fleet and not known, or gone: %+v", w.Endpoint)
+	for _, worker := range d.fleet {
+		if d.workers[worker.Name] != worker || worker.State == Removed {
+			t.Fatalf("in the fleet and not known, or gone: %+v", worker.Endpoint)
 		}
-		cold := w.positions[inWarmingUp] > 0 // until the next sweep it stands with the cold ones, though it may be warm by now
-		if !cold && d.capacityFraction(w) < 1 || cold == (w.positions[inWarmWorkers] > 0) ||
-			(!cold && w.Zone == d.settings.Zone) != (w.positions[inLocalWarmWorkers] > 0) {
-			t.Fatalf("in the wrong lists: %+v, %v", w.Endpoint, w.positions)
+		cold := worker.positions[inWarmingUp] > 0 // until the next sweep it stands with the cold ones, though it may be warm by now
+		if !cold && d.capacityFraction(worker) < 1 || cold == (worker.positions[inWarmWorkers] > 0) ||
+			(!cold && worker.Zone == d.settings.Zone) != (worker.positions[inLocalWarmWorkers] > 0) {
+			t.Fatalf("in the wrong lists: %+v, %v", worker.Endpoint, worker.positions)
 		}
-		if w.State != Running {
+		if worker.State != Running {
 			continue
 		}
 		running++
-		if w.ejected {
+		if worker.ejected {
 			suspects++
 		}
 		for i := range d.settings.Classes {
-			if c := &d.settings.Classes[i]; c.mayRunOn(w) {
-				open[c]++
+			if class := &d.settings.Classes[i]; class.mayRunOn(worker) {
+				open[class]++
 			}
 		}
 	}
@@ -258,18 +258,18 @@
 			d.runningCount, d.ejectedCount, d.eligible, running, suspects, open)
 	}
 	for id, members := range listsOf(d) {
-		for i, w := range members {
-			if w.positions[id] != i+1 || d.workers[w.Name] != w {
-				t.Fatalf("list %v: %s stands at %d and takes itself to be at %d", id, w.Name, i, w.positions[id]-1)
+		for i, worker := range members {
+			if worker.positions[id] != i+1 || d.workers[worker.Name] != worker {
+				t.Fatalf("list %v: %s stands at %d and takes itself to be at %d", id, worker.Name, i, worker.positions[id]-1)
 			}
 		}
 	}
 	if d.updateRing(); len(d.ring) != len(d.fleet) || !slices.IsSortedFunc(d.ring, compareByHash) {
 		t.Fatalf("%d on the ring, of %d; in order: %v", len(d.ring), len(d.fleet), slices.IsSortedFunc(d.ring, compareByHash))
 	}
-	for _, w := range d.ring {
-		if d.workers[w.Name] != w {
-			t.Fatalf("%s is on the ring and not known", w.Name)
+	for _, worker := range d.ring {
+		if d.workers[worker.Name] != worker {
+			t.Fatalf("%s is on the ring and not known", worker.Name)
 		}
 	}
 }
@@ -284,20 +284,20 @@
 		if len(members) == 0 || len(members) > maxWarmingUpDraws {
 			t.Fatalf("%d cold workers are drawn for one pick", len(members))
 		}
-		for _, w := range members {
-			drawn[w]++
+		for _, worker := range members {
+			drawn[worker]++
 		}
 	}
-	for _, w := range d.warmingUp {
-		if drawn[w] != 3 {
-			t.Fatalf("%s was drawn %d times in three rounds", w.Name, drawn[w])
+	for _, worker := range d.warmingUp {
+		if drawn[worker] != 3 {
+			t.Fatalf("%s was drawn %d times in three rounds", worker.Name, drawn[worker])
 		}
 	}
 	before := slices.Clone(d.warmingUp)
 	d.Handle(d.now, Event{Kind: RequestArrived, Request: 1, Slots: 1, Work: time.Second, TimeLeft: 5 * time.Second}, nil)
 	moved := 0
-	for i, w := range d.warmingUp {
-		if w != before[i] {
+	for i, worker := range d.warmingUp {
+		if worker != before[i] {
 			moved++
 		}
 	}
@@ -359,8 +359,8 @@
 	d, _ := capacityRig(t, workers, 10)
 	d.planningHorizon = 1000 * time.Hour // what was sent does not fade meanwhile
 	take := func(seconds float64) (share float64) {
-		for _, w := range d.fleet {
-			w.recentWork = decayingValue{seconds, d.now}
+		for _, worker := range d.fleet {
+			worker.recentWork = decayingValue{seconds, d.now}
 		}
 		return seconds / d.planningHorizon.Seconds()
 	}
@@ -385,8 +385,8 @@
 	}
 	small, _ := capacityRig(t, scanWorkersPerSweep, 10)
 	small.warmWorkRate(0)
-	for _, w := range small.fleet {
-		w.recentWork = decayingValue{100, small.now + small.sweepInterval}
+	for _, worker := range small.fleet {
+		worker.recentWork = decayingValue{100, small.now + small.sweepInterval}
 	}
 	small.now += small.sweepInterval
 	if got, want := small.warmWorkRate(0), 100/small.planningHorizon.Seconds(); !near(got, want) {
--- a/decision/ceilings.go
+++ b/decision/ceilings.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// Two ceilings bound what is sent. The concurrency ceiling bounds the slots in flight, a token bucket the work sent over
-// time. Both are learned per ready worker: they rise with each request served in time while they bind, and are cut by
-// bad outcomes. The figures were tuned in the simulator's scenarios.
+// Two ceilings bound what is sent. The concurrency ceiling bounds the slots in flight, a token bucket the
+// work sent over time. Both are learned per ready worker: they rise with each request served in time while
+// they bind, and are cut by bad outcomes. The figures were tuned in the simulator's scenarios.
 const (
-	initialSlotsPerWorker = 8.0  // slots per worker that all dispatchers start with together, as both ceilings
+	initialSlotsPerWorker = 8.0  // slots per worker of all dispatchers together, as both ceilings
 	ceilingFloorRatio     = 0.25 // part of the initial value below which no ceiling is cut
 	ceilingRaiseStep      = 0.4  // slots that a served slot adds to the ceiling when no outcome is bad
-	concurrencyHeadroom   = 3.0  // slots above the ceiling; without them a tiny one rejects beside idle workers
+	concurrencyHeadroom   = 3.0  // slots above the ceiling, lest a tiny one reject beside idle workers
 	badRatioSpan          = 16   // outcomes over which badRatio is averaged
 	overloadBadRatio      = 0.25 // badRatio from which the workers count as overloaded
 )
 
-// countedInFlight is the number of slots in flight that the ceiling applies to. Those at ejected workers are left out:
-// the ceiling is that of the ready workers, and requests stuck elsewhere must not exhaust it.
+// countedInFlight is the number of slots in flight that the ceiling applies to. Those at ejected workers
+// are left out: the ceiling is that of the ready workers, and requests stuck elsewhere must not exhaust it.
 func (m *Machine) countedInFlight() float64 {
 	if m.inPanic() {
 		return m.inFlight
@@ -39,12 +39,14 @@
 	return m.concurrencyPerWorker*m.readyWorkers() + concurrencyHeadroom
 }
 
-// withinConcurrency tells whether the concurrency ceiling admits one more attempt; where none is in flight it does.
-func (m *Machine) withinConcurrency(r *request) bool {
-	return m.countedInFlight() <= 0 || m.countedInFlight()+r.slots <= m.concurrencyCeiling()
+// withinConcurrency tells whether the concurrency ceiling admits one more attempt; where none is in flight
+// it does.
+func (m *Machine) withinConcurrency(request *request) bool {
+	return m.countedInFlight() <= 0 || m.countedInFlight()+request.slots <= m.concurrencyCeiling()
 }
 
-// bucketCapacity is what the token bucket holds when full: the slot-seconds that its rate gives in a planning horizon.
+// bucketCapacity is what the token bucket holds when full: the slot-seconds that its rate gives in a
+// planning horizon.
 func (m *Machine) bucketCapacity() float64 {
 	return m.workRatePerWorker * m.readyWorkers() * m.planningHorizon.Seconds()
 }
@@ -57,34 +59,34 @@
 	m.bucketRefilledAt = m.now
 }
 
-// bucketIsScarce tells whether the token bucket limits what is sent. A rate that was cut while it did not would price
-// work away later.
+// bucketIsScarce tells whether the token bucket limits what is sent. A rate that was cut while it did not
+// would price work away later.
 func (m *Machine) bucketIsScarce() bool {
 	return m.bucketTokens < m.bucketCapacity()/2 || m.workPrice > 0
 }
 
-// raiseCeilings raises the ceilings that bind, for a request served in time. One that grew unused would be stale when
-// it is needed.
-func (m *Machine) raiseCeilings(r *request) {
+// raiseCeilings raises the ceilings that bind, for a request served in time. One that grew unused would be
+// stale when it is needed.
+func (m *Machine) raiseCeilings(request *request) {
 	m.badRatio -= m.badRatio / badRatioSpan
 	step := ceilingRaiseStep * math.Pow(1-m.badRatio, 4) / m.readyWorkers()
-	if m.countedInFlight()+r.slots > m.concurrencyPerWorker*m.readyWorkers()/2 || m.slotPrice > 0 {
-		m.concurrencyPerWorker += step * r.slots
+	if m.countedInFlight()+request.slots > m.concurrencyPerWorker*m.readyWorkers()/2 || m.slotPrice > 0 {
+		m.concurrencyPerWorker += step * request.slots
 	}
 	if m.bucketIsScarce() {
-		m.workRatePerWorker += step * r.cost / m.latencyEstimate()
+		m.workRatePerWorker += step * request.cost / m.latencyEstimate()
 	}
 }
 
-// cutCeilings cuts the ceilings by half of badRatio, weighed by the part of the fleet that is open to the request. They
-// are cut once in a mean latency, and an outcome of what was sent before the last cut is ignored: it tells nothing of
-// the ceilings since.
-func (m *Machine) cutCeilings(r *request, sentAt time.Duration) {
-	r.countedAsBad = true
+// cutCeilings cuts the ceilings by half of badRatio, weighed by the part of the fleet that is open to the
+// request. They are cut once in a mean latency, and an outcome of what was sent before the last cut is
+// ignored: it tells nothing of the ceilings since.
+func (m *Machine) cutCeilings(request *request, sentAt time.Duration) {
+	request.countedAsBad = true
 	if sentAt < m.ceilingsCutAt {
 		return
 	}
-	share := m.eligibleShare(r.class)
+	share := m.eligibleShare(request.class)
 	m.badRatio += share * (1 - m.badRatio) / badRatioSpan
 	if m.now-m.ceilingsCutAt <= seconds(m.latencyEstimate()) {
 		return
@@ -99,6 +101,6 @@
 }
 
 // eligibleShare is the part of the running workers that may run the class.
-func (m *Machine) eligibleShare(c *Class) float64 {
-	return float64(m.eligible[c]) / float64(max(m.runningCount, 1))
+func (m *Machine) eligibleShare(class *Class) float64 {
+	return float64(m.eligible[class]) / float64(max(m.runningCount, 1))
 }
--- a/decision/decay.go
+++ b/decision/decay.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// decayingValue is a number that fades exponentially: after a span of time 1/e of it is left. The zero value is zero.
+// decayingValue is a number that fades exponentially: after a span of time 1/e of it is left. The zero
+// value is zero.
 type decayingValue struct {
 	value float64
 	at    time.Duration // when it was that value
--- a/decision/dispatcher_test.go
+++ b/decision/dispatcher_test.go
@@ -64,8 +64,8 @@
 	return r
 }
 
-func (r *rig) at(now time.Duration, ev Event) []Action {
-	r.actions = r.Handle(now, ev, nil)
+func (r *rig) at(now time.Duration, event Event) []Action {
+	r.actions = r.Handle(now, event, nil)
 	return r.actions
 }
 
@@ -301,10 +301,10 @@
 func TestSuspectWithStuckJobIsTriedAgain(t *testing.T) {
 	r := newRig(t, testSettings(), 3)
 	id := r.arrive(1)
-	w := r.workers[r.worker(id)]
-	r.setFailureScore(w, 1, reportsNoMore)
-	r.now += w.ejectionBackoff
-	if !r.usable(&request{class: &r.settings.Classes[0]}, w) {
+	worker := r.workers[r.worker(id)]
+	r.setFailureScore(worker, 1, reportsNoMore)
+	r.now += worker.ejectionBackoff
+	if !r.usable(&request{class: &r.settings.Classes[0]}, worker) {
 		t.Fatal("never tried again while a job is stuck there")
 	}
 }
@@ -504,23 +504,23 @@
 	r := newRig(t, testSettings(), 4)
 	id := r.arrive(0)
 	bad := r.worker(id)
-	w := r.workers[bad]
+	worker := r.workers[bad]
 	r.respond(id, 0, Failed, time.Millisecond)
-	if !w.ejected || w.runTimeRatio != 0 {
-		t.Fatalf("suspect %v, pace %v", w.ejected, w.runTimeRatio)
+	if !worker.ejected || worker.runTimeRatio != 0 {
+		t.Fatalf("suspect %v, pace %v", worker.ejected, worker.runTimeRatio)
 	}
 	for range 20 {
 		if r.sentTo(0) == bad {
 			t.Fatal("sent to a suspect at once")
 		}
 	}
-	r.now += w.ejectionBackoff
+	r.now += worker.ejectionBackoff
 	r.concurrencyPerWorker, r.workRatePerWorker, r.bucketTokens = 100, 100, 1e6
 	trials := 0
 	for range 40 {
 		r.arrive(0)
-		for _, a := range r.actions {
-			if a.Kind == Assign && a.Worker == bad {
+		for _, action := range r.actions {
+			if action.Kind == Assign && action.Worker == bad {
 				trials++
 			}
 		}
@@ -564,8 +564,8 @@
 // If most workers look bad the trouble is not theirs, and all are used.
 func TestMostSuspectsMeansNone(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
-	for _, w := range r.fleet[:3] {
-		r.setFailureScore(w, 1, attemptsFail)
+	for _, worker := range r.fleet[:3] {
+		r.setFailureScore(worker, 1, attemptsFail)
 	}
 	r.fleet[3].saturatedUntil = r.now + time.Hour
 	if r.sentTo(0) == "" {
@@ -607,8 +607,8 @@
 	if trials == 0 || r.Ejected() != nil {
 		t.Fatalf("%v are ejected after %d trials that were served", r.Ejected(), trials)
 	}
-	for _, w := range r.fleet[:3] {
-		r.setFailureScore(w, 1, attemptsFail)
+	for _, worker := range r.fleet[:3] {
+		r.setFailureScore(worker, 1, attemptsFail)
 	}
 	if r.Ejected() != nil {
 		t.Fatalf("%v are ejected while most look bad", r.Ejected())
@@ -635,13 +635,13 @@
 		r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: "w0", StartedAt: r.now}}})
 		for range 200 {
 			id := r.arrive(0)
-			for _, a := range r.actions {
-				if a.Kind == Assign && a.Worker != "w0" && a.Reservation != 0 {
-					t.Fatalf("a warm worker was charged %v", a.Reservation)
+			for _, action := range r.actions {
+				if action.Kind == Assign && action.Worker != "w0" && action.Reservation != 0 {
+					t.Fatalf("a warm worker was charged %v", action.Reservation)
 				}
-				if a.Kind == Assign && a.Worker == "w0" {
+				if action.Kind == Assign && action.Worker == "w0" {
 					sent++
-					charged += a.Reservation
+					charged += action.Reservation
 				}
 			}
 			r.respond(id, 0, Completed, 10*time.Millisecond)
@@ -661,12 +661,12 @@
 func TestSilenceIsNoticed(t *testing.T) {
 	r := newRig(t, testSettings(), 4)
 	id := r.arrive(0)
-	w := r.workers[r.worker(id)]
+	worker := r.workers[r.worker(id)]
 	for end := r.now + 4*time.Second; r.now < end && len(r.requests[id].attempts) < 2; {
 		r.at(r.now+r.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
 	}
-	if !w.ejected || len(r.requests[id].attempts) != 2 {
-		t.Fatalf("suspect %v, %d attempts", w.ejected, len(r.requests[id].attempts))
+	if !worker.ejected || len(r.requests[id].attempts) != 2 {
+		t.Fatalf("suspect %v, %d attempts", worker.ejected, len(r.requests[id].attempts))
 	}
 }
 
@@ -680,25 +680,25 @@
 		r := newSeededRig(t, s, 12, seed+1)
 		var told []string
 		var entries []Endpoint
-		for i, w := range r.fleet {
-			entries = append(entries, Endpoint{Name: w.Name, Zone: i % 3, State: Running})
+		for i, worker := range r.fleet {
+			entries = append(entries, Endpoint{Name: worker.Name, Zone: i % 3, State: Running})
 		}
 		r.at(r.now, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: entries})
-		refuse := func(w *worker) { // a job there whose connect fails
+		refuse := func(worker *worker) { // a job there whose connect fails
 			q := &request{id: r.next, class: &r.settings.Classes[1], slots: 1, work: 1, deadline: r.now + time.Second}
 			r.next++
 			r.requests[q.id] = q
-			r.startAttempt(q, w)
-			for _, a := range r.at(r.now+s.ConnectTimeout, Event{Kind: AttemptEnded, Request: q.id, Worker: w.Name,
+			r.startAttempt(q, worker)
+			for _, action := range r.at(r.now+s.ConnectTimeout, Event{Kind: AttemptEnded, Request: q.id, Worker: worker.Name,
 				Outcome: ConnectionRefused, Answered: true}) {
-				told = append(told, a.Text)
+				told = append(told, action.Text)
 			}
 			r.now += time.Millisecond
 		}
 		zone := func(n int) (of []*worker) {
-			for _, w := range r.fleet {
-				if w.Zone == n {
-					of = append(of, w)
+			for _, worker := range r.fleet {
+				if worker.Zone == n {
+					of = append(of, worker)
 				}
 			}
 			return of
@@ -723,8 +723,8 @@
 			t.Fatalf("a zone of which two workers in a row cannot be reached is not lost: %q", told)
 		}
 		for range 6 {
-			if w := r.workers[r.sentTo(1)]; w != nil && w.Zone == 1 {
-				t.Fatalf("%s of the lost zone was sent a job", w.Name)
+			if worker := r.workers[r.sentTo(1)]; worker != nil && worker.Zone == 1 {
+				t.Fatalf("%s of the lost zone was sent a job", worker.Name)
 			}
 		}
 		r.now += 4*s.ConnectTimeout + time.Millisecond
@@ -794,7 +794,7 @@
 		r.respond(id, 0, Completed, time.Millisecond)
 	}
 	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: []Endpoint{{Name: lost}}})
-	if w := r.workers[lost]; !w.ejected || len(r.fleet) != 1 {
+	if worker := r.workers[lost]; !worker.ejected || len(r.fleet) != 1 {
 		t.Fatal("the list cleared a silent worker that has not started anew")
 	}
 }
@@ -816,7 +816,7 @@
 		s.Cancellation = false // else a job that waits has a copy anyway
 		r := newRig(t, s, 4)
 		id := r.arrive(test.class)
-		w := r.workers[r.worker(id)]
+		worker := r.workers[r.worker(id)]
 		note := func(q uint64) {
 			r.at(r.now, Event{Kind: AttemptStarted, Request: q, Worker: r.worker(q)})
 		}
@@ -828,26 +828,26 @@
 			r.at(r.now+r.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
 			if find(r.actions, CheckHealth) != nil {
 				probes++
-				r.at(r.now, Event{Kind: HealthChecked, Worker: w.Name, Outcome: Completed,
+				r.at(r.now, Event{Kind: HealthChecked, Worker: worker.Name, Outcome: Completed,
 					Load: LoadReport{Backlog: float64(test.backlog), HasBacklog: true}})
 			}
-			w.lastSeen = r.now // by another connection
+			worker.lastSeen = r.now // by another connection
 		}
-		if n := len(r.requests[id].attempts); n != test.want || w.ejected {
-			t.Errorf("%s: %d attempts, want %d; suspect %v", name, n, test.want, w.ejected)
+		if n := len(r.requests[id].attempts); n != test.want || worker.ejected {
+			t.Errorf("%s: %d attempts, want %d; suspect %v", name, n, test.want, worker.ejected)
 		}
 		if test.started != (probes == 0) || probes > 3 {
 			t.Errorf("%s: %d probes", name, probes)
 		}
-		if blocked := w.unstarted > 0; !test.started && blocked != (test.backlog > 0) {
-			t.Errorf("%s: %d starts are waited for", name, w.unstarted)
+		if blocked := worker.unstarted > 0; !test.started && blocked != (test.backlog > 0) {
+			t.Errorf("%s: %d starts are waited for", name, worker.unstarted)
 		}
 		r.at(r.now, Event{Kind: ClientDisconnected, Request: id})
 		for n := range r.requests[id].attempts {
 			r.respond(id, n, Cancelled, 0)
 		}
-		if w.unstarted != 0 || w.outstanding != 0 || r.inFlight != 0 {
-			t.Errorf("%s: in the end %d starts are waited for, %v slots out, %v leased", name, w.unstarted, w.outstanding, r.inFlight)
+		if worker.unstarted != 0 || worker.outstanding != 0 || r.inFlight != 0 {
+			t.Errorf("%s: in the end %d starts are waited for, %v slots out, %v leased", name, worker.unstarted, worker.outstanding, r.inFlight)
 		}
 	}
 }
@@ -859,14 +859,14 @@
 	s.StartNotices, s.Cancellation = true, false
 	r := newRig(t, s, 2)
 	id := r.arrive(0)
-	w := r.workers[r.worker(id)]
+	worker := r.workers[r.worker(id)]
 	for range 30 {
 		r.at(r.now+r.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
 	}
-	if w.ejected || len(r.requests[id].attempts) != 1 {
-		t.Fatalf("suspect %v, %d attempts for a job that waits in a queue", w.ejected, len(r.requests[id].attempts))
+	if worker.ejected || len(r.requests[id].attempts) != 1 {
+		t.Fatalf("suspect %v, %d attempts for a job that waits in a queue", worker.ejected, len(r.requests[id].attempts))
 	}
-	if next := r.arrive(0); r.worker(next) == w.Name {
+	if next := r.arrive(0); r.worker(next) == worker.Name {
 		t.Fatal("more work behind a job that has not started")
 	}
 }
@@ -879,9 +879,9 @@
 	s.StartNotices = true
 	stopped := func(r *rig) []int {
 		var list []int
-		for _, a := range r.actions {
-			if a.Kind == CancelAttempt {
-				list = append(list, a.Attempt)
+		for _, action := range r.actions {
+			if action.Kind == CancelAttempt {
+				list = append(list, action.Attempt)
 			}
 		}
 		return list
@@ -906,8 +906,8 @@
 			t.Fatalf("attempt %d starts first: called off: %v", first, got)
 		}
 		r.respond(id, 1-first, Cancelled, 0)
-		if w := q.attempts[1-first].worker; w.unstarted != 0 || w.recentWork.get(r.now, r.planningHorizon) > 1e-3 {
-			t.Errorf("a copy that never started is still booked: %d, %v", w.unstarted, w.recentWork)
+		if worker := q.attempts[1-first].worker; worker.unstarted != 0 || worker.recentWork.get(r.now, r.planningHorizon) > 1e-3 {
+			t.Errorf("a copy that never started is still booked: %d, %v", worker.unstarted, worker.recentWork)
 		}
 	}
 	r, id := wait(0)
@@ -981,25 +981,25 @@
 	s.Peers = 300
 	for seed := range uint64(10) {
 		r := newSeededRig(t, s, 4*maxWarmDraws, seed)
-		for _, w := range r.fleet[1:] { // the first stays warm: what the others may get is measured by it
-			w.StartedAt, w.slowStartBudgetAt, w.slowStartBudget = r.now, r.now, -1
-			w.recentWork.add(r.now, r.planningHorizon, 0)
-			r.warmingUp = append(r.warmingUp, w)
+		for _, worker := range r.fleet[1:] { // the first stays warm: what the others may get is measured by it
+			worker.StartedAt, worker.slowStartBudgetAt, worker.slowStartBudget = r.now, r.now, -1
+			worker.recentWork.add(r.now, r.planningHorizon, 0)
+			r.warmingUp = append(r.warmingUp, worker)
 		}
 		r.fleet[0].recentWork.add(r.now, r.planningHorizon, 100)
 		r.warmWorkRatesAt = 0
 		room := r.fleet[len(r.fleet)-1]
 		room.slowStartBudget = 100
 		q := &request{class: &r.settings.Classes[0], slots: 1, work: 1, classMeanWork: 1, cost: 1, objective: r.now + time.Minute}
-		if w := r.pickFrom(q, r.warmingUp, inWarmingUp); w != room {
-			t.Fatalf("seed %d: the one cold worker of %d that has room is not found: %v", seed, len(r.warmingUp), w)
+		if worker := r.pickFrom(q, r.warmingUp, inWarmingUp); worker != room {
+			t.Fatalf("seed %d: the one cold worker of %d that has room is not found: %v", seed, len(r.warmingUp), worker)
 		}
-		for _, w := range r.warmWorkers {
-			w.saturatedUntil = r.now + time.Second
+		for _, worker := range r.warmWorkers {
+			worker.saturatedUntil = r.now + time.Second
 		}
 		first := slices.Clone(r.warmWorkers)
-		for _, w := range r.fleet[1:] {
-			w.StartedAt = 0
+		for _, worker := range r.fleet[1:] {
+			worker.StartedAt = 0
 		}
 		r.pickFrom(q, r.warmWorkers, inWarmWorkers)
 		moved := 0
@@ -1022,16 +1022,16 @@
 	s.Peers = 300
 	for _, test := range []struct{ work, windows float64 }{{1e6, 2}, {1e-6, 1}} {
 		r := newRig(t, s, 2)
-		w := r.workers["w0"]
+		worker := r.workers["w0"]
 		warm := r.workers["w1"]
 		warm.recentWork.add(r.now, r.planningHorizon, 2)
-		w.StartedAt, w.slowStartBudgetAt, w.slowStartBudget, r.warmWorkRatesAt = r.now, r.now, 0, 0
-		w.recentWork.add(r.now, r.planningHorizon, 0)
+		worker.StartedAt, worker.slowStartBudgetAt, worker.slowStartBudget, r.warmWorkRatesAt = r.now, r.now, 0, 0
+		worker.recentWork.add(r.now, r.planningHorizon, 0)
 		r.now += s.OverloadWindow * 3
-		share, warmth := r.warmWorkRate(0), r.capacityFraction(w)
-		r.withinSlowStartBudget(&request{class: &r.settings.Classes[0], slots: 1, work: test.work, cost: test.work, classMeanWork: 1e-7}, w)
+		share, warmth := r.warmWorkRate(0), r.capacityFraction(worker)
+		r.withinSlowStartBudget(&request{class: &r.settings.Classes[0], slots: 1, work: test.work, cost: test.work, classMeanWork: 1e-7}, worker)
 		most := s.OverloadMultiple * warmth * share * s.OverloadWindow.Seconds()
-		if got := w.slowStartBudget / most / slowStartSafety; math.Abs(got-test.windows) > 0.01 {
+		if got := worker.slowStartBudget / most / slowStartSafety; math.Abs(got-test.windows) > 0.01 {
 			t.Errorf("jobs of %g s: the budget of %.2f windows is saved", test.work, got)
 		}
 	}
@@ -1045,9 +1045,9 @@
 func TestWonStakeIsUsed(t *testing.T) {
 	for seed := range uint64(20) {
 		r := newSeededRig(t, testSettings(), 6, seed+1)
-		for i, w := range r.fleet {
-			w.StartedAt, w.slowStartBudgetAt, w.slowStartBudget, w.outstanding = r.now, r.now, 0.06, float64(i)
-			w.recentWork.add(r.now, r.planningHorizon, 0)
+		for i, worker := range r.fleet {
+			worker.StartedAt, worker.slowStartBudgetAt, worker.slowStartBudget, worker.outstanding = r.now, r.now, 0.06, float64(i)
+			worker.recentWork.add(r.now, r.planningHorizon, 0)
 		}
 		r.warmingUp = append(r.warmingUp[:0], r.fleet...)
 		r.warmWorkRates, r.warmWorkRatesAt = map[int]float64{0: 0.1}, r.now
@@ -1079,13 +1079,13 @@
 		want bool
 	}{{0.9, true}, {1.1, false}} {
 		r := newRig(t, s, 2)
-		w := r.fleet[0]
+		worker := r.fleet[0]
 		r.fleet[1].recentWork.add(r.now, r.planningHorizon, r.planningHorizon.Seconds()) // a slot-second a second from this one alone
 		job := &request{class: &r.settings.Classes[0], slots: 1, work: test.work, cost: test.work, classMeanWork: 0.5}
 		taken := false
 		for range 1000 {
-			w.StartedAt, w.slowStartBudgetAt, w.slowStartBudget, r.warmWorkRatesAt = r.now, r.now, 0.1, 0
-			taken = taken || r.withinSlowStartBudget(job, w)
+			worker.StartedAt, worker.slowStartBudgetAt, worker.slowStartBudget, r.warmWorkRatesAt = r.now, r.now, 0.1, 0
+			taken = taken || r.withinSlowStartBudget(job, worker)
 		}
 		if taken != test.want {
 			t.Errorf("a job of %.1f s where the mean is 0.5: taken %v", test.work, taken)
@@ -1341,24 +1341,24 @@
 	}
 	var out []running
 	now := time.Duration(time.Hour)
-	handle := func(r *rig, ev Event) {
-		for _, a := range r.at(now, ev) {
-			if a.Kind != Assign {
+	handle := func(r *rig, event Event) {
+		for _, action := range r.at(now, event) {
+			if action.Kind != Assign {
 				continue
 			}
-			q := r.requests[a.Request]
+			q := r.requests[action.Request]
 			speed := capacity / 4 // kind 1; kind 0 is three times as fast
-			if a.Worker == "w0" || a.Worker == "w2" || a.Worker == "w4" {
+			if action.Worker == "w0" || action.Worker == "w2" || action.Worker == "w4" {
 				speed *= 3
 			}
-			x := running{r, a.Request, len(q.attempts) - 1, a.Worker, now + seconds(q.work/speed), Completed}
-			if a.Worker == "w1" && now >= start {
+			x := running{r, action.Request, len(q.attempts) - 1, action.Worker, now + seconds(q.work/speed), Completed}
+			if action.Worker == "w1" && now >= start {
 				cold = append(cold, coldSend{now, q.cost})
 			}
-			if load[a.Worker] >= 4 {
+			if load[action.Worker] >= 4 {
 				x.ends, x.o = now+tick, Saturated
 			}
-			load[a.Worker]++
+			load[action.Worker]++
 			out = append(out, x)
 		}
 	}
@@ -1424,22 +1424,22 @@
 // the jobs of four dispatchers fell together and pushed a newcomer over.
 func TestColdJobsKeepAnEvenPace(t *testing.T) {
 	r := newRig(t, testSettings(), 2)
-	w, warm := r.fleet[0], r.fleet[1]
+	worker, warm := r.fleet[0], r.fleet[1]
 	job := &request{class: &r.settings.Classes[0], slots: 1, work: 1, cost: 1}
-	w.StartedAt, w.slowStartBudgetAt, r.warmWorkRatesAt = r.now, r.now, 0
+	worker.StartedAt, worker.slowStartBudgetAt, r.warmWorkRatesAt = r.now, r.now, 0
 	sent, last := 0, time.Duration(0)
 	for end := r.now + r.settings.SlowStartDuration/2; r.now < end; r.Machine.now += 10 * time.Millisecond {
 		warm.recentWork = decayingValue{4 * r.planningHorizon.Seconds(), r.now} // four slot-seconds a second
-		if !r.withinSlowStartBudget(job, w) {
+		if !r.withinSlowStartBudget(job, worker) {
 			continue
 		}
-		rate := slowStartSafety * r.settings.OverloadMultiple * r.capacityFraction(w) * r.warmWorkRate(0)
+		rate := slowStartSafety * r.settings.OverloadMultiple * r.capacityFraction(worker) * r.warmWorkRate(0)
 		if gap := (r.now - last).Seconds(); sent > 1 && (gap < 0.9/rate || gap > 1.2/rate+0.02) {
 			t.Fatalf("%.2f s between two jobs, the budget pays for one in %.2f s", gap, 1/rate)
 		}
 		sent, last = sent+1, r.now
-		w.recentWork.add(r.now, r.planningHorizon, 1e-9) // the first has gone
-		w.slowStartBudget -= job.cost
+		worker.recentWork.add(r.now, r.planningHorizon, 1e-9) // the first has gone
+		worker.slowStartBudget -= job.cost
 	}
 	if sent < 4 {
 		t.Fatalf("%d jobs were sent", sent)
@@ -1452,19 +1452,19 @@
 	s := testSettings()
 	s.Peers = 100
 	r := newRig(t, s, 2)
-	w := r.fleet[0]
+	worker := r.fleet[0]
 	for _, x := range r.fleet {
 		x.recentWork.add(r.now, r.planningHorizon, 0.04*r.planningHorizon.Seconds())
 	}
 	job := &request{class: &r.settings.Classes[0], slots: 1, work: 0.5, cost: 0.5, classMeanWork: 0.5}
-	w.StartedAt, r.warmWorkRatesAt = r.now-r.settings.SlowStartDuration/2, 0
+	worker.StartedAt, r.warmWorkRatesAt = r.now-r.settings.SlowStartDuration/2, 0
 	taken := 0
 	const tries = 1000
 	for range tries {
-		w.slowStartBudgetAt, w.slowStartBudget = r.now, 0.01
-		if r.withinSlowStartBudget(job, w) {
+		worker.slowStartBudgetAt, worker.slowStartBudget = r.now, 0.01
+		if r.withinSlowStartBudget(job, worker) {
 			taken++
-		} else if w.slowStartBudget != 0 {
+		} else if worker.slowStartBudget != 0 {
 			t.Fatal("what was staked is still there")
 		}
 	}
@@ -1498,19 +1498,19 @@
 	var out []job
 	toNew, toAll := 0, 0
 	sent := map[string][]coldSend{}
-	handle := func(r *rig, ev Event) {
-		for _, a := range r.at(now, ev) {
-			if a.Kind != Assign {
+	handle := func(r *rig, event Event) {
+		for _, action := range r.at(now, event) {
+			if action.Kind != Assign {
 				continue
 			}
-			work := r.requests[a.Request].work
-			out = append(out, job{r, a.Request, a.Worker, now + seconds(work)})
+			work := r.requests[action.Request].work
+			out = append(out, job{r, action.Request, action.Worker, now + seconds(work)})
 			if now < start {
 				continue
 			}
-			if toAll++; strings.HasPrefix(a.Worker, "new") {
+			if toAll++; strings.HasPrefix(action.Worker, "new") {
 				toNew++
-				sent[a.Worker] = append(sent[a.Worker], coldSend{now, work})
+				sent[action.Worker] = append(sent[action.Worker], coldSend{now, work})
 			}
 		}
 	}
@@ -1562,14 +1562,14 @@
 func TestPickDrawsAreBounded(t *testing.T) {
 	r := newRig(t, testSettings(), 300)
 	r.concurrencyPerWorker, r.workRatePerWorker, r.bucketTokens = 100, 100, 1e6
-	for _, w := range r.fleet {
-		w.saturatedUntil = r.now + time.Hour
+	for _, worker := range r.fleet {
+		worker.saturatedUntil = r.now + time.Hour
 	}
 	r.arrive(0)
 	before, moved := slices.Clone(r.warmWorkers), 0
 	r.pickFrom(r.queue[0], r.warmWorkers, inWarmWorkers)
-	for i, w := range r.warmWorkers {
-		if w != before[i] {
+	for i, worker := range r.warmWorkers {
+		if worker != before[i] {
 			moved++
 		}
 	}
@@ -1591,8 +1591,8 @@
 	if len(used) > 2*minSubsetSize {
 		t.Fatalf("100 jobs, one at a time, went to %d workers", len(used))
 	}
-	for _, w := range r.warmWorkers[:r.subsetSize] {
-		w.saturatedUntil = r.now + time.Hour
+	for _, worker := range r.warmWorkers[:r.subsetSize] {
+		worker.saturatedUntil = r.now + time.Hour
 	}
 	if w := r.sentTo(0); w == "" || used[w] {
 		t.Fatalf("with its own set full, a job went to %q", w)
@@ -1600,8 +1600,8 @@
 	before := slices.Clone(r.warmWorkers)
 	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: "new"}}})
 	moved := 0
-	for i, w := range before {
-		if r.warmWorkers[i] != w {
+	for i, worker := range before {
+		if r.warmWorkers[i] != worker {
 			moved++
 		}
 	}
@@ -1663,8 +1663,8 @@
 	for range 2 {
 		r.at(r.now, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: list})
 		near := 0
-		for _, w := range r.fleet {
-			if w.Zone == r.settings.Zone {
+		for _, worker := range r.fleet {
+			if worker.Zone == r.settings.Zone {
 				near++
 			}
 		}
@@ -1704,12 +1704,12 @@
 // A new process knows nothing of the old one's failures or speed.
 func TestRestartForgets(t *testing.T) {
 	r := newRig(t, testSettings(), 3)
-	w := r.fleet[0]
-	r.setFailureScore(w, 1, attemptsFail)
-	w.runTimeRatio = 9
+	worker := r.fleet[0]
+	r.setFailureScore(worker, 1, attemptsFail)
+	worker.runTimeRatio = 9
 	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta,
 		Endpoints: []Endpoint{{Name: "w0", State: Running, StartedAt: r.now - 20*time.Second}}})
-	if w.ejected || w.runTimeRatio != 0 {
+	if worker.ejected || worker.runTimeRatio != 0 {
 		t.Fatal("the old process is remembered")
 	}
 }
@@ -1776,20 +1776,20 @@
 
 func TestSettingsAreChecked(t *testing.T) {
 	for field, change := range map[string]func(*Settings){
-		"Classes is empty":                 func(s *Settings) { s.Classes = nil },
-		"Classes[0].Deadline":              func(s *Settings) { s.Classes[0].Deadline = 0 },
-		"Classes[1].PriorityWeight":        func(s *Settings) { s.Classes[1].PriorityWeight = math.NaN() },
-		"Classes[1].ObjectiveStretch":      func(s *Settings) { s.Classes[1].ObjectiveStretch = -1 },
-		"TenantQuotas[0]":                  func(s *Settings) { s.TenantQuotas = []float64{-1} },
-		"OverQuotaWeight":                  func(s *Settings) { s.OverQuotaWeight = math.Inf(1) },
-		"SlowStartFloor must be between 0": func(s *Settings) { s.SlowStartFloor = 2 },
-		"Classes[0].Kinds":                 func(s *Settings) { s.Classes[0].Kinds = []int{} },
-		"Classes[1].Zones":                 func(s *Settings) { s.Classes[1].Zones = []int{0, -1} },
-		"Classes[1].Serialized":            func(s *Settings) { s.Classes[1].Serialized, s.Classes[1].Streaming = true, true },
-		"KeyCooldown":                      func(s *Settings) { s.KeyCooldown = -1 },
-		"RetryBudgetFloor":                 func(s *Settings) { s.RetryBudgetFloor = math.NaN() },
-		"RetryBudgetRatio":                 func(s *Settings) { s.RetryBudgetRatio = -1 },
-		"RetryBudgetWindow":                func(s *Settings) { s.RetryBudgetRatio = 0.2 },
+		"Classes is empty":                 func(settings *Settings) { settings.Classes = nil },
+		"Classes[0].Deadline":              func(settings *Settings) { settings.Classes[0].Deadline = 0 },
+		"Classes[1].PriorityWeight":        func(settings *Settings) { settings.Classes[1].PriorityWeight = math.NaN() },
+		"Classes[1].ObjectiveStretch":      func(settings *Settings) { settings.Classes[1].ObjectiveStretch = -1 },
+		"TenantQuotas[0]":                  func(settings *Settings) { settings.TenantQuotas = []float64{-1} },
+		"OverQuotaWeight":                  func(settings *Settings) { settings.OverQuotaWeight = math.Inf(1) },
+		"SlowStartFloor must be between 0": func(settings *Settings) { settings.SlowStartFloor = 2 },
+		"Classes[0].Kinds":                 func(settings *Settings) { settings.Classes[0].Kinds = []int{} },
+		"Classes[1].Zones":                 func(settings *Settings) { settings.Classes[1].Zones = []int{0, -1} },
+		"Classes[1].Serialized":            func(settings *Settings) { settings.Classes[1].Serialized, settings.Classes[1].Streaming = true, true },
+		"KeyCooldown":                      func(settings *Settings) { settings.KeyCooldown = -1 },
+		"RetryBudgetFloor":                 func(settings *Settings) { settings.RetryBudgetFloor = math.NaN() },
+		"RetryBudgetRatio":                 func(settings *Settings) { settings.RetryBudgetRatio = -1 },
+		"RetryBudgetWindow":                func(settings *Settings) { settings.RetryBudgetRatio = 0.2 },
 	} {
 		s := testSettings()
 		change(&s)
@@ -1833,9 +1833,9 @@
 	if len(homes) > 2 {
 		t.Fatalf("20 dispatchers send one key to %d workers", len(homes))
 	}
-	for _, w := range r.ring {
-		if homes[w.Name] {
-			w.saturatedUntil = r.now + time.Hour
+	for _, worker := range r.ring {
+		if homes[worker.Name] {
+			worker.saturatedUntil = r.now + time.Hour
 		}
 	}
 	if w := keyed(); w == "" || homes[w] {
@@ -1902,8 +1902,8 @@
 	r.connectionLostAt = r.now
 	id := r.arrive(0)
 	r.respond(id, 0, ConnectionLost, time.Millisecond)
-	if w := r.fleet[0]; w.ejected || w.failureScore.value > 0 || r.safeIdleTime != 3*time.Second {
-		t.Fatalf("failure score %v, bound %v", w.failureScore.value, r.safeIdleTime)
+	if worker := r.fleet[0]; worker.ejected || worker.failureScore.value > 0 || r.safeIdleTime != 3*time.Second {
+		t.Fatalf("failure score %v, bound %v", worker.failureScore.value, r.safeIdleTime)
 	}
 }
 
@@ -1938,8 +1938,8 @@
 			r := newRig(t, s, 2)
 			id := r.arrive(1)
 			sent := r.requests[id].attempts[0].sentAt
-			for _, w := range r.fleet {
-				w.saturatedUntil = r.now + time.Hour
+			for _, worker := range r.fleet {
+				worker.saturatedUntil = r.now + time.Hour
 			}
 			if last == Saturated {
 				r.fleet[0].saturatedUntil, r.fleet[1].saturatedUntil = 0, 0
@@ -2081,8 +2081,8 @@
 		good := r.arrive(0)
 		worker = r.worker(good)
 		r.respond(good, 0, Completed, time.Second)
-		for _, w := range r.fleet {
-			w.consecutiveInvalid = 0
+		for _, worker := range r.fleet {
+			worker.consecutiveInvalid = 0
 		}
 	}
 	if r.ejectedCount != 0 || r.concurrencyPerWorker < perSlot || r.inFlight != 0 {
@@ -2145,9 +2145,9 @@
 		r.arrive(1)
 		serve(1)
 	}
-	for _, w := range r.fleet {
-		if u := w.rejectionsOf(&r.settings.Classes[1]); u.count != 0 || u.blockedUntil != 0 {
-			t.Errorf("%s takes the class again, but is held to turn it away: %+v", w.Name, *u)
+	for _, worker := range r.fleet {
+		if u := worker.rejectionsOf(&r.settings.Classes[1]); u.count != 0 || u.blockedUntil != 0 {
+			t.Errorf("%s takes the class again, but is held to turn it away: %+v", worker.Name, *u)
 		}
 	}
 }
--- a/decision/endpoints.go
+++ b/decision/endpoints.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// After a failure the endpoint list is asked for again after a backoff, from a twentieth of ListPollInterval up to half
-// of it. In a large fleet all calls are spread over time besides: measured with 36 and 300 dispatchers, so that a list
-// service that answers seven calls a second keeps up, and three calls that fail still fit into ListPollInterval.
+// After a failure the endpoint list is asked for again after a backoff, from a twentieth of
+// ListPollInterval up to half of it. In a large fleet all calls are spread over time besides: measured with
+// 36 and 300 dispatchers, so that a list service that answers seven calls a second keeps up, and three
+// calls that fail still fit into ListPollInterval.
 const (
 	minListBackoffPart     = 20    // inverse of the smallest backoff's part of ListPollInterval
 	maxListBackoffPart     = 2     // inverse of the largest one's
@@ -17,13 +18,13 @@
 )
 
 // handleList takes in the endpoint list, or that a call for it has failed: then the old list stands.
-func (m *Machine) handleList(ev Event) {
-	if ev.ListKind == ListFailed {
+func (m *Machine) handleList(event Event) {
+	if event.ListKind == ListFailed {
 		m.retrySubscribe()
 		return
 	}
 	m.listBackoff = 0
-	if ev.ListKind == ListCached && m.settings.ListBySubscription {
+	if event.ListKind == ListCached && m.settings.ListBySubscription {
 		delay := m.subscribeDelay()
 		if delay > 0 {
 			m.emit(Action{Kind: SetTimer, Timer: subscribeTimer, Delay: delay})
@@ -31,7 +32,7 @@
 			m.emit(Action{Kind: Subscribe})
 		}
 	}
-	m.applyList(ev)
+	m.applyList(event)
 }
 
 // retrySubscribe schedules the next call for the list after one that failed.
@@ -54,26 +55,26 @@
 	return seconds(part * m.settings.ListPollInterval.Seconds() * m.random.Float64())
 }
 
-// applyList applies a list to the known workers. The work for a delta goes with its length, not with the fleet's. A list
-// may name a worker twice: the last entry counts, so removals come after all of them.
-func (m *Machine) applyList(ev Event) {
-	complete := ev.ListKind != ListDelta
+// applyList applies a list to the known workers. The work for a delta goes with its length, not with the
+// fleet's. A list may name a worker twice: the last entry counts, so removals come after all of them.
+func (m *Machine) applyList(event Event) {
+	complete := event.ListKind != ListDelta
 	if complete {
 		m.snapshots++
 		m.warmWorkRatesAt = 0
 	}
 	if m.settings.LoadAdjustedWeights {
-		for _, e := range ev.Endpoints {
-			m.nominalWeight[e.Kind] = max(m.nominalWeight[e.Kind], e.Weight)
+		for _, endpoint := range event.Endpoints {
+			m.nominalWeight[endpoint.Kind] = max(m.nominalWeight[endpoint.Kind], endpoint.Weight)
 		}
 	}
-	for _, e := range ev.Endpoints {
-		m.applyEndpoint(e, !complete)
+	for _, endpoint := range event.Endpoints {
+		m.applyEndpoint(endpoint, !complete)
 	}
-	for _, e := range ev.Endpoints {
-		w := m.workers[e.Name]
-		if w != nil && w.State == Removed {
-			m.removeWorker(w)
+	for _, endpoint := range event.Endpoints {
+		worker := m.workers[endpoint.Name]
+		if worker != nil && worker.State == Removed {
+			m.removeWorker(worker)
 		}
 	}
 	if complete {
@@ -84,92 +85,92 @@
 // removeUnlisted removes the workers that the latest complete list lacks.
 func (m *Machine) removeUnlisted() {
 	for i := len(m.fleet) - 1; i >= 0; i-- {
-		w := m.fleet[i]
-		if w.lastSnapshot != m.snapshots {
-			m.removeWorker(w)
+		worker := m.fleet[i]
+		if worker.lastSnapshot != m.snapshots {
+			m.removeWorker(worker)
 		}
 	}
 }
 
 // applyEndpoint takes in what a list says of one worker; delta tells that its start is news.
-func (m *Machine) applyEndpoint(e Endpoint, delta bool) {
-	w := m.workers[e.Name]
-	listedStart := e.StartedAt
+func (m *Machine) applyEndpoint(endpoint Endpoint, delta bool) {
+	worker := m.workers[endpoint.Name]
+	listedStart := endpoint.StartedAt
 	switch {
-	case w == nil && e.State == Removed:
+	case worker == nil && endpoint.State == Removed:
 		return
-	case w == nil:
-		w = &worker{slowStartBudgetAt: m.now, nameHash: hashName(e.Name)}
-		e.StartedAt = m.startTime(listedStart, delta)
-		m.workers[e.Name] = w
-		m.fleet = appendToList(m.fleet, inFleet, w)
-		m.ringChanged(w)
-		m.markZoneReachable(e.Zone)
-	case listedStart > w.listedStart:
-		m.setEjected(w, false)
-		m.countRunning(w, -1)
-		m.markZoneReachable(e.Zone) // workers start there
-		*w = w.restarted(m.now)
-		e.StartedAt = m.startTime(listedStart, delta)
+	case worker == nil:
+		worker = newWorker(endpoint.Name, m.now)
+		endpoint.StartedAt = m.startTime(listedStart, delta)
+		m.workers[endpoint.Name] = worker
+		m.fleet = appendToList(m.fleet, inFleet, worker)
+		m.ringChanged(worker)
+		m.markZoneReachable(endpoint.Zone)
+	case listedStart > worker.listedStart:
+		m.setEjected(worker, false)
+		m.countRunning(worker, -1)
+		m.markZoneReachable(endpoint.Zone) // workers start there
+		*worker = worker.restarted(m.now)
+		endpoint.StartedAt = m.startTime(listedStart, delta)
 	default:
-		m.countRunning(w, -1)
-		if listedStart == w.listedStart {
-			e.StartedAt = w.StartedAt
+		m.countRunning(worker, -1)
+		if listedStart == worker.listedStart {
+			endpoint.StartedAt = worker.StartedAt
 		}
 	}
-	w.Endpoint = e
-	w.lastSnapshot = m.snapshots
-	w.listedStart = listedStart
-	m.countRunning(w, 1)
-	m.placeInLists(w)
-	if m.settings.LoadAdjustedWeights && e.Weight > 0 {
-		w.othersOutstanding = m.nominalWeight[e.Kind]/e.Weight - 1
-		w.othersOutstandingAt = m.now
+	worker.Endpoint = endpoint
+	worker.lastSnapshot = m.snapshots
+	worker.listedStart = listedStart
+	m.countRunning(worker, 1)
+	m.placeInLists(worker)
+	if m.settings.LoadAdjustedWeights && endpoint.Weight > 0 {
+		worker.othersOutstanding = m.nominalWeight[endpoint.Kind]/endpoint.Weight - 1
+		worker.othersOutstandingAt = m.now
 	}
 }
 
 // removeWorker forgets a worker that is gone. Attempts there go on.
-func (m *Machine) removeWorker(w *worker) {
-	m.setSuspended([]Endpoint{w.Endpoint}, false)
-	m.countRunning(w, -1)
-	w.State = Removed
-	delete(m.workers, w.Name)
-	m.fleet = removeFromList(m.fleet, inFleet, w)
-	m.warmWorkers = removeFromList(m.warmWorkers, inWarmWorkers, w)
-	m.localWarmWorkers = removeFromList(m.localWarmWorkers, inLocalWarmWorkers, w)
-	m.warmingUp = removeFromList(m.warmingUp, inWarmingUp, w)
-	m.ringChanged(w)
+func (m *Machine) removeWorker(worker *worker) {
+	m.setSuspended([]Endpoint{worker.Endpoint}, false)
+	m.countRunning(worker, -1)
+	worker.State = Removed
+	delete(m.workers, worker.Name)
+	m.fleet = removeFromList(m.fleet, inFleet, worker)
+	m.warmWorkers = removeFromList(m.warmWorkers, inWarmWorkers, worker)
+	m.localWarmWorkers = removeFromList(m.localWarmWorkers, inLocalWarmWorkers, worker)
+	m.warmingUp = removeFromList(m.warmingUp, inWarmingUp, worker)
+	m.ringChanged(worker)
 }
 
 // countRunning adds a worker, with sign 1, or takes it off, with sign -1, where those that run are counted.
-func (m *Machine) countRunning(w *worker, sign int) {
-	if w.State != Running {
+func (m *Machine) countRunning(worker *worker, sign int) {
+	if worker.State != Running {
 		return
 	}
 	m.runningCount += sign
-	if w.ejected {
+	if worker.ejected {
 		m.ejectedCount += sign
 	}
 	for i := range m.settings.Classes {
-		c := &m.settings.Classes[i]
-		if !c.mayRunOn(w) {
+		class := &m.settings.Classes[i]
+		if !class.mayRunOn(worker) {
 			continue
 		}
-		m.eligible[c] += sign
-		if m.eligible[c] == 0 {
-			delete(m.eligible, c)
+		m.eligible[class] += sign
+		if m.eligible[class] == 0 {
+			delete(m.eligible, class)
 		}
 	}
 }
 
 // setSuspended suspends workers, or resumes them. Attempts there go on.
 func (m *Machine) setSuspended(endpoints []Endpoint, suspended bool) {
-	for _, e := range endpoints {
-		w := m.workers[e.Name]
-		if w == nil || w.suspended == suspended {
+	for _, endpoint := range endpoints {
+		worker := m.workers[endpoint.Name]
+		if worker == nil || worker.suspended == suspended {
 			continue
 		}
-		w.suspended = suspended
+		worker.suspended = suspended
 		if suspended {
 			m.suspendedCount++
 		} else {
@@ -183,5 +184,7 @@
 	if m.suspendedCount == 0 {
 		return false
 	}
-	return !slices.ContainsFunc(m.fleet, func(w *worker) bool { return w.State == Running && !w.suspended })
+	return !slices.ContainsFunc(m.fleet, func(worker *worker) bool {
+		return worker.State == Running && !worker.suspended
+	})
 }
--- a/decision/estimates.go
+++ b/decision/estimates.go
@@ -16,24 +16,26 @@
 // latencyEstimate is the recent mean latency in seconds, at least a tick.
 func (m *Machine) latencyEstimate() float64 { return max(m.meanLatency, m.settings.Tick.Seconds()) }
 
-// learnRunTimeRatio takes in how long a worker took for a hinted second, into its own mean and that of its kind.
-func (m *Machine) learnRunTimeRatio(w *worker, sample float64) {
-	sample = min(max(sample*m.capacityFraction(w), 1.0/maxRunTimeRatio), maxRunTimeRatio)
-	own := cmp.Or(w.runTimeRatio, sample)
-	w.runTimeRatio = own + (sample-own)/runTimeRatioSpan
-	kind := cmp.Or(m.kindRunTimeRatio[w.Kind], sample)
-	m.kindRunTimeRatio[w.Kind] = kind + (sample-kind)/meanSpan
+// learnRunTimeRatio takes in how long a worker took for a hinted second, into its own mean and that of its
+// kind.
+func (m *Machine) learnRunTimeRatio(worker *worker, sample float64) {
+	sample = min(max(sample*m.capacityFraction(worker), 1.0/maxRunTimeRatio), maxRunTimeRatio)
+	own := cmp.Or(worker.runTimeRatio, sample)
+	worker.runTimeRatio = own + (sample-own)/runTimeRatioSpan
+	kind := cmp.Or(m.kindRunTimeRatio[worker.Kind], sample)
+	m.kindRunTimeRatio[worker.Kind] = kind + (sample-kind)/meanSpan
 }
 
-// learnClassMeanWork takes in how long a request without a hint ran: the mean of its class stands for the hints that do
-// not come. The worker's recentWork is corrected from the guess to what the request took, since slow-start budgets come
-// from it: a first guess far above the mean would grant them many times what warm workers take.
-func (m *Machine) learnClassMeanWork(r *request, a *attempt) {
-	run := (m.now - max(a.sentAt, a.startedAt)).Seconds() * m.capacityFraction(a.worker)
-	correction := decayingValue{value: r.slots*run - r.cost, at: a.sentAt}
-	a.worker.recentWork.add(m.now, m.planningHorizon, correction.get(m.now, m.planningHorizon))
+// learnClassMeanWork takes in how long a request without a hint ran: the mean of its class stands for the
+// hints that do not come. The worker's recentWork is corrected from the guess to what the request took,
+// since slow-start budgets come from it: a first guess far above the mean would grant them many times what
+// warm workers take.
+func (m *Machine) learnClassMeanWork(request *request, attempt *attempt) {
+	run := (m.now - max(attempt.sentAt, attempt.startedAt)).Seconds() * m.capacityFraction(attempt.worker)
+	correction := decayingValue{value: request.slots*run - request.cost, at: attempt.sentAt}
+	attempt.worker.recentWork.add(m.now, m.planningHorizon, correction.get(m.now, m.planningHorizon))
 	for i := range m.settings.Classes {
-		if &m.settings.Classes[i] == r.class {
+		if &m.settings.Classes[i] == request.class {
 			m.learnedRuns[i]++ // the first guess counts as one more
 			m.classMeanWork[i] += (run - m.classMeanWork[i]) / min(m.learnedRuns[i]+1, meanSpan)
 		}
--- a/decision/event.go
+++ b/decision/event.go
@@ -17,9 +17,9 @@
 	ClientDisconnected                  // Request
 	TimerFired                          // Timer
 	PeerMessage                         // ignored: dispatchers share nothing
-	ReservedElsewhere                   // Worker, Reservation: sent by the process that is replaced, or its successor
+	ReservedElsewhere                   // Worker, Reservation: sent by the process's predecessor or successor
 	SettingsChanged                     // Settings
-	WorkersSuspended                    // Endpoints, by Name: they get nothing until WorkersResumed, whatever lists say
+	WorkersSuspended                    // Endpoints, by Name: they get nothing until WorkersResumed
 	WorkersResumed                      // Endpoints, by Name
 )
 
@@ -46,18 +46,18 @@
 	ListKind    ListKind
 	Endpoints   []Endpoint
 
-	// Settings hold new values of TenantQuotas, OverQuotaWeight and MaxRetryAfter, and of the PriorityWeight,
-	// LateWeight, LatencyObjective and ObjectiveStretch of Classes; all else in them is ignored. Open requests keep
-	// the value and the objective that they came with. Settings that New would refuse, or with other numbers of
-	// classes or tenants, change nothing.
+	// Settings hold new values of TenantQuotas, OverQuotaWeight and MaxRetryAfter, and of the
+	// PriorityWeight, LateWeight, LatencyObjective and ObjectiveStretch of Classes; all else in them is
+	// ignored. Open requests keep the value and the objective that they came with. Settings that New would
+	// refuse, or with other numbers of classes or tenants, change nothing.
 	Settings *Settings
 }
 
 // AttemptOutcome tells how an attempt ended.
 type AttemptOutcome uint8
 
-// The outcomes. ConnectionRefused, NotSent and, unless Settings.SaturatedMayHaveRun, Saturated prove that the attempt
-// never ran.
+// The outcomes. ConnectionRefused, NotSent and, unless Settings.SaturatedMayHaveRun, Saturated prove that
+// the attempt never ran.
 const (
 	Completed AttemptOutcome = iota
 	Failed
@@ -70,19 +70,21 @@
 	InvalidRequest // the worker says that the request itself is at fault
 )
 
-// String returns the name that recordings and the simulator's wire use; these spellings are stored and must stay.
+// String returns the name that recordings and the simulator's wire use; these spellings are stored and must
+// stay.
 func (o AttemptOutcome) String() string {
 	return [...]string{
-		"completed", "errored", "saturated", "overdue", "refused", "severed", "recalled", "superseded", "unusable",
+		"completed", "errored", "saturated", "overdue", "refused",
+		"severed", "recalled", "superseded", "unusable",
 	}[o]
 }
 
 // neverRan tells whether the outcome proves that the attempt had no effect.
-func (o AttemptOutcome) neverRan(s *Settings) bool {
-	return o.turnedAway() && !(o == Saturated && s.SaturatedMayHaveRun)
+func (o AttemptOutcome) neverRan(settings *Settings) bool {
+	return o.turnedAway() && !(o == Saturated && settings.SaturatedMayHaveRun)
 }
 
-// turnedAway tells whether the worker did not take the attempt, as far as the dispatcher's own books go.
+// turnedAway tells whether the worker did not take the attempt, so that its slots and work are free again.
 func (o AttemptOutcome) turnedAway() bool {
 	return o == Saturated || o == ConnectionRefused || o == NotSent
 }
--- a/decision/lists.go
+++ b/decision/lists.go
@@ -12,28 +12,29 @@
 	listCount
 )
 
-// placeInLists puts a worker into the lists that picks draw from: in slow start into that of its like alone, later into
-// those of the warm ones.
-func (m *Machine) placeInLists(w *worker) {
-	warm := m.capacityFraction(w) >= 1
-	local := warm && w.Zone == m.settings.Zone
-	m.warmingUp = m.setMembership(m.warmingUp, inWarmingUp, w, !warm)
-	m.warmWorkers = m.setMembership(m.warmWorkers, inWarmWorkers, w, warm)
-	m.localWarmWorkers = m.setMembership(m.localWarmWorkers, inLocalWarmWorkers, w, local)
+// placeInLists puts a worker into the lists that picks draw from: in slow start into that of its like
+// alone, later into those of the warm ones.
+func (m *Machine) placeInLists(worker *worker) {
+	warm := m.capacityFraction(worker) >= 1
+	local := warm && worker.Zone == m.settings.Zone
+	m.warmingUp = m.setMembership(m.warmingUp, inWarmingUp, worker, !warm)
+	m.warmWorkers = m.setMembership(m.warmWorkers, inWarmWorkers, worker, warm)
+	m.localWarmWorkers = m.setMembership(m.localWarmWorkers, inLocalWarmWorkers, worker, local)
 }
 
 // setMembership puts a worker into a list, at a random position, or takes it out.
-func (m *Machine) setMembership(list []*worker, id listID, w *worker, member bool) []*worker {
+func (m *Machine) setMembership(list []*worker, id listID, worker *worker, member bool) []*worker {
 	if !member {
-		return removeFromList(list, id, w)
+		return removeFromList(list, id, worker)
 	}
-	if w.positions[id] == 0 {
-		list = m.insertAtRandom(list, id, w)
+	if worker.positions[id] == 0 {
+		list = m.insertAtRandom(list, id, worker)
 	}
 	return list
 }
 
-// nextWarmingUp returns the workers in slow start that the next pick may draw: a bounded number, in turn with all others.
+// nextWarmingUp returns the workers in slow start that the next pick may draw: a bounded number, in turn
+// with all others.
 func (m *Machine) nextWarmingUp() []*worker {
 	if m.warmingUpNext >= len(m.warmingUp) {
 		m.warmingUpNext = 0
@@ -44,28 +45,28 @@
 }
 
 // appendToList adds a worker at the end of a list.
-func appendToList(list []*worker, id listID, w *worker) []*worker {
-	list = append(list, w)
-	w.positions[id] = len(list)
+func appendToList(list []*worker, id listID, worker *worker) []*worker {
+	list = append(list, worker)
+	worker.positions[id] = len(list)
 	return list
 }
 
 // insertAtRandom adds a worker to a list in random order, at a random position.
-func (m *Machine) insertAtRandom(list []*worker, id listID, w *worker) []*worker {
-	list = appendToList(list, id, w)
+func (m *Machine) insertAtRandom(list []*worker, id listID, worker *worker) []*worker {
+	list = appendToList(list, id, worker)
 	swapInList(list, id, m.random.IntN(len(list)), len(list)-1)
 	return list
 }
 
 // removeFromList takes a worker out of a list, if it is there. The last one takes its position.
-func removeFromList(list []*worker, id listID, w *worker) []*worker {
-	i := w.positions[id] - 1
+func removeFromList(list []*worker, id listID, worker *worker) []*worker {
+	i := worker.positions[id] - 1
 	if i < 0 {
 		return list
 	}
 	last := len(list) - 1
 	swapInList(list, id, i, last)
-	w.positions[id] = 0
+	worker.positions[id] = 0
 	list[last] = nil
 	return list[:last]
 }
--- a/decision/machine.go
+++ b/decision/machine.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// Machine decides for one dispatcher; the package comment describes its protocol. It is not safe for concurrent use.
+// Machine decides for one dispatcher; the package comment describes its protocol. It is not safe for
+// concurrent use.
 type Machine struct {
 	settings Settings
 	random   *rand.Rand
@@ -89,8 +90,8 @@
 	warmWorkRateScan workRateScan
 }
 
-// New returns a machine that knows no worker yet, or an error that names the field of the settings which is wrong.
-// The seed determines all random choices.
+// New returns a machine that knows no worker yet, or an error that names the field of the settings which is
+// wrong. The seed determines all random choices.
 func New(s Settings, seed uint64) (*Machine, error) {
 	if err := s.normalize(); err != nil {
 		return nil, err
@@ -119,9 +120,9 @@
 func (m *Machine) initEstimates() {
 	longestDeadline := time.Duration(0)
 	for i := range m.settings.Classes {
-		c := &m.settings.Classes[i]
-		longestDeadline = max(longestDeadline, c.Deadline)
-		m.classMeanWork[i] = max(c.LatencyObjective, m.settings.Tick).Seconds()
+		class := &m.settings.Classes[i]
+		longestDeadline = max(longestDeadline, class.Deadline)
+		m.classMeanWork[i] = max(class.LatencyObjective, m.settings.Tick).Seconds()
 	}
 	m.planningHorizon = max(longestDeadline/4, m.settings.Tick)
 	m.sweepInterval = m.shortestSweepInterval()
@@ -137,32 +138,32 @@
 }
 
 // Handle takes in what happened at time now and appends what must be done to out, which it returns.
-func (m *Machine) Handle(now time.Duration, ev Event, out []Action) []Action {
+func (m *Machine) Handle(now time.Duration, event Event, out []Action) []Action {
 	m.now = max(m.now, now)
 	m.actions = out
-	switch ev.Kind {
+	switch event.Kind {
 	case ListUpdated:
-		m.handleList(ev)
+		m.handleList(event)
 	case RequestArrived:
-		m.handleArrival(ev)
+		m.handleArrival(event)
 	case AttemptEnded:
-		m.handleAttemptEnded(ev)
+		m.handleAttemptEnded(event)
 	case AttemptStarted, AttemptProgressed:
-		m.handleProgress(ev)
+		m.handleProgress(event)
 	case HealthChecked:
-		m.recordLoad(ev)
+		m.recordLoad(event)
 	case FirstByte, ClientDisconnected: // the client has its answer, or wants none
-		if r := m.requests[ev.Request]; r != nil {
-			m.finish(r)
+		if request := m.requests[event.Request]; request != nil {
+			m.finish(request)
 		}
 	case TimerFired:
-		m.handleTimer(ev.Timer)
+		m.handleTimer(event.Timer)
 	case ReservedElsewhere:
-		m.recordReservedElsewhere(m.workers[ev.Worker], ev.Reservation)
+		m.recordReservedElsewhere(m.workers[event.Worker], event.Reservation)
 	case SettingsChanged:
-		m.reconfigure(ev.Settings)
+		m.reconfigure(event.Settings)
 	case WorkersSuspended, WorkersResumed:
-		m.setSuspended(ev.Endpoints, ev.Kind == WorkersSuspended)
+		m.setSuspended(event.Endpoints, event.Kind == WorkersSuspended)
 	}
 	m.dispatchQueue()
 	out = m.actions
--- a/decision/mix.go
+++ b/decision/mix.go
@@ -34,9 +34,9 @@
 	holdTime float64 // seconds
 }
 
-// addToMix counts a first try into the recent mix. Where the mix has its largest number of groups, a request joins the
-// one of its class that is nearest in size.
-func (m *Machine) addToMix(r *request, key jobGroupKey) {
+// addToMix counts a first try into the recent mix. Where the mix has its largest number of groups, a
+// request joins the one of its class that is nearest in size.
+func (m *Machine) addToMix(request *request, key jobGroupKey) {
 	nearest := -1
 	distance := math.MaxInt
 	for i := range m.mix {
@@ -51,27 +51,27 @@
 		nearest = len(m.mix)
 		m.mix = append(m.mix, jobGroup{key: key})
 	}
-	g := &m.mix[nearest]
-	g.count.add(m.now, m.planningHorizon, 1)
-	g.value.add(m.now, m.planningHorizon, r.value)
-	g.cost.add(m.now, m.planningHorizon, r.cost)
-	g.holdTime.add(m.now, m.planningHorizon, r.holdTime)
+	group := &m.mix[nearest]
+	group.count.add(m.now, m.planningHorizon, 1)
+	group.value.add(m.now, m.planningHorizon, request.value)
+	group.cost.add(m.now, m.planningHorizon, request.cost)
+	group.holdTime.add(m.now, m.planningHorizon, request.holdTime)
 }
 
 func abs(x int) int { return max(x, -x) }
 
 // recentMix returns the recent mix as bids, and how many requests are in it. It drops what has faded away.
 func (m *Machine) recentMix() (bids []bid, jobs float64) {
-	m.mix = slices.DeleteFunc(m.mix, func(g jobGroup) bool {
-		return g.count.get(m.now, m.planningHorizon) < fadedJobCount
+	m.mix = slices.DeleteFunc(m.mix, func(group jobGroup) bool {
+		return group.count.get(m.now, m.planningHorizon) < fadedJobCount
 	})
 	for i := range m.mix {
-		g := &m.mix[i]
-		jobs += g.count.get(m.now, m.planningHorizon)
+		group := &m.mix[i]
+		jobs += group.count.get(m.now, m.planningHorizon)
 		bids = append(bids, bid{
-			value:    g.value.get(m.now, m.planningHorizon),
-			cost:     g.cost.get(m.now, m.planningHorizon),
-			holdTime: g.holdTime.get(m.now, m.planningHorizon),
+			value:    group.value.get(m.now, m.planningHorizon),
+			cost:     group.cost.get(m.now, m.planningHorizon),
+			holdTime: group.holdTime.get(m.now, m.planningHorizon),
 		})
 	}
 	return bids, jobs
--- a/decision/outlier.go
+++ b/decision/outlier.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// The failure score of a worker lies between 0 and 1 and fades over the planning horizon, lest a worker that no
-// repeatable request can try stay ejected for good.
+// The failure score of a worker lies between 0 and 1 and fades over the planning horizon, lest a worker
+// that no repeatable request can try stay ejected for good.
 const (
 	ejectionThreshold  = 0.4 // failure score from which a worker is ejected
-	failureScoreFactor = 0.7 // by which a completed attempt multiplies the score; a failed one goes half the way to 1
+	failureScoreFactor = 0.7 // for a completed attempt; a failed one brings the score half the way to 1
 	// maxConsecutiveInvalid is how many requests in a row a worker may call invalid and be believed.
 	maxConsecutiveInvalid = 4
 )
@@ -20,74 +20,75 @@
 	reportsNoMore healthReason = "is silent"
 )
 
-// Ejected returns the names of the running workers that get no requests, since what they did lately looks like failure.
-// One that gets a request now and then, to try whether it has come back, is still among them. In panic, when most
-// workers look bad, all are used and none is named.
+// Ejected returns the names of the running workers that get no requests, since what they did lately looks
+// like failure. One that gets a request now and then, to try whether it has come back, is still among them.
+// In panic, when most workers look bad, all are used and none is named.
 func (m *Machine) Ejected() (names []string) {
 	if m.ejectedCount == 0 || m.inPanic() {
 		return nil
 	}
-	for _, w := range m.fleet {
-		if w.ejected && w.State == Running {
-			names = append(names, w.Name)
+	for _, worker := range m.fleet {
+		if worker.ejected && worker.State == Running {
+			names = append(names, worker.Name)
 		}
 	}
 	return names
 }
 
-// inPanic tells whether at least half of the fleet cannot be used. Then the fault is not theirs, and ejected workers
-// are used as well.
+// inPanic tells whether at least half of the fleet cannot be used. Then the fault is not theirs, and
+// ejected workers are used as well.
 func (m *Machine) inPanic() bool { return 2*(m.runningCount-m.ejectedCount) <= len(m.fleet) }
 
-// usable tells whether a worker may get the request as far as its health and that of its zone go. An ejected worker gets
-// a trial now and then, and one that must not run twice only once half of its failure score has faded.
-func (m *Machine) usable(r *request, w *worker) bool {
-	if m.zoneUnreachable(w) {
+// usable tells whether a worker may get the request as far as its health and that of its zone go. An
+// ejected worker gets a trial now and then, and one that must not run twice only once half of its failure
+// score has faded.
+func (m *Machine) usable(request *request, worker *worker) bool {
+	if m.zoneUnreachable(worker) {
 		return false
 	}
-	if !w.ejected || m.inPanic() {
+	if !worker.ejected || m.inPanic() {
 		return true
 	}
-	if m.now < w.trialAt {
+	if m.now < worker.trialAt {
 		return false
 	}
-	return r.class.Idempotency != NonIdempotent ||
-		w.failureScore.get(m.now, m.planningHorizon) < ejectionThreshold/2
+	return request.class.Idempotency != NonIdempotent ||
+		worker.failureScore.get(m.now, m.planningHorizon) < ejectionThreshold/2
 }
 
 // setFailureScore records a worker's new failure score, and ejects it or takes it back.
-func (m *Machine) setFailureScore(w *worker, score float64, reason healthReason) {
-	w.failureScore = decayingValue{value: score, at: m.now}
+func (m *Machine) setFailureScore(worker *worker, score float64, reason healthReason) {
+	worker.failureScore = decayingValue{value: score, at: m.now}
 	eject := score >= ejectionThreshold
-	if eject == w.ejected {
+	if eject == worker.ejected {
 		return
 	}
-	m.setEjected(w, eject)
-	m.scheduleTrial(w)
-	m.logf("worker %s %s, failure score %.2f", w.Name, reason, score)
+	m.setEjected(worker, eject)
+	m.scheduleTrial(worker)
+	m.logf("worker %s %s, failure score %.2f", worker.Name, reason, score)
 }
 
 // setEjected ejects a worker or takes it back, and moves what is in flight there between the two counts.
-func (m *Machine) setEjected(w *worker, ejected bool) {
-	if ejected == w.ejected {
+func (m *Machine) setEjected(worker *worker, ejected bool) {
+	if ejected == worker.ejected {
 		return
 	}
 	sign := 1
 	if !ejected {
 		sign = -1
 	}
-	m.inFlightAtEjected += float64(sign) * w.outstanding
-	if w.State == Running {
+	m.inFlightAtEjected += float64(sign) * worker.outstanding
+	if worker.State == Running {
 		m.ejectedCount += sign
 	}
-	w.ejected = ejected
-	w.ejectionBackoff = 0
+	worker.ejected = ejected
+	worker.ejectionBackoff = 0
 }
 
 // scheduleTrial sets when an ejected worker may get a request again.
-func (m *Machine) scheduleTrial(w *worker) {
-	w.ejectionBackoff = m.nextBackoff(w.ejectionBackoff)
-	w.trialAt = m.now + w.ejectionBackoff
+func (m *Machine) scheduleTrial(worker *worker) {
+	worker.ejectionBackoff = m.nextBackoff(worker.ejectionBackoff)
+	worker.trialAt = m.now + worker.ejectionBackoff
 }
 
 // nextBackoff doubles a backoff, from an eighth of the planning horizon up to twice the horizon.
@@ -95,8 +96,8 @@
 	return min(max(2*previous, m.planningHorizon/8), 2*m.planningHorizon)
 }
 
-// believedOutcome is the outcome of an attempt that counts. InvalidRequest blames the request, unless the worker says so
-// of all that it gets: then the worker has failed.
+// believedOutcome is the outcome of an attempt that counts. InvalidRequest blames the request, unless the
+// worker says so of all that it gets: then the worker has failed.
 func (w *worker) believedOutcome(outcome AttemptOutcome) AttemptOutcome {
 	if outcome != InvalidRequest {
 		return outcome
--- a/decision/pricing.go
+++ b/decision/pricing.go
@@ -2,19 +2,22 @@
 
 import "math"
 
-// minPricedJobs is the number of recent requests below which nothing is priced: a handful tells nothing of demand.
+// minPricedJobs is the number of recent requests below which nothing is priced: a handful tells nothing of
+// demand.
 const minPricedJobs = 20
 
-// priceTolerance is the relative error within which values count as equal, as sums in floating point have one.
+// priceTolerance is the relative error within which values count as equal, as sums in floating point have
+// one.
 const priceTolerance = 1e-9
 
-// paysPrices tells whether the value of a request covers the prices of its work and of the slot that it holds.
-func (m *Machine) paysPrices(r *request) bool {
-	return r.value >= (m.workPrice*r.cost+m.slotPrice*r.holdTime)*(1-priceTolerance)
+// paysPrices tells whether the value of a request covers the prices of its work and of the slot that it
+// holds.
+func (m *Machine) paysPrices(request *request) bool {
+	return request.value >= (m.workPrice*request.cost+m.slotPrice*request.holdTime)*(1-priceTolerance)
 }
 
-// solvePrices sets the prices from the recent mix, for what the token bucket and the concurrency ceiling admit in the
-// same span, and sizes the subset of workers by the number of recent requests.
+// solvePrices sets the prices from the recent mix, for what the token bucket and the concurrency ceiling
+// admit in the same span, and sizes the subset of workers by the number of recent requests.
 func (m *Machine) solvePrices() {
 	bids, jobs := m.recentMix()
 	m.subsetSize = max(int(jobs/subsetJobsPerWorker), minSubsetSize)
@@ -26,13 +29,14 @@
 	}
 }
 
-// solveDual returns the prices of the fluid linear program "admit the shares of the bids that have the most value within
-// both budgets": they minimize its dual
+// solveDual returns the prices of the fluid linear program "admit the shares of the bids that have the most
+// value within both budgets": they minimize its dual
 //
 //	workBudget*workPrice + slotBudget*slotPrice + sum of max(0, value - workPrice*cost - slotPrice*holdTime)
 //
-// over prices that are not negative. The dual is convex and piecewise linear, so that some vertex of the bids' lines is
-// a minimum; of equal ones the most selective is taken. It takes the cube of the number of bids.
+// over prices that are not negative. The dual is convex and piecewise linear, so that some vertex of the
+// bids' lines is a minimum; of equal ones the most selective is taken. It takes the cube of the number of
+// bids.
 func solveDual(bids []bid, workBudget, slotBudget float64) (bestWork, bestSlot float64) {
 	best := math.MaxFloat64
 	try := func(work, slot float64) {
--- a/decision/queue.go
+++ b/decision/queue.go
@@ -5,8 +5,9 @@
 	"slices"
 )
 
-// maxQueueSkips is how many waiting requests of a class are tried in vain in one pass over the queue. Requests that no
-// worker can take at present, for a machine kind that is gone, would else cost their whole number at each event.
+// maxQueueSkips is how many waiting requests of a class are tried in vain in one pass over the queue.
+// Requests that no worker can take at present, for a machine kind that is gone, would else cost their whole
+// number at each event.
 const maxQueueSkips = 8
 
 // compareByValue orders the queue: the highest value per cost first, then the nearest objective.
@@ -16,30 +17,34 @@
 }
 
 // enqueue lets a request wait, in the order of compareByValue.
-func (m *Machine) enqueue(r *request) {
-	at, _ := slices.BinarySearchFunc(m.queue, r, compareByValue)
-	m.queue = slices.Insert(m.queue, at, r)
-	r.queued = true
+func (m *Machine) enqueue(request *request) {
+	at, _ := slices.BinarySearchFunc(m.queue, request, compareByValue)
+	m.queue = slices.Insert(m.queue, at, request)
+	request.queued = true
 }
 
 // dispatchQueue places waiting requests in their order, as far as they can be placed now.
 func (m *Machine) dispatchQueue() {
 	m.endCooldowns()
 	clear(m.misses)
-	m.queue = slices.DeleteFunc(m.queue, func(r *request) bool { return m.leavesQueue(r) })
+	m.queue = slices.DeleteFunc(m.queue, func(request *request) bool { return m.leavesQueue(request) })
 }
 
 // leavesQueue tries to place a waiting request, and tells whether it waits no more.
-func (m *Machine) leavesQueue(r *request) bool {
-	if !r.ended && (m.now < r.notBefore || m.awaitsKey(r) || m.misses[r.class] >= maxQueueSkips) {
+func (m *Machine) leavesQueue(request *request) bool {
+	if request.ended {
+		request.queued = false
+		return true
+	}
+	if m.now < request.notBefore || m.awaitsKey(request) || m.misses[request.class] >= maxQueueSkips {
 		return false
 	}
-	if !r.ended && !m.withinRetryBudget(r) { // others have spent the budget meanwhile
-		m.rejectOrFail(r)
+	if !m.withinRetryBudget(request) { // others have spent the budget meanwhile
+		m.rejectOrFail(request)
 	}
-	r.queued = !r.ended && !m.tryAssign(r)
-	if r.queued {
-		m.misses[r.class]++
+	request.queued = !request.ended && !m.tryAssign(request)
+	if request.queued {
+		m.misses[request.class]++
 	}
-	return !r.queued
+	return !request.queued
 }
--- a/decision/reconfigure_test.go
+++ b/decision/reconfigure_test.go
@@ -64,13 +64,16 @@
 
 // Settings that are wrong, or have other numbers of classes or tenants, change nothing.
 func TestReconfigureRefuses(t *testing.T) {
-	for name, change := range map[string]func(s *Settings) *Settings{
-		"none":             func(*Settings) *Settings { return nil },
-		"a class more":     func(s *Settings) *Settings { s.Classes = append(s.Classes, s.Classes[0]); return s },
-		"a tenant":         func(s *Settings) *Settings { s.TenantQuotas = []float64{1}; return s },
-		"infinite worth":   func(s *Settings) *Settings { s.Classes[1].PriorityWeight = math.Inf(1); return s },
-		"a negative aim":   func(s *Settings) *Settings { s.Classes[1].LatencyObjective = -1; return s },
-		"no number at all": func(s *Settings) *Settings { s.OverQuotaWeight = math.NaN(); return s },
+	for name, change := range map[string]func(settings *Settings) *Settings{
+		"none": func(*Settings) *Settings { return nil },
+		"a class more": func(settings *Settings) *Settings {
+			settings.Classes = append(settings.Classes, settings.Classes[0])
+			return settings
+		},
+		"a tenant":         func(settings *Settings) *Settings { settings.TenantQuotas = []float64{1}; return settings },
+		"infinite worth":   func(settings *Settings) *Settings { settings.Classes[1].PriorityWeight = math.Inf(1); return settings },
+		"a negative aim":   func(settings *Settings) *Settings { settings.Classes[1].LatencyObjective = -1; return settings },
+		"no number at all": func(settings *Settings) *Settings { settings.OverQuotaWeight = math.NaN(); return settings },
 	} {
 		r := newRig(t, testSettings(), 2)
 		before := r.settings
--- a/decision/request.go
+++ b/decision/request.go
@@ -30,12 +30,14 @@
 
 // mayHaveRun tells whether one of its attempts may have had an effect.
 func (r *request) mayHaveRun() bool {
-	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return !a.neverRan })
+	return slices.ContainsFunc(r.attempts, func(attempt attempt) bool { return !attempt.neverRan })
 }
 
 // hasStarted tells whether an outstanding attempt is known to have started.
 func (r *request) hasStarted() bool {
-	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return !a.ended && a.startedAt > 0 })
+	return slices.ContainsFunc(r.attempts, func(attempt attempt) bool {
+		return !attempt.ended && attempt.startedAt > 0
+	})
 }
 
 // unstartedAttempt returns the only outstanding attempt if it is not known to have started, else nil.
@@ -44,33 +46,33 @@
 		return nil
 	}
 	for i := range r.attempts {
-		a := &r.attempts[i]
-		if !a.ended && a.startedAt == 0 {
-			return a
+		attempt := &r.attempts[i]
+		if !attempt.ended && attempt.startedAt == 0 {
+			return attempt
 		}
 	}
 	return nil
 }
 
-// finish marks a request that needs no further decision, and cancels its outstanding attempts. A stream is left to run
-// until its client goes.
-func (m *Machine) finish(r *request) {
-	r.ended = true
-	for i := range r.attempts {
-		if !r.attempts[i].ended && m.settings.Cancellation && !r.class.Streaming {
-			m.emit(Action{Kind: CancelAttempt, Request: r.id, Attempt: i})
+// finish marks a request that needs no further decision, and cancels its outstanding attempts. A stream is
+// left to run until its client goes.
+func (m *Machine) finish(request *request) {
+	request.ended = true
+	for i := range request.attempts {
+		if !request.attempts[i].ended && m.settings.Cancellation && !request.class.Streaming {
+			m.emit(Action{Kind: CancelAttempt, Request: request.id, Attempt: i})
 		}
 	}
-	m.forgetIfOver(r)
+	m.forgetIfOver(request)
 }
 
 // forgetIfOver drops a request that has ended and has no outstanding attempt.
-func (m *Machine) forgetIfOver(r *request) {
-	if !r.ended || r.outstanding > 0 {
+func (m *Machine) forgetIfOver(request *request) {
+	if !request.ended || request.outstanding > 0 {
 		return
 	}
-	delete(m.requests, r.id)
-	if r.keyQueue != nil {
-		m.leaveKeyQueue(r)
+	delete(m.requests, request.id)
+	if request.keyQueue != nil {
+		m.leaveKeyQueue(request)
 	}
 }
--- a/decision/retry.go
+++ b/decision/retry.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// retryAfterJitter is the smallest factor of the mean latency that a rejected client is told to wait; the largest is one
-// more. It keeps clients apart that were rejected together.
+// retryAfterJitter is the smallest part of the mean latency that Reject names as its delay; the largest is
+// one more. It keeps clients apart that were rejected together.
 const retryAfterJitter = 0.5
 
 // countArrival counts a request for the retry budget, whatever becomes of it.
@@ -16,10 +16,11 @@
 	}
 }
 
-// withinRetryBudget tells whether the retry budget has room for another attempt at the request; a first attempt needs
-// none. Arrivals leave the window a tick early and retries a tick late, to be safe of clocks' resolution.
-func (m *Machine) withinRetryBudget(r *request) bool {
-	if len(r.attempts) == 0 || m.settings.RetryBudgetWindow <= 0 {
+// withinRetryBudget tells whether the retry budget has room for another attempt at the request; a first
+// attempt needs none. Arrivals leave the window a tick early and retries a tick late, to be safe of clocks'
+// resolution.
+func (m *Machine) withinRetryBudget(request *request) bool {
+	if len(request.attempts) == 0 || m.settings.RetryBudgetWindow <= 0 {
 		return true
 	}
 	windowStart := m.now - m.settings.RetryBudgetWindow
@@ -35,60 +36,63 @@
 	return times[i:]
 }
 
-// mustNotRepeat tells whether no attempt may follow one that may have run: by the class, or since the time is over for
-// which workers discard a repeat.
-func (m *Machine) mustNotRepeat(r *request) bool {
-	if r.class.Idempotency == Idempotent {
+// mustNotRepeat tells whether no attempt may follow one that may have run: by the class, or since the time
+// is over for which workers discard a repeat.
+func (m *Machine) mustNotRepeat(request *request) bool {
+	if request.class.Idempotency == Idempotent {
 		return false
 	}
-	for i := range r.attempts {
-		a := &r.attempts[i]
-		if a.neverRan {
+	for i := range request.attempts {
+		attempt := &request.attempts[i]
+		if attempt.neverRan {
 			continue
 		}
-		if r.class.Idempotency == NonIdempotent || m.now-a.sentAt >= r.class.DedupWindow-m.settings.Tick {
+		forgotten := m.now-attempt.sentAt >= request.class.DedupWindow-m.settings.Tick
+		if request.class.Idempotency == NonIdempotent || forgotten {
 			return true
 		}
 	}
 	return false
 }
 
-// retry lets a request whose attempts have failed wait for another, as far as its class and the retry budget allow. From
-// the third attempt on they are spread over the time left, lest all be spent in a burst while workers are full.
-func (m *Machine) retry(r *request) {
-	left := m.settings.MaxAttempts - len(r.attempts)
-	if left <= 0 || m.now >= r.deadline || m.worthless(r) || m.mustNotRepeat(r) || !m.withinRetryBudget(r) {
-		m.rejectOrFail(r)
+// retry lets a request whose attempts have failed wait for another, as far as its class and the retry
+// budget allow. From the third attempt on they are spread over the time left, lest all be spent in a burst
+// while workers are full.
+func (m *Machine) retry(request *request) {
+	left := m.settings.MaxAttempts - len(request.attempts)
+	if left <= 0 || m.now >= request.deadline || m.worthless(request) ||
+		m.mustNotRepeat(request) || !m.withinRetryBudget(request) {
+		m.rejectOrFail(request)
 		return
 	}
-	if len(r.attempts) > 1 {
-		slack := max(r.objective-m.now-seconds(r.work), m.sweepInterval)
-		r.notBefore = m.now + slack/time.Duration(left)
+	if len(request.attempts) > 1 {
+		slack := max(request.objective-m.now-seconds(request.work), m.sweepInterval)
+		request.notBefore = m.now + slack/time.Duration(left)
 	}
-	m.enqueue(r)
+	m.enqueue(request)
 }
 
-// rejectOrFail gives a request its final answer: Reject where a repeat by the client is safe, else Fail. A rejected
-// client is told to wait for about a mean latency, in which by Little's law a slot comes free.
-func (m *Machine) rejectOrFail(r *request) {
-	if m.clientMayRepeat(r) {
+// rejectOrFail gives a request its final answer: Reject where a repeat by the client is safe, else Fail. A
+// rejected client is told to wait for about a mean latency, in which by Little's law a slot comes free.
+func (m *Machine) rejectOrFail(request *request) {
+	if m.clientMayRepeat(request) {
 		wait := seconds(m.latencyEstimate() * (retryAfterJitter + m.random.Float64()))
 		delay := min(wait, max(m.settings.MaxRetryAfter, 0))
-		m.emit(Action{Kind: Reject, Request: r.id, Delay: delay})
+		m.emit(Action{Kind: Reject, Request: request.id, Delay: delay})
 	} else {
-		m.emit(Action{Kind: Fail, Request: r.id})
+		m.emit(Action{Kind: Fail, Request: request.id})
 	}
-	m.finish(r)
+	m.finish(request)
 }
 
 // clientMayRepeat tells whether the client can send the request again without an effect that happens twice.
-func (m *Machine) clientMayRepeat(r *request) bool {
+func (m *Machine) clientMayRepeat(request *request) bool {
 	switch {
-	case r.class.Idempotency == Idempotent:
+	case request.class.Idempotency == Idempotent:
 		return true
-	case r.class.Idempotency == Deduplicated && r.class.DedupScope == DedupEverywhere:
+	case request.class.Idempotency == Deduplicated && request.class.DedupScope == DedupEverywhere:
 		return true
 	default:
-		return !r.mayHaveRun()
+		return !request.mayHaveRun()
 	}
 }
--- a/decision/rules_test.go
+++ b/decision/rules_test.go
@@ -127,45 +127,45 @@
 
 func (w *world) entries() (list []Endpoint) {
 	for _, name := range w.names {
-		if e := w.listed[name]; e.State != Removed {
-			list = append(list, e)
+		if endpoint := w.listed[name]; endpoint.State != Removed {
+			list = append(list, endpoint)
 		}
 	}
 	return list
 }
 
-func (w *world) deliver(ev Event) {
-	for _, a := range w.d.Handle(w.now, ev, nil) {
-		w.audit(a)
+func (w *world) deliver(event Event) {
+	for _, action := range w.d.Handle(w.now, event, nil) {
+		w.audit(action)
 	}
 }
 
-func (w *world) audit(a Action) {
-	j := w.requests[a.Request]
-	switch a.Kind {
+func (w *world) audit(action Action) {
+	j := w.requests[action.Request]
+	switch action.Kind {
 	case Assign:
-		w.auditAssign(j, a)
+		w.auditAssign(j, action)
 	case Reject, Fail:
 		if j == nil || j.answered {
-			w.t.Fatalf("a second answer, or one for an unknown request: %+v", a)
+			w.t.Fatalf("a second answer, or one for an unknown request: %+v", action)
 		}
-		if a.Delay < 0 {
-			w.t.Fatalf("negative delay: %+v", a)
+		if action.Delay < 0 {
+			w.t.Fatalf("negative delay: %+v", action)
 		}
-		if a.Kind == Reject && !j.refusable() {
+		if action.Kind == Reject && !j.refusable() {
 			w.t.Fatalf("turned away though it may have run: %+v", j)
 		}
 		j.answered = true
 	case CancelAttempt:
-		if !w.s.Cancellation || j == nil || a.Attempt >= len(j.sends) {
-			w.t.Fatalf("a stop that is not allowed or names no attempt: %+v", a)
+		if !w.s.Cancellation || j == nil || action.Attempt >= len(j.sends) {
+			w.t.Fatalf("a stop that is not allowed or names no attempt: %+v", action)
 		}
-		j.sends[a.Attempt].cancelled = true
+		j.sends[action.Attempt].cancelled = true
 	case SetTimer:
-		if a.Delay < 0 {
-			w.t.Fatalf("timer in the past: %+v", a)
+		if action.Delay < 0 {
+			w.t.Fatalf("timer in the past: %+v", action)
 		}
-		w.timers = append(w.timers, timer{w.now + a.Delay, a.Timer})
+		w.timers = append(w.timers, timer{w.now + action.Delay, action.Timer})
 	case Subscribe:
 		if w.watching || !w.s.ListBySubscription {
 			w.t.Fatal("subscribed twice, or where the list is pushed")
@@ -185,16 +185,16 @@
 	return true
 }
 
-func (w *world) auditAssign(j *job, a Action) {
+func (w *world) auditAssign(j *job, action Action) {
 	if j == nil || j.answered {
-		w.t.Fatalf("work sent for a request that is answered or unknown: %+v", a)
+		w.t.Fatalf("work sent for a request that is answered or unknown: %+v", action)
 	}
-	e, ok := w.listed[a.Worker]
-	if !ok || e.State != Running {
-		w.t.Fatalf("work sent to a worker told to be draining or gone: %+v %+v", a, e)
+	endpoint, ok := w.listed[action.Worker]
+	if !ok || endpoint.State != Running {
+		w.t.Fatalf("work sent to a worker told to be draining or gone: %+v %+v", action, endpoint)
 	}
-	if j.class.Kinds != nil && j.class.Kinds[0] != e.Kind || j.class.Zones != nil && j.class.Zones[0] != e.Zone {
-		w.t.Fatalf("a worker that is not open to the class: %+v", a)
+	if j.class.Kinds != nil && j.class.Kinds[0] != endpoint.Kind || j.class.Zones != nil && j.class.Zones[0] != endpoint.Zone {
+		w.t.Fatalf("a worker that is not open to the class: %+v", action)
 	}
 	w.auditTurn(j)
 	if len(j.sends) > 0 {
@@ -215,22 +215,22 @@
 		}
 	}
 	if len(j.sends) >= w.s.MaxAttempts {
-		w.t.Fatalf("too many attempts: %+v", a)
+		w.t.Fatalf("too many attempts: %+v", action)
 	}
 	for _, s := range j.sends {
 		if !s.done && !w.s.Hedging {
-			w.t.Fatalf("a second copy: %+v", a)
+			w.t.Fatalf("a second copy: %+v", action)
 		}
 		if s.neverRan || j.class.Idempotency == Idempotent {
 			continue
 		}
-		same := j.class.DedupScope == DedupEverywhere || j.class.DedupScope == DedupWithinZone && s.worker.Zone == e.Zone ||
-			j.class.DedupScope == DedupWithinCell && s.worker.Cell == e.Cell && s.worker.Zone == e.Zone
+		same := j.class.DedupScope == DedupEverywhere || j.class.DedupScope == DedupWithinZone && s.worker.Zone == endpoint.Zone ||
+			j.class.DedupScope == DedupWithinCell && s.worker.Cell == endpoint.Cell && s.worker.Zone == endpoint.Zone
 		if j.class.Idempotency == NonIdempotent || !same || w.now-s.at >= j.class.DedupWindow {
 			w.t.Fatalf("an effect may happen twice: %+v", j)
 		}
 	}
-	j.sends = append(j.sends, send{worker: e, at: w.now})
+	j.sends = append(j.sends, send{worker: endpoint, at: w.now})
 }
 
 // auditTurn checks the order by key: all earlier ones of the key are over, and it has rested.
@@ -280,8 +280,8 @@
 			}
 		}
 		w.timers = append([]timer(nil), rest...)
-		for _, ev := range batch {
-			w.deliver(ev)
+		for _, event := range batch {
+			w.deliver(event)
 		}
 		for _, id := range w.order {
 			if j := w.requests[id]; !j.answered && w.now >= j.deadline+answerSlack+w.late {
@@ -376,13 +376,13 @@
 			if o == Cancelled && !j.sends[n].cancelled {
 				o = ConnectionLost
 			}
-			ev := w.end(j, n, o)
+			event := w.end(j, n, o)
 			if rapid.Bool().Draw(t, "hang up in the same batch") && !j.answered {
 				w.deliver(Event{Kind: ClientDisconnected, Request: j.id})
-				j.answered, ev.Answered = true, true
+				j.answered, event.Answered = true, true
 			}
-			w.deliver(ev)
-			w.deliver(ev) // a late echo must change nothing
+			w.deliver(event)
+			w.deliver(event) // a late echo must change nothing
 		}
 	case 9:
 		if j, n, ok := w.drawOut(); ok {
@@ -437,15 +437,15 @@
 		return
 	}
 	name := rapid.SampledFrom(w.names).Draw(w.t, "worker")
-	e := w.listed[name]
-	switch e.State = rapid.SampledFrom([]WorkerState{Running, Running, Draining, Removed}).Draw(w.t, "state"); {
-	case e.State == Running && rapid.Bool().Draw(w.t, "restart"):
-		e.StartedAt = w.now - time.Duration(rapid.IntRange(0, 9).Draw(w.t, "age"))*time.Second
+	endpoint := w.listed[name]
+	switch endpoint.State = rapid.SampledFrom([]WorkerState{Running, Running, Draining, Removed}).Draw(w.t, "state"); {
+	case endpoint.State == Running && rapid.Bool().Draw(w.t, "restart"):
+		endpoint.StartedAt = w.now - time.Duration(rapid.IntRange(0, 9).Draw(w.t, "age"))*time.Second
 	}
-	w.listed[name] = e
+	w.listed[name] = endpoint
 	if rapid.Bool().Draw(w.t, "complete") {
 		w.deliver(Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: w.entries()})
 	} else {
-		w.deliver(Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{e}})
+		w.deliver(Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{endpoint}})
 	}
 }
--- a/decision/saturation.go
+++ b/decision/saturation.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// saturationLatencies is the part of the mean latency for which a full worker is left alone: a slot comes free there
-// within it as often as not.
+// saturationLatencies is the part of the mean latency for which a full worker is left alone: a slot comes
+// free there within it as often as not.
 const saturationLatencies = 0.25
 
 // classRejections is how a worker turns away requests of one class.
@@ -16,44 +16,45 @@
 }
 
 // rejectionsOf returns how the worker turns away requests of a class.
-func (w *worker) rejectionsOf(c *Class) *classRejections {
-	if w.rejections[c] == nil {
+func (w *worker) rejectionsOf(class *Class) *classRejections {
+	if w.rejections[class] == nil {
 		if w.rejections == nil {
 			w.rejections = map[*Class]*classRejections{}
 		}
-		w.rejections[c] = &classRejections{}
+		w.rejections[class] = &classRejections{}
 	}
-	return w.rejections[c]
+	return w.rejections[class]
 }
 
 // recordAccepted records that the worker has taken an attempt at a request of a class.
-func (a *attempt) recordAccepted(c *Class) {
-	rejections := a.worker.rejectionsOf(c)
+func (a *attempt) recordAccepted(class *Class) {
+	rejections := a.worker.rejectionsOf(class)
 	if a.sentAt > rejections.lastAcceptedAt {
 		*rejections = classRejections{lastAcceptedAt: a.sentAt}
 	}
 }
 
-// acceptsOtherClasses tells whether the worker has taken requests of other classes that were sent after a moment.
-func (w *worker) acceptsOtherClasses(c *Class, after time.Duration) bool {
+// acceptsOtherClasses tells whether the worker has taken requests of other classes that were sent after a
+// moment.
+func (w *worker) acceptsOtherClasses(class *Class, after time.Duration) bool {
 	for other, rejections := range w.rejections {
-		if other != c && rejections.lastAcceptedAt > after {
+		if other != class && rejections.lastAcceptedAt > after {
 			return true
 		}
 	}
 	return false
 }
 
-// recordSaturated records that a worker has turned away a request: it is full for a moment, or, where it takes other
-// classes meanwhile, does not take this one, and gets it after an ever longer backoff.
-func (m *Machine) recordSaturated(w *worker, c *Class) {
-	rejections := w.rejectionsOf(c)
+// recordSaturated records that a worker has turned away a request: it is full for a moment, or, where it
+// takes other classes meanwhile, does not take this one, and gets it after an ever longer backoff.
+func (m *Machine) recordSaturated(worker *worker, class *Class) {
+	rejections := worker.rejectionsOf(class)
 	rejections.count++
 	if rejections.count == 1 {
 		rejections.firstRejectedAt = m.now
 	}
-	if rejections.count == 1 || !w.acceptsOtherClasses(c, rejections.firstRejectedAt) {
-		w.saturatedUntil = m.now + seconds(m.meanLatency*saturationLatencies)
+	if rejections.count == 1 || !worker.acceptsOtherClasses(class, rejections.firstRejectedAt) {
+		worker.saturatedUntil = m.now + seconds(m.meanLatency*saturationLatencies)
 		return
 	}
 	rejections.backoff = m.nextBackoff(rejections.backoff)
@@ -61,10 +62,11 @@
 }
 
 // saturated tells whether the worker is known to have no room for the request now.
-func (m *Machine) saturated(r *request, w *worker) bool {
-	if m.now < max(w.saturatedUntil, w.rejectionsOf(r.class).blockedUntil) {
+func (m *Machine) saturated(request *request, worker *worker) bool {
+	if m.now < max(worker.saturatedUntil, worker.rejectionsOf(request.class).blockedUntil) {
 		return true
 	}
-	reportFresh := w.freeSlotsAt > 0 && m.now-w.freeSlotsAt < max(seconds(m.meanLatency), m.sweepInterval)
-	return reportFresh && w.freeSlots < r.slots
+	freshness := max(seconds(m.meanLatency), m.sweepInterval)
+	fresh := worker.freeSlotsAt > 0 && m.now-worker.freeSlotsAt < freshness
+	return fresh && worker.freeSlots < request.slots
 }
--- a/decision/serialization.go
+++ b/decision/serialization.go
@@ -13,34 +13,37 @@
 }
 
 // joinKeyQueue puts a request last among those of its key.
-func (m *Machine) joinKeyQueue(r *request, key string) {
-	q := m.keyQueues[key]
-	if q == nil {
-		q = &keyQueue{key: key}
-		m.keyQueues[key] = q
+func (m *Machine) joinKeyQueue(request *request, key string) {
+	queue := m.keyQueues[key]
+	if queue == nil {
+		queue = &keyQueue{key: key}
+		m.keyQueues[key] = queue
 	}
-	r.keyQueue = q
-	q.requests = append(q.requests, r)
+	request.keyQueue = queue
+	queue.requests = append(queue.requests, request)
 }
 
 // leaveKeyQueue takes out a request that is over.
-func (m *Machine) leaveKeyQueue(r *request) {
-	q := r.keyQueue
-	q.requests = slices.DeleteFunc(q.requests, func(other *request) bool { return other == r })
-	m.dropKeyQueueIfIdle(q)
+func (m *Machine) leaveKeyQueue(over *request) {
+	queue := over.keyQueue
+	queue.requests = slices.DeleteFunc(queue.requests, func(request *request) bool { return request == over })
+	m.dropKeyQueueIfIdle(queue)
 }
 
-// awaitsKey tells whether a request must wait for its key: an earlier request is not over, or, if this one has had no
-// attempt yet, an attempt at an earlier one may still run.
-func (m *Machine) awaitsKey(r *request) bool {
-	q := r.keyQueue
-	return q != nil && (q.requests[0] != r || len(r.attempts) == 0 && m.now < q.cooldownUntil)
+// awaitsKey tells whether a request must wait for its key: an earlier request is not over, or, if this one
+// has had no attempt yet, an attempt at an earlier one may still run.
+func (m *Machine) awaitsKey(request *request) bool {
+	queue := request.keyQueue
+	if queue == nil {
+		return false
+	}
+	return queue.requests[0] != request || len(request.attempts) == 0 && m.now < queue.cooldownUntil
 }
 
 // startCooldown lets the key wait, since an attempt at one of its requests may still run.
-func (m *Machine) startCooldown(q *keyQueue, span time.Duration) {
-	q.cooldownUntil = m.now + span
-	m.coolingDown = append(m.coolingDown, q)
+func (m *Machine) startCooldown(queue *keyQueue, span time.Duration) {
+	queue.cooldownUntil = m.now + span
+	m.coolingDown = append(m.coolingDown, queue)
 	m.emit(Action{Kind: SetTimer, Timer: cooldownTimer, Delay: span})
 }
 
@@ -53,8 +56,8 @@
 }
 
 // dropKeyQueueIfIdle forgets a key that has no request and no cooldown.
-func (m *Machine) dropKeyQueueIfIdle(q *keyQueue) {
-	if len(q.requests) == 0 && m.now >= q.cooldownUntil && m.keyQueues[q.key] == q {
-		delete(m.keyQueues, q.key)
+func (m *Machine) dropKeyQueueIfIdle(queue *keyQueue) {
+	if len(queue.requests) == 0 && m.now >= queue.cooldownUntil && m.keyQueues[queue.key] == queue {
+		delete(m.keyQueues, queue.key)
 	}
 }
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -34,8 +34,8 @@
 	return s == DedupEverywhere || a.Zone == b.Zone && (s == DedupWithinZone || a.Cell == b.Cell)
 }
 
-// Class describes one class of requests. An answer within the latency objective, LatencyObjective + ObjectiveStretch *
-// work after the first try, earns PriorityWeight; a later one earns LateWeight of it.
+// Class describes one class of requests. An answer within the latency objective, LatencyObjective +
+// ObjectiveStretch * work after the first try, earns PriorityWeight; a later one earns LateWeight of it.
 type Class struct {
 	Name             string  // for logs and wires; no decision rests on it
 	PriorityWeight   float64 // what an answer within the latency objective earns
@@ -53,13 +53,14 @@
 }
 
 // mayRunOn tells whether a worker is open to the class, by its kind and zone in the latest list.
-func (c *Class) mayRunOn(w *worker) bool {
-	return (c.Kinds == nil || slices.Contains(c.Kinds, w.Kind)) &&
-		(c.Zones == nil || slices.Contains(c.Zones, w.Zone))
+func (c *Class) mayRunOn(worker *worker) bool {
+	return (c.Kinds == nil || slices.Contains(c.Kinds, worker.Kind)) &&
+		(c.Zones == nil || slices.Contains(c.Zones, worker.Zone))
 }
 
-// Settings are what a dispatcher is told when it starts. Only Classes is required, with the Deadline of each; for the
-// rest the zero value is a safe default: what is not allowed is not done, and a rule whose span is 0 is off.
+// Settings are what a dispatcher is told when it starts. Only Classes is required, with the Deadline of
+// each; for the rest the zero value is a safe default: what is not allowed is not done, and a rule whose
+// span is 0 is off.
 type Settings struct {
 	Classes         []Class
 	TenantQuotas    []float64     // requests a second over all dispatchers, by tenant; empty: no tenants
@@ -72,9 +73,9 @@
 	ListBySubscription bool          // the endpoint list comes only after Subscribe
 	ListPollInterval   time.Duration // the longest time without a call before the list counts as stale
 
-	SlowStartFloor    float64       // a worker that has just started has at least this fraction of its capacity
-	SlowStartDuration time.Duration // and all of it after this time
-	OverloadMultiple  float64       // a worker in slow start falls over when sent this multiple of its capacity
+	SlowStartFloor    float64       // part of its capacity that a worker has when it has just started
+	SlowStartDuration time.Duration // it has all of it after this time
+	OverloadMultiple  float64       // in slow start it falls over when sent this multiple of its capacity
 	OverloadWindow    time.Duration // for this long
 
 	SaturatedMayHaveRun bool          // Saturated does not prove that an attempt never ran
@@ -107,12 +108,13 @@
 	DrainGrace time.Duration // how long after it is known to drain a worker may still be sent to
 }
 
-// largeFleetThreshold is the largest number of dispatchers that may call for the endpoint list at the same moment.
-// Measured in rehearsals: a list service that answers seven calls a second keeps eight of them within its time-out.
+// largeFleetThreshold is the largest number of dispatchers that may call for the endpoint list at the same
+// moment. Measured in rehearsals: a list service that answers seven calls a second keeps eight of them
+// within its time-out.
 const largeFleetThreshold = 8
 
-// LargeFleet tells whether there are so many dispatchers that their calls for the endpoint list must be spread over
-// time. The initial endpoint list serves meanwhile.
+// LargeFleet tells whether there are so many dispatchers that their calls for the endpoint list must be
+// spread over time. The initial endpoint list serves meanwhile.
 func (s *Settings) LargeFleet() bool { return s.Peers > largeFleetThreshold }
 
 // normalize checks the settings and fills in what must not be zero. The caller's Classes stay as they are.
@@ -154,7 +156,8 @@
 	if c.Deadline <= 0 {
 		return fmt.Errorf("settings: Classes[%d].Deadline must be positive", index)
 	}
-	if err := cmp.Or(checkPlacement(index, "Kinds", c.Kinds), checkPlacement(index, "Zones", c.Zones)); err != nil {
+	err := cmp.Or(checkPlacement(index, "Kinds", c.Kinds), checkPlacement(index, "Zones", c.Zones))
+	if err != nil {
 		return err
 	}
 	if c.LatencyObjective == 0 && c.ObjectiveStretch == 0 {
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -2,42 +2,47 @@
 
 import "time"
 
-// A worker that has just started has only part of its capacity, and falls over when it is sent more than a multiple of
-// that within a window. The budget binds all dispatchers together, and they share nothing: each keeps to its own part,
-// which it measures by the work that warmed-up workers take from it. Budgets are in hinted slot-seconds.
+// A worker that has just started has only part of its capacity, and falls over when it is sent more than a
+// multiple of that within a window. The budget binds all dispatchers together, and they share nothing: each
+// keeps to its own part, which it measures by the work that warmed-up workers take from it. Budgets are in
+// hinted slot-seconds.
 const (
-	// slowStartSafety is the part of the budget that is used: what was saved, what comes in during a window and half
-	// a window beyond that make 2.5 times it, the whole.
+	// slowStartSafety is the part of the budget that is used: what was saved, what comes in during a window
+	// and half a window beyond that make 2.5 times it, the whole.
 	slowStartSafety = 0.4
-	// slowStartSavedWindows is for how many windows a budget may be saved, where a request takes more than one's.
+	// slowStartSavedWindows is for how many windows a budget may be saved, where a request takes more than
+	// one's.
 	slowStartSavedWindows = 2
 	// slowStartOverdraft is the part of a window's budget that may be spent beyond what there is.
 	slowStartOverdraft = 0.5
-	// slowStartMaxJob bounds one request, as a share of what all dispatchers together may use in a window, and
-	// slowStartMaxJobMeans as a multiple of its class's mean: a busy dispatcher takes all its peers to be as busy.
+	// slowStartMaxJob bounds one request, as a share of what all dispatchers together may use in a window,
+	// and slowStartMaxJobMeans as a multiple of its class's mean: a busy dispatcher takes all its peers to
+	// be as busy.
 	slowStartMaxJob      = 0.31
 	slowStartMaxJobMeans = 2
-	// smallHintCorrection is how far a request with a small hint counts towards the mean of its class. Measured in a
-	// rehearsal with rough hints: requests chosen for small hints ran for many times what those said.
+	// smallHintCorrection is how far a request with a small hint counts towards the mean of its class.
+	// Measured in a rehearsal with rough hints: requests chosen for small hints ran for many times what
+	// those said.
 	smallHintCorrection = 0.25
-	// clockError is by how much the clock of this machine may have been ahead when the process started. Clocks are
-	// stepped by seconds or by an hour.
+	// clockError is by how much the clock of this machine may have been ahead when the process started.
+	// Clocks are stepped by seconds or by an hour.
 	clockError = 90 * time.Minute
 )
 
 // capacityFraction is the part of its capacity that a worker surely has, 1 once it has warmed up.
-func (m *Machine) capacityFraction(w *worker) float64 {
-	age := max(m.now-w.StartedAt, 0)
-	if w.StartedAt <= 0 || age >= m.settings.SlowStartDuration {
+func (m *Machine) capacityFraction(worker *worker) float64 {
+	age := max(m.now-worker.StartedAt, 0)
+	if worker.StartedAt <= 0 || age >= m.settings.SlowStartDuration {
 		return 1
 	}
 	floor := m.settings.SlowStartFloor
 	return floor + (1-floor)*age.Seconds()/m.settings.SlowStartDuration.Seconds()
 }
 
-// startTime is when a worker counts as started, by the start time of the list. Where the start is news and the listed
-// time would make the worker warmed up, a clock that is ahead may be the reason: it counts as just started, since it
-// would else be sent all that a warmed-up worker takes. One that had only been out of reach gets less for a while.
+// startTime is when a worker counts as started, by the start time of the list. Where the start is news and
+// the listed time would make the worker warmed up, a clock that is ahead may be the reason: it counts as
+// just started, since it would else be sent all that a warmed-up worker takes. One that had only been out
+// of reach gets less for a while.
 func (m *Machine) startTime(listed time.Duration, news bool) time.Duration {
 	age := m.now - listed
 	warmUp := m.settings.SlowStartDuration
@@ -47,30 +52,34 @@
 	return listed
 }
 
-// withinSlowStartBudget tells whether a worker, if in slow start, may get the request. The first request there, and one
-// that takes more than a window's part, are drawn for with odds of the budget saved to the cost; a drawing that is lost
-// spends the budget.
-func (m *Machine) withinSlowStartBudget(r *request, w *worker) bool {
-	capacity := m.capacityFraction(w)
+// withinSlowStartBudget tells whether a worker, if in slow start, may get the request. The first request
+// there, and one that takes more than a window's part, are drawn for with odds of the budget saved to the
+// cost; a drawing that is lost spends the budget.
+func (m *Machine) withinSlowStartBudget(request *request, worker *worker) bool {
+	capacity := m.capacityFraction(worker)
 	if capacity >= 1 || m.settings.OverloadWindow <= 0 { // a rule whose window is 0 is off
 		return true
 	}
-	rate := slowStartSafety * m.settings.OverloadMultiple * capacity * m.warmWorkRate(w.Kind)
+	rate := slowStartSafety * m.settings.OverloadMultiple * capacity * m.warmWorkRate(worker.Kind)
 	part := rate * m.settings.OverloadWindow.Seconds()
-	cost := r.slowStartCost()
+	cost := request.slowStartCost()
 	maxSaved := max(part, min(slowStartSavedWindows*part, cost))
-	w.slowStartBudget = min(w.slowStartBudget+rate*(m.now-w.slowStartBudgetAt).Seconds(), maxSaved)
-	w.slowStartBudgetAt = m.now
-	largest := min(slowStartMaxJob*part*float64(m.settings.Peers), slowStartMaxJobMeans*r.slots*r.classMeanWork)
-	if w.slowStartBudget < 0 || cost > max(w.slowStartBudget, largest) {
+	saved := worker.slowStartBudget + rate*(m.now-worker.slowStartBudgetAt).Seconds()
+	worker.slowStartBudget = min(saved, maxSaved)
+	worker.slowStartBudgetAt = m.now
+	largest := min(
+		slowStartMaxJob*part*float64(m.settings.Peers),
+		slowStartMaxJobMeans*request.slots*request.classMeanWork,
+	)
+	if worker.slowStartBudget < 0 || cost > max(worker.slowStartBudget, largest) {
 		return false
 	}
-	first := w.recentWork.at == 0
-	if (cost > part || first) && m.random.Float64()*cost >= w.slowStartBudget {
-		w.slowStartBudget = 0
+	first := worker.recentWork.at == 0
+	if (cost > part || first) && m.random.Float64()*cost >= worker.slowStartBudget {
+		worker.slowStartBudget = 0
 		return false
 	}
-	return cost > part || cost <= w.slowStartBudget+part*slowStartOverdraft
+	return cost > part || cost <= worker.slowStartBudget+part*slowStartOverdraft
 }
 
 // slowStartCost is what a request takes of a slow-start budget.
@@ -78,22 +87,22 @@
 	return r.cost + smallHintCorrection*r.slots*max(r.classMeanWork-r.work, 0)
 }
 
-// recordReservedElsewhere takes off the budget what the dispatcher's other process has sent, while it is replaced: both
-// have one budget.
-func (m *Machine) recordReservedElsewhere(w *worker, reservation float64) {
-	if w == nil || !(reservation > 0) {
+// recordReservedElsewhere takes off the budget what the dispatcher's other process has sent, while it is
+// replaced: both have one budget.
+func (m *Machine) recordReservedElsewhere(worker *worker, reservation float64) {
+	if worker == nil || !(reservation > 0) {
 		return
 	}
-	w.slowStartBudget -= reservation
-	w.recentWork.add(m.now, m.planningHorizon, 0) // the worker has had its first request
+	worker.slowStartBudget -= reservation
+	worker.recentWork.add(m.now, m.planningHorizon, 0) // the worker has had its first request
 }
 
 // promoteWarmedUp moves workers that have warmed up to the lists of warm ones.
 func (m *Machine) promoteWarmedUp() {
 	for i := len(m.warmingUp) - 1; i >= 0; i-- {
-		w := m.warmingUp[i]
-		if m.capacityFraction(w) >= 1 {
-			m.placeInLists(w)
+		worker := m.warmingUp[i]
+		if m.capacityFraction(worker) >= 1 {
+			m.placeInLists(worker)
 		}
 	}
 }
@@ -101,19 +110,21 @@
 const (
 	// minOfAllKinds is the key of the smallest work rate; no kind has this number.
 	minOfAllKinds = -1
-	// scanWorkersPerSweep bounds the workers that one sweep interval looks at, lest its work grow with the fleet.
+	// scanWorkersPerSweep bounds the workers that one sweep interval looks at, lest its work grow with the
+	// fleet.
 	scanWorkersPerSweep = 2048
 )
 
-// workRateScan is a walk over the fleet, spread over sweep intervals, that computes the mean work rate of each kind.
+// workRateScan is a walk over the fleet, spread over sweep intervals, that computes the mean work rate of
+// each kind.
 type workRateScan struct {
 	next  int             // index in the fleet at which it goes on
 	count map[int]float64 // warm workers so far, by kind; nil: the walk has not begun
 	rates map[int]float64 // their mean work rate
 }
 
-// warmWorkRate is the work a second that a warm worker of the kind takes from this dispatcher: the mean of its kind, or
-// the smallest of all workers where no warm one of its kind is known.
+// warmWorkRate is the work a second that a warm worker of the kind takes from this dispatcher: the mean of
+// its kind, or the smallest of all workers where no warm one of its kind is known.
 func (m *Machine) warmWorkRate(kind int) float64 {
 	if m.warmWorkRatesAt == 0 || m.now-m.warmWorkRatesAt >= m.sweepInterval {
 		whole := m.warmWorkRatesAt == 0
@@ -126,7 +137,8 @@
 	return m.warmWorkRates[minOfAllKinds]
 }
 
-// scanWarmWorkRates goes on with the walk over the fleet, to its end if whole. Its results hold once it is at the end.
+// scanWarmWorkRates goes on with the walk over the fleet, to its end if whole. Its results hold once it is
+// at the end.
 func (m *Machine) scanWarmWorkRates(whole bool) {
 	scan := &m.warmWorkRateScan
 	if whole || scan.count == nil || scan.next > len(m.fleet) {
@@ -136,8 +148,8 @@
 	if !whole {
 		end = min(end, scan.next+scanWorkersPerSweep)
 	}
-	for _, w := range m.fleet[scan.next:end] {
-		m.addToScan(scan, w)
+	for _, worker := range m.fleet[scan.next:end] {
+		m.addToScan(scan, worker)
 	}
 	scan.next = end
 	if end == len(m.fleet) {
@@ -147,13 +159,13 @@
 }
 
 // addToScan counts a worker, if it runs and has warmed up.
-func (m *Machine) addToScan(scan *workRateScan, w *worker) {
-	if w.State != Running || m.capacityFraction(w) < 1 {
+func (m *Machine) addToScan(scan *workRateScan, worker *worker) {
+	if worker.State != Running || m.capacityFraction(worker) < 1 {
 		return
 	}
-	rate := w.recentWork.get(m.now, m.planningHorizon) / m.planningHorizon.Seconds()
-	scan.count[w.Kind]++
-	scan.rates[w.Kind] += (rate - scan.rates[w.Kind]) / scan.count[w.Kind]
+	rate := worker.recentWork.get(m.now, m.planningHorizon) / m.planningHorizon.Seconds()
+	scan.count[worker.Kind]++
+	scan.rates[worker.Kind] += (rate - scan.rates[worker.Kind]) / scan.count[worker.Kind]
 	smallest, ok := scan.rates[minOfAllKinds]
 	if !ok || rate < smallest {
 		scan.rates[minOfAllKinds] = rate
--- a/decision/slowstart_test.go
+++ b/decision/slowstart_test.go
@@ -29,8 +29,8 @@
 		for i := range jobs {
 			id := uint64(i + 1)
 			assigned := false
-			for _, a := range d.Handle(now, Event{Kind: RequestArrived, Request: id, TimeLeft: 4 * aim}, nil) {
-				assigned = assigned || a.Kind == Assign
+			for _, action := range d.Handle(now, Event{Kind: RequestArrived, Request: id, TimeLeft: 4 * aim}, nil) {
+				assigned = assigned || action.Kind == Assign
 			}
 			if !assigned {
 				t.Fatalf("job %d was not assigned", i)
@@ -88,21 +88,21 @@
 }
 
 // handle feeds a process and carries out what it wants; work is the request's at hand.
-func (f *coldFleet) handle(m *coldMember, d *Machine, ev Event, work float64) {
-	for _, a := range d.Handle(f.now, ev, nil) {
-		switch a.Kind {
+func (f *coldFleet) handle(m *coldMember, d *Machine, event Event, work float64) {
+	for _, action := range d.Handle(f.now, event, nil) {
+		switch action.Kind {
 		case SetTimer:
-			f.after(a.Delay, func() { f.handle(m, d, Event{Kind: TimerFired, Timer: a.Timer}, 0) })
+			f.after(action.Delay, func() { f.handle(m, d, Event{Kind: TimerFired, Timer: action.Timer}, 0) })
 		case Assign:
-			f.assign(m, d, a, work)
+			f.assign(m, d, action, work)
 		}
 	}
 }
 
 // assign runs a job at its worker, in no time but its own: none of them queues.
-func (f *coldFleet) assign(m *coldMember, d *Machine, a Action, work float64) {
+func (f *coldFleet) assign(m *coldMember, d *Machine, action Action, work float64) {
 	run := work
-	if a.Worker == "cold" {
+	if action.Worker == "cold" {
 		f.sent = append(f.sent, fleetSend{f.now, work})
 		run /= f.warmth()
 		if m.other != nil {
@@ -110,12 +110,12 @@
 			if other == d {
 				other = m.process
 			}
-			f.handle(m, other, Event{Kind: ReservedElsewhere, Worker: a.Worker, Reservation: a.Reservation}, 0)
+			f.handle(m, other, Event{Kind: ReservedElsewhere, Worker: action.Worker, Reservation: action.Reservation}, 0)
 		}
 	}
-	f.handle(m, d, Event{Kind: AttemptStarted, Request: a.Request, Worker: a.Worker}, 0)
+	f.handle(m, d, Event{Kind: AttemptStarted, Request: action.Request, Worker: action.Worker}, 0)
 	f.after(seconds(run), func() {
-		f.handle(m, d, Event{Kind: AttemptEnded, Request: a.Request, Worker: a.Worker, Outcome: Completed, Answered: true}, 0)
+		f.handle(m, d, Event{Kind: AttemptEnded, Request: action.Request, Worker: action.Worker, Outcome: Completed, Answered: true}, 0)
 	})
 }
 
@@ -130,13 +130,13 @@
 	m := f.members[f.random.IntN(len(f.members))]
 	work := f.mean * f.random.ExpFloat64()
 	f.next++
-	ev := Event{Kind: RequestArrived, Request: f.next, TimeLeft: f.s.Classes[0].Deadline}
+	event := Event{Kind: RequestArrived, Request: f.next, TimeLeft: f.s.Classes[0].Deadline}
 	if f.hints {
-		ev.Work = seconds(work)
+		event.Work = seconds(work)
 	} else {
 		work = f.mean // of which nobody tells
 	}
-	f.handle(m, m.process, ev, work)
+	f.handle(m, m.process, event, work)
 }
 
 // What 20 to 30 dispatchers together send a worker that starts cold keeps, in any window, to the budget that the
@@ -236,20 +236,20 @@
 		}
 		start := 24 * time.Hour
 		d.Handle(start, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: []Endpoint{{Name: "cold", StartedAt: start - time.Minute}}}, nil)
-		w := d.workers["cold"]
-		w.recentWork.add(d.now, d.planningHorizon, 0) // it has had its first job
+		worker := d.workers["cold"]
+		worker.recentWork.add(d.now, d.planningHorizon, 0) // it has had its first job
 		d.warmWorkRates, d.warmWorkRatesAt = map[int]float64{0: share}, start+time.Hour
 		var sent []fleetSend
 		for range 300 {
 			d.now += rapid.SampledFrom([]time.Duration{0, 0, 0, window / 50, window / 50, window / 10, 2 * window}).Draw(t, "pause")
-			part := slowStartSafety * multiple * d.capacityFraction(w) * share * window.Seconds()
+			part := slowStartSafety * multiple * d.capacityFraction(worker) * share * window.Seconds()
 			work := rapid.SampledFrom([]float64{0.05, 0.05, 0.3, 1}).Draw(t, "work, parts") * part
-			r := &request{class: &d.settings.Classes[0], slots: 1, work: work, classMeanWork: work, cost: work, holdTime: work}
-			if d.withinSlowStartBudget(r, w) {
-				if w.slowStartBudget -= r.slowStartCost(); w.slowStartBudget < -part/2*(1+1e-9) {
-					t.Fatalf("%.3f of a part beyond what was there", -w.slowStartBudget/part)
+			request := &request{class: &d.settings.Classes[0], slots: 1, work: work, classMeanWork: work, cost: work, holdTime: work}
+			if d.withinSlowStartBudget(request, worker) {
+				if worker.slowStartBudget -= request.slowStartCost(); worker.slowStartBudget < -part/2*(1+1e-9) {
+					t.Fatalf("%.3f of a part beyond what was there", -worker.slowStartBudget/part)
 				}
-				sent = append(sent, fleetSend{d.now, r.slowStartCost()})
+				sent = append(sent, fleetSend{d.now, request.slowStartCost()})
 			}
 			sum := 0.0
 			for _, s := range sent {
@@ -257,7 +257,7 @@
 					sum += s.work
 				}
 			}
-			if allowed := multiple * d.capacityFraction(w) * share * window.Seconds(); sum > allowed*(1+1e-9) {
+			if allowed := multiple * d.capacityFraction(worker) * share * window.Seconds(); sum > allowed*(1+1e-9) {
 				t.Fatalf("%.3f of the budget in a window", sum/allowed)
 			}
 		}
--- a/decision/sweep.go
+++ b/decision/sweep.go
@@ -12,7 +12,8 @@
 	pricingsPerHorizon = 8
 	// sweepsPerObjective is the number of sweeps within the shortest latency objective.
 	sweepsPerObjective = 2
-	// minObjectivePart is the inverse of the part of the deadline that a latency objective counts as at the least.
+	// minObjectivePart is the inverse of the part of the deadline that a latency objective counts as at the
+	// least.
 	minObjectivePart = 50
 )
 
@@ -20,13 +21,14 @@
 func (m *Machine) shortestSweepInterval() time.Duration {
 	shortest := time.Duration(math.MaxInt64)
 	for i := range m.settings.Classes {
-		c := &m.settings.Classes[i]
-		shortest = min(shortest, max(c.LatencyObjective, c.Deadline/minObjectivePart))
+		class := &m.settings.Classes[i]
+		shortest = min(shortest, max(class.LatencyObjective, class.Deadline/minObjectivePart))
 	}
 	return max(shortest/sweepsPerObjective, m.settings.Tick)
 }
 
-// scheduleSweep sets the timer of the next sweep, unless it is set. Without unanswered requests there is no sweep.
+// scheduleSweep sets the timer of the next sweep, unless it is set. Without unanswered requests there is no
+// sweep.
 func (m *Machine) scheduleSweep() {
 	if !m.sweepScheduled {
 		m.sweepScheduled = true
@@ -34,12 +36,12 @@
 	}
 }
 
-// sweep decides what the passing of time alone brings: which requests are late, stuck or worth nothing any more, which
-// workers have warmed up, and the prices.
+// sweep decides what the passing of time alone brings: which requests are late, stuck or worth nothing any
+// more, which workers have warmed up, and the prices.
 func (m *Machine) sweep() {
-	m.unanswered = slices.DeleteFunc(m.unanswered, func(r *request) bool { return r.ended })
-	for _, r := range m.unanswered {
-		m.sweepRequest(r)
+	m.unanswered = slices.DeleteFunc(m.unanswered, func(request *request) bool { return request.ended })
+	for _, request := range m.unanswered {
+		m.sweepRequest(request)
 	}
 	m.promoteWarmedUp()
 	slices.SortFunc(m.queue, compareByValue) // late requests are worth less now
@@ -56,61 +58,67 @@
 }
 
 // sweepRequest looks after one unanswered request.
-func (m *Machine) sweepRequest(r *request) {
-	if !r.late && m.hardlyInTime(r) {
-		m.markLate(r)
-	} else if r.queued && (m.worthless(r) || m.mustNotRepeat(r)) || r.late && m.delaysOthers(r) {
-		m.rejectOrFail(r)
+func (m *Machine) sweepRequest(request *request) {
+	switch {
+	case !request.late && m.hardlyInTime(request):
+		m.markLate(request)
+	case request.queued && (m.worthless(request) || m.mustNotRepeat(request)):
+		m.rejectOrFail(request)
+	case request.late && m.delaysOthers(request):
+		m.rejectOrFail(request)
 	}
-	last := len(r.attempts) - 1
-	if r.outstanding == 1 && !r.attempts[last].ended {
-		m.superviseAttempt(r, &r.attempts[last])
+	last := len(request.attempts) - 1
+	if request.outstanding == 1 && !request.attempts[last].ended {
+		m.superviseAttempt(request, &request.attempts[last])
 	}
 }
 
 // hardlyInTime tells whether the request would miss its objective if it started now, or with the next sweep.
-func (m *Machine) hardlyInTime(r *request) bool {
-	return m.now+seconds(r.work)+m.sweepInterval >= r.objective
+func (m *Machine) hardlyInTime(request *request) bool {
+	return m.now+seconds(request.work)+m.sweepInterval >= request.objective
 }
 
-// markLate marks a request that can hardly be in time, and lowers its value to that of a late answer. It is rejected at
-// once if it waits while capacity is scarce, or delays others. An attempt that is not known to have started tells of
-// overload now, where its end would tell much later; unless its connection may be dead.
-func (m *Machine) markLate(r *request) {
-	r.late = true
-	if r.outstanding > 1 && m.settings.StartNotices && !r.countedAsBad && !r.hasStarted() {
-		m.cutCeilings(r, r.attempts[0].sentAt)
+// markLate marks a request that can hardly be in time, and lowers its value to that of a late answer. It is
+// rejected at once if it waits while capacity is scarce, or delays others. An attempt that is not known to
+// have started tells of overload now, where its end would tell much later; unless its connection may be
+// dead.
+func (m *Machine) markLate(request *request) {
+	request.late = true
+	if request.outstanding > 1 && m.settings.StartNotices && !request.countedAsBad && !request.hasStarted() {
+		m.cutCeilings(request, request.attempts[0].sentAt)
 	}
-	unstarted := r.unstartedAttempt()
+	unstarted := request.unstartedAttempt()
 	if unstarted != nil && m.settings.StartNotices {
 		switch {
 		case unstarted.connectionIdle > m.safeIdleTime:
-			m.rejectOrFail(r)
+			m.rejectOrFail(request)
 			return
 		case unstarted.connectionIdle > m.sweepInterval && m.settings.StartsInOrder:
-			m.markPossiblyLost(r, unstarted)
+			m.markPossiblyLost(request, unstarted)
 		default:
-			m.cutCeilings(r, unstarted.sentAt)
+			m.cutCeilings(request, unstarted.sentAt)
 		}
 	}
-	r.value *= r.class.LateWeight
-	if r.queued && m.capacityScarce(r) || m.delaysOthers(r) {
-		m.rejectOrFail(r)
+	request.value *= request.class.LateWeight
+	if request.queued && m.capacityScarce(request) || m.delaysOthers(request) {
+		m.rejectOrFail(request)
 	}
 }
 
 // capacityScarce tells whether a waiting request has little hope of a worker soon.
-func (m *Machine) capacityScarce(r *request) bool {
-	return m.workPrice+m.slotPrice > 0 || !m.withinConcurrency(r) || m.allSuspended()
+func (m *Machine) capacityScarce(request *request) bool {
+	return m.workPrice+m.slotPrice > 0 || !m.withinConcurrency(request) || m.allSuspended()
 }
 
-// delaysOthers tells whether a request that can hardly be in time, and has not started, stands before others in its
-// worker's queue for little: it earns nothing late, or may be repeated while many outcomes are bad.
-func (m *Machine) delaysOthers(r *request) bool {
-	earnsNothing := r.class.LateWeight <= 0
-	overloaded := m.badRatio > overloadBadRatio && r.class.Idempotency == Idempotent && r.class.LateWeight < 1
-	if !earnsNothing && !overloaded {
+// delaysOthers tells whether a request that can hardly be in time, and has not started, stands before
+// others in its worker's queue for little: it earns nothing late, or may be repeated while many outcomes
+// are bad.
+func (m *Machine) delaysOthers(request *request) bool {
+	earnsNothing := request.class.LateWeight <= 0
+	repeatable := request.class.Idempotency == Idempotent && request.class.LateWeight < 1
+	if !earnsNothing && !(repeatable && m.badRatio > overloadBadRatio) {
 		return false
 	}
-	return m.settings.StartNotices && m.settings.Cancellation && m.hardlyInTime(r) && !r.hasStarted()
+	return m.settings.StartNotices && m.settings.Cancellation &&
+		m.hardlyInTime(request) && !request.hasStarted()
 }
--- a/decision/worker.go
+++ b/decision/worker.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// worker is what a dispatcher knows of one worker. Its Endpoint is that of the latest list, but for StartedAt, which is
-// the time that it counts as started: see startTime.
+// worker is what a dispatcher knows of one worker. Its Endpoint is that of the latest list, but for
+// StartedAt, which is the time that it counts as started: see startTime.
 type worker struct {
 	Endpoint
 	nameHash     uint64
@@ -44,8 +44,13 @@
 	trialAt            time.Duration // when it may have a request again, if ejected
 }
 
-// restarted returns the worker as it is after a start: only what is outstanding there still counts, all that was learned
-// is about its previous process.
+// newWorker returns a worker of which only the name is known.
+func newWorker(name string, now time.Duration) *worker {
+	return &worker{nameHash: hashName(name), slowStartBudgetAt: now}
+}
+
+// restarted returns the worker as it is after a start: only what is outstanding there still counts, all
+// that was learned is about its previous process.
 func (w *worker) restarted(now time.Duration) worker {
 	return worker{
 		Endpoint:          w.Endpoint,
--- a/decision/zone.go
+++ b/decision/zone.go
@@ -6,8 +6,9 @@
 )
 
 const (
-	// unreachableZoneConnects is the number of failed connects in a row from which a zone looks unreachable. Measured
-	// in a rehearsal of 80 dispatchers: without it each ran into a time-out at each worker of a lost zone.
+	// unreachableZoneConnects is the number of failed connects in a row from which a zone looks
+	// unreachable. Measured in a rehearsal of 80 dispatchers: without it each ran into a time-out at each
+	// worker of a lost zone.
 	unreachableZoneConnects = 2
 	// maxTrialDoublings bounds how often the interval between trials of an unreachable zone is doubled.
 	maxTrialDoublings = 8
@@ -28,43 +29,46 @@
 	return m.zones[number]
 }
 
-// zoneUnreachable tells whether a worker's zone gets no requests: connects there have failed in a row, and workers of
-// other zones have been seen since. One request at a time tries whether it is back, after ever longer intervals.
-func (m *Machine) zoneUnreachable(w *worker) bool {
-	z := m.zone(w.Zone)
-	trialInterval := min(m.settings.ConnectTimeout<<min(z.failedConnects, maxTrialDoublings), m.planningHorizon)
-	return z.failedConnects >= unreachableZoneConnects &&
-		m.now-z.lastAttemptAt < trialInterval &&
-		m.lastSeen > z.firstFailureAt
+// zoneUnreachable tells whether a worker's zone gets no requests: connects there have failed in a row, and
+// workers of other zones have been seen since. One request at a time tries whether it is back, after ever
+// longer intervals.
+func (m *Machine) zoneUnreachable(worker *worker) bool {
+	zone := m.zone(worker.Zone)
+	doublings := min(zone.failedConnects, maxTrialDoublings)
+	trialInterval := min(m.settings.ConnectTimeout<<doublings, m.planningHorizon)
+	return zone.failedConnects >= unreachableZoneConnects &&
+		m.now-zone.lastAttemptAt < trialInterval &&
+		m.lastSeen > zone.firstFailureAt
 }
 
 // markSeen records that a worker has shown that it lives.
-func (m *Machine) markSeen(w *worker) {
-	w.lastSeen = m.now
+func (m *Machine) markSeen(worker *worker) {
+	worker.lastSeen = m.now
 	m.lastSeen = m.now
-	m.markZoneReachable(w.Zone)
+	m.markZoneReachable(worker.Zone)
 }
 
 // markZoneReachable records that a zone can be reached.
 func (m *Machine) markZoneReachable(number int) {
-	z := m.zone(number)
-	if z.failedConnects >= unreachableZoneConnects {
+	zone := m.zone(number)
+	if zone.failedConnects >= unreachableZoneConnects {
 		m.logf("zone %s is reachable again", m.zoneName(number))
 	}
-	z.failedConnects = 0
+	zone.failedConnects = 0
 }
 
 // recordConnectFailure records that a connection to a worker was refused or timed out.
-func (m *Machine) recordConnectFailure(w *worker) {
-	z := m.zone(w.Zone)
-	z.failedConnects++
-	switch z.failedConnects {
+func (m *Machine) recordConnectFailure(worker *worker) {
+	zone := m.zone(worker.Zone)
+	zone.failedConnects++
+	switch zone.failedConnects {
 	case 1:
-		z.firstFailureAt = m.now
+		zone.firstFailureAt = m.now
 	case unreachableZoneConnects:
-		m.logf("zone %s looks unreachable: %d connects failed in a row", m.zoneName(w.Zone), z.failedConnects)
+		m.logf("zone %s looks unreachable: %d connects failed in a row",
+			m.zoneName(worker.Zone), zone.failedConnects)
 	}
-	z.lastAttemptAt = m.now
+	zone.lastAttemptAt = m.now
 }
 
 // zoneName is what the settings call a zone, else its number.
