--- a/decision/capacity_test.go
+++ b/decision/capacity_test.go
@@ -13,30 +13,30 @@
 // fleetSizes are a decade apart; the last is the size that the design must carry.
 var fleetSizes = []int{200, 2100, 21000}
 
-// capacityZones is over how many zones the workers of capacityRig are spread.
-const capacityZones = 17
+// largeFleetZones is over how many zones the workers of capacityRig are spread.
+const largeFleetZones = 17
 
-// capacityRig has a fleet over many zones, of which every coldEvery-th worker has just started; 0: none.
-func capacityRig(t testing.TB, workers, coldEvery int) (*Machine, []Endpoint) {
+// newLargeFleet has a fleet over many zones, of which every coldEvery-th worker has just started; 0: none.
+func newLargeFleet(t testing.TB, workers, coldEvery int) (*Machine, []Endpoint) {
 	t.Helper()
-	s := testSettings()
-	s.Peers, s.CrossZoneCost, s.StartNotices = 300, 0.05, true
-	s.Classes = append(s.Classes, Class{PriorityWeight: 1, Deadline: 5 * time.Second, Kinds: []int{1}})
-	d, err := New(s, 1)
+	settings := testSettings()
+	settings.Peers, settings.CrossZoneCost, settings.StartNotices = 300, 0.05, true
+	settings.Classes = append(settings.Classes, Class{PriorityWeight: 1, Deadline: 5 * time.Second, Kinds: []int{1}})
+	machine, err := New(settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	const start = time.Hour
 	list := make([]Endpoint, workers)
 	for i := range list {
-		list[i] = Endpoint{Name: fmt.Sprintf("w%d", i), Zone: i % capacityZones, Kind: i % 3, Cell: i % 1000, State: Running}
+		list[i] = Endpoint{Name: fmt.Sprintf("w%d", i), Zone: i % largeFleetZones, Kind: i % 3, Cell: i % 1000, State: Running}
 		if coldEvery > 0 && i%coldEvery == 0 {
 			list[i].StartedAt = start
 		}
 	}
-	d.Handle(start, Event{Kind: ListUpdated, ListKind: ListCached, Endpoints: list}, nil)
-	d.concurrencyPerWorker, d.workRatePerWorker = 1e6, 1e6 // no ceiling binds: what is measured is the pick
-	return d, list
+	machine.Handle(start, Event{Kind: ListUpdated, ListKind: ListCached, Endpoints: list}, nil)
+	machine.concurrencyPerWorker, machine.workRatePerWorker = 1e6, 1e6 // no ceiling binds: what is measured is the pick
+	return machine, list
 }
 
 // BenchmarkDelta is one worker that drains, or comes back, by a delta of its own.
@@ -65,13 +65,13 @@
 func benchmarkDeltas(b *testing.B, entry func(list []Endpoint, i int) Endpoint) {
 	for _, workers := range fleetSizes {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
-			d, list := capacityRig(b, workers, 0)
+			machine, list := newLargeFleet(b, workers, 0)
 			var out []Action
 			entries := make([]Endpoint, 1)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				entries[0] = entry(list, i)
-				out = d.Handle(d.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: entries}, out[:0])
+				out = machine.Handle(machine.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: entries}, out[:0])
 			}
 		})
 	}
@@ -82,20 +82,20 @@
 	for _, coldEvery := range []int{0, 10} {
 		for _, workers := range fleetSizes {
 			b.Run(fmt.Sprintf("%d/cold-every-%d", workers, coldEvery), func(b *testing.B) {
-				d, _ := capacityRig(b, workers, coldEvery)
+				machine, _ := newLargeFleet(b, workers, coldEvery)
 				var out []Action
-				now := d.now
+				now := machine.now
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
 					now += time.Microsecond // the cold stay cold
 					if i%1000 == 0 {
-						out = d.Handle(now, Event{Kind: TimerFired, Timer: sweepTimer}, out[:0])
+						out = machine.Handle(now, Event{Kind: TimerFired, Timer: sweepTimer}, out[:0])
 					}
 					id := uint64(i + 1)
-					out = d.Handle(now, Event{Kind: RequestArrived, Request: id, Slots: 1, Work: 10 * time.Millisecond,
+					out = machine.Handle(now, Event{Kind: RequestArrived, Request: id, Slots: 1, Work: 10 * time.Millisecond,
 						TimeLeft: 5 * time.Second}, out[:0])
-					if a := find(out, Assign); a != nil {
-						out = d.Handle(now, Event{Kind: AttemptEnded, Request: id, Worker: a.Worker, Outcome: Completed,
+					if action := findAction(out, Assign); action != nil {
+						out = machine.Handle(now, Event{Kind: AttemptEnded, Request: id, Worker: action.Worker, Outcome: Completed,
 							Answered: true}, out[:0])
 					}
 				}
@@ -105,8 +105,8 @@
 }
 
 // listsOf are the lists of a dispatcher in which each worker knows its place.
-func listsOf(d *Machine) map[listID][]*worker {
-	return map[listID][]*worker{inFleet: d.fleet, inWarmWorkers: d.warmWorkers, inLocalWarmWorkers: d.localWarmWorkers, inWarmingUp: d.warmingUp}
+func listsOf(machine *Machine) map[listID][]*worker {
+	return map[listID][]*worker{inFleet: machine.fleet, inWarmWorkers: machine.warmWorkers, inLocalWarmWorkers: machine.localWarmWorkers, inWarmingUp: machine.warmingUp}
 }
 
 // A delta of one worker must take no work that goes with the fleet: it reads no other worker, but for the one that
@@ -121,16 +121,16 @@
 func deltaReadsNoOtherWorker(t *testing.T, workers, index int) {
 	changed := fmt.Sprintf("w%d", index)
 	for _, state := range []WorkerState{Running, Draining, Removed} {
-		d, list := capacityRig(t, workers, 10)
-		worker := d.workers[changed]
+		machine, list := newLargeFleet(t, workers, 10)
+		worker := machine.workers[changed]
 		if cold := index%10 == 0; (worker.positions[inWarmingUp] > 0) != cold || (worker.positions[inLocalWarmWorkers] > 0) == cold {
 			t.Fatalf("%s stands in the wrong lists: %v", changed, worker.positions)
 		}
-		for id, members := range listsOf(d) {
+		for id, members := range listsOf(machine) {
 			for i, other := range members[:len(members)-1] { // the last one takes the place
 				if i != worker.positions[id]-1 {
-					delete(d.workers, other.Name)
-					d.workers["nobody "+other.Name] = nil
+					delete(machine.workers, other.Name)
+					machine.workers["nobody "+other.Name] = nil
 					members[i] = nil
 				}
 			}
@@ -140,18 +140,18 @@
 			t.Fatalf("%s is changed", endpoint.Name)
 		}
 		endpoint.State = state
-		d.Handle(d.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{endpoint}}, nil)
-		if gone := d.workers[changed] == nil; gone != (state == Removed) {
+		machine.Handle(machine.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{endpoint}}, nil)
+		if gone := machine.workers[changed] == nil; gone != (state == Removed) {
 			t.Errorf("state %v: gone: %v", state, gone)
 		}
 	}
 }
 
 // The same for one that comes, in allocations: what it is itself, however large the fleet.
-func TestDeltaAllocatesByItsEntries(t *testing.T) {
+func TestDeltaAllocatesByItsLength(t *testing.T) {
 	allocated := map[int]float64{}
 	for _, workers := range fleetSizes {
-		d, list := capacityRig(t, workers, 0)
+		machine, list := newLargeFleet(t, workers, 0)
 		out, entries, i := make([]Action, 0, 8), make([]Endpoint, 1), 0
 		allocated[workers] = testing.AllocsPerRun(500, func() {
 			entries[0] = list[i/2%workers]
@@ -159,7 +159,7 @@
 				entries[0].State = Removed
 			}
 			i++
-			out = d.Handle(d.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: entries}, out[:0])
+			out = machine.Handle(machine.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: entries}, out[:0])
 		})
 	}
 	if allocated[21000] > allocated[200]+1 {
@@ -170,13 +170,13 @@
 // What is kept by difference must be what a count anew gives, whatever the lists say: names that stand twice, restarts,
 // workers that go and come, unknown ones that are gone, complete lists between deltas. Two dispatchers with one seed
 // do the same, the ring included.
-func TestListsAgreeWithACountAnew(t *testing.T) {
+func TestIncrementalCountsAgreeWithARecount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := testSettings()
-		s.CrossZoneCost, s.CacheMissCost = 0.05, 0.1
-		s.Classes = append(s.Classes, Class{PriorityWeight: 1, Deadline: 5 * time.Second, Kinds: []int{1}, Zones: []int{0}})
-		a, errA := New(s, 7)
-		b, errB := New(s, 7)
+		settings := testSettings()
+		settings.CrossZoneCost, settings.CacheMissCost = 0.05, 0.1
+		settings.Classes = append(settings.Classes, Class{PriorityWeight: 1, Deadline: 5 * time.Second, Kinds: []int{1}, Zones: []int{0}})
+		a, errA := New(settings, 7)
+		b, errB := New(settings, 7)
 		if errA != nil || errB != nil {
 			t.Fatal(errA, errB)
 		}
@@ -212,32 +212,32 @@
 				id := uint64(step + 1)
 				did := both(Event{Kind: RequestArrived, Request: id, Slots: 1, Work: 10 * time.Millisecond, TimeLeft: 5 * time.Second,
 					Key: rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "key")})
-				if assigned := find(did, Assign); assigned != nil && rapid.Bool().Draw(t, "answered") {
+				if assigned := findAction(did, Assign); assigned != nil && rapid.Bool().Draw(t, "answered") {
 					both(Event{Kind: AttemptEnded, Request: id, Worker: assigned.Worker, Outcome: Completed, Answered: true})
 				}
 			}
 			if rapid.Bool().Draw(t, "beat") {
 				both(Event{Kind: TimerFired, Timer: sweepTimer})
 			}
-			countAnew(t, a)
+			recount(t, a)
 		}
 	})
 }
 
-// countAnew checks all that a dispatcher keeps of its workers by difference.
-func countAnew(t *rapid.T, d *Machine) {
+// recount checks all that a dispatcher keeps of its workers by difference.
+func recount(t *rapid.T, machine *Machine) {
 	t.Helper()
-	if len(d.fleet) != len(d.workers) {
-		t.Fatalf("%d in the fleet, %d known", len(d.fleet), len(d.workers))
+	if len(machine.fleet) != len(machine.workers) {
+		t.Fatalf("%d in the fleet, %d known", len(machine.fleet), len(machine.workers))
 	}
 	running, suspects, open := 0, 0, map[*Class]int{}
-	for _, worker := range d.fleet {
-		if d.workers[worker.Name] != worker || worker.State == Removed {
+	for _, worker := range machine.fleet {
+		if machine.workers[worker.Name] != worker || worker.State == Removed {
 			t.Fatalf("in the fleet and not known, or gone: %+v", worker.Endpoint)
 		}
 		cold := worker.positions[inWarmingUp] > 0 // until the next sweep it stands with the cold ones, though it may be warm by now
-		if !cold && d.capacityFraction(worker) < 1 || cold == (worker.positions[inWarmWorkers] > 0) ||
-			(!cold && worker.Zone == d.settings.Zone) != (worker.positions[inLocalWarmWorkers] > 0) {
+		if !cold && machine.capacityFraction(worker) < 1 || cold == (worker.positions[inWarmWorkers] > 0) ||
+			(!cold && worker.Zone == machine.settings.Zone) != (worker.positions[inLocalWarmWorkers] > 0) {
 			t.Fatalf("in the wrong lists: %+v, %v", worker.Endpoint, worker.positions)
 		}
 		if worker.State != Running {
@@ -247,40 +247,40 @@
 		if worker.ejected {
 			suspects++
 		}
-		for i := range d.settings.Classes {
-			if class := &d.settings.Classes[i]; class.mayRunOn(worker) {
+		for i := range machine.settings.Classes {
+			if class := &machine.settings.Classes[i]; class.mayRunOn(worker) {
 				open[class]++
 			}
 		}
 	}
-	if d.runningCount != running || d.ejectedCount != suspects || !maps.Equal(d.eligible, open) {
+	if machine.runningCount != running || machine.ejectedCount != suspects || !maps.Equal(machine.eligible, open) {
 		t.Fatalf("%d run, %d of them suspects, open %v; counted %d, %d, %v",
-			d.runningCount, d.ejectedCount, d.eligible, running, suspects, open)
+			machine.runningCount, machine.ejectedCount, machine.eligible, running, suspects, open)
 	}
-	for id, members := range listsOf(d) {
+	for id, members := range listsOf(machine) {
 		for i, worker := range members {
-			if worker.positions[id] != i+1 || d.workers[worker.Name] != worker {
+			if worker.positions[id] != i+1 || machine.workers[worker.Name] != worker {
 				t.Fatalf("list %v: %s stands at %d and takes itself to be at %d", id, worker.Name, i, worker.positions[id]-1)
 			}
 		}
 	}
-	if d.updateRing(); len(d.ring) != len(d.fleet) || !slices.IsSortedFunc(d.ring, compareByHash) {
-		t.Fatalf("%d on the ring, of %d; in order: %v", len(d.ring), len(d.fleet), slices.IsSortedFunc(d.ring, compareByHash))
+	if machine.updateRing(); len(machine.ring) != len(machine.fleet) || !slices.IsSortedFunc(machine.ring, compareByHash) {
+		t.Fatalf("%d on the ring, of %d; in order: %v", len(machine.ring), len(machine.fleet), slices.IsSortedFunc(machine.ring, compareByHash))
 	}
-	for _, worker := range d.ring {
-		if d.workers[worker.Name] != worker {
+	for _, worker := range machine.ring {
+		if machine.workers[worker.Name] != worker {
 			t.Fatalf("%s is on the ring and not known", worker.Name)
 		}
 	}
 }
 
 // A pick must draw a bounded number of cold workers, however many there are, and all of them in turn.
-func TestColdDrawsAreBoundedAndInTurn(t *testing.T) {
-	d, _ := capacityRig(t, 21000, 1)
+func TestDrawsInSlowStartAreBoundedAndFair(t *testing.T) {
+	machine, _ := newLargeFleet(t, 21000, 1)
 	drawn := map[*worker]int{}
-	rounds := (len(d.warmingUp) + maxWarmingUpDraws - 1) / maxWarmingUpDraws
+	rounds := (len(machine.warmingUp) + maxWarmingUpDraws - 1) / maxWarmingUpDraws
 	for range 3 * rounds {
-		members := d.nextWarmingUp()
+		members := machine.nextWarmingUp()
 		if len(members) == 0 || len(members) > maxWarmingUpDraws {
 			t.Fatalf("%d cold workers are drawn for one pick", len(members))
 		}
@@ -288,15 +288,15 @@
 			drawn[worker]++
 		}
 	}
-	for _, worker := range d.warmingUp {
+	for _, worker := range machine.warmingUp {
 		if drawn[worker] != 3 {
 			t.Fatalf("%s was drawn %d times in three rounds", worker.Name, drawn[worker])
 		}
 	}
-	before := slices.Clone(d.warmingUp)
-	d.Handle(d.now, Event{Kind: RequestArrived, Request: 1, Slots: 1, Work: time.Second, TimeLeft: 5 * time.Second}, nil)
+	before := slices.Clone(machine.warmingUp)
+	machine.Handle(machine.now, Event{Kind: RequestArrived, Request: 1, Slots: 1, Work: time.Second, TimeLeft: 5 * time.Second}, nil)
 	moved := 0
-	for i, worker := range d.warmingUp {
+	for i, worker := range machine.warmingUp {
 		if worker != before[i] {
 			moved++
 		}
@@ -308,10 +308,10 @@
 
 // Every newcomer must get work before it is warm, where there is traffic enough: none is passed over since there are
 // many of them.
-func TestEveryNewcomerGetsWorkWhileCold(t *testing.T) {
+func TestEveryWorkerGetsRequestsInSlowStart(t *testing.T) {
 	const workers, perSecond = 2100, 2000
-	s := testSettings()
-	d, err := New(s, 3)
+	settings := testSettings()
+	machine, err := New(settings, 3)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -320,21 +320,21 @@
 	for i := range workers {
 		list = append(list, Endpoint{Name: fmt.Sprintf("w%d", i)})
 	}
-	d.Handle(now, Event{Kind: ListUpdated, ListKind: ListCached, Endpoints: list}, nil)
+	machine.Handle(now, Event{Kind: ListUpdated, ListKind: ListCached, Endpoints: list}, nil)
 	const step = time.Second / perSecond
 	id, served, next := uint64(0), map[string]int{}, now
 	arrivals := func(until time.Duration) {
 		for ; now < until; now += step {
 			if now >= next {
-				next += d.sweepInterval
-				d.Handle(now, Event{Kind: TimerFired, Timer: sweepTimer}, nil)
+				next += machine.sweepInterval
+				machine.Handle(now, Event{Kind: TimerFired, Timer: sweepTimer}, nil)
 			}
 			id++
-			did := d.Handle(now, Event{Kind: RequestArrived, Request: id, Slots: 1, Work: 50 * time.Millisecond,
+			did := machine.Handle(now, Event{Kind: RequestArrived, Request: id, Slots: 1, Work: 50 * time.Millisecond,
 				TimeLeft: 5 * time.Second}, nil)
-			if a := find(did, Assign); a != nil {
-				served[a.Worker]++
-				d.Handle(now, Event{Kind: AttemptEnded, Request: id, Worker: a.Worker, Outcome: Completed, Answered: true}, nil)
+			if action := findAction(did, Assign); action != nil {
+				served[action.Worker]++
+				machine.Handle(now, Event{Kind: AttemptEnded, Request: id, Worker: action.Worker, Outcome: Completed, Answered: true}, nil)
 			}
 		}
 	}
@@ -342,9 +342,9 @@
 	clear(served)
 	start := now
 	for i := 0; i < workers; i += 10 {
-		d.Handle(now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: fmt.Sprintf("w%d", i), StartedAt: start}}}, nil)
+		machine.Handle(now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: fmt.Sprintf("w%d", i), StartedAt: start}}}, nil)
 	}
-	arrivals(start + s.SlowStartDuration)
+	arrivals(start + settings.SlowStartDuration)
 	for i := 0; i < workers; i += 10 {
 		if served[fmt.Sprintf("w%d", i)] == 0 {
 			t.Errorf("w%d got no work while it was cold", i)
@@ -354,36 +354,36 @@
 
 // What warm workers take is computed over some beats where they are many: no beat looks at more than shareSteps of
 // them, and the shares come to what all of them take.
-func TestSharesOfALargeFleetAreComputedInParts(t *testing.T) {
+func TestWorkRatesOfALargeFleetAreScannedInParts(t *testing.T) {
 	const workers = 21000
-	d, _ := capacityRig(t, workers, 10)
-	d.planningHorizon = 1000 * time.Hour // what was sent does not fade meanwhile
+	machine, _ := newLargeFleet(t, workers, 10)
+	machine.planningHorizon = 1000 * time.Hour // what was sent does not fade meanwhile
 	take := func(seconds float64) (share float64) {
-		for _, worker := range d.fleet {
-			worker.recentWork = decayingValue{seconds, d.now}
+		for _, worker := range machine.fleet {
+			worker.recentWork = decayingValue{seconds, machine.now}
 		}
-		return seconds / d.planningHorizon.Seconds()
+		return seconds / machine.planningHorizon.Seconds()
 	}
 	near := func(a, b float64) bool { return a > b*0.999 && a < b*1.001 }
 	first := take(100)
-	if got := d.warmWorkRate(0); !near(got, first) {
+	if got := machine.warmWorkRate(0); !near(got, first) {
 		t.Fatalf("at first %v, not %v", got, first)
 	}
 	second := take(300)
 	beats := 0
-	for ; !near(d.warmWorkRate(0), second); beats++ {
+	for ; !near(machine.warmWorkRate(0), second); beats++ {
 		if beats > 2*workers/scanWorkersPerSweep+2 {
-			t.Fatalf("%v after %d beats, not %v", d.warmWorkRate(0), beats, second)
+			t.Fatalf("%v after %d beats, not %v", machine.warmWorkRate(0), beats, second)
 		}
-		if at := d.warmWorkRateScan.next; at%scanWorkersPerSweep != 0 || at > workers {
+		if at := machine.warmWorkRateScan.next; at%scanWorkersPerSweep != 0 || at > workers {
 			t.Fatalf("%d workers were looked at after %d beats", at, beats)
 		}
-		d.now += d.sweepInterval
+		machine.now += machine.sweepInterval
 	}
 	if beats < workers/scanWorkersPerSweep {
 		t.Errorf("%d beats for %d workers, of which one looks at %d", beats, workers, scanWorkersPerSweep)
 	}
-	small, _ := capacityRig(t, scanWorkersPerSweep, 10)
+	small, _ := newLargeFleet(t, scanWorkersPerSweep, 10)
 	small.warmWorkRate(0)
 	for _, worker := range small.fleet {
 		worker.recentWork = decayingValue{100, small.now + small.sweepInterval}
--- a/decision/dispatcher_test.go
+++ b/decision/dispatcher_test.go
@@ -10,15 +10,15 @@
 	"time"
 )
 
-// start is the ceiling per worker that a dispatcher of testSettings starts with.
-const start = initialSlotsPerWorker / 2
+// initialCeiling is the ceiling per worker that a dispatcher of testSettings starts with.
+const initialCeiling = initialSlotsPerWorker / 2
 
 // Many dispatchers must not start with ceilings that add up to many times what a worker holds.
-func TestStartCeilingsAreShared(t *testing.T) {
-	s := testSettings()
-	s.Peers = 22
-	if r := newRig(t, s, 2); math.Abs(r.concurrencyPerWorker*22-initialSlotsPerWorker) > 1e-9 || r.workRatePerWorker != r.concurrencyPerWorker {
-		t.Fatalf("22 dispatchers start with %v slots a worker each", r.concurrencyPerWorker)
+func TestInitialCeilingsAreSharedByPeers(t *testing.T) {
+	settings := testSettings()
+	settings.Peers = 22
+	if rig := newRig(t, settings, 2); math.Abs(rig.concurrencyPerWorker*22-initialSlotsPerWorker) > 1e-9 || rig.workRatePerWorker != rig.concurrencyPerWorker {
+		t.Fatalf("22 dispatchers start with %v slots a worker each", rig.concurrencyPerWorker)
 	}
 }
 
@@ -44,75 +44,75 @@
 	}
 }
 
-func newRig(t *testing.T, s Settings, workers int) *rig {
+func newRig(t *testing.T, settings Settings, workers int) *rig {
 	t.Helper()
-	return newSeededRig(t, s, workers, 1)
+	return newSeededRig(t, settings, workers, 1)
 }
 
-func newSeededRig(t *testing.T, s Settings, workers int, seed uint64) *rig {
+func newSeededRig(t *testing.T, settings Settings, workers int, seed uint64) *rig {
 	t.Helper()
-	d, err := New(s, seed)
+	machine, err := New(settings, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{Machine: d, t: t, next: 1}
+	rig := &rig{Machine: machine, t: t, next: 1}
 	var list []Endpoint
 	for i := range workers {
 		list = append(list, Endpoint{Name: fmt.Sprintf("w%d", i), State: Running})
 	}
-	r.at(time.Hour, Event{Kind: ListUpdated, ListKind: ListCached, Endpoints: list})
-	return r
+	rig.handle(time.Hour, Event{Kind: ListUpdated, ListKind: ListCached, Endpoints: list})
+	return rig
 }
 
-func (r *rig) at(now time.Duration, event Event) []Action {
+func (r *rig) handle(now time.Duration, event Event) []Action {
 	r.actions = r.Handle(now, event, nil)
 	return r.actions
 }
 
 // arrive brings a job of the class with a hint of one second and returns its id.
-func (r *rig) arrive(class int) uint64 { return r.arriveWith(class, "") }
+func (r *rig) arrive(class int) uint64 { return r.arriveWithKey(class, "") }
 
-// arriveWith brings one with a key.
-func (r *rig) arriveWith(class int, key string) uint64 {
+// arriveWithKey brings one with a key.
+func (r *rig) arriveWithKey(class int, key string) uint64 {
 	id := r.next
 	r.next++
-	r.at(r.now, Event{
+	r.handle(r.now, Event{
 		Kind: RequestArrived, Request: id, Class: class, Slots: 1, Work: time.Second, TimeLeft: 5 * time.Second, Key: key,
 	})
 	return id
 }
 
-func (r *rig) respond(id uint64, n int, o AttemptOutcome, after time.Duration) []Action {
+func (r *rig) endAttempt(id uint64, n int, outcome AttemptOutcome, after time.Duration) []Action {
 	w := r.requests[id].attempts[n].worker.Name
-	return r.at(r.now+after, Event{
-		Kind: AttemptEnded, Request: id, Attempt: n, Worker: w, Outcome: o, Answered: o == Completed,
+	return r.handle(r.now+after, Event{
+		Kind: AttemptEnded, Request: id, Attempt: n, Worker: w, Outcome: outcome, Answered: outcome == Completed,
 	})
 }
 
-func (r *rig) worker(id uint64) string {
-	q := r.requests[id]
-	if q == nil || len(q.attempts) == 0 {
+func (r *rig) assignedTo(id uint64) string {
+	request := r.requests[id]
+	if request == nil || len(request.attempts) == 0 {
 		return ""
 	}
-	return q.attempts[len(q.attempts)-1].worker.Name
+	return request.attempts[len(request.attempts)-1].worker.Name
 }
 
-// sentTo brings a job of the class and returns the worker it was sent to, if any.
-func (r *rig) sentTo(class int) string { return r.worker(r.arrive(class)) }
+// send brings a job of the class and returns the worker it was sent to, if any.
+func (r *rig) send(class int) string { return r.assignedTo(r.arrive(class)) }
 
-// serveAllAt brings jobs one after another and fails unless each goes to the worker.
-func (r *rig) serveAllAt(worker, complaint string) {
+// expectAllAt brings jobs one after another and fails unless each goes to the worker.
+func (r *rig) expectAllAt(worker, complaint string) {
 	r.t.Helper()
 	for range 10 {
 		id := r.arrive(0)
-		if r.worker(id) != worker {
+		if r.assignedTo(id) != worker {
 			r.t.Fatal(complaint)
 		}
-		r.respond(id, 0, Completed, time.Second)
+		r.endAttempt(id, 0, Completed, time.Second)
 	}
 }
 
-func find(actions []Action, kind ActionKind) *Action {
+func findAction(actions []Action, kind ActionKind) *Action {
 	for i := range actions {
 		if actions[i].Kind == kind {
 			return &actions[i]
@@ -121,206 +121,206 @@
 	return nil
 }
 
-func TestFilterPrecedesDebits(t *testing.T) {
-	r := newRig(t, testSettings(), 4)
-	r.arrive(0)
-	leased, bucket := r.inFlight, r.bucketTokens
-	r.workPrice = 2 // above class 0's worth a slot-second, below class 1's
-	r.arrive(0)
-	if find(r.actions, Reject) == nil || find(r.actions, Assign) != nil {
-		t.Fatalf("worth 1 at price 2 was not refused: %v", r.actions)
+func TestPricesAreCheckedBeforeCapacityIsTaken(t *testing.T) {
+	rig := newRig(t, testSettings(), 4)
+	rig.arrive(0)
+	leased, bucket := rig.inFlight, rig.bucketTokens
+	rig.workPrice = 2 // above class 0's worth a slot-second, below class 1's
+	rig.arrive(0)
+	if findAction(rig.actions, Reject) == nil || findAction(rig.actions, Assign) != nil {
+		t.Fatalf("worth 1 at price 2 was not refused: %v", rig.actions)
 	}
-	if r.inFlight != leased || r.bucketTokens != bucket {
+	if rig.inFlight != leased || rig.bucketTokens != bucket {
 		t.Fatal("a refused job was debited")
 	}
-	r.arrive(1)
-	if find(r.actions, Assign) == nil {
+	rig.arrive(1)
+	if findAction(rig.actions, Assign) == nil {
 		t.Fatal("worth 3 at price 2 was not sent")
 	}
-	r.workPrice, r.slotPrice = 1, 2
-	r.arrive(1)
-	if find(r.actions, Assign) == nil {
+	rig.workPrice, rig.slotPrice = 1, 2
+	rig.arrive(1)
+	if findAction(rig.actions, Assign) == nil {
 		t.Fatal("a value equal to the prices is admitted")
 	}
-	r.slotPrice = 2.1
-	if r.arrive(1); find(r.actions, Reject) == nil {
+	rig.slotPrice = 2.1
+	if rig.arrive(1); findAction(rig.actions, Reject) == nil {
 		t.Fatal("hold is not priced")
 	}
 }
 
-func TestUnhintedHoldIsFree(t *testing.T) {
-	r := newRig(t, testSettings(), 4)
-	r.slotPrice = 100
-	r.at(r.now, Event{Kind: RequestArrived, Request: 1, Slots: 1, TimeLeft: 5 * time.Second})
-	if find(r.actions, Assign) == nil {
+func TestUnhintedRequestPaysNoSlotPrice(t *testing.T) {
+	rig := newRig(t, testSettings(), 4)
+	rig.slotPrice = 100
+	rig.handle(rig.now, Event{Kind: RequestArrived, Request: 1, Slots: 1, TimeLeft: 5 * time.Second})
+	if findAction(rig.actions, Assign) == nil {
 		t.Fatal("an unhinted job pays no hold")
 	}
 }
 
-func TestAxesAreANDedAndTheLeaseFreed(t *testing.T) {
-	r := newRig(t, testSettings(), 4)
-	r.concurrencyPerWorker = 0.5 // two slots, and the room
+func TestRefusedAttemptKeepsNoCapacity(t *testing.T) {
+	rig := newRig(t, testSettings(), 4)
+	rig.concurrencyPerWorker = 0.5 // two slots, and the room
 	for range 2 + int(concurrencyHeadroom) {
-		r.arrive(0)
+		rig.arrive(0)
 	}
-	if r.inFlight != 2+concurrencyHeadroom {
-		t.Fatalf("%v slots leased under a ceiling of two and room for %v", r.inFlight, concurrencyHeadroom)
+	if rig.inFlight != 2+concurrencyHeadroom {
+		t.Fatalf("%v slots leased under a ceiling of two and room for %v", rig.inFlight, concurrencyHeadroom)
 	}
-	if r.sentTo(0) != "" {
+	if rig.send(0) != "" {
 		t.Fatal("lease above the ceiling")
 	}
-	r = newRig(t, testSettings(), 4)
-	r.bucketTokens, r.bucketRefilledAt, r.workRatePerWorker = 0.5, r.now, 1
-	if id := r.arrive(0); r.worker(id) != "" || r.inFlight != 0 {
-		t.Fatalf("bucket denied, yet sent or %v slots leased", r.inFlight)
+	rig = newRig(t, testSettings(), 4)
+	rig.bucketTokens, rig.bucketRefilledAt, rig.workRatePerWorker = 0.5, rig.now, 1
+	if id := rig.arrive(0); rig.assignedTo(id) != "" || rig.inFlight != 0 {
+		t.Fatalf("bucket denied, yet sent or %v slots leased", rig.inFlight)
 	}
-	r = newRig(t, testSettings(), 1)
-	r.fleet[0].saturatedUntil = r.now + time.Second
+	rig = newRig(t, testSettings(), 1)
+	rig.fleet[0].saturatedUntil = rig.now + time.Second
 	bucket := 1.5
-	r.bucketTokens, r.bucketRefilledAt = bucket, r.now
-	if id := r.arrive(0); r.worker(id) != "" || r.inFlight != 0 || r.bucketTokens != bucket {
+	rig.bucketTokens, rig.bucketRefilledAt = bucket, rig.now
+	if id := rig.arrive(0); rig.assignedTo(id) != "" || rig.inFlight != 0 || rig.bucketTokens != bucket {
 		t.Fatal("no ready worker, yet a lease or debit was kept")
 	}
 }
 
 func TestCeilingsLearn(t *testing.T) {
-	r := newRig(t, testSettings(), 2)
-	r.concurrencyPerWorker = 1.2
-	before := r.concurrencyPerWorker
-	a, b := r.arrive(0), r.arrive(0)
-	r.respond(a, 0, Completed, time.Second)
-	if r.concurrencyPerWorker <= before {
+	rig := newRig(t, testSettings(), 2)
+	rig.concurrencyPerWorker = 1.2
+	before := rig.concurrencyPerWorker
+	a, b := rig.arrive(0), rig.arrive(0)
+	rig.endAttempt(a, 0, Completed, time.Second)
+	if rig.concurrencyPerWorker <= before {
 		t.Fatal("no step up for a job served at the ceiling")
 	}
-	before = r.concurrencyPerWorker
-	r.respond(b, 0, Completed, 4*time.Second) // late
-	if r.concurrencyPerWorker >= before {
+	before = rig.concurrencyPerWorker
+	rig.endAttempt(b, 0, Completed, 4*time.Second) // late
+	if rig.concurrencyPerWorker >= before {
 		t.Fatal("no cut for a late answer")
 	}
-	r.badRatio, before = 1, r.concurrencyPerWorker
-	r.cutCeilings(&request{class: &r.settings.Classes[0]}, r.now)
-	if r.concurrencyPerWorker != before {
+	rig.badRatio, before = 1, rig.concurrencyPerWorker
+	rig.cutCeilings(&request{class: &rig.settings.Classes[0]}, rig.now)
+	if rig.concurrencyPerWorker != before {
 		t.Fatal("two cuts within a round trip")
 	}
 	for range 1000 {
-		r.now += time.Minute
-		r.badRatio = 1
-		r.cutCeilings(&request{class: &r.settings.Classes[0]}, r.now)
+		rig.now += time.Minute
+		rig.badRatio = 1
+		rig.cutCeilings(&request{class: &rig.settings.Classes[0]}, rig.now)
 	}
 	// A dispatcher that restarted amid overload once cut itself to nothing before it knew a round trip (i1d0b2b).
-	if r.concurrencyPerWorker != start/4 || r.workRatePerWorker < start/4 {
-		t.Fatalf("ceilings fell to %v and %v, below a quarter of where they start", r.concurrencyPerWorker, r.workRatePerWorker)
+	if rig.concurrencyPerWorker != initialCeiling/4 || rig.workRatePerWorker < initialCeiling/4 {
+		t.Fatalf("ceilings fell to %v and %v, below a quarter of where they start", rig.concurrencyPerWorker, rig.workRatePerWorker)
 	}
 }
 
 // A bucket that does not bind keeps its rate: cut unused, it would price work away later.
 // Where starts are told, a job that has not started when it can hardly be in time any more is known to be late.
 // Its end would tell a job's time later, while more work is sent into the same overload.
-func TestUnstartedLateJobCutsAtOnce(t *testing.T) {
-	s := testSettings()
-	s.StartNotices = true
+func TestLateUnstartedAttemptCutsCeilingsAtOnce(t *testing.T) {
+	settings := testSettings()
+	settings.StartNotices = true
 	for _, started := range []bool{false, true} {
-		r := newRig(t, s, 4)
-		id := r.arrive(0)
-		q := r.requests[id]
+		rig := newRig(t, settings, 4)
+		id := rig.arrive(0)
+		request := rig.requests[id]
 		if started {
-			r.at(r.now, Event{Kind: AttemptStarted, Request: id, Worker: r.worker(id)})
+			rig.handle(rig.now, Event{Kind: AttemptStarted, Request: id, Worker: rig.assignedTo(id)})
 		}
-		r.at(q.objective-seconds(q.work), Event{Kind: TimerFired, Timer: sweepTimer})
-		if cut := r.concurrencyPerWorker < start; cut == started {
+		rig.handle(request.objective-seconds(request.work), Event{Kind: TimerFired, Timer: sweepTimer})
+		if cut := rig.concurrencyPerWorker < initialCeiling; cut == started {
 			t.Fatalf("started %v, cut %v", started, cut)
 		}
-		before := r.badRatio
-		if r.respond(id, 0, Completed, 2*time.Second); !started && r.badRatio != before {
+		before := rig.badRatio
+		if rig.endAttempt(id, 0, Completed, 2*time.Second); !started && rig.badRatio != before {
 			t.Fatal("a late job was counted twice")
 		}
 	}
 }
 
 // Prices for a smaller budget than the lease lets in turned work away beside idle workers (ibd4ec3).
-func TestPricesSeeTheRoom(t *testing.T) {
-	r := newRig(t, testSettings(), 4)
-	r.concurrencyPerWorker, r.workRatePerWorker = 0, 1e6
+func TestPricesCountConcurrencyHeadroom(t *testing.T) {
+	rig := newRig(t, testSettings(), 4)
+	rig.concurrencyPerWorker, rig.workRatePerWorker = 0, 1e6
 	for range minPricedJobs + 5 {
-		r.addToMix(&request{value: 0.1, cost: 0.1, holdTime: 0.1}, jobGroupKey{})
+		rig.addToMix(&request{value: 0.1, cost: 0.1, holdTime: 0.1}, jobGroupKey{})
 	}
-	if r.solvePrices(); r.workPrice+r.slotPrice > 0 {
-		t.Fatalf("prices %v and %v though the room holds all of the mix", r.workPrice, r.slotPrice)
+	if rig.solvePrices(); rig.workPrice+rig.slotPrice > 0 {
+		t.Fatalf("prices %v and %v though the room holds all of the mix", rig.workPrice, rig.slotPrice)
 	}
 }
 
 // With a hundred dispatchers the ceiling of each is a slot or less; two jobs that chance brings together must
 // not be refused beside idle workers.
-func TestSmallCeilingsHaveRoom(t *testing.T) {
-	s := testSettings()
-	s.Peers = 100
-	r := newRig(t, s, 4)
-	r.workRatePerWorker = 1
-	if r.concurrencyPerWorker*r.readyWorkers() >= 1 || r.sentTo(0) == "" || r.sentTo(0) == "" {
-		t.Fatalf("a second job was held back at a ceiling of %v slots", r.concurrencyPerWorker*r.readyWorkers())
-	}
-}
-
-func TestUnusedBucketIsNotCut(t *testing.T) {
-	r := newRig(t, testSettings(), 4)
-	id := r.arrive(0)
-	r.badRatio = 1
-	r.respond(id, 0, Completed, 4*time.Second)
-	if r.workRatePerWorker != start || r.concurrencyPerWorker >= start {
-		t.Fatalf("rate %v, slots %v", r.workRatePerWorker, r.concurrencyPerWorker)
-	}
-	r = newRig(t, testSettings(), 4)
-	id = r.arrive(0)
-	r.bucketTokens, r.badRatio = 0, 1
-	r.respond(id, 0, Completed, 4*time.Second)
-	if r.workRatePerWorker >= start {
+func TestSmallCeilingsHaveHeadroom(t *testing.T) {
+	settings := testSettings()
+	settings.Peers = 100
+	rig := newRig(t, settings, 4)
+	rig.workRatePerWorker = 1
+	if rig.concurrencyPerWorker*rig.readyWorkers() >= 1 || rig.send(0) == "" || rig.send(0) == "" {
+		t.Fatalf("a second job was held back at a ceiling of %v slots", rig.concurrencyPerWorker*rig.readyWorkers())
+	}
+}
+
+func TestBucketThatDoesNotBindIsNotCut(t *testing.T) {
+	rig := newRig(t, testSettings(), 4)
+	id := rig.arrive(0)
+	rig.badRatio = 1
+	rig.endAttempt(id, 0, Completed, 4*time.Second)
+	if rig.workRatePerWorker != initialCeiling || rig.concurrencyPerWorker >= initialCeiling {
+		t.Fatalf("rate %v, slots %v", rig.workRatePerWorker, rig.concurrencyPerWorker)
+	}
+	rig = newRig(t, testSettings(), 4)
+	id = rig.arrive(0)
+	rig.bucketTokens, rig.badRatio = 0, 1
+	rig.endAttempt(id, 0, Completed, 4*time.Second)
+	if rig.workRatePerWorker >= initialCeiling {
 		t.Fatal("a bucket that binds is not cut")
 	}
 }
 
 // Late answers of jobs sent before a cut trickle in for a long time after a slow spell. They say
 // nothing of the ceiling after the cut and must not cut it to the floor.
-func TestOldLateAnswersDoNotCutAgain(t *testing.T) {
-	r := newRig(t, testSettings(), 4)
+func TestAnswersSentBeforeACutDoNotCutAgain(t *testing.T) {
+	rig := newRig(t, testSettings(), 4)
 	var ids []uint64
 	for range 6 {
-		ids = append(ids, r.arrive(0))
+		ids = append(ids, rig.arrive(0))
 	}
-	r.respond(ids[0], 0, Completed, 4*time.Second)
-	after := r.concurrencyPerWorker
+	rig.endAttempt(ids[0], 0, Completed, 4*time.Second)
+	after := rig.concurrencyPerWorker
 	for _, id := range ids[1:] {
-		r.meanLatency = 0.001
-		r.respond(id, 0, Completed, 100*time.Millisecond)
+		rig.meanLatency = 0.001
+		rig.endAttempt(id, 0, Completed, 100*time.Millisecond)
 	}
-	if after >= start || r.concurrencyPerWorker != after {
-		t.Fatalf("ceiling %v after the first late answer, %v after the others", after, r.concurrencyPerWorker)
+	if after >= initialCeiling || rig.concurrencyPerWorker != after {
+		t.Fatalf("ceiling %v after the first late answer, %v after the others", after, rig.concurrencyPerWorker)
 	}
 }
 
 // An attempt stuck on a silent machine must not keep it from being tried again.
-func TestSuspectWithStuckJobIsTriedAgain(t *testing.T) {
-	r := newRig(t, testSettings(), 3)
-	id := r.arrive(1)
-	worker := r.workers[r.worker(id)]
-	r.setFailureScore(worker, 1, reportsNoMore)
-	r.now += worker.ejectionBackoff
-	if !r.usable(&request{class: &r.settings.Classes[0]}, worker) {
+func TestEjectedWorkerWithStuckAttemptGetsATrial(t *testing.T) {
+	rig := newRig(t, testSettings(), 3)
+	id := rig.arrive(1)
+	worker := rig.workers[rig.assignedTo(id)]
+	rig.setFailureScore(worker, 1, reportsNoMore)
+	rig.now += worker.ejectionBackoff
+	if !rig.usable(&request{class: &rig.settings.Classes[0]}, worker) {
 		t.Fatal("never tried again while a job is stuck there")
 	}
 }
 
 // Jobs that only the full workers of one kind could run cut the ceiling of a fleet that idled (ia3f4fd).
 func TestFailuresAtOneKindCutByItsShare(t *testing.T) {
-	s := testSettings()
-	s.Classes[1].Kinds = []int{7}
-	r := newRig(t, s, 10)
-	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: "w0", Kind: 7}}})
+	settings := testSettings()
+	settings.Classes[1].Kinds = []int{7}
+	rig := newRig(t, settings, 10)
+	rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: "w0", Kind: 7}}})
 	cut := func(class int) float64 {
-		r.now += time.Minute
-		before := r.concurrencyPerWorker
-		r.badRatio = 0.5
-		r.cutCeilings(&request{class: &r.settings.Classes[class]}, r.now)
-		return 1 - r.concurrencyPerWorker/before
+		rig.now += time.Minute
+		before := rig.concurrencyPerWorker
+		rig.badRatio = 0.5
+		rig.cutCeilings(&request{class: &rig.settings.Classes[class]}, rig.now)
+		return 1 - rig.concurrencyPerWorker/before
 	}
 	all, one := cut(0), cut(1)
 	if one <= 0 || one > all/9 {
@@ -329,47 +329,47 @@
 }
 
 // A first 'full' or failure is about that worker: the job goes elsewhere and no ceiling is cut.
-func TestFirstFailureCutsNothing(t *testing.T) {
-	r := newRig(t, testSettings(), 4)
-	id := r.arrive(0)
-	first := r.worker(id)
-	r.respond(id, 0, Saturated, time.Millisecond)
-	if r.concurrencyPerWorker != start || r.worker(id) == first {
-		t.Fatalf("ceiling %v, sent again to %v", r.concurrencyPerWorker, r.worker(id))
-	}
-	r.respond(id, 1, Saturated, time.Millisecond)
-	if r.concurrencyPerWorker >= start || r.badRatio == 0 {
+func TestFirstFailureCutsNoCeiling(t *testing.T) {
+	rig := newRig(t, testSettings(), 4)
+	id := rig.arrive(0)
+	first := rig.assignedTo(id)
+	rig.endAttempt(id, 0, Saturated, time.Millisecond)
+	if rig.concurrencyPerWorker != initialCeiling || rig.assignedTo(id) == first {
+		t.Fatalf("ceiling %v, sent again to %v", rig.concurrencyPerWorker, rig.assignedTo(id))
+	}
+	rig.endAttempt(id, 1, Saturated, time.Millisecond)
+	if rig.concurrencyPerWorker >= initialCeiling || rig.badRatio == 0 {
 		t.Fatal("a second failure is about the fleet")
 	}
 }
 
 func TestPickTakesTheLowerExpectedDelay(t *testing.T) {
-	r := newRig(t, testSettings(), 2)
-	r.fleet[0].runTimeRatio, r.fleet[1].runTimeRatio = 2, 0.5
-	r.concurrencyPerWorker = 100
+	rig := newRig(t, testSettings(), 2)
+	rig.fleet[0].runTimeRatio, rig.fleet[1].runTimeRatio = 2, 0.5
+	rig.concurrencyPerWorker = 100
 	for range 3 {
-		if r.sentTo(0) != "w1" {
+		if rig.send(0) != "w1" {
 			t.Fatal("the slower of two idle workers was taken")
 		}
 	}
-	r.fleet[1].outstanding = 10
-	if r.sentTo(0) != "w0" {
+	rig.fleet[1].outstanding = 10
+	if rig.send(0) != "w0" {
 		t.Fatal("outstanding slots do not count")
 	}
 }
 
 // Where crossing zones costs, the own zone wins until its delay outweighs the price.
 func TestOwnZoneBias(t *testing.T) {
-	s := testSettings()
-	s.CrossZoneCost = 0.05
-	r := newRig(t, s, 2)
-	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: "w1", Zone: 1}}})
-	r.fleet[0].runTimeRatio, r.fleet[1].runTimeRatio = 1, 0.9
-	if r.sentTo(0) != "w0" {
+	settings := testSettings()
+	settings.CrossZoneCost = 0.05
+	rig := newRig(t, settings, 2)
+	rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: "w1", Zone: 1}}})
+	rig.fleet[0].runTimeRatio, rig.fleet[1].runTimeRatio = 1, 0.9
+	if rig.send(0) != "w0" {
 		t.Fatal("crossed for little")
 	}
-	r.fleet[0].outstanding = 5
-	if r.sentTo(0) != "w1" {
+	rig.fleet[0].outstanding = 5
+	if rig.send(0) != "w1" {
 		t.Fatal("own zone kept at any delay")
 	}
 }
@@ -377,9 +377,9 @@
 // What is known of a worker grows old: one that nothing has been heard of is taken for as crowded as the mean, and a
 // report of long ago says no more. In a fleet of 80, a third of all jobs went to workers that their dispatcher had
 // never heard of, for they looked idle, and waited there four times as long as elsewhere.
-func TestWhatIsKnownOfWorkersGrowsOld(t *testing.T) {
-	s := testSettings()
-	s.StartNotices = true
+func TestKnowledgeOfWorkersFades(t *testing.T) {
+	settings := testSettings()
+	settings.StartNotices = true
 	for _, test := range []struct {
 		name     string
 		meanWait float64
@@ -393,70 +393,70 @@
 	} {
 		got := map[string]int{}
 		for seed := range uint64(20) {
-			r := newSeededRig(t, s, 2, seed+1)
-			r.meanStartWait = test.meanWait
-			r.fleet[0].othersOutstanding, r.fleet[0].othersOutstandingAt = test.others, r.now-test.age
-			got[r.sentTo(0)]++
+			rig := newSeededRig(t, settings, 2, seed+1)
+			rig.meanStartWait = test.meanWait
+			rig.fleet[0].othersOutstanding, rig.fleet[0].othersOutstandingAt = test.others, rig.now-test.age
+			got[rig.send(0)]++
 		}
 		if test.want != "" && got[test.want] != 20 || test.want == "" && (got["w0"] < 3 || got["w1"] < 3) {
 			t.Errorf("%s: %v", test.name, got)
 		}
 	}
-	r := newRig(t, s, 2)
-	id := r.arrive(0)
-	r.at(r.now+time.Second, Event{Kind: AttemptStarted, Request: id, Worker: r.worker(id)})
-	if want := 2.0 / minPricedJobs; math.Abs(r.meanStartWait-want) > 1e-9 {
-		t.Errorf("after a first wait of a second the mean is %v, not %v", r.meanStartWait, want)
+	rig := newRig(t, settings, 2)
+	id := rig.arrive(0)
+	rig.handle(rig.now+time.Second, Event{Kind: AttemptStarted, Request: id, Worker: rig.assignedTo(id)})
+	if want := 2.0 / minPricedJobs; math.Abs(rig.meanStartWait-want) > 1e-9 {
+		t.Errorf("after a first wait of a second the mean is %v, not %v", rig.meanStartWait, want)
 	}
 }
 
-func TestFewJobsPriceNothing(t *testing.T) {
-	r := newRig(t, testSettings(), 2)
-	r.concurrencyPerWorker, r.workRatePerWorker = 0.01, 0.01
+func TestFewRequestsArePricedAtNothing(t *testing.T) {
+	rig := newRig(t, testSettings(), 2)
+	rig.concurrencyPerWorker, rig.workRatePerWorker = 0.01, 0.01
 	for i := range 3 * minPricedJobs {
-		r.arrive(0)
-		r.solvePrices()
+		rig.arrive(0)
+		rig.solvePrices()
 		// What has faded a little already does not count in full.
-		if priced := r.workPrice+r.slotPrice > 0; priced && i < minPricedJobs-1 {
+		if priced := rig.workPrice+rig.slotPrice > 0; priced && i < minPricedJobs-1 {
 			t.Fatalf("priced from %d jobs", i+1)
 		}
 	}
-	if r.workPrice+r.slotPrice == 0 {
+	if rig.workPrice+rig.slotPrice == 0 {
 		t.Fatal("scarcity is not priced")
 	}
 }
 
 // Jobs that wait, and clients' repeats, count once in the mix.
 func TestMixCountsFirstTriesOnce(t *testing.T) {
-	r := newRig(t, testSettings(), 1)
-	r.fleet[0].saturatedUntil = r.now + time.Hour
+	rig := newRig(t, testSettings(), 1)
+	rig.fleet[0].saturatedUntil = rig.now + time.Hour
 	for range 5 {
-		r.arrive(0)
+		rig.arrive(0)
 	}
-	r.at(r.now, Event{Kind: RequestArrived, Request: 99, Slots: 1, Work: time.Second, TimeLeft: 4 * time.Second, ClientRetry: true})
-	r.sweep()
-	if _, jobs := r.recentMix(); math.Abs(jobs-5) > 1e-9 {
+	rig.handle(rig.now, Event{Kind: RequestArrived, Request: 99, Slots: 1, Work: time.Second, TimeLeft: 4 * time.Second, ClientRetry: true})
+	rig.sweep()
+	if _, jobs := rig.recentMix(); math.Abs(jobs-5) > 1e-9 {
 		t.Fatalf("%v jobs in the mix, want 5", jobs)
 	}
 }
 
 // Points of the mix once grew with the number of sizes ever seen, and the solver takes their cube.
 func TestMixIsBoundedAndPruned(t *testing.T) {
-	r := newRig(t, testSettings(), 2)
+	rig := newRig(t, testSettings(), 2)
 	const jobs = 300
 	for i := range jobs {
-		r.at(r.now, Event{
+		rig.handle(rig.now, Event{
 			Kind: RequestArrived, Request: uint64(i + 1000), Class: i % 2, Slots: math.Exp2(float64(i % 20)),
 			Work: time.Duration(1+i/20) * time.Millisecond << (i % 13), TimeLeft: 5 * time.Second,
 		})
 	}
-	bids, n := r.recentMix()
+	bids, n := rig.recentMix()
 	if len(bids) > 50 || math.Abs(n-jobs) > 1e-6 {
 		t.Fatalf("%v jobs in %d points, want %d jobs in a few dozen", n, len(bids), jobs)
 	}
-	r.now += 12 * r.planningHorizon
-	r.arrive(0)
-	if bids, _ := r.recentMix(); len(bids) != 1 {
+	rig.now += 12 * rig.planningHorizon
+	rig.arrive(0)
+	if bids, _ := rig.recentMix(); len(bids) != 1 {
 		t.Fatalf("%d points are left of a mix that has faded away", len(bids)-1)
 	}
 }
@@ -464,62 +464,62 @@
 // The prices fall to zero again when nothing is scarce: with an unbounded tie the dual's zero vertex
 // was never taken.
 func TestPricesFallToZero(t *testing.T) {
-	r := newRig(t, testSettings(), 2)
+	rig := newRig(t, testSettings(), 2)
 	for range 2 * minPricedJobs {
-		r.arrive(0)
+		rig.arrive(0)
 	}
-	r.concurrencyPerWorker, r.workRatePerWorker = 1e6, 1e6
-	if r.solvePrices(); r.workPrice != 0 || r.slotPrice != 0 {
-		t.Fatalf("prices %v, %v with budgets to spare", r.workPrice, r.slotPrice)
+	rig.concurrencyPerWorker, rig.workRatePerWorker = 1e6, 1e6
+	if rig.solvePrices(); rig.workPrice != 0 || rig.slotPrice != 0 {
+		t.Fatalf("prices %v, %v with budgets to spare", rig.workPrice, rig.slotPrice)
 	}
 }
 
-func TestTenantBeyondQuotaIsWorthLess(t *testing.T) {
-	s := testSettings()
-	s.TenantQuotas, s.OverQuotaWeight = []float64{2, 50}, 0.1
-	r := newRig(t, s, 50)
+func TestTenantBeyondQuotaWeighsLess(t *testing.T) {
+	settings := testSettings()
+	settings.TenantQuotas, settings.OverQuotaWeight = []float64{2, 50}, 0.1
+	rig := newRig(t, settings, 50)
 	over := 0
 	for id := uint64(1); id <= 40; id++ {
-		r.now += 50 * time.Millisecond // 20 a second, of which the quota here is 1
-		r.at(r.now, Event{Kind: RequestArrived, Request: id, Tenant: 0, Slots: 1, Work: time.Second, TimeLeft: 5 * time.Second})
-		if r.requests[id].value < 0.5 {
+		rig.now += 50 * time.Millisecond // 20 a second, of which the quota here is 1
+		rig.handle(rig.now, Event{Kind: RequestArrived, Request: id, Tenant: 0, Slots: 1, Work: time.Second, TimeLeft: 5 * time.Second})
+		if rig.requests[id].value < 0.5 {
 			over++
 		}
 	}
 	if over < 20 {
 		t.Fatalf("%d of 40 judged beyond the quota", over)
 	}
-	r.at(r.now, Event{Kind: RequestArrived, Request: 41, Slots: 1, Work: time.Second, TimeLeft: 4 * time.Second, ClientRetry: true})
-	if r.requests[41].value > 0.5 {
+	rig.handle(rig.now, Event{Kind: RequestArrived, Request: 41, Slots: 1, Work: time.Second, TimeLeft: 4 * time.Second, ClientRetry: true})
+	if rig.requests[41].value > 0.5 {
 		t.Fatal("a repeat escapes the quota")
 	}
-	r.at(r.now, Event{Kind: RequestArrived, Request: 42, Tenant: 1, Slots: 1, Work: time.Second, TimeLeft: 5 * time.Second})
-	if r.requests[42].value < 0.5 {
+	rig.handle(rig.now, Event{Kind: RequestArrived, Request: 42, Tenant: 1, Slots: 1, Work: time.Second, TimeLeft: 5 * time.Second})
+	if rig.requests[42].value < 0.5 {
 		t.Fatal("another tenant pays for the burst")
 	}
 }
 
 // A worker that fails fast is ejected, however quick it looks, and tried again sparingly.
 func TestFailingWorkerIsEjected(t *testing.T) {
-	r := newRig(t, testSettings(), 4)
-	id := r.arrive(0)
-	bad := r.worker(id)
-	worker := r.workers[bad]
-	r.respond(id, 0, Failed, time.Millisecond)
+	rig := newRig(t, testSettings(), 4)
+	id := rig.arrive(0)
+	bad := rig.assignedTo(id)
+	worker := rig.workers[bad]
+	rig.endAttempt(id, 0, Failed, time.Millisecond)
 	if !worker.ejected || worker.runTimeRatio != 0 {
 		t.Fatalf("suspect %v, pace %v", worker.ejected, worker.runTimeRatio)
 	}
 	for range 20 {
-		if r.sentTo(0) == bad {
+		if rig.send(0) == bad {
 			t.Fatal("sent to a suspect at once")
 		}
 	}
-	r.now += worker.ejectionBackoff
-	r.concurrencyPerWorker, r.workRatePerWorker, r.bucketTokens = 100, 100, 1e6
+	rig.now += worker.ejectionBackoff
+	rig.concurrencyPerWorker, rig.workRatePerWorker, rig.bucketTokens = 100, 100, 1e6
 	trials := 0
 	for range 40 {
-		r.arrive(0)
-		for _, action := range r.actions {
+		rig.arrive(0)
+		for _, action := range rig.actions {
 			if action.Kind == Assign && action.Worker == bad {
 				trials++
 			}
@@ -532,110 +532,110 @@
 
 // Jobs stuck on suspects held leases of a ceiling that is scaled to the other workers, and starved them
 // (ie64e29). While most are suspects, though, all leases count, lest ejecting them lift the ceiling.
-func TestLeasesOnSuspectsDoNotCount(t *testing.T) {
-	r := newRig(t, testSettings(), 3)
-	r.concurrencyPerWorker = (6 - concurrencyHeadroom) / 3
+func TestSlotsAtEjectedWorkersDoNotCount(t *testing.T) {
+	rig := newRig(t, testSettings(), 3)
+	rig.concurrencyPerWorker = (6 - concurrencyHeadroom) / 3
 	var stuck []uint64
 	for len(stuck) < 6 {
-		stuck = append(stuck, r.arrive(0))
+		stuck = append(stuck, rig.arrive(0))
 	}
-	suspect := r.fleet[0]
+	suspect := rig.fleet[0]
 	held := suspect.outstanding
-	r.setFailureScore(suspect, 1, reportsNoMore)
-	if r.inFlight != 6 || held == 0 || r.countedInFlight() != 6-held {
-		t.Fatalf("%v of 6 leases count though a suspect holds %v", r.countedInFlight(), held)
-	}
-	r.setFailureScore(r.fleet[1], 1, reportsNoMore)
-	if r.countedInFlight() != 6 || r.readyWorkers() != 3 || r.sentTo(0) != "" {
-		t.Fatalf("%v of 6 leases and %v of 3 workers count while most are suspects", r.countedInFlight(), r.readyWorkers())
-	}
-	r.at(r.now, Event{Kind: ClientDisconnected, Request: r.next - 1})
-	r.setFailureScore(r.fleet[1], 0, answersAgain)
-	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{
-		{Name: suspect.Name, State: Running, StartedAt: r.now}}})
+	rig.setFailureScore(suspect, 1, reportsNoMore)
+	if rig.inFlight != 6 || held == 0 || rig.countedInFlight() != 6-held {
+		t.Fatalf("%v of 6 leases count though a suspect holds %v", rig.countedInFlight(), held)
+	}
+	rig.setFailureScore(rig.fleet[1], 1, reportsNoMore)
+	if rig.countedInFlight() != 6 || rig.readyWorkers() != 3 || rig.send(0) != "" {
+		t.Fatalf("%v of 6 leases and %v of 3 workers count while most are suspects", rig.countedInFlight(), rig.readyWorkers())
+	}
+	rig.handle(rig.now, Event{Kind: ClientDisconnected, Request: rig.next - 1})
+	rig.setFailureScore(rig.fleet[1], 0, answersAgain)
+	rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{
+		{Name: suspect.Name, State: Running, StartedAt: rig.now}}})
 	for _, id := range stuck {
-		r.respond(id, 0, Completed, 0)
+		rig.endAttempt(id, 0, Completed, 0)
 	}
-	if r.inFlight != 0 || r.inFlightAtEjected != 0 {
-		t.Fatalf("%v leases, %v of them stuck, after all have ended", r.inFlight, r.inFlightAtEjected)
+	if rig.inFlight != 0 || rig.inFlightAtEjected != 0 {
+		t.Fatalf("%v leases, %v of them stuck, after all have ended", rig.inFlight, rig.inFlightAtEjected)
 	}
 }
 
 // If most workers look bad the trouble is not theirs, and all are used.
-func TestMostSuspectsMeansNone(t *testing.T) {
-	r := newRig(t, testSettings(), 4)
-	for _, worker := range r.fleet[:3] {
-		r.setFailureScore(worker, 1, attemptsFail)
+func TestPanicUsesEjectedWorkers(t *testing.T) {
+	rig := newRig(t, testSettings(), 4)
+	for _, worker := range rig.fleet[:3] {
+		rig.setFailureScore(worker, 1, attemptsFail)
 	}
-	r.fleet[3].saturatedUntil = r.now + time.Hour
-	if r.sentTo(0) == "" {
+	rig.fleet[3].saturatedUntil = rig.now + time.Hour
+	if rig.send(0) == "" {
 		t.Fatal("nothing was sent though most look bad")
 	}
 }
 
 // What is called ejected is what gets no work: a suspect until it answers again, on trial too; none that
 // drains, and none at all while most look bad and all are used.
-func TestEjectedIsWhatIsAvoided(t *testing.T) {
-	r := newRig(t, testSettings(), 5)
-	r.concurrencyPerWorker, r.workRatePerWorker, r.bucketTokens = 1000, 1000, 1e6
-	bad := r.fleet[2]
-	if r.Ejected() != nil {
-		t.Fatalf("%v are ejected at the start", r.Ejected())
-	}
-	r.setFailureScore(bad, 1, attemptsFail)
+func TestEjectedNamesWorkersThatGetNothing(t *testing.T) {
+	rig := newRig(t, testSettings(), 5)
+	rig.concurrencyPerWorker, rig.workRatePerWorker, rig.bucketTokens = 1000, 1000, 1e6
+	bad := rig.fleet[2]
+	if rig.Ejected() != nil {
+		t.Fatalf("%v are ejected at the start", rig.Ejected())
+	}
+	rig.setFailureScore(bad, 1, attemptsFail)
 	for range 30 {
-		id := r.arrive(0)
-		if r.worker(id) == bad.Name || len(r.Ejected()) != 1 || r.Ejected()[0] != bad.Name {
-			t.Fatalf("%v are ejected, and %s gets work", r.Ejected(), r.worker(id))
+		id := rig.arrive(0)
+		if rig.assignedTo(id) == bad.Name || len(rig.Ejected()) != 1 || rig.Ejected()[0] != bad.Name {
+			t.Fatalf("%v are ejected, and %s gets work", rig.Ejected(), rig.assignedTo(id))
 		}
-		r.respond(id, 0, Completed, time.Millisecond)
+		rig.endAttempt(id, 0, Completed, time.Millisecond)
 	}
 	trials := 0
 	for ; bad.ejected && trials < 5; trials++ {
-		r.now = max(r.now, bad.trialAt)
+		rig.now = max(rig.now, bad.trialAt)
 		trial := uint64(0)
 		for range 60 {
-			if id := r.arrive(0); r.worker(id) == bad.Name {
+			if id := rig.arrive(0); rig.assignedTo(id) == bad.Name {
 				trial = id
 			}
 		}
-		if trial == 0 || len(r.Ejected()) != 1 {
-			t.Fatalf("trial %d, %v are ejected meanwhile", trial, r.Ejected())
+		if trial == 0 || len(rig.Ejected()) != 1 {
+			t.Fatalf("trial %d, %v are ejected meanwhile", trial, rig.Ejected())
 		}
-		r.respond(trial, 0, Completed, time.Millisecond)
+		rig.endAttempt(trial, 0, Completed, time.Millisecond)
 	}
-	if trials == 0 || r.Ejected() != nil {
-		t.Fatalf("%v are ejected after %d trials that were served", r.Ejected(), trials)
+	if trials == 0 || rig.Ejected() != nil {
+		t.Fatalf("%v are ejected after %d trials that were served", rig.Ejected(), trials)
 	}
-	for _, worker := range r.fleet[:3] {
-		r.setFailureScore(worker, 1, attemptsFail)
+	for _, worker := range rig.fleet[:3] {
+		rig.setFailureScore(worker, 1, attemptsFail)
 	}
-	if r.Ejected() != nil {
-		t.Fatalf("%v are ejected while most look bad", r.Ejected())
+	if rig.Ejected() != nil {
+		t.Fatalf("%v are ejected while most look bad", rig.Ejected())
 	}
-	r.setFailureScore(r.fleet[0], 0, answersAgain)
-	r.setFailureScore(r.fleet[1], 0, answersAgain)
-	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: bad.Name, State: Draining}}})
-	if r.Ejected() != nil {
-		t.Fatalf("%v are ejected, and drain", r.Ejected())
+	rig.setFailureScore(rig.fleet[0], 0, answersAgain)
+	rig.setFailureScore(rig.fleet[1], 0, answersAgain)
+	rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: bad.Name, State: Draining}}})
+	if rig.Ejected() != nil {
+		t.Fatalf("%v are ejected, and drain", rig.Ejected())
 	}
 }
 
 // While a dispatcher is replaced, what either process sends a cold worker is of one budget: each tells what
 // it sends there, and the other's counts as its own.
-func TestColdChargesOfBothProcessesAddUp(t *testing.T) {
+func TestReservationsOfBothProcessesAddUp(t *testing.T) {
 	budget := func(other float64) (sent int, charged float64) {
-		s := testSettings()
-		s.Peers = 1
-		r := newRig(t, s, 4)
-		r.concurrencyPerWorker, r.workRatePerWorker, r.bucketTokens = 1000, 1000, 1e6
+		settings := testSettings()
+		settings.Peers = 1
+		rig := newRig(t, settings, 4)
+		rig.concurrencyPerWorker, rig.workRatePerWorker, rig.bucketTokens = 1000, 1000, 1e6
 		for range 40 {
-			r.respond(r.arrive(0), 0, Completed, 10*time.Millisecond)
+			rig.endAttempt(rig.arrive(0), 0, Completed, 10*time.Millisecond)
 		}
-		r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: "w0", StartedAt: r.now}}})
+		rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: "w0", StartedAt: rig.now}}})
 		for range 200 {
-			id := r.arrive(0)
-			for _, action := range r.actions {
+			id := rig.arrive(0)
+			for _, action := range rig.actions {
 				if action.Kind == Assign && action.Worker != "w0" && action.Reservation != 0 {
 					t.Fatalf("a warm worker was charged %v", action.Reservation)
 				}
@@ -644,10 +644,10 @@
 					charged += action.Reservation
 				}
 			}
-			r.respond(id, 0, Completed, 10*time.Millisecond)
-			r.at(r.now, Event{Kind: ReservedElsewhere, Worker: "w0", Reservation: other})
+			rig.endAttempt(id, 0, Completed, 10*time.Millisecond)
+			rig.handle(rig.now, Event{Kind: ReservedElsewhere, Worker: "w0", Reservation: other})
 		}
-		r.at(r.now, Event{Kind: ReservedElsewhere, Worker: "unknown", Reservation: 1})
+		rig.handle(rig.now, Event{Kind: ReservedElsewhere, Worker: "unknown", Reservation: 1})
 		return sent, charged
 	}
 	alone, charged := budget(0)
@@ -658,45 +658,45 @@
 }
 
 // A vanished machine gives no sign: the job is sent a second time, and the worker is ejected.
-func TestSilenceIsNoticed(t *testing.T) {
-	r := newRig(t, testSettings(), 4)
-	id := r.arrive(0)
-	worker := r.workers[r.worker(id)]
-	for end := r.now + 4*time.Second; r.now < end && len(r.requests[id].attempts) < 2; {
-		r.at(r.now+r.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
+func TestSilentWorkerIsEjectedAndHedged(t *testing.T) {
+	rig := newRig(t, testSettings(), 4)
+	id := rig.arrive(0)
+	worker := rig.workers[rig.assignedTo(id)]
+	for end := rig.now + 4*time.Second; rig.now < end && len(rig.requests[id].attempts) < 2; {
+		rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
 	}
-	if !worker.ejected || len(r.requests[id].attempts) != 2 {
-		t.Fatalf("suspect %v, %d attempts", worker.ejected, len(r.requests[id].attempts))
+	if !worker.ejected || len(rig.requests[id].attempts) != 2 {
+		t.Fatalf("suspect %v, %d attempts", worker.ejected, len(rig.requests[id].attempts))
 	}
 }
 
 // A lost zone's workers let connects time out, one after the other, at each of eighty dispatchers: 688 jobs of some 800
 // in the four seconds until the list told of it. Two in a row without a word from the zone are enough, while other zones
 // are heard of; one job at a time finds out whether it is back.
-func TestLostZoneIsAvoided(t *testing.T) {
-	s := testSettings()
-	s.StartNotices, s.ZoneNames = true, []string{"zarqa-east", "russeifa", "hashemiya"}
+func TestUnreachableZoneIsAvoided(t *testing.T) {
+	settings := testSettings()
+	settings.StartNotices, settings.ZoneNames = true, []string{"zarqa-east", "russeifa", "hashemiya"}
 	for seed := range uint64(10) {
-		r := newSeededRig(t, s, 12, seed+1)
+		rig := newSeededRig(t, settings, 12, seed+1)
 		var told []string
 		var entries []Endpoint
-		for i, worker := range r.fleet {
+		for i, worker := range rig.fleet {
 			entries = append(entries, Endpoint{Name: worker.Name, Zone: i % 3, State: Running})
 		}
-		r.at(r.now, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: entries})
+		rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: entries})
 		refuse := func(worker *worker) { // a job there whose connect fails
-			q := &request{id: r.next, class: &r.settings.Classes[1], slots: 1, work: 1, deadline: r.now + time.Second}
-			r.next++
-			r.requests[q.id] = q
-			r.startAttempt(q, worker)
-			for _, action := range r.at(r.now+s.ConnectTimeout, Event{Kind: AttemptEnded, Request: q.id, Worker: worker.Name,
+			request := &request{id: rig.next, class: &rig.settings.Classes[1], slots: 1, work: 1, deadline: rig.now + time.Second}
+			rig.next++
+			rig.requests[request.id] = request
+			rig.startAttempt(request, worker)
+			for _, action := range rig.handle(rig.now+settings.ConnectTimeout, Event{Kind: AttemptEnded, Request: request.id, Worker: worker.Name,
 				Outcome: ConnectionRefused, Answered: true}) {
 				told = append(told, action.Text)
 			}
-			r.now += time.Millisecond
+			rig.now += time.Millisecond
 		}
 		zone := func(n int) (of []*worker) {
-			for _, worker := range r.fleet {
+			for _, worker := range rig.fleet {
 				if worker.Zone == n {
 					of = append(of, worker)
 				}
@@ -705,42 +705,42 @@
 		}
 		darkZones := func() (n int) {
 			for z := range 3 {
-				if r.zoneUnreachable(zone(z)[3]) {
+				if rig.zoneUnreachable(zone(z)[3]) {
 					n++
 				}
 			}
 			return n
 		}
 		refuse(zone(1)[0])
-		r.markSeen(zone(0)[0])
+		rig.markSeen(zone(0)[0])
 		if darkZones() != 0 {
 			t.Fatal("one failed connect darkens a zone")
 		}
 		refuse(zone(1)[1])
-		r.markSeen(zone(0)[0])
+		rig.markSeen(zone(0)[0])
 		said := slices.Contains(told, "zone russeifa looks unreachable: 2 connects failed in a row")
-		if darkZones() != 1 || !r.zoneUnreachable(zone(1)[3]) || !said {
+		if darkZones() != 1 || !rig.zoneUnreachable(zone(1)[3]) || !said {
 			t.Fatalf("a zone of which two workers in a row cannot be reached is not lost: %q", told)
 		}
 		for range 6 {
-			if worker := r.workers[r.sentTo(1)]; worker != nil && worker.Zone == 1 {
+			if worker := rig.workers[rig.send(1)]; worker != nil && worker.Zone == 1 {
 				t.Fatalf("%s of the lost zone was sent a job", worker.Name)
 			}
 		}
-		r.now += 4*s.ConnectTimeout + time.Millisecond
+		rig.now += 4*settings.ConnectTimeout + time.Millisecond
 		if darkZones() != 0 {
 			t.Fatal("no trial is due after four time-outs")
 		}
 		refuse(zone(1)[2]) // the trial fails: the next one comes later
-		r.now += 4*s.ConnectTimeout + time.Millisecond
-		r.markSeen(zone(0)[0])
+		rig.now += 4*settings.ConnectTimeout + time.Millisecond
+		rig.markSeen(zone(0)[0])
 		if darkZones() != 1 {
 			t.Fatal("trials do not become rarer")
 		}
-		id := r.arrive(0)
-		r.requests[id].attempts[0].worker = zone(1)[3]
-		note := r.at(r.now, Event{Kind: AttemptStarted, Request: id, Worker: zone(1)[3].Name})
-		if darkZones() != 0 || find(note, Log).Text != "zone russeifa is reachable again" {
+		id := rig.arrive(0)
+		rig.requests[id].attempts[0].worker = zone(1)[3]
+		note := rig.handle(rig.now, Event{Kind: AttemptStarted, Request: id, Worker: zone(1)[3].Name})
+		if darkZones() != 0 || findAction(note, Log).Text != "zone russeifa is reachable again" {
 			t.Fatalf("a zone that was heard of is still lost: %+v", note)
 		}
 		for z := range 3 { // nothing is heard of any more: the trouble is ours
@@ -750,51 +750,51 @@
 		if darkZones() != 0 {
 			t.Fatal("all zones are lost at once")
 		}
-		r.markSeen(zone(0)[0])
+		rig.markSeen(zone(0)[0])
 		if darkZones() != 2 {
 			t.Fatal("one zone is back, the other two are not lost")
 		}
-		entries[1].StartedAt = r.now
-		r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: entries[1:2]})
+		entries[1].StartedAt = rig.now
+		rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: entries[1:2]})
 		if darkZones() != 1 {
 			t.Fatal("a zone in which a worker started is still lost")
 		}
-		r.now += r.planningHorizon
-		if r.zoneUnreachable(zone(2)[3]) {
+		rig.now += rig.planningHorizon
+		if rig.zoneUnreachable(zone(2)[3]) {
 			t.Fatal("no trial is due after a horizon")
 		}
-		r.markSeen(zone(0)[0])
-		r.startAttempt(&request{class: &r.settings.Classes[0], slots: 1, work: 1}, zone(2)[0])
-		if !r.zoneUnreachable(zone(2)[3]) {
+		rig.markSeen(zone(0)[0])
+		rig.startAttempt(&request{class: &rig.settings.Classes[0], slots: 1, work: 1}, zone(2)[0])
+		if !rig.zoneUnreachable(zone(2)[3]) {
 			t.Fatal("two trials at once")
 		}
 		// A job that runs there and may be repeated is not waited for: silence is told after two seconds only.
-		q := &request{id: r.next, class: &r.settings.Classes[0], slots: 1, work: 1, cost: 1, objective: r.now + 5*time.Second}
-		r.startAttempt(q, zone(2)[3])
-		r.recordStart(q.class, &q.attempts[0])
-		r.now += 2 * r.sweepInterval
-		if r.superviseAttempt(q, &q.attempts[0]); len(q.attempts) != 2 {
-			t.Fatalf("a job in a lost zone has %d attempts", len(q.attempts))
+		request := &request{id: rig.next, class: &rig.settings.Classes[0], slots: 1, work: 1, cost: 1, objective: rig.now + 5*time.Second}
+		rig.startAttempt(request, zone(2)[3])
+		rig.recordStart(request.class, &request.attempts[0])
+		rig.now += 2 * rig.sweepInterval
+		if rig.superviseAttempt(request, &request.attempts[0]); len(request.attempts) != 2 {
+			t.Fatalf("a job in a lost zone has %d attempts", len(request.attempts))
 		}
 	}
 }
 
 // Two troubles at once: a worker vanishes while the list cannot be had. Its silence alone must keep new
 // jobs away, and the list that comes at last must not bring it back into use.
-func TestVanishedWhileTheListIsDown(t *testing.T) {
-	r := newRig(t, testSettings(), 3)
-	lost := r.worker(r.arrive(0))
-	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListFailed})
-	r.at(r.now+3*time.Second, Event{Kind: TimerFired, Timer: sweepTimer})
+func TestSilentWorkerIsAvoidedWhileTheListFails(t *testing.T) {
+	rig := newRig(t, testSettings(), 3)
+	lost := rig.assignedTo(rig.arrive(0))
+	rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListFailed})
+	rig.handle(rig.now+3*time.Second, Event{Kind: TimerFired, Timer: sweepTimer})
 	for range 20 {
-		id := r.arrive(0)
-		if r.worker(id) == lost {
+		id := rig.arrive(0)
+		if rig.assignedTo(id) == lost {
 			t.Fatal("sent to a silent worker while the list is down")
 		}
-		r.respond(id, 0, Completed, time.Millisecond)
+		rig.endAttempt(id, 0, Completed, time.Millisecond)
 	}
-	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: []Endpoint{{Name: lost}}})
-	if worker := r.workers[lost]; !worker.ejected || len(r.fleet) != 1 {
+	rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: []Endpoint{{Name: lost}}})
+	if worker := rig.workers[lost]; !worker.ejected || len(rig.fleet) != 1 {
 		t.Fatal("the list cleared a silent worker that has not started anew")
 	}
 }
@@ -802,7 +802,7 @@
 // A connection may go silent alone, on a worker that lives: the job's notes stop, or its start is never told
 // though nothing waits there. A job that may be repeated is sent again elsewhere, a fragile one never, and the
 // worker neither loses its trust nor is kept from other jobs. Where jobs wait, a missing start proves nothing.
-func TestSilentConnection(t *testing.T) {
+func TestUnresponsiveConnectionIsHedged(t *testing.T) {
 	for name, test := range map[string]struct {
 		class, backlog int
 		started        bool
@@ -811,29 +811,29 @@
 		"notes stop": {0, 5, true, 2}, "no start, nothing waits": {0, 0, false, 2}, "no start, jobs wait": {0, 1, false, 1},
 		"fragile, notes stop": {1, 0, true, 1}, "fragile, no start": {1, 0, false, 1},
 	} {
-		s := testSettings()
-		s.StartNotices, s.StartsInOrder, s.HealthChecks, s.Peers = true, true, true, 1
-		s.Cancellation = false // else a job that waits has a copy anyway
-		r := newRig(t, s, 4)
-		id := r.arrive(test.class)
-		worker := r.workers[r.worker(id)]
+		settings := testSettings()
+		settings.StartNotices, settings.StartsInOrder, settings.HealthChecks, settings.Peers = true, true, true, 1
+		settings.Cancellation = false // else a job that waits has a copy anyway
+		rig := newRig(t, settings, 4)
+		id := rig.arrive(test.class)
+		worker := rig.workers[rig.assignedTo(id)]
 		note := func(q uint64) {
-			r.at(r.now, Event{Kind: AttemptStarted, Request: q, Worker: r.worker(q)})
+			rig.handle(rig.now, Event{Kind: AttemptStarted, Request: q, Worker: rig.assignedTo(q)})
 		}
 		if test.started {
 			note(id)
 		}
 		probes := 0
-		for end := r.now + 1900*time.Millisecond; r.now < end; {
-			r.at(r.now+r.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
-			if find(r.actions, CheckHealth) != nil {
+		for end := rig.now + 1900*time.Millisecond; rig.now < end; {
+			rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
+			if findAction(rig.actions, CheckHealth) != nil {
 				probes++
-				r.at(r.now, Event{Kind: HealthChecked, Worker: worker.Name, Outcome: Completed,
+				rig.handle(rig.now, Event{Kind: HealthChecked, Worker: worker.Name, Outcome: Completed,
 					Load: LoadReport{Backlog: float64(test.backlog), HasBacklog: true}})
 			}
-			worker.lastSeen = r.now // by another connection
+			worker.lastSeen = rig.now // by another connection
 		}
-		if n := len(r.requests[id].attempts); n != test.want || worker.ejected {
+		if n := len(rig.requests[id].attempts); n != test.want || worker.ejected {
 			t.Errorf("%s: %d attempts, want %d; suspect %v", name, n, test.want, worker.ejected)
 		}
 		if test.started != (probes == 0) || probes > 3 {
@@ -842,31 +842,31 @@
 		if blocked := worker.unstarted > 0; !test.started && blocked != (test.backlog > 0) {
 			t.Errorf("%s: %d starts are waited for", name, worker.unstarted)
 		}
-		r.at(r.now, Event{Kind: ClientDisconnected, Request: id})
-		for n := range r.requests[id].attempts {
-			r.respond(id, n, Cancelled, 0)
+		rig.handle(rig.now, Event{Kind: ClientDisconnected, Request: id})
+		for n := range rig.requests[id].attempts {
+			rig.endAttempt(id, n, Cancelled, 0)
 		}
-		if worker.unstarted != 0 || worker.outstanding != 0 || r.inFlight != 0 {
-			t.Errorf("%s: in the end %d starts are waited for, %v slots out, %v leased", name, worker.unstarted, worker.outstanding, r.inFlight)
+		if worker.unstarted != 0 || worker.outstanding != 0 || rig.inFlight != 0 {
+			t.Errorf("%s: in the end %d starts are waited for, %v slots out, %v leased", name, worker.unstarted, worker.outstanding, rig.inFlight)
 		}
 	}
 }
 
 // Where starts are told, a job in a worker's queue is silent by nature: that proves nothing, and a
 // second copy that could not be called off would only fill another queue.
-func TestQueuedJobIsNotSilence(t *testing.T) {
-	s := testSettings()
-	s.StartNotices, s.Cancellation = true, false
-	r := newRig(t, s, 2)
-	id := r.arrive(0)
-	worker := r.workers[r.worker(id)]
+func TestUnstartedAttemptIsNotSilence(t *testing.T) {
+	settings := testSettings()
+	settings.StartNotices, settings.Cancellation = true, false
+	rig := newRig(t, settings, 2)
+	id := rig.arrive(0)
+	worker := rig.workers[rig.assignedTo(id)]
 	for range 30 {
-		r.at(r.now+r.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
+		rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
 	}
-	if worker.ejected || len(r.requests[id].attempts) != 1 {
-		t.Fatalf("suspect %v, %d attempts for a job that waits in a queue", worker.ejected, len(r.requests[id].attempts))
+	if worker.ejected || len(rig.requests[id].attempts) != 1 {
+		t.Fatalf("suspect %v, %d attempts for a job that waits in a queue", worker.ejected, len(rig.requests[id].attempts))
 	}
-	if next := r.arrive(0); r.worker(next) == worker.Name {
+	if next := rig.arrive(0); rig.assignedTo(next) == worker.Name {
 		t.Fatal("more work behind a job that has not started")
 	}
 }
@@ -874,12 +874,12 @@
 // With 300 dispatchers each knows next to nothing of the queues, and jobs waited 0.23 s for their start on a calm
 // day, one in five longer than its aim allows. A job that may be repeated and waits has a copy elsewhere, and the
 // first to start has the other called off. A fragile one has none, nor has one that is late already.
-func TestWaitingJobHasACopy(t *testing.T) {
-	s := testSettings()
-	s.StartNotices = true
-	stopped := func(r *rig) []int {
+func TestWaitingAttemptIsHedged(t *testing.T) {
+	settings := testSettings()
+	settings.StartNotices = true
+	stopped := func(rig *rig) []int {
 		var list []int
-		for _, action := range r.actions {
+		for _, action := range rig.actions {
 			if action.Kind == CancelAttempt {
 				list = append(list, action.Attempt)
 			}
@@ -887,43 +887,43 @@
 		return list
 	}
 	wait := func(class int) (*rig, uint64) {
-		r := newRig(t, s, 4)
-		id := r.arrive(class)
-		r.at(r.now+r.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
-		return r, id
+		rig := newRig(t, settings, 4)
+		id := rig.arrive(class)
+		rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
+		return rig, id
 	}
-	start := func(r *rig, id uint64, n int) {
-		r.at(r.now+time.Millisecond, Event{Kind: AttemptStarted, Request: id, Attempt: n, Worker: r.requests[id].attempts[n].worker.Name})
+	start := func(rig *rig, id uint64, n int) {
+		rig.handle(rig.now+time.Millisecond, Event{Kind: AttemptStarted, Request: id, Attempt: n, Worker: rig.requests[id].attempts[n].worker.Name})
 	}
 	for first := range 2 {
-		r, id := wait(0)
-		q := r.requests[id]
-		if len(q.attempts) != 2 || q.attempts[0].worker == q.attempts[1].worker {
-			t.Fatalf("%d attempts for a job that waits", len(q.attempts))
+		rig, id := wait(0)
+		request := rig.requests[id]
+		if len(request.attempts) != 2 || request.attempts[0].worker == request.attempts[1].worker {
+			t.Fatalf("%d attempts for a job that waits", len(request.attempts))
 		}
-		start(r, id, first)
-		if got := stopped(r); len(got) != 1 || got[0] != 1-first {
+		start(rig, id, first)
+		if got := stopped(rig); len(got) != 1 || got[0] != 1-first {
 			t.Fatalf("attempt %d starts first: called off: %v", first, got)
 		}
-		r.respond(id, 1-first, Cancelled, 0)
-		if worker := q.attempts[1-first].worker; worker.unstarted != 0 || worker.recentWork.get(r.now, r.planningHorizon) > 1e-3 {
+		rig.endAttempt(id, 1-first, Cancelled, 0)
+		if worker := request.attempts[1-first].worker; worker.unstarted != 0 || worker.recentWork.get(rig.now, rig.planningHorizon) > 1e-3 {
 			t.Errorf("a copy that never started is still booked: %d, %v", worker.unstarted, worker.recentWork)
 		}
 	}
-	r, id := wait(0)
-	r.requests[id].attempts[0].startedAt = r.now
-	start(r, id, 1)
-	if got := stopped(r); len(got) != 1 || got[0] != 1 {
+	rig, id := wait(0)
+	rig.requests[id].attempts[0].startedAt = rig.now
+	start(rig, id, 1)
+	if got := stopped(rig); len(got) != 1 || got[0] != 1 {
 		t.Errorf("the later start is not called off: %v", got)
 	}
-	if r, id := wait(1); len(r.requests[id].attempts) != 1 {
+	if rig, id := wait(1); len(rig.requests[id].attempts) != 1 {
 		t.Error("a copy of a job that must not run twice")
 	}
-	r = newRig(t, s, 4)
-	id = r.arrive(0)
-	r.requests[id].late = true
-	r.at(r.now+r.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
-	if len(r.requests[id].attempts) != 1 {
+	rig = newRig(t, settings, 4)
+	id = rig.arrive(0)
+	rig.requests[id].late = true
+	rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
+	if len(rig.requests[id].attempts) != 1 {
 		t.Error("a copy of a job that is late")
 	}
 }
@@ -931,7 +931,7 @@
 // While many jobs are late, one that can hardly be in time any more stands before others in its worker's queue, for
 // a quarter of its worth. It is called off before it starts and refused; so is a client's repeat that comes too
 // late. One that has started, or must not run twice, goes on, and so do all while few are late.
-func TestLateJobMakesWay(t *testing.T) {
+func TestLateRequestMakesWay(t *testing.T) {
 	for name, test := range map[string]struct {
 		class         int
 		bad           float64
@@ -942,33 +942,33 @@
 		"crowded once it is late": {0, 0.4, 16, false, true},
 		"started":                 {0, 0.4, 0, true, false}, "fragile": {1, 0.4, 0, false, false},
 	} {
-		s := testSettings()
-		s.StartNotices = true
-		r := newRig(t, s, 4)
-		id := r.arrive(test.class)
+		settings := testSettings()
+		settings.StartNotices = true
+		rig := newRig(t, settings, 4)
+		id := rig.arrive(test.class)
 		if test.started {
-			r.at(r.now, Event{Kind: AttemptStarted, Request: id, Worker: r.worker(id)})
+			rig.handle(rig.now, Event{Kind: AttemptStarted, Request: id, Worker: rig.assignedTo(id)})
 		}
 		var refused, stopped bool
 		for beat := range 20 {
-			if r.badRatio = 0; beat >= test.from {
-				r.badRatio = test.bad
+			if rig.badRatio = 0; beat >= test.from {
+				rig.badRatio = test.bad
 			}
-			if beat == 16 && test.from > 0 && !r.requests[id].late {
+			if beat == 16 && test.from > 0 && !rig.requests[id].late {
 				t.Fatal("it is not late yet")
 			}
-			r.at(r.now+r.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
-			refused = refused || find(r.actions, Reject) != nil
-			stopped = stopped || find(r.actions, CancelAttempt) != nil
+			rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
+			refused = refused || findAction(rig.actions, Reject) != nil
+			stopped = stopped || findAction(rig.actions, CancelAttempt) != nil
 		}
 		if refused != test.away || stopped != test.away {
 			t.Errorf("%s: refused %v, called off %v, want %v", name, refused, stopped, test.away)
 		}
-		r.badRatio = test.bad
+		rig.badRatio = test.bad
 		const full = 5 * time.Second
-		r.maxTimeLeft[0] = full
-		r.at(r.now, Event{Kind: RequestArrived, Request: 1 << 40, Class: 0, Work: 100 * time.Millisecond, TimeLeft: full / 2})
-		if again := find(r.actions, Reject) != nil; again != (test.bad > overloadBadRatio) {
+		rig.maxTimeLeft[0] = full
+		rig.handle(rig.now, Event{Kind: RequestArrived, Request: 1 << 40, Class: 0, Work: 100 * time.Millisecond, TimeLeft: full / 2})
+		if again := findAction(rig.actions, Reject) != nil; again != (test.bad > overloadBadRatio) {
 			t.Errorf("%s: a repeat that comes too late: refused %v", name, again)
 		}
 	}
@@ -976,35 +976,35 @@
 
 // After a mass replacement most of the fleet is cold, and nearly every cold worker says no to a job. When 32 were
 // drawn for one, the rest had to wait for theirs; all are drawn, while warm ones stay bounded for CPU.
-func TestAllColdWorkersAreDrawn(t *testing.T) {
-	s := testSettings()
-	s.Peers = 300
+func TestAllWorkersInSlowStartAreDrawn(t *testing.T) {
+	settings := testSettings()
+	settings.Peers = 300
 	for seed := range uint64(10) {
-		r := newSeededRig(t, s, 4*maxWarmDraws, seed)
-		for _, worker := range r.fleet[1:] { // the first stays warm: what the others may get is measured by it
-			worker.StartedAt, worker.slowStartBudgetAt, worker.slowStartBudget = r.now, r.now, -1
-			worker.recentWork.add(r.now, r.planningHorizon, 0)
-			r.warmingUp = append(r.warmingUp, worker)
-		}
-		r.fleet[0].recentWork.add(r.now, r.planningHorizon, 100)
-		r.warmWorkRatesAt = 0
-		room := r.fleet[len(r.fleet)-1]
+		rig := newSeededRig(t, settings, 4*maxWarmDraws, seed)
+		for _, worker := range rig.fleet[1:] { // the first stays warm: what the others may get is measured by it
+			worker.StartedAt, worker.slowStartBudgetAt, worker.slowStartBudget = rig.now, rig.now, -1
+			worker.recentWork.add(rig.now, rig.planningHorizon, 0)
+			rig.warmingUp = append(rig.warmingUp, worker)
+		}
+		rig.fleet[0].recentWork.add(rig.now, rig.planningHorizon, 100)
+		rig.warmWorkRatesAt = 0
+		room := rig.fleet[len(rig.fleet)-1]
 		room.slowStartBudget = 100
-		q := &request{class: &r.settings.Classes[0], slots: 1, work: 1, classMeanWork: 1, cost: 1, objective: r.now + time.Minute}
-		if worker := r.pickFrom(q, r.warmingUp, inWarmingUp); worker != room {
-			t.Fatalf("seed %d: the one cold worker of %d that has room is not found: %v", seed, len(r.warmingUp), worker)
+		request := &request{class: &rig.settings.Classes[0], slots: 1, work: 1, classMeanWork: 1, cost: 1, objective: rig.now + time.Minute}
+		if worker := rig.pickFrom(request, rig.warmingUp, inWarmingUp); worker != room {
+			t.Fatalf("seed %d: the one cold worker of %d that has room is not found: %v", seed, len(rig.warmingUp), worker)
 		}
-		for _, worker := range r.warmWorkers {
-			worker.saturatedUntil = r.now + time.Second
+		for _, worker := range rig.warmWorkers {
+			worker.saturatedUntil = rig.now + time.Second
 		}
-		first := slices.Clone(r.warmWorkers)
-		for _, worker := range r.fleet[1:] {
+		first := slices.Clone(rig.warmWorkers)
+		for _, worker := range rig.fleet[1:] {
 			worker.StartedAt = 0
 		}
-		r.pickFrom(q, r.warmWorkers, inWarmWorkers)
+		rig.pickFrom(request, rig.warmWorkers, inWarmWorkers)
 		moved := 0
 		for i := maxWarmDraws; i < len(first); i++ {
-			if r.warmWorkers[i] != first[i] {
+			if rig.warmWorkers[i] != first[i] {
 				moved++
 			}
 		}
@@ -1017,20 +1017,20 @@
 // Where jobs are larger than the part, a cold worker's budget is saved for two windows: a dispatcher with a job every
 // second lost a third of it to a window's bound, and newcomers stood idle. Where they are small it is one window, so
 // that few dispatchers that spend all at once stay under the rule: that and a window's part are 0.8 of it.
-func TestColdBudgetIsSaved(t *testing.T) {
-	s := testSettings()
-	s.Peers = 300
+func TestSlowStartBudgetIsSaved(t *testing.T) {
+	settings := testSettings()
+	settings.Peers = 300
 	for _, test := range []struct{ work, windows float64 }{{1e6, 2}, {1e-6, 1}} {
-		r := newRig(t, s, 2)
-		worker := r.workers["w0"]
-		warm := r.workers["w1"]
-		warm.recentWork.add(r.now, r.planningHorizon, 2)
-		worker.StartedAt, worker.slowStartBudgetAt, worker.slowStartBudget, r.warmWorkRatesAt = r.now, r.now, 0, 0
-		worker.recentWork.add(r.now, r.planningHorizon, 0)
-		r.now += s.OverloadWindow * 3
-		share, warmth := r.warmWorkRate(0), r.capacityFraction(worker)
-		r.withinSlowStartBudget(&request{class: &r.settings.Classes[0], slots: 1, work: test.work, cost: test.work, classMeanWork: 1e-7}, worker)
-		most := s.OverloadMultiple * warmth * share * s.OverloadWindow.Seconds()
+		rig := newRig(t, settings, 2)
+		worker := rig.workers["w0"]
+		warm := rig.workers["w1"]
+		warm.recentWork.add(rig.now, rig.planningHorizon, 2)
+		worker.StartedAt, worker.slowStartBudgetAt, worker.slowStartBudget, rig.warmWorkRatesAt = rig.now, rig.now, 0, 0
+		worker.recentWork.add(rig.now, rig.planningHorizon, 0)
+		rig.now += settings.OverloadWindow * 3
+		share, warmth := rig.warmWorkRate(0), rig.capacityFraction(worker)
+		rig.withinSlowStartBudget(&request{class: &rig.settings.Classes[0], slots: 1, work: test.work, cost: test.work, classMeanWork: 1e-7}, worker)
+		most := settings.OverloadMultiple * warmth * share * settings.OverloadWindow.Seconds()
 		if got := worker.slowStartBudget / most / slowStartSafety; math.Abs(got-test.windows) > 0.01 {
 			t.Errorf("jobs of %g s: the budget of %.2f windows is saved", test.work, got)
 		}
@@ -1042,50 +1042,50 @@
 
 // Of the cold workers the first that takes a job has it. While two were drawn and the better one taken, a stake that
 // was won went for nothing.
-func TestWonStakeIsUsed(t *testing.T) {
+func TestWonDrawingIsUsed(t *testing.T) {
 	for seed := range uint64(20) {
-		r := newSeededRig(t, testSettings(), 6, seed+1)
-		for i, worker := range r.fleet {
-			worker.StartedAt, worker.slowStartBudgetAt, worker.slowStartBudget, worker.outstanding = r.now, r.now, 0.06, float64(i)
-			worker.recentWork.add(r.now, r.planningHorizon, 0)
-		}
-		r.warmingUp = append(r.warmingUp[:0], r.fleet...)
-		r.warmWorkRates, r.warmWorkRatesAt = map[int]float64{0: 0.1}, r.now
-		job := &request{class: &r.settings.Classes[0], slots: 1, work: 0.05, cost: 0.05, classMeanWork: 0.05, objective: r.now + time.Second}
-		if picked := r.pickFrom(job, r.warmingUp, inWarmingUp); picked != r.warmingUp[0] {
+		rig := newSeededRig(t, testSettings(), 6, seed+1)
+		for i, worker := range rig.fleet {
+			worker.StartedAt, worker.slowStartBudgetAt, worker.slowStartBudget, worker.outstanding = rig.now, rig.now, 0.06, float64(i)
+			worker.recentWork.add(rig.now, rig.planningHorizon, 0)
+		}
+		rig.warmingUp = append(rig.warmingUp[:0], rig.fleet...)
+		rig.warmWorkRates, rig.warmWorkRatesAt = map[int]float64{0: 0.1}, rig.now
+		job := &request{class: &rig.settings.Classes[0], slots: 1, work: 0.05, cost: 0.05, classMeanWork: 0.05, objective: rig.now + time.Second}
+		if picked := rig.pickFrom(job, rig.warmingUp, inWarmingUp); picked != rig.warmingUp[0] {
 			t.Fatalf("seed %d: the first that had room was passed over", seed)
 		}
 	}
 }
 
 // A rule of length 0 is off. Where settings told none, cold workers got nothing until they were warm.
-func TestNoFallRuleBindsNothing(t *testing.T) {
-	s := testSettings()
-	s.OverloadWindow, s.OverloadMultiple, s.SlowStartFloor = 0, 0, 0.9
-	r := newRig(t, s, 1)
-	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: "w0", StartedAt: r.now}}})
-	if r.sentTo(0) != "w0" {
+func TestNoOverloadRuleBindsNothing(t *testing.T) {
+	settings := testSettings()
+	settings.OverloadWindow, settings.OverloadMultiple, settings.SlowStartFloor = 0, 0, 0.9
+	rig := newRig(t, settings, 1)
+	rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: "w0", StartedAt: rig.now}}})
+	if rig.send(0) != "w0" {
 		t.Fatal("a cold worker gets nothing though no rule says so")
 	}
 }
 
 // A busy dispatcher takes its part times its peers for what all have. One that was four times as busy as the mean sent
 // a worker just started a renewal of 2.8 s, five jobs of the mean and half of what the rule allows in its window.
-func TestNoHeavyJobForAColdWorker(t *testing.T) {
-	s := testSettings()
-	s.Peers = 80
+func TestNoHeavyRequestInSlowStart(t *testing.T) {
+	settings := testSettings()
+	settings.Peers = 80
 	for _, test := range []struct {
 		work float64
 		want bool
 	}{{0.9, true}, {1.1, false}} {
-		r := newRig(t, s, 2)
-		worker := r.fleet[0]
-		r.fleet[1].recentWork.add(r.now, r.planningHorizon, r.planningHorizon.Seconds()) // a slot-second a second from this one alone
-		job := &request{class: &r.settings.Classes[0], slots: 1, work: test.work, cost: test.work, classMeanWork: 0.5}
+		rig := newRig(t, settings, 2)
+		worker := rig.fleet[0]
+		rig.fleet[1].recentWork.add(rig.now, rig.planningHorizon, rig.planningHorizon.Seconds()) // a slot-second a second from this one alone
+		job := &request{class: &rig.settings.Classes[0], slots: 1, work: test.work, cost: test.work, classMeanWork: 0.5}
 		taken := false
 		for range 1000 {
-			worker.StartedAt, worker.slowStartBudgetAt, worker.slowStartBudget, r.warmWorkRatesAt = r.now, r.now, 0.1, 0
-			taken = taken || r.withinSlowStartBudget(job, worker)
+			worker.StartedAt, worker.slowStartBudgetAt, worker.slowStartBudget, rig.warmWorkRatesAt = rig.now, rig.now, 0.1, 0
+			taken = taken || rig.withinSlowStartBudget(job, worker)
 		}
 		if taken != test.want {
 			t.Errorf("a job of %.1f s where the mean is 0.5: taken %v", test.work, taken)
@@ -1095,142 +1095,142 @@
 
 // A worker without repeatable jobs to try it must not stay ejected for good.
 func TestFailureScoreFades(t *testing.T) {
-	r := newRig(t, testSettings(), 3)
-	id := r.arrive(1)
-	bad := r.workers[r.worker(id)]
-	r.respond(id, 0, Failed, time.Millisecond)
-	q := &request{class: &r.settings.Classes[1]}
-	if r.usable(q, bad) {
+	rig := newRig(t, testSettings(), 3)
+	id := rig.arrive(1)
+	bad := rig.workers[rig.assignedTo(id)]
+	rig.endAttempt(id, 0, Failed, time.Millisecond)
+	request := &request{class: &rig.settings.Classes[1]}
+	if rig.usable(request, bad) {
 		t.Fatal("fragile work trusted to a worker that has just failed")
 	}
-	r.now += 3 * r.planningHorizon
-	if !r.usable(q, bad) {
+	rig.now += 3 * rig.planningHorizon
+	if !rig.usable(request, bad) {
 		t.Fatal("ejected for good")
 	}
 }
 
-func TestFragileFailsRatherThanRunTwice(t *testing.T) {
-	r := newRig(t, testSettings(), 4)
-	id := r.arrive(1)
-	r.respond(id, 0, Failed, time.Millisecond)
-	if find(r.actions, Fail) == nil || find(r.actions, Assign) != nil || find(r.actions, Reject) != nil {
-		t.Fatalf("actions %v", r.actions)
+func TestNonIdempotentFailsRatherThanRunsTwice(t *testing.T) {
+	rig := newRig(t, testSettings(), 4)
+	id := rig.arrive(1)
+	rig.endAttempt(id, 0, Failed, time.Millisecond)
+	if findAction(rig.actions, Fail) == nil || findAction(rig.actions, Assign) != nil || findAction(rig.actions, Reject) != nil {
+		t.Fatalf("actions %v", rig.actions)
 	}
-	id = r.arrive(1)
-	r.respond(id, 0, ConnectionRefused, time.Millisecond) // proof that it never ran
-	if find(r.actions, Assign) == nil {
+	id = rig.arrive(1)
+	rig.endAttempt(id, 0, ConnectionRefused, time.Millisecond) // proof that it never ran
+	if findAction(rig.actions, Assign) == nil {
 		t.Fatal("not sent again though it never ran")
 	}
 }
 
 // Jobs for a kind of worker that is lost filled the head of the queue, and nothing behind them was tried
 // though most workers idled (i3ba968, i403265).
-func TestJobsOfALostKindHoldUpNoOthers(t *testing.T) {
-	s := testSettings()
-	s.Classes[1] = Class{PriorityWeight: 9, LatencyObjective: 5 * time.Second, Deadline: 5 * time.Second, Kinds: []int{7}}
-	r := newRig(t, s, 2)
+func TestRequestsWithoutAWorkerHoldUpNoOthers(t *testing.T) {
+	settings := testSettings()
+	settings.Classes[1] = Class{PriorityWeight: 9, LatencyObjective: 5 * time.Second, Deadline: 5 * time.Second, Kinds: []int{7}}
+	rig := newRig(t, settings, 2)
 	for range 5 * maxQueueSkips {
-		if r.sentTo(1) != "" {
+		if rig.send(1) != "" {
 			t.Fatal("there is no worker of that kind")
 		}
 	}
-	if r.sentTo(0) == "" {
+	if rig.send(0) == "" {
 		t.Fatal("a job that every worker can run waits behind those that none can")
 	}
 }
 
 // While most workers are full, a job's attempts are spread over its time, not spent in a burst.
-func TestAttemptsAreSpread(t *testing.T) {
-	r := newRig(t, testSettings(), 20)
-	id := r.arrive(0)
-	r.respond(id, 0, Saturated, time.Millisecond)
-	r.respond(id, 1, Saturated, time.Millisecond)
-	if q := r.requests[id]; q == nil || !q.queued || q.notBefore < r.now+100*time.Millisecond {
-		t.Fatalf("third attempt not held: %+v", q)
+func TestAttemptsAreSpreadOverTimeLeft(t *testing.T) {
+	rig := newRig(t, testSettings(), 20)
+	id := rig.arrive(0)
+	rig.endAttempt(id, 0, Saturated, time.Millisecond)
+	rig.endAttempt(id, 1, Saturated, time.Millisecond)
+	if request := rig.requests[id]; request == nil || !request.queued || request.notBefore < rig.now+100*time.Millisecond {
+		t.Fatalf("third attempt not held: %+v", request)
 	}
 }
 
-func TestWaitingJobIsRefusedBeforeItsAimWhenScarce(t *testing.T) {
-	r := newRig(t, testSettings(), 1)
-	r.fleet[0].saturatedUntil = r.now + time.Hour
-	id := r.arrive(0)
-	aim := r.requests[id].objective
-	r.workPrice, r.nextPricingAt = 0.1, r.now+time.Hour
-	for r.requests[id] != nil && r.now < aim+time.Second {
-		r.at(r.now+r.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
+func TestWaitingRequestIsRejectedBeforeItsObjectiveWhenScarce(t *testing.T) {
+	rig := newRig(t, testSettings(), 1)
+	rig.fleet[0].saturatedUntil = rig.now + time.Hour
+	id := rig.arrive(0)
+	aim := rig.requests[id].objective
+	rig.workPrice, rig.nextPricingAt = 0.1, rig.now+time.Hour
+	for rig.requests[id] != nil && rig.now < aim+time.Second {
+		rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
 	}
-	if a := find(r.actions, Reject); a == nil || r.now >= aim || a.Delay <= 0 || a.Delay > r.settings.MaxRetryAfter {
-		t.Fatalf("at %v of %v: %v", r.now, aim, r.actions)
+	if action := findAction(rig.actions, Reject); action == nil || rig.now >= aim || action.Delay <= 0 || action.Delay > rig.settings.MaxRetryAfter {
+		t.Fatalf("at %v of %v: %v", rig.now, aim, rig.actions)
 	}
 }
 
 // At full ceilings and prices of zero, late jobs stayed in the queue and made fresh ones late (i1e0ef8).
-func TestLapsedJobIsRefusedWhileNoLeaseIsFree(t *testing.T) {
-	r := newRig(t, testSettings(), 2)
-	r.concurrencyPerWorker = (2 - concurrencyHeadroom) / 2
-	r.arrive(0)
-	r.arrive(0)
-	waits := r.requests[r.arrive(0)]
-	if !waits.queued || r.workPrice+r.slotPrice > 0 {
+func TestLateRequestIsRejectedAtFullCeiling(t *testing.T) {
+	rig := newRig(t, testSettings(), 2)
+	rig.concurrencyPerWorker = (2 - concurrencyHeadroom) / 2
+	rig.arrive(0)
+	rig.arrive(0)
+	waits := rig.requests[rig.arrive(0)]
+	if !waits.queued || rig.workPrice+rig.slotPrice > 0 {
 		t.Fatal("the third job should wait, unpriced")
 	}
-	r.at(waits.objective-seconds(waits.work), Event{Kind: TimerFired, Timer: sweepTimer})
-	if !waits.ended || find(r.actions, Reject) == nil {
+	rig.handle(waits.objective-seconds(waits.work), Event{Kind: TimerFired, Timer: sweepTimer})
+	if !waits.ended || findAction(rig.actions, Reject) == nil {
 		t.Fatal("a job that can hardly be in time waits on, though no lease is free")
 	}
 }
 
 // A job that lapses while it waits is worth less and must fall behind those still in time.
-func TestLapsedJobFallsBack(t *testing.T) {
-	r := newRig(t, testSettings(), 1)
-	r.fleet[0].saturatedUntil = r.now + time.Hour
-	high := r.arrive(1)
-	r.markLate(r.requests[high])
-	r.requests[high].value /= 10
-	low := r.arrive(0)
-	r.sweep()
-	if len(r.queue) != 2 || r.queue[0].id != low {
+func TestLateRequestFallsBackInTheQueue(t *testing.T) {
+	rig := newRig(t, testSettings(), 1)
+	rig.fleet[0].saturatedUntil = rig.now + time.Hour
+	high := rig.arrive(1)
+	rig.markLate(rig.requests[high])
+	rig.requests[high].value /= 10
+	low := rig.arrive(0)
+	rig.sweep()
+	if len(rig.queue) != 2 || rig.queue[0].id != low {
 		t.Fatal("the lapsed job keeps its place")
 	}
 }
 
-func TestDrainStopsAtOnce(t *testing.T) {
-	r := newRig(t, testSettings(), 2)
-	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: "w0", State: Draining}}})
+func TestDrainingWorkerGetsNothing(t *testing.T) {
+	rig := newRig(t, testSettings(), 2)
+	rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: "w0", State: Draining}}})
 	for range 4 {
-		if r.sentTo(0) == "w0" {
+		if rig.send(0) == "w0" {
 			t.Fatal("sent to a draining worker")
 		}
 	}
-	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListSnapshot})
-	if r.sentTo(0) != "" {
+	rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListSnapshot})
+	if rig.send(0) != "" {
 		t.Fatal("sent to a worker that a complete list lacks")
 	}
 }
 
-func TestListErrorsBackOffWithJitter(t *testing.T) {
-	s := testSettings()
-	s.ListBySubscription = true
-	r := newRig(t, s, 1)
-	if find(r.actions, Subscribe) == nil {
+func TestListFailuresBackOffWithJitter(t *testing.T) {
+	settings := testSettings()
+	settings.ListBySubscription = true
+	rig := newRig(t, settings, 1)
+	if findAction(rig.actions, Subscribe) == nil {
 		t.Fatal("not subscribed at the start")
 	}
 	last := time.Duration(0)
 	for i := range 8 {
-		r.at(r.now, Event{Kind: ListUpdated, ListKind: ListFailed})
-		a := find(r.actions, SetTimer)
-		if find(r.actions, Subscribe) != nil || a == nil || a.Delay > s.ListPollInterval/2 {
-			t.Fatalf("try %d: %v", i, r.actions)
+		rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListFailed})
+		action := findAction(rig.actions, SetTimer)
+		if findAction(rig.actions, Subscribe) != nil || action == nil || action.Delay > settings.ListPollInterval/2 {
+			t.Fatalf("try %d: %v", i, rig.actions)
 		}
-		last = a.Delay
+		last = action.Delay
 	}
-	if last < s.ListPollInterval/4 {
+	if last < settings.ListPollInterval/4 {
 		t.Fatalf("still asking every %v after eight failures", last)
 	}
-	if r.at(r.now, Event{Kind: TimerFired, Timer: subscribeTimer}); find(r.actions, Subscribe) == nil {
+	if rig.handle(rig.now, Event{Kind: TimerFired, Timer: subscribeTimer}); findAction(rig.actions, Subscribe) == nil {
 		t.Fatal("not asked again")
 	}
-	if r.sentTo(0) != "w0" {
+	if rig.send(0) != "w0" {
 		t.Fatal("the old list does not stand")
 	}
 }
@@ -1238,19 +1238,19 @@
 // The wait before a call for the list grew with the number of dispatchers beyond all bounds: of 300, half had none
 // 11.5 s after their start, though 10 s without asking count as heard, and sent work to workers that had left.
 // However many they are, all have called early enough for two more calls in that time.
-func TestSpreadOfCallsIsBounded(t *testing.T) {
-	s := testSettings()
-	s.ListBySubscription, s.Peers = true, 300
-	early, late := s.ListPollInterval, time.Duration(0)
+func TestSubscribeDelayIsBounded(t *testing.T) {
+	settings := testSettings()
+	settings.ListBySubscription, settings.Peers = true, 300
+	early, late := settings.ListPollInterval, time.Duration(0)
 	for i := range 200 {
-		r := newSeededRig(t, s, 1, uint64(i))
-		a := find(r.actions, SetTimer)
-		if a == nil {
-			t.Fatalf("called at once: %v", r.actions)
+		rig := newSeededRig(t, settings, 1, uint64(i))
+		action := findAction(rig.actions, SetTimer)
+		if action == nil {
+			t.Fatalf("called at once: %v", rig.actions)
 		}
-		early, late = min(early, a.Delay), max(late, a.Delay)
+		early, late = min(early, action.Delay), max(late, action.Delay)
 	}
-	if late > s.ListPollInterval/4 || late-early < s.ListPollInterval/5 {
+	if late > settings.ListPollInterval/4 || late-early < settings.ListPollInterval/5 {
 		t.Errorf("calls come between %v and %v after the start", early, late)
 	}
 }
@@ -1258,31 +1258,31 @@
 // Thirty-six dispatchers that start together, or lose their subscription together, do not call together: their
 // calls are spread so that a service of seven calls a second keeps none waiting for the two seconds after which
 // it fails, and those that fail come back ever more seldom. Few dispatchers call at once.
-func TestHerdCallsAreSpread(t *testing.T) {
+func TestLargeFleetSpreadsItsCalls(t *testing.T) {
 	const peers, service, patience = 36, time.Second / 7, 2 * time.Second
-	s := testSettings()
-	s.ListBySubscription, s.Peers = true, largeFleetThreshold
-	if r := newRig(t, s, 1); find(r.actions, Subscribe) == nil || find(r.actions, SetTimer) != nil {
-		t.Fatalf("few dispatchers do not call at once: %v", r.actions)
+	settings := testSettings()
+	settings.ListBySubscription, settings.Peers = true, largeFleetThreshold
+	if rig := newRig(t, settings, 1); findAction(rig.actions, Subscribe) == nil || findAction(rig.actions, SetTimer) != nil {
+		t.Fatalf("few dispatchers do not call at once: %v", rig.actions)
 	}
-	s.Peers = peers
+	settings.Peers = peers
 	for _, first := range []ListKind{ListCached, ListFailed} {
 		var rigs []*rig
 		var calls []time.Duration // when each calls next
 		for i := range peers {
-			r := newSeededRig(t, s, 1, uint64(i))
+			rig := newSeededRig(t, settings, 1, uint64(i))
 			if first == ListFailed {
-				r.at(r.now, Event{Kind: ListUpdated, ListKind: ListFailed})
+				rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListFailed})
 			}
-			if r.sentTo(0) == "" {
+			if rig.send(0) == "" {
 				t.Fatal("the known list does not serve meanwhile")
 			}
-			r.at(r.now, Event{Kind: ListUpdated, ListKind: first})
-			a := find(r.actions, SetTimer)
-			if a == nil || find(r.actions, Subscribe) != nil {
-				t.Fatalf("called at once: %v", r.actions)
+			rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: first})
+			action := findAction(rig.actions, SetTimer)
+			if action == nil || findAction(rig.actions, Subscribe) != nil {
+				t.Fatalf("called at once: %v", rig.actions)
 			}
-			rigs, calls = append(rigs, r), append(calls, time.Hour+a.Delay)
+			rigs, calls = append(rigs, rig), append(calls, time.Hour+action.Delay)
 		}
 		free, failed, last := time.Duration(0), 0, time.Duration(0)
 		for served := 0; served < peers; {
@@ -1301,9 +1301,9 @@
 				continue
 			}
 			failed++
-			r := rigs[next]
-			r.at(now+patience, Event{Kind: ListUpdated, ListKind: ListFailed})
-			calls[next] = now + patience + find(r.actions, SetTimer).Delay
+			rig := rigs[next]
+			rig.handle(now+patience, Event{Kind: ListUpdated, ListKind: ListFailed})
+			calls[next] = now + patience + findAction(rig.actions, SetTimer).Delay
 		}
 		if last > time.Hour+10*time.Second || failed > peers/2 {
 			t.Errorf("list kind %d: all served after %v, %d calls in vain", first, last-time.Hour, failed)
@@ -1313,23 +1313,23 @@
 
 // The cold rule, played out: four dispatchers under the same overload hear of a start at once. Work
 // that warm workers turn away must not enlarge the budget, nor a fast kind's rate a slow kind's.
-func TestColdWorkerIsNotPushedOver(t *testing.T) {
+func TestWorkerInSlowStartIsNotOverloaded(t *testing.T) {
 	const peers, capacity, tick = 4, 4.0, 10 * time.Millisecond // capacity in hinted seconds a second
-	s := testSettings()
-	s.Peers = peers
+	settings := testSettings()
+	settings.Peers = peers
 	var rigs []*rig
 	for i := range peers {
-		r := newRig(t, s, 6)
-		d, _ := New(s, uint64(i+1))
+		rig := newRig(t, settings, 6)
+		machine, _ := New(settings, uint64(i+1))
 		list := []Endpoint{}
 		for n := range 6 {
 			list = append(list, Endpoint{Name: fmt.Sprintf("w%d", n), Kind: n % 2, State: Running})
 		}
-		r.Machine = d
-		r.at(time.Hour, Event{Kind: ListUpdated, ListKind: ListCached, Endpoints: list})
-		rigs = append(rigs, r)
+		rig.Machine = machine
+		rig.handle(time.Hour, Event{Kind: ListUpdated, ListKind: ListCached, Endpoints: list})
+		rigs = append(rigs, rig)
 	}
-	var cold []coldSend
+	var cold []workSent
 	load, start := map[string]float64{}, time.Hour+20*time.Second
 	type running struct {
 		r    *rig
@@ -1341,19 +1341,19 @@
 	}
 	var out []running
 	now := time.Duration(time.Hour)
-	handle := func(r *rig, event Event) {
-		for _, action := range r.at(now, event) {
+	handle := func(rig *rig, event Event) {
+		for _, action := range rig.handle(now, event) {
 			if action.Kind != Assign {
 				continue
 			}
-			q := r.requests[action.Request]
+			request := rig.requests[action.Request]
 			speed := capacity / 4 // kind 1; kind 0 is three times as fast
 			if action.Worker == "w0" || action.Worker == "w2" || action.Worker == "w4" {
 				speed *= 3
 			}
-			x := running{r, action.Request, len(q.attempts) - 1, action.Worker, now + seconds(q.work/speed), Completed}
+			x := running{rig, action.Request, len(request.attempts) - 1, action.Worker, now + seconds(request.work/speed), Completed}
 			if action.Worker == "w1" && now >= start {
-				cold = append(cold, coldSend{now, q.cost})
+				cold = append(cold, workSent{now, request.cost})
 			}
 			if load[action.Worker] >= 4 {
 				x.ends, x.o = now+tick, Saturated
@@ -1362,10 +1362,10 @@
 			out = append(out, x)
 		}
 	}
-	for ; now < start+s.SlowStartDuration; now += tick {
+	for ; now < start+settings.SlowStartDuration; now += tick {
 		if now == start {
-			for _, r := range rigs {
-				handle(r, Event{Kind: ListUpdated, ListKind: ListDelta,
+			for _, rig := range rigs {
+				handle(rig, Event{Kind: ListUpdated, ListKind: ListDelta,
 					Endpoints: []Endpoint{{Name: "w1", Kind: 1, State: Running, StartedAt: start}}})
 			}
 		}
@@ -1380,41 +1380,41 @@
 				i = -1
 			}
 		}
-		for i, r := range rigs {
+		for i, rig := range rigs {
 			if int(now/tick)%10 == i { // ten jobs a second each: far more than there is room for
-				r.next++
-				handle(r, Event{Kind: RequestArrived, Request: r.next, Slots: 1, TimeLeft: 5 * time.Second,
-					Work: time.Duration(300+r.random.IntN(2000)) * time.Millisecond})
+				rig.next++
+				handle(rig, Event{Kind: RequestArrived, Request: rig.next, Slots: 1, TimeLeft: 5 * time.Second,
+					Work: time.Duration(300+rig.random.IntN(2000)) * time.Millisecond})
 			}
-			if r.sweepScheduled && int(now/tick)%10 == 0 {
-				handle(r, Event{Kind: TimerFired, Timer: sweepTimer})
+			if rig.sweepScheduled && int(now/tick)%10 == 0 {
+				handle(rig, Event{Kind: TimerFired, Timer: sweepTimer})
 			}
 		}
 	}
 	if len(cold) == 0 {
 		t.Fatal("a cold worker got nothing at all")
 	}
-	failIfItFalls(t, s, capacity, start, cold)
+	failIfOverloaded(t, settings, capacity, start, cold)
 }
 
-// coldSend is work sent to a cold worker.
-type coldSend struct {
+// workSent is work sent to a cold worker.
+type workSent struct {
 	at   time.Duration
-	cost float64
+	work float64
 }
 
-// failIfItFalls checks every fall window that ends with a send to a worker of that capacity and start.
-func failIfItFalls(t *testing.T, s Settings, capacity float64, start time.Duration, sends []coldSend) {
+// failIfOverloaded checks every fall window that ends with a send to a worker of that capacity and start.
+func failIfOverloaded(t *testing.T, settings Settings, capacity float64, start time.Duration, sends []workSent) {
 	t.Helper()
 	for i, a := range sends {
 		sum := 0.0
 		for _, b := range sends[:i+1] {
-			if b.at > a.at-s.OverloadWindow {
-				sum += b.cost
+			if b.at > a.at-settings.OverloadWindow {
+				sum += b.work
 			}
 		}
-		warmth := s.SlowStartFloor + (1-s.SlowStartFloor)*(a.at-start).Seconds()/s.SlowStartDuration.Seconds()
-		if budget := s.OverloadMultiple * warmth * capacity * s.OverloadWindow.Seconds(); sum > budget {
+		warmth := settings.SlowStartFloor + (1-settings.SlowStartFloor)*(a.at-start).Seconds()/settings.SlowStartDuration.Seconds()
+		if budget := settings.OverloadMultiple * warmth * capacity * settings.OverloadWindow.Seconds(); sum > budget {
 			t.Fatalf("%.2f s of work in a window whose budget is %.2f, %v after the start", sum, budget, a.at-start)
 		}
 	}
@@ -1422,23 +1422,23 @@
 
 // With few dispatchers a part holds a job, and the pace to a cold worker is an even debt. When each job was drawn for,
 // the jobs of four dispatchers fell together and pushed a newcomer over.
-func TestColdJobsKeepAnEvenPace(t *testing.T) {
-	r := newRig(t, testSettings(), 2)
-	worker, warm := r.fleet[0], r.fleet[1]
-	job := &request{class: &r.settings.Classes[0], slots: 1, work: 1, cost: 1}
-	worker.StartedAt, worker.slowStartBudgetAt, r.warmWorkRatesAt = r.now, r.now, 0
+func TestSlowStartPaceIsEven(t *testing.T) {
+	rig := newRig(t, testSettings(), 2)
+	worker, warm := rig.fleet[0], rig.fleet[1]
+	job := &request{class: &rig.settings.Classes[0], slots: 1, work: 1, cost: 1}
+	worker.StartedAt, worker.slowStartBudgetAt, rig.warmWorkRatesAt = rig.now, rig.now, 0
 	sent, last := 0, time.Duration(0)
-	for end := r.now + r.settings.SlowStartDuration/2; r.now < end; r.Machine.now += 10 * time.Millisecond {
-		warm.recentWork = decayingValue{4 * r.planningHorizon.Seconds(), r.now} // four slot-seconds a second
-		if !r.withinSlowStartBudget(job, worker) {
+	for end := rig.now + rig.settings.SlowStartDuration/2; rig.now < end; rig.Machine.now += 10 * time.Millisecond {
+		warm.recentWork = decayingValue{4 * rig.planningHorizon.Seconds(), rig.now} // four slot-seconds a second
+		if !rig.withinSlowStartBudget(job, worker) {
 			continue
 		}
-		rate := slowStartSafety * r.settings.OverloadMultiple * r.capacityFraction(worker) * r.warmWorkRate(0)
-		if gap := (r.now - last).Seconds(); sent > 1 && (gap < 0.9/rate || gap > 1.2/rate+0.02) {
+		rate := slowStartSafety * rig.settings.OverloadMultiple * rig.capacityFraction(worker) * rig.warmWorkRate(0)
+		if gap := (rig.now - last).Seconds(); sent > 1 && (gap < 0.9/rate || gap > 1.2/rate+0.02) {
 			t.Fatalf("%.2f s between two jobs, the budget pays for one in %.2f s", gap, 1/rate)
 		}
-		sent, last = sent+1, r.now
-		worker.recentWork.add(r.now, r.planningHorizon, 1e-9) // the first has gone
+		sent, last = sent+1, rig.now
+		worker.recentWork.add(rig.now, rig.planningHorizon, 1e-9) // the first has gone
 		worker.slowStartBudget -= job.cost
 	}
 	if sent < 4 {
@@ -1448,21 +1448,21 @@
 
 // With many dispatchers a job is larger than the part for a window, and is drawn for each time. Taken on debt by all
 // whose last, small job was paid for, such jobs pushed a newcomer over.
-func TestLargeColdJobsAreDrawnFor(t *testing.T) {
-	s := testSettings()
-	s.Peers = 100
-	r := newRig(t, s, 2)
-	worker := r.fleet[0]
-	for _, x := range r.fleet {
-		x.recentWork.add(r.now, r.planningHorizon, 0.04*r.planningHorizon.Seconds())
-	}
-	job := &request{class: &r.settings.Classes[0], slots: 1, work: 0.5, cost: 0.5, classMeanWork: 0.5}
-	worker.StartedAt, r.warmWorkRatesAt = r.now-r.settings.SlowStartDuration/2, 0
+func TestLargeRequestsInSlowStartAreDrawnFor(t *testing.T) {
+	settings := testSettings()
+	settings.Peers = 100
+	rig := newRig(t, settings, 2)
+	worker := rig.fleet[0]
+	for _, x := range rig.fleet {
+		x.recentWork.add(rig.now, rig.planningHorizon, 0.04*rig.planningHorizon.Seconds())
+	}
+	job := &request{class: &rig.settings.Classes[0], slots: 1, work: 0.5, cost: 0.5, classMeanWork: 0.5}
+	worker.StartedAt, rig.warmWorkRatesAt = rig.now-rig.settings.SlowStartDuration/2, 0
 	taken := 0
 	const tries = 1000
 	for range tries {
-		worker.slowStartBudgetAt, worker.slowStartBudget = r.now, 0.01
-		if r.withinSlowStartBudget(job, worker) {
+		worker.slowStartBudgetAt, worker.slowStartBudget = rig.now, 0.01
+		if rig.withinSlowStartBudget(job, worker) {
 			taken++
 		} else if worker.slowStartBudget != 0 {
 			t.Fatal("what was staked is still there")
@@ -1476,10 +1476,10 @@
 // A fleet that doubles under a hundred dispatchers, then a surge. Newcomers must carry load while they are cold,
 // though each dispatcher's part of the cold budget is far below one job (they once stood idle until they
 // were warm, beside a full old set), and what the parts had saved up must not push one over in the surge.
-func TestNewcomersCarryLoadUnderManyDispatchers(t *testing.T) {
+func TestSlowStartCarriesLoadUnderManyDispatchers(t *testing.T) {
 	const peers, workers, capacity, tick = 100, 20, 4.0, 10 * time.Millisecond
-	s := testSettings()
-	s.Peers = peers
+	settings := testSettings()
+	settings.Peers = peers
 	type job struct {
 		r    *rig
 		id   uint64
@@ -1488,7 +1488,7 @@
 	}
 	var rigs []*rig
 	for i := range peers {
-		rigs = append(rigs, newSeededRig(t, s, workers, uint64(i+1)))
+		rigs = append(rigs, newSeededRig(t, settings, workers, uint64(i+1)))
 	}
 	var newcomers []Endpoint
 	start, now := time.Hour+10*time.Second, time.Duration(time.Hour)
@@ -1497,53 +1497,53 @@
 	}
 	var out []job
 	toNew, toAll := 0, 0
-	sent := map[string][]coldSend{}
-	handle := func(r *rig, event Event) {
-		for _, action := range r.at(now, event) {
+	sent := map[string][]workSent{}
+	handle := func(rig *rig, event Event) {
+		for _, action := range rig.handle(now, event) {
 			if action.Kind != Assign {
 				continue
 			}
-			work := r.requests[action.Request].work
-			out = append(out, job{r, action.Request, action.Worker, now + seconds(work)})
+			work := rig.requests[action.Request].work
+			out = append(out, job{rig, action.Request, action.Worker, now + seconds(work)})
 			if now < start {
 				continue
 			}
 			if toAll++; strings.HasPrefix(action.Worker, "new") {
 				toNew++
-				sent[action.Worker] = append(sent[action.Worker], coldSend{now, work})
+				sent[action.Worker] = append(sent[action.Worker], workSent{now, work})
 			}
 		}
 	}
 	perTick := 0.7 * workers * capacity * tick.Seconds() / 0.35
-	for due, next := 0.0, 0; now < start+s.SlowStartDuration; now += tick {
+	for due, next := 0.0, 0; now < start+settings.SlowStartDuration; now += tick {
 		if now == start {
-			for _, r := range rigs {
-				handle(r, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: newcomers})
+			for _, rig := range rigs {
+				handle(rig, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: newcomers})
 			}
 		}
-		if due += perTick; now >= start+s.SlowStartDuration/2 {
+		if due += perTick; now >= start+settings.SlowStartDuration/2 {
 			due += 2 * perTick
 		}
 		for ; due >= 1; due-- {
-			r := rigs[next*37%peers]
+			rig := rigs[next*37%peers]
 			next++
-			r.next++
-			handle(r, Event{Kind: RequestArrived, Request: r.next, Slots: 1, TimeLeft: 5 * time.Second,
-				Work: time.Duration(100+r.random.IntN(500)) * time.Millisecond})
+			rig.next++
+			handle(rig, Event{Kind: RequestArrived, Request: rig.next, Slots: 1, TimeLeft: 5 * time.Second,
+				Work: time.Duration(100+rig.random.IntN(500)) * time.Millisecond})
 		}
 		ended := out
 		out = nil
 		for _, x := range ended {
 			if x.ends > now {
 				out = append(out, x)
-			} else if q := x.r.requests[x.id]; q != nil {
-				handle(x.r, Event{Kind: AttemptEnded, Request: x.id, Attempt: len(q.attempts) - 1, Worker: x.w,
+			} else if request := x.r.requests[x.id]; request != nil {
+				handle(x.r, Event{Kind: AttemptEnded, Request: x.id, Attempt: len(request.attempts) - 1, Worker: x.w,
 					Outcome: Completed, Answered: true})
 			}
 		}
-		for _, r := range rigs {
-			if r.sweepScheduled && int(now/tick)%10 == 0 {
-				handle(r, Event{Kind: TimerFired, Timer: sweepTimer})
+		for _, rig := range rigs {
+			if rig.sweepScheduled && int(now/tick)%10 == 0 {
+				handle(rig, Event{Kind: TimerFired, Timer: sweepTimer})
 			}
 		}
 	}
@@ -1553,22 +1553,22 @@
 		t.Logf("%.1f%% of the jobs went to the cold half of the fleet", 100*share)
 	}
 	for _, sends := range sent {
-		failIfItFalls(t, s, capacity, start, sends)
+		failIfOverloaded(t, settings, capacity, start, sends)
 	}
 }
 
 // A large fleet must not cost more CPU than a small one: scans of 300 workers at each event used up
 // the dispatcher's share of CPU.
 func TestPickDrawsAreBounded(t *testing.T) {
-	r := newRig(t, testSettings(), 300)
-	r.concurrencyPerWorker, r.workRatePerWorker, r.bucketTokens = 100, 100, 1e6
-	for _, worker := range r.fleet {
-		worker.saturatedUntil = r.now + time.Hour
-	}
-	r.arrive(0)
-	before, moved := slices.Clone(r.warmWorkers), 0
-	r.pickFrom(r.queue[0], r.warmWorkers, inWarmWorkers)
-	for i, worker := range r.warmWorkers {
+	rig := newRig(t, testSettings(), 300)
+	rig.concurrencyPerWorker, rig.workRatePerWorker, rig.bucketTokens = 100, 100, 1e6
+	for _, worker := range rig.fleet {
+		worker.saturatedUntil = rig.now + time.Hour
+	}
+	rig.arrive(0)
+	before, moved := slices.Clone(rig.warmWorkers), 0
+	rig.pickFrom(rig.queue[0], rig.warmWorkers, inWarmWorkers)
+	for i, worker := range rig.warmWorkers {
 		if worker != before[i] {
 			moved++
 		}
@@ -1580,28 +1580,28 @@
 
 // A dispatcher with few jobs that spread them over a large fleet knew nothing current of any worker and
 // opened a connection for each job. It keeps to a set of its own, but not when that set cannot take the job.
-func TestFewJobsKeepToTheirOwnSet(t *testing.T) {
-	r := newRig(t, testSettings(), 200)
+func TestFewRequestsKeepToTheSubset(t *testing.T) {
+	rig := newRig(t, testSettings(), 200)
 	used := map[string]bool{}
 	for range 100 {
-		id := r.arrive(0)
-		used[r.worker(id)] = true
-		r.respond(id, 0, Completed, 10*time.Millisecond)
+		id := rig.arrive(0)
+		used[rig.assignedTo(id)] = true
+		rig.endAttempt(id, 0, Completed, 10*time.Millisecond)
 	}
 	if len(used) > 2*minSubsetSize {
 		t.Fatalf("100 jobs, one at a time, went to %d workers", len(used))
 	}
-	for _, worker := range r.warmWorkers[:r.subsetSize] {
-		worker.saturatedUntil = r.now + time.Hour
+	for _, worker := range rig.warmWorkers[:rig.subsetSize] {
+		worker.saturatedUntil = rig.now + time.Hour
 	}
-	if w := r.sentTo(0); w == "" || used[w] {
+	if w := rig.send(0); w == "" || used[w] {
 		t.Fatalf("with its own set full, a job went to %q", w)
 	}
-	before := slices.Clone(r.warmWorkers)
-	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: "new"}}})
+	before := slices.Clone(rig.warmWorkers)
+	rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: "new"}}})
 	moved := 0
 	for i, worker := range before {
-		if r.warmWorkers[i] != worker {
+		if rig.warmWorkers[i] != worker {
 			moved++
 		}
 	}
@@ -1611,7 +1611,7 @@
 }
 
 // Every dispatcher must draw an own set of its own: the same for all would overload a few workers.
-func TestOwnSetsDiffer(t *testing.T) {
+func TestSubsetsDiffer(t *testing.T) {
 	var heads []string
 	for seed := range uint64(8) {
 		heads = append(heads, newSeededRig(t, testSettings(), 100, seed).warmWorkers[0].Name)
@@ -1624,11 +1624,11 @@
 
 // What others have outstanding at a worker delays a job there as much as own jobs do.
 func TestOthersOutstandingCounts(t *testing.T) {
-	r := newRig(t, testSettings(), 2)
-	r.concurrencyPerWorker = 100
-	r.at(r.now, Event{Kind: HealthChecked, Worker: "w0", Load: LoadReport{Outstanding: 5, HasOutstanding: true}})
+	rig := newRig(t, testSettings(), 2)
+	rig.concurrencyPerWorker = 100
+	rig.handle(rig.now, Event{Kind: HealthChecked, Worker: "w0", Load: LoadReport{Outstanding: 5, HasOutstanding: true}})
 	for range 3 {
-		if r.sentTo(0) != "w1" {
+		if rig.send(0) != "w1" {
 			t.Fatal("a worker with five jobs of others was taken before an idle one")
 		}
 	}
@@ -1636,16 +1636,16 @@
 
 // Work for a job must not grow with the fleet: counted by allocations and by workers moved in the order of
 // draws, at fleets of a hundred to several thousand.
-func TestWorkPerJobDoesNotGrowWithTheFleet(t *testing.T) {
+func TestWorkPerRequestDoesNotGrowWithTheFleet(t *testing.T) {
 	counts := map[int]float64{}
 	for _, workers := range []int{100, 1000, 8000} {
-		r := newRig(t, testSettings(), workers)
+		rig := newRig(t, testSettings(), workers)
 		out, id := make([]Action, 0, 64), uint64(1000)
 		counts[workers] = testing.AllocsPerRun(200, func() {
 			id++
-			out = r.Handle(r.now, Event{Kind: RequestArrived, Request: id, Slots: 1, Work: time.Millisecond, TimeLeft: time.Second}, out[:0])
-			w := r.worker(id)
-			out = r.Handle(r.now+time.Millisecond, Event{Kind: AttemptEnded, Request: id, Worker: w, Answered: true}, out[:0])
+			out = rig.Handle(rig.now, Event{Kind: RequestArrived, Request: id, Slots: 1, Work: time.Millisecond, TimeLeft: time.Second}, out[:0])
+			w := rig.assignedTo(id)
+			out = rig.Handle(rig.now+time.Millisecond, Event{Kind: AttemptEnded, Request: id, Worker: w, Answered: true}, out[:0])
 		})
 	}
 	if counts[8000] > counts[100]+2 {
@@ -1655,32 +1655,32 @@
 
 // Lists may be long, name a worker twice, or shrink to nothing; none of it may break the bookkeeping.
 func TestOddListsAreHarmless(t *testing.T) {
-	r := newRig(t, testSettings(), 0)
+	rig := newRig(t, testSettings(), 0)
 	var list []Endpoint
 	for i := range 5000 {
 		list = append(list, Endpoint{Name: fmt.Sprintf("w%d", i%4000), Zone: i % 3})
 	}
 	for range 2 {
-		r.at(r.now, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: list})
+		rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: list})
 		near := 0
-		for _, worker := range r.fleet {
-			if worker.Zone == r.settings.Zone {
+		for _, worker := range rig.fleet {
+			if worker.Zone == rig.settings.Zone {
 				near++
 			}
 		}
-		if len(r.fleet) != 4000 || len(r.warmWorkers) != 4000 || len(r.localWarmWorkers) != near || len(r.workers) != 4000 {
-			t.Fatalf("%d workers, %d to draw, %d of %d near", len(r.fleet), len(r.warmWorkers), len(r.localWarmWorkers), near)
+		if len(rig.fleet) != 4000 || len(rig.warmWorkers) != 4000 || len(rig.localWarmWorkers) != near || len(rig.workers) != 4000 {
+			t.Fatalf("%d workers, %d to draw, %d of %d near", len(rig.fleet), len(rig.warmWorkers), len(rig.localWarmWorkers), near)
 		}
 	}
-	if r.sentTo(0) == "" {
+	if rig.send(0) == "" {
 		t.Fatal("nothing is sent to a fleet of 4000")
 	}
-	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListSnapshot})
-	if r.sentTo(0) != "" || len(r.warmWorkers)+len(r.localWarmWorkers)+r.runningCount+len(r.eligible) != 0 {
+	rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListSnapshot})
+	if rig.send(0) != "" || len(rig.warmWorkers)+len(rig.localWarmWorkers)+rig.runningCount+len(rig.eligible) != 0 {
 		t.Fatal("an empty list leaves workers behind")
 	}
-	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: list[:1]})
-	if r.sentTo(0) != "w0" {
+	rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: list[:1]})
+	if rig.send(0) != "w0" {
 		t.Fatal("the first worker after an empty list is not used")
 	}
 }
@@ -1688,89 +1688,89 @@
 // peers_total may be missing, or far above the jobs a second there are: one job at a time is let in still.
 func TestAnyNumberOfPeersWorks(t *testing.T) {
 	for _, peers := range []int{-1, 0, 1, 1e6} {
-		s := testSettings()
-		s.Peers = peers
-		r := newRig(t, s, 4)
+		settings := testSettings()
+		settings.Peers = peers
+		rig := newRig(t, settings, 4)
 		for range 5 {
-			id := r.arrive(0)
-			if r.worker(id) == "" {
+			id := rig.arrive(0)
+			if rig.assignedTo(id) == "" {
 				t.Fatalf("%d peers: an idle dispatcher holds a job back", peers)
 			}
-			r.respond(id, 0, Completed, time.Second)
+			rig.endAttempt(id, 0, Completed, time.Second)
 		}
 	}
 }
 
 // A new process knows nothing of the old one's failures or speed.
-func TestRestartForgets(t *testing.T) {
-	r := newRig(t, testSettings(), 3)
-	worker := r.fleet[0]
-	r.setFailureScore(worker, 1, attemptsFail)
+func TestRestartedWorkerIsUnknown(t *testing.T) {
+	rig := newRig(t, testSettings(), 3)
+	worker := rig.fleet[0]
+	rig.setFailureScore(worker, 1, attemptsFail)
 	worker.runTimeRatio = 9
-	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta,
-		Endpoints: []Endpoint{{Name: "w0", State: Running, StartedAt: r.now - 20*time.Second}}})
+	rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListDelta,
+		Endpoints: []Endpoint{{Name: "w0", State: Running, StartedAt: rig.now - 20*time.Second}}})
 	if worker.ejected || worker.runTimeRatio != 0 {
 		t.Fatal("the old process is remembered")
 	}
 }
 
 func TestAbsurdInputIsHarmless(t *testing.T) {
-	r := newRig(t, testSettings(), 3)
+	rig := newRig(t, testSettings(), 3)
 	for _, work := range []time.Duration{-1, 0, 1, math.MaxInt64, math.MinInt64} {
 		for _, left := range []time.Duration{-time.Hour, 0, 1, math.MaxInt64} {
 			for _, slots := range []float64{0, -1, math.NaN(), math.Inf(1), 1e300, 3} {
-				id := r.next
-				r.next++
-				r.at(r.now, Event{Kind: RequestArrived, Request: id, Slots: slots, Work: work, TimeLeft: left, Tenant: -7})
-				if q := r.requests[id]; q != nil && !(q.value >= 0 && q.cost > 0 && !math.IsInf(q.cost+q.value, 0)) {
-					t.Fatalf("work %v, left %v, slots %v: %+v", work, left, slots, q)
+				id := rig.next
+				rig.next++
+				rig.handle(rig.now, Event{Kind: RequestArrived, Request: id, Slots: slots, Work: work, TimeLeft: left, Tenant: -7})
+				if request := rig.requests[id]; request != nil && !(request.value >= 0 && request.cost > 0 && !math.IsInf(request.cost+request.value, 0)) {
+					t.Fatalf("work %v, left %v, slots %v: %+v", work, left, slots, request)
 				}
 			}
 		}
 	}
-	r.at(r.now, Event{Kind: RequestArrived, Request: 1 << 40, Class: 99})
-	if find(r.actions, Fail) == nil {
+	rig.handle(rig.now, Event{Kind: RequestArrived, Request: 1 << 40, Class: 99})
+	if findAction(rig.actions, Fail) == nil {
 		t.Fatal("an unknown class is not answered")
 	}
-	r.solvePrices()
-	if !(r.workPrice >= 0 && r.slotPrice >= 0) || math.IsInf(r.workPrice+r.slotPrice, 0) {
-		t.Fatalf("prices %v, %v", r.workPrice, r.slotPrice)
+	rig.solvePrices()
+	if !(rig.workPrice >= 0 && rig.slotPrice >= 0) || math.IsInf(rig.workPrice+rig.slotPrice, 0) {
+		t.Fatalf("prices %v, %v", rig.workPrice, rig.slotPrice)
 	}
 }
 
 // All state of a request is released in the end, over many thousands and over restarts of workers.
 func TestNothingLeaks(t *testing.T) {
-	r := newRig(t, testSettings(), 6)
+	rig := newRig(t, testSettings(), 6)
 	for i := range 30000 {
-		id := r.arrive(i % 2)
-		if q := r.requests[id]; q != nil && len(q.attempts) > 0 {
-			o := []AttemptOutcome{Completed, Completed, Completed, Failed, Saturated, ConnectionLost}[i%6]
-			r.respond(id, 0, o, 10*time.Millisecond)
-			if q := r.requests[id]; q != nil {
-				r.at(r.now, Event{Kind: ClientDisconnected, Request: id})
-				for n := range q.attempts {
-					if !q.attempts[n].ended {
-						r.respond(id, n, Cancelled, time.Millisecond)
+		id := rig.arrive(i % 2)
+		if request := rig.requests[id]; request != nil && len(request.attempts) > 0 {
+			outcome := []AttemptOutcome{Completed, Completed, Completed, Failed, Saturated, ConnectionLost}[i%6]
+			rig.endAttempt(id, 0, outcome, 10*time.Millisecond)
+			if request := rig.requests[id]; request != nil {
+				rig.handle(rig.now, Event{Kind: ClientDisconnected, Request: id})
+				for n := range request.attempts {
+					if !request.attempts[n].ended {
+						rig.endAttempt(id, n, Cancelled, time.Millisecond)
 					}
 				}
 			}
-		} else if q != nil {
-			r.at(r.now, Event{Kind: ClientDisconnected, Request: id})
+		} else if request != nil {
+			rig.handle(rig.now, Event{Kind: ClientDisconnected, Request: id})
 		}
 		if i%50 == 0 {
-			r.at(r.now, Event{Kind: TimerFired, Timer: sweepTimer})
+			rig.handle(rig.now, Event{Kind: TimerFired, Timer: sweepTimer})
 			name := fmt.Sprintf("w%d", i/50%6)
-			r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: name, State: Removed}}})
-			r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta,
+			rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: name, State: Removed}}})
+			rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListDelta,
 				Endpoints: []Endpoint{{Name: fmt.Sprintf("w%d", i/50%6), State: Running}}})
 		}
 	}
-	r.at(r.now, Event{Kind: TimerFired, Timer: sweepTimer})
-	if n := len(r.requests) + len(r.unanswered) + len(r.queue); n != 0 || r.inFlight != 0 || r.inFlightAtEjected != 0 {
-		t.Fatalf("%d requests and %v slots held", n, r.inFlight)
+	rig.handle(rig.now, Event{Kind: TimerFired, Timer: sweepTimer})
+	if n := len(rig.requests) + len(rig.unanswered) + len(rig.queue); n != 0 || rig.inFlight != 0 || rig.inFlightAtEjected != 0 {
+		t.Fatalf("%d requests and %v slots held", n, rig.inFlight)
 	}
-	if len(r.workers) != 6 || len(r.fleet) != 6 || len(r.mix) > 100 {
-		t.Fatalf("%d workers, %d in the fleet, %d points", len(r.workers), len(r.fleet), len(r.mix))
+	if len(rig.workers) != 6 || len(rig.fleet) != 6 || len(rig.mix) > 100 {
+		t.Fatalf("%d workers, %d in the fleet, %d points", len(rig.workers), len(rig.fleet), len(rig.mix))
 	}
 }
 
@@ -1791,24 +1791,24 @@
 		"RetryBudgetRatio":                 func(settings *Settings) { settings.RetryBudgetRatio = -1 },
 		"RetryBudgetWindow":                func(settings *Settings) { settings.RetryBudgetRatio = 0.2 },
 	} {
-		s := testSettings()
-		change(&s)
-		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), field) {
+		settings := testSettings()
+		change(&settings)
+		if _, err := New(settings, 1); err == nil || !strings.Contains(err.Error(), field) {
 			t.Errorf("%s: %v", field, err)
 		}
 	}
-	d, err := New(Settings{Classes: []Class{{Deadline: time.Second}}}, 1)
+	machine, err := New(Settings{Classes: []Class{{Deadline: time.Second}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := d.Handle(1, Event{Kind: RequestArrived, Request: 1, TimeLeft: time.Second}, nil); find(got, SetTimer) == nil {
+	if got := machine.Handle(1, Event{Kind: RequestArrived, Request: 1, TimeLeft: time.Second}, nil); findAction(got, SetTimer) == nil {
 		t.Fatalf("bare settings: %v", got)
 	}
 }
 
 // Rough hints: a hundred jobs picked for their small hints were twelve times larger than those said, and pushed a
 // cold worker over (hcf25ac): 0.8 s by their hints, where it could do 7 in the window. They are charged more.
-func TestSmallHintsDoNotFloodAColdWorker(t *testing.T) {
+func TestSmallHintsDoNotFloodAWorkerInSlowStart(t *testing.T) {
 	small := &request{slots: 1, work: 0.008, cost: 0.008, classMeanWork: 0.14}
 	if c := small.slowStartCost(); c < 0.03 {
 		t.Fatalf("a job that ran for 40 ms and more is charged %v s", c)
@@ -1820,22 +1820,22 @@
 
 // Where a fetch has a price, all dispatchers send a key to the same few workers, and elsewhere when those are full:
 // spread over the fleet, every job fetched what it needed anew.
-func TestKeysHaveHomes(t *testing.T) {
-	s := testSettings()
-	s.CacheMissCost = 0.15
+func TestKeysHaveOwners(t *testing.T) {
+	settings := testSettings()
+	settings.CacheMissCost = 0.15
 	homes := map[string]bool{}
-	var r *rig
-	keyed := func() string { return r.worker(r.arriveWith(0, "k")) }
+	var rig *rig
+	keyed := func() string { return rig.assignedTo(rig.arriveWithKey(0, "k")) }
 	for seed := range uint64(20) {
-		r = newSeededRig(t, s, 50, seed)
+		rig = newSeededRig(t, settings, 50, seed)
 		homes[keyed()] = true
 	}
 	if len(homes) > 2 {
 		t.Fatalf("20 dispatchers send one key to %d workers", len(homes))
 	}
-	for _, worker := range r.ring {
+	for _, worker := range rig.ring {
 		if homes[worker.Name] {
-			worker.saturatedUntil = r.now + time.Hour
+			worker.saturatedUntil = rig.now + time.Hour
 		}
 	}
 	if w := keyed(); w == "" || homes[w] {
@@ -1844,84 +1844,84 @@
 }
 
 // Live weights are the only word of others' load on workers that this dispatcher has not used lately.
-func TestLiveWeightsTellOthersLoad(t *testing.T) {
-	s := testSettings()
-	s.LoadAdjustedWeights = true
-	r := newRig(t, s, 2)
-	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{
+func TestLoadAdjustedWeightsTellOthersLoad(t *testing.T) {
+	settings := testSettings()
+	settings.LoadAdjustedWeights = true
+	rig := newRig(t, settings, 2)
+	rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{
 		{Name: "w0", Weight: 2}, // it holds two requests a core, and did so when this dispatcher started
 		{Name: "w1", Weight: 6},
 	}})
-	r.serveAllAt("w1", "sent to the worker that others load")
+	rig.expectAllAt("w1", "sent to the worker that others load")
 }
 
 // Connections that were dropped unseen while unused swallowed what was sent on them, at many workers at once
 // (dolny-slask-pisma big-2). A later job that starts there tells; from then on old ones are closed before use.
-func TestDeadConnectionsAreToldAndClosed(t *testing.T) {
-	s := testSettings()
-	s.StartNotices, s.StartsInOrder, s.ConnectionIdleTimeout = true, true, 30*time.Second
-	s.Classes[1].LateWeight = 0.1 // one that earns nothing late is called off before the next job tells
-	r := newRig(t, s, 1)
-	first := r.arrive(1)
-	r.respond(first, 0, Completed, 100*time.Millisecond)
-	r.now += 6 * time.Second
-	r.connectionLostAt = r.now // one was lost before: a single one may have another cause
-	lost := r.arrive(1)        // sent on the connection that was unused for 6 s
-	if find(r.actions, CloseIdle) != nil {
+func TestDeadConnectionsAreFoundAndClosed(t *testing.T) {
+	settings := testSettings()
+	settings.StartNotices, settings.StartsInOrder, settings.ConnectionIdleTimeout = true, true, 30*time.Second
+	settings.Classes[1].LateWeight = 0.1 // one that earns nothing late is called off before the next job tells
+	rig := newRig(t, settings, 1)
+	first := rig.arrive(1)
+	rig.endAttempt(first, 0, Completed, 100*time.Millisecond)
+	rig.now += 6 * time.Second
+	rig.connectionLostAt = rig.now // one was lost before: a single one may have another cause
+	lost := rig.arrive(1)          // sent on the connection that was unused for 6 s
+	if findAction(rig.actions, CloseIdle) != nil {
 		t.Fatal("connections closed without a reason")
 	}
 	for range 40 {
-		r.at(r.now+r.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
+		rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
 	}
-	next := r.arrive(1)
-	if r.worker(next) == "" {
+	next := rig.arrive(1)
+	if rig.assignedTo(next) == "" {
 		t.Fatal("the worker is kept from work by a job that its connection lost")
 	}
-	r.at(r.now+5*time.Millisecond, Event{Kind: AttemptStarted, Request: next, Worker: "w0"})
-	if find(r.actions, Fail) == nil || find(r.actions, CancelAttempt) == nil || !r.requests[lost].ended {
-		t.Fatalf("a lost job is kept: %v", r.actions)
+	rig.handle(rig.now+5*time.Millisecond, Event{Kind: AttemptStarted, Request: next, Worker: "w0"})
+	if findAction(rig.actions, Fail) == nil || findAction(rig.actions, CancelAttempt) == nil || !rig.requests[lost].ended {
+		t.Fatalf("a lost job is kept: %v", rig.actions)
 	}
-	if r.workers["w0"].ejected || r.safeIdleTime > 3*time.Second {
-		t.Fatalf("suspect %v, bound %v", r.workers["w0"].ejected, r.safeIdleTime)
+	if rig.workers["w0"].ejected || rig.safeIdleTime > 3*time.Second {
+		t.Fatalf("suspect %v, bound %v", rig.workers["w0"].ejected, rig.safeIdleTime)
 	}
-	r.respond(next, 0, Completed, 100*time.Millisecond)
-	r.at(r.now, Event{Kind: AttemptEnded, Request: lost, Worker: "w0", Outcome: Cancelled})
-	r.now += 4 * time.Second
-	if r.arrive(1); find(r.actions, CloseIdle) == nil || find(r.actions, Assign) == nil {
-		t.Fatalf("a connection unused for 4 s is used: %v", r.actions)
+	rig.endAttempt(next, 0, Completed, 100*time.Millisecond)
+	rig.handle(rig.now, Event{Kind: AttemptEnded, Request: lost, Worker: "w0", Outcome: Cancelled})
+	rig.now += 4 * time.Second
+	if rig.arrive(1); findAction(rig.actions, CloseIdle) == nil || findAction(rig.actions, Assign) == nil {
+		t.Fatalf("a connection unused for 4 s is used: %v", rig.actions)
 	}
 }
 
 // A reset right after the send on an old connection is about the connection, not about the worker.
 func TestResetOfAnOldConnectionBlamesNoWorker(t *testing.T) {
-	s := testSettings()
-	s.ConnectionIdleTimeout = 30 * time.Second
-	r := newRig(t, s, 1)
-	r.respond(r.arrive(0), 0, Completed, 100*time.Millisecond)
-	r.now += 6 * time.Second
-	r.connectionLostAt = r.now
-	id := r.arrive(0)
-	r.respond(id, 0, ConnectionLost, time.Millisecond)
-	if worker := r.fleet[0]; worker.ejected || worker.failureScore.value > 0 || r.safeIdleTime != 3*time.Second {
-		t.Fatalf("failure score %v, bound %v", worker.failureScore.value, r.safeIdleTime)
+	settings := testSettings()
+	settings.ConnectionIdleTimeout = 30 * time.Second
+	rig := newRig(t, settings, 1)
+	rig.endAttempt(rig.arrive(0), 0, Completed, 100*time.Millisecond)
+	rig.now += 6 * time.Second
+	rig.connectionLostAt = rig.now
+	id := rig.arrive(0)
+	rig.endAttempt(id, 0, ConnectionLost, time.Millisecond)
+	if worker := rig.fleet[0]; worker.ejected || worker.failureScore.value > 0 || rig.safeIdleTime != 3*time.Second {
+		t.Fatalf("failure score %v, bound %v", worker.failureScore.value, rig.safeIdleTime)
 	}
 }
 
 // Given up means answered: a job that earns nothing once late is turned away when its aim passes.
-func TestWorthlessWaitIsAnsweredAtOnce(t *testing.T) {
-	s := testSettings()
-	s.Classes[0].LateWeight = 0
-	r := newRig(t, s, 1)
-	r.fleet[0].saturatedUntil = r.now + time.Hour
-	id := r.arrive(0)
-	aim := r.requests[id].objective
-	for find(r.actions, Reject) == nil {
-		if r.at(r.now+r.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer}); r.now > aim {
+func TestWorthlessRequestIsAnsweredAtOnce(t *testing.T) {
+	settings := testSettings()
+	settings.Classes[0].LateWeight = 0
+	rig := newRig(t, settings, 1)
+	rig.fleet[0].saturatedUntil = rig.now + time.Hour
+	id := rig.arrive(0)
+	aim := rig.requests[id].objective
+	for findAction(rig.actions, Reject) == nil {
+		if rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer}); rig.now > aim {
 			t.Fatal("still waiting after its aim")
 		}
 	}
-	if a := find(r.actions, Reject); a.Request != id || a.Delay <= 0 {
-		t.Fatalf("refusal %+v", a)
+	if action := findAction(rig.actions, Reject); action.Request != id || action.Delay <= 0 {
+		t.Fatalf("refusal %+v", action)
 	}
 }
 
@@ -1929,115 +1929,115 @@
 // further attempts where 14 requests allowed 3.8), and a window later there is room again.
 // A keyed request that may have run and whose window for repeats is over has nothing to wait for: it is
 // answered then, refused where any worker would know a repeat, else failed.
-func TestOverWindowIsAnsweredAtOnce(t *testing.T) {
+func TestRequestBeyondItsDedupWindowIsAnsweredAtOnce(t *testing.T) {
 	for group, want := range map[DedupScope]ActionKind{DedupEverywhere: Reject, DedupWithinZone: Fail, DedupWithinCell: Fail} {
 		for _, last := range []AttemptOutcome{Failed, Saturated} { // the window ends as it waits, and as it comes back
-			s := testSettings()
-			s.Classes[1].Idempotency, s.Classes[1].DedupScope, s.Classes[1].DedupWindow = Deduplicated, group, 1500*time.Millisecond
-			s.Classes[1].LatencyObjective, s.Classes[1].ObjectiveStretch = 5*time.Second, 0
-			r := newRig(t, s, 2)
-			id := r.arrive(1)
-			sent := r.requests[id].attempts[0].sentAt
-			for _, worker := range r.fleet {
-				worker.saturatedUntil = r.now + time.Hour
+			settings := testSettings()
+			settings.Classes[1].Idempotency, settings.Classes[1].DedupScope, settings.Classes[1].DedupWindow = Deduplicated, group, 1500*time.Millisecond
+			settings.Classes[1].LatencyObjective, settings.Classes[1].ObjectiveStretch = 5*time.Second, 0
+			rig := newRig(t, settings, 2)
+			id := rig.arrive(1)
+			sent := rig.requests[id].attempts[0].sentAt
+			for _, worker := range rig.fleet {
+				worker.saturatedUntil = rig.now + time.Hour
 			}
 			if last == Saturated {
-				r.fleet[0].saturatedUntil, r.fleet[1].saturatedUntil = 0, 0
+				rig.fleet[0].saturatedUntil, rig.fleet[1].saturatedUntil = 0, 0
 			}
-			r.respond(id, 0, Failed, 100*time.Millisecond)
+			rig.endAttempt(id, 0, Failed, 100*time.Millisecond)
 			if last == Saturated { // a repeat has gone out in time, and comes back late, never run
-				if q := r.requests[id]; q == nil || len(q.attempts) != 2 {
+				if request := rig.requests[id]; request == nil || len(request.attempts) != 2 {
 					t.Fatalf("group %d: not repeated in time", group)
 				}
-				if r.respond(id, 1, Saturated, 1500*time.Millisecond); find(r.actions, want) == nil {
+				if rig.endAttempt(id, 1, Saturated, 1500*time.Millisecond); findAction(rig.actions, want) == nil {
 					t.Fatalf("group %d: not answered in the turn in which its last attempt came back", group)
 				}
 			}
-			for find(r.actions, want) == nil {
-				if r.at(r.now+r.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer}); r.now > sent+2*time.Second {
+			for findAction(rig.actions, want) == nil {
+				if rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer}); rig.now > sent+2*time.Second {
 					t.Fatalf("group %d, %v: still waiting after its window", group, last)
 				}
-				if find(r.actions, Assign) != nil {
+				if findAction(rig.actions, Assign) != nil {
 					t.Fatalf("group %d, %v: repeated after its window", group, last)
 				}
 			}
-			if r.now < sent+1400*time.Millisecond {
-				t.Errorf("group %d, %v: given up after %v, with the window still open", group, last, r.now-sent)
+			if rig.now < sent+1400*time.Millisecond {
+				t.Errorf("group %d, %v: given up after %v, with the window still open", group, last, rig.now-sent)
 			}
 		}
 	}
 }
 
-func TestBudgetOfFurtherAttempts(t *testing.T) {
-	s := testSettings()
-	s.RetryBudgetWindow, s.RetryBudgetFloor, s.RetryBudgetRatio = 10*time.Second, 1, 0.25
-	r := newRig(t, s, 8)
+func TestRetryBudget(t *testing.T) {
+	settings := testSettings()
+	settings.RetryBudgetWindow, settings.RetryBudgetFloor, settings.RetryBudgetRatio = 10*time.Second, 1, 0.25
+	rig := newRig(t, settings, 8)
 	again := 0
 	for range 8 {
-		id := r.arrive(0)
-		r.respond(id, 0, ConnectionRefused, time.Millisecond)
-		if find(r.actions, Assign) != nil {
+		id := rig.arrive(0)
+		rig.endAttempt(id, 0, ConnectionRefused, time.Millisecond)
+		if findAction(rig.actions, Assign) != nil {
 			again++
-			r.respond(id, 1, Completed, time.Millisecond)
-		} else if find(r.actions, Reject) == nil {
-			t.Fatalf("neither tried again nor answered: %v", r.actions)
+			rig.endAttempt(id, 1, Completed, time.Millisecond)
+		} else if findAction(rig.actions, Reject) == nil {
+			t.Fatalf("neither tried again nor answered: %v", rig.actions)
 		}
 	}
 	if again < 1 || again > 3 {
 		t.Fatalf("%d further attempts for 8 requests", again)
 	}
-	r.now += s.RetryBudgetWindow + 2*s.Tick
-	id := r.arrive(0)
-	if r.respond(id, 0, ConnectionRefused, time.Millisecond); find(r.actions, Assign) == nil {
+	rig.now += settings.RetryBudgetWindow + 2*settings.Tick
+	id := rig.arrive(0)
+	if rig.endAttempt(id, 0, ConnectionRefused, time.Millisecond); findAction(rig.actions, Assign) == nil {
 		t.Fatal("not tried again though the window has passed")
 	}
 }
 
 // Requests of one key run one at a time, in the order in which they came, and after a reset the key rests
 // (malopolska-zadania: one was sent while an earlier one was not over). Those without it, or of another, go on.
-func TestKeysRunInTurn(t *testing.T) {
-	s := testSettings()
-	s.KeyCooldown = 300 * time.Millisecond
-	s.Classes[1].Serialized = true
-	r := newRig(t, s, 8)
-	send := func(key string) uint64 { return r.arriveWith(1, key) }
+func TestSerializedKeysRunOneAtATime(t *testing.T) {
+	settings := testSettings()
+	settings.KeyCooldown = 300 * time.Millisecond
+	settings.Classes[1].Serialized = true
+	rig := newRig(t, settings, 8)
+	send := func(key string) uint64 { return rig.arriveWithKey(1, key) }
 	first, second := send("a"), send("a")
-	if r.worker(first) == "" || r.worker(second) != "" {
+	if rig.assignedTo(first) == "" || rig.assignedTo(second) != "" {
 		t.Fatal("two of a key at once")
 	}
-	if r.worker(send("b")) == "" || r.worker(send("")) == "" {
+	if rig.assignedTo(send("b")) == "" || rig.assignedTo(send("")) == "" {
 		t.Fatal("another key waits as well")
 	}
-	r.respond(first, 0, ConnectionLost, time.Millisecond)
-	r.at(r.now+299*time.Millisecond, Event{Kind: TimerFired, Timer: 1})
-	if r.worker(second) != "" {
+	rig.endAttempt(first, 0, ConnectionLost, time.Millisecond)
+	rig.handle(rig.now+299*time.Millisecond, Event{Kind: TimerFired, Timer: 1})
+	if rig.assignedTo(second) != "" {
 		t.Fatal("the key has not rested")
 	}
-	r.at(r.now+2*time.Millisecond, Event{Kind: TimerFired, Timer: cooldownTimer})
-	if r.worker(second) == "" {
+	rig.handle(rig.now+2*time.Millisecond, Event{Kind: TimerFired, Timer: cooldownTimer})
+	if rig.assignedTo(second) == "" {
 		t.Fatal("not sent when its turn came")
 	}
 }
 
 // A class bound to a kind or a zone is sent there only, also when all its workers are full, and 'full' is no proof
 // where that is stated: a fragile request is then failed at once (wokanda-hosted).
-func TestPlacementAndFullWithoutProof(t *testing.T) {
-	s := testSettings()
-	s.SaturatedMayHaveRun = true
-	s.Classes[1].Kinds, s.Classes[1].Zones = []int{1}, []int{2}
-	r := newRig(t, s, 4)
-	r.at(r.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{
+func TestPlacementAndSaturationWithoutProof(t *testing.T) {
+	settings := testSettings()
+	settings.SaturatedMayHaveRun = true
+	settings.Classes[1].Kinds, settings.Classes[1].Zones = []int{1}, []int{2}
+	rig := newRig(t, settings, 4)
+	rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{
 		{Name: "w0", Kind: 1}, {Name: "w1", Zone: 2}, {Name: "w2", Kind: 1, Zone: 2}}})
-	id := r.arrive(1)
-	if r.worker(id) != "w2" {
-		t.Fatalf("sent to %q", r.worker(id))
+	id := rig.arrive(1)
+	if rig.assignedTo(id) != "w2" {
+		t.Fatalf("sent to %q", rig.assignedTo(id))
 	}
-	r.respond(id, 0, Saturated, time.Millisecond)
-	if find(r.actions, Fail) == nil || find(r.actions, Assign) != nil || find(r.actions, Reject) != nil {
-		t.Fatalf("after 'full' without proof: %v", r.actions)
+	rig.endAttempt(id, 0, Saturated, time.Millisecond)
+	if findAction(rig.actions, Fail) == nil || findAction(rig.actions, Assign) != nil || findAction(rig.actions, Reject) != nil {
+		t.Fatalf("after 'full' without proof: %v", rig.actions)
 	}
-	r.workers["w2"].saturatedUntil = r.now + time.Hour
-	if w := r.sentTo(1); w != "" {
+	rig.workers["w2"].saturatedUntil = rig.now + time.Hour
+	if w := rig.send(1); w != "" {
 		t.Fatalf("sent to %q though its only worker is full", w)
 	}
 }
@@ -2045,23 +2045,23 @@
 // A reported backlog is others' load too: without it dispatchers with few jobs sent behind each other's (big-2 of
 // dolny-slask-pisma).
 func TestReportedBacklogCounts(t *testing.T) {
-	r := newRig(t, testSettings(), 2)
-	r.at(r.now, Event{Kind: HealthChecked, Worker: "w0", Load: LoadReport{Backlog: 3, HasBacklog: true}})
-	r.serveAllAt("w1", "sent to the worker with a backlog")
+	rig := newRig(t, testSettings(), 2)
+	rig.handle(rig.now, Event{Kind: HealthChecked, Worker: "w0", Load: LoadReport{Backlog: 3, HasBacklog: true}})
+	rig.expectAllAt("w1", "sent to the worker with a backlog")
 }
 
 // Where clients do not mark repeats, each got a new aim and counted in the mix and against quotas again (i832186): the
 // time left tells how long ago the first try was sent.
-func TestUnmarkedRepeatsKeepTheirAim(t *testing.T) {
-	r := newRig(t, testSettings(), 4)
-	first := r.arrive(0)
-	aim := r.requests[first].objective
-	r.now += 2 * time.Second
-	r.at(r.now, Event{Kind: RequestArrived, Request: 99, Slots: 1, Work: time.Second, TimeLeft: 3 * time.Second})
-	if q := r.requests[99]; q == nil || q.objective != aim {
-		t.Fatalf("the repeat of a job with its aim at %v: %+v", aim, q)
-	}
-	if _, jobs := r.recentMix(); jobs > 1 {
+func TestUnmarkedRetriesKeepTheirObjective(t *testing.T) {
+	rig := newRig(t, testSettings(), 4)
+	first := rig.arrive(0)
+	aim := rig.requests[first].objective
+	rig.now += 2 * time.Second
+	rig.handle(rig.now, Event{Kind: RequestArrived, Request: 99, Slots: 1, Work: time.Second, TimeLeft: 3 * time.Second})
+	if request := rig.requests[99]; request == nil || request.objective != aim {
+		t.Fatalf("the repeat of a job with its aim at %v: %+v", aim, request)
+	}
+	if _, jobs := rig.recentMix(); jobs > 1 {
 		t.Fatalf("%v jobs in the mix", jobs)
 	}
 }
@@ -2069,33 +2069,33 @@
 // A job that a worker calls unusable fails at once: it is not tried elsewhere, and neither that worker nor the
 // fleet is blamed. Repeats of other clients' names once ejected one worker after the other and cut the
 // ceilings. A worker that says so of all that it gets is at fault itself.
-func TestUnusableJobBlamesNoWorker(t *testing.T) {
-	r := newRig(t, testSettings(), 3)
-	perSlot, worker := r.concurrencyPerWorker, ""
+func TestInvalidRequestBlamesNoWorker(t *testing.T) {
+	rig := newRig(t, testSettings(), 3)
+	perSlot, worker := rig.concurrencyPerWorker, ""
 	for i := range 2 * maxConsecutiveInvalid {
-		id := r.arrive(i % 2)
-		out := r.respond(id, 0, InvalidRequest, time.Millisecond)
-		if len(out) == 0 || out[0].Kind != Fail || out[0].Request != id || r.requests[id] != nil {
+		id := rig.arrive(i % 2)
+		out := rig.endAttempt(id, 0, InvalidRequest, time.Millisecond)
+		if len(out) == 0 || out[0].Kind != Fail || out[0].Request != id || rig.requests[id] != nil {
 			t.Fatalf("job %d: %+v", i, out)
 		}
-		good := r.arrive(0)
-		worker = r.worker(good)
-		r.respond(good, 0, Completed, time.Second)
-		for _, worker := range r.fleet {
+		good := rig.arrive(0)
+		worker = rig.assignedTo(good)
+		rig.endAttempt(good, 0, Completed, time.Second)
+		for _, worker := range rig.fleet {
 			worker.consecutiveInvalid = 0
 		}
 	}
-	if r.ejectedCount != 0 || r.concurrencyPerWorker < perSlot || r.inFlight != 0 {
-		t.Errorf("%d suspects, ceiling %v of %v, %v in flight", r.ejectedCount, r.concurrencyPerWorker, perSlot, r.inFlight)
+	if rig.ejectedCount != 0 || rig.concurrencyPerWorker < perSlot || rig.inFlight != 0 {
+		t.Errorf("%d suspects, ceiling %v of %v, %v in flight", rig.ejectedCount, rig.concurrencyPerWorker, perSlot, rig.inFlight)
 	}
-	r.workers[worker].consecutiveInvalid = maxConsecutiveInvalid
+	rig.workers[worker].consecutiveInvalid = maxConsecutiveInvalid
 	for {
-		id := r.arrive(0)
-		if r.worker(id) != worker {
-			r.respond(id, 0, Completed, time.Second)
+		id := rig.arrive(0)
+		if rig.assignedTo(id) != worker {
+			rig.endAttempt(id, 0, Completed, time.Second)
 			continue
 		}
-		if r.respond(id, 0, InvalidRequest, time.Millisecond); r.requests[id] == nil || !r.workers[worker].ejected {
+		if rig.endAttempt(id, 0, InvalidRequest, time.Millisecond); rig.requests[id] == nil || !rig.workers[worker].ejected {
 			t.Error("a worker that can use nothing is believed")
 		}
 		break
@@ -2105,27 +2105,27 @@
 // A worker that turns away job after job of one class while it takes others gets that class ever more seldom,
 // and the others as before. All attempts of such jobs once went to a few workers of that kind, and the last
 // one was put off until it was late.
-func TestClassTurnedAwayIsTakenElsewhere(t *testing.T) {
-	s := testSettings()
-	s.StartNotices = true
-	r := newRig(t, s, 4)
+func TestClassTurnedAwayGoesElsewhere(t *testing.T) {
+	settings := testSettings()
+	settings.StartNotices = true
+	rig := newRig(t, settings, 4)
 	turned, picky := map[string]int{}, true
 	serve := func(class int) { // also what was held back and is placed only now
-		r.arrive(class)
-		for _, id := range slices.Sorted(maps.Keys(r.requests)) {
-			for n := 0; r.requests[id] != nil && n < len(r.requests[id].attempts); n++ {
-				q := r.requests[id]
-				w := q.attempts[n].worker.Name
-				if q.attempts[n].ended {
+		rig.arrive(class)
+		for _, id := range slices.Sorted(maps.Keys(rig.requests)) {
+			for n := 0; rig.requests[id] != nil && n < len(rig.requests[id].attempts); n++ {
+				request := rig.requests[id]
+				w := request.attempts[n].worker.Name
+				if request.attempts[n].ended {
 					continue
 				}
-				if picky && q.class == &r.settings.Classes[1] && (w == "w0" || w == "w1") {
+				if picky && request.class == &rig.settings.Classes[1] && (w == "w0" || w == "w1") {
 					turned[w]++
-					r.respond(id, n, Saturated, time.Millisecond)
+					rig.endAttempt(id, n, Saturated, time.Millisecond)
 					continue
 				}
-				r.at(r.now+time.Millisecond, Event{Kind: AttemptStarted, Request: id, Attempt: n, Worker: w})
-				r.respond(id, n, Completed, 100*time.Millisecond)
+				rig.handle(rig.now+time.Millisecond, Event{Kind: AttemptStarted, Request: id, Attempt: n, Worker: w})
+				rig.endAttempt(id, n, Completed, 100*time.Millisecond)
 			}
 		}
 	}
@@ -2137,55 +2137,55 @@
 		t.Errorf("%d of 120 jobs were turned away by workers that do not take them", n)
 	}
 	// It is tried again, and believed.
-	r.now += 5 * time.Second
+	rig.now += 5 * time.Second
 	picky = false
 	for range 40 { // four at a time, lest the two known best serve them all
-		r.arrive(1)
-		r.arrive(1)
-		r.arrive(1)
+		rig.arrive(1)
+		rig.arrive(1)
+		rig.arrive(1)
 		serve(1)
 	}
-	for _, worker := range r.fleet {
-		if u := worker.rejectionsOf(&r.settings.Classes[1]); u.count != 0 || u.blockedUntil != 0 {
+	for _, worker := range rig.fleet {
+		if u := worker.rejectionsOf(&rig.settings.Classes[1]); u.count != 0 || u.blockedUntil != 0 {
 			t.Errorf("%s takes the class again, but is held to turn it away: %+v", worker.Name, *u)
 		}
 	}
 }
 
-// bookings are classes as another customer has them: no hints come, and an answer that is late earns nothing.
-func bookings() Settings {
-	s := testSettings()
-	s.StartNotices = true
-	for i := range s.Classes {
-		s.Classes[i].LateWeight, s.Classes[i].LatencyObjective = 0, time.Second
+// settingsWithoutHints are classes as another customer has them: no hints come, and an answer that is late earns nothing.
+func settingsWithoutHints() Settings {
+	settings := testSettings()
+	settings.StartNotices = true
+	for i := range settings.Classes {
+		settings.Classes[i].LateWeight, settings.Classes[i].LatencyObjective = 0, time.Second
 	}
-	return s
+	return settings
 }
 
 // On a busy day of comun-bucuresti seven in ten answers were late and earned nothing, since every worker's queue was
 // full of jobs whose time was over. One that waits there and can't be in time any more is called off.
-func TestWhatEarnsNothingLateIsCalledOffWhereItWaits(t *testing.T) {
+func TestWorthlessAttemptIsCancelledWhereItWaits(t *testing.T) {
 	for class, answer := range []ActionKind{Reject, Fail} {
 		for _, started := range []bool{false, true} {
-			r := newRig(t, bookings(), 1)
-			id := r.arrive(class) // runs for 1 s, and has 1 s + 2 x 1 s
-			if r.worker(id) == "" {
+			rig := newRig(t, settingsWithoutHints(), 1)
+			id := rig.arrive(class) // runs for 1 s, and has 1 s + 2 x 1 s
+			if rig.assignedTo(id) == "" {
 				t.Fatal("not sent")
 			}
 			if started {
-				r.at(r.now, Event{Kind: AttemptStarted, Request: id, Worker: "w0"})
+				rig.handle(rig.now, Event{Kind: AttemptStarted, Request: id, Worker: "w0"})
 			}
 			var actions []Action
 			sweep := func(until time.Duration) {
-				for r.now < time.Hour+until {
-					actions = append(actions, r.at(r.now+r.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})...)
+				for rig.now < time.Hour+until {
+					actions = append(actions, rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})...)
 				}
 			}
-			if sweep(time.Second); find(actions, CancelAttempt) != nil || find(actions, answer) != nil {
+			if sweep(time.Second); findAction(actions, CancelAttempt) != nil || findAction(actions, answer) != nil {
 				t.Fatalf("class %d is called off while it can be in time: %v", class, actions)
 			}
 			sweep(3 * time.Second)
-			if off := find(actions, CancelAttempt) != nil && find(actions, answer) != nil; off == started {
+			if off := findAction(actions, CancelAttempt) != nil && findAction(actions, answer) != nil; off == started {
 				t.Fatalf("class %d, started %v, called off %v: %v", class, started, off, actions)
 			}
 		}
@@ -2194,17 +2194,17 @@
 
 // Where no hints come the aim stood for a job's run time, and jobs were held for hopeless that were not.
 func TestRunTimesAreLearnedWithoutHints(t *testing.T) {
-	r := newRig(t, bookings(), 4)
+	rig := newRig(t, settingsWithoutHints(), 4)
 	job := func(work time.Duration) *request {
-		id := r.next
-		r.next++
-		r.at(r.now, Event{Kind: RequestArrived, Request: id, Slots: 1, Work: work, TimeLeft: 5 * time.Second})
-		return r.requests[id]
+		id := rig.next
+		rig.next++
+		rig.handle(rig.now, Event{Kind: RequestArrived, Request: id, Slots: 1, Work: work, TimeLeft: 5 * time.Second})
+		return rig.requests[id]
 	}
 	for range 30 {
-		q := job(0)
-		r.at(r.now+time.Second, Event{Kind: AttemptStarted, Request: q.id, Worker: r.worker(q.id)}) // waits are no part of it
-		r.respond(q.id, 0, Completed, 300*time.Millisecond)
+		request := job(0)
+		rig.handle(rig.now+time.Second, Event{Kind: AttemptStarted, Request: request.id, Worker: rig.assignedTo(request.id)}) // waits are no part of it
+		rig.endAttempt(request.id, 0, Completed, 300*time.Millisecond)
 	}
 	if got := job(0).work; got < 0.29 || got > 0.45 {
 		t.Fatalf("jobs run for 0.3 s, %v s is expected", got)
@@ -2217,24 +2217,24 @@
 // A worker keeps what few keys name, and gets others from one store for all, which was overrun: run times rose
 // threefold. Keys met seldom go to the same eight workers from every dispatcher; one met often would overrun
 // those, and is kept everywhere anyway.
-func TestRareKeysHaveHomesWithoutAPrice(t *testing.T) {
+func TestRareKeysHaveOwnersWithoutAPrice(t *testing.T) {
 	homes, often, trouble := map[string]bool{}, map[string]bool{}, map[string]bool{}
 	for seed := range uint64(60) {
 		r := newSeededRig(t, testSettings(), 50, seed)
-		homes[r.worker(r.arriveWith(0, "k"))] = true
+		homes[r.assignedTo(r.arriveWithKey(0, "k"))] = true
 		for name, wrong := range map[string]func(*rig){
-			"a suspect":         func(r *rig) { r.setFailureScore(r.fleet[0], 1, attemptsFail) },
-			"many bad outcomes": func(r *rig) { r.badRatio = overloadBadRatio },
+			"a suspect":         func(rig *rig) { rig.setFailureScore(rig.fleet[0], 1, attemptsFail) },
+			"many bad outcomes": func(rig *rig) { rig.badRatio = overloadBadRatio },
 		} { // then what is known of workers counts for more than what they keep
-			r := newSeededRig(t, testSettings(), 50, seed)
-			wrong(r)
-			trouble[name+r.worker(r.arriveWith(0, "k"))] = true
+			rig := newSeededRig(t, testSettings(), 50, seed)
+			wrong(rig)
+			trouble[name+rig.assignedTo(rig.arriveWithKey(0, "k"))] = true
 		}
 		for range 8 {
 			r.now += 5 * time.Second
-			id := r.arriveWith(0, "k")
-			often[r.worker(id)] = true
-			r.respond(id, 0, Completed, time.Second)
+			id := r.arriveWithKey(0, "k")
+			often[r.assignedTo(id)] = true
+			r.endAttempt(id, 0, Completed, time.Second)
 		}
 	}
 	if len(homes) > maxOwners || len(homes) < maxOwners/2 {
--- a/decision/dual_test.go
+++ b/decision/dual_test.go
@@ -9,9 +9,9 @@
 	"gonum.org/v1/gonum/optimize/convex/lp"
 )
 
-// primal solves the fluid LP itself with gonum's simplex: the most value of admitted shares x of the
+// solvePrimal solves the fluid LP itself with gonum's simplex: the most value of admitted shares x of the
 // bids, 0 <= x <= 1, within both budgets. It shares nothing with solveDual.
-func primal(t *testing.T, bids []bid, budgetC, budgetK float64) float64 {
+func solvePrimal(t *testing.T, bids []bid, budgetC, budgetK float64) float64 {
 	t.Helper()
 	n := len(bids)
 	// Variables: n shares, n slacks of x <= 1, and the slacks of the two budgets.
@@ -58,7 +58,7 @@
 		if !(c >= 0 && k >= 0) || math.IsInf(c+k, 0) {
 			t.Fatalf("prices %v, %v", c, k)
 		}
-		got, want := dualAt(bids, budgetC, budgetK, c, k), primal(t, bids, budgetC, budgetK)
+		got, want := dualAt(bids, budgetC, budgetK, c, k), solvePrimal(t, bids, budgetC, budgetK)
 		if math.Abs(got-want) > 1e-6*(1+want) {
 			t.Fatalf("dual %v, simplex %v for %v, budgets %v, %v", got, want, bids, budgetC, budgetK)
 		}
--- a/decision/machine.go
+++ b/decision/machine.go
@@ -92,12 +92,12 @@
 
 // New returns a machine that knows no worker yet, or an error that names the field of the settings which is
 // wrong. The seed determines all random choices.
-func New(s Settings, seed uint64) (*Machine, error) {
-	if err := s.normalize(); err != nil {
+func New(settings Settings, seed uint64) (*Machine, error) {
+	if err := settings.normalize(); err != nil {
 		return nil, err
 	}
 	m := &Machine{
-		settings:         s,
+		settings:         settings,
 		random:           rand.New(rand.NewPCG(seed, 0)),
 		workers:          map[string]*worker{},
 		zones:            map[int]*zone{},
@@ -107,10 +107,10 @@
 		requests:         map[uint64]*request{},
 		misses:           map[*Class]int{},
 		keyQueues:        map[string]*keyQueue{},
-		classMeanWork:    make([]float64, len(s.Classes)),
-		maxTimeLeft:      make([]time.Duration, len(s.Classes)),
-		learnedRuns:      make([]float64, len(s.Classes)),
-		tenants:          make([]tenant, len(s.TenantQuotas)),
+		classMeanWork:    make([]float64, len(settings.Classes)),
+		maxTimeLeft:      make([]time.Duration, len(settings.Classes)),
+		learnedRuns:      make([]float64, len(settings.Classes)),
+		tenants:          make([]tenant, len(settings.TenantQuotas)),
 	}
 	m.initEstimates()
 	return m, nil
--- a/decision/reconfigure_test.go
+++ b/decision/reconfigure_test.go
@@ -9,37 +9,37 @@
 
 // New settings hold for what comes; open requests keep their class, value and aim.
 func TestReconfigureWhileRequestsAreOpen(t *testing.T) {
-	r := newRig(t, testSettings(), 2)
-	open := r.requests[r.arrive(0)]
-	class, value, aim, beat := open.class, open.value, open.objective, r.sweepInterval
+	rig := newRig(t, testSettings(), 2)
+	open := rig.requests[rig.arrive(0)]
+	class, value, aim, beat := open.class, open.value, open.objective, rig.sweepInterval
 	next := testSettings()
 	next.Classes[0].PriorityWeight, next.Classes[0].LatencyObjective, next.MaxRetryAfter = 7, 40*time.Millisecond, time.Second
-	r.at(r.now, Event{Kind: SettingsChanged, Settings: &next})
-	if open.class != class || open.class != &r.settings.Classes[0] || open.value != value || open.objective != aim {
+	rig.handle(rig.now, Event{Kind: SettingsChanged, Settings: &next})
+	if open.class != class || open.class != &rig.settings.Classes[0] || open.value != value || open.objective != aim {
 		t.Errorf("an open request changes: %+v", open)
 	}
-	later := r.requests[r.arrive(0)]
+	later := rig.requests[rig.arrive(0)]
 	if later.class != class || later.value != 7*value || later.objective != aim-160*time.Millisecond {
 		t.Errorf("a later request has value %v and aim %v; the former %v and %v", later.value, later.objective, value, aim)
 	}
-	if r.sweepInterval >= beat || r.sweepInterval != r.shortestSweepInterval() || r.settings.MaxRetryAfter != time.Second {
-		t.Errorf("a sweep each %v, before %v; told to come back in %v at the most", r.sweepInterval, beat, r.settings.MaxRetryAfter)
+	if rig.sweepInterval >= beat || rig.sweepInterval != rig.shortestSweepInterval() || rig.settings.MaxRetryAfter != time.Second {
+		t.Errorf("a sweep each %v, before %v; told to come back in %v at the most", rig.sweepInterval, beat, rig.settings.MaxRetryAfter)
 	}
-	r.respond(open.id, 0, Completed, time.Second)
-	if r.requests[open.id] != nil || r.eligibleShare(class) != 1 {
+	rig.endAttempt(open.id, 0, Completed, time.Second)
+	if rig.requests[open.id] != nil || rig.eligibleShare(class) != 1 {
 		t.Errorf("the open request cannot end as before")
 	}
 }
 
 // A quota holds from the change on, higher or lower.
 func TestReconfiguredQuota(t *testing.T) {
-	s := testSettings()
-	s.Peers, s.TenantQuotas, s.OverQuotaWeight = 1, []float64{1000, 1000}, 0.1
-	r := newRig(t, s, 2)
+	settings := testSettings()
+	settings.Peers, settings.TenantQuotas, settings.OverQuotaWeight = 1, []float64{1000, 1000}, 0.1
+	rig := newRig(t, settings, 2)
 	over := func() (n int) {
 		for range 100 {
-			r.now += 10 * time.Millisecond
-			if r.overQuota(0, false) {
+			rig.now += 10 * time.Millisecond
+			if rig.overQuota(0, false) {
 				n++
 			}
 		}
@@ -52,9 +52,9 @@
 		quota    float64
 		min, max int
 	}{{1, 90, 100}, {1000, 0, 1}} {
-		next := s
+		next := settings
 		next.TenantQuotas = []float64{test.quota, 1000}
-		r.at(r.now, Event{Kind: SettingsChanged, Settings: &next})
+		rig.handle(rig.now, Event{Kind: SettingsChanged, Settings: &next})
 		next.TenantQuotas[0] = -1 // the caller's own slice is the caller's
 		if n := over(); n < test.min || n > test.max {
 			t.Errorf("a quota of %v a second: %d of 100 in a second are beyond it", test.quota, n)
@@ -63,7 +63,7 @@
 }
 
 // Settings that are wrong, or have other numbers of classes or tenants, change nothing.
-func TestReconfigureRefuses(t *testing.T) {
+func TestReconfigureRejectsWrongSettings(t *testing.T) {
 	for name, change := range map[string]func(settings *Settings) *Settings{
 		"none": func(*Settings) *Settings { return nil },
 		"a class more": func(settings *Settings) *Settings {
@@ -75,14 +75,14 @@
 		"a negative aim":   func(settings *Settings) *Settings { settings.Classes[1].LatencyObjective = -1; return settings },
 		"no number at all": func(settings *Settings) *Settings { settings.OverQuotaWeight = math.NaN(); return settings },
 	} {
-		r := newRig(t, testSettings(), 2)
-		before := r.settings
-		before.Classes = append([]Class(nil), r.settings.Classes...)
+		rig := newRig(t, testSettings(), 2)
+		before := rig.settings
+		before.Classes = append([]Class(nil), rig.settings.Classes...)
 		next := testSettings()
 		next.Classes[0].PriorityWeight = 9
-		r.at(r.now, Event{Kind: SettingsChanged, Settings: change(&next)})
-		if !reflect.DeepEqual(r.settings, before) || find(r.actions, Log) == nil {
-			t.Errorf("%s: taken in: %+v", name, r.settings)
+		rig.handle(rig.now, Event{Kind: SettingsChanged, Settings: change(&next)})
+		if !reflect.DeepEqual(rig.settings, before) || findAction(rig.actions, Log) == nil {
+			t.Errorf("%s: taken in: %+v", name, rig.settings)
 		}
 	}
 }
--- a/decision/rules_test.go
+++ b/decision/rules_test.go
@@ -24,42 +24,42 @@
 // answerSlack is how long after its deadline a request may still be answered.
 const answerSlack = 8 * time.Millisecond
 
-// world plays clients, workers and discovery to one dispatcher, and audits its actions against the
+// simulation plays clients, workers and discovery to one dispatcher, and audits its actions against the
 // rules. Its own record of what was sent and told is independent of the module's.
-type world struct {
-	t        *rapid.T
-	s        Settings
-	d        *Machine
-	now      time.Duration
-	listed   map[string]Endpoint // as last told, gone ones included
-	names    []string
-	late     time.Duration // how long it may have stood still
-	requests map[uint64]*job
-	order    []uint64
-	nextID   uint64
-	timers   []timer
-	watching bool
-	pending  []Event         // events of this batch, fixed before any is answered
-	taken    []time.Duration // when requests came since the start, and when further attempts were sent
-	extra    []time.Duration
-	rested   map[string]time.Duration // until when a key rests
+type simulation struct {
+	t             *rapid.T
+	s             Settings
+	d             *Machine
+	now           time.Duration
+	listed        map[string]Endpoint // as last told, gone ones included
+	names         []string
+	stall         time.Duration // how long it may have stood still
+	requests      map[uint64]*simRequest
+	arrivalOrder  []uint64
+	nextID        uint64
+	timers        []simTimer
+	watching      bool
+	pending       []Event         // events of this batch, fixed before any is answered
+	arrivals      []time.Duration // when requests came since the start, and when further attempts were sent
+	retries       []time.Duration
+	cooldownUntil map[string]time.Duration // until when a key rests
 }
 
-type timer struct {
+type simTimer struct {
 	at    time.Duration
 	token uint64
 }
 
-type job struct {
+type simRequest struct {
 	id       uint64
 	key      string
 	class    Class
 	deadline time.Duration
 	answered bool // told to the dispatcher, or answered by it
-	sends    []send
+	attempts []simAttempt
 }
 
-type send struct {
+type simAttempt struct {
 	worker    Endpoint
 	at        time.Duration
 	done      bool
@@ -67,12 +67,12 @@
 	cancelled bool
 }
 
-func newWorld(t *rapid.T) *world {
+func newWorld(t *rapid.T) *simulation {
 	repeats := []Class{
 		{Idempotency: Idempotent}, {Idempotency: NonIdempotent},
 		{Idempotency: Deduplicated, DedupScope: DedupEverywhere}, {Idempotency: Deduplicated, DedupScope: DedupWithinZone}, {Idempotency: Deduplicated, DedupScope: DedupWithinCell},
 	}
-	s := Settings{
+	settings := Settings{
 		Peers: 3, Tick: 2 * time.Millisecond,
 		ListBySubscription: rapid.Bool().Draw(t, "ask"), ListPollInterval: 10 * time.Second,
 		SlowStartFloor: 0.3, SlowStartDuration: 8 * time.Second, OverloadMultiple: 3, OverloadWindow: 2 * time.Second,
@@ -82,50 +82,50 @@
 		MaxRetryAfter: 2 * time.Second, ConnectTimeout: 200 * time.Millisecond, CrossZoneCost: 0.05,
 	}
 	if rapid.Bool().Draw(t, "tenants") {
-		s.TenantQuotas = []float64{5, 10}
+		settings.TenantQuotas = []float64{5, 10}
 	}
-	s.SaturatedMayHaveRun = rapid.Bool().Draw(t, "full is no proof")
+	settings.SaturatedMayHaveRun = rapid.Bool().Draw(t, "full is no proof")
 	if rapid.Bool().Draw(t, "budget") {
-		s.RetryBudgetWindow, s.RetryBudgetFloor, s.RetryBudgetRatio = 2*time.Second, float64(rapid.IntRange(0, 2).Draw(t, "floor")), 0.2
+		settings.RetryBudgetWindow, settings.RetryBudgetFloor, settings.RetryBudgetRatio = 2*time.Second, float64(rapid.IntRange(0, 2).Draw(t, "floor")), 0.2
 	}
 	order := rapid.Bool().Draw(t, "order")
 	if order {
-		s.KeyCooldown = rapid.SampledFrom([]time.Duration{0, 300 * time.Millisecond}).Draw(t, "rest")
+		settings.KeyCooldown = rapid.SampledFrom([]time.Duration{0, 300 * time.Millisecond}).Draw(t, "rest")
 	}
-	for i, c := range repeats {
-		c.PriorityWeight, c.LateWeight = float64(i+1), 0.3
-		c.LatencyObjective, c.ObjectiveStretch, c.Deadline = 200*time.Millisecond, 2, 5*time.Second
-		c.DedupWindow = rapid.SampledFrom([]time.Duration{100 * time.Millisecond, 3 * time.Second}).Draw(t, "window")
+	for i, class := range repeats {
+		class.PriorityWeight, class.LateWeight = float64(i+1), 0.3
+		class.LatencyObjective, class.ObjectiveStretch, class.Deadline = 200*time.Millisecond, 2, 5*time.Second
+		class.DedupWindow = rapid.SampledFrom([]time.Duration{100 * time.Millisecond, 3 * time.Second}).Draw(t, "window")
 		if i == 1 && rapid.Bool().Draw(t, "kind") {
-			c.Kinds = []int{1}
+			class.Kinds = []int{1}
 		}
 		if i == 3 && rapid.Bool().Draw(t, "zone") {
-			c.Zones = []int{0}
+			class.Zones = []int{0}
 		}
-		c.Serialized = i != 2 && order
-		s.Classes = append(s.Classes, c)
+		class.Serialized = i != 2 && order
+		settings.Classes = append(settings.Classes, class)
 	}
-	w := &world{t: t, s: s, now: time.Hour, listed: map[string]Endpoint{}, nextID: 1}
+	sim := &simulation{t: t, s: settings, now: time.Hour, listed: map[string]Endpoint{}, nextID: 1}
 	for i := range rapid.IntRange(1, 8).Draw(t, "workers") {
 		name := fmt.Sprintf("w%d", i)
-		w.names = append(w.names, name)
-		w.listed[name] = Endpoint{Name: name, Zone: i % 2, Kind: i % 2, Cell: i % 4, State: Running}
+		sim.names = append(sim.names, name)
+		sim.listed[name] = Endpoint{Name: name, Zone: i % 2, Kind: i % 2, Cell: i % 4, State: Running}
 	}
-	w.boot()
-	return w
+	sim.restart()
+	return sim
 }
 
-func (w *world) boot() {
-	d, err := New(w.s, rapid.Uint64().Draw(w.t, "seed"))
+func (w *simulation) restart() {
+	machine, err := New(w.s, rapid.Uint64().Draw(w.t, "seed"))
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	w.d, w.requests, w.order, w.timers, w.pending, w.watching = d, map[uint64]*job{}, nil, nil, nil, false
-	w.taken, w.extra, w.rested = nil, nil, map[string]time.Duration{}
-	w.deliver(Event{Kind: ListUpdated, ListKind: ListCached, Endpoints: w.entries()})
+	w.d, w.requests, w.arrivalOrder, w.timers, w.pending, w.watching = machine, map[uint64]*simRequest{}, nil, nil, nil, false
+	w.arrivals, w.retries, w.cooldownUntil = nil, nil, map[string]time.Duration{}
+	w.handle(Event{Kind: ListUpdated, ListKind: ListCached, Endpoints: w.entries()})
 }
 
-func (w *world) entries() (list []Endpoint) {
+func (w *simulation) entries() (list []Endpoint) {
 	for _, name := range w.names {
 		if endpoint := w.listed[name]; endpoint.State != Removed {
 			list = append(list, endpoint)
@@ -134,38 +134,38 @@
 	return list
 }
 
-func (w *world) deliver(event Event) {
+func (w *simulation) handle(event Event) {
 	for _, action := range w.d.Handle(w.now, event, nil) {
-		w.audit(action)
+		w.check(action)
 	}
 }
 
-func (w *world) audit(action Action) {
-	j := w.requests[action.Request]
+func (w *simulation) check(action Action) {
+	request := w.requests[action.Request]
 	switch action.Kind {
 	case Assign:
-		w.auditAssign(j, action)
+		w.checkAssign(request, action)
 	case Reject, Fail:
-		if j == nil || j.answered {
+		if request == nil || request.answered {
 			w.t.Fatalf("a second answer, or one for an unknown request: %+v", action)
 		}
 		if action.Delay < 0 {
 			w.t.Fatalf("negative delay: %+v", action)
 		}
-		if action.Kind == Reject && !j.refusable() {
-			w.t.Fatalf("turned away though it may have run: %+v", j)
+		if action.Kind == Reject && !request.rejectable() {
+			w.t.Fatalf("turned away though it may have run: %+v", request)
 		}
-		j.answered = true
+		request.answered = true
 	case CancelAttempt:
-		if !w.s.Cancellation || j == nil || action.Attempt >= len(j.sends) {
+		if !w.s.Cancellation || request == nil || action.Attempt >= len(request.attempts) {
 			w.t.Fatalf("a stop that is not allowed or names no attempt: %+v", action)
 		}
-		j.sends[action.Attempt].cancelled = true
+		request.attempts[action.Attempt].cancelled = true
 	case SetTimer:
 		if action.Delay < 0 {
 			w.t.Fatalf("timer in the past: %+v", action)
 		}
-		w.timers = append(w.timers, timer{w.now + action.Delay, action.Timer})
+		w.timers = append(w.timers, simTimer{w.now + action.Delay, action.Timer})
 	case Subscribe:
 		if w.watching || !w.s.ListBySubscription {
 			w.t.Fatal("subscribed twice, or where the list is pushed")
@@ -176,36 +176,36 @@
 	}
 }
 
-func (j *job) refusable() bool {
-	for _, s := range j.sends {
-		if !s.neverRan && (j.class.Idempotency == NonIdempotent || j.class.Idempotency == Deduplicated && j.class.DedupScope != DedupEverywhere) {
+func (j *simRequest) rejectable() bool {
+	for _, attempt := range j.attempts {
+		if !attempt.neverRan && (j.class.Idempotency == NonIdempotent || j.class.Idempotency == Deduplicated && j.class.DedupScope != DedupEverywhere) {
 			return false
 		}
 	}
 	return true
 }
 
-func (w *world) auditAssign(j *job, action Action) {
-	if j == nil || j.answered {
+func (w *simulation) checkAssign(request *simRequest, action Action) {
+	if request == nil || request.answered {
 		w.t.Fatalf("work sent for a request that is answered or unknown: %+v", action)
 	}
 	endpoint, ok := w.listed[action.Worker]
 	if !ok || endpoint.State != Running {
 		w.t.Fatalf("work sent to a worker told to be draining or gone: %+v %+v", action, endpoint)
 	}
-	if j.class.Kinds != nil && j.class.Kinds[0] != endpoint.Kind || j.class.Zones != nil && j.class.Zones[0] != endpoint.Zone {
+	if request.class.Kinds != nil && request.class.Kinds[0] != endpoint.Kind || request.class.Zones != nil && request.class.Zones[0] != endpoint.Zone {
 		w.t.Fatalf("a worker that is not open to the class: %+v", action)
 	}
-	w.auditTurn(j)
-	if len(j.sends) > 0 {
-		w.extra = append(w.extra, w.now)
+	w.checkSerialization(request)
+	if len(request.attempts) > 0 {
+		w.retries = append(w.retries, w.now)
 		extra, taken := 0, 0
-		for _, at := range w.extra {
+		for _, at := range w.retries {
 			if w.now-at <= w.s.RetryBudgetWindow {
 				extra++
 			}
 		}
-		for _, at := range w.taken {
+		for _, at := range w.arrivals {
 			if w.now-at < w.s.RetryBudgetWindow {
 				taken++
 			}
@@ -214,60 +214,60 @@
 			w.t.Fatalf("%d further attempts for %d requests", extra, taken)
 		}
 	}
-	if len(j.sends) >= w.s.MaxAttempts {
+	if len(request.attempts) >= w.s.MaxAttempts {
 		w.t.Fatalf("too many attempts: %+v", action)
 	}
-	for _, s := range j.sends {
-		if !s.done && !w.s.Hedging {
+	for _, attempt := range request.attempts {
+		if !attempt.done && !w.s.Hedging {
 			w.t.Fatalf("a second copy: %+v", action)
 		}
-		if s.neverRan || j.class.Idempotency == Idempotent {
+		if attempt.neverRan || request.class.Idempotency == Idempotent {
 			continue
 		}
-		same := j.class.DedupScope == DedupEverywhere || j.class.DedupScope == DedupWithinZone && s.worker.Zone == endpoint.Zone ||
-			j.class.DedupScope == DedupWithinCell && s.worker.Cell == endpoint.Cell && s.worker.Zone == endpoint.Zone
-		if j.class.Idempotency == NonIdempotent || !same || w.now-s.at >= j.class.DedupWindow {
-			w.t.Fatalf("an effect may happen twice: %+v", j)
+		same := request.class.DedupScope == DedupEverywhere || request.class.DedupScope == DedupWithinZone && attempt.worker.Zone == endpoint.Zone ||
+			request.class.DedupScope == DedupWithinCell && attempt.worker.Cell == endpoint.Cell && attempt.worker.Zone == endpoint.Zone
+		if request.class.Idempotency == NonIdempotent || !same || w.now-attempt.at >= request.class.DedupWindow {
+			w.t.Fatalf("an effect may happen twice: %+v", request)
 		}
 	}
-	j.sends = append(j.sends, send{worker: endpoint, at: w.now})
+	request.attempts = append(request.attempts, simAttempt{worker: endpoint, at: w.now})
 }
 
-// auditTurn checks the order by key: all earlier ones of the key are over, and it has rested.
-func (w *world) auditTurn(j *job) {
+// checkSerialization checks the order by key: all earlier ones of the key are over, and it has rested.
+func (w *simulation) checkSerialization(j *simRequest) {
 	if j.key == "" || !j.class.Serialized {
 		return
 	}
-	for _, id := range w.order {
-		q := w.requests[id]
-		if q == j {
+	for _, id := range w.arrivalOrder {
+		request := w.requests[id]
+		if request == j {
 			break
 		}
-		if !q.class.Serialized || q.key != j.key {
+		if !request.class.Serialized || request.key != j.key {
 			continue
 		}
-		if !q.answered || slices.ContainsFunc(q.sends, func(s send) bool { return !s.done }) {
-			w.t.Fatalf("sent out of turn: %+v before %+v", j, q)
+		if !request.answered || slices.ContainsFunc(request.attempts, func(attempt simAttempt) bool { return !attempt.done }) {
+			w.t.Fatalf("sent out of turn: %+v before %+v", j, request)
 		}
 	}
-	if len(j.sends) == 0 && w.now < w.rested[j.key] {
+	if len(j.attempts) == 0 && w.now < w.cooldownUntil[j.key] {
 		w.t.Fatalf("the key has not rested: %+v", j)
 	}
 }
 
 // advance moves the clock in ticks; deadlines and timers come due on the way.
-func (w *world) advance(span time.Duration) {
+func (w *simulation) advance(span time.Duration) {
 	for end := w.now + span; w.now < end; {
 		w.now += w.s.Tick
 		var batch []Event
-		for _, id := range w.order {
-			j := w.requests[id]
-			if w.now < j.deadline {
+		for _, id := range w.arrivalOrder {
+			request := w.requests[id]
+			if w.now < request.deadline {
 				continue
 			}
-			for n := range j.sends {
-				if !j.sends[n].done {
-					batch = append(batch, w.end(j, n, TimedOut))
+			for n := range request.attempts {
+				if !request.attempts[n].done {
+					batch = append(batch, w.endAttempt(request, n, TimedOut))
 				}
 			}
 		}
@@ -279,42 +279,42 @@
 				rest = append(rest, t)
 			}
 		}
-		w.timers = append([]timer(nil), rest...)
+		w.timers = append([]simTimer(nil), rest...)
 		for _, event := range batch {
-			w.deliver(event)
+			w.handle(event)
 		}
-		for _, id := range w.order {
-			if j := w.requests[id]; !j.answered && w.now >= j.deadline+answerSlack+w.late {
-				w.t.Fatalf("request lost: %+v", j)
+		for _, id := range w.arrivalOrder {
+			if request := w.requests[id]; !request.answered && w.now >= request.deadline+answerSlack+w.stall {
+				w.t.Fatalf("request lost: %+v", request)
 			}
 		}
 	}
 }
 
-// end records the outcome of a send and returns its event.
-func (w *world) end(j *job, n int, o AttemptOutcome) Event {
-	s := &j.sends[n]
-	s.done = true
-	s.neverRan = o == Saturated && !w.s.SaturatedMayHaveRun || o == ConnectionRefused || o == NotSent
-	if j.class.Serialized && (o == TimedOut || o == ConnectionLost || o == Cancelled) {
-		w.rested[j.key] = w.now + w.s.KeyCooldown
+// endAttempt records the outcome of a send and returns its event.
+func (w *simulation) endAttempt(request *simRequest, n int, outcome AttemptOutcome) Event {
+	attempt := &request.attempts[n]
+	attempt.done = true
+	attempt.neverRan = outcome == Saturated && !w.s.SaturatedMayHaveRun || outcome == ConnectionRefused || outcome == NotSent
+	if request.class.Serialized && (outcome == TimedOut || outcome == ConnectionLost || outcome == Cancelled) {
+		w.cooldownUntil[request.key] = w.now + w.s.KeyCooldown
 	}
-	if o == Completed {
-		j.answered = true
+	if outcome == Completed {
+		request.answered = true
 	}
 	return Event{
-		Kind: AttemptEnded, Request: j.id, Attempt: n, Worker: s.worker.Name, Outcome: o,
-		Answered: j.answered,
+		Kind: AttemptEnded, Request: request.id, Attempt: n, Worker: attempt.worker.Name, Outcome: outcome,
+		Answered: request.answered,
 		Load:     LoadReport{HasFreeSlots: true, FreeSlots: 1},
 	}
 }
 
-// drawOut draws one of the attempts outstanding, if there is any: its request and its number.
-func (w *world) drawOut() (j *job, n int, ok bool) {
+// drawOutstanding draws one of the attempts outstanding, if there is any: its request and its number.
+func (w *simulation) drawOutstanding() (request *simRequest, n int, ok bool) {
 	var all [][2]int
-	for i, id := range w.order {
-		for n := range w.requests[id].sends {
-			if !w.requests[id].sends[n].done {
+	for i, id := range w.arrivalOrder {
+		for n := range w.requests[id].attempts {
+			if !w.requests[id].attempts[n].done {
 				all = append(all, [2]int{i, n})
 			}
 		}
@@ -323,35 +323,35 @@
 		return nil, 0, false
 	}
 	at := rapid.SampledFrom(all).Draw(w.t, "attempt")
-	return w.requests[w.order[at[0]]], at[1], true
+	return w.requests[w.arrivalOrder[at[0]]], at[1], true
 }
 
 func TestRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		sim := newWorld(t)
 		for range rapid.IntRange(20, 120).Draw(t, "steps") {
-			w.step()
+			sim.step()
 		}
-		w.advance(6 * time.Second) // past every deadline
-		for _, j := range w.requests {
-			if !j.answered {
-				t.Fatalf("no answer: %+v", j)
+		sim.advance(6 * time.Second) // past every deadline
+		for _, request := range sim.requests {
+			if !request.answered {
+				t.Fatalf("no answer: %+v", request)
 			}
 		}
-		if n := len(w.d.requests) + len(w.d.queue); n != 0 {
+		if n := len(sim.d.requests) + len(sim.d.queue); n != 0 {
 			t.Fatalf("%d requests held after all have ended", n)
 		}
-		w.advance(w.s.KeyCooldown + 2*w.s.Tick)
-		if n := len(w.d.keyQueues) + len(w.d.coolingDown); n != 0 {
+		sim.advance(sim.s.KeyCooldown + 2*sim.s.Tick)
+		if n := len(sim.d.keyQueues) + len(sim.d.coolingDown); n != 0 {
 			t.Fatalf("%d keys kept after all have ended and rested", n)
 		}
-		if w.d.inFlight != 0 {
-			t.Fatalf("%v slots leased after all have ended", w.d.inFlight)
+		if sim.d.inFlight != 0 {
+			t.Fatalf("%v slots leased after all have ended", sim.d.inFlight)
 		}
 	})
 }
 
-func (w *world) step() {
+func (w *simulation) step() {
 	t := w.t
 	switch rapid.IntRange(0, 16).Draw(t, "step") {
 	case 16: // a stall: no turn for a while, then all that came meanwhile at once, timers last or first
@@ -359,35 +359,35 @@
 		w.now += stall
 		if rapid.Bool().Draw(t, "timers first") {
 			w.now -= w.s.Tick
-			w.late = stall
+			w.stall = stall
 			w.advance(w.s.Tick)
 		}
 		for range rapid.IntRange(1, 5).Draw(t, "late events") {
 			w.arrive()
-			if j, n, ok := w.drawOut(); ok {
-				w.deliver(w.end(j, n, rapid.SampledFrom([]AttemptOutcome{Completed, Saturated, ConnectionLost}).Draw(t, "late outcome")))
+			if request, n, ok := w.drawOutstanding(); ok {
+				w.handle(w.endAttempt(request, n, rapid.SampledFrom([]AttemptOutcome{Completed, Saturated, ConnectionLost}).Draw(t, "late outcome")))
 			}
 		}
 	case 0, 1, 2, 3, 4:
 		w.arrive()
 	case 5, 6, 7, 8:
-		if j, n, ok := w.drawOut(); ok {
-			o := rapid.SampledFrom([]AttemptOutcome{Completed, Completed, Failed, Saturated, TimedOut, ConnectionRefused, ConnectionLost, Cancelled}).Draw(t, "outcome")
-			if o == Cancelled && !j.sends[n].cancelled {
-				o = ConnectionLost
+		if request, n, ok := w.drawOutstanding(); ok {
+			outcome := rapid.SampledFrom([]AttemptOutcome{Completed, Completed, Failed, Saturated, TimedOut, ConnectionRefused, ConnectionLost, Cancelled}).Draw(t, "outcome")
+			if outcome == Cancelled && !request.attempts[n].cancelled {
+				outcome = ConnectionLost
 			}
-			event := w.end(j, n, o)
-			if rapid.Bool().Draw(t, "hang up in the same batch") && !j.answered {
-				w.deliver(Event{Kind: ClientDisconnected, Request: j.id})
-				j.answered, event.Answered = true, true
+			event := w.endAttempt(request, n, outcome)
+			if rapid.Bool().Draw(t, "hang up in the same batch") && !request.answered {
+				w.handle(Event{Kind: ClientDisconnected, Request: request.id})
+				request.answered, event.Answered = true, true
 			}
-			w.deliver(event)
-			w.deliver(event) // a late echo must change nothing
+			w.handle(event)
+			w.handle(event) // a late echo must change nothing
 		}
 	case 9:
-		if j, n, ok := w.drawOut(); ok {
+		if request, n, ok := w.drawOutstanding(); ok {
 			kind := rapid.SampledFrom([]EventKind{AttemptStarted, AttemptProgressed}).Draw(t, "note")
-			w.deliver(Event{Kind: kind, Request: j.id, Attempt: n, Worker: j.sends[n].worker.Name,
+			w.handle(Event{Kind: kind, Request: request.id, Attempt: n, Worker: request.attempts[n].worker.Name,
 				Fraction: rapid.SampledFrom([]float64{-1, 0, 0.5, 1, 7}).Draw(t, "fraction")})
 		}
 	case 10, 11:
@@ -395,44 +395,44 @@
 	case 12:
 		if w.s.ListBySubscription && w.watching {
 			w.watching = false
-			w.deliver(Event{Kind: ListUpdated, ListKind: ListFailed})
+			w.handle(Event{Kind: ListUpdated, ListKind: ListFailed})
 		}
 	case 13:
 		if rapid.IntRange(0, 5).Draw(t, "crash") == 0 {
-			w.boot()
+			w.restart()
 		}
-		w.deliver(Event{Kind: ClientDisconnected, Request: 1 << 50})
-		w.deliver(Event{Kind: AttemptEnded, Request: 1 << 50, Worker: "nobody"})
-		w.deliver(Event{Kind: TimerFired, Timer: 1 << 50})
+		w.handle(Event{Kind: ClientDisconnected, Request: 1 << 50})
+		w.handle(Event{Kind: AttemptEnded, Request: 1 << 50, Worker: "nobody"})
+		w.handle(Event{Kind: TimerFired, Timer: 1 << 50})
 	default:
 		w.advance(time.Duration(rapid.SampledFrom([]int{1, 5, 50, 400}).Draw(t, "ticks")) * w.s.Tick)
 	}
 }
 
-func (w *world) arrive() {
+func (w *simulation) arrive() {
 	t := w.t
 	n := rapid.IntRange(0, len(w.s.Classes)-1).Draw(t, "class")
 	left := rapid.SampledFrom([]time.Duration{-time.Second, 0, time.Millisecond, 300 * time.Millisecond, 5 * time.Second}).Draw(t, "left")
 	for range rapid.IntRange(1, 12).Draw(t, "burst") {
-		j := &job{id: w.nextID, class: w.s.Classes[n], deadline: w.now + max(left, 0)}
+		request := &simRequest{id: w.nextID, class: w.s.Classes[n], deadline: w.now + max(left, 0)}
 		w.nextID++
 		if rapid.Bool().Draw(t, "keyed") {
-			j.key = rapid.SampledFrom([]string{"a", "b"}).Draw(t, "key")
+			request.key = rapid.SampledFrom([]string{"a", "b"}).Draw(t, "key")
 		}
-		w.taken = append(w.taken, w.now)
-		w.requests[j.id] = j
-		w.order = append(w.order, j.id)
-		w.deliver(Event{
-			Kind: RequestArrived, Request: j.id, Class: n, TimeLeft: left,
+		w.arrivals = append(w.arrivals, w.now)
+		w.requests[request.id] = request
+		w.arrivalOrder = append(w.arrivalOrder, request.id)
+		w.handle(Event{
+			Kind: RequestArrived, Request: request.id, Class: n, TimeLeft: left,
 			Tenant:      rapid.IntRange(-1, 2).Draw(t, "tenant"),
 			Slots:       rapid.SampledFrom([]float64{1, 2, 4, 0, -3, 1e18}).Draw(t, "slots"),
 			Work:        rapid.SampledFrom([]time.Duration{0, -1, time.Millisecond, time.Second, 1 << 62}).Draw(t, "work"),
-			ClientRetry: rapid.Bool().Draw(t, "retry"), Key: j.key,
+			ClientRetry: rapid.Bool().Draw(t, "retry"), Key: request.key,
 		})
 	}
 }
 
-func (w *world) changeList() {
+func (w *simulation) changeList() {
 	if w.s.ListBySubscription && !w.watching {
 		return
 	}
@@ -444,8 +444,8 @@
 	}
 	w.listed[name] = endpoint
 	if rapid.Bool().Draw(w.t, "complete") {
-		w.deliver(Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: w.entries()})
+		w.handle(Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: w.entries()})
 	} else {
-		w.deliver(Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{endpoint}})
+		w.handle(Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{endpoint}})
 	}
 }
--- a/decision/starttime_test.go
+++ b/decision/starttime_test.go
@@ -7,7 +7,7 @@
 
 // A machine whose wall clock is an hour off at the start of the process takes no
 // fresh worker for a warm one, in either direction.
-func TestFreshWorkersUnderAWrongClock(t *testing.T) {
+func TestSlowStartUnderAWrongClock(t *testing.T) {
 	const hour, warm = time.Hour, 8 * time.Second
 	for name, c := range map[string]struct {
 		list  ListKind
@@ -26,7 +26,7 @@
 		"one that started before time was told":    {ListDelta, -1, 0, 3 * hour, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d, err := New(Settings{Classes: []Class{{Deadline: time.Second}}, SlowStartFloor: 0.3, SlowStartDuration: warm, OverloadMultiple: 4, OverloadWindow: time.Second}, 1)
+			machine, err := New(Settings{Classes: []Class{{Deadline: time.Second}}, SlowStartFloor: 0.3, SlowStartDuration: warm, OverloadMultiple: 4, OverloadWindow: time.Second}, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -34,18 +34,18 @@
 			if c.known >= 0 {
 				first = append(first, Endpoint{Name: "w", StartedAt: c.known})
 			}
-			d.Handle(c.now-hour/2, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: first}, nil)
+			machine.Handle(c.now-hour/2, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: first}, nil)
 			list := Event{Kind: ListUpdated, ListKind: c.list, Endpoints: []Endpoint{{Name: "w", StartedAt: c.told}, {Name: "other"}}}
-			d.Handle(c.now, list, nil)
-			if cold := d.capacityFraction(d.workers["w"]) < 1; cold != c.cold {
+			machine.Handle(c.now, list, nil)
+			if cold := machine.capacityFraction(machine.workers["w"]) < 1; cold != c.cold {
 				t.Errorf("cold %v, not %v", cold, c.cold)
 			}
-			d.Handle(c.now+time.Second, list, nil) // told again, it is no news
-			if cold := d.capacityFraction(d.workers["w"]) < 1; cold != c.cold {
+			machine.Handle(c.now+time.Second, list, nil) // told again, it is no news
+			if cold := machine.capacityFraction(machine.workers["w"]) < 1; cold != c.cold {
 				t.Errorf("told again: cold %v, not %v", cold, c.cold)
 			}
-			d.Handle(c.now+warm+time.Second, Event{Kind: TimerFired, Timer: sweepTimer}, nil)
-			if c.now >= c.told && d.capacityFraction(d.workers["w"]) < 1 {
+			machine.Handle(c.now+warm+time.Second, Event{Kind: TimerFired, Timer: sweepTimer}, nil)
+			if c.now >= c.told && machine.capacityFraction(machine.workers["w"]) < 1 {
 				t.Error("it does not become warm")
 			}
 		})
