--- /dev/null
+++ b/decision/admission_test.go
@@ -0,0 +1,106 @@
+package decision
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+// An attempt needs both the concurrency ceiling and the token bucket, and a worker. What one of them
+// refuses keeps nothing of the others.
+func TestRefusedAttemptKeepsNoCapacity(t *testing.T) {
+	rig := newRig(t, testSettings(), 4)
+	rig.concurrencyPerWorker = 0.5 // two slots, and the room
+	for range 2 + int(concurrencyHeadroom) {
+		rig.arrive(0)
+	}
+	if rig.inFlight != 2+concurrencyHeadroom {
+		t.Fatalf("%v slots leased under a ceiling of two and room for %v", rig.inFlight, concurrencyHeadroom)
+	}
+	if rig.send(0) != "" {
+		t.Fatal("lease above the ceiling")
+	}
+	rig = newRig(t, testSettings(), 4)
+	rig.bucketTokens, rig.bucketRefilledAt, rig.workRatePerWorker = 0.5, rig.now, 1
+	if id := rig.arrive(0); rig.assignedTo(id) != "" || rig.inFlight != 0 {
+		t.Fatalf("bucket denied, yet sent or %v slots leased", rig.inFlight)
+	}
+	rig = newRig(t, testSettings(), 1)
+	rig.fleet[0].saturatedUntil = rig.now + time.Second
+	bucket := 1.5
+	rig.bucketTokens, rig.bucketRefilledAt = bucket, rig.now
+	if id := rig.arrive(0); rig.assignedTo(id) != "" || rig.inFlight != 0 || rig.bucketTokens != bucket {
+		t.Fatal("no ready worker, yet a lease or debit was kept")
+	}
+}
+
+// Peers may be missing, or far above the requests a second there are: one request at a time is still
+// admitted.
+func TestAnyNumberOfPeersWorks(t *testing.T) {
+	for _, peers := range []int{-1, 0, 1, 1e6} {
+		settings := testSettings()
+		settings.Peers = peers
+		rig := newRig(t, settings, 4)
+		for range 5 {
+			id := rig.arrive(0)
+			if rig.assignedTo(id) == "" {
+				t.Fatalf("%d peers: an idle dispatcher holds a job back", peers)
+			}
+			rig.endAttempt(id, 0, Completed, time.Second)
+		}
+	}
+}
+
+func TestAbsurdInputIsHarmless(t *testing.T) {
+	rig := newRig(t, testSettings(), 3)
+	for _, work := range []time.Duration{-1, 0, 1, math.MaxInt64, math.MinInt64} {
+		for _, left := range []time.Duration{-time.Hour, 0, 1, math.MaxInt64} {
+			for _, slots := range []float64{0, -1, math.NaN(), math.Inf(1), 1e300, 3} {
+				id := rig.next
+				rig.next++
+				rig.handle(
+					rig.now,
+					Event{
+						Kind:     RequestArrived,
+						Request:  id,
+						Slots:    slots,
+						Work:     work,
+						TimeLeft: left,
+						Tenant:   -7,
+					},
+				)
+				if request := rig.requests[id]; request != nil &&
+					!(request.value >= 0 && request.cost > 0 && !math.IsInf(request.cost+request.value, 0)) {
+					t.Fatalf("work %v, left %v, slots %v: %+v", work, left, slots, request)
+				}
+			}
+		}
+	}
+	rig.handle(rig.now, Event{Kind: RequestArrived, Request: 1 << 40, Class: 99})
+	if findAction(rig.actions, Fail) == nil {
+		t.Fatal("an unknown class is not answered")
+	}
+	rig.solvePrices()
+	if !(rig.workPrice >= 0 && rig.slotPrice >= 0) || math.IsInf(rig.workPrice+rig.slotPrice, 0) {
+		t.Fatalf("prices %v, %v", rig.workPrice, rig.slotPrice)
+	}
+}
+
+// Where clients do not mark retries, the time left tells how long ago the first try was sent: a retry keeps
+// that objective and does not count in the mix again.
+func TestUnmarkedRetriesKeepTheirObjective(t *testing.T) {
+	rig := newRig(t, testSettings(), 4)
+	first := rig.arrive(0)
+	aim := rig.requests[first].objective
+	rig.now += 2 * time.Second
+	rig.handle(
+		rig.now,
+		Event{Kind: RequestArrived, Request: 99, Slots: 1, Work: time.Second, TimeLeft: 3 * time.Second},
+	)
+	if request := rig.requests[99]; request == nil || request.objective != aim {
+		t.Fatalf("the repeat of a job with its aim at %v: %+v", aim, request)
+	}
+	if _, jobs := rig.recentMix(); jobs > 1 {
+		t.Fatalf("%v jobs in the mix", jobs)
+	}
+}
--- a/decision/capacity_test.go
+++ b/decision/capacity_test.go
@@ -21,7 +21,10 @@
 	t.Helper()
 	settings := testSettings()
 	settings.Peers, settings.CrossZoneCost, settings.StartNotices = 300, 0.05, true
-	settings.Classes = append(settings.Classes, Class{PriorityWeight: 1, Deadline: 5 * time.Second, Kinds: []int{1}})
+	settings.Classes = append(
+		settings.Classes,
+		Class{PriorityWeight: 1, Deadline: 5 * time.Second, Kinds: []int{1}},
+	)
 	machine, err := New(settings, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -29,7 +32,13 @@
 	const start = time.Hour
 	list := make([]Endpoint, workers)
 	for i := range list {
-		list[i] = Endpoint{Name: fmt.Sprintf("w%d", i), Zone: i % largeFleetZones, Kind: i % 3, Cell: i % 1000, State: Running}
+		list[i] = Endpoint{
+			Name:  fmt.Sprintf("w%d", i),
+			Zone:  i % largeFleetZones,
+			Kind:  i % 3,
+			Cell:  i % 1000,
+			State: Running,
+		}
 		if coldEvery > 0 && i%coldEvery == 0 {
 			list[i].StartedAt = start
 		}
@@ -71,13 +80,18 @@
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				entries[0] = entry(list, i)
-				out = machine.Handle(machine.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: entries}, out[:0])
+				out = machine.Handle(
+					machine.now,
+					Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: entries},
+					out[:0],
+				)
 			}
 		})
 	}
 }
 
-// BenchmarkPick is an arrival that is placed and answered, with all workers warm and with a tenth of them cold.
+// BenchmarkPick is an arrival that is placed and answered, with all workers warm and with a tenth of them
+// cold.
 func BenchmarkPick(b *testing.B) {
 	for _, coldEvery := range []int{0, 10} {
 		for _, workers := range fleetSizes {
@@ -92,11 +106,19 @@
 						out = machine.Handle(now, Event{Kind: TimerFired, Timer: sweepTimer}, out[:0])
 					}
 					id := uint64(i + 1)
-					out = machine.Handle(now, Event{Kind: RequestArrived, Request: id, Slots: 1, Work: 10 * time.Millisecond,
-						TimeLeft: 5 * time.Second}, out[:0])
+					out = machine.Handle(
+						now,
+						Event{Kind: RequestArrived, Request: id, Slots: 1, Work: 10 * time.Millisecond,
+							TimeLeft: 5 * time.Second},
+						out[:0],
+					)
 					if action := findAction(out, Assign); action != nil {
-						out = machine.Handle(now, Event{Kind: AttemptEnded, Request: id, Worker: action.Worker, Outcome: Completed,
-							Answered: true}, out[:0])
+						out = machine.Handle(
+							now,
+							Event{Kind: AttemptEnded, Request: id, Worker: action.Worker, Outcome: Completed,
+								Answered: true},
+							out[:0],
+						)
 					}
 				}
 			})
@@ -106,11 +128,17 @@
 
 // listsOf are the lists of a dispatcher in which each worker knows its place.
 func listsOf(machine *Machine) map[listID][]*worker {
-	return map[listID][]*worker{inFleet: machine.fleet, inWarmWorkers: machine.warmWorkers, inLocalWarmWorkers: machine.localWarmWorkers, inWarmingUp: machine.warmingUp}
+	return map[listID][]*worker{
+		inFleet:            machine.fleet,
+		inWarmWorkers:      machine.warmWorkers,
+		inLocalWarmWorkers: machine.localWarmWorkers,
+		inWarmingUp:        machine.warmingUp,
+	}
 }
 
-// A delta of one worker must take no work that goes with the fleet: it reads no other worker, but for the one that
-// takes its place in a list, and allocates nothing. All others are nil here, and a walk over them would panic.
+// A delta of one worker must take no work that goes with the fleet: it reads no other worker, but for the
+// one that takes its position in a list, and allocates nothing. All others are nil here, and a walk over
+// them would panic.
 func TestDeltaReadsNoOtherWorker(t *testing.T) {
 	const workers = 21000
 	for _, index := range []int{1700, 1717} { // both of the own zone, the first one cold
@@ -123,7 +151,8 @@
 	for _, state := range []WorkerState{Running, Draining, Removed} {
 		machine, list := newLargeFleet(t, workers, 10)
 		worker := machine.workers[changed]
-		if cold := index%10 == 0; (worker.positions[inWarmingUp] > 0) != cold || (worker.positions[inLocalWarmWorkers] > 0) == cold {
+		if cold := index%10 == 0; (worker.positions[inWarmingUp] > 0) != cold ||
+			(worker.positions[inLocalWarmWorkers] > 0) == cold {
 			t.Fatalf("%s stands in the wrong lists: %v", changed, worker.positions)
 		}
 		for id, members := range listsOf(machine) {
@@ -140,14 +169,18 @@
 			t.Fatalf("%s is changed", endpoint.Name)
 		}
 		endpoint.State = state
-		machine.Handle(machine.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{endpoint}}, nil)
+		machine.Handle(
+			machine.now,
+			Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{endpoint}},
+			nil,
+		)
 		if gone := machine.workers[changed] == nil; gone != (state == Removed) {
 			t.Errorf("state %v: gone: %v", state, gone)
 		}
 	}
 }
 
-// The same for one that comes, in allocations: what it is itself, however large the fleet.
+// The same for a worker that comes, in allocations: what it is itself, however large the fleet.
 func TestDeltaAllocatesByItsLength(t *testing.T) {
 	allocated := map[int]float64{}
 	for _, workers := range fleetSizes {
@@ -159,7 +192,11 @@
 				entries[0].State = Removed
 			}
 			i++
-			out = machine.Handle(machine.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: entries}, out[:0])
+			out = machine.Handle(
+				machine.now,
+				Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: entries},
+				out[:0],
+			)
 		})
 	}
 	if allocated[21000] > allocated[200]+1 {
@@ -167,14 +204,17 @@
 	}
 }
 
-// What is kept by difference must be what a count anew gives, whatever the lists say: names that stand twice, restarts,
-// workers that go and come, unknown ones that are gone, complete lists between deltas. Two dispatchers with one seed
-// do the same, the ring included.
+// What is kept incrementally must be what a recount gives, whatever the lists say: names that stand twice,
+// restarts, workers that go and come, unknown ones that are gone, complete lists between deltas. Two
+// machines with one seed do the same, the ring included.
 func TestIncrementalCountsAgreeWithARecount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := testSettings()
 		settings.CrossZoneCost, settings.CacheMissCost = 0.05, 0.1
-		settings.Classes = append(settings.Classes, Class{PriorityWeight: 1, Deadline: 5 * time.Second, Kinds: []int{1}, Zones: []int{0}})
+		settings.Classes = append(
+			settings.Classes,
+			Class{PriorityWeight: 1, Deadline: 5 * time.Second, Kinds: []int{1}, Zones: []int{0}},
+		)
 		a, errA := New(settings, 7)
 		b, errB := New(settings, 7)
 		if errA != nil || errB != nil {
@@ -196,11 +236,13 @@
 				entries = append(entries, Endpoint{
 					Name: fmt.Sprintf("w%d", rapid.IntRange(0, names-1).Draw(t, "worker")),
 					Zone: rapid.IntRange(0, 2).Draw(t, "zone"), Kind: rapid.IntRange(0, 2).Draw(t, "kind"),
-					State:     rapid.SampledFrom([]WorkerState{Running, Running, Draining, Removed}).Draw(t, "state"),
+					State: rapid.SampledFrom([]WorkerState{Running, Running, Draining, Removed}).
+						Draw(t, "state"),
 					StartedAt: now - time.Duration(rapid.IntRange(0, 12000).Draw(t, "age"))*time.Millisecond,
 				})
 			}
-			kind := rapid.SampledFrom([]ListKind{ListDelta, ListDelta, ListDelta, ListSnapshot}).Draw(t, "list")
+			kind := rapid.SampledFrom([]ListKind{ListDelta, ListDelta, ListDelta, ListSnapshot}).
+				Draw(t, "list")
 			both(Event{Kind: ListUpdated, ListKind: kind, Endpoints: entries})
 			if len(a.fleet) > 0 && rapid.Bool().Draw(t, "suspect") {
 				i := rapid.IntRange(0, len(a.fleet)-1).Draw(t, "which")
@@ -210,10 +252,26 @@
 			}
 			if rapid.Bool().Draw(t, "arrival") {
 				id := uint64(step + 1)
-				did := both(Event{Kind: RequestArrived, Request: id, Slots: 1, Work: 10 * time.Millisecond, TimeLeft: 5 * time.Second,
-					Key: rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "key")})
+				did := both(
+					Event{
+						Kind:     RequestArrived,
+						Request:  id,
+						Slots:    1,
+						Work:     10 * time.Millisecond,
+						TimeLeft: 5 * time.Second,
+						Key:      rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "key"),
+					},
+				)
 				if assigned := findAction(did, Assign); assigned != nil && rapid.Bool().Draw(t, "answered") {
-					both(Event{Kind: AttemptEnded, Request: id, Worker: assigned.Worker, Outcome: Completed, Answered: true})
+					both(
+						Event{
+							Kind:     AttemptEnded,
+							Request:  id,
+							Worker:   assigned.Worker,
+							Outcome:  Completed,
+							Answered: true,
+						},
+					)
 				}
 			}
 			if rapid.Bool().Draw(t, "beat") {
@@ -253,19 +311,32 @@
 			}
 		}
 	}
-	if machine.runningCount != running || machine.ejectedCount != suspects || !maps.Equal(machine.eligible, open) {
+	if machine.runningCount != running || machine.ejectedCount != suspects ||
+		!maps.Equal(machine.eligible, open) {
 		t.Fatalf("%d run, %d of them suspects, open %v; counted %d, %d, %v",
 			machine.runningCount, machine.ejectedCount, machine.eligible, running, suspects, open)
 	}
 	for id, members := range listsOf(machine) {
 		for i, worker := range members {
 			if worker.positions[id] != i+1 || machine.workers[worker.Name] != worker {
-				t.Fatalf("list %v: %s stands at %d and takes itself to be at %d", id, worker.Name, i, worker.positions[id]-1)
+				t.Fatalf(
+					"list %v: %s stands at %d and takes itself to be at %d",
+					id,
+					worker.Name,
+					i,
+					worker.positions[id]-1,
+				)
 			}
 		}
 	}
-	if machine.updateRing(); len(machine.ring) != len(machine.fleet) || !slices.IsSortedFunc(machine.ring, compareByHash) {
-		t.Fatalf("%d on the ring, of %d; in order: %v", len(machine.ring), len(machine.fleet), slices.IsSortedFunc(machine.ring, compareByHash))
+	if machine.updateRing(); len(machine.ring) != len(machine.fleet) ||
+		!slices.IsSortedFunc(machine.ring, compareByHash) {
+		t.Fatalf(
+			"%d on the ring, of %d; in order: %v",
+			len(machine.ring),
+			len(machine.fleet),
+			slices.IsSortedFunc(machine.ring, compareByHash),
+		)
 	}
 	for _, worker := range machine.ring {
 		if machine.workers[worker.Name] != worker {
@@ -274,7 +345,8 @@
 	}
 }
 
-// A pick must draw a bounded number of cold workers, however many there are, and all of them in turn.
+// A pick must draw a bounded number of workers in slow start, however many there are, and all of them in
+// turn.
 func TestDrawsInSlowStartAreBoundedAndFair(t *testing.T) {
 	machine, _ := newLargeFleet(t, 21000, 1)
 	drawn := map[*worker]int{}
@@ -294,7 +366,11 @@
 		}
 	}
 	before := slices.Clone(machine.warmingUp)
-	machine.Handle(machine.now, Event{Kind: RequestArrived, Request: 1, Slots: 1, Work: time.Second, TimeLeft: 5 * time.Second}, nil)
+	machine.Handle(
+		machine.now,
+		Event{Kind: RequestArrived, Request: 1, Slots: 1, Work: time.Second, TimeLeft: 5 * time.Second},
+		nil,
+	)
 	moved := 0
 	for i, worker := range machine.warmingUp {
 		if worker != before[i] {
@@ -306,8 +382,8 @@
 	}
 }
 
-// Every newcomer must get work before it is warm, where there is traffic enough: none is passed over since there are
-// many of them.
+// Every new worker must get requests before it has warmed up, where there is traffic enough: none is passed
+// over since there are many of them.
 func TestEveryWorkerGetsRequestsInSlowStart(t *testing.T) {
 	const workers, perSecond = 2100, 2000
 	settings := testSettings()
@@ -330,11 +406,25 @@
 				machine.Handle(now, Event{Kind: TimerFired, Timer: sweepTimer}, nil)
 			}
 			id++
-			did := machine.Handle(now, Event{Kind: RequestArrived, Request: id, Slots: 1, Work: 50 * time.Millisecond,
-				TimeLeft: 5 * time.Second}, nil)
+			did := machine.Handle(
+				now,
+				Event{Kind: RequestArrived, Request: id, Slots: 1, Work: 50 * time.Millisecond,
+					TimeLeft: 5 * time.Second},
+				nil,
+			)
 			if action := findAction(did, Assign); action != nil {
 				served[action.Worker]++
-				machine.Handle(now, Event{Kind: AttemptEnded, Request: id, Worker: action.Worker, Outcome: Completed, Answered: true}, nil)
+				machine.Handle(
+					now,
+					Event{
+						Kind:     AttemptEnded,
+						Request:  id,
+						Worker:   action.Worker,
+						Outcome:  Completed,
+						Answered: true,
+					},
+					nil,
+				)
 			}
 		}
 	}
@@ -342,7 +432,15 @@
 	clear(served)
 	start := now
 	for i := 0; i < workers; i += 10 {
-		machine.Handle(now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: fmt.Sprintf("w%d", i), StartedAt: start}}}, nil)
+		machine.Handle(
+			now,
+			Event{
+				Kind:      ListUpdated,
+				ListKind:  ListDelta,
+				Endpoints: []Endpoint{{Name: fmt.Sprintf("w%d", i), StartedAt: start}},
+			},
+			nil,
+		)
 	}
 	arrivals(start + settings.SlowStartDuration)
 	for i := 0; i < workers; i += 10 {
@@ -352,8 +450,8 @@
 	}
 }
 
-// What warm workers take is computed over some beats where they are many: no beat looks at more than shareSteps of
-// them, and the shares come to what all of them take.
+// What warm workers take is computed over some sweeps where they are many: no sweep interval looks at more
+// than scanWorkersPerSweep of them, and the rates come to what all of them take.
 func TestWorkRatesOfALargeFleetAreScannedInParts(t *testing.T) {
 	const workers = 21000
 	machine, _ := newLargeFleet(t, workers, 10)
--- /dev/null
+++ b/decision/connection_test.go
@@ -0,0 +1,60 @@
+package decision
+
+import (
+	"testing"
+	"time"
+)
+
+// Connections that were dropped while unused swallow what is sent on them. A later request that starts
+// there shows it; from then on old ones are closed before use.
+func TestDeadConnectionsAreFoundAndClosed(t *testing.T) {
+	settings := testSettings()
+	settings.StartNotices, settings.StartsInOrder, settings.ConnectionIdleTimeout = true, true, 30*time.Second
+	settings.Classes[1].LateWeight = 0.1 // one that earns nothing late is called off before the next job tells
+	rig := newRig(t, settings, 1)
+	first := rig.arrive(1)
+	rig.endAttempt(first, 0, Completed, 100*time.Millisecond)
+	rig.now += 6 * time.Second
+	rig.connectionLostAt = rig.now // one was lost before: a single one may have another cause
+	lost := rig.arrive(1)          // sent on the connection that was unused for 6 s
+	if findAction(rig.actions, CloseIdle) != nil {
+		t.Fatal("connections closed without a reason")
+	}
+	for range 40 {
+		rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
+	}
+	next := rig.arrive(1)
+	if rig.assignedTo(next) == "" {
+		t.Fatal("the worker is kept from work by a job that its connection lost")
+	}
+	rig.handle(rig.now+5*time.Millisecond, Event{Kind: AttemptStarted, Request: next, Worker: "w0"})
+	if findAction(rig.actions, Fail) == nil || findAction(rig.actions, CancelAttempt) == nil ||
+		!rig.requests[lost].ended {
+		t.Fatalf("a lost job is kept: %v", rig.actions)
+	}
+	if rig.workers["w0"].ejected || rig.safeIdleTime > 3*time.Second {
+		t.Fatalf("suspect %v, bound %v", rig.workers["w0"].ejected, rig.safeIdleTime)
+	}
+	rig.endAttempt(next, 0, Completed, 100*time.Millisecond)
+	rig.handle(rig.now, Event{Kind: AttemptEnded, Request: lost, Worker: "w0", Outcome: Cancelled})
+	rig.now += 4 * time.Second
+	if rig.arrive(1); findAction(rig.actions, CloseIdle) == nil || findAction(rig.actions, Assign) == nil {
+		t.Fatalf("a connection unused for 4 s is used: %v", rig.actions)
+	}
+}
+
+// A reset right after the send on an old connection is about the connection, not about the worker.
+func TestResetOfAnOldConnectionBlamesNoWorker(t *testing.T) {
+	settings := testSettings()
+	settings.ConnectionIdleTimeout = 30 * time.Second
+	rig := newRig(t, settings, 1)
+	rig.endAttempt(rig.arrive(0), 0, Completed, 100*time.Millisecond)
+	rig.now += 6 * time.Second
+	rig.connectionLostAt = rig.now
+	id := rig.arrive(0)
+	rig.endAttempt(id, 0, ConnectionLost, time.Millisecond)
+	if worker := rig.fleet[0]; worker.ejected || worker.failureScore.value > 0 ||
+		rig.safeIdleTime != 3*time.Second {
+		t.Fatalf("failure score %v, bound %v", worker.failureScore.value, rig.safeIdleTime)
+	}
+}
--- a/decision/dual_test.go
+++ b/decision/dual_test.go
@@ -44,6 +44,8 @@
 	return sum
 }
 
+// solveDual agrees with an independent solver of the linear program, and breaks ties toward the most
+// selective prices.
 func TestSolveDualMatchesSimplex(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 400 {
--- /dev/null
+++ b/decision/load_test.go
@@ -0,0 +1,43 @@
+package decision
+
+import (
+	"testing"
+)
+
+// What other dispatchers have outstanding at a worker delays a request there as much as own attempts do.
+func TestOthersOutstandingCounts(t *testing.T) {
+	rig := newRig(t, testSettings(), 2)
+	rig.concurrencyPerWorker = 100
+	rig.handle(
+		rig.now,
+		Event{Kind: HealthChecked, Worker: "w0", Load: LoadReport{Outstanding: 5, HasOutstanding: true}},
+	)
+	for range 3 {
+		if rig.send(0) != "w1" {
+			t.Fatal("a worker with five jobs of others was taken before an idle one")
+		}
+	}
+}
+
+// Load-adjusted weights are all that is known of others' load at workers that this dispatcher has not used
+// lately.
+func TestLoadAdjustedWeightsTellOthersLoad(t *testing.T) {
+	settings := testSettings()
+	settings.LoadAdjustedWeights = true
+	rig := newRig(t, settings, 2)
+	rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{
+		{Name: "w0", Weight: 2}, // it holds two requests a core, and did so when this dispatcher started
+		{Name: "w1", Weight: 6},
+	}})
+	rig.expectAllAt("w1", "sent to the worker that others load")
+}
+
+// A reported backlog is others' load too.
+func TestReportedBacklogCounts(t *testing.T) {
+	rig := newRig(t, testSettings(), 2)
+	rig.handle(
+		rig.now,
+		Event{Kind: HealthChecked, Worker: "w0", Load: LoadReport{Backlog: 3, HasBacklog: true}},
+	)
+	rig.expectAllAt("w1", "sent to the worker with a backlog")
+}
--- /dev/null
+++ b/decision/outlier_test.go
@@ -0,0 +1,229 @@
+package decision
+
+import (
+	"testing"
+	"time"
+)
+
+// An attempt stuck at a silent machine must not keep its worker from a trial.
+func TestEjectedWorkerWithStuckAttemptGetsATrial(t *testing.T) {
+	rig := newRig(t, testSettings(), 3)
+	id := rig.arrive(1)
+	worker := rig.workers[rig.assignedTo(id)]
+	rig.setFailureScore(worker, 1, reportsNoMore)
+	rig.now += worker.ejectionBackoff
+	if !rig.usable(&request{class: &rig.settings.Classes[0]}, worker) {
+		t.Fatal("never tried again while a job is stuck there")
+	}
+}
+
+// A worker that fails fast is ejected, however quick it looks, and gets trials sparingly.
+func TestFailingWorkerIsEjected(t *testing.T) {
+	rig := newRig(t, testSettings(), 4)
+	id := rig.arrive(0)
+	bad := rig.assignedTo(id)
+	worker := rig.workers[bad]
+	rig.endAttempt(id, 0, Failed, time.Millisecond)
+	if !worker.ejected || worker.runTimeRatio != 0 {
+		t.Fatalf("suspect %v, pace %v", worker.ejected, worker.runTimeRatio)
+	}
+	for range 20 {
+		if rig.send(0) == bad {
+			t.Fatal("sent to a suspect at once")
+		}
+	}
+	rig.now += worker.ejectionBackoff
+	rig.concurrencyPerWorker, rig.workRatePerWorker, rig.bucketTokens = 100, 100, 1e6
+	trials := 0
+	for range 40 {
+		rig.arrive(0)
+		for _, action := range rig.actions {
+			if action.Kind == Assign && action.Worker == bad {
+				trials++
+			}
+		}
+	}
+	if trials != 1 {
+		t.Fatalf("%d trials at once, want 1", trials)
+	}
+}
+
+// Attempts stuck at ejected workers must not exhaust a ceiling that is scaled to the ready ones. In panic
+// all slots count, lest ejecting workers lift the ceiling.
+func TestSlotsAtEjectedWorkersDoNotCount(t *testing.T) {
+	rig := newRig(t, testSettings(), 3)
+	rig.concurrencyPerWorker = (6 - concurrencyHeadroom) / 3
+	var stuck []uint64
+	for len(stuck) < 6 {
+		stuck = append(stuck, rig.arrive(0))
+	}
+	suspect := rig.fleet[0]
+	held := suspect.outstanding
+	rig.setFailureScore(suspect, 1, reportsNoMore)
+	if rig.inFlight != 6 || held == 0 || rig.countedInFlight() != 6-held {
+		t.Fatalf("%v of 6 leases count though a suspect holds %v", rig.countedInFlight(), held)
+	}
+	rig.setFailureScore(rig.fleet[1], 1, reportsNoMore)
+	if rig.countedInFlight() != 6 || rig.readyWorkers() != 3 || rig.send(0) != "" {
+		t.Fatalf(
+			"%v of 6 leases and %v of 3 workers count while most are suspects",
+			rig.countedInFlight(),
+			rig.readyWorkers(),
+		)
+	}
+	rig.handle(rig.now, Event{Kind: ClientDisconnected, Request: rig.next - 1})
+	rig.setFailureScore(rig.fleet[1], 0, answersAgain)
+	rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{
+		{Name: suspect.Name, State: Running, StartedAt: rig.now}}})
+	for _, id := range stuck {
+		rig.endAttempt(id, 0, Completed, 0)
+	}
+	if rig.inFlight != 0 || rig.inFlightAtEjected != 0 {
+		t.Fatalf("%v leases, %v of them stuck, after all have ended", rig.inFlight, rig.inFlightAtEjected)
+	}
+}
+
+// In panic, when most workers look bad, the fault is not theirs, and all are used.
+func TestPanicUsesEjectedWorkers(t *testing.T) {
+	rig := newRig(t, testSettings(), 4)
+	for _, worker := range rig.fleet[:3] {
+		rig.setFailureScore(worker, 1, attemptsFail)
+	}
+	rig.fleet[3].saturatedUntil = rig.now + time.Hour
+	if rig.send(0) == "" {
+		t.Fatal("nothing was sent though most look bad")
+	}
+}
+
+// Ejected names the workers that get no requests: until they answer again, on trial too; none that drains,
+// and none in panic.
+func TestEjectedNamesWorkersThatGetNothing(t *testing.T) {
+	rig := newRig(t, testSettings(), 5)
+	rig.concurrencyPerWorker, rig.workRatePerWorker, rig.bucketTokens = 1000, 1000, 1e6
+	bad := rig.fleet[2]
+	if rig.Ejected() != nil {
+		t.Fatalf("%v are ejected at the start", rig.Ejected())
+	}
+	rig.setFailureScore(bad, 1, attemptsFail)
+	for range 30 {
+		id := rig.arrive(0)
+		if rig.assignedTo(id) == bad.Name || len(rig.Ejected()) != 1 || rig.Ejected()[0] != bad.Name {
+			t.Fatalf("%v are ejected, and %s gets work", rig.Ejected(), rig.assignedTo(id))
+		}
+		rig.endAttempt(id, 0, Completed, time.Millisecond)
+	}
+	trials := 0
+	for ; bad.ejected && trials < 5; trials++ {
+		rig.now = max(rig.now, bad.trialAt)
+		trial := uint64(0)
+		for range 60 {
+			if id := rig.arrive(0); rig.assignedTo(id) == bad.Name {
+				trial = id
+			}
+		}
+		if trial == 0 || len(rig.Ejected()) != 1 {
+			t.Fatalf("trial %d, %v are ejected meanwhile", trial, rig.Ejected())
+		}
+		rig.endAttempt(trial, 0, Completed, time.Millisecond)
+	}
+	if trials == 0 || rig.Ejected() != nil {
+		t.Fatalf("%v are ejected after %d trials that were served", rig.Ejected(), trials)
+	}
+	for _, worker := range rig.fleet[:3] {
+		rig.setFailureScore(worker, 1, attemptsFail)
+	}
+	if rig.Ejected() != nil {
+		t.Fatalf("%v are ejected while most look bad", rig.Ejected())
+	}
+	rig.setFailureScore(rig.fleet[0], 0, answersAgain)
+	rig.setFailureScore(rig.fleet[1], 0, answersAgain)
+	rig.handle(
+		rig.now,
+		Event{
+			Kind:      ListUpdated,
+			ListKind:  ListDelta,
+			Endpoints: []Endpoint{{Name: bad.Name, State: Draining}},
+		},
+	)
+	if rig.Ejected() != nil {
+		t.Fatalf("%v are ejected, and drain", rig.Ejected())
+	}
+}
+
+// Two faults at once: a worker vanishes while the endpoint list cannot be had. Its silence alone must keep
+// new requests away, and the list that comes at last must not bring it back into use.
+func TestSilentWorkerIsAvoidedWhileTheListFails(t *testing.T) {
+	rig := newRig(t, testSettings(), 3)
+	lost := rig.assignedTo(rig.arrive(0))
+	rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListFailed})
+	rig.handle(rig.now+3*time.Second, Event{Kind: TimerFired, Timer: sweepTimer})
+	for range 20 {
+		id := rig.arrive(0)
+		if rig.assignedTo(id) == lost {
+			t.Fatal("sent to a silent worker while the list is down")
+		}
+		rig.endAttempt(id, 0, Completed, time.Millisecond)
+	}
+	rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: []Endpoint{{Name: lost}}})
+	if worker := rig.workers[lost]; !worker.ejected || len(rig.fleet) != 1 {
+		t.Fatal("the list cleared a silent worker that has not started anew")
+	}
+}
+
+// A worker that no repeatable request can try must not stay ejected for good.
+func TestFailureScoreFades(t *testing.T) {
+	rig := newRig(t, testSettings(), 3)
+	id := rig.arrive(1)
+	bad := rig.workers[rig.assignedTo(id)]
+	rig.endAttempt(id, 0, Failed, time.Millisecond)
+	request := &request{class: &rig.settings.Classes[1]}
+	if rig.usable(request, bad) {
+		t.Fatal("fragile work trusted to a worker that has just failed")
+	}
+	rig.now += 3 * rig.planningHorizon
+	if !rig.usable(request, bad) {
+		t.Fatal("ejected for good")
+	}
+}
+
+// A request that a worker calls invalid fails at once: it is not tried elsewhere, and neither that worker
+// nor the fleet is blamed. A worker that says so of all that it gets is at fault itself.
+func TestInvalidRequestBlamesNoWorker(t *testing.T) {
+	rig := newRig(t, testSettings(), 3)
+	perSlot, worker := rig.concurrencyPerWorker, ""
+	for i := range 2 * maxConsecutiveInvalid {
+		id := rig.arrive(i % 2)
+		out := rig.endAttempt(id, 0, InvalidRequest, time.Millisecond)
+		if len(out) == 0 || out[0].Kind != Fail || out[0].Request != id || rig.requests[id] != nil {
+			t.Fatalf("job %d: %+v", i, out)
+		}
+		good := rig.arrive(0)
+		worker = rig.assignedTo(good)
+		rig.endAttempt(good, 0, Completed, time.Second)
+		for _, worker := range rig.fleet {
+			worker.consecutiveInvalid = 0
+		}
+	}
+	if rig.ejectedCount != 0 || rig.concurrencyPerWorker < perSlot || rig.inFlight != 0 {
+		t.Errorf(
+			"%d suspects, ceiling %v of %v, %v in flight",
+			rig.ejectedCount,
+			rig.concurrencyPerWorker,
+			perSlot,
+			rig.inFlight,
+		)
+	}
+	rig.workers[worker].consecutiveInvalid = maxConsecutiveInvalid
+	for {
+		id := rig.arrive(0)
+		if rig.assignedTo(id) != worker {
+			rig.endAttempt(id, 0, Completed, time.Second)
+			continue
+		}
+		if rig.endAttempt(id, 0, InvalidRequest, time.Millisecond); rig.requests[id] == nil ||
+			!rig.workers[worker].ejected {
+			t.Error("a worker that can use nothing is believed")
+		}
+		break
+	}
+}
--- /dev/null
+++ b/decision/queue_test.go
@@ -0,0 +1,41 @@
+package decision
+
+import (
+	"testing"
+	"time"
+)
+
+// Requests for a kind of worker that is gone must not fill the head of the queue so that nothing behind
+// them is tried.
+func TestRequestsWithoutAWorkerHoldUpNoOthers(t *testing.T) {
+	settings := testSettings()
+	settings.Classes[1] = Class{
+		PriorityWeight:   9,
+		LatencyObjective: 5 * time.Second,
+		Deadline:         5 * time.Second,
+		Kinds:            []int{7},
+	}
+	rig := newRig(t, settings, 2)
+	for range 5 * maxQueueSkips {
+		if rig.send(1) != "" {
+			t.Fatal("there is no worker of that kind")
+		}
+	}
+	if rig.send(0) == "" {
+		t.Fatal("a job that every worker can run waits behind those that none can")
+	}
+}
+
+// A request that becomes late while it waits is worth less and must fall behind those still in time.
+func TestLateRequestFallsBackInTheQueue(t *testing.T) {
+	rig := newRig(t, testSettings(), 1)
+	rig.fleet[0].saturatedUntil = rig.now + time.Hour
+	high := rig.arrive(1)
+	rig.markLate(rig.requests[high])
+	rig.requests[high].value /= 10
+	low := rig.arrive(0)
+	rig.sweep()
+	if len(rig.queue) != 2 || rig.queue[0].id != low {
+		t.Fatal("the lapsed job keeps its place")
+	}
+}
--- /dev/null
+++ b/decision/quota_test.go
@@ -0,0 +1,61 @@
+package decision
+
+import (
+	"testing"
+	"time"
+)
+
+func TestTenantBeyondQuotaWeighsLess(t *testing.T) {
+	settings := testSettings()
+	settings.TenantQuotas, settings.OverQuotaWeight = []float64{2, 50}, 0.1
+	rig := newRig(t, settings, 50)
+	over := 0
+	for id := uint64(1); id <= 40; id++ {
+		rig.now += 50 * time.Millisecond // 20 a second, of which the quota here is 1
+		rig.handle(
+			rig.now,
+			Event{
+				Kind:     RequestArrived,
+				Request:  id,
+				Tenant:   0,
+				Slots:    1,
+				Work:     time.Second,
+				TimeLeft: 5 * time.Second,
+			},
+		)
+		if rig.requests[id].value < 0.5 {
+			over++
+		}
+	}
+	if over < 20 {
+		t.Fatalf("%d of 40 judged beyond the quota", over)
+	}
+	rig.handle(
+		rig.now,
+		Event{
+			Kind:        RequestArrived,
+			Request:     41,
+			Slots:       1,
+			Work:        time.Second,
+			TimeLeft:    4 * time.Second,
+			ClientRetry: true,
+		},
+	)
+	if rig.requests[41].value > 0.5 {
+		t.Fatal("a repeat escapes the quota")
+	}
+	rig.handle(
+		rig.now,
+		Event{
+			Kind:     RequestArrived,
+			Request:  42,
+			Tenant:   1,
+			Slots:    1,
+			Work:     time.Second,
+			TimeLeft: 5 * time.Second,
+		},
+	)
+	if rig.requests[42].value < 0.5 {
+		t.Fatal("another tenant pays for the burst")
+	}
+}
--- a/decision/reconfigure_test.go
+++ b/decision/reconfigure_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// New settings hold for what comes; open requests keep their class, value and aim.
+// New settings hold for what comes; open requests keep their class, value and objective.
 func TestReconfigureWhileRequestsAreOpen(t *testing.T) {
 	rig := newRig(t, testSettings(), 2)
 	open := rig.requests[rig.arrive(0)]
@@ -15,15 +15,28 @@
 	next := testSettings()
 	next.Classes[0].PriorityWeight, next.Classes[0].LatencyObjective, next.MaxRetryAfter = 7, 40*time.Millisecond, time.Second
 	rig.handle(rig.now, Event{Kind: SettingsChanged, Settings: &next})
-	if open.class != class || open.class != &rig.settings.Classes[0] || open.value != value || open.objective != aim {
+	if open.class != class || open.class != &rig.settings.Classes[0] || open.value != value ||
+		open.objective != aim {
 		t.Errorf("an open request changes: %+v", open)
 	}
 	later := rig.requests[rig.arrive(0)]
 	if later.class != class || later.value != 7*value || later.objective != aim-160*time.Millisecond {
-		t.Errorf("a later request has value %v and aim %v; the former %v and %v", later.value, later.objective, value, aim)
+		t.Errorf(
+			"a later request has value %v and aim %v; the former %v and %v",
+			later.value,
+			later.objective,
+			value,
+			aim,
+		)
 	}
-	if rig.sweepInterval >= beat || rig.sweepInterval != rig.shortestSweepInterval() || rig.settings.MaxRetryAfter != time.Second {
-		t.Errorf("a sweep each %v, before %v; told to come back in %v at the most", rig.sweepInterval, beat, rig.settings.MaxRetryAfter)
+	if rig.sweepInterval >= beat || rig.sweepInterval != rig.shortestSweepInterval() ||
+		rig.settings.MaxRetryAfter != time.Second {
+		t.Errorf(
+			"a sweep each %v, before %v; told to come back in %v at the most",
+			rig.sweepInterval,
+			beat,
+			rig.settings.MaxRetryAfter,
+		)
 	}
 	rig.endAttempt(open.id, 0, Completed, time.Second)
 	if rig.requests[open.id] != nil || rig.eligibleShare(class) != 1 {
--- /dev/null
+++ b/decision/rig_test.go
@@ -0,0 +1,121 @@
+package decision
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// initialCeiling is the ceiling per worker that a dispatcher of testSettings starts with.
+const initialCeiling = initialSlotsPerWorker / 2
+
+// rig drives one dispatcher by hand.
+type rig struct {
+	*Machine
+	t       *testing.T
+	actions []Action // of the last event
+	next    uint64
+}
+
+func (r *rig) handle(now time.Duration, event Event) []Action {
+	r.actions = r.Handle(now, event, nil)
+	return r.actions
+}
+
+// arrive brings a job of the class with a hint of one second and returns its id.
+func (r *rig) arrive(class int) uint64 { return r.arriveWithKey(class, "") }
+
+// arriveWithKey brings one with a key.
+func (r *rig) arriveWithKey(class int, key string) uint64 {
+	id := r.next
+	r.next++
+	r.handle(r.now, Event{
+		Kind: RequestArrived, Request: id, Class: class, Slots: 1, Work: time.Second, TimeLeft: 5 * time.Second, Key: key,
+	})
+	return id
+}
+
+func (r *rig) endAttempt(id uint64, n int, outcome AttemptOutcome, after time.Duration) []Action {
+	w := r.requests[id].attempts[n].worker.Name
+	return r.handle(r.now+after, Event{
+		Kind: AttemptEnded, Request: id, Attempt: n, Worker: w, Outcome: outcome, Answered: outcome == Completed,
+	})
+}
+
+func (r *rig) assignedTo(id uint64) string {
+	request := r.requests[id]
+	if request == nil || len(request.attempts) == 0 {
+		return ""
+	}
+	return request.attempts[len(request.attempts)-1].worker.Name
+}
+
+// send brings a job of the class and returns the worker it was sent to, if any.
+func (r *rig) send(class int) string { return r.assignedTo(r.arrive(class)) }
+
+// expectAllAt brings jobs one after another and fails unless each goes to the worker.
+func (r *rig) expectAllAt(worker, complaint string) {
+	r.t.Helper()
+	for range 10 {
+		id := r.arrive(0)
+		if r.assignedTo(id) != worker {
+			r.t.Fatal(complaint)
+		}
+		r.endAttempt(id, 0, Completed, time.Second)
+	}
+}
+
+func testSettings() Settings {
+	return Settings{
+		Classes: []Class{
+			{
+				PriorityWeight:   1,
+				LateWeight:       0.5,
+				LatencyObjective: 200 * time.Millisecond,
+				ObjectiveStretch: 2,
+				Deadline:         5 * time.Second,
+			},
+			{
+				PriorityWeight:   3,
+				LateWeight:       0.5,
+				LatencyObjective: 200 * time.Millisecond,
+				ObjectiveStretch: 2,
+				Deadline:         5 * time.Second,
+				Idempotency:      NonIdempotent,
+			},
+		},
+		WeightByWork: true, Peers: 2, Tick: time.Millisecond, MaxAttempts: 3, Hedging: true, Cancellation: true,
+		SlowStartFloor: 0.3, SlowStartDuration: 8 * time.Second, OverloadMultiple: 3, OverloadWindow: 2 * time.Second,
+		MaxRetryAfter: 2 * time.Second, ConnectTimeout: 200 * time.Millisecond, ProgressInterval: time.Second,
+		ListPollInterval: 10 * time.Second,
+	}
+}
+
+func newRig(t *testing.T, settings Settings, workers int) *rig {
+	t.Helper()
+	return newSeededRig(t, settings, workers, 1)
+}
+
+func newSeededRig(t *testing.T, settings Settings, workers int, seed uint64) *rig {
+	t.Helper()
+	machine, err := New(settings, seed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	rig := &rig{Machine: machine, t: t, next: 1}
+	var list []Endpoint
+	for i := range workers {
+		list = append(list, Endpoint{Name: fmt.Sprintf("w%d", i), State: Running})
+	}
+	rig.handle(time.Hour, Event{Kind: ListUpdated, ListKind: ListCached, Endpoints: list})
+	return rig
+}
+
+func findAction(actions []Action, kind ActionKind) *Action {
+	for i := range actions {
+		if actions[i].Kind == kind {
+			return &actions[i]
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/decision/routing_test.go
@@ -0,0 +1,175 @@
+package decision
+
+import (
+	"math"
+	"slices"
+	"testing"
+	"time"
+)
+
+func TestPickTakesTheLowerExpectedDelay(t *testing.T) {
+	rig := newRig(t, testSettings(), 2)
+	rig.fleet[0].runTimeRatio, rig.fleet[1].runTimeRatio = 2, 0.5
+	rig.concurrencyPerWorker = 100
+	for range 3 {
+		if rig.send(0) != "w1" {
+			t.Fatal("the slower of two idle workers was taken")
+		}
+	}
+	rig.fleet[1].outstanding = 10
+	if rig.send(0) != "w0" {
+		t.Fatal("outstanding slots do not count")
+	}
+}
+
+// Where crossing zones has a cost, the own zone wins until its delay outweighs that.
+func TestOwnZoneBias(t *testing.T) {
+	settings := testSettings()
+	settings.CrossZoneCost = 0.05
+	rig := newRig(t, settings, 2)
+	rig.handle(
+		rig.now,
+		Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: "w1", Zone: 1}}},
+	)
+	rig.fleet[0].runTimeRatio, rig.fleet[1].runTimeRatio = 1, 0.9
+	if rig.send(0) != "w0" {
+		t.Fatal("crossed for little")
+	}
+	rig.fleet[0].outstanding = 5
+	if rig.send(0) != "w1" {
+		t.Fatal("own zone kept at any delay")
+	}
+}
+
+// What is known of a worker fades: one of which nothing was heard counts as loaded as the mean, and an old
+// report tells nothing more. Workers of which nothing is known would else look idle, get a third of all
+// requests and let them wait.
+func TestKnowledgeOfWorkersFades(t *testing.T) {
+	settings := testSettings()
+	settings.StartNotices = true
+	for _, test := range []struct {
+		name     string
+		meanWait float64
+		others   float64
+		age      time.Duration // of the report of w0
+		want     string
+	}{
+		{"idle by a fresh report, beside an unknown one", 0.3, 0, 0, "w0"},
+		{"two jobs there by a fresh report, beside an unknown one where waits are short", 0.01, 2, 0, "w1"},
+		{"five jobs there by a report of a minute ago, beside one that never reported", 0.3, 5, time.Minute, ""},
+	} {
+		got := map[string]int{}
+		for seed := range uint64(20) {
+			rig := newSeededRig(t, settings, 2, seed+1)
+			rig.meanStartWait = test.meanWait
+			rig.fleet[0].othersOutstanding, rig.fleet[0].othersOutstandingAt = test.others, rig.now-test.age
+			got[rig.send(0)]++
+		}
+		if test.want != "" && got[test.want] != 20 || test.want == "" && (got["w0"] < 3 || got["w1"] < 3) {
+			t.Errorf("%s: %v", test.name, got)
+		}
+	}
+	rig := newRig(t, settings, 2)
+	id := rig.arrive(0)
+	rig.handle(rig.now+time.Second, Event{Kind: AttemptStarted, Request: id, Worker: rig.assignedTo(id)})
+	if want := 2.0 / minPricedJobs; math.Abs(rig.meanStartWait-want) > 1e-9 {
+		t.Errorf("after a first wait of a second the mean is %v, not %v", rig.meanStartWait, want)
+	}
+}
+
+// The work for a pick must not grow with the fleet.
+func TestPickDrawsAreBounded(t *testing.T) {
+	rig := newRig(t, testSettings(), 300)
+	rig.concurrencyPerWorker, rig.workRatePerWorker, rig.bucketTokens = 100, 100, 1e6
+	for _, worker := range rig.fleet {
+		worker.saturatedUntil = rig.now + time.Hour
+	}
+	rig.arrive(0)
+	before, moved := slices.Clone(rig.warmWorkers), 0
+	rig.pickFrom(rig.queue[0], rig.warmWorkers, inWarmWorkers)
+	for i, worker := range rig.warmWorkers {
+		if worker != before[i] {
+			moved++
+		}
+	}
+	if moved > 2*maxWarmDraws {
+		t.Fatalf("%d workers were moved for one pick", moved)
+	}
+}
+
+// A dispatcher with few requests that spread them over a large fleet would know nothing recent of any
+// worker, and open a connection for each. It keeps to a subset, unless that cannot take the request.
+func TestFewRequestsKeepToTheSubset(t *testing.T) {
+	rig := newRig(t, testSettings(), 200)
+	used := map[string]bool{}
+	for range 100 {
+		id := rig.arrive(0)
+		used[rig.assignedTo(id)] = true
+		rig.endAttempt(id, 0, Completed, 10*time.Millisecond)
+	}
+	if len(used) > 2*minSubsetSize {
+		t.Fatalf("100 jobs, one at a time, went to %d workers", len(used))
+	}
+	for _, worker := range rig.warmWorkers[:rig.subsetSize] {
+		worker.saturatedUntil = rig.now + time.Hour
+	}
+	if w := rig.send(0); w == "" || used[w] {
+		t.Fatalf("with its own set full, a job went to %q", w)
+	}
+	before := slices.Clone(rig.warmWorkers)
+	rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: "new"}}})
+	moved := 0
+	for i, worker := range before {
+		if rig.warmWorkers[i] != worker {
+			moved++
+		}
+	}
+	if moved > 1 {
+		t.Fatalf("one new worker moved %d others in the order of draws", moved)
+	}
+}
+
+// Each dispatcher must draw a subset of its own: the same for all would overload a few workers.
+func TestSubsetsDiffer(t *testing.T) {
+	var heads []string
+	for seed := range uint64(8) {
+		heads = append(heads, newSeededRig(t, testSettings(), 100, seed).warmWorkers[0].Name)
+	}
+	slices.Sort(heads)
+	if len(slices.Compact(heads)) < 5 {
+		t.Fatalf("8 dispatchers begin with %v", heads)
+	}
+}
+
+// The work for a request must not grow with the fleet: counted by allocations, at fleets of a hundred to
+// several thousand.
+func TestWorkPerRequestDoesNotGrowWithTheFleet(t *testing.T) {
+	counts := map[int]float64{}
+	for _, workers := range []int{100, 1000, 8000} {
+		rig := newRig(t, testSettings(), workers)
+		out, id := make([]Action, 0, 64), uint64(1000)
+		counts[workers] = testing.AllocsPerRun(200, func() {
+			id++
+			out = rig.Handle(
+				rig.now,
+				Event{
+					Kind:     RequestArrived,
+					Request:  id,
+					Slots:    1,
+					Work:     time.Millisecond,
+					TimeLeft: time.Second,
+				},
+				out[:0],
+			)
+			w := rig.assignedTo(id)
+			out = rig.Handle(
+				rig.now+time.Millisecond,
+				Event{Kind: AttemptEnded, Request: id, Worker: w, Answered: true},
+				out[:0],
+			)
+		})
+	}
+	if counts[8000] > counts[100]+2 {
+		t.Fatalf("allocations for a job by fleet size: %v", counts)
+	}
+}
--- a/decision/rules_test.go
+++ b/decision/rules_test.go
@@ -70,7 +70,10 @@
 func newWorld(t *rapid.T) *simulation {
 	repeats := []Class{
 		{Idempotency: Idempotent}, {Idempotency: NonIdempotent},
-		{Idempotency: Deduplicated, DedupScope: DedupEverywhere}, {Idempotency: Deduplicated, DedupScope: DedupWithinZone}, {Idempotency: Deduplicated, DedupScope: DedupWithinCell},
+		{
+			Idempotency: Deduplicated,
+			DedupScope:  DedupEverywhere,
+		}, {Idempotency: Deduplicated, DedupScope: DedupWithinZone}, {Idempotency: Deduplicated, DedupScope: DedupWithinCell},
 	}
 	settings := Settings{
 		Peers: 3, Tick: 2 * time.Millisecond,
@@ -86,7 +89,9 @@
 	}
 	settings.SaturatedMayHaveRun = rapid.Bool().Draw(t, "full is no proof")
 	if rapid.Bool().Draw(t, "budget") {
-		settings.RetryBudgetWindow, settings.RetryBudgetFloor, settings.RetryBudgetRatio = 2*time.Second, float64(rapid.IntRange(0, 2).Draw(t, "floor")), 0.2
+		settings.RetryBudgetWindow, settings.RetryBudgetFloor, settings.RetryBudgetRatio = 2*time.Second, float64(
+			rapid.IntRange(0, 2).Draw(t, "floor"),
+		), 0.2
 	}
 	order := rapid.Bool().Draw(t, "order")
 	if order {
@@ -95,7 +100,8 @@
 	for i, class := range repeats {
 		class.PriorityWeight, class.LateWeight = float64(i+1), 0.3
 		class.LatencyObjective, class.ObjectiveStretch, class.Deadline = 200*time.Millisecond, 2, 5*time.Second
-		class.DedupWindow = rapid.SampledFrom([]time.Duration{100 * time.Millisecond, 3 * time.Second}).Draw(t, "window")
+		class.DedupWindow = rapid.SampledFrom([]time.Duration{100 * time.Millisecond, 3 * time.Second}).
+			Draw(t, "window")
 		if i == 1 && rapid.Bool().Draw(t, "kind") {
 			class.Kinds = []int{1}
 		}
@@ -178,7 +184,8 @@
 
 func (j *simRequest) rejectable() bool {
 	for _, attempt := range j.attempts {
-		if !attempt.neverRan && (j.class.Idempotency == NonIdempotent || j.class.Idempotency == Deduplicated && j.class.DedupScope != DedupEverywhere) {
+		if !attempt.neverRan &&
+			(j.class.Idempotency == NonIdempotent || j.class.Idempotency == Deduplicated && j.class.DedupScope != DedupEverywhere) {
 			return false
 		}
 	}
@@ -193,7 +200,8 @@
 	if !ok || endpoint.State != Running {
 		w.t.Fatalf("work sent to a worker told to be draining or gone: %+v %+v", action, endpoint)
 	}
-	if request.class.Kinds != nil && request.class.Kinds[0] != endpoint.Kind || request.class.Zones != nil && request.class.Zones[0] != endpoint.Zone {
+	if request.class.Kinds != nil && request.class.Kinds[0] != endpoint.Kind ||
+		request.class.Zones != nil && request.class.Zones[0] != endpoint.Zone {
 		w.t.Fatalf("a worker that is not open to the class: %+v", action)
 	}
 	w.checkSerialization(request)
@@ -210,7 +218,8 @@
 				taken++
 			}
 		}
-		if w.s.RetryBudgetWindow > 0 && float64(extra) > w.s.RetryBudgetFloor+w.s.RetryBudgetRatio*float64(taken) {
+		if w.s.RetryBudgetWindow > 0 &&
+			float64(extra) > w.s.RetryBudgetFloor+w.s.RetryBudgetRatio*float64(taken) {
 			w.t.Fatalf("%d further attempts for %d requests", extra, taken)
 		}
 	}
@@ -224,9 +233,12 @@
 		if attempt.neverRan || request.class.Idempotency == Idempotent {
 			continue
 		}
-		same := request.class.DedupScope == DedupEverywhere || request.class.DedupScope == DedupWithinZone && attempt.worker.Zone == endpoint.Zone ||
-			request.class.DedupScope == DedupWithinCell && attempt.worker.Cell == endpoint.Cell && attempt.worker.Zone == endpoint.Zone
-		if request.class.Idempotency == NonIdempotent || !same || w.now-attempt.at >= request.class.DedupWindow {
+		same := request.class.DedupScope == DedupEverywhere ||
+			request.class.DedupScope == DedupWithinZone && attempt.worker.Zone == endpoint.Zone ||
+			request.class.DedupScope == DedupWithinCell && attempt.worker.Cell == endpoint.Cell &&
+				attempt.worker.Zone == endpoint.Zone
+		if request.class.Idempotency == NonIdempotent || !same ||
+			w.now-attempt.at >= request.class.DedupWindow {
 			w.t.Fatalf("an effect may happen twice: %+v", request)
 		}
 	}
@@ -246,7 +258,8 @@
 		if !request.class.Serialized || request.key != j.key {
 			continue
 		}
-		if !request.answered || slices.ContainsFunc(request.attempts, func(attempt simAttempt) bool { return !attempt.done }) {
+		if !request.answered ||
+			slices.ContainsFunc(request.attempts, func(attempt simAttempt) bool { return !attempt.done }) {
 			w.t.Fatalf("sent out of turn: %+v before %+v", j, request)
 		}
 	}
@@ -295,8 +308,10 @@
 func (w *simulation) endAttempt(request *simRequest, n int, outcome AttemptOutcome) Event {
 	attempt := &request.attempts[n]
 	attempt.done = true
-	attempt.neverRan = outcome == Saturated && !w.s.SaturatedMayHaveRun || outcome == ConnectionRefused || outcome == NotSent
-	if request.class.Serialized && (outcome == TimedOut || outcome == ConnectionLost || outcome == Cancelled) {
+	attempt.neverRan = outcome == Saturated && !w.s.SaturatedMayHaveRun || outcome == ConnectionRefused ||
+		outcome == NotSent
+	if request.class.Serialized &&
+		(outcome == TimedOut || outcome == ConnectionLost || outcome == Cancelled) {
 		w.cooldownUntil[request.key] = w.now + w.s.KeyCooldown
 	}
 	if outcome == Completed {
@@ -326,6 +341,8 @@
 	return w.requests[w.arrivalOrder[at[0]]], at[1], true
 }
 
+// Whatever clients, workers and discovery do, each action keeps the rules, each request gets its answer,
+// and nothing is held once all has ended.
 func TestRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim := newWorld(t)
@@ -365,14 +382,22 @@
 		for range rapid.IntRange(1, 5).Draw(t, "late events") {
 			w.arrive()
 			if request, n, ok := w.drawOutstanding(); ok {
-				w.handle(w.endAttempt(request, n, rapid.SampledFrom([]AttemptOutcome{Completed, Saturated, ConnectionLost}).Draw(t, "late outcome")))
+				w.handle(
+					w.endAttempt(
+						request,
+						n,
+						rapid.SampledFrom([]AttemptOutcome{Completed, Saturated, ConnectionLost}).
+							Draw(t, "late outcome"),
+					),
+				)
 			}
 		}
 	case 0, 1, 2, 3, 4:
 		w.arrive()
 	case 5, 6, 7, 8:
 		if request, n, ok := w.drawOutstanding(); ok {
-			outcome := rapid.SampledFrom([]AttemptOutcome{Completed, Completed, Failed, Saturated, TimedOut, ConnectionRefused, ConnectionLost, Cancelled}).Draw(t, "outcome")
+			outcome := rapid.SampledFrom([]AttemptOutcome{Completed, Completed, Failed, Saturated, TimedOut, ConnectionRefused, ConnectionLost, Cancelled}).
+				Draw(t, "outcome")
 			if outcome == Cancelled && !request.attempts[n].cancelled {
 				outcome = ConnectionLost
 			}
@@ -387,8 +412,10 @@
 	case 9:
 		if request, n, ok := w.drawOutstanding(); ok {
 			kind := rapid.SampledFrom([]EventKind{AttemptStarted, AttemptProgressed}).Draw(t, "note")
-			w.handle(Event{Kind: kind, Request: request.id, Attempt: n, Worker: request.attempts[n].worker.Name,
-				Fraction: rapid.SampledFrom([]float64{-1, 0, 0.5, 1, 7}).Draw(t, "fraction")})
+			w.handle(
+				Event{Kind: kind, Request: request.id, Attempt: n, Worker: request.attempts[n].worker.Name,
+					Fraction: rapid.SampledFrom([]float64{-1, 0, 0.5, 1, 7}).Draw(t, "fraction")},
+			)
 		}
 	case 10, 11:
 		w.changeList()
@@ -412,7 +439,8 @@
 func (w *simulation) arrive() {
 	t := w.t
 	n := rapid.IntRange(0, len(w.s.Classes)-1).Draw(t, "class")
-	left := rapid.SampledFrom([]time.Duration{-time.Second, 0, time.Millisecond, 300 * time.Millisecond, 5 * time.Second}).Draw(t, "left")
+	left := rapid.SampledFrom([]time.Duration{-time.Second, 0, time.Millisecond, 300 * time.Millisecond, 5 * time.Second}).
+		Draw(t, "left")
 	for range rapid.IntRange(1, 12).Draw(t, "burst") {
 		request := &simRequest{id: w.nextID, class: w.s.Classes[n], deadline: w.now + max(left, 0)}
 		w.nextID++
@@ -424,9 +452,10 @@
 		w.arrivalOrder = append(w.arrivalOrder, request.id)
 		w.handle(Event{
 			Kind: RequestArrived, Request: request.id, Class: n, TimeLeft: left,
-			Tenant:      rapid.IntRange(-1, 2).Draw(t, "tenant"),
-			Slots:       rapid.SampledFrom([]float64{1, 2, 4, 0, -3, 1e18}).Draw(t, "slots"),
-			Work:        rapid.SampledFrom([]time.Duration{0, -1, time.Millisecond, time.Second, 1 << 62}).Draw(t, "work"),
+			Tenant: rapid.IntRange(-1, 2).Draw(t, "tenant"),
+			Slots:  rapid.SampledFrom([]float64{1, 2, 4, 0, -3, 1e18}).Draw(t, "slots"),
+			Work: rapid.SampledFrom([]time.Duration{0, -1, time.Millisecond, time.Second, 1 << 62}).
+				Draw(t, "work"),
 			ClientRetry: rapid.Bool().Draw(t, "retry"), Key: request.key,
 		})
 	}
--- a/decision/slowstart_test.go
+++ b/decision/slowstart_test.go
@@ -1,31 +1,37 @@
 package decision
 
 import (
-	"fmt"
 	"math"
-	"math/rand/v2"
+	"slices"
 	"testing"
 	"time"
 
 	"pgregory.net/rapid"
 )
 
-// What a warm worker has taken is counted as the time its jobs ran, not as the guess that stood for them: cold
-// workers' budgets are shares of it, and 20 to 30 dispatchers that have just started all begin with the guess.
+// What a warm worker has taken is counted as the time its requests ran, not as the guess that stood for
+// them: slow-start budgets are shares of it, and 20 to 30 dispatchers that have just started all begin with
+// the guess.
 func TestSlowStartBudgetsFollowRunTimes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		aim := time.Duration(rapid.IntRange(500, 3000).Draw(t, "aim in ms")) * time.Millisecond
 		run := time.Duration(rapid.IntRange(5, 200).Draw(t, "run in ms")) * time.Millisecond
 		jobs := rapid.IntRange(3, 40).Draw(t, "jobs")
 		machine, err := New(Settings{
-			Classes: []Class{{PriorityWeight: 1, LatencyObjective: aim, Deadline: 4 * aim}}, Peers: rapid.IntRange(20, 30).Draw(t, "peers"),
+			Classes: []Class{
+				{PriorityWeight: 1, LatencyObjective: aim, Deadline: 4 * aim},
+			}, Peers: rapid.IntRange(20, 30).Draw(t, "peers"),
 			SlowStartFloor: 0.3, SlowStartDuration: 8 * time.Second, OverloadMultiple: 4, OverloadWindow: time.Second, StartNotices: true, MaxAttempts: 1,
 		}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		now := time.Hour
-		machine.Handle(now, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: []Endpoint{{Name: "warm"}}}, nil)
+		machine.Handle(
+			now,
+			Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: []Endpoint{{Name: "warm"}}},
+			nil,
+		)
 		for i := range jobs {
 			id := uint64(i + 1)
 			assigned := false
@@ -37,188 +43,31 @@
 			}
 			machine.Handle(now, Event{Kind: AttemptStarted, Request: id, Worker: "warm"}, nil)
 			now += run
-			machine.Handle(now, Event{Kind: AttemptEnded, Request: id, Worker: "warm", Outcome: Completed, Answered: true}, nil)
+			machine.Handle(
+				now,
+				Event{Kind: AttemptEnded, Request: id, Worker: "warm", Outcome: Completed, Answered: true},
+				nil,
+			)
 		}
 		machine.warmWorkRatesAt = 0 // look anew
-		if took := (time.Duration(jobs) * run).Seconds() / machine.planningHorizon.Seconds(); machine.warmWorkRate(0) > took*1.001 {
-			t.Errorf("%d jobs of %v count as %.3f of a slot, and took %.3f", jobs, run, machine.warmWorkRate(0), took)
+		if took := (time.Duration(jobs) * run).Seconds() / machine.planningHorizon.Seconds(); machine.warmWorkRate(
+			0,
+		) > took*1.001 {
+			t.Errorf(
+				"%d jobs of %v count as %.3f of a slot, and took %.3f",
+				jobs,
+				run,
+				machine.warmWorkRate(0),
+				took,
+			)
 		}
 	})
 }
 
-// slowStartFleet is 20 to 30 dispatchers before warm workers and one that starts cold, in steps of virtual time.
-type slowStartFleet struct {
-	t       *rapid.T
-	s       Settings
-	random  *rand.Rand
-	now     time.Duration
-	members []*fleetMember
-	due     map[time.Duration][]func() // by step
-	entries []Endpoint
-	hints   bool
-	mean    float64 // work of a request, seconds
-	sent    []fleetWorkSent
-	next    uint64
-}
-
-// fleetMember is one dispatcher: its process, and while one hands over to the next, the other one.
-type fleetMember struct{ process, other *Machine }
-
-// fleetWorkSent is work sent to the cold worker.
-type fleetWorkSent struct {
-	at   time.Duration
-	work float64
-}
-
-const fleetStep = 10 * time.Millisecond
-
-func (f *slowStartFleet) after(span time.Duration, what func()) {
-	at := f.now + max(span, fleetStep).Truncate(fleetStep)
-	f.due[at] = append(f.due[at], what)
-}
-
-// start gives a member a process that knows the list and nothing else.
-func (f *slowStartFleet) start() *Machine {
-	machine, err := New(f.s, f.random.Uint64())
-	if err != nil {
-		f.t.Fatal(err)
-	}
-	f.handle(nil, machine, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: f.entries}, 0)
-	return machine
-}
-
-// handle feeds a process and carries out what it wants; work is the request's at hand.
-func (f *slowStartFleet) handle(member *fleetMember, machine *Machine, event Event, work float64) {
-	for _, action := range machine.Handle(f.now, event, nil) {
-		switch action.Kind {
-		case SetTimer:
-			f.after(action.Delay, func() { f.handle(member, machine, Event{Kind: TimerFired, Timer: action.Timer}, 0) })
-		case Assign:
-			f.assign(member, machine, action, work)
-		}
-	}
-}
-
-// assign runs a job at its worker, in no time but its own: none of them queues.
-func (f *slowStartFleet) assign(member *fleetMember, machine *Machine, action Action, work float64) {
-	run := work
-	if action.Worker == "cold" {
-		f.sent = append(f.sent, fleetWorkSent{f.now, work})
-		run /= f.warmth()
-		if member.other != nil {
-			other := member.other
-			if other == machine {
-				other = member.process
-			}
-			f.handle(member, other, Event{Kind: ReservedElsewhere, Worker: action.Worker, Reservation: action.Reservation}, 0)
-		}
-	}
-	f.handle(member, machine, Event{Kind: AttemptStarted, Request: action.Request, Worker: action.Worker}, 0)
-	f.after(seconds(run), func() {
-		f.handle(member, machine, Event{Kind: AttemptEnded, Request: action.Request, Worker: action.Worker, Outcome: Completed, Answered: true}, 0)
-	})
-}
-
-// warmth is the cold worker's share of its capacity now.
-func (f *slowStartFleet) warmth() float64 {
-	age := (f.now - f.entries[0].StartedAt).Seconds() / f.s.SlowStartDuration.Seconds()
-	return min(f.s.SlowStartFloor+(1-f.s.SlowStartFloor)*age, 1)
-}
-
-// arrive hands a request to one member.
-func (f *slowStartFleet) arrive() {
-	member := f.members[f.random.IntN(len(f.members))]
-	work := f.mean * f.random.ExpFloat64()
-	f.next++
-	event := Event{Kind: RequestArrived, Request: f.next, TimeLeft: f.s.Classes[0].Deadline}
-	if f.hints {
-		event.Work = seconds(work)
-	} else {
-		work = f.mean // of which nobody tells
-	}
-	f.handle(member, member.process, event, work)
-}
-
-// What 20 to 30 dispatchers together send a worker that starts cold keeps, in any window, to the budget that the
-// settings give it and what is put down to chance, also in a burst and while their processes start anew.
-func TestSlowStartBudgetOfAllDispatchers(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		share := func(label string, lo, hi float64) float64 { return rapid.Float64Range(lo, hi).Draw(t, label) }
-		fleet := &slowStartFleet{t: t, now: time.Hour, due: map[time.Duration][]func(){}}
-		fleet.random = rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
-		fleet.hints, fleet.mean = rapid.Bool().Draw(t, "hints"), share("work", 0.03, 0.3)
-		fleet.s = Settings{
-			Classes: []Class{{PriorityWeight: 1, LatencyObjective: 2 * time.Second, Deadline: 5 * time.Second}},
-			Peers:   rapid.IntRange(20, 30).Draw(t, "dispatchers"), Tick: time.Millisecond,
-			SlowStartFloor: share("cold from", 0.1, 0.6), SlowStartDuration: seconds(share("warm after", 4, 10)),
-			OverloadMultiple: share("multiple", 1.5, 6), OverloadWindow: seconds(share("window", 0.5, 2.5)),
-			MaxAttempts: 2, Hedging: true, Cancellation: true, StartNotices: true,
-		}
-		warm := rapid.IntRange(4, 20).Draw(t, "warm workers")
-		rate, burst := share("rate", 30, 150), share("burst", 1, 3)
-		capacity := rate * burst * fleet.mean / float64(warm) / share("load in the burst", 0.3, 1) // of one worker
-		fleet.entries = []Endpoint{{Name: "cold", State: Removed}}
-		for i := range warm {
-			fleet.entries = append(fleet.entries, Endpoint{Name: fmt.Sprint("w", i)})
-		}
-		for range fleet.s.Peers {
-			fleet.members = append(fleet.members, &fleetMember{process: fleet.start()})
-		}
-		const joins, bursts, restarts, handedOver, end = 500, 550, 600, 700, 1200 // steps
-		for step := range end {
-			fleet.now += fleetStep
-			for _, what := range fleet.due[fleet.now] {
-				what()
-			}
-			delete(fleet.due, fleet.now)
-			switch step {
-			case joins:
-				fleet.entries[0] = Endpoint{Name: "cold", StartedAt: fleet.now}
-				for _, member := range fleet.members {
-					fleet.handle(member, member.process, Event{Kind: ListUpdated, Endpoints: fleet.entries[:1]}, 0)
-				}
-			case restarts:
-				killed := rapid.IntRange(0, fleet.s.Peers).Draw(t, "killed")
-				for i, member := range fleet.members {
-					if i >= killed { // the others hand over
-						member.other = member.process
-					}
-					member.process = fleet.start()
-				}
-			case handedOver:
-				for _, member := range fleet.members {
-					member.other = nil
-				}
-			}
-			now := rate
-			if step >= bursts {
-				now *= burst
-			}
-			for p := now * fleetStep.Seconds(); p > 0; p-- {
-				if fleet.random.Float64() < p {
-					fleet.arrive()
-				}
-			}
-			if step < joins || fleet.warmth() >= 1 {
-				continue
-			}
-			sum := 0.0
-			for _, s := range fleet.sent {
-				if s.at > fleet.now-fleet.s.OverloadWindow {
-					sum += s.work / fleet.mean
-				}
-			}
-			n := fleet.s.OverloadMultiple * fleet.warmth() * capacity * fleet.s.OverloadWindow.Seconds() / fleet.mean
-			if sum > n+2*math.Sqrt(n)+2 {
-				t.Fatalf("step %d: sent %.1f requests of mean work, N is %.1f", step, sum, n)
-			}
-		}
-	})
-}
-
-// What all dispatchers together may reserve at a cold worker within any window stays within what the settings allow it
-// then, however busy warm workers are: each has saved at most a window's part, gets one more, and may go beyond by half
-// of one. Jobs larger than a part, and the first, are a matter of chance, which the protocol allows for.
+// What all dispatchers together may reserve at a worker in slow start within any window stays within what
+// the settings allow, however busy warm workers are: each has saved at most a window's part, gets one more,
+// and may go beyond by half of one. Requests larger than a part, and the first, are a matter of chance,
+// which the rule allows for.
 func TestSlowStartReservationsStayWithinTheBudget(t *testing.T) {
 	if sum := 2.5 * slowStartSafety; sum > 1+1e-9 {
 		t.Errorf("a saved part, a window's and half of one come to %.2f of the budget", sum)
@@ -228,23 +77,43 @@
 		multiple := rapid.Float64Range(1, 8).Draw(t, "fall multiple")
 		share := rapid.Float64Range(0.01, 4).Draw(t, "work of a warm worker, slots")
 		machine, err := New(Settings{
-			Classes: []Class{{PriorityWeight: 1, LatencyObjective: time.Second, Deadline: 4 * time.Second}}, Peers: rapid.IntRange(20, 30).Draw(t, "peers"),
-			SlowStartFloor: rapid.Float64Range(0.1, 0.9).Draw(t, "cold from"), SlowStartDuration: time.Hour, OverloadMultiple: multiple, OverloadWindow: window,
+			Classes: []Class{
+				{PriorityWeight: 1, LatencyObjective: time.Second, Deadline: 4 * time.Second},
+			}, Peers: rapid.IntRange(20, 30).Draw(t, "peers"),
+			SlowStartFloor: rapid.Float64Range(0.1, 0.9).
+				Draw(t, "cold from"),
+			SlowStartDuration: time.Hour, OverloadMultiple: multiple, OverloadWindow: window,
 		}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		start := 24 * time.Hour
-		machine.Handle(start, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: []Endpoint{{Name: "cold", StartedAt: start - time.Minute}}}, nil)
+		machine.Handle(
+			start,
+			Event{
+				Kind:      ListUpdated,
+				ListKind:  ListSnapshot,
+				Endpoints: []Endpoint{{Name: "cold", StartedAt: start - time.Minute}},
+			},
+			nil,
+		)
 		worker := machine.workers["cold"]
 		worker.recentWork.add(machine.now, machine.planningHorizon, 0) // it has had its first job
 		machine.warmWorkRates, machine.warmWorkRatesAt = map[int]float64{0: share}, start+time.Hour
 		var sent []fleetWorkSent
 		for range 300 {
-			machine.now += rapid.SampledFrom([]time.Duration{0, 0, 0, window / 50, window / 50, window / 10, 2 * window}).Draw(t, "pause")
+			machine.now += rapid.SampledFrom([]time.Duration{0, 0, 0, window / 50, window / 50, window / 10, 2 * window}).
+				Draw(t, "pause")
 			part := slowStartSafety * multiple * machine.capacityFraction(worker) * share * window.Seconds()
 			work := rapid.SampledFrom([]float64{0.05, 0.05, 0.3, 1}).Draw(t, "work, parts") * part
-			request := &request{class: &machine.settings.Classes[0], slots: 1, work: work, classMeanWork: work, cost: work, holdTime: work}
+			request := &request{
+				class:         &machine.settings.Classes[0],
+				slots:         1,
+				work:          work,
+				classMeanWork: work,
+				cost:          work,
+				holdTime:      work,
+			}
 			if machine.withinSlowStartBudget(request, worker) {
 				if worker.slowStartBudget -= request.slowStartCost(); worker.slowStartBudget < -part/2*(1+1e-9) {
 					t.Fatalf("%.3f of a part beyond what was there", -worker.slowStartBudget/part)
@@ -266,3 +135,348 @@
 		}
 	})
 }
+
+// While a process is replaced, what either process sends a worker in slow start is of one budget: each
+// tells what it reserves there, and the other counts it as its own.
+func TestReservationsOfBothProcessesAddUp(t *testing.T) {
+	budget := func(other float64) (sent int, charged float64) {
+		settings := testSettings()
+		settings.Peers = 1
+		rig := newRig(t, settings, 4)
+		rig.concurrencyPerWorker, rig.workRatePerWorker, rig.bucketTokens = 1000, 1000, 1e6
+		for range 40 {
+			rig.endAttempt(rig.arrive(0), 0, Completed, 10*time.Millisecond)
+		}
+		rig.handle(
+			rig.now,
+			Event{
+				Kind:      ListUpdated,
+				ListKind:  ListDelta,
+				Endpoints: []Endpoint{{Name: "w0", StartedAt: rig.now}},
+			},
+		)
+		for range 200 {
+			id := rig.arrive(0)
+			for _, action := range rig.actions {
+				if action.Kind == Assign && action.Worker != "w0" && action.Reservation != 0 {
+					t.Fatalf("a warm worker was charged %v", action.Reservation)
+				}
+				if action.Kind == Assign && action.Worker == "w0" {
+					sent++
+					charged += action.Reservation
+				}
+			}
+			rig.endAttempt(id, 0, Completed, 10*time.Millisecond)
+			rig.handle(rig.now, Event{Kind: ReservedElsewhere, Worker: "w0", Reservation: other})
+		}
+		rig.handle(rig.now, Event{Kind: ReservedElsewhere, Worker: "unknown", Reservation: 1})
+		return sent, charged
+	}
+	alone, charged := budget(0)
+	beside, _ := budget(charged / 200 / 2) // the other one sends half of what one may
+	if alone < 10 || beside >= alone*3/4 || beside == 0 || charged <= 0 {
+		t.Fatalf("%d sent alone, charged %v; %d beside one that sends half as much", alone, charged, beside)
+	}
+}
+
+// After a mass replacement most of the fleet is in slow start, and nearly every worker there has no budget
+// for a request. All of them are drawn, while warm ones stay bounded.
+func TestAllWorkersInSlowStartAreDrawn(t *testing.T) {
+	settings := testSettings()
+	settings.Peers = 300
+	for seed := range uint64(10) {
+		rig := newSeededRig(t, settings, 4*maxWarmDraws, seed)
+		for _, worker := range rig.fleet[1:] { // the first stays warm: what the others may get is measured by it
+			worker.StartedAt, worker.slowStartBudgetAt, worker.slowStartBudget = rig.now, rig.now, -1
+			worker.recentWork.add(rig.now, rig.planningHorizon, 0)
+			rig.warmingUp = append(rig.warmingUp, worker)
+		}
+		rig.fleet[0].recentWork.add(rig.now, rig.planningHorizon, 100)
+		rig.warmWorkRatesAt = 0
+		room := rig.fleet[len(rig.fleet)-1]
+		room.slowStartBudget = 100
+		request := &request{
+			class:         &rig.settings.Classes[0],
+			slots:         1,
+			work:          1,
+			classMeanWork: 1,
+			cost:          1,
+			objective:     rig.now + time.Minute,
+		}
+		if worker := rig.pickFrom(request, rig.warmingUp, inWarmingUp); worker != room {
+			t.Fatalf(
+				"seed %d: the one cold worker of %d that has room is not found: %v",
+				seed,
+				len(rig.warmingUp),
+				worker,
+			)
+		}
+		for _, worker := range rig.warmWorkers {
+			worker.saturatedUntil = rig.now + time.Second
+		}
+		first := slices.Clone(rig.warmWorkers)
+		for _, worker := range rig.fleet[1:] {
+			worker.StartedAt = 0
+		}
+		rig.pickFrom(request, rig.warmWorkers, inWarmWorkers)
+		moved := 0
+		for i := maxWarmDraws; i < len(first); i++ {
+			if rig.warmWorkers[i] != first[i] {
+				moved++
+			}
+		}
+		if moved > maxWarmDraws {
+			t.Fatalf("%d warm ones were drawn in vain", moved)
+		}
+	}
+}
+
+// Where requests are larger than a window's part, a slow-start budget is saved for two windows, lest a
+// dispatcher with a request a second lose part of it. Where they are small it is one window, so that few
+// dispatchers that spend all at once stay within the rule: that and a window's part are 0.8 of it.
+func TestSlowStartBudgetIsSaved(t *testing.T) {
+	settings := testSettings()
+	settings.Peers = 300
+	for _, test := range []struct{ work, windows float64 }{{1e6, 2}, {1e-6, 1}} {
+		rig := newRig(t, settings, 2)
+		worker := rig.workers["w0"]
+		warm := rig.workers["w1"]
+		warm.recentWork.add(rig.now, rig.planningHorizon, 2)
+		worker.StartedAt, worker.slowStartBudgetAt, worker.slowStartBudget, rig.warmWorkRatesAt = rig.now, rig.now, 0, 0
+		worker.recentWork.add(rig.now, rig.planningHorizon, 0)
+		rig.now += settings.OverloadWindow * 3
+		share, warmth := rig.warmWorkRate(0), rig.capacityFraction(worker)
+		rig.withinSlowStartBudget(
+			&request{
+				class:         &rig.settings.Classes[0],
+				slots:         1,
+				work:          test.work,
+				cost:          test.work,
+				classMeanWork: 1e-7,
+			},
+			worker,
+		)
+		most := settings.OverloadMultiple * warmth * share * settings.OverloadWindow.Seconds()
+		if got := worker.slowStartBudget / most / slowStartSafety; math.Abs(got-test.windows) > 0.01 {
+			t.Errorf("jobs of %g s: the budget of %.2f windows is saved", test.work, got)
+		}
+	}
+	if 2*slowStartSafety > 0.8 {
+		t.Errorf("few dispatchers may send %.2f of the rule's budget in a window", 2*slowStartSafety)
+	}
+}
+
+// Of the workers in slow start the first that can take a request gets it: a drawing for the budget that was
+// won must not go for nothing.
+func TestWonDrawingIsUsed(t *testing.T) {
+	for seed := range uint64(20) {
+		rig := newSeededRig(t, testSettings(), 6, seed+1)
+		for i, worker := range rig.fleet {
+			worker.StartedAt, worker.slowStartBudgetAt, worker.slowStartBudget, worker.outstanding = rig.now, rig.now, 0.06, float64(
+				i,
+			)
+			worker.recentWork.add(rig.now, rig.planningHorizon, 0)
+		}
+		rig.warmingUp = append(rig.warmingUp[:0], rig.fleet...)
+		rig.warmWorkRates, rig.warmWorkRatesAt = map[int]float64{0: 0.1}, rig.now
+		job := &request{
+			class:         &rig.settings.Classes[0],
+			slots:         1,
+			work:          0.05,
+			cost:          0.05,
+			classMeanWork: 0.05,
+			objective:     rig.now + time.Second,
+		}
+		if picked := rig.pickFrom(job, rig.warmingUp, inWarmingUp); picked != rig.warmingUp[0] {
+			t.Fatalf("seed %d: the first that had room was passed over", seed)
+		}
+	}
+}
+
+// A rule whose window is 0 is off: workers in slow start get requests.
+func TestNoOverloadRuleBindsNothing(t *testing.T) {
+	settings := testSettings()
+	settings.OverloadWindow, settings.OverloadMultiple, settings.SlowStartFloor = 0, 0, 0.9
+	rig := newRig(t, settings, 1)
+	rig.handle(
+		rig.now,
+		Event{
+			Kind:      ListUpdated,
+			ListKind:  ListDelta,
+			Endpoints: []Endpoint{{Name: "w0", StartedAt: rig.now}},
+		},
+	)
+	if rig.send(0) != "w0" {
+		t.Fatal("a cold worker gets nothing though no rule says so")
+	}
+}
+
+// A busy dispatcher takes all its peers to be as busy. A request of many times the mean must not go to a
+// worker that has just started, though the share of all dispatchers would seem to allow it.
+func TestNoHeavyRequestInSlowStart(t *testing.T) {
+	settings := testSettings()
+	settings.Peers = 80
+	for _, test := range []struct {
+		work float64
+		want bool
+	}{{0.9, true}, {1.1, false}} {
+		rig := newRig(t, settings, 2)
+		worker := rig.fleet[0]
+		rig.fleet[1].recentWork.add(
+			rig.now,
+			rig.planningHorizon,
+			rig.planningHorizon.Seconds(),
+		) // a slot-second a second from this one alone
+		job := &request{
+			class:         &rig.settings.Classes[0],
+			slots:         1,
+			work:          test.work,
+			cost:          test.work,
+			classMeanWork: 0.5,
+		}
+		taken := false
+		for range 1000 {
+			worker.StartedAt, worker.slowStartBudgetAt, worker.slowStartBudget, rig.warmWorkRatesAt = rig.now, rig.now, 0.1, 0
+			taken = taken || rig.withinSlowStartBudget(job, worker)
+		}
+		if taken != test.want {
+			t.Errorf("a job of %.1f s where the mean is 0.5: taken %v", test.work, taken)
+		}
+	}
+}
+
+// With few dispatchers a window's part holds a request, and requests go to a worker in slow start at an
+// even pace. Drawn for each time, those of several dispatchers would fall together.
+func TestSlowStartPaceIsEven(t *testing.T) {
+	rig := newRig(t, testSettings(), 2)
+	worker, warm := rig.fleet[0], rig.fleet[1]
+	job := &request{class: &rig.settings.Classes[0], slots: 1, work: 1, cost: 1}
+	worker.StartedAt, worker.slowStartBudgetAt, rig.warmWorkRatesAt = rig.now, rig.now, 0
+	sent, last := 0, time.Duration(0)
+	for end := rig.now + rig.settings.SlowStartDuration/2; rig.now < end; rig.Machine.now += 10 * time.Millisecond {
+		warm.recentWork = decayingValue{
+			4 * rig.planningHorizon.Seconds(),
+			rig.now,
+		} // four slot-seconds a second
+		if !rig.withinSlowStartBudget(job, worker) {
+			continue
+		}
+		rate := slowStartSafety * rig.settings.OverloadMultiple * rig.capacityFraction(
+			worker,
+		) * rig.warmWorkRate(
+			0,
+		)
+		if gap := (rig.now - last).Seconds(); sent > 1 && (gap < 0.9/rate || gap > 1.2/rate+0.02) {
+			t.Fatalf("%.2f s between two jobs, the budget pays for one in %.2f s", gap, 1/rate)
+		}
+		sent, last = sent+1, rig.now
+		worker.recentWork.add(rig.now, rig.planningHorizon, 1e-9) // the first has gone
+		worker.slowStartBudget -= job.cost
+	}
+	if sent < 4 {
+		t.Fatalf("%d jobs were sent", sent)
+	}
+}
+
+// With many dispatchers a request is larger than a window's part, and is drawn for each time. Taken on debt
+// by all dispatchers whose last, small request was paid for, such requests would overload the worker.
+func TestLargeRequestsInSlowStartAreDrawnFor(t *testing.T) {
+	settings := testSettings()
+	settings.Peers = 100
+	rig := newRig(t, settings, 2)
+	worker := rig.fleet[0]
+	for _, x := range rig.fleet {
+		x.recentWork.add(rig.now, rig.planningHorizon, 0.04*rig.planningHorizon.Seconds())
+	}
+	job := &request{class: &rig.settings.Classes[0], slots: 1, work: 0.5, cost: 0.5, classMeanWork: 0.5}
+	worker.StartedAt, rig.warmWorkRatesAt = rig.now-rig.settings.SlowStartDuration/2, 0
+	taken := 0
+	const tries = 1000
+	for range tries {
+		worker.slowStartBudgetAt, worker.slowStartBudget = rig.now, 0.01
+		if rig.withinSlowStartBudget(job, worker) {
+			taken++
+		} else if worker.slowStartBudget != 0 {
+			t.Fatal("what was staked is still there")
+		}
+	}
+	if taken == 0 || taken > 2*tries*0.01/0.5 {
+		t.Fatalf("%d of %d jobs taken, 20 are paid for", taken, tries)
+	}
+}
+
+// Requests chosen for their small, rough hints run for many times what those say. They take more of the
+// budget than their hints.
+func TestSmallHintsDoNotFloodAWorkerInSlowStart(t *testing.T) {
+	small := &request{slots: 1, work: 0.008, cost: 0.008, classMeanWork: 0.14}
+	if c := small.slowStartCost(); c < 0.03 {
+		t.Fatalf("a job that ran for 40 ms and more is charged %v s", c)
+	}
+	if large := (&request{slots: 2, work: 0.2, cost: 0.4, classMeanWork: 0.14}); large.slowStartCost() != large.cost {
+		t.Fatal("a large hint is taken as it is")
+	}
+}
+
+// A machine whose wall clock is an hour off at the start of the process takes no new worker for a warm one,
+// in either direction.
+func TestSlowStartUnderAWrongClock(t *testing.T) {
+	const hour, warm = time.Hour, 8 * time.Second
+	for name, c := range map[string]struct {
+		list  ListKind
+		known time.Duration // told start of the worker in the first list; -1: it is not in it
+		told  time.Duration // told start in the list at hand, whose time is now
+		now   time.Duration
+		cold  bool
+	}{
+		"a new one, the clock is ahead":            {ListDelta, -1, 2*hour - time.Second, 3 * hour, true},
+		"a restarted one, the clock is ahead":      {ListDelta, hour, 2*hour - time.Second, 3 * hour, true},
+		"a new one, the clock is behind":           {ListDelta, -1, 3 * hour, 2 * hour, true},
+		"a new one, the clock is right":            {ListDelta, -1, 2*hour - time.Second, 2 * hour, true},
+		"one known for long":                       {ListDelta, hour, hour, 3 * hour, false},
+		"one of a whole list, started an hour ago": {ListSnapshot, -1, 2 * hour, 3 * hour, false},
+		"a new one that started long ago":          {ListDelta, -1, hour, 4 * hour, false},
+		"one that started before time was told":    {ListDelta, -1, 0, 3 * hour, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			machine, err := New(
+				Settings{
+					Classes:           []Class{{Deadline: time.Second}},
+					SlowStartFloor:    0.3,
+					SlowStartDuration: warm,
+					OverloadMultiple:  4,
+					OverloadWindow:    time.Second,
+				},
+				1,
+			)
+			if err != nil {
+				t.Fatal(err)
+			}
+			first := []Endpoint{{Name: "other"}}
+			if c.known >= 0 {
+				first = append(first, Endpoint{Name: "w", StartedAt: c.known})
+			}
+			machine.Handle(
+				c.now-hour/2,
+				Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: first},
+				nil,
+			)
+			list := Event{
+				Kind:      ListUpdated,
+				ListKind:  c.list,
+				Endpoints: []Endpoint{{Name: "w", StartedAt: c.told}, {Name: "other"}},
+			}
+			machine.Handle(c.now, list, nil)
+			if cold := machine.capacityFraction(machine.workers["w"]) < 1; cold != c.cold {
+				t.Errorf("cold %v, not %v", cold, c.cold)
+			}
+			machine.Handle(c.now+time.Second, list, nil) // told again, it is no news
+			if cold := machine.capacityFraction(machine.workers["w"]) < 1; cold != c.cold {
+				t.Errorf("told again: cold %v, not %v", cold, c.cold)
+			}
+			machine.Handle(c.now+warm+time.Second, Event{Kind: TimerFired, Timer: sweepTimer}, nil)
+			if c.now >= c.told && machine.capacityFraction(machine.workers["w"]) < 1 {
+				t.Error("it does not become warm")
+			}
+		})
+	}
+}
--- /dev/null
+++ b/decision/sweep_test.go
@@ -0,0 +1,155 @@
+package decision
+
+import (
+	"testing"
+	"time"
+)
+
+// While many outcomes are bad, a request that can hardly be in time stands before others in its worker's
+// queue for a part of its weight. It is cancelled before it starts and rejected; so is a client's retry
+// that comes too late. One that has started, or must not run twice, goes on, and so do all while few
+// outcomes are bad.
+func TestLateRequestMakesWay(t *testing.T) {
+	for name, test := range map[string]struct {
+		class         int
+		bad           float64
+		from          int // beats after which it is that
+		started, away bool
+	}{
+		"crowded": {0, 0.4, 0, false, true}, "calm": {0, 0.1, 0, false, false},
+		"crowded once it is late": {0, 0.4, 16, false, true},
+		"started":                 {0, 0.4, 0, true, false}, "fragile": {1, 0.4, 0, false, false},
+	} {
+		settings := testSettings()
+		settings.StartNotices = true
+		rig := newRig(t, settings, 4)
+		id := rig.arrive(test.class)
+		if test.started {
+			rig.handle(rig.now, Event{Kind: AttemptStarted, Request: id, Worker: rig.assignedTo(id)})
+		}
+		var refused, stopped bool
+		for beat := range 20 {
+			if rig.badRatio = 0; beat >= test.from {
+				rig.badRatio = test.bad
+			}
+			if beat == 16 && test.from > 0 && !rig.requests[id].late {
+				t.Fatal("it is not late yet")
+			}
+			rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
+			refused = refused || findAction(rig.actions, Reject) != nil
+			stopped = stopped || findAction(rig.actions, CancelAttempt) != nil
+		}
+		if refused != test.away || stopped != test.away {
+			t.Errorf("%s: refused %v, called off %v, want %v", name, refused, stopped, test.away)
+		}
+		rig.badRatio = test.bad
+		const full = 5 * time.Second
+		rig.maxTimeLeft[0] = full
+		rig.handle(
+			rig.now,
+			Event{
+				Kind:     RequestArrived,
+				Request:  1 << 40,
+				Class:    0,
+				Work:     100 * time.Millisecond,
+				TimeLeft: full / 2,
+			},
+		)
+		if again := findAction(rig.actions, Reject) != nil; again != (test.bad > overloadBadRatio) {
+			t.Errorf("%s: a repeat that comes too late: refused %v", name, again)
+		}
+	}
+}
+
+func TestWaitingRequestIsRejectedBeforeItsObjectiveWhenScarce(t *testing.T) {
+	rig := newRig(t, testSettings(), 1)
+	rig.fleet[0].saturatedUntil = rig.now + time.Hour
+	id := rig.arrive(0)
+	aim := rig.requests[id].objective
+	rig.workPrice, rig.nextPricingAt = 0.1, rig.now+time.Hour
+	for rig.requests[id] != nil && rig.now < aim+time.Second {
+		rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
+	}
+	if action := findAction(rig.actions, Reject); action == nil || rig.now >= aim || action.Delay <= 0 ||
+		action.Delay > rig.settings.MaxRetryAfter {
+		t.Fatalf("at %v of %v: %v", rig.now, aim, rig.actions)
+	}
+}
+
+// At full ceilings and prices of zero, late requests must not stay in the queue and make fresh ones late.
+func TestLateRequestIsRejectedAtFullCeiling(t *testing.T) {
+	rig := newRig(t, testSettings(), 2)
+	rig.concurrencyPerWorker = (2 - concurrencyHeadroom) / 2
+	rig.arrive(0)
+	rig.arrive(0)
+	waits := rig.requests[rig.arrive(0)]
+	if !waits.queued || rig.workPrice+rig.slotPrice > 0 {
+		t.Fatal("the third job should wait, unpriced")
+	}
+	rig.handle(waits.objective-seconds(waits.work), Event{Kind: TimerFired, Timer: sweepTimer})
+	if !waits.ended || findAction(rig.actions, Reject) == nil {
+		t.Fatal("a job that can hardly be in time waits on, though no lease is free")
+	}
+}
+
+// A request that earns nothing once late is rejected when its objective passes.
+func TestWorthlessRequestIsAnsweredAtOnce(t *testing.T) {
+	settings := testSettings()
+	settings.Classes[0].LateWeight = 0
+	rig := newRig(t, settings, 1)
+	rig.fleet[0].saturatedUntil = rig.now + time.Hour
+	id := rig.arrive(0)
+	aim := rig.requests[id].objective
+	for findAction(rig.actions, Reject) == nil {
+		if rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer}); rig.now > aim {
+			t.Fatal("still waiting after its aim")
+		}
+	}
+	if action := findAction(rig.actions, Reject); action.Request != id || action.Delay <= 0 {
+		t.Fatalf("refusal %+v", action)
+	}
+}
+
+// A request that waits in a worker's queue, can't be in time any more and earns nothing late is cancelled,
+// lest workers' queues be full of such.
+func TestWorthlessAttemptIsCancelledWhereItWaits(t *testing.T) {
+	for class, answer := range []ActionKind{Reject, Fail} {
+		for _, started := range []bool{false, true} {
+			rig := newRig(t, settingsWithoutHints(), 1)
+			id := rig.arrive(class) // runs for 1 s, and has 1 s + 2 x 1 s
+			if rig.assignedTo(id) == "" {
+				t.Fatal("not sent")
+			}
+			if started {
+				rig.handle(rig.now, Event{Kind: AttemptStarted, Request: id, Worker: "w0"})
+			}
+			var actions []Action
+			sweep := func(until time.Duration) {
+				for rig.now < time.Hour+until {
+					actions = append(
+						actions,
+						rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})...)
+				}
+			}
+			if sweep(time.Second); findAction(actions, CancelAttempt) != nil ||
+				findAction(actions, answer) != nil {
+				t.Fatalf("class %d is called off while it can be in time: %v", class, actions)
+			}
+			sweep(3 * time.Second)
+			if off := findAction(actions, CancelAttempt) != nil && findAction(actions, answer) != nil; off == started {
+				t.Fatalf("class %d, started %v, called off %v: %v", class, started, off, actions)
+			}
+		}
+	}
+}
+
+// settingsWithoutHints are classes as another customer has them: no hints come, and an answer that is late
+// earns nothing.
+func settingsWithoutHints() Settings {
+	settings := testSettings()
+	settings.StartNotices = true
+	for i := range settings.Classes {
+		settings.Classes[i].LateWeight, settings.Classes[i].LatencyObjective = 0, time.Second
+	}
+	return settings
+}
