--- a/decision/admission_test.go
+++ b/decision/admission_test.go
@@ -10,27 +10,30 @@
 // refuses keeps nothing of the others.
 func TestRefusedAttemptKeepsNoCapacity(t *testing.T) {
 	rig := newRig(t, testSettings(), 4)
-	rig.concurrencyPerWorker = 0.5 // two slots, and the room
+	rig.concurrencyPerWorker = 0.5 // two slots, and the headroom
 	for range 2 + int(concurrencyHeadroom) {
 		rig.arrive(0)
 	}
 	if rig.inFlight != 2+concurrencyHeadroom {
-		t.Fatalf("%v slots leased under a ceiling of two and room for %v", rig.inFlight, concurrencyHeadroom)
+		t.Fatalf("%v slots in flight under a ceiling of two and headroom of %v", rig.inFlight, concurrencyHeadroom)
 	}
 	if rig.send(0) != "" {
-		t.Fatal("lease above the ceiling")
+		t.Fatal("an attempt above the ceiling")
 	}
 	rig = newRig(t, testSettings(), 4)
-	rig.bucketTokens, rig.bucketRefilledAt, rig.workRatePerWorker = 0.5, rig.now, 1
+	rig.bucketTokens = 0.5
+	rig.bucketRefilledAt = rig.now
+	rig.workRatePerWorker = 1
 	if id := rig.arrive(0); rig.assignedTo(id) != "" || rig.inFlight != 0 {
-		t.Fatalf("bucket denied, yet sent or %v slots leased", rig.inFlight)
+		t.Fatalf("bucket denied, yet sent or %v slots in flight", rig.inFlight)
 	}
 	rig = newRig(t, testSettings(), 1)
 	rig.fleet[0].saturatedUntil = rig.now + time.Second
 	bucket := 1.5
-	rig.bucketTokens, rig.bucketRefilledAt = bucket, rig.now
+	rig.bucketTokens = bucket
+	rig.bucketRefilledAt = rig.now
 	if id := rig.arrive(0); rig.assignedTo(id) != "" || rig.inFlight != 0 || rig.bucketTokens != bucket {
-		t.Fatal("no ready worker, yet a lease or debit was kept")
+		t.Fatal("no ready worker, yet slots or tokens were kept")
 	}
 }
 
@@ -44,7 +47,7 @@
 		for range 5 {
 			id := rig.arrive(0)
 			if rig.assignedTo(id) == "" {
-				t.Fatalf("%d peers: an idle dispatcher holds a job back", peers)
+				t.Fatalf("%d peers: an idle dispatcher holds a request back", peers)
 			}
 			rig.endAttempt(id, 0, Completed, time.Second)
 		}
@@ -91,16 +94,16 @@
 func TestUnmarkedRetriesKeepTheirObjective(t *testing.T) {
 	rig := newRig(t, testSettings(), 4)
 	first := rig.arrive(0)
-	aim := rig.requests[first].objective
+	objective := rig.requests[first].objective
 	rig.now += 2 * time.Second
 	rig.handle(
 		rig.now,
 		Event{Kind: RequestArrived, Request: 99, Slots: 1, Work: time.Second, TimeLeft: 3 * time.Second},
 	)
-	if request := rig.requests[99]; request == nil || request.objective != aim {
-		t.Fatalf("the repeat of a job with its aim at %v: %+v", aim, request)
+	if request := rig.requests[99]; request == nil || request.objective != objective {
+		t.Fatalf("the retry of a request with its objective at %v: %+v", objective, request)
 	}
-	if _, jobs := rig.recentMix(); jobs > 1 {
-		t.Fatalf("%v jobs in the mix", jobs)
+	if _, requests := rig.recentMix(); requests > 1 {
+		t.Fatalf("%v requests in the mix", requests)
 	}
 }
--- a/decision/capacity_test.go
+++ b/decision/capacity_test.go
@@ -17,10 +17,12 @@
 const largeFleetZones = 17
 
 // newLargeFleet has a fleet over many zones, of which every coldEvery-th worker has just started; 0: none.
-func newLargeFleet(t testing.TB, workers, coldEvery int) (*Machine, []Endpoint) {
+func newLargeFleet(t testing.TB, workers, warmingEvery int) (*Machine, []Endpoint) {
 	t.Helper()
 	settings := testSettings()
-	settings.Peers, settings.CrossZoneCost, settings.StartNotices = 300, 0.05, true
+	settings.Peers = 300
+	settings.CrossZoneCost = 0.05
+	settings.StartNotices = true
 	settings.Classes = append(
 		settings.Classes,
 		Class{PriorityWeight: 1, Deadline: 5 * time.Second, Kinds: []int{1}},
@@ -39,12 +41,13 @@
 			Cell:  i % 1000,
 			State: Running,
 		}
-		if coldEvery > 0 && i%coldEvery == 0 {
+		if warmingEvery > 0 && i%warmingEvery == 0 {
 			list[i].StartedAt = start
 		}
 	}
 	machine.Handle(start, Event{Kind: ListUpdated, ListKind: ListCached, Endpoints: list}, nil)
-	machine.concurrencyPerWorker, machine.workRatePerWorker = 1e6, 1e6 // no ceiling binds: what is measured is the pick
+	machine.concurrencyPerWorker = 1e6
+	machine.workRatePerWorker = 1e6 // no ceiling binds: what is measured is the pick
 	return machine, list
 }
 
@@ -93,15 +96,15 @@
 // BenchmarkPick is an arrival that is placed and answered, with all workers warm and with a tenth of them
 // cold.
 func BenchmarkPick(b *testing.B) {
-	for _, coldEvery := range []int{0, 10} {
+	for _, warmingEvery := range []int{0, 10} {
 		for _, workers := range fleetSizes {
-			b.Run(fmt.Sprintf("%d/cold-every-%d", workers, coldEvery), func(b *testing.B) {
-				machine, _ := newLargeFleet(b, workers, coldEvery)
+			b.Run(fmt.Sprintf("%d/warming-every-%d", workers, warmingEvery), func(b *testing.B) {
+				machine, _ := newLargeFleet(b, workers, warmingEvery)
 				var out []Action
 				now := machine.now
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
-					now += time.Microsecond // the cold stay cold
+					now += time.Microsecond // workers in slow start stay there
 					if i%1000 == 0 {
 						out = machine.Handle(now, Event{Kind: TimerFired, Timer: sweepTimer}, out[:0])
 					}
@@ -141,12 +144,12 @@
 // them would panic.
 func TestDeltaReadsNoOtherWorker(t *testing.T) {
 	const workers = 21000
-	for _, index := range []int{1700, 1717} { // both of the own zone, the first one cold
-		deltaReadsNoOtherWorker(t, workers, index)
+	for _, index := range []int{1700, 1717} { // both in the own zone, the first one in slow start
+		checkDeltaReadsNoOtherWorker(t, workers, index)
 	}
 }
 
-func deltaReadsNoOtherWorker(t *testing.T, workers, index int) {
+func checkDeltaReadsNoOtherWorker(t *testing.T, workers, index int) {
 	changed := fmt.Sprintf("w%d", index)
 	for _, state := range []WorkerState{Running, Draining, Removed} {
 		machine, list := newLargeFleet(t, workers, 10)
@@ -159,7 +162,7 @@
 			for i, other := range members[:len(members)-1] { // the last one takes the place
 				if i != worker.positions[id]-1 {
 					delete(machine.workers, other.Name)
-					machine.workers["nobody "+other.Name] = nil
+					machine.workers["unknown "+other.Name] = nil
 					members[i] = nil
 				}
 			}
@@ -185,7 +188,9 @@
 	allocated := map[int]float64{}
 	for _, workers := range fleetSizes {
 		machine, list := newLargeFleet(t, workers, 0)
-		out, entries, i := make([]Action, 0, 8), make([]Endpoint, 1), 0
+		out := make([]Action, 0, 8)
+		entries := make([]Endpoint, 1)
+		i := 0
 		allocated[workers] = testing.AllocsPerRun(500, func() {
 			entries[0] = list[i/2%workers]
 			if i%2 == 0 {
@@ -210,7 +215,8 @@
 func TestIncrementalCountsAgreeWithARecount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := testSettings()
-		settings.CrossZoneCost, settings.CacheMissCost = 0.05, 0.1
+		settings.CrossZoneCost = 0.05
+		settings.CacheMissCost = 0.1
 		settings.Classes = append(
 			settings.Classes,
 			Class{PriorityWeight: 1, Deadline: 5 * time.Second, Kinds: []int{1}, Zones: []int{0}},
@@ -244,11 +250,12 @@
 			kind := rapid.SampledFrom([]ListKind{ListDelta, ListDelta, ListDelta, ListSnapshot}).
 				Draw(t, "list")
 			both(Event{Kind: ListUpdated, ListKind: kind, Endpoints: entries})
-			if len(a.fleet) > 0 && rapid.Bool().Draw(t, "suspect") {
+			if len(a.fleet) > 0 && rapid.Bool().Draw(t, "ejected") {
 				i := rapid.IntRange(0, len(a.fleet)-1).Draw(t, "which")
 				a.setFailureScore(a.fleet[i], 1, attemptsFail)
 				b.setFailureScore(b.fleet[i], 1, attemptsFail)
-				a.actions, b.actions = nil, nil
+				a.actions = nil
+				b.actions = nil
 			}
 			if rapid.Bool().Draw(t, "arrival") {
 				id := uint64(step + 1)
@@ -274,7 +281,7 @@
 					)
 				}
 			}
-			if rapid.Bool().Draw(t, "beat") {
+			if rapid.Bool().Draw(t, "sweep") {
 				both(Event{Kind: TimerFired, Timer: sweepTimer})
 			}
 			recount(t, a)
@@ -288,14 +295,16 @@
 	if len(machine.fleet) != len(machine.workers) {
 		t.Fatalf("%d in the fleet, %d known", len(machine.fleet), len(machine.workers))
 	}
-	running, suspects, open := 0, 0, map[*Class]int{}
+	running := 0
+	ejected := 0
+	eligible := map[*Class]int{}
 	for _, worker := range machine.fleet {
 		if machine.workers[worker.Name] != worker || worker.State == Removed {
 			t.Fatalf("in the fleet and not known, or gone: %+v", worker.Endpoint)
 		}
-		cold := worker.positions[inWarmingUp] > 0 // until the next sweep it stands with the cold ones, though it may be warm by now
-		if !cold && machine.capacityFraction(worker) < 1 || cold == (worker.positions[inWarmWorkers] > 0) ||
-			(!cold && worker.Zone == machine.settings.Zone) != (worker.positions[inLocalWarmWorkers] > 0) {
+		warming := worker.positions[inWarmingUp] > 0 // until the next sweep, though it may have warmed up
+		if !warming && machine.capacityFraction(worker) < 1 || warming == (worker.positions[inWarmWorkers] > 0) ||
+			(!warming && worker.Zone == machine.settings.Zone) != (worker.positions[inLocalWarmWorkers] > 0) {
 			t.Fatalf("in the wrong lists: %+v, %v", worker.Endpoint, worker.positions)
 		}
 		if worker.State != Running {
@@ -303,18 +312,18 @@
 		}
 		running++
 		if worker.ejected {
-			suspects++
+			ejected++
 		}
 		for i := range machine.settings.Classes {
 			if class := &machine.settings.Classes[i]; class.mayRunOn(worker) {
-				open[class]++
+				eligible[class]++
 			}
 		}
 	}
-	if machine.runningCount != running || machine.ejectedCount != suspects ||
-		!maps.Equal(machine.eligible, open) {
-		t.Fatalf("%d run, %d of them suspects, open %v; counted %d, %d, %v",
-			machine.runningCount, machine.ejectedCount, machine.eligible, running, suspects, open)
+	if machine.runningCount != running || machine.ejectedCount != ejected ||
+		!maps.Equal(machine.eligible, eligible) {
+		t.Fatalf("%d run, %d of them ejected, open %v; counted %d, %d, %v",
+			machine.runningCount, machine.ejectedCount, machine.eligible, running, ejected, eligible)
 	}
 	for id, members := range listsOf(machine) {
 		for i, worker := range members {
@@ -354,7 +363,7 @@
 	for range 3 * rounds {
 		members := machine.nextWarmingUp()
 		if len(members) == 0 || len(members) > maxWarmingUpDraws {
-			t.Fatalf("%d cold workers are drawn for one pick", len(members))
+			t.Fatalf("%d workers in slow start are drawn for one pick", len(members))
 		}
 		for _, worker := range members {
 			drawn[worker]++
@@ -378,7 +387,7 @@
 		}
 	}
 	if moved > 2*maxWarmingUpDraws {
-		t.Fatalf("%d cold workers were moved for one pick", moved)
+		t.Fatalf("%d workers in slow start were moved for one pick", moved)
 	}
 }
 
@@ -398,7 +407,9 @@
 	}
 	machine.Handle(now, Event{Kind: ListUpdated, ListKind: ListCached, Endpoints: list}, nil)
 	const step = time.Second / perSecond
-	id, served, next := uint64(0), map[string]int{}, now
+	id := uint64(0)
+	served := map[string]int{}
+	next := now
 	arrivals := func(until time.Duration) {
 		for ; now < until; now += step {
 			if now >= next {
@@ -445,7 +456,7 @@
 	arrivals(start + settings.SlowStartDuration)
 	for i := 0; i < workers; i += 10 {
 		if served[fmt.Sprintf("w%d", i)] == 0 {
-			t.Errorf("w%d got no work while it was cold", i)
+			t.Errorf("w%d got no request in slow start", i)
 		}
 	}
 }
@@ -468,18 +479,18 @@
 		t.Fatalf("at first %v, not %v", got, first)
 	}
 	second := take(300)
-	beats := 0
-	for ; !near(machine.warmWorkRate(0), second); beats++ {
-		if beats > 2*workers/scanWorkersPerSweep+2 {
-			t.Fatalf("%v after %d beats, not %v", machine.warmWorkRate(0), beats, second)
+	sweeps := 0
+	for ; !near(machine.warmWorkRate(0), second); sweeps++ {
+		if sweeps > 2*workers/scanWorkersPerSweep+2 {
+			t.Fatalf("%v after %d sweeps, not %v", machine.warmWorkRate(0), sweeps, second)
 		}
 		if at := machine.warmWorkRateScan.next; at%scanWorkersPerSweep != 0 || at > workers {
-			t.Fatalf("%d workers were looked at after %d beats", at, beats)
+			t.Fatalf("%d workers were looked at after %d sweeps", at, sweeps)
 		}
 		machine.now += machine.sweepInterval
 	}
-	if beats < workers/scanWorkersPerSweep {
-		t.Errorf("%d beats for %d workers, of which one looks at %d", beats, workers, scanWorkersPerSweep)
+	if sweeps < workers/scanWorkersPerSweep {
+		t.Errorf("%d sweeps for %d workers, of which one looks at %d", sweeps, workers, scanWorkersPerSweep)
 	}
 	small, _ := newLargeFleet(t, scanWorkersPerSweep, 10)
 	small.warmWorkRate(0)
@@ -488,6 +499,6 @@
 	}
 	small.now += small.sweepInterval
 	if got, want := small.warmWorkRate(0), 100/small.planningHorizon.Seconds(); !near(got, want) {
-		t.Errorf("a fleet that one beat looks at whole has %v, not %v", got, want)
+		t.Errorf("a fleet that one sweep looks at whole has %v, not %v", got, want)
 	}
 }
--- a/decision/ceilings_test.go
+++ b/decision/ceilings_test.go
@@ -20,17 +20,19 @@
 	rig := newRig(t, testSettings(), 2)
 	rig.concurrencyPerWorker = 1.2
 	before := rig.concurrencyPerWorker
-	a, b := rig.arrive(0), rig.arrive(0)
+	a := rig.arrive(0)
+	b := rig.arrive(0)
 	rig.endAttempt(a, 0, Completed, time.Second)
 	if rig.concurrencyPerWorker <= before {
-		t.Fatal("no step up for a job served at the ceiling")
+		t.Fatal("no step up for a request served at the ceiling")
 	}
 	before = rig.concurrencyPerWorker
 	rig.endAttempt(b, 0, Completed, 4*time.Second) // late
 	if rig.concurrencyPerWorker >= before {
 		t.Fatal("no cut for a late answer")
 	}
-	rig.badRatio, before = 1, rig.concurrencyPerWorker
+	rig.badRatio = 1
+	before = rig.concurrencyPerWorker
 	rig.cutCeilings(&request{class: &rig.settings.Classes[0]}, rig.now)
 	if rig.concurrencyPerWorker != before {
 		t.Fatal("two cuts within a round trip")
@@ -69,7 +71,7 @@
 		}
 		before := rig.badRatio
 		if rig.endAttempt(id, 0, Completed, 2*time.Second); !started && rig.badRatio != before {
-			t.Fatal("a late job was counted twice")
+			t.Fatal("a late request was counted twice")
 		}
 	}
 }
@@ -83,7 +85,7 @@
 	rig.workRatePerWorker = 1
 	if rig.concurrencyPerWorker*rig.readyWorkers() >= 1 || rig.send(0) == "" || rig.send(0) == "" {
 		t.Fatalf(
-			"a second job was held back at a ceiling of %v slots",
+			"a second request was held back at a ceiling of %v slots",
 			rig.concurrencyPerWorker*rig.readyWorkers(),
 		)
 	}
@@ -100,7 +102,8 @@
 	}
 	rig = newRig(t, testSettings(), 4)
 	id = rig.arrive(0)
-	rig.bucketTokens, rig.badRatio = 0, 1
+	rig.bucketTokens = 0
+	rig.badRatio = 1
 	rig.endAttempt(id, 0, Completed, 4*time.Second)
 	if rig.workRatePerWorker >= initialCeiling {
 		t.Fatal("a bucket that binds is not cut")
@@ -147,7 +150,8 @@
 		rig.cutCeilings(&request{class: &rig.settings.Classes[class]}, rig.now)
 		return 1 - rig.concurrencyPerWorker/before
 	}
-	all, one := cut(0), cut(1)
+	all := cut(0)
+	one := cut(1)
 	if one <= 0 || one > all/9 {
 		t.Fatalf("failures at one of ten workers cut %v, those at any %v", one, all)
 	}
--- a/decision/connection_test.go
+++ b/decision/connection_test.go
@@ -9,8 +9,10 @@
 // there shows it; from then on old ones are closed before use.
 func TestDeadConnectionsAreFoundAndClosed(t *testing.T) {
 	settings := testSettings()
-	settings.StartNotices, settings.StartsInOrder, settings.ConnectionIdleTimeout = true, true, 30*time.Second
-	settings.Classes[1].LateWeight = 0.1 // one that earns nothing late is called off before the next job tells
+	settings.StartNotices = true
+	settings.StartsInOrder = true
+	settings.ConnectionIdleTimeout = 30 * time.Second
+	settings.Classes[1].LateWeight = 0.1 // one that earns nothing late is cancelled before the next request starts
 	rig := newRig(t, settings, 1)
 	first := rig.arrive(1)
 	rig.endAttempt(first, 0, Completed, 100*time.Millisecond)
@@ -25,15 +27,15 @@
 	}
 	next := rig.arrive(1)
 	if rig.assignedTo(next) == "" {
-		t.Fatal("the worker is kept from work by a job that its connection lost")
+		t.Fatal("the worker is kept from work by a request that its connection lost")
 	}
 	rig.handle(rig.now+5*time.Millisecond, Event{Kind: AttemptStarted, Request: next, Worker: "w0"})
 	if findAction(rig.actions, Fail) == nil || findAction(rig.actions, CancelAttempt) == nil ||
 		!rig.requests[lost].ended {
-		t.Fatalf("a lost job is kept: %v", rig.actions)
+		t.Fatalf("a lost request is kept: %v", rig.actions)
 	}
 	if rig.workers["w0"].ejected || rig.safeIdleTime > 3*time.Second {
-		t.Fatalf("suspect %v, bound %v", rig.workers["w0"].ejected, rig.safeIdleTime)
+		t.Fatalf("ejected %v, bound %v", rig.workers["w0"].ejected, rig.safeIdleTime)
 	}
 	rig.endAttempt(next, 0, Completed, 100*time.Millisecond)
 	rig.handle(rig.now, Event{Kind: AttemptEnded, Request: lost, Worker: "w0", Outcome: Cancelled})
--- a/decision/dual_test.go
+++ b/decision/dual_test.go
@@ -28,7 +28,8 @@
 	}
 	a.Set(n, 2*n, 1)
 	a.Set(n+1, 2*n+1, 1)
-	b[n], b[n+1] = budgetC, budgetK
+	b[n] = budgetC
+	b[n+1] = budgetK
 	z, _, err := lp.Simplex(c, a, b, 1e-10, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -55,12 +56,14 @@
 			// Small whole numbers make ties and degenerate mixes common.
 			bids[i] = bid{float64(rng.IntN(5)), float64(1 + rng.IntN(4)), float64(rng.IntN(4))}
 		}
-		budgetC, budgetK := float64(rng.IntN(3*n)), float64(rng.IntN(3*n))
+		budgetC := float64(rng.IntN(3 * n))
+		budgetK := float64(rng.IntN(3 * n))
 		c, k := solveDual(bids, budgetC, budgetK)
 		if !(c >= 0 && k >= 0) || math.IsInf(c+k, 0) {
 			t.Fatalf("prices %v, %v", c, k)
 		}
-		got, want := dualAt(bids, budgetC, budgetK, c, k), solvePrimal(t, bids, budgetC, budgetK)
+		got := dualAt(bids, budgetC, budgetK, c, k)
+		want := solvePrimal(t, bids, budgetC, budgetK)
 		if math.Abs(got-want) > 1e-6*(1+want) {
 			t.Fatalf("dual %v, simplex %v for %v, budgets %v, %v", got, want, bids, budgetC, budgetK)
 		}
@@ -93,7 +96,7 @@
 		{"exactly enough for all: the highest price that still clears", same, 3, 10, 2, 0},
 		{"concurrency binds", same, 10, 1, 0, 2},
 		{"no budget, no holds", []bid{{3, 1, 0}, {1, 1, 0}}, 0, 0, 3, 0},
-		{"worthless and free jobs", []bid{{0, 0, 0}, {0, 1, 1}}, 1, 1, 0, 0},
+		{"worthless and free requests", []bid{{0, 0, 0}, {0, 1, 1}}, 1, 1, 0, 0},
 	} {
 		if c, k := solveDual(test.bids, test.budgetC, test.budgetK); c != test.c || k != test.k {
 			t.Errorf("%s: prices %v, %v, want %v, %v", test.name, c, k, test.c, test.k)
--- a/decision/endpoints_test.go
+++ b/decision/endpoints_test.go
@@ -37,7 +37,7 @@
 		action := findAction(rig.actions, SetTimer)
 		if findAction(rig.actions, Subscribe) != nil || action == nil ||
 			action.Delay > settings.ListPollInterval/2 {
-			t.Fatalf("try %d: %v", i, rig.actions)
+			t.Fatalf("failure %d: %v", i, rig.actions)
 		}
 		last = action.Delay
 	}
@@ -59,15 +59,18 @@
 // bounds. However many they are, all have called early enough for two more calls within ListPollInterval.
 func TestSubscribeDelayIsBounded(t *testing.T) {
 	settings := testSettings()
-	settings.ListBySubscription, settings.Peers = true, 300
-	early, late := settings.ListPollInterval, time.Duration(0)
+	settings.ListBySubscription = true
+	settings.Peers = 300
+	early := settings.ListPollInterval
+	late := time.Duration(0)
 	for i := range 200 {
 		rig := newSeededRig(t, settings, 1, uint64(i))
 		action := findAction(rig.actions, SetTimer)
 		if action == nil {
 			t.Fatalf("called at once: %v", rig.actions)
 		}
-		early, late = min(early, action.Delay), max(late, action.Delay)
+		early = min(early, action.Delay)
+		late = max(late, action.Delay)
 	}
 	if late > settings.ListPollInterval/4 || late-early < settings.ListPollInterval/5 {
 		t.Errorf("calls come between %v and %v after the start", early, late)
@@ -80,7 +83,8 @@
 func TestLargeFleetSpreadsItsCalls(t *testing.T) {
 	const peers, service, patience = 36, time.Second / 7, 2 * time.Second
 	settings := testSettings()
-	settings.ListBySubscription, settings.Peers = true, largeFleetThreshold
+	settings.ListBySubscription = true
+	settings.Peers = largeFleetThreshold
 	if rig := newRig(t, settings, 1); findAction(rig.actions, Subscribe) == nil ||
 		findAction(rig.actions, SetTimer) != nil {
 		t.Fatalf("few dispatchers do not call at once: %v", rig.actions)
@@ -102,9 +106,12 @@
 			if action == nil || findAction(rig.actions, Subscribe) != nil {
 				t.Fatalf("called at once: %v", rig.actions)
 			}
-			rigs, calls = append(rigs, rig), append(calls, time.Hour+action.Delay)
+			rigs = append(rigs, rig)
+			calls = append(calls, time.Hour+action.Delay)
 		}
-		free, failed, last := time.Duration(0), 0, time.Duration(0)
+		free := time.Duration(0)
+		failed := 0
+		last := time.Duration(0)
 		for served := 0; served < peers; {
 			next := 0
 			for i := range calls {
@@ -116,7 +123,8 @@
 			start := max(free, now)
 			free = start + service // a call that has waited too long takes its time all the same
 			if start+service-now <= patience {
-				served, last = served+1, start+service
+				served++
+				last = start + service
 				calls[next] = math.MaxInt64
 				continue
 			}
--- a/decision/estimates_test.go
+++ b/decision/estimates_test.go
@@ -26,7 +26,7 @@
 		rig.endAttempt(request.id, 0, Completed, 300*time.Millisecond)
 	}
 	if got := job(0).work; got < 0.29 || got > 0.45 {
-		t.Fatalf("jobs run for 0.3 s, %v s is expected", got)
+		t.Fatalf("requests run for 0.3 s, %v s is expected", got)
 	}
 	if got := job(2 * time.Second).work; got != 2 {
 		t.Fatalf("a hint of 2 s is taken for %v s", got)
--- a/decision/hedge_test.go
+++ b/decision/hedge_test.go
@@ -14,7 +14,7 @@
 		rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
 	}
 	if !worker.ejected || len(rig.requests[id].attempts) != 2 {
-		t.Fatalf("suspect %v, %d attempts", worker.ejected, len(rig.requests[id].attempts))
+		t.Fatalf("ejected %v, %d attempts", worker.ejected, len(rig.requests[id].attempts))
 	}
 }
 
@@ -28,12 +28,15 @@
 		started        bool
 		want           int // attempts in the end
 	}{
-		"notes stop": {0, 5, true, 2}, "no start, nothing waits": {0, 0, false, 2}, "no start, jobs wait": {0, 1, false, 1},
-		"fragile, notes stop": {1, 0, true, 1}, "fragile, no start": {1, 0, false, 1},
+		"progress stops": {0, 5, true, 2}, "no start, nothing waits": {0, 0, false, 2}, "no start, requests wait": {0, 1, false, 1},
+		"not idempotent, progress stops": {1, 0, true, 1}, "not idempotent, no start": {1, 0, false, 1},
 	} {
 		settings := testSettings()
-		settings.StartNotices, settings.StartsInOrder, settings.HealthChecks, settings.Peers = true, true, true, 1
-		settings.Cancellation = false // else a job that waits has a copy anyway
+		settings.StartNotices = true
+		settings.StartsInOrder = true
+		settings.HealthChecks = true
+		settings.Peers = 1
+		settings.Cancellation = false // else an attempt that waits is hedged anyway
 		rig := newRig(t, settings, 4)
 		id := rig.arrive(test.class)
 		worker := rig.workers[rig.assignedTo(id)]
@@ -54,7 +57,7 @@
 			worker.lastSeen = rig.now // by another connection
 		}
 		if n := len(rig.requests[id].attempts); n != test.want || worker.ejected {
-			t.Errorf("%s: %d attempts, want %d; suspect %v", name, n, test.want, worker.ejected)
+			t.Errorf("%s: %d attempts, want %d; ejected %v", name, n, test.want, worker.ejected)
 		}
 		if test.started != (probes == 0) || probes > 3 {
 			t.Errorf("%s: %d probes", name, probes)
@@ -68,7 +71,7 @@
 		}
 		if worker.unstarted != 0 || worker.outstanding != 0 || rig.inFlight != 0 {
 			t.Errorf(
-				"%s: in the end %d starts are waited for, %v slots out, %v leased",
+				"%s: in the end %d starts are waited for, %v slots out, %v in flight",
 				name,
 				worker.unstarted,
 				worker.outstanding,
@@ -82,7 +85,8 @@
 // hedge that could not be cancelled would only fill another queue.
 func TestUnstartedAttemptIsNotSilence(t *testing.T) {
 	settings := testSettings()
-	settings.StartNotices, settings.Cancellation = true, false
+	settings.StartNotices = true
+	settings.Cancellation = false
 	rig := newRig(t, settings, 2)
 	id := rig.arrive(0)
 	worker := rig.workers[rig.assignedTo(id)]
@@ -91,13 +95,13 @@
 	}
 	if worker.ejected || len(rig.requests[id].attempts) != 1 {
 		t.Fatalf(
-			"suspect %v, %d attempts for a job that waits in a queue",
+			"ejected %v, %d attempts for a request that waits in a queue",
 			worker.ejected,
 			len(rig.requests[id].attempts),
 		)
 	}
 	if next := rig.arrive(0); rig.assignedTo(next) == worker.Name {
-		t.Fatal("more work behind a job that has not started")
+		t.Fatal("more work behind an attempt that has not started")
 	}
 }
 
@@ -107,7 +111,7 @@
 func TestWaitingAttemptIsHedged(t *testing.T) {
 	settings := testSettings()
 	settings.StartNotices = true
-	stopped := func(rig *rig) []int {
+	cancelled := func(rig *rig) []int {
 		var list []int
 		for _, action := range rig.actions {
 			if action.Kind == CancelAttempt {
@@ -137,32 +141,32 @@
 		rig, id := wait(0)
 		request := rig.requests[id]
 		if len(request.attempts) != 2 || request.attempts[0].worker == request.attempts[1].worker {
-			t.Fatalf("%d attempts for a job that waits", len(request.attempts))
+			t.Fatalf("%d attempts for a request that waits", len(request.attempts))
 		}
 		start(rig, id, first)
-		if got := stopped(rig); len(got) != 1 || got[0] != 1-first {
-			t.Fatalf("attempt %d starts first: called off: %v", first, got)
+		if got := cancelled(rig); len(got) != 1 || got[0] != 1-first {
+			t.Fatalf("attempt %d starts first: cancelled: %v", first, got)
 		}
 		rig.endAttempt(id, 1-first, Cancelled, 0)
 		if worker := request.attempts[1-first].worker; worker.unstarted != 0 ||
 			worker.recentWork.get(rig.now, rig.planningHorizon) > 1e-3 {
-			t.Errorf("a copy that never started is still booked: %d, %v", worker.unstarted, worker.recentWork)
+			t.Errorf("a hedge that never started is still counted: %d, %v", worker.unstarted, worker.recentWork)
 		}
 	}
 	rig, id := wait(0)
 	rig.requests[id].attempts[0].startedAt = rig.now
 	start(rig, id, 1)
-	if got := stopped(rig); len(got) != 1 || got[0] != 1 {
-		t.Errorf("the later start is not called off: %v", got)
+	if got := cancelled(rig); len(got) != 1 || got[0] != 1 {
+		t.Errorf("the later start is not cancelled: %v", got)
 	}
 	if rig, id := wait(1); len(rig.requests[id].attempts) != 1 {
-		t.Error("a copy of a job that must not run twice")
+		t.Error("a hedge of a request that must not run twice")
 	}
 	rig = newRig(t, settings, 4)
 	id = rig.arrive(0)
 	rig.requests[id].late = true
 	rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
 	if len(rig.requests[id].attempts) != 1 {
-		t.Error("a copy of a job that is late")
+		t.Error("a hedge of a request that is late")
 	}
 }
--- a/decision/load_test.go
+++ b/decision/load_test.go
@@ -14,7 +14,7 @@
 	)
 	for range 3 {
 		if rig.send(0) != "w1" {
-			t.Fatal("a worker with five jobs of others was taken before an idle one")
+			t.Fatal("a worker with five requests of others was taken before an idle one")
 		}
 	}
 }
--- a/decision/outlier_test.go
+++ b/decision/outlier_test.go
@@ -13,7 +13,7 @@
 	rig.setFailureScore(worker, 1, reportsNoMore)
 	rig.now += worker.ejectionBackoff
 	if !rig.usable(&request{class: &rig.settings.Classes[0]}, worker) {
-		t.Fatal("never tried again while a job is stuck there")
+		t.Fatal("no trial while an attempt is stuck there")
 	}
 }
 
@@ -25,15 +25,17 @@
 	worker := rig.workers[bad]
 	rig.endAttempt(id, 0, Failed, time.Millisecond)
 	if !worker.ejected || worker.runTimeRatio != 0 {
-		t.Fatalf("suspect %v, pace %v", worker.ejected, worker.runTimeRatio)
+		t.Fatalf("ejected %v, run time ratio %v", worker.ejected, worker.runTimeRatio)
 	}
 	for range 20 {
 		if rig.send(0) == bad {
-			t.Fatal("sent to a suspect at once")
+			t.Fatal("sent to an ejected worker at once")
 		}
 	}
 	rig.now += worker.ejectionBackoff
-	rig.concurrencyPerWorker, rig.workRatePerWorker, rig.bucketTokens = 100, 100, 1e6
+	rig.concurrencyPerWorker = 100
+	rig.workRatePerWorker = 100
+	rig.bucketTokens = 1e6
 	trials := 0
 	for range 40 {
 		rig.arrive(0)
@@ -57,16 +59,16 @@
 	for len(stuck) < 6 {
 		stuck = append(stuck, rig.arrive(0))
 	}
-	suspect := rig.fleet[0]
-	held := suspect.outstanding
-	rig.setFailureScore(suspect, 1, reportsNoMore)
-	if rig.inFlight != 6 || held == 0 || rig.countedInFlight() != 6-held {
-		t.Fatalf("%v of 6 leases count though a suspect holds %v", rig.countedInFlight(), held)
+	ejected := rig.fleet[0]
+	atEjected := ejected.outstanding
+	rig.setFailureScore(ejected, 1, reportsNoMore)
+	if rig.inFlight != 6 || atEjected == 0 || rig.countedInFlight() != 6-atEjected {
+		t.Fatalf("%v of 6 slots count though an ejected worker holds %v", rig.countedInFlight(), atEjected)
 	}
 	rig.setFailureScore(rig.fleet[1], 1, reportsNoMore)
 	if rig.countedInFlight() != 6 || rig.readyWorkers() != 3 || rig.send(0) != "" {
 		t.Fatalf(
-			"%v of 6 leases and %v of 3 workers count while most are suspects",
+			"%v of 6 slots and %v of 3 workers count in panic",
 			rig.countedInFlight(),
 			rig.readyWorkers(),
 		)
@@ -74,12 +76,12 @@
 	rig.handle(rig.now, Event{Kind: ClientDisconnected, Request: rig.next - 1})
 	rig.setFailureScore(rig.fleet[1], 0, answersAgain)
 	rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{
-		{Name: suspect.Name, State: Running, StartedAt: rig.now}}})
+		{Name: ejected.Name, State: Running, StartedAt: rig.now}}})
 	for _, id := range stuck {
 		rig.endAttempt(id, 0, Completed, 0)
 	}
 	if rig.inFlight != 0 || rig.inFlightAtEjected != 0 {
-		t.Fatalf("%v leases, %v of them stuck, after all have ended", rig.inFlight, rig.inFlightAtEjected)
+		t.Fatalf("%v slots, %v of them stuck, after all have ended", rig.inFlight, rig.inFlightAtEjected)
 	}
 }
 
@@ -99,25 +101,27 @@
 // and none in panic.
 func TestEjectedNamesWorkersThatGetNothing(t *testing.T) {
 	rig := newRig(t, testSettings(), 5)
-	rig.concurrencyPerWorker, rig.workRatePerWorker, rig.bucketTokens = 1000, 1000, 1e6
-	bad := rig.fleet[2]
+	rig.concurrencyPerWorker = 1000
+	rig.workRatePerWorker = 1000
+	rig.bucketTokens = 1e6
+	ejected := rig.fleet[2]
 	if rig.Ejected() != nil {
 		t.Fatalf("%v are ejected at the start", rig.Ejected())
 	}
-	rig.setFailureScore(bad, 1, attemptsFail)
+	rig.setFailureScore(ejected, 1, attemptsFail)
 	for range 30 {
 		id := rig.arrive(0)
-		if rig.assignedTo(id) == bad.Name || len(rig.Ejected()) != 1 || rig.Ejected()[0] != bad.Name {
+		if rig.assignedTo(id) == ejected.Name || len(rig.Ejected()) != 1 || rig.Ejected()[0] != ejected.Name {
 			t.Fatalf("%v are ejected, and %s gets work", rig.Ejected(), rig.assignedTo(id))
 		}
 		rig.endAttempt(id, 0, Completed, time.Millisecond)
 	}
 	trials := 0
-	for ; bad.ejected && trials < 5; trials++ {
-		rig.now = max(rig.now, bad.trialAt)
+	for ; ejected.ejected && trials < 5; trials++ {
+		rig.now = max(rig.now, ejected.trialAt)
 		trial := uint64(0)
 		for range 60 {
-			if id := rig.arrive(0); rig.assignedTo(id) == bad.Name {
+			if id := rig.arrive(0); rig.assignedTo(id) == ejected.Name {
 				trial = id
 			}
 		}
@@ -142,7 +146,7 @@
 		Event{
 			Kind:      ListUpdated,
 			ListKind:  ListDelta,
-			Endpoints: []Endpoint{{Name: bad.Name, State: Draining}},
+			Endpoints: []Endpoint{{Name: ejected.Name, State: Draining}},
 		},
 	)
 	if rig.Ejected() != nil {
@@ -160,7 +164,7 @@
 	for range 20 {
 		id := rig.arrive(0)
 		if rig.assignedTo(id) == lost {
-			t.Fatal("sent to a silent worker while the list is down")
+			t.Fatal("sent to a silent worker while the list fails")
 		}
 		rig.endAttempt(id, 0, Completed, time.Millisecond)
 	}
@@ -178,7 +182,7 @@
 	rig.endAttempt(id, 0, Failed, time.Millisecond)
 	request := &request{class: &rig.settings.Classes[1]}
 	if rig.usable(request, bad) {
-		t.Fatal("fragile work trusted to a worker that has just failed")
+		t.Fatal("a non-idempotent request sent to a worker that has just failed")
 	}
 	rig.now += 3 * rig.planningHorizon
 	if !rig.usable(request, bad) {
@@ -190,12 +194,13 @@
 // nor the fleet is blamed. A worker that says so of all that it gets is at fault itself.
 func TestInvalidRequestBlamesNoWorker(t *testing.T) {
 	rig := newRig(t, testSettings(), 3)
-	perSlot, worker := rig.concurrencyPerWorker, ""
+	concurrency := rig.concurrencyPerWorker
+	worker := ""
 	for i := range 2 * maxConsecutiveInvalid {
 		id := rig.arrive(i % 2)
 		out := rig.endAttempt(id, 0, InvalidRequest, time.Millisecond)
 		if len(out) == 0 || out[0].Kind != Fail || out[0].Request != id || rig.requests[id] != nil {
-			t.Fatalf("job %d: %+v", i, out)
+			t.Fatalf("request %d: %+v", i, out)
 		}
 		good := rig.arrive(0)
 		worker = rig.assignedTo(good)
@@ -204,12 +209,12 @@
 			worker.consecutiveInvalid = 0
 		}
 	}
-	if rig.ejectedCount != 0 || rig.concurrencyPerWorker < perSlot || rig.inFlight != 0 {
+	if rig.ejectedCount != 0 || rig.concurrencyPerWorker < concurrency || rig.inFlight != 0 {
 		t.Errorf(
-			"%d suspects, ceiling %v of %v, %v in flight",
+			"%d ejected, ceiling %v of %v, %v in flight",
 			rig.ejectedCount,
 			rig.concurrencyPerWorker,
-			perSlot,
+			concurrency,
 			rig.inFlight,
 		)
 	}
--- a/decision/pricing_test.go
+++ b/decision/pricing_test.go
@@ -9,27 +9,29 @@
 func TestPricesAreCheckedBeforeCapacityIsTaken(t *testing.T) {
 	rig := newRig(t, testSettings(), 4)
 	rig.arrive(0)
-	leased, bucket := rig.inFlight, rig.bucketTokens
-	rig.workPrice = 2 // above class 0's worth a slot-second, below class 1's
+	inFlight := rig.inFlight
+	bucket := rig.bucketTokens
+	rig.workPrice = 2 // above class 0's weight a slot-second, below class 1's
 	rig.arrive(0)
 	if findAction(rig.actions, Reject) == nil || findAction(rig.actions, Assign) != nil {
-		t.Fatalf("worth 1 at price 2 was not refused: %v", rig.actions)
+		t.Fatalf("weight 1 at price 2 was not rejected: %v", rig.actions)
 	}
-	if rig.inFlight != leased || rig.bucketTokens != bucket {
-		t.Fatal("a refused job was debited")
+	if rig.inFlight != inFlight || rig.bucketTokens != bucket {
+		t.Fatal("a rejected request was debited")
 	}
 	rig.arrive(1)
 	if findAction(rig.actions, Assign) == nil {
-		t.Fatal("worth 3 at price 2 was not sent")
+		t.Fatal("weight 3 at price 2 was not sent")
 	}
-	rig.workPrice, rig.slotPrice = 1, 2
+	rig.workPrice = 1
+	rig.slotPrice = 2
 	rig.arrive(1)
 	if findAction(rig.actions, Assign) == nil {
 		t.Fatal("a value equal to the prices is admitted")
 	}
 	rig.slotPrice = 2.1
 	if rig.arrive(1); findAction(rig.actions, Reject) == nil {
-		t.Fatal("hold is not priced")
+		t.Fatal("hold time is not priced")
 	}
 }
 
@@ -38,31 +40,33 @@
 	rig.slotPrice = 100
 	rig.handle(rig.now, Event{Kind: RequestArrived, Request: 1, Slots: 1, TimeLeft: 5 * time.Second})
 	if findAction(rig.actions, Assign) == nil {
-		t.Fatal("an unhinted job pays no hold")
+		t.Fatal("an unhinted request pays no slot price")
 	}
 }
 
 // Prices for a smaller budget than the concurrency ceiling admits would reject work beside idle workers.
 func TestPricesCountConcurrencyHeadroom(t *testing.T) {
 	rig := newRig(t, testSettings(), 4)
-	rig.concurrencyPerWorker, rig.workRatePerWorker = 0, 1e6
+	rig.concurrencyPerWorker = 0
+	rig.workRatePerWorker = 1e6
 	for range minPricedJobs + 5 {
 		rig.addToMix(&request{value: 0.1, cost: 0.1, holdTime: 0.1}, jobGroupKey{})
 	}
 	if rig.solvePrices(); rig.workPrice+rig.slotPrice > 0 {
-		t.Fatalf("prices %v and %v though the room holds all of the mix", rig.workPrice, rig.slotPrice)
+		t.Fatalf("prices %v and %v though the headroom holds all of the mix", rig.workPrice, rig.slotPrice)
 	}
 }
 
 func TestFewRequestsArePricedAtNothing(t *testing.T) {
 	rig := newRig(t, testSettings(), 2)
-	rig.concurrencyPerWorker, rig.workRatePerWorker = 0.01, 0.01
+	rig.concurrencyPerWorker = 0.01
+	rig.workRatePerWorker = 0.01
 	for i := range 3 * minPricedJobs {
 		rig.arrive(0)
 		rig.solvePrices()
 		// What has faded a little already does not count in full.
 		if priced := rig.workPrice+rig.slotPrice > 0; priced && i < minPricedJobs-1 {
-			t.Fatalf("priced from %d jobs", i+1)
+			t.Fatalf("priced from %d requests", i+1)
 		}
 	}
 	if rig.workPrice+rig.slotPrice == 0 {
@@ -89,8 +93,8 @@
 		},
 	)
 	rig.sweep()
-	if _, jobs := rig.recentMix(); math.Abs(jobs-5) > 1e-9 {
-		t.Fatalf("%v jobs in the mix, want 5", jobs)
+	if _, requests := rig.recentMix(); math.Abs(requests-5) > 1e-9 {
+		t.Fatalf("%v requests in the mix, want 5", requests)
 	}
 }
 
@@ -98,16 +102,16 @@
 // the cube of their number.
 func TestMixIsBoundedAndPruned(t *testing.T) {
 	rig := newRig(t, testSettings(), 2)
-	const jobs = 300
-	for i := range jobs {
+	const requests = 300
+	for i := range requests {
 		rig.handle(rig.now, Event{
 			Kind: RequestArrived, Request: uint64(i + 1000), Class: i % 2, Slots: math.Exp2(float64(i % 20)),
 			Work: time.Duration(1+i/20) * time.Millisecond << (i % 13), TimeLeft: 5 * time.Second,
 		})
 	}
 	bids, n := rig.recentMix()
-	if len(bids) > 50 || math.Abs(n-jobs) > 1e-6 {
-		t.Fatalf("%v jobs in %d points, want %d jobs in a few dozen", n, len(bids), jobs)
+	if len(bids) > 50 || math.Abs(n-requests) > 1e-6 {
+		t.Fatalf("%v requests in %d points, want %d requests in a few dozen", n, len(bids), requests)
 	}
 	rig.now += 12 * rig.planningHorizon
 	rig.arrive(0)
@@ -123,7 +127,8 @@
 	for range 2 * minPricedJobs {
 		rig.arrive(0)
 	}
-	rig.concurrencyPerWorker, rig.workRatePerWorker = 1e6, 1e6
+	rig.concurrencyPerWorker = 1e6
+	rig.workRatePerWorker = 1e6
 	if rig.solvePrices(); rig.workPrice != 0 || rig.slotPrice != 0 {
 		t.Fatalf("prices %v, %v with budgets to spare", rig.workPrice, rig.slotPrice)
 	}
--- a/decision/queue_test.go
+++ b/decision/queue_test.go
@@ -22,7 +22,7 @@
 		}
 	}
 	if rig.send(0) == "" {
-		t.Fatal("a job that every worker can run waits behind those that none can")
+		t.Fatal("a request that every worker can run waits behind those that none can")
 	}
 }
 
@@ -36,6 +36,6 @@
 	low := rig.arrive(0)
 	rig.sweep()
 	if len(rig.queue) != 2 || rig.queue[0].id != low {
-		t.Fatal("the lapsed job keeps its place")
+		t.Fatal("the late request keeps its place")
 	}
 }
--- a/decision/quota_test.go
+++ b/decision/quota_test.go
@@ -7,7 +7,8 @@
 
 func TestTenantBeyondQuotaWeighsLess(t *testing.T) {
 	settings := testSettings()
-	settings.TenantQuotas, settings.OverQuotaWeight = []float64{2, 50}, 0.1
+	settings.TenantQuotas = []float64{2, 50}
+	settings.OverQuotaWeight = 0.1
 	rig := newRig(t, settings, 50)
 	over := 0
 	for id := uint64(1); id <= 40; id++ {
--- a/decision/reconfigure_test.go
+++ b/decision/reconfigure_test.go
@@ -11,30 +11,35 @@
 func TestReconfigureWhileRequestsAreOpen(t *testing.T) {
 	rig := newRig(t, testSettings(), 2)
 	open := rig.requests[rig.arrive(0)]
-	class, value, aim, beat := open.class, open.value, open.objective, rig.sweepInterval
+	class := open.class
+	value := open.value
+	objective := open.objective
+	sweepInterval := rig.sweepInterval
 	next := testSettings()
-	next.Classes[0].PriorityWeight, next.Classes[0].LatencyObjective, next.MaxRetryAfter = 7, 40*time.Millisecond, time.Second
+	next.Classes[0].PriorityWeight = 7
+	next.Classes[0].LatencyObjective = 40 * time.Millisecond
+	next.MaxRetryAfter = time.Second
 	rig.handle(rig.now, Event{Kind: SettingsChanged, Settings: &next})
 	if open.class != class || open.class != &rig.settings.Classes[0] || open.value != value ||
-		open.objective != aim {
+		open.objective != objective {
 		t.Errorf("an open request changes: %+v", open)
 	}
 	later := rig.requests[rig.arrive(0)]
-	if later.class != class || later.value != 7*value || later.objective != aim-160*time.Millisecond {
+	if later.class != class || later.value != 7*value || later.objective != objective-160*time.Millisecond {
 		t.Errorf(
-			"a later request has value %v and aim %v; the former %v and %v",
+			"a later request has value %v and objective %v; the former %v and %v",
 			later.value,
 			later.objective,
 			value,
-			aim,
+			objective,
 		)
 	}
-	if rig.sweepInterval >= beat || rig.sweepInterval != rig.shortestSweepInterval() ||
+	if rig.sweepInterval >= sweepInterval || rig.sweepInterval != rig.shortestSweepInterval() ||
 		rig.settings.MaxRetryAfter != time.Second {
 		t.Errorf(
-			"a sweep each %v, before %v; told to come back in %v at the most",
+			"a sweep each %v, before %v; Retry-After of %v at the most",
 			rig.sweepInterval,
-			beat,
+			sweepInterval,
 			rig.settings.MaxRetryAfter,
 		)
 	}
@@ -47,7 +52,9 @@
 // A quota holds from the change on, higher or lower.
 func TestReconfiguredQuota(t *testing.T) {
 	settings := testSettings()
-	settings.Peers, settings.TenantQuotas, settings.OverQuotaWeight = 1, []float64{1000, 1000}, 0.1
+	settings.Peers = 1
+	settings.TenantQuotas = []float64{1000, 1000}
+	settings.OverQuotaWeight = 0.1
 	rig := newRig(t, settings, 2)
 	over := func() (n int) {
 		for range 100 {
@@ -83,10 +90,10 @@
 			settings.Classes = append(settings.Classes, settings.Classes[0])
 			return settings
 		},
-		"a tenant":         func(settings *Settings) *Settings { settings.TenantQuotas = []float64{1}; return settings },
-		"infinite worth":   func(settings *Settings) *Settings { settings.Classes[1].PriorityWeight = math.Inf(1); return settings },
-		"a negative aim":   func(settings *Settings) *Settings { settings.Classes[1].LatencyObjective = -1; return settings },
-		"no number at all": func(settings *Settings) *Settings { settings.OverQuotaWeight = math.NaN(); return settings },
+		"a tenant":             func(settings *Settings) *Settings { settings.TenantQuotas = []float64{1}; return settings },
+		"infinite weight":      func(settings *Settings) *Settings { settings.Classes[1].PriorityWeight = math.Inf(1); return settings },
+		"a negative objective": func(settings *Settings) *Settings { settings.Classes[1].LatencyObjective = -1; return settings },
+		"no number at all":     func(settings *Settings) *Settings { settings.OverQuotaWeight = math.NaN(); return settings },
 	} {
 		rig := newRig(t, testSettings(), 2)
 		before := rig.settings
--- a/decision/retry_test.go
+++ b/decision/retry_test.go
@@ -35,11 +35,14 @@
 // A deduplicated request that may have run and whose window is over has nothing to wait for: it is answered
 // then, rejected where any worker would discard a repeat, else failed.
 func TestRequestBeyondItsDedupWindowIsAnsweredAtOnce(t *testing.T) {
-	for group, want := range map[DedupScope]ActionKind{DedupEverywhere: Reject, DedupWithinZone: Fail, DedupWithinCell: Fail} {
+	for scope, want := range map[DedupScope]ActionKind{DedupEverywhere: Reject, DedupWithinZone: Fail, DedupWithinCell: Fail} {
 		for _, last := range []AttemptOutcome{Failed, Saturated} { // the window ends as it waits, and as it comes back
 			settings := testSettings()
-			settings.Classes[1].Idempotency, settings.Classes[1].DedupScope, settings.Classes[1].DedupWindow = Deduplicated, group, 1500*time.Millisecond
-			settings.Classes[1].LatencyObjective, settings.Classes[1].ObjectiveStretch = 5*time.Second, 0
+			settings.Classes[1].Idempotency = Deduplicated
+			settings.Classes[1].DedupScope = scope
+			settings.Classes[1].DedupWindow = 1500 * time.Millisecond
+			settings.Classes[1].LatencyObjective = 5 * time.Second
+			settings.Classes[1].ObjectiveStretch = 0
 			rig := newRig(t, settings, 2)
 			id := rig.arrive(1)
 			sent := rig.requests[id].attempts[0].sentAt
@@ -47,32 +50,33 @@
 				worker.saturatedUntil = rig.now + time.Hour
 			}
 			if last == Saturated {
-				rig.fleet[0].saturatedUntil, rig.fleet[1].saturatedUntil = 0, 0
+				rig.fleet[0].saturatedUntil = 0
+				rig.fleet[1].saturatedUntil = 0
 			}
 			rig.endAttempt(id, 0, Failed, 100*time.Millisecond)
-			if last == Saturated { // a repeat has gone out in time, and comes back late, never run
+			if last == Saturated { // a retry has gone out in time, and comes back late, never run
 				if request := rig.requests[id]; request == nil || len(request.attempts) != 2 {
-					t.Fatalf("group %d: not repeated in time", group)
+					t.Fatalf("group %d: not retried in time", scope)
 				}
 				if rig.endAttempt(id, 1, Saturated, 1500*time.Millisecond); findAction(
 					rig.actions,
 					want,
 				) == nil {
-					t.Fatalf("group %d: not answered in the turn in which its last attempt came back", group)
+					t.Fatalf("group %d: not answered in the turn in which its last attempt came back", scope)
 				}
 			}
 			for findAction(rig.actions, want) == nil {
 				if rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer}); rig.now > sent+2*time.Second {
-					t.Fatalf("group %d, %v: still waiting after its window", group, last)
+					t.Fatalf("group %d, %v: still waiting after its window", scope, last)
 				}
 				if findAction(rig.actions, Assign) != nil {
-					t.Fatalf("group %d, %v: repeated after its window", group, last)
+					t.Fatalf("group %d, %v: retried after its window", scope, last)
 				}
 			}
 			if rig.now < sent+1400*time.Millisecond {
 				t.Errorf(
 					"group %d, %v: given up after %v, with the window still open",
-					group,
+					scope,
 					last,
 					rig.now-sent,
 				)
@@ -85,26 +89,28 @@
 // later there is budget again.
 func TestRetryBudget(t *testing.T) {
 	settings := testSettings()
-	settings.RetryBudgetWindow, settings.RetryBudgetFloor, settings.RetryBudgetRatio = 10*time.Second, 1, 0.25
+	settings.RetryBudgetWindow = 10 * time.Second
+	settings.RetryBudgetFloor = 1
+	settings.RetryBudgetRatio = 0.25
 	rig := newRig(t, settings, 8)
-	again := 0
+	retried := 0
 	for range 8 {
 		id := rig.arrive(0)
 		rig.endAttempt(id, 0, ConnectionRefused, time.Millisecond)
 		if findAction(rig.actions, Assign) != nil {
-			again++
+			retried++
 			rig.endAttempt(id, 1, Completed, time.Millisecond)
 		} else if findAction(rig.actions, Reject) == nil {
-			t.Fatalf("neither tried again nor answered: %v", rig.actions)
+			t.Fatalf("neither retried nor answered: %v", rig.actions)
 		}
 	}
-	if again < 1 || again > 3 {
-		t.Fatalf("%d further attempts for 8 requests", again)
+	if retried < 1 || retried > 3 {
+		t.Fatalf("%d further attempts for 8 requests", retried)
 	}
 	rig.now += settings.RetryBudgetWindow + 2*settings.Tick
 	id := rig.arrive(0)
 	if rig.endAttempt(id, 0, ConnectionRefused, time.Millisecond); findAction(rig.actions, Assign) == nil {
-		t.Fatal("not tried again though the window has passed")
+		t.Fatal("not retried though the window has passed")
 	}
 }
 
@@ -113,7 +119,8 @@
 func TestPlacementAndSaturationWithoutProof(t *testing.T) {
 	settings := testSettings()
 	settings.SaturatedMayHaveRun = true
-	settings.Classes[1].Kinds, settings.Classes[1].Zones = []int{1}, []int{2}
+	settings.Classes[1].Kinds = []int{1}
+	settings.Classes[1].Zones = []int{2}
 	rig := newRig(t, settings, 4)
 	rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{
 		{Name: "w0", Kind: 1}, {Name: "w1", Zone: 2}, {Name: "w2", Kind: 1, Zone: 2}}})
--- a/decision/rig_test.go
+++ b/decision/rig_test.go
@@ -22,7 +22,7 @@
 	return r.actions
 }
 
-// arrive brings a job of the class with a hint of one second and returns its id.
+// arrive brings a request of the class with a hint of one second and returns its id.
 func (r *rig) arrive(class int) uint64 { return r.arriveWithKey(class, "") }
 
 // arriveWithKey brings one with a key.
@@ -50,10 +50,10 @@
 	return request.attempts[len(request.attempts)-1].worker.Name
 }
 
-// send brings a job of the class and returns the worker it was sent to, if any.
+// send brings a request of the class and returns the worker it was sent to, if any.
 func (r *rig) send(class int) string { return r.assignedTo(r.arrive(class)) }
 
-// expectAllAt brings jobs one after another and fails unless each goes to the worker.
+// expectAllAt brings requests one after another and fails unless each goes to the worker.
 func (r *rig) expectAllAt(worker, complaint string) {
 	r.t.Helper()
 	for range 10 {
--- a/decision/routing_test.go
+++ b/decision/routing_test.go
@@ -9,7 +9,8 @@
 
 func TestPickTakesTheLowerExpectedDelay(t *testing.T) {
 	rig := newRig(t, testSettings(), 2)
-	rig.fleet[0].runTimeRatio, rig.fleet[1].runTimeRatio = 2, 0.5
+	rig.fleet[0].runTimeRatio = 2
+	rig.fleet[1].runTimeRatio = 0.5
 	rig.concurrencyPerWorker = 100
 	for range 3 {
 		if rig.send(0) != "w1" {
@@ -31,13 +32,14 @@
 		rig.now,
 		Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: "w1", Zone: 1}}},
 	)
-	rig.fleet[0].runTimeRatio, rig.fleet[1].runTimeRatio = 1, 0.9
+	rig.fleet[0].runTimeRatio = 1
+	rig.fleet[1].runTimeRatio = 0.9
 	if rig.send(0) != "w0" {
 		t.Fatal("crossed for little")
 	}
 	rig.fleet[0].outstanding = 5
 	if rig.send(0) != "w1" {
-		t.Fatal("own zone kept at any delay")
+		t.Fatal("own zone preferred at any delay")
 	}
 }
 
@@ -55,14 +57,15 @@
 		want     string
 	}{
 		{"idle by a fresh report, beside an unknown one", 0.3, 0, 0, "w0"},
-		{"two jobs there by a fresh report, beside an unknown one where waits are short", 0.01, 2, 0, "w1"},
-		{"five jobs there by a report of a minute ago, beside one that never reported", 0.3, 5, time.Minute, ""},
+		{"two requests there by a fresh report, beside an unknown one where waits are short", 0.01, 2, 0, "w1"},
+		{"five requests there by a report of a minute ago, beside one that never reported", 0.3, 5, time.Minute, ""},
 	} {
 		got := map[string]int{}
 		for seed := range uint64(20) {
 			rig := newSeededRig(t, settings, 2, seed+1)
 			rig.meanStartWait = test.meanWait
-			rig.fleet[0].othersOutstanding, rig.fleet[0].othersOutstandingAt = test.others, rig.now-test.age
+			rig.fleet[0].othersOutstanding = test.others
+			rig.fleet[0].othersOutstandingAt = rig.now - test.age
 			got[rig.send(0)]++
 		}
 		if test.want != "" && got[test.want] != 20 || test.want == "" && (got["w0"] < 3 || got["w1"] < 3) {
@@ -80,12 +83,15 @@
 // The work for a pick must not grow with the fleet.
 func TestPickDrawsAreBounded(t *testing.T) {
 	rig := newRig(t, testSettings(), 300)
-	rig.concurrencyPerWorker, rig.workRatePerWorker, rig.bucketTokens = 100, 100, 1e6
+	rig.concurrencyPerWorker = 100
+	rig.workRatePerWorker = 100
+	rig.bucketTokens = 1e6
 	for _, worker := range rig.fleet {
 		worker.saturatedUntil = rig.now + time.Hour
 	}
 	rig.arrive(0)
-	before, moved := slices.Clone(rig.warmWorkers), 0
+	before := slices.Clone(rig.warmWorkers)
+	moved := 0
 	rig.pickFrom(rig.queue[0], rig.warmWorkers, inWarmWorkers)
 	for i, worker := range rig.warmWorkers {
 		if worker != before[i] {
@@ -108,13 +114,13 @@
 		rig.endAttempt(id, 0, Completed, 10*time.Millisecond)
 	}
 	if len(used) > 2*minSubsetSize {
-		t.Fatalf("100 jobs, one at a time, went to %d workers", len(used))
+		t.Fatalf("100 requests, one at a time, went to %d workers", len(used))
 	}
 	for _, worker := range rig.warmWorkers[:rig.subsetSize] {
 		worker.saturatedUntil = rig.now + time.Hour
 	}
 	if w := rig.send(0); w == "" || used[w] {
-		t.Fatalf("with its own set full, a job went to %q", w)
+		t.Fatalf("with its subset full, a request went to %q", w)
 	}
 	before := slices.Clone(rig.warmWorkers)
 	rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: "new"}}})
@@ -147,7 +153,8 @@
 	counts := map[int]float64{}
 	for _, workers := range []int{100, 1000, 8000} {
 		rig := newRig(t, testSettings(), workers)
-		out, id := make([]Action, 0, 64), uint64(1000)
+		out := make([]Action, 0, 64)
+		id := uint64(1000)
 		counts[workers] = testing.AllocsPerRun(200, func() {
 			id++
 			out = rig.Handle(
@@ -170,6 +177,6 @@
 		})
 	}
 	if counts[8000] > counts[100]+2 {
-		t.Fatalf("allocations for a job by fleet size: %v", counts)
+		t.Fatalf("allocations for a request by fleet size: %v", counts)
 	}
 }
--- a/decision/saturation_test.go
+++ b/decision/saturation_test.go
@@ -13,7 +13,8 @@
 	settings := testSettings()
 	settings.StartNotices = true
 	rig := newRig(t, settings, 4)
-	turned, picky := map[string]int{}, true
+	rejected := map[string]int{}
+	selective := true
 	serve := func(class int) { // also what was held back and is placed only now
 		rig.arrive(class)
 		for _, id := range slices.Sorted(maps.Keys(rig.requests)) {
@@ -23,8 +24,8 @@
 				if request.attempts[n].ended {
 					continue
 				}
-				if picky && request.class == &rig.settings.Classes[1] && (w == "w0" || w == "w1") {
-					turned[w]++
+				if selective && request.class == &rig.settings.Classes[1] && (w == "w0" || w == "w1") {
+					rejected[w]++
 					rig.endAttempt(id, n, Saturated, time.Millisecond)
 					continue
 				}
@@ -40,12 +41,12 @@
 		serve(0)
 		serve(1)
 	}
-	if n := turned["w0"] + turned["w1"]; n < 4 || n > 30 {
-		t.Errorf("%d of 120 jobs were turned away by workers that do not take them", n)
+	if n := rejected["w0"] + rejected["w1"]; n < 4 || n > 30 {
+		t.Errorf("%d of 120 requests were rejected by workers that do not take them", n)
 	}
 	// It is tried again, and believed.
 	rig.now += 5 * time.Second
-	picky = false
+	selective = false
 	for range 40 { // four at a time, lest the two known best serve them all
 		rig.arrive(1)
 		rig.arrive(1)
--- a/decision/serialization_test.go
+++ b/decision/serialization_test.go
@@ -13,7 +13,8 @@
 	settings.Classes[1].Serialized = true
 	rig := newRig(t, settings, 8)
 	send := func(key string) uint64 { return rig.arriveWithKey(1, key) }
-	first, second := send("a"), send("a")
+	first := send("a")
+	second := send("a")
 	if rig.assignedTo(first) == "" || rig.assignedTo(second) != "" {
 		t.Fatal("two of a key at once")
 	}
@@ -23,7 +24,7 @@
 	rig.endAttempt(first, 0, ConnectionLost, time.Millisecond)
 	rig.handle(rig.now+299*time.Millisecond, Event{Kind: TimerFired, Timer: 1})
 	if rig.assignedTo(second) != "" {
-		t.Fatal("the key has not rested")
+		t.Fatal("the key's cooldown is not over")
 	}
 	rig.handle(rig.now+2*time.Millisecond, Event{Kind: TimerFired, Timer: cooldownTimer})
 	if rig.assignedTo(second) == "" {
--- a/decision/settings_test.go
+++ b/decision/settings_test.go
@@ -18,11 +18,14 @@
 		"SlowStartFloor must be between 0": func(settings *Settings) { settings.SlowStartFloor = 2 },
 		"Classes[0].Kinds":                 func(settings *Settings) { settings.Classes[0].Kinds = []int{} },
 		"Classes[1].Zones":                 func(settings *Settings) { settings.Classes[1].Zones = []int{0, -1} },
-		"Classes[1].Serialized":            func(settings *Settings) { settings.Classes[1].Serialized, settings.Classes[1].Streaming = true, true },
-		"KeyCooldown":                      func(settings *Settings) { settings.KeyCooldown = -1 },
-		"RetryBudgetFloor":                 func(settings *Settings) { settings.RetryBudgetFloor = math.NaN() },
-		"RetryBudgetRatio":                 func(settings *Settings) { settings.RetryBudgetRatio = -1 },
-		"RetryBudgetWindow":                func(settings *Settings) { settings.RetryBudgetRatio = 0.2 },
+		"Classes[1].Serialized": func(settings *Settings) {
+			settings.Classes[1].Serialized = true
+			settings.Classes[1].Streaming = true
+		},
+		"KeyCooldown":       func(settings *Settings) { settings.KeyCooldown = -1 },
+		"RetryBudgetFloor":  func(settings *Settings) { settings.RetryBudgetFloor = math.NaN() },
+		"RetryBudgetRatio":  func(settings *Settings) { settings.RetryBudgetRatio = -1 },
+		"RetryBudgetWindow": func(settings *Settings) { settings.RetryBudgetRatio = 0.2 },
 	} {
 		settings := testSettings()
 		change(&settings)
--- a/decision/slowstart_fleet_test.go
+++ b/decision/slowstart_fleet_test.go
@@ -15,7 +15,7 @@
 // time.
 type slowStartFleet struct {
 	t       *rapid.T
-	s       Settings
+	settings       Settings
 	random  *rand.Rand
 	now     time.Duration
 	members []*fleetMember
@@ -34,7 +34,7 @@
 
 // start gives a member a process that knows the list and nothing else.
 func (f *slowStartFleet) start() *Machine {
-	machine, err := New(f.s, f.random.Uint64())
+	machine, err := New(f.settings, f.random.Uint64())
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -57,10 +57,10 @@
 	}
 }
 
-// assign runs a job at its worker, in no time but its own: none of them queues.
+// assign runs a request at its worker, in no time but its own: none of them queues.
 func (f *slowStartFleet) assign(member *fleetMember, machine *Machine, action Action, work float64) {
 	run := work
-	if action.Worker == "cold" {
+	if action.Worker == "new" {
 		f.sent = append(f.sent, fleetWorkSent{f.now, work})
 		run /= f.warmth()
 		if member.other != nil {
@@ -95,8 +95,8 @@
 
 // warmth is the cold worker's share of its capacity now.
 func (f *slowStartFleet) warmth() float64 {
-	age := (f.now - f.entries[0].StartedAt).Seconds() / f.s.SlowStartDuration.Seconds()
-	return min(f.s.SlowStartFloor+(1-f.s.SlowStartFloor)*age, 1)
+	age := (f.now - f.entries[0].StartedAt).Seconds() / f.settings.SlowStartDuration.Seconds()
+	return min(f.settings.SlowStartFloor+(1-f.settings.SlowStartFloor)*age, 1)
 }
 
 // arrive hands a request to one member.
@@ -104,11 +104,11 @@
 	member := f.members[f.random.IntN(len(f.members))]
 	work := f.mean * f.random.ExpFloat64()
 	f.next++
-	event := Event{Kind: RequestArrived, Request: f.next, TimeLeft: f.s.Classes[0].Deadline}
+	event := Event{Kind: RequestArrived, Request: f.next, TimeLeft: f.settings.Classes[0].Deadline}
 	if f.hints {
 		event.Work = seconds(work)
 	} else {
-		work = f.mean // of which nobody tells
+		work = f.mean // which no hint tells
 	}
 	f.handle(member, member.process, event, work)
 }
@@ -131,14 +131,15 @@
 		share := func(label string, lo, hi float64) float64 { return rapid.Float64Range(lo, hi).Draw(t, label) }
 		fleet := &slowStartFleet{t: t, now: time.Hour, due: map[time.Duration][]func(){}}
 		fleet.random = rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
-		fleet.hints, fleet.mean = rapid.Bool().Draw(t, "hints"), share("work", 0.03, 0.3)
-		fleet.s = Settings{
+		fleet.hints = rapid.Bool().Draw(t, "hints")
+		fleet.mean = share("work", 0.03, 0.3)
+		fleet.settings = Settings{
 			Classes: []Class{
 				{PriorityWeight: 1, LatencyObjective: 2 * time.Second, Deadline: 5 * time.Second},
 			},
 			Peers: rapid.IntRange(20, 30).Draw(t, "dispatchers"), Tick: time.Millisecond,
 			SlowStartFloor: share(
-				"cold from",
+				"slow-start floor",
 				0.1,
 				0.6,
 			), SlowStartDuration: seconds(share("warm after", 4, 10)),
@@ -146,7 +147,8 @@
 			MaxAttempts: 2, Hedging: true, Cancellation: true, StartNotices: true,
 		}
 		warm := rapid.IntRange(4, 20).Draw(t, "warm workers")
-		rate, burst := share("rate", 30, 150), share("burst", 1, 3)
+		rate := share("rate", 30, 150)
+		burst := share("burst", 1, 3)
 		capacity := rate * burst * fleet.mean / float64(
 			warm,
 		) / share(
@@ -154,11 +156,11 @@
 			0.3,
 			1,
 		) // of one worker
-		fleet.entries = []Endpoint{{Name: "cold", State: Removed}}
+		fleet.entries = []Endpoint{{Name: "new", State: Removed}}
 		for i := range warm {
 			fleet.entries = append(fleet.entries, Endpoint{Name: fmt.Sprint("w", i)})
 		}
-		for range fleet.s.Peers {
+		for range fleet.settings.Peers {
 			fleet.members = append(fleet.members, &fleetMember{process: fleet.start()})
 		}
 		const joins, bursts, restarts, handedOver, end = 500, 550, 600, 700, 1200 // steps
@@ -170,7 +172,7 @@
 			delete(fleet.due, fleet.now)
 			switch step {
 			case joins:
-				fleet.entries[0] = Endpoint{Name: "cold", StartedAt: fleet.now}
+				fleet.entries[0] = Endpoint{Name: "new", StartedAt: fleet.now}
 				for _, member := range fleet.members {
 					fleet.handle(
 						member,
@@ -180,7 +182,7 @@
 					)
 				}
 			case restarts:
-				killed := rapid.IntRange(0, fleet.s.Peers).Draw(t, "killed")
+				killed := rapid.IntRange(0, fleet.settings.Peers).Draw(t, "killed")
 				for i, member := range fleet.members {
 					if i >= killed { // the others hand over
 						member.other = member.process
@@ -206,11 +208,11 @@
 			}
 			sum := 0.0
 			for _, s := range fleet.sent {
-				if s.at > fleet.now-fleet.s.OverloadWindow {
+				if s.at > fleet.now-fleet.settings.OverloadWindow {
 					sum += s.work / fleet.mean
 				}
 			}
-			n := fleet.s.OverloadMultiple * fleet.warmth() * capacity * fleet.s.OverloadWindow.Seconds() / fleet.mean
+			n := fleet.settings.OverloadMultiple * fleet.warmth() * capacity * fleet.settings.OverloadWindow.Seconds() / fleet.mean
 			if sum > n+2*math.Sqrt(n)+2 {
 				t.Fatalf("step %d: sent %.1f requests of mean work, N is %.1f", step, sum, n)
 			}
@@ -236,8 +238,9 @@
 		rig.handle(time.Hour, Event{Kind: ListUpdated, ListKind: ListCached, Endpoints: list})
 		rigs = append(rigs, rig)
 	}
-	var cold []workSent
-	load, start := map[string]float64{}, time.Hour+20*time.Second
+	var sends []workSent
+	load := map[string]float64{}
+	start := time.Hour + 20*time.Second
 	type running struct {
 		r    *rig
 		id   uint64
@@ -267,10 +270,11 @@
 				Completed,
 			}
 			if action.Worker == "w1" && now >= start {
-				cold = append(cold, workSent{now, request.cost})
+				sends = append(sends, workSent{now, request.cost})
 			}
 			if load[action.Worker] >= 4 {
-				x.ends, x.o = now+tick, Saturated
+				x.ends = now + tick
+				x.o = Saturated
 			}
 			load[action.Worker]++
 			out = append(out, x)
@@ -298,7 +302,7 @@
 			}
 		}
 		for i, rig := range rigs {
-			if int(now/tick)%10 == i { // ten jobs a second each: far more than there is room for
+			if int(now/tick)%10 == i { // ten requests a second each: far more than there is capacity for
 				rig.next++
 				handle(
 					rig,
@@ -311,10 +315,10 @@
 			}
 		}
 	}
-	if len(cold) == 0 {
-		t.Fatal("a cold worker got nothing at all")
+	if len(sends) == 0 {
+		t.Fatal("a worker in slow start got nothing at all")
 	}
-	failIfOverloaded(t, settings, capacity, start, cold)
+	failIfOverloaded(t, settings, capacity, start, sends)
 }
 
 // A fleet doubles under a hundred dispatchers, and then a surge comes. New workers must carry load during
@@ -335,12 +339,14 @@
 		rigs = append(rigs, newSeededRig(t, settings, workers, uint64(i+1)))
 	}
 	var newcomers []Endpoint
-	start, now := time.Hour+10*time.Second, time.Duration(time.Hour)
+	start := time.Hour + 10*time.Second
+	now := time.Duration(time.Hour)
 	for i := range workers {
 		newcomers = append(newcomers, Endpoint{Name: fmt.Sprintf("new%d", i), StartedAt: start})
 	}
 	var out []job
-	toNew, toAll := 0, 0
+	toNew := 0
+	toAll := 0
 	sent := map[string][]workSent{}
 	handle := func(rig *rig, event Event) {
 		for _, action := range rig.handle(now, event) {
@@ -392,9 +398,9 @@
 		}
 	}
 	if share := float64(toNew) / float64(toAll); share < 0.15 {
-		t.Errorf("%.1f%% of the jobs went to the cold half of the fleet", 100*share)
+		t.Errorf("%.1f%% of the requests went to the half of the fleet in slow start", 100*share)
 	} else {
-		t.Logf("%.1f%% of the jobs went to the cold half of the fleet", 100*share)
+		t.Logf("%.1f%% of the requests went to the half of the fleet in slow start", 100*share)
 	}
 	for _, sends := range sent {
 		failIfOverloaded(t, settings, capacity, start, sends)
--- a/decision/slowstart_test.go
+++ b/decision/slowstart_test.go
@@ -14,12 +14,12 @@
 // the guess.
 func TestSlowStartBudgetsFollowRunTimes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		aim := time.Duration(rapid.IntRange(500, 3000).Draw(t, "aim in ms")) * time.Millisecond
+		objective := time.Duration(rapid.IntRange(500, 3000).Draw(t, "objective in ms")) * time.Millisecond
 		run := time.Duration(rapid.IntRange(5, 200).Draw(t, "run in ms")) * time.Millisecond
-		jobs := rapid.IntRange(3, 40).Draw(t, "jobs")
+		requests := rapid.IntRange(3, 40).Draw(t, "requests")
 		machine, err := New(Settings{
 			Classes: []Class{
-				{PriorityWeight: 1, LatencyObjective: aim, Deadline: 4 * aim},
+				{PriorityWeight: 1, LatencyObjective: objective, Deadline: 4 * objective},
 			}, Peers: rapid.IntRange(20, 30).Draw(t, "peers"),
 			SlowStartFloor: 0.3, SlowStartDuration: 8 * time.Second, OverloadMultiple: 4, OverloadWindow: time.Second, StartNotices: true, MaxAttempts: 1,
 		}, 1)
@@ -32,14 +32,14 @@
 			Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: []Endpoint{{Name: "warm"}}},
 			nil,
 		)
-		for i := range jobs {
+		for i := range requests {
 			id := uint64(i + 1)
 			assigned := false
-			for _, action := range machine.Handle(now, Event{Kind: RequestArrived, Request: id, TimeLeft: 4 * aim}, nil) {
+			for _, action := range machine.Handle(now, Event{Kind: RequestArrived, Request: id, TimeLeft: 4 * objective}, nil) {
 				assigned = assigned || action.Kind == Assign
 			}
 			if !assigned {
-				t.Fatalf("job %d was not assigned", i)
+				t.Fatalf("request %d was not assigned", i)
 			}
 			machine.Handle(now, Event{Kind: AttemptStarted, Request: id, Worker: "warm"}, nil)
 			now += run
@@ -50,12 +50,12 @@
 			)
 		}
 		machine.warmWorkRatesAt = 0 // look anew
-		if took := (time.Duration(jobs) * run).Seconds() / machine.planningHorizon.Seconds(); machine.warmWorkRate(
+		if took := (time.Duration(requests) * run).Seconds() / machine.planningHorizon.Seconds(); machine.warmWorkRate(
 			0,
 		) > took*1.001 {
 			t.Errorf(
-				"%d jobs of %v count as %.3f of a slot, and took %.3f",
-				jobs,
+				"%d requests of %v count as %.3f of a slot, and took %.3f",
+				requests,
 				run,
 				machine.warmWorkRate(0),
 				took,
@@ -81,7 +81,7 @@
 				{PriorityWeight: 1, LatencyObjective: time.Second, Deadline: 4 * time.Second},
 			}, Peers: rapid.IntRange(20, 30).Draw(t, "peers"),
 			SlowStartFloor: rapid.Float64Range(0.1, 0.9).
-				Draw(t, "cold from"),
+				Draw(t, "slow-start floor"),
 			SlowStartDuration: time.Hour, OverloadMultiple: multiple, OverloadWindow: window,
 		}, 1)
 		if err != nil {
@@ -93,13 +93,14 @@
 			Event{
 				Kind:      ListUpdated,
 				ListKind:  ListSnapshot,
-				Endpoints: []Endpoint{{Name: "cold", StartedAt: start - time.Minute}},
+				Endpoints: []Endpoint{{Name: "new", StartedAt: start - time.Minute}},
 			},
 			nil,
 		)
-		worker := machine.workers["cold"]
-		worker.recentWork.add(machine.now, machine.planningHorizon, 0) // it has had its first job
-		machine.warmWorkRates, machine.warmWorkRatesAt = map[int]float64{0: share}, start+time.Hour
+		worker := machine.workers["new"]
+		worker.recentWork.add(machine.now, machine.planningHorizon, 0) // it has had its first request
+		machine.warmWorkRates = map[int]float64{0: share}
+		machine.warmWorkRatesAt = start + time.Hour
 		var sent []fleetWorkSent
 		for range 300 {
 			machine.now += rapid.SampledFrom([]time.Duration{0, 0, 0, window / 50, window / 50, window / 10, 2 * window}).
@@ -139,11 +140,13 @@
 // While a process is replaced, what either process sends a worker in slow start is of one budget: each
 // tells what it reserves there, and the other counts it as its own.
 func TestReservationsOfBothProcessesAddUp(t *testing.T) {
-	budget := func(other float64) (sent int, charged float64) {
+	budget := func(other float64) (sent int, reserved float64) {
 		settings := testSettings()
 		settings.Peers = 1
 		rig := newRig(t, settings, 4)
-		rig.concurrencyPerWorker, rig.workRatePerWorker, rig.bucketTokens = 1000, 1000, 1e6
+		rig.concurrencyPerWorker = 1000
+		rig.workRatePerWorker = 1000
+		rig.bucketTokens = 1e6
 		for range 40 {
 			rig.endAttempt(rig.arrive(0), 0, Completed, 10*time.Millisecond)
 		}
@@ -159,23 +162,23 @@
 			id := rig.arrive(0)
 			for _, action := range rig.actions {
 				if action.Kind == Assign && action.Worker != "w0" && action.Reservation != 0 {
-					t.Fatalf("a warm worker was charged %v", action.Reservation)
+					t.Fatalf("a warm worker reserved %v", action.Reservation)
 				}
 				if action.Kind == Assign && action.Worker == "w0" {
 					sent++
-					charged += action.Reservation
+					reserved += action.Reservation
 				}
 			}
 			rig.endAttempt(id, 0, Completed, 10*time.Millisecond)
 			rig.handle(rig.now, Event{Kind: ReservedElsewhere, Worker: "w0", Reservation: other})
 		}
 		rig.handle(rig.now, Event{Kind: ReservedElsewhere, Worker: "unknown", Reservation: 1})
-		return sent, charged
+		return sent, reserved
 	}
 	alone, charged := budget(0)
 	beside, _ := budget(charged / 200 / 2) // the other one sends half of what one may
 	if alone < 10 || beside >= alone*3/4 || beside == 0 || charged <= 0 {
-		t.Fatalf("%d sent alone, charged %v; %d beside one that sends half as much", alone, charged, beside)
+		t.Fatalf("%d sent alone, reserved %v; %d beside one that sends half as much", alone, charged, beside)
 	}
 }
 
@@ -187,7 +190,9 @@
 	for seed := range uint64(10) {
 		rig := newSeededRig(t, settings, 4*maxWarmDraws, seed)
 		for _, worker := range rig.fleet[1:] { // the first stays warm: what the others may get is measured by it
-			worker.StartedAt, worker.slowStartBudgetAt, worker.slowStartBudget = rig.now, rig.now, -1
+			worker.StartedAt = rig.now
+			worker.slowStartBudgetAt = rig.now
+			worker.slowStartBudget = -1
 			worker.recentWork.add(rig.now, rig.planningHorizon, 0)
 			rig.warmingUp = append(rig.warmingUp, worker)
 		}
@@ -205,7 +210,7 @@
 		}
 		if worker := rig.pickFrom(request, rig.warmingUp, inWarmingUp); worker != room {
 			t.Fatalf(
-				"seed %d: the one cold worker of %d that has room is not found: %v",
+				"seed %d: the one worker in slow start of %d that has budget is not found: %v",
 				seed,
 				len(rig.warmingUp),
 				worker,
@@ -242,10 +247,14 @@
 		worker := rig.workers["w0"]
 		warm := rig.workers["w1"]
 		warm.recentWork.add(rig.now, rig.planningHorizon, 2)
-		worker.StartedAt, worker.slowStartBudgetAt, worker.slowStartBudget, rig.warmWorkRatesAt = rig.now, rig.now, 0, 0
+		worker.StartedAt = rig.now
+		worker.slowStartBudgetAt = rig.now
+		worker.slowStartBudget = 0
+		rig.warmWorkRatesAt = 0
 		worker.recentWork.add(rig.now, rig.planningHorizon, 0)
 		rig.now += settings.OverloadWindow * 3
-		share, warmth := rig.warmWorkRate(0), rig.capacityFraction(worker)
+		share := rig.warmWorkRate(0)
+		warmth := rig.capacityFraction(worker)
 		rig.withinSlowStartBudget(
 			&request{
 				class:         &rig.settings.Classes[0],
@@ -258,7 +267,7 @@
 		)
 		most := settings.OverloadMultiple * warmth * share * settings.OverloadWindow.Seconds()
 		if got := worker.slowStartBudget / most / slowStartSafety; math.Abs(got-test.windows) > 0.01 {
-			t.Errorf("jobs of %g s: the budget of %.2f windows is saved", test.work, got)
+			t.Errorf("requests of %g s: the budget of %.2f windows is saved", test.work, got)
 		}
 	}
 	if 2*slowStartSafety > 0.8 {
@@ -272,14 +281,18 @@
 	for seed := range uint64(20) {
 		rig := newSeededRig(t, testSettings(), 6, seed+1)
 		for i, worker := range rig.fleet {
-			worker.StartedAt, worker.slowStartBudgetAt, worker.slowStartBudget, worker.outstanding = rig.now, rig.now, 0.06, float64(
+			worker.StartedAt = rig.now
+			worker.slowStartBudgetAt = rig.now
+			worker.slowStartBudget = 0.06
+			worker.outstanding = float64(
 				i,
 			)
 			worker.recentWork.add(rig.now, rig.planningHorizon, 0)
 		}
 		rig.warmingUp = append(rig.warmingUp[:0], rig.fleet...)
-		rig.warmWorkRates, rig.warmWorkRatesAt = map[int]float64{0: 0.1}, rig.now
-		job := &request{
+		rig.warmWorkRates = map[int]float64{0: 0.1}
+		rig.warmWorkRatesAt = rig.now
+		request := &request{
 			class:         &rig.settings.Classes[0],
 			slots:         1,
 			work:          0.05,
@@ -287,8 +300,8 @@
 			classMeanWork: 0.05,
 			objective:     rig.now + time.Second,
 		}
-		if picked := rig.pickFrom(job, rig.warmingUp, inWarmingUp); picked != rig.warmingUp[0] {
-			t.Fatalf("seed %d: the first that had room was passed over", seed)
+		if picked := rig.pickFrom(request, rig.warmingUp, inWarmingUp); picked != rig.warmingUp[0] {
+			t.Fatalf("seed %d: the first that had budget was passed over", seed)
 		}
 	}
 }
@@ -296,7 +309,9 @@
 // A rule whose window is 0 is off: workers in slow start get requests.
 func TestNoOverloadRuleBindsNothing(t *testing.T) {
 	settings := testSettings()
-	settings.OverloadWindow, settings.OverloadMultiple, settings.SlowStartFloor = 0, 0, 0.9
+	settings.OverloadWindow = 0
+	settings.OverloadMultiple = 0
+	settings.SlowStartFloor = 0.9
 	rig := newRig(t, settings, 1)
 	rig.handle(
 		rig.now,
@@ -307,7 +322,7 @@
 		},
 	)
 	if rig.send(0) != "w0" {
-		t.Fatal("a cold worker gets nothing though no rule says so")
+		t.Fatal("a worker in slow start gets nothing though no rule says so")
 	}
 }
 
@@ -327,7 +342,7 @@
 			rig.planningHorizon,
 			rig.planningHorizon.Seconds(),
 		) // a slot-second a second from this one alone
-		job := &request{
+		request := &request{
 			class:         &rig.settings.Classes[0],
 			slots:         1,
 			work:          test.work,
@@ -336,11 +351,14 @@
 		}
 		taken := false
 		for range 1000 {
-			worker.StartedAt, worker.slowStartBudgetAt, worker.slowStartBudget, rig.warmWorkRatesAt = rig.now, rig.now, 0.1, 0
-			taken = taken || rig.withinSlowStartBudget(job, worker)
+			worker.StartedAt = rig.now
+			worker.slowStartBudgetAt = rig.now
+			worker.slowStartBudget = 0.1
+			rig.warmWorkRatesAt = 0
+			taken = taken || rig.withinSlowStartBudget(request, worker)
 		}
 		if taken != test.want {
-			t.Errorf("a job of %.1f s where the mean is 0.5: taken %v", test.work, taken)
+			t.Errorf("a request of %.1f s where the mean is 0.5: taken %v", test.work, taken)
 		}
 	}
 }
@@ -349,16 +367,20 @@
 // even pace. Drawn for each time, those of several dispatchers would fall together.
 func TestSlowStartPaceIsEven(t *testing.T) {
 	rig := newRig(t, testSettings(), 2)
-	worker, warm := rig.fleet[0], rig.fleet[1]
-	job := &request{class: &rig.settings.Classes[0], slots: 1, work: 1, cost: 1}
-	worker.StartedAt, worker.slowStartBudgetAt, rig.warmWorkRatesAt = rig.now, rig.now, 0
-	sent, last := 0, time.Duration(0)
+	worker := rig.fleet[0]
+	warm := rig.fleet[1]
+	request := &request{class: &rig.settings.Classes[0], slots: 1, work: 1, cost: 1}
+	worker.StartedAt = rig.now
+	worker.slowStartBudgetAt = rig.now
+	rig.warmWorkRatesAt = 0
+	sent := 0
+	last := time.Duration(0)
 	for end := rig.now + rig.settings.SlowStartDuration/2; rig.now < end; rig.Machine.now += 10 * time.Millisecond {
 		warm.recentWork = decayingValue{
 			4 * rig.planningHorizon.Seconds(),
 			rig.now,
 		} // four slot-seconds a second
-		if !rig.withinSlowStartBudget(job, worker) {
+		if !rig.withinSlowStartBudget(request, worker) {
 			continue
 		}
 		rate := slowStartSafety * rig.settings.OverloadMultiple * rig.capacityFraction(
@@ -367,14 +389,15 @@
 			0,
 		)
 		if gap := (rig.now - last).Seconds(); sent > 1 && (gap < 0.9/rate || gap > 1.2/rate+0.02) {
-			t.Fatalf("%.2f s between two jobs, the budget pays for one in %.2f s", gap, 1/rate)
+			t.Fatalf("%.2f s between two requests, the budget pays for one in %.2f s", gap, 1/rate)
 		}
-		sent, last = sent+1, rig.now
+		sent = sent + 1
+		last = rig.now
 		worker.recentWork.add(rig.now, rig.planningHorizon, 1e-9) // the first has gone
-		worker.slowStartBudget -= job.cost
+		worker.slowStartBudget -= request.cost
 	}
 	if sent < 4 {
-		t.Fatalf("%d jobs were sent", sent)
+		t.Fatalf("%d requests were sent", sent)
 	}
 }
 
@@ -388,20 +411,22 @@
 	for _, x := range rig.fleet {
 		x.recentWork.add(rig.now, rig.planningHorizon, 0.04*rig.planningHorizon.Seconds())
 	}
-	job := &request{class: &rig.settings.Classes[0], slots: 1, work: 0.5, cost: 0.5, classMeanWork: 0.5}
-	worker.StartedAt, rig.warmWorkRatesAt = rig.now-rig.settings.SlowStartDuration/2, 0
+	request := &request{class: &rig.settings.Classes[0], slots: 1, work: 0.5, cost: 0.5, classMeanWork: 0.5}
+	worker.StartedAt = rig.now - rig.settings.SlowStartDuration/2
+	rig.warmWorkRatesAt = 0
 	taken := 0
 	const tries = 1000
 	for range tries {
-		worker.slowStartBudgetAt, worker.slowStartBudget = rig.now, 0.01
-		if rig.withinSlowStartBudget(job, worker) {
+		worker.slowStartBudgetAt = rig.now
+		worker.slowStartBudget = 0.01
+		if rig.withinSlowStartBudget(request, worker) {
 			taken++
 		} else if worker.slowStartBudget != 0 {
-			t.Fatal("what was staked is still there")
+			t.Fatal("the budget of a lost drawing is still there")
 		}
 	}
 	if taken == 0 || taken > 2*tries*0.01/0.5 {
-		t.Fatalf("%d of %d jobs taken, 20 are paid for", taken, tries)
+		t.Fatalf("%d of %d requests taken, 20 are paid for", taken, tries)
 	}
 }
 
@@ -409,8 +434,8 @@
 // budget than their hints.
 func TestSmallHintsDoNotFloodAWorkerInSlowStart(t *testing.T) {
 	small := &request{slots: 1, work: 0.008, cost: 0.008, classMeanWork: 0.14}
-	if c := small.slowStartCost(); c < 0.03 {
-		t.Fatalf("a job that ran for 40 ms and more is charged %v s", c)
+	if cost := small.slowStartCost(); cost < 0.03 {
+		t.Fatalf("a request that ran for 40 ms and more takes %v s", cost)
 	}
 	if large := (&request{slots: 2, work: 0.2, cost: 0.4, classMeanWork: 0.14}); large.slowStartCost() != large.cost {
 		t.Fatal("a large hint is taken as it is")
@@ -423,19 +448,19 @@
 	const hour, warm = time.Hour, 8 * time.Second
 	for name, c := range map[string]struct {
 		list  ListKind
-		known time.Duration // told start of the worker in the first list; -1: it is not in it
-		told  time.Duration // told start in the list at hand, whose time is now
+		known time.Duration // listed start of the worker in the first list; -1: it is not in it
+		told  time.Duration // listed start in the list at hand, whose time is now
 		now   time.Duration
 		cold  bool
 	}{
-		"a new one, the clock is ahead":            {ListDelta, -1, 2*hour - time.Second, 3 * hour, true},
-		"a restarted one, the clock is ahead":      {ListDelta, hour, 2*hour - time.Second, 3 * hour, true},
-		"a new one, the clock is behind":           {ListDelta, -1, 3 * hour, 2 * hour, true},
-		"a new one, the clock is right":            {ListDelta, -1, 2*hour - time.Second, 2 * hour, true},
-		"one known for long":                       {ListDelta, hour, hour, 3 * hour, false},
-		"one of a whole list, started an hour ago": {ListSnapshot, -1, 2 * hour, 3 * hour, false},
-		"a new one that started long ago":          {ListDelta, -1, hour, 4 * hour, false},
-		"one that started before time was told":    {ListDelta, -1, 0, 3 * hour, false},
+		"a new one, the clock is ahead":               {ListDelta, -1, 2*hour - time.Second, 3 * hour, true},
+		"a restarted one, the clock is ahead":         {ListDelta, hour, 2*hour - time.Second, 3 * hour, true},
+		"a new one, the clock is behind":              {ListDelta, -1, 3 * hour, 2 * hour, true},
+		"a new one, the clock is right":               {ListDelta, -1, 2*hour - time.Second, 2 * hour, true},
+		"one known for long":                          {ListDelta, hour, hour, 3 * hour, false},
+		"one of a complete list, started an hour ago": {ListSnapshot, -1, 2 * hour, 3 * hour, false},
+		"a new one that started long ago":             {ListDelta, -1, hour, 4 * hour, false},
+		"one that started before time began":          {ListDelta, -1, 0, 3 * hour, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			machine, err := New(
@@ -467,11 +492,11 @@
 			}
 			machine.Handle(c.now, list, nil)
 			if cold := machine.capacityFraction(machine.workers["w"]) < 1; cold != c.cold {
-				t.Errorf("cold %v, not %v", cold, c.cold)
+				t.Errorf("in slow start %v, not %v", cold, c.cold)
 			}
-			machine.Handle(c.now+time.Second, list, nil) // told again, it is no news
+			machine.Handle(c.now+time.Second, list, nil) // listed again, it is no news
 			if cold := machine.capacityFraction(machine.workers["w"]) < 1; cold != c.cold {
-				t.Errorf("told again: cold %v, not %v", cold, c.cold)
+				t.Errorf("listed again: in slow start %v, not %v", cold, c.cold)
 			}
 			machine.Handle(c.now+warm+time.Second, Event{Kind: TimerFired, Timer: sweepTimer}, nil)
 			if c.now >= c.told && machine.capacityFraction(machine.workers["w"]) < 1 {
--- a/decision/sweep_test.go
+++ b/decision/sweep_test.go
@@ -13,12 +13,12 @@
 	for name, test := range map[string]struct {
 		class         int
 		bad           float64
-		from          int // beats after which it is that
+		from          int // sweeps after which it is so
 		started, away bool
 	}{
-		"crowded": {0, 0.4, 0, false, true}, "calm": {0, 0.1, 0, false, false},
-		"crowded once it is late": {0, 0.4, 16, false, true},
-		"started":                 {0, 0.4, 0, true, false}, "fragile": {1, 0.4, 0, false, false},
+		"overloaded": {0, 0.4, 0, false, true}, "calm": {0, 0.1, 0, false, false},
+		"overloaded once it is late": {0, 0.4, 16, false, true},
+		"started":                    {0, 0.4, 0, true, false}, "not idempotent": {1, 0.4, 0, false, false},
 	} {
 		settings := testSettings()
 		settings.StartNotices = true
@@ -28,11 +28,11 @@
 			rig.handle(rig.now, Event{Kind: AttemptStarted, Request: id, Worker: rig.assignedTo(id)})
 		}
 		var refused, stopped bool
-		for beat := range 20 {
-			if rig.badRatio = 0; beat >= test.from {
+		for sweep := range 20 {
+			if rig.badRatio = 0; sweep >= test.from {
 				rig.badRatio = test.bad
 			}
-			if beat == 16 && test.from > 0 && !rig.requests[id].late {
+			if sweep == 16 && test.from > 0 && !rig.requests[id].late {
 				t.Fatal("it is not late yet")
 			}
 			rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
@@ -40,7 +40,7 @@
 			stopped = stopped || findAction(rig.actions, CancelAttempt) != nil
 		}
 		if refused != test.away || stopped != test.away {
-			t.Errorf("%s: refused %v, called off %v, want %v", name, refused, stopped, test.away)
+			t.Errorf("%s: rejected %v, cancelled %v, want %v", name, refused, stopped, test.away)
 		}
 		rig.badRatio = test.bad
 		const full = 5 * time.Second
@@ -56,7 +56,7 @@
 			},
 		)
 		if again := findAction(rig.actions, Reject) != nil; again != (test.bad > overloadBadRatio) {
-			t.Errorf("%s: a repeat that comes too late: refused %v", name, again)
+			t.Errorf("%s: a repeat that comes too late: rejected %v", name, again)
 		}
 	}
 }
@@ -65,14 +65,15 @@
 	rig := newRig(t, testSettings(), 1)
 	rig.fleet[0].saturatedUntil = rig.now + time.Hour
 	id := rig.arrive(0)
-	aim := rig.requests[id].objective
-	rig.workPrice, rig.nextPricingAt = 0.1, rig.now+time.Hour
-	for rig.requests[id] != nil && rig.now < aim+time.Second {
+	objective := rig.requests[id].objective
+	rig.workPrice = 0.1
+	rig.nextPricingAt = rig.now + time.Hour
+	for rig.requests[id] != nil && rig.now < objective+time.Second {
 		rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
 	}
-	if action := findAction(rig.actions, Reject); action == nil || rig.now >= aim || action.Delay <= 0 ||
+	if action := findAction(rig.actions, Reject); action == nil || rig.now >= objective || action.Delay <= 0 ||
 		action.Delay > rig.settings.MaxRetryAfter {
-		t.Fatalf("at %v of %v: %v", rig.now, aim, rig.actions)
+		t.Fatalf("at %v of %v: %v", rig.now, objective, rig.actions)
 	}
 }
 
@@ -84,11 +85,11 @@
 	rig.arrive(0)
 	waits := rig.requests[rig.arrive(0)]
 	if !waits.queued || rig.workPrice+rig.slotPrice > 0 {
-		t.Fatal("the third job should wait, unpriced")
+		t.Fatal("the third request should wait, unpriced")
 	}
 	rig.handle(waits.objective-seconds(waits.work), Event{Kind: TimerFired, Timer: sweepTimer})
 	if !waits.ended || findAction(rig.actions, Reject) == nil {
-		t.Fatal("a job that can hardly be in time waits on, though no lease is free")
+		t.Fatal("a request that can hardly be in time waits on, though the ceiling is full")
 	}
 }
 
@@ -99,14 +100,14 @@
 	rig := newRig(t, settings, 1)
 	rig.fleet[0].saturatedUntil = rig.now + time.Hour
 	id := rig.arrive(0)
-	aim := rig.requests[id].objective
+	objective := rig.requests[id].objective
 	for findAction(rig.actions, Reject) == nil {
-		if rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer}); rig.now > aim {
-			t.Fatal("still waiting after its aim")
+		if rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer}); rig.now > objective {
+			t.Fatal("still waiting after its objective")
 		}
 	}
 	if action := findAction(rig.actions, Reject); action.Request != id || action.Delay <= 0 {
-		t.Fatalf("refusal %+v", action)
+		t.Fatalf("rejection %+v", action)
 	}
 }
 
@@ -133,11 +134,11 @@
 			}
 			if sweep(time.Second); findAction(actions, CancelAttempt) != nil ||
 				findAction(actions, answer) != nil {
-				t.Fatalf("class %d is called off while it can be in time: %v", class, actions)
+				t.Fatalf("class %d is cancelled while it can be in time: %v", class, actions)
 			}
 			sweep(3 * time.Second)
 			if off := findAction(actions, CancelAttempt) != nil && findAction(actions, answer) != nil; off == started {
-				t.Fatalf("class %d, started %v, called off %v: %v", class, started, off, actions)
+				t.Fatalf("class %d, started %v, cancelled %v: %v", class, started, off, actions)
 			}
 		}
 	}
@@ -149,7 +150,8 @@
 	settings := testSettings()
 	settings.StartNotices = true
 	for i := range settings.Classes {
-		settings.Classes[i].LateWeight, settings.Classes[i].LatencyObjective = 0, time.Second
+		settings.Classes[i].LateWeight = 0
+		settings.Classes[i].LatencyObjective = time.Second
 	}
 	return settings
 }
--- a/decision/zone_test.go
+++ b/decision/zone_test.go
@@ -11,16 +11,17 @@
 // request at a time finds out whether the zone is back.
 func TestUnreachableZoneIsAvoided(t *testing.T) {
 	settings := testSettings()
-	settings.StartNotices, settings.ZoneNames = true, []string{"zarqa-east", "russeifa", "hashemiya"}
+	settings.StartNotices = true
+	settings.ZoneNames = []string{"zarqa-east", "russeifa", "hashemiya"}
 	for seed := range uint64(10) {
 		rig := newSeededRig(t, settings, 12, seed+1)
-		var told []string
+		var logs []string
 		var entries []Endpoint
 		for i, worker := range rig.fleet {
 			entries = append(entries, Endpoint{Name: worker.Name, Zone: i % 3, State: Running})
 		}
 		rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: entries})
-		refuse := func(worker *worker) { // a job there whose connect fails
+		refuseConnect := func(worker *worker) { // a request there whose connect fails
 			request := &request{
 				id:       rig.next,
 				class:    &rig.settings.Classes[1],
@@ -33,7 +34,7 @@
 			rig.startAttempt(request, worker)
 			for _, action := range rig.handle(rig.now+settings.ConnectTimeout, Event{Kind: AttemptEnded, Request: request.id, Worker: worker.Name,
 				Outcome: ConnectionRefused, Answered: true}) {
-				told = append(told, action.Text)
+				logs = append(logs, action.Text)
 			}
 			rig.now += time.Millisecond
 		}
@@ -45,7 +46,7 @@
 			}
 			return of
 		}
-		darkZones := func() (n int) {
+		unreachableZones := func() (n int) {
 			for z := range 3 {
 				if rig.zoneUnreachable(zone(z)[3]) {
 					n++
@@ -53,53 +54,53 @@
 			}
 			return n
 		}
-		refuse(zone(1)[0])
+		refuseConnect(zone(1)[0])
 		rig.markSeen(zone(0)[0])
-		if darkZones() != 0 {
-			t.Fatal("one failed connect darkens a zone")
+		if unreachableZones() != 0 {
+			t.Fatal("one failed connect makes a zone unreachable")
 		}
-		refuse(zone(1)[1])
+		refuseConnect(zone(1)[1])
 		rig.markSeen(zone(0)[0])
-		said := slices.Contains(told, "zone russeifa looks unreachable: 2 connects failed in a row")
-		if darkZones() != 1 || !rig.zoneUnreachable(zone(1)[3]) || !said {
-			t.Fatalf("a zone of which two workers in a row cannot be reached is not lost: %q", told)
+		logged := slices.Contains(logs, "zone russeifa looks unreachable: 2 connects failed in a row")
+		if unreachableZones() != 1 || !rig.zoneUnreachable(zone(1)[3]) || !logged {
+			t.Fatalf("a zone of which two workers in a row cannot be reached does not count as unreachable: %q", logs)
 		}
 		for range 6 {
 			if worker := rig.workers[rig.send(1)]; worker != nil && worker.Zone == 1 {
-				t.Fatalf("%s of the lost zone was sent a job", worker.Name)
+				t.Fatalf("%s of the unreachable zone was sent a request", worker.Name)
 			}
 		}
 		rig.now += 4*settings.ConnectTimeout + time.Millisecond
-		if darkZones() != 0 {
+		if unreachableZones() != 0 {
 			t.Fatal("no trial is due after four time-outs")
 		}
-		refuse(zone(1)[2]) // the trial fails: the next one comes later
+		refuseConnect(zone(1)[2]) // the trial fails: the next one comes later
 		rig.now += 4*settings.ConnectTimeout + time.Millisecond
 		rig.markSeen(zone(0)[0])
-		if darkZones() != 1 {
+		if unreachableZones() != 1 {
 			t.Fatal("trials do not become rarer")
 		}
 		id := rig.arrive(0)
 		rig.requests[id].attempts[0].worker = zone(1)[3]
-		note := rig.handle(rig.now, Event{Kind: AttemptStarted, Request: id, Worker: zone(1)[3].Name})
-		if darkZones() != 0 || findAction(note, Log).Text != "zone russeifa is reachable again" {
-			t.Fatalf("a zone that was heard of is still lost: %+v", note)
+		actions := rig.handle(rig.now, Event{Kind: AttemptStarted, Request: id, Worker: zone(1)[3].Name})
+		if unreachableZones() != 0 || findAction(actions, Log).Text != "zone russeifa is reachable again" {
+			t.Fatalf("a zone that was seen is still unreachable: %+v", actions)
 		}
 		for z := range 3 { // nothing is heard of any more: the trouble is ours
-			refuse(zone(z)[0])
-			refuse(zone(z)[1])
+			refuseConnect(zone(z)[0])
+			refuseConnect(zone(z)[1])
 		}
-		if darkZones() != 0 {
-			t.Fatal("all zones are lost at once")
+		if unreachableZones() != 0 {
+			t.Fatal("all zones are unreachable at once")
 		}
 		rig.markSeen(zone(0)[0])
-		if darkZones() != 2 {
-			t.Fatal("one zone is back, the other two are not lost")
+		if unreachableZones() != 2 {
+			t.Fatal("one zone is back, the other two are not unreachable")
 		}
 		entries[1].StartedAt = rig.now
 		rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: entries[1:2]})
-		if darkZones() != 1 {
-			t.Fatal("a zone in which a worker started is still lost")
+		if unreachableZones() != 1 {
+			t.Fatal("a zone in which a worker started is still unreachable")
 		}
 		rig.now += rig.planningHorizon
 		if rig.zoneUnreachable(zone(2)[3]) {
@@ -110,7 +111,7 @@
 		if !rig.zoneUnreachable(zone(2)[3]) {
 			t.Fatal("two trials at once")
 		}
-		// A job that runs there and may be repeated is not waited for: silence is told after two seconds
+		// A request that runs there and may be repeated is hedged: silence shows after two seconds
 		// only.
 		request := &request{
 			id:        rig.next,
@@ -124,7 +125,7 @@
 		rig.recordStart(request.class, &request.attempts[0])
 		rig.now += 2 * rig.sweepInterval
 		if rig.superviseAttempt(request, &request.attempts[0]); len(request.attempts) != 2 {
-			t.Fatalf("a job in a lost zone has %d attempts", len(request.attempts))
+			t.Fatalf("a request in an unreachable zone has %d attempts", len(request.attempts))
 		}
 	}
 }
