--- a/decision/admission_test.go
+++ b/decision/admission_test.go
@@ -15,7 +15,8 @@
 		rig.arrive(0)
 	}
 	if rig.inFlight != 2+concurrencyHeadroom {
-		t.Fatalf("%v slots in flight under a ceiling of two and headroom of %v", rig.inFlight, concurrencyHeadroom)
+		t.Fatalf("%v slots in flight under a ceiling of two and headroom of %v",
+			rig.inFlight, concurrencyHeadroom)
 	}
 	if rig.send(0) != "" {
 		t.Fatal("an attempt above the ceiling")
--- a/decision/capacity_test.go
+++ b/decision/capacity_test.go
@@ -303,8 +303,10 @@
 			t.Fatalf("in the fleet and not known, or gone: %+v", worker.Endpoint)
 		}
 		warming := worker.positions[inWarmingUp] > 0 // until the next sweep, though it may have warmed up
-		if !warming && machine.capacityFraction(worker) < 1 || warming == (worker.positions[inWarmWorkers] > 0) ||
-			(!warming && worker.Zone == machine.settings.Zone) != (worker.positions[inLocalWarmWorkers] > 0) {
+		local := !warming && worker.Zone == machine.settings.Zone
+		if !warming && machine.capacityFraction(worker) < 1 ||
+			warming == (worker.positions[inWarmWorkers] > 0) ||
+			local != (worker.positions[inLocalWarmWorkers] > 0) {
 			t.Fatalf("in the wrong lists: %+v, %v", worker.Endpoint, worker.positions)
 		}
 		if worker.State != Running {
@@ -338,7 +340,8 @@
 			}
 		}
 	}
-	if machine.updateRing(); len(machine.ring) != len(machine.fleet) ||
+	machine.updateRing()
+	if len(machine.ring) != len(machine.fleet) ||
 		!slices.IsSortedFunc(machine.ring, compareByHash) {
 		t.Fatalf(
 			"%d on the ring, of %d; in order: %v",
--- a/decision/ceilings_test.go
+++ b/decision/ceilings_test.go
@@ -70,7 +70,8 @@
 			t.Fatalf("started %v, cut %v", started, cut)
 		}
 		before := rig.badRatio
-		if rig.endAttempt(id, 0, Completed, 2*time.Second); !started && rig.badRatio != before {
+		rig.endAttempt(id, 0, Completed, 2*time.Second)
+		if !started && rig.badRatio != before {
 			t.Fatal("a late request was counted twice")
 		}
 	}
--- a/decision/connection_test.go
+++ b/decision/connection_test.go
@@ -12,7 +12,8 @@
 	settings.StartNotices = true
 	settings.StartsInOrder = true
 	settings.ConnectionIdleTimeout = 30 * time.Second
-	settings.Classes[1].LateWeight = 0.1 // one that earns nothing late is cancelled before the next request starts
+	// One that earns nothing late would be cancelled before the next request starts.
+	settings.Classes[1].LateWeight = 0.1
 	rig := newRig(t, settings, 1)
 	first := rig.arrive(1)
 	rig.endAttempt(first, 0, Completed, 100*time.Millisecond)
@@ -40,7 +41,8 @@
 	rig.endAttempt(next, 0, Completed, 100*time.Millisecond)
 	rig.handle(rig.now, Event{Kind: AttemptEnded, Request: lost, Worker: "w0", Outcome: Cancelled})
 	rig.now += 4 * time.Second
-	if rig.arrive(1); findAction(rig.actions, CloseIdle) == nil || findAction(rig.actions, Assign) == nil {
+	rig.arrive(1)
+	if findAction(rig.actions, CloseIdle) == nil || findAction(rig.actions, Assign) == nil {
 		t.Fatalf("a connection unused for 4 s is used: %v", rig.actions)
 	}
 }
--- a/decision/endpoints_test.go
+++ b/decision/endpoints_test.go
@@ -44,10 +44,8 @@
 	if last < settings.ListPollInterval/4 {
 		t.Fatalf("still asking every %v after eight failures", last)
 	}
-	if rig.handle(rig.now, Event{Kind: TimerFired, Timer: subscribeTimer}); findAction(
-		rig.actions,
-		Subscribe,
-	) == nil {
+	rig.handle(rig.now, Event{Kind: TimerFired, Timer: subscribeTimer})
+	if findAction(rig.actions, Subscribe) == nil {
 		t.Fatal("not asked again")
 	}
 	if rig.send(0) != "w0" {
--- a/decision/example_test.go
+++ b/decision/example_test.go
@@ -10,8 +10,11 @@
 func Example() {
 	d, err := decision.New(decision.Settings{
 		Classes: []decision.Class{{
-			PriorityWeight: 1, LatencyObjective: 200 * time.Millisecond, ObjectiveStretch: 2, Deadline: 5 * time.Second,
-			Idempotency: decision.Idempotent,
+			PriorityWeight:   1,
+			LatencyObjective: 200 * time.Millisecond,
+			ObjectiveStretch: 2,
+			Deadline:         5 * time.Second,
+			Idempotency:      decision.Idempotent,
 		}},
 		Peers: 1, Tick: time.Millisecond, MaxAttempts: 3,
 	}, 42)
--- a/decision/hedge_test.go
+++ b/decision/hedge_test.go
@@ -28,8 +28,11 @@
 		started        bool
 		want           int // attempts in the end
 	}{
-		"progress stops": {0, 5, true, 2}, "no start, nothing waits": {0, 0, false, 2}, "no start, requests wait": {0, 1, false, 1},
-		"not idempotent, progress stops": {1, 0, true, 1}, "not idempotent, no start": {1, 0, false, 1},
+		"progress stops":                 {0, 5, true, 2},
+		"no start, nothing waits":        {0, 0, false, 2},
+		"no start, requests wait":        {0, 1, false, 1},
+		"not idempotent, progress stops": {1, 0, true, 1},
+		"not idempotent, no start":       {1, 0, false, 1},
 	} {
 		settings := testSettings()
 		settings.StartNotices = true
@@ -150,7 +153,8 @@
 		rig.endAttempt(id, 1-first, Cancelled, 0)
 		if worker := request.attempts[1-first].worker; worker.unstarted != 0 ||
 			worker.recentWork.get(rig.now, rig.planningHorizon) > 1e-3 {
-			t.Errorf("a hedge that never started is still counted: %d, %v", worker.unstarted, worker.recentWork)
+			t.Errorf("a hedge that never started is still counted: %d, %v",
+				worker.unstarted, worker.recentWork)
 		}
 	}
 	rig, id := wait(0)
--- a/decision/machine_test.go
+++ b/decision/machine_test.go
@@ -8,11 +8,12 @@
 
 // All state of a request is released in the end, over many thousands and over restarts of workers.
 func TestNothingLeaks(t *testing.T) {
+	outcomes := []AttemptOutcome{Completed, Completed, Completed, Failed, Saturated, ConnectionLost}
 	rig := newRig(t, testSettings(), 6)
 	for i := range 30000 {
 		id := rig.arrive(i % 2)
 		if request := rig.requests[id]; request != nil && len(request.attempts) > 0 {
-			outcome := []AttemptOutcome{Completed, Completed, Completed, Failed, Saturated, ConnectionLost}[i%6]
+			outcome := outcomes[i%len(outcomes)]
 			rig.endAttempt(id, 0, outcome, 10*time.Millisecond)
 			if request := rig.requests[id]; request != nil {
 				rig.handle(rig.now, Event{Kind: ClientDisconnected, Request: id})
--- a/decision/outlier_test.go
+++ b/decision/outlier_test.go
@@ -225,7 +225,8 @@
 			rig.endAttempt(id, 0, Completed, time.Second)
 			continue
 		}
-		if rig.endAttempt(id, 0, InvalidRequest, time.Millisecond); rig.requests[id] == nil ||
+		rig.endAttempt(id, 0, InvalidRequest, time.Millisecond)
+		if rig.requests[id] == nil ||
 			!rig.workers[worker].ejected {
 			t.Error("a worker that can use nothing is believed")
 		}
--- a/decision/pricing_test.go
+++ b/decision/pricing_test.go
@@ -30,7 +30,8 @@
 		t.Fatal("a value equal to the prices is admitted")
 	}
 	rig.slotPrice = 2.1
-	if rig.arrive(1); findAction(rig.actions, Reject) == nil {
+	rig.arrive(1)
+	if findAction(rig.actions, Reject) == nil {
 		t.Fatal("hold time is not priced")
 	}
 }
@@ -52,7 +53,8 @@
 	for range minPricedJobs + 5 {
 		rig.addToMix(&request{value: 0.1, cost: 0.1, holdTime: 0.1}, jobGroupKey{})
 	}
-	if rig.solvePrices(); rig.workPrice+rig.slotPrice > 0 {
+	rig.solvePrices()
+	if rig.workPrice+rig.slotPrice > 0 {
 		t.Fatalf("prices %v and %v though the headroom holds all of the mix", rig.workPrice, rig.slotPrice)
 	}
 }
@@ -129,7 +131,8 @@
 	}
 	rig.concurrencyPerWorker = 1e6
 	rig.workRatePerWorker = 1e6
-	if rig.solvePrices(); rig.workPrice != 0 || rig.slotPrice != 0 {
+	rig.solvePrices()
+	if rig.workPrice != 0 || rig.slotPrice != 0 {
 		t.Fatalf("prices %v, %v with budgets to spare", rig.workPrice, rig.slotPrice)
 	}
 }
--- a/decision/reconfigure_test.go
+++ b/decision/reconfigure_test.go
@@ -90,10 +90,22 @@
 			settings.Classes = append(settings.Classes, settings.Classes[0])
 			return settings
 		},
-		"a tenant":             func(settings *Settings) *Settings { settings.TenantQuotas = []float64{1}; return settings },
-		"infinite weight":      func(settings *Settings) *Settings { settings.Classes[1].PriorityWeight = math.Inf(1); return settings },
-		"a negative objective": func(settings *Settings) *Settings { settings.Classes[1].LatencyObjective = -1; return settings },
-		"no number at all":     func(settings *Settings) *Settings { settings.OverQuotaWeight = math.NaN(); return settings },
+		"a tenant": func(settings *Settings) *Settings {
+			settings.TenantQuotas = []float64{1}
+			return settings
+		},
+		"infinite weight": func(settings *Settings) *Settings {
+			settings.Classes[1].PriorityWeight = math.Inf(1)
+			return settings
+		},
+		"a negative objective": func(settings *Settings) *Settings {
+			settings.Classes[1].LatencyObjective = -1
+			return settings
+		},
+		"no number at all": func(settings *Settings) *Settings {
+			settings.OverQuotaWeight = math.NaN()
+			return settings
+		},
 	} {
 		rig := newRig(t, testSettings(), 2)
 		before := rig.settings
--- a/decision/retry_test.go
+++ b/decision/retry_test.go
@@ -35,8 +35,14 @@
 // A deduplicated request that may have run and whose window is over has nothing to wait for: it is answered
 // then, rejected where any worker would discard a repeat, else failed.
 func TestRequestBeyondItsDedupWindowIsAnsweredAtOnce(t *testing.T) {
-	for scope, want := range map[DedupScope]ActionKind{DedupEverywhere: Reject, DedupWithinZone: Fail, DedupWithinCell: Fail} {
-		for _, last := range []AttemptOutcome{Failed, Saturated} { // the window ends as it waits, and as it comes back
+	answers := map[DedupScope]ActionKind{
+		DedupEverywhere: Reject,
+		DedupWithinZone: Fail,
+		DedupWithinCell: Fail,
+	}
+	for scope, want := range answers {
+		// The window ends as it waits, and as it comes back.
+		for _, last := range []AttemptOutcome{Failed, Saturated} {
 			settings := testSettings()
 			settings.Classes[1].Idempotency = Deduplicated
 			settings.Classes[1].DedupScope = scope
@@ -58,15 +64,14 @@
 				if request := rig.requests[id]; request == nil || len(request.attempts) != 2 {
 					t.Fatalf("group %d: not retried in time", scope)
 				}
-				if rig.endAttempt(id, 1, Saturated, 1500*time.Millisecond); findAction(
-					rig.actions,
-					want,
-				) == nil {
+				rig.endAttempt(id, 1, Saturated, 1500*time.Millisecond)
+				if findAction(rig.actions, want) == nil {
 					t.Fatalf("group %d: not answered in the turn in which its last attempt came back", scope)
 				}
 			}
 			for findAction(rig.actions, want) == nil {
-				if rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer}); rig.now > sent+2*time.Second {
+				rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
+				if rig.now > sent+2*time.Second {
 					t.Fatalf("group %d, %v: still waiting after its window", scope, last)
 				}
 				if findAction(rig.actions, Assign) != nil {
@@ -109,7 +114,8 @@
 	}
 	rig.now += settings.RetryBudgetWindow + 2*settings.Tick
 	id := rig.arrive(0)
-	if rig.endAttempt(id, 0, ConnectionRefused, time.Millisecond); findAction(rig.actions, Assign) == nil {
+	rig.endAttempt(id, 0, ConnectionRefused, time.Millisecond)
+	if findAction(rig.actions, Assign) == nil {
 		t.Fatal("not retried though the window has passed")
 	}
 }
--- a/decision/rig_test.go
+++ b/decision/rig_test.go
@@ -17,6 +17,7 @@
 	next    uint64
 }
 
+// handle feeds an event and keeps the actions.
 func (r *rig) handle(now time.Duration, event Event) []Action {
 	r.actions = r.Handle(now, event, nil)
 	return r.actions
@@ -30,18 +31,22 @@
 	id := r.next
 	r.next++
 	r.handle(r.now, Event{
-		Kind: RequestArrived, Request: id, Class: class, Slots: 1, Work: time.Second, TimeLeft: 5 * time.Second, Key: key,
+		Kind: RequestArrived, Request: id, Class: class, Key: key,
+		Slots: 1, Work: time.Second, TimeLeft: 5 * time.Second,
 	})
 	return id
 }
 
+// endAttempt ends the attempt with that number; a completed one is the answer.
 func (r *rig) endAttempt(id uint64, n int, outcome AttemptOutcome, after time.Duration) []Action {
-	w := r.requests[id].attempts[n].worker.Name
+	worker := r.requests[id].attempts[n].worker
 	return r.handle(r.now+after, Event{
-		Kind: AttemptEnded, Request: id, Attempt: n, Worker: w, Outcome: outcome, Answered: outcome == Completed,
+		Kind: AttemptEnded, Request: id, Attempt: n, Worker: worker.Name,
+		Outcome: outcome, Answered: outcome == Completed,
 	})
 }
 
+// assignedTo returns the worker of a request's latest attempt; empty if there is none.
 func (r *rig) assignedTo(id uint64) string {
 	request := r.requests[id]
 	if request == nil || len(request.attempts) == 0 {
@@ -84,8 +89,10 @@
 				Idempotency:      NonIdempotent,
 			},
 		},
-		WeightByWork: true, Peers: 2, Tick: time.Millisecond, MaxAttempts: 3, Hedging: true, Cancellation: true,
-		SlowStartFloor: 0.3, SlowStartDuration: 8 * time.Second, OverloadMultiple: 3, OverloadWindow: 2 * time.Second,
+		WeightByWork: true, Peers: 2, Tick: time.Millisecond,
+		MaxAttempts: 3, Hedging: true, Cancellation: true,
+		SlowStartFloor: 0.3, SlowStartDuration: 8 * time.Second,
+		OverloadMultiple: 3, OverloadWindow: 2 * time.Second,
 		MaxRetryAfter: 2 * time.Second, ConnectTimeout: 200 * time.Millisecond, ProgressInterval: time.Second,
 		ListPollInterval: 10 * time.Second,
 	}
--- a/decision/routing_test.go
+++ b/decision/routing_test.go
@@ -57,8 +57,8 @@
 		want     string
 	}{
 		{"idle by a fresh report, beside an unknown one", 0.3, 0, 0, "w0"},
-		{"two requests there by a fresh report, beside an unknown one where waits are short", 0.01, 2, 0, "w1"},
-		{"five requests there by a report of a minute ago, beside one that never reported", 0.3, 5, time.Minute, ""},
+		{"two requests by a fresh report, beside an unknown one where waits are short", 0.01, 2, 0, "w1"},
+		{"five requests by a report of a minute ago, beside an unknown one", 0.3, 5, time.Minute, ""},
 	} {
 		got := map[string]int{}
 		for seed := range uint64(20) {
--- a/decision/rules_test.go
+++ b/decision/rules_test.go
@@ -13,7 +13,8 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	for name, value := range map[string]string{"rapid.seed": "20", "rapid.nofailfile": "true", "rapid.checks": "300"} {
+	flags := map[string]string{"rapid.seed": "20", "rapid.nofailfile": "true", "rapid.checks": "300"}
+	for name, value := range flags {
 		if err := flag.Set(name, value); err != nil {
 			panic(err)
 		}
@@ -28,8 +29,8 @@
 // rules. Its own record of what was sent and told is independent of the module's.
 type simulation struct {
 	t             *rapid.T
-	settings             Settings
-	machine             *Machine
+	settings      Settings
+	machine       *Machine
 	now           time.Duration
 	listed        map[string]Endpoint // as last listed, gone ones included
 	names         []string
@@ -68,17 +69,18 @@
 }
 
 func newSimulation(t *rapid.T) *simulation {
-	repeats := []Class{
-		{Idempotency: Idempotent}, {Idempotency: NonIdempotent},
-		{
-			Idempotency: Deduplicated,
-			DedupScope:  DedupEverywhere,
-		}, {Idempotency: Deduplicated, DedupScope: DedupWithinZone}, {Idempotency: Deduplicated, DedupScope: DedupWithinCell},
+	classes := []Class{
+		{Idempotency: Idempotent},
+		{Idempotency: NonIdempotent},
+		{Idempotency: Deduplicated, DedupScope: DedupEverywhere},
+		{Idempotency: Deduplicated, DedupScope: DedupWithinZone},
+		{Idempotency: Deduplicated, DedupScope: DedupWithinCell},
 	}
 	settings := Settings{
 		Peers: 3, Tick: 2 * time.Millisecond,
 		ListBySubscription: rapid.Bool().Draw(t, "ask"), ListPollInterval: 10 * time.Second,
-		SlowStartFloor: 0.3, SlowStartDuration: 8 * time.Second, OverloadMultiple: 3, OverloadWindow: 2 * time.Second,
+		SlowStartFloor: 0.3, SlowStartDuration: 8 * time.Second,
+		OverloadMultiple: 3, OverloadWindow: 2 * time.Second,
 		MaxAttempts: rapid.IntRange(1, 5).Draw(t, "attempts"), Hedging: rapid.Bool().Draw(t, "hedging"),
 		Cancellation: rapid.Bool().Draw(t, "cancel"), StartNotices: rapid.Bool().Draw(t, "start notices"),
 		ProgressInterval: time.Second, WeightByWork: rapid.Bool().Draw(t, "by work"), OverQuotaWeight: 0.2,
@@ -90,16 +92,15 @@
 	settings.SaturatedMayHaveRun = rapid.Bool().Draw(t, "full is no proof")
 	if rapid.Bool().Draw(t, "budget") {
 		settings.RetryBudgetWindow = 2 * time.Second
-		settings.RetryBudgetFloor = float64(
-			rapid.IntRange(0, 2).Draw(t, "floor"),
-		)
+		settings.RetryBudgetFloor = float64(rapid.IntRange(0, 2).Draw(t, "floor"))
 		settings.RetryBudgetRatio = 0.2
 	}
 	order := rapid.Bool().Draw(t, "order")
 	if order {
-		settings.KeyCooldown = rapid.SampledFrom([]time.Duration{0, 300 * time.Millisecond}).Draw(t, "cooldown")
+		cooldowns := []time.Duration{0, 300 * time.Millisecond}
+		settings.KeyCooldown = rapid.SampledFrom(cooldowns).Draw(t, "cooldown")
 	}
-	for i, class := range repeats {
+	for i, class := range classes {
 		class.PriorityWeight = float64(i + 1)
 		class.LateWeight = 0.3
 		class.LatencyObjective = 200 * time.Millisecond
@@ -190,14 +191,15 @@
 		}
 		s.watching = true
 	case CheckHealth:
-		s.t.Fatal("a probe where probing is not allowed")
+		s.t.Fatal("a health check where they are not allowed")
 	}
 }
 
 func (r *simRequest) rejectable() bool {
 	for _, attempt := range r.attempts {
-		if !attempt.neverRan &&
-			(r.class.Idempotency == NonIdempotent || r.class.Idempotency == Deduplicated && r.class.DedupScope != DedupEverywhere) {
+		mayRepeat := r.class.Idempotency == Idempotent ||
+			r.class.Idempotency == Deduplicated && r.class.DedupScope == DedupEverywhere
+		if !attempt.neverRan && !mayRepeat {
 			return false
 		}
 	}
@@ -321,8 +323,8 @@
 func (s *simulation) endAttempt(request *simRequest, n int, outcome AttemptOutcome) Event {
 	attempt := &request.attempts[n]
 	attempt.done = true
-	attempt.neverRan = outcome == Saturated && !s.settings.SaturatedMayHaveRun || outcome == ConnectionRefused ||
-		outcome == NotSent
+	attempt.neverRan = outcome == Saturated && !s.settings.SaturatedMayHaveRun ||
+		outcome == ConnectionRefused || outcome == NotSent
 	if request.class.Serialized &&
 		(outcome == TimedOut || outcome == ConnectionLost || outcome == Cancelled) {
 		s.cooldownUntil[request.key] = s.now + s.settings.KeyCooldown
@@ -409,8 +411,10 @@
 		s.arrive()
 	case 5, 6, 7, 8:
 		if request, n, ok := s.drawOutstanding(); ok {
-			outcome := rapid.SampledFrom([]AttemptOutcome{Completed, Completed, Failed, Saturated, TimedOut, ConnectionRefused, ConnectionLost, Cancelled}).
-				Draw(t, "outcome")
+			outcome := rapid.SampledFrom([]AttemptOutcome{
+				Completed, Completed, Failed, Saturated, TimedOut,
+				ConnectionRefused, ConnectionLost, Cancelled,
+			}).Draw(t, "outcome")
 			if outcome == Cancelled && !request.attempts[n].cancelled {
 				outcome = ConnectionLost
 			}
@@ -453,8 +457,9 @@
 func (s *simulation) arrive() {
 	t := s.t
 	n := rapid.IntRange(0, len(s.settings.Classes)-1).Draw(t, "class")
-	left := rapid.SampledFrom([]time.Duration{-time.Second, 0, time.Millisecond, 300 * time.Millisecond, 5 * time.Second}).
-		Draw(t, "left")
+	left := rapid.SampledFrom([]time.Duration{
+		-time.Second, 0, time.Millisecond, 300 * time.Millisecond, 5 * time.Second,
+	}).Draw(t, "left")
 	for range rapid.IntRange(1, 12).Draw(t, "burst") {
 		request := &simRequest{id: s.nextID, class: s.settings.Classes[n], deadline: s.now + max(left, 0)}
 		s.nextID++
@@ -481,8 +486,9 @@
 	}
 	name := rapid.SampledFrom(s.names).Draw(s.t, "worker")
 	endpoint := s.listed[name]
-	switch endpoint.State = rapid.SampledFrom([]WorkerState{Running, Running, Draining, Removed}).Draw(s.t, "state"); {
-	case endpoint.State == Running && rapid.Bool().Draw(s.t, "restart"):
+	states := []WorkerState{Running, Running, Draining, Removed}
+	endpoint.State = rapid.SampledFrom(states).Draw(s.t, "state")
+	if endpoint.State == Running && rapid.Bool().Draw(s.t, "restart") {
 		endpoint.StartedAt = s.now - time.Duration(rapid.IntRange(0, 9).Draw(s.t, "age"))*time.Second
 	}
 	s.listed[name] = endpoint
--- a/decision/slowstart_fleet_test.go
+++ b/decision/slowstart_fleet_test.go
@@ -14,17 +14,17 @@
 // slowStartFleet is 20 to 30 dispatchers before warm workers and one that starts cold, in steps of virtual
 // time.
 type slowStartFleet struct {
-	t       *rapid.T
-	settings       Settings
-	random  *rand.Rand
-	now     time.Duration
-	members []*fleetMember
-	due     map[time.Duration][]func() // by step
-	entries []Endpoint
-	hints   bool
-	mean    float64 // work of a request, seconds
-	sent    []fleetWorkSent
-	next    uint64
+	t        *rapid.T
+	settings Settings
+	random   *rand.Rand
+	now      time.Duration
+	members  []*fleetMember
+	due      map[time.Duration][]func() // by step
+	entries  []Endpoint
+	hints    bool
+	mean     float64 // work of a request, seconds
+	sent     []fleetWorkSent
+	next     uint64
 }
 
 func (f *slowStartFleet) after(span time.Duration, what func()) {
@@ -128,7 +128,9 @@
 // the settings give and what is put down to chance, also in a burst and while their processes start anew.
 func TestSlowStartBudgetOfAllDispatchers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		share := func(label string, lo, hi float64) float64 { return rapid.Float64Range(lo, hi).Draw(t, label) }
+		share := func(label string, lo, hi float64) float64 {
+			return rapid.Float64Range(lo, hi).Draw(t, label)
+		}
 		fleet := &slowStartFleet{t: t, now: time.Hour, due: map[time.Duration][]func(){}}
 		fleet.random = rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		fleet.hints = rapid.Bool().Draw(t, "hints")
@@ -149,9 +151,7 @@
 		warm := rapid.IntRange(4, 20).Draw(t, "warm workers")
 		rate := share("rate", 30, 150)
 		burst := share("burst", 1, 3)
-		capacity := rate * burst * fleet.mean / float64(
-			warm,
-		) / share(
+		capacity := rate * burst * fleet.mean / float64(warm) / share(
 			"load in the burst",
 			0.3,
 			1,
@@ -212,7 +212,8 @@
 					sum += s.work / fleet.mean
 				}
 			}
-			n := fleet.settings.OverloadMultiple * fleet.warmth() * capacity * fleet.settings.OverloadWindow.Seconds() / fleet.mean
+			n := fleet.settings.OverloadMultiple * fleet.warmth() * capacity *
+				fleet.settings.OverloadWindow.Seconds() / fleet.mean
 			if sum > n+2*math.Sqrt(n)+2 {
 				t.Fatalf("step %d: sent %.1f requests of mean work, N is %.1f", step, sum, n)
 			}
@@ -358,7 +359,8 @@
 			if now < start {
 				continue
 			}
-			if toAll++; strings.HasPrefix(action.Worker, "new") {
+			toAll++
+			if strings.HasPrefix(action.Worker, "new") {
 				toNew++
 				sent[action.Worker] = append(sent[action.Worker], workSent{now, work})
 			}
@@ -371,7 +373,8 @@
 				handle(rig, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: newcomers})
 			}
 		}
-		if due += perTick; now >= start+settings.SlowStartDuration/2 {
+		due += perTick
+		if now >= start+settings.SlowStartDuration/2 {
 			due += 2 * perTick
 		}
 		for ; due >= 1; due-- {
@@ -387,8 +390,10 @@
 			if x.ends > now {
 				out = append(out, x)
 			} else if request := x.r.requests[x.id]; request != nil {
-				handle(x.r, Event{Kind: AttemptEnded, Request: x.id, Attempt: len(request.attempts) - 1, Worker: x.w,
-					Outcome: Completed, Answered: true})
+				handle(x.r, Event{
+					Kind: AttemptEnded, Request: x.id, Attempt: len(request.attempts) - 1, Worker: x.w,
+					Outcome: Completed, Answered: true,
+				})
 			}
 		}
 		for _, rig := range rigs {
@@ -407,13 +412,13 @@
 	}
 }
 
-// workSent is work sent to a cold worker.
+// workSent is work sent to a worker in slow start.
 type workSent struct {
 	at   time.Duration
 	work float64
 }
 
-// failIfOverloaded checks every fall window that ends with a send to a worker of that capacity and start.
+// failIfOverloaded checks every overload window that ends with a send to a worker of that capacity and start.
 func failIfOverloaded(
 	t *testing.T,
 	settings Settings,
@@ -429,8 +434,11 @@
 				sum += b.work
 			}
 		}
-		warmth := settings.SlowStartFloor + (1-settings.SlowStartFloor)*(a.at-start).Seconds()/settings.SlowStartDuration.Seconds()
-		if budget := settings.OverloadMultiple * warmth * capacity * settings.OverloadWindow.Seconds(); sum > budget {
+		age := (a.at - start).Seconds()
+		floor := settings.SlowStartFloor
+		warmth := floor + (1-floor)*age/settings.SlowStartDuration.Seconds()
+		budget := settings.OverloadMultiple * warmth * capacity * settings.OverloadWindow.Seconds()
+		if sum > budget {
 			t.Fatalf(
 				"%.2f s of work in a window whose budget is %.2f, %v after the start",
 				sum,
--- a/decision/slowstart_test.go
+++ b/decision/slowstart_test.go
@@ -20,8 +20,11 @@
 		machine, err := New(Settings{
 			Classes: []Class{
 				{PriorityWeight: 1, LatencyObjective: objective, Deadline: 4 * objective},
-			}, Peers: rapid.IntRange(20, 30).Draw(t, "peers"),
-			SlowStartFloor: 0.3, SlowStartDuration: 8 * time.Second, OverloadMultiple: 4, OverloadWindow: time.Second, StartNotices: true, MaxAttempts: 1,
+			},
+			Peers:          rapid.IntRange(20, 30).Draw(t, "peers"),
+			SlowStartFloor: 0.3, SlowStartDuration: 8 * time.Second,
+			OverloadMultiple: 4, OverloadWindow: time.Second,
+			StartNotices: true, MaxAttempts: 1,
 		}, 1)
 		if err != nil {
 			t.Fatal(err)
@@ -35,7 +38,8 @@
 		for i := range requests {
 			id := uint64(i + 1)
 			assigned := false
-			for _, action := range machine.Handle(now, Event{Kind: RequestArrived, Request: id, TimeLeft: 4 * objective}, nil) {
+			arrival := Event{Kind: RequestArrived, Request: id, TimeLeft: 4 * objective}
+			for _, action := range machine.Handle(now, arrival, nil) {
 				assigned = assigned || action.Kind == Assign
 			}
 			if !assigned {
@@ -50,16 +54,9 @@
 			)
 		}
 		machine.warmWorkRatesAt = 0 // look anew
-		if took := (time.Duration(requests) * run).Seconds() / machine.planningHorizon.Seconds(); machine.warmWorkRate(
-			0,
-		) > took*1.001 {
-			t.Errorf(
-				"%d requests of %v count as %.3f of a slot, and took %.3f",
-				requests,
-				run,
-				machine.warmWorkRate(0),
-				took,
-			)
+		took := (time.Duration(requests) * run).Seconds() / machine.planningHorizon.Seconds()
+		if rate := machine.warmWorkRate(0); rate > took*1.001 {
+			t.Errorf("%d requests of %v count as %.3f of a slot, and took %.3f", requests, run, rate, took)
 		}
 	})
 }
@@ -74,7 +71,7 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		window := time.Duration(rapid.IntRange(200, 3000).Draw(t, "window in ms")) * time.Millisecond
-		multiple := rapid.Float64Range(1, 8).Draw(t, "fall multiple")
+		multiple := rapid.Float64Range(1, 8).Draw(t, "overload multiple")
 		share := rapid.Float64Range(0.01, 4).Draw(t, "work of a warm worker, slots")
 		machine, err := New(Settings{
 			Classes: []Class{
@@ -103,8 +100,9 @@
 		machine.warmWorkRatesAt = start + time.Hour
 		var sent []fleetWorkSent
 		for range 300 {
-			machine.now += rapid.SampledFrom([]time.Duration{0, 0, 0, window / 50, window / 50, window / 10, 2 * window}).
-				Draw(t, "pause")
+			machine.now += rapid.SampledFrom([]time.Duration{
+				0, 0, 0, window / 50, window / 50, window / 10, 2 * window,
+			}).Draw(t, "pause")
 			part := slowStartSafety * multiple * machine.capacityFraction(worker) * share * window.Seconds()
 			work := rapid.SampledFrom([]float64{0.05, 0.05, 0.3, 1}).Draw(t, "work, parts") * part
 			request := &request{
@@ -116,7 +114,8 @@
 				holdTime:      work,
 			}
 			if machine.withinSlowStartBudget(request, worker) {
-				if worker.slowStartBudget -= request.slowStartCost(); worker.slowStartBudget < -part/2*(1+1e-9) {
+				worker.slowStartBudget -= request.slowStartCost()
+				if worker.slowStartBudget < -part/2*(1+1e-9) {
 					t.Fatalf("%.3f of a part beyond what was there", -worker.slowStartBudget/part)
 				}
 				sent = append(sent, fleetWorkSent{machine.now, request.slowStartCost()})
@@ -127,7 +126,8 @@
 					sum += s.work
 				}
 			}
-			if allowed := multiple * machine.capacityFraction(worker) * share * window.Seconds(); sum > allowed*(1+1e-9) {
+			allowed := multiple * machine.capacityFraction(worker) * share * window.Seconds()
+			if sum > allowed*(1+1e-9) {
 				t.Fatalf("%.3f of the budget in a window", sum/allowed)
 			}
 		}
@@ -189,7 +189,7 @@
 	settings.Peers = 300
 	for seed := range uint64(10) {
 		rig := newSeededRig(t, settings, 4*maxWarmDraws, seed)
-		for _, worker := range rig.fleet[1:] { // the first stays warm: what the others may get is measured by it
+		for _, worker := range rig.fleet[1:] { // the first stays warm: budgets are measured by it
 			worker.StartedAt = rig.now
 			worker.slowStartBudgetAt = rig.now
 			worker.slowStartBudget = -1
@@ -284,9 +284,7 @@
 			worker.StartedAt = rig.now
 			worker.slowStartBudgetAt = rig.now
 			worker.slowStartBudget = 0.06
-			worker.outstanding = float64(
-				i,
-			)
+			worker.outstanding = float64(i)
 			worker.recentWork.add(rig.now, rig.planningHorizon, 0)
 		}
 		rig.warmingUp = append(rig.warmingUp[:0], rig.fleet...)
@@ -375,23 +373,19 @@
 	rig.warmWorkRatesAt = 0
 	sent := 0
 	last := time.Duration(0)
-	for end := rig.now + rig.settings.SlowStartDuration/2; rig.now < end; rig.Machine.now += 10 * time.Millisecond {
-		warm.recentWork = decayingValue{
-			4 * rig.planningHorizon.Seconds(),
-			rig.now,
-		} // four slot-seconds a second
+	end := rig.now + rig.settings.SlowStartDuration/2
+	for ; rig.now < end; rig.Machine.now += 10 * time.Millisecond {
+		// Four slot-seconds a second.
+		warm.recentWork = decayingValue{4 * rig.planningHorizon.Seconds(), rig.now}
 		if !rig.withinSlowStartBudget(request, worker) {
 			continue
 		}
-		rate := slowStartSafety * rig.settings.OverloadMultiple * rig.capacityFraction(
-			worker,
-		) * rig.warmWorkRate(
-			0,
-		)
+		rate := slowStartSafety * rig.settings.OverloadMultiple *
+			rig.capacityFraction(worker) * rig.warmWorkRate(0)
 		if gap := (rig.now - last).Seconds(); sent > 1 && (gap < 0.9/rate || gap > 1.2/rate+0.02) {
 			t.Fatalf("%.2f s between two requests, the budget pays for one in %.2f s", gap, 1/rate)
 		}
-		sent = sent + 1
+		sent++
 		last = rig.now
 		worker.recentWork.add(rig.now, rig.planningHorizon, 1e-9) // the first has gone
 		worker.slowStartBudget -= request.cost
@@ -437,7 +431,8 @@
 	if cost := small.slowStartCost(); cost < 0.03 {
 		t.Fatalf("a request that ran for 40 ms and more takes %v s", cost)
 	}
-	if large := (&request{slots: 2, work: 0.2, cost: 0.4, classMeanWork: 0.14}); large.slowStartCost() != large.cost {
+	large := &request{slots: 2, work: 0.2, cost: 0.4, classMeanWork: 0.14}
+	if large.slowStartCost() != large.cost {
 		t.Fatal("a large hint is taken as it is")
 	}
 }
@@ -449,14 +444,14 @@
 	for name, c := range map[string]struct {
 		list  ListKind
 		known time.Duration // listed start of the worker in the first list; -1: it is not in it
-		told  time.Duration // listed start in the list at hand, whose time is now
+		start time.Duration // listed start in the list at hand, whose time is now
 		now   time.Duration
-		cold  bool
+		slow  bool // the worker is in slow start
 	}{
-		"a new one, the clock is ahead":               {ListDelta, -1, 2*hour - time.Second, 3 * hour, true},
-		"a restarted one, the clock is ahead":         {ListDelta, hour, 2*hour - time.Second, 3 * hour, true},
-		"a new one, the clock is behind":              {ListDelta, -1, 3 * hour, 2 * hour, true},
-		"a new one, the clock is right":               {ListDelta, -1, 2*hour - time.Second, 2 * hour, true},
+		"a new one, clock ahead":                      {ListDelta, -1, 2*hour - time.Second, 3 * hour, true},
+		"a restarted one, clock ahead":                {ListDelta, hour, 2*hour - time.Second, 3 * hour, true},
+		"a new one, clock behind":                     {ListDelta, -1, 3 * hour, 2 * hour, true},
+		"a new one, clock right":                      {ListDelta, -1, 2*hour - time.Second, 2 * hour, true},
 		"one known for long":                          {ListDelta, hour, hour, 3 * hour, false},
 		"one of a complete list, started an hour ago": {ListSnapshot, -1, 2 * hour, 3 * hour, false},
 		"a new one that started long ago":             {ListDelta, -1, hour, 4 * hour, false},
@@ -488,18 +483,18 @@
 			list := Event{
 				Kind:      ListUpdated,
 				ListKind:  c.list,
-				Endpoints: []Endpoint{{Name: "w", StartedAt: c.told}, {Name: "other"}},
+				Endpoints: []Endpoint{{Name: "w", StartedAt: c.start}, {Name: "other"}},
 			}
 			machine.Handle(c.now, list, nil)
-			if cold := machine.capacityFraction(machine.workers["w"]) < 1; cold != c.cold {
-				t.Errorf("in slow start %v, not %v", cold, c.cold)
+			if slow := machine.capacityFraction(machine.workers["w"]) < 1; slow != c.slow {
+				t.Errorf("in slow start %v, not %v", slow, c.slow)
 			}
 			machine.Handle(c.now+time.Second, list, nil) // listed again, it is no news
-			if cold := machine.capacityFraction(machine.workers["w"]) < 1; cold != c.cold {
-				t.Errorf("listed again: in slow start %v, not %v", cold, c.cold)
+			if slow := machine.capacityFraction(machine.workers["w"]) < 1; slow != c.slow {
+				t.Errorf("listed again: in slow start %v, not %v", slow, c.slow)
 			}
 			machine.Handle(c.now+warm+time.Second, Event{Kind: TimerFired, Timer: sweepTimer}, nil)
-			if c.now >= c.told && machine.capacityFraction(machine.workers["w"]) < 1 {
+			if c.now >= c.start && machine.capacityFraction(machine.workers["w"]) < 1 {
 				t.Error("it does not become warm")
 			}
 		})
--- a/decision/sweep_test.go
+++ b/decision/sweep_test.go
@@ -29,7 +29,8 @@
 		}
 		var refused, stopped bool
 		for sweep := range 20 {
-			if rig.badRatio = 0; sweep >= test.from {
+			rig.badRatio = 0
+			if sweep >= test.from {
 				rig.badRatio = test.bad
 			}
 			if sweep == 16 && test.from > 0 && !rig.requests[id].late {
@@ -71,8 +72,9 @@
 	for rig.requests[id] != nil && rig.now < objective+time.Second {
 		rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
 	}
-	if action := findAction(rig.actions, Reject); action == nil || rig.now >= objective || action.Delay <= 0 ||
-		action.Delay > rig.settings.MaxRetryAfter {
+	action := findAction(rig.actions, Reject)
+	if action == nil || rig.now >= objective ||
+		action.Delay <= 0 || action.Delay > rig.settings.MaxRetryAfter {
 		t.Fatalf("at %v of %v: %v", rig.now, objective, rig.actions)
 	}
 }
@@ -102,7 +104,8 @@
 	id := rig.arrive(0)
 	objective := rig.requests[id].objective
 	for findAction(rig.actions, Reject) == nil {
-		if rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer}); rig.now > objective {
+		rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
+		if rig.now > objective {
 			t.Fatal("still waiting after its objective")
 		}
 	}
@@ -132,13 +135,15 @@
 						rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})...)
 				}
 			}
-			if sweep(time.Second); findAction(actions, CancelAttempt) != nil ||
+			sweep(time.Second)
+			if findAction(actions, CancelAttempt) != nil ||
 				findAction(actions, answer) != nil {
 				t.Fatalf("class %d is cancelled while it can be in time: %v", class, actions)
 			}
 			sweep(3 * time.Second)
-			if off := findAction(actions, CancelAttempt) != nil && findAction(actions, answer) != nil; off == started {
-				t.Fatalf("class %d, started %v, cancelled %v: %v", class, started, off, actions)
+			cancelled := findAction(actions, CancelAttempt) != nil && findAction(actions, answer) != nil
+			if cancelled == started {
+				t.Fatalf("class %d, started %v, cancelled %v: %v", class, started, cancelled, actions)
 			}
 		}
 	}
--- a/decision/zone_test.go
+++ b/decision/zone_test.go
@@ -32,8 +32,11 @@
 			rig.next++
 			rig.requests[request.id] = request
 			rig.startAttempt(request, worker)
-			for _, action := range rig.handle(rig.now+settings.ConnectTimeout, Event{Kind: AttemptEnded, Request: request.id, Worker: worker.Name,
-				Outcome: ConnectionRefused, Answered: true}) {
+			refused := Event{
+				Kind: AttemptEnded, Request: request.id, Worker: worker.Name,
+				Outcome: ConnectionRefused, Answered: true,
+			}
+			for _, action := range rig.handle(rig.now+settings.ConnectTimeout, refused) {
 				logs = append(logs, action.Text)
 			}
 			rig.now += time.Millisecond
@@ -63,7 +66,7 @@
 		rig.markSeen(zone(0)[0])
 		logged := slices.Contains(logs, "zone russeifa looks unreachable: 2 connects failed in a row")
 		if unreachableZones() != 1 || !rig.zoneUnreachable(zone(1)[3]) || !logged {
-			t.Fatalf("a zone of which two workers in a row cannot be reached does not count as unreachable: %q", logs)
+			t.Fatalf("a zone is not unreachable after two failed connects in a row: %q", logs)
 		}
 		for range 6 {
 			if worker := rig.workers[rig.send(1)]; worker != nil && worker.Zone == 1 {
@@ -124,7 +127,8 @@
 		rig.startAttempt(request, zone(2)[3])
 		rig.recordStart(request.class, &request.attempts[0])
 		rig.now += 2 * rig.sweepInterval
-		if rig.superviseAttempt(request, &request.attempts[0]); len(request.attempts) != 2 {
+		rig.superviseAttempt(request, &request.attempts[0])
+		if len(request.attempts) != 2 {
 			t.Fatalf("a request in an unreachable zone has %d attempts", len(request.attempts))
 		}
 	}
