--- a/decision/admission.go
+++ b/decision/admission.go
@@ -11,9 +11,9 @@
 	maxWorkDeadlines = 10            // a hint of the work counts up to this multiple of the deadline
 )
 
-// handleArrival decides whether a request is taken: its class must be known, its answer still be worth
-// something, its value cover the prices, and it must not make others late. A request that is taken waits in
-// the queue, which is looked at after each event.
+// handleArrival decides whether a request is taken: its class must be known, its answer still have a value
+// that covers the prices, and it must not make others late. A request that is taken waits in the queue,
+// which is looked at after each event.
 func (m *Machine) handleArrival(event Event) {
 	if m.requests[event.Request] != nil {
 		return
@@ -34,14 +34,14 @@
 	objective := m.now + request.class.LatencyObjective + seconds(request.class.ObjectiveStretch*request.work)
 	request.objective = min(objective, request.deadline) - elapsed
 	if !isRetry {
-		m.addToMix(request, jobGroupKey{
+		m.addToMix(request, requestGroupKey{
 			class:     event.Class,
 			overQuota: overQuota,
 			slots:     int(math.Log2(request.slots)),
 			work:      int(math.Log2(request.work) / 2),
 		})
 	}
-	if m.notWorthTaking(request) {
+	if m.rejectedOnArrival(request) {
 		m.rejectOrFail(request)
 		return
 	}
@@ -56,8 +56,8 @@
 	m.requestHealthChecks()
 }
 
-// notWorthTaking tells whether a request that has just arrived is rejected at once.
-func (m *Machine) notWorthTaking(request *request) bool {
+// rejectedOnArrival tells whether a request that has just arrived is rejected at once.
+func (m *Machine) rejectedOnArrival(request *request) bool {
 	return request.deadline <= m.now || m.worthless(request) ||
 		!m.paysPrices(request) || m.delaysOthers(request)
 }
@@ -123,7 +123,7 @@
 		return false
 	}
 	m.bucketTokens -= request.cost
-	if n := len(worker.idleConnections); n > 0 && m.now-worker.idleConnections[n-1] > m.safeIdleTime {
+	if idle := len(worker.idleConnections); idle > 0 && m.now-worker.idleConnections[idle-1] > m.safeIdleTime {
 		m.closeIdleConnections(worker)
 	}
 	if worker.ejected { // this is a trial: the next one comes later
--- a/decision/attempt.go
+++ b/decision/attempt.go
@@ -7,7 +7,7 @@
 	worker       *worker
 	sentAt       time.Duration
 	startedAt    time.Duration // when it was first known to run; 0: not yet
-	lastSeen     time.Duration // when the worker last told of it, at first when it was sent
+	lastSeen     time.Duration // when the worker last reported on it, at first when it was sent
 	ended        bool
 	neverRan     bool // it has ended and proved to have had no effect
 	unresponsive bool // its connection looks dead: its start is no longer awaited
@@ -72,8 +72,8 @@
 	}
 	m.recordStart(request.class, attempt)
 	m.cancelOtherAttempts(request, event.Attempt)
-	tellsSpeed := event.Kind == AttemptProgressed && event.Fraction > 0 && event.Fraction <= 1
-	if m.settings.StartNotices && tellsSpeed {
+	hasFraction := event.Kind == AttemptProgressed && event.Fraction > 0 && event.Fraction <= 1
+	if m.settings.StartNotices && hasFraction {
 		m.learnRunTimeRatio(attempt.worker, (m.now-attempt.startedAt).Seconds()/event.Fraction/request.work)
 	}
 }
@@ -116,7 +116,7 @@
 	if request.keyQueue != nil && outcome.mayStillRun() {
 		m.startCooldown(request.keyQueue, m.settings.KeyCooldown+m.settings.Tick)
 	}
-	if outcome.turnedAway() || outcome == InvalidRequest || outcome == Cancelled && attempt.startedAt == 0 {
+	if outcome.notAccepted() || outcome == InvalidRequest || outcome == Cancelled && attempt.startedAt == 0 {
 		m.refundWork(request, attempt.worker)
 	}
 	if outcome == InvalidRequest && !event.Answered && !request.ended && request.outstanding == 0 {
--- a/decision/doc.go
+++ b/decision/doc.go
@@ -56,7 +56,7 @@
 //     the answer.
 //   - A NonIdempotent request is never sent again after an attempt that may have run; a Deduplicated one
 //     only to a worker that discards the repeat, and within the DedupWindow.
-//   - No worker gets an Assign that is draining, removed or suspended by what has been told, or whose kind
+//   - No worker gets an Assign that is draining, removed or suspended by what events have said, or whose kind
 //     or zone is not open to the class.
 //   - Attempts beyond MaxAttempts or the retry budget are not made, nor a second attempt at a time without
 //     Hedging.
@@ -74,7 +74,7 @@
 //   - admission.go: whether a request is taken, and when a waiting one is placed; queue.go: the order in
 //     which they wait.
 //   - ceilings.go: how much may be in flight, and how much work may be sent, learned from outcomes.
-//   - pricing.go: what a request must be worth while capacity is scarce, solved from the recent mix
+//   - pricing.go: what value a request must have while capacity is scarce, solved from the recent mix
 //     (mix.go).
 //   - quota.go: which requests are beyond their tenant's quota.
 //   - routing.go: which worker gets a request, with ring.go for the owners of a key.
@@ -82,7 +82,7 @@
 //   - outlier.go: which workers are ejected; saturation.go: which are full; zone.go: which zones are
 //     unreachable.
 //   - connection.go: which idle connections are not to be trusted.
-//   - retry.go: whether a further attempt is allowed, and what a client is told if not; hedge.go: when an
+//   - retry.go: whether a further attempt is allowed, and what its client gets if not; hedge.go: when an
 //     outstanding attempt gets a second one beside it.
 //   - serialization.go: whose turn it is among requests with one key.
 //   - sweep.go: what the passing of time decides; timer.go: which timers there are.
--- a/decision/event.go
+++ b/decision/event.go
@@ -81,11 +81,11 @@
 
 // neverRan tells whether the outcome proves that the attempt had no effect.
 func (o AttemptOutcome) neverRan(settings *Settings) bool {
-	return o.turnedAway() && !(o == Saturated && settings.SaturatedMayHaveRun)
+	return o.notAccepted() && !(o == Saturated && settings.SaturatedMayHaveRun)
 }
 
-// turnedAway tells whether the worker did not take the attempt, so that its slots and work are free again.
-func (o AttemptOutcome) turnedAway() bool {
+// notAccepted tells whether the worker did not take the attempt, so that its slots and work are free again.
+func (o AttemptOutcome) notAccepted() bool {
 	return o == Saturated || o == ConnectionRefused || o == NotSent
 }
 
--- a/decision/machine.go
+++ b/decision/machine.go
@@ -68,7 +68,7 @@
 	ceilingsCutAt        time.Duration
 
 	// Prices: see pricing.go and mix.go.
-	mix           []jobGroup
+	mix           []requestGroup
 	workPrice     float64 // value per slot-second of work
 	slotPrice     float64 // value per second for which a slot is held
 	nextPricingAt time.Duration
@@ -96,7 +96,7 @@
 	if err := settings.normalize(); err != nil {
 		return nil, err
 	}
-	m := &Machine{
+	machine := &Machine{
 		settings:         settings,
 		random:           rand.New(rand.NewPCG(seed, 0)),
 		workers:          map[string]*worker{},
@@ -112,8 +112,8 @@
 		learnedRuns:      make([]float64, len(settings.Classes)),
 		tenants:          make([]tenant, len(settings.TenantQuotas)),
 	}
-	m.initEstimates()
-	return m, nil
+	machine.initEstimates()
+	return machine, nil
 }
 
 // initEstimates derives spans of time from the settings, and sets what is learned to permissive first values.
--- a/decision/mix.go
+++ b/decision/mix.go
@@ -6,21 +6,21 @@
 )
 
 const (
-	maxJobGroups  = 48   // groups of the mix; solving for prices takes the cube of their number
-	fadedJobCount = 0.01 // requests left of a group below which it is dropped
+	maxRequestGroups  = 48   // groups of the mix; solving for prices takes the cube of their number
+	fadedRequestCount = 0.01 // requests left of a group below which it is dropped
 )
 
-// jobGroup is a group of like requests of the recent mix. All four are sums over its requests.
-type jobGroup struct {
-	key      jobGroupKey
+// requestGroup is a group of like requests of the recent mix. All four are sums over its requests.
+type requestGroup struct {
+	key      requestGroupKey
 	count    decayingValue
 	value    decayingValue
 	cost     decayingValue
 	holdTime decayingValue
 }
 
-// jobGroupKey tells which requests are alike.
-type jobGroupKey struct {
+// requestGroupKey tells which requests are alike.
+type requestGroupKey struct {
 	class     int
 	overQuota bool
 	slots     int // logarithm to base 2, rounded
@@ -36,20 +36,20 @@
 
 // addToMix counts a first try into the recent mix. Where the mix has its largest number of groups, a
 // request joins the one of its class that is nearest in size.
-func (m *Machine) addToMix(request *request, key jobGroupKey) {
+func (m *Machine) addToMix(request *request, key requestGroupKey) {
 	nearest := -1
 	distance := math.MaxInt
 	for i := range m.mix {
 		k := m.mix[i].key
-		d := abs(k.slots-key.slots) + abs(k.work-key.work)
-		if k.class == key.class && k.overQuota == key.overQuota && d < distance {
+		difference := abs(k.slots-key.slots) + abs(k.work-key.work)
+		if k.class == key.class && k.overQuota == key.overQuota && difference < distance {
 			nearest = i
-			distance = d
+			distance = difference
 		}
 	}
-	if nearest < 0 || distance > 0 && len(m.mix) < maxJobGroups {
+	if nearest < 0 || distance > 0 && len(m.mix) < maxRequestGroups {
 		nearest = len(m.mix)
-		m.mix = append(m.mix, jobGroup{key: key})
+		m.mix = append(m.mix, requestGroup{key: key})
 	}
 	group := &m.mix[nearest]
 	group.count.add(m.now, m.planningHorizon, 1)
@@ -61,18 +61,18 @@
 func abs(x int) int { return max(x, -x) }
 
 // recentMix returns the recent mix as bids, and how many requests are in it. It drops what has faded away.
-func (m *Machine) recentMix() (bids []bid, jobs float64) {
-	m.mix = slices.DeleteFunc(m.mix, func(group jobGroup) bool {
-		return group.count.get(m.now, m.planningHorizon) < fadedJobCount
+func (m *Machine) recentMix() (bids []bid, count float64) {
+	m.mix = slices.DeleteFunc(m.mix, func(group requestGroup) bool {
+		return group.count.get(m.now, m.planningHorizon) < fadedRequestCount
 	})
 	for i := range m.mix {
 		group := &m.mix[i]
-		jobs += group.count.get(m.now, m.planningHorizon)
+		count += group.count.get(m.now, m.planningHorizon)
 		bids = append(bids, bid{
 			value:    group.value.get(m.now, m.planningHorizon),
 			cost:     group.cost.get(m.now, m.planningHorizon),
 			holdTime: group.holdTime.get(m.now, m.planningHorizon),
 		})
 	}
-	return bids, jobs
+	return bids, count
 }
--- a/decision/pricing.go
+++ b/decision/pricing.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// minPricedJobs is the number of recent requests below which nothing is priced: a handful tells nothing of
-// demand.
-const minPricedJobs = 20
+// minPricedRequests is the number of recent requests below which nothing is priced: a handful tells nothing
+// of demand.
+const minPricedRequests = 20
 
 // priceTolerance is the relative error within which values count as equal, as sums in floating point have
 // one.
@@ -19,11 +19,11 @@
 // solvePrices sets the prices from the recent mix, for what the token bucket and the concurrency ceiling
 // admit in the same span, and sizes the subset of workers by the number of recent requests.
 func (m *Machine) solvePrices() {
-	bids, jobs := m.recentMix()
-	m.subsetSize = max(int(jobs/subsetJobsPerWorker), minSubsetSize)
+	bids, recent := m.recentMix()
+	m.subsetSize = max(int(recent/subsetRequestsPerWorker), minSubsetSize)
 	m.workPrice = 0
 	m.slotPrice = 0
-	if jobs >= minPricedJobs {
+	if recent >= minPricedRequests {
 		slotSeconds := m.concurrencyCeiling() * m.planningHorizon.Seconds()
 		m.workPrice, m.slotPrice = solveDual(bids, m.bucketCapacity(), slotSeconds)
 	}
--- a/decision/pricing_test.go
+++ b/decision/pricing_test.go
@@ -50,8 +50,8 @@
 	rig := newRig(t, testSettings(), 4)
 	rig.concurrencyPerWorker = 0
 	rig.workRatePerWorker = 1e6
-	for range minPricedJobs + 5 {
-		rig.addToMix(&request{value: 0.1, cost: 0.1, holdTime: 0.1}, jobGroupKey{})
+	for range minPricedRequests + 5 {
+		rig.addToMix(&request{value: 0.1, cost: 0.1, holdTime: 0.1}, requestGroupKey{})
 	}
 	rig.solvePrices()
 	if rig.workPrice+rig.slotPrice > 0 {
@@ -63,11 +63,11 @@
 	rig := newRig(t, testSettings(), 2)
 	rig.concurrencyPerWorker = 0.01
 	rig.workRatePerWorker = 0.01
-	for i := range 3 * minPricedJobs {
+	for i := range 3 * minPricedRequests {
 		rig.arrive(0)
 		rig.solvePrices()
 		// What has faded a little already does not count in full.
-		if priced := rig.workPrice+rig.slotPrice > 0; priced && i < minPricedJobs-1 {
+		if priced := rig.workPrice+rig.slotPrice > 0; priced && i < minPricedRequests-1 {
 			t.Fatalf("priced from %d requests", i+1)
 		}
 	}
@@ -126,7 +126,7 @@
 // found.
 func TestPricesFallToZero(t *testing.T) {
 	rig := newRig(t, testSettings(), 2)
-	for range 2 * minPricedJobs {
+	for range 2 * minPricedRequests {
 		rig.arrive(0)
 	}
 	rig.concurrencyPerWorker = 1e6
--- a/decision/queue.go
+++ b/decision/queue.go
@@ -18,8 +18,8 @@
 
 // enqueue lets a request wait, in the order of compareByValue.
 func (m *Machine) enqueue(request *request) {
-	at, _ := slices.BinarySearchFunc(m.queue, request, compareByValue)
-	m.queue = slices.Insert(m.queue, at, request)
+	position, _ := slices.BinarySearchFunc(m.queue, request, compareByValue)
+	m.queue = slices.Insert(m.queue, position, request)
 	request.queued = true
 }
 
@@ -27,11 +27,11 @@
 func (m *Machine) dispatchQueue() {
 	m.endCooldowns()
 	clear(m.misses)
-	m.queue = slices.DeleteFunc(m.queue, func(request *request) bool { return m.leavesQueue(request) })
+	m.queue = slices.DeleteFunc(m.queue, func(request *request) bool { return m.tryDequeue(request) })
 }
 
-// leavesQueue tries to place a waiting request, and tells whether it waits no more.
-func (m *Machine) leavesQueue(request *request) bool {
+// tryDequeue tries to place a waiting request, and tells whether it waits no more.
+func (m *Machine) tryDequeue(request *request) bool {
 	if request.ended {
 		request.queued = false
 		return true
--- a/decision/retry.go
+++ b/decision/retry.go
@@ -73,7 +73,7 @@
 }
 
 // rejectOrFail gives a request its final answer: Reject where a repeat by the client is safe, else Fail. A
-// rejected client is told to wait for about a mean latency, in which by Little's law a slot comes free.
+// rejected client waits for about a mean latency, in which by Little's law a slot comes free.
 func (m *Machine) rejectOrFail(request *request) {
 	if m.clientMayRepeat(request) {
 		wait := seconds(m.latencyEstimate() * (retryAfterJitter + m.random.Float64()))
--- a/decision/ring.go
+++ b/decision/ring.go
@@ -96,14 +96,14 @@
 		m.ring = slices.SortedFunc(slices.Values(m.fleet), compareByHash)
 	}
 	for _, worker := range m.ringChanges {
-		at, found := slices.BinarySearchFunc(m.ring, worker, compareByHash)
+		position, found := slices.BinarySearchFunc(m.ring, worker, compareByHash)
 		switch {
 		case worker.State != Removed && !found:
-			m.ring = slices.Insert(m.ring, at, worker)
+			m.ring = slices.Insert(m.ring, position, worker)
 		case worker.State != Removed:
-			m.ring[at] = worker
-		case found && m.ring[at] == worker:
-			m.ring = slices.Delete(m.ring, at, at+1)
+			m.ring[position] = worker
+		case found && m.ring[position] == worker:
+			m.ring = slices.Delete(m.ring, position, position+1)
 		}
 	}
 	m.ringChanges = m.ringChanges[:0]
--- a/decision/routing.go
+++ b/decision/routing.go
@@ -7,17 +7,19 @@
 
 // A pick compares two usable workers that are drawn at random, by the delay that the request can expect
 // there. It draws from the dispatcher's subset first: one that spread few requests over a large fleet would
-// know nothing recent of any worker. The figures were tuned in the simulator's scenarios.
+// know nothing recent of any worker. The figures were inherited with the module, but for
+// unknownWorkerWaits, zoneCostWeight and maxWarmingUpDraws, which gave the best mean score of simulated
+// days, and defaultOwnerBias.
 const (
-	maxWarmDraws        = 32               // warm workers looked at for one pick, to bound its work
-	maxWarmingUpDraws   = 4 * maxWarmDraws // workers in slow start looked at; few of them have budget
-	subsetJobsPerWorker = 2                // recent requests for each worker of the subset
-	minSubsetSize       = 4
-	unknownWorkerWaits  = 4   // mean waits that count for a worker of which nothing recent is known
-	zoneCostWeight      = 4   // part of the time left that a unit of CrossZoneCost is worth
-	cacheMissCostWeight = 4   // part of the time left that a unit of CacheMissCost is worth
-	defaultOwnerBias    = 0.1 // the least such part: a cache miss takes time even where it has no price
-	unstartedPatience   = 4   // ticks that an attempt may wait for its start before its worker is busy
+	maxWarmDraws            = 32               // warm workers looked at for one pick, to bound its work
+	maxWarmingUpDraws       = 4 * maxWarmDraws // workers in slow start looked at; few of them have budget
+	subsetRequestsPerWorker = 2                // recent requests for each worker of the subset
+	minSubsetSize           = 4
+	unknownWorkerWaits      = 4   // mean waits that count for a worker of which nothing recent is known
+	zoneCostWeight          = 4   // part of the time left for a unit of CrossZoneCost
+	cacheMissCostWeight     = 4   // part of the time left for a unit of CacheMissCost
+	defaultOwnerBias        = 0.1 // the least such part: a cache miss takes time even where it has no price
+	unstartedPatience       = 4   // ticks that an attempt may wait for its start before its worker is busy
 )
 
 // pickWorker returns the worker for a request, nil if there is none. One in slow start that has budget
--- a/decision/routing_test.go
+++ b/decision/routing_test.go
@@ -75,7 +75,7 @@
 	rig := newRig(t, settings, 2)
 	id := rig.arrive(0)
 	rig.handle(rig.now+time.Second, Event{Kind: AttemptStarted, Request: id, Worker: rig.assignedTo(id)})
-	if want := 2.0 / minPricedJobs; math.Abs(rig.meanStartWait-want) > 1e-9 {
+	if want := 2.0 / minPricedRequests; math.Abs(rig.meanStartWait-want) > 1e-9 {
 		t.Errorf("after a first wait of a second the mean is %v, not %v", rig.meanStartWait, want)
 	}
 }
--- a/decision/saturation.go
+++ b/decision/saturation.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// saturationLatencies is the part of the mean latency for which a full worker is left alone: a slot comes
-// free there within it as often as not.
+// saturationLatencies is the part of the mean latency for which a saturated worker gets no more. Inherited
+// with the module.
 const saturationLatencies = 0.25
 
-// classRejections is how a worker turns away requests of one class.
+// classRejections is how a worker rejects requests of one class.
 type classRejections struct {
 	lastAcceptedAt  time.Duration // when the latest request was sent that it took
-	count           int           // requests turned away since
+	count           int           // requests rejected since
 	firstRejectedAt time.Duration // of those
 	backoff         time.Duration
 	blockedUntil    time.Duration // it gets none of the class until then
 }
 
-// rejectionsOf returns how the worker turns away requests of a class.
+// rejectionsOf returns how the worker rejects requests of a class.
 func (w *worker) rejectionsOf(class *Class) *classRejections {
 	if w.rejections[class] == nil {
 		if w.rejections == nil {
@@ -45,7 +45,7 @@
 	return false
 }
 
-// recordSaturated records that a worker has turned away a request: it is full for a moment, or, where it
+// recordSaturated records that a worker has rejected a request: it is full for a moment, or, where it
 // takes other classes meanwhile, does not take this one, and gets it after an ever longer backoff.
 func (m *Machine) recordSaturated(worker *worker, class *Class) {
 	rejections := worker.rejectionsOf(class)
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -58,9 +58,9 @@
 		(c.Zones == nil || slices.Contains(c.Zones, worker.Zone))
 }
 
-// Settings are what a dispatcher is told when it starts. Only Classes is required, with the Deadline of
-// each; for the rest the zero value is a safe default: what is not allowed is not done, and a rule whose
-// span is 0 is off.
+// Settings are fixed when a dispatcher starts, but for those of a SettingsChanged event. Only Classes is
+// required, with the Deadline of each; for the rest the zero value is a safe default: what is not allowed
+// is not done, and a rule whose span is 0 is off.
 type Settings struct {
 	Classes         []Class
 	TenantQuotas    []float64     // requests a second over all dispatchers, by tenant; empty: no tenants
@@ -109,8 +109,8 @@
 }
 
 // largeFleetThreshold is the largest number of dispatchers that may call for the endpoint list at the same
-// moment. Measured in rehearsals: a list service that answers seven calls a second keeps eight of them
-// within its time-out.
+// moment: a list service that answers seven calls a second, and fails a call after two seconds, still
+// serves that many.
 const largeFleetThreshold = 8
 
 // LargeFleet tells whether there are so many dispatchers that their calls for the endpoint list must be
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -15,11 +15,11 @@
 	slowStartSavedWindows = 2
 	// slowStartOverdraft is the part of a window's budget that may be spent beyond what there is.
 	slowStartOverdraft = 0.5
-	// slowStartMaxJob bounds one request, as a share of what all dispatchers together may use in a window,
-	// and slowStartMaxJobMeans as a multiple of its class's mean: a busy dispatcher takes all its peers to
-	// be as busy.
-	slowStartMaxJob      = 0.31
-	slowStartMaxJobMeans = 2
+	// slowStartMaxRequest bounds one request, as a share of what all dispatchers together may use in a
+	// window, and slowStartMaxJobMeans as a multiple of its class's mean: a busy dispatcher takes all its
+	// peers to be as busy.
+	slowStartMaxRequest      = 0.31
+	slowStartMaxRequestMeans = 2
 	// smallHintCorrection is how far a request with a small hint counts towards the mean of its class.
 	// Measured in a rehearsal with rough hints: requests chosen for small hints ran for many times what
 	// those said.
@@ -43,10 +43,10 @@
 // the listed time would make the worker warmed up, a clock that is ahead may be the reason: it counts as
 // just started, since it would else be sent all that a warmed-up worker takes. One that had only been out
 // of reach gets less for a while.
-func (m *Machine) startTime(listed time.Duration, news bool) time.Duration {
+func (m *Machine) startTime(listed time.Duration, delta bool) time.Duration {
 	age := m.now - listed
 	warmUp := m.settings.SlowStartDuration
-	if news && listed > 0 && warmUp > 0 && age >= warmUp && age < warmUp+clockError {
+	if delta && listed > 0 && warmUp > 0 && age >= warmUp && age < warmUp+clockError {
 		return m.now
 	}
 	return listed
@@ -68,8 +68,8 @@
 	worker.slowStartBudget = min(saved, maxSaved)
 	worker.slowStartBudgetAt = m.now
 	largest := min(
-		slowStartMaxJob*part*float64(m.settings.Peers),
-		slowStartMaxJobMeans*request.slots*request.classMeanWork,
+		slowStartMaxRequest*part*float64(m.settings.Peers),
+		slowStartMaxRequestMeans*request.slots*request.classMeanWork,
 	)
 	if worker.slowStartBudget < 0 || cost > max(worker.slowStartBudget, largest) {
 		return false
--- a/decision/sweep.go
+++ b/decision/sweep.go
@@ -36,15 +36,15 @@
 	}
 }
 
-// sweep decides what the passing of time alone brings: which requests are late, stuck or worth nothing any
-// more, which workers have warmed up, and the prices.
+// sweep decides what the passing of time alone brings: which requests are late, stuck or without any value
+// left, which workers have warmed up, and the prices.
 func (m *Machine) sweep() {
 	m.unanswered = slices.DeleteFunc(m.unanswered, func(request *request) bool { return request.ended })
 	for _, request := range m.unanswered {
 		m.sweepRequest(request)
 	}
 	m.promoteWarmedUp()
-	slices.SortFunc(m.queue, compareByValue) // late requests are worth less now
+	slices.SortFunc(m.queue, compareByValue) // late requests have less value now
 	if m.now >= m.nextPricingAt {
 		m.nextPricingAt = m.now + m.planningHorizon/pricingsPerHorizon
 		grown := m.safeIdleTime + m.safeIdleTime/safeIdleTimeGrowth
--- a/decision/worker.go
+++ b/decision/worker.go
@@ -34,7 +34,7 @@
 	idleConnections []time.Duration // since when each is unused, the oldest first
 	possiblyLost    *request        // late and not started: its connection may be dead
 
-	saturatedUntil     time.Duration // it has turned work away and gets none until then
+	saturatedUntil     time.Duration // it has rejected work and gets none until then
 	rejections         map[*Class]*classRejections
 	lastSeen           time.Duration // when it last showed that it lives
 	failureScore       decayingValue // 0 to 1
