--- a/decision/capacity_test.go
+++ b/decision/capacity_test.go
@@ -13,10 +13,10 @@
 // fleetSizes are a decade apart; the last is the size that the design must carry.
 var fleetSizes = []int{200, 2100, 21000}
 
-// largeFleetZones is over how many zones the workers of capacityRig are spread.
+// largeFleetZones is over how many zones the workers of newLargeFleet are spread.
 const largeFleetZones = 17
 
-// newLargeFleet has a fleet over many zones, of which every coldEvery-th worker has just started; 0: none.
+// newLargeFleet has a fleet over many zones, of which every warmingEvery-th worker has just started; 0: none.
 func newLargeFleet(t testing.TB, workers, warmingEvery int) (*Machine, []Endpoint) {
 	t.Helper()
 	settings := testSettings()
@@ -94,7 +94,7 @@
 }
 
 // BenchmarkPick is an arrival that is placed and answered, with all workers warm and with a tenth of them
-// cold.
+// in slow start.
 func BenchmarkPick(b *testing.B) {
 	for _, warmingEvery := range []int{0, 10} {
 		for _, workers := range fleetSizes {
@@ -129,7 +129,7 @@
 	}
 }
 
-// listsOf are the lists of a dispatcher in which each worker knows its place.
+// listsOf returns the lists in which each worker knows its position.
 func listsOf(machine *Machine) map[listID][]*worker {
 	return map[listID][]*worker{
 		inFleet:            machine.fleet,
@@ -149,6 +149,7 @@
 	}
 }
 
+// checkDeltaReadsNoOtherWorker changes the worker with that index, to each state.
 func checkDeltaReadsNoOtherWorker(t *testing.T, workers, index int) {
 	changed := fmt.Sprintf("w%d", index)
 	for _, state := range []WorkerState{Running, Draining, Removed} {
@@ -289,7 +290,7 @@
 	})
 }
 
-// recount checks all that a dispatcher keeps of its workers by difference.
+// recount checks all counts and lists of workers that are kept incrementally.
 func recount(t *rapid.T, machine *Machine) {
 	t.Helper()
 	if len(machine.fleet) != len(machine.workers) {
--- a/decision/dual_test.go
+++ b/decision/dual_test.go
@@ -11,7 +11,7 @@
 
 // solvePrimal solves the fluid LP itself with gonum's simplex: the most value of admitted shares x of the
 // bids, 0 <= x <= 1, within both budgets. It shares nothing with solveDual.
-func solvePrimal(t *testing.T, bids []bid, budgetC, budgetK float64) float64 {
+func solvePrimal(t *testing.T, bids []bid, workBudget, slotBudget float64) float64 {
 	t.Helper()
 	n := len(bids)
 	// Variables: n shares, n slacks of x <= 1, and the slacks of the two budgets.
@@ -28,8 +28,8 @@
 	}
 	a.Set(n, 2*n, 1)
 	a.Set(n+1, 2*n+1, 1)
-	b[n] = budgetC
-	b[n+1] = budgetK
+	b[n] = workBudget
+	b[n+1] = slotBudget
 	z, _, err := lp.Simplex(c, a, b, 1e-10, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -37,10 +37,11 @@
 	return -z
 }
 
-func dualAt(bids []bid, budgetC, budgetK, c, k float64) float64 {
-	sum := budgetC*c + budgetK*k
+// dualAt is the dual at the given prices.
+func dualAt(bids []bid, workBudget, slotBudget, workPrice, slotPrice float64) float64 {
+	sum := workBudget*workPrice + slotBudget*slotPrice
 	for _, p := range bids {
-		sum += math.Max(0, p.value-c*p.cost-k*p.holdTime)
+		sum += math.Max(0, p.value-workPrice*p.cost-slotPrice*p.holdTime)
 	}
 	return sum
 }
@@ -56,16 +57,16 @@
 			// Small whole numbers make ties and degenerate mixes common.
 			bids[i] = bid{float64(rng.IntN(5)), float64(1 + rng.IntN(4)), float64(rng.IntN(4))}
 		}
-		budgetC := float64(rng.IntN(3 * n))
-		budgetK := float64(rng.IntN(3 * n))
-		c, k := solveDual(bids, budgetC, budgetK)
+		workBudget := float64(rng.IntN(3 * n))
+		slotBudget := float64(rng.IntN(3 * n))
+		c, k := solveDual(bids, workBudget, slotBudget)
 		if !(c >= 0 && k >= 0) || math.IsInf(c+k, 0) {
 			t.Fatalf("prices %v, %v", c, k)
 		}
-		got := dualAt(bids, budgetC, budgetK, c, k)
-		want := solvePrimal(t, bids, budgetC, budgetK)
+		got := dualAt(bids, workBudget, slotBudget, c, k)
+		want := solvePrimal(t, bids, workBudget, slotBudget)
 		if math.Abs(got-want) > 1e-6*(1+want) {
-			t.Fatalf("dual %v, simplex %v for %v, budgets %v, %v", got, want, bids, budgetC, budgetK)
+			t.Fatalf("dual %v, simplex %v for %v, budgets %v, %v", got, want, bids, workBudget, slotBudget)
 		}
 		// Ties go to the most selective prices: on a grid that holds every lone bid's vertex none with
 		// the same dual is higher.
@@ -74,7 +75,7 @@
 				if math.IsInf(v[1], 0) || math.IsNaN(v[1]) {
 					continue
 				}
-				if d := dualAt(bids, budgetC, budgetK, v[0], v[1]); d <= got+1e-12 && v[0]+v[1] > c+k+1e-9 {
+				if d := dualAt(bids, workBudget, slotBudget, v[0], v[1]); d <= got+1e-12 && v[0]+v[1] > c+k+1e-9 {
 					t.Fatalf("tie broken toward %v, %v; %v is more selective", c, k, v)
 				}
 			}
--- a/decision/rig_test.go
+++ b/decision/rig_test.go
@@ -70,6 +70,7 @@
 	}
 }
 
+// testSettings has a class of idempotent requests and one of those that must not run twice.
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
@@ -98,11 +99,13 @@
 	}
 }
 
+// newRig starts a dispatcher with so many workers.
 func newRig(t *testing.T, settings Settings, workers int) *rig {
 	t.Helper()
 	return newSeededRig(t, settings, workers, 1)
 }
 
+// newSeededRig is the same with a seed of its own.
 func newSeededRig(t *testing.T, settings Settings, workers int, seed uint64) *rig {
 	t.Helper()
 	machine, err := New(settings, seed)
@@ -118,6 +121,7 @@
 	return rig
 }
 
+// findAction returns the first action of a kind, nil if there is none.
 func findAction(actions []Action, kind ActionKind) *Action {
 	for i := range actions {
 		if actions[i].Kind == kind {
--- a/decision/rules_test.go
+++ b/decision/rules_test.go
@@ -25,8 +25,8 @@
 // answerSlack is how long after its deadline a request may still be answered.
 const answerSlack = 8 * time.Millisecond
 
-// simulation plays clients, workers and discovery to one dispatcher, and audits its actions against the
-// rules. Its own record of what was sent and told is independent of the module's.
+// simulation plays clients, workers and discovery to one dispatcher, and checks its actions against
+// the rules. Its record of what was sent and reported is independent of the machine's.
 type simulation struct {
 	t             *rapid.T
 	settings      Settings
@@ -46,11 +46,13 @@
 	cooldownUntil map[string]time.Duration // by key
 }
 
+// simTimer is a timer that the machine has set.
 type simTimer struct {
 	at    time.Duration
 	token uint64
 }
 
+// simRequest is the simulation's record of a request.
 type simRequest struct {
 	id       uint64
 	key      string
@@ -60,6 +62,7 @@
 	attempts []simAttempt
 }
 
+// simAttempt is the simulation's record of an attempt.
 type simAttempt struct {
 	worker    Endpoint
 	at        time.Duration
@@ -68,6 +71,7 @@
 	cancelled bool
 }
 
+// newSimulation draws settings and workers, and starts a dispatcher.
 func newSimulation(t *rapid.T) *simulation {
 	classes := []Class{
 		{Idempotency: Idempotent},
@@ -127,6 +131,7 @@
 	return sim
 }
 
+// restart replaces the dispatcher by one that knows nothing of the requests so far.
 func (s *simulation) restart() {
 	machine, err := New(s.settings, rapid.Uint64().Draw(s.t, "seed"))
 	if err != nil {
@@ -144,6 +149,7 @@
 	s.handle(Event{Kind: ListUpdated, ListKind: ListCached, Endpoints: s.entries()})
 }
 
+// entries returns the workers that are listed now.
 func (s *simulation) entries() (list []Endpoint) {
 	for _, name := range s.names {
 		if endpoint := s.listed[name]; endpoint.State != Removed {
@@ -153,12 +159,14 @@
 	return list
 }
 
+// handle feeds an event and checks the actions.
 func (s *simulation) handle(event Event) {
 	for _, action := range s.machine.Handle(s.now, event, nil) {
 		s.check(action)
 	}
 }
 
+// check fails for an action that breaks a rule, and records it.
 func (s *simulation) check(action Action) {
 	request := s.requests[action.Request]
 	switch action.Kind {
@@ -195,6 +203,7 @@
 	}
 }
 
+// rejectable tells whether a repeat by the client is safe.
 func (r *simRequest) rejectable() bool {
 	for _, attempt := range r.attempts {
 		mayRepeat := r.class.Idempotency == Idempotent ||
@@ -206,6 +215,7 @@
 	return true
 }
 
+// checkAssign fails for an attempt that breaks a rule, and records it.
 func (s *simulation) checkAssign(request *simRequest, action Action) {
 	if request == nil || request.answered {
 		s.t.Fatalf("work sent for a request that is answered or unknown: %+v", action)
@@ -260,7 +270,8 @@
 	request.attempts = append(request.attempts, simAttempt{worker: endpoint, at: s.now})
 }
 
-// checkSerialization checks the order by key: all earlier ones of the key are over, and it has rested.
+// checkSerialization checks the order by key: all earlier requests of the key are over, and so is its
+// cooldown.
 func (s *simulation) checkSerialization(j *simRequest) {
 	if j.key == "" || !j.class.Serialized {
 		return
@@ -319,7 +330,7 @@
 	}
 }
 
-// endAttempt records the outcome of a send and returns its event.
+// endAttempt records the outcome of an attempt and returns its event.
 func (s *simulation) endAttempt(request *simRequest, n int, outcome AttemptOutcome) Event {
 	attempt := &request.attempts[n]
 	attempt.done = true
@@ -383,6 +394,7 @@
 	})
 }
 
+// step lets one thing happen.
 func (s *simulation) step() {
 	t := s.t
 	switch rapid.IntRange(0, 16).Draw(t, "step") {
@@ -454,6 +466,7 @@
 	}
 }
 
+// arrive brings a burst of requests of one class.
 func (s *simulation) arrive() {
 	t := s.t
 	n := rapid.IntRange(0, len(s.settings.Classes)-1).Draw(t, "class")
@@ -480,6 +493,7 @@
 	}
 }
 
+// changeList changes what is listed of one worker, and tells the dispatcher.
 func (s *simulation) changeList() {
 	if s.settings.ListBySubscription && !s.watching {
 		return
--- a/decision/slowstart_fleet_test.go
+++ b/decision/slowstart_fleet_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// slowStartFleet is 20 to 30 dispatchers before warm workers and one that starts cold, in steps of virtual
-// time.
+// slowStartFleet is 20 to 30 dispatchers before warm workers and one in slow start, in steps of
+// virtual time.
 type slowStartFleet struct {
 	t        *rapid.T
 	settings Settings
@@ -27,9 +27,10 @@
 	next     uint64
 }
 
-func (f *slowStartFleet) after(span time.Duration, what func()) {
+// after schedules a call.
+func (f *slowStartFleet) after(span time.Duration, callback func()) {
 	at := f.now + max(span, fleetStep).Truncate(fleetStep)
-	f.due[at] = append(f.due[at], what)
+	f.due[at] = append(f.due[at], callback)
 }
 
 // start gives a member a process that knows the list and nothing else.
@@ -57,7 +58,7 @@
 	}
 }
 
-// assign runs a request at its worker, in no time but its own: none of them queues.
+// assign runs a request at its worker; none of them queues.
 func (f *slowStartFleet) assign(member *fleetMember, machine *Machine, action Action, work float64) {
 	run := work
 	if action.Worker == "new" {
@@ -93,7 +94,7 @@
 	})
 }
 
-// warmth is the cold worker's share of its capacity now.
+// warmth is the part of its capacity that the worker in slow start has now.
 func (f *slowStartFleet) warmth() float64 {
 	age := (f.now - f.entries[0].StartedAt).Seconds() / f.settings.SlowStartDuration.Seconds()
 	return min(f.settings.SlowStartFloor+(1-f.settings.SlowStartFloor)*age, 1)
@@ -116,7 +117,7 @@
 // fleetMember is one dispatcher: its process, and while one hands over to the next, the other one.
 type fleetMember struct{ process, other *Machine }
 
-// fleetWorkSent is work sent to the cold worker.
+// fleetWorkSent is work sent to the worker in slow start.
 type fleetWorkSent struct {
 	at   time.Duration
 	work float64
@@ -166,8 +167,8 @@
 		const joins, bursts, restarts, handedOver, end = 500, 550, 600, 700, 1200 // steps
 		for step := range end {
 			fleet.now += fleetStep
-			for _, what := range fleet.due[fleet.now] {
-				what()
+			for _, callback := range fleet.due[fleet.now] {
+				callback()
 			}
 			delete(fleet.due, fleet.now)
 			switch step {
