--- a/decision/admission.go
+++ b/decision/admission.go
@@ -123,9 +123,7 @@
 		return false
 	}
 	m.bucketTokens -= request.cost
-	if idle := len(worker.idleConnections); idle > 0 && m.now-worker.idleConnections[idle-1] > m.safeIdleTime {
-		m.closeIdleConnections(worker)
-	}
+	m.closeStaleConnections(worker)
 	if worker.ejected { // this is a trial: the next one comes later
 		m.scheduleTrial(worker)
 	}
--- a/decision/capacity_test.go
+++ b/decision/capacity_test.go
@@ -155,8 +155,8 @@
 	for _, state := range []WorkerState{Running, Draining, Removed} {
 		machine, list := newLargeFleet(t, workers, 10)
 		worker := machine.workers[changed]
-		if cold := index%10 == 0; (worker.positions[inWarmingUp] > 0) != cold ||
-			(worker.positions[inLocalWarmWorkers] > 0) == cold {
+		if warming := index%10 == 0; (worker.positions[inWarmingUp] > 0) != warming ||
+			(worker.positions[inLocalWarmWorkers] > 0) == warming {
 			t.Fatalf("%s stands in the wrong lists: %v", changed, worker.positions)
 		}
 		for id, members := range listsOf(machine) {
--- a/decision/connection.go
+++ b/decision/connection.go
@@ -28,6 +28,15 @@
 	return idle
 }
 
+// closeStaleConnections closes the idle connections to a worker if the latest of them is older than
+// safeIdleTime.
+func (m *Machine) closeStaleConnections(worker *worker) {
+	n := len(worker.idleConnections)
+	if n > 0 && m.now-worker.idleConnections[n-1] > m.safeIdleTime {
+		m.closeIdleConnections(worker)
+	}
+}
+
 // closeIdleConnections asks for the idle connections to a worker to be closed.
 func (m *Machine) closeIdleConnections(worker *worker) {
 	worker.idleConnections = worker.idleConnections[:0]
--- a/decision/dual_test.go
+++ b/decision/dual_test.go
@@ -75,7 +75,8 @@
 				if math.IsInf(v[1], 0) || math.IsNaN(v[1]) {
 					continue
 				}
-				if d := dualAt(bids, workBudget, slotBudget, v[0], v[1]); d <= got+1e-12 && v[0]+v[1] > c+k+1e-9 {
+				dual := dualAt(bids, workBudget, slotBudget, v[0], v[1])
+				if dual <= got+1e-12 && v[0]+v[1] > c+k+1e-9 {
 					t.Fatalf("tie broken toward %v, %v; %v is more selective", c, k, v)
 				}
 			}
@@ -83,24 +84,26 @@
 	}
 }
 
+// Of prices with the same dual the most selective are taken.
 func TestSolveDualTies(t *testing.T) {
 	same := []bid{{2, 1, 1}, {2, 1, 1}, {2, 1, 1}}
 	for _, test := range []struct {
-		name             string
-		bids             []bid
-		budgetC, budgetK float64
-		c, k             float64
+		name                   string
+		bids                   []bid
+		workBudget, slotBudget float64
+		workPrice, slotPrice   float64
 	}{
 		{"no bids", nil, 1, 1, 0, 0},
 		{"plenty", same, 10, 10, 0, 0},
 		{"exactly enough for one of three equal bids", same, 1, 10, 2, 0},
 		{"exactly enough for all: the highest price that still clears", same, 3, 10, 2, 0},
 		{"concurrency binds", same, 10, 1, 0, 2},
-		{"no budget, no holds", []bid{{3, 1, 0}, {1, 1, 0}}, 0, 0, 3, 0},
+		{"no budget, no hold times", []bid{{3, 1, 0}, {1, 1, 0}}, 0, 0, 3, 0},
 		{"worthless and free requests", []bid{{0, 0, 0}, {0, 1, 1}}, 1, 1, 0, 0},
 	} {
-		if c, k := solveDual(test.bids, test.budgetC, test.budgetK); c != test.c || k != test.k {
-			t.Errorf("%s: prices %v, %v, want %v, %v", test.name, c, k, test.c, test.k)
+		work, slot := solveDual(test.bids, test.workBudget, test.slotBudget)
+		if work != test.workPrice || slot != test.slotPrice {
+			t.Errorf("%s: prices %v, %v, want %v, %v", test.name, work, slot, test.workPrice, test.slotPrice)
 		}
 	}
 }
--- a/decision/rules_test.go
+++ b/decision/rules_test.go
@@ -272,25 +272,25 @@
 
 // checkSerialization checks the order by key: all earlier requests of the key are over, and so is its
 // cooldown.
-func (s *simulation) checkSerialization(j *simRequest) {
-	if j.key == "" || !j.class.Serialized {
+func (s *simulation) checkSerialization(request *simRequest) {
+	if request.key == "" || !request.class.Serialized {
 		return
 	}
 	for _, id := range s.arrivalOrder {
-		request := s.requests[id]
-		if request == j {
+		earlier := s.requests[id]
+		if earlier == request {
 			break
 		}
-		if !request.class.Serialized || request.key != j.key {
+		if !earlier.class.Serialized || earlier.key != request.key {
 			continue
 		}
-		if !request.answered ||
-			slices.ContainsFunc(request.attempts, func(attempt simAttempt) bool { return !attempt.done }) {
-			s.t.Fatalf("sent out of turn: %+v before %+v", j, request)
+		if !earlier.answered ||
+			slices.ContainsFunc(earlier.attempts, func(attempt simAttempt) bool { return !attempt.done }) {
+			s.t.Fatalf("sent out of order: %+v before %+v", request, earlier)
 		}
 	}
-	if len(j.attempts) == 0 && s.now < s.cooldownUntil[j.key] {
-		s.t.Fatalf("the key's cooldown is not over: %+v", j)
+	if len(request.attempts) == 0 && s.now < s.cooldownUntil[request.key] {
+		s.t.Fatalf("the key's cooldown is not over: %+v", request)
 	}
 }
 
--- a/decision/slowstart_test.go
+++ b/decision/slowstart_test.go
@@ -448,14 +448,14 @@
 		now   time.Duration
 		slow  bool // the worker is in slow start
 	}{
-		"a new one, clock ahead":                      {ListDelta, -1, 2*hour - time.Second, 3 * hour, true},
-		"a restarted one, clock ahead":                {ListDelta, hour, 2*hour - time.Second, 3 * hour, true},
-		"a new one, clock behind":                     {ListDelta, -1, 3 * hour, 2 * hour, true},
-		"a new one, clock right":                      {ListDelta, -1, 2*hour - time.Second, 2 * hour, true},
-		"one known for long":                          {ListDelta, hour, hour, 3 * hour, false},
-		"one of a complete list, started an hour ago": {ListSnapshot, -1, 2 * hour, 3 * hour, false},
-		"a new one that started long ago":             {ListDelta, -1, hour, 4 * hour, false},
-		"one that started before time began":          {ListDelta, -1, 0, 3 * hour, false},
+		"a new one, clock ahead":             {ListDelta, -1, 2*hour - time.Second, 3 * hour, true},
+		"a restarted one, clock ahead":       {ListDelta, hour, 2*hour - time.Second, 3 * hour, true},
+		"a new one, clock behind":            {ListDelta, -1, 3 * hour, 2 * hour, true},
+		"a new one, clock right":             {ListDelta, -1, 2*hour - time.Second, 2 * hour, true},
+		"one known for long":                 {ListDelta, hour, hour, 3 * hour, false},
+		"of a snapshot, started an hour ago": {ListSnapshot, -1, 2 * hour, 3 * hour, false},
+		"a new one that started long ago":    {ListDelta, -1, hour, 4 * hour, false},
+		"one that started before time began": {ListDelta, -1, 0, 3 * hour, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			machine, err := New(
