--- /dev/null
+++ b/decision/attempt.go
@@ -0,0 +1,210 @@
+package decision
+
+import "time"
+
+// attempt is one send of a request to a worker. Its number is its index in request.attempts.
+type attempt struct {
+	worker       *worker
+	sentAt       time.Duration
+	startedAt    time.Duration // when it was first known to run; 0: not yet
+	lastSeen     time.Duration // when the worker last reported on it, at first when it was sent
+	ended        bool
+	neverRan     bool // it has ended and proved to have had no effect
+	unresponsive bool // its connection looks dead: its start is no longer awaited
+
+	// connectionIdle is for how long its connection may have been unused before, where the worker seemed to
+	// have room to start it at once; else 0, and a late start proves nothing.
+	connectionIdle time.Duration
+}
+
+// outstandingAttempt returns the attempt that an event is about, or nils if it has ended or is unknown.
+func (m *Machine) outstandingAttempt(event *Event) (*request, *attempt) {
+	request := m.requests[event.Request]
+	if request == nil || event.Attempt < 0 || event.Attempt >= len(request.attempts) {
+		return nil, nil
+	}
+	attempt := &request.attempts[event.Attempt]
+	if attempt.ended {
+		return nil, nil
+	}
+	return request, attempt
+}
+
+// startAttempt emits an attempt at a worker and records it.
+func (m *Machine) startAttempt(request *request, worker *worker) {
+	worker.recentWork.add(m.now, m.planningHorizon, request.cost)
+	reservation := request.slowStartCost()
+	worker.slowStartBudget -= reservation
+	if m.capacityFraction(worker) >= 1 {
+		reservation = 0
+	}
+	worker.outstanding += request.slots
+	if worker.ejected {
+		m.inFlightAtEjected += request.slots
+	}
+	worker.freeSlots -= request.slots
+	m.zone(worker.Zone).lastAttemptAt = m.now
+	attempt := attempt{worker: worker, sentAt: m.now, lastSeen: m.now}
+	attempt.connectionIdle = m.takeIdleConnection(worker)
+	if worker.unstarted == 0 {
+		worker.unstartedSince = m.now
+	}
+	worker.unstarted++
+	if len(request.attempts) > 0 && m.settings.RetryBudgetWindow > 0 {
+		m.retries = append(m.retries, m.now)
+	}
+	request.attempts = append(request.attempts, attempt)
+	request.outstanding++
+	m.emit(Action{Kind: Assign, Request: request.id, Worker: worker.Name, Reservation: reservation})
+}
+
+// handleProgress takes in that an attempt has started, or how far it is.
+func (m *Machine) handleProgress(event Event) {
+	request, attempt := m.outstandingAttempt(&event)
+	if attempt == nil {
+		return
+	}
+	attempt.lastSeen = m.now
+	m.markSeen(attempt.worker)
+	if lostRequest, lost := m.overtakenAttempt(request, attempt); lost != nil {
+		m.recordDeadConnection(lost)
+		m.rejectOrFail(lostRequest)
+	}
+	m.recordStart(request.class, attempt)
+	m.cancelOtherAttempts(request, event.Attempt)
+	hasFraction := event.Kind == AttemptProgressed && event.Fraction > 0 && event.Fraction <= 1
+	if m.settings.StartNotices && hasFraction {
+		m.learnRunTimeRatio(attempt.worker, (m.now-attempt.startedAt).Seconds()/event.Fraction/request.work)
+	}
+}
+
+// recordStart records, once, that an attempt runs, and how long it waited for that.
+func (m *Machine) recordStart(class *Class, attempt *attempt) {
+	if attempt.startedAt > 0 {
+		return
+	}
+	attempt.startedAt = m.now
+	attempt.recordAccepted(class)
+	if m.settings.StartNotices {
+		waited := (m.now - attempt.sentAt).Seconds()
+		m.meanStartWait += (waited - m.meanStartWait) / startWaitSpan
+		expected := m.expectedStartWait(attempt.worker)
+		attempt.worker.startWait = decayingValue{value: (expected + waited) / 2, at: m.now}
+	}
+	if !attempt.unresponsive {
+		m.removeUnstarted(attempt.worker)
+	}
+}
+
+// removeUnstarted records that one attempt fewer waits for its start.
+func (m *Machine) removeUnstarted(worker *worker) {
+	worker.unstarted = max(worker.unstarted-1, 0)
+	worker.unstartedSince = m.now
+}
+
+// handleAttemptEnded takes in the end of an attempt: what it used is released, what it tells is learned,
+// and its request is finished or retried.
+func (m *Machine) handleAttemptEnded(event Event) {
+	m.recordLoad(event)
+	request, attempt := m.outstandingAttempt(&event)
+	if attempt == nil {
+		return
+	}
+	outcome := attempt.worker.believedOutcome(event.Outcome)
+	attempt.neverRan = outcome.neverRan(&m.settings)
+	m.releaseAttempt(request, attempt, outcome)
+	if request.keyQueue != nil && outcome.mayStillRun() {
+		m.startCooldown(request.keyQueue, m.settings.KeyCooldown+m.settings.Tick)
+	}
+	if outcome.notAccepted() || outcome == InvalidRequest || outcome == Cancelled && attempt.startedAt == 0 {
+		m.refundWork(request, attempt.worker)
+	}
+	if outcome == InvalidRequest && !event.Answered && !request.ended && request.outstanding == 0 {
+		// The request is at fault: it is not tried at other workers, and neither they nor the fleet are
+		// blamed.
+		m.emit(Action{Kind: Fail, Request: request.id})
+		m.finish(request)
+		return
+	}
+	m.recordOutcome(request, attempt, outcome)
+	m.adjustCeilings(request, attempt, outcome)
+	if event.Answered {
+		m.finish(request)
+	} else if !request.ended && request.outstanding == 0 && !request.queued {
+		m.retry(request)
+	}
+	m.forgetIfOver(request)
+}
+
+// releaseAttempt records the end of an attempt, and gives back its slots and, after an answer, its
+// connection.
+func (m *Machine) releaseAttempt(request *request, attempt *attempt, outcome AttemptOutcome) {
+	worker := attempt.worker
+	if outcome.keepsConnection() {
+		worker.idleConnections = append(worker.idleConnections, m.now)
+	}
+	if attempt.startedAt == 0 && !attempt.unresponsive {
+		m.removeUnstarted(worker)
+	}
+	if outcome == Completed && request.holdTime == 0 && m.settings.StartNotices {
+		m.learnClassMeanWork(request, attempt)
+	}
+	attempt.ended = true
+	request.outstanding--
+	worker.outstanding -= request.slots
+	worker.freeSlots += request.slots
+	m.inFlight = max(m.inFlight-request.slots, 0)
+	if worker.ejected {
+		m.inFlightAtEjected -= request.slots
+	}
+}
+
+// refundWork gives back the work of an attempt that did not run: to the token bucket, and off the worker's
+// recent work, since what warm workers turn away tells nothing of what one in slow start can do.
+func (m *Machine) refundWork(request *request, worker *worker) {
+	m.bucketTokens += request.cost
+	worker.recentWork.add(m.now, m.planningHorizon, -request.cost)
+}
+
+// recordOutcome learns what the end of an attempt tells of its worker. Only completed ones teach speed: a
+// fast error must not look like a fast worker.
+func (m *Machine) recordOutcome(request *request, attempt *attempt, outcome AttemptOutcome) {
+	worker := attempt.worker
+	score := worker.failureScore.get(m.now, m.planningHorizon)
+	switch outcome {
+	case Completed:
+		worker.consecutiveInvalid = 0
+		m.markSeen(worker)
+		attempt.recordAccepted(request.class)
+		m.learnRunTimeRatio(worker, (m.now-max(attempt.sentAt, attempt.startedAt)).Seconds()/request.work)
+		m.meanLatency += ((m.now - attempt.sentAt).Seconds() - m.meanLatency) / meanSpan
+		m.setFailureScore(worker, failureScoreFactor*score, answersAgain)
+	case Saturated:
+		m.recordSaturated(worker, request.class)
+	case Failed, ConnectionRefused, ConnectionLost, TimedOut:
+		if outcome == ConnectionRefused {
+			m.recordConnectFailure(worker)
+		}
+		if outcome == ConnectionLost && m.connectionWasDead(attempt) {
+			m.recordDeadConnection(attempt)
+			return
+		}
+		m.setFailureScore(worker, (1+score)/2, attemptsFail)
+	}
+}
+
+// adjustCeilings raises the ceilings for an answer in time and cuts them for a bad outcome, once for each
+// request. A first attempt that fails is about its worker; a request that fails at a second one is about
+// the fleet.
+func (m *Machine) adjustCeilings(request *request, attempt *attempt, outcome AttemptOutcome) {
+	if outcome == Completed && m.now <= request.objective {
+		m.raiseCeilings(request)
+		return
+	}
+	if request.countedAsBad || outcome == InvalidRequest {
+		return
+	}
+	if outcome == Completed || outcome != Cancelled && len(request.attempts) > 1 {
+		m.cutCeilings(request, attempt.sentAt)
+	}
+}
--- a/decision/reconfigure_test.go
+++ b/decision/reconfigure_test.go
@@ -7,39 +7,59 @@
 	"time"
 )
 
-// New settings hold for what comes; open requests keep their class, value and aim.
+// New settings hold for what comes; open requests keep their class, value and objective.
 func TestReconfigureWhileRequestsAreOpen(t *testing.T) {
-	r := newRig(t, testSettings(), 2)
-	open := r.requests[r.arrive(0)]
-	class, value, aim, beat := open.class, open.value, open.aim, r.beat
+	rig := newRig(t, testSettings(), 2)
+	open := rig.requests[rig.arrive(0)]
+	class := open.class
+	value := open.value
+	objective := open.objective
+	sweepInterval := rig.sweepInterval
 	next := testSettings()
-	next.Classes[0].PriorityWeight, next.Classes[0].LatencyObjective, next.MaxRetryAfter = 7, 40*time.Millisecond, time.Second
-	r.at(r.now, Event{Kind: SettingsChanged, Settings: &next})
-	if open.class != class || open.class != &r.s.Classes[0] || open.value != value || open.aim != aim {
+	next.Classes[0].PriorityWeight = 7
+	next.Classes[0].LatencyObjective = 40 * time.Millisecond
+	next.MaxRetryAfter = time.Second
+	rig.handle(rig.now, Event{Kind: SettingsChanged, Settings: &next})
+	if open.class != class || open.class != &rig.settings.Classes[0] || open.value != value ||
+		open.objective != objective {
 		t.Errorf("an open request changes: %+v", open)
 	}
-	later := r.requests[r.arrive(0)]
-	if later.class != class || later.value != 7*value || later.aim != aim-160*time.Millisecond {
-		t.Errorf("a later request has value %v and aim %v; the former %v and %v", later.value, later.aim, value, aim)
+	later := rig.requests[rig.arrive(0)]
+	if later.class != class || later.value != 7*value || later.objective != objective-160*time.Millisecond {
+		t.Errorf(
+			"a later request has value %v and objective %v; the former %v and %v",
+			later.value,
+			later.objective,
+			value,
+			objective,
+		)
 	}
-	if r.beat >= beat || r.beat != r.beatInterval() || r.s.MaxRetryAfter != time.Second {
-		t.Errorf("a sweep each %v, before %v; told to come back in %v at the most", r.beat, beat, r.s.MaxRetryAfter)
+	if rig.sweepInterval >= sweepInterval || rig.sweepInterval != rig.shortestSweepInterval() ||
+		rig.settings.MaxRetryAfter != time.Second {
+		t.Errorf(
+			"a sweep each %v, before %v; Retry-After of %v at the most",
+			rig.sweepInterval,
+			sweepInterval,
+			rig.settings.MaxRetryAfter,
+		)
 	}
-	r.respond(open.id, 0, Completed, time.Second)
-	if r.requests[open.id] != nil || r.share(class) != 1 {
+	rig.endAttempt(open.id, 0, Completed, time.Second)
+	if rig.requests[open.id] != nil || rig.eligibleShare(class) != 1 {
 		t.Errorf("the open request cannot end as before")
 	}
 }
 
 // A quota holds from the change on, higher or lower.
 func TestReconfiguredQuota(t *testing.T) {
-	s := testSettings()
-	s.Peers, s.TenantQuotas, s.OverQuotaWeight = 1, []float64{1000, 1000}, 0.1
-	r := newRig(t, s, 2)
+	settings := testSettings()
+	settings.Peers = 1
+	settings.TenantQuotas = []float64{1000, 1000}
+	settings.OverQuotaWeight = 0.1
+	rig := newRig(t, settings, 2)
 	over := func() (n int) {
 		for range 100 {
-			r.now += 10 * time.Millisecond
-			if r.overQuota(Event{}) {
+			rig.now += 10 * time.Millisecond
+			if rig.overQuota(0, false) {
 				n++
 			}
 		}
@@ -52,9 +72,9 @@
 		quota    float64
 		min, max int
 	}{{1, 90, 100}, {1000, 0, 1}} {
-		next := s
+		next := settings
 		next.TenantQuotas = []float64{test.quota, 1000}
-		r.at(r.now, Event{Kind: SettingsChanged, Settings: &next})
+		rig.handle(rig.now, Event{Kind: SettingsChanged, Settings: &next})
 		next.TenantQuotas[0] = -1 // the caller's own slice is the caller's
 		if n := over(); n < test.min || n > test.max {
 			t.Errorf("a quota of %v a second: %d of 100 in a second are beyond it", test.quota, n)
@@ -63,23 +83,38 @@
 }
 
 // Settings that are wrong, or have other numbers of classes or tenants, change nothing.
-func TestReconfigureRefuses(t *testing.T) {
-	for name, change := range map[string]func(s *Settings) *Settings{
-		"none":             func(*Settings) *Settings { return nil },
-		"a class more":     func(s *Settings) *Settings { s.Classes = append(s.Classes, s.Classes[0]); return s },
-		"a tenant":         func(s *Settings) *Settings { s.TenantQuotas = []float64{1}; return s },
-		"infinite worth":   func(s *Settings) *Settings { s.Classes[1].PriorityWeight = math.Inf(1); return s },
-		"a negative aim":   func(s *Settings) *Settings { s.Classes[1].LatencyObjective = -1; return s },
-		"no number at all": func(s *Settings) *Settings { s.OverQuotaWeight = math.NaN(); return s },
+func TestReconfigureRejectsWrongSettings(t *testing.T) {
+	for name, change := range map[string]func(settings *Settings) *Settings{
+		"none": func(*Settings) *Settings { return nil },
+		"a class more": func(settings *Settings) *Settings {
+			settings.Classes = append(settings.Classes, settings.Classes[0])
+			return settings
+		},
+		"a tenant": func(settings *Settings) *Settings {
+			settings.TenantQuotas = []float64{1}
+			return settings
+		},
+		"infinite weight": func(settings *Settings) *Settings {
+			settings.Classes[1].PriorityWeight = math.Inf(1)
+			return settings
+		},
+		"a negative objective": func(settings *Settings) *Settings {
+			settings.Classes[1].LatencyObjective = -1
+			return settings
+		},
+		"no number at all": func(settings *Settings) *Settings {
+			settings.OverQuotaWeight = math.NaN()
+			return settings
+		},
 	} {
-		r := newRig(t, testSettings(), 2)
-		before := r.s
-		before.Classes = append([]Class(nil), r.s.Classes...)
+		rig := newRig(t, testSettings(), 2)
+		before := rig.settings
+		before.Classes = append([]Class(nil), rig.settings.Classes...)
 		next := testSettings()
 		next.Classes[0].PriorityWeight = 9
-		r.at(r.now, Event{Kind: SettingsChanged, Settings: change(&next)})
-		if !reflect.DeepEqual(r.s, before) || find(r.actions, Log) == nil {
-			t.Errorf("%s: taken in: %+v", name, r.s)
+		rig.handle(rig.now, Event{Kind: SettingsChanged, Settings: change(&next)})
+		if !reflect.DeepEqual(rig.settings, before) || findAction(rig.actions, Log) == nil {
+			t.Errorf("%s: taken in: %+v", name, rig.settings)
 		}
 	}
 }
--- /dev/null
+++ b/decision/sweep.go
@@ -0,0 +1,124 @@
+package decision
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+)
+
+const (
+	// pricingsPerHorizon is how often in a planning horizon the prices are solved again.
+	pricingsPerHorizon = 8
+	// sweepsPerObjective is the number of sweeps within the shortest latency objective.
+	sweepsPerObjective = 2
+	// minObjectivePart is the inverse of the part of the deadline that a latency objective counts as at the
+	// least.
+	minObjectivePart = 50
+)
+
+// shortestSweepInterval derives the interval of the sweep from the shortest latency objective.
+func (m *Machine) shortestSweepInterval() time.Duration {
+	shortest := time.Duration(math.MaxInt64)
+	for i := range m.settings.Classes {
+		class := &m.settings.Classes[i]
+		shortest = min(shortest, max(class.LatencyObjective, class.Deadline/minObjectivePart))
+	}
+	return max(shortest/sweepsPerObjective, m.settings.Tick)
+}
+
+// scheduleSweep sets the timer of the next sweep, unless it is set. Without unanswered requests there is no
+// sweep.
+func (m *Machine) scheduleSweep() {
+	if !m.sweepScheduled {
+		m.sweepScheduled = true
+		m.emit(Action{Kind: SetTimer, Timer: sweepTimer, Delay: m.sweepInterval})
+	}
+}
+
+// sweep decides what the passing of time alone brings: which requests are late, stuck or without any value
+// left, which workers have warmed up, and the prices.
+func (m *Machine) sweep() {
+	m.unanswered = slices.DeleteFunc(m.unanswered, func(request *request) bool { return request.ended })
+	for _, request := range m.unanswered {
+		m.sweepRequest(request)
+	}
+	m.promoteWarmedUp()
+	slices.SortFunc(m.queue, compareByValue) // late requests have less value now
+	if m.now >= m.nextPricingAt {
+		m.nextPricingAt = m.now + m.planningHorizon/pricingsPerHorizon
+		grown := m.safeIdleTime + m.safeIdleTime/safeIdleTimeGrowth
+		m.safeIdleTime = min(grown, cmp.Or(m.settings.ConnectionIdleTimeout, m.safeIdleTime))
+		m.solvePrices()
+	}
+	m.sweepScheduled = false
+	if len(m.unanswered) > 0 {
+		m.scheduleSweep()
+	}
+}
+
+// sweepRequest looks after one unanswered request.
+func (m *Machine) sweepRequest(request *request) {
+	switch {
+	case !request.late && m.hardlyInTime(request):
+		m.markLate(request)
+	case request.queued && (m.worthless(request) || m.mustNotRepeat(request)):
+		m.rejectOrFail(request)
+	case request.late && m.delaysOthers(request):
+		m.rejectOrFail(request)
+	}
+	last := len(request.attempts) - 1
+	if request.outstanding == 1 && !request.attempts[last].ended {
+		m.superviseAttempt(request, &request.attempts[last])
+	}
+}
+
+// hardlyInTime tells whether the request would miss its objective if it started now, or with the next sweep.
+func (m *Machine) hardlyInTime(request *request) bool {
+	return m.now+seconds(request.work)+m.sweepInterval >= request.objective
+}
+
+// markLate marks a request that can hardly be in time, and lowers its value to that of a late answer. It is
+// rejected at once if it waits while capacity is scarce, or delays others. An attempt that is not known to
+// have started tells of overload now, where its end would tell much later; unless its connection may be
+// dead.
+func (m *Machine) markLate(request *request) {
+	request.late = true
+	if request.outstanding > 1 && m.settings.StartNotices && !request.countedAsBad && !request.hasStarted() {
+		m.cutCeilings(request, request.attempts[0].sentAt)
+	}
+	unstarted := request.unstartedAttempt()
+	if unstarted != nil && m.settings.StartNotices {
+		switch {
+		case unstarted.connectionIdle > m.safeIdleTime:
+			m.rejectOrFail(request)
+			return
+		case unstarted.connectionIdle > m.sweepInterval && m.settings.StartsInOrder:
+			m.markPossiblyLost(request, unstarted)
+		default:
+			m.cutCeilings(request, unstarted.sentAt)
+		}
+	}
+	request.value *= request.class.LateWeight
+	if request.queued && m.capacityScarce(request) || m.delaysOthers(request) {
+		m.rejectOrFail(request)
+	}
+}
+
+// capacityScarce tells whether a waiting request has little hope of a worker soon.
+func (m *Machine) capacityScarce(request *request) bool {
+	return m.workPrice+m.slotPrice > 0 || !m.withinConcurrency(request) || m.allSuspended()
+}
+
+// delaysOthers tells whether a request that can hardly be in time, and has not started, stands before
+// others in its worker's queue for little: it earns nothing late, or may be repeated while many outcomes
+// are bad.
+func (m *Machine) delaysOthers(request *request) bool {
+	earnsNothing := request.class.LateWeight <= 0
+	repeatable := request.class.Idempotency == Idempotent && request.class.LateWeight < 1
+	if !earnsNothing && !(repeatable && m.badRatio > overloadBadRatio) {
+		return false
+	}
+	return m.settings.StartNotices && m.settings.Cancellation &&
+		m.hardlyInTime(request) && !request.hasStarted()
+}
--- /dev/null
+++ b/decision/zone.go
@@ -0,0 +1,80 @@
+package decision
+
+import (
+	"strconv"
+	"time"
+)
+
+const (
+	// unreachableZoneConnects is the number of failed connects in a row from which a zone looks
+	// unreachable. Measured in a rehearsal of 80 dispatchers: without it each ran into a time-out at each
+	// worker of a lost zone.
+	unreachableZoneConnects = 2
+	// maxTrialDoublings bounds how often the interval between trials of an unreachable zone is doubled.
+	maxTrialDoublings = 8
+)
+
+// zone is what is known of the workers of one zone together.
+type zone struct {
+	failedConnects int           // in a row, since any of its workers was seen
+	firstFailureAt time.Duration // of those
+	lastAttemptAt  time.Duration // when one failed last, or a later request was sent there
+}
+
+// zone returns what is known of a zone, from its number.
+func (m *Machine) zone(number int) *zone {
+	if m.zones[number] == nil {
+		m.zones[number] = &zone{}
+	}
+	return m.zones[number]
+}
+
+// zoneUnreachable tells whether a worker's zone gets no requests: connects there have failed in a row, and
+// workers of other zones have been seen since. One request at a time tries whether it is back, after ever
+// longer intervals.
+func (m *Machine) zoneUnreachable(worker *worker) bool {
+	zone := m.zone(worker.Zone)
+	doublings := min(zone.failedConnects, maxTrialDoublings)
+	trialInterval := min(m.settings.ConnectTimeout<<doublings, m.planningHorizon)
+	return zone.failedConnects >= unreachableZoneConnects &&
+		m.now-zone.lastAttemptAt < trialInterval &&
+		m.lastSeen > zone.firstFailureAt
+}
+
+// markSeen records that a worker has shown that it lives.
+func (m *Machine) markSeen(worker *worker) {
+	worker.lastSeen = m.now
+	m.lastSeen = m.now
+	m.markZoneReachable(worker.Zone)
+}
+
+// markZoneReachable records that a zone can be reached.
+func (m *Machine) markZoneReachable(number int) {
+	zone := m.zone(number)
+	if zone.failedConnects >= unreachableZoneConnects {
+		m.logf("zone %s is reachable again", m.zoneName(number))
+	}
+	zone.failedConnects = 0
+}
+
+// recordConnectFailure records that a connection to a worker was refused or timed out.
+func (m *Machine) recordConnectFailure(worker *worker) {
+	zone := m.zone(worker.Zone)
+	zone.failedConnects++
+	switch zone.failedConnects {
+	case 1:
+		zone.firstFailureAt = m.now
+	case unreachableZoneConnects:
+		m.logf("zone %s looks unreachable: %d connects failed in a row",
+			m.zoneName(worker.Zone), zone.failedConnects)
+	}
+	zone.lastAttemptAt = m.now
+}
+
+// zoneName is what the settings call a zone, else its number.
+func (m *Machine) zoneName(number int) string {
+	if number >= 0 && number < len(m.settings.ZoneNames) {
+		return m.settings.ZoneNames[number]
+	}
+	return strconv.Itoa(number)
+}
