--- a/Makefile
+++ b/Makefile
@@ -15,7 +15,7 @@
 
 lint:
 	@unformatted=$$(gofmt -l .); if [ -n "$$unformatted" ]; then echo "not gofmt'd: $$unformatted" >&2; exit 1; fi
-	@awk '{ gsub(/\t/, "    ") } length > 110 { print FILENAME ":" FNR ": line over 110 characters"; bad = 1 } END { exit bad }' decision/dispatcher.go
+	@awk '{ gsub(/\t/, "    ") } length > 110 { print FILENAME ":" FNR ": line over 110 characters"; bad = 1 } END { exit bad }' decision/*.go
 	go vet ./...
 	go tool staticcheck ./...
 	@bad=$$(go list -f '{{join .Imports "\n"}}' ./decision ./internal/connlimit ./internal/jobs ./internal/membership ./internal/freshness ./internal/invariant | grep -E '^(net|net/http|os|os/.*|syscall|io)$$|hollyyoke'); \
