--- /dev/null
+++ b/internal/tools/docpaths/docpaths_test.go
@@ -0,0 +1,36 @@
+package docpaths
+
+import (
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+)
+
+func TestFind(t *testing.T) {
+	page := "See `decision/retry.go`, `internal/jobs/`, `cmd`, again `decision/retry.go`; not `go test` or decision/x.go."
+	want := []string{"decision/retry.go", "internal/jobs", "cmd"}
+	if got := Find(page); !slices.Equal(got, want) {
+		t.Errorf("found %q, want %q", got, want)
+	}
+}
+
+// TestPathsExist holds the pages that tell engineers where things are to what is there.
+func TestPathsExist(t *testing.T) {
+	root := filepath.Join("..", "..", "..")
+	for _, page := range []string{"README.md", "DEVELOPERS.md", "docs/ARCHITECTURE.md", "docs/on-call.md"} {
+		text, err := os.ReadFile(filepath.Join(root, page))
+		if err != nil {
+			t.Fatal(err)
+		}
+		paths := Find(string(text))
+		if len(paths) == 0 {
+			t.Errorf("%s names no path", page)
+		}
+		for _, path := range paths {
+			if _, err := os.Stat(filepath.Join(root, path)); err != nil {
+				t.Errorf("%s names %s, which does not exist", page, path)
+			}
+		}
+	}
+}
