--- /dev/null
+++ b/internal/daemon/load.go
@@ -0,0 +1,118 @@
+package daemon
+
+import (
+	"errors"
+	"fmt"
+
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/discovery"
+	"hollyyoke.example/hollyyoke/internal/faktory"
+	"hollyyoke.example/hollyyoke/internal/listener"
+	"hollyyoke.example/hollyyoke/internal/settings"
+	"hollyyoke.example/hollyyoke/internal/transport"
+)
+
+// Files are the paths of the files that a process reads, and how it logs.
+type Files struct {
+	Config   string // the configuration; empty: BALANCER_CONFIG names it
+	Faktory  string // operator's file of the Faktory front end; empty: none
+	Operator string // operator's file, a table for each subsystem; empty: none
+	Trace    bool   // log each step of each request
+}
+
+// loadedFiles is the checked content of the files.
+type loadedFiles struct {
+	config             config
+	configuredSettings decision.Settings // as the configuration file has them
+	settings           decision.Settings // in force: the Faktory front end adds to them
+	faktory            faktory.Config
+	hasFaktory         bool
+	connections        settings.Connections
+	membership         settings.Membership
+}
+
+// load reads and checks all files.
+func load(files Files, env func(string) string) (l loadedFiles, err error) {
+	l.config, l.configuredSettings, err = readConfig(files.Config, env, false)
+	if err != nil {
+		return l, err
+	}
+	l.settings = l.configuredSettings
+	if err := l.loadOperator(files); err != nil {
+		return l, err
+	}
+	if err := l.loadFaktory(files.Faktory); err != nil {
+		return l, err
+	}
+	if l.config.Listen == "" && !l.hasFaktory {
+		return l, errors.New("config: listen: missing")
+	}
+	return l, nil
+}
+
+// loadOperator reads the operator's file, if there is one.
+func (l *loadedFiles) loadOperator(files Files) error {
+	if files.Operator == "" {
+		return nil
+	}
+	l.faktory = faktory.Default()
+	operator, err := settings.ReadOperator(files.Operator, &l.faktory)
+	if err != nil {
+		return fmt.Errorf("%s: %w", files.Operator, err)
+	}
+	l.connections = operator.Connections
+	l.membership = operator.Membership
+	l.hasFaktory = operator.HasFaktory
+	if !l.hasFaktory {
+		return nil
+	}
+	if files.Faktory != "" {
+		return fmt.Errorf("%s: faktory: --faktory names a file for it too", files.Operator)
+	}
+	err = l.faktory.Check(&l.settings)
+	if err == nil {
+		err = faktory.Prepare(&l.settings)
+	}
+	if err != nil {
+		return fmt.Errorf("%s: faktory.%w", files.Operator, err)
+	}
+	return nil
+}
+
+// loadFaktory reads the Faktory front end's own file, if there is one.
+func (l *loadedFiles) loadFaktory(path string) (err error) {
+	if path == "" {
+		return nil
+	}
+	l.hasFaktory = true
+	l.faktory, err = faktory.ReadConfig(path, &l.settings)
+	if err == nil {
+		err = faktory.Prepare(&l.settings)
+	}
+	if err != nil {
+		return fmt.Errorf("%s: %w", path, err)
+	}
+	return nil
+}
+
+// gateConfig converts the operator's table [connections] for a gate that has a
+// number of descriptors.
+func gateConfig(table *settings.Connections, descriptors int) (c listener.Config, err error) {
+	c.Limits, c.DescriptorFloors, c.Watermarks, c.WriteStall, err = table.Ready(transport.ConnectionDescriptors(descriptors))
+	if err != nil {
+		return c, fmt.Errorf("connections.%w", err)
+	}
+	c.Respond503 = table.Refuse == "503"
+	return c, nil
+}
+
+// followConfig converts the operator's table [membership].
+func followConfig(table *settings.Membership, c *config, s *decision.Settings) (f discovery.FollowConfig, err error) {
+	f.Zone, f.Servers, f.Acknowledge, err = table.Ready(s)
+	if err != nil {
+		return f, fmt.Errorf("membership.%w", err)
+	}
+	f.Name = c.Name
+	f.Seed = c.seed()
+	return f, nil
+}
--- /dev/null
+++ b/internal/daemon/reload.go
@@ -0,0 +1,130 @@
+package daemon
+
+import (
+	"errors"
+	"fmt"
+	"reflect"
+	"strings"
+
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/discovery"
+	"hollyyoke.example/hollyyoke/internal/handover"
+	"hollyyoke.example/hollyyoke/internal/settings"
+	"hollyyoke.example/hollyyoke/internal/transport"
+)
+
+// reloadedFiles is what a reload reads: the configuration and the operator's file.
+type reloadedFiles struct {
+	config   config
+	settings decision.Settings
+	operator settings.Operator
+}
+
+// readForReload reads the files again, off the loop's goroutine.
+func readForReload(files Files, env func(string) string) (r reloadedFiles, err error) {
+	r.config, r.settings, err = readConfig(files.Config, env, true)
+	if err != nil || files.Operator == "" {
+		return r, err
+	}
+	r.operator, err = settings.ReadOperator(files.Operator, nil)
+	if err != nil {
+		return r, fmt.Errorf("%s: %w", files.Operator, err)
+	}
+	return r, nil
+}
+
+// reload applies what can change while the process runs: the discovery address, the
+// limits on connections, and the servers from which versioned changes are followed.
+// An error in any part, readErr included, leaves all as it was. What needs a restart
+// is logged.
+func (p *process) reload(next reloadedFiles, readErr error) {
+	err := readErr
+	if err == nil {
+		err = p.checkReload(&next)
+	}
+	var follow discovery.FollowConfig
+	if err == nil {
+		follow, err = followConfig(&next.operator.Membership, &p.config, &p.configuredSettings)
+	}
+	if err == nil {
+		err = p.reloadGate(&next.operator.Connections) // last, since it applies what is right
+	}
+	if err != nil {
+		p.dispatcher.Log(fmt.Sprintf("reload: %v; configuration unchanged", err))
+		return
+	}
+	if p.gate != nil {
+		p.dispatcher.Log("reload: connection limits are applied from the operator's file")
+	}
+	if p.followsMembership {
+		p.registry.Follow(follow)
+		p.dispatcher.Log(fmt.Sprintf("reload: versioned changes come from %d servers, zone %q first", len(follow.Servers), follow.Zone))
+	}
+	p.reloadDiscovery(&next)
+}
+
+// checkReload reports what is wrong with the new configuration.
+func (p *process) checkReload(next *reloadedFiles) error {
+	if err := p.registry.CheckList(next.config.Known); err != nil {
+		return err
+	}
+	if _, err := decision.New(next.settings, 0); err != nil {
+		return fmt.Errorf("config: %w", err)
+	}
+	if next.operator.Membership.On != p.followsMembership {
+		return errors.New("membership.on: only a restart turns it on or off")
+	}
+	return nil
+}
+
+// reloadGate applies the limits on connections, if the gate is on; a table with an
+// error changes nothing.
+func (p *process) reloadGate(table *settings.Connections) error {
+	if p.gate == nil {
+		return nil
+	}
+	c, err := gateConfig(table, p.config.connectionDescriptors())
+	if err != nil {
+		return err
+	}
+	if !table.On {
+		return errors.New("connections.on: only a restart turns it off")
+	}
+	return p.gate.Reconfigure(c, transport.ConnectionDescriptors(p.config.connectionDescriptors()))
+}
+
+// reloadDiscovery follows the discovery address, here and in the peer process, and
+// logs it with the keys that need a restart.
+func (p *process) reloadDiscovery(next *reloadedFiles) {
+	text := "reload: discovery stays at " + p.config.Discovery
+	if next.config.Discovery != p.config.Discovery {
+		text = "reload: discovery moves to " + next.config.Discovery
+		p.registry.MoveTo(next.config.Discovery)
+		p.sendToPeer(handover.Message{DiscoveryMoved: next.config.Discovery})
+	}
+	if keys := p.restartKeys(next); len(keys) > 0 {
+		text += "; changed, but a restart is needed: " + strings.Join(keys, ", ")
+	}
+	p.dispatcher.Log(text)
+	p.config.Discovery = next.config.Discovery
+}
+
+// restartKeys returns the changed keys, sorted, that only a restart applies.
+func (p *process) restartKeys(next *reloadedFiles) []string {
+	var changed []string
+	for _, key := range []struct {
+		name    string
+		changed bool
+	}{
+		{"admin_addr", next.config.Admin != p.config.Admin},
+		{"limits", next.config.Limits != p.config.Limits},
+		{"listen", next.config.Listen != p.config.Listen},
+		{"name", next.config.Name != p.config.Name},
+		{"settings", !reflect.DeepEqual(next.settings, p.configuredSettings)},
+	} {
+		if key.changed {
+			changed = append(changed, key.name)
+		}
+	}
+	return changed
+}
--- /dev/null
+++ b/internal/daemon/resources.go
@@ -0,0 +1,109 @@
+package daemon
+
+import (
+	"os"
+	"runtime/debug"
+	"strconv"
+	"strings"
+	"syscall"
+
+	"hollyyoke.example/hollyyoke/internal/admin"
+)
+
+const (
+	bytesPerMB = 1 << 20
+
+	// bufferShare and heapShare are the parts of the memory limit for buffers, which
+	// lie outside the Go heap, and for the heap. The rest is for the runtime.
+	bufferShare = 0.3
+	heapShare   = 0.6 - bufferShare
+
+	defaultBufferMemory = 64 * bytesPerMB // without a memory limit
+
+	defaultDescriptors = 1024    // where the system tells no limit
+	maxDescriptorLimit = 1 << 20 // a system limit from here on counts as none
+
+	// adminDescriptors are reserved for the admin API: its calls and its listener.
+	adminDescriptors = admin.MaxCalls + 1
+)
+
+// descriptors returns how many file descriptors all processes of the dispatcher may
+// have together: the smaller of the configured limit and the system's.
+func (c *config) descriptors() int {
+	n := defaultDescriptors
+	var limit syscall.Rlimit
+	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit) == nil && limit.Cur < maxDescriptorLimit {
+		n = int(limit.Cur)
+	}
+	if c.Limits.Sockets >= 1 {
+		n = min(n, int(c.Limits.Sockets))
+	}
+	return n
+}
+
+// connectionDescriptors returns how many of the descriptors are for clients and
+// workers: all but those of the admin API.
+func (c *config) connectionDescriptors() int {
+	if c.Admin == "" {
+		return c.descriptors()
+	}
+	return c.descriptors() - adminDescriptors
+}
+
+// hasMemoryLimit reports whether memory is limited.
+func (c *config) hasMemoryLimit() bool { return c.Limits.MemoryMB >= 1 }
+
+// memory returns the limit in bytes for all processes of the dispatcher together.
+func (c *config) memory() int64 { return int64(c.Limits.MemoryMB * bytesPerMB) }
+
+// bufferMemory returns how many bytes buffers may take up.
+func (c *config) bufferMemory() int {
+	if !c.hasMemoryLimit() {
+		return defaultBufferMemory
+	}
+	return int(c.Limits.MemoryMB * bufferShare * bytesPerMB)
+}
+
+// limitHeap sets the garbage collector's limit for the start, and gives back what
+// reading the command line and the files took.
+func (c *config) limitHeap() {
+	if c.hasMemoryLimit() {
+		debug.SetMemoryLimit(int64(c.Limits.MemoryMB * heapShare * bytesPerMB))
+	}
+	debug.FreeOSMemory()
+}
+
+// useLimits makes this process keep to a number of descriptors and of bytes, while a
+// peer process has the rest.
+func (p *process) useLimits(descriptors int, memory int64) {
+	reserved := p.config.descriptors() - p.config.connectionDescriptors()
+	p.engine.Resize(descriptors - reserved)
+	if p.gate != nil {
+		p.gate.SetShare(float64(descriptors) / float64(p.config.descriptors()))
+	}
+	if !p.config.hasMemoryLimit() {
+		return
+	}
+	debug.SetMemoryLimit(int64(float64(memory) * heapShare))
+	if p.frontEnds.http != nil {
+		p.frontEnds.http.SetMemoryLimit(int(float64(memory) * bufferShare))
+	}
+}
+
+// useAllLimits makes this process use all descriptors and memory.
+func (p *process) useAllLimits() { p.useLimits(p.config.descriptors(), p.config.memory()) }
+
+// resourceUsage returns how many descriptors the process has open and how many bytes
+// are resident, as /proc tells; a value that cannot be read is 0.
+func resourceUsage() (descriptors int, resident int64) {
+	if list, err := os.ReadDir("/proc/self/fd"); err == nil {
+		descriptors = len(list)
+	}
+	if text, err := os.ReadFile("/proc/self/statm"); err == nil {
+		if fields := strings.Fields(string(text)); len(fields) > 1 { // size, resident, ... in pages
+			pages, _ := strconv.ParseInt(fields[1], 10, 64)
+			resident = pages * int64(os.Getpagesize())
+		}
+	}
+	return descriptors, resident
+}
--- /dev/null
+++ b/internal/daemon/successor.go
@@ -0,0 +1,146 @@
+package daemon
+
+import (
+	"cmp"
+	"fmt"
+	"net"
+	"time"
+
+	"hollyyoke.example/hollyyoke/internal/handover"
+	"hollyyoke.example/hollyyoke/internal/transport"
+)
+
+// This file is this process as the successor of another.
+
+const (
+	dialTimeout     = 300 * time.Millisecond // for the predecessor to accept the connection
+	greetingTimeout = time.Second            // for its greeting
+	workersTimeout  = 3 * time.Second        // then clients are accepted, though no worker is ready
+	readyPoll       = 10 * time.Millisecond  // between checks whether clients can be accepted
+
+	takeoverTimeout = 10 * time.Second // for the predecessor's Faktory address and store to become free
+	takeoverPoll    = 20 * time.Millisecond
+)
+
+// dialPredecessor connects to the process that this one may replace; nil: there is
+// none.
+func (p *process) dialPredecessor(env func(string) string) net.Conn {
+	p.handover.enabled = env(envListenerDescriptor) != "" && p.listener != nil
+	if !p.handover.enabled {
+		return nil
+	}
+	p.handover.socketPath = handover.SocketPath(env(envRuntimeDirectory), p.config.Name+" "+p.config.Listen)
+	conn, err := handover.Dial(p.handover.socketPath, dialTimeout)
+	if err != nil {
+		return nil
+	}
+	return conn
+}
+
+// startAsSuccessor starts with a small part of the resources, and waits for the
+// predecessor's greeting. Where it returns an error, it has changed nothing.
+func (p *process) startAsSuccessor(predecessor net.Conn) error {
+	p.useLimits(p.config.descriptors()/4, p.config.memory()/4)
+	err := p.engine.Adopt(predecessor, func(c *transport.Conn) transport.Handler {
+		p.handover.link = handover.NewLink(p.engine, c, p.receiveFromPredecessor, p.predecessorEnded)
+		p.shareWithPeer()
+		return p.handover.link
+	})
+	if err != nil {
+		p.useAllLimits()
+		return err
+	}
+	p.dispatcher.Loop.After(greetingTimeout, func() { p.handleGreeting(nil) })
+	return nil
+}
+
+// receiveFromPredecessor handles a message of the predecessor.
+func (p *process) receiveFromPredecessor(m handover.Message) {
+	if m.Greeting != nil {
+		p.handleGreeting(m.Greeting)
+	}
+	p.receive(m)
+	if m.StoreReleased {
+		p.takeOverFaktory(p.dispatcher.Loop.Now() + takeoverTimeout)
+	}
+	if m.Limits != nil {
+		p.useLimits(p.config.descriptors()-m.Limits.Descriptors, p.config.memory()-m.Limits.Memory)
+	}
+	if len(m.List) > 0 {
+		if err := p.registry.Import(m.List); err != nil {
+			p.logListError(err)
+		}
+	}
+}
+
+// handleGreeting starts from the predecessor's state, or without it where greeting is
+// nil: the predecessor has ended or has sent none in time. Only the first call counts.
+func (p *process) handleGreeting(greeting *handover.Greeting) {
+	if p.handover.greetingDone {
+		return
+	}
+	p.handover.greetingDone = true
+	var list []byte
+	if greeting != nil {
+		p.dispatcher.Log("started as the successor of a running process")
+		p.dispatcher.AdoptIDKey(greeting.IDKey)
+		list = greeting.List
+		p.config.Discovery = cmp.Or(greeting.Discovery, p.config.Discovery)
+		p.registry.SetAddress(p.config.Discovery)
+		if greeting.OutOfService {
+			p.drain(true)
+		}
+	}
+	p.loadInitialList(list)
+	p.serveWhenReady(p.dispatcher.Loop.Now() + workersTimeout)
+}
+
+// serveWhenReady accepts clients once discovery has answered and a worker is ready,
+// or from a time on with the initial endpoint list. Until then the predecessor serves.
+func (p *process) serveWhenReady(latest time.Duration) {
+	if p.stopping {
+		return
+	}
+	loop := p.dispatcher.Loop
+	ready := p.registry.Ready() && p.dispatcher.ReadyWorkers() > 0
+	if !ready && loop.Now() < latest {
+		loop.After(readyPoll, func() { p.serveWhenReady(latest) })
+		return
+	}
+	if p.handover.link != nil {
+		p.frontEnds.http.SetShared(true)
+	}
+	p.serve()
+	p.dispatcher.Log("accepting clients")
+	p.sendToPeer(handover.Message{Ready: true})
+}
+
+// predecessorEnded is called when the predecessor has ended, as planned or not.
+func (p *process) predecessorEnded() {
+	p.dispatcher.Log("predecessor has ended")
+	p.peerEnded()
+	p.takeOverFaktory(p.dispatcher.Loop.Now() + takeoverTimeout)
+	p.handleGreeting(nil)
+	if !p.stopping {
+		p.listenForSuccessor()
+	}
+}
+
+// takeOverFaktory opens the Faktory front end that the predecessor has released, and
+// tries again until a time while its address or its store is still in use.
+func (p *process) takeOverFaktory(latest time.Duration) {
+	if p.handover.openFaktory == nil {
+		return
+	}
+	loop := p.dispatcher.Loop
+	err := p.handover.openFaktory()
+	switch {
+	case err == nil:
+		p.handover.openFaktory = nil
+		p.dispatcher.Log("durable jobs taken over")
+	case loop.Now() < latest:
+		loop.After(takeoverPoll, func() { p.takeOverFaktory(latest) })
+	default:
+		p.dispatcher.Log(fmt.Sprintf("durable jobs cannot be taken over, restart the process: %v", err))
+	}
+}
--- a/internal/rehearsal/standin/fleet.go
+++ b/internal/rehearsal/standin/fleet.go
@@ -288,9 +288,9 @@
 	}
 }
 
-// Door is the address of the daemon's operators' door.
+// Door returns the address of the daemon's admin API, as its log has it.
 func (f *Fleet) Door() string {
-	_, rest, _ := strings.Cut(f.Log.String(), "operators' door at ")
+	_, rest, _ := strings.Cut(f.Log.String(), "admin API at ")
 	addr, _, _ := strings.Cut(rest, "\"")
 	return addr
 }
