--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -48,20 +48,20 @@
 	}
 }
 
-// goldenNames are names that are told at once and read again.
-var goldenNames = []uint64{1, 0x0123456789abcdef, 1<<64 - 1}
+// goldenIDs are request ids that are sent at once and read again.
+var goldenIDs = []uint64{1, 0x0123456789abcdef, 1<<64 - 1}
 
-// All kinds of messages are written byte for byte as they have always been, and
-// read as what they mean: an older process or a newer one is at the other end.
+// Messages of all kinds are written byte for byte as the golden file has them, and
+// read back equal: the peer process may be of an older build or a newer one.
 func TestGoldenMessages(t *testing.T) {
-	p := newPair(t, SocketPath(t.TempDir(), "n"))
-	conn, link := p.call(t)
+	p := newTestPeer(t, SocketPath(t.TempDir(), "n"))
+	conn, link := p.connect(t)
 	defer conn.Close()
 	p.loop.Post(func() {
 		for _, m := range goldenMessages() {
 			link.Send(m)
 		}
-		link.SendIDs(goldenNames)
+		link.SendIDs(goldenIDs)
 	})
 	var written bytes.Buffer
 	for in := bufio.NewReader(conn); bytes.Count(written.Bytes(), []byte("\n")) < len(goldenMessages())+1; {
@@ -80,35 +80,35 @@
 		t.Fatal(err)
 	}
 	for i, want := range goldenMessages() {
-		if got := receive(t, p.heard); !reflect.DeepEqual(got, want) {
+		if got := receive(t, p.received); !reflect.DeepEqual(got, want) {
 			t.Errorf("message %d is read as %+v, want %+v", i, got, want)
 		}
 	}
-	last := receive(t, p.heard)
-	if names, err := last.ReadIDs(); err != nil || !reflect.DeepEqual(names, goldenNames) {
-		t.Errorf("names %x, %v", names, err)
+	last := receive(t, p.received)
+	if ids, err := last.ReadIDs(); err != nil || !reflect.DeepEqual(ids, goldenIDs) {
+		t.Errorf("ids %x, %v", ids, err)
 	}
 }
 
-// What a newer process may tell beyond these words is passed over.
-func TestGoldenUnknownWords(t *testing.T) {
-	p := newPair(t, SocketPath(t.TempDir(), "n"))
-	conn, _ := p.call(t)
+// Keys that a newer build may add are ignored.
+func TestGoldenUnknownKeys(t *testing.T) {
+	p := newTestPeer(t, SocketPath(t.TempDir(), "n"))
+	conn, _ := p.connect(t)
 	defer conn.Close()
 	fmt.Fprintln(conn, `{"a_word_to_come":{"x":1},"ready":true}`)
-	if got := receive(t, p.heard); !reflect.DeepEqual(got, Message{Ready: true}) {
+	if got := receive(t, p.received); !reflect.DeepEqual(got, Message{Ready: true}) {
 		t.Errorf("read as %+v", got)
 	}
 }
 
-// The two meet in a file whose name older and newer builds agree on.
-func TestGoldenPath(t *testing.T) {
+// Older and newer builds agree on the name of the socket.
+func TestGoldenSocketPath(t *testing.T) {
 	for dispatcher, want := range map[string]string{
 		"n0 127.0.0.1:80": "/run/d/hollyyoke-abebc10f165f0118.sock",
 		"hollyyoke :7001": "/run/d/hollyyoke-18253651ac8179a5.sock",
 	} {
 		if got := SocketPath("/run/d", dispatcher); got != want {
-			t.Errorf("%q meets at %q, want %q", dispatcher, got, want)
+			t.Errorf("%q has its socket at %q, want %q", dispatcher, got, want)
 		}
 	}
 }
--- /dev/null
+++ b/internal/handover/link.go
@@ -0,0 +1,160 @@
+package handover
+
+import (
+	"bytes"
+	"encoding/base64"
+	"encoding/binary"
+	"encoding/json"
+	"time"
+
+	"hollyyoke.example/hollyyoke/internal/eventloop"
+	"hollyyoke.example/hollyyoke/internal/transport"
+)
+
+const (
+	idsDelay      = 10 * time.Millisecond // request ids accepted within it are sent together
+	maxIDsPerLine = 2000                  // so that a line fits in the peer's buffer
+)
+
+// Link is the connection with the peer process. It belongs to the loop's goroutine.
+type Link struct {
+	engine    *transport.Engine
+	conn      *transport.Conn
+	input     *transport.Buffer // what has arrived and is not handled yet; nil: nothing
+	scanned   int               // bytes of input that hold no end of a line
+	onMessage func(Message)
+	onLost    func()
+	ids       []byte // accepted request ids that have not been sent yet
+	idsTimer  eventloop.Deadline
+}
+
+// NewLink returns the handler of a connection with the peer process. onMessage gets
+// each message; onLost is called once, when the connection has ended, or when a line
+// is too long or no message.
+func NewLink(e *transport.Engine, c *transport.Conn, onMessage func(Message), onLost func()) *Link {
+	l := &Link{engine: e, conn: c, onMessage: onMessage, onLost: onLost}
+	l.idsTimer.Fire = l.flushIDs
+	return l
+}
+
+// Send sends a message. One to a process that has ended is lost.
+func (l *Link) Send(m Message) {
+	text, err := json.Marshal(m)
+	if err != nil {
+		return // no message holds anything that JSON cannot express
+	}
+	l.conn.Write(append(text, '\n'))
+}
+
+// SendAccepted sends a hashed request id, within idsDelay.
+func (l *Link) SendAccepted(id uint64) {
+	if len(l.ids) == 0 {
+		l.engine.Loop.Set(&l.idsTimer, l.engine.Loop.Now()+idsDelay)
+	}
+	l.ids = binary.LittleEndian.AppendUint64(l.ids, id)
+}
+
+// SendIDs sends hashed request ids at once.
+func (l *Link) SendIDs(ids []uint64) {
+	for _, id := range ids {
+		l.SendAccepted(id)
+	}
+	l.flushIDs()
+}
+
+// flushIDs sends the request ids that wait.
+func (l *Link) flushIDs() {
+	for len(l.ids) > 0 {
+		n := min(len(l.ids), idSize*maxIDsPerLine)
+		l.Send(Message{IDs: base64.StdEncoding.EncodeToString(l.ids[:n])})
+		l.ids = l.ids[n:]
+	}
+}
+
+// Close ends the link; onLost is not called.
+func (l *Link) Close() {
+	l.release()
+	l.conn.Close()
+}
+
+// release gives back what the link holds. No callback is called after it.
+func (l *Link) release() {
+	l.engine.Loop.Clear(&l.idsTimer)
+	l.engine.Pool.Put(l.input)
+	l.input = nil
+	l.ids = nil
+	l.onMessage = func(Message) {}
+	l.onLost = func() {}
+}
+
+// OnClosed is called when the peer process has ended the connection.
+func (l *Link) OnClosed(*transport.Conn, error) {
+	onLost := l.onLost
+	l.release()
+	onLost()
+}
+
+// fail closes a link on which something arrived that is no message.
+func (l *Link) fail() {
+	onLost := l.onLost
+	l.Close()
+	onLost()
+}
+
+// OnData handles the messages that are complete. It owns b.
+func (l *Link) OnData(_ *transport.Conn, b *transport.Buffer) {
+	if !l.appendInput(b) {
+		l.fail()
+		return
+	}
+	for l.input != nil { // a callback may close the link
+		line, found := l.nextLine()
+		if !found {
+			return
+		}
+		var m Message
+		if err := json.Unmarshal(line, &m); err != nil {
+			l.fail()
+			return
+		}
+		l.consume(len(line) + 1)
+		l.onMessage(m)
+	}
+}
+
+// appendInput adds what has arrived, and returns false where there is no space for it.
+func (l *Link) appendInput(b *transport.Buffer) bool {
+	if l.input == nil {
+		l.input = b
+		l.scanned = 0
+		return true
+	}
+	fits := l.input.Append(b.Bytes())
+	l.engine.Pool.Put(b)
+	return fits
+}
+
+// nextLine returns the first line without its end. Where none is complete, it returns
+// false, and fails if there is no space for the rest of it.
+func (l *Link) nextLine() ([]byte, bool) {
+	input := l.input.Bytes()
+	end := bytes.IndexByte(input[l.scanned:], '\n')
+	if end >= 0 {
+		return input[:l.scanned+end], true
+	}
+	l.scanned = len(input)
+	if l.scanned == transport.BufferSize {
+		l.fail()
+	}
+	return nil, false
+}
+
+// consume drops n bytes of input, and returns its buffer once it is empty.
+func (l *Link) consume(n int) {
+	l.input.Consume(n)
+	l.scanned = 0
+	if len(l.input.Bytes()) == 0 {
+		l.engine.Pool.Put(l.input)
+		l.input = nil
+	}
+}
