--- /dev/null
+++ b/internal/admin/call.go
@@ -0,0 +1,120 @@
+package admin
+
+import (
+	"encoding/json"
+
+	"hollyyoke.example/hollyyoke/internal/connlimit"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
+	"hollyyoke.example/hollyyoke/internal/httpwire"
+	"hollyyoke.example/hollyyoke/internal/transport"
+)
+
+// HTTP statuses. Package net/http, which has names for them, is not linked into the
+// daemon.
+const (
+	statusOK                 = 200
+	statusBadRequest         = 400
+	statusNotFound           = 404
+	statusMethodNotAllowed   = 405
+	statusRequestTimeout     = 408
+	statusConflict           = 409
+	statusContentTooLarge    = 413
+	statusInternalError      = 500
+	statusServiceUnavailable = 503
+)
+
+const jsonHeader = "Content-Type: application/json\r\n"
+
+// call is one connection, until its call is answered.
+type call struct {
+	api     *API
+	token   uint64       // in api.calls
+	id      connlimit.ID // in api.limiter
+	conn    *transport.Conn
+	input   *transport.Buffer // what has arrived; nil: nothing
+	reader  httpwire.CallReader
+	timeout eventloop.Deadline
+}
+
+// OnData reads what has arrived, and answers the call once it is complete.
+func (c *call) OnData(_ *transport.Conn, b *transport.Buffer) {
+	if c.input == nil {
+		c.input = b
+		c.api.limiter.RequestStarted(c.api.dispatcher.Loop.Now(), c.id)
+	} else {
+		fits := c.input.Append(b.Bytes())
+		c.api.engine.Pool.Put(b)
+		if !fits {
+			c.respond(statusContentTooLarge, "the call is too long\n", "")
+			return
+		}
+	}
+	request, complete, err := c.reader.Read(c.input.Bytes())
+	switch {
+	case err != nil:
+		c.respondError(httpwire.StatusOf(err), err)
+	case complete:
+		c.serve(request)
+	}
+}
+
+// OnClosed is called when the caller has closed the connection.
+func (c *call) OnClosed(*transport.Conn, error) { c.release() }
+
+// expire ends a call that is not complete in time.
+func (c *call) expire() {
+	if c.input == nil {
+		c.release()
+		c.conn.Close()
+		return
+	}
+	c.respond(statusRequestTimeout, "the call did not come in time\n", "")
+}
+
+// release gives back what an unanswered call holds.
+func (c *call) release() {
+	c.api.limiter.Closed(c.id)
+	c.api.calls.Remove(c.token)
+	c.api.dispatcher.Loop.Clear(&c.timeout)
+	c.api.engine.Pool.Put(c.input)
+	c.input = nil
+}
+
+// respond sends the one response and closes the connection. headers are further
+// header fields, each with its line end.
+func (c *call) respond(status int, body, headers string) {
+	c.release()
+	c.conn.Write(httpwire.AppendResponse(nil, status, []byte(body), 0, true, headers))
+	c.conn.CloseGracefully()
+	a := c.api
+	a.removeClosed()
+	now := a.dispatcher.Loop.Now()
+	c.id = a.limiter.Adopt(now, c.token) // as a connection that is idle after its answer
+	a.limiter.BecameIdle(now, c.id, true)
+	a.answered = append(a.answered, c)
+}
+
+// respondError responds with an error's text.
+func (c *call) respondError(status int, err error) { c.respond(status, err.Error()+"\n", "") }
+
+// respondJSON responds with a value as JSON.
+func (c *call) respondJSON(value any) {
+	text, err := json.Marshal(value)
+	if err != nil {
+		c.respondError(statusInternalError, err)
+		return
+	}
+	c.respond(statusOK, string(text)+"\n", jsonHeader)
+}
+
+// respondDone responds to a call whose operation has ended, with err where it failed,
+// if the caller is still there.
+func (c *call) respondDone(err error) {
+	switch {
+	case c.api.calls.Get(c.token) != c:
+	case err != nil:
+		c.respondError(statusInternalError, err)
+	default:
+		c.respond(statusOK, "done\n", "")
+	}
+}
--- /dev/null
+++ b/internal/admin/counters.go
@@ -0,0 +1,47 @@
+package admin
+
+import "hollyyoke.example/hollyyoke/internal/invariant"
+
+// countersView is the answer to /control/counters.
+type countersView struct {
+	Succeeded  map[string]uint64 `json:"succeeded"` // final answers, by class
+	Rejected   map[string]uint64 `json:"declined"`
+	Failed     map[string]uint64 `json:"aborted"`
+	Attempts   uint64            `json:"forwards"` // that were sent
+	Unanswered int               `json:"outstanding"`
+	Workers    int               `json:"discovered"`
+	Ejected    int               `json:"ejected"`
+}
+
+// getCounters responds with the dispatcher's counters.
+func (c *call) getCounters(string) {
+	d := c.api.dispatcher
+	view := countersView{
+		Succeeded:  map[string]uint64{},
+		Rejected:   map[string]uint64{},
+		Failed:     map[string]uint64{},
+		Attempts:   d.Counts().Sent,
+		Unanswered: d.Unanswered(),
+		Workers:    d.WorkerCount(c.api.workers),
+		Ejected:    d.EjectedCount(c.api.workers),
+	}
+	for i, class := range d.Settings.Classes {
+		counts := d.ClassCounts(i)
+		view.Succeeded[class.Name] = counts.Served
+		view.Rejected[class.Name] = counts.Rejected
+		view.Failed[class.Name] = counts.Failed
+	}
+	c.respondJSON(view)
+}
+
+// invariantsView is the answer to /control/invariants, by rule.
+type invariantsView struct {
+	Prevented invariant.Counts `json:"prevented"` // violations that the guard prevented
+	Violated  invariant.Counts `json:"violated"`  // violations that happened
+}
+
+// getInvariants responds with the guard's counts.
+func (c *call) getInvariants(string) {
+	guard := &c.api.dispatcher.Guard
+	c.respondJSON(invariantsView{Prevented: guard.Prevented(), Violated: guard.Violated()})
+}
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -31,13 +31,14 @@
 	goldentest.Compare(t, name, strings.ReplaceAll(got, "\r", `\r`))
 }
 
-// changing is what differs from run to run: times to come, and what a bar has left.
+// changing is what differs from run to run: future times, and the rest of a block's time.
 var changing = regexp.MustCompile(`"due":"20[2-8][^"]*"|"for_s":[0-9.]+`)
 
-// transcript makes calls one after the other and writes down both sides' bytes.
+// transcript makes calls one after the other and returns the bytes of both sides.
 func transcript(t *testing.T, addr string, calls ...string) string {
 	t.Helper()
-	r, text := rig{addr: addr}, strings.Builder{}
+	r := testAPI{addr: addr}
+	var text strings.Builder
 	for _, call := range calls {
 		conn := r.dial(t)
 		method, _, _ := strings.Cut(call, " ")
@@ -62,9 +63,9 @@
 	return text.String()
 }
 
-// What is answered where nothing is on, and what is wrong with a call.
+// The answers where all subsystems are off, and those to wrong calls.
 func TestGoldenCalls(t *testing.T) {
-	r := newRig(t)
+	r := newTestAPI(t)
 	text := transcript(t, r.addr,
 		"GET /control/ready", "GET /control/counters", "GET /control/invariants",
 		"PUT /control/out-of-service", "PUT /control/in-service",
@@ -83,35 +84,37 @@
 		"nonsense", "PUT /control/ready HTTP/1.1\r\nContent-Length: 70000\r\nX:",
 	)
 	text = strings.ReplaceAll(text, strings.Repeat("x", 7000), "(7000 times x)")
-	r.do(func() { r.ready, r.no = false, io.ErrClosedPipe })
+	r.do(func() {
+		r.ready = false
+		r.refusal = io.ErrClosedPipe
+	})
 	text += transcript(t, r.addr, "GET /control/ready", "PUT /control/out-of-service", "PUT /control/in-service")
-	half := r.dial(t)
-	io.WriteString(half, "GET /control/re")
-	answer, err := io.ReadAll(half)
+	incomplete := r.dial(t)
+	io.WriteString(incomplete, "GET /control/re")
+	answer, err := io.ReadAll(incomplete)
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden(t, "calls.golden", text+"> half a call\n"+string(answer))
 }
 
-// The figures and the guard's counts, with something in each field. Every rule
-// is broken a number of times of its own, so that names cannot change places.
-func TestGoldenFigures(t *testing.T) {
-	r := newRig(t)
+// The counters and the guard's counts, with something in each field. Each rule is
+// violated another number of times, so that names cannot change places.
+func TestGoldenCounters(t *testing.T) {
+	r := newTestAPI(t)
 	r.do(func() {
-		c := r.core
-		c.UpdateWorkers(carrier{c}, decision.ListSnapshot, []decision.Endpoint{{Name: "a"}, {Name: "b"}, {Name: "d", State: decision.Draining}})
+		d := r.dispatcher
+		d.UpdateWorkers(scriptedWorkers{d}, decision.ListSnapshot, []decision.Endpoint{{Name: "a"}, {Name: "b"}, {Name: "d", State: decision.Draining}})
 		for i, id := range []string{"done-1", "done-2", "full-1", "hold-1", "hold-2"} {
-			c.Accept(deaf{}, uint64(i), dispatch.Request{ID: id, Class: i % 2})
+			d.Accept(discardResponses{}, uint64(i), dispatch.Request{ID: id, Class: i % 2})
 		}
-		c.Accept(deaf{}, 9, dispatch.Request{ID: "fail-1", Class: 1})
-		breakRules(&c.Guard)
+		d.Accept(discardResponses{}, 9, dispatch.Request{ID: "fail-1", Class: 1})
+		breakRules(&d.Guard)
 	})
 	golden(t, "figures.golden", transcript(t, r.addr, "GET /control/counters", "GET /control/invariants"))
 }
 
-// breakRules has a guard keep back and find broken what there is a rule for, the
-// n-th rule n times.
+// breakRules has a guard prevent and find violations of each rule, of the n-th n times.
 func breakRules(g *invariant.Guard) {
 	times := func(n int, f func()) {
 		for range n {
@@ -135,13 +138,13 @@
 	times(7, func() { g.CheckClosed(true, "s") })
 }
 
-// newFullRig is a rig with all that a daemon may have: connections that are
-// decided on, durable jobs, and a list that comes by versions.
-func newFullRig(t *testing.T) (r *rig, api *API, service *durable.Service) {
+// newFullTestAPI is an API with all that a daemon may have: a gate for connections, durable
+// jobs, and a versioned endpoint list.
+func newFullTestAPI(t *testing.T) (r *testAPI, api *API, service *durable.Service) {
 	t.Helper()
-	r = newRig(t)
+	r = newTestAPI(t)
 	log := slog.New(slog.DiscardHandler)
-	service, err := durable.Open(r.core.Loop, durable.Config{
+	service, err := durable.Open(r.dispatcher.Loop, durable.Config{
 		Path: filepath.Join(t.TempDir(), "jobs.db"), Jobs: jobs.Config{LeaseDuration: 50 * time.Millisecond, RecoveryGrace: time.Millisecond},
 	}, log)
 	if err != nil {
@@ -150,29 +153,29 @@
 	t.Cleanup(func() { r.do(func() { service.Close() }) })
 	service.OnRunnable = func(jobs.Job) {}
 	var engine *transport.Engine
-	r.do(func() { engine, err = transport.NewEngine(r.core.Loop, 200) })
+	r.do(func() { engine, err = transport.NewEngine(r.dispatcher.Loop, 200) })
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(engine.StopListening)
 	r.do(func() {
 		service.Start()
-		guard, bad := listener.New(r.core.Loop, engine, listener.Config{
+		gate, gateErr := listener.New(r.dispatcher.Loop, engine, listener.Config{
 			Limits: connlimit.Config{Capacity: 50, Reserve: 10, Known: []netip.Prefix{netip.MustParsePrefix("10.9.0.0/16")},
 				Address: connlimit.Limits{Open: 2}},
 			Watermarks: connlimit.Watermarks{Low: 0.5, High: 0.7, Critical: 0.9, Back: 0.1}, DescriptorFloors: [connlimit.DescriptorKinds]int{1, 2, 3, 4, 5},
 		}, 100, log)
-		if bad != nil {
-			t.Error(bad)
+		if gateErr != nil {
+			t.Error(gateErr)
 			return
 		}
-		now := r.core.Loop.Now()
+		now := r.dispatcher.Loop.Now()
 		for i, addr := range []string{"10.9.0.1", "10.8.0.1", "10.8.0.1", "10.8.0.1"} {
-			guard.Limiter.Admit(now, netip.MustParseAddr(addr), uint64(i))
+			gate.Limiter.Admit(now, netip.MustParseAddr(addr), uint64(i))
 		}
-		api = New(r.core, engine, carrier{r.core}, Operations{
+		api = New(r.dispatcher, engine, scriptedWorkers{r.dispatcher}, Operations{
 			Ready: func() bool { return true }, SetOutOfService: func(bool) error { return nil },
-			Gate: guard, Jobs: func() *durable.Service { return service },
+			Gate: gate, Jobs: func() *durable.Service { return service },
 			Membership: func() discovery.Stats {
 				return discovery.Stats{
 					BytesRead: 1, BytesWritten: 2, Applied: 3, Refused: 4, Snapshots: 5, Deltas: 6, Acknowledged: 7, Failovers: 8,
@@ -189,7 +192,7 @@
 }
 
 func TestGoldenMembershipAndConnections(t *testing.T) {
-	r, _, _ := newFullRig(t)
+	r, _, _ := newFullTestAPI(t)
 	golden(t, "connections.golden", transcript(t, r.addr,
 		"GET /control/membership", "GET /control/connections",
 		"PUT /control/connections/bar?prefix=10.1.2.3/24&for=1h", "PUT /control/connections/bar?prefix=10.8.0.1&for=15m",
@@ -203,7 +206,7 @@
 }
 
 func TestGoldenJobs(t *testing.T) {
-	r, _, service := newFullRig(t)
+	r, _, service := newFullTestAPI(t)
 	stored := func(what string, start func(done func(error))) {
 		t.Helper()
 		result := make(chan error, 1)
@@ -237,7 +240,7 @@
 	stored("ack", func(done func(error)) { service.Ack("done-1", fence, []byte("r"), done) })
 	lease("doubt-1")
 	lease("doubt-2")
-	for end := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
 		count := 0
 		r.do(func() { count = service.Counts()[jobs.InDoubt] })
 		if count == 2 {
@@ -261,16 +264,16 @@
 	))
 }
 
-// A page that is full tells where the next begins.
+// A full page has the number at which the next begins.
 func TestGoldenJobsPage(t *testing.T) {
-	r, _, service := newFullRig(t)
-	results := make(chan error, pageJobs+1)
+	r, _, service := newFullTestAPI(t)
+	results := make(chan error, maxPageJobs+1)
 	r.do(func() {
-		for i := range pageJobs + 1 {
+		for i := range maxPageJobs + 1 {
 			service.Push(jobs.Job{ID: fmt.Sprintf("job-%03d", i), Class: "c"}, 0, func(err error) { results <- err })
 		}
 	})
-	for range pageJobs + 1 {
+	for range maxPageJobs + 1 {
 		if err := <-results; err != nil {
 			t.Fatal(err)
 		}
