--- a/cmd/dispatcher-serve/golden_test.go
+++ b/cmd/dispatcher-serve/golden_test.go
@@ -10,11 +10,11 @@
 	"hollyyoke.example/hollyyoke/internal/goldentest"
 )
 
-// tellFlags makes this test's program tell the flags that main declares.
-const tellFlags = "HOLLYYOKE_TEST_TELL_FLAGS"
+// printFlags makes this test's program print the flags that main declares.
+const printFlags = "HOLLYYOKE_TEST_TELL_FLAGS"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(tellFlags) == "" {
+	if os.Getenv(printFlags) == "" {
 		os.Exit(m.Run())
 	}
 	flag.CommandLine = flag.NewFlagSet("", flag.ExitOnError)
@@ -28,11 +28,11 @@
 	main()
 }
 
-// The command line of the lean program is what hollyyoke hands to it, and units
-// that start it without hollyyoke.
+// Command dispatcher and units that start dispatcher-serve directly depend on its
+// command line.
 func TestGoldenCommandLine(t *testing.T) {
 	child := exec.Command(os.Args[0])
-	child.Env = append(os.Environ(), tellFlags+"=1")
+	child.Env = append(os.Environ(), printFlags+"=1")
 	out, err := child.Output()
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/dispatcher-serve/main.go
+++ b/cmd/dispatcher-serve/main.go
@@ -1,6 +1,6 @@
-// Command dispatcher-serve is the dispatcher's process, and nothing else: dispatcher
-// becomes it. This file owns its start. It must never link the command line's
-// library, or anything of the kit.
+// Command dispatcher-serve runs the dispatcher's process and nothing else. Command
+// dispatcher replaces itself with it, and units may start it directly. It does not link
+// the command line's library or the rehearsal kit, which keeps its memory small.
 package main
 
 import (
@@ -12,14 +12,14 @@
 )
 
 func main() {
-	var f daemon.Files
-	flag.StringVar(&f.Config, "config", "", "configuration `file`; BALANCER_CONFIG where not given")
-	flag.StringVar(&f.Faktory, "faktory", "", "operator's `file` of the Faktory front")
-	flag.StringVar(&f.Operator, "operator", "", "operator's `file`")
-	form := flag.String("log-format", "text", "text or json")
-	flag.BoolVar(&f.Trace, "trace", false, "log each step of each req, by the client's name for it")
+	var files daemon.Files
+	flag.StringVar(&files.Config, "config", "", "configuration `file`; BALANCER_CONFIG where not given")
+	flag.StringVar(&files.Faktory, "faktory", "", "operator's `file` of the Faktory front end")
+	flag.StringVar(&files.Operator, "operator", "", "operator's `file`")
+	logFormat := flag.String("log-format", "text", "text or json")
+	flag.BoolVar(&files.Trace, "trace", false, "log each step of each request, under the id that the client gave")
 	flag.Parse()
-	if err := daemon.Serve(f, os.Getenv, daemon.NewLogger(os.Stderr, *form)); err != nil {
+	if err := daemon.Serve(files, os.Getenv, daemon.NewLogger(os.Stderr, *logFormat)); err != nil {
 		fmt.Fprintln(os.Stderr, "dispatcher:", err)
 		os.Exit(1)
 	}
--- a/cmd/dispatcher/golden_test.go
+++ b/cmd/dispatcher/golden_test.go
@@ -13,8 +13,8 @@
 	"hollyyoke.example/hollyyoke/internal/goldentest"
 )
 
-// The command line is what operators' units and scripts are written against, and
-// its names are derived from Go's.
+// Operators' units and scripts depend on the command line, whose names kong derives
+// from those of Go fields.
 func TestGoldenCommandLine(t *testing.T) {
 	parser, err := kong.New(&cli{})
 	if err != nil {
@@ -23,24 +23,24 @@
 	goldentest.Compare(t, "commandline.golden", goldentest.Lines(goldentest.Commands(parser.Model)))
 }
 
-// Earlier versions had these options with one dash, as the lean program still has.
+// These options may be written with one dash, as dispatcher-serve has them.
 func TestGoldenSingleDashOptions(t *testing.T) {
-	goldentest.Compare(t, "singledash.golden", goldentest.Lines(slices.Sorted(slices.Values(options))))
+	goldentest.Compare(t, "singledash.golden", goldentest.Lines(slices.Sorted(slices.Values(singleDashOptions))))
 }
 
-// The command line and the check read these variables of the environment; where one
-// names a file, the error tells it.
+// The command line and the check read these environment variables; where one names a
+// file that does not exist, the error has its path.
 func TestGoldenEnvironment(t *testing.T) {
-	asked := map[string]bool{}
+	read := map[string]bool{}
 	config := filepath.Join("..", "..", "deploy", "faktory-config.json")
 	var out bytes.Buffer
-	if err := command([]string{"check", config}, func(name string) string { asked[name] = true; return "" }, &out, &out); err == nil {
-		t.Error("a configuration without anything to listen on is taken")
+	if err := command([]string{"check", config}, func(name string) string { read[name] = true; return "" }, &out, &out); err == nil {
+		t.Error("a configuration without anything to listen on is accepted")
 	}
-	lines := slices.Sorted(maps.Keys(asked))
+	lines := slices.Sorted(maps.Keys(read))
 	for _, name := range slices.Clone(lines) {
-		env := func(asked string) string {
-			if asked == name {
+		env := func(variable string) string {
+			if variable == name {
 				return "/nowhere"
 			}
 			return ""
--- a/cmd/dispatcher/main.go
+++ b/cmd/dispatcher/main.go
@@ -1,7 +1,9 @@
-// Command dispatcher is the dispatcher's command line: serve, check, version. This
-// file owns it. Serving is dispatcher-serve's, which this process becomes where it
-// lies beside it: the command line's library would take two megabytes for as
-// long as the dispatcher runs. It must never start a second process.
+// Command dispatcher is the dispatcher's command line: serve, check, jobs and version.
+//
+// To serve, it replaces itself (execve) with dispatcher-serve where that program lies
+// in the same directory: dispatcher-serve does without the command line's library,
+// which would take two megabytes for as long as the dispatcher runs. No second process
+// is started.
 package main
 
 import (
@@ -28,18 +30,17 @@
 	}
 }
 
-// cli is the command line. Each option may be spelled with one dash, as earlier
-// versions had them.
+// cli is the command line. The options may be written with one dash too.
 type cli struct {
-	Faktory   string `placeholder:"FILE" help:"Operator's file of the Faktory front; HOLLYYOKE_FAKTORY where not given; off without."`
+	Faktory   string `placeholder:"FILE" help:"Operator's file of the Faktory front end; HOLLYYOKE_FAKTORY where not given; off without."`
 	Operator  string `placeholder:"FILE" help:"Operator's file, a table for each subsystem; HOLLYYOKE_OPERATOR where not given; off without."`
-	Trace     bool   `help:"Log each step of each req, by the client's name for it: one line a step."`
+	Trace     bool   `help:"Log each step of each request, under the id that the client gave: one line a step."`
 	LogFormat string `enum:"text,json" default:"text" help:"Form of the log on standard error: text or json."`
 
 	Serve   serveCmd   `cmd:"" default:"withargs" help:"Run the dispatcher (the default)."`
-	Check   checkCmd   `cmd:"" help:"Check a configuration and tell what it says, without starting anything."`
-	Jobs    jobsCmd    `cmd:"" help:"Look at durable jobs and decide on them, in the file of a stopped dispatcher or through a running one's door."`
-	Version versionCmd `cmd:"" help:"Tell the version."`
+	Check   checkCmd   `cmd:"" help:"Check a configuration and print what it says, without starting anything."`
+	Jobs    jobsCmd    `cmd:"" help:"Look at durable jobs and decide on them, in the file of a stopped dispatcher or through the admin API of a running one."`
+	Version versionCmd `cmd:"" help:"Print the version."`
 }
 
 type serveCmd struct {
@@ -52,18 +53,19 @@
 
 type versionCmd struct{}
 
-// options in their spellings with one dash.
-var options = []string{"config", "faktory", "operator", "log-format", "trace", "help"}
+// singleDashOptions are the long options that may be written with one dash, as
+// dispatcher-serve has them.
+var singleDashOptions = []string{"config", "faktory", "operator", "log-format", "trace", "help"}
 
-// command carries out a command line. The process's exit code is 0 unless an error is returned.
+// Environment variables that name files where no option does.
+const (
+	envFaktory  = "HOLLYYOKE_FAKTORY"
+	envOperator = "HOLLYYOKE_OPERATOR"
+)
+
+// command runs a command line and returns once the command has ended. The process's
+// exit code is 0 unless an error is returned.
 func command(args []string, env func(string) string, out, errs io.Writer) error {
-	args = slices.Clone(args)
-	for i, a := range args {
-		name, _, _ := strings.Cut(strings.TrimLeft(a, "-"), "=")
-		if strings.HasPrefix(a, "-") && !strings.HasPrefix(a, "--") && slices.Contains(options, name) {
-			args[i] = "-" + a
-		}
-	}
 	var c cli
 	helped := false
 	parser, err := kong.New(&c, kong.Name("dispatcher"), kong.Writers(out, errs), kong.Exit(func(int) { helped = true }),
@@ -71,46 +73,86 @@
 	if err != nil {
 		return err
 	}
-	k, err := parser.Parse(args)
+	parsed, err := parser.Parse(doubleDashes(args))
 	if helped || err != nil {
 		return err
 	}
-	files := daemon.Files{Faktory: cmp.Or(c.Faktory, env("HOLLYYOKE_FAKTORY")), Operator: cmp.Or(c.Operator, env("HOLLYYOKE_OPERATOR")), Trace: c.Trace}
-	switch k.Command() {
+	files := daemon.Files{
+		Faktory:  cmp.Or(c.Faktory, env(envFaktory)),
+		Operator: cmp.Or(c.Operator, env(envOperator)),
+		Trace:    c.Trace,
+	}
+	switch name := parsed.Command(); name {
 	case "version":
-		version := "(devel)"
-		if info, ok := debug.ReadBuildInfo(); ok {
-			version = info.Main.Version
-		}
-		fmt.Fprintln(out, "hollyyoke", version)
+		printVersion(out)
 		return nil
 	case "check", "check <file>":
 		files.Config = c.Check.File
 		return daemon.Check(files, env, out)
+	default:
+		if jobsCommand, found := strings.CutPrefix(name, "jobs "); found {
+			verb, _, _ := strings.Cut(jobsCommand, " ")
+			return c.Jobs.run(verb, out)
+		}
+		files.Config = c.Serve.Config
+		return serve(files, c.LogFormat, env, errs)
 	}
-	if verb, is := strings.CutPrefix(k.Command(), "jobs "); is {
-		verb, _, _ = strings.Cut(verb, " ")
-		return c.Jobs.run(verb, out)
-	}
-	files.Config = c.Serve.Config
-	if path := beside(); path != "" {
-		args := []string{path, "-config", files.Config, "-faktory", files.Faktory, "-operator", files.Operator, "-log-format", c.LogFormat, fmt.Sprintf("-trace=%v", c.Trace)}
-		signal.Ignore(syscall.SIGHUP) // until the other image listens for it
-		if err := syscall.Exec(path, args, os.Environ()); err != nil {
-			return fmt.Errorf("%s: %w", path, err)
+}
+
+// doubleDashes returns args with two dashes before the long options that have one.
+func doubleDashes(args []string) []string {
+	args = slices.Clone(args)
+	for i, arg := range args {
+		name, _, _ := strings.Cut(strings.TrimLeft(arg, "-"), "=")
+		oneDash := strings.HasPrefix(arg, "-") && !strings.HasPrefix(arg, "--")
+		if oneDash && slices.Contains(singleDashOptions, name) {
+			args[i] = "-" + arg
 		}
 	}
-	return daemon.Serve(files, env, daemon.NewLogger(errs, c.LogFormat))
+	return args
+}
+
+// printVersion prints the version of the module.
+func printVersion(out io.Writer) {
+	version := "(devel)"
+	if info, ok := debug.ReadBuildInfo(); ok {
+		version = info.Main.Version
+	}
+	fmt.Fprintln(out, "hollyyoke", version)
+}
+
+// serve runs the dispatcher: as dispatcher-serve, which this process becomes, or in
+// this program where there is none.
+func serve(files daemon.Files, logFormat string, env func(string) string, errs io.Writer) error {
+	path := servePath()
+	if path == "" {
+		return daemon.Serve(files, env, daemon.NewLogger(errs, logFormat))
+	}
+	args := []string{
+		path,
+		"-config", files.Config,
+		"-faktory", files.Faktory,
+		"-operator", files.Operator,
+		"-log-format", logFormat,
+		fmt.Sprintf("-trace=%v", files.Trace),
+	}
+	signal.Ignore(syscall.SIGHUP) // until dispatcher-serve handles it
+	if err := syscall.Exec(path, args, os.Environ()); err != nil {
+		return fmt.Errorf("%s: %w", path, err)
+	}
+	return nil // not reached: Exec returns errors only
 }
 
-// beside is the lean image of the daemon, if it lies beside this program.
-func beside() string {
+// servePath returns the path of dispatcher-serve, if it is an executable file in this
+// program's directory; empty: it is not.
+func servePath() string {
 	self, err := os.Executable()
 	if err != nil {
 		return ""
 	}
 	path := filepath.Join(filepath.Dir(self), "dispatcher-serve")
-	if info, err := os.Stat(path); err != nil || !info.Mode().IsRegular() || info.Mode()&0o111 == 0 {
+	info, err := os.Stat(path)
+	if err != nil || !info.Mode().IsRegular() || info.Mode()&0o111 == 0 {
 		return ""
 	}
 	return path
