--- a/cmd/dispatcher/follow_test.go
+++ b/cmd/dispatcher/follow_test.go
@@ -16,9 +16,9 @@
 // servers in it. SIGHUP takes over other servers; a table that is wrong changes
 // nothing; and the admin API tells the version in force.
 func TestFollowsVersionedChanges(t *testing.T) {
-	w := operate(t, keep(t))
-	a, b := w.backend("s-1", done), w.backend("s-2", done)
-	origin := func(hosts ...*backend) *standin.Discovery {
+	w := newDaemonWithAdmin(t, newPlatformListener(t))
+	a, b := w.addWorker("s-1", respondDone), w.addWorker("s-2", respondDone)
+	origin := func(hosts ...*testWorker) *standin.Discovery {
 		d, err := standin.StartDiscovery(nil)
 		if err != nil {
 			t.Fatal(err)
@@ -50,35 +50,35 @@
 				Version int
 				Server  string
 			}
-			_, text := w.admin("GET", "/control/membership")
+			_, text := w.callAdmin("GET", "/control/membership")
 			return json.Unmarshal([]byte(text), &stats) == nil && stats.Version == version && stats.Server == d.Addr
 		}
 	}
-	w.until("the first server is followed", follows(first, 51))
+	w.waitUntil("the first server is followed", follows(first, 51))
 	for text, want := range map[string]string{
 		"on = false": "membership.on: only a restart", "on = true": "membership.servers: none",
 		server(second) + "zone = \"nowhere\"\n": "membership.servers[0].zone",
 	} {
 		table(text)
 		w.signal(syscall.SIGHUP)
-		w.says(want)
+		w.waitForLog(want)
 	}
 	if !follows(first, 51)() {
 		t.Error("a wrong table has changed something")
 	}
 	table(server(second))
 	w.signal(syscall.SIGHUP)
-	w.until("the second server is followed", follows(second, 52))
+	w.waitUntil("the second server is followed", follows(second, 52))
 	second.Set(standin.Host{Host: "s-1", Dial: "127.0.0.1:9", Health: "gone"})
-	w.until("its change is in force", follows(second, 53))
-	before := len(a.arrivals())
+	w.waitUntil("its change is in force", follows(second, 53))
+	before := len(a.requests())
 	for i := range 10 {
 		if status, _, _ := w.post("renewal", fmt.Sprint("job-", i), "x", 0); status != 200 {
 			t.Errorf("job %d: %d", i, status)
 		}
 	}
-	if len(a.arrivals()) != before || len(b.arrivals()) != 10 {
-		t.Errorf("%d jobs went to the one that has gone, %d to the other", len(a.arrivals())-before, len(b.arrivals()))
+	if len(a.requests()) != before || len(b.requests()) != 10 {
+		t.Errorf("%d jobs went to the one that has gone, %d to the other", len(a.requests())-before, len(b.requests()))
 	}
 	select {
 	case q := <-w.watches:
@@ -86,15 +86,15 @@
 	default:
 	}
 	w.signal(syscall.SIGTERM)
-	if code := w.ended(); code != 0 || strings.Contains(w.log.String(), "panic") {
+	if code := w.waitForExit(); code != 0 || strings.Contains(w.log.String(), "panic") {
 		t.Errorf("exit code %d", code)
 	}
 }
 
 // listedHost is a backend as a stand-in for discovery lists it.
-func listedHost(t *testing.T, b *backend) (h standin.Host) {
+func listedHost(t *testing.T, b *testWorker) (h standin.Host) {
 	t.Helper()
-	if err := json.Unmarshal([]byte(b.entry("ready")), &h); err != nil {
+	if err := json.Unmarshal([]byte(b.listEntry("ready")), &h); err != nil {
 		t.Fatal(err)
 	}
 	return h
--- a/cmd/dispatcher/kill_test.go
+++ b/cmd/dispatcher/kill_test.go
@@ -30,8 +30,8 @@
 // history, which porcupine checks against the rules of leases. Broken on
 // purpose, by a build that looks at no fence, both must find it.
 
-// call is one call of a client, by the client's clock.
-type call struct {
+// historyCall is one historyCall of a client, by the client's clock.
+type historyCall struct {
 	Client int
 	Kind   string // push, lease, start, ack
 	Jid    string
@@ -44,10 +44,10 @@
 // faktoryClient speaks the protocol; every error is a lost connection.
 type faktoryClient struct {
 	conn net.Conn
-	r    *bufio.Reader
+	reader    *bufio.Reader
 }
 
-func faktoryDial(dir string, hello map[string]any) (*faktoryClient, error) {
+func dialFaktory(dir string, hello map[string]any) (*faktoryClient, error) {
 	addr, err := os.ReadFile(filepath.Join(dir, "addr"))
 	if err != nil {
 		return nil, err
@@ -57,7 +57,7 @@
 		return nil, err
 	}
 	c := &faktoryClient{conn, bufio.NewReader(conn)}
-	if _, err = c.reply(); err == nil {
+	if _, err = c.readReply(); err == nil {
 		hello["v"] = 2
 		raw, _ := json.Marshal(hello)
 		_, err = c.do("HELLO " + string(raw))
@@ -68,16 +68,16 @@
 	return c, err
 }
 
-func (c *faktoryClient) reply() (string, error) {
-	c.conn.SetDeadline(time.Now().Add(patience))
-	line, err := c.r.ReadString('\n')
+func (c *faktoryClient) readReply() (string, error) {
+	c.conn.SetDeadline(time.Now().Add(testTimeout))
+	line, err := c.reader.ReadString('\n')
 	line = strings.TrimRight(line, "\r\n")
 	n, bulk := strconv.Atoi(strings.TrimPrefix(line, "$"))
 	if err != nil || line == "" || line[0] != '$' || bulk != nil || n < 0 {
 		return line, err
 	}
 	text := make([]byte, n+2)
-	_, err = io.ReadFull(c.r, text)
+	_, err = io.ReadFull(c.reader, text)
 	return string(text[:n]), err
 }
 
@@ -85,11 +85,11 @@
 	if _, err := c.conn.Write([]byte(command + "\r\n")); err != nil {
 		return "", err
 	}
-	return c.reply()
+	return c.readReply()
 }
 
-// killWorker is a worker process: two slots, an order of its own, books that outlive it.
-func killWorker(dir, wid, promise string, seed uint64, slow float64) {
+// runKillWorker is a worker process: two slots, an order of its own, books that outlive it.
+func runKillWorker(dir, wid, promise string, seed uint64, slow float64) {
 	open := func(name string) *os.File {
 		f, err := os.OpenFile(filepath.Join(dir, name), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 		if err != nil {
@@ -112,13 +112,13 @@
 							labels = append(labels, promise)
 						}
 						var err error
-						if c, err = faktoryDial(dir, map[string]any{"wid": wid, "labels": labels}); err != nil {
+						if c, err = dialFaktory(dir, map[string]any{"wid": wid, "labels": labels}); err != nil {
 							c = nil
 							time.Sleep(3 * time.Millisecond)
 							continue
 						}
 					}
-					k := call{Client: client, Kind: kind, Jid: jid, Fence: fence, Began: time.Now().UnixNano()}
+					k := historyCall{Client: client, Kind: kind, Jid: jid, Fence: fence, Began: time.Now().UnixNano()}
 					line := func() {
 						if raw, _ := json.Marshal(k); kind != "lease" {
 							history.Write(append(raw, '\n'))
@@ -150,7 +150,7 @@
 				if !ok || json.Unmarshal([]byte(got), &job) != nil || job.Jid == "" {
 					continue
 				}
-				raw, _ := json.Marshal(call{client, "lease", job.Jid, job.Custom.Fence, began, time.Now().UnixNano(), true})
+				raw, _ := json.Marshal(historyCall{client, "lease", job.Jid, job.Custom.Fence, began, time.Now().UnixNano(), true})
 				history.Write(append(raw, '\n'))
 				lease := fmt.Sprintf(`{"jid":%q,"fence":%d}`, job.Jid, job.Custom.Fence)
 				if random.Float64() < slow { // of them half longer than the lease
@@ -177,17 +177,17 @@
 	select {}
 }
 
-// killed is what came of a run.
-type killed struct {
-	kills, jobs, done, doubt, dead, twice, never int
-	doubtRan                                     int // of those in doubt, how many ran
+// killReport is what came of a run.
+type killReport struct {
+	kills, jobs, done, inDoubt, dead, ranTwice, neverRan int
+	inDoubtRan                                     int // of those in doubt, how many ran
 	illegal                                      int // histories against the rules
 	seconds                                      float64
-	why                                          []string
+	faults                                          []string
 }
 
-// prepareKept writes what a dispatcher with a durable queue is started with.
-func prepareKept(t *testing.T, dir string, lease float64) {
+// writeDurableConfig writes what a dispatcher with a durable queue is started with.
+func writeDurableConfig(t *testing.T, dir string, lease float64) {
 	t.Helper()
 	for name, text := range map[string]string{
 		"config.json": `{"admin_addr":"127.0.0.1:0","settings":` + strings.ReplaceAll(settingsText, "CONN_IDLE", "1000000") + `}`,
@@ -200,8 +200,8 @@
 	}
 }
 
-// launchKept starts a dispatcher, and writes its address where its clients look.
-func launchKept(t *testing.T, program, dir string) *exec.Cmd {
+// startDurable starts a dispatcher, and writes its address where its clients look.
+func startDurable(t *testing.T, program, dir string) *exec.Cmd {
 	t.Helper()
 	cmd := exec.Command(program, "serve", "--config", filepath.Join(dir, "config.json"), "--faktory", filepath.Join(dir, "faktory.toml"))
 	log, err := cmd.StderrPipe()
@@ -233,18 +233,18 @@
 	return nil
 }
 
-// kills runs jobs until so many kills and so many renewals are over.
-func kills(t *testing.T, program, promise string, seed uint64, most, renewals int, slow float64) (sum killed) {
+// runKills runs jobs until so many runKills and so many renewals are over.
+func runKills(t *testing.T, program, promise string, seed uint64, most, renewals int, slow float64) (sum killReport) {
 	t.Helper()
 	dir := t.TempDir()
 	os.Mkdir(filepath.Join(dir, "till"), 0o700)
-	prepareKept(t, dir, 0.3)
+	writeDurableConfig(t, dir, 0.3)
 	random := rand.New(rand.NewPCG(seed, 1))
 	var mu sync.Mutex // of the processes
 	var dispatcher *exec.Cmd
 	workers := map[int]*exec.Cmd{}
 	lives := 0
-	start := func() { dispatcher = launchKept(t, program, dir) }
+	start := func() { dispatcher = startDurable(t, program, dir) }
 	work := func(slot int) {
 		lives++
 		cmd := exec.Command(os.Args[0])
@@ -275,7 +275,7 @@
 		work(slot)
 	}
 	// Producers push until they hear yes, and say again what they have heard nothing of.
-	var history []call
+	var history []historyCall
 	jid := func(i int) string { return fmt.Sprintf("paid-%06d", i) }
 	next, enough := 0, make(chan struct{})
 	var producers sync.WaitGroup
@@ -299,13 +299,13 @@
 				for accepted := false; !accepted; {
 					var err error
 					if c == nil {
-						if c, err = faktoryDial(dir, map[string]any{}); err != nil {
+						if c, err = dialFaktory(dir, map[string]any{}); err != nil {
 							c = nil
 							time.Sleep(3 * time.Millisecond)
 							continue
 						}
 					}
-					k := call{Client: -1 - p, Kind: "push", Jid: jid(i), Began: time.Now().UnixNano()}
+					k := historyCall{Client: -1 - p, Kind: "push", Jid: jid(i), Began: time.Now().UnixNano()}
 					got, err := c.do(fmt.Sprintf(`PUSH {"jid":%q,"queue":"renewal","jobtype":"renewal","args":[%d]}`, jid(i), i))
 					if err != nil {
 						c.conn.Close()
@@ -347,7 +347,7 @@
 		accepted[k.Jid] = accepted[k.Jid] || k.OK
 	}
 	sum.jobs = len(accepted)
-	c, err := faktoryDial(dir, map[string]any{})
+	c, err := dialFaktory(dir, map[string]any{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -357,7 +357,7 @@
 	}
 	slices.Sort(ids)
 	final := map[string]string{}
-	limit := time.Now().Add(3 * patience)
+	limit := time.Now().Add(3 * testTimeout)
 	for _, id := range ids {
 		for {
 			got, err := c.do("TRACK GET " + id)
@@ -393,32 +393,32 @@
 		case "success":
 			sum.done++
 		case "in doubt":
-			sum.doubt++
-			sum.doubtRan += ran[id]
+			sum.inDoubt++
+			sum.inDoubtRan += ran[id]
 		default:
 			sum.dead++
 		}
 		if ran[id] > 1 {
-			sum.twice++
-			sum.why = append(sum.why, fmt.Sprintf("%s ran %d times and is %s", id, ran[id], final[id]))
+			sum.ranTwice++
+			sum.faults = append(sum.faults, fmt.Sprintf("%s ran %d times and is %s", id, ran[id], final[id]))
 		}
 		if ran[id] == 0 && final[id] != "in doubt" {
-			sum.never++
-			sum.why = append(sum.why, fmt.Sprintf("%s never ran and is %s", id, final[id]))
+			sum.neverRan++
+			sum.faults = append(sum.faults, fmt.Sprintf("%s never ran and is %s", id, final[id]))
 		}
 	}
 	files, _ := filepath.Glob(filepath.Join(dir, "history-*"))
 	for _, name := range files {
 		history = append(history, readHistory(t, name)...)
 	}
-	byJob := map[string][]call{}
+	byJob := map[string][]historyCall{}
 	for _, k := range history {
 		byJob[k.Jid] = append(byJob[k.Jid], k)
 	}
 	for _, id := range ids {
-		if !legal(promise, byJob[id]) {
+		if !linearizable(promise, byJob[id]) {
 			if sum.illegal++; sum.illegal <= 3 {
-				sum.why = append(sum.why, fmt.Sprintf("%s: %+v", id, byJob[id]))
+				sum.faults = append(sum.faults, fmt.Sprintf("%s: %+v", id, byJob[id]))
 			}
 		}
 	}
@@ -426,14 +426,14 @@
 }
 
 // readHistory reads a worker's calls: each is written as it begins, and once more as it ends.
-func readHistory(t *testing.T, name string) (list []call) {
+func readHistory(t *testing.T, name string) (list []historyCall) {
 	text, err := os.ReadFile(name)
 	if err != nil {
 		t.Fatal(err)
 	}
 	open := map[int]int{} // by client: where its call without an end is
 	for line := range bytes.Lines(text) {
-		var k call
+		var k historyCall
 		if json.Unmarshal(line, &k) != nil {
 			continue // cut off by a kill
 		}
@@ -447,19 +447,19 @@
 	return list
 }
 
-// book is a job as its callers may know it.
-type book struct {
+// leaseState is a job as its callers may know it.
+type leaseState struct {
 	pushed, started, done bool
 	fence                 uint64
 }
 
-// legal tells whether a job's calls can have happened one after the other, each
+// linearizable tells whether a job's calls can have happened one after the other, each
 // between its beginning and its end, without a rule of leases broken.
-func legal(promise string, calls []call) bool {
+func linearizable(promise string, calls []historyCall) bool {
 	model := porcupine.NondeterministicModel{
-		Init: func() []any { return []any{book{}} },
+		Init: func() []any { return []any{leaseState{}} },
 		Step: func(state, input, output any) []any {
-			b, k := state.(book), input.(call)
+			b, k := state.(leaseState), input.(historyCall)
 			after := b
 			may := true
 			switch k.Kind {
@@ -505,10 +505,10 @@
 		most, renewals = n, 2000
 	}
 	for i, promise := range []string{"", "fences:1", "idempotent:1"} {
-		sum := kills(t, binary, promise, 7+uint64(i), most, renewals, 0.02)
+		sum := runKills(t, builtProgram, promise, 7+uint64(i), most, renewals, 0.02)
 		t.Logf("workers that promise %q: %d kills, %d renewals in %.0f s: %d done, %d in doubt (%d ran), %d dead; %d ran twice, %d never, %d histories illegal",
-			promise, sum.kills, sum.jobs, sum.seconds, sum.done, sum.doubt, sum.doubtRan, sum.dead, sum.twice, sum.never, sum.illegal)
-		if sum.kills < most || sum.jobs < renewals || sum.twice+sum.never+sum.dead+sum.illegal > 0 || sum.doubt > 8*most || promise == "idempotent:1" && sum.doubt > 0 {
+			promise, sum.kills, sum.jobs, sum.seconds, sum.done, sum.inDoubt, sum.inDoubtRan, sum.dead, sum.ranTwice, sum.neverRan, sum.illegal)
+		if sum.kills < most || sum.jobs < renewals || sum.ranTwice+sum.neverRan+sum.dead+sum.illegal > 0 || sum.inDoubt > 8*most || promise == "idempotent:1" && sum.inDoubt > 0 {
 			t.Errorf("%q: %+v", promise, sum)
 		}
 		if sum.done < sum.jobs*8/10 {
@@ -525,26 +525,26 @@
 	if out, err := exec.Command("go", "build", "-tags", "nofence", "-o", broken, ".").CombinedOutput(); err != nil {
 		t.Fatalf("%s%v", out, err)
 	}
-	for _, program := range []string{binary, broken} {
+	for _, program := range []string{builtProgram, broken} {
 		dir := t.TempDir()
-		prepareKept(t, dir, 1)
-		dispatcher := launchKept(t, program, dir)
+		writeDurableConfig(t, dir, 1)
+		dispatcher := startDurable(t, program, dir)
 		defer func() { dispatcher.Process.Kill(); dispatcher.Wait() }()
-		var history []call
+		var history []historyCall
 		ran := 0
 		client := func(wid string) *faktoryClient {
 			hello := map[string]any{"labels": []string{"born_ms:1", "fences:1"}}
 			if wid != "" {
 				hello["wid"] = wid
 			}
-			c, err := faktoryDial(dir, hello)
+			c, err := dialFaktory(dir, hello)
 			if err != nil {
 				t.Fatal(err)
 			}
 			return c
 		}
 		say := func(c *faktoryClient, kind string, fence uint64, command string) (got string) {
-			k := call{Kind: kind, Jid: "late-0001", Fence: fence, Began: time.Now().UnixNano()}
+			k := historyCall{Kind: kind, Jid: "late-0001", Fence: fence, Began: time.Now().UnixNano()}
 			got, err := c.do(command)
 			if err != nil {
 				t.Fatal(err)
@@ -556,8 +556,8 @@
 			return got
 		}
 		lease := func(c *faktoryClient) uint64 {
-			for end := time.Now().Add(patience); time.Now().Before(end); {
-				k := call{Kind: "lease", Jid: "late-0001", OK: true, Began: time.Now().UnixNano()}
+			for end := time.Now().Add(testTimeout); time.Now().Before(end); {
+				k := historyCall{Kind: "lease", Jid: "late-0001", OK: true, Began: time.Now().UnixNano()}
 				var job struct{ Custom struct{ Fence uint64 } }
 				if json.Unmarshal([]byte(say(c, "", 0, "FETCH renewal")), &job) == nil && job.Custom.Fence > 0 {
 					k.Fence, k.Ended = job.Custom.Fence, time.Now().UnixNano()
@@ -581,8 +581,8 @@
 		start(a, first)
 		start(b, second)
 		say(b, "ack", second, fmt.Sprintf(`ACK {"jid":"late-0001","fence":%d}`, second))
-		if program == binary && (ran != 1 || !legal("fences:1", history)) || program == broken && (ran != 2 || legal("fences:1", history)) {
-			t.Errorf("%s: %d ran, history legal %v: %+v", program, ran, legal("fences:1", history), history)
+		if program == builtProgram && (ran != 1 || !linearizable("fences:1", history)) || program == broken && (ran != 2 || linearizable("fences:1", history)) {
+			t.Errorf("%s: %d ran, history legal %v: %+v", program, ran, linearizable("fences:1", history), history)
 		}
 	}
 }
@@ -591,8 +591,8 @@
 // file of one that has ended; each word is in the audit with its reason.
 func TestJobsCommands(t *testing.T) {
 	dir := t.TempDir()
-	prepareKept(t, dir, 0.2)
-	dispatcher := launchKept(t, binary, dir)
+	writeDurableConfig(t, dir, 0.2)
+	dispatcher := startDurable(t, builtProgram, dir)
 	defer func() { dispatcher.Process.Kill() }()
 	door, _ := os.ReadFile(filepath.Join(dir, "door"))
 	port := func() { door, _ = os.ReadFile(filepath.Join(dir, "door")) }
@@ -626,7 +626,7 @@
 		}
 	}
 	client := func(wid string) *faktoryClient {
-		c, err := faktoryDial(dir, map[string]any{"wid": wid, "labels": []string{"born_ms:1"}})
+		c, err := dialFaktory(dir, map[string]any{"wid": wid, "labels": []string{"born_ms:1"}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -639,7 +639,7 @@
 	}
 	fetch := func(c *faktoryClient) {
 		t.Helper()
-		for end := time.Now().Add(patience); ; {
+		for end := time.Now().Add(testTimeout); ; {
 			if got, err := c.do("FETCH renewal"); err != nil || time.Now().After(end) {
 				t.Fatalf("FETCH: %q, %v", got, err)
 			} else if strings.Contains(got, "jid") {
@@ -651,7 +651,7 @@
 	fetch(client("w1"))
 	push("doubt-0002", "")
 	fetch(client("w2"))
-	for end := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
 		if got := must("", "door", "list", "--state", "in doubt"); strings.Count(got, "may have run") == 2 {
 			break
 		}
@@ -710,8 +710,8 @@
 			t.Errorf("the audit lacks %q: %s", want, audit)
 		}
 	}
-	prepareKept(t, dir, 60)                 // no lease runs out any more, however slow the machine is
-	dispatcher = launchKept(t, binary, dir) // what was settled runs, and so does what was retried
+	writeDurableConfig(t, dir, 60)                 // no lease runs out any more, however slow the machine is
+	dispatcher = startDurable(t, builtProgram, dir) // what was settled runs, and so does what was retried
 	port()
 	w := client("w3")
 	fetch(w)
@@ -733,9 +733,9 @@
 // first run's result, in the next life too; what was killed in its midst is in
 // doubt until an operator settles it, and is never run again by a client's word.
 func TestIdempotencyKey(t *testing.T) {
-	w := &world{t: t}
+	w := &testDaemon{t: t}
 	arrived, release := make(chan struct{}, 1), make(chan struct{})
-	b := w.backend("s-1", held("idem:slow-1", arrived, release))
+	b := w.addWorker("s-1", respondWhenReleased("idem:slow-1", arrived, release))
 	defer close(release)
 	path := filepath.Join(t.TempDir(), "faktory.toml")
 	store := filepath.Join(t.TempDir(), "jobs.db")
@@ -762,7 +762,7 @@
 		}
 	}
 	runs := func(id string) (n int) {
-		for _, got := range b.arrivals() {
+		for _, got := range b.requests() {
 			if strings.HasPrefix(got, id+" ") {
 				n++
 			}
@@ -774,7 +774,7 @@
 	want("k-1", "silver", 422, "another request")
 	want("a b", "gold", 400, "Idempotency-Key")
 	// One request's time is up while the next on its connection waits: that one goes on waiting.
-	b.become(held("idem:timer-1", arrived, release))
+	b.setRespond(respondWhenReleased("idem:timer-1", arrived, release))
 	if got, _ := ask("k-1", "gold", 300); got != 200 {
 		t.Errorf("asked again: %d", got)
 	}
@@ -789,7 +789,7 @@
 	if got := <-status; got != 200 {
 		t.Errorf("it waited for its own time: %d", got)
 	}
-	b.become(held("idem:slow-1", arrived, release))
+	b.setRespond(respondWhenReleased("idem:slow-1", arrived, release))
 	go func() {
 		got, _ := ask("slow-1", "gold", 300)
 		status <- got
@@ -801,7 +801,7 @@
 	w.cmd.Process.Kill()
 	w.cmd.Wait()
 	w.launch("-faktory", path)
-	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
 		if r, err := http.Get("http://" + w.listen + "/healthz"); err == nil {
 			r.Body.Close()
 			if r.StatusCode == 200 {
@@ -816,10 +816,10 @@
 	want("slow-1", "gold", 409, "in doubt")
 	want("slow-1", "gold", 409, "in doubt")
 	if runs("idem:k-1") != 1 || runs("idem:slow-1") != 1 {
-		t.Errorf("ran: %q", b.arrivals())
+		t.Errorf("ran: %q", b.requests())
 	}
 	w.cmd.Process.Signal(syscall.SIGTERM)
-	if code := w.ended(); code != 0 {
+	if code := w.waitForExit(); code != 0 {
 		t.Errorf("exit code %d", code)
 	}
 	var out bytes.Buffer
@@ -831,19 +831,19 @@
 // A process with durable queues is replaced in the midst of its work: its
 // successor has the address, the store and the leases, workers come back with
 // what they hold, and a request under a key is never run by both.
-func TestKeptIsHandedOver(t *testing.T) {
-	w := operate(t, keep(t))
+func TestDurableJobsAreHandedOver(t *testing.T) {
+	w := newDaemonWithAdmin(t, newPlatformListener(t))
 	arrived, release := make(chan struct{}, 1), make(chan struct{})
 	defer close(release)
-	slow := held("idem:slow-2", arrived, release)
-	b := w.backend("s-1", func(id string, conn net.Conn) bool {
+	slow := respondWhenReleased("idem:slow-2", arrived, release)
+	b := w.addWorker("s-1", func(id string, conn net.Conn) bool {
 		if id == "idem:slow-2" {
 			return slow(id, conn)
 		}
 		io.WriteString(conn, "HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n") // the others are Faktory's
 		return true
 	})
-	ln := listen(t)
+	ln := listenLocal(t)
 	addr := ln.Addr().String()
 	ln.Close()
 	dir := t.TempDir()
@@ -855,12 +855,12 @@
 	client := func(wid string) (c *faktoryClient) {
 		t.Helper()
 		var err error
-		w.until("a session", func() bool {
+		w.waitUntil("a session", func() bool {
 			hello := map[string]any{"labels": []string{"born_ms:1"}}
 			if wid != "" {
 				hello["wid"] = wid
 			}
-			c, err = faktoryDial(dir, hello)
+			c, err = dialFaktory(dir, hello)
 			return err == nil
 		})
 		return c
@@ -871,7 +871,7 @@
 			t.Fatalf("%s: %q, %v; want %q", command, got, err, want)
 		}
 	}
-	fresh := &http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
+	fresh := &http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	ask := func(key string) int {
 		r, _ := http.NewRequest("POST", "http://"+w.listen+"/renewal/m?x=y", strings.NewReader("x"))
 		r.Header.Set("X-Correlation-Id", fmt.Sprint("c-", time.Now().UnixNano()))
@@ -908,22 +908,22 @@
 		t.Fatal("the worker got nothing")
 	}
 	do(p, `PUSH {"jid":"later-009","queue":"renewal","jobtype":"renewal","args":[1],"at":"2999-01-01T00:00:00Z"}`, "+OK")
-	next := w.beside()
-	next.until("the successor is ready", next.ready)
+	next := w.startSuccessor()
+	next.waitUntil("the successor is ready", next.ready)
 	if got, _ := p.do("TRACK GET " + holds); !strings.Contains(got, "working") {
 		t.Errorf("the first has it still: %q", got)
 	}
 	sums := map[int]int{}
 	asked := 0
-	for end := time.Now().Add(patience); (sums[202] == 0 || sums[503] == 0) && time.Now().Before(end); asked++ { // either process gets them
+	for end := time.Now().Add(testTimeout); (sums[202] == 0 || sums[503] == 0) && time.Now().Before(end); asked++ { // either process gets them
 		sums[ask("slow-2")]++
 	}
 	if sums[202] == 0 || sums[503] == 0 || sums[202]+sums[503] != asked {
 		t.Errorf("beside each other: %v", sums)
 	}
 	w.cmd.Process.Signal(syscall.SIGTERM)
-	next.says("durable jobs taken over")
-	if code := w.ended(); code != 0 {
+	next.waitForLog("durable jobs taken over")
+	if code := w.waitForExit(); code != 0 {
 		t.Errorf("exit code %d", code)
 	}
 	p, worker = client(""), client("w1")
@@ -936,7 +936,7 @@
 		t.Errorf("the request that is still held: %d", got)
 	}
 	n := 0
-	for _, got := range b.arrivals() {
+	for _, got := range b.requests() {
 		if strings.HasPrefix(got, "idem:slow-2 ") {
 			n++
 		}
@@ -944,7 +944,7 @@
 	if n != 1 {
 		t.Errorf("the request ran %d times", n)
 	}
-	if _, text := next.admin("GET", "/control/jobs?state=scheduled"); !strings.Contains(text, "later-009") {
+	if _, text := next.callAdmin("GET", "/control/jobs?state=scheduled"); !strings.Contains(text, "later-009") {
 		t.Errorf("the successor's door: %s", text)
 	}
 }
--- a/cmd/dispatcher/leftover_test.go
+++ b/cmd/dispatcher/leftover_test.go
@@ -17,18 +17,18 @@
 // what the daemon wrote stays in its kernel, which goes on sending it when the way
 // is free again. What was given up meanwhile must not arrive then.
 
-// cutOff is a backend whose machine takes in only the begin of a request until it is released.
-type cutOff struct {
-	*backend
+// unreadWorker is a backend whose machine takes in only the begin of a request until it is released.
+type unreadWorker struct {
+	*testWorker
 	release chan struct{}
 	mu      sync.Mutex
-	whole   []string // the ids of the requests that arrived whole, and when
-	at      []time.Time
-	began   chan struct{} // a connection has come
+	completeIDs   []string // the ids of the requests that arrived whole, and when
+	completedAt      []time.Time
+	connected   chan struct{} // a connection has come
 }
 
-// narrowWindow leaves a listener's connections room for little more than a packet.
-func narrowWindow(_, _ string, raw syscall.RawConn) (err error) {
+// minReceiveBuffer leaves a listener's connections room for little more than a packet.
+func minReceiveBuffer(_, _ string, raw syscall.RawConn) (err error) {
 	const room = 1 // the kernel makes the least of it that it allows
 	controlErr := raw.Control(func(fd uintptr) {
 		err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, room)
@@ -39,14 +39,14 @@
 	return err
 }
 
-func newCutOff(w *world, name string) *cutOff {
-	ln, err := (&net.ListenConfig{Control: narrowWindow}).Listen(context.Background(), "tcp", "127.0.0.1:0")
+func newUnreadWorker(w *testDaemon, name string) *unreadWorker {
+	ln, err := (&net.ListenConfig{Control: minReceiveBuffer}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	w.t.Cleanup(func() { ln.Close() })
-	c := &cutOff{backend: &backend{name: name, ln: ln}, release: make(chan struct{}), began: make(chan struct{}, 100)}
-	w.backends = append(w.backends, c.backend)
+	c := &unreadWorker{testWorker: &testWorker{name: name, listener: ln}, release: make(chan struct{}), connected: make(chan struct{}, 100)}
+	w.workers = append(w.workers, c.testWorker)
 	go func() {
 		for {
 			conn, err := ln.Accept()
@@ -59,9 +59,9 @@
 	return c
 }
 
-func (c *cutOff) serve(conn net.Conn) {
+func (c *unreadWorker) serve(conn net.Conn) {
 	defer conn.Close()
-	c.began <- struct{}{}
+	c.connected <- struct{}{}
 	<-c.release
 	in := bufio.NewReader(conn)
 	for {
@@ -73,65 +73,65 @@
 			return
 		}
 		c.mu.Lock()
-		c.whole, c.at = append(c.whole, req.Header.Get("X-Correlation-Id")), append(c.at, time.Now())
+		c.completeIDs, c.completedAt = append(c.completeIDs, req.Header.Get("X-Correlation-Id")), append(c.completedAt, time.Now())
 		c.mu.Unlock()
 	}
 }
 
-func (c *cutOff) arrived() []string {
+func (c *unreadWorker) complete() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.whole
+	return c.completeIDs
 }
 
 // stuckBody is larger than the window and smaller than what the daemon's kernel takes.
 var stuckBody = strings.Repeat("x", 8<<10)
 
-// resetTakes is by when a connection that was given up has been reset: the poller
+// resetTimeout is by when a connection that was given up has been reset: the poller
 // closes it in its next turn, or a timer after 0.2 s at the latest.
-const resetTakes = 300 * time.Millisecond
+const resetTimeout = 300 * time.Millisecond
 
-// afterReturn releases the backend and gives what is left time to arrive.
-func (c *cutOff) afterReturn() []string {
-	time.Sleep(resetTakes)
+// releaseAndWait releases the backend and gives what is left time to arrive.
+func (c *unreadWorker) releaseAndWait() []string {
+	time.Sleep(resetTimeout)
 	close(c.release)
 	time.Sleep(time.Second) // the kernel tries a closed window again after 0.2, 0.4 and 0.8 s
-	return c.arrived()
+	return c.complete()
 }
 
 // A request is given up as its time is over, as its client leaves, and as its backend is removed
 // and the grace has passed. The way to the backend is free again later.
-func TestNothingArrivesAfterItWasGivenUp(t *testing.T) {
+func TestAbandonedRequestNeverArrives(t *testing.T) {
 	type scenario struct {
 		name   string
-		giveUp func(w *world, c *cutOff)
+		giveUp func(w *testDaemon, c *unreadWorker)
 	}
-	send := func(w *world, c *cutOff, left int) (status chan int) {
+	send := func(w *testDaemon, c *unreadWorker, left int) (status chan int) {
 		status = make(chan int, 1)
 		go func() {
 			got, _, _ := w.post("renewal", "stuck", stuckBody, left)
 			status <- got
 		}()
-		<-c.began
+		<-c.connected
 		return status
 	}
 	scenarios := []scenario{
-		{"its time is over", func(w *world, c *cutOff) { <-send(w, c, 500) }},
-		{"its client leaves", func(w *world, c *cutOff) {
+		{"its time is over", func(w *testDaemon, c *unreadWorker) { <-send(w, c, 500) }},
+		{"its client leaves", func(w *testDaemon, c *unreadWorker) {
 			conn, err := net.Dial("tcp", w.listen)
 			if err != nil {
 				w.t.Error(err)
 				return
 			}
 			io.WriteString(conn, "POST /renewal/k HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: stuck\r\nContent-Length: 8192\r\n\r\n"+stuckBody)
-			<-c.began
+			<-c.connected
 			time.Sleep(50 * time.Millisecond)
 			conn.Close()
 			time.Sleep(300 * time.Millisecond)
 		}},
-		{"its backend is removed", func(w *world, c *cutOff) {
+		{"its backend is removed", func(w *testDaemon, c *unreadWorker) {
 			status := send(w, c, 0)
-			w.changes <- `{"seq":42,"whole":false,"hosts":[` + c.entry("gone") + `]}`
+			w.changes <- `{"seq":42,"whole":false,"hosts":[` + c.listEntry("gone") + `]}`
 			select {
 			case got := <-status:
 				if got != 502 {
@@ -144,14 +144,14 @@
 	}
 	var all sync.WaitGroup
 	for _, s := range scenarios {
-		w := &world{t: t}
-		c := newCutOff(w, "s-cut")
+		w := &testDaemon{t: t}
+		c := newUnreadWorker(w, "s-cut")
 		w.start()
 		all.Add(1)
 		go func() {
 			defer all.Done()
 			s.giveUp(w, c)
-			if got := c.afterReturn(); len(got) > 0 {
+			if got := c.releaseAndWait(); len(got) > 0 {
 				t.Errorf("%s: %v arrived afterwards", s.name, got)
 			}
 		}()
--- a/cmd/dispatcher/link_test.go
+++ b/cmd/dispatcher/link_test.go
@@ -56,12 +56,12 @@
 		t.Errorf("%s names no loader: it is linked statically", name)
 	}
 	// And it serves: the folder for a successor's call cannot be had, and must not matter.
-	usual := binary
-	binary = filepath.Join(dir, name)
-	defer func() { binary = usual }()
-	k := keep(t)
-	k.folder = filepath.Join(dir, "nowhere")
-	w := operate(t, k)
-	w.backend("s-1", done)
+	usual := builtProgram
+	builtProgram = filepath.Join(dir, name)
+	defer func() { builtProgram = usual }()
+	k := newPlatformListener(t)
+	k.directory = filepath.Join(dir, "nowhere")
+	w := newDaemonWithAdmin(t, k)
+	w.addWorker("s-1", respondDone)
 	w.start()
 }
--- a/cmd/dispatcher/main_test.go
+++ b/cmd/dispatcher/main_test.go
@@ -27,21 +27,21 @@
 // These tests start the program and speak to it over sockets, with stand-ins
 // for discovery and backends. All ports are chosen by the kernel.
 
-const patience = 30 * time.Second // no test waits that long unless something is broken
+const testTimeout = 30 * time.Second // no test waits that long unless something is broken
 
-var binary string
+var builtProgram string
 
 func TestMain(m *testing.M) {
 	if dir := os.Getenv("KILL_WORKER"); dir != "" {
 		seed, _ := strconv.ParseUint(os.Getenv("KILL_SEED"), 10, 64)
 		slow, _ := strconv.ParseFloat(os.Getenv("KILL_SLOW"), 64)
-		killWorker(dir, os.Getenv("KILL_WID"), os.Getenv("KILL_PROMISE"), seed, slow)
+		runKillWorker(dir, os.Getenv("KILL_WID"), os.Getenv("KILL_PROMISE"), seed, slow)
 	}
 	dir, err := os.MkdirTemp("", "hollyyoke")
 	if err != nil {
 		panic(err)
 	}
-	binary = filepath.Join(dir, "dispatcher")
+	builtProgram = filepath.Join(dir, "dispatcher")
 	if out, err := exec.Command("go", "build", "-ldflags=-linkmode=external", "-o", dir, ".", "../dispatcher-serve").CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "%s%v\n", out, err)
 		os.Exit(1)
@@ -60,66 +60,66 @@
 "fall_us":1000000,"drain_grace_us":500000},"domain":{"tells_start":true,"progress_us":1000000,"queue_order":"fifo",
 "report_x0":"free slots"},"reporting":{"via":"answers"}}`
 
-// world is what stands around the program.
-type world struct {
+// testDaemon is what stands around the program.
+type testDaemon struct {
 	t        *testing.T
-	backends []*backend
+	workers []*testWorker
 	watches  chan string // the query of each watch
 	changes  chan string // lines for the present watch; "silence" ends the lines that show its liveness, "end" the watch
 	listen   string
 	config   map[string]any
-	path     string               // of the file
+	configPath     string               // of the file
 	env      []string             // beyond what it is told anyway
-	unready  bool                 // start does not wait until it says that it is ready
-	files    []*os.File           // that it inherits
-	first    chan string          // where discovery's first word comes from; nil: it has nothing to tell
-	script   func(conn net.Conn)  // answers each call to discovery; nil: tell does
-	begin    func()               // starts cmd in place of its own Start
+	skipReadyWait  bool                 // start does not wait until it says that it is ready
+	inheritedFiles    []*os.File           // that it inherits
+	firstLine    chan string          // where discovery's first word comes from; nil: it has nothing to tell
+	answerDiscovery   func(conn net.Conn)  // answers each call to discovery; nil: tell does
+	startProcess    func()               // starts cmd in place of its own Start
 	traced   *faultinject.Process // the daemon, where its system calls fail
 	program  string               // that is started; empty: the one under test
 	cmd      *exec.Cmd
-	log      record
+	log      logBuffer
 	client   *http.Client
 }
 
-// record is a log that may be read while it is written.
-type record struct {
+// logBuffer is a log that may be read while it is written.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (r *record) Write(p []byte) (int, error) {
+func (r *logBuffer) Write(p []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.text.Write(p)
 }
 
-func (r *record) String() string {
+func (r *logBuffer) String() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.text.String()
 }
 
-// backend is a stand-in: act answers each request.
-type backend struct {
+// testWorker is a stand-in: act answers each request.
+type testWorker struct {
 	name string
-	ln   net.Listener
+	listener   net.Listener
 	mu   sync.Mutex
-	got  []string // the ids that arrived
-	act  func(id string, conn net.Conn) (keep bool)
+	received  []string // the ids that arrived
+	respond  func(id string, conn net.Conn) (keep bool)
 }
 
-func done(id string, conn net.Conn) bool {
+func respondDone(id string, conn net.Conn) bool {
 	text := fmt.Sprintf(`{"id":%q,"state":"started"}`+"\n"+`{"id":%q,"state":"done","result":"made for %s"}`+"\n", id, id, id)
 	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(text), text)
 	return true
 }
 
-// held runs one job until its release, and all others at once.
-func held(slow string, arrived chan<- struct{}, release <-chan struct{}) func(string, net.Conn) bool {
+// respondWhenReleased runs one job until its release, and all others at once.
+func respondWhenReleased(slow string, arrived chan<- struct{}, release <-chan struct{}) func(string, net.Conn) bool {
 	return func(id string, conn net.Conn) bool {
 		if id != slow {
-			return done(id, conn)
+			return respondDone(id, conn)
 		}
 		line := func(state string) {
 			text := fmt.Sprintf(`{"id":%q,"state":%q,"result":"x"}`+"\n", id, state)
@@ -135,7 +135,7 @@
 	}
 }
 
-func listen(t *testing.T) net.Listener {
+func listenLocal(t *testing.T) net.Listener {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -144,12 +144,12 @@
 	return ln
 }
 
-func (w *world) backend(name string, act func(string, net.Conn) bool) *backend {
-	b := &backend{name: name, ln: listen(w.t), act: act}
-	w.backends = append(w.backends, b)
+func (w *testDaemon) addWorker(name string, act func(string, net.Conn) bool) *testWorker {
+	b := &testWorker{name: name, listener: listenLocal(w.t), respond: act}
+	w.workers = append(w.workers, b)
 	go func() {
 		for {
-			conn, err := b.ln.Accept()
+			conn, err := b.listener.Accept()
 			if err != nil {
 				return
 			}
@@ -159,7 +159,7 @@
 	return b
 }
 
-func (b *backend) serve(conn net.Conn) {
+func (b *testWorker) serve(conn net.Conn) {
 	defer conn.Close()
 	in := bufio.NewReader(conn)
 	for {
@@ -170,8 +170,8 @@
 		body, _ := io.ReadAll(req.Body)
 		id := req.Header.Get("X-Correlation-Id")
 		b.mu.Lock()
-		b.got = append(b.got, fmt.Sprintf("%s %s %s %s", id, req.Method, req.RequestURI, body))
-		act := b.act
+		b.received = append(b.received, fmt.Sprintf("%s %s %s %s", id, req.Method, req.RequestURI, body))
+		act := b.respond
 		b.mu.Unlock()
 		if !act(id, conn) {
 			return
@@ -179,35 +179,35 @@
 	}
 }
 
-func (b *backend) arrivals() []string {
+func (b *testWorker) requests() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return append([]string(nil), b.got...)
+	return append([]string(nil), b.received...)
 }
 
-func (b *backend) become(act func(string, net.Conn) bool) {
+func (b *testWorker) setRespond(act func(string, net.Conn) bool) {
 	b.mu.Lock()
-	b.act = act
+	b.respond = act
 	b.mu.Unlock()
 }
 
-func (b *backend) entry(health string) string {
-	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"here","class":"m","health":%q,"share":1}`, b.name, b.ln.Addr(), health)
+func (b *testWorker) listEntry(health string) string {
+	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"here","class":"m","health":%q,"share":1}`, b.name, b.listener.Addr(), health)
 }
 
 // start starts the program in the world; known tells it all backends.
-func (w *world) start(args ...string) {
+func (w *testDaemon) start(args ...string) {
 	t := w.t
 	t.Helper()
-	discovery := w.discovery()
+	discovery := w.startDiscovery()
 	if w.listen == "" {
-		ln := listen(t)
+		ln := listenLocal(t)
 		w.listen = ln.Addr().String()
 		ln.Close()
 	}
 	var hosts []json.RawMessage
-	for _, b := range w.backends {
-		hosts = append(hosts, json.RawMessage(b.entry("ready")))
+	for _, b := range w.workers {
+		hosts = append(hosts, json.RawMessage(b.listEntry("ready")))
 	}
 	idle, _ := w.config["conn_idle_us"].(string)
 	if idle == "" {
@@ -221,15 +221,15 @@
 	for k, v := range w.config {
 		config[k] = v
 	}
-	w.config, w.path = config, filepath.Join(t.TempDir(), "config.json")
-	w.write()
+	w.config, w.configPath = config, filepath.Join(t.TempDir(), "config.json")
+	w.writeConfig()
 	w.launch(args...)
-	w.client = &http.Client{Timeout: patience, Transport: &http.Transport{MaxIdleConnsPerHost: 100}}
-	if w.unready {
-		w.says("listening on")
+	w.client = &http.Client{Timeout: testTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 100}}
+	if w.skipReadyWait {
+		w.waitForLog("listening on")
 		return
 	}
-	for end := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
 		if resp, err := w.client.Get("http://" + w.listen + "/healthz"); err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == 200 {
@@ -242,13 +242,13 @@
 }
 
 // launch starts a process of the program.
-func (w *world) launch(args ...string) {
+func (w *testDaemon) launch(args ...string) {
 	t := w.t
 	t.Helper()
-	w.cmd = exec.Command(cmp.Or(w.program, binary), args...)
-	w.cmd.Env, w.cmd.ExtraFiles, w.cmd.Stderr = w.environment(), w.files, &w.log
-	if w.begin != nil {
-		w.begin()
+	w.cmd = exec.Command(cmp.Or(w.program, builtProgram), args...)
+	w.cmd.Env, w.cmd.ExtraFiles, w.cmd.Stderr = w.environment(), w.inheritedFiles, &w.log
+	if w.startProcess != nil {
+		w.startProcess()
 		return
 	}
 	if err := w.cmd.Start(); err != nil {
@@ -265,27 +265,27 @@
 	})
 }
 
-func (w *world) environment() []string {
+func (w *testDaemon) environment() []string {
 	discovery, _ := w.config["discovery"].(string)
-	env := append(os.Environ(), "BALANCER_CONFIG="+w.path, "BALANCER_LISTEN=", "BALANCER_DISCOVERY="+discovery,
+	env := append(os.Environ(), "BALANCER_CONFIG="+w.configPath, "BALANCER_LISTEN=", "BALANCER_DISCOVERY="+discovery,
 		"BALANCER_NAME=", "BALANCER_ADMIN_ADDR=", "BALANCER_FD=")
 	return append(env, w.env...)
 }
 
-// write writes the configuration file.
-func (w *world) write() {
+// writeConfig writes the configuration file.
+func (w *testDaemon) writeConfig() {
 	raw, err := json.Marshal(w.config)
 	if err == nil {
-		err = os.WriteFile(w.path, raw, 0o600)
+		err = os.WriteFile(w.configPath, raw, 0o600)
 	}
 	if err != nil {
 		w.t.Fatal(err)
 	}
 }
 
-// discovery starts a stand-in for discovery and returns its address.
-func (w *world) discovery() string {
-	ln := listen(w.t)
+// startDiscovery starts a stand-in for startDiscovery and returns its address.
+func (w *testDaemon) startDiscovery() string {
+	ln := listenLocal(w.t)
 	w.watches, w.changes = make(chan string, 100), make(chan string, 100)
 	go func() {
 		for {
@@ -293,30 +293,30 @@
 			if err != nil {
 				return
 			}
-			go w.discover(conn)
+			go w.serveDiscovery(conn)
 		}
 	}()
 	return ln.Addr().String()
 }
 
-func (w *world) discover(conn net.Conn) {
+func (w *testDaemon) serveDiscovery(conn net.Conn) {
 	defer conn.Close()
 	req, err := http.ReadRequest(bufio.NewReader(conn))
 	switch {
 	case err != nil:
-	case w.script != nil:
-		w.script(conn)
+	case w.answerDiscovery != nil:
+		w.answerDiscovery(conn)
 	default:
-		w.tell(conn, req.URL.RawQuery)
+		w.answerWatch(conn, req.URL.RawQuery)
 	}
 }
 
-// tell answers a watch that asked for a query.
-func (w *world) tell(conn net.Conn, query string) {
+// answerWatch answers a watch that asked for a query.
+func (w *testDaemon) answerWatch(conn net.Conn, query string) {
 	chunk := func(line string) { fmt.Fprintf(conn, "%x\r\n%s\n\r\n", len(line)+1, line) }
 	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-	if w.first != nil {
-		chunk(<-w.first)
+	if w.firstLine != nil {
+		chunk(<-w.firstLine)
 	} else {
 		chunk("")
 	}
@@ -343,7 +343,7 @@
 }
 
 // post sends a job and returns status, body and Retry-After.
-func (w *world) post(class, id, body string, leftMs int) (int, string, string) {
+func (w *testDaemon) post(class, id, body string, leftMs int) (int, string, string) {
 	w.t.Helper()
 	req, _ := http.NewRequest("POST", "http://"+w.listen+"/"+class+"/key-1?x=y", strings.NewReader(body))
 	req.Header.Set("X-Correlation-Id", id)
@@ -361,14 +361,14 @@
 	return resp.StatusCode, string(text), resp.Header.Get("Retry-After")
 }
 
-// ended waits for the program's end and returns its exit code.
-func (w *world) ended() int {
+// waitForExit waits for the program's end and returns its exit code.
+func (w *testDaemon) waitForExit() int {
 	w.t.Helper()
 	over := make(chan struct{})
 	go func() { w.cmd.Wait(); close(over) }()
 	select {
 	case <-over:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		w.cmd.Process.Signal(syscall.SIGQUIT) // its log then tells what it waits for
 		<-over
 		w.t.Fatal("it does not end")
@@ -376,39 +376,39 @@
 	return w.cmd.ProcessState.ExitCode()
 }
 
-func (w *world) signal(sig os.Signal) {
+func (w *testDaemon) signal(sig os.Signal) {
 	w.t.Helper()
 	if err := w.cmd.Process.Signal(sig); err != nil {
 		w.t.Fatal(err)
 	}
 }
 
-// says waits until the program has logged a text.
-func (w *world) says(text string) {
+// waitForLog waits until the program has logged a text.
+func (w *testDaemon) waitForLog(text string) {
 	w.t.Helper()
-	for end := time.Now().Add(patience); !w.hasLogged(text); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !w.hasLogged(text); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			w.t.Fatalf("it does not log %q", text)
 		}
 	}
 }
 
-func (w *world) watch() string {
+func (w *testDaemon) waitForWatch() string {
 	w.t.Helper()
 	select {
 	case q := <-w.watches:
 		return q
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		w.t.Fatal("no watch")
 		return ""
 	}
 }
 
-func TestServesAJobUnchanged(t *testing.T) {
-	w := &world{t: t}
-	b := w.backend("s-1", done)
+func TestServesRequestUnchanged(t *testing.T) {
+	w := &testDaemon{t: t}
+	b := w.addWorker("s-1", respondDone)
 	w.start()
-	if q := w.watch(); q != "watch=1&after=41" {
+	if q := w.waitForWatch(); q != "watch=1&after=41" {
 		t.Errorf("watch %q", q)
 	}
 	for i := range 5 {
@@ -417,7 +417,7 @@
 			t.Errorf("%s: %d %q", id, status, body)
 		}
 	}
-	got := b.arrivals()
+	got := b.requests()
 	if len(got) != 5 || got[4] != "id-4 POST /renewal/key-1?x=y pay" {
 		t.Errorf("arrived: %q", got)
 	}
@@ -426,31 +426,31 @@
 // A renewal that may have run is never sent again: not after a reset, not
 // after silence, not on a kept connection that turns out dead. A status-check is.
 func TestRenewalIsNeverSentTwice(t *testing.T) {
-	w := &world{t: t}
+	w := &testDaemon{t: t}
 	reset := func(string, net.Conn) bool { return false }
-	b := w.backend("s-1", done)
+	b := w.addWorker("s-1", respondDone)
 	w.start()
 	w.post("renewal", "warm-up", "x", 0)
-	b.become(reset)
+	b.setRespond(reset)
 	if status, _, _ := w.post("renewal", "reset", "x", 0); status != 502 {
 		t.Errorf("after a reset: %d", status)
 	}
-	b.become(func(_ string, conn net.Conn) bool { io.Copy(io.Discard, conn); return false })
+	b.setRespond(func(_ string, conn net.Conn) bool { io.Copy(io.Discard, conn); return false })
 	if status, _, _ := w.post("renewal", "silent", "x", 1500); status != 502 {
 		t.Errorf("after silence: %d", status)
 	}
 	var before atomic.Int32
-	b.become(func(id string, conn net.Conn) bool {
+	b.setRespond(func(id string, conn net.Conn) bool {
 		if before.Add(1) == 1 {
 			return false
 		}
-		return done(id, conn)
+		return respondDone(id, conn)
 	})
 	if status, _, _ := w.post("status-check", "check", "x", 0); status != 200 {
 		t.Errorf("a status-check after a reset: %d", status)
 	}
 	count := map[string]int{}
-	for _, a := range b.arrivals() {
+	for _, a := range b.requests() {
 		id, _, _ := strings.Cut(a, " ")
 		count[id]++
 	}
@@ -460,9 +460,9 @@
 }
 
 // What nobody can take is refused before the client gives up, and tells when to come back.
-func TestRefusalTellsWhenToComeBack(t *testing.T) {
-	w := &world{t: t}
-	w.backend("s-1", func(_ string, conn net.Conn) bool {
+func TestRejectionHasRetryAfter(t *testing.T) {
+	w := &testDaemon{t: t}
+	w.addWorker("s-1", func(_ string, conn net.Conn) bool {
 		fmt.Fprint(conn, "HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
@@ -477,11 +477,11 @@
 }
 
 // A client that hangs up has its attempt called off.
-func TestHangUpReachesTheBackend(t *testing.T) {
-	w := &world{t: t}
+func TestCancelReachesWorker(t *testing.T) {
+	w := &testDaemon{t: t}
 	gone := make(chan struct{})
 	arrived := make(chan struct{})
-	w.backend("s-1", func(_ string, conn net.Conn) bool {
+	w.addWorker("s-1", func(_ string, conn net.Conn) bool {
 		close(arrived)
 		io.Copy(io.Discard, conn)
 		close(gone)
@@ -497,7 +497,7 @@
 	conn.Close()
 	select {
 	case <-gone:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("the backend still has it")
 	}
 }
@@ -506,39 +506,39 @@
 // comes back does. A watch without lines that show liveness is given up and made anew
 // with the list kept; so is one that ends or sends what makes no sense.
 func TestDiscovery(t *testing.T) {
-	w := &world{t: t}
-	a, b := w.backend("s-a", done), w.backend("s-b", done)
+	w := &testDaemon{t: t}
+	a, b := w.addWorker("s-a", respondDone), w.addWorker("s-b", respondDone)
 	w.start()
-	w.watch()
-	w.changes <- `{"seq":42,"whole":false,"hosts":[` + a.entry("draining") + `]}`
+	w.waitForWatch()
+	w.changes <- `{"seq":42,"whole":false,"hosts":[` + a.listEntry("draining") + `]}`
 	// Told are the news once an answer that needs them has been given.
-	for i, end := 0, time.Now().Add(patience); len(b.arrivals()) == 0 && time.Now().Before(end); i++ {
+	for i, end := 0, time.Now().Add(testTimeout); len(b.requests()) == 0 && time.Now().Before(end); i++ {
 		w.post("status-check", fmt.Sprint("probe-", i), "x", 0)
 	}
 	time.Sleep(100 * time.Millisecond)
-	before := len(a.arrivals())
+	before := len(a.requests())
 	for i := range 20 {
 		if status, _, _ := w.post("renewal", fmt.Sprint("drain-", i), "x", 0); status != 200 {
 			t.Errorf("%d: %d", i, status)
 		}
 	}
-	if n := len(a.arrivals()); n != before {
+	if n := len(a.requests()); n != before {
 		t.Errorf("the draining backend got %d more", n-before)
 	}
 	for i, ill := range []string{"silence", "end", `{"seq":43,"hosts":[{"host":"","health":"ready"}]}`, "nonsense"} {
 		w.changes <- ill
-		if q := w.watch(); q != "watch=1&after=42" {
+		if q := w.waitForWatch(); q != "watch=1&after=42" {
 			t.Errorf("after %q: watch %q", ill, q)
 		}
 		if status, _, _ := w.post("renewal", fmt.Sprint("kept-", i), "x", 0); status != 200 {
 			t.Errorf("after %q: the list is lost: %d", ill, status)
 		}
 	}
-	if n := len(a.arrivals()); n != before {
+	if n := len(a.requests()); n != before {
 		t.Errorf("the draining backend got %d more", n-before)
 	}
-	w.changes <- `{"seq":44,"whole":true,"hosts":[` + a.entry("ready") + `]}`
-	for i, end := 0, time.Now().Add(patience); len(a.arrivals()) == before; i++ {
+	w.changes <- `{"seq":44,"whole":true,"hosts":[` + a.listEntry("ready") + `]}`
+	for i, end := 0, time.Now().Add(testTimeout); len(a.requests()) == before; i++ {
 		if status, _, _ := w.post("status-check", fmt.Sprint("back-", i), "x", 0); status != 200 || time.Now().After(end) {
 			t.Fatalf("the one backend listed: %d", status)
 		}
@@ -549,50 +549,50 @@
 // the discovery that it names, whatever the environment says, while the list and
 // the job that is out stay; a bad file changes nothing; near SIGTERM it does no harm.
 func TestReload(t *testing.T) {
-	w, other := &world{t: t}, &world{t: t}
+	w, other := &testDaemon{t: t}, &testDaemon{t: t}
 	hold := make(chan bool)
-	b := w.backend("s-1", func(id string, conn net.Conn) bool { <-hold; return done(id, conn) })
+	b := w.addWorker("s-1", func(id string, conn net.Conn) bool { <-hold; return respondDone(id, conn) })
 	w.start()
-	w.watch()
+	w.waitForWatch()
 	answer := make(chan int)
 	go func() {
 		status, _, _ := w.post("renewal", "held", "x", 0)
 		answer <- status
 	}()
-	for end := time.Now().Add(patience); len(b.arrivals()) == 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); len(b.requests()) == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the job does not arrive")
 		}
 	}
-	good, addr := w.config, other.discovery()
+	good, addr := w.config, other.startDiscovery()
 	for name, bad := range map[string]any{"discovery": "nowhere", "settings": map[string]any{}, "known": 5} {
 		w.config = maps.Clone(good)
 		w.config["discovery"], w.config[name] = addr, bad
-		w.write()
+		w.writeConfig()
 		w.signal(syscall.SIGHUP)
-		w.says("reload: config: " + name)
+		w.waitForLog("reload: config: " + name)
 	}
 	w.config = maps.Clone(good)
 	w.config["discovery"], w.config["limits"] = addr, map[string]any{"memory_mb": 64}
-	w.write()
+	w.writeConfig()
 	for range 3 {
 		w.signal(syscall.SIGHUP)
 	}
-	if q := other.watch(); q != "watch=1&after=41" {
+	if q := other.waitForWatch(); q != "watch=1&after=41" {
 		t.Errorf("watch %q at the new address", q)
 	}
-	w.says("a restart is needed: limits")
+	w.waitForLog("a restart is needed: limits")
 	select {
 	case q := <-w.watches:
 		t.Errorf("watch %q at the old address", q)
 	default:
 	}
-	c := w.backend("s-2", done)
-	other.changes <- `{"seq":42,"whole":false,"hosts":[` + c.entry("ready") + `]}`
-	for i, end := 0, time.Now().Add(patience); len(c.arrivals()) == 0 && time.Now().Before(end); i++ {
+	c := w.addWorker("s-2", respondDone)
+	other.changes <- `{"seq":42,"whole":false,"hosts":[` + c.listEntry("ready") + `]}`
+	for i, end := 0, time.Now().Add(testTimeout); len(c.requests()) == 0 && time.Now().Before(end); i++ {
 		w.post("status-check", fmt.Sprint("new-", i), "x", 200)
 	}
-	if len(c.arrivals()) == 0 {
+	if len(c.requests()) == 0 {
 		t.Error("the new discovery is not heard")
 	}
 	w.signal(syscall.SIGHUP)
@@ -602,7 +602,7 @@
 	if status := <-answer; status != 200 {
 		t.Errorf("the job that was out got %d", status)
 	}
-	if code := w.ended(); code != 0 {
+	if code := w.waitForExit(); code != 0 {
 		t.Errorf("exit code %d", code)
 	}
 }
@@ -610,14 +610,14 @@
 // The list known at a start may be old. The program takes jobs at once, since a
 // client kept out has nobody else to go to, but sends none by that list until
 // discovery has told what has changed.
-func TestStartWithAnOldList(t *testing.T) {
-	w := &world{t: t, first: make(chan string, 1), unready: true}
-	old := w.backend("s-old", done)
+func TestStartWithStaleList(t *testing.T) {
+	w := &testDaemon{t: t, firstLine: make(chan string, 1), skipReadyWait: true}
+	old := w.addWorker("s-old", respondDone)
 	w.start()
 	if status := w.health(); status != 503 {
 		t.Errorf("before the list is known to be good: healthz says %d", status)
 	}
-	fresh := w.backend("s-new", done)
+	fresh := w.addWorker("s-new", respondDone)
 	answer := make(chan int)
 	for i := range 4 {
 		go func() {
@@ -626,13 +626,13 @@
 		}()
 	}
 	time.Sleep(50 * time.Millisecond) // they should be waiting by now; the test holds without it too
-	w.first <- `{"seq":42,"whole":false,"hosts":[` + fresh.entry("ready") + `,` + old.entry("draining") + `]}`
+	w.firstLine <- `{"seq":42,"whole":false,"hosts":[` + fresh.listEntry("ready") + `,` + old.listEntry("draining") + `]}`
 	for range 4 {
 		if status := <-answer; status != 200 {
 			t.Errorf("status %d", status)
 		}
 	}
-	if n, m := len(old.arrivals()), len(fresh.arrivals()); n != 0 || m != 4 {
+	if n, m := len(old.requests()), len(fresh.requests()); n != 0 || m != 4 {
 		t.Errorf("the old list's backend got %d, the new one %d", n, m)
 	}
 	if status := w.health(); status != 200 {
@@ -642,10 +642,10 @@
 
 // Idle connections to a backend are closed before it may close them.
 func TestIdleConnectionsCloseFirst(t *testing.T) {
-	w := &world{t: t, config: map[string]any{"conn_idle_us": "3000000"}}
+	w := &testDaemon{t: t, config: map[string]any{"conn_idle_us": "3000000"}}
 	closed := make(chan error, 1)
-	w.backend("s-1", func(id string, conn net.Conn) bool {
-		done(id, conn)
+	w.addWorker("s-1", func(id string, conn net.Conn) bool {
+		respondDone(id, conn)
 		conn.SetReadDeadline(time.Now().Add(3 * time.Second))
 		_, err := conn.Read(make([]byte, 1))
 		closed <- err
@@ -660,8 +660,8 @@
 
 // Near the limit of descriptors idle sessions make room for new ones.
 func TestDescriptorLimit(t *testing.T) {
-	w := &world{t: t, config: map[string]any{"limits": map[string]any{"sockets": 64, "memory_mb": 192}}}
-	w.backend("s-1", done)
+	w := &testDaemon{t: t, config: map[string]any{"limits": map[string]any{"sockets": 64, "memory_mb": 192}}}
+	w.addWorker("s-1", respondDone)
 	w.start()
 	for i := range 100 {
 		conn, err := net.Dial("tcp", w.listen)
@@ -669,7 +669,7 @@
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		conn.SetDeadline(time.Now().Add(patience))
+		conn.SetDeadline(time.Now().Add(testTimeout))
 		fmt.Fprintf(conn, "POST /renewal/k HTTP/1.1\r\nX-Correlation-Id: fd-%d\r\nContent-Length: 1\r\n\r\nx", i)
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil || resp.StatusCode != 200 {
@@ -685,10 +685,10 @@
 // More clients at once than there are descriptors wait their turn: each gets a
 // whole answer, though sessions must end to make room.
 func TestMoreClientsThanDescriptors(t *testing.T) {
-	w := &world{t: t, config: map[string]any{"limits": map[string]any{"sockets": 64, "memory_mb": 192}}}
-	w.backend("s-1", func(id string, conn net.Conn) bool {
+	w := &testDaemon{t: t, config: map[string]any{"limits": map[string]any{"sockets": 64, "memory_mb": 192}}}
+	w.addWorker("s-1", func(id string, conn net.Conn) bool {
 		time.Sleep(50 * time.Millisecond)
-		return done(id, conn)
+		return respondDone(id, conn)
 	})
 	w.start()
 	var wg sync.WaitGroup
@@ -698,7 +698,7 @@
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		conn.SetDeadline(time.Now().Add(patience))
+		conn.SetDeadline(time.Now().Add(testTimeout))
 		fmt.Fprintf(conn, "POST /status-check/k HTTP/1.1\r\nX-Correlation-Id: many-%d\r\nContent-Length: 1\r\n\r\nx", i)
 		wg.Go(func() {
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -710,10 +710,10 @@
 	wg.Wait()
 }
 
-// awaitUnhealthy waits until healthz answers 503: a signal is handled some time after it is sent.
-func (w *world) awaitUnhealthy() {
+// waitUntilUnhealthy waits until healthz answers 503: a signal is handled some time after it is sent.
+func (w *testDaemon) waitUntilUnhealthy() {
 	w.t.Helper()
-	for begin := time.Now(); time.Since(begin) < patience; time.Sleep(time.Millisecond) {
+	for begin := time.Now(); time.Since(begin) < testTimeout; time.Sleep(time.Millisecond) {
 		resp, err := w.client.Get("http://" + w.listen + "/healthz")
 		if err != nil {
 			w.t.Fatalf("healthz after SIGTERM: %v", err)
@@ -728,10 +728,10 @@
 
 // At a planned restart what has been taken is answered, what comes in the
 // window is served, and the program ends with 0 only after that.
-func TestPlannedRestart(t *testing.T) {
-	w := &world{t: t}
+func TestGracefulShutdown(t *testing.T) {
+	w := &testDaemon{t: t}
 	release, arrived := make(chan struct{}), make(chan struct{}, 1)
-	w.backend("s-1", held("slow", arrived, release))
+	w.addWorker("s-1", respondWhenReleased("slow", arrived, release))
 	w.start()
 	slow := make(chan int, 1)
 	go func() {
@@ -741,9 +741,9 @@
 	<-arrived
 	w.cmd.Process.Signal(syscall.SIGTERM)
 	w.cmd.Process.Signal(syscall.SIGTERM) // said twice, it means no more
-	fresh := &http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
+	fresh := &http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	w.client, fresh = fresh, w.client
-	w.awaitUnhealthy() // the signal has been handled, so that what follows comes after it
+	w.waitUntilUnhealthy() // the signal has been handled, so that what follows comes after it
 	if status, _, _ := w.post("status-check", "new", "x", 0); status != 200 {
 		t.Errorf("a new connection after SIGTERM: %d", status)
 	}
@@ -759,7 +759,7 @@
 	if status := <-slow; status != 200 {
 		t.Errorf("what was in work: %d", status)
 	}
-	if code := w.ended(); code != 0 {
+	if code := w.waitForExit(); code != 0 {
 		t.Errorf("exit code %d", code)
 	}
 	if _, err := net.Dial("tcp", w.listen); err == nil {
@@ -769,36 +769,36 @@
 
 // SIGTERM while the program still reads what it is told is a planned end too: the
 // configuration comes through a pipe here, and only after the signal.
-func TestTermDuringTheStart(t *testing.T) {
-	w := &world{t: t}
-	w.backend("s-1", done)
+func TestSignalDuringStart(t *testing.T) {
+	w := &testDaemon{t: t}
+	w.addWorker("s-1", respondDone)
 	w.start() // for a whole configuration
 	w.cmd.Process.Kill()
 	w.cmd.Wait()
-	raw, err := os.ReadFile(w.path)
+	raw, err := os.ReadFile(w.configPath)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.path = filepath.Join(t.TempDir(), "pipe")
-	if err := syscall.Mkfifo(w.path, 0o600); err != nil {
+	w.configPath = filepath.Join(t.TempDir(), "pipe")
+	if err := syscall.Mkfifo(w.configPath, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	w.launch()
-	in, err := os.OpenFile(w.path, os.O_WRONLY, 0) // goes on once the program reads
+	in, err := os.OpenFile(w.configPath, os.O_WRONLY, 0) // goes on once the program reads
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.signal(syscall.SIGTERM)
 	w.signal(syscall.SIGHUP)
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", w.cmd.Process.Pid))
-	for end := time.Now().Add(patience); err == nil && pending(status); status, err = os.ReadFile(fmt.Sprintf("/proc/%d/status", w.cmd.Process.Pid)) {
+	for end := time.Now().Add(testTimeout); err == nil && signalPending(status); status, err = os.ReadFile(fmt.Sprintf("/proc/%d/status", w.cmd.Process.Pid)) {
 		if time.Now().After(end) {
 			t.Fatal("the signals do not reach it")
 		}
 	}
 	in.Write(raw) // fails where the signal has ended the program
 	in.Close()
-	if code := w.ended(); code != 0 {
+	if code := w.waitForExit(); code != 0 {
 		t.Errorf("exit code %d, want a planned end", code)
 	}
 	if !strings.Contains(w.log.String(), "stopped: accepted 0") {
@@ -806,8 +806,8 @@
 	}
 }
 
-// pending tells whether signals wait to be taken, by the words of /proc.
-func pending(status []byte) bool {
+// signalPending tells whether signals wait to be taken, by the words of /proc.
+func signalPending(status []byte) bool {
 	for line := range strings.Lines(string(status)) {
 		if name, bits, _ := strings.Cut(line, ":"); name == "ShdPnd" || name == "SigPnd" {
 			if strings.Trim(bits, " \t\n0") != "" {
@@ -821,13 +821,13 @@
 // At a planned end an answer that is owed reaches a client that goes on sending,
 // and one that reads it late; a client that rests until the end hears of it in
 // order; nothing that comes after the window reaches a backend.
-func TestPlannedEndBesideBusyClients(t *testing.T) {
-	w := &world{t: t}
+func TestGracefulShutdownUnderLoad(t *testing.T) {
+	w := &testDaemon{t: t}
 	release, arrived := make(chan struct{}), make(chan struct{}, 2)
 	big := strings.Repeat("made ", 12<<10)
 	slow := func(id string, conn net.Conn) bool {
 		if !strings.HasPrefix(id, "slow") {
-			return done(id, conn)
+			return respondDone(id, conn)
 		}
 		arrived <- struct{}{}
 		<-release
@@ -835,7 +835,7 @@
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(text), text)
 		return true
 	}
-	a, b := w.backend("s-1", slow), w.backend("s-2", slow)
+	a, b := w.addWorker("s-1", slow), w.addWorker("s-2", slow)
 	w.start()
 	dial := func(text string) (net.Conn, *bufio.Reader) {
 		conn, err := net.Dial("tcp", w.listen)
@@ -843,7 +843,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { conn.Close() })
-		conn.SetDeadline(time.Now().Add(patience))
+		conn.SetDeadline(time.Now().Add(testTimeout))
 		io.WriteString(conn, text)
 		return conn, bufio.NewReader(conn)
 	}
@@ -875,7 +875,7 @@
 	if _, err := resting.ReadByte(); err != io.EOF { // the window is over
 		t.Errorf("a resting session ends with %v", err)
 	}
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		conn, err := net.Dial("tcp", w.listen)
 		if err != nil {
 			break
@@ -902,13 +902,13 @@
 		t.Errorf("behind the last answer: %v", err)
 	}
 	answered := time.Now() // the client has not closed, and is waited for
-	if code := w.ended(); code != 0 {
+	if code := w.waitForExit(); code != 0 {
 		t.Errorf("exit code %d", code)
 	}
 	if span := time.Since(answered); span < 200*time.Millisecond {
 		t.Errorf("it ended %v after an answer of which it could not know that it was read", span)
 	}
-	for _, got := range append(a.arrivals(), b.arrivals()...) {
+	for _, got := range append(a.requests(), b.requests()...) {
 		if strings.HasPrefix(got, "after") {
 			t.Errorf("sent on after the end: %s", got)
 		}
@@ -916,10 +916,10 @@
 }
 
 // The Faktory front runs beside the platform's, on the same backends.
-func TestFaktoryFront(t *testing.T) {
-	w := &world{t: t}
-	b := w.backend("s-1", done)
-	ln := listen(t)
+func TestFaktoryFrontEnd(t *testing.T) {
+	w := &testDaemon{t: t}
+	b := w.addWorker("s-1", respondDone)
+	ln := listenLocal(t)
 	addr := ln.Addr().String()
 	ln.Close()
 	path := filepath.Join(t.TempDir(), "faktory.toml")
@@ -930,7 +930,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	in := bufio.NewReader(conn)
 	for _, x := range []struct{ command, want string }{
 		{"", "+HI {\"v\":2}"},
@@ -945,11 +945,11 @@
 			t.Fatalf("%s: %q, %v", x.command, line, err)
 		}
 	}
-	if got := b.arrivals(); len(got) != 1 || !strings.HasPrefix(got[0], "pushed-01 POST /renewal/a%20b {") {
+	if got := b.requests(); len(got) != 1 || !strings.HasPrefix(got[0], "pushed-01 POST /renewal/a%20b {") {
 		t.Errorf("arrived: %q", got)
 	}
 	w.cmd.Process.Signal(syscall.SIGTERM)
-	if code := w.ended(); code != 0 {
+	if code := w.waitForExit(); code != 0 {
 		t.Errorf("exit code %d", code)
 	}
 }
@@ -981,7 +981,7 @@
 		if test.faktory != "" {
 			args = append(args, "-faktory", write("faktory.toml", test.faktory))
 		}
-		cmd := exec.Command(binary, args...)
+		cmd := exec.Command(builtProgram, args...)
 		cmd.Env = append(os.Environ(), "BALANCER_LISTEN=", "BALANCER_CONFIG=", "BALANCER_DISCOVERY=")
 		out, err := cmd.CombinedOutput()
 		if err == nil || !strings.Contains(string(out), test.want) || strings.Count(string(out), "\n") != 1 {
--- a/cmd/dispatcher/membership_test.go
+++ b/cmd/dispatcher/membership_test.go
@@ -64,7 +64,7 @@
 func (r *relayProcess) await(what string, reached func(relay.Status) bool) {
 	r.t.Helper()
 	var status relay.Status
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		response, err := http.Get("http://" + r.admin + "/control/membership")
 		if err != nil {
 			r.t.Fatal(err)
@@ -92,10 +92,10 @@
 // acknowledged a drain, the worker that drains gets no more, and the end of the
 // relay leaves the list in force.
 func TestDrainThroughARelay(t *testing.T) {
-	w := &world{t: t}
-	a, b := w.backend("s-a", done), w.backend("s-b", done)
-	host := func(b *backend, health string) standin.Host {
-		return standin.Host{Host: b.name, Dial: b.ln.Addr().String(), Site: "here", Class: "m", Health: health, Share: 1}
+	w := &testDaemon{t: t}
+	a, b := w.addWorker("s-a", respondDone), w.addWorker("s-b", respondDone)
+	host := func(b *testWorker, health string) standin.Host {
+		return standin.Host{Host: b.name, Dial: b.listener.Addr().String(), Site: "here", Class: "m", Health: health, Share: 1}
 	}
 	origin, err := standin.StartDiscovery(nil)
 	if err != nil {
@@ -113,20 +113,20 @@
 	w.start("--operator", operator)
 	r.await("the snapshot is in force", acknowledged(1))
 
-	for i := 0; len(a.arrivals()) == 0; i++ { // both are used
+	for i := 0; len(a.requests()) == 0; i++ { // both are used
 		if status, _, _ := w.post("status-check", fmt.Sprint("before-", i), "x", 0); status != 200 || i > 10_000 {
 			t.Fatalf("%d: %d", i, status)
 		}
 	}
 	origin.Set(host(a, "draining"))
 	r.await("the drain is in force", acknowledged(2))
-	before := len(a.arrivals())
+	before := len(a.requests())
 	for i := range 20 {
 		if status, _, _ := w.post("renewal", fmt.Sprint("drain-", i), "x", 0); status != 200 {
 			t.Errorf("%d: %d", i, status)
 		}
 	}
-	if n := len(a.arrivals()); n != before {
+	if n := len(a.requests()); n != before {
 		t.Errorf("the draining worker got %d more", n-before)
 	}
 
@@ -139,7 +139,7 @@
 			t.Errorf("%d without a relay: %d", i, status)
 		}
 	}
-	if n := len(a.arrivals()); n != before {
+	if n := len(a.requests()); n != before {
 		t.Errorf("without a relay the draining worker got %d more", n-before)
 	}
 }
--- a/cmd/dispatcher/node_test.go
+++ b/cmd/dispatcher/node_test.go
@@ -19,15 +19,15 @@
 // These tests start the program as operators run it: with the door, drained, and
 // replaced by a second process on a listener that the test keeps as the platform does.
 
-// kept is the platform's side: a listening socket that every process inherits.
-type kept struct {
+// platformListener is the platform's side: a listening socket that every process inherits.
+type platformListener struct {
 	file   *os.File
-	folder string
+	directory string
 }
 
-func keep(t *testing.T) *kept {
+func newPlatformListener(t *testing.T) *platformListener {
 	t.Helper()
-	ln := listen(t).(*net.TCPListener)
+	ln := listenLocal(t).(*net.TCPListener)
 	file, err := ln.File()
 	if err != nil {
 		t.Fatal(err)
@@ -38,20 +38,20 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { os.RemoveAll(folder) })
-	return &kept{file, folder}
+	return &platformListener{file, folder}
 }
 
-// operate makes a world that has a door, and inherits a listener where there is one.
-func operate(t *testing.T, k *kept) *world {
-	w := &world{t: t, env: []string{"BALANCER_ADMIN_ADDR=127.0.0.1:0"}}
+// newDaemonWithAdmin makes a world that has a door, and inherits a listener where there is one.
+func newDaemonWithAdmin(t *testing.T, k *platformListener) *testDaemon {
+	w := &testDaemon{t: t, env: []string{"BALANCER_ADMIN_ADDR=127.0.0.1:0"}}
 	if k != nil {
-		w.files, w.listen = []*os.File{k.file}, address(t, k)
-		w.env = append(w.env, "BALANCER_FD=3", "TMPDIR="+k.folder)
+		w.inheritedFiles, w.listen = []*os.File{k.file}, listenAddress(t, k)
+		w.env = append(w.env, "BALANCER_FD=3", "TMPDIR="+k.directory)
 	}
 	return w
 }
 
-func address(t *testing.T, k *kept) string {
+func listenAddress(t *testing.T, k *platformListener) string {
 	ln, err := net.FileListener(k.file)
 	if err != nil {
 		t.Fatal(err)
@@ -60,10 +60,10 @@
 	return ln.Addr().String()
 }
 
-// beside is a second process of the same dispatcher, in the same world.
-func (w *world) beside(env ...string) *world {
-	next := &world{t: w.t, env: append(append([]string{}, w.env...), env...), files: w.files, listen: w.listen, program: w.program,
-		backends: w.backends, config: w.config, path: w.path, client: w.client, watches: w.watches, changes: w.changes}
+// startSuccessor is a second process of the same dispatcher, in the same world.
+func (w *testDaemon) startSuccessor(env ...string) *testDaemon {
+	next := &testDaemon{t: w.t, env: append(append([]string{}, w.env...), env...), inheritedFiles: w.inheritedFiles, listen: w.listen, program: w.program,
+		workers: w.workers, config: w.config, configPath: w.configPath, client: w.client, watches: w.watches, changes: w.changes}
 	next.launch()
 	return next
 }
@@ -72,9 +72,9 @@
 const adminLogLine = "admin API at "
 
 // adminAddress returns the address of the admin API, once the program has logged it.
-func (w *world) adminAddress() string {
+func (w *testDaemon) adminAddress() string {
 	w.t.Helper()
-	w.says(adminLogLine)
+	w.waitForLog(adminLogLine)
 	log := w.log.String()
 	_, rest, found := strings.Cut(log, adminLogLine)
 	if !found {
@@ -84,10 +84,10 @@
 	return addr
 }
 
-// admin calls the admin API; 0 where nobody answers.
-func (w *world) admin(method, path string) (int, string) {
+// callAdmin calls the callAdmin API; 0 where nobody answers.
+func (w *testDaemon) callAdmin(method, path string) (int, string) {
 	req, _ := http.NewRequest(method, "http://"+w.adminAddress()+path, nil)
-	resp, err := (&http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}).Do(req)
+	resp, err := (&http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true}}).Do(req)
 	if err != nil {
 		return 0, ""
 	}
@@ -96,19 +96,19 @@
 	return resp.StatusCode, string(text)
 }
 
-// until waits for something to hold.
-func (w *world) until(what string, holds func() bool) {
+// waitUntil waits for something to hold.
+func (w *testDaemon) waitUntil(what string, holds func() bool) {
 	w.t.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			w.t.Fatalf("in vain: %s", what)
 		}
 	}
 }
 
-func (w *world) ready() bool { status, _ := w.admin("GET", "/control/ready"); return status == 200 }
+func (w *testDaemon) ready() bool { status, _ := w.callAdmin("GET", "/control/ready"); return status == 200 }
 
-func (w *world) health() int {
+func (w *testDaemon) health() int {
 	resp, err := w.client.Get("http://" + w.listen + "/healthz")
 	if err != nil {
 		return 0
@@ -117,42 +117,42 @@
 	return resp.StatusCode
 }
 
-// figures reads what the door tells.
-func (w *world) figures() (f struct {
+// counters reads what the door tells.
+func (w *testDaemon) counters() (f struct {
 	Succeeded, Declined, Aborted               map[string]int
 	Forwards, Outstanding, Discovered, Ejected int
 }) {
 	w.t.Helper()
-	_, text := w.admin("GET", "/control/counters")
+	_, text := w.callAdmin("GET", "/control/counters")
 	if err := json.Unmarshal([]byte(text), &f); err != nil {
 		w.t.Fatalf("%q: %v", text, err)
 	}
 	return f
 }
 
-// session is a client's connection that the test holds.
-type session struct {
+// clientConn is a client's connection that the test holds.
+type clientConn struct {
 	net.Conn
 	in *bufio.Reader
 }
 
-func (w *world) session() *session {
+func (w *testDaemon) connect() *clientConn {
 	w.t.Helper()
 	conn, err := net.Dial("tcp", w.listen)
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	w.t.Cleanup(func() { conn.Close() })
-	return &session{conn, bufio.NewReader(conn)}
+	return &clientConn{conn, bufio.NewReader(conn)}
 }
 
-func (s *session) send(id string) {
+func (s *clientConn) send(id string) {
 	fmt.Fprintf(s, "POST /renewal/k HTTP/1.1\r\nX-Correlation-Id: %s\r\nContent-Length: 1\r\n\r\nx", id)
 }
 
-// answer reads an answer and tells whether the session ends with it.
-func (s *session) answer(t *testing.T) (status int, ends bool) {
+// readResponse reads an readResponse and tells whether the session ends with it.
+func (s *clientConn) readResponse(t *testing.T) (status int, ends bool) {
 	t.Helper()
 	resp, err := http.ReadResponse(s.in, nil)
 	if err != nil {
@@ -162,7 +162,7 @@
 	return resp.StatusCode, resp.Close
 }
 
-func (s *session) ended() bool {
+func (s *clientConn) closed() bool {
 	_, err := s.in.ReadByte()
 	return err == io.EOF
 }
@@ -171,68 +171,68 @@
 // the same; sessions end, idle and silent ones too; a late comer is served once.
 // Back in service all is as before. Said twice, each means no more.
 func TestDrain(t *testing.T) {
-	w := operate(t, nil)
+	w := newDaemonWithAdmin(t, nil)
 	release, arrived := make(chan struct{}), make(chan struct{}, 1)
-	w.backend("s-1", held("long", arrived, release))
+	w.addWorker("s-1", respondWhenReleased("long", arrived, release))
 	w.start()
-	health, idle, silent, long := w.session(), w.session(), w.session(), w.session()
+	health, idle, silent, long := w.connect(), w.connect(), w.connect(), w.connect()
 	ask := func() int {
 		fmt.Fprint(health, "GET /healthz HTTP/1.1\r\n\r\n")
-		status, _ := health.answer(t)
+		status, _ := health.readResponse(t)
 		return status
 	}
 	idle.send("idle")
-	if status, ends := idle.answer(t); status != 200 || ends || ask() != 200 {
+	if status, ends := idle.readResponse(t); status != 200 || ends || ask() != 200 {
 		t.Errorf("in service: %d, ends: %v", status, ends)
 	}
 	long.send("long")
 	<-arrived
 	for range 2 {
-		if status, _ := w.admin("PUT", "/control/out-of-service"); status != 200 {
+		if status, _ := w.callAdmin("PUT", "/control/out-of-service"); status != 200 {
 			t.Errorf("out of service: %d", status)
 		}
 	}
 	if status := ask(); status != 503 {
 		t.Errorf("healthz of a drained dispatcher: %d", status)
 	}
-	fresh := w.session()
+	fresh := w.connect()
 	fresh.send("fresh")
-	if status, _ := fresh.answer(t); status != 200 {
+	if status, _ := fresh.readResponse(t); status != 200 {
 		t.Errorf("while the front still sends: %d", status)
 	}
-	for name, s := range map[string]*session{"idle": idle, "silent": silent, "health": health, "fresh": fresh} {
-		if !s.ended() {
+	for name, s := range map[string]*clientConn{"idle": idle, "silent": silent, "health": health, "fresh": fresh} {
+		if !s.closed() {
 			t.Errorf("the %s session does not end by itself", name)
 		}
 	}
-	late := w.session()
+	late := w.connect()
 	late.send("late")
-	if status, ends := late.answer(t); status != 200 || !ends {
+	if status, ends := late.readResponse(t); status != 200 || !ends {
 		t.Errorf("a late comer: %d, ends: %v", status, ends)
 	}
-	if !w.session().ended() {
+	if !w.connect().closed() {
 		t.Error("a late comer that says nothing stays")
 	}
 	close(release)
-	if status, ends := long.answer(t); status != 200 || !ends {
+	if status, ends := long.readResponse(t); status != 200 || !ends {
 		t.Errorf("a job from before: %d, ends: %v", status, ends)
 	}
 	for range 2 {
-		if status, _ := w.admin("PUT", "/control/in-service"); status != 200 {
+		if status, _ := w.callAdmin("PUT", "/control/in-service"); status != 200 {
 			t.Errorf("in service: %d", status)
 		}
 	}
-	back := w.session()
+	back := w.connect()
 	back.send("back")
-	if status, ends := back.answer(t); status != 200 || ends || w.health() != 200 {
+	if status, ends := back.readResponse(t); status != 200 || ends || w.health() != 200 {
 		t.Errorf("back in service: %d, ends: %v", status, ends)
 	}
-	if f := w.figures(); f.Succeeded["renewal"] != 5 || f.Forwards != 5 || f.Discovered != 1 || f.Outstanding != 0 {
+	if f := w.counters(); f.Succeeded["renewal"] != 5 || f.Forwards != 5 || f.Discovered != 1 || f.Outstanding != 0 {
 		t.Errorf("figures %+v", f)
 	}
 	w.signal(syscall.SIGTERM)
-	w.until("no after SIGTERM", func() bool { status, _ := w.admin("PUT", "/control/in-service"); return status == 409 })
-	if code := w.ended(); code != 0 {
+	w.waitUntil("no after SIGTERM", func() bool { status, _ := w.callAdmin("PUT", "/control/in-service"); return status == 409 })
+	if code := w.waitForExit(); code != 0 {
 		t.Errorf("exit code %d", code)
 	}
 }
@@ -243,25 +243,25 @@
 // service if the first one is, lets no name in that the first one took, and is
 // replaced in its turn; both keep to the descriptors of one.
 func TestReplacement(t *testing.T) {
-	k := keep(t)
-	first, other := operate(t, k), &world{t: t}
-	b := first.backend("s-1", done)
+	k := newPlatformListener(t)
+	first, other := newDaemonWithAdmin(t, k), &testDaemon{t: t}
+	b := first.addWorker("s-1", respondDone)
 	first.config = map[string]any{"limits": map[string]any{"sockets": 256, "memory_mb": 192}}
 	first.start()
-	first.watch()
-	moved := other.discovery()
+	first.waitForWatch()
+	moved := other.startDiscovery()
 	first.config["discovery"] = moved
-	first.write()
+	first.writeConfig()
 	first.signal(syscall.SIGHUP)
-	other.watch()
+	other.waitForWatch()
 	first.config["discovery"] = "127.0.0.1:1" // what the file says to the next one is old news by then
-	first.write()
+	first.writeConfig()
 	stop, sent, failed := make(chan bool), make(chan int), make(chan string, 1000)
 	for c := range 4 {
 		go func() {
 			n := 0
 			defer func() { sent <- n }()
-			client := &http.Client{Timeout: patience, Transport: &http.Transport{}}
+			client := &http.Client{Timeout: testTimeout, Transport: &http.Transport{}}
 			for {
 				select {
 				case <-stop:
@@ -291,21 +291,21 @@
 	}
 	old := first
 	for round := range 2 {
-		next := old.beside()
-		next.until("the successor is ready", next.ready)
-		if q := other.watch(); !strings.HasPrefix(q, "watch=1") {
+		next := old.startSuccessor()
+		next.waitUntil("the successor is ready", next.ready)
+		if q := other.waitForWatch(); !strings.HasPrefix(q, "watch=1") {
 			t.Errorf("watch %q where discovery has moved", q)
 		}
-		next.says("accepting clients")
-		if fds := descriptors(old) + descriptors(next); fds > 256 {
+		next.waitForLog("accepting clients")
+		if fds := openDescriptors(old) + openDescriptors(next); fds > 256 {
 			t.Errorf("round %d: %d descriptors", round, fds)
 		}
-		old.says("successor is accepting clients")
+		old.waitForLog("successor is accepting clients")
 		old.signal(syscall.SIGTERM)
-		if code := old.ended(); code != 0 {
+		if code := old.waitForExit(); code != 0 {
 			t.Errorf("round %d: exit code %d", round, code)
 		}
-		next.says("predecessor has ended")
+		next.waitForLog("predecessor has ended")
 		old = next
 	}
 	close(stop)
@@ -317,7 +317,7 @@
 		t.Errorf("a client: %s", <-failed)
 	}
 	got := map[string]int{}
-	for _, a := range b.arrivals() {
+	for _, a := range b.requests() {
 		id, _, _ := strings.Cut(a, " ")
 		if got[id]++; got[id] > 1 {
 			t.Errorf("%s ran twice", id)
@@ -329,27 +329,27 @@
 	if status, _, _ := old.post("renewal", "c0-0", "x", 0); status != 409 {
 		t.Errorf("a name that the first process took: %d", status)
 	}
-	if status, _ := old.admin("PUT", "/control/out-of-service"); status != 200 {
+	if status, _ := old.callAdmin("PUT", "/control/out-of-service"); status != 200 {
 		t.Errorf("out of service: %d", status)
 	}
-	next := old.beside()
-	next.until("the drained dispatcher's successor is ready", next.ready)
+	next := old.startSuccessor()
+	next.waitUntil("the drained dispatcher's successor is ready", next.ready)
 	if next.health() != 503 || old.health() != 503 {
 		t.Error("the successor of a drained process says it is healthy")
 	}
-	if status, _ := next.admin("PUT", "/control/in-service"); status != 200 {
+	if status, _ := next.callAdmin("PUT", "/control/in-service"); status != 200 {
 		t.Errorf("in service: %d", status)
 	}
-	old.says(`"in service"`) // the two are one dispatcher
+	old.waitForLog(`"in service"`) // the two are one dispatcher
 	next.cmd.Process.Kill()  // and if the successor dies, the first one goes on
-	old.says("successor has ended")
-	old.until("health", func() bool { return old.health() == 200 })
+	old.waitForLog("successor has ended")
+	old.waitUntil("health", func() bool { return old.health() == 200 })
 	if status, _, _ := old.post("renewal", "after", "x", 0); status != 200 {
 		t.Errorf("after the successor's end: %d", status)
 	}
 }
 
-func descriptors(w *world) int {
+func openDescriptors(w *testDaemon) int {
 	fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", w.cmd.Process.Pid))
 	if err != nil {
 		w.t.Fatal(err)
@@ -361,25 +361,25 @@
 // path longer than the system takes, with a file that a dead process left, and
 // with a predecessor that dies before it is asked to go. Discovery that says
 // nothing does not keep a successor from its predecessor's list.
-func TestMeeting(t *testing.T) {
-	k := keep(t)
-	long := filepath.Join(k.folder, strings.Repeat("long-", 25))
+func TestHandoverSocket(t *testing.T) {
+	k := newPlatformListener(t)
+	long := filepath.Join(k.directory, strings.Repeat("long-", 25))
 	if err := os.Mkdir(long, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	for name, folder := range map[string]string{"no folder": "", "long": long, "absent": k.folder + "/absent"} {
+	for name, folder := range map[string]string{"no folder": "", "long": long, "absent": k.directory + "/absent"} {
 		t.Run(name, func(t *testing.T) {
-			w := operate(t, keep(t))
+			w := newDaemonWithAdmin(t, newPlatformListener(t))
 			w.env = append(w.env, "TMPDIR="+folder)
-			w.backend("s-1", done)
+			w.addWorker("s-1", respondDone)
 			w.start()
-			next := w.beside()
-			next.until("the successor is ready", next.ready)
+			next := w.startSuccessor()
+			next.waitUntil("the successor is ready", next.ready)
 			if name == "long" {
-				w.says("successor is accepting clients")
+				w.waitForLog("successor is accepting clients")
 			}
 			w.signal(syscall.SIGTERM)
-			if code := w.ended(); code != 0 {
+			if code := w.waitForExit(); code != 0 {
 				t.Errorf("exit code %d", code)
 			}
 			if status, _, _ := next.post("renewal", "after", "x", 0); status != 200 {
@@ -387,50 +387,50 @@
 			}
 		})
 	}
-	w := operate(t, k)
-	a := w.backend("s-1", done)
+	w := newDaemonWithAdmin(t, k)
+	a := w.addWorker("s-1", respondDone)
 	w.start()
-	w.watch()
-	a2 := w.backend("s-2", done)
-	w.changes <- `{"seq":42,"whole":true,"hosts":[` + a2.entry("ready") + `]}`
-	for i, end := 0, time.Now().Add(patience); len(a2.arrivals()) == 0 && time.Now().Before(end); i++ {
+	w.waitForWatch()
+	a2 := w.addWorker("s-2", respondDone)
+	w.changes <- `{"seq":42,"whole":true,"hosts":[` + a2.listEntry("ready") + `]}`
+	for i, end := 0, time.Now().Add(testTimeout); len(a2.requests()) == 0 && time.Now().Before(end); i++ {
 		w.post("status-check", fmt.Sprint("new-", i), "x", 200)
 	}
-	before := len(a.arrivals())
-	silent := listen(t) // accepts, by the kernel's hand, and says nothing
+	before := len(a.requests())
+	silent := listenLocal(t) // accepts, by the kernel's hand, and says nothing
 	w.config["discovery"] = silent.Addr().String()
-	w.write()
+	w.writeConfig()
 	w.signal(syscall.SIGHUP)
-	w.says("discovery moves to")
-	next := w.beside()
-	next.until("ready by the list handed over", next.ready)
+	w.waitForLog("discovery moves to")
+	next := w.startSuccessor()
+	next.waitUntil("ready by the list handed over", next.ready)
 	w.cmd.Process.Kill()
-	w.ended()
-	next.says("predecessor has ended")
+	w.waitForExit()
+	next.waitForLog("predecessor has ended")
 	for i := range 10 {
 		if status, _, _ := next.post("renewal", fmt.Sprint("list-", i), "x", 0); status != 200 {
 			t.Errorf("by the list handed over: %d", status)
 		}
 	}
-	if len(a.arrivals()) != before {
+	if len(a.requests()) != before {
 		t.Error("the configuration's old list was used")
 	}
 	next.cmd.Process.Kill() // it leaves its file
-	next.ended()
-	last := w.beside()
-	last.until("ready beside a dead process's file", last.ready)
+	next.waitForExit()
+	last := w.startSuccessor()
+	last.waitUntil("ready beside a dead process's file", last.ready)
 }
 
 // The Faktory front with a direct queue cannot be handed over: a successor with
 // one says so and ends, and the first goes on.
-func TestFaktoryIsNotReplaced(t *testing.T) {
-	w := operate(t, keep(t))
-	w.backend("s-1", done)
+func TestDirectFaktoryQueueIsNotHandedOver(t *testing.T) {
+	w := newDaemonWithAdmin(t, newPlatformListener(t))
+	w.addWorker("s-1", respondDone)
 	w.start()
 	path := filepath.Join(t.TempDir(), "faktory.toml")
 	os.WriteFile(path, []byte("listen = \"127.0.0.1:0\"\n"), 0o600)
-	cmd := exec.Command(binary, "-faktory", path)
-	cmd.Env, cmd.ExtraFiles = w.environment(), w.files
+	cmd := exec.Command(builtProgram, "-faktory", path)
+	cmd.Env, cmd.ExtraFiles = w.environment(), w.inheritedFiles
 	out, err := cmd.CombinedOutput()
 	if err == nil || !strings.Contains(string(out), "the Faktory front end cannot be handed over") {
 		t.Errorf("%v, %q", err, out)
@@ -441,13 +441,13 @@
 }
 
 // A BALANCER_FD that is no listener ends the start with a line that names it.
-func TestBadInheritance(t *testing.T) {
-	w := operate(t, nil)
+func TestBadInheritedListener(t *testing.T) {
+	w := newDaemonWithAdmin(t, nil)
 	w.env = append(w.env, "BALANCER_FD=77")
 	dir := t.TempDir()
-	w.path = filepath.Join(dir, "config.json")
-	os.WriteFile(w.path, []byte(`{"listen":"127.0.0.1:0","settings":`+strings.ReplaceAll(settingsText, "CONN_IDLE", "1")+`}`), 0o600)
-	cmd := exec.Command(binary)
+	w.configPath = filepath.Join(dir, "config.json")
+	os.WriteFile(w.configPath, []byte(`{"listen":"127.0.0.1:0","settings":`+strings.ReplaceAll(settingsText, "CONN_IDLE", "1")+`}`), 0o600)
+	cmd := exec.Command(builtProgram)
 	cmd.Env = w.environment()
 	if out, err := cmd.CombinedOutput(); err == nil || !strings.Contains(string(out), `BALANCER_FD: "77"`) {
 		t.Errorf("%v, %q", err, out)
@@ -456,15 +456,15 @@
 
 // With all descriptors of clients taken, and more callers at the door that say
 // nothing or half a call than it holds, a call is answered; and the limit holds.
-func TestDoorAtTheLimit(t *testing.T) {
-	w := operate(t, nil)
+func TestAdminAtDescriptorLimit(t *testing.T) {
+	w := newDaemonWithAdmin(t, nil)
 	w.config = map[string]any{"limits": map[string]any{"sockets": 80, "memory_mb": 192}}
-	w.backend("s-1", done)
+	w.addWorker("s-1", respondDone)
 	w.start()
-	w.admin("GET", "/control/ready")
+	w.callAdmin("GET", "/control/ready")
 	addr := w.adminAddress()
 	for i := range 60 {
-		w.session()
+		w.connect()
 		conn, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -473,11 +473,11 @@
 		if i%2 == 0 {
 			fmt.Fprint(conn, "GET /control/cou")
 		}
-		if n := descriptors(w); n > 80 {
+		if n := openDescriptors(w); n > 80 {
 			t.Fatalf("%d descriptors", n)
 		}
 		if i%10 == 9 {
-			if status, text := w.admin("GET", "/control/counters"); status != 200 || !strings.Contains(text, `"discovered":1`) {
+			if status, text := w.callAdmin("GET", "/control/counters"); status != 200 || !strings.Contains(text, `"discovered":1`) {
 				t.Fatalf("after %d callers: %d %q", i, status, text)
 			}
 		}
--- a/cmd/dispatcher/notified_test.go
+++ b/cmd/dispatcher/notified_test.go
@@ -24,8 +24,8 @@
 
 // removal is a world in which one of two backends is removed while discovery is ill.
 type removal struct {
-	*world
-	kept, removed *backend
+	*testDaemon
+	kept, removed *testWorker
 	at            time.Time // when discovery had the removal
 	last          atomic.Int64
 	answers       sync.Map // by status
@@ -34,16 +34,16 @@
 
 // newRemoval makes the world; each call to discovery is answered by script, by its number from 0 on.
 func newRemoval(t *testing.T, script func(r *removal, call int, conn net.Conn)) *removal {
-	r := &removal{world: &world{t: t}}
-	r.kept = r.backend("s-kept", func(id string, conn net.Conn) bool {
+	r := &removal{testDaemon: &testDaemon{t: t}}
+	r.kept = r.addWorker("s-kept", func(id string, conn net.Conn) bool {
 		time.Sleep(keptTakes) // so that the other one is the better choice as long as it is listed
-		return done(id, conn)
+		return respondDone(id, conn)
 	})
-	r.removed = r.backend("s-removed", func(id string, conn net.Conn) bool {
+	r.removed = r.addWorker("s-removed", func(id string, conn net.Conn) bool {
 		r.last.Store(time.Now().UnixNano())
-		return done(id, conn)
+		return respondDone(id, conn)
 	})
-	r.script = func(conn net.Conn) { script(r, int(r.call.Add(1))-1, conn) }
+	r.answerDiscovery = func(conn net.Conn) { script(r, int(r.call.Add(1))-1, conn) }
 	return r
 }
 
@@ -66,7 +66,7 @@
 
 // change is the line that tells of the removal, as a chunk.
 func (r *removal) change() string {
-	line := fmt.Sprintf(`{"seq":42,"whole":false,"hosts":[%s]}`+"\n", r.removed.entry("gone"))
+	line := fmt.Sprintf(`{"seq":42,"whole":false,"hosts":[%s]}`+"\n", r.removed.listEntry("gone"))
 	return fmt.Sprintf("%x\r\n%s\r\n", len(line), line)
 }
 
@@ -140,7 +140,7 @@
 	r.start()
 	stop, over := make(chan struct{}), make(chan struct{})
 	go func() { r.load(stop); close(over) }()
-	r.until("the backend to be removed is used", func() bool { return r.last.Load() > 0 })
+	r.waitUntil("the backend to be removed is used", func() bool { return r.last.Load() > 0 })
 	close(remove)
 	select {
 	case <-heard:
--- a/cmd/dispatcher/ready_test.go
+++ b/cmd/dispatcher/ready_test.go
@@ -44,7 +44,7 @@
 
 // outage is a discovery of which every call ends in one way.
 func outage(t *testing.T, end func(net.Conn)) (addr string) {
-	ln := listen(t)
+	ln := listenLocal(t)
 	go func() {
 		for {
 			conn, err := ln.Accept()
@@ -87,8 +87,8 @@
 					} else {
 						addr = outage(t, end)
 					}
-					w := &world{t: t, config: map[string]any{"discovery": addr, "settings": settingsOf(peers, discovery)}}
-					w.backend("s-1", done)
+					w := &testDaemon{t: t, config: map[string]any{"discovery": addr, "settings": settingsOf(peers, discovery)}}
+					w.addWorker("s-1", respondDone)
 					w.start()
 					for i := range 3 {
 						if status, _, _ := w.post("renewal", fmt.Sprint("ready-", i), "x", 0); status != 200 {
@@ -107,14 +107,14 @@
 	const draining = `[{"host":"s-0","dial":"127.0.0.1:9","site":"here","class":"m","health":"draining","share":1}]`
 	for _, x := range []struct{ known, discovery string }{{`[]`, "ask"}, {draining, "ask"}, {`[]`, "push"}, {draining, "push"}} {
 		t.Run(x.discovery+" "+x.known, func(t *testing.T) {
-			other := &world{t: t, first: make(chan string, 100)}
-			ln := listen(t)
+			other := &testDaemon{t: t, firstLine: make(chan string, 100)}
+			ln := listenLocal(t)
 			ln.Close()
-			w := &world{t: t, listen: ln.Addr().String(), config: map[string]any{
+			w := &testDaemon{t: t, listen: ln.Addr().String(), config: map[string]any{
 				"known":     json.RawMessage(`{"seq":41,"whole":true,"hosts":` + x.known + `}`),
-				"discovery": other.discovery(), "settings": settingsOf(300, x.discovery),
+				"discovery": other.startDiscovery(), "settings": settingsOf(300, x.discovery),
 			}}
-			b := w.backend("s-1", done)
+			b := w.addWorker("s-1", respondDone)
 			early, url := make(chan int, 1), "http://"+w.listen+"/healthz"
 			go func() {
 				for len(early) == 0 {
@@ -123,8 +123,8 @@
 						early <- resp.StatusCode
 					}
 				}
-				for range cap(other.first) { // whichever call it is that stands
-					other.first <- `{"seq":42,"whole":true,"hosts":[` + b.entry("ready") + `]}`
+				for range cap(other.firstLine) { // whichever call it is that stands
+					other.firstLine <- `{"seq":42,"whole":true,"hosts":[` + b.listEntry("ready") + `]}`
 				}
 			}()
 			w.start()
@@ -143,19 +143,19 @@
 // keeps to its limit.
 func TestReadyBesideIdleClients(t *testing.T) {
 	const most = 64
-	other := &world{t: t, watches: make(chan string, 100), changes: make(chan string, 100), first: make(chan string, 100)}
+	other := &testDaemon{t: t, watches: make(chan string, 100), changes: make(chan string, 100), firstLine: make(chan string, 100)}
 	var back atomic.Bool
-	w := &world{t: t, config: map[string]any{
+	w := &testDaemon{t: t, config: map[string]any{
 		"limits": map[string]any{"sockets": most, "memory_mb": 192},
 		"discovery": outage(t, func(conn net.Conn) {
 			if back.Load() {
-				other.tell(conn, "")
+				other.answerWatch(conn, "")
 			} else {
 				conn.Close()
 			}
 		}),
 	}}
-	w.backend("s-1", done)
+	w.addWorker("s-1", respondDone)
 	w.start()
 	for i := range 200 {
 		if conn, err := net.Dial("tcp", w.listen); err == nil {
@@ -164,7 +164,7 @@
 		if i%50 < 49 {
 			continue
 		}
-		if n := descriptors(w); n > most {
+		if n := openDescriptors(w); n > most {
 			t.Errorf("%d descriptors", n)
 		}
 		if status := w.health(); status != 200 {
@@ -174,14 +174,14 @@
 			t.Errorf("beside %d clients: %d", i, status)
 		}
 	}
-	fresh := w.backend("s-2", done)
-	for range cap(other.first) {
-		other.first <- `{"seq":42,"whole":true,"hosts":[` + fresh.entry("ready") + `]}`
+	fresh := w.addWorker("s-2", respondDone)
+	for range cap(other.firstLine) {
+		other.firstLine <- `{"seq":42,"whole":true,"hosts":[` + fresh.listEntry("ready") + `]}`
 	}
 	back.Store(true)
-	other.watch()
-	w.until("the new worker serves", func() bool {
+	other.waitForWatch()
+	w.waitUntil("the new worker serves", func() bool {
 		w.post("status-check", fmt.Sprint("after-", time.Now().UnixNano()), "x", 500)
-		return len(fresh.arrivals()) > 0
+		return len(fresh.requests()) > 0
 	})
 }
--- a/cmd/dispatcher/shortreads_test.go
+++ b/cmd/dispatcher/shortreads_test.go
@@ -16,8 +16,8 @@
 )
 
 // trace runs the daemon of a world under a plan of failing system calls.
-func (w *world) trace(plan faultinject.Plan) {
-	w.begin = func() {
+func (w *testDaemon) trace(plan faultinject.Plan) {
+	w.startProcess = func() {
 		t := w.t
 		out, err := os.Create(filepath.Join(t.TempDir(), "log"))
 		if err != nil {
@@ -70,7 +70,7 @@
 		io.WriteString(conn, r.change())
 		untilClosed(conn)
 	})
-	discovery := r.discovery()
+	discovery := r.startDiscovery()
 	r.config = map[string]any{"discovery": discovery}
 	r.trace(faultinject.Plan{Rules: []faultinject.Rule{{
 		Call: faultinject.SocketRead, Probability: 1, Short: 7, Peer: port(t, discovery), After: fault,
@@ -79,7 +79,7 @@
 	r.start()
 	stop, over := make(chan struct{}), make(chan struct{})
 	go func() { r.load(stop); close(over) }()
-	r.until("the backend to be removed is used", func() bool { return r.last.Load() > 0 })
+	r.waitUntil("the backend to be removed is used", func() bool { return r.last.Load() > 0 })
 	time.Sleep(time.Until(begun.Add(fault + 100*time.Millisecond)))
 	close(remove)
 	time.Sleep(notifiedAfter + drainGrace + 3*time.Second)
--- a/cmd/dispatcher/startlist_test.go
+++ b/cmd/dispatcher/startlist_test.go
@@ -30,7 +30,7 @@
 				time.Sleep(3 * time.Second)
 				close(stop)
 				<-over
-				if n := len(r.removed.arrivals()); n > 0 {
+				if n := len(r.removed.requests()); n > 0 {
 					t.Errorf("%d requests went to the removed backend", n)
 				}
 				if r.answered(200) == 0 {
--- a/cmd/dispatcher/syscalls_test.go
+++ b/cmd/dispatcher/syscalls_test.go
@@ -39,12 +39,12 @@
 // or are interrupted; no renewal runs twice, and service is whole afterwards.
 func TestServesOverFailingSystemCalls(t *testing.T) {
 	const after, span = time.Second, 4 * time.Second
-	w := &world{t: t}
+	w := &testDaemon{t: t}
 	once := func(id string, conn net.Conn) bool { // so that each request needs a new connection
-		done(id, conn)
+		respondDone(id, conn)
 		return false
 	}
-	backends := []*backend{w.backend("s-1", once), w.backend("s-2", once)}
+	backends := []*testWorker{w.addWorker("s-1", once), w.addWorker("s-2", once)}
 	w.trace(faultinject.Plan{Seed: 1, Rules: momentary(0.1, after, span)})
 	begun := time.Now()
 	w.start()
@@ -85,7 +85,7 @@
 	}
 	runs := map[string]int{}
 	for _, b := range backends {
-		for _, id := range b.arrivals() {
+		for _, id := range b.requests() {
 			if runs[id]++; runs[id] > 1 && strings.Contains(id, "/renewal/") {
 				t.Errorf("%s ran %d times", id, runs[id])
 			}
@@ -103,10 +103,10 @@
 	const after, span = time.Second, 2 * time.Second
 	for _, e := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET} {
 		t.Run(e.Error(), func(t *testing.T) {
-			w := &world{t: t}
-			b := w.backend("s-1", done)
+			w := &testDaemon{t: t}
+			b := w.addWorker("s-1", respondDone)
 			w.trace(faultinject.Plan{Seed: 2, Rules: []faultinject.Rule{
-				{Call: faultinject.SocketRead, Probability: 0.3, Error: e, Peer: port(t, b.ln.Addr().String()), After: after, For: span},
+				{Call: faultinject.SocketRead, Probability: 0.3, Error: e, Peer: port(t, b.listener.Addr().String()), After: after, For: span},
 			}})
 			begun := time.Now()
 			w.start()
@@ -118,7 +118,7 @@
 				t.Error("no read failed")
 			}
 			runs := map[string]int{}
-			for _, id := range b.arrivals() {
+			for _, id := range b.requests() {
 				if runs[id]++; runs[id] > 1 {
 					t.Errorf("%s ran %d times", id, runs[id])
 				}
--- a/cmd/dispatcher/versions_test.go
+++ b/cmd/dispatcher/versions_test.go
@@ -37,7 +37,7 @@
 
 // hasLogged tells whether the program has logged a text; a program of another build
 // may have the earlier one.
-func (w *world) hasLogged(text string) bool {
+func (w *testDaemon) hasLogged(text string) bool {
 	log := w.log.String()
 	if strings.Contains(log, text) {
 		return true
@@ -46,8 +46,8 @@
 	return w.program != "" && earlier != "" && strings.Contains(log, earlier)
 }
 
-// load is clients that send without a pause.
-type load struct {
+// clientLoad is clients that send without a pause.
+type clientLoad struct {
 	address string
 	stop    chan struct{}
 	clients sync.WaitGroup
@@ -57,8 +57,8 @@
 	failed []string
 }
 
-func startLoad(address string, clients int) *load {
-	l := &load{address: address, stop: make(chan struct{})}
+func startLoad(address string, clients int) *clientLoad {
+	l := &clientLoad{address: address, stop: make(chan struct{})}
 	for c := range clients {
 		l.clients.Add(1)
 		go func() {
@@ -70,8 +70,8 @@
 }
 
 // client sends until the load is stopped, now and then on a new connection.
-func (l *load) client(number int) {
-	client := &http.Client{Timeout: patience, Transport: &http.Transport{}}
+func (l *clientLoad) client(number int) {
+	client := &http.Client{Timeout: testTimeout, Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	for n := 0; ; n++ {
 		select {
@@ -94,14 +94,14 @@
 }
 
 // sentSoFar is how many requests have been answered, or have failed.
-func (l *load) sentSoFar() int {
+func (l *clientLoad) sentSoFar() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.sent
 }
 
-// end stops the clients and tells what has become of their requests.
-func (l *load) end() (sent int, failed []string) {
+// stopAndReport stops the clients and tells what has become of their requests.
+func (l *clientLoad) stopAndReport() (sent int, failed []string) {
 	close(l.stop)
 	l.clients.Wait()
 	return l.sent, l.failed
@@ -126,10 +126,10 @@
 	return answer.StatusCode, err
 }
 
-// counted is how often each job has run.
-func counted(b *backend) map[string]int {
+// runsByID is how often each job has run.
+func runsByID(b *testWorker) map[string]int {
 	runs := map[string]int{}
-	for _, arrival := range b.arrivals() {
+	for _, arrival := range b.requests() {
 		id, _, _ := strings.Cut(arrival, " ")
 		runs[id]++
 	}
@@ -140,40 +140,40 @@
 // pause: none of their requests is lost, refused or run twice, the successor bars
 // the names that its predecessor took, and has where discovery is from it.
 func TestReplacementAcrossVersions(t *testing.T) {
-	first := operate(t, keep(t))
+	first := newDaemonWithAdmin(t, newPlatformListener(t))
 	first.program = os.Getenv(predecessorVariable)
-	b := first.backend("s-1", done)
+	b := first.addWorker("s-1", respondDone)
 	first.start()
-	first.watch()
-	moved := &world{t: t}
-	address := moved.discovery()
+	first.waitForWatch()
+	moved := &testDaemon{t: t}
+	address := moved.startDiscovery()
 	first.config["discovery"] = address
-	first.write()
+	first.writeConfig()
 	first.signal(syscall.SIGHUP)
-	moved.watch()
+	moved.waitForWatch()
 	first.config["discovery"] = "127.0.0.1:1" // the next one hears of the right one
-	first.write()
+	first.writeConfig()
 	l := startLoad(first.listen, 4)
-	first.until("requests before the replacement", func() bool { return l.sentSoFar() > 50 })
-	next := first.besideProgram(os.Getenv(successorVariable))
-	next.until("the successor is ready", next.ready)
-	moved.watch()
-	first.says("successor has connected")
-	first.says("successor is accepting clients")
+	first.waitUntil("requests before the replacement", func() bool { return l.sentSoFar() > 50 })
+	next := first.startSuccessorProgram(os.Getenv(successorVariable))
+	next.waitUntil("the successor is ready", next.ready)
+	moved.waitForWatch()
+	first.waitForLog("successor has connected")
+	first.waitForLog("successor is accepting clients")
 	before := l.sentSoFar()
-	first.until("requests beside each other", func() bool { return l.sentSoFar() > before+50 })
+	first.waitUntil("requests beside each other", func() bool { return l.sentSoFar() > before+50 })
 	first.signal(syscall.SIGTERM)
-	if code := first.ended(); code != 0 {
+	if code := first.waitForExit(); code != 0 {
 		t.Errorf("the predecessor's exit code: %d", code)
 	}
-	next.says("predecessor has ended")
+	next.waitForLog("predecessor has ended")
 	before = l.sentSoFar()
-	next.until("requests after the replacement", func() bool { return l.sentSoFar() > before+50 })
-	sent, failed := l.end()
+	next.waitUntil("requests after the replacement", func() bool { return l.sentSoFar() > before+50 })
+	sent, failed := l.stopAndReport()
 	for _, text := range failed {
 		t.Error(text)
 	}
-	runs := counted(b)
+	runs := runsByID(b)
 	for id, n := range runs {
 		if n != 1 {
 			t.Errorf("%s ran %d times", id, n)
@@ -188,47 +188,47 @@
 	t.Logf("%d requests, none lost", sent)
 }
 
-// besideProgram is a second process of the same dispatcher, of a given program.
-func (w *world) besideProgram(program string) *world {
+// startSuccessorProgram is a second process of the same dispatcher, of a given program.
+func (w *testDaemon) startSuccessorProgram(program string) *testDaemon {
 	former := w.program
 	w.program = program
 	defer func() { w.program = former }()
-	return w.beside()
+	return w.startSuccessor()
 }
 
 // A drained process is replaced by one of another build, which is drained too;
 // and a drain that ends on either side ends on the other.
 func TestDrainAcrossVersions(t *testing.T) {
-	first := operate(t, keep(t))
+	first := newDaemonWithAdmin(t, newPlatformListener(t))
 	first.program = os.Getenv(predecessorVariable)
-	first.backend("s-1", done)
+	first.addWorker("s-1", respondDone)
 	first.start()
-	if status, _ := first.admin("PUT", "/control/out-of-service"); status != 200 {
+	if status, _ := first.callAdmin("PUT", "/control/out-of-service"); status != 200 {
 		t.Fatalf("out of service: %d", status)
 	}
-	next := first.besideProgram(os.Getenv(successorVariable))
-	next.until("the successor is ready", next.ready)
+	next := first.startSuccessorProgram(os.Getenv(successorVariable))
+	next.waitUntil("the successor is ready", next.ready)
 	if first.health() != 503 || next.health() != 503 {
 		t.Error("the successor of a drained process says that it is healthy")
 	}
-	if status, _ := next.admin("PUT", "/control/in-service"); status != 200 {
+	if status, _ := next.callAdmin("PUT", "/control/in-service"); status != 200 {
 		t.Errorf("in service: %d", status)
 	}
-	first.says(`"in service"`)
-	if status, _ := first.admin("PUT", "/control/out-of-service"); status != 200 {
+	first.waitForLog(`"in service"`)
+	if status, _ := first.callAdmin("PUT", "/control/out-of-service"); status != 200 {
 		t.Errorf("out of service: %d", status)
 	}
-	next.says(`"out of service"`)
-	next.until("both are drained", func() bool { return first.health() == 503 && next.health() == 503 })
+	next.waitForLog(`"out of service"`)
+	next.waitUntil("both are drained", func() bool { return first.health() == 503 && next.health() == 503 })
 }
 
 // The store of durable jobs goes from a process to one of another build: what was
 // done is known to be done, and a job for later is there with its payload.
 func TestDurableJobsAcrossVersions(t *testing.T) {
-	first := operate(t, keep(t))
+	first := newDaemonWithAdmin(t, newPlatformListener(t))
 	first.program = os.Getenv(predecessorVariable)
-	b := first.backend("s-1", done)
-	ln := listen(t)
+	b := first.addWorker("s-1", respondDone)
+	ln := listenLocal(t)
 	faktory := ln.Addr().String()
 	ln.Close()
 	dir := t.TempDir()
@@ -243,7 +243,7 @@
 	if status, err := send(first.client, first.listen, "before", "paid-1"); status != 200 {
 		t.Fatalf("a request under an idempotency key: %d, %v", status, err)
 	}
-	producer, err := faktoryDial(dir, map[string]any{"labels": []string{"born_ms:1"}})
+	producer, err := dialFaktory(dir, map[string]any{"labels": []string{"born_ms:1"}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -252,21 +252,21 @@
 		t.Fatalf("%q, %v", got, err)
 	}
 	query := "/control/jobs?full=true"
-	_, list := first.admin("GET", query)
-	next := first.besideProgram(os.Getenv(successorVariable))
-	next.until("the successor is ready", next.ready)
+	_, list := first.callAdmin("GET", query)
+	next := first.startSuccessorProgram(os.Getenv(successorVariable))
+	next.waitUntil("the successor is ready", next.ready)
 	first.signal(syscall.SIGTERM)
-	next.says("durable jobs taken over")
-	if code := first.ended(); code != 0 {
+	next.waitForLog("durable jobs taken over")
+	if code := first.waitForExit(); code != 0 {
 		t.Errorf("the predecessor's exit code: %d", code)
 	}
-	if _, now := next.admin("GET", query); now != list || !strings.Contains(now, "later-001") || !strings.Contains(now, "idem:paid-1") {
+	if _, now := next.callAdmin("GET", query); now != list || !strings.Contains(now, "later-001") || !strings.Contains(now, "idem:paid-1") {
 		t.Errorf("the successor's jobs:\n%s\nthe predecessor's:\n%s", now, list)
 	}
 	if status, err := send(next.client, next.listen, "after", "paid-1"); status != 200 {
 		t.Errorf("asked again under the key: %d, %v", status, err)
 	}
-	if n := counted(b)["idem:paid-1"]; n != 1 {
+	if n := runsByID(b)["idem:paid-1"]; n != 1 {
 		t.Errorf("the request ran %d times", n)
 	}
 }
