--- a/cmd/dispatcher/follow_test.go
+++ b/cmd/dispatcher/follow_test.go
@@ -16,21 +16,21 @@
 // servers in it. SIGHUP takes over other servers; a table that is wrong changes
 // nothing; and the admin API tells the version in force.
 func TestFollowsVersionedChanges(t *testing.T) {
-	w := newDaemonWithAdmin(t, newPlatformListener(t))
-	a, b := w.addWorker("s-1", respondDone), w.addWorker("s-2", respondDone)
+	d := newDaemonWithAdmin(t, newPlatformListener(t))
+	a, b := d.addWorker("s-1", respondDone), d.addWorker("s-2", respondDone)
 	origin := func(hosts ...*testWorker) *standin.Discovery {
-		d, err := standin.StartDiscovery(nil)
+		source, err := standin.StartDiscovery(nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { d.Close() })
+		t.Cleanup(func() { source.Close() })
 		for range 50 { // ahead of the list known at the start
-			d.Set()
+			source.Set()
 		}
 		for _, h := range hosts {
-			d.Set(listedHost(t, h))
+			source.Set(listedHost(t, h))
 		}
-		return d
+		return source
 	}
 	first, second := origin(a), origin(a, b)
 	path := filepath.Join(t.TempDir(), "operator.toml")
@@ -39,41 +39,41 @@
 			t.Fatal(err)
 		}
 	}
-	server := func(d *standin.Discovery) string {
-		return fmt.Sprintf("on = true\n[[membership.servers]]\naddress = %q\n", d.Addr)
+	server := func(source *standin.Discovery) string {
+		return fmt.Sprintf("on = true\n[[membership.servers]]\naddress = %q\n", source.Addr)
 	}
 	table(server(first))
-	w.start("-operator", path)
-	follows := func(d *standin.Discovery, version int) func() bool {
+	d.start("-operator", path)
+	follows := func(source *standin.Discovery, version int) func() bool {
 		return func() bool {
 			var stats struct {
 				Version int
 				Server  string
 			}
-			_, text := w.callAdmin("GET", "/control/membership")
-			return json.Unmarshal([]byte(text), &stats) == nil && stats.Version == version && stats.Server == d.Addr
+			_, text := d.callAdmin("GET", "/control/membership")
+			return json.Unmarshal([]byte(text), &stats) == nil && stats.Version == version && stats.Server == source.Addr
 		}
 	}
-	w.waitUntil("the first server is followed", follows(first, 51))
+	d.waitUntil("the first server is followed", follows(first, 51))
 	for text, want := range map[string]string{
 		"on = false": "membership.on: only a restart", "on = true": "membership.servers: none",
 		server(second) + "zone = \"nowhere\"\n": "membership.servers[0].zone",
 	} {
 		table(text)
-		w.signal(syscall.SIGHUP)
-		w.waitForLog(want)
+		d.signal(syscall.SIGHUP)
+		d.waitForLog(want)
 	}
 	if !follows(first, 51)() {
 		t.Error("a wrong table has changed something")
 	}
 	table(server(second))
-	w.signal(syscall.SIGHUP)
-	w.waitUntil("the second server is followed", follows(second, 52))
+	d.signal(syscall.SIGHUP)
+	d.waitUntil("the second server is followed", follows(second, 52))
 	second.Set(standin.Host{Host: "s-1", Dial: "127.0.0.1:9", Health: "gone"})
-	w.waitUntil("its change is in force", follows(second, 53))
+	d.waitUntil("its change is in force", follows(second, 53))
 	before := len(a.requests())
 	for i := range 10 {
-		if status, _, _ := w.post("renewal", fmt.Sprint("job-", i), "x", 0); status != 200 {
+		if status, _, _ := d.post("renewal", fmt.Sprint("job-", i), "x", 0); status != 200 {
 			t.Errorf("job %d: %d", i, status)
 		}
 	}
@@ -81,12 +81,12 @@
 		t.Errorf("%d jobs went to the one that has gone, %d to the other", len(a.requests())-before, len(b.requests()))
 	}
 	select {
-	case q := <-w.watches:
+	case q := <-d.watches:
 		t.Error("the discovery watch is open too: ", q)
 	default:
 	}
-	w.signal(syscall.SIGTERM)
-	if code := w.waitForExit(); code != 0 || strings.Contains(w.log.String(), "panic") {
+	d.signal(syscall.SIGTERM)
+	if code := d.waitForExit(); code != 0 || strings.Contains(d.log.String(), "panic") {
 		t.Errorf("exit code %d", code)
 	}
 }
--- a/cmd/dispatcher/handover_golden_test.go
+++ b/cmd/dispatcher/handover_golden_test.go
@@ -75,13 +75,13 @@
 
 // What a predecessor says to its successor, from the first word to the last.
 func TestGoldenPredecessor(t *testing.T) {
-	w := newDaemonWithAdmin(t, newPlatformListener(t))
-	w.addWorker("s-1", respondDone)
-	w.start()
-	w.waitForWatch()
+	d := newDaemonWithAdmin(t, newPlatformListener(t))
+	d.addWorker("s-1", respondDone)
+	d.start()
+	d.waitForWatch()
 	other := &testDaemon{t: t}
 	address := other.startDiscovery()
-	meeting, err := filepath.Glob(filepath.Join(w.runtimeDirectory(), "hollyyoke-*.sock"))
+	meeting, err := filepath.Glob(filepath.Join(d.runtimeDirectory(), "hollyyoke-*.sock"))
 	if err != nil || len(meeting) != 1 {
 		t.Fatalf("it meets at %q, %v", meeting, err)
 	}
@@ -92,53 +92,53 @@
 	p := newPeer(t, conn)
 	p.receive("hello")
 	p.receive("room")
-	w.post("renewal", "one-name", "x", 0)
+	d.post("renewal", "one-name", "x", 0)
 	p.receive("names")
-	added := w.addWorker("s-2", respondDone)
-	w.changes <- `{"seq":42,"whole":true,"hosts":[` + w.workers[0].listEntry("draining") + "," + added.listEntry("ready") + `]}`
+	added := d.addWorker("s-2", respondDone)
+	d.changes <- `{"seq":42,"whole":true,"hosts":[` + d.workers[0].listEntry("draining") + "," + added.listEntry("ready") + `]}`
 	p.receive("list")
-	w.callAdmin("PUT", "/control/out-of-service")
+	d.callAdmin("PUT", "/control/out-of-service")
 	p.receive("out_of_service")
-	w.callAdmin("PUT", "/control/in-service")
+	d.callAdmin("PUT", "/control/in-service")
 	p.receive("out_of_service")
-	w.config["discovery"] = address
-	w.writeConfig()
-	w.signal(syscall.SIGHUP)
+	d.config["discovery"] = address
+	d.writeConfig()
+	d.signal(syscall.SIGHUP)
 	p.receive("discovery")
 	p.send(`{"ready":true}`)
-	w.waitForLog("successor is accepting clients")
-	w.signal(syscall.SIGTERM)
+	d.waitForLog("successor is accepting clients")
+	d.signal(syscall.SIGTERM)
 	p.receive("kept")
-	if code := w.waitForExit(); code != 0 {
+	if code := d.waitForExit(); code != 0 {
 		t.Errorf("exit code %d", code)
 	}
 	checkGolden(t, "handover-predecessor.jsonl", []byte(p.transcript.String()))
 }
 
 // runtimeDirectory is where the world's processes meet.
-func (w *testDaemon) runtimeDirectory() string {
-	for _, variable := range w.env {
+func (d *testDaemon) runtimeDirectory() string {
+	for _, variable := range d.env {
 		if folder, is := strings.CutPrefix(variable, "TMPDIR="); is {
 			return folder
 		}
 	}
-	w.t.Fatal("no folder")
+	d.t.Fatal("no folder")
 	return ""
 }
 
 // What a successor makes of a predecessor's words, and what it says itself.
 func TestGoldenSuccessor(t *testing.T) {
-	w := newDaemonWithAdmin(t, newPlatformListener(t))
-	path := handover.SocketPath(w.runtimeDirectory(), "n0 "+w.listen)
+	d := newDaemonWithAdmin(t, newPlatformListener(t))
+	path := handover.SocketPath(d.runtimeDirectory(), "n0 "+d.listen)
 	ln, err := net.Listen("unix", path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	known, told := w.addWorker("s-1", respondDone), (&testDaemon{t: t}).addWorker("s-2", respondDone)
+	known, told := d.addWorker("s-1", respondDone), (&testDaemon{t: t}).addWorker("s-2", respondDone)
 	silent, moved := listenLocal(t), listenLocal(t)
-	w.skipReadyWait = true
-	w.start()
+	d.skipReadyWait = true
+	d.start()
 	conn, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -150,26 +150,26 @@
 	p.send(`{"hello":{"discovery":"` + silent.Addr().String() + `","list":` + list(known) + `,"out_of_service":true,"key":"AAECAwQFBgcICQoLDA0ODw=="}}`)
 	p.send(`{"room":{"descriptors":512,"memory":100663296}}`)
 	p.send(`{"names":"AQAAAAAAAAA="}`)
-	w.waitForLog("started as the successor of a running process")
-	w.waitForLog(`"out of service"`)
+	d.waitForLog("started as the successor of a running process")
+	d.waitForLog(`"out of service"`)
 	p.receive("ready")
 	p.send(`{"list":` + list(told) + `}`)
 	p.send(`{"charge":{"backend":"s-2","amount":0.125}}`)
 	p.send(`{"out_of_service":false}`)
-	w.waitForLog(`"in service"`)
-	w.waitUntil("in service", func() bool { return w.health() == 200 })
-	if status, _, _ := w.post("renewal", "by-the-list", "x", 0); status != 200 || len(known.requests()) != 0 || len(told.requests()) != 1 {
+	d.waitForLog(`"in service"`)
+	d.waitUntil("in service", func() bool { return d.health() == 200 })
+	if status, _, _ := d.post("renewal", "by-the-list", "x", 0); status != 200 || len(known.requests()) != 0 || len(told.requests()) != 1 {
 		t.Errorf("by the list handed over: %d; %q, %q", status, known.requests(), told.requests())
 	}
 	p.receive("names")
 	p.send(`{"discovery":"` + moved.Addr().String() + `"}`)
-	w.waitForLog("discovery moves to " + moved.Addr().String())
-	w.callAdmin("PUT", "/control/out-of-service")
+	d.waitForLog("discovery moves to " + moved.Addr().String())
+	d.callAdmin("PUT", "/control/out-of-service")
 	p.receive("out_of_service")
 	p.send(`{"kept":true}`)
 	conn.Close()
-	w.waitForLog("predecessor has ended")
-	if w.waitForLog("accepting clients"); strings.Contains(w.log.String(), "handover: ") { // the prefix of all errors in what is handed over
+	d.waitForLog("predecessor has ended")
+	if d.waitForLog("accepting clients"); strings.Contains(d.log.String(), "handover: ") { // the prefix of all errors in what is handed over
 		t.Error("it could not read what was handed over")
 	}
 	checkGolden(t, "handover-successor.jsonl", []byte(p.transcript.String()))
--- a/cmd/dispatcher/kill_test.go
+++ b/cmd/dispatcher/kill_test.go
@@ -43,8 +43,8 @@
 
 // faktoryClient speaks the protocol; every error is a lost connection.
 type faktoryClient struct {
-	conn net.Conn
-	reader    *bufio.Reader
+	conn   net.Conn
+	reader *bufio.Reader
 }
 
 func dialFaktory(dir string, hello map[string]any) (*faktoryClient, error) {
@@ -180,10 +180,10 @@
 // killReport is what came of a run.
 type killReport struct {
 	kills, jobs, done, inDoubt, dead, ranTwice, neverRan int
-	inDoubtRan                                     int // of those in doubt, how many ran
-	illegal                                      int // histories against the rules
-	seconds                                      float64
-	faults                                          []string
+	inDoubtRan                                           int // of those in doubt, how many ran
+	illegal                                              int // histories against the rules
+	seconds                                              float64
+	faults                                               []string
 }
 
 // writeDurableConfig writes what a dispatcher with a durable queue is started with.
@@ -234,7 +234,7 @@
 }
 
 // runKills runs jobs until so many runKills and so many renewals are over.
-func runKills(t *testing.T, program, promise string, seed uint64, most, renewals int, slow float64) (sum killReport) {
+func runKills(t *testing.T, program, promise string, seed uint64, maxKills, renewals int, slow float64) (sum killReport) {
 	t.Helper()
 	dir := t.TempDir()
 	os.Mkdir(filepath.Join(dir, "till"), 0o700)
@@ -322,7 +322,7 @@
 			}
 		}()
 	}
-	for sum.kills < most {
+	for sum.kills < maxKills {
 		time.Sleep(time.Duration(20+random.IntN(100)) * time.Millisecond)
 		switch slot := random.IntN(4); random.IntN(5) {
 		case 0, 1:
@@ -710,7 +710,7 @@
 			t.Errorf("the audit lacks %q: %s", want, audit)
 		}
 	}
-	writeDurableConfig(t, dir, 60)                 // no lease runs out any more, however slow the machine is
+	writeDurableConfig(t, dir, 60)                  // no lease runs out any more, however slow the machine is
 	dispatcher = startDurable(t, builtProgram, dir) // what was settled runs, and so does what was retried
 	port()
 	w := client("w3")
@@ -733,21 +733,21 @@
 // first run's result, in the next life too; what was killed in its midst is in
 // doubt until an operator settles it, and is never run again by a client's word.
 func TestIdempotencyKey(t *testing.T) {
-	w := &testDaemon{t: t}
+	d := &testDaemon{t: t}
 	arrived, release := make(chan struct{}, 1), make(chan struct{})
-	b := w.addWorker("s-1", respondWhenReleased("idem:slow-1", arrived, release))
+	b := d.addWorker("s-1", respondWhenReleased("idem:slow-1", arrived, release))
 	defer close(release)
 	path := filepath.Join(t.TempDir(), "faktory.toml")
 	store := filepath.Join(t.TempDir(), "jobs.db")
 	os.WriteFile(path, []byte(fmt.Sprintf("listen = \"127.0.0.1:0\"\n[durable]\npath = %q\nqueues = [\"renewal\"]\nlease_s = 0.4\ngrace_s = 0.4\n", store)), 0o600)
-	w.start("-faktory", path)
+	d.start("-faktory", path)
 	ask := func(key, body string, left int) (int, string) {
 		t.Helper()
-		r, _ := http.NewRequest("POST", "http://"+w.listen+"/renewal/member-7?plan=gold", strings.NewReader(body))
+		r, _ := http.NewRequest("POST", "http://"+d.listen+"/renewal/member-7?plan=gold", strings.NewReader(body))
 		r.Header.Set("X-Correlation-Id", fmt.Sprintf("c-%x", key))
 		r.Header.Set("Idempotency-Key", key)
 		r.Header.Set("X-Time-Left-Ms", fmt.Sprint(left))
-		answer, err := w.client.Do(r)
+		answer, err := d.client.Do(r)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -798,11 +798,11 @@
 	if got := <-status; got != 202 {
 		t.Errorf("not over in time: %d", got)
 	}
-	w.cmd.Process.Kill()
-	w.cmd.Wait()
-	w.launch("-faktory", path)
+	d.cmd.Process.Kill()
+	d.cmd.Wait()
+	d.launch("-faktory", path)
 	for end := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
-		if r, err := http.Get("http://" + w.listen + "/healthz"); err == nil {
+		if r, err := http.Get("http://" + d.listen + "/healthz"); err == nil {
 			r.Body.Close()
 			if r.StatusCode == 200 {
 				break
@@ -818,8 +818,8 @@
 	if runs("idem:k-1") != 1 || runs("idem:slow-1") != 1 {
 		t.Errorf("ran: %q", b.requests())
 	}
-	w.cmd.Process.Signal(syscall.SIGTERM)
-	if code := w.waitForExit(); code != 0 {
+	d.cmd.Process.Signal(syscall.SIGTERM)
+	if code := d.waitForExit(); code != 0 {
 		t.Errorf("exit code %d", code)
 	}
 	var out bytes.Buffer
@@ -832,11 +832,11 @@
 // successor has the address, the store and the leases, workers come back with
 // what they hold, and a request under a key is never run by both.
 func TestDurableJobsAreHandedOver(t *testing.T) {
-	w := newDaemonWithAdmin(t, newPlatformListener(t))
+	d := newDaemonWithAdmin(t, newPlatformListener(t))
 	arrived, release := make(chan struct{}, 1), make(chan struct{})
 	defer close(release)
 	slow := respondWhenReleased("idem:slow-2", arrived, release)
-	b := w.addWorker("s-1", func(id string, conn net.Conn) bool {
+	b := d.addWorker("s-1", func(id string, conn net.Conn) bool {
 		if id == "idem:slow-2" {
 			return slow(id, conn)
 		}
@@ -850,12 +850,12 @@
 	os.WriteFile(filepath.Join(dir, "addr"), []byte(addr), 0o600)
 	path := filepath.Join(dir, "faktory.toml")
 	os.WriteFile(path, []byte(fmt.Sprintf("listen = %q\n[durable]\npath = %q\nqueues = [\"renewal\", \"status-check\"]\nlease_s = 20\n", addr, filepath.Join(dir, "jobs.db"))), 0o600)
-	w.env = append(w.env, "HOLLYYOKE_FAKTORY="+path)
-	w.start()
+	d.env = append(d.env, "HOLLYYOKE_FAKTORY="+path)
+	d.start()
 	client := func(wid string) (c *faktoryClient) {
 		t.Helper()
 		var err error
-		w.waitUntil("a session", func() bool {
+		d.waitUntil("a session", func() bool {
 			hello := map[string]any{"labels": []string{"born_ms:1"}}
 			if wid != "" {
 				hello["wid"] = wid
@@ -873,7 +873,7 @@
 	}
 	fresh := &http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	ask := func(key string) int {
-		r, _ := http.NewRequest("POST", "http://"+w.listen+"/renewal/m?x=y", strings.NewReader("x"))
+		r, _ := http.NewRequest("POST", "http://"+d.listen+"/renewal/m?x=y", strings.NewReader("x"))
 		r.Header.Set("X-Correlation-Id", fmt.Sprint("c-", time.Now().UnixNano()))
 		r.Header.Set("Idempotency-Key", key)
 		r.Header.Set("X-Time-Left-Ms", "200")
@@ -908,8 +908,8 @@
 		t.Fatal("the worker got nothing")
 	}
 	do(p, `PUSH {"jid":"later-009","queue":"renewal","jobtype":"renewal","args":[1],"at":"2999-01-01T00:00:00Z"}`, "+OK")
-	next := w.startSuccessor()
-	next.waitUntil("the successor is ready", next.ready)
+	successor := d.startSuccessor()
+	successor.waitUntil("the successor is ready", successor.ready)
 	if got, _ := p.do("TRACK GET " + holds); !strings.Contains(got, "working") {
 		t.Errorf("the first has it still: %q", got)
 	}
@@ -921,9 +921,9 @@
 	if sums[202] == 0 || sums[503] == 0 || sums[202]+sums[503] != asked {
 		t.Errorf("beside each other: %v", sums)
 	}
-	w.cmd.Process.Signal(syscall.SIGTERM)
-	next.waitForLog("durable jobs taken over")
-	if code := w.waitForExit(); code != 0 {
+	d.cmd.Process.Signal(syscall.SIGTERM)
+	successor.waitForLog("durable jobs taken over")
+	if code := d.waitForExit(); code != 0 {
 		t.Errorf("exit code %d", code)
 	}
 	p, worker = client(""), client("w1")
@@ -944,7 +944,7 @@
 	if n != 1 {
 		t.Errorf("the request ran %d times", n)
 	}
-	if _, text := next.callAdmin("GET", "/control/jobs?state=scheduled"); !strings.Contains(text, "later-009") {
+	if _, text := successor.callAdmin("GET", "/control/jobs?state=scheduled"); !strings.Contains(text, "later-009") {
 		t.Errorf("the successor's door: %s", text)
 	}
 }
--- a/cmd/dispatcher/leftover_test.go
+++ b/cmd/dispatcher/leftover_test.go
@@ -20,10 +20,10 @@
 // unreadWorker is a backend whose machine takes in only the begin of a request until it is released.
 type unreadWorker struct {
 	*testWorker
-	release chan struct{}
-	mu      sync.Mutex
-	completeIDs   []string // the ids of the requests that arrived whole, and when
-	completedAt      []time.Time
+	release     chan struct{}
+	mu          sync.Mutex
+	completeIDs []string // the ids of the requests that arrived whole, and when
+	completedAt []time.Time
 	connected   chan struct{} // a connection has come
 }
 
@@ -39,14 +39,14 @@
 	return err
 }
 
-func newUnreadWorker(w *testDaemon, name string) *unreadWorker {
+func newUnreadWorker(d *testDaemon, name string) *unreadWorker {
 	ln, err := (&net.ListenConfig{Control: minReceiveBuffer}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
-		w.t.Fatal(err)
+		d.t.Fatal(err)
 	}
-	w.t.Cleanup(func() { ln.Close() })
+	d.t.Cleanup(func() { ln.Close() })
 	c := &unreadWorker{testWorker: &testWorker{name: name, listener: ln}, release: make(chan struct{}), connected: make(chan struct{}, 100)}
-	w.workers = append(w.workers, c.testWorker)
+	d.workers = append(d.workers, c.testWorker)
 	go func() {
 		for {
 			conn, err := ln.Accept()
@@ -104,23 +104,23 @@
 func TestAbandonedRequestNeverArrives(t *testing.T) {
 	type scenario struct {
 		name   string
-		giveUp func(w *testDaemon, c *unreadWorker)
+		giveUp func(d *testDaemon, c *unreadWorker)
 	}
-	send := func(w *testDaemon, c *unreadWorker, left int) (status chan int) {
+	send := func(d *testDaemon, c *unreadWorker, left int) (status chan int) {
 		status = make(chan int, 1)
 		go func() {
-			got, _, _ := w.post("renewal", "stuck", stuckBody, left)
+			got, _, _ := d.post("renewal", "stuck", stuckBody, left)
 			status <- got
 		}()
 		<-c.connected
 		return status
 	}
 	scenarios := []scenario{
-		{"its time is over", func(w *testDaemon, c *unreadWorker) { <-send(w, c, 500) }},
-		{"its client leaves", func(w *testDaemon, c *unreadWorker) {
-			conn, err := net.Dial("tcp", w.listen)
+		{"its time is over", func(d *testDaemon, c *unreadWorker) { <-send(d, c, 500) }},
+		{"its client leaves", func(d *testDaemon, c *unreadWorker) {
+			conn, err := net.Dial("tcp", d.listen)
 			if err != nil {
-				w.t.Error(err)
+				d.t.Error(err)
 				return
 			}
 			io.WriteString(conn, "POST /renewal/k HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: stuck\r\nContent-Length: 8192\r\n\r\n"+stuckBody)
@@ -129,28 +129,28 @@
 			conn.Close()
 			time.Sleep(300 * time.Millisecond)
 		}},
-		{"its backend is removed", func(w *testDaemon, c *unreadWorker) {
-			status := send(w, c, 0)
-			w.changes <- `{"seq":42,"whole":false,"hosts":[` + c.listEntry("gone") + `]}`
+		{"its backend is removed", func(d *testDaemon, c *unreadWorker) {
+			status := send(d, c, 0)
+			d.changes <- `{"seq":42,"whole":false,"hosts":[` + c.listEntry("gone") + `]}`
 			select {
 			case got := <-status:
 				if got != 502 {
-					w.t.Errorf("its backend is removed: the client has %d", got)
+					d.t.Errorf("its backend is removed: the client has %d", got)
 				}
 			case <-time.After(drainGrace + time.Second):
-				w.t.Error("its backend is removed: the client waits for it")
+				d.t.Error("its backend is removed: the client waits for it")
 			}
 		}},
 	}
 	var all sync.WaitGroup
 	for _, s := range scenarios {
-		w := &testDaemon{t: t}
-		c := newUnreadWorker(w, "s-cut")
-		w.start()
+		d := &testDaemon{t: t}
+		c := newUnreadWorker(d, "s-cut")
+		d.start()
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			s.giveUp(w, c)
+			s.giveUp(d, c)
 			if got := c.releaseAndWait(); len(got) > 0 {
 				t.Errorf("%s: %v arrived afterwards", s.name, got)
 			}
--- a/cmd/dispatcher/link_test.go
+++ b/cmd/dispatcher/link_test.go
@@ -61,7 +61,7 @@
 	defer func() { builtProgram = usual }()
 	k := newPlatformListener(t)
 	k.directory = filepath.Join(dir, "nowhere")
-	w := newDaemonWithAdmin(t, k)
-	w.addWorker("s-1", respondDone)
-	w.start()
+	d := newDaemonWithAdmin(t, k)
+	d.addWorker("s-1", respondDone)
+	d.start()
 }
--- a/cmd/dispatcher/main_test.go
+++ b/cmd/dispatcher/main_test.go
@@ -62,24 +62,24 @@
 
 // testDaemon is what stands around the program.
 type testDaemon struct {
-	t        *testing.T
-	workers []*testWorker
-	watches  chan string // the query of each watch
-	changes  chan string // lines for the present watch; "silence" ends the lines that show its liveness, "end" the watch
-	listen   string
-	config   map[string]any
-	configPath     string               // of the file
-	env      []string             // beyond what it is told anyway
-	skipReadyWait  bool                 // start does not wait until it says that it is ready
-	inheritedFiles    []*os.File           // that it inherits
-	firstLine    chan string          // where discovery's first word comes from; nil: it has nothing to tell
-	answerDiscovery   func(conn net.Conn)  // answers each call to discovery; nil: tell does
+	t               *testing.T
+	workers         []*testWorker
+	watches         chan string // the query of each watch
+	changes         chan string // lines for the present watch; "silence" ends the lines that show its liveness, "end" the watch
+	listen          string
+	config          map[string]any
+	configPath      string               // of the file
+	env             []string             // beyond what it is told anyway
+	skipReadyWait   bool                 // start does not wait until it says that it is ready
+	inheritedFiles  []*os.File           // that it inherits
+	firstLine       chan string          // where discovery's first word comes from; nil: it has nothing to tell
+	answerDiscovery func(conn net.Conn)  // answers each call to discovery; nil: tell does
 	startProcess    func()               // starts cmd in place of its own Start
-	traced   *faultinject.Process // the daemon, where its system calls fail
-	program  string               // that is started; empty: the one under test
-	cmd      *exec.Cmd
-	log      logBuffer
-	client   *http.Client
+	traced          *faultinject.Process // the daemon, where its system calls fail
+	program         string               // that is started; empty: the one under test
+	cmd             *exec.Cmd
+	log             logBuffer
+	client          *http.Client
 }
 
 // logBuffer is a log that may be read while it is written.
@@ -102,10 +102,10 @@
 
 // testWorker is a stand-in: act answers each request.
 type testWorker struct {
-	name string
-	listener   net.Listener
-	mu   sync.Mutex
-	received  []string // the ids that arrived
+	name     string
+	listener net.Listener
+	mu       sync.Mutex
+	received []string // the ids that arrived
 	respond  func(id string, conn net.Conn) (keep bool)
 }
 
@@ -144,9 +144,9 @@
 	return ln
 }
 
-func (w *testDaemon) addWorker(name string, act func(string, net.Conn) bool) *testWorker {
-	b := &testWorker{name: name, listener: listenLocal(w.t), respond: act}
-	w.workers = append(w.workers, b)
+func (d *testDaemon) addWorker(name string, act func(string, net.Conn) bool) *testWorker {
+	b := &testWorker{name: name, listener: listenLocal(d.t), respond: act}
+	d.workers = append(d.workers, b)
 	go func() {
 		for {
 			conn, err := b.listener.Accept()
@@ -196,41 +196,41 @@
 }
 
 // start starts the program in the world; known tells it all backends.
-func (w *testDaemon) start(args ...string) {
-	t := w.t
+func (d *testDaemon) start(args ...string) {
+	t := d.t
 	t.Helper()
-	discovery := w.startDiscovery()
-	if w.listen == "" {
+	discovery := d.startDiscovery()
+	if d.listen == "" {
 		ln := listenLocal(t)
-		w.listen = ln.Addr().String()
+		d.listen = ln.Addr().String()
 		ln.Close()
 	}
 	var hosts []json.RawMessage
-	for _, b := range w.workers {
+	for _, b := range d.workers {
 		hosts = append(hosts, json.RawMessage(b.listEntry("ready")))
 	}
-	idle, _ := w.config["conn_idle_us"].(string)
+	idle, _ := d.config["conn_idle_us"].(string)
 	if idle == "" {
 		idle = "10000000"
 	}
 	config := map[string]any{
-		"name": "n0", "listen": w.listen, "discovery": discovery, "seed": "8c1f30d27a5be964",
+		"name": "n0", "listen": d.listen, "discovery": discovery, "seed": "8c1f30d27a5be964",
 		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
 		"known":  map[string]any{"seq": 41, "whole": true, "hosts": hosts}, "settings": json.RawMessage(strings.ReplaceAll(settingsText, "CONN_IDLE", idle)),
 	}
-	for k, v := range w.config {
+	for k, v := range d.config {
 		config[k] = v
 	}
-	w.config, w.configPath = config, filepath.Join(t.TempDir(), "config.json")
-	w.writeConfig()
-	w.launch(args...)
-	w.client = &http.Client{Timeout: testTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 100}}
-	if w.skipReadyWait {
-		w.waitForLog("listening on")
+	d.config, d.configPath = config, filepath.Join(t.TempDir(), "config.json")
+	d.writeConfig()
+	d.launch(args...)
+	d.client = &http.Client{Timeout: testTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 100}}
+	if d.skipReadyWait {
+		d.waitForLog("listening on")
 		return
 	}
 	for end := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
-		if resp, err := w.client.Get("http://" + w.listen + "/healthz"); err == nil {
+		if resp, err := d.client.Get("http://" + d.listen + "/healthz"); err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == 200 {
 				return
@@ -242,92 +242,92 @@
 }
 
 // launch starts a process of the program.
-func (w *testDaemon) launch(args ...string) {
-	t := w.t
+func (d *testDaemon) launch(args ...string) {
+	t := d.t
 	t.Helper()
-	w.cmd = exec.Command(cmp.Or(w.program, builtProgram), args...)
-	w.cmd.Env, w.cmd.ExtraFiles, w.cmd.Stderr = w.environment(), w.inheritedFiles, &w.log
-	if w.startProcess != nil {
-		w.startProcess()
+	d.cmd = exec.Command(cmp.Or(d.program, builtProgram), args...)
+	d.cmd.Env, d.cmd.ExtraFiles, d.cmd.Stderr = d.environment(), d.inheritedFiles, &d.log
+	if d.startProcess != nil {
+		d.startProcess()
 		return
 	}
-	if err := w.cmd.Start(); err != nil {
+	if err := d.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		if w.cmd.ProcessState == nil {
-			w.cmd.Process.Kill()
-			w.cmd.Wait()
+		if d.cmd.ProcessState == nil {
+			d.cmd.Process.Kill()
+			d.cmd.Wait()
 		}
 		if t.Failed() {
-			t.Logf("its log:\n%s", w.log.String())
+			t.Logf("its log:\n%s", d.log.String())
 		}
 	})
 }
 
-func (w *testDaemon) environment() []string {
-	discovery, _ := w.config["discovery"].(string)
-	env := append(os.Environ(), "BALANCER_CONFIG="+w.configPath, "BALANCER_LISTEN=", "BALANCER_DISCOVERY="+discovery,
+func (d *testDaemon) environment() []string {
+	discovery, _ := d.config["discovery"].(string)
+	env := append(os.Environ(), "BALANCER_CONFIG="+d.configPath, "BALANCER_LISTEN=", "BALANCER_DISCOVERY="+discovery,
 		"BALANCER_NAME=", "BALANCER_ADMIN_ADDR=", "BALANCER_FD=")
-	return append(env, w.env...)
+	return append(env, d.env...)
 }
 
 // writeConfig writes the configuration file.
-func (w *testDaemon) writeConfig() {
-	raw, err := json.Marshal(w.config)
+func (d *testDaemon) writeConfig() {
+	raw, err := json.Marshal(d.config)
 	if err == nil {
-		err = os.WriteFile(w.configPath, raw, 0o600)
+		err = os.WriteFile(d.configPath, raw, 0o600)
 	}
 	if err != nil {
-		w.t.Fatal(err)
+		d.t.Fatal(err)
 	}
 }
 
 // startDiscovery starts a stand-in for startDiscovery and returns its address.
-func (w *testDaemon) startDiscovery() string {
-	ln := listenLocal(w.t)
-	w.watches, w.changes = make(chan string, 100), make(chan string, 100)
+func (d *testDaemon) startDiscovery() string {
+	ln := listenLocal(d.t)
+	d.watches, d.changes = make(chan string, 100), make(chan string, 100)
 	go func() {
 		for {
 			conn, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			go w.serveDiscovery(conn)
+			go d.serveDiscovery(conn)
 		}
 	}()
 	return ln.Addr().String()
 }
 
-func (w *testDaemon) serveDiscovery(conn net.Conn) {
+func (d *testDaemon) serveDiscovery(conn net.Conn) {
 	defer conn.Close()
 	req, err := http.ReadRequest(bufio.NewReader(conn))
 	switch {
 	case err != nil:
-	case w.answerDiscovery != nil:
-		w.answerDiscovery(conn)
+	case d.answerDiscovery != nil:
+		d.answerDiscovery(conn)
 	default:
-		w.answerWatch(conn, req.URL.RawQuery)
+		d.answerWatch(conn, req.URL.RawQuery)
 	}
 }
 
 // answerWatch answers a watch that asked for a query.
-func (w *testDaemon) answerWatch(conn net.Conn, query string) {
+func (d *testDaemon) answerWatch(conn net.Conn, query string) {
 	chunk := func(line string) { fmt.Fprintf(conn, "%x\r\n%s\n\r\n", len(line)+1, line) }
 	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-	if w.firstLine != nil {
-		chunk(<-w.firstLine)
+	if d.firstLine != nil {
+		chunk(<-d.firstLine)
 	} else {
 		chunk("")
 	}
-	w.watches <- query
+	d.watches <- query
 	gone := make(chan struct{})
 	go func() { io.Copy(io.Discard, conn); close(gone) }()
 	for {
 		select {
 		case <-gone:
 			return
-		case line := <-w.changes:
+		case line := <-d.changes:
 			switch line {
 			case "silence":
 				<-gone // until the other side gives up
@@ -343,17 +343,17 @@
 }
 
 // post sends a job and returns status, body and Retry-After.
-func (w *testDaemon) post(class, id, body string, leftMs int) (int, string, string) {
-	w.t.Helper()
-	req, _ := http.NewRequest("POST", "http://"+w.listen+"/"+class+"/key-1?x=y", strings.NewReader(body))
+func (d *testDaemon) post(class, id, body string, leftMs int) (int, string, string) {
+	d.t.Helper()
+	req, _ := http.NewRequest("POST", "http://"+d.listen+"/"+class+"/key-1?x=y", strings.NewReader(body))
 	req.Header.Set("X-Correlation-Id", id)
 	req.Header.Set("X-Weight-Hint", "20000")
 	if leftMs > 0 {
 		req.Header.Set("X-Time-Left-Ms", fmt.Sprint(leftMs))
 	}
-	resp, err := w.client.Do(req)
+	resp, err := d.client.Do(req)
 	if err != nil {
-		w.t.Errorf("%s: %v", id, err)
+		d.t.Errorf("%s: %v", id, err)
 		return 0, "", ""
 	}
 	defer resp.Body.Close()
@@ -362,58 +362,58 @@
 }
 
 // waitForExit waits for the program's end and returns its exit code.
-func (w *testDaemon) waitForExit() int {
-	w.t.Helper()
+func (d *testDaemon) waitForExit() int {
+	d.t.Helper()
 	over := make(chan struct{})
-	go func() { w.cmd.Wait(); close(over) }()
+	go func() { d.cmd.Wait(); close(over) }()
 	select {
 	case <-over:
 	case <-time.After(testTimeout):
-		w.cmd.Process.Signal(syscall.SIGQUIT) // its log then tells what it waits for
+		d.cmd.Process.Signal(syscall.SIGQUIT) // its log then tells what it waits for
 		<-over
-		w.t.Fatal("it does not end")
+		d.t.Fatal("it does not end")
 	}
-	return w.cmd.ProcessState.ExitCode()
+	return d.cmd.ProcessState.ExitCode()
 }
 
-func (w *testDaemon) signal(sig os.Signal) {
-	w.t.Helper()
-	if err := w.cmd.Process.Signal(sig); err != nil {
-		w.t.Fatal(err)
+func (d *testDaemon) signal(sig os.Signal) {
+	d.t.Helper()
+	if err := d.cmd.Process.Signal(sig); err != nil {
+		d.t.Fatal(err)
 	}
 }
 
 // waitForLog waits until the program has logged a text.
-func (w *testDaemon) waitForLog(text string) {
-	w.t.Helper()
-	for end := time.Now().Add(testTimeout); !w.hasLogged(text); time.Sleep(time.Millisecond) {
+func (d *testDaemon) waitForLog(text string) {
+	d.t.Helper()
+	for end := time.Now().Add(testTimeout); !d.hasLogged(text); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			w.t.Fatalf("it does not log %q", text)
+			d.t.Fatalf("it does not log %q", text)
 		}
 	}
 }
 
-func (w *testDaemon) waitForWatch() string {
-	w.t.Helper()
+func (d *testDaemon) waitForWatch() string {
+	d.t.Helper()
 	select {
-	case q := <-w.watches:
+	case q := <-d.watches:
 		return q
 	case <-time.After(testTimeout):
-		w.t.Fatal("no watch")
+		d.t.Fatal("no watch")
 		return ""
 	}
 }
 
 func TestServesRequestUnchanged(t *testing.T) {
-	w := &testDaemon{t: t}
-	b := w.addWorker("s-1", respondDone)
-	w.start()
-	if q := w.waitForWatch(); q != "watch=1&after=41" {
+	d := &testDaemon{t: t}
+	b := d.addWorker("s-1", respondDone)
+	d.start()
+	if q := d.waitForWatch(); q != "watch=1&after=41" {
 		t.Errorf("watch %q", q)
 	}
 	for i := range 5 {
 		id := fmt.Sprintf("id-%d", i)
-		if status, body, _ := w.post("renewal", id, "pay", 0); status != 200 || body != "made for "+id {
+		if status, body, _ := d.post("renewal", id, "pay", 0); status != 200 || body != "made for "+id {
 			t.Errorf("%s: %d %q", id, status, body)
 		}
 	}
@@ -426,17 +426,17 @@
 // A renewal that may have run is never sent again: not after a reset, not
 // after silence, not on a kept connection that turns out dead. A status-check is.
 func TestRenewalIsNeverSentTwice(t *testing.T) {
-	w := &testDaemon{t: t}
+	d := &testDaemon{t: t}
 	reset := func(string, net.Conn) bool { return false }
-	b := w.addWorker("s-1", respondDone)
-	w.start()
-	w.post("renewal", "warm-up", "x", 0)
+	b := d.addWorker("s-1", respondDone)
+	d.start()
+	d.post("renewal", "warm-up", "x", 0)
 	b.setRespond(reset)
-	if status, _, _ := w.post("renewal", "reset", "x", 0); status != 502 {
+	if status, _, _ := d.post("renewal", "reset", "x", 0); status != 502 {
 		t.Errorf("after a reset: %d", status)
 	}
 	b.setRespond(func(_ string, conn net.Conn) bool { io.Copy(io.Discard, conn); return false })
-	if status, _, _ := w.post("renewal", "silent", "x", 1500); status != 502 {
+	if status, _, _ := d.post("renewal", "silent", "x", 1500); status != 502 {
 		t.Errorf("after silence: %d", status)
 	}
 	var before atomic.Int32
@@ -446,7 +446,7 @@
 		}
 		return respondDone(id, conn)
 	})
-	if status, _, _ := w.post("status-check", "check", "x", 0); status != 200 {
+	if status, _, _ := d.post("status-check", "check", "x", 0); status != 200 {
 		t.Errorf("a status-check after a reset: %d", status)
 	}
 	count := map[string]int{}
@@ -461,14 +461,14 @@
 
 // What nobody can take is refused before the client gives up, and tells when to come back.
 func TestRejectionHasRetryAfter(t *testing.T) {
-	w := &testDaemon{t: t}
-	w.addWorker("s-1", func(_ string, conn net.Conn) bool {
+	d := &testDaemon{t: t}
+	d.addWorker("s-1", func(_ string, conn net.Conn) bool {
 		fmt.Fprint(conn, "HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
-	w.start()
+	d.start()
 	for _, class := range []string{"status-check", "renewal"} {
-		status, _, retry := w.post(class, "full-"+class, "x", 1500)
+		status, _, retry := d.post(class, "full-"+class, "x", 1500)
 		var s float64
 		if _, err := fmt.Sscan(retry, &s); status != 503 || err != nil || s < 0 || s > 2 {
 			t.Errorf("%s: %d, Retry-After %q", class, status, retry)
@@ -478,17 +478,17 @@
 
 // A client that hangs up has its attempt called off.
 func TestCancelReachesWorker(t *testing.T) {
-	w := &testDaemon{t: t}
+	d := &testDaemon{t: t}
 	gone := make(chan struct{})
 	arrived := make(chan struct{})
-	w.addWorker("s-1", func(_ string, conn net.Conn) bool {
+	d.addWorker("s-1", func(_ string, conn net.Conn) bool {
 		close(arrived)
 		io.Copy(io.Discard, conn)
 		close(gone)
 		return false
 	})
-	w.start()
-	conn, err := net.Dial("tcp", w.listen)
+	d.start()
+	conn, err := net.Dial("tcp", d.listen)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -506,19 +506,19 @@
 // comes back does. A watch without lines that show liveness is given up and made anew
 // with the list kept; so is one that ends or sends what makes no sense.
 func TestDiscovery(t *testing.T) {
-	w := &testDaemon{t: t}
-	a, b := w.addWorker("s-a", respondDone), w.addWorker("s-b", respondDone)
-	w.start()
-	w.waitForWatch()
-	w.changes <- `{"seq":42,"whole":false,"hosts":[` + a.listEntry("draining") + `]}`
+	d := &testDaemon{t: t}
+	a, b := d.addWorker("s-a", respondDone), d.addWorker("s-b", respondDone)
+	d.start()
+	d.waitForWatch()
+	d.changes <- `{"seq":42,"whole":false,"hosts":[` + a.listEntry("draining") + `]}`
 	// Told are the news once an answer that needs them has been given.
 	for i, end := 0, time.Now().Add(testTimeout); len(b.requests()) == 0 && time.Now().Before(end); i++ {
-		w.post("status-check", fmt.Sprint("probe-", i), "x", 0)
+		d.post("status-check", fmt.Sprint("probe-", i), "x", 0)
 	}
 	time.Sleep(100 * time.Millisecond)
 	before := len(a.requests())
 	for i := range 20 {
-		if status, _, _ := w.post("renewal", fmt.Sprint("drain-", i), "x", 0); status != 200 {
+		if status, _, _ := d.post("renewal", fmt.Sprint("drain-", i), "x", 0); status != 200 {
 			t.Errorf("%d: %d", i, status)
 		}
 	}
@@ -526,20 +526,20 @@
 		t.Errorf("the draining backend got %d more", n-before)
 	}
 	for i, ill := range []string{"silence", "end", `{"seq":43,"hosts":[{"host":"","health":"ready"}]}`, "nonsense"} {
-		w.changes <- ill
-		if q := w.waitForWatch(); q != "watch=1&after=42" {
+		d.changes <- ill
+		if q := d.waitForWatch(); q != "watch=1&after=42" {
 			t.Errorf("after %q: watch %q", ill, q)
 		}
-		if status, _, _ := w.post("renewal", fmt.Sprint("kept-", i), "x", 0); status != 200 {
+		if status, _, _ := d.post("renewal", fmt.Sprint("kept-", i), "x", 0); status != 200 {
 			t.Errorf("after %q: the list is lost: %d", ill, status)
 		}
 	}
 	if n := len(a.requests()); n != before {
 		t.Errorf("the draining backend got %d more", n-before)
 	}
-	w.changes <- `{"seq":44,"whole":true,"hosts":[` + a.listEntry("ready") + `]}`
+	d.changes <- `{"seq":44,"whole":true,"hosts":[` + a.listEntry("ready") + `]}`
 	for i, end := 0, time.Now().Add(testTimeout); len(a.requests()) == before; i++ {
-		if status, _, _ := w.post("status-check", fmt.Sprint("back-", i), "x", 0); status != 200 || time.Now().After(end) {
+		if status, _, _ := d.post("status-check", fmt.Sprint("back-", i), "x", 0); status != 200 || time.Now().After(end) {
 			t.Fatalf("the one backend listed: %d", status)
 		}
 	}
@@ -549,14 +549,14 @@
 // the discovery that it names, whatever the environment says, while the list and
 // the job that is out stay; a bad file changes nothing; near SIGTERM it does no harm.
 func TestReload(t *testing.T) {
-	w, other := &testDaemon{t: t}, &testDaemon{t: t}
+	d, other := &testDaemon{t: t}, &testDaemon{t: t}
 	hold := make(chan bool)
-	b := w.addWorker("s-1", func(id string, conn net.Conn) bool { <-hold; return respondDone(id, conn) })
-	w.start()
-	w.waitForWatch()
+	b := d.addWorker("s-1", func(id string, conn net.Conn) bool { <-hold; return respondDone(id, conn) })
+	d.start()
+	d.waitForWatch()
 	answer := make(chan int)
 	go func() {
-		status, _, _ := w.post("renewal", "held", "x", 0)
+		status, _, _ := d.post("renewal", "held", "x", 0)
 		answer <- status
 	}()
 	for end := time.Now().Add(testTimeout); len(b.requests()) == 0; time.Sleep(time.Millisecond) {
@@ -564,45 +564,45 @@
 			t.Fatal("the job does not arrive")
 		}
 	}
-	good, addr := w.config, other.startDiscovery()
+	good, addr := d.config, other.startDiscovery()
 	for name, bad := range map[string]any{"discovery": "nowhere", "settings": map[string]any{}, "known": 5} {
-		w.config = maps.Clone(good)
-		w.config["discovery"], w.config[name] = addr, bad
-		w.writeConfig()
-		w.signal(syscall.SIGHUP)
-		w.waitForLog("reload: config: " + name)
-	}
-	w.config = maps.Clone(good)
-	w.config["discovery"], w.config["limits"] = addr, map[string]any{"memory_mb": 64}
-	w.writeConfig()
+		d.config = maps.Clone(good)
+		d.config["discovery"], d.config[name] = addr, bad
+		d.writeConfig()
+		d.signal(syscall.SIGHUP)
+		d.waitForLog("reload: config: " + name)
+	}
+	d.config = maps.Clone(good)
+	d.config["discovery"], d.config["limits"] = addr, map[string]any{"memory_mb": 64}
+	d.writeConfig()
 	for range 3 {
-		w.signal(syscall.SIGHUP)
+		d.signal(syscall.SIGHUP)
 	}
 	if q := other.waitForWatch(); q != "watch=1&after=41" {
 		t.Errorf("watch %q at the new address", q)
 	}
-	w.waitForLog("a restart is needed: limits")
+	d.waitForLog("a restart is needed: limits")
 	select {
-	case q := <-w.watches:
+	case q := <-d.watches:
 		t.Errorf("watch %q at the old address", q)
 	default:
 	}
-	c := w.addWorker("s-2", respondDone)
+	c := d.addWorker("s-2", respondDone)
 	other.changes <- `{"seq":42,"whole":false,"hosts":[` + c.listEntry("ready") + `]}`
 	for i, end := 0, time.Now().Add(testTimeout); len(c.requests()) == 0 && time.Now().Before(end); i++ {
-		w.post("status-check", fmt.Sprint("new-", i), "x", 200)
+		d.post("status-check", fmt.Sprint("new-", i), "x", 200)
 	}
 	if len(c.requests()) == 0 {
 		t.Error("the new discovery is not heard")
 	}
-	w.signal(syscall.SIGHUP)
-	w.signal(syscall.SIGTERM)
-	w.signal(syscall.SIGHUP)
+	d.signal(syscall.SIGHUP)
+	d.signal(syscall.SIGTERM)
+	d.signal(syscall.SIGHUP)
 	close(hold)
 	if status := <-answer; status != 200 {
 		t.Errorf("the job that was out got %d", status)
 	}
-	if code := w.waitForExit(); code != 0 {
+	if code := d.waitForExit(); code != 0 {
 		t.Errorf("exit code %d", code)
 	}
 }
@@ -611,22 +611,22 @@
 // client kept out has nobody else to go to, but sends none by that list until
 // discovery has told what has changed.
 func TestStartWithStaleList(t *testing.T) {
-	w := &testDaemon{t: t, firstLine: make(chan string, 1), skipReadyWait: true}
-	old := w.addWorker("s-old", respondDone)
-	w.start()
-	if status := w.health(); status != 503 {
+	d := &testDaemon{t: t, firstLine: make(chan string, 1), skipReadyWait: true}
+	old := d.addWorker("s-old", respondDone)
+	d.start()
+	if status := d.health(); status != 503 {
 		t.Errorf("before the list is known to be good: healthz says %d", status)
 	}
-	fresh := w.addWorker("s-new", respondDone)
+	fresh := d.addWorker("s-new", respondDone)
 	answer := make(chan int)
 	for i := range 4 {
 		go func() {
-			status, _, _ := w.post("renewal", fmt.Sprint("early-", i), "x", 0)
+			status, _, _ := d.post("renewal", fmt.Sprint("early-", i), "x", 0)
 			answer <- status
 		}()
 	}
 	time.Sleep(50 * time.Millisecond) // they should be waiting by now; the test holds without it too
-	w.firstLine <- `{"seq":42,"whole":false,"hosts":[` + fresh.listEntry("ready") + `,` + old.listEntry("draining") + `]}`
+	d.firstLine <- `{"seq":42,"whole":false,"hosts":[` + fresh.listEntry("ready") + `,` + old.listEntry("draining") + `]}`
 	for range 4 {
 		if status := <-answer; status != 200 {
 			t.Errorf("status %d", status)
@@ -635,24 +635,24 @@
 	if n, m := len(old.requests()), len(fresh.requests()); n != 0 || m != 4 {
 		t.Errorf("the old list's backend got %d, the new one %d", n, m)
 	}
-	if status := w.health(); status != 200 {
+	if status := d.health(); status != 200 {
 		t.Errorf("afterwards: healthz says %d", status)
 	}
 }
 
 // Idle connections to a backend are closed before it may close them.
 func TestIdleConnectionsCloseFirst(t *testing.T) {
-	w := &testDaemon{t: t, config: map[string]any{"conn_idle_us": "3000000"}}
+	d := &testDaemon{t: t, config: map[string]any{"conn_idle_us": "3000000"}}
 	closed := make(chan error, 1)
-	w.addWorker("s-1", func(id string, conn net.Conn) bool {
+	d.addWorker("s-1", func(id string, conn net.Conn) bool {
 		respondDone(id, conn)
 		conn.SetReadDeadline(time.Now().Add(3 * time.Second))
 		_, err := conn.Read(make([]byte, 1))
 		closed <- err
 		return false
 	})
-	w.start()
-	w.post("renewal", "one", "x", 0)
+	d.start()
+	d.post("renewal", "one", "x", 0)
 	if err := <-closed; err != io.EOF {
 		t.Errorf("at the end of the idle time: %v", err)
 	}
@@ -660,11 +660,11 @@
 
 // Near the limit of descriptors idle sessions make room for new ones.
 func TestDescriptorLimit(t *testing.T) {
-	w := &testDaemon{t: t, config: map[string]any{"limits": map[string]any{"sockets": 64, "memory_mb": 192}}}
-	w.addWorker("s-1", respondDone)
-	w.start()
+	d := &testDaemon{t: t, config: map[string]any{"limits": map[string]any{"sockets": 64, "memory_mb": 192}}}
+	d.addWorker("s-1", respondDone)
+	d.start()
 	for i := range 100 {
-		conn, err := net.Dial("tcp", w.listen)
+		conn, err := net.Dial("tcp", d.listen)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -675,7 +675,7 @@
 		if err != nil || resp.StatusCode != 200 {
 			t.Fatalf("session %d: %v, %v", i, resp, err)
 		}
-		fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", w.cmd.Process.Pid))
+		fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", d.cmd.Process.Pid))
 		if err != nil || len(fds) > 64 {
 			t.Fatalf("session %d: %d descriptors, %v", i, len(fds), err)
 		}
@@ -685,15 +685,15 @@
 // More clients at once than there are descriptors wait their turn: each gets a
 // whole answer, though sessions must end to make room.
 func TestMoreClientsThanDescriptors(t *testing.T) {
-	w := &testDaemon{t: t, config: map[string]any{"limits": map[string]any{"sockets": 64, "memory_mb": 192}}}
-	w.addWorker("s-1", func(id string, conn net.Conn) bool {
+	d := &testDaemon{t: t, config: map[string]any{"limits": map[string]any{"sockets": 64, "memory_mb": 192}}}
+	d.addWorker("s-1", func(id string, conn net.Conn) bool {
 		time.Sleep(50 * time.Millisecond)
 		return respondDone(id, conn)
 	})
-	w.start()
+	d.start()
 	var wg sync.WaitGroup
 	for i := range 60 {
-		conn, err := net.Dial("tcp", w.listen)
+		conn, err := net.Dial("tcp", d.listen)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -711,47 +711,47 @@
 }
 
 // waitUntilUnhealthy waits until healthz answers 503: a signal is handled some time after it is sent.
-func (w *testDaemon) waitUntilUnhealthy() {
-	w.t.Helper()
+func (d *testDaemon) waitUntilUnhealthy() {
+	d.t.Helper()
 	for begin := time.Now(); time.Since(begin) < testTimeout; time.Sleep(time.Millisecond) {
-		resp, err := w.client.Get("http://" + w.listen + "/healthz")
+		resp, err := d.client.Get("http://" + d.listen + "/healthz")
 		if err != nil {
-			w.t.Fatalf("healthz after SIGTERM: %v", err)
+			d.t.Fatalf("healthz after SIGTERM: %v", err)
 		}
 		resp.Body.Close()
 		if resp.StatusCode == http.StatusServiceUnavailable {
 			return
 		}
 	}
-	w.t.Fatal("healthz does not answer 503 after SIGTERM")
+	d.t.Fatal("healthz does not answer 503 after SIGTERM")
 }
 
 // At a planned restart what has been taken is answered, what comes in the
 // window is served, and the program ends with 0 only after that.
 func TestGracefulShutdown(t *testing.T) {
-	w := &testDaemon{t: t}
+	d := &testDaemon{t: t}
 	release, arrived := make(chan struct{}), make(chan struct{}, 1)
-	w.addWorker("s-1", respondWhenReleased("slow", arrived, release))
-	w.start()
+	d.addWorker("s-1", respondWhenReleased("slow", arrived, release))
+	d.start()
 	slow := make(chan int, 1)
 	go func() {
-		status, _, _ := w.post("renewal", "slow", "x", 0)
+		status, _, _ := d.post("renewal", "slow", "x", 0)
 		slow <- status
 	}()
 	<-arrived
-	w.cmd.Process.Signal(syscall.SIGTERM)
-	w.cmd.Process.Signal(syscall.SIGTERM) // said twice, it means no more
+	d.cmd.Process.Signal(syscall.SIGTERM)
+	d.cmd.Process.Signal(syscall.SIGTERM) // said twice, it means no more
 	fresh := &http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
-	w.client, fresh = fresh, w.client
-	w.waitUntilUnhealthy() // the signal has been handled, so that what follows comes after it
-	if status, _, _ := w.post("status-check", "new", "x", 0); status != 200 {
+	d.client, fresh = fresh, d.client
+	d.waitUntilUnhealthy() // the signal has been handled, so that what follows comes after it
+	if status, _, _ := d.post("status-check", "new", "x", 0); status != 200 {
 		t.Errorf("a new connection after SIGTERM: %d", status)
 	}
-	w.client = fresh
-	if status, _, _ := w.post("status-check", "kept", "x", 0); status != 200 {
+	d.client = fresh
+	if status, _, _ := d.post("status-check", "kept", "x", 0); status != 200 {
 		t.Errorf("a kept connection after SIGTERM: %d", status)
 	}
-	if resp, err := w.client.Get("http://" + w.listen + "/healthz"); err != nil || resp.StatusCode != 503 {
+	if resp, err := d.client.Get("http://" + d.listen + "/healthz"); err != nil || resp.StatusCode != 503 {
 		t.Errorf("healthz after SIGTERM: %v, %v", resp, err)
 	}
 	time.Sleep(600*time.Millisecond + 200*time.Millisecond) // past the window, a job is still owed
@@ -759,10 +759,10 @@
 	if status := <-slow; status != 200 {
 		t.Errorf("what was in work: %d", status)
 	}
-	if code := w.waitForExit(); code != 0 {
+	if code := d.waitForExit(); code != 0 {
 		t.Errorf("exit code %d", code)
 	}
-	if _, err := net.Dial("tcp", w.listen); err == nil {
+	if _, err := net.Dial("tcp", d.listen); err == nil {
 		t.Error("it still listens")
 	}
 }
@@ -770,38 +770,38 @@
 // SIGTERM while the program still reads what it is told is a planned end too: the
 // configuration comes through a pipe here, and only after the signal.
 func TestSignalDuringStart(t *testing.T) {
-	w := &testDaemon{t: t}
-	w.addWorker("s-1", respondDone)
-	w.start() // for a whole configuration
-	w.cmd.Process.Kill()
-	w.cmd.Wait()
-	raw, err := os.ReadFile(w.configPath)
+	d := &testDaemon{t: t}
+	d.addWorker("s-1", respondDone)
+	d.start() // for a whole configuration
+	d.cmd.Process.Kill()
+	d.cmd.Wait()
+	raw, err := os.ReadFile(d.configPath)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.configPath = filepath.Join(t.TempDir(), "pipe")
-	if err := syscall.Mkfifo(w.configPath, 0o600); err != nil {
+	d.configPath = filepath.Join(t.TempDir(), "pipe")
+	if err := syscall.Mkfifo(d.configPath, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	w.launch()
-	in, err := os.OpenFile(w.configPath, os.O_WRONLY, 0) // goes on once the program reads
+	d.launch()
+	in, err := os.OpenFile(d.configPath, os.O_WRONLY, 0) // goes on once the program reads
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.signal(syscall.SIGTERM)
-	w.signal(syscall.SIGHUP)
-	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", w.cmd.Process.Pid))
-	for end := time.Now().Add(testTimeout); err == nil && signalPending(status); status, err = os.ReadFile(fmt.Sprintf("/proc/%d/status", w.cmd.Process.Pid)) {
+	d.signal(syscall.SIGTERM)
+	d.signal(syscall.SIGHUP)
+	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", d.cmd.Process.Pid))
+	for end := time.Now().Add(testTimeout); err == nil && signalPending(status); status, err = os.ReadFile(fmt.Sprintf("/proc/%d/status", d.cmd.Process.Pid)) {
 		if time.Now().After(end) {
 			t.Fatal("the signals do not reach it")
 		}
 	}
 	in.Write(raw) // fails where the signal has ended the program
 	in.Close()
-	if code := w.waitForExit(); code != 0 {
+	if code := d.waitForExit(); code != 0 {
 		t.Errorf("exit code %d, want a planned end", code)
 	}
-	if !strings.Contains(w.log.String(), "stopped: accepted 0") {
+	if !strings.Contains(d.log.String(), "stopped: accepted 0") {
 		t.Error("it did not end as planned")
 	}
 }
@@ -822,7 +822,7 @@
 // and one that reads it late; a client that rests until the end hears of it in
 // order; nothing that comes after the window reaches a backend.
 func TestGracefulShutdownUnderLoad(t *testing.T) {
-	w := &testDaemon{t: t}
+	d := &testDaemon{t: t}
 	release, arrived := make(chan struct{}), make(chan struct{}, 2)
 	big := strings.Repeat("made ", 12<<10)
 	slow := func(id string, conn net.Conn) bool {
@@ -835,10 +835,10 @@
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(text), text)
 		return true
 	}
-	a, b := w.addWorker("s-1", slow), w.addWorker("s-2", slow)
-	w.start()
+	a, b := d.addWorker("s-1", slow), d.addWorker("s-2", slow)
+	d.start()
 	dial := func(text string) (net.Conn, *bufio.Reader) {
-		conn, err := net.Dial("tcp", w.listen)
+		conn, err := net.Dial("tcp", d.listen)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -868,7 +868,7 @@
 		}
 	}()
 	_, halfIn := dial(strings.TrimSuffix(job("half"), "dy"))
-	w.signal(syscall.SIGTERM)
+	d.signal(syscall.SIGTERM)
 	if resp, err := http.ReadResponse(halfIn, nil); err != nil || resp.StatusCode != 503 { // not 408, which comes 2 s after it began
 		t.Errorf("half a request: %+v, %v", resp, err)
 	}
@@ -876,7 +876,7 @@
 		t.Errorf("a resting session ends with %v", err)
 	}
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
-		conn, err := net.Dial("tcp", w.listen)
+		conn, err := net.Dial("tcp", d.listen)
 		if err != nil {
 			break
 		}
@@ -902,7 +902,7 @@
 		t.Errorf("behind the last answer: %v", err)
 	}
 	answered := time.Now() // the client has not closed, and is waited for
-	if code := w.waitForExit(); code != 0 {
+	if code := d.waitForExit(); code != 0 {
 		t.Errorf("exit code %d", code)
 	}
 	if span := time.Since(answered); span < 200*time.Millisecond {
@@ -917,14 +917,14 @@
 
 // The Faktory front runs beside the platform's, on the same backends.
 func TestFaktoryFrontEnd(t *testing.T) {
-	w := &testDaemon{t: t}
-	b := w.addWorker("s-1", respondDone)
+	d := &testDaemon{t: t}
+	b := d.addWorker("s-1", respondDone)
 	ln := listenLocal(t)
 	addr := ln.Addr().String()
 	ln.Close()
 	path := filepath.Join(t.TempDir(), "faktory.toml")
 	os.WriteFile(path, []byte(fmt.Sprintf("listen = %q\n", addr)), 0o600)
-	w.start("-faktory", path)
+	d.start("-faktory", path)
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -948,8 +948,8 @@
 	if got := b.requests(); len(got) != 1 || !strings.HasPrefix(got[0], "pushed-01 POST /renewal/a%20b {") {
 		t.Errorf("arrived: %q", got)
 	}
-	w.cmd.Process.Signal(syscall.SIGTERM)
-	if code := w.waitForExit(); code != 0 {
+	d.cmd.Process.Signal(syscall.SIGTERM)
+	if code := d.waitForExit(); code != 0 {
 		t.Errorf("exit code %d", code)
 	}
 }
--- a/cmd/dispatcher/membership_test.go
+++ b/cmd/dispatcher/membership_test.go
@@ -92,8 +92,8 @@
 // acknowledged a drain, the worker that drains gets no more, and the end of the
 // relay leaves the list in force.
 func TestDrainThroughARelay(t *testing.T) {
-	w := &testDaemon{t: t}
-	a, b := w.addWorker("s-a", respondDone), w.addWorker("s-b", respondDone)
+	d := &testDaemon{t: t}
+	a, b := d.addWorker("s-a", respondDone), d.addWorker("s-b", respondDone)
 	host := func(b *testWorker, health string) standin.Host {
 		return standin.Host{Host: b.name, Dial: b.listener.Addr().String(), Site: "here", Class: "m", Health: health, Share: 1}
 	}
@@ -109,12 +109,12 @@
 	if err := os.WriteFile(operator, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	w.config = map[string]any{"known": map[string]any{"seq": 0, "whole": true, "hosts": []any{}}}
-	w.start("--operator", operator)
+	d.config = map[string]any{"known": map[string]any{"seq": 0, "whole": true, "hosts": []any{}}}
+	d.start("--operator", operator)
 	r.await("the snapshot is in force", acknowledged(1))
 
 	for i := 0; len(a.requests()) == 0; i++ { // both are used
-		if status, _, _ := w.post("status-check", fmt.Sprint("before-", i), "x", 0); status != 200 || i > 10_000 {
+		if status, _, _ := d.post("status-check", fmt.Sprint("before-", i), "x", 0); status != 200 || i > 10_000 {
 			t.Fatalf("%d: %d", i, status)
 		}
 	}
@@ -122,7 +122,7 @@
 	r.await("the drain is in force", acknowledged(2))
 	before := len(a.requests())
 	for i := range 20 {
-		if status, _, _ := w.post("renewal", fmt.Sprint("drain-", i), "x", 0); status != 200 {
+		if status, _, _ := d.post("renewal", fmt.Sprint("drain-", i), "x", 0); status != 200 {
 			t.Errorf("%d: %d", i, status)
 		}
 	}
@@ -135,7 +135,7 @@
 		t.Errorf("the relay's end: %v", err)
 	}
 	for i := range 20 {
-		if status, _, _ := w.post("renewal", fmt.Sprint("alone-", i), "x", 0); status != 200 {
+		if status, _, _ := d.post("renewal", fmt.Sprint("alone-", i), "x", 0); status != 200 {
 			t.Errorf("%d without a relay: %d", i, status)
 		}
 	}
--- a/cmd/dispatcher/node_test.go
+++ b/cmd/dispatcher/node_test.go
@@ -21,7 +21,7 @@
 
 // platformListener is the platform's side: a listening socket that every process inherits.
 type platformListener struct {
-	file   *os.File
+	file      *os.File
 	directory string
 }
 
@@ -43,12 +43,12 @@
 
 // newDaemonWithAdmin makes a world that has a door, and inherits a listener where there is one.
 func newDaemonWithAdmin(t *testing.T, k *platformListener) *testDaemon {
-	w := &testDaemon{t: t, env: []string{"BALANCER_ADMIN_ADDR=127.0.0.1:0"}}
+	d := &testDaemon{t: t, env: []string{"BALANCER_ADMIN_ADDR=127.0.0.1:0"}}
 	if k != nil {
-		w.inheritedFiles, w.listen = []*os.File{k.file}, listenAddress(t, k)
-		w.env = append(w.env, "BALANCER_FD=3", "TMPDIR="+k.directory)
+		d.inheritedFiles, d.listen = []*os.File{k.file}, listenAddress(t, k)
+		d.env = append(d.env, "BALANCER_FD=3", "TMPDIR="+k.directory)
 	}
-	return w
+	return d
 }
 
 func listenAddress(t *testing.T, k *platformListener) string {
@@ -61,21 +61,21 @@
 }
 
 // startSuccessor is a second process of the same dispatcher, in the same world.
-func (w *testDaemon) startSuccessor(env ...string) *testDaemon {
-	next := &testDaemon{t: w.t, env: append(append([]string{}, w.env...), env...), inheritedFiles: w.inheritedFiles, listen: w.listen, program: w.program,
-		workers: w.workers, config: w.config, configPath: w.configPath, client: w.client, watches: w.watches, changes: w.changes}
-	next.launch()
-	return next
+func (d *testDaemon) startSuccessor(env ...string) *testDaemon {
+	successor := &testDaemon{t: d.t, env: append(append([]string{}, d.env...), env...), inheritedFiles: d.inheritedFiles, listen: d.listen, program: d.program,
+		workers: d.workers, config: d.config, configPath: d.configPath, client: d.client, watches: d.watches, changes: d.changes}
+	successor.launch()
+	return successor
 }
 
 // adminLogLine is what the log has before the address of the admin API.
 const adminLogLine = "admin API at "
 
 // adminAddress returns the address of the admin API, once the program has logged it.
-func (w *testDaemon) adminAddress() string {
-	w.t.Helper()
-	w.waitForLog(adminLogLine)
-	log := w.log.String()
+func (d *testDaemon) adminAddress() string {
+	d.t.Helper()
+	d.waitForLog(adminLogLine)
+	log := d.log.String()
 	_, rest, found := strings.Cut(log, adminLogLine)
 	if !found {
 		_, rest, _ = strings.Cut(log, earlierLogLines[adminLogLine])
@@ -85,8 +85,8 @@
 }
 
 // callAdmin calls the callAdmin API; 0 where nobody answers.
-func (w *testDaemon) callAdmin(method, path string) (int, string) {
-	req, _ := http.NewRequest(method, "http://"+w.adminAddress()+path, nil)
+func (d *testDaemon) callAdmin(method, path string) (int, string) {
+	req, _ := http.NewRequest(method, "http://"+d.adminAddress()+path, nil)
 	resp, err := (&http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true}}).Do(req)
 	if err != nil {
 		return 0, ""
@@ -97,19 +97,22 @@
 }
 
 // waitUntil waits for something to hold.
-func (w *testDaemon) waitUntil(what string, holds func() bool) {
-	w.t.Helper()
+func (d *testDaemon) waitUntil(what string, holds func() bool) {
+	d.t.Helper()
 	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			w.t.Fatalf("in vain: %s", what)
+			d.t.Fatalf("in vain: %s", what)
 		}
 	}
 }
 
-func (w *testDaemon) ready() bool { status, _ := w.callAdmin("GET", "/control/ready"); return status == 200 }
+func (d *testDaemon) ready() bool {
+	status, _ := d.callAdmin("GET", "/control/ready")
+	return status == 200
+}
 
-func (w *testDaemon) health() int {
-	resp, err := w.client.Get("http://" + w.listen + "/healthz")
+func (d *testDaemon) health() int {
+	resp, err := d.client.Get("http://" + d.listen + "/healthz")
 	if err != nil {
 		return 0
 	}
@@ -118,14 +121,14 @@
 }
 
 // counters reads what the door tells.
-func (w *testDaemon) counters() (f struct {
+func (d *testDaemon) counters() (f struct {
 	Succeeded, Declined, Aborted               map[string]int
 	Forwards, Outstanding, Discovered, Ejected int
 }) {
-	w.t.Helper()
-	_, text := w.callAdmin("GET", "/control/counters")
+	d.t.Helper()
+	_, text := d.callAdmin("GET", "/control/counters")
 	if err := json.Unmarshal([]byte(text), &f); err != nil {
-		w.t.Fatalf("%q: %v", text, err)
+		d.t.Fatalf("%q: %v", text, err)
 	}
 	return f
 }
@@ -136,14 +139,14 @@
 	in *bufio.Reader
 }
 
-func (w *testDaemon) connect() *clientConn {
-	w.t.Helper()
-	conn, err := net.Dial("tcp", w.listen)
+func (d *testDaemon) connect() *clientConn {
+	d.t.Helper()
+	conn, err := net.Dial("tcp", d.listen)
 	if err != nil {
-		w.t.Fatal(err)
+		d.t.Fatal(err)
 	}
 	conn.SetDeadline(time.Now().Add(testTimeout))
-	w.t.Cleanup(func() { conn.Close() })
+	d.t.Cleanup(func() { conn.Close() })
 	return &clientConn{conn, bufio.NewReader(conn)}
 }
 
@@ -171,11 +174,11 @@
 // the same; sessions end, idle and silent ones too; a late comer is served once.
 // Back in service all is as before. Said twice, each means no more.
 func TestDrain(t *testing.T) {
-	w := newDaemonWithAdmin(t, nil)
+	d := newDaemonWithAdmin(t, nil)
 	release, arrived := make(chan struct{}), make(chan struct{}, 1)
-	w.addWorker("s-1", respondWhenReleased("long", arrived, release))
-	w.start()
-	health, idle, silent, long := w.connect(), w.connect(), w.connect(), w.connect()
+	d.addWorker("s-1", respondWhenReleased("long", arrived, release))
+	d.start()
+	health, idle, silent, long := d.connect(), d.connect(), d.connect(), d.connect()
 	ask := func() int {
 		fmt.Fprint(health, "GET /healthz HTTP/1.1\r\n\r\n")
 		status, _ := health.readResponse(t)
@@ -188,14 +191,14 @@
 	long.send("long")
 	<-arrived
 	for range 2 {
-		if status, _ := w.callAdmin("PUT", "/control/out-of-service"); status != 200 {
+		if status, _ := d.callAdmin("PUT", "/control/out-of-service"); status != 200 {
 			t.Errorf("out of service: %d", status)
 		}
 	}
 	if status := ask(); status != 503 {
 		t.Errorf("healthz of a drained dispatcher: %d", status)
 	}
-	fresh := w.connect()
+	fresh := d.connect()
 	fresh.send("fresh")
 	if status, _ := fresh.readResponse(t); status != 200 {
 		t.Errorf("while the front still sends: %d", status)
@@ -205,12 +208,12 @@
 			t.Errorf("the %s session does not end by itself", name)
 		}
 	}
-	late := w.connect()
+	late := d.connect()
 	late.send("late")
 	if status, ends := late.readResponse(t); status != 200 || !ends {
 		t.Errorf("a late comer: %d, ends: %v", status, ends)
 	}
-	if !w.connect().closed() {
+	if !d.connect().closed() {
 		t.Error("a late comer that says nothing stays")
 	}
 	close(release)
@@ -218,21 +221,21 @@
 		t.Errorf("a job from before: %d, ends: %v", status, ends)
 	}
 	for range 2 {
-		if status, _ := w.callAdmin("PUT", "/control/in-service"); status != 200 {
+		if status, _ := d.callAdmin("PUT", "/control/in-service"); status != 200 {
 			t.Errorf("in service: %d", status)
 		}
 	}
-	back := w.connect()
+	back := d.connect()
 	back.send("back")
-	if status, ends := back.readResponse(t); status != 200 || ends || w.health() != 200 {
+	if status, ends := back.readResponse(t); status != 200 || ends || d.health() != 200 {
 		t.Errorf("back in service: %d, ends: %v", status, ends)
 	}
-	if f := w.counters(); f.Succeeded["renewal"] != 5 || f.Forwards != 5 || f.Discovered != 1 || f.Outstanding != 0 {
+	if f := d.counters(); f.Succeeded["renewal"] != 5 || f.Forwards != 5 || f.Discovered != 1 || f.Outstanding != 0 {
 		t.Errorf("figures %+v", f)
 	}
-	w.signal(syscall.SIGTERM)
-	w.waitUntil("no after SIGTERM", func() bool { status, _ := w.callAdmin("PUT", "/control/in-service"); return status == 409 })
-	if code := w.waitForExit(); code != 0 {
+	d.signal(syscall.SIGTERM)
+	d.waitUntil("no after SIGTERM", func() bool { status, _ := d.callAdmin("PUT", "/control/in-service"); return status == 409 })
+	if code := d.waitForExit(); code != 0 {
 		t.Errorf("exit code %d", code)
 	}
 }
@@ -289,24 +292,24 @@
 			}
 		}()
 	}
-	old := first
+	predecessor := first
 	for round := range 2 {
-		next := old.startSuccessor()
-		next.waitUntil("the successor is ready", next.ready)
+		successor := predecessor.startSuccessor()
+		successor.waitUntil("the successor is ready", successor.ready)
 		if q := other.waitForWatch(); !strings.HasPrefix(q, "watch=1") {
 			t.Errorf("watch %q where discovery has moved", q)
 		}
-		next.waitForLog("accepting clients")
-		if fds := openDescriptors(old) + openDescriptors(next); fds > 256 {
+		successor.waitForLog("accepting clients")
+		if fds := openDescriptors(predecessor) + openDescriptors(successor); fds > 256 {
 			t.Errorf("round %d: %d descriptors", round, fds)
 		}
-		old.waitForLog("successor is accepting clients")
-		old.signal(syscall.SIGTERM)
-		if code := old.waitForExit(); code != 0 {
+		predecessor.waitForLog("successor is accepting clients")
+		predecessor.signal(syscall.SIGTERM)
+		if code := predecessor.waitForExit(); code != 0 {
 			t.Errorf("round %d: exit code %d", round, code)
 		}
-		next.waitForLog("predecessor has ended")
-		old = next
+		successor.waitForLog("predecessor has ended")
+		predecessor = successor
 	}
 	close(stop)
 	total := 0
@@ -326,33 +329,33 @@
 	if len(got) != total || total < 20 {
 		t.Errorf("%d jobs ran of %d", len(got), total)
 	}
-	if status, _, _ := old.post("renewal", "c0-0", "x", 0); status != 409 {
+	if status, _, _ := predecessor.post("renewal", "c0-0", "x", 0); status != 409 {
 		t.Errorf("a name that the first process took: %d", status)
 	}
-	if status, _ := old.callAdmin("PUT", "/control/out-of-service"); status != 200 {
+	if status, _ := predecessor.callAdmin("PUT", "/control/out-of-service"); status != 200 {
 		t.Errorf("out of service: %d", status)
 	}
-	next := old.startSuccessor()
-	next.waitUntil("the drained dispatcher's successor is ready", next.ready)
-	if next.health() != 503 || old.health() != 503 {
+	successor := predecessor.startSuccessor()
+	successor.waitUntil("the drained dispatcher's successor is ready", successor.ready)
+	if successor.health() != 503 || predecessor.health() != 503 {
 		t.Error("the successor of a drained process says it is healthy")
 	}
-	if status, _ := next.callAdmin("PUT", "/control/in-service"); status != 200 {
+	if status, _ := successor.callAdmin("PUT", "/control/in-service"); status != 200 {
 		t.Errorf("in service: %d", status)
 	}
-	old.waitForLog(`"in service"`) // the two are one dispatcher
-	next.cmd.Process.Kill()  // and if the successor dies, the first one goes on
-	old.waitForLog("successor has ended")
-	old.waitUntil("health", func() bool { return old.health() == 200 })
-	if status, _, _ := old.post("renewal", "after", "x", 0); status != 200 {
+	predecessor.waitForLog(`"in service"`) // the two are one dispatcher
+	successor.cmd.Process.Kill()           // and if the successor dies, the first one goes on
+	predecessor.waitForLog("successor has ended")
+	predecessor.waitUntil("health", func() bool { return predecessor.health() == 200 })
+	if status, _, _ := predecessor.post("renewal", "after", "x", 0); status != 200 {
 		t.Errorf("after the successor's end: %d", status)
 	}
 }
 
-func openDescriptors(w *testDaemon) int {
-	fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", w.cmd.Process.Pid))
+func openDescriptors(d *testDaemon) int {
+	fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", d.cmd.Process.Pid))
 	if err != nil {
-		w.t.Fatal(err)
+		d.t.Fatal(err)
 	}
 	return len(fds)
 }
@@ -369,86 +372,86 @@
 	}
 	for name, folder := range map[string]string{"no folder": "", "long": long, "absent": k.directory + "/absent"} {
 		t.Run(name, func(t *testing.T) {
-			w := newDaemonWithAdmin(t, newPlatformListener(t))
-			w.env = append(w.env, "TMPDIR="+folder)
-			w.addWorker("s-1", respondDone)
-			w.start()
-			next := w.startSuccessor()
-			next.waitUntil("the successor is ready", next.ready)
+			d := newDaemonWithAdmin(t, newPlatformListener(t))
+			d.env = append(d.env, "TMPDIR="+folder)
+			d.addWorker("s-1", respondDone)
+			d.start()
+			successor := d.startSuccessor()
+			successor.waitUntil("the successor is ready", successor.ready)
 			if name == "long" {
-				w.waitForLog("successor is accepting clients")
+				d.waitForLog("successor is accepting clients")
 			}
-			w.signal(syscall.SIGTERM)
-			if code := w.waitForExit(); code != 0 {
+			d.signal(syscall.SIGTERM)
+			if code := d.waitForExit(); code != 0 {
 				t.Errorf("exit code %d", code)
 			}
-			if status, _, _ := next.post("renewal", "after", "x", 0); status != 200 {
+			if status, _, _ := successor.post("renewal", "after", "x", 0); status != 200 {
 				t.Errorf("the second process: %d", status)
 			}
 		})
 	}
-	w := newDaemonWithAdmin(t, k)
-	a := w.addWorker("s-1", respondDone)
-	w.start()
-	w.waitForWatch()
-	a2 := w.addWorker("s-2", respondDone)
-	w.changes <- `{"seq":42,"whole":true,"hosts":[` + a2.listEntry("ready") + `]}`
+	d := newDaemonWithAdmin(t, k)
+	a := d.addWorker("s-1", respondDone)
+	d.start()
+	d.waitForWatch()
+	a2 := d.addWorker("s-2", respondDone)
+	d.changes <- `{"seq":42,"whole":true,"hosts":[` + a2.listEntry("ready") + `]}`
 	for i, end := 0, time.Now().Add(testTimeout); len(a2.requests()) == 0 && time.Now().Before(end); i++ {
-		w.post("status-check", fmt.Sprint("new-", i), "x", 200)
+		d.post("status-check", fmt.Sprint("new-", i), "x", 200)
 	}
 	before := len(a.requests())
 	silent := listenLocal(t) // accepts, by the kernel's hand, and says nothing
-	w.config["discovery"] = silent.Addr().String()
-	w.writeConfig()
-	w.signal(syscall.SIGHUP)
-	w.waitForLog("discovery moves to")
-	next := w.startSuccessor()
-	next.waitUntil("ready by the list handed over", next.ready)
-	w.cmd.Process.Kill()
-	w.waitForExit()
-	next.waitForLog("predecessor has ended")
+	d.config["discovery"] = silent.Addr().String()
+	d.writeConfig()
+	d.signal(syscall.SIGHUP)
+	d.waitForLog("discovery moves to")
+	successor := d.startSuccessor()
+	successor.waitUntil("ready by the list handed over", successor.ready)
+	d.cmd.Process.Kill()
+	d.waitForExit()
+	successor.waitForLog("predecessor has ended")
 	for i := range 10 {
-		if status, _, _ := next.post("renewal", fmt.Sprint("list-", i), "x", 0); status != 200 {
+		if status, _, _ := successor.post("renewal", fmt.Sprint("list-", i), "x", 0); status != 200 {
 			t.Errorf("by the list handed over: %d", status)
 		}
 	}
 	if len(a.requests()) != before {
 		t.Error("the configuration's old list was used")
 	}
-	next.cmd.Process.Kill() // it leaves its file
-	next.waitForExit()
-	last := w.startSuccessor()
+	successor.cmd.Process.Kill() // it leaves its file
+	successor.waitForExit()
+	last := d.startSuccessor()
 	last.waitUntil("ready beside a dead process's file", last.ready)
 }
 
 // The Faktory front with a direct queue cannot be handed over: a successor with
 // one says so and ends, and the first goes on.
 func TestDirectFaktoryQueueIsNotHandedOver(t *testing.T) {
-	w := newDaemonWithAdmin(t, newPlatformListener(t))
-	w.addWorker("s-1", respondDone)
-	w.start()
+	d := newDaemonWithAdmin(t, newPlatformListener(t))
+	d.addWorker("s-1", respondDone)
+	d.start()
 	path := filepath.Join(t.TempDir(), "faktory.toml")
 	os.WriteFile(path, []byte("listen = \"127.0.0.1:0\"\n"), 0o600)
 	cmd := exec.Command(builtProgram, "-faktory", path)
-	cmd.Env, cmd.ExtraFiles = w.environment(), w.inheritedFiles
+	cmd.Env, cmd.ExtraFiles = d.environment(), d.inheritedFiles
 	out, err := cmd.CombinedOutput()
 	if err == nil || !strings.Contains(string(out), "the Faktory front end cannot be handed over") {
 		t.Errorf("%v, %q", err, out)
 	}
-	if status, _, _ := w.post("renewal", "after", "x", 0); status != 200 {
+	if status, _, _ := d.post("renewal", "after", "x", 0); status != 200 {
 		t.Errorf("the first process: %d", status)
 	}
 }
 
 // A BALANCER_FD that is no listener ends the start with a line that names it.
 func TestBadInheritedListener(t *testing.T) {
-	w := newDaemonWithAdmin(t, nil)
-	w.env = append(w.env, "BALANCER_FD=77")
+	d := newDaemonWithAdmin(t, nil)
+	d.env = append(d.env, "BALANCER_FD=77")
 	dir := t.TempDir()
-	w.configPath = filepath.Join(dir, "config.json")
-	os.WriteFile(w.configPath, []byte(`{"listen":"127.0.0.1:0","settings":`+strings.ReplaceAll(settingsText, "CONN_IDLE", "1")+`}`), 0o600)
+	d.configPath = filepath.Join(dir, "config.json")
+	os.WriteFile(d.configPath, []byte(`{"listen":"127.0.0.1:0","settings":`+strings.ReplaceAll(settingsText, "CONN_IDLE", "1")+`}`), 0o600)
 	cmd := exec.Command(builtProgram)
-	cmd.Env = w.environment()
+	cmd.Env = d.environment()
 	if out, err := cmd.CombinedOutput(); err == nil || !strings.Contains(string(out), `BALANCER_FD: "77"`) {
 		t.Errorf("%v, %q", err, out)
 	}
@@ -457,14 +460,14 @@
 // With all descriptors of clients taken, and more callers at the door that say
 // nothing or half a call than it holds, a call is answered; and the limit holds.
 func TestAdminAtDescriptorLimit(t *testing.T) {
-	w := newDaemonWithAdmin(t, nil)
-	w.config = map[string]any{"limits": map[string]any{"sockets": 80, "memory_mb": 192}}
-	w.addWorker("s-1", respondDone)
-	w.start()
-	w.callAdmin("GET", "/control/ready")
-	addr := w.adminAddress()
+	d := newDaemonWithAdmin(t, nil)
+	d.config = map[string]any{"limits": map[string]any{"sockets": 80, "memory_mb": 192}}
+	d.addWorker("s-1", respondDone)
+	d.start()
+	d.callAdmin("GET", "/control/ready")
+	addr := d.adminAddress()
 	for i := range 60 {
-		w.connect()
+		d.connect()
 		conn, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -473,11 +476,11 @@
 		if i%2 == 0 {
 			fmt.Fprint(conn, "GET /control/cou")
 		}
-		if n := openDescriptors(w); n > 80 {
+		if n := openDescriptors(d); n > 80 {
 			t.Fatalf("%d descriptors", n)
 		}
 		if i%10 == 9 {
-			if status, text := w.callAdmin("GET", "/control/counters"); status != 200 || !strings.Contains(text, `"discovered":1`) {
+			if status, text := d.callAdmin("GET", "/control/counters"); status != 200 || !strings.Contains(text, `"discovered":1`) {
 				t.Fatalf("after %d callers: %d %q", i, status, text)
 			}
 		}
--- a/cmd/dispatcher/ready_test.go
+++ b/cmd/dispatcher/ready_test.go
@@ -87,11 +87,11 @@
 					} else {
 						addr = outage(t, end)
 					}
-					w := &testDaemon{t: t, config: map[string]any{"discovery": addr, "settings": settingsOf(peers, discovery)}}
-					w.addWorker("s-1", respondDone)
-					w.start()
+					d := &testDaemon{t: t, config: map[string]any{"discovery": addr, "settings": settingsOf(peers, discovery)}}
+					d.addWorker("s-1", respondDone)
+					d.start()
 					for i := range 3 {
-						if status, _, _ := w.post("renewal", fmt.Sprint("ready-", i), "x", 0); status != 200 {
+						if status, _, _ := d.post("renewal", fmt.Sprint("ready-", i), "x", 0); status != 200 {
 							t.Errorf("request %d: %d", i, status)
 						}
 					}
@@ -110,12 +110,12 @@
 			other := &testDaemon{t: t, firstLine: make(chan string, 100)}
 			ln := listenLocal(t)
 			ln.Close()
-			w := &testDaemon{t: t, listen: ln.Addr().String(), config: map[string]any{
+			d := &testDaemon{t: t, listen: ln.Addr().String(), config: map[string]any{
 				"known":     json.RawMessage(`{"seq":41,"whole":true,"hosts":` + x.known + `}`),
 				"discovery": other.startDiscovery(), "settings": settingsOf(300, x.discovery),
 			}}
-			b := w.addWorker("s-1", respondDone)
-			early, url := make(chan int, 1), "http://"+w.listen+"/healthz"
+			b := d.addWorker("s-1", respondDone)
+			early, url := make(chan int, 1), "http://"+d.listen+"/healthz"
 			go func() {
 				for len(early) == 0 {
 					if resp, err := http.Get(url); err == nil {
@@ -127,11 +127,11 @@
 					other.firstLine <- `{"seq":42,"whole":true,"hosts":[` + b.listEntry("ready") + `]}`
 				}
 			}()
-			w.start()
+			d.start()
 			if status := <-early; status != 503 {
 				t.Errorf("healthz says %d while no worker is known", status)
 			}
-			if status, _, _ := w.post("renewal", "one", "x", 0); status != 200 {
+			if status, _, _ := d.post("renewal", "one", "x", 0); status != 200 {
 				t.Errorf("status %d", status)
 			}
 		})
@@ -145,7 +145,7 @@
 	const most = 64
 	other := &testDaemon{t: t, watches: make(chan string, 100), changes: make(chan string, 100), firstLine: make(chan string, 100)}
 	var back atomic.Bool
-	w := &testDaemon{t: t, config: map[string]any{
+	d := &testDaemon{t: t, config: map[string]any{
 		"limits": map[string]any{"sockets": most, "memory_mb": 192},
 		"discovery": outage(t, func(conn net.Conn) {
 			if back.Load() {
@@ -155,33 +155,33 @@
 			}
 		}),
 	}}
-	w.addWorker("s-1", respondDone)
-	w.start()
+	d.addWorker("s-1", respondDone)
+	d.start()
 	for i := range 200 {
-		if conn, err := net.Dial("tcp", w.listen); err == nil {
+		if conn, err := net.Dial("tcp", d.listen); err == nil {
 			t.Cleanup(func() { conn.Close() })
 		}
 		if i%50 < 49 {
 			continue
 		}
-		if n := openDescriptors(w); n > most {
+		if n := openDescriptors(d); n > most {
 			t.Errorf("%d descriptors", n)
 		}
-		if status := w.health(); status != 200 {
+		if status := d.health(); status != 200 {
 			t.Errorf("beside %d clients: healthz says %d", i, status)
 		}
-		if status, _, _ := w.post("renewal", fmt.Sprint("beside-", i), "x", 0); status != 200 {
+		if status, _, _ := d.post("renewal", fmt.Sprint("beside-", i), "x", 0); status != 200 {
 			t.Errorf("beside %d clients: %d", i, status)
 		}
 	}
-	fresh := w.addWorker("s-2", respondDone)
+	fresh := d.addWorker("s-2", respondDone)
 	for range cap(other.firstLine) {
 		other.firstLine <- `{"seq":42,"whole":true,"hosts":[` + fresh.listEntry("ready") + `]}`
 	}
 	back.Store(true)
 	other.waitForWatch()
-	w.waitUntil("the new worker serves", func() bool {
-		w.post("status-check", fmt.Sprint("after-", time.Now().UnixNano()), "x", 500)
+	d.waitUntil("the new worker serves", func() bool {
+		d.post("status-check", fmt.Sprint("after-", time.Now().UnixNano()), "x", 500)
 		return len(fresh.requests()) > 0
 	})
 }
--- a/cmd/dispatcher/shortreads_test.go
+++ b/cmd/dispatcher/shortreads_test.go
@@ -16,19 +16,19 @@
 )
 
 // trace runs the daemon of a world under a plan of failing system calls.
-func (w *testDaemon) trace(plan faultinject.Plan) {
-	w.startProcess = func() {
-		t := w.t
+func (d *testDaemon) trace(plan faultinject.Plan) {
+	d.startProcess = func() {
+		t := d.t
 		out, err := os.Create(filepath.Join(t.TempDir(), "log"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.cmd.Stderr = out
-		p, err := faultinject.Start(w.cmd, plan)
+		d.cmd.Stderr = out
+		p, err := faultinject.Start(d.cmd, plan)
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.traced = p
+		d.traced = p
 		t.Cleanup(func() {
 			p.Signal(syscall.SIGKILL)
 			<-p.Over()
--- a/cmd/dispatcher/syscalls_test.go
+++ b/cmd/dispatcher/syscalls_test.go
@@ -39,22 +39,22 @@
 // or are interrupted; no renewal runs twice, and service is whole afterwards.
 func TestServesOverFailingSystemCalls(t *testing.T) {
 	const after, span = time.Second, 4 * time.Second
-	w := &testDaemon{t: t}
+	d := &testDaemon{t: t}
 	once := func(id string, conn net.Conn) bool { // so that each request needs a new connection
 		respondDone(id, conn)
 		return false
 	}
-	backends := []*testWorker{w.addWorker("s-1", once), w.addWorker("s-2", once)}
-	w.trace(faultinject.Plan{Seed: 1, Rules: momentary(0.1, after, span)})
+	backends := []*testWorker{d.addWorker("s-1", once), d.addWorker("s-2", once)}
+	d.trace(faultinject.Plan{Seed: 1, Rules: momentary(0.1, after, span)})
 	begun := time.Now()
-	w.start()
-	w.client = &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+	d.start()
+	d.client = &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	var open sync.WaitGroup
 	var mu sync.Mutex
 	answers := map[int]int{}
 	send := func(class, id string) {
 		defer open.Done()
-		status, body, _ := w.post(class, id, "body", 4000)
+		status, body, _ := d.post(class, id, "body", 4000)
 		mu.Lock()
 		defer mu.Unlock()
 		if answers[status]++; status == 200 && body != "made for "+id {
@@ -68,10 +68,10 @@
 	}
 	open.Wait()
 	t.Logf("answers: %v; read %d, write %d, accept %d, socket %d, connect %d, wait %d, setsockopt %d calls failed or fell short", answers,
-		w.traced.Struck(faultinject.SocketRead), w.traced.Struck(faultinject.SocketWrite), w.traced.Struck(faultinject.Accept),
-		w.traced.Struck(faultinject.Socket), w.traced.Struck(faultinject.Connect), w.traced.Struck(faultinject.Wait), w.traced.Struck(faultinject.SetOption))
+		d.traced.Struck(faultinject.SocketRead), d.traced.Struck(faultinject.SocketWrite), d.traced.Struck(faultinject.Accept),
+		d.traced.Struck(faultinject.Socket), d.traced.Struck(faultinject.Connect), d.traced.Struck(faultinject.Wait), d.traced.Struck(faultinject.SetOption))
 	for call := faultinject.SocketRead; call <= faultinject.SetOption; call++ {
-		if w.traced.Struck(call) == 0 {
+		if d.traced.Struck(call) == 0 {
 			t.Errorf("no %v failed", call)
 		}
 	}
@@ -92,7 +92,7 @@
 		}
 	}
 	for i := range 20 { // the trouble is over
-		if status, _, _ := w.post("renewal", fmt.Sprint("after-", i), "x", 0); status != 200 {
+		if status, _, _ := d.post("renewal", fmt.Sprint("after-", i), "x", 0); status != 200 {
 			t.Errorf("afterwards: %d", status)
 		}
 	}
@@ -103,18 +103,18 @@
 	const after, span = time.Second, 2 * time.Second
 	for _, e := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET} {
 		t.Run(e.Error(), func(t *testing.T) {
-			w := &testDaemon{t: t}
-			b := w.addWorker("s-1", respondDone)
-			w.trace(faultinject.Plan{Seed: 2, Rules: []faultinject.Rule{
+			d := &testDaemon{t: t}
+			b := d.addWorker("s-1", respondDone)
+			d.trace(faultinject.Plan{Seed: 2, Rules: []faultinject.Rule{
 				{Call: faultinject.SocketRead, Probability: 0.3, Error: e, Peer: port(t, b.listener.Addr().String()), After: after, For: span},
 			}})
 			begun := time.Now()
-			w.start()
-			w.client.Timeout = 10 * time.Second
+			d.start()
+			d.client.Timeout = 10 * time.Second
 			for i := 0; time.Since(begun) < after+span; i++ {
-				w.post("renewal", fmt.Sprint("id-", i), "x", 0)
+				d.post("renewal", fmt.Sprint("id-", i), "x", 0)
 			}
-			if w.traced.Struck(faultinject.SocketRead) == 0 {
+			if d.traced.Struck(faultinject.SocketRead) == 0 {
 				t.Error("no read failed")
 			}
 			runs := map[string]int{}
@@ -123,7 +123,7 @@
 					t.Errorf("%s ran %d times", id, runs[id])
 				}
 			}
-			if status, _, _ := w.post("renewal", "after", "x", 0); status != 200 {
+			if status, _, _ := d.post("renewal", "after", "x", 0); status != 200 {
 				t.Errorf("afterwards: %d", status)
 			}
 		})
--- a/cmd/dispatcher/versions_test.go
+++ b/cmd/dispatcher/versions_test.go
@@ -37,13 +37,13 @@
 
 // hasLogged tells whether the program has logged a text; a program of another build
 // may have the earlier one.
-func (w *testDaemon) hasLogged(text string) bool {
-	log := w.log.String()
+func (d *testDaemon) hasLogged(text string) bool {
+	log := d.log.String()
 	if strings.Contains(log, text) {
 		return true
 	}
 	earlier := earlierLogLines[text]
-	return w.program != "" && earlier != "" && strings.Contains(log, earlier)
+	return d.program != "" && earlier != "" && strings.Contains(log, earlier)
 }
 
 // clientLoad is clients that send without a pause.
@@ -140,35 +140,35 @@
 // pause: none of their requests is lost, refused or run twice, the successor bars
 // the names that its predecessor took, and has where discovery is from it.
 func TestReplacementAcrossVersions(t *testing.T) {
-	first := newDaemonWithAdmin(t, newPlatformListener(t))
-	first.program = os.Getenv(predecessorVariable)
-	b := first.addWorker("s-1", respondDone)
-	first.start()
-	first.waitForWatch()
+	predecessor := newDaemonWithAdmin(t, newPlatformListener(t))
+	predecessor.program = os.Getenv(predecessorVariable)
+	b := predecessor.addWorker("s-1", respondDone)
+	predecessor.start()
+	predecessor.waitForWatch()
 	moved := &testDaemon{t: t}
 	address := moved.startDiscovery()
-	first.config["discovery"] = address
-	first.writeConfig()
-	first.signal(syscall.SIGHUP)
+	predecessor.config["discovery"] = address
+	predecessor.writeConfig()
+	predecessor.signal(syscall.SIGHUP)
 	moved.waitForWatch()
-	first.config["discovery"] = "127.0.0.1:1" // the next one hears of the right one
-	first.writeConfig()
-	l := startLoad(first.listen, 4)
-	first.waitUntil("requests before the replacement", func() bool { return l.sentSoFar() > 50 })
-	next := first.startSuccessorProgram(os.Getenv(successorVariable))
-	next.waitUntil("the successor is ready", next.ready)
+	predecessor.config["discovery"] = "127.0.0.1:1" // the next one hears of the right one
+	predecessor.writeConfig()
+	l := startLoad(predecessor.listen, 4)
+	predecessor.waitUntil("requests before the replacement", func() bool { return l.sentSoFar() > 50 })
+	successor := predecessor.startSuccessorProgram(os.Getenv(successorVariable))
+	successor.waitUntil("the successor is ready", successor.ready)
 	moved.waitForWatch()
-	first.waitForLog("successor has connected")
-	first.waitForLog("successor is accepting clients")
+	predecessor.waitForLog("successor has connected")
+	predecessor.waitForLog("successor is accepting clients")
 	before := l.sentSoFar()
-	first.waitUntil("requests beside each other", func() bool { return l.sentSoFar() > before+50 })
-	first.signal(syscall.SIGTERM)
-	if code := first.waitForExit(); code != 0 {
+	predecessor.waitUntil("requests beside each other", func() bool { return l.sentSoFar() > before+50 })
+	predecessor.signal(syscall.SIGTERM)
+	if code := predecessor.waitForExit(); code != 0 {
 		t.Errorf("the predecessor's exit code: %d", code)
 	}
-	next.waitForLog("predecessor has ended")
+	successor.waitForLog("predecessor has ended")
 	before = l.sentSoFar()
-	next.waitUntil("requests after the replacement", func() bool { return l.sentSoFar() > before+50 })
+	successor.waitUntil("requests after the replacement", func() bool { return l.sentSoFar() > before+50 })
 	sent, failed := l.stopAndReport()
 	for _, text := range failed {
 		t.Error(text)
@@ -182,52 +182,52 @@
 	if len(runs) != sent {
 		t.Errorf("%d jobs ran of %d sent", len(runs), sent)
 	}
-	if status, _ := send(next.client, next.listen, "load-0-0", ""); status != 409 {
+	if status, _ := send(successor.client, successor.listen, "load-0-0", ""); status != 409 {
 		t.Errorf("a name that the predecessor took: %d", status)
 	}
 	t.Logf("%d requests, none lost", sent)
 }
 
 // startSuccessorProgram is a second process of the same dispatcher, of a given program.
-func (w *testDaemon) startSuccessorProgram(program string) *testDaemon {
-	former := w.program
-	w.program = program
-	defer func() { w.program = former }()
-	return w.startSuccessor()
+func (d *testDaemon) startSuccessorProgram(program string) *testDaemon {
+	former := d.program
+	d.program = program
+	defer func() { d.program = former }()
+	return d.startSuccessor()
 }
 
 // A drained process is replaced by one of another build, which is drained too;
 // and a drain that ends on either side ends on the other.
 func TestDrainAcrossVersions(t *testing.T) {
-	first := newDaemonWithAdmin(t, newPlatformListener(t))
-	first.program = os.Getenv(predecessorVariable)
-	first.addWorker("s-1", respondDone)
-	first.start()
-	if status, _ := first.callAdmin("PUT", "/control/out-of-service"); status != 200 {
+	predecessor := newDaemonWithAdmin(t, newPlatformListener(t))
+	predecessor.program = os.Getenv(predecessorVariable)
+	predecessor.addWorker("s-1", respondDone)
+	predecessor.start()
+	if status, _ := predecessor.callAdmin("PUT", "/control/out-of-service"); status != 200 {
 		t.Fatalf("out of service: %d", status)
 	}
-	next := first.startSuccessorProgram(os.Getenv(successorVariable))
-	next.waitUntil("the successor is ready", next.ready)
-	if first.health() != 503 || next.health() != 503 {
+	successor := predecessor.startSuccessorProgram(os.Getenv(successorVariable))
+	successor.waitUntil("the successor is ready", successor.ready)
+	if predecessor.health() != 503 || successor.health() != 503 {
 		t.Error("the successor of a drained process says that it is healthy")
 	}
-	if status, _ := next.callAdmin("PUT", "/control/in-service"); status != 200 {
+	if status, _ := successor.callAdmin("PUT", "/control/in-service"); status != 200 {
 		t.Errorf("in service: %d", status)
 	}
-	first.waitForLog(`"in service"`)
-	if status, _ := first.callAdmin("PUT", "/control/out-of-service"); status != 200 {
+	predecessor.waitForLog(`"in service"`)
+	if status, _ := predecessor.callAdmin("PUT", "/control/out-of-service"); status != 200 {
 		t.Errorf("out of service: %d", status)
 	}
-	next.waitForLog(`"out of service"`)
-	next.waitUntil("both are drained", func() bool { return first.health() == 503 && next.health() == 503 })
+	successor.waitForLog(`"out of service"`)
+	successor.waitUntil("both are drained", func() bool { return predecessor.health() == 503 && successor.health() == 503 })
 }
 
 // The store of durable jobs goes from a process to one of another build: what was
 // done is known to be done, and a job for later is there with its payload.
 func TestDurableJobsAcrossVersions(t *testing.T) {
-	first := newDaemonWithAdmin(t, newPlatformListener(t))
-	first.program = os.Getenv(predecessorVariable)
-	b := first.addWorker("s-1", respondDone)
+	predecessor := newDaemonWithAdmin(t, newPlatformListener(t))
+	predecessor.program = os.Getenv(predecessorVariable)
+	b := predecessor.addWorker("s-1", respondDone)
 	ln := listenLocal(t)
 	faktory := ln.Addr().String()
 	ln.Close()
@@ -238,9 +238,9 @@
 			t.Fatal(err)
 		}
 	}
-	first.env = append(first.env, "HOLLYYOKE_FAKTORY="+filepath.Join(dir, "faktory.toml"))
-	first.start()
-	if status, err := send(first.client, first.listen, "before", "paid-1"); status != 200 {
+	predecessor.env = append(predecessor.env, "HOLLYYOKE_FAKTORY="+filepath.Join(dir, "faktory.toml"))
+	predecessor.start()
+	if status, err := send(predecessor.client, predecessor.listen, "before", "paid-1"); status != 200 {
 		t.Fatalf("a request under an idempotency key: %d, %v", status, err)
 	}
 	producer, err := dialFaktory(dir, map[string]any{"labels": []string{"born_ms:1"}})
@@ -252,18 +252,18 @@
 		t.Fatalf("%q, %v", got, err)
 	}
 	query := "/control/jobs?full=true"
-	_, list := first.callAdmin("GET", query)
-	next := first.startSuccessorProgram(os.Getenv(successorVariable))
-	next.waitUntil("the successor is ready", next.ready)
-	first.signal(syscall.SIGTERM)
-	next.waitForLog("durable jobs taken over")
-	if code := first.waitForExit(); code != 0 {
+	_, list := predecessor.callAdmin("GET", query)
+	successor := predecessor.startSuccessorProgram(os.Getenv(successorVariable))
+	successor.waitUntil("the successor is ready", successor.ready)
+	predecessor.signal(syscall.SIGTERM)
+	successor.waitForLog("durable jobs taken over")
+	if code := predecessor.waitForExit(); code != 0 {
 		t.Errorf("the predecessor's exit code: %d", code)
 	}
-	if _, now := next.callAdmin("GET", query); now != list || !strings.Contains(now, "later-001") || !strings.Contains(now, "idem:paid-1") {
+	if _, now := successor.callAdmin("GET", query); now != list || !strings.Contains(now, "later-001") || !strings.Contains(now, "idem:paid-1") {
 		t.Errorf("the successor's jobs:\n%s\nthe predecessor's:\n%s", now, list)
 	}
-	if status, err := send(next.client, next.listen, "after", "paid-1"); status != 200 {
+	if status, err := send(successor.client, successor.listen, "after", "paid-1"); status != 200 {
 		t.Errorf("asked again under the key: %d, %v", status, err)
 	}
 	if n := runsByID(b)["idem:paid-1"]; n != 1 {
