--- a/cmd/dispatcher/daemon_test.go
+++ b/cmd/dispatcher/daemon_test.go
@@ -32,23 +32,24 @@
 "fall_us":1000000,"drain_grace_us":500000},"domain":{"tells_start":true,"progress_us":1000000,"queue_order":"fifo",
 "report_x0":"free slots"},"reporting":{"via":"answers"}}`
 
-// testDaemon is what stands around the program.
+// testDaemon is a process of the program, with its configuration, its workers and its
+// discovery, which are stand-ins.
 type testDaemon struct {
 	t               *testing.T
 	workers         []*testWorker
-	watches         chan string // the query of each watch
-	changes         chan string // lines for the present watch; "silence" ends the lines that show its liveness, "end" the watch
+	watches         chan string // the query of each watch call
+	changes         chan string // lines for the open watch; "silence" ends its heartbeats, "end" the watch
 	listen          string
 	config          map[string]any
-	configPath      string               // of the file
-	env             []string             // beyond what it is told anyway
-	skipReadyWait   bool                 // start does not wait until it says that it is ready
-	inheritedFiles  []*os.File           // that it inherits
-	firstLine       chan string          // where discovery's first word comes from; nil: it has nothing to tell
-	answerDiscovery func(conn net.Conn)  // answers each call to discovery; nil: tell does
+	configPath      string               // of the configuration file
+	env             []string             // variables beside those of environment
+	skipReadyWait   bool                 // start does not wait until healthz answers 200
+	inheritedFiles  []*os.File           // descriptors from 3 on
+	firstLine       chan string          // the first line of each watch; nil: an empty one
+	answerDiscovery func(conn net.Conn)  // answers each call to discovery; nil: answerWatch does
 	startProcess    func()               // starts cmd in place of its own Start
 	traced          *faultinject.Process // the daemon, where its system calls fail
-	program         string               // that is started; empty: the one under test
+	program         string               // the program to start; empty: the one under test
 	cmd             *exec.Cmd
 	log             logBuffer
 	client          *http.Client
@@ -69,7 +70,7 @@
 	return b
 }
 
-// start starts the program in the world; known tells it all backends.
+// start starts the program, with all workers in its initial endpoint list.
 func (d *testDaemon) start(args ...string) {
 	t := d.t
 	t.Helper()
@@ -110,7 +111,7 @@
 				return
 			}
 		} else if time.Now().After(end) {
-			t.Fatalf("it does not come up: %v", err)
+			t.Fatalf("it does not start: %v", err)
 		}
 	}
 }
@@ -157,7 +158,7 @@
 	}
 }
 
-// startDiscovery starts a stand-in for startDiscovery and returns its address.
+// startDiscovery starts a stand-in for discovery and returns its address.
 func (d *testDaemon) startDiscovery() string {
 	ln := listenLocal(d.t)
 	d.watches, d.changes = make(chan string, 100), make(chan string, 100)
@@ -185,7 +186,7 @@
 	}
 }
 
-// answerWatch answers a watch that asked for a query.
+// answerWatch answers a watch call with a query.
 func (d *testDaemon) answerWatch(conn net.Conn, query string) {
 	chunk := func(line string) { fmt.Fprintf(conn, "%x\r\n%s\n\r\n", len(line)+1, line) }
 	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -204,7 +205,7 @@
 		case line := <-d.changes:
 			switch line {
 			case "silence":
-				<-gone // until the other side gives up
+				<-gone // until the program closes the connection
 				return
 			case "end":
 				return
@@ -216,7 +217,7 @@
 	}
 }
 
-// post sends a job and returns status, body and Retry-After.
+// post sends a request and returns status, body and Retry-After.
 func (d *testDaemon) post(class, id, body string, leftMs int) (int, string, string) {
 	d.t.Helper()
 	req, _ := http.NewRequest("POST", "http://"+d.listen+"/"+class+"/key-1?x=y", strings.NewReader(body))
@@ -243,7 +244,7 @@
 	select {
 	case <-over:
 	case <-time.After(testTimeout):
-		d.cmd.Process.Signal(syscall.SIGQUIT) // its log then tells what it waits for
+		d.cmd.Process.Signal(syscall.SIGQUIT) // the log then has all goroutines
 		<-over
 		d.t.Fatal("it does not end")
 	}
@@ -294,7 +295,7 @@
 	d.t.Fatal("healthz does not answer 503 after SIGTERM")
 }
 
-// logBuffer is a log that may be read while it is written.
+// logBuffer is a log that can be read while it is written.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
--- a/cmd/dispatcher/discovery_test.go
+++ b/cmd/dispatcher/discovery_test.go
@@ -9,16 +9,16 @@
 	"time"
 )
 
-// What discovery says holds: a backend that drains gets nothing new, one that
-// comes back does. A watch without lines that show liveness is given up and made anew
-// with the list kept; so is one that ends or sends what makes no sense.
+// Endpoint changes apply: a draining worker gets nothing new, one that is back does. A
+// watch without heartbeats is closed and opened again while the list stays; so is one
+// that ends or sends invalid lines.
 func TestDiscovery(t *testing.T) {
 	d := &testDaemon{t: t}
 	a, b := d.addWorker("s-a", respondDone), d.addWorker("s-b", respondDone)
 	d.start()
 	d.waitForWatch()
 	d.changes <- `{"seq":42,"whole":false,"hosts":[` + a.listEntry("draining") + `]}`
-	// Told are the news once an answer that needs them has been given.
+	// The changes have arrived once an answer that needs them has been given.
 	for i, end := 0, time.Now().Add(testTimeout); len(b.requests()) == 0 && time.Now().Before(end); i++ {
 		d.post("status-check", fmt.Sprint("probe-", i), "x", 0)
 	}
@@ -30,7 +30,7 @@
 		}
 	}
 	if n := len(a.requests()); n != before {
-		t.Errorf("the draining backend got %d more", n-before)
+		t.Errorf("the draining worker got %d more", n-before)
 	}
 	for i, ill := range []string{"silence", "end", `{"seq":43,"hosts":[{"host":"","health":"ready"}]}`, "nonsense"} {
 		d.changes <- ill
@@ -42,19 +42,19 @@
 		}
 	}
 	if n := len(a.requests()); n != before {
-		t.Errorf("the draining backend got %d more", n-before)
+		t.Errorf("the draining worker got %d more", n-before)
 	}
 	d.changes <- `{"seq":44,"whole":true,"hosts":[` + a.listEntry("ready") + `]}`
 	for i, end := 0, time.Now().Add(testTimeout); len(a.requests()) == before; i++ {
 		if status, _, _ := d.post("status-check", fmt.Sprint("back-", i), "x", 0); status != 200 || time.Now().After(end) {
-			t.Fatalf("the one backend listed: %d", status)
+			t.Fatalf("the one worker listed: %d", status)
 		}
 	}
 }
 
-// A SIGHUP used to end the program. It reads the file again: the watch moves to
-// the discovery that it names, whatever the environment says, while the list and
-// the job that is out stay; a bad file changes nothing; near SIGTERM it does no harm.
+// SIGHUP reloads the configuration: the watch moves to the discovery that the file names,
+// whatever the environment says, while the list and the running request stay; an
+// invalid file changes nothing; close to SIGTERM it does no harm.
 func TestReload(t *testing.T) {
 	d, other := &testDaemon{t: t}, &testDaemon{t: t}
 	hold := make(chan bool)
@@ -68,7 +68,7 @@
 	}()
 	for end := time.Now().Add(testTimeout); len(b.requests()) == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the job does not arrive")
+			t.Fatal("the request does not arrive")
 		}
 	}
 	good, addr := d.config, other.startDiscovery()
@@ -100,23 +100,23 @@
 		d.post("status-check", fmt.Sprint("new-", i), "x", 200)
 	}
 	if len(c.requests()) == 0 {
-		t.Error("the new discovery is not heard")
+		t.Error("the new discovery is not used")
 	}
 	d.signal(syscall.SIGHUP)
 	d.signal(syscall.SIGTERM)
 	d.signal(syscall.SIGHUP)
 	close(hold)
 	if status := <-answer; status != 200 {
-		t.Errorf("the job that was out got %d", status)
+		t.Errorf("the running request got %d", status)
 	}
 	if code := d.waitForExit(); code != 0 {
 		t.Errorf("exit code %d", code)
 	}
 }
 
-// The list known at a start may be old. The program takes jobs at once, since a
-// client kept out has nobody else to go to, but sends none by that list until
-// discovery has told what has changed.
+// The initial endpoint list may be stale. The program accepts requests at once, since
+// clients have no other dispatcher, but sends none by that list until discovery has
+// answered.
 func TestStartWithStaleList(t *testing.T) {
 	d := &testDaemon{t: t, firstLine: make(chan string, 1), skipReadyWait: true}
 	old := d.addWorker("s-old", respondDone)
@@ -132,7 +132,7 @@
 			answer <- status
 		}()
 	}
-	time.Sleep(50 * time.Millisecond) // they should be waiting by now; the test holds without it too
+	time.Sleep(50 * time.Millisecond) // for the requests to wait; the test holds without it too
 	d.firstLine <- `{"seq":42,"whole":false,"hosts":[` + fresh.listEntry("ready") + `,` + old.listEntry("draining") + `]}`
 	for range 4 {
 		if status := <-answer; status != 200 {
@@ -140,7 +140,7 @@
 		}
 	}
 	if n, m := len(old.requests()), len(fresh.requests()); n != 0 || m != 4 {
-		t.Errorf("the old list's backend got %d, the new one %d", n, m)
+		t.Errorf("the stale list's worker got %d, the new one %d", n, m)
 	}
 	if status := d.health(); status != 200 {
 		t.Errorf("afterwards: healthz says %d", status)
--- a/cmd/dispatcher/drain_test.go
+++ b/cmd/dispatcher/drain_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// A drain: healthz says no at once, on a kept session too; jobs are served all
-// the same; sessions end, idle and silent ones too; a late comer is served once.
-// Back in service all is as before. Said twice, each means no more.
+// A drain: healthz answers 503 at once, on open connections too; requests are still
+// served; connections end, idle and silent ones too; a new one is served once. Back in
+// service all is as before. To repeat either call changes nothing.
 func TestDrain(t *testing.T) {
 	d := newDaemonWithAdmin(t, nil)
 	release, arrived := make(chan struct{}), make(chan struct{}, 1)
@@ -37,24 +37,24 @@
 	fresh := d.connect()
 	fresh.send("fresh")
 	if status, _ := fresh.readResponse(t); status != 200 {
-		t.Errorf("while the front still sends: %d", status)
+		t.Errorf("while the platform still sends: %d", status)
 	}
 	for name, s := range map[string]*clientConn{"idle": idle, "silent": silent, "health": health, "fresh": fresh} {
 		if !s.closed() {
-			t.Errorf("the %s session does not end by itself", name)
+			t.Errorf("the %s connection does not end by itself", name)
 		}
 	}
 	late := d.connect()
 	late.send("late")
 	if status, ends := late.readResponse(t); status != 200 || !ends {
-		t.Errorf("a late comer: %d, ends: %v", status, ends)
+		t.Errorf("a new connection: %d, ends: %v", status, ends)
 	}
 	if !d.connect().closed() {
-		t.Error("a late comer that says nothing stays")
+		t.Error("a new connection that sends nothing stays")
 	}
 	close(release)
 	if status, ends := long.readResponse(t); status != 200 || !ends {
-		t.Errorf("a job from before: %d, ends: %v", status, ends)
+		t.Errorf("a request from before: %d, ends: %v", status, ends)
 	}
 	for range 2 {
 		if status, _ := d.callAdmin("PUT", "/control/in-service"); status != 200 {
@@ -67,10 +67,10 @@
 		t.Errorf("back in service: %d, ends: %v", status, ends)
 	}
 	if f := d.counters(); f.Succeeded["renewal"] != 5 || f.Forwards != 5 || f.Discovered != 1 || f.Outstanding != 0 {
-		t.Errorf("figures %+v", f)
+		t.Errorf("counters %+v", f)
 	}
 	d.signal(syscall.SIGTERM)
-	d.waitUntil("no after SIGTERM", func() bool { status, _ := d.callAdmin("PUT", "/control/in-service"); return status == 409 })
+	d.waitUntil("refusal after SIGTERM", func() bool { status, _ := d.callAdmin("PUT", "/control/in-service"); return status == 409 })
 	if code := d.waitForExit(); code != 0 {
 		t.Errorf("exit code %d", code)
 	}
--- a/cmd/dispatcher/durable_test.go
+++ b/cmd/dispatcher/durable_test.go
@@ -16,7 +16,8 @@
 	"time"
 )
 
-// writeDurableConfig writes what a dispatcher with a durable queue is started with.
+// writeDurableConfig writes the files of a dispatcher with a durable queue; lease is in
+// seconds.
 func writeDurableConfig(t *testing.T, dir string, lease float64) {
 	t.Helper()
 	for name, text := range map[string]string{
@@ -30,7 +31,7 @@
 	}
 }
 
-// startDurable starts a dispatcher, and writes its address where its clients look.
+// startDurable starts a dispatcher, and writes its addresses to files for its clients.
 func startDurable(t *testing.T, program, dir string) *exec.Cmd {
 	t.Helper()
 	cmd := exec.Command(program, "serve", "--config", filepath.Join(dir, "config.json"), "--faktory", filepath.Join(dir, "faktory.toml"))
@@ -49,7 +50,7 @@
 			os.WriteFile(filepath.Join(dir, "addr.new"), []byte(addr), 0o600)
 			os.Rename(filepath.Join(dir, "addr.new"), filepath.Join(dir, "addr"))
 		}
-		if _, door, ok := strings.Cut(lines.Text(), "admin API at "); ok { // it comes last
+		if _, door, ok := strings.Cut(lines.Text(), "admin API at "); ok { // the last line of the start
 			door, _, _ = strings.Cut(door, `"`)
 			os.WriteFile(filepath.Join(dir, "door"), []byte(door), 0o600)
 			go func() {
@@ -63,9 +64,9 @@
 	return nil
 }
 
-// A client hands a renewal in under an idempotency key: the same key gets the
-// first run's result, in the next life too; what was killed in its midst is in
-// doubt until an operator settles it, and is never run again by a client's word.
+// A renewal with an idempotency key: the same key gets the first run's result, after a
+// restart too; one that ran when the dispatcher was killed is in doubt until an
+// operator resolves it, and is never run again for a client.
 func TestIdempotencyKey(t *testing.T) {
 	d := &testDaemon{t: t}
 	arrived, release := make(chan struct{}, 1), make(chan struct{})
@@ -107,10 +108,10 @@
 	want("k-1", "gold", 200, "made for idem:k-1")
 	want("k-1", "silver", 422, "another request")
 	want("a b", "gold", 400, "Idempotency-Key")
-	// One request's time is up while the next on its connection waits: that one goes on waiting.
+	// One request's deadline passes while the next on its connection waits: that one goes on waiting.
 	b.setRespond(respondWhenReleased("idem:timer-1", arrived, release))
 	if got, _ := ask("k-1", "gold", 300); got != 200 {
-		t.Errorf("asked again: %d", got)
+		t.Errorf("sent again: %d", got)
 	}
 	status := make(chan int, 1)
 	go func() {
@@ -121,7 +122,7 @@
 	time.Sleep(400 * time.Millisecond)
 	release <- struct{}{}
 	if got := <-status; got != 200 {
-		t.Errorf("it waited for its own time: %d", got)
+		t.Errorf("it waited until its own deadline: %d", got)
 	}
 	b.setRespond(respondWhenReleased("idem:slow-1", arrived, release))
 	go func() {
@@ -162,9 +163,9 @@
 	}
 }
 
-// A process with durable queues is replaced in the midst of its work: its
-// successor has the address, the store and the leases, workers come back with
-// what they hold, and a request under a key is never run by both.
+// A process with durable queues is replaced while jobs run: its successor has the
+// address, the store and the leases, workers reconnect with the jobs that they hold,
+// and a request with an idempotency key is never run by both.
 func TestDurableJobsAreHandedOver(t *testing.T) {
 	d := newDaemonWithAdmin(t, newPlatformListener(t))
 	arrived, release := make(chan struct{}, 1), make(chan struct{})
@@ -225,7 +226,7 @@
 	<-arrived
 	p := client("")
 	do(p, `PUSH {"jid":"moved-001","queue":"renewal","jobtype":"renewal","args":[1]}`, "+OK")
-	// Either wire's worker may be asked: the platform's turns it away, Faktory's holds it.
+	// The job may go to a worker of either protocol: the HTTP worker rejects it, the Faktory worker holds it.
 	worker, leased, holds := client("w1"), false, ""
 	for i := 2; !leased && i < 60; i++ {
 		do(p, fmt.Sprintf(`PUSH {"jid":"moved-%03d","queue":"renewal","jobtype":"renewal","args":[1]}`, i), "+OK")
@@ -245,11 +246,11 @@
 	successor := d.startSuccessor()
 	successor.waitUntil("the successor is ready", successor.ready)
 	if got, _ := p.do("TRACK GET " + holds); !strings.Contains(got, "working") {
-		t.Errorf("the first has it still: %q", got)
+		t.Errorf("the predecessor still has it: %q", got)
 	}
 	sums := map[int]int{}
 	asked := 0
-	for end := time.Now().Add(testTimeout); (sums[202] == 0 || sums[503] == 0) && time.Now().Before(end); asked++ { // either process gets them
+	for end := time.Now().Add(testTimeout); (sums[202] == 0 || sums[503] == 0) && time.Now().Before(end); asked++ { // both processes get some
 		sums[ask("slow-2")]++
 	}
 	if sums[202] == 0 || sums[503] == 0 || sums[202]+sums[503] != asked {
@@ -279,6 +280,6 @@
 		t.Errorf("the request ran %d times", n)
 	}
 	if _, text := successor.callAdmin("GET", "/control/jobs?state=scheduled"); !strings.Contains(text, "later-009") {
-		t.Errorf("the successor's door: %s", text)
+		t.Errorf("the successor's admin API: %s", text)
 	}
 }
--- a/cmd/dispatcher/faktoryclient_test.go
+++ b/cmd/dispatcher/faktoryclient_test.go
@@ -12,7 +12,8 @@
 	"time"
 )
 
-// faktoryClient speaks the protocol; every error is a lost connection.
+// faktoryClient is a client of the Faktory protocol. Every error means that the
+// connection is lost.
 type faktoryClient struct {
 	conn   net.Conn
 	reader *bufio.Reader
--- a/cmd/dispatcher/follow_test.go
+++ b/cmd/dispatcher/follow_test.go
@@ -12,9 +12,9 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/standin"
 )
 
-// A dispatcher whose operator's file says so follows versioned changes from the
-// servers in it. SIGHUP takes over other servers; a table that is wrong changes
-// nothing; and the admin API tells the version in force.
+// A dispatcher with membership servers in its operator's file follows their versioned
+// changes. SIGHUP changes the servers; an invalid table changes nothing; and the admin
+// API has the version in force.
 func TestFollowsVersionedChanges(t *testing.T) {
 	d := newDaemonWithAdmin(t, newPlatformListener(t))
 	a, b := d.addWorker("s-1", respondDone), d.addWorker("s-2", respondDone)
@@ -24,7 +24,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { source.Close() })
-		for range 50 { // ahead of the list known at the start
+		for range 50 { // ahead of the initial endpoint list
 			source.Set()
 		}
 		for _, h := range hosts {
@@ -64,7 +64,7 @@
 		d.waitForLog(want)
 	}
 	if !follows(first, 51)() {
-		t.Error("a wrong table has changed something")
+		t.Error("an invalid table has changed something")
 	}
 	table(server(second))
 	d.signal(syscall.SIGHUP)
@@ -74,11 +74,11 @@
 	before := len(a.requests())
 	for i := range 10 {
 		if status, _, _ := d.post("renewal", fmt.Sprint("job-", i), "x", 0); status != 200 {
-			t.Errorf("job %d: %d", i, status)
+			t.Errorf("request %d: %d", i, status)
 		}
 	}
 	if len(a.requests()) != before || len(b.requests()) != 10 {
-		t.Errorf("%d jobs went to the one that has gone, %d to the other", len(a.requests())-before, len(b.requests()))
+		t.Errorf("%d requests went to the removed worker, %d to the other", len(a.requests())-before, len(b.requests()))
 	}
 	select {
 	case q := <-d.watches:
@@ -91,7 +91,7 @@
 	}
 }
 
-// listedHost is a backend as a stand-in for discovery lists it.
+// listedHost returns a worker's entry in the endpoint list.
 func listedHost(t *testing.T, b *testWorker) (h standin.Host) {
 	t.Helper()
 	if err := json.Unmarshal([]byte(b.listEntry("ready")), &h); err != nil {
--- a/cmd/dispatcher/handover_golden_test.go
+++ b/cmd/dispatcher/handover_golden_test.go
@@ -14,10 +14,10 @@
 	"hollyyoke.example/hollyyoke/internal/handover"
 )
 
-// These tests are one side of a handover by hand, with the words that earlier
-// builds say, against the program under test on the other side.
+// These tests are one side of a handover, with the messages that earlier builds send;
+// the program under test is the other side.
 
-// maskedValues are what differs from run to run in what a process says.
+// maskedValues are the parts of messages that differ from run to run.
 var maskedValues = []struct {
 	text *regexp.Regexp
 	mask string
@@ -30,7 +30,7 @@
 	{regexp.MustCompile(`127\.0\.0\.1:[0-9]+`), `ADDRESS`},
 }
 
-// testPeer is the other process, played by a test.
+// testPeer is the peer process of the program under test.
 type testPeer struct {
 	t          *testing.T
 	conn       net.Conn
@@ -52,17 +52,17 @@
 	}
 }
 
-// receive reads up to a line that begins with a word and puts it into the transcript,
-// without what differs from run to run.
+// receive reads up to a message whose first key is given, and adds it to the
+// transcript, masked.
 func (p *testPeer) receive(word string) {
 	p.t.Helper()
 	for {
 		line, err := p.lines.ReadString('\n')
 		if err != nil {
-			p.t.Fatalf("no %s: %v; heard so far:\n%s", word, err, p.transcript.String())
+			p.t.Fatalf("no %s: %v; received so far:\n%s", word, err, p.transcript.String())
 		}
 		if !strings.HasPrefix(line, `{"`+word+`":`) {
-			continue // room, names and charges come when they come
+			continue // others are sent at any time
 		}
 		masked := line
 		for _, v := range maskedValues {
@@ -73,7 +73,7 @@
 	}
 }
 
-// What a predecessor says to its successor, from the first word to the last.
+// The messages of a predecessor to its successor, from the first to the last.
 func TestGoldenPredecessor(t *testing.T) {
 	d := newDaemonWithAdmin(t, newPlatformListener(t))
 	d.addWorker("s-1", respondDone)
@@ -83,7 +83,7 @@
 	address := other.startDiscovery()
 	meeting, err := filepath.Glob(filepath.Join(d.runtimeDirectory(), "hollyyoke-*.sock"))
 	if err != nil || len(meeting) != 1 {
-		t.Fatalf("it meets at %q, %v", meeting, err)
+		t.Fatalf("its socket is %q, %v", meeting, err)
 	}
 	conn, err := net.Dial("unix", meeting[0])
 	if err != nil {
@@ -115,18 +115,18 @@
 	checkGolden(t, "handover-predecessor.jsonl", []byte(p.transcript.String()))
 }
 
-// runtimeDirectory is where the world's processes meet.
+// runtimeDirectory returns the directory of the handover socket.
 func (d *testDaemon) runtimeDirectory() string {
 	for _, variable := range d.env {
 		if folder, is := strings.CutPrefix(variable, "TMPDIR="); is {
 			return folder
 		}
 	}
-	d.t.Fatal("no folder")
+	d.t.Fatal("no directory")
 	return ""
 }
 
-// What a successor makes of a predecessor's words, and what it says itself.
+// What a successor does with a predecessor's messages, and those that it sends.
 func TestGoldenSuccessor(t *testing.T) {
 	d := newDaemonWithAdmin(t, newPlatformListener(t))
 	path := handover.SocketPath(d.runtimeDirectory(), "n0 "+d.listen)
@@ -169,8 +169,8 @@
 	p.send(`{"kept":true}`)
 	conn.Close()
 	d.waitForLog("predecessor has ended")
-	if d.waitForLog("accepting clients"); strings.Contains(d.log.String(), "handover: ") { // the prefix of all errors in what is handed over
-		t.Error("it could not read what was handed over")
+	if d.waitForLog("accepting clients"); strings.Contains(d.log.String(), "handover: ") { // the prefix of all errors in messages
+		t.Error("it could not read the messages")
 	}
 	checkGolden(t, "handover-successor.jsonl", []byte(p.transcript.String()))
 }
--- a/cmd/dispatcher/jobs_commands_test.go
+++ b/cmd/dispatcher/jobs_commands_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// The operators' commands, through the door of a running dispatcher and on the
-// file of one that has ended; each word is in the audit with its reason.
+// The operators' commands, through the admin API of a running dispatcher and on the
+// store of a stopped one; each operation is in the audit log with its reason.
 func TestJobsCommands(t *testing.T) {
 	dir := t.TempDir()
 	writeDurableConfig(t, dir, 0.2)
@@ -134,8 +134,8 @@
 			t.Errorf("the audit lacks %q: %s", want, audit)
 		}
 	}
-	writeDurableConfig(t, dir, 60)                  // no lease runs out any more, however slow the machine is
-	dispatcher = startDurable(t, builtProgram, dir) // what was settled runs, and so does what was retried
+	writeDurableConfig(t, dir, 60)                  // no lease expires from here on, however slow the machine is
+	dispatcher = startDurable(t, builtProgram, dir) // what was resolved or retried runs
 	port()
 	w := client("w3")
 	fetch(w)
@@ -145,7 +145,7 @@
 	}
 	dispatcher.Process.Signal(syscall.SIGTERM)
 	dispatcher.Wait()
-	// A damaged record is named, and nothing is passed over.
+	// A damaged record is reported, and nothing is skipped.
 	path := filepath.Join(dir, "jobs.db")
 	text, _ := os.ReadFile(path)
 	os.WriteFile(path, bytes.ReplaceAll(text, []byte("later-1003\",\"Class"), []byte("later-1003\",\"Clqss")), 0o600)
--- a/cmd/dispatcher/kill_test.go
+++ b/cmd/dispatcher/kill_test.go
@@ -17,28 +17,28 @@
 )
 
 // The kill test: the dispatcher and its workers, each a process, are killed at
-// seeded moments while renewals are pushed and run. The workers' books, which a
-// kill does not touch, say what ran; what each process was told and when is a
-// history, which porcupine checks against the rules of leases. Broken on
-// purpose, by a build that looks at no fence, both must find it.
+// seeded moments while renewals are pushed and run. The workers write to a ledger file,
+// which a kill does not touch, what ran; the calls of each process and their answers are
+// a history, which porcupine checks for linearizability against the rules of leases. A
+// build without the check of fences must fail both checks.
 
-// killReport is what came of a run.
+// killReport is the result of a run.
 type killReport struct {
 	kills, jobs, done, inDoubt, dead, ranTwice, neverRan int
-	inDoubtRan                                           int // of those in doubt, how many ran
-	illegal                                              int // histories against the rules
+	inDoubtRan                                           int // of those in doubt
+	illegal                                              int // histories that are not linearizable
 	seconds                                              float64
 	faults                                               []string
 }
 
-// runKills runs jobs until so many runKills and so many renewals are over.
+// runKills runs jobs until there have been maxKills kills and so many renewals.
 func runKills(t *testing.T, program, promise string, seed uint64, maxKills, renewals int, slow float64) (sum killReport) {
 	t.Helper()
 	dir := t.TempDir()
 	os.Mkdir(filepath.Join(dir, "till"), 0o700)
 	writeDurableConfig(t, dir, 0.3)
 	random := rand.New(rand.NewPCG(seed, 1))
-	var mu sync.Mutex // of the processes
+	var mu sync.Mutex // protects the processes, next and history
 	var dispatcher *exec.Cmd
 	workers := map[int]*exec.Cmd{}
 	lives := 0
@@ -72,7 +72,7 @@
 	for slot := range 4 {
 		work(slot)
 	}
-	// Producers push until they hear yes, and say again what they have heard nothing of.
+	// Producers push each job until it is accepted.
 	var history []historyCall
 	jid := func(i int) string { return fmt.Sprintf("paid-%06d", i) }
 	next, enough := 0, make(chan struct{})
@@ -129,7 +129,7 @@
 		case 2, 3:
 			kill(workers[slot])
 			work(slot)
-		default: // both at once
+		default: // both together
 			dispatcher.Process.Signal(syscall.SIGKILL)
 			kill(workers[slot])
 			kill(dispatcher)
@@ -223,7 +223,7 @@
 	return sum
 }
 
-// Three kinds of workers, killed with the dispatcher at seeded moments.
+// Three kinds of workers are killed with the dispatcher at seeded moments.
 func TestKills(t *testing.T) {
 	most, renewals := 12, 200
 	if n, _ := strconv.Atoi(os.Getenv("HOLLYYOKE_KILLS")); n > 0 { // the long run
@@ -242,8 +242,8 @@
 	}
 }
 
-// A worker that is late with its start, when the job has been leased to the next:
-// it is not granted. A build that looks at no fence lets both run, and the
+// A worker that reports a start after its lease has expired, and the job is leased to
+// another, is refused. A build without the check of fences lets both run, and the
 // history shows it.
 func TestLateStart(t *testing.T) {
 	broken := filepath.Join(t.TempDir(), "dispatcher")
@@ -301,7 +301,7 @@
 		a, b, p := client("a"), client("b"), client("")
 		say(p, "push", 0, `PUSH {"jid":"late-0001","queue":"renewal","jobtype":"renewal","args":[]}`)
 		first := lease(a)
-		second := lease(b) // the first one has run out
+		second := lease(b) // the first one has expired
 		say(b, "", 0, `BEAT {"wid":"b"}`)
 		start(a, first)
 		start(b, second)
--- a/cmd/dispatcher/killhistory_test.go
+++ b/cmd/dispatcher/killhistory_test.go
@@ -10,14 +10,14 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// historyCall is one historyCall of a client, by the client's clock.
+// historyCall is one call of a client, by the client's clock in nanoseconds.
 type historyCall struct {
 	Client int
 	Kind   string // push, lease, start, ack
 	Jid    string
 	Fence  uint64
 	Began  int64
-	Ended  int64 // 0: its answer never came
+	Ended  int64 // 0: it was not answered
 	OK     bool
 }
 
@@ -27,7 +27,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	open := map[int]int{} // by client: where its call without an end is
+	open := map[int]int{} // by client: the index of its call without an end
 	for line := range bytes.Lines(text) {
 		var k historyCall
 		if json.Unmarshal(line, &k) != nil {
@@ -43,14 +43,14 @@
 	return list
 }
 
-// leaseState is a job as its callers may know it.
+// leaseState is the model's state of a job.
 type leaseState struct {
 	pushed, started, done bool
 	fence                 uint64
 }
 
-// linearizable tells whether a job's calls can have happened one after the other, each
-// between its beginning and its end, without a rule of leases broken.
+// linearizable reports whether a job's calls can have happened one after the other, each
+// between its beginning and its end, by the rules of leases.
 func linearizable(promise string, calls []historyCall) bool {
 	model := porcupine.NondeterministicModel{
 		Init: func() []any { return []any{leaseState{}} },
@@ -61,7 +61,7 @@
 			switch k.Kind {
 			case "push":
 				after.pushed = true
-			case "lease": // only one that was seen is here
+			case "lease": // only leases that were answered are recorded
 				may = b.pushed && !b.done && k.Fence > b.fence && (promise == "idempotent:1" || !b.started && (promise != "" || b.fence == 0))
 				after.fence = k.Fence
 			case "start":
@@ -76,7 +76,7 @@
 				return []any{after}
 			case k.Ended != 0 && k.OK:
 				return nil
-			case k.Ended == 0 && may: // it may have come or not
+			case k.Ended == 0 && may: // it may have been handled or not
 				return []any{b, after}
 			}
 			return []any{b}
--- a/cmd/dispatcher/killworker_test.go
+++ b/cmd/dispatcher/killworker_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// runKillWorker is a worker process: two slots, an order of its own, books that outlive it.
+// runKillWorker is a worker process with two slots. It writes what it ran to the ledger
+// file, and its calls to a history of its own. It does not return.
 func runKillWorker(dir, wid, promise string, seed uint64, slow float64) {
 	open := func(name string) *os.File {
 		f, err := os.OpenFile(filepath.Join(dir, name), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -24,7 +25,7 @@
 			random := rand.New(rand.NewPCG(seed, uint64(slot)))
 			client := int(seed)*2 + slot
 			var c *faktoryClient
-			// ask asks until there is an answer, over all lives of the dispatcher.
+			// ask repeats a command until it is answered, over restarts of the dispatcher.
 			ask := func(kind, jid string, fence uint64, command string, tries int) (got string, answered bool) {
 				for range tries {
 					if c == nil {
@@ -74,7 +75,7 @@
 				raw, _ := json.Marshal(historyCall{client, "lease", job.Jid, job.Custom.Fence, began, time.Now().UnixNano(), true})
 				history.Write(append(raw, '\n'))
 				lease := fmt.Sprintf(`{"jid":%q,"fence":%d}`, job.Jid, job.Custom.Fence)
-				if random.Float64() < slow { // of them half longer than the lease
+				if random.Float64() < slow { // half of these longer than the lease
 					time.Sleep(time.Duration(random.IntN(600)) * time.Millisecond)
 				}
 				if promise == "fences:1" {
@@ -85,7 +86,7 @@
 				if promise == "idempotent:1" {
 					f, err := os.OpenFile(filepath.Join(dir, "till", job.Jid), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 					if err == nil {
-						f.Close() // that it is there says that it ran
+						f.Close() // the file says that it ran
 					}
 				} else {
 					fmt.Fprintf(books, "%s %d %s\n", job.Jid, job.Custom.Fence, wid)
--- a/cmd/dispatcher/leftover_test.go
+++ b/cmd/dispatcher/leftover_test.go
@@ -13,25 +13,26 @@
 	"time"
 )
 
-// These tests cut a backend off in the middle of a request, as a partition does:
-// what the daemon wrote stays in its kernel, which goes on sending it when the way
-// is free again. What was given up meanwhile must not arrive then.
+// These tests cut a worker off in the middle of a request, as a network partition does:
+// what the daemon wrote stays in its kernel, which goes on sending it when the partition
+// ends. An attempt that was abandoned meanwhile must not arrive then.
 
-// unreadWorker is a backend whose machine takes in only the begin of a request until it is released.
+// unreadWorker is a worker whose machine receives only the start of a request until it
+// is released.
 type unreadWorker struct {
 	*testWorker
 	release     chan struct{}
 	mu          sync.Mutex
-	completeIDs []string // the ids of the requests that arrived whole, and when
+	completeIDs []string // of the requests that arrived completely
 	completedAt []time.Time
-	connected   chan struct{} // a connection has come
+	connected   chan struct{} // one value for each connection
 }
 
-// minReceiveBuffer leaves a listener's connections room for little more than a packet.
+// minReceiveBuffer sets the smallest receive buffer that the kernel allows.
 func minReceiveBuffer(_, _ string, raw syscall.RawConn) (err error) {
-	const room = 1 // the kernel makes the least of it that it allows
+	const size = 1 // the kernel raises it to its minimum
 	controlErr := raw.Control(func(fd uintptr) {
-		err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, room)
+		err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, size)
 	})
 	if err == nil {
 		err = controlErr
@@ -84,14 +85,15 @@
 	return c.completeIDs
 }
 
-// stuckBody is larger than the window and smaller than what the daemon's kernel takes.
+// stuckBody is larger than the receive window and smaller than the daemon's send buffer.
 var stuckBody = strings.Repeat("x", 8<<10)
 
-// resetTimeout is by when a connection that was given up has been reset: the poller
-// closes it in its next turn, or a timer after 0.2 s at the latest.
+// resetTimeout is the time within which an abandoned connection has been reset: the
+// poller closes it in its next turn, or a timer after 0.2 s.
 const resetTimeout = 300 * time.Millisecond
 
-// releaseAndWait releases the backend and gives what is left time to arrive.
+// releaseAndWait releases the worker, gives the rest time to arrive, and returns the ids
+// of the complete requests.
 func (c *unreadWorker) releaseAndWait() []string {
 	time.Sleep(resetTimeout)
 	close(c.release)
@@ -99,8 +101,8 @@
 	return c.complete()
 }
 
-// A request is given up as its time is over, as its client leaves, and as its backend is removed
-// and the grace has passed. The way to the backend is free again later.
+// An attempt is abandoned at its deadline, when its client leaves, and when its worker is
+// removed and the grace has passed. The partition ends later.
 func TestAbandonedRequestNeverArrives(t *testing.T) {
 	type scenario struct {
 		name   string
@@ -116,7 +118,7 @@
 		return status
 	}
 	scenarios := []scenario{
-		{"its time is over", func(d *testDaemon, c *unreadWorker) { <-send(d, c, 500) }},
+		{"its deadline passes", func(d *testDaemon, c *unreadWorker) { <-send(d, c, 500) }},
 		{"its client leaves", func(d *testDaemon, c *unreadWorker) {
 			conn, err := net.Dial("tcp", d.listen)
 			if err != nil {
@@ -129,16 +131,16 @@
 			conn.Close()
 			time.Sleep(300 * time.Millisecond)
 		}},
-		{"its backend is removed", func(d *testDaemon, c *unreadWorker) {
+		{"its worker is removed", func(d *testDaemon, c *unreadWorker) {
 			status := send(d, c, 0)
 			d.changes <- `{"seq":42,"whole":false,"hosts":[` + c.listEntry("gone") + `]}`
 			select {
 			case got := <-status:
 				if got != 502 {
-					d.t.Errorf("its backend is removed: the client has %d", got)
+					d.t.Errorf("its worker is removed: the client has %d", got)
 				}
 			case <-time.After(drainGrace + time.Second):
-				d.t.Error("its backend is removed: the client waits for it")
+				d.t.Error("its worker is removed: the client waits for it")
 			}
 		}},
 	}
--- a/cmd/dispatcher/limits_test.go
+++ b/cmd/dispatcher/limits_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// Idle connections to a backend are closed before it may close them.
+// Idle connections to a worker are closed before the worker may close them.
 func TestIdleConnectionsCloseFirst(t *testing.T) {
 	d := &testDaemon{t: t, config: map[string]any{"conn_idle_us": "3000000"}}
 	closed := make(chan error, 1)
@@ -31,7 +31,7 @@
 	}
 }
 
-// Near the limit of descriptors idle sessions make room for new ones.
+// Near the limit of descriptors idle client connections are closed for new ones.
 func TestDescriptorLimit(t *testing.T) {
 	d := &testDaemon{t: t, config: map[string]any{"limits": map[string]any{"sockets": 64, "memory_mb": 192}}}
 	d.addWorker("s-1", respondDone)
@@ -46,17 +46,17 @@
 		fmt.Fprintf(conn, "POST /renewal/k HTTP/1.1\r\nX-Correlation-Id: fd-%d\r\nContent-Length: 1\r\n\r\nx", i)
 		resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 		if err != nil || resp.StatusCode != 200 {
-			t.Fatalf("session %d: %v, %v", i, resp, err)
+			t.Fatalf("connection %d: %v, %v", i, resp, err)
 		}
 		fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", d.cmd.Process.Pid))
 		if err != nil || len(fds) > 64 {
-			t.Fatalf("session %d: %d descriptors, %v", i, len(fds), err)
+			t.Fatalf("connection %d: %d descriptors, %v", i, len(fds), err)
 		}
 	}
 }
 
-// More clients at once than there are descriptors wait their turn: each gets a
-// whole answer, though sessions must end to make room.
+// More clients at once than there are descriptors wait: each gets a complete answer,
+// though connections must end to free descriptors.
 func TestMoreClientsThanDescriptors(t *testing.T) {
 	d := &testDaemon{t: t, config: map[string]any{"limits": map[string]any{"sockets": 64, "memory_mb": 192}}}
 	d.addWorker("s-1", func(id string, conn net.Conn) bool {
@@ -83,8 +83,8 @@
 	wg.Wait()
 }
 
-// With all descriptors of clients taken, and more callers at the door that say
-// nothing or half a call than it holds, a call is answered; and the limit holds.
+// With all descriptors of clients in use, and more connections to the admin API that
+// send nothing or half a call than it holds, a call is answered; and the limit holds.
 func TestAdminAtDescriptorLimit(t *testing.T) {
 	d := newDaemonWithAdmin(t, nil)
 	d.config = map[string]any{"limits": map[string]any{"sockets": 80, "memory_mb": 192}}
--- a/cmd/dispatcher/link_test.go
+++ b/cmd/dispatcher/link_test.go
@@ -13,9 +13,6 @@
 	"github.com/BurntSushi/toml"
 )
 
-// This file owns what the platform's deploy file promises of the served binary. It
-// must never start anything but what that file names.
-
 // The fleet's platform loads a library of its own into the dispatcher, which a static
 // program would not take, and starts no second process: build links against the C
 // library, and run ends by exec in the binary that serves.
@@ -55,7 +52,7 @@
 	if !slices.ContainsFunc(f.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP }) {
 		t.Errorf("%s names no loader: it is linked statically", name)
 	}
-	// And it serves: the folder for a successor's call cannot be had, and must not matter.
+	// And it serves, though the directory of the handover socket cannot be used.
 	usual := builtProgram
 	builtProgram = filepath.Join(dir, name)
 	defer func() { builtProgram = usual }()
--- a/cmd/dispatcher/main_test.go
+++ b/cmd/dispatcher/main_test.go
@@ -9,9 +9,10 @@
 	"testing"
 )
 
-// These tests start the program and speak to it over sockets, with stand-ins
-// for discovery and backends. All ports are chosen by the kernel.
+// The tests of this package start the program and use it over sockets, with stand-ins
+// for discovery and the workers. All ports are chosen by the kernel.
 
+// builtProgram is the path of the program under test. dispatcher-serve lies beside it.
 var builtProgram string
 
 func TestMain(m *testing.M) {
--- a/cmd/dispatcher/membership_test.go
+++ b/cmd/dispatcher/membership_test.go
@@ -25,7 +25,7 @@
 	admin   string
 }
 
-// startRelay builds and starts one.
+// startRelay builds and starts a relay.
 func startRelay(t *testing.T, upstream string) *relayProcess {
 	t.Helper()
 	dir := t.TempDir()
@@ -81,15 +81,15 @@
 	r.t.Fatalf("not in time: %s: %+v", what, status)
 }
 
-// acknowledged tells whether the one dispatcher has a version in force.
+// acknowledged returns whether the one dispatcher has a version in force.
 func acknowledged(version int64) func(relay.Status) bool {
 	return func(status relay.Status) bool {
 		return status.Subscribers == 1 && int64(status.Lowest) == version && int64(status.Version) == version
 	}
 }
 
-// From the origin through a relay to a dispatcher: once the dispatcher has
-// acknowledged a drain, the worker that drains gets no more, and the end of the
+// Changes go from the origin through a relay to a dispatcher: once the dispatcher has
+// acknowledged a drain, the draining worker gets no more requests, and the end of the
 // relay leaves the list in force.
 func TestDrainThroughARelay(t *testing.T) {
 	d := &testDaemon{t: t}
--- a/cmd/dispatcher/notified_test.go
+++ b/cmd/dispatcher/notified_test.go
@@ -10,19 +10,19 @@
 	"time"
 )
 
-// These tests hold the daemon to the bound on what it is notified of: whatever
-// becomes of the calls to discovery meanwhile, no request goes to a backend that
-// was removed, once 6 s and the grace of 0.5 s have passed since discovery had it.
+// These tests check the time limit on endpoint changes: whatever happens to the calls to
+// discovery, no request goes to a removed worker once 6 s and the grace of 0.5 s have
+// passed since discovery had the removal.
 
 const (
 	notifiedAfter = 6 * time.Second
-	drainGrace    = 500 * time.Millisecond // as settingsText says
-	ruleSlack     = 50 * time.Millisecond  // that the protocol adds to each limit
-	keptTakes     = 100 * time.Millisecond // for a job at the backend that stays
+	drainGrace    = 500 * time.Millisecond // as in settingsText
+	ruleSlack     = 50 * time.Millisecond  // added to each limit
+	keptTakes     = 100 * time.Millisecond // of a request at the worker that stays
 	lineHead      = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 )
 
-// removal is a world in which one of two backends is removed while discovery is ill.
+// removal is a daemon one of whose two workers is removed while discovery fails.
 type removal struct {
 	*testDaemon
 	kept, removed *testWorker
@@ -32,7 +32,8 @@
 	call          atomic.Int32
 }
 
-// newRemoval makes the world; each call to discovery is answered by script, by its number from 0 on.
+// newRemoval starts the daemon; script answers each call to discovery, by its number
+// from 0 on.
 func newRemoval(t *testing.T, script func(r *removal, call int, conn net.Conn)) *removal {
 	r := &removal{testDaemon: &testDaemon{t: t}}
 	r.kept = r.addWorker("s-kept", func(id string, conn net.Conn) bool {
@@ -61,20 +62,20 @@
 	}
 }
 
-// untilClosed waits for the other side to give a connection up.
+// untilClosed waits until the other side has closed a connection.
 func untilClosed(conn net.Conn) { io.Copy(io.Discard, conn) }
 
-// change is the line that tells of the removal, as a chunk.
+// change returns the line with the removal, as a chunk.
 func (r *removal) change() string {
 	line := fmt.Sprintf(`{"seq":42,"whole":false,"hosts":[%s]}`+"\n", r.removed.listEntry("gone"))
 	return fmt.Sprintf("%x\r\n%s\r\n", len(line), line)
 }
 
-// half is the first half of that line.
+// half returns the first half of that line.
 func (r *removal) half() string { return r.change()[:len(r.change())/2] }
 
-// load sends requests of the class that may be repeated, one each 20 ms, until
-// stop is closed, and waits for all answers.
+// load sends idempotent requests, one each 20 ms, until stop is closed, and waits for
+// all answers.
 func (r *removal) load(stop <-chan struct{}) {
 	var open sync.WaitGroup
 	for i := 0; ; i++ {
@@ -102,22 +103,22 @@
 	return int(n.(*atomic.Int32).Load())
 }
 
-// checkBound checks when the last request came to the removed backend.
+// checkBound checks when the removed worker got its last request.
 func (r *removal) checkBound() {
 	r.t.Helper()
 	allowed := notifiedAfter + drainGrace + ruleSlack
 	last := time.Unix(0, r.last.Load()).Sub(r.at)
-	r.t.Logf("the last request to the removed backend came %v after its removal; answers 200: %d, 503: %d", last, r.answered(200), r.answered(503))
+	r.t.Logf("the last request to the removed worker came %v after its removal; answers 200: %d, 503: %d", last, r.answered(200), r.answered(503))
 	if last > allowed {
-		r.t.Errorf("requests went to the removed backend for %v, %v are allowed", last, allowed)
+		r.t.Errorf("requests went to the removed worker for %v, %v are allowed", last, allowed)
 	}
 	if r.answered(502) > 0 || r.answered(0) > 0 {
-		r.t.Errorf("%d requests failed and %d had no answer, though a backend was there", r.answered(502), r.answered(0))
+		r.t.Errorf("%d requests failed and %d had no answer, though a worker was there", r.answered(502), r.answered(0))
 	}
 }
 
-// overBrokenCalls removes a backend as the watch breaks off in the middle of the
-// line that tells of it, and falls silent; so do the calls after it, so many in all.
+// overBrokenCalls removes a worker while the watch stops in the middle of the line with
+// the removal, and stays open; so do the calls after it, as many in all as broken says.
 func overBrokenCalls(t *testing.T, broken int) *removal {
 	t.Parallel()
 	remove, heard := make(chan struct{}), make(chan struct{})
@@ -140,7 +141,7 @@
 	r.start()
 	stop, over := make(chan struct{}), make(chan struct{})
 	go func() { r.load(stop); close(over) }()
-	r.waitUntil("the backend to be removed is used", func() bool { return r.last.Load() > 0 })
+	r.waitUntil("the worker to be removed is used", func() bool { return r.last.Load() > 0 })
 	close(remove)
 	select {
 	case <-heard:
@@ -155,11 +156,11 @@
 
 func TestNotifiedInTimeOverOneBrokenCall(t *testing.T) { overBrokenCalls(t, 1) }
 
-// Each call has its time, and the bound holds over all of them.
+// Each call has a timeout, and the limit holds over all of them.
 func TestNotifiedInTimeOverBrokenCalls(t *testing.T) { overBrokenCalls(t, 3) }
 
-// Where no call brings the list for longer than the bound, any backend may have
-// been removed: nothing is sent, and requests are rejected or wait.
+// Where no call brings the list within the limit, any worker may have been removed:
+// nothing is sent, and requests are rejected or wait.
 func TestNothingIsSentByAListThatMayBeOld(t *testing.T) {
 	if r := overBrokenCalls(t, 100); r.answered(503) == 0 {
 		t.Error("no request was rejected, though nothing may be sent")
--- a/cmd/dispatcher/operator_test.go
+++ b/cmd/dispatcher/operator_test.go
@@ -13,7 +13,8 @@
 	"time"
 )
 
-// platformListener is the platform's side: a listening socket that every process inherits.
+// platformListener is a listening socket that every process inherits, as the platform
+// keeps one, and the directory of the handover socket.
 type platformListener struct {
 	file      *os.File
 	directory string
@@ -35,7 +36,8 @@
 	return &platformListener{file, folder}
 }
 
-// newDaemonWithAdmin makes a world that has a door, and inherits a listener where there is one.
+// newDaemonWithAdmin returns a daemon with an admin API, which inherits the listener k
+// if it is not nil.
 func newDaemonWithAdmin(t *testing.T, k *platformListener) *testDaemon {
 	d := &testDaemon{t: t, env: []string{"BALANCER_ADMIN_ADDR=127.0.0.1:0"}}
 	if k != nil {
@@ -54,7 +56,7 @@
 	return ln.Addr().String()
 }
 
-// startSuccessor is a second process of the same dispatcher, in the same world.
+// startSuccessor starts a second process of the same dispatcher, with the same stand-ins.
 func (d *testDaemon) startSuccessor(env ...string) *testDaemon {
 	successor := &testDaemon{t: d.t, env: append(append([]string{}, d.env...), env...), inheritedFiles: d.inheritedFiles, listen: d.listen, program: d.program,
 		workers: d.workers, config: d.config, configPath: d.configPath, client: d.client, watches: d.watches, changes: d.changes}
@@ -78,7 +80,7 @@
 	return addr
 }
 
-// callAdmin calls the callAdmin API; 0 where nobody answers.
+// callAdmin makes a call to the admin API, and returns status 0 where it is not answered.
 func (d *testDaemon) callAdmin(method, path string) (int, string) {
 	req, _ := http.NewRequest(method, "http://"+d.adminAddress()+path, nil)
 	resp, err := (&http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true}}).Do(req)
@@ -90,12 +92,12 @@
 	return resp.StatusCode, string(text)
 }
 
-// waitUntil waits for something to hold.
+// waitUntil waits until a condition holds.
 func (d *testDaemon) waitUntil(what string, holds func() bool) {
 	d.t.Helper()
 	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			d.t.Fatalf("in vain: %s", what)
+			d.t.Fatalf("timeout: %s", what)
 		}
 	}
 }
@@ -114,7 +116,7 @@
 	return resp.StatusCode
 }
 
-// counters reads what the door tells.
+// counters returns the counters of the admin API.
 func (d *testDaemon) counters() (f struct {
 	Succeeded, Declined, Aborted               map[string]int
 	Forwards, Outstanding, Discovered, Ejected int
@@ -127,7 +129,7 @@
 	return f
 }
 
-// clientConn is a client's connection that the test holds.
+// clientConn is a client's connection.
 type clientConn struct {
 	net.Conn
 	in *bufio.Reader
@@ -137,12 +139,12 @@
 	fmt.Fprintf(s, "POST /renewal/k HTTP/1.1\r\nX-Correlation-Id: %s\r\nContent-Length: 1\r\n\r\nx", id)
 }
 
-// readResponse reads an readResponse and tells whether the session ends with it.
+// readResponse reads a response, and returns whether the connection ends with it.
 func (s *clientConn) readResponse(t *testing.T) (status int, ends bool) {
 	t.Helper()
 	resp, err := http.ReadResponse(s.in, nil)
 	if err != nil {
-		t.Fatalf("no answer: %v", err)
+		t.Fatalf("no response: %v", err)
 	}
 	io.Copy(io.Discard, resp.Body)
 	return resp.StatusCode, resp.Close
--- a/cmd/dispatcher/ready_test.go
+++ b/cmd/dispatcher/ready_test.go
@@ -13,18 +13,19 @@
 	"time"
 )
 
-// These tests start the program while discovery does not answer: it is ready by
-// the list that it was told, and what is ready serves.
+// These tests start the program while discovery does not answer: it is ready by its
+// initial endpoint list, and serves.
 
-// settingsOf words the settings of one of so many dispatchers, which ask for
-// their list or have it pushed.
+// settingsOf returns the settings of one of several dispatchers, which poll the endpoint
+// list or watch it.
 func settingsOf(peers int, discovery string) json.RawMessage {
 	text := strings.NewReplacer("CONN_IDLE", "10000000", `"peers_total":1,`, fmt.Sprintf(`"peers_total":%d,`, peers),
 		`"discovery":"ask"`, fmt.Sprintf(`"discovery":%q`, discovery)).Replace(settingsText)
 	return json.RawMessage(text)
 }
 
-// refusing is an address that refuses connections: its port is taken, and nobody listens.
+// refusing returns an address that refuses connections: its port is in use, without a
+// listener.
 func refusing(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -42,7 +43,7 @@
 	return fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
 }
 
-// outage is a discovery of which every call ends in one way.
+// outage starts a discovery at which every call ends in the same way.
 func outage(t *testing.T, end func(net.Conn)) (addr string) {
 	ln := listenLocal(t)
 	go func() {
@@ -62,7 +63,7 @@
 	return ln.Addr().String()
 }
 
-// Whatever becomes of its calls, a process that knows a worker is ready and serves.
+// A process that knows a worker is ready and serves, however its calls to discovery end.
 func TestReadyWithoutDiscovery(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for name, end := range map[string]func(net.Conn){
@@ -101,8 +102,7 @@
 	}
 }
 
-// A process that knows no worker is not ready, and is as soon as discovery,
-// which has been late, tells of one.
+// A process that knows no worker is not ready until discovery, which is late, has one.
 func TestNotReadyWithoutWorkers(t *testing.T) {
 	const draining = `[{"host":"s-0","dial":"127.0.0.1:9","site":"here","class":"m","health":"draining","share":1}]`
 	for _, x := range []struct{ known, discovery string }{{`[]`, "ask"}, {draining, "ask"}, {`[]`, "push"}, {draining, "push"}} {
@@ -123,7 +123,7 @@
 						early <- resp.StatusCode
 					}
 				}
-				for range cap(other.firstLine) { // whichever call it is that stands
+				for range cap(other.firstLine) { // for whichever call is open
 					other.firstLine <- `{"seq":42,"whole":true,"hosts":[` + b.listEntry("ready") + `]}`
 				}
 			}()
@@ -138,9 +138,8 @@
 	}
 }
 
-// Idle clients take all descriptors that they can get while discovery is down.
-// The process is ready, serves, hears of its workers once discovery is back, and
-// keeps to its limit.
+// Idle clients use all descriptors that they can get while discovery is down. The process
+// is ready, serves, gets its workers once discovery is back, and keeps to its limit.
 func TestReadyBesideIdleClients(t *testing.T) {
 	const most = 64
 	other := &testDaemon{t: t, watches: make(chan string, 100), changes: make(chan string, 100), firstLine: make(chan string, 100)}
--- a/cmd/dispatcher/replacement_test.go
+++ b/cmd/dispatcher/replacement_test.go
@@ -13,14 +13,11 @@
 	"time"
 )
 
-// These tests start the program as operators run it: with the door, drained, and
-// replaced by a second process on a listener that the test keeps as the platform does.
-
 // A process is replaced while clients send without a pause: none of them sees a
-// refused or an unread connection, each job has one answer, and none runs twice.
-// The successor follows discovery to where the first one was moved, is out of
-// service if the first one is, lets no name in that the first one took, and is
-// replaced in its turn; both keep to the descriptors of one.
+// refused or an unread connection, each request has one answer, and none runs twice.
+// The successor uses the discovery to which the predecessor was moved, is drained if
+// the predecessor is, rejects ids that the predecessor accepted, and is replaced in its
+// turn; both together keep to the limit of descriptors.
 func TestReplacement(t *testing.T) {
 	k := newPlatformListener(t)
 	first, other := newDaemonWithAdmin(t, k), &testDaemon{t: t}
@@ -33,7 +30,7 @@
 	first.writeConfig()
 	first.signal(syscall.SIGHUP)
 	other.waitForWatch()
-	first.config["discovery"] = "127.0.0.1:1" // what the file says to the next one is old news by then
+	first.config["discovery"] = "127.0.0.1:1" // stale in the file by the time the successor reads it
 	first.writeConfig()
 	stop, sent, failed := make(chan bool), make(chan int), make(chan string, 1000)
 	for c := range 4 {
@@ -103,10 +100,10 @@
 		}
 	}
 	if len(got) != total || total < 20 {
-		t.Errorf("%d jobs ran of %d", len(got), total)
+		t.Errorf("%d requests ran of %d", len(got), total)
 	}
 	if status, _, _ := predecessor.post("renewal", "c0-0", "x", 0); status != 409 {
-		t.Errorf("a name that the first process took: %d", status)
+		t.Errorf("an id that the predecessor accepted: %d", status)
 	}
 	if status, _ := predecessor.callAdmin("PUT", "/control/out-of-service"); status != 200 {
 		t.Errorf("out of service: %d", status)
@@ -119,8 +116,8 @@
 	if status, _ := successor.callAdmin("PUT", "/control/in-service"); status != 200 {
 		t.Errorf("in service: %d", status)
 	}
-	predecessor.waitForLog(`"in service"`) // the two are one dispatcher
-	successor.cmd.Process.Kill()           // and if the successor dies, the first one goes on
+	predecessor.waitForLog(`"in service"`) // both processes are one dispatcher
+	successor.cmd.Process.Kill()           // and if the successor dies, the predecessor goes on
 	predecessor.waitForLog("successor has ended")
 	predecessor.waitUntil("health", func() bool { return predecessor.health() == 200 })
 	if status, _, _ := predecessor.post("renewal", "after", "x", 0); status != 200 {
@@ -128,10 +125,10 @@
 	}
 }
 
-// Where the two cannot meet each is right by itself: without a folder, with a
-// path longer than the system takes, with a file that a dead process left, and
-// with a predecessor that dies before it is asked to go. Discovery that says
-// nothing does not keep a successor from its predecessor's list.
+// Processes that cannot connect work each for itself: without a directory, with a path
+// longer than a socket's may be, with a file that a dead process left, and with a
+// predecessor that dies before its shutdown. A successor has its predecessor's list
+// where discovery does not answer.
 func TestHandoverSocket(t *testing.T) {
 	k := newPlatformListener(t)
 	long := filepath.Join(k.directory, strings.Repeat("long-", 25))
@@ -168,7 +165,7 @@
 		d.post("status-check", fmt.Sprint("new-", i), "x", 200)
 	}
 	before := len(a.requests())
-	silent := listenLocal(t) // accepts, by the kernel's hand, and says nothing
+	silent := listenLocal(t) // the kernel accepts connections, and nothing answers
 	d.config["discovery"] = silent.Addr().String()
 	d.writeConfig()
 	d.signal(syscall.SIGHUP)
@@ -184,7 +181,7 @@
 		}
 	}
 	if len(a.requests()) != before {
-		t.Error("the configuration's old list was used")
+		t.Error("the configuration's stale list was used")
 	}
 	successor.cmd.Process.Kill() // it leaves its file
 	successor.waitForExit()
@@ -192,8 +189,8 @@
 	last.waitUntil("ready beside a dead process's file", last.ready)
 }
 
-// The Faktory front with a direct queue cannot be handed over: a successor with
-// one says so and ends, and the first goes on.
+// A Faktory front end with a direct queue cannot be handed over: a successor with one
+// ends with an error, and the predecessor goes on.
 func TestDirectFaktoryQueueIsNotHandedOver(t *testing.T) {
 	d := newDaemonWithAdmin(t, newPlatformListener(t))
 	d.addWorker("s-1", respondDone)
--- a/cmd/dispatcher/serving_test.go
+++ b/cmd/dispatcher/serving_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// A renewal that may have run is never sent again: not after a reset, not
-// after silence, not on a kept connection that turns out dead. A status-check is.
+// A renewal that may have run is never sent again: not after a reset, not after a
+// timeout, not on an idle connection that turns out to be closed. A status-check is.
 func TestRenewalIsNeverSentTwice(t *testing.T) {
 	d := &testDaemon{t: t}
 	reset := func(string, net.Conn) bool { return false }
@@ -69,7 +69,7 @@
 	}
 }
 
-// What nobody can take is refused before the client gives up, and tells when to come back.
+// A request that no worker can take is rejected before its deadline, with Retry-After.
 func TestRejectionHasRetryAfter(t *testing.T) {
 	d := &testDaemon{t: t}
 	d.addWorker("s-1", func(_ string, conn net.Conn) bool {
@@ -86,7 +86,7 @@
 	}
 }
 
-// A client that hangs up has its attempt called off.
+// The attempt of a client that closes its connection is cancelled.
 func TestCancelReachesWorker(t *testing.T) {
 	d := &testDaemon{t: t}
 	gone := make(chan struct{})
@@ -108,11 +108,11 @@
 	select {
 	case <-gone:
 	case <-time.After(testTimeout):
-		t.Error("the backend still has it")
+		t.Error("the worker still has it")
 	}
 }
 
-// The Faktory front runs beside the platform's, on the same backends.
+// The Faktory front end runs beside the HTTP front end, on the same workers.
 func TestFaktoryFrontEnd(t *testing.T) {
 	d := &testDaemon{t: t}
 	b := d.addWorker("s-1", respondDone)
--- a/cmd/dispatcher/shortreads_test.go
+++ b/cmd/dispatcher/shortreads_test.go
@@ -15,7 +15,7 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/faultinject"
 )
 
-// trace runs the daemon of a world under a plan of failing system calls.
+// trace runs the daemon under a plan of failing system calls.
 func (d *testDaemon) trace(plan faultinject.Plan) {
 	d.startProcess = func() {
 		t := d.t
@@ -53,10 +53,10 @@
 	return n
 }
 
-// Reads of the watch fall short, so that a part of a change stays in the socket,
-// and then the watch falls silent. What is unread must not put off the verdict.
+// Reads of the watch are short, so that a part of a change stays in the socket, and then
+// nothing more arrives. Unread bytes must not delay the detection of the silence.
 func TestNotifiedInTimeOverShortReads(t *testing.T) {
-	const fault = 2 * time.Second // from the start on
+	const fault = 2 * time.Second // from the start
 	remove := make(chan struct{})
 	r := newRemoval(t, func(r *removal, call int, conn net.Conn) {
 		io.WriteString(conn, lineHead)
@@ -79,7 +79,7 @@
 	r.start()
 	stop, over := make(chan struct{}), make(chan struct{})
 	go func() { r.load(stop); close(over) }()
-	r.waitUntil("the backend to be removed is used", func() bool { return r.last.Load() > 0 })
+	r.waitUntil("the worker to be removed is used", func() bool { return r.last.Load() > 0 })
 	time.Sleep(time.Until(begun.Add(fault + 100*time.Millisecond)))
 	close(remove)
 	time.Sleep(notifiedAfter + drainGrace + 3*time.Second)
@@ -87,6 +87,6 @@
 	<-over
 	r.checkBound()
 	if r.traced.Struck(faultinject.SocketRead) == 0 {
-		t.Error("no read fell short")
+		t.Error("no read was short")
 	}
 }
--- a/cmd/dispatcher/shutdown_test.go
+++ b/cmd/dispatcher/shutdown_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// At a planned restart what has been taken is answered, what comes in the
-// window is served, and the program ends with 0 only after that.
+// At a graceful shutdown what has been accepted is answered, what arrives in the window
+// is served, and the program exits with 0 only after that.
 func TestGracefulShutdown(t *testing.T) {
 	d := &testDaemon{t: t}
 	release, arrived := make(chan struct{}), make(chan struct{}, 1)
@@ -28,7 +28,7 @@
 	}()
 	<-arrived
 	d.cmd.Process.Signal(syscall.SIGTERM)
-	d.cmd.Process.Signal(syscall.SIGTERM) // said twice, it means no more
+	d.cmd.Process.Signal(syscall.SIGTERM) // a second one changes nothing
 	fresh := &http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	d.client, fresh = fresh, d.client
 	d.waitUntilUnhealthy() // the signal has been handled, so that what follows comes after it
@@ -37,15 +37,15 @@
 	}
 	d.client = fresh
 	if status, _, _ := d.post("status-check", "kept", "x", 0); status != 200 {
-		t.Errorf("a kept connection after SIGTERM: %d", status)
+		t.Errorf("an open connection after SIGTERM: %d", status)
 	}
 	if resp, err := d.client.Get("http://" + d.listen + "/healthz"); err != nil || resp.StatusCode != 503 {
 		t.Errorf("healthz after SIGTERM: %v, %v", resp, err)
 	}
-	time.Sleep(600*time.Millisecond + 200*time.Millisecond) // past the window, a job is still owed
+	time.Sleep(600*time.Millisecond + 200*time.Millisecond) // past the window, an answer is still owed
 	close(release)
 	if status := <-slow; status != 200 {
-		t.Errorf("what was in work: %d", status)
+		t.Errorf("the running request: %d", status)
 	}
 	if code := d.waitForExit(); code != 0 {
 		t.Errorf("exit code %d", code)
@@ -55,12 +55,12 @@
 	}
 }
 
-// SIGTERM while the program still reads what it is told is a planned end too: the
+// SIGTERM while the program still reads its configuration is a graceful shutdown too: the
 // configuration comes through a pipe here, and only after the signal.
 func TestSignalDuringStart(t *testing.T) {
 	d := &testDaemon{t: t}
 	d.addWorker("s-1", respondDone)
-	d.start() // for a whole configuration
+	d.start() // writes a complete configuration
 	d.cmd.Process.Kill()
 	d.cmd.Wait()
 	raw, err := os.ReadFile(d.configPath)
@@ -87,14 +87,14 @@
 	in.Write(raw) // fails where the signal has ended the program
 	in.Close()
 	if code := d.waitForExit(); code != 0 {
-		t.Errorf("exit code %d, want a planned end", code)
+		t.Errorf("exit code %d, want a graceful shutdown", code)
 	}
 	if !strings.Contains(d.log.String(), "stopped: accepted 0") {
-		t.Error("it did not end as planned")
+		t.Error("it did not shut down gracefully")
 	}
 }
 
-// signalPending tells whether signals wait to be taken, by the words of /proc.
+// signalPending reports whether a signal is pending, by the text of /proc/PID/status.
 func signalPending(status []byte) bool {
 	for line := range strings.Lines(string(status)) {
 		if name, bits, _ := strings.Cut(line, ":"); name == "ShdPnd" || name == "SigPnd" {
@@ -106,9 +106,9 @@
 	return false
 }
 
-// At a planned end an answer that is owed reaches a client that goes on sending,
-// and one that reads it late; a client that rests until the end hears of it in
-// order; nothing that comes after the window reaches a backend.
+// At a graceful shutdown an answer that is owed reaches a client that goes on sending,
+// and one that reads it late; an idle client sees an orderly close; nothing that
+// arrives after the window reaches a worker.
 func TestGracefulShutdownUnderLoad(t *testing.T) {
 	d := &testDaemon{t: t}
 	release, arrived := make(chan struct{}), make(chan struct{}, 2)
@@ -161,7 +161,7 @@
 		t.Errorf("half a request: %+v, %v", resp, err)
 	}
 	if _, err := resting.ReadByte(); err != io.EOF { // the window is over
-		t.Errorf("a resting session ends with %v", err)
+		t.Errorf("an idle connection ends with %v", err)
 	}
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		conn, err := net.Dial("tcp", d.listen)
@@ -189,7 +189,7 @@
 	if _, err := lateIn.ReadByte(); err != io.EOF {
 		t.Errorf("behind the last answer: %v", err)
 	}
-	answered := time.Now() // the client has not closed, and is waited for
+	answered := time.Now() // the client has not closed: the program waits for it
 	if code := d.waitForExit(); code != 0 {
 		t.Errorf("exit code %d", code)
 	}
@@ -198,7 +198,7 @@
 	}
 	for _, got := range append(a.requests(), b.requests()...) {
 		if strings.HasPrefix(got, "after") {
-			t.Errorf("sent on after the end: %s", got)
+			t.Errorf("forwarded after the end: %s", got)
 		}
 	}
 }
--- a/cmd/dispatcher/start_test.go
+++ b/cmd/dispatcher/start_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// A bad start says in one line which field is wrong.
+// An invalid configuration ends the start with one line that names the field.
 func TestBadStart(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
--- a/cmd/dispatcher/startlist_test.go
+++ b/cmd/dispatcher/startlist_test.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// A process starts by a list that is old: discovery has removed a backend since,
-// whose machine runs on. Nothing may go there, neither before discovery was heard
-// nor after, however large the fleet is and however discovery is asked.
+// A process starts with a stale list: discovery has removed a worker since, whose machine
+// still runs. It must get nothing, neither before discovery has answered nor after,
+// however large the fleet is and whether discovery is polled or watched.
 func TestStartsByAnOldList(t *testing.T) {
 	for _, peers := range []int{1, 300} {
 		for _, discovery := range []string{"ask", "push"} {
 			t.Run(fmt.Sprintf("%d %s", peers, discovery), func(t *testing.T) {
 				t.Parallel()
 				r := newRemoval(t, func(r *removal, _ int, conn net.Conn) {
-					if discovery == "ask" { // calls are handled in turn; an agent answers at once
+					if discovery == "ask" { // polls are handled one after the other; an agent answers at once
 						time.Sleep(500 * time.Millisecond)
 					}
 					io.WriteString(conn, lineHead+r.change())
@@ -31,7 +31,7 @@
 				close(stop)
 				<-over
 				if n := len(r.removed.requests()); n > 0 {
-					t.Errorf("%d requests went to the removed backend", n)
+					t.Errorf("%d requests went to the removed worker", n)
 				}
 				if r.answered(200) == 0 {
 					t.Error("no request was served")
--- a/cmd/dispatcher/syscalls_test.go
+++ b/cmd/dispatcher/syscalls_test.go
@@ -15,7 +15,8 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/faultinject"
 )
 
-// momentary are failures that Linux documents for the calls of a server on a machine in trouble.
+// momentary returns rules for temporary failures that Linux documents for a server's
+// system calls.
 func momentary(probability float64, after, span time.Duration) (rules []faultinject.Rule) {
 	errors := map[faultinject.Call][]syscall.Errno{
 		faultinject.Accept:     {syscall.ECONNABORTED, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO},
@@ -35,8 +36,8 @@
 		faultinject.Rule{Call: faultinject.SocketWrite, Probability: 0.5, Short: 40, After: after, For: span})
 }
 
-// All clients get their answers while system calls fail for a moment, fall short
-// or are interrupted; no renewal runs twice, and service is whole afterwards.
+// All clients get their answers while system calls fail for a moment, are short or are
+// interrupted; no renewal runs twice, and all is served afterwards.
 func TestServesOverFailingSystemCalls(t *testing.T) {
 	const after, span = time.Second, 4 * time.Second
 	d := &testDaemon{t: t}
@@ -67,7 +68,7 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	open.Wait()
-	t.Logf("answers: %v; read %d, write %d, accept %d, socket %d, connect %d, wait %d, setsockopt %d calls failed or fell short", answers,
+	t.Logf("answers: %v; read %d, write %d, accept %d, socket %d, connect %d, wait %d, setsockopt %d calls failed or were short", answers,
 		d.traced.Struck(faultinject.SocketRead), d.traced.Struck(faultinject.SocketWrite), d.traced.Struck(faultinject.Accept),
 		d.traced.Struck(faultinject.Socket), d.traced.Struck(faultinject.Connect), d.traced.Struck(faultinject.Wait), d.traced.Struck(faultinject.SetOption))
 	for call := faultinject.SocketRead; call <= faultinject.SetOption; call++ {
@@ -91,14 +92,14 @@
 			}
 		}
 	}
-	for i := range 20 { // the trouble is over
+	for i := range 20 { // the faults are over
 		if status, _, _ := d.post("renewal", fmt.Sprint("after-", i), "x", 0); status != 200 {
 			t.Errorf("afterwards: %d", status)
 		}
 	}
 }
 
-// A connection that was reset may show itself as timed out or out of reach.
+// A connection that was reset may be reported as timed out or unreachable.
 func TestBrokenConnectionsUnderOtherNames(t *testing.T) {
 	const after, span = time.Second, 2 * time.Second
 	for _, e := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET} {
--- a/cmd/dispatcher/versions_test.go
+++ b/cmd/dispatcher/versions_test.go
@@ -35,7 +35,7 @@
 	"durable jobs taken over":        "has the durable jobs",
 }
 
-// hasLogged tells whether the program has logged a text; a program of another build
+// hasLogged reports whether the program has logged a text; a program of another build
 // may have the earlier one.
 func (d *testDaemon) hasLogged(text string) bool {
 	log := d.log.String()
@@ -100,7 +100,8 @@
 	return l.sent
 }
 
-// stopAndReport stops the clients and tells what has become of their requests.
+// stopAndReport stops the clients, and returns how many requests were sent and which
+// failed.
 func (l *clientLoad) stopAndReport() (sent int, failed []string) {
 	close(l.stop)
 	l.clients.Wait()
@@ -126,7 +127,7 @@
 	return answer.StatusCode, err
 }
 
-// runsByID is how often each job has run.
+// runsByID returns how often each request has run.
 func runsByID(b *testWorker) map[string]int {
 	runs := map[string]int{}
 	for _, arrival := range b.requests() {
@@ -137,8 +138,8 @@
 }
 
 // A process is replaced by one of another build while clients send without a
-// pause: none of their requests is lost, refused or run twice, the successor bars
-// the names that its predecessor took, and has where discovery is from it.
+// pause: none of their requests is lost, rejected or run twice, the successor rejects
+// the ids that its predecessor accepted, and has the address of discovery from it.
 func TestReplacementAcrossVersions(t *testing.T) {
 	predecessor := newDaemonWithAdmin(t, newPlatformListener(t))
 	predecessor.program = os.Getenv(predecessorVariable)
@@ -151,7 +152,7 @@
 	predecessor.writeConfig()
 	predecessor.signal(syscall.SIGHUP)
 	moved.waitForWatch()
-	predecessor.config["discovery"] = "127.0.0.1:1" // the next one hears of the right one
+	predecessor.config["discovery"] = "127.0.0.1:1" // the successor gets the right one from its predecessor
 	predecessor.writeConfig()
 	l := startLoad(predecessor.listen, 4)
 	predecessor.waitUntil("requests before the replacement", func() bool { return l.sentSoFar() > 50 })
@@ -180,15 +181,15 @@
 		}
 	}
 	if len(runs) != sent {
-		t.Errorf("%d jobs ran of %d sent", len(runs), sent)
+		t.Errorf("%d requests ran of %d sent", len(runs), sent)
 	}
 	if status, _ := send(successor.client, successor.listen, "load-0-0", ""); status != 409 {
-		t.Errorf("a name that the predecessor took: %d", status)
+		t.Errorf("an id that the predecessor accepted: %d", status)
 	}
 	t.Logf("%d requests, none lost", sent)
 }
 
-// startSuccessorProgram is a second process of the same dispatcher, of a given program.
+// startSuccessorProgram starts a second process of the same dispatcher, of a program.
 func (d *testDaemon) startSuccessorProgram(program string) *testDaemon {
 	former := d.program
 	d.program = program
@@ -209,7 +210,7 @@
 	successor := predecessor.startSuccessorProgram(os.Getenv(successorVariable))
 	successor.waitUntil("the successor is ready", successor.ready)
 	if predecessor.health() != 503 || successor.health() != 503 {
-		t.Error("the successor of a drained process says that it is healthy")
+		t.Error("the successor of a drained process is healthy")
 	}
 	if status, _ := successor.callAdmin("PUT", "/control/in-service"); status != 200 {
 		t.Errorf("in service: %d", status)
@@ -264,7 +265,7 @@
 		t.Errorf("the successor's jobs:\n%s\nthe predecessor's:\n%s", now, list)
 	}
 	if status, err := send(successor.client, successor.listen, "after", "paid-1"); status != 200 {
-		t.Errorf("asked again under the key: %d, %v", status, err)
+		t.Errorf("sent again under the key: %d, %v", status, err)
 	}
 	if n := runsByID(b)["idem:paid-1"]; n != 1 {
 		t.Errorf("the request ran %d times", n)
--- a/cmd/dispatcher/worker_test.go
+++ b/cmd/dispatcher/worker_test.go
@@ -9,12 +9,13 @@
 	"sync"
 )
 
-// testWorker is a stand-in: act answers each request.
+// testWorker is a stand-in for a worker: respond answers each request, and returns
+// whether the connection stays open.
 type testWorker struct {
 	name     string
 	listener net.Listener
 	mu       sync.Mutex
-	received []string // the ids that arrived
+	received []string // id, method, URI and body of each request
 	respond  func(id string, conn net.Conn) (keep bool)
 }
 
@@ -60,7 +61,7 @@
 	return true
 }
 
-// respondWhenReleased runs one job until its release, and all others at once.
+// respondWhenReleased answers one request once it is released, and all others at once.
 func respondWhenReleased(slow string, arrived chan<- struct{}, release <-chan struct{}) func(string, net.Conn) bool {
 	return func(id string, conn net.Conn) bool {
 		if id != slow {
@@ -71,7 +72,7 @@
 			fmt.Fprintf(conn, "%x\r\n%s\r\n", len(text), text)
 		}
 		fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-		line("started") // or the backend counts as one that starts nothing
+		line("started") // or the worker counts as one that starts nothing
 		arrived <- struct{}{}
 		<-release
 		line("done")
