--- a/cmd/dispatcher/discovery_test.go
+++ b/cmd/dispatcher/discovery_test.go
@@ -32,13 +32,13 @@
 	if n := len(a.requests()); n != before {
 		t.Errorf("the draining worker got %d more", n-before)
 	}
-	for i, ill := range []string{"silence", "end", `{"seq":43,"hosts":[{"host":"","health":"ready"}]}`, "nonsense"} {
-		d.changes <- ill
+	for i, fault := range []string{"silence", "end", `{"seq":43,"hosts":[{"host":"","health":"ready"}]}`, "nonsense"} {
+		d.changes <- fault
 		if q := d.waitForWatch(); q != "watch=1&after=42" {
-			t.Errorf("after %q: watch %q", ill, q)
+			t.Errorf("after %q: watch %q", fault, q)
 		}
 		if status, _, _ := d.post("renewal", fmt.Sprint("kept-", i), "x", 0); status != 200 {
-			t.Errorf("after %q: the list is lost: %d", ill, status)
+			t.Errorf("after %q: the list is lost: %d", fault, status)
 		}
 	}
 	if n := len(a.requests()); n != before {
--- a/cmd/dispatcher/durable_test.go
+++ b/cmd/dispatcher/durable_test.go
@@ -50,9 +50,9 @@
 			os.WriteFile(filepath.Join(dir, "addr.new"), []byte(addr), 0o600)
 			os.Rename(filepath.Join(dir, "addr.new"), filepath.Join(dir, "addr"))
 		}
-		if _, door, ok := strings.Cut(lines.Text(), "admin API at "); ok { // the last line of the start
-			door, _, _ = strings.Cut(door, `"`)
-			os.WriteFile(filepath.Join(dir, "door"), []byte(door), 0o600)
+		if _, adminAddress, ok := strings.Cut(lines.Text(), "admin API at "); ok { // the last line of the start
+			adminAddress, _, _ = strings.Cut(adminAddress, `"`)
+			os.WriteFile(filepath.Join(dir, "admin"), []byte(adminAddress), 0o600)
 			go func() {
 				for lines.Scan() {
 				}
--- a/cmd/dispatcher/handover_golden_test.go
+++ b/cmd/dispatcher/handover_golden_test.go
@@ -118,8 +118,8 @@
 // runtimeDirectory returns the directory of the handover socket.
 func (d *testDaemon) runtimeDirectory() string {
 	for _, variable := range d.env {
-		if folder, is := strings.CutPrefix(variable, "TMPDIR="); is {
-			return folder
+		if directory, is := strings.CutPrefix(variable, "TMPDIR="); is {
+			return directory
 		}
 	}
 	d.t.Fatal("no directory")
@@ -135,7 +135,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	known, told := d.addWorker("s-1", respondDone), (&testDaemon{t: t}).addWorker("s-2", respondDone)
+	greeted, listed := d.addWorker("s-1", respondDone), (&testDaemon{t: t}).addWorker("s-2", respondDone)
 	silent, moved := listenLocal(t), listenLocal(t)
 	d.skipReadyWait = true
 	d.start()
@@ -147,19 +147,19 @@
 	list := func(b *testWorker) string {
 		return `{"seq":57,"whole":true,"hosts":[` + b.listEntry("ready") + `],"age_ms":10}`
 	}
-	p.send(`{"hello":{"discovery":"` + silent.Addr().String() + `","list":` + list(known) + `,"out_of_service":true,"key":"AAECAwQFBgcICQoLDA0ODw=="}}`)
+	p.send(`{"hello":{"discovery":"` + silent.Addr().String() + `","list":` + list(greeted) + `,"out_of_service":true,"key":"AAECAwQFBgcICQoLDA0ODw=="}}`)
 	p.send(`{"room":{"descriptors":512,"memory":100663296}}`)
 	p.send(`{"names":"AQAAAAAAAAA="}`)
 	d.waitForLog("started as the successor of a running process")
 	d.waitForLog(`"out of service"`)
 	p.receive("ready")
-	p.send(`{"list":` + list(told) + `}`)
+	p.send(`{"list":` + list(listed) + `}`)
 	p.send(`{"charge":{"backend":"s-2","amount":0.125}}`)
 	p.send(`{"out_of_service":false}`)
 	d.waitForLog(`"in service"`)
 	d.waitUntil("in service", func() bool { return d.health() == 200 })
-	if status, _, _ := d.post("renewal", "by-the-list", "x", 0); status != 200 || len(known.requests()) != 0 || len(told.requests()) != 1 {
-		t.Errorf("by the list handed over: %d; %q, %q", status, known.requests(), told.requests())
+	if status, _, _ := d.post("renewal", "by-the-list", "x", 0); status != 200 || len(greeted.requests()) != 0 || len(listed.requests()) != 1 {
+		t.Errorf("by the list handed over: %d; %q, %q", status, greeted.requests(), listed.requests())
 	}
 	p.receive("names")
 	p.send(`{"discovery":"` + moved.Addr().String() + `"}`)
--- a/cmd/dispatcher/jobs_commands_test.go
+++ b/cmd/dispatcher/jobs_commands_test.go
@@ -18,11 +18,11 @@
 	writeDurableConfig(t, dir, 0.2)
 	dispatcher := startDurable(t, builtProgram, dir)
 	defer func() { dispatcher.Process.Kill() }()
-	door, _ := os.ReadFile(filepath.Join(dir, "door"))
-	port := func() { door, _ = os.ReadFile(filepath.Join(dir, "door")) }
+	adminAddress, _ := os.ReadFile(filepath.Join(dir, "admin"))
+	readAdminAddress := func() { adminAddress, _ = os.ReadFile(filepath.Join(dir, "admin")) }
 	jobs := func(where string, args ...string) (string, error) {
 		var out bytes.Buffer
-		flag := []string{"--door", string(door)}
+		flag := []string{"--door", string(adminAddress)}
 		if where == "file" {
 			flag = []string{"--store", filepath.Join(dir, "jobs.db")}
 		}
@@ -76,7 +76,7 @@
 	push("doubt-0002", "")
 	fetch(client("w2"))
 	for end := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
-		if got := must("", "door", "list", "--state", "in doubt"); strings.Count(got, "may have run") == 2 {
+		if got := must("", "admin", "list", "--state", "in doubt"); strings.Count(got, "may have run") == 2 {
 			break
 		}
 		if time.Now().After(end) {
@@ -88,27 +88,27 @@
 	for i := range 250 {
 		push(fmt.Sprintf("later-1%03d", i), `,"at":"`+far+`"`)
 	}
-	must(`"member 7"`, "door", "show", "doubt-0001")
-	mustNot("either --store or --door", "door", "--store", "x", "list")
-	mustNot("state:", "door", "list", "--state", "lost")
-	mustNot("no such job", "door", "show", "nobody")
-	mustNot("reason", "door", "settle", "doubt-0001", "--ran")
-	mustNot("not in doubt", "door", "settle", "later-0001", "--ran", "--reason", "x")
-	mustNot("needs --store", "door", "verify")
-	must("", "door", "settle", "doubt-0001", "--ran", "--reason", "the till shows it")
-	must("done", "door", "list", "--state", "done")
-	must("", "door", "discard", "later-0001", "--reason", "asked twice")
-	if got := must("", "door", "list"); strings.Count(got, "\n") != 253 {
+	must(`"member 7"`, "admin", "show", "doubt-0001")
+	mustNot("either --store or --door", "admin", "--store", "x", "list")
+	mustNot("state:", "admin", "list", "--state", "lost")
+	mustNot("no such job", "admin", "show", "nobody")
+	mustNot("reason", "admin", "settle", "doubt-0001", "--ran")
+	mustNot("not in doubt", "admin", "settle", "later-0001", "--ran", "--reason", "x")
+	mustNot("needs --store", "admin", "verify")
+	must("", "admin", "settle", "doubt-0001", "--ran", "--reason", "the till shows it")
+	must("done", "admin", "list", "--state", "done")
+	must("", "admin", "discard", "later-0001", "--reason", "asked twice")
+	if got := must("", "admin", "list"); strings.Count(got, "\n") != 253 {
 		t.Errorf("the list over pages has %d lines", strings.Count(got, "\n"))
 	}
-	if got := must("", "door", "list", "--limit", "3"); strings.Count(got, "\n") != 3 || !strings.HasPrefix(got, "doubt-0001") {
+	if got := must("", "admin", "list", "--limit", "3"); strings.Count(got, "\n") != 3 || !strings.HasPrefix(got, "doubt-0001") {
 		t.Errorf("three are %q", got)
 	}
 	mustNot("another process has it open", "file", "list")
 	mustNot("another process has it open", "file", "compact")
-	must("", "door", "snapshot", "copy.db")
-	mustNot("there is a file already", "door", "snapshot", "copy.db")
-	mustNot("no plain file name", "door", "snapshot", "../copy.db")
+	must("", "admin", "snapshot", "copy.db")
+	mustNot("there is a file already", "admin", "snapshot", "copy.db")
+	mustNot("no plain file name", "admin", "snapshot", "../copy.db")
 	dispatcher.Process.Kill()
 	dispatcher.Wait()
 	must("whole", "file", "verify")
@@ -136,11 +136,11 @@
 	}
 	writeDurableConfig(t, dir, 60)                  // no lease expires from here on, however slow the machine is
 	dispatcher = startDurable(t, builtProgram, dir) // what was resolved or retried runs
-	port()
+	readAdminAddress()
 	w := client("w3")
 	fetch(w)
 	fetch(client("w4"))
-	if got := must("", "door", "list", "--state", "leased"); !strings.Contains(got, "doubt-0002") || !strings.Contains(got, "later-1007") {
+	if got := must("", "admin", "list", "--state", "leased"); !strings.Contains(got, "doubt-0002") || !strings.Contains(got, "later-1007") {
 		t.Errorf("leased: %q", got)
 	}
 	dispatcher.Process.Signal(syscall.SIGTERM)
--- a/cmd/dispatcher/jobs_golden_test.go
+++ b/cmd/dispatcher/jobs_golden_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// goldenStore copies the store file of an earlier build to a folder of the test's.
+// goldenStore copies the store file of an earlier build to a directory of the test.
 func goldenStore(t *testing.T) (path string) {
 	t.Helper()
 	file, err := os.Open(filepath.Join("testdata", "jobs-schema-1.db.gz"))
--- a/cmd/dispatcher/killhistory_test.go
+++ b/cmd/dispatcher/killhistory_test.go
@@ -62,7 +62,7 @@
 			case "push":
 				after.pushed = true
 			case "lease": // only leases that were answered are recorded
-				may = b.pushed && !b.done && k.Fence > b.fence && (promise == "idempotent:1" || !b.started && (promise != "" || b.fence == 0))
+				may = b.pushed && !b.done && k.Fence > b.fence && (promise == promiseIdempotent || !b.started && (promise != "" || b.fence == 0))
 				after.fence = k.Fence
 			case "start":
 				may = k.Fence == b.fence && !b.done
--- a/cmd/dispatcher/notified_test.go
+++ b/cmd/dispatcher/notified_test.go
@@ -18,26 +18,26 @@
 	notifiedAfter = 6 * time.Second
 	drainGrace    = 500 * time.Millisecond // as in settingsText
 	ruleSlack     = 50 * time.Millisecond  // added to each limit
-	keptTakes     = 100 * time.Millisecond // of a request at the worker that stays
+	responseDelay = 100 * time.Millisecond // of a request at the worker that stays
 	lineHead      = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 )
 
 // removal is a daemon one of whose two workers is removed while discovery fails.
 type removal struct {
 	*testDaemon
-	kept, removed *testWorker
-	at            time.Time // when discovery had the removal
-	last          atomic.Int64
-	answers       sync.Map // by status
-	call          atomic.Int32
+	remaining, removed *testWorker
+	at                 time.Time // when discovery had the removal
+	last               atomic.Int64
+	answers            sync.Map // by status
+	call               atomic.Int32
 }
 
 // newRemoval starts the daemon; script answers each call to discovery, by its number
 // from 0 on.
 func newRemoval(t *testing.T, script func(r *removal, call int, conn net.Conn)) *removal {
 	r := &removal{testDaemon: &testDaemon{t: t}}
-	r.kept = r.addWorker("s-kept", func(id string, conn net.Conn) bool {
-		time.Sleep(keptTakes) // so that the other one is the better choice as long as it is listed
+	r.remaining = r.addWorker("s-kept", func(id string, conn net.Conn) bool {
+		time.Sleep(responseDelay) // so that the other one is the better choice as long as it is listed
 		return respondDone(id, conn)
 	})
 	r.removed = r.addWorker("s-removed", func(id string, conn net.Conn) bool {
@@ -71,8 +71,8 @@
 	return fmt.Sprintf("%x\r\n%s\r\n", len(line), line)
 }
 
-// half returns the first half of that line.
-func (r *removal) half() string { return r.change()[:len(r.change())/2] }
+// firstHalf returns the first firstHalf of that line.
+func (r *removal) firstHalf() string { return r.change()[:len(r.change())/2] }
 
 // load sends idempotent requests, one each 20 ms, until stop is closed, and waits for
 // all answers.
@@ -128,9 +128,9 @@
 		case call == 0:
 			heartbeats(conn, remove)
 			r.at = time.Now()
-			io.WriteString(conn, r.half())
+			io.WriteString(conn, r.firstHalf())
 		case call < broken:
-			io.WriteString(conn, r.half())
+			io.WriteString(conn, r.firstHalf())
 		default:
 			io.WriteString(conn, r.change())
 			close(heard)
--- a/cmd/dispatcher/operator_test.go
+++ b/cmd/dispatcher/operator_test.go
@@ -28,12 +28,12 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { file.Close() })
-	folder, err := os.MkdirTemp("", "y")
+	directory, err := os.MkdirTemp("", "y")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { os.RemoveAll(folder) })
-	return &platformListener{file, folder}
+	t.Cleanup(func() { os.RemoveAll(directory) })
+	return &platformListener{file, directory}
 }
 
 // newDaemonWithAdmin returns a daemon with an admin API, which inherits the listener k
--- a/cmd/dispatcher/replacement_test.go
+++ b/cmd/dispatcher/replacement_test.go
@@ -135,10 +135,10 @@
 	if err := os.Mkdir(long, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	for name, folder := range map[string]string{"no folder": "", "long": long, "absent": k.directory + "/absent"} {
+	for name, directory := range map[string]string{"no directory": "", "long": long, "absent": k.directory + "/absent"} {
 		t.Run(name, func(t *testing.T) {
 			d := newDaemonWithAdmin(t, newPlatformListener(t))
-			d.env = append(d.env, "TMPDIR="+folder)
+			d.env = append(d.env, "TMPDIR="+directory)
 			d.addWorker("s-1", respondDone)
 			d.start()
 			successor := d.startSuccessor()
--- a/cmd/dispatcher/syscalls_test.go
+++ b/cmd/dispatcher/syscalls_test.go
@@ -45,7 +45,7 @@
 		respondDone(id, conn)
 		return false
 	}
-	backends := []*testWorker{d.addWorker("s-1", once), d.addWorker("s-2", once)}
+	workers := []*testWorker{d.addWorker("s-1", once), d.addWorker("s-2", once)}
 	d.trace(faultinject.Plan{Seed: 1, Rules: momentary(0.1, after, span)})
 	begun := time.Now()
 	d.start()
@@ -85,7 +85,7 @@
 		t.Errorf("%d served, %d rejected", answers[200], answers[503])
 	}
 	runs := map[string]int{}
-	for _, b := range backends {
+	for _, b := range workers {
 		for _, id := range b.requests() {
 			if runs[id]++; runs[id] > 1 && strings.Contains(id, "/renewal/") {
 				t.Errorf("%s ran %d times", id, runs[id])
--- a/cmd/dispatcher/versions_test.go
+++ b/cmd/dispatcher/versions_test.go
@@ -69,7 +69,7 @@
 	return l
 }
 
-// client sends until the load is stopped, now and then on a new connection.
+// client sends until the load is stopped, at times on a new connection.
 func (l *clientLoad) client(number int) {
 	client := &http.Client{Timeout: testTimeout, Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
