--- a/cmd/dispatcher/handover_golden_test.go
+++ b/cmd/dispatcher/handover_golden_test.go
@@ -11,6 +11,7 @@
 	"testing"
 	"time"
 
+	"hollyyoke.example/hollyyoke/internal/goldentest"
 	"hollyyoke.example/hollyyoke/internal/handover"
 )
 
@@ -112,7 +113,7 @@
 	if code := d.waitForExit(); code != 0 {
 		t.Errorf("exit code %d", code)
 	}
-	checkGolden(t, "handover-predecessor.jsonl", []byte(p.transcript.String()))
+	goldentest.Compare(t, "handover-predecessor.jsonl", p.transcript.String())
 }
 
 // runtimeDirectory returns the directory of the handover socket.
@@ -172,5 +173,5 @@
 	if d.waitForLog("accepting clients"); strings.Contains(d.log.String(), "handover: ") { // the prefix of all errors in messages
 		t.Error("it could not read the messages")
 	}
-	checkGolden(t, "handover-successor.jsonl", []byte(p.transcript.String()))
+	goldentest.Compare(t, "handover-successor.jsonl", p.transcript.String())
 }
--- a/cmd/dispatcher/jobs_golden_test.go
+++ b/cmd/dispatcher/jobs_golden_test.go
@@ -8,25 +8,9 @@
 	"path/filepath"
 	"regexp"
 	"testing"
-)
 
-// checkGolden compares with a golden file; UPDATE_GOLDEN=1 writes it anew.
-func checkGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if os.Getenv("UPDATE_GOLDEN") != "" {
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs.\ngot:\n%s\nwant:\n%s", name, got, want)
-	}
-}
+	"hollyyoke.example/hollyyoke/internal/goldentest"
+)
 
 // goldenStore copies the store file of an earlier build to a directory of the test.
 func goldenStore(t *testing.T) (path string) {
@@ -72,7 +56,7 @@
 			if err := command(append([]string{"jobs", "--store", store}, args...), os.Getenv, &out, &out); err != nil {
 				t.Fatal(err)
 			}
-			checkGolden(t, name, leaseEnd.ReplaceAll(out.Bytes(), []byte(`$1"(a grace time from now)"`)))
+			goldentest.Compare(t, name, leaseEnd.ReplaceAllString(out.String(), `$1"(a grace time from now)"`))
 		})
 	}
 	snapshot := filepath.Join(filepath.Dir(store), "copy.db")
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -9,25 +9,9 @@
 	"path/filepath"
 	"reflect"
 	"testing"
-)
 
-// checkGolden compares with a golden file; UPDATE_GOLDEN=1 writes it anew.
-func checkGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if os.Getenv("UPDATE_GOLDEN") != "" {
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs.\ngot:\n%s\nwant:\n%s", name, got, want)
-	}
-}
+	"hollyyoke.example/hollyyoke/internal/goldentest"
+)
 
 // goldenMessages are messages of every kind, in the order of the golden file.
 func goldenMessages() []Message {
@@ -71,7 +55,7 @@
 		}
 		written.Write(line)
 	}
-	checkGolden(t, "messages.jsonl", written.Bytes())
+	goldentest.Compare(t, "messages.jsonl", written.String())
 	golden, err := os.ReadFile(filepath.Join("testdata", "messages.jsonl"))
 	if err != nil {
 		t.Fatal(err)
