--- a/cmd/dispatcher/versions_test.go
+++ b/cmd/dispatcher/versions_test.go
@@ -16,8 +16,8 @@
 // These tests replace a process by one of another build. The programs are taken
 // from the environment; where a variable is unset it is the program under test:
 //
-//	HOLLYYOKE_TEST_PREDECESSOR=/path/to/older/hollyyoke go test -run AcrossVersions ./cmd/hollyyoke
-//	HOLLYYOKE_TEST_SUCCESSOR=/path/to/newer/hollyyoke go test -run AcrossVersions ./cmd/hollyyoke
+//	HOLLYYOKE_TEST_PREDECESSOR=/path/to/older/hollyyoke go test -run AcrossVersions ./cmd/dispatcher
+//	HOLLYYOKE_TEST_SUCCESSOR=/path/to/newer/hollyyoke go test -run AcrossVersions ./cmd/dispatcher
 //
 // dispatcher-serve of the same build must lie beside each, or it serves itself.
 
@@ -26,8 +26,28 @@
 	successorVariable   = "HOLLYYOKE_TEST_SUCCESSOR"
 )
 
-// load is clients that send without a pause.
-type load struct {
+// earlierLogLines are log lines as builds from before their rename have them.
+var earlierLogLines = map[string]string{
+	adminLogLine:                     "operators' door at ",
+	"successor has connected":        "a successor has started",
+	"successor is accepting clients": "the successor takes clients",
+	"predecessor has ended":          "the former process has gone",
+	"durable jobs taken over":        "has the durable jobs",
+}
+
+// hasLogged reports whether the program has logged a text; a program of another build
+// may have the earlier one.
+func (d *testDaemon) hasLogged(text string) bool {
+	log := d.log.String()
+	if strings.Contains(log, text) {
+		return true
+	}
+	earlier := earlierLogLines[text]
+	return d.program != "" && earlier != "" && strings.Contains(log, earlier)
+}
+
+// clientLoad is clients that send without a pause.
+type clientLoad struct {
 	address string
 	stop    chan struct{}
 	clients sync.WaitGroup
@@ -37,8 +57,8 @@
 	failed []string
 }
 
-func startLoad(address string, clients int) *load {
-	l := &load{address: address, stop: make(chan struct{})}
+func startLoad(address string, clients int) *clientLoad {
+	l := &clientLoad{address: address, stop: make(chan struct{})}
 	for c := range clients {
 		l.clients.Add(1)
 		go func() {
@@ -49,9 +69,9 @@
 	return l
 }
 
-// client sends until the load is stopped, now and then on a new connection.
-func (l *load) client(number int) {
-	client := &http.Client{Timeout: patience, Transport: &http.Transport{}}
+// client sends until the load is stopped, at times on a new connection.
+func (l *clientLoad) client(number int) {
+	client := &http.Client{Timeout: testTimeout, Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	for n := 0; ; n++ {
 		select {
@@ -74,14 +94,15 @@
 }
 
 // sentSoFar is how many requests have been answered, or have failed.
-func (l *load) sentSoFar() int {
+func (l *clientLoad) sentSoFar() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.sent
 }
 
-// end stops the clients and tells what has become of their requests.
-func (l *load) end() (sent int, failed []string) {
+// stopAndReport stops the clients, and returns how many requests were sent and which
+// failed.
+func (l *clientLoad) stopAndReport() (sent int, failed []string) {
 	close(l.stop)
 	l.clients.Wait()
 	return l.sent, l.failed
@@ -106,10 +127,10 @@
 	return answer.StatusCode, err
 }
 
-// counted is how often each job has run.
-func counted(b *backend) map[string]int {
+// runsByID returns how often each request has run.
+func runsByID(b *testWorker) map[string]int {
 	runs := map[string]int{}
-	for _, arrival := range b.arrivals() {
+	for _, arrival := range b.requests() {
 		id, _, _ := strings.Cut(arrival, " ")
 		runs[id]++
 	}
@@ -117,98 +138,98 @@
 }
 
 // A process is replaced by one of another build while clients send without a
-// pause: none of their requests is lost, refused or run twice, the successor bars
-// the names that its predecessor took, and has where discovery is from it.
+// pause: none of their requests is lost, rejected or run twice, the successor rejects
+// the ids that its predecessor accepted, and has the address of discovery from it.
 func TestReplacementAcrossVersions(t *testing.T) {
-	first := operate(t, keep(t))
-	first.program = os.Getenv(predecessorVariable)
-	b := first.backend("s-1", done)
-	first.start()
-	first.watch()
-	moved := &world{t: t}
-	address := moved.discovery()
-	first.config["discovery"] = address
-	first.write()
-	first.signal(syscall.SIGHUP)
-	moved.watch()
-	first.config["discovery"] = "127.0.0.1:1" // the next one hears of the right one
-	first.write()
-	l := startLoad(first.listen, 4)
-	first.until("requests before the replacement", func() bool { return l.sentSoFar() > 50 })
-	next := first.besideProgram(os.Getenv(successorVariable))
-	next.until("the successor is ready", next.ready)
-	moved.watch()
-	first.says("a successor has started")
-	first.says("the successor takes clients")
+	predecessor := newDaemonWithAdmin(t, newPlatformListener(t))
+	predecessor.program = os.Getenv(predecessorVariable)
+	b := predecessor.addWorker("s-1", respondDone)
+	predecessor.start()
+	predecessor.waitForWatch()
+	moved := &testDaemon{t: t}
+	address := moved.startDiscovery()
+	predecessor.config["discovery"] = address
+	predecessor.writeConfig()
+	predecessor.signal(syscall.SIGHUP)
+	moved.waitForWatch()
+	predecessor.config["discovery"] = "127.0.0.1:1" // the successor gets the right one from its predecessor
+	predecessor.writeConfig()
+	l := startLoad(predecessor.listen, 4)
+	predecessor.waitUntil("requests before the replacement", func() bool { return l.sentSoFar() > 50 })
+	successor := predecessor.startSuccessorProgram(os.Getenv(successorVariable))
+	successor.waitUntil("the successor is ready", successor.ready)
+	moved.waitForWatch()
+	predecessor.waitForLog("successor has connected")
+	predecessor.waitForLog("successor is accepting clients")
 	before := l.sentSoFar()
-	first.until("requests beside each other", func() bool { return l.sentSoFar() > before+50 })
-	first.signal(syscall.SIGTERM)
-	if code := first.ended(); code != 0 {
+	predecessor.waitUntil("requests beside each other", func() bool { return l.sentSoFar() > before+50 })
+	predecessor.signal(syscall.SIGTERM)
+	if code := predecessor.waitForExit(); code != 0 {
 		t.Errorf("the predecessor's exit code: %d", code)
 	}
-	next.says("the former process has gone")
+	successor.waitForLog("predecessor has ended")
 	before = l.sentSoFar()
-	next.until("requests after the replacement", func() bool { return l.sentSoFar() > before+50 })
-	sent, failed := l.end()
+	successor.waitUntil("requests after the replacement", func() bool { return l.sentSoFar() > before+50 })
+	sent, failed := l.stopAndReport()
 	for _, text := range failed {
 		t.Error(text)
 	}
-	runs := counted(b)
+	runs := runsByID(b)
 	for id, n := range runs {
 		if n != 1 {
 			t.Errorf("%s ran %d times", id, n)
 		}
 	}
 	if len(runs) != sent {
-		t.Errorf("%d jobs ran of %d sent", len(runs), sent)
+		t.Errorf("%d requests ran of %d sent", len(runs), sent)
 	}
-	if status, _ := send(next.client, next.listen, "load-0-0", ""); status != 409 {
-		t.Errorf("a name that the predecessor took: %d", status)
+	if status, _ := send(successor.client, successor.listen, "load-0-0", ""); status != 409 {
+		t.Errorf("an id that the predecessor accepted: %d", status)
 	}
 	t.Logf("%d requests, none lost", sent)
 }
 
-// besideProgram is a second process of the same dispatcher, of a given program.
-func (w *world) besideProgram(program string) *world {
-	former := w.program
-	w.program = program
-	defer func() { w.program = former }()
-	return w.beside()
+// startSuccessorProgram starts a second process of the same dispatcher, of a program.
+func (d *testDaemon) startSuccessorProgram(program string) *testDaemon {
+	former := d.program
+	d.program = program
+	defer func() { d.program = former }()
+	return d.startSuccessor()
 }
 
 // A drained process is replaced by one of another build, which is drained too;
 // and a drain that ends on either side ends on the other.
 func TestDrainAcrossVersions(t *testing.T) {
-	first := operate(t, keep(t))
-	first.program = os.Getenv(predecessorVariable)
-	first.backend("s-1", done)
-	first.start()
-	if status, _ := first.door("PUT", "/control/out-of-service"); status != 200 {
+	predecessor := newDaemonWithAdmin(t, newPlatformListener(t))
+	predecessor.program = os.Getenv(predecessorVariable)
+	predecessor.addWorker("s-1", respondDone)
+	predecessor.start()
+	if status, _ := predecessor.callAdmin("PUT", "/control/out-of-service"); status != 200 {
 		t.Fatalf("out of service: %d", status)
 	}
-	next := first.besideProgram(os.Getenv(successorVariable))
-	next.until("the successor is ready", next.ready)
-	if first.health() != 503 || next.health() != 503 {
-		t.Error("the successor of a drained process says that it is healthy")
+	successor := predecessor.startSuccessorProgram(os.Getenv(successorVariable))
+	successor.waitUntil("the successor is ready", successor.ready)
+	if predecessor.health() != 503 || successor.health() != 503 {
+		t.Error("the successor of a drained process is healthy")
 	}
-	if status, _ := next.door("PUT", "/control/in-service"); status != 200 {
+	if status, _ := successor.callAdmin("PUT", "/control/in-service"); status != 200 {
 		t.Errorf("in service: %d", status)
 	}
-	first.says(`"in service"`)
-	if status, _ := first.door("PUT", "/control/out-of-service"); status != 200 {
+	predecessor.waitForLog(`"in service"`)
+	if status, _ := predecessor.callAdmin("PUT", "/control/out-of-service"); status != 200 {
 		t.Errorf("out of service: %d", status)
 	}
-	next.says(`"out of service"`)
-	next.until("both are drained", func() bool { return first.health() == 503 && next.health() == 503 })
+	successor.waitForLog(`"out of service"`)
+	successor.waitUntil("both are drained", func() bool { return predecessor.health() == 503 && successor.health() == 503 })
 }
 
 // The store of durable jobs goes from a process to one of another build: what was
 // done is known to be done, and a job for later is there with its payload.
 func TestDurableJobsAcrossVersions(t *testing.T) {
-	first := operate(t, keep(t))
-	first.program = os.Getenv(predecessorVariable)
-	b := first.backend("s-1", done)
-	ln := listen(t)
+	predecessor := newDaemonWithAdmin(t, newPlatformListener(t))
+	predecessor.program = os.Getenv(predecessorVariable)
+	b := predecessor.addWorker("s-1", respondDone)
+	ln := listenLocal(t)
 	faktory := ln.Addr().String()
 	ln.Close()
 	dir := t.TempDir()
@@ -218,12 +239,12 @@
 			t.Fatal(err)
 		}
 	}
-	first.env = append(first.env, "HOLLYYOKE_FAKTORY="+filepath.Join(dir, "faktory.toml"))
-	first.start()
-	if status, err := send(first.client, first.listen, "before", "paid-1"); status != 200 {
+	predecessor.env = append(predecessor.env, "HOLLYYOKE_FAKTORY="+filepath.Join(dir, "faktory.toml"))
+	predecessor.start()
+	if status, err := send(predecessor.client, predecessor.listen, "before", "paid-1"); status != 200 {
 		t.Fatalf("a request under an idempotency key: %d, %v", status, err)
 	}
-	producer, err := faktoryDial(dir, map[string]any{"labels": []string{"born_ms:1"}})
+	producer, err := dialFaktory(dir, map[string]any{"labels": []string{"born_ms:1"}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -232,21 +253,21 @@
 		t.Fatalf("%q, %v", got, err)
 	}
 	query := "/control/jobs?full=true"
-	_, list := first.door("GET", query)
-	next := first.besideProgram(os.Getenv(successorVariable))
-	next.until("the successor is ready", next.ready)
-	first.signal(syscall.SIGTERM)
-	next.says("has the durable jobs")
-	if code := first.ended(); code != 0 {
+	_, list := predecessor.callAdmin("GET", query)
+	successor := predecessor.startSuccessorProgram(os.Getenv(successorVariable))
+	successor.waitUntil("the successor is ready", successor.ready)
+	predecessor.signal(syscall.SIGTERM)
+	successor.waitForLog("durable jobs taken over")
+	if code := predecessor.waitForExit(); code != 0 {
 		t.Errorf("the predecessor's exit code: %d", code)
 	}
-	if _, now := next.door("GET", query); now != list || !strings.Contains(now, "later-001") || !strings.Contains(now, "idem:paid-1") {
+	if _, now := successor.callAdmin("GET", query); now != list || !strings.Contains(now, "later-001") || !strings.Contains(now, "idem:paid-1") {
 		t.Errorf("the successor's jobs:\n%s\nthe predecessor's:\n%s", now, list)
 	}
-	if status, err := send(next.client, next.listen, "after", "paid-1"); status != 200 {
-		t.Errorf("asked again under the key: %d, %v", status, err)
+	if status, err := send(successor.client, successor.listen, "after", "paid-1"); status != 200 {
+		t.Errorf("sent again under the key: %d, %v", status, err)
 	}
-	if n := counted(b)["idem:paid-1"]; n != 1 {
+	if n := runsByID(b)["idem:paid-1"]; n != 1 {
 		t.Errorf("the request ran %d times", n)
 	}
 }
