--- a/internal/connlimit/config.go
+++ b/internal/connlimit/config.go
@@ -38,17 +38,17 @@
 	Opening   int     // of them, those on which no byte has arrived yet
 	PerSecond float64 // new connections
 	Burst     int     // that may arrive at once, within PerSecond; 0: as many as in a second
-	Half      int     // requests that are half read
+	HalfRead  int     // requests that are half read
 	Bytes     int     // that their half-read requests hold
 }
 
 func (l *Limits) negative() bool {
-	return l.Open < 0 || l.Opening < 0 || l.PerSecond < 0 || l.Burst < 0 || l.Half < 0 || l.Bytes < 0
+	return l.Open < 0 || l.Opening < 0 || l.PerSecond < 0 || l.Burst < 0 || l.HalfRead < 0 || l.Bytes < 0
 }
 
-// Learn configures whether addresses become trusted by the requests of theirs that
+// LearnConfig configures whether addresses become trusted by the requests of theirs that
 // were served.
-type Learn struct {
+type LearnConfig struct {
 	On       bool
 	HalfLife time.Duration // of the count of served requests; default 10 min
 	After    float64       // served requests, so decayed, from which on an address is Learned; default 20
@@ -67,7 +67,7 @@
 	V4Bits, V6Bits  int    // length of a prefix; defaults 24 and 64
 	Known           []netip.Prefix
 	TrustedProxies  []netip.Prefix // whose PROXY header is believed
-	Learn           Learn
+	Learn           LearnConfig
 
 	Addresses, Prefixes int    // that are remembered; defaults 16384 and 4096, always more than Capacity
 	Seed                uint64 // of the hash tables; secret, so that clients cannot provoke collisions
--- a/internal/connlimit/request.go
+++ b/internal/connlimit/request.go
@@ -24,9 +24,9 @@
 		return Allowed
 	}
 	switch {
-	case exceeds(address.halfRead, l.config.Address.Half):
+	case exceeds(address.halfRead, l.config.Address.HalfRead):
 		return l.reject(addressReasons.half)
-	case exceeds(prefix.halfRead, l.config.Prefix.Half):
+	case exceeds(prefix.halfRead, l.config.Prefix.HalfRead):
 		return l.reject(prefixReasons.half)
 	}
 	return Allowed
--- a/internal/connlimit/snapshot.go
+++ b/internal/connlimit/snapshot.go
@@ -10,18 +10,18 @@
 // View is the state of a Limiter as the admin API returns it. Counts are those at
 // the time of the call, but Admitted and Hits, which count since the start.
 type View struct {
-	Open      map[string]int    `json:"open"`     // connections by Stage
-	Standing  map[string]int    `json:"standing"` // connections by Trust
-	Room      int               `json:"room"`     // Config.Capacity
-	Reserve   int               `json:"reserve"`
-	InReserve int               `json:"reserve_used"` // by trusted connections
-	Pressure  int               `json:"pressure"`
-	Admitted  uint64            `json:"admitted"`
-	Hits      map[string]uint64 `json:"refused"` // rejections by Reason
-	Addresses int               `json:"addresses_remembered"`
-	Learned   int               `json:"addresses_learned"`
-	Prefixes  []PrefixView      `json:"top_prefixes"` // those with the most connections
-	Blocks    []BlockView       `json:"bars"`
+	Open       map[string]int    `json:"open"`     // connections by Stage
+	Trust      map[string]int    `json:"standing"` // connections by Trust
+	Capacity   int               `json:"room"`     // Config.Capacity
+	Reserve    int               `json:"reserve"`
+	InReserve  int               `json:"reserve_used"` // by trusted connections
+	Pressure   int               `json:"pressure"`
+	Admitted   uint64            `json:"admitted"`
+	Rejections map[string]uint64 `json:"refused"` // rejections by Reason
+	Addresses  int               `json:"addresses_remembered"`
+	Learned    int               `json:"addresses_learned"`
+	Prefixes   []PrefixView      `json:"top_prefixes"` // those with the most connections
+	Blocks     []BlockView       `json:"bars"`
 }
 
 // PrefixView is what the connections of a prefix use.
@@ -47,18 +47,18 @@
 	defer l.mu.Unlock()
 	openTrusted := l.openByTrust[Known] + l.openByTrust[TrustedProxy] + min(l.openByTrust[Learned], l.config.learnedReserve())
 	return View{
-		Open:      l.openByStage(),
-		Standing:  l.openByTrustName(),
-		Room:      l.config.Capacity,
-		Reserve:   l.config.Reserve,
-		InReserve: min(l.config.Reserve, openTrusted),
-		Pressure:  l.pressure,
-		Admitted:  l.admitted,
-		Hits:      l.rejectionsByName(),
-		Addresses: l.addresses.size,
-		Learned:   l.addresses.learned,
-		Prefixes:  l.topPrefixes(),
-		Blocks:    l.activeBlocks(now),
+		Open:       l.openByStage(),
+		Trust:      l.openByTrustName(),
+		Capacity:   l.config.Capacity,
+		Reserve:    l.config.Reserve,
+		InReserve:  min(l.config.Reserve, openTrusted),
+		Pressure:   l.pressure,
+		Admitted:   l.admitted,
+		Rejections: l.rejectionsByName(),
+		Addresses:  l.addresses.size,
+		Learned:    l.addresses.learned,
+		Prefixes:   l.topPrefixes(),
+		Blocks:     l.activeBlocks(now),
 	}
 }
 
--- a/internal/daemon/load.go
+++ b/internal/daemon/load.go
@@ -108,7 +108,7 @@
 
 // followConfig converts the operator's table [membership].
 func followConfig(table *settings.Membership, c *config, s *decision.Settings) (f discovery.FollowConfig, err error) {
-	f.Zone, f.Servers, f.Acknowledge, err = table.Ready(s)
+	f.Zone, f.Servers, f.AcknowledgeInterval, err = table.Ready(s)
 	if err != nil {
 		return f, fmt.Errorf("membership.%w", err)
 	}
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -56,13 +56,13 @@
 // frontEnds are those that are on.
 type frontEnds struct {
 	http    *httpfront.FrontEnd // nil: off
-	faktory faktory.Front
+	faktory faktory.FrontEnd
 }
 
 // closeIdle closes the connections on which nothing is owed, and reports whether
 // none is left.
 func (f frontEnds) closeIdle() bool {
-	idle := f.faktory.Idle()
+	idle := f.faktory.CloseIdle()
 	if f.http != nil {
 		f.http.CloseIdle()
 		idle = idle && f.http.ConnectionCount() == 0
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -71,7 +71,7 @@
 	if _, err := decision.New(next.settings, 0); err != nil {
 		return fmt.Errorf("config: %w", err)
 	}
-	if next.operator.Membership.On != p.followsMembership {
+	if next.operator.Membership.Enabled != p.followsMembership {
 		return errors.New("membership.on: only a restart turns it on or off")
 	}
 	return nil
@@ -87,7 +87,7 @@
 	if err != nil {
 		return err
 	}
-	if !table.On {
+	if !table.Enabled {
 		return errors.New("connections.on: only a restart turns it off")
 	}
 	return p.gate.Reconfigure(c, transport.ConnectionDescriptors(p.config.connectionDescriptors()))
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -109,7 +109,7 @@
 
 // applyOperator applies the operator's tables [membership] and [connections].
 func (p *process) applyOperator(log *slog.Logger) error {
-	if p.loaded.membership.On {
+	if p.loaded.membership.Enabled {
 		follow, err := followConfig(&p.loaded.membership, &p.config, &p.configuredSettings)
 		if err != nil {
 			return err
@@ -117,7 +117,7 @@
 		p.registry.Follow(follow)
 		p.followsMembership = true
 	}
-	if !p.loaded.connections.On {
+	if !p.loaded.connections.Enabled {
 		return nil
 	}
 	descriptors := p.config.connectionDescriptors()
@@ -221,7 +221,7 @@
 	if err != nil {
 		return err
 	}
-	service := p.frontEnds.faktory.Jobs()
+	service := p.frontEnds.faktory.DurableJobs()
 	if service != nil && p.frontEnds.http != nil {
 		p.frontEnds.http.SetDurable(service, c.Durable.Classes(&p.dispatcher.Settings))
 	}
@@ -234,11 +234,11 @@
 		return nil
 	}
 	api := admin.New(p.dispatcher, p.engine, p.workers, admin.Operations{
-		Ready:           p.ready,
-		SetOutOfService: p.setOutOfService,
-		Gate:            p.gate,
-		Membership:      p.registry.Stats,
-		Jobs:            func() *durable.Service { return p.frontEnds.faktory.Jobs() },
+		Ready:       p.ready,
+		SetDraining: p.setOutOfService,
+		Gate:        p.gate,
+		Membership:  p.registry.Stats,
+		Jobs:        func() *durable.Service { return p.frontEnds.faktory.DurableJobs() },
 	})
 	addr, err := api.Listen(p.config.Admin)
 	if err != nil {
@@ -285,7 +285,7 @@
 
 // end closes the store and logs what the process has done.
 func (p *process) end() {
-	if err := p.frontEnds.faktory.End(); err != nil {
+	if err := p.frontEnds.faktory.Close(); err != nil {
 		p.dispatcher.Log(fmt.Sprintf("durable job store: %v", err))
 	}
 	sum := p.dispatcher.Counts()
--- a/internal/discovery/acknowledgement.go
+++ b/internal/discovery/acknowledgement.go
@@ -26,8 +26,8 @@
 		return
 	}
 	f.acknowledgementScheduled = true
-	jitter := time.Duration(f.random.Int64N(int64(f.config.Acknowledge)))
-	loop.Set(&f.acknowledgementTimer, max(f.acknowledgedAt+f.config.Acknowledge, now+jitter))
+	jitter := time.Duration(f.random.Int64N(int64(f.config.AcknowledgeInterval)))
+	loop.Set(&f.acknowledgementTimer, max(f.acknowledgedAt+f.config.AcknowledgeInterval, now+jitter))
 }
 
 // acknowledge polls the server in use from the version in force. From time to time it polls from an earlier version
--- a/internal/discovery/applychange.go
+++ b/internal/discovery/applychange.go
@@ -90,7 +90,7 @@
 		return
 	}
 	f.rejectedVersion = version
-	f.registry.stats.Refused++
+	f.registry.stats.Rejected++
 	f.registry.dispatcher.Log(fmt.Sprintf("membership: version %d rejected: %v; version %d stays in force",
 		version, cause, f.version))
 }
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -12,11 +12,11 @@
 
 // FollowConfig is how a dispatcher follows membership servers.
 type FollowConfig struct {
-	Name        string              // the subscriber's name, the same after a restart
-	Zone        string              // whose servers are preferred
-	Servers     []membership.Server // relays and origins, at least one
-	Acknowledge time.Duration       // least time between acknowledgements; 0: one second
-	Seed        uint64              // of the jitter
+	Name                string              // the subscriber's name, the same after a restart
+	Zone                string              // whose servers are preferred
+	Servers             []membership.Server // relays and origins, at least one
+	AcknowledgeInterval time.Duration       // least time between acknowledgements; 0: one second
+	Seed                uint64              // of the jitter
 }
 
 // An attempt that has no connection by connectStagger, or no response by answerStagger, does not hold up the next one
@@ -63,8 +63,8 @@
 // LoadInitial. Called again, it takes over other servers and another zone: the server in use stays until a better one
 // has caught up.
 func (r *Registry) Follow(config FollowConfig) {
-	if config.Acknowledge <= 0 {
-		config.Acknowledge = defaultAcknowledgeInterval
+	if config.AcknowledgeInterval <= 0 {
+		config.AcknowledgeInterval = defaultAcknowledgeInterval
 	}
 	if f := r.follower; f != nil {
 		f.config = config
@@ -156,7 +156,7 @@
 	if len(f.candidates) > 0 {
 		return answerStagger
 	}
-	server, wait, ok := f.selector.Better(now, f.active.server.Address)
+	server, wait, ok := f.selector.NextPreferred(now, f.active.server.Address)
 	if !ok || wait > 0 {
 		return wait
 	}
@@ -185,7 +185,7 @@
 	if previous != nil {
 		f.abandon(previous)
 	}
-	f.selector.Working(now, s.server.Address)
+	f.selector.MarkActive(now, s.server.Address)
 	f.recordServer(s.server)
 	f.acknowledgedVersion = s.polledVersion
 	f.acknowledgedAt = now
@@ -197,7 +197,7 @@
 
 // abandon closes a subscription in favour of another, which is no failure of its server.
 func (f *follower) abandon(s *subscription) {
-	f.selector.Abandoned(s.server.Address)
+	f.selector.MarkAbandoned(s.server.Address)
 	s.close()
 }
 
@@ -218,7 +218,7 @@
 func (f *follower) subscriptionFailed(failed *subscription, cause error) {
 	loop := f.registry.dispatcher.Loop
 	failed.close()
-	f.selector.Failed(loop.Now(), failed.server.Address)
+	f.selector.MarkFailed(loop.Now(), failed.server.Address)
 	if failed == f.active {
 		f.active = nil
 		loop.Clear(&f.acknowledgementTimer)
--- a/internal/discovery/staleness.go
+++ b/internal/discovery/staleness.go
@@ -17,7 +17,7 @@
 		return
 	}
 	r.knowledge = knowledge
-	lastContact := r.dispatcher.Loop.Now() - r.tracker.ConfirmedAt()
+	lastContact := r.dispatcher.Loop.Now() - r.tracker.LastContact()
 	r.dispatcher.Log(fmt.Sprintf("the endpoint list is %v, the last contact with discovery was %v ago",
 		knowledge, lastContact.Round(time.Millisecond)))
 	if knowledge == freshness.Unknown {
--- a/internal/discovery/stats.go
+++ b/internal/discovery/stats.go
@@ -7,7 +7,7 @@
 	BytesRead    int64 `json:"bytes_read"`    // from membership servers, or from discovery
 	BytesWritten int64 `json:"bytes_written"` // to them
 	Applied      int64 `json:"applied"`       // changes put in force
-	Refused      int64 `json:"refused"`       // changes rejected, each as a whole
+	Rejected     int64 `json:"refused"`       // changes rejected, each as a whole
 	Snapshots    int64 `json:"snapshots"`     // of the applied changes
 	Deltas       int64 `json:"deltas"`        // of the applied changes
 	Acknowledged int64 `json:"acknowledged"`  // polls that acknowledged a version
--- a/internal/discovery/update.go
+++ b/internal/discovery/update.go
@@ -31,7 +31,7 @@
 func (r *Registry) upsert(worker *Worker, listed *endpoint, state decision.WorkerState) {
 	now := r.dispatcher.Loop.Now()
 	if worker == nil {
-		worker = &Worker{Name: listed.Name, Address: listed.Address, State: state, Since: now}
+		worker = &Worker{Name: listed.Name, Address: listed.Address, State: state, StateSince: now}
 		r.workers[listed.Name] = worker
 	}
 	if worker.Address != listed.Address {
@@ -43,7 +43,7 @@
 		return
 	}
 	worker.State = state
-	worker.Since = now
+	worker.StateSince = now
 	if state == decision.Draining {
 		r.client.WorkerLeaving(worker)
 	}
@@ -66,7 +66,7 @@
 func (r *Registry) remove(worker *Worker) {
 	if worker.State != decision.Removed {
 		worker.State = decision.Removed
-		worker.Since = r.dispatcher.Loop.Now()
+		worker.StateSince = r.dispatcher.Loop.Now()
 		r.client.WorkerLeaving(worker)
 	}
 	r.client.CloseIdleTo(worker)
--- a/internal/discovery/worker.go
+++ b/internal/discovery/worker.go
@@ -9,13 +9,13 @@
 
 // Worker is one worker as its source listed it last.
 type Worker struct {
-	Name    string
-	Address string // host:port
-	State   decision.WorkerState
-	Since   time.Duration // loop time at which State was learned
+	Name       string
+	Address    string // host:port
+	State      decision.WorkerState
+	StateSince time.Duration // loop time at which State was learned
 
 	endpoint          endpoint // as listed
-	proof             freshness.Proof
+	proof             freshness.HealthEvidence
 	healthConfirmedAt time.Duration // when the latest health check that succeeded was sent; 0: never
 	suspended         bool          // the dispatcher sends it nothing
 }
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -58,13 +58,13 @@
 	number := len(request.attempts)
 	handle := d.attempts.Insert(&openAttempt{request: request.handle, number: number, worker: worker, client: client})
 	start := Attempt{
-		Handle:       handle,
-		Worker:       worker,
-		Request:      &request.Request,
-		Deadline:     request.deadline,
-		RepeatBy:     d.repeatBy(request),
-		Number:       number,
-		RepeatUnsafe: d.Settings.Classes[request.Class].Idempotency != decision.Idempotent,
+		Handle:      handle,
+		Worker:      worker,
+		Request:     &request.Request,
+		Deadline:    request.deadline,
+		RetryBy:     d.repeatBy(request),
+		Number:      number,
+		RetryUnsafe: d.Settings.Classes[request.Class].Idempotency != decision.Idempotent,
 	}
 	request.attempts = append(request.attempts, attemptRecord{handle: handle, assignedAt: d.Loop.Now()})
 	request.openAttempts++
--- a/internal/dispatch/workerclient.go
+++ b/internal/dispatch/workerclient.go
@@ -4,14 +4,14 @@
 
 // Attempt is one attempt of a request, as a WorkerClient sees it.
 type Attempt struct {
-	Handle       uint64 // names the attempt in all later calls
-	Worker       string
-	Request      *Request
-	Deadline     time.Duration // clock time at which the client gives up
-	RepeatBy     time.Duration // clock time by which its last byte must have been sent, or it could run twice; 0: no bound
-	RepeatUnsafe bool          // it could run twice if the response to another request were taken for its own
-	Number       int           // of attempts of the request before this one
-	Fence        uint64        // fencing token of its lease; 0: it has none
+	Handle      uint64 // names the attempt in all later calls
+	Worker      string
+	Request     *Request
+	Deadline    time.Duration // clock time at which the client gives up
+	RetryBy     time.Duration // clock time by which its last byte must have been sent, or it could run twice; 0: no bound
+	RetryUnsafe bool          // it could run twice if the response to another request were taken for its own
+	Number      int           // of attempts of the request before this one
+	Fence       uint64        // fencing token of its lease; 0: it has none
 }
 
 // WorkerClient takes attempts to workers. It reports the end of each attempt once, with Dispatcher.AttemptEnded, unless
--- a/internal/faktory/front.go
+++ b/internal/faktory/front.go
@@ -23,9 +23,9 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-// Front is the front end as configured: either role, or both, with one memory
+// FrontEnd is the front end as configured: either role, or both, with one memory
 // of jids. A role that is off is nil. The zero value has neither role.
-type Front struct {
+type FrontEnd struct {
 	Server *Server
 	Source *Source
 }
@@ -33,7 +33,7 @@
 // Open starts the roles that config names. gate decides which connections are
 // admitted; without one, at most maxConnections are. On an error, what was
 // opened is closed again.
-func Open(dispatcher *dispatch.Dispatcher, engine *transport.Engine, config Config, maxConnections int, gate *listener.Gate) (front Front, err error) {
+func Open(dispatcher *dispatch.Dispatcher, engine *transport.Engine, config Config, maxConnections int, gate *listener.Gate) (front FrontEnd, err error) {
 	jids := newJidMemory()
 	if config.Listen != "" {
 		front.Server = NewServer(dispatcher, engine, config.Password, jids)
@@ -48,7 +48,7 @@
 		}
 		address, err := front.Server.Listen(config.Listen, maxConnections)
 		if err != nil {
-			front.End() // releases the store's file
+			front.Close() // releases the store's file
 			return front, fmt.Errorf("listen: %w", err)
 		}
 		dispatcher.Log("faktory: listening on " + address)
@@ -62,7 +62,7 @@
 
 // Stop begins a graceful shutdown: nothing more is fetched from upstream, and
 // no stored job is offered to workers any more.
-func (f Front) Stop() {
+func (f FrontEnd) Stop() {
 	if f.Source != nil {
 		f.Source.Stop()
 	}
@@ -71,15 +71,15 @@
 	}
 }
 
-// Jobs returns the service of durable jobs, or nil if no queue is durable.
-func (f Front) Jobs() *durable.Service {
+// DurableJobs returns the service of durable jobs, or nil if no queue is durable.
+func (f FrontEnd) DurableJobs() *durable.Service {
 	if queues := f.durableQueues(); queues != nil {
 		return queues.Service
 	}
 	return nil
 }
 
-func (f Front) durableQueues() *durableQueues {
+func (f FrontEnd) durableQueues() *durableQueues {
 	if f.Server == nil {
 		return nil
 	}
@@ -88,7 +88,7 @@
 
 // Release gives up the address and the store for a successor, and calls done
 // once the successor may take both.
-func (f Front) Release(done func()) {
+func (f FrontEnd) Release(done func()) {
 	if f.durableQueues() == nil {
 		done()
 		return
@@ -96,8 +96,8 @@
 	f.Server.releaseDurable(done)
 }
 
-// End closes the store. The front end must not be used after that.
-func (f Front) End() error {
+// Close closes the store. The front end must not be used after that.
+func (f FrontEnd) Close() error {
 	if queues := f.durableQueues(); queues != nil {
 		return queues.Service.Close()
 	}
@@ -105,11 +105,11 @@
 }
 
 // Busy reports whether a delivery from upstream is not closed yet.
-func (f Front) Busy() bool { return f.Source != nil && f.Source.Busy() > 0 }
+func (f FrontEnd) Busy() bool { return f.Source != nil && f.Source.Busy() > 0 }
 
-// Idle closes connections and lanes that have nothing pending, and reports
+// CloseIdle closes connections and lanes that have nothing pending, and reports
 // whether none with something pending is left.
-func (f Front) Idle() bool {
+func (f FrontEnd) CloseIdle() bool {
 	if f.Busy() {
 		return false
 	}
--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -120,8 +120,8 @@
 // StaleAt returns when the list ceases to be current, unless it is confirmed before.
 func (t *Tracker) StaleAt() time.Duration { return t.confirmedAt + NotificationBound - staleMargin }
 
-// ConfirmedAt returns the time up to which all changes are in the list.
-func (t *Tracker) ConfirmedAt() time.Duration { return t.confirmedAt }
+// LastContact returns the time up to which all changes are in the list.
+func (t *Tracker) LastContact() time.Duration { return t.confirmedAt }
 
 // Knowledge returns what the list may be used for now.
 func (t *Tracker) Knowledge(now time.Duration) Knowledge {
@@ -159,19 +159,19 @@
 	return next
 }
 
-// Proof says whether a health check of a worker can still prove that the worker is listed. The zero value says that it
+// HealthEvidence says whether a health check of a worker can still prove that the worker is listed. The zero value says that it
 // can.
-type Proof struct {
+type HealthEvidence struct {
 	denied      bool
 	confirmedAt time.Duration // of the list, when the worker was denied
 }
 
 // Denied reports that the worker could not be reached, or said that it does not serve.
-func (p *Proof) Denied(t *Tracker) {
+func (p *HealthEvidence) Denied(t *Tracker) {
 	p.denied = true
-	p.confirmedAt = t.ConfirmedAt()
+	p.confirmedAt = t.LastContact()
 }
 
 // Holds reports whether the worker may still be asked. One that was denied may have been removed and restarted since: its
 // health checks prove nothing until the list is confirmed again.
-func (p *Proof) Holds(t *Tracker) bool { return !p.denied || p.confirmedAt != t.ConfirmedAt() }
+func (p *HealthEvidence) Holds(t *Tracker) bool { return !p.denied || p.confirmedAt != t.LastContact() }
--- a/internal/goldentest/effects.go
+++ b/internal/goldentest/effects.go
@@ -16,8 +16,8 @@
 
 // Effects tells what each key of a document does: it decodes the document, which
 // must give every key a value other than its default, then once for each key without
-// it, and words the decoded values that become others. Values alone are told, not
-// the Go fields that hold them. A key without an effect is told as such, and one
+// it, and words the decoded values that become others. Values alone are listed, not
+// the Go fields that hold them. A key without an effect is listed as such, and one
 // that cannot be left out with the error. encode writes a document as its file has
 // it, decode reads it.
 func Effects(t *testing.T, document map[string]any, encode func(any) ([]byte, error), decode func([]byte) (any, error)) string {
--- a/internal/httpfront/idempotency.go
+++ b/internal/httpfront/idempotency.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// durableResponseMargin is how long before the client's deadline it is told that its job is not done.
+	// durableResponseMargin is how long before the client's deadline a response says that its job is not done.
 	durableResponseMargin = 20 * time.Millisecond
 	// durableRetryAfter is when a client may ask again for a job that is not done, or that could not be stored.
 	durableRetryAfter = time.Second
--- a/internal/membership/selector.go
+++ b/internal/membership/selector.go
@@ -144,12 +144,12 @@
 	return next.Server, 0
 }
 
-// Better returns a server to try beside the one that is followed, which it may
+// NextPreferred returns a server to try beside the one that is followed, which it may
 // replace once it works: one of the own zone where the followed one is not, or
 // any where the followed one is no longer listed. It counts as being tried like
 // that of Next. ok is false where no server is better; otherwise wait is how long
 // to wait before one may be tried.
-func (s *Selector) Better(now time.Duration, followed string) (server Server, wait time.Duration, ok bool) {
+func (s *Selector) NextPreferred(now time.Duration, followed string) (server Server, wait time.Duration, ok bool) {
 	current := s.find(followed)
 	if current != nil && current.Zone == s.zone {
 		return Server{}, 0, false
@@ -171,8 +171,8 @@
 	return Server{}, wait, ok
 }
 
-// Working records that a server is followed.
-func (s *Selector) Working(now time.Duration, address string) {
+// MarkActive records that a server is followed.
+func (s *Selector) MarkActive(now time.Duration, address string) {
 	state := s.find(address)
 	if state == nil {
 		return
@@ -183,8 +183,8 @@
 	state.workingSince = now
 }
 
-// Abandoned records that a server was left for another one, which is no failure.
-func (s *Selector) Abandoned(address string) {
+// MarkAbandoned records that a server was left for another one, which is no failure.
+func (s *Selector) MarkAbandoned(address string) {
 	state := s.find(address)
 	if state == nil {
 		return
@@ -193,8 +193,8 @@
 	state.workingSince = notWorking
 }
 
-// Failed records that a server could not be reached, is behind, or broke off.
-func (s *Selector) Failed(now time.Duration, address string) {
+// MarkFailed records that a server could not be reached, is behind, or broke off.
+func (s *Selector) MarkFailed(now time.Duration, address string) {
 	state := s.find(address)
 	if state == nil {
 		return
--- a/internal/settings/connections.go
+++ b/internal/settings/connections.go
@@ -13,7 +13,7 @@
 // Connections is the table [connections]: which client connections are admitted and
 // stay, and how many descriptors each kind may use.
 type Connections struct {
-	On bool `toml:"on" help:"decide on each connection; false: the table is checked and not used"`
+	Enabled bool `toml:"on" help:"decide on each connection; false: the table is checked and not used"`
 
 	Known  []string `toml:"known" help:"prefixes of known clients, as 10.1.0.0/16: they have the reserve, and no caps"`
 	Fronts []string `toml:"fronts" help:"prefixes of fronts that send a PROXY header (v1 or v2): caps hold for the clients it names"`
@@ -88,7 +88,7 @@
 		return limits, floors, marks, 0, err
 	}
 	floors = c.descriptorFloors(descriptors)
-	marks = connlimit.Watermarks{Low: c.Low, High: c.High, Critical: c.Critical, Back: c.Back}
+	marks = connlimit.Watermarks{Low: c.Low, High: c.High, Critical: c.Critical, Hysteresis: c.Back}
 	checked := limits // Check fills in defaults
 	if err := checked.Check(); err != nil {
 		return limits, floors, marks, 0, err
@@ -141,7 +141,7 @@
 		Opening:   c.AddressOpening,
 		PerSecond: c.AddressPerS,
 		Burst:     c.AddressBurst,
-		Half:      c.AddressHalf,
+		HalfRead:  c.AddressHalf,
 		Bytes:     c.AddressBytes,
 	}
 }
@@ -152,13 +152,13 @@
 		Opening:   c.PrefixOpening,
 		PerSecond: c.PrefixPerS,
 		Burst:     c.PrefixBurst,
-		Half:      c.PrefixHalf,
+		HalfRead:  c.PrefixHalf,
 		Bytes:     c.PrefixBytes,
 	}
 }
 
-func (c *Connections) learning() connlimit.Learn {
-	return connlimit.Learn{
+func (c *Connections) learning() connlimit.LearnConfig {
+	return connlimit.LearnConfig{
 		On:       c.Learn,
 		HalfLife: seconds(c.LearnHalfLife),
 		After:    c.LearnAfter,
--- a/internal/settings/loadreport.go
+++ b/internal/settings/loadreport.go
@@ -6,10 +6,10 @@
 	"hollyyoke.example/hollyyoke/decision"
 )
 
-// Load reads a worker's load report. The names of its values are those of the
+// ReadLoadReport reads a worker's load report. The names of its values are those of the
 // settings, or the common ones that workers use. Values that no decision uses are
 // ignored, and a report that cannot be read is an empty one.
-func Load(settings *decision.Settings, raw []byte) decision.LoadReport {
+func ReadLoadReport(settings *decision.Settings, raw []byte) decision.LoadReport {
 	var report map[string]any
 	if err := json.Unmarshal(raw, &report); err != nil {
 		return decision.LoadReport{}
--- a/internal/settings/membership.go
+++ b/internal/settings/membership.go
@@ -15,7 +15,7 @@
 // Membership is the table [membership]: from which servers the dispatcher follows
 // versioned changes of the endpoint list and of its settings.
 type Membership struct {
-	On            bool               `toml:"on" help:"follow versioned changes in place of the discovery watch; only a restart turns it on or off"`
+	Enabled       bool               `toml:"on" help:"follow versioned changes in place of the discovery watch; only a restart turns it on or off"`
 	Zone          string             `toml:"zone" help:"whose servers come first; default: the zone of the settings"`
 	AcknowledgeMs float64            `toml:"acknowledge_ms" help:"least time between acknowledgements of a version; default 1000"`
 	Servers       []MembershipServer `toml:"servers" help:"relays, and origins to fall back on: zone and address of each"`
@@ -37,7 +37,7 @@
 	if m.AcknowledgeMs < 0 || m.AcknowledgeMs > maxAcknowledgeMs {
 		return fmt.Errorf("acknowledge_ms: %g is not between 0 and %d", m.AcknowledgeMs, maxAcknowledgeMs)
 	}
-	if m.On && len(m.Servers) == 0 {
+	if m.Enabled && len(m.Servers) == 0 {
 		return fmt.Errorf("servers: none")
 	}
 	seen := map[string]bool{}
--- a/internal/workerclient/client.go
+++ b/internal/workerclient/client.go
@@ -64,7 +64,7 @@
 		c.dispatcher.AttemptEnded(attempt.Handle, decision.ConnectionRefused, decision.LoadReport{}, nil)
 		return
 	}
-	conn := c.acquire(worker, attempt.RepeatUnsafe)
+	conn := c.acquire(worker, attempt.RetryUnsafe)
 	conn.assign(attempt)
 	if conn.conn != nil {
 		conn.send()
--- a/internal/workerclient/connection.go
+++ b/internal/workerclient/connection.go
@@ -90,7 +90,7 @@
 // lost a new connection.
 func (c *connection) moveAttempt(newConnectionFailed bool) {
 	c.handle = 0
-	other := c.client.acquire(c.worker, c.attempt.RepeatUnsafe)
+	other := c.client.acquire(c.worker, c.attempt.RetryUnsafe)
 	other.assign(c.attempt)
 	other.newConnectionFailed = newConnectionFailed
 	if other.conn != nil && !c.client.dispatcher.ClientGone(other.handle) {
--- a/internal/workerclient/drain.go
+++ b/internal/workerclient/drain.go
@@ -17,7 +17,7 @@
 
 // graceOver tells whether a worker has been draining or removed for so long that no request may be sent to it.
 func graceOver(worker *discovery.Worker, now, drainGrace time.Duration) bool {
-	return worker.State != decision.Running && now-worker.Since > sendGrace(drainGrace)
+	return worker.State != decision.Running && now-worker.StateSince > sendGrace(drainGrace)
 }
 
 // WorkerLeaving is called when a worker begins to drain or is removed. Once the grace is over, requests that have not
--- a/internal/workerclient/healthcheck.go
+++ b/internal/workerclient/healthcheck.go
@@ -48,7 +48,7 @@
 	if c.status == httpwire.StatusOK {
 		outcome = decision.Completed
 		if c.line != nil {
-			load = settings.Load(&c.client.dispatcher.Settings, c.line.Bytes())
+			load = settings.ReadLoadReport(&c.client.dispatcher.Settings, c.line.Bytes())
 		}
 	}
 	c.responseComplete = true
--- a/internal/workerclient/jobupdate.go
+++ b/internal/workerclient/jobupdate.go
@@ -48,7 +48,7 @@
 	}
 	var load decision.LoadReport
 	if len(update.Load) > 0 {
-		load = settings.Load(&c.client.dispatcher.Settings, update.Load)
+		load = settings.ReadLoadReport(&c.client.dispatcher.Settings, update.Load)
 	}
 	switch update.State {
 	case jobStarted:
--- a/internal/workerclient/request.go
+++ b/internal/workerclient/request.go
@@ -69,7 +69,7 @@
 		return
 	}
 	dispatcher.TraceStep(c.correlationID(), "request written", "worker", c.worker.Name, "health_check", c.healthCheck,
-		"bytes", size, "reused", c.reused, "listed_for", now-c.worker.Since)
+		"bytes", size, "reused", c.reused, "listed_for", now-c.worker.StateSince)
 }
 
 // appendRequest appends the request of the connection's attempt to out.
@@ -127,8 +127,8 @@
 // setRetryDeadline sets the timer by which a retry must have left entirely, if the socket has not taken all of it: the
 // rest would leave whenever the worker makes room.
 func (c *connection) setRetryDeadline() {
-	if c.handle != 0 && c.attempt.RepeatBy > 0 && !c.requestFlushed() {
-		c.client.loop().Set(&c.timer, c.attempt.RepeatBy)
+	if c.handle != 0 && c.attempt.RetryBy > 0 && !c.requestFlushed() {
+		c.client.loop().Set(&c.timer, c.attempt.RetryBy)
 	}
 }
 
--- a/internal/workerclient/response.go
+++ b/internal/workerclient/response.go
@@ -216,7 +216,7 @@
 	if report == nil {
 		return decision.LoadReport{}
 	}
-	return settings.Load(&c.client.dispatcher.Settings, report)
+	return settings.ReadLoadReport(&c.client.dispatcher.Settings, report)
 }
 
 // takeBody takes in a piece of the body. Each line in that of a 200 is a job update.
--- a/internal/workerclient/sendguard.go
+++ b/internal/workerclient/sendguard.go
@@ -15,9 +15,9 @@
 	rule, permitted := dispatcher.Guard.MaySend(invariant.Send{
 		Now:          now,
 		Deadline:     c.attempt.Deadline,
-		RepeatBy:     c.attempt.RepeatBy,
+		RetryBy:      c.attempt.RetryBy,
 		Leaving:      c.worker.State != decision.Running,
-		LeavingSince: c.worker.Since,
+		LeavingSince: c.worker.StateSince,
 		Grace:        sendGrace(dispatcher.Settings.DrainGrace),
 		ListStale:    c.client.registry.Admit(c.worker, now) == discovery.Suspended,
 	})
