--- a/cmd/dispatcher/jobs.go
+++ b/cmd/dispatcher/jobs.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"hollyyoke.example/hollyyoke/internal/durable"
+	"hollyyoke.example/hollyyoke/internal/jobs"
 	"hollyyoke.example/hollyyoke/internal/store"
 )
 
@@ -16,7 +17,7 @@
 // through the admin API of a running one. Each change of a job needs a reason, which is kept in the audit.
 type jobsCmd struct {
 	Store        string `placeholder:"FILE" help:"The file of a stopped dispatcher."`
-	AdminAddress string `name:"door" placeholder:"HOST:PORT" help:"The operators' door of a running one."`
+	AdminAddress string `name:"door" placeholder:"HOST:PORT" help:"Address of the admin API of a running one."`
 
 	List struct {
 		State string `help:"Only in this state, as 'in doubt'."`
@@ -68,7 +69,7 @@
 	page(state, class string, after uint64, withPayload bool) (list []durable.View, next uint64, err error)
 	show(id string) (durable.View, error)
 	// change changes a job; ran matters to resolveJob only.
-	change(change jobChange, id, reason string, ran bool) error
+	change(change jobChange, id string, reason jobs.Reason, ran bool) error
 	snapshot(name string) error
 }
 
@@ -119,11 +120,11 @@
 	case "snapshot":
 		return backend.snapshot(c.Snapshot.Name)
 	case "retry":
-		return backend.change(retryJob, c.Retry.ID, c.Retry.Reason, false)
+		return backend.change(retryJob, c.Retry.ID, jobs.Reason(c.Retry.Reason), false)
 	case "discard":
-		return backend.change(discardJob, c.Discard.ID, c.Discard.Reason, false)
+		return backend.change(discardJob, c.Discard.ID, jobs.Reason(c.Discard.Reason), false)
 	default:
-		return backend.change(resolveJob, c.Resolve.ID, c.Resolve.Reason, c.Resolve.Ran)
+		return backend.change(resolveJob, c.Resolve.ID, jobs.Reason(c.Resolve.Reason), c.Resolve.Ran)
 	}
 }
 
--- a/cmd/dispatcher/jobs_admin.go
+++ b/cmd/dispatcher/jobs_admin.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"hollyyoke.example/hollyyoke/internal/durable"
+	"hollyyoke.example/hollyyoke/internal/jobs"
 )
 
 // adminAPI is the admin API of a running dispatcher, by its address; it implements jobsBackend.
@@ -37,7 +38,7 @@
 		return err
 	}
 	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("the door at %s: %s", string(a), strings.TrimSpace(string(text)))
+		return fmt.Errorf("the admin API at %s: %s", string(a), strings.TrimSpace(string(text)))
 	}
 	if result == nil {
 		return nil
@@ -66,7 +67,7 @@
 	return view, err
 }
 
-func (a adminAPI) change(change jobChange, id, reason string, ran bool) error {
-	query := url.Values{"id": {id}, "reason": {reason}, "ran": {fmt.Sprint(ran)}}
+func (a adminAPI) change(change jobChange, id string, reason jobs.Reason, ran bool) error {
+	query := url.Values{"id": {id}, "reason": {string(reason)}, "ran": {fmt.Sprint(ran)}}
 	return a.call(http.MethodPut, "/"+string(change), query, nil)
 }
--- a/cmd/dispatcher/jobs_store.go
+++ b/cmd/dispatcher/jobs_store.go
@@ -48,13 +48,13 @@
 	return durable.NewView(job, true), nil
 }
 
-func (f storeFile) change(change jobChange, id, reason string, ran bool) error {
+func (f storeFile) change(change jobChange, id string, reason jobs.Reason, ran bool) error {
 	switch change {
 	case resolveJob:
-		return f.Resolve(id, ran, jobs.Reason(reason))
+		return f.Resolve(id, ran, reason)
 	case retryJob:
-		return f.Move(id, jobs.Requeue, jobs.Reason(reason))
+		return f.Move(id, jobs.Requeue, reason)
 	default:
-		return f.Move(id, jobs.Discard, jobs.Reason(reason))
+		return f.Move(id, jobs.Discard, reason)
 	}
 }
