--- a/cmd/dispatcher/ready_test.go
+++ b/cmd/dispatcher/ready_test.go
@@ -8,9 +8,10 @@
 	"net/http"
 	"strings"
 	"sync/atomic"
-	"syscall"
 	"testing"
 	"time"
+
+	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
 // These tests start the program while discovery does not answer: it is ready by its
@@ -24,25 +25,6 @@
 	return json.RawMessage(text)
 }
 
-// refusing returns an address that refuses connections: its port is in use, without a
-// listener.
-func refusing(t *testing.T) string {
-	t.Helper()
-	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { syscall.Close(fd) })
-	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
-		t.Fatal(err)
-	}
-	name, err := syscall.Getsockname(fd)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
-}
-
 // outage starts a discovery at which every call ends in the same way.
 func outage(t *testing.T, end func(net.Conn)) (addr string) {
 	ln := listenLocal(t)
@@ -84,7 +66,7 @@
 					t.Parallel()
 					addr := ""
 					if end == nil {
-						addr = refusing(t)
+						addr = testkit.RefusingAddress(t)
 					} else {
 						addr = outage(t, end)
 					}
--- a/internal/discovery/reconnect_test.go
+++ b/internal/discovery/reconnect_test.go
@@ -7,7 +7,6 @@
 	"net"
 	"strings"
 	"sync/atomic"
-	"syscall"
 	"testing"
 	"time"
 
@@ -107,7 +106,7 @@
 func TestOutageIsReportedOnce(t *testing.T) {
 	for _, peers := range []int{1, 300} {
 		rig := testkit.NewRig(t).WithSubscription(t, peers, time.Hour)
-		addr := refusingAddress(t)
+		addr := testkit.RefusingAddress(t)
 		var reports atomic.Int32
 		rig.Do(func() {
 			rig.Dispatcher.Log = func(text string) {
@@ -181,24 +180,6 @@
 	}
 }
 
-// refusingAddress returns an address that refuses connections: its port is bound, and nothing listens there.
-func refusingAddress(t *testing.T) string {
-	t.Helper()
-	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { syscall.Close(fd) })
-	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
-		t.Fatal(err)
-	}
-	name, err := syscall.Getsockname(fd)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
-}
-
 // Where lists come from an agent, what it has counts as notified, whether a watch is open or not: it is called at the
 // start, however many dispatchers there are, and several times within a drain grace where it is silent, resets the call
 // or is unavailable.
