--- a/cmd/dispatcher/handover_golden_test.go
+++ b/cmd/dispatcher/handover_golden_test.go
@@ -11,14 +11,15 @@
 	"testing"
 	"time"
 
+	"hollyyoke.example/hollyyoke/internal/goldentest"
 	"hollyyoke.example/hollyyoke/internal/handover"
 )
 
-// These tests are one side of a handover by hand, with the words that earlier
-// builds say, against the program under test on the other side.
+// These tests are one side of a handover, with the messages that earlier builds send;
+// the program under test is the other side.
 
-// variableWords are what differs from run to run in what a process says.
-var variableWords = []struct {
+// maskedValues are the parts of messages that differ from run to run.
+var maskedValues = []struct {
 	text *regexp.Regexp
 	mask string
 }{
@@ -30,42 +31,42 @@
 	{regexp.MustCompile(`127\.0\.0\.1:[0-9]+`), `ADDRESS`},
 }
 
-// peer is the other process, played by a test.
-type peer struct {
+// testPeer is the peer process of the program under test.
+type testPeer struct {
 	t          *testing.T
 	conn       net.Conn
 	lines      *bufio.Reader
 	transcript strings.Builder
 }
 
-func newPeer(t *testing.T, conn net.Conn) *peer {
-	conn.SetDeadline(time.Now().Add(patience))
+func newPeer(t *testing.T, conn net.Conn) *testPeer {
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	t.Cleanup(func() { conn.Close() })
-	return &peer{t: t, conn: conn, lines: bufio.NewReader(conn)}
+	return &testPeer{t: t, conn: conn, lines: bufio.NewReader(conn)}
 }
 
-// say sends a line.
-func (p *peer) say(line string) {
+// send sends a line.
+func (p *testPeer) send(line string) {
 	p.t.Helper()
 	if _, err := fmt.Fprintln(p.conn, line); err != nil {
 		p.t.Fatal(err)
 	}
 }
 
-// hears reads up to a line that begins with a word and puts it into the transcript,
-// without what differs from run to run.
-func (p *peer) hears(word string) {
+// receive reads up to a message whose first key is given, and adds it to the
+// transcript, masked.
+func (p *testPeer) receive(word string) {
 	p.t.Helper()
 	for {
 		line, err := p.lines.ReadString('\n')
 		if err != nil {
-			p.t.Fatalf("no %s: %v; heard so far:\n%s", word, err, p.transcript.String())
+			p.t.Fatalf("no %s: %v; received so far:\n%s", word, err, p.transcript.String())
 		}
 		if !strings.HasPrefix(line, `{"`+word+`":`) {
-			continue // room, names and charges come when they come
+			continue // others are sent at any time
 		}
 		masked := line
-		for _, v := range variableWords {
+		for _, v := range maskedValues {
 			masked = v.text.ReplaceAllString(masked, v.mask)
 		}
 		p.transcript.WriteString(masked)
@@ -73,104 +74,104 @@
 	}
 }
 
-// What a predecessor says to its successor, from the first word to the last.
+// The messages of a predecessor to its successor, from the first to the last.
 func TestGoldenPredecessor(t *testing.T) {
-	w := operate(t, keep(t))
-	w.backend("s-1", done)
-	w.start()
-	w.watch()
-	other := &world{t: t}
-	address := other.discovery()
-	meeting, err := filepath.Glob(filepath.Join(w.folder(), "hollyyoke-*.sock"))
+	d := newDaemonWithAdmin(t, newPlatformListener(t))
+	d.addWorker("s-1", respondDone)
+	d.start()
+	d.waitForWatch()
+	other := &testDaemon{t: t}
+	address := other.startDiscovery()
+	meeting, err := filepath.Glob(filepath.Join(d.runtimeDirectory(), "hollyyoke-*.sock"))
 	if err != nil || len(meeting) != 1 {
-		t.Fatalf("it meets at %q, %v", meeting, err)
+		t.Fatalf("its socket is %q, %v", meeting, err)
 	}
 	conn, err := net.Dial("unix", meeting[0])
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := newPeer(t, conn)
-	p.hears("hello")
-	p.hears("room")
-	w.post("renewal", "one-name", "x", 0)
-	p.hears("names")
-	added := w.backend("s-2", done)
-	w.changes <- `{"seq":42,"whole":true,"hosts":[` + w.backends[0].entry("draining") + "," + added.entry("ready") + `]}`
-	p.hears("list")
-	w.door("PUT", "/control/out-of-service")
-	p.hears("out_of_service")
-	w.door("PUT", "/control/in-service")
-	p.hears("out_of_service")
-	w.config["discovery"] = address
-	w.write()
-	w.signal(syscall.SIGHUP)
-	p.hears("discovery")
-	p.say(`{"ready":true}`)
-	w.says("the successor takes clients")
-	w.signal(syscall.SIGTERM)
-	p.hears("kept")
-	if code := w.ended(); code != 0 {
+	p.receive("hello")
+	p.receive("room")
+	d.post("renewal", "one-name", "x", 0)
+	p.receive("names")
+	added := d.addWorker("s-2", respondDone)
+	d.changes <- `{"seq":42,"whole":true,"hosts":[` + d.workers[0].listEntry("draining") + "," + added.listEntry("ready") + `]}`
+	p.receive("list")
+	d.callAdmin("PUT", "/control/out-of-service")
+	p.receive("out_of_service")
+	d.callAdmin("PUT", "/control/in-service")
+	p.receive("out_of_service")
+	d.config["discovery"] = address
+	d.writeConfig()
+	d.signal(syscall.SIGHUP)
+	p.receive("discovery")
+	p.send(`{"ready":true}`)
+	d.waitForLog("successor is accepting clients")
+	d.signal(syscall.SIGTERM)
+	p.receive("kept")
+	if code := d.waitForExit(); code != 0 {
 		t.Errorf("exit code %d", code)
 	}
-	checkGolden(t, "handover-predecessor.jsonl", []byte(p.transcript.String()))
+	goldentest.Compare(t, "handover-predecessor.jsonl", p.transcript.String())
 }
 
-// folder is where the world's processes meet.
-func (w *world) folder() string {
-	for _, variable := range w.env {
-		if folder, is := strings.CutPrefix(variable, "TMPDIR="); is {
-			return folder
+// runtimeDirectory returns the directory of the handover socket.
+func (d *testDaemon) runtimeDirectory() string {
+	for _, variable := range d.env {
+		if directory, is := strings.CutPrefix(variable, "TMPDIR="); is {
+			return directory
 		}
 	}
-	w.t.Fatal("no folder")
+	d.t.Fatal("no directory")
 	return ""
 }
 
-// What a successor makes of a predecessor's words, and what it says itself.
+// What a successor does with a predecessor's messages, and those that it sends.
 func TestGoldenSuccessor(t *testing.T) {
-	w := operate(t, keep(t))
-	path := handover.SocketPath(w.folder(), "n0 "+w.listen)
+	d := newDaemonWithAdmin(t, newPlatformListener(t))
+	path := handover.SocketPath(d.runtimeDirectory(), "n0 "+d.listen)
 	ln, err := net.Listen("unix", path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	known, told := w.backend("s-1", done), (&world{t: t}).backend("s-2", done)
-	silent, moved := listen(t), listen(t)
-	w.unready = true
-	w.start()
+	greeted, listed := d.addWorker("s-1", respondDone), (&testDaemon{t: t}).addWorker("s-2", respondDone)
+	silent, moved := listenLocal(t), listenLocal(t)
+	d.skipReadyWait = true
+	d.start()
 	conn, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := newPeer(t, conn)
-	list := func(b *backend) string {
-		return `{"seq":57,"whole":true,"hosts":[` + b.entry("ready") + `],"age_ms":10}`
+	list := func(b *testWorker) string {
+		return `{"seq":57,"whole":true,"hosts":[` + b.listEntry("ready") + `],"age_ms":10}`
 	}
-	p.say(`{"hello":{"discovery":"` + silent.Addr().String() + `","list":` + list(known) + `,"out_of_service":true,"key":"AAECAwQFBgcICQoLDA0ODw=="}}`)
-	p.say(`{"room":{"descriptors":512,"memory":100663296}}`)
-	p.say(`{"names":"AQAAAAAAAAA="}`)
-	w.says("beside a running process, as its successor")
-	w.says(`"out of service"`)
-	p.hears("ready")
-	p.say(`{"list":` + list(told) + `}`)
-	p.say(`{"charge":{"backend":"s-2","amount":0.125}}`)
-	p.say(`{"out_of_service":false}`)
-	w.says(`"in service"`)
-	w.until("in service", func() bool { return w.health() == 200 })
-	if status, _, _ := w.post("renewal", "by-the-list", "x", 0); status != 200 || len(known.arrivals()) != 0 || len(told.arrivals()) != 1 {
-		t.Errorf("by the list handed over: %d; %q, %q", status, known.arrivals(), told.arrivals())
+	p.send(`{"hello":{"discovery":"` + silent.Addr().String() + `","list":` + list(greeted) + `,"out_of_service":true,"key":"AAECAwQFBgcICQoLDA0ODw=="}}`)
+	p.send(`{"room":{"descriptors":512,"memory":100663296}}`)
+	p.send(`{"names":"AQAAAAAAAAA="}`)
+	d.waitForLog("started as the successor of a running process")
+	d.waitForLog(`"out of service"`)
+	p.receive("ready")
+	p.send(`{"list":` + list(listed) + `}`)
+	p.send(`{"charge":{"backend":"s-2","amount":0.125}}`)
+	p.send(`{"out_of_service":false}`)
+	d.waitForLog(`"in service"`)
+	d.waitUntil("in service", func() bool { return d.health() == 200 })
+	if status, _, _ := d.post("renewal", "by-the-list", "x", 0); status != 200 || len(greeted.requests()) != 0 || len(listed.requests()) != 1 {
+		t.Errorf("by the list handed over: %d; %q, %q", status, greeted.requests(), listed.requests())
 	}
-	p.hears("names")
-	p.say(`{"discovery":"` + moved.Addr().String() + `"}`)
-	w.says("discovery moves to " + moved.Addr().String())
-	w.door("PUT", "/control/out-of-service")
-	p.hears("out_of_service")
-	p.say(`{"kept":true}`)
+	p.receive("names")
+	p.send(`{"discovery":"` + moved.Addr().String() + `"}`)
+	d.waitForLog("discovery moves to " + moved.Addr().String())
+	d.callAdmin("PUT", "/control/out-of-service")
+	p.receive("out_of_service")
+	p.send(`{"kept":true}`)
 	conn.Close()
-	w.says("the former process has gone")
-	if w.says("takes clients"); strings.Contains(w.log.String(), "handover: ") || strings.Contains(w.log.String(), "the list handed over: ") {
-		t.Error("it could not read what was handed over")
+	d.waitForLog("predecessor has ended")
+	if d.waitForLog("accepting clients"); strings.Contains(d.log.String(), "handover: ") { // the prefix of all errors in messages
+		t.Error("it could not read the messages")
 	}
-	checkGolden(t, "handover-successor.jsonl", []byte(p.transcript.String()))
+	goldentest.Compare(t, "handover-successor.jsonl", p.transcript.String())
 }
--- a/cmd/dispatcher/membership_test.go
+++ b/cmd/dispatcher/membership_test.go
@@ -25,7 +25,7 @@
 	admin   string
 }
 
-// startRelay builds and starts one.
+// startRelay builds and starts a relay.
 func startRelay(t *testing.T, upstream string) *relayProcess {
 	t.Helper()
 	dir := t.TempDir()
@@ -64,7 +64,7 @@
 func (r *relayProcess) await(what string, reached func(relay.Status) bool) {
 	r.t.Helper()
 	var status relay.Status
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		response, err := http.Get("http://" + r.admin + "/control/membership")
 		if err != nil {
 			r.t.Fatal(err)
@@ -81,21 +81,21 @@
 	r.t.Fatalf("not in time: %s: %+v", what, status)
 }
 
-// acknowledged tells whether the one dispatcher has a version in force.
+// acknowledged returns whether the one dispatcher has a version in force.
 func acknowledged(version int64) func(relay.Status) bool {
 	return func(status relay.Status) bool {
 		return status.Subscribers == 1 && int64(status.LowestAcknowledged) == version && int64(status.Version) == version
 	}
 }
 
-// From the origin through a relay to a dispatcher: once the dispatcher has
-// acknowledged a drain, the worker that drains gets no more, and the end of the
+// Changes go from the origin through a relay to a dispatcher: once the dispatcher has
+// acknowledged a drain, the draining worker gets no more requests, and the end of the
 // relay leaves the list in force.
 func TestDrainThroughARelay(t *testing.T) {
-	w := &world{t: t}
-	a, b := w.backend("s-a", done), w.backend("s-b", done)
-	host := func(b *backend, health string) standin.Host {
-		return standin.Host{Host: b.name, Dial: b.ln.Addr().String(), Site: "here", Class: "m", Health: health, Share: 1}
+	d := &testDaemon{t: t}
+	a, b := d.addWorker("s-a", respondDone), d.addWorker("s-b", respondDone)
+	host := func(b *testWorker, health string) standin.Host {
+		return standin.Host{Host: b.name, Dial: b.listener.Addr().String(), Site: "here", Class: "m", Health: health, Share: 1}
 	}
 	origin, err := standin.StartDiscovery(nil)
 	if err != nil {
@@ -109,24 +109,24 @@
 	if err := os.WriteFile(operator, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	w.config = map[string]any{"known": map[string]any{"seq": 0, "whole": true, "hosts": []any{}}}
-	w.start("--operator", operator)
+	d.config = map[string]any{"known": map[string]any{"seq": 0, "whole": true, "hosts": []any{}}}
+	d.start("--operator", operator)
 	r.await("the snapshot is in force", acknowledged(1))
 
-	for i := 0; len(a.arrivals()) == 0; i++ { // both are used
-		if status, _, _ := w.post("status-check", fmt.Sprint("before-", i), "x", 0); status != 200 || i > 10_000 {
+	for i := 0; len(a.requests()) == 0; i++ { // both are used
+		if status, _, _ := d.post("status-check", fmt.Sprint("before-", i), "x", 0); status != 200 || i > 10_000 {
 			t.Fatalf("%d: %d", i, status)
 		}
 	}
 	origin.Set(host(a, "draining"))
 	r.await("the drain is in force", acknowledged(2))
-	before := len(a.arrivals())
+	before := len(a.requests())
 	for i := range 20 {
-		if status, _, _ := w.post("renewal", fmt.Sprint("drain-", i), "x", 0); status != 200 {
+		if status, _, _ := d.post("renewal", fmt.Sprint("drain-", i), "x", 0); status != 200 {
 			t.Errorf("%d: %d", i, status)
 		}
 	}
-	if n := len(a.arrivals()); n != before {
+	if n := len(a.requests()); n != before {
 		t.Errorf("the draining worker got %d more", n-before)
 	}
 
@@ -135,11 +135,11 @@
 		t.Errorf("the relay's end: %v", err)
 	}
 	for i := range 20 {
-		if status, _, _ := w.post("renewal", fmt.Sprint("alone-", i), "x", 0); status != 200 {
+		if status, _, _ := d.post("renewal", fmt.Sprint("alone-", i), "x", 0); status != 200 {
 			t.Errorf("%d without a relay: %d", i, status)
 		}
 	}
-	if n := len(a.arrivals()); n != before {
+	if n := len(a.requests()); n != before {
 		t.Errorf("without a relay the draining worker got %d more", n-before)
 	}
 }
--- a/cmd/dispatcher/ready_test.go
+++ b/cmd/dispatcher/ready_test.go
@@ -13,18 +13,19 @@
 	"time"
 )
 
-// These tests start the program while discovery does not answer: it is ready by
-// the list that it was told, and what is ready serves.
+// These tests start the program while discovery does not answer: it is ready by its
+// initial endpoint list, and serves.
 
-// settingsOf words the settings of one of so many dispatchers, which ask for
-// their list or have it pushed.
+// settingsOf returns the settings of one of several dispatchers, which poll the endpoint
+// list or watch it.
 func settingsOf(peers int, discovery string) json.RawMessage {
 	text := strings.NewReplacer("CONN_IDLE", "10000000", `"peers_total":1,`, fmt.Sprintf(`"peers_total":%d,`, peers),
 		`"discovery":"ask"`, fmt.Sprintf(`"discovery":%q`, discovery)).Replace(settingsText)
 	return json.RawMessage(text)
 }
 
-// refusing is an address that refuses connections: its port is taken, and nobody listens.
+// refusing returns an address that refuses connections: its port is in use, without a
+// listener.
 func refusing(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -42,9 +43,9 @@
 	return fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
 }
 
-// outage is a discovery of which every call ends in one way.
+// outage starts a discovery at which every call ends in the same way.
 func outage(t *testing.T, end func(net.Conn)) (addr string) {
-	ln := listen(t)
+	ln := listenLocal(t)
 	go func() {
 		for {
 			conn, err := ln.Accept()
@@ -62,7 +63,7 @@
 	return ln.Addr().String()
 }
 
-// Whatever becomes of its calls, a process that knows a worker is ready and serves.
+// A process that knows a worker is ready and serves, however its calls to discovery end.
 func TestReadyWithoutDiscovery(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for name, end := range map[string]func(net.Conn){
@@ -87,11 +88,11 @@
 					} else {
 						addr = outage(t, end)
 					}
-					w := &world{t: t, config: map[string]any{"discovery": addr, "settings": settingsOf(peers, discovery)}}
-					w.backend("s-1", done)
-					w.start()
+					d := &testDaemon{t: t, config: map[string]any{"discovery": addr, "settings": settingsOf(peers, discovery)}}
+					d.addWorker("s-1", respondDone)
+					d.start()
 					for i := range 3 {
-						if status, _, _ := w.post("renewal", fmt.Sprint("ready-", i), "x", 0); status != 200 {
+						if status, _, _ := d.post("renewal", fmt.Sprint("ready-", i), "x", 0); status != 200 {
 							t.Errorf("request %d: %d", i, status)
 						}
 					}
@@ -101,21 +102,20 @@
 	}
 }
 
-// A process that knows no worker is not ready, and is as soon as discovery,
-// which has been late, tells of one.
+// A process that knows no worker is not ready until discovery, which is late, has one.
 func TestNotReadyWithoutWorkers(t *testing.T) {
 	const draining = `[{"host":"s-0","dial":"127.0.0.1:9","site":"here","class":"m","health":"draining","share":1}]`
 	for _, x := range []struct{ known, discovery string }{{`[]`, "ask"}, {draining, "ask"}, {`[]`, "push"}, {draining, "push"}} {
 		t.Run(x.discovery+" "+x.known, func(t *testing.T) {
-			other := &world{t: t, first: make(chan string, 100)}
-			ln := listen(t)
+			other := &testDaemon{t: t, firstLine: make(chan string, 100)}
+			ln := listenLocal(t)
 			ln.Close()
-			w := &world{t: t, listen: ln.Addr().String(), config: map[string]any{
+			d := &testDaemon{t: t, listen: ln.Addr().String(), config: map[string]any{
 				"known":     json.RawMessage(`{"seq":41,"whole":true,"hosts":` + x.known + `}`),
-				"discovery": other.discovery(), "settings": settingsOf(300, x.discovery),
+				"discovery": other.startDiscovery(), "settings": settingsOf(300, x.discovery),
 			}}
-			b := w.backend("s-1", done)
-			early, url := make(chan int, 1), "http://"+w.listen+"/healthz"
+			b := d.addWorker("s-1", respondDone)
+			early, url := make(chan int, 1), "http://"+d.listen+"/healthz"
 			go func() {
 				for len(early) == 0 {
 					if resp, err := http.Get(url); err == nil {
@@ -123,65 +123,64 @@
 						early <- resp.StatusCode
 					}
 				}
-				for range cap(other.first) { // whichever call it is that stands
-					other.first <- `{"seq":42,"whole":true,"hosts":[` + b.entry("ready") + `]}`
+				for range cap(other.firstLine) { // for whichever call is open
+					other.firstLine <- `{"seq":42,"whole":true,"hosts":[` + b.listEntry("ready") + `]}`
 				}
 			}()
-			w.start()
+			d.start()
 			if status := <-early; status != 503 {
 				t.Errorf("healthz says %d while no worker is known", status)
 			}
-			if status, _, _ := w.post("renewal", "one", "x", 0); status != 200 {
+			if status, _, _ := d.post("renewal", "one", "x", 0); status != 200 {
 				t.Errorf("status %d", status)
 			}
 		})
 	}
 }
 
-// Idle clients take all descriptors that they can get while discovery is down.
-// The process is ready, serves, hears of its workers once discovery is back, and
-// keeps to its limit.
+// Idle clients use all descriptors that they can get while discovery is down. The process
+// is ready, serves, gets its workers once discovery is back, and keeps to its limit.
 func TestReadyBesideIdleClients(t *testing.T) {
 	const most = 64
-	other := &world{t: t, watches: make(chan string, 100), changes: make(chan string, 100), first: make(chan string, 100)}
+	other := &testDaemon{t: t, watches: make(chan string, 100), changes: make(chan string, 100), firstLine: make(chan string, 100)}
 	var back atomic.Bool
-	w := &world{t: t, config: map[string]any{
+	d := &testDaemon{t: t, config: map[string]any{
 		"limits": map[string]any{"sockets": most, "memory_mb": 192},
 		"discovery": outage(t, func(conn net.Conn) {
 			if back.Load() {
-				other.tell(conn, "")
+				other.answerWatch(conn, "")
 			} else {
 				conn.Close()
 			}
 		}),
 	}}
-	w.backend("s-1", done)
-	w.start()
+	d.addWorker("s-1", respondDone)
+	d.start()
 	for i := range 200 {
-		if conn, err := net.Dial("tcp", w.listen); err == nil {
+		if conn, err := net.Dial("tcp", d.listen); err == nil {
 			t.Cleanup(func() { conn.Close() })
 		}
 		if i%50 < 49 {
 			continue
 		}
-		if n := descriptors(w); n > most {
+		if n := openDescriptors(d); n > most {
 			t.Errorf("%d descriptors", n)
 		}
-		if status := w.health(); status != 200 {
+		if status := d.health(); status != 200 {
 			t.Errorf("beside %d clients: healthz says %d", i, status)
 		}
-		if status, _, _ := w.post("renewal", fmt.Sprint("beside-", i), "x", 0); status != 200 {
+		if status, _, _ := d.post("renewal", fmt.Sprint("beside-", i), "x", 0); status != 200 {
 			t.Errorf("beside %d clients: %d", i, status)
 		}
 	}
-	fresh := w.backend("s-2", done)
-	for range cap(other.first) {
-		other.first <- `{"seq":42,"whole":true,"hosts":[` + fresh.entry("ready") + `]}`
+	fresh := d.addWorker("s-2", respondDone)
+	for range cap(other.firstLine) {
+		other.firstLine <- `{"seq":42,"whole":true,"hosts":[` + fresh.listEntry("ready") + `]}`
 	}
 	back.Store(true)
-	other.watch()
-	w.until("the new worker serves", func() bool {
-		w.post("status-check", fmt.Sprint("after-", time.Now().UnixNano()), "x", 500)
-		return len(fresh.arrivals()) > 0
+	other.waitForWatch()
+	d.waitUntil("the new worker serves", func() bool {
+		d.post("status-check", fmt.Sprint("after-", time.Now().UnixNano()), "x", 500)
+		return len(fresh.requests()) > 0
 	})
 }
--- a/cmd/dispatcher/syscalls_test.go
+++ b/cmd/dispatcher/syscalls_test.go
@@ -15,7 +15,8 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/faultinject"
 )
 
-// momentary are failures that Linux documents for the calls of a server on a machine in trouble.
+// momentary returns rules for temporary failures that Linux documents for a server's
+// system calls.
 func momentary(probability float64, after, span time.Duration) (rules []faultinject.Rule) {
 	errors := map[faultinject.Call][]syscall.Errno{
 		faultinject.Accept:     {syscall.ECONNABORTED, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO},
@@ -35,26 +36,27 @@
 		faultinject.Rule{Call: faultinject.SocketWrite, Probability: 0.5, Short: 40, After: after, For: span})
 }
 
-// All clients get their answers while system calls fail for a moment, fall short
-// or are interrupted; no renewal runs twice, and service is whole afterwards.
+// All clients get their answers while system calls fail for a moment, are short or are
+// interrupted; no renewal runs twice, and all is served afterwards.
 func TestServesOverFailingSystemCalls(t *testing.T) {
 	const after, span = time.Second, 4 * time.Second
-	w := &world{t: t}
+	d := &testDaemon{t: t}
 	once := func(id string, conn net.Conn) bool { // so that each request needs a new connection
-		done(id, conn)
+		respondDone(id, conn)
 		return false
 	}
-	backends := []*backend{w.backend("s-1", once), w.backend("s-2", once)}
-	w.trace(faultinject.Plan{Seed: 1, Rules: momentary(0.1, after, span)})
+	workers := []*testWorker{d.addWorker("s-1", once), d.addWorker("s-2", once)}
+	d.trace(faultinject.Plan{Seed: 1, Rules: momentary(0.1, after, span)})
 	begun := time.Now()
-	w.start()
-	w.client = &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+	d.start()
+	faultsEnd := time.Now().Add(after + span) // or earlier: the window runs from the process's start
+	d.client = &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	var open sync.WaitGroup
 	var mu sync.Mutex
 	answers := map[int]int{}
 	send := func(class, id string) {
 		defer open.Done()
-		status, body, _ := w.post(class, id, "body", 4000)
+		status, body, _ := d.post(class, id, "body", 4000)
 		mu.Lock()
 		defer mu.Unlock()
 		if answers[status]++; status == 200 && body != "made for "+id {
@@ -67,11 +69,11 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	open.Wait()
-	t.Logf("answers: %v; read %d, write %d, accept %d, socket %d, connect %d, wait %d, setsockopt %d calls failed or fell short", answers,
-		w.traced.Struck(faultinject.SocketRead), w.traced.Struck(faultinject.SocketWrite), w.traced.Struck(faultinject.Accept),
-		w.traced.Struck(faultinject.Socket), w.traced.Struck(faultinject.Connect), w.traced.Struck(faultinject.Wait), w.traced.Struck(faultinject.SetOption))
+	t.Logf("answers: %v; read %d, write %d, accept %d, socket %d, connect %d, wait %d, setsockopt %d calls failed or were short", answers,
+		d.traced.Struck(faultinject.SocketRead), d.traced.Struck(faultinject.SocketWrite), d.traced.Struck(faultinject.Accept),
+		d.traced.Struck(faultinject.Socket), d.traced.Struck(faultinject.Connect), d.traced.Struck(faultinject.Wait), d.traced.Struck(faultinject.SetOption))
 	for call := faultinject.SocketRead; call <= faultinject.SetOption; call++ {
-		if w.traced.Struck(call) == 0 {
+		if d.traced.Struck(call) == 0 {
 			t.Errorf("no %v failed", call)
 		}
 	}
@@ -84,46 +86,49 @@
 		t.Errorf("%d served, %d rejected", answers[200], answers[503])
 	}
 	runs := map[string]int{}
-	for _, b := range backends {
-		for _, id := range b.arrivals() {
+	for _, b := range workers {
+		for _, id := range b.requests() {
 			if runs[id]++; runs[id] > 1 && strings.Contains(id, "/renewal/") {
 				t.Errorf("%s ran %d times", id, runs[id])
 			}
 		}
 	}
-	for i := range 20 { // the trouble is over
-		if status, _, _ := w.post("renewal", fmt.Sprint("after-", i), "x", 0); status != 200 {
+	time.Sleep(time.Until(faultsEnd))
+	for i := range 20 {
+		if status, _, _ := d.post("renewal", fmt.Sprint("after-", i), "x", 0); status != 200 {
 			t.Errorf("afterwards: %d", status)
 		}
 	}
 }
 
-// A connection that was reset may show itself as timed out or out of reach.
+// A connection that was reset may be reported as timed out or unreachable.
 func TestBrokenConnectionsUnderOtherNames(t *testing.T) {
 	const after, span = time.Second, 2 * time.Second
 	for _, e := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET} {
 		t.Run(e.Error(), func(t *testing.T) {
-			w := &world{t: t}
-			b := w.backend("s-1", done)
-			w.trace(faultinject.Plan{Seed: 2, Rules: []faultinject.Rule{
-				{Call: faultinject.SocketRead, Probability: 0.3, Error: e, Peer: port(t, b.ln.Addr().String()), After: after, For: span},
+			d := &testDaemon{t: t}
+			b := d.addWorker("s-1", respondDone)
+			d.trace(faultinject.Plan{Seed: 2, Rules: []faultinject.Rule{
+				{Call: faultinject.SocketRead, Probability: 0.3, Error: e, Peer: port(t, b.listener.Addr().String()), After: after, For: span},
 			}})
 			begun := time.Now()
-			w.start()
-			w.client.Timeout = 10 * time.Second
+			d.start()
+			faultsEnd := time.Now().Add(after + span) // or earlier: the window runs from the process's start
+			d.client.Timeout = 10 * time.Second
 			for i := 0; time.Since(begun) < after+span; i++ {
-				w.post("renewal", fmt.Sprint("id-", i), "x", 0)
+				d.post("renewal", fmt.Sprint("id-", i), "x", 0)
 			}
-			if w.traced.Struck(faultinject.SocketRead) == 0 {
+			if d.traced.Struck(faultinject.SocketRead) == 0 {
 				t.Error("no read failed")
 			}
 			runs := map[string]int{}
-			for _, id := range b.arrivals() {
+			for _, id := range b.requests() {
 				if runs[id]++; runs[id] > 1 {
 					t.Errorf("%s ran %d times", id, runs[id])
 				}
 			}
-			if status, _, _ := w.post("renewal", "after", "x", 0); status != 200 {
+			time.Sleep(time.Until(faultsEnd))
+			if status, _, _ := d.post("renewal", "after", "x", 0); status != 200 {
 				t.Errorf("afterwards: %d", status)
 			}
 		})
--- a/cmd/rehearse/flood_test.go
+++ b/cmd/rehearse/flood_test.go
@@ -57,7 +57,7 @@
 		connlimit.View
 		Descriptors map[string]map[string]int `json:"descriptors"`
 	}
-	if err := json.Unmarshal(on.Door, &door); err != nil || door.Standing["unknown"] == 0 || door.Reserve != 40 || len(door.Hits) == 0 || door.Descriptors["backends"]["floor"] == 0 {
+	if err := json.Unmarshal(on.Door, &door); err != nil || door.Trust["unknown"] == 0 || door.Reserve != 40 || len(door.Rejections) == 0 || door.Descriptors["backends"]["floor"] == 0 {
 		t.Errorf("what the door told: %v, %s", err, on.Door)
 	}
 }
@@ -204,7 +204,7 @@
 	if !health(a, "") || !health(b, "") {
 		t.Fatal("two of three")
 	}
-	rewrite(strings.Replace(operator(""), "connections = 3", "connections = 1", 1), "bounds on connections are as")
+	rewrite(strings.Replace(operator(""), "connections = 3", "connections = 1", 1), "connection limits are applied from the operator's file")
 	if !health(a, "") || !health(b, "") || health(dial("127.0.0.40"), "") || !health(dial("127.0.0.41"), "") {
 		t.Error("bounds lowered by SIGHUP")
 	}
--- /dev/null
+++ b/decision/admission.go
@@ -0,0 +1,132 @@
+package decision
+
+import (
+	"math"
+	"time"
+)
+
+// What a client may claim of a request.
+const (
+	maxSlots         = math.MaxInt32 // more, or none, counts as one slot
+	maxWorkDeadlines = 10            // a hint of the work counts up to this multiple of the deadline
+)
+
+// handleArrival decides whether a request is taken: its class must be known, its answer still have a value
+// that covers the prices, and it must not make others late. A request that is taken waits in the queue,
+// which is looked at after each event.
+func (m *Machine) handleArrival(event Event) {
+	if m.requests[event.Request] != nil {
+		return
+	}
+	m.countArrival()
+	if event.Class < 0 || event.Class >= len(m.settings.Classes) {
+		m.emit(Action{Kind: Fail, Request: event.Request})
+		return
+	}
+	request := m.newRequest(&event)
+	m.requests[request.id] = request
+	elapsed := m.elapsedSinceFirstTry(request, &event)
+	isRetry := event.ClientRetry || !m.settings.ClientsMarkRetries && elapsed > m.sweepInterval
+	overQuota := m.overQuota(event.Tenant, isRetry)
+	if overQuota {
+		request.value *= m.settings.OverQuotaWeight
+	}
+	objective := m.now + request.class.LatencyObjective + seconds(request.class.ObjectiveStretch*request.work)
+	request.objective = min(objective, request.deadline) - elapsed
+	if !isRetry {
+		m.addToMix(request, requestGroupKey{
+			class:     event.Class,
+			overQuota: overQuota,
+			slots:     int(math.Log2(request.slots)),
+			work:      int(math.Log2(request.work) / 2),
+		})
+	}
+	if m.rejectedOnArrival(request) {
+		m.rejectOrFail(request)
+		return
+	}
+	request.keyHash = m.ownerHash(event.Key)
+	if request.class.Serialized && event.Key != "" {
+		m.joinKeyQueue(request, event.Key)
+	}
+	m.emit(Action{Kind: SetTimer, Timer: request.id, Delay: request.deadline - m.now})
+	m.unanswered = append(m.unanswered, request)
+	m.scheduleSweep()
+	m.enqueue(request)
+	m.requestHealthChecks()
+}
+
+// rejectedOnArrival tells whether a request that has just arrived is rejected at once.
+func (m *Machine) rejectedOnArrival(request *request) bool {
+	return request.deadline <= m.now || m.worthless(request) ||
+		!m.paysPrices(request) || m.delaysOthers(request)
+}
+
+// newRequest takes in what an arrival tells of a request, and the hint of its work into the mean of its
+// class. The deadline lies two ticks early: one for the timer, one for the answer's way.
+func (m *Machine) newRequest(event *Event) *request {
+	request := &request{id: event.Request, class: &m.settings.Classes[event.Class], slots: 1}
+	request.deadline = m.now + min(event.TimeLeft, request.class.Deadline) - 2*m.settings.Tick
+	if event.Slots > 0 && event.Slots < maxSlots {
+		request.slots = event.Slots
+	}
+	classMean := &m.classMeanWork[event.Class]
+	request.work = *classMean
+	request.classMeanWork = *classMean
+	if event.Work > 0 {
+		hint := min(event.Work, maxWorkDeadlines*request.class.Deadline)
+		request.work = max(hint, m.settings.Tick).Seconds()
+		request.holdTime = request.work
+		*classMean += (request.work - *classMean) / meanSpan
+	}
+	request.cost = request.slots * request.work
+	request.value = request.class.PriorityWeight
+	if m.settings.WeightByWork {
+		request.value *= request.work
+	}
+	return request
+}
+
+// elapsedSinceFirstTry tells for how long the client has waited already: the latency objective runs from
+// its first try, and a retry, or what was held up on its way, has less time left.
+func (m *Machine) elapsedSinceFirstTry(request *request, event *Event) time.Duration {
+	longest := &m.maxTimeLeft[event.Class]
+	*longest = max(*longest, min(event.TimeLeft, request.class.Deadline))
+	if event.ClientRetry {
+		return max(request.class.Deadline-event.TimeLeft, 0)
+	}
+	return max(*longest-event.TimeLeft, 0)
+}
+
+// worthless tells whether an answer earns nothing any more.
+func (m *Machine) worthless(request *request) bool {
+	return m.now >= request.objective && request.class.LateWeight <= 0
+}
+
+// tryAssign starts an attempt, unless the key's turn, the retry budget, the concurrency ceiling, the token
+// bucket or the lack of a fit worker forbids it.
+func (m *Machine) tryAssign(request *request) bool {
+	if request.ended || m.awaitsKey(request) {
+		return false
+	}
+	if !m.withinRetryBudget(request) || !m.withinConcurrency(request) {
+		return false
+	}
+	m.inFlight += request.slots
+	m.refillBucket()
+	var worker *worker
+	if m.bucketTokens >= min(request.cost, m.bucketCapacity()) {
+		worker = m.pickWorker(request)
+	}
+	if worker == nil {
+		m.inFlight -= request.slots
+		return false
+	}
+	m.bucketTokens -= request.cost
+	m.closeStaleConnections(worker)
+	if worker.ejected { // this is a trial: the next one comes later
+		m.scheduleTrial(worker)
+	}
+	m.startAttempt(request, worker)
+	return true
+}
--- a/decision/capacity_test.go
+++ b/decision/capacity_test.go
@@ -13,30 +13,42 @@
 // fleetSizes are a decade apart; the last is the size that the design must carry.
 var fleetSizes = []int{200, 2100, 21000}
 
-// capacityZones is over how many zones the workers of capacityRig are spread.
-const capacityZones = 17
+// largeFleetZones is over how many zones the workers of newLargeFleet are spread.
+const largeFleetZones = 17
 
-// capacityRig has a fleet over many zones, of which every coldEvery-th worker has just started; 0: none.
-func capacityRig(t testing.TB, workers, coldEvery int) (*Machine, []Endpoint) {
+// newLargeFleet has a fleet over many zones, of which every warmingEvery-th worker has just started; 0: none.
+func newLargeFleet(t testing.TB, workers, warmingEvery int) (*Machine, []Endpoint) {
 	t.Helper()
-	s := testSettings()
-	s.Peers, s.CrossZoneCost, s.StartNotices = 300, 0.05, true
-	s.Classes = append(s.Classes, Class{PriorityWeight: 1, Deadline: 5 * time.Second, Kinds: []int{1}})
-	d, err := New(s, 1)
+	settings := testSettings()
+	settings.Peers = 300
+	settings.CrossZoneCost = 0.05
+	settings.StartNotices = true
+	settings.Classes = append(
+		settings.Classes,
+		Class{PriorityWeight: 1, Deadline: 5 * time.Second, Kinds: []int{1}},
+	)
+	machine, err := New(settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	const start = time.Hour
 	list := make([]Endpoint, workers)
 	for i := range list {
-		list[i] = Endpoint{Name: fmt.Sprintf("w%d", i), Zone: i % capacityZones, Kind: i % 3, Cell: i % 1000, State: Running}
-		if coldEvery > 0 && i%coldEvery == 0 {
+		list[i] = Endpoint{
+			Name:  fmt.Sprintf("w%d", i),
+			Zone:  i % largeFleetZones,
+			Kind:  i % 3,
+			Cell:  i % 1000,
+			State: Running,
+		}
+		if warmingEvery > 0 && i%warmingEvery == 0 {
 			list[i].StartedAt = start
 		}
 	}
-	d.Handle(start, Event{Kind: ListUpdated, ListKind: ListCached, Endpoints: list}, nil)
-	d.perSlot, d.perRate = 1e6, 1e6 // no ceiling binds: what is measured is the pick
-	return d, list
+	machine.Handle(start, Event{Kind: ListUpdated, ListKind: ListCached, Endpoints: list}, nil)
+	machine.concurrencyPerWorker = 1e6
+	machine.workRatePerWorker = 1e6 // no ceiling binds: what is measured is the pick
+	return machine, list
 }
 
 // BenchmarkDelta is one worker that drains, or comes back, by a delta of its own.
@@ -65,38 +77,51 @@
 func benchmarkDeltas(b *testing.B, entry func(list []Endpoint, i int) Endpoint) {
 	for _, workers := range fleetSizes {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
-			d, list := capacityRig(b, workers, 0)
+			machine, list := newLargeFleet(b, workers, 0)
 			var out []Action
 			entries := make([]Endpoint, 1)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				entries[0] = entry(list, i)
-				out = d.Handle(d.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: entries}, out[:0])
+				out = machine.Handle(
+					machine.now,
+					Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: entries},
+					out[:0],
+				)
 			}
 		})
 	}
 }
 
-// BenchmarkPick is an arrival that is placed and answered, with all workers warm and with a tenth of them cold.
+// BenchmarkPick is an arrival that is placed and answered, with all workers warm and with a tenth of them
+// in slow start.
 func BenchmarkPick(b *testing.B) {
-	for _, coldEvery := range []int{0, 10} {
+	for _, warmingEvery := range []int{0, 10} {
 		for _, workers := range fleetSizes {
-			b.Run(fmt.Sprintf("%d/cold-every-%d", workers, coldEvery), func(b *testing.B) {
-				d, _ := capacityRig(b, workers, coldEvery)
+			b.Run(fmt.Sprintf("%d/warming-every-%d", workers, warmingEvery), func(b *testing.B) {
+				machine, _ := newLargeFleet(b, workers, warmingEvery)
 				var out []Action
-				now := d.now
+				now := machine.now
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
-					now += time.Microsecond // the cold stay cold
+					now += time.Microsecond // workers in slow start stay there
 					if i%1000 == 0 {
-						out = d.Handle(now, Event{Kind: TimerFired, Timer: beatTimer}, out[:0])
+						out = machine.Handle(now, Event{Kind: TimerFired, Timer: sweepTimer}, out[:0])
 					}
 					id := uint64(i + 1)
-					out = d.Handle(now, Event{Kind: RequestArrived, Request: id, Slots: 1, Work: 10 * time.Millisecond,
-						TimeLeft: 5 * time.Second}, out[:0])
-					if a := find(out, Assign); a != nil {
-						out = d.Handle(now, Event{Kind: AttemptEnded, Request: id, Worker: a.Worker, Outcome: Completed,
-							Answered: true}, out[:0])
+					out = machine.Handle(
+						now,
+						Event{Kind: RequestArrived, Request: id, Slots: 1, Work: 10 * time.Millisecond,
+							TimeLeft: 5 * time.Second},
+						out[:0],
+					)
+					if action := findAction(out, Assign); action != nil {
+						out = machine.Handle(
+							now,
+							Event{Kind: AttemptEnded, Request: id, Worker: action.Worker, Outcome: Completed,
+								Answered: true},
+							out[:0],
+						)
 					}
 				}
 			})
@@ -104,62 +129,80 @@
 	}
 }
 
-// listsOf are the lists of a dispatcher in which each worker knows its place.
-func listsOf(d *Machine) map[listID][]*worker {
-	return map[listID][]*worker{inFleet: d.fleet, inPool: d.pool, inNear: d.near, inFresh: d.fresh}
+// listsOf returns the lists in which each worker knows its position.
+func listsOf(machine *Machine) map[listID][]*worker {
+	return map[listID][]*worker{
+		inFleet:            machine.fleet,
+		inWarmWorkers:      machine.warmWorkers,
+		inLocalWarmWorkers: machine.localWarmWorkers,
+		inWarmingUp:        machine.warmingUp,
+	}
 }
 
-// A delta of one worker must take no work that goes with the fleet: it reads no other worker, but for the one that
-// takes its place in a list, and allocates nothing. All others are nil here, and a walk over them would panic.
+// A delta of one worker must take no work that goes with the fleet: it reads no other worker, but for the
+// one that takes its position in a list, and allocates nothing. All others are nil here, and a walk over
+// them would panic.
 func TestDeltaReadsNoOtherWorker(t *testing.T) {
 	const workers = 21000
-	for _, index := range []int{1700, 1717} { // both of the own zone, the first one cold
-		deltaReadsNoOtherWorker(t, workers, index)
+	for _, index := range []int{1700, 1717} { // both in the own zone, the first one in slow start
+		checkDeltaReadsNoOtherWorker(t, workers, index)
 	}
 }
 
-func deltaReadsNoOtherWorker(t *testing.T, workers, index int) {
+// checkDeltaReadsNoOtherWorker changes the worker with that index, to each state.
+func checkDeltaReadsNoOtherWorker(t *testing.T, workers, index int) {
 	changed := fmt.Sprintf("w%d", index)
 	for _, state := range []WorkerState{Running, Draining, Removed} {
-		d, list := capacityRig(t, workers, 10)
-		w := d.workers[changed]
-		if cold := index%10 == 0; (w.place[inFresh] > 0) != cold || (w.place[inNear] > 0) == cold {
-			t.Fatalf("%s stands in the wrong lists: %v", changed, w.place)
+		machine, list := newLargeFleet(t, workers, 10)
+		worker := machine.workers[changed]
+		if warming := index%10 == 0; (worker.positions[inWarmingUp] > 0) != warming ||
+			(worker.positions[inLocalWarmWorkers] > 0) == warming {
+			t.Fatalf("%s stands in the wrong lists: %v", changed, worker.positions)
 		}
-		for id, members := range listsOf(d) {
+		for id, members := range listsOf(machine) {
 			for i, other := range members[:len(members)-1] { // the last one takes the place
-				if i != w.place[id]-1 {
-					delete(d.workers, other.Name)
-					d.workers["nobody "+other.Name] = nil
+				if i != worker.positions[id]-1 {
+					delete(machine.workers, other.Name)
+					machine.workers["unknown "+other.Name] = nil
 					members[i] = nil
 				}
 			}
 		}
-		e := list[index]
-		if e.Name != changed {
-			t.Fatalf("%s is changed", e.Name)
+		endpoint := list[index]
+		if endpoint.Name != changed {
+			t.Fatalf("%s is changed", endpoint.Name)
 		}
-		e.State = state
-		d.Handle(d.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{e}}, nil)
-		if gone := d.workers[changed] == nil; gone != (state == Removed) {
+		endpoint.State = state
+		machine.Handle(
+			machine.now,
+			Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{endpoint}},
+			nil,
+		)
+		if gone := machine.workers[changed] == nil; gone != (state == Removed) {
 			t.Errorf("state %v: gone: %v", state, gone)
 		}
 	}
 }
 
-// The same for one that comes, in allocations: what it is itself, however large the fleet.
-func TestDeltaAllocatesByItsEntries(t *testing.T) {
+// The same for a worker that comes, in allocations: what it is itself, however large the fleet.
+func TestDeltaAllocatesByItsLength(t *testing.T) {
 	allocated := map[int]float64{}
 	for _, workers := range fleetSizes {
-		d, list := capacityRig(t, workers, 0)
-		out, entries, i := make([]Action, 0, 8), make([]Endpoint, 1), 0
+		machine, list := newLargeFleet(t, workers, 0)
+		out := make([]Action, 0, 8)
+		entries := make([]Endpoint, 1)
+		i := 0
 		allocated[workers] = testing.AllocsPerRun(500, func() {
 			entries[0] = list[i/2%workers]
 			if i%2 == 0 {
 				entries[0].State = Removed
 			}
 			i++
-			out = d.Handle(d.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: entries}, out[:0])
+			out = machine.Handle(
+				machine.now,
+				Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: entries},
+				out[:0],
+			)
 		})
 	}
 	if allocated[21000] > allocated[200]+1 {
@@ -167,24 +210,28 @@
 	}
 }
 
-// What is kept by difference must be what a count anew gives, whatever the lists say: names that stand twice, restarts,
-// workers that go and come, unknown ones that are gone, complete lists between deltas. Two dispatchers with one seed
-// do the same, the ring included.
-func TestListsAgreeWithACountAnew(t *testing.T) {
+// What is kept incrementally must be what a recount gives, whatever the lists say: names that stand twice,
+// restarts, workers that go and come, unknown ones that are gone, complete lists between deltas. Two
+// machines with one seed do the same, the ring included.
+func TestIncrementalCountsAgreeWithARecount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := testSettings()
-		s.CrossZoneCost, s.CacheMissCost = 0.05, 0.1
-		s.Classes = append(s.Classes, Class{PriorityWeight: 1, Deadline: 5 * time.Second, Kinds: []int{1}, Zones: []int{0}})
-		a, errA := New(s, 7)
-		b, errB := New(s, 7)
+		settings := testSettings()
+		settings.CrossZoneCost = 0.05
+		settings.CacheMissCost = 0.1
+		settings.Classes = append(
+			settings.Classes,
+			Class{PriorityWeight: 1, Deadline: 5 * time.Second, Kinds: []int{1}, Zones: []int{0}},
+		)
+		a, errA := New(settings, 7)
+		b, errB := New(settings, 7)
 		if errA != nil || errB != nil {
 			t.Fatal(errA, errB)
 		}
 		now := time.Hour
 		names := rapid.IntRange(1, 60).Draw(t, "names")
-		both := func(ev Event) []Action {
-			did := a.Handle(now, ev, nil)
-			if other := b.Handle(now, ev, nil); !slices.Equal(did, other) {
+		both := func(event Event) []Action {
+			did := a.Handle(now, event, nil)
+			if other := b.Handle(now, event, nil); !slices.Equal(did, other) {
 				t.Fatalf("one seed, two ways: %v and %v", did, other)
 			}
 			return did
@@ -196,122 +243,164 @@
 				entries = append(entries, Endpoint{
 					Name: fmt.Sprintf("w%d", rapid.IntRange(0, names-1).Draw(t, "worker")),
 					Zone: rapid.IntRange(0, 2).Draw(t, "zone"), Kind: rapid.IntRange(0, 2).Draw(t, "kind"),
-					State:     rapid.SampledFrom([]WorkerState{Running, Running, Draining, Removed}).Draw(t, "state"),
+					State: rapid.SampledFrom([]WorkerState{Running, Running, Draining, Removed}).
+						Draw(t, "state"),
 					StartedAt: now - time.Duration(rapid.IntRange(0, 12000).Draw(t, "age"))*time.Millisecond,
 				})
 			}
-			kind := rapid.SampledFrom([]ListKind{ListDelta, ListDelta, ListDelta, ListSnapshot}).Draw(t, "list")
+			kind := rapid.SampledFrom([]ListKind{ListDelta, ListDelta, ListDelta, ListSnapshot}).
+				Draw(t, "list")
 			both(Event{Kind: ListUpdated, ListKind: kind, Endpoints: entries})
-			if len(a.fleet) > 0 && rapid.Bool().Draw(t, "suspect") {
+			if len(a.fleet) > 0 && rapid.Bool().Draw(t, "ejected") {
 				i := rapid.IntRange(0, len(a.fleet)-1).Draw(t, "which")
-				a.judge(a.fleet[i], 1, "fails")
-				b.judge(b.fleet[i], 1, "fails")
-				a.actions, b.actions = nil, nil
+				a.setFailureScore(a.fleet[i], 1, attemptsFail)
+				b.setFailureScore(b.fleet[i], 1, attemptsFail)
+				a.actions = nil
+				b.actions = nil
 			}
 			if rapid.Bool().Draw(t, "arrival") {
 				id := uint64(step + 1)
-				did := both(Event{Kind: RequestArrived, Request: id, Slots: 1, Work: 10 * time.Millisecond, TimeLeft: 5 * time.Second,
-					Key: rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "key")})
-				if assigned := find(did, Assign); assigned != nil && rapid.Bool().Draw(t, "answered") {
-					both(Event{Kind: AttemptEnded, Request: id, Worker: assigned.Worker, Outcome: Completed, Answered: true})
+				did := both(
+					Event{
+						Kind:     RequestArrived,
+						Request:  id,
+						Slots:    1,
+						Work:     10 * time.Millisecond,
+						TimeLeft: 5 * time.Second,
+						Key:      rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "key"),
+					},
+				)
+				if assigned := findAction(did, Assign); assigned != nil && rapid.Bool().Draw(t, "answered") {
+					both(
+						Event{
+							Kind:     AttemptEnded,
+							Request:  id,
+							Worker:   assigned.Worker,
+							Outcome:  Completed,
+							Answered: true,
+						},
+					)
 				}
 			}
-			if rapid.Bool().Draw(t, "beat") {
-				both(Event{Kind: TimerFired, Timer: beatTimer})
+			if rapid.Bool().Draw(t, "sweep") {
+				both(Event{Kind: TimerFired, Timer: sweepTimer})
 			}
-			countAnew(t, a)
+			recount(t, a)
 		}
 	})
 }
 
-// countAnew checks all that a dispatcher keeps of its workers by difference.
-func countAnew(t *rapid.T, d *Machine) {
+// recount checks all counts and lists of workers that are kept incrementally.
+func recount(t *rapid.T, machine *Machine) {
 	t.Helper()
-	if len(d.fleet) != len(d.workers) {
-		t.Fatalf("%d in the fleet, %d known", len(d.fleet), len(d.workers))
+	if len(machine.fleet) != len(machine.workers) {
+		t.Fatalf("%d in the fleet, %d known", len(machine.fleet), len(machine.workers))
 	}
-	running, suspects, open := 0, 0, map[*Class]int{}
-	for _, w := range d.fleet {
-		if d.workers[w.Name] != w || w.State == Removed {
-			t.Fatalf("in the fleet and not known, or gone: %+v", w.Endpoint)
+	running := 0
+	ejected := 0
+	eligible := map[*Class]int{}
+	for _, worker := range machine.fleet {
+		if machine.workers[worker.Name] != worker || worker.State == Removed {
+			t.Fatalf("in the fleet and not known, or gone: %+v", worker.Endpoint)
 		}
-		cold := w.place[inFresh] > 0 // until the next sweep it stands with the cold ones, though it may be warm by now
-		if !cold && d.warmth(w) < 1 || cold == (w.place[inPool] > 0) ||
-			(!cold && w.Zone == d.s.Zone) != (w.place[inNear] > 0) {
-			t.Fatalf("in the wrong lists: %+v, %v", w.Endpoint, w.place)
+		warming := worker.positions[inWarmingUp] > 0 // until the next sweep, though it may have warmed up
+		local := !warming && worker.Zone == machine.settings.Zone
+		if !warming && machine.capacityFraction(worker) < 1 ||
+			warming == (worker.positions[inWarmWorkers] > 0) ||
+			local != (worker.positions[inLocalWarmWorkers] > 0) {
+			t.Fatalf("in the wrong lists: %+v, %v", worker.Endpoint, worker.positions)
 		}
-		if w.State != Running {
+		if worker.State != Running {
 			continue
 		}
 		running++
-		if w.suspect {
-			suspects++
+		if worker.ejected {
+			ejected++
 		}
-		for i := range d.s.Classes {
-			if c := &d.s.Classes[i]; c.mayRunOn(w) {
-				open[c]++
+		for i := range machine.settings.Classes {
+			if class := &machine.settings.Classes[i]; class.mayRunOn(worker) {
+				eligible[class]++
 			}
 		}
 	}
-	if d.running != running || d.suspects != suspects || !maps.Equal(d.open, open) {
-		t.Fatalf("%d run, %d of them suspects, open %v; counted %d, %d, %v",
-			d.running, d.suspects, d.open, running, suspects, open)
+	if machine.runningCount != running || machine.ejectedCount != ejected ||
+		!maps.Equal(machine.eligible, eligible) {
+		t.Fatalf("%d run, %d of them ejected, open %v; counted %d, %d, %v",
+			machine.runningCount, machine.ejectedCount, machine.eligible, running, ejected, eligible)
 	}
-	for id, members := range listsOf(d) {
-		for i, w := range members {
-			if w.place[id] != i+1 || d.workers[w.Name] != w {
-				t.Fatalf("list %v: %s stands at %d and takes itself to be at %d", id, w.Name, i, w.place[id]-1)
+	for id, members := range listsOf(machine) {
+		for i, worker := range members {
+			if worker.positions[id] != i+1 || machine.workers[worker.Name] != worker {
+				t.Fatalf(
+					"list %v: %s stands at %d and takes itself to be at %d",
+					id,
+					worker.Name,
+					i,
+					worker.positions[id]-1,
+				)
 			}
 		}
 	}
-	if d.updateRing(); len(d.ring) != len(d.fleet) || !slices.IsSortedFunc(d.ring, byHash) {
-		t.Fatalf("%d on the ring, of %d; in order: %v", len(d.ring), len(d.fleet), slices.IsSortedFunc(d.ring, byHash))
+	machine.updateRing()
+	if len(machine.ring) != len(machine.fleet) ||
+		!slices.IsSortedFunc(machine.ring, compareByHash) {
+		t.Fatalf(
+			"%d on the ring, of %d; in order: %v",
+			len(machine.ring),
+			len(machine.fleet),
+			slices.IsSortedFunc(machine.ring, compareByHash),
+		)
 	}
-	for _, w := range d.ring {
-		if d.workers[w.Name] != w {
-			t.Fatalf("%s is on the ring and not known", w.Name)
+	for _, worker := range machine.ring {
+		if machine.workers[worker.Name] != worker {
+			t.Fatalf("%s is on the ring and not known", worker.Name)
 		}
 	}
 }
 
-// A pick must draw a bounded number of cold workers, however many there are, and all of them in turn.
-func TestColdDrawsAreBoundedAndInTurn(t *testing.T) {
-	d, _ := capacityRig(t, 21000, 1)
+// A pick must draw a bounded number of workers in slow start, however many there are, and all of them in
+// turn.
+func TestDrawsInSlowStartAreBoundedAndFair(t *testing.T) {
+	machine, _ := newLargeFleet(t, 21000, 1)
 	drawn := map[*worker]int{}
-	rounds := (len(d.fresh) + coldDraws - 1) / coldDraws
+	rounds := (len(machine.warmingUp) + maxWarmingUpDraws - 1) / maxWarmingUpDraws
 	for range 3 * rounds {
-		members := d.nextFresh()
-		if len(members) == 0 || len(members) > coldDraws {
-			t.Fatalf("%d cold workers are drawn for one pick", len(members))
+		members := machine.nextWarmingUp()
+		if len(members) == 0 || len(members) > maxWarmingUpDraws {
+			t.Fatalf("%d workers in slow start are drawn for one pick", len(members))
 		}
-		for _, w := range members {
-			drawn[w]++
+		for _, worker := range members {
+			drawn[worker]++
 		}
 	}
-	for _, w := range d.fresh {
-		if drawn[w] != 3 {
-			t.Fatalf("%s was drawn %d times in three rounds", w.Name, drawn[w])
+	for _, worker := range machine.warmingUp {
+		if drawn[worker] != 3 {
+			t.Fatalf("%s was drawn %d times in three rounds", worker.Name, drawn[worker])
 		}
 	}
-	before := slices.Clone(d.fresh)
-	d.Handle(d.now, Event{Kind: RequestArrived, Request: 1, Slots: 1, Work: time.Second, TimeLeft: 5 * time.Second}, nil)
+	before := slices.Clone(machine.warmingUp)
+	machine.Handle(
+		machine.now,
+		Event{Kind: RequestArrived, Request: 1, Slots: 1, Work: time.Second, TimeLeft: 5 * time.Second},
+		nil,
+	)
 	moved := 0
-	for i, w := range d.fresh {
-		if w != before[i] {
+	for i, worker := range machine.warmingUp {
+		if worker != before[i] {
 			moved++
 		}
 	}
-	if moved > 2*coldDraws {
-		t.Fatalf("%d cold workers were moved for one pick", moved)
+	if moved > 2*maxWarmingUpDraws {
+		t.Fatalf("%d workers in slow start were moved for one pick", moved)
 	}
 }
 
-// Every newcomer must get work before it is warm, where there is traffic enough: none is passed over since there are
-// many of them.
-func TestEveryNewcomerGetsWorkWhileCold(t *testing.T) {
+// Every new worker must get requests before it has warmed up, where there is traffic enough: none is passed
+// over since there are many of them.
+func TestEveryWorkerGetsRequestsInSlowStart(t *testing.T) {
 	const workers, perSecond = 2100, 2000
-	s := testSettings()
-	d, err := New(s, 3)
+	settings := testSettings()
+	machine, err := New(settings, 3)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -320,21 +409,37 @@
 	for i := range workers {
 		list = append(list, Endpoint{Name: fmt.Sprintf("w%d", i)})
 	}
-	d.Handle(now, Event{Kind: ListUpdated, ListKind: ListCached, Endpoints: list}, nil)
+	machine.Handle(now, Event{Kind: ListUpdated, ListKind: ListCached, Endpoints: list}, nil)
 	const step = time.Second / perSecond
-	id, served, next := uint64(0), map[string]int{}, now
+	id := uint64(0)
+	served := map[string]int{}
+	next := now
 	arrivals := func(until time.Duration) {
 		for ; now < until; now += step {
 			if now >= next {
-				next += d.beat
-				d.Handle(now, Event{Kind: TimerFired, Timer: beatTimer}, nil)
+				next += machine.sweepInterval
+				machine.Handle(now, Event{Kind: TimerFired, Timer: sweepTimer}, nil)
 			}
 			id++
-			did := d.Handle(now, Event{Kind: RequestArrived, Request: id, Slots: 1, Work: 50 * time.Millisecond,
-				TimeLeft: 5 * time.Second}, nil)
-			if a := find(did, Assign); a != nil {
-				served[a.Worker]++
-				d.Handle(now, Event{Kind: AttemptEnded, Request: id, Worker: a.Worker, Outcome: Completed, Answered: true}, nil)
+			did := machine.Handle(
+				now,
+				Event{Kind: RequestArrived, Request: id, Slots: 1, Work: 50 * time.Millisecond,
+					TimeLeft: 5 * time.Second},
+				nil,
+			)
+			if action := findAction(did, Assign); action != nil {
+				served[action.Worker]++
+				machine.Handle(
+					now,
+					Event{
+						Kind:     AttemptEnded,
+						Request:  id,
+						Worker:   action.Worker,
+						Outcome:  Completed,
+						Answered: true,
+					},
+					nil,
+				)
 			}
 		}
 	}
@@ -342,54 +447,62 @@
 	clear(served)
 	start := now
 	for i := 0; i < workers; i += 10 {
-		d.Handle(now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: fmt.Sprintf("w%d", i), StartedAt: start}}}, nil)
+		machine.Handle(
+			now,
+			Event{
+				Kind:      ListUpdated,
+				ListKind:  ListDelta,
+				Endpoints: []Endpoint{{Name: fmt.Sprintf("w%d", i), StartedAt: start}},
+			},
+			nil,
+		)
 	}
-	arrivals(start + s.SlowStartDuration)
+	arrivals(start + settings.SlowStartDuration)
 	for i := 0; i < workers; i += 10 {
 		if served[fmt.Sprintf("w%d", i)] == 0 {
-			t.Errorf("w%d got no work while it was cold", i)
+			t.Errorf("w%d got no request in slow start", i)
 		}
 	}
 }
 
-// What warm workers take is computed over some beats where they are many: no beat looks at more than shareSteps of
-// them, and the shares come to what all of them take.
-func TestSharesOfALargeFleetAreComputedInParts(t *testing.T) {
+// What warm workers take is computed over some sweeps where they are many: no sweep interval looks at more
+// than scanWorkersPerSweep of them, and the rates come to what all of them take.
+func TestWorkRatesOfALargeFleetAreScannedInParts(t *testing.T) {
 	const workers = 21000
-	d, _ := capacityRig(t, workers, 10)
-	d.horizon = 1000 * time.Hour // what was sent does not fade meanwhile
+	machine, _ := newLargeFleet(t, workers, 10)
+	machine.planningHorizon = 1000 * time.Hour // what was sent does not fade meanwhile
 	take := func(seconds float64) (share float64) {
-		for _, w := range d.fleet {
-			w.sent = fading{seconds, d.now}
+		for _, worker := range machine.fleet {
+			worker.recentWork = decayingValue{seconds, machine.now}
 		}
-		return seconds / d.horizon.Seconds()
+		return seconds / machine.planningHorizon.Seconds()
 	}
 	near := func(a, b float64) bool { return a > b*0.999 && a < b*1.001 }
 	first := take(100)
-	if got := d.warmShare(0); !near(got, first) {
+	if got := machine.warmWorkRate(0); !near(got, first) {
 		t.Fatalf("at first %v, not %v", got, first)
 	}
 	second := take(300)
-	beats := 0
-	for ; !near(d.warmShare(0), second); beats++ {
-		if beats > 2*workers/shareSteps+2 {
-			t.Fatalf("%v after %d beats, not %v", d.warmShare(0), beats, second)
+	sweeps := 0
+	for ; !near(machine.warmWorkRate(0), second); sweeps++ {
+		if sweeps > 2*workers/scanWorkersPerSweep+2 {
+			t.Fatalf("%v after %d sweeps, not %v", machine.warmWorkRate(0), sweeps, second)
 		}
-		if at := d.sharePass.next; at%shareSteps != 0 || at > workers {
-			t.Fatalf("%d workers were looked at after %d beats", at, beats)
+		if at := machine.warmWorkRateScan.next; at%scanWorkersPerSweep != 0 || at > workers {
+			t.Fatalf("%d workers were looked at after %d sweeps", at, sweeps)
 		}
-		d.now += d.beat
+		machine.now += machine.sweepInterval
 	}
-	if beats < workers/shareSteps {
-		t.Errorf("%d beats for %d workers, of which one looks at %d", beats, workers, shareSteps)
+	if sweeps < workers/scanWorkersPerSweep {
+		t.Errorf("%d sweeps for %d workers, of which one looks at %d", sweeps, workers, scanWorkersPerSweep)
 	}
-	small, _ := capacityRig(t, shareSteps, 10)
-	small.warmShare(0)
-	for _, w := range small.fleet {
-		w.sent = fading{100, small.now + small.beat}
+	small, _ := newLargeFleet(t, scanWorkersPerSweep, 10)
+	small.warmWorkRate(0)
+	for _, worker := range small.fleet {
+		worker.recentWork = decayingValue{100, small.now + small.sweepInterval}
 	}
-	small.now += small.beat
-	if got, want := small.warmShare(0), 100/small.horizon.Seconds(); !near(got, want) {
-		t.Errorf("a fleet that one beat looks at whole has %v, not %v", got, want)
+	small.now += small.sweepInterval
+	if got, want := small.warmWorkRate(0), 100/small.planningHorizon.Seconds(); !near(got, want) {
+		t.Errorf("a fleet that one sweep looks at whole has %v, not %v", got, want)
 	}
 }
--- /dev/null
+++ b/decision/endpoints.go
@@ -0,0 +1,190 @@
+package decision
+
+import (
+	"slices"
+	"time"
+)
+
+// After a failure the endpoint list is asked for again after a backoff, from a twentieth of
+// ListPollInterval up to half of it. In a large fleet all calls are spread over time besides: measured with
+// 36 and 300 dispatchers, so that a list service that answers seven calls a second keeps up, and three
+// calls that fail still fit into ListPollInterval.
+const (
+	minListBackoffPart     = 20    // inverse of the smallest backoff's part of ListPollInterval
+	maxListBackoffPart     = 2     // inverse of the largest one's
+	listBackoffJitter      = 0.5   // a wait is at least this part of the backoff, and at most the whole
+	subscribeSpreadPerPeer = 0.008 // part of ListPollInterval that each dispatcher above the threshold adds
+	maxSubscribeSpread     = 0.25  // part of ListPollInterval
+)
+
+// handleList takes in the endpoint list, or that a call for it has failed: then the old list stands.
+func (m *Machine) handleList(event Event) {
+	if event.ListKind == ListFailed {
+		m.retrySubscribe()
+		return
+	}
+	m.listBackoff = 0
+	if event.ListKind == ListCached && m.settings.ListBySubscription {
+		delay := m.subscribeDelay()
+		if delay > 0 {
+			m.emit(Action{Kind: SetTimer, Timer: subscribeTimer, Delay: delay})
+		} else {
+			m.emit(Action{Kind: Subscribe})
+		}
+	}
+	m.applyList(event)
+}
+
+// retrySubscribe schedules the next call for the list after one that failed.
+func (m *Machine) retrySubscribe() {
+	smallest := m.settings.ListPollInterval / minListBackoffPart
+	largest := max(m.settings.ListPollInterval/maxListBackoffPart, m.settings.Tick)
+	m.listBackoff = min(max(2*m.listBackoff, smallest), largest)
+	jitter := listBackoffJitter + m.random.Float64()/2
+	wait := seconds(m.listBackoff.Seconds()*jitter) + m.subscribeDelay()
+	m.emit(Action{Kind: SetTimer, Timer: subscribeTimer, Delay: wait})
+	m.logf("worker list unavailable, asking again in %v", wait)
+}
+
+// subscribeDelay is a random wait before a call for the list, so that a large fleet does not call at once.
+func (m *Machine) subscribeDelay() time.Duration {
+	if !m.settings.LargeFleet() {
+		return 0
+	}
+	part := min(float64(m.settings.Peers-largeFleetThreshold)*subscribeSpreadPerPeer, maxSubscribeSpread)
+	return seconds(part * m.settings.ListPollInterval.Seconds() * m.random.Float64())
+}
+
+// applyList applies a list to the known workers. The work for a delta goes with its length, not with the
+// fleet's. A list may name a worker twice: the last entry counts, so removals come after all of them.
+func (m *Machine) applyList(event Event) {
+	complete := event.ListKind != ListDelta
+	if complete {
+		m.snapshots++
+		m.warmWorkRatesAt = 0
+	}
+	if m.settings.LoadAdjustedWeights {
+		for _, endpoint := range event.Endpoints {
+			m.nominalWeight[endpoint.Kind] = max(m.nominalWeight[endpoint.Kind], endpoint.Weight)
+		}
+	}
+	for _, endpoint := range event.Endpoints {
+		m.applyEndpoint(endpoint, !complete)
+	}
+	for _, endpoint := range event.Endpoints {
+		worker := m.workers[endpoint.Name]
+		if worker != nil && worker.State == Removed {
+			m.removeWorker(worker)
+		}
+	}
+	if complete {
+		m.removeUnlisted()
+	}
+}
+
+// removeUnlisted removes the workers that the latest complete list lacks.
+func (m *Machine) removeUnlisted() {
+	for i := len(m.fleet) - 1; i >= 0; i-- {
+		worker := m.fleet[i]
+		if worker.lastSnapshot != m.snapshots {
+			m.removeWorker(worker)
+		}
+	}
+}
+
+// applyEndpoint takes in what a list says of one worker; delta tells that its start is news.
+func (m *Machine) applyEndpoint(endpoint Endpoint, delta bool) {
+	worker := m.workers[endpoint.Name]
+	listedStart := endpoint.StartedAt
+	switch {
+	case worker == nil && endpoint.State == Removed:
+		return
+	case worker == nil:
+		worker = newWorker(endpoint.Name, m.now)
+		endpoint.StartedAt = m.startTime(listedStart, delta)
+		m.workers[endpoint.Name] = worker
+		m.fleet = appendToList(m.fleet, inFleet, worker)
+		m.ringChanged(worker)
+		m.markZoneReachable(endpoint.Zone)
+	case listedStart > worker.listedStart:
+		m.setEjected(worker, false)
+		m.countRunning(worker, -1)
+		m.markZoneReachable(endpoint.Zone) // workers start there
+		*worker = worker.restarted(m.now)
+		endpoint.StartedAt = m.startTime(listedStart, delta)
+	default:
+		m.countRunning(worker, -1)
+		if listedStart == worker.listedStart {
+			endpoint.StartedAt = worker.StartedAt
+		}
+	}
+	worker.Endpoint = endpoint
+	worker.lastSnapshot = m.snapshots
+	worker.listedStart = listedStart
+	m.countRunning(worker, 1)
+	m.placeInLists(worker)
+	if m.settings.LoadAdjustedWeights && endpoint.Weight > 0 {
+		worker.othersOutstanding = m.nominalWeight[endpoint.Kind]/endpoint.Weight - 1
+		worker.othersOutstandingAt = m.now
+	}
+}
+
+// removeWorker forgets a worker that is gone. Attempts there go on.
+func (m *Machine) removeWorker(worker *worker) {
+	m.setSuspended([]Endpoint{worker.Endpoint}, false)
+	m.countRunning(worker, -1)
+	worker.State = Removed
+	delete(m.workers, worker.Name)
+	m.fleet = removeFromList(m.fleet, inFleet, worker)
+	m.warmWorkers = removeFromList(m.warmWorkers, inWarmWorkers, worker)
+	m.localWarmWorkers = removeFromList(m.localWarmWorkers, inLocalWarmWorkers, worker)
+	m.warmingUp = removeFromList(m.warmingUp, inWarmingUp, worker)
+	m.ringChanged(worker)
+}
+
+// countRunning adds a worker, with sign 1, or takes it off, with sign -1, where those that run are counted.
+func (m *Machine) countRunning(worker *worker, sign int) {
+	if worker.State != Running {
+		return
+	}
+	m.runningCount += sign
+	if worker.ejected {
+		m.ejectedCount += sign
+	}
+	for i := range m.settings.Classes {
+		class := &m.settings.Classes[i]
+		if !class.mayRunOn(worker) {
+			continue
+		}
+		m.eligible[class] += sign
+		if m.eligible[class] == 0 {
+			delete(m.eligible, class)
+		}
+	}
+}
+
+// setSuspended suspends workers, or resumes them. Attempts there go on.
+func (m *Machine) setSuspended(endpoints []Endpoint, suspended bool) {
+	for _, endpoint := range endpoints {
+		worker := m.workers[endpoint.Name]
+		if worker == nil || worker.suspended == suspended {
+			continue
+		}
+		worker.suspended = suspended
+		if suspended {
+			m.suspendedCount++
+		} else {
+			m.suspendedCount--
+		}
+	}
+}
+
+// allSuspended tells whether there are suspended workers and no running one may be sent to.
+func (m *Machine) allSuspended() bool {
+	if m.suspendedCount == 0 {
+		return false
+	}
+	return !slices.ContainsFunc(m.fleet, func(worker *worker) bool {
+		return worker.State == Running && !worker.suspended
+	})
+}
--- /dev/null
+++ b/decision/rig_test.go
@@ -0,0 +1,132 @@
+package decision
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// initialCeiling is the ceiling per worker that a dispatcher of testSettings starts with.
+const initialCeiling = initialSlotsPerWorker / 2
+
+// rig drives one dispatcher by hand.
+type rig struct {
+	*Machine
+	t       *testing.T
+	actions []Action // of the last event
+	next    uint64
+}
+
+// handle feeds an event and keeps the actions.
+func (r *rig) handle(now time.Duration, event Event) []Action {
+	r.actions = r.Handle(now, event, nil)
+	return r.actions
+}
+
+// arrive brings a request of the class with a hint of one second and returns its id.
+func (r *rig) arrive(class int) uint64 { return r.arriveWithKey(class, "") }
+
+// arriveWithKey brings one with a key.
+func (r *rig) arriveWithKey(class int, key string) uint64 {
+	id := r.next
+	r.next++
+	r.handle(r.now, Event{
+		Kind: RequestArrived, Request: id, Class: class, Key: key,
+		Slots: 1, Work: time.Second, TimeLeft: 5 * time.Second,
+	})
+	return id
+}
+
+// endAttempt ends the attempt with that number; a completed one is the answer.
+func (r *rig) endAttempt(id uint64, n int, outcome AttemptOutcome, after time.Duration) []Action {
+	worker := r.requests[id].attempts[n].worker
+	return r.handle(r.now+after, Event{
+		Kind: AttemptEnded, Request: id, Attempt: n, Worker: worker.Name,
+		Outcome: outcome, Answered: outcome == Completed,
+	})
+}
+
+// assignedTo returns the worker of a request's latest attempt; empty if there is none.
+func (r *rig) assignedTo(id uint64) string {
+	request := r.requests[id]
+	if request == nil || len(request.attempts) == 0 {
+		return ""
+	}
+	return request.attempts[len(request.attempts)-1].worker.Name
+}
+
+// send brings a request of the class and returns the worker it was sent to, if any.
+func (r *rig) send(class int) string { return r.assignedTo(r.arrive(class)) }
+
+// expectAllAt brings requests one after another and fails unless each goes to the worker.
+func (r *rig) expectAllAt(worker, complaint string) {
+	r.t.Helper()
+	for range 10 {
+		id := r.arrive(0)
+		if r.assignedTo(id) != worker {
+			r.t.Fatal(complaint)
+		}
+		r.endAttempt(id, 0, Completed, time.Second)
+	}
+}
+
+// testSettings has a class of idempotent requests and one of those that must not run twice.
+func testSettings() Settings {
+	return Settings{
+		Classes: []Class{
+			{
+				PriorityWeight:   1,
+				LateWeight:       0.5,
+				LatencyObjective: 200 * time.Millisecond,
+				ObjectiveStretch: 2,
+				Deadline:         5 * time.Second,
+			},
+			{
+				PriorityWeight:   3,
+				LateWeight:       0.5,
+				LatencyObjective: 200 * time.Millisecond,
+				ObjectiveStretch: 2,
+				Deadline:         5 * time.Second,
+				Idempotency:      NonIdempotent,
+			},
+		},
+		WeightByWork: true, Peers: 2, Tick: time.Millisecond,
+		MaxAttempts: 3, Hedging: true, Cancellation: true,
+		SlowStartFloor: 0.3, SlowStartDuration: 8 * time.Second,
+		OverloadMultiple: 3, OverloadWindow: 2 * time.Second,
+		MaxRetryAfter: 2 * time.Second, ConnectTimeout: 200 * time.Millisecond, ProgressInterval: time.Second,
+		ListPollInterval: 10 * time.Second,
+	}
+}
+
+// newRig starts a dispatcher with so many workers.
+func newRig(t *testing.T, settings Settings, workers int) *rig {
+	t.Helper()
+	return newSeededRig(t, settings, workers, 1)
+}
+
+// newSeededRig is the same with a seed of its own.
+func newSeededRig(t *testing.T, settings Settings, workers int, seed uint64) *rig {
+	t.Helper()
+	machine, err := New(settings, seed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	rig := &rig{Machine: machine, t: t, next: 1}
+	var list []Endpoint
+	for i := range workers {
+		list = append(list, Endpoint{Name: fmt.Sprintf("w%d", i), State: Running})
+	}
+	rig.handle(time.Hour, Event{Kind: ListUpdated, ListKind: ListCached, Endpoints: list})
+	return rig
+}
+
+// findAction returns the first action of a kind, nil if there is none.
+func findAction(actions []Action, kind ActionKind) *Action {
+	for i := range actions {
+		if actions[i].Kind == kind {
+			return &actions[i]
+		}
+	}
+	return nil
+}
--- a/decision/rules_test.go
+++ b/decision/rules_test.go
@@ -13,7 +13,8 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	for name, value := range map[string]string{"rapid.seed": "20", "rapid.nofailfile": "true", "rapid.checks": "300"} {
+	flags := map[string]string{"rapid.seed": "20", "rapid.nofailfile": "true", "rapid.checks": "300"}
+	for name, value := range flags {
 		if err := flag.Set(name, value); err != nil {
 			panic(err)
 		}
@@ -24,42 +25,45 @@
 // answerSlack is how long after its deadline a request may still be answered.
 const answerSlack = 8 * time.Millisecond
 
-// world plays clients, workers and discovery to one dispatcher, and audits its actions against the
-// rules. Its own record of what was sent and told is independent of the module's.
-type world struct {
-	t        *rapid.T
-	s        Settings
-	d        *Machine
-	now      time.Duration
-	listed   map[string]Endpoint // as last told, gone ones included
-	names    []string
-	late     time.Duration // how long it may have stood still
-	requests map[uint64]*job
-	order    []uint64
-	nextID   uint64
-	timers   []timer
-	watching bool
-	pending  []Event         // events of this batch, fixed before any is answered
-	taken    []time.Duration // when requests came since the start, and when further attempts were sent
-	extra    []time.Duration
-	rested   map[string]time.Duration // until when a key rests
+// simulation plays clients, workers and discovery to one dispatcher, and checks its actions against
+// the rules. Its record of what was sent and reported is independent of the machine's.
+type simulation struct {
+	t             *rapid.T
+	settings      Settings
+	machine       *Machine
+	now           time.Duration
+	listed        map[string]Endpoint // as last listed, gone ones included
+	names         []string
+	stall         time.Duration // how long it may have stood still
+	requests      map[uint64]*simRequest
+	arrivalOrder  []uint64
+	nextID        uint64
+	timers        []simTimer
+	watching      bool
+	pending       []Event         // events of this batch, fixed before any is answered
+	arrivals      []time.Duration // when requests came since the start, and when further attempts were sent
+	retries       []time.Duration
+	cooldownUntil map[string]time.Duration // by key
 }
 
-type timer struct {
+// simTimer is a timer that the machine has set.
+type simTimer struct {
 	at    time.Duration
 	token uint64
 }
 
-type job struct {
+// simRequest is the simulation's record of a request.
+type simRequest struct {
 	id       uint64
 	key      string
 	class    Class
 	deadline time.Duration
-	answered bool // told to the dispatcher, or answered by it
-	sends    []send
+	answered bool // by a completed attempt or by the dispatcher
+	attempts []simAttempt
 }
 
-type send struct {
+// simAttempt is the simulation's record of an attempt.
+type simAttempt struct {
 	worker    Endpoint
 	at        time.Duration
 	done      bool
@@ -67,254 +71,291 @@
 	cancelled bool
 }
 
-func newWorld(t *rapid.T) *world {
-	repeats := []Class{
-		{Idempotency: Idempotent}, {Idempotency: NonIdempotent},
-		{Idempotency: Deduplicated, DedupScope: DedupEverywhere}, {Idempotency: Deduplicated, DedupScope: DedupWithinZone}, {Idempotency: Deduplicated, DedupScope: DedupWithinCell},
-	}
-	s := Settings{
+// newSimulation draws settings and workers, and starts a dispatcher.
+func newSimulation(t *rapid.T) *simulation {
+	classes := []Class{
+		{Idempotency: Idempotent},
+		{Idempotency: NonIdempotent},
+		{Idempotency: Deduplicated, DedupScope: DedupEverywhere},
+		{Idempotency: Deduplicated, DedupScope: DedupWithinZone},
+		{Idempotency: Deduplicated, DedupScope: DedupWithinCell},
+	}
+	settings := Settings{
 		Peers: 3, Tick: 2 * time.Millisecond,
 		ListBySubscription: rapid.Bool().Draw(t, "ask"), ListPollInterval: 10 * time.Second,
-		SlowStartFloor: 0.3, SlowStartDuration: 8 * time.Second, OverloadMultiple: 3, OverloadWindow: 2 * time.Second,
-		MaxAttempts: rapid.IntRange(1, 5).Draw(t, "attempts"), Hedging: rapid.Bool().Draw(t, "copies"),
-		Cancellation: rapid.Bool().Draw(t, "cancel"), StartNotices: rapid.Bool().Draw(t, "tells start"),
+		SlowStartFloor: 0.3, SlowStartDuration: 8 * time.Second,
+		OverloadMultiple: 3, OverloadWindow: 2 * time.Second,
+		MaxAttempts: rapid.IntRange(1, 5).Draw(t, "attempts"), Hedging: rapid.Bool().Draw(t, "hedging"),
+		Cancellation: rapid.Bool().Draw(t, "cancel"), StartNotices: rapid.Bool().Draw(t, "start notices"),
 		ProgressInterval: time.Second, WeightByWork: rapid.Bool().Draw(t, "by work"), OverQuotaWeight: 0.2,
 		MaxRetryAfter: 2 * time.Second, ConnectTimeout: 200 * time.Millisecond, CrossZoneCost: 0.05,
 	}
 	if rapid.Bool().Draw(t, "tenants") {
-		s.TenantQuotas = []float64{5, 10}
+		settings.TenantQuotas = []float64{5, 10}
 	}
-	s.SaturatedMayHaveRun = rapid.Bool().Draw(t, "full is no proof")
+	settings.SaturatedMayHaveRun = rapid.Bool().Draw(t, "full is no proof")
 	if rapid.Bool().Draw(t, "budget") {
-		s.RetryBudgetWindow, s.RetryBudgetFloor, s.RetryBudgetRatio = 2*time.Second, float64(rapid.IntRange(0, 2).Draw(t, "floor")), 0.2
+		settings.RetryBudgetWindow = 2 * time.Second
+		settings.RetryBudgetFloor = float64(rapid.IntRange(0, 2).Draw(t, "floor"))
+		settings.RetryBudgetRatio = 0.2
 	}
 	order := rapid.Bool().Draw(t, "order")
 	if order {
-		s.KeyCooldown = rapid.SampledFrom([]time.Duration{0, 300 * time.Millisecond}).Draw(t, "rest")
-	}
-	for i, c := range repeats {
-		c.PriorityWeight, c.LateWeight = float64(i+1), 0.3
-		c.LatencyObjective, c.ObjectiveStretch, c.Deadline = 200*time.Millisecond, 2, 5*time.Second
-		c.DedupWindow = rapid.SampledFrom([]time.Duration{100 * time.Millisecond, 3 * time.Second}).Draw(t, "window")
+		cooldowns := []time.Duration{0, 300 * time.Millisecond}
+		settings.KeyCooldown = rapid.SampledFrom(cooldowns).Draw(t, "cooldown")
+	}
+	for i, class := range classes {
+		class.PriorityWeight = float64(i + 1)
+		class.LateWeight = 0.3
+		class.LatencyObjective = 200 * time.Millisecond
+		class.ObjectiveStretch = 2
+		class.Deadline = 5 * time.Second
+		class.DedupWindow = rapid.SampledFrom([]time.Duration{100 * time.Millisecond, 3 * time.Second}).
+			Draw(t, "window")
 		if i == 1 && rapid.Bool().Draw(t, "kind") {
-			c.Kinds = []int{1}
+			class.Kinds = []int{1}
 		}
 		if i == 3 && rapid.Bool().Draw(t, "zone") {
-			c.Zones = []int{0}
+			class.Zones = []int{0}
 		}
-		c.Serialized = i != 2 && order
-		s.Classes = append(s.Classes, c)
+		class.Serialized = i != 2 && order
+		settings.Classes = append(settings.Classes, class)
 	}
-	w := &world{t: t, s: s, now: time.Hour, listed: map[string]Endpoint{}, nextID: 1}
+	sim := &simulation{t: t, settings: settings, now: time.Hour, listed: map[string]Endpoint{}, nextID: 1}
 	for i := range rapid.IntRange(1, 8).Draw(t, "workers") {
 		name := fmt.Sprintf("w%d", i)
-		w.names = append(w.names, name)
-		w.listed[name] = Endpoint{Name: name, Zone: i % 2, Kind: i % 2, Cell: i % 4, State: Running}
+		sim.names = append(sim.names, name)
+		sim.listed[name] = Endpoint{Name: name, Zone: i % 2, Kind: i % 2, Cell: i % 4, State: Running}
 	}
-	w.boot()
-	return w
+	sim.restart()
+	return sim
 }
 
-func (w *world) boot() {
-	d, err := New(w.s, rapid.Uint64().Draw(w.t, "seed"))
+// restart replaces the dispatcher by one that knows nothing of the requests so far.
+func (s *simulation) restart() {
+	machine, err := New(s.settings, rapid.Uint64().Draw(s.t, "seed"))
 	if err != nil {
-		w.t.Fatal(err)
-	}
-	w.d, w.requests, w.order, w.timers, w.pending, w.watching = d, map[uint64]*job{}, nil, nil, nil, false
-	w.taken, w.extra, w.rested = nil, nil, map[string]time.Duration{}
-	w.deliver(Event{Kind: ListUpdated, ListKind: ListCached, Endpoints: w.entries()})
+		s.t.Fatal(err)
+	}
+	s.machine = machine
+	s.requests = map[uint64]*simRequest{}
+	s.arrivalOrder = nil
+	s.timers = nil
+	s.pending = nil
+	s.watching = false
+	s.arrivals = nil
+	s.retries = nil
+	s.cooldownUntil = map[string]time.Duration{}
+	s.handle(Event{Kind: ListUpdated, ListKind: ListCached, Endpoints: s.entries()})
 }
 
-func (w *world) entries() (list []Endpoint) {
-	for _, name := range w.names {
-		if e := w.listed[name]; e.State != Removed {
-			list = append(list, e)
+// entries returns the workers that are listed now.
+func (s *simulation) entries() (list []Endpoint) {
+	for _, name := range s.names {
+		if endpoint := s.listed[name]; endpoint.State != Removed {
+			list = append(list, endpoint)
 		}
 	}
 	return list
 }
 
-func (w *world) deliver(ev Event) {
-	for _, a := range w.d.Handle(w.now, ev, nil) {
-		w.audit(a)
+// handle feeds an event and checks the actions.
+func (s *simulation) handle(event Event) {
+	for _, action := range s.machine.Handle(s.now, event, nil) {
+		s.check(action)
 	}
 }
 
-func (w *world) audit(a Action) {
-	j := w.requests[a.Request]
-	switch a.Kind {
+// check fails for an action that breaks a rule, and records it.
+func (s *simulation) check(action Action) {
+	request := s.requests[action.Request]
+	switch action.Kind {
 	case Assign:
-		w.auditAssign(j, a)
+		s.checkAssign(request, action)
 	case Reject, Fail:
-		if j == nil || j.answered {
-			w.t.Fatalf("a second answer, or one for an unknown request: %+v", a)
+		if request == nil || request.answered {
+			s.t.Fatalf("a second answer, or one for an unknown request: %+v", action)
 		}
-		if a.Delay < 0 {
-			w.t.Fatalf("negative delay: %+v", a)
+		if action.Delay < 0 {
+			s.t.Fatalf("negative delay: %+v", action)
 		}
-		if a.Kind == Reject && !j.refusable() {
-			w.t.Fatalf("turned away though it may have run: %+v", j)
+		if action.Kind == Reject && !request.rejectable() {
+			s.t.Fatalf("rejected though it may have run: %+v", request)
 		}
-		j.answered = true
+		request.answered = true
 	case CancelAttempt:
-		if !w.s.Cancellation || j == nil || a.Attempt >= len(j.sends) {
-			w.t.Fatalf("a stop that is not allowed or names no attempt: %+v", a)
+		if !s.settings.Cancellation || request == nil || action.Attempt >= len(request.attempts) {
+			s.t.Fatalf("a stop that is not allowed or names no attempt: %+v", action)
 		}
-		j.sends[a.Attempt].cancelled = true
+		request.attempts[action.Attempt].cancelled = true
 	case SetTimer:
-		if a.Delay < 0 {
-			w.t.Fatalf("timer in the past: %+v", a)
+		if action.Delay < 0 {
+			s.t.Fatalf("timer in the past: %+v", action)
 		}
-		w.timers = append(w.timers, timer{w.now + a.Delay, a.Timer})
+		s.timers = append(s.timers, simTimer{s.now + action.Delay, action.Timer})
 	case Subscribe:
-		if w.watching || !w.s.ListBySubscription {
-			w.t.Fatal("subscribed twice, or where the list is pushed")
+		if s.watching || !s.settings.ListBySubscription {
+			s.t.Fatal("subscribed twice, or where the list is pushed")
 		}
-		w.watching = true
+		s.watching = true
 	case CheckHealth:
-		w.t.Fatal("a probe where probing is not allowed")
+		s.t.Fatal("a health check where they are not allowed")
 	}
 }
 
-func (j *job) refusable() bool {
-	for _, s := range j.sends {
-		if !s.neverRan && (j.class.Idempotency == NonIdempotent || j.class.Idempotency == Deduplicated && j.class.DedupScope != DedupEverywhere) {
+// rejectable tells whether a repeat by the client is safe.
+func (r *simRequest) rejectable() bool {
+	for _, attempt := range r.attempts {
+		mayRepeat := r.class.Idempotency == Idempotent ||
+			r.class.Idempotency == Deduplicated && r.class.DedupScope == DedupEverywhere
+		if !attempt.neverRan && !mayRepeat {
 			return false
 		}
 	}
 	return true
 }
 
-func (w *world) auditAssign(j *job, a Action) {
-	if j == nil || j.answered {
-		w.t.Fatalf("work sent for a request that is answered or unknown: %+v", a)
-	}
-	e, ok := w.listed[a.Worker]
-	if !ok || e.State != Running {
-		w.t.Fatalf("work sent to a worker told to be draining or gone: %+v %+v", a, e)
-	}
-	if j.class.Kinds != nil && j.class.Kinds[0] != e.Kind || j.class.Zones != nil && j.class.Zones[0] != e.Zone {
-		w.t.Fatalf("a worker that is not open to the class: %+v", a)
-	}
-	w.auditTurn(j)
-	if len(j.sends) > 0 {
-		w.extra = append(w.extra, w.now)
-		extra, taken := 0, 0
-		for _, at := range w.extra {
-			if w.now-at <= w.s.RetryBudgetWindow {
+// checkAssign fails for an attempt that breaks a rule, and records it.
+func (s *simulation) checkAssign(request *simRequest, action Action) {
+	if request == nil || request.answered {
+		s.t.Fatalf("work sent for a request that is answered or unknown: %+v", action)
+	}
+	endpoint, ok := s.listed[action.Worker]
+	if !ok || endpoint.State != Running {
+		s.t.Fatalf("work sent to a worker that is draining or gone: %+v %+v", action, endpoint)
+	}
+	if request.class.Kinds != nil && request.class.Kinds[0] != endpoint.Kind ||
+		request.class.Zones != nil && request.class.Zones[0] != endpoint.Zone {
+		s.t.Fatalf("a worker that is not open to the class: %+v", action)
+	}
+	s.checkSerialization(request)
+	if len(request.attempts) > 0 {
+		s.retries = append(s.retries, s.now)
+		extra := 0
+		taken := 0
+		for _, at := range s.retries {
+			if s.now-at <= s.settings.RetryBudgetWindow {
 				extra++
 			}
 		}
-		for _, at := range w.taken {
-			if w.now-at < w.s.RetryBudgetWindow {
+		for _, at := range s.arrivals {
+			if s.now-at < s.settings.RetryBudgetWindow {
 				taken++
 			}
 		}
-		if w.s.RetryBudgetWindow > 0 && float64(extra) > w.s.RetryBudgetFloor+w.s.RetryBudgetRatio*float64(taken) {
-			w.t.Fatalf("%d further attempts for %d requests", extra, taken)
+		if s.settings.RetryBudgetWindow > 0 &&
+			float64(extra) > s.settings.RetryBudgetFloor+s.settings.RetryBudgetRatio*float64(taken) {
+			s.t.Fatalf("%d further attempts for %d requests", extra, taken)
 		}
 	}
-	if len(j.sends) >= w.s.MaxAttempts {
-		w.t.Fatalf("too many attempts: %+v", a)
+	if len(request.attempts) >= s.settings.MaxAttempts {
+		s.t.Fatalf("too many attempts: %+v", action)
 	}
-	for _, s := range j.sends {
-		if !s.done && !w.s.Hedging {
-			w.t.Fatalf("a second copy: %+v", a)
+	for _, attempt := range request.attempts {
+		if !attempt.done && !s.settings.Hedging {
+			s.t.Fatalf("a second attempt: %+v", action)
 		}
-		if s.neverRan || j.class.Idempotency == Idempotent {
+		if attempt.neverRan || request.class.Idempotency == Idempotent {
 			continue
 		}
-		same := j.class.DedupScope == DedupEverywhere || j.class.DedupScope == DedupWithinZone && s.worker.Zone == e.Zone ||
-			j.class.DedupScope == DedupWithinCell && s.worker.Cell == e.Cell && s.worker.Zone == e.Zone
-		if j.class.Idempotency == NonIdempotent || !same || w.now-s.at >= j.class.DedupWindow {
-			w.t.Fatalf("an effect may happen twice: %+v", j)
+		same := request.class.DedupScope == DedupEverywhere ||
+			request.class.DedupScope == DedupWithinZone && attempt.worker.Zone == endpoint.Zone ||
+			request.class.DedupScope == DedupWithinCell && attempt.worker.Cell == endpoint.Cell &&
+				attempt.worker.Zone == endpoint.Zone
+		if request.class.Idempotency == NonIdempotent || !same ||
+			s.now-attempt.at >= request.class.DedupWindow {
+			s.t.Fatalf("an effect may happen twice: %+v", request)
 		}
 	}
-	j.sends = append(j.sends, send{worker: e, at: w.now})
+	request.attempts = append(request.attempts, simAttempt{worker: endpoint, at: s.now})
 }
 
-// auditTurn checks the order by key: all earlier ones of the key are over, and it has rested.
-func (w *world) auditTurn(j *job) {
-	if j.key == "" || !j.class.Serialized {
+// checkSerialization checks the order by key: all earlier requests of the key are over, and so is its
+// cooldown.
+func (s *simulation) checkSerialization(request *simRequest) {
+	if request.key == "" || !request.class.Serialized {
 		return
 	}
-	for _, id := range w.order {
-		q := w.requests[id]
-		if q == j {
+	for _, id := range s.arrivalOrder {
+		earlier := s.requests[id]
+		if earlier == request {
 			break
 		}
-		if !q.class.Serialized || q.key != j.key {
+		if !earlier.class.Serialized || earlier.key != request.key {
 			continue
 		}
-		if !q.answered || slices.ContainsFunc(q.sends, func(s send) bool { return !s.done }) {
-			w.t.Fatalf("sent out of turn: %+v before %+v", j, q)
+		if !earlier.answered ||
+			slices.ContainsFunc(earlier.attempts, func(attempt simAttempt) bool { return !attempt.done }) {
+			s.t.Fatalf("sent out of order: %+v before %+v", request, earlier)
 		}
 	}
-	if len(j.sends) == 0 && w.now < w.rested[j.key] {
-		w.t.Fatalf("the key has not rested: %+v", j)
+	if len(request.attempts) == 0 && s.now < s.cooldownUntil[request.key] {
+		s.t.Fatalf("the key's cooldown is not over: %+v", request)
 	}
 }
 
 // advance moves the clock in ticks; deadlines and timers come due on the way.
-func (w *world) advance(span time.Duration) {
-	for end := w.now + span; w.now < end; {
-		w.now += w.s.Tick
+func (s *simulation) advance(span time.Duration) {
+	for end := s.now + span; s.now < end; {
+		s.now += s.settings.Tick
 		var batch []Event
-		for _, id := range w.order {
-			j := w.requests[id]
-			if w.now < j.deadline {
+		for _, id := range s.arrivalOrder {
+			request := s.requests[id]
+			if s.now < request.deadline {
 				continue
 			}
-			for n := range j.sends {
-				if !j.sends[n].done {
-					batch = append(batch, w.end(j, n, TimedOut))
+			for n := range request.attempts {
+				if !request.attempts[n].done {
+					batch = append(batch, s.endAttempt(request, n, TimedOut))
 				}
 			}
 		}
-		rest := w.timers[:0]
-		for _, t := range w.timers {
-			if t.at <= w.now {
+		rest := s.timers[:0]
+		for _, t := range s.timers {
+			if t.at <= s.now {
 				batch = append(batch, Event{Kind: TimerFired, Timer: t.token})
 			} else {
 				rest = append(rest, t)
 			}
 		}
-		w.timers = append([]timer(nil), rest...)
-		for _, ev := range batch {
-			w.deliver(ev)
+		s.timers = append([]simTimer(nil), rest...)
+		for _, event := range batch {
+			s.handle(event)
 		}
-		for _, id := range w.order {
-			if j := w.requests[id]; !j.answered && w.now >= j.deadline+answerSlack+w.late {
-				w.t.Fatalf("request lost: %+v", j)
+		for _, id := range s.arrivalOrder {
+			if request := s.requests[id]; !request.answered && s.now >= request.deadline+answerSlack+s.stall {
+				s.t.Fatalf("request lost: %+v", request)
 			}
 		}
 	}
 }
 
-// end records the outcome of a send and returns its event.
-func (w *world) end(j *job, n int, o AttemptOutcome) Event {
-	s := &j.sends[n]
-	s.done = true
-	s.neverRan = o == Saturated && !w.s.SaturatedMayHaveRun || o == ConnectionRefused || o == NotSent
-	if j.class.Serialized && (o == TimedOut || o == ConnectionLost || o == Cancelled) {
-		w.rested[j.key] = w.now + w.s.KeyCooldown
-	}
-	if o == Completed {
-		j.answered = true
+// endAttempt records the outcome of an attempt and returns its event.
+func (s *simulation) endAttempt(request *simRequest, n int, outcome AttemptOutcome) Event {
+	attempt := &request.attempts[n]
+	attempt.done = true
+	attempt.neverRan = outcome == Saturated && !s.settings.SaturatedMayHaveRun ||
+		outcome == ConnectionRefused || outcome == NotSent
+	if request.class.Serialized &&
+		(outcome == TimedOut || outcome == ConnectionLost || outcome == Cancelled) {
+		s.cooldownUntil[request.key] = s.now + s.settings.KeyCooldown
+	}
+	if outcome == Completed {
+		request.answered = true
 	}
 	return Event{
-		Kind: AttemptEnded, Request: j.id, Attempt: n, Worker: s.worker.Name, Outcome: o,
-		Answered: j.answered,
+		Kind: AttemptEnded, Request: request.id, Attempt: n, Worker: attempt.worker.Name, Outcome: outcome,
+		Answered: request.answered,
 		Load:     LoadReport{HasFreeSlots: true, FreeSlots: 1},
 	}
 }
 
-// drawOut draws one of the attempts outstanding, if there is any: its request and its number.
-func (w *world) drawOut() (j *job, n int, ok bool) {
+// drawOutstanding draws one of the attempts outstanding, if there is any: its request and its number.
+func (s *simulation) drawOutstanding() (request *simRequest, n int, ok bool) {
 	var all [][2]int
-	for i, id := range w.order {
-		for n := range w.requests[id].sends {
-			if !w.requests[id].sends[n].done {
+	for i, id := range s.arrivalOrder {
+		for n := range s.requests[id].attempts {
+			if !s.requests[id].attempts[n].done {
 				all = append(all, [2]int{i, n})
 			}
 		}
@@ -322,130 +363,152 @@
 	if len(all) == 0 {
 		return nil, 0, false
 	}
-	at := rapid.SampledFrom(all).Draw(w.t, "attempt")
-	return w.requests[w.order[at[0]]], at[1], true
+	at := rapid.SampledFrom(all).Draw(s.t, "attempt")
+	return s.requests[s.arrivalOrder[at[0]]], at[1], true
 }
 
+// Whatever clients, workers and discovery do, each action keeps the rules, each request gets its answer,
+// and nothing is held once all has ended.
 func TestRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		sim := newSimulation(t)
 		for range rapid.IntRange(20, 120).Draw(t, "steps") {
-			w.step()
+			sim.step()
 		}
-		w.advance(6 * time.Second) // past every deadline
-		for _, j := range w.requests {
-			if !j.answered {
-				t.Fatalf("no answer: %+v", j)
+		sim.advance(6 * time.Second) // past every deadline
+		for _, request := range sim.requests {
+			if !request.answered {
+				t.Fatalf("no answer: %+v", request)
 			}
 		}
-		if n := len(w.d.requests) + len(w.d.queue); n != 0 {
+		if n := len(sim.machine.requests) + len(sim.machine.queue); n != 0 {
 			t.Fatalf("%d requests held after all have ended", n)
 		}
-		w.advance(w.s.KeyCooldown + 2*w.s.Tick)
-		if n := len(w.d.turns) + len(w.d.resting); n != 0 {
-			t.Fatalf("%d keys kept after all have ended and rested", n)
+		sim.advance(sim.settings.KeyCooldown + 2*sim.settings.Tick)
+		if n := len(sim.machine.keyQueues) + len(sim.machine.coolingDown); n != 0 {
+			t.Fatalf("%d keys held after all have ended and cooled down", n)
 		}
-		if w.d.inflight != 0 {
-			t.Fatalf("%v slots leased after all have ended", w.d.inflight)
+		if sim.machine.inFlight != 0 {
+			t.Fatalf("%v slots in flight after all have ended", sim.machine.inFlight)
 		}
 	})
 }
 
-func (w *world) step() {
-	t := w.t
+// step lets one thing happen.
+func (s *simulation) step() {
+	t := s.t
 	switch rapid.IntRange(0, 16).Draw(t, "step") {
 	case 16: // a stall: no turn for a while, then all that came meanwhile at once, timers last or first
-		stall := time.Duration(rapid.IntRange(1, 200).Draw(t, "stall")) * w.s.Tick
-		w.now += stall
+		stall := time.Duration(rapid.IntRange(1, 200).Draw(t, "stall")) * s.settings.Tick
+		s.now += stall
 		if rapid.Bool().Draw(t, "timers first") {
-			w.now -= w.s.Tick
-			w.late = stall
-			w.advance(w.s.Tick)
+			s.now -= s.settings.Tick
+			s.stall = stall
+			s.advance(s.settings.Tick)
 		}
 		for range rapid.IntRange(1, 5).Draw(t, "late events") {
-			w.arrive()
-			if j, n, ok := w.drawOut(); ok {
-				w.deliver(w.end(j, n, rapid.SampledFrom([]AttemptOutcome{Completed, Saturated, ConnectionLost}).Draw(t, "late outcome")))
+			s.arrive()
+			if request, n, ok := s.drawOutstanding(); ok {
+				s.handle(
+					s.endAttempt(
+						request,
+						n,
+						rapid.SampledFrom([]AttemptOutcome{Completed, Saturated, ConnectionLost}).
+							Draw(t, "late outcome"),
+					),
+				)
 			}
 		}
 	case 0, 1, 2, 3, 4:
-		w.arrive()
+		s.arrive()
 	case 5, 6, 7, 8:
-		if j, n, ok := w.drawOut(); ok {
-			o := rapid.SampledFrom([]AttemptOutcome{Completed, Completed, Failed, Saturated, TimedOut, ConnectionRefused, ConnectionLost, Cancelled}).Draw(t, "outcome")
-			if o == Cancelled && !j.sends[n].cancelled {
-				o = ConnectionLost
+		if request, n, ok := s.drawOutstanding(); ok {
+			outcome := rapid.SampledFrom([]AttemptOutcome{
+				Completed, Completed, Failed, Saturated, TimedOut,
+				ConnectionRefused, ConnectionLost, Cancelled,
+			}).Draw(t, "outcome")
+			if outcome == Cancelled && !request.attempts[n].cancelled {
+				outcome = ConnectionLost
 			}
-			ev := w.end(j, n, o)
-			if rapid.Bool().Draw(t, "hang up in the same batch") && !j.answered {
-				w.deliver(Event{Kind: ClientDisconnected, Request: j.id})
-				j.answered, ev.Answered = true, true
+			event := s.endAttempt(request, n, outcome)
+			if rapid.Bool().Draw(t, "hang up in the same batch") && !request.answered {
+				s.handle(Event{Kind: ClientDisconnected, Request: request.id})
+				request.answered = true
+				event.Answered = true
 			}
-			w.deliver(ev)
-			w.deliver(ev) // a late echo must change nothing
+			s.handle(event)
+			s.handle(event) // a late echo must change nothing
 		}
 	case 9:
-		if j, n, ok := w.drawOut(); ok {
-			kind := rapid.SampledFrom([]EventKind{AttemptStarted, AttemptProgressed}).Draw(t, "note")
-			w.deliver(Event{Kind: kind, Request: j.id, Attempt: n, Worker: j.sends[n].worker.Name,
-				Fraction: rapid.SampledFrom([]float64{-1, 0, 0.5, 1, 7}).Draw(t, "fraction")})
+		if request, n, ok := s.drawOutstanding(); ok {
+			kind := rapid.SampledFrom([]EventKind{AttemptStarted, AttemptProgressed}).Draw(t, "report")
+			s.handle(
+				Event{Kind: kind, Request: request.id, Attempt: n, Worker: request.attempts[n].worker.Name,
+					Fraction: rapid.SampledFrom([]float64{-1, 0, 0.5, 1, 7}).Draw(t, "fraction")},
+			)
 		}
 	case 10, 11:
-		w.changeList()
+		s.changeList()
 	case 12:
-		if w.s.ListBySubscription && w.watching {
-			w.watching = false
-			w.deliver(Event{Kind: ListUpdated, ListKind: ListFailed})
+		if s.settings.ListBySubscription && s.watching {
+			s.watching = false
+			s.handle(Event{Kind: ListUpdated, ListKind: ListFailed})
 		}
 	case 13:
 		if rapid.IntRange(0, 5).Draw(t, "crash") == 0 {
-			w.boot()
+			s.restart()
 		}
-		w.deliver(Event{Kind: ClientDisconnected, Request: 1 << 50})
-		w.deliver(Event{Kind: AttemptEnded, Request: 1 << 50, Worker: "nobody"})
-		w.deliver(Event{Kind: TimerFired, Timer: 1 << 50})
+		s.handle(Event{Kind: ClientDisconnected, Request: 1 << 50})
+		s.handle(Event{Kind: AttemptEnded, Request: 1 << 50, Worker: "unknown"})
+		s.handle(Event{Kind: TimerFired, Timer: 1 << 50})
 	default:
-		w.advance(time.Duration(rapid.SampledFrom([]int{1, 5, 50, 400}).Draw(t, "ticks")) * w.s.Tick)
+		s.advance(time.Duration(rapid.SampledFrom([]int{1, 5, 50, 400}).Draw(t, "ticks")) * s.settings.Tick)
 	}
 }
 
-func (w *world) arrive() {
-	t := w.t
-	n := rapid.IntRange(0, len(w.s.Classes)-1).Draw(t, "class")
-	left := rapid.SampledFrom([]time.Duration{-time.Second, 0, time.Millisecond, 300 * time.Millisecond, 5 * time.Second}).Draw(t, "left")
+// arrive brings a burst of requests of one class.
+func (s *simulation) arrive() {
+	t := s.t
+	n := rapid.IntRange(0, len(s.settings.Classes)-1).Draw(t, "class")
+	left := rapid.SampledFrom([]time.Duration{
+		-time.Second, 0, time.Millisecond, 300 * time.Millisecond, 5 * time.Second,
+	}).Draw(t, "left")
 	for range rapid.IntRange(1, 12).Draw(t, "burst") {
-		j := &job{id: w.nextID, class: w.s.Classes[n], deadline: w.now + max(left, 0)}
-		w.nextID++
+		request := &simRequest{id: s.nextID, class: s.settings.Classes[n], deadline: s.now + max(left, 0)}
+		s.nextID++
 		if rapid.Bool().Draw(t, "keyed") {
-			j.key = rapid.SampledFrom([]string{"a", "b"}).Draw(t, "key")
-		}
-		w.taken = append(w.taken, w.now)
-		w.requests[j.id] = j
-		w.order = append(w.order, j.id)
-		w.deliver(Event{
-			Kind: RequestArrived, Request: j.id, Class: n, TimeLeft: left,
-			Tenant:      rapid.IntRange(-1, 2).Draw(t, "tenant"),
-			Slots:       rapid.SampledFrom([]float64{1, 2, 4, 0, -3, 1e18}).Draw(t, "slots"),
-			Work:        rapid.SampledFrom([]time.Duration{0, -1, time.Millisecond, time.Second, 1 << 62}).Draw(t, "work"),
-			ClientRetry: rapid.Bool().Draw(t, "retry"), Key: j.key,
+			request.key = rapid.SampledFrom([]string{"a", "b"}).Draw(t, "key")
+		}
+		s.arrivals = append(s.arrivals, s.now)
+		s.requests[request.id] = request
+		s.arrivalOrder = append(s.arrivalOrder, request.id)
+		s.handle(Event{
+			Kind: RequestArrived, Request: request.id, Class: n, TimeLeft: left,
+			Tenant: rapid.IntRange(-1, 2).Draw(t, "tenant"),
+			Slots:  rapid.SampledFrom([]float64{1, 2, 4, 0, -3, 1e18}).Draw(t, "slots"),
+			Work: rapid.SampledFrom([]time.Duration{0, -1, time.Millisecond, time.Second, 1 << 62}).
+				Draw(t, "work"),
+			ClientRetry: rapid.Bool().Draw(t, "retry"), Key: request.key,
 		})
 	}
 }
 
-func (w *world) changeList() {
-	if w.s.ListBySubscription && !w.watching {
+// changeList changes what is listed of one worker, and tells the dispatcher.
+func (s *simulation) changeList() {
+	if s.settings.ListBySubscription && !s.watching {
 		return
 	}
-	name := rapid.SampledFrom(w.names).Draw(w.t, "worker")
-	e := w.listed[name]
-	switch e.State = rapid.SampledFrom([]WorkerState{Running, Running, Draining, Removed}).Draw(w.t, "state"); {
-	case e.State == Running && rapid.Bool().Draw(w.t, "restart"):
-		e.StartedAt = w.now - time.Duration(rapid.IntRange(0, 9).Draw(w.t, "age"))*time.Second
+	name := rapid.SampledFrom(s.names).Draw(s.t, "worker")
+	endpoint := s.listed[name]
+	states := []WorkerState{Running, Running, Draining, Removed}
+	endpoint.State = rapid.SampledFrom(states).Draw(s.t, "state")
+	if endpoint.State == Running && rapid.Bool().Draw(s.t, "restart") {
+		endpoint.StartedAt = s.now - time.Duration(rapid.IntRange(0, 9).Draw(s.t, "age"))*time.Second
 	}
-	w.listed[name] = e
-	if rapid.Bool().Draw(w.t, "complete") {
-		w.deliver(Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: w.entries()})
+	s.listed[name] = endpoint
+	if rapid.Bool().Draw(s.t, "complete") {
+		s.handle(Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: s.entries()})
 	} else {
-		w.deliver(Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{e}})
+		s.handle(Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{endpoint}})
 	}
 }
--- /dev/null
+++ b/decision/saturation.go
@@ -0,0 +1,72 @@
+package decision
+
+import "time"
+
+// saturationLatencies is the part of the mean latency for which a saturated worker gets no more. Inherited
+// with the module.
+const saturationLatencies = 0.25
+
+// classRejections is how a worker rejects requests of one class.
+type classRejections struct {
+	lastAcceptedAt  time.Duration // when the latest request was sent that it took
+	count           int           // requests rejected since
+	firstRejectedAt time.Duration // of those
+	backoff         time.Duration
+	blockedUntil    time.Duration // it gets none of the class until then
+}
+
+// rejectionsOf returns how the worker rejects requests of a class.
+func (w *worker) rejectionsOf(class *Class) *classRejections {
+	if w.rejections[class] == nil {
+		if w.rejections == nil {
+			w.rejections = map[*Class]*classRejections{}
+		}
+		w.rejections[class] = &classRejections{}
+	}
+	return w.rejections[class]
+}
+
+// recordAccepted records that the worker has taken an attempt at a request of a class.
+func (a *attempt) recordAccepted(class *Class) {
+	rejections := a.worker.rejectionsOf(class)
+	if a.sentAt > rejections.lastAcceptedAt {
+		*rejections = classRejections{lastAcceptedAt: a.sentAt}
+	}
+}
+
+// acceptsOtherClasses tells whether the worker has taken requests of other classes that were sent after a
+// moment.
+func (w *worker) acceptsOtherClasses(class *Class, after time.Duration) bool {
+	for other, rejections := range w.rejections {
+		if other != class && rejections.lastAcceptedAt > after {
+			return true
+		}
+	}
+	return false
+}
+
+// recordSaturated records that a worker has rejected a request: it is full for a moment, or, where it
+// takes other classes meanwhile, does not take this one, and gets it after an ever longer backoff.
+func (m *Machine) recordSaturated(worker *worker, class *Class) {
+	rejections := worker.rejectionsOf(class)
+	rejections.count++
+	if rejections.count == 1 {
+		rejections.firstRejectedAt = m.now
+	}
+	if rejections.count == 1 || !worker.acceptsOtherClasses(class, rejections.firstRejectedAt) {
+		worker.saturatedUntil = m.now + seconds(m.meanLatency*saturationLatencies)
+		return
+	}
+	rejections.backoff = m.nextBackoff(rejections.backoff)
+	rejections.blockedUntil = m.now + rejections.backoff
+}
+
+// saturated tells whether the worker is known to have no room for the request now.
+func (m *Machine) saturated(request *request, worker *worker) bool {
+	if m.now < max(worker.saturatedUntil, worker.rejectionsOf(request.class).blockedUntil) {
+		return true
+	}
+	freshness := max(seconds(m.meanLatency), m.sweepInterval)
+	fresh := worker.freeSlotsAt > 0 && m.now-worker.freeSlotsAt < freshness
+	return fresh && worker.freeSlots < request.slots
+}
--- a/decision/slowstart_test.go
+++ b/decision/slowstart_test.go
@@ -1,268 +1,502 @@
 package decision
 
 import (
-	"fmt"
 	"math"
-	"math/rand/v2"
+	"slices"
 	"testing"
 	"time"
 
 	"pgregory.net/rapid"
 )
 
-// What a warm worker has taken is counted as the time its jobs ran, not as the guess that stood for them: cold
-// workers' budgets are shares of it, and 20 to 30 dispatchers that have just started all begin with the guess.
-func TestColdBudgetsFollowWhatJobsTook(t *testing.T) {
+// What a warm worker has taken is counted as the time its requests ran, not as the guess that stood for
+// them: slow-start budgets are shares of it, and 20 to 30 dispatchers that have just started all begin with
+// the guess.
+func TestSlowStartBudgetsFollowRunTimes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		aim := time.Duration(rapid.IntRange(500, 3000).Draw(t, "aim in ms")) * time.Millisecond
+		objective := time.Duration(rapid.IntRange(500, 3000).Draw(t, "objective in ms")) * time.Millisecond
 		run := time.Duration(rapid.IntRange(5, 200).Draw(t, "run in ms")) * time.Millisecond
-		jobs := rapid.IntRange(3, 40).Draw(t, "jobs")
-		d, err := New(Settings{
-			Classes: []Class{{PriorityWeight: 1, LatencyObjective: aim, Deadline: 4 * aim}}, Peers: rapid.IntRange(20, 30).Draw(t, "peers"),
-			SlowStartFloor: 0.3, SlowStartDuration: 8 * time.Second, OverloadMultiple: 4, OverloadWindow: time.Second, StartNotices: true, MaxAttempts: 1,
+		requests := rapid.IntRange(3, 40).Draw(t, "requests")
+		machine, err := New(Settings{
+			Classes: []Class{
+				{PriorityWeight: 1, LatencyObjective: objective, Deadline: 4 * objective},
+			},
+			Peers:          rapid.IntRange(20, 30).Draw(t, "peers"),
+			SlowStartFloor: 0.3, SlowStartDuration: 8 * time.Second,
+			OverloadMultiple: 4, OverloadWindow: time.Second,
+			StartNotices: true, MaxAttempts: 1,
 		}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		now := time.Hour
-		d.Handle(now, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: []Endpoint{{Name: "warm"}}}, nil)
-		for i := range jobs {
+		machine.Handle(
+			now,
+			Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: []Endpoint{{Name: "warm"}}},
+			nil,
+		)
+		for i := range requests {
 			id := uint64(i + 1)
 			assigned := false
-			for _, a := range d.Handle(now, Event{Kind: RequestArrived, Request: id, TimeLeft: 4 * aim}, nil) {
-				assigned = assigned || a.Kind == Assign
+			arrival := Event{Kind: RequestArrived, Request: id, TimeLeft: 4 * objective}
+			for _, action := range machine.Handle(now, arrival, nil) {
+				assigned = assigned || action.Kind == Assign
 			}
 			if !assigned {
-				t.Fatalf("job %d was not assigned", i)
+				t.Fatalf("request %d was not assigned", i)
 			}
-			d.Handle(now, Event{Kind: AttemptStarted, Request: id, Worker: "warm"}, nil)
+			machine.Handle(now, Event{Kind: AttemptStarted, Request: id, Worker: "warm"}, nil)
 			now += run
-			d.Handle(now, Event{Kind: AttemptEnded, Request: id, Worker: "warm", Outcome: Completed, Answered: true}, nil)
+			machine.Handle(
+				now,
+				Event{Kind: AttemptEnded, Request: id, Worker: "warm", Outcome: Completed, Answered: true},
+				nil,
+			)
 		}
-		d.sharesAt = 0 // look anew
-		if took := (time.Duration(jobs) * run).Seconds() / d.horizon.Seconds(); d.warmShare(0) > took*1.001 {
-			t.Errorf("%d jobs of %v count as %.3f of a slot, and took %.3f", jobs, run, d.warmShare(0), took)
+		machine.warmWorkRatesAt = 0 // look anew
+		took := (time.Duration(requests) * run).Seconds() / machine.planningHorizon.Seconds()
+		if rate := machine.warmWorkRate(0); rate > took*1.001 {
+			t.Errorf("%d requests of %v count as %.3f of a slot, and took %.3f", requests, run, rate, took)
 		}
 	})
 }
 
-// coldFleet is 20 to 30 dispatchers before warm workers and one that starts cold, in steps of virtual time.
-type coldFleet struct {
-	t       *rapid.T
-	s       Settings
-	random  *rand.Rand
-	now     time.Duration
-	members []*coldMember
-	due     map[time.Duration][]func() // by step
-	entries []Endpoint
-	hints   bool
-	mean    float64 // work of a request, seconds
-	sent    []fleetSend
-	next    uint64
+// What all dispatchers together may reserve at a worker in slow start within any window stays within what
+// the settings allow, however busy warm workers are: each has saved at most a window's part, gets one more,
+// and may go beyond by half of one. Requests larger than a part, and the first, are a matter of chance,
+// which the rule allows for.
+func TestSlowStartReservationsStayWithinTheBudget(t *testing.T) {
+	if sum := 2.5 * slowStartSafety; sum > 1+1e-9 {
+		t.Errorf("a saved part, a window's and half of one come to %.2f of the budget", sum)
+	}
+	rapid.Check(t, func(t *rapid.T) {
+		window := time.Duration(rapid.IntRange(200, 3000).Draw(t, "window in ms")) * time.Millisecond
+		multiple := rapid.Float64Range(1, 8).Draw(t, "overload multiple")
+		share := rapid.Float64Range(0.01, 4).Draw(t, "work of a warm worker, slots")
+		machine, err := New(Settings{
+			Classes: []Class{
+				{PriorityWeight: 1, LatencyObjective: time.Second, Deadline: 4 * time.Second},
+			}, Peers: rapid.IntRange(20, 30).Draw(t, "peers"),
+			SlowStartFloor: rapid.Float64Range(0.1, 0.9).
+				Draw(t, "slow-start floor"),
+			SlowStartDuration: time.Hour, OverloadMultiple: multiple, OverloadWindow: window,
+		}, 1)
+		if err != nil {
+			t.Fatal(err)
+		}
+		start := 24 * time.Hour
+		machine.Handle(
+			start,
+			Event{
+				Kind:      ListUpdated,
+				ListKind:  ListSnapshot,
+				Endpoints: []Endpoint{{Name: "new", StartedAt: start - time.Minute}},
+			},
+			nil,
+		)
+		worker := machine.workers["new"]
+		worker.recentWork.add(machine.now, machine.planningHorizon, 0) // it has had its first request
+		machine.warmWorkRates = map[int]float64{0: share}
+		machine.warmWorkRatesAt = start + time.Hour
+		var sent []fleetWorkSent
+		for range 300 {
+			machine.now += rapid.SampledFrom([]time.Duration{
+				0, 0, 0, window / 50, window / 50, window / 10, 2 * window,
+			}).Draw(t, "pause")
+			part := slowStartSafety * multiple * machine.capacityFraction(worker) * share * window.Seconds()
+			work := rapid.SampledFrom([]float64{0.05, 0.05, 0.3, 1}).Draw(t, "work, parts") * part
+			request := &request{
+				class:         &machine.settings.Classes[0],
+				slots:         1,
+				work:          work,
+				classMeanWork: work,
+				cost:          work,
+				holdTime:      work,
+			}
+			if machine.withinSlowStartBudget(request, worker) {
+				worker.slowStartBudget -= request.slowStartCost()
+				if worker.slowStartBudget < -part/2*(1+1e-9) {
+					t.Fatalf("%.3f of a part beyond what was there", -worker.slowStartBudget/part)
+				}
+				sent = append(sent, fleetWorkSent{machine.now, request.slowStartCost()})
+			}
+			sum := 0.0
+			for _, s := range sent {
+				if s.at > machine.now-window {
+					sum += s.work
+				}
+			}
+			allowed := multiple * machine.capacityFraction(worker) * share * window.Seconds()
+			if sum > allowed*(1+1e-9) {
+				t.Fatalf("%.3f of the budget in a window", sum/allowed)
+			}
+		}
+		if len(sent) == 0 {
+			t.Fatal("nothing was sent")
+		}
+	})
 }
 
-// coldMember is one dispatcher: its process, and while one hands over to the next, the other one.
-type coldMember struct{ process, other *Machine }
+// While a process is replaced, what either process sends a worker in slow start is of one budget: each
+// tells what it reserves there, and the other counts it as its own.
+func TestReservationsOfBothProcessesAddUp(t *testing.T) {
+	budget := func(other float64) (sent int, reserved float64) {
+		settings := testSettings()
+		settings.Peers = 1
+		rig := newRig(t, settings, 4)
+		rig.concurrencyPerWorker = 1000
+		rig.workRatePerWorker = 1000
+		rig.bucketTokens = 1e6
+		for range 40 {
+			rig.endAttempt(rig.arrive(0), 0, Completed, 10*time.Millisecond)
+		}
+		rig.handle(
+			rig.now,
+			Event{
+				Kind:      ListUpdated,
+				ListKind:  ListDelta,
+				Endpoints: []Endpoint{{Name: "w0", StartedAt: rig.now}},
+			},
+		)
+		for range 200 {
+			id := rig.arrive(0)
+			for _, action := range rig.actions {
+				if action.Kind == Assign && action.Worker != "w0" && action.Reservation != 0 {
+					t.Fatalf("a warm worker reserved %v", action.Reservation)
+				}
+				if action.Kind == Assign && action.Worker == "w0" {
+					sent++
+					reserved += action.Reservation
+				}
+			}
+			rig.endAttempt(id, 0, Completed, 10*time.Millisecond)
+			rig.handle(rig.now, Event{Kind: ReservedElsewhere, Worker: "w0", Reservation: other})
+		}
+		rig.handle(rig.now, Event{Kind: ReservedElsewhere, Worker: "unknown", Reservation: 1})
+		return sent, reserved
+	}
+	alone, charged := budget(0)
+	beside, _ := budget(charged / 200 / 2) // the other one sends half of what one may
+	if alone < 10 || beside >= alone*3/4 || beside == 0 || charged <= 0 {
+		t.Fatalf("%d sent alone, reserved %v; %d beside one that sends half as much", alone, charged, beside)
+	}
+}
 
-// fleetSend is work sent to the cold worker.
-type fleetSend struct {
-	at   time.Duration
-	work float64
+// After a mass replacement most of the fleet is in slow start, and nearly every worker there has no budget
+// for a request. All of them are drawn, while warm ones stay bounded.
+func TestAllWorkersInSlowStartAreDrawn(t *testing.T) {
+	settings := testSettings()
+	settings.Peers = 300
+	for seed := range uint64(10) {
+		rig := newSeededRig(t, settings, 4*maxWarmDraws, seed)
+		for _, worker := range rig.fleet[1:] { // the first stays warm: budgets are measured by it
+			worker.StartedAt = rig.now
+			worker.slowStartBudgetAt = rig.now
+			worker.slowStartBudget = -1
+			worker.recentWork.add(rig.now, rig.planningHorizon, 0)
+			rig.warmingUp = append(rig.warmingUp, worker)
+		}
+		rig.fleet[0].recentWork.add(rig.now, rig.planningHorizon, 100)
+		rig.warmWorkRatesAt = 0
+		room := rig.fleet[len(rig.fleet)-1]
+		room.slowStartBudget = 100
+		request := &request{
+			class:         &rig.settings.Classes[0],
+			slots:         1,
+			work:          1,
+			classMeanWork: 1,
+			cost:          1,
+			objective:     rig.now + time.Minute,
+		}
+		if worker := rig.pickFrom(request, rig.warmingUp, inWarmingUp); worker != room {
+			t.Fatalf(
+				"seed %d: the one worker in slow start of %d that has budget is not found: %v",
+				seed,
+				len(rig.warmingUp),
+				worker,
+			)
+		}
+		for _, worker := range rig.warmWorkers {
+			worker.saturatedUntil = rig.now + time.Second
+		}
+		first := slices.Clone(rig.warmWorkers)
+		for _, worker := range rig.fleet[1:] {
+			worker.StartedAt = 0
+		}
+		rig.pickFrom(request, rig.warmWorkers, inWarmWorkers)
+		moved := 0
+		for i := maxWarmDraws; i < len(first); i++ {
+			if rig.warmWorkers[i] != first[i] {
+				moved++
+			}
+		}
+		if moved > maxWarmDraws {
+			t.Fatalf("%d warm ones were drawn in vain", moved)
+		}
+	}
 }
 
-const fleetStep = 10 * time.Millisecond
+// Where requests are larger than a window's part, a slow-start budget is saved for two windows, lest a
+// dispatcher with a request a second lose part of it. Where they are small it is one window, so that few
+// dispatchers that spend all at once stay within the rule: that and a window's part are 0.8 of it.
+func TestSlowStartBudgetIsSaved(t *testing.T) {
+	settings := testSettings()
+	settings.Peers = 300
+	for _, test := range []struct{ work, windows float64 }{{1e6, 2}, {1e-6, 1}} {
+		rig := newRig(t, settings, 2)
+		worker := rig.workers["w0"]
+		warm := rig.workers["w1"]
+		warm.recentWork.add(rig.now, rig.planningHorizon, 2)
+		worker.StartedAt = rig.now
+		worker.slowStartBudgetAt = rig.now
+		worker.slowStartBudget = 0
+		rig.warmWorkRatesAt = 0
+		worker.recentWork.add(rig.now, rig.planningHorizon, 0)
+		rig.now += settings.OverloadWindow * 3
+		share := rig.warmWorkRate(0)
+		warmth := rig.capacityFraction(worker)
+		rig.withinSlowStartBudget(
+			&request{
+				class:         &rig.settings.Classes[0],
+				slots:         1,
+				work:          test.work,
+				cost:          test.work,
+				classMeanWork: 1e-7,
+			},
+			worker,
+		)
+		most := settings.OverloadMultiple * warmth * share * settings.OverloadWindow.Seconds()
+		if got := worker.slowStartBudget / most / slowStartSafety; math.Abs(got-test.windows) > 0.01 {
+			t.Errorf("requests of %g s: the budget of %.2f windows is saved", test.work, got)
+		}
+	}
+	if 2*slowStartSafety > 0.8 {
+		t.Errorf("few dispatchers may send %.2f of the rule's budget in a window", 2*slowStartSafety)
+	}
+}
 
-func (f *coldFleet) after(span time.Duration, what func()) {
-	at := f.now + max(span, fleetStep).Truncate(fleetStep)
-	f.due[at] = append(f.due[at], what)
+// Of the workers in slow start the first that can take a request gets it: a drawing for the budget that was
+// won must not go for nothing.
+func TestWonDrawingIsUsed(t *testing.T) {
+	for seed := range uint64(20) {
+		rig := newSeededRig(t, testSettings(), 6, seed+1)
+		for i, worker := range rig.fleet {
+			worker.StartedAt = rig.now
+			worker.slowStartBudgetAt = rig.now
+			worker.slowStartBudget = 0.06
+			worker.outstanding = float64(i)
+			worker.recentWork.add(rig.now, rig.planningHorizon, 0)
+		}
+		rig.warmingUp = append(rig.warmingUp[:0], rig.fleet...)
+		rig.warmWorkRates = map[int]float64{0: 0.1}
+		rig.warmWorkRatesAt = rig.now
+		request := &request{
+			class:         &rig.settings.Classes[0],
+			slots:         1,
+			work:          0.05,
+			cost:          0.05,
+			classMeanWork: 0.05,
+			objective:     rig.now + time.Second,
+		}
+		if picked := rig.pickFrom(request, rig.warmingUp, inWarmingUp); picked != rig.warmingUp[0] {
+			t.Fatalf("seed %d: the first that had budget was passed over", seed)
+		}
+	}
 }
 
-// start gives a member a process that knows the list and nothing else.
-func (f *coldFleet) start() *Machine {
-	d, err := New(f.s, f.random.Uint64())
-	if err != nil {
-		f.t.Fatal(err)
+// A rule whose window is 0 is off: workers in slow start get requests.
+func TestNoOverloadRuleBindsNothing(t *testing.T) {
+	settings := testSettings()
+	settings.OverloadWindow = 0
+	settings.OverloadMultiple = 0
+	settings.SlowStartFloor = 0.9
+	rig := newRig(t, settings, 1)
+	rig.handle(
+		rig.now,
+		Event{
+			Kind:      ListUpdated,
+			ListKind:  ListDelta,
+			Endpoints: []Endpoint{{Name: "w0", StartedAt: rig.now}},
+		},
+	)
+	if rig.send(0) != "w0" {
+		t.Fatal("a worker in slow start gets nothing though no rule says so")
 	}
-	f.handle(nil, d, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: f.entries}, 0)
-	return d
 }
 
-// handle feeds a process and carries out what it wants; work is the request's at hand.
-func (f *coldFleet) handle(m *coldMember, d *Machine, ev Event, work float64) {
-	for _, a := range d.Handle(f.now, ev, nil) {
-		switch a.Kind {
-		case SetTimer:
-			f.after(a.Delay, func() { f.handle(m, d, Event{Kind: TimerFired, Timer: a.Timer}, 0) })
-		case Assign:
-			f.assign(m, d, a, work)
+// A busy dispatcher takes all its peers to be as busy. A request of many times the mean must not go to a
+// worker that has just started, though the share of all dispatchers would seem to allow it.
+func TestNoHeavyRequestInSlowStart(t *testing.T) {
+	settings := testSettings()
+	settings.Peers = 80
+	for _, test := range []struct {
+		work float64
+		want bool
+	}{{0.9, true}, {1.1, false}} {
+		rig := newRig(t, settings, 2)
+		worker := rig.fleet[0]
+		rig.fleet[1].recentWork.add(
+			rig.now,
+			rig.planningHorizon,
+			rig.planningHorizon.Seconds(),
+		) // a slot-second a second from this one alone
+		request := &request{
+			class:         &rig.settings.Classes[0],
+			slots:         1,
+			work:          test.work,
+			cost:          test.work,
+			classMeanWork: 0.5,
+		}
+		taken := false
+		for range 1000 {
+			worker.StartedAt = rig.now
+			worker.slowStartBudgetAt = rig.now
+			worker.slowStartBudget = 0.1
+			rig.warmWorkRatesAt = 0
+			taken = taken || rig.withinSlowStartBudget(request, worker)
+		}
+		if taken != test.want {
+			t.Errorf("a request of %.1f s where the mean is 0.5: taken %v", test.work, taken)
 		}
 	}
 }
 
-// assign runs a job at its worker, in no time but its own: none of them queues.
-func (f *coldFleet) assign(m *coldMember, d *Machine, a Action, work float64) {
-	run := work
-	if a.Worker == "cold" {
-		f.sent = append(f.sent, fleetSend{f.now, work})
-		run /= f.warmth()
-		if m.other != nil {
-			other := m.other
-			if other == d {
-				other = m.process
-			}
-			f.handle(m, other, Event{Kind: ReservedElsewhere, Worker: a.Worker, Reservation: a.Reservation}, 0)
+// With few dispatchers a window's part holds a request, and requests go to a worker in slow start at an
+// even pace. Drawn for each time, those of several dispatchers would fall together.
+func TestSlowStartPaceIsEven(t *testing.T) {
+	rig := newRig(t, testSettings(), 2)
+	worker := rig.fleet[0]
+	warm := rig.fleet[1]
+	request := &request{class: &rig.settings.Classes[0], slots: 1, work: 1, cost: 1}
+	worker.StartedAt = rig.now
+	worker.slowStartBudgetAt = rig.now
+	rig.warmWorkRatesAt = 0
+	sent := 0
+	last := time.Duration(0)
+	end := rig.now + rig.settings.SlowStartDuration/2
+	for ; rig.now < end; rig.Machine.now += 10 * time.Millisecond {
+		// Four slot-seconds a second.
+		warm.recentWork = decayingValue{4 * rig.planningHorizon.Seconds(), rig.now}
+		if !rig.withinSlowStartBudget(request, worker) {
+			continue
+		}
+		rate := slowStartSafety * rig.settings.OverloadMultiple *
+			rig.capacityFraction(worker) * rig.warmWorkRate(0)
+		if gap := (rig.now - last).Seconds(); sent > 1 && (gap < 0.9/rate || gap > 1.2/rate+0.02) {
+			t.Fatalf("%.2f s between two requests, the budget pays for one in %.2f s", gap, 1/rate)
 		}
+		sent++
+		last = rig.now
+		worker.recentWork.add(rig.now, rig.planningHorizon, 1e-9) // the first has gone
+		worker.slowStartBudget -= request.cost
+	}
+	if sent < 4 {
+		t.Fatalf("%d requests were sent", sent)
 	}
-	f.handle(m, d, Event{Kind: AttemptStarted, Request: a.Request, Worker: a.Worker}, 0)
-	f.after(seconds(run), func() {
-		f.handle(m, d, Event{Kind: AttemptEnded, Request: a.Request, Worker: a.Worker, Outcome: Completed, Answered: true}, 0)
-	})
 }
 
-// warmth is the cold worker's share of its capacity now.
-func (f *coldFleet) warmth() float64 {
-	age := (f.now - f.entries[0].StartedAt).Seconds() / f.s.SlowStartDuration.Seconds()
-	return min(f.s.SlowStartFloor+(1-f.s.SlowStartFloor)*age, 1)
+// With many dispatchers a request is larger than a window's part, and is drawn for each time. Taken on debt
+// by all dispatchers whose last, small request was paid for, such requests would overload the worker.
+func TestLargeRequestsInSlowStartAreDrawnFor(t *testing.T) {
+	settings := testSettings()
+	settings.Peers = 100
+	rig := newRig(t, settings, 2)
+	worker := rig.fleet[0]
+	for _, x := range rig.fleet {
+		x.recentWork.add(rig.now, rig.planningHorizon, 0.04*rig.planningHorizon.Seconds())
+	}
+	request := &request{class: &rig.settings.Classes[0], slots: 1, work: 0.5, cost: 0.5, classMeanWork: 0.5}
+	worker.StartedAt = rig.now - rig.settings.SlowStartDuration/2
+	rig.warmWorkRatesAt = 0
+	taken := 0
+	const tries = 1000
+	for range tries {
+		worker.slowStartBudgetAt = rig.now
+		worker.slowStartBudget = 0.01
+		if rig.withinSlowStartBudget(request, worker) {
+			taken++
+		} else if worker.slowStartBudget != 0 {
+			t.Fatal("the budget of a lost drawing is still there")
+		}
+	}
+	if taken == 0 || taken > 2*tries*0.01/0.5 {
+		t.Fatalf("%d of %d requests taken, 20 are paid for", taken, tries)
+	}
 }
 
-// arrive hands a request to one member.
-func (f *coldFleet) arrive() {
-	m := f.members[f.random.IntN(len(f.members))]
-	work := f.mean * f.random.ExpFloat64()
-	f.next++
-	ev := Event{Kind: RequestArrived, Request: f.next, TimeLeft: f.s.Classes[0].Deadline}
-	if f.hints {
-		ev.Work = seconds(work)
-	} else {
-		work = f.mean // of which nobody tells
+// Requests chosen for their small, rough hints run for many times what those say. They take more of the
+// budget than their hints.
+func TestSmallHintsDoNotFloodAWorkerInSlowStart(t *testing.T) {
+	small := &request{slots: 1, work: 0.008, cost: 0.008, classMeanWork: 0.14}
+	if cost := small.slowStartCost(); cost < 0.03 {
+		t.Fatalf("a request that ran for 40 ms and more takes %v s", cost)
+	}
+	large := &request{slots: 2, work: 0.2, cost: 0.4, classMeanWork: 0.14}
+	if large.slowStartCost() != large.cost {
+		t.Fatal("a large hint is taken as it is")
 	}
-	f.handle(m, m.process, ev, work)
 }
 
-// What 20 to 30 dispatchers together send a worker that starts cold keeps, in any window, to the budget that the
-// settings give it and what is put down to chance, also in a burst and while their processes start anew.
-func TestColdBudgetsOfAFleet(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		share := func(label string, lo, hi float64) float64 { return rapid.Float64Range(lo, hi).Draw(t, label) }
-		f := &coldFleet{t: t, now: time.Hour, due: map[time.Duration][]func(){}}
-		f.random = rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
-		f.hints, f.mean = rapid.Bool().Draw(t, "hints"), share("work", 0.03, 0.3)
-		f.s = Settings{
-			Classes: []Class{{PriorityWeight: 1, LatencyObjective: 2 * time.Second, Deadline: 5 * time.Second}},
-			Peers:   rapid.IntRange(20, 30).Draw(t, "dispatchers"), Tick: time.Millisecond,
-			SlowStartFloor: share("cold from", 0.1, 0.6), SlowStartDuration: seconds(share("warm after", 4, 10)),
-			OverloadMultiple: share("multiple", 1.5, 6), OverloadWindow: seconds(share("window", 0.5, 2.5)),
-			MaxAttempts: 2, Hedging: true, Cancellation: true, StartNotices: true,
-		}
-		warm := rapid.IntRange(4, 20).Draw(t, "warm workers")
-		rate, burst := share("rate", 30, 150), share("burst", 1, 3)
-		capacity := rate * burst * f.mean / float64(warm) / share("load in the burst", 0.3, 1) // of one worker
-		f.entries = []Endpoint{{Name: "cold", State: Removed}}
-		for i := range warm {
-			f.entries = append(f.entries, Endpoint{Name: fmt.Sprint("w", i)})
-		}
-		for range f.s.Peers {
-			f.members = append(f.members, &coldMember{process: f.start()})
-		}
-		const joins, bursts, restarts, handedOver, end = 500, 550, 600, 700, 1200 // steps
-		for step := range end {
-			f.now += fleetStep
-			for _, what := range f.due[f.now] {
-				what()
+// A machine whose wall clock is an hour off at the start of the process takes no new worker for a warm one,
+// in either direction.
+func TestSlowStartUnderAWrongClock(t *testing.T) {
+	const hour, warm = time.Hour, 8 * time.Second
+	for name, c := range map[string]struct {
+		list  ListKind
+		known time.Duration // listed start of the worker in the first list; -1: it is not in it
+		start time.Duration // listed start in the list at hand, whose time is now
+		now   time.Duration
+		slow  bool // the worker is in slow start
+	}{
+		"a new one, clock ahead":             {ListDelta, -1, 2*hour - time.Second, 3 * hour, true},
+		"a restarted one, clock ahead":       {ListDelta, hour, 2*hour - time.Second, 3 * hour, true},
+		"a new one, clock behind":            {ListDelta, -1, 3 * hour, 2 * hour, true},
+		"a new one, clock right":             {ListDelta, -1, 2*hour - time.Second, 2 * hour, true},
+		"one known for long":                 {ListDelta, hour, hour, 3 * hour, false},
+		"of a snapshot, started an hour ago": {ListSnapshot, -1, 2 * hour, 3 * hour, false},
+		"a new one that started long ago":    {ListDelta, -1, hour, 4 * hour, false},
+		"one that started before time began": {ListDelta, -1, 0, 3 * hour, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			machine, err := New(
+				Settings{
+					Classes:           []Class{{Deadline: time.Second}},
+					SlowStartFloor:    0.3,
+					SlowStartDuration: warm,
+					OverloadMultiple:  4,
+					OverloadWindow:    time.Second,
+				},
+				1,
+			)
+			if err != nil {
+				t.Fatal(err)
 			}
-			delete(f.due, f.now)
-			switch step {
-			case joins:
-				f.entries[0] = Endpoint{Name: "cold", StartedAt: f.now}
-				for _, m := range f.members {
-					f.handle(m, m.process, Event{Kind: ListUpdated, Endpoints: f.entries[:1]}, 0)
-				}
-			case restarts:
-				killed := rapid.IntRange(0, f.s.Peers).Draw(t, "killed")
-				for i, m := range f.members {
-					if i >= killed { // the others hand over
-						m.other = m.process
-					}
-					m.process = f.start()
-				}
-			case handedOver:
-				for _, m := range f.members {
-					m.other = nil
-				}
+			first := []Endpoint{{Name: "other"}}
+			if c.known >= 0 {
+				first = append(first, Endpoint{Name: "w", StartedAt: c.known})
 			}
-			now := rate
-			if step >= bursts {
-				now *= burst
+			machine.Handle(
+				c.now-hour/2,
+				Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: first},
+				nil,
+			)
+			list := Event{
+				Kind:      ListUpdated,
+				ListKind:  c.list,
+				Endpoints: []Endpoint{{Name: "w", StartedAt: c.start}, {Name: "other"}},
 			}
-			for p := now * fleetStep.Seconds(); p > 0; p-- {
-				if f.random.Float64() < p {
-					f.arrive()
-				}
+			machine.Handle(c.now, list, nil)
+			if slow := machine.capacityFraction(machine.workers["w"]) < 1; slow != c.slow {
+				t.Errorf("in slow start %v, not %v", slow, c.slow)
 			}
-			if step < joins || f.warmth() >= 1 {
-				continue
+			machine.Handle(c.now+time.Second, list, nil) // listed again, it is no news
+			if slow := machine.capacityFraction(machine.workers["w"]) < 1; slow != c.slow {
+				t.Errorf("listed again: in slow start %v, not %v", slow, c.slow)
 			}
-			sum := 0.0
-			for _, s := range f.sent {
-				if s.at > f.now-f.s.OverloadWindow {
-					sum += s.work / f.mean
-				}
-			}
-			n := f.s.OverloadMultiple * f.warmth() * capacity * f.s.OverloadWindow.Seconds() / f.mean
-			if sum > n+2*math.Sqrt(n)+2 {
-				t.Fatalf("step %d: sent %.1f requests of mean work, N is %.1f", step, sum, n)
+			machine.Handle(c.now+warm+time.Second, Event{Kind: TimerFired, Timer: sweepTimer}, nil)
+			if c.now >= c.start && machine.capacityFraction(machine.workers["w"]) < 1 {
+				t.Error("it does not become warm")
 			}
-		}
-	})
-}
-
-// What all dispatchers together may reserve at a cold worker within any window stays within what the settings allow it
-// then, however busy warm workers are: each has saved at most a window's part, gets one more, and may go beyond by half
-// of one. Jobs larger than a part, and the first, are a matter of chance, which the protocol allows for.
-func TestColdReservationsStayWithinTheBudget(t *testing.T) {
-	if sum := 2.5 * coldSafety; sum > 1+1e-9 {
-		t.Errorf("a saved part, a window's and half of one come to %.2f of the budget", sum)
+		})
 	}
-	rapid.Check(t, func(t *rapid.T) {
-		window := time.Duration(rapid.IntRange(200, 3000).Draw(t, "window in ms")) * time.Millisecond
-		multiple := rapid.Float64Range(1, 8).Draw(t, "fall multiple")
-		share := rapid.Float64Range(0.01, 4).Draw(t, "work of a warm worker, slots")
-		d, err := New(Settings{
-			Classes: []Class{{PriorityWeight: 1, LatencyObjective: time.Second, Deadline: 4 * time.Second}}, Peers: rapid.IntRange(20, 30).Draw(t, "peers"),
-			SlowStartFloor: rapid.Float64Range(0.1, 0.9).Draw(t, "cold from"), SlowStartDuration: time.Hour, OverloadMultiple: multiple, OverloadWindow: window,
-		}, 1)
-		if err != nil {
-			t.Fatal(err)
-		}
-		start := 24 * time.Hour
-		d.Handle(start, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: []Endpoint{{Name: "cold", StartedAt: start - time.Minute}}}, nil)
-		w := d.workers["cold"]
-		w.sent.add(d.now, d.horizon, 0) // it has had its first job
-		d.shares, d.sharesAt = map[int]float64{0: share}, start+time.Hour
-		var sent []fleetSend
-		for range 300 {
-			d.now += rapid.SampledFrom([]time.Duration{0, 0, 0, window / 50, window / 50, window / 10, 2 * window}).Draw(t, "pause")
-			part := coldSafety * multiple * d.warmth(w) * share * window.Seconds()
-			work := rapid.SampledFrom([]float64{0.05, 0.05, 0.3, 1}).Draw(t, "work, parts") * part
-			r := &request{class: &d.s.Classes[0], slots: 1, work: work, mean: work, cost: work, hold: work}
-			if d.coldRoom(r, w) {
-				if w.cold -= r.charge(); w.cold < -part/2*(1+1e-9) {
-					t.Fatalf("%.3f of a part beyond what was there", -w.cold/part)
-				}
-				sent = append(sent, fleetSend{d.now, r.charge()})
-			}
-			sum := 0.0
-			for _, s := range sent {
-				if s.at > d.now-window {
-					sum += s.work
-				}
-			}
-			if allowed := multiple * d.warmth(w) * share * window.Seconds(); sum > allowed*(1+1e-9) {
-				t.Fatalf("%.3f of the budget in a window", sum/allowed)
-			}
-		}
-		if len(sent) == 0 {
-			t.Fatal("nothing was sent")
-		}
-	})
 }
--- /dev/null
+++ b/decision/sweep_test.go
@@ -0,0 +1,162 @@
+package decision
+
+import (
+	"testing"
+	"time"
+)
+
+// While many outcomes are bad, a request that can hardly be in time stands before others in its worker's
+// queue for a part of its weight. It is cancelled before it starts and rejected; so is a client's retry
+// that comes too late. One that has started, or must not run twice, goes on, and so do all while few
+// outcomes are bad.
+func TestLateRequestMakesWay(t *testing.T) {
+	for name, test := range map[string]struct {
+		class         int
+		bad           float64
+		from          int // sweeps after which it is so
+		started, away bool
+	}{
+		"overloaded": {0, 0.4, 0, false, true}, "calm": {0, 0.1, 0, false, false},
+		"overloaded once it is late": {0, 0.4, 16, false, true},
+		"started":                    {0, 0.4, 0, true, false}, "not idempotent": {1, 0.4, 0, false, false},
+	} {
+		settings := testSettings()
+		settings.StartNotices = true
+		rig := newRig(t, settings, 4)
+		id := rig.arrive(test.class)
+		if test.started {
+			rig.handle(rig.now, Event{Kind: AttemptStarted, Request: id, Worker: rig.assignedTo(id)})
+		}
+		var refused, stopped bool
+		for sweep := range 20 {
+			rig.badRatio = 0
+			if sweep >= test.from {
+				rig.badRatio = test.bad
+			}
+			if sweep == 16 && test.from > 0 && !rig.requests[id].late {
+				t.Fatal("it is not late yet")
+			}
+			rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
+			refused = refused || findAction(rig.actions, Reject) != nil
+			stopped = stopped || findAction(rig.actions, CancelAttempt) != nil
+		}
+		if refused != test.away || stopped != test.away {
+			t.Errorf("%s: rejected %v, cancelled %v, want %v", name, refused, stopped, test.away)
+		}
+		rig.badRatio = test.bad
+		const full = 5 * time.Second
+		rig.maxTimeLeft[0] = full
+		rig.handle(
+			rig.now,
+			Event{
+				Kind:     RequestArrived,
+				Request:  1 << 40,
+				Class:    0,
+				Work:     100 * time.Millisecond,
+				TimeLeft: full / 2,
+			},
+		)
+		if again := findAction(rig.actions, Reject) != nil; again != (test.bad > overloadBadRatio) {
+			t.Errorf("%s: a repeat that comes too late: rejected %v", name, again)
+		}
+	}
+}
+
+func TestWaitingRequestIsRejectedBeforeItsObjectiveWhenScarce(t *testing.T) {
+	rig := newRig(t, testSettings(), 1)
+	rig.fleet[0].saturatedUntil = rig.now + time.Hour
+	id := rig.arrive(0)
+	objective := rig.requests[id].objective
+	rig.workPrice = 0.1
+	rig.nextPricingAt = rig.now + time.Hour
+	for rig.requests[id] != nil && rig.now < objective+time.Second {
+		rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
+	}
+	action := findAction(rig.actions, Reject)
+	if action == nil || rig.now >= objective ||
+		action.Delay <= 0 || action.Delay > rig.settings.MaxRetryAfter {
+		t.Fatalf("at %v of %v: %v", rig.now, objective, rig.actions)
+	}
+}
+
+// At full ceilings and prices of zero, late requests must not stay in the queue and make fresh ones late.
+func TestLateRequestIsRejectedAtFullCeiling(t *testing.T) {
+	rig := newRig(t, testSettings(), 2)
+	rig.concurrencyPerWorker = (2 - concurrencyHeadroom) / 2
+	rig.arrive(0)
+	rig.arrive(0)
+	waits := rig.requests[rig.arrive(0)]
+	if !waits.queued || rig.workPrice+rig.slotPrice > 0 {
+		t.Fatal("the third request should wait, unpriced")
+	}
+	rig.handle(waits.objective-seconds(waits.work), Event{Kind: TimerFired, Timer: sweepTimer})
+	if !waits.ended || findAction(rig.actions, Reject) == nil {
+		t.Fatal("a request that can hardly be in time waits on, though the ceiling is full")
+	}
+}
+
+// A request that earns nothing once late is rejected when its objective passes.
+func TestWorthlessRequestIsAnsweredAtOnce(t *testing.T) {
+	settings := testSettings()
+	settings.Classes[0].LateWeight = 0
+	rig := newRig(t, settings, 1)
+	rig.fleet[0].saturatedUntil = rig.now + time.Hour
+	id := rig.arrive(0)
+	objective := rig.requests[id].objective
+	for findAction(rig.actions, Reject) == nil {
+		rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
+		if rig.now > objective {
+			t.Fatal("still waiting after its objective")
+		}
+	}
+	if action := findAction(rig.actions, Reject); action.Request != id || action.Delay <= 0 {
+		t.Fatalf("rejection %+v", action)
+	}
+}
+
+// A request that waits in a worker's queue, can't be in time any more and earns nothing late is cancelled,
+// lest workers' queues be full of such.
+func TestWorthlessAttemptIsCancelledWhereItWaits(t *testing.T) {
+	for class, answer := range []ActionKind{Reject, Fail} {
+		for _, started := range []bool{false, true} {
+			rig := newRig(t, settingsWithoutHints(), 1)
+			id := rig.arrive(class) // runs for 1 s, and has 1 s + 2 x 1 s
+			if rig.assignedTo(id) == "" {
+				t.Fatal("not sent")
+			}
+			if started {
+				rig.handle(rig.now, Event{Kind: AttemptStarted, Request: id, Worker: "w0"})
+			}
+			var actions []Action
+			sweep := func(until time.Duration) {
+				for rig.now < time.Hour+until {
+					actions = append(
+						actions,
+						rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})...)
+				}
+			}
+			sweep(time.Second)
+			if findAction(actions, CancelAttempt) != nil ||
+				findAction(actions, answer) != nil {
+				t.Fatalf("class %d is cancelled while it can be in time: %v", class, actions)
+			}
+			sweep(3 * time.Second)
+			cancelled := findAction(actions, CancelAttempt) != nil && findAction(actions, answer) != nil
+			if cancelled == started {
+				t.Fatalf("class %d, started %v, cancelled %v: %v", class, started, cancelled, actions)
+			}
+		}
+	}
+}
+
+// settingsWithoutHints are classes as another customer has them: no hints come, and an answer that is late
+// earns nothing.
+func settingsWithoutHints() Settings {
+	settings := testSettings()
+	settings.StartNotices = true
+	for i := range settings.Classes {
+		settings.Classes[i].LateWeight = 0
+		settings.Classes[i].LatencyObjective = time.Second
+	}
+	return settings
+}
