--- a/cmd/rehearse/flood.go
+++ b/cmd/rehearse/flood.go
@@ -76,10 +76,10 @@
 	}
 	n := int(c.Rate * c.For.Seconds())
 	for i := range n {
-		e := recording.Entry{At: time.Second + time.Duration(float64(i)/c.Rate*float64(time.Second)), Key: uint64(i%997 + 1), Left: 5 * time.Second,
+		e := recording.Entry{Arrival: time.Second + time.Duration(float64(i)/c.Rate*float64(time.Second)), Key: uint64(i%997 + 1), Timeout: 5 * time.Second,
 			Duration: 30 * time.Millisecond, Effort: 30 * time.Millisecond, Slots: 1}
 		if i%4 == 3 {
-			e.Class, e.Left, e.Duration, e.Effort = 1, 8*time.Second, 40*time.Millisecond, 40*time.Millisecond
+			e.Class, e.Timeout, e.Duration, e.Effort = 1, 8*time.Second, 40*time.Millisecond, 40*time.Millisecond
 		}
 		if err := out.Add(&e); err != nil {
 			return err
--- a/cmd/rehearse/import.go
+++ b/cmd/rehearse/import.go
@@ -68,7 +68,7 @@
 			if !named {
 				name = "stdin"
 			}
-			in = append(in, recording.Input{Source: name, File: "stdin", R: stdin})
+			in = append(in, recording.Input{Source: name, File: "stdin", Reader: stdin})
 			continue
 		}
 		f, err := os.Open(path)
@@ -80,7 +80,7 @@
 		if !named {
 			name = sourceName(path)
 		}
-		in = append(in, recording.Input{Source: name, File: filepath.Base(path), R: f})
+		in = append(in, recording.Input{Source: name, File: filepath.Base(path), Reader: f})
 	}
 	return in, done, nil
 }
@@ -153,7 +153,7 @@
 		out := bufio.NewWriter(f)
 		enc := json.NewEncoder(out)
 		var failed error
-		o.Reject = func(r recording.Reject) {
+		o.OnReject = func(r recording.Reject) {
 			if err := enc.Encode(r); err != nil && failed == nil {
 				failed = err
 			}
@@ -174,7 +174,7 @@
 		}
 		bar := progressbar.NewOptions64(total, progressbar.OptionSetWriter(e.errs), progressbar.OptionShowBytes(true),
 			progressbar.OptionSetDescription("import"), progressbar.OptionClearOnFinish())
-		o.Progress = func(n int64) { bar.Set64(n) }
+		o.OnProgress = func(n int64) { bar.Set64(n) }
 		defer bar.Finish()
 	}
 	err = create(path, func(w io.Writer) error {
@@ -199,9 +199,9 @@
 	if err != nil {
 		return err
 	}
-	if c.Strict && (report.Malformed > 0 || report.Cut()) {
+	if c.Strict && (report.Malformed > 0 || report.Truncated()) {
 		return broken{fmt.Sprintf("--strict: %d entries are malformed, %s", report.Malformed,
-			map[bool]string{true: "and a source is cut", false: "no source is cut"}[report.Cut()])}
+			map[bool]string{true: "and a source is cut", false: "no source is cut"}[report.Truncated()])}
 	}
 	return nil
 }
@@ -219,10 +219,10 @@
 	for _, name := range slices.Sorted(maps.Keys(r.Classes)) {
 		c := r.Classes[name]
 		fmt.Fprintf(w, "class %s: %d entries; durations: %d recorded, %d drawn from those, %d drawn as the rules say; keys made up: %d\n", name,
-			c.Entries, c.Recorded, c.DrawnRecorded, c.DrawnRules, c.MadeUpKeys)
+			c.Entries, c.Recorded, c.DrawnRecorded, c.DrawnRules, c.SyntheticKeys)
 	}
 	if r.Repairs["key made up"] > 0 {
-		fmt.Fprintf(w, "made-up keys: %s\n", r.MadeUpKeys)
+		fmt.Fprintf(w, "made-up keys: %s\n", r.SyntheticKeys)
 	}
 	for _, s := range r.Sources {
 		fmt.Fprintf(w, "source %s: %s, stamps mark the %s, read %d, accepted %d", s.Name, s.Format, s.Stamp, s.Read, s.Accepted)
@@ -237,23 +237,23 @@
 		if s.ClockSteps > 0 {
 			fmt.Fprintf(w, "; its clock stepped back %d times, by %.3f s", s.ClockSteps, float64(s.SteppedUs)/1e6)
 		}
-		if s.OddStamps > 0 {
-			fmt.Fprintf(w, "; %d odd stamps", s.OddStamps)
+		if s.OutlierTimestamps > 0 {
+			fmt.Fprintf(w, "; %d odd stamps", s.OutlierTimestamps)
 		}
 		if s.Reordered {
 			fmt.Fprint(w, "; its files were put in order")
 		}
 		fmt.Fprintln(w)
-		if s.Cut != "" {
-			fmt.Fprintf(w, "  cut: %s\n", s.Cut)
+		if s.Truncation != "" {
+			fmt.Fprintf(w, "  cut: %s\n", s.Truncation)
 		}
 	}
 	for i, x := range r.Rejects {
 		if i == 20 {
-			fmt.Fprintf(w, "and %d more malformed\n", len(r.Rejects)-i+int(r.MoreRejects))
+			fmt.Fprintf(w, "and %d more malformed\n", len(r.Rejects)-i+int(r.UnlistedRejects))
 			break
 		}
-		fmt.Fprintf(w, "%s: line %d, byte %d: %s\n", x.Source, x.Line, x.Offset, x.Why)
+		fmt.Fprintf(w, "%s: line %d, byte %d: %s\n", x.Source, x.Line, x.Offset, x.Reason)
 	}
 	if r.Accepted > 0 {
 		fmt.Fprintf(w, "from %s on, over %.1f s\n", r.Start.Format(time.RFC3339), r.SpanSeconds)
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -161,10 +161,10 @@
 }
 
 func (c *generateCmd) Run(e *env) error {
-	n, err := recording.Generate(e.out, recording.Made{Shape: c.Shape, Rate: c.Rate, For: c.For, MeanMs: c.MeanMs, Members: c.Members,
-		Seed: c.Seed, Precise: c.Precise})
+	n, err := recording.GenerateLog(e.out, recording.SyntheticLog{Shape: c.Shape, Rate: c.Rate, Length: c.For, MeanDurationMs: c.MeanMs, Members: c.Members,
+		Seed: c.Seed, MillisecondStamps: c.Precise})
 	if err == nil && c.Precise {
-		e.log.Info("a log was made up", "lines", n, "format", recording.MadeFormat)
+		e.log.Info("a log was made up", "lines", n, "format", recording.SyntheticLogFormat)
 	}
 	return err
 }
@@ -253,9 +253,9 @@
 	got := contents{Version: r.Header.Version, Start: time.UnixMicro(r.Header.StartUnixUs).UTC(), Classes: map[string]*classContents{}}
 	keys := map[uint64]struct{}{}
 	second, count := time.Duration(-1), 0
-	err = r.Each(func(x *recording.Entry) error {
+	err = r.ForEach(func(x *recording.Entry) error {
 		got.Entries++
-		got.SpanS = x.At.Seconds()
+		got.SpanS = x.Arrival.Seconds()
 		class := r.Header.Classes[x.Class]
 		cc := got.Classes[class.Name]
 		if cc == nil {
@@ -267,13 +267,13 @@
 		if x.Repairs&recording.DrawnDuration != 0 {
 			cc.Drawn++
 		}
-		if x.Repairs&recording.MadeUpKey != 0 {
+		if x.Repairs&recording.SyntheticKey != 0 {
 			cc.MadeUp++
 		}
 		if len(keys) < 1_000_000 {
 			keys[x.Key] = struct{}{}
 		}
-		if s := x.At.Truncate(time.Second); s != second {
+		if s := x.Arrival.Truncate(time.Second); s != second {
 			second, count = s, 0
 		}
 		count++
--- a/cmd/rehearse/main_test.go
+++ b/cmd/rehearse/main_test.go
@@ -304,7 +304,7 @@
 	sample := "../../deploy/sample/access.log"
 	code, out, errs := command("import", "--rules", rulesFile, "--seed", "5", "--rejects", at("rejects"), "--json", "-o", at("a.rec"), sample)
 	var got recording.Report
-	if err := json.Unmarshal([]byte(out), &got); err != nil || code != 0 || got.Read != 1620 || got.Malformed != 1 || !got.Whole() {
+	if err := json.Unmarshal([]byte(out), &got); err != nil || code != 0 || got.Read != 1620 || got.Malformed != 1 || !got.Balanced() {
 		t.Fatalf("%d %v %s%s", code, err, out, errs)
 	}
 	var reject recording.Reject
--- a/cmd/rehearse/run.go
+++ b/cmd/rehearse/run.go
@@ -56,11 +56,11 @@
 	}
 	const part = 10
 	at, sum := -1, 0.0
-	err = r.Each(func(e *recording.Entry) error {
+	err = r.ForEach(func(e *recording.Entry) error {
 		s.entries++
 		c := &s.classes[e.Class]
-		c.Left = max(c.Left, e.Left)
-		if n := int(e.At.Seconds() / speed / part); n != at {
+		c.Left = max(c.Left, e.Timeout)
+		if n := int(e.Arrival.Seconds() / speed / part); n != at {
 			at, sum = n, 0
 		}
 		sum += e.Slots * e.Duration.Seconds()
@@ -145,7 +145,7 @@
 		o.To, o.Faktory, o.Password = fleet.Second, true, fleet.Password
 	}
 	o.Announce = func(id, class string, retryable bool, path string, x *recording.Entry) {
-		j := standin.Job{ID: id, Class: class, Retryable: retryable, Path: path, Body: min(x.Body, 60<<10), Service: x.Duration, Slots: x.Slots}
+		j := standin.Job{ID: id, Class: class, Retryable: retryable, Path: path, Body: min(x.BodyBytes, 60<<10), Service: x.Duration, Slots: x.Slots}
 		if o.Faktory { // the body becomes args, which is for its own tests to check
 			j.Path = ""
 		}
--- a/internal/rehearsal/recording/canonical.go
+++ b/internal/rehearsal/recording/canonical.go
@@ -26,22 +26,22 @@
 
 const (
 	blockEntries = 1024
-	mostEntries  = 4 * blockEntries // in a block that is read
-	frameBytes   = 1 << 20          // of one frame
+	maxBlockEntries  = 4 * blockEntries // in a block that is read
+	maxFrameBytes   = 1 << 20          // of one frame
 	windowBytes  = 1 << 20          // of zstd
-	longest      = 10 * 366 * 24 * time.Hour
+	maxRecordingLength      = 10 * 366 * 24 * time.Hour
 )
 
 // Entry is one arrival of a recording.
 type Entry struct {
-	At       time.Duration // since the recording's start
+	Arrival       time.Duration // since the recording's start
 	Class    int           // its place in the header's classes
 	Key      uint64        // pseudonym; 0: none
 	Duration time.Duration // how long it took; drawn where the log told none
 	Effort   time.Duration // hint of the work
-	Left     time.Duration // how long the client waits
+	Timeout     time.Duration // how long the client waits
 	Slots    float64
-	Body     int // bytes of its body
+	BodyBytes     int // bytes of its body
 	Status   int // as recorded; 0: not known
 	Source   int
 	Repairs  Repair
@@ -57,131 +57,131 @@
 
 // Writer writes a recording. Its errors are the writer's own, or an entry out of order.
 type Writer struct {
-	zip    *zstd.Encoder
-	sum    *xxhash.Digest
+	encoder    *zstd.Encoder
+	checksum    *xxhash.Digest
 	block  recordingpb.Block
-	store  []recordingpb.Entry
-	buf    []byte
-	last   time.Duration
+	entryPool  []recordingpb.Entry
+	buffer    []byte
+	lastArrival   time.Duration
 	count  uint64
 	header *recordingpb.Header
 }
 
 // NewWriter starts a file. The header is the caller's; it is written at once.
-func NewWriter(w io.Writer, h *recordingpb.Header) (*Writer, error) {
-	zip, err := zstd.NewWriter(w, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest),
+func NewWriter(w io.Writer, header *recordingpb.Header) (*Writer, error) {
+	encoder, err := zstd.NewWriter(w, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest),
 		zstd.WithWindowSize(windowBytes), zstd.WithEncoderCRC(true))
 	if err != nil {
 		return nil, err
 	}
-	out := &Writer{zip: zip, sum: xxhash.New(), store: make([]recordingpb.Entry, blockEntries), header: h}
-	return out, out.write(&recordingpb.Frame{Of: &recordingpb.Frame_Header{Header: h}})
+	writer := &Writer{encoder: encoder, checksum: xxhash.New(), entryPool: make([]recordingpb.Entry, blockEntries), header: header}
+	return writer, writer.writeFrame(&recordingpb.Frame{Of: &recordingpb.Frame_Header{Header: header}})
 }
 
-func (w *Writer) write(f *recordingpb.Frame) (err error) {
+func (w *Writer) writeFrame(f *recordingpb.Frame) (err error) {
 	size := proto.Size(f)
-	w.buf = binary.AppendUvarint(w.buf[:0], uint64(size))
-	if w.buf, err = (proto.MarshalOptions{Deterministic: true, UseCachedSize: true}).MarshalAppend(w.buf, f); err != nil {
+	w.buffer = binary.AppendUvarint(w.buffer[:0], uint64(size))
+	if w.buffer, err = (proto.MarshalOptions{Deterministic: true, UseCachedSize: true}).MarshalAppend(w.buffer, f); err != nil {
 		return err
 	}
-	w.sum.Write(w.buf)
-	_, err = w.zip.Write(w.buf)
+	w.checksum.Write(w.buffer)
+	_, err = w.encoder.Write(w.buffer)
 	return err
 }
 
 // Add writes an entry, which must not come before the one added last.
 func (w *Writer) Add(e *Entry) error {
-	if e.At < w.last {
+	if e.Arrival < w.lastArrival {
 		return fmt.Errorf("entry %d comes before the one before it", w.count+1)
 	}
-	at := e.At.Truncate(time.Microsecond)
-	n := len(w.block.Entries)
-	p := &w.store[n]
-	p.AfterUs, p.Class, p.Key = uint64((at - w.last).Microseconds()), uint32(e.Class), e.Key
-	p.DurationUs, p.EffortUs, p.LeftMs = uint64(e.Duration.Microseconds()), uint64(e.Effort.Microseconds()), uint32(e.Left.Milliseconds())
-	if p.Slots = float32(e.Slots); e.Slots == 1 {
-		p.Slots = 0
+	arrival := e.Arrival.Truncate(time.Microsecond)
+	position := len(w.block.Entries)
+	stored := &w.entryPool[position]
+	stored.AfterUs, stored.Class, stored.Key = uint64((arrival - w.lastArrival).Microseconds()), uint32(e.Class), e.Key
+	stored.DurationUs, stored.EffortUs, stored.LeftMs = uint64(e.Duration.Microseconds()), uint64(e.Effort.Microseconds()), uint32(e.Timeout.Milliseconds())
+	if stored.Slots = float32(e.Slots); e.Slots == 1 {
+		stored.Slots = 0
 	}
-	p.BodyBytes, p.Status, p.Source, p.Repairs = uint32(e.Body), uint32(e.Status), uint32(e.Source), uint32(e.Repairs)
-	w.block.Entries = append(w.block.Entries, p)
-	w.last = at
-	if w.count++; n+1 == blockEntries {
-		return w.flush()
+	stored.BodyBytes, stored.Status, stored.Source, stored.Repairs = uint32(e.BodyBytes), uint32(e.Status), uint32(e.Source), uint32(e.Repairs)
+	w.block.Entries = append(w.block.Entries, stored)
+	w.lastArrival = arrival
+	if w.count++; position+1 == blockEntries {
+		return w.flushBlock()
 	}
 	return nil
 }
 
-func (w *Writer) flush() error {
+func (w *Writer) flushBlock() error {
 	if len(w.block.Entries) == 0 {
 		return nil
 	}
-	err := w.write(&recordingpb.Frame{Of: &recordingpb.Frame_Block{Block: &w.block}})
+	err := w.writeFrame(&recordingpb.Frame{Of: &recordingpb.Frame_Block{Block: &w.block}})
 	w.block.Entries = w.block.Entries[:0]
 	return err
 }
 
 // Close writes what is left and the end. Without it the file is refused.
 func (w *Writer) Close() error {
-	if err := w.flush(); err != nil {
+	if err := w.flushBlock(); err != nil {
 		return err
 	}
-	end := &recordingpb.End{Entries: w.count, Xxhash: w.sum.Sum64()}
-	if err := w.write(&recordingpb.Frame{Of: &recordingpb.Frame_End{End: end}}); err != nil {
+	end := &recordingpb.End{Entries: w.count, Xxhash: w.checksum.Sum64()}
+	if err := w.writeFrame(&recordingpb.Frame{Of: &recordingpb.Frame_End{End: end}}); err != nil {
 		return err
 	}
-	return w.zip.Close()
+	return w.encoder.Close()
 }
 
 // Reader reads a recording.
 type Reader struct {
 	Header *recordingpb.Header
 
-	zip    *zstd.Decoder
-	in     *bufio.Reader
-	sum    *xxhash.Digest
+	decoder    *zstd.Decoder
+	input     *bufio.Reader
+	checksum    *xxhash.Digest
 	frames int
 	offset int64 // unpacked
 	block  recordingpb.Block
-	next   int
-	at     time.Duration
+	nextEntry   int
+	lastArrival     time.Duration
 	count  uint64
 	err    error
-	buf    []byte
+	buffer    []byte
 }
 
 // NewReader opens a recording and reads its header. Close it after use.
 func NewReader(r io.Reader) (*Reader, error) {
-	zip, err := zstd.NewReader(r, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true),
+	decoder, err := zstd.NewReader(r, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true),
 		zstd.WithDecoderMaxWindow(8<<20), zstd.WithDecoderMaxMemory(1<<40))
 	if err != nil {
 		return nil, err
 	}
-	in := &Reader{zip: zip, in: bufio.NewReaderSize(zip, 64<<10), sum: xxhash.New()}
-	f, err := in.frame()
+	reader := &Reader{decoder: decoder, input: bufio.NewReaderSize(decoder, 64<<10), checksum: xxhash.New()}
+	frame, err := reader.readFrame()
 	if err == nil {
-		if in.Header = f.GetHeader(); in.Header == nil {
+		if reader.Header = frame.GetHeader(); reader.Header == nil {
 			err = errors.New("no recording: it does not begin with a header")
 		} else {
-			err = in.check()
+			err = reader.checkHeader()
 		}
 	}
 	if err != nil {
-		zip.Close()
+		decoder.Close()
 		return nil, err
 	}
-	return in, nil
+	return reader, nil
 }
 
 // Close frees what the reader holds.
-func (r *Reader) Close() { r.zip.Close() }
+func (r *Reader) Close() { r.decoder.Close() }
 
-func (r *Reader) check() error {
-	h := r.Header
-	if h.Version != Version {
-		return fmt.Errorf("header: version %d; this program reads %d", h.Version, Version)
+func (r *Reader) checkHeader() error {
+	header := r.Header
+	if header.Version != Version {
+		return fmt.Errorf("header: version %d; this program reads %d", header.Version, Version)
 	}
 	names := map[string]bool{}
-	for i, c := range h.Classes {
+	for i, c := range header.Classes {
 		if c.GetName() == "" || names[c.Name] {
 			return fmt.Errorf("header: classes[%d]: no name, or one that was there", i)
 		}
@@ -190,67 +190,67 @@
 	return nil
 }
 
-// frame reads the next one.
-func (r *Reader) frame() (*recordingpb.Frame, error) {
+// readFrame reads the next one.
+func (r *Reader) readFrame() (*recordingpb.Frame, error) {
 	fail := func(what error) error {
 		if errors.Is(what, io.EOF) || errors.Is(what, io.ErrUnexpectedEOF) {
 			what = errors.New("the file ends early")
 		}
 		return fmt.Errorf("frame %d, at byte %d unpacked, after %d entries: %w", r.frames+1, r.offset, r.count, what)
 	}
-	size, err := binary.ReadUvarint(r.in)
+	size, err := binary.ReadUvarint(r.input)
 	if err != nil {
 		return nil, fail(err)
 	}
-	if size > frameBytes {
-		return nil, fail(fmt.Errorf("%d bytes long, at most %d are read", size, frameBytes))
+	if size > maxFrameBytes {
+		return nil, fail(fmt.Errorf("%d bytes long, at most %d are read", size, maxFrameBytes))
 	}
-	if uint64(cap(r.buf)) < size {
-		r.buf = make([]byte, size)
+	if uint64(cap(r.buffer)) < size {
+		r.buffer = make([]byte, size)
 	}
-	r.buf = r.buf[:size]
-	if _, err := io.ReadFull(r.in, r.buf); err != nil {
+	r.buffer = r.buffer[:size]
+	if _, err := io.ReadFull(r.input, r.buffer); err != nil {
 		return nil, fail(err)
 	}
-	var f recordingpb.Frame
-	if err := proto.Unmarshal(r.buf, &f); err != nil {
+	var frame recordingpb.Frame
+	if err := proto.Unmarshal(r.buffer, &frame); err != nil {
 		return nil, fail(errors.New("no frame that can be read"))
 	}
-	if end := f.GetEnd(); end != nil && end.Xxhash != r.sum.Sum64() {
+	if end := frame.GetEnd(); end != nil && end.Xxhash != r.checksum.Sum64() {
 		return nil, fail(errors.New("the checksum is wrong: the file was changed"))
 	}
-	head := binary.AppendUvarint(nil, size)
-	r.sum.Write(head)
-	r.sum.Write(r.buf)
-	r.frames, r.offset = r.frames+1, r.offset+int64(len(head))+int64(size)
-	return &f, nil
+	prefix := binary.AppendUvarint(nil, size)
+	r.checksum.Write(prefix)
+	r.checksum.Write(r.buffer)
+	r.frames, r.offset = r.frames+1, r.offset+int64(len(prefix))+int64(size)
+	return &frame, nil
 }
 
 // Next reads the next entry; io.EOF tells that the file is whole.
 func (r *Reader) Next(e *Entry) error {
 	if r.err == nil {
-		r.err = r.read(e)
+		r.err = r.readEntry(e)
 	}
 	return r.err
 }
 
-func (r *Reader) read(e *Entry) error {
-	for r.next >= len(r.block.Entries) {
-		f, err := r.frame()
+func (r *Reader) readEntry(e *Entry) error {
+	for r.nextEntry >= len(r.block.Entries) {
+		frame, err := r.readFrame()
 		if err != nil {
 			return err
 		}
-		switch of := f.Of.(type) {
+		switch of := frame.Of.(type) {
 		case *recordingpb.Frame_Block:
-			if len(of.Block.GetEntries()) > mostEntries {
-				return fmt.Errorf("frame %d: %d entries, at most %d are read", r.frames, len(of.Block.Entries), mostEntries)
+			if len(of.Block.GetEntries()) > maxBlockEntries {
+				return fmt.Errorf("frame %d: %d entries, at most %d are read", r.frames, len(of.Block.Entries), maxBlockEntries)
 			}
-			r.block.Entries, r.next = of.Block.GetEntries(), 0
+			r.block.Entries, r.nextEntry = of.Block.GetEntries(), 0
 		case *recordingpb.Frame_End:
 			if of.End.Entries != r.count {
 				return fmt.Errorf("frame %d: %d entries were read, the end tells %d", r.frames, r.count, of.End.Entries)
 			}
-			if _, err := r.in.ReadByte(); !errors.Is(err, io.EOF) {
+			if _, err := r.input.ReadByte(); !errors.Is(err, io.EOF) {
 				return fmt.Errorf("frame %d: something follows the end", r.frames)
 			}
 			return io.EOF
@@ -258,34 +258,34 @@
 			return fmt.Errorf("frame %d: neither block nor end", r.frames)
 		}
 	}
-	p := r.block.Entries[r.next]
-	r.next++
+	stored := r.block.Entries[r.nextEntry]
+	r.nextEntry++
 	r.count++
-	at := r.at + time.Duration(p.AfterUs)*time.Microsecond
+	at := r.lastArrival + time.Duration(stored.AfterUs)*time.Microsecond
 	switch {
-	case p.AfterUs > uint64(longest.Microseconds()) || at > longest:
+	case stored.AfterUs > uint64(maxRecordingLength.Microseconds()) || at > maxRecordingLength:
 		return fmt.Errorf("entry %d: more than ten years after the start", r.count)
-	case int(p.Class) >= len(r.Header.Classes) || p.Class > math.MaxInt32:
-		return fmt.Errorf("entry %d: class %d is not in the header", r.count, p.Class)
-	case p.LeftMs < 1 || p.LeftMs > mostLeftMs:
-		return fmt.Errorf("entry %d: left_ms: %d is not between 1 and %d", r.count, p.LeftMs, mostLeftMs)
-	case !(p.Slots >= 0 && p.Slots <= 64):
+	case int(stored.Class) >= len(r.Header.Classes) || stored.Class > math.MaxInt32:
+		return fmt.Errorf("entry %d: class %d is not in the header", r.count, stored.Class)
+	case stored.LeftMs < 1 || stored.LeftMs > maxTimeoutMs:
+		return fmt.Errorf("entry %d: left_ms: %d is not between 1 and %d", r.count, stored.LeftMs, maxTimeoutMs)
+	case !(stored.Slots >= 0 && stored.Slots <= 64):
 		return fmt.Errorf("entry %d: slots: not between 0 and 64", r.count)
-	case p.DurationUs > 24*3600*1e6 || p.EffortUs > 1000*24*3600*1e6:
+	case stored.DurationUs > 24*3600*1e6 || stored.EffortUs > 1000*24*3600*1e6:
 		return fmt.Errorf("entry %d: duration or effort: too long", r.count)
 	}
-	r.at = at
-	*e = Entry{At: at, Class: int(p.Class), Key: p.Key, Duration: time.Duration(p.DurationUs) * time.Microsecond,
-		Effort: time.Duration(p.EffortUs) * time.Microsecond, Left: time.Duration(p.LeftMs) * time.Millisecond,
-		Slots: float64(p.Slots), Body: int(p.BodyBytes), Status: int(p.Status), Source: int(p.Source), Repairs: Repair(p.Repairs)}
+	r.lastArrival = at
+	*e = Entry{Arrival: at, Class: int(stored.Class), Key: stored.Key, Duration: time.Duration(stored.DurationUs) * time.Microsecond,
+		Effort: time.Duration(stored.EffortUs) * time.Microsecond, Timeout: time.Duration(stored.LeftMs) * time.Millisecond,
+		Slots: float64(stored.Slots), BodyBytes: int(stored.BodyBytes), Status: int(stored.Status), Source: int(stored.Source), Repairs: Repair(stored.Repairs)}
 	if e.Slots == 0 {
 		e.Slots = 1
 	}
 	return nil
 }
 
-// Each calls each for every entry of a recording, and checks it to its end.
-func (r *Reader) Each(each func(e *Entry) error) error {
+// ForEach calls each for every entry of a recording, and checks it to its end.
+func (r *Reader) ForEach(each func(e *Entry) error) error {
 	var e Entry
 	for {
 		if err := r.Next(&e); err != nil {
@@ -300,7 +300,7 @@
 	}
 }
 
-func (r *Reader) derive(history string) *recordingpb.Header {
+func (r *Reader) deriveHeader(history string) *recordingpb.Header {
 	h := proto.Clone(r.Header).(*recordingpb.Header)
 	h.Entries = 0
 	h.History = append(h.History, history)
@@ -313,17 +313,17 @@
 	if from < 0 || to != 0 && to <= from {
 		return errors.New("slice: the window is empty")
 	}
-	h := r.derive(fmt.Sprintf("slice from %v to %v", from, to))
+	h := r.deriveHeader(fmt.Sprintf("slice from %v to %v", from, to))
 	h.StartUnixUs += from.Microseconds()
 	w, err := NewWriter(out, h)
 	if err != nil {
 		return err
 	}
-	if err := r.Each(func(e *Entry) error { // to the end: a file that is cut is no source
-		if e.At < from || to != 0 && e.At >= to {
+	if err := r.ForEach(func(e *Entry) error { // to the end: a file that is cut is no source
+		if e.Arrival < from || to != 0 && e.Arrival >= to {
 			return nil
 		}
-		e.At -= from
+		e.Arrival -= from
 		return w.Add(e)
 	}); err != nil {
 		return err
@@ -336,7 +336,7 @@
 	if len(in) == 0 {
 		return errors.New("merge: nothing to merge")
 	}
-	h := in[0].derive(fmt.Sprintf("merge of %d", len(in)))
+	h := in[0].deriveHeader(fmt.Sprintf("merge of %d", len(in)))
 	h.Classes, h.Sources, h.Repairs = nil, nil, map[string]uint64{}
 	h.Counts = &recordingpb.Counts{}
 	index := map[string]int{}
@@ -372,7 +372,7 @@
 	if err != nil {
 		return err
 	}
-	var queue lineup
+	var queue entryQueue
 	pull := func(i int) error {
 		var e Entry
 		err := in[i].Next(&e)
@@ -383,10 +383,10 @@
 			return fmt.Errorf("recording %d: %w", i+1, err)
 		}
 		if !align {
-			e.At += time.Duration(in[i].Header.StartUnixUs-h.StartUnixUs) * time.Microsecond
+			e.Arrival += time.Duration(in[i].Header.StartUnixUs-h.StartUnixUs) * time.Microsecond
 		}
 		e.Class, e.Source = classes[i][e.Class], e.Source+sources[i]
-		heap.Push(&queue, queued{e, uint64(i)})
+		heap.Push(&queue, queuedEntry{e, uint64(i)})
 		return nil
 	}
 	for i := range in {
@@ -395,7 +395,7 @@
 		}
 	}
 	for len(queue) > 0 {
-		q := heap.Pop(&queue).(queued)
+		q := heap.Pop(&queue).(queuedEntry)
 		if err := w.Add(&q.Entry); err != nil {
 			return err
 		}
@@ -406,21 +406,21 @@
 	return w.Close()
 }
 
-// lineup are entries by their time.
-type lineup []queued
+// entryQueue are entries by their time.
+type entryQueue []queuedEntry
 
-type queued struct {
+type queuedEntry struct {
 	Entry
 	order uint64
 }
 
-func (l lineup) Len() int { return len(l) }
-func (l lineup) Less(i, j int) bool {
-	return l[i].At < l[j].At || l[i].At == l[j].At && l[i].order < l[j].order
+func (l entryQueue) Len() int { return len(l) }
+func (l entryQueue) Less(i, j int) bool {
+	return l[i].Arrival < l[j].Arrival || l[i].Arrival == l[j].Arrival && l[i].order < l[j].order
 }
-func (l lineup) Swap(i, j int) { l[i], l[j] = l[j], l[i] }
-func (l *lineup) Push(x any)   { *l = append(*l, x.(queued)) }
-func (l *lineup) Pop() any {
+func (l entryQueue) Swap(i, j int) { l[i], l[j] = l[j], l[i] }
+func (l *entryQueue) Push(x any)   { *l = append(*l, x.(queuedEntry)) }
+func (l *entryQueue) Pop() any {
 	q := (*l)[len(*l)-1]
 	*l = (*l)[:len(*l)-1]
 	return q
@@ -435,25 +435,25 @@
 			return fmt.Errorf("scale: %g is not between 0.001 and 1000", x)
 		}
 	}
-	w, err := NewWriter(out, r.derive(fmt.Sprintf("scale rate %g speed %g seed %d", rate, speed, seed)))
+	w, err := NewWriter(out, r.deriveHeader(fmt.Sprintf("scale rate %g speed %g seed %d", rate, speed, seed)))
 	if err != nil {
 		return err
 	}
-	rng := stream(seed, "scale")
-	var queue lineup
+	rng := newRandomStream(seed, "scale")
+	var queue entryQueue
 	order := uint64(0)
 	release := func(until time.Duration) error {
-		for len(queue) > 0 && queue[0].At <= until {
-			q := heap.Pop(&queue).(queued)
-			q.At = time.Duration(float64(q.At) / speed)
+		for len(queue) > 0 && queue[0].Arrival <= until {
+			q := heap.Pop(&queue).(queuedEntry)
+			q.Arrival = time.Duration(float64(q.Arrival) / speed)
 			if err := w.Add(&q.Entry); err != nil {
 				return err
 			}
 		}
 		return nil
 	}
-	if err := r.Each(func(e *Entry) error {
-		if err := release(e.At); err != nil {
+	if err := r.ForEach(func(e *Entry) error {
+		if err := release(e.Arrival); err != nil {
 			return err
 		}
 		copies := int(rate)
@@ -463,13 +463,13 @@
 		for i := range copies {
 			c := *e
 			if i > 0 {
-				c.At = e.At + time.Duration(rng.Int64N(int64(time.Second)))
+				c.Arrival = e.Arrival + time.Duration(rng.Int64N(int64(time.Second)))
 				if c.Key != 0 {
 					c.Key = (c.Key + uint64(i)*0x9e3779b97f4a7c15) | 1
 				}
 			}
 			order++
-			heap.Push(&queue, queued{c, order})
+			heap.Push(&queue, queuedEntry{c, order})
 		}
 		return nil
 	}); err != nil {
--- a/internal/rehearsal/recording/clock.go
+++ b/internal/rehearsal/recording/clock.go
@@ -9,234 +9,234 @@
 // seconds, and how far two sources' clocks lie apart. It must never move an
 // entry without counting it.
 
-// pending is an entry on its way through the import. Times are microseconds.
-type pending struct {
-	at       int64 // the stamp; once ordered, the arrival
-	seq      uint64
+// pendingEntry is an entry on its way through the import. Times are microseconds.
+type pendingEntry struct {
+	timestamp       int64 // the stamp; once ordered, the arrival
+	sequence      uint64
 	key      uint64 // of the token; 0: to be made up, or none
-	sig      uint64 // what two sources would both tell of the request
+	signature      uint64 // what two sources would both tell of the request
 	duration int64  // -1: not told
-	service  int64
-	step     int64
+	serviceTime  int64
+	resolution     int64
 	class    int32
 	status   int32
-	body     int32
+	bodyBytes     int32
 	repairs  Repair
-	arrival  bool
+	stampsArrival  bool
 	noKey    bool
-	fold     int64
+	foldOffset     int64
 }
 
 const (
-	orderly   = 2_000_000            // by how much the ends of a log's lines may go back: workers write in turn
-	unordered = 120_000_000          // where stamps mark arrivals and no duration is told
-	leap      = 6 * 3600 * 1_000_000 // forward: a night without entries, or an odd stamp
-	nearby    = 3600 * 1_000_000     // how far on from the last good stamp an old clock may be found again
-	confirm   = 8                    // entries that must agree before a step is believed
-	crowd     = 1 << 16              // entries of one second that are spread at once
+	maxCompletionDisorder   = 2_000_000            // by how much the ends of a log's lines may go back: workers write in turn
+	maxArrivalDisorder = 120_000_000          // where stamps mark arrivals and no duration is told
+	maxForwardJump      = 6 * 3600 * 1_000_000 // forward: a night without entries, or an odd stamp
+	resumeWindow    = 3600 * 1_000_000     // how far on from the last good stamp an old clock may be found again
+	stepConfirmations   = 8                    // entries that must agree before a step is believed
+	maxSpreadGroup     = 1 << 16              // entries of one second that are spread at once
 )
 
-// clock puts the stamps of one source into one line of time. It holds back a
-// few entries while it is not sure whether a clock has stepped or one stamp is odd.
-type clock struct {
-	steady bool // the order of the source tells nothing (HAR)
-	good   int64
-	shift  int64 // added since the clock stepped back
-	begun  bool
-	held   []pending
-	back   bool // the held ones stand before, not far behind
-	next   func(pending)
+// clockCorrector puts the stamps of one source into one line of time. It holds back a
+// few entries while it is not sure whether a clockCorrector has stepped or one stamp is odd.
+type clockCorrector struct {
+	unordered bool // the order of the source tells nothing (HAR)
+	lastGood   int64
+	correction  int64 // added since the clock stepped back
+	started  bool
+	suspects   []pendingEntry
+	suspectsBehind   bool // the held ones stand before, not far behind
+	emit   func(pendingEntry)
 
-	Steps   int   // how often the clock stepped back
-	Stepped int64 // by how much altogether, µs
-	Odd     int   // stamps that stood alone
+	StepsBack   int   // how often the clock stepped back
+	SteppedMicroseconds int64 // by how much altogether, µs
+	Outliers     int   // stamps that stood alone
 }
 
-// mark is the time by which lines are ordered: when they were written.
-func (p *pending) mark() int64 {
-	if p.arrival && p.duration > 0 {
-		return p.at + p.duration
+// completion is the time by which lines are ordered: when they were written.
+func (p *pendingEntry) completion() int64 {
+	if p.stampsArrival && p.duration > 0 {
+		return p.timestamp + p.duration
 	}
-	return p.at
+	return p.timestamp
 }
 
 // tolerance is by how much a mark may go back without a step.
-func (p *pending) tolerance() int64 {
-	if p.arrival && p.duration < 0 {
-		return unordered
+func (p *pendingEntry) tolerance() int64 {
+	if p.stampsArrival && p.duration < 0 {
+		return maxArrivalDisorder
 	}
-	return orderly
+	return maxCompletionDisorder
 }
 
-func (c *clock) add(p pending) {
-	if c.steady {
-		c.next(p)
+func (c *clockCorrector) add(p pendingEntry) {
+	if c.unordered {
+		c.emit(p)
 		return
 	}
-	m := p.mark() + c.shift
-	if !c.begun {
-		c.begun, c.good = true, m
+	completion := p.completion() + c.correction
+	if !c.started {
+		c.started, c.lastGood = true, completion
 	}
-	if p.fold > 0 && m < c.good-p.tolerance() && m+p.fold >= c.good-p.tolerance() {
-		p.at, m = p.at+p.fold, m+p.fold
-		p.repairs |= SecondHour
+	if p.foldOffset > 0 && completion < c.lastGood-p.tolerance() && completion+p.foldOffset >= c.lastGood-p.tolerance() {
+		p.timestamp, completion = p.timestamp+p.foldOffset, completion+p.foldOffset
+		p.repairs |= RepeatedHour
 	}
-	p.fold = 0
-	if len(c.held) > 0 {
-		if m >= c.good-p.tolerance() && m <= c.good+nearby { // the old clock goes on: the held ones were odd
-			c.release(true)
-		} else if c.held = append(c.held, p); len(c.held) >= confirm {
-			c.flush()
+	p.foldOffset = 0
+	if len(c.suspects) > 0 {
+		if completion >= c.lastGood-p.tolerance() && completion <= c.lastGood+resumeWindow { // the old clock goes on: the held ones were odd
+			c.releaseSuspects(true)
+		} else if c.suspects = append(c.suspects, p); len(c.suspects) >= stepConfirmations {
+			c.acceptSuspects()
 			return
 		} else {
 			return
 		}
 	}
-	if back := m < c.good-p.tolerance(); back || m > c.good+leap {
-		c.back = back
-		c.held = append(c.held, p)
+	if back := completion < c.lastGood-p.tolerance(); back || completion > c.lastGood+maxForwardJump {
+		c.suspectsBehind = back
+		c.suspects = append(c.suspects, p)
 		return
 	}
-	c.pass(p)
+	c.accept(p)
 }
 
-func (c *clock) pass(p pending) {
-	p.at += c.shift
-	if c.shift != 0 {
-		p.repairs |= SteppedClock
+func (c *clockCorrector) accept(p pendingEntry) {
+	p.timestamp += c.correction
+	if c.correction != 0 {
+		p.repairs |= ClockStepped
 	}
-	c.good = max(c.good, p.mark())
-	c.next(p)
+	c.lastGood = max(c.lastGood, p.completion())
+	c.emit(p)
 }
 
-// release passes the held entries on; odd ones at the last good time.
-func (c *clock) release(odd bool) {
-	held := c.held
-	c.held = nil
+// releaseSuspects passes the held entries on; odd ones at the last good time.
+func (c *clockCorrector) releaseSuspects(odd bool) {
+	held := c.suspects
+	c.suspects = nil
 	for _, p := range held {
 		if odd {
-			c.Odd++
-			p.repairs |= OddStamp
-			p.at = c.good
-			if p.arrival && p.duration > 0 {
-				p.at -= p.duration
+			c.Outliers++
+			p.repairs |= OutlierTimestamp
+			p.timestamp = c.lastGood
+			if p.stampsArrival && p.duration > 0 {
+				p.timestamp -= p.duration
 			}
-			c.next(p)
+			c.emit(p)
 		} else {
-			c.pass(p)
+			c.accept(p)
 		}
 	}
-	c.held = held[:0]
+	c.suspects = held[:0]
 }
 
-// flush believes the held entries: the clock has stepped, or time has passed.
-func (c *clock) flush() {
-	if len(c.held) == 0 {
+// acceptSuspects believes the held entries: the clock has stepped, or time has passed.
+func (c *clockCorrector) acceptSuspects() {
+	if len(c.suspects) == 0 {
 		return
 	}
-	first := c.held[0].mark() + c.shift
-	if c.back {
-		c.Steps++
-		c.Stepped += c.good - first
-		c.shift += c.good - first
+	first := c.suspects[0].completion() + c.correction
+	if c.suspectsBehind {
+		c.StepsBack++
+		c.SteppedMicroseconds += c.lastGood - first
+		c.correction += c.lastGood - first
 	} else {
-		c.good = first
+		c.lastGood = first
 	}
-	held := slices.Clone(c.held)
-	c.held = c.held[:0]
+	held := slices.Clone(c.suspects)
+	c.suspects = c.suspects[:0]
 	for _, p := range held { // a second step within them is seen as one
 		c.add(p)
 	}
 }
 
-// spreader parts the entries of one whole second, in their order. A second of
+// secondSpreader parts the entries of one whole second, in their order. A second of
 // which more come than it can hold takes its entries in ever smaller parts.
-type spreader struct {
-	rng    *rand.Rand
-	group  []pending
+type secondSpreader struct {
+	random    *rand.Rand
+	group  []pendingEntry
 	second int64
-	from   float64 // how much of the second is taken already
-	at     []float64
-	next   func(pending)
+	usedFraction   float64 // how much of the second is taken already
+	fractions     []float64
+	emit   func(pendingEntry)
 
-	Crowded int // seconds that were too full for one part
+	CrowdedSeconds int // seconds that were too full for one part
 	Spread  int // entries
 }
 
-func (s *spreader) add(p pending) {
-	if p.step < 1_000_000 {
+func (s *secondSpreader) add(p pendingEntry) {
+	if p.resolution < 1_000_000 {
 		s.flush()
-		s.next(p)
+		s.emit(p)
 		return
 	}
-	if len(s.group) > 0 && p.at != s.second {
+	if len(s.group) > 0 && p.timestamp != s.second {
 		s.flush()
 	}
-	s.second = p.at
-	if s.group = append(s.group, p); len(s.group) == crowd {
-		s.Crowded++
-		s.part(s.from + (1-s.from)/2)
+	s.second = p.timestamp
+	if s.group = append(s.group, p); len(s.group) == maxSpreadGroup {
+		s.CrowdedSeconds++
+		s.spreadGroup(s.usedFraction + (1-s.usedFraction)/2)
 	}
 }
 
 // flush ends a second.
-func (s *spreader) flush() {
+func (s *secondSpreader) flush() {
 	if len(s.group) > 0 {
-		s.part(1)
+		s.spreadGroup(1)
 	}
-	s.from = 0
+	s.usedFraction = 0
 }
 
-func (s *spreader) part(to float64) {
-	s.at = s.at[:0]
+func (s *secondSpreader) spreadGroup(to float64) {
+	s.fractions = s.fractions[:0]
 	for range s.group {
-		s.at = append(s.at, s.from+s.rng.Float64()*(to-s.from))
+		s.fractions = append(s.fractions, s.usedFraction+s.random.Float64()*(to-s.usedFraction))
 	}
-	slices.Sort(s.at)
+	slices.Sort(s.fractions)
 	s.Spread += len(s.group)
 	for i, p := range s.group {
-		p.at += min(int64(s.at[i]*1e6), 999_999)
-		s.next(p)
+		p.timestamp += min(int64(s.fractions[i]*1e6), 999_999)
+		s.emit(p)
 	}
-	s.group, s.from = s.group[:0], to
+	s.group, s.usedFraction = s.group[:0], to
 }
 
-// sightings remembers requests of one source by what another would tell of
+// signatureSample remembers requests of one source by what another would tell of
 // them, the same part of them in every source, so that many or few can be compared.
-type sightings struct {
+type signatureSample struct {
 	seen map[uint64]sighting
-	most uint64 // those above are not remembered
+	maxSignature uint64 // those above are not remembered
 }
 
 type sighting struct {
-	at    int64
-	times int32
+	timestamp    int64
+	count int32
 }
 
-const rememberedSightings = 1 << 15
+const maxSightings = 1 << 15
 
-func newSightings() *sightings {
-	return &sightings{seen: map[uint64]sighting{}, most: ^uint64(0)}
+func newSignatureSample() *signatureSample {
+	return &signatureSample{seen: map[uint64]sighting{}, maxSignature: ^uint64(0)}
 }
 
-func (s *sightings) add(sig uint64, at int64) {
-	if sig > s.most {
+func (s *signatureSample) add(signature uint64, at int64) {
+	if signature > s.maxSignature {
 		return
 	}
-	v := s.seen[sig]
-	s.seen[sig] = sighting{at, v.times + 1}
-	for len(s.seen) > rememberedSightings {
-		s.most /= 2
+	previous := s.seen[signature]
+	s.seen[signature] = sighting{at, previous.count + 1}
+	for len(s.seen) > maxSightings {
+		s.maxSignature /= 2
 		for sig := range s.seen {
-			if sig > s.most {
+			if sig > s.maxSignature {
 				delete(s.seen, sig)
 			}
 		}
 	}
 }
 
-// Offset is how far a source's clock lies from the first source's.
-type Offset struct {
+// ClockOffset is how far a source's clock lies from the first source's.
+type ClockOffset struct {
 	Microseconds int64 // to be added to its stamps
 	Estimated    bool
 	Pairs        int   // requests that both saw
@@ -244,39 +244,39 @@
 }
 
 const (
-	fewestPairs = 5
-	pairWindow  = 2_000_000 // two whole seconds: what two stamps may lie apart by their roundness
+	minOffsetPairs = 5
+	offsetPairWindow  = 2_000_000 // two whole seconds: what two stamps may lie apart by their roundness
 )
 
-// estimate finds the offset of one source against another from the requests
+// estimateOffset finds the offset of one source against another from the requests
 // that each saw once; ok: there were enough that agree.
-func estimate(ref, other *sightings) (o Offset, ok bool) {
+func estimateOffset(ref, other *signatureSample) (o ClockOffset, ok bool) {
 	var apart []int64
 	for sig, a := range ref.seen {
-		if b, found := other.seen[sig]; found && a.times == 1 && b.times == 1 {
-			apart = append(apart, a.at-b.at)
+		if b, found := other.seen[sig]; found && a.count == 1 && b.count == 1 {
+			apart = append(apart, a.timestamp-b.timestamp)
 		}
 	}
 	slices.Sort(apart)
 	best, from := 0, 0
 	for i, j := 0, 0; j < len(apart); j++ {
-		for apart[j]-apart[i] > pairWindow {
+		for apart[j]-apart[i] > offsetPairWindow {
 			i++
 		}
 		if j-i+1 > best {
 			best, from = j-i+1, i
 		}
 	}
-	if best < fewestPairs {
+	if best < minOffsetPairs {
 		return o, false
 	}
 	// As many might agree by chance: pairs of different requests lie anywhere.
-	if width := apart[len(apart)-1] - apart[0]; width > pairWindow {
-		if chance := float64(len(apart)) * pairWindow / float64(width); float64(best) < 4*chance+2 && best*2 < len(apart) {
+	if width := apart[len(apart)-1] - apart[0]; width > offsetPairWindow {
+		if chance := float64(len(apart)) * offsetPairWindow / float64(width); float64(best) < 4*chance+2 && best*2 < len(apart) {
 			return o, false
 		}
 	}
 	near := apart[from : from+best]
 	mid := near[best/2]
-	return Offset{Microseconds: mid, Estimated: true, Pairs: best, Spread: (near[best*3/4] - near[best/4] + 1) / 2}, true
+	return ClockOffset{Microseconds: mid, Estimated: true, Pairs: best, Spread: (near[best*3/4] - near[best/4] + 1) / 2}, true
 }
--- a/internal/rehearsal/recording/formats.go
+++ b/internal/rehearsal/recording/formats.go
@@ -17,20 +17,20 @@
 // never pass over a line that it cannot read without saying why, nor put any of
 // the line's text into that why.
 
-// Raw is what one line or HAR entry tells. Times are microseconds.
-type Raw struct {
-	At       int64 // the stamp, Unix time
-	Step     int64 // how fine the stamp is: 1_000_000 where it is whole seconds
+// RawEntry is what one line or HAR entry tells. Times are microseconds.
+type RawEntry struct {
+	Timestamp       int64 // the stamp, Unix time
+	Resolution     int64 // how fine the stamp is: 1_000_000 where it is whole seconds
 	Duration int64 // from arrival to end; -1: not told
-	Service  int64 // of that, the part that the servers behind needed; -1: not told
+	ServiceTime  int64 // of that, the part that the servers behind needed; -1: not told
 	Method   string
 	Target   string // path and query
 	Client   string
-	ID       string // the request's id, where the log has one
+	RequestID       string // the request's id, where the log has one
 	Status   int
-	Body     int    // bytes of the request's body; 0: not told
-	Arrival  bool   // At is the arrival; else the end
-	Fold     int64  // the stamp names no zone and its hour comes twice: how much later At may be
+	BodyBytes     int    // bytes of the request's body; 0: not told
+	StampsArrival  bool   // At is the arrival; else the end
+	FoldOffset     int64  // the stamp names no zone and its hour comes twice: how much later At may be
 	Ignored  string // why it never reached a server; empty: it did
 	Repairs  Repair
 }
@@ -41,24 +41,24 @@
 // The repairs. Their order is that of the canonical file's bits.
 const (
 	DrawnDuration Repair = 1 << iota // had no duration: one was drawn
-	MadeUpKey                        // its member was wholly redacted
-	SteppedClock                     // its clock had stepped back
-	OddStamp                         // its stamp alone stood far from those around it
-	BadUTF8                          // its target was no valid UTF-8
+	SyntheticKey                        // its member was wholly redacted
+	ClockStepped                     // its clock had stepped back
+	OutlierTimestamp                         // its stamp alone stood far from those around it
+	InvalidUTF8                          // its target was no valid UTF-8
 	LeadingNUL                       // bytes of zero stood before it
-	EndAsArrival                     // its stamp marks the end and no duration was told
-	SecondHour                       // its hour came twice as summer time ended, and this was the second
+	EndTakenAsArrival                     // its stamp marks the end and no duration was told
+	RepeatedHour                       // its hour came twice as summer time ended, and this was the second
 )
 
-// Repairs names the bits in their order.
-var Repairs = []string{"duration drawn", "key made up", "clock stepped back", "odd stamp", "invalid UTF-8",
+// RepairNames names the bits in their order.
+var RepairNames = []string{"duration drawn", "key made up", "clock stepped back", "odd stamp", "invalid UTF-8",
 	"leading NUL bytes", "end taken as arrival", "hour that came twice"}
 
 // Format is one form of a line, as Compile makes it.
 type Format struct {
 	Name    string
 	HAR     bool
-	Arrival bool // its stamps mark the arrival; else the end
+	StampsArrival bool // its stamps mark the arrival; else the end
 
 	parts   []part // a template
 	lenient bool   // text may follow the last part
@@ -141,7 +141,7 @@
 	case "", "auto":
 		f.auto, f.Name = true, "auto"
 	case "har":
-		f.HAR, f.Arrival = true, true
+		f.HAR, f.StampsArrival = true, true
 	case "common":
 		err, f.lenient = f.nginx(commonText), true
 	case "combined":
@@ -149,22 +149,22 @@
 	case "combined+s":
 		err, f.lenient = f.nginx(combinedText+" $request_time"), true
 	case "combined+us":
-		err, f.lenient, f.Arrival = f.apache(`%h %l %u %t \"%r\" %>s %b \"%{Referer}i\" \"%{User-agent}i\" %D`), true, true
+		err, f.lenient, f.StampsArrival = f.apache(`%h %l %u %t \"%r\" %>s %b \"%{Referer}i\" \"%{User-agent}i\" %D`), true, true
 	case "combined+ms":
-		err, f.lenient, f.Arrival = f.apache(`%h %l %u %t \"%r\" %>s %b \"%{Referer}i\" \"%{User-agent}i\" %{ms}T`), true, true
+		err, f.lenient, f.StampsArrival = f.apache(`%h %l %u %t \"%r\" %>s %b \"%{Referer}i\" \"%{User-agent}i\" %{ms}T`), true, true
 	case "nginx":
 		err = f.nginx(rest)
 	case "apache":
 		err = f.apache(rest)
 	case "json":
 		f.json, err = compileMap(rest)
-		f.Arrival = err == nil && f.json.arrival
+		f.StampsArrival = err == nil && f.json.arrival
 	case "caddy":
 		f.json = &fieldMap{time: []string{"ts"}, method: []string{"request.method"}, target: []string{"request.uri"},
 			client: []string{"request.client_ip", "request.remote_ip"}, status: []string{"status"}, id: []string{"uuid"},
 			durations: []unitField{{"duration", 1e6}}, body: []string{"bytes_read"}}
 	case "traefik":
-		f.Arrival = true
+		f.StampsArrival = true
 		f.json = &fieldMap{arrival: true, time: []string{"StartUTC", "StartLocal"}, method: []string{"RequestMethod"},
 			target: []string{"RequestPath"}, client: []string{"ClientHost"}, status: []string{"DownstreamStatus", "OriginStatus"},
 			durations: []unitField{{"Duration", 1e-3}}, services: []unitField{{"OriginDuration", 1e-3}},
@@ -264,7 +264,7 @@
 
 func (f *Format) apache(text string) error {
 	var literal strings.Builder
-	f.Arrival = true
+	f.StampsArrival = true
 	for i := 0; i < len(text); {
 		c := text[i]
 		if c == '\\' && i+1 < len(text) { // as the configuration writes them
@@ -311,7 +311,7 @@
 		case 't':
 			var end bool
 			if arg, end = strings.CutPrefix(arg, "end:"); end {
-				f.Arrival = false
+				f.StampsArrival = false
 			}
 			switch arg = strings.TrimPrefix(arg, "begin:"); arg {
 			case "":
@@ -384,20 +384,20 @@
 
 // Why a line is malformed. None holds any of the line's text.
 var (
-	errLong    = errors.New("the line is too long")
+	errLineTooLong    = errors.New("the line is too long")
 	errNUL     = errors.New("a byte of zero within the line")
-	errTime    = errors.New("the time cannot be read")
-	errRequest = errors.New("the request is not method, target and version")
+	errTimestamp    = errors.New("the time cannot be read")
+	errRequestLine = errors.New("the request is not method, target and version")
 	errStatus  = errors.New("the status is no number of three digits")
 	errTarget  = errors.New("the target is no path")
-	errJSON    = errors.New("no JSON object that can be read")
-	errSpan    = errors.New("the duration is negative or longer than a day")
+	errNotJSONObject    = errors.New("no JSON object that can be read")
+	errDuration    = errors.New("the duration is negative or longer than a day")
 )
 
 // Parse reads one line, which needs no newline. An error says what is wrong,
 // without any text of the line.
-func (f *Format) Parse(line string, r *Raw) error {
-	*r = Raw{Duration: -1, Service: -1, Arrival: f.Arrival}
+func (f *Format) Parse(line string, r *RawEntry) error {
+	*r = RawEntry{Duration: -1, ServiceTime: -1, StampsArrival: f.StampsArrival}
 	if n := len(line); n > 0 && line[0] == 0 {
 		line = strings.TrimLeft(line, "\x00")
 		r.Repairs |= LeadingNUL
@@ -414,20 +414,20 @@
 	if err != nil {
 		return err
 	}
-	return r.check()
+	return r.normalize()
 }
 
-func (r *Raw) check() error {
+func (r *RawEntry) normalize() error {
 	const day = 24 * 3600 * 1e6
-	if r.Duration > day || r.Service > day {
-		return errSpan
+	if r.Duration > day || r.ServiceTime > day {
+		return errDuration
 	}
 	if r.Method == "" {
-		return errRequest
+		return errRequestLine
 	}
 	if !utf8.ValidString(r.Target) {
 		r.Target = strings.ToValidUTF8(r.Target, "\uFFFD")
-		r.Repairs |= BadUTF8
+		r.Repairs |= InvalidUTF8
 	}
 	if !strings.HasPrefix(r.Target, "/") { // absolute form, or none at all
 		_, rest, ok := strings.Cut(r.Target, "://")
@@ -448,7 +448,7 @@
 }
 
 // template reads a line by the parts.
-func (f *Format) template(line string, r *Raw) error {
+func (f *Format) template(line string, r *RawEntry) error {
 	var frac int64
 	f.pieces, f.layouts = f.pieces[:0], f.layouts[:0]
 	query, seen := "", false
@@ -497,22 +497,22 @@
 		text, layout := strings.Join(f.pieces, " "), strings.Join(f.layouts, " ")
 		t, err := time.ParseInLocation(layout, text, f.zone)
 		if err != nil {
-			return errTime
+			return errTimestamp
 		}
 		if !strings.Contains(layout, "-0700") && !strings.Contains(layout, "MST") {
-			t, r.Fold = fold(t)
+			t, r.FoldOffset = fold(t)
 		}
-		r.At, r.Step, seen = t.UnixMicro(), 1e6, true
+		r.Timestamp, r.Resolution, seen = t.UnixMicro(), 1e6, true
 		if t.Nanosecond() != 0 {
-			r.Step = 1000
+			r.Resolution = 1000
 		}
 	}
 	if !seen {
-		return errTime
+		return errTimestamp
 	}
 	if frac > 0 {
-		r.At += frac - 1
-		r.Step = 1000
+		r.Timestamp += frac - 1
+		r.Resolution = 1000
 	}
 	if query = strings.TrimPrefix(query, "?"); query != "" && query != "-" && !strings.Contains(r.Target, "?") {
 		r.Target += "?" + query
@@ -570,20 +570,20 @@
 	return string(out)
 }
 
-func (f *Format) take(p *part, value string, r *Raw, frac *int64, query *string, seen *bool) (err error) {
+func (f *Format) take(p *part, value string, r *RawEntry, frac *int64, query *string, seen *bool) (err error) {
 	none := value == "" || value == "-"
 	switch p.kind {
 	case fTimeLocal:
 		if value != f.lastText {
 			t, err := time.ParseInLocation("02/Jan/2006:15:04:05 -0700", value, f.zone)
 			if err != nil {
-				return errTime
+				return errTimestamp
 			}
 			f.lastText, f.lastTime = strings.Clone(value), t.UnixMicro()
 		}
-		r.At, r.Step, *seen = f.lastTime, 1e6, true
+		r.Timestamp, r.Resolution, *seen = f.lastTime, 1e6, true
 	case fTimeISO:
-		r.At, r.Step, r.Fold, err = parseTime(value, f.zone)
+		r.Timestamp, r.Resolution, r.FoldOffset, err = parseTime(value, f.zone)
 		*seen = true
 	case fTimeSeconds, fTimeMillis, fTimeMicros:
 		scale := 1e6
@@ -592,14 +592,14 @@
 		} else if p.kind == fTimeMicros {
 			scale = 1
 		}
-		r.At, r.Step, err = epoch(value, scale)
+		r.Timestamp, r.Resolution, err = epoch(value, scale)
 		*seen = true
 	case fTimePiece:
 		f.pieces, f.layouts = append(f.pieces, value), append(f.layouts, p.layout)
 	case fFracMillis, fFracMicros:
 		n, err := strconv.ParseUint(value, 10, 20)
 		if err != nil {
-			return errTime
+			return errTimestamp
 		}
 		if *frac = int64(n) + 1; p.kind == fFracMillis {
 			*frac = int64(n)*1000 + 1
@@ -607,13 +607,13 @@
 	case fRequest:
 		method, rest, ok := strings.Cut(value, " ")
 		n := strings.LastIndex(rest, " HTTP/")
-		if !ok || n <= 0 || !token(method) {
-			return errRequest
+		if !ok || n <= 0 || !isMethodToken(method) {
+			return errRequestLine
 		}
 		r.Method, r.Target = method, rest[:n]
 	case fMethod:
-		if r.Method = value; !token(value) {
-			return errRequest
+		if r.Method = value; !isMethodToken(value) {
+			return errRequestLine
 		}
 	case fTarget, fPath:
 		if r.Target == "" || p.kind == fTarget {
@@ -648,24 +648,24 @@
 			if err != nil {
 				return err
 			}
-			r.Service = max(r.Service, 0) + d
+			r.ServiceTime = max(r.ServiceTime, 0) + d
 		}
 	case fClient:
 		r.Client = value
 	case fID:
 		if !none {
-			r.ID = value
+			r.RequestID = value
 		}
 	case fBody:
 		if n, err := strconv.Atoi(value); err == nil && n > 0 {
-			r.Body = n
+			r.BodyBytes = n
 		}
 	}
 	return err
 }
 
-// token tells whether a text is a method: letters and a few signs.
-func token(s string) bool {
+// isMethodToken tells whether a text is a method: letters and a few signs.
+func isMethodToken(s string) bool {
 	for i := range len(s) {
 		if c := s[i]; c <= ' ' || c >= 127 || strings.IndexByte(`()<>@,;:\"/[]?={}`, c) >= 0 {
 			return false
@@ -678,7 +678,7 @@
 func span(text string, scale float64) (int64, error) {
 	x, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(x) || x < 0 || x*scale > 24*3600*1e6 {
-		return -1, errSpan
+		return -1, errDuration
 	}
 	return int64(math.Round(x * scale)), nil
 }
@@ -688,13 +688,13 @@
 	whole, part, point := strings.Cut(text, ".")
 	n, err := strconv.ParseInt(whole, 10, 64)
 	if err != nil || n < 0 || float64(n)*scale > 253402300799e6 {
-		return 0, 0, errTime
+		return 0, 0, errTimestamp
 	}
 	at, step = n*int64(scale), int64(scale)
 	if point {
 		x, err := strconv.ParseFloat("0."+part, 64)
 		if err != nil {
-			return 0, 0, errTime
+			return 0, 0, errTimestamp
 		}
 		at += int64(math.Round(x * scale))
 		step = max(1, step/1000)
@@ -715,7 +715,7 @@
 		}
 	}
 	if err != nil || t.Year() < 1970 || t.Year() > 9999 {
-		return 0, 0, 0, errTime
+		return 0, 0, 0, errTimestamp
 	}
 	if step = 1e6; strings.ContainsAny(text, ".,") {
 		step = 1000
@@ -796,15 +796,15 @@
 	return m, nil
 }
 
-func (f *Format) parseJSON(line string, r *Raw) error {
+func (f *Format) parseJSON(line string, r *RawEntry) error {
 	v, err := f.parser.Parse(line)
 	if err != nil || v.Type() != fastjson.TypeObject {
-		return errJSON
+		return errNotJSONObject
 	}
 	m := f.json
 	when := find(v, m.time)
 	if when == nil {
-		return errTime
+		return errTimestamp
 	}
 	text := scalar(when)
 	if when.Type() == fastjson.TypeNumber || strings.Trim(text, "0123456789.") == "" {
@@ -818,9 +818,9 @@
 				text, scale = whole[:len(whole)-3], 1
 			}
 		}
-		r.At, r.Step, err = epoch(text, scale)
+		r.Timestamp, r.Resolution, err = epoch(text, scale)
 	} else {
-		r.At, r.Step, r.Fold, err = parseTime(text, f.zone)
+		r.Timestamp, r.Resolution, r.FoldOffset, err = parseTime(text, f.zone)
 	}
 	if err != nil {
 		return err
@@ -833,8 +833,8 @@
 			}
 		}
 	}
-	if !token(r.Method) {
-		return errRequest
+	if !isMethodToken(r.Method) {
+		return errRequestLine
 	}
 	if q := scalar(find(v, m.query)); q != "" && q != "-" && !strings.Contains(r.Target, "?") {
 		r.Target += "?" + strings.TrimPrefix(q, "?")
@@ -844,14 +844,14 @@
 			return errStatus
 		}
 	}
-	r.Client, r.ID = scalar(find(v, m.client)), scalar(find(v, m.id))
+	r.Client, r.RequestID = scalar(find(v, m.client)), scalar(find(v, m.id))
 	if n, err := strconv.Atoi(scalar(find(v, m.body))); err == nil && n > 0 {
-		r.Body = n
+		r.BodyBytes = n
 	}
 	if r.Duration, err = jsonSpan(v, m.durations); err != nil {
 		return err
 	}
-	r.Service, err = jsonSpan(v, m.services)
+	r.ServiceTime, err = jsonSpan(v, m.services)
 	return err
 }
 
@@ -870,13 +870,13 @@
 			if d, err := time.ParseDuration(text); err == nil && d >= 0 {
 				return d.Microseconds(), nil
 			}
-			var r Raw
-			r.Service = -1
+			var r RawEntry
+			r.ServiceTime = -1
 			err := (&Format{}).take(&part{kind: fService}, text, &r, nil, nil, nil)
-			if r.Service > 0 {
-				r.Service = int64(float64(r.Service) * u.scale / 1e6)
+			if r.ServiceTime > 0 {
+				r.ServiceTime = int64(float64(r.ServiceTime) * u.scale / 1e6)
 			}
-			return r.Service, err
+			return r.ServiceTime, err
 		}
 		return span(text, u.scale)
 	}
@@ -913,8 +913,8 @@
 	return ""
 }
 
-// detect finds the format of a source from its first bytes.
-func detect(head string, zone *time.Location) (*Format, error) {
+// detectFormat finds the format of a source from its first bytes.
+func detectFormat(head string, zone *time.Location) (*Format, error) {
 	text := strings.TrimLeft(strings.TrimPrefix(head, "\xef\xbb\xbf"), " \t\r\n\x00")
 	lines := strings.Split(text, "\n")
 	if len(lines) > 1 {
@@ -941,7 +941,7 @@
 		}
 		n, seconds, micros := 0, 0, 0
 		for _, line := range lines {
-			var r Raw
+			var r RawEntry
 			if f.Parse(line, &r) != nil {
 				continue
 			}
--- a/internal/rehearsal/recording/generate.go
+++ b/internal/rehearsal/recording/generate.go
@@ -11,33 +11,33 @@
 // This file owns the logs that are made up for measurements: big ones, and ones
 // of a known shape. Nothing else may take them for recorded.
 
-// Made says what log to make up.
-type Made struct {
+// SyntheticLog says what log to make up.
+type SyntheticLog struct {
 	Shape   string  // "steady": Poisson; "rush": three times as many in the middle third; "morning": bursts as kiosks make them
 	Rate    float64 // entries a second, on average
-	For     time.Duration
-	MeanMs  float64 // of durations
+	Length     time.Duration
+	MeanDurationMs  float64 // of durations
 	Members int
 	Seed    uint64
-	Precise bool // stamps of milliseconds, as nginx:$msec ... ; else Combined and $request_time
+	MillisecondStamps bool // stamps of milliseconds, as nginx:$msec ... ; else Combined and $request_time
 }
 
-// MadeFormat is the format of precise logs that were made up.
-const MadeFormat = `nginx:$msec $remote_addr "$request" $status $request_time`
+// SyntheticLogFormat is the format of precise logs that were made up.
+const SyntheticLogFormat = `nginx:$msec $remote_addr "$request" $status $request_time`
 
-// Generate writes a log and returns how many lines it has. Lines stand in the
+// GenerateLog writes a log and returns how many lines it has. Lines stand in the
 // order of their arrivals, as those of a log that is written at once would.
-func Generate(out io.Writer, g Made) (lines int, err error) {
+func GenerateLog(out io.Writer, g SyntheticLog) (lines int, err error) {
 	switch {
 	case g.Shape != "steady" && g.Shape != "rush" && g.Shape != "morning":
 		return 0, fmt.Errorf("shape: %q is neither steady, rush nor morning", g.Shape)
-	case !(g.Rate > 0 && g.Rate <= 1e6) || g.For <= 0 || !(g.MeanMs > 0) || g.Members < 1:
+	case !(g.Rate > 0 && g.Rate <= 1e6) || g.Length <= 0 || !(g.MeanDurationMs > 0) || g.Members < 1:
 		return 0, fmt.Errorf("rate, for, mean and members must be positive")
 	}
 	w := bufio.NewWriterSize(out, 256<<10)
-	rng := stream(g.Seed, "made up")
+	rng := newRandomStream(g.Seed, "made up")
 	start := time.Date(2026, 11, 29, 6, 0, 0, 0, time.UTC)
-	whole := g.For.Seconds()
+	whole := g.Length.Seconds()
 	at, burst, until := 0.0, 1.0, 0.0
 	for {
 		rate := g.Rate
@@ -60,10 +60,10 @@
 		if rng.Float64() > 0.64 {
 			request = "POST /members/%d/renew"
 		}
-		d := g.MeanMs / 1000 * math.Exp(rng.NormFloat64()*0.6-0.18)
+		d := g.MeanDurationMs / 1000 * math.Exp(rng.NormFloat64()*0.6-0.18)
 		when := start.Add(time.Duration((at + d) * float64(time.Second)))
 		request = fmt.Sprintf(request, member)
-		if g.Precise {
+		if g.MillisecondStamps {
 			_, err = fmt.Fprintf(w, "%d.%03d 10.20.%d.%d \"%s HTTP/1.1\" 200 %.3f\n", when.Unix(), when.Nanosecond()/1e6, rng.IntN(4), rng.IntN(250), request, d)
 		} else {
 			_, err = fmt.Fprintf(w, "10.20.%d.%d - - [%s] \"%s HTTP/1.1\" 200 %d \"https://portal.example/members/start\" \"turnstile/4.2 (kiosk; linux; gate %d)\" %.3f\n",
--- a/internal/rehearsal/recording/golden_rules_test.go
+++ b/internal/rehearsal/recording/golden_rules_test.go
@@ -23,8 +23,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, rule := range rules.Class {
-			lines = append(lines, fmt.Sprintln(name, rule.Name, rule.Method, rule.Path, rule.Key, rule.KeyOf, rule.LeftMs, rule.Repeat, rule.Slots, rule.Factor,
+		for _, rule := range rules.Classes {
+			lines = append(lines, fmt.Sprintln(name, rule.Name, rule.Method, rule.Path, rule.Key, rule.KeySource, rule.TimeoutMs, rule.RetryPolicy, rule.Slots, rule.EffortFactor,
 				rule.EffortMs, rule.DurationMs, rule.DurationSpread))
 		}
 		lines = append(lines, fmt.Sprintln(name, rules.Redacted.Members, rules.Redacted.Skew, rules.Redacted.Tokens))
--- a/internal/rehearsal/recording/golden_test.go
+++ b/internal/rehearsal/recording/golden_test.go
@@ -63,16 +63,16 @@
 	}
 	var lines bytes.Buffer
 	encoder := json.NewEncoder(&lines)
-	options := Options{Rules: &parsed, RulesText: rules, Seed: 7, Secret: []byte(secret), Spool: &memory{},
+	options := Options{Rules: &parsed, RulesText: rules, Seed: 7, Secret: []byte(secret), Spool: &memorySpool{},
 		Offsets: map[string]time.Duration{"inner": 1500 * time.Millisecond},
-		Reject: func(r Reject) {
+		OnReject: func(r Reject) {
 			if err := encoder.Encode(r); err != nil {
 				t.Error(err)
 			}
 		}}
 	var inputs []Input
 	for _, name := range []string{"edge", "inner"} {
-		inputs = append(inputs, Input{Source: name, File: name + ".log", R: bytes.NewReader(readGolden(t, name+".log"))})
+		inputs = append(inputs, Input{Source: name, File: name + ".log", Reader: bytes.NewReader(readGolden(t, name+".log"))})
 	}
 	var out bytes.Buffer
 	if report, err = Import(inputs, options, &out); err != nil {
@@ -108,9 +108,9 @@
 	t.Helper()
 	var out bytes.Buffer
 	describeHeader(&out, r.Header)
-	if err := r.Each(func(e *Entry) error {
+	if err := r.ForEach(func(e *Entry) error {
 		_, err := fmt.Fprintf(&out, "at %v class %d key %s took %v effort %v left %v slots %g body %d status %d source %d repairs %b\n",
-			e.At, e.Class, e.KeyText(), e.Duration, e.Effort, e.Left, e.Slots, e.Body, e.Status, e.Source, e.Repairs)
+			e.Arrival, e.Class, e.KeyText(), e.Duration, e.Effort, e.Timeout, e.Slots, e.BodyBytes, e.Status, e.Source, e.Repairs)
 		return err
 	}); err != nil {
 		t.Fatal(err)
@@ -169,12 +169,12 @@
 	const recorded, missing = 9000, 8
 	var log bytes.Buffer
 	for i := range recorded {
-		log.WriteString(line(morning.Add(time.Duration(i)*time.Second), "GET", fmt.Sprintf("/members/%d/status", i), float64(i+1)/1000))
+		log.WriteString(combinedLine(logStart.Add(time.Duration(i)*time.Second), "GET", fmt.Sprintf("/members/%d/status", i), float64(i+1)/1000))
 	}
 	for i := range missing {
-		log.WriteString(line(morning.Add((recorded+time.Duration(i))*time.Second), "GET", "/members/1/status", -1))
+		log.WriteString(combinedLine(logStart.Add((recorded+time.Duration(i))*time.Second), "GET", "/members/1/status", -1))
 	}
-	_, list, _ := imported(t, Options{Seed: 7}, log.String())
+	_, list, _ := importTexts(t, Options{Seed: 7}, log.String())
 	var out bytes.Buffer
 	for _, e := range list {
 		if e.Repairs&DrawnDuration != 0 {
--- a/internal/rehearsal/recording/import.go
+++ b/internal/rehearsal/recording/import.go
@@ -31,7 +31,7 @@
 type Input struct {
 	Source string
 	File   string // its base name
-	R      io.Reader
+	Reader      io.Reader
 }
 
 // Options say how to import.
@@ -45,9 +45,9 @@
 	KeepDuplicates bool   // of requests that two sources saw, keep both
 	Secret         []byte // keys pseudonyms, so that two imports agree; empty: made from the input
 	Spool          Spool
-	Reject         func(Reject)      // told each malformed entry; may be nil
-	Progress       func(bytes int64) // told now and then how many packed bytes were read; may be nil
-	ListedRejects  int               // how many the report lists; 0: 1000
+	OnReject         func(Reject)      // told each malformed entry; may be nil
+	OnProgress       func(bytes int64) // told now and then how many packed bytes were read; may be nil
+	MaxListedRejects  int               // how many the report lists; 0: 1000
 }
 
 // Reject is a malformed entry. It holds no text of the entry.
@@ -55,7 +55,7 @@
 	Source string `json:"source"` // the file's name
 	Line   int    `json:"line"`   // from 1; of a HAR file the entry
 	Offset int64  `json:"offset"` // of its first byte, unpacked
-	Why    string `json:"why"`
+	Reason    string `json:"why"`
 }
 
 // Counts add up: Read = Accepted + Malformed + Unmapped + Ignored.
@@ -68,8 +68,8 @@
 	Repaired  uint64 `json:"repaired"` // of the accepted
 }
 
-// Whole checks that every entry read is told.
-func (c *Counts) Whole() bool { return c.Read == c.Accepted+c.Malformed+c.Unmapped+c.Ignored }
+// Balanced checks that every entry read is told.
+func (c *Counts) Balanced() bool { return c.Read == c.Accepted+c.Malformed+c.Unmapped+c.Ignored }
 
 // SourceReport tells of one source.
 type SourceReport struct {
@@ -85,12 +85,12 @@
 	SpreadUs   int64  `json:"offset_spread_us,omitempty"`
 	ClockSteps int    `json:"clock_steps"`
 	SteppedUs  int64  `json:"clock_stepped_us"`
-	OddStamps  int    `json:"odd_stamps"`
+	OutlierTimestamps  int    `json:"odd_stamps"`
 	Spread     int    `json:"spread_within_second"`
-	Crowded    int    `json:"crowded_seconds"`
+	CrowdedSeconds    int    `json:"crowded_seconds"`
 	Reordered  bool   `json:"files_put_in_order"`
 	Duplicates uint64 `json:"seen_by_two_sources"`
-	Cut        string `json:"cut,omitempty"`
+	Truncation        string `json:"cut,omitempty"`
 }
 
 // ClassReport tells of one class.
@@ -99,43 +99,43 @@
 	Recorded      uint64 `json:"durations_recorded"`
 	DrawnRecorded uint64 `json:"durations_drawn_from_recorded"`
 	DrawnRules    uint64 `json:"durations_drawn_from_rules"`
-	MadeUpKeys    uint64 `json:"keys_made_up"`
+	SyntheticKeys    uint64 `json:"keys_made_up"`
 }
 
 // Report tells of an import.
 type Report struct {
 	Counts
 	Rejects     []Reject                `json:"rejects"`
-	MoreRejects uint64                  `json:"rejects_not_listed"`
+	UnlistedRejects uint64                  `json:"rejects_not_listed"`
 	Repairs     map[string]uint64       `json:"repairs"`
 	IgnoredBy   map[string]uint64       `json:"ignored_by"`
 	Classes     map[string]*ClassReport `json:"classes"`
 	Sources     []*SourceReport         `json:"sources"`
-	MadeUpKeys  string                  `json:"made_up_keys"`
+	SyntheticKeys  string                  `json:"made_up_keys"`
 	Pseudonyms  string                  `json:"pseudonyms"`
 	Start       time.Time               `json:"start"`
 	SpanSeconds float64                 `json:"span_s"`
 	InputBytes  int64                   `json:"input_bytes"`
 }
 
-// Cut tells whether a source ended early.
-func (r *Report) Cut() bool {
-	return slices.ContainsFunc(r.Sources, func(s *SourceReport) bool { return s.Cut != "" })
+// Truncated tells whether a source ended early.
+func (r *Report) Truncated() bool {
+	return slices.ContainsFunc(r.Sources, func(s *SourceReport) bool { return s.Truncation != "" })
 }
 
-// ErrNothing says that no entry was accepted; nothing was written.
-var ErrNothing = errors.New("no entry that a rule fits")
+// ErrNoEntries says that no entry was accepted; nothing was written.
+var ErrNoEntries = errors.New("no entry that a rule fits")
 
-// stream is a random source of its own for each purpose, so that one more draw
+// newRandomStream is a random source of its own for each purpose, so that one more draw
 // in one place changes nothing in another.
-func stream(seed uint64, purpose string) *rand.Rand {
+func newRandomStream(seed uint64, purpose string) *rand.Rand {
 	return rand.New(rand.NewPCG(seed, xxhash.Sum64String(purpose)))
 }
 
 // file is an input that has been opened.
 type file struct {
 	Input
-	digest *digest
+	digest *hashingReader
 	in     *bufio.Reader
 	format *Format
 	cut    error
@@ -147,15 +147,15 @@
 type source struct {
 	report   *SourceReport
 	files    []*file
-	clock    clock
-	spread   spreader
+	clock    clockCorrector
+	spread   secondSpreader
 	sorter   sorter
-	seen     *sightings
+	seen     *signatureSample
 	earliest int64
 	latest   int64
 	whole    bool // stamps of whole seconds came
 	seq      uint64
-	offset   Offset
+	offset   ClockOffset
 }
 
 type importer struct {
@@ -179,14 +179,14 @@
 	if len(inputs) == 0 {
 		return nil, errors.New("no input")
 	}
-	if o.ListedRejects == 0 {
-		o.ListedRejects = 1000
+	if o.MaxListedRejects == 0 {
+		o.MaxListedRejects = 1000
 	}
-	m := &importer{o: &o, rng: stream(o.Seed, "recorded durations"), known: make([]reservoir, len(o.Rules.Class))}
-	n := len(o.Rules.Class)
+	m := &importer{o: &o, rng: newRandomStream(o.Seed, "recorded durations"), known: make([]reservoir, len(o.Rules.Classes))}
+	n := len(o.Rules.Classes)
 	m.counted, m.drawn, m.madeUp = make([]uint64, n), make([]uint64, n), make([]uint64, n)
 	m.report = &Report{Rejects: []Reject{}, Repairs: map[string]uint64{}, IgnoredBy: map[string]uint64{},
-		Classes: map[string]*ClassReport{}, MadeUpKeys: o.Rules.Redacted.Distribution(), Pseudonyms: "keyed by the input"}
+		Classes: map[string]*ClassReport{}, SyntheticKeys: o.Rules.Redacted.Distribution(), Pseudonyms: "keyed by the input"}
 	if len(o.Secret) > 0 {
 		m.report.Pseudonyms = "keyed by a given secret"
 	}
@@ -208,7 +208,7 @@
 func (m *importer) open(inputs []Input) error {
 	byName := map[string]*source{}
 	for i, in := range inputs {
-		f := &file{Input: in, digest: newDigest(in.R), first: math.MaxInt64, order: i}
+		f := &file{Input: in, digest: newHashingReader(in.Reader), first: math.MaxInt64, order: i}
 		s := byName[in.Source]
 		if s == nil {
 			s = &source{report: &SourceReport{Name: in.Source}, earliest: math.MaxInt64}
@@ -219,7 +219,7 @@
 		s.files = append(s.files, f)
 		var head []byte
 		if f.in, f.cut = unpack(f.digest); f.cut == nil {
-			head, f.cut = f.in.Peek(headBytes)
+			head, f.cut = f.in.Peek(detectionBytes)
 			if errors.Is(f.cut, io.EOF) && !errors.Is(f.cut, io.ErrUnexpectedEOF) || len(head) > 0 {
 				f.cut = nil // what there is will be read; a fault is met again there
 			}
@@ -228,7 +228,7 @@
 		if m.o.Format != "" && m.o.Format != "auto" {
 			f.format, err = Compile(m.o.Format, m.o.Zone)
 		} else {
-			f.format, err = detect(string(head), m.o.Zone)
+			f.format, err = detectFormat(string(head), m.o.Zone)
 		}
 		if err != nil {
 			return err
@@ -261,9 +261,9 @@
 		return math.MaxInt64
 	}
 	for line := range strings.SplitSeq(strings.TrimPrefix(head, "\xef\xbb\xbf"), "\n") {
-		var r Raw
+		var r RawEntry
 		if f.Parse(strings.TrimRight(line, "\r"), &r) == nil {
-			return r.At
+			return r.Timestamp
 		}
 	}
 	return math.MaxInt64
@@ -272,23 +272,23 @@
 // read takes one source through its clock to the spool.
 func (m *importer) read(i int) error {
 	s := m.sources[i]
-	s.sorter = sorter{spool: m.o.Spool, number: &m.runs}
-	s.spread = spreader{rng: stream(m.o.Seed, fmt.Sprintf("seconds of source %d", i)), next: func(p pending) { m.settle(s, p) }}
-	s.clock.next = s.spread.add
+	s.sorter = sorter{spool: m.o.Spool, nextRun: &m.runs}
+	s.spread = secondSpreader{random: newRandomStream(m.o.Seed, fmt.Sprintf("seconds of source %d", i)), emit: func(p pendingEntry) { m.settle(s, p) }}
+	s.clock.emit = s.spread.add
 	if len(m.sources) > 1 {
-		s.seen = newSightings()
+		s.seen = newSignatureSample()
 	}
 	all := sha256.New()
 	for _, f := range s.files {
 		r := s.report
 		r.Files = append(r.Files, f.File)
 		r.Format, r.Stamp = f.format.Name, "end"
-		if f.format.Arrival {
+		if f.format.StampsArrival {
 			r.Stamp = "arrival"
 		}
-		s.clock.steady = f.format.HAR
+		s.clock.unordered = f.format.HAR
 		err := f.cut
-		each := func(at place, raw *Raw, err error) error { return m.take(s, f, at, raw, err) }
+		each := func(at position, raw *RawEntry, err error) error { return m.take(s, f, at, raw, err) }
 		switch {
 		case err != nil:
 		case f.format.HAR:
@@ -303,32 +303,32 @@
 			err = rest
 		}
 		if err != nil {
-			r.Cut = strings.TrimPrefix(r.Cut+"; "+fmt.Sprintf("%s: %v, after %d bytes", f.File, err, f.digest.bytes), "; ")
+			r.Truncation = strings.TrimPrefix(r.Truncation+"; "+fmt.Sprintf("%s: %v, after %d bytes", f.File, err, f.digest.bytes), "; ")
 		}
-		s.clock.flush()
+		s.clock.acceptSuspects()
 		s.spread.flush()
-		all.Write(f.digest.all.Sum(nil))
+		all.Write(f.digest.full.Sum(nil))
 		m.report.InputBytes += f.digest.bytes
 		m.progress(0, true)
 	}
 	if len(s.files) == 1 {
-		s.report.SHA256 = hex.EncodeToString(s.files[0].digest.all.Sum(nil))
+		s.report.SHA256 = hex.EncodeToString(s.files[0].digest.full.Sum(nil))
 	} else {
 		s.report.SHA256 = hex.EncodeToString(all.Sum(nil))
 	}
-	s.report.ClockSteps, s.report.SteppedUs, s.report.OddStamps = s.clock.Steps, s.clock.Stepped, s.clock.Odd
-	s.report.Spread, s.report.Crowded = s.spread.Spread, s.spread.Crowded
+	s.report.ClockSteps, s.report.SteppedUs, s.report.OutlierTimestamps = s.clock.StepsBack, s.clock.SteppedMicroseconds, s.clock.Outliers
+	s.report.Spread, s.report.CrowdedSeconds = s.spread.Spread, s.spread.CrowdedSeconds
 	if err := s.sorter.close(); err != nil {
 		return err
 	}
 	var err error
-	s.sorter.runs, err = fewer(m.o.Spool, &m.runs, s.sorter.runs, max(1, mostRuns/len(m.sources)))
+	s.sorter.runs, err = compactRuns(m.o.Spool, &m.runs, s.sorter.runs, max(1, maxMergedRuns/len(m.sources)))
 	return err
 }
 
 func (m *importer) progress(n int64, now bool) {
 	const often = 8 << 20
-	if m.o.Progress == nil {
+	if m.o.OnProgress == nil {
 		return
 	}
 	if m.bytes += n; now || m.bytes-m.told > often {
@@ -339,24 +339,24 @@
 				total += f.digest.bytes
 			}
 		}
-		m.o.Progress(total)
+		m.o.OnProgress(total)
 	}
 }
 
 // take counts one entry, and maps it to its class.
-func (m *importer) take(s *source, f *file, at place, raw *Raw, err error) error {
+func (m *importer) take(s *source, f *file, at position, raw *RawEntry, err error) error {
 	c := &s.report.Counts
 	c.Read++
 	if err != nil {
 		c.Malformed++
-		r := Reject{Source: f.File, Line: at.line, Offset: at.offset, Why: err.Error()}
-		if m.o.Reject != nil {
-			m.o.Reject(r)
+		r := Reject{Source: f.File, Line: at.line, Offset: at.offset, Reason: err.Error()}
+		if m.o.OnReject != nil {
+			m.o.OnReject(r)
 		}
-		if len(m.report.Rejects) < m.o.ListedRejects {
+		if len(m.report.Rejects) < m.o.MaxListedRejects {
 			m.report.Rejects = append(m.report.Rejects, r)
 		} else {
-			m.report.MoreRejects++
+			m.report.UnlistedRejects++
 		}
 		return nil
 	}
@@ -372,42 +372,42 @@
 		return nil
 	}
 	c.Accepted++
-	p := pending{at: raw.At, seq: s.seq, duration: raw.Duration, service: raw.Service, step: raw.Step, class: int32(rule),
-		status: int32(raw.Status), body: int32(min(raw.Body, math.MaxInt32)), repairs: raw.Repairs, arrival: raw.Arrival,
-		fold: raw.Fold}
+	p := pendingEntry{timestamp: raw.Timestamp, sequence: s.seq, duration: raw.Duration, serviceTime: raw.ServiceTime, resolution: raw.Resolution, class: int32(rule),
+		status: int32(raw.Status), bodyBytes: int32(min(raw.BodyBytes, math.MaxInt32)), repairs: raw.Repairs, stampsArrival: raw.StampsArrival,
+		foldOffset: raw.FoldOffset}
 	s.seq++
 	switch {
-	case m.o.Rules.Class[rule].KeyOf == "none":
+	case m.o.Rules.Classes[rule].KeySource == "none":
 		p.noKey = true
-	case m.o.Rules.Redacted.redacted(token):
-		p.repairs |= MadeUpKey
+	case m.o.Rules.Redacted.isRedacted(token):
+		p.repairs |= SyntheticKey
 	default:
 		p.key = xxhash.Sum64String(token) | 1
 	}
-	if raw.ID != "" {
-		p.sig = xxhash.Sum64String(raw.ID)
+	if raw.RequestID != "" {
+		p.signature = xxhash.Sum64String(raw.RequestID)
 	} else {
-		p.sig = xxhash.Sum64String(raw.Target)*31 + xxhash.Sum64String(raw.Method) + uint64(raw.Status)*0x9e3779b97f4a7c15
+		p.signature = xxhash.Sum64String(raw.Target)*31 + xxhash.Sum64String(raw.Method) + uint64(raw.Status)*0x9e3779b97f4a7c15
 	}
-	s.whole = s.whole || raw.Step >= 1_000_000
+	s.whole = s.whole || raw.Resolution >= 1_000_000
 	s.clock.add(p)
 	m.progress(256, false)
 	return s.sorter.err
 }
 
 // settle takes an entry whose stamp is final: it has an arrival now.
-func (m *importer) settle(s *source, p pending) {
-	if !p.arrival {
+func (m *importer) settle(s *source, p pendingEntry) {
+	if !p.stampsArrival {
 		if p.duration >= 0 {
-			p.at -= p.duration
+			p.timestamp -= p.duration
 		} else {
-			p.repairs |= EndAsArrival
+			p.repairs |= EndTakenAsArrival
 		}
 	}
 	if s.seen != nil {
-		s.seen.add(p.sig, p.at)
+		s.seen.add(p.signature, p.timestamp)
 	}
-	s.earliest, s.latest = min(s.earliest, p.at), max(s.latest, p.at)
+	s.earliest, s.latest = min(s.earliest, p.timestamp), max(s.latest, p.timestamp)
 	if len(m.sources) == 1 {
 		m.count(s.report, &p)
 	}
@@ -418,9 +418,9 @@
 }
 
 // base is what the work is told from: the servers' part, else the whole duration.
-func (p *pending) base() int64 {
-	if p.service >= 0 {
-		return p.service
+func (p *pendingEntry) base() int64 {
+	if p.serviceTime >= 0 {
+		return p.serviceTime
 	}
 	return p.duration
 }
@@ -444,10 +444,10 @@
 func (m *importer) place() error {
 	for i, s := range m.sources {
 		if d, ok := m.o.Offsets[s.report.Name]; ok {
-			s.offset = Offset{Microseconds: d.Microseconds()}
+			s.offset = ClockOffset{Microseconds: d.Microseconds()}
 		} else if i > 0 {
 			for _, ref := range m.sources[:i] {
-				if o, ok := estimate(ref.seen, s.seen); ok {
+				if o, ok := estimateOffset(ref.seen, s.seen); ok {
 					o.Microseconds += ref.offset.Microseconds
 					s.offset = o
 					break
@@ -465,8 +465,8 @@
 
 // pass calls each with all entries in order; again: it is a request that
 // another source told before.
-func (m *importer) pass(each func(source int, p *pending, again bool) error) error {
-	var runs []*run
+func (m *importer) pass(each func(source int, p *pendingEntry, again bool) error) error {
+	var runs []*runReader
 	for i, s := range m.sources {
 		for _, n := range s.sorter.runs {
 			r, err := openRun(m.o.Spool, n, i, s.offset.Microseconds)
@@ -486,8 +486,8 @@
 			}
 		}
 	}
-	return merge(runs, func(r *run) error {
-		return each(r.source, &r.now, twins.again(r.source, &r.now))
+	return mergeRuns(runs, func(r *runReader) error {
+		return each(r.source, &r.entry, twins.again(r.source, &r.entry))
 	})
 }
 
@@ -505,13 +505,13 @@
 	source int
 }
 
-func (t *twins) again(source int, p *pending) bool {
+func (t *twins) again(source int, p *pendingEntry) bool {
 	w := t.window[source]
 	if w == 0 {
 		return false
 	}
 	widest := slices.Max(t.window)
-	for len(t.times) > 0 && t.times[0] < p.at-2*widest {
+	for len(t.times) > 0 && t.times[0] < p.timestamp-2*widest {
 		if list := t.seen[t.queue[0]]; len(list) > 0 && list[0].at == t.times[0] {
 			if t.seen[t.queue[0]] = list[1:]; len(list) == 1 {
 				delete(t.seen, t.queue[0])
@@ -519,17 +519,17 @@
 		}
 		t.queue, t.times = t.queue[1:], t.times[1:]
 	}
-	list := t.seen[p.sig]
+	list := t.seen[p.signature]
 	for i, other := range list {
-		if other.source != source && p.at-other.at <= max(w, t.window[other.source]) {
-			if t.seen[p.sig] = slices.Delete(slices.Clone(list), i, i+1); len(list) == 1 {
-				delete(t.seen, p.sig)
+		if other.source != source && p.timestamp-other.at <= max(w, t.window[other.source]) {
+			if t.seen[p.signature] = slices.Delete(slices.Clone(list), i, i+1); len(list) == 1 {
+				delete(t.seen, p.signature)
 			}
 			return true
 		}
 	}
-	t.seen[p.sig] = append(list, sawn{p.at, source})
-	t.queue, t.times = append(t.queue, p.sig), append(t.times, p.at)
+	t.seen[p.signature] = append(list, sawn{p.timestamp, source})
+	t.queue, t.times = append(t.queue, p.signature), append(t.times, p.timestamp)
 	return false
 }
 
@@ -544,7 +544,7 @@
 		}
 	}
 	if len(m.sources) > 1 { // only now is it known which were seen by two
-		if err := m.pass(func(i int, p *pending, again bool) error {
+		if err := m.pass(func(i int, p *pendingEntry, again bool) error {
 			s := m.sources[i].report
 			if again {
 				s.Accepted--
@@ -554,7 +554,7 @@
 				return nil
 			}
 			m.count(s, p)
-			last = max(last, p.at)
+			last = max(last, p.timestamp)
 			return nil
 		}); err != nil {
 			return err
@@ -572,20 +572,20 @@
 		} else {
 			c.DrawnRules += n
 		}
-		c.MadeUpKeys += m.madeUp[rule]
+		c.SyntheticKeys += m.madeUp[rule]
 		c.Entries += m.counted[rule]
 		c.Recorded += m.counted[rule] - n
 		total += m.counted[rule]
 	}
-	for bit, name := range Repairs {
+	for bit, name := range RepairNames {
 		if m.repaired[bit] > 0 {
 			rep.Repairs[name] = m.repaired[bit]
 		}
 	}
 	h := &recordingpb.Header{Version: Version, Seed: m.o.Seed, RulesSha256: sum(m.o.RulesText), StartUnixUs: first,
 		Counts: &recordingpb.Counts{}, Repairs: rep.Repairs, Entries: total}
-	if rep.Repairs[Repairs[1]] > 0 {
-		h.MadeUpKeys = rep.MadeUpKeys
+	if rep.Repairs[RepairNames[1]] > 0 {
+		h.MadeUpKeys = rep.SyntheticKeys
 	}
 	for _, s := range rep.Sources {
 		rep.Read += s.Read
@@ -597,22 +597,22 @@
 		raw, _ := hex.DecodeString(s.SHA256)
 		h.Sources = append(h.Sources, &recordingpb.Source{Name: s.Name, Sha256: raw, Format: s.Format, Stamp: s.Stamp,
 			Counts: s.Counts.pb(), OffsetUs: s.OffsetUs, Estimated: s.Estimated, Pairs: uint32(s.Pairs), SpreadUs: s.SpreadUs,
-			Cut: s.Cut, Files: s.Files})
+			Cut: s.Truncation, Files: s.Files})
 	}
 	h.Counts = rep.Counts.pb()
-	if !rep.Whole() {
+	if !rep.Balanced() {
 		return fmt.Errorf("the counts do not add up: %+v", rep.Counts)
 	}
 	if total == 0 {
-		return ErrNothing
+		return ErrNoEntries
 	}
 	rep.Start, rep.SpanSeconds = time.UnixMicro(first).UTC(), float64(last-first)/1e6
 	index := map[string]int{}
-	place := make([]int, len(m.o.Rules.Class))
-	for i, c := range m.o.Rules.Class {
+	place := make([]int, len(m.o.Rules.Classes))
+	for i, c := range m.o.Rules.Classes {
 		if _, ok := index[c.Name]; !ok {
 			index[c.Name] = len(h.Classes)
-			h.Classes = append(h.Classes, &recordingpb.Class{Name: c.Name, Retryable: c.Repeat == "retryable"})
+			h.Classes = append(h.Classes, &recordingpb.Class{Name: c.Name, Retryable: c.RetryPolicy == "retryable"})
 		}
 		place[i] = index[c.Name]
 	}
@@ -621,24 +621,24 @@
 		return err
 	}
 	keys := newKeyer(m)
-	durations := stream(m.o.Seed, "missing durations")
-	err = m.pass(func(i int, p *pending, again bool) error {
+	durations := newRandomStream(m.o.Seed, "missing durations")
+	err = m.pass(func(i int, p *pendingEntry, again bool) error {
 		if again {
 			return nil
 		}
-		rule := &m.o.Rules.Class[p.class]
-		e := Entry{At: time.Duration(p.at-first) * time.Microsecond, Class: place[p.class], Key: keys.of(p), Left: rule.left(),
-			Status: int(p.status), Body: int(p.body), Source: i, Slots: rule.Slots}
+		rule := &m.o.Rules.Classes[p.class]
+		e := Entry{Arrival: time.Duration(p.timestamp-first) * time.Microsecond, Class: place[p.class], Key: keys.of(p), Timeout: rule.timeout(),
+			Status: int(p.status), BodyBytes: int(p.bodyBytes), Source: i, Slots: rule.Slots}
 		base := p.base()
 		if base < 0 {
 			p.repairs |= DrawnDuration
 			base = rule.draw(&m.known[p.class], durations)
 		}
 		e.Duration = time.Duration(max(base, 1)) * time.Microsecond
-		if p.duration > 0 && p.service < 0 {
+		if p.duration > 0 && p.serviceTime < 0 {
 			e.Duration = time.Duration(p.duration) * time.Microsecond
 		}
-		e.Effort = time.Duration(float64(max(base, 1))*rule.Factor) * time.Microsecond
+		e.Effort = time.Duration(float64(max(base, 1))*rule.EffortFactor) * time.Microsecond
 		if rule.EffortMs > 0 {
 			e.Effort = time.Duration(rule.EffortMs * float64(time.Millisecond))
 		}
@@ -653,7 +653,7 @@
 }
 
 // count counts an entry that will be written.
-func (m *importer) count(s *SourceReport, p *pending) {
+func (m *importer) count(s *SourceReport, p *pendingEntry) {
 	repairs := p.repairs
 	m.counted[p.class]++
 	if p.base() < 0 {
@@ -664,10 +664,10 @@
 		return
 	}
 	s.Repaired++
-	if repairs&MadeUpKey != 0 {
+	if repairs&SyntheticKey != 0 {
 		m.madeUp[p.class]++
 	}
-	for bit := range Repairs {
+	for bit := range RepairNames {
 		if repairs&(1<<bit) != 0 {
 			m.repaired[bit]++
 		}
@@ -675,7 +675,7 @@
 }
 
 func (m *importer) class(rule int) *ClassReport {
-	name := m.o.Rules.Class[rule].Name
+	name := m.o.Rules.Classes[rule].Name
 	c := m.report.Classes[name]
 	if c == nil {
 		c = &ClassReport{}
@@ -723,22 +723,22 @@
 	} else {
 		for _, s := range m.sources {
 			for _, f := range s.files {
-				secret.Write(f.digest.secret.Sum(nil))
+				secret.Write(f.digest.secretSample.Sum(nil))
 			}
 		}
 	}
-	k := &keyer{mac: hmac.New(sha256.New, secret.Sum(nil)), random: stream(m.o.Seed, "made-up keys"), most: m.o.Rules.Redacted.Members}
+	k := &keyer{mac: hmac.New(sha256.New, secret.Sum(nil)), random: newRandomStream(m.o.Seed, "made-up keys"), most: m.o.Rules.Redacted.Members}
 	if skew := m.o.Rules.Redacted.Skew; skew > 1 {
 		k.zipf = rand.NewZipf(k.random, skew, 1, uint64(k.most-1))
 	}
 	return k
 }
 
-func (k *keyer) of(p *pending) uint64 {
+func (k *keyer) of(p *pendingEntry) uint64 {
 	switch {
 	case p.noKey:
 		return 0
-	case p.repairs&MadeUpKey == 0:
+	case p.repairs&SyntheticKey == 0:
 		return k.hash(p.key, 'm')
 	case k.zipf != nil:
 		return k.hash(k.zipf.Uint64(), 'x')
--- a/internal/rehearsal/recording/import_test.go
+++ b/internal/rehearsal/recording/import_test.go
@@ -36,18 +36,18 @@
 members = 50
 `
 
-// memory is a spool in memory.
-type memory struct{ runs []*bytes.Buffer }
+// memorySpool is a spool in memorySpool.
+type memorySpool struct{ runs []*bytes.Buffer }
 
 type nopCloser struct{ *bytes.Buffer }
 
 func (nopCloser) Close() error { return nil }
 
-func (m *memory) Create() (io.WriteCloser, error) {
+func (m *memorySpool) Create() (io.WriteCloser, error) {
 	m.runs = append(m.runs, &bytes.Buffer{})
 	return nopCloser{m.runs[len(m.runs)-1]}, nil
 }
-func (m *memory) Open(n int) (io.ReadCloser, error) {
+func (m *memorySpool) Open(n int) (io.ReadCloser, error) {
 	return io.NopCloser(bytes.NewReader(m.runs[n].Bytes())), nil
 }
 
@@ -60,51 +60,51 @@
 	return &r
 }
 
-// imported imports texts, each a source of its own, and checks what holds of every import.
-func imported(t testing.TB, o Options, texts ...string) (*Report, []Entry, []byte) {
+// importTexts imports texts, each a source of its own, and checks what holds of every import.
+func importTexts(t testing.TB, o Options, texts ...string) (*Report, []Entry, []byte) {
 	t.Helper()
 	var in []Input
 	for i, text := range texts {
-		in = append(in, Input{Source: fmt.Sprintf("s%d", i), File: fmt.Sprintf("s%d.log", i), R: strings.NewReader(text)})
+		in = append(in, Input{Source: fmt.Sprintf("s%d", i), File: fmt.Sprintf("s%d.log", i), Reader: strings.NewReader(text)})
 	}
-	return importAll(t, o, in)
+	return importInputs(t, o, in)
 }
 
-func importAll(t testing.TB, o Options, in []Input) (*Report, []Entry, []byte) {
+func importInputs(t testing.TB, o Options, in []Input) (*Report, []Entry, []byte) {
 	t.Helper()
 	if o.Rules == nil {
 		o.Rules, o.RulesText = testRules(t, rulesText), []byte(rulesText)
 	}
-	o.Spool = &memory{}
+	o.Spool = &memorySpool{}
 	var out bytes.Buffer
 	report, err := Import(in, o, &out)
-	if err != nil && !errors.Is(err, ErrNothing) {
+	if err != nil && !errors.Is(err, ErrNoEntries) {
 		t.Fatal(err)
 	}
-	if !report.Whole() {
+	if !report.Balanced() {
 		t.Errorf("counts do not add up: %+v", report.Counts)
 	}
-	if errors.Is(err, ErrNothing) {
+	if errors.Is(err, ErrNoEntries) {
 		return report, nil, nil
 	}
-	return report, entries(t, out.Bytes()), out.Bytes()
+	return report, readEntries(t, out.Bytes()), out.Bytes()
 }
 
-func entries(t testing.TB, file []byte) (list []Entry) {
+func readEntries(t testing.TB, file []byte) (list []Entry) {
 	t.Helper()
 	r, err := NewReader(bytes.NewReader(file))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer r.Close()
-	if err := r.Each(func(e *Entry) error { list = append(list, *e); return nil }); err != nil {
+	if err := r.ForEach(func(e *Entry) error { list = append(list, *e); return nil }); err != nil {
 		t.Fatal(err)
 	}
 	return list
 }
 
-// line words a line of Combined with $request_time; d below 0: none.
-func line(at time.Time, method, path string, d float64) string {
+// combinedLine words a combinedLine of Combined with $request_time; d below 0: none.
+func combinedLine(at time.Time, method, path string, d float64) string {
 	last := "-"
 	if d >= 0 {
 		last = fmt.Sprintf("%.3f", d)
@@ -112,55 +112,55 @@
 	return fmt.Sprintf("10.1.2.3 - - [%s] \"%s %s HTTP/1.1\" 200 12 \"-\" \"kiosk\" %s\n", at.Format("02/Jan/2006:15:04:05 -0700"), method, path, last)
 }
 
-var morning = time.Date(2026, 11, 29, 6, 0, 0, 0, time.UTC)
+var logStart = time.Date(2026, 11, 29, 6, 0, 0, 0, time.UTC)
 
 func TestFormats(t *testing.T) {
 	at := time.Date(2026, 12, 1, 6, 0, 1, 0, time.UTC).UnixMicro()
 	for _, c := range []struct {
 		format, line string
-		want         Raw
+		want         RawEntry
 		err          error
 	}{
-		{"common", `h - - [01/Dec/2026:08:00:01 +0200] "GET /a?b=1 HTTP/1.1" 200 -`, Raw{At: at, Step: 1e6, Method: "GET", Target: "/a?b=1", Status: 200, Duration: -1}, nil},
-		{"combined", `h - frank [01/Dec/2026:08:00:01 +0200] "POST /a HTTP/1.1" 404 5 "http://p/" "agent \"7\""`, Raw{At: at, Step: 1e6, Method: "POST", Target: "/a", Status: 404, Duration: -1}, nil},
-		{"combined+s", `h - - [01/Dec/2026:08:00:01 +0200] "GET /a HTTP/1.1" 200 5 "-" "-" 0.031`, Raw{At: at, Step: 1e6, Method: "GET", Target: "/a", Status: 200, Duration: 31000}, nil},
-		{"combined+us", `h - - [01/Dec/2026:08:00:01 +0200] "GET /a HTTP/1.1" 200 5 "-" "-" 31000`, Raw{At: at, Step: 1e6, Method: "GET", Target: "/a", Status: 200, Duration: 31000, Arrival: true}, nil},
-		{"combined+ms", `h - - [01/Dec/2026:08:00:01 +0200] "GET /a HTTP/1.1" 200 5 "-" "-" 31`, Raw{At: at, Step: 1e6, Method: "GET", Target: "/a", Status: 200, Duration: 31000, Arrival: true}, nil},
+		{"common", `h - - [01/Dec/2026:08:00:01 +0200] "GET /a?b=1 HTTP/1.1" 200 -`, RawEntry{Timestamp: at, Resolution: 1e6, Method: "GET", Target: "/a?b=1", Status: 200, Duration: -1}, nil},
+		{"combined", `h - frank [01/Dec/2026:08:00:01 +0200] "POST /a HTTP/1.1" 404 5 "http://p/" "agent \"7\""`, RawEntry{Timestamp: at, Resolution: 1e6, Method: "POST", Target: "/a", Status: 404, Duration: -1}, nil},
+		{"combined+s", `h - - [01/Dec/2026:08:00:01 +0200] "GET /a HTTP/1.1" 200 5 "-" "-" 0.031`, RawEntry{Timestamp: at, Resolution: 1e6, Method: "GET", Target: "/a", Status: 200, Duration: 31000}, nil},
+		{"combined+us", `h - - [01/Dec/2026:08:00:01 +0200] "GET /a HTTP/1.1" 200 5 "-" "-" 31000`, RawEntry{Timestamp: at, Resolution: 1e6, Method: "GET", Target: "/a", Status: 200, Duration: 31000, StampsArrival: true}, nil},
+		{"combined+ms", `h - - [01/Dec/2026:08:00:01 +0200] "GET /a HTTP/1.1" 200 5 "-" "-" 31`, RawEntry{Timestamp: at, Resolution: 1e6, Method: "GET", Target: "/a", Status: 200, Duration: 31000, StampsArrival: true}, nil},
 		{`nginx:$msec|$request_method|$request_uri|$status|$request_time|$upstream_response_time|$request_id`, `1796104801.250|GET|/a|200|0.040|0.010, 0.020|r7`,
-			Raw{At: at + 250000, Step: 1000, Method: "GET", Target: "/a", Status: 200, Duration: 40000, Service: 30000}, nil},
+			RawEntry{Timestamp: at + 250000, Resolution: 1000, Method: "GET", Target: "/a", Status: 200, Duration: 40000, ServiceTime: 30000}, nil},
 		{`nginx:[$time_iso8601] "$request" ${status} $request_time`, `[2026-12-01T06:00:01+00:00] "GET /\x22q\x5C HTTP/2.0" 499 -`,
-			Raw{At: at, Step: 1e6, Method: "GET", Target: `/"q\`, Status: 499, Duration: -1}, nil},
+			RawEntry{Timestamp: at, Resolution: 1e6, Method: "GET", Target: `/"q\`, Status: 499, Duration: -1}, nil},
 		{`apache:%h %l %u %t \"%r\" %>s %b %{ms}T`, `h - - [01/Dec/2026:06:00:01 +0000] "GET /a\"b HTTP/1.1" 200 - 12`,
-			Raw{At: at, Step: 1e6, Method: "GET", Target: `/a"b`, Status: 200, Duration: 12000, Arrival: true}, nil},
+			RawEntry{Timestamp: at, Resolution: 1e6, Method: "GET", Target: `/a"b`, Status: 200, Duration: 12000, StampsArrival: true}, nil},
 		{`apache:[%{%d/%b/%Y:%T}t.%{msec_frac}t %{%z}t] %m %U%q %s %D`, `[01/Dec/2026:08:00:01.250 +0200] GET /a?x=1 200 900`,
-			Raw{At: at + 250000, Step: 1000, Method: "GET", Target: "/a?x=1", Status: 200, Duration: 900, Arrival: true}, nil},
+			RawEntry{Timestamp: at + 250000, Resolution: 1000, Method: "GET", Target: "/a?x=1", Status: 200, Duration: 900, StampsArrival: true}, nil},
 		{`apache:[%{%d/%b/%Y:%T}t.%{msec_frac}t %{%z}t] %m %U %q %s %D`, `[01/Dec/2026:08:00:01.250 +0200] GET /a ?x=1 200 900`,
-			Raw{At: at + 250000, Step: 1000, Method: "GET", Target: "/a?x=1", Status: 200, Duration: 900, Arrival: true}, nil},
-		{`apache:%{end:msec}t "%r" %T`, `1796104801250 "GET /a HTTP/1.0" 2`, Raw{At: at + 250000, Step: 1000, Method: "GET", Target: "/a", Duration: 2e6}, nil},
+			RawEntry{Timestamp: at + 250000, Resolution: 1000, Method: "GET", Target: "/a?x=1", Status: 200, Duration: 900, StampsArrival: true}, nil},
+		{`apache:%{end:msec}t "%r" %T`, `1796104801250 "GET /a HTTP/1.0" 2`, RawEntry{Timestamp: at + 250000, Resolution: 1000, Method: "GET", Target: "/a", Duration: 2e6}, nil},
 		{"json", `{"time_iso8601":"2026-12-01T08:00:01+02:00","request":"GET /a HTTP/1.1","status":"200","request_time":"0.031"}`,
-			Raw{At: at, Step: 1e6, Method: "GET", Target: "/a", Status: 200, Duration: 31000}, nil},
+			RawEntry{Timestamp: at, Resolution: 1e6, Method: "GET", Target: "/a", Status: 200, Duration: 31000}, nil},
 		{"json:time=t.at,method=m,target=u,duration_us=d,stamp=arrival", `{"t":{"at":1796104801250},"m":"PUT","u":"https://h.example/a","d":77}`,
-			Raw{At: at + 250000, Step: 1000, Method: "PUT", Target: "/a", Duration: 77, Arrival: true}, nil},
+			RawEntry{Timestamp: at + 250000, Resolution: 1000, Method: "PUT", Target: "/a", Duration: 77, StampsArrival: true}, nil},
 		{"caddy", `{"ts":1796104801.25,"request":{"remote_ip":"10.0.0.1","method":"GET","uri":"/a"},"duration":0.004,"status":200}`,
-			Raw{At: at + 250000, Step: 1000, Method: "GET", Target: "/a", Status: 200, Duration: 4000}, nil},
+			RawEntry{Timestamp: at + 250000, Resolution: 1000, Method: "GET", Target: "/a", Status: 200, Duration: 4000}, nil},
 		{"traefik", `{"StartUTC":"2026-12-01T06:00:01.25Z","RequestMethod":"GET","RequestPath":"/a","Duration":4000000,"OriginDuration":3000000,"DownstreamStatus":200}`,
-			Raw{At: at + 250000, Step: 1000, Method: "GET", Target: "/a", Status: 200, Duration: 4000, Service: 3000, Arrival: true}, nil},
-		{"common", "\x00\x00h - - [01/Dec/2026:08:00:01 +0200] \"GET /a HTTP/1.1\" 200 -", Raw{At: at, Step: 1e6, Method: "GET", Target: "/a", Status: 200, Duration: -1, Repairs: LeadingNUL}, nil},
-		{"common", "h - - [01/Dec/2026:08:00:01 +0200] \"GET /a\xff HTTP/1.1\" 200 -", Raw{At: at, Step: 1e6, Method: "GET", Target: "/a\uFFFD", Status: 200, Duration: -1, Repairs: BadUTF8}, nil},
-		{"common", "h - - [01/Dec/2026:08:00:01 +0200] \"GET /\x00a HTTP/1.1\" 200 -", Raw{}, errNUL},
-		{"common", `h - - [yesterday] "GET / HTTP/1.1" 200 1`, Raw{}, errTime},
-		{"common", `h - - [01/Dec/2026:08:00:01 +0200] "GET /" 200 1`, Raw{}, errRequest},
-		{"common", `h - - [01/Dec/2026:08:00:01 +0200] "GET /a HTTP/1.1" two 1`, Raw{}, errStatus},
-		{"combined+s", `h - - [01/Dec/2026:08:00:01 +0200] "GET /a HTTP/1.1" 200 5 "-" "-" -3`, Raw{}, errSpan},
-		{"json", `[1]`, Raw{}, errJSON},
-		{"json", `{"ts":1,"method":"GET","uri":"nowhere"}`, Raw{}, errTarget},
+			RawEntry{Timestamp: at + 250000, Resolution: 1000, Method: "GET", Target: "/a", Status: 200, Duration: 4000, ServiceTime: 3000, StampsArrival: true}, nil},
+		{"common", "\x00\x00h - - [01/Dec/2026:08:00:01 +0200] \"GET /a HTTP/1.1\" 200 -", RawEntry{Timestamp: at, Resolution: 1e6, Method: "GET", Target: "/a", Status: 200, Duration: -1, Repairs: LeadingNUL}, nil},
+		{"common", "h - - [01/Dec/2026:08:00:01 +0200] \"GET /a\xff HTTP/1.1\" 200 -", RawEntry{Timestamp: at, Resolution: 1e6, Method: "GET", Target: "/a\uFFFD", Status: 200, Duration: -1, Repairs: InvalidUTF8}, nil},
+		{"common", "h - - [01/Dec/2026:08:00:01 +0200] \"GET /\x00a HTTP/1.1\" 200 -", RawEntry{}, errNUL},
+		{"common", `h - - [yesterday] "GET / HTTP/1.1" 200 1`, RawEntry{}, errTimestamp},
+		{"common", `h - - [01/Dec/2026:08:00:01 +0200] "GET /" 200 1`, RawEntry{}, errRequestLine},
+		{"common", `h - - [01/Dec/2026:08:00:01 +0200] "GET /a HTTP/1.1" two 1`, RawEntry{}, errStatus},
+		{"combined+s", `h - - [01/Dec/2026:08:00:01 +0200] "GET /a HTTP/1.1" 200 5 "-" "-" -3`, RawEntry{}, errDuration},
+		{"json", `[1]`, RawEntry{}, errNotJSONObject},
+		{"json", `{"ts":1,"method":"GET","uri":"nowhere"}`, RawEntry{}, errTarget},
 	} {
 		f, err := Compile(c.format, nil)
 		if err != nil {
 			t.Errorf("%s: %v", c.format, err)
 			continue
 		}
-		var got Raw
+		var got RawEntry
 		err = f.Parse(c.line, &got)
 		if c.err != nil {
 			if err == nil || !strings.HasPrefix(err.Error(), c.err.Error()) {
@@ -168,10 +168,10 @@
 			}
 			continue
 		}
-		if c.want.Service == 0 {
-			c.want.Service = -1
+		if c.want.ServiceTime == 0 {
+			c.want.ServiceTime = -1
 		}
-		got.Client, got.ID = "", ""
+		got.Client, got.RequestID = "", ""
 		if err != nil || got != c.want {
 			t.Errorf("%s: %q: %v\n got %+v\nwant %+v", c.format, c.line, err, got, c.want)
 		}
@@ -186,8 +186,8 @@
 
 func TestDetect(t *testing.T) {
 	for want, head := range map[string]string{
-		"combined+s":  line(morning, "GET", "/a", 0.1) + line(morning, "GET", "/b", 0.2) + "cut",
-		"combined+us": strings.ReplaceAll(line(morning, "GET", "/a", 0.1), "0.100", "100000"),
+		"combined+s":  combinedLine(logStart, "GET", "/a", 0.1) + combinedLine(logStart, "GET", "/b", 0.2) + "cut",
+		"combined+us": strings.ReplaceAll(combinedLine(logStart, "GET", "/a", 0.1), "0.100", "100000"),
 		"combined":    `h - - [01/Dec/2026:08:00:01 +0200] "GET /a HTTP/1.1" 200 5 "-" "-"`,
 		"common":      `h - - [01/Dec/2026:08:00:01 +0200] "GET /a HTTP/1.1" 200 5`,
 		"har":         "\xef\xbb\xbf{\n  \"log\": {",
@@ -195,7 +195,7 @@
 		"caddy":       `{"ts":1.5,"request":{"method":"GET"}}`,
 		"traefik":     `{"DownstreamStatus":200}`,
 	} {
-		if f, err := detect(head, nil); err != nil || f.Name != want {
+		if f, err := detectFormat(head, nil); err != nil || f.Name != want {
 			t.Errorf("%q: %v, %v, want %s", head, f, err, want)
 		}
 	}
@@ -216,12 +216,12 @@
 ],"comment":"x"}}`
 
 func TestHAR(t *testing.T) {
-	r, list, _ := imported(t, Options{Seed: 1}, harText)
+	r, list, _ := importTexts(t, Options{Seed: 1}, harText)
 	if r.Counts != (Counts{Read: 10, Accepted: 3, Malformed: 3, Unmapped: 1, Ignored: 3, Repaired: 1}) {
 		t.Errorf("%+v", r.Counts)
 	}
-	if len(list) != 3 || list[1].At != 100*time.Millisecond || list[0].Duration != 12500*time.Microsecond ||
-		list[2].Duration != 33*time.Millisecond || list[2].Body != 9 || list[1].Repairs != DrawnDuration || list[2].Status != 302 {
+	if len(list) != 3 || list[1].Arrival != 100*time.Millisecond || list[0].Duration != 12500*time.Microsecond ||
+		list[2].Duration != 33*time.Millisecond || list[2].BodyBytes != 9 || list[1].Repairs != DrawnDuration || list[2].Status != 302 {
 		t.Errorf("%+v", list)
 	}
 	if list[0].Key != list[2].Key || list[0].Key == list[1].Key {
@@ -236,8 +236,8 @@
 	}
 	// Cut at any place: what was read counts, the cut is told.
 	for n := strings.Index(harText, "[\n{") + 2; n < len(harText)-10; n += 7 {
-		cut, list, _ := imported(t, Options{Seed: 1}, harText[:n])
-		if cut.Sources[0].Cut == "" || cut.Read > 10 || int(cut.Accepted) != len(list) {
+		cut, list, _ := importTexts(t, Options{Seed: 1}, harText[:n])
+		if cut.Sources[0].Truncation == "" || cut.Read > 10 || int(cut.Accepted) != len(list) {
 			t.Fatalf("cut at %d: %+v", n, cut)
 		}
 		if n > strings.Index(harText, `{"startedDateTime":"soon"`) && cut.Accepted != 3 {
@@ -245,7 +245,7 @@
 		}
 	}
 	for _, text := range []string{`{"log":{"version":"1.2"}}`, `{"log":{"version":"9","entries":[]}}`, `{"log":[]}`} {
-		if r, _, _ := imported(t, Options{Format: "har"}, text); r.Sources[0].Cut == "" {
+		if r, _, _ := importTexts(t, Options{Format: "har"}, text); r.Sources[0].Truncation == "" {
 			t.Errorf("%s: nothing is told", text)
 		}
 	}
@@ -259,9 +259,9 @@
 		if i%2 == 0 {
 			d = []float64{0.010, 0.020}[i/2%2]
 		}
-		text.WriteString(line(morning.Add(time.Duration(i)*100*time.Millisecond), "GET", fmt.Sprintf("/members/%d/status", i), d))
+		text.WriteString(combinedLine(logStart.Add(time.Duration(i)*100*time.Millisecond), "GET", fmt.Sprintf("/members/%d/status", i), d))
 	}
-	r, list, _ := imported(t, Options{Seed: 1, Format: "combined+s"}, text.String())
+	r, list, _ := importTexts(t, Options{Seed: 1, Format: "combined+s"}, text.String())
 	c := r.Classes["status-check"]
 	if c.Recorded != 200 || c.DrawnRecorded != 200 || c.DrawnRules != 0 || r.Repairs["duration drawn"] != 200 || r.Repaired != 200 {
 		t.Errorf("%+v, %v", c, r.Repairs)
@@ -279,7 +279,7 @@
 		t.Errorf("%d of 200 drawn durations are the shorter of two", short)
 	}
 	// None recorded: as the rules say, with their mean.
-	r, list, _ = imported(t, Options{Seed: 1, Format: "combined"}, text.String())
+	r, list, _ = importTexts(t, Options{Seed: 1, Format: "combined"}, text.String())
 	sum := time.Duration(0)
 	for _, e := range list {
 		sum += e.Duration
@@ -294,22 +294,22 @@
 func TestTwoClocks(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	var a, b strings.Builder
-	both, at := 0, morning
+	both, at := 0, logStart
 	for i := range 600 {
 		at = at.Add(time.Duration(rng.IntN(900)) * time.Millisecond)
 		path := fmt.Sprintf("/members/%d/status", rng.IntN(300))
 		switch i % 3 {
 		case 0:
-			a.WriteString(line(at, "GET", path, 0.01))
+			a.WriteString(combinedLine(at, "GET", path, 0.01))
 		case 1:
-			b.WriteString(line(at.Add(-7*time.Second), "GET", path, 0.01))
+			b.WriteString(combinedLine(at.Add(-7*time.Second), "GET", path, 0.01))
 		default:
 			both++
-			a.WriteString(line(at, "GET", path, 0.012))
-			b.WriteString(line(at.Add(-7*time.Second), "GET", path, 0.01))
+			a.WriteString(combinedLine(at, "GET", path, 0.012))
+			b.WriteString(combinedLine(at.Add(-7*time.Second), "GET", path, 0.01))
 		}
 	}
-	r, list, _ := imported(t, Options{Seed: 1}, a.String(), b.String())
+	r, list, _ := importTexts(t, Options{Seed: 1}, a.String(), b.String())
 	s := r.Sources[1]
 	if !s.Estimated || s.OffsetUs < 6_000_000 || s.OffsetUs > 8_000_000 || s.Pairs < 20 || s.SpreadUs <= 0 {
 		t.Errorf("%+v", s)
@@ -317,15 +317,15 @@
 	if dup := int(s.Duplicates + r.Sources[0].Duplicates); dup < both*97/100 || dup > both*105/100 || len(list) != 800-dup {
 		t.Errorf("%d of %d seen by both were found, %d entries left", dup, both, len(list))
 	}
-	if span := list[len(list)-1].At; span > at.Sub(morning)+3*time.Second {
-		t.Errorf("the recording spans %v, the morning %v", span, at.Sub(morning))
+	if span := list[len(list)-1].Arrival; span > at.Sub(logStart)+3*time.Second {
+		t.Errorf("the recording spans %v, the morning %v", span, at.Sub(logStart))
 	}
-	r, _, _ = imported(t, Options{Seed: 1, Offsets: map[string]time.Duration{"s1": 7 * time.Second}, KeepDuplicates: true}, a.String(), b.String())
+	r, _, _ = importTexts(t, Options{Seed: 1, Offsets: map[string]time.Duration{"s1": 7 * time.Second}, KeepDuplicates: true}, a.String(), b.String())
 	if r.Accepted != 800 || r.Sources[1].OffsetUs != 7_000_000 || r.Sources[1].Estimated {
 		t.Errorf("given: %+v", r.Sources[1])
 	}
 	// Sources that share nothing get no offset.
-	r, _, _ = imported(t, Options{Seed: 1}, a.String(), strings.ReplaceAll(b.String(), "/members/", "/members/x"))
+	r, _, _ = importTexts(t, Options{Seed: 1}, a.String(), strings.ReplaceAll(b.String(), "/members/", "/members/x"))
 	if r.Sources[1].Estimated || r.Sources[1].OffsetUs != 0 || r.Ignored != 0 {
 		t.Errorf("nothing shared: %+v", r.Sources[1])
 	}
@@ -341,35 +341,35 @@
 	}{
 		"hour back": {func(i int) time.Time {
 			if i < 100 {
-				return morning.Add(time.Duration(i) * time.Second)
+				return logStart.Add(time.Duration(i) * time.Second)
 			}
-			return morning.Add(time.Duration(i)*time.Second - time.Hour)
+			return logStart.Add(time.Duration(i)*time.Second - time.Hour)
 		}, 1, 0, 199 * time.Second},
 		"odd": {func(i int) time.Time {
 			if i == 50 || i == 51 {
-				return morning.AddDate(73, 0, 0)
+				return logStart.AddDate(73, 0, 0)
 			} else if i == 80 {
-				return morning.AddDate(-56, 0, 0)
+				return logStart.AddDate(-56, 0, 0)
 			}
-			return morning.Add(time.Duration(i) * time.Second)
+			return logStart.Add(time.Duration(i) * time.Second)
 		}, 0, 3, 199 * time.Second},
 		"night": {func(i int) time.Time {
 			if i >= 100 {
 				i += 10 * 3600
 			}
-			return morning.Add(time.Duration(i) * time.Second)
+			return logStart.Add(time.Duration(i) * time.Second)
 		}, 0, 0, 36199 * time.Second},
 	} {
 		var text strings.Builder
 		for i := range 200 {
-			text.WriteString(line(c.at(i), "GET", fmt.Sprintf("/members/%d/status", i), 0))
+			text.WriteString(combinedLine(c.at(i), "GET", fmt.Sprintf("/members/%d/status", i), 0))
 		}
-		r, list, _ := imported(t, Options{Seed: 1}, text.String())
+		r, list, _ := importTexts(t, Options{Seed: 1}, text.String())
 		s := r.Sources[0]
-		if s.ClockSteps != c.steps || s.OddStamps != c.odd || r.Accepted != 200 {
+		if s.ClockSteps != c.steps || s.OutlierTimestamps != c.odd || r.Accepted != 200 {
 			t.Errorf("%s: %+v", name, s)
 		}
-		if span := list[199].At; span < c.span-3*time.Second || span > c.span+3*time.Second {
+		if span := list[199].Arrival; span < c.span-3*time.Second || span > c.span+3*time.Second {
 			t.Errorf("%s: spans %v, want %v", name, span, c.span)
 		}
 		if name == "hour back" && r.Repairs["clock stepped back"] != 100 {
@@ -386,9 +386,9 @@
 		at := time.Date(2026, 10, 24, 23, 0, 0, 0, time.UTC).Add(time.Duration(i) * time.Minute).In(zone)
 		fmt.Fprintf(&text, "%s GET /members/%d/status\n", at.Format("2006-01-02T15:04:05"), i)
 	}
-	r, list, _ := imported(t, Options{Format: "nginx:$time_iso8601 $request_method $request_uri", Zone: zone}, text.String())
-	if r.Repairs["hour that came twice"] != 60 || r.Sources[0].ClockSteps != 0 || len(list) != 240 || list[239].At > 4*time.Hour {
-		t.Errorf("summer time: %+v, %v", r.Sources[0], list[len(list)-1].At)
+	r, list, _ := importTexts(t, Options{Format: "nginx:$time_iso8601 $request_method $request_uri", Zone: zone}, text.String())
+	if r.Repairs["hour that came twice"] != 60 || r.Sources[0].ClockSteps != 0 || len(list) != 240 || list[239].Arrival > 4*time.Hour {
+		t.Errorf("summer time: %+v, %v", r.Sources[0], list[len(list)-1].Arrival)
 	}
 }
 
@@ -397,7 +397,7 @@
 	part := func(from int) string {
 		var text strings.Builder
 		for i := range 50 {
-			text.WriteString(line(morning.Add(time.Duration(from+i)*time.Second), "GET", fmt.Sprintf("/members/%d/status", from+i), 0))
+			text.WriteString(combinedLine(logStart.Add(time.Duration(from+i)*time.Second), "GET", fmt.Sprintf("/members/%d/status", from+i), 0))
 		}
 		return text.String()
 	}
@@ -406,7 +406,7 @@
 	io.WriteString(z, part(0))
 	z.Close()
 	in := []Input{{"a", "a.log", strings.NewReader(part(100))}, {"a", "a.log.2.gz", &packed}, {"a", "a.log.1", strings.NewReader(part(50))}}
-	r, list, _ := importAll(t, Options{Seed: 1}, in)
+	r, list, _ := importInputs(t, Options{Seed: 1}, in)
 	s := r.Sources[0]
 	if !s.Reordered || s.ClockSteps != 0 || !slices.Equal(s.Files, []string{"a.log.2.gz", "a.log.1", "a.log"}) || len(list) != 150 {
 		t.Errorf("%+v", s)
@@ -417,40 +417,40 @@
 func TestSpread(t *testing.T) {
 	var text strings.Builder
 	for i := range 2000 {
-		text.WriteString(line(morning, "GET", fmt.Sprintf("/members/%d/status", i%7), 0.5))
+		text.WriteString(combinedLine(logStart, "GET", fmt.Sprintf("/members/%d/status", i%7), 0.5))
 	}
-	r, list, one := imported(t, Options{Seed: 1}, text.String())
-	_, _, two := imported(t, Options{Seed: 1}, text.String())
-	_, _, other := imported(t, Options{Seed: 2}, text.String())
+	r, list, one := importTexts(t, Options{Seed: 1}, text.String())
+	_, _, two := importTexts(t, Options{Seed: 1}, text.String())
+	_, _, other := importTexts(t, Options{Seed: 2}, text.String())
 	if !bytes.Equal(one, two) || bytes.Equal(one, other) {
 		t.Error("the same seed does not give the same bytes, or another seed does")
 	}
 	tenth := [10]int{}
 	for _, e := range list {
-		tenth[min(e.At*10/time.Second, 9)]++
+		tenth[min(e.Arrival*10/time.Second, 9)]++
 	}
 	for i, n := range tenth {
 		if n < 130 || n > 270 {
 			t.Errorf("%d of 2000 in tenth %d", n, i)
 		}
 	}
-	if r.Sources[0].Spread != 2000 || r.Start.Sub(morning) > -490*time.Millisecond || r.Start.Sub(morning) < -500*time.Millisecond {
+	if r.Sources[0].Spread != 2000 || r.Start.Sub(logStart) > -490*time.Millisecond || r.Start.Sub(logStart) < -500*time.Millisecond {
 		t.Errorf("%+v, start %v", r.Sources[0], r.Start)
 	}
-	var s spreader
-	var got []pending
-	s = spreader{rng: stream(1, "x"), next: func(p pending) { got = append(got, p) }}
-	for i := range 3*crowd + 5 { // more than are held at once
-		s.add(pending{at: 5_000_000, step: 1_000_000, seq: uint64(i)})
+	var s secondSpreader
+	var got []pendingEntry
+	s = secondSpreader{random: newRandomStream(1, "x"), emit: func(p pendingEntry) { got = append(got, p) }}
+	for i := range 3*maxSpreadGroup + 5 { // more than are held at once
+		s.add(pendingEntry{timestamp: 5_000_000, resolution: 1_000_000, sequence: uint64(i)})
 	}
 	s.flush()
-	if len(got) != 3*crowd+5 || s.Crowded != 3 || !slices.IsSortedFunc(got, func(a, b pending) int {
-		if a.at > b.at || a.seq > b.seq {
+	if len(got) != 3*maxSpreadGroup+5 || s.CrowdedSeconds != 3 || !slices.IsSortedFunc(got, func(a, b pendingEntry) int {
+		if a.timestamp > b.timestamp || a.sequence > b.sequence {
 			return 1
 		}
 		return -1
-	}) || got[len(got)-1].at > 5_999_999 {
-		t.Errorf("a crowded second: %d, %d, last at %d", len(got), s.Crowded, got[len(got)-1].at)
+	}) || got[len(got)-1].timestamp > 5_999_999 {
+		t.Errorf("a crowded second: %d, %d, last at %d", len(got), s.CrowdedSeconds, got[len(got)-1].timestamp)
 	}
 }
 
@@ -459,26 +459,26 @@
 func TestMembers(t *testing.T) {
 	var text strings.Builder
 	for i, member := range []string{"880017", "880018", "880017", "a9f5e1c0d2", "a9f5e1c0d2", "88***", "88***", "880018"} {
-		text.WriteString(line(morning.Add(time.Duration(i)*time.Second), "GET", "/members/"+member+"/status?token=hunter2", 0.01))
+		text.WriteString(combinedLine(logStart.Add(time.Duration(i)*time.Second), "GET", "/members/"+member+"/status?token=hunter2", 0.01))
 	}
 	for i := range 500 {
-		text.WriteString(line(morning.Add(time.Minute), "GET", "/members/"+[]string{"***", "xxxx", "-", "%2A%2A", "REDACTED"}[i%5]+"/status", 0.01))
+		text.WriteString(combinedLine(logStart.Add(time.Minute), "GET", "/members/"+[]string{"***", "xxxx", "-", "%2A%2A", "REDACTED"}[i%5]+"/status", 0.01))
 	}
 	text.WriteString("10.1.2.3 - - [29/Nov/2026:06:00:00 +0000] \"GET /members/880019/status\" 200 1 \"-\" \"-\" 0.1\n") // malformed
-	r, list, file := imported(t, Options{Seed: 1}, text.String())
+	r, list, file := importTexts(t, Options{Seed: 1}, text.String())
 	k := func(i int) uint64 { return list[i].Key }
 	if k(0) != k(2) || k(1) != k(7) || k(0) == k(1) || k(3) != k(4) || k(5) != k(6) || k(5) == k(0) {
 		t.Errorf("keys of tokens: %x", []uint64{k(0), k(1), k(2), k(3), k(4), k(5), k(6), k(7)})
 	}
 	made := map[uint64]int{}
 	for _, e := range list[8:] {
-		if e.Repairs&MadeUpKey == 0 || e.Key == 0 {
+		if e.Repairs&SyntheticKey == 0 || e.Key == 0 {
 			t.Fatalf("%+v", e)
 		}
 		made[e.Key]++
 	}
-	if len(made) < 45 || len(made) > 50 || r.Repairs["key made up"] != 500 || r.MadeUpKeys != "uniform over 50 members" {
-		t.Errorf("%d made-up keys, %v, %s", len(made), r.Repairs, r.MadeUpKeys)
+	if len(made) < 45 || len(made) > 50 || r.Repairs["key made up"] != 500 || r.SyntheticKeys != "uniform over 50 members" {
+		t.Errorf("%d made-up keys, %v, %s", len(made), r.Repairs, r.SyntheticKeys)
 	}
 	zip, err := zstd.NewReader(bytes.NewReader(file))
 	if err != nil {
@@ -496,18 +496,18 @@
 		}
 	}
 	// Another input gives other pseudonyms, a given secret the same.
-	_, other, _ := imported(t, Options{Seed: 1}, text.String()+"\n# more\n")
+	_, other, _ := importTexts(t, Options{Seed: 1}, text.String()+"\n# more\n")
 	if other[0].Key == k(0) {
 		t.Error("pseudonyms are not keyed by the input")
 	}
 	secret := Options{Seed: 1, Secret: []byte("0123456789abcdef")}
-	_, a, _ := imported(t, secret, text.String())
-	_, b, _ := imported(t, secret, text.String()+"\n# more\n")
+	_, a, _ := importTexts(t, secret, text.String())
+	_, b, _ := importTexts(t, secret, text.String()+"\n# more\n")
 	if a[0].Key != b[0].Key || a[0].Key == k(0) {
 		t.Error("pseudonyms do not follow the secret")
 	}
 	skewed := testRules(t, strings.Replace(rulesText, "members = 50", "members = 50\nskew = 1.5", 1))
-	r, list, _ = imported(t, Options{Seed: 1, Rules: skewed}, text.String())
+	r, list, _ = importTexts(t, Options{Seed: 1, Rules: skewed}, text.String())
 	clear(made)
 	for _, e := range list[8:] {
 		made[e.Key]++
@@ -516,20 +516,20 @@
 	for _, n := range made {
 		most = max(most, n)
 	}
-	if most < 100 || r.MadeUpKeys != "Zipf with exponent 1.5 over 50 members" {
-		t.Errorf("the most frequent of skewed keys came %d times of 500; %s", most, r.MadeUpKeys)
+	if most < 100 || r.SyntheticKeys != "Zipf with exponent 1.5 over 50 members" {
+		t.Errorf("the most frequent of skewed keys came %d times of 500; %s", most, r.SyntheticKeys)
 	}
 }
 
 // What a broken medium leaves: torn packing, endless lines, zeros, no end of line.
 func TestBrokenInputs(t *testing.T) {
-	good := line(morning, "GET", "/members/1/status", 0.01)
+	good := combinedLine(logStart, "GET", "/members/1/status", 0.01)
 	var packed, packed2 bytes.Buffer
 	z := gzip.NewWriter(&packed)
 	rng := rand.New(rand.NewPCG(1, 1))
 	var plain strings.Builder
 	for i := range 3000 {
-		l := line(morning.Add(time.Duration(i)*time.Second), "GET", fmt.Sprintf("/members/%d/status", rng.Uint64()), rng.Float64())
+		l := combinedLine(logStart.Add(time.Duration(i)*time.Second), "GET", fmt.Sprintf("/members/%d/status", rng.Uint64()), rng.Float64())
 		plain.WriteString(l)
 		io.WriteString(z, l)
 	}
@@ -538,27 +538,27 @@
 	io.WriteString(zs, plain.String())
 	zs.Close()
 	for name, text := range map[string]string{"gzip": packed.String(), "zstd": packed2.String()} {
-		if r, _, _ := imported(t, Options{}, text); r.Accepted != 3000 || r.Sources[0].Cut != "" {
+		if r, _, _ := importTexts(t, Options{}, text); r.Accepted != 3000 || r.Sources[0].Truncation != "" {
 			t.Errorf("%s whole: %+v", name, r.Counts)
 		}
-		r, _, _ := imported(t, Options{}, text[:len(text)/2])
-		if r.Accepted < 500 || r.Accepted >= 3000 || !strings.Contains(r.Sources[0].Cut, "s0.log: ") {
-			t.Errorf("%s torn: %+v, %q", name, r.Counts, r.Sources[0].Cut)
+		r, _, _ := importTexts(t, Options{}, text[:len(text)/2])
+		if r.Accepted < 500 || r.Accepted >= 3000 || !strings.Contains(r.Sources[0].Truncation, "s0.log: ") {
+			t.Errorf("%s torn: %+v, %q", name, r.Counts, r.Sources[0].Truncation)
 		}
 	}
 	long := good + strings.Repeat("x", 10<<20) + "\n" + good
-	r, _, _ := imported(t, Options{}, long)
-	if r.Accepted != 2 || r.Malformed != 1 || r.Rejects[0] != (Reject{"s0.log", 2, int64(len(good)), errLong.Error()}) {
+	r, _, _ := importTexts(t, Options{}, long)
+	if r.Accepted != 2 || r.Malformed != 1 || r.Rejects[0] != (Reject{"s0.log", 2, int64(len(good)), errLineTooLong.Error()}) {
 		t.Errorf("10 MB line: %+v", r.Rejects)
 	}
-	r, _, _ = imported(t, Options{}, "\x00\x00\x00"+good+"GET\x00\n"+strings.TrimSuffix(good, "\n"))
+	r, _, _ = importTexts(t, Options{}, "\x00\x00\x00"+good+"GET\x00\n"+strings.TrimSuffix(good, "\n"))
 	if r.Accepted != 2 || r.Malformed != 1 || r.Repairs["leading NUL bytes"] != 1 || r.Rejects[0].Line != 2 {
 		t.Errorf("zeros: %+v, %v", r.Counts, r.Rejects)
 	}
-	if r, _, _ := imported(t, Options{}, good+"\n\n"+good[:40]+"\n# comment"); r.Read != 3 || r.Malformed != 2 {
+	if r, _, _ := importTexts(t, Options{}, good+"\n\n"+good[:40]+"\n# comment"); r.Read != 3 || r.Malformed != 2 {
 		t.Errorf("%+v", r.Counts)
 	}
-	if r, _, file := imported(t, Options{}, ""); file != nil || r.Read != 0 {
+	if r, _, file := importTexts(t, Options{}, ""); file != nil || r.Read != 0 {
 		t.Errorf("an empty input: %+v", r.Counts)
 	}
 }
@@ -585,29 +585,29 @@
 
 // ---- The canonical file.
 
-func sample(t testing.TB, n int) []byte {
+func sampleRecording(t testing.TB, n int) []byte {
 	var text strings.Builder
 	for i := range n {
 		method, path := "GET", "/status"
 		if i%3 == 0 {
 			method, path = "POST", "/renew"
 		}
-		text.WriteString(line(morning.Add(time.Duration(i)*10*time.Millisecond), method, fmt.Sprintf("/members/%d%s", i%97, path), 0.02))
+		text.WriteString(combinedLine(logStart.Add(time.Duration(i)*10*time.Millisecond), method, fmt.Sprintf("/members/%d%s", i%97, path), 0.02))
 	}
-	_, _, file := imported(t, Options{Seed: 3}, text.String())
+	_, _, file := importTexts(t, Options{Seed: 3}, text.String())
 	return file
 }
 
 // A file that is cut or changed anywhere is refused, and no error is a panic.
 func TestDamagedFile(t *testing.T) {
-	file := sample(t, 3000)
+	file := sampleRecording(t, 3000)
 	whole := func(b []byte) error {
 		r, err := NewReader(bytes.NewReader(b))
 		if err != nil {
 			return err
 		}
 		defer r.Close()
-		return r.Each(func(*Entry) error { return nil })
+		return r.ForEach(func(*Entry) error { return nil })
 	}
 	if err := whole(file); err != nil {
 		t.Fatal(err)
@@ -650,7 +650,7 @@
 	}
 	// The same content with its checksum made new, but of another version.
 	r, _ := NewReader(bytes.NewReader(file))
-	h := r.derive("later")
+	h := r.deriveHeader("later")
 	h.Version = 2
 	var out bytes.Buffer
 	w, _ := NewWriter(&out, h)
@@ -661,8 +661,8 @@
 }
 
 func TestSliceMergeScale(t *testing.T) {
-	file := sample(t, 3000)
-	list := entries(t, file)
+	file := sampleRecording(t, 3000)
+	list := readEntries(t, file)
 	open := func(b []byte) *Reader {
 		r, err := NewReader(bytes.NewReader(b))
 		if err != nil {
@@ -679,7 +679,7 @@
 	if err := Merge([]*Reader{open(b.Bytes()), open(a.Bytes())}, &m, false); err != nil {
 		t.Fatal(err)
 	}
-	again := entries(t, m.Bytes())
+	again := readEntries(t, m.Bytes())
 	for i := range list {
 		x, y := list[i], again[i]
 		y.Class, y.Source = x.Class, x.Source
@@ -687,11 +687,11 @@
 			t.Fatalf("entry %d, cut out and put back: %+v, was %+v", i, y, x)
 		}
 	}
-	if n := len(entries(t, b.Bytes())); n == 0 || n == len(list) || entries(t, b.Bytes())[0].At > time.Second {
+	if n := len(readEntries(t, b.Bytes())); n == 0 || n == len(list) || readEntries(t, b.Bytes())[0].Arrival > time.Second {
 		t.Errorf("%d entries in the second part", n)
 	}
 	m.Reset()
-	if err := Merge([]*Reader{open(a.Bytes()), open(b.Bytes())}, &m, true); err != nil || entries(t, m.Bytes())[2999].At > 20*time.Second {
+	if err := Merge([]*Reader{open(a.Bytes()), open(b.Bytes())}, &m, true); err != nil || readEntries(t, m.Bytes())[2999].Arrival > 20*time.Second {
 		t.Errorf("aligned: %v", err)
 	}
 	for _, rate := range []float64{0.25, 1, 2.5} {
@@ -699,11 +699,11 @@
 		if err := Scale(open(file), &s, rate, 2, 1); err != nil {
 			t.Fatal(err)
 		}
-		got := entries(t, s.Bytes())
+		got := readEntries(t, s.Bytes())
 		if want := 3000 * rate; float64(len(got)) < want*0.95 || float64(len(got)) > want*1.05 {
 			t.Errorf("rate %g: %d entries", rate, len(got))
 		}
-		if last := got[len(got)-1].At; last > 16*time.Second || last < 14*time.Second {
+		if last := got[len(got)-1].Arrival; last > 16*time.Second || last < 14*time.Second {
 			t.Errorf("rate %g, twice the speed: 30 s became %v", rate, last)
 		}
 	}
@@ -717,7 +717,7 @@
 func FuzzReaders(f *testing.F) {
 	formats := []string{"auto", "common", "combined", "combined+s", "nginx:$msec|$request_method|$request_uri|$request_time", "apache:%{%d/%b/%Y:%T}t %{msec_frac}t %r %D %{x}i",
 		"json", "json:time=a.b,duration_ms=c,stamp=arrival", "caddy", "traefik", "har"}
-	good := line(morning, "GET", "/members/1/status", 0.01)
+	good := combinedLine(logStart, "GET", "/members/1/status", 0.01)
 	for i, text := range []string{good + "x\n" + good, good, good, good, "1.5|GET|/members/1/status|0.1\n", "01/Dec/2026:06:00:01 250 GET /members/1/status HTTP/1.1 5 -",
 		`{"ts":1,"method":"GET","uri":"/members/1/status"}`, `{"a":{"b":"2026-12-01T06:00:00Z"},"c":1}`, `{"ts":1.5,"request":{"method":"GET","uri":"/"}}`,
 		`{"StartUTC":"2026-12-01T06:00:01.25Z"}`, harText} {
@@ -727,21 +727,21 @@
 	f.Fuzz(func(t *testing.T, n byte, text []byte) {
 		in := []Input{{"a", "a", bytes.NewReader(text)}, {"b", "b", bytes.NewReader(text)}}
 		var out bytes.Buffer
-		r, err := Import(in, Options{Rules: rules, Format: formats[int(n)%len(formats)], Spool: &memory{}, Seed: 1}, &out)
-		if err != nil && !errors.Is(err, ErrNothing) {
+		r, err := Import(in, Options{Rules: rules, Format: formats[int(n)%len(formats)], Spool: &memorySpool{}, Seed: 1}, &out)
+		if err != nil && !errors.Is(err, ErrNoEntries) {
 			t.Fatal(err)
 		}
-		if !r.Whole() || r.Malformed != uint64(len(r.Rejects))+r.MoreRejects || r.Accepted > 0 && err != nil {
+		if !r.Balanced() || r.Malformed != uint64(len(r.Rejects))+r.UnlistedRejects || r.Accepted > 0 && err != nil {
 			t.Fatalf("%+v", r.Counts)
 		}
-		if err == nil && uint64(len(entries(t, out.Bytes()))) != r.Accepted {
+		if err == nil && uint64(len(readEntries(t, out.Bytes()))) != r.Accepted {
 			t.Fatal("the file does not hold what was accepted")
 		}
 	})
 }
 
 func FuzzCanonical(f *testing.F) {
-	file := sample(f, 30)
+	file := sampleRecording(f, 30)
 	f.Add(file)
 	f.Add(file[:len(file)/2])
 	f.Add([]byte{})
@@ -757,11 +757,11 @@
 				continue
 			}
 			last, n := time.Duration(0), 0
-			err = r.Each(func(e *Entry) error {
-				if e.At < last || e.Class >= len(r.Header.Classes) || e.Left <= 0 || e.Slots < 0 {
+			err = r.ForEach(func(e *Entry) error {
+				if e.Arrival < last || e.Class >= len(r.Header.Classes) || e.Timeout <= 0 || e.Slots < 0 {
 					t.Fatalf("%+v", e)
 				}
-				last, n = e.At, n+1
+				last, n = e.Arrival, n+1
 				return nil
 			})
 			if err == nil && uint64(n) != r.count {
@@ -780,27 +780,27 @@
 	}
 	var rules []Rule
 	for _, e := range exprs {
-		c := Rule{Name: "a", LeftMs: 1, Path: e, Key: e}
+		c := Rule{Name: "a", TimeoutMs: 1, Path: e, Key: e}
 		if !strings.Contains(e, "(") {
 			c.Key = ""
 		}
-		if err := c.check("", map[string]string{}); err != nil {
+		if err := c.validate("", map[string]string{}); err != nil {
 			f.Fatal(err)
 		}
-		if c.plain == nil {
+		if c.pathMatcher == nil {
 			f.Fatalf("%s is not seen as simple", e)
 		}
 		rules = append(rules, c)
 	}
 	for _, e := range []string{"a", "^/a.b", "^/[^/]+x", "^/([^/]+", "^/a|b", "^/([^/]+)/([^/]+)/", "^/[^/]+"} {
-		if simple(e) != nil {
+		if compileSegmentPattern(e) != nil {
 			f.Errorf("%s is seen as simple", e)
 		}
 	}
 	f.Fuzz(func(t *testing.T, path string) {
 		for _, c := range rules {
-			m := c.path.FindStringSubmatch(path)
-			group, ok := c.plain.match(path)
+			m := c.pathPattern.FindStringSubmatch(path)
+			group, ok := c.pathMatcher.match(path)
 			if ok != (m != nil) || ok && len(m) > 1 && m[1] != group {
 				t.Fatalf("%s on %q: %q, %v; regexp %q", c.Path, path, group, ok, m)
 			}
@@ -814,36 +814,36 @@
 	f.Add(uint64(2), uint16(60000), uint32(1<<31))
 	f.Fuzz(func(t *testing.T, seed uint64, n uint16, disorder uint32) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		m, number := &memory{}, 0
-		s := sorter{spool: m, number: &number}
-		var want []pending
+		m, number := &memorySpool{}, 0
+		s := sorter{spool: m, nextRun: &number}
+		var want []pendingEntry
 		for i := range int(n) {
-			p := pending{at: int64(i)*10 + int64(rng.Uint32N(disorder|1)), seq: uint64(i), key: rng.Uint64(), duration: int64(rng.IntN(9)) - 1, service: -1, step: 1000}
+			p := pendingEntry{timestamp: int64(i)*10 + int64(rng.Uint32N(disorder|1)), sequence: uint64(i), key: rng.Uint64(), duration: int64(rng.IntN(9)) - 1, serviceTime: -1, resolution: 1000}
 			want = append(want, p)
 			s.add(p)
 		}
 		if err := s.close(); err != nil {
 			t.Fatal(err)
 		}
-		runs, err := fewer(m, &number, s.runs, 2)
+		runs, err := compactRuns(m, &number, s.runs, 2)
 		if err != nil || len(runs) > 2 {
 			t.Fatal(len(runs), err)
 		}
-		var open []*run
+		var open []*runReader
 		for _, n := range runs {
 			r, _ := openRun(m, n, 0, 0)
 			open = append(open, r)
 		}
-		slices.SortFunc(want, func(a, b pending) int {
-			if a.at != b.at {
-				return int(a.at - b.at)
+		slices.SortFunc(want, func(a, b pendingEntry) int {
+			if a.timestamp != b.timestamp {
+				return int(a.timestamp - b.timestamp)
 			}
-			return int(a.seq) - int(b.seq)
+			return int(a.sequence) - int(b.sequence)
 		})
 		i := 0
-		if err := merge(open, func(r *run) error {
-			if r.now != want[i] {
-				t.Fatalf("%d: %+v, want %+v", i, r.now, want[i])
+		if err := mergeRuns(open, func(r *runReader) error {
+			if r.entry != want[i] {
+				t.Fatalf("%d: %+v, want %+v", i, r.entry, want[i])
 			}
 			i++
 			return nil
@@ -859,13 +859,13 @@
 	var text strings.Builder
 	rng := rand.New(rand.NewPCG(1, 1))
 	for i := range 100_000 {
-		text.WriteString(line(morning.Add(time.Duration(i)*time.Millisecond), "GET", fmt.Sprintf("/members/%d/status", rng.IntN(100_000)), rng.Float64()))
+		text.WriteString(combinedLine(logStart.Add(time.Duration(i)*time.Millisecond), "GET", fmt.Sprintf("/members/%d/status", rng.IntN(100_000)), rng.Float64()))
 	}
 	rules := testRules(b, rulesText)
 	b.SetBytes(int64(text.Len()))
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := Import([]Input{{"a", "a", strings.NewReader(text.String())}}, Options{Rules: rules, Spool: &memory{}}, io.Discard); err != nil {
+		if _, err := Import([]Input{{"a", "a", strings.NewReader(text.String())}}, Options{Rules: rules, Spool: &memorySpool{}}, io.Discard); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -882,14 +882,14 @@
 			body[j] = byte(rng.Uint32())
 		}
 		fmt.Fprintf(&text, `%s{"startedDateTime":"%s","time":31.5,"request":{"method":"GET","url":"https://portal.example/members/%d/status","httpVersion":"HTTP/2","headers":[{"name":"accept","value":"text/html"},{"name":"cookie","value":"%s"}],"queryString":[],"headersSize":-1,"bodySize":0},"response":{"status":200,"headers":[{"name":"date","value":"now"}],"content":{"size":3000,"mimeType":"application/octet-stream","encoding":"base64","text":"%s"}},"cache":{},"timings":{"blocked":1,"dns":-1,"connect":-1,"send":0.1,"wait":30,"receive":0.5}}`,
-			map[bool]string{true: ",", false: ""}[i > 0], morning.Add(time.Duration(i)*time.Millisecond).Format(time.RFC3339Nano), rng.IntN(9999), hex.EncodeToString(body[:40]), hex.EncodeToString(body))
+			map[bool]string{true: ",", false: ""}[i > 0], logStart.Add(time.Duration(i)*time.Millisecond).Format(time.RFC3339Nano), rng.IntN(9999), hex.EncodeToString(body[:40]), hex.EncodeToString(body))
 	}
 	text.WriteString(`]}}`)
 	rules := testRules(b, rulesText)
 	b.SetBytes(int64(text.Len()))
 	b.ReportAllocs()
 	for b.Loop() {
-		r, err := Import([]Input{{"a", "a", strings.NewReader(text.String())}}, Options{Rules: rules, Spool: &memory{}}, io.Discard)
+		r, err := Import([]Input{{"a", "a", strings.NewReader(text.String())}}, Options{Rules: rules, Spool: &memorySpool{}}, io.Discard)
 		if err != nil || r.Accepted != 3000 {
 			b.Fatal(err)
 		}
--- a/internal/rehearsal/recording/readers.go
+++ b/internal/rehearsal/recording/readers.go
@@ -24,29 +24,29 @@
 // never hold a whole input.
 
 const (
-	maxLine   = 256 << 10 // bytes of a line that is read; longer ones are malformed
-	headBytes = 64 << 10  // that the format is found from
-	maxEntry  = 8 << 20   // of a HAR entry without the texts of its bodies
+	maxLineBytes   = 256 << 10 // bytes of a line that is read; longer ones are malformed
+	detectionBytes = 64 << 10  // that the format is found from
+	maxHAREntryBytes  = 8 << 20   // of a HAR entry without the texts of its bodies
 )
 
-// digest hashes what passes: SHA-256 of all of it, and of a part of it in a
+// hashingReader hashes what passes: SHA-256 of all of it, and of a part of it in a
 // form that nobody without the input can work out from the first.
-type digest struct {
-	r      io.Reader
-	all    hash.Hash
-	secret hash.Hash
+type hashingReader struct {
+	reader      io.Reader
+	full    hash.Hash
+	secretSample hash.Hash
 	bytes  int64
 }
 
-func (d *digest) Read(p []byte) (int, error) {
-	n, err := d.r.Read(p)
-	d.all.Write(p[:n])
+func (d *hashingReader) Read(p []byte) (int, error) {
+	n, err := d.reader.Read(p)
+	d.full.Write(p[:n])
 	const part, of = 64 << 10, 1 << 20 // the first 64 KiB of each MiB
 	for at, left := d.bytes, p[:n]; len(left) > 0; {
 		in := at % of
 		step := min(int64(len(left)), of-in)
 		if in < part {
-			d.secret.Write(left[:min(step, part-in)])
+			d.secretSample.Write(left[:min(step, part-in)])
 		}
 		at, left = at+step, left[step:]
 	}
@@ -54,15 +54,15 @@
 	return n, err
 }
 
-func newDigest(r io.Reader) *digest {
-	d := &digest{r: r, all: sha256.New(), secret: sha256.New()}
-	io.WriteString(d.secret, "hollyyoke: pseudonyms of members\n")
+func newHashingReader(r io.Reader) *hashingReader {
+	d := &hashingReader{reader: r, full: sha256.New(), secretSample: sha256.New()}
+	io.WriteString(d.secretSample, "hollyyoke: pseudonyms of members\n")
 	return d
 }
 
 // unpack reads gzip and zstd by what the content starts with.
 func unpack(r io.Reader) (*bufio.Reader, error) {
-	in := bufio.NewReaderSize(r, maxLine)
+	in := bufio.NewReaderSize(r, maxLineBytes)
 	head, err := in.Peek(4)
 	if err != nil && !errors.Is(err, io.EOF) {
 		return in, err
@@ -73,20 +73,20 @@
 		if err != nil {
 			return nil, fmt.Errorf("gzip: %w", err)
 		}
-		return bufio.NewReaderSize(z, maxLine), nil
+		return bufio.NewReaderSize(z, maxLineBytes), nil
 	case len(head) == 4 && bytes.Equal(head, []byte{0x28, 0xb5, 0x2f, 0xfd}):
 		z, err := zstd.NewReader(in, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true),
 			zstd.WithDecoderMaxWindow(16<<20))
 		if err != nil {
 			return nil, fmt.Errorf("zstd: %w", err)
 		}
-		return bufio.NewReaderSize(z, maxLine), nil
+		return bufio.NewReaderSize(z, maxLineBytes), nil
 	}
 	return in, nil
 }
 
-// place is where a line or an entry stands.
-type place struct {
+// position is where a line or an entry stands.
+type position struct {
 	line   int   // from 1; of a HAR file the entry
 	offset int64 // of its first byte, in the unpacked text
 }
@@ -96,13 +96,13 @@
 
 func (b bad) Error() string { return b.why.Error() }
 
-// emit takes one entry; err tells that it is malformed. blank lines are not told.
-type emit func(at place, r *Raw, err error) error
+// entryHandler takes one entry; err tells that it is malformed. blank lines are not told.
+type entryHandler func(at position, r *RawEntry, err error) error
 
 // readLines reads a log line by line. The error returned is the input's own.
-func readLines(in *bufio.Reader, f *Format, each emit) error {
-	var r Raw
-	at := place{line: 1}
+func readLines(in *bufio.Reader, f *Format, each entryHandler) error {
+	var r RawEntry
+	at := position{line: 1}
 	for {
 		text, err := in.ReadSlice('\n')
 		size := int64(len(text))
@@ -127,7 +127,7 @@
 		var e error
 		switch {
 		case long:
-			e = each(at, nil, bad{errLong})
+			e = each(at, nil, bad{errLineTooLong})
 		case len(bytes.TrimSpace(line)) == 0:
 		default:
 			if why := f.Parse(string(line), &r); why != nil {
@@ -168,8 +168,8 @@
 	} `json:"timings"`
 }
 
-// wanted are the objects that are gone into, and the members that are kept.
-var wanted = map[string]map[string]bool{
+// harFields are the objects that are gone into, and the members that are kept.
+var harFields = map[string]map[string]bool{
 	"":         {"startedDateTime": true, "time": true, "_resourceType": true, "_fromCache": true, "_error": true},
 	"request":  {"method": true, "url": true, "bodySize": true},
 	"response": {"status": true},
@@ -178,17 +178,17 @@
 
 // readHAR reads a HAR file as a stream. What was read before a cut counts; the
 // cut is the error returned.
-func readHAR(in *bufio.Reader, each emit) error {
+func readHAR(in *bufio.Reader, each entryHandler) error {
 	if head, _ := in.Peek(3); bytes.Equal(head, []byte("\xef\xbb\xbf")) {
 		in.Discard(3)
 	}
 	d := jsontext.NewDecoder(in, jsontext.AllowInvalidUTF8(true), jsontext.AllowDuplicateNames(true))
 	version, seen := "", false
-	err := members(d, func(key string) error {
+	err := readMembers(d, func(key string) error {
 		if key != "log" {
 			return d.SkipValue()
 		}
-		return members(d, func(key string) error {
+		return readMembers(d, func(key string) error {
 			switch {
 			case key == "version" && d.PeekKind() == '"':
 				t, err := d.ReadToken()
@@ -196,21 +196,21 @@
 				return err
 			case key == "entries":
 				seen = true
-				return harEntries(d, each)
+				return readHAREntries(d, each)
 			}
 			return d.SkipValue()
 		})
 	})
 	switch {
 	case err != nil:
-		var e emitted
+		var e handlerError
 		if errors.As(err, &e) {
 			return e.error
 		}
 		if errors.Is(err, io.EOF) {
 			err = io.ErrUnexpectedEOF
 		}
-		return fmt.Errorf("HAR, at byte %d: %s", d.InputOffset(), plainJSON(err))
+		return fmt.Errorf("HAR, at byte %d: %s", d.InputOffset(), describeJSONError(err))
 	case !seen:
 		return errors.New("HAR: log.entries: missing")
 	case version != "1.2" && version != "1.1":
@@ -219,8 +219,8 @@
 	return nil
 }
 
-// plainJSON words an error of the JSON reader without any of the text read.
-func plainJSON(err error) string {
+// describeJSONError words an error of the JSON reader without any of the text read.
+func describeJSONError(err error) string {
 	if errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF) {
 		return "the file ends early"
 	}
@@ -231,11 +231,11 @@
 	return "it cannot be read: " + err.Error()
 }
 
-// emitted tells the taker's own errors from the input's.
-type emitted struct{ error }
+// handlerError tells the taker's own errors from the input's.
+type handlerError struct{ error }
 
-// members walks through an object; each takes the value.
-func members(d *jsontext.Decoder, each func(key string) error) error {
+// readMembers walks through an object; each takes the value.
+func readMembers(d *jsontext.Decoder, each func(key string) error) error {
 	t, err := d.ReadToken()
 	if err != nil {
 		return err
@@ -259,12 +259,12 @@
 	return err
 }
 
-func harEntries(d *jsontext.Decoder, each emit) error {
+func readHAREntries(d *jsontext.Decoder, each entryHandler) error {
 	if t, err := d.ReadToken(); err != nil || t.Kind() != '[' {
 		return errors.Join(errors.New("log.entries is no array"), err)
 	}
 	var text []byte
-	for at := (place{line: 1}); d.PeekKind() != ']'; at.line++ {
+	for at := (position{line: 1}); d.PeekKind() != ']'; at.line++ {
 		var why error
 		at.offset = d.InputOffset()
 		if d.PeekKind() != '{' {
@@ -274,16 +274,16 @@
 			why = errors.New("the entry is no object")
 		} else {
 			var err error
-			if text, err = keep(d, text[:0]); err != nil {
+			if text, err = copyHARFields(d, text[:0]); err != nil {
 				return err
 			}
 		}
-		r := &Raw{Duration: -1, Service: -1, Arrival: true}
+		r := &RawEntry{Duration: -1, ServiceTime: -1, StampsArrival: true}
 		if why == nil {
-			if len(text) > maxEntry {
+			if len(text) > maxHAREntryBytes {
 				why = errors.New("the entry is too long")
 			} else {
-				why = harRaw(text, r)
+				why = parseHAREntry(text, r)
 			}
 		}
 		var err error
@@ -293,30 +293,30 @@
 			err = each(at, r, nil)
 		}
 		if err != nil {
-			return emitted{err}
+			return handlerError{err}
 		}
 	}
 	_, err := d.ReadToken()
 	return err
 }
 
-// keep copies the wanted members of an entry; the rest is passed over.
-func keep(d *jsontext.Decoder, out []byte) ([]byte, error) {
+// copyHARFields copies the wanted members of an entry; the rest is passed over.
+func copyHARFields(decoder *jsontext.Decoder, out []byte) ([]byte, error) {
 	out = append(out, '{')
 	comma := func() {
 		if out[len(out)-1] != '{' {
 			out = append(out, ',')
 		}
 	}
-	err := members(d, func(key string) error {
-		if inner := wanted[key]; inner != nil && key != "" && d.PeekKind() == '{' {
+	err := readMembers(decoder, func(key string) error {
+		if inner := harFields[key]; inner != nil && key != "" && decoder.PeekKind() == '{' {
 			comma()
 			out = append(append(append(out, '"'), key...), `":{`...)
-			if err := members(d, func(key string) error {
+			if err := readMembers(decoder, func(key string) error {
 				if !inner[key] {
-					return d.SkipValue()
+					return decoder.SkipValue()
 				}
-				return copyValue(d, &out, key, comma)
+				return copyHARValue(decoder, &out, key, comma)
 			}); err != nil {
 				return err
 			}
@@ -326,32 +326,32 @@
 		if key == "_webSocketMessages" {
 			comma()
 			out = append(out, `"_resourceType":"websocket"`...)
-			return d.SkipValue()
+			return decoder.SkipValue()
 		}
-		if !wanted[""][key] {
-			return d.SkipValue()
+		if !harFields[""][key] {
+			return decoder.SkipValue()
 		}
-		return copyValue(d, &out, key, comma)
+		return copyHARValue(decoder, &out, key, comma)
 	})
 	return append(out, '}'), err
 }
 
-func copyValue(d *jsontext.Decoder, out *[]byte, key string, comma func()) error {
+func copyHARValue(d *jsontext.Decoder, out *[]byte, key string, comma func()) error {
 	v, err := d.ReadValue()
 	if err != nil {
 		return err
 	}
-	if len(*out)+len(v) <= maxEntry {
+	if len(*out)+len(v) <= maxHAREntryBytes {
 		comma()
 		*out = append(append(append(append(append(*out, '"'), key...), '"'), ':'), v...)
-	} else if len(*out) <= maxEntry {
-		*out = append(*out, make([]byte, maxEntry)...) // told as too long
+	} else if len(*out) <= maxHAREntryBytes {
+		*out = append(*out, make([]byte, maxHAREntryBytes)...) // told as too long
 	}
 	return nil
 }
 
-// harRaw reads one entry.
-func harRaw(text []byte, r *Raw) error {
+// parseHAREntry reads one entry.
+func parseHAREntry(text []byte, r *RawEntry) error {
 	var e harEntry
 	if err := json.Unmarshal(text, &e, jsontext.AllowInvalidUTF8(true), jsontext.AllowDuplicateNames(true)); err != nil {
 		var semantic *json.SemanticError
@@ -367,7 +367,7 @@
 	if err != nil || at.Year() < 1970 {
 		return errors.New("startedDateTime: no time")
 	}
-	r.At, r.Step, r.Method, r.Status = at.UnixMicro(), 1000, e.Request.Method, e.Response.Status
+	r.Timestamp, r.Resolution, r.Method, r.Status = at.UnixMicro(), 1000, e.Request.Method, e.Response.Status
 	scheme, _, _ := strings.Cut(e.Request.URL, ":")
 	switch scheme = strings.ToLower(scheme); {
 	case scheme == "data" || scheme == "blob" || scheme == "about" || strings.HasSuffix(scheme, "-extension") || scheme == "file":
@@ -393,10 +393,10 @@
 	if u.RawQuery != "" {
 		r.Target += "?" + u.RawQuery
 	}
-	if !token(r.Method) {
+	if !isMethodToken(r.Method) {
 		return errors.New("request.method: none")
 	}
-	r.Body = max(e.Request.Body, 0)
+	r.BodyBytes = max(e.Request.Body, 0)
 	// What the server and the way there took, without the browser's own queue;
 	// an answer that never came (status 0) tells nothing of it.
 	if r.Status != 0 {
@@ -413,5 +413,5 @@
 			r.Duration = known(e.Time)
 		}
 	}
-	return r.check()
+	return r.normalize()
 }
--- a/internal/rehearsal/recording/rules.go
+++ b/internal/rehearsal/recording/rules.go
@@ -23,7 +23,7 @@
 
 // Rules is the file that says what the entries of a log mean.
 type Rules struct {
-	Class    []Rule   `toml:"class"`
+	Classes    []Rule   `toml:"class"`
 	Redacted Redacted `toml:"redacted"`
 }
 
@@ -33,20 +33,20 @@
 	Method string `toml:"method"`   // empty: any
 	Path   string `toml:"path"`     // regular expression on the path without its query; empty: any
 	Key    string `toml:"key"`      // regular expression on the path, whose first group is the key; empty: the path's last part
-	KeyOf  string `toml:"key_from"` // "path" (default), "client" (the peer's address) or "none"
-	LeftMs int    `toml:"left_ms"`  // how long the client waits, ms
-	Repeat string `toml:"repeat"`   // "retryable", or "fragile" (default): replayed to proven stand-ins alone
+	KeySource  string `toml:"key_from"` // "path" (default), "client" (the peer's address) or "none"
+	TimeoutMs int    `toml:"left_ms"`  // how long the client waits, ms
+	RetryPolicy string `toml:"repeat"`   // "retryable", or "fragile" (default): replayed to proven stand-ins alone
 
 	Slots    float64 `toml:"slots"`         // that a job takes; default 1
-	Factor   float64 `toml:"effort_factor"` // effort is the recorded duration times this; default 1
+	EffortFactor   float64 `toml:"effort_factor"` // effort is the recorded duration times this; default 1
 	EffortMs float64 `toml:"effort_ms"`     // fixed effort, ms; 0: from the duration
 
 	DurationMs     float64 `toml:"duration_ms"`     // mean, where no entry of the class has one, ms; default 100
 	DurationSpread float64 `toml:"duration_spread"` // its coefficient of variation (lognormal); default 0.5
 
-	path, key *regexp.Regexp
-	plain     *plainPath
-	plainKey  *plainPath
+	pathPattern, keyPattern *regexp.Regexp
+	pathMatcher     *segmentPattern
+	keyMatcher  *segmentPattern
 }
 
 // Redacted says what keys are made up for entries whose member is wholly redacted.
@@ -57,8 +57,8 @@
 }
 
 const (
-	mostLeftMs  = 10 * 60 * 1000
-	mostMembers = 10_000_000
+	maxTimeoutMs  = 10 * 60 * 1000
+	maxSyntheticMembers = 10_000_000
 )
 
 // Distribution words the distribution of made-up keys.
@@ -80,55 +80,55 @@
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
 		return r, fmt.Errorf("%s: unknown key", unknown[0])
 	}
-	if len(r.Class) == 0 {
+	if len(r.Classes) == 0 {
 		return r, errors.New("class: missing")
 	}
 	if r.Redacted.Members == 0 {
 		r.Redacted.Members = 1000
 	}
-	if r.Redacted.Members < 1 || r.Redacted.Members > mostMembers {
-		return r, fmt.Errorf("redacted.members: %d is not between 1 and %d", r.Redacted.Members, mostMembers)
+	if r.Redacted.Members < 1 || r.Redacted.Members > maxSyntheticMembers {
+		return r, fmt.Errorf("redacted.members: %d is not between 1 and %d", r.Redacted.Members, maxSyntheticMembers)
 	}
 	if s := r.Redacted.Skew; s != 0 && !(s > 1 && s <= 10) {
 		return r, fmt.Errorf("redacted.skew: %g is neither 0 nor above 1 and up to 10", s)
 	}
 	seen := map[string]string{}
-	for i := range r.Class {
-		if err := r.Class[i].check(fmt.Sprintf("class[%d]", i), seen); err != nil {
+	for i := range r.Classes {
+		if err := r.Classes[i].validate(fmt.Sprintf("class[%d]", i), seen); err != nil {
 			return r, err
 		}
 	}
 	return r, nil
 }
 
-func (c *Rule) check(at string, seen map[string]string) (err error) {
+func (c *Rule) validate(at string, seen map[string]string) (err error) {
 	if c.Name == "" || strings.ContainsAny(c.Name, "/ ?#\r\n\t") {
 		return fmt.Errorf("%s.name: %q is no name of a class", at, c.Name)
 	}
-	if c.LeftMs < 1 || c.LeftMs > mostLeftMs {
-		return fmt.Errorf("%s.left_ms: %d is not between 1 and %d", at, c.LeftMs, mostLeftMs)
+	if c.TimeoutMs < 1 || c.TimeoutMs > maxTimeoutMs {
+		return fmt.Errorf("%s.left_ms: %d is not between 1 and %d", at, c.TimeoutMs, maxTimeoutMs)
 	}
-	if c.Repeat == "" {
-		c.Repeat = "fragile"
+	if c.RetryPolicy == "" {
+		c.RetryPolicy = "fragile"
 	}
-	if c.Repeat != "fragile" && c.Repeat != "retryable" {
-		return fmt.Errorf("%s.repeat: %q is neither fragile nor retryable", at, c.Repeat)
+	if c.RetryPolicy != "fragile" && c.RetryPolicy != "retryable" {
+		return fmt.Errorf("%s.repeat: %q is neither fragile nor retryable", at, c.RetryPolicy)
 	}
-	if was, ok := seen[c.Name]; ok && was != c.Repeat {
+	if was, ok := seen[c.Name]; ok && was != c.RetryPolicy {
 		return fmt.Errorf("%s.repeat: %s was %s before", at, c.Name, was)
 	}
-	seen[c.Name] = c.Repeat
-	switch c.KeyOf {
+	seen[c.Name] = c.RetryPolicy
+	switch c.KeySource {
 	case "", "path", "client", "none":
 	default:
-		return fmt.Errorf("%s.key_from: %q is neither path, client nor none", at, c.KeyOf)
+		return fmt.Errorf("%s.key_from: %q is neither path, client nor none", at, c.KeySource)
 	}
 	for _, x := range []struct {
 		name      string
 		v         *float64
 		def, most float64
 	}{
-		{"slots", &c.Slots, 1, 64}, {"effort_factor", &c.Factor, 1, 1000}, {"effort_ms", &c.EffortMs, 0, 600_000},
+		{"slots", &c.Slots, 1, 64}, {"effort_factor", &c.EffortFactor, 1, 1000}, {"effort_ms", &c.EffortMs, 0, 600_000},
 		{"duration_ms", &c.DurationMs, 100, 600_000}, {"duration_spread", &c.DurationSpread, 0.5, 10},
 	} {
 		if *x.v == 0 {
@@ -138,37 +138,37 @@
 			return fmt.Errorf("%s.%s: %g is not between 0 and %g", at, x.name, *x.v, x.most)
 		}
 	}
-	if c.path, err = regexp.Compile(c.Path); err != nil {
+	if c.pathPattern, err = regexp.Compile(c.Path); err != nil {
 		return fmt.Errorf("%s.path: %w", at, err)
 	}
-	if c.key, err = regexp.Compile(c.Key); err != nil {
+	if c.keyPattern, err = regexp.Compile(c.Key); err != nil {
 		return fmt.Errorf("%s.key: %w", at, err)
 	}
-	if c.Key != "" && c.key.NumSubexp() < 1 {
+	if c.Key != "" && c.keyPattern.NumSubexp() < 1 {
 		return fmt.Errorf("%s.key: no group", at)
 	}
-	c.plain, c.plainKey = simple(c.Path), simple(c.Key)
+	c.pathMatcher, c.keyMatcher = compileSegmentPattern(c.Path), compileSegmentPattern(c.Key)
 	return nil
 }
 
-// plainPath is a regular expression of the form that rules mostly have: text
+// segmentPattern is a regular expression of the form that rules mostly have: text
 // and single path parts in turn. It is matched without the regexp package, which
 // took two thirds of an import's time; everything else goes to that package.
-type plainPath struct {
-	text  []string // text[0] part text[1] part ... text[n]
-	empty []bool   // which parts may be empty
-	group int      // which part is the first group; -1: none
-	whole bool     // it ends with $
+type segmentPattern struct {
+	literals  []string // text[0] part text[1] part ... text[n]
+	mayBeEmpty []bool   // which parts may be empty
+	groupSegment int      // which part is the first group; -1: none
+	anchoredEnd bool     // it ends with $
 }
 
-// simple tells whether an expression has that form; nil: no.
-func simple(expr string) *plainPath {
+// compileSegmentPattern tells whether an expression has that form; nil: no.
+func compileSegmentPattern(expr string) *segmentPattern {
 	rest, ok := strings.CutPrefix(expr, "^")
 	if !ok {
 		return nil
 	}
-	p := &plainPath{group: -1}
-	rest, p.whole = strings.CutSuffix(rest, "$")
+	p := &segmentPattern{groupSegment: -1}
+	rest, p.anchoredEnd = strings.CutSuffix(rest, "$")
 	for {
 		i := strings.Index(rest, "[^/]")
 		if i < 0 || i+len("[^/]+") > len(rest) {
@@ -179,20 +179,20 @@
 			return nil
 		}
 		if b, ok := strings.CutSuffix(before, "("); ok {
-			if p.group >= 0 || !strings.HasPrefix(after, ")") {
+			if p.groupSegment >= 0 || !strings.HasPrefix(after, ")") {
 				return nil
 			}
-			before, after, p.group = b, after[1:], len(p.text)
+			before, after, p.groupSegment = b, after[1:], len(p.literals)
 		}
 		// What follows a part must start at its end, or the match is not the only one.
-		if after != "" && after[0] != '/' || after == "" && !p.whole {
+		if after != "" && after[0] != '/' || after == "" && !p.anchoredEnd {
 			return nil
 		}
-		p.text, p.empty = append(p.text, before), append(p.empty, sign == '*')
+		p.literals, p.mayBeEmpty = append(p.literals, before), append(p.mayBeEmpty, sign == '*')
 		rest = after
 	}
-	p.text = append(p.text, rest)
-	for _, t := range p.text {
+	p.literals = append(p.literals, rest)
+	for _, t := range p.literals {
 		if regexp.QuoteMeta(t) != t {
 			return nil
 		}
@@ -201,55 +201,55 @@
 }
 
 // match matches a path; group is the first group's text.
-func (p *plainPath) match(path string) (group string, ok bool) {
-	for i, t := range p.text {
+func (p *segmentPattern) match(path string) (group string, ok bool) {
+	for i, t := range p.literals {
 		if !strings.HasPrefix(path, t) {
 			return "", false
 		}
 		path = path[len(t):]
-		if i == len(p.text)-1 {
+		if i == len(p.literals)-1 {
 			break
 		}
 		n := strings.IndexByte(path, '/')
 		if n < 0 {
 			n = len(path)
 		}
-		if n == 0 && !p.empty[i] {
+		if n == 0 && !p.mayBeEmpty[i] {
 			return "", false
 		}
-		if i == p.group {
+		if i == p.groupSegment {
 			group = path[:n]
 		}
 		path = path[n:]
 	}
-	return group, !p.whole || path == ""
+	return group, !p.anchoredEnd || path == ""
 }
 
 // Find finds the first rule that fits and the token of its key, which is empty
 // where the log tells none; -1: no rule fits. path is without its query.
 func (r *Rules) Find(method, path, client string) (rule int, token string) {
-	for i := range r.Class {
-		c := &r.Class[i]
+	for i := range r.Classes {
+		c := &r.Classes[i]
 		if c.Method != "" && c.Method != method {
 			continue
 		}
-		if c.plain != nil {
-			if _, ok := c.plain.match(path); !ok {
+		if c.pathMatcher != nil {
+			if _, ok := c.pathMatcher.match(path); !ok {
 				continue
 			}
-		} else if !c.path.MatchString(path) {
+		} else if !c.pathPattern.MatchString(path) {
 			continue
 		}
 		switch {
-		case c.KeyOf == "none":
-		case c.KeyOf == "client":
+		case c.KeySource == "none":
+		case c.KeySource == "client":
 			token = client
 		case c.Key == "":
 			token = path[strings.LastIndexByte(path, '/')+1:]
-		case c.plainKey != nil:
-			token, _ = c.plainKey.match(path)
+		case c.keyMatcher != nil:
+			token, _ = c.keyMatcher.match(path)
 		default:
-			if m := c.key.FindStringSubmatch(path); m != nil {
+			if m := c.keyPattern.FindStringSubmatch(path); m != nil {
 				token = m[1]
 			}
 		}
@@ -258,12 +258,12 @@
 	return -1, ""
 }
 
-// left is how long a client of the rule waits.
-func (c *Rule) left() time.Duration { return time.Duration(c.LeftMs) * time.Millisecond }
+// timeout is how long a client of the rule waits.
+func (c *Rule) timeout() time.Duration { return time.Duration(c.TimeoutMs) * time.Millisecond }
 
-// redacted tells whether nothing of a member is left in a token: it is empty, a
+// isRedacted tells whether nothing of a member is left in a token: it is empty, a
 // dash, or made of signs that stand for something taken out.
-func (r *Redacted) redacted(token string) bool {
+func (r *Redacted) isRedacted(token string) bool {
 	switch strings.ToLower(token) {
 	case "", "-", "redacted", "[redacted]", "%5bredacted%5d", "<redacted>", "hidden", "masked", "removed", "none", "null":
 		return true
--- a/internal/rehearsal/recording/spool.go
+++ b/internal/rehearsal/recording/spool.go
@@ -21,42 +21,42 @@
 }
 
 const (
-	sorted   = 1 << 12 // entries that are held to be put in order
-	mostRuns = 64      // that are merged at once
-	runBytes = 32 << 10
+	maxSorterEntries   = 1 << 12 // entries that are held to be put in order
+	maxMergedRuns = 64      // that are merged at once
+	runBufferBytes = 32 << 10
 )
 
 // sorter writes the entries of one source as runs: of those it holds, always
 // the earliest, so that an input nearly in order is one run.
 type sorter struct {
 	spool  Spool
-	number *int // of the next run on the spool
+	nextRun *int // of the next run on the spool
 	runs   []int
-	heap   byTime // this run's
-	later  byTime // the next run's: earlier than what has been written
-	store  []pending
-	free   []int32
-	out    *bufio.Writer
+	current   entryHeap // this run's
+	following  entryHeap // the next run's: earlier than what has been written
+	entries  []pendingEntry
+	freeSlots   []int32
+	output    *bufio.Writer
 	file   io.Closer
-	last   int64
-	buf    []byte
+	lastTimestamp   int64
+	buffer    []byte
 	err    error
 }
 
-// byTime orders the held entries, which lie still in a store of their own.
-type byTime []held
+// entryHeap orders the held entries, which lie still in a store of their own.
+type entryHeap []heapItem
 
-type held struct {
-	at   int64
-	seq  uint64
+type heapItem struct {
+	timestamp   int64
+	sequence  uint64
 	slot int32
 }
 
-func (a held) before(b held) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }
+func (a heapItem) before(b heapItem) bool { return a.timestamp < b.timestamp || a.timestamp == b.timestamp && a.sequence < b.sequence }
 
-// put and take are those of container/heap, without its interface: an entry
+// push and take are those of container/heap, without its interface: an entry
 // takes a tenth less of an import's time.
-func (h *byTime) put(x held) {
+func (h *entryHeap) push(x heapItem) {
 	*h = append(*h, x)
 	s := *h
 	i := len(s) - 1
@@ -67,7 +67,7 @@
 	s[i] = x
 }
 
-func (h *byTime) take() held {
+func (h *entryHeap) pop() heapItem {
 	s := *h
 	first, x := s[0], s[len(s)-1]
 	s = s[:len(s)-1]
@@ -90,116 +90,116 @@
 	return first
 }
 
-func (s *sorter) add(p pending) {
+func (s *sorter) add(p pendingEntry) {
 	if s.err != nil {
 		return
 	}
-	if len(s.heap)+len(s.later) >= sorted {
-		s.step()
+	if len(s.current)+len(s.following) >= maxSorterEntries {
+		s.writeEarliest()
 	}
-	x := held{p.at, p.seq, int32(len(s.store))}
-	if n := len(s.free); n > 0 {
-		x.slot, s.free = s.free[n-1], s.free[:n-1]
-		s.store[x.slot] = p
+	item := heapItem{p.timestamp, p.sequence, int32(len(s.entries))}
+	if n := len(s.freeSlots); n > 0 {
+		item.slot, s.freeSlots = s.freeSlots[n-1], s.freeSlots[:n-1]
+		s.entries[item.slot] = p
 	} else {
-		s.store = append(s.store, p)
+		s.entries = append(s.entries, p)
 	}
-	if s.out != nil && p.at < s.last {
-		s.later.put(x)
+	if s.output != nil && p.timestamp < s.lastTimestamp {
+		s.following.push(item)
 		return
 	}
-	s.heap.put(x)
+	s.current.push(item)
 }
 
-// step writes the earliest entry that this run can still take.
-func (s *sorter) step() {
-	if len(s.heap) == 0 {
-		s.end()
-		s.heap, s.later = s.later, s.heap[:0]
+// writeEarliest writes the earliest entry that this run can still take.
+func (s *sorter) writeEarliest() {
+	if len(s.current) == 0 {
+		s.endRun()
+		s.current, s.following = s.following, s.current[:0]
 	}
-	if s.out == nil {
-		w, err := s.spool.Create()
+	if s.output == nil {
+		file, err := s.spool.Create()
 		if err != nil {
 			s.err = err
 			return
 		}
-		s.runs, s.file = append(s.runs, *s.number), w
-		*s.number++
-		s.out, s.last = bufio.NewWriterSize(w, runBytes), 0
+		s.runs, s.file = append(s.runs, *s.nextRun), file
+		*s.nextRun++
+		s.output, s.lastTimestamp = bufio.NewWriterSize(file, runBufferBytes), 0
 	}
-	x := s.heap.take()
-	s.buf = encode(s.buf[:0], &s.store[x.slot], s.last)
-	s.free = append(s.free, x.slot)
-	s.last = x.at
-	if _, err := s.out.Write(s.buf); err != nil {
+	item := s.current.pop()
+	s.buffer = appendEncoded(s.buffer[:0], &s.entries[item.slot], s.lastTimestamp)
+	s.freeSlots = append(s.freeSlots, item.slot)
+	s.lastTimestamp = item.timestamp
+	if _, err := s.output.Write(s.buffer); err != nil {
 		s.err = err
 	}
 }
 
-func (s *sorter) end() {
-	if s.out == nil {
+func (s *sorter) endRun() {
+	if s.output == nil {
 		return
 	}
-	err := errors.Join(s.out.Flush(), s.file.Close())
-	if s.out, s.file = nil, nil; s.err == nil {
+	err := errors.Join(s.output.Flush(), s.file.Close())
+	if s.output, s.file = nil, nil; s.err == nil {
 		s.err = err
 	}
 }
 
 func (s *sorter) close() error {
-	for s.err == nil && len(s.heap)+len(s.later) > 0 {
-		s.step()
+	for s.err == nil && len(s.current)+len(s.following) > 0 {
+		s.writeEarliest()
 	}
-	s.end()
-	s.heap, s.later, s.store, s.free = nil, nil, nil, nil
+	s.endRun()
+	s.current, s.following, s.entries, s.freeSlots = nil, nil, nil, nil
 	return s.err
 }
 
-func encode(b []byte, p *pending, last int64) []byte {
-	b = binary.AppendUvarint(b, uint64(p.at-last))
-	b = binary.AppendUvarint(b, p.seq)
+func appendEncoded(b []byte, p *pendingEntry, last int64) []byte {
+	b = binary.AppendUvarint(b, uint64(p.timestamp-last))
+	b = binary.AppendUvarint(b, p.sequence)
 	b = binary.LittleEndian.AppendUint64(b, p.key)
-	b = binary.LittleEndian.AppendUint64(b, p.sig)
+	b = binary.LittleEndian.AppendUint64(b, p.signature)
 	b = binary.AppendUvarint(b, uint64(p.duration+1))
-	b = binary.AppendUvarint(b, uint64(p.service+1))
+	b = binary.AppendUvarint(b, uint64(p.serviceTime+1))
 	b = binary.AppendUvarint(b, uint64(p.class))
 	b = binary.AppendUvarint(b, uint64(p.status))
-	b = binary.AppendUvarint(b, uint64(p.body))
+	b = binary.AppendUvarint(b, uint64(p.bodyBytes))
 	flags := uint64(p.repairs) << 2
 	if p.noKey {
 		flags |= 1
 	}
-	if p.step >= 1_000_000 {
+	if p.resolution >= 1_000_000 {
 		flags |= 2
 	}
 	return binary.AppendUvarint(b, flags)
 }
 
-// run reads a run back.
-type run struct {
-	in     *bufio.Reader
+// runReader reads a runReader back.
+type runReader struct {
+	input     *bufio.Reader
 	file   io.Closer
-	now    pending
-	last   int64
+	entry    pendingEntry
+	lastTimestamp   int64
 	source int
-	shift  int64
+	offset  int64
 }
 
-func openRun(s Spool, number, source int, shift int64) (*run, error) {
-	f, err := s.Open(number)
+func openRun(s Spool, number, source int, shift int64) (*runReader, error) {
+	file, err := s.Open(number)
 	if err != nil {
 		return nil, err
 	}
-	return &run{in: bufio.NewReaderSize(f, runBytes), file: f, source: source, shift: shift}, nil
+	return &runReader{input: bufio.NewReaderSize(file, runBufferBytes), file: file, source: source, offset: shift}, nil
 }
 
-const mostBytes = 9*binary.MaxVarintLen64 + 16 // of one entry
+const maxEncodedBytes = 9*binary.MaxVarintLen64 + 16 // of one entry
 
-var errSpool = fmt.Errorf("the spool is cut off: %w", io.ErrUnexpectedEOF)
+var errSpoolTruncated = fmt.Errorf("the spool is cut off: %w", io.ErrUnexpectedEOF)
 
-// next reads on; io.EOF after the last.
-func (r *run) next() error {
-	b, err := r.in.Peek(mostBytes)
+// readNext reads on; io.EOF after the last.
+func (r *runReader) readNext() error {
+	b, err := r.input.Peek(maxEncodedBytes)
 	if len(b) == 0 {
 		return err
 	}
@@ -207,65 +207,65 @@
 	num := func() (x uint64) {
 		x, n := binary.Uvarint(b)
 		if b = b[max(n, 0):]; n <= 0 {
-			err = errSpool
+			err = errSpoolTruncated
 		}
 		return x
 	}
 	err = nil
-	p := &r.now
-	r.last += int64(num())
-	p.at, p.seq = r.last+r.shift, num()
+	p := &r.entry
+	r.lastTimestamp += int64(num())
+	p.timestamp, p.sequence = r.lastTimestamp+r.offset, num()
 	if len(b) < 16 {
-		return errSpool
+		return errSpoolTruncated
 	}
-	p.key, p.sig = binary.LittleEndian.Uint64(b), binary.LittleEndian.Uint64(b[8:])
+	p.key, p.signature = binary.LittleEndian.Uint64(b), binary.LittleEndian.Uint64(b[8:])
 	b = b[16:]
-	p.duration, p.service = int64(num())-1, int64(num())-1
-	p.class, p.status, p.body = int32(num()), int32(num()), int32(num())
+	p.duration, p.serviceTime = int64(num())-1, int64(num())-1
+	p.class, p.status, p.bodyBytes = int32(num()), int32(num()), int32(num())
 	flags := num()
-	p.repairs, p.noKey, p.step = Repair(flags>>2), flags&1 != 0, 1000
+	p.repairs, p.noKey, p.resolution = Repair(flags>>2), flags&1 != 0, 1000
 	if flags&2 != 0 {
-		p.step = 1_000_000
+		p.resolution = 1_000_000
 	}
 	if err == nil {
-		_, err = r.in.Discard(size - len(b))
+		_, err = r.input.Discard(size - len(b))
 	}
 	return err
 }
 
-// merged are runs in one order: by time, then source, then place in the source.
-type merged []*run
+// runHeap are runs in one order: by time, then source, then place in the source.
+type runHeap []*runReader
 
-func (m merged) Len() int { return len(m) }
-func (m merged) Less(i, j int) bool {
+func (m runHeap) Len() int { return len(m) }
+func (m runHeap) Less(i, j int) bool {
 	a, b := m[i], m[j]
 	switch {
-	case a.now.at != b.now.at:
-		return a.now.at < b.now.at
+	case a.entry.timestamp != b.entry.timestamp:
+		return a.entry.timestamp < b.entry.timestamp
 	case a.source != b.source:
 		return a.source < b.source
 	}
-	return a.now.seq < b.now.seq
+	return a.entry.sequence < b.entry.sequence
 }
-func (m merged) Swap(i, j int) { m[i], m[j] = m[j], m[i] }
-func (m *merged) Push(x any)   { *m = append(*m, x.(*run)) }
-func (m *merged) Pop() any {
+func (m runHeap) Swap(i, j int) { m[i], m[j] = m[j], m[i] }
+func (m *runHeap) Push(x any)   { *m = append(*m, x.(*runReader)) }
+func (m *runHeap) Pop() any {
 	old := *m
 	r := old[len(old)-1]
 	*m = old[:len(old)-1]
 	return r
 }
 
-// merge calls each with the entries of all runs in order, and closes them.
-func merge(runs []*run, each func(r *run) error) (err error) {
-	var m merged
+// mergeRuns calls each with the entries of all runs in order, and closes them.
+func mergeRuns(runs []*runReader, each func(r *runReader) error) (err error) {
+	var m runHeap
 	defer func() {
 		for _, r := range m {
 			r.file.Close()
 		}
 	}()
 	for i, r := range runs {
-		if err := r.next(); err != nil {
+		if err := r.readNext(); err != nil {
 			if r.file.Close(); !errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 				m = append(m, runs[i+1:]...)
 				return err
@@ -280,7 +280,7 @@
 		if err := each(r); err != nil {
 			return err
 		}
-		switch err := r.next(); {
+		switch err := r.readNext(); {
 		case err == nil:
 			heap.Fix(&m, 0)
 		case errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF):
@@ -293,11 +293,11 @@
 	return nil
 }
 
-// fewer merges runs of one source until there are few enough to merge at once.
-func fewer(s Spool, number *int, runs []int, most int) ([]int, error) {
+// compactRuns merges runs of one source until there are few enough to merge at once.
+func compactRuns(s Spool, number *int, runs []int, most int) ([]int, error) {
 	for len(runs) > most {
-		part := runs[:min(mostRuns, len(runs))]
-		var open []*run
+		part := runs[:min(maxMergedRuns, len(runs))]
+		var open []*runReader
 		for _, n := range part {
 			r, err := openRun(s, n, 0, 0)
 			if err != nil {
@@ -309,12 +309,12 @@
 		if err != nil {
 			return nil, err
 		}
-		out := bufio.NewWriterSize(w, runBytes)
+		out := bufio.NewWriterSize(w, runBufferBytes)
 		var buf []byte
 		last := int64(0)
-		err = merge(open, func(r *run) error {
-			buf = encode(buf[:0], &r.now, last)
-			last = r.now.at
+		err = mergeRuns(open, func(r *runReader) error {
+			buf = appendEncoded(buf[:0], &r.entry, last)
+			last = r.entry.timestamp
 			_, err := out.Write(buf)
 			return err
 		})
--- a/internal/rehearsal/replay/link.go
+++ b/internal/rehearsal/replay/link.go
@@ -41,24 +41,24 @@
 
 // fire writes an entry. Its answer is read by the connection's reader.
 func (l *link) fire(s *shot) {
-	body := filler[:min(s.Body, mostBody)]
+	body := filler[:min(s.BodyBytes, mostBody)]
 	out := l.out[:0]
 	if l.r.Faktory {
 		text, _ := json.Marshal(map[string]any{ // strings and numbers always marshal
 			"jid": s.id, "queue": s.class, "jobtype": s.class, "args": []string{string(body)},
-			"custom": map[string]any{"key": strings.TrimPrefix(s.path, "/"+s.class+"/"), "time_left_ms": s.Left.Milliseconds(),
+			"custom": map[string]any{"key": strings.TrimPrefix(s.path, "/"+s.class+"/"), "time_left_ms": s.Timeout.Milliseconds(),
 				"effort_us": s.Effort.Microseconds(), "slots": s.Slots}})
 		out = append(append(append(out, "PUSH "...), text...), "\r\n"...)
 	} else {
 		out = fmt.Appendf(out, "POST %s HTTP/1.1\r\nHost: %s\r\nX-Correlation-Id: %s\r\nX-Time-Left-Ms: %d\r\n"+
-			"X-Weight-Hint: %d\r\nContent-Length: %d\r\n", s.path, l.r.To, s.id, s.Left.Milliseconds(), s.Effort.Microseconds(), len(body))
+			"X-Weight-Hint: %d\r\nContent-Length: %d\r\n", s.path, l.r.To, s.id, s.Timeout.Milliseconds(), s.Effort.Microseconds(), len(body))
 		if s.Slots != 1 {
 			out = append(strconv.AppendFloat(append(out, "X-Facts: slots="...), s.Slots, 'g', -1, 64), "\r\n"...)
 		}
 		out = append(append(out, "\r\n"...), body...)
 	}
 	l.out = out
-	l.conn.SetReadDeadline(time.Now().Add(s.Left + slack))
+	l.conn.SetReadDeadline(time.Now().Add(s.Timeout + slack))
 	if !s.again {
 		s.sent = time.Since(l.r.start)
 	}
--- a/internal/rehearsal/replay/replay.go
+++ b/internal/rehearsal/replay/replay.go
@@ -202,9 +202,9 @@
 	go func() { // unpacking is not to delay a send
 		defer close(shots)
 		n := 0
-		readErr = r.Each(func(e *recording.Entry) error {
+		readErr = r.ForEach(func(e *recording.Entry) error {
 			class := r.Header.Classes[e.Class]
-			s := &shot{Entry: *e, class: class.Name, tally: p.result.Classes[class.Name], due: time.Duration(float64(e.At) / o.Speed)}
+			s := &shot{Entry: *e, class: class.Name, tally: p.result.Classes[class.Name], due: time.Duration(float64(e.Arrival) / o.Speed)}
 			s.id = ID(o.Seed, n)
 			if s.path = "/" + class.Name; e.Key != 0 {
 				s.path += "/" + e.KeyText()
--- a/internal/rehearsal/replay/replay_test.go
+++ b/internal/rehearsal/replay/replay_test.go
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	for i := range n {
-		if err := w.Add(&recording.Entry{At: time.Duration(i) * apart, Class: i % 2, Key: uint64(i + 1), Left: time.Second, Slots: 1, Body: i % 3}); err != nil {
+		if err := w.Add(&recording.Entry{Arrival: time.Duration(i) * apart, Class: i % 2, Key: uint64(i + 1), Timeout: time.Second, Slots: 1, BodyBytes: i % 3}); err != nil {
 			t.Fatal(err)
 		}
 	}
