--- /dev/null
+++ b/internal/rehearsal/recording/clockoffset.go
@@ -0,0 +1,111 @@
+package recording
+
+import "slices"
+
+// signatureSample remembers when a source logged the requests with certain signatures. Every
+// source's sample prefers the lowest signatures, so that the samples of two sources overlap
+// however many requests each has.
+type signatureSample struct {
+	seen         map[uint64]sighting
+	maxSignature uint64 // higher ones are not remembered
+}
+
+// sighting is the last entry with a signature.
+type sighting struct {
+	timestamp int64
+	count     int32 // entries with the signature
+}
+
+// maxSightings bounds the size of a sample.
+const maxSightings = 1 << 15
+
+func newSignatureSample() *signatureSample {
+	return &signatureSample{seen: map[uint64]sighting{}, maxSignature: ^uint64(0)}
+}
+
+func (s *signatureSample) add(signature uint64, timestamp int64) {
+	if signature > s.maxSignature {
+		return
+	}
+	previous := s.seen[signature]
+	s.seen[signature] = sighting{timestamp, previous.count + 1}
+	for len(s.seen) > maxSightings {
+		s.maxSignature /= 2
+		for remembered := range s.seen {
+			if remembered > s.maxSignature {
+				delete(s.seen, remembered)
+			}
+		}
+	}
+}
+
+// ClockOffset is how far the clock of a source is behind that of the first source.
+type ClockOffset struct {
+	Microseconds int64 // to be added to the source's timestamps
+	Estimated    bool
+	Pairs        int   // requests that both sources logged
+	Spread       int64 // half of the interquartile range of the pairs' differences, µs
+}
+
+const (
+	minOffsetPairs = 5
+	// offsetPairWindow is how far apart, in microseconds, two differences may be that agree: two
+	// timestamps of whole seconds may each be off by one.
+	offsetPairWindow = 2 * second
+)
+
+// estimateOffset estimates the offset of a source against a reference from the requests that
+// each logged once. ok is false if too few of them agree.
+func estimateOffset(reference, other *signatureSample) (offset ClockOffset, ok bool) {
+	differences := timestampDifferences(reference, other)
+	agreeing := largestCluster(differences, offsetPairWindow)
+	if len(agreeing) < minOffsetPairs || mayAgreeByChance(differences, len(agreeing)) {
+		return ClockOffset{}, false
+	}
+	pairs := len(agreeing)
+	return ClockOffset{
+		Microseconds: agreeing[pairs/2],
+		Estimated:    true,
+		Pairs:        pairs,
+		Spread:       (agreeing[pairs*3/4] - agreeing[pairs/4] + 1) / 2,
+	}, true
+}
+
+// timestampDifferences returns, sorted, the differences of the requests that each source logged once.
+func timestampDifferences(reference, other *signatureSample) []int64 {
+	var differences []int64
+	for signature, a := range reference.seen {
+		b, found := other.seen[signature]
+		if found && a.count == 1 && b.count == 1 {
+			differences = append(differences, a.timestamp-b.timestamp)
+		}
+	}
+	slices.Sort(differences)
+	return differences
+}
+
+// largestCluster returns the longest part of the sorted values that fits in a window.
+func largestCluster(sorted []int64, window int64) []int64 {
+	var largest []int64
+	start := 0
+	for end := range sorted {
+		for sorted[end]-sorted[start] > window {
+			start++
+		}
+		if end-start+1 > len(largest) {
+			largest = sorted[start : end+1]
+		}
+	}
+	return largest
+}
+
+// mayAgreeByChance reports whether pairs of different requests, whose differences are uniformly
+// distributed, might give a cluster of the given size too.
+func mayAgreeByChance(differences []int64, cluster int) bool {
+	width := differences[len(differences)-1] - differences[0]
+	if width <= offsetPairWindow {
+		return false
+	}
+	expected := float64(len(differences)) * float64(offsetPairWindow) / float64(width)
+	return float64(cluster) < 4*expected+2 && cluster*2 < len(differences)
+}
--- a/internal/rehearsal/recording/golden_rules_test.go
+++ b/internal/rehearsal/recording/golden_keys_test.go
@@ -11,7 +11,7 @@
 	"hollyyoke.example/hollyyoke/internal/goldentest"
 )
 
-// Keys of the rules, their defaults, and complaints.
+// The keys of the rules, their defaults and the errors.
 func TestGoldenRules(t *testing.T) {
 	lines := goldentest.Keys(reflect.TypeFor[Rules](), "toml")
 	committed, err := os.ReadFile(filepath.Join("..", "..", "..", "deploy", "rehearsal.toml"))
@@ -44,7 +44,7 @@
 	goldentest.Compare(t, "rules.golden", goldentest.Lines(lines))
 }
 
-// Keys of HAR entries.
+// The keys of HAR entries.
 func TestGoldenHAR(t *testing.T) {
 	goldentest.Compare(t, "har.golden", goldentest.Lines(goldentest.Keys(reflect.TypeFor[harEntry](), "json")))
 }
--- a/internal/rehearsal/recording/golden_test.go
+++ b/internal/rehearsal/recording/golden_test.go
@@ -15,11 +15,10 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/recording/recordingpb"
 )
 
-// These tests hold the form of recordings: files of earlier builds must be read to
-// the same content, and the same import must give the same bytes. UPDATE_GOLDEN=1
-// writes the golden files anew.
+// These tests fix the format of recordings: files of earlier builds must be read to the same
+// content, and the same import must give the same bytes. UPDATE_GOLDEN=1 rewrites the golden files.
 
-// checkGolden compares with a golden file.
+// checkGolden compares got with a golden file.
 func checkGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -52,8 +51,8 @@
 	return r
 }
 
-// goldenImport imports the two short logs of the test data, of which the second
-// saw some of the first one's requests, and returns the lines of rejects too.
+// goldenImport imports the two short logs of the test data, which have some requests in common,
+// and returns the rejects as JSON lines too.
 func goldenImport(t *testing.T, secret string) (file []byte, report *Report, rejects []byte) {
 	t.Helper()
 	rules := readGolden(t, "rules.toml")
@@ -81,7 +80,7 @@
 	return out.Bytes(), report, lines.Bytes()
 }
 
-// describeCounts words counts under names of this test's own.
+// describeCounts formats counts independently of the field names.
 func describeCounts(c *recordingpb.Counts) string {
 	return fmt.Sprintf("read %d, accepted %d, malformed %d, unmapped %d, ignored %d, repaired %d",
 		c.GetRead(), c.GetAccepted(), c.GetMalformed(), c.GetUnmapped(), c.GetIgnored(), c.GetRepaired())
@@ -103,7 +102,7 @@
 	}
 }
 
-// describeRecording words all content of a recording.
+// describeRecording formats all content of a recording.
 func describeRecording(t *testing.T, r *Reader) []byte {
 	t.Helper()
 	var out bytes.Buffer
@@ -118,8 +117,8 @@
 	return out.Bytes()
 }
 
-// The same logs, rules and seed give the same bytes as ever, the same report and
-// the same lines of rejects; with a given secret the pseudonyms too.
+// The same logs, rules and seed give the same recording, report and rejects; with a given secret
+// also the same pseudonyms.
 func TestGoldenImport(t *testing.T) {
 	file, report, rejects := goldenImport(t, "")
 	checkGolden(t, "recording-version-1.rec", file)
@@ -133,12 +132,12 @@
 	checkGolden(t, "recording-version-1-secret.rec", file)
 }
 
-// A recording of an earlier build is read to the content that it has.
+// A recording of an earlier build is read to the same content.
 func TestGoldenRead(t *testing.T) {
 	checkGolden(t, "recording.txt", describeRecording(t, openGolden(t, "recording-version-1.rec")))
 }
 
-// What is made of a recording is the same as ever: a slice, a scaled one, a merged one.
+// Slices, scaled and merged recordings have the same content.
 func TestGoldenDerived(t *testing.T) {
 	const name = "recording-version-1.rec"
 	for golden, derive := range map[string]func(out io.Writer) error{
@@ -163,8 +162,8 @@
 	}
 }
 
-// Of more durations than are kept of a class a sample is, by the seed, and what is
-// drawn from it for entries without one is the same as ever.
+// The sample of a class with more durations than are kept, and what is drawn from it, depend on
+// the seed alone.
 func TestGoldenSample(t *testing.T) {
 	const recorded, missing = 9000, 8
 	var log bytes.Buffer
--- a/internal/rehearsal/recording/rules.go
+++ b/internal/rehearsal/recording/rules.go
@@ -1,9 +1,3 @@
-// Package recording turns raw access logs and HAR files into canonical
-// recordings: one versioned file of arrivals, classes, keys and cost hints in
-// which no member can be recognised. It owns the readers, the clocks of the
-// sources, what is missing, and the file's form. It does no I/O beyond the
-// readers and writers that it is handed, starts no goroutine of its own, and
-// must never keep a member's number, a token, a cookie, a query or a body.
 package recording
 
 import (
@@ -17,51 +11,71 @@
 	"github.com/BurntSushi/toml"
 )
 
-// This file owns the rules: which class an entry belongs to, what its key is,
-// and what stands in for what the log does not tell. It must never let an entry
-// through whose class no rule names, nor call a class retryable unasked.
-
-// Rules is the file that says what the entries of a log mean.
+// Rules say which class the entries of a log belong to, what their keys are, and what replaces
+// information that the log does not contain. ReadRules makes them. An entry that no rule matches
+// is not replayed.
 type Rules struct {
-	Classes    []Rule   `toml:"class"`
+	Classes  []Rule   `toml:"class"`
 	Redacted Redacted `toml:"redacted"`
 }
 
-// Rule maps entries to a class. The first that fits is taken.
+// KeySource says where the key of an entry is taken from.
+type KeySource string
+
+// The sources of keys.
+const (
+	KeyFromPath   KeySource = "path" // also if the rule names none
+	KeyFromClient KeySource = "client"
+	KeyFromNone   KeySource = "none"
+)
+
+// RetryPolicy says whether the requests of a class may be retried.
+type RetryPolicy string
+
+// The retry policies.
+const (
+	Retryable RetryPolicy = "retryable"
+	Fragile   RetryPolicy = "fragile" // replayed against verified stand-ins only
+)
+
+// Rule maps entries to a class. The first rule that matches an entry applies.
 type Rule struct {
-	Name   string `toml:"name"`     // the class
-	Method string `toml:"method"`   // empty: any
-	Path   string `toml:"path"`     // regular expression on the path without its query; empty: any
-	Key    string `toml:"key"`      // regular expression on the path, whose first group is the key; empty: the path's last part
-	KeySource  string `toml:"key_from"` // "path" (default), "client" (the peer's address) or "none"
-	TimeoutMs int    `toml:"left_ms"`  // how long the client waits, ms
-	RetryPolicy string `toml:"repeat"`   // "retryable", or "fragile" (default): replayed to proven stand-ins alone
+	Name        string      `toml:"name"`     // of the class
+	Method      string      `toml:"method"`   // empty: any
+	Path        string      `toml:"path"`     // regular expression for the path without its query; empty: any
+	Key         string      `toml:"key"`      // regular expression for the path, whose first group is the key; empty: the last segment
+	KeySource   KeySource   `toml:"key_from"` // default KeyFromPath; KeyFromClient: the address of the peer
+	TimeoutMs   int         `toml:"left_ms"`  // how long the client waits, ms
+	RetryPolicy RetryPolicy `toml:"repeat"`   // default Fragile
 
-	Slots    float64 `toml:"slots"`         // that a job takes; default 1
-	EffortFactor   float64 `toml:"effort_factor"` // effort is the recorded duration times this; default 1
-	EffortMs float64 `toml:"effort_ms"`     // fixed effort, ms; 0: from the duration
+	Slots        float64 `toml:"slots"`         // that a job occupies; default 1
+	EffortFactor float64 `toml:"effort_factor"` // effort in units of the recorded duration; default 1
+	EffortMs     float64 `toml:"effort_ms"`     // fixed effort, ms; 0: from the duration
 
-	DurationMs     float64 `toml:"duration_ms"`     // mean, where no entry of the class has one, ms; default 100
+	DurationMs     float64 `toml:"duration_ms"`     // mean, if no entry of the class has a duration, ms; default 100
 	DurationSpread float64 `toml:"duration_spread"` // its coefficient of variation (lognormal); default 0.5
 
-	pathPattern, keyPattern *regexp.Regexp
-	pathMatcher     *segmentPattern
-	keyMatcher  *segmentPattern
+	pathPattern *regexp.Regexp
+	keyPattern  *regexp.Regexp
+	pathMatcher *segmentPattern // replaces pathPattern if it is simple enough
+	keyMatcher  *segmentPattern // replaces keyPattern if it is simple enough
 }
 
-// Redacted says what keys are made up for entries whose member is wholly redacted.
+// Redacted says which keys are generated for entries whose member is redacted.
 type Redacted struct {
-	Members int      `toml:"members"` // how many are made up; default 1000
-	Skew    float64  `toml:"skew"`    // 0: each as likely; above 1: Zipf's exponent
-	Tokens  []string `toml:"tokens"`  // taken as wholly redacted, beside the built-in ones
+	Members int      `toml:"members"` // number of synthetic members; default 1000
+	Skew    float64  `toml:"skew"`    // 0: uniform; above 1: exponent of a Zipf distribution
+	Tokens  []string `toml:"tokens"`  // that mean redacted, in addition to the built-in ones
 }
 
 const (
-	maxTimeoutMs  = 10 * 60 * 1000
+	maxTimeoutMs        = 10 * 60 * 1000
 	maxSyntheticMembers = 10_000_000
+	defaultMembers      = 1000
+	maxSkew             = 10
 )
 
-// Distribution words the distribution of made-up keys.
+// Distribution describes the distribution of synthetic keys.
 func (r *Redacted) Distribution() string {
 	if r.Skew > 1 {
 		return fmt.Sprintf("Zipf with exponent %g over %d members", r.Skew, r.Members)
@@ -69,39 +83,48 @@
 	return fmt.Sprintf("uniform over %d members", r.Members)
 }
 
-// ReadRules reads and checks a file of rules, given as its text. An error is
-// one line that names the key.
-func ReadRules(text []byte) (r Rules, err error) {
-	meta, err := toml.Decode(string(text), &r)
+// ReadRules parses and validates a TOML file of rules. The error is one line that names the key.
+func ReadRules(text []byte) (rules Rules, err error) {
+	meta, err := toml.Decode(string(text), &rules)
 	if err != nil {
 		line, _, _ := strings.Cut(err.Error(), "\n")
-		return r, errors.New(line)
+		return rules, errors.New(line)
 	}
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
-		return r, fmt.Errorf("%s: unknown key", unknown[0])
+		return rules, fmt.Errorf("%s: unknown key", unknown[0])
 	}
-	if len(r.Classes) == 0 {
-		return r, errors.New("class: missing")
+	if len(rules.Classes) == 0 {
+		return rules, errors.New("class: missing")
 	}
-	if r.Redacted.Members == 0 {
-		r.Redacted.Members = 1000
+	if err := rules.Redacted.validate(); err != nil {
+		return rules, err
 	}
-	if r.Redacted.Members < 1 || r.Redacted.Members > maxSyntheticMembers {
-		return r, fmt.Errorf("redacted.members: %d is not between 1 and %d", r.Redacted.Members, maxSyntheticMembers)
+	policies := map[string]RetryPolicy{}
+	for i := range rules.Classes {
+		if err := rules.Classes[i].validate(fmt.Sprintf("class[%d]", i), policies); err != nil {
+			return rules, err
+		}
+	}
+	return rules, nil
+}
+
+// validate sets defaults and checks the values.
+func (r *Redacted) validate() error {
+	if r.Members == 0 {
+		r.Members = defaultMembers
 	}
-	if s := r.Redacted.Skew; s != 0 && !(s > 1 && s <= 10) {
-		return r, fmt.Errorf("redacted.skew: %g is neither 0 nor above 1 and up to 10", s)
+	if r.Members < 1 || r.Members > maxSyntheticMembers {
+		return fmt.Errorf("redacted.members: %d is not between 1 and %d", r.Members, maxSyntheticMembers)
 	}
-	seen := map[string]string{}
-	for i := range r.Classes {
-		if err := r.Classes[i].validate(fmt.Sprintf("class[%d]", i), seen); err != nil {
-			return r, err
-		}
+	if r.Skew != 0 && !(r.Skew > 1 && r.Skew <= maxSkew) {
+		return fmt.Errorf("redacted.skew: %g is neither 0 nor above 1 and up to 10", r.Skew)
 	}
-	return r, nil
+	return nil
 }
 
-func (c *Rule) validate(at string, seen map[string]string) (err error) {
+// validate sets defaults, checks the values and compiles the patterns. at is the rule's key for
+// errors; policies holds the retry policies of the classes before it.
+func (c *Rule) validate(at string, policies map[string]RetryPolicy) error {
 	if c.Name == "" || strings.ContainsAny(c.Name, "/ ?#\r\n\t") {
 		return fmt.Errorf("%s.name: %q is no name of a class", at, c.Name)
 	}
@@ -109,167 +132,122 @@
 		return fmt.Errorf("%s.left_ms: %d is not between 1 and %d", at, c.TimeoutMs, maxTimeoutMs)
 	}
 	if c.RetryPolicy == "" {
-		c.RetryPolicy = "fragile"
+		c.RetryPolicy = Fragile
 	}
-	if c.RetryPolicy != "fragile" && c.RetryPolicy != "retryable" {
+	if c.RetryPolicy != Fragile && c.RetryPolicy != Retryable {
 		return fmt.Errorf("%s.repeat: %q is neither fragile nor retryable", at, c.RetryPolicy)
 	}
-	if was, ok := seen[c.Name]; ok && was != c.RetryPolicy {
-		return fmt.Errorf("%s.repeat: %s was %s before", at, c.Name, was)
+	if earlier, ok := policies[c.Name]; ok && earlier != c.RetryPolicy {
+		return fmt.Errorf("%s.repeat: %s was %s before", at, c.Name, earlier)
 	}
-	seen[c.Name] = c.RetryPolicy
+	policies[c.Name] = c.RetryPolicy
 	switch c.KeySource {
-	case "", "path", "client", "none":
+	case "", KeyFromPath, KeyFromClient, KeyFromNone:
 	default:
 		return fmt.Errorf("%s.key_from: %q is neither path, client nor none", at, c.KeySource)
 	}
-	for _, x := range []struct {
-		name      string
-		v         *float64
-		def, most float64
+	if err := c.validateNumbers(at); err != nil {
+		return err
+	}
+	return c.compilePatterns(at)
+}
+
+// validateNumbers sets the defaults of the rule's numbers and checks their ranges.
+func (c *Rule) validateNumbers(at string) error {
+	const maxMilliseconds = 600_000
+	for _, number := range []struct {
+		key          string
+		value        *float64
+		defaultValue float64
+		max          float64
 	}{
-		{"slots", &c.Slots, 1, 64}, {"effort_factor", &c.EffortFactor, 1, 1000}, {"effort_ms", &c.EffortMs, 0, 600_000},
-		{"duration_ms", &c.DurationMs, 100, 600_000}, {"duration_spread", &c.DurationSpread, 0.5, 10},
+		{"slots", &c.Slots, 1, maxSlots},
+		{"effort_factor", &c.EffortFactor, 1, 1000},
+		{"effort_ms", &c.EffortMs, 0, maxMilliseconds},
+		{"duration_ms", &c.DurationMs, 100, maxMilliseconds},
+		{"duration_spread", &c.DurationSpread, 0.5, 10},
 	} {
-		if *x.v == 0 {
-			*x.v = x.def
+		if *number.value == 0 {
+			*number.value = number.defaultValue
 		}
-		if math.IsNaN(*x.v) || *x.v < 0 || *x.v > x.most {
-			return fmt.Errorf("%s.%s: %g is not between 0 and %g", at, x.name, *x.v, x.most)
+		if math.IsNaN(*number.value) || *number.value < 0 || *number.value > number.max {
+			return fmt.Errorf("%s.%s: %g is not between 0 and %g", at, number.key, *number.value, number.max)
 		}
 	}
-	if c.pathPattern, err = regexp.Compile(c.Path); err != nil {
+	return nil
+}
+
+func (c *Rule) compilePatterns(at string) (err error) {
+	c.pathPattern, err = regexp.Compile(c.Path)
+	if err != nil {
 		return fmt.Errorf("%s.path: %w", at, err)
 	}
-	if c.keyPattern, err = regexp.Compile(c.Key); err != nil {
+	c.keyPattern, err = regexp.Compile(c.Key)
+	if err != nil {
 		return fmt.Errorf("%s.key: %w", at, err)
 	}
 	if c.Key != "" && c.keyPattern.NumSubexp() < 1 {
 		return fmt.Errorf("%s.key: no group", at)
 	}
-	c.pathMatcher, c.keyMatcher = compileSegmentPattern(c.Path), compileSegmentPattern(c.Key)
+	c.pathMatcher = compileSegmentPattern(c.Path)
+	c.keyMatcher = compileSegmentPattern(c.Key)
 	return nil
 }
 
-// segmentPattern is a regular expression of the form that rules mostly have: text
-// and single path parts in turn. It is matched without the regexp package, which
-// took two thirds of an import's time; everything else goes to that package.
-type segmentPattern struct {
-	literals  []string // text[0] part text[1] part ... text[n]
-	mayBeEmpty []bool   // which parts may be empty
-	groupSegment int      // which part is the first group; -1: none
-	anchoredEnd bool     // it ends with $
-}
-
-// compileSegmentPattern tells whether an expression has that form; nil: no.
-func compileSegmentPattern(expr string) *segmentPattern {
-	rest, ok := strings.CutPrefix(expr, "^")
-	if !ok {
-		return nil
-	}
-	p := &segmentPattern{groupSegment: -1}
-	rest, p.anchoredEnd = strings.CutSuffix(rest, "$")
-	for {
-		i := strings.Index(rest, "[^/]")
-		if i < 0 || i+len("[^/]+") > len(rest) {
-			break
-		}
-		before, sign, after := rest[:i], rest[i+len("[^/]")], rest[i+len("[^/]+"):]
-		if sign != '+' && sign != '*' {
-			return nil
-		}
-		if b, ok := strings.CutSuffix(before, "("); ok {
-			if p.groupSegment >= 0 || !strings.HasPrefix(after, ")") {
-				return nil
-			}
-			before, after, p.groupSegment = b, after[1:], len(p.literals)
-		}
-		// What follows a part must start at its end, or the match is not the only one.
-		if after != "" && after[0] != '/' || after == "" && !p.anchoredEnd {
-			return nil
-		}
-		p.literals, p.mayBeEmpty = append(p.literals, before), append(p.mayBeEmpty, sign == '*')
-		rest = after
-	}
-	p.literals = append(p.literals, rest)
-	for _, t := range p.literals {
-		if regexp.QuoteMeta(t) != t {
-			return nil
+// Find returns the index of the first rule that matches and the token of the entry's key, which
+// is empty if the log contains none; -1: no rule matches. path is without its query.
+func (r *Rules) Find(method, path, client string) (rule int, token string) {
+	for i := range r.Classes {
+		rule := &r.Classes[i]
+		if rule.matches(method, path) {
+			return i, rule.keyToken(path, client)
 		}
 	}
-	return p
+	return -1, ""
 }
 
-// match matches a path; group is the first group's text.
-func (p *segmentPattern) match(path string) (group string, ok bool) {
-	for i, t := range p.literals {
-		if !strings.HasPrefix(path, t) {
-			return "", false
-		}
-		path = path[len(t):]
-		if i == len(p.literals)-1 {
-			break
-		}
-		n := strings.IndexByte(path, '/')
-		if n < 0 {
-			n = len(path)
-		}
-		if n == 0 && !p.mayBeEmpty[i] {
-			return "", false
-		}
-		if i == p.groupSegment {
-			group = path[:n]
-		}
-		path = path[n:]
+func (c *Rule) matches(method, path string) bool {
+	if c.Method != "" && c.Method != method {
+		return false
+	}
+	if c.pathMatcher != nil {
+		_, ok := c.pathMatcher.match(path)
+		return ok
 	}
-	return group, !p.anchoredEnd || path == ""
+	return c.pathPattern.MatchString(path)
 }
 
-// Find finds the first rule that fits and the token of its key, which is empty
-// where the log tells none; -1: no rule fits. path is without its query.
-func (r *Rules) Find(method, path, client string) (rule int, token string) {
-	for i := range r.Classes {
-		c := &r.Classes[i]
-		if c.Method != "" && c.Method != method {
-			continue
-		}
-		if c.pathMatcher != nil {
-			if _, ok := c.pathMatcher.match(path); !ok {
-				continue
-			}
-		} else if !c.pathPattern.MatchString(path) {
-			continue
-		}
-		switch {
-		case c.KeySource == "none":
-		case c.KeySource == "client":
-			token = client
-		case c.Key == "":
-			token = path[strings.LastIndexByte(path, '/')+1:]
-		case c.keyMatcher != nil:
-			token, _ = c.keyMatcher.match(path)
-		default:
-			if m := c.keyPattern.FindStringSubmatch(path); m != nil {
-				token = m[1]
-			}
-		}
-		return i, token
+// keyToken extracts the text that the key of an entry is made from; empty: there is none.
+func (c *Rule) keyToken(path, client string) string {
+	switch {
+	case c.KeySource == KeyFromNone:
+		return ""
+	case c.KeySource == KeyFromClient:
+		return client
+	case c.Key == "":
+		return path[strings.LastIndexByte(path, '/')+1:]
+	case c.keyMatcher != nil:
+		token, _ := c.keyMatcher.match(path)
+		return token
 	}
-	return -1, ""
+	if groups := c.keyPattern.FindStringSubmatch(path); groups != nil {
+		return groups[1]
+	}
+	return ""
 }
 
 // timeout is how long a client of the rule waits.
 func (c *Rule) timeout() time.Duration { return time.Duration(c.TimeoutMs) * time.Millisecond }
 
-// isRedacted tells whether nothing of a member is left in a token: it is empty, a
-// dash, or made of signs that stand for something taken out.
+// isRedacted reports whether a token says nothing about the member: it is empty, a dash, a word
+// for something removed, or made of characters that replace removed ones.
 func (r *Redacted) isRedacted(token string) bool {
 	switch strings.ToLower(token) {
 	case "", "-", "redacted", "[redacted]", "%5bredacted%5d", "<redacted>", "hidden", "masked", "removed", "none", "null":
 		return true
 	}
-	for _, t := range r.Tokens {
-		if t == token {
+	for _, configured := range r.Tokens {
+		if configured == token {
 			return true
 		}
 	}
--- /dev/null
+++ b/internal/rehearsal/recording/run.go
@@ -0,0 +1,218 @@
+package recording
+
+import (
+	"bufio"
+	"container/heap"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"io"
+)
+
+// Flags of an entry on the spool; the repairs are shifted behind them.
+const (
+	encodedNoKey        = 1 << 0
+	encodedWholeSeconds = 1 << 1
+	encodedFlagBits     = 2
+)
+
+const (
+	encodedHashBytes = 16 // key and signature
+	// maxEncodedBytes is the largest size of an encoded entry.
+	maxEncodedBytes = 9*binary.MaxVarintLen64 + encodedHashBytes
+)
+
+var errSpoolTruncated = fmt.Errorf("the spool is cut off: %w", io.ErrUnexpectedEOF)
+
+// appendEncoded appends an entry in the form that runs have on the spool. previous is the
+// timestamp of the entry before it; 0 for the first one.
+func appendEncoded(b []byte, entry *pendingEntry, previous int64) []byte {
+	b = binary.AppendUvarint(b, uint64(entry.timestamp-previous))
+	b = binary.AppendUvarint(b, entry.sequence)
+	b = binary.LittleEndian.AppendUint64(b, entry.key)
+	b = binary.LittleEndian.AppendUint64(b, entry.signature)
+	b = binary.AppendUvarint(b, uint64(entry.duration+1))
+	b = binary.AppendUvarint(b, uint64(entry.serviceTime+1))
+	b = binary.AppendUvarint(b, uint64(entry.class))
+	b = binary.AppendUvarint(b, uint64(entry.status))
+	b = binary.AppendUvarint(b, uint64(entry.bodyBytes))
+	flags := uint64(entry.repairs) << encodedFlagBits
+	if entry.noKey {
+		flags |= encodedNoKey
+	}
+	if entry.resolution >= second {
+		flags |= encodedWholeSeconds
+	}
+	return binary.AppendUvarint(b, flags)
+}
+
+// runReader reads a run from the spool.
+type runReader struct {
+	input         *bufio.Reader
+	file          io.Closer
+	entry         pendingEntry // read last
+	lastTimestamp int64        // without the offset
+	source        int
+	offset        int64 // of the source's clock, µs
+}
+
+func openRun(spool Spool, number, source int, offset int64) (*runReader, error) {
+	file, err := spool.Open(number)
+	if err != nil {
+		return nil, err
+	}
+	return &runReader{input: bufio.NewReaderSize(file, runBufferBytes), file: file, source: source, offset: offset}, nil
+}
+
+// readNext reads the next entry; io.EOF after the last one.
+func (r *runReader) readNext() error {
+	encoded, err := r.input.Peek(maxEncodedBytes)
+	if len(encoded) == 0 {
+		return err
+	}
+	size := len(encoded)
+	err = nil
+	readUvarint := func() uint64 {
+		value, n := binary.Uvarint(encoded)
+		if n <= 0 {
+			err = errSpoolTruncated
+		}
+		encoded = encoded[max(n, 0):]
+		return value
+	}
+	entry := &r.entry
+	r.lastTimestamp += int64(readUvarint())
+	entry.timestamp = r.lastTimestamp + r.offset
+	entry.sequence = readUvarint()
+	if len(encoded) < encodedHashBytes {
+		return errSpoolTruncated
+	}
+	entry.key = binary.LittleEndian.Uint64(encoded)
+	entry.signature = binary.LittleEndian.Uint64(encoded[8:])
+	encoded = encoded[encodedHashBytes:]
+	entry.duration = int64(readUvarint()) - 1
+	entry.serviceTime = int64(readUvarint()) - 1
+	entry.class = int32(readUvarint())
+	entry.status = int32(readUvarint())
+	entry.bodyBytes = int32(readUvarint())
+	flags := readUvarint()
+	entry.repairs = Repair(flags >> encodedFlagBits)
+	entry.noKey = flags&encodedNoKey != 0
+	entry.resolution = millisecond
+	if flags&encodedWholeSeconds != 0 {
+		entry.resolution = second
+	}
+	if err == nil {
+		_, err = r.input.Discard(size - len(encoded))
+	}
+	return err
+}
+
+// runHeap orders runs by the time of their next entry, then source, then position in the source.
+type runHeap []*runReader
+
+func (h runHeap) Len() int { return len(h) }
+func (h runHeap) Less(i, j int) bool {
+	a, b := h[i], h[j]
+	switch {
+	case a.entry.timestamp != b.entry.timestamp:
+		return a.entry.timestamp < b.entry.timestamp
+	case a.source != b.source:
+		return a.source < b.source
+	}
+	return a.entry.sequence < b.entry.sequence
+}
+func (h runHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *runHeap) Push(x any)   { *h = append(*h, x.(*runReader)) }
+func (h *runHeap) Pop() any {
+	old := *h
+	last := old[len(old)-1]
+	*h = old[:len(old)-1]
+	return last
+}
+
+// mergeRuns calls handle with the run of each entry, in the order of all runs' entries, and
+// closes the runs.
+func mergeRuns(runs []*runReader, handle func(run *runReader) error) error {
+	var open runHeap
+	defer func() {
+		for _, run := range open {
+			run.file.Close()
+		}
+	}()
+	for i, run := range runs {
+		err := run.readNext()
+		if err == nil {
+			open = append(open, run)
+			continue
+		}
+		run.file.Close()
+		if !isEnd(err) {
+			open = append(open, runs[i+1:]...)
+			return err
+		}
+	}
+	heap.Init(&open)
+	for len(open) > 0 {
+		run := open[0]
+		if err := handle(run); err != nil {
+			return err
+		}
+		err := run.readNext()
+		switch {
+		case err == nil:
+			heap.Fix(&open, 0)
+		case isEnd(err):
+			run.file.Close()
+			heap.Pop(&open)
+		default:
+			return err
+		}
+	}
+	return nil
+}
+
+// isEnd reports whether an error means the end of a run, not a run that is cut off.
+func isEnd(err error) bool {
+	return errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF)
+}
+
+// compactRuns merges runs of one source until there are at most maxRuns. nextRun is the number
+// of the next run on the spool.
+func compactRuns(spool Spool, nextRun *int, runs []int, maxRuns int) ([]int, error) {
+	for len(runs) > maxRuns {
+		merged := runs[:min(maxMergedRuns, len(runs))]
+		if err := rewriteRuns(spool, merged); err != nil {
+			return nil, err
+		}
+		runs = append(append([]int(nil), runs[len(merged):]...), *nextRun)
+		*nextRun++
+	}
+	return runs, nil
+}
+
+// rewriteRuns merges runs of one source into the spool's next run.
+func rewriteRuns(spool Spool, runs []int) error {
+	var readers []*runReader
+	for _, number := range runs {
+		reader, err := openRun(spool, number, 0, 0)
+		if err != nil {
+			return err
+		}
+		readers = append(readers, reader)
+	}
+	file, err := spool.Create()
+	if err != nil {
+		return err
+	}
+	output := bufio.NewWriterSize(file, runBufferBytes)
+	var buffer []byte
+	lastTimestamp := int64(0)
+	err = mergeRuns(readers, func(run *runReader) error {
+		buffer = appendEncoded(buffer[:0], &run.entry, lastTimestamp)
+		lastTimestamp = run.entry.timestamp
+		_, err := output.Write(buffer)
+		return err
+	})
+	return errors.Join(err, output.Flush(), file.Close())
+}
--- /dev/null
+++ b/internal/rehearsal/recording/template_apache.go
@@ -0,0 +1,186 @@
+package recording
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+)
+
+// strftimeLayouts maps the conversions of strftime to layouts of package time.
+var strftimeLayouts = map[byte]string{
+	'd': "02", 'e': "_2", 'b': "Jan", 'h': "Jan", 'B': "January", 'Y': "2006", 'y': "06", 'm': "01",
+	'H': "15", 'I': "03", 'p': "PM", 'M': "04", 'S': "05", 'z': "-0700", 'Z': "MST", 'T': "15:04:05", 'F': "2006-01-02",
+	'D': "01/02/06", 'R': "15:04", 'a': "Mon", 'A': "Monday", 'n': " ", 't': "\t", '%': "%",
+}
+
+// apacheTimeFields maps the arguments of %{...}t that are no strftime format.
+var apacheTimeFields = map[string]fieldKind{
+	"sec": fieldTimeSeconds, "msec": fieldTimeMilliseconds, "usec": fieldTimeMicroseconds,
+	"msec_frac": fieldFractionMilliseconds, "usec_frac": fieldFractionMicroseconds,
+}
+
+// apacheFields maps the directives whose argument does not matter.
+var apacheFields = map[byte]fieldKind{
+	'h': fieldClient, 'a': fieldClient, 'r': fieldRequestLine, 'm': fieldMethod, 'U': fieldPath, 'q': fieldQuery,
+	's': fieldStatus, 'D': fieldDurationMicroseconds, 'L': fieldRequestID,
+}
+
+// apacheCompiler compiles the text of a LogFormat directive into a format.
+type apacheCompiler struct {
+	format  *Format
+	text    string
+	at      int // index of the next byte of text
+	literal strings.Builder
+}
+
+// compileApache compiles the text of a LogFormat directive.
+func (f *Format) compileApache(text string) error {
+	f.StampsArrival = true
+	compiler := apacheCompiler{format: f, text: text}
+	for compiler.at < len(text) {
+		switch {
+		case text[compiler.at] == '\\' && compiler.at+1 < len(text):
+			compiler.readEscape()
+		case text[compiler.at] == '%':
+			compiler.at++
+			if err := compiler.readDirective(); err != nil {
+				return err
+			}
+		default:
+			compiler.literal.WriteByte(text[compiler.at])
+			compiler.at++
+		}
+	}
+	return f.finishTemplate(compiler.literal.String())
+}
+
+// readEscape reads a backslash and the byte behind it, as the configuration file writes them.
+func (c *apacheCompiler) readEscape() {
+	switch escaped := c.text[c.at+1]; escaped {
+	case 't':
+		c.literal.WriteByte('\t')
+	case 'n':
+	default:
+		c.literal.WriteByte(escaped)
+	}
+	c.at += 2
+}
+
+// readDirective reads a directive from the byte behind its percent sign.
+func (c *apacheCompiler) readDirective() error {
+	c.skipModifiers()
+	argument, err := c.readArgument()
+	if err != nil {
+		return err
+	}
+	if c.at >= len(c.text) {
+		return errors.New("ends in the middle of a field")
+	}
+	directive := c.text[c.at]
+	c.at++
+	switch directive {
+	case '%':
+		c.literal.WriteByte('%')
+		return nil
+	case 't':
+		return c.addTime(argument)
+	}
+	kind, err := apacheFieldKind(directive, argument)
+	if err != nil {
+		return err
+	}
+	c.format.appendField(kind, "", &c.literal)
+	return nil
+}
+
+// skipModifiers skips status codes and the < and > of redirected requests.
+func (c *apacheCompiler) skipModifiers() {
+	for c.at < len(c.text) && (strings.IndexByte("<>!,", c.text[c.at]) >= 0 || c.text[c.at] >= '0' && c.text[c.at] <= '9') {
+		c.at++
+	}
+}
+
+// readArgument reads an argument in braces; empty: there is none.
+func (c *apacheCompiler) readArgument() (string, error) {
+	if c.at >= len(c.text) || c.text[c.at] != '{' {
+		return "", nil
+	}
+	length := strings.IndexByte(c.text[c.at:], '}')
+	if length < 0 {
+		return "", fmt.Errorf("at %d: %%{ without }", c.at)
+	}
+	argument := c.text[c.at+1 : c.at+length]
+	c.at += length + 1
+	return argument, nil
+}
+
+// addTime adds the field of %t or %{...}t.
+func (c *apacheCompiler) addTime(argument string) error {
+	argument, completion := strings.CutPrefix(argument, "end:")
+	if completion {
+		c.format.StampsArrival = false
+	}
+	argument = strings.TrimPrefix(argument, "begin:")
+	if argument == "" {
+		c.literal.WriteByte('[')
+		c.format.appendField(fieldTimeLocal, "", &c.literal)
+		c.literal.WriteByte(']')
+		return nil
+	}
+	if kind, ok := apacheTimeFields[argument]; ok {
+		c.format.appendField(kind, "", &c.literal)
+		return nil
+	}
+	layout, err := strftimeLayout(argument)
+	if err != nil {
+		return err
+	}
+	c.format.appendField(fieldTimePiece, layout, &c.literal)
+	return nil
+}
+
+// strftimeLayout translates a strftime format to a layout of package time.
+func strftimeLayout(format string) (string, error) {
+	var layout strings.Builder
+	for i := 0; i < len(format); i++ {
+		if format[i] != '%' || i+1 == len(format) {
+			layout.WriteByte(format[i])
+			continue
+		}
+		i++
+		conversion, ok := strftimeLayouts[format[i]]
+		if !ok {
+			return "", fmt.Errorf("%%{...}t: %%%c is not known", format[i])
+		}
+		layout.WriteString(conversion)
+	}
+	return layout.String(), nil
+}
+
+// apacheFieldKind maps a directive other than %t and %% to a field.
+func apacheFieldKind(directive byte, argument string) (fieldKind, error) {
+	switch directive {
+	case 'T':
+		switch argument {
+		case "", "s":
+			return fieldDurationSeconds, nil
+		case "ms":
+			return fieldDurationMilliseconds, nil
+		case "us":
+			return fieldDurationMicroseconds, nil
+		}
+		return fieldSkipped, fmt.Errorf("%%{%s}T: no unit that is known", argument)
+	case 'e':
+		if strings.ToLower(argument) == "unique_id" {
+			return fieldRequestID, nil
+		}
+	case 'i':
+		switch strings.ToLower(argument) {
+		case "x-request-id", "x-correlation-id":
+			return fieldRequestID, nil
+		case "content-length":
+			return fieldBodyBytes, nil
+		}
+	}
+	return apacheFields[directive], nil
+}
--- /dev/null
+++ b/internal/rehearsal/recording/template_nginx.go
@@ -0,0 +1,64 @@
+package recording
+
+import (
+	"fmt"
+	"strings"
+)
+
+// nginxFields maps NGINX's variables to fields; all others are skipped.
+var nginxFields = map[string]fieldKind{
+	"time_local": fieldTimeLocal, "time_iso8601": fieldTimeISO, "msec": fieldTimeSeconds,
+	"request": fieldRequestLine, "request_method": fieldMethod, "request_uri": fieldTarget,
+	"uri": fieldPath, "document_uri": fieldPath, "args": fieldQuery, "query_string": fieldQuery,
+	"status": fieldStatus, "request_time": fieldDurationSeconds, "upstream_response_time": fieldServiceTimes,
+	"remote_addr": fieldClient, "realip_remote_addr": fieldSkipped,
+	"request_id": fieldRequestID, "http_x_request_id": fieldRequestID, "http_x_correlation_id": fieldRequestID,
+	"content_length": fieldBodyBytes,
+}
+
+// compileNGINX compiles the text of a log_format directive.
+func (f *Format) compileNGINX(text string) error {
+	var literal strings.Builder
+	for at := 0; at < len(text); {
+		if text[at] != '$' {
+			literal.WriteByte(text[at])
+			at++
+			continue
+		}
+		name, end, err := cutNGINXVariable(text, at+1)
+		if err != nil {
+			return err
+		}
+		at = end
+		f.appendField(nginxFields[name], "", &literal)
+	}
+	return f.finishTemplate(literal.String())
+}
+
+// cutNGINXVariable reads the name of a variable, with or without braces, from the byte
+// behind its $ and returns the index of the byte behind the variable.
+func cutNGINXVariable(text string, at int) (name string, end int, err error) {
+	braces := at < len(text) && text[at] == '{'
+	if braces {
+		at++
+	}
+	end = at
+	for end < len(text) && isNGINXNameByte(text[end]) {
+		end++
+	}
+	name = text[at:end]
+	if braces {
+		if end >= len(text) || text[end] != '}' {
+			return "", 0, fmt.Errorf("at %d: ${ without }", end)
+		}
+		end++
+	}
+	if name == "" {
+		return "", 0, fmt.Errorf("at %d: $ without a name", end)
+	}
+	return name, end, nil
+}
+
+func isNGINXNameByte(c byte) bool {
+	return c == '_' || c >= '0' && c <= '9' || c|0x20 >= 'a' && c|0x20 <= 'z'
+}
--- /dev/null
+++ b/internal/rehearsal/recording/timestamp.go
@@ -0,0 +1,129 @@
+package recording
+
+import (
+	"math"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// commonTimeLayout is that of the Common log format.
+const commonTimeLayout = "02/Jan/2006:15:04:05 -0700"
+
+// The layouts in which logs write timestamps, with and without a zone.
+var (
+	zonedLayouts = []string{time.RFC3339Nano, "2006-01-02T15:04:05.999999999Z0700", "2006-01-02 15:04:05.999999999Z07:00",
+		commonTimeLayout}
+	localLayouts = []string{"2006-01-02T15:04:05.999999999", "2006-01-02 15:04:05.999999999"}
+)
+
+// parseDuration reads a number of units, each of scale microseconds, as microseconds.
+func parseDuration(text string, scale float64) (int64, error) {
+	number, err := strconv.ParseFloat(text, 64)
+	if err != nil || math.IsNaN(number) || number < 0 || number*scale > float64(day) {
+		return notRecorded, errDuration
+	}
+	return int64(math.Round(number * scale)), nil
+}
+
+// addServiceTimes adds the seconds that NGINX logs, one number for each upstream server, to
+// a sum in microseconds, of which -1 means none recorded.
+func addServiceTimes(sum int64, text string) (int64, error) {
+	isSeparator := func(c rune) bool { return c == ',' || c == ':' || c == ' ' }
+	for number := range strings.FieldsFuncSeq(text, isSeparator) {
+		if number == "-" {
+			continue
+		}
+		duration, err := parseDuration(number, 1e6)
+		if err != nil {
+			return sum, err
+		}
+		sum = max(sum, 0) + duration
+	}
+	return sum, nil
+}
+
+// parseEpoch reads a time since 1970 in units of scale microseconds, and its resolution.
+func parseEpoch(text string, scale float64) (timestamp, resolution int64, err error) {
+	const yearTenThousand = 253402300799e6 // the last second of the year 9999, µs
+	whole, fraction, hasFraction := strings.Cut(text, ".")
+	units, err := strconv.ParseInt(whole, 10, 64)
+	if err != nil || units < 0 || float64(units)*scale > yearTenThousand {
+		return 0, 0, errTimestamp
+	}
+	timestamp = units * int64(scale)
+	resolution = int64(scale)
+	if hasFraction {
+		part, err := strconv.ParseFloat("0."+fraction, 64)
+		if err != nil {
+			return 0, 0, errTimestamp
+		}
+		timestamp += int64(math.Round(part * scale))
+		resolution = max(1, resolution/1000)
+	}
+	return timestamp, resolution, nil
+}
+
+// parseTimestamp reads a timestamp in one of the layouts that logs use. foldOffset is as in RawEntry.
+func parseTimestamp(text string, zone *time.Location) (timestamp, resolution, foldOffset int64, err error) {
+	parsed, err := parseLayouts(zonedLayouts, text, zone)
+	if err != nil {
+		parsed, err = parseLayouts(localLayouts, text, zone)
+		if err == nil {
+			parsed, foldOffset = resolveFold(parsed)
+		}
+	}
+	if err != nil || parsed.Year() < 1970 || parsed.Year() > 9999 {
+		return 0, 0, 0, errTimestamp
+	}
+	resolution = second
+	if strings.ContainsAny(text, ".,") {
+		resolution = millisecond
+	}
+	return parsed.UnixMicro(), resolution, foldOffset, nil
+}
+
+// parseLayouts parses text in the first layout that fits.
+func parseLayouts(layouts []string, text string, zone *time.Location) (parsed time.Time, err error) {
+	for _, layout := range layouts {
+		parsed, err = time.ParseInLocation(layout, text, zone)
+		if err == nil {
+			return parsed, nil
+		}
+	}
+	return parsed, err
+}
+
+// resolveFold finds out whether a local time occurs twice as summer time ends. It returns the
+// first of the two moments and how much later the second one is; 0: the time occurs once.
+func resolveFold(local time.Time) (time.Time, int64) {
+	sameClock := func(t time.Time) bool { return t.Hour() == local.Hour() && t.Minute() == local.Minute() }
+	earlier := local.Add(-time.Hour)
+	switch {
+	case sameClock(earlier):
+		local = earlier
+	case !sameClock(local.Add(time.Hour)):
+		return local, 0
+	}
+	return local, time.Hour.Microseconds()
+}
+
+// parseStatus reads an HTTP status of three digits.
+func parseStatus(text string) (int, error) {
+	if len(text) != 3 || text[0] < '0' || text[0] > '9' {
+		return 0, errStatus
+	}
+	status, err := strconv.Atoi(text)
+	if err != nil {
+		return 0, errStatus
+	}
+	return status, nil
+}
+
+// parseBodyBytes reads a positive number of bytes; anything else leaves the size as it was.
+func parseBodyBytes(text string, size int) int {
+	if n, err := strconv.Atoi(text); err == nil && n > 0 {
+		return n
+	}
+	return size
+}
--- /dev/null
+++ b/internal/rehearsal/recording/transform.go
@@ -0,0 +1,255 @@
+package recording
+
+import (
+	"container/heap"
+	"errors"
+	"fmt"
+	"io"
+	"math"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"hollyyoke.example/hollyyoke/internal/rehearsal/recording/recordingpb"
+)
+
+// deriveHeader copies the header for a recording made from this one. history describes how.
+func (r *Reader) deriveHeader(history string) *recordingpb.Header {
+	header := proto.Clone(r.Header).(*recordingpb.Header)
+	header.Entries = 0
+	header.History = append(header.History, history)
+	return header
+}
+
+// Slice copies the entries that arrive at from or later and before to; to 0 means the end. The
+// new recording starts at from.
+func Slice(recording *Reader, out io.Writer, from, to time.Duration) error {
+	if from < 0 || to != 0 && to <= from {
+		return errors.New("slice: the window is empty")
+	}
+	header := recording.deriveHeader(fmt.Sprintf("slice from %v to %v", from, to))
+	header.StartUnixUs += from.Microseconds()
+	writer, err := NewWriter(out, header)
+	if err != nil {
+		return err
+	}
+	// The recording is read to its end, which verifies that it is intact.
+	err = recording.ForEach(func(entry *Entry) error {
+		if entry.Arrival < from || to != 0 && entry.Arrival >= to {
+			return nil
+		}
+		entry.Arrival -= from
+		return writer.Add(entry)
+	})
+	if err != nil {
+		return err
+	}
+	return writer.Close()
+}
+
+// Merge combines recordings by their times or, if align is set, with all starts at once.
+func Merge(recordings []*Reader, out io.Writer, align bool) error {
+	if len(recordings) == 0 {
+		return errors.New("merge: nothing to merge")
+	}
+	merger := merger{recordings: recordings, align: align}
+	if err := merger.mergeHeaders(); err != nil {
+		return err
+	}
+	writer, err := NewWriter(out, merger.header)
+	if err != nil {
+		return err
+	}
+	for i := range recordings {
+		if err := merger.readNext(i); err != nil {
+			return err
+		}
+	}
+	for len(merger.queue) > 0 {
+		next := heap.Pop(&merger.queue).(queuedEntry)
+		if err := writer.Add(&next.Entry); err != nil {
+			return err
+		}
+		if err := merger.readNext(int(next.order)); err != nil {
+			return err
+		}
+	}
+	return writer.Close()
+}
+
+// merger merges recordings.
+type merger struct {
+	recordings  []*Reader
+	align       bool
+	header      *recordingpb.Header
+	classes     [][]int    // by recording and its class: the index in the header
+	firstSource []int      // by recording: the index in the header of its first source
+	queue       entryQueue // the next entry of each recording, which is its order
+}
+
+// mergeHeaders makes the header of the merged recording.
+func (m *merger) mergeHeaders() error {
+	m.header = m.recordings[0].deriveHeader(fmt.Sprintf("merge of %d", len(m.recordings)))
+	m.header.Classes = nil
+	m.header.Sources = nil
+	m.header.Repairs = map[string]uint64{}
+	m.header.Counts = &recordingpb.Counts{}
+	indexByName := map[string]int{}
+	for _, recording := range m.recordings {
+		header := recording.Header
+		m.header.StartUnixUs = min(m.header.StartUnixUs, header.StartUnixUs)
+		m.firstSource = append(m.firstSource, len(m.header.Sources))
+		m.header.Sources = append(m.header.Sources, header.Sources...)
+		classes, err := m.mergeClasses(header, indexByName)
+		if err != nil {
+			return err
+		}
+		m.classes = append(m.classes, classes)
+		for name, n := range header.Repairs {
+			m.header.Repairs[name] += n
+		}
+		addCounts(m.header.Counts, header.Counts)
+	}
+	return nil
+}
+
+// mergeClasses adds the classes of a recording and returns their indexes in the merged header.
+func (m *merger) mergeClasses(header *recordingpb.Header, indexByName map[string]int) (indexes []int, err error) {
+	for _, class := range header.Classes {
+		index, ok := indexByName[class.Name]
+		if !ok {
+			index = len(m.header.Classes)
+			indexByName[class.Name] = index
+			m.header.Classes = append(m.header.Classes, class)
+		} else if m.header.Classes[index].Retryable != class.Retryable {
+			return nil, fmt.Errorf("merge: class %s is retryable in one recording and not in another", class.Name)
+		}
+		indexes = append(indexes, index)
+	}
+	return indexes, nil
+}
+
+func addCounts(sum, counts *recordingpb.Counts) {
+	sum.Read += counts.GetRead()
+	sum.Accepted += counts.GetAccepted()
+	sum.Malformed += counts.GetMalformed()
+	sum.Unmapped += counts.GetUnmapped()
+	sum.Ignored += counts.GetIgnored()
+	sum.Repaired += counts.GetRepaired()
+}
+
+// readNext queues the next entry of a recording, unless it has ended.
+func (m *merger) readNext(index int) error {
+	recording := m.recordings[index]
+	var entry Entry
+	err := recording.Next(&entry)
+	if errors.Is(err, io.EOF) {
+		return nil
+	}
+	if err != nil {
+		return fmt.Errorf("recording %d: %w", index+1, err)
+	}
+	if !m.align {
+		entry.Arrival += time.Duration(recording.Header.StartUnixUs-m.header.StartUnixUs) * time.Microsecond
+	}
+	entry.Class = m.classes[index][entry.Class]
+	entry.Source += m.firstSource[index]
+	heap.Push(&m.queue, queuedEntry{entry, uint64(index)})
+	return nil
+}
+
+// entryQueue is a heap of entries by their arrival, then order.
+type entryQueue []queuedEntry
+
+type queuedEntry struct {
+	Entry
+	order uint64
+}
+
+func (q entryQueue) Len() int { return len(q) }
+func (q entryQueue) Less(i, j int) bool {
+	return q[i].Arrival < q[j].Arrival || q[i].Arrival == q[j].Arrival && q[i].order < q[j].order
+}
+func (q entryQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *entryQueue) Push(x any)   { *q = append(*q, x.(queuedEntry)) }
+func (q *entryQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
+	return last
+}
+
+// Scale multiplies the rate of a recording, by dropping entries or adding copies with other keys
+// up to a second after their originals, and the speed at which its time passes. Durations and
+// efforts stay as they are.
+func Scale(recording *Reader, out io.Writer, rate, speed float64, seed uint64) error {
+	for _, factor := range []float64{rate, speed} {
+		if !(factor >= 0.001 && factor <= 1000) {
+			return fmt.Errorf("scale: %g is not between 0.001 and 1000", factor)
+		}
+	}
+	writer, err := NewWriter(out, recording.deriveHeader(fmt.Sprintf("scale rate %g speed %g seed %d", rate, speed, seed)))
+	if err != nil {
+		return err
+	}
+	random := newRandomStream(seed, "scale")
+	scaler := scaler{writer: writer, speed: speed}
+	err = recording.ForEach(func(entry *Entry) error {
+		if err := scaler.writeUntil(entry.Arrival); err != nil {
+			return err
+		}
+		copies := int(rate)
+		if random.Float64() < rate-float64(copies) {
+			copies++
+		}
+		for i := range copies {
+			c := *entry
+			if i > 0 {
+				c.Arrival += time.Duration(random.Int64N(int64(time.Second)))
+				c.Key = keyOfCopy(entry.Key, i)
+			}
+			scaler.add(c)
+		}
+		return nil
+	})
+	if err != nil {
+		return err
+	}
+	if err := scaler.writeUntil(math.MaxInt64); err != nil {
+		return err
+	}
+	return writer.Close()
+}
+
+// keyOfCopy derives the key of a copy from the original's.
+func keyOfCopy(key uint64, index int) uint64 {
+	const goldenRatio = 0x9e3779b97f4a7c15 // 2^64 / φ
+	if key == 0 {
+		return 0
+	}
+	return (key + uint64(index)*goldenRatio) | 1
+}
+
+// scaler puts the copies of entries in order and writes them at the scaled speed.
+type scaler struct {
+	writer *Writer
+	speed  float64
+	queue  entryQueue
+	order  uint64
+}
+
+func (s *scaler) add(entry Entry) {
+	s.order++
+	heap.Push(&s.queue, queuedEntry{entry, s.order})
+}
+
+// writeUntil writes the entries that arrive until the given time of the original.
+func (s *scaler) writeUntil(until time.Duration) error {
+	for len(s.queue) > 0 && s.queue[0].Arrival <= until {
+		next := heap.Pop(&s.queue).(queuedEntry)
+		next.Arrival = time.Duration(float64(next.Arrival) / s.speed)
+		if err := s.writer.Add(&next.Entry); err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/rehearsal/recording/unpack.go
@@ -0,0 +1,94 @@
+package recording
+
+import (
+	"bufio"
+	"bytes"
+	"crypto/sha256"
+	"errors"
+	"fmt"
+	"hash"
+	"io"
+
+	kgzip "github.com/klauspost/compress/gzip"
+	"github.com/klauspost/compress/zstd"
+)
+
+const (
+	maxLineBytes   = 256 << 10 // longer lines are malformed
+	detectionBytes = 64 << 10  // the format is detected from
+	maxZstdWindow  = 16 << 20  // bytes; input that needs more memory is rejected
+)
+
+// hashingReader hashes what is read through it: SHA-256 of all, and a hash of samples that
+// nobody without the input can compute from the first.
+type hashingReader struct {
+	reader       io.Reader
+	full         hash.Hash
+	secretSample hash.Hash
+	bytes        int64
+}
+
+func newHashingReader(r io.Reader) *hashingReader {
+	h := &hashingReader{reader: r, full: sha256.New(), secretSample: sha256.New()}
+	io.WriteString(h.secretSample, "hollyyoke: pseudonyms of members\n")
+	return h
+}
+
+// Read implements io.Reader.
+func (h *hashingReader) Read(p []byte) (int, error) {
+	n, err := h.reader.Read(p)
+	h.full.Write(p[:n])
+	h.sample(p[:n])
+	h.bytes += int64(n)
+	return n, err
+}
+
+// sample hashes the part of data that lies in the first 64 KiB of each MiB of the input.
+func (h *hashingReader) sample(data []byte) {
+	const (
+		sampleBytes = 64 << 10
+		stride      = 1 << 20
+	)
+	offset := h.bytes
+	for len(data) > 0 {
+		inStride := offset % stride
+		step := min(int64(len(data)), stride-inStride)
+		if inStride < sampleBytes {
+			h.secretSample.Write(data[:min(step, sampleBytes-inStride)])
+		}
+		offset += step
+		data = data[step:]
+	}
+}
+
+// The first bytes of compressed files.
+var (
+	gzipMagic = []byte{0x1f, 0x8b}
+	zstdMagic = []byte{0x28, 0xb5, 0x2f, 0xfd}
+)
+
+// unpack decompresses gzip and zstd, which it recognises by their first bytes; anything else is
+// read as it is.
+func unpack(r io.Reader) (*bufio.Reader, error) {
+	input := bufio.NewReaderSize(r, maxLineBytes)
+	head, err := input.Peek(len(zstdMagic))
+	if err != nil && !errors.Is(err, io.EOF) {
+		return input, err
+	}
+	switch {
+	case bytes.HasPrefix(head, gzipMagic):
+		decoder, err := kgzip.NewReader(input)
+		if err != nil {
+			return nil, fmt.Errorf("gzip: %w", err)
+		}
+		return bufio.NewReaderSize(decoder, maxLineBytes), nil
+	case bytes.Equal(head, zstdMagic):
+		decoder, err := zstd.NewReader(input, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true),
+			zstd.WithDecoderMaxWindow(maxZstdWindow))
+		if err != nil {
+			return nil, fmt.Errorf("zstd: %w", err)
+		}
+		return bufio.NewReaderSize(decoder, maxLineBytes), nil
+	}
+	return input, nil
+}
