--- a/cmd/rehearse/flood.go
+++ b/cmd/rehearse/flood.go
@@ -114,8 +114,8 @@
 			return p, err
 		}
 	}
-	f, err := standin.Start(standin.FleetConfig{Daemon: daemon, Dir: dir, Workers: 9, Seed: c.Seed, Sockets: c.Sockets, Operator: operator,
-		Classes: []standin.ClassConfig{{Name: "status-check", Retryable: true, Left: 5 * time.Second}, {Name: "renewal", Left: 8 * time.Second}}})
+	f, err := standin.StartFleet(standin.FleetConfig{Daemon: daemon, Dir: dir, Workers: 9, Seed: c.Seed, Descriptors: c.Sockets, Operator: operator,
+		Classes: []standin.ClassConfig{{Name: "status-check", Retryable: true, Timeout: 5 * time.Second}, {Name: "renewal", Timeout: 8 * time.Second}}})
 	if err != nil {
 		return p, err
 	}
@@ -137,10 +137,10 @@
 		go during(f)
 	}
 	began, cpu := time.Now(), f.CPU()
-	result, err := replay.Run(context.Background(), r, replay.Options{To: f.Addr, Seed: c.Seed, Proven: f.Gate.Open, From: from,
-		Wanted: map[string]time.Duration{"status-check": 250 * time.Millisecond, "renewal": 200 * time.Millisecond},
-		Announce: func(id, class string, retryable bool, path string, x *recording.Entry) {
-			f.Books.Announce(standin.Job{ID: id, Class: class, Retryable: retryable, Path: path, Service: x.Duration, Slots: x.Slots})
+	result, err := replay.Run(context.Background(), r, replay.Options{Target: f.Addr, Seed: c.Seed, Verified: f.Gate.IsOpen, LocalAddresses: from,
+		LatencyObjectives: map[string]time.Duration{"status-check": 250 * time.Millisecond, "renewal": 200 * time.Millisecond},
+		OnSend: func(id, class string, retryable bool, path string, x *recording.Entry) {
+			f.Ledger.Announce(standin.Job{ID: id, Class: class, Retryable: retryable, Path: path, ServiceTime: x.Duration, Slots: x.Slots})
 		}})
 	if err != nil {
 		return p, err
@@ -154,15 +154,15 @@
 	}
 	p.Hostile = <-flood
 	rep := report.Report{Result: result}
-	rep.Judge(&f.Books)
-	p.Kept, p.Verdict = rep.RanTwice+rep.NeverRan == 0 && len(rep.Stands.Unknown) == 0, rep.Verdict
-	p.Refusals, p.Failures, p.seconds = result.Refusals, result.Failures, result.Seconds
-	count := func(of func(*replay.Tally) int) int { return result.Count(of) }
+	rep.Evaluate(&f.Ledger)
+	p.Kept, p.Verdict = rep.DuplicatedJobs+rep.NeverExecuted == 0 && len(rep.Findings.Unexpected) == 0, rep.Conclusion
+	p.Refusals, p.Failures, p.seconds = result.Rejections, result.Failures, result.Seconds
+	count := func(of func(*replay.Tally) int) int { return result.Sum(of) }
 	p.Sent = count(func(t *replay.Tally) int { return t.Sent + t.Unsent })
 	p.Served = count(func(t *replay.Tally) int { return t.Served })
-	p.Answered = count(func(t *replay.Tally) int { return t.Served + t.Refused + t.Failed })
-	p.lost = count(func(t *replay.Tally) int { return t.Lost + t.Twice })
-	p.Wanted = count(func(t *replay.Tally) int { return t.Wanted })
+	p.Answered = count(func(t *replay.Tally) int { return t.Served + t.Rejected + t.Failed })
+	p.lost = count(func(t *replay.Tally) int { return t.Lost + t.DuplicateAnswers })
+	p.Wanted = count(func(t *replay.Tally) int { return t.WithinObjective })
 	s := result.Classes["status-check"]
 	p.P50Ms, p.P99Ms, p.MaxMs = float64(s.Intended.P50)/1000, float64(s.Intended.P99)/1000, float64(s.Intended.Max)/1000
 	return p, nil
--- a/cmd/rehearse/flood_test.go
+++ b/cmd/rehearse/flood_test.go
@@ -98,7 +98,7 @@
 		t.Errorf("%v of processor time in 2 s without descriptors", spent)
 	}
 	for i, s := range p.seconds {
-		t.Logf("second %d: sent %d, served %d, refused %d, failed %d, lost %d", i, s.Replayed, s.Served, s.Refused, s.Failed, s.Lost)
+		t.Logf("second %d: sent %d, served %d, refused %d, failed %d, lost %d", i, s.Replayed, s.Served, s.Rejected, s.Failed, s.Lost)
 	}
 	last := p.seconds[6] // the last whole second of sending, two after the limit rose
 	if last.Served < last.Replayed*9/10 || last.Replayed < 80 {
@@ -113,8 +113,8 @@
 		return "[connections]\non = true\nknown = [\"127.9.0.0/24\"]\nfronts = [\"127.8.0.1/32\"]\naddress_open_connections = 3\n" + more
 	}
 	file := write(t, "operator.toml", operator(""))
-	f, err := standin.Start(standin.FleetConfig{Daemon: daemon, Dir: t.TempDir(), Workers: 2, Operator: file,
-		Classes: []standin.ClassConfig{{Name: "status-check", Retryable: true, Left: 5 * time.Second}}})
+	f, err := standin.StartFleet(standin.FleetConfig{Daemon: daemon, Dir: t.TempDir(), Workers: 2, Operator: file,
+		Classes: []standin.ClassConfig{{Name: "status-check", Retryable: true, Timeout: 5 * time.Second}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/rehearse/main_test.go
+++ b/cmd/rehearse/main_test.go
@@ -98,20 +98,20 @@
 		}
 		for name, want := range map[string]int{"renewal": 40, "status-check": 80} {
 			c := got.Classes[name]
-			if c.Sent != want || c.Served != want || c.Withheld+c.Lost+c.Twice+c.Failed+c.Refused+c.Unsent != 0 || c.Intended.P50 < 5000 {
+			if c.Sent != want || c.Served != want || c.Withheld+c.Lost+c.DuplicateAnswers+c.Failed+c.Rejected+c.Unsent != 0 || c.Intended.P50 < 5000 {
 				t.Errorf("%s: %s: %+v", front, name, c)
 			}
 		}
-		if got.RanTwice+got.NeverRan+got.Stray != 0 || got.Stands.Executed != 120 || got.Fidelity.Compared != 120 || !got.Kept {
-			t.Errorf("%s: %+v, %+v", front, got.Stands, got.Fidelity)
+		if got.DuplicatedJobs+got.NeverExecuted+got.StrayAnswers != 0 || got.Findings.Executed != 120 || got.Fidelity.Compared != 120 || !got.Passed {
+			t.Errorf("%s: %+v, %+v", front, got.Findings, got.Fidelity)
 		}
-		booked[got.Booked] = true
+		booked[got.IDsHash] = true
 		html, err := os.ReadFile(filepath.Join(dir, "report.html"))
 		if err != nil || bytes.Count(html, []byte("<svg")) != 3 || bytes.Contains(html, []byte("http-equiv")) || bytes.Contains(html, []byte("src=")) {
 			t.Errorf("%s: the page: %v, %d charts", front, err, bytes.Count(html, []byte("<svg")))
 		}
 		var file report.Report
-		if raw, err := os.ReadFile(filepath.Join(dir, "report.json")); err != nil || json.Unmarshal(raw, &file) != nil || file.Booked != got.Booked {
+		if raw, err := os.ReadFile(filepath.Join(dir, "report.json")); err != nil || json.Unmarshal(raw, &file) != nil || file.IDsHash != got.IDsHash {
 			t.Errorf("%s: report.json: %v", front, err)
 		}
 	}
@@ -174,7 +174,7 @@
 			h := standin.Host{Host: f.Workers[0].Name, Dial: addr, Site: "russeifa", Class: "standard", Health: "ready"}
 			if !midway {
 				f.Discovery.Set(h)
-				for end := time.Now().Add(10 * time.Second); f.Gate.Why() == nil && time.Now().Before(end); {
+				for end := time.Now().Add(10 * time.Second); f.Gate.Failure() == nil && time.Now().Before(end); {
 					time.Sleep(time.Millisecond)
 				}
 				return
@@ -185,8 +185,8 @@
 			t.Fatal(err)
 		}
 		r, s := rep.Classes["renewal"], rep.Classes["status-check"]
-		if r.Sent+r.Withheld != 50 || s.Sent != 100 || s.Withheld != 0 || !strings.Contains(rep.Withheld, "something stands in between") {
-			t.Errorf("midway %v: renewals %+v, status-checks %+v, %q", midway, r, s, rep.Withheld)
+		if r.Sent+r.Withheld != 50 || s.Sent != 100 || s.Withheld != 0 || !strings.Contains(rep.WithheldReason, "something stands in between") {
+			t.Errorf("midway %v: renewals %+v, status-checks %+v, %q", midway, r, s, rep.WithheldReason)
 		}
 		if !midway && r.Withheld != 50 || midway && (r.Withheld == 0 || r.Sent == 0 || before.Load() == 0) {
 			t.Errorf("midway %v: %d renewals withheld, %d sent", midway, r.Withheld, r.Sent)
@@ -194,8 +194,8 @@
 		if n := through(); n != 0 {
 			t.Errorf("midway %v: %d renewals went through the proxy", midway, n)
 		}
-		if !rep.Kept {
-			t.Errorf("midway %v: %s", midway, rep.Verdict)
+		if !rep.Passed {
+			t.Errorf("midway %v: %s", midway, rep.Conclusion)
 		}
 	}
 }
@@ -214,17 +214,17 @@
 		t.Fatal(err)
 	}
 	r := rep.Classes["renewal"]
-	unsent := rep.Count(func(t *replay.Tally) int { return t.Unsent })
-	if r.Withheld == 0 || unsent == 0 || rep.RanTwice != 0 || rep.Withheld != "the daemon has ended" {
-		t.Errorf("%+v, %d unsent, %q", r, unsent, rep.Withheld)
+	unsent := rep.Sum(func(t *replay.Tally) int { return t.Unsent })
+	if r.Withheld == 0 || unsent == 0 || rep.DuplicatedJobs != 0 || rep.WithheldReason != "the daemon has ended" {
+		t.Errorf("%+v, %d unsent, %q", r, unsent, rep.WithheldReason)
 	}
 }
 
 // Against a daemon that this program did not start, renewals are withheld,
 // whatever the flags; the earlier command line still works.
 func TestReplayTo(t *testing.T) {
-	fleet, err := standin.Start(standin.FleetConfig{Daemon: daemon, Dir: t.TempDir(), Workers: 3, Seed: 1,
-		Classes: []standin.ClassConfig{{Name: "renewal", Left: 8 * time.Second}, {Name: "status-check", Retryable: true, Left: 5 * time.Second}}})
+	fleet, err := standin.StartFleet(standin.FleetConfig{Daemon: daemon, Dir: t.TempDir(), Workers: 3, Seed: 1,
+		Classes: []standin.ClassConfig{{Name: "renewal", Timeout: 8 * time.Second}, {Name: "status-check", Retryable: true, Timeout: 5 * time.Second}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -241,8 +241,8 @@
 		{"-in", log, "-rules", rulesFile, "-to", fleet.Addr, "-front", "platform", "-json"}} {
 		seed := uint64(3)
 		if i == 0 { // only a known id reaches a stand-in
-			fleet.Books.Announce(standin.Job{ID: replay.ID(seed, 0), Class: "status-check", Retryable: true, Service: time.Millisecond})
-			fleet.Books.Announce(standin.Job{ID: replay.ID(seed, 1), Class: "status-check", Retryable: true, Service: time.Millisecond})
+			fleet.Ledger.Announce(standin.Job{ID: replay.ID(seed, 0), Class: "status-check", Retryable: true, ServiceTime: time.Millisecond})
+			fleet.Ledger.Announce(standin.Job{ID: replay.ID(seed, 1), Class: "status-check", Retryable: true, ServiceTime: time.Millisecond})
 		}
 		code, out, errs := command(args...)
 		var rep report.Report
@@ -256,7 +256,7 @@
 			t.Errorf("the bad line is not told: %s", errs)
 		}
 	}
-	for _, id := range fleet.Books.Ran() {
+	for _, id := range fleet.Ledger.ExecutedIDs() {
 		if id != replay.ID(3, 0) && id != replay.ID(3, 1) {
 			t.Errorf("%s ran", id)
 		}
--- a/cmd/rehearse/run.go
+++ b/cmd/rehearse/run.go
@@ -52,14 +52,14 @@
 	}
 	defer done()
 	for _, c := range r.Header.Classes {
-		s.classes = append(s.classes, standin.ClassConfig{Name: c.Name, Retryable: c.Retryable, Left: time.Second})
+		s.classes = append(s.classes, standin.ClassConfig{Name: c.Name, Retryable: c.Retryable, Timeout: time.Second})
 	}
 	const part = 10
 	at, sum := -1, 0.0
 	err = r.ForEach(func(e *recording.Entry) error {
 		s.entries++
 		c := &s.classes[e.Class]
-		c.Left = max(c.Left, e.Timeout)
+		c.Timeout = max(c.Timeout, e.Timeout)
 		if n := int(e.Arrival.Seconds() / speed / part); n != at {
 			at, sum = n, 0
 		}
@@ -130,7 +130,7 @@
 			cores = math.Ceil(size.work / load / 0.83 / mostWorkers)
 		}
 	}
-	fleet, err := standin.Start(standin.FleetConfig{Daemon: daemon, Dir: dir, Classes: size.classes, Workers: workers, Cores: cores,
+	fleet, err := standin.StartFleet(standin.FleetConfig{Daemon: daemon, Dir: dir, Classes: size.classes, Workers: workers, Cores: cores,
 		Seed: c.Seed, Faktory: c.Front == "faktory", Noise: c.Noise})
 	if err != nil {
 		return nil, err
@@ -140,26 +140,26 @@
 	if hook != nil {
 		hook(fleet)
 	}
-	o := replay.Options{To: fleet.Addr, Seed: c.Seed, Speed: c.Speed, Proven: fleet.Gate.Open, Progress: progress(e, size.entries)}
+	o := replay.Options{Target: fleet.Addr, Seed: c.Seed, Speed: c.Speed, Verified: fleet.Gate.IsOpen, OnProgress: progress(e, size.entries)}
 	if c.Front == "faktory" {
-		o.To, o.Faktory, o.Password = fleet.Second, true, fleet.Password
+		o.Target, o.Faktory, o.Password = fleet.FaktoryAddr, true, fleet.Password
 	}
-	o.Announce = func(id, class string, retryable bool, path string, x *recording.Entry) {
-		j := standin.Job{ID: id, Class: class, Retryable: retryable, Path: path, Body: min(x.BodyBytes, 60<<10), Service: x.Duration, Slots: x.Slots}
+	o.OnSend = func(id, class string, retryable bool, path string, x *recording.Entry) {
+		j := standin.Job{ID: id, Class: class, Retryable: retryable, Path: path, BodyBytes: min(x.BodyBytes, 60<<10), ServiceTime: x.Duration, Slots: x.Slots}
 		if o.Faktory { // the body becomes args, which is for its own tests to check
 			j.Path = ""
 		}
-		fleet.Books.Announce(j)
+		fleet.Ledger.Announce(j)
 	}
 	rep, err := send(e, c.Recording, o)
 	if err != nil {
 		return nil, err
 	}
-	rep.Front, rep.Workers, rep.DaemonRSS = c.Front, len(fleet.Workers), rss(fleet.PID())
-	if why := fleet.Gate.Why(); why != nil {
-		rep.Withheld = why.Error()
+	rep.FrontEnd, rep.Workers, rep.DaemonRSS = c.Front, len(fleet.Workers), rss(fleet.PID())
+	if why := fleet.Gate.Failure(); why != nil {
+		rep.WithheldReason = why.Error()
 	}
-	rep.Judge(&fleet.Books)
+	rep.Evaluate(&fleet.Ledger)
 	return rep, nil
 }
 
@@ -189,27 +189,27 @@
 		if err := os.MkdirAll(dir, 0o755); err != nil {
 			return err
 		}
-		if err := create(filepath.Join(dir, "report.json"), rep.JSON); err != nil {
+		if err := create(filepath.Join(dir, "report.json"), rep.WriteJSON); err != nil {
 			return err
 		}
-		if err := create(filepath.Join(dir, "report.html"), rep.HTML); err != nil {
+		if err := create(filepath.Join(dir, "report.html"), rep.WriteHTML); err != nil {
 			return err
 		}
 	}
 	if asJSON {
-		if err := rep.JSON(e.out); err != nil {
+		if err := rep.WriteJSON(e.out); err != nil {
 			return err
 		}
 	} else {
-		rep.Write(e.out)
+		rep.WriteText(e.out)
 	}
 	if dir != "" {
 		e.log.Info("report written", "json", filepath.Join(dir, "report.json"), "html", filepath.Join(dir, "report.html"))
 	}
-	if !rep.Kept {
-		return broken{rep.Verdict}
+	if !rep.Passed {
+		return broken{rep.Conclusion}
 	}
-	if n := rep.Count(func(t *replay.Tally) int { return t.Unsent }); n > 0 {
+	if n := rep.Sum(func(t *replay.Tally) int { return t.Unsent }); n > 0 {
 		return fmt.Errorf("%d entries could not be sent", n)
 	}
 	return nil
@@ -268,7 +268,7 @@
 	if c.Front != "platform" && c.Front != "faktory" {
 		return fmt.Errorf("--front: %q is neither platform nor faktory", c.Front)
 	}
-	if err := replay.Loopback(c.To); err != nil {
+	if err := replay.CheckLoopback(c.To); err != nil {
 		return fmt.Errorf("--to: %w", err)
 	}
 	if (c.Recording == "") == (c.In == "") {
@@ -303,14 +303,14 @@
 	if c.Seed == 0 {
 		c.Seed = uint64(time.Now().UnixNano())
 	}
-	rep, err := send(e, path, replay.Options{To: c.To, Faktory: c.Front == "faktory", Password: c.Password, Seed: c.Seed, Speed: c.Speed})
+	rep, err := send(e, path, replay.Options{Target: c.To, Faktory: c.Front == "faktory", Password: c.Password, Seed: c.Seed, Speed: c.Speed})
 	if err != nil {
 		return err
 	}
-	rep.Front = c.Front
-	if n := rep.Count(func(t *replay.Tally) int { return t.Withheld }); n > 0 {
-		rep.Withheld = "the daemon was not started by this program, so nothing proves that its workers are stand-ins"
+	rep.FrontEnd = c.Front
+	if n := rep.Sum(func(t *replay.Tally) int { return t.Withheld }); n > 0 {
+		rep.WithheldReason = "the daemon was not started by this program, so nothing proves that its workers are stand-ins"
 	}
-	rep.Judge(nil)
+	rep.Evaluate(nil)
 	return finish(e, rep, c.JSON, c.Report)
 }
--- a/internal/rehearsal/replay/link.go
+++ b/internal/rehearsal/replay/link.go
@@ -22,28 +22,28 @@
 // entry at a time is out on it. It parses answers by the standard library, not
 // by the code of the front that it tests.
 
-type link struct {
-	r    *replay
+type connection struct {
+	replayer    *replayer
 	conn net.Conn
-	in   *bufio.Reader
-	out  []byte
-	shot atomic.Pointer[shot] // nil: idle
-	last atomic.Pointer[shot] // the one answered last here
-	dead atomic.Bool          // it has ended; set before shot is taken for the last time
-	kept bool                 // an answer has come on it
+	input   *bufio.Reader
+	buffer  []byte
+	request atomic.Pointer[request] // nil: idle
+	answered atomic.Pointer[request] // the one answered last here
+	closed atomic.Bool          // it has ended; set before shot is taken for the last time
+	reused bool                 // an answer has come on it
 }
 
-func newLink(r *replay, conn net.Conn) *link {
-	return &link{r: r, conn: conn, in: bufio.NewReaderSize(conn, 4096)}
+func newConnection(r *replayer, conn net.Conn) *connection {
+	return &connection{replayer: r, conn: conn, input: bufio.NewReaderSize(conn, 4096)}
 }
 
-var filler = bytes.Repeat([]byte("x"), mostBody)
+var filler = bytes.Repeat([]byte("x"), maxBodyBytes)
 
-// fire writes an entry. Its answer is read by the connection's reader.
-func (l *link) fire(s *shot) {
-	body := filler[:min(s.BodyBytes, mostBody)]
-	out := l.out[:0]
-	if l.r.Faktory {
+// send writes an entry. Its answer is read by the connection's reader.
+func (l *connection) send(s *request) {
+	body := filler[:min(s.BodyBytes, maxBodyBytes)]
+	out := l.buffer[:0]
+	if l.replayer.Faktory {
 		text, _ := json.Marshal(map[string]any{ // strings and numbers always marshal
 			"jid": s.id, "queue": s.class, "jobtype": s.class, "args": []string{string(body)},
 			"custom": map[string]any{"key": strings.TrimPrefix(s.path, "/"+s.class+"/"), "time_left_ms": s.Timeout.Milliseconds(),
@@ -51,112 +51,112 @@
 		out = append(append(append(out, "PUSH "...), text...), "\r\n"...)
 	} else {
 		out = fmt.Appendf(out, "POST %s HTTP/1.1\r\nHost: %s\r\nX-Correlation-Id: %s\r\nX-Time-Left-Ms: %d\r\n"+
-			"X-Weight-Hint: %d\r\nContent-Length: %d\r\n", s.path, l.r.To, s.id, s.Timeout.Milliseconds(), s.Effort.Microseconds(), len(body))
+			"X-Weight-Hint: %d\r\nContent-Length: %d\r\n", s.path, l.replayer.Target, s.id, s.Timeout.Milliseconds(), s.Effort.Microseconds(), len(body))
 		if s.Slots != 1 {
 			out = append(strconv.AppendFloat(append(out, "X-Facts: slots="...), s.Slots, 'g', -1, 64), "\r\n"...)
 		}
 		out = append(append(out, "\r\n"...), body...)
 	}
-	l.out = out
-	l.conn.SetReadDeadline(time.Now().Add(s.Timeout + slack))
-	if !s.again {
-		s.sent = time.Since(l.r.start)
+	l.buffer = out
+	l.conn.SetReadDeadline(time.Now().Add(s.Timeout + deadlineSlack))
+	if !s.retried {
+		s.written = time.Since(l.replayer.start)
 	}
-	l.shot.Store(s)
-	if l.dead.Load() { // it ended since it was taken from the idle ones
-		if l.shot.CompareAndSwap(s, nil) {
-			l.resend(s)
+	l.request.Store(s)
+	if l.closed.Load() { // it ended since it was taken from the idle ones
+		if l.request.CompareAndSwap(s, nil) {
+			l.retry(s)
 		}
 		return
 	}
 	l.conn.Write(out) // where it fails, the reader is told too
 }
 
-// read takes answers until the connection ends.
-func (l *link) read() {
+// readAnswers takes answers until the connection ends.
+func (l *connection) readAnswers() {
 	defer l.conn.Close()
 	for {
-		_, err := l.in.Peek(1)
+		_, err := l.input.Peek(1)
 		if err != nil {
-			l.ended(err, false)
+			l.connectionEnded(err, false)
 			return
 		}
-		verdict, why, last, err := l.answer()
+		verdict, why, last, err := l.readAnswer()
 		if err != nil {
-			l.ended(err, true)
+			l.connectionEnded(err, true)
 			return
 		}
-		s := l.shot.Swap(nil)
+		s := l.request.Swap(nil)
 		if s == nil { // a second answer, to the entry answered last here
-			l.r.mu.Lock()
-			if was := l.last.Load(); was != nil {
-				was.tally.Twice++
+			l.replayer.mu.Lock()
+			if was := l.answered.Load(); was != nil {
+				was.tally.DuplicateAnswers++
 			} else {
-				l.r.result.Stray++
+				l.replayer.result.StrayAnswers++
 			}
-			l.r.mu.Unlock()
+			l.replayer.mu.Unlock()
 			continue
 		}
-		l.last.Store(s)
+		l.answered.Store(s)
 		l.conn.SetReadDeadline(time.Time{})
-		l.kept = true
-		l.r.over(s, verdict, why)
+		l.reused = true
+		l.replayer.complete(s, verdict, why)
 		if last {
-			l.conn.SetReadDeadline(time.Now().Add(settle)) // a second answer would still be seen
+			l.conn.SetReadDeadline(time.Now().Add(duplicateWindow)) // a second answer would still be seen
 			continue
 		}
-		l.r.rest(l)
+		l.replayer.release(l)
 	}
 }
 
-// ended books what an ended connection means. If it crossed an entry on a kept
+// connectionEnded books what an connectionEnded connection means. If it crossed an entry on a kept
 // connection, with nothing answered, the entry is sent once more, as clients do.
-func (l *link) ended(err error, partial bool) {
-	l.dead.Store(true)
-	l.r.forget(l)
-	s := l.shot.Swap(nil)
+func (l *connection) connectionEnded(err error, partial bool) {
+	l.closed.Store(true)
+	l.replayer.removeIdle(l)
+	s := l.request.Swap(nil)
 	if s == nil {
 		return
 	}
 	timeout := errors.Is(err, os.ErrDeadlineExceeded)
-	if l.kept && !s.again && !partial && !timeout {
-		l.resend(s)
+	if l.reused && !s.retried && !partial && !timeout {
+		l.retry(s)
 		return
 	}
 	switch {
 	case timeout:
-		l.r.over(s, Lost, "lost: no answer in time")
+		l.replayer.complete(s, Lost, "lost: no answer in time")
 	case partial:
-		l.r.over(s, Lost, "lost: an answer that cannot be read")
+		l.replayer.complete(s, Lost, "lost: an answer that cannot be read")
 	default:
-		l.r.over(s, Lost, "lost: the connection ended")
+		l.replayer.complete(s, Lost, "lost: the connection ended")
 	}
 }
 
-// resend sends an entry once more on a new connection, without waiting for it.
-func (l *link) resend(s *shot) {
-	s.again = true
-	l.r.mu.Lock()
-	s.tally.Resent++
-	l.r.mu.Unlock()
-	go l.r.open(s)
+// retry sends an entry once more on a new connection, without waiting for it.
+func (l *connection) retry(s *request) {
+	s.retried = true
+	l.replayer.mu.Lock()
+	s.tally.Retried++
+	l.replayer.mu.Unlock()
+	go l.replayer.sendOnNewConnection(s)
 }
 
-// answer reads one answer; last: the dispatcher ends the connection behind it.
-func (l *link) answer() (v Verdict, why string, last bool, err error) {
-	if l.r.Faktory {
-		line, err := l.line()
+// readAnswer reads one readAnswer; last: the dispatcher ends the connection behind it.
+func (l *connection) readAnswer() (v Outcome, why string, last bool, err error) {
+	if l.replayer.Faktory {
+		line, err := l.readLine()
 		switch {
 		case err != nil:
 			return 0, "", false, err
 		case strings.HasPrefix(line, "+OK"):
 			return Served, "", false, nil
 		case strings.HasPrefix(line, "-ERR REFUSED"):
-			return Refused, plain(line[5:]), false, nil
+			return Rejected, normalizeReason(line[5:]), false, nil
 		}
-		return Failed, plain(line), false, nil
+		return Failed, normalizeReason(line), false, nil
 	}
-	answer, err := http.ReadResponse(l.in, nil)
+	answer, err := http.ReadResponse(l.input, nil)
 	if err != nil {
 		return 0, "", false, err
 	}
@@ -169,15 +169,15 @@
 	case http.StatusOK:
 		v = Served
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		v, why = Refused, fmt.Sprintf("%d %s", answer.StatusCode, plain(string(text)))
+		v, why = Rejected, fmt.Sprintf("%d %s", answer.StatusCode, normalizeReason(string(text)))
 	default:
-		v, why = Failed, fmt.Sprintf("%d %s", answer.StatusCode, plain(string(text)))
+		v, why = Failed, fmt.Sprintf("%d %s", answer.StatusCode, normalizeReason(string(text)))
 	}
 	return v, why, answer.Close, nil
 }
 
-// plain takes figures out of a text, so that like reasons are counted together.
-func plain(text string) string {
+// normalizeReason takes figures out of a text, so that like reasons are counted together.
+func normalizeReason(text string) string {
 	text, _, _ = strings.Cut(text, "\n")
 	var out strings.Builder
 	digits := false
@@ -195,9 +195,9 @@
 	return out.String()
 }
 
-// line reads one line of the Faktory protocol; bulk strings come as their text.
-func (l *link) line() (string, error) {
-	raw, err := l.in.ReadSlice('\n')
+// readLine reads one readLine of the Faktory protocol; bulk strings come as their text.
+func (l *connection) readLine() (string, error) {
+	raw, err := l.input.ReadSlice('\n')
 	if err != nil {
 		return "", err
 	}
@@ -207,19 +207,19 @@
 	}
 	n, err := strconv.Atoi(line[1:])
 	if err != nil || n > 1<<20 {
-		return "", errGreeting
+		return "", errHandshake
 	}
 	if n < 0 {
 		return "", nil
 	}
 	text := make([]byte, n+2)
-	_, err = io.ReadFull(l.in, text)
+	_, err = io.ReadFull(l.input, text)
 	return string(text[:n]), err
 }
 
-// greet logs in as a producer.
-func (l *link) greet(password string) error {
-	line, err := l.line()
+// handshake logs in as a producer.
+func (l *connection) handshake(password string) error {
+	line, err := l.readLine()
 	if err != nil {
 		return err
 	}
@@ -230,7 +230,7 @@
 	}
 	text, ok := strings.CutPrefix(line, "+HI ")
 	if !ok || json.Unmarshal([]byte(text), &hi) != nil || hi.V != 2 || hi.Iterations > 100_000 {
-		return errGreeting
+		return errHandshake
 	}
 	hello := map[string]any{"hostname": "rehearsal", "v": 2}
 	if hi.Salt != "" {
@@ -244,8 +244,8 @@
 	if _, err := fmt.Fprintf(l.conn, "HELLO %s\r\n", raw); err != nil {
 		return err
 	}
-	if line, err = l.line(); err == nil && !strings.HasPrefix(line, "+OK") {
-		err = errors.New(plain(line))
+	if line, err = l.readLine(); err == nil && !strings.HasPrefix(line, "+OK") {
+		err = errors.New(normalizeReason(line))
 	}
 	return err
 }
--- a/internal/rehearsal/replay/replay.go
+++ b/internal/rehearsal/replay/replay.go
@@ -26,51 +26,51 @@
 
 // Options says where and how a recording is sent.
 type Options struct {
-	To       string  // host:port on a loopback address
+	Target       string  // host:port on a loopback address
 	Faktory  bool    // by the Faktory front; else by the platform's
 	Password string  // of the Faktory front
 	Seed     uint64  // of the ids; the same seed sends the same ids
 	Speed    float64 // of the time; default 1
 
-	// Wanted is how soon a class's answers are wanted, by its name; counted only.
-	Wanted map[string]time.Duration
-	// From are loopback addresses that connections are opened from, in turn; none: any.
-	From []netip.Addr
+	// LatencyObjectives is how soon a class's answers are wanted, by its name; counted only.
+	LatencyObjectives map[string]time.Duration
+	// LocalAddresses are loopback addresses that connections are opened from, in turn; none: any.
+	LocalAddresses []netip.Addr
 
-	// Proven tells at each send whether a job that must not run twice may be
+	// Verified tells at each send whether a job that must not run twice may be
 	// sent. nil: none is, and nothing overrides that.
-	Proven func() bool
-	// Announce is told of each job before it is sent; may be nil.
-	Announce func(id, class string, retryable bool, path string, e *recording.Entry)
-	// Progress is told how many entries are through; may be nil.
-	Progress func(n int)
+	Verified func() bool
+	// OnSend is told of each job before it is sent; may be nil.
+	OnSend func(id, class string, retryable bool, path string, e *recording.Entry)
+	// OnProgress is told how many entries are through; may be nil.
+	OnProgress func(n int)
 }
 
-// Verdict is what became of an entry that was sent.
-type Verdict uint8
+// Outcome is what became of an entry that was sent.
+type Outcome uint8
 
-// The verdicts. Lost: no final answer before the client gave up.
+// The outcomeCount. Lost: no final answer before the client gave up.
 const (
-	Served Verdict = iota
-	Refused
+	Served Outcome = iota
+	Rejected
 	Failed
 	Lost
 	Unsent
-	verdicts
+	outcomeCount
 )
 
 // Tally tells what became of the entries of a class.
 type Tally struct {
 	Sent     int `json:"sent"`
 	Served   int `json:"served"`
-	Refused  int `json:"refused"`
+	Rejected  int `json:"refused"`
 	Failed   int `json:"failed"`
 	Lost     int `json:"lost"`          // no final answer before the client gave up
-	Twice    int `json:"twice"`         // more than one answer
+	DuplicateAnswers    int `json:"twice"`         // more than one answer
 	Withheld int `json:"withheld"`      // may run once only, and no proof that a stand-in would get it
 	Unsent   int `json:"unsent"`        // no connection could be had
-	Wanted   int `json:"within_wanted"` // served within Options.Wanted of the intended moment
-	Resent   int `json:"resent"`        // once more on a new connection, as the kept one was closing
+	WithinObjective   int `json:"within_wanted"` // served within Options.Wanted of the intended moment
+	Retried   int `json:"resent"`        // once more on a new connection, as the kept one was closing
 
 	// Latency of the served, µs: from the intended moment, and from the actual one.
 	Intended Quantiles `json:"latency_us"`
@@ -97,7 +97,7 @@
 	Recorded int   `json:"recorded"` // arrivals that the recording has in it, without those withheld
 	Replayed int   `json:"replayed"` // that were sent in it
 	Served   int   `json:"served"`   // by when the answer came
-	Refused  int   `json:"refused"`
+	Rejected  int   `json:"refused"`
 	Failed   int   `json:"failed"`
 	Lost     int   `json:"lost"`
 	P99Us    int64 `json:"p99_us"` // of the served that were due in it
@@ -110,27 +110,27 @@
 	Classes  map[string]*Tally `json:"classes"`
 	Fidelity Fidelity          `json:"fidelity"`
 	Seconds  []*Second         `json:"seconds"`
-	Refusals map[string]int    `json:"refusals"` // what was refused, by the dispatcher's words
+	Rejections map[string]int    `json:"refusals"` // what was refused, by the dispatcher's words
 	Failures map[string]int    `json:"failures"`
-	Stray    int               `json:"stray"`  // answers to nothing at all
-	Booked   string            `json:"booked"` // a hash of the set of ids that were sent
-	Span     float64           `json:"span_s"`
+	StrayAnswers    int               `json:"stray"`  // answers to nothing at all
+	IDsHash   string            `json:"booked"` // a hash of the set of ids that were sent
+	SpanSeconds     float64           `json:"span_s"`
 
 	ServedIDs []string `json:"-"`
 }
 
-// Broken tells whether a rule was broken: each entry sent has one final answer, in time.
-func (r *Result) Broken() bool {
+// Violated tells whether a rule was broken: each entry sent has one final answer, in time.
+func (r *Result) Violated() bool {
 	for _, t := range r.Classes {
-		if t.Lost > 0 || t.Twice > 0 {
+		if t.Lost > 0 || t.DuplicateAnswers > 0 {
 			return true
 		}
 	}
-	return r.Stray > 0
+	return r.StrayAnswers > 0
 }
 
-// Count adds up over the classes.
-func (r *Result) Count(of func(*Tally) int) (n int) {
+// Sum adds up over the classes.
+func (r *Result) Sum(of func(*Tally) int) (n int) {
 	for _, t := range r.Classes {
 		n += of(t)
 	}
@@ -138,50 +138,50 @@
 }
 
 const (
-	slack     = 50 * time.Millisecond // that every time limit is longer on sockets
-	dialTime  = 2 * time.Second
-	ahead     = 4096 // entries that are read before their time
-	mostBody  = 60 << 10
-	mostIdle  = 4096
-	coldStart = 300 * time.Millisecond // before the first entry, for the first connections
-	warm      = 48                     // connections that are opened before it
-	settle    = 200 * time.Millisecond // in which a second answer would still be seen
-	mostWords = 32
+	deadlineSlack     = 50 * time.Millisecond // that every time limit is longer on sockets
+	dialTimeout  = 2 * time.Second
+	readAhead     = 4096 // entries that are read before their time
+	maxBodyBytes  = 60 << 10
+	maxIdleConnections  = 4096
+	startDelay = 300 * time.Millisecond // before the first entry, for the first connections
+	warmConnections      = 48                     // connections that are opened before it
+	duplicateWindow    = 200 * time.Millisecond // in which a second answer would still be seen
+	maxReasons = 32
 )
 
-// shot is an entry on its way.
-type shot struct {
+// request is an entry on its way.
+type request struct {
 	recording.Entry
 	id     string
 	path   string
 	class  string
 	tally  *Tally
 	due    time.Duration // since the start
-	fired  time.Duration // when its turn came: it was written then, or a connection was begun for it
-	sent   time.Duration // when it was written
-	again  bool
-	ending atomic.Bool // it has its fate
+	dispatched  time.Duration // when its turn came: it was written then, or a connection was begun for it
+	written   time.Duration // when it was written
+	retried  bool
+	completed atomic.Bool // it has its fate
 }
 
-type replay struct {
+type replayer struct {
 	Options
 	start  time.Time
 	opened atomic.Int64 // connections
 
 	mu     sync.Mutex // idle, and all that is booked
-	idle   []*link
+	idle   []*connection
 	result *Result
 	series *series
-	ids    uint64
-	left   sync.WaitGroup
-	done   int
+	idsHash    uint64
+	inFlight   sync.WaitGroup
+	completedCount   int
 }
 
 // Run sends a recording and returns what became of it. It takes as long as the
 // recording, and the longest wait of its last clients. A canceled context ends
 // the sending.
 func Run(ctx context.Context, r *recording.Reader, o Options) (*Result, error) {
-	if err := Loopback(o.To); err != nil {
+	if err := CheckLoopback(o.Target); err != nil {
 		return nil, err
 	}
 	if o.Speed == 0 {
@@ -190,12 +190,12 @@
 	if !(o.Speed >= 0.001 && o.Speed <= 1000) {
 		return nil, fmt.Errorf("speed: %g is not between 0.001 and 1000", o.Speed)
 	}
-	p := &replay{Options: o, series: newSeries()}
-	p.result = &Result{Classes: map[string]*Tally{}, Refusals: map[string]int{}, Failures: map[string]int{}}
+	p := &replayer{Options: o, series: newSeries()}
+	p.result = &Result{Classes: map[string]*Tally{}, Rejections: map[string]int{}, Failures: map[string]int{}}
 	for _, c := range r.Header.Classes {
 		p.result.Classes[c.Name] = &Tally{intended: hdrhistogram.New(1, 3_600_000_000, 3), actual: hdrhistogram.New(1, 3_600_000_000, 3)}
 	}
-	shots := make(chan *shot, ahead)
+	shots := make(chan *request, readAhead)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var readErr error
@@ -204,7 +204,7 @@
 		n := 0
 		readErr = r.ForEach(func(e *recording.Entry) error {
 			class := r.Header.Classes[e.Class]
-			s := &shot{Entry: *e, class: class.Name, tally: p.result.Classes[class.Name], due: time.Duration(float64(e.Arrival) / o.Speed)}
+			s := &request{Entry: *e, class: class.Name, tally: p.result.Classes[class.Name], due: time.Duration(float64(e.Arrival) / o.Speed)}
 			s.id = ID(o.Seed, n)
 			if s.path = "/" + class.Name; e.Key != 0 {
 				s.path += "/" + e.KeyText()
@@ -218,16 +218,16 @@
 			}
 		})
 	}()
-	p.warm()
-	p.start = time.Now().Add(coldStart)
-	p.send(shots, func(s *shot) bool { return r.Header.Classes[s.Class].Retryable })
+	p.openWarmConnections()
+	p.start = time.Now().Add(startDelay)
+	p.send(shots, func(s *request) bool { return r.Header.Classes[s.Class].Retryable })
 	cancelled := readErr != nil && errors.Is(readErr, context.Canceled)
 	if readErr != nil && !cancelled {
-		p.left.Wait()
+		p.inFlight.Wait()
 		return nil, readErr
 	}
-	p.left.Wait()
-	time.Sleep(settle)
+	p.inFlight.Wait()
+	time.Sleep(duplicateWindow)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, l := range p.idle {
@@ -245,8 +245,8 @@
 	return fmt.Sprintf("%016x", xxhash.Sum64String(fmt.Sprintf("hollyyoke rehearsal %d %d", seed, n)))
 }
 
-// Loopback checks that an address is a loopback one.
-func Loopback(addr string) error {
+// CheckLoopback checks that an address is a loopback one.
+func CheckLoopback(addr string) error {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
 		return fmt.Errorf("%q is no host:port", addr)
@@ -258,7 +258,7 @@
 }
 
 // send is the one sender: it waits for each entry's moment and for nothing else.
-func (p *replay) send(shots <-chan *shot, retryable func(*shot) bool) {
+func (p *replayer) send(shots <-chan *request, retryable func(*request) bool) {
 	// The sender must run when its time has come, whatever else this process has to
 	// do: it finds a processor of the run time's free, and where the system lets us,
 	// it goes before other threads.
@@ -270,30 +270,30 @@
 	}
 	for s := range shots {
 		sleepUntil(p.start.Add(s.due))
-		s.fired = time.Since(p.start)
+		s.dispatched = time.Since(p.start)
 		may := retryable(s)
-		if !may && (p.Proven == nil || !p.Proven()) {
+		if !may && (p.Verified == nil || !p.Verified()) {
 			p.mu.Lock()
 			s.tally.Withheld++
 			p.mu.Unlock()
 			continue
 		}
-		if p.Announce != nil {
-			p.Announce(s.id, s.class, may, s.path, &s.Entry)
+		if p.OnSend != nil {
+			p.OnSend(s.id, s.class, may, s.path, &s.Entry)
 		}
 		p.mu.Lock()
 		s.tally.Sent++
-		p.ids ^= xxhash.Sum64String(s.id)
-		var l *link
+		p.idsHash ^= xxhash.Sum64String(s.id)
+		var l *connection
 		if n := len(p.idle); n > 0 {
 			l, p.idle = p.idle[n-1], p.idle[:n-1]
 		}
 		p.mu.Unlock()
-		p.left.Add(1)
+		p.inFlight.Add(1)
 		if l != nil {
-			l.fire(s)
+			l.send(s)
 		} else {
-			go p.open(s)
+			go p.sendOnNewConnection(s)
 		}
 	}
 }
@@ -316,35 +316,35 @@
 	}
 }
 
-// warm opens some connections before the first entry.
-func (p *replay) warm() {
+// openWarmConnections opens some connections before the first entry.
+func (p *replayer) openWarmConnections() {
 	var open sync.WaitGroup
-	for range warm {
+	for range warmConnections {
 		open.Add(1)
 		go func() {
 			defer open.Done()
 			if l, err := p.dial(); err == nil {
-				p.rest(l)
-				go l.read()
+				p.release(l)
+				go l.readAnswers()
 			}
 		}()
 	}
 	open.Wait()
 }
 
-func (p *replay) dial() (*link, error) {
-	d := net.Dialer{Timeout: dialTime}
-	if n := len(p.From); n > 0 {
-		d.LocalAddr = &net.TCPAddr{IP: p.From[int(p.opened.Add(1))%n].AsSlice()}
+func (p *replayer) dial() (*connection, error) {
+	d := net.Dialer{Timeout: dialTimeout}
+	if n := len(p.LocalAddresses); n > 0 {
+		d.LocalAddr = &net.TCPAddr{IP: p.LocalAddresses[int(p.opened.Add(1))%n].AsSlice()}
 	}
-	conn, err := d.Dial("tcp", p.To)
+	conn, err := d.Dial("tcp", p.Target)
 	if err != nil {
 		return nil, err
 	}
-	l := newLink(p, conn)
+	l := newConnection(p, conn)
 	if p.Faktory {
-		conn.SetDeadline(time.Now().Add(dialTime))
-		if err := l.greet(p.Password); err != nil {
+		conn.SetDeadline(time.Now().Add(dialTimeout))
+		if err := l.handshake(p.Password); err != nil {
 			conn.Close()
 			return nil, err
 		}
@@ -353,33 +353,33 @@
 	return l, nil
 }
 
-// open sends on a new connection.
-func (p *replay) open(s *shot) {
+// sendOnNewConnection sends on a new connection.
+func (p *replayer) sendOnNewConnection(s *request) {
 	l, err := p.dial()
 	if err != nil {
 		p.mu.Lock()
 		s.tally.Sent--
-		p.ids ^= xxhash.Sum64String(s.id)
+		p.idsHash ^= xxhash.Sum64String(s.id)
 		p.mu.Unlock()
-		p.over(s, Unsent, err.Error())
+		p.complete(s, Unsent, err.Error())
 		return
 	}
-	l.fire(s)
-	go l.read()
+	l.send(s)
+	go l.readAnswers()
 }
 
-func (p *replay) rest(l *link) {
+func (p *replayer) release(l *connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle) >= mostIdle {
+	if len(p.idle) >= maxIdleConnections {
 		l.conn.Close()
 		return
 	}
 	p.idle = append(p.idle, l)
 }
 
-// forget takes a connection that has ended out of the idle ones.
-func (p *replay) forget(l *link) {
+// removeIdle takes a connection that has ended out of the idle ones.
+func (p *replayer) removeIdle(l *connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for i, other := range p.idle {
@@ -390,9 +390,9 @@
 	}
 }
 
-// over books an entry's fate, once.
-func (p *replay) over(s *shot, v Verdict, why string) {
-	if s.ending.Swap(true) {
+// complete books an entry's fate, once.
+func (p *replayer) complete(s *request, v Outcome, why string) {
+	if s.completed.Swap(true) {
 		return
 	}
 	now := time.Since(p.start)
@@ -403,63 +403,63 @@
 	case Served:
 		t.Served++
 		second.Served++
-		if w := p.Wanted[s.class]; w == 0 || now-s.due <= w {
-			t.Wanted++
+		if w := p.LatencyObjectives[s.class]; w == 0 || now-s.due <= w {
+			t.WithinObjective++
 		}
 		t.intended.RecordValue(max((now - s.due).Microseconds(), 1))
-		t.actual.RecordValue(max((now - s.sent).Microseconds(), 1))
+		t.actual.RecordValue(max((now - s.written).Microseconds(), 1))
 		due := p.series.second(s.due)
 		due.latency = append(due.latency, (now - s.due).Microseconds())
 		p.result.ServedIDs = append(p.result.ServedIDs, s.id)
-	case Refused:
-		t.Refused++
-		second.Refused++
-		word(p.result.Refusals, s.class+": "+why)
+	case Rejected:
+		t.Rejected++
+		second.Rejected++
+		countReason(p.result.Rejections, s.class+": "+why)
 	case Failed:
 		t.Failed++
 		second.Failed++
-		word(p.result.Failures, s.class+": "+why)
+		countReason(p.result.Failures, s.class+": "+why)
 	case Lost:
 		t.Lost++
 		second.Lost++
-		word(p.result.Failures, s.class+": "+why)
+		countReason(p.result.Failures, s.class+": "+why)
 	case Unsent:
 		t.Unsent++
-		word(p.result.Failures, s.class+": not sent")
+		countReason(p.result.Failures, s.class+": not sent")
 	}
 	if v != Unsent {
-		p.series.wrote(s.due, s.sent)
+		p.series.addWritten(s.due, s.written)
 	}
-	p.series.add(s.due, s.fired)
-	p.done++
-	n := p.done
+	p.series.add(s.due, s.dispatched)
+	p.completedCount++
+	n := p.completedCount
 	p.mu.Unlock()
-	if p.Progress != nil {
-		p.Progress(n)
+	if p.OnProgress != nil {
+		p.OnProgress(n)
 	}
-	p.left.Done()
+	p.inFlight.Done()
 }
 
-// word counts a reason; there are only so many.
-func word(words map[string]int, text string) {
+// countReason counts a reason; there are only so many.
+func countReason(words map[string]int, text string) {
 	text, _, _ = strings.Cut(strings.TrimSpace(text), "\n")
 	if len(text) > 120 {
 		text = text[:120]
 	}
-	if _, ok := words[text]; !ok && len(words) >= mostWords {
+	if _, ok := words[text]; !ok && len(words) >= maxReasons {
 		text = "others"
 	}
 	words[text]++
 }
 
-func (p *replay) finish() {
+func (p *replayer) finish() {
 	r := p.result
 	for _, t := range r.Classes {
 		t.Intended, t.Actual = quantiles(t.intended), quantiles(t.actual)
 	}
-	r.Booked = fmt.Sprintf("%016x", p.ids)
+	r.IDsHash = fmt.Sprintf("%016x", p.idsHash)
 	r.Seconds = p.series.finish(&r.Fidelity)
-	r.Span = float64(len(r.Seconds))
+	r.SpanSeconds = float64(len(r.Seconds))
 }
 
-var errGreeting = errors.New("the greeting is none")
+var errHandshake = errors.New("the greeting is none")
--- a/internal/rehearsal/replay/replay_test.go
+++ b/internal/rehearsal/replay/replay_test.go
@@ -17,8 +17,8 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/recording/recordingpb"
 )
 
-// file is a recording of entries so far apart.
-func file(t *testing.T, n int, apart time.Duration) *recording.Reader {
+// testRecording is a recording of entries so far apart.
+func testRecording(t *testing.T, n int, apart time.Duration) *recording.Reader {
 	t.Helper()
 	var out bytes.Buffer
 	w, err := recording.NewWriter(&out, &recordingpb.Header{Version: recording.Version,
@@ -45,7 +45,7 @@
 // A stall of the other side does not slow the sending down, and what should
 // have been answered during the stall shows in the latency: of requests that
 // come evenly, those within the stall wait for what is left of it.
-func TestStallIsInTheTail(t *testing.T) {
+func TestStallShowsInLatency(t *testing.T) {
 	const n, apart, stall = 400, 5 * time.Millisecond, 600 * time.Millisecond
 	var once sync.Once
 	var until time.Time
@@ -61,12 +61,12 @@
 		}
 	}))
 	defer srv.Close()
-	r, err := Run(context.Background(), file(t, n, apart), Options{To: strings.TrimPrefix(srv.URL, "http://"), Proven: func() bool { return true }})
+	r, err := Run(context.Background(), testRecording(t, n, apart), Options{Target: strings.TrimPrefix(srv.URL, "http://"), Verified: func() bool { return true }})
 	if err != nil {
 		t.Fatal(err)
 	}
-	served := r.Count(func(t *Tally) int { return t.Served })
-	if served != n || r.Broken() {
+	served := r.Sum(func(t *Tally) int { return t.Served })
+	if served != n || r.Violated() {
 		t.Fatalf("%d of %d served: %+v", served, n, r)
 	}
 	// 120 of 400 arrive in the stall; the wait of the k-th is stall - k*apart.
@@ -86,23 +86,23 @@
 }
 
 // Without a proof nothing that must run once is sent; when it fails midway, nothing more.
-func TestWithheld(t *testing.T) {
+func TestWithholdsUnverified(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, in *http.Request) { io.Copy(io.Discard, in.Body) }))
 	defer srv.Close()
 	to := strings.TrimPrefix(srv.URL, "http://")
-	r, err := Run(context.Background(), file(t, 40, time.Millisecond), Options{To: to})
+	r, err := Run(context.Background(), testRecording(t, 40, time.Millisecond), Options{Target: to})
 	if c := r.Classes["renewal"]; err != nil || c.Sent != 0 || c.Withheld != 20 || r.Classes["status-check"].Served != 20 {
 		t.Errorf("%v %+v", err, c)
 	}
 	asked := 0
-	r, err = Run(context.Background(), file(t, 40, time.Millisecond), Options{To: to, Proven: func() bool { asked++; return asked <= 7 }})
+	r, err = Run(context.Background(), testRecording(t, 40, time.Millisecond), Options{Target: to, Verified: func() bool { asked++; return asked <= 7 }})
 	if c := r.Classes["renewal"]; err != nil || c.Sent != 7 || c.Withheld != 13 || r.Fidelity.Compared != 27 {
 		t.Errorf("%v %+v", err, c)
 	}
 }
 
 // A kept connection that closes under a request: it is sent once more, not twice.
-func TestResentOnce(t *testing.T) {
+func TestRetriesOnce(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -125,19 +125,19 @@
 			}()
 		}
 	}()
-	r, err := Run(context.Background(), file(t, 300, 2*time.Millisecond), Options{To: ln.Addr().String()})
+	r, err := Run(context.Background(), testRecording(t, 300, 2*time.Millisecond), Options{Target: ln.Addr().String()})
 	c := r.Classes["status-check"]
-	if err != nil || c.Served != 150 || c.Lost != 0 || c.Resent == 0 {
+	if err != nil || c.Served != 150 || c.Lost != 0 || c.Retried == 0 {
 		t.Errorf("%v %+v", err, c)
 	}
 }
 
-func TestDistance(t *testing.T) {
+func TestKolmogorovSmirnov(t *testing.T) {
 	for _, c := range []struct {
 		a, b []int64
 		want float64
 	}{{[]int64{1, 2, 3, 4}, []int64{1, 2, 3, 4}, 0}, {[]int64{1, 2}, []int64{3, 4}, 1}, {[]int64{1, 1, 2, 2}, []int64{1, 2, 2, 2}, 0.25}, {nil, nil, 0}} {
-		if got := distance(c.a, c.b); math.Abs(got-c.want) > 1e-9 {
+		if got := kolmogorovSmirnov(c.a, c.b); math.Abs(got-c.want) > 1e-9 {
 			t.Errorf("%v %v: %g, want %g", c.a, c.b, got, c.want)
 		}
 	}
@@ -152,7 +152,7 @@
 	}
 	var f Fidelity
 	s.finish(&f)
-	if f.LateMax < 499_000 || f.LateP50 > 10 || f.KS < 0.004 || f.MaxSecondError < 0.04 {
+	if f.LatenessMax < 499_000 || f.LatenessP50 > 10 || f.KS < 0.004 || f.MaxSecondError < 0.04 {
 		t.Errorf("%+v", f)
 	}
 }
--- /dev/null
+++ b/internal/rehearsal/report/page.go
@@ -0,0 +1,56 @@
+package report
+
+import (
+	_ "embed"
+	"fmt"
+	"html/template"
+	"io"
+
+	"gonum.org/v1/plot"
+)
+
+//go:embed page.html
+var pageText string
+
+var page = template.Must(template.New("page").Funcs(template.FuncMap{
+	"ms": func(microseconds int64) string { return fmt.Sprintf("%.1f", milliseconds(microseconds)) },
+	"pc": func(share float64) string { return fmt.Sprintf("%.2f %%", 100*share) },
+}).Parse(pageText))
+
+// pageData is what page.html shows.
+type pageData struct {
+	R      *Report
+	Charts []pageChart
+}
+
+// pageChart is a chart with its heading.
+type pageChart struct {
+	Title   string
+	Caption string
+	SVG     template.HTML
+}
+
+// WriteHTML writes the report as one file that needs no other.
+func (r *Report) WriteHTML(w io.Writer) error {
+	data := pageData{R: r}
+	for _, chart := range []struct {
+		title   string
+		caption string
+		draw    func() (*plot.Plot, error)
+	}{
+		{"Arrivals", "Requests in each second: as recorded, and as they were sent.", r.arrivalsChart},
+		{"Waiting", "How long those served waited, from the moment at which the recording has them arrive.", r.latencyChart},
+		{"Outcomes", "Final answers in each second.", r.outcomesChart},
+	} {
+		drawn, err := chart.draw()
+		if err != nil {
+			return fmt.Errorf("chart %s: %w", chart.title, err)
+		}
+		svg, err := renderSVG(drawn)
+		if err != nil {
+			return fmt.Errorf("chart %s: %w", chart.title, err)
+		}
+		data.Charts = append(data.Charts, pageChart{Title: chart.title, Caption: chart.caption, SVG: svg})
+	}
+	return page.Execute(w, data)
+}
--- a/internal/rehearsal/standin/books.go
+++ b/internal/rehearsal/standin/books.go
@@ -18,8 +18,8 @@
 	Class     string
 	Retryable bool
 	Path      string        // as sent; it must pass through unchanged
-	Body      int           // bytes
-	Service   time.Duration // how long it takes at speed 1
+	BodyBytes      int           // bytes
+	ServiceTime   time.Duration // how long it takes at speed 1
 	Slots     float64
 }
 
@@ -28,87 +28,87 @@
 	Worker string
 	Start  time.Time
 	End    time.Time
-	Done   bool // it ran to its end; else it was killed or is under way
+	Completed   bool // it ran to its end; else it was killed or is under way
 }
 
-// Books hold every job announced and every run of it. All methods may be
+// Ledger hold every job announced and every run of it. All methods may be
 // called at once from anywhere. The zero value is ready.
-type Books struct {
+type Ledger struct {
 	mu   sync.Mutex
-	jobs map[string]*page
-	odd  []string // what came that nobody announced, or changed on the way
+	jobs map[string]*jobRecord
+	unexpected  []string // what came that nobody announced, or changed on the way
 	more int
 }
 
-type page struct {
+type jobRecord struct {
 	Job
 	runs    []Execution
 	arrived int
 	live    int
-	most    int // runs at once
+	maxConcurrent    int // runs at once
 }
 
 // Announce tells of a job that will be sent. It reports false if the id is taken.
-func (b *Books) Announce(j Job) bool {
+func (b *Ledger) Announce(j Job) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.jobs == nil {
-		b.jobs = map[string]*page{}
+		b.jobs = map[string]*jobRecord{}
 	}
 	if b.jobs[j.ID] != nil {
 		return false
 	}
-	b.jobs[j.ID] = &page{Job: j}
+	b.jobs[j.ID] = &jobRecord{Job: j}
 	return true
 }
 
-const mostOdd = 100
+const maxUnexpected = 100
 
-func (b *Books) oddity(text string) {
-	if len(b.odd) < mostOdd {
-		b.odd = append(b.odd, text)
+func (b *Ledger) recordUnexpected(text string) {
+	if len(b.unexpected) < maxUnexpected {
+		b.unexpected = append(b.unexpected, text)
 	} else {
 		b.more++
 	}
 }
 
-// arrive looks a job up for a worker that has got it whole.
-func (b *Books) arrive(id, path string, body int) (Job, bool) {
+// accept looks a job up for a worker that has got it whole.
+func (b *Ledger) accept(id, path string, body int) (Job, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := b.jobs[id]
 	switch {
 	case p == nil:
-		b.oddity("id " + id + " was never announced")
+		b.recordUnexpected("id " + id + " was never announced")
 		return Job{}, false
-	case p.Path != "" && (p.Path != path || p.Body != body):
-		b.oddity("id " + id + " was changed on the way")
+	case p.Path != "" && (p.Path != path || p.BodyBytes != body):
+		b.recordUnexpected("id " + id + " was changed on the way")
 		return Job{}, false
 	}
 	p.arrived++
 	return p.Job, true
 }
 
-func (b *Books) start(id, worker string, at time.Time) int {
+func (b *Ledger) startRun(id, worker string, at time.Time) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := b.jobs[id]
 	p.runs = append(p.runs, Execution{Worker: worker, Start: at})
 	p.live++
-	p.most = max(p.most, p.live)
+	p.maxConcurrent = max(p.maxConcurrent, p.live)
 	return len(p.runs) - 1
 }
 
-func (b *Books) end(id string, run int, at time.Time, done bool) {
+func (b *Ledger) endRun(id string, run int, at time.Time, done bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := b.jobs[id]
 	p.live--
-	p.runs[run].End, p.runs[run].Done = at, done
+	p.runs[run].End, p.runs[run].Completed = at, done
 }
 
 // Runs tells how often a job was started and how often it ran to its end.
-func (b *Books) Runs(id string) (started, done int) {
+func (b *Ledger) Runs(id string) (started, done int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := b.jobs[id]
@@ -116,7 +116,7 @@
 		return 0, 0
 	}
 	for _, r := range p.runs {
-		if r.Done {
+		if r.Completed {
 			done++
 		}
 	}
@@ -127,17 +127,17 @@
 type Findings struct {
 	Announced int            `json:"announced"`
 	Executed  int            `json:"executed"`  // jobs that ran, once or more
-	RanTwice  []string       `json:"ran_twice"` // ids of jobs that must not, and did
-	Repeated  int            `json:"repeated"`  // jobs that may, and did
-	Unknown   []string       `json:"unknown"`   // what came and was not announced so
+	Duplicated  []string       `json:"ran_twice"` // ids of jobs that must not, and did
+	Retried  int            `json:"repeated"`  // jobs that may, and did
+	Unexpected   []string       `json:"unknown"`   // what came and was not announced so
 	ByWorker  map[string]int `json:"by_worker"`
 }
 
 // Check reads the books.
-func (b *Books) Check() Findings {
+func (b *Ledger) Check() Findings {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	f := Findings{Announced: len(b.jobs), RanTwice: []string{}, Unknown: slices.Clone(b.odd), ByWorker: map[string]int{}}
+	f := Findings{Announced: len(b.jobs), Duplicated: []string{}, Unexpected: slices.Clone(b.unexpected), ByWorker: map[string]int{}}
 	for id, p := range b.jobs {
 		for _, r := range p.runs {
 			f.ByWorker[r.Worker]++
@@ -147,18 +147,18 @@
 		}
 		if len(p.runs) > 1 {
 			if p.Retryable {
-				f.Repeated++
+				f.Retried++
 			} else {
-				f.RanTwice = append(f.RanTwice, id)
+				f.Duplicated = append(f.Duplicated, id)
 			}
 		}
 	}
-	slices.Sort(f.RanTwice)
+	slices.Sort(f.Duplicated)
 	return f
 }
 
-// Ran lists the ids of all jobs that ran, in order.
-func (b *Books) Ran() (ids []string) {
+// ExecutedIDs lists the ids of all jobs that ran, in order.
+func (b *Ledger) ExecutedIDs() (ids []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for id, p := range b.jobs {
--- a/internal/rehearsal/standin/discovery.go
+++ b/internal/rehearsal/standin/discovery.go
@@ -25,8 +25,8 @@
 }
 
 type listing struct {
-	Seq   int64  `json:"seq"`
-	Whole bool   `json:"whole"`
+	Version   int64  `json:"seq"`
+	Complete bool   `json:"whole"`
 	Hosts []Host `json:"hosts"`
 }
 
@@ -34,26 +34,26 @@
 type Discovery struct {
 	Addr string
 
-	call   time.Duration // what a call costs
-	most   time.Duration // how long it waits for its turn
-	turn   chan struct{}
+	callTime   time.Duration // what a call costs
+	maxCallWait   time.Duration // how long it waits for its turn
+	callSlot   chan struct{}
 	server *http.Server
-	before func() // called before a change is told
+	beforeChange func() // called before a change is told
 
 	mu      sync.Mutex
-	seq     int64
+	version     int64
 	hosts   map[string]Host
 	order   []string
 	changes map[string]int64 // by host, the version that changed it last
 	gone    map[string]Host
-	told    chan struct{} // closed at each change
+	changed    chan struct{} // closed at each change
 	down    bool
 }
 
 const (
-	signOfLife = 2 * time.Second
-	callTime   = 2 * time.Millisecond
-	callWait   = 2 * time.Second
+	heartbeatInterval = 2 * time.Second
+	defaultCallTime   = 2 * time.Millisecond
+	defaultMaxCallWait   = 2 * time.Second
 )
 
 // StartDiscovery starts an empty one on a loopback port that the kernel
@@ -63,9 +63,9 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &Discovery{Addr: ln.Addr().String(), call: callTime, most: callWait, turn: make(chan struct{}, 1), before: before,
-		hosts: map[string]Host{}, changes: map[string]int64{}, gone: map[string]Host{}, told: make(chan struct{})}
-	d.server = quiet(d)
+	d := &Discovery{Addr: ln.Addr().String(), callTime: defaultCallTime, maxCallWait: defaultMaxCallWait, callSlot: make(chan struct{}, 1), beforeChange: before,
+		hosts: map[string]Host{}, changes: map[string]int64{}, gone: map[string]Host{}, changed: make(chan struct{})}
+	d.server = newServer(d)
 	go d.server.Serve(ln)
 	return d, nil
 }
@@ -73,28 +73,28 @@
 // Close ends it: watches end and new calls are refused.
 func (d *Discovery) Close() error { return d.server.Close() }
 
-// Down makes calls fail and ends watches, until it is up again.
-func (d *Discovery) Down(down bool) {
+// SetDown makes calls fail and ends watches, until it is up again.
+func (d *Discovery) SetDown(down bool) {
 	d.mu.Lock()
 	d.down = down
-	close(d.told)
-	d.told = make(chan struct{})
+	close(d.changed)
+	d.changed = make(chan struct{})
 	d.mu.Unlock()
 }
 
 // Set lists a worker, or changes how it is listed; health "gone" takes it out.
 func (d *Discovery) Set(hosts ...Host) {
-	if d.before != nil {
-		d.before()
+	if d.beforeChange != nil {
+		d.beforeChange()
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.seq++
+	d.version++
 	for _, h := range hosts {
 		if h.Share == 0 {
 			h.Share = 1
 		}
-		if d.changes[h.Host] = d.seq; h.Health == "gone" {
+		if d.changes[h.Host] = d.version; h.Health == "gone" {
 			delete(d.hosts, h.Host)
 			d.gone[h.Host] = h
 			continue
@@ -105,19 +105,19 @@
 		delete(d.gone, h.Host)
 		d.hosts[h.Host] = h
 	}
-	close(d.told)
-	d.told = make(chan struct{})
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
 // List is the list as it is told now.
 func (d *Discovery) List() []Host {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.whole().Hosts
+	return d.complete().Hosts
 }
 
-func (d *Discovery) whole() listing {
-	l := listing{Seq: d.seq, Whole: true, Hosts: []Host{}}
+func (d *Discovery) complete() listing {
+	l := listing{Version: d.version, Complete: true, Hosts: []Host{}}
 	seen := map[string]bool{}
 	for _, name := range d.order {
 		if h, ok := d.hosts[name]; ok && !seen[name] {
@@ -130,9 +130,9 @@
 
 func (d *Discovery) since(after int64) listing {
 	if after <= 0 {
-		return d.whole()
+		return d.complete()
 	}
-	l := listing{Seq: d.seq, Hosts: []Host{}}
+	l := listing{Version: d.version, Hosts: []Host{}}
 	for name, seq := range d.changes {
 		if seq <= after {
 			continue
@@ -151,20 +151,20 @@
 		http.NotFound(out, in)
 		return
 	}
-	wait := time.NewTimer(d.most)
+	wait := time.NewTimer(d.maxCallWait)
 	defer wait.Stop()
 	select { // calls are handled in turn
-	case d.turn <- struct{}{}:
+	case d.callSlot <- struct{}{}:
 	case <-wait.C:
 		http.Error(out, "busy", http.StatusServiceUnavailable)
 		return
 	case <-in.Context().Done():
 		return
 	}
-	time.Sleep(d.call)
-	<-d.turn
+	time.Sleep(d.callTime)
+	<-d.callSlot
 	d.mu.Lock()
-	down, all := d.down, d.whole()
+	down, all := d.down, d.complete()
 	d.mu.Unlock()
 	if down {
 		http.Error(out, "down", http.StatusServiceUnavailable)
@@ -182,20 +182,20 @@
 
 func (d *Discovery) watch(out http.ResponseWriter, in *http.Request, after int64) {
 	flush := out.(http.Flusher).Flush
-	life := time.NewTicker(signOfLife)
+	life := time.NewTicker(heartbeatInterval)
 	defer life.Stop()
 	for first := true; ; first = false {
 		d.mu.Lock()
-		l, told, down := d.since(after), d.told, d.down
+		l, told, down := d.since(after), d.changed, d.down
 		d.mu.Unlock()
 		if down {
 			return
 		}
-		if first || l.Seq > after {
+		if first || l.Version > after {
 			text, _ := json.Marshal(l)
 			out.Write(append(text, '\n'))
 			flush()
-			after = l.Seq
+			after = l.Version
 		}
 		select {
 		case <-told:
--- a/internal/rehearsal/standin/fleet.go
+++ b/internal/rehearsal/standin/fleet.go
@@ -28,7 +28,7 @@
 type ClassConfig struct {
 	Name      string
 	Retryable bool
-	Left      time.Duration // the longest that a client of it waits
+	Timeout      time.Duration // the longest that a client of it waits
 }
 
 // FleetConfig says what surroundings to start.
@@ -40,7 +40,7 @@
 	Cores   float64
 	Seed    uint64
 	Faktory bool // start the Faktory front too
-	Sockets int  // descriptors that the daemon is told it has; default 4096
+	Descriptors int  // descriptors that the daemon is told it has; default 4096
 	Noise   float64
 
 	Operator string // the daemon's operator file; empty: none
@@ -49,14 +49,14 @@
 // Fleet is what runs.
 type Fleet struct {
 	FleetConfig
-	Books     Books
+	Ledger     Ledger
 	Gate      Gate
 	Discovery *Discovery
 	Workers   []*Worker
 	Addr      string // of the platform's front
-	Second    string // of the Faktory front; empty: off
+	FaktoryAddr    string // of the Faktory front; empty: off
 	Password  string // of the Faktory front: no worker but ours can log in
-	Log       Log
+	Log       OutputBuffer
 
 	secret []byte
 	daemon *exec.Cmd
@@ -65,36 +65,36 @@
 	cancel context.CancelFunc
 }
 
-// Log is what the daemon wrote, as much of it as fits.
-type Log struct {
+// OutputBuffer is what the daemon wrote, as much of it as fits.
+type OutputBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-const mostLog = 1 << 20
+const maxOutputBytes = 1 << 20
 
-func (l *Log) Write(p []byte) (int, error) {
+func (l *OutputBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.text.Len() < mostLog {
+	if l.text.Len() < maxOutputBytes {
 		l.text.Write(p)
 	}
 	return len(p), nil
 }
 
-func (l *Log) String() string {
+func (l *OutputBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
 const (
-	startTime = 20 * time.Second
-	reprove   = 2 * time.Second // the proof is renewed so often
+	startTimeout = 20 * time.Second
+	verifyInterval   = 2 * time.Second // the proof is renewed so often
 )
 
 // Kinds of workers, by the site's figures: cores and speed.
-var kinds = []struct {
+var workerKinds = []struct {
 	name  string
 	cores float64
 	speed float64
@@ -102,13 +102,13 @@
 
 var sites = []string{"zarqa-east", "russeifa", "hashemiya"}
 
-// Start starts everything and proves the workers. What it returns must be closed.
-func Start(c FleetConfig) (f *Fleet, err error) {
+// StartFleet starts everything and proves the workers. What it returns must be closed.
+func StartFleet(c FleetConfig) (f *Fleet, err error) {
 	if c.Workers == 0 {
 		c.Workers = 6
 	}
-	if c.Sockets == 0 {
-		c.Sockets = 4096
+	if c.Descriptors == 0 {
+		c.Descriptors = 4096
 	}
 	f = &Fleet{FleetConfig: c, secret: make([]byte, 32), ended: make(chan struct{})}
 	rand.Read(f.secret)
@@ -119,7 +119,7 @@
 			started.Close()
 		}
 	}()
-	if f.Discovery, err = StartDiscovery(f.Gate.Shut); err != nil {
+	if f.Discovery, err = StartDiscovery(f.Gate.Close); err != nil {
 		return nil, err
 	}
 	for range c.Workers {
@@ -127,13 +127,13 @@
 			return nil, err
 		}
 	}
-	if err = f.Prove(); err != nil {
+	if err = f.VerifyWorkers(); err != nil {
 		return nil, err
 	}
 	if err = f.startDaemon(); err != nil {
 		return nil, err
 	}
-	go f.watch()
+	go f.keepVerified()
 	return f, nil
 }
 
@@ -141,54 +141,54 @@
 // share of its speed. The proof has to be made anew.
 func (f *Fleet) Add(cold float64) (*Worker, error) {
 	n := len(f.Workers)
-	k := kinds[n%len(kinds)]
+	k := workerKinds[n%len(workerKinds)]
 	cores := k.cores
 	if f.Cores > 0 {
 		cores = f.Cores
 	}
-	w, err := StartWorker(WorkerConfig{Name: fmt.Sprintf("s-%04d", n+1), Site: sites[n/len(kinds)%len(sites)], Class: k.name, Cores: cores,
-		Speed: k.speed, Noise: f.Noise, Cold: cold, ColdFor: 6 * time.Second, Seed: f.Seed + uint64(n), Reports: true}, &f.Books, f.secret)
+	w, err := StartWorker(WorkerConfig{Name: fmt.Sprintf("s-%04d", n+1), Site: sites[n/len(workerKinds)%len(sites)], Class: k.name, Cores: cores,
+		Speed: k.speed, Noise: f.Noise, WarmupShare: cold, Warmup: 6 * time.Second, Seed: f.Seed + uint64(n), SendsReports: true}, &f.Ledger, f.secret)
 	if err != nil {
 		return nil, err
 	}
 	f.Workers = append(f.Workers, w)
 	h := Host{Host: w.Name, Dial: w.Addr, Site: w.Site, Class: w.Class, Block: n / 4, Health: "ready"}
 	if cold > 0 {
-		h.BornMs = w.Born.UnixMilli()
+		h.BornMs = w.Started.UnixMilli()
 	}
 	f.Discovery.Set(h)
 	return w, nil
 }
 
-// Prove makes the proof for the list as it stands.
-func (f *Fleet) Prove() error { return f.Gate.Prove(f.ctx, f.Discovery.List(), f.secret) }
+// VerifyWorkers makes the proof for the list as it stands.
+func (f *Fleet) VerifyWorkers() error { return f.Gate.Verify(f.ctx, f.Discovery.List(), f.secret) }
 
-// watch proves anew, at once after a change of the list and now and then.
-func (f *Fleet) watch() {
-	again := time.NewTicker(reprove)
+// keepVerified proves anew, at once after a change of the list and now and then.
+func (f *Fleet) keepVerified() {
+	again := time.NewTicker(verifyInterval)
 	defer again.Stop()
 	for {
 		f.Discovery.mu.Lock()
-		told := f.Discovery.told
+		told := f.Discovery.changed
 		f.Discovery.mu.Unlock()
-		if f.Prove() != nil {
+		if f.VerifyWorkers() != nil {
 			return // the gate tells why
 		}
 		f.Discovery.mu.Lock()
-		same := told == f.Discovery.told
+		same := told == f.Discovery.changed
 		f.Discovery.mu.Unlock()
 		if !same { // it changed meanwhile
-			f.Gate.Shut()
+			f.Gate.Close()
 			continue
 		}
 		select {
 		case <-f.ctx.Done():
 			return
 		case <-f.ended:
-			f.Gate.Fail(errors.New("the daemon has ended"))
+			f.Gate.CloseForGood(errors.New("the daemon has ended"))
 			return
 		case <-told:
-			f.Gate.Shut()
+			f.Gate.Close()
 		case <-again.C:
 		}
 	}
@@ -204,11 +204,11 @@
 			repeat, worth, late, aim = "retryable", 3.0, 0.25, 250_000
 		}
 		classes = append(classes, object{"name": c.Name, "repeat": repeat, "worth": worth, "late_worth": late, "slo_us": aim,
-			"aim_stretch": 2.0, "deadline_us": c.Left.Microseconds()})
+			"aim_stretch": 2.0, "deadline_us": c.Timeout.Microseconds()})
 	}
 	return json.Marshal(object{
 		"name": "rehearsal", "listen": listen, "discovery": f.Discovery.Addr, "seed": fmt.Sprintf("%016x", f.Seed),
-		"limits": object{"memory_mb": 192, "sockets": f.Sockets}, "admin_addr": "127.0.0.1:0",
+		"limits": object{"memory_mb": 192, "sockets": f.Descriptors}, "admin_addr": "127.0.0.1:0",
 		"settings": object{"areas": sites, "kinds": []string{"standard", "small"}, "my_zone": 0, "peers_total": 1, "tick_us": 2000,
 			"worth_by": "work", "classes": classes,
 			"limits": object{"cancel": true, "connect_timeout_us": 250_000, "conn_idle_us": 10_000_000, "max_attempts": 3,
@@ -270,7 +270,7 @@
 		close(f.ended)
 	}()
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for end := time.Now().Add(startTime); ; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(startTimeout); ; time.Sleep(10 * time.Millisecond) {
 		select {
 		case <-f.ended:
 			return fmt.Errorf("the daemon has ended: %s", strings.TrimSpace(f.Log.String()))
@@ -278,12 +278,12 @@
 		}
 		if answer, err := client.Get("http://" + f.Addr + "/healthz"); err == nil {
 			answer.Body.Close()
-			if answer.StatusCode == http.StatusOK && (!f.Faktory || f.second()) {
+			if answer.StatusCode == http.StatusOK && (!f.Faktory || f.findFaktoryAddr()) {
 				return nil
 			}
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("the daemon is not ready after %v", startTime)
+			return fmt.Errorf("the daemon is not ready after %v", startTimeout)
 		}
 	}
 }
@@ -311,14 +311,14 @@
 	return time.Duration(user+system) * 10 * time.Millisecond // the system's clock ticks, 100 a second
 }
 
-// second finds the Faktory front's address in the daemon's log.
-func (f *Fleet) second() bool {
+// findFaktoryAddr finds the Faktory front's address in the daemon's log.
+func (f *Fleet) findFaktoryAddr() bool {
 	_, rest, ok := strings.Cut(f.Log.String(), "faktory: listening on ")
 	if !ok {
 		return false
 	}
 	if n := strings.IndexAny(rest, "\" \n"); n >= 0 {
-		f.Second = rest[:n]
+		f.FaktoryAddr = rest[:n]
 		return true
 	}
 	return false
@@ -329,7 +329,7 @@
 
 // Close ends everything: the daemon as a planned end, then the rest.
 func (f *Fleet) Close() {
-	f.Gate.Shut()
+	f.Gate.Close()
 	if f.daemon != nil {
 		f.daemon.Process.Signal(syscall.SIGTERM)
 		select {
--- a/internal/rehearsal/standin/golden_test.go
+++ b/internal/rehearsal/standin/golden_test.go
@@ -21,8 +21,8 @@
 // The daemon's configuration as a rehearsal writes it.
 func TestGoldenConfiguration(t *testing.T) {
 	fleet := Fleet{Discovery: &Discovery{Addr: "127.0.0.1:1"}}
-	fleet.Seed, fleet.Sockets = 7, 512
-	fleet.Classes = []ClassConfig{{Name: "a", Retryable: true, Left: 5e9}, {Name: "b", Left: 8e9}}
+	fleet.Seed, fleet.Descriptors = 7, 512
+	fleet.Classes = []ClassConfig{{Name: "a", Retryable: true, Timeout: 5e9}, {Name: "b", Timeout: 8e9}}
 	text, err := fleet.config("127.0.0.1:2")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/rehearsal/standin/proof.go
+++ b/internal/rehearsal/standin/proof.go
@@ -26,12 +26,12 @@
 
 const (
 	challengePath = "/standin/challenge"
-	challengeTime = 2 * time.Second
+	challengeTimeout = 2 * time.Second
 	nonceBytes    = 16
 )
 
-// sign is what a worker answers: a MAC of the nonce, its name and both ends.
-func sign(secret []byte, nonce, name, local, remote string) string {
+// signature is what a worker answers: a MAC of the nonce, its name and both ends.
+func signature(secret []byte, nonce, name, local, remote string) string {
 	m := hmac.New(sha256.New, secret)
 	for _, part := range []string{"hollyyoke stand-in", nonce, name, local, remote} {
 		fmt.Fprintf(m, "%d:%s,", len(part), part)
@@ -46,7 +46,7 @@
 		http.Error(out, "no nonce", http.StatusBadRequest)
 		return
 	}
-	fmt.Fprintf(out, "%s\n%s\n", name, sign(secret, nonce, name, local.String(), in.RemoteAddr))
+	fmt.Fprintf(out, "%s\n%s\n", name, signature(secret, nonce, name, local.String(), in.RemoteAddr))
 }
 
 // Challenge asks what listens at an address to prove that it is the stand-in of
@@ -56,7 +56,7 @@
 	if ip := net.ParseIP(host); err != nil || ip == nil || !ip.IsLoopback() {
 		return fmt.Errorf("%s: %s is no loopback address", name, addr)
 	}
-	ctx, cancel := context.WithTimeout(ctx, challengeTime)
+	ctx, cancel := context.WithTimeout(ctx, challengeTimeout)
 	defer cancel()
 	c, err := new(net.Dialer).DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -79,7 +79,7 @@
 		return fmt.Errorf("%s: no answer to the challenge", name)
 	}
 	lines := strings.Split(string(text), "\n")
-	want := sign(secret, nonce, name, c.RemoteAddr().String(), c.LocalAddr().String())
+	want := signature(secret, nonce, name, c.RemoteAddr().String(), c.LocalAddr().String())
 	if len(lines) < 2 || lines[0] != name || !hmac.Equal([]byte(lines[1]), []byte(want)) {
 		return fmt.Errorf("%s: what answers at %s is not this run's stand-in, or something stands in between", name, addr)
 	}
@@ -94,21 +94,21 @@
 	failed error
 }
 
-// Open tells whether everything behind the dispatcher is proven at this moment.
-func (g *Gate) Open() bool { return g.open.Load() }
+// IsOpen tells whether everything behind the dispatcher is proven at this moment.
+func (g *Gate) IsOpen() bool { return g.open.Load() }
 
-// Why is what closed the gate for good; nil: nothing has.
-func (g *Gate) Why() error {
+// Failure is what closed the gate for good; nil: nothing has.
+func (g *Gate) Failure() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.failed
 }
 
-// Shut closes the gate until it is proven again.
-func (g *Gate) Shut() { g.open.Store(false) }
+// Close closes the gate until it is proven again.
+func (g *Gate) Close() { g.open.Store(false) }
 
-// Fail closes the gate for the rest of the run.
-func (g *Gate) Fail(why error) {
+// CloseForGood closes the gate for the rest of the run.
+func (g *Gate) CloseForGood(why error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.failed == nil {
@@ -117,13 +117,13 @@
 	g.open.Store(false)
 }
 
-var errNobody = errors.New("no worker is listed")
+var errNoWorkers = errors.New("no worker is listed")
 
-// Prove challenges every listed worker at the address that the dispatcher is
+// Verify challenges every listed worker at the address that the dispatcher is
 // told, and opens the gate if all answer; else it fails the gate.
-func (g *Gate) Prove(ctx context.Context, listed []Host, secret []byte) error {
-	if g.Why() != nil {
-		return g.Why()
+func (g *Gate) Verify(ctx context.Context, listed []Host, secret []byte) error {
+	if g.Failure() != nil {
+		return g.Failure()
 	}
 	errs := make(chan error, len(listed))
 	asked := 0
@@ -134,8 +134,8 @@
 		}
 	}
 	if asked == 0 {
-		g.Fail(errNobody)
-		return errNobody
+		g.CloseForGood(errNoWorkers)
+		return errNoWorkers
 	}
 	var first error
 	for range asked {
@@ -144,7 +144,7 @@
 		}
 	}
 	if first != nil {
-		g.Fail(first)
+		g.CloseForGood(first)
 		return first
 	}
 	g.mu.Lock()
--- a/internal/rehearsal/standin/standin_test.go
+++ b/internal/rehearsal/standin/standin_test.go
@@ -15,15 +15,15 @@
 	"time"
 )
 
-// job is a job under way at a worker.
-type job struct {
+// runningJob is a runningJob under way at a worker.
+type runningJob struct {
 	t      *testing.T
 	answer *http.Response
 	lines  *bufio.Scanner
 	cancel context.CancelFunc
 }
 
-func hand(t *testing.T, w *Worker, id string, slots float64) *job {
+func submit(t *testing.T, w *Worker, id string, slots float64) *runningJob {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	in, _ := http.NewRequestWithContext(ctx, "POST", "http://"+w.Addr+"/renewal/m1", strings.NewReader("xy"))
@@ -34,11 +34,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(cancel)
-	return &job{t, answer, bufio.NewScanner(answer.Body), cancel}
+	return &runningJob{t, answer, bufio.NewScanner(answer.Body), cancel}
 }
 
 // next is the next state told; empty after the last.
-func (j *job) next() (state string, load map[string]float64) {
+func (j *runningJob) next() (state string, load map[string]float64) {
 	if !j.lines.Scan() {
 		return "", nil
 	}
@@ -52,14 +52,14 @@
 	return line.State, line.Load
 }
 
-func worker(t *testing.T, c WorkerConfig, jobs ...Job) (*Worker, *Books) {
+func startWorker(t *testing.T, c WorkerConfig, jobs ...Job) (*Worker, *Ledger) {
 	t.Helper()
-	books := &Books{}
+	books := &Ledger{}
 	for _, j := range jobs {
-		j.Path, j.Body = "/renewal/m1", 2
+		j.Path, j.BodyBytes = "/renewal/m1", 2
 		books.Announce(j)
 	}
-	c.Name, c.Reports = "s-1", true
+	c.Name, c.SendsReports = "s-1", true
 	w, err := StartWorker(c, books, []byte("secret"))
 	if err != nil {
 		t.Fatal(err)
@@ -79,24 +79,24 @@
 
 // Jobs start strictly in order: a large one that waits holds up a small one
 // that would fit; one that never fits and one without room are turned away.
-func TestWorkerKeepsOrder(t *testing.T) {
+func TestWorkerStartsJobsInOrder(t *testing.T) {
 	const long = 300 * time.Millisecond
-	w, books := worker(t, WorkerConfig{Cores: 2, Queue: 2}, Job{ID: "a", Service: long}, Job{ID: "large", Service: time.Millisecond},
-		Job{ID: "small", Service: time.Millisecond}, Job{ID: "more"}, Job{ID: "huge"})
-	a := hand(t, w, "a", 1)
+	w, books := startWorker(t, WorkerConfig{Cores: 2, QueueLimit: 2}, Job{ID: "a", ServiceTime: long}, Job{ID: "large", ServiceTime: time.Millisecond},
+		Job{ID: "small", ServiceTime: time.Millisecond}, Job{ID: "more"}, Job{ID: "huge"})
+	a := submit(t, w, "a", 1)
 	if s, _ := a.next(); s != "started" {
 		t.Fatal(s)
 	}
-	large, small := hand(t, w, "large", 2), hand(t, w, "small", 1)
+	large, small := submit(t, w, "large", 2), submit(t, w, "small", 1)
 	waitFor(t, "two wait", func() bool { _, n := w.Free(); return n == 2 })
-	if more := hand(t, w, "more", 1); more.answer.StatusCode != 503 || more.answer.Header.Get("X-Unprocessed") != "1" ||
+	if more := submit(t, w, "more", 1); more.answer.StatusCode != 503 || more.answer.Header.Get("X-Unprocessed") != "1" ||
 		!strings.Contains(more.answer.Header.Get("X-Backend-Load"), `"queue":`) {
 		t.Errorf("a full queue: %+v", more.answer)
 	}
-	if huge := hand(t, w, "huge", 3); huge.answer.StatusCode != 503 || huge.answer.Header.Get("X-Unprocessed") != "1" {
+	if huge := submit(t, w, "huge", 3); huge.answer.StatusCode != 503 || huge.answer.Header.Get("X-Unprocessed") != "1" {
 		t.Errorf("never fits: %+v", huge.answer)
 	}
-	for _, j := range []*job{a, large, small} {
+	for _, j := range []*runningJob{a, large, small} {
 		for s, _ := j.next(); s != "done"; s, _ = j.next() {
 			if s == "" {
 				t.Fatal("ended without done")
@@ -107,17 +107,17 @@
 	if start("small").Before(start("large")) || start("large").Before(books.jobs["a"].runs[0].End) {
 		t.Error("not in order")
 	}
-	if f := books.Check(); f.Executed != 3 || len(f.RanTwice) != 0 || len(f.Unknown) != 0 {
+	if f := books.Check(); f.Executed != 3 || len(f.Duplicated) != 0 || len(f.Unexpected) != 0 {
 		t.Errorf("%+v", f)
 	}
 }
 
 func TestWorkerDrainsAndStalls(t *testing.T) {
-	w, books := worker(t, WorkerConfig{Cores: 1, Report: time.Millisecond}, Job{ID: "a", Service: 50 * time.Millisecond}, Job{ID: "b", Service: time.Millisecond},
-		Job{ID: "c", Service: time.Hour}, Job{ID: "d"})
-	a := hand(t, w, "a", 1)
+	w, books := startWorker(t, WorkerConfig{Cores: 1, ReportInterval: time.Millisecond}, Job{ID: "a", ServiceTime: 50 * time.Millisecond}, Job{ID: "b", ServiceTime: time.Millisecond},
+		Job{ID: "c", ServiceTime: time.Hour}, Job{ID: "d"})
+	a := submit(t, w, "a", 1)
 	a.next()
-	b := hand(t, w, "b", 1)
+	b := submit(t, w, "b", 1)
 	waitFor(t, "b waits", func() bool { _, n := w.Free(); return n == 1 })
 	w.Drain()
 	if s, _ := b.next(); s != "returned" {
@@ -126,7 +126,7 @@
 	if s, load := a.next(); s != "done" || load["x0"] != 0 {
 		t.Errorf("what ran: %q %v", s, load)
 	}
-	if c := hand(t, w, "c", 1); c.answer.StatusCode != 503 {
+	if c := submit(t, w, "c", 1); c.answer.StatusCode != 503 {
 		t.Error("a draining worker took a job")
 	}
 	w.mu.Lock()
@@ -137,7 +137,7 @@
 	const stall = 300 * time.Millisecond
 	begin := time.Now()
 	w.Stall(stall)
-	d := hand(t, w, "d", 1)
+	d := submit(t, w, "d", 1)
 	if w.report()["x0"] != 1 {
 		t.Error("a stalled worker's report changed")
 	}
@@ -146,7 +146,7 @@
 	}
 	// Called off: it has started, so it counts as run.
 	d.next()
-	c := hand(t, w, "c", 1)
+	c := submit(t, w, "c", 1)
 	c.next()
 	c.cancel()
 	waitFor(t, "the slot is free again", func() bool { free, _ := w.Free(); return free == 1 })
@@ -157,27 +157,27 @@
 
 // Speed, coldness and slowness stretch a run; the books tell a second run.
 func TestWorkerPace(t *testing.T) {
-	w, books := worker(t, WorkerConfig{Speed: 2, Cold: 0.5, ColdFor: time.Hour}, Job{ID: "a", Service: 50 * time.Millisecond})
+	w, books := startWorker(t, WorkerConfig{Speed: 2, WarmupShare: 0.5, Warmup: time.Hour}, Job{ID: "a", ServiceTime: 50 * time.Millisecond})
 	for range 2 {
-		j := hand(t, w, "a", 1)
+		j := submit(t, w, "a", 1)
 		for s, _ := j.next(); s != "" && s != "done"; s, _ = j.next() {
 		}
-		w.Slow(4)
+		w.SlowDown(4)
 	}
 	first, second := books.jobs["a"].runs[0], books.jobs["a"].runs[1]
 	a, b := first.End.Sub(first.Start), second.End.Sub(second.Start)
 	if a < 50*time.Millisecond || b < 3*a {
 		t.Errorf("%v cold at twice the speed, %v four times slower", a, b)
 	}
-	if f := books.Check(); !slices.Equal(f.RanTwice, []string{"a"}) {
+	if f := books.Check(); !slices.Equal(f.Duplicated, []string{"a"}) {
 		t.Errorf("%+v", f)
 	}
 }
 
 // What nobody announced, or was changed on the way, does not run and is told.
-func TestUnknownJobs(t *testing.T) {
-	w, books := worker(t, WorkerConfig{}, Job{ID: "a"})
-	if got := hand(t, w, "zzz", 1).answer.StatusCode; got != 400 {
+func TestUnexpectedJobs(t *testing.T) {
+	w, books := startWorker(t, WorkerConfig{}, Job{ID: "a"})
+	if got := submit(t, w, "zzz", 1).answer.StatusCode; got != 400 {
 		t.Errorf("an unknown id: %d", got)
 	}
 	for id, want := range map[string]int{"": 404, "a": 400} {
@@ -188,14 +188,14 @@
 			t.Errorf("id %q on another path: %v, %v", id, answer, err)
 		}
 	}
-	if f := books.Check(); len(f.Unknown) != 2 || f.Executed != 0 {
+	if f := books.Check(); len(f.Unexpected) != 2 || f.Executed != 0 {
 		t.Errorf("%+v", f)
 	}
 }
 
 // A worker proves itself; a wrong secret, another name, a relay and silence do not.
 func TestChallenge(t *testing.T) {
-	w, _ := worker(t, WorkerConfig{})
+	w, _ := startWorker(t, WorkerConfig{})
 	ctx := context.Background()
 	if err := Challenge(ctx, w.Addr, "s-1", []byte("secret")); err != nil {
 		t.Fatal(err)
@@ -231,18 +231,18 @@
 	}
 	var g Gate
 	listed := []Host{{Host: "s-1", Dial: w.Addr, Health: "ready"}}
-	if g.Open() || g.Prove(ctx, listed, []byte("secret")) != nil || !g.Open() {
+	if g.IsOpen() || g.Verify(ctx, listed, []byte("secret")) != nil || !g.IsOpen() {
 		t.Error("the gate does not open on a proof alone")
 	}
-	g.Shut()
-	if g.Prove(ctx, append(listed, Host{Host: "s-1", Dial: ln.Addr().String(), Health: "draining"}), []byte("secret")) == nil || g.Open() {
+	g.Close()
+	if g.Verify(ctx, append(listed, Host{Host: "s-1", Dial: ln.Addr().String(), Health: "draining"}), []byte("secret")) == nil || g.IsOpen() {
 		t.Error("the gate opens although one worker fails")
 	}
-	if g.Prove(ctx, listed, []byte("secret")) == nil || g.Open() {
+	if g.Verify(ctx, listed, []byte("secret")) == nil || g.IsOpen() {
 		t.Error("the gate opens again after it failed")
 	}
 	var empty Gate
-	if empty.Prove(ctx, nil, nil) == nil || empty.Open() {
+	if empty.Verify(ctx, nil, nil) == nil || empty.IsOpen() {
 		t.Error("an empty list is proven")
 	}
 }
@@ -263,7 +263,7 @@
 		return answer
 	}
 	var l listing
-	if err := json.NewDecoder(get("").Body).Decode(&l); err != nil || !l.Whole || l.Seq != 1 || len(l.Hosts) != 2 || l.Hosts[0].Share != 1 {
+	if err := json.NewDecoder(get("").Body).Decode(&l); err != nil || !l.Complete || l.Version != 1 || len(l.Hosts) != 2 || l.Hosts[0].Share != 1 {
 		t.Errorf("%v %+v", err, l)
 	}
 	watch := bufio.NewScanner(get("?watch=1&after=1").Body)
@@ -276,11 +276,11 @@
 		}
 		return l
 	}
-	if l := line(); l.Whole || len(l.Hosts) != 0 {
+	if l := line(); l.Complete || len(l.Hosts) != 0 {
 		t.Errorf("first line: %+v", l)
 	}
 	d.Set(Host{Host: "a", Health: "gone"}, Host{Host: "c", Dial: "127.0.0.1:3", Health: "draining"})
-	if l := line(); l.Seq != 2 || l.Whole || len(l.Hosts) != 2 {
+	if l := line(); l.Version != 2 || l.Complete || len(l.Hosts) != 2 {
 		t.Errorf("a change: %+v", l)
 	}
 	if got := d.List(); len(got) != 2 || got[0].Host != "b" || told != 2 {
@@ -291,13 +291,13 @@
 		t.Errorf("back again: %+v", l)
 	}
 	// Calls are handled in turn, and one that waits too long gets 503.
-	d.turn <- struct{}{}
-	d.most = 20 * time.Millisecond
+	d.callSlot <- struct{}{}
+	d.maxCallWait = 20 * time.Millisecond
 	if got := get("").StatusCode; got != 503 {
 		t.Errorf("busy: %d", got)
 	}
-	<-d.turn
-	d.Down(true)
+	<-d.callSlot
+	d.SetDown(true)
 	if watch.Scan() && len(watch.Bytes()) > 0 {
 		t.Errorf("a watch goes on while discovery is down: %q", watch.Text())
 	}
--- a/internal/rehearsal/standin/worker.go
+++ b/internal/rehearsal/standin/worker.go
@@ -30,50 +30,50 @@
 	Class   string        // kind of machine
 	Cores   float64       // slots; default 3
 	Memory  float64       // units; default one for each slot
-	Queue   int           // jobs that wait at most; default 10 for each slot
+	QueueLimit   int           // jobs that wait at most; default 10 for each slot
 	Speed   float64       // default 1
 	Noise   float64       // coefficient of variation of a run's time; 0: none
-	Cold    float64       // share of its speed right after its start; 0: it is warm
-	ColdFor time.Duration // until it is warm
-	Report  time.Duration // how often its report is renewed; default 1 s
-	Lag     time.Duration // and how old it is by then
+	WarmupShare    float64       // share of its speed right after its start; 0: it is warm
+	Warmup time.Duration // until it is warm
+	ReportInterval  time.Duration // how often its report is renewed; default 1 s
+	ReportLag     time.Duration // and how old it is by then
 	Seed    uint64
-	Reports bool // whether answers carry reports
+	SendsReports bool // whether answers carry reports
 }
 
 // Worker is a running one.
 type Worker struct {
 	WorkerConfig
 	Addr string
-	Born time.Time
+	Started time.Time
 
-	books  *Books
+	ledger  *Ledger
 	secret []byte
 	server *http.Server
 
 	mu       sync.Mutex
-	queue    []*waiting
-	used     float64 // slots
-	memory   float64
+	queue    []*queuedJob
+	usedSlots     float64 // slots
+	usedMemory   float64
 	draining bool
-	stalled  time.Time // nothing goes on before
-	slower   float64
+	stalledUntil  time.Time // nothing goes on before
+	slowdown   float64
 	errors   int
-	reports  []snapshot
+	reports  []loadSnapshot
 }
 
-type waiting struct {
+type queuedJob struct {
 	slots, memory float64
 	begin         chan bool // true: start; false: handed back
 }
 
-type snapshot struct {
+type loadSnapshot struct {
 	at                       time.Time
 	errors, queue, free, mem float64
 }
 
 // StartWorker starts a worker on a loopback port that the kernel chooses.
-func StartWorker(c WorkerConfig, books *Books, secret []byte) (*Worker, error) {
+func StartWorker(c WorkerConfig, books *Ledger, secret []byte) (*Worker, error) {
 	for _, d := range []struct {
 		v   *float64
 		def float64
@@ -85,24 +85,24 @@
 	if c.Memory == 0 {
 		c.Memory = c.Cores
 	}
-	if c.Queue == 0 {
-		c.Queue = int(10 * c.Cores)
+	if c.QueueLimit == 0 {
+		c.QueueLimit = int(10 * c.Cores)
 	}
-	if c.Report == 0 {
-		c.Report = time.Second
+	if c.ReportInterval == 0 {
+		c.ReportInterval = time.Second
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	w := &Worker{WorkerConfig: c, Addr: ln.Addr().String(), Born: time.Now(), books: books, secret: secret, slower: 1}
-	w.server = quiet(w)
+	w := &Worker{WorkerConfig: c, Addr: ln.Addr().String(), Started: time.Now(), ledger: books, secret: secret, slowdown: 1}
+	w.server = newServer(w)
 	go w.server.Serve(ln)
 	return w, nil
 }
 
-// quiet is a server that does not write to the log of the program.
-func quiet(h http.Handler) *http.Server {
+// newServer is a server that does not write to the log of the program.
+func newServer(h http.Handler) *http.Server {
 	return &http.Server{Handler: h, ErrorLog: log.New(io.Discard, "", 0), ReadHeaderTimeout: 5 * time.Second,
 		IdleTimeout: time.Minute}
 }
@@ -125,22 +125,22 @@
 // while its reports go on telling what they told last.
 func (w *Worker) Stall(span time.Duration) {
 	w.mu.Lock()
-	w.stalled = time.Now().Add(span)
+	w.stalledUntil = time.Now().Add(span)
 	w.mu.Unlock()
-	time.AfterFunc(span, func() { w.mu.Lock(); w.turn(); w.mu.Unlock() })
+	time.AfterFunc(span, func() { w.mu.Lock(); w.startQueued(); w.mu.Unlock() })
 }
 
-// Slow makes runs that start from now on take so many times as long.
-func (w *Worker) Slow(factor float64) {
+// SlowDown makes runs that start from now on take so many times as long.
+func (w *Worker) SlowDown(factor float64) {
 	w.mu.Lock()
-	w.slower = max(factor, 0.01)
+	w.slowdown = max(factor, 0.01)
 	w.mu.Unlock()
 }
 
 // LagReports makes reports so much older.
 func (w *Worker) LagReports(by time.Duration) {
 	w.mu.Lock()
-	w.Lag = by
+	w.ReportLag = by
 	w.mu.Unlock()
 }
 
@@ -159,7 +159,7 @@
 	if err != nil {
 		return // it never came whole: nothing has run
 	}
-	job, ok := w.books.arrive(id, in.URL.EscapedPath(), len(body))
+	job, ok := w.ledger.accept(id, in.URL.EscapedPath(), len(body))
 	if !ok {
 		http.Error(out, "no client sent this", http.StatusBadRequest)
 		return
@@ -172,9 +172,9 @@
 			}
 		}
 	}
-	place, ok := w.enter(slots)
+	place, ok := w.enqueue(slots)
 	if !ok {
-		w.load(out.Header())
+		w.setReportHeader(out.Header())
 		out.Header().Set("X-Unprocessed", "1")
 		http.Error(out, "no room", http.StatusServiceUnavailable)
 		return
@@ -196,116 +196,116 @@
 			return
 		}
 	case <-in.Context().Done():
-		if w.leave(place) {
+		if w.abandon(place) {
 			return
 		}
 		if !<-place.begin {
 			return
 		}
 	}
-	defer w.done(slots)
-	run := w.books.start(id, w.Name, time.Now())
+	defer w.release(slots)
+	run := w.ledger.startRun(id, w.Name, time.Now())
 	say(map[string]any{"state": "started"})
-	finished := w.work(in.Context(), job, run, func(share float64) {
+	finished := w.run(in.Context(), job, run, func(share float64) {
 		say(map[string]any{"state": "running", "share": math.Round(share*100) / 100})
 	})
-	w.books.end(id, run, time.Now(), finished)
+	w.ledger.endRun(id, run, time.Now(), finished)
 	if finished {
 		last := map[string]any{"state": "done", "result": w.Name + " " + id}
-		if w.Reports {
+		if w.SendsReports {
 			last["load"] = w.report()
 		}
 		say(last)
 	}
 }
 
-// enter takes a place in the queue; false: there is no room, or never will be.
-func (w *Worker) enter(slots float64) (*waiting, bool) {
+// enqueue takes a place in the queue; false: there is no room, or never will be.
+func (w *Worker) enqueue(slots float64) (*queuedJob, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.draining || slots > w.Cores || slots > w.Memory || len(w.queue) >= w.Queue {
+	if w.draining || slots > w.Cores || slots > w.Memory || len(w.queue) >= w.QueueLimit {
 		return nil, false
 	}
-	q := &waiting{slots: slots, memory: slots, begin: make(chan bool, 1)}
+	q := &queuedJob{slots: slots, memory: slots, begin: make(chan bool, 1)}
 	w.queue = append(w.queue, q)
-	w.turn()
+	w.startQueued()
 	return q, true
 }
 
-// turn starts what fits, in order: the first waits until it does.
-func (w *Worker) turn() {
-	for len(w.queue) > 0 && !time.Now().Before(w.stalled) {
+// startQueued starts what fits, in order: the first waits until it does.
+func (w *Worker) startQueued() {
+	for len(w.queue) > 0 && !time.Now().Before(w.stalledUntil) {
 		q := w.queue[0]
-		if w.used+q.slots > w.Cores || w.memory+q.memory > w.Memory {
+		if w.usedSlots+q.slots > w.Cores || w.usedMemory+q.memory > w.Memory {
 			return
 		}
 		w.queue = w.queue[1:]
-		w.used, w.memory = w.used+q.slots, w.memory+q.memory
+		w.usedSlots, w.usedMemory = w.usedSlots+q.slots, w.usedMemory+q.memory
 		q.begin <- true
 	}
 }
 
-// leave gives up a place; false: the job has been started or handed back.
-func (w *Worker) leave(q *waiting) bool {
+// abandon gives up a place; false: the job has been started or handed back.
+func (w *Worker) abandon(q *queuedJob) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for i, other := range w.queue {
 		if other == q {
 			w.queue = append(w.queue[:i], w.queue[i+1:]...)
-			w.turn()
+			w.startQueued()
 			return true
 		}
 	}
 	return false
 }
 
-func (w *Worker) done(slots float64) {
+func (w *Worker) release(slots float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.used, w.memory = w.used-slots, w.memory-slots
-	w.turn()
+	w.usedSlots, w.usedMemory = w.usedSlots-slots, w.usedMemory-slots
+	w.startQueued()
 }
 
-// pace is how fast it works at a moment.
-func (w *Worker) pace() float64 {
+// currentSpeed is how fast it works at a moment.
+func (w *Worker) currentSpeed() float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	speed := w.Speed / w.slower
-	if age := time.Since(w.Born); w.Cold > 0 && age < w.ColdFor {
-		speed *= w.Cold + (1-w.Cold)*float64(age)/float64(w.ColdFor)
+	speed := w.Speed / w.slowdown
+	if age := time.Since(w.Started); w.WarmupShare > 0 && age < w.Warmup {
+		speed *= w.WarmupShare + (1-w.WarmupShare)*float64(age)/float64(w.Warmup)
 	}
 	return speed
 }
 
-// work spends a run's time; false: it was called off.
-func (w *Worker) work(ctx context.Context, job Job, run int, tell func(share float64)) bool {
+// run spends a run's time; false: it was called off.
+func (w *Worker) run(ctx context.Context, job Job, run int, tell func(share float64)) bool {
 	rng := rand.New(rand.NewPCG(w.Seed, xxhash.Sum64String(job.ID)+uint64(run)))
-	span := float64(max(job.Service, time.Microsecond))
+	span := float64(max(job.ServiceTime, time.Microsecond))
 	if w.Noise > 0 {
 		s2 := math.Log(1 + w.Noise*w.Noise)
 		span *= math.Exp(rng.NormFloat64()*math.Sqrt(s2) - s2/2)
 	}
-	span /= w.pace()
+	span /= w.currentSpeed()
 	const note = time.Second
 	for spent := time.Duration(0); spent < time.Duration(span); {
 		step := min(note, time.Duration(span)-spent)
-		if !pause(ctx, step) {
+		if !sleep(ctx, step) {
 			return false
 		}
 		if spent += step; spent < time.Duration(span) {
 			tell(float64(spent) / span)
 		}
 		w.mu.Lock()
-		still := time.Until(w.stalled)
+		still := time.Until(w.stalledUntil)
 		w.mu.Unlock()
-		if still > 0 && !pause(ctx, still) {
+		if still > 0 && !sleep(ctx, still) {
 			return false
 		}
 	}
 	return true
 }
 
-func pause(ctx context.Context, span time.Duration) bool {
+func sleep(ctx context.Context, span time.Duration) bool {
 	t := time.NewTimer(span)
 	defer t.Stop()
 	select {
@@ -321,10 +321,10 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	if n := len(w.reports); (n == 0 || now.Sub(w.reports[n-1].at) >= w.Report) && !now.Before(w.stalled) {
-		w.reports = append(w.reports, snapshot{now, float64(w.errors), float64(len(w.queue)), w.Cores - w.used, w.Memory - w.memory})
+	if n := len(w.reports); (n == 0 || now.Sub(w.reports[n-1].at) >= w.ReportInterval) && !now.Before(w.stalledUntil) {
+		w.reports = append(w.reports, loadSnapshot{now, float64(w.errors), float64(len(w.queue)), w.Cores - w.usedSlots, w.Memory - w.usedMemory})
 	}
-	for len(w.reports) > 1 && now.Sub(w.reports[1].at) >= w.Lag {
+	for len(w.reports) > 1 && now.Sub(w.reports[1].at) >= w.ReportLag {
 		w.reports = w.reports[1:]
 	}
 	if len(w.reports) == 0 {
@@ -334,8 +334,8 @@
 	return map[string]float64{"eps": r.errors, "queue": r.queue, "x0": r.free, "x1": r.mem}
 }
 
-func (w *Worker) load(h http.Header) {
-	if !w.Reports {
+func (w *Worker) setReportHeader(h http.Header) {
+	if !w.SendsReports {
 		return
 	}
 	text, _ := json.Marshal(w.report())
@@ -346,7 +346,7 @@
 func (w *Worker) Free() (slots float64, waiting int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.Cores - w.used, len(w.queue)
+	return w.Cores - w.usedSlots, len(w.queue)
 }
 
 func (w *Worker) String() string { return fmt.Sprintf("%s at %s", w.Name, w.Addr) }
