--- a/internal/rehearsal/recording/import_test.go
+++ b/internal/rehearsal/recording/import_test.go
@@ -34,7 +34,7 @@
 members = 50
 `
 
-// memorySpool is a spool in memorySpool.
+// memorySpool keeps runs in memory.
 type memorySpool struct{ runs []*bytes.Buffer }
 
 type nopCloser struct{ *bytes.Buffer }
@@ -103,7 +103,7 @@
 	return list
 }
 
-// combinedLine words a combinedLine of Combined with $request_time; d below 0: none.
+// combinedLine formats a line of Combined with $request_time; a negative d means none.
 func combinedLine(at time.Time, method, path string, d float64) string {
 	last := "-"
 	if d >= 0 {
--- a/internal/rehearsal/standin/discovery.go
+++ b/internal/rehearsal/standin/discovery.go
@@ -9,80 +9,95 @@
 	"time"
 )
 
-// This file owns the discovery service: the list, watches on its changes, and
-// calls that are handled in turn. It must never tell an older list after a newer.
-
-// Host is a listed worker, in discovery's form.
+// Host is a listed worker in the JSON form of the discovery protocol.
 type Host struct {
-	Host   string  `json:"host"`
-	Dial   string  `json:"dial"`
+	Host   string  `json:"host"` // name
+	Dial   string  `json:"dial"` // host:port
 	Site   string  `json:"site"`
-	Class  string  `json:"class"`
+	Class  string  `json:"class"` // kind of machine
 	Block  int     `json:"block"`
-	Health string  `json:"health"` // ready, draining, gone
+	Health string  `json:"health"` // HealthReady, HealthDraining or HealthGone
 	Share  float64 `json:"share"`
-	BornMs int64   `json:"born_ms"`
+	BornMs int64   `json:"born_ms"` // Unix time of its start; 0: not known
 }
 
+// Values of Host.Health.
+const (
+	HealthReady    = "ready"
+	HealthDraining = "draining"
+	HealthGone     = "gone" // no longer listed
+)
+
+// listing is an answer of the discovery service: all workers, or those that changed.
 type listing struct {
-	Version   int64  `json:"seq"`
+	Version  int64  `json:"seq"`
 	Complete bool   `json:"whole"`
-	Hosts []Host `json:"hosts"`
+	Hosts    []Host `json:"hosts"`
 }
 
-// Discovery is a running one. Change its list by Set.
+// Discovery is a running discovery service. It serves the list, watches of its changes, and
+// handles calls one at a time, as the real one does. Set changes the list. It is safe for
+// concurrent use; versions never go back.
 type Discovery struct {
 	Addr string
 
-	callTime   time.Duration // what a call costs
-	maxCallWait   time.Duration // how long it waits for its turn
-	callSlot   chan struct{}
-	server *http.Server
-	beforeChange func() // called before a change is told
-
-	mu      sync.Mutex
-	version     int64
-	hosts   map[string]Host
-	order   []string
-	changes map[string]int64 // by host, the version that changed it last
-	gone    map[string]Host
-	changed    chan struct{} // closed at each change
-	down    bool
+	callTime     time.Duration // that a call takes
+	maxCallWait  time.Duration // that a call waits for others
+	callSlot     chan struct{} // holds an element while a call is handled
+	server       *http.Server
+	beforeChange func() // called before a change is published; may be nil
+
+	mu       sync.Mutex
+	version  int64
+	hosts    map[string]Host
+	order    []string
+	changes  map[string]int64 // by host, the version that changed it last
+	gone     map[string]Host
+	changed  chan struct{} // closed at each change
+	disabled bool
 }
 
 const (
-	heartbeatInterval = 2 * time.Second
-	defaultCallTime   = 2 * time.Millisecond
-	defaultMaxCallWait   = 2 * time.Second
+	heartbeatInterval  = 2 * time.Second
+	defaultCallTime    = 2 * time.Millisecond
+	defaultMaxCallWait = 2 * time.Second
 )
 
-// StartDiscovery starts an empty one on a loopback port that the kernel
-// chooses. before, which may be nil, is called before each change is told.
-func StartDiscovery(before func()) (*Discovery, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// StartDiscovery starts a service with an empty list on a loopback port that the kernel chooses.
+// beforeChange, which may be nil, is called before each change is published.
+func StartDiscovery(beforeChange func()) (*Discovery, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	d := &Discovery{Addr: ln.Addr().String(), callTime: defaultCallTime, maxCallWait: defaultMaxCallWait, callSlot: make(chan struct{}, 1), beforeChange: before,
-		hosts: map[string]Host{}, changes: map[string]int64{}, gone: map[string]Host{}, changed: make(chan struct{})}
+	d := &Discovery{
+		Addr:         listener.Addr().String(),
+		callTime:     defaultCallTime,
+		maxCallWait:  defaultMaxCallWait,
+		callSlot:     make(chan struct{}, 1),
+		beforeChange: beforeChange,
+		hosts:        map[string]Host{},
+		changes:      map[string]int64{},
+		gone:         map[string]Host{},
+		changed:      make(chan struct{}),
+	}
 	d.server = newServer(d)
-	go d.server.Serve(ln)
+	go d.server.Serve(listener)
 	return d, nil
 }
 
-// Close ends it: watches end and new calls are refused.
+// Close stops the service: watches end and new connections fail.
 func (d *Discovery) Close() error { return d.server.Close() }
 
 // SetDown makes calls fail and ends watches, until it is up again.
 func (d *Discovery) SetDown(down bool) {
 	d.mu.Lock()
-	d.down = down
-	close(d.changed)
-	d.changed = make(chan struct{})
-	d.mu.Unlock()
+	defer d.mu.Unlock()
+	d.disabled = down
+	d.publish()
 }
 
-// Set lists a worker, or changes how it is listed; health "gone" takes it out.
+// Set lists workers or changes how they are listed; HealthGone removes one.
 func (d *Discovery) Set(hosts ...Host) {
 	if d.beforeChange != nil {
 		d.beforeChange()
@@ -90,116 +105,143 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.version++
-	for _, h := range hosts {
-		if h.Share == 0 {
-			h.Share = 1
+	for _, host := range hosts {
+		if host.Share == 0 {
+			host.Share = 1
 		}
-		if d.changes[h.Host] = d.version; h.Health == "gone" {
-			delete(d.hosts, h.Host)
-			d.gone[h.Host] = h
+		d.changes[host.Host] = d.version
+		if host.Health == HealthGone {
+			delete(d.hosts, host.Host)
+			d.gone[host.Host] = host
 			continue
 		}
-		if _, ok := d.changes[h.Host]; ok && d.hosts[h.Host] == (Host{}) {
-			d.order = append(d.order, h.Host)
+		if _, listed := d.hosts[host.Host]; !listed {
+			d.order = append(d.order, host.Host)
 		}
-		delete(d.gone, h.Host)
-		d.hosts[h.Host] = h
+		delete(d.gone, host.Host)
+		d.hosts[host.Host] = host
 	}
+	d.publish()
+}
+
+// publish wakes all who wait for a change. The caller holds the lock.
+func (d *Discovery) publish() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// List is the list as it is told now.
+// nextChange returns a channel that is closed at the next change.
+func (d *Discovery) nextChange() <-chan struct{} {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.changed
+}
+
+// List is the list as it is published now.
 func (d *Discovery) List() []Host {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.complete().Hosts
 }
 
+// complete lists all workers. The caller holds the lock.
 func (d *Discovery) complete() listing {
-	l := listing{Version: d.version, Complete: true, Hosts: []Host{}}
+	list := listing{Version: d.version, Complete: true, Hosts: []Host{}}
 	seen := map[string]bool{}
 	for _, name := range d.order {
-		if h, ok := d.hosts[name]; ok && !seen[name] {
+		host, listed := d.hosts[name]
+		if listed && !seen[name] {
 			seen[name] = true
-			l.Hosts = append(l.Hosts, h)
+			list.Hosts = append(list.Hosts, host)
 		}
 	}
-	return l
+	return list
 }
 
-func (d *Discovery) since(after int64) listing {
-	if after <= 0 {
+// since lists the workers that changed after a version; 0: all. The caller holds the lock.
+func (d *Discovery) since(version int64) listing {
+	if version <= 0 {
 		return d.complete()
 	}
-	l := listing{Version: d.version, Hosts: []Host{}}
-	for name, seq := range d.changes {
-		if seq <= after {
+	list := listing{Version: d.version, Hosts: []Host{}}
+	for name, changedIn := range d.changes {
+		if changedIn <= version {
 			continue
 		}
-		if h, ok := d.hosts[name]; ok {
-			l.Hosts = append(l.Hosts, h)
-		} else {
-			l.Hosts = append(l.Hosts, d.gone[name])
+		host, listed := d.hosts[name]
+		if !listed {
+			host = d.gone[name]
 		}
+		list.Hosts = append(list.Hosts, host)
 	}
-	return l
+	return list
 }
 
+// ServeHTTP serves the list and its watches.
 func (d *Discovery) ServeHTTP(out http.ResponseWriter, in *http.Request) {
 	if in.URL.Path != "/v1/servers" || in.Method != http.MethodGet {
 		http.NotFound(out, in)
 		return
 	}
-	wait := time.NewTimer(d.maxCallWait)
-	defer wait.Stop()
-	select { // calls are handled in turn
-	case d.callSlot <- struct{}{}:
-	case <-wait.C:
-		http.Error(out, "busy", http.StatusServiceUnavailable)
-		return
-	case <-in.Context().Done():
+	if !d.takeCallSlot(out, in) {
 		return
 	}
 	time.Sleep(d.callTime)
 	<-d.callSlot
 	d.mu.Lock()
-	down, all := d.down, d.complete()
+	disabled := d.disabled
+	list := d.complete()
 	d.mu.Unlock()
-	if down {
+	if disabled {
 		http.Error(out, "down", http.StatusServiceUnavailable)
 		return
 	}
 	out.Header().Set("Content-Type", "application/json")
 	if in.URL.Query().Get("watch") != "1" {
-		text, _ := json.Marshal(all) // strings and numbers always marshal
-		out.Write(append(text, '\n'))
+		writeListing(out, list)
 		return
 	}
-	after, _ := strconv.ParseInt(in.URL.Query().Get("after"), 10, 64) // none: all
+	after, _ := strconv.ParseInt(in.URL.Query().Get("after"), 10, 64) // missing: 0, all
 	d.watch(out, in, after)
 }
 
+// takeCallSlot waits until no other call is handled. It reports false if the call has ended, with
+// an answer if it waited too long.
+func (d *Discovery) takeCallSlot(out http.ResponseWriter, in *http.Request) bool {
+	timeout := time.NewTimer(d.maxCallWait)
+	defer timeout.Stop()
+	select {
+	case d.callSlot <- struct{}{}:
+		return true
+	case <-timeout.C:
+		http.Error(out, "busy", http.StatusServiceUnavailable)
+	case <-in.Context().Done():
+	}
+	return false
+}
+
+// watch writes the changes after a version as they are published, and blank lines as heartbeats.
 func (d *Discovery) watch(out http.ResponseWriter, in *http.Request, after int64) {
 	flush := out.(http.Flusher).Flush
-	life := time.NewTicker(heartbeatInterval)
-	defer life.Stop()
+	heartbeat := time.NewTicker(heartbeatInterval)
+	defer heartbeat.Stop()
 	for first := true; ; first = false {
 		d.mu.Lock()
-		l, told, down := d.since(after), d.changed, d.down
+		list := d.since(after)
+		changed := d.changed
+		disabled := d.disabled
 		d.mu.Unlock()
-		if down {
+		if disabled {
 			return
 		}
-		if first || l.Version > after {
-			text, _ := json.Marshal(l)
-			out.Write(append(text, '\n'))
+		if first || list.Version > after {
+			writeListing(out, list)
 			flush()
-			after = l.Version
+			after = list.Version
 		}
 		select {
-		case <-told:
-		case <-life.C:
+		case <-changed:
+		case <-heartbeat.C:
 			out.Write([]byte("\n"))
 			flush()
 		case <-in.Context().Done():
@@ -207,3 +249,9 @@
 		}
 	}
 }
+
+// writeListing writes a listing as a line of JSON.
+func writeListing(out http.ResponseWriter, list listing) {
+	text, _ := json.Marshal(list) // strings and numbers always marshal
+	out.Write(append(text, '\n'))
+}
--- a/internal/rehearsal/standin/golden_test.go
+++ b/internal/rehearsal/standin/golden_test.go
@@ -9,7 +9,7 @@
 	"hollyyoke.example/hollyyoke/internal/goldentest"
 )
 
-// What the stand-ins tell the daemon and readers of reports.
+// The JSON forms of the discovery protocol and of reports.
 func TestGoldenMessages(t *testing.T) {
 	for file, of := range map[string]reflect.Type{
 		"host": reflect.TypeFor[Host](), "listing": reflect.TypeFor[listing](), "findings": reflect.TypeFor[Findings](),
@@ -18,7 +18,7 @@
 	}
 }
 
-// The daemon's configuration as a rehearsal writes it.
+// The daemon's configuration file of a rehearsal.
 func TestGoldenConfiguration(t *testing.T) {
 	fleet := Fleet{Discovery: &Discovery{Addr: "127.0.0.1:1"}}
 	fleet.Seed, fleet.Descriptors = 7, 512
--- /dev/null
+++ b/internal/rehearsal/standin/jobhandler.go
@@ -0,0 +1,144 @@
+package standin
+
+import (
+	"context"
+	"encoding/json"
+	"io"
+	"math"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// maxBodyBytes bounds what is read of a request's body.
+const maxBodyBytes = 64 << 10
+
+// ServeHTTP takes jobs and challenges.
+func (w *Worker) ServeHTTP(out http.ResponseWriter, in *http.Request) {
+	if in.URL.Path == challengePath {
+		answerChallenge(out, in, w.secret, w.Name)
+		return
+	}
+	id := in.Header.Get("X-Correlation-Id")
+	if id == "" || in.Method != http.MethodPost {
+		http.Error(out, "no id", http.StatusNotFound)
+		return
+	}
+	body, err := io.ReadAll(io.LimitReader(in.Body, maxBodyBytes+1))
+	if err != nil {
+		return // the request is incomplete: nothing is executed
+	}
+	job, ok := w.ledger.accept(id, in.URL.EscapedPath(), len(body))
+	if !ok {
+		http.Error(out, "no client sent this", http.StatusBadRequest)
+		return
+	}
+	slots := requestedSlots(in.Header, job)
+	queued, ok := w.enqueue(slots)
+	if !ok {
+		w.setReportHeader(out.Header())
+		out.Header().Set("X-Unprocessed", "1")
+		http.Error(out, "no room", http.StatusServiceUnavailable)
+		return
+	}
+	updates := startUpdates(out, id, w.Name)
+	if !w.awaitStart(in.Context(), queued, updates) {
+		return
+	}
+	defer w.release(slots)
+	w.execute(in.Context(), job, updates)
+}
+
+// requestedSlots is the number of slots that a request asks for, by its header or its announcement.
+func requestedSlots(header http.Header, job Job) float64 {
+	slots := max(job.Slots, 1)
+	for fact := range strings.SplitSeq(header.Get("X-Facts"), ",") {
+		name, value, _ := strings.Cut(fact, "=")
+		if name != "slots" {
+			continue
+		}
+		if number, err := strconv.ParseFloat(value, 64); err == nil {
+			slots = number
+		}
+	}
+	return slots
+}
+
+// awaitStart waits until a queued job may start. It reports false if it is returned or its client
+// has left before.
+func (w *Worker) awaitStart(ctx context.Context, queued *queuedJob, updates *updateStream) bool {
+	select {
+	case start := <-queued.begin:
+		if !start {
+			updates.send(jobUpdate{State: stateReturned, Load: w.encodedReport()})
+		}
+		return start
+	case <-ctx.Done():
+		if w.abandon(queued) {
+			return false
+		}
+		return <-queued.begin
+	}
+}
+
+// execute runs a job and sends its updates.
+func (w *Worker) execute(ctx context.Context, job Job, updates *updateStream) {
+	run := w.ledger.startRun(job.ID, w.Name, time.Now())
+	updates.send(jobUpdate{State: stateStarted})
+	completed := w.run(ctx, job, run, func(share float64) {
+		rounded := math.Round(share*100) / 100
+		updates.send(jobUpdate{State: stateRunning, Share: &rounded})
+	})
+	w.ledger.endRun(job.ID, run, time.Now(), completed)
+	if !completed {
+		return
+	}
+	last := jobUpdate{State: stateDone, Result: w.Name + " " + job.ID}
+	if w.SendsReports {
+		last.Load = w.encodedReport()
+	}
+	updates.send(last)
+}
+
+// Values of jobUpdate.State.
+const (
+	stateReturned = "returned" // not executed
+	stateStarted  = "started"
+	stateRunning  = "running"
+	stateDone     = "done"
+)
+
+// jobUpdate is a line of the answer to a request.
+type jobUpdate struct {
+	From   string          `json:"from"` // the worker
+	ID     string          `json:"id"`
+	Load   json.RawMessage `json:"load,omitempty"` // a loadReport
+	Result string          `json:"result,omitempty"`
+	Share  *float64        `json:"share,omitempty"` // completed
+	State  string          `json:"state"`
+}
+
+// updateStream is an answer as it is streamed.
+type updateStream struct {
+	out    http.ResponseWriter
+	id     string
+	worker string
+}
+
+// startUpdates sends the header of an answer.
+func startUpdates(out http.ResponseWriter, id, worker string) *updateStream {
+	out.Header().Set("Content-Type", "application/x-ndjson")
+	out.WriteHeader(http.StatusOK)
+	out.(http.Flusher).Flush()
+	return &updateStream{out: out, id: id, worker: worker}
+}
+
+// send sends an update at once.
+func (s *updateStream) send(update jobUpdate) {
+	update.ID = s.id
+	update.From = s.worker
+	line, _ := json.Marshal(update) // strings and numbers always marshal
+	s.out.Write(append(line, '\n'))
+	s.out.(http.Flusher).Flush()
+}
--- /dev/null
+++ b/internal/rehearsal/standin/loadreport.go
@@ -0,0 +1,61 @@
+package standin
+
+import (
+	"encoding/json"
+	"net/http"
+	"time"
+)
+
+// loadReport is a worker's load report in the JSON form of its protocol.
+type loadReport struct {
+	Errors     float64 `json:"eps"` // per second; a stand-in has none
+	Queue      float64 `json:"queue"`
+	FreeSlots  float64 `json:"x0"`
+	FreeMemory float64 `json:"x1"`
+}
+
+// loadSnapshot is a load report and when it was made.
+type loadSnapshot struct {
+	at     time.Time
+	report loadReport
+}
+
+// report returns the load report to send, which is as old as ReportLag says. ok is false if the
+// worker has stalled before it made one.
+func (w *Worker) report() (report loadReport, ok bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	now := time.Now()
+	n := len(w.reports)
+	due := n == 0 || now.Sub(w.reports[n-1].at) >= w.ReportInterval
+	if due && !now.Before(w.stalledUntil) {
+		w.reports = append(w.reports, loadSnapshot{at: now, report: loadReport{
+			Queue: float64(len(w.queue)), FreeSlots: w.Cores - w.usedSlots, FreeMemory: w.Memory - w.usedMemory,
+		}})
+	}
+	for len(w.reports) > 1 && now.Sub(w.reports[1].at) >= w.ReportLag {
+		w.reports = w.reports[1:]
+	}
+	if len(w.reports) == 0 {
+		return loadReport{}, false
+	}
+	return w.reports[0].report, true
+}
+
+// encodedReport is the load report as JSON; an empty object if there is none.
+func (w *Worker) encodedReport() json.RawMessage {
+	report, ok := w.report()
+	if !ok {
+		return json.RawMessage("{}")
+	}
+	text, _ := json.Marshal(report) // numbers always marshal
+	return text
+}
+
+// setReportHeader adds the load report to the header of a rejection, if the worker sends any.
+func (w *Worker) setReportHeader(header http.Header) {
+	if !w.SendsReports {
+		return
+	}
+	header.Set("X-Backend-Load", string(w.encodedReport()))
+}
--- a/internal/rehearsal/standin/standin_test.go
+++ b/internal/rehearsal/standin/standin_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// runningJob is a runningJob under way at a worker.
+// runningJob is a job that was sent to a worker.
 type runningJob struct {
 	t      *testing.T
 	answer *http.Response
@@ -37,7 +37,7 @@
 	return &runningJob{t, answer, bufio.NewScanner(answer.Body), cancel}
 }
 
-// next is the next state told; empty after the last.
+// next reads the next update; its state is empty behind the last one.
 func (j *runningJob) next() (state string, load map[string]float64) {
 	if !j.lines.Scan() {
 		return "", nil
@@ -54,20 +54,30 @@
 
 func startWorker(t *testing.T, c WorkerConfig, jobs ...Job) (*Worker, *Ledger) {
 	t.Helper()
-	books := &Ledger{}
+	ledger := &Ledger{}
 	for _, j := range jobs {
 		j.Path, j.BodyBytes = "/renewal/m1", 2
-		books.Announce(j)
+		ledger.Announce(j)
 	}
 	c.Name, c.SendsReports = "s-1", true
-	w, err := StartWorker(c, books, []byte("secret"))
+	w, err := StartWorker(c, ledger, []byte("secret"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { w.Close() })
-	return w, books
+	return w, ledger
 }
 
+// reportedFreeSlots is the number of free slots in the worker's load report; -1: it has none.
+func reportedFreeSlots(w *Worker) float64 {
+	report, ok := w.report()
+	if !ok {
+		return -1
+	}
+	return report.FreeSlots
+}
+
+// waitFor polls until ok returns true, and fails the test after 10 s.
 func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !ok(); time.Sleep(time.Millisecond) {
@@ -77,11 +87,11 @@
 	}
 }
 
-// Jobs start strictly in order: a large one that waits holds up a small one
-// that would fit; one that never fits and one without room are turned away.
+// Jobs start strictly in order: a large job that waits delays a small one that would fit. A job
+// that never fits, and one that finds the queue full, are rejected.
 func TestWorkerStartsJobsInOrder(t *testing.T) {
 	const long = 300 * time.Millisecond
-	w, books := startWorker(t, WorkerConfig{Cores: 2, QueueLimit: 2}, Job{ID: "a", ServiceTime: long}, Job{ID: "large", ServiceTime: time.Millisecond},
+	w, ledger := startWorker(t, WorkerConfig{Cores: 2, QueueLimit: 2}, Job{ID: "a", ServiceTime: long}, Job{ID: "large", ServiceTime: time.Millisecond},
 		Job{ID: "small", ServiceTime: time.Millisecond}, Job{ID: "more"}, Job{ID: "huge"})
 	a := submit(t, w, "a", 1)
 	if s, _ := a.next(); s != "started" {
@@ -103,17 +113,17 @@
 			}
 		}
 	}
-	start := func(id string) time.Time { return books.jobs[id].runs[0].Start }
-	if start("small").Before(start("large")) || start("large").Before(books.jobs["a"].runs[0].End) {
+	start := func(id string) time.Time { return ledger.jobs[id].runs[0].Start }
+	if start("small").Before(start("large")) || start("large").Before(ledger.jobs["a"].runs[0].End) {
 		t.Error("not in order")
 	}
-	if f := books.Check(); f.Executed != 3 || len(f.Duplicated) != 0 || len(f.Unexpected) != 0 {
+	if f := ledger.Check(); f.Executed != 3 || len(f.Duplicated) != 0 || len(f.Unexpected) != 0 {
 		t.Errorf("%+v", f)
 	}
 }
 
 func TestWorkerDrainsAndStalls(t *testing.T) {
-	w, books := startWorker(t, WorkerConfig{Cores: 1, ReportInterval: time.Millisecond}, Job{ID: "a", ServiceTime: 50 * time.Millisecond}, Job{ID: "b", ServiceTime: time.Millisecond},
+	w, ledger := startWorker(t, WorkerConfig{Cores: 1, ReportInterval: time.Millisecond}, Job{ID: "a", ServiceTime: 50 * time.Millisecond}, Job{ID: "b", ServiceTime: time.Millisecond},
 		Job{ID: "c", ServiceTime: time.Hour}, Job{ID: "d"})
 	a := submit(t, w, "a", 1)
 	a.next()
@@ -121,10 +131,10 @@
 	waitFor(t, "b waits", func() bool { _, n := w.Free(); return n == 1 })
 	w.Drain()
 	if s, _ := b.next(); s != "returned" {
-		t.Errorf("what waited: %q", s)
+		t.Errorf("the queued job: %q", s)
 	}
 	if s, load := a.next(); s != "done" || load["x0"] != 0 {
-		t.Errorf("what ran: %q %v", s, load)
+		t.Errorf("the running job: %q %v", s, load)
 	}
 	if c := submit(t, w, "c", 1); c.answer.StatusCode != 503 {
 		t.Error("a draining worker took a job")
@@ -132,51 +142,51 @@
 	w.mu.Lock()
 	w.draining = false
 	w.mu.Unlock()
-	// It stalls: its report goes on telling the free slot it had, and nothing starts.
-	waitFor(t, "a report of a free slot", func() bool { return w.report()["x0"] == 1 })
+	// A stalled worker starts nothing, and its load report does not change.
+	waitFor(t, "a report of a free slot", func() bool { return reportedFreeSlots(w) == 1 })
 	const stall = 300 * time.Millisecond
 	begin := time.Now()
 	w.Stall(stall)
 	d := submit(t, w, "d", 1)
-	if w.report()["x0"] != 1 {
+	if reportedFreeSlots(w) != 1 {
 		t.Error("a stalled worker's report changed")
 	}
 	if s, _ := d.next(); s != "started" || time.Since(begin) < stall-10*time.Millisecond {
 		t.Errorf("%q after %v of a stall", s, time.Since(begin))
 	}
-	// Called off: it has started, so it counts as run.
+	// A job that is canceled after its start counts as executed.
 	d.next()
 	c := submit(t, w, "c", 1)
 	c.next()
 	c.cancel()
 	waitFor(t, "the slot is free again", func() bool { free, _ := w.Free(); return free == 1 })
-	if started, done := books.Runs("c"); started != 1 || done != 0 {
-		t.Errorf("called off: started %d, done %d", started, done)
+	if started, done := ledger.Runs("c"); started != 1 || done != 0 {
+		t.Errorf("canceled: started %d, completed %d", started, done)
 	}
 }
 
-// Speed, coldness and slowness stretch a run; the books tell a second run.
+// Speed, warm-up and slowdown change the time of a job; the ledger finds a second execution.
 func TestWorkerPace(t *testing.T) {
-	w, books := startWorker(t, WorkerConfig{Speed: 2, WarmupShare: 0.5, Warmup: time.Hour}, Job{ID: "a", ServiceTime: 50 * time.Millisecond})
+	w, ledger := startWorker(t, WorkerConfig{Speed: 2, WarmupShare: 0.5, Warmup: time.Hour}, Job{ID: "a", ServiceTime: 50 * time.Millisecond})
 	for range 2 {
 		j := submit(t, w, "a", 1)
 		for s, _ := j.next(); s != "" && s != "done"; s, _ = j.next() {
 		}
 		w.SlowDown(4)
 	}
-	first, second := books.jobs["a"].runs[0], books.jobs["a"].runs[1]
-	a, b := first.End.Sub(first.Start), second.End.Sub(second.Start)
-	if a < 50*time.Millisecond || b < 3*a {
-		t.Errorf("%v cold at twice the speed, %v four times slower", a, b)
+	first, second := ledger.jobs["a"].runs[0], ledger.jobs["a"].runs[1]
+	a, slowedDown := first.End.Sub(first.Start), second.End.Sub(second.Start)
+	if a < 50*time.Millisecond || slowedDown < 3*a {
+		t.Errorf("%v warming up at twice the speed, %v four times slower", a, slowedDown)
 	}
-	if f := books.Check(); !slices.Equal(f.Duplicated, []string{"a"}) {
+	if f := ledger.Check(); !slices.Equal(f.Duplicated, []string{"a"}) {
 		t.Errorf("%+v", f)
 	}
 }
 
-// What nobody announced, or was changed on the way, does not run and is told.
+// A request that was not announced, or was modified on the way, is not executed and is recorded.
 func TestUnexpectedJobs(t *testing.T) {
-	w, books := startWorker(t, WorkerConfig{}, Job{ID: "a"})
+	w, ledger := startWorker(t, WorkerConfig{}, Job{ID: "a"})
 	if got := submit(t, w, "zzz", 1).answer.StatusCode; got != 400 {
 		t.Errorf("an unknown id: %d", got)
 	}
@@ -188,12 +198,12 @@
 			t.Errorf("id %q on another path: %v, %v", id, answer, err)
 		}
 	}
-	if f := books.Check(); len(f.Unexpected) != 2 || f.Executed != 0 {
+	if f := ledger.Check(); len(f.Unexpected) != 2 || f.Executed != 0 {
 		t.Errorf("%+v", f)
 	}
 }
 
-// A worker proves itself; a wrong secret, another name, a relay and silence do not.
+// Only the worker itself passes a challenge: not with another secret or name, nor through a proxy.
 func TestChallenge(t *testing.T) {
 	w, _ := startWorker(t, WorkerConfig{})
 	ctx := context.Background()
@@ -222,17 +232,17 @@
 	for what, err := range map[string]error{
 		"another secret":  Challenge(ctx, w.Addr, "s-1", []byte("other")),
 		"another name":    Challenge(ctx, w.Addr, "s-2", []byte("secret")),
-		"a relay":         Challenge(ctx, ln.Addr().String(), "s-1", []byte("secret")),
+		"a proxy":         Challenge(ctx, ln.Addr().String(), "s-1", []byte("secret")),
 		"not on loopback": Challenge(ctx, "192.0.2.1:80", "s-1", []byte("secret")),
 	} {
 		if err == nil {
-			t.Errorf("%s proves itself", what)
+			t.Errorf("%s passes the challenge", what)
 		}
 	}
 	var g Gate
 	listed := []Host{{Host: "s-1", Dial: w.Addr, Health: "ready"}}
 	if g.IsOpen() || g.Verify(ctx, listed, []byte("secret")) != nil || !g.IsOpen() {
-		t.Error("the gate does not open on a proof alone")
+		t.Error("the gate does not open after a verification")
 	}
 	g.Close()
 	if g.Verify(ctx, append(listed, Host{Host: "s-1", Dial: ln.Addr().String(), Health: "draining"}), []byte("secret")) == nil || g.IsOpen() {
@@ -243,13 +253,13 @@
 	}
 	var empty Gate
 	if empty.Verify(ctx, nil, nil) == nil || empty.IsOpen() {
-		t.Error("an empty list is proven")
+		t.Error("an empty list is verified")
 	}
 }
 
 func TestDiscovery(t *testing.T) {
-	told := 0
-	d, err := StartDiscovery(func() { told++ })
+	notifications := 0
+	d, err := StartDiscovery(func() { notifications++ })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -283,14 +293,14 @@
 	if l := line(); l.Version != 2 || l.Complete || len(l.Hosts) != 2 {
 		t.Errorf("a change: %+v", l)
 	}
-	if got := d.List(); len(got) != 2 || got[0].Host != "b" || told != 2 {
-		t.Errorf("%+v, told %d", got, told)
+	if got := d.List(); len(got) != 2 || got[0].Host != "b" || notifications != 2 {
+		t.Errorf("%+v, %d notifications", got, notifications)
 	}
 	d.Set(Host{Host: "a", Dial: "127.0.0.1:9", Health: "ready"})
 	if l := line(); len(l.Hosts) != 1 || l.Hosts[0].Dial != "127.0.0.1:9" {
 		t.Errorf("back again: %+v", l)
 	}
-	// Calls are handled in turn, and one that waits too long gets 503.
+	// Calls are handled one at a time, and one that waits too long gets 503.
 	d.callSlot <- struct{}{}
 	d.maxCallWait = 20 * time.Millisecond
 	if got := get("").StatusCode; got != 503 {
@@ -299,7 +309,7 @@
 	<-d.callSlot
 	d.SetDown(true)
 	if watch.Scan() && len(watch.Bytes()) > 0 {
-		t.Errorf("a watch goes on while discovery is down: %q", watch.Text())
+		t.Errorf("a watch continues while discovery is down: %q", watch.Text())
 	}
 	if got := get("").StatusCode; got != 503 {
 		t.Errorf("down: %d", got)
--- a/internal/rehearsal/standin/worker.go
+++ b/internal/rehearsal/standin/worker.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
 	"io"
 	"log"
@@ -10,263 +9,156 @@
 	"math/rand/v2"
 	"net"
 	"net/http"
-	"strconv"
-	"strings"
 	"sync"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
 )
 
-// This file owns a membership worker: it takes jobs over HTTP, starts them
-// strictly in order as slots and memory allow, and tells of it. Everything it
-// does is in the books. It must never start a job twice for one request, nor
-// anything that the books do not know.
-
-// WorkerConfig says what a worker is like. Zero values take the defaults told.
+// WorkerConfig says how a worker behaves. Zero values mean the defaults given.
 type WorkerConfig struct {
-	Name    string
-	Site    string
-	Class   string        // kind of machine
-	Cores   float64       // slots; default 3
-	Memory  float64       // units; default one for each slot
-	QueueLimit   int           // jobs that wait at most; default 10 for each slot
-	Speed   float64       // default 1
-	Noise   float64       // coefficient of variation of a run's time; 0: none
-	WarmupShare    float64       // share of its speed right after its start; 0: it is warm
-	Warmup time.Duration // until it is warm
-	ReportInterval  time.Duration // how often its report is renewed; default 1 s
-	ReportLag     time.Duration // and how old it is by then
-	Seed    uint64
-	SendsReports bool // whether answers carry reports
+	Name           string
+	Site           string
+	Class          string        // kind of machine
+	Cores          float64       // slots; default 3
+	Memory         float64       // units; default one for each slot
+	QueueLimit     int           // queued jobs; default 10 for each slot
+	Speed          float64       // default 1
+	Noise          float64       // coefficient of variation of the jobs' times; 0: none
+	WarmupShare    float64       // share of its speed right after its start; 0: no warm-up
+	Warmup         time.Duration // until it has its full speed
+	ReportInterval time.Duration // between load reports; default 1 s
+	ReportLag      time.Duration // age of the load reports it sends
+	Seed           uint64
+	SendsReports   bool // whether answers contain load reports
+}
+
+const (
+	defaultCores          = 3
+	defaultSpeed          = 1
+	queuePerSlot          = 10
+	defaultReportInterval = time.Second
+)
+
+// setDefaults replaces zero values.
+func (c *WorkerConfig) setDefaults() {
+	if c.Cores == 0 {
+		c.Cores = defaultCores
+	}
+	if c.Speed == 0 {
+		c.Speed = defaultSpeed
+	}
+	if c.Memory == 0 {
+		c.Memory = c.Cores
+	}
+	if c.QueueLimit == 0 {
+		c.QueueLimit = int(queuePerSlot * c.Cores)
+	}
+	if c.ReportInterval == 0 {
+		c.ReportInterval = defaultReportInterval
+	}
 }
 
-// Worker is a running one.
+// Worker is a running worker. It takes jobs over HTTP, starts them strictly in order as slots and
+// memory allow, and streams their progress. Every execution is in the ledger; a request is
+// executed once at most. It is safe for concurrent use.
 type Worker struct {
 	WorkerConfig
-	Addr string
+	Addr    string
 	Started time.Time
 
-	ledger  *Ledger
+	ledger *Ledger
 	secret []byte
 	server *http.Server
 
-	mu       sync.Mutex
-	queue    []*queuedJob
-	usedSlots     float64 // slots
+	mu           sync.Mutex
+	queue        []*queuedJob
+	usedSlots    float64
 	usedMemory   float64
-	draining bool
-	stalledUntil  time.Time // nothing goes on before
-	slowdown   float64
-	errors   int
-	reports  []loadSnapshot
-}
-
-type queuedJob struct {
-	slots, memory float64
-	begin         chan bool // true: start; false: handed back
+	draining     bool
+	stalledUntil time.Time
+	slowdown     float64 // factor of the time of jobs that start
+	reports      []loadSnapshot
 }
 
-type loadSnapshot struct {
-	at                       time.Time
-	errors, queue, free, mem float64
-}
-
-// StartWorker starts a worker on a loopback port that the kernel chooses.
-func StartWorker(c WorkerConfig, books *Ledger, secret []byte) (*Worker, error) {
-	for _, d := range []struct {
-		v   *float64
-		def float64
-	}{{&c.Cores, 3}, {&c.Speed, 1}} {
-		if *d.v == 0 {
-			*d.v = d.def
-		}
-	}
-	if c.Memory == 0 {
-		c.Memory = c.Cores
-	}
-	if c.QueueLimit == 0 {
-		c.QueueLimit = int(10 * c.Cores)
-	}
-	if c.ReportInterval == 0 {
-		c.ReportInterval = time.Second
-	}
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// StartWorker starts a worker on a loopback port that the kernel chooses. secret is that of its
+// answers to challenges.
+func StartWorker(config WorkerConfig, ledger *Ledger, secret []byte) (*Worker, error) {
+	config.setDefaults()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	w := &Worker{WorkerConfig: c, Addr: ln.Addr().String(), Started: time.Now(), ledger: books, secret: secret, slowdown: 1}
+	w := &Worker{
+		WorkerConfig: config,
+		Addr:         listener.Addr().String(),
+		Started:      time.Now(),
+		ledger:       ledger,
+		secret:       secret,
+		slowdown:     1,
+	}
 	w.server = newServer(w)
-	go w.server.Serve(ln)
+	go w.server.Serve(listener)
 	return w, nil
 }
 
-// newServer is a server that does not write to the log of the program.
-func newServer(h http.Handler) *http.Server {
-	return &http.Server{Handler: h, ErrorLog: log.New(io.Discard, "", 0), ReadHeaderTimeout: 5 * time.Second,
-		IdleTimeout: time.Minute}
+// newServer makes a server that does not write to the program's log.
+func newServer(handler http.Handler) *http.Server {
+	const (
+		readHeaderTimeout = 5 * time.Second
+		idleTimeout       = time.Minute
+	)
+	return &http.Server{
+		Handler:           handler,
+		ErrorLog:          log.New(io.Discard, "", 0),
+		ReadHeaderTimeout: readHeaderTimeout,
+		IdleTimeout:       idleTimeout,
+	}
 }
 
-// Close ends the worker as a killed process would: its connections are reset or closed.
+// Close stops the worker as if its process were killed: its connections are closed or reset.
 func (w *Worker) Close() error { return w.server.Close() }
 
-// Drain makes it take nothing new and hand back what waits.
+// Drain makes the worker reject new jobs and return the queued ones.
 func (w *Worker) Drain() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.draining = true
-	for _, q := range w.queue {
-		q.begin <- false
+	for _, queued := range w.queue {
+		queued.begin <- false
 	}
 	w.queue = nil
 }
 
-// Stall makes it stand still: what runs makes no progress and nothing starts,
-// while its reports go on telling what they told last.
-func (w *Worker) Stall(span time.Duration) {
-	w.mu.Lock()
-	w.stalledUntil = time.Now().Add(span)
-	w.mu.Unlock()
-	time.AfterFunc(span, func() { w.mu.Lock(); w.startQueued(); w.mu.Unlock() })
-}
-
-// SlowDown makes runs that start from now on take so many times as long.
-func (w *Worker) SlowDown(factor float64) {
-	w.mu.Lock()
-	w.slowdown = max(factor, 0.01)
-	w.mu.Unlock()
-}
-
-// LagReports makes reports so much older.
-func (w *Worker) LagReports(by time.Duration) {
+// Stall makes the worker stand still: running jobs make no progress, none is started, and its
+// load reports do not change.
+func (w *Worker) Stall(duration time.Duration) {
 	w.mu.Lock()
-	w.ReportLag = by
+	w.stalledUntil = time.Now().Add(duration)
 	w.mu.Unlock()
-}
-
-// ServeHTTP takes jobs and challenges.
-func (w *Worker) ServeHTTP(out http.ResponseWriter, in *http.Request) {
-	if in.URL.Path == challengePath {
-		answerChallenge(out, in, w.secret, w.Name)
-		return
-	}
-	id := in.Header.Get("X-Correlation-Id")
-	if id == "" || in.Method != http.MethodPost {
-		http.Error(out, "no id", http.StatusNotFound)
-		return
-	}
-	body, err := io.ReadAll(io.LimitReader(in.Body, 64<<10+1))
-	if err != nil {
-		return // it never came whole: nothing has run
-	}
-	job, ok := w.ledger.accept(id, in.URL.EscapedPath(), len(body))
-	if !ok {
-		http.Error(out, "no client sent this", http.StatusBadRequest)
-		return
-	}
-	slots := max(job.Slots, 1)
-	for fact := range strings.SplitSeq(in.Header.Get("X-Facts"), ",") {
-		if name, value, _ := strings.Cut(fact, "="); name == "slots" {
-			if x, err := strconv.ParseFloat(value, 64); err == nil {
-				slots = x
-			}
-		}
-	}
-	place, ok := w.enqueue(slots)
-	if !ok {
-		w.setReportHeader(out.Header())
-		out.Header().Set("X-Unprocessed", "1")
-		http.Error(out, "no room", http.StatusServiceUnavailable)
-		return
-	}
-	out.Header().Set("Content-Type", "application/x-ndjson")
-	out.WriteHeader(http.StatusOK)
-	flush := out.(http.Flusher).Flush
-	flush()
-	say := func(more map[string]any) {
-		more["id"], more["from"] = id, w.Name
-		line, _ := json.Marshal(more) // strings and numbers always marshal
-		out.Write(append(line, '\n'))
-		flush()
-	}
-	select {
-	case start := <-place.begin:
-		if !start {
-			say(map[string]any{"state": "returned", "load": w.report()})
-			return
-		}
-	case <-in.Context().Done():
-		if w.abandon(place) {
-			return
-		}
-		if !<-place.begin {
-			return
-		}
-	}
-	defer w.release(slots)
-	run := w.ledger.startRun(id, w.Name, time.Now())
-	say(map[string]any{"state": "started"})
-	finished := w.run(in.Context(), job, run, func(share float64) {
-		say(map[string]any{"state": "running", "share": math.Round(share*100) / 100})
+	time.AfterFunc(duration, func() {
+		w.mu.Lock()
+		defer w.mu.Unlock()
+		w.startQueued()
 	})
-	w.ledger.endRun(id, run, time.Now(), finished)
-	if finished {
-		last := map[string]any{"state": "done", "result": w.Name + " " + id}
-		if w.SendsReports {
-			last["load"] = w.report()
-		}
-		say(last)
-	}
 }
 
-// enqueue takes a place in the queue; false: there is no room, or never will be.
-func (w *Worker) enqueue(slots float64) (*queuedJob, bool) {
+// SlowDown multiplies the time of jobs that start from now on.
+func (w *Worker) SlowDown(factor float64) {
+	const minFactor = 0.01
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.draining || slots > w.Cores || slots > w.Memory || len(w.queue) >= w.QueueLimit {
-		return nil, false
-	}
-	q := &queuedJob{slots: slots, memory: slots, begin: make(chan bool, 1)}
-	w.queue = append(w.queue, q)
-	w.startQueued()
-	return q, true
-}
-
-// startQueued starts what fits, in order: the first waits until it does.
-func (w *Worker) startQueued() {
-	for len(w.queue) > 0 && !time.Now().Before(w.stalledUntil) {
-		q := w.queue[0]
-		if w.usedSlots+q.slots > w.Cores || w.usedMemory+q.memory > w.Memory {
-			return
-		}
-		w.queue = w.queue[1:]
-		w.usedSlots, w.usedMemory = w.usedSlots+q.slots, w.usedMemory+q.memory
-		q.begin <- true
-	}
+	w.slowdown = max(factor, minFactor)
 }
 
-// abandon gives up a place; false: the job has been started or handed back.
-func (w *Worker) abandon(q *queuedJob) bool {
+// LagReports sets the age of the load reports that the worker sends.
+func (w *Worker) LagReports(lag time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for i, other := range w.queue {
-		if other == q {
-			w.queue = append(w.queue[:i], w.queue[i+1:]...)
-			w.startQueued()
-			return true
-		}
-	}
-	return false
+	w.ReportLag = lag
 }
 
-func (w *Worker) release(slots float64) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.usedSlots, w.usedMemory = w.usedSlots-slots, w.usedMemory-slots
-	w.startQueued()
-}
-
-// currentSpeed is how fast it works at a moment.
+// currentSpeed is the worker's speed at this moment.
 func (w *Worker) currentSpeed() float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -277,76 +169,53 @@
 	return speed
 }
 
-// run spends a run's time; false: it was called off.
-func (w *Worker) run(ctx context.Context, job Job, run int, tell func(share float64)) bool {
-	rng := rand.New(rand.NewPCG(w.Seed, xxhash.Sum64String(job.ID)+uint64(run)))
-	span := float64(max(job.ServiceTime, time.Microsecond))
-	if w.Noise > 0 {
-		s2 := math.Log(1 + w.Noise*w.Noise)
-		span *= math.Exp(rng.NormFloat64()*math.Sqrt(s2) - s2/2)
-	}
-	span /= w.currentSpeed()
-	const note = time.Second
-	for spent := time.Duration(0); spent < time.Duration(span); {
-		step := min(note, time.Duration(span)-spent)
+// run spends the time of one execution of a job. onProgress is called with the completed share.
+// It reports false if ctx ended first.
+func (w *Worker) run(ctx context.Context, job Job, run int, onProgress func(share float64)) bool {
+	const progressInterval = time.Second
+	total := w.runTime(job, run)
+	for spent := time.Duration(0); spent < time.Duration(total); {
+		step := min(progressInterval, time.Duration(total)-spent)
 		if !sleep(ctx, step) {
 			return false
 		}
-		if spent += step; spent < time.Duration(span) {
-			tell(float64(spent) / span)
+		spent += step
+		if spent < time.Duration(total) {
+			onProgress(float64(spent) / total)
 		}
 		w.mu.Lock()
-		still := time.Until(w.stalledUntil)
+		stall := time.Until(w.stalledUntil)
 		w.mu.Unlock()
-		if still > 0 && !sleep(ctx, still) {
+		if stall > 0 && !sleep(ctx, stall) {
 			return false
 		}
 	}
 	return true
 }
 
-func sleep(ctx context.Context, span time.Duration) bool {
-	t := time.NewTimer(span)
-	defer t.Stop()
+// runTime is the time of an execution in nanoseconds. It depends on the job's id and the number of
+// its earlier runs, and on the worker's speed at this moment.
+func (w *Worker) runTime(job Job, run int) float64 {
+	random := rand.New(rand.NewPCG(w.Seed, xxhash.Sum64String(job.ID)+uint64(run)))
+	total := float64(max(job.ServiceTime, time.Microsecond))
+	if w.Noise > 0 {
+		variance := math.Log(1 + w.Noise*w.Noise) // of the logarithm
+		total *= math.Exp(random.NormFloat64()*math.Sqrt(variance) - variance/2)
+	}
+	return total / w.currentSpeed()
+}
+
+// sleep waits. It reports false if ctx ended first.
+func sleep(ctx context.Context, duration time.Duration) bool {
+	timer := time.NewTimer(duration)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// report is its load report: as old as it has been told to be.
-func (w *Worker) report() map[string]float64 {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	now := time.Now()
-	if n := len(w.reports); (n == 0 || now.Sub(w.reports[n-1].at) >= w.ReportInterval) && !now.Before(w.stalledUntil) {
-		w.reports = append(w.reports, loadSnapshot{now, float64(w.errors), float64(len(w.queue)), w.Cores - w.usedSlots, w.Memory - w.usedMemory})
-	}
-	for len(w.reports) > 1 && now.Sub(w.reports[1].at) >= w.ReportLag {
-		w.reports = w.reports[1:]
-	}
-	if len(w.reports) == 0 {
-		return map[string]float64{}
-	}
-	r := w.reports[0]
-	return map[string]float64{"eps": r.errors, "queue": r.queue, "x0": r.free, "x1": r.mem}
-}
-
-func (w *Worker) setReportHeader(h http.Header) {
-	if !w.SendsReports {
-		return
-	}
-	text, _ := json.Marshal(w.report())
-	h.Set("X-Backend-Load", string(text))
-}
-
-// Free tells how many slots are free and how many jobs wait.
-func (w *Worker) Free() (slots float64, waiting int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.Cores - w.usedSlots, len(w.queue)
-}
-
+// String names the worker and its address.
 func (w *Worker) String() string { return fmt.Sprintf("%s at %s", w.Name, w.Addr) }
