--- /dev/null
+++ b/internal/rehearsal/replay/faktory.go
@@ -0,0 +1,146 @@
+package replay
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"strconv"
+	"strings"
+)
+
+const (
+	faktoryVersion    = 2
+	maxHashIterations = 100_000
+	maxBulkBytes      = 1 << 20
+)
+
+// faktoryJob is a job of the Faktory protocol. Fields are in the alphabetical order of their keys.
+type faktoryJob struct {
+	Args    []string      `json:"args"`
+	Custom  faktoryCustom `json:"custom"`
+	ID      string        `json:"jid"`
+	JobType string        `json:"jobtype"`
+	Queue   string        `json:"queue"`
+}
+
+type faktoryCustom struct {
+	EffortUs   int64   `json:"effort_us"`
+	Key        string  `json:"key"`
+	Slots      float64 `json:"slots"`
+	TimeLeftMs int64   `json:"time_left_ms"`
+}
+
+// faktoryGreeting is the server's HI.
+type faktoryGreeting struct {
+	Version    int    `json:"v"`
+	Salt       string `json:"s"` // empty: no password is needed
+	Iterations int    `json:"i"`
+}
+
+// faktoryHello is the client's HELLO.
+type faktoryHello struct {
+	Hostname     string `json:"hostname"`
+	PasswordHash string `json:"pwdhash,omitempty"`
+	Version      int    `json:"v"`
+}
+
+var errHandshake = errors.New("the greeting is none")
+
+// appendPush appends the request as a PUSH command.
+func appendPush(b []byte, next *request, body []byte) []byte {
+	text, _ := json.Marshal(faktoryJob{ // strings and numbers always marshal
+		Args: []string{string(body)},
+		Custom: faktoryCustom{
+			EffortUs:   next.Effort.Microseconds(),
+			Key:        strings.TrimPrefix(next.path, "/"+next.class+"/"),
+			Slots:      next.Slots,
+			TimeLeftMs: next.Timeout.Milliseconds(),
+		},
+		ID:      next.id,
+		JobType: next.class,
+		Queue:   next.class,
+	})
+	b = append(b, "PUSH "...)
+	b = append(b, text...)
+	return append(b, "\r\n"...)
+}
+
+// readFaktoryAnswer reads the answer to a PUSH.
+func (c *connection) readFaktoryAnswer() (answer, error) {
+	line, err := c.readLine()
+	if err != nil {
+		return answer{}, err
+	}
+	if strings.HasPrefix(line, "+OK") {
+		return answer{outcome: Served}, nil
+	}
+	if message, isError := strings.CutPrefix(line, "-ERR "); isError && strings.HasPrefix(message, "REFUSED") {
+		return answer{outcome: Rejected, reason: normalizeReason(message)}, nil
+	}
+	return answer{outcome: Failed, reason: normalizeReason(line)}, nil
+}
+
+// readLine reads one line; of a bulk string its text.
+func (c *connection) readLine() (string, error) {
+	raw, err := c.input.ReadSlice('\n')
+	if err != nil {
+		return "", err
+	}
+	line := strings.TrimRight(string(raw), "\r\n")
+	length, isBulk := strings.CutPrefix(line, "$")
+	if !isBulk {
+		return line, nil
+	}
+	n, err := strconv.Atoi(length)
+	if err != nil || n > maxBulkBytes {
+		return "", errHandshake
+	}
+	if n < 0 {
+		return "", nil
+	}
+	text := make([]byte, n+len("\r\n"))
+	_, err = io.ReadFull(c.input, text)
+	return string(text[:n]), err
+}
+
+// handshake logs in as a producer.
+func (c *connection) handshake(password string) error {
+	line, err := c.readLine()
+	if err != nil {
+		return err
+	}
+	var greeting faktoryGreeting
+	text, ok := strings.CutPrefix(line, "+HI ")
+	if !ok || json.Unmarshal([]byte(text), &greeting) != nil || greeting.Version != faktoryVersion ||
+		greeting.Iterations > maxHashIterations {
+		return errHandshake
+	}
+	hello := faktoryHello{Hostname: "rehearsal", Version: faktoryVersion}
+	if greeting.Salt != "" {
+		hello.PasswordHash = hashPassword(password, greeting)
+	}
+	raw, _ := json.Marshal(hello) // strings and numbers always marshal
+	if _, err := fmt.Fprintf(c.conn, "HELLO %s\r\n", raw); err != nil {
+		return err
+	}
+	line, err = c.readLine()
+	if err != nil {
+		return err
+	}
+	if !strings.HasPrefix(line, "+OK") {
+		return errors.New(normalizeReason(line))
+	}
+	return nil
+}
+
+// hashPassword hashes the password as the protocol demands: SHA-256 of it with the salt, iterated.
+func hashPassword(password string, greeting faktoryGreeting) string {
+	sum := sha256.Sum256([]byte(password + greeting.Salt))
+	for range max(greeting.Iterations, 1) - 1 {
+		sum = sha256.Sum256(sum[:])
+	}
+	return hex.EncodeToString(sum[:])
+}
--- /dev/null
+++ b/internal/rehearsal/replay/http.go
@@ -0,0 +1,47 @@
+package replay
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"strconv"
+)
+
+// maxAnswerBytes bounds the body of an answer that is read.
+const maxAnswerBytes = 1 << 20
+
+// appendHTTPRequest appends the request in the form of the HTTP front end.
+func appendHTTPRequest(b []byte, next *request, target string, body []byte) []byte {
+	b = fmt.Appendf(b, "POST %s HTTP/1.1\r\nHost: %s\r\nX-Correlation-Id: %s\r\nX-Time-Left-Ms: %d\r\n"+
+		"X-Weight-Hint: %d\r\nContent-Length: %d\r\n", next.path, target, next.id, next.Timeout.Milliseconds(),
+		next.Effort.Microseconds(), len(body))
+	if next.Slots != 1 {
+		b = append(b, "X-Facts: slots="...)
+		b = strconv.AppendFloat(b, next.Slots, 'g', -1, 64)
+		b = append(b, "\r\n"...)
+	}
+	b = append(b, "\r\n"...)
+	return append(b, body...)
+}
+
+// readHTTPAnswer reads an answer of the HTTP front end.
+func (c *connection) readHTTPAnswer() (answer, error) {
+	response, err := http.ReadResponse(c.input, nil)
+	if err != nil {
+		return answer{}, err
+	}
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	response.Body.Close()
+	if err != nil {
+		return answer{}, err
+	}
+	if response.StatusCode == http.StatusOK {
+		return answer{outcome: Served, last: response.Close}, nil
+	}
+	reason := fmt.Sprintf("%d %s", response.StatusCode, normalizeReason(string(text)))
+	switch response.StatusCode {
+	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
+		return answer{outcome: Rejected, reason: reason, last: response.Close}, nil
+	}
+	return answer{outcome: Failed, reason: reason, last: response.Close}, nil
+}
--- a/internal/rehearsal/replay/replay_test.go
+++ b/internal/rehearsal/replay/replay_test.go
@@ -17,7 +17,7 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/recording/recordingpb"
 )
 
-// testRecording is a recording of entries so far apart.
+// testRecording is a recording of n entries that are the given time apart.
 func testRecording(t *testing.T, n int, apart time.Duration) *recording.Reader {
 	t.Helper()
 	var out bytes.Buffer
@@ -42,9 +42,8 @@
 	return r
 }
 
-// A stall of the other side does not slow the sending down, and what should
-// have been answered during the stall shows in the latency: of requests that
-// come evenly, those within the stall wait for what is left of it.
+// A stall of the server does not slow the sending down, and shows in the latency: requests that
+// are due during the stall wait for the rest of it.
 func TestStallShowsInLatency(t *testing.T) {
 	const n, apart, stall = 400, 5 * time.Millisecond, 600 * time.Millisecond
 	var once sync.Once
@@ -85,7 +84,7 @@
 	}
 }
 
-// Without a proof nothing that must run once is sent; when it fails midway, nothing more.
+// Jobs that must not be retried are not sent without a verification, nor after one has failed.
 func TestWithholdsUnverified(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, in *http.Request) { io.Copy(io.Discard, in.Body) }))
 	defer srv.Close()
@@ -101,7 +100,7 @@
 	}
 }
 
-// A kept connection that closes under a request: it is sent once more, not twice.
+// A request on a reused connection that closes is sent once more, not twice.
 func TestRetriesOnce(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -114,7 +113,7 @@
 			if err != nil {
 				return
 			}
-			go func() { // answers one request, and hangs up on the next
+			go func() { // answers one request, and closes the connection on the next
 				defer conn.Close()
 				buf := make([]byte, 4096)
 				if n, _ := conn.Read(buf); n == 0 {
@@ -142,7 +141,7 @@
 		}
 	}
 	s := newSeries()
-	for i := range 1000 { // a tenth comes half a second late
+	for i := range 1000 { // a tenth is sent half a second late
 		at := time.Duration(i) * 10 * time.Millisecond
 		late := time.Duration(0)
 		if i%10 == 0 {
