--- a/cmd/rehearse/soak.go
+++ b/cmd/rehearse/soak.go
@@ -28,7 +28,7 @@
 	failed := 0
 	for i := range c.Seeds {
 		report, err := soak.Run(context.Background(), soak.Config{
-			Daemon: program, Seed: c.Seed + uint64(i), Daemons: c.Daemons, For: c.For,
+			Daemon: program, Seed: c.Seed + uint64(i), Daemons: c.Daemons, Duration: c.For,
 		})
 		if err != nil {
 			return err
--- a/internal/rehearsal/soak/discovery.go
+++ b/internal/rehearsal/soak/discovery.go
@@ -12,14 +12,14 @@
 	"time"
 )
 
-// Health of a listed worker, in discovery's words.
+// Health of a listed worker in the discovery protocol.
 const (
 	ready    = "ready"
 	draining = "draining"
 	gone     = "gone"
 )
 
-// host is an entry of a list.
+// host is an entry of a list in the discovery protocol.
 type host struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
@@ -30,200 +30,260 @@
 	BornMs int64   `json:"born_ms"`
 }
 
-// change is one change of the list.
+// listing is a line of the discovery protocol.
+type listing struct {
+	Hosts    []host `json:"hosts"`
+	Version  int64  `json:"seq"`
+	Complete bool   `json:"whole"`
+}
+
+// change is one change of a worker's health.
 type change struct {
-	at     time.Time
-	seq    int64
-	health string
+	at      time.Time
+	version int64
+	health  string
 }
 
-// discovery is the stand-in for discovery: watches by version, and its faults.
+// interval is a span of time; a zero end means that it has not ended.
+type interval struct{ from, to time.Time }
+
+// discovery is the stand-in for the discovery service, with watches by version and faults that can
+// be switched on. It is safe for concurrent use.
 type discovery struct {
-	ln net.Listener
+	listener net.Listener
 
-	mu      sync.Mutex
-	seq     int64
-	hosts   map[string]host
-	touched map[string]int64    // by host, the version that changed it last
-	history map[string][]change // by host
-	woken   chan struct{}       // closed at each change of anything
-	down    int                 // faults that are on
-	silent  int
-	breaks  int
-	outages []span
+	mu               sync.Mutex
+	version          int64
+	hosts            map[string]host
+	changedIn        map[string]int64    // by host, the version that changed it last
+	history          map[string][]change // by host
+	changed          chan struct{}       // closed at each change of the list or the faults
+	downFaults       int                 // number of such faults in force
+	silentFaults     int
+	truncationFaults int
+	outages          []interval
 }
 
-// span is a time in which something held; a zero end: it still does.
-type span struct{ from, to time.Time }
-
 func startDiscovery() (*discovery, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	d := &discovery{ln: ln, hosts: map[string]host{}, touched: map[string]int64{}, history: map[string][]change{}, woken: make(chan struct{})}
-	go func() {
-		for {
-			conn, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			go d.serve(conn)
-		}
-	}()
+	d := &discovery{
+		listener:  listener,
+		hosts:     map[string]host{},
+		changedIn: map[string]int64{},
+		history:   map[string][]change{},
+		changed:   make(chan struct{}),
+	}
+	go serveAll(listener, d.serve)
 	return d, nil
 }
 
-func (d *discovery) close() { d.ln.Close() }
+// serveAll serves each connection in a goroutine of its own until the listener is closed.
+func serveAll(listener net.Listener, serve func(net.Conn)) {
+	for {
+		conn, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		go serve(conn)
+	}
+}
 
-func (d *discovery) addr() string { return d.ln.Addr().String() }
+func (d *discovery) close() { d.listener.Close() }
+
+func (d *discovery) addr() string { return d.listener.Addr().String() }
 
 // set changes how a worker is listed.
 func (d *discovery) set(name, addr, health string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.seq++
+	d.version++
 	d.hosts[name] = host{Host: name, Dial: addr, Site: "here", Class: "m", Health: health, Share: 1}
-	d.touched[name] = d.seq
-	d.history[name] = append(d.history[name], change{time.Now(), d.seq, health})
-	d.wake()
+	d.changedIn[name] = d.version
+	d.history[name] = append(d.history[name], change{at: time.Now(), version: d.version, health: health})
+	d.publish()
 }
 
-func (d *discovery) wake() {
-	close(d.woken)
-	d.woken = make(chan struct{})
+// publish wakes the watches. The caller holds the lock.
+func (d *discovery) publish() {
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
-// fault switches a fault of discovery on or off.
-func (d *discovery) fault(kind faultKind, on bool) {
+// setFault switches a fault of the service on or off.
+func (d *discovery) setFault(kind faultKind, on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	step := map[bool]int{true: 1, false: -1}[on]
+	step := -1
+	if on {
+		step = 1
+	}
 	switch kind {
-	case discoveryDown:
-		if d.down += step; d.down == 1 && on {
-			d.outages = append(d.outages, span{from: time.Now()})
-		} else if d.down == 0 {
+	case faultDiscoveryDown:
+		d.downFaults += step
+		if d.downFaults == 1 && on {
+			d.outages = append(d.outages, interval{from: time.Now()})
+		} else if d.downFaults == 0 {
 			d.outages[len(d.outages)-1].to = time.Now()
 		}
-	case discoverySilent:
-		d.silent += step
-	case discoveryBreaks:
-		d.breaks += step
+	case faultDiscoverySilent:
+		d.silentFaults += step
+	case faultDiscoveryTruncates:
+		d.truncationFaults += step
 	}
-	d.wake()
+	d.publish()
 }
 
-// known is the whole list in discovery's words.
-func (d *discovery) known() json.RawMessage {
+// initialList is the complete list as a dispatcher's configuration has it.
+func (d *discovery) initialList() json.RawMessage {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	list, _ := json.Marshal(map[string]any{"seq": d.seq, "whole": true, "hosts": d.since(0)}) // strings and numbers always marshal
-	return list
+	return d.encodeSince(0)
 }
 
-// since lists what has changed after a version.
-func (d *discovery) since(after int64) []host {
-	list := []host{}
-	for name, seq := range d.touched {
-		if seq > after && (after > 0 || d.hosts[name].Health != gone) {
-			list = append(list, d.hosts[name])
+// encodeSince encodes what has changed after a version; 0: the complete list. The caller holds
+// the lock.
+func (d *discovery) encodeSince(version int64) []byte {
+	list := listing{Hosts: []host{}, Version: d.version, Complete: version == 0}
+	for name, changedIn := range d.changedIn {
+		if changedIn > version && (version > 0 || d.hosts[name].Health != gone) {
+			list.Hosts = append(list.Hosts, d.hosts[name])
 		}
 	}
-	return list
+	text, _ := json.Marshal(list) // strings and numbers always marshal
+	return text
+}
+
+// watchState is what a watch sees of the service.
+type watchState struct {
+	line      string // the changes, as a line of the protocol
+	version   int64
+	changed   <-chan struct{}
+	down      bool
+	silent    bool
+	truncates bool
 }
 
-// state is what a watch looks at.
-func (d *discovery) state(after int64) (line string, seq int64, woken chan struct{}, down, silent, breaks bool) {
+// stateSince returns the state of the service with the changes after a version.
+func (d *discovery) stateSince(version int64) watchState {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	text, _ := json.Marshal(map[string]any{"seq": d.seq, "whole": after == 0, "hosts": d.since(after)})
-	return string(text) + "\n", d.seq, d.woken, d.down > 0, d.silent > 0, d.breaks > 0
+	return watchState{
+		line:      string(d.encodeSince(version)) + "\n",
+		version:   d.version,
+		changed:   d.changed,
+		down:      d.downFaults > 0,
+		silent:    d.silentFaults > 0,
+		truncates: d.truncationFaults > 0,
+	}
 }
 
-const heartbeat = 2 * time.Second
+const heartbeatInterval = 2 * time.Second
 
+// serve answers one call with the list and a watch of its changes.
 func (d *discovery) serve(conn net.Conn) {
 	defer conn.Close()
-	req, err := http.ReadRequest(bufio.NewReader(conn))
+	call, err := http.ReadRequest(bufio.NewReader(conn))
 	if err != nil {
 		return
 	}
-	after, _ := strconv.ParseInt(req.URL.Query().Get("after"), 10, 64)
-	line, seq, woken, down, _, breaks := d.state(after)
-	if down {
+	after, _ := strconv.ParseInt(call.URL.Query().Get("after"), 10, 64) // missing: 0, the complete list
+	state := d.stateSince(after)
+	if state.down {
 		io.WriteString(conn, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 		return
 	}
 	io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 	closed := make(chan struct{})
-	go func() { io.Copy(io.Discard, conn); close(closed) }()
-	if breaks {
-		io.WriteString(conn, chunk(line)[:len(line)/2])
-		<-closed
+	go func() {
+		defer close(closed)
+		io.Copy(io.Discard, conn)
+	}()
+	if state.truncates {
+		writeTruncated(conn, state.line, closed)
 		return
 	}
-	io.WriteString(conn, chunk(line))
+	io.WriteString(conn, chunk(state.line))
+	d.watch(conn, state, closed)
+}
+
+// watch writes changes as they are published, and blank lines as heartbeats, until the connection
+// is closed or a fault ends it.
+func (d *discovery) watch(conn net.Conn, state watchState, closed <-chan struct{}) {
 	for {
-		pulse := time.NewTimer(heartbeat)
-		beat := false
+		heartbeat := time.NewTimer(heartbeatInterval)
+		due := false
 		select {
 		case <-closed:
+			heartbeat.Stop()
 			return
-		case <-woken:
-		case <-pulse.C:
-			beat = true
+		case <-state.changed:
+		case <-heartbeat.C:
+			due = true
 		}
-		pulse.Stop()
-		var down, silent bool
-		after := seq
-		line, seq, woken, down, silent, _ = d.state(after)
+		heartbeat.Stop()
+		after := state.version
+		state = d.stateSince(after)
 		switch {
-		case down:
+		case state.down:
 			return
-		case silent:
-			io.WriteString(conn, chunk(line)[:len(line)/2])
-			<-closed
+		case state.silent:
+			writeTruncated(conn, state.line, closed)
 			return
-		case seq > after:
-			io.WriteString(conn, chunk(line))
-		case beat:
+		case state.version > after:
+			io.WriteString(conn, chunk(state.line))
+		case due:
 			io.WriteString(conn, chunk("\n"))
 		}
 	}
 }
 
+// writeTruncated writes half a line and then nothing until the connection is closed.
+func writeTruncated(conn net.Conn, line string, closed <-chan struct{}) {
+	io.WriteString(conn, chunk(line)[:len(line)/2])
+	<-closed
+}
+
+// chunk encodes a text as a chunk of HTTP's chunked transfer coding.
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// leftAt finds since when, at a time, a worker has not been listed as ready; false: it was.
-func (d *discovery) leftAt(name string, at time.Time) (since time.Time, left bool) {
+// unlistedSince returns since when a worker has not been listed as ready at the given time;
+// unlisted is false if it was.
+func (d *discovery) unlistedSince(name string, at time.Time) (since time.Time, unlisted bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, c := range d.history[name] {
 		switch {
 		case c.at.After(at):
-			return since, left
+			return since, unlisted
 		case c.health == ready:
-			left = false
-		case !left:
-			since, left = c.at, true
+			unlisted = false
+		case !unlisted:
+			since = c.at
+			unlisted = true
 		}
 	}
-	return since, left
+	return since, unlisted
 }
 
-// notified is when a change counts as notified, however calls ended: a fixed time
-// after discovery had it and could be reached.
-func (d *discovery) notified(changed time.Time) time.Time {
+// notificationDeadline is when a dispatcher must know of a change: notificationTime after the
+// service had it and was reachable, however its watches ended.
+func (d *discovery) notificationDeadline(changed time.Time) time.Time {
+	const never = time.Hour // from now, longer than a run
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, o := range d.outages {
-		if !changed.Before(o.from) && (o.to.IsZero() || changed.Before(o.to)) || o.from.After(changed) && o.from.Before(changed.Add(notifiedWithin)) {
-			if o.to.IsZero() {
-				return time.Now().Add(time.Hour)
-			}
-			changed = o.to
+	for _, outage := range d.outages {
+		during := !changed.Before(outage.from) && (outage.to.IsZero() || changed.Before(outage.to))
+		soonAfter := outage.from.After(changed) && outage.from.Before(changed.Add(notificationTime))
+		if !during && !soonAfter {
+			continue
+		}
+		if outage.to.IsZero() {
+			return time.Now().Add(never)
 		}
+		changed = outage.to
 	}
-	return changed.Add(notifiedWithin)
+	return changed.Add(notificationTime)
 }
--- /dev/null
+++ b/internal/rehearsal/soak/faults.go
@@ -0,0 +1,67 @@
+package soak
+
+import (
+	"math/rand/v2"
+	"time"
+)
+
+// faultKind is a kind of fault.
+type faultKind int
+
+const (
+	faultKill               faultKind = iota // SIGKILL, and a start with the endpoint list of the run's start
+	faultRestart                             // SIGTERM, and a start
+	faultPause                               // SIGSTOP, and SIGCONT
+	faultDrain                               // a worker is listed as draining, then removed, then listed again
+	faultRemove                              // a worker is removed and listed again later
+	faultHang                                // a worker accepts requests and does not answer for a while
+	faultReset                               // a worker resets its connections
+	faultDiscoveryDown                       // calls fail or get 503, watches end
+	faultDiscoverySilent                     // watches fall silent, within a line or between two
+	faultDiscoveryTruncates                  // answers to calls fall silent within a line
+	faultKinds
+)
+
+// String names the kind.
+func (k faultKind) String() string {
+	return [...]string{"kill", "restart", "hold", "drain", "remove", "hang", "reset", "discovery down", "discovery silent", "discovery breaks off"}[k]
+}
+
+// fault is one fault of a schedule.
+type fault struct {
+	kind     faultKind
+	start    time.Duration // since the start of the run
+	duration time.Duration
+	target   int // index of a dispatcher or a worker
+}
+
+// maxDuration is the longest duration of a fault by its kind.
+var maxDuration = [faultKinds]time.Duration{
+	faultKill: 2 * time.Second, faultRestart: 9 * time.Second, faultPause: 9 * time.Second,
+	faultDrain: 8 * time.Second, faultRemove: 10 * time.Second, faultHang: 3 * time.Second,
+	faultDiscoveryDown: 9 * time.Second, faultDiscoverySilent: 8 * time.Second, faultDiscoveryTruncates: 8 * time.Second,
+}
+
+// maxFaultInterval is the longest time between the starts of two faults.
+const maxFaultInterval = 2 * time.Second
+
+// schedule draws the faults of a seed. They overlap: about one begins each second.
+func schedule(seed uint64, config Config) (faults []fault) {
+	random := rand.New(rand.NewPCG(seed, faultScheduleStream))
+	start := time.Duration(0)
+	for start < config.Duration {
+		f := fault{kind: faultKind(random.IntN(int(faultKinds))), start: start}
+		if longest := maxDuration[f.kind]; longest > 0 {
+			f.duration = longest/10 + time.Duration(random.Int64N(int64(longest*9/10)))
+		}
+		switch f.kind {
+		case faultKill, faultRestart, faultPause:
+			f.target = config.Traced + random.IntN(config.Daemons-config.Traced) // signals interfere with ptrace
+		case faultDrain, faultRemove, faultHang, faultReset:
+			f.target = random.IntN(config.Workers * 2 / 3) // the others stay, so that requests can be served
+		}
+		faults = append(faults, f)
+		start += time.Duration(random.IntN(int(maxFaultInterval)))
+	}
+	return faults
+}
--- a/internal/rehearsal/soak/soak.go
+++ b/internal/rehearsal/soak/soak.go
@@ -1,7 +1,7 @@
-// Package soak runs a few dozen real dispatchers on loopback between stand-ins for
-// discovery, workers and clients, under random faults that overlap, and judges from
-// outside whether the rules held. A seed names the schedule of faults. It must never
-// judge by what a dispatcher says of itself alone, nor leave a process behind.
+// Package soak runs a few dozen real dispatchers on loopback between stand-ins for the discovery
+// service, the workers and the clients, under random faults that overlap, and checks the rules
+// from what the stand-ins observed; a dispatcher's own counters only add violations. A seed
+// determines the schedule of the faults. All processes are children that end with the run.
 package soak
 
 import (
@@ -15,74 +15,51 @@
 	"time"
 )
 
-// Config says what to run. Zero values take the defaults told.
+// Config says what to run. Zero values mean the defaults given.
 type Config struct {
-	Daemon  string        // the program dispatcher-serve
-	Seed    uint64        // of the schedule of faults
-	Daemons int           // default 24
-	Workers int           // default 12
-	For     time.Duration // how long faults and clients go on; default 30 s
-	Rate    float64       // requests a second for each dispatcher; default 4
-	Traced  int           // dispatchers whose system calls fail and whose wall clock steps; default an eighth
+	Daemon   string        // path of the program dispatcher-serve
+	Seed     uint64        // of the schedule of faults
+	Daemons  int           // default 24
+	Workers  int           // default 12
+	Duration time.Duration // of faults and clients; default 30 s
+	Rate     float64       // requests per second to each dispatcher; default 4
+	Traced   int           // dispatchers whose system calls fail and whose wall clock steps; default an eighth
 }
 
-func (c *Config) normalize() {
-	setDefault(&c.Daemons, 24)
-	setDefault(&c.Workers, 12)
-	setDefault(&c.For, 30*time.Second)
-	setDefault(&c.Rate, 4)
-	if c.Traced == 0 {
-		c.Traced = c.Daemons / 8
-	}
-}
-
-func setDefault[T comparable](v *T, value T) {
-	var zero T
-	if *v == zero {
-		*v = value
-	}
-}
-
-// Rules of the deployment that the soak plays, as the dispatchers' settings tell them.
 const (
-	notifiedWithin = 6 * time.Second
-	drainGrace     = 500 * time.Millisecond
-	lateAnswer     = 500 * time.Millisecond // beyond its time a request is lost
-	leaveSlack     = 100 * time.Millisecond // from a client's close to the last attempt that may begin
-	timeLeftSlack  = 150 * time.Millisecond
-
-	// machineSlack is what a machine that runs everything at once may add to each bound,
-	// and tracedSlack where each system call stops for its tracer. A machine that is
-	// later than that adds what its own timers were late.
-	machineSlack = 400 * time.Millisecond
-	tracedSlack  = 4 * time.Second
+	defaultDaemons  = 24
+	defaultWorkers  = 12
+	defaultDuration = 30 * time.Second
+	defaultRate     = 4
+	tracedShare     = 8 // one in so many dispatchers
 )
 
-// slackOf is what is allowed beyond each bound of a dispatcher.
-func (r *run) slackOf(d *daemon) time.Duration {
-	slack := machineSlack + 2*time.Duration(r.lateness.Load())
-	if d.trace != nil {
-		slack += tracedSlack
+// setDefaults replaces zero values.
+func (c *Config) setDefaults() {
+	if c.Daemons == 0 {
+		c.Daemons = defaultDaemons
 	}
-	return slack
-}
-
-// measureLateness books by how much the machine's timers are late, until stop is closed.
-func (r *run) measureLateness(stop <-chan struct{}) {
-	const step = 10 * time.Millisecond
-	for {
-		due := time.Now().Add(step)
-		select {
-		case <-stop:
-			return
-		case <-time.After(step):
-		}
-		if late := int64(time.Since(due)); late > r.lateness.Load() {
-			r.lateness.Store(late)
-		}
+	if c.Workers == 0 {
+		c.Workers = defaultWorkers
+	}
+	if c.Duration == 0 {
+		c.Duration = defaultDuration
+	}
+	if c.Rate == 0 {
+		c.Rate = defaultRate
+	}
+	if c.Traced == 0 {
+		c.Traced = c.Daemons / tracedShare
 	}
 }
 
+const (
+	startTimeout        = 30 * time.Second
+	clientStreamBase    = 100 // first stream of the clients' random sources
+	daemonSeedStream    = 1
+	faultScheduleStream = 2
+)
+
 // run is one soak.
 type run struct {
 	Config
@@ -92,29 +69,31 @@
 	workers   []*worker
 	daemons   []*daemon
 	records   records
-	lateness  atomic.Int64 // of the machine's timers at the worst, in nanoseconds
+	lateness  atomic.Int64 // largest of the machine's timers, ns
 }
 
-// Run runs a soak and reports what it found. An error says that it could not be run.
-func Run(ctx context.Context, c Config) (Report, error) {
-	c.normalize()
+// Run runs a soak and reports what it found. The error says that it could not be run. A canceled
+// ctx ends the faults and the clients early.
+func Run(ctx context.Context, config Config) (Report, error) {
+	config.setDefaults()
 	dir, err := os.MkdirTemp("", "soak")
 	if err != nil {
 		return Report{}, err
 	}
 	defer os.RemoveAll(dir)
-	r := &run{Config: c, dir: dir}
+	r := &run{Config: config, dir: dir}
 	defer r.close()
-	if err := r.begin(); err != nil {
+	if err := r.startAll(); err != nil {
 		return Report{}, err
 	}
-	r.play(ctx)
-	return r.judge(), nil
+	r.runFaults(ctx)
+	return r.checkRules(), nil
 }
 
-// begin starts the stand-ins and the dispatchers.
-func (r *run) begin() (err error) {
-	if r.discovery, err = startDiscovery(); err != nil {
+// startAll starts the stand-ins and the dispatchers.
+func (r *run) startAll() (err error) {
+	r.discovery, err = startDiscovery()
+	if err != nil {
 		return err
 	}
 	for i := range r.Workers {
@@ -125,7 +104,7 @@
 		r.workers = append(r.workers, w)
 		r.discovery.set(w.name, w.addr, ready)
 	}
-	random := rand.New(rand.NewPCG(r.Seed, 1))
+	random := rand.New(rand.NewPCG(r.Seed, daemonSeedStream))
 	for i := range r.Daemons {
 		d, err := r.newDaemon(i, i < r.Traced, random.Uint64())
 		if err != nil {
@@ -133,59 +112,82 @@
 		}
 		r.daemons = append(r.daemons, d)
 	}
-	var starts sync.WaitGroup
+	if err := r.launchDaemons(); err != nil {
+		return err
+	}
+	return r.awaitReady()
+}
+
+// launchDaemons launches all dispatchers at once and returns the first error.
+func (r *run) launchDaemons() error {
+	var launches sync.WaitGroup
 	errs := make([]error, len(r.daemons))
 	for i, d := range r.daemons {
-		starts.Add(1)
+		launches.Add(1)
 		go func() {
-			defer starts.Done()
+			defer launches.Done()
 			errs[i] = d.launch()
 		}()
 	}
-	starts.Wait()
+	launches.Wait()
 	for _, err := range errs {
 		if err != nil {
 			return err
 		}
 	}
-	return r.awaitReady()
+	return nil
 }
 
-// awaitReady waits until all dispatchers take clients.
+// awaitReady waits until all dispatchers accept clients.
 func (r *run) awaitReady() error {
-	const patience = 30 * time.Second
 	for _, d := range r.daemons {
-		if !d.awaitReady(patience) {
-			return fmt.Errorf("%s is not ready after %v: %s", d.name, patience, d.lastLog())
+		if !d.awaitReady(startTimeout) {
+			return fmt.Errorf("%s is not ready after %v: %s", d.name, startTimeout, d.lastLog())
 		}
 	}
 	return nil
 }
 
-// play lets clients and faults go on for the time of the run, and waits for all answers.
-func (r *run) play(ctx context.Context) {
+// runFaults runs clients and faults for the duration of the soak, and waits for all answers.
+func (r *run) runFaults(ctx context.Context) {
 	r.start = time.Now()
 	stop := make(chan struct{})
 	defer close(stop)
 	go r.measureLateness(stop)
-	ctx, cancel := context.WithTimeout(ctx, r.For)
+	ctx, cancel := context.WithTimeout(ctx, r.Duration)
 	defer cancel()
-	var parts sync.WaitGroup
+	var running sync.WaitGroup
 	for i, d := range r.daemons {
-		parts.Add(1)
+		running.Add(1)
 		go func() {
-			defer parts.Done()
-			r.clients(ctx, d, rand.New(rand.NewPCG(r.Seed, uint64(100+i))))
+			defer running.Done()
+			r.sendRequests(ctx, d, rand.New(rand.NewPCG(r.Seed, uint64(clientStreamBase+i))))
 		}()
 	}
 	for _, f := range schedule(r.Seed, r.Config) {
-		parts.Add(1)
+		running.Add(1)
 		go func() {
-			defer parts.Done()
-			r.inject(ctx, f)
+			defer running.Done()
+			r.injectFault(ctx, f)
 		}()
 	}
-	parts.Wait()
+	running.Wait()
+}
+
+// measureLateness measures how late the machine's timers are, until stop is closed.
+func (r *run) measureLateness(stop <-chan struct{}) {
+	const interval = 10 * time.Millisecond
+	for {
+		due := time.Now().Add(interval)
+		select {
+		case <-stop:
+			return
+		case <-time.After(interval):
+		}
+		if lateness := int64(time.Since(due)); lateness > r.lateness.Load() {
+			r.lateness.Store(lateness)
+		}
+	}
 }
 
 func (r *run) close() {
@@ -203,22 +205,30 @@
 // Report is what a soak found.
 type Report struct {
 	Seed       uint64
-	Requests   int           // handed in
+	Requests   int           // sent
 	Answered   int           // with a final answer in time
-	Served     int           // of them
-	Excused    int           // their dispatcher was killed, ended or could not be reached
-	Arrivals   int           // attempts that came to workers
-	BrokenOff  int           // requests that broke off on their way to a worker
+	Served     int           // of those
+	Excused    int           // their dispatcher was killed, stopped or could not be reached
+	Attempts   int           // that arrived at workers
+	Incomplete int           // requests that were cut off on their way to a worker
 	Faults     int           // injected
-	Lateness   time.Duration // of the machine's own timers at the worst
-	Violations []string
+	Lateness   time.Duration // largest of the machine's timers
+	Violations []string      // of the rules
 }
 
-// String tells the report in a few lines, the seed first.
+// String describes the report in a few lines, the seed first.
 func (r Report) String() string {
 	text := fmt.Sprintf("seed %d: %d requests, %d answered in time (%d served), %d excused; %d attempts at workers, %d broken off on the way; %d faults; timers %v late at the worst; %d violations",
-		r.Seed, r.Requests, r.Answered, r.Served, r.Excused, r.Arrivals, r.BrokenOff, r.Faults, r.Lateness.Round(time.Millisecond), len(r.Violations))
-	const most = 20
-	shown := r.Violations[:min(len(r.Violations), most)]
+		r.Seed, r.Requests, r.Answered, r.Served, r.Excused, r.Attempts, r.Incomplete, r.Faults, r.Lateness.Round(time.Millisecond), len(r.Violations))
+	const maxShown = 20
+	shown := r.Violations[:min(len(r.Violations), maxShown)]
 	return strings.Join(append([]string{text}, shown...), "\n  ")
 }
+
+// claim gives a dispatcher or a worker to one fault at a time.
+type claim struct{ taken atomic.Bool }
+
+// tryClaim takes the claim. It reports false if another fault has it.
+func (c *claim) tryClaim() bool { return c.taken.CompareAndSwap(false, true) }
+
+func (c *claim) release() { c.taken.Store(false) }
--- a/internal/rehearsal/soak/soak_test.go
+++ b/internal/rehearsal/soak/soak_test.go
@@ -29,45 +29,45 @@
 	os.Exit(code)
 }
 
-// A short soak, as CI plays it. `make soak` plays many seeds with more dispatchers.
+// A short soak. `make soak` runs many seeds with more dispatchers.
 func TestShortSoak(t *testing.T) {
-	report, err := Run(context.Background(), Config{Daemon: program, Seed: 1, Daemons: 9, For: 15 * time.Second})
+	report, err := Run(context.Background(), Config{Daemon: program, Seed: 1, Daemons: 9, Duration: 15 * time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Log(report)
 	if len(report.Violations) > 0 {
-		t.Error("rules were broken")
+		t.Error("rules were violated")
 	}
 	if report.Served < report.Requests/2 || report.Faults < 5 {
 		t.Errorf("%d of %d requests were served under %d faults", report.Served, report.Requests, report.Faults)
 	}
 }
 
-// The same seed gives the same faults, and each kind comes up within some seeds.
+// The same seed gives the same faults, and each kind occurs within some seeds.
 func TestSchedule(t *testing.T) {
-	c := Config{For: time.Minute}
-	c.normalize()
-	met := map[faultKind]bool{}
+	config := Config{Duration: time.Minute}
+	config.setDefaults()
+	seen := map[faultKind]bool{}
 	for seed := range uint64(10) {
-		faults := schedule(seed, c)
-		if !slices.Equal(faults, schedule(seed, c)) {
+		faults := schedule(seed, config)
+		if !slices.Equal(faults, schedule(seed, config)) {
 			t.Fatalf("seed %d gives two schedules", seed)
 		}
 		for _, f := range faults {
-			met[f.kind] = true
-			if f.at >= c.For || f.lasts > longestFault[f.kind] {
-				t.Errorf("seed %d: %v at %v for %v", seed, f.kind, f.at, f.lasts)
+			seen[f.kind] = true
+			if f.start >= config.Duration || f.duration > maxDuration[f.kind] {
+				t.Errorf("seed %d: %v at %v for %v", seed, f.kind, f.start, f.duration)
 			}
 		}
 	}
-	if len(met) != int(kinds) {
-		t.Errorf("only %d kinds of %d came up", len(met), kinds)
+	if len(seen) != int(faultKinds) {
+		t.Errorf("only %d kinds of %d occur", len(seen), faultKinds)
 	}
 }
 
-// The judge finds each kind of break in records that hold one of each.
-func TestJudge(t *testing.T) {
+// Each kind of violation is found in records that contain one of each.
+func TestCheckRules(t *testing.T) {
 	discovery, err := startDiscovery()
 	if err != nil {
 		t.Fatal(err)
@@ -77,27 +77,27 @@
 	at := func(s float64) time.Time { return start.Add(time.Duration(s * float64(time.Second))) }
 	discovery.history["s-gone"] = []change{{at(-20), 1, ready}, {at(0), 2, gone}}
 	discovery.history["s-here"] = []change{{at(-20), 1, ready}}
-	d := &daemon{name: "n", config: map[string]any{"admin_addr": "127.0.0.1:1"}}
+	dispatcher := &daemon{name: "n", config: daemonConfig{AdminAddr: "127.0.0.1:1"}}
 	r := &run{start: start, discovery: discovery}
-	asked := func(id string, status int, answered, gone float64) request {
-		q := request{id: id, class: "renewal", daemon: d, sent: at(10), wait: 4 * time.Second, status: status, answered: at(answered)}
+	sentRequest := func(id string, status int, answered, gone float64) request {
+		sent := request{id: id, class: "renewal", daemon: dispatcher, sent: at(10), timeout: 4 * time.Second, status: status, answered: at(answered)}
 		if gone > 0 {
-			q.gone = at(gone)
+			sent.clientLeft = at(gone)
 		}
-		return q
+		return sent
 	}
 	r.records.requests = []request{
-		asked("good", 200, 11, 0), asked("late", 200, 15, 0), asked("none", 0, 0, 0), asked("left", 0, 0, 10.1),
-		asked("twice", 200, 11, 0), asked("drained", 200, 11, 0), asked("long", 200, 11, 0),
+		sentRequest("good", 200, 11, 0), sentRequest("late", 200, 15, 0), sentRequest("none", 0, 0, 0), sentRequest("left", 0, 0, 10.1),
+		sentRequest("twice", 200, 11, 0), sentRequest("drained", 200, 11, 0), sentRequest("long", 200, 11, 0),
 	}
-	came := func(id, worker string, when, left float64) arrival {
-		return arrival{id: id, class: "renewal", worker: worker, at: at(when), left: time.Duration(left * float64(time.Second))}
+	arrivedAttempt := func(id, worker string, when, left float64) attempt {
+		return attempt{id: id, class: "renewal", worker: worker, arrived: at(when), timeLeft: time.Duration(left * float64(time.Second))}
 	}
-	r.records.arrivals = []arrival{
-		came("good", "s-here", 10.1, 3.9), came("left", "s-here", 11, 3), came("twice", "s-here", 10.1, 3.9),
-		came("twice", "s-here", 10.5, 3.5), came("drained", "s-gone", 10.1, 3.9), came("long", "s-here", 12, 3.9),
+	r.records.attempts = []attempt{
+		arrivedAttempt("good", "s-here", 10.1, 3.9), arrivedAttempt("left", "s-here", 11, 3), arrivedAttempt("twice", "s-here", 10.1, 3.9),
+		arrivedAttempt("twice", "s-here", 10.5, 3.5), arrivedAttempt("drained", "s-gone", 10.1, 3.9), arrivedAttempt("long", "s-here", 12, 3.9),
 	}
-	report := r.judge()
+	report := r.checkRules()
 	for _, want := range []string{"lost: late", "lost: none", "lost: left", "duplicate: twice", "drain: drained", "time left: long"} {
 		if !slices.ContainsFunc(report.Violations, func(v string) bool { return strings.Contains(v, want) }) {
 			t.Errorf("%q was not found", want)
@@ -108,14 +108,14 @@
 	}
 }
 
-// An outage moves when a change counts as notified, and nothing else does.
-func TestNotified(t *testing.T) {
+// Only an outage of the discovery service moves the notification deadline of a change.
+func TestNotificationDeadline(t *testing.T) {
 	start := time.Now()
 	at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
-	d := &discovery{outages: []span{{at(10), at(20)}, {at(24), at(30)}}}
+	d := &discovery{outages: []interval{{at(10), at(20)}, {at(24), at(30)}}}
 	for changed, want := range map[int]int{0: 6, 5: 36, 12: 36, 31: 37} {
-		if got := d.notified(at(changed)); !got.Equal(at(want)) {
-			t.Errorf("a change at %d s counts as notified at %v, not at %d s", changed, got.Sub(start), want)
+		if got := d.notificationDeadline(at(changed)); !got.Equal(at(want)) {
+			t.Errorf("the deadline of a change at %d s is %v, not %d s", changed, got.Sub(start), want)
 		}
 	}
 }
--- a/internal/rehearsal/soak/worker.go
+++ b/internal/rehearsal/soak/worker.go
@@ -9,45 +9,37 @@
 	"strconv"
 	"strings"
 	"sync"
-	"sync/atomic"
 	"time"
 )
 
-// worker is the stand-in for a membership worker. It runs what comes, also while it
-// is listed as draining or gone: whether that may come is judged elsewhere.
+// worker is the stand-in for a worker. It executes every request, also while it is listed as
+// draining or gone: whether that was allowed is checked from the records. It is safe for
+// concurrent use.
 type worker struct {
-	name, addr string
-	ln         net.Listener
-	records    *records
+	claim
+	name     string
+	addr     string
+	listener net.Listener
+	records  *records
 
-	mu       sync.Mutex
-	conns    map[net.Conn]bool
-	draining bool
-	hangs    time.Time // it says nothing before
-
-	claimed atomic.Bool
+	mu         sync.Mutex
+	conns      map[net.Conn]bool
+	draining   bool
+	hangsUntil time.Time // it does not answer before
 }
 
 func startWorker(name string, records *records) (*worker, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	w := &worker{name: name, addr: ln.Addr().String(), ln: ln, records: records, conns: map[net.Conn]bool{}}
-	go func() {
-		for {
-			conn, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			go w.serve(conn)
-		}
-	}()
+	w := &worker{name: name, addr: listener.Addr().String(), listener: listener, records: records, conns: map[net.Conn]bool{}}
+	go serveAll(listener, w.serve)
 	return w, nil
 }
 
 func (w *worker) close() {
-	w.ln.Close()
+	w.listener.Close()
 	w.reset()
 }
 
@@ -61,56 +53,65 @@
 	}
 }
 
+// drain makes health checks answer that the worker is draining, or no longer.
 func (w *worker) drain(draining bool) {
 	w.mu.Lock()
+	defer w.mu.Unlock()
 	w.draining = draining
-	w.mu.Unlock()
 }
 
-func (w *worker) hang(span time.Duration) {
+// hang delays all answers for a time.
+func (w *worker) hang(duration time.Duration) {
 	w.mu.Lock()
-	w.hangs = time.Now().Add(span)
-	w.mu.Unlock()
+	defer w.mu.Unlock()
+	w.hangsUntil = time.Now().Add(duration)
 }
 
-func (w *worker) state() (draining bool, hangs time.Duration) {
+func (w *worker) state() (draining bool, hang time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.draining, time.Until(w.hangs)
+	return w.draining, time.Until(w.hangsUntil)
 }
 
-func (w *worker) serve(conn net.Conn) {
+func (w *worker) addConn(conn net.Conn) {
 	w.mu.Lock()
+	defer w.mu.Unlock()
 	w.conns[conn] = true
-	w.mu.Unlock()
-	defer func() {
-		w.mu.Lock()
-		delete(w.conns, conn)
-		w.mu.Unlock()
-		conn.Close()
-	}()
-	in := bufio.NewReader(conn)
+}
+
+func (w *worker) removeConn(conn net.Conn) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	delete(w.conns, conn)
+}
+
+// serve answers the requests of a connection one after the other.
+func (w *worker) serve(conn net.Conn) {
+	w.addConn(conn)
+	defer conn.Close()
+	defer w.removeConn(conn)
+	input := bufio.NewReader(conn)
 	for {
-		req, err := http.ReadRequest(in)
+		request, err := http.ReadRequest(input)
 		if err != nil {
 			return
 		}
-		came := time.Now()
-		if _, err := io.Copy(io.Discard, req.Body); err != nil {
-			w.records.brokeOff() // before its last byte, so it has never been there
+		arrived := time.Now()
+		if _, err := io.Copy(io.Discard, request.Body); err != nil {
+			w.records.addIncomplete() // the attempt has never arrived
 			return
 		}
-		draining, hangs := w.state()
-		time.Sleep(hangs)
-		if req.Method == http.MethodGet {
-			w.answerProbe(conn, draining)
+		draining, hang := w.state()
+		time.Sleep(hang)
+		if request.Method == http.MethodGet {
+			w.answerHealthCheck(conn, draining)
 			continue
 		}
-		w.run(conn, req, came)
+		w.execute(conn, request, arrived)
 	}
 }
 
-func (w *worker) answerProbe(conn net.Conn, draining bool) {
+func (w *worker) answerHealthCheck(conn net.Conn, draining bool) {
 	status := "200 OK"
 	if draining {
 		status = "503 Draining"
@@ -118,17 +119,20 @@
 	fmt.Fprintf(conn, "HTTP/1.1 %s\r\nContent-Length: 3\r\n\r\n{}\n", status)
 }
 
-const jobTakes = 10 * time.Millisecond
+const jobDuration = 10 * time.Millisecond
 
-func (w *worker) run(conn net.Conn, req *http.Request, came time.Time) {
-	id := req.Header.Get("X-Correlation-Id")
-	left, _ := strconv.Atoi(req.Header.Get("X-Time-Left-Ms"))
-	class, _, _ := strings.Cut(strings.TrimPrefix(req.URL.Path, "/"), "/")
-	w.records.arrived(arrival{id: id, class: class, worker: w.name, at: came, left: time.Duration(left) * time.Millisecond})
-	line := func(state string) string {
+// execute records an attempt and answers it.
+func (w *worker) execute(conn net.Conn, request *http.Request, arrived time.Time) {
+	id := request.Header.Get("X-Correlation-Id")
+	timeLeftMs, _ := strconv.Atoi(request.Header.Get("X-Time-Left-Ms"))
+	class, _, _ := strings.Cut(strings.TrimPrefix(request.URL.Path, "/"), "/")
+	w.records.addAttempt(attempt{
+		id: id, class: class, worker: w.name, arrived: arrived, timeLeft: time.Duration(timeLeftMs) * time.Millisecond,
+	})
+	update := func(state string) string {
 		return chunk(fmt.Sprintf(`{"id":%q,"from":%q,"state":%q,"result":"r"}`+"\n", id, w.name, state))
 	}
-	io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"+line("started"))
-	time.Sleep(jobTakes)
-	io.WriteString(conn, line("done")+"0\r\n\r\n")
+	io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"+update("started"))
+	time.Sleep(jobDuration)
+	io.WriteString(conn, update("done")+"0\r\n\r\n")
 }
