--- a/cmd/rehearse/flood.go
+++ b/cmd/rehearse/flood.go
@@ -127,7 +127,7 @@
 	flood := make(chan hostileload.Counts, 1)
 	if clients > 0 {
 		go func() {
-			n, _ := hostileload.Run(context.Background(), hostileload.Config{To: f.Addr, Seed: c.Seed, Clients: clients, Sources: c.Sources, For: c.For + 2*time.Second})
+			n, _ := hostileload.Run(context.Background(), hostileload.Config{Target: f.Addr, Seed: c.Seed, Clients: clients, Sources: c.Sources, Duration: c.For + 2*time.Second})
 			flood <- n
 		}()
 	} else {
@@ -220,7 +220,7 @@
 	kept := true
 	for _, p := range parts {
 		fmt.Fprintf(e.out, "%-14s %6d %8.2f%% %8.2f%% %8.2f%% %8.1f %8.1f %8.1f %9.0f %10d %10d\n", p.Name, p.Sent, p.share(p.Answered), p.share(p.Served),
-			p.share(p.Wanted), p.P50Ms, p.P99Ms, p.MaxMs, p.CPUms, p.Hostile.Attempted, p.Hostile.Ended+p.Hostile.Failed)
+			p.share(p.Wanted), p.P50Ms, p.P99Ms, p.MaxMs, p.CPUms, p.Hostile.Attempted, p.Hostile.ClosedByPeer+p.Hostile.Failed)
 		list := func(what string, words map[string]int) {
 			for why, n := range words {
 				fmt.Fprintf(e.out, "  %s: %d  %s\n", what, n, why)
--- a/internal/rehearsal/faultinject/sysfault_test.go
+++ b/internal/rehearsal/faultinject/faultinject_test.go
@@ -17,20 +17,20 @@
 	"time"
 )
 
-// The test program itself is what runs under a plan: it is told by its environment what to do.
+// TestMain makes the test binary also the program that runs under a plan, as its environment says.
 func TestMain(m *testing.M) {
-	switch os.Getenv("SYSFAULT_DO") {
+	switch os.Getenv("FAULTINJECT_RUN") {
 	case "read":
 		readAll()
 	case "clock":
-		tellClock()
+		printClocks()
 	}
 	os.Exit(m.Run())
 }
 
-// readAll reads from an address to its end and tells how many reads that took, and how many failed.
+// readAll reads a connection to its end and prints how many bytes it got, and whether that took many reads.
 func readAll() {
-	conn, err := net.Dial("tcp", os.Getenv("SYSFAULT_ADDR"))
+	conn, err := net.Dial("tcp", os.Getenv("FAULTINJECT_ADDR"))
 	if err != nil {
 		fmt.Println("dial:", err)
 		os.Exit(0)
@@ -42,14 +42,15 @@
 		if err != nil {
 			break
 		}
-		sum, reads = sum+n, reads+1
+		sum += n
+		reads++
 	}
 	fmt.Printf("%d bytes, %v\n", sum, reads >= 100)
 	os.Exit(0)
 }
 
-// tellClock tells how far the wall clock and the monotonic one went in a third of a second.
-func tellClock() {
+// printClocks prints how far the wall clock and the monotonic clock advance in a third of a second.
+func printClocks() {
 	start := time.Now()
 	time.Sleep(300 * time.Millisecond)
 	now := time.Now()
@@ -57,7 +58,7 @@
 	os.Exit(0)
 }
 
-// run runs the test program under a plan and returns what it printed.
+// run runs the test binary under a plan and returns its output.
 func run(t *testing.T, plan Plan, env ...string) (*Process, string) {
 	t.Helper()
 	out, err := os.Create(filepath.Join(t.TempDir(), "out"))
@@ -88,8 +89,8 @@
 	return p, string(text)
 }
 
-// sender serves so many bytes to each connection.
-func sender(t *testing.T, bytes int) string {
+// startSender starts a server that sends the given number of bytes on each connection.
+func startSender(t *testing.T, bytes int) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -109,50 +110,50 @@
 }
 
 func TestShortReads(t *testing.T) {
-	addr := sender(t, 1000)
-	p, text := run(t, Plan{Rules: []Rule{{Call: SocketRead, Probability: 1, Short: 10}}}, "SYSFAULT_DO=read", "SYSFAULT_ADDR="+addr)
+	addr := startSender(t, 1000)
+	p, text := run(t, Plan{Rules: []Rule{{Call: SocketRead, Probability: 1, Short: 10}}}, "FAULTINJECT_RUN=read", "FAULTINJECT_ADDR="+addr)
 	if text != "1000 bytes, true\n" {
-		t.Errorf("it tells %q", text)
+		t.Errorf("it prints %q", text)
 	}
 	if n := p.Struck(SocketRead); n < 100 {
 		t.Errorf("%d reads were shortened", n)
 	}
 }
 
-func TestRuleOfOnePeer(t *testing.T) {
-	addr := sender(t, 1000)
+func TestRuleForOnePeer(t *testing.T) {
+	addr := startSender(t, 1000)
 	_, text, _ := net.SplitHostPort(addr)
 	port, _ := strconv.Atoi(text)
 	for _, peer := range []int{port, port + 1} {
 		plan := Plan{Rules: []Rule{{Call: SocketRead, Probability: 1, Short: 10, Peer: peer}}}
-		p, text := run(t, plan, "SYSFAULT_DO=read", "SYSFAULT_ADDR="+addr)
+		p, text := run(t, plan, "FAULTINJECT_RUN=read", "FAULTINJECT_ADDR="+addr)
 		if want := fmt.Sprintf("1000 bytes, %v\n", peer == port); text != want || p.Struck(SocketRead) > 0 != (peer == port) {
-			t.Errorf("it tells %q, %d reads were shortened", text, p.Struck(SocketRead))
+			t.Errorf("it prints %q, %d reads were shortened", text, p.Struck(SocketRead))
 		}
 	}
 }
 
 func TestFailingConnect(t *testing.T) {
-	addr := sender(t, 10)
-	_, text := run(t, Plan{Rules: []Rule{{Call: Connect, Probability: 1, Error: syscall.EADDRNOTAVAIL}}}, "SYSFAULT_DO=read", "SYSFAULT_ADDR="+addr)
+	addr := startSender(t, 10)
+	_, text := run(t, Plan{Rules: []Rule{{Call: Connect, Probability: 1, Error: syscall.EADDRNOTAVAIL}}}, "FAULTINJECT_RUN=read", "FAULTINJECT_ADDR="+addr)
 	if !strings.Contains(text, "cannot assign requested address") {
-		t.Errorf("it tells %q", text)
+		t.Errorf("it prints %q", text)
 	}
 }
 
 func TestSteppedClock(t *testing.T) {
 	for _, offset := range []time.Duration{time.Hour, -time.Hour} {
-		_, text := run(t, Plan{Steps: []Step{{After: 150 * time.Millisecond, Offset: offset}}}, "SYSFAULT_DO=clock")
+		_, text := run(t, Plan{Steps: []Step{{After: 150 * time.Millisecond, Offset: offset}}}, "FAULTINJECT_RUN=clock")
 		if want := fmt.Sprintf("wall %d s, monotonic 0 s\n", int(offset.Seconds())); text != want {
-			t.Errorf("it tells %q, not %q", text, want)
+			t.Errorf("it prints %q, not %q", text, want)
 		}
 	}
 }
 
-func TestNoPlanChangesNothing(t *testing.T) {
-	addr := sender(t, 1000)
-	p, text := run(t, Plan{}, "SYSFAULT_DO=read", "SYSFAULT_ADDR="+addr)
+func TestEmptyPlan(t *testing.T) {
+	addr := startSender(t, 1000)
+	p, text := run(t, Plan{}, "FAULTINJECT_RUN=read", "FAULTINJECT_ADDR="+addr)
 	if text != "1000 bytes, false\n" || p.Struck(SocketRead) != 0 {
-		t.Errorf("it tells %q, %d reads were shortened", text, p.Struck(SocketRead))
+		t.Errorf("it prints %q, %d reads were shortened", text, p.Struck(SocketRead))
 	}
 }
--- a/internal/rehearsal/faultinject/memory.go
+++ b/internal/rehearsal/faultinject/memory.go
@@ -8,21 +8,23 @@
 	"syscall"
 )
 
+const wordBytes = 8
+
 // peek reads a word of a stopped thread's memory.
-func peek(tid int, at uintptr) (uint64, error) {
+func peek(tid int, address uintptr) (uint64, error) {
 	var word [wordBytes]byte
-	if _, err := syscall.PtracePeekData(tid, at, word[:]); err != nil {
-		return 0, fmt.Errorf("sysfault: reading memory: %w", err)
+	if _, err := syscall.PtracePeekData(tid, address, word[:]); err != nil {
+		return 0, fmt.Errorf("faultinject: reading memory: %w", err)
 	}
 	return binary.LittleEndian.Uint64(word[:]), nil
 }
 
-// poke writes one.
-func poke(tid int, at uintptr, value uint64) error {
+// poke writes a word of a stopped thread's memory.
+func poke(tid int, address uintptr, value uint64) error {
 	var word [wordBytes]byte
 	binary.LittleEndian.PutUint64(word[:], value)
-	if _, err := syscall.PtracePokeData(tid, at, word[:]); err != nil {
-		return fmt.Errorf("sysfault: writing memory: %w", err)
+	if _, err := syscall.PtracePokeData(tid, address, word[:]); err != nil {
+		return fmt.Errorf("faultinject: writing memory: %w", err)
 	}
 	return nil
 }
--- a/internal/rehearsal/faultinject/sockets.go
+++ b/internal/rehearsal/faultinject/peerport.go
@@ -2,24 +2,21 @@
 
 package faultinject
 
-import (
-	"golang.org/x/sys/unix"
-)
+import "golang.org/x/sys/unix"
 
-// peerPort finds the port of the peer of a connection that another process has
-// open; 0: there is none.
+// peerPort returns the port of the peer of an IPv4 connection of another process; 0: there is none.
 func peerPort(pid, fd int) int {
 	process, err := unix.PidfdOpen(pid, 0)
 	if err != nil {
 		return 0
 	}
 	defer unix.Close(process)
-	own, err := unix.PidfdGetfd(process, fd, 0)
+	descriptor, err := unix.PidfdGetfd(process, fd, 0)
 	if err != nil {
 		return 0
 	}
-	defer unix.Close(own)
-	peer, err := unix.Getpeername(own)
+	defer unix.Close(descriptor)
+	peer, err := unix.Getpeername(descriptor)
 	if err != nil {
 		return 0
 	}
--- a/internal/rehearsal/hostileload/hostile.go
+++ b/internal/rehearsal/hostileload/hostile.go
@@ -27,24 +27,24 @@
 	Silent   Kind = iota // connects and says nothing
 	SlowHead             // a byte of a head now and then
 	SlowBody             // a whole head, then a byte of the body now and then
-	Greedy               // keeps the connection and asks in bulk, reading slowly
-	Drop                 // connects and goes at once
-	Deaf                 // asks in bulk and never reads
-	Kinds
+	Flooding               // keeps the connection and asks in bulk, reading slowly
+	Disconnecting                 // connects and goes at once
+	NeverReading                 // asks in bulk and never reads
+	kindCount
 )
 
-var kindNames = [Kinds]string{"silent", "slow_head", "slow_body", "greedy", "drop", "deaf"}
+var kindNames = [kindCount]string{"silent", "slow_head", "slow_body", "greedy", "drop", "deaf"}
 
 func (k Kind) String() string { return kindNames[k] }
 
 // Config says how many come and how.
 type Config struct {
-	To      string // on a loopback address
+	Target      string // on a loopback address
 	Seed    uint64
 	Clients int           // at a time
 	Sources int           // addresses that they come from
-	Base    netip.Addr    // the first of them; default 127.64.0.1
-	For     time.Duration // then all go
+	FirstSource    netip.Addr    // the first of them; default 127.64.0.1
+	Duration     time.Duration // then all go
 	Kinds   []Kind        // in equal parts; default the first five
 	Class   string        // whose path the requests name; default status-check
 }
@@ -54,49 +54,49 @@
 	Attempted int64            `json:"attempted"`
 	Connected int64            `json:"connected"`
 	Failed    int64            `json:"failed"` // no connection
-	Ended     int64            `json:"ended"`  // by the other side, once connected
-	Answers   int64            `json:"answer_bytes"`
+	ClosedByPeer     int64            `json:"ended"`  // by the other side, once connected
+	AnswerBytes   int64            `json:"answer_bytes"`
 	ByKind    map[string]int64 `json:"attempted_by_kind"`
 }
 
 const (
-	dialTime = 3 * time.Second
-	trickle  = 250 * time.Millisecond
-	pauseMin = 400 * time.Millisecond // before a client whose connection ended comes again
-	pauseMax = 1600 * time.Millisecond
+	dialTimeout = 3 * time.Second
+	trickleInterval  = 250 * time.Millisecond
+	minReconnectDelay = 400 * time.Millisecond // before a client whose connection ended comes again
+	maxReconnectDelay = 1600 * time.Millisecond
 	rampUp   = 500 * time.Millisecond // in which all come for the first time
 )
 
 // Run lets them come until the time is over or ctx ends.
 func Run(ctx context.Context, c Config) (Counts, error) {
-	host, _, err := net.SplitHostPort(c.To)
+	host, _, err := net.SplitHostPort(c.Target)
 	if ip := net.ParseIP(host); err != nil || ip == nil || !ip.IsLoopback() {
-		return Counts{}, fmt.Errorf("%s is no loopback address", c.To)
+		return Counts{}, fmt.Errorf("%s is no loopback address", c.Target)
 	}
-	if c.Clients < 1 || c.Sources < 1 || c.For <= 0 {
+	if c.Clients < 1 || c.Sources < 1 || c.Duration <= 0 {
 		return Counts{}, errors.New("clients, sources and for must be positive")
 	}
-	if !c.Base.IsValid() {
-		c.Base = netip.MustParseAddr("127.64.0.1")
+	if !c.FirstSource.IsValid() {
+		c.FirstSource = netip.MustParseAddr("127.64.0.1")
 	}
 	if len(c.Kinds) == 0 {
-		c.Kinds = []Kind{Silent, SlowHead, SlowBody, Greedy, Drop}
+		c.Kinds = []Kind{Silent, SlowHead, SlowBody, Flooding, Disconnecting}
 	}
 	if c.Class == "" {
 		c.Class = "status-check"
 	}
-	sources := []netip.Addr{c.Base}
+	sources := []netip.Addr{c.FirstSource}
 	for len(sources) < c.Sources {
 		sources = append(sources, sources[len(sources)-1].Next())
 	}
 	if !sources[len(sources)-1].IsLoopback() {
 		return Counts{}, errors.New("the sources reach beyond loopback")
 	}
-	ctx, cancel := context.WithTimeout(ctx, c.For)
+	ctx, cancel := context.WithTimeout(ctx, c.Duration)
 	defer cancel()
 	var n struct {
 		attempted, connected, failed, ended, answers atomic.Int64
-		kind                                         [Kinds]atomic.Int64
+		kind                                         [kindCount]atomic.Int64
 	}
 	var all sync.WaitGroup
 	for i := range c.Clients {
@@ -105,12 +105,12 @@
 			defer all.Done()
 			rng := rand.New(rand.NewPCG(c.Seed, xxhash.Sum64String(fmt.Sprintf("hostile %d", i))))
 			kind, from := c.Kinds[i%len(c.Kinds)], sources[i%len(sources)]
-			wait(ctx, time.Duration(rng.Int64N(int64(rampUp))))
+			sleep(ctx, time.Duration(rng.Int64N(int64(rampUp))))
 			for ctx.Err() == nil {
 				n.attempted.Add(1)
 				n.kind[kind].Add(1)
-				d := net.Dialer{Timeout: dialTime, LocalAddr: &net.TCPAddr{IP: from.AsSlice()}}
-				conn, err := d.DialContext(ctx, "tcp", c.To)
+				d := net.Dialer{Timeout: dialTimeout, LocalAddr: &net.TCPAddr{IP: from.AsSlice()}}
+				conn, err := d.DialContext(ctx, "tcp", c.Target)
 				if err != nil {
 					n.failed.Add(1)
 				} else {
@@ -120,17 +120,17 @@
 					stop()
 					conn.Close()
 					n.answers.Add(read)
-					if ctx.Err() == nil && kind != Drop {
+					if ctx.Err() == nil && kind != Disconnecting {
 						n.ended.Add(1)
 					}
 				}
-				wait(ctx, pauseMin+time.Duration(rng.Int64N(int64(pauseMax-pauseMin))))
+				sleep(ctx, minReconnectDelay+time.Duration(rng.Int64N(int64(maxReconnectDelay-minReconnectDelay))))
 			}
 		}()
 	}
 	all.Wait()
 	out := Counts{n.attempted.Load(), n.connected.Load(), n.failed.Load(), n.ended.Load(), n.answers.Load(), map[string]int64{}}
-	for k := range Kinds {
+	for k := range kindCount {
 		if x := n.kind[k].Load(); x > 0 {
 			out.ByKind[k.String()] = x
 		}
@@ -138,7 +138,7 @@
 	return out, nil
 }
 
-func wait(ctx context.Context, span time.Duration) {
+func sleep(ctx context.Context, span time.Duration) {
 	t := time.NewTimer(span)
 	defer t.Stop()
 	select {
@@ -162,14 +162,14 @@
 					return
 				}
 				if limit < 512 {
-					wait(ctx, 5*time.Millisecond)
+					sleep(ctx, 5*time.Millisecond)
 				}
 			}
 		}()
 	}
 	head := fmt.Sprintf("POST /%s/m%d HTTP/1.1\r\nHost: kiosk\r\nX-Correlation-Id: %016x\r\nX-Time-Left-Ms: 5000\r\n", c.Class, rng.IntN(1000), rng.Uint64())
 	switch kind {
-	case Drop:
+	case Disconnecting:
 		return 0
 	case Silent:
 		watch(512)
@@ -190,12 +190,12 @@
 			select {
 			case <-ended:
 				return read
-			case <-time.After(trickle):
+			case <-time.After(trickleInterval):
 			}
 		}
 		<-ended
-	case Greedy, Deaf:
-		if kind == Greedy {
+	case Flooding, NeverReading:
+		if kind == Flooding {
 			watch(256)
 		} else {
 			close(ended)
@@ -209,7 +209,7 @@
 			if _, err := conn.Write(bulk); err != nil {
 				break
 			}
-			wait(ctx, 100*time.Millisecond)
+			sleep(ctx, 100*time.Millisecond)
 		}
 		conn.Close()
 		<-ended
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -429,10 +429,10 @@
 	s := subscribe(t, r.Addr().String(), "d1")
 	eventually(t, "snapshot", func() bool { return s.at(1) })
 	for i := range 10 {
-		origin.SetDown(true)
+		origin.Down(true)
 		eventually(t, "the loss is seen", func() bool { return r.Status().Upstream == "" })
 		origin.Set(readyHost(fmt.Sprintf("s-flap-%d", i)))
-		origin.SetDown(false)
+		origin.Down(false)
 		eventually(t, "the change", func() bool { return s.at(int64(2 + i)) })
 	}
 	if hosts, opened, _ := s.counts(); hosts != 13 || opened != 1 {
