--- a/internal/rehearsal/recording/har.go
+++ b/internal/rehearsal/recording/har.go
@@ -18,11 +18,11 @@
 	errHAREntryTooLong   = errors.New("the entry is too long")
 )
 
-// handlerError tells an error of the entry handler from one of the input.
+// handlerError distinguishes an error of the entry handler from one of the input.
 type handlerError struct{ error }
 
 // readHAR calls handle for each entry of a HAR file, which it reads as a stream. What precedes a
-// fault of the file is handled; the fault is then returned, in words that quote none of the file.
+// fault of the file is handled; the fault is then returned, described without quoting the file.
 func readHAR(input *bufio.Reader, handle entryHandler) error {
 	if head, _ := input.Peek(len(byteOrderMark)); bytes.Equal(head, []byte(byteOrderMark)) {
 		input.Discard(len(byteOrderMark))
--- a/internal/rehearsal/replay/connection.go
+++ b/internal/rehearsal/replay/connection.go
@@ -10,11 +10,12 @@
 	"time"
 )
 
-// The reasons for which requests are lost.
+// The reasons for which requests are lost or not sent.
 const (
-	reasonTimeout    = "lost: no answer in time"
-	reasonUnreadable = "lost: an answer that cannot be read"
-	reasonClosed     = "lost: the connection ended"
+	reasonTimeout    Reason = "lost: no answer in time"
+	reasonUnreadable Reason = "lost: an answer that cannot be read"
+	reasonClosed     Reason = "lost: the connection ended"
+	reasonUnsent     Reason = "not sent"
 )
 
 // connection is a connection to the dispatcher with at most one request at a time. Answers are
@@ -62,7 +63,7 @@
 // answer is a final answer to a request.
 type answer struct {
 	outcome Outcome
-	reason  string // of a rejection or a failure
+	reason  Reason // of a rejection or a failure
 	last    bool   // the dispatcher closes the connection after it
 }
 
--- a/internal/rehearsal/replay/faktory.go
+++ b/internal/rehearsal/replay/faktory.go
@@ -131,7 +131,7 @@
 		return err
 	}
 	if !strings.HasPrefix(line, "+OK") {
-		return errors.New(normalizeReason(line))
+		return errors.New(string(normalizeReason(line)))
 	}
 	return nil
 }
--- a/internal/rehearsal/replay/fidelity.go
+++ b/internal/rehearsal/replay/fidelity.go
@@ -122,7 +122,8 @@
 // kolmogorovSmirnov is the Kolmogorov-Smirnov distance of two sorted samples: the largest
 // difference of their distribution functions.
 func kolmogorovSmirnov(a, b []int64) (distance float64) {
-	i, j := 0, 0
+	i := 0
+	j := 0
 	for i < len(a) && j < len(b) {
 		value := min(a[i], b[j])
 		for i < len(a) && a[i] == value {
--- a/internal/rehearsal/replay/http.go
+++ b/internal/rehearsal/replay/http.go
@@ -38,7 +38,7 @@
 	if response.StatusCode == http.StatusOK {
 		return answer{outcome: Served, last: response.Close}, nil
 	}
-	reason := fmt.Sprintf("%d %s", response.StatusCode, normalizeReason(string(text)))
+	reason := Reason(fmt.Sprintf("%d %s", response.StatusCode, normalizeReason(string(text))))
 	switch response.StatusCode {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return answer{outcome: Rejected, reason: reason, last: response.Close}, nil
--- a/internal/rehearsal/replay/replayer.go
+++ b/internal/rehearsal/replay/replayer.go
@@ -209,7 +209,7 @@
 		next.tally.Sent--
 		r.idsHash ^= xxhash.Sum64String(next.id)
 		r.mu.Unlock()
-		r.complete(next, Unsent, err.Error())
+		r.complete(next, Unsent, Reason(err.Error()))
 		return
 	}
 	c.send(next)
@@ -240,7 +240,7 @@
 }
 
 // complete records the outcome of a request; only its first call has an effect.
-func (r *replayer) complete(done *request, outcome Outcome, reason string) {
+func (r *replayer) complete(done *request, outcome Outcome, reason Reason) {
 	if done.completed.Swap(true) {
 		return
 	}
@@ -257,7 +257,7 @@
 }
 
 // recordOutcome records an outcome at a time since the start. The caller holds the lock.
-func (r *replayer) recordOutcome(done *request, outcome Outcome, reason string, now time.Duration) {
+func (r *replayer) recordOutcome(done *request, outcome Outcome, reason Reason, now time.Duration) {
 	tally := done.tally
 	second := r.series.second(now)
 	switch outcome {
@@ -268,18 +268,18 @@
 	case Rejected:
 		tally.Rejected++
 		second.Rejected++
-		countReason(r.result.Rejections, done.class+": "+reason)
+		countReason(r.result.Rejections, done.class, reason)
 	case Failed:
 		tally.Failed++
 		second.Failed++
-		countReason(r.result.Failures, done.class+": "+reason)
+		countReason(r.result.Failures, done.class, reason)
 	case Lost:
 		tally.Lost++
 		second.Lost++
-		countReason(r.result.Failures, done.class+": "+reason)
+		countReason(r.result.Failures, done.class, reason)
 	case Unsent:
 		tally.Unsent++
-		countReason(r.result.Failures, done.class+": not sent")
+		countReason(r.result.Failures, done.class, reasonUnsent)
 	}
 	if outcome != Unsent {
 		r.series.addWritten(done.due, done.written)
--- a/internal/rehearsal/replay/result.go
+++ b/internal/rehearsal/replay/result.go
@@ -18,6 +18,9 @@
 	Unsent // no connection could be opened
 )
 
+// Reason says why an entry was not served, in the dispatcher's words or in those of an error.
+type Reason string
+
 // Tally counts the entries of a class.
 type Tally struct {
 	Sent             int `json:"sent"`
@@ -118,20 +121,20 @@
 	otherReasons   = "others"
 )
 
-// countReason counts a reason by its first line.
-func countReason(counts map[string]int, reason string) {
-	reason, _, _ = strings.Cut(strings.TrimSpace(reason), "\n")
-	if len(reason) > maxReasonBytes {
-		reason = reason[:maxReasonBytes]
+// countReason counts a reason by its class and first line.
+func countReason(counts map[string]int, class string, reason Reason) {
+	key, _, _ := strings.Cut(strings.TrimSpace(class+": "+string(reason)), "\n")
+	if len(key) > maxReasonBytes {
+		key = key[:maxReasonBytes]
 	}
-	if _, known := counts[reason]; !known && len(counts) >= maxReasons {
-		reason = otherReasons
+	if _, known := counts[key]; !known && len(counts) >= maxReasons {
+		key = otherReasons
 	}
-	counts[reason]++
+	counts[key]++
 }
 
 // normalizeReason replaces numbers by N, so that similar reasons are counted together.
-func normalizeReason(text string) string {
+func normalizeReason(text string) Reason {
 	text, _, _ = strings.Cut(text, "\n")
 	var normalized strings.Builder
 	inNumber := false
@@ -146,5 +149,5 @@
 		inNumber = false
 		normalized.WriteRune(c)
 	}
-	return normalized.String()
+	return Reason(normalized.String())
 }
--- a/internal/rehearsal/standin/daemonconfig.go
+++ b/internal/rehearsal/standin/daemonconfig.go
@@ -33,7 +33,7 @@
 	Reporting  reportingSettings `json:"reporting"`
 	Rules      ruleSettings      `json:"rules"`
 	TickUs     int               `json:"tick_us"`
-	WorthBy    string            `json:"worth_by"`
+	WeightBy   string            `json:"worth_by"`
 }
 
 type classSettings struct {
@@ -103,8 +103,8 @@
 			Rules: ruleSettings{
 				ColdFrom: 0.33, DrainGraceUs: 500_000, FallMultiple: 4, FallUs: 1_000_000, WarmAfterUs: 8_600_000,
 			},
-			TickUs:  2000,
-			WorthBy: "work",
+			TickUs:   2000,
+			WeightBy: "work",
 		},
 	})
 }
