--- a/internal/rehearsal/recording/template.go
+++ b/internal/rehearsal/recording/template.go
@@ -69,8 +69,13 @@
 	query       string
 }
 
+// reset prepares for the next line; the buffers are reused.
 func (s *templateState) reset() {
-	*s = templateState{pieces: s.pieces[:0], layouts: s.layouts[:0]}
+	s.timeSeen = false
+	s.pieces = s.pieces[:0]
+	s.layouts = s.layouts[:0]
+	s.hasFraction = false
+	s.query = ""
 }
 
 // appendField adds a field behind the literal text, which it empties.
@@ -128,7 +133,11 @@
 		if err != nil {
 			return err
 		}
-		if err := f.parseField(&f.template[i], value, raw); err != nil {
+		field := &f.template[i]
+		if field.kind == fieldSkipped {
+			continue
+		}
+		if err := f.parseField(field, value, raw); err != nil {
 			return err
 		}
 	}
