--- a/cmd/rehearse/flood.go
+++ b/cmd/rehearse/flood.go
@@ -76,10 +76,10 @@
 	}
 	n := int(c.Rate * c.For.Seconds())
 	for i := range n {
-		e := recording.Entry{At: time.Second + time.Duration(float64(i)/c.Rate*float64(time.Second)), Key: uint64(i%997 + 1), Left: 5 * time.Second,
+		e := recording.Entry{Arrival: time.Second + time.Duration(float64(i)/c.Rate*float64(time.Second)), Key: uint64(i%997 + 1), Timeout: 5 * time.Second,
 			Duration: 30 * time.Millisecond, Effort: 30 * time.Millisecond, Slots: 1}
 		if i%4 == 3 {
-			e.Class, e.Left, e.Duration, e.Effort = 1, 8*time.Second, 40*time.Millisecond, 40*time.Millisecond
+			e.Class, e.Timeout, e.Duration, e.Effort = 1, 8*time.Second, 40*time.Millisecond, 40*time.Millisecond
 		}
 		if err := out.Add(&e); err != nil {
 			return err
@@ -114,8 +114,8 @@
 			return p, err
 		}
 	}
-	f, err := standin.Start(standin.FleetConfig{Daemon: daemon, Dir: dir, Workers: 9, Seed: c.Seed, Sockets: c.Sockets, Operator: operator,
-		Classes: []standin.ClassConfig{{Name: "status-check", Retryable: true, Left: 5 * time.Second}, {Name: "renewal", Left: 8 * time.Second}}})
+	f, err := standin.StartFleet(standin.FleetConfig{Daemon: daemon, Dir: dir, Workers: 9, Seed: c.Seed, Descriptors: c.Sockets, Operator: operator,
+		Classes: []standin.ClassConfig{{Name: "status-check", Retryable: true, Timeout: 5 * time.Second}, {Name: "renewal", Timeout: 8 * time.Second}}})
 	if err != nil {
 		return p, err
 	}
@@ -127,7 +127,7 @@
 	flood := make(chan hostileload.Counts, 1)
 	if clients > 0 {
 		go func() {
-			n, _ := hostileload.Run(context.Background(), hostileload.Config{To: f.Addr, Seed: c.Seed, Clients: clients, Sources: c.Sources, For: c.For + 2*time.Second})
+			n, _ := hostileload.Run(context.Background(), hostileload.Config{Target: f.Addr, Seed: c.Seed, Clients: clients, Sources: c.Sources, Duration: c.For + 2*time.Second})
 			flood <- n
 		}()
 	} else {
@@ -137,10 +137,10 @@
 		go during(f)
 	}
 	began, cpu := time.Now(), f.CPU()
-	result, err := replay.Run(context.Background(), r, replay.Options{To: f.Addr, Seed: c.Seed, Proven: f.Gate.Open, From: from,
-		Wanted: map[string]time.Duration{"status-check": 250 * time.Millisecond, "renewal": 200 * time.Millisecond},
-		Announce: func(id, class string, retryable bool, path string, x *recording.Entry) {
-			f.Books.Announce(standin.Job{ID: id, Class: class, Retryable: retryable, Path: path, Service: x.Duration, Slots: x.Slots})
+	result, err := replay.Run(context.Background(), r, replay.Options{Target: f.Addr, Seed: c.Seed, Verified: f.Gate.IsOpen, LocalAddresses: from,
+		LatencyObjectives: map[string]time.Duration{"status-check": 250 * time.Millisecond, "renewal": 200 * time.Millisecond},
+		OnSend: func(id, class string, retryable bool, path string, x *recording.Entry) {
+			f.Ledger.Announce(standin.Job{ID: id, Class: class, Retryable: retryable, Path: path, ServiceTime: x.Duration, Slots: x.Slots})
 		}})
 	if err != nil {
 		return p, err
@@ -154,15 +154,15 @@
 	}
 	p.Hostile = <-flood
 	rep := report.Report{Result: result}
-	rep.Judge(&f.Books)
-	p.Kept, p.Verdict = rep.RanTwice+rep.NeverRan == 0 && len(rep.Stands.Unknown) == 0, rep.Verdict
-	p.Refusals, p.Failures, p.seconds = result.Refusals, result.Failures, result.Seconds
-	count := func(of func(*replay.Tally) int) int { return result.Count(of) }
+	rep.Evaluate(&f.Ledger)
+	p.Kept, p.Verdict = rep.DuplicatedJobs+rep.NeverExecuted == 0 && len(rep.Findings.Unexpected) == 0, rep.Conclusion
+	p.Refusals, p.Failures, p.seconds = result.Rejections, result.Failures, result.Seconds
+	count := func(of func(*replay.Tally) int) int { return result.Sum(of) }
 	p.Sent = count(func(t *replay.Tally) int { return t.Sent + t.Unsent })
 	p.Served = count(func(t *replay.Tally) int { return t.Served })
-	p.Answered = count(func(t *replay.Tally) int { return t.Served + t.Refused + t.Failed })
-	p.lost = count(func(t *replay.Tally) int { return t.Lost + t.Twice })
-	p.Wanted = count(func(t *replay.Tally) int { return t.Wanted })
+	p.Answered = count(func(t *replay.Tally) int { return t.Served + t.Rejected + t.Failed })
+	p.lost = count(func(t *replay.Tally) int { return t.Lost + t.DuplicateAnswers })
+	p.Wanted = count(func(t *replay.Tally) int { return t.WithinObjective })
 	s := result.Classes["status-check"]
 	p.P50Ms, p.P99Ms, p.MaxMs = float64(s.Intended.P50)/1000, float64(s.Intended.P99)/1000, float64(s.Intended.Max)/1000
 	return p, nil
@@ -220,7 +220,7 @@
 	kept := true
 	for _, p := range parts {
 		fmt.Fprintf(e.out, "%-14s %6d %8.2f%% %8.2f%% %8.2f%% %8.1f %8.1f %8.1f %9.0f %10d %10d\n", p.Name, p.Sent, p.share(p.Answered), p.share(p.Served),
-			p.share(p.Wanted), p.P50Ms, p.P99Ms, p.MaxMs, p.CPUms, p.Hostile.Attempted, p.Hostile.Ended+p.Hostile.Failed)
+			p.share(p.Wanted), p.P50Ms, p.P99Ms, p.MaxMs, p.CPUms, p.Hostile.Attempted, p.Hostile.ClosedByPeer+p.Hostile.Failed)
 		list := func(what string, words map[string]int) {
 			for why, n := range words {
 				fmt.Fprintf(e.out, "  %s: %d  %s\n", what, n, why)
--- /dev/null
+++ b/internal/rehearsal/faultinject/plan_test.go
@@ -0,0 +1,51 @@
+//go:build linux && amd64
+
+package faultinject
+
+import (
+	"testing"
+	"time"
+)
+
+func TestRuleInForce(t *testing.T) {
+	bounded := Rule{After: time.Second, For: time.Second}
+	unbounded := Rule{After: time.Second}
+	for _, test := range []struct {
+		elapsed            time.Duration
+		bounded, unbounded bool
+	}{
+		{0, false, false},
+		{time.Second, true, true},
+		{2*time.Second - 1, true, true},
+		{2 * time.Second, false, true},
+	} {
+		if got := bounded.inForce(test.elapsed); got != test.bounded {
+			t.Errorf("a bounded rule after %v: %v", test.elapsed, got)
+		}
+		if got := unbounded.inForce(test.elapsed); got != test.unbounded {
+			t.Errorf("a rule without end after %v: %v", test.elapsed, got)
+		}
+	}
+}
+
+func TestClockOffset(t *testing.T) {
+	plan := Plan{Steps: []Step{{After: time.Second, Offset: time.Hour}, {After: 3 * time.Second, Offset: -time.Minute}}}
+	for elapsed, want := range map[time.Duration]time.Duration{
+		0: 0, time.Second: time.Hour, 2 * time.Second: time.Hour, 3 * time.Second: -time.Minute,
+	} {
+		if got := plan.clockOffset(elapsed); got != want {
+			t.Errorf("the offset after %v is %v, not %v", elapsed, got, want)
+		}
+	}
+}
+
+func TestCallNames(t *testing.T) {
+	seen := map[string]bool{}
+	for call := range calls {
+		name := call.String()
+		if name == "" || seen[name] {
+			t.Errorf("call %d is named %q", int(call), name)
+		}
+		seen[name] = true
+	}
+}
--- /dev/null
+++ b/internal/rehearsal/faultinject/process.go
@@ -0,0 +1,60 @@
+//go:build linux && amd64
+
+package faultinject
+
+import (
+	"math/rand/v2"
+	"os/exec"
+	"sync/atomic"
+	"syscall"
+	"time"
+)
+
+// Process is a program that runs under a plan. Its methods are safe for concurrent use.
+type Process struct {
+	PID int // set once Start has returned
+
+	plan     Plan
+	random   *rand.Rand
+	started  time.Time
+	threads  map[int]*thread     // by thread ID
+	peers    map[string]int      // ports of sockets' peers, by the socket's inode
+	struck   [calls]atomic.Int64 // calls that were affected
+	over     chan struct{}       // closed after status and traceErr are set
+	status   syscall.WaitStatus  // how the process ended
+	traceErr error               // why tracing ended before the process did
+}
+
+// Start starts command under plan. The standard output and error of command must be
+// files: with pipes, os/exec would wait for the process, which the tracer must do.
+func Start(command *exec.Cmd, plan Plan) (*Process, error) {
+	p := &Process{
+		plan:    plan,
+		random:  rand.New(rand.NewPCG(plan.Seed, 0)),
+		threads: map[int]*thread{},
+		peers:   map[string]int{},
+		over:    make(chan struct{}),
+	}
+	started := make(chan error)
+	go p.trace(command, started)
+	if err := <-started; err != nil {
+		return nil, err
+	}
+	return p, nil
+}
+
+// Struck returns how many calls of a group the plan has made fail or transfer less.
+func (p *Process) Struck(c Call) int64 { return p.struck[c].Load() }
+
+// Over returns a channel that is closed once the process has ended.
+func (p *Process) Over() <-chan struct{} { return p.over }
+
+// Status returns how the process ended, or why it could not be traced to its end.
+// It must not be called before the channel of Over is closed.
+func (p *Process) Status() (syscall.WaitStatus, error) { return p.status, p.traceErr }
+
+// Signal sends a signal to the process.
+func (p *Process) Signal(signal syscall.Signal) error { return syscall.Kill(p.PID, signal) }
+
+// elapsed returns how long the process has run.
+func (p *Process) elapsed() time.Duration { return time.Since(p.started) }
--- /dev/null
+++ b/internal/rehearsal/faultinject/process_test.go
@@ -0,0 +1,185 @@
+//go:build linux && amd64
+
+package faultinject
+
+import (
+	"fmt"
+	"io"
+	"math"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// Environment of the test program when it runs as the traced program.
+const (
+	roleVariable = "FAULTINJECT_ROLE"
+	addrVariable = "FAULTINJECT_ADDR"
+
+	roleRead  = "read"
+	roleClock = "clock"
+)
+
+const programTimeout = 30 * time.Second
+
+// The test program itself is what runs under a plan; the environment names its role.
+func TestMain(m *testing.M) {
+	switch os.Getenv(roleVariable) {
+	case roleRead:
+		readToEnd()
+	case roleClock:
+		measureClocks()
+	default:
+		os.Exit(m.Run())
+	}
+}
+
+// readToEnd reads from an address to the end and prints how many bytes arrived, and
+// whether that took at least a hundred reads.
+func readToEnd() {
+	conn, err := net.Dial("tcp", os.Getenv(addrVariable))
+	if err != nil {
+		fmt.Println("dial:", err)
+		return
+	}
+	bytes := 0
+	reads := 0
+	buffer := make([]byte, 1<<16)
+	for {
+		n, err := conn.Read(buffer)
+		if err != nil {
+			break
+		}
+		bytes += n
+		reads++
+	}
+	fmt.Printf("%d bytes, %v\n", bytes, reads >= 100)
+}
+
+// measureClocks prints how far the wall clock and the monotonic clock advance in 300 ms.
+func measureClocks() {
+	start := time.Now()
+	time.Sleep(300 * time.Millisecond)
+	now := time.Now()
+	wall := now.Round(0).Sub(start.Round(0)) // Round strips the monotonic reading
+	monotonic := now.Sub(start)
+	fmt.Printf("wall %d s, monotonic %d s\n", int(math.Round(wall.Seconds())), int(math.Round(monotonic.Seconds())))
+}
+
+// run runs the test program in a role under a plan and returns what it printed.
+func run(t *testing.T, plan Plan, role, addr string) (*Process, string) {
+	t.Helper()
+	output, err := os.Create(filepath.Join(t.TempDir(), "output"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer output.Close()
+	command := exec.Command(os.Args[0])
+	command.Env = append(os.Environ(), roleVariable+"="+role, addrVariable+"="+addr)
+	command.Stdout = output
+	command.Stderr = output
+	p, err := Start(command, plan)
+	if err != nil {
+		t.Fatal(err)
+	}
+	select {
+	case <-p.Over():
+	case <-time.After(programTimeout):
+		p.Signal(syscall.SIGKILL)
+		t.Fatal("the program does not end")
+	}
+	status, err := p.Status()
+	if err != nil || !status.Exited() || status.ExitStatus() != 0 {
+		t.Errorf("the program ended with %v, %v", status, err)
+	}
+	text, err := os.ReadFile(output.Name())
+	if err != nil {
+		t.Fatal(err)
+	}
+	return p, string(text)
+}
+
+// startSender starts a server that sends a number of bytes on each connection, and
+// returns its address.
+func startSender(t *testing.T, bytes int) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { listener.Close() })
+	go func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			io.WriteString(conn, strings.Repeat("x", bytes))
+			conn.Close()
+		}
+	}()
+	return listener.Addr().String()
+}
+
+func TestShortReads(t *testing.T) {
+	addr := startSender(t, 1000)
+	plan := Plan{Rules: []Rule{{Call: SocketRead, Probability: 1, Short: 10}}}
+	p, output := run(t, plan, roleRead, addr)
+	if output != "1000 bytes, true\n" {
+		t.Errorf("the program printed %q", output)
+	}
+	if n := p.Struck(SocketRead); n < 100 {
+		t.Errorf("%d reads were shortened", n)
+	}
+}
+
+func TestRuleOfOnePeer(t *testing.T) {
+	addr := startSender(t, 1000)
+	_, portText, _ := net.SplitHostPort(addr)
+	port, _ := strconv.Atoi(portText)
+	for _, peer := range []int{port, port + 1} {
+		plan := Plan{Rules: []Rule{{Call: SocketRead, Probability: 1, Short: 10, Peer: peer}}}
+		p, output := run(t, plan, roleRead, addr)
+		applies := peer == port
+		want := fmt.Sprintf("1000 bytes, %v\n", applies)
+		shortened := p.Struck(SocketRead)
+		if output != want || shortened > 0 != applies {
+			t.Errorf("peer %d: the program printed %q, %d reads were shortened", peer, output, shortened)
+		}
+	}
+}
+
+func TestFailingConnect(t *testing.T) {
+	addr := startSender(t, 10)
+	plan := Plan{Rules: []Rule{{Call: Connect, Probability: 1, Error: syscall.EADDRNOTAVAIL}}}
+	_, output := run(t, plan, roleRead, addr)
+	if !strings.Contains(output, "cannot assign requested address") {
+		t.Errorf("the program printed %q", output)
+	}
+}
+
+func TestSteppedClock(t *testing.T) {
+	for _, offset := range []time.Duration{time.Hour, -time.Hour} {
+		plan := Plan{Steps: []Step{{After: 150 * time.Millisecond, Offset: offset}}}
+		_, output := run(t, plan, roleClock, "")
+		want := fmt.Sprintf("wall %d s, monotonic 0 s\n", int(offset.Seconds()))
+		if output != want {
+			t.Errorf("the program printed %q, not %q", output, want)
+		}
+	}
+}
+
+func TestNoPlanChangesNothing(t *testing.T) {
+	addr := startSender(t, 1000)
+	p, output := run(t, Plan{}, roleRead, addr)
+	shortened := p.Struck(SocketRead)
+	if output != "1000 bytes, false\n" || shortened != 0 {
+		t.Errorf("the program printed %q, %d reads were shortened", output, shortened)
+	}
+}
--- a/internal/rehearsal/recording/golden_rules_test.go
+++ b/internal/rehearsal/recording/golden_keys_test.go
@@ -11,7 +11,7 @@
 	"hollyyoke.example/hollyyoke/internal/goldentest"
 )
 
-// Keys of the rules, their defaults, and complaints.
+// The keys of the rules, their defaults and the errors.
 func TestGoldenRules(t *testing.T) {
 	lines := goldentest.Keys(reflect.TypeFor[Rules](), "toml")
 	committed, err := os.ReadFile(filepath.Join("..", "..", "..", "deploy", "rehearsal.toml"))
@@ -23,8 +23,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, rule := range rules.Class {
-			lines = append(lines, fmt.Sprintln(name, rule.Name, rule.Method, rule.Path, rule.Key, rule.KeyOf, rule.LeftMs, rule.Repeat, rule.Slots, rule.Factor,
+		for _, rule := range rules.Classes {
+			lines = append(lines, fmt.Sprintln(name, rule.Name, rule.Method, rule.Path, rule.Key, rule.KeySource, rule.TimeoutMs, rule.RetryPolicy, rule.Slots, rule.EffortFactor,
 				rule.EffortMs, rule.DurationMs, rule.DurationSpread))
 		}
 		lines = append(lines, fmt.Sprintln(name, rules.Redacted.Members, rules.Redacted.Skew, rules.Redacted.Tokens))
@@ -44,7 +44,7 @@
 	goldentest.Compare(t, "rules.golden", goldentest.Lines(lines))
 }
 
-// Keys of HAR entries.
+// The keys of HAR entries.
 func TestGoldenHAR(t *testing.T) {
 	goldentest.Compare(t, "har.golden", goldentest.Lines(goldentest.Keys(reflect.TypeFor[harEntry](), "json")))
 }
