--- a/cmd/dispatcher/syscalls_test.go
+++ b/cmd/dispatcher/syscalls_test.go
@@ -4,7 +4,6 @@
 
 import (
 	"fmt"
-	"net"
 	"net/http"
 	"strings"
 	"sync"
@@ -41,11 +40,7 @@
 func TestServesOverFailingSystemCalls(t *testing.T) {
 	const after, span = time.Second, 4 * time.Second
 	d := &testDaemon{t: t}
-	once := func(id string, conn net.Conn) bool { // so that each request needs a new connection
-		respondDone(id, conn)
-		return false
-	}
-	workers := []*testWorker{d.addWorker("s-1", once), d.addWorker("s-2", once)}
+	workers := []*testWorker{d.addWorker("s-1", respondDoneAndClose), d.addWorker("s-2", respondDoneAndClose)}
 	d.trace(faultinject.Plan{Seed: 1, Rules: momentary(0.1, after, span)})
 	begun := time.Now()
 	d.start()
--- a/cmd/dispatcher/worker_test.go
+++ b/cmd/dispatcher/worker_test.go
@@ -56,11 +56,22 @@
 }
 
 func respondDone(id string, conn net.Conn) bool {
-	text := fmt.Sprintf(`{"id":%q,"state":"started"}`+"\n"+`{"id":%q,"state":"done","result":"made for %s"}`+"\n", id, id, id)
-	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(text), text)
+	writeDone(id, conn, "")
 	return true
 }
 
+// respondDoneAndClose answers a request and announces that it closes the connection, so that the next request needs a
+// new one. A close that is not announced may cross a request, which then may have run.
+func respondDoneAndClose(id string, conn net.Conn) bool {
+	writeDone(id, conn, "Connection: close\r\n")
+	return false
+}
+
+func writeDone(id string, conn net.Conn, fields string) {
+	text := fmt.Sprintf(`{"id":%q,"state":"started"}`+"\n"+`{"id":%q,"state":"done","result":"made for %s"}`+"\n", id, id, id)
+	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%sTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", fields, len(text), text)
+}
+
 // respondWhenReleased answers one request once it is released, and all others at once.
 func respondWhenReleased(slow string, arrived chan<- struct{}, release <-chan struct{}) func(string, net.Conn) bool {
 	return func(id string, conn net.Conn) bool {
