--- a/cmd/rehearse/sim.go
+++ b/cmd/rehearse/sim.go
@@ -62,7 +62,7 @@
 // many plays days and shows how far that is.
 func many(e *env, list []simulator.Scenario, seeds []uint64) ([][]simulator.Result, error) {
 	show, n := progress(e, len(list)*len(seeds)), 0
-	return simulator.Many(list, seeds, func() {
+	return simulator.RunAll(list, seeds, func() {
 		n++
 		if show != nil {
 			show(n)
@@ -86,7 +86,7 @@
 		sum, low, high, bad := 0.0, math.Inf(1), math.Inf(-1), 0
 		for _, r := range of {
 			sum, low, high = sum+r.Score, min(low, r.Score), max(high, r.Score)
-			bad += min(len(r.Broken), 1)
+			bad += min(len(r.Violations), 1)
 		}
 		rules, days = rules+bad, days+len(of)
 		fmt.Fprintf(t, "%s\t%d\t%.4f\t%.4f\t%.4f\t%d\t\n", list[i].Name, len(of), sum/float64(len(of)), low, high, bad)
@@ -96,10 +96,10 @@
 	for _, d := range simulator.Worst(list, results, c.Worst) {
 		fmt.Fprintf(e.out, "  %s, seed %d: %.4f", d.Scenario.Name, d.Result.Seed, d.Result.Score)
 		for _, k := range d.Result.Classes {
-			fmt.Fprintf(e.out, "; %s %.3f (refused %d, failed %d, late %d)", k.Name, k.WorthShare, k.Refused, k.Failed, k.Late)
+			fmt.Fprintf(e.out, "; %s %.3f (refused %d, failed %d, late %d)", k.Name, k.WeightShare, k.Rejected, k.Failed, k.Late)
 		}
 		fmt.Fprintln(e.out)
-		for _, why := range d.Result.Broken {
+		for _, why := range d.Result.Violations {
 			fmt.Fprintln(e.out, "    BROKEN", why)
 		}
 	}
@@ -121,13 +121,13 @@
 	d := simulator.Compare(results[0], results[1])
 	verdict := "B is better"
 	switch {
-	case d.Noise:
+	case d.Inconclusive:
 		verdict = "noise: the interval holds 0"
-	case d.Mean < 0:
+	case d.MeanDifference < 0:
 		verdict = "A is better"
 	}
 	fmt.Fprintf(e.out, "A %s %.4f, B %s %.4f; B less A %+.4f, 95%% between %+.4f and %+.4f; A was better in %d of %d pairs, %d even: %s\n",
-		list[0].Name, d.A, list[1].Name, d.B, d.Mean, d.Low, d.High, d.BetterA, d.Pairs, d.Even, verdict)
+		list[0].Name, d.MeanA, list[1].Name, d.MeanB, d.MeanDifference, d.Low, d.High, d.ABetter, d.Pairs, d.Even, verdict)
 	return nil
 }
 
@@ -138,11 +138,11 @@
 	}
 	bad := func(r simulator.Result) bool {
 		if c.When == "broken" {
-			return len(r.Broken) > 0
+			return len(r.Violations) > 0
 		}
 		n := 0
 		for _, k := range r.Classes {
-			n += map[string]int{"failed": k.Failed, "refused": k.Refused, "late": k.Late}[c.When]
+			n += map[string]int{"failed": k.Failed, "refused": k.Rejected, "late": k.Late}[c.When]
 		}
 		return n > 0
 	}
@@ -213,18 +213,18 @@
 		t := tabwriter.NewWriter(e.out, 0, 0, 2, ' ', tabwriter.AlignRight)
 		fmt.Fprintln(t, "class\tasked\tin aim\tlate\trefused\tfailed\tno answer\tp50 ms\tp90 ms\tp99 ms\tworth\t")
 		for _, k := range r.Classes {
-			fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%.1f\t%.3f\t\n", k.Name, k.Asked, k.InAim, k.Late, k.Refused, k.Failed, k.Unanswered,
-				k.P50Ms, k.P90Ms, k.P99Ms, k.WorthShare)
+			fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%.1f\t%.3f\t\n", k.Name, k.Requests, k.WithinObjective, k.Late, k.Rejected, k.Failed, k.Unanswered,
+				k.P50Ms, k.P90Ms, k.P99Ms, k.WeightShare)
 		}
 		t.Flush()
 		fmt.Fprintf(e.out, "%s, seed %d: %.4f of the worth asked for; %d events, hash %s, %.2f s of our time\n",
 			r.Scenario, r.Seed, r.Score, r.Events, r.Hash, time.Since(began).Seconds())
 	}
-	for _, why := range r.Broken {
+	for _, why := range r.Violations {
 		fmt.Fprintln(e.out, "BROKEN", why)
 	}
-	if len(r.Broken) > 0 {
-		return broken{fmt.Sprintf("%d rules broke", len(r.Broken))}
+	if len(r.Violations) > 0 {
+		return broken{fmt.Sprintf("%d rules broke", len(r.Violations))}
 	}
 	return nil
 }
--- /dev/null
+++ b/internal/rehearsal/simulator/client.go
@@ -0,0 +1,117 @@
+package simulator
+
+import (
+	"fmt"
+	"time"
+
+	"hollyyoke.example/hollyyoke/internal/dispatch"
+)
+
+var _ dispatch.FrontEnd = (*dispatcher)(nil)
+
+// minClientBackoff is the shortest wait of a client between two attempts.
+const minClientBackoff = 10 * time.Millisecond
+
+// request is what one client asks for, over all its attempts.
+type request struct {
+	id           string
+	class        int
+	work         time.Duration
+	arrivedAt    time.Duration
+	outcome      dispatch.Outcome
+	answeredAt   time.Duration // 0: unanswered
+	attemptsLeft int
+}
+
+// finish records the final answer.
+func (r *request) finish(outcome dispatch.Outcome, at time.Duration) {
+	r.outcome = outcome
+	r.answeredAt = at
+}
+
+// startArrivals starts the clients of the dispatcher. They are an open loop: requests arrive whether or not earlier ones
+// are answered.
+func (d *dispatcher) startArrivals() {
+	simulation := d.simulation
+	random := simulation.randomStream(fmt.Sprint("arrivals ", d.number))
+	meanRate := simulation.scenario.Load.Rate / float64(simulation.scenario.Dispatchers)
+	count := 0
+	interval := func(rate float64) time.Duration {
+		return time.Duration(random.ExpFloat64() / rate * float64(time.Second))
+	}
+	var arrive func()
+	arrive = func() {
+		elapsed := simulation.now - runStart
+		if elapsed >= seconds(simulation.scenario.LengthS) {
+			return
+		}
+		count++
+		arrived := &request{
+			id:           fmt.Sprintf("%d-%d", d.number, count),
+			class:        simulation.scenario.classAt(random.Float64()),
+			arrivedAt:    simulation.now,
+			attemptsLeft: simulation.scenario.Load.MaxAttempts,
+		}
+		arrived.work = simulation.scenario.Classes[arrived.class].drawWork(random)
+		simulation.requests = append(simulation.requests, arrived)
+		simulation.workByRequest[arrived.id] = arrived.work
+		d.submit(arrived)
+		simulation.after(interval(simulation.scenario.rateAt(elapsed, meanRate)), arrive)
+	}
+	simulation.after(interval(meanRate), arrive)
+}
+
+// submit sends a client's next attempt to the dispatcher.
+func (d *dispatcher) submit(submitted *request) {
+	simulation := d.simulation
+	submitted.attemptsLeft--
+	deadline := simulation.settings.Classes[submitted.class].Deadline
+	timeLeft := deadline - (simulation.now - submitted.arrivedAt)
+	if timeLeft <= 0 {
+		return
+	}
+	if d.down { // the connection is refused
+		submitted.finish(dispatch.Failed, simulation.now)
+		return
+	}
+	d.lastToken++
+	d.unanswered[d.lastToken] = submitted
+	id := submitted.id
+	attemptNumber := simulation.scenario.Load.MaxAttempts - submitted.attemptsLeft
+	if attemptNumber > 1 {
+		id = fmt.Sprintf("%s~%d", submitted.id, attemptNumber)
+	}
+	workHint := submitted.work
+	if simulation.scenario.Load.NoHints {
+		workHint = 0
+	}
+	d.core.Accept(d, d.lastToken, dispatch.Request{
+		ID:          id,
+		Class:       submitted.class,
+		Key:         submitted.id,
+		Work:        workHint,
+		TimeLeft:    timeLeft,
+		ReceivedAt:  simulation.now,
+		ClientRetry: attemptNumber > 1,
+	})
+	d.scheduleTurn()
+}
+
+// Respond receives the final answer to an attempt of a client. A rejected client retries after the Retry-After of the
+// answer while it has attempts and time left.
+func (d *dispatcher) Respond(token uint64, response dispatch.Response) {
+	simulation := d.simulation
+	answered := d.unanswered[token]
+	if answered == nil {
+		simulation.reportViolation("a second answer to a request, or an answer to none: token %d of dispatcher %d", token, d.number)
+		return
+	}
+	delete(d.unanswered, token)
+	deadline := answered.arrivedAt + simulation.settings.Classes[answered.class].Deadline
+	canRetry := answered.attemptsLeft > 0 && simulation.now+response.RetryAfter < deadline
+	if response.Outcome == dispatch.Rejected && canRetry {
+		simulation.after(max(response.RetryAfter, minClientBackoff), func() { d.submit(answered) })
+		return
+	}
+	answered.finish(response.Outcome, simulation.now)
+}
--- /dev/null
+++ b/internal/rehearsal/simulator/comparison.go
@@ -0,0 +1,60 @@
+package simulator
+
+import (
+	"math"
+	"math/rand/v2"
+	"slices"
+)
+
+// bootstrapResamples is how many resamples the confidence interval of a comparison rests on.
+const bootstrapResamples = 10_000
+
+// Comparison is the outcome of a paired comparison of two scenarios, A and B.
+type Comparison struct {
+	Pairs          int
+	MeanA          float64 // mean scores
+	MeanB          float64
+	MeanDifference float64 // of B's score less A's, pair by pair
+	Low            float64 // 95% confidence interval of MeanDifference, by bootstrap
+	High           float64
+	ABetter        int  // pairs in which A scored higher
+	Even           int  // pairs with equal scores
+	Inconclusive   bool // the interval contains 0
+}
+
+// Compare compares the scores of two lists of results pair by pair. The same lists give the same interval.
+func Compare(a, b []Result) Comparison {
+	comparison := Comparison{Pairs: min(len(a), len(b))}
+	differences := make([]float64, comparison.Pairs)
+	for i := range differences {
+		differences[i] = b[i].Score - a[i].Score
+		comparison.MeanA += a[i].Score / float64(comparison.Pairs)
+		comparison.MeanB += b[i].Score / float64(comparison.Pairs)
+		comparison.MeanDifference += differences[i] / float64(comparison.Pairs)
+		switch {
+		case differences[i] < 0:
+			comparison.ABetter++
+		case differences[i] == 0:
+			comparison.Even++
+		}
+	}
+	means := bootstrapMeans(differences)
+	comparison.Low = means[bootstrapResamples*25/1000]
+	comparison.High = means[bootstrapResamples*975/1000]
+	comparison.Inconclusive = comparison.Low <= 0 && comparison.High >= 0
+	return comparison
+}
+
+// bootstrapMeans returns the sorted means of resamples with replacement.
+func bootstrapMeans(values []float64) []float64 {
+	random := rand.New(rand.NewPCG(1, 1))
+	means := make([]float64, bootstrapResamples)
+	for i := range means {
+		for range values {
+			means[i] += values[random.IntN(len(values))]
+		}
+		means[i] /= math.Max(float64(len(values)), 1)
+	}
+	slices.Sort(means)
+	return means
+}
--- /dev/null
+++ b/internal/rehearsal/simulator/dispatcher.go
@@ -0,0 +1,131 @@
+package simulator
+
+import (
+	"time"
+
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/dispatch"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
+)
+
+// dispatcher is a real dispatch.Dispatcher on an event loop in virtual time. It is also the front end that the
+// dispatcher answers to (client.go) and its only worker source (source.go).
+type dispatcher struct {
+	simulation    *Simulation
+	number        int
+	zone          int
+	loop          *eventloop.Loop
+	core          *dispatch.Dispatcher
+	nextTurn      time.Duration       // when the loop runs next; 0: nothing is scheduled
+	unanswered    map[uint64]*request // by token
+	lastToken     uint64
+	attempts      map[uint64]*attempt // sent and not ended, by handle
+	subscribed    bool                // to discovery
+	workerUpdates map[string]workerUpdate
+
+	down            bool // its process was killed
+	restarts        int
+	cachedEndpoints []decision.Endpoint // initial endpoint list of the next process
+}
+
+// workerUpdate is the latest state of a worker that a dispatcher has from discovery.
+type workerUpdate struct {
+	startedAt        time.Duration
+	unavailableSince time.Duration // since when the worker is draining or removed; 0: it is running
+}
+
+func newDispatcher(simulation *Simulation, number int) (*dispatcher, error) {
+	d := &dispatcher{
+		simulation:    simulation,
+		number:        number,
+		zone:          number % len(simulation.scenario.Net.Zones),
+		unanswered:    map[uint64]*request{},
+		attempts:      map[uint64]*attempt{},
+		workerUpdates: map[string]workerUpdate{},
+	}
+	if err := d.startProcess(simulation.seed + uint64(number)); err != nil {
+		return nil, err
+	}
+	return d, nil
+}
+
+// startProcess gives the dispatcher a process without state.
+func (d *dispatcher) startProcess(seed uint64) error {
+	simulation := d.simulation
+	settings := simulation.settings
+	settings.Zone = d.zone
+	d.loop = eventloop.NewVirtual(func() time.Duration { return simulation.now })
+	core, err := dispatch.New(d.loop, settings, seed)
+	if err != nil {
+		return err
+	}
+	core.Trace = func(id, step string, keysAndValues ...any) {
+		simulation.logStep(d.number, step, id, keysAndValues)
+	}
+	core.AddSource(d)
+	d.core = core
+	return nil
+}
+
+// kill ends the dispatcher's process. Its clients see their connections break; attempts that were sent go on.
+func (d *dispatcher) kill() {
+	simulation := d.simulation
+	simulation.logEvent(d.number, "killed", "")
+	d.down = true
+	d.subscribed = false
+	d.nextTurn = 0
+	for _, request := range d.unanswered {
+		request.finish(dispatch.Failed, simulation.now)
+	}
+	clear(d.unanswered)
+	clear(d.attempts)
+	d.cacheEndpoints()
+}
+
+// cacheEndpoints saves the workers that discovery reported as running.
+func (d *dispatcher) cacheEndpoints() {
+	for _, endpoint := range d.simulation.endpoints() {
+		update, known := d.workerUpdates[endpoint.Name]
+		if !known || update.unavailableSince != 0 {
+			continue
+		}
+		endpoint.State = decision.Running
+		endpoint.StartedAt = update.startedAt
+		d.cachedEndpoints = append(d.cachedEndpoints, endpoint)
+	}
+}
+
+// restart starts the next process with the cached endpoint list. It knows nothing of attempts that were sent before.
+func (d *dispatcher) restart() {
+	simulation := d.simulation
+	simulation.logEvent(d.number, "restarted", "")
+	d.restarts++
+	seed := simulation.seed + uint64(d.number) + uint64(d.restarts*len(simulation.dispatchers))
+	if err := d.startProcess(seed); err != nil {
+		simulation.reportViolation("dispatcher %d does not start: %v", d.number, err)
+		return
+	}
+	d.down = false
+	d.updateWorkers(decision.ListCached, d.cachedEndpoints)
+	d.cachedEndpoints = nil
+}
+
+// scheduleTurn schedules the loop's next turn. It is called after anything that may have changed when that is.
+func (d *dispatcher) scheduleTurn() {
+	at, due := d.loop.NextDue()
+	if !due || d.nextTurn != 0 && d.nextTurn <= at {
+		return
+	}
+	d.nextTurn = at
+	d.simulation.at(at, func() {
+		if d.nextTurn != at { // superseded by an earlier turn
+			return
+		}
+		d.nextTurn = 0
+		if d.down {
+			return
+		}
+		d.loop.RunOnce()
+		d.scheduleTurn()
+	})
+}
--- a/internal/rehearsal/simulator/eventlog.go
+++ b/internal/rehearsal/simulator/eventlog.go
@@ -27,7 +27,7 @@
 )
 
 // logStep logs a step of a dispatcher's trace. The keys in keysAndValues are changed in place.
-func (s *Sim) logStep(dispatcher int, step, id string, keysAndValues []any) {
+func (s *Simulation) logStep(dispatcher int, step, id string, keysAndValues []any) {
 	for i := 0; i < len(keysAndValues); i += 2 {
 		key, isString := keysAndValues[i].(string)
 		if !isString {
@@ -40,5 +40,5 @@
 	if logged, known := loggedSteps[step]; known {
 		step = logged
 	}
-	s.tell(dispatcher, step, id, keysAndValues...)
+	s.logEvent(dispatcher, step, id, keysAndValues...)
 }
--- a/internal/rehearsal/simulator/recorded_test.go
+++ b/internal/rehearsal/simulator/recorded_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-var updateRecorded = flag.Bool("update-recorded", false, "write testdata/recorded.json anew")
+var updateRecorded = flag.Bool("update-recorded", false, "rewrite testdata/recorded.json")
 
 const (
 	recordedFile  = "testdata/recorded.json"
@@ -18,9 +18,9 @@
 
 // TestRecordedResults holds the results of every scenario in deploy/scenarios on ten seeds, with the hash of
 // all events. Time is virtual, so that a change which is meant to alter no behaviour alters no number here. A
-// change which is meant to alter behaviour writes the file anew with -update-recorded.
+// change which is meant to alter behaviour rewrites the file with -update-recorded.
 func TestRecordedResults(t *testing.T) {
-	got := playRecordedScenarios(t)
+	got := runRecordedScenarios(t)
 	if *updateRecorded {
 		writeRecorded(t, got)
 	}
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	if len(want) != len(got) {
-		t.Errorf("%d results are recorded, %d were played", len(want), len(got))
+		t.Errorf("%d results are recorded, %d were run", len(want), len(got))
 	}
 	for name, result := range got {
 		t.Run(name, func(t *testing.T) {
@@ -44,8 +44,8 @@
 	}
 }
 
-// playRecordedScenarios returns the JSON of each result by the scenario's file and the seed.
-func playRecordedScenarios(t *testing.T) map[string]json.RawMessage {
+// runRecordedScenarios returns the JSON of each result by the scenario's file and the seed.
+func runRecordedScenarios(t *testing.T) map[string]json.RawMessage {
 	t.Helper()
 	paths, err := filepath.Glob("../../../deploy/scenarios/*.toml")
 	if err != nil || len(paths) == 0 {
@@ -59,7 +59,7 @@
 		}
 		list = append(list, sc)
 	}
-	results, err := Many(list, Seeds(1, recordedSeeds), func() {})
+	results, err := RunAll(list, Seeds(1, recordedSeeds), func() {})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rehearsal/simulator/scenario.go
+++ b/internal/rehearsal/simulator/scenario.go
@@ -15,186 +15,267 @@
 	"hollyyoke.example/hollyyoke/decision"
 )
 
-// This file owns scenario files: a day as data. A key that is not known, or a
-// value that makes no sense, is one line that names it.
+const (
+	defaultZone             = "here"
+	defaultOverloadMultiple = 4
+	defaultOverloadWindowS  = 1
+	maxBurstFactor          = 100
+	maxShareError           = 1e-6 // of the sum of the classes' shares
+)
 
-// Scenario is one day as its file words it.
+// Scenario is one run as its TOML file states it. Durations are in the unit that the name ends with.
 type Scenario struct {
 	Name        string  `toml:"name"`
 	LengthS     float64 `toml:"length_s"`
 	Dispatchers int     `toml:"dispatchers"`
 
-	Net struct {
-		Zones   []string `toml:"zones"`
-		SameMs  float64  `toml:"same_ms"` // one way
-		CrossMs float64  `toml:"cross_ms"`
-		Jitter  float64  `toml:"jitter"` // at the most, as a share
-	} `toml:"net"`
-	Discovery struct {
-		LagMs float64 `toml:"lag_ms"`
-	} `toml:"discovery"`
-	Workers struct {
-		Count      int     `toml:"count"`
-		Slots      int     `toml:"slots"`
-		Speed      float64 `toml:"speed"`
-		Queue      int     `toml:"queue"`
-		ColdFrom   float64 `toml:"cold_from"`
-		WarmAfterS float64 `toml:"warm_after_s"`
-
-		// A cold one that is sent more than so many times what it can do, for so long, falls and stays down.
-		FallMultiple float64 `toml:"fall_multiple"` // 4 where left out
-		FallS        float64 `toml:"fall_s"`        // 1
-	} `toml:"workers"`
-	Load    Load      `toml:"load"`
-	Classes []ClassOf `toml:"class"`
-	Faults  []Fault   `toml:"fault"`
-}
-
-// Load is what clients ask for.
-type Load struct {
-	Rate  float64 `toml:"rate_per_s"` // of all dispatchers together
-	Tries int     `toml:"tries"`      // of a client, while it has time
-	Swing float64 `toml:"swing"`      // the rate goes up and down by this share
-	EachS float64 `toml:"swing_each_s"`
+	Net       Network         `toml:"net"`
+	Discovery Discovery       `toml:"discovery"`
+	Workers   Workers         `toml:"workers"`
+	Load      Load            `toml:"load"`
+	Classes   []ScenarioClass `toml:"class"`
+	Faults    []Fault         `toml:"fault"`
+}
 
-	NoHints bool `toml:"no_hints"` // clients do not say how much work a request is
+// Network describes the zones and the one-way delays between them.
+type Network struct {
+	Zones   []string `toml:"zones"`
+	SameMs  float64  `toml:"same_ms"`  // within a zone
+	CrossMs float64  `toml:"cross_ms"` // between zones
+	Jitter  float64  `toml:"jitter"`   // largest addition, as a share of the delay
 }
 
-// ClassOf is one class of requests.
-type ClassOf struct {
-	Name       string  `toml:"name"`
-	Share      float64 `toml:"share"`
-	Repeat     bool    `toml:"repeat"`
-	Worth      float64 `toml:"worth"`
-	LateWorth  float64 `toml:"late_worth"`
-	AimMs      float64 `toml:"aim_ms"`
-	DeadlineMs float64 `toml:"deadline_ms"`
-	WorkMs     float64 `toml:"work_ms"`
-	Law        string  `toml:"law"` // of the work: exponential (default), constant or lognormal
+// Discovery describes the service that announces workers.
+type Discovery struct {
+	LagMs float64 `toml:"lag_ms"`
 }
 
-// Fault is one fault, for a time.
-type Fault struct {
-	Kind        string  `toml:"kind"` // slow, pause, kill, drain, join, burst or restart
-	AtS         float64 `toml:"at_s"`
-	ForS        float64 `toml:"for_s"`
-	Workers     int     `toml:"workers"`     // how many, drawn by the seed
-	Zone        string  `toml:"zone"`        // only of this zone; with workers left out: all of it
-	Dispatchers int     `toml:"dispatchers"` // of restart: how many, drawn by the seed
-	Factor      float64 `toml:"factor"`      // of slow and burst
+// Workers describes the workers, which are all alike.
+type Workers struct {
+	Count              int     `toml:"count"`
+	Slots              int     `toml:"slots"`
+	Speed              float64 `toml:"speed"` // work per second in a slot
+	Queue              int     `toml:"queue"`
+	SlowStartFloor     float64 `toml:"cold_from"`    // share of the speed right after a start
+	SlowStartDurationS float64 `toml:"warm_after_s"` // until the speed is reached
+
+	// A warming worker crashes for good when the work sent to it within the window exceeds this multiple of what
+	// it can do.
+	OverloadMultiple float64 `toml:"fall_multiple"` // 4 where absent
+	OverloadWindowS  float64 `toml:"fall_s"`        // 1 where absent
+}
+
+// Load describes the clients' requests.
+type Load struct {
+	Rate         float64 `toml:"rate_per_s"`   // of all dispatchers together
+	MaxAttempts  int     `toml:"tries"`        // of a client, while it has time
+	Swing        float64 `toml:"swing"`        // amplitude of a sine on the rate, as a share of it
+	SwingPeriodS float64 `toml:"swing_each_s"` // of that sine
+
+	NoHints bool `toml:"no_hints"` // clients do not say how much work a request is
 }
 
-var faultKinds = []string{"slow", "pause", "kill", "drain", "join", "burst", "restart"}
+// The distributions of work.
+const (
+	Exponential = "exponential" // the default
+	Constant    = "constant"
+	Lognormal   = "lognormal" // of sigma 1
+)
 
-// hitsWorkers tells whether the fault befalls workers; the others befall the dispatchers or the load.
-func (f *Fault) hitsWorkers() bool { return f.Kind != "burst" && f.Kind != "restart" }
+// ScenarioClass describes one class of requests.
+type ScenarioClass struct {
+	Name           string  `toml:"name"`
+	Share          float64 `toml:"share"` // of all requests
+	Idempotent     bool    `toml:"repeat"`
+	PriorityWeight float64 `toml:"worth"`
+	LateWeight     float64 `toml:"late_worth"` // share of the weight that a late answer earns
+	ObjectiveMs    float64 `toml:"aim_ms"`     // latency objective
+	DeadlineMs     float64 `toml:"deadline_ms"`
+	WorkMs         float64 `toml:"work_ms"` // mean
+	Distribution   string  `toml:"law"`     // of the work
+}
 
-// ReadScenario reads a scenario file.
-func ReadScenario(path string) (sc Scenario, err error) {
-	meta, err := toml.DecodeFile(path, &sc)
+// ReadScenario reads and checks a scenario file. An error is one line that names the key at fault.
+func ReadScenario(path string) (scenario Scenario, err error) {
+	meta, err := toml.DecodeFile(path, &scenario)
 	if err != nil {
 		line, _, _ := strings.Cut(err.Error(), "\n")
-		return sc, errors.New(line)
+		return scenario, errors.New(line)
 	}
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
-		return sc, fmt.Errorf("%s: %s: unknown key", path, unknown[0])
+		return scenario, fmt.Errorf("%s: %s: unknown key", path, unknown[0])
 	}
-	if err := sc.Check(); err != nil {
-		return sc, fmt.Errorf("%s: %w", path, err)
+	if err := scenario.Check(); err != nil {
+		return scenario, fmt.Errorf("%s: %w", path, err)
 	}
-	return sc, nil
+	return scenario, nil
 }
 
-// Check checks a scenario and fills in what it leaves out.
-func (sc *Scenario) Check() error {
-	for _, x := range []struct {
-		key        string
-		v, lo, top float64
+// Check checks a scenario and sets the defaults of absent keys.
+func (s *Scenario) Check() error {
+	if err := s.checkRanges(); err != nil {
+		return err
+	}
+	s.setDefaults()
+	if err := s.checkClasses(); err != nil {
+		return err
+	}
+	for i := range s.Faults {
+		if err := s.checkFault(i); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// checkRanges checks the numbers that stand outside of lists.
+func (s *Scenario) checkRanges() error {
+	for _, limit := range []struct {
+		key             string
+		value, min, max float64
 	}{
-		{"length_s", sc.LengthS, 0.001, 86400}, {"dispatchers", float64(sc.Dispatchers), 1, 1000}, {"workers.count", float64(sc.Workers.Count), 1, 10000},
-		{"workers.slots", float64(sc.Workers.Slots), 1, 1000}, {"workers.speed", sc.Workers.Speed, 1e-6, 1e6}, {"workers.queue", float64(sc.Workers.Queue), 0, 1e6},
-		{"workers.cold_from", sc.Workers.ColdFrom, 0, 1}, {"workers.warm_after_s", sc.Workers.WarmAfterS, 0, 3600},
-		{"workers.fall_multiple", sc.Workers.FallMultiple, 0, 1000}, {"workers.fall_s", sc.Workers.FallS, 0, 3600},
-		{"load.rate_per_s", sc.Load.Rate, 1e-3, 1e6}, {"load.swing", sc.Load.Swing, 0, 0.99}, {"net.same_ms", sc.Net.SameMs, 0, 1e4}, {"net.cross_ms", sc.Net.CrossMs, 0, 1e4},
-		{"net.jitter", sc.Net.Jitter, 0, 100}, {"discovery.lag_ms", sc.Discovery.LagMs, 0, 1e6},
+		{"length_s", s.LengthS, 0.001, 86400},
+		{"dispatchers", float64(s.Dispatchers), 1, 1000},
+		{"workers.count", float64(s.Workers.Count), 1, 10000},
+		{"workers.slots", float64(s.Workers.Slots), 1, 1000},
+		{"workers.speed", s.Workers.Speed, 1e-6, 1e6},
+		{"workers.queue", float64(s.Workers.Queue), 0, 1e6},
+		{"workers.cold_from", s.Workers.SlowStartFloor, 0, 1},
+		{"workers.warm_after_s", s.Workers.SlowStartDurationS, 0, 3600},
+		{"workers.fall_multiple", s.Workers.OverloadMultiple, 0, 1000},
+		{"workers.fall_s", s.Workers.OverloadWindowS, 0, 3600},
+		{"load.rate_per_s", s.Load.Rate, 1e-3, 1e6},
+		{"load.swing", s.Load.Swing, 0, 0.99},
+		{"net.same_ms", s.Net.SameMs, 0, 1e4},
+		{"net.cross_ms", s.Net.CrossMs, 0, 1e4},
+		{"net.jitter", s.Net.Jitter, 0, 100},
+		{"discovery.lag_ms", s.Discovery.LagMs, 0, 1e6},
 	} {
-		if !(x.v >= x.lo && x.v <= x.top) {
-			return fmt.Errorf("%s: %g is not between %g and %g", x.key, x.v, x.lo, x.top)
+		inRange := limit.value >= limit.min && limit.value <= limit.max // false for NaN
+		if !inRange {
+			return fmt.Errorf("%s: %g is not between %g and %g", limit.key, limit.value, limit.min, limit.max)
 		}
 	}
-	if len(sc.Net.Zones) == 0 {
-		sc.Net.Zones = []string{"here"}
+	return nil
+}
+
+func (s *Scenario) setDefaults() {
+	if len(s.Net.Zones) == 0 {
+		s.Net.Zones = []string{defaultZone}
 	}
-	sc.Load.Tries = max(sc.Load.Tries, 1)
-	sc.Workers.FallMultiple, sc.Workers.FallS = cmp.Or(sc.Workers.FallMultiple, 4), cmp.Or(sc.Workers.FallS, 1)
-	share := 0.0
-	for i, c := range sc.Classes {
+	s.Load.MaxAttempts = max(s.Load.MaxAttempts, 1)
+	s.Workers.OverloadMultiple = cmp.Or(s.Workers.OverloadMultiple, defaultOverloadMultiple)
+	s.Workers.OverloadWindowS = cmp.Or(s.Workers.OverloadWindowS, defaultOverloadWindowS)
+}
+
+func (s *Scenario) checkClasses() error {
+	distributions := []string{"", Exponential, Constant, Lognormal}
+	shareSum := 0.0
+	for i, class := range s.Classes {
 		switch {
-		case c.Name == "":
+		case class.Name == "":
 			return fmt.Errorf("class[%d].name: missing", i)
-		case c.Share < 0 || c.DeadlineMs <= 0 || c.WorkMs <= 0 || c.AimMs <= 0 || c.Worth < 0:
+		case class.Share < 0 || class.DeadlineMs <= 0 || class.WorkMs <= 0 || class.ObjectiveMs <= 0 || class.PriorityWeight < 0:
 			return fmt.Errorf("class[%d]: share, worth, aim_ms, deadline_ms and work_ms must be positive", i)
-		case c.Law != "" && c.Law != "exponential" && c.Law != "constant" && c.Law != "lognormal":
-			return fmt.Errorf("class[%d].law: %q is none of exponential, constant, lognormal", i, c.Law)
+		case !slices.Contains(distributions, class.Distribution):
+			return fmt.Errorf("class[%d].law: %q is none of exponential, constant, lognormal", i, class.Distribution)
 		}
-		share += c.Share
+		shareSum += class.Share
 	}
-	if math.Abs(share-1) > 1e-6 {
-		return fmt.Errorf("class: the shares add up to %g, not to 1", share)
+	if math.Abs(shareSum-1) > maxShareError {
+		return fmt.Errorf("class: the shares add up to %g, not to 1", shareSum)
 	}
-	for i, f := range sc.Faults {
-		switch {
-		case !slices.Contains(faultKinds, f.Kind):
-			return fmt.Errorf("fault[%d].kind: %q is none of %s", i, f.Kind, strings.Join(faultKinds, ", "))
-		case f.Zone != "" && !slices.Contains(sc.Net.Zones, f.Zone):
-			return fmt.Errorf("fault[%d].zone: no zone %q", i, f.Zone)
-		case f.AtS < 0 || f.ForS < 0 || f.Workers < 0 || f.hitsWorkers() && f.Workers == 0 && f.Zone == "":
-			return fmt.Errorf("fault[%d]: at_s and for_s, and workers or a zone are needed", i)
-		case f.Kind == "restart" && !(f.Dispatchers > 0 && f.Dispatchers <= sc.Dispatchers):
-			return fmt.Errorf("fault[%d].dispatchers: %d is not between 1 and %d", i, f.Dispatchers, sc.Dispatchers)
-		case f.Kind == "burst" && !(f.Factor > 0 && f.Factor <= 100):
-			return fmt.Errorf("fault[%d].factor: %g is not above 0 and up to 100", i, f.Factor)
-		case f.Kind == "slow" && !(f.Factor > 0 && f.Factor <= 1):
-			return fmt.Errorf("fault[%d].factor: %g is not above 0 and up to 1", i, f.Factor)
-		}
+	return nil
+}
+
+func (s *Scenario) checkFault(number int) error {
+	fault := &s.Faults[number]
+	unspecified := fault.affectsWorkers() && fault.Workers == 0 && fault.Zone == ""
+	switch {
+	case !slices.Contains(faultKinds, fault.Kind):
+		return fmt.Errorf("fault[%d].kind: %q is none of %s", number, fault.Kind, faultKindNames())
+	case fault.Zone != "" && !slices.Contains(s.Net.Zones, fault.Zone):
+		return fmt.Errorf("fault[%d].zone: no zone %q", number, fault.Zone)
+	case fault.AtS < 0 || fault.ForS < 0 || fault.Workers < 0 || unspecified:
+		return fmt.Errorf("fault[%d]: at_s and for_s, and workers or a zone are needed", number)
+	case fault.Kind == FaultRestart && !(fault.Dispatchers > 0 && fault.Dispatchers <= s.Dispatchers):
+		return fmt.Errorf("fault[%d].dispatchers: %d is not between 1 and %d", number, fault.Dispatchers, s.Dispatchers)
+	case fault.Kind == FaultBurst && !(fault.Factor > 0 && fault.Factor <= maxBurstFactor):
+		return fmt.Errorf("fault[%d].factor: %g is not above 0 and up to %d", number, fault.Factor, maxBurstFactor)
+	case fault.Kind == FaultSlow && !(fault.Factor > 0 && fault.Factor <= 1):
+		return fmt.Errorf("fault[%d].factor: %g is not above 0 and up to 1", number, fault.Factor)
 	}
 	return nil
 }
 
-// settings are what each dispatcher is told.
-func (sc *Scenario) settings() (s decision.Settings) {
-	for _, c := range sc.Classes {
-		k := decision.Class{Name: c.Name, PriorityWeight: c.Worth, LateWeight: c.LateWorth, LatencyObjective: seconds(c.AimMs / 1000), Deadline: seconds(c.DeadlineMs / 1000)}
-		if !c.Repeat {
-			k.Idempotency = decision.NonIdempotent
+// settings returns the settings of each dispatcher.
+func (s *Scenario) settings() decision.Settings {
+	settings := decision.Settings{
+		Peers:              s.Dispatchers,
+		Tick:               2 * time.Millisecond,
+		ZoneNames:          s.Net.Zones,
+		KindNames:          []string{"m"},
+		ListBySubscription: true,
+		ListPollInterval:   10 * time.Second,
+		SlowStartFloor:     s.Workers.SlowStartFloor,
+		SlowStartDuration:  seconds(s.Workers.SlowStartDurationS),
+		OverloadMultiple:   s.Workers.OverloadMultiple,
+		OverloadWindow:     seconds(s.Workers.OverloadWindowS),
+		MaxAttempts:        3,
+		Hedging:            true,
+		Cancellation:       true,
+		HealthChecks:       true,
+		MaxRetryAfter:      2 * time.Second,
+		ConnectTimeout:     250 * time.Millisecond,
+		StartNotices:       true,
+		StartsInOrder:      true,
+		FreeSlots:          "x0",
+		DrainGrace:         500 * time.Millisecond,
+	}
+	for _, scenarioClass := range s.Classes {
+		class := decision.Class{
+			Name:             scenarioClass.Name,
+			PriorityWeight:   scenarioClass.PriorityWeight,
+			LateWeight:       scenarioClass.LateWeight,
+			LatencyObjective: seconds(scenarioClass.ObjectiveMs / 1000),
+			Deadline:         seconds(scenarioClass.DeadlineMs / 1000),
+		}
+		if !scenarioClass.Idempotent {
+			class.Idempotency = decision.NonIdempotent
 		}
-		s.Classes = append(s.Classes, k)
+		settings.Classes = append(settings.Classes, class)
 	}
-	s.Peers, s.Tick, s.ZoneNames, s.KindNames = sc.Dispatchers, 2*time.Millisecond, sc.Net.Zones, []string{"m"}
-	s.ListBySubscription, s.ListPollInterval = true, 10*time.Second
-	s.SlowStartFloor, s.SlowStartDuration = sc.Workers.ColdFrom, seconds(sc.Workers.WarmAfterS)
-	s.OverloadMultiple, s.OverloadWindow = sc.Workers.FallMultiple, seconds(sc.Workers.FallS)
-	s.MaxAttempts, s.Hedging, s.Cancellation, s.HealthChecks = 3, true, true, true
-	s.MaxRetryAfter, s.ConnectTimeout = 2*time.Second, 250*time.Millisecond
-	s.StartNotices, s.StartsInOrder = true, true
-	s.FreeSlots, s.DrainGrace = "x0", 500*time.Millisecond
-	return s
+	return settings
 }
 
 // meanWork is the mean work of all requests, in seconds.
-func (sc *Scenario) meanWork() (mean float64) {
-	for _, c := range sc.Classes {
-		mean += c.Share * c.WorkMs / 1000
+func (s *Scenario) meanWork() float64 {
+	mean := 0.0
+	for _, class := range s.Classes {
+		mean += class.Share * class.WorkMs / 1000
 	}
 	return mean
 }
 
-// work draws a request's work.
-func (c *ClassOf) work(random *rand.Rand) time.Duration {
+// classAt returns the number of the class that a draw from [0, 1) falls on.
+func (s *Scenario) classAt(draw float64) int {
+	number := 0
+	for i, class := range s.Classes {
+		number = i
+		if draw < class.Share {
+			break
+		}
+		draw -= class.Share
+	}
+	return number
+}
+
+// drawWork draws a request's work.
+func (c *ScenarioClass) drawWork(random *rand.Rand) time.Duration {
 	mean := c.WorkMs / 1000
-	switch c.Law {
-	case "constant":
-	case "lognormal": // of sigma 1, with that mean
+	switch c.Distribution {
+	case Constant:
+	case Lognormal: // exp(N(-1/2, 1)) has a mean of 1
 		mean *= math.Exp(random.NormFloat64() - 0.5)
 	default:
 		mean *= random.ExpFloat64()
@@ -202,14 +283,16 @@
 	return max(seconds(mean), time.Microsecond)
 }
 
-// rateAt is the rate of arrivals at a moment of the run, where it is rate on average without bursts.
-func (sc *Scenario) rateAt(at time.Duration, rate float64) float64 {
-	if l := &sc.Load; l.EachS > 0 {
-		rate *= 1 + l.Swing*math.Sin(2*math.Pi*at.Seconds()/l.EachS)
+// rateAt is the rate of arrivals at a time since the start of the run, meanRate being its average without bursts.
+func (s *Scenario) rateAt(elapsed time.Duration, meanRate float64) float64 {
+	rate := meanRate
+	if load := &s.Load; load.SwingPeriodS > 0 {
+		rate *= 1 + load.Swing*math.Sin(2*math.Pi*elapsed.Seconds()/load.SwingPeriodS)
 	}
-	for _, f := range sc.Faults {
-		if f.Kind == "burst" && at >= seconds(f.AtS) && at < seconds(f.AtS+f.ForS) {
-			rate *= f.Factor
+	for _, fault := range s.Faults {
+		active := elapsed >= seconds(fault.AtS) && elapsed < seconds(fault.AtS+fault.ForS)
+		if fault.Kind == FaultBurst && active {
+			rate *= fault.Factor
 		}
 	}
 	return rate
--- /dev/null
+++ b/internal/rehearsal/simulator/scenario_test.go
@@ -0,0 +1,33 @@
+package simulator
+
+import (
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+// An invalid scenario file is refused with an error that names the key.
+func TestInvalidScenarios(t *testing.T) {
+	valid, err := os.ReadFile("../../../deploy/scenarios/faults.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	path := filepath.Join(t.TempDir(), "bad.toml")
+	for _, x := range [][3]string{
+		{"length_s = 60", "lenght_s = 60", "lenght_s: unknown key"},
+		{"dispatchers = 5", "dispatchers = 0", "dispatchers: 0 is not between"},
+		{"share = 0.64", "share = 0.5", "shares add up to 0.86"},
+		{`kind = "pause"`, `kind = "paus"`, `fault[1].kind: "paus"`},
+		{"factor = 0.1", "factor = 0", "fault[0].factor"},
+		{"workers = 3", `zone = "moon"`, `no zone "moon"`},
+		{"workers = 3", "", "fault[2]: at_s and for_s"},
+		{"work_ms = 500", "work_ms = 0", "class[0]"},
+		{"slots = 4", "slots = ", "line"},
+	} {
+		os.WriteFile(path, []byte(strings.Replace(string(valid), x[0], x[1], 1)), 0o600)
+		if _, err := ReadScenario(path); err == nil || !strings.Contains(err.Error(), x[2]) {
+			t.Errorf("%s: %v", x[1], err)
+		}
+	}
+}
--- a/internal/rehearsal/simulator/worker.go
+++ b/internal/rehearsal/simulator/worker.go
@@ -3,309 +3,258 @@
 import (
 	"fmt"
 	"math"
-	"math/rand/v2"
 	"slices"
 	"time"
 
 	"hollyyoke.example/hollyyoke/decision"
 )
 
-// This file owns the workers' model: slots, a queue in order, a cold start, and
-// what faults do to it. Its books say what ran. It must never know what a
-// dispatcher thinks of it.
+const (
+	// warmingRefresh is how often the completion of an attempt is scheduled anew while the worker's pace rises.
+	warmingRefresh = 100 * time.Millisecond
+	// workEpsilon is the remainder of work, in seconds, that counts as done.
+	workEpsilon = 1e-9
+)
 
-// worker runs jobs: so many at once, the others wait in the order in which they came.
+// worker models a worker: a number of slots, a first-in first-out queue and a slow start. Its executions are the truth
+// about what ran. It knows nothing of what a dispatcher assumes of it.
 type worker struct {
-	sim     *Sim
-	name    string
-	zone    int
-	slots   int
-	speed   float64 // work a second in a slot
-	queue   []*job
-	running []*job
-	started time.Duration // its last start; 0: long ago
-	slow    float64       // a fault's factor; 1: none
-	paused  bool          // it runs nothing, and says nothing of that
-	down    bool
-	drains  bool
-	books   []run
-	fresh   []arrival // what came lately while it was cold
-	fell    bool
+	simulation     *Simulation
+	name           string
+	zone           int
+	slots          int
+	speed          float64 // work per second in a slot
+	queue          []*attempt
+	running        []*attempt
+	startedAt      time.Duration // latest start; 0: long ago
+	speedFactor    float64       // of a fault; 1: none
+	paused         bool          // it runs nothing and reports nothing of that
+	down           bool
+	draining       bool
+	executions     []execution
+	recentArrivals []arrival // within the overload window while warming up
+	crashed        bool      // by overload, for good
 }
 
-// arrival is work that came to a cold worker.
+// arrival is work that was sent to a warming worker.
 type arrival struct {
-	at   time.Duration
-	work float64 // seconds
-	told bool    // its dispatcher had word of the start
-}
-
-// run is one line of a worker's books.
-type run struct {
-	id    string
-	class int
-	at    time.Duration
+	arrivedAt  time.Duration
+	work       float64 // seconds
+	startKnown bool    // the dispatcher had the worker's start from discovery
 }
 
-// job is an attempt at a worker.
-type job struct {
-	id     string
-	class  int
-	work   time.Duration
-	handle uint64
-	from   *dispatcher
-	at     *worker
-	off    bool
-	left   float64       // seconds of work that are left
-	since  time.Duration // when left was true
-	turn   uint64        // of its end, which moves when the worker's speed does
+// execution is the begin of an attempt at a worker.
+type execution struct {
+	id        string
+	class     int
+	startedAt time.Duration
 }
 
-func newWorker(s *Sim, i int) *worker {
-	return &worker{sim: s, name: fmt.Sprintf("w%d", i), zone: i % len(s.sc.Net.Zones), slots: s.sc.Workers.Slots, speed: s.sc.Workers.Speed, slow: 1}
+func newWorker(simulation *Simulation, number int) *worker {
+	return &worker{
+		simulation:  simulation,
+		name:        fmt.Sprintf("w%d", number),
+		zone:        number % len(simulation.scenario.Net.Zones),
+		slots:       simulation.scenario.Workers.Slots,
+		speed:       simulation.scenario.Workers.Speed,
+		speedFactor: 1,
+	}
 }
 
-func (w *worker) entry() decision.Endpoint {
-	e := decision.Endpoint{Name: w.name, Zone: w.zone, Weight: 1, StartedAt: w.started}
+// endpoint is the worker as discovery lists it.
+func (w *worker) endpoint() decision.Endpoint {
+	endpoint := decision.Endpoint{Name: w.name, Zone: w.zone, Weight: 1, StartedAt: w.startedAt}
 	switch {
 	case w.down:
-		e.State = decision.Removed
-	case w.drains:
-		e.State = decision.Draining
+		endpoint.State = decision.Removed
+	case w.draining:
+		endpoint.State = decision.Draining
 	}
-	return e
+	return endpoint
 }
 
-func (w *worker) load() decision.LoadReport {
+func (w *worker) loadReport() decision.LoadReport {
 	return decision.LoadReport{FreeSlots: float64(w.slots - len(w.running)), HasFreeSlots: true}
 }
 
-// pace is how fast a slot works now: a fresh worker is slower, and warms in a line.
+// warmUpTime is how long a worker takes to reach its speed after a start.
+func (w *worker) warmUpTime() time.Duration {
+	return seconds(w.simulation.scenario.Workers.SlowStartDurationS)
+}
+
+// warmingUp reports whether the worker is still warming up.
+func (w *worker) warmingUp() bool {
+	return w.startedAt > 0 && w.simulation.now-w.startedAt < w.warmUpTime()
+}
+
+// pace is the present speed of a slot. It rises linearly while the worker is warming up.
 func (w *worker) pace() float64 {
-	p := w.speed * w.slow
-	if w.cold() {
-		from, age := w.sim.sc.Workers.ColdFrom, w.sim.now-w.started
-		p *= from + (1-from)*float64(age)/float64(seconds(w.sim.sc.Workers.WarmAfterS))
+	pace := w.speed * w.speedFactor
+	if w.warmingUp() {
+		floor := w.simulation.scenario.Workers.SlowStartFloor
+		age := w.simulation.now - w.startedAt
+		pace *= floor + (1-floor)*float64(age)/float64(w.warmUpTime())
 	}
-	return p
+	return pace
 }
 
-// arrive takes an attempt that has come.
-func (w *worker) arrive(j *job) {
+// receive takes an attempt that arrives: it is queued, or ends at once.
+func (w *worker) receive(received *attempt) {
 	switch {
-	case j.off:
+	case received.cancelled:
 		return
 	case w.down:
-		j.over(w, decision.ConnectionRefused)
+		received.end(w, decision.ConnectionRefused)
 		return
-	case w.falls(j):
-		j.over(w, decision.ConnectionLost)
+	case w.overloadedBy(received):
+		received.end(w, decision.ConnectionLost)
 		return
-	case len(w.queue) >= w.sim.sc.Workers.Queue:
-		j.over(w, decision.Saturated)
+	case len(w.queue) >= w.simulation.scenario.Workers.Queue:
+		received.end(w, decision.Saturated)
 		return
 	}
-	j.at = w
-	w.queue = append(w.queue, j)
-	w.fill()
+	received.worker = w
+	w.queue = append(w.queue, received)
+	w.startQueued()
 }
 
-// cold tells whether the worker is still warming up.
-func (w *worker) cold() bool {
-	return w.started > 0 && w.sim.now-w.started < seconds(w.sim.sc.Workers.WarmAfterS)
-}
-
-// falls counts what a cold worker is sent, also what it turns away. It falls above its budget of N requests of
-// mean work in the window, N being what the multiple of its present pace allows, and the chance allowance
-// beside it. The rule is broken if over two thirds came from dispatchers that were told of the start.
-func (w *worker) falls(j *job) bool {
-	s := w.sim
-	if !w.cold() {
-		w.fresh = nil
+// overloadedBy counts an attempt that is sent to a warming worker, also one that the worker will reject, and crashes the
+// worker if that exceeds its budget. The budget is N requests of mean work within the window, N being what
+// the overload multiple of the present pace allows, plus chanceAllowance. The slow start counts as violated if more than
+// two thirds of the work came from dispatchers that knew of the worker's start.
+func (w *worker) overloadedBy(received *attempt) bool {
+	simulation := w.simulation
+	if !w.warmingUp() {
+		w.recentArrivals = nil
 		return false
 	}
-	window := seconds(s.sc.Workers.FallS)
-	w.fresh = append(w.fresh, arrival{s.now, j.work.Seconds(), j.from.told[w.name].started == w.started})
-	w.fresh = slices.DeleteFunc(w.fresh, func(a arrival) bool { return a.at <= s.now-window })
-	mean, all, told := s.sc.meanWork(), 0.0, 0.0
-	for _, a := range w.fresh {
-		all += a.work
-		if a.told {
-			told += a.work
+	workers := &simulation.scenario.Workers
+	window := seconds(workers.OverloadWindowS)
+	w.recordArrival(received, window)
+	totalWork := 0.0
+	knownWork := 0.0
+	for _, a := range w.recentArrivals {
+		totalWork += a.work
+		if a.startKnown {
+			knownWork += a.work
 		}
 	}
-	n := s.sc.Workers.FallMultiple * w.pace() * float64(w.slots) * window.Seconds() / mean
-	s.coldPeak = max(s.coldPeak, all/mean/(n+chanceAllowance(n)))
-	if all/mean <= n+chanceAllowance(n) {
+	meanWork := simulation.scenario.meanWork()
+	budget := workers.OverloadMultiple * w.pace() * float64(w.slots) * window.Seconds() / meanWork
+	limit := budget + chanceAllowance(budget)
+	simulation.slowStartPeak = max(simulation.slowStartPeak, totalWork/meanWork/limit)
+	if totalWork/meanWork <= limit {
 		return false
 	}
-	w.fell = true
-	s.tell(-1, "falls", w.name)
-	if told > all*2/3 {
-		s.wrong("%s fell: %.2f s of work in %v, %.1f times what it could do, %.0f%% of it from dispatchers that knew of its start",
-			w.name, all, window, all/mean/n*s.sc.Workers.FallMultiple, 100*told/all)
+	w.crashed = true
+	simulation.logEvent(workerSource, "falls", w.name)
+	if knownWork > totalWork*2/3 {
+		simulation.reportViolation("%s crashed while warming up: %.2f s of work in %v, %.1f times its capacity, %.0f%% of it from dispatchers that knew of its start",
+			w.name, totalWork, window, totalWork/meanWork/budget*workers.OverloadMultiple, 100*knownWork/totalWork)
 	}
-	w.die()
-	s.changed(w)
+	w.kill()
+	simulation.announceChange(w)
 	return true
 }
 
-// chanceAllowance is how many requests beyond a budget of n are put down to chance.
-func chanceAllowance(n float64) float64 { return 2*math.Sqrt(n) + 2 }
+// recordArrival adds an attempt to recentArrivals and forgets those before the window.
+func (w *worker) recordArrival(received *attempt, window time.Duration) {
+	now := w.simulation.now
+	startKnown := received.dispatcher.workerUpdates[w.name].startedAt == w.startedAt
+	w.recentArrivals = append(w.recentArrivals, arrival{now, received.work.Seconds(), startKnown})
+	w.recentArrivals = slices.DeleteFunc(w.recentArrivals, func(a arrival) bool { return a.arrivedAt <= now-window })
+}
+
+// chanceAllowance is how many requests beyond a slow-start budget are attributed to chance.
+func chanceAllowance(budget float64) float64 { return 2*math.Sqrt(budget) + 2 }
 
-// fill starts what may run.
-func (w *worker) fill() {
+// startQueued starts queued attempts in free slots.
+func (w *worker) startQueued() {
 	for !w.paused && !w.down && len(w.queue) > 0 && len(w.running) < w.slots {
-		j := w.queue[0]
+		started := w.queue[0]
 		w.queue = w.queue[1:]
-		w.running = append(w.running, j)
-		w.books = append(w.books, run{j.id, j.class, w.sim.now})
-		j.left, j.since = j.work.Seconds(), w.sim.now
-		w.sim.tell(-1, "runs", j.id, w.name)
-		j.back(w, func(d *dispatcher) { d.core.AttemptStarted(j.handle) })
-		w.due(j)
+		w.running = append(w.running, started)
+		w.executions = append(w.executions, execution{started.id, started.class, w.simulation.now})
+		started.remaining = started.work.Seconds()
+		started.advancedAt = w.simulation.now
+		w.simulation.logEvent(workerSource, "runs", started.id, w.name)
+		started.notifyDispatcher(w, func(d *dispatcher) { d.core.AttemptStarted(started.handle) })
+		w.scheduleCompletion(started)
 	}
 }
 
-// due sets the end of a job at the worker's present pace.
-func (w *worker) due(j *job) {
-	j.turn++
-	turn, pace := j.turn, w.pace()
+// scheduleCompletion schedules the end of a running attempt at the worker's present pace.
+func (w *worker) scheduleCompletion(running *attempt) {
+	running.completionVersion++
+	version := running.completionVersion
+	pace := w.pace()
 	if w.paused || pace <= 0 {
 		return
 	}
-	step := seconds(j.left / pace)
-	const look = 100 * time.Millisecond // a pace that changes is looked at again
-	if w.cold() {
-		step = min(step, look)
+	step := seconds(running.remaining / pace)
+	if w.warmingUp() {
+		step = min(step, warmingRefresh)
 	}
-	w.sim.after(step, func() {
-		if j.turn != turn || w.down {
+	w.simulation.after(step, func() {
+		if running.completionVersion != version || w.down {
 			return
 		}
-		w.progress(j, pace)
-		if j.left > 1e-9 {
-			w.due(j)
+		w.advance(running, pace)
+		if running.remaining > workEpsilon {
+			w.scheduleCompletion(running)
 			return
 		}
-		w.running = slices.DeleteFunc(w.running, func(o *job) bool { return o == j })
-		j.over(w, decision.Completed)
-		w.fill()
+		w.running = slices.DeleteFunc(w.running, func(other *attempt) bool { return other == running })
+		running.end(w, decision.Completed)
+		w.startQueued()
 	})
 }
 
-func (w *worker) progress(j *job, pace float64) {
-	j.left -= (w.sim.now - j.since).Seconds() * pace
-	j.since = w.sim.now
+// advance accounts for the work done at a pace since the last call.
+func (w *worker) advance(running *attempt, pace float64) {
+	running.remaining -= (w.simulation.now - running.advancedAt).Seconds() * pace
+	running.advancedAt = w.simulation.now
 }
 
-// change lets something happen to the worker that changes its pace.
-func (w *worker) change(f func()) {
+// changePace applies a change that affects the worker's pace.
+func (w *worker) changePace(change func()) {
 	pace := w.pace()
 	if w.paused {
 		pace = 0
 	}
-	for _, j := range w.running {
-		w.progress(j, pace)
+	for _, a := range w.running {
+		w.advance(a, pace)
 	}
-	f()
-	for _, j := range w.running {
-		w.due(j)
+	change()
+	for _, a := range w.running {
+		w.scheduleCompletion(a)
 	}
-	w.fill()
+	w.startQueued()
 }
 
-// drop forgets a job that has not begun.
-func (w *worker) drop(j *job) {
-	w.queue = slices.DeleteFunc(w.queue, func(o *job) bool { return o == j })
+// dequeue drops an attempt that has not begun.
+func (w *worker) dequeue(cancelled *attempt) {
+	w.queue = slices.DeleteFunc(w.queue, func(queued *attempt) bool { return queued == cancelled })
 }
 
-// die ends the worker's process with all that it holds.
-func (w *worker) die() {
+// kill ends the worker's process with its running and queued attempts.
+func (w *worker) kill() {
 	w.down = true
-	held := append(slices.Clone(w.running), w.queue...)
-	w.running, w.queue = nil, nil
-	for _, j := range held {
-		j.turn++
-		j.over(w, decision.ConnectionLost)
-	}
-}
-
-// schedule sets the begin and the end of one fault.
-func (s *Sim) schedule(number int, f Fault) {
-	random := s.stream(fmt.Sprint("fault ", number))
-	begin, end := epoch+seconds(f.AtS), epoch+seconds(f.AtS+f.ForS)
-	switch f.Kind {
-	case "burst": // of the load, which looks for it
-	case "restart":
-		for _, i := range random.Perm(len(s.dispatchers))[:f.Dispatchers] {
-			d := s.dispatchers[i]
-			s.at(begin, d.kill)
-			s.at(end, d.restart)
-		}
-	default:
-		for _, w := range s.chosen(f, random) {
-			if f.Kind == "join" { // it is not there before
-				w.down = true
-			}
-			s.at(begin, func() { w.begin(f) })
-			s.at(end, func() { w.recover(f) })
-		}
-	}
-}
-
-// begin lets a fault befall the worker.
-func (w *worker) begin(f Fault) {
-	w.sim.tell(-1, f.Kind, w.name)
-	switch f.Kind {
-	case "slow":
-		w.change(func() { w.slow = f.Factor })
-	case "pause":
-		w.change(func() { w.paused = true })
-	case "kill":
-		w.die()
-		w.sim.changed(w)
-	case "drain":
-		w.drains = true
-		w.sim.changed(w)
-	case "join":
-		w.start()
+	lost := append(slices.Clone(w.running), w.queue...)
+	w.running = nil
+	w.queue = nil
+	for _, a := range lost {
+		a.completionVersion++
+		a.end(w, decision.ConnectionLost)
 	}
 }
 
-// recover ends a fault of the worker's.
-func (w *worker) recover(f Fault) {
-	w.sim.tell(-1, "end of "+f.Kind, w.name)
-	switch f.Kind {
-	case "slow":
-		w.change(func() { w.slow = 1 })
-	case "pause":
-		w.change(func() { w.paused = false })
-	case "kill":
-		w.start()
-	case "drain":
-		w.drains = false
-		w.sim.changed(w)
-	}
-}
-
-// start starts the worker's process, cold, unless it fell for good.
+// start starts the worker's process, cold, unless it crashed for good.
 func (w *worker) start() {
-	if !w.fell {
-		w.down, w.started = false, w.sim.now
-		w.sim.changed(w)
-	}
-}
-
-func (s *Sim) chosen(f Fault, random *rand.Rand) (hit []*worker) {
-	for _, i := range random.Perm(len(s.workers)) {
-		w := s.workers[i]
-		if f.Zone != "" && s.sc.Net.Zones[w.zone] != f.Zone {
-			continue
-		}
-		if len(hit) < f.Workers || f.Workers == 0 && f.Zone != "" {
-			hit = append(hit, w)
-		}
+	if w.crashed {
+		return
 	}
-	return hit
+	w.down = false
+	w.startedAt = w.simulation.now
+	w.simulation.announceChange(w)
 }
