--- a/cmd/rehearse/slopes.go
+++ b/cmd/rehearse/slopes.go
@@ -45,8 +45,8 @@
 		}
 		program = filepath.Join(filepath.Dir(beside), "dispatcher-serve")
 	}
-	got, err := capacity.Measure(capacity.Config{Program: program, Sizes: c.Sizes, Plays: c.Plays, IdleSpan: c.IdleSpan, DeltaSpan: c.DeltaSpan,
-		DeltaRate: c.DeltaRate, ModuleOnly: c.Module, Progress: func(size, play int) { e.log.Info("measuring", "workers", size, "play", play+1) }})
+	got, err := capacity.Measure(capacity.Config{Program: program, Sizes: c.Sizes, Repetitions: c.Plays, IdleTime: c.IdleSpan, DeltaTime: c.DeltaSpan,
+		DeltaRate: c.DeltaRate, ModuleOnly: c.Module, OnProgress: func(size, play int) { e.log.Info("measuring", "workers", size, "play", play+1) }})
 	if err != nil {
 		return err
 	}
--- a/cmd/rehearse/slopes_test.go
+++ b/cmd/rehearse/slopes_test.go
@@ -35,7 +35,7 @@
 	}
 	for _, x := range s.Series {
 		for _, p := range x.Points {
-			switch value := p.Plays[0]; x.Name {
+			switch value := p.Values[0]; x.Name {
 			case capacity.ZoneLossDeltas: // one for each worker of one of 17 zones
 				if value != float64(p.Size)/17 {
 					t.Errorf("%d workers: %v deltas for a lost zone", p.Size, value)
--- a/internal/rehearsal/capacity/assumptions.go
+++ b/internal/rehearsal/capacity/assumptions.go
@@ -8,10 +8,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// This file owns the target and the assumptions, as their file words them. A
-// key that is not known, or one without an origin, is one line that names it.
-
-// Target is what the operators have set.
+// Target has the sizes and limits that the operators have set.
 type Target struct {
 	Workers             float64 `toml:"workers"`
 	Accelerators        float64 `toml:"accelerators"`
@@ -38,7 +35,7 @@
 	ZoneLossWindow      float64 `toml:"zone_loss_window_s"`
 }
 
-// Assumption is one figure that the target does not give.
+// Assumption is a figure that the target does not give, with its origin.
 type Assumption struct {
 	Value  float64 `toml:"value"`
 	Unit   Unit    `toml:"unit"`
@@ -48,19 +45,19 @@
 	Name string `toml:"-"` // its key in the file
 }
 
-// Quantity is the assumption as a figure.
+// Quantity returns the assumption as a quantity.
 func (a Assumption) Quantity() Quantity {
 	mark, _ := ParseMark(a.Mark) // checked as the file was read
 	return Quantity{Value: a.Value, Unit: a.Unit, Mark: mark, Sources: []string{a.Name}}
 }
 
-// Assumed is all that the target does not give.
+// Assumed has the assumptions. Dispatchers lists the numbers of dispatchers to compute with, the smallest first.
 type Assumed struct {
 	Dispatchers       []int      `toml:"dispatchers"`
 	FailureChanges    Assumption `toml:"changes_of_a_failure"`
 	RestartChanges    Assumption `toml:"changes_of_a_restart"`
 	RackWorkers       Assumption `toml:"rack_workers"`
-	ZoneLossTold      Assumption `toml:"zone_loss_told_within"`
+	ZoneLossAnnounced Assumption `toml:"zone_loss_told_within"`
 	ConfigChangeBytes Assumption `toml:"config_change_bytes"`
 	ConfigPeakFactor  Assumption `toml:"config_peak_factor"`
 	ConfigPeakRate    Assumption `toml:"config_peak_rate"`
@@ -72,7 +69,7 @@
 	LongestObject     Assumption `toml:"longest_object_bytes"`
 }
 
-// Mechanisms names the package that carries each kind of control work.
+// Mechanisms names the package that does each kind of control work, or mechanismMissing.
 type Mechanisms struct {
 	Membership      string `toml:"membership"`
 	Decisions       string `toml:"decisions"`
@@ -82,10 +79,10 @@
 	Acknowledgement string `toml:"acknowledgement"`
 }
 
-// missing is what a mechanism is called that does not exist.
-const missing = "missing"
+// mechanismMissing stands for a mechanism that does not exist.
+const mechanismMissing = "missing"
 
-// Assumptions is the file.
+// Assumptions is the assumptions file. Before has the mechanisms of the program that was measured first.
 type Assumptions struct {
 	Target     Target     `toml:"target"`
 	Assumed    Assumed    `toml:"assumed"`
@@ -93,57 +90,68 @@
 	Before     Mechanisms `toml:"mechanisms_before"`
 }
 
-// list is the assumptions with the keys under which they stand in the file.
-func (a *Assumed) list() []*Assumption {
+// assumptions returns the assumptions in the order of the file and sets their names to the keys there.
+func (a *Assumed) assumptions() []*Assumption {
 	named := []struct {
-		name string
-		of   *Assumption
+		key        string
+		assumption *Assumption
 	}{
-		{"changes_of_a_failure", &a.FailureChanges}, {"changes_of_a_restart", &a.RestartChanges}, {"rack_workers", &a.RackWorkers},
-		{"zone_loss_told_within", &a.ZoneLossTold}, {"config_change_bytes", &a.ConfigChangeBytes}, {"config_peak_factor", &a.ConfigPeakFactor}, {"config_peak_rate", &a.ConfigPeakRate},
-		{"start_peak_factor", &a.StartPeakFactor}, {"machine_bytes_per_s", &a.MachineBytes}, {"machine_cores", &a.MachineCores}, {"machine_memory", &a.MachineMemory}, {"calls_per_s", &a.CallsPerSecond},
+		{"changes_of_a_failure", &a.FailureChanges},
+		{"changes_of_a_restart", &a.RestartChanges},
+		{"rack_workers", &a.RackWorkers},
+		{"zone_loss_told_within", &a.ZoneLossAnnounced},
+		{"config_change_bytes", &a.ConfigChangeBytes},
+		{"config_peak_factor", &a.ConfigPeakFactor},
+		{"config_peak_rate", &a.ConfigPeakRate},
+		{"start_peak_factor", &a.StartPeakFactor},
+		{"machine_bytes_per_s", &a.MachineBytes},
+		{"machine_cores", &a.MachineCores},
+		{"machine_memory", &a.MachineMemory},
+		{"calls_per_s", &a.CallsPerSecond},
 		{"longest_object_bytes", &a.LongestObject},
 	}
 	list := make([]*Assumption, len(named))
-	for i, x := range named {
-		x.of.Name = x.name
-		list[i] = x.of
+	for i, entry := range named {
+		entry.assumption.Name = entry.key
+		list[i] = entry.assumption
 	}
 	return list
 }
 
 var errNoDispatchers = errors.New("assumed.dispatchers is empty")
 
-// ReadAssumptions reads the file and checks it.
-func ReadAssumptions(path string) (a Assumptions, err error) {
-	meta, err := toml.DecodeFile(path, &a)
+// ReadAssumptions reads and checks an assumptions file. An error is one line that names the key at fault, also for an
+// assumption without an origin.
+func ReadAssumptions(path string) (assumptions Assumptions, err error) {
+	meta, err := toml.DecodeFile(path, &assumptions)
 	if err != nil {
 		line, _, _ := strings.Cut(err.Error(), "\n")
-		return a, fmt.Errorf("%s: %s", path, line)
+		return assumptions, fmt.Errorf("%s: %s", path, line)
 	}
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
-		return a, fmt.Errorf("%s: %s: unknown key", path, unknown[0])
+		return assumptions, fmt.Errorf("%s: %s: unknown key", path, unknown[0])
 	}
-	if err := a.check(); err != nil {
-		return a, fmt.Errorf("%s: %w", path, err)
+	if err := assumptions.check(); err != nil {
+		return assumptions, fmt.Errorf("%s: %w", path, err)
 	}
-	return a, nil
+	return assumptions, nil
 }
 
 func (a *Assumptions) check() error {
 	if len(a.Assumed.Dispatchers) == 0 {
 		return errNoDispatchers
 	}
-	for _, x := range a.Assumed.list() {
-		switch _, err := ParseMark(x.Mark); {
+	for _, assumption := range a.Assumed.assumptions() {
+		_, err := ParseMark(assumption.Mark)
+		switch {
 		case err != nil:
-			return fmt.Errorf("assumed.%s: %w", x.Name, err)
-		case x.Value <= 0:
-			return fmt.Errorf("assumed.%s: value must be positive", x.Name)
-		case x.Unit == "":
-			return fmt.Errorf("assumed.%s: unit is missing", x.Name)
-		case x.Origin == "":
-			return fmt.Errorf("assumed.%s: origin is missing", x.Name)
+			return fmt.Errorf("assumed.%s: %w", assumption.Name, err)
+		case assumption.Value <= 0:
+			return fmt.Errorf("assumed.%s: value must be positive", assumption.Name)
+		case assumption.Unit == "":
+			return fmt.Errorf("assumed.%s: unit is missing", assumption.Name)
+		case assumption.Origin == "":
+			return fmt.Errorf("assumed.%s: origin is missing", assumption.Name)
 		}
 	}
 	return nil
--- a/internal/rehearsal/capacity/capacity_test.go
+++ b/internal/rehearsal/capacity/capacity_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// No mechanism is named that does not exist, and none is called missing that does.
+// Each named mechanism exists, and each one that is called missing does not.
 func TestMechanismsExist(t *testing.T) {
 	a, err := ReadAssumptions(filepath.Join(dataDir, assumptionsFile))
 	if err != nil {
@@ -35,14 +35,14 @@
 	}
 	m := a.Mechanisms
 	for _, name := range []string{m.Membership, m.Decisions, m.Resume, m.Configuration, m.Relays, m.Acknowledgement} {
-		if name == missing {
+		if name == mechanismMissing {
 			continue
 		}
 		if info, err := os.Stat(filepath.Join("../../..", name)); err != nil || !info.IsDir() {
 			t.Errorf("mechanism %q is no package", name)
 		}
 	}
-	if _, err := os.Stat("../../relay"); err == nil && m.Relays == missing {
+	if _, err := os.Stat("../../relay"); err == nil && m.Relays == mechanismMissing {
 		t.Error("internal/relay exists and the page calls relays missing")
 	}
 }
@@ -69,7 +69,7 @@
 func points(of func(x float64) float64, sizes ...int) (list []Point) {
 	for _, size := range sizes {
 		y := of(float64(size))
-		list = append(list, Point{Size: size, Plays: []float64{y * 0.99, y, y * 1.02}})
+		list = append(list, Point{Size: size, Values: []float64{y * 0.99, y, y * 1.02}})
 	}
 	return list
 }
@@ -112,7 +112,7 @@
 		t.Errorf("sum: %+v", sum)
 	}
 	if part := runs.Over(count(2), UnitBytes); part.Value != 100 || part.Mark != Extrapolated {
-		t.Errorf("what is reckoned from a run is not measured itself: %+v", part)
+		t.Errorf("what is computed from a run is not measured: %+v", part)
 	}
 	defer func() {
 		if recover() == nil {
@@ -139,7 +139,7 @@
 	}
 }
 
-// testBasis is a small target with round figures.
+// testBasis returns a target with round figures.
 func testBasis() Basis {
 	b := Basis{File: "test.json"}
 	b.Target = Target{Workers: 21000, PeakStarts: 8000, RunningTasks: 300000, Zones: 17, ConfigChangesPerDay: 86400, InForceWithin: 10,
@@ -149,11 +149,11 @@
 		return Assumption{Value: value, Unit: unit, Mark: "assumed", Origin: "test"}
 	}
 	b.Assumed = Assumed{Dispatchers: []int{300, 3000, 21000}, FailureChanges: a(2, UnitCount), RestartChanges: a(4, UnitCount),
-		RackWorkers: a(40, UnitCount), ZoneLossTold: a(10, UnitSeconds), ConfigChangeBytes: a(100, UnitBytes), ConfigPeakFactor: a(4, UnitCount), ConfigPeakRate: a(20, UnitPerSecond),
+		RackWorkers: a(40, UnitCount), ZoneLossAnnounced: a(10, UnitSeconds), ConfigChangeBytes: a(100, UnitBytes), ConfigPeakFactor: a(4, UnitCount), ConfigPeakRate: a(20, UnitPerSecond),
 		StartPeakFactor: a(3, UnitCount), MachineBytes: a(125e6, UnitBytesPerSecond), MachineCores: a(8, UnitCores), MachineMemory: a(16e9, UnitBytes), CallsPerSecond: a(500, UnitPerSecond),
 		LongestObject: a(4<<20, UnitBytes)}
-	b.Assumed.list()
-	b.Mechanisms = Mechanisms{Membership: "m", Decisions: "d", Resume: "r", Configuration: missing, Relays: "relay", Acknowledgement: missing}
+	b.Assumed.assumptions()
+	b.Mechanisms = Mechanisms{Membership: "m", Decisions: "d", Resume: "r", Configuration: mechanismMissing, Relays: "relay", Acknowledgement: mechanismMissing}
 	b.Slopes = Slopes{Command: "test", Date: "2026-12-02", Plays: 3, Sizes: []int{200, 2100, 21000}}
 	add := func(name SeriesName, unit Unit, at21000 float64) {
 		s := Series{Name: name, Unit: unit, Axis: AxisWorkers, Points: points(func(x float64) float64 { return at21000 * x / 21000 }, 200, 2100, 21000)}
@@ -176,7 +176,7 @@
 
 func near(got, want float64) bool { return math.Abs(got-want) <= 1e-9*math.Abs(want) }
 
-// The arithmetic by hand, at 300, 3,000 and 21,000 dispatchers.
+// Needs agree with arithmetic by hand, at 300, 3,000 and 21,000 dispatchers.
 func TestNeeds(t *testing.T) {
 	b := testBasis()
 	r := b.rates()
@@ -246,18 +246,18 @@
 		if !near(row.Need.Value, w.need) || !near(row.Allowed.Value, w.allowed) {
 			t.Errorf("%s, %s: need %v of %v, want %v of %v", w.role, w.what, row.Need.Value, row.Allowed.Value, w.need, w.allowed)
 		}
-		if row.Mechanism != missing && !near(row.Headroom(), w.allowed/w.need) {
+		if row.Mechanism != mechanismMissing && !near(row.Headroom(), w.allowed/w.need) {
 			t.Errorf("%s, %s: headroom %v", w.role, w.what, row.Headroom())
 		}
 	}
 	for i := 1; i < len(rows); i++ {
-		last := rows[i].HeadroomText() == "not measured" // these stand at the end
+		last := rows[i].HeadroomText() == "not measured" // these are at the end
 		if rows[i-1].HeadroomText() == "not measured" && !last || !last && rows[i-1].Headroom() > rows[i].Headroom() {
 			t.Errorf("row %d does not belong before the next", i)
 		}
 	}
-	if row := find(Dispatcher, "a change of configuration"); row.HeadroomText() != missing || row.Headroom() != 0 {
-		t.Errorf("a mechanism that is missing has headroom: %+v", row)
+	if row := find(Dispatcher, "a change of configuration"); row.HeadroomText() != mechanismMissing || row.Headroom() != 0 {
+		t.Errorf("a missing mechanism has headroom: %+v", row)
 	}
 	if row := find(Dispatcher, "length of the list"); row.Need.Mark != Measured {
 		t.Errorf("the list's length was measured at this size: %+v", row.Need)
@@ -290,43 +290,43 @@
 		}
 	}
 	if len(want) > 0 {
-		t.Errorf("not reckoned: %v", want)
+		t.Errorf("not computed: %v", want)
 	}
 }
 
-// A size that was not measured comes from the line, and says so.
+// A size that was not measured is taken from the line and marked as extrapolated.
 func TestExtrapolated(t *testing.T) {
 	b := testBasis()
-	q, err := b.at(SnapshotBytes, 42000)
+	q, err := b.valueAt(SnapshotBytes, 42000)
 	if err != nil || !near(q.Value, 6e6) || q.Mark != Extrapolated {
 		t.Errorf("%+v, %v", q, err)
 	}
-	if _, err := b.at(ReadyTime, 21000); err == nil {
-		t.Error("a series that no run has was told")
+	if _, err := b.valueAt(ReadyTime, 21000); err == nil {
+		t.Error("a series that no run has got a value")
 	}
 }
 
 func TestMerge(t *testing.T) {
 	of := func(version string) Slopes {
 		s := Slopes{Command: "c", Date: "2026-12-02", Version: version, Cores: 8, Plays: 1, Sizes: []int{200}}
-		s.add(ReadyTime, UnitSeconds, AxisWorkers, 200, 0.02)
+		s.record(ReadyTime, UnitSeconds, AxisWorkers, 200, 0.02)
 		return s
 	}
 	s := of("a")
-	if err := s.Merge(of("a")); err != nil || s.Plays != 2 || len(s.Series[0].Points[0].Plays) != 2 {
+	if err := s.Merge(of("a")); err != nil || s.Plays != 2 || len(s.Series[0].Points[0].Values) != 2 {
 		t.Errorf("%+v, %v", s, err)
 	}
 	if err := s.Merge(of("b")); err == nil {
-		t.Error("plays of two programs were put together")
+		t.Error("repetitions of two programs were merged")
 	}
 	once, other := of("a"), of("a")
-	other.Series[0].Points[0].Plays[0] = 0.5
-	other.add(StartCPU, UnitSeconds, AxisWorkers, 200, 1)
-	if err := once.Replace(other); err != nil || len(once.Series) != 2 || once.Series[0].Points[0].Plays[0] != 0.5 {
+	other.Series[0].Points[0].Values[0] = 0.5
+	other.record(StartCPU, UnitSeconds, AxisWorkers, 200, 1)
+	if err := once.Replace(other); err != nil || len(once.Series) != 2 || once.Series[0].Points[0].Values[0] != 0.5 {
 		t.Errorf("%+v, %v", once, err)
 	}
 	if err := once.Replace(s); err == nil {
-		t.Error("a series of two plays took the place of one of one")
+		t.Error("a series of two repetitions replaced one of one")
 	}
 }
 
@@ -361,7 +361,7 @@
 		t.Fatal(err)
 	}
 	if _, err := ReadSlopes(path); err == nil || !strings.Contains(err.Error(), "3 values for 2 plays") {
-		t.Errorf("a play is missing: %v", err)
+		t.Errorf("a repetition is missing: %v", err)
 	}
 }
 
@@ -396,8 +396,7 @@
 	}
 }
 
-// Of each bounded figure the worst run counts, at the target's number of workers
-// alone, and each mechanism has its own.
+// Of each limited figure the worst run counts, only at the target's number of workers and by mechanism.
 func TestScaleNeeds(t *testing.T) {
 	run := func(mechanism string, workers int, scenario string, figures ...ScaleFigure) ScaleRun {
 		return ScaleRun{Command: "c", File: scenario + ".json", Mechanism: mechanism, Scenario: scenario, Workers: workers, Dispatchers: 66, Real: 2, Figures: figures}
--- a/internal/rehearsal/capacity/golden_test.go
+++ b/internal/rehearsal/capacity/golden_test.go
@@ -16,7 +16,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, assumption := range committed.Assumed.list() {
+	for _, assumption := range committed.Assumed.assumptions() {
 		lines = append(lines, fmt.Sprintf("%s = %g %s, %s", assumption.Name, assumption.Value, assumption.Unit, assumption.Mark))
 	}
 	goldentest.Compare(t, "assumptions.golden", goldentest.Lines(lines))
--- a/internal/rehearsal/capacity/module.go
+++ b/internal/rehearsal/capacity/module.go
@@ -2,229 +2,142 @@
 
 import (
 	"fmt"
-	"runtime"
 	"time"
 
 	"hollyyoke.example/hollyyoke/decision"
 	"hollyyoke.example/hollyyoke/internal/settings"
 )
 
-// This file owns the loops over the decision module alone: the same settings as
-// the daemon's, time as an argument, no sockets.
-
 const (
-	moduleDeltas   = 200
-	moduleArrivals = 2000
-	coldArrivals   = 200
-	coldPart       = 10 // one worker in so many is cold
-
-	// arrivalGap is the time between two arrivals at one of 300 dispatchers that
-	// take the target's 8,000 a second together.
-	arrivalGap  = time.Second * daemonPeers / 8000
-	taskTime    = 30 * time.Millisecond // from an arrival to its answer
-	clientTime  = 5 * time.Second
-	startOfPlay = time.Minute // on the module's clock, after which no cold worker is warm by age 0
-
-	axisWorkers = 2100 // listed while teams vary
-	heldWorkers = 21000
-	moduleTimer = uint64(1) << 62 // tokens from here on are the module's own
+	moduleDeltas = 200
+	warmRequests = 2000
+	coldRequests = 200
+	coldOneIn    = 10 // one worker in so many is warming up
+
+	// requestInterval is the time between two requests at one of 300 dispatchers that together take the target's
+	// 8,000 per second.
+	requestInterval = time.Second * daemonPeers / 8000
+	taskTime        = 30 * time.Millisecond // from a request to its answer
+	clientDeadline  = 5 * time.Second
+	runStart        = time.Minute // on the module's clock; a start at 0 means long ago
+
+	teamAxisWorkers = 2100 // listed workers while the number of teams varies
+	taskAxisWorkers = 21000
+	sweepTimerID    = uint64(1) << 62 // identifier of the sweep's timer; larger than that of any request
 )
 
 var (
-	teamSizes = []int{15, 150, 1500}
-	heldSizes = []int{100, 1000, 10000}
+	teamCounts = []int{15, 150, 1500}
+	taskCounts = []int{100, 1000, 10000}
 )
 
-// module is a dispatcher's decisions with the smallest driver that keeps them going.
+// module drives a decision.Machine with time as an argument and without I/O, with the same settings as the daemon's.
 type module struct {
 	*decision.Machine
-	now     time.Duration
-	due     time.Duration // of the sweep; 0: none is asked for
-	sweep   uint64        // its token
-	next    uint64        // the next request
-	actions []decision.Action
+	now         time.Duration
+	sweepAt     time.Duration // when the sweep is due; 0: it is not scheduled
+	sweepTimer  uint64        // its timer
+	lastRequest uint64        // number of the latest request
+	actions     []decision.Action
 }
 
-// entry is a worker as the module takes it in.
-func entry(i int) decision.Endpoint {
+// endpoint returns a worker as the module receives it.
+func endpoint(i int) decision.Endpoint {
 	return decision.Endpoint{Name: workerName(i), Zone: i % Zones, Cell: i / cellWorkers, State: decision.Running, Weight: 1}
 }
 
-// newModule starts a dispatcher with so many listed workers, one in cold of them
-// just started; 0: none.
+// newModule starts a module with a number of listed workers. One in cold of them is warming up; 0: none.
 func newModule(workers, cold, peers, teams int) (*module, error) {
-	words, err := settingsOf(peers, teams)
+	text, err := settingsJSON(peers, teams)
 	if err != nil {
 		return nil, err
 	}
-	s, err := settings.Read(words)
+	read, err := settings.Read(text)
 	if err != nil {
 		return nil, err
 	}
-	d, err := decision.New(s, 1)
+	machine, err := decision.New(read, 1)
 	if err != nil {
 		return nil, err
 	}
-	m := &module{Machine: d, now: startOfPlay}
-	entries := make([]decision.Endpoint, workers)
-	for i := range entries {
-		entries[i] = entry(i)
+	started := &module{Machine: machine, now: runStart}
+	endpoints := make([]decision.Endpoint, workers)
+	for i := range endpoints {
+		endpoints[i] = endpoint(i)
 		if cold > 0 && i%cold == 0 {
-			entries[i].StartedAt = startOfPlay
+			endpoints[i].StartedAt = runStart
 		}
 	}
-	m.handle(decision.Event{Kind: decision.ListUpdated, ListKind: decision.ListSnapshot, Endpoints: entries})
-	return m, nil
+	started.handle(decision.Event{Kind: decision.ListUpdated, ListKind: decision.ListSnapshot, Endpoints: endpoints})
+	return started, nil
 }
 
-// handle gives the module an event and keeps the timer of the sweep.
-func (m *module) handle(ev decision.Event) {
-	m.actions = m.Handle(m.now, ev, m.actions[:0])
-	for _, a := range m.actions {
-		if a.Kind == decision.SetTimer && a.Timer == moduleTimer {
-			m.due, m.sweep = m.now+a.Delay, a.Timer
+// handle passes an event to the machine and records the timer of the sweep.
+func (m *module) handle(event decision.Event) {
+	m.actions = m.Handle(m.now, event, m.actions[:0])
+	for _, action := range m.actions {
+		if action.Kind == decision.SetTimer && action.Timer == sweepTimerID {
+			m.sweepAt = m.now + action.Delay
+			m.sweepTimer = action.Timer
 		}
 	}
 }
 
-// pass lets time go by and runs the sweep if it is due.
-func (m *module) pass(span time.Duration) {
-	if m.now += span; m.due > 0 && m.now >= m.due {
-		m.due = 0
-		m.handle(decision.Event{Kind: decision.TimerFired, Timer: m.sweep})
+// advance moves the clock and runs the sweep if it is due.
+func (m *module) advance(span time.Duration) {
+	m.now += span
+	if m.sweepAt > 0 && m.now >= m.sweepAt {
+		m.sweepAt = 0
+		m.handle(decision.Event{Kind: decision.TimerFired, Timer: m.sweepTimer})
 	}
 }
 
-// arrive is one request; it returns how long the decision took and the worker.
-func (m *module) arrive(tenant int, left time.Duration) (spent time.Duration, worker string) {
-	m.next++
-	ev := decision.Event{Kind: decision.RequestArrived, Request: m.next, Tenant: tenant, Slots: 1, Work: taskTime, TimeLeft: left}
-	began := time.Now()
-	m.actions = m.Handle(m.now, ev, m.actions[:0])
-	spent = time.Since(began)
-	for _, a := range m.actions {
+// request sends one request to the machine. It returns how long the decision took, and the assigned worker or "".
+func (m *module) request(tenant int, left time.Duration) (spent time.Duration, worker string) {
+	m.lastRequest++
+	event := decision.Event{Kind: decision.RequestArrived, Request: m.lastRequest, Tenant: tenant, Slots: 1, Work: taskTime, TimeLeft: left}
+	startedAt := time.Now()
+	m.actions = m.Handle(m.now, event, m.actions[:0])
+	spent = time.Since(startedAt)
+	for _, action := range m.actions {
 		switch {
-		case a.Kind == decision.Assign:
-			worker = a.Worker
-		case a.Kind == decision.SetTimer && a.Timer == moduleTimer:
-			m.due, m.sweep = m.now+a.Delay, a.Timer
+		case action.Kind == decision.Assign:
+			worker = action.Worker
+		case action.Kind == decision.SetTimer && action.Timer == sweepTimerID:
+			m.sweepAt = m.now + action.Delay
+			m.sweepTimer = action.Timer
 		}
 	}
 	return spent, worker
 }
 
-// arrivals is the mean and the median time of a decision, in seconds, over so
-// many requests, each answered before the next comes.
-func (m *module) arrivals(count, teams int) (mean, median float64, err error) {
+// measureRequests returns the mean and the median time of a decision, in seconds, over a number of requests, each answered
+// before the next.
+func (m *module) measureRequests(count, teams int) (mean, median float64, err error) {
 	times := make([]float64, count)
 	for i := range times {
-		spent, worker := m.arrive(i%max(teams, 1), clientTime)
+		spent, worker := m.request(i%max(teams, 1), clientDeadline)
 		times[i] = spent.Seconds()
 		mean += spent.Seconds() / float64(count)
 		if worker == "" {
-			return 0, 0, fmt.Errorf("request %d of %d was given to no worker", i+1, count)
+			return 0, 0, fmt.Errorf("request %d of %d was not assigned to a worker", i+1, count)
 		}
-		m.pass(taskTime)
-		m.handle(decision.Event{Kind: decision.AttemptEnded, Request: m.next, Worker: worker, Outcome: decision.Completed, Answered: true})
-		m.pass(arrivalGap - taskTime)
+		m.advance(taskTime)
+		m.handle(decision.Event{Kind: decision.AttemptEnded, Request: m.lastRequest, Worker: worker, Outcome: decision.Completed, Answered: true})
+		m.advance(requestInterval - taskTime)
 	}
 	return mean, Median(times), nil
 }
 
-// deltas is the mean time that a one-worker delta takes.
-func (m *module) deltas(count, workers int) time.Duration {
-	began := time.Now()
+// measureDeltas returns the mean time that a one-worker delta takes.
+func (m *module) measureDeltas(count, workers int) time.Duration {
+	startedAt := time.Now()
 	for i := range count {
-		e := entry(i / 2 % workers)
+		changed := endpoint(i / 2 % workers)
 		if i%2 == 0 {
-			e.State = decision.Draining
-		}
-		m.handle(decision.Event{Kind: decision.ListUpdated, ListKind: decision.ListDelta, Endpoints: []decision.Endpoint{e}})
-	}
-	return time.Since(began) / time.Duration(count)
-}
-
-// playModule measures the module at one size.
-func playModule(s *Slopes, workers int) error {
-	for _, loop := range []struct {
-		name  SeriesName
-		cold  int
-		count int
-	}{{ModuleWarm, 0, moduleArrivals}, {ModuleCold, coldPart, coldArrivals}} {
-		m, err := newModule(workers, loop.cold, daemonPeers, daemonTeams)
-		if err != nil {
-			return err
-		}
-		runtime.GC()
-		mean, median, err := m.arrivals(loop.count, daemonTeams)
-		if err != nil {
-			return fmt.Errorf("%s: %w", loop.name, err)
-		}
-		s.add(loop.name, UnitSeconds, AxisWorkers, workers, mean)
-		if loop.name == ModuleCold {
-			s.add(ModulePick, UnitSeconds, AxisWorkers, workers, median)
-		}
-	}
-	m, err := newModule(workers, 0, daemonPeers, daemonTeams)
-	if err != nil {
-		return err
-	}
-	s.add(ModuleDelta, UnitSeconds, AxisWorkers, workers, m.deltas(moduleDeltas, workers).Seconds())
-	return nil
-}
-
-// playAxes measures the module by what else it grows with.
-func playAxes(s *Slopes) error {
-	for _, teams := range teamSizes {
-		m, err := newModule(axisWorkers, 0, daemonPeers, teams)
-		if err != nil {
-			return err
-		}
-		mean, _, err := m.arrivals(moduleArrivals, teams)
-		if err != nil {
-			return fmt.Errorf("%s: %w", ModuleTeams, err)
-		}
-		s.add(ModuleTeams, UnitSeconds, AxisTeams, teams, mean)
-	}
-	for _, held := range heldSizes {
-		if err := playHeld(s, held); err != nil {
-			return fmt.Errorf("%s: %w", ModuleHeld, err)
-		}
-	}
-	return nil
-}
-
-// playHeld measures what tasks that run cost while nothing happens to them.
-func playHeld(s *Slopes, held int) error {
-	m, err := newModule(heldWorkers, 0, 1, 1)
-	if err != nil {
-		return err
-	}
-	before := heap()
-	placed := 0
-	for range held {
-		if _, worker := m.arrive(0, clientTime); worker != "" {
-			placed++
+			changed.State = decision.Draining
 		}
+		m.handle(decision.Event{Kind: decision.ListUpdated, ListKind: decision.ListDelta, Endpoints: []decision.Endpoint{changed}})
 	}
-	if placed < held {
-		return fmt.Errorf("%d of %d tasks were given to a worker", placed, held)
-	}
-	s.add(ModuleHeld, UnitBytes, AxisTasks, held, heap()-before)
-	const sweeps = 20
-	began := time.Now()
-	for range sweeps {
-		m.handle(decision.Event{Kind: decision.TimerFired, Timer: m.sweep})
-	}
-	s.add(ModuleSweep, UnitSeconds, AxisTasks, held, time.Since(began).Seconds()/sweeps)
-	runtime.KeepAlive(m)
-	return nil
-}
-
-// heap is the memory that is in use after a collection, in bytes.
-func heap() float64 {
-	runtime.GC()
-	var stats runtime.MemStats
-	runtime.ReadMemStats(&stats)
-	return float64(stats.HeapAlloc)
+	return time.Since(startedAt) / time.Duration(count)
 }
--- /dev/null
+++ b/internal/rehearsal/capacity/modulemeasure.go
@@ -0,0 +1,94 @@
+package capacity
+
+import (
+	"fmt"
+	"runtime"
+	"time"
+
+	"hollyyoke.example/hollyyoke/decision"
+)
+
+// measureModule measures the decision module at one number of workers.
+func measureModule(slopes *Slopes, workers int) error {
+	for _, loop := range []struct {
+		name  SeriesName
+		cold  int
+		count int
+	}{{ModuleWarm, 0, warmRequests}, {ModuleCold, coldOneIn, coldRequests}} {
+		started, err := newModule(workers, loop.cold, daemonPeers, daemonTeams)
+		if err != nil {
+			return err
+		}
+		runtime.GC()
+		mean, median, err := started.measureRequests(loop.count, daemonTeams)
+		if err != nil {
+			return fmt.Errorf("%s: %w", loop.name, err)
+		}
+		slopes.record(loop.name, UnitSeconds, AxisWorkers, workers, mean)
+		if loop.name == ModuleCold {
+			slopes.record(ModulePick, UnitSeconds, AxisWorkers, workers, median)
+		}
+	}
+	m, err := newModule(workers, 0, daemonPeers, daemonTeams)
+	if err != nil {
+		return err
+	}
+	slopes.record(ModuleDelta, UnitSeconds, AxisWorkers, workers, m.measureDeltas(moduleDeltas, workers).Seconds())
+	return nil
+}
+
+// measureAxes measures the decision module by the numbers of teams and of running tasks.
+func measureAxes(slopes *Slopes) error {
+	for _, teams := range teamCounts {
+		started, err := newModule(teamAxisWorkers, 0, daemonPeers, teams)
+		if err != nil {
+			return err
+		}
+		mean, _, err := started.measureRequests(warmRequests, teams)
+		if err != nil {
+			return fmt.Errorf("%s: %w", ModuleTeams, err)
+		}
+		slopes.record(ModuleTeams, UnitSeconds, AxisTeams, teams, mean)
+	}
+	for _, held := range taskCounts {
+		if err := measureRunningTasks(slopes, held); err != nil {
+			return fmt.Errorf("%s: %w", ModuleHeld, err)
+		}
+	}
+	return nil
+}
+
+// measureRunningTasks measures what running tasks cost while nothing happens to them.
+func measureRunningTasks(slopes *Slopes, held int) error {
+	started, err := newModule(taskAxisWorkers, 0, 1, 1)
+	if err != nil {
+		return err
+	}
+	before := heap()
+	placed := 0
+	for range held {
+		if _, worker := started.request(0, clientDeadline); worker != "" {
+			placed++
+		}
+	}
+	if placed < held {
+		return fmt.Errorf("%d of %d tasks were assigned to a worker", placed, held)
+	}
+	slopes.record(ModuleHeld, UnitBytes, AxisTasks, held, heap()-before)
+	const sweeps = 20
+	startedAt := time.Now()
+	for range sweeps {
+		started.handle(decision.Event{Kind: decision.TimerFired, Timer: started.sweepTimer})
+	}
+	slopes.record(ModuleSweep, UnitSeconds, AxisTasks, held, time.Since(startedAt).Seconds()/sweeps)
+	runtime.KeepAlive(started)
+	return nil
+}
+
+// heap returns the memory in use after a garbage collection, in bytes.
+func heap() float64 {
+	runtime.GC()
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return float64(stats.HeapAlloc)
+}
--- a/internal/rehearsal/capacity/page.go
+++ b/internal/rehearsal/capacity/page.go
@@ -10,16 +10,13 @@
 	"text/template"
 )
 
-// This file owns the page: data and assumptions are read, reckoned and put into
-// the template. The same files give the same page, byte for byte.
-
 // The files of the data directory, beside the JSON of the runs.
 const (
 	assumptionsFile = "assumptions.toml"
 	templateFile    = "page.md.tmpl"
 )
 
-// Page is what the template is filled from.
+// Page is the data of the template, which refers to its fields and methods by name.
 type Page struct {
 	Target      Target
 	Assumed     Assumed
@@ -30,20 +27,19 @@
 	Rows        []ComparedRow
 	Loads       []Load
 	Lines       []SlopeLine
-	Runs        []Slopes // the slope runs, the untouched program's first
+	Runs        []Slopes // the slope runs, the earliest first
 	Scale       []ScaleTable
 	HealChanges Quantity // bytes of the changes missed in an hour
-	HealPaced   Quantity // and how long they take at the target's bytes a second
+	HealPaced   Quantity // how long they take at the target's bytes per second
 	Snapshot    Quantity // bytes of a snapshot
 	SnapshotGz  Quantity
-	ListPaced   Quantity // and how long it takes at that rate
+	ListPaced   Quantity // how long it takes at that rate
 	GzipPaced   Quantity
 	TasksPerJob Quantity // on average, by the assumed peak factor
 	TaskTime    Quantity // mean time of a task, by Little's law
 }
 
-// ComparedRow is a need by the latest runs, with the headroom of the program
-// before its slopes were mended.
+// ComparedRow is a need by the latest runs, with the headroom by the earlier ones.
 type ComparedRow struct {
 	Row
 	Before string
@@ -64,18 +60,18 @@
 	Largest Quantity
 }
 
-// FixedText, SlopeText and ErrorText tell the fit; the slope is for a thousand.
+// FixedText returns the part of the fit that does not depend on the size.
 func (f *SlopeFit) FixedText() string {
 	return Quantity{Value: f.Fixed, Unit: f.Unit}.String()
 }
 
-// SlopeText tells the slope for a thousand more.
+// SlopeText returns the slope for a thousand more.
 func (f *SlopeFit) SlopeText() string {
 	const thousand = 1000
 	return Quantity{Value: f.Slope * thousand, Unit: f.Unit}.String()
 }
 
-// ResidualText tells the residual in percent.
+// ResidualText returns the residual in percent.
 func (f *SlopeFit) ResidualText() string {
 	text := headroomText(f.Residual*100) + "%"
 	if !f.Linear() {
@@ -84,35 +80,36 @@
 	return text
 }
 
-// SpreadText tells the spread of the plays in percent.
+// SpreadText returns the spread of the repetitions in percent.
 func (f *SlopeFit) SpreadText() string { return headroomText(f.Spread*100) + "%" }
 
-// fitOf fits a series of a file.
-func fitOf(s *Series) (*SlopeFit, error) {
-	fit, err := FitSeries(s.Points)
+// fitOfSeries fits a line to a series.
+func fitOfSeries(series *Series) (*SlopeFit, error) {
+	fit, err := FitSeries(series.Points)
 	if err != nil {
 		return nil, err
 	}
-	last := s.Points[0]
-	for _, p := range s.Points {
-		if p.Size > last.Size {
-			last = p
+	last := series.Points[0]
+	for _, point := range series.Points {
+		if point.Size > last.Size {
+			last = point
 		}
 	}
-	return &SlopeFit{Fit: fit, Unit: s.Unit, Largest: Quantity{Value: Median(last.Plays), Unit: s.Unit, Mark: Measured}}, nil
+	return &SlopeFit{Fit: fit, Unit: series.Unit, Largest: Quantity{Value: Median(last.Values), Unit: series.Unit, Mark: Measured}}, nil
 }
 
-// slopeLines puts the series of both files side by side; after is nil where the
-// later program was not measured.
+// slopeLines pairs the series of both files; after is nil where the later program was not measured.
 func slopeLines(before, after *Slopes) (lines []SlopeLine, err error) {
 	for i := range before.Series {
 		series := &before.Series[i]
 		line := SlopeLine{Name: series.Name, Axis: series.Axis}
-		if line.Before, err = fitOf(series); err != nil {
+		line.Before, err = fitOfSeries(series)
+		if err != nil {
 			return nil, err
 		}
 		if after != nil && after.series(series.Name) != nil {
-			if line.After, err = fitOf(after.series(series.Name)); err != nil {
+			line.After, err = fitOfSeries(after.series(series.Name))
+			if err != nil {
 				return nil, err
 			}
 		}
@@ -121,54 +118,67 @@
 	return lines, nil
 }
 
-// loadPage reads a data directory and reckons the page.
-func loadPage(dir string) (p Page, err error) {
-	assumptions, err := ReadAssumptions(filepath.Join(dir, assumptionsFile))
+// loadPage reads a data directory and computes the page.
+func loadPage(dir string) (Page, error) {
+	before, latest, err := readBases(dir)
 	if err != nil {
-		return p, err
+		return Page{}, err
 	}
-	before, err := ReadSlopes(filepath.Join(dir, beforeFile))
+	page := Page{Runs: []Slopes{before.Slopes}, Scale: scaleTables(latest.Scale)}
+	var after *Slopes
+	if latest.File == slopesFile {
+		page.Runs = append(page.Runs, latest.Slopes)
+		after = &latest.Slopes
+	}
+	page.Lines, err = slopeLines(&before.Slopes, after)
 	if err != nil {
-		return p, err
+		return Page{}, err
 	}
-	first := Basis{Assumptions: assumptions, Slopes: before, File: beforeFile}
-	latest := first
-	first.Mechanisms = assumptions.Before
-	p.Runs = []Slopes{before}
-	after, err := ReadSlopes(filepath.Join(dir, slopesFile))
-	switch {
-	case err == nil:
-		latest = Basis{Assumptions: assumptions, Slopes: after, File: slopesFile}
-		p.Runs = append(p.Runs, after)
-	case !errors.Is(err, fs.ErrNotExist):
-		return p, err
+	page.Rows, err = comparedRows(&before, &latest)
+	if err != nil {
+		return Page{}, err
 	}
-	var later *Slopes
-	if len(p.Runs) > 1 {
-		later = &latest.Slopes
+	if err := page.computeFigures(&latest); err != nil {
+		return Page{}, err
 	}
-	if p.Lines, err = slopeLines(&first.Slopes, later); err != nil {
-		return p, err
+	return page, nil
+}
+
+// readBases reads the data of the program before its slopes were improved, and the latest data, which has the scale runs.
+// Both have the same slopes if there is no later file of them.
+func readBases(dir string) (before, latest Basis, err error) {
+	assumptions, err := ReadAssumptions(filepath.Join(dir, assumptionsFile))
+	if err != nil {
+		return before, latest, err
 	}
-	if latest.Scale, err = readScale(dir); err != nil {
-		return p, err
+	slopes, err := ReadSlopes(filepath.Join(dir, slopesBeforeFile))
+	if err != nil {
+		return before, latest, err
 	}
-	p.Scale = scaleTables(latest.Scale)
-	if p.Rows, err = comparedRows(&first, &latest); err != nil {
-		return p, err
+	before = Basis{Assumptions: assumptions, Slopes: slopes, File: slopesBeforeFile}
+	latest = before
+	before.Mechanisms = assumptions.Before
+	later, err := ReadSlopes(filepath.Join(dir, slopesFile))
+	switch {
+	case err == nil:
+		latest.Slopes = later
+		latest.File = slopesFile
+	case !errors.Is(err, fs.ErrNotExist):
+		return before, latest, err
 	}
-	return p, p.reckon(&latest)
+	latest.Scale, err = readScale(dir)
+	return before, latest, err
 }
 
-// comparedRows sets the headroom of before beside the needs of the latest runs.
+// comparedRows pairs the needs of the latest runs with the headroom of the earlier ones.
 func comparedRows(before, latest *Basis) (rows []ComparedRow, err error) {
-	old, err := before.Needs()
+	previous, err := before.Needs()
 	if err != nil {
 		return nil, err
 	}
 	headrooms := map[string]string{}
-	for _, r := range old {
-		headrooms[string(r.Role)+r.What] = r.HeadroomText()
+	for _, row := range previous {
+		headrooms[string(row.Role)+row.What] = row.HeadroomText()
 	}
 	needs, err := latest.Needs()
 	if err != nil {
@@ -180,39 +190,43 @@
 	return rows, nil
 }
 
-// reckon fills in what the text of the page tells.
-func (p *Page) reckon(b *Basis) (err error) {
-	m, err := b.measured()
+// computeFigures computes the figures in the text of the page.
+func (p *Page) computeFigures(b *Basis) (err error) {
+	runs, err := b.measured()
 	if err != nil {
 		return err
 	}
-	if p.Loads, err = b.Loads(); err != nil {
+	p.Loads, err = b.Loads()
+	if err != nil {
 		return err
 	}
-	p.Target, p.Assumed, p.Mechanisms = b.Target, b.Assumed, b.Mechanisms
-	p.Assumptions = b.Assumed.list()
+	p.Target = b.Target
+	p.Assumed = b.Assumed
+	p.Mechanisms = b.Mechanisms
+	p.Assumptions = b.Assumed.assumptions()
 	p.Rates = b.rates()
-	p.Flow = b.flow(m, p.Rates)
-	pace := given(b.Target.DispatcherBytes, UnitBytesPerSecond)
-	p.HealChanges = b.missedBytes(m, p.Rates)
-	p.HealPaced = p.HealChanges.Over(pace, UnitSeconds)
-	p.Snapshot, p.SnapshotGz = m.snapshot, m.snapshotGzip
-	p.ListPaced = m.snapshot.Over(pace, UnitSeconds)
-	p.GzipPaced = m.snapshotGzip.Over(pace, UnitSeconds)
+	p.Flow = b.flow(runs, p.Rates)
+	allowedRate := given(b.Target.DispatcherBytes, UnitBytesPerSecond)
+	p.HealChanges = b.missedBytes(runs, p.Rates)
+	p.HealPaced = p.HealChanges.Over(allowedRate, UnitSeconds)
+	p.Snapshot = runs.snapshot
+	p.SnapshotGz = runs.snapshotGzip
+	p.ListPaced = runs.snapshot.Over(allowedRate, UnitSeconds)
+	p.GzipPaced = runs.snapshotGzip.Over(allowedRate, UnitSeconds)
 	meanStarts := given(b.Target.PeakStarts, UnitPerSecond).Over(b.Assumed.StartPeakFactor.Quantity(), UnitPerSecond)
 	p.TasksPerJob = meanStarts.Times(count(secondsPerDay), UnitPerDay).Over(given(b.Target.JobsPerDay, UnitPerDay), UnitCount)
 	p.TaskTime = count(b.Target.RunningTasks).Over(meanStarts, UnitSeconds)
 	return nil
 }
 
-// Write makes the page of a data directory.
+// Write returns the page of a data directory. The same files give the same page, byte for byte.
 func Write(dir string) ([]byte, error) {
 	page, err := loadPage(dir)
 	if err != nil {
 		return nil, err
 	}
 	path := filepath.Join(dir, templateFile)
-	t, err := template.New(templateFile).Option("missingkey=error").Funcs(template.FuncMap{
+	parsed, err := template.New(templateFile).Option("missingkey=error").Funcs(template.FuncMap{
 		"number":  exact,
 		"counted": counted,
 		"divided": func(a, b float64) float64 { return a / b },
@@ -221,29 +235,29 @@
 		return nil, err
 	}
 	var out bytes.Buffer
-	if err := t.Execute(&out, page); err != nil {
+	if err := parsed.Execute(&out, page); err != nil {
 		return nil, err
 	}
 	return out.Bytes(), nil
 }
 
-// Need finds the need whose description begins with some words.
+// Need returns the need of a role whose description begins with what.
 func (p Page) Need(role Role, what string) (ComparedRow, error) {
-	for _, r := range p.Rows {
-		if r.Role == role && strings.HasPrefix(r.What, what) {
-			return r, nil
+	for _, row := range p.Rows {
+		if row.Role == role && strings.HasPrefix(row.What, what) {
+			return row, nil
 		}
 	}
 	return ComparedRow{}, fmt.Errorf("no need of the %s begins with %q", role, what)
 }
 
-// ScaleNeed tells what the scale runs say of a role, each mechanism on its own.
+// ScaleNeed returns a need of a role by the scale runs, each mechanism on its own.
 func (p Page) ScaleNeed(role Role, what string) string {
 	var found []string
-	for _, r := range p.Rows {
-		_, described, ok := strings.Cut(r.What, ": ")
-		if ok && r.Role == role && strings.HasPrefix(r.What, scaleWords) && strings.HasPrefix(described, what) {
-			found = append(found, fmt.Sprintf("%s (%s)", r.NeedText(), r.What))
+	for _, row := range p.Rows {
+		_, described, ok := strings.Cut(row.What, ": ")
+		if ok && row.Role == role && strings.HasPrefix(row.What, scaleNeedPrefix) && strings.HasPrefix(described, what) {
+			found = append(found, fmt.Sprintf("%s (%s)", row.NeedText(), row.What))
 		}
 	}
 	if len(found) == 0 {
@@ -252,7 +266,7 @@
 	return strings.Join(found, "; ")
 }
 
-// Of tells the value of a series of the latest run at its largest size.
+// Of returns the value of a series of the latest run at its largest size.
 func (p Page) Of(name SeriesName) (Quantity, error) {
 	for _, line := range p.Lines {
 		switch {
--- a/internal/rehearsal/capacity/quantity.go
+++ b/internal/rehearsal/capacity/quantity.go
@@ -8,25 +8,23 @@
 	"strings"
 )
 
-// This file owns quantities: a value with its unit, how it is known and from
-// what. Sums of different units are faults of this program.
-
-// Mark says how a figure is known. A later one is weaker.
+// Mark says how a figure is known. The weaker marks are the larger ones.
 type Mark int
 
 // The marks.
 const (
 	Given        Mark = iota // by the target
-	Measured                 // by a run at the size that it is told for
-	Extrapolated             // reckoned from runs and the target
-	ByAssumption             // reckoned from an assumption, or one itself
+	Measured                 // by a run at the same size
+	Extrapolated             // computed from runs and the target
+	ByAssumption             // computed from an assumption, or an assumption
 )
 
 var markNames = [...]string{"given", "measured", "extrapolated", "assumed"}
 
+// String returns the mark as it stands in files and on the page.
 func (m Mark) String() string { return markNames[m] }
 
-// ParseMark reads a mark.
+// ParseMark returns the mark of a text.
 func ParseMark(text string) (Mark, error) {
 	i := slices.Index(markNames[:], text)
 	if i < 0 {
@@ -41,80 +39,81 @@
 	UnitPerDay    Unit = "/day"
 )
 
-// Quantity is a figure of the page.
+// Quantity is a figure of the page: a value, its unit, how it is known and from what.
 type Quantity struct {
 	Value   float64
 	Unit    Unit
 	Mark    Mark
-	Sources []string // runs and assumptions behind it, without repeats
+	Sources []string // runs and assumptions behind it, without duplicates
 }
 
-// reckoned is the mark and the sources of what is reckoned from both.
-func (q Quantity) reckoned(o Quantity) (Mark, []string) {
-	mark := max(q.Mark, o.Mark)
+// combined returns the mark and the sources of a figure that is computed from both.
+func (q Quantity) combined(other Quantity) (Mark, []string) {
+	mark := max(q.Mark, other.Mark)
 	if mark == Measured {
 		mark = Extrapolated
 	}
 	sources := slices.Clone(q.Sources)
-	for _, s := range o.Sources {
-		if !slices.Contains(sources, s) {
-			sources = append(sources, s)
+	for _, source := range other.Sources {
+		if !slices.Contains(sources, source) {
+			sources = append(sources, source)
 		}
 	}
 	return mark, sources
 }
 
-// Times is a product, in a unit that the caller knows.
-func (q Quantity) Times(o Quantity, unit Unit) Quantity {
-	mark, sources := q.reckoned(o)
-	return Quantity{q.Value * o.Value, unit, mark, sources}
+// Times returns a product, in a unit that the caller gives.
+func (q Quantity) Times(other Quantity, unit Unit) Quantity {
+	mark, sources := q.combined(other)
+	return Quantity{q.Value * other.Value, unit, mark, sources}
 }
 
-// Over is a quotient, in a unit that the caller knows.
-func (q Quantity) Over(o Quantity, unit Unit) Quantity {
-	mark, sources := q.reckoned(o)
-	return Quantity{q.Value / o.Value, unit, mark, sources}
+// Over returns a quotient, in a unit that the caller gives.
+func (q Quantity) Over(other Quantity, unit Unit) Quantity {
+	mark, sources := q.combined(other)
+	return Quantity{q.Value / other.Value, unit, mark, sources}
 }
 
-// Plus is a sum of one unit.
-func (q Quantity) Plus(o Quantity) Quantity {
-	if q.Unit != o.Unit {
-		panic(fmt.Sprintf("capacity: %s added to %s", o.Unit, q.Unit))
+// Plus returns a sum. It panics if the units differ.
+func (q Quantity) Plus(other Quantity) Quantity {
+	if q.Unit != other.Unit {
+		panic(fmt.Sprintf("capacity: %s added to %s", other.Unit, q.Unit))
 	}
-	mark, sources := q.reckoned(o)
-	return Quantity{q.Value + o.Value, q.Unit, mark, sources}
+	mark, sources := q.combined(other)
+	return Quantity{q.Value + other.Value, q.Unit, mark, sources}
 }
 
-// count is a number that follows from the target or from arithmetic alone.
-func count(n float64) Quantity { return Quantity{Value: n, Unit: UnitCount} }
+// count returns a number that follows from the target or from arithmetic alone.
+func count(value float64) Quantity { return Quantity{Value: value, Unit: UnitCount} }
 
-// given is a figure of the target in a unit.
+// given returns a figure of the target in a unit.
 func given(value float64, unit Unit) Quantity { return Quantity{Value: value, Unit: unit} }
 
-// significant rounds to three figures.
-func significant(x float64) string {
+// significant rounds to three significant figures.
+func significant(value float64) string {
 	const figures = 3
-	if x == 0 {
+	if value == 0 {
 		return "0"
 	}
-	if math.Abs(x) < leastDecimal {
-		return fmt.Sprintf("%.*g", figures, x)
+	if math.Abs(value) < minDecimal {
+		return fmt.Sprintf("%.*g", figures, value)
 	}
-	digits := figures - 1 - int(math.Floor(math.Log10(math.Abs(x))))
+	digits := figures - 1 - int(math.Floor(math.Log10(math.Abs(value))))
 	scale := math.Pow(10, float64(digits))
-	text := fmt.Sprintf("%.*f", max(digits, 0), math.Round(x*scale)/scale)
+	text := fmt.Sprintf("%.*f", max(digits, 0), math.Round(value*scale)/scale)
 	if digits > 0 {
 		text = strings.TrimRight(strings.TrimRight(text, "0"), ".")
 	}
 	return thousands(text)
 }
 
-// thousands sets commas into the whole part of a number.
+// thousands inserts commas into the integer part of a number.
 func thousands(text string) string {
 	whole, rest, _ := strings.Cut(text, ".")
 	sign := ""
 	if strings.HasPrefix(whole, "-") {
-		sign, whole = "-", whole[1:]
+		sign = "-"
+		whole = whole[1:]
 	}
 	for i := len(whole) - 3; i > 0; i -= 3 {
 		whole = whole[:i] + "," + whole[i:]
@@ -125,62 +124,63 @@
 	return sign + whole
 }
 
-// prefix is a unit of a larger or smaller size.
-type prefix struct {
-	from   float64 // the least amount that is told in it
+// unitPrefix is a unit with a decimal prefix.
+type unitPrefix struct {
+	min    float64 // smallest amount that is written in it
 	factor float64
 	name   string
 }
 
 var (
-	bytePrefixes   = []prefix{{1e9, 1e-9, "GB"}, {1e6, 1e-6, "MB"}, {1e3, 1e-3, "KB"}, {0, 1, "B"}}
-	secondPrefixes = []prefix{{1, 1, "s"}, {1e-3, 1e3, "ms"}, {0, 1e6, "µs"}}
+	bytePrefixes   = []unitPrefix{{1e9, 1e-9, "GB"}, {1e6, 1e-6, "MB"}, {1e3, 1e-3, "KB"}, {0, 1, "B"}}
+	secondPrefixes = []unitPrefix{{1, 1, "s"}, {1e-3, 1e3, "ms"}, {0, 1e6, "µs"}}
 )
 
-func told(x float64, prefixes []prefix) string {
-	for _, p := range prefixes {
-		if math.Abs(x) >= p.from {
-			return significant(x*p.factor) + " " + p.name
+// withPrefix writes a value in the largest unit that fits it.
+func withPrefix(value float64, prefixes []unitPrefix) string {
+	for _, prefix := range prefixes {
+		if math.Abs(value) >= prefix.min {
+			return significant(value*prefix.factor) + " " + prefix.name
 		}
 	}
-	return significant(x)
+	return significant(value)
 }
 
 const (
-	leastDecimal   = 1e-4 // smaller amounts are told with an exponent
-	leastPerSecond = 1e-3 // rates below it are told for a day
-	leastWhole     = 100  // counts from here on are told to the last one
+	minDecimal   = 1e-4 // smaller amounts are written with an exponent
+	minPerSecond = 1e-3 // rates below it are written per day
+	minWhole     = 100  // counts from here on are written exactly
 )
 
-// exact tells a number with all its figures.
-func exact(x float64) string { return thousands(strconv.FormatFloat(x, 'f', -1, 64)) }
+// exact writes a number with all its digits.
+func exact(value float64) string { return thousands(strconv.FormatFloat(value, 'f', -1, 64)) }
 
-// String tells the value in a unit that fits it.
+// String returns the value in a unit that fits it.
 func (q Quantity) String() string {
 	switch q.Unit {
 	case UnitBytes:
-		return told(q.Value, bytePrefixes)
+		return withPrefix(q.Value, bytePrefixes)
 	case UnitBytesPerSecond:
-		return told(q.Value, bytePrefixes) + "/s"
+		return withPrefix(q.Value, bytePrefixes) + "/s"
 	case UnitSeconds:
-		return told(q.Value, secondPrefixes)
+		return withPrefix(q.Value, secondPrefixes)
 	case UnitCores:
 		return significant(q.Value*100) + "% of a core"
 	case UnitPerSecond:
-		if q.Value > 0 && q.Value < leastPerSecond {
+		if q.Value > 0 && q.Value < minPerSecond {
 			return significant(q.Value*secondsPerDay) + " a day"
 		}
 		return significant(q.Value) + "/s"
 	case UnitPerDay:
 		return significant(q.Value) + " a day"
 	}
-	if q.Value >= leastWhole {
+	if q.Value >= minWhole {
 		return exact(math.Round(q.Value))
 	}
 	return significant(q.Value)
 }
 
-// From tells the sources.
+// From returns the sources as text.
 func (q Quantity) From() string {
 	if len(q.Sources) == 0 {
 		return "target"
--- a/internal/rehearsal/capacity/scaleneed.go
+++ b/internal/rehearsal/capacity/scaleneeds.go
@@ -5,21 +5,18 @@
 	"strings"
 )
 
-// This file owns what scale runs say beside the target's bounds: of each bounded
-// figure, the run at the target's number of workers in which it was worst.
-
-// bounded is a figure of scale runs that the target or an assumption bounds.
-type bounded struct {
+// boundedFigure is a figure of scale runs that the target or an assumption limits.
+type boundedFigure struct {
 	role    Role
-	figure  string // its name, or how it begins and ends around a *
+	figure  string // its name, or a pattern with one *
 	what    string
-	factor  float64 // from the run's unit to ours
+	factor  float64 // from the run's unit to this one
 	unit    Unit
 	allowed func(*Basis) Quantity
 }
 
-// scaleWords is how the description of a need by a scale run begins.
-const scaleWords = "scale run by "
+// scaleNeedPrefix is the beginning of the description of a need by a scale run.
+const scaleNeedPrefix = "scale run by "
 
 const megabyte = 1 << 20 // of the scale runs' MB
 
@@ -31,8 +28,8 @@
 func machineMemory(b *Basis) Quantity  { return b.Assumed.MachineMemory.Quantity() }
 func machineLine(b *Basis) Quantity    { return b.Assumed.MachineBytes.Quantity() }
 
-// boundedFigures is all of them.
-var boundedFigures = []bounded{
+// boundedFigures lists the limited figures.
+var boundedFigures = []boundedFigure{
 	{Dispatcher, "dispatcher.real.bytes", "bytes a second over the run, a real daemon", 1, UnitBytesPerSecond, allowedBytes},
 	{Dispatcher, "dispatcher.real.bytes_worst_minute", "bytes a second in the worst minute, a real daemon", 1, UnitBytesPerSecond, allowedBytes},
 	{Dispatcher, "dispatcher.hollow.bytes_worst_minute", "bytes a second in the worst minute, a hollow dispatcher", 1, UnitBytesPerSecond, allowedBytes},
@@ -47,20 +44,21 @@
 	{ControlMachine, "relay.busiest.bytes_out_worst_10s", "bytes a second in the worst ten seconds, the busiest relay", 1, UnitBytesPerSecond, machineLine},
 }
 
-// matches tells whether a figure is the one meant.
-func (x bounded) matches(name string) bool {
-	begin, end, open := strings.Cut(x.figure, "*")
-	if !open {
-		return name == x.figure
+// matches reports whether a figure of a run has the name.
+func (f boundedFigure) matches(name string) bool {
+	prefix, suffix, isPattern := strings.Cut(f.figure, "*")
+	if !isPattern {
+		return name == f.figure
 	}
-	return len(name) > len(begin)+len(end) && strings.HasPrefix(name, begin) && strings.HasSuffix(name, end)
+	return len(name) > len(prefix)+len(suffix) && strings.HasPrefix(name, prefix) && strings.HasSuffix(name, suffix)
 }
 
-// scaleRows is what the runs need, a row for each bounded figure and mechanism.
+// scaleRows returns the needs by scale runs at the target's number of workers: for each limited figure and mechanism, the
+// run in which it was largest.
 func (b *Basis) scaleRows(runs []ScaleRun) (rows []Row) {
-	for _, x := range boundedFigures {
+	for _, figure := range boundedFigures {
 		for _, mechanism := range []string{"discovery", "relays"} {
-			if row, ok := b.worstOf(x, mechanism, runs); ok {
+			if row, ok := b.worstOf(figure, mechanism, runs); ok {
 				rows = append(rows, row)
 			}
 		}
@@ -68,8 +66,8 @@
 	return rows
 }
 
-// worstOf finds the run in which a figure is the largest.
-func (b *Basis) worstOf(x bounded, mechanism string, runs []ScaleRun) (row Row, ok bool) {
+// worstOf returns the row of the run in which a figure is largest.
+func (b *Basis) worstOf(figure boundedFigure, mechanism string, runs []ScaleRun) (row Row, ok bool) {
 	carrier := b.Mechanisms.Membership
 	if mechanism == "relays" {
 		carrier = b.Mechanisms.Relays
@@ -78,15 +76,15 @@
 		if run.Mechanism != mechanism || float64(run.Workers) != b.Target.Workers {
 			continue
 		}
-		for _, f := range run.Figures {
-			value := f.Value * x.factor
-			if !x.matches(f.Name) || ok && value <= row.Need.Value {
+		for _, measuredFigure := range run.Figures {
+			value := measuredFigure.Value * figure.factor
+			if !figure.matches(measuredFigure.Name) || ok && value <= row.Need.Value {
 				continue
 			}
 			ok = true
-			row = Row{Role: x.role, Mechanism: carrier, Allowed: x.allowed(b),
-				What: fmt.Sprintf(scaleWords+"%s: %s (scenario %s, %s dispatchers)", mechanism, x.what, run.Scenario, counted(run.Dispatchers+run.Real)),
-				Need: Quantity{Value: value, Unit: x.unit, Mark: Measured, Sources: []string{fmt.Sprintf("`%s` of `%s`", f.Name, run.File)}}}
+			row = Row{Role: figure.role, Mechanism: carrier, Allowed: figure.allowed(b),
+				What: fmt.Sprintf(scaleNeedPrefix+"%s: %s (scenario %s, %s dispatchers)", mechanism, figure.what, run.Scenario, counted(run.Dispatchers+run.Real)),
+				Need: Quantity{Value: value, Unit: figure.unit, Mark: Measured, Sources: []string{fmt.Sprintf("`%s` of `%s`", measuredFigure.Name, run.File)}}}
 		}
 	}
 	return row, ok
--- a/internal/rehearsal/capacity/scale.go
+++ b/internal/rehearsal/capacity/scalerun.go
@@ -9,8 +9,7 @@
 	"strings"
 )
 
-// This file owns reading the results of scale runs. A file holds a list, one
-// record for each mechanism, as rehearse scale --json writes it:
+// A file of scale runs is a list with one record for each mechanism, as rehearse scale --json writes it:
 //
 //	[{"command": "bin/rehearse scale ...", "seed": 27, "workers": 21000,
 //	  "dispatchers": 68, "real": 2, "mechanism": "relays", "scenario": "zone",
@@ -30,20 +29,20 @@
 	Command     string        `json:"command"`
 	Seed        uint64        `json:"seed"`
 	Workers     int           `json:"workers"`
-	Dispatchers int           `json:"dispatchers"` // hollow ones
+	Dispatchers int           `json:"dispatchers"` // hollow dispatchers
 	Real        int           `json:"real"`        // daemons
 	Mechanism   string        `json:"mechanism"`
 	Scenario    string        `json:"scenario"`
 	Figures     []ScaleFigure `json:"figures"`
-	Broken      []string      `json:"broken"` // bounds and rules that the run broke
+	Broken      []string      `json:"broken"` // limits and invariants that the run violated
 
 	File string `json:"-"`
 }
 
 // The files of slope runs; every other JSON file beside them is a scale run.
 const (
-	beforeFile = "slopes-before.json"
-	slopesFile = "slopes.json"
+	slopesBeforeFile = "slopes-before.json"
+	slopesFile       = "slopes.json"
 )
 
 // readScale reads all scale runs of a directory, by scenario and mechanism.
@@ -54,7 +53,7 @@
 	}
 	for _, path := range paths {
 		name := filepath.Base(path)
-		if name == beforeFile || name == slopesFile {
+		if name == slopesBeforeFile || name == slopesFile {
 			continue
 		}
 		text, err := os.ReadFile(path)
@@ -79,7 +78,7 @@
 	return runs, nil
 }
 
-// ScaleTable is the runs of one scenario side by side.
+// ScaleTable compares the runs of one scenario.
 type ScaleTable struct {
 	Scenario string
 	Runs     []ScaleRun
@@ -89,17 +88,18 @@
 // ScaleLine is one figure of all runs of a scenario.
 type ScaleLine struct {
 	Name, Unit, Kind string
-	Values           []string // one a run; empty: it has no such figure
+	Values           []string // one for each run; empty where it has no such figure
 }
 
-// scaleTables puts runs of the same scenario side by side.
+// scaleTables groups runs, which are sorted by scenario, into tables.
 func scaleTables(runs []ScaleRun) (tables []ScaleTable) {
 	for _, run := range runs {
-		if n := len(tables); n == 0 || tables[n-1].Scenario != run.Scenario {
+		count := len(tables)
+		if count == 0 || tables[count-1].Scenario != run.Scenario {
 			tables = append(tables, ScaleTable{Scenario: run.Scenario})
 		}
-		t := &tables[len(tables)-1]
-		t.Runs = append(t.Runs, run)
+		table := &tables[len(tables)-1]
+		table.Runs = append(table.Runs, run)
 	}
 	for i := range tables {
 		tables[i].fill()
@@ -107,16 +107,16 @@
 	return tables
 }
 
-// fill makes the lines, in the order in which the runs have their figures.
+// fill sets the lines, in the order in which the runs have their figures.
 func (t *ScaleTable) fill() {
 	for column, run := range t.Runs {
-		for _, f := range run.Figures {
-			i := slices.IndexFunc(t.Lines, func(l ScaleLine) bool { return l.Name == f.Name && l.Unit == f.Unit && l.Kind == f.Kind })
+		for _, figure := range run.Figures {
+			i := slices.IndexFunc(t.Lines, func(l ScaleLine) bool { return l.Name == figure.Name && l.Unit == figure.Unit && l.Kind == figure.Kind })
 			if i < 0 {
-				t.Lines = append(t.Lines, ScaleLine{Name: f.Name, Unit: f.Unit, Kind: f.Kind, Values: make([]string, len(t.Runs))})
+				t.Lines = append(t.Lines, ScaleLine{Name: figure.Name, Unit: figure.Unit, Kind: figure.Kind, Values: make([]string, len(t.Runs))})
 				i = len(t.Lines) - 1
 			}
-			t.Lines[i].Values[column] = significant(f.Value)
+			t.Lines[i].Values[column] = significant(figure.Value)
 		}
 	}
 }
--- a/internal/rehearsal/capacity/slopes.go
+++ b/internal/rehearsal/capacity/slopes.go
@@ -1,7 +1,6 @@
-// Package capacity measures what a dispatcher's control work costs by the size
-// of the fleet, fits lines to it, and writes docs/CAPACITY.md from the runs. It
-// must never print a figure that is neither measured by a run in the data, nor
-// reckoned from such, nor listed as an assumption.
+// Package capacity measures what a dispatcher's control work costs by the size of the fleet, fits lines to it, and writes
+// docs/CAPACITY.md from the runs. Every figure on that page is measured by a run in the data, computed from such figures,
+// or listed as an assumption.
 package capacity
 
 import (
@@ -13,15 +12,15 @@
 	"time"
 )
 
-// This file owns the data of slope runs, which is kept as JSON:
+// Slope runs are stored as JSON:
 //
 //	{
 //	  "command": "rehearse slopes ...",   how to run it again
-//	  "date": "2026-12-02",                         of the last play
-//	  "version": "...",                             of the program measured, as the build tells it
+//	  "date": "2026-12-02",                         of the last repetition
+//	  "version": "...",                             of the program measured, as its build reports it
 //	  "cores": 8,                                   of the machine
 //	  "zones": 17,
-//	  "plays": 3,                                   how often each size was measured
+//	  "plays": 3,                                   repetitions of each size
 //	  "sizes": [200, 2100, 21000],                  listed workers
 //	  "series": [
 //	    {"name": "delta_cpu", "unit": "s", "axis": "workers", "points": [
@@ -34,28 +33,28 @@
 
 // The series of a slope run. Of the daemon, metered from outside:
 const (
-	ReadyTime      SeriesName = "ready"             // from its start until it takes clients
+	ReadyTime      SeriesName = "ready"             // from its start until it is ready
 	StartCPU       SeriesName = "start_cpu"         // processor time of the start
 	StartResident  SeriesName = "start_resident"    // peak of resident memory after the start
-	PeakResident   SeriesName = "peak_resident"     // and after all that a play does
+	PeakResident   SeriesName = "peak_resident"     // the same at the end of a repetition
 	SnapshotBytes  SeriesName = "snapshot_bytes"    // on the connection
 	SnapshotGzip   SeriesName = "snapshot_gzip"     // the same list compressed by gzip, at its default level
-	IdleCPU        SeriesName = "idle_cpu"          // processor time a second while nothing changes
-	IdleBytes      SeriesName = "idle_bytes"        // bytes a second while nothing changes
-	DeltaCPU       SeriesName = "delta_cpu"         // processor time a one-worker delta, without the idle part
-	DeltaBytes     SeriesName = "delta_bytes"       // bytes a one-worker delta, without the idle part
+	IdleCPU        SeriesName = "idle_cpu"          // processor time per second while nothing changes
+	IdleBytes      SeriesName = "idle_bytes"        // bytes per second while nothing changes
+	DeltaCPU       SeriesName = "delta_cpu"         // processor time per one-worker delta, without the idle part
+	DeltaBytes     SeriesName = "delta_bytes"       // bytes per one-worker delta, without the idle part
 	ZoneLossCPU    SeriesName = "zone_loss_cpu"     // processor time for the loss of a zone's workers, one delta each
-	ZoneLossDeltas SeriesName = "zone_loss_deltas"  // how many deltas came for it
+	ZoneLossDeltas SeriesName = "zone_loss_deltas"  // number of deltas for it
 	ModuleDelta    SeriesName = "module_delta"      // a one-worker delta in the module alone
-	ModuleWarm     SeriesName = "module_arrival"    // an arrival there, all workers warm
-	ModuleCold     SeriesName = "module_cold"       // an arrival there, a tenth of the workers cold
-	ModulePick     SeriesName = "module_cold_pick"  // the median of the same arrivals
-	ModuleTeams    SeriesName = "module_teams"      // an arrival there, by the number of teams with quotas
-	ModuleHeld     SeriesName = "module_held_bytes" // memory there, by the tasks held
-	ModuleSweep    SeriesName = "module_sweep"      // one sweep there, by the tasks held
+	ModuleWarm     SeriesName = "module_arrival"    // a request there, all workers warm
+	ModuleCold     SeriesName = "module_cold"       // a request there, a tenth of the workers warming up
+	ModulePick     SeriesName = "module_cold_pick"  // the median of the same requests
+	ModuleTeams    SeriesName = "module_teams"      // a request there, by the number of teams with quotas
+	ModuleHeld     SeriesName = "module_held_bytes" // memory there, by the running tasks
+	ModuleSweep    SeriesName = "module_sweep"      // one sweep there, by the running tasks
 )
 
-// Unit is what a value counts.
+// Unit is the unit of a value.
 type Unit string
 
 // The units of series.
@@ -77,10 +76,10 @@
 	AxisTasks   Axis = "tasks"
 )
 
-// Point is the values of one size, one a play.
+// Point has the values at one size, one for each repetition.
 type Point struct {
-	Size  int       `json:"size"`
-	Plays []float64 `json:"plays"`
+	Size   int       `json:"size"`
+	Values []float64 `json:"plays"`
 }
 
 // Series is one quantity by size.
@@ -91,7 +90,7 @@
 	Points []Point    `json:"points"`
 }
 
-// Slopes is one file of slope runs.
+// Slopes is one file of slope runs. Plays is the number of repetitions of each size; the page's template uses the name.
 type Slopes struct {
 	Command string   `json:"command"`
 	Date    string   `json:"date"`
@@ -103,19 +102,19 @@
 	Series  []Series `json:"series"`
 }
 
-// ReadSlopes reads a file of slope runs and checks it.
-func ReadSlopes(path string) (s Slopes, err error) {
+// ReadSlopes reads and checks a file of slope runs.
+func ReadSlopes(path string) (slopes Slopes, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return s, err
+		return slopes, err
 	}
-	if err := json.Unmarshal(text, &s); err != nil {
-		return s, fmt.Errorf("%s: %w", path, err)
+	if err := json.Unmarshal(text, &slopes); err != nil {
+		return slopes, fmt.Errorf("%s: %w", path, err)
 	}
-	if err := s.check(); err != nil {
-		return s, fmt.Errorf("%s: %w", path, err)
+	if err := slopes.check(); err != nil {
+		return slopes, fmt.Errorf("%s: %w", path, err)
 	}
-	return s, nil
+	return slopes, nil
 }
 
 var (
@@ -134,16 +133,16 @@
 		return fmt.Errorf("date: %w", err)
 	}
 	for _, series := range s.Series {
-		for _, p := range series.Points {
-			if p.Size <= 0 || len(p.Plays) != s.Plays {
-				return fmt.Errorf("series %s, size %d: %d values for %d plays", series.Name, p.Size, len(p.Plays), s.Plays)
+		for _, point := range series.Points {
+			if point.Size <= 0 || len(point.Values) != s.Plays {
+				return fmt.Errorf("series %s, size %d: %d values for %d plays", series.Name, point.Size, len(point.Values), s.Plays)
 			}
 		}
 	}
 	return nil
 }
 
-// series finds a series; nil: it was not measured.
+// series returns a series, or nil if it was not measured.
 func (s *Slopes) series(name SeriesName) *Series {
 	i := slices.IndexFunc(s.Series, func(x Series) bool { return x.Name == name })
 	if i < 0 {
@@ -152,8 +151,8 @@
 	return &s.Series[i]
 }
 
-// add books the value of one play.
-func (s *Slopes) add(name SeriesName, unit Unit, axis Axis, size int, value float64) {
+// record adds the value of one repetition.
+func (s *Slopes) record(name SeriesName, unit Unit, axis Axis, size int, value float64) {
 	series := s.series(name)
 	if series == nil {
 		s.Series = append(s.Series, Series{Name: name, Unit: unit, Axis: axis})
@@ -164,19 +163,19 @@
 		series.Points = append(series.Points, Point{Size: size})
 		i = len(series.Points) - 1
 	}
-	series.Points[i].Plays = append(series.Points[i].Plays, value)
+	series.Points[i].Values = append(series.Points[i].Values, value)
 }
 
-// Replace puts the series of another run of the same program in place of those
-// of the same names, and adds those that are new.
+// Replace replaces the series that another run of the same program also has, and adds the others of that run.
 func (s *Slopes) Replace(other Slopes) error {
 	if s.Version != other.Version || s.Plays != other.Plays || !slices.Equal(s.Sizes, other.Sizes) {
 		return fmt.Errorf("runs differ: version %s, %d plays, sizes %v beside version %s, %d plays, sizes %v",
 			s.Version, s.Plays, s.Sizes, other.Version, other.Plays, other.Sizes)
 	}
 	for _, series := range other.Series {
-		if former := s.series(series.Name); former != nil {
-			*former = series
+		existing := s.series(series.Name)
+		if existing != nil {
+			*existing = series
 		} else {
 			s.Series = append(s.Series, series)
 		}
@@ -185,16 +184,16 @@
 	return s.check()
 }
 
-// Merge adds the plays of another run of the same program at the same sizes.
+// Merge adds the repetitions of another run of the same program at the same sizes.
 func (s *Slopes) Merge(other Slopes) error {
 	if s.Version != other.Version || s.Cores != other.Cores || !slices.Equal(s.Sizes, other.Sizes) {
 		return fmt.Errorf("runs differ: version %s, %d cores, sizes %v beside version %s, %d cores, sizes %v",
 			s.Version, s.Cores, s.Sizes, other.Version, other.Cores, other.Sizes)
 	}
 	for _, series := range other.Series {
-		for _, p := range series.Points {
-			for _, value := range p.Plays {
-				s.add(series.Name, series.Unit, series.Axis, p.Size, value)
+		for _, point := range series.Points {
+			for _, value := range point.Values {
+				s.record(series.Name, series.Unit, series.Axis, point.Size, value)
 			}
 		}
 	}
