--- a/cmd/rehearse/scale.go
+++ b/cmd/rehearse/scale.go
@@ -50,7 +50,7 @@
 	var runs []*scale.Run
 	var records []scale.Record
 	for _, mechanism := range s.Mechanism {
-		run, err := scale.Play(ctx, s, mechanism, programs, e.log)
+		run, err := scale.Execute(ctx, s, mechanism, programs, e.log)
 		if err != nil {
 			return err
 		}
@@ -72,7 +72,7 @@
 		s.Dispatchers = c.Dispatchers
 	}
 	if c.Real >= 0 {
-		s.Real = c.Real
+		s.Daemons = c.Real
 	}
 	if c.Seed > 0 {
 		s.Seed = c.Seed
@@ -138,8 +138,8 @@
 		}
 	}
 	for _, record := range records {
-		if len(record.Broken) > 0 {
-			return broken{strings.Join(record.Broken, "; ")}
+		if len(record.Violations) > 0 {
+			return broken{strings.Join(record.Violations, "; ")}
 		}
 	}
 	return nil
--- a/internal/rehearsal/scale/chart.go
+++ b/internal/rehearsal/scale/chart.go
@@ -11,9 +11,7 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// This file owns the chart of runs: bytes and processor time of a dispatcher
-// over the run, each mechanism a line.
-
+// lineColors are the colors of the mechanisms.
 var lineColors = []color.Color{
 	color.RGBA{0xd9, 0x7b, 0x1c, 0xff}, color.RGBA{0x1f, 0x5f, 0x9e, 0xff}, color.RGBA{0x2e, 0x7d, 0x4f, 0xff},
 }
@@ -23,28 +21,31 @@
 	chartHeight = 6.4 * vg.Inch
 )
 
-// WriteChart writes runs of one scenario as SVG.
+// WriteChart writes a chart of runs of one scenario as SVG: bytes and processor time of a hollow dispatcher over the
+// run, a line for each mechanism.
 func WriteChart(w io.Writer, runs []*Run) error {
 	bytes := newPlot("Bytes of a dispatcher a second, mean of the hollow ones", "bytes a second")
 	share := newPlot("Processor time of a dispatcher, mean of the hollow ones", "share of a core")
 	for i, run := range runs {
 		hollow := run.groups()[0]
-		n := float64(len(hollow.members))
-		c := lineColors[i%len(lineColors)]
-		if err := addLine(bytes, run, c, func(s *sample) (sum float64) {
+		count := float64(len(hollow.members))
+		lineColor := lineColors[i%len(lineColors)]
+		meanBytes := func(s *sample) (sum float64) {
 			for _, name := range hollow.members {
-				sum += float64(s.bytes[name])
+				sum += float64(s.clientBytes[name])
 			}
-			return sum / n
-		}); err != nil {
-			return err
+			return sum / count
 		}
-		if err := addLine(share, run, c, func(s *sample) (sum float64) {
-			for holder := range hollow.holders {
-				sum += s.cpu[holder].Seconds()
+		meanShare := func(s *sample) (sum float64) {
+			for process := range hollow.processes {
+				sum += s.cpu[process].Seconds()
 			}
-			return sum / n
-		}); err != nil {
+			return sum / count
+		}
+		if err := addLine(bytes, run, lineColor, meanBytes); err != nil {
+			return err
+		}
+		if err := addLine(share, run, lineColor, meanShare); err != nil {
 			return err
 		}
 	}
@@ -57,26 +58,30 @@
 	return err
 }
 
+// newPlot returns an empty plot over the time of the run.
 func newPlot(title, y string) *plot.Plot {
-	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "second of the run", y
-	p.Y.Min = 0
-	p.Legend.Top = true
-	p.Add(plotter.NewGrid())
-	return p
+	created := plot.New()
+	created.Title.Text = title
+	created.X.Label.Text = "second of the run"
+	created.Y.Label.Text = y
+	created.Y.Min = 0
+	created.Legend.Top = true
+	created.Add(plotter.NewGrid())
+	return created
 }
 
-// addLine draws how fast a count rises between samples.
-func addLine(p *plot.Plot, run *Run, c color.Color, count func(*sample) float64) error {
+// addLine draws the rise of a count between samples, per second.
+func addLine(target *plot.Plot, run *Run, lineColor color.Color, count func(*sample) float64) error {
 	var points plotter.XYs
-	began := run.samples[0].at
+	startedAt := run.samples[0].at
 	for i := 1; i < len(run.samples); i++ {
-		before, after := &run.samples[i-1], &run.samples[i]
+		before := &run.samples[i-1]
+		after := &run.samples[i]
 		span := after.at.Sub(before.at).Seconds()
-		if span < sampleStep.Seconds()/2 {
-			continue // the last look comes soon after the one before
+		if span < sampleInterval.Seconds()/2 {
+			continue // the last sample follows soon after the one before
 		}
-		points = append(points, plotter.XY{X: after.at.Sub(began).Seconds(), Y: (count(after) - count(before)) / span})
+		points = append(points, plotter.XY{X: after.at.Sub(startedAt).Seconds(), Y: (count(after) - count(before)) / span})
 	}
 	if len(points) == 0 {
 		return nil
@@ -85,8 +90,9 @@
 	if err != nil {
 		return err
 	}
-	line.Color, line.Width = c, vg.Points(1.5)
-	p.Add(line)
-	p.Legend.Add(string(run.Mechanism), line)
+	line.Color = lineColor
+	line.Width = vg.Points(1.5)
+	target.Add(line)
+	target.Legend.Add(string(run.Mechanism), line)
 	return nil
 }
--- a/internal/rehearsal/scale/child.go
+++ b/internal/rehearsal/scale/child.go
@@ -11,25 +11,23 @@
 	"time"
 )
 
-// This file owns child processes: each is started, spoken to in JSON lines over
-// its pipes and ended by its id. A child that hears the end of its input ends by
-// itself, so that none outlives this process.
-
-// child is one running process.
+// child is a running child process. Messages are JSON lines over its pipes. A child ends by itself when its input
+// ends, so that none outlives this process.
 type child struct {
-	name   string
-	cmd    *exec.Cmd
-	input  io.WriteCloser
-	ended  chan struct{}
-	mu     sync.Mutex // orders what is written to input
-	stderr tail
+	name       string
+	cmd        *exec.Cmd
+	input      io.WriteCloser
+	exited     chan struct{}
+	inputMutex sync.Mutex // serializes writes to input
+	stderr     logHead
 }
 
-const longestLine = 64 << 20
+// maxLineBytes bounds a message of a child.
+const maxLineBytes = 64 << 20
 
-// startChild starts a command; heard gets each line of its output on one goroutine.
-func startChild(name string, cmd *exec.Cmd, heard func(line []byte)) (*child, error) {
-	c := &child{name: name, cmd: cmd, ended: make(chan struct{})}
+// startChild starts a command. onLine, which may be nil, gets each line of its output, on one goroutine.
+func startChild(name string, cmd *exec.Cmd, onLine func(line []byte)) (*child, error) {
+	started := &child{name: name, cmd: cmd, exited: make(chan struct{})}
 	input, err := cmd.StdinPipe()
 	if err != nil {
 		return nil, err
@@ -38,80 +36,81 @@
 	if err != nil {
 		return nil, err
 	}
-	c.input = input
-	cmd.Stderr = &c.stderr
+	started.input = input
+	cmd.Stderr = &started.stderr
 	// If this process is killed, the kernel ends the child.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
 	go func() {
-		lines := bufio.NewScanner(output)
-		lines.Buffer(nil, longestLine)
-		for lines.Scan() {
-			if heard != nil {
-				heard(lines.Bytes())
+		scanner := bufio.NewScanner(output)
+		scanner.Buffer(nil, maxLineBytes)
+		for scanner.Scan() {
+			if onLine != nil {
+				onLine(scanner.Bytes())
 			}
 		}
 		io.Copy(io.Discard, output)
 		cmd.Wait()
-		close(c.ended)
+		close(started.exited)
 	}()
-	return c, nil
+	return started, nil
 }
 
 func (c *child) pid() int { return c.cmd.Process.Pid }
 
-// tell writes a message as a JSON line.
-func (c *child) tell(message any) error {
+// send writes a message as a JSON line.
+func (c *child) send(message any) error {
 	text, err := json.Marshal(message)
 	if err != nil {
 		return err
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	c.inputMutex.Lock()
+	defer c.inputMutex.Unlock()
 	_, err = c.input.Write(append(text, '\n'))
 	return err
 }
 
-// kill ends the process at once and waits for its end.
+// kill kills the process and waits for its end.
 func (c *child) kill() {
-	c.cmd.Process.Signal(os.Kill) // by its id; one that has ended is not signalled
-	<-c.ended
+	c.cmd.Process.Signal(os.Kill) // no signal is sent to a process that has ended
+	<-c.exited
 }
 
-// stop asks the process to end and kills it if it does not in time.
+// stop asks the process to end, and kills it if it does not in time.
 func (c *child) stop() {
 	c.input.Close()
 	c.cmd.Process.Signal(syscall.SIGTERM)
 	select {
-	case <-c.ended:
-	case <-time.After(stopPatience):
+	case <-c.exited:
+	case <-time.After(stopTimeout):
 		c.kill()
 	}
 }
 
-const stopPatience = 3 * time.Second
+// stopTimeout is how long a child may take to end by itself.
+const stopTimeout = 3 * time.Second
 
-// tail keeps the first bytes of what a child writes to its log.
-type tail struct {
-	mu   sync.Mutex
-	text []byte
+// logHead keeps the first maxLogBytes of the log of a child. It is safe for concurrent use.
+type logHead struct {
+	mutex sync.Mutex
+	text  []byte
 }
 
-const mostTail = 64 << 10
+// maxLogBytes bounds the part of a child's log that is kept.
+const maxLogBytes = 64 << 10
 
-func (t *tail) Write(p []byte) (int, error) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if room := mostTail - len(t.text); room > 0 {
-		t.text = append(t.text, p[:min(room, len(p))]...)
-	}
+func (t *logHead) Write(p []byte) (int, error) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	space := maxLogBytes - len(t.text)
+	t.text = append(t.text, p[:min(space, len(p))]...)
 	return len(p), nil
 }
 
-func (t *tail) String() string {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (t *logHead) String() string {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
 	return string(t.text)
 }
--- a/internal/rehearsal/scale/cluster.go
+++ b/internal/rehearsal/scale/cluster.go
@@ -16,53 +16,62 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/standin"
 )
 
-// This file owns all processes of one run: the origin, relays, hollow dispatchers
-// and real ones, by zone. It must end every one that it started.
-
 // Programs are the commands that a run starts.
 type Programs struct {
-	Hollow []string // this program's own hidden commands
+	Hollow []string // hidden commands of this program
 	Origin []string
 	Daemon string // dispatcher-serve
 	Relay  string // membership-relay
 	Env    []string
 }
 
+// originName is the name of the origin in meters and logs.
 const originName = "origin"
 
-func hollowName(i int) string    { return fmt.Sprintf("hollow-%04d", i+1) }
-func realName(i int) string      { return fmt.Sprintf("real-%d", i+1) }
-func relayName(zone int) string  { return "relay-" + ZoneName(zone) }
-func holderName(zone int) string { return "hollows-" + ZoneName(zone) }
-func zoneOf(i, zones int) int    { return i % zones }
-func realZone(i, zones int) int  { return (i + 1) % zones } // so that a zone beside the origin's has one
+func hollowName(i int) string           { return fmt.Sprintf("hollow-%04d", i+1) }
+func daemonName(i int) string           { return fmt.Sprintf("real-%d", i+1) }
+func relayName(zone int) string         { return "relay-" + ZoneName(zone) }
+func hollowProcessName(zone int) string { return "hollows-" + ZoneName(zone) }
+func hollowZone(i, zones int) int       { return i % zones }
+func daemonZone(i, zones int) int       { return (i + 1) % zones } // not the origin's zone first
 
-// cluster is everything that runs.
+// cluster has all processes of one run: the origin, relays, hollow dispatchers and daemons. close ends all of them.
 type cluster struct {
-	scenario  *Scenario
-	plan      *Plan
-	mechanism Mechanism
-	programs  Programs
-	dir       string
-	known     []byte // the list that dispatchers start with; nil: none
-	network   *network
-	meter     *meter
-	origin    *originProcess
-	relays    map[int]*child
-	holders   map[int]*child // hollow dispatchers, a process for each zone
-	reals     map[int]*child
-
-	mu      sync.Mutex // guards what children report
-	tracker *tracker
-	counts  trafficCounts
-	errs    []error
-	own     ownCounts // of the processes that have answered countOwn
-	answers int
+	scenario        *Scenario
+	plan            *Plan
+	mechanism       Mechanism
+	programs        Programs
+	dir             string
+	initialList     []byte // JSON of the list that dispatchers start with; nil: none
+	network         *network
+	meter           *meter
+	origin          *originProcess
+	relays          map[int]*child
+	hollowProcesses map[int]*child // hollow dispatchers, a process for each zone
+	daemons         map[int]*child
+
+	mutex      sync.Mutex // guards what children report
+	tracker    *tracker
+	traffic    trafficCounts
+	errs       []error
+	ownCounts  ownCounts // sum over the processes that have reported since collectOwnCounts began
+	ownReports int       // number of those processes
 }
 
-func newCluster(s *Scenario, plan *Plan, mechanism Mechanism, programs Programs, dir string) *cluster {
-	return &cluster{scenario: s, plan: plan, mechanism: mechanism, programs: programs, dir: dir, network: newNetwork(s),
-		meter: newMeter(), relays: map[int]*child{}, holders: map[int]*child{}, reals: map[int]*child{}, tracker: newTracker()}
+func newCluster(scenario *Scenario, plan *Plan, mechanism Mechanism, programs Programs, dir string) *cluster {
+	return &cluster{
+		scenario:        scenario,
+		plan:            plan,
+		mechanism:       mechanism,
+		programs:        programs,
+		dir:             dir,
+		network:         newNetwork(scenario),
+		meter:           newMeter(),
+		relays:          map[int]*child{},
+		hollowProcesses: map[int]*child{},
+		daemons:         map[int]*child{},
+		tracker:         newTracker(),
+	}
 }
 
 func (c *cluster) command(args []string) *exec.Cmd {
@@ -71,7 +80,7 @@
 	return cmd
 }
 
-// start starts everything; what has started by an error is ended by close.
+// start starts everything. After an error the processes started so far run until close.
 func (c *cluster) start() (err error) {
 	c.origin, err = startOriginProcess(c.command(c.programs.Origin), c.scenario.LogChanges)
 	if err != nil {
@@ -85,12 +94,8 @@
 	if _, err := c.origin.change([][]Change{initial}); err != nil {
 		return err
 	}
-	if c.scenario.Known {
-		var err error
-		if c.known, err = json.Marshal(knownList{Seq: firstVersion, Whole: true, Hosts: c.plan.Hosts, Settings: []any{}}); err != nil {
-			return err
-		}
-		if err := os.WriteFile(c.knownFile(), c.known, 0o600); err != nil {
+	if c.scenario.InitialList {
+		if err := c.writeInitialList(); err != nil {
 			return err
 		}
 	}
@@ -100,53 +105,65 @@
 		}
 	}
 	for zone := range c.scenario.Zones {
-		if err := c.startHolder(zone); err != nil {
+		if err := c.startHollowProcess(zone); err != nil {
 			return err
 		}
 	}
-	for i := range c.scenario.Real {
-		if err := c.startReal(i); err != nil {
+	for i := range c.scenario.Daemons {
+		if err := c.startDaemon(i); err != nil {
 			return err
 		}
 	}
-	if n := c.processes(); n > mostProcesses {
-		return fmt.Errorf("%d processes, of %d at the most", n, mostProcesses)
+	if processes := c.processes(); processes > maxProcesses {
+		return fmt.Errorf("%d processes, more than %d", processes, maxProcesses)
 	}
 	return nil
 }
 
-// knownList is the list that dispatchers start with. Without settings, of which
-// none has changed, a follower would not resume from it and ask for all anew.
-type knownList struct {
+// writeInitialList writes the list that dispatchers start with to its file.
+func (c *cluster) writeInitialList() error {
+	list := initialList{Seq: initialVersion, Whole: true, Hosts: c.plan.Hosts, Settings: []any{}}
+	text, err := json.Marshal(list)
+	if err != nil {
+		return err
+	}
+	c.initialList = text
+	return os.WriteFile(c.initialListFile(), text, 0o600)
+}
+
+// initialList is the list that dispatchers start with. A follower resumes from it only if it has settings, even if
+// none has changed.
+type initialList struct {
 	Seq      int64          `json:"seq"`
 	Whole    bool           `json:"whole"`
 	Hosts    []standin.Host `json:"hosts"`
 	Settings []any          `json:"settings"`
 }
 
-const firstVersion = 1 // of the list at the start
+// initialVersion is the version of the list at the start.
+const initialVersion = 1
 
-func (c *cluster) knownFile() string { return filepath.Join(c.dir, "known.json") }
+func (c *cluster) initialListFile() string { return filepath.Join(c.dir, "known.json") }
 
-// forget makes dispatchers that start from now on do so without a list.
-func (c *cluster) forget() { c.known = nil }
+// forgetInitialList makes dispatchers that start from now on do so without a list.
+func (c *cluster) forgetInitialList() { c.initialList = nil }
 
-// processes is how many there are, this one included.
-func (c *cluster) processes() int { return len(c.relays) + len(c.holders) + len(c.reals) + 2 }
+// processes returns the number of processes, this one included.
+func (c *cluster) processes() int { return len(c.relays) + len(c.hollowProcesses) + len(c.daemons) + 2 }
 
-// startRelays starts a relay for each zone, and a link from every zone to each.
+// startRelays starts a relay for each zone, and opens a link from every zone to each.
 func (c *cluster) startRelays() error {
 	for zone := range c.scenario.Zones {
-		up, err := c.network.open(zone, originZone, originName, c.origin.addr, relayName(zone))
+		upstream, err := c.network.open(zone, originZone, originName, c.origin.address, relayName(zone))
 		if err != nil {
 			return err
 		}
-		addr, err := c.startRelay(zone, up.addr)
+		addr, err := c.startRelay(zone, upstream.addr)
 		if err != nil {
 			return err
 		}
-		for from := range c.scenario.Zones {
-			if _, err := c.network.open(from, zone, relayName(zone), addr, ""); err != nil {
+		for fromZone := range c.scenario.Zones {
+			if _, err := c.network.open(fromZone, zone, relayName(zone), addr, ""); err != nil {
 				return err
 			}
 		}
@@ -154,9 +171,9 @@
 	return nil
 }
 
-func (c *cluster) startRelay(zone int, up string) (addr string, err error) {
+func (c *cluster) startRelay(zone int, upstreamAddress string) (addr string, err error) {
 	name := relayName(zone)
-	cmd, err := relayCommand(c.programs.Relay, c.dir, name, ZoneName(zone), up, c.scenario.LogChanges)
+	cmd, err := relayCommand(c.programs.Relay, c.dir, name, ZoneName(zone), upstreamAddress, c.scenario.LogChanges)
 	if err != nil {
 		return "", err
 	}
@@ -169,11 +186,11 @@
 	return addr, nil
 }
 
-// restartRelay starts a zone's relay anew, at another address.
+// restartRelay starts a zone's relay again, at another address.
 func (c *cluster) restartRelay(zone int) error {
-	for _, p := range c.network.paths {
-		if p.client == relayName(zone) {
-			addr, err := c.startRelay(zone, p.addr)
+	for _, link := range c.network.paths {
+		if link.client == relayName(zone) {
+			addr, err := c.startRelay(zone, link.addr)
 			if err == nil {
 				c.network.retarget(relayName(zone), addr)
 			}
@@ -183,226 +200,244 @@
 	return errors.New("no such relay")
 }
 
+// killRelay kills a zone's relay, if it runs.
 func (c *cluster) killRelay(zone int) {
 	if relay := c.relays[zone]; relay != nil {
-		c.meter.leave(relayName(zone))
+		c.meter.unfollow(relayName(zone))
 		relay.kill()
 		delete(c.relays, zone)
 	}
 }
 
-// hears is where a dispatcher of a zone hears of changes.
-func (c *cluster) hears(name string, zone int) (up upstream, err error) {
+// upstreamOf returns where a dispatcher of a zone gets changes from.
+func (c *cluster) upstreamOf(name string, zone int) (found upstream, err error) {
 	if c.mechanism == ByDiscovery {
-		p, err := c.discoveryPath(name, zone)
+		link, err := c.discoveryPath(name, zone)
 		if err != nil {
-			return up, err
+			return found, err
 		}
-		up.discovery = p.addr
-		return up, nil
+		found.discovery = link.addr
+		return found, nil
 	}
 	for _, p := range c.network.paths {
-		if p.from == zone && p.client == "" {
-			up.servers = append(up.servers, membership.Server{Zone: ZoneName(p.to), Address: p.addr})
+		if p.fromZone == zone && p.client == "" {
+			found.servers = append(found.servers, membership.Server{Zone: ZoneName(p.toZone), Address: p.addr})
 		}
 	}
-	return up, nil
+	return found, nil
 }
 
-// discoveryPath is a dispatcher's own link to the origin, which it keeps over a restart.
+// discoveryPath returns a dispatcher's own link to the origin, which it keeps over a restart.
 func (c *cluster) discoveryPath(name string, zone int) (*path, error) {
-	for _, p := range c.network.paths {
-		if p.client == name {
-			return p, nil
+	for _, link := range c.network.paths {
+		if link.client == name {
+			return link, nil
 		}
 	}
-	return c.network.open(zone, originZone, originName, c.origin.addr, name)
+	return c.network.open(zone, originZone, originName, c.origin.address, name)
 }
 
-// hollows are the hollow dispatchers of a zone, by number.
-func (c *cluster) hollows(zone int) (list []int) {
+// hollowNumbers returns the numbers of the hollow dispatchers of a zone.
+func (c *cluster) hollowNumbers(zone int) (numbers []int) {
 	for i := range c.scenario.Dispatchers {
-		if zoneOf(i, c.scenario.Zones) == zone {
-			list = append(list, i)
+		if hollowZone(i, c.scenario.Zones) == zone {
+			numbers = append(numbers, i)
 		}
 	}
-	return list
+	return numbers
 }
 
-// dispatchers are all dispatchers of a zone that report what they have in force.
-func (c *cluster) dispatchers(zone int) (names []string) {
-	for _, i := range c.hollows(zone) {
+// hollowNames returns the names of the hollow dispatchers of a zone.
+func (c *cluster) hollowNames(zone int) (names []string) {
+	for _, i := range c.hollowNumbers(zone) {
 		names = append(names, hollowName(i))
 	}
 	return names
 }
 
-func (c *cluster) startHolder(zone int) error {
-	list := c.hollows(zone)
-	if len(list) == 0 {
+// startHollowProcess starts the process of the hollow dispatchers of a zone, if it has any.
+func (c *cluster) startHollowProcess(zone int) error {
+	numbers := c.hollowNumbers(zone)
+	if len(numbers) == 0 {
 		return nil
 	}
-	s := c.scenario
-	config := hollowConfig{Settings: dispatcherSettings(s, c.plan.Zones, zone), Zone: ZoneName(zone),
-		Seed: s.Seed + uint64(zone)<<32, MemoryMB: s.MemoryMB, Traffic: s.Traffic, Entries: s.Entries}
-	if c.known != nil {
-		config.Known = c.knownFile()
+	scenario := c.scenario
+	config := hollowConfig{
+		Settings:     dispatcherSettings(scenario, c.plan.Zones, zone),
+		Zone:         ZoneName(zone),
+		Seed:         scenario.Seed + uint64(zone)<<32,
+		MemoryMB:     scenario.MemoryMB,
+		Traffic:      scenario.Traffic,
+		CountEntries: scenario.CountEntries,
+	}
+	if c.initialList != nil {
+		config.InitialListFile = c.initialListFile()
 	}
 	var names []string
-	for _, i := range list {
+	for _, i := range numbers {
 		name := hollowName(i)
-		up, err := c.hears(name, zone)
+		source, err := c.upstreamOf(name, zone)
 		if err != nil {
 			return err
 		}
 		names = append(names, name)
-		config.Dispatchers = append(config.Dispatchers, hollowDispatcher{Name: name, Discovery: up.discovery, Servers: up.servers})
+		config.Dispatchers = append(config.Dispatchers, hollowDispatcher{Name: name, Discovery: source.discovery, Servers: source.servers})
 	}
-	holder, err := startChild(holderName(zone), c.command(c.programs.Hollow), func(line []byte) { c.heard(names, line) })
+	process, err := startChild(hollowProcessName(zone), c.command(c.programs.Hollow), func(line []byte) { c.onReport(names, line) })
 	if err != nil {
 		return err
 	}
-	c.holders[zone] = holder
-	c.meter.follow(holderName(zone), holder.pid())
-	return holder.tell(config)
+	c.hollowProcesses[zone] = process
+	c.meter.follow(hollowProcessName(zone), process.pid())
+	return process.send(config)
 }
 
-// heard takes in a report of hollow dispatchers.
-func (c *cluster) heard(names []string, line []byte) {
-	var r hollowReport
-	if err := json.Unmarshal(line, &r); err != nil {
-		r.Error = fmt.Sprintf("a hollow dispatcher's report: %v", err)
-	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, a := range r.Applied {
-		if a.Version > 0 {
-			c.tracker.applied(names[a.Dispatcher], a.Version, a.At)
+// onReport handles a report of the hollow dispatchers with the names.
+func (c *cluster) onReport(names []string, line []byte) {
+	var report hollowReport
+	if err := json.Unmarshal(line, &report); err != nil {
+		report.Error = fmt.Sprintf("a hollow dispatcher's report: %v", err)
+	}
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	for _, applied := range report.Applied {
+		if applied.Version > 0 {
+			c.tracker.recordApplied(names[applied.Dispatcher], applied.Version, applied.At)
 		}
 	}
-	if r.Traffic != nil {
-		c.counts.add(*r.Traffic)
+	if report.Traffic != nil {
+		c.traffic.add(*report.Traffic)
 	}
-	if r.Own != nil {
-		c.own.add(*r.Own)
-		c.answers++
+	if report.Own != nil {
+		c.ownCounts.add(*report.Own)
+		c.ownReports++
 	}
-	if r.Error != "" {
-		c.errs = append(c.errs, errors.New(r.Error))
+	if report.Error != "" {
+		c.errs = append(c.errs, errors.New(report.Error))
 	}
 }
 
-func (c *cluster) startReal(i int) error {
-	s, name, zone := c.scenario, realName(i), realZone(i, c.scenario.Zones)
-	up, err := c.hears(name, zone)
+// startDaemon starts a real daemon.
+func (c *cluster) startDaemon(number int) error {
+	scenario := c.scenario
+	name := daemonName(number)
+	zone := daemonZone(number, scenario.Zones)
+	source, err := c.upstreamOf(name, zone)
 	if err != nil {
 		return err
 	}
-	config := daemonConfig{Name: name, Limits: daemonLimits{MemoryMB: s.MemoryMB}, Known: c.known, Settings: dispatcherSettings(s, c.plan.Zones, zone)}
-	cmd, err := daemonCommand(c.programs.Daemon, c.dir, ZoneName(zone), config, up)
+	config := daemonConfig{
+		Name:     name,
+		Limits:   daemonLimits{MemoryMB: scenario.MemoryMB},
+		Known:    c.initialList,
+		Settings: dispatcherSettings(scenario, c.plan.Zones, zone),
+	}
+	cmd, err := daemonCommand(c.programs.Daemon, c.dir, ZoneName(zone), config, source)
 	if err != nil {
 		return err
 	}
-	real, err := startChild(name, cmd, nil)
+	process, err := startChild(name, cmd, nil)
 	if err != nil {
 		return err
 	}
-	c.reals[i] = real
-	c.meter.follow(name, real.pid())
+	c.daemons[number] = process
+	c.meter.follow(name, process.pid())
 	return nil
 }
 
-// restartZone kills a zone's dispatchers and starts them anew.
+// restartZone kills a zone's dispatchers and starts them again.
 func (c *cluster) restartZone(zone int) error {
-	if holder := c.holders[zone]; holder != nil {
-		c.meter.leave(holderName(zone))
-		holder.kill()
+	if process := c.hollowProcesses[zone]; process != nil {
+		c.meter.unfollow(hollowProcessName(zone))
+		process.kill()
 	}
-	if err := c.startHolder(zone); err != nil {
+	if err := c.startHollowProcess(zone); err != nil {
 		return err
 	}
-	for i, real := range c.reals {
-		if realZone(i, c.scenario.Zones) != zone {
+	for i, process := range c.daemons {
+		if daemonZone(i, c.scenario.Zones) != zone {
 			continue
 		}
-		c.meter.leave(realName(i))
-		real.kill()
-		if err := c.startReal(i); err != nil {
+		c.meter.unfollow(daemonName(i))
+		process.kill()
+		if err := c.startDaemon(i); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// ended names a process that has ended by itself.
-func (c *cluster) ended() error {
-	for _, group := range []map[int]*child{c.relays, c.holders, c.reals} {
-		for _, p := range group {
+// childError returns an error if a process has ended by itself or reported an error.
+func (c *cluster) childError() error {
+	for _, group := range []map[int]*child{c.relays, c.hollowProcesses, c.daemons} {
+		for _, process := range group {
 			select {
-			case <-p.ended:
-				return fmt.Errorf("%s has ended: %s", p.name, strings.TrimSpace(p.stderr.String()))
+			case <-process.exited:
+				return fmt.Errorf("%s has ended: %s", process.name, strings.TrimSpace(process.stderr.String()))
 			default:
 			}
 		}
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	return errors.Join(c.errs...)
 }
 
 // sample reads all meters.
 func (c *cluster) sample() sample {
-	s := c.meter.read()
-	s.bytes = c.network.book.totals()
-	s.sent, s.open = c.network.load()
-	return s
+	taken := c.meter.read()
+	taken.clientBytes = c.network.ledger.totals()
+	taken.sentBytes, taken.connections = c.network.serverLoad()
+	return taken
 }
 
-// behind is how many reachable dispatchers lack a version.
-func (c *cluster) behind(version int64) (n int) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+// countBehind returns how many reachable hollow dispatchers lack a version.
+func (c *cluster) countBehind(version int64) (count int) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	for i := range c.scenario.Dispatchers {
-		if has, reachable := c.tracker.current(hollowName(i)); reachable && has < version {
-			n++
+		if current, reachable := c.tracker.current(hollowName(i)); reachable && current < version {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// heardNothing is how many real daemons have had no byte yet.
-func (c *cluster) heardNothing() (n int) {
-	totals := c.network.book.totals()
-	for i := range c.scenario.Real {
-		if totals[realName(i)] == 0 {
-			n++
+// silentDaemons returns how many daemons have not received a byte yet.
+func (c *cluster) silentDaemons() (count int) {
+	totals := c.network.ledger.totals()
+	for i := range c.scenario.Daemons {
+		if totals[daemonName(i)] == 0 {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// countOwn asks all processes with hollow dispatchers for what they have counted.
-func (c *cluster) countOwn(ctx context.Context) (ownCounts, error) {
-	c.mu.Lock()
-	c.own, c.answers = ownCounts{}, 0
-	c.mu.Unlock()
-	for _, holder := range c.holders {
-		if err := holder.tell("counts"); err != nil {
+// collectOwnCounts requests the counts of all processes of hollow dispatchers and returns their sum.
+func (c *cluster) collectOwnCounts(ctx context.Context) (ownCounts, error) {
+	c.mutex.Lock()
+	c.ownCounts = ownCounts{}
+	c.ownReports = 0
+	c.mutex.Unlock()
+	for _, process := range c.hollowProcesses {
+		if err := process.send("counts"); err != nil {
 			return ownCounts{}, err
 		}
 	}
 	for {
-		c.mu.Lock()
-		own, answers := c.own, c.answers
-		c.mu.Unlock()
-		if answers >= len(c.holders) {
-			return own, nil
+		c.mutex.Lock()
+		counts := c.ownCounts
+		reports := c.ownReports
+		c.mutex.Unlock()
+		if reports >= len(c.hollowProcesses) {
+			return counts, nil
 		}
-		if err := c.ended(); err != nil {
-			return own, err
+		if err := c.childError(); err != nil {
+			return counts, err
 		}
-		if err := pause(ctx, waitStep); err != nil {
-			return own, err
+		if err := sleep(ctx, pollInterval); err != nil {
+			return counts, err
 		}
 	}
 }
@@ -410,21 +445,21 @@
 // close ends all processes by their ids.
 func (c *cluster) close() {
 	var all []*child
-	for _, group := range []map[int]*child{c.reals, c.holders, c.relays} {
-		for _, p := range group {
-			all = append(all, p)
+	for _, group := range []map[int]*child{c.daemons, c.hollowProcesses, c.relays} {
+		for _, process := range group {
+			all = append(all, process)
 		}
 	}
 	if c.origin != nil {
 		all = append(all, c.origin.child)
 	}
-	var done sync.WaitGroup
+	var stopping sync.WaitGroup
 	for _, p := range all {
-		done.Go(p.stop)
+		stopping.Go(p.stop)
 	}
-	done.Wait()
+	stopping.Wait()
 	c.network.close()
 }
 
-// unixNow is the clock that all reports are stamped by.
+// unixNow is the clock of all reports.
 func unixNow() time.Duration { return time.Duration(time.Now().UnixNano()) }
--- a/internal/rehearsal/scale/driver.go
+++ b/internal/rehearsal/scale/driver.go
@@ -10,142 +10,156 @@
 	"hollyyoke.example/hollyyoke/internal/eventloop"
 )
 
-// This file owns the requests that a hollow dispatcher is asked for and the
-// workers that serve them, neither of which has a socket. It belongs to the
-// loop's goroutine.
-
-// driver hands requests to one dispatcher, open loop.
+// driver sends requests to one dispatcher as an open loop, without sockets. It belongs to the loop's goroutine.
 type driver struct {
-	core    *dispatch.Dispatcher
-	traffic Traffic
-	random  *rand.Rand
-	count   func(more trafficCounts)
-	due     eventloop.Deadline
-	next    time.Duration
-	told    time.Duration
-	before  dispatch.Counts
-	busy    time.Duration
-	number  uint64
+	core        *dispatch.Dispatcher
+	traffic     Traffic
+	random      *rand.Rand
+	onCounts    func(more trafficCounts)
+	arrivalDue  eventloop.Deadline
+	nextArrival time.Duration
+	reportedAt  time.Duration
+	reported    dispatch.Counts // at the last report
+	acceptTime  time.Duration   // spent in accepting requests since the last report
+	lastToken   uint64
 }
 
-func newDriver(c *dispatch.Dispatcher, traffic Traffic, random *rand.Rand, count func(trafficCounts)) *driver {
-	d := &driver{core: c, traffic: traffic, random: random, count: count}
-	d.due.Fire = d.arrive
-	c.ClientOverride = &hollowCarrier{core: c, running: map[uint64]*hollowJob{}}
-	return d
+func newDriver(core *dispatch.Dispatcher, traffic Traffic, random *rand.Rand, onCounts func(trafficCounts)) *driver {
+	started := &driver{core: core, traffic: traffic, random: random, onCounts: onCounts}
+	started.arrivalDue.Fire = started.arrivals
+	core.ClientOverride = &hollowWorkers{core: core, running: map[uint64]*hollowAttempt{}}
+	return started
 }
 
-// start waits until the dispatcher has a list, so that a start is not taken for an overload.
+// start waits until the dispatcher has workers, so that its start does not look like an overload.
 func (d *driver) start() {
 	loop := d.core.Loop
 	if d.core.ReadyWorkers() == 0 {
-		loop.After(trafficStep, d.start)
+		loop.After(trafficReportInterval, d.start)
 		return
 	}
-	d.next, d.told = loop.Now(), loop.Now()
-	d.arrive()
+	now := loop.Now()
+	d.nextArrival = now
+	d.reportedAt = now
+	d.arrivals()
 }
 
-func (d *driver) arrive() {
+// arrivals submits the requests that are due.
+func (d *driver) arrivals() {
 	loop := d.core.Loop
-	for now := loop.Now(); d.next <= now; {
-		began := time.Now()
-		d.take()
-		d.busy += time.Since(began)
-		d.next += time.Duration(d.random.ExpFloat64() / d.traffic.RatePerS * float64(time.Second))
+	arrivedUntil := loop.Now()
+	for d.nextArrival <= arrivedUntil {
+		startedAt := time.Now()
+		d.submit()
+		d.acceptTime += time.Since(startedAt)
+		d.nextArrival += time.Duration(d.random.ExpFloat64() / d.traffic.RatePerS * float64(time.Second))
 	}
-	if now := loop.Now(); now >= d.told+trafficStep {
-		d.told = now
-		d.tell()
+	now := loop.Now()
+	if now >= d.reportedAt+trafficReportInterval {
+		d.reportedAt = now
+		d.report()
 	}
-	loop.Set(&d.due, d.next)
+	loop.Set(&d.arrivalDue, d.nextArrival)
 }
 
-func (d *driver) take() {
-	d.number++
+// submit sends one request to the dispatcher.
+func (d *driver) submit() {
+	d.lastToken++
 	work := time.Duration(d.traffic.WorkMs * d.random.ExpFloat64() * float64(time.Millisecond))
-	d.core.Accept(d, d.number, dispatch.Request{
-		ID:    strconv.FormatUint(d.number, 36),
-		Class: int(d.number % 2),
+	d.core.Accept(d, d.lastToken, dispatch.Request{
+		ID:    strconv.FormatUint(d.lastToken, 36),
+		Class: int(d.lastToken % 2),
 		Key:   strconv.FormatUint(d.random.Uint64N(10_000), 36),
 		Slots: 1,
 		Work:  max(work, time.Millisecond),
 	})
 }
 
-// Respond is told of each final answer; the core counts them.
+// Respond does nothing: the dispatcher counts its answers.
 func (d *driver) Respond(uint64, dispatch.Response) {}
 
-func (d *driver) tell() {
-	now, before := d.core.Counts(), d.before
-	d.count(trafficCounts{Taken: now.Accepted - before.Accepted, Served: now.Served - before.Served, Refused: now.Rejected - before.Rejected,
-		Failed: now.Failed - before.Failed, Attempts: now.Attempts - before.Attempts, Busy: d.busy})
-	d.before, d.busy = now, 0
+// report passes on the counts since the last report.
+func (d *driver) report() {
+	current := d.core.Counts()
+	previous := d.reported
+	d.onCounts(trafficCounts{
+		Accepted:   current.Accepted - previous.Accepted,
+		Served:     current.Served - previous.Served,
+		Rejected:   current.Rejected - previous.Rejected,
+		Failed:     current.Failed - previous.Failed,
+		Attempts:   current.Attempts - previous.Attempts,
+		AcceptTime: d.acceptTime,
+	})
+	d.reported = current
+	d.acceptTime = 0
 }
 
-// hollowCarrier takes attempts to workers that are not there: each starts at
-// once, takes as long as its work says and reports the worker's load.
-type hollowCarrier struct {
-	core    *dispatch.Dispatcher
-	running map[uint64]*hollowJob
-	busy    map[string]int // jobs of this dispatcher at each worker
+var _ dispatch.WorkerClient = (*hollowWorkers)(nil)
+
+// hollowWorkers is a dispatch.WorkerClient without workers: each attempt starts at once, takes as long as its work,
+// and reports the worker's load.
+type hollowWorkers struct {
+	core             *dispatch.Dispatcher
+	running          map[uint64]*hollowAttempt
+	attemptsByWorker map[string]int // running attempts of this dispatcher
 }
 
-// hollowJob is one attempt under way.
-type hollowJob struct {
+// hollowAttempt is a running attempt.
+type hollowAttempt struct {
 	worker string
-	due    eventloop.Deadline
+	end    eventloop.Deadline
 }
 
-// Start begins with an attempt.
-func (h *hollowCarrier) Start(a dispatch.Attempt) {
-	if h.busy == nil {
-		h.busy = map[string]int{}
+// Start starts an attempt.
+func (h *hollowWorkers) Start(attempt dispatch.Attempt) {
+	if h.attemptsByWorker == nil {
+		h.attemptsByWorker = map[string]int{}
 	}
-	job := &hollowJob{worker: a.Worker}
-	job.due.Fire = func() { h.end(a.Handle, job) }
-	h.running[a.Handle] = job
-	h.busy[job.worker]++
+	running := &hollowAttempt{worker: attempt.Worker}
+	running.end.Fire = func() { h.end(attempt.Handle, running) }
+	h.running[attempt.Handle] = running
+	h.attemptsByWorker[running.worker]++
 	loop := h.core.Loop
 	loop.Post(func() {
-		h.core.AttemptSent(a.Handle)
-		h.core.AttemptStarted(a.Handle)
+		h.core.AttemptSent(attempt.Handle)
+		h.core.AttemptStarted(attempt.Handle)
 	})
-	loop.Set(&job.due, loop.Now()+a.Request.Work)
+	loop.Set(&running.end, loop.Now()+attempt.Request.Work)
 }
 
-func (h *hollowCarrier) end(handle uint64, job *hollowJob) {
-	h.drop(handle, job)
-	free := float64(machineSlots - h.busy[job.worker])
+func (h *hollowWorkers) end(handle uint64, ended *hollowAttempt) {
+	h.remove(handle, ended)
+	free := float64(machineSlots - h.attemptsByWorker[ended.worker])
 	h.core.AttemptEnded(handle, decision.Completed, decision.LoadReport{FreeSlots: max(free, 0), HasFreeSlots: true}, nil)
 }
 
-func (h *hollowCarrier) drop(handle uint64, job *hollowJob) {
+func (h *hollowWorkers) remove(handle uint64, ended *hollowAttempt) {
 	delete(h.running, handle)
-	if h.busy[job.worker]--; h.busy[job.worker] <= 0 {
-		delete(h.busy, job.worker)
+	h.attemptsByWorker[ended.worker]--
+	if h.attemptsByWorker[ended.worker] <= 0 {
+		delete(h.attemptsByWorker, ended.worker)
 	}
 }
 
-// Cancel gives an attempt up, which has begun by then.
-func (h *hollowCarrier) Cancel(handle uint64) (neverRan bool) {
-	if job := h.running[handle]; job != nil {
-		h.core.Loop.Clear(&job.due)
-		h.drop(handle, job)
+// Cancel cancels an attempt, which has begun by then.
+func (h *hollowWorkers) Cancel(handle uint64) (neverRan bool) {
+	if cancelled := h.running[handle]; cancelled != nil {
+		h.core.Loop.Clear(&cancelled.end)
+		h.remove(handle, cancelled)
 	}
 	return false
 }
 
-// CloseIdle has no connections to close.
-func (h *hollowCarrier) CloseIdle(string) {}
+// CloseIdle does nothing: there are no connections.
+func (h *hollowWorkers) CloseIdle(string) {}
 
-// CheckHealth answers with the load that this dispatcher knows of.
-func (h *hollowCarrier) CheckHealth(worker string) {
-	free := float64(machineSlots - h.busy[worker])
+// CheckHealth reports the load that this dispatcher's attempts cause.
+func (h *hollowWorkers) CheckHealth(worker string) {
+	free := float64(machineSlots - h.attemptsByWorker[worker])
 	h.core.Loop.Post(func() {
 		h.core.HealthChecked(worker, decision.Completed, decision.LoadReport{FreeSlots: max(free, 0), HasFreeSlots: true})
 	})
 }
 
-// Subscribe is the sources' matter.
-func (h *hollowCarrier) Subscribe() {}
+// Subscribe does nothing: the registry subscribes.
+func (h *hollowWorkers) Subscribe() {}
--- a/internal/rehearsal/scale/golden_test.go
+++ b/internal/rehearsal/scale/golden_test.go
@@ -11,7 +11,7 @@
 	"hollyyoke.example/hollyyoke/internal/goldentest"
 )
 
-// Keys of scenario files, and what the committed ones say with their defaults.
+// Keys of scenario files, and the committed ones with their defaults.
 func TestGoldenScenarios(t *testing.T) {
 	lines := goldentest.Keys(reflect.TypeFor[Scenario](), "toml")
 	paths, err := filepath.Glob(filepath.Join("../../../deploy/scenarios/scale", "*.toml"))
@@ -36,23 +36,23 @@
 	goldentest.Compare(t, "scenarios.golden", goldentest.Lines(lines))
 }
 
-// What the daemon, the origin's clients and the readers of results are told. What
-// the program and its own children tell each other is no outside form.
+// JSON keys of messages to the daemon and the origin's clients, and of results. Messages between this program and its
+// children are internal.
 func TestGoldenMessages(t *testing.T) {
 	for file, of := range map[string]reflect.Type{
 		"daemon-config": reflect.TypeFor[daemonConfig](),
-		"known-list":    reflect.TypeFor[knownList](), "listing": reflect.TypeFor[listing](), "record": reflect.TypeFor[Record](),
+		"known-list":    reflect.TypeFor[initialList](), "listing": reflect.TypeFor[listing](), "record": reflect.TypeFor[Record](),
 		"figure": reflect.TypeFor[Figure](),
 	} {
 		goldentest.Compare(t, filepath.Join("json", file+".golden"), goldentest.Lines(goldentest.Keys(of, "json")))
 	}
-	goldentest.Compare(t, filepath.Join("json", "settings.golden"), string(dispatcherSettings(&Scenario{Dispatchers: 3, Real: 2, WarmAfterS: 1.5}, []string{"a", "b"}, 1))+"\n")
+	goldentest.Compare(t, filepath.Join("json", "settings.golden"), string(dispatcherSettings(&Scenario{Dispatchers: 3, Daemons: 2, SlowStartS: 1.5}, []string{"a", "b"}, 1))+"\n")
 }
 
 // The kinds and mechanisms that scenario files name.
 func TestGoldenKinds(t *testing.T) {
 	lines := []string{"mechanism " + string(ByDiscovery), "mechanism " + string(ByRelays)}
-	for _, kind := range kinds {
+	for _, kind := range eventKinds {
 		lines = append(lines, "event "+string(kind))
 	}
 	goldentest.Compare(t, "kinds.golden", goldentest.Lines(lines))
--- a/internal/rehearsal/scale/link.go
+++ b/internal/rehearsal/scale/link.go
@@ -7,84 +7,92 @@
 	"sync/atomic"
 )
 
-// This file owns links: loopback proxies through which all control traffic goes.
-// A link counts the bytes of each client, and can be cut as a network is: what is
-// open falls silent, and what is new never comes up. It must never change a byte.
-
-// traffic counts the bytes of one client, both ways.
-type traffic struct{ down, up atomic.Int64 }
+// clientTraffic counts the bytes of one client.
+type clientTraffic struct {
+	bytesDown atomic.Int64 // to the client
+	bytesUp   atomic.Int64 // from the client
+}
 
-// ledger holds the traffic of all clients by name.
+// ledger counts the traffic of all clients by name. It is safe for concurrent use.
 type ledger struct {
-	mu     sync.Mutex
-	byName map[string]*traffic
+	mutex  sync.Mutex
+	byName map[string]*clientTraffic
 }
 
-func (l *ledger) of(name string) *traffic {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// client returns the counters of a client.
+func (l *ledger) client(name string) *clientTraffic {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
 	if l.byName == nil {
-		l.byName = map[string]*traffic{}
+		l.byName = map[string]*clientTraffic{}
 	}
-	t := l.byName[name]
-	if t == nil {
-		t = &traffic{}
-		l.byName[name] = t
+	counted := l.byName[name]
+	if counted == nil {
+		counted = &clientTraffic{}
+		l.byName[name] = counted
 	}
-	return t
+	return counted
 }
 
-// totals is a copy of all counts: bytes both ways by name.
+// totals returns the bytes of each client, both ways together.
 func (l *ledger) totals() map[string]int64 {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
 	totals := make(map[string]int64, len(l.byName))
-	for name, t := range l.byName {
-		totals[name] = t.down.Load() + t.up.Load()
+	for name, counted := range l.byName {
+		totals[name] = counted.bytesDown.Load() + counted.bytesUp.Load()
 	}
 	return totals
 }
 
-// link is one proxy.
+// link is a loopback proxy that forwards control traffic unchanged. It counts the bytes of each client, and can be cut
+// like a network: open connections fall silent and new ones are not served. It is safe for concurrent use.
 type link struct {
 	addr   string
 	ledger *ledger
-	client string // whose traffic it is; "": each request names its client
+	client string // whose traffic it is; empty: each request names its client
 
-	listener net.Listener
-	sent     atomic.Int64 // bytes that the server has sent
-	open     atomic.Int64 // connections
+	listener    net.Listener
+	sent        atomic.Int64 // bytes sent by the server
+	connections atomic.Int64 // connections
 
-	mu     sync.Mutex
+	mutex  sync.Mutex
 	target string
 	cut    bool
 	conns  map[net.Conn]struct{}
-	healed chan struct{} // closed when the link is whole
+	healed chan struct{} // closed while the link is not cut
 }
 
-func newLink(target, client string, book *ledger) (*link, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+func newLink(target, client string, ledger *ledger) (*link, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	l := &link{addr: ln.Addr().String(), ledger: book, client: client, listener: ln, target: target,
-		conns: map[net.Conn]struct{}{}, healed: make(chan struct{})}
-	close(l.healed)
-	go l.accept()
-	return l, nil
+	started := &link{
+		addr:     listener.Addr().String(),
+		ledger:   ledger,
+		client:   client,
+		listener: listener,
+		target:   target,
+		conns:    map[net.Conn]struct{}{},
+		healed:   make(chan struct{}),
+	}
+	close(started.healed)
+	go started.accept()
+	return started, nil
 }
 
-// aim sets the server.
-func (l *link) aim(target string) {
-	l.mu.Lock()
+// setTarget sets the server.
+func (l *link) setTarget(target string) {
+	l.mutex.Lock()
 	l.target = target
-	l.mu.Unlock()
+	l.mutex.Unlock()
 }
 
-// setCut cuts the link or heals it. What was open when it was cut is reset then.
+// setCut cuts the link or heals it. Healing resets the connections that were open or accepted while it was cut.
 func (l *link) setCut(cut bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
 	if l.cut == cut {
 		return
 	}
@@ -106,11 +114,12 @@
 func (l *link) close() {
 	l.listener.Close()
 	l.setCut(false)
-	l.mu.Lock()
+	l.mutex.Lock()
 	l.closeAll()
-	l.mu.Unlock()
+	l.mutex.Unlock()
 }
 
+// accept serves connections until the listener is closed.
 func (l *link) accept() {
 	for {
 		conn, err := l.listener.Accept()
@@ -121,82 +130,84 @@
 	}
 }
 
-func (l *link) keep(conn net.Conn) {
-	l.mu.Lock()
+func (l *link) track(conn net.Conn) {
+	l.mutex.Lock()
 	l.conns[conn] = struct{}{}
-	l.mu.Unlock()
+	l.mutex.Unlock()
 }
 
-func (l *link) drop(conn net.Conn) {
+func (l *link) untrack(conn net.Conn) {
 	conn.Close()
-	l.mu.Lock()
+	l.mutex.Lock()
 	delete(l.conns, conn)
-	l.mu.Unlock()
+	l.mutex.Unlock()
 }
 
-// whole waits until the link is whole; false: it was cut meanwhile.
-func (l *link) whole() (target string, whole bool) {
-	l.mu.Lock()
-	healed, cut := l.healed, l.cut
+// waitHealed waits until the link is not cut. uncut is false if it had to wait.
+func (l *link) waitHealed() (target string, uncut bool) {
+	l.mutex.Lock()
+	healed := l.healed
+	cut := l.cut
 	target = l.target
-	l.mu.Unlock()
+	l.mutex.Unlock()
 	<-healed
 	return target, !cut
 }
 
-// serve carries one connection. One that came while the link was cut ends when it heals.
+// serve forwards one connection. One that was accepted while the link was cut ends when it heals.
 func (l *link) serve(client net.Conn) {
-	l.keep(client)
-	defer l.drop(client)
-	target, whole := l.whole()
-	if !whole {
+	l.track(client)
+	defer l.untrack(client)
+	target, uncut := l.waitHealed()
+	if !uncut {
 		return
 	}
 	server, err := net.Dial("tcp", target)
 	if err != nil {
 		return
 	}
-	l.keep(server)
-	defer l.drop(server)
-	l.open.Add(1)
-	defer l.open.Add(-1)
-	var book atomic.Pointer[traffic]
+	l.track(server)
+	defer l.untrack(server)
+	l.connections.Add(1)
+	defer l.connections.Add(-1)
+	var counted atomic.Pointer[clientTraffic]
 	if l.client != "" {
-		book.Store(l.ledger.of(l.client))
+		counted.Store(l.ledger.client(l.client))
 	}
 	go func() {
 		defer server.Close()
 		defer client.Close()
-		l.pump(server, client, func(p []byte) {
-			if name := clientName(p); l.client == "" && name != "" {
-				book.Store(l.ledger.of(name))
+		l.forward(server, client, func(data []byte) {
+			if name := clientName(data); l.client == "" && name != "" {
+				counted.Store(l.ledger.client(name))
 			}
-			if t := book.Load(); t != nil {
-				t.up.Add(int64(len(p)))
+			if counter := counted.Load(); counter != nil {
+				counter.bytesUp.Add(int64(len(data)))
 			}
 		})
 	}()
-	l.pump(client, server, func(p []byte) {
-		l.sent.Add(int64(len(p)))
-		if t := book.Load(); t != nil {
-			t.down.Add(int64(len(p)))
+	l.forward(client, server, func(data []byte) {
+		l.sent.Add(int64(len(data)))
+		if counter := counted.Load(); counter != nil {
+			counter.bytesDown.Add(int64(len(data)))
 		}
 	})
 }
 
-const pumpSize = 16 << 10
+// forwardBufferSize is the size of the buffer for each direction, in bytes.
+const forwardBufferSize = 16 << 10
 
-// pump copies one way until either end closes, and holds what comes while the link is cut.
-func (l *link) pump(to, from net.Conn, count func([]byte)) {
-	buffer := make([]byte, pumpSize)
+// forward copies one way until either end closes. Data that is read while the link is cut is not forwarded.
+func (l *link) forward(destination, source net.Conn, onData func([]byte)) {
+	buffer := make([]byte, forwardBufferSize)
 	for {
-		n, err := from.Read(buffer)
+		n, err := source.Read(buffer)
 		if n > 0 {
-			if _, whole := l.whole(); !whole {
+			if _, uncut := l.waitHealed(); !uncut {
 				return
 			}
-			count(buffer[:n])
-			if _, err := to.Write(buffer[:n]); err != nil {
+			onData(buffer[:n])
+			if _, err := destination.Write(buffer[:n]); err != nil {
 				return
 			}
 		}
@@ -206,11 +217,11 @@
 	}
 }
 
-// clientName is the name that a request carries in its query, if it does.
-func clientName(p []byte) string {
-	line, _, _ := bytes.Cut(p, []byte("\r\n"))
-	for _, mark := range []string{"?name=", "&name="} {
-		if _, rest, ok := bytes.Cut(line, []byte(mark)); ok {
+// clientName returns the name in the query of a request, or "".
+func clientName(data []byte) string {
+	line, _, _ := bytes.Cut(data, []byte("\r\n"))
+	for _, key := range []string{"?name=", "&name="} {
+		if _, rest, found := bytes.Cut(line, []byte(key)); found {
 			end := bytes.IndexAny(rest, "& ")
 			if end >= 0 {
 				return string(rest[:end])
--- a/internal/rehearsal/scale/meter.go
+++ b/internal/rehearsal/scale/meter.go
@@ -10,109 +10,112 @@
 	"golang.org/x/sys/unix"
 )
 
-// This file owns metering: once a second it reads from outside what each process
-// has used, and what the links have carried.
-
 // usage is what a process has used so far.
 type usage struct {
-	cpu      time.Duration
-	resident int64 // bytes
-	peak     int64
+	cpu          time.Duration
+	resident     int64 // bytes
+	peakResident int64
 }
 
-// readUsage asks the system about a process.
-func readUsage(pid int) (u usage, err error) {
-	// The processor-time clock of another process, as clock_getcpuclockid(3)
-	// makes it: /proc/PID/stat tells the same in steps of 10 ms.
+// readUsage reads the usage of a process from the system.
+func readUsage(pid int) (used usage, err error) {
+	// The processor-time clock of another process, as clock_getcpuclockid(3) computes it; /proc/PID/stat has the same
+	// value with a resolution of 10 ms.
 	const cpuClockSched = 2
-	var spent unix.Timespec
-	if err := unix.ClockGettime(int32(^pid<<3|cpuClockSched), &spent); err != nil {
-		return u, fmt.Errorf("processor time of %d: %w", pid, err)
+	var cpu unix.Timespec
+	if err := unix.ClockGettime(int32(^pid<<3|cpuClockSched), &cpu); err != nil {
+		return used, fmt.Errorf("processor time of %d: %w", pid, err)
 	}
-	u.cpu = time.Duration(spent.Nano())
+	used.cpu = time.Duration(cpu.Nano())
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
-		return u, err
+		return used, err
 	}
-	u.resident, u.peak = statusKB(status, "VmRSS:"), statusKB(status, "VmHWM:")
-	return u, nil
+	used.resident = statusBytes(status, "VmRSS:")
+	used.peakResident = statusBytes(status, "VmHWM:")
+	return used, nil
 }
 
-// statusKB reads a line of /proc/PID/status that counts kB, in bytes.
-func statusKB(status []byte, key string) int64 {
-	_, rest, ok := bytes.Cut(status, []byte("\n"+key))
-	if !ok {
+// statusBytes returns a line of /proc/PID/status that is in kB, in bytes.
+func statusBytes(status []byte, key string) int64 {
+	_, rest, found := bytes.Cut(status, []byte("\n"+key))
+	if !found {
 		return 0
 	}
 	fields := bytes.Fields(rest)
 	if len(fields) == 0 {
 		return 0
 	}
-	kb, _ := strconv.ParseInt(string(fields[0]), 10, 64)
-	return kb << 10
+	kilobytes, _ := strconv.ParseInt(string(fields[0]), 10, 64)
+	return kilobytes << 10
 }
 
-// sample is one reading of everything. All counts go up from the run's start.
+// sample is one reading of all meters. All counts rise from the start of the run.
 type sample struct {
-	at    time.Time
-	cpu   map[string]time.Duration // by process
-	rss   map[string]int64
-	peak  map[string]int64
-	bytes map[string]int64 // by client of the links
-	sent  map[string]int64 // bytes that a control machine has sent, by its name
-	open  map[string]int64 // connections that it has
+	at            time.Time
+	cpu           map[string]time.Duration // by process
+	residentBytes map[string]int64
+	peakResident  map[string]int64
+	clientBytes   map[string]int64 // by client of the links
+	sentBytes     map[string]int64 // by control machine
+	connections   map[string]int64 // by control machine
 }
 
-// meter follows processes by name. One that is started anew under its name goes
-// on where the former one ended.
+// meter follows processes by name. The processor time of a restarted process continues that of the earlier one.
 type meter struct {
-	pids   map[string]int
-	before map[string]time.Duration // processor time of former processes
-	latest map[string]time.Duration // of the present one
+	pids       map[string]int
+	earlierCPU map[string]time.Duration // processor time of earlier processes
+	latestCPU  map[string]time.Duration // of the present process
 }
 
 func newMeter() *meter {
-	return &meter{pids: map[string]int{}, before: map[string]time.Duration{}, latest: map[string]time.Duration{}}
+	return &meter{pids: map[string]int{}, earlierCPU: map[string]time.Duration{}, latestCPU: map[string]time.Duration{}}
 }
 
 // follow meters a process from now on.
 func (m *meter) follow(name string, pid int) {
-	m.leave(name)
+	m.unfollow(name)
 	m.pids[name] = pid
 }
 
-// leave ends that. It must come before the process is ended.
-func (m *meter) leave(name string) {
-	if pid, ok := m.pids[name]; ok {
-		if u, err := readUsage(pid); err == nil {
-			m.latest[name] = u.cpu
+// unfollow stops metering a process. It must be called before the process ends.
+func (m *meter) unfollow(name string) {
+	if pid, followed := m.pids[name]; followed {
+		if used, err := readUsage(pid); err == nil {
+			m.latestCPU[name] = used.cpu
 		}
 		delete(m.pids, name)
 	}
-	m.before[name] += m.latest[name]
-	delete(m.latest, name)
+	m.earlierCPU[name] += m.latestCPU[name]
+	delete(m.latestCPU, name)
 }
 
-// read reads all processes into a sample.
+// read reads the usage of all processes into a sample.
 func (m *meter) read() sample {
-	s := sample{at: time.Now(), cpu: map[string]time.Duration{}, rss: map[string]int64{}, peak: map[string]int64{}}
+	taken := sample{
+		at:            time.Now(),
+		cpu:           map[string]time.Duration{},
+		residentBytes: map[string]int64{},
+		peakResident:  map[string]int64{},
+	}
 	for name, pid := range m.pids {
-		u, err := readUsage(pid)
+		used, err := readUsage(pid)
 		if err != nil {
 			continue // it has just ended
 		}
-		m.latest[name] = u.cpu
-		s.rss[name], s.peak[name] = u.resident, u.peak
+		m.latestCPU[name] = used.cpu
+		taken.residentBytes[name] = used.resident
+		taken.peakResident[name] = used.peakResident
 	}
-	for name := range m.before {
-		s.cpu[name] = m.before[name] + m.latest[name]
+	for name := range m.earlierCPU {
+		taken.cpu[name] = m.earlierCPU[name] + m.latestCPU[name]
 	}
-	return s
+	return taken
 }
 
-// resident is the memory of all processes in a sample.
+// resident returns the memory of all processes in a sample.
 func (s *sample) resident() (sum int64) {
-	for _, bytes := range s.rss {
+	for _, bytes := range s.residentBytes {
 		sum += bytes
 	}
 	return sum
--- a/internal/rehearsal/scale/network.go
+++ b/internal/rehearsal/scale/network.go
@@ -1,22 +1,20 @@
 package scale
 
-// This file owns the links of a run, and which of them are cut. Control traffic
-// has no other way.
-
-// originZone is the zone that the origin stands in.
+// originZone is the zone of the origin.
 const originZone = 0
 
 // path is a link between two zones.
 type path struct {
 	*link
-	from, to int // zones
+	fromZone int
+	toZone   int
 	server   string
 }
 
-// network holds all links.
+// network has all links of a run, through which all control traffic goes, and knows which of them are cut.
 type network struct {
 	zones, regions int
-	book           ledger
+	ledger         ledger
 	paths          []*path
 	lostZones      map[int]bool
 	lostRegions    map[int]bool // cut off from the other regions
@@ -26,55 +24,56 @@
 	return &network{zones: s.Zones, regions: s.Regions, lostZones: map[int]bool{}, lostRegions: map[int]bool{}}
 }
 
-// open opens a link to a server; client names whose traffic it is, "" those that
-// requests name.
-func (n *network) open(from, to int, server, target, client string) (*path, error) {
-	l, err := newLink(target, client, &n.book)
+// open opens a link to a server. client is the client whose traffic it carries; empty: requests name it.
+func (n *network) open(fromZone, toZone int, server, target, client string) (*path, error) {
+	started, err := newLink(target, client, &n.ledger)
 	if err != nil {
 		return nil, err
 	}
-	p := &path{link: l, from: from, to: to, server: server}
-	n.paths = append(n.paths, p)
-	return p, nil
+	opened := &path{link: started, fromZone: fromZone, toZone: toZone, server: server}
+	n.paths = append(n.paths, opened)
+	return opened, nil
 }
 
-// joined tells whether two zones can reach each other.
-func (n *network) joined(a, b int) bool {
-	if n.lostZones[a] || n.lostZones[b] {
+// connected reports whether two zones can reach each other.
+func (n *network) connected(zoneA, zoneB int) bool {
+	if n.lostZones[zoneA] || n.lostZones[zoneB] {
 		return false
 	}
-	regionA, regionB := RegionOf(a, n.zones, n.regions), RegionOf(b, n.zones, n.regions)
+	regionA := RegionOf(zoneA, n.zones, n.regions)
+	regionB := RegionOf(zoneB, n.zones, n.regions)
 	return regionA == regionB || !n.lostRegions[regionA] && !n.lostRegions[regionB]
 }
 
-// update cuts and heals links as the lost zones and regions say.
+// update cuts and heals links by the lost zones and regions.
 func (n *network) update() {
-	for _, p := range n.paths {
-		p.setCut(!n.joined(p.from, p.to))
+	for _, link := range n.paths {
+		link.setCut(!n.connected(link.fromZone, link.toZone))
 	}
 }
 
 // retarget moves all links to a server to its new address.
 func (n *network) retarget(server, target string) {
-	for _, p := range n.paths {
-		if p.server == server {
-			p.aim(target)
+	for _, link := range n.paths {
+		if link.server == server {
+			link.setTarget(target)
 		}
 	}
 }
 
-// load is what each server has sent and how many connections it has.
-func (n *network) load() (sent, open map[string]int64) {
-	sent, open = map[string]int64{}, map[string]int64{}
-	for _, p := range n.paths {
-		sent[p.server] += p.sent.Load()
-		open[p.server] += p.link.open.Load()
+// serverLoad returns the bytes that each server has sent and its open connections.
+func (n *network) serverLoad() (sent, open map[string]int64) {
+	sent = map[string]int64{}
+	open = map[string]int64{}
+	for _, link := range n.paths {
+		sent[link.server] += link.sent.Load()
+		open[link.server] += link.link.connections.Load()
 	}
 	return sent, open
 }
 
 func (n *network) close() {
-	for _, p := range n.paths {
-		p.close()
+	for _, link := range n.paths {
+		link.close()
 	}
 }
--- a/internal/rehearsal/scale/origin.go
+++ b/internal/rehearsal/scale/origin.go
@@ -14,11 +14,7 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/standin"
 )
 
-// This file owns the origin: a discovery that lists tens of thousands of workers
-// to thousands of watches. Each version is worded once for all of them. It must
-// never tell an older version after a newer one.
-
-// listing is one object on the wire.
+// listing is a snapshot or a delta on the wire.
 type listing struct {
 	Seq   int64          `json:"seq"`
 	Whole bool           `json:"whole"`
@@ -30,179 +26,184 @@
 	return append(text, '\n')
 }
 
-// version is one change that has been made.
+// version is one change of the list.
 type version struct {
 	line  []byte
 	hosts []standin.Host
 }
 
-// origin is a running one.
+// origin is a discovery service that lists tens of thousands of workers to thousands of watches. Each version is
+// marshalled once for all of them. It is safe for concurrent use.
 type origin struct {
-	server *http.Server
-	most   int // versions in the log
-
-	mu       sync.Mutex
-	seq      int64
-	hosts    []standin.Host // in the order of their first listing; gone ones stay, to keep their place
-	at       map[string]int
-	log      []version // the latest, up to seq
-	snapshot []byte    // nil: to be worded anew
-	told     chan struct{}
+	server      *http.Server
+	maxVersions int // in the log
+
+	mutex       sync.Mutex
+	seq         int64
+	hosts       []standin.Host // in the order of their first listing; removed ones stay
+	indexByName map[string]int
+	log         []version     // the latest, up to seq
+	snapshot    []byte        // marshalled; nil: outdated
+	changed     chan struct{} // closed at the next change
 }
 
-const signOfLife = 2 * time.Second
+// heartbeatInterval is the time between empty lines on an idle watch.
+const heartbeatInterval = 2 * time.Second
 
-func startOrigin(mostLog int) (*origin, string, error) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+func startOrigin(maxVersions int) (*origin, string, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, "", err
 	}
-	o := &origin{most: mostLog, at: map[string]int{}, told: make(chan struct{})}
-	o.server = &http.Server{Handler: o}
-	go o.server.Serve(ln)
-	return o, ln.Addr().String(), nil
+	started := &origin{maxVersions: maxVersions, indexByName: map[string]int{}, changed: make(chan struct{})}
+	started.server = &http.Server{Handler: started}
+	go started.server.Serve(listener)
+	return started, listener.Addr().String(), nil
 }
 
 func (o *origin) close() { o.server.Close() }
 
-// change makes one version of changed hosts.
+// change makes one version of changed workers and returns it.
 func (o *origin) change(hosts []standin.Host) int64 {
-	o.mu.Lock()
-	defer o.mu.Unlock()
+	o.mutex.Lock()
+	defer o.mutex.Unlock()
 	o.seq++
 	for _, host := range hosts {
-		i, ok := o.at[host.Host]
-		if !ok {
+		i, known := o.indexByName[host.Host]
+		if !known {
 			i = len(o.hosts)
-			o.at[host.Host] = i
+			o.indexByName[host.Host] = i
 			o.hosts = append(o.hosts, host)
 		}
 		o.hosts[i] = host
 	}
-	l := listing{Seq: o.seq, Hosts: hosts}
-	o.log = append(o.log, version{line: l.line(), hosts: hosts})
-	if more := len(o.log) - o.most; more > 0 {
-		o.log = o.log[more:]
+	update := listing{Seq: o.seq, Hosts: hosts}
+	o.log = append(o.log, version{line: update.line(), hosts: hosts})
+	if excess := len(o.log) - o.maxVersions; excess > 0 {
+		o.log = o.log[excess:]
 	}
 	o.snapshot = nil
-	close(o.told)
-	o.told = make(chan struct{})
+	close(o.changed)
+	o.changed = make(chan struct{})
 	return o.seq
 }
 
-// whole is the snapshot. The lock is held.
-func (o *origin) whole() []byte {
+// snapshotLine returns the line of the snapshot. The caller holds the mutex.
+func (o *origin) snapshotLine() []byte {
 	if o.snapshot != nil {
 		return o.snapshot
 	}
-	l := listing{Seq: o.seq, Whole: true, Hosts: []standin.Host{}}
+	snapshot := listing{Seq: o.seq, Whole: true, Hosts: []standin.Host{}}
 	for _, host := range o.hosts {
 		if host.Health != "gone" {
-			l.Hosts = append(l.Hosts, host)
+			snapshot.Hosts = append(snapshot.Hosts, host)
 		}
 	}
-	o.snapshot = l.line()
+	o.snapshot = snapshot.line()
 	return o.snapshot
 }
 
-// reaches tells whether the log holds all versions after one.
-func (o *origin) reaches(after int64) bool {
+// hasVersionsAfter reports whether the log has all versions after one. The caller holds the mutex.
+func (o *origin) hasVersionsAfter(after int64) bool {
 	return after > 0 && after >= o.seq-int64(len(o.log)) && after <= o.seq
 }
 
-// since is what a watch that has a version is told next, a line for each version.
-func (o *origin) since(after int64) (text []byte, seq int64, told chan struct{}) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if !o.reaches(after) {
-		return o.whole(), o.seq, o.told
+// updatesAfter returns what a watch gets next that has a version, a line for each later version, and the channel that
+// is closed at the next change.
+func (o *origin) updatesAfter(after int64) (text []byte, seq int64, changed chan struct{}) {
+	o.mutex.Lock()
+	defer o.mutex.Unlock()
+	if !o.hasVersionsAfter(after) {
+		return o.snapshotLine(), o.seq, o.changed
 	}
-	for _, v := range o.log[len(o.log)-int(o.seq-after):] {
-		text = append(text, v.line...)
+	for _, version := range o.log[len(o.log)-int(o.seq-after):] {
+		text = append(text, version.line...)
 	}
-	return text, o.seq, o.told
+	return text, o.seq, o.changed
 }
 
-// delta is what a plain call that has a version is told: each changed host once.
-func (o *origin) delta(after int64) []byte {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if !o.reaches(after) {
-		return o.whole()
+// mergedDelta returns the answer to a poll that has a version: each changed worker once.
+func (o *origin) mergedDelta(after int64) []byte {
+	o.mutex.Lock()
+	defer o.mutex.Unlock()
+	if !o.hasVersionsAfter(after) {
+		return o.snapshotLine()
 	}
-	l := listing{Seq: o.seq, Hosts: []standin.Host{}}
+	delta := listing{Seq: o.seq, Hosts: []standin.Host{}}
 	seen := map[string]bool{}
 	missed := o.log[len(o.log)-int(o.seq-after):]
 	for i := len(missed) - 1; i >= 0; i-- {
 		for _, host := range missed[i].hosts {
 			if !seen[host.Host] {
 				seen[host.Host] = true
-				l.Hosts = append(l.Hosts, host)
+				delta.Hosts = append(delta.Hosts, host)
 			}
 		}
 	}
-	return l.line()
+	return delta.line()
 }
 
-func (o *origin) ServeHTTP(out http.ResponseWriter, in *http.Request) {
-	if in.URL.Path != "/v1/servers" || in.Method != http.MethodGet {
-		http.NotFound(out, in)
+// ServeHTTP answers polls and watches of the endpoint list.
+func (o *origin) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+	if request.URL.Path != "/v1/servers" || request.Method != http.MethodGet {
+		http.NotFound(writer, request)
 		return
 	}
-	query := in.URL.Query()
-	after, _ := strconv.ParseInt(query.Get("after"), 10, 64) // none: all
-	out.Header().Set("Content-Type", "application/json")
+	query := request.URL.Query()
+	after, _ := strconv.ParseInt(query.Get("after"), 10, 64) // 0 if absent: a snapshot
+	writer.Header().Set("Content-Type", "application/json")
 	switch {
 	case query.Get("watch") == "1":
-		o.watch(out, in, after)
+		o.watch(writer, request, after)
 	case after > o.version():
-		http.Error(out, "behind", http.StatusServiceUnavailable)
+		http.Error(writer, "behind", http.StatusServiceUnavailable)
 	default:
-		o.answer(out, in, after)
+		o.respond(writer, request, after)
 	}
 }
 
 func (o *origin) version() int64 {
-	o.mu.Lock()
-	defer o.mu.Unlock()
+	o.mutex.Lock()
+	defer o.mutex.Unlock()
 	return o.seq
 }
 
-// answer answers a plain call, compressed if the caller takes that.
-func (o *origin) answer(out http.ResponseWriter, in *http.Request, after int64) {
-	text := o.delta(after)
-	if strings.Contains(in.Header.Get("Accept-Encoding"), "gzip") {
-		var packed bytes.Buffer
-		w := gzip.NewWriter(&packed)
-		w.Write(text)
-		w.Close()
-		text = packed.Bytes()
-		out.Header().Set("Content-Encoding", "gzip")
+// respond answers a poll, compressed if the client accepts that.
+func (o *origin) respond(writer http.ResponseWriter, request *http.Request, after int64) {
+	text := o.mergedDelta(after)
+	if strings.Contains(request.Header.Get("Accept-Encoding"), "gzip") {
+		var compressed bytes.Buffer
+		compressor := gzip.NewWriter(&compressed)
+		compressor.Write(text)
+		compressor.Close()
+		text = compressed.Bytes()
+		writer.Header().Set("Content-Encoding", "gzip")
 	}
-	out.Header().Set("Content-Length", strconv.Itoa(len(text)))
-	out.Write(text)
+	writer.Header().Set("Content-Length", strconv.Itoa(len(text)))
+	writer.Write(text)
 }
 
-func (o *origin) watch(out http.ResponseWriter, in *http.Request, after int64) {
-	flush := out.(http.Flusher).Flush
-	life := time.NewTicker(signOfLife)
-	defer life.Stop()
+// watch sends each version from after on until the client leaves.
+func (o *origin) watch(writer http.ResponseWriter, request *http.Request, after int64) {
+	flush := writer.(http.Flusher).Flush
+	heartbeat := time.NewTicker(heartbeatInterval)
+	defer heartbeat.Stop()
 	for first := true; ; first = false {
-		text, seq, told := o.since(after)
+		text, seq, changed := o.updatesAfter(after)
 		if first && len(text) == 0 {
-			text = []byte("\n") // nothing has changed: the line shows that the call has come
+			text = []byte("\n") // nothing has changed: the line shows that the watch is open
 		}
 		if len(text) > 0 {
-			out.Write(text)
+			writer.Write(text)
 			flush()
 			after = seq
 		}
 		select {
-		case <-told:
-		case <-life.C:
-			out.Write([]byte("\n"))
+		case <-changed:
+		case <-heartbeat.C:
+			writer.Write([]byte("\n"))
 			flush()
-		case <-in.Context().Done():
+		case <-request.Context().Done():
 			return
 		}
 	}
--- a/internal/rehearsal/scale/process.go
+++ b/internal/rehearsal/scale/process.go
@@ -12,9 +12,7 @@
 	"hollyyoke.example/hollyyoke/internal/membership"
 )
 
-// This file owns real daemons and relays as processes: their files and their start.
-
-// daemonConfig is the daemon's configuration file.
+// daemonConfig is the configuration file of the daemon.
 type daemonConfig struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -35,17 +33,19 @@
 	listenAny     = "127.0.0.1:0"
 )
 
-// upstream is where a dispatcher hears of changes: from discovery at an address,
-// or from the servers of its zone and others.
+// upstream is where a dispatcher gets changes from: discovery at an address, or the membership servers of its zone and
+// others.
 type upstream struct {
 	discovery string
 	servers   []membership.Server
 }
 
-// daemonCommand writes the files of a real daemon and returns its command.
-func daemonCommand(program, dir, zone string, config daemonConfig, up upstream) (*exec.Cmd, error) {
+// daemonCommand writes the files of a daemon and returns its command.
+func daemonCommand(program, dir, zone string, config daemonConfig, source upstream) (*exec.Cmd, error) {
 	name := config.Name
-	config.Listen, config.Discovery, config.Seed = listenAny, up.discovery, "1"
+	config.Listen = listenAny
+	config.Discovery = source.discovery
+	config.Seed = "1"
 	config.Limits.Sockets = daemonSockets
 	text, err := json.Marshal(config)
 	if err != nil {
@@ -56,9 +56,9 @@
 		return nil, err
 	}
 	args := []string{"--config", path}
-	if len(up.servers) > 0 {
+	if len(source.servers) > 0 {
 		operator := filepath.Join(dir, name+".toml")
-		if err := os.WriteFile(operator, membershipTable(zone, up.servers), 0o600); err != nil {
+		if err := os.WriteFile(operator, membershipTable(zone, source.servers), 0o600); err != nil {
 			return nil, err
 		}
 		args = append(args, "--operator", operator)
@@ -68,7 +68,7 @@
 	return cmd, nil
 }
 
-// membershipTable is the operator file of a dispatcher that follows servers.
+// membershipTable returns the operator file of a dispatcher that follows servers.
 func membershipTable(zone string, servers []membership.Server) []byte {
 	var text strings.Builder
 	fmt.Fprintf(&text, "[membership]\non = true\nzone = %q\n", zone)
@@ -91,7 +91,7 @@
 	return cmd, nil
 }
 
-// loopbackAddress finds an address on loopback in a line that a process wrote.
+// loopbackAddress returns the loopback address in a line of output, or "".
 func loopbackAddress(line string) string {
 	_, rest, ok := strings.Cut(line, "127.0.0.1:")
 	if !ok {
@@ -107,15 +107,16 @@
 	return "127.0.0.1:" + rest[:end]
 }
 
-const startPatience = 20 * time.Second
+// startTimeout is how long a relay may take to log its address.
+const startTimeout = 20 * time.Second
 
-// startRelay starts a relay and waits until it tells where it listens.
-func startRelay(name string, cmd *exec.Cmd) (c *child, addr string, err error) {
+// startRelay starts a relay and waits until it logs where it listens.
+func startRelay(name string, cmd *exec.Cmd) (started *child, addr string, err error) {
 	found := make(chan string, 1)
-	c, err = startChild(name, cmd, func(line []byte) {
-		if a := loopbackAddress(string(line)); a != "" {
+	started, err = startChild(name, cmd, func(line []byte) {
+		if address := loopbackAddress(string(line)); address != "" {
 			select {
-			case found <- a:
+			case found <- address:
 			default:
 			}
 		}
@@ -125,11 +126,11 @@
 	}
 	select {
 	case addr = <-found:
-		return c, addr, nil
-	case <-c.ended:
-		return nil, "", fmt.Errorf("%s has ended: %s", name, strings.TrimSpace(c.stderr.String()))
-	case <-time.After(startPatience):
-		c.kill()
-		return nil, "", fmt.Errorf("%s does not tell where it listens", name)
+		return started, addr, nil
+	case <-started.exited:
+		return nil, "", fmt.Errorf("%s has ended: %s", name, strings.TrimSpace(started.stderr.String()))
+	case <-time.After(startTimeout):
+		started.kill()
+		return nil, "", fmt.Errorf("%s has not logged its address within %v", name, startTimeout)
 	}
 }
--- a/internal/rehearsal/scale/run.go
+++ b/internal/rehearsal/scale/run.go
@@ -8,113 +8,115 @@
 	"time"
 )
 
-// This file owns the course of one run: it starts the cluster, makes the plan's
-// steps when they are due and reads the meters once a second.
-
 // Run is a run that has ended.
 type Run struct {
-	Scenario  Scenario
-	Mechanism Mechanism
-	Plan      *Plan
-	samples   []sample
-	tracker   *tracker
-	counts    trafficCounts
-	atStart   ownCounts // of all hollow dispatchers, when the list was there
-	atEnd     ownCounts
-	unsettled int // reachable dispatchers without the last version at the end
-	processes int
-	acts      []act
+	Scenario      Scenario
+	Mechanism     Mechanism
+	Plan          *Plan
+	samples       []sample
+	tracker       *tracker
+	traffic       trafficCounts
+	countsAtStart ownCounts // of all hollow dispatchers, when the list was there
+	countsAtEnd   ownCounts
+	behindAtEnd   int // reachable dispatchers without the last version at the end
+	processes     int
+	actions       []takenAction
 }
 
-// act is an action that was taken.
-type act struct {
-	kind Kind
+// takenAction is an action with the time at which it was taken.
+type takenAction struct {
+	kind EventKind
 	at   time.Time
 }
 
 const (
-	settleTime    = 2 * time.Second // from the last dispatcher's readiness to the first step
-	sampleStep    = time.Second
-	waitStep      = 20 * time.Millisecond
-	countPatience = 10 * time.Second     // for hollow dispatchers to tell what they have counted
-	stepPatience  = 5 * time.Millisecond // steps so close to each other are made in one go
+	settleDelay    = 2 * time.Second // from the last dispatcher's readiness to the first step
+	sampleInterval = time.Second
+	pollInterval   = 20 * time.Millisecond
+	countTimeout   = 10 * time.Second     // for hollow dispatchers to report what they have counted
+	stepTolerance  = 5 * time.Millisecond // steps that are this close to each other are made at once
 )
 
-// Play runs a scenario by one mechanism. It ends by itself at the scenario's deadline.
-func Play(ctx context.Context, s Scenario, mechanism Mechanism, programs Programs, log *slog.Logger) (*Run, error) {
-	ctx, cancel := context.WithTimeout(ctx, seconds(s.DeadlineS))
+// Execute runs a scenario by one mechanism: it starts the processes, makes the plan's steps when they are due and
+// samples the meters once a second. It ends at the scenario's deadline at the latest, and all its processes end with
+// it.
+func Execute(ctx context.Context, scenario Scenario, mechanism Mechanism, programs Programs, log *slog.Logger) (*Run, error) {
+	ctx, cancel := context.WithTimeout(ctx, seconds(scenario.DeadlineS))
 	defer cancel()
 	dir, err := os.MkdirTemp("", "hollyyoke-scale")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	plan := NewPlan(&s)
-	p := &player{
-		run:     &Run{Scenario: s, Mechanism: mechanism, Plan: plan},
-		cluster: newCluster(&s, plan, mechanism, programs, dir),
-		log:     log.With("scenario", s.Name, "mechanism", mechanism),
+	plan := NewPlan(&scenario)
+	started := &runner{
+		run:     &Run{Scenario: scenario, Mechanism: mechanism, Plan: plan},
+		cluster: newCluster(&scenario, plan, mechanism, programs, dir),
+		log:     log.With("scenario", scenario.Name, "mechanism", mechanism),
 	}
-	defer p.cluster.close()
-	if err := p.play(ctx); err != nil {
-		return nil, fmt.Errorf("%s by %s: %w", s.Name, mechanism, err)
+	defer started.cluster.close()
+	if err := started.execute(ctx); err != nil {
+		return nil, fmt.Errorf("%s by %s: %w", scenario.Name, mechanism, err)
 	}
-	return p.run, nil
+	return started.run, nil
 }
 
-// player makes one run.
-type player struct {
-	run     *Run
-	cluster *cluster
-	log     *slog.Logger
-	newest  int64 // version
-	began   time.Time
+// runner executes one run.
+type runner struct {
+	run           *Run
+	cluster       *cluster
+	log           *slog.Logger
+	newestVersion int64
+	startedAt     time.Time
 }
 
-func (p *player) play(ctx context.Context) error {
-	if err := p.cluster.start(); err != nil {
+// execute starts the processes and runs the scenario.
+func (r *runner) execute(ctx context.Context) error {
+	if err := r.cluster.start(); err != nil {
 		return err
 	}
-	// A change that every dispatcher must come to have shows that it follows.
-	mark := Change{Host: p.run.Plan.Hosts[0]}
-	versions, err := p.cluster.origin.change([][]Change{{mark}})
+	// Once a dispatcher has this change, it follows the list.
+	marker := Change{Host: r.run.Plan.Hosts[0]}
+	versions, err := r.cluster.origin.change([][]Change{{marker}})
 	if err != nil {
 		return err
 	}
-	p.newest = versions[0].Version
-	p.cluster.forget()
-	p.run.processes = p.cluster.processes()
-	if err := p.ready(ctx); err != nil {
+	r.newestVersion = versions[0].Version
+	r.cluster.forgetInitialList()
+	r.run.processes = r.cluster.processes()
+	if err := r.waitReady(ctx); err != nil {
 		return err
 	}
-	if p.run.atStart, err = p.cluster.countOwn(ctx); err != nil {
+	r.run.countsAtStart, err = r.cluster.collectOwnCounts(ctx)
+	if err != nil {
 		return err
 	}
-	p.began = time.Now()
-	p.log.Info("all dispatchers have the list", "workers", len(p.run.Plan.Hosts), "processes", p.run.processes)
-	if err := p.look(); err != nil {
+	r.startedAt = time.Now()
+	r.log.Info("all dispatchers have the list", "workers", len(r.run.Plan.Hosts), "processes", r.run.processes)
+	if err := r.sample(); err != nil {
 		return err
 	}
-	if err := p.steps(ctx); err != nil {
+	if err := r.runSteps(ctx); err != nil {
 		return err
 	}
-	return p.settle(ctx)
+	return r.finish(ctx)
 }
 
-// ready waits until all dispatchers have the list and rest.
-func (p *player) ready(ctx context.Context) error {
-	for p.cluster.behind(p.newest) > 0 || p.cluster.heardNothing() > 0 {
-		if err := p.cluster.ended(); err != nil {
+// waitReady waits until all dispatchers have the list and are idle.
+func (r *runner) waitReady(ctx context.Context) error {
+	for r.cluster.countBehind(r.newestVersion) > 0 || r.cluster.silentDaemons() > 0 {
+		if err := r.cluster.childError(); err != nil {
 			return err
 		}
-		if err := pause(ctx, waitStep); err != nil {
-			return fmt.Errorf("waiting for %d hollow and %d real dispatchers: %w", p.cluster.behind(p.newest), p.cluster.heardNothing(), err)
+		if err := sleep(ctx, pollInterval); err != nil {
+			return fmt.Errorf("waiting for %d hollow and %d real dispatchers: %w", r.cluster.countBehind(r.newestVersion), r.cluster.silentDaemons(), err)
 		}
 	}
-	return pause(ctx, settleTime)
+	return sleep(ctx, settleDelay)
 }
 
-func pause(ctx context.Context, span time.Duration) error {
+// sleep waits for a time or until the context ends, then with its error.
+func sleep(ctx context.Context, span time.Duration) error {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
 	select {
@@ -125,169 +127,173 @@
 	}
 }
 
-// until waits until a moment of the run, and looks at the meters meanwhile.
-func (p *player) until(ctx context.Context, at time.Duration) error {
+// waitUntil waits until a time of the run, and samples the meters meanwhile.
+func (r *runner) waitUntil(ctx context.Context, at time.Duration) error {
 	for {
-		look := p.run.samples[len(p.run.samples)-1].at.Add(sampleStep)
-		due := p.began.Add(at)
-		if due.Before(look) {
-			return pause(ctx, time.Until(due))
+		nextSample := r.run.samples[len(r.run.samples)-1].at.Add(sampleInterval)
+		due := r.startedAt.Add(at)
+		if due.Before(nextSample) {
+			return sleep(ctx, time.Until(due))
 		}
-		if err := pause(ctx, time.Until(look)); err != nil {
+		if err := sleep(ctx, time.Until(nextSample)); err != nil {
 			return err
 		}
-		if err := p.look(); err != nil {
+		if err := r.sample(); err != nil {
 			return err
 		}
 	}
 }
 
-// look reads the meters and checks the limits.
-func (p *player) look() error {
-	s := p.cluster.sample()
-	p.run.samples = append(p.run.samples, s)
-	if all := s.resident(); all > mostMemory {
-		return fmt.Errorf("%d MB resident in all, of %d at the most", all>>20, mostMemory>>20)
+// sample reads the meters and checks the limits.
+func (r *runner) sample() error {
+	taken := r.cluster.sample()
+	r.run.samples = append(r.run.samples, taken)
+	if resident := taken.resident(); resident > maxMemory {
+		return fmt.Errorf("%d MB resident in all processes, more than %d", resident>>20, maxMemory>>20)
 	}
-	return p.cluster.ended()
+	return r.cluster.childError()
 }
 
-// steps makes the plan's steps and plays on to the scenario's length.
-func (p *player) steps(ctx context.Context) error {
-	for _, step := range p.run.Plan.Steps {
-		if time.Until(p.began.Add(step.At)) > stepPatience {
-			if err := p.until(ctx, step.At); err != nil {
+// runSteps makes the plan's steps and waits until the scenario's length has passed.
+func (r *runner) runSteps(ctx context.Context) error {
+	for _, step := range r.run.Plan.Steps {
+		if time.Until(r.startedAt.Add(step.At)) > stepTolerance {
+			if err := r.waitUntil(ctx, step.At); err != nil {
 				return err
 			}
 		}
-		if err := p.step(step); err != nil {
+		if err := r.runStep(step); err != nil {
 			return err
 		}
 	}
-	return p.until(ctx, seconds(p.run.Scenario.LengthS))
+	return r.waitUntil(ctx, seconds(r.run.Scenario.LengthS))
 }
 
-func (p *player) step(step Step) error {
+// runStep makes the changes of a step and takes its action.
+func (r *runner) runStep(step Step) error {
 	if step.Action.Kind != "" {
-		if err := p.act(step.Action); err != nil {
+		if err := r.takeAction(step.Action); err != nil {
 			return err
 		}
 	}
 	if len(step.Changes) == 0 {
 		return nil
 	}
-	versions, err := p.cluster.origin.change(step.Changes)
+	versions, err := r.cluster.origin.change(step.Changes)
 	if err != nil {
 		return err
 	}
-	p.cluster.mu.Lock()
-	defer p.cluster.mu.Unlock()
-	for _, v := range versions {
-		p.cluster.tracker.make(v.Version, v.At, step.Phase)
-		p.newest = v.Version
+	r.cluster.mutex.Lock()
+	defer r.cluster.mutex.Unlock()
+	for _, version := range versions {
+		r.cluster.tracker.recordMade(version.Version, version.At, step.Phase)
+		r.newestVersion = version.Version
 	}
 	return nil
 }
 
-// act takes an action, and tells the tracker who can be reached before and after it.
-func (p *player) act(a Action) error {
-	c := p.cluster
-	p.run.acts = append(p.run.acts, act{a.Kind, time.Now()})
-	p.log.Info(string(a.Kind), "zone", a.Zone, "region", a.Region)
-	switch a.Kind {
+// takeAction takes an action, and records which dispatchers are reachable before and after it.
+func (r *runner) takeAction(action Action) error {
+	cluster := r.cluster
+	r.run.actions = append(r.run.actions, takenAction{action.Kind, time.Now()})
+	r.log.Info(string(action.Kind), "zone", action.Zone, "region", action.Region)
+	switch action.Kind {
 	case ZoneLoss:
-		p.change(a.Kind, func() { c.network.lostZones[a.Zone] = true })
-		c.killRelay(a.Zone)
+		r.changeNetwork(action.Kind, func() { cluster.network.lostZones[action.Zone] = true })
+		cluster.killRelay(action.Zone)
 	case ZoneReturn:
-		if c.mechanism == ByRelays {
-			if err := c.restartRelay(a.Zone); err != nil {
+		if cluster.mechanism == ByRelays {
+			if err := cluster.restartRelay(action.Zone); err != nil {
 				return err
 			}
 		}
-		p.change(a.Kind, func() { delete(c.network.lostZones, a.Zone) })
+		r.changeNetwork(action.Kind, func() { delete(cluster.network.lostZones, action.Zone) })
 	case RegionCut:
-		p.change(a.Kind, func() { c.network.lostRegions[a.Region] = true })
+		r.changeNetwork(action.Kind, func() { cluster.network.lostRegions[action.Region] = true })
 	case RegionHeal:
-		p.change(a.Kind, func() { delete(c.network.lostRegions, a.Region) })
+		r.changeNetwork(action.Kind, func() { delete(cluster.network.lostRegions, action.Region) })
 	case RelayDown:
-		c.killRelay(a.Zone)
+		cluster.killRelay(action.Zone)
 	case RelayUp:
-		if c.mechanism == ByRelays {
-			return c.restartRelay(a.Zone)
+		if cluster.mechanism == ByRelays {
+			return cluster.restartRelay(action.Zone)
 		}
-	case Restart:
-		return p.restart(a)
+	case RestartZone:
+		return r.restartZone(action)
 	}
 	return nil
 }
 
-// change changes the network.
-func (p *player) change(kind Kind, f func()) {
-	c := p.cluster
-	before := make([]bool, c.scenario.Zones)
+// changeNetwork changes the lost zones and regions, and records which dispatchers are cut off or reachable again.
+func (r *runner) changeNetwork(kind EventKind, change func()) {
+	cluster := r.cluster
+	before := make([]bool, cluster.scenario.Zones)
 	for zone := range before {
-		before[zone] = c.network.joined(zone, originZone)
+		before[zone] = cluster.network.connected(zone, originZone)
 	}
-	f()
-	c.network.update()
+	change()
+	cluster.network.update()
 	now := unixNow()
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	cluster.mutex.Lock()
+	defer cluster.mutex.Unlock()
 	for zone := range before {
-		after := c.network.joined(zone, originZone)
-		for _, name := range c.dispatchers(zone) {
+		after := cluster.network.connected(zone, originZone)
+		for _, name := range cluster.hollowNames(zone) {
 			switch {
 			case before[zone] && !after:
-				c.tracker.cut(name, now)
+				cluster.tracker.recordCut(name, now)
 			case !before[zone] && after:
-				c.tracker.heal(name, now, string(kind), p.newest)
+				cluster.tracker.recordHeal(name, now, string(kind), r.newestVersion)
 			}
 		}
 	}
 }
 
-func (p *player) restart(a Action) error {
-	c, now := p.cluster, unixNow()
-	c.mu.Lock()
-	for _, name := range c.dispatchers(a.Zone) {
-		c.tracker.cut(name, now)
+// restartZone restarts a zone's dispatchers, which are unreachable meanwhile.
+func (r *runner) restartZone(action Action) error {
+	cluster := r.cluster
+	now := unixNow()
+	cluster.mutex.Lock()
+	for _, name := range cluster.hollowNames(action.Zone) {
+		cluster.tracker.recordCut(name, now)
 	}
-	c.mu.Unlock()
-	err := c.restartZone(a.Zone)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, name := range c.dispatchers(a.Zone) {
-		c.tracker.heal(name, now, string(a.Kind), p.newest)
+	cluster.mutex.Unlock()
+	err := cluster.restartZone(action.Zone)
+	cluster.mutex.Lock()
+	defer cluster.mutex.Unlock()
+	for _, name := range cluster.hollowNames(action.Zone) {
+		cluster.tracker.recordHeal(name, now, string(action.Kind), r.newestVersion)
 	}
 	return err
 }
 
-// settle waits until all reachable dispatchers have the newest version, and ends the run.
-func (p *player) settle(ctx context.Context) error {
-	for p.cluster.behind(p.newest) > 0 {
-		err := p.until(ctx, time.Since(p.began)+sampleStep)
+// finish waits until all reachable dispatchers have the newest version, and ends the run.
+func (r *runner) finish(ctx context.Context) error {
+	for r.cluster.countBehind(r.newestVersion) > 0 {
+		err := r.waitUntil(ctx, time.Since(r.startedAt)+sampleInterval)
 		if ctx.Err() != nil {
-			break // the deadline: what is missing is told
+			break // the deadline: the run reports what is missing
 		}
 		if err != nil {
 			return err
 		}
 	}
-	if err := p.look(); err != nil {
+	if err := r.sample(); err != nil {
 		return err
 	}
-	counting, cancel := context.WithTimeout(context.WithoutCancel(ctx), countPatience)
+	counting, cancel := context.WithTimeout(context.WithoutCancel(ctx), countTimeout)
 	defer cancel()
-	var err error
-	if p.run.atEnd, err = p.cluster.countOwn(counting); err != nil {
+	ownCounts, err := r.cluster.collectOwnCounts(counting)
+	if err != nil {
 		return err
 	}
-	c := p.cluster
-	p.run.unsettled = c.behind(p.newest)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	p.run.counts = c.counts
-	p.run.tracker = &tracker{changes: c.tracker.changes, moments: c.tracker.moments, outages: c.tracker.outages, back: c.tracker.back}
-	c.tracker = newTracker() // what is still reported while processes end counts no more
+	r.run.countsAtEnd = ownCounts
+	cluster := r.cluster
+	r.run.behindAtEnd = cluster.countBehind(r.newestVersion)
+	cluster.mutex.Lock()
+	defer cluster.mutex.Unlock()
+	r.run.traffic = cluster.traffic
+	r.run.tracker = cluster.tracker
+	cluster.tracker = newTracker() // reports of processes that end do not count
 	return nil
 }
--- a/internal/rehearsal/scale/scenario.go
+++ b/internal/rehearsal/scale/scenario.go
@@ -1,7 +1,6 @@
-// Package scale runs many dispatchers beside their control machines on one
-// machine and measures what control costs: real daemons as processes, hollow
-// dispatchers many to a process, an origin that lists hollow workers, and relays.
-// It must never leave a process behind, nor reach beyond loopback.
+// Package scale runs many dispatchers with their control machines on one machine and measures what control costs: real
+// daemons as processes, hollow dispatchers many to a process, an origin that lists hollow workers, and relays. It uses
+// loopback only, and every process that it starts ends with the run.
 package scale
 
 import (
@@ -14,9 +13,6 @@
 	"github.com/BurntSushi/toml"
 )
 
-// This file owns scenario files. An unknown key, or a value out of its bounds,
-// is one line that names it.
-
 // Mechanism is how changes reach dispatchers.
 type Mechanism string
 
@@ -26,8 +22,7 @@
 	ByRelays    Mechanism = "relays"    // every dispatcher follows its zone's relay
 )
 
-// Mechanisms are those that a scenario is run with, one after the other. Its
-// file words them as one name or as a list.
+// Mechanisms are the mechanisms that a scenario is run with, one after the other. Its file has one name or a list.
 type Mechanisms []Mechanism
 
 // UnmarshalTOML reads one name or a list of names.
@@ -47,136 +42,146 @@
 	return nil
 }
 
-// Scenario is one run as its file words it.
+// Scenario describes a run as its TOML file states it. Durations are in the unit that the name ends with.
 type Scenario struct {
-	Name        string     `toml:"name"`
-	Seed        uint64     `toml:"seed"`
-	Workers     int        `toml:"workers"`
-	Zones       int        `toml:"zones"`
-	Regions     int        `toml:"regions"`
-	Dispatchers int        `toml:"dispatchers"` // hollow ones
-	Real        int        `toml:"real"`        // daemons
-	Mechanism   Mechanisms `toml:"mechanism"`
-	LengthS     float64    `toml:"length_s"`
-	DeadlineS   float64    `toml:"deadline_s"` // of one mechanism's run: then it is given up
-	MemoryMB    float64    `toml:"memory_mb"`  // limit that a dispatcher is told
-	WarmAfterS  float64    `toml:"warm_after_s"`
-	LogChanges  int        `toml:"log_changes"`   // versions that the origin and each relay keep
-	Known       bool       `toml:"known"`         // dispatchers start with the list, as ones that have run for long; a restart loses it
-	Entries     bool       `toml:"count_entries"` // hollow dispatchers count the entries that they take in
+	Name         string     `toml:"name"`
+	Seed         uint64     `toml:"seed"`
+	Workers      int        `toml:"workers"`
+	Zones        int        `toml:"zones"`
+	Regions      int        `toml:"regions"`
+	Dispatchers  int        `toml:"dispatchers"` // hollow dispatchers
+	Daemons      int        `toml:"real"`
+	Mechanism    Mechanisms `toml:"mechanism"`
+	LengthS      float64    `toml:"length_s"`
+	DeadlineS    float64    `toml:"deadline_s"` // of one mechanism's run, which is then aborted
+	MemoryMB     float64    `toml:"memory_mb"`  // a dispatcher's memory limit
+	SlowStartS   float64    `toml:"warm_after_s"`
+	LogChanges   int        `toml:"log_changes"`   // versions in the logs of the origin and of each relay
+	InitialList  bool       `toml:"known"`         // dispatchers start with the list, but restart without it
+	CountEntries bool       `toml:"count_entries"` // hollow dispatchers count the entries of list updates
 
-	Day     Day     `toml:"day"`
-	Traffic Traffic `toml:"traffic"`
-	Events  []Event `toml:"event"`
-	Bounds  Bounds  `toml:"bounds"`
+	Background BackgroundChanges `toml:"day"`
+	Traffic    Traffic           `toml:"traffic"`
+	Events     []Event           `toml:"event"`
+	Bounds     Bounds            `toml:"bounds"`
 }
 
-// Day is what goes on all the time, in changes of a whole day.
-type Day struct {
-	Factor   float64 `toml:"factor"` // how much faster the day passes; 0: no such changes
-	Changes  float64 `toml:"changes"`
-	Failures float64 `toml:"failures"`
-	Restarts float64 `toml:"restarts"`
+// BackgroundChanges are the changes that happen all the time, per day. Time runs faster by TimeFactor.
+type BackgroundChanges struct {
+	TimeFactor float64 `toml:"factor"` // 0: no such changes
+	Changes    float64 `toml:"changes"`
+	Failures   float64 `toml:"failures"`
+	Restarts   float64 `toml:"restarts"`
 }
 
-// Traffic is what hollow dispatchers are asked for.
+// Traffic describes the requests to hollow dispatchers.
 type Traffic struct {
-	RatePerS float64 `toml:"rate_per_s"` // of each dispatcher
-	WorkMs   float64 `toml:"work_ms"`
+	RatePerS float64 `toml:"rate_per_s" json:"RatePerS"` // of each dispatcher
+	WorkMs   float64 `toml:"work_ms" json:"WorkMs"`
 }
 
-// Kind is the kind of an event.
-type Kind string
+// EventKind is the kind of an event.
+type EventKind string
 
 // The kinds of events.
 const (
-	Rack       Kind = "rack"        // count workers of one zone are gone, and come back cold after for_s
-	ZoneLoss   Kind = "zone_loss"   // all workers of a zone are gone, its dispatchers and its relay cut off
-	ZoneReturn Kind = "zone_return" // the zone is there again, its workers cold
-	RegionCut  Kind = "region_cut"  // a region's zones lose the others
-	RegionHeal Kind = "region_heal"
-	Changes    Kind = "changes"      // count changes at once
-	Restart    Kind = "restart_zone" // all dispatchers of a zone start anew
-	Cold       Kind = "cold"         // count workers of all zones have just been started
-	RelayDown  Kind = "relay_down"   // a zone's relay is killed
-	RelayUp    Kind = "relay_up"
+	Rack         EventKind = "rack"        // count workers of one zone are removed, and start again after for_s
+	ZoneLoss     EventKind = "zone_loss"   // all workers of a zone are removed, its dispatchers and relay cut off
+	ZoneReturn   EventKind = "zone_return" // the zone is reachable again, its workers start
+	RegionCut    EventKind = "region_cut"  // a region's zones cannot reach other regions
+	RegionHeal   EventKind = "region_heal"
+	Changes      EventKind = "changes"      // count changes at once
+	RestartZone  EventKind = "restart_zone" // all dispatchers of a zone are restarted
+	WorkerStarts EventKind = "cold"         // count workers of all zones are restarted
+	RelayDown    EventKind = "relay_down"   // a zone's relay is killed
+	RelayUp      EventKind = "relay_up"
 )
 
-var kinds = []Kind{Rack, ZoneLoss, ZoneReturn, RegionCut, RegionHeal, Changes, Restart, Cold, RelayDown, RelayUp}
+var eventKinds = []EventKind{Rack, ZoneLoss, ZoneReturn, RegionCut, RegionHeal, Changes, RestartZone, WorkerStarts, RelayDown, RelayUp}
 
-// Event is one thing that happens.
+// Event is something that happens once.
 type Event struct {
-	Kind   Kind    `toml:"kind"`
-	AtS    float64 `toml:"at_s"`
-	OverS  float64 `toml:"over_s"` // its changes are spread over so long
-	ForS   float64 `toml:"for_s"`
-	Zone   int     `toml:"zone"`
-	Region int     `toml:"region"`
-	Count  int     `toml:"count"`
+	Kind   EventKind `toml:"kind"`
+	AtS    float64   `toml:"at_s"`
+	OverS  float64   `toml:"over_s"` // period over which its changes are spread
+	ForS   float64   `toml:"for_s"`
+	Zone   int       `toml:"zone"`
+	Region int       `toml:"region"`
+	Count  int       `toml:"count"`
 }
 
-// Bounds are what the run must keep to; 0: no bound.
+// Bounds are the limits that a run must keep; 0: no limit.
 type Bounds struct {
-	Of          Mechanisms `toml:"of"` // the mechanisms that they hold for; none named: all
-	InForceP99S float64    `toml:"in_force_p99_s"`
-	InForceMaxS float64    `toml:"in_force_max_s"`
-	CatchUpMaxS float64    `toml:"catch_up_max_s"`
-	BytesPerS   float64    `toml:"bytes_per_s"` // of a dispatcher, mean over its busiest minute
-	CoreShare   float64    `toml:"core_share"`  // of a dispatcher, mean of the run
-	CoreShare10 float64    `toml:"core_share_10s"`
-	MemoryMB    float64    `toml:"memory_mb"` // of a real dispatcher, at its peak
+	Mechanisms   Mechanisms `toml:"of"` // to which they apply; empty: all
+	InForceP99S  float64    `toml:"in_force_p99_s"`
+	InForceMaxS  float64    `toml:"in_force_max_s"`
+	CatchUpMaxS  float64    `toml:"catch_up_max_s"`
+	BytesPerS    float64    `toml:"bytes_per_s"` // of a dispatcher, mean over its busiest minute
+	CoreShare    float64    `toml:"core_share"`  // of a dispatcher, mean of the run
+	CoreShare10S float64    `toml:"core_share_10s"`
+	MemoryMB     float64    `toml:"memory_mb"` // of a daemon, at its peak
 }
 
+// Values of absent keys.
+const (
+	defaultMemoryMB   = 128
+	defaultSlowStartS = 8.6
+	defaultLogChanges = 20_000
+	defaultWorkMs     = 100
+)
+
 // Limits of one run, whatever its scenario says.
 const (
-	mostProcesses = 300
-	mostMemory    = 12 << 30
-	mostWorkers   = 50_000
-	mostHollow    = 3_000
+	maxProcesses = 300
+	maxMemory    = 12 << 30 // bytes, of all processes together
+	maxWorkers   = 50_000
+	maxHollow    = 3_000
 )
 
-// ReadScenario reads a scenario file and fills in what it leaves out.
-func ReadScenario(path string) (s Scenario, err error) {
-	meta, err := toml.DecodeFile(path, &s)
+// ReadScenario reads a scenario file and sets the defaults of absent keys. An error is one line that names the key at
+// fault.
+func ReadScenario(path string) (scenario Scenario, err error) {
+	meta, err := toml.DecodeFile(path, &scenario)
 	if err != nil {
 		line, _, _ := strings.Cut(err.Error(), "\n")
-		return s, errors.New(line)
+		return scenario, errors.New(line)
 	}
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
-		return s, fmt.Errorf("%s: %s: unknown key", path, unknown[0])
+		return scenario, fmt.Errorf("%s: %s: unknown key", path, unknown[0])
 	}
-	if err := s.Check(); err != nil {
-		return s, fmt.Errorf("%s: %w", path, err)
+	if err := scenario.Check(); err != nil {
+		return scenario, fmt.Errorf("%s: %w", path, err)
 	}
-	return s, nil
+	return scenario, nil
 }
 
-// Check fills in defaults and checks all values.
+// Check sets defaults and checks all values.
 func (s *Scenario) Check() error {
-	s.fill()
-	for _, bound := range []struct {
+	s.setDefaults()
+	for _, limit := range []struct {
 		key              string
 		value, low, high float64
 	}{
-		{"workers", float64(s.Workers), 1, mostWorkers},
+		{"workers", float64(s.Workers), 1, maxWorkers},
 		{"zones", float64(s.Zones), 1, 64},
 		{"regions", float64(s.Regions), 1, float64(s.Zones)},
-		{"dispatchers", float64(s.Dispatchers), 1, mostHollow},
-		{"real", float64(s.Real), 0, 64},
+		{"dispatchers", float64(s.Dispatchers), 1, maxHollow},
+		{"real", float64(s.Daemons), 0, 64},
 		{"length_s", s.LengthS, 0.1, 600},
 		{"deadline_s", s.DeadlineS, 1, 1200},
 		{"memory_mb", s.MemoryMB, 8, 4096},
-		{"warm_after_s", s.WarmAfterS, 0, 3600},
+		{"warm_after_s", s.SlowStartS, 0, 3600},
 		{"log_changes", float64(s.LogChanges), 1, 1e6},
-		{"day.factor", s.Day.Factor, 0, 86400},
-		{"day.changes", s.Day.Changes, 0, 1e7},
-		{"day.failures", s.Day.Failures, 0, 1e6},
-		{"day.restarts", s.Day.Restarts, 0, 1e6},
+		{"day.factor", s.Background.TimeFactor, 0, 86400},
+		{"day.changes", s.Background.Changes, 0, 1e7},
+		{"day.failures", s.Background.Failures, 0, 1e6},
+		{"day.restarts", s.Background.Restarts, 0, 1e6},
 		{"traffic.rate_per_s", s.Traffic.RatePerS, 0, 1e4},
 		{"traffic.work_ms", s.Traffic.WorkMs, 1, 1e5},
 	} {
-		if !(bound.value >= bound.low && bound.value <= bound.high) {
-			return fmt.Errorf("%s: %g is not between %g and %g", bound.key, bound.value, bound.low, bound.high)
+		inRange := limit.value >= limit.low && limit.value <= limit.high // false for NaN
+		if !inRange {
+			return fmt.Errorf("%s: %g is not between %g and %g", limit.key, limit.value, limit.low, limit.high)
 		}
 	}
 	if s.Name == "" {
@@ -190,69 +195,71 @@
 	return nil
 }
 
-func (s *Scenario) fill() {
+// setDefaults sets the defaults of absent keys.
+func (s *Scenario) setDefaults() {
 	if s.MemoryMB == 0 {
-		s.MemoryMB = 128
+		s.MemoryMB = defaultMemoryMB
 	}
-	if s.WarmAfterS == 0 {
-		s.WarmAfterS = 8.6
+	if s.SlowStartS == 0 {
+		s.SlowStartS = defaultSlowStartS
 	}
 	if s.LogChanges == 0 {
-		s.LogChanges = 20_000
+		s.LogChanges = defaultLogChanges
 	}
 	if s.Traffic.WorkMs == 0 {
-		s.Traffic.WorkMs = 100
+		s.Traffic.WorkMs = defaultWorkMs
 	}
 	if len(s.Mechanism) == 0 {
 		s.Mechanism = Mechanisms{ByDiscovery}
 	}
 }
 
-func (s *Scenario) checkEvent(e Event) error {
+// checkEvent checks an event against the scenario.
+func (s *Scenario) checkEvent(event Event) error {
 	switch {
-	case !slices.Contains(kinds, e.Kind):
-		return fmt.Errorf("kind: %q is unknown", e.Kind)
-	case !(e.AtS >= 0 && e.AtS <= s.LengthS):
-		return fmt.Errorf("at_s: %g is not between 0 and length_s", e.AtS)
-	case !(e.OverS >= 0 && e.OverS <= s.LengthS):
-		return fmt.Errorf("over_s: %g is not between 0 and length_s", e.OverS)
-	case !(e.ForS >= 0 && e.ForS <= s.LengthS):
-		return fmt.Errorf("for_s: %g is not between 0 and length_s", e.ForS)
-	case e.Zone < 0 || e.Zone >= s.Zones:
-		return fmt.Errorf("zone: there is no zone %d", e.Zone)
-	case e.Region < 0 || e.Region >= s.Regions:
-		return fmt.Errorf("region: there is no region %d", e.Region)
-	case e.Count < 0 || e.Count > mostWorkers:
-		return fmt.Errorf("count: %d is not between 0 and %d", e.Count, mostWorkers)
-	case e.Count == 0 && slices.Contains([]Kind{Rack, Changes, Cold}, e.Kind):
+	case !slices.Contains(eventKinds, event.Kind):
+		return fmt.Errorf("kind: %q is unknown", event.Kind)
+	case !(event.AtS >= 0 && event.AtS <= s.LengthS):
+		return fmt.Errorf("at_s: %g is not between 0 and length_s", event.AtS)
+	case !(event.OverS >= 0 && event.OverS <= s.LengthS):
+		return fmt.Errorf("over_s: %g is not between 0 and length_s", event.OverS)
+	case !(event.ForS >= 0 && event.ForS <= s.LengthS):
+		return fmt.Errorf("for_s: %g is not between 0 and length_s", event.ForS)
+	case event.Zone < 0 || event.Zone >= s.Zones:
+		return fmt.Errorf("zone: there is no zone %d", event.Zone)
+	case event.Region < 0 || event.Region >= s.Regions:
+		return fmt.Errorf("region: there is no region %d", event.Region)
+	case event.Count < 0 || event.Count > maxWorkers:
+		return fmt.Errorf("count: %d is not between 0 and %d", event.Count, maxWorkers)
+	case event.Count == 0 && slices.Contains([]EventKind{Rack, Changes, WorkerStarts}, event.Kind):
 		return errors.New("count: missing")
 	}
 	return nil
 }
 
-// Broken names the bounds that figures break, for one mechanism.
-func (b *Bounds) Broken(mechanism Mechanism, figures Figures) (broken []string) {
-	if len(b.Of) > 0 && !slices.Contains(b.Of, mechanism) {
+// Violations describes the bounds that figures exceed, for one mechanism.
+func (b *Bounds) Violations(mechanism Mechanism, figures Figures) (violations []string) {
+	if len(b.Mechanisms) > 0 && !slices.Contains(b.Mechanisms, mechanism) {
 		return nil
 	}
 	check := func(key string, bound float64, matches func(name string) bool) {
 		for _, figure := range figures {
 			if bound > 0 && matches(figure.Name) && figure.Value > bound {
-				broken = append(broken, fmt.Sprintf("%s: %s %s is %.4g, the bound %g", mechanism, key, figure.Name, figure.Value, bound))
+				violations = append(violations, fmt.Sprintf("%s: %s %s is %.4g, the bound %g", mechanism, key, figure.Name, figure.Value, bound))
 			}
 		}
 	}
-	in := func(prefix, suffix string) func(string) bool {
+	figureNamed := func(prefix, suffix string) func(string) bool {
 		return func(name string) bool { return strings.HasPrefix(name, prefix) && strings.HasSuffix(name, suffix) }
 	}
-	check("in_force_p99_s", b.InForceP99S, in("in_force.", ".p99"))
-	check("in_force_max_s", b.InForceMaxS, in("in_force.", ".max"))
-	check("catch_up_max_s", b.CatchUpMaxS, in("catch_up.", ".max"))
-	check("bytes_per_s", b.BytesPerS, in("dispatcher.", ".bytes_worst_minute"))
-	check("core_share", b.CoreShare, in("dispatcher.", ".core_share"))
-	check("core_share_10s", b.CoreShare10, in("dispatcher.", ".core_share_worst_10s"))
-	check("memory_mb", b.MemoryMB, in("dispatcher.real", ".memory_peak"))
-	return broken
+	check("in_force_p99_s", b.InForceP99S, figureNamed("in_force.", ".p99"))
+	check("in_force_max_s", b.InForceMaxS, figureNamed("in_force.", ".max"))
+	check("catch_up_max_s", b.CatchUpMaxS, figureNamed("catch_up.", ".max"))
+	check("bytes_per_s", b.BytesPerS, figureNamed("dispatcher.", ".bytes_worst_minute"))
+	check("core_share", b.CoreShare, figureNamed("dispatcher.", ".core_share"))
+	check("core_share_10s", b.CoreShare10S, figureNamed("dispatcher.", ".core_share_worst_10s"))
+	check("memory_mb", b.MemoryMB, figureNamed("dispatcher.real", ".memory_peak"))
+	return violations
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/rehearsal/scale/tracker.go
+++ b/internal/rehearsal/scale/tracker.go
@@ -7,128 +7,143 @@
 	"time"
 )
 
-// This file owns when changes are in force: when each was made, and when each
-// dispatcher had it. It reads no clock; all moments are Unix time.
-
-// made is one change.
-type made struct {
+// madeVersion is a version that the origin has made.
+type madeVersion struct {
 	version int64
 	at      time.Duration
 	phase   string
 }
 
-// moment is when a dispatcher had a version in force.
-type moment struct {
+// appliedVersion is a version that a dispatcher had in force.
+type appliedVersion struct {
 	version int64
 	at      time.Duration
 }
 
-// outage is a time in which a dispatcher cannot be reached.
+// outage is a period in which a dispatcher cannot be reached.
 type outage struct {
-	from, to time.Duration // to is the largest number while it lasts
-	phase    string        // of the event that ended it
-	version  int64         // the newest one when it ended
+	from    time.Duration
+	to      time.Duration // outageLasts while it lasts
+	phase   string        // of the event that ended it
+	version int64         // the newest when it ended
 }
 
-// tracker follows all dispatchers.
+// never is later than any time of a run.
+const never = time.Duration(math.MaxInt64)
+
+// outageLasts is the end of an outage that has not ended.
+const outageLasts = never
+
+// tracker records when each version was made and when each dispatcher had it. It reads no clock; all times are Unix
+// time.
 type tracker struct {
-	changes []made
-	moments map[string][]moment // by dispatcher, in order
-	outages map[string][]outage
-	back    int // times at which a dispatcher went back to an older version
+	changes         []madeVersion
+	appliedVersions map[string][]appliedVersion // by dispatcher, in order
+	outages         map[string][]outage
+	regressions     int // times at which a dispatcher went back to an older version
 }
 
 func newTracker() *tracker {
-	return &tracker{moments: map[string][]moment{}, outages: map[string][]outage{}}
+	return &tracker{appliedVersions: map[string][]appliedVersion{}, outages: map[string][]outage{}}
 }
 
-func (t *tracker) make(version int64, at time.Duration, phase string) {
-	t.changes = append(t.changes, made{version, at, phase})
+// recordMade records that the origin has made a version.
+func (t *tracker) recordMade(version int64, at time.Duration, phase string) {
+	t.changes = append(t.changes, madeVersion{version, at, phase})
 }
 
-func (t *tracker) applied(name string, version int64, at time.Duration) {
+// recordApplied records that a dispatcher has a version in force.
+func (t *tracker) recordApplied(name string, version int64, at time.Duration) {
 	if newest, _ := t.current(name); version < newest {
-		t.back++
+		t.regressions++
 	}
-	t.moments[name] = append(t.moments[name], moment{version, at})
+	t.appliedVersions[name] = append(t.appliedVersions[name], appliedVersion{version, at})
 }
 
-// cut tells that a dispatcher cannot be reached from now on.
-func (t *tracker) cut(name string, at time.Duration) {
-	t.outages[name] = append(t.outages[name], outage{from: at, to: math.MaxInt64})
+// recordCut records that a dispatcher cannot be reached from now on.
+func (t *tracker) recordCut(name string, at time.Duration) {
+	t.outages[name] = append(t.outages[name], outage{from: at, to: outageLasts})
 }
 
-// heal tells that it can be again, and what the newest version is.
-func (t *tracker) heal(name string, at time.Duration, phase string, version int64) {
-	list := t.outages[name]
-	if n := len(list); n > 0 && list[n-1].to == math.MaxInt64 {
-		list[n-1].to, list[n-1].phase, list[n-1].version = at, phase, version
+// recordHeal records that a dispatcher can be reached again, and the newest version.
+func (t *tracker) recordHeal(name string, at time.Duration, phase string, version int64) {
+	outages := t.outages[name]
+	if len(outages) == 0 {
+		return
+	}
+	latest := &outages[len(outages)-1]
+	if latest.to != outageLasts {
+		return
 	}
+	latest.to = at
+	latest.phase = phase
+	latest.version = version
 }
 
-// current is the newest version that a dispatcher has, and whether it can be reached.
+// current returns a dispatcher's latest version, and whether it can be reached.
 func (t *tracker) current(name string) (version int64, reachable bool) {
-	if list := t.moments[name]; len(list) > 0 {
-		version = list[len(list)-1].version
+	if applied := t.appliedVersions[name]; len(applied) > 0 {
+		version = applied[len(applied)-1].version
 	}
-	list := t.outages[name]
-	return version, len(list) == 0 || list[len(list)-1].to < math.MaxInt64
+	outages := t.outages[name]
+	return version, len(outages) == 0 || outages[len(outages)-1].to < outageLasts
 }
 
-// when is the first moment after from at which a dispatcher had a version.
-func (t *tracker) when(name string, version int64, from time.Duration) (time.Duration, bool) {
-	list := t.moments[name]
-	i := sort.Search(len(list), func(i int) bool { return list[i].version >= version && list[i].at >= from })
-	if i == len(list) {
+// firstApplied returns the first time from a given one at which a dispatcher had a version or a later one; false if it
+// never had.
+func (t *tracker) firstApplied(name string, version int64, from time.Duration) (time.Duration, bool) {
+	applied := t.appliedVersions[name]
+	i := sort.Search(len(applied), func(i int) bool { return applied[i].version >= version && applied[i].at >= from })
+	if i == len(applied) {
 		return 0, false
 	}
-	return list[i].at, true
+	return applied[i].at, true
 }
 
-// reachable tells whether a dispatcher could be reached from a change on, until
-// it had it: one that is cut off meanwhile is counted when it comes back.
-func (t *tracker) reachable(name string, at, had time.Duration) bool {
-	return !slices.ContainsFunc(t.outages[name], func(o outage) bool { return o.from <= had && at <= o.to })
+// reachableUntil reports whether a dispatcher could be reached from a change until it had it. One that was cut off
+// meanwhile counts as catching up instead.
+func (t *tracker) reachableUntil(name string, at, appliedAt time.Duration) bool {
+	return !slices.ContainsFunc(t.outages[name], func(o outage) bool { return o.from <= appliedAt && at <= o.to })
 }
 
-// inForce tells for each change of a phase how long it took, in seconds, until
-// the last reachable dispatcher had it. missing counts those that some reachable
-// dispatcher never had.
-func (t *tracker) inForce(phase string) (took []float64, missing int) {
+// inForce returns for each change of a phase how long it took, in seconds, until the last reachable dispatcher had it.
+// missing counts the changes that some reachable dispatcher never had.
+func (t *tracker) inForce(phase string) (delays []float64, missing int) {
 	for _, change := range t.changes {
 		if change.phase != phase {
 			continue
 		}
-		last, _, everywhere := t.spread(change)
+		delay, _, everywhere := t.propagation(change)
 		if !everywhere {
 			missing++
 			continue
 		}
-		took = append(took, last.Seconds())
+		delays = append(delays, delay.Seconds())
 	}
-	return took, missing
+	return delays, missing
 }
 
-// spread tells how long a change took until the last reachable dispatcher had
-// it, and which one that was; not everywhere: one never had it.
-func (t *tracker) spread(change made) (last time.Duration, slowest string, everywhere bool) {
-	for name := range t.moments {
-		had, ok := t.when(name, change.version, change.at)
-		if !ok {
-			had = math.MaxInt64
+// propagation returns how long a change took until the last reachable dispatcher had it, and which one that was.
+// everywhere is false if one never had it.
+func (t *tracker) propagation(change madeVersion) (delay time.Duration, slowest string, everywhere bool) {
+	for name := range t.appliedVersions {
+		appliedAt, found := t.firstApplied(name, change.version, change.at)
+		if !found {
+			appliedAt = never
 		}
 		switch {
-		case !t.reachable(name, change.at, had):
-		case !ok:
+		case !t.reachableUntil(name, change.at, appliedAt):
+		case !found:
 			return 0, name, false
-		case had-change.at > last:
-			last, slowest = had-change.at, name
+		case appliedAt-change.at > delay:
+			delay = appliedAt - change.at
+			slowest = name
 		}
 	}
-	return last, slowest, true
+	return delay, slowest, true
 }
 
-// phases are those that have changes, in the order of their first.
+// phases returns the phases that have changes, in the order of their first.
 func (t *tracker) phases() (names []string) {
 	for _, change := range t.changes {
 		if !slices.Contains(names, change.phase) {
@@ -138,32 +153,32 @@
 	return names
 }
 
-// catchUp tells, by the event that ended outages, how long each dispatcher took
-// from then until it had what was the newest version at that moment.
-func (t *tracker) catchUp() (took map[string][]float64, missing int) {
-	took = map[string][]float64{}
-	for name, list := range t.outages {
-		for _, o := range list {
-			if o.to == math.MaxInt64 {
+// catchUp returns, by the event that ended outages, how long each dispatcher took from then until it had the version
+// that was the newest at that time. missing counts those that never had it.
+func (t *tracker) catchUp() (delays map[string][]float64, missing int) {
+	delays = map[string][]float64{}
+	for name, outages := range t.outages {
+		for _, outage := range outages {
+			if outage.to == outageLasts {
 				continue
 			}
-			had, ok := t.when(name, o.version, o.to)
-			if !ok {
+			appliedAt, found := t.firstApplied(name, outage.version, outage.to)
+			if !found {
 				missing++
 				continue
 			}
-			took[o.phase] = append(took[o.phase], (had - o.to).Seconds())
+			delays[outage.phase] = append(delays[outage.phase], (appliedAt - outage.to).Seconds())
 		}
 	}
-	return took, missing
+	return delays, missing
 }
 
-// quantile is a quantile of values, by the nearest rank.
-func quantile(values []float64, q float64) float64 {
+// quantile returns a quantile of values, by the nearest rank; 0 if there are none.
+func quantile(values []float64, share float64) float64 {
 	if len(values) == 0 {
 		return 0
 	}
 	sorted := slices.Sorted(slices.Values(values))
-	rank := int(math.Ceil(q*float64(len(sorted)))) - 1
+	rank := int(math.Ceil(share*float64(len(sorted)))) - 1
 	return sorted[min(max(rank, 0), len(sorted)-1)]
 }
