--- a/cmd/rehearse/capacity.go
+++ b/cmd/rehearse/capacity.go
@@ -6,19 +6,19 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/capacity"
 )
 
-// This file owns capacity: the page that is generated from runs.
-
+// capacityCmd writes the capacity page from the runs.
 type capacityCmd struct {
 	Data   string `default:"docs/capacity" help:"Directory with the runs, the assumptions and the template."`
 	Output string `short:"o" default:"docs/CAPACITY.md" help:"The page."`
 }
 
-func (c *capacityCmd) Run(*env) error {
+// Run writes the page.
+func (c *capacityCmd) Run(*environment) error {
 	page, err := capacity.Write(c.Data)
 	if err != nil {
 		return err
 	}
-	return create(c.Output, func(w io.Writer) error {
+	return writeAtomically(c.Output, func(w io.Writer) error {
 		_, err := w.Write(page)
 		return err
 	})
--- a/cmd/rehearse/flood.go
+++ b/cmd/rehearse/flood.go
@@ -24,226 +24,303 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/standin"
 )
 
-// This file owns flood: known clients' requests beside hostile ones, with
-// admission on and off in one run. It judges nothing but the rules; what is
-// good enough is for its reader.
+// The known clients' load, by class.
+const (
+	statusCheckObjective = 250 * time.Millisecond
+	statusCheckDeadline  = 5 * time.Second
+	statusCheckWork      = 30 * time.Millisecond
+	renewalObjective     = 200 * time.Millisecond
+	renewalDeadline      = 8 * time.Second
+	renewalWork          = 40 * time.Millisecond
+)
+
+const (
+	firstKnownClient   = "127.9.0.1"
+	floodWorkers       = 9
+	floodLead          = time.Second // before the first request of known clients
+	exhaustedLimit     = 16          // descriptors left while they are exhausted
+	maxConnectionsJSON = 64 << 10    // bytes of the admin API's answer
+)
 
+// floodCmd sends requests of known clients together with hostile load, with connection admission on and off. It fails only
+// if a rule was violated; how good the service was is for the reader to judge.
 type floodCmd struct {
-	Operator string        `default:"deploy/operator.toml" help:"The daemon's operator file, whose known prefixes must hold 127.9.0.0/24."`
-	Hostile  int           `default:"5000" help:"Hostile clients at a time."`
-	Sources  int           `default:"250" help:"Addresses that they come from."`
-	Sockets  int           `default:"1024" help:"Descriptors that the daemon has."`
-	Clients  int           `default:"20" help:"Addresses of known clients."`
-	Rate     float64       `default:"80" help:"Their requests a second."`
-	For      time.Duration `default:"15s" help:"How long each part takes."`
-	Seed     uint64        `default:"1"`
-	Alone    bool          `help:"Also without any hostile client."`
-	Starve   bool          `help:"Instead: twice the rate, without hostile clients, whole and with no descriptor left by the system in the middle third."`
-	Daemon   string        `help:"The daemon's program; not given: dispatcher beside this one."`
-	JSON     bool          `name:"json" help:"Print as JSON."`
-}
-
-// part is one part of the run.
-type part struct {
-	Name     string             `json:"name"`
-	Sent     int                `json:"sent"`
-	Served   int                `json:"served"`
-	Answered int                `json:"answered"`
-	Wanted   int                `json:"within_wanted"`
-	P50Ms    float64            `json:"p50_ms"`
-	P99Ms    float64            `json:"p99_ms"`
-	MaxMs    float64            `json:"max_ms"`
-	CPUms    float64            `json:"daemon_cpu_ms_per_s"`
-	Hostile  hostileload.Counts `json:"hostile"`
-	Kept     bool               `json:"rules_kept"`
-	Verdict  string             `json:"verdict"`
-	Door     json.RawMessage    `json:"connections,omitempty"`
-
-	Refusals, Failures map[string]int
-	seconds            []*replay.Second
-	lost               int
-}
-
-func (p *part) share(n int) float64 { return 100 * float64(n) / float64(max(p.Sent, 1)) }
-
-// knownLoad writes a recording of evenly random arrivals: three status-checks of
-// 30 ms, then a renewal of 40 ms.
-func knownLoad(w io.Writer, c *floodCmd) error {
+	Operator           string        `default:"deploy/operator.toml" help:"The daemon's operator file, whose known prefixes must hold 127.9.0.0/24."`
+	Hostile            int           `default:"5000" help:"Hostile clients at a time."`
+	Sources            int           `default:"250" help:"Addresses that they come from."`
+	Sockets            int           `default:"1024" help:"Descriptors that the daemon has."`
+	Clients            int           `default:"20" help:"Addresses of known clients."`
+	Rate               float64       `default:"80" help:"Their requests a second."`
+	Duration           time.Duration `name:"for" default:"15s" help:"How long each part takes."`
+	Seed               uint64        `default:"1"`
+	Alone              bool          `help:"Also without any hostile client."`
+	ExhaustDescriptors bool          `name:"starve" help:"Instead: twice the rate, without hostile clients, whole and with no descriptor left by the system in the middle third."`
+	Daemon             string        `help:"The daemon's program; not given: dispatcher beside this one."`
+	JSON               bool          `name:"json" help:"Print as JSON."`
+}
+
+// floodResult is the result of one part of the run.
+type floodResult struct {
+	Name            string             `json:"name"`
+	Sent            int                `json:"sent"`
+	Served          int                `json:"served"`
+	Answered        int                `json:"answered"`
+	WithinObjective int                `json:"within_wanted"`
+	P50Ms           float64            `json:"p50_ms"`
+	P99Ms           float64            `json:"p99_ms"`
+	MaxMs           float64            `json:"max_ms"`
+	CPUMsPerS       float64            `json:"daemon_cpu_ms_per_s"`
+	Hostile         hostileload.Counts `json:"hostile"`
+	RulesHeld       bool               `json:"rules_kept"`
+	Summary         string             `json:"verdict"`
+	Connections     json.RawMessage    `json:"connections,omitempty"`
+
+	Rejections map[string]int `json:"Refusals"`
+	Failures   map[string]int `json:"Failures"`
+	seconds    []*replay.Second
+	lost       int
+}
+
+// percent returns a count as a percentage of the requests sent.
+func (r *floodResult) percent(count int) float64 {
+	return 100 * float64(count) / float64(max(r.Sent, 1))
+}
+
+// writeKnownLoad writes a recording of requests at even distances: three status checks, then a renewal.
+func writeKnownLoad(w io.Writer, c *floodCmd) error {
 	out, err := recording.NewWriter(w, &recordingpb.Header{Version: recording.Version, Classes: []*recordingpb.Class{
 		{Name: "status-check", Retryable: true}, {Name: "renewal"}}})
 	if err != nil {
 		return err
 	}
-	n := int(c.Rate * c.For.Seconds())
-	for i := range n {
-		e := recording.Entry{At: time.Second + time.Duration(float64(i)/c.Rate*float64(time.Second)), Key: uint64(i%997 + 1), Left: 5 * time.Second,
-			Duration: 30 * time.Millisecond, Effort: 30 * time.Millisecond, Slots: 1}
+	count := int(c.Rate * c.Duration.Seconds())
+	for i := range count {
+		entry := recording.Entry{At: floodLead + time.Duration(float64(i)/c.Rate*float64(time.Second)), Key: uint64(i%997 + 1), Left: statusCheckDeadline,
+			Duration: statusCheckWork, Effort: statusCheckWork, Slots: 1}
 		if i%4 == 3 {
-			e.Class, e.Left, e.Duration, e.Effort = 1, 8*time.Second, 40*time.Millisecond, 40*time.Millisecond
+			entry.Class = 1
+			entry.Left = renewalDeadline
+			entry.Duration = renewalWork
+			entry.Effort = renewalWork
 		}
-		if err := out.Add(&e); err != nil {
+		if err := out.Add(&entry); err != nil {
 			return err
 		}
 	}
 	return out.Close()
 }
 
-// hold holds one part.
-func (c *floodCmd) hold(name, operator string, clients int, during func(*standin.Fleet)) (p part, err error) {
-	p.Name = name
-	daemon, err := daemonPath(c.Daemon)
-	if err != nil {
-		return p, err
-	}
+// floodPart is one part of the run.
+type floodPart struct {
+	name     string
+	operator string               // operator file; empty: admission is off
+	hostile  int                  // hostile clients
+	during   func(*standin.Fleet) // runs beside the load; may be nil
+}
+
+// runPart runs one part.
+func (c *floodCmd) runPart(part floodPart) (floodResult, error) {
 	dir, err := os.MkdirTemp("", "hollyyoke-flood")
 	if err != nil {
-		return p, err
+		return floodResult{}, err
 	}
 	defer os.RemoveAll(dir)
 	var file bytes.Buffer
-	if err := knownLoad(&file, c); err != nil {
-		return p, err
+	if err := writeKnownLoad(&file, c); err != nil {
+		return floodResult{}, err
 	}
-	r, err := recording.NewReader(&file)
+	reader, err := recording.NewReader(&file)
 	if err != nil {
-		return p, err
+		return floodResult{}, err
 	}
-	defer r.Close()
-	if operator != "" {
-		if operator, err = filepath.Abs(operator); err != nil {
-			return p, err
-		}
+	defer reader.Close()
+	fleet, err := c.startFleet(dir, part.operator)
+	if err != nil {
+		return floodResult{}, err
+	}
+	defer fleet.Close()
+	hostile := c.startHostile(fleet.Addr, part.hostile)
+	if part.during != nil {
+		go part.during(fleet)
 	}
-	f, err := standin.Start(standin.FleetConfig{Daemon: daemon, Dir: dir, Workers: 9, Seed: c.Seed, Sockets: c.Sockets, Operator: operator,
-		Classes: []standin.ClassConfig{{Name: "status-check", Retryable: true, Left: 5 * time.Second}, {Name: "renewal", Left: 8 * time.Second}}})
+	startedAt := time.Now()
+	cpuBefore := fleet.CPU()
+	replayed, err := c.replayKnown(reader, fleet)
 	if err != nil {
-		return p, err
-	}
-	defer f.Close()
-	from := []netip.Addr{netip.MustParseAddr("127.9.0.1")}
-	for len(from) < c.Clients {
-		from = append(from, from[len(from)-1].Next())
-	}
-	flood := make(chan hostileload.Counts, 1)
-	if clients > 0 {
-		go func() {
-			n, _ := hostileload.Run(context.Background(), hostileload.Config{To: f.Addr, Seed: c.Seed, Clients: clients, Sources: c.Sources, For: c.For + 2*time.Second})
-			flood <- n
-		}()
-	} else {
-		flood <- hostileload.Counts{}
-	}
-	if during != nil {
-		go during(f)
-	}
-	began, cpu := time.Now(), f.CPU()
-	result, err := replay.Run(context.Background(), r, replay.Options{To: f.Addr, Seed: c.Seed, Proven: f.Gate.Open, From: from,
-		Wanted: map[string]time.Duration{"status-check": 250 * time.Millisecond, "renewal": 200 * time.Millisecond},
-		Announce: func(id, class string, retryable bool, path string, x *recording.Entry) {
-			f.Books.Announce(standin.Job{ID: id, Class: class, Retryable: retryable, Path: path, Service: x.Duration, Slots: x.Slots})
-		}})
+		return floodResult{}, err
+	}
+	result := floodResult{Name: part.name}
+	result.CPUMsPerS = float64((fleet.CPU() - cpuBefore).Milliseconds()) / time.Since(startedAt).Seconds()
+	if part.operator != "" {
+		result.Connections = connectionsJSON(fleet)
+	}
+	result.Hostile = <-hostile
+	result.evaluate(replayed, fleet)
+	return result, nil
+}
+
+// startFleet starts the daemon and its stand-ins.
+func (c *floodCmd) startFleet(dir, operator string) (*standin.Fleet, error) {
+	daemon, err := daemonPath(c.Daemon)
 	if err != nil {
-		return p, err
+		return nil, err
 	}
-	p.CPUms = float64((f.CPU() - cpu).Milliseconds()) / time.Since(began).Seconds()
 	if operator != "" {
-		if answer, err := http.Get("http://" + f.Door() + "/control/connections"); err == nil {
-			p.Door, _ = io.ReadAll(io.LimitReader(answer.Body, 64<<10))
-			answer.Body.Close()
+		operator, err = filepath.Abs(operator)
+		if err != nil {
+			return nil, err
 		}
 	}
-	p.Hostile = <-flood
-	rep := report.Report{Result: result}
-	rep.Judge(&f.Books)
-	p.Kept, p.Verdict = rep.RanTwice+rep.NeverRan == 0 && len(rep.Stands.Unknown) == 0, rep.Verdict
-	p.Refusals, p.Failures, p.seconds = result.Refusals, result.Failures, result.Seconds
-	count := func(of func(*replay.Tally) int) int { return result.Count(of) }
-	p.Sent = count(func(t *replay.Tally) int { return t.Sent + t.Unsent })
-	p.Served = count(func(t *replay.Tally) int { return t.Served })
-	p.Answered = count(func(t *replay.Tally) int { return t.Served + t.Refused + t.Failed })
-	p.lost = count(func(t *replay.Tally) int { return t.Lost + t.Twice })
-	p.Wanted = count(func(t *replay.Tally) int { return t.Wanted })
-	s := result.Classes["status-check"]
-	p.P50Ms, p.P99Ms, p.MaxMs = float64(s.Intended.P50)/1000, float64(s.Intended.P99)/1000, float64(s.Intended.Max)/1000
-	return p, nil
-}
-
-// starve takes the system's descriptors away for the middle third, and tells how
-// much processor time the daemon used in it.
-func (c *floodCmd) starve(spent *time.Duration, away bool) func(f *standin.Fleet) {
-	return func(f *standin.Fleet) {
-		time.Sleep(time.Second + c.For/3)
+	return standin.Start(standin.FleetConfig{Daemon: daemon, Dir: dir, Workers: floodWorkers, Seed: c.Seed, Sockets: c.Sockets, Operator: operator,
+		Classes: []standin.ClassConfig{{Name: "status-check", Retryable: true, Left: statusCheckDeadline}, {Name: "renewal", Left: renewalDeadline}}})
+}
+
+// startHostile starts the hostile clients and returns the channel that gets their counts.
+func (c *floodCmd) startHostile(target string, clients int) <-chan hostileload.Counts {
+	counts := make(chan hostileload.Counts, 1)
+	if clients == 0 {
+		counts <- hostileload.Counts{}
+		return counts
+	}
+	go func() {
+		got, _ := hostileload.Run(context.Background(), hostileload.Config{To: target, Seed: c.Seed, Clients: clients, Sources: c.Sources, For: c.Duration + 2*time.Second})
+		counts <- got
+	}()
+	return counts
+}
+
+// replayKnown sends the known clients' requests.
+func (c *floodCmd) replayKnown(reader *recording.Reader, fleet *standin.Fleet) (*replay.Result, error) {
+	addresses := []netip.Addr{netip.MustParseAddr(firstKnownClient)}
+	for len(addresses) < c.Clients {
+		addresses = append(addresses, addresses[len(addresses)-1].Next())
+	}
+	return replay.Run(context.Background(), reader, replay.Options{To: fleet.Addr, Seed: c.Seed, Proven: fleet.Gate.Open, From: addresses,
+		Wanted: map[string]time.Duration{"status-check": statusCheckObjective, "renewal": renewalObjective},
+		Announce: func(id, class string, retryable bool, path string, x *recording.Entry) {
+			fleet.Books.Announce(standin.Job{ID: id, Class: class, Retryable: retryable, Path: path, Service: x.Duration, Slots: x.Slots})
+		}})
+}
+
+// connectionsJSON returns the admin API's view of the connections; nil if it does not answer.
+func connectionsJSON(fleet *standin.Fleet) json.RawMessage {
+	response, err := http.Get("http://" + fleet.Door() + "/control/connections")
+	if err != nil {
+		return nil
+	}
+	defer response.Body.Close()
+	text, _ := io.ReadAll(io.LimitReader(response.Body, maxConnectionsJSON))
+	return text
+}
+
+// evaluate sets the counts, latencies and conclusion.
+func (r *floodResult) evaluate(replayed *replay.Result, fleet *standin.Fleet) {
+	rep := report.Report{Result: replayed}
+	rep.Judge(&fleet.Books)
+	r.RulesHeld = rep.RanTwice+rep.NeverRan == 0 && len(rep.Stands.Unknown) == 0
+	r.Summary = rep.Verdict
+	r.Rejections = replayed.Refusals
+	r.Failures = replayed.Failures
+	r.seconds = replayed.Seconds
+	r.Sent = replayed.Count(func(t *replay.Tally) int { return t.Sent + t.Unsent })
+	r.Served = replayed.Count(func(t *replay.Tally) int { return t.Served })
+	r.Answered = replayed.Count(func(t *replay.Tally) int { return t.Served + t.Refused + t.Failed })
+	r.lost = replayed.Count(func(t *replay.Tally) int { return t.Lost + t.Twice })
+	r.WithinObjective = replayed.Count(func(t *replay.Tally) int { return t.Wanted })
+	statusChecks := replayed.Classes["status-check"]
+	r.P50Ms = float64(statusChecks.Intended.P50) / 1000
+	r.P99Ms = float64(statusChecks.Intended.P99) / 1000
+	r.MaxMs = float64(statusChecks.Intended.Max) / 1000
+}
+
+// exhaustDescriptors returns a function that lowers the daemon's descriptor limit for the middle third, if exhaust is set,
+// and stores the processor time that the daemon uses in that third.
+func (c *floodCmd) exhaustDescriptors(spent *time.Duration, exhaust bool) func(fleet *standin.Fleet) {
+	return func(fleet *standin.Fleet) {
+		time.Sleep(floodLead + c.Duration/3)
 		var limit unix.Rlimit
-		if unix.Prlimit(f.PID(), unix.RLIMIT_NOFILE, nil, &limit) != nil {
+		if unix.Prlimit(fleet.PID(), unix.RLIMIT_NOFILE, nil, &limit) != nil {
 			return
 		}
-		before := f.CPU()
-		if away {
-			unix.Prlimit(f.PID(), unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: 16, Max: limit.Max}, nil)
-			defer unix.Prlimit(f.PID(), unix.RLIMIT_NOFILE, &limit, nil)
+		before := fleet.CPU()
+		if exhaust {
+			unix.Prlimit(fleet.PID(), unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: exhaustedLimit, Max: limit.Max}, nil)
+			defer unix.Prlimit(fleet.PID(), unix.RLIMIT_NOFILE, &limit, nil)
 		}
-		time.Sleep(c.For / 3)
-		*spent = f.CPU() - before
+		time.Sleep(c.Duration / 3)
+		*spent = fleet.CPU() - before
 	}
 }
 
-func (c *floodCmd) Run(e *env) error {
+// Run runs all parts and fails if one violated a rule.
+func (c *floodCmd) Run(e *environment) error {
 	debug.SetMemoryLimit(math.MaxInt64)
-	descriptors()
-	type plan struct {
-		name, operator string
-		clients        int
-		during         func(*standin.Fleet)
-	}
-	plans := []plan{{"admission on", c.Operator, c.Hostile, nil}, {"admission off", "", c.Hostile, nil}}
+	raiseDescriptorLimit()
+	parts := []floodPart{{name: "admission on", operator: c.Operator, hostile: c.Hostile}, {name: "admission off", hostile: c.Hostile}}
 	if c.Alone {
-		plans = append([]plan{{"alone", c.Operator, 0, nil}}, plans...)
+		parts = append([]floodPart{{name: "alone", operator: c.Operator}}, parts...)
 	}
-	var whole, starved time.Duration
-	if c.Starve {
+	var cpuNormal, cpuExhausted time.Duration // in the middle third
+	if c.ExhaustDescriptors {
 		c.Rate *= 2
-		plans = []plan{{"whole", c.Operator, c.Hostile / 25, c.starve(&whole, false)}, {"starved", c.Operator, c.Hostile / 25, c.starve(&starved, true)}}
+		parts = []floodPart{
+			{name: "whole", operator: c.Operator, hostile: c.Hostile / 25, during: c.exhaustDescriptors(&cpuNormal, false)},
+			{name: "starved", operator: c.Operator, hostile: c.Hostile / 25, during: c.exhaustDescriptors(&cpuExhausted, true)},
+		}
 	}
-	var parts []part
-	for _, x := range plans {
-		p, err := c.hold(x.name, x.operator, x.clients, x.during)
+	var results []floodResult
+	for _, part := range parts {
+		result, err := c.runPart(part)
 		if err != nil {
 			return err
 		}
-		parts = append(parts, p)
+		results = append(results, result)
 	}
 	if c.JSON {
-		return writeJSON(e.out, parts)
-	}
-	fmt.Fprintf(e.out, "%-14s %6s %9s %9s %9s %8s %8s %8s %9s %10s %10s\n", "known clients", "sent", "answered", "served", "wanted", "p50 ms", "p99 ms", "max ms",
-		"CPU ms/s", "hostile", "refused")
-	kept := true
-	for _, p := range parts {
-		fmt.Fprintf(e.out, "%-14s %6d %8.2f%% %8.2f%% %8.2f%% %8.1f %8.1f %8.1f %9.0f %10d %10d\n", p.Name, p.Sent, p.share(p.Answered), p.share(p.Served),
-			p.share(p.Wanted), p.P50Ms, p.P99Ms, p.MaxMs, p.CPUms, p.Hostile.Attempted, p.Hostile.Ended+p.Hostile.Failed)
-		list := func(what string, words map[string]int) {
-			for why, n := range words {
-				fmt.Fprintf(e.out, "  %s: %d  %s\n", what, n, why)
-			}
-		}
-		list("refused", p.Refusals)
-		list("failed or lost", p.Failures)
-		kept = kept && p.Kept
-		if !p.Kept {
-			fmt.Fprintln(e.out, "  "+p.Verdict)
+		return writeJSON(e.out, results)
+	}
+	writeFlood(e.out, results)
+	if c.ExhaustDescriptors {
+		fmt.Fprintf(e.out, "daemon's processor time in the middle third: %v normally, %v without descriptors\n", cpuNormal, cpuExhausted)
+		c.writeRecovery(e.out, results[1].seconds)
+	}
+	for _, result := range results {
+		if !result.RulesHeld {
+			return violationError{"a rule was violated"}
 		}
 	}
-	if c.Starve {
-		fmt.Fprintf(e.out, "daemon's processor time in the middle third: %v whole, %v starved\n", whole, starved)
-		end := int((time.Second + c.For*2/3) / time.Second)
-		for i, s := range parts[1].seconds {
-			if i >= end-1 && i <= end+2 {
-				fmt.Fprintf(e.out, "second %d (descriptors are back in second %d): sent %d, served %d, p99 %.1f ms\n", i, end, s.Replayed, s.Served, float64(s.P99Us)/1000)
-			}
+	return nil
+}
+
+// writeFlood writes a table of the parts.
+func writeFlood(out io.Writer, results []floodResult) {
+	fmt.Fprintf(out, "%-14s %6s %9s %9s %9s %8s %8s %8s %9s %10s %10s\n", "known clients", "sent", "answered", "served", "in time", "p50 ms", "p99 ms", "max ms",
+		"CPU ms/s", "hostile", "rejected")
+	for _, result := range results {
+		fmt.Fprintf(out, "%-14s %6d %8.2f%% %8.2f%% %8.2f%% %8.1f %8.1f %8.1f %9.0f %10d %10d\n", result.Name, result.Sent, result.percent(result.Answered),
+			result.percent(result.Served), result.percent(result.WithinObjective), result.P50Ms, result.P99Ms, result.MaxMs, result.CPUMsPerS,
+			result.Hostile.Attempted, result.Hostile.Ended+result.Hostile.Failed)
+		writeReasons(out, "rejected", result.Rejections)
+		writeReasons(out, "failed or lost", result.Failures)
+		if !result.RulesHeld {
+			fmt.Fprintln(out, "  "+result.Summary)
 		}
 	}
-	if !kept {
-		return broken{"a rule was broken"}
+}
+
+// writeReasons writes how often each reason was given.
+func writeReasons(out io.Writer, outcome string, counts map[string]int) {
+	for reason, count := range counts {
+		fmt.Fprintf(out, "  %s: %d  %s\n", outcome, count, reason)
+	}
+}
+
+// writeRecovery writes the seconds around the end of the middle third, when the descriptors are back.
+func (c *floodCmd) writeRecovery(out io.Writer, list []*replay.Second) {
+	end := int((floodLead + c.Duration*2/3) / time.Second)
+	for i, second := range list {
+		if i >= end-1 && i <= end+2 {
+			fmt.Fprintf(out, "second %d (descriptors are back in second %d): sent %d, served %d, p99 %.1f ms\n", i, end, second.Replayed, second.Served, float64(second.P99Us)/1000)
+		}
 	}
-	return nil
 }
--- a/cmd/rehearse/flood_test.go
+++ b/cmd/rehearse/flood_test.go
@@ -18,10 +18,7 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/standin"
 )
 
-// Connection admission against the daemon itself: floods of hostile clients from
-// many loopback addresses, descriptors that run out, and the operators' calls.
-
-// operatorFile is the one that ships, with a reserve that fits a small daemon.
+// operatorFile writes the shipped operator file with a reserve that fits a small daemon.
 func operatorFile(t *testing.T) string {
 	text, err := os.ReadFile("../../deploy/operator.toml")
 	if err != nil {
@@ -31,46 +28,47 @@
 }
 
 func smallFlood() *floodCmd {
-	return &floodCmd{Hostile: 700, Sources: 64, Sockets: 220, Clients: 8, Rate: 60, For: 4 * time.Second, Seed: 1, Daemon: daemon}
+	return &floodCmd{Hostile: 700, Sources: 64, Sockets: 220, Clients: 8, Rate: 60, Duration: 4 * time.Second, Seed: 1, Daemon: daemon}
 }
 
-// Known clients are served beside a flood where connections are decided on, and
-// not where they are not; every request taken has one final answer.
+// Known clients are served during a flood if connection admission is on, and not if it is off; every accepted request has
+// one final answer.
 func TestFlood(t *testing.T) {
 	c := smallFlood()
-	on, err := c.hold("on", operatorFile(t), c.Hostile, nil)
+	on, err := c.runPart(floodPart{name: "on", operator: operatorFile(t), hostile: c.Hostile})
 	if err != nil {
 		t.Fatal(err)
 	}
-	off, err := c.hold("off", "", c.Hostile, nil)
+	off, err := c.runPart(floodPart{name: "off", hostile: c.Hostile})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("on: %d of %d answered, %d served in time; off: %d answered, %d in time", on.Answered, on.Sent, on.Wanted, off.Answered, off.Wanted)
-	if !on.Kept || !off.Kept {
-		t.Errorf("on: %s; off: %s", on.Verdict, off.Verdict)
+	t.Logf("on: %d of %d answered, %d served in time; off: %d answered, %d in time", on.Answered, on.Sent, on.WithinObjective, off.Answered, off.WithinObjective)
+	if !on.RulesHeld || !off.RulesHeld {
+		t.Errorf("on: %s; off: %s", on.Summary, off.Summary)
 	}
-	if on.share(on.Answered) < 99 || on.share(on.Wanted) < 80 || on.Wanted <= off.Wanted {
+	if on.percent(on.Answered) < 99 || on.percent(on.WithinObjective) < 80 || on.WithinObjective <= off.WithinObjective {
 		t.Errorf("on: %+v\noff: %+v", on, off)
 	}
-	var door struct {
+	var connections struct {
 		connlimit.View
 		Descriptors map[string]map[string]int `json:"descriptors"`
 	}
-	if err := json.Unmarshal(on.Door, &door); err != nil || door.Standing["unknown"] == 0 || door.Reserve != 40 || len(door.Hits) == 0 || door.Descriptors["backends"]["floor"] == 0 {
-		t.Errorf("what the door told: %v, %s", err, on.Door)
+	if err := json.Unmarshal(on.Connections, &connections); err != nil || connections.Standing["unknown"] == 0 || connections.Reserve != 40 || len(connections.Hits) == 0 || connections.Descriptors["backends"]["floor"] == 0 {
+		t.Errorf("connections by the admin API: %v, %s", err, on.Connections)
 	}
 }
 
-// The system's own limit falls below what is open in the middle of a rush, and
-// rises again: nothing taken is lost, the processor does not spin, and service
-// is whole again after it.
+// The system's descriptor limit falls below what is open under load, and rises again: no accepted request is lost, the
+// daemon does not spin, and service recovers.
 func TestDescriptorsRunOut(t *testing.T) {
 	c := smallFlood()
-	c.Hostile, c.Rate, c.For = 200, 120, 6*time.Second
+	c.Hostile = 200
+	c.Rate = 120
+	c.Duration = 6 * time.Second
 	var before, after time.Duration
 	var fleet *standin.Fleet
-	p, err := c.hold("starved", operatorFile(t), c.Hostile, func(f *standin.Fleet) {
+	exhaust := func(f *standin.Fleet) {
 		fleet = f
 		time.Sleep(2 * time.Second)
 		var limit unix.Rlimit
@@ -82,7 +80,8 @@
 		time.Sleep(2 * time.Second)
 		after = f.CPU()
 		unix.Prlimit(f.PID(), unix.RLIMIT_NOFILE, &limit, nil)
-	})
+	}
+	result, err := c.runPart(floodPart{name: "exhausted", operator: operatorFile(t), hostile: c.Hostile, during: exhaust})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,24 +90,24 @@
 			t.Log(fleet.Log.String())
 		}
 	}()
-	if p.lost > 0 || !p.Kept {
-		t.Errorf("%d lost or twice: %s, %v", p.lost, p.Verdict, p.Failures)
+	if result.lost > 0 || !result.RulesHeld {
+		t.Errorf("%d lost or twice: %s, %v", result.lost, result.Summary, result.Failures)
 	}
 	if spent := after - before; spent > time.Second {
 		t.Errorf("%v of processor time in 2 s without descriptors", spent)
 	}
-	for i, s := range p.seconds {
+	for i, s := range result.seconds {
 		t.Logf("second %d: sent %d, served %d, refused %d, failed %d, lost %d", i, s.Replayed, s.Served, s.Refused, s.Failed, s.Lost)
 	}
-	last := p.seconds[6] // the last whole second of sending, two after the limit rose
+	last := result.seconds[6] // the last complete second of sending, two after the limit rose
 	if last.Served < last.Replayed*9/10 || last.Replayed < 80 {
 		t.Errorf("after it: %+v", last)
 	}
 }
 
-// The door bars a prefix, ends its sessions and lets it in again; SIGHUP moves
-// bounds; a front's PROXY header tells whose connection it is.
-func TestOperatorsCalls(t *testing.T) {
+// The admin API blocks a prefix, closes its connections and unblocks it; SIGHUP changes limits; a proxy's PROXY header
+// names the client of a connection.
+func TestConnectionAdmin(t *testing.T) {
 	operator := func(more string) string {
 		return "[connections]\non = true\nknown = [\"127.9.0.0/24\"]\nfronts = [\"127.8.0.1/32\"]\naddress_open_connections = 3\n" + more
 	}
@@ -120,16 +119,16 @@
 	}
 	defer f.Close()
 	call := func(method, path string) (int, string) {
-		in, _ := http.NewRequest(method, "http://"+f.Door()+path, nil)
-		answer, err := http.DefaultClient.Do(in)
+		request, _ := http.NewRequest(method, "http://"+f.Door()+path, nil)
+		response, err := http.DefaultClient.Do(request)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer answer.Body.Close()
-		text, _ := io.ReadAll(answer.Body)
-		return answer.StatusCode, string(text)
+		defer response.Body.Close()
+		text, _ := io.ReadAll(response.Body)
+		return response.StatusCode, string(text)
 	}
-	// health asks on a connection from an address; false: it was ended.
+	// dial connects from an address.
 	dial := func(from string) net.Conn {
 		d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(from)}, Timeout: 5 * time.Second}
 		conn, err := d.Dial("tcp", f.Addr)
@@ -139,6 +138,7 @@
 		t.Cleanup(func() { conn.Close() })
 		return conn
 	}
+	// health reports whether a health request, after what comes before it, is answered with 200.
 	health := func(conn net.Conn, before string) bool {
 		conn.SetDeadline(time.Now().Add(5 * time.Second))
 		fmt.Fprintf(conn, "%sGET /healthz HTTP/1.1\r\nHost: x\r\n\r\n", before)
@@ -148,33 +148,33 @@
 	}
 	first := dial("127.0.0.5")
 	if !health(first, "") || !health(dial("127.0.0.5"), "") || !health(dial("127.0.0.5"), "") || health(dial("127.0.0.5"), "") {
-		t.Error("the cap of three connections is not kept")
+		t.Error("the limit of three connections is not kept")
 	}
 	proxied := func(client string) bool {
 		return health(dial("127.8.0.1"), "PROXY TCP4 "+client+" 10.0.0.2 1 2\r\n")
 	}
 	for i := range 3 {
 		if !proxied("10.0.0.1") {
-			t.Errorf("connection %d of a front's client is within its cap and not served", i+1)
+			t.Errorf("connection %d of a proxy's client is within its limit and not served", i+1)
 		}
 	}
 	if proxied("10.0.0.1") {
-		t.Error("a fourth connection of a front's client is served, beyond its cap")
+		t.Error("a fourth connection of a proxy's client is served, beyond its limit")
 	}
 	if !proxied("10.0.0.9") {
-		t.Error("another client of the front is held to the first one's cap")
+		t.Error("another client of the proxy shares the first one's limit")
 	}
 	if health(dial("127.8.0.1"), "") {
-		t.Error("a front without its header is served")
+		t.Error("a proxy without its header is served")
 	}
 	if health(dial("127.0.0.77"), "PROXY TCP4 10.0.0.1 10.0.0.2 1 2\r\n") {
-		t.Error("a header of one that is no front is believed")
+		t.Error("the header of a client that is no proxy is accepted")
 	}
 	if code, text := call("PUT", "/control/connections/bar?prefix=127.0.0.0/28&for=1h"); code != 200 || !strings.Contains(text, "3 sessions ended") {
-		t.Errorf("bar: %d %s", code, text)
+		t.Errorf("block: %d %s", code, text)
 	}
 	if health(first, "") || health(dial("127.0.0.6"), "") || !health(dial("127.0.0.99"), "") || !health(dial("127.9.0.1"), "") {
-		t.Error("the bar does not hold for its prefix, or holds for others")
+		t.Error("the block does not apply to its prefix, or applies to others")
 	}
 	if _, text := call("GET", "/control/connections"); !strings.Contains(text, `"prefix":"127.0.0.0/28"`) || !strings.Contains(text, `"barred":1`) {
 		t.Errorf("connections: %s", text)
@@ -185,18 +185,18 @@
 		}
 	}
 	if !health(dial("127.0.0.6"), "") {
-		t.Error("not let in again")
+		t.Error("not admitted after the unblock")
 	}
-	// Bounds fall by SIGHUP; what is open stays; a wrong file changes nothing.
-	rewrite := func(text, says string) {
+	// SIGHUP lowers limits; open connections stay; an invalid file changes nothing.
+	rewrite := func(text, logged string) {
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		n := strings.Count(f.Log.String(), says)
+		n := strings.Count(f.Log.String(), logged)
 		unix.Kill(f.PID(), unix.SIGHUP)
-		for end := time.Now().Add(10 * time.Second); strings.Count(f.Log.String(), says) == n; time.Sleep(2 * time.Millisecond) {
+		for end := time.Now().Add(10 * time.Second); strings.Count(f.Log.String(), logged) == n; time.Sleep(2 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("it does not say %q:\n%s", says, f.Log.String())
+				t.Fatalf("it does not log %q:\n%s", logged, f.Log.String())
 			}
 		}
 	}
@@ -206,10 +206,10 @@
 	}
 	rewrite(strings.Replace(operator(""), "connections = 3", "connections = 1", 1), "bounds on connections are as")
 	if !health(a, "") || !health(b, "") || health(dial("127.0.0.40"), "") || !health(dial("127.0.0.41"), "") {
-		t.Error("bounds lowered by SIGHUP")
+		t.Error("limits lowered by SIGHUP")
 	}
 	rewrite(operator("knwon = []\n"), "unknown key")
 	if health(dial("127.0.0.40"), "") {
-		t.Error("a wrong file changed the bounds")
+		t.Error("an invalid file changed the limits")
 	}
 }
--- a/cmd/rehearse/golden_test.go
+++ b/cmd/rehearse/golden_test.go
@@ -18,8 +18,7 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/simulator"
 )
 
-// The command line is what operators' units and scripts are written against, and
-// its names are derived from Go's.
+// Operators' units and scripts depend on the command line, whose names are derived from Go names.
 func TestGoldenCommandLine(t *testing.T) {
 	parser, err := kong.New(&cli{})
 	if err != nil {
@@ -28,27 +27,27 @@
 	goldentest.Compare(t, "commandline.golden", goldentest.Lines(goldentest.Commands(parser.Model)))
 }
 
-// Command lines of earlier versions are still understood.
+// Command lines of earlier versions still work.
 func TestGoldenEarlierCommandLines(t *testing.T) {
 	var lines []string
 	for _, line := range []string{
 		"scale -o out in", "scale --output=out in", "scale file", "-in a -rules b -to c -front faktory -password p -limit 1 -span 2 -json",
 		"--in a -rules=b", "-password p", "-unknown -to c", "replay -to c", "",
 	} {
-		lines = append(lines, fmt.Sprintf("%q: %q", strings.Fields(line), earlier(strings.Fields(line))))
+		lines = append(lines, fmt.Sprintf("%q: %q", strings.Fields(line), translateEarlier(strings.Fields(line))))
 	}
 	goldentest.Compare(t, "earlier.golden", goldentest.Lines(lines))
 }
 
-// Exit codes are what scripts go by.
+// Scripts depend on the exit codes.
 func TestGoldenExitCodes(t *testing.T) {
-	goldentest.Compare(t, "exitcodes.golden", fmt.Sprintf("kept %d\nbroken %d\ncould not be held %d\n", exitKept, exitBroken, exitNot))
+	goldentest.Compare(t, "exitcodes.golden", fmt.Sprintf("kept %d\nbroken %d\ncould not be held %d\n", exitSuccess, exitViolation, exitFailure))
 }
 
-// What commands write as JSON is read by other programs.
+// Other programs read the JSON that commands write.
 func TestGoldenResults(t *testing.T) {
 	for file, of := range map[string]reflect.Type{
-		"inspect.golden": reflect.TypeFor[contents](), "flood.golden": reflect.TypeFor[part](),
+		"inspect.golden": reflect.TypeFor[recordingContents](), "flood.golden": reflect.TypeFor[floodResult](),
 		"sim.golden": reflect.TypeFor[simulator.Result](), "import.golden": reflect.TypeFor[recording.Report](),
 		"rejects.golden": reflect.TypeFor[recording.Reject](), "report.golden": reflect.TypeFor[report.Report](),
 		"slopes.golden": reflect.TypeFor[capacity.Slopes](), "scale.golden": reflect.TypeFor[scale.Record](),
--- a/cmd/rehearse/import.go
+++ b/cmd/rehearse/import.go
@@ -6,11 +6,9 @@
 	"errors"
 	"fmt"
 	"io"
-	"maps"
 	"os"
 	"path/filepath"
 	"regexp"
-	"slices"
 	"strconv"
 	"strings"
 	"time"
@@ -20,9 +18,7 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/recording"
 )
 
-// This file owns the import command: files in, a recording and a report out.
-// It must never leave half a recording, or the runs of its sorting, behind.
-
+// importCmd imports logs into a recording. It leaves neither a partial recording nor its temporary files behind.
 type importCmd struct {
 	Rules          string            `required:"" help:"The file of rules that map entries to classes."`
 	Seed           uint64            `default:"1" help:"Of everything that is drawn."`
@@ -40,7 +36,7 @@
 
 var rotated = regexp.MustCompile(`(\.[0-9]+|[.-][0-9]{4}-?[0-9]{2}-?[0-9]{2})?(\.(gz|zst|zstd))?$`)
 
-// sourceName is the name of a file's source: without what rotation adds to it.
+// sourceName returns the name of the source of a file: its name without what log rotation adds.
 func sourceName(path string) string {
 	name := filepath.Base(path)
 	if short := rotated.ReplaceAllString(name, ""); short != "" {
@@ -49,26 +45,29 @@
 	return name
 }
 
-// open opens the inputs; done closes them.
-func openInputs(paths []string, stdin io.Reader) (in []recording.Input, done func(), err error) {
+// openInputs opens the inputs; done closes them.
+func openInputs(paths []string, stdin io.Reader) (inputs []recording.Input, done func(), err error) {
 	var files []*os.File
 	done = func() {
-		for _, f := range files {
-			f.Close()
+		for _, file := range files {
+			file.Close()
 		}
 	}
 	for _, path := range paths {
-		name, named := "", false
+		name := ""
+		named := false
 		if _, err := os.Stat(path); err != nil {
 			if before, after, ok := strings.Cut(path, "="); ok && before != "" {
-				name, path, named = before, after, true
+				name = before
+				path = after
+				named = true
 			}
 		}
 		if path == "-" {
 			if !named {
 				name = "stdin"
 			}
-			in = append(in, recording.Input{Source: name, File: "stdin", R: stdin})
+			inputs = append(inputs, recording.Input{Source: name, File: "stdin", R: stdin})
 			continue
 		}
 		f, err := os.Open(path)
@@ -80,12 +79,12 @@
 		if !named {
 			name = sourceName(path)
 		}
-		in = append(in, recording.Input{Source: name, File: filepath.Base(path), R: f})
+		inputs = append(inputs, recording.Input{Source: name, File: filepath.Base(path), R: f})
 	}
-	return in, done, nil
+	return inputs, done, nil
 }
 
-// spool keeps runs as files of a directory of its own.
+// spool stores the sorted runs of an import as files of a directory.
 type spool struct {
 	dir   string
 	count int
@@ -93,13 +92,16 @@
 
 func (s *spool) path(n int) string { return filepath.Join(s.dir, strconv.Itoa(n)) }
 
+// Create creates the next run.
 func (s *spool) Create() (io.WriteCloser, error) {
 	s.count++
 	return os.OpenFile(s.path(s.count-1), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 }
 
+// Open opens a run by its number.
 func (s *spool) Open(n int) (io.ReadCloser, error) { return os.Open(s.path(n)) }
 
+// readRules reads a file of rules and also returns its text.
 func readRules(path string) (*recording.Rules, []byte, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -112,29 +114,47 @@
 	return &rules, text, nil
 }
 
-// importTo imports with the given command's options into a file.
-func (c *importCmd) importTo(e *env, path string) (report *recording.Report, err error) {
-	o := recording.Options{Seed: c.Seed, Format: c.Format, KeepDuplicates: c.KeepDuplicates, Offsets: map[string]time.Duration{}}
-	if o.Rules, o.RulesText, err = readRules(c.Rules); err != nil {
-		return nil, err
+// minSecretBytes is the length below which a secret is refused.
+const minSecretBytes = 16
+
+// options returns the options of the import that the flags give.
+func (c *importCmd) options() (recording.Options, error) {
+	options := recording.Options{Seed: c.Seed, Format: c.Format, KeepDuplicates: c.KeepDuplicates, Offsets: map[string]time.Duration{}}
+	var err error
+	options.Rules, options.RulesText, err = readRules(c.Rules)
+	if err != nil {
+		return options, err
 	}
-	if o.Zone, err = time.LoadLocation(c.Zone); err != nil {
-		return nil, fmt.Errorf("--zone: %w", err)
+	options.Zone, err = time.LoadLocation(c.Zone)
+	if err != nil {
+		return options, fmt.Errorf("--zone: %w", err)
 	}
 	for name, text := range c.Offset {
-		if o.Offsets[name], err = time.ParseDuration(text); err != nil {
-			return nil, fmt.Errorf("--offset: %s: %w", name, err)
+		options.Offsets[name], err = time.ParseDuration(text)
+		if err != nil {
+			return options, fmt.Errorf("--offset: %s: %w", name, err)
 		}
 	}
-	if c.Secret != "" {
-		if o.Secret, err = os.ReadFile(c.Secret); err != nil {
-			return nil, err
-		}
-		if len(o.Secret) < 16 {
-			return nil, fmt.Errorf("%s: fewer than 16 bytes are no secret", c.Secret)
-		}
+	if c.Secret == "" {
+		return options, nil
+	}
+	options.Secret, err = os.ReadFile(c.Secret)
+	if err != nil {
+		return options, err
+	}
+	if len(options.Secret) < minSecretBytes {
+		return options, fmt.Errorf("%s: fewer than %d bytes are no secret", c.Secret, minSecretBytes)
+	}
+	return options, nil
+}
+
+// importTo imports the inputs into a file. Where it returns both a report and an error, the report is valid.
+func (c *importCmd) importTo(e *environment, path string) (report *recording.Report, err error) {
+	options, err := c.options()
+	if err != nil {
+		return nil, err
 	}
-	in, done, err := openInputs(c.In, e.in)
+	inputs, done, err := openInputs(c.In, e.in)
 	if err != nil {
 		return nil, err
 	}
@@ -144,47 +164,73 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	o.Spool = &spool{dir: dir}
+	options.Spool = &spool{dir: dir}
 	if c.Rejects != "" {
-		f, err := os.Create(c.Rejects)
+		rejects, err := createRejects(c.Rejects)
 		if err != nil {
 			return nil, err
 		}
-		out := bufio.NewWriter(f)
-		enc := json.NewEncoder(out)
-		var failed error
-		o.Reject = func(r recording.Reject) {
-			if err := enc.Encode(r); err != nil && failed == nil {
-				failed = err
-			}
-		}
+		options.Reject = rejects.add
 		defer func() {
-			if e := errors.Join(failed, out.Flush(), f.Close()); e != nil && err == nil {
-				err = fmt.Errorf("%s: %w", c.Rejects, e)
+			if closing := rejects.close(); closing != nil && err == nil {
+				err = fmt.Errorf("%s: %w", c.Rejects, closing)
 			}
 		}()
 	}
-	if e.terminal {
-		total := int64(0)
-		for _, path := range c.In {
-			_, file, _ := strings.Cut("="+path, "=")
-			if info, err := os.Stat(file); err == nil {
-				total += info.Size()
-			}
-		}
-		bar := progressbar.NewOptions64(total, progressbar.OptionSetWriter(e.errs), progressbar.OptionShowBytes(true),
-			progressbar.OptionSetDescription("import"), progressbar.OptionClearOnFinish())
-		o.Progress = func(n int64) { bar.Set64(n) }
+	if e.errIsTerminal {
+		bar := c.progressBar(e)
+		options.Progress = func(n int64) { bar.Set64(n) }
 		defer bar.Finish()
 	}
-	err = create(path, func(w io.Writer) error {
-		report, err = recording.Import(in, o, w)
+	err = writeAtomically(path, func(w io.Writer) error {
+		report, err = recording.Import(inputs, options, w)
 		return err
 	})
 	return report, err
 }
 
-func (c *importCmd) Run(e *env) error {
+// progressBar returns a bar over the bytes of the inputs.
+func (c *importCmd) progressBar(e *environment) *progressbar.ProgressBar {
+	total := int64(0)
+	for _, path := range c.In {
+		_, file, _ := strings.Cut("="+path, "=")
+		if info, err := os.Stat(file); err == nil {
+			total += info.Size()
+		}
+	}
+	return progressbar.NewOptions64(total, progressbar.OptionSetWriter(e.errOut), progressbar.OptionShowBytes(true),
+		progressbar.OptionSetDescription("import"), progressbar.OptionClearOnFinish())
+}
+
+// rejectsFile writes malformed entries as JSON lines.
+type rejectsFile struct {
+	file    *os.File
+	buffer  *bufio.Writer
+	encoder *json.Encoder
+	err     error // the first of add
+}
+
+func createRejects(path string) (*rejectsFile, error) {
+	file, err := os.Create(path)
+	if err != nil {
+		return nil, err
+	}
+	buffer := bufio.NewWriter(file)
+	return &rejectsFile{file: file, buffer: buffer, encoder: json.NewEncoder(buffer)}, nil
+}
+
+func (f *rejectsFile) add(reject recording.Reject) {
+	err := f.encoder.Encode(reject)
+	if f.err == nil {
+		f.err = err
+	}
+}
+
+// close completes the file and returns all errors.
+func (f *rejectsFile) close() error { return errors.Join(f.err, f.buffer.Flush(), f.file.Close()) }
+
+// Run imports the inputs and writes the report.
+func (c *importCmd) Run(e *environment) error {
 	report, err := c.importTo(e, c.Output)
 	if report == nil {
 		return err
@@ -194,68 +240,17 @@
 			return err
 		}
 	} else {
-		tell(e.out, report)
+		writeImportReport(e.out, report)
 	}
 	if err != nil {
 		return err
 	}
 	if c.Strict && (report.Malformed > 0 || report.Cut()) {
-		return broken{fmt.Sprintf("--strict: %d entries are malformed, %s", report.Malformed,
-			map[bool]string{true: "and a source is cut", false: "no source is cut"}[report.Cut()])}
-	}
-	return nil
-}
-
-// tell writes the report for people.
-func tell(w io.Writer, r *recording.Report) {
-	fmt.Fprintf(w, "read %d = accepted %d + malformed %d + unmapped %d + ignored %d; repaired %d of the accepted\n", r.Read, r.Accepted, r.Malformed,
-		r.Unmapped, r.Ignored, r.Repaired)
-	for _, why := range slices.Sorted(maps.Keys(r.Repairs)) {
-		fmt.Fprintf(w, "repaired: %d  %s\n", r.Repairs[why], why)
-	}
-	for _, why := range slices.Sorted(maps.Keys(r.IgnoredBy)) {
-		fmt.Fprintf(w, "ignored: %d  %s\n", r.IgnoredBy[why], why)
-	}
-	for _, name := range slices.Sorted(maps.Keys(r.Classes)) {
-		c := r.Classes[name]
-		fmt.Fprintf(w, "class %s: %d entries; durations: %d recorded, %d drawn from those, %d drawn as the rules say; keys made up: %d\n", name,
-			c.Entries, c.Recorded, c.DrawnRecorded, c.DrawnRules, c.MadeUpKeys)
-	}
-	if r.Repairs["key made up"] > 0 {
-		fmt.Fprintf(w, "made-up keys: %s\n", r.MadeUpKeys)
-	}
-	for _, s := range r.Sources {
-		fmt.Fprintf(w, "source %s: %s, stamps mark the %s, read %d, accepted %d", s.Name, s.Format, s.Stamp, s.Read, s.Accepted)
-		switch {
-		case s.Estimated:
-			fmt.Fprintf(w, "; clock offset %+.3f s, estimated from %d requests, half within %.3f s", float64(s.OffsetUs)/1e6, s.Pairs, float64(s.SpreadUs)/1e6)
-		case s.OffsetUs != 0:
-			fmt.Fprintf(w, "; clock offset %+.3f s, given", float64(s.OffsetUs)/1e6)
-		case len(r.Sources) > 1 && s != r.Sources[0]:
-			fmt.Fprint(w, "; clock offset not known: too few requests that another source saw too")
-		}
-		if s.ClockSteps > 0 {
-			fmt.Fprintf(w, "; its clock stepped back %d times, by %.3f s", s.ClockSteps, float64(s.SteppedUs)/1e6)
-		}
-		if s.OddStamps > 0 {
-			fmt.Fprintf(w, "; %d odd stamps", s.OddStamps)
+		sources := "no source is cut"
+		if report.Cut() {
+			sources = "and a source is cut"
 		}
-		if s.Reordered {
-			fmt.Fprint(w, "; its files were put in order")
-		}
-		fmt.Fprintln(w)
-		if s.Cut != "" {
-			fmt.Fprintf(w, "  cut: %s\n", s.Cut)
-		}
-	}
-	for i, x := range r.Rejects {
-		if i == 20 {
-			fmt.Fprintf(w, "and %d more malformed\n", len(r.Rejects)-i+int(r.MoreRejects))
-			break
-		}
-		fmt.Fprintf(w, "%s: line %d, byte %d: %s\n", x.Source, x.Line, x.Offset, x.Why)
-	}
-	if r.Accepted > 0 {
-		fmt.Fprintf(w, "from %s on, over %.1f s\n", r.Start.Format(time.RFC3339), r.SpanSeconds)
+		return violationError{fmt.Sprintf("--strict: %d entries are malformed, %s", report.Malformed, sources)}
 	}
+	return nil
 }
--- a/cmd/rehearse/main_test.go
+++ b/cmd/rehearse/main_test.go
@@ -23,8 +23,6 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/standin"
 )
 
-// These tests hold whole rehearsals: the daemon's own program between stand-ins.
-
 const rulesFile = "../../deploy/rehearsal.toml"
 
 var daemon string
@@ -44,7 +42,7 @@
 	os.Exit(code)
 }
 
-// command runs a command line.
+// command runs a command line and returns its exit code and output.
 func command(args ...string) (code int, out, errs string) {
 	var o, e bytes.Buffer
 	code = run(args, strings.NewReader(""), &o, &e)
@@ -60,7 +58,7 @@
 	return path
 }
 
-// recorded imports a log of n entries 1/rate apart, every third a renewal.
+// recorded imports a log of n entries, rate per second, every third a renewal, and returns the recording's path.
 func recorded(t *testing.T, n, rate int) string {
 	t.Helper()
 	var text strings.Builder
@@ -80,12 +78,12 @@
 	return path
 }
 
-func quietEnv() *env {
-	return &env{out: io.Discard, errs: io.Discard, log: slog.New(slog.DiscardHandler)}
+func quietEnv() *environment {
+	return &environment{out: io.Discard, errOut: io.Discard, log: slog.New(slog.DiscardHandler)}
 }
 
-// By either front every entry is served once, the books agree, the same seed
-// books the same set, and the report is whole.
+// With each front end every entry is served once, the ledger agrees, the same seed gives the same set of requests, and the
+// report is complete.
 func TestRun(t *testing.T) {
 	path := recorded(t, 120, 100)
 	booked := map[string]bool{}
@@ -120,9 +118,8 @@
 	}
 }
 
-// relay is a proxy that poses as a stand-in: it passes everything on, the
-// challenge too, and counts the renewals that came through.
-func relay(t *testing.T, to string) (addr string, renewals func() int) {
+// startProxy starts a proxy that poses as a stand-in: it forwards everything, the challenge too, and counts the renewals.
+func startProxy(t *testing.T, to string) (addr string, renewals func() int) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -160,16 +157,15 @@
 	return ln.Addr().String(), func() int { mu.Lock(); defer mu.Unlock(); return n }
 }
 
-// A proxy that relays to a real stand-in, in the list from the start or midway,
-// gets no renewal from then on; status-checks go on.
+// A proxy to a real stand-in, in the list from the start or later, gets no renewal from then on; status checks go on.
 func TestProxyPosingAsStandIn(t *testing.T) {
 	path := recorded(t, 150, 100)
 	for _, midway := range []bool{false, true} {
 		var through func() int
 		var before atomic.Int32
 		c := runCmd{Recording: path, Seed: 7, Speed: 1, Front: "platform", Daemon: daemon, Workers: 3}
-		rep, err := c.run(quietEnv(), func(f *standin.Fleet) {
-			addr, renewals := relay(t, f.Workers[0].Addr)
+		rep, err := c.rehearse(quietEnv(), func(f *standin.Fleet) {
+			addr, renewals := startProxy(t, f.Workers[0].Addr)
 			through = renewals
 			h := standin.Host{Host: f.Workers[0].Name, Dial: addr, Site: "russeifa", Class: "standard", Health: "ready"}
 			if !midway {
@@ -200,11 +196,10 @@
 	}
 }
 
-// The daemon is killed midway: what it had is lost, the rest is withheld or not
-// sent, and the verdict says so.
+// The daemon is killed during the replay: what it had is lost, the rest is withheld or not sent, and the report says so.
 func TestDaemonKilled(t *testing.T) {
 	c := runCmd{Recording: recorded(t, 150, 100), Seed: 7, Speed: 1, Front: "platform", Daemon: daemon, Workers: 3}
-	rep, err := c.run(quietEnv(), func(f *standin.Fleet) {
+	rep, err := c.rehearse(quietEnv(), func(f *standin.Fleet) {
 		time.AfterFunc(900*time.Millisecond, func() {
 			p, _ := os.FindProcess(f.PID())
 			p.Kill()
@@ -220,8 +215,8 @@
 	}
 }
 
-// Against a daemon that this program did not start, renewals are withheld,
-// whatever the flags; the earlier command line still works.
+// With a daemon that this program did not start, renewals are withheld, whatever the flags; the earlier command line still
+// works.
 func TestReplayTo(t *testing.T) {
 	fleet, err := standin.Start(standin.FleetConfig{Daemon: daemon, Dir: t.TempDir(), Workers: 3, Seed: 1,
 		Classes: []standin.ClassConfig{{Name: "renewal", Left: 8 * time.Second}, {Name: "status-check", Retryable: true, Left: 5 * time.Second}}})
@@ -253,7 +248,7 @@
 			t.Errorf("%v: code %d, %+v, %+v", args, code, r, s)
 		}
 		if i == 1 && !strings.Contains(errs, "a.log: line 3, byte ") {
-			t.Errorf("the bad line is not told: %s", errs)
+			t.Errorf("the malformed line is not reported: %s", errs)
 		}
 	}
 	for _, id := range fleet.Books.Ran() {
@@ -263,11 +258,11 @@
 	}
 }
 
-// A dispatcher that answers twice, or hangs up, breaks a rule.
-func TestBrokenRules(t *testing.T) {
+// A dispatcher that answers twice or closes the connection without an answer violates a rule.
+func TestRuleViolations(t *testing.T) {
 	rec := recorded(t, 3, 100)
 	for name, answer := range map[string]string{
-		"hangs up":      "",
+		"no answer":     "",
 		"answers twice": strings.Repeat("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", 2),
 		"no HTTP":       "what?\r\n\r\n",
 	} {
@@ -292,12 +287,13 @@
 		}()
 		code, out, errs := command("replay", "--recording", rec, "--to", ln.Addr().String())
 		ln.Close()
-		if code != exitBroken || !strings.Contains(errs, "rules broken") {
+		if code != exitViolation || !strings.Contains(errs, "rules broken") {
 			t.Errorf("%s: code %d\n%s%s", name, code, out, errs)
 		}
 	}
 }
 
+// The import command, and the exit codes and errors of commands on recordings.
 func TestImportCommand(t *testing.T) {
 	dir := t.TempDir()
 	at := func(name string) string { return filepath.Join(dir, name) }
@@ -318,7 +314,7 @@
 	if !bytes.Equal(a, b) || len(a) == 0 {
 		t.Error("the same input, rules and seed give other bytes")
 	}
-	if code, _, errs := command("import", "--rules", rulesFile, "--strict", "-o", at("c.rec"), sample); code != exitBroken || !strings.Contains(errs, "--strict") {
+	if code, _, errs := command("import", "--rules", rulesFile, "--strict", "-o", at("c.rec"), sample); code != exitViolation || !strings.Contains(errs, "--strict") {
 		t.Errorf("--strict: %d %s", code, errs)
 	}
 	if code, out, _ := command("inspect", at("a.rec")); code != 0 || !strings.Contains(out, "1519 entries") || !strings.Contains(out, "sha256") {
@@ -346,7 +342,7 @@
 		"the window is empty":   {"slice", "--from", "5s", "--to", "4s", "-o", at("x"), at("a.rec")},
 		"unexpected argument":   {"nonsense"},
 	} {
-		if code, out, errs := command(args...); code != exitNot || !strings.Contains(errs, want) {
+		if code, out, errs := command(args...); code != exitFailure || !strings.Contains(errs, want) {
 			t.Errorf("%v: code %d, %s%s; want %q", args, code, out, errs, want)
 		}
 	}
--- a/cmd/rehearse/run.go
+++ b/cmd/rehearse/run.go
@@ -1,17 +1,10 @@
 package main
 
 import (
-	"context"
-	"errors"
 	"fmt"
 	"math"
 	"os"
-	"os/signal"
-	"path/filepath"
 	"runtime/debug"
-	"strconv"
-	"strings"
-	"syscall"
 	"time"
 
 	"github.com/schollz/progressbar/v3"
@@ -22,9 +15,8 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/standin"
 )
 
-// This file owns run and replay. A job that must not run twice is sent by run
-// alone, and there only while the proof holds; no flag changes that.
-
+// runCmd replays a recording to a daemon that it starts with stand-ins. It alone sends requests that are not
+// idempotent, and only while the stand-ins are proven to be the only workers; no flag changes that.
 type runCmd struct {
 	Recording string  `required:"" help:"The recording."`
 	Seed      uint64  `default:"1" help:"Of ids, service times and the daemon."`
@@ -38,33 +30,35 @@
 	JSON      bool    `name:"json" help:"Print the report as JSON."`
 }
 
-// size is what a recording asks for.
-type size struct {
-	entries int
-	work    float64 // slots times seconds in the busiest ten seconds, a second
-	classes []standin.ClassConfig
+// recordingSize is the load of a recording.
+type recordingSize struct {
+	entries  int
+	workRate float64 // slots times seconds of work per second, in the busiest window
+	classes  []standin.ClassConfig
 }
 
-func measure(path string, speed float64) (s size, err error) {
-	r, done, err := openRecording(path)
+// measureRecording reads a recording to its end and returns its load at a speed.
+func measureRecording(path string, speed float64) (s recordingSize, err error) {
+	reader, done, err := openRecording(path)
 	if err != nil {
 		return s, err
 	}
 	defer done()
-	for _, c := range r.Header.Classes {
+	for _, c := range reader.Header.Classes {
 		s.classes = append(s.classes, standin.ClassConfig{Name: c.Name, Retryable: c.Retryable, Left: time.Second})
 	}
-	const part = 10
-	at, sum := -1, 0.0
-	err = r.Each(func(e *recording.Entry) error {
+	window := -1
+	windowWork := 0.0
+	err = reader.Each(func(e *recording.Entry) error {
 		s.entries++
 		c := &s.classes[e.Class]
 		c.Left = max(c.Left, e.Left)
-		if n := int(e.At.Seconds() / speed / part); n != at {
-			at, sum = n, 0
+		if number := int(e.At.Seconds() / speed / loadWindowS); number != window {
+			window = number
+			windowWork = 0
 		}
-		sum += e.Slots * e.Duration.Seconds()
-		s.work = max(s.work, sum/part)
+		windowWork += e.Slots * e.Duration.Seconds()
+		s.workRate = max(s.workRate, windowWork/loadWindowS)
 		return nil
 	})
 	if err != nil {
@@ -76,41 +70,43 @@
 	return s, nil
 }
 
-// daemonPath finds the daemon's program.
-func daemonPath(given string) (string, error) {
-	if given != "" {
-		return given, nil
-	}
-	self, err := os.Executable()
-	if err != nil {
-		return "", err
-	}
-	path := filepath.Join(filepath.Dir(self), "dispatcher")
-	if _, err := os.Stat(path); err != nil {
-		return "", fmt.Errorf("no daemon beside this program: build it, or name it by --daemon")
-	}
-	return path, nil
-}
-
 const (
-	load        = 0.6 // of what the workers can do, in the busiest ten seconds
-	meanSpeed   = 2.3 // slots times speed of the site's mixture, a worker
-	mostWorkers = 80
+	loadWindowS       = 10   // length of the windows of which the busiest counts
+	targetUtilization = 0.6  // of the workers' capacity, in the busiest window
+	meanWorkerSpeed   = 2.3  // slots times speed of a worker, mean of the stand-ins' mixture
+	meanSlotSpeed     = 0.83 // speed of a slot, mean of that mixture
+	minWorkers        = 3
+	maxWorkers        = 80
+	maxAnnouncedBody  = 60 << 10 // bytes
 )
 
-func (c *runCmd) Run(e *env) error {
-	rep, err := c.run(e, nil)
+func (c *runCmd) Run(e *environment) error {
+	rep, err := c.rehearse(e, nil)
 	if err != nil {
 		return err
 	}
-	return finish(e, rep, c.JSON, c.Report)
+	return finishReport(e, rep, c.JSON, c.Report)
 }
 
-// run holds the rehearsal; hook, which may be nil, is called before the first send.
-func (c *runCmd) run(e *env, hook func(*standin.Fleet)) (*report.Report, error) {
+// workerCount returns the number of workers and the slots of each: as given, or enough for the load.
+func (c *runCmd) workerCount(workRate float64) (workers int, slots float64) {
+	if c.Workers != 0 {
+		return c.Workers, c.Cores
+	}
+	workers = min(max(int(math.Ceil(workRate/targetUtilization/meanWorkerSpeed)), minWorkers), maxWorkers)
+	slots = c.Cores
+	if workers == maxWorkers && slots == 0 {
+		slots = math.Ceil(workRate / targetUtilization / meanSlotSpeed / maxWorkers)
+	}
+	return workers, slots
+}
+
+// rehearse runs the daemon and replays the recording. beforeSending, which may be nil, is called before the first
+// request.
+func (c *runCmd) rehearse(e *environment, beforeSending func(*standin.Fleet)) (*report.Report, error) {
 	debug.SetMemoryLimit(math.MaxInt64)
-	descriptors()
-	size, err := measure(c.Recording, c.Speed)
+	raiseDescriptorLimit()
+	size, err := measureRecording(c.Recording, c.Speed)
 	if err != nil {
 		return nil, err
 	}
@@ -123,13 +119,7 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	workers, cores := c.Workers, c.Cores
-	if workers == 0 {
-		workers = min(max(int(math.Ceil(size.work/load/meanSpeed)), 3), mostWorkers)
-		if workers == mostWorkers && cores == 0 {
-			cores = math.Ceil(size.work / load / 0.83 / mostWorkers)
-		}
-	}
+	workers, cores := c.workerCount(size.workRate)
 	fleet, err := standin.Start(standin.FleetConfig{Daemon: daemon, Dir: dir, Classes: size.classes, Workers: workers, Cores: cores,
 		Seed: c.Seed, Faktory: c.Front == "faktory", Noise: c.Noise})
 	if err != nil {
@@ -137,180 +127,42 @@
 	}
 	defer fleet.Close()
 	e.log.Info("daemon and stand-ins are up", "front", c.Front, "workers", workers, "entries", size.entries)
-	if hook != nil {
-		hook(fleet)
+	if beforeSending != nil {
+		beforeSending(fleet)
 	}
-	o := replay.Options{To: fleet.Addr, Seed: c.Seed, Speed: c.Speed, Proven: fleet.Gate.Open, Progress: progress(e, size.entries)}
+	options := replay.Options{To: fleet.Addr, Seed: c.Seed, Speed: c.Speed, Proven: fleet.Gate.Open, Progress: progressBar(e, size.entries)}
 	if c.Front == "faktory" {
-		o.To, o.Faktory, o.Password = fleet.Second, true, fleet.Password
+		options.To = fleet.Second
+		options.Faktory = true
+		options.Password = fleet.Password
 	}
-	o.Announce = func(id, class string, retryable bool, path string, x *recording.Entry) {
-		j := standin.Job{ID: id, Class: class, Retryable: retryable, Path: path, Body: min(x.Body, 60<<10), Service: x.Duration, Slots: x.Slots}
-		if o.Faktory { // the body becomes args, which is for its own tests to check
+	options.Announce = func(id, class string, retryable bool, path string, x *recording.Entry) {
+		j := standin.Job{ID: id, Class: class, Retryable: retryable, Path: path, Body: min(x.Body, maxAnnouncedBody), Service: x.Duration, Slots: x.Slots}
+		if options.Faktory { // the body becomes arguments, which the Faktory tests check
 			j.Path = ""
 		}
 		fleet.Books.Announce(j)
 	}
-	rep, err := send(e, c.Recording, o)
+	rep, err := replayRecording(e, c.Recording, options)
 	if err != nil {
 		return nil, err
 	}
-	rep.Front, rep.Workers, rep.DaemonRSS = c.Front, len(fleet.Workers), rss(fleet.PID())
-	if why := fleet.Gate.Why(); why != nil {
-		rep.Withheld = why.Error()
+	rep.Front = c.Front
+	rep.Workers = len(fleet.Workers)
+	rep.DaemonRSS = residentKB(fleet.PID())
+	if reason := fleet.Gate.Why(); reason != nil {
+		rep.Withheld = reason.Error()
 	}
 	rep.Judge(&fleet.Books)
 	return rep, nil
 }
 
-// send replays a recording and starts its report.
-func send(e *env, path string, o replay.Options) (*report.Report, error) {
-	r, done, err := openRecording(path)
-	if err != nil {
-		return nil, err
-	}
-	defer done()
-	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	defer stop()
-	result, err := replay.Run(ctx, r, o)
-	if err != nil {
-		if errors.Is(err, context.Canceled) {
-			err = errors.New("stopped before its end")
-		}
-		return nil, err
-	}
-	return &report.Report{Recording: filepath.Base(path), Seed: o.Seed, Speed: o.Speed, Start: time.UnixMicro(r.Header.StartUnixUs).UTC(),
-		Import: report.FromHeader(r.Header), Result: result}, nil
-}
-
-// finish writes the report and says whether it was kept.
-func finish(e *env, rep *report.Report, asJSON bool, dir string) error {
-	if dir != "" {
-		if err := os.MkdirAll(dir, 0o755); err != nil {
-			return err
-		}
-		if err := create(filepath.Join(dir, "report.json"), rep.JSON); err != nil {
-			return err
-		}
-		if err := create(filepath.Join(dir, "report.html"), rep.HTML); err != nil {
-			return err
-		}
-	}
-	if asJSON {
-		if err := rep.JSON(e.out); err != nil {
-			return err
-		}
-	} else {
-		rep.Write(e.out)
-	}
-	if dir != "" {
-		e.log.Info("report written", "json", filepath.Join(dir, "report.json"), "html", filepath.Join(dir, "report.html"))
-	}
-	if !rep.Kept {
-		return broken{rep.Verdict}
-	}
-	if n := rep.Count(func(t *replay.Tally) int { return t.Unsent }); n > 0 {
-		return fmt.Errorf("%d entries could not be sent", n)
-	}
-	return nil
-}
-
-// progress shows how far a replay is, where someone watches.
-func progress(e *env, total int) func(int) {
-	if !e.terminal {
+// progressBar returns a function that shows the progress of a run; nil if standard error is no terminal.
+func progressBar(e *environment, total int) func(int) {
+	if !e.errIsTerminal {
 		return nil
 	}
-	bar := progressbar.NewOptions(total, progressbar.OptionSetWriter(e.errs), progressbar.OptionSetDescription("replay"),
+	bar := progressbar.NewOptions(total, progressbar.OptionSetWriter(e.errOut), progressbar.OptionSetDescription("replay"),
 		progressbar.OptionThrottle(200*time.Millisecond), progressbar.OptionClearOnFinish())
 	return func(n int) { bar.Set(n) }
 }
-
-// descriptors raises the soft limit to the hard one.
-func descriptors() {
-	var l syscall.Rlimit
-	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &l) == nil && l.Cur < l.Max {
-		l.Cur = l.Max
-		syscall.Setrlimit(syscall.RLIMIT_NOFILE, &l) // where it fails, fewer connections can be had
-	}
-}
-
-// rss is a process's resident memory in KB; 0: not known.
-func rss(pid int) int64 {
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
-	if err != nil {
-		return 0
-	}
-	_, rest, _ := strings.Cut(string(text), "VmRSS:")
-	rest, _, _ = strings.Cut(rest, "kB")
-	n, _ := strconv.ParseInt(strings.TrimSpace(rest), 10, 64)
-	return n
-}
-
-type replayCmd struct {
-	Recording string  `help:"The recording."`
-	To        string  `required:"" help:"The daemon, host:port on a loopback address."`
-	Front     string  `default:"platform" help:"The front that it speaks: platform or faktory."`
-	Password  string  `help:"Of the Faktory front."`
-	Seed      uint64  `default:"0" help:"Of the ids; 0: new ones each time, as a daemon takes an id only once."`
-	Speed     float64 `default:"1" help:"Times as fast."`
-	Report    string  `help:"Directory for report.json and report.html."`
-	JSON      bool    `name:"json" help:"Print the report as JSON."`
-
-	In    string        `help:"Instead of a recording: a log or HAR file, imported on the way (with --rules)."`
-	Rules string        `help:"The file of rules for --in."`
-	Limit int           `default:"0" hidden:"" help:"Of earlier versions; without effect."`
-	Span  time.Duration `default:"0" help:"Of --in: replay no more than this from its start on; 0: all."`
-}
-
-func (c *replayCmd) Run(e *env) error {
-	debug.SetMemoryLimit(math.MaxInt64)
-	descriptors()
-	if c.Front != "platform" && c.Front != "faktory" {
-		return fmt.Errorf("--front: %q is neither platform nor faktory", c.Front)
-	}
-	if err := replay.Loopback(c.To); err != nil {
-		return fmt.Errorf("--to: %w", err)
-	}
-	if (c.Recording == "") == (c.In == "") {
-		return errors.New("--recording or --in: one of them is needed")
-	}
-	path := c.Recording
-	if c.In != "" {
-		if c.Rules == "" {
-			return errors.New("--rules: missing, --in needs it")
-		}
-		dir, err := os.MkdirTemp("", "hollyyoke-replay")
-		if err != nil {
-			return err
-		}
-		defer os.RemoveAll(dir)
-		path = filepath.Join(dir, sourceName(c.In)+".rec")
-		imported, err := (&importCmd{Rules: c.Rules, Seed: 1, Zone: "UTC", In: []string{c.In}}).importTo(e, path)
-		if imported != nil {
-			tell(e.errs, imported)
-		}
-		if err != nil {
-			return err
-		}
-		if c.Span > 0 {
-			whole := path
-			path += ".cut"
-			if err := (&sliceCmd{To: c.Span, Output: path, File: whole}).Run(e); err != nil {
-				return err
-			}
-		}
-	}
-	if c.Seed == 0 {
-		c.Seed = uint64(time.Now().UnixNano())
-	}
-	rep, err := send(e, path, replay.Options{To: c.To, Faktory: c.Front == "faktory", Password: c.Password, Seed: c.Seed, Speed: c.Speed})
-	if err != nil {
-		return err
-	}
-	rep.Front = c.Front
-	if n := rep.Count(func(t *replay.Tally) int { return t.Withheld }); n > 0 {
-		rep.Withheld = "the daemon was not started by this program, so nothing proves that its workers are stand-ins"
-	}
-	rep.Judge(nil)
-	return finish(e, rep, c.JSON, c.Report)
-}
--- a/cmd/rehearse/scale.go
+++ b/cmd/rehearse/scale.go
@@ -16,10 +16,7 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/scale"
 )
 
-// This file owns scale: many dispatchers beside their control machines, by one
-// mechanism or several, set side by side. It must never end with 0 if a bound of
-// the scenario was broken.
-
+// scaleCmd runs a scale scenario by one mechanism or several, and fails if a bound of the scenario was exceeded.
 type scaleCmd struct {
 	Scenario    string `arg:"" help:"Scenario file, of deploy/scenarios/scale."`
 	Workers     int    `help:"Workers listed; 0: as the scenario says."`
@@ -34,10 +31,11 @@
 	Relay       string `help:"The relay's program; not given: membership-relay beside this one."`
 }
 
-func (c *scaleCmd) Run(e *env) error {
+// Run runs the scenario.
+func (c *scaleCmd) Run(e *environment) error {
 	debug.SetMemoryLimit(math.MaxInt64)
-	descriptors()
-	s, err := c.read()
+	raiseDescriptorLimit()
+	scenario, err := c.readScenario()
 	if err != nil {
 		return err
 	}
@@ -49,67 +47,69 @@
 	defer stop()
 	var runs []*scale.Run
 	var records []scale.Record
-	for _, mechanism := range s.Mechanism {
-		run, err := scale.Execute(ctx, s, mechanism, programs, e.log)
+	for _, mechanism := range scenario.Mechanism {
+		run, err := scale.Execute(ctx, scenario, mechanism, programs, e.log)
 		if err != nil {
 			return err
 		}
 		runs = append(runs, run)
 		records = append(records, run.Record(c.commandLine()))
 	}
-	return c.tell(e, runs, records)
+	return c.writeResults(e, runs, records)
 }
 
-// read reads the scenario, with what the command line says before it.
-func (c *scaleCmd) read() (s scale.Scenario, err error) {
-	if s, err = scale.ReadScenario(c.Scenario); err != nil {
-		return s, err
+// readScenario reads the scenario; flags take precedence over it.
+func (c *scaleCmd) readScenario() (scenario scale.Scenario, err error) {
+	scenario, err = scale.ReadScenario(c.Scenario)
+	if err != nil {
+		return scenario, err
 	}
 	if c.Workers > 0 {
-		s.Workers = c.Workers
+		scenario.Workers = c.Workers
 	}
 	if c.Dispatchers > 0 {
-		s.Dispatchers = c.Dispatchers
+		scenario.Dispatchers = c.Dispatchers
 	}
 	if c.Real >= 0 {
-		s.Daemons = c.Real
+		scenario.Daemons = c.Real
 	}
 	if c.Seed > 0 {
-		s.Seed = c.Seed
+		scenario.Seed = c.Seed
 	}
 	if c.Mechanism != "" {
-		s.Mechanism = scale.Mechanisms{scale.Mechanism(c.Mechanism)}
+		scenario.Mechanism = scale.Mechanisms{scale.Mechanism(c.Mechanism)}
 	}
-	if err := s.Check(); err != nil {
-		return s, fmt.Errorf("%s: %w", c.Scenario, err)
+	if err := scenario.Check(); err != nil {
+		return scenario, fmt.Errorf("%s: %w", c.Scenario, err)
 	}
-	return s, nil
+	return scenario, nil
 }
 
-// beside is the program given, or else the one of that name beside this one.
-func beside(self, given, name string) string {
+// siblingProgram returns the given program, or the one of that name beside this one.
+func siblingProgram(self, given, name string) string {
 	return cmp.Or(given, filepath.Join(filepath.Dir(self), name))
 }
 
-func (c *scaleCmd) programs() (p scale.Programs, err error) {
+// programs returns the programs of a run.
+func (c *scaleCmd) programs() (programs scale.Programs, err error) {
 	self, err := os.Executable()
 	if err != nil {
-		return p, err
+		return programs, err
 	}
 	return scale.Programs{
 		Hollow: []string{self, "scale-hollow"},
 		Origin: []string{self, "scale-origin"},
-		Daemon: beside(self, c.Daemon, "dispatcher-serve"),
-		Relay:  beside(self, c.Relay, "membership-relay"),
+		Daemon: siblingProgram(self, c.Daemon, "dispatcher-serve"),
+		Relay:  siblingProgram(self, c.Relay, "membership-relay"),
 	}, nil
 }
 
-// commandLine is the command that gives this run again.
+// commandLine returns the command that repeats this run.
 func (c *scaleCmd) commandLine() string {
-	words := []string{"bin/rehearse", "scale", c.Scenario}
+	args := []string{"bin/rehearse", "scale", c.Scenario}
 	add := func(given bool, flag string, value any) {
 		if given {
-			words = append(words, "--"+flag, fmt.Sprint(value))
+			args = append(args, "--"+flag, fmt.Sprint(value))
 		}
 	}
 	add(c.Workers > 0, "workers", c.Workers)
@@ -117,10 +117,11 @@
 	add(c.Real >= 0, "real", c.Real)
 	add(c.Seed > 0, "seed", c.Seed)
 	add(c.Mechanism != "", "mechanism", c.Mechanism)
-	return strings.Join(words, " ")
+	return strings.Join(args, " ")
 }
 
-func (c *scaleCmd) tell(e *env, runs []*scale.Run, records []scale.Record) error {
+// writeResults writes the table and the requested files.
+func (c *scaleCmd) writeResults(e *environment, runs []*scale.Run, records []scale.Record) error {
 	scale.WriteTable(e.out, runs, records)
 	for _, file := range []struct {
 		path  string
@@ -133,29 +134,31 @@
 		if file.path == "" {
 			continue
 		}
-		if err := create(file.path, file.write); err != nil {
+		if err := writeAtomically(file.path, file.write); err != nil {
 			return err
 		}
 	}
 	for _, record := range records {
 		if len(record.Violations) > 0 {
-			return broken{strings.Join(record.Violations, "; ")}
+			return violationError{strings.Join(record.Violations, "; ")}
 		}
 	}
 	return nil
 }
 
+// scaleHollowCmd runs a process of hollow dispatchers.
 type scaleHollowCmd struct{}
 
-func (scaleHollowCmd) Run(e *env) error {
-	descriptors()
+func (scaleHollowCmd) Run(e *environment) error {
+	raiseDescriptorLimit()
 	return scale.RunHollow(e.in, e.out)
 }
 
+// scaleOriginCmd runs the origin.
 type scaleOriginCmd struct{}
 
-func (scaleOriginCmd) Run(e *env) error {
+func (scaleOriginCmd) Run(e *environment) error {
 	debug.SetMemoryLimit(math.MaxInt64)
-	descriptors()
+	raiseDescriptorLimit()
 	return scale.RunOrigin(e.in, e.out)
 }
--- a/cmd/rehearse/scale_test.go
+++ b/cmd/rehearse/scale_test.go
@@ -27,14 +27,14 @@
 count = 3
 `
 
-// The command as a program: what it writes, and its exit code where a bound is broken.
+// The output of the command as a program, and its exit code where a bound is exceeded.
 func TestScaleProgram(t *testing.T) {
 	dir := t.TempDir()
 	program := filepath.Join(dir, "rehearse")
 	if out, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	play := func(scenario string, args ...string) (code int, text string) {
+	runScale := func(scenario string, args ...string) (code int, text string) {
 		t.Helper()
 		path := write(t, "tiny.toml", scenario)
 		out, err := exec.Command(program, append([]string{"scale", path}, args...)...).CombinedOutput()
@@ -47,8 +47,9 @@
 		}
 		return code, string(out)
 	}
-	figures, chart := filepath.Join(dir, "f.json"), filepath.Join(dir, "c.svg")
-	if code, text := play(scaleScenario, "--json", figures, "--chart", chart, "--workers", "30"); code != exitKept || !strings.Contains(text, "30 workers") {
+	figures := filepath.Join(dir, "f.json")
+	chart := filepath.Join(dir, "c.svg")
+	if code, text := runScale(scaleScenario, "--json", figures, "--chart", chart, "--workers", "30"); code != exitSuccess || !strings.Contains(text, "30 workers") {
 		t.Errorf("code %d: %s", code, text)
 	}
 	var records []scale.Record
@@ -62,11 +63,11 @@
 	if svg, err := os.ReadFile(chart); err != nil || !strings.Contains(string(svg), "<svg") {
 		t.Errorf("chart: %v", err)
 	}
-	code, text := play(scaleScenario + "[bounds]\nmemory_mb = 0\nin_force_max_s = 1e-9\n")
-	if code != exitBroken || !strings.Contains(text, "in_force_max_s") {
-		t.Errorf("a broken bound: code %d: %s", code, text)
+	code, text := runScale(scaleScenario + "[bounds]\nmemory_mb = 0\nin_force_max_s = 1e-9\n")
+	if code != exitViolation || !strings.Contains(text, "in_force_max_s") {
+		t.Errorf("an exceeded bound: code %d: %s", code, text)
 	}
-	if code, text := play(scaleScenario + "colour = 1\n"); code != exitNot || !strings.Contains(text, "colour: unknown key") {
-		t.Errorf("a bad scenario: code %d: %s", code, text)
+	if code, text := runScale(scaleScenario + "colour = 1\n"); code != exitFailure || !strings.Contains(text, "colour: unknown key") {
+		t.Errorf("an invalid scenario: code %d: %s", code, text)
 	}
 }
--- a/cmd/rehearse/sim.go
+++ b/cmd/rehearse/sim.go
@@ -3,7 +3,7 @@
 import (
 	"bufio"
 	"bytes"
-	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"math"
@@ -17,148 +17,196 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/simulator"
 )
 
-// This file owns the simulator's commands. They must never end with 0 if a rule broke.
-
+// simCmd groups the commands of the simulator.
 type simCmd struct {
-	Run     simRunCmd     `cmd:"" help:"Let one day of a scenario pass in virtual time, and judge it."`
-	Hunt    simHuntCmd    `cmd:"" help:"Play scenarios with many seeds on all cores, and tell the days that went worst."`
-	Compare simCompareCmd `cmd:"" help:"Play two scenarios with the same seeds, and tell whether they differ."`
-	Shrink  simShrinkCmd  `cmd:"" help:"Cut a scenario down to the smallest whose day with that seed is still bad."`
+	Run     simRunCmd     `cmd:"" help:"Run a scenario in virtual time, and check its invariants."`
+	Hunt    simHuntCmd    `cmd:"" help:"Run scenarios with many seeds on all cores, and list the worst runs."`
+	Compare simCompareCmd `cmd:"" help:"Run two scenarios with the same seeds, and report whether they differ."`
+	Shrink  simShrinkCmd  `cmd:"" help:"Reduce a scenario to the smallest whose run with that seed is still bad."`
 }
 
+// simHuntCmd looks for bad runs.
 type simHuntCmd struct {
 	Scenarios []string `arg:"" name:"scenario" help:"Scenario files."`
-	Seeds     int      `default:"100" help:"Days of each."`
+	Seeds     int      `default:"100" help:"Runs of each."`
 	From      uint64   `default:"1" help:"The first seed."`
-	Worst     int      `default:"10" help:"Days to tell."`
+	Worst     int      `default:"10" help:"Runs to list."`
 }
 
+// simCompareCmd compares two scenarios.
 type simCompareCmd struct {
-	A     string `arg:"" help:"Scenario file."`
-	B     string `arg:"" help:"The other."`
-	Seeds int    `default:"100" help:"Pairs of days."`
-	From  uint64 `default:"1" help:"The first seed."`
+	ScenarioA string `arg:"" name:"a" help:"Scenario file."`
+	ScenarioB string `arg:"" name:"b" help:"The other."`
+	Seeds     int    `default:"100" help:"Pairs of runs."`
+	From      uint64 `default:"1" help:"The first seed."`
 }
 
+// simShrinkCmd reduces a scenario.
 type simShrinkCmd struct {
 	Scenario string `arg:"" help:"Scenario file."`
-	Seed     uint64 `default:"1" help:"Of the day that is bad."`
-	When     string `enum:"broken,failed,refused,late" default:"broken" help:"What makes a day bad: a rule that broke, or a request that failed, was refused or was late."`
-	Out      string `short:"o" placeholder:"FILE" help:"Where the small scenario goes; standard output where not given."`
+	Seed     uint64 `default:"1" help:"Of the bad run."`
+	When     string `enum:"broken,failed,refused,late" default:"broken" help:"What makes a run bad: a violated invariant, or a request that failed, was rejected or was late."`
+	Out      string `short:"o" placeholder:"FILE" help:"Where the small scenario goes; standard output if absent."`
 }
 
-func scenarios(paths ...string) (list []simulator.Scenario, err error) {
-	debug.SetMemoryLimit(math.MaxInt64) // days take what they need
+// simRunCmd runs one scenario.
+type simRunCmd struct {
+	Scenario string `arg:"" help:"Scenario file, as deploy/scenarios/day.toml."`
+	Seed     uint64 `default:"1" help:"Of all randomness; the same scenario and seed give the same events."`
+	Log      string `placeholder:"FILE" help:"Write every event, a line each: nanosecond, dispatcher (-1: a worker), step, id, details."`
+	JSON     bool   `name:"json" help:"The result as JSON."`
+}
+
+// readScenarios reads scenario files and lifts the memory limit for their runs.
+func readScenarios(paths ...string) ([]simulator.Scenario, error) {
+	debug.SetMemoryLimit(math.MaxInt64)
+	var scenarios []simulator.Scenario
 	for _, path := range paths {
-		sc, err := simulator.ReadScenario(path)
+		scenario, err := simulator.ReadScenario(path)
 		if err != nil {
 			return nil, err
 		}
-		list = append(list, sc)
+		scenarios = append(scenarios, scenario)
 	}
-	return list, nil
+	return scenarios, nil
 }
 
-// many plays days and shows how far that is.
-func many(e *env, list []simulator.Scenario, seeds []uint64) ([][]simulator.Result, error) {
-	show, n := progress(e, len(list)*len(seeds)), 0
-	return simulator.RunAll(list, seeds, func() {
-		n++
+// runAll runs scenarios and shows the progress.
+func runAll(e *environment, scenarios []simulator.Scenario, seeds []uint64) ([][]simulator.Result, error) {
+	show := progressBar(e, len(scenarios)*len(seeds))
+	done := 0
+	return simulator.RunAll(scenarios, seeds, func() {
+		done++
 		if show != nil {
-			show(n)
+			show(done)
 		}
 	})
 }
 
-func (c *simHuntCmd) Run(e *env) error {
-	list, err := scenarios(c.Scenarios...)
+// Run runs the scenarios and fails if an invariant was violated.
+func (c *simHuntCmd) Run(e *environment) error {
+	scenarios, err := readScenarios(c.Scenarios...)
 	if err != nil {
 		return err
 	}
-	results, err := many(e, list, simulator.Seeds(c.From, max(c.Seeds, 1)))
+	results, err := runAll(e, scenarios, simulator.Seeds(c.From, max(c.Seeds, 1)))
 	if err != nil {
 		return err
 	}
-	rules, days := 0, 0
-	t := tabwriter.NewWriter(e.out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "scenario\tdays\tmean\tworst\tbest\tbroken\t")
-	for i, of := range results {
-		sum, low, high, bad := 0.0, math.Inf(1), math.Inf(-1), 0
-		for _, r := range of {
-			sum, low, high = sum+r.Score, min(low, r.Score), max(high, r.Score)
-			bad += min(len(r.Violations), 1)
-		}
-		rules, days = rules+bad, days+len(of)
-		fmt.Fprintf(t, "%s\t%d\t%.4f\t%.4f\t%.4f\t%d\t\n", list[i].Name, len(of), sum/float64(len(of)), low, high, bad)
-	}
-	t.Flush()
+	violated, runs := writeScores(e.out, scenarios, results)
 	fmt.Fprintln(e.out, "the worst:")
-	for _, d := range simulator.Worst(list, results, c.Worst) {
-		fmt.Fprintf(e.out, "  %s, seed %d: %.4f", d.Scenario.Name, d.Result.Seed, d.Result.Score)
-		for _, k := range d.Result.Classes {
-			fmt.Fprintf(e.out, "; %s %.3f (refused %d, failed %d, late %d)", k.Name, k.WeightShare, k.Rejected, k.Failed, k.Late)
-		}
-		fmt.Fprintln(e.out)
-		for _, why := range d.Result.Violations {
-			fmt.Fprintln(e.out, "    BROKEN", why)
-		}
+	for _, worst := range simulator.Worst(scenarios, results, c.Worst) {
+		writeRun(e.out, worst)
 	}
-	if rules > 0 {
-		return broken{fmt.Sprintf("rules broke on %d of %d days", rules, days)}
+	if violated > 0 {
+		return violationError{fmt.Sprintf("invariants violated in %d of %d runs", violated, runs)}
 	}
 	return nil
 }
 
-func (c *simCompareCmd) Run(e *env) error {
-	list, err := scenarios(c.A, c.B)
+// writeScores writes a row for each scenario. It returns the number of runs with violations, and of all runs.
+func writeScores(out io.Writer, scenarios []simulator.Scenario, results [][]simulator.Result) (violated, runs int) {
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprintln(table, "scenario\truns\tmean\tworst\tbest\tviolated\t")
+	for i, list := range results {
+		sum := 0.0
+		low := math.Inf(1)
+		high := math.Inf(-1)
+		bad := 0
+		for _, result := range list {
+			sum += result.Score
+			low = min(low, result.Score)
+			high = max(high, result.Score)
+			bad += min(len(result.Violations), 1)
+		}
+		violated += bad
+		runs += len(list)
+		fmt.Fprintf(table, "%s\t%d\t%.4f\t%.4f\t%.4f\t%d\t\n", scenarios[i].Name, len(list), sum/float64(len(list)), low, high, bad)
+	}
+	table.Flush()
+	return violated, runs
+}
+
+// writeRun writes one run with its classes and violations.
+func writeRun(out io.Writer, run simulator.ScenarioResult) {
+	fmt.Fprintf(out, "  %s, seed %d: %.4f", run.Scenario.Name, run.Result.Seed, run.Result.Score)
+	for _, class := range run.Result.Classes {
+		fmt.Fprintf(out, "; %s %.3f (rejected %d, failed %d, late %d)", class.Name, class.WeightShare, class.Rejected, class.Failed, class.Late)
+	}
+	fmt.Fprintln(out)
+	for _, violation := range run.Result.Violations {
+		fmt.Fprintln(out, "    BROKEN", violation)
+	}
+}
+
+// Run compares the scenarios.
+func (c *simCompareCmd) Run(e *environment) error {
+	scenarios, err := readScenarios(c.ScenarioA, c.ScenarioB)
 	if err != nil {
 		return err
 	}
-	results, err := many(e, list, simulator.Seeds(c.From, max(c.Seeds, 2)))
+	results, err := runAll(e, scenarios, simulator.Seeds(c.From, max(c.Seeds, 2)))
 	if err != nil {
 		return err
 	}
-	d := simulator.Compare(results[0], results[1])
-	verdict := "B is better"
+	comparison := simulator.Compare(results[0], results[1])
+	conclusion := "B is better"
 	switch {
-	case d.Inconclusive:
-		verdict = "noise: the interval holds 0"
-	case d.MeanDifference < 0:
-		verdict = "A is better"
+	case comparison.Inconclusive:
+		conclusion = "noise: the interval holds 0"
+	case comparison.MeanDifference < 0:
+		conclusion = "A is better"
 	}
 	fmt.Fprintf(e.out, "A %s %.4f, B %s %.4f; B less A %+.4f, 95%% between %+.4f and %+.4f; A was better in %d of %d pairs, %d even: %s\n",
-		list[0].Name, d.MeanA, list[1].Name, d.MeanB, d.MeanDifference, d.Low, d.High, d.ABetter, d.Pairs, d.Even, verdict)
+		scenarios[0].Name, comparison.MeanA, scenarios[1].Name, comparison.MeanB, comparison.MeanDifference, comparison.Low, comparison.High,
+		comparison.ABetter, comparison.Pairs, comparison.Even, conclusion)
 	return nil
 }
 
-func (c *simShrinkCmd) Run(e *env) error {
-	list, err := scenarios(c.Scenario)
-	if err != nil {
-		return err
+// bad returns what makes a run bad by --when.
+func (c *simShrinkCmd) bad() func(simulator.Result) bool {
+	count := func(class *simulator.ClassResult) int {
+		switch c.When {
+		case "failed":
+			return class.Failed
+		case "refused":
+			return class.Rejected
+		default:
+			return class.Late
+		}
 	}
-	bad := func(r simulator.Result) bool {
+	return func(result simulator.Result) bool {
 		if c.When == "broken" {
-			return len(r.Violations) > 0
+			return len(result.Violations) > 0
 		}
-		n := 0
-		for _, k := range r.Classes {
-			n += map[string]int{"failed": k.Failed, "refused": k.Rejected, "late": k.Late}[c.When]
+		sum := 0
+		for i := range result.Classes {
+			sum += count(&result.Classes[i])
 		}
-		return n > 0
+		return sum > 0
 	}
-	s, err := simulator.New(list[0], c.Seed, nil)
+}
+
+// Run reduces the scenario.
+func (c *simShrinkCmd) Run(e *environment) error {
+	scenarios, err := readScenarios(c.Scenario)
 	if err != nil {
 		return err
 	}
-	if !bad(s.Run()) {
+	bad := c.bad()
+	simulation, err := simulator.New(scenarios[0], c.Seed, nil)
+	if err != nil {
+		return err
+	}
+	if !bad(simulation.Run()) {
 		return fmt.Errorf("%s: with seed %d nothing is %s", c.Scenario, c.Seed, c.When)
 	}
-	small, tries, err := simulator.Shrink(list[0], c.Seed, bad)
+	small, runs, err := simulator.Shrink(scenarios[0], c.Seed, bad)
 	if err != nil {
 		return err
 	}
 	var text bytes.Buffer
-	fmt.Fprintf(&text, "# Seed %d: %s. Cut down from %s by %d days.\n", c.Seed, c.When, list[0].Name, tries)
+	fmt.Fprintf(&text, "# Seed %d: %s. Reduced from %s in %d runs.\n", c.Seed, c.When, scenarios[0].Name, runs)
 	if err := toml.NewEncoder(&text).Encode(small); err != nil {
 		return err
 	}
@@ -169,62 +217,58 @@
 	return os.WriteFile(c.Out, text.Bytes(), 0o644)
 }
 
-type simRunCmd struct {
-	Scenario string `arg:"" help:"Scenario file, as deploy/scenarios/day.toml."`
-	Seed     uint64 `default:"1" help:"Of all chance; the same scenario and seed give the same events."`
-	Log      string `placeholder:"FILE" help:"Write every event, a line each: nanosecond, dispatcher (-1: a worker), step, id, more."`
-	JSON     bool   `name:"json" help:"The result as JSON."`
-}
-
-func (c *simRunCmd) Run(e *env) (err error) {
-	list, err := scenarios(c.Scenario)
+// Run runs the scenario and fails if an invariant was violated.
+func (c *simRunCmd) Run(e *environment) (err error) {
+	scenarios, err := readScenarios(c.Scenario)
 	if err != nil {
 		return err
 	}
 	var log io.Writer
 	if c.Log != "" {
-		f, err := os.Create(c.Log)
+		file, err := os.Create(c.Log)
 		if err != nil {
 			return err
 		}
-		w := bufio.NewWriter(f)
+		buffered := bufio.NewWriter(file)
 		defer func() {
-			for _, end := range []func() error{w.Flush, f.Close} {
-				if e := end(); err == nil {
-					err = e
-				}
+			closing := errors.Join(buffered.Flush(), file.Close())
+			if err == nil {
+				err = closing
 			}
 		}()
-		log = w
+		log = buffered
 	}
-	began := time.Now()
-	s, err := simulator.New(list[0], c.Seed, log)
+	startedAt := time.Now()
+	simulation, err := simulator.New(scenarios[0], c.Seed, log)
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.Scenario, err)
 	}
-	r := s.Run()
+	result := simulation.Run()
 	if c.JSON {
-		text, err := json.MarshalIndent(r, "", "  ")
-		if err != nil {
+		if err := writeJSON(e.out, result); err != nil {
 			return err
 		}
-		fmt.Fprintf(e.out, "%s\n", text)
 	} else {
-		t := tabwriter.NewWriter(e.out, 0, 0, 2, ' ', tabwriter.AlignRight)
-		fmt.Fprintln(t, "class\tasked\tin aim\tlate\trefused\tfailed\tno answer\tp50 ms\tp90 ms\tp99 ms\tworth\t")
-		for _, k := range r.Classes {
-			fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%.1f\t%.3f\t\n", k.Name, k.Requests, k.WithinObjective, k.Late, k.Rejected, k.Failed, k.Unanswered,
-				k.P50Ms, k.P90Ms, k.P99Ms, k.WeightShare)
-		}
-		t.Flush()
-		fmt.Fprintf(e.out, "%s, seed %d: %.4f of the worth asked for; %d events, hash %s, %.2f s of our time\n",
-			r.Scenario, r.Seed, r.Score, r.Events, r.Hash, time.Since(began).Seconds())
+		writeResult(e.out, result, time.Since(startedAt))
 	}
-	for _, why := range r.Violations {
-		fmt.Fprintln(e.out, "BROKEN", why)
+	for _, violation := range result.Violations {
+		fmt.Fprintln(e.out, "BROKEN", violation)
 	}
-	if len(r.Violations) > 0 {
-		return broken{fmt.Sprintf("%d rules broke", len(r.Violations))}
+	if len(result.Violations) > 0 {
+		return violationError{fmt.Sprintf("%d invariants violated", len(result.Violations))}
 	}
 	return nil
 }
+
+// writeResult writes a table of the classes. elapsed is the real time that the run took.
+func writeResult(out io.Writer, result simulator.Result, elapsed time.Duration) {
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
+	fmt.Fprintln(table, "class\trequests\tin objective\tlate\trejected\tfailed\tno answer\tp50 ms\tp90 ms\tp99 ms\tweight\t")
+	for _, class := range result.Classes {
+		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%.1f\t%.3f\t\n", class.Name, class.Requests, class.WithinObjective, class.Late,
+			class.Rejected, class.Failed, class.Unanswered, class.P50Ms, class.P90Ms, class.P99Ms, class.WeightShare)
+	}
+	table.Flush()
+	fmt.Fprintf(out, "%s, seed %d: %.4f of the priority weight requested; %d events, hash %s, %.2f s of real time\n",
+		result.Scenario, result.Seed, result.Score, result.Events, result.Hash, elapsed.Seconds())
+}
--- a/cmd/rehearse/sim_test.go
+++ b/cmd/rehearse/sim_test.go
@@ -9,22 +9,23 @@
 	"testing"
 )
 
-// The simulator's commands: what they print, and their exit codes.
+// The output and exit codes of the simulator's commands.
 func TestSimCommands(t *testing.T) {
 	dir := t.TempDir()
-	whole, err := os.ReadFile("../../deploy/scenarios/faults.toml")
+	valid, err := os.ReadFile("../../deploy/scenarios/faults.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	path := func(name, old, new string) string {
 		p := filepath.Join(dir, name)
-		text := strings.Replace(string(whole), "length_s = 60", "length_s = 30", 1)
+		text := strings.Replace(string(valid), "length_s = 60", "length_s = 30", 1)
 		if err := os.WriteFile(p, []byte(strings.Replace(text, old, new, 1)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		return p
 	}
-	a, b := path("a.toml", `name = "faults"`, `name = "a"`), path("b.toml", "rate_per_s = 40", "rate_per_s = 75")
+	a := path("a.toml", `name = "faults"`, `name = "a"`)
+	b := path("b.toml", "rate_per_s = 40", "rate_per_s = 75")
 	do := func(code int, want string, args ...string) string {
 		t.Helper()
 		var out, errs bytes.Buffer
@@ -35,7 +36,8 @@
 	}
 	hash := regexp.MustCompile(`hash ([0-9a-f]{16})`)
 	log := filepath.Join(dir, "log")
-	first, again := do(0, "a, seed 3:", "run", a, "--seed", "3", "--log", log), do(0, "a, seed 3:", "run", a, "--seed", "3")
+	first := do(0, "a, seed 3:", "run", a, "--seed", "3", "--log", log)
+	again := do(0, "a, seed 3:", "run", a, "--seed", "3")
 	if x, y := hash.FindStringSubmatch(first), hash.FindStringSubmatch(again); x == nil || y == nil || x[1] != y[1] {
 		t.Errorf("%s%s", first, again)
 	}
--- a/cmd/rehearse/slopes.go
+++ b/cmd/rehearse/slopes.go
@@ -14,8 +14,7 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/capacity"
 )
 
-// This file owns slopes: what one daemon costs by the size of the fleet.
-
+// slopesCmd measures what one daemon costs by the size of the fleet.
 type slopesCmd struct {
 	Sizes     []int         `default:"200,660,2100,6600,21000" help:"Listed workers, one size after another."`
 	Plays     int           `default:"3" help:"How often each size is measured."`
@@ -24,19 +23,20 @@
 	DeltaRate float64       `default:"20" help:"Changes a second in that time."`
 	Daemon    string        `help:"The daemon's program; not given: dispatcher-serve beside this one."`
 	Label     string        `name:"program-version" help:"The version of that program, for the file; not given: this one's."`
-	Append    bool          `help:"Add the plays to those that the file has."`
-	Module    bool          `help:"Only the decision module alone; its series take the place of those that the file has."`
+	Append    bool          `help:"Add the repetitions to those in the file."`
+	Module    bool          `help:"Only the decision module; its series replace those in the file."`
 	Output    string        `short:"o" required:"" help:"The JSON file."`
 }
 
-// command is how the run is started, with what is not as it is by default.
+// command returns the command that repeats the run, with the flags that matter.
 func (c *slopesCmd) command() string {
 	return fmt.Sprintf("rehearse slopes --sizes %s --idle-span %v --delta-span %v --delta-rate %g",
 		strings.Trim(strings.Join(strings.Fields(fmt.Sprint(c.Sizes)), ","), "[]"), c.IdleSpan, c.DeltaSpan, c.DeltaRate)
 }
 
-func (c *slopesCmd) Run(e *env) error {
-	debug.SetMemoryLimit(math.MaxInt64) // the lists of a stand-in take what they need
+// Run measures and writes the file.
+func (c *slopesCmd) Run(e *environment) error {
+	debug.SetMemoryLimit(math.MaxInt64) // the stand-in's lists are large
 	program := c.Daemon
 	if program == "" {
 		beside, err := daemonPath("")
@@ -46,29 +46,32 @@
 		program = filepath.Join(filepath.Dir(beside), "dispatcher-serve")
 	}
 	got, err := capacity.Measure(capacity.Config{Program: program, Sizes: c.Sizes, Repetitions: c.Plays, IdleTime: c.IdleSpan, DeltaTime: c.DeltaSpan,
-		DeltaRate: c.DeltaRate, ModuleOnly: c.Module, OnProgress: func(size, play int) { e.log.Info("measuring", "workers", size, "play", play+1) }})
+		DeltaRate: c.DeltaRate, ModuleOnly: c.Module, OnProgress: func(size, repetition int) {
+			e.log.Info("measuring", "workers", size, "repetition", repetition+1)
+		}})
 	if err != nil {
 		return err
 	}
-	got.Command, got.Version = c.command(), c.Label
+	got.Command = c.command()
+	got.Version = c.Label
 	if got.Version == "" {
 		got.Version = buildVersion()
 	}
 	if c.Append || c.Module {
-		former, err := capacity.ReadSlopes(c.Output)
+		existing, err := capacity.ReadSlopes(c.Output)
 		if err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return err
 		}
 		if err == nil {
-			join := former.Merge
+			join := existing.Merge
 			if c.Module {
-				join = former.Replace
+				join = existing.Replace
 			}
 			if err := join(got); err != nil {
 				return err
 			}
-			got = former
+			got = existing
 		}
 	}
-	return create(c.Output, func(w io.Writer) error { return writeJSON(w, got) })
+	return writeAtomically(c.Output, func(w io.Writer) error { return writeJSON(w, got) })
 }
--- a/cmd/rehearse/slopes_test.go
+++ b/cmd/rehearse/slopes_test.go
@@ -10,15 +10,15 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/capacity"
 )
 
-// A small slope run against the daemon itself: every series has its values, and
-// those that do not depend on the machine are right. Two runs are put together.
+// A small slope run with the daemon: every series has its values, and those that do not depend on the machine are right.
+// Two runs are merged.
 func TestSlopes(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "slopes.json")
 	args := []string{"slopes", "--sizes", "34,68,170", "--plays", "1", "--idle-span", "100ms", "--delta-span", "200ms", "--delta-rate", "50",
 		"--daemon", filepath.Join(filepath.Dir(daemon), "dispatcher-serve"), "--append", "-o", file}
 	for range 2 {
 		var out, errs bytes.Buffer
-		if code := run(args, strings.NewReader(""), &out, &errs); code != exitKept {
+		if code := run(args, strings.NewReader(""), &out, &errs); code != exitSuccess {
 			t.Fatalf("code %d: %s", code, errs.String())
 		}
 	}
@@ -51,17 +51,17 @@
 	}
 }
 
-// The page is written anew from the committed data, and data that lacks runs is refused.
+// The page is generated from the committed data; data without runs is refused.
 func TestCapacityCommand(t *testing.T) {
 	page := filepath.Join(t.TempDir(), "CAPACITY.md")
 	var out, errs bytes.Buffer
-	if code := run([]string{"capacity", "--data", "../../docs/capacity", "-o", page}, strings.NewReader(""), &out, &errs); code != exitKept {
+	if code := run([]string{"capacity", "--data", "../../docs/capacity", "-o", page}, strings.NewReader(""), &out, &errs); code != exitSuccess {
 		t.Fatalf("code %d: %s", code, errs.String())
 	}
 	if text, err := os.ReadFile(page); err != nil || !bytes.HasPrefix(text, []byte("# Capacity\n")) {
 		t.Errorf("%v: %.40s", err, text)
 	}
-	if code := run([]string{"capacity", "--data", t.TempDir(), "-o", page}, strings.NewReader(""), &out, &errs); code != exitNot {
+	if code := run([]string{"capacity", "--data", t.TempDir(), "-o", page}, strings.NewReader(""), &out, &errs); code != exitFailure {
 		t.Errorf("an empty directory: code %d", code)
 	}
 }
--- a/cmd/rehearse/soak.go
+++ b/cmd/rehearse/soak.go
@@ -9,26 +9,26 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/soak"
 )
 
-// soakCmd runs dispatchers under random faults that overlap, seed after seed.
+// soakCmd runs dispatchers under random overlapping faults, one run for each seed.
 type soakCmd struct {
-	Daemon  string        `help:"The program; dispatcher-serve beside this one where not given." type:"path"`
-	Seed    uint64        `default:"1" help:"Of the first run's faults."`
-	Seeds   int           `default:"1" help:"Runs, each with the next seed."`
-	Daemons int           `default:"24" help:"Dispatchers."`
-	For     time.Duration `default:"30s" help:"How long faults go on in each run."`
+	Daemon   string        `help:"The program; dispatcher-serve beside this one where not given." type:"path"`
+	Seed     uint64        `default:"1" help:"Of the first run's faults."`
+	Seeds    int           `default:"1" help:"Runs, each with the next seed."`
+	Daemons  int           `default:"24" help:"Dispatchers."`
+	Duration time.Duration `name:"for" default:"30s" help:"How long faults go on in each run."`
 }
 
-// Run runs the soaks. A broken rule ends with exit code 1, and names its seed.
-func (c *soakCmd) Run(e *env) error {
+// Run runs the soaks and fails if a rule was violated; the report names the seed.
+func (c *soakCmd) Run(e *environment) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	program := beside(self, c.Daemon, "dispatcher-serve")
+	program := siblingProgram(self, c.Daemon, "dispatcher-serve")
 	failed := 0
 	for i := range c.Seeds {
 		report, err := soak.Run(context.Background(), soak.Config{
-			Daemon: program, Seed: c.Seed + uint64(i), Daemons: c.Daemons, For: c.For,
+			Daemon: program, Seed: c.Seed + uint64(i), Daemons: c.Daemons, For: c.Duration,
 		})
 		if err != nil {
 			return err
@@ -39,7 +39,7 @@
 		}
 	}
 	if failed > 0 {
-		return broken{fmt.Sprintf("%d of %d soaks broke a rule", failed, c.Seeds)}
+		return violationError{fmt.Sprintf("%d of %d soaks violated a rule", failed, c.Seeds)}
 	}
 	return nil
 }
--- a/cmd/rehearse/version.go
+++ b/cmd/rehearse/version.go
@@ -1,10 +1,13 @@
 package main
 
-import "runtime/debug"
+import (
+	"fmt"
+	"runtime/debug"
 
-// This file owns which build of the program this is.
+	"hollyyoke.example/hollyyoke/internal/rehearsal/recording"
+)
 
-// buildVersion is the version and revision that the program was built from.
+// buildVersion returns the version and revision that the program was built from.
 func buildVersion() string {
 	version := "(devel)"
 	if info, ok := debug.ReadBuildInfo(); ok {
@@ -17,3 +20,11 @@
 	}
 	return version
 }
+
+// versionCmd prints the version.
+type versionCmd struct{}
+
+func (versionCmd) Run(e *environment) error {
+	fmt.Fprintf(e.out, "rehearse %s, recordings of version %d\n", buildVersion(), recording.Version)
+	return nil
+}
