--- a/cmd/rehearse/flood.go
+++ b/cmd/rehearse/flood.go
@@ -54,7 +54,7 @@
 	Duration           time.Duration `name:"for" default:"15s" help:"How long each part takes."`
 	Seed               uint64        `default:"1"`
 	Alone              bool          `help:"Also without any hostile client."`
-	ExhaustDescriptors bool          `name:"starve" help:"Instead: twice the rate, without hostile clients, whole and with no descriptor left by the system in the middle third."`
+	ExhaustDescriptors bool          `name:"starve" help:"Instead: twice the rate with few hostile clients, once with all descriptors and once with none left in the middle third."`
 	Daemon             string        `help:"The daemon's program; not given: dispatcher beside this one."`
 	JSON               bool          `name:"json" help:"Print as JSON."`
 }
--- a/internal/rehearsal/scale/link_test.go
+++ b/internal/rehearsal/scale/link_test.go
@@ -11,7 +11,7 @@
 
 const testTimeout = 20 * time.Second // far beyond what any test needs
 
-// server starts an echo server and returns its address.
+// startEchoServer starts an echo server and returns its address.
 func startEchoServer(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/rehearsal/simulator/worker.go
+++ b/internal/rehearsal/simulator/worker.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// warmingRefresh is how often the completion of an attempt is scheduled anew while the worker's pace rises.
+	// warmingRefresh is how often the completion of an attempt is rescheduled while the worker's pace rises.
 	warmingRefresh = 100 * time.Millisecond
 	// workEpsilon is the remainder of work, in seconds, that counts as done.
 	workEpsilon = 1e-9
