--- a/cmd/dispatcher/shortreads_test.go
+++ b/cmd/dispatcher/shortreads_test.go
@@ -31,7 +31,7 @@
 		d.traced = p
 		t.Cleanup(func() {
 			p.Signal(syscall.SIGKILL)
-			<-p.Over()
+			<-p.Done()
 			if text, _ := os.ReadFile(out.Name()); t.Failed() {
 				t.Logf("its log:\n%s", text)
 			}
@@ -86,7 +86,7 @@
 	close(stop)
 	<-over
 	r.checkBound()
-	if r.traced.Struck(faultinject.SocketRead) == 0 {
+	if r.traced.Injected(faultinject.SocketRead) == 0 {
 		t.Error("no read was short")
 	}
 }
--- a/cmd/dispatcher/syscalls_test.go
+++ b/cmd/dispatcher/syscalls_test.go
@@ -65,10 +65,10 @@
 	}
 	open.Wait()
 	t.Logf("answers: %v; read %d, write %d, accept %d, socket %d, connect %d, wait %d, setsockopt %d calls failed or were short", answers,
-		d.traced.Struck(faultinject.SocketRead), d.traced.Struck(faultinject.SocketWrite), d.traced.Struck(faultinject.Accept),
-		d.traced.Struck(faultinject.Socket), d.traced.Struck(faultinject.Connect), d.traced.Struck(faultinject.Wait), d.traced.Struck(faultinject.SetOption))
+		d.traced.Injected(faultinject.SocketRead), d.traced.Injected(faultinject.SocketWrite), d.traced.Injected(faultinject.Accept),
+		d.traced.Injected(faultinject.Socket), d.traced.Injected(faultinject.Connect), d.traced.Injected(faultinject.Wait), d.traced.Injected(faultinject.SetOption))
 	for call := faultinject.SocketRead; call <= faultinject.SetOption; call++ {
-		if d.traced.Struck(call) == 0 {
+		if d.traced.Injected(call) == 0 {
 			t.Errorf("no %v failed", call)
 		}
 	}
@@ -113,7 +113,7 @@
 			for i := 0; time.Since(begun) < after+span; i++ {
 				d.post("renewal", fmt.Sprint("id-", i), "x", 0)
 			}
-			if d.traced.Struck(faultinject.SocketRead) == 0 {
+			if d.traced.Injected(faultinject.SocketRead) == 0 {
 				t.Error("no read failed")
 			}
 			runs := map[string]int{}
--- a/cmd/rehearse/flood.go
+++ b/cmd/rehearse/flood.go
@@ -204,7 +204,7 @@
 
 // connectionsJSON returns the admin API's view of the connections; nil if it does not answer.
 func connectionsJSON(fleet *standin.Fleet) json.RawMessage {
-	response, err := http.Get("http://" + fleet.Door() + "/control/connections")
+	response, err := http.Get("http://" + fleet.AdminAddress() + "/control/connections")
 	if err != nil {
 		return nil
 	}
--- a/cmd/rehearse/flood_test.go
+++ b/cmd/rehearse/flood_test.go
@@ -119,7 +119,7 @@
 	}
 	defer f.Close()
 	call := func(method, path string) (int, string) {
-		request, _ := http.NewRequest(method, "http://"+f.Door()+path, nil)
+		request, _ := http.NewRequest(method, "http://"+f.AdminAddress()+path, nil)
 		response, err := http.DefaultClient.Do(request)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/rehearsal/faultinject/process.go
+++ b/internal/rehearsal/faultinject/process.go
@@ -43,11 +43,11 @@
 	return p, nil
 }
 
-// Struck returns how many calls of a group the plan has made fail or transfer less.
-func (p *Process) Struck(c Call) int64 { return p.struck[c].Load() }
+// Injected returns how many calls of a group the plan has made fail or transfer less.
+func (p *Process) Injected(c Call) int64 { return p.struck[c].Load() }
 
-// Over returns a channel that is closed once the process has ended.
-func (p *Process) Over() <-chan struct{} { return p.over }
+// Done returns a channel that is closed once the process has ended.
+func (p *Process) Done() <-chan struct{} { return p.over }
 
 // Status returns how the process ended, or why it could not be traced to its end.
 // It must not be called before the channel of Over is closed.
--- a/internal/rehearsal/faultinject/process_test.go
+++ b/internal/rehearsal/faultinject/process_test.go
@@ -89,7 +89,7 @@
 		t.Fatal(err)
 	}
 	select {
-	case <-p.Over():
+	case <-p.Done():
 	case <-time.After(programTimeout):
 		p.Signal(syscall.SIGKILL)
 		t.Fatal("the program does not end")
@@ -134,7 +134,7 @@
 	if output != "1000 bytes, true\n" {
 		t.Errorf("the program printed %q", output)
 	}
-	if n := p.Struck(SocketRead); n < 100 {
+	if n := p.Injected(SocketRead); n < 100 {
 		t.Errorf("%d reads were shortened", n)
 	}
 }
@@ -148,7 +148,7 @@
 		p, output := run(t, plan, roleRead, addr)
 		applies := peer == port
 		want := fmt.Sprintf("1000 bytes, %v\n", applies)
-		shortened := p.Struck(SocketRead)
+		shortened := p.Injected(SocketRead)
 		if output != want || shortened > 0 != applies {
 			t.Errorf("peer %d: the program printed %q, %d reads were shortened", peer, output, shortened)
 		}
@@ -178,7 +178,7 @@
 func TestNoPlanChangesNothing(t *testing.T) {
 	addr := startSender(t, 1000)
 	p, output := run(t, Plan{}, roleRead, addr)
-	shortened := p.Struck(SocketRead)
+	shortened := p.Injected(SocketRead)
 	if output != "1000 bytes, false\n" || shortened != 0 {
 		t.Errorf("the program printed %q, %d reads were shortened", output, shortened)
 	}
--- a/internal/rehearsal/scale/link_test.go
+++ b/internal/rehearsal/scale/link_test.go
@@ -93,6 +93,7 @@
 		}
 		conn.SetDeadline(time.Now().Add(testTimeout))
 	}
+	awaitConnections(t, l, 3) // two ends of the old one, and the new one
 	l.setCut(false)
 	for name, conn := range map[string]net.Conn{"open": old, "new": fresh} {
 		if _, err := conn.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
@@ -104,6 +105,22 @@
 	}
 }
 
+// awaitConnections waits until a link has accepted so many connections: one that is accepted after the heal is served.
+func awaitConnections(t *testing.T, l *link, count int) {
+	t.Helper()
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
+		l.mutex.Lock()
+		open := len(l.conns)
+		l.mutex.Unlock()
+		if open >= count {
+			return
+		}
+		if time.Now().After(end) {
+			t.Fatalf("%d connections at the link, not %d", open, count)
+		}
+	}
+}
+
 func TestNetworkCuts(t *testing.T) {
 	n := newNetwork(&Scenario{Zones: 4, Regions: 2})
 	if !n.connected(0, 3) || !n.connected(2, 3) {
--- a/internal/rehearsal/soak/tracer_linux_amd64.go
+++ b/internal/rehearsal/soak/tracer_linux_amd64.go
@@ -23,7 +23,7 @@
 
 // awaitTraced waits for the end of a traced process and describes it.
 func awaitTraced(p *faultinject.Process) string {
-	<-p.Over()
+	<-p.Done()
 	status, err := p.Status()
 	if err != nil {
 		return err.Error()
--- a/internal/rehearsal/standin/discovery.go
+++ b/internal/rehearsal/standin/discovery.go
@@ -89,8 +89,8 @@
 // Close stops the service: watches end and new connections fail.
 func (d *Discovery) Close() error { return d.server.Close() }
 
-// Down makes calls fail and ends watches, until it is up again.
-func (d *Discovery) Down(down bool) {
+// SetDown makes calls fail and ends watches, until it is up again.
+func (d *Discovery) SetDown(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.disabled = down
--- a/internal/rehearsal/standin/fleet.go
+++ b/internal/rehearsal/standin/fleet.go
@@ -181,8 +181,8 @@
 	}
 }
 
-// Door is the address of the daemon's admin API, from its log; empty: not known yet.
-func (f *Fleet) Door() string {
+// AdminAddress is the address of the daemon's admin API, from its log; empty: not known yet.
+func (f *Fleet) AdminAddress() string {
 	_, rest, _ := strings.Cut(f.Log.String(), "admin API at ")
 	addr, _, _ := strings.Cut(rest, "\"")
 	return addr
--- a/internal/rehearsal/standin/standin_test.go
+++ b/internal/rehearsal/standin/standin_test.go
@@ -307,7 +307,7 @@
 		t.Errorf("busy: %d", got)
 	}
 	<-d.callSlot
-	d.Down(true)
+	d.SetDown(true)
 	if watch.Scan() && len(watch.Bytes()) > 0 {
 		t.Errorf("a watch continues while discovery is down: %q", watch.Text())
 	}
--- a/internal/relay/failover_test.go
+++ b/internal/relay/failover_test.go
@@ -198,10 +198,10 @@
 	client := subscribe(t, running.Addr().String(), "d1")
 	eventually(t, "snapshot", func() bool { return client.hasVersion(1) })
 	for i := range 10 {
-		origin.Down(true)
+		origin.SetDown(true)
 		eventually(t, "the loss is seen", func() bool { return running.Status().Upstream == "" })
 		origin.Set(readyWorker(fmt.Sprintf("s-flap-%d", i)))
-		origin.Down(false)
+		origin.SetDown(false)
 		eventually(t, "the change", func() bool { return client.hasVersion(int64(2 + i)) })
 	}
 	if workers, opened, _ := client.counts(); workers != 13 || opened != 1 {
