--- a/internal/connlimit/admission.go
+++ b/internal/connlimit/admission.go
@@ -46,11 +46,11 @@
 		}
 		return l.add(now, token, uncounted(TrustedProxy)), Allowed
 	}
-	d := l.decide(now, addr)
-	if d.reason != Allowed {
-		return 0, l.reject(d.reason)
+	outcome := l.decide(now, addr)
+	if outcome.reason != Allowed {
+		return 0, l.reject(outcome.reason)
 	}
-	return l.add(now, token, d), Allowed
+	return l.add(now, token, outcome), Allowed
 }
 
 // Adopt adds a connection without a decision, for listeners that bound theirs by
@@ -67,30 +67,30 @@
 func (l *Limiter) Identify(now time.Duration, id ID, addr netip.Addr) Reason {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	index, c := l.find(id)
-	if c == nil || c.trust != TrustedProxy {
+	index, connection := l.find(id)
+	if connection == nil || connection.trust != TrustedProxy {
 		return Allowed
 	}
 	l.openByTrust[TrustedProxy]-- // it takes no capacity from itself
-	d := l.decide(now, addr.Unmap())
+	outcome := l.decide(now, addr.Unmap())
 	l.openByTrust[TrustedProxy]++
-	if d.reason != Allowed {
-		return l.reject(d.reason)
+	if outcome.reason != Allowed {
+		return l.reject(outcome.reason)
 	}
-	c.isRetry = d.isRetry
-	if c.isRetry {
+	connection.isRetry = outcome.isRetry
+	if connection.isRetry {
 		l.openRetries++
 	}
-	stage := c.stage
+	stage := connection.stage
 	l.removeFromStage(index)
 	l.openByTrust[TrustedProxy]--
-	c.trust = d.trust
-	c.address = d.address
-	c.prefix = d.prefix
-	l.countOpen(c, 1)
-	l.openByTrust[c.trust]++
+	connection.trust = outcome.trust
+	connection.address = outcome.address
+	connection.prefix = outcome.prefix
+	l.countOpen(connection, 1)
+	l.openByTrust[connection.trust]++
 	if stage == Silent { // l.silent counts it already
-		l.countOpening(c, 1)
+		l.countOpening(connection, 1)
 	}
 	l.addToStage(index, stage, now)
 	return Allowed
@@ -154,14 +154,14 @@
 
 // exceededLimit returns the limit that another connection of an entry, which may be
 // nil, would exceed.
-func exceededLimit(now time.Duration, limits *Limits, e *entry, reasons *limitReasons) Reason {
+func exceededLimit(now time.Duration, limits *Limits, entry *tableEntry, reasons *limitReasons) Reason {
 	open := 0
 	opening := 0
 	rate := gcra{}
-	if e != nil {
-		open = int(e.open)
-		opening = int(e.opening)
-		rate = e.rate
+	if entry != nil {
+		open = int(entry.open)
+		opening = int(entry.opening)
+		rate = entry.rate
 	}
 	switch {
 	case limits.Open > 0 && open >= limits.Open:
@@ -175,11 +175,11 @@
 }
 
 // isRetry reports whether a new connection of an entry, which may be nil, is a retry.
-func (l *Limiter) isRetry(now time.Duration, e *entry) bool {
-	if e == nil || e.firstRejected == 0 || e.open > 0 {
+func (l *Limiter) isRetry(now time.Duration, entry *tableEntry) bool {
+	if entry == nil || entry.firstRejected == 0 || entry.open > 0 {
 		return false
 	}
-	delay := l.ticksAt(now).since(e.firstRejected)
+	delay := l.ticksAt(now).since(entry.firstRejected)
 	return delay >= minRetryDelay && delay < maxRetryDelay
 }
 
@@ -192,11 +192,11 @@
 	if index == noIndex {
 		return
 	}
-	e := &l.addresses.entries[index]
+	entry := &l.addresses.entries[index]
 	t := l.ticksAt(now)
-	e.recentlyUsed = true
-	if e.firstRejected == 0 || t.since(e.firstRejected) >= maxRetryDelay {
-		e.firstRejected = t
+	entry.recentlyUsed = true
+	if entry.firstRejected == 0 || t.since(entry.firstRejected) >= maxRetryDelay {
+		entry.firstRejected = t
 	}
 }
 
@@ -207,31 +207,31 @@
 // share of what is unreserved. Both leave the part for retries free, unless the
 // connection is one.
 func (l *Limiter) hasCapacity(trust Trust, isRetry bool) bool {
-	c := &l.config
+	config := &l.config
 	openKnown := l.openByTrust[Known] + l.openByTrust[TrustedProxy]
 	taken := l.openByTrust[Unknown] + l.openByTrust[Learned] + openKnown
 	if (trust == Unknown || trust == Learned) && !isRetry {
-		taken += max(c.unreserved()/retryDivisor-l.openRetries, 0)
+		taken += max(config.unreserved()/retryDivisor-l.openRetries, 0)
 	}
-	learnedReserve := c.learnedReserve()
+	learnedReserve := config.learnedReserve()
 	switch trust {
 	case Unknown:
-		taken += max(c.Reserve-openKnown-min(l.openByTrust[Learned], learnedReserve), 0)
+		taken += max(config.Reserve-openKnown-min(l.openByTrust[Learned], learnedReserve), 0)
 	case Learned:
-		newcomers := int(c.Learn.Newcomer * float64(c.unreserved()))
-		taken += max(c.Reserve-learnedReserve-openKnown, 0)
+		newcomers := int(config.Learn.Newcomer * float64(config.unreserved()))
+		taken += max(config.Reserve-learnedReserve-openKnown, 0)
 		taken += max(newcomers-l.openByTrust[Unknown], 0)
 	}
-	return taken < c.Capacity
+	return taken < config.Capacity
 }
 
 // checkUnknown returns why a connection of an unknown address, whose entry may be
 // nil, is rejected though there is capacity for it.
-func (l *Limiter) checkUnknown(now time.Duration, e *entry) Reason {
+func (l *Limiter) checkUnknown(now time.Duration, entry *tableEntry) Reason {
 	if l.pressure > PressureLow {
 		return NoDescriptors
 	}
-	if l.pressure > PressureNone && e != nil && int(e.open) >= l.fairShare() {
+	if l.pressure > PressureNone && entry != nil && int(entry.open) >= l.fairShare() {
 		return FairShare
 	}
 	rate := l.config.Rate
--- a/internal/connlimit/config.go
+++ b/internal/connlimit/config.go
@@ -49,7 +49,7 @@
 // LearnConfig configures whether addresses become trusted by the requests of theirs that
 // were served.
 type LearnConfig struct {
-	On       bool
+	Enabled  bool
 	HalfLife time.Duration // of the count of served requests; default 10 min
 	After    float64       // served requests, so decayed, from which on an address is Learned; default 20
 	Share    float64       // of the reserve that learned addresses may use; default 0.5
--- a/internal/connlimit/eviction.go
+++ b/internal/connlimit/eviction.go
@@ -45,9 +45,9 @@
 				continue
 			}
 			latest := l.latestEvictable(now, need, stage)
-			c := l.firstEvictable(&l.stageLists[side][stage], latest, spare)
-			if c != nil {
-				return c.token, stage, true
+			connection := l.firstEvictable(&l.stageLists[side][stage], latest, spare)
+			if connection != nil {
+				return connection.token, stage, true
 			}
 		}
 	}
@@ -81,12 +81,12 @@
 // those in it since latest or before; nil: there is none.
 func (l *Limiter) firstEvictable(list *stageList, latest time.Duration, spare func(token uint64) bool) *conn {
 	for index := list.first; index != noIndex; index = l.connections[index].next {
-		c := &l.connections[index]
-		if c.stageSince > latest {
+		connection := &l.connections[index]
+		if connection.stageSince > latest {
 			return nil // so are all that follow
 		}
-		if c.hasToken && (spare == nil || !spare(c.token)) {
-			return c
+		if connection.hasToken && (spare == nil || !spare(connection.token)) {
+			return connection
 		}
 	}
 	return nil
@@ -108,12 +108,12 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for index := range l.connections {
-		c := &l.connections[index]
-		if !c.open || !c.hasToken || c.stage == Busy || c.address < 0 {
+		connection := &l.connections[index]
+		if !connection.open || !connection.hasToken || connection.stage == Busy || connection.address < 0 {
 			continue
 		}
-		if prefix.Contains(l.addresses.entries[c.address].key.addr()) {
-			tokens = append(tokens, c.token)
+		if prefix.Contains(l.addresses.entries[connection.address].key.addr()) {
+			tokens = append(tokens, connection.token)
 		}
 	}
 	return tokens
--- a/internal/connlimit/invariants.go
+++ b/internal/connlimit/invariants.go
@@ -5,22 +5,22 @@
 // entryCounts are the counts of an entry, for comparison.
 type entryCounts struct{ open, opening, halfRead, bufferedBytes, openUnknown int32 }
 
-func (e *entry) counts() entryCounts {
+func (e *tableEntry) counts() entryCounts {
 	return entryCounts{e.open, e.opening, e.halfRead, e.bufferedBytes, e.openUnknown}
 }
 
-func (n *entryCounts) add(c *conn) {
+func (n *entryCounts) add(connection *conn) {
 	n.open++
-	if c.stage == Silent {
+	if connection.stage == Silent {
 		n.opening++
 	}
-	if c.halfRead {
+	if connection.halfRead {
 		n.halfRead++
 	}
-	if c.trust == Unknown {
+	if connection.trust == Unknown {
 		n.openUnknown++
 	}
-	n.bufferedBytes += c.bufferedBytes
+	n.bufferedBytes += connection.bufferedBytes
 }
 
 // connectionCounts are the counts that follow from the connections alone.
@@ -72,26 +72,26 @@
 func (l *Limiter) countConnections() (connectionCounts, error) {
 	counts := connectionCounts{byAddress: map[int32]entryCounts{}, byPrefix: map[int32]entryCounts{}}
 	for i := range l.connections {
-		c := &l.connections[i]
-		if !c.open {
+		connection := &l.connections[i]
+		if !connection.open {
 			continue
 		}
-		counts.openByTrust[c.trust]++
-		if c.stage == Silent {
+		counts.openByTrust[connection.trust]++
+		if connection.stage == Silent {
 			counts.silent++
 		}
-		if !c.listed {
+		if !connection.listed {
 			return counts, fmt.Errorf("connection %d is in no list", i)
 		}
-		if c.address < 0 {
+		if connection.address < 0 {
 			continue
 		}
-		address := counts.byAddress[c.address]
-		address.add(c)
-		counts.byAddress[c.address] = address
-		prefix := counts.byPrefix[c.prefix]
-		prefix.add(c)
-		counts.byPrefix[c.prefix] = prefix
+		address := counts.byAddress[connection.address]
+		address.add(connection)
+		counts.byAddress[connection.address] = address
+		prefix := counts.byPrefix[connection.prefix]
+		prefix.add(connection)
+		counts.byPrefix[connection.prefix] = prefix
 	}
 	return counts, nil
 }
@@ -101,20 +101,20 @@
 	used := 0
 	for i := range t.entries {
 		index := int32(i)
-		e := &t.entries[index]
+		entry := &t.entries[index]
 		want := counts[index]
-		if !e.used {
+		if !entry.used {
 			if want != (entryCounts{}) {
 				return fmt.Errorf("entry %d of %s was forgotten while it has connections", index, name)
 			}
 			continue
 		}
 		used++
-		got := e.counts()
+		got := entry.counts()
 		if got != want {
 			return fmt.Errorf("entry %d of %s counts %+v, there are %+v", index, name, got, want)
 		}
-		found, ok := t.find(e.key)
+		found, ok := t.find(entry.key)
 		if !ok || found != index {
 			return fmt.Errorf("entry %d of %s is not found", index, name)
 		}
--- a/internal/connlimit/limiter.go
+++ b/internal/connlimit/limiter.go
@@ -84,16 +84,16 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &Limiter{firstFree: noIndex}
-	for side := range l.stageLists {
-		for stage := range l.stageLists[side] {
-			l.stageLists[side][stage] = stageList{noIndex, noIndex}
+	limiter := &Limiter{firstFree: noIndex}
+	for side := range limiter.stageLists {
+		for stage := range limiter.stageLists[side] {
+			limiter.stageLists[side][stage] = stageList{noIndex, noIndex}
 		}
 	}
-	l.addresses.init(config.Addresses, config.Seed)
-	l.prefixes.init(config.Prefixes, config.Seed)
-	l.setConfig(config)
-	return l, nil
+	limiter.addresses.init(config.Addresses, config.Seed)
+	limiter.prefixes.init(config.Prefixes, config.Seed)
+	limiter.setConfig(config)
+	return limiter, nil
 }
 
 // Reconfigure changes the configuration. Connections stay, also above lowered
@@ -141,22 +141,22 @@
 }
 
 // add adds a connection that was admitted.
-func (l *Limiter) add(now time.Duration, token uint64, d decision) ID {
+func (l *Limiter) add(now time.Duration, token uint64, outcome decision) ID {
 	index := l.allocate()
-	c := &l.connections[index]
-	*c = conn{
-		token: token, hasToken: token != 0, generation: c.generation, open: true,
-		address: d.address, prefix: d.prefix, trust: d.trust, isRetry: d.isRetry,
+	connection := &l.connections[index]
+	*connection = conn{
+		token: token, hasToken: token != 0, generation: connection.generation, open: true,
+		address: outcome.address, prefix: outcome.prefix, trust: outcome.trust, isRetry: outcome.isRetry,
 	}
-	if c.isRetry {
+	if connection.isRetry {
 		l.openRetries++
 	}
-	l.openByTrust[c.trust]++
+	l.openByTrust[connection.trust]++
 	l.admitted++
-	l.countOpen(c, 1)
-	l.countSilent(c, 1)
+	l.countOpen(connection, 1)
+	l.countSilent(connection, 1)
 	l.addToStage(index, Silent, now)
-	return newID(index, c.generation)
+	return newID(index, connection.generation)
 }
 
 // allocate returns the index of a connection that is not open.
@@ -176,21 +176,21 @@
 	if index < 0 || int(index) >= len(l.connections) {
 		return noIndex, nil
 	}
-	c := &l.connections[index]
-	if !c.open || c.generation != id.generation() {
+	connection := &l.connections[index]
+	if !connection.open || connection.generation != id.generation() {
 		return noIndex, nil
 	}
-	return index, c
+	return index, connection
 }
 
 // SetToken sets the token of a connection that was admitted without one.
 func (l *Limiter) SetToken(id ID, token uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_, c := l.find(id)
-	if c != nil {
-		c.token = token
-		c.hasToken = true
+	_, connection := l.find(id)
+	if connection != nil {
+		connection.token = token
+		connection.hasToken = true
 	}
 }
 
@@ -198,54 +198,54 @@
 func (l *Limiter) Closed(id ID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	index, c := l.find(id)
-	if c == nil {
+	index, connection := l.find(id)
+	if connection == nil {
 		return
 	}
-	l.clearHalfRead(c)
-	if c.stage == Silent {
-		l.countSilent(c, -1)
+	l.clearHalfRead(connection)
+	if connection.stage == Silent {
+		l.countSilent(connection, -1)
 	}
 	l.removeFromStage(index)
-	l.countOpen(c, -1)
-	l.openByTrust[c.trust]--
-	if c.isRetry {
+	l.countOpen(connection, -1)
+	l.openByTrust[connection.trust]--
+	if connection.isRetry {
 		l.openRetries--
 	}
-	c.open = false
-	c.generation++
-	c.next = l.firstFree
+	connection.open = false
+	connection.generation++
+	connection.next = l.firstFree
 	l.firstFree = index
 }
 
-// countOpen adds n to the connections of c's address and prefix.
-func (l *Limiter) countOpen(c *conn, n int32) {
-	if c.address < 0 {
+// countOpen adds delta to the connections of a connection's address and prefix.
+func (l *Limiter) countOpen(connection *conn, delta int32) {
+	if connection.address < 0 {
 		return
 	}
-	if c.trust == Unknown {
-		e := &l.addresses.entries[c.address]
-		e.openUnknown += n
-		if n > 0 && e.openUnknown == 1 {
+	if connection.trust == Unknown {
+		entry := &l.addresses.entries[connection.address]
+		entry.openUnknown += delta
+		if delta > 0 && entry.openUnknown == 1 {
 			l.activeAddresses++
-		} else if n < 0 && e.openUnknown == 0 {
+		} else if delta < 0 && entry.openUnknown == 0 {
 			l.activeAddresses--
 		}
 	}
-	l.addresses.countOpen(c.address, n)
-	l.prefixes.countOpen(c.prefix, n)
+	l.addresses.countOpen(connection.address, delta)
+	l.prefixes.countOpen(connection.prefix, delta)
 }
 
-// countSilent adds n to the silent connections, and to those of c's address and
-// prefix.
-func (l *Limiter) countSilent(c *conn, n int32) {
-	l.silent += int(n)
-	l.countOpening(c, n)
+// countSilent adds delta to the silent connections, and to those of a connection's
+// address and prefix.
+func (l *Limiter) countSilent(connection *conn, delta int32) {
+	l.silent += int(delta)
+	l.countOpening(connection, delta)
 }
 
-func (l *Limiter) countOpening(c *conn, n int32) {
-	if c.address >= 0 {
-		l.addresses.entries[c.address].opening += n
-		l.prefixes.entries[c.prefix].opening += n
+func (l *Limiter) countOpening(connection *conn, delta int32) {
+	if connection.address >= 0 {
+		l.addresses.entries[connection.address].opening += delta
+		l.prefixes.entries[connection.prefix].opening += delta
 	}
 }
--- a/internal/connlimit/limiter_test.go
+++ b/internal/connlimit/limiter_test.go
@@ -81,7 +81,7 @@
 // Unknown addresses never use the reserve. Learned ones use a part of it and leave
 // newcomers their share; abuse ends that.
 func TestReserve(t *testing.T) {
-	config := Config{Capacity: 38, Reserve: 20, Known: []netip.Prefix{netip.MustParsePrefix("127.9.0.0/24")}, Learn: LearnConfig{On: true, After: 3, Newcomer: 0.2}}
+	config := Config{Capacity: 38, Reserve: 20, Known: []netip.Prefix{netip.MustParsePrefix("127.9.0.0/24")}, Learn: LearnConfig{Enabled: true, After: 3, Newcomer: 0.2}}
 	limiter := newLimiter(t, config)
 	for i := range 18 {
 		admit(t, limiter, 0, fmt.Sprintf("10.0.0.%d", i+1), Allowed)
@@ -140,7 +140,7 @@
 		t.Error(err)
 	}
 	// The score decays.
-	decaying := newLimiter(t, Config{Capacity: 10, Learn: LearnConfig{On: true, After: 2, HalfLife: time.Minute}})
+	decaying := newLimiter(t, Config{Capacity: 10, Learn: LearnConfig{Enabled: true, After: 2, HalfLife: time.Minute}})
 	id := admit(t, decaying, 0, "10.0.0.1", Allowed)
 	for range 3 {
 		decaying.BecameIdle(0, id, true)
--- a/internal/connlimit/prefixset.go
+++ b/internal/connlimit/prefixset.go
@@ -14,19 +14,19 @@
 }
 
 func newPrefixSet(prefixes []netip.Prefix) prefixSet {
-	s := prefixSet{prefixes: map[netip.Prefix]struct{}{}}
+	set := prefixSet{prefixes: map[netip.Prefix]struct{}{}}
 	for _, prefix := range prefixes {
 		prefix = netip.PrefixFrom(prefix.Addr().Unmap(), prefix.Bits()).Masked()
-		s.prefixes[prefix] = struct{}{}
-		lengths := &s.v6Lengths
+		set.prefixes[prefix] = struct{}{}
+		lengths := &set.v6Lengths
 		if prefix.Addr().Is4() {
-			lengths = &s.v4Lengths
+			lengths = &set.v4Lengths
 		}
 		if !slices.Contains(*lengths, prefix.Bits()) {
 			*lengths = append(*lengths, prefix.Bits())
 		}
 	}
-	return s
+	return set
 }
 
 func (s *prefixSet) contains(addr netip.Addr) bool {
--- a/internal/connlimit/request.go
+++ b/internal/connlimit/request.go
@@ -7,20 +7,20 @@
 func (l *Limiter) RequestStarted(now time.Duration, id ID) Reason {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	index, c := l.find(id)
-	if c == nil || c.halfRead {
+	index, connection := l.find(id)
+	if connection == nil || connection.halfRead {
 		return Allowed
 	}
 	l.setStage(index, HalfRead, now)
-	c.halfRead = true
-	if c.address < 0 {
+	connection.halfRead = true
+	if connection.address < 0 {
 		return Allowed
 	}
-	address := &l.addresses.entries[c.address]
-	prefix := &l.prefixes.entries[c.prefix]
+	address := &l.addresses.entries[connection.address]
+	prefix := &l.prefixes.entries[connection.prefix]
 	address.halfRead++
 	prefix.halfRead++
-	if c.trust == Known {
+	if connection.trust == Known {
 		return Allowed
 	}
 	switch {
@@ -37,17 +37,17 @@
 func (l *Limiter) SetBuffered(id ID, bytes int) Reason {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_, c := l.find(id)
-	if c == nil || c.address < 0 {
+	_, connection := l.find(id)
+	if connection == nil || connection.address < 0 {
 		return Allowed
 	}
-	address := &l.addresses.entries[c.address]
-	prefix := &l.prefixes.entries[c.prefix]
-	added := int32(bytes) - c.bufferedBytes
-	c.bufferedBytes = int32(bytes)
+	address := &l.addresses.entries[connection.address]
+	prefix := &l.prefixes.entries[connection.prefix]
+	added := int32(bytes) - connection.bufferedBytes
+	connection.bufferedBytes = int32(bytes)
 	address.bufferedBytes += added
 	prefix.bufferedBytes += added
-	if c.trust == Known || added <= 0 {
+	if connection.trust == Known || added <= 0 {
 		return Allowed
 	}
 	switch {
@@ -63,30 +63,30 @@
 func exceeds(count int32, limit int) bool { return limit > 0 && int(count) > limit }
 
 // clearHalfRead uncounts a connection's half-read request.
-func (l *Limiter) clearHalfRead(c *conn) {
-	if c.address >= 0 {
-		address := &l.addresses.entries[c.address]
-		prefix := &l.prefixes.entries[c.prefix]
-		if c.halfRead {
+func (l *Limiter) clearHalfRead(connection *conn) {
+	if connection.address >= 0 {
+		address := &l.addresses.entries[connection.address]
+		prefix := &l.prefixes.entries[connection.prefix]
+		if connection.halfRead {
 			address.halfRead--
 			prefix.halfRead--
 		}
-		address.bufferedBytes -= c.bufferedBytes
-		prefix.bufferedBytes -= c.bufferedBytes
+		address.bufferedBytes -= connection.bufferedBytes
+		prefix.bufferedBytes -= connection.bufferedBytes
 	}
-	c.halfRead = false
-	c.bufferedBytes = 0
+	connection.halfRead = false
+	connection.bufferedBytes = 0
 }
 
 // RequestComplete notes that a request is complete and an answer is owed.
 func (l *Limiter) RequestComplete(now time.Duration, id ID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	index, c := l.find(id)
-	if c == nil {
+	index, connection := l.find(id)
+	if connection == nil {
 		return
 	}
-	l.clearHalfRead(c)
+	l.clearHalfRead(connection)
 	l.setStage(index, Busy, now)
 }
 
@@ -95,17 +95,17 @@
 func (l *Limiter) BecameIdle(now time.Duration, id ID, served bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	index, c := l.find(id)
-	if c == nil {
+	index, connection := l.find(id)
+	if connection == nil {
 		return
 	}
-	l.clearHalfRead(c)
+	l.clearHalfRead(connection)
 	if served {
-		c.served = true
-		l.countServed(now, c)
+		connection.served = true
+		l.countServed(now, connection)
 	}
 	stage := Unserved
-	if c.served {
+	if connection.served {
 		stage = Proven
 	}
 	l.setStage(index, stage, now)
--- a/internal/connlimit/roundrobin.go
+++ b/internal/connlimit/roundrobin.go
@@ -20,11 +20,11 @@
 
 // Add puts a token at the end of its address's queue.
 func (r *RoundRobin) Add(addr netip.Addr, token uint64) {
-	q := r.byAddress[addr]
-	if q == nil {
-		q = r.addQueue(addr)
+	queue := r.byAddress[addr]
+	if queue == nil {
+		queue = r.addQueue(addr)
 	}
-	q.tokens = append(q.tokens, token)
+	queue.tokens = append(queue.tokens, token)
 	r.size++
 }
 
@@ -33,17 +33,17 @@
 	if r.byAddress == nil {
 		r.byAddress = map[netip.Addr]*tokenQueue{}
 	}
-	var q *tokenQueue
+	var queue *tokenQueue
 	if last := len(r.free) - 1; last >= 0 {
-		q = r.free[last]
+		queue = r.free[last]
 		r.free = r.free[:last]
 	} else {
-		q = &tokenQueue{}
+		queue = &tokenQueue{}
 	}
-	q.addr = addr
-	r.byAddress[addr] = q
-	r.round = append(r.round, q)
-	return q
+	queue.addr = addr
+	r.byAddress[addr] = queue
+	r.round = append(r.round, queue)
+	return queue
 }
 
 // Next removes and returns the first token of the address whose turn it is.
@@ -51,13 +51,13 @@
 	if len(r.round) == 0 {
 		return 0, false
 	}
-	q := removeFirst(&r.round)
-	token = removeFirst(&q.tokens)
-	if len(q.tokens) > 0 {
-		r.round = append(r.round, q)
+	queue := removeFirst(&r.round)
+	token = removeFirst(&queue.tokens)
+	if len(queue.tokens) > 0 {
+		r.round = append(r.round, queue)
 	} else {
-		delete(r.byAddress, q.addr)
-		r.free = append(r.free, q)
+		delete(r.byAddress, queue.addr)
+		r.free = append(r.free, queue)
 	}
 	r.size--
 	return token, true
--- a/internal/connlimit/scale_test.go
+++ b/internal/connlimit/scale_test.go
@@ -35,7 +35,7 @@
 	}
 	before := heap()
 	limiter := newLimiter(t, Config{Capacity: capacity, Reserve: reserve, Known: []netip.Prefix{netip.MustParsePrefix("10.255.0.0/16")},
-		Address: Limits{Open: 20, Opening: 10, PerSecond: 5, Burst: 10, HalfRead: 4}, Prefix: Limits{Open: 100, HalfRead: 30}, Learn: LearnConfig{On: true}})
+		Address: Limits{Open: 20, Opening: 10, PerSecond: 5, Burst: 10, HalfRead: 4}, Prefix: Limits{Open: 100, HalfRead: 30}, Learn: LearnConfig{Enabled: true}})
 	rng := rand.New(rand.NewPCG(1, 2))
 	type openConn struct {
 		id   ID
--- a/internal/connlimit/snapshot.go
+++ b/internal/connlimit/snapshot.go
@@ -68,9 +68,9 @@
 		open[stage.String()] = 0
 	}
 	for i := range l.connections {
-		c := &l.connections[i]
-		if c.open {
-			open[c.stage.String()]++
+		connection := &l.connections[i]
+		if connection.open {
+			open[connection.stage.String()]++
 		}
 	}
 	return open
@@ -97,17 +97,17 @@
 func (l *Limiter) topPrefixes() []PrefixView {
 	prefixes := []PrefixView{}
 	for i := range l.prefixes.entries {
-		e := &l.prefixes.entries[i]
-		if !e.used || e.open == 0 {
+		entry := &l.prefixes.entries[i]
+		if !entry.used || entry.open == 0 {
 			continue
 		}
-		addr := e.key.addr()
+		addr := entry.key.addr()
 		prefixes = append(prefixes, PrefixView{
 			Prefix:   netip.PrefixFrom(addr, l.config.prefixBits(addr)).String(),
-			Open:     int(e.open),
-			Opening:  int(e.opening),
-			HalfRead: int(e.halfRead),
-			Bytes:    int(e.bufferedBytes),
+			Open:     int(entry.open),
+			Opening:  int(entry.opening),
+			HalfRead: int(entry.halfRead),
+			Bytes:    int(entry.bufferedBytes),
 		})
 	}
 	slices.SortFunc(prefixes, func(a, b PrefixView) int {
--- a/internal/connlimit/stage.go
+++ b/internal/connlimit/stage.go
@@ -50,13 +50,13 @@
 
 // addToStage puts a connection that is in no list at the end of a stage's list.
 func (l *Limiter) addToStage(index int32, stage Stage, now time.Duration) {
-	c := &l.connections[index]
-	c.stage = stage
-	c.stageSince = now
-	c.listed = true
-	list := &l.stageLists[sideOf(c.trust)][stage]
-	c.previous = list.last
-	c.next = noIndex
+	connection := &l.connections[index]
+	connection.stage = stage
+	connection.stageSince = now
+	connection.listed = true
+	list := &l.stageLists[sideOf(connection.trust)][stage]
+	connection.previous = list.last
+	connection.next = noIndex
 	if list.last == noIndex {
 		list.first = index
 	} else {
@@ -67,30 +67,30 @@
 
 // removeFromStage takes a connection out of its stage's list.
 func (l *Limiter) removeFromStage(index int32) {
-	c := &l.connections[index]
-	if !c.listed {
+	connection := &l.connections[index]
+	if !connection.listed {
 		return
 	}
-	list := &l.stageLists[sideOf(c.trust)][c.stage]
-	if c.previous == noIndex {
-		list.first = c.next
+	list := &l.stageLists[sideOf(connection.trust)][connection.stage]
+	if connection.previous == noIndex {
+		list.first = connection.next
 	} else {
-		l.connections[c.previous].next = c.next
+		l.connections[connection.previous].next = connection.next
 	}
-	if c.next == noIndex {
-		list.last = c.previous
+	if connection.next == noIndex {
+		list.last = connection.previous
 	} else {
-		l.connections[c.next].previous = c.previous
+		l.connections[connection.next].previous = connection.previous
 	}
-	c.listed = false
+	connection.listed = false
 }
 
 // setStage moves a connection to the end of another stage's list, or of its own.
 func (l *Limiter) setStage(index int32, stage Stage, now time.Duration) {
-	c := &l.connections[index]
+	connection := &l.connections[index]
 	l.removeFromStage(index)
-	if c.stage == Silent && stage != Silent {
-		l.countSilent(c, -1)
+	if connection.stage == Silent && stage != Silent {
+		l.countSilent(connection, -1)
 	}
 	l.addToStage(index, stage, now)
 }
--- a/internal/connlimit/table.go
+++ b/internal/connlimit/table.go
@@ -45,9 +45,9 @@
 
 func (t ticks) since(earlier ticks) time.Duration { return time.Duration(t-earlier) * tickLength }
 
-// entry is what is remembered of an address or a prefix. It is one cache line of 64
+// tableEntry is what is remembered of an address or a prefix. It is one cache line of 64
 // bytes: with many entries, loading them is most of what a decision costs.
-type entry struct {
+type tableEntry struct {
 	key           key
 	rate          gcra    // of Limits.PerSecond
 	score         float32 // served requests, decayed
@@ -65,7 +65,7 @@
 }
 
 // scoreAt returns the score decayed to a time.
-func (e *entry) scoreAt(now ticks, halfLife time.Duration) float64 {
+func (e *tableEntry) scoreAt(now ticks, halfLife time.Duration) float64 {
 	if e.score == 0 {
 		return 0
 	}
@@ -73,7 +73,7 @@
 }
 
 // countArrival counts a new connection for the rate.
-func (e *entry) countArrival(limits *Limits, now time.Duration) {
+func (e *tableEntry) countArrival(limits *Limits, now time.Duration) {
 	if limits.PerSecond > 0 {
 		e.rate.take(now, limits.PerSecond, limits.Burst)
 	}
@@ -89,7 +89,7 @@
 // When all are used, the clock algorithm chooses one that is forgotten: never one
 // with connections, and a learned one only where there is no other.
 type table struct {
-	entries []entry
+	entries []tableEntry
 	slots   []slot // a power of two of them, at least twice the entries
 	mask    uint32
 	seed    uint64
@@ -101,7 +101,7 @@
 
 func (t *table) init(capacity int, seed uint64) {
 	slots := 1 << bits.Len(uint(capacity*2-1))
-	t.entries = make([]entry, capacity)
+	t.entries = make([]tableEntry, capacity)
 	t.slots = make([]slot, slots)
 	t.mask = uint32(slots - 1)
 	t.seed = seed
@@ -122,7 +122,7 @@
 }
 
 // entryAt returns the entry that find found; nil: it found none.
-func (t *table) entryAt(index int32, found bool) *entry {
+func (t *table) entryAt(index int32, found bool) *tableEntry {
 	if !found {
 		return nil
 	}
@@ -136,7 +136,7 @@
 	if index == noIndex {
 		return noIndex
 	}
-	t.entries[index] = entry{key: k, used: true, recentlyUsed: true}
+	t.entries[index] = tableEntry{key: k, used: true, recentlyUsed: true}
 	hash := k.hash(t.seed)
 	i := hash & t.mask
 	for t.slots[i].number != 0 {
@@ -164,20 +164,20 @@
 // used since the clock hand last passed; a learned one only where there is no
 // other. noIndex: all entries have connections.
 func (t *table) nextForgotten() int32 {
-	n := int32(len(t.entries))
+	total := int32(len(t.entries))
 	learned := noIndex
-	for range 2*n + 1 { // the first round may only clear recentlyUsed
+	for range 2*total + 1 { // the first round may only clear recentlyUsed
 		index := t.hand
 		t.hand++
-		if t.hand == n {
+		if t.hand == total {
 			t.hand = 0
 		}
-		e := &t.entries[index]
+		entry := &t.entries[index]
 		switch {
-		case e.open > 0:
-		case e.recentlyUsed:
-			e.recentlyUsed = false
-		case e.learned:
+		case entry.open > 0:
+		case entry.recentlyUsed:
+			entry.recentlyUsed = false
+		case entry.learned:
 			if learned == noIndex {
 				learned = index
 			}
@@ -190,16 +190,16 @@
 
 // remove takes an entry's key out of the table.
 func (t *table) remove(index int32) {
-	e := &t.entries[index]
-	if e.learned {
+	entry := &t.entries[index]
+	if entry.learned {
 		t.learned--
 	}
-	i := e.key.hash(t.seed) & t.mask
+	i := entry.key.hash(t.seed) & t.mask
 	for t.slots[i].number != index+1 {
 		i = (i + 1) & t.mask
 	}
 	t.emptySlot(i)
-	e.used = false
+	entry.used = false
 	t.size--
 }
 
@@ -219,28 +219,28 @@
 	}
 }
 
-// countOpen adds n to an entry's connections.
-func (t *table) countOpen(index, n int32) {
-	e := &t.entries[index]
-	e.open += n
-	e.recentlyUsed = true
+// countOpen adds delta to an entry's connections.
+func (t *table) countOpen(index, delta int32) {
+	entry := &t.entries[index]
+	entry.open += delta
+	entry.recentlyUsed = true
 }
 
 // setLearned marks an entry as learned or not. At most half of the entries are
 // learned; beyond that it has no effect.
 func (t *table) setLearned(index int32, learned bool) {
-	e := &t.entries[index]
-	if learned == e.learned {
+	entry := &t.entries[index]
+	if learned == entry.learned {
 		return
 	}
 	if !learned {
-		e.learned = false
+		entry.learned = false
 		t.learned--
 		return
 	}
 	if t.learned >= len(t.entries)/2 {
 		return
 	}
-	e.learned = true
+	entry.learned = true
 	t.learned++
 }
--- a/internal/connlimit/trust.go
+++ b/internal/connlimit/trust.go
@@ -29,12 +29,12 @@
 )
 
 // trustOf returns the trust in an address whose entry may be nil.
-func (l *Limiter) trustOf(now time.Duration, addr netip.Addr, e *entry) Trust {
+func (l *Limiter) trustOf(now time.Duration, addr netip.Addr, entry *tableEntry) Trust {
 	if l.known.contains(addr) {
 		return Known
 	}
 	learn := &l.config.Learn
-	if e != nil && learn.On && e.scoreAt(l.ticksAt(now), learn.HalfLife) >= learn.After {
+	if entry != nil && learn.Enabled && entry.scoreAt(l.ticksAt(now), learn.HalfLife) >= learn.After {
 		return Learned
 	}
 	return Unknown
@@ -55,28 +55,28 @@
 func (l *Limiter) TrustOf(id ID) Trust {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_, c := l.find(id)
-	if c == nil {
+	_, connection := l.find(id)
+	if connection == nil {
 		return Unknown
 	}
-	return c.trust
+	return connection.trust
 }
 
 // countServed counts a served request for the trust in a connection's address.
-func (l *Limiter) countServed(now time.Duration, c *conn) {
+func (l *Limiter) countServed(now time.Duration, connection *conn) {
 	learn := &l.config.Learn
-	if !learn.On || c.address < 0 {
+	if !learn.Enabled || connection.address < 0 {
 		return
 	}
-	e := &l.addresses.entries[c.address]
+	entry := &l.addresses.entries[connection.address]
 	t := l.ticksAt(now)
-	if e.abusedAt != 0 && t.since(e.abusedAt) < abusePeriod {
+	if entry.abusedAt != 0 && t.since(entry.abusedAt) < abusePeriod {
 		return
 	}
-	e.abusedAt = 0
-	e.score = float32(min(e.scoreAt(t, learn.HalfLife)+1, maxScore))
-	e.scoredAt = t
-	l.addresses.setLearned(c.address, float64(e.score) >= learn.After)
+	entry.abusedAt = 0
+	entry.score = float32(min(entry.scoreAt(t, learn.HalfLife)+1, maxScore))
+	entry.scoredAt = t
+	l.addresses.setLearned(connection.address, float64(entry.score) >= learn.After)
 }
 
 // ReportAbuse counts a reason for which a connection's client abuses its place. An
@@ -85,29 +85,29 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.rejections[reason]++
-	index, c := l.find(id)
-	if c == nil || c.address < 0 {
+	index, connection := l.find(id)
+	if connection == nil || connection.address < 0 {
 		return
 	}
-	e := &l.addresses.entries[c.address]
+	entry := &l.addresses.entries[connection.address]
 	t := l.ticksAt(now)
-	e.score = 0
-	e.scoredAt = t
-	e.abusedAt = t
-	l.addresses.setLearned(c.address, false)
-	if c.trust == Learned {
+	entry.score = 0
+	entry.scoredAt = t
+	entry.abusedAt = t
+	l.addresses.setLearned(connection.address, false)
+	if connection.trust == Learned {
 		l.demote(now, index)
 	}
 }
 
 // demote counts a learned connection as an unknown one.
 func (l *Limiter) demote(now time.Duration, index int32) {
-	c := &l.connections[index]
+	connection := &l.connections[index]
 	l.removeFromStage(index)
 	l.openByTrust[Learned]--
-	l.countOpen(c, -1)
-	c.trust = Unknown
-	l.countOpen(c, 1)
+	l.countOpen(connection, -1)
+	connection.trust = Unknown
+	l.countOpen(connection, 1)
 	l.openByTrust[Unknown]++
-	l.addToStage(index, c.stage, now)
+	l.addToStage(index, connection.stage, now)
 }
--- a/internal/jobs/due.go
+++ b/internal/jobs/due.go
@@ -40,9 +40,9 @@
 		return 0, false
 	}
 	first := m.dueQueue[0]
-	e := m.jobs[first.id]
-	if e != nil && e.State.isHeld() {
-		return max(first.at, e.DueAt), true // the lease has been renewed since
+	entry := m.jobs[first.id]
+	if entry != nil && entry.State.isHeld() {
+		return max(first.at, entry.DueAt), true // the lease has been renewed since
 	}
 	return first.at, true
 }
@@ -52,16 +52,16 @@
 	var later []dueEntry
 	for len(m.dueQueue) > 0 && m.dueQueue[0].at <= now {
 		due := heap.Pop(&m.dueQueue).(dueEntry)
-		e := m.jobs[due.id]
+		entry := m.jobs[due.id]
 		switch {
-		case e == nil || e.State == Accepted || e.State == Ready || e.State == InDoubt:
+		case entry == nil || entry.State == Accepted || entry.State == Ready || entry.State == InDoubt:
 			// Outdated: nothing is due by itself in these states.
-		case e.DueAt > now: // renewed, or scheduled for something else
-			later = append(later, dueEntry{e.DueAt, due.id})
-		case e.State == Leased && e.beingStored(): // it is not known yet whether the lease is stored
-			later = append(later, dueEntry{now + m.leaseDuration(e), due.id})
+		case entry.DueAt > now: // renewed, or scheduled for something else
+			later = append(later, dueEntry{entry.DueAt, due.id})
+		case entry.State == Leased && entry.beingStored(): // it is not known yet whether the lease is stored
+			later = append(later, dueEntry{now + m.leaseDuration(entry), due.id})
 		default:
-			m.actOnDue(now, e)
+			m.actOnDue(now, entry)
 		}
 	}
 	for _, due := range later {
@@ -71,23 +71,23 @@
 }
 
 // actOnDue acts on one job that is due.
-func (m *Machine) actOnDue(now time.Duration, e *entry) {
-	switch e.State {
+func (m *Machine) actOnDue(now time.Duration, entry *jobEntry) {
+	switch entry.State {
 	case Scheduled, Waiting:
-		m.setState(e, Ready) // not stored: Recover derives it
+		m.setState(entry, Ready) // not stored: Recover derives it
 	case Leased, Started:
-		m.expireLease(now, e)
+		m.expireLease(now, entry)
 	case Done, Dead, Discarded:
-		m.deleteExpired(now, e)
+		m.deleteExpired(now, entry)
 	}
 }
 
 // deleteExpired deletes a job whose retention is over, or waits until its last change is stored.
-func (m *Machine) deleteExpired(now time.Duration, e *entry) {
-	if e.beingStored() {
-		m.scheduleDue(e.ID, now+m.config.LeaseDuration)
+func (m *Machine) deleteExpired(now time.Duration, entry *jobEntry) {
+	if entry.beingStored() {
+		m.scheduleDue(entry.ID, now+m.config.LeaseDuration)
 		return
 	}
-	m.remove(e)
-	m.emit(Effect{Kind: DeleteJob, Job: e.Job})
+	m.remove(entry)
+	m.emit(Effect{Kind: DeleteJob, Job: entry.Job})
 }
--- a/internal/jobs/explorer_test.go
+++ b/internal/jobs/explorer_test.go
@@ -86,14 +86,14 @@
 // cloneMachine copies a machine but for the order of its jobs, which the explorer does not look at.
 func cloneMachine(m *Machine) *Machine {
 	clone := *m
-	clone.jobs = map[string]*entry{}
-	for id, e := range m.jobs {
-		copied := *e
-		copied.afterStore = slices.Clone(e.afterStore)
+	clone.jobs = map[string]*jobEntry{}
+	for id, entry := range m.jobs {
+		copied := *entry
+		copied.afterStore = slices.Clone(entry.afterStore)
 		clone.jobs[id] = &copied
 	}
 	clone.dueQueue = nil
-	clone.leasesByWorker = map[string]map[string]*entry{}
+	clone.leasesByWorker = map[string]map[string]*jobEntry{}
 	for _, id := range sortedIDs(&clone) {
 		clone.index(clone.jobs[id])
 	}
@@ -110,8 +110,8 @@
 	var b strings.Builder
 	fmt.Fprint(&b, w.now, w.crashesLeft, w.expiriesLeft, w.lossesLeft, w.machine.lastFence)
 	for _, id := range sortedIDs(w.machine) {
-		e := w.machine.jobs[id]
-		fmt.Fprint(&b, e.Job, e.storedVersion, len(e.afterStore))
+		entry := w.machine.jobs[id]
+		fmt.Fprint(&b, entry.Job, entry.storedVersion, len(entry.afterStore))
 	}
 	network := slices.Clone(w.network)
 	slices.SortFunc(network, func(a, b message) int { return strings.Compare(fmt.Sprint(a), fmt.Sprint(b)) })
@@ -121,20 +121,20 @@
 
 // carryOut carries out effects.
 func (w *world) carryOut(effects []Effect) {
-	for _, e := range effects {
+	for _, effect := range effects {
 		worker := 0
-		if e.Job.Worker == "w1" {
+		if effect.Job.Worker == "w1" {
 			worker = 1
 		}
-		switch e.Kind {
+		switch effect.Kind {
 		case StoreJob:
-			w.writes = append(w.writes, e.Job)
+			w.writes = append(w.writes, effect.Job)
 		case AnswerPush:
-			w.acknowledged[e.Job.ID] = w.acknowledged[e.Job.ID] || e.Err == nil
+			w.acknowledged[effect.Job.ID] = w.acknowledged[effect.Job.ID] || effect.Err == nil
 		case DeliverJob:
-			w.network = append(w.network, message{deliverMessage, worker, e.Job.ID, e.Job.Fence})
+			w.network = append(w.network, message{deliverMessage, worker, effect.Job.ID, effect.Job.Fence})
 		case GrantStart:
-			w.network = append(w.network, message{grantMessage, worker, e.Job.ID, e.Job.Fence})
+			w.network = append(w.network, message{grantMessage, worker, effect.Job.ID, effect.Job.Fence})
 		}
 	}
 }
@@ -287,16 +287,16 @@
 			return fmt.Sprintf("job %s was accepted and is lost", id)
 		}
 	}
-	for _, e := range w.machine.jobs {
-		if e.State == Done && w.runs[e.ID] == 0 {
-			return fmt.Sprintf("job %s is done and never ran", e.ID)
+	for _, entry := range w.machine.jobs {
+		if entry.State == Done && w.runs[entry.ID] == 0 {
+			return fmt.Sprintf("job %s is done and never ran", entry.ID)
 		}
-		if e.State == InDoubt && w.guarantees == [2]Guarantee{Deduplicates, Deduplicates} {
-			return fmt.Sprintf("job %s is in doubt, though all workers deduplicate", e.ID)
+		if entry.State == InDoubt && w.guarantees == [2]Guarantee{Deduplicates, Deduplicates} {
+			return fmt.Sprintf("job %s is in doubt, though all workers deduplicate", entry.ID)
 		}
-		if e.State == InDoubt && w.guarantees == [2]Guarantee{HonorsFences, HonorsFences} && e.storedVersion > 0 &&
-			!strings.Contains(string(e.Reason), "may have run") {
-			return fmt.Sprintf("job %s is in doubt without a reason", e.ID)
+		if entry.State == InDoubt && w.guarantees == [2]Guarantee{HonorsFences, HonorsFences} && entry.storedVersion > 0 &&
+			!strings.Contains(string(entry.Reason), "may have run") {
+			return fmt.Sprintf("job %s is in doubt without a reason", entry.ID)
 		}
 	}
 	return ""
--- a/internal/jobs/machine.go
+++ b/internal/jobs/machine.go
@@ -34,20 +34,20 @@
 // Machine is the state of all jobs. It is not safe for concurrent use.
 type Machine struct {
 	config         Config
-	jobs           map[string]*entry
+	jobs           map[string]*jobEntry
 	lastFence      uint64
 	lastSequence   uint64
-	effects        []Effect                     // of the call that is being made
-	becameReady    []*entry                     // in the call that is being made
-	dueQueue       dueHeap                      // may hold outdated times; each is checked against its job when it comes up
-	leasesByWorker map[string]map[string]*entry // by worker, then by job id
-	counts         [stateCount]int              // jobs by state
-	inOrder        []*entry                     // by sequence; may hold removed jobs
-	removedInOrder int                          // how many of inOrder are removed
+	effects        []Effect                        // of the call that is being made
+	becameReady    []*jobEntry                     // in the call that is being made
+	dueQueue       dueHeap                         // may hold outdated times; each is checked against its job when it comes up
+	leasesByWorker map[string]map[string]*jobEntry // by worker, then by job id
+	counts         [stateCount]int                 // jobs by state
+	inOrder        []*jobEntry                     // by sequence; may hold removed jobs
+	removedInOrder int                             // how many of inOrder are removed
 }
 
-// entry is a job with the effects that wait for it to be stored.
-type entry struct {
+// jobEntry is a job with the effects that wait for it to be stored.
+type jobEntry struct {
 	Job
 	storedVersion uint64
 	afterStore    []deferredEffect // in order of version
@@ -60,15 +60,15 @@
 }
 
 // New returns a machine without jobs.
-func New(c Config) *Machine {
-	c.LeaseDuration = cmp.Or(c.LeaseDuration, defaultLeaseDuration)
-	c.RecoveryGrace = cmp.Or(c.RecoveryGrace, defaultRecoveryGrace)
-	c.MaxAttempts = cmp.Or(c.MaxAttempts, defaultMaxAttempts)
-	c.InitialBackoff = cmp.Or(c.InitialBackoff, defaultInitialBackoff)
-	c.Retention = cmp.Or(c.Retention, defaultRetention)
-	c.DeadRetention = cmp.Or(c.DeadRetention, defaultDeadRetention)
-	c.ignoreFences = c.ignoreFences || ignoreAllFences
-	return &Machine{config: c, jobs: map[string]*entry{}, leasesByWorker: map[string]map[string]*entry{}}
+func New(config Config) *Machine {
+	config.LeaseDuration = cmp.Or(config.LeaseDuration, defaultLeaseDuration)
+	config.RecoveryGrace = cmp.Or(config.RecoveryGrace, defaultRecoveryGrace)
+	config.MaxAttempts = cmp.Or(config.MaxAttempts, defaultMaxAttempts)
+	config.InitialBackoff = cmp.Or(config.InitialBackoff, defaultInitialBackoff)
+	config.Retention = cmp.Or(config.Retention, defaultRetention)
+	config.DeadRetention = cmp.Or(config.DeadRetention, defaultDeadRetention)
+	config.ignoreFences = config.ignoreFences || ignoreAllFences
+	return &Machine{config: config, jobs: map[string]*jobEntry{}, leasesByWorker: map[string]map[string]*jobEntry{}}
 }
 
 // emit adds an effect to those of the present call.
@@ -76,9 +76,9 @@
 
 // takeEffects returns the effects of the present call, with the jobs that became ready at their end.
 func (m *Machine) takeEffects() []Effect {
-	for _, e := range m.becameReady {
-		if e.State == Ready && m.jobs[e.ID] == e {
-			m.emit(Effect{Kind: AnnounceRunnable, Job: e.Job})
+	for _, entry := range m.becameReady {
+		if entry.State == Ready && m.jobs[entry.ID] == entry {
+			m.emit(Effect{Kind: AnnounceRunnable, Job: entry.Job})
 		}
 	}
 	effects := m.effects
@@ -88,82 +88,82 @@
 }
 
 // add takes in a job whose state is set.
-func (m *Machine) add(e *entry) {
-	m.jobs[e.ID] = e
-	m.inOrder = append(m.inOrder, e)
-	m.counts[e.State]++
+func (m *Machine) add(entry *jobEntry) {
+	m.jobs[entry.ID] = entry
+	m.inOrder = append(m.inOrder, entry)
+	m.counts[entry.State]++
 }
 
 // remove drops a job.
-func (m *Machine) remove(e *entry) {
-	delete(m.jobs, e.ID)
-	m.counts[e.State]--
+func (m *Machine) remove(entry *jobEntry) {
+	delete(m.jobs, entry.ID)
+	m.counts[entry.State]--
 	m.removedInOrder++
 	if m.removedInOrder <= len(m.inOrder)/2 {
 		return
 	}
 	// A copy, so that the removed entries are not kept alive by the old array.
-	m.inOrder = slices.DeleteFunc(slices.Clone(m.inOrder), func(e *entry) bool { return m.jobs[e.ID] != e })
+	m.inOrder = slices.DeleteFunc(slices.Clone(m.inOrder), func(other *jobEntry) bool { return m.jobs[other.ID] != other })
 	m.removedInOrder = 0
 }
 
 // setState changes a job's state and the indexes that depend on it. DueAt and Worker must have their new values where
 // the new state is found by them, and Worker its old one where the job was leased.
-func (m *Machine) setState(e *entry, s State) {
-	if e.State.isHeld() {
-		leases := m.leasesByWorker[e.Worker]
-		delete(leases, e.ID)
+func (m *Machine) setState(entry *jobEntry, newState State) {
+	if entry.State.isHeld() {
+		leases := m.leasesByWorker[entry.Worker]
+		delete(leases, entry.ID)
 		if len(leases) == 0 {
-			delete(m.leasesByWorker, e.Worker)
+			delete(m.leasesByWorker, entry.Worker)
 		}
 	}
-	m.counts[e.State]--
-	m.counts[s]++
-	e.State = s
-	m.index(e)
+	m.counts[entry.State]--
+	m.counts[newState]++
+	entry.State = newState
+	m.index(entry)
 }
 
 // index lets a job be found by what its state needs: its worker, when it is due, or that it is ready.
-func (m *Machine) index(e *entry) {
-	switch e.State {
+func (m *Machine) index(entry *jobEntry) {
+	switch entry.State {
 	case Leased, Started:
-		if m.leasesByWorker[e.Worker] == nil {
-			m.leasesByWorker[e.Worker] = map[string]*entry{}
+		if m.leasesByWorker[entry.Worker] == nil {
+			m.leasesByWorker[entry.Worker] = map[string]*jobEntry{}
 		}
-		m.leasesByWorker[e.Worker][e.ID] = e
-		m.scheduleDue(e.ID, e.DueAt)
+		m.leasesByWorker[entry.Worker][entry.ID] = entry
+		m.scheduleDue(entry.ID, entry.DueAt)
 	case Scheduled, Waiting, Done, Dead, Discarded:
-		m.scheduleDue(e.ID, e.DueAt)
+		m.scheduleDue(entry.ID, entry.DueAt)
 	case Ready:
-		m.becameReady = append(m.becameReady, e)
+		m.becameReady = append(m.becameReady, entry)
 	}
 }
 
 // finish ends a job, which is kept for its retention.
-func (m *Machine) finish(now time.Duration, e *entry, s State) {
-	e.DueAt = now + m.config.Retention
-	if s == Dead {
-		e.DueAt = now + m.config.DeadRetention
+func (m *Machine) finish(now time.Duration, entry *jobEntry, finalState State) {
+	entry.DueAt = now + m.config.Retention
+	if finalState == Dead {
+		entry.DueAt = now + m.config.DeadRetention
 	}
-	m.setState(e, s)
+	m.setState(entry, finalState)
 }
 
 // store has a changed job stored.
-func (m *Machine) store(e *entry) {
-	e.Version++
-	m.emit(Effect{Kind: StoreJob, Job: e.Job})
+func (m *Machine) store(entry *jobEntry) {
+	entry.Version++
+	m.emit(Effect{Kind: StoreJob, Job: entry.Job})
 }
 
 // storeThen has a changed job stored, and then the effect of that kind carried out with the job as it is now.
-func (m *Machine) storeThen(e *entry, kind EffectKind) {
-	m.store(e)
-	m.afterStored(e, Effect{Kind: kind, Job: e.Job})
+func (m *Machine) storeThen(entry *jobEntry, kind EffectKind) {
+	m.store(entry)
+	m.afterStored(entry, Effect{Kind: kind, Job: entry.Job})
 }
 
 // afterStored emits an effect once the job's present version is stored.
-func (m *Machine) afterStored(e *entry, effect Effect) {
-	e.afterStore = append(e.afterStore, deferredEffect{e.Version, effect})
+func (m *Machine) afterStored(entry *jobEntry, effect Effect) {
+	entry.afterStore = append(entry.afterStore, deferredEffect{entry.Version, effect})
 }
 
 // beingStored tells whether the job has a change that is not stored yet.
-func (e *entry) beingStored() bool { return e.storedVersion < e.Version }
+func (e *jobEntry) beingStored() bool { return e.storedVersion < e.Version }
--- a/internal/jobs/machine_test.go
+++ b/internal/jobs/machine_test.go
@@ -20,15 +20,15 @@
 	m := New(Config{LeaseDuration: 10 * s, RecoveryGrace: 5 * s, MaxAttempts: 2})
 	show := func(effects []Effect) string {
 		var out []string
-		for _, e := range effects {
-			if e.Kind == AnnounceRunnable {
+		for _, effect := range effects {
+			if effect.Kind == AnnounceRunnable {
 				continue
 			}
-			reason := string(e.Job.Reason)
-			if e.Err != nil {
-				reason = e.Err.Error()
+			reason := string(effect.Job.Reason)
+			if effect.Err != nil {
+				reason = effect.Err.Error()
 			}
-			out = append(out, strings.TrimSpace(effectNames[e.Kind]+" "+e.Job.ID+" "+e.Job.State.String()+" "+reason))
+			out = append(out, strings.TrimSpace(effectNames[effect.Kind]+" "+effect.Job.ID+" "+effect.Job.State.String()+" "+reason))
 		}
 		return strings.Join(out, "; ")
 	}
@@ -103,11 +103,11 @@
 	const s = time.Second
 	m := New(Config{LeaseDuration: 10 * s, RecoveryGrace: 5 * s, InitialBackoff: s, Retention: 100 * s})
 	runnable := func(effects []Effect) (ids string) {
-		for i, e := range effects {
-			if e.Kind == AnnounceRunnable {
-				ids += e.Job.ID
+		for i, effect := range effects {
+			if effect.Kind == AnnounceRunnable {
+				ids += effect.Job.ID
 			} else if i > 0 && effects[i-1].Kind == AnnounceRunnable {
-				t.Errorf("%v comes after an announcement of a runnable job", e.Kind)
+				t.Errorf("%v comes after an announcement of a runnable job", effect.Kind)
 			}
 		}
 		return ids
@@ -167,13 +167,13 @@
 	now := time.Duration(0)
 	drain := func(effects []Effect) (err error) { // the store succeeds
 		for len(effects) > 0 {
-			e := effects[0]
+			effect := effects[0]
 			effects = effects[1:]
-			switch e.Kind {
+			switch effect.Kind {
 			case StoreJob:
-				effects = append(effects, m.Stored(now, e.Job.ID, e.Job.Version)...)
+				effects = append(effects, m.Stored(now, effect.Job.ID, effect.Job.Version)...)
 			case AnswerPush, AnswerReport:
-				err = e.Err
+				err = effect.Err
 			}
 		}
 		return err
--- a/internal/jobs/operator.go
+++ b/internal/jobs/operator.go
@@ -5,24 +5,24 @@
 // Resolve ends a job in doubt at an operator's request: it ran, or it did not and runs again. A reason is required.
 // The error is a *TransitionError.
 func (m *Machine) Resolve(now time.Duration, id string, ran bool, reason Reason) ([]Effect, error) {
-	e := m.jobs[id]
+	entry := m.jobs[id]
 	switch {
-	case e == nil:
+	case entry == nil:
 		return nil, &TransitionError{ID: id, Cause: ErrUnknownJob}
-	case e.State != InDoubt:
-		return nil, &TransitionError{id, e.State, ErrNotInDoubt}
+	case entry.State != InDoubt:
+		return nil, &TransitionError{id, entry.State, ErrNotInDoubt}
 	case reason == "":
-		return nil, &TransitionError{id, e.State, ErrReasonRequired}
+		return nil, &TransitionError{id, entry.State, ErrReasonRequired}
 	}
-	e.Reason = reasonResolved(reason)
+	entry.Reason = reasonResolved(reason)
 	if ran {
-		e.Payload = nil
-		m.finish(now, e, Done)
+		entry.Payload = nil
+		m.finish(now, entry, Done)
 	} else {
-		m.setState(e, Ready)
-		e.RequiresDeduplication = false
+		m.setState(entry, Ready)
+		entry.RequiresDeduplication = false
 	}
-	m.store(e)
+	m.store(entry)
 	return m.takeEffects(), nil
 }
 
@@ -44,27 +44,27 @@
 // Move moves a job that waits or is dead. operator tells that an operator asks for it; nobody else may requeue a dead
 // non-idempotent job. The error is a *TransitionError.
 func (m *Machine) Move(now time.Duration, id string, move Move, reason Reason, operator bool) ([]Effect, error) {
-	e := m.jobs[id]
+	entry := m.jobs[id]
 	switch {
-	case e == nil:
+	case entry == nil:
 		return nil, &TransitionError{ID: id, Cause: ErrUnknownJob}
-	case e.State != Scheduled && e.State != Ready && e.State != Waiting && e.State != Dead:
-		return nil, &TransitionError{id, e.State, ErrNotMovable}
-	case e.State == Dead && e.NonIdempotent && move == Requeue && !operator:
-		return nil, &TransitionError{id, e.State, ErrOperatorRequired}
+	case entry.State != Scheduled && entry.State != Ready && entry.State != Waiting && entry.State != Dead:
+		return nil, &TransitionError{id, entry.State, ErrNotMovable}
+	case entry.State == Dead && entry.NonIdempotent && move == Requeue && !operator:
+		return nil, &TransitionError{id, entry.State, ErrOperatorRequired}
 	}
-	e.Reason = reason
+	entry.Reason = reason
 	switch move {
 	case Discard:
-		e.Payload = nil
-		m.finish(now, e, Discarded)
+		entry.Payload = nil
+		m.finish(now, entry, Discarded)
 	case Kill:
-		m.finish(now, e, Dead)
+		m.finish(now, entry, Dead)
 	case Requeue:
-		e.Attempts = 0
-		e.DueAt = now
-		m.setState(e, Ready)
+		entry.Attempts = 0
+		entry.DueAt = now
+		m.setState(entry, Ready)
 	}
-	m.store(e)
+	m.store(entry)
 	return m.takeEffects(), nil
 }
--- a/internal/jobs/query.go
+++ b/internal/jobs/query.go
@@ -7,23 +7,23 @@
 
 // Get returns a job as it stands; false: it is not known.
 func (m *Machine) Get(id string) (Job, bool) {
-	e := m.jobs[id]
-	if e == nil {
+	entry := m.jobs[id]
+	if entry == nil {
 		return Job{}, false
 	}
-	return e.Job, true
+	return entry.Job, true
 }
 
 // IsStored tells whether a job is stored as it stands.
 func (m *Machine) IsStored(id string) bool {
-	e := m.jobs[id]
-	return e != nil && e.storedVersion == e.Version
+	entry := m.jobs[id]
+	return entry != nil && entry.storedVersion == entry.Version
 }
 
 // Ready lists the ids of jobs that may be leased, sorted.
 func (m *Machine) Ready() (ids []string) {
-	for id, e := range m.jobs {
-		if e.State == Ready {
+	for id, entry := range m.jobs {
+		if entry.State == Ready {
 			ids = append(ids, id)
 		}
 	}
@@ -33,9 +33,9 @@
 
 // Each calls visit with every job, in the order in which they were accepted.
 func (m *Machine) Each(visit func(Job)) {
-	for _, e := range m.inOrder {
-		if m.jobs[e.ID] == e {
-			visit(e.Job)
+	for _, entry := range m.inOrder {
+		if m.jobs[entry.ID] == entry {
+			visit(entry.Job)
 		}
 	}
 }
@@ -43,15 +43,15 @@
 // Page lists up to maxResults jobs that match, of the maxScanned jobs at most that were accepted after the sequence
 // number after. next is the sequence number to continue after; 0: there are no more.
 func (m *Machine) Page(after uint64, maxResults, maxScanned int, match func(Job) bool) (list []Job, next uint64) {
-	compare := func(e *entry, sequence uint64) int { return cmp.Compare(e.Sequence, sequence) }
+	compare := func(entry *jobEntry, sequence uint64) int { return cmp.Compare(entry.Sequence, sequence) }
 	start, _ := slices.BinarySearchFunc(m.inOrder, after+1, compare)
-	for scanned, e := range m.inOrder[start:] {
+	for scanned, entry := range m.inOrder[start:] {
 		if scanned == maxScanned || len(list) == maxResults {
 			return list, next
 		}
-		next = e.Sequence
-		if m.jobs[e.ID] == e && match(e.Job) {
-			list = append(list, e.Job)
+		next = entry.Sequence
+		if m.jobs[entry.ID] == entry && match(entry.Job) {
+			list = append(list, entry.Job)
 		}
 	}
 	return list, 0
--- a/internal/jobs/recovery.go
+++ b/internal/jobs/recovery.go
@@ -14,15 +14,15 @@
 // least, in which workers reconnect and report.
 func (m *Machine) Recover(now time.Duration, stored []Job) []Effect {
 	for _, job := range stored {
-		e := &entry{Job: job, storedVersion: job.Version}
-		m.recoverState(now, e)
+		entry := &jobEntry{Job: job, storedVersion: job.Version}
+		m.recoverState(now, entry)
 		m.lastFence = max(m.lastFence, job.Fence)
 		m.lastSequence = max(m.lastSequence, job.Sequence)
-		m.add(e)
-		m.index(e)
+		m.add(entry)
+		m.index(entry)
 	}
 	m.lastFence += recoveryFenceGap
-	bySequence := func(a, b *entry) int { return cmp.Compare(a.Sequence, b.Sequence) }
+	bySequence := func(a, b *jobEntry) int { return cmp.Compare(a.Sequence, b.Sequence) }
 	slices.SortFunc(m.inOrder, bySequence)
 	slices.SortFunc(m.becameReady, bySequence)
 	return m.takeEffects()
@@ -30,16 +30,16 @@
 
 // recoverState derives a job's state and due time from what is stored. Due times are bounded, so that a clock that
 // has been set back holds nothing up.
-func (m *Machine) recoverState(now time.Duration, e *entry) {
-	switch e.State {
+func (m *Machine) recoverState(now time.Duration, entry *jobEntry) {
+	switch entry.State {
 	case Accepted, Scheduled:
-		e.State = stateUntilDue(now, e, Scheduled)
+		entry.State = stateUntilDue(now, entry, Scheduled)
 	case Waiting:
-		e.DueAt = min(e.DueAt, now+m.backoff(e))
-		e.State = stateUntilDue(now, e, Waiting)
+		entry.DueAt = min(entry.DueAt, now+m.backoff(entry))
+		entry.State = stateUntilDue(now, entry, Waiting)
 	case Leased, Started:
-		e.DueAt = max(min(e.DueAt, now+m.leaseDuration(e)), now+m.config.RecoveryGrace)
+		entry.DueAt = max(min(entry.DueAt, now+m.leaseDuration(entry)), now+m.config.RecoveryGrace)
 	case Done, Discarded:
-		e.DueAt = min(e.DueAt, now+m.config.Retention)
+		entry.DueAt = min(entry.DueAt, now+m.config.Retention)
 	}
 }
--- a/internal/jobs/retry.go
+++ b/internal/jobs/retry.go
@@ -9,22 +9,22 @@
 const maxBackoffDoublings = 20
 
 // retryOrFinish lets an idempotent job that failed wait for its next attempt, or ends it after its last one.
-func (m *Machine) retryOrFinish(now time.Duration, e *entry, reason Reason) {
-	e.Reason = reason
-	exhausted := e.Attempts >= cmp.Or(e.MaxAttempts, m.config.MaxAttempts)
+func (m *Machine) retryOrFinish(now time.Duration, entry *jobEntry, reason Reason) {
+	entry.Reason = reason
+	exhausted := entry.Attempts >= cmp.Or(entry.MaxAttempts, m.config.MaxAttempts)
 	switch {
-	case exhausted && e.DiscardWhenExhausted:
-		m.finish(now, e, Discarded)
+	case exhausted && entry.DiscardWhenExhausted:
+		m.finish(now, entry, Discarded)
 	case exhausted:
-		m.finish(now, e, Dead)
+		m.finish(now, entry, Dead)
 	default:
-		e.DueAt = now + m.backoff(e)
-		m.setState(e, Waiting)
+		entry.DueAt = now + m.backoff(entry)
+		m.setState(entry, Waiting)
 	}
 }
 
 // backoff is the wait before the next attempt of a job.
-func (m *Machine) backoff(e *entry) time.Duration {
-	doublings := min(max(e.Attempts-1, 0), maxBackoffDoublings)
+func (m *Machine) backoff(entry *jobEntry) time.Duration {
+	doublings := min(max(entry.Attempts-1, 0), maxBackoffDoublings)
 	return m.config.InitialBackoff << doublings
 }
--- a/internal/jobs/storing.go
+++ b/internal/jobs/storing.go
@@ -24,14 +24,14 @@
 	if notBefore > now {
 		job.DueAt = notBefore
 	}
-	e := &entry{Job: job}
-	m.add(e)
-	m.storeThen(e, AnswerPush)
+	entry := &jobEntry{Job: job}
+	m.add(entry)
+	m.storeThen(entry, AnswerPush)
 	return m.takeEffects()
 }
 
 // pushAgain answers the producer of a job whose id is known.
-func (m *Machine) pushAgain(known *entry, job Job) {
+func (m *Machine) pushAgain(known *jobEntry, job Job) {
 	answer := Effect{Kind: AnswerPush, Job: known.Job}
 	switch {
 	case known.PayloadHash != job.PayloadHash:
@@ -46,18 +46,18 @@
 
 // Stored reports that a version of a job is on disk.
 func (m *Machine) Stored(now time.Duration, id string, version uint64) []Effect {
-	e := m.jobs[id]
-	if e == nil {
+	entry := m.jobs[id]
+	if entry == nil {
 		return nil
 	}
-	e.storedVersion = max(e.storedVersion, version)
-	if e.State == Accepted {
-		m.setState(e, stateUntilDue(now, e, Scheduled))
+	entry.storedVersion = max(entry.storedVersion, version)
+	if entry.State == Accepted {
+		m.setState(entry, stateUntilDue(now, entry, Scheduled))
 	}
-	for len(e.afterStore) > 0 && e.afterStore[0].version <= e.storedVersion {
-		effect := e.afterStore[0].effect
-		e.afterStore = e.afterStore[1:]
-		leaseEnded := e.State != Leased || e.Fence != effect.Job.Fence
+	for len(entry.afterStore) > 0 && entry.afterStore[0].version <= entry.storedVersion {
+		effect := entry.afterStore[0].effect
+		entry.afterStore = entry.afterStore[1:]
+		leaseEnded := entry.State != Leased || entry.Fence != effect.Job.Fence
 		if effect.Kind == DeliverJob && leaseEnded {
 			continue // nobody has received the job under that lease
 		}
@@ -67,8 +67,8 @@
 }
 
 // stateUntilDue is Ready for a job that is due, and before that the state in which it waits.
-func stateUntilDue(now time.Duration, e *entry, before State) State {
-	if e.DueAt > now {
+func stateUntilDue(now time.Duration, entry *jobEntry, before State) State {
+	if entry.DueAt > now {
 		return before
 	}
 	return Ready
@@ -78,17 +78,17 @@
 // NotStoredError, and a lease that was about to be granted is taken back; any other change has happened already, and
 // the caller must store it again.
 func (m *Machine) StoreFailed(id string, version uint64, cause error) []Effect {
-	e := m.jobs[id]
-	if e == nil || version != e.Version {
+	entry := m.jobs[id]
+	if entry == nil || version != entry.Version {
 		return nil
 	}
-	switch e.State {
+	switch entry.State {
 	case Accepted:
-		m.remove(e)
-		m.emit(Effect{Kind: AnswerPush, Job: e.Job, Err: &NotStoredError{cause}})
+		m.remove(entry)
+		m.emit(Effect{Kind: AnswerPush, Job: entry.Job, Err: &NotStoredError{cause}})
 	case Leased: // it has not been delivered, as that waits for the store
-		e.afterStore = slices.DeleteFunc(e.afterStore, func(d deferredEffect) bool { return d.effect.Kind == DeliverJob })
-		m.releaseUnstarted(e)
+		entry.afterStore = slices.DeleteFunc(entry.afterStore, func(d deferredEffect) bool { return d.effect.Kind == DeliverJob })
+		m.releaseUnstarted(entry)
 	}
 	return m.takeEffects()
 }
--- a/internal/settings/connections.go
+++ b/internal/settings/connections.go
@@ -159,7 +159,7 @@
 
 func (c *Connections) learning() connlimit.LearnConfig {
 	return connlimit.LearnConfig{
-		On:       c.Learn,
+		Enabled:  c.Learn,
 		HalfLife: seconds(c.LearnHalfLife),
 		After:    c.LearnAfter,
 		Share:    c.LearnShare,
