--- a/internal/daemon/peer.go
+++ b/internal/daemon/peer.go
@@ -7,9 +7,9 @@
 )
 
 // sendToPeer sends a message to the peer process, if there is one.
-func (p *process) sendToPeer(m handover.Message) {
+func (p *process) sendToPeer(message handover.Message) {
 	if p.handover.link != nil {
-		p.handover.link.Send(m)
+		p.handover.link.Send(message)
 	}
 }
 
@@ -23,24 +23,24 @@
 }
 
 // receive handles the messages that either process may send.
-func (p *process) receive(m handover.Message) {
-	if m.IDs != "" {
-		ids, err := m.ReadIDs()
+func (p *process) receive(message handover.Message) {
+	if message.IDs != "" {
+		ids, err := message.ReadIDs()
 		if err != nil {
 			p.dispatcher.Log("handover: " + err.Error())
 		}
 		p.dispatcher.BlockIDs(ids)
 	}
-	if m.Reservation != nil {
-		p.dispatcher.ReservedElsewhere(m.Reservation.Worker, m.Reservation.Amount)
+	if message.Reservation != nil {
+		p.dispatcher.ReservedElsewhere(message.Reservation.Worker, message.Reservation.Amount)
 	}
-	if m.OutOfService != nil {
-		p.drain(*m.OutOfService)
+	if message.OutOfService != nil {
+		p.drain(*message.OutOfService)
 	}
-	if m.DiscoveryMoved != "" && m.DiscoveryMoved != p.config.Discovery {
-		p.dispatcher.Log("discovery moves to " + m.DiscoveryMoved + ", as the peer process says")
-		p.config.Discovery = m.DiscoveryMoved
-		p.registry.MoveTo(m.DiscoveryMoved)
+	if message.DiscoveryMoved != "" && message.DiscoveryMoved != p.config.Discovery {
+		p.dispatcher.Log("discovery moves to " + message.DiscoveryMoved + ", as the peer process says")
+		p.config.Discovery = message.DiscoveryMoved
+		p.registry.MoveTo(message.DiscoveryMoved)
 	}
 }
 
--- a/internal/daemon/predecessor.go
+++ b/internal/daemon/predecessor.go
@@ -40,7 +40,7 @@
 }
 
 // acceptSuccessor sends a successor the state of this process.
-func (p *process) acceptSuccessor(c *transport.Conn) transport.Handler {
+func (p *process) acceptSuccessor(connection *transport.Conn) transport.Handler {
 	if p.stopping || p.handover.link != nil {
 		return nil
 	}
@@ -50,7 +50,7 @@
 	}
 	idKey, ids := p.dispatcher.RequestIDs()
 	p.dispatcher.Log("successor has connected")
-	p.handover.link = handover.NewLink(p.engine, c, p.receiveFromSuccessor, p.successorEnded)
+	p.handover.link = handover.NewLink(p.engine, connection, p.receiveFromSuccessor, p.successorEnded)
 	p.shareWithPeer()
 	p.registry.OnUpdate = p.sendList
 	p.sendToPeer(handover.Message{Greeting: &handover.Greeting{
@@ -73,9 +73,9 @@
 }
 
 // receiveFromSuccessor handles a message of the successor.
-func (p *process) receiveFromSuccessor(m handover.Message) {
-	p.receive(m)
-	if m.Ready {
+func (p *process) receiveFromSuccessor(message handover.Message) {
+	p.receive(message)
+	if message.Ready {
 		p.dispatcher.Log("successor is accepting clients")
 		p.handover.peerServing = true
 		p.frontEnds.http.SetShared(true)
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -83,14 +83,14 @@
 	if p.gate == nil {
 		return nil
 	}
-	c, err := gateConfig(table, p.config.connectionDescriptors())
+	limits, err := gateConfig(table, p.config.connectionDescriptors())
 	if err != nil {
 		return err
 	}
 	if !table.Enabled {
 		return errors.New("connections.on: only a restart turns it off")
 	}
-	return p.gate.Reconfigure(c, transport.ConnectionDescriptors(p.config.connectionDescriptors()))
+	return p.gate.Reconfigure(limits, transport.ConnectionDescriptors(p.config.connectionDescriptors()))
 }
 
 // reloadDiscovery follows the discovery address, here and in the peer process, and
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -35,64 +35,64 @@
 	}
 	loaded.config.limitHeap()
 	log = log.With("name", loaded.config.Name)
-	p, err := newProcess(files, loaded, log)
+	daemon, err := newProcess(files, loaded, log)
 	if err != nil {
 		return err
 	}
-	if err := p.openHTTP(env); err != nil {
+	if err := daemon.openHTTP(env); err != nil {
 		return err
 	}
-	predecessor := p.dialPredecessor(env)
-	if err := p.setUpFaktory(predecessor != nil, log); err != nil {
+	predecessor := daemon.dialPredecessor(env)
+	if err := daemon.setUpFaktory(predecessor != nil, log); err != nil {
 		return err
 	}
-	if err := p.openAdmin(); err != nil {
+	if err := daemon.openAdmin(); err != nil {
 		return err
 	}
-	p.start(predecessor)
-	go p.handleReloads(env, caught.reload)
-	go p.handleStops(caught.stop)
-	p.dispatcher.Loop.Run()
-	p.end()
+	daemon.start(predecessor)
+	go daemon.handleReloads(env, caught.reload)
+	go daemon.handleStops(caught.stop)
+	daemon.dispatcher.Loop.Run()
+	daemon.end()
 	return nil
 }
 
 // newProcess builds dispatcher, registry, worker client and gate. No socket is open
 // after that.
 func newProcess(files Files, loaded loadedFiles, log *slog.Logger) (*process, error) {
-	c := loaded.config
-	dispatcher, err := dispatch.New(eventloop.New(), loaded.settings, c.seed())
+	fileConfig := loaded.config
+	dispatcher, err := dispatch.New(eventloop.New(), loaded.settings, fileConfig.seed())
 	if err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
 	logFrom(dispatcher, log, files.Trace)
-	engine, err := transport.NewEngine(dispatcher.Loop, c.connectionDescriptors())
+	engine, err := transport.NewEngine(dispatcher.Loop, fileConfig.connectionDescriptors())
 	if err != nil {
 		return nil, err
 	}
-	registry := discovery.New(dispatcher, engine, c.Discovery)
+	registry := discovery.New(dispatcher, engine, fileConfig.Discovery)
 	workers := workerclient.New(dispatcher, engine, registry)
-	if err := registry.CheckList(c.Known); err != nil {
+	if err := registry.CheckList(fileConfig.Known); err != nil {
 		return nil, err
 	}
-	p := &process{
+	daemon := &process{
 		files:              files,
 		loaded:             loaded,
 		dispatcher:         dispatcher,
 		engine:             engine,
 		registry:           registry,
 		workers:            workers,
-		config:             c,
+		config:             fileConfig,
 		configuredSettings: loaded.configuredSettings,
-		maxClients:         transport.AcceptedShare(c.connectionDescriptors()),
+		maxClients:         transport.AcceptedShare(fileConfig.connectionDescriptors()),
 	}
-	if loaded.hasFaktory && c.Listen != "" {
-		p.maxClients /= 2 // half for either front end
+	if loaded.hasFaktory && fileConfig.Listen != "" {
+		daemon.maxClients /= 2 // half for either front end
 	}
-	if err := p.applyOperator(log); err != nil {
+	if err := daemon.applyOperator(log); err != nil {
 		return nil, fmt.Errorf("%s: %w", files.Operator, err)
 	}
-	return p, nil
+	return daemon, nil
 }
 
 // logFrom has a dispatcher log messages, violated invariants and, where trace is set,
@@ -121,11 +121,11 @@
 		return nil
 	}
 	descriptors := p.config.connectionDescriptors()
-	c, err := gateConfig(&p.loaded.connections, descriptors)
+	limits, err := gateConfig(&p.loaded.connections, descriptors)
 	if err != nil {
 		return err
 	}
-	p.gate, err = listener.New(p.dispatcher.Loop, p.engine, c, transport.ConnectionDescriptors(descriptors), log)
+	p.gate, err = listener.New(p.dispatcher.Loop, p.engine, limits, transport.ConnectionDescriptors(descriptors), log)
 	if err != nil {
 		return err
 	}
@@ -163,17 +163,17 @@
 func openListener(env func(string) string, addr string) (net.Listener, error) {
 	text := env(envListenerDescriptor)
 	if text == "" {
-		ln, err := net.Listen("tcp", addr)
+		opened, err := net.Listen("tcp", addr)
 		if err != nil {
 			return nil, fmt.Errorf("config: listen: %w", err)
 		}
-		return ln, nil
+		return opened, nil
 	}
-	ln, err := inheritListener(text)
+	inherited, err := inheritListener(text)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %q: %w", envListenerDescriptor, text, err)
 	}
-	return ln, nil
+	return inherited, nil
 }
 
 // inheritListener returns the listener of a descriptor's number.
@@ -194,22 +194,22 @@
 	if !p.loaded.hasFaktory {
 		return nil
 	}
-	c := p.loaded.faktory
-	c.Durable.Log = log
+	faktoryConfig := p.loaded.faktory
+	faktoryConfig.Durable.Log = log
 	file := cmp.Or(p.files.Faktory, p.files.Operator)
-	open := func() error { return p.openFaktory(c) }
+	open := func() error { return p.openFaktory(faktoryConfig) }
 	if !hasPredecessor {
 		if err := open(); err != nil {
 			return fmt.Errorf("%s: %w", file, err)
 		}
 		return nil
 	}
-	if err := c.Movable(&p.dispatcher.Settings); err != nil {
+	if err := faktoryConfig.Movable(&p.dispatcher.Settings); err != nil {
 		return fmt.Errorf("%s: the Faktory front end cannot be handed over, %w: end the running process first", file, err)
 	}
 	p.handover.openFaktory = open
 	if p.frontEnds.http != nil {
-		p.frontEnds.http.SetDurable(nil, c.Durable.Classes(&p.dispatcher.Settings))
+		p.frontEnds.http.SetDurable(nil, faktoryConfig.Durable.Classes(&p.dispatcher.Settings))
 	}
 	return nil
 }
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -46,13 +46,13 @@
 		p.frontEnds.http.StopAccepting() // what arrives now waits in the backlog, or is rejected by the system
 	}
 	now := p.dispatcher.Loop.Now()
-	f := &finisher{
+	ending := &finisher{
 		process:       p,
 		stopReading:   now + readWindow,
 		lingerUntil:   now + readWindow + transport.LingerTime,
 		upstreamUntil: now + upstreamTimeout,
 	}
-	f.step()
+	ending.step()
 }
 
 // finisher is the last part of a graceful end, after the arrival window.
@@ -65,15 +65,15 @@
 
 // step closes what is idle and stops the loop once nothing is owed.
 func (f *finisher) step() {
-	p := f.process
-	loop := p.dispatcher.Loop
-	idle := p.frontEnds.closeIdle()
+	daemon := f.process
+	loop := daemon.dispatcher.Loop
+	idle := daemon.frontEnds.closeIdle()
 	now := loop.Now()
-	if p.frontEnds.http != nil && now >= f.stopReading {
-		p.frontEnds.http.StopReading()
-		idle = idle && p.frontEnds.http.OpenConnections() == 0
+	if daemon.frontEnds.http != nil && now >= f.stopReading {
+		daemon.frontEnds.http.StopReading()
+		idle = idle && daemon.frontEnds.http.OpenConnections() == 0
 	}
-	if p.dispatcher.Unanswered() > 0 {
+	if daemon.dispatcher.Unanswered() > 0 {
 		f.lingerUntil = now + transport.LingerTime
 	}
 	if f.finished(now, idle) {
@@ -85,12 +85,12 @@
 
 // finished reports whether the process may exit.
 func (f *finisher) finished(now time.Duration, idle bool) bool {
-	p := f.process
-	if now < f.stopReading || p.dispatcher.Unanswered() > 0 {
+	daemon := f.process
+	if now < f.stopReading || daemon.dispatcher.Unanswered() > 0 {
 		return false
 	}
 	if idle || now > f.upstreamUntil {
 		return true
 	}
-	return now > f.lingerUntil && !p.frontEnds.faktory.Busy()
+	return now > f.lingerUntil && !daemon.frontEnds.faktory.Busy()
 }
--- a/internal/daemon/successor.go
+++ b/internal/daemon/successor.go
@@ -55,19 +55,19 @@
 }
 
 // receiveFromPredecessor handles a message of the predecessor.
-func (p *process) receiveFromPredecessor(m handover.Message) {
-	if m.Greeting != nil {
-		p.handleGreeting(m.Greeting)
+func (p *process) receiveFromPredecessor(message handover.Message) {
+	if message.Greeting != nil {
+		p.handleGreeting(message.Greeting)
 	}
-	p.receive(m)
-	if m.StoreReleased {
+	p.receive(message)
+	if message.StoreReleased {
 		p.takeOverFaktory(p.dispatcher.Loop.Now() + takeoverTimeout)
 	}
-	if m.Limits != nil {
-		p.useLimits(p.config.descriptors()-m.Limits.Descriptors, p.config.memory()-m.Limits.Memory)
+	if message.Limits != nil {
+		p.useLimits(p.config.descriptors()-message.Limits.Descriptors, p.config.memory()-message.Limits.Memory)
 	}
-	if len(m.List) > 0 {
-		if err := p.registry.Import(m.List); err != nil {
+	if len(message.List) > 0 {
+		if err := p.registry.Import(message.List); err != nil {
 			p.logListError(err)
 		}
 	}
--- a/internal/discovery/acknowledgement.go
+++ b/internal/discovery/acknowledgement.go
@@ -13,14 +13,14 @@
 
 // scheduleAcknowledgement schedules the next poll of the server in use, which sends it the version in force. After a
 // change that is not at once but at a random moment, so that the subscribers of a server do not poll it together.
-func (f *follower) scheduleAcknowledgement() {
-	s := f.active
-	if s == nil || s.polling || s.ignoresVersion || f.acknowledgementScheduled {
+func (f *membershipFollower) scheduleAcknowledgement() {
+	active := f.active
+	if active == nil || active.polling || active.ignoresVersion || f.acknowledgementScheduled {
 		return
 	}
 	loop := f.registry.dispatcher.Loop
 	now := loop.Now()
-	upToDate := f.version == f.acknowledgedVersion && s.failedAcknowledgements == 0
+	upToDate := f.version == f.acknowledgedVersion && active.failedAcknowledgements == 0
 	if upToDate || !f.resumable {
 		loop.Set(&f.acknowledgementTimer, max(f.acknowledgedAt+idleAcknowledgeInterval, now))
 		return
@@ -32,10 +32,10 @@
 
 // acknowledge polls the server in use from the version in force. From time to time it polls from an earlier version
 // instead, for what a rejected change has left out.
-func (f *follower) acknowledge() {
+func (f *membershipFollower) acknowledge() {
 	f.acknowledgementScheduled = false
-	s := f.active
-	if s == nil || s.polling || s.ignoresVersion {
+	active := f.active
+	if active == nil || active.polling || active.ignoresVersion {
 		return
 	}
 	now := f.registry.dispatcher.Loop.Now()
@@ -45,11 +45,11 @@
 		f.repairRequestedAt = now
 		after = f.completeThrough
 	}
-	s.poll(after, s.onAcknowledged)
+	active.poll(after, active.onAcknowledged)
 }
 
 // repairInterval returns the time between polls for what a rejected change has left out.
-func (f *follower) repairInterval() time.Duration {
+func (f *membershipFollower) repairInterval() time.Duration {
 	if f.completeThrough == 0 { // the repair is a snapshot
 		return snapshotRepairInterval
 	}
@@ -57,25 +57,25 @@
 }
 
 // onAcknowledged applies the answer to an acknowledgement, which may hold changes that the watch has yet to bring.
-func (s *subscription) onAcknowledged(c change, err error) {
-	f := s.follower
+func (s *subscription) onAcknowledged(change membershipChange, err error) {
+	follower := s.follower
 	if err != nil {
 		s.failedAcknowledgements++
 		if s.failedAcknowledgements >= maxFailedAcknowledgements || s.reopenWatch {
-			f.subscriptionFailed(s, err)
+			follower.subscriptionFailed(s, err)
 			return
 		}
-		f.scheduleAcknowledgement()
+		follower.scheduleAcknowledgement()
 		return
 	}
 	s.failedAcknowledgements = 0
-	s.detectIgnoredVersion(c)
-	f.acknowledgedVersion = s.polledVersion
-	f.registry.stats.Acknowledged++
-	f.apply(c)
+	s.detectIgnoredVersion(change)
+	follower.acknowledgedVersion = s.polledVersion
+	follower.registry.stats.Acknowledged++
+	follower.apply(change)
 	if s.reopenWatch {
 		s.catchUp()
 		return
 	}
-	f.scheduleAcknowledgement()
+	follower.scheduleAcknowledgement()
 }
--- a/internal/discovery/applychange.go
+++ b/internal/discovery/applychange.go
@@ -18,54 +18,56 @@
 )
 
 // apply puts a change in force as a whole, unless it is stale, wrong or made for another state.
-func (f *follower) apply(c change) changeOutcome {
-	if c.version < f.version || c.version == f.version && !f.repairs(c) {
+func (f *membershipFollower) apply(change membershipChange) changeOutcome {
+	if change.version < f.version || change.version == f.version && !f.repairs(change) {
 		f.registry.publishInitial(nil) // the state in force is confirmed
 		return changeStale
 	}
-	if !c.snapshot && c.base < f.version && (c.exact || c.missingFrom > 0) {
-		if c.exact && f.repairs(c) { // asked for from an earlier version, the repair comes as a snapshot
-			f.completeThrough = max(min(f.completeThrough, c.base-1), 0)
+	if !change.snapshot && change.base < f.version && (change.exact || change.missingFrom > 0) {
+		if change.exact && f.repairs(change) { // asked for from an earlier version, the repair comes as a snapshot
+			f.completeThrough = max(min(f.completeThrough, change.base-1), 0)
 		}
 		return changeMismatched
 	}
-	entries, err := f.validate(c)
+	entries, err := f.validate(change)
 	if err != nil {
-		f.reject(c.version, err)
+		f.reject(change.version, err)
 		return changeRejected
 	}
-	f.completeThrough = f.completeThroughWith(c)
-	f.version = c.version
+	f.completeThrough = f.completeThroughWith(change)
+	f.version = change.version
 	f.resumable = true
-	f.rememberSettings(c.settings)
-	f.registry.adopt(c.endpoints, entries)
-	if c.snapshot || len(entries) > 0 || f.registry.initialEntries != nil {
-		f.registry.publish(c.snapshot, entries)
+	f.rememberSettings(change.settings)
+	f.registry.adopt(change.endpoints, entries)
+	if change.snapshot || len(entries) > 0 || f.registry.initialEntries != nil {
+		f.registry.publish(change.snapshot, entries)
 	}
-	f.recordApplied(c.snapshot)
+	f.recordApplied(change.snapshot)
 	return changeApplied
 }
 
 // covers reports whether a change holds everything after completeThrough.
-func (f *follower) covers(c change) bool { return c.snapshot || c.base <= f.completeThrough }
+func (f *membershipFollower) covers(change membershipChange) bool {
+	return change.snapshot || change.base <= f.completeThrough
+}
 
 // repairs reports whether a change holds what is missing of the version in force.
-func (f *follower) repairs(c change) bool {
-	return f.completeThrough < f.version && c.missingFrom == 0 && f.covers(c)
+func (f *membershipFollower) repairs(change membershipChange) bool {
+	return f.completeThrough < f.version && change.missingFrom == 0 && f.covers(change)
 }
 
 // completeThroughWith returns what completeThrough becomes with a change, by the same rule as membership.Store.
-func (f *follower) completeThroughWith(c change) membership.Version {
-	senderComplete := c.version
-	if c.missingFrom > 0 {
-		senderComplete = c.missingFrom - 1
+func (f *membershipFollower) completeThroughWith(change membershipChange) membership.Version {
+	senderComplete := change.version
+	if change.missingFrom > 0 {
+		senderComplete = change.missingFrom - 1
 	}
 	switch {
-	case c.snapshot || c.exact && f.completeThrough == f.version && c.base == f.version:
+	case change.snapshot || change.exact && f.completeThrough == f.version && change.base == f.version:
 		return senderComplete
-	case c.exact:
+	case change.exact:
 		return min(f.completeThrough, senderComplete)
-	case f.covers(c):
+	case f.covers(change):
 		return max(f.completeThrough, senderComplete)
 	}
 	return f.completeThrough
@@ -73,19 +75,19 @@
 
 // validate checks a whole change. Its settings are put in force, unless there is an error: they come last, since
 // whatever applies them checks them itself.
-func (f *follower) validate(c change) ([]decision.Endpoint, error) {
-	if c.typeError != nil {
-		return nil, c.typeError
+func (f *membershipFollower) validate(change membershipChange) ([]decision.Endpoint, error) {
+	if change.typeError != nil {
+		return nil, change.typeError
 	}
-	entries, err := f.registry.parse(c.endpoints)
+	entries, err := f.registry.parse(change.endpoints)
 	if err != nil {
 		return nil, err
 	}
-	return entries, f.applySettings(c.settings)
+	return entries, f.applySettings(change.settings)
 }
 
 // reject logs a change that is wrong, once for each version.
-func (f *follower) reject(version membership.Version, cause error) {
+func (f *membershipFollower) reject(version membership.Version, cause error) {
 	if version <= f.rejectedVersion {
 		return
 	}
@@ -96,7 +98,7 @@
 }
 
 // recordApplied counts an applied change, notifies observers, and schedules its acknowledgement.
-func (f *follower) recordApplied(snapshot bool) {
+func (f *membershipFollower) recordApplied(snapshot bool) {
 	stats := &f.registry.stats
 	stats.Applied++
 	if snapshot {
@@ -112,28 +114,28 @@
 }
 
 // adoptHandover applies the state that the predecessor process has in force, if it is newer.
-func (f *follower) adoptHandover(list *endpointList) error {
-	c := change{
+func (f *membershipFollower) adoptHandover(list *endpointList) error {
+	change := membershipChange{
 		version:   membership.Version(list.Version),
 		snapshot:  true,
 		endpoints: list.Endpoints,
 		settings:  list.Settings,
 	}
-	if c.version <= f.version {
+	if change.version <= f.version {
 		return nil
 	}
-	entries, err := f.validate(c)
+	entries, err := f.validate(change)
 	if err != nil {
 		return err
 	}
-	f.version = c.version
+	f.version = change.version
 	f.completeThrough = 0
 	if list.Settings != nil {
-		f.completeThrough = c.version
+		f.completeThrough = change.version
 		f.resumable = true
 	}
-	f.rememberSettings(c.settings)
-	f.registry.adopt(c.endpoints, entries)
+	f.rememberSettings(change.settings)
+	f.registry.adopt(change.endpoints, entries)
 	f.registry.replaceAll(entries)
 	return nil
 }
--- a/internal/discovery/change.go
+++ b/internal/discovery/change.go
@@ -15,8 +15,8 @@
 	Value json.RawMessage `json:"value"`
 }
 
-// change is one object of a membership server: a snapshot or a delta.
-type change struct {
+// membershipChange is one object of a membership server: a snapshot or a delta.
+type membershipChange struct {
 	version     membership.Version
 	snapshot    bool
 	exact       bool               // a delta that applies to the state at base alone, as in membership.Change
@@ -40,32 +40,32 @@
 // decodeChange reads one object and the end of the text. It decodes element by element as bytes come, so that the text
 // of a large snapshot is never in memory at once. A value of the wrong type sets typeError and is no error here, so
 // that the version is known of a change that is rejected.
-func decodeChange(source io.Reader) (change, error) {
-	var c change
+func decodeChange(source io.Reader) (membershipChange, error) {
+	var change membershipChange
 	decoder := json.NewDecoder(source)
 	if err := expectToken(decoder, json.Delim('{')); err != nil {
-		return c, err
+		return change, err
 	}
 	for decoder.More() {
 		key, err := decoder.Token()
 		if err != nil {
-			return c, err
+			return change, err
 		}
-		if err := c.decodeField(decoder, key); err != nil {
-			return c, err
+		if err := change.decodeField(decoder, key); err != nil {
+			return change, err
 		}
 	}
 	if err := expectToken(decoder, json.Delim('}')); err != nil {
-		return c, err
+		return change, err
 	}
 	if _, err := decoder.Token(); err != io.EOF {
-		return c, errTrailingData
+		return change, errTrailingData
 	}
-	return c, nil
+	return change, nil
 }
 
 // decodeField reads the value of one key. Unknown keys are skipped.
-func (c *change) decodeField(decoder *json.Decoder, key json.Token) error {
+func (c *membershipChange) decodeField(decoder *json.Decoder, key json.Token) error {
 	switch key {
 	case "seq":
 		return describeTypeError("seq", decoder.Decode(&c.version))
--- a/internal/discovery/change_test.go
+++ b/internal/discovery/change_test.go
@@ -15,17 +15,17 @@
 	f.Add([]byte(`{"seq":1,"hosts":[{"host":7}]} x`))
 	f.Add([]byte("{ \"seq\" :\n\n 1 , \"hosts\":[ {\"host\": \"a  \\\"  b\" } ] }"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		c, err := decodeChange(bytes.NewReader(text))
+		change, err := decodeChange(bytes.NewReader(text))
 		again, errAgain := decodeChange(&whitespaceCompactor{source: iotest.OneByteReader(bytes.NewReader(text))})
-		if (err == nil) != (errAgain == nil) || fmt.Sprint(c.endpoints, c.version) != fmt.Sprint(again.endpoints, again.version) {
-			t.Errorf("%q: %+v, %v; byte by byte %+v, %v", text, c, err, again, errAgain)
+		if (err == nil) != (errAgain == nil) || fmt.Sprint(change.endpoints, change.version) != fmt.Sprint(again.endpoints, again.version) {
+			t.Errorf("%q: %+v, %v; byte by byte %+v, %v", text, change, err, again, errAgain)
 		}
 		var list endpointList
-		if json.Unmarshal(text, &list) != nil || err != nil || c.typeError != nil {
+		if json.Unmarshal(text, &list) != nil || err != nil || change.typeError != nil {
 			return
 		}
-		if fmt.Sprint(c.endpoints, c.version, c.snapshot) != fmt.Sprint(list.Endpoints, list.Version, list.Snapshot) {
-			t.Errorf("%q: %+v, want %+v", text, c, list)
+		if fmt.Sprint(change.endpoints, change.version, change.snapshot) != fmt.Sprint(list.Endpoints, list.Version, list.Snapshot) {
+			t.Errorf("%q: %+v, want %+v", text, change, list)
 		}
 	})
 }
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -32,9 +32,10 @@
 // followerRandomStream is the PCG stream of the jitter, apart from others of the same seed.
 const followerRandomStream = 1
 
-// follower follows membership servers: it chooses the one in use, replaces one that failed, moves back to a preferred
-// one, and holds the version in force. A server in use is kept until another has caught up with that version.
-type follower struct {
+// membershipFollower follows membership servers: it chooses the one in use, replaces one that failed, moves back to a
+// preferred one, and holds the version in force. A server in use is kept until another has caught up with that
+// version.
+type membershipFollower struct {
 	registry *Registry
 	config   FollowConfig
 	selector *membership.Selector
@@ -66,27 +67,27 @@
 	if config.AcknowledgeInterval <= 0 {
 		config.AcknowledgeInterval = defaultAcknowledgeInterval
 	}
-	if f := r.follower; f != nil {
-		f.config = config
-		f.selector.Reset(config.Zone, config.Servers)
-		f.connect()
+	if existing := r.follower; existing != nil {
+		existing.config = config
+		existing.selector.Reset(config.Zone, config.Servers)
+		existing.connect()
 		return
 	}
-	f := &follower{
+	follower := &membershipFollower{
 		registry: r,
 		config:   config,
 		selector: membership.NewSelector(config.Name, config.Zone, config.Servers, config.Seed),
 		random:   rand.New(rand.NewPCG(config.Seed, followerRandomStream)),
 		settings: map[string]json.RawMessage{},
 	}
-	f.attemptTimer.Fire = f.connect
-	f.acknowledgementTimer.Fire = f.acknowledge
-	r.follower = f
+	follower.attemptTimer.Fire = follower.connect
+	follower.acknowledgementTimer.Fire = follower.acknowledge
+	r.follower = follower
 }
 
 // start begins to follow from the initial list. Servers continue from its version only if the list has the settings of
 // that version, as a predecessor's has.
-func (f *follower) start(list *endpointList) {
+func (f *membershipFollower) start(list *endpointList) {
 	f.version = membership.Version(list.Version)
 	if list.Settings != nil {
 		if err := f.applySettings(list.Settings); err != nil {
@@ -101,7 +102,7 @@
 }
 
 // resumeVersion returns the version from which a server is asked to continue; 0: it is asked for a snapshot.
-func (f *follower) resumeVersion() membership.Version {
+func (f *membershipFollower) resumeVersion() membership.Version {
 	if !f.resumable {
 		return 0
 	}
@@ -109,7 +110,7 @@
 }
 
 // connect starts an attempt at a server, if one is due, and schedules its next call.
-func (f *follower) connect() {
+func (f *membershipFollower) connect() {
 	loop := f.registry.dispatcher.Loop
 	now := loop.Now()
 	var wait time.Duration
@@ -127,7 +128,7 @@
 
 // attemptNext starts an attempt at the next server, unless one in progress is promising. It returns how long to wait
 // before the next call.
-func (f *follower) attemptNext(now time.Duration) time.Duration {
+func (f *membershipFollower) attemptNext(now time.Duration) time.Duration {
 	var exclusive time.Duration
 	receiving := 0
 	for _, candidate := range f.candidates {
@@ -152,7 +153,7 @@
 
 // attemptPreferred starts an attempt at a server that is preferred to the one in use. It returns how long to wait
 // before the next call; 0: no server is preferred.
-func (f *follower) attemptPreferred(now time.Duration) time.Duration {
+func (f *membershipFollower) attemptPreferred(now time.Duration) time.Duration {
 	if len(f.candidates) > 0 {
 		return answerStagger
 	}
@@ -165,19 +166,19 @@
 }
 
 // beginAttempt subscribes to a server as a candidate.
-func (f *follower) beginAttempt(server membership.Server, now time.Duration) {
+func (f *membershipFollower) beginAttempt(server membership.Server, now time.Duration) {
 	candidate := &subscription{follower: f, server: server, exclusiveUntil: now + connectStagger}
 	f.candidates = append(f.candidates, candidate)
 	candidate.start()
 }
 
 // activate puts a server in use that has caught up, and gives up the one before and all other candidates.
-func (f *follower) activate(s *subscription) {
+func (f *membershipFollower) activate(chosen *subscription) {
 	now := f.registry.dispatcher.Loop.Now()
 	previous := f.active
-	f.active = s
+	f.active = chosen
 	for _, candidate := range f.candidates {
-		if candidate != s {
+		if candidate != chosen {
 			f.abandon(candidate)
 		}
 	}
@@ -185,9 +186,9 @@
 	if previous != nil {
 		f.abandon(previous)
 	}
-	f.selector.MarkActive(now, s.server.Address)
-	f.recordServer(s.server)
-	f.acknowledgedVersion = s.polledVersion
+	f.selector.MarkActive(now, chosen.server.Address)
+	f.recordServer(chosen.server)
+	f.acknowledgedVersion = chosen.polledVersion
 	f.acknowledgedAt = now
 	f.acknowledgementScheduled = false
 	f.repairRequestedAt = now
@@ -196,13 +197,13 @@
 }
 
 // abandon closes a subscription in favour of another, which is no failure of its server.
-func (f *follower) abandon(s *subscription) {
-	f.selector.MarkAbandoned(s.server.Address)
-	s.close()
+func (f *membershipFollower) abandon(abandoned *subscription) {
+	f.selector.MarkAbandoned(abandoned.server.Address)
+	abandoned.close()
 }
 
 // recordServer counts and logs a change of the server in use.
-func (f *follower) recordServer(server membership.Server) {
+func (f *membershipFollower) recordServer(server membership.Server) {
 	moved := f.lastServer != server.Address
 	if moved && f.lastServer != "" {
 		f.registry.stats.Failovers++
@@ -215,7 +216,7 @@
 }
 
 // subscriptionFailed closes a subscription that has failed, and goes on with another server.
-func (f *follower) subscriptionFailed(failed *subscription, cause error) {
+func (f *membershipFollower) subscriptionFailed(failed *subscription, cause error) {
 	loop := f.registry.dispatcher.Loop
 	failed.close()
 	f.selector.MarkFailed(loop.Now(), failed.server.Address)
@@ -224,7 +225,7 @@
 		loop.Clear(&f.acknowledgementTimer)
 		f.outageLogged = false
 	}
-	f.candidates = slices.DeleteFunc(f.candidates, func(s *subscription) bool { return s == failed })
+	f.candidates = slices.DeleteFunc(f.candidates, func(lost *subscription) bool { return lost == failed })
 	if f.active == nil && !f.outageLogged {
 		f.outageLogged = true // one log line for an outage, not one for each attempt
 		f.registry.dispatcher.Log("membership: " + failed.server.Address + ": " + cause.Error())
--- a/internal/discovery/handover.go
+++ b/internal/discovery/handover.go
@@ -12,10 +12,10 @@
 // Export returns the address of discovery, and the list in its wire form, for a successor process.
 func (r *Registry) Export() (addr string, list json.RawMessage, err error) {
 	exported := endpointList{Version: r.watch.version, Snapshot: true, Endpoints: []endpoint{}}
-	if f := r.follower; f != nil {
-		exported.Version = int64(f.version)
-		if f.resumable && f.completeThrough == f.version {
-			exported.Settings = f.appliedSettings()
+	if follower := r.follower; follower != nil {
+		exported.Version = int64(follower.version)
+		if follower.resumable && follower.completeThrough == follower.version {
+			exported.Settings = follower.appliedSettings()
 		}
 	}
 	for _, worker := range r.workers {
--- a/internal/discovery/livesettings.go
+++ b/internal/discovery/livesettings.go
@@ -9,7 +9,7 @@
 )
 
 // applySettings puts changed settings in force, all or none.
-func (f *follower) applySettings(changes []settingChange) error {
+func (f *membershipFollower) applySettings(changes []settingChange) error {
 	if len(changes) == 0 {
 		return nil
 	}
@@ -30,14 +30,14 @@
 }
 
 // rememberSettings keeps changed settings for a successor process.
-func (f *follower) rememberSettings(changes []settingChange) {
+func (f *membershipFollower) rememberSettings(changes []settingChange) {
 	for _, c := range changes {
 		f.settings[c.Key] = c.Value
 	}
 }
 
 // appliedSettings returns the settings that were changed since the start, sorted by key; it is never nil.
-func (f *follower) appliedSettings() []settingChange {
+func (f *membershipFollower) appliedSettings() []settingChange {
 	out := []settingChange{}
 	for _, key := range slices.Sorted(maps.Keys(f.settings)) {
 		out = append(out, settingChange{key, f.settings[key]})
--- a/internal/discovery/registry.go
+++ b/internal/discovery/registry.go
@@ -41,8 +41,8 @@
 	client     WorkerClient
 	workers    map[string]*Worker // by name; removed workers are not in it
 
-	watch    watch     // the discovery watch; unused while follower is set
-	follower *follower // follows membership servers; nil: the discovery watch is the source
+	watch    watch               // the discovery watch; unused while follower is set
+	follower *membershipFollower // follows membership servers; nil: the discovery watch is the source
 	stats    Stats
 
 	// initialEntries is the initial endpoint list, by worker name, which is withheld from the dispatcher until the
--- a/internal/discovery/responsebody.go
+++ b/internal/discovery/responsebody.go
@@ -35,12 +35,12 @@
 }
 
 // decode reads the one change that the body holds.
-func (b *responseBody) decode(gzipped bool) (change, error) {
+func (b *responseBody) decode(gzipped bool) (membershipChange, error) {
 	var source io.Reader = bytes.NewReader(b.data)
 	if gzipped {
 		decompressed, err := gzip.NewReader(source)
 		if err != nil {
-			return change{}, err
+			return membershipChange{}, err
 		}
 		source = &limitedReader{source: decompressed, remaining: maxDecompressedBytes}
 	}
@@ -81,9 +81,9 @@
 	}
 }
 
-// compact reduces p in place and returns the length that is left.
-func (c *whitespaceCompactor) compact(p []byte) (n int) {
-	for _, b := range p {
+// compact reduces piece in place and returns the length that is left.
+func (c *whitespaceCompactor) compact(piece []byte) (n int) {
+	for _, b := range piece {
 		space := false
 		switch {
 		case c.text.inside(b):
@@ -97,7 +97,7 @@
 			b = ' '
 		}
 		c.afterSpace = space
-		p[n] = b
+		piece[n] = b
 		n++
 	}
 	return n
--- a/internal/discovery/stats.go
+++ b/internal/discovery/stats.go
@@ -20,10 +20,10 @@
 // Stats returns the counters of the source that is followed. For the discovery watch only bytes are counted.
 func (r *Registry) Stats() Stats {
 	stats := r.stats
-	if f := r.follower; f != nil {
-		stats.Version = f.version
-		if f.active != nil {
-			stats.Server = f.active.server.Address
+	if follower := r.follower; follower != nil {
+		stats.Version = follower.version
+		if follower.active != nil {
+			stats.Server = follower.active.server.Address
 		}
 		return stats
 	}
--- a/internal/discovery/subscription.go
+++ b/internal/discovery/subscription.go
@@ -26,7 +26,7 @@
 // version, to catch up and later to acknowledge, and its response may be compressed; the watch, opened once caught up,
 // streams the changes after that.
 type subscription struct {
-	follower *follower
+	follower *membershipFollower
 	server   membership.Server
 
 	exclusiveUntil time.Duration // until then no attempt at another server is started beside this one
@@ -101,19 +101,19 @@
 }
 
 // poll asks for what is newer than a version, which also acknowledges that one, and calls onChange with the answer.
-func (s *subscription) poll(after membership.Version, onChange func(c change, err error)) {
+func (s *subscription) poll(after membership.Version, onChange func(change membershipChange, err error)) {
 	s.polling = true
 	s.polledVersion = after
 	s.pollConn.onDone = func(err error) {
 		s.polling = false
 		body := s.pollBody
 		s.pollBody = responseBody{}
-		var c change
+		var change membershipChange
 		if err == nil {
-			c, err = body.decode(s.pollConn.response.gzipped)
-			c.base = after
+			change, err = body.decode(s.pollConn.response.gzipped)
+			change.base = after
 		}
-		onChange(c, err)
+		onChange(change, err)
 	}
 	s.pollConn.get(s.requestTarget("", after) + s.incompleteParameters(after))
 }
@@ -129,33 +129,33 @@
 }
 
 // onCaughtUp applies the answer to the poll that catches up, and opens the watch after it.
-func (s *subscription) onCaughtUp(c change, err error) {
-	f := s.follower
-	if err == nil && c.version < f.version {
-		err = fmt.Errorf("the server is behind: it has version %d, and %d is in force here", c.version, f.version)
+func (s *subscription) onCaughtUp(change membershipChange, err error) {
+	follower := s.follower
+	if err == nil && change.version < follower.version {
+		err = fmt.Errorf("the server is behind: it has version %d, and %d is in force here", change.version, follower.version)
 	}
 	if err != nil {
-		f.subscriptionFailed(s, err)
+		follower.subscriptionFailed(s, err)
 		return
 	}
-	s.detectIgnoredVersion(c)
-	s.version = c.version
-	if f.apply(c) == changeMismatched {
-		f.subscriptionFailed(s, errBaseMismatch)
+	s.detectIgnoredVersion(change)
+	s.version = change.version
+	if follower.apply(change) == changeMismatched {
+		follower.subscriptionFailed(s, errBaseMismatch)
 		return
 	}
 	s.exclusiveUntil = s.now() + answerStagger
-	s.watchConn.get(s.requestTarget("watch=1&", c.version))
-	if s == f.active {
-		f.acknowledgedVersion = s.polledVersion
-		f.acknowledgedAt = s.now()
-		f.scheduleAcknowledgement()
+	s.watchConn.get(s.requestTarget("watch=1&", change.version))
+	if s == follower.active {
+		follower.acknowledgedVersion = s.polledVersion
+		follower.acknowledgedAt = s.now()
+		follower.scheduleAcknowledgement()
 	}
 }
 
 // detectIgnoredVersion sets ignoresVersion by an answer that sends the version polled from again, as a snapshot.
-func (s *subscription) detectIgnoredVersion(c change) {
-	if s.polledVersion > 0 && c.snapshot && c.version == s.polledVersion {
+func (s *subscription) detectIgnoredVersion(change membershipChange) {
+	if s.polledVersion > 0 && change.snapshot && change.version == s.polledVersion {
 		s.ignoresVersion = true
 	}
 }
@@ -171,9 +171,9 @@
 
 // onWatchProgress puts the server in use as its watch begins, if no other is.
 func (s *subscription) onWatchProgress() {
-	f := s.follower
-	if f.active == nil && s.watchConn.response.headRead {
-		f.activate(s)
+	follower := s.follower
+	if follower.active == nil && s.watchConn.response.headRead {
+		follower.activate(s)
 	}
 }
 
@@ -230,30 +230,30 @@
 // readLine handles one line of the watch: a change, or an empty line that only shows that the server is alive. A server
 // that has caught up with the version in force replaces the one in use.
 func (s *subscription) readLine(text []byte) error {
-	f := s.follower
+	follower := s.follower
 	if len(text) == 0 {
-		f.registry.publishInitial(nil) // the state in force is confirmed
+		follower.registry.publishInitial(nil) // the state in force is confirmed
 	} else if err := s.readChange(text); err != nil {
 		return err
 	}
-	if s != f.active && s.version >= f.version {
-		f.activate(s)
+	if s != follower.active && s.version >= follower.version {
+		follower.activate(s)
 	}
 	return nil
 }
 
 // readChange applies a change of the watch.
 func (s *subscription) readChange(text []byte) error {
-	c, err := decodeChange(bytes.NewReader(text))
+	change, err := decodeChange(bytes.NewReader(text))
 	if err != nil {
 		return err
 	}
-	if c.version < s.version {
-		return fmt.Errorf("version %d after version %d on one watch", c.version, s.version)
+	if change.version < s.version {
+		return fmt.Errorf("version %d after version %d on one watch", change.version, s.version)
 	}
-	c.base = s.version
-	s.version = c.version
-	if s.follower.apply(c) == changeMismatched {
+	change.base = s.version
+	s.version = change.version
+	if s.follower.apply(change) == changeMismatched {
 		return errBaseMismatch
 	}
 	return nil
--- a/internal/durable/leasing.go
+++ b/internal/durable/leasing.go
@@ -15,7 +15,7 @@
 // once the lease is on disk, or with 0 where there is none; it returns false where the lease is not wanted any more.
 func (s *Scheduler) Acquire(request *dispatch.Request, worker string, onAcquired func(fence uint64) bool) {
 	id := request.ID
-	a := s.assignmentsByJob[id]
+	assignment := s.assignmentsByJob[id]
 	if s.stopped {
 		onAcquired(0)
 		return
@@ -34,7 +34,7 @@
 				reject()
 				return
 			}
-			s.onLeased(a, job, onAcquired)
+			s.onLeased(assignment, job, onAcquired)
 		})
 		if !assigned {
 			reject()
@@ -43,10 +43,10 @@
 }
 
 // onLeased passes a lease that is on disk on to the dispatcher.
-func (s *Scheduler) onLeased(a *assignment, job jobs.Job, onAcquired func(fence uint64) bool) {
-	if a != nil && !a.leased {
-		a.leased = true
-		if s.assignmentsByJob[job.ID] == a {
+func (s *Scheduler) onLeased(assignment *jobAssignment, job jobs.Job, onAcquired func(fence uint64) bool) {
+	if assignment != nil && !assignment.leased {
+		assignment.leased = true
+		if s.assignmentsByJob[job.ID] == assignment {
 			s.unleasedAssignments--
 		}
 	}
@@ -69,8 +69,8 @@
 	case outcome == decision.Completed:
 		s.service.Ack(request.ID, fence, slices.Clone(result), ignoreResult)
 	case neverRan:
-		if a := s.assignmentsByJob[request.ID]; a != nil && a.leased {
-			a.leased = false
+		if assignment := s.assignmentsByJob[request.ID]; assignment != nil && assignment.leased {
+			assignment.leased = false
 			s.unleasedAssignments++
 		}
 		s.service.Fail(request.ID, fence, reason, false, ignoreResult)
--- a/internal/durable/offline.go
+++ b/internal/durable/offline.go
@@ -28,15 +28,15 @@
 	if err != nil {
 		return nil, err
 	}
-	o := &OfflineStore{store: file, machine: jobs.New(jobs.Config{}), now: now}
-	stored, err := readJobs(file, o.readRecord)
+	offline := &OfflineStore{store: file, machine: jobs.New(jobs.Config{}), now: now}
+	stored, err := readJobs(file, offline.readRecord)
 	if err != nil {
 		file.Close()
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	slices.SortStableFunc(o.Audits, func(a, b Audit) int { return a.At.Compare(b.At) })
-	o.machine.Recover(now(), stored)
-	return o, nil
+	slices.SortStableFunc(offline.Audits, func(a, b Audit) int { return a.At.Compare(b.At) })
+	offline.machine.Recover(now(), stored)
+	return offline, nil
 }
 
 // readRecord reads a record that is no job.
--- a/internal/durable/scheduler.go
+++ b/internal/durable/scheduler.go
@@ -49,8 +49,8 @@
 	rejected [][]string // jobs that the dispatcher has rejected, after their wait; they go first
 	isQueued map[string]bool
 
-	assignments         slotmap.Map[assignment]
-	assignmentsByJob    map[string]*assignment
+	assignments         slotmap.Map[jobAssignment]
+	assignmentsByJob    map[string]*jobAssignment
 	unleasedAssignments int
 
 	pumpTimer eventloop.Deadline
@@ -63,8 +63,8 @@
 	_ dispatch.Leaser   = (*Scheduler)(nil)
 )
 
-// assignment is a job at the dispatcher.
-type assignment struct {
+// jobAssignment is a job at the dispatcher.
+type jobAssignment struct {
 	id      string
 	request uint64 // the dispatcher's handle
 	class   int
@@ -74,20 +74,20 @@
 // NewScheduler joins a service to a dispatcher. The service must be started after that.
 func NewScheduler(service *Service, dispatcher *dispatch.Dispatcher, workers Workers) *Scheduler {
 	classCount := len(dispatcher.Settings.Classes)
-	s := &Scheduler{
+	scheduler := &Scheduler{
 		service: service, dispatcher: dispatcher, workers: workers, classes: map[string]int{}, paused: map[string]bool{},
 		queued: make([][]string, classCount), rejected: make([][]string, classCount), isQueued: map[string]bool{},
-		assignmentsByJob: map[string]*assignment{},
+		assignmentsByJob: map[string]*jobAssignment{},
 	}
 	for i, class := range dispatcher.Settings.Classes {
-		s.classes[class.Name] = i
+		scheduler.classes[class.Name] = i
 	}
 	for _, class := range service.pausedClasses {
-		s.paused[class] = true
+		scheduler.paused[class] = true
 	}
-	s.pumpTimer.Fire = s.pump
-	service.OnRunnable = s.enqueue
-	return s
+	scheduler.pumpTimer.Fire = scheduler.pump
+	service.OnRunnable = scheduler.enqueue
+	return scheduler
 }
 
 // Wake lets the scheduler look for jobs soon: a slot has become free.
@@ -177,22 +177,22 @@
 	}
 	request.Leaser = s
 	request.ReceivedAt = 0
-	a := &assignment{id: job.ID, class: class}
-	s.assignmentsByJob[job.ID] = a
+	assignment := &jobAssignment{id: job.ID, class: class}
+	s.assignmentsByJob[job.ID] = assignment
 	s.unleasedAssignments++
-	a.request = s.dispatcher.Accept(s, s.assignments.Insert(a), request)
+	assignment.request = s.dispatcher.Accept(s, s.assignments.Insert(assignment), request)
 }
 
 // Respond is called when the dispatcher is through with a job. A job that has not run waits and goes to the head of
 // its queue.
 func (s *Scheduler) Respond(token uint64, response dispatch.Response) {
-	a := s.assignments.Get(token)
+	assignment := s.assignments.Get(token)
 	s.assignments.Remove(token)
-	delete(s.assignmentsByJob, a.id)
-	if !a.leased {
+	delete(s.assignmentsByJob, assignment.id)
+	if !assignment.leased {
 		s.unleasedAssignments--
 	}
-	job, known := s.service.Get(a.id)
+	job, known := s.service.Get(assignment.id)
 	if !known || job.State != jobs.Ready {
 		return
 	}
@@ -200,9 +200,9 @@
 	if response.RetryAfter > 0 {
 		retryAfter = response.RetryAfter
 	}
-	s.isQueued[a.id] = true
+	s.isQueued[assignment.id] = true
 	s.dispatcher.Loop.After(retryAfter, func() {
-		s.rejected[a.class] = append(s.rejected[a.class], a.id)
+		s.rejected[assignment.class] = append(s.rejected[assignment.class], assignment.id)
 		s.Wake()
 	})
 }
--- a/internal/durable/service.go
+++ b/internal/durable/service.go
@@ -50,28 +50,28 @@
 }
 
 // Open opens the store, or makes it, and recovers the jobs in it. A damaged store is an error that names the file.
-func Open(loop *eventloop.Loop, c Config, log *slog.Logger) (*Service, error) {
-	file, err := store.Open(c.Path, c.Store)
+func Open(loop *eventloop.Loop, config Config, log *slog.Logger) (*Service, error) {
+	file, err := store.Open(config.Path, config.Store)
 	if err != nil {
 		return nil, err
 	}
-	s := &Service{
-		loop: loop, path: c.Path, machine: jobs.New(c.Jobs), store: file, log: log,
+	service := &Service{
+		loop: loop, path: config.Path, machine: jobs.New(config.Jobs), store: file, log: log,
 		pushWaiters: waiters{}, reportWaiters: waiters{}, startWaiters: waiters{},
 		leaseWaiters: map[string]func(jobs.Job, error){}, finalWaiters: map[string][]func(jobs.Job){},
 	}
-	s.dueTimer.Fire = func() { s.carryOut(s.machine.Tick(s.loop.Now())) }
+	service.dueTimer.Fire = func() { service.carryOut(service.machine.Tick(service.loop.Now())) }
 	defer useAllCores()()
-	stored, err := readJobs(file, s.readRecord)
+	stored, err := readJobs(file, service.readRecord)
 	if err != nil {
 		file.Close()
-		return nil, fmt.Errorf("%s: %w", c.Path, err)
+		return nil, fmt.Errorf("%s: %w", config.Path, err)
 	}
-	s.recovered = s.machine.Recover(loop.Now(), stored)
+	service.recovered = service.machine.Recover(loop.Now(), stored)
 	if len(stored) > 0 {
-		log.Info("durable jobs recovered", "jobs", len(stored), "runnable", len(s.recovered))
+		log.Info("durable jobs recovered", "jobs", len(stored), "runnable", len(service.recovered))
 	}
-	return s, nil
+	return service, nil
 }
 
 // useAllCores speeds up the reading of a large store. After restore the store's goroutine still has a core of its own
--- a/internal/faktory/client_test.go
+++ b/internal/faktory/client_test.go
@@ -97,7 +97,7 @@
 	if hi, _ := p.reply(); !strings.HasPrefix(hi, "+HI {") {
 		t.Fatalf("greeting %q", hi)
 	}
-	h.V = 2
+	h.Version = 2
 	raw, _ := json.Marshal(h)
 	if got := p.do("HELLO " + string(raw)); got != "+OK" {
 		t.Fatalf("HELLO: %q", got)
--- a/internal/faktory/connection.go
+++ b/internal/faktory/connection.go
@@ -34,8 +34,8 @@
 	salt              string // of the greeting
 	authenticated     bool   // HELLO has been accepted
 	lastPushServed    bool
-	worker            *worker // nil: a producer's
-	busy              bool    // a command awaits its answer; no other is read
+	worker            *registeredWorker // nil: a producer's
+	busy              bool              // a command awaits its answer; no other is read
 	closed            bool
 	deadline          eventloop.Deadline // of a parked FETCH, or of an idle connection
 
@@ -54,7 +54,7 @@
 
 // sendGreeting sends the server's first line.
 func (c *connection) sendGreeting() {
-	message := greeting{V: protocolVersion}
+	message := greeting{Version: protocolVersion}
 	if c.server.password != "" {
 		var salt [saltBytes]byte
 		rand.Read(salt[:])
@@ -118,9 +118,9 @@
 	c.server.dispatcher.Loop.Clear(&c.deadline)
 	c.input.discard()
 	c.unpark()
-	if w := c.worker; w != nil {
+	if worker := c.worker; worker != nil {
 		c.worker = nil
-		w.connectionClosed(c.server)
+		worker.connectionClosed(c.server)
 	}
 }
 
@@ -253,7 +253,7 @@
 		c.rejectHello("MALFORMED HELLO: " + singleLine(err.Error()))
 		return
 	}
-	if message.V != protocolVersion {
+	if message.Version != protocolVersion {
 		c.rejectHello("version: this server speaks 2")
 		return
 	}
--- a/internal/faktory/delivery.go
+++ b/internal/faktory/delivery.go
@@ -9,83 +9,83 @@
 	"hollyyoke.example/hollyyoke/internal/eventloop"
 )
 
-// delivery is an attempt of the dispatcher at a worker of this front end: its
+// jobDelivery is an attempt of the dispatcher at a worker of this front end: its
 // job waits for the worker's next FETCH, or is handed out.
-type delivery struct {
+type jobDelivery struct {
 	attempt       dispatch.Attempt
-	worker        *worker
+	worker        *registeredWorker
 	handedOut     bool // from then on the job may have run
 	fetchDeadline eventloop.Deadline
 }
 
 // handOut answers a parked FETCH with the job of a delivery. If the connection
 // is known to be broken, nothing has run.
-func (s *Server) handOut(d *delivery, slot *connection) {
+func (s *Server) handOut(delivery *jobDelivery, slot *connection) {
 	slot.unpark()
-	request := d.attempt.Request
+	request := delivery.attempt.Request
 	raw := request.Body
 	if request.Target != "" {
 		raw = encodeJob(request, s.dispatcher.Settings.Classes[request.Class].Name)
 	}
-	if d.attempt.Fence != 0 {
-		raw = withFence(raw, d.attempt.Fence)
+	if delivery.attempt.Fence != 0 {
+		raw = withFence(raw, delivery.attempt.Fence)
 	}
 	s.writeBuffer = appendBulk(s.writeBuffer[:0], raw)
 	sentBefore := slot.conn.SentBytes()
 	if !slot.conn.Write(s.writeBuffer) {
 		sent := slot.conn.SentBytes() - sentBefore
 		if sent < int64(len(s.writeBuffer)) {
-			delete(s.deliveries, d.attempt.Handle)
-			s.dispatcher.AttemptEnded(d.attempt.Handle, decision.ConnectionRefused, decision.LoadReport{}, nil)
+			delete(s.deliveries, delivery.attempt.Handle)
+			s.dispatcher.AttemptEnded(delivery.attempt.Handle, decision.ConnectionRefused, decision.LoadReport{}, nil)
 			return
 		}
 	}
-	d.handedOut = true
-	d.worker.inProgress++
+	delivery.handedOut = true
+	delivery.worker.inProgress++
 	slot.resume()
-	s.dispatcher.AttemptStarted(d.attempt.Handle)
+	s.dispatcher.AttemptStarted(delivery.attempt.Handle)
 }
 
 // forgetDelivery removes a delivery from the server and its worker.
-func (s *Server) forgetDelivery(d *delivery) {
-	delete(s.deliveries, d.attempt.Handle)
-	s.dispatcher.Loop.Clear(&d.fetchDeadline)
-	if d.handedOut {
-		d.worker.inProgress--
+func (s *Server) forgetDelivery(delivery *jobDelivery) {
+	delete(s.deliveries, delivery.attempt.Handle)
+	s.dispatcher.Loop.Clear(&delivery.fetchDeadline)
+	if delivery.handedOut {
+		delivery.worker.inProgress--
 		return
 	}
-	d.worker.awaitingFetch = remove(d.worker.awaitingFetch, d)
+	delivery.worker.awaitingFetch = remove(delivery.worker.awaitingFetch, delivery)
 }
 
 // endAttempt removes a delivery and tells the dispatcher how its attempt ended.
-func (s *Server) endAttempt(d *delivery, outcome decision.AttemptOutcome) {
-	s.forgetDelivery(d)
-	s.dispatcher.AttemptEnded(d.attempt.Handle, outcome, decision.LoadReport{}, nil)
+func (s *Server) endAttempt(delivery *jobDelivery, outcome decision.AttemptOutcome) {
+	s.forgetDelivery(delivery)
+	s.dispatcher.AttemptEnded(delivery.attempt.Handle, outcome, decision.LoadReport{}, nil)
 }
 
 // Cancel gives an attempt up and reports whether its job never ran. The
 // protocol cannot call a job back that a worker has.
 func (s *Server) Cancel(handle uint64) (neverRan bool) {
-	d := s.deliveries[handle]
-	if d == nil {
+	delivery := s.deliveries[handle]
+	if delivery == nil {
 		return false
 	}
-	s.forgetDelivery(d)
-	return !d.handedOut
+	s.forgetDelivery(delivery)
+	return !delivery.handedOut
 }
 
-// findHandedOut returns the oldest delivery of a jid that is handed out, to w if w
-// is not nil.
-func (s *Server) findHandedOut(w *worker, jid string) (oldest *delivery) {
-	for _, d := range s.deliveries {
-		if !d.handedOut || d.attempt.Request.ID != jid {
+// findHandedOut returns the oldest delivery of a jid that is handed out, to
+// worker unless that is nil.
+func (s *Server) findHandedOut(worker *registeredWorker, jid string) (oldest *jobDelivery) {
+	for _, delivery := range s.deliveries {
+		if !delivery.handedOut || delivery.attempt.Request.ID != jid {
 			continue
 		}
-		if w != nil && d.worker != w {
+		if worker != nil && delivery.worker != worker {
 			continue
 		}
-		if oldest == nil || d.attempt.Handle < oldest.attempt.Handle {
-			oldest = d
+		if oldest == nil || delivery.attempt.Handle < oldest.attempt.Handle {
+			oldest = delivery
 		}
 	}
 	return oldest
@@ -93,22 +93,22 @@
 
 // endLease ends the delivery that was handed out under a lease, if there is one.
 func (s *Server) endLease(jid string, fence uint64, outcome decision.AttemptOutcome) {
-	for _, d := range s.deliveries {
-		if d.handedOut && d.attempt.Request.ID == jid && d.attempt.Fence == fence {
-			s.endAttempt(d, outcome)
+	for _, delivery := range s.deliveries {
+		if delivery.handedOut && delivery.attempt.Request.ID == jid && delivery.attempt.Fence == fence {
+			s.endAttempt(delivery, outcome)
 			return
 		}
 	}
 }
 
 // deliveriesOf returns a worker's deliveries, in the order of their attempts.
-func (s *Server) deliveriesOf(w *worker) (deliveries []*delivery) {
-	for _, d := range s.deliveries {
-		if d.worker == w {
-			deliveries = append(deliveries, d)
+func (s *Server) deliveriesOf(worker *registeredWorker) (deliveries []*jobDelivery) {
+	for _, delivery := range s.deliveries {
+		if delivery.worker == worker {
+			deliveries = append(deliveries, delivery)
 		}
 	}
-	slices.SortFunc(deliveries, func(a, b *delivery) int {
+	slices.SortFunc(deliveries, func(a, b *jobDelivery) int {
 		return cmp.Compare(a.attempt.Handle, b.attempt.Handle)
 	})
 	return deliveries
--- a/internal/faktory/durable.go
+++ b/internal/faktory/durable.go
@@ -98,8 +98,8 @@
 // Guarantee returns what a worker has promised. Workers of other front ends
 // promise nothing.
 func (s *Server) Guarantee(workerName string) jobs.Guarantee {
-	if w := s.workers[workerName]; w != nil {
-		return w.guarantee
+	if worker := s.workers[workerName]; worker != nil {
+		return worker.guarantee
 	}
 	return jobs.NoGuarantee
 }
--- a/internal/faktory/durablecommands.go
+++ b/internal/faktory/durablecommands.go
@@ -26,9 +26,9 @@
 
 // jobProgress is how far a worker says it is with a job; a restart forgets it.
 type jobProgress struct {
-	Percent int    `json:"percent"`
-	Desc    string `json:"desc"`
-	At      string `json:"updated_at"`
+	Percent   int    `json:"percent"`
+	Desc      string `json:"desc"`
+	UpdatedAt string `json:"updated_at"`
 }
 
 // trackReply is the JSON of the answer to TRACK GET.
@@ -250,9 +250,9 @@
 		clear(queues.progress) // of jobs whose workers never closed them
 	}
 	queues.progress[message.Jid] = jobProgress{
-		Percent: message.Percent,
-		Desc:    message.Desc,
-		At:      time.Unix(0, int64(now)).UTC().Format(time.RFC3339),
+		Percent:   message.Percent,
+		Desc:      message.Desc,
+		UpdatedAt: time.Unix(0, int64(now)).UTC().Format(time.RFC3339),
 	}
 	c.writeLine(replyOK)
 }
--- a/internal/faktory/info.go
+++ b/internal/faktory/info.go
@@ -47,9 +47,9 @@
 	counts := s.dispatcher.Counts()
 	inProgress := 0
 	parked := 0
-	for _, w := range s.workers {
-		inProgress += w.inProgress
-		parked += len(w.parked)
+	for _, worker := range s.workers {
+		inProgress += worker.inProgress
+		parked += len(worker.parked)
 	}
 	faktory := infoFaktory{
 		Tasks: map[string]infoSize{
--- a/internal/faktory/jobpayload.go
+++ b/internal/faktory/jobpayload.go
@@ -58,7 +58,7 @@
 	Queue             string            `json:"queue"`
 	Jobtype           string            `json:"jobtype"`
 	Args              []json.RawMessage `json:"args"`
-	At                string            `json:"at"`
+	RunAt             string            `json:"at"`
 	Retry             *int              `json:"retry"`
 	ReserveForSeconds float64           `json:"reserve_for"`
 	Custom            struct {
@@ -97,15 +97,15 @@
 	if err != nil {
 		return request, payload, err
 	}
-	payload.scheduledAt, err = parseSchedule(payload.At, now)
+	payload.scheduledAt, err = parseSchedule(payload.RunAt, now)
 	if err != nil {
 		return request, payload, err
 	}
-	if ms := payload.Custom.LeftMs; ms > 0 {
-		request.TimeLeft = time.Duration(min(ms*1e6, maxHint))
+	if milliseconds := payload.Custom.LeftMs; milliseconds > 0 {
+		request.TimeLeft = time.Duration(min(milliseconds*1e6, maxHint))
 	}
-	if us := payload.Custom.EffortUs; us > 0 {
-		request.Work = time.Duration(min(us*1e3, maxHint))
+	if microseconds := payload.Custom.EffortUs; microseconds > 0 {
+		request.Work = time.Duration(min(microseconds*1e3, maxHint))
 	}
 	return request, payload, nil
 }
@@ -126,11 +126,11 @@
 }
 
 // parseSchedule returns the clock time at which a job may run; 0: now.
-func parseSchedule(at string, now time.Duration) (time.Duration, error) {
-	if at == "" {
+func parseSchedule(schedule string, now time.Duration) (time.Duration, error) {
+	if schedule == "" {
 		return 0, nil
 	}
-	when, err := time.Parse(time.RFC3339Nano, at)
+	when, err := time.Parse(time.RFC3339Nano, schedule)
 	if err != nil {
 		return 0, errInvalidTime
 	}
--- a/internal/faktory/lane.go
+++ b/internal/faktory/lane.go
@@ -218,7 +218,7 @@
 		return
 	}
 	err := json.Unmarshal([]byte(text), &message)
-	if err != nil || message.V != protocolVersion {
+	if err != nil || message.Version != protocolVersion {
 		l.reconnect(errGreetingVersion)
 		return
 	}
@@ -228,7 +228,7 @@
 		Wid:      l.source.wid,
 		Pid:      os.Getpid(),
 		Labels:   []string{"hollyyoke"},
-		V:        protocolVersion,
+		Version:  protocolVersion,
 	}
 	if message.Salt != "" {
 		if message.Iterations > maxHashIterations {
--- a/internal/faktory/protocol.go
+++ b/internal/faktory/protocol.go
@@ -59,7 +59,7 @@
 
 // greeting is the JSON of a server's first reply.
 type greeting struct {
-	V          int    `json:"v"`
+	Version    int    `json:"v"`
 	Salt       string `json:"s,omitempty"`
 	Iterations int    `json:"i,omitempty"`
 }
@@ -73,7 +73,7 @@
 	Wid      string   `json:"wid,omitempty"` // worker ID; empty: a producer
 	Pid      int      `json:"pid,omitempty"`
 	Labels   []string `json:"labels,omitempty"`
-	V        int      `json:"v"`
+	Version  int      `json:"v"`
 	Hash     string   `json:"pwdhash,omitempty"`
 }
 
@@ -177,30 +177,30 @@
 	return r, 0, errProtocol
 }
 
-// parseBulk completes the reply r, a bulk string whose length line ends at
+// parseBulk completes bulk, a bulk string whose length line ends at
 // start in b.
-func parseBulk(r reply, b []byte, start int) (_ reply, used int, err error) {
-	length, err := strconv.Atoi(string(r.text))
+func parseBulk(bulk reply, b []byte, start int) (_ reply, used int, err error) {
+	length, err := strconv.Atoi(string(bulk.text))
 	if err != nil || length < -1 {
-		return r, 0, errProtocol
+		return bulk, 0, errProtocol
 	}
 	if length == -1 {
-		r.text = nil
-		r.null = true
-		return r, start, nil
+		bulk.text = nil
+		bulk.null = true
+		return bulk, start, nil
 	}
 	if length > maxCommandBytes {
-		return r, 0, errTooLong
+		return bulk, 0, errTooLong
 	}
 	end := start + length
 	if len(b) < end+2 {
-		return r, 0, nil
+		return bulk, 0, nil
 	}
 	if b[end] != '\r' || b[end+1] != '\n' {
-		return r, 0, errProtocol
+		return bulk, 0, errProtocol
 	}
-	r.text = b[start:end]
-	return r, end + 2, nil
+	bulk.text = b[start:end]
+	return bulk, end + 2, nil
 }
 
 // appendBulk appends text as a bulk string.
--- a/internal/faktory/server.go
+++ b/internal/faktory/server.go
@@ -31,8 +31,8 @@
 	firstClassKind int            // worker kinds from here on are sets of classes, see Prepare
 	connections    slotmap.Map[connection]
 	gate           *listener.Gate
-	workers        map[string]*worker // by name
-	deliveries     map[uint64]*delivery
+	workers        map[string]*registeredWorker // by name
+	deliveries     map[uint64]*jobDelivery
 	jids           *jidMemory
 	durable        *durableQueues // nil: all queues are direct
 	acceptor       *transport.Acceptor
@@ -55,20 +55,20 @@
 
 // NewServer returns a server without workers. Listen opens its address.
 func NewServer(dispatcher *dispatch.Dispatcher, engine *transport.Engine, password string, jids *jidMemory) *Server {
-	s := &Server{
+	server := &Server{
 		dispatcher:     dispatcher,
 		engine:         engine,
 		password:       password,
 		classNumbers:   classNumbers(dispatcher),
 		firstClassKind: len(dispatcher.Settings.KindNames),
 		gate:           listener.NewUnlimited(dispatcher.Loop, 1),
-		workers:        map[string]*worker{},
-		deliveries:     map[uint64]*delivery{},
+		workers:        map[string]*registeredWorker{},
+		deliveries:     map[uint64]*jobDelivery{},
 		jids:           jids,
 		startedAt:      dispatcher.Loop.Now(),
 	}
-	dispatcher.AddSource(s)
-	return s
+	dispatcher.AddSource(server)
+	return server
 }
 
 // classNumbers maps the names of classes to their numbers.
@@ -105,17 +105,17 @@
 }
 
 func (s *Server) accept(conn *transport.Conn) transport.Handler {
-	c := &connection{server: s, conn: conn}
-	c.input.pool = &s.engine.Pool
-	c.token = s.connections.Insert(c)
-	c.admissionID = s.gate.Accepted(frontEndNumber, c.token, conn.AdmissionToken)
-	c.deadline.Fire = c.onDeadline
-	c.setDeadline(helloTimeout)
-	c.awaitsProxyHeader = s.gate.Limiter.TrustOf(c.admissionID) == connlimit.TrustedProxy
-	if !c.awaitsProxyHeader {
-		c.sendGreeting()
+	accepted := &connection{server: s, conn: conn}
+	accepted.input.pool = &s.engine.Pool
+	accepted.token = s.connections.Insert(accepted)
+	accepted.admissionID = s.gate.Accepted(frontEndNumber, accepted.token, conn.AdmissionToken)
+	accepted.deadline.Fire = accepted.onDeadline
+	accepted.setDeadline(helloTimeout)
+	accepted.awaitsProxyHeader = s.gate.Limiter.TrustOf(accepted.admissionID) == connlimit.TrustedProxy
+	if !accepted.awaitsProxyHeader {
+		accepted.sendGreeting()
 	}
-	return c
+	return accepted
 }
 
 // shedConnections closes some idle connections, since there are too many.
--- a/internal/faktory/server_test.go
+++ b/internal/faktory/server_test.go
@@ -102,7 +102,7 @@
 		if err := json.Unmarshal([]byte(strings.TrimPrefix(hi, "+HI ")), &g); err != nil || g.Salt == "" || g.Iterations < 1 {
 			t.Fatalf("greeting %q", hi)
 		}
-		raw, _ := json.Marshal(hello{V: 2, Hash: hashPassword(test.password, g.Salt, g.Iterations)})
+		raw, _ := json.Marshal(hello{Version: 2, Hash: hashPassword(test.password, g.Salt, g.Iterations)})
 		if got := p.do("HELLO " + string(raw)); got != test.want {
 			t.Errorf("password %q: %q, want %q", test.password, got, test.want)
 		}
--- a/internal/faktory/slots.go
+++ b/internal/faktory/slots.go
@@ -19,8 +19,8 @@
 	foreignOffers = 16
 )
 
-// reservation is a durable job that waits for a slot of a worker before it is leased.
-type reservation struct {
+// slotReservation is a durable job that waits for a slot of a worker before it is leased.
+type slotReservation struct {
 	jid      string
 	class    int
 	onResult func(free bool)
@@ -50,9 +50,9 @@
 		c.durableClasses = c.server.durableClassesOf(queues)
 		c.parkSequence = durable.parkCount
 	}
-	w := c.worker
-	w.parked = append(w.parked, c)
-	w.maxSlots = max(w.maxSlots, len(w.parked)+w.inProgress)
+	worker := c.worker
+	worker.parked = append(worker.parked, c)
+	worker.maxSlots = max(worker.maxSlots, len(worker.parked)+worker.inProgress)
 	c.setDeadline(parkTimeout)
 }
 
@@ -70,31 +70,31 @@
 // dispatcher of the free slot. A worker that drains gets nothing: its FETCH is
 // answered with no job in time.
 func (s *Server) offerSlot(slot *connection) {
-	w := slot.worker
-	if w.endpoint.State != decision.Running {
+	worker := slot.worker
+	if worker.endpoint.State != decision.Running {
 		return
 	}
-	s.extendKind(w, slot.classMask)
-	w.deliverAwaiting(s)
-	w.fillReservations(s)
-	if slot.parked && w.listed {
-		s.reportFreeSlots(w)
+	s.extendKind(worker, slot.classMask)
+	worker.deliverAwaiting(s)
+	worker.fillReservations(s)
+	if slot.parked && worker.listed {
+		s.reportFreeSlots(worker)
 	}
 }
 
 // extendKind adds classes to those that the worker's kind runs, which are what
 // any of its connections has fetched. The first time lists the worker.
-func (s *Server) extendKind(w *worker, classMask int) {
+func (s *Server) extendKind(worker *registeredWorker, classMask int) {
 	kind := s.firstClassKind + classMask
-	if oldMask := w.endpoint.Kind - s.firstClassKind; w.listed && oldMask >= 0 {
+	if oldMask := worker.endpoint.Kind - s.firstClassKind; worker.listed && oldMask >= 0 {
 		kind = s.firstClassKind + (oldMask | classMask)
 	}
-	if classMask == 0 || w.listed && kind == w.endpoint.Kind {
+	if classMask == 0 || worker.listed && kind == worker.endpoint.Kind {
 		return
 	}
-	w.endpoint.Kind = kind
-	w.listed = true
-	s.updateEndpoint(w)
+	worker.endpoint.Kind = kind
+	worker.listed = true
+	s.updateEndpoint(worker)
 }
 
 // classMaskOf returns the classes that a FETCH names, as bits.
@@ -120,7 +120,7 @@
 
 // slotFor returns the parked FETCH that is reserved for a job, or else the
 // oldest free one that fetches its class.
-func (w *worker) slotFor(class int, jid string) (free *connection) {
+func (w *registeredWorker) slotFor(class int, jid string) (free *connection) {
 	for _, slot := range w.parked {
 		if slot.classMask>>class&1 == 0 {
 			continue
@@ -136,15 +136,15 @@
 }
 
 // deliverAwaiting hands deliveries that wait for a FETCH to the slots that fit.
-func (w *worker) deliverAwaiting(s *Server) {
-	for _, d := range slices.Clone(w.awaitingFetch) {
-		slot := w.slotFor(d.attempt.Request.Class, d.attempt.Request.ID)
+func (w *registeredWorker) deliverAwaiting(s *Server) {
+	for _, delivery := range slices.Clone(w.awaitingFetch) {
+		slot := w.slotFor(delivery.attempt.Request.Class, delivery.attempt.Request.ID)
 		if slot == nil {
 			continue
 		}
-		w.awaitingFetch = remove(w.awaitingFetch, d)
-		s.dispatcher.Loop.Clear(&d.fetchDeadline)
-		s.handOut(d, slot)
+		w.awaitingFetch = remove(w.awaitingFetch, delivery)
+		s.dispatcher.Loop.Clear(&delivery.fetchDeadline)
+		s.handOut(delivery, slot)
 	}
 }
 
@@ -169,13 +169,13 @@
 // freeParked returns the parked FETCHes that no delivery waits for, from the
 // oldest on, and the number of running workers.
 func (s *Server) freeParked() (parked []*connection, running int) {
-	for _, w := range s.workers {
-		if !w.listed || w.endpoint.State != decision.Running {
+	for _, worker := range s.workers {
+		if !worker.listed || worker.endpoint.State != decision.Running {
 			continue
 		}
 		running++
-		taken := min(len(w.awaitingFetch), len(w.parked))
-		parked = append(parked, w.parked[taken:]...)
+		taken := min(len(worker.awaitingFetch), len(worker.parked))
+		parked = append(parked, worker.parked[taken:]...)
 	}
 	slices.SortFunc(parked, func(a, b *connection) int { return cmp.Compare(a.parkSequence, b.parkSequence) })
 	return parked, running
@@ -185,55 +185,55 @@
 // time, and calls onResult with whether there is one. A worker of another front
 // end is always free.
 func (s *Server) Reserve(workerName string, class int, jid string, onResult func(free bool)) {
-	w := s.workers[workerName]
-	if w == nil {
+	worker := s.workers[workerName]
+	if worker == nil {
 		onResult(true)
 		return
 	}
-	if w.endpoint.State != decision.Running || len(w.reservations) >= max(w.maxSlots, 1) {
+	if worker.endpoint.State != decision.Running || len(worker.reservations) >= max(worker.maxSlots, 1) {
 		onResult(false)
 		return
 	}
-	r := &reservation{jid: jid, class: class, onResult: onResult}
-	r.deadline.Fire = func() { w.resolveReservation(s, r, false) }
-	w.reservations = append(w.reservations, r)
+	reservation := &slotReservation{jid: jid, class: class, onResult: onResult}
+	reservation.deadline.Fire = func() { worker.resolveReservation(s, reservation, false) }
+	worker.reservations = append(worker.reservations, reservation)
 	loop := s.dispatcher.Loop
-	loop.Set(&r.deadline, loop.Now()+nextFetchTimeout)
-	w.fillReservations(s)
+	loop.Set(&reservation.deadline, loop.Now()+nextFetchTimeout)
+	worker.fillReservations(s)
 }
 
 // Unreserve frees a slot that was reserved for a job.
 func (s *Server) Unreserve(workerName, jid string) {
-	w := s.workers[workerName]
-	if w == nil {
+	worker := s.workers[workerName]
+	if worker == nil {
 		return
 	}
-	for _, slot := range w.parked {
+	for _, slot := range worker.parked {
 		if slot.reservedFor == jid {
 			slot.reservedFor = ""
 		}
 	}
 	s.dispatcher.Loop.Post(func() {
-		w.deliverAwaiting(s)
-		w.fillReservations(s)
+		worker.deliverAwaiting(s)
+		worker.fillReservations(s)
 	})
 }
 
 // resolveReservation ends a reservation that waits.
-func (w *worker) resolveReservation(s *Server, r *reservation, free bool) {
-	w.reservations = remove(w.reservations, r)
-	s.dispatcher.Loop.Clear(&r.deadline)
-	r.onResult(free)
+func (w *registeredWorker) resolveReservation(s *Server, reservation *slotReservation, free bool) {
+	w.reservations = remove(w.reservations, reservation)
+	s.dispatcher.Loop.Clear(&reservation.deadline)
+	reservation.onResult(free)
 }
 
 // fillReservations reserves free slots for the jobs that wait for one.
-func (w *worker) fillReservations(s *Server) {
-	for _, r := range slices.Clone(w.reservations) {
-		slot := w.slotFor(r.class, "")
-		if slot == nil || !slices.Contains(w.reservations, r) {
+func (w *registeredWorker) fillReservations(s *Server) {
+	for _, reservation := range slices.Clone(w.reservations) {
+		slot := w.slotFor(reservation.class, "")
+		if slot == nil || !slices.Contains(w.reservations, reservation) {
 			continue
 		}
-		slot.reservedFor = r.jid
-		w.resolveReservation(s, r, true)
+		slot.reservedFor = reservation.jid
+		w.resolveReservation(s, reservation, true)
 	}
 }
--- a/internal/faktory/source.go
+++ b/internal/faktory/source.go
@@ -27,7 +27,7 @@
 
 // NewSource returns the source role. Start connects its lanes.
 func NewSource(dispatcher *dispatch.Dispatcher, engine *transport.Engine, config Config, jids *jidMemory) *Source {
-	s := &Source{
+	source := &Source{
 		dispatcher:   dispatcher,
 		engine:       engine,
 		config:       config,
@@ -36,16 +36,16 @@
 		fetchCommand: commandFetch + " " + strings.Join(config.Source.Queues, " "),
 		jids:         jids,
 	}
-	if s.wid == "" {
-		s.wid = fmt.Sprintf("hollyyoke-%016x", rand.Uint64())
+	if source.wid == "" {
+		source.wid = fmt.Sprintf("hollyyoke-%016x", rand.Uint64())
 	}
 	for number := range config.Source.Lanes + 1 {
-		l := &lane{source: s, number: number}
-		l.input.pool = &engine.Pool
-		l.deadline.Fire = l.onDeadline
-		s.lanes = append(s.lanes, l)
+		added := &lane{source: source, number: number}
+		added.input.pool = &engine.Pool
+		added.deadline.Fire = added.onDeadline
+		source.lanes = append(source.lanes, added)
 	}
-	return s
+	return source
 }
 
 // Start connects all lanes.
--- a/internal/faktory/worker.go
+++ b/internal/faktory/worker.go
@@ -36,16 +36,16 @@
 	stateTerminating = "terminating"
 )
 
-// worker is one wid, whatever the number of its connections: one worker of the
-// fleet to the dispatcher.
-type worker struct {
+// registeredWorker is one wid, whatever the number of its connections: one worker
+// of the fleet to the dispatcher.
+type registeredWorker struct {
 	name           string // the wid with workerNamePrefix
 	endpoint       decision.Endpoint
-	listed         bool          // the dispatcher knows it
-	connections    int           // open ones
-	parked         []*connection // FETCHes that wait, the oldest first: its free slots
-	awaitingFetch  []*delivery   // deliveries that wait for its next FETCH
-	reservations   []*reservation
+	listed         bool           // the dispatcher knows it
+	connections    int            // open ones
+	parked         []*connection  // FETCHes that wait, the oldest first: its free slots
+	awaitingFetch  []*jobDelivery // deliveries that wait for its next FETCH
+	reservations   []*slotReservation
 	inProgress     int // jobs handed out and not closed
 	guarantee      jobs.Guarantee
 	maxSlots       int // the most it ever had parked and in progress
@@ -56,39 +56,39 @@
 // that has just started and is subject to slow start, unless it was surely
 // running before: it joins right after our own start, or a label tells its
 // start, or there is no other running worker.
-func (s *Server) registerWorker(message hello) *worker {
-	w := s.workers[workerNamePrefix+message.Wid]
-	if w == nil {
-		w = s.newWorker(message)
-		s.workers[w.name] = w
+func (s *Server) registerWorker(message hello) *registeredWorker {
+	worker := s.workers[workerNamePrefix+message.Wid]
+	if worker == nil {
+		worker = s.newWorker(message)
+		s.workers[worker.name] = worker
 	}
 	if slices.Contains(message.Labels, labelFences) {
-		w.guarantee = max(w.guarantee, jobs.HonorsFences)
+		worker.guarantee = max(worker.guarantee, jobs.HonorsFences)
 	}
 	if slices.Contains(message.Labels, labelIdempotent) {
-		w.guarantee = max(w.guarantee, jobs.Deduplicates)
+		worker.guarantee = max(worker.guarantee, jobs.Deduplicates)
 	}
-	w.connections++
-	s.dispatcher.Loop.Clear(&w.rejoinDeadline)
-	return w
+	worker.connections++
+	s.dispatcher.Loop.Clear(&worker.rejoinDeadline)
+	return worker
 }
 
-func (s *Server) newWorker(message hello) *worker {
+func (s *Server) newWorker(message hello) *registeredWorker {
 	now := s.dispatcher.Loop.Now()
-	w := &worker{name: workerNamePrefix + message.Wid}
-	w.endpoint = decision.Endpoint{
-		Name:      w.name,
+	worker := &registeredWorker{name: workerNamePrefix + message.Wid}
+	worker.endpoint = decision.Endpoint{
+		Name:      worker.name,
 		Zone:      s.dispatcher.Settings.Zone,
 		Kind:      s.firstClassKind,
 		Weight:    1,
 		StartedAt: now,
 	}
 	if now-s.startedAt < runningBeforeWindow || !s.hasRunningWorker() {
-		w.endpoint.StartedAt = 0
+		worker.endpoint.StartedAt = 0
 	}
-	s.applyLabels(&w.endpoint, message.Labels)
-	w.rejoinDeadline.Fire = func() { s.removeWorker(w) }
-	return w
+	s.applyLabels(&worker.endpoint, message.Labels)
+	worker.rejoinDeadline.Fire = func() { s.removeWorker(worker) }
+	return worker
 }
 
 // applyLabels sets what a worker's labels tell about it. Others are ignored.
@@ -109,8 +109,8 @@
 }
 
 func (s *Server) hasRunningWorker() bool {
-	for _, w := range s.workers {
-		if w.listed && w.endpoint.State == decision.Running {
+	for _, worker := range s.workers {
+		if worker.listed && worker.endpoint.State == decision.Running {
 			return true
 		}
 	}
@@ -119,15 +119,15 @@
 
 // updateEndpoint tells the dispatcher of a change of a worker's endpoint, if it
 // knows the worker.
-func (s *Server) updateEndpoint(w *worker) {
-	if w.listed {
-		s.dispatcher.UpdateWorkers(s, decision.ListDelta, []decision.Endpoint{w.endpoint})
+func (s *Server) updateEndpoint(worker *registeredWorker) {
+	if worker.listed {
+		s.dispatcher.UpdateWorkers(s, decision.ListDelta, []decision.Endpoint{worker.endpoint})
 	}
 }
 
 // connectionClosed records the end of a connection of the worker, which is
 // removed if it does not come back in time after the last one.
-func (w *worker) connectionClosed(s *Server) {
+func (w *registeredWorker) connectionClosed(s *Server) {
 	w.connections--
 	if w.connections == 0 {
 		loop := s.dispatcher.Loop
@@ -136,18 +136,18 @@
 }
 
 // removeWorker removes a worker that has gone, and with it what was in progress there.
-func (s *Server) removeWorker(w *worker) {
-	delete(s.workers, w.name)
-	w.endpoint.State = decision.Removed
-	s.updateEndpoint(w)
-	w.returnUndelivered(s)
-	for _, d := range s.deliveriesOf(w) {
-		s.endAttempt(d, decision.ConnectionLost)
+func (s *Server) removeWorker(worker *registeredWorker) {
+	delete(s.workers, worker.name)
+	worker.endpoint.State = decision.Removed
+	s.updateEndpoint(worker)
+	worker.returnUndelivered(s)
+	for _, delivery := range s.deliveriesOf(worker) {
+		s.endAttempt(delivery, decision.ConnectionLost)
 	}
 }
 
 // drain lets a worker finish what it has, and gives it nothing new.
-func (w *worker) drain(s *Server) {
+func (w *registeredWorker) drain(s *Server) {
 	if w.endpoint.State != decision.Running {
 		return
 	}
@@ -157,7 +157,7 @@
 }
 
 // returnUndelivered gives back what waits for a worker's next FETCH: it has not run.
-func (w *worker) returnUndelivered(s *Server) {
+func (w *registeredWorker) returnUndelivered(s *Server) {
 	for len(w.reservations) > 0 {
 		w.resolveReservation(s, w.reservations[0], false)
 	}
@@ -176,9 +176,9 @@
 		return
 	}
 	name := workerNamePrefix + message.Wid
-	w := c.server.workers[name]
-	if w == nil {
-		w = c.worker
+	worker := c.server.workers[name]
+	if worker == nil {
+		worker = c.worker
 	}
 	if queues := c.server.durable; queues != nil {
 		if message.Wid == "" && c.worker != nil {
@@ -187,12 +187,12 @@
 		queues.Heartbeat(name)
 	}
 	c.writeLine(replyOK)
-	if w == nil {
+	if worker == nil {
 		return
 	}
 	switch message.State {
 	case stateQuiet, stateTerminate, stateTerminating:
-		w.drain(c.server)
+		worker.drain(c.server)
 	}
 }
 
@@ -215,8 +215,8 @@
 		}
 	}
 	c.writeLine(replyOK)
-	d := server.findHandedOut(c.worker, message.Jid)
-	if d == nil {
+	delivery := server.findHandedOut(c.worker, message.Jid)
+	if delivery == nil {
 		if verb == commandAck {
 			server.jids.confirm(message.Jid, server.dispatcher.Loop.Now())
 		}
@@ -226,7 +226,7 @@
 	if verb == commandFail {
 		outcome = decision.Failed
 	}
-	server.endAttempt(d, outcome)
+	server.endAttempt(delivery, outcome)
 }
 
 // Subscribe does nothing: workers connect by themselves.
@@ -237,33 +237,33 @@
 
 // CheckHealth answers at once from what is known of a worker.
 func (s *Server) CheckHealth(name string) {
-	if w := s.workers[name]; w != nil {
-		s.reportFreeSlots(w)
+	if worker := s.workers[name]; worker != nil {
+		s.reportFreeSlots(worker)
 	}
 }
 
 // reportFreeSlots tells the dispatcher how many FETCHes of a worker wait.
-func (s *Server) reportFreeSlots(w *worker) {
-	report := decision.LoadReport{FreeSlots: float64(len(w.parked)), HasFreeSlots: true}
-	s.dispatcher.HealthChecked(w.name, decision.Completed, report)
+func (s *Server) reportFreeSlots(worker *registeredWorker) {
+	report := decision.LoadReport{FreeSlots: float64(len(worker.parked)), HasFreeSlots: true}
+	s.dispatcher.HealthChecked(worker.name, decision.Completed, report)
 }
 
 // Start hands an attempt's job to a parked FETCH of its worker, or lets it wait
 // for the worker's next one.
 func (s *Server) Start(attempt dispatch.Attempt) {
-	w := s.workers[attempt.Worker]
-	if w == nil || w.endpoint.State != decision.Running || len(w.awaitingFetch) >= max(w.maxSlots, 1) {
+	worker := s.workers[attempt.Worker]
+	if worker == nil || worker.endpoint.State != decision.Running || len(worker.awaitingFetch) >= max(worker.maxSlots, 1) {
 		s.dispatcher.AttemptEnded(attempt.Handle, decision.Saturated, decision.LoadReport{}, nil)
 		return
 	}
-	d := &delivery{attempt: attempt, worker: w}
-	d.fetchDeadline.Fire = func() { s.endAttempt(d, decision.Saturated) }
-	s.deliveries[attempt.Handle] = d
-	if slot := w.slotFor(attempt.Request.Class, attempt.Request.ID); slot != nil {
-		s.handOut(d, slot)
+	delivery := &jobDelivery{attempt: attempt, worker: worker}
+	delivery.fetchDeadline.Fire = func() { s.endAttempt(delivery, decision.Saturated) }
+	s.deliveries[attempt.Handle] = delivery
+	if slot := worker.slotFor(attempt.Request.Class, attempt.Request.ID); slot != nil {
+		s.handOut(delivery, slot)
 		return
 	}
-	w.awaitingFetch = append(w.awaitingFetch, d)
+	worker.awaitingFetch = append(worker.awaitingFetch, delivery)
 	loop := s.dispatcher.Loop
-	loop.Set(&d.fetchDeadline, loop.Now()+nextFetchTimeout)
+	loop.Set(&delivery.fetchDeadline, loop.Now()+nextFetchTimeout)
 }
