--- a/internal/admin/api.go
+++ b/internal/admin/api.go
@@ -84,9 +84,9 @@
 	if !found {
 		return
 	}
-	if c := a.calls.Get(token); c != nil {
-		c.release()
-		c.conn.Close()
+	if evicted := a.calls.Get(token); evicted != nil {
+		evicted.release()
+		evicted.conn.Close()
 		return
 	}
 	for _, c := range a.answered {
--- a/internal/admin/counters.go
+++ b/internal/admin/counters.go
@@ -15,18 +15,18 @@
 
 // getCounters responds with the dispatcher's counters.
 func (c *call) getCounters(string) {
-	d := c.api.dispatcher
+	dispatcher := c.api.dispatcher
 	view := countersView{
 		Succeeded:  map[string]uint64{},
 		Rejected:   map[string]uint64{},
 		Failed:     map[string]uint64{},
-		Attempts:   d.Counts().Sent,
-		Unanswered: d.Unanswered(),
-		Workers:    d.WorkerCount(c.api.workers),
-		Ejected:    d.EjectedCount(c.api.workers),
+		Attempts:   dispatcher.Counts().Sent,
+		Unanswered: dispatcher.Unanswered(),
+		Workers:    dispatcher.WorkerCount(c.api.workers),
+		Ejected:    dispatcher.EjectedCount(c.api.workers),
 	}
-	for i, class := range d.Settings.Classes {
-		counts := d.ClassCounts(i)
+	for i, class := range dispatcher.Settings.Classes {
+		counts := dispatcher.ClassCounts(i)
 		view.Succeeded[class.Name] = counts.Served
 		view.Rejected[class.Name] = counts.Rejected
 		view.Failed[class.Name] = counts.Failed
--- a/internal/daemon/check.go
+++ b/internal/daemon/check.go
@@ -41,8 +41,8 @@
 // explainConfig prints what the configuration file says.
 func (l *loadedFiles) explainConfig(out io.Writer) {
 	fileConfig := &l.config
-	fmt.Fprintf(out, "name %s, listen %s, discovery %s, admin API %s\n", fileConfig.Name, cmp.Or(fileConfig.Listen, "(off)"), cmp.Or(fileConfig.Discovery, "(none)"),
-		cmp.Or(fileConfig.Admin, "(off)"))
+	fmt.Fprintf(out, "name %s, listen %s, discovery %s, admin API %s\n", fileConfig.Name,
+		cmp.Or(fileConfig.Listen, "(off)"), cmp.Or(fileConfig.Discovery, "(none)"), cmp.Or(fileConfig.Admin, "(off)"))
 	fmt.Fprintf(out, "descriptors %d, buffers up to %d MB\n", fileConfig.descriptors(), fileConfig.bufferMemory()/bytesPerMB)
 	for _, class := range l.settings.Classes {
 		repeat := "must not run twice"
--- a/internal/daemon/resources.go
+++ b/internal/daemon/resources.go
@@ -30,15 +30,15 @@
 // descriptors returns how many file descriptors all processes of the dispatcher may
 // have together: the smaller of the configured limit and the system's.
 func (c *config) descriptors() int {
-	n := defaultDescriptors
+	descriptors := defaultDescriptors
 	var limit syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit) == nil && limit.Cur < maxDescriptorLimit {
-		n = int(limit.Cur)
+		descriptors = int(limit.Cur)
 	}
 	if c.Limits.Sockets >= 1 {
-		n = min(n, int(c.Limits.Sockets))
+		descriptors = min(descriptors, int(c.Limits.Sockets))
 	}
-	return n
+	return descriptors
 }
 
 // connectionDescriptors returns how many of the descriptors are for clients and
--- a/internal/daemon/signals.go
+++ b/internal/daemon/signals.go
@@ -17,10 +17,10 @@
 }
 
 func catchSignals() signals {
-	s := signals{reload: make(chan os.Signal, 1), stop: make(chan os.Signal, signalQueue)}
-	signal.Notify(s.reload, syscall.SIGHUP)
-	signal.Notify(s.stop, syscall.SIGTERM, syscall.SIGINT)
-	return s
+	caught := signals{reload: make(chan os.Signal, 1), stop: make(chan os.Signal, signalQueue)}
+	signal.Notify(caught.reload, syscall.SIGHUP)
+	signal.Notify(caught.stop, syscall.SIGTERM, syscall.SIGINT)
+	return caught
 }
 
 // release gives the signals back their default effects.
--- a/internal/durable/scheduler.go
+++ b/internal/durable/scheduler.go
@@ -104,8 +104,8 @@
 // opens the store next.
 func (s *Scheduler) Release() {
 	s.stopped = true
-	for _, a := range s.assignmentsByJob {
-		s.dispatcher.Cancel(a.request)
+	for _, assignment := range s.assignmentsByJob {
+		s.dispatcher.Cancel(assignment.request)
 	}
 	clear(s.assignmentsByJob)
 }
--- a/internal/goldentest/commands.go
+++ b/internal/goldentest/commands.go
@@ -24,9 +24,9 @@
 			lines = append(lines, strings.TrimSpace(fmt.Sprintf("%s argument %d %s", path, i+1, valueLine(argument))))
 		}
 		for _, child := range node.Children {
-			at := strings.TrimSpace(path + " " + child.Name)
-			lines = append(lines, at+commandLine(node, child))
-			walk(at, child)
+			name := strings.TrimSpace(path + " " + child.Name)
+			lines = append(lines, name+commandLine(node, child))
+			walk(name, child)
 		}
 	}
 	walk("", app.Node)
--- a/internal/goldentest/effects.go
+++ b/internal/goldentest/effects.go
@@ -50,22 +50,22 @@
 // the order of the keys; then it does the same inside the key's value.
 func eachKey(path string, object map[string]any, each func(path string)) {
 	for _, key := range slices.Sorted(maps.Keys(object)) {
-		at := strings.TrimPrefix(path+"."+key, ".")
+		keyPath := strings.TrimPrefix(path+"."+key, ".")
 		value := object[key]
 		delete(object, key)
-		each(at)
+		each(keyPath)
 		object[key] = value
 		switch value := value.(type) {
 		case map[string]any:
-			eachKey(at, value, each)
+			eachKey(keyPath, value, each)
 		case []map[string]any:
 			for i, item := range value {
-				eachKey(fmt.Sprintf("%s[%d]", at, i), item, each)
+				eachKey(fmt.Sprintf("%s[%d]", keyPath, i), item, each)
 			}
 		case []any:
 			for i, item := range value {
 				if item, ok := item.(map[string]any); ok {
-					eachKey(fmt.Sprintf("%s[%d]", at, i), item, each)
+					eachKey(fmt.Sprintf("%s[%d]", keyPath, i), item, each)
 				}
 			}
 		}
@@ -75,14 +75,14 @@
 // changes words the values that differ, sorted.
 func changes(before, after map[string]string) string {
 	var list []string
-	or := func(values map[string]string, key string) string {
+	valueOrNone := func(values map[string]string, key string) string {
 		if value, ok := values[key]; ok {
 			return value
 		}
 		return "none"
 	}
 	for key, value := range before {
-		if now := or(after, key); now != value {
+		if now := valueOrNone(after, key); now != value {
 			list = append(list, value+" becomes "+now)
 		}
 	}
@@ -182,16 +182,16 @@
 }
 
 // leafText words one value without parts.
-func leafText(v reflect.Value) string {
+func leafText(value reflect.Value) string {
 	switch {
-	case v.Type() == reflect.TypeFor[time.Duration]():
-		return time.Duration(v.Int()).String()
-	case v.Kind() == reflect.String:
-		return strconv.Quote(v.String())
-	case v.CanInt(): // a number, also where its type words it by a String method
-		return strconv.FormatInt(v.Int(), 10)
-	case v.CanUint():
-		return strconv.FormatUint(v.Uint(), 10)
+	case value.Type() == reflect.TypeFor[time.Duration]():
+		return time.Duration(value.Int()).String()
+	case value.Kind() == reflect.String:
+		return strconv.Quote(value.String())
+	case value.CanInt(): // a number, also where its type words it by a String method
+		return strconv.FormatInt(value.Int(), 10)
+	case value.CanUint():
+		return strconv.FormatUint(value.Uint(), 10)
 	}
-	return fmt.Sprint(v)
+	return fmt.Sprint(value)
 }
--- a/internal/httpfront/connection.go
+++ b/internal/httpfront/connection.go
@@ -47,13 +47,13 @@
 
 // OnData takes in bytes that the client has sent. It implements transport.Handler.
 func (c *clientConnection) OnData(_ *transport.Conn, b *transport.Buffer) {
-	f := c.frontEnd
+	frontEnd := c.frontEnd
 	switch {
 	case c.closed:
-		f.engine.Pool.Put(b)
+		frontEnd.engine.Pool.Put(b)
 		return
 	case c.responsePending && c.closeAfterResponse: // no request can follow; only the client's close matters
-		f.engine.Pool.Put(b)
+		frontEnd.engine.Pool.Put(b)
 		c.conn.Discard(maxDiscardedBytes)
 		return
 	case c.awaitsProxyHeader:
@@ -64,17 +64,17 @@
 		c.startRequest()
 	}
 	c.appendInput(b)
-	if f.gate.Enabled() {
+	if frontEnd.gate.Enabled() {
 		if !c.responsePending && c.input != nil && c.capExceeded == connlimit.Allowed {
-			c.capExceeded = f.gate.Limiter.SetBuffered(c.limiterID, len(c.input.Bytes()))
+			c.capExceeded = frontEnd.gate.Limiter.SetBuffered(c.limiterID, len(c.input.Bytes()))
 		}
-		if f.gate.Level() > 0 || f.turns.Len() > 0 {
-			f.queueForTurn(c)
+		if frontEnd.gate.Level() > 0 || frontEnd.turns.Len() > 0 {
+			frontEnd.queueForTurn(c)
 			return
 		}
 	}
 	c.read()
-	f.freeMemory()
+	frontEnd.freeMemory()
 }
 
 // OnClosed is called when the client has closed the connection, or it broke. It implements transport.Handler.
--- a/internal/httpfront/eviction.go
+++ b/internal/httpfront/eviction.go
@@ -70,11 +70,11 @@
 	for f.memoryExhausted() {
 		var chosen *clientConnection
 		spare := func(token uint64) bool {
-			c := f.connections.Get(token)
-			if c == nil || c.input == nil || c.readPosted || c.token == f.reading {
+			connection := f.connections.Get(token)
+			if connection == nil || connection.input == nil || connection.readPosted || connection.token == f.reading {
 				return true
 			}
-			chosen = c
+			chosen = connection
 			return false
 		}
 		_, _, found := f.gate.Limiter.EvictionCandidate(f.loop().Now(), connlimit.ForMemory, false, spare)
--- a/internal/httpfront/fairness.go
+++ b/internal/httpfront/fairness.go
@@ -29,10 +29,10 @@
 		if !found {
 			return
 		}
-		c := f.connections.Get(token)
-		if c != nil && c.queued && !c.closed {
-			c.queued = false
-			c.read()
+		connection := f.connections.Get(token)
+		if connection != nil && connection.queued && !connection.closed {
+			connection.queued = false
+			connection.read()
 		}
 	}
 	f.freeMemory()
--- a/internal/httpfront/frontend.go
+++ b/internal/httpfront/frontend.go
@@ -69,7 +69,7 @@
 // New returns a front end that accepts connections once Listen or Serve is called. The buffers of the engine, which
 // others may share, should not take up more than memoryLimit bytes. ready tells whether workers are known.
 func New(dispatcher *dispatch.Dispatcher, engine *transport.Engine, memoryLimit int, ready func() bool) *FrontEnd {
-	f := &FrontEnd{
+	frontEnd := &FrontEnd{
 		dispatcher:  dispatcher,
 		engine:      engine,
 		gate:        listener.NewUnlimited(dispatcher.Loop, 1),
@@ -77,13 +77,13 @@
 		memoryLimit: memoryLimit,
 		ready:       ready,
 	}
-	f.evictionTimer.Fire = f.retryEviction
-	f.silenceTimer.Fire = f.evictSilent
-	f.drainTimer.Fire = f.continueDrain
+	frontEnd.evictionTimer.Fire = frontEnd.retryEviction
+	frontEnd.silenceTimer.Fire = frontEnd.evictSilent
+	frontEnd.drainTimer.Fire = frontEnd.continueDrain
 	for i, class := range dispatcher.Settings.Classes {
-		f.classes[class.Name] = i
+		frontEnd.classes[class.Name] = i
 	}
-	return f
+	return frontEnd
 }
 
 // SetGate sets the gate that admits connections. It must be called before Listen or Serve.
@@ -118,21 +118,21 @@
 		conn.CloseGracefully()
 		return conn.Handler
 	}
-	c := &clientConnection{frontEnd: f, conn: conn}
-	c.timer.Fire = c.onTimer
-	c.stallTimer.Fire = c.checkStall
-	c.floodTimer.Fire = c.checkFlood
-	c.token = f.connections.Insert(c)
-	c.limiterID = f.gate.Accepted(frontEndNumber, c.token, conn.AdmissionToken)
+	connection := &clientConnection{frontEnd: f, conn: conn}
+	connection.timer.Fire = connection.onTimer
+	connection.stallTimer.Fire = connection.checkStall
+	connection.floodTimer.Fire = connection.checkFlood
+	connection.token = f.connections.Insert(connection)
+	connection.limiterID = f.gate.Accepted(frontEndNumber, connection.token, conn.AdmissionToken)
 	f.capacityExhausted = false
 	f.provenSpared = false
 	if f.gate.Enabled() {
-		c.peer = conn.Peer()
-		c.awaitsProxyHeader = f.gate.Limiter.TrustOf(c.limiterID) == connlimit.TrustedProxy
+		connection.peer = conn.Peer()
+		connection.awaitsProxyHeader = f.gate.Limiter.TrustOf(connection.limiterID) == connlimit.TrustedProxy
 	}
-	f.loop().Set(&c.timer, f.loop().Now()+idleTimeout)
+	f.loop().Set(&connection.timer, f.loop().Now()+idleTimeout)
 	f.evictSilent()
-	return c
+	return connection
 }
 
 // StopAccepting accepts no more connections; those in the backlog wait for the next process.
--- a/internal/httpfront/idempotency.go
+++ b/internal/httpfront/idempotency.go
@@ -35,32 +35,32 @@
 // admitDurable stores a request as a job and responds with the job's result, or before the client's deadline that the
 // job is not done yet.
 func (c *clientConnection) admitDurable(message *httpwire.Message, request dispatch.Request, key string) {
-	f := c.frontEnd
+	frontEnd := c.frontEnd
 	if !httpwire.IsIdentifier([]byte(durable.RequestID(key))) {
 		c.rejectInvalid(message, request.Class, 400, "Idempotency-Key is not of 1 to 123 letters, digits or -._:~+/=@\n")
 		return
 	}
-	if f.durable == nil {
+	if frontEnd.durable == nil {
 		c.consumeInput(message.Size)
-		f.dispatcher.CountResponse(request.Class, dispatch.Rejected)
+		frontEnd.dispatcher.CountResponse(request.Class, dispatch.Rejected)
 		response := textResponse(503, "the other process has the store\n")
 		response.retryAfter = durableRetryAfter
 		c.writeResponse(response)
 		return
 	}
-	job := f.durableJob(request, message.Body, key)
+	job := frontEnd.durableJob(request, message.Body, key)
 	c.consumeInput(message.Size)
 	c.durableRequests++
 	c.beginService()
 	response := durableResponse{connection: c, number: c.durableRequests}
-	untilResponse := request.ReceivedAt + f.clientTimeout(request) - durableResponseMargin - f.loop().Now()
-	f.loop().After(max(untilResponse, 0), response.notDone)
-	f.durable.Push(job, 0, func(err error) {
+	untilResponse := request.ReceivedAt + frontEnd.clientTimeout(request) - durableResponseMargin - frontEnd.loop().Now()
+	frontEnd.loop().After(max(untilResponse, 0), response.notDone)
+	frontEnd.durable.Push(job, 0, func(err error) {
 		if err != nil {
 			response.notStored(err)
 			return
 		}
-		f.durable.Watch(job.ID, response.ended)
+		frontEnd.durable.Watch(job.ID, response.ended)
 	})
 }
 
--- a/internal/httpfront/input.go
+++ b/internal/httpfront/input.go
@@ -55,11 +55,11 @@
 
 // read handles the requests in the input, until one is incomplete or must be waited for.
 func (c *clientConnection) read() {
-	f := c.frontEnd
-	f.reading = c.token
-	defer func() { f.reading = 0 }()
+	frontEnd := c.frontEnd
+	frontEnd.reading = c.token
+	defer func() { frontEnd.reading = 0 }()
 	if c.capExceeded != connlimit.Allowed && !c.responsePending && c.input != nil {
-		f.gate.LogRejection(c.capExceeded, c.peer)
+		frontEnd.gate.LogRejection(c.capExceeded, c.peer)
 		c.reject(errCaps)
 		return
 	}
@@ -121,11 +121,11 @@
 
 // updatePause stops reading from the socket while there is input that cannot be handled yet, or lets it go on.
 func (c *clientConnection) updatePause() {
-	f := c.frontEnd
-	if c.closed || c.responsePending && c.closeAfterResponse || f.readingStopped { // what comes is discarded, or not read
+	frontEnd := c.frontEnd
+	if c.closed || c.responsePending && c.closeAfterResponse || frontEnd.readingStopped { // what comes is discarded, or not read
 		return
 	}
-	pause := c.overflow != nil || c.readPosted || c.responsePending && c.input != nil && f.memoryShort()
+	pause := c.overflow != nil || c.readPosted || c.responsePending && c.input != nil && frontEnd.memoryShort()
 	if pause == c.paused {
 		return
 	}
@@ -135,7 +135,7 @@
 		return
 	}
 	c.conn.Pause()
-	f.loop().Set(&c.floodTimer, f.loop().Now()+floodCheckInterval)
+	frontEnd.loop().Set(&c.floodTimer, frontEnd.loop().Now()+floodCheckInterval)
 }
 
 // postRead goes on reading once the loop has handled what is in its queue.
--- a/internal/httpfront/request.go
+++ b/internal/httpfront/request.go
@@ -45,7 +45,7 @@
 
 // admit hands a request for a class to the dispatcher or to the durable service, or rejects it.
 func (c *clientConnection) admit(message *httpwire.Message, class int) {
-	f := c.frontEnd
+	frontEnd := c.frontEnd
 	request, err := parseRequestFields(message)
 	if err != nil {
 		c.rejectInvalid(message, class, 400, err.Error()+"\n")
@@ -54,17 +54,17 @@
 	request.ReceivedAt = c.requestStartedAt
 	request.Class = class
 	key := message.Get("Idempotency-Key")
-	if len(key) > 0 && f.isDurable(class) {
+	if len(key) > 0 && frontEnd.isDurable(class) {
 		c.admitDurable(message, request, string(key))
 		return
 	}
-	if f.dispatcher.IsKnownID(request.ID) { // it may be another client's request
+	if frontEnd.dispatcher.IsKnownID(request.ID) { // it may be another client's request
 		c.rejectInvalid(message, class, 409, "X-Correlation-Id names another request\n")
 		return
 	}
-	f.freeMemory()
-	if f.memoryExhausted() {
-		f.dispatcher.CountResponse(class, dispatch.Rejected)
+	frontEnd.freeMemory()
+	if frontEnd.memoryExhausted() {
+		frontEnd.dispatcher.CountResponse(class, dispatch.Rejected)
 		c.consumeInput(message.Size)
 		response := textResponse(503, errMemory.Error()+"\n")
 		response.retryAfter = memoryRetryAfter
@@ -161,8 +161,8 @@
 
 // dispatch hands a request to the dispatcher. The input's buffer goes with it; what came behind moves to a new one.
 func (c *clientConnection) dispatch(message *httpwire.Message, request dispatch.Request) {
-	f := c.frontEnd
-	pool := &f.engine.Pool
+	frontEnd := c.frontEnd
+	pool := &frontEnd.engine.Pool
 	buffer := c.input
 	c.input = nil
 	rest := buffer.Bytes()[message.Size:]
@@ -174,7 +174,7 @@
 	request.Body = message.Body
 	request.Release = func() { pool.Put(buffer) }
 	c.beginService()
-	handle := f.dispatcher.Accept(f, c.token, request)
+	handle := frontEnd.dispatcher.Accept(frontEnd, c.token, request)
 	if c.responsePending {
 		c.request = handle
 	}
--- a/internal/httpfront/response.go
+++ b/internal/httpfront/response.go
@@ -34,17 +34,17 @@
 
 // Respond writes the response to a request that was handed to the dispatcher. It implements dispatch.FrontEnd.
 func (f *FrontEnd) Respond(token uint64, response dispatch.Response) {
-	c := f.connections.Get(token)
-	if c == nil || !c.responsePending {
+	connection := f.connections.Get(token)
+	if connection == nil || !connection.responsePending {
 		return
 	}
 	switch response.Outcome {
 	case dispatch.Served:
-		c.completeService(httpResponse{status: 200, body: response.Body, served: true})
+		connection.completeService(httpResponse{status: 200, body: response.Body, served: true})
 	case dispatch.Rejected:
-		c.completeService(httpResponse{status: 503, retryAfter: response.RetryAfter})
+		connection.completeService(httpResponse{status: 503, retryAfter: response.RetryAfter})
 	default:
-		c.completeService(httpResponse{status: 502})
+		connection.completeService(httpResponse{status: 502})
 	}
 }
 
@@ -91,10 +91,10 @@
 
 // writeResponse writes a response, and makes the connection ready for the next request or closes it.
 func (c *clientConnection) writeResponse(response httpResponse) {
-	f := c.frontEnd
-	c.closeAfterResponse = c.closeAfterResponse || f.capacityExhausted
-	f.out = httpwire.AppendResponse(f.out[:0], response.status, response.body, response.retryAfter, c.closeAfterResponse, response.fields)
-	c.conn.Write(f.out)
+	frontEnd := c.frontEnd
+	c.closeAfterResponse = c.closeAfterResponse || frontEnd.capacityExhausted
+	frontEnd.out = httpwire.AppendResponse(frontEnd.out[:0], response.status, response.body, response.retryAfter, c.closeAfterResponse, response.fields)
+	c.conn.Write(frontEnd.out)
 	switch {
 	case c.closeAfterResponse:
 		c.closeGracefully()
--- a/internal/httpfront/timeouts.go
+++ b/internal/httpfront/timeouts.go
@@ -46,21 +46,21 @@
 
 // startRequest is called at the first byte of a request, and sets when the request must be complete.
 func (c *clientConnection) startRequest() {
-	f := c.frontEnd
-	now := f.loop().Now()
-	c.requestStartedAt = f.loop().QueuedSince()
+	frontEnd := c.frontEnd
+	now := frontEnd.loop().Now()
+	c.requestStartedAt = frontEnd.loop().QueuedSince()
 	c.requestDeadline = now + requestTimeout
 	if !c.hasSent {
 		c.hasSent = true
 		c.requestDeadline = min(c.requestDeadline, max(c.conn.Opened+firstRequestTimeout, now+lateRequestTimeout))
 	}
 	checkAt := c.requestDeadline
-	tooSlow, nextCheck := f.gate.Limiter.TooSlow(now, now, 0)
+	tooSlow, nextCheck := frontEnd.gate.Limiter.TooSlow(now, now, 0)
 	if !tooSlow && nextCheck > 0 {
 		checkAt = min(checkAt, nextCheck)
 	}
-	f.loop().Set(&c.timer, checkAt)
-	reason := f.gate.Limiter.RequestStarted(now, c.limiterID)
+	frontEnd.loop().Set(&c.timer, checkAt)
+	reason := frontEnd.gate.Limiter.RequestStarted(now, c.limiterID)
 	if reason != connlimit.Allowed {
 		c.capExceeded = reason
 	}
@@ -82,12 +82,12 @@
 
 // checkIncomplete rejects a request that has not come in time, or comes more slowly than the least rate.
 func (c *clientConnection) checkIncomplete() {
-	f := c.frontEnd
-	now := f.loop().Now()
+	frontEnd := c.frontEnd
+	now := frontEnd.loop().Now()
 	if now < c.requestDeadline {
-		tooSlow, nextCheck := f.gate.Limiter.TooSlow(now, c.requestStartedAt, len(c.input.Bytes()))
+		tooSlow, nextCheck := frontEnd.gate.Limiter.TooSlow(now, c.requestStartedAt, len(c.input.Bytes()))
 		if !tooSlow {
-			f.loop().Set(&c.timer, min(c.requestDeadline, max(nextCheck, now+minRateInterval)))
+			frontEnd.loop().Set(&c.timer, min(c.requestDeadline, max(nextCheck, now+minRateInterval)))
 			return
 		}
 		c.reportAbuse(connlimit.Slow)
--- a/internal/httpwire/chunked.go
+++ b/internal/httpwire/chunked.go
@@ -63,12 +63,12 @@
 	default:
 		size, _, _ := bytes.Cut(line, []byte(";"))
 		size = bytes.TrimRight(size, " \t")
-		n, err := strconv.ParseUint(string(size), 16, 31)
+		length, err := strconv.ParseUint(string(size), 16, 31)
 		if err != nil || len(size) == 0 {
 			return ErrMalformed
 		}
-		c.remaining = int(n)
-		c.inTrailer = n == 0
+		c.remaining = int(length)
+		c.inTrailer = length == 0
 	}
 	return nil
 }
--- a/internal/httpwire/head.go
+++ b/internal/httpwire/head.go
@@ -25,15 +25,15 @@
 	ErrBodyTooLong = errors.New("body too long")
 )
 
-// field is one header field.
-type field struct{ name, value []byte }
+// headerField is one header headerField.
+type headerField struct{ name, value []byte }
 
 // Head is the head of a request or of a response.
 type Head struct {
 	Size int // bytes, the blank line included
 
 	first, second, third []byte // of a request: method, target, version; of a response: version, status, reason
-	fields               [maxFields]field
+	fields               [maxFields]headerField
 	fieldCount           int
 }
 
@@ -97,16 +97,16 @@
 func (h *Head) Framing() (length int, chunked bool, err error) {
 	length = -1
 	for i := range h.fields[:h.fieldCount] {
-		f := &h.fields[i]
+		field := &h.fields[i]
 		switch {
-		case EqualFold(f.name, "Content-Length"):
-			n, ok := ParseNumber(f.value)
+		case EqualFold(field.name, "Content-Length"):
+			number, ok := ParseNumber(field.value)
 			if !ok || length >= 0 {
 				return 0, false, ErrMalformed
 			}
-			length = n
-		case EqualFold(f.name, "Transfer-Encoding"):
-			if !EqualFold(f.value, "chunked") || chunked {
+			length = number
+		case EqualFold(field.name, "Transfer-Encoding"):
+			if !EqualFold(field.value, "chunked") || chunked {
 				return 0, false, ErrMalformed
 			}
 			chunked = true
@@ -121,23 +121,23 @@
 // ParseHead parses a head at the start of b. It returns false without an error while b holds only a part of it.
 // scanned is the number of bytes of b that were searched in vain for the end; it starts at 0 and goes with b from
 // call to call, so that bytes which trickle in are searched once.
-func ParseHead(b []byte, h *Head, scanned *int) (bool, error) {
+func ParseHead(b []byte, head *Head, scanned *int) (bool, error) {
 	const end = "\r\n\r\n"
 	from := max(*scanned-(len(end)-1), 0)
-	at := bytes.Index(b[from:], []byte(end))
-	if at < 0 {
+	index := bytes.Index(b[from:], []byte(end))
+	if index < 0 {
 		return false, scanPartialHead(b, scanned)
 	}
-	at += from
-	if at > MaxHead {
+	index += from
+	if index > MaxHead {
 		return false, ErrHeadTooLong
 	}
-	*h = Head{Size: at + len(end)}
-	startLine, fields, _ := bytes.Cut(b[:at], []byte("\r\n"))
-	if err := h.parseStartLine(startLine); err != nil {
+	*head = Head{Size: index + len(end)}
+	startLine, fields, _ := bytes.Cut(b[:index], []byte("\r\n"))
+	if err := head.parseStartLine(startLine); err != nil {
 		return false, err
 	}
-	if err := h.parseFields(fields); err != nil {
+	if err := head.parseFields(fields); err != nil {
 		return false, err
 	}
 	return true, nil
@@ -184,7 +184,7 @@
 		if !ok || len(name) == 0 || h.fieldCount == maxFields || !isToken(name) || bytes.ContainsAny(value, "\r\n\x00") {
 			return ErrMalformed
 		}
-		h.fields[h.fieldCount] = field{name, bytes.TrimSpace(value)}
+		h.fields[h.fieldCount] = headerField{name, bytes.TrimSpace(value)}
 		h.fieldCount++
 	}
 	return nil
--- a/internal/httpwire/request.go
+++ b/internal/httpwire/request.go
@@ -27,7 +27,7 @@
 // ParseRequest parses a request at the start of b. It returns ok false without an error while b holds only a part of
 // it; state then goes with b to the next call. A chunked body is put together in place. expectsContinue tells that the
 // head is there and that the client waits for 100 Continue before it sends the body.
-func ParseRequest(b []byte, m *Message, state *ScanState) (ok, expectsContinue bool, err error) {
+func ParseRequest(b []byte, message *Message, state *ScanState) (ok, expectsContinue bool, err error) {
 	if len(b) < state.needed {
 		return false, false, nil
 	}
@@ -36,31 +36,31 @@
 			return false, false, err
 		}
 	}
-	if ok, err = ParseHead(b, &m.Head, &state.headScanned); !ok {
+	if ok, err = ParseHead(b, &message.Head, &state.headScanned); !ok {
 		return false, false, err
 	}
-	if err := m.checkRequestHead(); err != nil {
+	if err := message.checkRequestHead(); err != nil {
 		return false, false, err
 	}
-	length, chunked, err := m.Framing()
+	length, chunked, err := message.Framing()
 	if err != nil {
 		return false, false, err
 	}
 	if length > MaxBody {
 		return false, false, ErrBodyTooLong
 	}
-	m.Body = nil
-	m.Size = m.Head.Size
+	message.Body = nil
+	message.Size = message.Head.Size
 	if chunked {
-		return m.parseChunkedBody(b, state)
+		return message.parseChunkedBody(b, state)
 	}
 	length = max(length, 0)
-	state.needed = m.Size + length
+	state.needed = message.Size + length
 	if len(b) < state.needed {
-		return false, m.awaitsContinue(b), nil
+		return false, message.awaitsContinue(b), nil
 	}
-	m.Body = b[m.Size : m.Size+length]
-	m.Size += length
+	message.Body = b[message.Size : message.Size+length]
+	message.Size += length
 	return true, false, nil
 }
 
@@ -112,13 +112,13 @@
 	}
 	var chunks ChunkReader
 	from := m.Head.Size
-	to := m.Head.Size
+	bodyEnd := m.Head.Size
 	for !chunks.Done() { // all of it is there and has been scanned, so nothing fails any more
 		data, used, _ := chunks.Next(b[from:])
-		to += copy(b[to:], data)
+		bodyEnd += copy(b[bodyEnd:], data)
 		from += used
 	}
-	m.Body = b[m.Head.Size:to]
+	m.Body = b[m.Head.Size:bodyEnd]
 	m.Size = from
 	return true, false, nil
 }
--- a/internal/listener/gate.go
+++ b/internal/listener/gate.go
@@ -85,7 +85,7 @@
 	if err != nil {
 		return nil, err
 	}
-	g := &Gate{
+	gate := &Gate{
 		Limiter:     limiter,
 		Budget:      budget,
 		loop:        loop,
@@ -94,10 +94,10 @@
 		enabled:     true,
 		descriptors: descriptors,
 	}
-	g.respond503.Store(config.Respond503)
-	g.pressureRecheck.Fire = g.relievePressure
-	engine.SetAdmission(g, g.quota(connlimit.WorkerConnections), g.quota(connlimit.DiscoveryConnections))
-	return g, nil
+	gate.respond503.Store(config.Respond503)
+	gate.pressureRecheck.Fire = gate.relievePressure
+	engine.SetAdmission(gate, gate.quota(connlimit.WorkerConnections), gate.quota(connlimit.DiscoveryConnections))
+	return gate, nil
 }
 
 // quota returns the budget of one kind of descriptors.
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -104,8 +104,8 @@
 func (e *Encoder) appendText(name, text string) {
 	e.appendName(name)
 	for i := 0; i < len(text); i++ {
-		c := text[i]
-		if c < ' ' || c == '"' || c == '\\' || c >= 0x7f {
+		char := text[i]
+		if char < ' ' || char == '"' || char == '\\' || char >= 0x7f {
 			quoted, _ := json.Marshal(text) // a string always marshals
 			e.buffer = append(e.buffer, quoted...)
 			return
--- a/internal/store/load.go
+++ b/internal/store/load.go
@@ -14,10 +14,10 @@
 // Load reads all records, in the order of their ids, and returns what parse makes of them. Several goroutines call
 // parse at a time, each record once; where it returns false the record is left out. The bytes are valid during the
 // call only. A damaged record is an error that names it.
-func Load[T any](s *Store, parse func(id string, value []byte) (T, bool, error)) (all []T, err error) {
+func Load[T any](store *Store, parse func(id string, value []byte) (T, bool, error)) (all []T, err error) {
 	defer recoverDamaged("", &err)
 	var chunks []*loadChunk[T]
-	err = s.db.View(func(tx *bbolt.Tx) error {
+	err = store.db.View(func(tx *bbolt.Tx) error {
 		var running sync.WaitGroup
 		defer running.Wait() // the records are valid until the transaction ends
 		slots := make(chan struct{}, runtime.GOMAXPROCS(0))
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -25,15 +25,15 @@
 
 // decode returns the value of a stored record, which shares its memory.
 func decode(id string, raw []byte) ([]byte, error) {
-	version, n := binary.Uvarint(raw)
-	if n <= 0 || len(raw) < n+checksumSize {
+	version, headerSize := binary.Uvarint(raw)
+	if headerSize <= 0 || len(raw) < headerSize+checksumSize {
 		return nil, fmt.Errorf("job %q: its record is cut off", id)
 	}
 	if version > SchemaVersion {
 		return nil, fmt.Errorf("job %q: its record's schema is %d; this program knows %d", id, version, SchemaVersion)
 	}
-	value := raw[n+checksumSize:]
-	if binary.BigEndian.Uint64(raw[n:]) != checksum(id, value) {
+	value := raw[headerSize+checksumSize:]
+	if binary.BigEndian.Uint64(raw[headerSize:]) != checksum(id, value) {
 		return nil, fmt.Errorf("job %q: its record is damaged: the checksum is wrong", id)
 	}
 	return value, nil
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -66,13 +66,13 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Store{db: db, options: options, wake: make(chan struct{}, 1), writerStopped: make(chan struct{})}
-	if err := s.migrate(); err != nil {
+	store := &Store{db: db, options: options, wake: make(chan struct{}, 1), writerStopped: make(chan struct{})}
+	if err := store.migrate(); err != nil {
 		db.Close()
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	go s.write()
-	return s, nil
+	go store.write()
+	return store, nil
 }
 
 // openFile opens a file, waiting a while for another process to close it.
--- a/internal/testkit/acceptedconn.go
+++ b/internal/testkit/acceptedconn.go
@@ -16,29 +16,29 @@
 type AcceptedConn struct {
 	Conn net.Conn
 
-	t    *testing.T
-	in   *bufio.Reader
-	addr string // of the listener
+	t      *testing.T
+	reader *bufio.Reader
+	addr   string // of the listener
 }
 
 // ListenOnLoopback starts to listen until the end of the test. accept waits for the next connection.
 func ListenOnLoopback(t *testing.T) (addr string, accept func() *AcceptedConn) {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { ln.Close() })
-	addr = ln.Addr().String()
+	t.Cleanup(func() { listener.Close() })
+	addr = listener.Addr().String()
 	accept = func() *AcceptedConn {
 		t.Helper()
-		conn, err := ln.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { conn.Close() })
 		conn.SetDeadline(time.Now().Add(Patience))
-		return &AcceptedConn{Conn: conn, t: t, in: bufio.NewReader(conn), addr: addr}
+		return &AcceptedConn{Conn: conn, t: t, reader: bufio.NewReader(conn), addr: addr}
 	}
 	return addr, accept
 }
@@ -49,14 +49,14 @@
 	c.t.Helper()
 	var text strings.Builder
 	for !strings.HasSuffix(text.String(), "\r\n\r\n") {
-		line, err := c.in.ReadString('\n')
+		line, err := c.reader.ReadString('\n')
 		if err != nil {
 			c.t.Fatalf("%q, %v", text.String(), err)
 		}
 		text.WriteString(line)
 	}
 	body := make([]byte, bodySize)
-	if _, err := io.ReadFull(c.in, body); err != nil {
+	if _, err := io.ReadFull(c.reader, body); err != nil {
 		c.t.Fatal(err)
 	}
 	return MaskVolatile(strings.ReplaceAll(text.String()+string(body), c.addr, "ADDRESS"))
--- a/internal/testkit/scriptedworker.go
+++ b/internal/testkit/scriptedworker.go
@@ -28,13 +28,13 @@
 
 // NewScriptedWorker starts a worker, which is stopped at the end of the test. It has no scripts yet.
 func NewScriptedWorker(t testing.TB) *ScriptedWorker {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	worker := &ScriptedWorker{listener: ln, arrivals: map[string]int{}}
+	worker := &ScriptedWorker{listener: listener, arrivals: map[string]int{}}
 	t.Cleanup(func() {
-		ln.Close()
+		listener.Close()
 		worker.HangUp()
 	})
 	go worker.acceptConnections()
@@ -100,9 +100,9 @@
 // serve responds to the requests of a connection.
 func (w *ScriptedWorker) serve(conn net.Conn) {
 	defer conn.Close()
-	in := bufio.NewReader(conn)
+	reader := bufio.NewReader(conn)
 	for {
-		request, err := http.ReadRequest(in)
+		request, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
--- a/internal/tools/testgate/results.go
+++ b/internal/tools/testgate/results.go
@@ -69,28 +69,28 @@
 }
 
 // add records an event. A test's output is printed if the test fails.
-func (r *results) add(e event) {
-	name := testName{e.Package, e.Test}
-	switch e.Action {
+func (r *results) add(result event) {
+	name := testName{result.Package, result.Test}
+	switch result.Action {
 	case actionOutput:
-		if e.Test == "" {
-			fmt.Fprint(r.out, e.Output)
+		if result.Test == "" {
+			fmt.Fprint(r.out, result.Output)
 			return
 		}
-		r.output[name] = append(r.output[name], e.Output)
+		r.output[name] = append(r.output[name], result.Output)
 	case actionBuildOutput:
-		fmt.Fprint(r.out, e.Output)
+		fmt.Fprint(r.out, result.Output)
 	case actionBuildFail:
-		r.failedBuilds = append(r.failedBuilds, e.Package)
+		r.failedBuilds = append(r.failedBuilds, result.Package)
 	case actionRun:
-		r.outcomes[name] = e.Action
+		r.outcomes[name] = result.Action
 	case actionPass, actionFail, actionSkip:
-		r.outcomes[name] = e.Action
-		if e.Action == actionFail {
+		r.outcomes[name] = result.Action
+		if result.Action == actionFail {
 			fmt.Fprint(r.out, strings.Join(r.output[name], ""))
 		}
 		delete(r.output, name)
-		if e.Test != "" {
+		if result.Test != "" {
 			r.finished++
 		}
 	}
--- a/internal/transport/accept.go
+++ b/internal/transport/accept.go
@@ -90,14 +90,14 @@
 
 // acceptUpToLimit accepts connections until the listener is closed, none while
 // the limit is reached.
-func (e *Engine) acceptUpToLimit(a *Acceptor, newHandler func(*Conn) Handler, onFull func()) {
-	for a.group.acquire(func() { e.Loop.Post(onFull) }) {
-		conn, err := a.listener.Accept()
+func (e *Engine) acceptUpToLimit(acceptor *Acceptor, newHandler func(*Conn) Handler, onFull func()) {
+	for acceptor.group.acquire(func() { e.Loop.Post(onFull) }) {
+		conn, err := acceptor.listener.Accept()
 		if err == nil {
-			e.register(conn, a.group, 0, newHandler)
+			e.register(conn, acceptor.group, 0, newHandler)
 			continue
 		}
-		a.group.release()
+		acceptor.group.release()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -115,35 +115,35 @@
 ) *Acceptor {
 	group := newConnGroup(unlimited, windowFor(singleBuffer))
 	group.quota.Release = e.admission.Release
-	a := &Acceptor{listener: listener, group: group, fixedLimit: true}
+	acceptor := &Acceptor{listener: listener, group: group, fixedLimit: true}
 	e.mu.Lock()
-	e.acceptors = append(e.acceptors, a)
+	e.acceptors = append(e.acceptors, acceptor)
 	e.mu.Unlock()
-	go e.acceptWithAdmission(a, newHandler)
-	return a
+	go e.acceptWithAdmission(acceptor, newHandler)
+	return acceptor
 }
 
 // acceptWithAdmission accepts as fast as the kernel hands out connections, so that
 // none waits behind those that will be rejected: in the kernel's queue all are
 // alike.
-func (e *Engine) acceptWithAdmission(a *Acceptor, newHandler func(*Conn) Handler) {
+func (e *Engine) acceptWithAdmission(acceptor *Acceptor, newHandler func(*Conn) Handler) {
 	// Where no descriptor is left, the spare one is given up for a moment to reject
 	// a connection with.
 	spare := openSpareDescriptor()
 	defer func() { spare.Close() }()
 	for {
-		conn, err := a.listener.Accept()
+		conn, err := acceptor.listener.Accept()
 		switch {
 		case err == nil && spare == nil: // its descriptor is the first that could be had
 			conn.Close()
 			spare = openSpareDescriptor()
 		case err == nil:
-			e.admit(a, conn, newHandler)
+			e.admit(acceptor, conn, newHandler)
 		case errors.Is(err, net.ErrClosed):
 			return
 		case isDescriptorExhausted(err):
 			e.admission.Exhausted()
-			spare = a.rejectOne(spare)
+			spare = acceptor.rejectOne(spare)
 			if spare == nil { // another goroutine or process took the descriptor
 				time.Sleep(exhaustedRetryPause)
 			}
@@ -176,10 +176,10 @@
 }
 
 // admit asks the Admission about a connection and registers an admitted one.
-func (e *Engine) admit(a *Acceptor, conn net.Conn, newHandler func(*Conn) Handler) {
+func (e *Engine) admit(acceptor *Acceptor, conn net.Conn, newHandler func(*Conn) Handler) {
 	token, admitted, wait := e.admission.Admit(conn)
 	if admitted {
-		e.registerAdmitted(a, conn, token, newHandler)
+		e.registerAdmitted(acceptor, conn, token, newHandler)
 		return
 	}
 	if !wait {
@@ -188,12 +188,12 @@
 	go func() {
 		token, admitted := e.admission.WaitForCapacity(conn)
 		if admitted {
-			e.registerAdmitted(a, conn, token, newHandler)
+			e.registerAdmitted(acceptor, conn, token, newHandler)
 		}
 	}()
 }
 
-func (e *Engine) registerAdmitted(a *Acceptor, conn net.Conn, token uint64, newHandler func(*Conn) Handler) {
-	a.group.add()
-	e.register(conn, a.group, token, newHandler)
+func (e *Engine) registerAdmitted(acceptor *Acceptor, conn net.Conn, token uint64, newHandler func(*Conn) Handler) {
+	acceptor.group.add()
+	e.register(conn, acceptor.group, token, newHandler)
 }
--- a/internal/transport/buffer.go
+++ b/internal/transport/buffer.go
@@ -79,9 +79,9 @@
 func (p *Pool) Get() *Buffer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if n := len(p.free); n > 0 {
-		b := p.free[n-1]
-		p.free = p.free[:n-1]
+	if available := len(p.free); available > 0 {
+		b := p.free[available-1]
+		p.free = p.free[:available-1]
 		p.freeResident -= max(b.resident-minResidentBytes, 0)
 		p.bytesInUse.Add(int64(b.resident))
 		return b
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -61,22 +61,22 @@
 // are posted in order. Only nbio can say when it is open: a connection that it
 // does not hold yet cannot be written to.
 func (e *Engine) register(conn net.Conn, group *connGroup, token uint64, newHandler func(*Conn) Handler) {
-	c := &Conn{engine: e, group: group, AdmissionToken: token, newHandler: newHandler}
+	connection := &Conn{engine: e, group: group, AdmissionToken: token, newHandler: newHandler}
 	tcp, ok := conn.RemoteAddr().(*net.TCPAddr)
 	if ok {
 		addr, _ := netip.AddrFromSlice(tcp.IP)
-		c.peer = addr.Unmap()
+		connection.peer = addr.Unmap()
 	}
 	socket, err := nbio.NBConn(conn) // duplicates the descriptor with dup(2)
 	if err != nil {
 		_ = conn.Close()
 		group.release()
-		e.Loop.Post(func() { c.onRegisterFailed(err) })
+		e.Loop.Post(func() { connection.onRegisterFailed(err) })
 		return
 	}
 	e.sessionMu.Lock()
-	socket.SetSession(c)
-	c.socket = socket
+	socket.SetSession(connection)
+	connection.socket = socket
 	e.sessionMu.Unlock()
 	_, _ = e.poller.AddConn(socket) // on an error nbio has closed it and calls onClosed
 }
@@ -125,9 +125,9 @@
 // Peer returns the address of the other end.
 func (c *Conn) Peer() netip.Addr { return c.peer }
 
-// control calls f with the descriptor unless nbio has closed it. The descriptor
-// stays this connection's until f returns.
-func (c *Conn) control(f func(fd int)) {
+// control calls operate with the descriptor unless nbio has closed it. The
+// descriptor stays this connection's until operate returns.
+func (c *Conn) control(operate func(fd int)) {
 	c.socket.Lock()
 	defer c.socket.Unlock()
 	closed, _ := c.socket.IsClosed()
@@ -138,5 +138,5 @@
 	if err != nil {
 		return
 	}
-	_ = raw.Control(func(fd uintptr) { f(int(fd)) })
+	_ = raw.Control(func(fd uintptr) { operate(int(fd)) })
 }
--- a/internal/transport/engine.go
+++ b/internal/transport/engine.go
@@ -62,28 +62,28 @@
 // error is that of epoll_create(2) or another call of nbio's start.
 func NewEngine(loop *eventloop.Loop, descriptors int) (*Engine, error) {
 	accepted := AcceptedShare(descriptors)
-	e := &Engine{
+	engine := &Engine{
 		Loop:        loop,
 		descriptors: descriptors,
 		share:       1,
 		dials:       newConnGroup(ConnectionDescriptors(descriptors)-accepted, wideWindow),
 		reserved:    newConnGroup(reservedDials, wideWindow),
 	}
-	e.transitCond.L = &e.transitMu
+	engine.transitCond.L = &engine.transitMu
 	logging.SetLevel(logging.LevelNone)
 	nbio.MaxOpenFiles = descriptors + nbioTableMargin
-	e.poller = nbio.NewEngine(nbio.Config{
+	engine.poller = nbio.NewEngine(nbio.Config{
 		Name:     "hollyyoke",
 		NPoller:  1,
 		EpollMod: nbio.EPOLLET, // level-triggered, nbio spins on a writable connection until its first partial write
 		// nbio's own reads are replaced by those of Conn.read.
 		ReadBufferSize: BufferSize,
 	})
-	e.poller.OnOpen(e.onOpen)
-	e.poller.OnRead(e.onReadable)
-	e.poller.OnWrittenSize(e.onWritten)
-	e.poller.OnClose(e.onClosed)
-	return e, e.poller.Start()
+	engine.poller.OnOpen(engine.onOpen)
+	engine.poller.OnRead(engine.onReadable)
+	engine.poller.OnWrittenSize(engine.onWritten)
+	engine.poller.OnClose(engine.onClosed)
+	return engine, engine.poller.Start()
 }
 
 // connOf returns the connection that nbio calls back about; nil: not one of ours.
--- a/internal/transport/inheritedlistener.go
+++ b/internal/transport/inheritedlistener.go
@@ -10,8 +10,8 @@
 // ListenerFromDescriptor returns the TCP listener that a descriptor of this
 // process refers to. Closing it leaves the socket to the other processes that
 // have it.
-func ListenerFromDescriptor(fd int) (net.Listener, error) {
-	file := os.NewFile(uintptr(fd), "inherited listener")
+func ListenerFromDescriptor(descriptor int) (net.Listener, error) {
+	file := os.NewFile(uintptr(descriptor), "inherited listener")
 	if file == nil {
 		return nil, errors.New("no descriptor")
 	}
--- a/internal/transport/read.go
+++ b/internal/transport/read.go
@@ -20,14 +20,14 @@
 		return nil
 	}
 	b := c.engine.Pool.Get()
-	n, err := c.fill(b.array)
-	if n == 0 {
+	length, err := c.fill(b.array)
+	if length == 0 {
 		c.engine.Pool.Put(b)
 		return err
 	}
-	b.extend(n)
+	b.extend(length)
 	c.inTransit++
-	c.stalled = n == len(b.array)
+	c.stalled = length == len(b.array)
 	c.engine.addInTransit(1)
 	c.engine.Loop.Post(func() { c.deliver(b) })
 	return err
@@ -41,10 +41,10 @@
 // EAGAIN says that there is no more.
 func (c *Conn) fill(space []byte) (filled int, err error) {
 	for filled < len(space) {
-		n, err := c.socket.Read(space[filled:])
+		received, err := c.socket.Read(space[filled:])
 		switch {
-		case n > 0:
-			filled += n
+		case received > 0:
+			filled += received
 		case err == syscall.EINTR: // a signal interrupted read(2) before any byte
 		case err == syscall.EAGAIN: // the socket's receive buffer is empty
 			return filled, nil
--- a/internal/transport/socketstate.go
+++ b/internal/transport/socketstate.go
@@ -42,9 +42,9 @@
 	end = true // unless there is a descriptor to ask
 	c.control(func(fd int) {
 		// recv(2): EAGAIN says that nothing is there, 0 bytes that the peer has closed.
-		n, _, err := syscall.Recvfrom(fd, make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		bytes = err == nil && n > 0
-		end = err != syscall.EAGAIN && n <= 0
+		peeked, _, err := syscall.Recvfrom(fd, make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		bytes = err == nil && peeked > 0
+		end = err != syscall.EAGAIN && peeked <= 0
 	})
 	return bytes, end
 }
--- a/internal/transport/write.go
+++ b/internal/transport/write.go
@@ -14,12 +14,12 @@
 	c.writeOffset += int64(len(p))
 	nothingQueued := c.UnsentBytes() == int64(len(p))
 	if nothingQueued {
-		n, err := c.writeToSocket(p)
+		written, err := c.writeToSocket(p)
 		if err != nil {
 			c.shutDown()
 			return false
 		}
-		p = p[n:]
+		p = p[written:]
 	}
 	if len(p) == 0 {
 		return true
--- a/internal/workerclient/request.go
+++ b/internal/workerclient/request.go
@@ -113,12 +113,12 @@
 func appendPathEscaped(out []byte, segment string) []byte {
 	const hexDigits = "0123456789ABCDEF"
 	for i := range len(segment) {
-		c := segment[i]
-		printable := c > ' ' && c < 0x7f
-		if printable && bytes.IndexByte([]byte(`/?#%"<>`), c) < 0 {
-			out = append(out, c)
+		char := segment[i]
+		printable := char > ' ' && char < 0x7f
+		if printable && bytes.IndexByte([]byte(`/?#%"<>`), char) < 0 {
+			out = append(out, char)
 		} else {
-			out = append(out, '%', hexDigits[c>>4], hexDigits[c&15])
+			out = append(out, '%', hexDigits[char>>4], hexDigits[char&15])
 		}
 	}
 	return out
