--- a/decision/action.go
+++ b/decision/action.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// ActionKind tells which fields of an Action are set.
+// ActionKind determines which fields of an Action are set.
 type ActionKind uint8
 
 // The kinds of actions, with the fields that they use.
@@ -33,7 +33,7 @@
 	Text        string
 }
 
-// emit appends an action to those of the event at hand.
+// emit appends an action to those of the present event.
 func (m *Machine) emit(action Action) { m.actions = append(m.actions, action) }
 
 // logf emits text for operators.
--- a/decision/admission.go
+++ b/decision/admission.go
@@ -56,13 +56,13 @@
 	m.requestHealthChecks()
 }
 
-// rejectedOnArrival tells whether a request that has just arrived is rejected at once.
+// rejectedOnArrival reports whether a request that has just arrived is rejected at once.
 func (m *Machine) rejectedOnArrival(request *request) bool {
 	return request.deadline <= m.now || m.worthless(request) ||
 		!m.paysPrices(request) || m.delaysOthers(request)
 }
 
-// newRequest takes in what an arrival tells of a request, and the hint of its work into the mean of its
+// newRequest records what an arrival says of a request, and the hint of its work into the mean of its
 // class. The deadline lies two ticks early: one for the timer, one for the answer's way.
 func (m *Machine) newRequest(event *Event) *request {
 	request := &request{id: event.Request, class: &m.settings.Classes[event.Class], slots: 1}
@@ -87,7 +87,7 @@
 	return request
 }
 
-// elapsedSinceFirstTry tells for how long the client has waited already: the latency objective runs from
+// elapsedSinceFirstTry returns for how long the client has waited already: the latency objective runs from
 // its first try, and a retry, or what was held up on its way, has less time left.
 func (m *Machine) elapsedSinceFirstTry(request *request, event *Event) time.Duration {
 	longest := &m.maxTimeLeft[event.Class]
@@ -98,7 +98,7 @@
 	return max(*longest-event.TimeLeft, 0)
 }
 
-// worthless tells whether an answer earns nothing any more.
+// worthless reports whether an answer earns nothing any more.
 func (m *Machine) worthless(request *request) bool {
 	return m.now >= request.objective && request.class.LateWeight <= 0
 }
--- a/decision/attempt.go
+++ b/decision/attempt.go
@@ -58,7 +58,7 @@
 	m.emit(Action{Kind: Assign, Request: request.id, Worker: worker.Name, Reservation: reservation})
 }
 
-// handleProgress takes in that an attempt has started, or how far it is.
+// handleProgress records that an attempt has started, or how far it is.
 func (m *Machine) handleProgress(event Event) {
 	request, attempt := m.outstandingAttempt(&event)
 	if attempt == nil {
@@ -102,7 +102,7 @@
 	worker.unstartedSince = m.now
 }
 
-// handleAttemptEnded takes in the end of an attempt: what it used is released, what it tells is learned,
+// handleAttemptEnded handles the end of an attempt: what it used is released, what it shows is learned,
 // and its request is finished or retried.
 func (m *Machine) handleAttemptEnded(event Event) {
 	m.recordLoad(event)
@@ -160,13 +160,13 @@
 }
 
 // refundWork gives back the work of an attempt that did not run: to the token bucket, and off the worker's
-// recent work, since what warm workers turn away tells nothing of what one in slow start can do.
+// recent work, since what warm workers reject says nothing of what one in slow start can do.
 func (m *Machine) refundWork(request *request, worker *worker) {
 	m.bucketTokens += request.cost
 	worker.recentWork.add(m.now, m.planningHorizon, -request.cost)
 }
 
-// recordOutcome learns what the end of an attempt tells of its worker. Only completed ones teach speed: a
+// recordOutcome learns what the end of an attempt shows of its worker. Only completed ones teach speed: a
 // fast error must not look like a fast worker.
 func (m *Machine) recordOutcome(request *request, attempt *attempt, outcome AttemptOutcome) {
 	worker := attempt.worker
--- a/decision/ceilings.go
+++ b/decision/ceilings.go
@@ -39,7 +39,7 @@
 	return m.concurrencyPerWorker*m.readyWorkers() + concurrencyHeadroom
 }
 
-// withinConcurrency tells whether the concurrency ceiling admits one more attempt; where none is in flight
+// withinConcurrency reports whether the concurrency ceiling admits one more attempt; where none is in flight
 // it does.
 func (m *Machine) withinConcurrency(request *request) bool {
 	return m.countedInFlight() <= 0 || m.countedInFlight()+request.slots <= m.concurrencyCeiling()
@@ -59,7 +59,7 @@
 	m.bucketRefilledAt = m.now
 }
 
-// bucketIsScarce tells whether the token bucket limits what is sent. A rate that was cut while it did not
+// bucketIsScarce reports whether the token bucket limits what is sent. A rate that was cut while it did not
 // would price work away later.
 func (m *Machine) bucketIsScarce() bool {
 	return m.bucketTokens < m.bucketCapacity()/2 || m.workPrice > 0
@@ -80,7 +80,7 @@
 
 // cutCeilings cuts the ceilings by half of badRatio, weighed by the part of the fleet that is open to the
 // request. They are cut once in a mean latency, and an outcome of what was sent before the last cut is
-// ignored: it tells nothing of the ceilings since.
+// ignored: it says nothing of the ceilings since.
 func (m *Machine) cutCeilings(request *request, sentAt time.Duration) {
 	request.countedAsBad = true
 	if sentAt < m.ceilingsCutAt {
--- a/decision/connection.go
+++ b/decision/connection.go
@@ -43,7 +43,7 @@
 	m.emit(Action{Kind: CloseIdle, Worker: worker.Name})
 }
 
-// connectionWasDead tells whether an attempt whose connection was lost went out on one that was dropped
+// connectionWasDead reports whether an attempt whose connection was lost went out on one that was dropped
 // while unused: the loss came at once.
 func (m *Machine) connectionWasDead(attempt *attempt) bool {
 	atOnce := attempt.startedAt == 0 && m.now-attempt.sentAt < m.settings.ConnectTimeout
--- a/decision/doc.go
+++ b/decision/doc.go
@@ -20,7 +20,7 @@
 //
 // Events that come in:
 //
-//   - ListUpdated brings the endpoint list, whole or as a delta, or says that a call for it has failed.
+//   - ListUpdated brings the endpoint list, complete or as a delta, or says that a call for it has failed.
 //     WorkersSuspended and WorkersResumed take listed workers out of use for a while.
 //   - RequestArrived offers a request. FirstByte and ClientDisconnected say that it needs no decision any
 //     more.
--- a/decision/endpoints.go
+++ b/decision/endpoints.go
@@ -12,12 +12,12 @@
 const (
 	minListBackoffPart     = 20    // inverse of the smallest backoff's part of ListPollInterval
 	maxListBackoffPart     = 2     // inverse of the largest one's
-	listBackoffJitter      = 0.5   // a wait is at least this part of the backoff, and at most the whole
+	listBackoffJitter      = 0.5   // a wait is at least this part of the backoff, and at most all of it
 	subscribeSpreadPerPeer = 0.008 // part of ListPollInterval that each dispatcher above the threshold adds
 	maxSubscribeSpread     = 0.25  // part of ListPollInterval
 )
 
-// handleList takes in the endpoint list, or that a call for it has failed: then the old list stands.
+// handleList handles the endpoint list, or that a call for it has failed: then the old list stands.
 func (m *Machine) handleList(event Event) {
 	if event.ListKind == ListFailed {
 		m.retrySubscribe()
@@ -92,7 +92,7 @@
 	}
 }
 
-// applyEndpoint takes in what a list says of one worker; delta tells that its start is news.
+// applyEndpoint applies what a list says of one worker; delta says that its start is news.
 func (m *Machine) applyEndpoint(endpoint Endpoint, delta bool) {
 	worker := m.workers[endpoint.Name]
 	listedStart := endpoint.StartedAt
@@ -129,7 +129,7 @@
 	}
 }
 
-// removeWorker forgets a worker that is gone. Attempts there go on.
+// removeWorker forgets a worker that is gone. Attempts there continue.
 func (m *Machine) removeWorker(worker *worker) {
 	m.setSuspended([]Endpoint{worker.Endpoint}, false)
 	m.countRunning(worker, -1)
@@ -163,7 +163,7 @@
 	}
 }
 
-// setSuspended suspends workers, or resumes them. Attempts there go on.
+// setSuspended suspends workers, or resumes them. Attempts there continue.
 func (m *Machine) setSuspended(endpoints []Endpoint, suspended bool) {
 	for _, endpoint := range endpoints {
 		worker := m.workers[endpoint.Name]
@@ -179,7 +179,7 @@
 	}
 }
 
-// allSuspended tells whether there are suspended workers and no running one may be sent to.
+// allSuspended reports whether there are suspended workers and no running one may be sent to.
 func (m *Machine) allSuspended() bool {
 	if m.suspendedCount == 0 {
 		return false
--- a/decision/estimates.go
+++ b/decision/estimates.go
@@ -16,7 +16,7 @@
 // latencyEstimate is the recent mean latency in seconds, at least a tick.
 func (m *Machine) latencyEstimate() float64 { return max(m.meanLatency, m.settings.Tick.Seconds()) }
 
-// learnRunTimeRatio takes in how long a worker took for a hinted second, into its own mean and that of its
+// learnRunTimeRatio records how long a worker took for a hinted second, into its own mean and that of its
 // kind.
 func (m *Machine) learnRunTimeRatio(worker *worker, sample float64) {
 	sample = min(max(sample*m.capacityFraction(worker), 1.0/maxRunTimeRatio), maxRunTimeRatio)
@@ -26,7 +26,7 @@
 	m.kindRunTimeRatio[worker.Kind] = kind + (sample-kind)/meanSpan
 }
 
-// learnClassMeanWork takes in how long a request without a hint ran: the mean of its class stands for the
+// learnClassMeanWork records how long a request without a hint ran: the mean of its class stands for the
 // hints that do not come. The worker's recentWork is corrected from the guess to what the request took,
 // since slow-start budgets come from it: a first guess far above the mean would grant them many times what
 // warm workers take.
--- a/decision/event.go
+++ b/decision/event.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// EventKind tells which fields of an Event are set.
+// EventKind determines which fields of an Event are set.
 type EventKind uint8
 
 // The kinds of events, with the fields that they use.
@@ -53,7 +53,7 @@
 	Settings *Settings
 }
 
-// AttemptOutcome tells how an attempt ended.
+// AttemptOutcome is how an attempt ended.
 type AttemptOutcome uint8
 
 // The outcomes. ConnectionRefused, NotSent and, unless Settings.SaturatedMayHaveRun, Saturated prove that
@@ -79,27 +79,27 @@
 	}[o]
 }
 
-// neverRan tells whether the outcome proves that the attempt had no effect.
+// neverRan reports whether the outcome proves that the attempt had no effect.
 func (o AttemptOutcome) neverRan(settings *Settings) bool {
 	return o.notAccepted() && !(o == Saturated && settings.SaturatedMayHaveRun)
 }
 
-// notAccepted tells whether the worker did not take the attempt, so that its slots and work are free again.
+// notAccepted reports whether the worker did not take the attempt, so that its slots and work are free again.
 func (o AttemptOutcome) notAccepted() bool {
 	return o == Saturated || o == ConnectionRefused || o == NotSent
 }
 
-// mayStillRun tells whether the worker may go on with the attempt though its connection is gone.
+// mayStillRun reports whether the worker may continue the attempt though its connection is gone.
 func (o AttemptOutcome) mayStillRun() bool {
 	return o == TimedOut || o == ConnectionLost || o == Cancelled
 }
 
-// keepsConnection tells whether the worker has answered, so that the connection can be used again.
+// keepsConnection reports whether the worker has answered, so that the connection can be used again.
 func (o AttemptOutcome) keepsConnection() bool {
 	return o == Completed || o == Failed || o == Saturated || o == InvalidRequest
 }
 
-// ListKind tells how the endpoints of a ListUpdated event are meant.
+// ListKind determines how the endpoints of a ListUpdated event are meant.
 type ListKind uint8
 
 // The kinds of lists.
@@ -131,7 +131,7 @@
 	Weight    float64       // size; with LoadAdjustedWeights divided by 1 + the requests it holds per core
 }
 
-// LoadReport is what a worker tells of its load, as far as a decision rests on it.
+// LoadReport is what a worker reports of its load, as far as a decision rests on it.
 type LoadReport struct {
 	FreeSlots      float64
 	HasFreeSlots   bool
--- a/decision/hedge.go
+++ b/decision/hedge.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// workerSilent tells whether two progress reports are missing. An attempt in a worker's queue is silent by
+// workerSilent reports whether two progress reports are missing. An attempt in a worker's queue is silent by
 // nature.
 func (m *Machine) workerSilent(attempt *attempt) bool {
 	mayRun := attempt.startedAt > 0 || !m.settings.StartNotices
@@ -32,7 +32,7 @@
 	return m.now-max(attempt.lastSeen, attempt.worker.lastSeen) > limit
 }
 
-// holderLooksGone tells whether nothing was heard of an attempt for a while, and its worker, zone or
+// holderLooksGone reports whether nothing was received of an attempt for a while, and its worker, zone or
 // connection is not to be trusted.
 func (m *Machine) holderLooksGone(attempt *attempt) bool {
 	if m.now-attempt.lastSeen <= m.sweepInterval {
@@ -42,14 +42,14 @@
 		attempt.startedAt == 0 && attempt.connectionIdle > m.safeIdleTime
 }
 
-// waitsLongForStart tells whether an attempt that can still be in time has waited for its start for half a
+// waitsLongForStart reports whether an attempt that can still be in time has waited for its start for half a
 // sweep interval, where a hedge costs little since one of the two is cancelled.
 func (m *Machine) waitsLongForStart(request *request, attempt *attempt) bool {
 	return attempt.startedAt == 0 && !request.late && m.settings.StartNotices && m.settings.Cancellation &&
 		m.now-attempt.sentAt > m.sweepInterval/2
 }
 
-// connectionUnresponsive tells whether the connection of an attempt looks dead though its worker lives:
+// connectionUnresponsive reports whether the connection of an attempt looks dead though its worker lives:
 // progress reports are overdue, or the start is while nothing waits there by a report of its load since.
 // Where there is no such report, one is asked for.
 func (m *Machine) connectionUnresponsive(request *request, attempt *attempt) bool {
--- a/decision/machine.go
+++ b/decision/machine.go
@@ -12,8 +12,8 @@
 type Machine struct {
 	settings Settings
 	random   *rand.Rand
-	now      time.Duration // time of the event at hand
-	actions  []Action      // for the event at hand, so far
+	now      time.Duration // time of the present event
+	actions  []Action      // for the present event, so far
 
 	planningHorizon time.Duration // span over which the recent past is averaged
 	sweepInterval   time.Duration
@@ -137,7 +137,7 @@
 	}
 }
 
-// Handle takes in what happened at time now and appends what must be done to out, which it returns.
+// Handle processes what happened at time now and appends what must be done to out, which it returns.
 func (m *Machine) Handle(now time.Duration, event Event, out []Action) []Action {
 	m.now = max(m.now, now)
 	m.actions = out
--- a/decision/mix.go
+++ b/decision/mix.go
@@ -19,7 +19,7 @@
 	holdTime decayingValue
 }
 
-// requestGroupKey tells which requests are alike.
+// requestGroupKey identifies the requests that are alike.
 type requestGroupKey struct {
 	class     int
 	overQuota bool
--- a/decision/outlier.go
+++ b/decision/outlier.go
@@ -35,11 +35,11 @@
 	return names
 }
 
-// inPanic tells whether at least half of the fleet cannot be used. Then the fault is not theirs, and
+// inPanic reports whether at least half of the fleet cannot be used. Then the fault is not theirs, and
 // ejected workers are used as well.
 func (m *Machine) inPanic() bool { return 2*(m.runningCount-m.ejectedCount) <= len(m.fleet) }
 
-// usable tells whether a worker may get the request as far as its health and that of its zone go. An
+// usable reports whether a worker may get the request as far as its health and that of its zone go. An
 // ejected worker gets a trial now and then, and one that must not run twice only once half of its failure
 // score has faded.
 func (m *Machine) usable(request *request, worker *worker) bool {
--- a/decision/pricing.go
+++ b/decision/pricing.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// minPricedRequests is the number of recent requests below which nothing is priced: a handful tells nothing
+// minPricedRequests is the number of recent requests below which nothing is priced: a handful says nothing
 // of demand.
 const minPricedRequests = 20
 
@@ -10,7 +10,7 @@
 // one.
 const priceTolerance = 1e-9
 
-// paysPrices tells whether the value of a request covers the prices of its work and of the slot that it
+// paysPrices reports whether the value of a request covers the prices of its work and of the slot that it
 // holds.
 func (m *Machine) paysPrices(request *request) bool {
 	return request.value >= (m.workPrice*request.cost+m.slotPrice*request.holdTime)*(1-priceTolerance)
--- a/decision/queue.go
+++ b/decision/queue.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// maxQueueSkips is how many waiting requests of a class are tried in vain in one pass over the queue.
+// maxQueueSkips is how many waiting requests of a class are tried without success in one pass over the queue.
 // Requests that no worker can take at present, for a machine kind that is gone, would else cost their whole
 // number at each event.
 const maxQueueSkips = 8
@@ -30,7 +30,7 @@
 	m.queue = slices.DeleteFunc(m.queue, func(request *request) bool { return m.tryDequeue(request) })
 }
 
-// tryDequeue tries to place a waiting request, and tells whether it waits no more.
+// tryDequeue tries to place a waiting request, and reports whether it waits no more.
 func (m *Machine) tryDequeue(request *request) bool {
 	if request.ended {
 		request.queued = false
--- a/decision/quota.go
+++ b/decision/quota.go
@@ -12,7 +12,7 @@
 	arrivals   decayingValue // first tries
 }
 
-// overQuota tells whether an arrival is beyond its tenant's quota. The dispatcher grants an even part of
+// overQuota reports whether an arrival is beyond its tenant's quota. The dispatcher grants an even part of
 // the quota, or the part of all traffic that arrives here if that is more. A client's retry was counted at
 // its first try.
 func (m *Machine) overQuota(tenant int, isRetry bool) bool {
--- a/decision/request.go
+++ b/decision/request.go
@@ -28,12 +28,12 @@
 	ended         bool // it has its answer, or needs none
 }
 
-// mayHaveRun tells whether one of its attempts may have had an effect.
+// mayHaveRun reports whether one of its attempts may have had an effect.
 func (r *request) mayHaveRun() bool {
 	return slices.ContainsFunc(r.attempts, func(attempt attempt) bool { return !attempt.neverRan })
 }
 
-// hasStarted tells whether an outstanding attempt is known to have started.
+// hasStarted reports whether an outstanding attempt is known to have started.
 func (r *request) hasStarted() bool {
 	return slices.ContainsFunc(r.attempts, func(attempt attempt) bool {
 		return !attempt.ended && attempt.startedAt > 0
--- a/decision/retry.go
+++ b/decision/retry.go
@@ -16,7 +16,7 @@
 	}
 }
 
-// withinRetryBudget tells whether the retry budget has room for another attempt at the request; a first
+// withinRetryBudget reports whether the retry budget has room for another attempt at the request; a first
 // attempt needs none. Arrivals leave the window a tick early and retries a tick late, to be safe of clocks'
 // resolution.
 func (m *Machine) withinRetryBudget(request *request) bool {
@@ -36,7 +36,7 @@
 	return times[i:]
 }
 
-// mustNotRepeat tells whether no attempt may follow one that may have run: by the class, or since the time
+// mustNotRepeat reports whether no attempt may follow one that may have run: by the class, or since the time
 // is over for which workers discard a repeat.
 func (m *Machine) mustNotRepeat(request *request) bool {
 	if request.class.Idempotency == Idempotent {
@@ -85,7 +85,7 @@
 	m.finish(request)
 }
 
-// clientMayRepeat tells whether the client can send the request again without an effect that happens twice.
+// clientMayRepeat reports whether the client can send the request again without an effect that happens twice.
 func (m *Machine) clientMayRepeat(request *request) bool {
 	switch {
 	case request.class.Idempotency == Idempotent:
--- a/decision/routing.go
+++ b/decision/routing.go
@@ -47,7 +47,7 @@
 	return worker
 }
 
-// preferred tells whether a candidate, if there is one, is to be taken rather than another worker: its
+// preferred reports whether a candidate, if there is one, is to be taken rather than another worker: its
 // expected delay is longer by less than the bias, in seconds.
 func (m *Machine) preferred(request *request, candidate, other *worker, bias float64) bool {
 	if candidate == nil || other == nil {
@@ -101,7 +101,7 @@
 	return best
 }
 
-// canTake tells whether a worker may have the request now. The slow-start budget comes last, since it may
+// canTake reports whether a worker may have the request now. The slow-start budget comes last, since it may
 // be drawn for.
 func (m *Machine) canTake(request *request, worker *worker) bool {
 	return m.mayAssign(request, worker) && !m.busy(request, worker) &&
@@ -136,7 +136,7 @@
 	return wait
 }
 
-// mayAssign tells whether the rules allow an attempt at a worker: it runs, is open to the class, and no
+// mayAssign reports whether the rules allow an attempt at a worker: it runs, is open to the class, and no
 // effect can happen twice. A worker that had the request lately does not get it again, unless it is the
 // only one.
 func (m *Machine) mayAssign(request *request, worker *worker) bool {
@@ -157,7 +157,7 @@
 	return true
 }
 
-// busy tells whether the request would wait at a worker in vain. While it waits here, the first worker with
+// busy reports whether the request would wait at a worker without success. While it waits here, the first worker with
 // room can take it.
 func (m *Machine) busy(request *request, worker *worker) bool {
 	if m.saturated(request, worker) {
--- a/decision/rules_test.go
+++ b/decision/rules_test.go
@@ -203,7 +203,7 @@
 	}
 }
 
-// rejectable tells whether a repeat by the client is safe.
+// rejectable reports whether a repeat by the client is safe.
 func (r *simRequest) rejectable() bool {
 	for _, attempt := range r.attempts {
 		mayRepeat := r.class.Idempotency == Idempotent ||
--- a/decision/saturation.go
+++ b/decision/saturation.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// acceptsOtherClasses tells whether the worker has taken requests of other classes that were sent after a
+// acceptsOtherClasses reports whether the worker has taken requests of other classes that were sent after a
 // moment.
 func (w *worker) acceptsOtherClasses(class *Class, after time.Duration) bool {
 	for other, rejections := range w.rejections {
@@ -61,7 +61,7 @@
 	rejections.blockedUntil = m.now + rejections.backoff
 }
 
-// saturated tells whether the worker is known to have no room for the request now.
+// saturated reports whether the worker is known to have no room for the request now.
 func (m *Machine) saturated(request *request, worker *worker) bool {
 	if m.now < max(worker.saturatedUntil, worker.rejectionsOf(request.class).blockedUntil) {
 		return true
--- a/decision/serialization.go
+++ b/decision/serialization.go
@@ -30,7 +30,7 @@
 	m.dropKeyQueueIfIdle(queue)
 }
 
-// awaitsKey tells whether a request must wait for its key: an earlier request is not over, or, if this one
+// awaitsKey reports whether a request must wait for its key: an earlier request is not over, or, if this one
 // has had no attempt yet, an attempt at an earlier one may still run.
 func (m *Machine) awaitsKey(request *request) bool {
 	queue := request.keyQueue
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -29,7 +29,7 @@
 	DedupWithinCell
 )
 
-// covers tells whether two workers discard each other's repeats.
+// covers reports whether two workers discard each other's repeats.
 func (s DedupScope) covers(a, b *worker) bool {
 	return s == DedupEverywhere || a.Zone == b.Zone && (s == DedupWithinZone || a.Cell == b.Cell)
 }
@@ -52,7 +52,7 @@
 	Streaming        bool          // the answer is a stream, announced by FirstByte
 }
 
-// mayRunOn tells whether a worker is open to the class, by its kind and zone in the latest list.
+// mayRunOn reports whether a worker is open to the class, by its kind and zone in the latest list.
 func (c *Class) mayRunOn(worker *worker) bool {
 	return (c.Kinds == nil || slices.Contains(c.Kinds, worker.Kind)) &&
 		(c.Zones == nil || slices.Contains(c.Zones, worker.Zone))
@@ -104,7 +104,7 @@
 
 	ZoneNames  []string      // names of zones by their number
 	KindNames  []string      // names of machine kinds by their number
-	FreeSlots  string        // the field of a load report that tells free slots; empty: none
+	FreeSlots  string        // the field of a load report that gives the free slots; empty: none
 	DrainGrace time.Duration // how long after it is known to drain a worker may still be sent to
 }
 
@@ -113,7 +113,7 @@
 // serves that many.
 const largeFleetThreshold = 8
 
-// LargeFleet tells whether there are so many dispatchers that their calls for the endpoint list must be
+// LargeFleet reports whether there are so many dispatchers that their calls for the endpoint list must be
 // spread over time. The initial endpoint list serves meanwhile.
 func (s *Settings) LargeFleet() bool { return s.Peers > largeFleetThreshold }
 
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -8,7 +8,7 @@
 // hinted slot-seconds.
 const (
 	// slowStartSafety is the part of the budget that is used: what was saved, what comes in during a window
-	// and half a window beyond that make 2.5 times it, the whole.
+	// and half a window beyond that make 2.5 times it, the budget.
 	slowStartSafety = 0.4
 	// slowStartSavedWindows is for how many windows a budget may be saved, where a request takes more than
 	// one's.
@@ -52,7 +52,7 @@
 	return listed
 }
 
-// withinSlowStartBudget tells whether a worker, if in slow start, may get the request. The first request
+// withinSlowStartBudget reports whether a worker, if in slow start, may get the request. The first request
 // there, and one that takes more than a window's part, are drawn for with odds of the budget saved to the
 // cost; a drawing that is lost spends the budget.
 func (m *Machine) withinSlowStartBudget(request *request, worker *worker) bool {
@@ -118,7 +118,7 @@
 // workRateScan is a walk over the fleet, spread over sweep intervals, that computes the mean work rate of
 // each kind.
 type workRateScan struct {
-	next  int             // index in the fleet at which it goes on
+	next  int             // index in the fleet at which it continues
 	count map[int]float64 // warm workers so far, by kind; nil: the walk has not begun
 	rates map[int]float64 // their mean work rate
 }
@@ -137,7 +137,7 @@
 	return m.warmWorkRates[minOfAllKinds]
 }
 
-// scanWarmWorkRates goes on with the walk over the fleet, to its end if whole. Its results hold once it is
+// scanWarmWorkRates continues the walk over the fleet, to its end if whole. Its results hold once it is
 // at the end.
 func (m *Machine) scanWarmWorkRates(whole bool) {
 	scan := &m.warmWorkRateScan
--- a/decision/slowstart_fleet_test.go
+++ b/decision/slowstart_fleet_test.go
@@ -222,7 +222,7 @@
 	})
 }
 
-// Four dispatchers under the same overload hear of a start at once. Work that warm workers turn away must
+// Four dispatchers under the same overload hear of a start at once. Work that warm workers reject must
 // not enlarge the budget, nor a fast kind's work rate a slow kind's.
 func TestWorkerInSlowStartIsNotOverloaded(t *testing.T) {
 	const peers, capacity, tick = 4, 4.0, 10 * time.Millisecond // capacity in hinted seconds a second
--- a/decision/sweep.go
+++ b/decision/sweep.go
@@ -73,14 +73,14 @@
 	}
 }
 
-// hardlyInTime tells whether the request would miss its objective if it started now, or with the next sweep.
+// hardlyInTime reports whether the request would miss its objective if it started now, or with the next sweep.
 func (m *Machine) hardlyInTime(request *request) bool {
 	return m.now+seconds(request.work)+m.sweepInterval >= request.objective
 }
 
 // markLate marks a request that can hardly be in time, and lowers its value to that of a late answer. It is
 // rejected at once if it waits while capacity is scarce, or delays others. An attempt that is not known to
-// have started tells of overload now, where its end would tell much later; unless its connection may be
+// have started shows overload now, where its end would show it much later; unless its connection may be
 // dead.
 func (m *Machine) markLate(request *request) {
 	request.late = true
@@ -105,12 +105,12 @@
 	}
 }
 
-// capacityScarce tells whether a waiting request has little hope of a worker soon.
+// capacityScarce reports whether a waiting request has little hope of a worker soon.
 func (m *Machine) capacityScarce(request *request) bool {
 	return m.workPrice+m.slotPrice > 0 || !m.withinConcurrency(request) || m.allSuspended()
 }
 
-// delaysOthers tells whether a request that can hardly be in time, and has not started, stands before
+// delaysOthers reports whether a request that can hardly be in time, and has not started, stands before
 // others in its worker's queue for little: it earns nothing late, or may be repeated while many outcomes
 // are bad.
 func (m *Machine) delaysOthers(request *request) bool {
--- a/decision/zone.go
+++ b/decision/zone.go
@@ -29,7 +29,7 @@
 	return m.zones[number]
 }
 
-// zoneUnreachable tells whether a worker's zone gets no requests: connects there have failed in a row, and
+// zoneUnreachable reports whether a worker's zone gets no requests: connects there have failed in a row, and
 // workers of other zones have been seen since. One request at a time tries whether it is back, after ever
 // longer intervals.
 func (m *Machine) zoneUnreachable(worker *worker) bool {
--- a/internal/connlimit/admission.go
+++ b/internal/connlimit/admission.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// An unknown address that was rejected for want of capacity, and comes again within
+// An unknown address that was rejected for lack of capacity, and comes again within
 // a while, is a retry. A part of the capacity is kept for retries: against a flood
 // of other addresses, which mostly do not come again, it gets one that keeps its
 // limits admitted.
@@ -183,7 +183,7 @@
 	return delay >= minRetryDelay && delay < maxRetryDelay
 }
 
-// rememberRejection notes when an unknown address was first rejected for want of
+// rememberRejection notes when an unknown address was first rejected for lack of
 // capacity.
 func (l *Limiter) rememberRejection(now time.Duration, k key, index int32, found bool) {
 	if !found {
--- a/internal/connlimit/table.go
+++ b/internal/connlimit/table.go
@@ -53,7 +53,7 @@
 	score         float32 // served requests, decayed
 	scoredAt      ticks   // the time that score is decayed to
 	abusedAt      ticks   // when it was last abused
-	firstRejected ticks   // when it was first rejected for want of capacity since it was last admitted
+	firstRejected ticks   // when it was first rejected for lack of capacity since it was last admitted
 	open          int32   // connections
 	opening       int32   // of them, silent ones
 	halfRead      int32   // requests
--- a/internal/daemon/predecessor.go
+++ b/internal/daemon/predecessor.go
@@ -89,7 +89,7 @@
 	p.peerEnded()
 }
 
-// sendLimits tells the successor, at intervals, what this process uses of the
+// sendLimits reports to the successor, at intervals, what this process uses of the
 // descriptors and the memory: most of them while the successor starts, half once it
 // accepts clients, and in the end only what is in use.
 func (p *process) sendLimits() {
--- a/internal/daemon/resources.go
+++ b/internal/daemon/resources.go
@@ -20,7 +20,7 @@
 
 	defaultBufferMemory = 64 * bytesPerMB // without a memory limit
 
-	defaultDescriptors = 1024    // where the system tells no limit
+	defaultDescriptors = 1024    // where the system sets no limit
 	maxDescriptorLimit = 1 << 20 // a system limit from here on counts as none
 
 	// adminDescriptors are reserved for the admin API: its calls and its listener.
@@ -94,7 +94,7 @@
 func (p *process) useAllLimits() { p.useLimits(p.config.descriptors(), p.config.memory()) }
 
 // resourceUsage returns how many descriptors the process has open and how many bytes
-// are resident, as /proc tells; a value that cannot be read is 0.
+// are resident, as /proc reports; a value that cannot be read is 0.
 func resourceUsage() (descriptors int, resident int64) {
 	if list, err := os.ReadDir("/proc/self/fd"); err == nil {
 		descriptors = len(list)
--- a/internal/discovery/applychange.go
+++ b/internal/discovery/applychange.go
@@ -73,7 +73,7 @@
 	return f.completeThrough
 }
 
-// validate checks a whole change. Its settings are put in force, unless there is an error: they come last, since
+// validate checks all of a change. Its settings are put in force, unless there is an error: they come last, since
 // whatever applies them checks them itself.
 func (f *membershipFollower) validate(change membershipChange) ([]decision.Endpoint, error) {
 	if change.typeError != nil {
--- a/internal/discovery/endpointlist.go
+++ b/internal/discovery/endpointlist.go
@@ -22,7 +22,7 @@
 	// different from an empty list.
 	Settings []settingChange `json:"settings,omitzero"`
 
-	// AgeMs is how long ago, in milliseconds, the process that hands the list over last heard all that discovery
+	// AgeMs is how long ago, in milliseconds, the process that hands the list over last received all that discovery
 	// had. nil: unknown, as in discovery's own lists.
 	AgeMs *int64 `json:"age_ms,omitempty"`
 }
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -20,7 +20,7 @@
 }
 
 // An attempt that has no connection by connectStagger, or no response by answerStagger, does not hold up the next one
-// and goes on beside it: the first to catch up is used. connectStagger covers a round trip between regions,
+// and continues beside it: the first to catch up is used. connectStagger covers a round trip between regions,
 // answerStagger a server that is busy.
 const (
 	connectStagger = 150 * time.Millisecond
@@ -215,7 +215,7 @@
 	f.outageLogged = false
 }
 
-// subscriptionFailed closes a subscription that has failed, and goes on with another server.
+// subscriptionFailed closes a subscription that has failed, and continues with another server.
 func (f *membershipFollower) subscriptionFailed(failed *subscription, cause error) {
 	loop := f.registry.dispatcher.Loop
 	failed.close()
--- a/internal/discovery/handover.go
+++ b/internal/discovery/handover.go
@@ -30,8 +30,8 @@
 	return r.watch.address, list, err
 }
 
-// Import takes in the list that a predecessor process has exported, unless the source has been heard here already.
-// Nothing is applied of a list that is wrong, for which an error is returned.
+// Import applies the list that a predecessor process has exported, unless this process has already received a list from
+// the source. Nothing is applied of a list that is wrong, for which an error is returned.
 func (r *Registry) Import(raw json.RawMessage) error {
 	if r.watch.established || r.follower != nil && r.follower.active != nil {
 		return nil
--- a/internal/discovery/initiallist.go
+++ b/internal/discovery/initiallist.go
@@ -13,7 +13,7 @@
 // initialListTimeout is how long the initial endpoint list is withheld for the first update of the source.
 const initialListTimeout = time.Second
 
-// LoadInitial takes in the list that the dispatcher had before its start, in its wire form, and begins to follow the
+// LoadInitial applies the list that the dispatcher had before its start, in its wire form, and begins to follow the
 // source. Nothing is applied of a list that is wrong, for which an error is returned.
 //
 // The list may be old. Requests are accepted at once, since a client has no other dispatcher to turn to, but they wait
--- a/internal/discovery/objectsplitter.go
+++ b/internal/discovery/objectsplitter.go
@@ -9,7 +9,7 @@
 
 var errInvalidObject = errors.New("not a JSON object, or one of over 4 MB")
 
-// stringTracker tells which bytes of a JSON text belong to a string.
+// stringTracker finds which bytes of a JSON text belong to a string.
 type stringTracker struct {
 	inString bool
 	escaped  bool // the previous byte was a backslash inside a string
--- a/internal/discovery/reconnect.go
+++ b/internal/discovery/reconnect.go
@@ -68,8 +68,8 @@
 	w.scheduleCall(now + remaining/2 + jitter)
 }
 
-// reportFailure tells the dispatcher that a call failed, unless it has yet to call Subscribe after an earlier report.
-// Each report makes it set a timer, which cannot be cancelled: with several, calls would multiply.
+// reportFailure notifies the dispatcher that a call failed, unless it has yet to call Subscribe after an earlier
+// report. Each report makes it set a timer, which cannot be cancelled: with several, calls would multiply.
 func (w *watch) reportFailure() {
 	if w.failureReported {
 		return
--- a/internal/discovery/registry.go
+++ b/internal/discovery/registry.go
@@ -1,4 +1,4 @@
-// Package discovery keeps the endpoint list: which workers there are, how recently their source was heard, and whether
+// Package discovery keeps the endpoint list: which workers there are, how recently their source answered, and whether
 // the list may still be acted on.
 //
 // A [Registry] follows one source of updates. The source is either the discovery watch, a single long-lived HTTP call
@@ -46,7 +46,7 @@
 	stats    Stats
 
 	// initialEntries is the initial endpoint list, by worker name, which is withheld from the dispatcher until the
-	// source is heard or initialTimeout expires; nil: a list has been published.
+	// source answers or initialTimeout expires; nil: a list has been published.
 	initialEntries map[string]decision.Endpoint
 	initialTimeout eventloop.Deadline
 
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -178,7 +178,7 @@
 }
 
 // cleanUp stops what an answered request does not need any more, and removes the request once it has no open attempt.
-// Until then its expiry stays set, which ends an attempt that goes on after the response.
+// Until then its expiry stays set, which ends an attempt that continues after the response.
 func (d *Dispatcher) cleanUp(request *openRequest) {
 	if !request.answered {
 		return
@@ -196,8 +196,8 @@
 }
 
 // stopUndelivered stops the attempts that have not been delivered to their workers, also where the settings allow no
-// cancellation. An attempt that has its lease goes on: the job is wanted whether its client waits or not, and it is the
-// front end that ends it.
+// cancellation. An attempt that has its lease continues: the job is wanted whether its client waits or not, and it is
+// the front end that ends it.
 func (d *Dispatcher) stopUndelivered(request *openRequest) {
 	for i := 0; i < len(request.attempts); i++ {
 		handle := request.attempts[i].handle
--- a/internal/dispatch/workers.go
+++ b/internal/dispatch/workers.go
@@ -100,7 +100,7 @@
 }
 
 // SuspendWorkers reports that a source cannot vouch for these workers of its list for now: they get no attempts until
-// ResumeWorkers. Attempts that are in flight there go on.
+// ResumeWorkers. Attempts that are in flight there continue.
 func (d *Dispatcher) SuspendWorkers(source WorkerClient, workers []string) {
 	d.changeSuspension(decision.WorkersSuspended, source, workers)
 }
--- a/internal/durable/audit.go
+++ b/internal/durable/audit.go
@@ -12,7 +12,7 @@
 // auditRetention is how long an audit is kept; the first start after that deletes it.
 const auditRetention = 180 * 24 * time.Hour
 
-// Audit is a record of what was done to a job, or became of it. It is stored together with the change it tells of.
+// Audit is a record of what was done to a job, or became of it. It is stored together with the change that it records.
 type Audit struct {
 	At       time.Time   `json:"at"`
 	ID       string      `json:"id"`  // of the job
@@ -35,7 +35,7 @@
 	return store.Record{ID: fmt.Sprintf("%s%020d-%06d", auditPrefix, int64(now), number), Value: a}
 }
 
-// isExpiredAudit tells whether an id is that of an audit that is older than auditRetention.
+// isExpiredAudit reports whether an id is that of an audit that is older than auditRetention.
 func isExpiredAudit(id string, now time.Duration) bool {
 	text, isAudit := strings.CutPrefix(id, auditPrefix)
 	var at int64
--- a/internal/durable/leasing.go
+++ b/internal/durable/leasing.go
@@ -61,8 +61,8 @@
 	s.Wake()
 }
 
-// Ended is called when the attempt under a lease has ended. Where nobody can tell whether the job ran, the lease goes
-// on: its worker may reconnect and report.
+// Ended is called when the attempt under a lease has ended. Where it is not known whether the job ran, the lease
+// stays: its worker may reconnect and report.
 func (s *Scheduler) Ended(request *dispatch.Request, fence uint64, outcome decision.AttemptOutcome, neverRan bool, result []byte) {
 	reason := jobs.Reason(outcome.String())
 	switch {
--- a/internal/durable/request.go
+++ b/internal/durable/request.go
@@ -28,8 +28,8 @@
 // RequestID is the id of the job under an idempotency key.
 func RequestID(idempotencyKey string) string { return requestPrefix + idempotencyKey }
 
-// Job is the job that a request under an idempotency key becomes. Its hash tells apart requests under one key that ask
-// for different things.
+// Job is the job that a request under an idempotency key becomes. Its hash distinguishes requests under one key that
+// ask for different things.
 func (r Request) Job(idempotencyKey, class string, nonIdempotent bool) jobs.Job {
 	payload, _ := json.Marshal(r) // text, bytes and numbers always marshal
 	return jobs.Job{
--- a/internal/durable/scheduler.go
+++ b/internal/durable/scheduler.go
@@ -30,7 +30,7 @@
 	Reserve(worker string, class int, id string, onReserved func(reserved bool))
 	// Unreserve releases a slot that was reserved for a job.
 	Unreserve(worker, id string)
-	// SendsHeartbeats tells whether a worker renews its leases itself.
+	// SendsHeartbeats reports whether a worker renews its leases itself.
 	SendsHeartbeats(worker string) bool
 }
 
--- a/internal/durable/service.go
+++ b/internal/durable/service.go
@@ -211,7 +211,7 @@
 	return nil
 }
 
-// Move discards, kills or requeues a job that waits or is dead; operator tells that an operator asks for it. An
+// Move discards, kills or requeues a job that waits or is dead; operator is set where an operator asks for it. An
 // error is a *jobs.TransitionError.
 func (s *Service) Move(id string, move jobs.Move, reason jobs.Reason, operator bool) error {
 	effects, err := s.machine.Move(s.loop.Now(), id, move, reason, operator)
--- a/internal/durable/snapshot.go
+++ b/internal/durable/snapshot.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Snapshot writes a consistent copy of the store to a file of that name beside it, while the store goes on. It calls
-// done with nil once the copy is on disk, or with the error.
+// Snapshot writes a consistent copy of the store to a file of that name beside it, while the store stays in use. It
+// calls done with nil once the copy is on disk, or with the error.
 func (s *Service) Snapshot(name string, done func(error)) {
 	path, err := SiblingPath(s.path, name)
 	if err != nil {
--- a/internal/faktory/connection.go
+++ b/internal/faktory/connection.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// resume goes on to the next command after an answer.
+// resume continues with the next command after an answer.
 func (c *connection) resume() {
 	c.busy = false
 	loop := c.server.dispatcher.Loop
--- a/internal/faktory/delivery.go
+++ b/internal/faktory/delivery.go
@@ -57,7 +57,7 @@
 	delivery.worker.awaitingFetch = remove(delivery.worker.awaitingFetch, delivery)
 }
 
-// endAttempt removes a delivery and tells the dispatcher how its attempt ended.
+// endAttempt removes a delivery and reports to the dispatcher how its attempt ended.
 func (s *Server) endAttempt(delivery *jobDelivery, outcome decision.AttemptOutcome) {
 	s.forgetDelivery(delivery)
 	s.dispatcher.AttemptEnded(delivery.attempt.Handle, outcome, decision.LoadReport{}, nil)
--- a/internal/faktory/durable.go
+++ b/internal/faktory/durable.go
@@ -168,7 +168,7 @@
 	s.continueRelease(limit, done)
 }
 
-// continueRelease closes the connections that can be closed by now, and goes on
+// continueRelease closes the connections that can be closed by now, and continues
 // later if some are left.
 func (s *Server) continueRelease(limit time.Duration, done func()) {
 	loop := s.dispatcher.Loop
--- a/internal/faktory/durablecommands.go
+++ b/internal/faktory/durablecommands.go
@@ -85,7 +85,7 @@
 	reply    func(line string)
 }
 
-// handlePushBulk stores many jobs at once. The answer tells, by jid, which are
+// handlePushBulk stores many jobs at once. The answer lists, by jid, which are
 // rejected.
 func (c *connection) handlePushBulk(rest []byte) {
 	var list []json.RawMessage
@@ -213,7 +213,7 @@
 	}
 }
 
-// handleTrackGet tells the state and progress of a job.
+// handleTrackGet answers with the state and progress of a job.
 func (c *connection) handleTrackGet(jid string) {
 	queues := c.server.durable
 	answer := trackReply{Jid: jid, State: trackStateUnknown, jobProgress: queues.progress[jid]}
--- a/internal/faktory/jobpayload.go
+++ b/internal/faktory/jobpayload.go
@@ -202,7 +202,7 @@
 	return job
 }
 
-// hash covers what tells two jobs with one jid apart: class, type and args.
+// hash covers what distinguishes two jobs with one jid: class, type and args.
 // Times and the like may differ between a PUSH and its repetition.
 func (w *work) hash(class string) uint64 {
 	digest := xxhash.New()
--- a/internal/faktory/server_test.go
+++ b/internal/faktory/server_test.go
@@ -213,7 +213,7 @@
 		t.Errorf("what it had: %q", a)
 	}
 	w2 := dial(t, addr, hello{Wid: "w2"})
-	if a := awaitAnswer(t, late); !strings.HasPrefix(a, "-ERR REFUSED") { // it waited for the next FETCH in vain
+	if a := awaitAnswer(t, late); !strings.HasPrefix(a, "-ERR REFUSED") { // it waited for the next FETCH without success
 		t.Errorf("with no worker but a quiet one: %q", a)
 	}
 	next := pushAsync(t, addr, pushCommand("quiet-0003", "status-check", ""))
--- a/internal/faktory/slots.go
+++ b/internal/faktory/slots.go
@@ -66,8 +66,8 @@
 	c.worker.parked = remove(c.worker.parked, c)
 }
 
-// offerSlot gives a newly parked FETCH what waits for it, or else tells the
-// dispatcher of the free slot. A worker that drains gets nothing: its FETCH is
+// offerSlot gives a newly parked FETCH what waits for it, or else notifies
+// the dispatcher of the free slot. A worker that drains gets nothing: its FETCH is
 // answered with no job in time.
 func (s *Server) offerSlot(slot *connection) {
 	worker := slot.worker
--- a/internal/faktory/source.go
+++ b/internal/faktory/source.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// Stop fetches nothing more. Jobs in progress go on.
+// Stop fetches nothing more. Jobs in progress continue.
 func (s *Source) Stop() { s.draining = true }
 
 // Busy returns the number of deliveries that are not closed yet, or being fetched.
--- a/internal/faktory/worker.go
+++ b/internal/faktory/worker.go
@@ -29,7 +29,7 @@
 	labelIdempotent = "idempotent:1" // it deduplicates jobs by jid
 )
 
-// States that a worker tells by BEAT when it wants no more jobs.
+// States that a worker reports by BEAT when it wants no more jobs.
 const (
 	stateQuiet       = "quiet"
 	stateTerminate   = "terminate"
@@ -54,7 +54,7 @@
 
 // registerWorker records a connection of a wid. A wid that is new is a worker
 // that has just started and is subject to slow start, unless it was surely
-// running before: it joins right after our own start, or a label tells its
+// running before: it joins right after our own start, or a label gives its
 // start, or there is no other running worker.
 func (s *Server) registerWorker(message hello) *registeredWorker {
 	worker := s.workers[workerNamePrefix+message.Wid]
@@ -91,7 +91,7 @@
 	return worker
 }
 
-// applyLabels sets what a worker's labels tell about it. Others are ignored.
+// applyLabels sets what a worker's labels say about it. Others are ignored.
 func (s *Server) applyLabels(endpoint *decision.Endpoint, labels []string) {
 	for _, label := range labels {
 		name, value, _ := strings.Cut(label, ":")
@@ -117,7 +117,7 @@
 	return false
 }
 
-// updateEndpoint tells the dispatcher of a change of a worker's endpoint, if it
+// updateEndpoint notifies the dispatcher of a change of a worker's endpoint, if it
 // knows the worker.
 func (s *Server) updateEndpoint(worker *registeredWorker) {
 	if worker.listed {
@@ -242,7 +242,7 @@
 	}
 }
 
-// reportFreeSlots tells the dispatcher how many FETCHes of a worker wait.
+// reportFreeSlots reports to the dispatcher how many FETCHes of a worker wait.
 func (s *Server) reportFreeSlots(worker *registeredWorker) {
 	report := decision.LoadReport{FreeSlots: float64(len(worker.parked)), HasFreeSlots: true}
 	s.dispatcher.HealthChecked(worker.name, decision.Completed, report)
--- a/internal/goldentest/commands.go
+++ b/internal/goldentest/commands.go
@@ -34,7 +34,7 @@
 	return lines
 }
 
-// commandLine words what is particular of a command.
+// commandLine formats what is particular to a command.
 func commandLine(parent, command *kong.Node) string {
 	line := ""
 	if parent.DefaultCmd == command {
@@ -49,7 +49,7 @@
 	return line + ":"
 }
 
-// flagLine words a flag.
+// flagLine formats a flag.
 func flagLine(flag *kong.Flag) string {
 	line := "--" + valueLine(flag.Value)
 	if flag.Short != 0 {
@@ -76,7 +76,7 @@
 	return line
 }
 
-// valueLine words what flags and arguments have in common.
+// valueLine formats what flags and arguments have in common.
 func valueLine(value *kong.Value) string {
 	line := value.Name + " " + valueKind(value.Target.Type())
 	if value.Required {
--- a/internal/goldentest/effects.go
+++ b/internal/goldentest/effects.go
@@ -14,9 +14,9 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Effects tells what each key of a document does: it decodes the document, which
+// Effects lists what each key of a document does: it decodes the document, which
 // must give every key a value other than its default, then once for each key without
-// it, and words the decoded values that become others. Values alone are listed, not
+// it, and formats the decoded values that become others. Values alone are listed, not
 // the Go fields that hold them. A key without an effect is listed as such, and one
 // that cannot be left out with the error. encode writes a document as its file has
 // it, decode reads it.
@@ -72,7 +72,7 @@
 	}
 }
 
-// changes words the values that differ, sorted.
+// changes formats the values that differ, sorted.
 func changes(before, after map[string]string) string {
 	var list []string
 	valueOrNone := func(values map[string]string, key string) string {
@@ -98,7 +98,7 @@
 	return strings.Join(list, ", ")
 }
 
-// Values words all values that a Go value holds that are not zero, sorted, on one
+// Values formats all values that a Go value holds that are not zero, sorted, on one
 // line, without the names of the fields that hold them.
 func Values(value any) string {
 	var list []string
@@ -111,7 +111,7 @@
 	return strings.Join(list, " ")
 }
 
-// Document words a value that a TOML file is decoded into as such a file, its keys
+// Document formats a value that a TOML file is decoded into as such a file, its keys
 // sorted, on one line.
 func Document(t *testing.T, value any) string {
 	t.Helper()
@@ -181,14 +181,14 @@
 	return list
 }
 
-// leafText words one value without parts.
+// leafText formats one value without parts.
 func leafText(value reflect.Value) string {
 	switch {
 	case value.Type() == reflect.TypeFor[time.Duration]():
 		return time.Duration(value.Int()).String()
 	case value.Kind() == reflect.String:
 		return strconv.Quote(value.String())
-	case value.CanInt(): // a number, also where its type words it by a String method
+	case value.CanInt(): // a number, also where its type has a String method
 		return strconv.FormatInt(value.Int(), 10)
 	case value.CanUint():
 		return strconv.FormatUint(value.Uint(), 10)
--- a/internal/handover/socket.go
+++ b/internal/handover/socket.go
@@ -20,7 +20,7 @@
 const maxSocketPath = 100
 
 // SocketPath returns the path of the socket of a dispatcher in a directory; the name
-// tells the dispatchers apart that share the directory. It is empty without a
+// distinguishes the dispatchers that share the directory. It is empty without a
 // directory.
 func SocketPath(directory, dispatcher string) string {
 	if directory == "" {
--- a/internal/httpfront/connection.go
+++ b/internal/httpfront/connection.go
@@ -45,7 +45,7 @@
 	sentAtStall        int64 // bytes that had been sent when the stall timer was set
 }
 
-// OnData takes in bytes that the client has sent. It implements transport.Handler.
+// OnData handles bytes that the client has sent. It implements transport.Handler.
 func (c *clientConnection) OnData(_ *transport.Conn, b *transport.Buffer) {
 	frontEnd := c.frontEnd
 	switch {
@@ -87,7 +87,7 @@
 	}
 }
 
-// ClientLeft tells whether the client of a request has closed its connection, even if the event of it has not been
+// ClientLeft reports whether the client of a request has closed its connection, even if the event of it has not been
 // handled yet. It implements dispatch.ClientWatcher.
 func (f *FrontEnd) ClientLeft(token uint64) bool {
 	c := f.connections.Get(token)
@@ -97,7 +97,7 @@
 // RequestCancelled implements dispatch.ClientWatcher. It does nothing: the connection is released when OnClosed comes.
 func (f *FrontEnd) RequestCancelled(uint64, bool) {}
 
-// betweenRequests tells whether no request has begun and no response is pending.
+// betweenRequests reports whether no request has begun and no response is pending.
 func (c *clientConnection) betweenRequests() bool {
 	return !c.responsePending && !c.closed && c.input == nil
 }
--- a/internal/httpfront/drain.go
+++ b/internal/httpfront/drain.go
@@ -30,7 +30,7 @@
 	f.loop().Clear(&f.drainTimer)
 }
 
-// Draining tells whether the front end is out of service.
+// Draining reports whether the front end is out of service.
 func (f *FrontEnd) Draining() bool { return f.draining }
 
 // continueDrain takes the next step of a drain.
@@ -61,7 +61,8 @@
 	f.closeBetweenRequests(0)
 }
 
-// BeginShutdown begins a planned restart: the front end goes on serving, but /healthz no longer says that it is ready.
+// BeginShutdown begins a planned restart: the front end continues to serve, but /healthz no longer says that it is
+// ready.
 func (f *FrontEnd) BeginShutdown() { f.shuttingDown = true }
 
 // HandOver stops accepting, since a successor does: connections in the backlog wait for that. Connections end with
--- a/internal/httpfront/eviction.go
+++ b/internal/httpfront/eviction.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// evictForCapacity evicts some connections for new ones that wait, and goes on until one of those has been accepted. If there
-// is none to evict, connections end with their next responses.
+// evictForCapacity evicts some connections for new ones that wait, and continues until one of those has been accepted.
+// If there is none to evict, connections end with their next responses.
 func (f *FrontEnd) evictForCapacity() {
 	spareProven := f.listenerShared // the other process has room
 	for evicted := range evictionsPerCall {
@@ -85,10 +85,10 @@
 	}
 }
 
-// memoryShort tells whether buffers take up so much memory that no request is read ahead.
+// memoryShort reports whether buffers take up so much memory that no request is read ahead.
 func (f *FrontEnd) memoryShort() bool {
 	return memoryShortDivisor*f.engine.Pool.BytesInUse() > f.memoryLimit
 }
 
-// memoryExhausted tells whether buffers take up more memory than the limit.
+// memoryExhausted reports whether buffers take up more memory than the limit.
 func (f *FrontEnd) memoryExhausted() bool { return f.engine.Pool.BytesInUse() > f.memoryLimit }
--- a/internal/httpfront/fairness.go
+++ b/internal/httpfront/fairness.go
@@ -1,6 +1,6 @@
 package httpfront
 
-// connectionsPerTurn is how many connections are read in a row, one of each address, before the loop goes on.
+// connectionsPerTurn is how many connections are read in a row, one of each address, before the loop continues.
 const connectionsPerTurn = 8
 
 // queueForTurn makes a connection's input wait for its address's turn, so that an address with a thousand connections
--- a/internal/httpfront/frontend.go
+++ b/internal/httpfront/frontend.go
@@ -46,7 +46,7 @@
 	drainTimer         eventloop.Deadline // the drain's next step
 	closeAfterResponse bool               // connections end with their next response
 	readingStopped     bool               // nothing is read from clients any more
-	handedOver         bool               // a successor accepts, so that the service as a whole is ready
+	handedOver         bool               // a successor accepts, so that the service is ready
 	listenerShared     bool               // another process accepts on the same listener
 
 	// eviction
@@ -67,7 +67,7 @@
 )
 
 // New returns a front end that accepts connections once Listen or Serve is called. The buffers of the engine, which
-// others may share, should not take up more than memoryLimit bytes. ready tells whether workers are known.
+// others may share, should not take up more than memoryLimit bytes. ready reports whether workers are known.
 func New(dispatcher *dispatch.Dispatcher, engine *transport.Engine, memoryLimit int, ready func() bool) *FrontEnd {
 	frontEnd := &FrontEnd{
 		dispatcher:  dispatcher,
@@ -142,13 +142,13 @@
 	}
 }
 
-// SetShared tells the front end whether another process accepts on the same listener.
+// SetShared sets whether another process accepts on the same listener.
 func (f *FrontEnd) SetShared(shared bool) { f.listenerShared = shared }
 
 // SetMemoryLimit sets how many bytes the buffers may take up from now on.
 func (f *FrontEnd) SetMemoryLimit(limit int) { f.memoryLimit = limit }
 
-// Ready tells whether workers are known, so that requests can be forwarded.
+// Ready reports whether workers are known, so that requests can be forwarded.
 func (f *FrontEnd) Ready() bool { return f.ready() }
 
 // ConnectionCount returns the number of connections on which requests may come or responses are pending.
--- a/internal/httpfront/idempotency.go
+++ b/internal/httpfront/idempotency.go
@@ -27,7 +27,7 @@
 	f.durableClasses = durableClasses
 }
 
-// isDurable tells whether requests of a class are durable if they have an idempotency key.
+// isDurable reports whether requests of a class are durable if they have an idempotency key.
 func (f *FrontEnd) isDurable(class int) bool {
 	return f.durableClasses != nil && f.durableClasses[class]
 }
--- a/internal/httpfront/input.go
+++ b/internal/httpfront/input.go
@@ -8,7 +8,7 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-// maxRequestsPerTurn is how many requests of one connection are read before the loop goes on with others.
+// maxRequestsPerTurn is how many requests of one connection are read before the loop continues with others.
 const maxRequestsPerTurn = 16
 
 // appendInput adds data to the input, or to the overflow if there is no room.
@@ -111,7 +111,7 @@
 	return complete, nil
 }
 
-// wantsKeepAlive tells whether the client means to send more requests on the connection.
+// wantsKeepAlive reports whether the client means to send more requests on the connection.
 func wantsKeepAlive(message *httpwire.Message) bool {
 	if message.HasToken("Connection", "close") {
 		return false
@@ -119,7 +119,7 @@
 	return !bytes.Equal(message.Version(), []byte("HTTP/1.0")) || message.HasToken("Connection", "keep-alive")
 }
 
-// updatePause stops reading from the socket while there is input that cannot be handled yet, or lets it go on.
+// updatePause stops reading from the socket while there is input that cannot be handled yet, or resumes it.
 func (c *clientConnection) updatePause() {
 	frontEnd := c.frontEnd
 	if c.closed || c.responsePending && c.closeAfterResponse || frontEnd.readingStopped { // what comes is discarded, or not read
@@ -138,7 +138,7 @@
 	frontEnd.loop().Set(&c.floodTimer, frontEnd.loop().Now()+floodCheckInterval)
 }
 
-// postRead goes on reading once the loop has handled what is in its queue.
+// postRead continues to read once the loop has handled what is in its queue.
 func (c *clientConnection) postRead() {
 	if c.readPosted {
 		return
--- a/internal/httpfront/races_test.go
+++ b/internal/httpfront/races_test.go
@@ -63,7 +63,7 @@
 	return attempt
 }
 
-// endsInOrder tells whether a connection ends by an orderly close, not by a reset.
+// endsInOrder reports whether a connection ends by an orderly close, not by a reset.
 func endsInOrder(in *bufio.Reader) bool {
 	_, err := in.ReadByte()
 	return err == io.EOF
--- a/internal/httpfront/response.go
+++ b/internal/httpfront/response.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// completeService writes the pending response, and goes on reading.
+// completeService writes the pending response, and continues to read.
 func (c *clientConnection) completeService(response httpResponse) {
 	c.responsePending = false
 	c.closeAfterResponse = c.closeAfterResponse || c.frontEnd.closeAfterResponse
--- a/internal/httpwire/chunked.go
+++ b/internal/httpwire/chunked.go
@@ -16,10 +16,10 @@
 	done       bool
 }
 
-// Done tells whether the body has ended.
+// Done reports whether the body has ended.
 func (c *ChunkReader) Done() bool { return c.done }
 
-// MidChunk tells whether a chunk has begun and not ended.
+// MidChunk reports whether a chunk has begun and not ended.
 func (c *ChunkReader) MidChunk() bool { return c.remaining > 0 }
 
 // Next takes what it can from the start of b and returns how many bytes that were: a piece of data, or bytes of the
@@ -47,7 +47,7 @@
 	return nil, end + len("\r\n"), nil
 }
 
-// line takes in a line of the framing.
+// line parses a line of the framing.
 func (c *ChunkReader) line(line []byte) error {
 	if bytes.ContainsAny(line, "\r\n") { // where a line ends, the peer must agree
 		return ErrMalformed
--- a/internal/httpwire/head.go
+++ b/internal/httpwire/head.go
@@ -73,7 +73,7 @@
 	return count
 }
 
-// HasToken tells whether the comma-separated list in a field holds a token.
+// HasToken reports whether the comma-separated list in a field holds a token.
 func (h *Head) HasToken(name, token string) bool {
 	for i := range h.fields[:h.fieldCount] {
 		if EqualFold(h.fields[i].name, name) && listHasToken(h.fields[i].value, token) {
@@ -92,7 +92,7 @@
 	return false
 }
 
-// Framing tells how the body ends: after length bytes, with its last chunk, or, with length -1 and not chunked,
+// Framing returns how the body ends: after length bytes, with its last chunk, or, with length -1 and not chunked,
 // as neither field says. Two lengths are an error: one peer would see another message than the other.
 func (h *Head) Framing() (length int, chunked bool, err error) {
 	length = -1
@@ -119,7 +119,7 @@
 }
 
 // ParseHead parses a head at the start of b. It returns false without an error while b holds only a part of it.
-// scanned is the number of bytes of b that were searched in vain for the end; it starts at 0 and goes with b from
+// scanned is the number of bytes of b in which no end was found; it starts at 0 and goes with b from
 // call to call, so that bytes which trickle in are searched once.
 func ParseHead(b []byte, head *Head, scanned *int) (bool, error) {
 	const end = "\r\n\r\n"
@@ -190,7 +190,7 @@
 	return nil
 }
 
-// hasBareLineEnd tells whether a CR or LF stands alone. A CR at the very end may still get its LF.
+// hasBareLineEnd reports whether a CR or LF stands alone. A CR at the very end may still get its LF.
 func hasBareLineEnd(b []byte) bool {
 	for i := 0; ; i += 2 {
 		lineFeed := bytes.IndexByte(b[i:], '\n')
--- a/internal/httpwire/request.go
+++ b/internal/httpwire/request.go
@@ -2,7 +2,7 @@
 
 import "bytes"
 
-// Message is a whole request in a buffer.
+// Message is a complete request in a buffer.
 type Message struct {
 	Head
 	Body []byte
@@ -25,7 +25,7 @@
 var singleFields = []string{"X-Correlation-Id", "X-Time-Left-Ms", "Idempotency-Key"}
 
 // ParseRequest parses a request at the start of b. It returns ok false without an error while b holds only a part of
-// it; state then goes with b to the next call. A chunked body is put together in place. expectsContinue tells that the
+// it; state then goes with b to the next call. A chunked body is put together in place. expectsContinue says that the
 // head is there and that the client waits for 100 Continue before it sends the body.
 func ParseRequest(b []byte, message *Message, state *ScanState) (ok, expectsContinue bool, err error) {
 	if len(b) < state.needed {
@@ -78,12 +78,12 @@
 	return nil
 }
 
-// awaitsContinue tells whether b holds the head alone and the client waits for 100 Continue.
+// awaitsContinue reports whether b holds the head alone and the client waits for 100 Continue.
 func (m *Message) awaitsContinue(b []byte) bool {
 	return len(b) == m.Head.Size && m.HasToken("Expect", "100-continue")
 }
 
-// scanChunks goes on with a chunked body from where it stopped, without moving its data.
+// scanChunks continues with a chunked body from where it stopped, without moving its data.
 func (s *ScanState) scanChunks(b []byte) (done bool, err error) {
 	for !s.chunks.Done() {
 		data, used, err := s.chunks.Next(b[s.bodyScanned:])
@@ -123,7 +123,7 @@
 	return true, false, nil
 }
 
-// Call is a whole request as the admin API needs it.
+// Call is a complete request as the admin API needs it.
 type Call struct{ Method, Path, Query string }
 
 // CallReader reads one call, however its bytes come.
--- a/internal/httpwire/response.go
+++ b/internal/httpwire/response.go
@@ -37,7 +37,7 @@
 	return 400
 }
 
-// AppendResponse appends a whole response to out and returns it. retryAfter goes into Retry-After, in seconds, if it
+// AppendResponse appends a complete response to out and returns it. retryAfter goes into Retry-After, in seconds, if it
 // is positive; closing adds Connection: close. fields are further header fields, each with its line end.
 func AppendResponse(out []byte, status int, body []byte, retryAfter time.Duration, closing bool, fields string) []byte {
 	out = append(out, "HTTP/1.1 "...)
--- a/internal/httpwire/text.go
+++ b/internal/httpwire/text.go
@@ -7,7 +7,7 @@
 	maxDigits     = 12  // of a number: it fits an int, and no length or time is longer
 )
 
-// EqualFold tells whether b and s are equal but for the case of ASCII letters.
+// EqualFold reports whether b and s are equal but for the case of ASCII letters.
 func EqualFold(b []byte, s string) bool {
 	if len(b) != len(s) {
 		return false
@@ -27,7 +27,7 @@
 	return c
 }
 
-// IsIdentifier tells whether b can be a request's correlation ID or idempotency key, and go into a field as it is:
+// IsIdentifier reports whether b can be a request's correlation ID or idempotency key, and go into a field as it is:
 // 1 to 128 letters, digits or -._:~+/=@.
 func IsIdentifier(b []byte) bool {
 	for _, c := range b {
@@ -43,7 +43,7 @@
 	return 'a' <= c && c <= 'z' || '0' <= c && c <= '9'
 }
 
-// isTarget tells whether a request's target is a path that can be forwarded as it is.
+// isTarget reports whether a request's target is a path that can be forwarded as it is.
 func isTarget(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c >= 0x7f {
@@ -53,7 +53,7 @@
 	return len(b) > 0 && b[0] == '/'
 }
 
-// isToken tells whether b is a token of RFC 9110, as methods and field names are.
+// isToken reports whether b is a token of RFC 9110, as methods and field names are.
 func isToken(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c >= 0x7f || bytes.IndexByte([]byte(`"(),/:;<=>?@[\]{}`), c) >= 0 {
--- a/internal/jobs/doc.go
+++ b/internal/jobs/doc.go
@@ -38,7 +38,7 @@
 //
 // # What is acknowledged when
 //
-// A producer hears that its job is accepted, a worker that its report counts, and a worker that it may start, only
+// A producer is notified that its job is accepted, and a worker that its report counts or that it may start, only
 // once the change is stored (the caller reports that by Stored). A job is delivered only once its lease is stored: a
 // crash must find out who may have run it. The changes from Accepted or Scheduled or Waiting to Ready follow from
 // what is stored and are not stored themselves; Recover derives them again.
--- a/internal/jobs/effects.go
+++ b/internal/jobs/effects.go
@@ -3,7 +3,7 @@
 // EffectKind is what the caller must do.
 type EffectKind uint8
 
-// The kinds of effects. Those that answer somebody come only once the change that they answer is stored.
+// The kinds of effects. Those that answer a caller come only once the change that they answer is stored.
 const (
 	StoreJob            EffectKind = iota // write Job to the store, then call Stored with its Version, or StoreFailed
 	AnswerPush                            // tell the producer that Job is accepted, or rejected with Err
--- a/internal/jobs/errors.go
+++ b/internal/jobs/errors.go
@@ -24,7 +24,7 @@
 	ErrOperatorRequired = errors.New("only an operator may requeue a non-idempotent job")
 )
 
-// TransitionError tells why Machine.Resolve or Machine.Move left a job as it was.
+// TransitionError says why Machine.Resolve or Machine.Move left a job as it was.
 type TransitionError struct {
 	ID    string
 	State State // of the job; the zero value where Cause is ErrUnknownJob
--- a/internal/jobs/lease.go
+++ b/internal/jobs/lease.go
@@ -28,7 +28,7 @@
 	return cmp.Or(entry.LeaseDuration, m.config.LeaseDuration)
 }
 
-// holdsLease tells whether a report under a fence is one under the job's newest lease, and that lease is in force.
+// holdsLease reports whether a report under a fence is one under the job's newest lease, and that lease is in force.
 func (m *Machine) holdsLease(entry *jobEntry, fence uint64) bool {
 	return entry != nil && entry.State.isHeld() && (entry.Fence == fence || m.config.ignoreFences)
 }
--- a/internal/jobs/machine.go
+++ b/internal/jobs/machine.go
@@ -165,5 +165,5 @@
 	entry.afterStore = append(entry.afterStore, deferredEffect{entry.Version, effect})
 }
 
-// beingStored tells whether the job has a change that is not stored yet.
+// beingStored reports whether the job has a change that is not stored yet.
 func (e *jobEntry) beingStored() bool { return e.storedVersion < e.Version }
--- a/internal/jobs/operator.go
+++ b/internal/jobs/operator.go
@@ -41,7 +41,7 @@
 // String is the name of the move.
 func (move Move) String() string { return moveNames[move] }
 
-// Move moves a job that waits or is dead. operator tells that an operator asks for it; nobody else may requeue a dead
+// Move moves a job that waits or is dead. operator is set where an operator asks for it; no one else may requeue a dead
 // non-idempotent job. The error is a *TransitionError.
 func (m *Machine) Move(now time.Duration, id string, move Move, reason Reason, operator bool) ([]Effect, error) {
 	entry := m.jobs[id]
--- a/internal/jobs/query.go
+++ b/internal/jobs/query.go
@@ -14,7 +14,7 @@
 	return entry.Job, true
 }
 
-// IsStored tells whether a job is stored as it stands.
+// IsStored reports whether a job is stored as it stands.
 func (m *Machine) IsStored(id string) bool {
 	entry := m.jobs[id]
 	return entry != nil && entry.storedVersion == entry.Version
--- a/internal/jobs/reason.go
+++ b/internal/jobs/reason.go
@@ -2,8 +2,9 @@
 
 import "fmt"
 
-// Reason says in words why a job failed, is in doubt or was moved: a worker's report, an operator's text, or one of
-// the reasons of this package. It is stored with the job and shown to operators, so the texts must stay as they are.
+// Reason is the text that says why a job failed, is in doubt or was moved: a worker's report, an operator's text, or
+// one of the reasons of this package. It is stored with the job and shown to operators, so the texts must stay as they
+// are.
 type Reason string
 
 // The reasons that an expired lease leaves with its job.
--- a/internal/jobs/state.go
+++ b/internal/jobs/state.go
@@ -16,7 +16,7 @@
 	Done                   // it ran
 	Dead                   // it failed and will not be retried, unless it is moved
 	Discarded              // it will never run
-	InDoubt                // it may have run, and nobody can tell: an operator resolves it
+	InDoubt                // it may or may not have run: an operator resolves it
 	stateCount
 )
 
@@ -30,11 +30,11 @@
 // States lists the names of all states.
 func States() []string { return stateNames[:] }
 
-// IsState tells whether text is the name of a state.
+// IsState reports whether text is the name of a state.
 func IsState(text string) bool { return slices.Contains(stateNames[:], text) }
 
-// IsFinal tells whether a job in this state stays in it unless a request moves or resolves it.
+// IsFinal reports whether a job in this state stays in it unless a request moves or resolves it.
 func (s State) IsFinal() bool { return s == Done || s == Dead || s == Discarded || s == InDoubt }
 
-// isHeld tells whether a worker has a lease of a job in this state.
+// isHeld reports whether a worker has a lease of a job in this state.
 func (s State) isHeld() bool { return s == Leased || s == Started }
--- a/internal/store/snapshot.go
+++ b/internal/store/snapshot.go
@@ -10,7 +10,7 @@
 )
 
 // Snapshot writes a copy of the file as it is at one moment to another path, completely or not at all, while the store
-// goes on. An existing file there is an error.
+// stays in use. An existing file there is an error.
 func (s *Store) Snapshot(path string) error {
 	if _, err := os.Lstat(path); !errors.Is(err, os.ErrNotExist) {
 		return fmt.Errorf("%s: there is a file already", path)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -53,7 +53,7 @@
 // ErrClosed is the fate of changes that are handed over after Close.
 var ErrClosed = errors.New("the store is closed")
 
-// Open opens a file, or makes one. The error names the file and tells that another process has it open, that it is
+// Open opens a file, or makes one. The error names the file and says that another process has it open, that it is
 // damaged, or that its schema is a later one.
 func Open(path string, options Options) (*Store, error) {
 	if options.MaxBatch == 0 {
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -72,7 +72,7 @@
 	return len(s.queue)
 }
 
-// isFinished tells whether the store is closed and everything has been written.
+// isFinished reports whether the store is closed and everything has been written.
 func (s *Store) isFinished() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/transport/accept.go
+++ b/internal/transport/accept.go
@@ -34,7 +34,7 @@
 func (a *Acceptor) String() string { return a.listener.Addr().String() }
 
 // Close accepts no more. Where another process has the same listening socket,
-// that one goes on, and connections in the backlog are left to it.
+// that one continues, and connections in the backlog are left to it.
 func (a *Acceptor) Close() {
 	_ = a.listener.Close()
 	a.group.close()
--- a/internal/transport/admission.go
+++ b/internal/transport/admission.go
@@ -22,7 +22,7 @@
 	// Release is called when the descriptor of an admitted connection is free.
 	Release()
 
-	// Exhausted is called when accept(2) failed for want of a descriptor.
+	// Exhausted is called when accept(2) failed for lack of a descriptor.
 	Exhausted()
 }
 
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -81,7 +81,7 @@
 	_, _ = e.poller.AddConn(socket) // on an error nbio has closed it and calls onClosed
 }
 
-// onRegisterFailed tells the handler of a connection that never opened.
+// onRegisterFailed notifies the handler of a connection that never opened.
 func (c *Conn) onRegisterFailed(err error) {
 	c.Handler = c.newHandler(c)
 	if c.Handler != nil {
--- a/internal/transport/descriptors.go
+++ b/internal/transport/descriptors.go
@@ -23,12 +23,12 @@
 	nbioTableMargin = 4096
 )
 
-// AcceptedShare returns how many of so many descriptors accepted connections may take.
+// AcceptedShare returns how many of the given number of descriptors accepted connections may take.
 func AcceptedShare(descriptors int) int {
 	return int(acceptedFraction * float64(ConnectionDescriptors(descriptors)))
 }
 
-// ConnectionDescriptors returns how many of so many descriptors are for connections.
+// ConnectionDescriptors returns how many of the given number of descriptors are for connections.
 func ConnectionDescriptors(descriptors int) int {
 	return max(descriptors-overheadDescriptors, minConnectionDescriptors)
 }
--- a/internal/workerclient/clientleaves_test.go
+++ b/internal/workerclient/clientleaves_test.go
@@ -276,7 +276,7 @@
 	}
 }
 
-// established tells whether the kernel lists a connection from one address to another as open at the far end.
+// established reports whether the kernel lists a connection from one address to another as open at the far end.
 func established(t *testing.T, to, from string) bool {
 	t.Helper()
 	text, err := os.ReadFile("/proc/self/net/tcp")
--- a/internal/workerclient/connection.go
+++ b/internal/workerclient/connection.go
@@ -11,7 +11,7 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-// phase tells where a connection stands between the request on it and the end of its response.
+// phase is where a connection stands between the request on it and the end of its response.
 type phase uint8
 
 const (
@@ -62,7 +62,7 @@
 	bodyLeft         int // bytes of a body of known length; -1: it ends with the connection
 	responseComplete bool
 	closeAfter       bool           // the connection cannot be used again after this response
-	result           *attemptResult // not reported until the bytes at hand have been parsed
+	result           *attemptResult // not reported until the received bytes have been parsed
 }
 
 // attemptResult is how an attempt ended, as the worker stated it.
@@ -86,8 +86,8 @@
 	c.handle = 0
 }
 
-// moveAttempt moves the attempt to another connection to the same worker. newConnectionFailed tells whether it has now
-// lost a new connection.
+// moveAttempt moves the attempt to another connection to the same worker. newConnectionFailed reports whether it has
+// now lost a new connection.
 func (c *connection) moveAttempt(newConnectionFailed bool) {
 	c.handle = 0
 	other := c.client.acquire(c.worker, c.attempt.RetryUnsafe)
@@ -157,7 +157,7 @@
 }
 
 // retryUnsent is called when the connection broke before the last byte of the request had left, so that nothing ran.
-// The attempt goes on on another connection if this one was reused, since the worker may have closed it long ago, and
+// The attempt continues on another connection if this one was reused, since the worker may have closed it long ago, and
 // likewise once if it was new. Otherwise the worker counts as unreachable.
 func (c *connection) retryUnsent() {
 	if !c.reused && c.newConnectionFailed || c.handle == 0 {
--- a/internal/workerclient/drain.go
+++ b/internal/workerclient/drain.go
@@ -15,7 +15,7 @@
 // sendGrace returns how long requests may still be sent to a worker that is draining or was removed.
 func sendGrace(drainGrace time.Duration) time.Duration { return max(drainGrace-drainSlack, 0) }
 
-// graceOver tells whether a worker has been draining or removed for so long that no request may be sent to it.
+// graceOver reports whether a worker has been draining or removed for so long that no request may be sent to it.
 func graceOver(worker *discovery.Worker, now, drainGrace time.Duration) bool {
 	return worker.State != decision.Running && now-worker.StateSince > sendGrace(drainGrace)
 }
--- a/internal/workerclient/healthcheck.go
+++ b/internal/workerclient/healthcheck.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// healthCheckTimeout returns how long the worker may take to respond to the health check at hand.
+// healthCheckTimeout returns how long the worker may take to respond to the present health check.
 func (c *connection) healthCheckTimeout() time.Duration {
 	if c.confirming {
 		return c.client.connectTimeout()
@@ -39,7 +39,7 @@
 	return append(out, "\r\n\r\n"...)
 }
 
-// finishHealthCheck takes in the response to a health check, which has ended.
+// finishHealthCheck handles the response to a health check, which has ended.
 func (c *connection) finishHealthCheck() {
 	c.healthCheck = false
 	c.client.loop().Clear(&c.timer)
@@ -65,7 +65,7 @@
 	c.write(now)
 }
 
-// confirmationAnswered goes on with the attempt once the worker has responded to the health check sent for it.
+// confirmationAnswered continues the attempt once the worker has responded to the health check sent for it.
 func (c *connection) confirmationAnswered() {
 	c.confirming = false
 	healthy := c.status == httpwire.StatusOK
@@ -90,7 +90,7 @@
 }
 
 // confirmationFailed is called when the worker has not responded to the health check sent for an attempt. If the
-// connection was reused, the worker may have closed it long ago, so the attempt goes on on another.
+// connection was reused, the worker may have closed it long ago, so the attempt continues on another.
 func (c *connection) confirmationFailed() {
 	c.confirming = false
 	c.healthCheck = false
--- a/internal/workerclient/jobupdate.go
+++ b/internal/workerclient/jobupdate.go
@@ -31,7 +31,7 @@
 	Load     json.RawMessage `json:"load"`
 }
 
-// takeUpdate takes in a job update: it reports the job's start or progress, and keeps the result of a job that has
+// takeUpdate handles a job update: it reports the job's start or progress, and keeps the result of a job that has
 // ended. An update for another request, or with an unknown state, is an error.
 func (c *connection) takeUpdate(text []byte) error {
 	text = bytes.TrimSpace(text)
--- a/internal/workerclient/request.go
+++ b/internal/workerclient/request.go
@@ -132,7 +132,7 @@
 	}
 }
 
-// requestFlushed tells whether the socket has taken all of the latest request.
+// requestFlushed reports whether the socket has taken all of the latest request.
 func (c *connection) requestFlushed() bool { return c.conn.Flushed(c.requestEnd) }
 
 // reportSent reports that the last byte of the attempt's request has left, if it has.
--- a/internal/workerclient/response.go
+++ b/internal/workerclient/response.go
@@ -13,7 +13,7 @@
 // responseEndTimeout is how long the rest of a response may take once the attempt's outcome is known.
 const responseEndTimeout = time.Second
 
-// OnData takes in bytes that the worker has sent. It implements transport.Handler.
+// OnData handles bytes that the worker has sent. It implements transport.Handler.
 func (c *connection) OnData(_ *transport.Conn, b *transport.Buffer) {
 	if c.phase == idle { // no request was sent, so this is no response
 		c.client.engine.Pool.Put(b)
@@ -168,7 +168,7 @@
 	return err
 }
 
-// takeHead takes in the head of a response. Each status but 200 states the attempt's result by itself.
+// takeHead handles the head of a response. Each status but 200 states the attempt's result by itself.
 func (c *connection) takeHead(head *httpwire.Head) error {
 	status, valid := head.Status()
 	if !valid {
@@ -219,7 +219,7 @@
 	return settings.ReadLoadReport(&c.client.dispatcher.Settings, report)
 }
 
-// takeBody takes in a piece of the body. Each line in that of a 200 is a job update.
+// takeBody handles a piece of the body. Each line in that of a 200 is a job update.
 func (c *connection) takeBody(data []byte) error {
 	if c.healthCheck {
 		return c.bufferLine(data)
@@ -241,7 +241,7 @@
 	return nil
 }
 
-// takeLine takes in the end of a line, whose begin may be buffered.
+// takeLine handles the end of a line, whose begin may be buffered.
 func (c *connection) takeLine(text []byte) error {
 	if c.line != nil {
 		err := c.bufferLine(text)
--- a/internal/workerclient/sendguard.go
+++ b/internal/workerclient/sendguard.go
@@ -8,7 +8,7 @@
 	"hollyyoke.example/hollyyoke/internal/invariant"
 )
 
-// permitSend tells whether the request of the connection's attempt, or its last byte, may be sent now. If not, the
+// permitSend reports whether the request of the connection's attempt, or its last byte, may be sent now. If not, the
 // attempt is over and has never run. What the attempt was started by may not hold any more, since a connect takes time.
 func (c *connection) permitSend(now time.Duration) bool {
 	dispatcher := c.client.dispatcher
