--- a/decision/admission.go
+++ b/decision/admission.go
@@ -58,7 +58,7 @@
 
 // rejectedOnArrival reports whether a request that has just arrived is rejected at once.
 func (m *Machine) rejectedOnArrival(request *request) bool {
-	return request.deadline <= m.now || m.worthless(request) ||
+	return request.deadline <= m.now || m.hasNoValue(request) ||
 		!m.paysPrices(request) || m.delaysOthers(request)
 }
 
@@ -98,8 +98,8 @@
 	return max(*longest-event.TimeLeft, 0)
 }
 
-// worthless reports whether an answer earns nothing any more.
-func (m *Machine) worthless(request *request) bool {
+// hasNoValue reports whether an answer to the request is worth nothing any more.
+func (m *Machine) hasNoValue(request *request) bool {
 	return m.now >= request.objective && request.class.LateWeight <= 0
 }
 
--- a/decision/hedge.go
+++ b/decision/hedge.go
@@ -10,7 +10,7 @@
 	if m.workerSilent(attempt) {
 		m.setFailureScore(attempt.worker, 1, reportsNoMore)
 	}
-	gone := m.holderLooksGone(attempt)
+	gone := m.workerLooksGone(attempt)
 	unresponsive := m.connectionUnresponsive(request, attempt)
 	if !gone && !unresponsive && !m.waitsLongForStart(request, attempt) {
 		return
@@ -32,9 +32,9 @@
 	return m.now-max(attempt.lastSeen, attempt.worker.lastSeen) > limit
 }
 
-// holderLooksGone reports whether nothing was received of an attempt for a while, and its worker, zone or
+// workerLooksGone reports whether nothing was received of an attempt for a while, and its worker, zone or
 // connection is not to be trusted.
-func (m *Machine) holderLooksGone(attempt *attempt) bool {
+func (m *Machine) workerLooksGone(attempt *attempt) bool {
 	if m.now-attempt.lastSeen <= m.sweepInterval {
 		return false
 	}
--- a/decision/retry.go
+++ b/decision/retry.go
@@ -16,7 +16,7 @@
 	}
 }
 
-// withinRetryBudget reports whether the retry budget has room for another attempt at the request; a first
+// withinRetryBudget reports whether the retry budget allows another attempt at the request; a first
 // attempt needs none. Arrivals leave the window a tick early and retries a tick late, to be safe of clocks'
 // resolution.
 func (m *Machine) withinRetryBudget(request *request) bool {
@@ -60,7 +60,7 @@
 // while workers are full.
 func (m *Machine) retry(request *request) {
 	left := m.settings.MaxAttempts - len(request.attempts)
-	if left <= 0 || m.now >= request.deadline || m.worthless(request) ||
+	if left <= 0 || m.now >= request.deadline || m.hasNoValue(request) ||
 		m.mustNotRepeat(request) || !m.withinRetryBudget(request) {
 		m.rejectOrFail(request)
 		return
--- a/decision/routing.go
+++ b/decision/routing.go
@@ -158,7 +158,7 @@
 }
 
 // busy reports whether the request would wait at a worker without success. While it waits here, the first worker with
-// room can take it.
+// capacity can take it.
 func (m *Machine) busy(request *request, worker *worker) bool {
 	if m.saturated(request, worker) {
 		return true
--- a/decision/saturation.go
+++ b/decision/saturation.go
@@ -61,7 +61,7 @@
 	rejections.blockedUntil = m.now + rejections.backoff
 }
 
-// saturated reports whether the worker is known to have no room for the request now.
+// saturated reports whether the worker is known to have no capacity for the request now.
 func (m *Machine) saturated(request *request, worker *worker) bool {
 	if m.now < max(worker.saturatedUntil, worker.rejectionsOf(request.class).blockedUntil) {
 		return true
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -127,9 +127,9 @@
 // its kind, or the smallest of all workers where no warm one of its kind is known.
 func (m *Machine) warmWorkRate(kind int) float64 {
 	if m.warmWorkRatesAt == 0 || m.now-m.warmWorkRatesAt >= m.sweepInterval {
-		whole := m.warmWorkRatesAt == 0
+		complete := m.warmWorkRatesAt == 0
 		m.warmWorkRatesAt = m.now
-		m.scanWarmWorkRates(whole)
+		m.scanWarmWorkRates(complete)
 	}
 	if rate, ok := m.warmWorkRates[kind]; ok {
 		return rate
@@ -137,15 +137,15 @@
 	return m.warmWorkRates[minOfAllKinds]
 }
 
-// scanWarmWorkRates continues the walk over the fleet, to its end if whole. Its results hold once it is
+// scanWarmWorkRates continues the walk over the fleet, to its end if complete. Its results hold once it is
 // at the end.
-func (m *Machine) scanWarmWorkRates(whole bool) {
+func (m *Machine) scanWarmWorkRates(complete bool) {
 	scan := &m.warmWorkRateScan
-	if whole || scan.count == nil || scan.next > len(m.fleet) {
+	if complete || scan.count == nil || scan.next > len(m.fleet) {
 		*scan = workRateScan{count: map[int]float64{}, rates: map[int]float64{}}
 	}
 	end := len(m.fleet)
-	if !whole {
+	if !complete {
 		end = min(end, scan.next+scanWorkersPerSweep)
 	}
 	for _, worker := range m.fleet[scan.next:end] {
--- a/decision/sweep.go
+++ b/decision/sweep.go
@@ -60,9 +60,9 @@
 // sweepRequest looks after one unanswered request.
 func (m *Machine) sweepRequest(request *request) {
 	switch {
-	case !request.late && m.hardlyInTime(request):
+	case !request.late && m.probablyLate(request):
 		m.markLate(request)
-	case request.queued && (m.worthless(request) || m.mustNotRepeat(request)):
+	case request.queued && (m.hasNoValue(request) || m.mustNotRepeat(request)):
 		m.rejectOrFail(request)
 	case request.late && m.delaysOthers(request):
 		m.rejectOrFail(request)
@@ -73,8 +73,8 @@
 	}
 }
 
-// hardlyInTime reports whether the request would miss its objective if it started now, or with the next sweep.
-func (m *Machine) hardlyInTime(request *request) bool {
+// probablyLate reports whether the request would miss its objective if it started now, or with the next sweep.
+func (m *Machine) probablyLate(request *request) bool {
 	return m.now+seconds(request.work)+m.sweepInterval >= request.objective
 }
 
@@ -120,5 +120,5 @@
 		return false
 	}
 	return m.settings.StartNotices && m.settings.Cancellation &&
-		m.hardlyInTime(request) && !request.hasStarted()
+		m.probablyLate(request) && !request.hasStarted()
 }
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -83,14 +83,14 @@
 	if p.gate == nil {
 		return nil
 	}
-	limits, err := gateConfig(table, p.config.connectionDescriptors())
+	gateLimits, err := gateConfig(table, p.config.connectionDescriptors())
 	if err != nil {
 		return err
 	}
 	if !table.Enabled {
 		return errors.New("connections.on: only a restart turns it off")
 	}
-	return p.gate.Reconfigure(limits, transport.ConnectionDescriptors(p.config.connectionDescriptors()))
+	return p.gate.Reconfigure(gateLimits, transport.ConnectionDescriptors(p.config.connectionDescriptors()))
 }
 
 // reloadDiscovery follows the discovery address, here and in the peer process, and
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -121,11 +121,11 @@
 		return nil
 	}
 	descriptors := p.config.connectionDescriptors()
-	limits, err := gateConfig(&p.loaded.connections, descriptors)
+	gateLimits, err := gateConfig(&p.loaded.connections, descriptors)
 	if err != nil {
 		return err
 	}
-	p.gate, err = listener.New(p.dispatcher.Loop, p.engine, limits, transport.ConnectionDescriptors(descriptors), log)
+	p.gate, err = listener.New(p.dispatcher.Loop, p.engine, gateLimits, transport.ConnectionDescriptors(descriptors), log)
 	if err != nil {
 		return err
 	}
--- a/internal/durable/offline.go
+++ b/internal/durable/offline.go
@@ -28,15 +28,15 @@
 	if err != nil {
 		return nil, err
 	}
-	offline := &OfflineStore{store: file, machine: jobs.New(jobs.Config{}), now: now}
-	stored, err := readJobs(file, offline.readRecord)
+	offlineStore := &OfflineStore{store: file, machine: jobs.New(jobs.Config{}), now: now}
+	stored, err := readJobs(file, offlineStore.readRecord)
 	if err != nil {
 		file.Close()
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	slices.SortStableFunc(offline.Audits, func(a, b Audit) int { return a.At.Compare(b.At) })
-	offline.machine.Recover(now(), stored)
-	return offline, nil
+	slices.SortStableFunc(offlineStore.Audits, func(a, b Audit) int { return a.At.Compare(b.At) })
+	offlineStore.machine.Recover(now(), stored)
+	return offlineStore, nil
 }
 
 // readRecord reads a record that is no job.
--- a/internal/httpfront/connection.go
+++ b/internal/httpfront/connection.go
@@ -25,7 +25,7 @@
 	// input
 	awaitsProxyHeader bool               // it comes from a trusted proxy, whose PROXY header is due
 	input             *transport.Buffer  // begins with the next request; nil: empty
-	overflow          *transport.Buffer  // what had no room in input
+	overflow          *transport.Buffer  // what did not fit into input
 	scan              httpwire.ScanState // how far the next request has been parsed
 	continueSent      bool               // 100 Continue has been sent for the next request
 	requestStartedAt  time.Duration      // when the first byte of the next request came
@@ -34,7 +34,7 @@
 	queued            bool               // the input waits for its address's turn
 	readPosted        bool               // read is in the loop's queue
 	paused            bool               // nothing more is read from the socket for now
-	floodTimer        eventloop.Deadline // the next check for more input than there is room for
+	floodTimer        eventloop.Deadline // the next check for more input than fits into the buffers
 
 	// response
 	responsePending    bool   // a request is being served
@@ -57,7 +57,7 @@
 		c.conn.Discard(maxDiscardedBytes)
 		return
 	case c.awaitsProxyHeader:
-		c.takeProxyHeader(b)
+		c.readProxyHeader(b)
 		return
 	}
 	if c.input == nil && !c.responsePending {
--- a/internal/httpfront/eviction.go
+++ b/internal/httpfront/eviction.go
@@ -36,14 +36,14 @@
 // evictForCapacity evicts some connections for new ones that wait, and continues until one of those has been accepted.
 // If there is none to evict, connections end with their next responses.
 func (f *FrontEnd) evictForCapacity() {
-	spareProven := f.listenerShared // the other process has room
+	spareProven := f.listenerShared // the other process has capacity
 	for evicted := range evictionsPerCall {
 		token, stage, found := f.gate.EvictionCandidate(connlimit.ForUnknown, spareProven)
 		if !found {
 			f.capacityExhausted = evicted == 0 && !spareProven
 			break
 		}
-		if stage == connlimit.Proven && evicted > 0 { // there is room already
+		if stage == connlimit.Proven && evicted > 0 { // there is capacity already
 			break
 		}
 		if stage == connlimit.Proven && !f.provenSpared { // by the next look, new connections may have become candidates
@@ -58,7 +58,7 @@
 	}
 }
 
-// retryEviction makes room again if no connection has been accepted since the last time.
+// retryEviction evicts again if no connection has been accepted since the last time.
 func (f *FrontEnd) retryEviction() {
 	if f.capacityExhausted || f.provenSpared {
 		f.evictForCapacity()
--- a/internal/httpfront/proxyheader.go
+++ b/internal/httpfront/proxyheader.go
@@ -6,8 +6,8 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-// takeProxyHeader reads the PROXY header of a trusted proxy, which states the client's address.
-func (c *clientConnection) takeProxyHeader(b *transport.Buffer) {
+// readProxyHeader reads the PROXY header of a trusted proxy, which states the client's address.
+func (c *clientConnection) readProxyHeader(b *transport.Buffer) {
 	frontEnd := c.frontEnd
 	if c.input == nil {
 		c.input = b
--- a/internal/httpfront/timeouts.go
+++ b/internal/httpfront/timeouts.go
@@ -25,7 +25,7 @@
 	// unprovenIdleTimeout is how long another connection may be idle.
 	unprovenIdleTimeout = 5 * time.Second
 
-	// floodCheckInterval is the time between checks whether a client sends more than there is room for.
+	// floodCheckInterval is the time between checks whether a client sends more than fits into its buffers.
 	floodCheckInterval = 50 * time.Millisecond
 	// maxDiscardedBytes is how much input is discarded to find the client's close behind it.
 	maxDiscardedBytes = 8 << 20
@@ -95,9 +95,9 @@
 	c.reject(errSlow)
 }
 
-// checkFlood checks whether the client of a paused connection has sent more than there is room for. The client's close
-// would not be noticed behind bytes that nobody reads, and its request would be forwarded for nobody. So the rest is
-// discarded, and the connection ends with its response.
+// checkFlood checks whether the client of a paused connection has sent more than fits into its buffers. The client's
+// close would not be noticed behind bytes that nobody reads, and its request would be forwarded for nobody. So the rest
+// is discarded, and the connection ends with its response.
 func (c *clientConnection) checkFlood() {
 	loop := c.frontEnd.loop()
 	switch {
--- a/internal/jobs/job.go
+++ b/internal/jobs/job.go
@@ -8,7 +8,7 @@
 	Class         string `json:"Class"`
 	NonIdempotent bool   `json:"Once"` // it must not run twice
 	Payload       []byte `json:"Payload"`
-	PayloadHash   uint64 `json:"Sum"`    // of what the producer asked for; a repeated push has the same, an id conflict not
+	PayloadHash   uint64 `json:"Sum"`    // of what the producer asked for; equal for a repeated push, different in an id conflict
 	Result        []byte `json:"Result"` // of a Done job, where its protocol has results
 	State         State  `json:"State"`
 
--- a/internal/slotmap/slotmap.go
+++ b/internal/slotmap/slotmap.go
@@ -34,10 +34,10 @@
 	last := len(m.free) - 1
 	index := m.free[last]
 	m.free = m.free[:last]
-	s := &m.slots[index]
-	s.generation++
-	s.value = value
-	return s.handle(index)
+	inserted := &m.slots[index]
+	inserted.generation++
+	inserted.value = value
+	return inserted.handle(index)
 }
 
 // Get returns the value of a handle, or nil if it was removed.
--- a/internal/workerclient/jobupdate.go
+++ b/internal/workerclient/jobupdate.go
@@ -31,9 +31,9 @@
 	Load     json.RawMessage `json:"load"`
 }
 
-// takeUpdate handles a job update: it reports the job's start or progress, and keeps the result of a job that has
+// handleUpdate handles a job update: it reports the job's start or progress, and keeps the result of a job that has
 // ended. An update for another request, or with an unknown state, is an error.
-func (c *connection) takeUpdate(text []byte) error {
+func (c *connection) handleUpdate(text []byte) error {
 	text = bytes.TrimSpace(text)
 	if len(text) == 0 {
 		return nil
--- a/internal/workerclient/response.go
+++ b/internal/workerclient/response.go
@@ -136,7 +136,7 @@
 	}
 	c.headScanned = 0
 	c.consumed += head.Size
-	return true, c.takeHead(&head)
+	return true, c.handleHead(&head)
 }
 
 // parseChunk parses data or framing of a chunked body.
@@ -145,7 +145,7 @@
 	if err != nil || used == 0 {
 		return false, err
 	}
-	err = c.takeBody(data)
+	err = c.handleBody(data)
 	c.consumed += used
 	if err == nil && c.chunks.Done() {
 		err = c.finishResponse()
@@ -160,7 +160,7 @@
 		size = min(size, c.bodyLeft)
 		c.bodyLeft -= size
 	}
-	err := c.takeBody(input[:size])
+	err := c.handleBody(input[:size])
 	c.consumed += size
 	if err == nil && c.bodyLeft == 0 {
 		err = c.finishResponse()
@@ -168,8 +168,8 @@
 	return err
 }
 
-// takeHead handles the head of a response. Each status but 200 states the attempt's result by itself.
-func (c *connection) takeHead(head *httpwire.Head) error {
+// handleHead handles the head of a response. Each status but 200 states the attempt's result by itself.
+func (c *connection) handleHead(head *httpwire.Head) error {
 	status, valid := head.Status()
 	if !valid {
 		return httpwire.ErrMalformed
@@ -219,8 +219,8 @@
 	return settings.ReadLoadReport(&c.client.dispatcher.Settings, report)
 }
 
-// takeBody handles a piece of the body. Each line in that of a 200 is a job update.
-func (c *connection) takeBody(data []byte) error {
+// handleBody handles a piece of the body. Each line in that of a 200 is a job update.
+func (c *connection) handleBody(data []byte) error {
 	if c.healthCheck {
 		return c.bufferLine(data)
 	}
@@ -232,7 +232,7 @@
 		if end < 0 {
 			return c.bufferLine(data)
 		}
-		err := c.takeLine(data[:end])
+		err := c.handleLine(data[:end])
 		if err != nil || c.result != nil {
 			return err
 		}
@@ -241,8 +241,8 @@
 	return nil
 }
 
-// takeLine handles the end of a line, whose begin may be buffered.
-func (c *connection) takeLine(text []byte) error {
+// handleLine handles the end of a line, whose beginning may be buffered.
+func (c *connection) handleLine(text []byte) error {
 	if c.line != nil {
 		err := c.bufferLine(text)
 		if err != nil {
@@ -250,7 +250,7 @@
 		}
 		text = c.line.Bytes()
 	}
-	err := c.takeUpdate(text)
+	err := c.handleUpdate(text)
 	c.client.engine.Pool.Put(c.line)
 	c.line = nil
 	return err
@@ -277,7 +277,7 @@
 		return nil
 	}
 	if c.line != nil && c.handle != 0 && c.result == nil { // the last line may have no line end
-		err := c.takeUpdate(c.line.Bytes())
+		err := c.handleUpdate(c.line.Bytes())
 		if err != nil {
 			return err
 		}
