--- a/internal/discovery/handover.go
+++ b/internal/discovery/handover.go
@@ -12,10 +12,10 @@
 // Export returns the address of discovery, and the list in its wire form, for a successor process.
 func (r *Registry) Export() (addr string, list json.RawMessage, err error) {
 	exported := endpointList{Version: r.watch.version, Snapshot: true, Endpoints: []endpoint{}}
-	if f := r.follower; f != nil {
-		exported.Version = int64(f.version)
-		if f.resumable && f.completeThrough == f.version {
-			exported.Settings = f.appliedSettings()
+	if follower := r.follower; follower != nil {
+		exported.Version = int64(follower.version)
+		if follower.resumable && follower.completeThrough == follower.version {
+			exported.Settings = follower.appliedSettings()
 		}
 	}
 	for _, worker := range r.workers {
@@ -30,8 +30,8 @@
 	return r.watch.address, list, err
 }
 
-// Import takes in the list that a predecessor process has exported, unless the source has been heard here already.
-// Nothing is applied of a list that is wrong, for which an error is returned.
+// Import applies the list that a predecessor process has exported, unless this process has already received a list from
+// the source. Nothing is applied of a list that is wrong, for which an error is returned.
 func (r *Registry) Import(raw json.RawMessage) error {
 	if r.watch.established || r.follower != nil && r.follower.active != nil {
 		return nil
--- a/internal/faktory/durablecommands.go
+++ b/internal/faktory/durablecommands.go
@@ -26,9 +26,9 @@
 
 // jobProgress is how far a worker says it is with a job; a restart forgets it.
 type jobProgress struct {
-	Percent int    `json:"percent"`
-	Desc    string `json:"desc"`
-	At      string `json:"updated_at"`
+	Percent   int    `json:"percent"`
+	Desc      string `json:"desc"`
+	UpdatedAt string `json:"updated_at"`
 }
 
 // trackReply is the JSON of the answer to TRACK GET.
@@ -85,7 +85,7 @@
 	reply    func(line string)
 }
 
-// handlePushBulk stores many jobs at once. The answer tells, by jid, which are
+// handlePushBulk stores many jobs at once. The answer lists, by jid, which are
 // rejected.
 func (c *connection) handlePushBulk(rest []byte) {
 	var list []json.RawMessage
@@ -213,7 +213,7 @@
 	}
 }
 
-// handleTrackGet tells the state and progress of a job.
+// handleTrackGet answers with the state and progress of a job.
 func (c *connection) handleTrackGet(jid string) {
 	queues := c.server.durable
 	answer := trackReply{Jid: jid, State: trackStateUnknown, jobProgress: queues.progress[jid]}
@@ -250,9 +250,9 @@
 		clear(queues.progress) // of jobs whose workers never closed them
 	}
 	queues.progress[message.Jid] = jobProgress{
-		Percent: message.Percent,
-		Desc:    message.Desc,
-		At:      time.Unix(0, int64(now)).UTC().Format(time.RFC3339),
+		Percent:   message.Percent,
+		Desc:      message.Desc,
+		UpdatedAt: time.Unix(0, int64(now)).UTC().Format(time.RFC3339),
 	}
 	c.writeLine(replyOK)
 }
--- a/internal/faktory/server_test.go
+++ b/internal/faktory/server_test.go
@@ -102,7 +102,7 @@
 		if err := json.Unmarshal([]byte(strings.TrimPrefix(hi, "+HI ")), &g); err != nil || g.Salt == "" || g.Iterations < 1 {
 			t.Fatalf("greeting %q", hi)
 		}
-		raw, _ := json.Marshal(hello{V: 2, Hash: hashPassword(test.password, g.Salt, g.Iterations)})
+		raw, _ := json.Marshal(hello{Version: 2, Hash: hashPassword(test.password, g.Salt, g.Iterations)})
 		if got := p.do("HELLO " + string(raw)); got != test.want {
 			t.Errorf("password %q: %q, want %q", test.password, got, test.want)
 		}
@@ -213,7 +213,7 @@
 		t.Errorf("what it had: %q", a)
 	}
 	w2 := dial(t, addr, hello{Wid: "w2"})
-	if a := awaitAnswer(t, late); !strings.HasPrefix(a, "-ERR REFUSED") { // it waited for the next FETCH in vain
+	if a := awaitAnswer(t, late); !strings.HasPrefix(a, "-ERR REFUSED") { // it waited for the next FETCH without success
 		t.Errorf("with no worker but a quiet one: %q", a)
 	}
 	next := pushAsync(t, addr, pushCommand("quiet-0003", "status-check", ""))
--- a/internal/httpfront/connection.go
+++ b/internal/httpfront/connection.go
@@ -25,7 +25,7 @@
 	// input
 	awaitsProxyHeader bool               // it comes from a trusted proxy, whose PROXY header is due
 	input             *transport.Buffer  // begins with the next request; nil: empty
-	overflow          *transport.Buffer  // what had no room in input
+	overflow          *transport.Buffer  // what did not fit into input
 	scan              httpwire.ScanState // how far the next request has been parsed
 	continueSent      bool               // 100 Continue has been sent for the next request
 	requestStartedAt  time.Duration      // when the first byte of the next request came
@@ -34,7 +34,7 @@
 	queued            bool               // the input waits for its address's turn
 	readPosted        bool               // read is in the loop's queue
 	paused            bool               // nothing more is read from the socket for now
-	floodTimer        eventloop.Deadline // the next check for more input than there is room for
+	floodTimer        eventloop.Deadline // the next check for more input than fits into the buffers
 
 	// response
 	responsePending    bool   // a request is being served
@@ -45,36 +45,36 @@
 	sentAtStall        int64 // bytes that had been sent when the stall timer was set
 }
 
-// OnData takes in bytes that the client has sent. It implements transport.Handler.
+// OnData handles bytes that the client has sent. It implements transport.Handler.
 func (c *clientConnection) OnData(_ *transport.Conn, b *transport.Buffer) {
-	f := c.frontEnd
+	frontEnd := c.frontEnd
 	switch {
 	case c.closed:
-		f.engine.Pool.Put(b)
+		frontEnd.engine.Pool.Put(b)
 		return
 	case c.responsePending && c.closeAfterResponse: // no request can follow; only the client's close matters
-		f.engine.Pool.Put(b)
+		frontEnd.engine.Pool.Put(b)
 		c.conn.Discard(maxDiscardedBytes)
 		return
 	case c.awaitsProxyHeader:
-		c.takeProxyHeader(b)
+		c.readProxyHeader(b)
 		return
 	}
 	if c.input == nil && !c.responsePending {
 		c.startRequest()
 	}
 	c.appendInput(b)
-	if f.gate.Enabled() {
+	if frontEnd.gate.Enabled() {
 		if !c.responsePending && c.input != nil && c.capExceeded == connlimit.Allowed {
-			c.capExceeded = f.gate.Limiter.SetBuffered(c.limiterID, len(c.input.Bytes()))
+			c.capExceeded = frontEnd.gate.Limiter.SetBuffered(c.limiterID, len(c.input.Bytes()))
 		}
-		if f.gate.Level() > 0 || f.turns.Len() > 0 {
-			f.queueForTurn(c)
+		if frontEnd.gate.Level() > 0 || frontEnd.turns.Len() > 0 {
+			frontEnd.queueForTurn(c)
 			return
 		}
 	}
 	c.read()
-	f.freeMemory()
+	frontEnd.freeMemory()
 }
 
 // OnClosed is called when the client has closed the connection, or it broke. It implements transport.Handler.
@@ -87,7 +87,7 @@
 	}
 }
 
-// ClientLeft tells whether the client of a request has closed its connection, even if the event of it has not been
+// ClientLeft reports whether the client of a request has closed its connection, even if the event of it has not been
 // handled yet. It implements dispatch.ClientWatcher.
 func (f *FrontEnd) ClientLeft(token uint64) bool {
 	c := f.connections.Get(token)
@@ -97,7 +97,7 @@
 // RequestCancelled implements dispatch.ClientWatcher. It does nothing: the connection is released when OnClosed comes.
 func (f *FrontEnd) RequestCancelled(uint64, bool) {}
 
-// betweenRequests tells whether no request has begun and no response is pending.
+// betweenRequests reports whether no request has begun and no response is pending.
 func (c *clientConnection) betweenRequests() bool {
 	return !c.responsePending && !c.closed && c.input == nil
 }
--- a/internal/httpfront/eviction.go
+++ b/internal/httpfront/eviction.go
@@ -33,17 +33,17 @@
 	}
 }
 
-// evictForCapacity evicts some connections for new ones that wait, and goes on until one of those has been accepted. If there
-// is none to evict, connections end with their next responses.
+// evictForCapacity evicts some connections for new ones that wait, and continues until one of those has been accepted.
+// If there is none to evict, connections end with their next responses.
 func (f *FrontEnd) evictForCapacity() {
-	spareProven := f.listenerShared // the other process has room
+	spareProven := f.listenerShared // the other process has capacity
 	for evicted := range evictionsPerCall {
 		token, stage, found := f.gate.EvictionCandidate(connlimit.ForUnknown, spareProven)
 		if !found {
 			f.capacityExhausted = evicted == 0 && !spareProven
 			break
 		}
-		if stage == connlimit.Proven && evicted > 0 { // there is room already
+		if stage == connlimit.Proven && evicted > 0 { // there is capacity already
 			break
 		}
 		if stage == connlimit.Proven && !f.provenSpared { // by the next look, new connections may have become candidates
@@ -58,7 +58,7 @@
 	}
 }
 
-// retryEviction makes room again if no connection has been accepted since the last time.
+// retryEviction evicts again if no connection has been accepted since the last time.
 func (f *FrontEnd) retryEviction() {
 	if f.capacityExhausted || f.provenSpared {
 		f.evictForCapacity()
@@ -70,11 +70,11 @@
 	for f.memoryExhausted() {
 		var chosen *clientConnection
 		spare := func(token uint64) bool {
-			c := f.connections.Get(token)
-			if c == nil || c.input == nil || c.readPosted || c.token == f.reading {
+			connection := f.connections.Get(token)
+			if connection == nil || connection.input == nil || connection.readPosted || connection.token == f.reading {
 				return true
 			}
-			chosen = c
+			chosen = connection
 			return false
 		}
 		_, _, found := f.gate.Limiter.EvictionCandidate(f.loop().Now(), connlimit.ForMemory, false, spare)
@@ -85,10 +85,10 @@
 	}
 }
 
-// memoryShort tells whether buffers take up so much memory that no request is read ahead.
+// memoryShort reports whether buffers take up so much memory that no request is read ahead.
 func (f *FrontEnd) memoryShort() bool {
 	return memoryShortDivisor*f.engine.Pool.BytesInUse() > f.memoryLimit
 }
 
-// memoryExhausted tells whether buffers take up more memory than the limit.
+// memoryExhausted reports whether buffers take up more memory than the limit.
 func (f *FrontEnd) memoryExhausted() bool { return f.engine.Pool.BytesInUse() > f.memoryLimit }
--- a/internal/httpfront/fairness.go
+++ b/internal/httpfront/fairness.go
@@ -1,6 +1,6 @@
 package httpfront
 
-// connectionsPerTurn is how many connections are read in a row, one of each address, before the loop goes on.
+// connectionsPerTurn is how many connections are read in a row, one of each address, before the loop continues.
 const connectionsPerTurn = 8
 
 // queueForTurn makes a connection's input wait for its address's turn, so that an address with a thousand connections
@@ -29,10 +29,10 @@
 		if !found {
 			return
 		}
-		c := f.connections.Get(token)
-		if c != nil && c.queued && !c.closed {
-			c.queued = false
-			c.read()
+		connection := f.connections.Get(token)
+		if connection != nil && connection.queued && !connection.closed {
+			connection.queued = false
+			connection.read()
 		}
 	}
 	f.freeMemory()
--- a/internal/httpfront/timeouts.go
+++ b/internal/httpfront/timeouts.go
@@ -25,7 +25,7 @@
 	// unprovenIdleTimeout is how long another connection may be idle.
 	unprovenIdleTimeout = 5 * time.Second
 
-	// floodCheckInterval is the time between checks whether a client sends more than there is room for.
+	// floodCheckInterval is the time between checks whether a client sends more than fits into its buffers.
 	floodCheckInterval = 50 * time.Millisecond
 	// maxDiscardedBytes is how much input is discarded to find the client's close behind it.
 	maxDiscardedBytes = 8 << 20
@@ -46,21 +46,21 @@
 
 // startRequest is called at the first byte of a request, and sets when the request must be complete.
 func (c *clientConnection) startRequest() {
-	f := c.frontEnd
-	now := f.loop().Now()
-	c.requestStartedAt = f.loop().QueuedSince()
+	frontEnd := c.frontEnd
+	now := frontEnd.loop().Now()
+	c.requestStartedAt = frontEnd.loop().QueuedSince()
 	c.requestDeadline = now + requestTimeout
 	if !c.hasSent {
 		c.hasSent = true
 		c.requestDeadline = min(c.requestDeadline, max(c.conn.Opened+firstRequestTimeout, now+lateRequestTimeout))
 	}
 	checkAt := c.requestDeadline
-	tooSlow, nextCheck := f.gate.Limiter.TooSlow(now, now, 0)
+	tooSlow, nextCheck := frontEnd.gate.Limiter.TooSlow(now, now, 0)
 	if !tooSlow && nextCheck > 0 {
 		checkAt = min(checkAt, nextCheck)
 	}
-	f.loop().Set(&c.timer, checkAt)
-	reason := f.gate.Limiter.RequestStarted(now, c.limiterID)
+	frontEnd.loop().Set(&c.timer, checkAt)
+	reason := frontEnd.gate.Limiter.RequestStarted(now, c.limiterID)
 	if reason != connlimit.Allowed {
 		c.capExceeded = reason
 	}
@@ -82,12 +82,12 @@
 
 // checkIncomplete rejects a request that has not come in time, or comes more slowly than the least rate.
 func (c *clientConnection) checkIncomplete() {
-	f := c.frontEnd
-	now := f.loop().Now()
+	frontEnd := c.frontEnd
+	now := frontEnd.loop().Now()
 	if now < c.requestDeadline {
-		tooSlow, nextCheck := f.gate.Limiter.TooSlow(now, c.requestStartedAt, len(c.input.Bytes()))
+		tooSlow, nextCheck := frontEnd.gate.Limiter.TooSlow(now, c.requestStartedAt, len(c.input.Bytes()))
 		if !tooSlow {
-			f.loop().Set(&c.timer, min(c.requestDeadline, max(nextCheck, now+minRateInterval)))
+			frontEnd.loop().Set(&c.timer, min(c.requestDeadline, max(nextCheck, now+minRateInterval)))
 			return
 		}
 		c.reportAbuse(connlimit.Slow)
@@ -95,9 +95,9 @@
 	c.reject(errSlow)
 }
 
-// checkFlood checks whether the client of a paused connection has sent more than there is room for. The client's close
-// would not be noticed behind bytes that nobody reads, and its request would be forwarded for nobody. So the rest is
-// discarded, and the connection ends with its response.
+// checkFlood checks whether the client of a paused connection has sent more than fits into its buffers. The client's
+// close would not be noticed behind bytes that nobody reads, and its request would be forwarded for nobody. So the rest
+// is discarded, and the connection ends with its response.
 func (c *clientConnection) checkFlood() {
 	loop := c.frontEnd.loop()
 	switch {
--- a/internal/httpwire/request.go
+++ b/internal/httpwire/request.go
@@ -2,7 +2,7 @@
 
 import "bytes"
 
-// Message is a whole request in a buffer.
+// Message is a complete request in a buffer.
 type Message struct {
 	Head
 	Body []byte
@@ -25,9 +25,9 @@
 var singleFields = []string{"X-Correlation-Id", "X-Time-Left-Ms", "Idempotency-Key"}
 
 // ParseRequest parses a request at the start of b. It returns ok false without an error while b holds only a part of
-// it; state then goes with b to the next call. A chunked body is put together in place. expectsContinue tells that the
+// it; state then goes with b to the next call. A chunked body is put together in place. expectsContinue says that the
 // head is there and that the client waits for 100 Continue before it sends the body.
-func ParseRequest(b []byte, m *Message, state *ScanState) (ok, expectsContinue bool, err error) {
+func ParseRequest(b []byte, message *Message, state *ScanState) (ok, expectsContinue bool, err error) {
 	if len(b) < state.needed {
 		return false, false, nil
 	}
@@ -36,31 +36,31 @@
 			return false, false, err
 		}
 	}
-	if ok, err = ParseHead(b, &m.Head, &state.headScanned); !ok {
+	if ok, err = ParseHead(b, &message.Head, &state.headScanned); !ok {
 		return false, false, err
 	}
-	if err := m.checkRequestHead(); err != nil {
+	if err := message.checkRequestHead(); err != nil {
 		return false, false, err
 	}
-	length, chunked, err := m.Framing()
+	length, chunked, err := message.Framing()
 	if err != nil {
 		return false, false, err
 	}
 	if length > MaxBody {
 		return false, false, ErrBodyTooLong
 	}
-	m.Body = nil
-	m.Size = m.Head.Size
+	message.Body = nil
+	message.Size = message.Head.Size
 	if chunked {
-		return m.parseChunkedBody(b, state)
+		return message.parseChunkedBody(b, state)
 	}
 	length = max(length, 0)
-	state.needed = m.Size + length
+	state.needed = message.Size + length
 	if len(b) < state.needed {
-		return false, m.awaitsContinue(b), nil
+		return false, message.awaitsContinue(b), nil
 	}
-	m.Body = b[m.Size : m.Size+length]
-	m.Size += length
+	message.Body = b[message.Size : message.Size+length]
+	message.Size += length
 	return true, false, nil
 }
 
@@ -78,12 +78,12 @@
 	return nil
 }
 
-// awaitsContinue tells whether b holds the head alone and the client waits for 100 Continue.
+// awaitsContinue reports whether b holds the head alone and the client waits for 100 Continue.
 func (m *Message) awaitsContinue(b []byte) bool {
 	return len(b) == m.Head.Size && m.HasToken("Expect", "100-continue")
 }
 
-// scanChunks goes on with a chunked body from where it stopped, without moving its data.
+// scanChunks continues with a chunked body from where it stopped, without moving its data.
 func (s *ScanState) scanChunks(b []byte) (done bool, err error) {
 	for !s.chunks.Done() {
 		data, used, err := s.chunks.Next(b[s.bodyScanned:])
@@ -112,18 +112,18 @@
 	}
 	var chunks ChunkReader
 	from := m.Head.Size
-	to := m.Head.Size
+	bodyEnd := m.Head.Size
 	for !chunks.Done() { // all of it is there and has been scanned, so nothing fails any more
 		data, used, _ := chunks.Next(b[from:])
-		to += copy(b[to:], data)
+		bodyEnd += copy(b[bodyEnd:], data)
 		from += used
 	}
-	m.Body = b[m.Head.Size:to]
+	m.Body = b[m.Head.Size:bodyEnd]
 	m.Size = from
 	return true, false, nil
 }
 
-// Call is a whole request as the admin API needs it.
+// Call is a complete request as the admin API needs it.
 type Call struct{ Method, Path, Query string }
 
 // CallReader reads one call, however its bytes come.
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -53,7 +53,7 @@
 // ErrClosed is the fate of changes that are handed over after Close.
 var ErrClosed = errors.New("the store is closed")
 
-// Open opens a file, or makes one. The error names the file and tells that another process has it open, that it is
+// Open opens a file, or makes one. The error names the file and says that another process has it open, that it is
 // damaged, or that its schema is a later one.
 func Open(path string, options Options) (*Store, error) {
 	if options.MaxBatch == 0 {
@@ -66,13 +66,13 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Store{db: db, options: options, wake: make(chan struct{}, 1), writerStopped: make(chan struct{})}
-	if err := s.migrate(); err != nil {
+	store := &Store{db: db, options: options, wake: make(chan struct{}, 1), writerStopped: make(chan struct{})}
+	if err := store.migrate(); err != nil {
 		db.Close()
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	go s.write()
-	return s, nil
+	go store.write()
+	return store, nil
 }
 
 // openFile opens a file, waiting a while for another process to close it.
