--- a/decision/admission.go
+++ b/decision/admission.go
@@ -98,7 +98,7 @@
 	return max(*longest-event.TimeLeft, 0)
 }
 
-// hasNoValue reports whether an answer to the request is worth nothing any more.
+// hasNoValue reports whether a response to the request would earn nothing any more.
 func (m *Machine) hasNoValue(request *request) bool {
 	return m.now >= request.objective && request.class.LateWeight <= 0
 }
--- a/decision/routing.go
+++ b/decision/routing.go
@@ -157,8 +157,8 @@
 	return true
 }
 
-// busy reports whether the request would wait at a worker without success. While it waits here, the first worker with
-// capacity can take it.
+// busy reports whether the request would wait at a worker without success. While it waits here, the first
+// worker with capacity can take it.
 func (m *Machine) busy(request *request, worker *worker) bool {
 	if m.saturated(request, worker) {
 		return true
--- a/decision/sweep.go
+++ b/decision/sweep.go
@@ -73,7 +73,8 @@
 	}
 }
 
-// probablyLate reports whether the request would miss its objective if it started now, or with the next sweep.
+// probablyLate reports whether the request would miss its objective if it started now, or with the next
+// sweep.
 func (m *Machine) probablyLate(request *request) bool {
 	return m.now+seconds(request.work)+m.sweepInterval >= request.objective
 }
