--- a/Makefile
+++ b/Makefile
@@ -23,15 +23,15 @@
 	@bad=$$(go list -deps ./cmd/dispatcher-serve | grep -E '^net/http$$|internal/rehearsal|alecthomas/kong|gonum|protobuf|klauspost|HdrHistogram'); \
 	if [ -n "$$bad" ]; then echo "the daemon must not link $$bad" >&2; exit 1; fi
 	@bad=$$(go list -f '{{join .Imports "\n"}}' ./internal/dispatch | grep -E 'internal/(httpfront|workerclient|discovery|httpwire|faktory|transport|admin|daemon)$$'); \
-	if [ -n "$$bad" ]; then echo "internal/dispatch knows no front and no socket, but imports $$bad" >&2; exit 1; fi
+	if [ -n "$$bad" ]; then echo "internal/dispatch knows no front end and no socket, but imports $$bad" >&2; exit 1; fi
 	@bad=$$(go list -deps ./internal/faktory | grep -E 'internal/(httpfront|workerclient|discovery)$$'; go list -deps ./internal/httpfront ./internal/workerclient | grep -E 'internal/faktory$$'; go list -deps ./internal/httpfront | grep -E 'internal/(workerclient|discovery)$$'); \
 	if [ -n "$$bad" ]; then echo "front ends and the worker client do not import each other, but one imports $$bad" >&2; exit 1; fi
 	@bad=$$(go list -deps ./internal/rehearsal/standin ./internal/rehearsal/hostileload | grep -E 'internal/(httpfront|workerclient|discovery|httpwire|faktory|dispatch|transport)$$'); \
-	if [ -n "$$bad" ]; then echo "stand-ins must not share code with the fronts, but import $$bad" >&2; exit 1; fi
+	if [ -n "$$bad" ]; then echo "stand-ins must not share code with the front ends, but import $$bad" >&2; exit 1; fi
 	@bad=$$(go list -deps ./cmd/membership-relay | grep -E 'internal/(rehearsal|httpfront|workerclient|discovery|httpwire|faktory|dispatch|transport)$$|internal/rehearsal/'); \
 	if [ -n "$$bad" ]; then echo "the relay must link neither the kit nor the dispatcher, but imports $$bad" >&2; exit 1; fi
 
-# The daemon with the Faktory front on loopback, nothing else needed.
+# The daemon with the Faktory front end on loopback, nothing else needed.
 run: build
 	exec bin/dispatcher --config deploy/faktory-config.json --faktory deploy/faktory.toml
 
@@ -89,7 +89,7 @@
 
 # What a decision costs, with a million addresses remembered.
 measure-admit:
-	go test -run '^$$' -bench . -count 5 ./internal/connlimit ./internal/transport
+	go test -run '^$$' -bench . -count 5 ./internal/connlimit ./internal/listener
 
 # What durable jobs cost: changes a second beside the disk's own fsyncs, a million
 # jobs read at a start, what the loop's other work waits.
@@ -103,7 +103,7 @@
 # A thousand days of each scenario in virtual time, and what a day costs by size.
 measure-days: build
 	bin/rehearse sim hunt deploy/scenarios/*.toml --seeds 1000
-	go test -run '^$$' -bench Day -cpu 1 ./internal/rehearsal/simulator
+	go test -run '^$$' -bench Run -cpu 1 ./internal/rehearsal/simulator
 
 # What one daemon costs by the number of listed workers, three plays of each size
 # (some eight minutes on an idle machine), and the capacity page anew.
