--- a/internal/discovery/subscription_test.go
+++ b/internal/discovery/subscription_test.go
@@ -7,6 +7,7 @@
 	"io"
 	"strings"
 	"testing"
+	"time"
 
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
@@ -95,10 +96,13 @@
 func TestWatchEndedInOrder(t *testing.T) {
 	home := newServer(t)
 	other := newServer(t)
-	follower := startFollower(t, 1, home, other).loadInitial(``)
+	follower := newFollower(t)
+	config := follower.followConfig(1, home, other)
+	config.AcknowledgeInterval = time.Minute // no acknowledgement falls due, which would be a poll too
+	follower.Do(func() { follower.registry.Follow(config) })
+	follower.loadInitial(``)
 	watch := home.serveFirstPoll(0, encodeChange(1, true, "a=ready"), 1)
 	follower.waitForServer(home)
-	home.expectRequest(pollQuery(1)).answer(encodeChange(1, false))
 	io.WriteString(watch, "0\r\n\r\n")
 	home.expectRequest(pollQuery(1)).answerCompressed(encodeChange(2, false, "a=gone", "b=ready"))
 	follower.waitForVersion(2, "b=ready")
--- a/internal/discovery/testfollower_test.go
+++ b/internal/discovery/testfollower_test.go
@@ -28,6 +28,14 @@
 
 // startFollower returns a dispatcher that follows servers. The last of them, as many as far says, are in other zones.
 func startFollower(t *testing.T, far int, servers ...*testServer) *testFollower {
+	t.Helper()
+	s := newFollower(t)
+	s.Do(func() { s.registry.Follow(s.followConfig(far, servers...)) })
+	return s
+}
+
+// newFollower returns a dispatcher that has yet to follow servers.
+func newFollower(t *testing.T) *testFollower {
 	t.Helper()
 	s := &testFollower{Rig: testkit.NewRig(t, func(s *decision.Settings) { s.DrainGrace = 500 * time.Millisecond }), t: t}
 	s.Do(func() {
@@ -42,7 +50,6 @@
 			s.applied = append(s.applied, v)
 			s.mu.Unlock()
 		}
-		s.registry.Follow(s.followConfig(far, servers...))
 	})
 	return s
 }
