--- a/cmd/dispatcher/daemon_test.go
+++ b/cmd/dispatcher/daemon_test.go
@@ -14,6 +14,7 @@
 	"path/filepath"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
@@ -76,9 +77,7 @@
 	t.Helper()
 	discovery := d.startDiscovery()
 	if d.listen == "" {
-		ln := listenLocal(t)
-		d.listen = ln.Addr().String()
-		ln.Close()
+		d.listen = unusedAddress(t)
 	}
 	var hosts []json.RawMessage
 	for _, b := range d.workers {
@@ -313,6 +312,31 @@
 	return r.text.String()
 }
 
+// The ports that daemons are told to listen on lie below those from which Linux picks one itself (32768 and up), so that
+// no other listener or connection takes a port between the choice and the daemon's bind.
+const (
+	firstDaemonPort = 10000
+	daemonPorts     = 20000
+)
+
+var chosenDaemonPorts atomic.Int32
+
+// unusedAddress returns an address for a daemon to listen on. No two calls of a process return the same one.
+func unusedAddress(t *testing.T) string {
+	t.Helper()
+	start := os.Getpid() * 7919 // other test processes begin elsewhere
+	for range daemonPorts {
+		port := firstDaemonPort + (start+int(chosenDaemonPorts.Add(1)))%daemonPorts
+		address := fmt.Sprintf("127.0.0.1:%d", port)
+		if ln, err := net.Listen("tcp", address); err == nil {
+			ln.Close()
+			return address
+		}
+	}
+	t.Fatal("no port is free")
+	return ""
+}
+
 func listenLocal(t *testing.T) net.Listener {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/cmd/dispatcher/durable_test.go
+++ b/cmd/dispatcher/durable_test.go
@@ -178,9 +178,7 @@
 		io.WriteString(conn, "HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n") // the others are Faktory's
 		return true
 	})
-	ln := listenLocal(t)
-	addr := ln.Addr().String()
-	ln.Close()
+	addr := unusedAddress(t)
 	dir := t.TempDir()
 	os.WriteFile(filepath.Join(dir, "addr"), []byte(addr), 0o600)
 	path := filepath.Join(dir, "faktory.toml")
--- a/cmd/dispatcher/ready_test.go
+++ b/cmd/dispatcher/ready_test.go
@@ -90,9 +90,7 @@
 	for _, x := range []struct{ known, discovery string }{{`[]`, "ask"}, {draining, "ask"}, {`[]`, "push"}, {draining, "push"}} {
 		t.Run(x.discovery+" "+x.known, func(t *testing.T) {
 			other := &testDaemon{t: t, firstLine: make(chan string, 100)}
-			ln := listenLocal(t)
-			ln.Close()
-			d := &testDaemon{t: t, listen: ln.Addr().String(), config: map[string]any{
+			d := &testDaemon{t: t, listen: unusedAddress(t), config: map[string]any{
 				"known":     json.RawMessage(`{"seq":41,"whole":true,"hosts":` + x.known + `}`),
 				"discovery": other.startDiscovery(), "settings": settingsOf(300, x.discovery),
 			}}
--- a/cmd/dispatcher/serving_test.go
+++ b/cmd/dispatcher/serving_test.go
@@ -116,9 +116,7 @@
 func TestFaktoryFrontEnd(t *testing.T) {
 	d := &testDaemon{t: t}
 	b := d.addWorker("s-1", respondDone)
-	ln := listenLocal(t)
-	addr := ln.Addr().String()
-	ln.Close()
+	addr := unusedAddress(t)
 	path := filepath.Join(t.TempDir(), "faktory.toml")
 	os.WriteFile(path, []byte(fmt.Sprintf("listen = %q\n", addr)), 0o600)
 	d.start("-faktory", path)
--- a/cmd/dispatcher/versions_test.go
+++ b/cmd/dispatcher/versions_test.go
@@ -229,9 +229,7 @@
 	predecessor := newDaemonWithAdmin(t, newPlatformListener(t))
 	predecessor.program = os.Getenv(predecessorVariable)
 	b := predecessor.addWorker("s-1", respondDone)
-	ln := listenLocal(t)
-	faktory := ln.Addr().String()
-	ln.Close()
+	faktory := unusedAddress(t)
 	dir := t.TempDir()
 	operator := fmt.Sprintf("listen = %q\n[durable]\npath = %q\nqueues = [\"renewal\", \"status-check\"]\n", faktory, filepath.Join(dir, "jobs.db"))
 	for name, text := range map[string]string{"addr": faktory, "faktory.toml": operator} {
