--- a/cmd/dispatcher/daemon_test.go
+++ b/cmd/dispatcher/daemon_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"bytes"
 	"cmp"
 	"encoding/json"
 	"fmt"
@@ -13,12 +12,11 @@
 	"os/exec"
 	"path/filepath"
 	"strings"
-	"sync"
-	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
 
+	"hollyyoke.example/hollyyoke/internal/rehearsal/childprocess"
 	"hollyyoke.example/hollyyoke/internal/rehearsal/faultinject"
 )
 
@@ -52,7 +50,7 @@
 	traced          *faultinject.Process // the daemon, where its system calls fail
 	program         string               // the program to start; empty: the one under test
 	cmd             *exec.Cmd
-	log             logBuffer
+	log             childprocess.Output
 	client          *http.Client
 }
 
@@ -294,47 +292,14 @@
 	d.t.Fatal("healthz does not answer 503 after SIGTERM")
 }
 
-// logBuffer is a log that can be read while it is written.
-type logBuffer struct {
-	mu   sync.Mutex
-	text bytes.Buffer
-}
-
-func (r *logBuffer) Write(p []byte) (int, error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.text.Write(p)
-}
-
-func (r *logBuffer) String() string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.text.String()
-}
-
-// The ports that daemons are told to listen on lie below those from which Linux picks one itself (32768 and up), so that
-// no other listener or connection takes a port between the choice and the daemon's bind.
-const (
-	firstDaemonPort = 10000
-	daemonPorts     = 20000
-)
-
-var chosenDaemonPorts atomic.Int32
-
-// unusedAddress returns an address for a daemon to listen on. No two calls of a process return the same one.
+// unusedAddress returns an address for a daemon to listen on.
 func unusedAddress(t *testing.T) string {
 	t.Helper()
-	start := os.Getpid() * 7919 // other test processes begin elsewhere
-	for range daemonPorts {
-		port := firstDaemonPort + (start+int(chosenDaemonPorts.Add(1)))%daemonPorts
-		address := fmt.Sprintf("127.0.0.1:%d", port)
-		if ln, err := net.Listen("tcp", address); err == nil {
-			ln.Close()
-			return address
-		}
+	address, err := childprocess.FreeAddress()
+	if err != nil {
+		t.Fatal(err)
 	}
-	t.Fatal("no port is free")
-	return ""
+	return address
 }
 
 func listenLocal(t *testing.T) net.Listener {
--- a/cmd/membership-relay/main_test.go
+++ b/cmd/membership-relay/main_test.go
@@ -12,11 +12,11 @@
 	"os/exec"
 	"path/filepath"
 	"strings"
-	"sync"
 	"syscall"
 	"testing"
 	"time"
 
+	"hollyyoke.example/hollyyoke/internal/rehearsal/childprocess"
 	"hollyyoke.example/hollyyoke/internal/rehearsal/standin"
 	"hollyyoke.example/hollyyoke/internal/relay"
 )
@@ -51,24 +51,7 @@
 	options string // path of its options file
 	address string
 	admin   string
-	log     lockedBuffer
-}
-
-type lockedBuffer struct {
-	mu   sync.Mutex
-	text bytes.Buffer
-}
-
-func (l *lockedBuffer) Write(p []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.text.Write(p)
-}
-
-func (l *lockedBuffer) String() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.text.String()
+	log     childprocess.Output
 }
 
 func optionsText(upstreams ...string) string {
--- a/internal/rehearsal/capacity/daemon.go
+++ b/internal/rehearsal/capacity/daemon.go
@@ -9,9 +9,10 @@
 	"os/exec"
 	"path/filepath"
 	"strings"
-	"sync"
 	"syscall"
 	"time"
+
+	"hollyyoke.example/hollyyoke/internal/rehearsal/childprocess"
 )
 
 // daemon is a running dispatcher-serve.
@@ -21,25 +22,7 @@
 
 	command *exec.Cmd
 	exited  chan struct{} // closed when the process has ended
-	log     daemonLog
-}
-
-// daemonLog collects the output of the daemon. It is safe for concurrent use.
-type daemonLog struct {
-	mutex sync.Mutex
-	text  strings.Builder
-}
-
-func (l *daemonLog) Write(p []byte) (int, error) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	return l.text.Write(p)
-}
-
-func (l *daemonLog) String() string {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	return l.text.String()
+	log     childprocess.Output
 }
 
 const (
--- /dev/null
+++ b/internal/rehearsal/childprocess/output.go
@@ -0,0 +1,35 @@
+// Package childprocess has what the rehearsal kit and tests need to run programs of this project as child processes: a
+// buffer for their output and addresses for them to listen on.
+package childprocess
+
+import (
+	"bytes"
+	"sync"
+)
+
+// Output collects the output of a process. It is safe for concurrent use. The zero value keeps everything.
+type Output struct {
+	// Limit in bytes ends what is kept: once it is reached, later writes are dropped. 0: no limit. It must not change
+	// after the first write.
+	Limit int
+
+	mutex sync.Mutex
+	text  bytes.Buffer
+}
+
+// Write implements io.Writer. It never fails.
+func (o *Output) Write(p []byte) (int, error) {
+	o.mutex.Lock()
+	defer o.mutex.Unlock()
+	if o.Limit == 0 || o.text.Len() < o.Limit {
+		o.text.Write(p)
+	}
+	return len(p), nil
+}
+
+// String returns the output so far.
+func (o *Output) String() string {
+	o.mutex.Lock()
+	defer o.mutex.Unlock()
+	return o.text.String()
+}
--- a/internal/rehearsal/soak/daemon.go
+++ b/internal/rehearsal/soak/daemon.go
@@ -11,6 +11,8 @@
 	"sync"
 	"syscall"
 	"time"
+
+	"hollyyoke.example/hollyyoke/internal/rehearsal/childprocess"
 )
 
 // daemon is one dispatcher over all its processes. It is safe for concurrent use, but only the
@@ -63,11 +65,11 @@
 
 // newDaemon prepares a dispatcher; traced: its system calls fail by the seed.
 func (r *run) newDaemon(number int, traced bool, seed uint64) (*daemon, error) {
-	addr, err := freeAddr()
+	addr, err := childprocess.FreeAddress()
 	if err != nil {
 		return nil, err
 	}
-	admin, err := freeAddr()
+	admin, err := childprocess.FreeAddress()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/rehearsal/soak/daemonconfig.go
+++ b/internal/rehearsal/soak/daemonconfig.go
@@ -1,13 +1,6 @@
 package soak
 
-import (
-	"encoding/json"
-	"errors"
-	"fmt"
-	"net"
-	"os"
-	"sync/atomic"
-)
+import "encoding/json"
 
 // daemonConfig is a dispatcher's configuration file, with the keys that a soak sets. Fields are in
 // the alphabetical order of their keys.
@@ -35,25 +28,3 @@
 "limits":{"cancel":true,"probing":true,"connect_timeout_us":250000,"conn_idle_us":10000000,"max_attempts":3,"max_retry_after_us":2000000,
 "second_copies":true},"rules":{"ask_within_us":10000000,"drain_grace_us":500000},
 "domain":{"tells_start":true,"progress_us":1000000,"queue_order":"fifo"},"reporting":{"via":"answers"}}`
-
-// Ports below those that the kernel chooses for connections: a dispatcher that is started again
-// needs the port it had.
-const (
-	firstPort = 15000
-	lastPort  = 32000
-)
-
-var nextPort atomic.Int64
-
-// freeAddr returns a loopback address whose port was free a moment ago.
-func freeAddr() (string, error) {
-	for range lastPort - firstPort {
-		port := firstPort + int(nextPort.Add(1)+int64(os.Getpid()))%(lastPort-firstPort)
-		listener, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", port))
-		if err == nil {
-			defer listener.Close()
-			return listener.Addr().String(), nil
-		}
-	}
-	return "", errors.New("no port is free")
-}
--- a/internal/rehearsal/standin/daemon.go
+++ b/internal/rehearsal/standin/daemon.go
@@ -1,7 +1,6 @@
 package standin
 
 import (
-	"bytes"
 	"fmt"
 	"net"
 	"net/http"
@@ -9,7 +8,6 @@
 	"os/exec"
 	"path/filepath"
 	"strings"
-	"sync"
 	"syscall"
 	"time"
 )
@@ -20,34 +18,9 @@
 	healthCheckTimeout = time.Second
 	passwordBytes      = 16
 	filePermissions    = 0o600
+	maxOutputBytes     = 1 << 20 // that are kept of the daemon's output
 )
 
-// OutputBuffer keeps the beginning of the daemon's output, up to maxOutputBytes. It is safe for
-// concurrent use.
-type OutputBuffer struct {
-	mu   sync.Mutex
-	text bytes.Buffer
-}
-
-const maxOutputBytes = 1 << 20
-
-// Write implements io.Writer; it never fails.
-func (b *OutputBuffer) Write(p []byte) (int, error) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.text.Len() < maxOutputBytes {
-		b.text.Write(p)
-	}
-	return len(p), nil
-}
-
-// String is the output so far.
-func (b *OutputBuffer) String() string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.text.String()
-}
-
 // startDaemon starts the daemon and waits until it is ready. It inherits its listener, so that
 // nothing but this child can answer at the address.
 func (f *Fleet) startDaemon() error {
--- a/internal/rehearsal/standin/fleet.go
+++ b/internal/rehearsal/standin/fleet.go
@@ -11,6 +11,8 @@
 	"strings"
 	"syscall"
 	"time"
+
+	"hollyyoke.example/hollyyoke/internal/rehearsal/childprocess"
 )
 
 // ClassConfig is a class of the daemon's configuration.
@@ -52,7 +54,7 @@
 	Addr        string // of the HTTP front end
 	FaktoryAddr string // of the Faktory front end; empty: not started
 	Password    string // of the Faktory front end, random, so that no other worker can log in
-	Log         OutputBuffer
+	Log         childprocess.Output
 
 	secret []byte
 	daemon *exec.Cmd
@@ -88,7 +90,12 @@
 	if config.Descriptors == 0 {
 		config.Descriptors = defaultDescriptors
 	}
-	f := &Fleet{FleetConfig: config, secret: make([]byte, fleetSecretBytes), ended: make(chan struct{})}
+	f := &Fleet{
+		FleetConfig: config,
+		Log:         childprocess.Output{Limit: maxOutputBytes},
+		secret:      make([]byte, fleetSecretBytes),
+		ended:       make(chan struct{}),
+	}
 	rand.Read(f.secret)
 	f.ctx, f.cancel = context.WithCancel(context.Background())
 	if err := f.start(); err != nil {
--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -13,6 +13,8 @@
 	"sync"
 	"testing"
 	"time"
+
+	"hollyyoke.example/hollyyoke/internal/rehearsal/childprocess"
 )
 
 // testTimeout is how long a condition may take. It is generous, since the machine may be loaded.
@@ -28,24 +30,6 @@
 	}
 }
 
-// logBuffer collects a log.
-type logBuffer struct {
-	mu   sync.Mutex
-	text bytes.Buffer
-}
-
-func (l *logBuffer) Write(p []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.text.Write(p)
-}
-
-func (l *logBuffer) String() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.text.String()
-}
-
 // testConfig returns a configuration with a port that the kernel chooses.
 func testConfig(upstreams ...string) Config {
 	config := Defaults()
@@ -57,9 +41,9 @@
 }
 
 // startRelay starts a relay that is closed at the end of the test.
-func startRelay(t testing.TB, config Config) (*Relay, *logBuffer) {
+func startRelay(t testing.TB, config Config) (*Relay, *childprocess.Output) {
 	t.Helper()
-	text := &logBuffer{}
+	text := &childprocess.Output{}
 	r, err := Start(config, slog.New(slog.NewTextHandler(text, nil)))
 	if err != nil {
 		t.Fatal(err)
