--- a/internal/admin/call.go
+++ b/internal/admin/call.go
@@ -39,15 +39,11 @@
 // OnData reads what has arrived, and answers the call once it is complete.
 func (c *call) OnData(_ *transport.Conn, b *transport.Buffer) {
 	if c.input == nil {
-		c.input = b
 		c.api.limiter.RequestStarted(c.api.dispatcher.Loop.Now(), c.id)
-	} else {
-		fits := c.input.Append(b.Bytes())
-		c.api.engine.Pool.Put(b)
-		if !fits {
-			c.respond(statusContentTooLarge, "the call is too long\n", "")
-			return
-		}
+	}
+	if !c.api.engine.Pool.Collect(&c.input, b) {
+		c.respond(statusContentTooLarge, "the call is too long\n", "")
+		return
 	}
 	request, complete, err := c.reader.Read(c.input.Bytes())
 	switch {
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -82,6 +82,7 @@
 	l.engine.Loop.Clear(&l.idsTimer)
 	l.engine.Pool.Put(l.input)
 	l.input = nil
+	l.scanned = 0
 	l.ids = nil
 	l.onMessage = func(Message) {}
 	l.onLost = func() {}
@@ -103,7 +104,7 @@
 
 // OnData handles the messages that are complete. It owns b.
 func (l *Link) OnData(_ *transport.Conn, b *transport.Buffer) {
-	if !l.appendInput(b) {
+	if !l.engine.Pool.Collect(&l.input, b) {
 		l.fail()
 		return
 	}
@@ -122,18 +123,6 @@
 	}
 }
 
-// appendInput adds what has arrived, and returns false where there is no space for it.
-func (l *Link) appendInput(b *transport.Buffer) bool {
-	if l.input == nil {
-		l.input = b
-		l.scanned = 0
-		return true
-	}
-	fits := l.input.Append(b.Bytes())
-	l.engine.Pool.Put(b)
-	return fits
-}
-
 // nextLine returns the first line without its end. Where none is complete, it returns
 // false, and fails if there is no space for the rest of it.
 func (l *Link) nextLine() ([]byte, bool) {
@@ -151,10 +140,6 @@
 
 // consume drops n bytes of input, and returns its buffer once it is empty.
 func (l *Link) consume(n int) {
-	l.input.Consume(n)
+	l.engine.Pool.Consume(&l.input, n)
 	l.scanned = 0
-	if len(l.input.Bytes()) == 0 {
-		l.engine.Pool.Put(l.input)
-		l.input = nil
-	}
 }
--- a/internal/httpfront/input.go
+++ b/internal/httpfront/input.go
@@ -36,20 +36,12 @@
 		return
 	}
 	moved := c.input.Fill(c.overflow.Bytes())
-	c.overflow.Consume(moved)
-	if len(c.overflow.Bytes()) == 0 {
-		c.frontEnd.engine.Pool.Put(c.overflow)
-		c.overflow = nil
-	}
+	c.frontEnd.engine.Pool.Consume(&c.overflow, moved)
 }
 
 // consumeInput removes a request of a number of bytes from the input.
 func (c *clientConnection) consumeInput(size int) {
-	c.input.Consume(size)
-	if len(c.input.Bytes()) == 0 {
-		c.frontEnd.engine.Pool.Put(c.input)
-		c.input = nil
-	}
+	c.frontEnd.engine.Pool.Consume(&c.input, size)
 	c.refillInput()
 }
 
--- a/internal/httpfront/proxyheader.go
+++ b/internal/httpfront/proxyheader.go
@@ -9,15 +9,9 @@
 // readProxyHeader reads the PROXY header of a trusted proxy, which states the client's address.
 func (c *clientConnection) readProxyHeader(b *transport.Buffer) {
 	frontEnd := c.frontEnd
-	if c.input == nil {
-		c.input = b
-	} else {
-		fits := c.input.Append(b.Bytes())
-		frontEnd.engine.Pool.Put(b)
-		if !fits {
-			c.closeNow()
-			return
-		}
+	if !frontEnd.engine.Pool.Collect(&c.input, b) {
+		c.closeNow()
+		return
 	}
 	addr, used, err := listener.ParseProxyHeader(c.input.Bytes())
 	if err != nil {
--- a/internal/httpfront/request.go
+++ b/internal/httpfront/request.go
@@ -163,13 +163,7 @@
 func (c *clientConnection) dispatch(message *httpwire.Message, request dispatch.Request) {
 	frontEnd := c.frontEnd
 	pool := &frontEnd.engine.Pool
-	buffer := c.input
-	c.input = nil
-	rest := buffer.Bytes()[message.Size:]
-	if len(rest) > 0 {
-		c.input = pool.Get()
-		c.input.Append(rest)
-	}
+	buffer := pool.Detach(&c.input, message.Size)
 	c.refillInput()
 	request.Body = message.Body
 	request.Release = func() { pool.Put(buffer) }
--- a/internal/transport/buffer.go
+++ b/internal/transport/buffer.go
@@ -122,6 +122,39 @@
 	p.free = append(p.free, b)
 }
 
+// Collect adds received bytes to *into and takes over their buffer, which becomes *into where that is nil. It returns
+// false if they do not fit; they are lost then.
+func (p *Pool) Collect(into **Buffer, received *Buffer) bool {
+	if *into == nil {
+		*into = received
+		return true
+	}
+	fits := (*into).Append(received.Bytes())
+	p.Put(received)
+	return fits
+}
+
+// Consume drops the first n bytes of *from, and puts it back and sets it to nil once it is empty.
+func (p *Pool) Consume(from **Buffer, n int) {
+	(*from).Consume(n)
+	if len((*from).Bytes()) == 0 {
+		p.Put(*from)
+		*from = nil
+	}
+}
+
+// Detach returns the buffer *from, whose first n bytes are a complete message, and moves what follows to a new *from,
+// nil if nothing does. The caller owns the buffer that is returned.
+func (p *Pool) Detach(from **Buffer, n int) *Buffer {
+	message := *from
+	*from = nil
+	if rest := message.Bytes()[n:]; len(rest) > 0 {
+		*from = p.Get()
+		(*from).Append(rest)
+	}
+	return message
+}
+
 // trim returns the memory of a buffer that becomes free to the kernel, but for
 // its first pages, where free buffers together would keep too much of it.
 func (p *Pool) trim(b *Buffer) {
--- a/internal/workerclient/pool.go
+++ b/internal/workerclient/pool.go
@@ -39,13 +39,15 @@
 // that is unsafe to repeat, it passes over connections used less than the reuse delay ago. Connections that the worker
 // may have closed, or has sent something on, are closed.
 func (c *Client) takeIdle(worker *discovery.Worker, repeatUnsafe bool) *connection {
-	for i := len(c.idle[worker]) - 1; i >= 0; i-- {
-		conn := c.idle[worker][i]
+	idleConnections := c.idle[worker]
+	for i := len(idleConnections) - 1; i >= 0; i-- {
+		conn := idleConnections[i]
 		now := c.loop().Now()
 		if repeatUnsafe && now-conn.idleSince < c.reuseDelay {
 			continue
 		}
-		c.idle[worker] = slices.Delete(c.idle[worker], i, i+1)
+		idleConnections = slices.Delete(idleConnections, i, i+1)
+		c.idle[worker] = idleConnections
 		if conn.conn.Idle() && (conn.idleUntil == 0 || now < conn.idleUntil) {
 			c.loop().Clear(&conn.timer)
 			return conn
@@ -100,8 +102,9 @@
 
 // removeIdle removes the connection from the idle ones, if it is among them.
 func (c *connection) removeIdle() {
-	i := slices.Index(c.client.idle[c.worker], c)
+	idleConnections := c.client.idle[c.worker]
+	i := slices.Index(idleConnections, c)
 	if i >= 0 {
-		c.client.idle[c.worker] = slices.Delete(c.client.idle[c.worker], i, i+1)
+		c.client.idle[c.worker] = slices.Delete(idleConnections, i, i+1)
 	}
 }
--- a/internal/workerclient/response.go
+++ b/internal/workerclient/response.go
@@ -22,7 +22,7 @@
 		return
 	}
 	c.reportSent()
-	if !c.appendInput(b) || c.parseInput() != nil {
+	if !c.client.engine.Pool.Collect(&c.input, b) || c.parseInput() != nil {
 		c.failMalformed()
 		return
 	}
@@ -41,17 +41,6 @@
 	c.reportResult()
 }
 
-// appendInput adds data to the input, whose buffer it takes over where it can. It returns false if there is no room.
-func (c *connection) appendInput(b *transport.Buffer) bool {
-	if c.input == nil {
-		c.input = b
-		return true
-	}
-	fits := c.input.Append(b.Bytes())
-	c.client.engine.Pool.Put(b)
-	return fits
-}
-
 // parseInput parses as much of the input as it can.
 func (c *connection) parseInput() error {
 	for !c.responseComplete && c.input != nil && c.consumed < len(c.input.Bytes()) {
@@ -70,13 +59,8 @@
 func (c *connection) dropConsumed() {
 	consumed := c.consumed
 	c.consumed = 0
-	if c.input == nil {
-		return
-	}
-	c.input.Consume(consumed)
-	if len(c.input.Bytes()) == 0 {
-		c.client.engine.Pool.Put(c.input)
-		c.input = nil
+	if c.input != nil {
+		c.client.engine.Pool.Consume(&c.input, consumed)
 	}
 }
 
