--- a/decision/attempt.go
+++ b/decision/attempt.go
@@ -111,7 +111,7 @@
 		return
 	}
 	outcome := attempt.worker.believedOutcome(event.Outcome)
-	attempt.neverRan = outcome.neverRan(&m.settings)
+	attempt.neverRan = outcome.NeverRan(&m.settings)
 	m.releaseAttempt(request, attempt, outcome)
 	if request.keyQueue != nil && outcome.mayStillRun() {
 		m.startCooldown(request.keyQueue, m.settings.KeyCooldown+m.settings.Tick)
--- a/decision/event.go
+++ b/decision/event.go
@@ -79,8 +79,8 @@
 	}[o]
 }
 
-// neverRan reports whether the outcome proves that the attempt had no effect.
-func (o AttemptOutcome) neverRan(settings *Settings) bool {
+// NeverRan reports whether the outcome proves that the attempt had no effect.
+func (o AttemptOutcome) NeverRan(settings *Settings) bool {
 	return o.notAccepted() && !(o == Saturated && settings.SaturatedMayHaveRun)
 }
 
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -15,8 +15,8 @@
 	"hollyyoke.example/hollyyoke/internal/settings"
 )
 
-// Environment variables that the platform sets. All but envConfig and
-// envListenerDescriptor override a key of the configuration file.
+// Environment variables that the platform sets. All but envConfig,
+// envListenerDescriptor and envRuntimeDirectory override a key of the configuration file.
 const (
 	envConfig             = "BALANCER_CONFIG"     // path of the configuration file
 	envName               = "BALANCER_NAME"       // name
@@ -62,11 +62,7 @@
 		return c, s, fmt.Errorf("config: %w", err)
 	}
 	if err := json.Unmarshal(text, &c); err != nil {
-		var wrongType *json.UnmarshalTypeError
-		if errors.As(err, &wrongType) && wrongType.Field != "" {
-			return c, s, fmt.Errorf("config: %s: a %s cannot stand here", wrongType.Field, wrongType.Value)
-		}
-		return c, s, fmt.Errorf("config: %w", err)
+		return c, s, fmt.Errorf("config: %w", settings.DecodeError(err))
 	}
 	c.applyEnvironment(env, reload)
 	if c.Discovery != "" {
--- a/internal/daemon/load.go
+++ b/internal/daemon/load.go
@@ -102,7 +102,7 @@
 	if err != nil {
 		return c, fmt.Errorf("connections.%w", err)
 	}
-	c.Respond503 = table.RejectWith == "503"
+	c.Respond503 = table.Responds503()
 	return c, nil
 }
 
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -3,7 +3,6 @@
 import (
 	"net"
 
-	"hollyyoke.example/hollyyoke/decision"
 	"hollyyoke.example/hollyyoke/internal/discovery"
 	"hollyyoke.example/hollyyoke/internal/dispatch"
 	"hollyyoke.example/hollyyoke/internal/eventloop"
@@ -28,11 +27,10 @@
 	frontEnds  frontEnds
 	gate       *listener.Gate // admits connections; nil: all are admitted
 
-	config             config            // in force
-	configuredSettings decision.Settings // as the configuration file has them
-	followsMembership  bool              // versioned changes are followed in place of the discovery watch
-	listener           net.Listener      // for HTTP clients; nil: the HTTP front end is off
-	maxClients         int               // connections of clients at a time, for each front end
+	config            config       // in force
+	followsMembership bool         // versioned changes are followed in place of the discovery watch
+	listener          net.Listener // for HTTP clients; nil: the HTTP front end is off
+	maxClients        int          // connections of clients at a time, for each front end
 
 	serving  bool // the HTTP front end accepts clients
 	stopping bool // a graceful shutdown has begun
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -44,7 +44,7 @@
 	}
 	var follow discovery.FollowConfig
 	if err == nil {
-		follow, err = followConfig(&next.operator.Membership, &p.config, &p.configuredSettings)
+		follow, err = followConfig(&next.operator.Membership, &p.config, &p.loaded.configuredSettings)
 	}
 	if err == nil {
 		err = p.reloadGate(&next.operator.Connections) // last, since it applies what is right
@@ -120,7 +120,7 @@
 		{"limits", next.config.Limits != p.config.Limits},
 		{"listen", next.config.Listen != p.config.Listen},
 		{"name", next.config.Name != p.config.Name},
-		{"settings", !reflect.DeepEqual(next.settings, p.configuredSettings)},
+		{"settings", !reflect.DeepEqual(next.settings, p.loaded.configuredSettings)},
 	} {
 		if key.changed {
 			changed = append(changed, key.name)
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -76,15 +76,14 @@
 		return nil, err
 	}
 	daemon := &process{
-		files:              files,
-		loaded:             loaded,
-		dispatcher:         dispatcher,
-		engine:             engine,
-		registry:           registry,
-		workers:            workers,
-		config:             fileConfig,
-		configuredSettings: loaded.configuredSettings,
-		maxClients:         transport.AcceptedShare(fileConfig.connectionDescriptors()),
+		files:      files,
+		loaded:     loaded,
+		dispatcher: dispatcher,
+		engine:     engine,
+		registry:   registry,
+		workers:    workers,
+		config:     fileConfig,
+		maxClients: transport.AcceptedShare(fileConfig.connectionDescriptors()),
 	}
 	if loaded.hasFaktory && fileConfig.Listen != "" {
 		daemon.maxClients /= 2 // half for either front end
@@ -110,7 +109,7 @@
 // applyOperator applies the operator's tables [membership] and [connections].
 func (p *process) applyOperator(log *slog.Logger) error {
 	if p.loaded.membership.Enabled {
-		follow, err := followConfig(&p.loaded.membership, &p.config, &p.configuredSettings)
+		follow, err := followConfig(&p.loaded.membership, &p.config, &p.loaded.configuredSettings)
 		if err != nil {
 			return err
 		}
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -56,7 +56,8 @@
 // startAttempt hands an attempt to a worker client, once it has its lease if it needs one.
 func (d *Dispatcher) startAttempt(request *openRequest, worker string, client WorkerClient, reservation float64) {
 	number := len(request.attempts)
-	handle := d.attempts.Insert(&openAttempt{request: request.handle, number: number, worker: worker, client: client})
+	attempt := &openAttempt{request: request.handle, number: number, worker: worker, client: client}
+	handle := d.attempts.Insert(attempt)
 	start := Attempt{
 		Handle:      handle,
 		Worker:      worker,
@@ -74,15 +75,14 @@
 	}
 	d.traceAssigned(request, number, worker, reservation)
 	if request.Leaser != nil {
-		d.startLeased(request, start)
+		d.startLeased(request, attempt, start)
 		return
 	}
 	client.Start(start)
 }
 
 // startLeased asks for the lease of an attempt and starts the attempt when it is granted.
-func (d *Dispatcher) startLeased(request *openRequest, start Attempt) {
-	attempt := d.attempts.Get(start.Handle)
+func (d *Dispatcher) startLeased(request *openRequest, attempt *openAttempt, start Attempt) {
 	attempt.awaitsLease = true
 	request.Leaser.Acquire(&request.Request, attempt.worker, func(fence uint64) (wanted bool) {
 		if d.attempts.Get(start.Handle) != attempt {
@@ -147,7 +147,7 @@
 	d.traceEnded(request, attempt, outcome, load)
 	d.attempts.Remove(handle)
 	request.openAttempts--
-	neverRan := d.provesNeverRan(outcome)
+	neverRan := outcome.NeverRan(&d.Settings)
 	request.attempts[attempt.number].neverRan = neverRan
 	if attempt.fence != 0 {
 		request.Leaser.Ended(&request.Request, attempt.fence, outcome, neverRan, result)
@@ -170,17 +170,6 @@
 	d.cleanUp(request)
 }
 
-// provesNeverRan reports whether an outcome makes it certain that the attempt never ran.
-func (d *Dispatcher) provesNeverRan(outcome decision.AttemptOutcome) bool {
-	switch outcome {
-	case decision.ConnectionRefused, decision.NotSent:
-		return true
-	case decision.Saturated:
-		return !d.Settings.SaturatedMayHaveRun
-	}
-	return false
-}
-
 // AttemptSent reports that the last byte of an attempt was sent. Further calls for the attempt do nothing.
 func (d *Dispatcher) AttemptSent(handle uint64) {
 	attempt := d.attempts.Get(handle)
--- a/internal/faktory/delivery.go
+++ b/internal/faktory/delivery.go
@@ -32,13 +32,9 @@
 	}
 	s.writeBuffer = appendBulk(s.writeBuffer[:0], raw)
 	sentBefore := slot.conn.SentBytes()
-	if !slot.conn.Write(s.writeBuffer) {
-		sent := slot.conn.SentBytes() - sentBefore
-		if sent < int64(len(s.writeBuffer)) {
-			delete(s.deliveries, delivery.attempt.Handle)
-			s.dispatcher.AttemptEnded(delivery.attempt.Handle, decision.ConnectionRefused, decision.LoadReport{}, nil)
-			return
-		}
+	if !slot.conn.Write(s.writeBuffer) && slot.conn.SentBytes()-sentBefore < int64(len(s.writeBuffer)) {
+		s.endAttempt(delivery, decision.ConnectionRefused)
+		return
 	}
 	delivery.handedOut = true
 	delivery.worker.inProgress++
--- a/internal/faktory/durablecommands.go
+++ b/internal/faktory/durablecommands.go
@@ -237,7 +237,7 @@
 	}
 	queues := c.server.durable
 	job, known := queues.Get(message.Jid)
-	if !known || job.State != jobs.Leased && job.State != jobs.Started {
+	if !known || !job.State.IsHeld() {
 		c.writeLine(replyUnknown + "jid: no such job is in work")
 		return
 	}
--- a/internal/faktory/queues.go
+++ b/internal/faktory/queues.go
@@ -171,13 +171,7 @@
 		c.writeLine(replyError + "REFUSED FLUSH is off here: durable.flush in the operator's file")
 		return
 	}
-	c.discardAll("FLUSH", func(job jobs.Job) bool {
-		switch job.State {
-		case jobs.Ready, jobs.Scheduled, jobs.Waiting, jobs.Dead:
-			return true
-		}
-		return false
-	})
+	c.discardAll("FLUSH", func(job jobs.Job) bool { return job.State.IsMovable() })
 }
 
 // discardAll discards the jobs that match, and answers once that is on disk.
--- a/internal/jobs/due.go
+++ b/internal/jobs/due.go
@@ -41,7 +41,7 @@
 	}
 	first := m.dueQueue[0]
 	entry := m.jobs[first.id]
-	if entry != nil && entry.State.isHeld() {
+	if entry != nil && entry.State.IsHeld() {
 		return max(first.at, entry.DueAt), true // the lease has been renewed since
 	}
 	return first.at, true
--- a/internal/jobs/lease.go
+++ b/internal/jobs/lease.go
@@ -30,7 +30,7 @@
 
 // holdsLease reports whether a report under a fence is one under the job's newest lease, and that lease is in force.
 func (m *Machine) holdsLease(entry *jobEntry, fence uint64) bool {
-	return entry != nil && entry.State.isHeld() && (entry.Fence == fence || m.config.ignoreFences)
+	return entry != nil && entry.State.IsHeld() && (entry.Fence == fence || m.config.ignoreFences)
 }
 
 // Start reports that a worker asks to start a job. A worker that HonorsFences starts it only on GrantStart, which
--- a/internal/jobs/machine.go
+++ b/internal/jobs/machine.go
@@ -110,7 +110,7 @@
 // setState changes a job's state and the indexes that depend on it. DueAt and Worker must have their new values where
 // the new state is found by them, and Worker its old one where the job was leased.
 func (m *Machine) setState(entry *jobEntry, newState State) {
-	if entry.State.isHeld() {
+	if entry.State.IsHeld() {
 		leases := m.leasesByWorker[entry.Worker]
 		delete(leases, entry.ID)
 		if len(leases) == 0 {
--- a/internal/jobs/operator.go
+++ b/internal/jobs/operator.go
@@ -48,7 +48,7 @@
 	switch {
 	case entry == nil:
 		return nil, &TransitionError{ID: id, Cause: ErrUnknownJob}
-	case entry.State != Scheduled && entry.State != Ready && entry.State != Waiting && entry.State != Dead:
+	case !entry.State.IsMovable():
 		return nil, &TransitionError{id, entry.State, ErrNotMovable}
 	case entry.State == Dead && entry.NonIdempotent && move == Requeue && !operator:
 		return nil, &TransitionError{id, entry.State, ErrOperatorRequired}
--- a/internal/jobs/state.go
+++ b/internal/jobs/state.go
@@ -33,8 +33,12 @@
 // IsState reports whether text is the name of a state.
 func IsState(text string) bool { return slices.Contains(stateNames[:], text) }
 
-// IsFinal reports whether a job in this state stays in it unless a request moves or resolves it.
+// IsFinal reports whether a job in this state stays in it unless a request moves or resolves it, or, where it is InDoubt,
+// a late report ends it.
 func (s State) IsFinal() bool { return s == Done || s == Dead || s == Discarded || s == InDoubt }
 
-// isHeld reports whether a worker has a lease of a job in this state.
-func (s State) isHeld() bool { return s == Leased || s == Started }
+// IsHeld reports whether a worker has a lease of a job in this state.
+func (s State) IsHeld() bool { return s == Leased || s == Started }
+
+// IsMovable reports whether a job in this state waits or is dead, so that Machine.Move can move it.
+func (s State) IsMovable() bool { return s == Scheduled || s == Ready || s == Waiting || s == Dead }
--- a/internal/settings/connections.go
+++ b/internal/settings/connections.go
@@ -177,6 +177,9 @@
 	return floors
 }
 
+// Responds503 reports whether a rejected connection gets a response 503 before it is closed.
+func (c *Connections) Responds503() bool { return c.RejectWith == rejectWith503 }
+
 // checkValues checks what connlimit does not.
 func (c *Connections) checkValues() error {
 	switch c.RejectWith {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -55,7 +55,7 @@
 func Read(raw []byte) (decision.Settings, error) {
 	var wire wireSettings
 	if err := json.Unmarshal(raw, &wire); err != nil {
-		return decision.Settings{}, decodeError(err)
+		return decision.Settings{}, DecodeError(err)
 	}
 	settings := wire.settings()
 	for _, project := range wire.Projects {
@@ -71,8 +71,8 @@
 	return settings, nil
 }
 
-// decodeError names the key of a value of the wrong type.
-func decodeError(err error) error {
+// DecodeError returns an error of encoding/json that names the key, where a value has the wrong type.
+func DecodeError(err error) error {
 	var typeError *json.UnmarshalTypeError
 	if errors.As(err, &typeError) && typeError.Field != "" {
 		return fmt.Errorf("%s: a %s cannot stand here", typeError.Field, typeError.Value)
