--- a/cmd/dispatcher/jobs_golden_test.go
+++ b/cmd/dispatcher/jobs_golden_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"bytes"
-	"compress/gzip"
-	"io"
 	"os"
 	"path/filepath"
 	"regexp"
@@ -12,35 +10,12 @@
 	"hollyyoke.example/hollyyoke/internal/goldentest"
 )
 
-// goldenStore copies the store file of an earlier build to a directory of the test.
-func goldenStore(t *testing.T) (path string) {
-	t.Helper()
-	file, err := os.Open(filepath.Join("testdata", "jobs-schema-1.db.gz"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer file.Close()
-	zip, err := gzip.NewReader(file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	raw, err := io.ReadAll(zip)
-	if err != nil {
-		t.Fatal(err)
-	}
-	path = filepath.Join(t.TempDir(), "jobs.db")
-	if err := os.WriteFile(path, raw, 0o600); err != nil {
-		t.Fatal(err)
-	}
-	return path
-}
-
 // leaseEnd is the due time of a job that is held: by the clock, a grace time from now.
 var leaseEnd = regexp.MustCompile(`("state": ?"(?:leased|started)".*?"due": ?)"[^"]*"`)
 
 // The commands on the store file of an earlier build print what they always have.
 func TestGoldenJobsCommands(t *testing.T) {
-	store := goldenStore(t)
+	store := goldentest.Unpack(t, filepath.Join("../../internal/durable/testdata", "jobs-schema-1.db.gz"))
 	for name, args := range map[string][]string{
 		"jobs-list.txt":      {"list"},
 		"jobs-in-doubt.txt":  {"list", "--state", "in doubt", "--class", "renewal", "--limit", "1"},
--- a/cmd/simulator-adapter/golden_test.go
+++ b/cmd/simulator-adapter/golden_test.go
@@ -9,12 +9,6 @@
 	"hollyyoke.example/hollyyoke/internal/goldentest"
 )
 
-// compareGolden compares got with a file in testdata, byte for byte.
-func compareGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	goldentest.Compare(t, name, string(got))
-}
-
 // A recorded conversation of two dispatchers with the simulator gets the recorded
 // replies, byte for byte. It has every command but release, which TestEncode of
 // package simwire covers.
@@ -34,5 +28,5 @@
 			t.Errorf("the conversation has no %s", command)
 		}
 	}
-	compareGolden(t, "conversation.golden", out.Bytes())
+	goldentest.Compare(t, "conversation.golden", out.String())
 }
--- a/internal/admin/api.go
+++ b/internal/admin/api.go
@@ -24,11 +24,11 @@
 
 // Operations is what the API reads and does.
 type Operations struct {
-	Ready       func() bool             // whether this process accepts clients
-	SetDraining func(out bool) error    // begins or ends a drain; the caller is sent an error's text
-	Gate        *listener.Gate          // admits connections; nil: all are admitted
-	Jobs        func() *durable.Service // durable jobs; nil, or a nil service: there are none
-	Membership  func() discovery.Stats  // of the endpoint list; nil: not available
+	Ready           func() bool             // whether this process accepts clients
+	SetOutOfService func(out bool) error    // begins or ends a drain; the caller is sent an error's text
+	Gate            *listener.Gate          // admits connections; nil: all are admitted
+	Jobs            func() *durable.Service // durable jobs; nil, or a nil service: there are none
+	Membership      func() discovery.Stats  // of the endpoint list; nil: not available
 }
 
 // API is the admin API. It belongs to the loop's goroutine.
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -24,13 +24,6 @@
 	"hollyyoke.example/hollyyoke/internal/jobs"
 )
 
-// golden compares with a file in testdata, line by line. A carriage return is
-// shown as \r there.
-func golden(t *testing.T, name, got string) {
-	t.Helper()
-	goldentest.Compare(t, name, strings.ReplaceAll(got, "\r", `\r`))
-}
-
 // changing is what differs from run to run: future times, and the rest of a block's time.
 var changing = regexp.MustCompile(`"due":"20[2-8][^"]*"|"for_s":[0-9.]+`)
 
@@ -95,7 +88,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden(t, "calls.golden", text+"> half a call\n"+string(answer))
+	goldentest.CompareHTTP(t, "calls.golden", text+"> half a call\n"+string(answer))
 }
 
 // The counters and the guard's counts, with something in each field. Each rule is
@@ -111,7 +104,7 @@
 		d.Accept(discardResponses{}, 9, dispatch.Request{ID: "fail-1", Class: 1})
 		breakRules(&d.Guard)
 	})
-	golden(t, "figures.golden", transcript(t, r.addr, "GET /control/counters", "GET /control/invariants"))
+	goldentest.CompareHTTP(t, "figures.golden", transcript(t, r.addr, "GET /control/counters", "GET /control/invariants"))
 }
 
 // breakRules has a guard prevent and find violations of each rule, of the n-th n times.
@@ -174,7 +167,7 @@
 			gate.Limiter.Admit(now, netip.MustParseAddr(addr), uint64(i))
 		}
 		api = New(r.dispatcher, engine, scriptedWorkers{r.dispatcher}, Operations{
-			Ready: func() bool { return true }, SetDraining: func(bool) error { return nil },
+			Ready: func() bool { return true }, SetOutOfService: func(bool) error { return nil },
 			Gate: gate, Jobs: func() *durable.Service { return service },
 			Membership: func() discovery.Stats {
 				return discovery.Stats{
@@ -193,7 +186,7 @@
 
 func TestGoldenMembershipAndConnections(t *testing.T) {
 	r, _, _ := newFullTestAPI(t)
-	golden(t, "connections.golden", transcript(t, r.addr,
+	goldentest.CompareHTTP(t, "connections.golden", transcript(t, r.addr,
 		"GET /control/membership", "GET /control/connections",
 		"PUT /control/connections/bar?prefix=10.1.2.3/24&for=1h", "PUT /control/connections/bar?prefix=10.8.0.1&for=15m",
 		"PUT /control/connections/bar?prefix=2001:db8::/64&for=1m",
@@ -250,7 +243,7 @@
 			t.Fatal("no job is in doubt")
 		}
 	}
-	golden(t, "jobs.golden", transcript(t, r.addr,
+	goldentest.CompareHTTP(t, "jobs.golden", transcript(t, r.addr,
 		"GET /control/jobs", "GET /control/jobs?full=true", "GET /control/jobs?state=ready", "GET /control/jobs?class=renewal&state=in+doubt",
 		"GET /control/jobs?after=6", "GET /control/jobs?after=x", "GET /control/jobs?state=x", "GET /control/jobs?%",
 		"GET /control/jobs/show?id=ready-1", "GET /control/jobs/show?id=scheduled-1", "GET /control/jobs/show?id=x",
@@ -278,5 +271,5 @@
 			t.Fatal(err)
 		}
 	}
-	golden(t, "page.golden", transcript(t, r.addr, "GET /control/jobs", "GET /control/jobs?after=100"))
+	goldentest.CompareHTTP(t, "page.golden", transcript(t, r.addr, "GET /control/jobs", "GET /control/jobs?after=100"))
 }
--- a/internal/admin/service.go
+++ b/internal/admin/service.go
@@ -16,7 +16,7 @@
 func (c *call) putInService(string) { c.setOutOfService(false, "in service\n") }
 
 func (c *call) setOutOfService(out bool, done string) {
-	if err := c.api.operations.SetDraining(out); err != nil {
+	if err := c.api.operations.SetOutOfService(out); err != nil {
 		c.respondError(statusConflict, err)
 		return
 	}
--- a/internal/admin/testapi_test.go
+++ b/internal/admin/testapi_test.go
@@ -77,8 +77,8 @@
 	r := &testAPI{dispatcher: d, ready: true}
 	d.AddSource(scriptedWorkers{d})
 	api := New(d, e, scriptedWorkers{d}, Operations{
-		Ready:       func() bool { return r.ready },
-		SetDraining: func(out bool) error { r.outOfService = append(r.outOfService, out); return r.refusal },
+		Ready:           func() bool { return r.ready },
+		SetOutOfService: func(out bool) error { r.outOfService = append(r.outOfService, out); return r.refusal },
 	})
 	if r.addr, err = api.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -23,8 +23,8 @@
 )
 
 // Serve runs the dispatcher until its graceful end, and returns nil then. An error
-// says why it did not start. It uses one processor: one goroutine owns all state,
-// and the machine is shared with others.
+// says why it did not start. It uses one processor, as one goroutine owns all state
+// and the machine is shared with others, unless there are durable queues.
 func Serve(files Files, env func(string) string, log *slog.Logger) error {
 	runtime.GOMAXPROCS(1)
 	caught := catchSignals()
@@ -233,11 +233,11 @@
 		return nil
 	}
 	api := admin.New(p.dispatcher, p.engine, p.workers, admin.Operations{
-		Ready:       p.ready,
-		SetDraining: p.setOutOfService,
-		Gate:        p.gate,
-		Membership:  p.registry.Stats,
-		Jobs:        func() *durable.Service { return p.frontEnds.faktory.DurableJobs() },
+		Ready:           p.ready,
+		SetOutOfService: p.setOutOfService,
+		Gate:            p.gate,
+		Membership:      p.registry.Stats,
+		Jobs:            func() *durable.Service { return p.frontEnds.faktory.DurableJobs() },
 	})
 	addr, err := api.Listen(p.config.Admin)
 	if err != nil {
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/goldentest"
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
@@ -26,7 +27,7 @@
 		io.WriteString(call.Conn, testkit.WatchHead+testkit.Chunk(laterSnapshot+"\n")+"0\r\n\r\n")
 		text.WriteString(accept().ReadRequest(0))
 	}
-	testkit.CompareGolden(t, "discoveryrequests.golden", text.String())
+	goldentest.CompareHTTP(t, "discoveryrequests.golden", text.String())
 }
 
 // The requests to a membership server: the poll that catches up, the watch, and acknowledgements, also of a state in
@@ -53,5 +54,5 @@
 	request{Conn: watch.Conn}.sendLine(encodeChange(6, false, "a=draining", "b=asleep")) // rejected
 	request{Conn: watch.Conn}.sendLine(encodeChange(7, false, "c=ready"))
 	text.WriteString(call.ReadRequest(0)) // with what is missing
-	testkit.CompareGolden(t, "membershiprequests.golden", text.String())
+	goldentest.CompareHTTP(t, "membershiprequests.golden", text.String())
 }
--- a/internal/durable/golden_test.go
+++ b/internal/durable/golden_test.go
@@ -2,10 +2,8 @@
 
 import (
 	"bytes"
-	"compress/gzip"
 	"encoding/json"
 	"fmt"
-	"io"
 	"log/slog"
 	"os"
 	"path/filepath"
@@ -16,39 +14,21 @@
 	"go.etcd.io/bbolt"
 
 	"hollyyoke.example/hollyyoke/internal/eventloop"
+	"hollyyoke.example/hollyyoke/internal/goldentest"
 	"hollyyoke.example/hollyyoke/internal/jobs"
 	"hollyyoke.example/hollyyoke/internal/store"
 )
 
 // These tests check the form of the store file, byte for byte: files of earlier builds must be read, and a file that is
-// written now must be one that they read. The golden files hold the stored names only. UPDATE_GOLDEN=1 writes the text
-// files again; the store file is written again only where it is missing.
+// written now must be one that they read. The golden files hold the stored names only.
 
 // The store file of an earlier build, and Unix times of the script.
 const (
-	goldenStore = "jobs-schema-1.db.gz"
+	goldenStore = "testdata/jobs-schema-1.db.gz"
 	goldenStart = 1_700_000_000 * time.Second // Unix time at which the sequence begins, in the past by any clock
 	farFuture   = 7_258_118_400 * time.Second // the year 2200
 )
 
-// checkGolden compares with a golden file.
-func checkGolden(t *testing.T, name string, got []byte) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if os.Getenv("UPDATE_GOLDEN") != "" {
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !bytes.Equal(got, want) {
-		t.Errorf("%s differs.\ngot:\n%s\nwant:\n%s", name, got, want)
-	}
-}
-
 // scriptedService is a service in virtual time.
 type scriptedService struct {
 	*Service
@@ -245,51 +225,7 @@
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	packed := filepath.Join("testdata", goldenStore)
-	if _, err := os.Stat(packed); os.Getenv("UPDATE_GOLDEN") != "" && os.IsNotExist(err) {
-		pack(t, path, packed)
-	}
-	checkGolden(t, "records.txt", dump(t, path))
-}
-
-func pack(t *testing.T, from, to string) {
-	t.Helper()
-	raw, err := os.ReadFile(from)
-	if err != nil {
-		t.Fatal(err)
-	}
-	var out bytes.Buffer
-	zip, _ := gzip.NewWriterLevel(&out, gzip.BestCompression)
-	zip.Write(raw)
-	if err := zip.Close(); err != nil {
-		t.Fatal(err)
-	}
-	if err := os.WriteFile(to, out.Bytes(), 0o644); err != nil {
-		t.Fatal(err)
-	}
-}
-
-// unpack copies the store file of an earlier build to a temporary directory.
-func unpack(t *testing.T) (path string) {
-	t.Helper()
-	file, err := os.Open(filepath.Join("testdata", goldenStore))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer file.Close()
-	zip, err := gzip.NewReader(file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	raw, err := io.ReadAll(zip)
-	if err != nil {
-		t.Fatal(err)
-	}
-	path = filepath.Join(t.TempDir(), "jobs.db")
-	if err := os.WriteFile(path, raw, 0o600); err != nil {
-		t.Fatal(err)
-	}
-	return path
+	goldentest.Compare(t, "records.txt", string(dump(t, path)))
 }
 
 // describe lists all fields of a job under names of this test's own.
@@ -303,7 +239,7 @@
 // A store file of an earlier build is read: every job with every field, what an
 // idempotency key asked for, the paused classes, and the audit.
 func TestGoldenRead(t *testing.T) {
-	path := unpack(t)
+	path := goldentest.Unpack(t, goldenStore)
 	st, err := store.Open(path, store.Options{})
 	if err != nil {
 		t.Fatal(err)
@@ -330,7 +266,7 @@
 	if err := st.Close(); err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, "jobs.txt", out.Bytes())
+	goldentest.Compare(t, "jobs.txt", out.String())
 	if want := dump(t, path); !bytes.Equal(want, mustRead(t, "records.txt")) {
 		t.Error("the store file holds other records than today's writer writes")
 	}
@@ -347,7 +283,7 @@
 
 // A service recovers from that file: the states that are derived, and the paused classes.
 func TestGoldenRecovered(t *testing.T) {
-	s := openScripted(t, unpack(t))
+	s := openScripted(t, goldentest.Unpack(t, goldenStore))
 	defer s.Close()
 	var out bytes.Buffer
 	s.Each(func(j jobs.Job) { fmt.Fprintln(&out, describe(j)) })
@@ -356,12 +292,12 @@
 		paused[class] = true
 	}
 	fmt.Fprintf(&out, "paused %v\n", paused)
-	checkGolden(t, "recovered.txt", out.Bytes())
+	goldentest.Compare(t, "recovered.txt", out.String())
 }
 
 // Views and audits keep their JSON form.
 func TestGoldenShown(t *testing.T) {
-	offline, err := OpenOffline(unpack(t), func() time.Duration { return goldenStart + 2*time.Minute })
+	offline, err := OpenOffline(goldentest.Unpack(t, goldenStore), func() time.Duration { return goldenStart + 2*time.Minute })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -381,7 +317,7 @@
 			t.Fatal(err)
 		}
 	}
-	checkGolden(t, "shown.jsonl", out.Bytes())
+	goldentest.Compare(t, "shown.jsonl", out.String())
 }
 
 // States keep the numbers by which they are stored, and their names.
--- a/internal/faktory/golden_test.go
+++ b/internal/faktory/golden_test.go
@@ -12,12 +12,6 @@
 	"hollyyoke.example/hollyyoke/internal/goldentest"
 )
 
-// compareGolden compares with a file in testdata, line by line.
-func compareGolden(t *testing.T, name, got string) {
-	t.Helper()
-	goldentest.Compare(t, name, got)
-}
-
 // volatileFields match what differs from run to run: times, salts, waits and fences.
 var volatileFields = regexp.MustCompile(`"(now|updated_at|s)":"[^"]*"|"(uptime|connections|command_count|fence)":\d+|retry after \d+\.\d{3} s`)
 
@@ -203,7 +197,7 @@
 	s.do("w", `END`)
 	s.answer("w")
 	s.do("p", strings.Repeat("z", maxCommandBytes+10))
-	compareGolden(t, "direct.golden", strings.ReplaceAll(s.text.String(), strings.Repeat("z", maxCommandBytes+10), "(too long a line)"))
+	goldentest.Compare(t, "direct.golden", strings.ReplaceAll(s.text.String(), strings.Repeat("z", maxCommandBytes+10), "(too long a line)"))
 }
 
 // With a password, the greeting has a salt and HELLO a hash.
@@ -214,7 +208,7 @@
 	s.answer("p")
 	s.hello("q", "")
 	s.answer("q")
-	compareGolden(t, "password.golden", s.text.String()+hashPassword("open sesame", "0123456789abcdef", hashIterations)+"\n")
+	goldentest.Compare(t, "password.golden", s.text.String()+hashPassword("open sesame", "0123456789abcdef", hashIterations)+"\n")
 }
 
 // Answers to a PUSH that was rejected, has failed, or repeats a known jid.
@@ -231,7 +225,7 @@
 	for _, f := range []jidStatus{jidServed, jidMayHaveRun, jidInProgress} {
 		text.WriteString(knownJidLine(f) + "\n")
 	}
-	compareGolden(t, "outcomes.golden", text.String())
+	goldentest.Compare(t, "outcomes.golden", text.String())
 }
 
 // Every command of durable queues.
@@ -281,13 +275,13 @@
 		} {
 			s.do("p", command)
 		}
-		compareGolden(t, "durable.golden", s.text.String())
+		goldentest.Compare(t, "durable.golden", s.text.String())
 	})
 	withDurableFront(t, file, "flush = true\n", func(addr string) {
 		s := newTranscript(t, addr)
 		s.hello("p", "")
 		s.do("p", "FLUSH")
 		s.do("p", "TRACK GET dead-00001")
-		compareGolden(t, "flush.golden", s.text.String())
+		goldentest.Compare(t, "flush.golden", s.text.String())
 	})
 }
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -38,6 +38,12 @@
 	}
 }
 
+// CompareHTTP is Compare for text with line ends of HTTP: in the golden file a carriage return is written as \r.
+func CompareHTTP(t *testing.T, file, got string) {
+	t.Helper()
+	Compare(t, file, strings.ReplaceAll(got, "\r", `\r`))
+}
+
 // Difference lists the lines that only one of two texts has, those of want marked
 // with - and those of got with +. It is empty only where the texts are equal.
 func Difference(want, got string) string {
--- a/internal/httpfront/golden_test.go
+++ b/internal/httpfront/golden_test.go
@@ -13,6 +13,7 @@
 
 	"hollyyoke.example/hollyyoke/decision"
 	"hollyyoke.example/hollyyoke/internal/durable"
+	"hollyyoke.example/hollyyoke/internal/goldentest"
 	"hollyyoke.example/hollyyoke/internal/httpwire"
 	"hollyyoke.example/hollyyoke/internal/jobs"
 	"hollyyoke.example/hollyyoke/internal/testkit"
@@ -70,7 +71,7 @@
 	exchange("GET / HTTP/1.1\r\n\r\nGET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n", true)
 	rig.Do(func() { ready = false })
 	exchange(lastExchange, true)
-	testkit.CompareGolden(t, "answers.golden", text.String())
+	goldentest.CompareHTTP(t, "answers.golden", text.String())
 }
 
 // The status line of each status, and the head of a response with each part.
@@ -81,7 +82,7 @@
 	}
 	text = httpwire.AppendResponse(text, 503, nil, time.Millisecond, true, "Allow: GET\r\n")
 	text = httpwire.AppendResponse(text, 503, []byte("b"), 1499*time.Millisecond, false, "")
-	testkit.CompareGolden(t, "statuses.golden", string(text))
+	goldentest.CompareHTTP(t, "statuses.golden", string(text))
 }
 
 // The responses to durable requests.
@@ -138,5 +139,5 @@
 	send("key-2", "hold")
 	send("key-3", "discard")
 	send("key-4", "lost")
-	testkit.CompareGolden(t, "kept.golden", text.String())
+	goldentest.CompareHTTP(t, "kept.golden", text.String())
 }
--- a/internal/rehearsal/recording/golden_test.go
+++ b/internal/rehearsal/recording/golden_test.go
@@ -12,21 +12,17 @@
 	"testing"
 	"time"
 
+	"hollyyoke.example/hollyyoke/internal/goldentest"
 	"hollyyoke.example/hollyyoke/internal/rehearsal/recording/recordingpb"
 )
 
 // These tests fix the format of recordings: files of earlier builds must be read to the same
-// content, and the same import must give the same bytes. UPDATE_GOLDEN=1 rewrites the golden files.
+// content, and the same import must give the same bytes. The flag -update rewrites the texts, but not
+// the recordings, which stand for those of earlier builds.
 
-// checkGolden compares got with a golden file.
-func checkGolden(t *testing.T, name string, got []byte) {
+// checkRecording compares a recording with one of an earlier build, byte for byte.
+func checkRecording(t *testing.T, name string, got []byte) {
 	t.Helper()
-	path := filepath.Join("testdata", name)
-	if os.Getenv("UPDATE_GOLDEN") != "" {
-		if err := os.WriteFile(path, got, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
 	if want := readGolden(t, name); !bytes.Equal(got, want) {
 		t.Errorf("%s differs.\ngot:\n%.20000q\nwant:\n%.20000q", name, got, want)
 	}
@@ -103,7 +99,7 @@
 }
 
 // describeRecording formats all content of a recording.
-func describeRecording(t *testing.T, r *Reader) []byte {
+func describeRecording(t *testing.T, r *Reader) string {
 	t.Helper()
 	var out bytes.Buffer
 	describeHeader(&out, r.Header)
@@ -114,27 +110,27 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	return out.Bytes()
+	return out.String()
 }
 
 // The same logs, rules and seed give the same recording, report and rejects; with a given secret
 // also the same pseudonyms.
 func TestGoldenImport(t *testing.T) {
 	file, report, rejects := goldenImport(t, "")
-	checkGolden(t, "recording-version-1.rec", file)
-	checkGolden(t, "rejects.jsonl", rejects)
+	checkRecording(t, "recording-version-1.rec", file)
+	goldentest.Compare(t, "rejects.jsonl", string(rejects))
 	text, err := json.MarshalIndent(report, "", "  ")
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, "report.json", append(text, '\n'))
+	goldentest.Compare(t, "report.json", string(text)+"\n")
 	file, _, _ = goldenImport(t, "a secret of sixteen bytes or more")
-	checkGolden(t, "recording-version-1-secret.rec", file)
+	checkRecording(t, "recording-version-1-secret.rec", file)
 }
 
 // A recording of an earlier build is read to the same content.
 func TestGoldenRead(t *testing.T) {
-	checkGolden(t, "recording.txt", describeRecording(t, openGolden(t, "recording-version-1.rec")))
+	goldentest.Compare(t, "recording.txt", describeRecording(t, openGolden(t, "recording-version-1.rec")))
 }
 
 // Slices, scaled and merged recordings have the same content.
@@ -157,7 +153,7 @@
 				t.Fatal(err)
 			}
 			defer r.Close()
-			checkGolden(t, golden, describeRecording(t, r))
+			goldentest.Compare(t, golden, describeRecording(t, r))
 		})
 	}
 }
@@ -180,5 +176,5 @@
 			fmt.Fprintln(&out, e.Duration)
 		}
 	}
-	checkGolden(t, "sample.txt", out.Bytes())
+	goldentest.Compare(t, "sample.txt", out.String())
 }
--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -17,13 +17,6 @@
 	"hollyyoke.example/hollyyoke/internal/membership"
 )
 
-// compareGolden compares with a file in testdata, line by line. A carriage return is
-// shown as \r there.
-func compareGolden(t *testing.T, name, got string) {
-	t.Helper()
-	goldentest.Compare(t, name, strings.ReplaceAll(got, "\r", `\r`))
-}
-
 // varyingFields matches what differs from run to run.
 var varyingFields = regexp.MustCompile(`Date: [^\r]*|"(newest_age_s|changes|p50|p99|max|upstream_since|time|sent_bytes)": [^,\n]*|127\.0\.0\.1:\d+`)
 
@@ -101,7 +94,7 @@
 	watch.sendLine(changeJSON(42, false, workerJSON("a", "asleep")))
 	eventually(t, "a change is rejected", func() bool { return running.Status().RejectionCount == 1 && running.Status().Version == 42 })
 	exchange(t, &text, operators, "GET /control/membership HTTP/1.1\r\n")
-	compareGolden(t, "serves.golden", text.String())
+	goldentest.CompareHTTP(t, "serves.golden", text.String())
 }
 
 // A watch as its subscriber reads it: the head, the snapshot, deltas with
@@ -157,7 +150,7 @@
 	copyChunks(`"seq":43`)
 	go running.Close()
 	copyChunks("never")
-	compareGolden(t, "watch.golden", text.String())
+	goldentest.CompareHTTP(t, "watch.golden", text.String())
 }
 
 func TestGoldenCompressed(t *testing.T) {
@@ -205,7 +198,7 @@
 			t.Fatalf("no more calls than\n%s", text.String())
 		}
 	}
-	compareGolden(t, "asks.golden", text.String())
+	goldentest.CompareHTTP(t, "asks.golden", text.String())
 }
 
 // answerRelay answers a relay's calls on a connection and sends their heads to requests.
--- a/internal/testkit/acceptedconn.go
+++ b/internal/testkit/acceptedconn.go
@@ -8,8 +8,6 @@
 	"strings"
 	"testing"
 	"time"
-
-	"hollyyoke.example/hollyyoke/internal/goldentest"
 )
 
 // AcceptedConn is a connection that a stand-in for a worker or a server has accepted.
@@ -67,9 +65,3 @@
 
 // MaskVolatile replaces the values of header fields that change from run to run.
 func MaskVolatile(text string) string { return volatileFields.ReplaceAllString(text, "$1: MASKED") }
-
-// CompareGolden compares a text with a file in testdata, line by line. A carriage return is written as \r there.
-func CompareGolden(t *testing.T, name, got string) {
-	t.Helper()
-	goldentest.Compare(t, name, strings.ReplaceAll(got, "\r", `\r`))
-}
--- a/internal/workerclient/golden_test.go
+++ b/internal/workerclient/golden_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"hollyyoke.example/hollyyoke/internal/dispatch"
+	"hollyyoke.example/hollyyoke/internal/goldentest"
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
@@ -47,5 +48,5 @@
 	}
 	rig.Do(func() { client.CheckHealth("s") })
 	text.WriteString(accept().ReadRequest(0))
-	testkit.CompareGolden(t, "toworkers.golden", text.String())
+	goldentest.CompareHTTP(t, "toworkers.golden", text.String())
 }
