--- a/cmd/dispatcher/main_test.go
+++ b/cmd/dispatcher/main_test.go
@@ -10,7 +10,8 @@
 )
 
 // The tests of this package start the program and use it over sockets, with stand-ins
-// for discovery and the workers. All ports are chosen by the kernel.
+// for discovery and the workers. The ports of daemons are chosen by childprocess.FreeAddress,
+// all others by the kernel.
 
 // builtProgram is the path of the program under test. dispatcher-serve lies beside it.
 var builtProgram string
--- a/decision/ceilings.go
+++ b/decision/ceilings.go
@@ -7,7 +7,7 @@
 
 // Two ceilings bound what is sent. The concurrency ceiling bounds the slots in flight, a token bucket the
 // work sent over time. Both are learned per ready worker: they rise with each request served in time while
-// they bind, and are cut by bad outcomes. The figures were inherited with the module.
+// they bind, and are cut by bad outcomes. The figures were inherited with the decision machine.
 const (
 	initialSlotsPerWorker = 8.0  // slots per worker of all dispatchers together, as both ceilings
 	ceilingFloorRatio     = 0.25 // part of the initial value below which no ceiling is cut
--- a/decision/queue.go
+++ b/decision/queue.go
@@ -27,7 +27,7 @@
 func (m *Machine) dispatchQueue() {
 	m.endCooldowns()
 	clear(m.misses)
-	m.queue = slices.DeleteFunc(m.queue, func(request *request) bool { return m.tryDequeue(request) })
+	m.queue = slices.DeleteFunc(m.queue, m.tryDequeue)
 }
 
 // tryDequeue tries to place a waiting request, and reports whether it waits no more.
--- a/decision/saturation.go
+++ b/decision/saturation.go
@@ -3,7 +3,7 @@
 import "time"
 
 // saturationLatencies is the part of the mean latency for which a saturated worker gets no more. Inherited
-// with the module.
+// with the decision machine.
 const saturationLatencies = 0.25
 
 // classRejections is how a worker rejects requests of one class.
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -16,7 +16,7 @@
 	// slowStartOverdraft is the part of a window's budget that may be spent beyond what there is.
 	slowStartOverdraft = 0.5
 	// slowStartMaxRequest bounds one request, as a share of what all dispatchers together may use in a
-	// window, and slowStartMaxJobMeans as a multiple of its class's mean: a busy dispatcher takes all its
+	// window, and slowStartMaxRequestMeans as a multiple of its class's mean: a busy dispatcher takes all its
 	// peers to be as busy.
 	slowStartMaxRequest      = 0.31
 	slowStartMaxRequestMeans = 2
--- a/internal/connlimit/config.go
+++ b/internal/connlimit/config.go
@@ -1,6 +1,7 @@
 package connlimit
 
 import (
+	"cmp"
 	"errors"
 	"fmt"
 	"net/netip"
@@ -123,12 +124,7 @@
 }
 
 // setDefault sets a field that is not given.
-func setDefault[T comparable](field *T, value T) {
-	var zero T
-	if *field == zero {
-		*field = value
-	}
-}
+func setDefault[T comparable](field *T, value T) { *field = cmp.Or(*field, value) }
 
 // prefixOf returns the prefix that the limits of an address's prefix hold for.
 func (c *Config) prefixOf(addr netip.Addr) netip.Prefix {
--- a/internal/connlimit/descriptorbudget.go
+++ b/internal/connlimit/descriptorbudget.go
@@ -42,7 +42,7 @@
 // pressure begin. 0 is the default.
 type Watermarks struct {
 	Low, High, Critical float64 // of PressureLow, PressureHigh, PressureCritical; defaults 0.8, 0.9, 0.97
-	Hysteresis          float64 // hysteresis: how far below its mark a level ends; default 0.05
+	Hysteresis          float64 // how far below its mark a level ends; default 0.05
 }
 
 func (w *Watermarks) setDefaults() {
--- a/internal/connlimit/invariants.go
+++ b/internal/connlimit/invariants_test.go
@@ -32,8 +32,7 @@
 }
 
 // CheckInvariants checks all counts and tables against the connections, and returns
-// the first difference. It takes time in proportion to the size of the tables, and
-// is for tests and for operators who suspect a fault.
+// the first difference. It takes time in proportion to the size of the tables.
 func (l *Limiter) CheckInvariants() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/connlimit/reason.go
+++ b/internal/connlimit/reason.go
@@ -3,8 +3,7 @@
 // Reason is why a connection or a request is rejected.
 type Reason uint8
 
-// The reasons. Those of an address and of a prefix stand in the order of the
-// fields of Limits.
+// The reasons.
 const (
 	Allowed        Reason = iota // it is not rejected
 	Blocked                      // by Block
@@ -58,12 +57,12 @@
 // String returns the reason's key in the admin API's JSON.
 func (r Reason) String() string { return reasonNames[r] }
 
-// limitReasons are the reasons that stand for the fields of Limits.
-type limitReasons struct{ open, opening, rate, half, bytes Reason }
+// limitReasons are the reasons that stand for the fields of Limits on connections.
+type limitReasons struct{ open, opening, rate Reason }
 
 var (
-	addressReasons = limitReasons{AddressOpen, AddressOpening, AddressRate, AddressHalf, AddressBytes}
-	prefixReasons  = limitReasons{PrefixOpen, PrefixOpening, PrefixRate, PrefixHalf, PrefixBytes}
+	addressReasons = limitReasons{AddressOpen, AddressOpening, AddressRate}
+	prefixReasons  = limitReasons{PrefixOpen, PrefixOpening, PrefixRate}
 )
 
 // CountReason counts a rejection that the Limiter does not decide on.
--- a/internal/connlimit/request.go
+++ b/internal/connlimit/request.go
@@ -25,9 +25,9 @@
 	}
 	switch {
 	case exceeds(address.halfRead, l.config.Address.HalfRead):
-		return l.reject(addressReasons.half)
+		return l.reject(AddressHalf)
 	case exceeds(prefix.halfRead, l.config.Prefix.HalfRead):
-		return l.reject(prefixReasons.half)
+		return l.reject(PrefixHalf)
 	}
 	return Allowed
 }
@@ -52,9 +52,9 @@
 	}
 	switch {
 	case exceeds(address.bufferedBytes, l.config.Address.Bytes):
-		return l.reject(addressReasons.bytes)
+		return l.reject(AddressBytes)
 	case exceeds(prefix.bufferedBytes, l.config.Prefix.Bytes):
-		return l.reject(prefixReasons.bytes)
+		return l.reject(PrefixBytes)
 	}
 	return Allowed
 }
--- a/internal/connlimit/snapshot.go
+++ b/internal/connlimit/snapshot.go
@@ -8,7 +8,7 @@
 )
 
 // View is the state of a Limiter as the admin API returns it. Counts are those at
-// the time of the call, but Admitted and Hits, which count since the start.
+// the time of the call, but Admitted and Rejections, which count since the start.
 type View struct {
 	Open       map[string]int    `json:"open"`     // connections by Stage
 	Trust      map[string]int    `json:"standing"` // connections by Trust
--- a/internal/discovery/initiallist.go
+++ b/internal/discovery/initiallist.go
@@ -14,7 +14,7 @@
 const initialListTimeout = time.Second
 
 // LoadInitial applies the list that the dispatcher had before its start, in its wire form, and begins to follow the
-// source. Nothing is applied of a list that is wrong, for which an error is returned.
+// source. No worker is taken from a list that is wrong, for which an error is returned.
 //
 // The list may be old. Requests are accepted at once, since a client has no other dispatcher to turn to, but they wait
 // until the source has sent what has changed, or initialListTimeout has passed. In a large fleet of dispatchers that
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -44,7 +44,7 @@
 	nextCall        eventloop.Deadline // starts the next call
 	nextCallAt      time.Duration      // when that is; 0: not scheduled
 	notBefore       time.Duration      // the earliest time of the next call, after one that failed
-	failureReported bool               // a failure was reported to the dispatcher and has not called Subscribe since
+	failureReported bool               // a failure was reported to the dispatcher, which has not called Subscribe since
 	outageLogged    bool               // the present outage of an agent has its log line
 }
 
--- a/internal/dispatch/workerclient.go
+++ b/internal/dispatch/workerclient.go
@@ -7,7 +7,7 @@
 	Handle      uint64 // names the attempt in all later calls
 	Worker      string
 	Request     *Request
-	Deadline    time.Duration // clock time at which the client gives up
+	Deadline    time.Duration // clock time by which the final response leaves
 	RetryBy     time.Duration // clock time by which its last byte must have been sent, or it could run twice; 0: no bound
 	RetryUnsafe bool          // it could run twice if the response to another request were taken for its own
 	Number      int           // of attempts of the request before this one
--- a/internal/durable/snapshot.go
+++ b/internal/durable/snapshot.go
@@ -17,7 +17,11 @@
 	go func() {
 		err := s.store.Snapshot(path)
 		s.loop.Post(func() {
-			s.log.Info("snapshot of the durable jobs", "path", path, "error", err)
+			if err != nil {
+				s.log.Info("snapshot of the durable jobs", "path", path, "error", err)
+			} else {
+				s.log.Info("snapshot of the durable jobs", "path", path)
+			}
 			done(err)
 		})
 	}()
--- a/internal/faktory/durable.go
+++ b/internal/faktory/durable.go
@@ -188,7 +188,7 @@
 	}
 	err := s.durable.Service.Close()
 	if err != nil {
-		s.dispatcher.Log(fmt.Sprintf("the store: %v", err))
+		s.dispatcher.Log(fmt.Sprintf("durable job store: %v", err))
 	}
 	done()
 }
--- a/internal/faktory/jobpayload.go
+++ b/internal/faktory/jobpayload.go
@@ -69,7 +69,7 @@
 		Repeat   bool    `json:"repeat"`
 	} `json:"custom"`
 
-	scheduledAt time.Duration // clock time of At; 0: now
+	scheduledAt time.Duration // clock time of RunAt; 0: now
 }
 
 // parseJob reads a job's JSON into a request. classes maps the names of classes
--- a/internal/httpwire/head.go
+++ b/internal/httpwire/head.go
@@ -10,8 +10,8 @@
 
 // Bounds of a message.
 const (
-	MaxHead   = 6 << 10  // bytes of a head: its start line and fields
-	MaxBody   = 64 << 10 // bytes of a request's body
+	maxHead   = 6 << 10  // bytes of a head: its start line and fields
+	maxBody   = 64 << 10 // bytes of a request's body
 	maxFields = 64
 )
 
@@ -19,13 +19,13 @@
 var (
 	// ErrMalformed is returned for a message that is not HTTP/1.x, or whose end is in doubt.
 	ErrMalformed = errors.New("malformed HTTP")
-	// ErrHeadTooLong is returned for a head of more than MaxHead bytes.
+	// ErrHeadTooLong is returned for a head of more than maxHead bytes.
 	ErrHeadTooLong = errors.New("head too long")
-	// ErrBodyTooLong is returned for a body of more than MaxBody bytes.
+	// ErrBodyTooLong is returned for a body of more than maxBody bytes.
 	ErrBodyTooLong = errors.New("body too long")
 )
 
-// headerField is one header headerField.
+// headerField is one header field. Its parts lie in the buffer that was parsed.
 type headerField struct{ name, value []byte }
 
 // Head is the head of a request or of a response.
@@ -129,7 +129,7 @@
 		return false, scanPartialHead(b, scanned)
 	}
 	index += from
-	if index > MaxHead {
+	if index > maxHead {
 		return false, ErrHeadTooLong
 	}
 	*head = Head{Size: index + len(end)}
@@ -146,7 +146,7 @@
 // scanPartialHead checks the part of a head that is there. Without the check for bare line ends a head that can
 // have no end would be awaited.
 func scanPartialHead(b []byte, scanned *int) error {
-	if len(b) > MaxHead {
+	if len(b) > maxHead {
 		return ErrHeadTooLong
 	}
 	if *scanned > 0 && b[*scanned-1] == '\r' { // its line feed may be there by now
--- a/internal/httpwire/parse_test.go
+++ b/internal/httpwire/parse_test.go
@@ -25,7 +25,7 @@
 		}
 		var message Message
 		complete, _, err := ParseRequest(slices.Clone(b), &message, new(ScanState))
-		if complete && (err != nil || message.Size > len(b) || len(message.Body) > message.Size || len(message.Body) > MaxBody) {
+		if complete && (err != nil || message.Size > len(b) || len(message.Body) > message.Size || len(message.Body) > maxBody) {
 			t.Fatalf("size %d, body %d of %d bytes, %v", message.Size, len(message.Body), len(b), err)
 		}
 		// What has been scanned is not scanned again.
--- a/internal/httpwire/request.go
+++ b/internal/httpwire/request.go
@@ -46,7 +46,7 @@
 	if err != nil {
 		return false, false, err
 	}
-	if length > MaxBody {
+	if length > maxBody {
 		return false, false, ErrBodyTooLong
 	}
 	message.Body = nil
@@ -91,7 +91,7 @@
 			return false, err
 		}
 		s.bodyLength += len(data)
-		if s.bodyLength > MaxBody {
+		if s.bodyLength > maxBody {
 			return false, ErrBodyTooLong
 		}
 		if used == 0 {
--- a/internal/membership/selector.go
+++ b/internal/membership/selector.go
@@ -47,7 +47,7 @@
 // serverState is what is known of one server.
 type serverState struct {
 	Server
-	attempting   bool          // returned by Next or Better, and its outcome is not known yet
+	attempting   bool          // returned by Next or NextPreferred, and its outcome is not known yet
 	failed       bool          // its last outcome was a failure
 	retryDelay   time.Duration // the backoff after the next failure, before jitter
 	retryAt      time.Duration // not tried before
@@ -114,8 +114,8 @@
 }
 
 // Next returns the server to try now, for a subscriber that follows none, or how
-// long to wait for one. The server counts as being tried until Working, Failed or
-// Abandoned is called for it. Servers that have not failed come first, in order
+// long to wait for one. The server counts as being tried until MarkActive,
+// MarkFailed or MarkAbandoned is called for it. Servers that have not failed come first, in order
 // of preference; then the one that has been due for longest, so that all are
 // tried in turn.
 func (s *Selector) Next(now time.Duration) (server Server, wait time.Duration) {
--- a/internal/rehearsal/faultinject/process.go
+++ b/internal/rehearsal/faultinject/process.go
@@ -50,7 +50,7 @@
 func (p *Process) Done() <-chan struct{} { return p.over }
 
 // Status returns how the process ended, or why it could not be traced to its end.
-// It must not be called before the channel of Over is closed.
+// It must not be called before the channel of Done is closed.
 func (p *Process) Status() (syscall.WaitStatus, error) { return p.status, p.traceErr }
 
 // Signal sends a signal to the process.
--- a/internal/transport/accept.go
+++ b/internal/transport/accept.go
@@ -155,10 +155,7 @@
 
 // openSpareDescriptor opens a file that stands for a descriptor; nil: there is none.
 func openSpareDescriptor() *os.File {
-	file, err := os.Open(os.DevNull)
-	if err != nil {
-		return nil
-	}
+	file, _ := os.Open(os.DevNull) // nil with an error
 	return file
 }
 
--- a/internal/transport/admission.go
+++ b/internal/transport/admission.go
@@ -1,11 +1,10 @@
 package transport
 
-import (
-	"net"
-)
+import "net"
 
 // Admission decides on connections as they are accepted. Its methods are called
-// off the loop's goroutine and must not wait for the loop, except WaitForRoom.
+// off the loop's goroutine and must not wait for the loop, except
+// WaitForCapacity.
 type Admission interface {
 	// Admit decides on an accepted connection. token identifies an admitted one
 	// until it ends. Where neither admitted nor wait is set, Admit has closed conn.
