--- a/internal/faktory/config.go
+++ b/internal/faktory/config.go
@@ -5,16 +5,16 @@
 	"fmt"
 	"log/slog"
 	"net"
+	"os"
 	"slices"
 	"strings"
 	"time"
 
-	"github.com/BurntSushi/toml"
-
 	"hollyyoke.example/hollyyoke/decision"
 	"hollyyoke.example/hollyyoke/internal/durable"
 	"hollyyoke.example/hollyyoke/internal/jobs"
 	"hollyyoke.example/hollyyoke/internal/store"
+	"hollyyoke.example/hollyyoke/internal/tomlfile"
 )
 
 // Limits of the configuration.
@@ -80,14 +80,12 @@
 // and takes one line.
 func ReadConfig(path string, settings *decision.Settings) (Config, error) {
 	config := Default()
-	meta, err := toml.DecodeFile(path, &config)
+	text, err := os.ReadFile(path)
 	if err != nil {
-		// A parse error of the library takes several lines; the first says what is wrong.
-		line, _, _ := strings.Cut(err.Error(), "\n")
-		return config, errors.New(line)
+		return config, err
 	}
-	if unknown := meta.Undecoded(); len(unknown) > 0 {
-		return config, fmt.Errorf("%s: unknown key", unknown[0])
+	if err := tomlfile.Decode(text, &config); err != nil {
+		return config, err
 	}
 	return config, config.Check(settings)
 }
--- a/internal/rehearsal/capacity/assumptions.go
+++ b/internal/rehearsal/capacity/assumptions.go
@@ -3,9 +3,9 @@
 import (
 	"errors"
 	"fmt"
-	"strings"
+	"os"
 
-	"github.com/BurntSushi/toml"
+	"hollyyoke.example/hollyyoke/internal/tomlfile"
 )
 
 // Target has the sizes and limits that the operators have set.
@@ -123,15 +123,14 @@
 // ReadAssumptions reads and checks an assumptions file. An error is one line that names the key at fault, also for an
 // assumption without an origin.
 func ReadAssumptions(path string) (assumptions Assumptions, err error) {
-	meta, err := toml.DecodeFile(path, &assumptions)
-	if err != nil {
-		line, _, _ := strings.Cut(err.Error(), "\n")
-		return assumptions, fmt.Errorf("%s: %s", path, line)
+	text, err := os.ReadFile(path)
+	if err == nil {
+		err = tomlfile.Decode(text, &assumptions)
 	}
-	if unknown := meta.Undecoded(); len(unknown) > 0 {
-		return assumptions, fmt.Errorf("%s: %s: unknown key", path, unknown[0])
+	if err == nil {
+		err = assumptions.check()
 	}
-	if err := assumptions.check(); err != nil {
+	if err != nil {
 		return assumptions, fmt.Errorf("%s: %w", path, err)
 	}
 	return assumptions, nil
--- a/internal/rehearsal/capacity/daemonrun.go
+++ b/internal/rehearsal/capacity/daemonrun.go
@@ -119,9 +119,9 @@
 		for i := range count {
 			<-tick.C
 			host := &r.hosts[i/2%len(r.hosts)]
-			host.Health = "draining"
+			host.Health = standin.HealthDraining
 			if i%2 == 1 {
-				host.Health = "ready"
+				host.Health = standin.HealthReady
 			}
 			if err := r.changeWorker(*host); err != nil {
 				return err
@@ -157,7 +157,7 @@
 			if i%Zones != lostZone {
 				continue
 			}
-			host.Health = "gone"
+			host.Health = standin.HealthGone
 			if err := r.changeWorker(host); err != nil {
 				return err
 			}
--- a/internal/rehearsal/capacity/measure.go
+++ b/internal/rehearsal/capacity/measure.go
@@ -42,7 +42,7 @@
 // listedWorker returns a worker as discovery lists it.
 func listedWorker(number int) standin.Host {
 	return standin.Host{Host: workerName(number), Dial: fmt.Sprintf("10.%d.%d.%d:7001", number%Zones, number/Zones/250, number/Zones%250+1),
-		Site: zoneNames()[number%Zones], Class: kindName, Block: number / cellWorkers, Health: "ready", Share: 1}
+		Site: zoneNames()[number%Zones], Class: kindName, Block: number / cellWorkers, Health: standin.HealthReady, Share: 1}
 }
 
 // Measure runs a daemon without clients against a stand-in discovery at each size, and the decision module alone, and
--- a/internal/rehearsal/capacity/module.go
+++ b/internal/rehearsal/capacity/module.go
@@ -36,7 +36,6 @@
 	*decision.Machine
 	now         time.Duration
 	sweepAt     time.Duration // when the sweep is due; 0: it is not scheduled
-	sweepTimer  uint64        // its timer
 	lastRequest uint64        // number of the latest request
 	actions     []decision.Action
 }
@@ -78,7 +77,6 @@
 	for _, action := range m.actions {
 		if action.Kind == decision.SetTimer && action.Timer == sweepTimerID {
 			m.sweepAt = m.now + action.Delay
-			m.sweepTimer = action.Timer
 		}
 	}
 }
@@ -88,7 +86,7 @@
 	m.now += span
 	if m.sweepAt > 0 && m.now >= m.sweepAt {
 		m.sweepAt = 0
-		m.handle(decision.Event{Kind: decision.TimerFired, Timer: m.sweepTimer})
+		m.handle(decision.Event{Kind: decision.TimerFired, Timer: sweepTimerID})
 	}
 }
 
@@ -105,7 +103,6 @@
 			worker = action.Worker
 		case action.Kind == decision.SetTimer && action.Timer == sweepTimerID:
 			m.sweepAt = m.now + action.Delay
-			m.sweepTimer = action.Timer
 		}
 	}
 	return spent, worker
--- a/internal/rehearsal/capacity/modulemeasure.go
+++ b/internal/rehearsal/capacity/modulemeasure.go
@@ -78,7 +78,7 @@
 	const sweeps = 20
 	startedAt := time.Now()
 	for range sweeps {
-		started.handle(decision.Event{Kind: decision.TimerFired, Timer: started.sweepTimer})
+		started.handle(decision.Event{Kind: decision.TimerFired, Timer: sweepTimerID})
 	}
 	slopes.record(ModuleSweep, UnitSeconds, AxisTasks, held, time.Since(startedAt).Seconds()/sweeps)
 	runtime.KeepAlive(started)
--- a/internal/rehearsal/recording/rules.go
+++ b/internal/rehearsal/recording/rules.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"github.com/BurntSushi/toml"
+	"hollyyoke.example/hollyyoke/internal/tomlfile"
 )
 
 // Rules say which class the entries of a log belong to, what their keys are, and what replaces
@@ -85,13 +85,8 @@
 
 // ReadRules parses and validates a TOML file of rules. The error is one line that names the key.
 func ReadRules(text []byte) (rules Rules, err error) {
-	meta, err := toml.Decode(string(text), &rules)
-	if err != nil {
-		line, _, _ := strings.Cut(err.Error(), "\n")
-		return rules, errors.New(line)
-	}
-	if unknown := meta.Undecoded(); len(unknown) > 0 {
-		return rules, fmt.Errorf("%s: unknown key", unknown[0])
+	if err := tomlfile.Decode(text, &rules); err != nil {
+		return rules, err
 	}
 	if len(rules.Classes) == 0 {
 		return rules, errors.New("class: missing")
--- a/internal/rehearsal/scale/child.go
+++ b/internal/rehearsal/scale/child.go
@@ -9,6 +9,8 @@
 	"sync"
 	"syscall"
 	"time"
+
+	"hollyyoke.example/hollyyoke/internal/rehearsal/childprocess"
 )
 
 // child is a running child process. Messages are JSON lines over its pipes. A child ends by itself when its input
@@ -19,7 +21,7 @@
 	input      io.WriteCloser
 	exited     chan struct{}
 	inputMutex sync.Mutex // serializes writes to input
-	stderr     logHead
+	stderr     childprocess.Output
 }
 
 // maxLineBytes bounds a message of a child.
@@ -27,7 +29,12 @@
 
 // startChild starts a command. onLine, which may be nil, gets each line of its output, on one goroutine.
 func startChild(name string, cmd *exec.Cmd, onLine func(line []byte)) (*child, error) {
-	started := &child{name: name, cmd: cmd, exited: make(chan struct{})}
+	started := &child{
+		name:   name,
+		cmd:    cmd,
+		exited: make(chan struct{}),
+		stderr: childprocess.Output{Limit: maxLogBytes},
+	}
 	input, err := cmd.StdinPipe()
 	if err != nil {
 		return nil, err
@@ -92,25 +99,5 @@
 // stopTimeout is how long a child may take to end by itself.
 const stopTimeout = 3 * time.Second
 
-// logHead keeps the first maxLogBytes of the log of a child. It is safe for concurrent use.
-type logHead struct {
-	mutex sync.Mutex
-	text  []byte
-}
-
 // maxLogBytes bounds the part of a child's log that is kept.
 const maxLogBytes = 64 << 10
-
-func (t *logHead) Write(p []byte) (int, error) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	space := maxLogBytes - len(t.text)
-	t.text = append(t.text, p[:min(space, len(p))]...)
-	return len(p), nil
-}
-
-func (t *logHead) String() string {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	return string(t.text)
-}
--- a/internal/rehearsal/scale/figures.go
+++ b/internal/rehearsal/scale/figures.go
@@ -3,9 +3,9 @@
 import (
 	"cmp"
 	"fmt"
+	"maps"
 	"math"
 	"slices"
-	"strings"
 	"time"
 )
 
@@ -76,7 +76,7 @@
 		}
 	}
 	caughtUp, missing := r.tracker.catchUp()
-	for _, phase := range sortedKeys(caughtUp) {
+	for _, phase := range slices.Sorted(maps.Keys(caughtUp)) {
 		r.addQuantiles(figures, "catch_up."+phase, caughtUp[phase])
 	}
 	if missing > 0 {
@@ -373,11 +373,3 @@
 	}
 	return violations
 }
-
-func sortedKeys[V any](m map[string]V) (keys []string) {
-	for key := range m {
-		keys = append(keys, key)
-	}
-	slices.SortFunc(keys, strings.Compare)
-	return keys
-}
--- a/internal/rehearsal/scale/origin.go
+++ b/internal/rehearsal/scale/origin.go
@@ -95,7 +95,7 @@
 	}
 	snapshot := listing{Seq: o.seq, Whole: true, Hosts: []standin.Host{}}
 	for _, host := range o.hosts {
-		if host.Health != "gone" {
+		if host.Health != standin.HealthGone {
 			snapshot.Hosts = append(snapshot.Hosts, host)
 		}
 	}
--- a/internal/rehearsal/scale/plan.go
+++ b/internal/rehearsal/scale/plan.go
@@ -101,7 +101,7 @@
 			Site:   ZoneName(zone),
 			Class:  "standard",
 			Block:  rack,
-			Health: "ready",
+			Health: standin.HealthReady,
 			Share:  1,
 		})
 	}
@@ -123,14 +123,14 @@
 // remove returns the change that removes a worker.
 func (p *planner) remove(worker int) Change {
 	host := p.plan.Hosts[worker]
-	host.Health = "gone"
+	host.Health = standin.HealthGone
 	return Change{Host: host}
 }
 
 // drain returns the change that sets a worker to draining.
 func (p *planner) drain(worker int) Change {
 	host := p.plan.Hosts[worker]
-	host.Health = "draining"
+	host.Health = standin.HealthDraining
 	return Change{Host: host}
 }
 
@@ -222,7 +222,7 @@
 	for _, step := range p.plan.Steps {
 		for _, change := range step.Changes {
 			for _, entry := range change {
-				if entry.Host.Health == "gone" {
+				if entry.Host.Health == standin.HealthGone {
 					removed[entry.Host.Host] = true
 				}
 			}
--- a/internal/rehearsal/scale/scenario.go
+++ b/internal/rehearsal/scale/scenario.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"github.com/BurntSushi/toml"
+	"hollyyoke.example/hollyyoke/internal/tomlfile"
 )
 
 // Mechanism is how changes reach dispatchers.
@@ -141,18 +141,8 @@
 // ReadScenario reads a scenario file and sets the defaults of absent keys. An error is one line that names the key at
 // fault.
 func ReadScenario(path string) (scenario Scenario, err error) {
-	meta, err := toml.DecodeFile(path, &scenario)
-	if err != nil {
-		line, _, _ := strings.Cut(err.Error(), "\n")
-		return scenario, errors.New(line)
-	}
-	if unknown := meta.Undecoded(); len(unknown) > 0 {
-		return scenario, fmt.Errorf("%s: %s: unknown key", path, unknown[0])
-	}
-	if err := scenario.Check(); err != nil {
-		return scenario, fmt.Errorf("%s: %w", path, err)
-	}
-	return scenario, nil
+	err = tomlfile.ReadChecked(path, &scenario)
+	return scenario, err
 }
 
 // Check sets defaults and checks all values.
--- a/internal/rehearsal/simulator/eventlog.go
+++ b/internal/rehearsal/simulator/eventlog.go
@@ -13,9 +13,7 @@
 		dispatch.StepEnded:          "attempt ended",
 		dispatch.StepCancelled:      "hung up",
 		dispatch.StepWorkersUpdated: "list",
-		dispatch.Served.String():    "served",
 		dispatch.Rejected.String():  "refused",
-		dispatch.Failed.String():    "failed",
 	}
 	loggedKeys = map[string]string{
 		"endpoints":   "entries",
--- a/internal/rehearsal/simulator/scenario.go
+++ b/internal/rehearsal/simulator/scenario.go
@@ -2,17 +2,14 @@
 
 import (
 	"cmp"
-	"errors"
 	"fmt"
 	"math"
 	"math/rand/v2"
 	"slices"
-	"strings"
 	"time"
 
-	"github.com/BurntSushi/toml"
-
 	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/tomlfile"
 )
 
 const (
@@ -97,18 +94,8 @@
 
 // ReadScenario reads and checks a scenario file. An error is one line that names the key at fault.
 func ReadScenario(path string) (scenario Scenario, err error) {
-	meta, err := toml.DecodeFile(path, &scenario)
-	if err != nil {
-		line, _, _ := strings.Cut(err.Error(), "\n")
-		return scenario, errors.New(line)
-	}
-	if unknown := meta.Undecoded(); len(unknown) > 0 {
-		return scenario, fmt.Errorf("%s: %s: unknown key", path, unknown[0])
-	}
-	if err := scenario.Check(); err != nil {
-		return scenario, fmt.Errorf("%s: %w", path, err)
-	}
-	return scenario, nil
+	err = tomlfile.ReadChecked(path, &scenario)
+	return scenario, err
 }
 
 // Check checks a scenario and sets the defaults of absent keys.
--- a/internal/rehearsal/standin/worker.go
+++ b/internal/rehearsal/standin/worker.go
@@ -151,13 +151,6 @@
 	w.slowdown = max(factor, minFactor)
 }
 
-// LagReports sets the age of the load reports that the worker sends.
-func (w *Worker) LagReports(lag time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.ReportLag = lag
-}
-
 // currentSpeed is the worker's speed at this moment.
 func (w *Worker) currentSpeed() float64 {
 	w.mu.Lock()
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"github.com/BurntSushi/toml"
+	"hollyyoke.example/hollyyoke/internal/tomlfile"
 )
 
 // Config is the table [relay] of a relay's options file. [Load] fills in the defaults.
@@ -54,13 +54,8 @@
 	file := struct {
 		Relay Config `toml:"relay"`
 	}{Defaults()}
-	meta, err := toml.Decode(string(text), &file)
-	if err != nil {
-		line, _, _ := strings.Cut(err.Error(), "\n")
-		return Config{}, errors.New(line)
-	}
-	if unknown := meta.Undecoded(); len(unknown) > 0 {
-		return Config{}, fmt.Errorf("%s: unknown key", unknown[0])
+	if err := tomlfile.Decode(text, &file); err != nil {
+		return Config{}, err
 	}
 	if err := file.Relay.Check(); err != nil {
 		return Config{}, fmt.Errorf("relay.%w", err)
--- a/internal/settings/operator.go
+++ b/internal/settings/operator.go
@@ -1,15 +1,15 @@
 package settings
 
 import (
-	"errors"
 	"fmt"
 	"io"
 	"os"
 	"reflect"
-	"strings"
 	"time"
 
 	"github.com/BurntSushi/toml"
+
+	"hollyyoke.example/hollyyoke/internal/tomlfile"
 )
 
 // Operator is the operator's file: a TOML file with a table for each subsystem.
@@ -43,7 +43,7 @@
 	var file operatorFile
 	meta, err := toml.Decode(string(text), &file)
 	if err != nil {
-		return Operator{}, errors.New(firstLine(err))
+		return Operator{}, tomlfile.OneLine(err)
 	}
 	operator := Operator{
 		Connections: file.Connections,
@@ -55,12 +55,11 @@
 			faktory = &map[string]any{}
 		}
 		if err := meta.PrimitiveDecode(*file.Faktory, faktory); err != nil {
-			return Operator{}, fmt.Errorf("faktory: %s", firstLine(err))
+			return Operator{}, fmt.Errorf("faktory: %w", tomlfile.OneLine(err))
 		}
 	}
-	unknown := meta.Undecoded()
-	if len(unknown) > 0 {
-		return Operator{}, fmt.Errorf("%s: unknown key", unknown[0])
+	if err := tomlfile.CheckKeys(meta); err != nil {
+		return Operator{}, err
 	}
 	if _, _, _, _, err := operator.Connections.Ready(checkDescriptors); err != nil {
 		return Operator{}, fmt.Errorf("connections.%w", err)
@@ -71,12 +70,6 @@
 	return operator, nil
 }
 
-// firstLine returns the first line of an error's text.
-func firstLine(err error) string {
-	line, _, _ := strings.Cut(err.Error(), "\n")
-	return line
-}
-
 func seconds(span float64) time.Duration { return time.Duration(span * float64(time.Second)) }
 
 func milliseconds(span float64) time.Duration { return seconds(span / 1000) }
