--- a/internal/discovery/staleness.go
+++ b/internal/discovery/staleness.go
@@ -25,7 +25,7 @@
 		return
 	}
 	r.resumeIf(func(worker *Worker) bool {
-		return knowledge == freshness.Current || worker.proof.Holds(&r.tracker)
+		return knowledge == freshness.Current || worker.evidence.Holds(&r.tracker)
 	})
 }
 
--- a/internal/discovery/worker.go
+++ b/internal/discovery/worker.go
@@ -15,7 +15,7 @@
 	StateSince time.Duration // loop time at which State was learned
 
 	endpoint          endpoint // as listed
-	proof             freshness.HealthEvidence
+	evidence          freshness.HealthEvidence
 	healthConfirmedAt time.Duration // when the latest health check that succeeded was sent; 0: never
 	suspended         bool          // the dispatcher sends it nothing
 }
@@ -27,11 +27,11 @@
 
 // HealthDenied reports that a worker failed a health check. It is suspended where the list alone does not vouch for it.
 func (r *Registry) HealthDenied(worker *Worker) {
-	worker.proof.Denied(&r.tracker)
+	worker.evidence.Denied(&r.tracker)
 	if r.knowledge == freshness.Unconfirmed {
 		r.suspend(worker)
 	}
 }
 
 // ConnectFailed reports that no connection to a worker could be established.
-func (r *Registry) ConnectFailed(worker *Worker) { worker.proof.Denied(&r.tracker) }
+func (r *Registry) ConnectFailed(worker *Worker) { worker.evidence.Denied(&r.tracker) }
--- a/internal/faktory/server.go
+++ b/internal/faktory/server.go
@@ -61,7 +61,7 @@
 		password:       password,
 		classNumbers:   classNumbers(dispatcher),
 		firstClassKind: len(dispatcher.Settings.KindNames),
-		gate:           listener.NewUnlimited(dispatcher.Loop, 1),
+		gate:           listener.NewUnlimited(dispatcher.Loop),
 		workers:        map[string]*registeredWorker{},
 		deliveries:     map[uint64]*jobDelivery{},
 		jids:           jids,
--- a/internal/httpfront/frontend.go
+++ b/internal/httpfront/frontend.go
@@ -72,7 +72,7 @@
 	frontEnd := &FrontEnd{
 		dispatcher:  dispatcher,
 		engine:      engine,
-		gate:        listener.NewUnlimited(dispatcher.Loop, 1),
+		gate:        listener.NewUnlimited(dispatcher.Loop),
 		classes:     map[string]int{},
 		memoryLimit: memoryLimit,
 		ready:       ready,
--- a/internal/listener/gate.go
+++ b/internal/listener/gate.go
@@ -62,8 +62,8 @@
 
 // NewUnlimited returns a Gate that keeps the order of eviction alone; the engine
 // bounds how many connections there are.
-func NewUnlimited(loop *eventloop.Loop, capacity int) *Gate {
-	limiter, err := connlimit.New(connlimit.Config{Capacity: max(capacity, 1), Anonymous: true})
+func NewUnlimited(loop *eventloop.Loop) *Gate {
+	limiter, err := connlimit.New(connlimit.Config{Capacity: 1, Anonymous: true})
 	if err != nil {
 		panic(err) // a capacity of one is valid
 	}
--- a/internal/listener/rejectlog_test.go
+++ b/internal/listener/rejectlog_test.go
@@ -14,7 +14,7 @@
 // Rejections are logged at a bounded rate, each reason by itself.
 func TestLogRejectionRate(t *testing.T) {
 	var out bytes.Buffer
-	gate := NewUnlimited(eventloop.New(), 10)
+	gate := NewUnlimited(eventloop.New())
 	gate.logger = slog.New(slog.NewTextHandler(&out, nil))
 	for range 500 {
 		gate.LogRejection(connlimit.AddressOpen, netip.MustParseAddr("10.0.0.1"))
--- a/internal/membership/failover.go
+++ b/internal/membership/failover.go
@@ -56,8 +56,8 @@
 	return f.servers[f.current], max(f.notBefore-now, 0)
 }
 
-// Working records that the current server delivers changes.
-func (f *Failover) Working(now time.Duration) {
+// MarkActive records that the current server delivers changes.
+func (f *Failover) MarkActive(now time.Duration) {
 	if !f.working {
 		f.working = true
 		f.workingSince = now
@@ -66,14 +66,14 @@
 	clear(f.behindSince)
 }
 
-// Failed records that the call to the current server failed or its watch broke.
-func (f *Failover) Failed(now time.Duration) {
+// MarkFailed records that the call to the current server failed or its watch broke.
+func (f *Failover) MarkFailed(now time.Duration) {
 	delete(f.behindSince, f.servers[f.current])
 	f.advance(now)
 }
 
-// Behind records that the current server has an older version than the caller.
-func (f *Failover) Behind(now time.Duration) {
+// MarkBehind records that the current server has an older version than the caller.
+func (f *Failover) MarkBehind(now time.Duration) {
 	server := f.servers[f.current]
 	if _, recorded := f.behindSince[server]; !recorded {
 		f.behindSince[server] = now
--- a/internal/membership/failover_test.go
+++ b/internal/membership/failover_test.go
@@ -12,7 +12,7 @@
 		if server != want || wait != 0 {
 			t.Errorf("%s after %v, not %s at once", server, wait, want)
 		}
-		failover.Failed(0)
+		failover.MarkFailed(0)
 	}
 	if server, wait := failover.Next(0); server != "a" || wait < initialBackoff/2 || wait > initialBackoff {
 		t.Errorf("after all have failed: %s after %v", server, wait)
@@ -21,13 +21,13 @@
 
 func TestFailoverKeepsAWorkingServer(t *testing.T) {
 	failover := NewFailover([]string{"a", "b"}, 1)
-	failover.Failed(0)
-	failover.Working(0)
-	failover.Working(stableAfter)
+	failover.MarkFailed(0)
+	failover.MarkActive(0)
+	failover.MarkActive(stableAfter)
 	if server, wait := failover.Next(stableAfter); server != "b" || wait != 0 {
 		t.Errorf("%s after %v", server, wait)
 	}
-	failover.Failed(stableAfter)
+	failover.MarkFailed(stableAfter)
 	if server, wait := failover.Next(stableAfter); server != "a" || wait != 0 {
 		t.Errorf("%s after %v", server, wait)
 	}
@@ -38,8 +38,8 @@
 	failover := NewFailover([]string{"a", "b"}, 1)
 	now := time.Duration(0)
 	for range 100 {
-		failover.Working(now)
-		failover.Failed(now)
+		failover.MarkActive(now)
+		failover.MarkFailed(now)
 		_, wait := failover.Next(now)
 		now += wait
 	}
@@ -53,7 +53,7 @@
 	failover := NewFailover([]string{"a"}, 1)
 	now := time.Duration(0)
 	for range 1000 {
-		failover.Failed(now)
+		failover.MarkFailed(now)
 		_, wait := failover.Next(now)
 		if wait < initialBackoff/2 || wait > maxBackoff {
 			t.Fatalf("wait %v", wait)
@@ -67,17 +67,17 @@
 
 func TestFailoverReportsThatAllAreBehind(t *testing.T) {
 	failover := NewFailover([]string{"a", "b"}, 1)
-	failover.Behind(0)
-	failover.Behind(0)
+	failover.MarkBehind(0)
+	failover.MarkBehind(0)
 	if failover.AllBehind(behindReportAfter) {
 		t.Error("reported within the limit")
 	}
 	if !failover.AllBehind(behindReportAfter+1) || failover.AllBehind(behindReportAfter+2) {
 		t.Error("not reported exactly once")
 	}
-	failover.Working(0)
-	failover.Behind(2 * behindReportAfter)
-	failover.Failed(2 * behindReportAfter) // an unreachable server is not behind
+	failover.MarkActive(0)
+	failover.MarkBehind(2 * behindReportAfter)
+	failover.MarkFailed(2 * behindReportAfter) // an unreachable server is not behind
 	if failover.AllBehind(4 * behindReportAfter) {
 		t.Error("reported though one is only unreachable")
 	}
@@ -85,7 +85,7 @@
 
 func TestFailoverReplace(t *testing.T) {
 	failover := NewFailover([]string{"a", "b"}, 1)
-	failover.Failed(0)
+	failover.MarkFailed(0)
 	if !failover.Replace([]string{"c", "b"}) {
 		t.Error("b is still listed")
 	}
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -20,14 +20,14 @@
 
 // wireWorker holds the fields of a worker whose types are checked.
 type wireWorker struct {
-	Name      string  `json:"host"`
-	Address   string  `json:"dial"`
-	Zone      string  `json:"site"`
-	Class     string  `json:"class"`
-	Block     int     `json:"block"`
-	Health    string  `json:"health"`
-	Weight    float64 `json:"share"`
-	StartedMs float64 `json:"born_ms"`
+	Name        string  `json:"host"`
+	Address     string  `json:"dial"`
+	Zone        string  `json:"site"`
+	Kind        string  `json:"class"`
+	Cell        int     `json:"block"`
+	Health      string  `json:"health"`
+	Weight      float64 `json:"share"`
+	StartedAtMs float64 `json:"born_ms"`
 }
 
 type wireSetting struct {
--- a/internal/relay/follower.go
+++ b/internal/relay/follower.go
@@ -94,9 +94,9 @@
 	case errors.Is(err, errNoLongerListed):
 		return
 	case errors.Is(err, errBehind):
-		f.failover.Behind(now)
+		f.failover.MarkBehind(now)
 	default:
-		f.failover.Failed(now)
+		f.failover.MarkFailed(now)
 	}
 	f.log.Debug("upstream failed", "upstream", server, "reason", err)
 	if f.failover.AllBehind(now) {
@@ -130,7 +130,7 @@
 		case err := <-failed:
 			return err
 		case <-f.workingSignal:
-			f.failover.Working(f.state.now())
+			f.failover.MarkActive(f.state.now())
 		case servers := <-f.servers:
 			if !f.failover.Replace(servers) {
 				cancel(errNoLongerListed)
