--- a/decision/routing.go
+++ b/decision/routing.go
@@ -7,8 +7,9 @@
 
 // A pick compares two usable workers that are drawn at random, by the delay that the request can expect
 // there. It draws from the dispatcher's subset first: one that spread few requests over a large fleet would
-// know nothing recent of any worker. The figures were inherited with the decision machine, but for unknownWorkerWaits
-// and zoneCostWeight, which were chosen by the mean score of simulated days, and defaultOwnerBias.
+// know nothing recent of any worker. The figures were inherited with the decision machine, but for
+// unknownWorkerWaits and zoneCostWeight, which were chosen by the mean score of simulated days, and
+// defaultOwnerBias.
 const (
 	maxWarmDraws            = 32               // warm workers looked at for one pick, to bound its work
 	maxWarmingUpDraws       = 4 * maxWarmDraws // workers in slow start looked at; few of them have budget
