--- a/internal/connlimit/descriptorbudget.go
+++ b/internal/connlimit/descriptorbudget.go
@@ -73,8 +73,8 @@
 	floors      [DescriptorKinds]int
 	used        [DescriptorKinds]int
 	watermarks  Watermarks
-	level       int // of pressure, by what is used
-	forcedLevel int
+	level       Pressure // by what is used
+	forcedLevel Pressure // the least one, whatever is used
 }
 
 // NewDescriptorBudget returns a budget of so many descriptors in all. An error names
@@ -152,9 +152,9 @@
 	b.updateLevel()
 }
 
-// ForceLevel sets a least level of pressure, for when the kernel has no descriptor
+// ForcePressure sets a least level of pressure, for when the kernel has no descriptor
 // left whatever the budget counts. PressureNone ends that.
-func (b *DescriptorBudget) ForceLevel(level int) {
+func (b *DescriptorBudget) ForcePressure(level Pressure) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.forcedLevel = level
@@ -184,8 +184,8 @@
 	}
 }
 
-// Level returns the level of pressure, PressureNone to PressureCritical.
-func (b *DescriptorBudget) Level() int {
+// Pressure returns the level of pressure.
+func (b *DescriptorBudget) Pressure() Pressure {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return max(b.level, b.forcedLevel)
--- a/internal/connlimit/limiter.go
+++ b/internal/connlimit/limiter.go
@@ -37,7 +37,7 @@
 	mu       sync.Mutex
 	config   Config
 	epoch    time.Duration // of ticks; 0: not set yet
-	pressure int           // PressureNone to PressureCritical
+	pressure Pressure
 
 	addresses table
 	prefixes  table
@@ -125,8 +125,8 @@
 	l.config.Reserve = min(l.config.Reserve, capacity-1)
 }
 
-// SetPressure sets the level of pressure, PressureNone to PressureCritical.
-func (l *Limiter) SetPressure(level int) {
+// SetPressure sets the level of pressure.
+func (l *Limiter) SetPressure(level Pressure) {
 	l.mu.Lock()
 	l.pressure = level
 	l.mu.Unlock()
--- a/internal/connlimit/model_test.go
+++ b/internal/connlimit/model_test.go
@@ -15,7 +15,7 @@
 	config         Config
 	connections    map[ID]*modelConn
 	nextConforming map[string]time.Duration // by address or prefix, as gcra's theoretical arrival
-	pressure       int
+	pressure       Pressure
 }
 
 // modelConn is a connection of a modelLimiter.
@@ -170,7 +170,7 @@
 				conn.stage = Unserved
 				conn.halfRead = false
 			case 9:
-				model.pressure = rapid.IntRange(0, 2).Draw(t, "level")
+				model.pressure = Pressure(rapid.IntRange(0, 2).Draw(t, "level"))
 				limiter.SetPressure(model.pressure)
 			}
 		}
--- a/internal/connlimit/snapshot.go
+++ b/internal/connlimit/snapshot.go
@@ -15,7 +15,7 @@
 	Capacity   int               `json:"room"`     // Config.Capacity
 	Reserve    int               `json:"reserve"`
 	InReserve  int               `json:"reserve_used"` // by trusted connections
-	Pressure   int               `json:"pressure"`
+	Pressure   Pressure          `json:"pressure"`
 	Admitted   uint64            `json:"admitted"`
 	Rejections map[string]uint64 `json:"refused"` // rejections by Reason
 	Addresses  int               `json:"addresses_remembered"`
--- a/internal/discovery/httpconn.go
+++ b/internal/discovery/httpconn.go
@@ -105,7 +105,7 @@
 // onTimeout ends a request on which nothing has come in time. Where bytes are waiting to be read, it is extended once,
 // and not again.
 func (h *httpConn) onTimeout() {
-	if h.conn == nil || h.timeoutExtended || h.conn.NothingUnread() {
+	if h.conn == nil || h.timeoutExtended || h.conn.AllRead() {
 		h.finish(errTimeout)
 		return
 	}
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -191,7 +191,7 @@
 // onTimeout ends a call on which nothing has come in time. Where bytes are waiting to be read, it is extended once, and
 // not again, since they need not make a complete line.
 func (w *watch) onTimeout() {
-	if w.conn == nil || w.timeoutExtended || w.conn.NothingUnread() {
+	if w.conn == nil || w.timeoutExtended || w.conn.AllRead() {
 		w.fail(errTimeout)
 		return
 	}
--- a/internal/httpfront/connection.go
+++ b/internal/httpfront/connection.go
@@ -68,7 +68,7 @@
 		if !c.responsePending && c.input != nil && c.capExceeded == connlimit.Allowed {
 			c.capExceeded = frontEnd.gate.Limiter.SetBuffered(c.limiterID, len(c.input.Bytes()))
 		}
-		if frontEnd.gate.Level() > 0 || frontEnd.turns.Len() > 0 {
+		if frontEnd.gate.Pressure() > 0 || frontEnd.turns.Len() > 0 {
 			frontEnd.queueForTurn(c)
 			return
 		}
--- a/internal/httpfront/drain.go
+++ b/internal/httpfront/drain.go
@@ -49,7 +49,7 @@
 	now := f.loop().Now()
 	f.connections.ForEach(func(_ uint64, c *clientConnection) {
 		mayBeNew := !c.hasSent && now-c.conn.Opened < silentTime
-		if c.betweenRequests() && !mayBeNew && c.conn.NothingUnread() {
+		if c.betweenRequests() && !mayBeNew && c.conn.AllRead() {
 			c.closeGracefully()
 		}
 	})
--- a/internal/httpfront/timeouts.go
+++ b/internal/httpfront/timeouts.go
@@ -73,7 +73,7 @@
 	case c.responsePending:
 	case c.input != nil:
 		c.checkIncomplete()
-	case !c.conn.NothingUnread(): // a request has come, though it has not been read
+	case !c.conn.AllRead(): // a request has come, though it has not been read
 		loop.Set(&c.timer, loop.Now()+unreadGrace)
 	default:
 		c.closeGracefully()
@@ -102,7 +102,7 @@
 	loop := c.frontEnd.loop()
 	switch {
 	case c.closed || !c.paused:
-	case !c.responsePending || c.conn.NothingUnread():
+	case !c.responsePending || c.conn.AllRead():
 		loop.Set(&c.floodTimer, loop.Now()+floodCheckInterval)
 	default:
 		c.closeAfterResponse = true
--- a/internal/listener/pressure.go
+++ b/internal/listener/pressure.go
@@ -15,24 +15,24 @@
 // Exhausted raises the pressure since the kernel had no descriptor left, whatever
 // the budget counts.
 func (g *Gate) Exhausted() {
-	g.Budget.ForceLevel(connlimit.PressureHigh)
+	g.Budget.ForcePressure(connlimit.PressureHigh)
 	g.exhaustedAt.Store(int64(g.loop.Now()))
 	g.updatePressure()
 }
 
-// Level returns the level of pressure, connlimit.PressureNone to PressureCritical.
-func (g *Gate) Level() int {
+// Pressure returns the level of pressure.
+func (g *Gate) Pressure() connlimit.Pressure {
 	if g.Budget == nil {
 		return connlimit.PressureNone
 	}
-	return int(g.pressure.Load())
+	return connlimit.Pressure(g.pressure.Load())
 }
 
 // updatePressure passes the budget's level of pressure on, and has it relieved on
 // the loop.
 func (g *Gate) updatePressure() {
-	level := g.Budget.Level()
-	if level == connlimit.PressureNone && g.pressure.Load() == connlimit.PressureNone {
+	level := g.Budget.Pressure()
+	if level == connlimit.PressureNone && g.Pressure() == connlimit.PressureNone {
 		return
 	}
 	g.Limiter.SetPressure(level)
@@ -50,13 +50,13 @@
 	exhaustedAt := g.exhaustedAt.Load()
 	if exhaustedAt != 0 && now-time.Duration(exhaustedAt) > exhaustedPeriod {
 		g.exhaustedAt.Store(0)
-		g.Budget.ForceLevel(connlimit.PressureNone)
+		g.Budget.ForcePressure(connlimit.PressureNone)
 	}
-	level := g.Budget.Level()
+	level := g.Budget.Pressure()
 	g.setPressure(level)
 	if level == connlimit.PressureNone {
 		g.relieving.Store(false)
-		if g.Budget.Level() > connlimit.PressureNone { // it rose just now
+		if g.Budget.Pressure() > connlimit.PressureNone { // it rose just now
 			g.updatePressure()
 		}
 		return
@@ -73,10 +73,10 @@
 }
 
 // setPressure passes a level on and logs a change.
-func (g *Gate) setPressure(level int) {
+func (g *Gate) setPressure(level connlimit.Pressure) {
 	g.Limiter.SetPressure(level)
-	previous := g.pressure.Swap(int32(level))
-	if int(previous) != level && g.logger != nil {
+	previous := connlimit.Pressure(g.pressure.Swap(int32(level)))
+	if previous != level && g.logger != nil {
 		g.logger.Warn("descriptor pressure changed", "level", level)
 	}
 }
--- a/internal/transport/read_test.go
+++ b/internal/transport/read_test.go
@@ -96,15 +96,15 @@
 				if paused {
 					c.Pause()
 				}
-				if !c.Idle() || !c.NothingUnread() {
+				if !c.Idle() || !c.AllRead() {
 					t.Errorf("%s: it is not idle at first", name)
 				}
 				act(conn.(*net.TCPConn)) // on loopback it has arrived when the call returns
 				if c.Idle() != (name == "nothing") {
 					t.Errorf("%s, paused %v: Idle is %v", name, paused, c.Idle())
 				}
-				if c.NothingUnread() != (name != "a byte") {
-					t.Errorf("%s, paused %v: NothingUnread is %v", name, paused, c.NothingUnread())
+				if c.AllRead() != (name != "a byte") {
+					t.Errorf("%s, paused %v: NothingUnread is %v", name, paused, c.AllRead())
 				}
 			})
 			conn.Close()
--- a/internal/transport/socketstate.go
+++ b/internal/transport/socketstate.go
@@ -13,9 +13,9 @@
 	tcpCloseWait = 8 // TCP_CLOSE_WAIT: the peer has closed its side, and we have not
 )
 
-// NothingUnread reports whether no byte of the peer's waits for the handler, in a
+// AllRead reports whether no byte of the peer's waits for the handler, in a
 // buffer or in the socket: a close now loses nothing that has arrived.
-func (c *Conn) NothingUnread() bool {
+func (c *Conn) AllRead() bool {
 	bytes, _ := c.unread()
 	return !bytes
 }
