--- a/Makefile
+++ b/Makefile
@@ -7,29 +7,19 @@
 build:
 	mkdir -p bin && CGO_ENABLED=1 go build -ldflags=-linkmode=external -o bin/ ./cmd/...
 
-# Formatting, vet, staticcheck, the bounds on line lengths and on imports, and all tests under
-# the race detector. Failures that KNOWN-RED.txt lists are printed and passed over.
+# Lint, then all tests under the race detector. Failures that KNOWN-RED.txt lists are
+# printed and passed over.
 test: lint
 	go run ./internal/tools/testgate -race -count=1 ./...
 	go test -count=1 -run Million ./internal/connlimit
 
+# Formatting, line lengths of decision, vet, staticcheck with all checks, import rules.
 lint:
 	@unformatted=$$(gofmt -l .); if [ -n "$$unformatted" ]; then echo "not gofmt'd: $$unformatted" >&2; exit 1; fi
 	@awk '{ gsub(/\t/, "    ") } length > 110 { print FILENAME ":" FNR ": line over 110 characters"; bad = 1 } END { exit bad }' decision/*.go
 	go vet ./...
 	go tool staticcheck ./...
-	@bad=$$(go list -f '{{join .Imports "\n"}}' ./decision ./internal/connlimit ./internal/jobs ./internal/membership ./internal/freshness ./internal/invariant | grep -E '^(net|net/http|os|os/.*|syscall|io)$$|hollyyoke'); \
-	if [ -n "$$bad" ]; then echo "decision, internal/connlimit, jobs, membership, freshness and invariant decide and do no I/O, but import $$bad" >&2; exit 1; fi
-	@bad=$$(go list -deps ./cmd/dispatcher-serve | grep -E '^net/http$$|internal/rehearsal|alecthomas/kong|gonum|protobuf|klauspost|HdrHistogram'); \
-	if [ -n "$$bad" ]; then echo "the daemon must not link $$bad" >&2; exit 1; fi
-	@bad=$$(go list -f '{{join .Imports "\n"}}' ./internal/dispatch | grep -E 'internal/(httpfront|workerclient|discovery|httpwire|faktory|transport|admin|daemon)$$'); \
-	if [ -n "$$bad" ]; then echo "internal/dispatch knows no front end and no socket, but imports $$bad" >&2; exit 1; fi
-	@bad=$$(go list -deps ./internal/faktory | grep -E 'internal/(httpfront|workerclient|discovery)$$'; go list -deps ./internal/httpfront ./internal/workerclient | grep -E 'internal/faktory$$'; go list -deps ./internal/httpfront | grep -E 'internal/(workerclient|discovery)$$'); \
-	if [ -n "$$bad" ]; then echo "front ends and the worker client do not import each other, but one imports $$bad" >&2; exit 1; fi
-	@bad=$$(go list -deps ./internal/rehearsal/standin ./internal/rehearsal/hostileload | grep -E 'internal/(httpfront|workerclient|discovery|httpwire|faktory|dispatch|transport)$$'); \
-	if [ -n "$$bad" ]; then echo "stand-ins must not share code with the front ends, but import $$bad" >&2; exit 1; fi
-	@bad=$$(go list -deps ./cmd/membership-relay | grep -E 'internal/(rehearsal|httpfront|workerclient|discovery|httpwire|faktory|dispatch|transport)$$|internal/rehearsal/'); \
-	if [ -n "$$bad" ]; then echo "the relay must link neither the kit nor the dispatcher, but imports $$bad" >&2; exit 1; fi
+	go run ./internal/tools/importrules
 
 # The daemon with the Faktory front end on loopback, nothing else needed.
 run: build
