--- a/cmd/rehearse/process.go
+++ b/cmd/rehearse/process.go
@@ -4,8 +4,6 @@
 	"fmt"
 	"os"
 	"path/filepath"
-	"strconv"
-	"strings"
 	"syscall"
 )
 
@@ -34,15 +32,3 @@
 		syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit)
 	}
 }
-
-// residentKB returns a process's resident memory in KB; 0 if it is not known.
-func residentKB(pid int) int64 {
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
-	if err != nil {
-		return 0
-	}
-	_, rest, _ := strings.Cut(string(text), "VmRSS:")
-	rest, _, _ = strings.Cut(rest, "kB")
-	kilobytes, _ := strconv.ParseInt(strings.TrimSpace(rest), 10, 64)
-	return kilobytes
-}
--- a/cmd/rehearse/run.go
+++ b/cmd/rehearse/run.go
@@ -9,6 +9,7 @@
 
 	"github.com/schollz/progressbar/v3"
 
+	"hollyyoke.example/hollyyoke/internal/rehearsal/childprocess"
 	"hollyyoke.example/hollyyoke/internal/rehearsal/recording"
 	"hollyyoke.example/hollyyoke/internal/rehearsal/replay"
 	"hollyyoke.example/hollyyoke/internal/rehearsal/report"
@@ -149,7 +150,7 @@
 	}
 	rep.FrontEnd = c.Front
 	rep.Workers = len(fleet.Workers)
-	rep.DaemonRSS = residentKB(fleet.PID())
+	rep.DaemonRSS = childprocess.ResidentKiB(fleet.PID())
 	if reason := fleet.Gate.Failure(); reason != nil {
 		rep.WithheldReason = reason.Error()
 	}
--- a/cmd/rehearse/soak.go
+++ b/cmd/rehearse/soak.go
@@ -28,7 +28,7 @@
 	failed := 0
 	for i := range c.Seeds {
 		report, err := soak.Run(context.Background(), soak.Config{
-			Daemon: program, Seed: c.Seed + uint64(i), Daemons: c.Daemons, Duration: c.Duration,
+			Program: program, Seed: c.Seed + uint64(i), Daemons: c.Daemons, Duration: c.Duration,
 		})
 		if err != nil {
 			return err
--- a/internal/rehearsal/childprocess/address.go
+++ b/internal/rehearsal/childprocess/address.go
@@ -13,6 +13,7 @@
 const (
 	firstPort = 15000
 	lastPort  = 32000
+	portCount = lastPort - firstPort
 
 	// processStride spreads the first ports of processes that run at once.
 	processStride = 7919
@@ -25,11 +26,11 @@
 )
 
 // FreeAddress returns a loopback address whose port was free a moment ago. Within a process each port is returned once
-// before any is returned again.
+// before any is returned again. It is safe for concurrent use.
 func FreeAddress() (string, error) {
 	start := int64(os.Getpid()) * processStride
-	for range lastPort - firstPort {
-		port := firstPort + (start+chosenPorts.Add(1))%(lastPort-firstPort)
+	for range portCount {
+		port := firstPort + (start+chosenPorts.Add(1))%portCount
 		address := fmt.Sprintf("127.0.0.1:%d", port)
 		listener, err := net.Listen("tcp", address)
 		if err == nil {
--- a/internal/rehearsal/childprocess/output.go
+++ b/internal/rehearsal/childprocess/output.go
@@ -1,5 +1,6 @@
-// Package childprocess has what the rehearsal kit and tests need to run programs of this project as child processes: a
-// buffer for their output and addresses for them to listen on.
+// Package childprocess runs programs of this project as child processes of the rehearsal kit and of tests: it starts and
+// stops them, collects their output, reads their memory and chooses addresses for them to listen on. It knows nothing of
+// what the programs do.
 package childprocess
 
 import (
@@ -18,13 +19,13 @@
 }
 
 // Write implements io.Writer. It never fails.
-func (o *Output) Write(p []byte) (int, error) {
+func (o *Output) Write(text []byte) (int, error) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	if o.Limit == 0 || o.text.Len() < o.Limit {
-		o.text.Write(p)
+		o.text.Write(text)
 	}
-	return len(p), nil
+	return len(text), nil
 }
 
 // String returns the output so far.
--- /dev/null
+++ b/internal/rehearsal/childprocess/process.go
@@ -0,0 +1,68 @@
+package childprocess
+
+import (
+	"os/exec"
+	"syscall"
+	"time"
+)
+
+// Handle is a process that was started and may have ended. Its methods are safe for concurrent use.
+type Handle interface {
+	// Done returns a channel that is closed once the process has ended.
+	Done() <-chan struct{}
+
+	// Outcome describes how the process ended. It must not be called before the channel of Done is closed.
+	Outcome() string
+
+	// Signal sends a signal to the process. It returns an error if the process has ended.
+	Signal(signal syscall.Signal) error
+}
+
+// Process is a child process that Start has started. It implements Handle.
+type Process struct {
+	command *exec.Cmd
+	done    chan struct{}
+}
+
+// Start starts command. The kernel kills the child if this process ends first.
+func Start(command *exec.Cmd) (*Process, error) {
+	if command.SysProcAttr == nil {
+		command.SysProcAttr = &syscall.SysProcAttr{}
+	}
+	command.SysProcAttr.Pdeathsig = syscall.SIGKILL
+	if err := command.Start(); err != nil {
+		return nil, err
+	}
+	p := &Process{command: command, done: make(chan struct{})}
+	go p.wait()
+	return p, nil
+}
+
+// wait waits for the process to end.
+func (p *Process) wait() {
+	defer close(p.done)
+	_ = p.command.Wait() // Outcome describes the end
+}
+
+// Done implements Handle.
+func (p *Process) Done() <-chan struct{} { return p.done }
+
+// Outcome implements Handle. The description is that of os.ProcessState.
+func (p *Process) Outcome() string { return p.command.ProcessState.String() }
+
+// Signal implements Handle.
+func (p *Process) Signal(signal syscall.Signal) error { return p.command.Process.Signal(signal) }
+
+// Stop sends signal to a process and waits for its end. It kills the process, and reports true, if the process has not
+// ended by timeout.
+func Stop(process Handle, signal syscall.Signal, timeout time.Duration) (killed bool) {
+	_ = process.Signal(signal) // fails only if the process has ended
+	select {
+	case <-process.Done():
+		return false
+	case <-time.After(timeout):
+	}
+	_ = process.Signal(syscall.SIGKILL)
+	<-process.Done()
+	return true
+}
--- a/internal/rehearsal/faultinject/process.go
+++ b/internal/rehearsal/faultinject/process.go
@@ -53,6 +53,18 @@
 // It must not be called before the channel of Done is closed.
 func (p *Process) Status() (syscall.WaitStatus, error) { return p.status, p.traceErr }
 
+// Outcome describes how the process ended, or why it could not be traced to its end. It must not be called before
+// the channel of Done is closed.
+func (p *Process) Outcome() string {
+	if p.traceErr != nil {
+		return p.traceErr.Error()
+	}
+	if p.status.Signaled() {
+		return "signal: " + p.status.Signal().String()
+	}
+	return "exit status"
+}
+
 // Signal sends a signal to the process.
 func (p *Process) Signal(signal syscall.Signal) error { return syscall.Kill(p.PID, signal) }
 
--- a/internal/rehearsal/soak/clients.go
+++ b/internal/rehearsal/soak/clients.go
@@ -21,6 +21,12 @@
 	renewalTimeout     = 4 * time.Second
 )
 
+// Headers of requests to the dispatcher and of its attempts.
+const (
+	correlationHeader = "X-Correlation-Id"
+	timeLeftHeader    = "X-Time-Left-Ms"
+)
+
 const (
 	renewalShare = 3                      // one in so many requests is a renewal
 	leavingShare = 20                     // one in so many clients closes its connection early,
@@ -28,60 +34,81 @@
 	dialTimeout  = time.Second
 )
 
+// clientPlan is what one client is to do.
+type clientPlan struct {
+	request    request
+	leaveAfter time.Duration // the time after which the client closes the connection; 0: it waits for the answer
+	slack      time.Duration // how much longer than its timeout and answerSlack it waits
+}
+
 // sendRequests sends requests to one dispatcher in an open loop, and waits for all answers.
-func (r *run) sendRequests(ctx context.Context, d *daemon, random *rand.Rand) {
-	var open sync.WaitGroup
-	defer open.Wait()
-	for n := 0; ; n++ {
-		pause := time.Duration(random.ExpFloat64() / r.Rate * float64(time.Second))
+func (r *run) sendRequests(ctx context.Context, target *daemon, random *rand.Rand) {
+	var clients sync.WaitGroup
+	defer clients.Wait()
+	for number := 0; ; number++ {
+		pause := time.Duration(random.ExpFloat64() / r.config.Rate * float64(time.Second))
 		if !sleep(ctx, pause) {
 			return
 		}
-		q := request{id: fmt.Sprintf("%s-%06d", d.name, n), class: classStatusCheck, daemon: d, timeout: statusCheckTimeout}
-		if random.IntN(renewalShare) == 0 {
-			q.class = classRenewal
-			q.timeout = renewalTimeout
-		}
-		leaveAfter := time.Duration(0)
-		if random.IntN(leavingShare) == 0 {
-			leaveAfter = time.Duration(random.Int64N(int64(maxLeaveTime)))
-		}
-		open.Add(1)
-		go func() {
-			defer open.Done()
-			r.records.addRequest(sendRequest(q, leaveAfter, r.slackFor(d)))
-		}()
+		plan := drawClientPlan(fmt.Sprintf("%s-%06d", target.name, number), target, random)
+		clients.Go(func() {
+			plan.slack = r.slackFor(target)
+			r.records.addRequest(plan.execute())
+		})
 	}
 }
 
-// sendRequest sends one request on a connection of its own and returns it with its answer.
-// leaveAfter is the time after which its client closes the connection; 0: it waits.
-func sendRequest(q request, leaveAfter, slack time.Duration) request {
-	conn, err := net.DialTimeout("tcp", q.daemon.addr, dialTimeout)
+// drawClientPlan draws the class of a request, and whether its client leaves early.
+func drawClientPlan(id string, target *daemon, random *rand.Rand) clientPlan {
+	plan := clientPlan{request: request{id: id, class: classStatusCheck, daemon: target, timeout: statusCheckTimeout}}
+	if random.IntN(renewalShare) == 0 {
+		plan.request.class = classRenewal
+		plan.request.timeout = renewalTimeout
+	}
+	if random.IntN(leavingShare) == 0 {
+		plan.leaveAfter = time.Duration(random.Int64N(int64(maxLeaveTime)))
+	}
+	return plan
+}
+
+// execute sends the request on a connection of its own and returns it with what the client observed.
+func (p *clientPlan) execute() request {
+	sent := p.request
+	conn, err := net.DialTimeout("tcp", sent.daemon.address, dialTimeout)
 	if err != nil {
-		q.sent = time.Now()
-		return q
+		sent.sentAt = time.Now()
+		return sent
 	}
 	defer conn.Close()
-	const body = "job"
-	q.sent = time.Now()
-	fmt.Fprintf(conn, "POST /%s/key HTTP/1.1\r\nHost: d\r\nX-Correlation-Id: %s\r\nX-Time-Left-Ms: %d\r\nContent-Length: %d\r\n\r\n%s",
-		q.class, q.id, q.timeout.Milliseconds(), len(body), body)
-	if leaveAfter > 0 {
-		conn.SetReadDeadline(time.Now().Add(leaveAfter))
-	} else {
-		conn.SetReadDeadline(time.Now().Add(q.timeout + 4*answerSlack + slack))
-	}
+	sent.sentAt = time.Now()
+	writeRequest(conn, &sent)
+	conn.SetReadDeadline(time.Now().Add(p.waitTime()))
 	status, err := readStatus(conn)
 	switch {
 	case err == nil:
-		q.status = status
-		q.answered = time.Now()
-	case leaveAfter > 0:
+		sent.status = status
+		sent.answeredAt = time.Now()
+	case p.leaveAfter > 0:
 		conn.Close()
-		q.clientLeft = time.Now()
+		sent.clientLeftAt = time.Now()
 	}
-	return q
+	return sent
+}
+
+// waitTime is how long the client waits for an answer. One that does not leave waits longer than
+// the rules allow, so that a late answer is told from a missing one.
+func (p *clientPlan) waitTime() time.Duration {
+	if p.leaveAfter > 0 {
+		return p.leaveAfter
+	}
+	return p.request.timeout + 4*answerSlack + p.slack
+}
+
+// writeRequest writes a request; readStatus notices a failure.
+func writeRequest(conn net.Conn, sent *request) {
+	const body = "job"
+	fmt.Fprintf(conn, "POST /%s/key HTTP/1.1\r\nHost: d\r\n%s: %s\r\n%s: %d\r\nContent-Length: %d\r\n\r\n%s",
+		sent.class, correlationHeader, sent.id, timeLeftHeader, sent.timeout.Milliseconds(), len(body), body)
 }
 
 // readStatus reads an answer to its end and returns its status.
--- a/internal/rehearsal/soak/faults.go
+++ b/internal/rehearsal/soak/faults.go
@@ -16,17 +16,28 @@
 	faultRemove                              // a worker is removed and listed again later
 	faultHang                                // a worker accepts requests and does not answer for a while
 	faultReset                               // a worker resets its connections
-	faultDiscoveryDown                       // calls fail or get 503, watches end
+	faultDiscoveryDown                       // requests fail or get 503, watches end
 	faultDiscoverySilent                     // watches fall silent, within a line or between two
-	faultDiscoveryTruncates                  // answers to calls fall silent within a line
-	faultKinds
+	faultDiscoveryTruncates                  // answers to requests fall silent within a line
+	faultKinds                               // the number of kinds
 )
 
-// String names the kind.
-func (k faultKind) String() string {
-	return [...]string{"kill", "restart", "hold", "drain", "remove", "hang", "reset", "discovery down", "discovery silent", "discovery breaks off"}[k]
+var faultNames = [faultKinds]string{
+	faultKill:               "kill",
+	faultRestart:            "restart",
+	faultPause:              "pause",
+	faultDrain:              "drain",
+	faultRemove:             "remove",
+	faultHang:               "hang",
+	faultReset:              "reset",
+	faultDiscoveryDown:      "discovery down",
+	faultDiscoverySilent:    "discovery silent",
+	faultDiscoveryTruncates: "discovery truncates",
 }
 
+// String names the kind.
+func (k faultKind) String() string { return faultNames[k] }
+
 // fault is one fault of a schedule.
 type fault struct {
 	kind     faultKind
@@ -37,31 +48,43 @@
 
 // maxDuration is the longest duration of a fault by its kind.
 var maxDuration = [faultKinds]time.Duration{
-	faultKill: 2 * time.Second, faultRestart: 9 * time.Second, faultPause: 9 * time.Second,
-	faultDrain: 8 * time.Second, faultRemove: 10 * time.Second, faultHang: 3 * time.Second,
-	faultDiscoveryDown: 9 * time.Second, faultDiscoverySilent: 8 * time.Second, faultDiscoveryTruncates: 8 * time.Second,
+	faultKill:               2 * time.Second,
+	faultRestart:            9 * time.Second,
+	faultPause:              9 * time.Second,
+	faultDrain:              8 * time.Second,
+	faultRemove:             10 * time.Second,
+	faultHang:               3 * time.Second,
+	faultDiscoveryDown:      9 * time.Second,
+	faultDiscoverySilent:    8 * time.Second,
+	faultDiscoveryTruncates: 8 * time.Second,
 }
 
 // maxFaultInterval is the longest time between the starts of two faults.
 const maxFaultInterval = 2 * time.Second
 
 // schedule draws the faults of a seed. They overlap: about one begins each second.
-func schedule(seed uint64, config Config) (faults []fault) {
+func schedule(seed uint64, config Config) []fault {
 	random := rand.New(rand.NewPCG(seed, faultScheduleStream))
+	var faults []fault
 	start := time.Duration(0)
 	for start < config.Duration {
-		f := fault{kind: faultKind(random.IntN(int(faultKinds))), start: start}
-		if longest := maxDuration[f.kind]; longest > 0 {
-			f.duration = longest/10 + time.Duration(random.Int64N(int64(longest*9/10)))
-		}
-		switch f.kind {
-		case faultKill, faultRestart, faultPause:
-			f.target = config.Traced + random.IntN(config.Daemons-config.Traced) // signals interfere with ptrace
-		case faultDrain, faultRemove, faultHang, faultReset:
-			f.target = random.IntN(config.Workers * 2 / 3) // the others stay, so that requests can be served
-		}
-		faults = append(faults, f)
+		faults = append(faults, drawFault(start, config, random))
 		start += time.Duration(random.IntN(int(maxFaultInterval)))
 	}
 	return faults
 }
+
+// drawFault draws the kind, the duration and the target of a fault.
+func drawFault(start time.Duration, config Config, random *rand.Rand) fault {
+	drawn := fault{kind: faultKind(random.IntN(int(faultKinds))), start: start}
+	if longest := maxDuration[drawn.kind]; longest > 0 {
+		drawn.duration = longest/10 + time.Duration(random.Int64N(int64(longest*9/10)))
+	}
+	switch drawn.kind {
+	case faultKill, faultRestart, faultPause:
+		drawn.target = config.Traced + random.IntN(config.Daemons-config.Traced) // signals interfere with ptrace
+	case faultDrain, faultRemove, faultHang, faultReset:
+		drawn.target = random.IntN(config.Workers * 2 / 3) // the others stay, so that requests can be served
+	}
+	return drawn
+}
--- a/internal/rehearsal/soak/injection.go
+++ b/internal/rehearsal/soak/injection.go
@@ -11,79 +11,91 @@
 const recoveryTime = 500 * time.Millisecond
 
 // injectFault injects one fault of the schedule, at its time.
-func (r *run) injectFault(ctx context.Context, f fault) {
-	if !sleep(ctx, f.start) {
+func (r *run) injectFault(ctx context.Context, injected fault) {
+	if !sleep(ctx, injected.start) {
 		return
 	}
-	switch f.kind {
+	switch injected.kind {
 	case faultKill:
-		r.restartDaemon(ctx, r.daemons[f.target], syscall.SIGKILL, f.duration)
+		restartDaemon(ctx, r.daemons[injected.target], syscall.SIGKILL, injected.duration)
 	case faultRestart:
-		r.restartDaemon(ctx, r.daemons[f.target], syscall.SIGTERM, f.duration)
+		restartDaemon(ctx, r.daemons[injected.target], syscall.SIGTERM, injected.duration)
 	case faultPause:
-		r.pauseDaemon(ctx, r.daemons[f.target], f.duration)
-	case faultDrain, faultRemove:
-		r.unlistWorker(ctx, r.workers[f.target], f)
+		pauseDaemon(ctx, r.daemons[injected.target], injected.duration)
+	case faultDrain:
+		r.drainWorker(ctx, r.workers[injected.target], injected.duration)
+	case faultRemove:
+		r.removeWorker(ctx, r.workers[injected.target], injected.duration)
 	case faultHang:
-		r.workers[f.target].hang(f.duration)
+		r.workers[injected.target].hang(injected.duration)
 	case faultReset:
-		r.workers[f.target].reset()
-	default:
-		r.discovery.setFault(f.kind, true)
-		sleep(ctx, f.duration)
-		r.discovery.setFault(f.kind, false)
+		r.workers[injected.target].reset()
+	case faultDiscoveryDown, faultDiscoverySilent, faultDiscoveryTruncates:
+		r.discovery.beginFault(injected.kind)
+		sleep(ctx, injected.duration)
+		r.discovery.endFault(injected.kind)
 	}
 }
 
-// restartDaemon ends a dispatcher and starts it again after a time, unless another fault has it.
-func (r *run) restartDaemon(ctx context.Context, d *daemon, signal syscall.Signal, down time.Duration) {
-	if !d.tryClaim() {
+// restartDaemon ends a dispatcher by a signal and starts it again after a time, unless another fault has it.
+func restartDaemon(ctx context.Context, target *daemon, signal syscall.Signal, downTime time.Duration) {
+	if !target.tryClaim() {
 		return
 	}
-	defer d.release()
-	available := d.markUnavailable()
-	defer available()
-	d.end(signal)
-	sleep(ctx, down)
-	if err := d.launch(); err != nil {
-		d.addCrash(err.Error())
+	defer target.release()
+	markAvailable := target.markUnavailable()
+	defer markAvailable()
+	target.end(signal)
+	sleep(ctx, downTime)
+	if err := target.launch(); err != nil {
+		target.addCrash(err.Error())
 		return
 	}
-	if !d.awaitReady(startTimeout) {
-		d.addCrash(fmt.Sprintf("%s is not ready %v after its start", d.name, startTimeout))
+	if !target.awaitReady(startTimeout) {
+		target.addCrash(fmt.Sprintf("%s is not ready %v after its start", target.name, startTimeout))
 	}
 	time.Sleep(recoveryTime)
 }
 
 // pauseDaemon stops a dispatcher's process for a time, unless another fault has it.
-func (r *run) pauseDaemon(ctx context.Context, d *daemon, duration time.Duration) {
-	if !d.tryClaim() {
+func pauseDaemon(ctx context.Context, target *daemon, duration time.Duration) {
+	if !target.tryClaim() {
 		return
 	}
-	defer d.release()
-	available := d.markUnavailable()
-	defer available()
-	pid := d.currentProcess().pid
-	_ = syscall.Kill(pid, syscall.SIGSTOP)
+	defer target.release()
+	markAvailable := target.markUnavailable()
+	defer markAvailable()
+	process := target.currentProcess()
+	_ = process.Signal(syscall.SIGSTOP) // fails only if the process has crashed, which is recorded
 	sleep(ctx, duration)
-	_ = syscall.Kill(pid, syscall.SIGCONT)
+	_ = process.Signal(syscall.SIGCONT)
 	time.Sleep(recoveryTime)
 }
 
-// unlistWorker drains or removes a worker and lists it again later, unless another fault has it.
-// Its process runs all the time.
-func (r *run) unlistWorker(ctx context.Context, w *worker, f fault) {
-	if !w.tryClaim() {
+// drainWorker lists a worker as draining, removes it and lists it again as ready, unless another
+// fault has it. Its process runs all the time.
+func (r *run) drainWorker(ctx context.Context, target *worker, duration time.Duration) {
+	if !target.tryClaim() {
 		return
 	}
-	defer w.release()
-	if f.kind == faultDrain {
-		w.drain(true)
-		r.discovery.set(w.name, w.addr, draining)
-		sleep(ctx, f.duration/2)
+	defer target.release()
+	target.setDraining(true)
+	r.discovery.set(target.name, target.address, healthDraining)
+	sleep(ctx, duration/2)
+	r.discovery.set(target.name, target.address, healthGone)
+	sleep(ctx, duration/2)
+	target.setDraining(false)
+	r.discovery.set(target.name, target.address, healthReady)
+}
+
+// removeWorker removes a worker from the list and lists it again after half of duration, unless
+// another fault has it. Its process runs all the time.
+func (r *run) removeWorker(ctx context.Context, target *worker, duration time.Duration) {
+	if !target.tryClaim() {
+		return
 	}
-	r.discovery.set(w.name, w.addr, gone)
-	sleep(ctx, f.duration/2)
-	w.drain(false)
-	r.discovery.set(w.name, w.addr, ready)
+	defer target.release()
+	r.discovery.set(target.name, target.address, healthGone)
+	sleep(ctx, duration/2)
+	r.discovery.set(target.name, target.address, healthReady)
 }
--- a/internal/rehearsal/soak/records.go
+++ b/internal/rehearsal/soak/records.go
@@ -7,48 +7,51 @@
 
 // attempt is an attempt as its worker observed it.
 type attempt struct {
-	id       string
-	class    string
-	worker   string
-	arrived  time.Time
-	timeLeft time.Duration // according to the dispatcher
+	id        string // of its request
+	class     string
+	worker    string
+	arrivedAt time.Time
+	timeLeft  time.Duration // according to the dispatcher
 }
 
 // request is a request as its client observed it.
 type request struct {
-	id         string
-	class      string
-	daemon     *daemon
-	sent       time.Time
-	timeout    time.Duration
-	clientLeft time.Time // when its client closed the connection; zero: it did not
-	status     int       // 0: no final answer
-	answered   time.Time
+	id           string
+	class        string
+	daemon       *daemon
+	timeout      time.Duration
+	sentAt       time.Time
+	clientLeftAt time.Time // when its client closed the connection; zero: it did not
+	status       int       // 0: no final answer
+	answeredAt   time.Time
 }
 
-// records are the observations of clients and workers. They are safe for concurrent use while
-// they are added to.
+// clientLeft reports whether the client closed the connection without an answer.
+func (r *request) clientLeft() bool { return !r.clientLeftAt.IsZero() }
+
+// records are the observations of clients and workers. Its methods are safe for concurrent use.
+// The fields are read without the lock once nothing is added any more.
 type records struct {
-	mu         sync.Mutex
+	mutex      sync.Mutex
 	requests   []request
 	attempts   []attempt
 	incomplete int // requests that were cut off on their way to a worker
 }
 
 func (r *records) addIncomplete() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
 	r.incomplete++
 }
 
-func (r *records) addAttempt(a attempt) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.attempts = append(r.attempts, a)
+func (r *records) addAttempt(arrived attempt) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.attempts = append(r.attempts, arrived)
 }
 
-func (r *records) addRequest(q request) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.requests = append(r.requests, q)
+func (r *records) addRequest(sent request) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.requests = append(r.requests, sent)
 }
--- a/internal/rehearsal/soak/rules.go
+++ b/internal/rehearsal/soak/rules.go
@@ -10,112 +10,150 @@
 const (
 	notificationTime  = 6 * time.Second // until a dispatcher must know a change of the list
 	drainGrace        = 500 * time.Millisecond
-	answerSlack       = 500 * time.Millisecond // a later answer than this after the timeout is lost
+	answerSlack       = 500 * time.Millisecond // an answer later than this after the timeout is lost
 	cancellationSlack = 100 * time.Millisecond // from a client's close to the last attempt that may begin
 	timeLeftSlack     = 150 * time.Millisecond
 
 	// machineSlack is what a machine that runs everything at once may add to each bound, and
-	// tracedSlack what tracing every system call may add. Later timers add their lateness.
+	// tracedSlack what tracing every system call may add. Timers that are later add their lateness.
 	machineSlack = 400 * time.Millisecond
 	tracedSlack  = 4 * time.Second
 )
 
-// The rules, as violations name them.
+// rule is a rule, as violations name it.
+type rule string
+
 const (
-	ruleLost      = "lost"
-	ruleDuplicate = "duplicate"
-	ruleDrain     = "drain"
-	ruleTimeLeft  = "time left"
+	ruleLost      rule = "lost"      // each request has one final answer in time, and none is worked on after its client left
+	ruleDuplicate rule = "duplicate" // no renewal arrives at workers twice
+	ruleDrain     rule = "drain"     // no attempt arrives at a worker that the dispatcher must know to be draining or removed
+	ruleTimeLeft  rule = "time left" // no attempt is given more time than its client has left
 )
 
 // slackFor is what is allowed beyond each bound for a dispatcher.
-func (r *run) slackFor(d *daemon) time.Duration {
+func (r *run) slackFor(target *daemon) time.Duration {
 	slack := machineSlack + 2*time.Duration(r.lateness.Load())
-	if d.trace != nil {
+	if target.tracer != nil {
 		slack += tracedSlack
 	}
 	return slack
 }
 
-// checkRules checks the records against the rules.
+// checkRules checks the records against the rules, once no client and no fault runs any more.
 func (r *run) checkRules() Report {
-	report := Report{
-		Seed:       r.Seed,
+	checker := ruleChecker{run: r}
+	checker.report = Report{
+		Seed:       r.config.Seed,
 		Requests:   len(r.records.requests),
 		Attempts:   len(r.records.attempts),
 		Incomplete: r.records.incomplete,
 		Lateness:   time.Duration(r.lateness.Load()),
-		Faults:     len(schedule(r.Seed, r.Config)),
-	}
-	for _, d := range r.daemons {
-		d.fetchInvariants()
-		report.Violations = append(report.Violations, d.violations()...)
-	}
-	requests := map[string]*request{}
-	for i := range r.records.requests {
-		q := &r.records.requests[i]
-		requests[q.id] = q
-		r.checkRequest(q, &report)
-	}
-	attempts := map[string]int{}
-	for _, a := range r.records.attempts {
-		if a.class == classRenewal {
-			attempts[a.id]++
-			if attempts[a.id] > 1 {
-				report.addViolation(r, a.arrived, ruleDuplicate, "%s came %d times, now to %s", a.id, attempts[a.id], a.worker)
-			}
-		}
-		if q := requests[a.id]; q != nil {
-			r.checkAttempt(q, a, &report)
-		}
+		Faults:     len(schedule(r.config.Seed, r.config)),
 	}
-	return report
+	checker.addDaemonsOwnViolations()
+	checker.checkRequests()
+	checker.checkAttempts()
+	return checker.report
+}
+
+// ruleChecker checks the records of a run. It counts and lists in report what it finds.
+type ruleChecker struct {
+	run    *run
+	report Report
 }
 
 // addViolation adds a violation with its time since the start of the run.
-func (r *Report) addViolation(s *run, at time.Time, rule, format string, values ...any) {
+func (c *ruleChecker) addViolation(violated rule, moment time.Time, format string, values ...any) {
 	description := fmt.Sprintf(format, values...)
-	r.Violations = append(r.Violations, fmt.Sprintf("%.3f %s: %s", at.Sub(s.start).Seconds(), rule, description))
+	second := moment.Sub(c.run.start).Seconds()
+	c.report.Violations = append(c.report.Violations, fmt.Sprintf("%.3f %s: %s", second, violated, description))
+}
+
+// addDaemonsOwnViolations adds the crashes of dispatchers and the violations that they have counted themselves.
+func (c *ruleChecker) addDaemonsOwnViolations() {
+	for _, daemon := range c.run.daemons {
+		daemon.fetchInvariants()
+		c.report.Violations = append(c.report.Violations, daemon.violations()...)
+	}
+}
+
+func (c *ruleChecker) checkRequests() {
+	for i := range c.run.records.requests {
+		c.checkRequest(&c.run.records.requests[i])
+	}
 }
 
 // checkRequest checks that a client that waited has its answer in time.
-func (r *run) checkRequest(q *request, report *Report) {
-	latest := q.sent.Add(q.timeout + answerSlack + r.slackFor(q.daemon))
+func (c *ruleChecker) checkRequest(sent *request) {
+	latest := sent.sentAt.Add(sent.timeout + answerSlack + c.run.slackFor(sent.daemon))
 	switch {
-	case q.daemon.wasUnavailable(q.sent.Add(-recoveryTime), latest):
-		report.Excused++
-	case !q.clientLeft.IsZero():
-	case q.status == 0:
-		report.addViolation(r, q.sent, ruleLost, "%s has no answer", q.id)
-	case q.answered.After(latest):
-		report.addViolation(r, q.sent, ruleLost, "%s was answered after %v of %v", q.id, q.answered.Sub(q.sent), q.timeout)
+	case sent.daemon.wasUnavailable(sent.sentAt.Add(-recoveryTime), latest):
+		c.report.Excused++
+	case sent.clientLeft():
+	case sent.status == 0:
+		c.addViolation(ruleLost, sent.sentAt, "%s has no answer", sent.id)
+	case sent.answeredAt.After(latest):
+		c.addViolation(ruleLost, sent.sentAt, "%s was answered after %v of %v", sent.id, sent.answeredAt.Sub(sent.sentAt), sent.timeout)
 	default:
-		report.Answered++
-		if q.status == http.StatusOK {
-			report.Served++
+		c.report.Answered++
+		if sent.status == http.StatusOK {
+			c.report.Served++
 		}
 	}
 }
 
-// checkAttempt checks that an attempt was allowed to begin at its worker when it did. What a
-// dispatcher wrote right before it was stopped may arrive while it is.
-func (r *run) checkAttempt(q *request, a attempt, report *Report) {
-	slack := r.slackFor(q.daemon)
-	wasStopped := q.daemon.wasUnavailable(a.arrived.Add(-slack), a.arrived)
-	if since, unlisted := r.discovery.unlistedSince(a.worker, a.arrived); unlisted {
-		late := a.arrived.Sub(r.discovery.notificationDeadline(since)) - drainGrace
-		if late > slack {
-			report.addViolation(r, a.arrived, ruleDrain, "%s came to %s, %v beyond the notification and the grace", a.id, a.worker, late)
+func (c *ruleChecker) checkAttempts() {
+	requests := map[string]*request{}
+	for i := range c.run.records.requests {
+		sent := &c.run.records.requests[i]
+		requests[sent.id] = sent
+	}
+	renewalAttempts := map[string]int{} // by request
+	for _, arrived := range c.run.records.attempts {
+		if arrived.class == classRenewal {
+			renewalAttempts[arrived.id]++
+			if count := renewalAttempts[arrived.id]; count > 1 {
+				c.addViolation(ruleDuplicate, arrived.arrivedAt, "%s came %d times, now to %s", arrived.id, count, arrived.worker)
+			}
+		}
+		if sent := requests[arrived.id]; sent != nil {
+			c.checkAttempt(sent, arrived)
 		}
 	}
-	if wasStopped {
+}
+
+// checkAttempt checks that an attempt was allowed to begin at its worker when it did. Of what arrives while a
+// dispatcher is unavailable only the rule on draining is checked: it may have been written right before the dispatcher
+// was stopped.
+func (c *ruleChecker) checkAttempt(sent *request, arrived attempt) {
+	slack := c.run.slackFor(sent.daemon)
+	wasUnavailable := sent.daemon.wasUnavailable(arrived.arrivedAt.Add(-slack), arrived.arrivedAt)
+	c.checkDrain(arrived, slack)
+	if wasUnavailable {
 		return
 	}
-	if !q.clientLeft.IsZero() && a.arrived.Sub(q.clientLeft) > cancellationSlack+slack {
-		report.addViolation(r, a.arrived, ruleLost, "%s came to %s %v after its client had left", a.id, a.worker, a.arrived.Sub(q.clientLeft))
+	if sent.clientLeft() {
+		sinceClientLeft := arrived.arrivedAt.Sub(sent.clientLeftAt)
+		if sinceClientLeft > cancellationSlack+slack {
+			c.addViolation(ruleLost, arrived.arrivedAt, "%s came to %s %v after its client had left", arrived.id, arrived.worker, sinceClientLeft)
+		}
 	}
-	excess := a.timeLeft - (q.timeout - a.arrived.Sub(q.sent)) - timeLeftSlack
+	clientTimeLeft := sent.timeout - arrived.arrivedAt.Sub(sent.sentAt)
+	excess := arrived.timeLeft - clientTimeLeft - timeLeftSlack
 	if excess > slack {
-		report.addViolation(r, a.arrived, ruleTimeLeft, "%s was told %v, which is %v too much", a.id, a.timeLeft, excess)
+		c.addViolation(ruleTimeLeft, arrived.arrivedAt, "%s was given %v, which is %v too much", arrived.id, arrived.timeLeft, excess)
+	}
+}
+
+// checkDrain checks that the worker of an attempt was listed as ready, or that its dispatcher did not have to know yet
+// that it was not.
+func (c *ruleChecker) checkDrain(arrived attempt, slack time.Duration) {
+	since, unlisted := c.run.discovery.unlistedSince(arrived.worker, arrived.arrivedAt)
+	if !unlisted {
+		return
+	}
+	lateness := arrived.arrivedAt.Sub(c.run.discovery.notificationDeadline(since)) - drainGrace
+	if lateness > slack {
+		c.addViolation(ruleDrain, arrived.arrivedAt, "%s came to %s, %v beyond the notification and the grace", arrived.id, arrived.worker, lateness)
 	}
 }
--- a/internal/rehearsal/soak/soak.go
+++ b/internal/rehearsal/soak/soak.go
@@ -9,7 +9,6 @@
 	"fmt"
 	"math/rand/v2"
 	"os"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -17,7 +16,7 @@
 
 // Config says what to run. Zero values mean the defaults given.
 type Config struct {
-	Daemon   string        // path of the program dispatcher-serve
+	Program  string        // path of dispatcher-serve; it has no default
 	Seed     uint64        // of the schedule of faults
 	Daemons  int           // default 24
 	Workers  int           // default 12
@@ -53,17 +52,22 @@
 	}
 }
 
+// Streams of the random sources that share a run's seed.
 const (
-	startTimeout        = 30 * time.Second
-	clientStreamBase    = 100 // first stream of the clients' random sources
 	daemonSeedStream    = 1
 	faultScheduleStream = 2
+	clientStreamBase    = 100 // the stream of the first dispatcher's clients; the others follow
 )
 
-// run is one soak.
+const (
+	startTimeout     = 30 * time.Second
+	latenessInterval = 10 * time.Millisecond // between two measurements
+)
+
+// run is one soak. Its fields are set before clients and faults run.
 type run struct {
-	Config
-	dir       string
+	config    Config
+	dir       string // for the dispatchers' files
 	start     time.Time
 	discovery *discovery
 	workers   []*worker
@@ -81,7 +85,7 @@
 		return Report{}, err
 	}
 	defer os.RemoveAll(dir)
-	r := &run{Config: config, dir: dir}
+	r := &run{config: config, dir: dir}
 	defer r.close()
 	if err := r.startAll(); err != nil {
 		return Report{}, err
@@ -90,44 +94,57 @@
 	return r.checkRules(), nil
 }
 
-// startAll starts the stand-ins and the dispatchers.
-func (r *run) startAll() (err error) {
+// startAll starts the stand-ins and the dispatchers, and waits until the dispatchers accept clients.
+func (r *run) startAll() error {
+	var err error
 	r.discovery, err = startDiscovery()
 	if err != nil {
 		return err
 	}
-	for i := range r.Workers {
-		w, err := startWorker(fmt.Sprintf("s-%02d", i), &r.records)
+	if err := r.startWorkers(); err != nil {
+		return err
+	}
+	if err := r.prepareDaemons(); err != nil {
+		return err
+	}
+	if err := r.launchDaemons(); err != nil {
+		return err
+	}
+	return r.awaitDaemonsReady()
+}
+
+// startWorkers starts the workers and lists them as ready.
+func (r *run) startWorkers() error {
+	for i := range r.config.Workers {
+		started, err := startWorker(fmt.Sprintf("s-%02d", i), &r.records)
 		if err != nil {
 			return err
 		}
-		r.workers = append(r.workers, w)
-		r.discovery.set(w.name, w.addr, ready)
+		r.workers = append(r.workers, started)
+		r.discovery.set(started.name, started.address, healthReady)
 	}
-	random := rand.New(rand.NewPCG(r.Seed, daemonSeedStream))
-	for i := range r.Daemons {
-		d, err := r.newDaemon(i, i < r.Traced, random.Uint64())
+	return nil
+}
+
+// prepareDaemons prepares the dispatchers, each with a seed of its own. The first ones are traced.
+func (r *run) prepareDaemons() error {
+	random := rand.New(rand.NewPCG(r.config.Seed, daemonSeedStream))
+	for i := range r.config.Daemons {
+		prepared, err := r.newDaemon(i, i < r.config.Traced, random.Uint64())
 		if err != nil {
 			return err
 		}
-		r.daemons = append(r.daemons, d)
-	}
-	if err := r.launchDaemons(); err != nil {
-		return err
+		r.daemons = append(r.daemons, prepared)
 	}
-	return r.awaitReady()
+	return nil
 }
 
-// launchDaemons launches all dispatchers at once and returns the first error.
+// launchDaemons launches all dispatchers at once and returns the error of the first one that has any.
 func (r *run) launchDaemons() error {
 	var launches sync.WaitGroup
 	errs := make([]error, len(r.daemons))
-	for i, d := range r.daemons {
-		launches.Add(1)
-		go func() {
-			defer launches.Done()
-			errs[i] = d.launch()
-		}()
+	for i, daemon := range r.daemons {
+		launches.Go(func() { errs[i] = daemon.launch() })
 	}
 	launches.Wait()
 	for _, err := range errs {
@@ -138,11 +155,11 @@
 	return nil
 }
 
-// awaitReady waits until all dispatchers accept clients.
-func (r *run) awaitReady() error {
-	for _, d := range r.daemons {
-		if !d.awaitReady(startTimeout) {
-			return fmt.Errorf("%s is not ready after %v: %s", d.name, startTimeout, d.lastLog())
+// awaitDaemonsReady waits until all dispatchers accept clients.
+func (r *run) awaitDaemonsReady() error {
+	for _, daemon := range r.daemons {
+		if !daemon.awaitReady(startTimeout) {
+			return fmt.Errorf("%s is not ready after %v: %s", daemon.name, startTimeout, daemon.currentProcess().endOfLog())
 		}
 	}
 	return nil
@@ -154,35 +171,27 @@
 	stop := make(chan struct{})
 	defer close(stop)
 	go r.measureLateness(stop)
-	ctx, cancel := context.WithTimeout(ctx, r.Duration)
+	ctx, cancel := context.WithTimeout(ctx, r.config.Duration)
 	defer cancel()
 	var running sync.WaitGroup
-	for i, d := range r.daemons {
-		running.Add(1)
-		go func() {
-			defer running.Done()
-			r.sendRequests(ctx, d, rand.New(rand.NewPCG(r.Seed, uint64(clientStreamBase+i))))
-		}()
-	}
-	for _, f := range schedule(r.Seed, r.Config) {
-		running.Add(1)
-		go func() {
-			defer running.Done()
-			r.injectFault(ctx, f)
-		}()
+	for i, daemon := range r.daemons {
+		random := rand.New(rand.NewPCG(r.config.Seed, uint64(clientStreamBase+i)))
+		running.Go(func() { r.sendRequests(ctx, daemon, random) })
+	}
+	for _, scheduled := range schedule(r.config.Seed, r.config) {
+		running.Go(func() { r.injectFault(ctx, scheduled) })
 	}
 	running.Wait()
 }
 
 // measureLateness measures how late the machine's timers are, until stop is closed.
 func (r *run) measureLateness(stop <-chan struct{}) {
-	const interval = 10 * time.Millisecond
 	for {
-		due := time.Now().Add(interval)
+		due := time.Now().Add(latenessInterval)
 		select {
 		case <-stop:
 			return
-		case <-time.After(interval):
+		case <-time.After(latenessInterval):
 		}
 		if lateness := int64(time.Since(due)); lateness > r.lateness.Load() {
 			r.lateness.Store(lateness)
@@ -190,45 +199,15 @@
 	}
 }
 
+// close ends all processes and stand-ins that were started.
 func (r *run) close() {
-	for _, d := range r.daemons {
-		d.close()
+	for _, daemon := range r.daemons {
+		daemon.close()
 	}
-	for _, w := range r.workers {
-		w.close()
+	for _, worker := range r.workers {
+		worker.close()
 	}
 	if r.discovery != nil {
 		r.discovery.close()
 	}
 }
-
-// Report is what a soak found.
-type Report struct {
-	Seed       uint64
-	Requests   int           // sent
-	Answered   int           // with a final answer in time
-	Served     int           // of those
-	Excused    int           // their dispatcher was killed, stopped or could not be reached
-	Attempts   int           // that arrived at workers
-	Incomplete int           // requests that were cut off on their way to a worker
-	Faults     int           // injected
-	Lateness   time.Duration // largest of the machine's timers
-	Violations []string      // of the rules
-}
-
-// String describes the report in a few lines, the seed first.
-func (r Report) String() string {
-	text := fmt.Sprintf("seed %d: %d requests, %d answered in time (%d served), %d excused; %d attempts at workers, %d broken off on the way; %d faults; timers %v late at the worst; %d violations",
-		r.Seed, r.Requests, r.Answered, r.Served, r.Excused, r.Attempts, r.Incomplete, r.Faults, r.Lateness.Round(time.Millisecond), len(r.Violations))
-	const maxShown = 20
-	shown := r.Violations[:min(len(r.Violations), maxShown)]
-	return strings.Join(append([]string{text}, shown...), "\n  ")
-}
-
-// claim gives a dispatcher or a worker to one fault at a time.
-type claim struct{ taken atomic.Bool }
-
-// tryClaim takes the claim. It reports false if another fault has it.
-func (c *claim) tryClaim() bool { return c.taken.CompareAndSwap(false, true) }
-
-func (c *claim) release() { c.taken.Store(false) }
--- a/internal/rehearsal/soak/tracer_linux_amd64.go
+++ b/internal/rehearsal/soak/tracer_linux_amd64.go
@@ -5,62 +5,46 @@
 	"syscall"
 	"time"
 
+	"hollyyoke.example/hollyyoke/internal/rehearsal/childprocess"
 	"hollyyoke.example/hollyyoke/internal/rehearsal/faultinject"
 )
 
-// underFaults makes a tracer that starts commands under a plan of failing system calls in the
+// newTracer makes a tracer that starts commands under a plan of failing system calls in the
 // middle of a run, and of steps of the wall clock.
-func underFaults(seed uint64, duration time.Duration) tracer {
+func newTracer(seed uint64, duration time.Duration) tracer {
 	plan := faultPlan(seed, duration)
-	return func(command *exec.Cmd) (int, func() string, error) {
-		p, err := faultinject.Start(command, plan)
-		if err != nil {
-			return 0, nil, err
-		}
-		return p.PID, func() string { return awaitTraced(p) }, nil
+	return func(command *exec.Cmd) (childprocess.Handle, error) {
+		return faultinject.Start(command, plan)
 	}
 }
 
-// awaitTraced waits for the end of a traced process and describes it.
-func awaitTraced(p *faultinject.Process) string {
-	<-p.Done()
-	status, err := p.Status()
-	if err != nil {
-		return err.Error()
-	}
-	if status.Signaled() {
-		return "signal: " + status.Signal().String()
-	}
-	return "exit status"
-}
-
 // faultPlan is the plan of a traced dispatcher for a run of the given duration.
 func faultPlan(seed uint64, duration time.Duration) faultinject.Plan {
 	const (
-		frequent   = 0.2
+		frequent   = 0.2 // probabilities
 		rare       = 0.03
 		shortBytes = 50
 	)
-	fails := func(call faultinject.Call, probability float64, errno syscall.Errno) faultinject.Rule {
+	failing := func(call faultinject.Call, probability float64, errno syscall.Errno) faultinject.Rule {
 		return faultinject.Rule{Call: call, Probability: probability, Error: errno, After: duration / 4, For: duration / 2}
 	}
-	isShort := func(call faultinject.Call) faultinject.Rule {
+	shortened := func(call faultinject.Call) faultinject.Rule {
 		return faultinject.Rule{Call: call, Probability: frequent, Short: shortBytes, After: duration / 4, For: duration / 2}
 	}
 	return faultinject.Plan{
 		Seed: seed,
 		Rules: []faultinject.Rule{
-			fails(faultinject.SocketRead, frequent, syscall.EINTR),
-			isShort(faultinject.SocketRead),
-			fails(faultinject.SocketWrite, frequent, syscall.EINTR),
-			isShort(faultinject.SocketWrite),
-			fails(faultinject.Wait, frequent, syscall.EINTR),
-			fails(faultinject.Accept, rare, syscall.ECONNABORTED),
-			fails(faultinject.Accept, rare, syscall.ENOBUFS),
-			fails(faultinject.Socket, rare, syscall.ENFILE),
-			fails(faultinject.Connect, rare, syscall.EADDRNOTAVAIL),
-			fails(faultinject.Connect, rare, syscall.ENETUNREACH),
-			fails(faultinject.SetOption, rare, syscall.ENOBUFS),
+			failing(faultinject.SocketRead, frequent, syscall.EINTR),
+			shortened(faultinject.SocketRead),
+			failing(faultinject.SocketWrite, frequent, syscall.EINTR),
+			shortened(faultinject.SocketWrite),
+			failing(faultinject.Wait, frequent, syscall.EINTR),
+			failing(faultinject.Accept, rare, syscall.ECONNABORTED),
+			failing(faultinject.Accept, rare, syscall.ENOBUFS),
+			failing(faultinject.Socket, rare, syscall.ENFILE),
+			failing(faultinject.Connect, rare, syscall.EADDRNOTAVAIL),
+			failing(faultinject.Connect, rare, syscall.ENETUNREACH),
+			failing(faultinject.SetOption, rare, syscall.ENOBUFS),
 		},
 		Steps: []faultinject.Step{
 			{After: duration / 5, Offset: time.Hour},
--- a/internal/rehearsal/soak/worker.go
+++ b/internal/rehearsal/soak/worker.go
@@ -12,20 +12,23 @@
 	"time"
 )
 
+// jobDuration is how long a worker takes to execute a request.
+const jobDuration = 10 * time.Millisecond
+
 // worker is the stand-in for a worker. It executes every request, also while it is listed as
 // draining or gone: whether that was allowed is checked from the records. It is safe for
 // concurrent use.
 type worker struct {
 	claim
 	name     string
-	addr     string
+	address  string
 	listener net.Listener
 	records  *records
 
-	mu         sync.Mutex
-	conns      map[net.Conn]bool
-	draining   bool
-	hangsUntil time.Time // it does not answer before
+	mutex       sync.Mutex
+	connections map[net.Conn]bool
+	draining    bool
+	hangsUntil  time.Time // it does not answer before
 }
 
 func startWorker(name string, records *records) (*worker, error) {
@@ -33,8 +36,14 @@
 	if err != nil {
 		return nil, err
 	}
-	w := &worker{name: name, addr: listener.Addr().String(), listener: listener, records: records, conns: map[net.Conn]bool{}}
-	go serveAll(listener, w.serve)
+	w := &worker{
+		name:        name,
+		address:     listener.Addr().String(),
+		listener:    listener,
+		records:     records,
+		connections: map[net.Conn]bool{},
+	}
+	go serveConnections(listener, w.serve)
 	return w, nil
 }
 
@@ -45,58 +54,59 @@
 
 // reset resets all connections.
 func (w *worker) reset() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for conn := range w.conns {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	for conn := range w.connections {
 		conn.(*net.TCPConn).SetLinger(0)
 		conn.Close()
 	}
 }
 
-// drain makes health checks answer that the worker is draining, or no longer.
-func (w *worker) drain(draining bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// setDraining sets whether health checks find the worker draining.
+func (w *worker) setDraining(draining bool) {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
 	w.draining = draining
 }
 
 // hang delays all answers for a time.
 func (w *worker) hang(duration time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
 	w.hangsUntil = time.Now().Add(duration)
 }
 
+// state returns whether the worker is draining and how long it still hangs.
 func (w *worker) state() (draining bool, hang time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
 	return w.draining, time.Until(w.hangsUntil)
 }
 
-func (w *worker) addConn(conn net.Conn) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.conns[conn] = true
+func (w *worker) addConnection(conn net.Conn) {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	w.connections[conn] = true
 }
 
-func (w *worker) removeConn(conn net.Conn) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	delete(w.conns, conn)
+func (w *worker) removeConnection(conn net.Conn) {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	delete(w.connections, conn)
 }
 
 // serve answers the requests of a connection one after the other.
 func (w *worker) serve(conn net.Conn) {
-	w.addConn(conn)
+	w.addConnection(conn)
 	defer conn.Close()
-	defer w.removeConn(conn)
+	defer w.removeConnection(conn)
 	input := bufio.NewReader(conn)
 	for {
 		request, err := http.ReadRequest(input)
 		if err != nil {
 			return
 		}
-		arrived := time.Now()
+		arrivedAt := time.Now()
 		if _, err := io.Copy(io.Discard, request.Body); err != nil {
 			w.records.addIncomplete() // the attempt has never arrived
 			return
@@ -107,7 +117,7 @@
 			w.answerHealthCheck(conn, draining)
 			continue
 		}
-		w.execute(conn, request, arrived)
+		w.execute(conn, request, arrivedAt)
 	}
 }
 
@@ -119,20 +129,24 @@
 	fmt.Fprintf(conn, "HTTP/1.1 %s\r\nContent-Length: 3\r\n\r\n{}\n", status)
 }
 
-const jobDuration = 10 * time.Millisecond
-
 // execute records an attempt and answers it.
-func (w *worker) execute(conn net.Conn, request *http.Request, arrived time.Time) {
-	id := request.Header.Get("X-Correlation-Id")
-	timeLeftMs, _ := strconv.Atoi(request.Header.Get("X-Time-Left-Ms"))
+func (w *worker) execute(conn net.Conn, request *http.Request, arrivedAt time.Time) {
+	id := request.Header.Get(correlationHeader)
+	timeLeftMs, _ := strconv.Atoi(request.Header.Get(timeLeftHeader))
 	class, _, _ := strings.Cut(strings.TrimPrefix(request.URL.Path, "/"), "/")
 	w.records.addAttempt(attempt{
-		id: id, class: class, worker: w.name, arrived: arrived, timeLeft: time.Duration(timeLeftMs) * time.Millisecond,
+		id:        id,
+		class:     class,
+		worker:    w.name,
+		arrivedAt: arrivedAt,
+		timeLeft:  time.Duration(timeLeftMs) * time.Millisecond,
 	})
-	update := func(state string) string {
-		return chunk(fmt.Sprintf(`{"id":%q,"from":%q,"state":%q,"result":"r"}`+"\n", id, w.name, state))
-	}
-	io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"+update("started"))
+	io.WriteString(conn, chunkedResponseHead+w.progressChunk(id, "started"))
 	time.Sleep(jobDuration)
-	io.WriteString(conn, update("done")+"0\r\n\r\n")
+	io.WriteString(conn, w.progressChunk(id, "done")+lastChunk)
+}
+
+// progressChunk is the chunk of a response that says which state a job has reached.
+func (w *worker) progressChunk(id, state string) string {
+	return encodeChunk(fmt.Sprintf(`{"id":%q,"from":%q,"state":%q,"result":"r"}`+"\n", id, w.name, state))
 }
