--- a/internal/rehearsal/replay/connection.go
+++ b/internal/rehearsal/replay/connection.go
@@ -10,54 +10,52 @@
 	"time"
 )
 
-// The reasons for which requests are lost or not sent.
-const (
-	reasonTimeout    Reason = "lost: no answer in time"
-	reasonUnreadable Reason = "lost: an answer that cannot be read"
-	reasonClosed     Reason = "lost: the connection ended"
-	reasonUnsent     Reason = "not sent"
-)
-
 // connection is a connection to the dispatcher with at most one request at a time. Answers are
 // parsed with the standard library, not with the code of the front ends that are tested.
+//
+// One goroutine at a time sends, and another one runs readAnswers. Both take the pending request
+// by an atomic operation, and the one that gets it completes or retries it: the reader sets ended
+// before it takes the request for the last time, and the sender looks at ended after it has stored
+// a request, so that no request is left on an ended connection.
 type connection struct {
 	replayer *replayer
 	conn     net.Conn
 	input    *bufio.Reader
-	buffer   []byte
-	request  atomic.Pointer[request] // nil: idle
+	buffer   []byte                  // of the sender
+	pending  atomic.Pointer[request] // nil: idle
+	ended    atomic.Bool
 	answered atomic.Pointer[request] // the last one
-	closed   atomic.Bool             // set before request is taken for the last time
-	reused   bool                    // an answer has been read
+	reused   bool                    // an answer has been read; of the reader
 }
 
-func newConnection(r *replayer, conn net.Conn) *connection {
+func newConnection(replayer *replayer, conn net.Conn) *connection {
 	const inputBytes = 4096
-	return &connection{replayer: r, conn: conn, input: bufio.NewReaderSize(conn, inputBytes)}
+	return &connection{replayer: replayer, conn: conn, input: bufio.NewReaderSize(conn, inputBytes)}
 }
 
+// filler is the content of bodies.
 var filler = bytes.Repeat([]byte("x"), maxBodyBytes)
 
-// send writes a request. Its answer is read by readAnswers.
+// send writes a request. Its answer is read by readAnswers, which also notices that the write failed.
 func (c *connection) send(next *request) {
 	body := filler[:min(next.BodyBytes, maxBodyBytes)]
-	if c.replayer.Faktory {
+	if c.replayer.options.Faktory {
 		c.buffer = appendPush(c.buffer[:0], next, body)
 	} else {
-		c.buffer = appendHTTPRequest(c.buffer[:0], next, c.replayer.Target, body)
+		c.buffer = appendHTTPRequest(c.buffer[:0], next, c.replayer.options.Target, body)
 	}
 	c.conn.SetReadDeadline(time.Now().Add(next.Timeout + deadlineSlack))
 	if !next.retried {
 		next.written = time.Since(c.replayer.start)
 	}
-	c.request.Store(next)
-	if c.closed.Load() { // since it was taken from the idle connections
-		if c.request.CompareAndSwap(next, nil) {
+	c.pending.Store(next)
+	if c.ended.Load() { // since it was taken from the idle connections
+		if c.pending.CompareAndSwap(next, nil) {
 			c.retry(next)
 		}
 		return
 	}
-	c.conn.Write(c.buffer) // readAnswers notices a failure
+	c.conn.Write(c.buffer)
 }
 
 // answer is a final answer to a request.
@@ -72,81 +70,81 @@
 	defer c.conn.Close()
 	for {
 		if _, err := c.input.Peek(1); err != nil {
-			c.connectionEnded(err, false)
+			c.end(err, false)
 			return
 		}
-		answer, err := c.readAnswer()
+		final, err := c.readAnswer()
 		if err != nil {
-			c.connectionEnded(err, true)
+			c.end(err, true)
 			return
 		}
-		done := c.request.Swap(nil)
-		if done == nil {
-			c.countSurplusAnswer()
-			continue
-		}
-		c.answered.Store(done)
-		c.conn.SetReadDeadline(time.Time{})
-		c.reused = true
-		c.replayer.complete(done, answer.outcome, answer.reason)
-		if answer.last {
-			c.conn.SetReadDeadline(time.Now().Add(duplicateWindow))
-			continue
-		}
-		c.replayer.release(c)
+		c.handleAnswer(final)
 	}
 }
 
 // readAnswer reads one answer.
 func (c *connection) readAnswer() (answer, error) {
-	if c.replayer.Faktory {
+	if c.replayer.options.Faktory {
 		return c.readFaktoryAnswer()
 	}
 	return c.readHTTPAnswer()
 }
 
-// countSurplusAnswer counts an answer without a request: a second one to the last request, or a
-// stray one.
+// handleAnswer completes the pending request and makes the connection idle. An answer without a
+// request is a second one to the last request, or a stray one.
+func (c *connection) handleAnswer(final answer) {
+	done := c.pending.Swap(nil)
+	if done == nil {
+		c.countSurplusAnswer()
+		return
+	}
+	c.answered.Store(done)
+	c.conn.SetReadDeadline(time.Time{})
+	c.reused = true
+	c.replayer.complete(done, final.outcome, final.reason)
+	if final.last {
+		c.conn.SetReadDeadline(time.Now().Add(duplicateWindow))
+		return
+	}
+	c.replayer.pool.put(c)
+}
+
 func (c *connection) countSurplusAnswer() {
-	c.replayer.mu.Lock()
-	defer c.replayer.mu.Unlock()
 	if last := c.answered.Load(); last != nil {
-		last.tally.DuplicateAnswers++
+		c.replayer.recorder.addDuplicateAnswer(last)
 	} else {
-		c.replayer.result.StrayAnswers++
+		c.replayer.recorder.addStrayAnswer()
 	}
 }
 
-// connectionEnded completes the request of a connection that has ended; partial: within an
-// answer. If a reused connection ends before the answer begins, the request is sent once more, as
-// clients do.
-func (c *connection) connectionEnded(err error, partial bool) {
-	c.closed.Store(true)
-	c.replayer.removeIdle(c)
-	pending := c.request.Swap(nil)
-	if pending == nil {
+// end completes the pending request of a connection that has ended by an error; withinAnswer: after
+// the answer had begun. If a reused connection ends before the answer begins, the request is sent
+// once more, as clients do.
+func (c *connection) end(err error, withinAnswer bool) {
+	c.ended.Store(true)
+	c.replayer.pool.remove(c)
+	unanswered := c.pending.Swap(nil)
+	if unanswered == nil {
 		return
 	}
-	timeout := errors.Is(err, os.ErrDeadlineExceeded)
-	if c.reused && !pending.retried && !partial && !timeout {
-		c.retry(pending)
+	timedOut := errors.Is(err, os.ErrDeadlineExceeded)
+	if c.reused && !unanswered.retried && !withinAnswer && !timedOut {
+		c.retry(unanswered)
 		return
 	}
+	reason := reasonClosed
 	switch {
-	case timeout:
-		c.replayer.complete(pending, Lost, reasonTimeout)
-	case partial:
-		c.replayer.complete(pending, Lost, reasonUnreadable)
-	default:
-		c.replayer.complete(pending, Lost, reasonClosed)
+	case timedOut:
+		reason = reasonTimeout
+	case withinAnswer:
+		reason = reasonUnreadable
 	}
+	c.replayer.complete(unanswered, Lost, reason)
 }
 
 // retry sends a request once more on a new connection, without waiting for it.
 func (c *connection) retry(next *request) {
 	next.retried = true
-	c.replayer.mu.Lock()
-	next.tally.Retried++
-	c.replayer.mu.Unlock()
+	c.replayer.recorder.addRetried(next)
 	go c.replayer.sendOnNewConnection(next)
 }
--- a/internal/rehearsal/replay/faktory.go
+++ b/internal/rehearsal/replay/faktory.go
@@ -47,10 +47,11 @@
 	Version      int    `json:"v"`
 }
 
-var errHandshake = errors.New("the greeting is none")
+// errProtocol means that what the server sent is not of the Faktory protocol, or of another version of it.
+var errProtocol = errors.New("not the Faktory protocol, version 2")
 
 // appendPush appends the request as a PUSH command.
-func appendPush(b []byte, next *request, body []byte) []byte {
+func appendPush(buffer []byte, next *request, body []byte) []byte {
 	text, _ := json.Marshal(faktoryJob{ // strings and numbers always marshal
 		Args: []string{string(body)},
 		Custom: faktoryCustom{
@@ -63,9 +64,9 @@
 		JobType: next.class,
 		Queue:   next.class,
 	})
-	b = append(b, "PUSH "...)
-	b = append(b, text...)
-	return append(b, "\r\n"...)
+	buffer = append(buffer, "PUSH "...)
+	buffer = append(buffer, text...)
+	return append(buffer, "\r\n"...)
 }
 
 // readFaktoryAnswer reads the answer to a PUSH.
@@ -94,16 +95,16 @@
 	if !isBulk {
 		return line, nil
 	}
-	n, err := strconv.Atoi(length)
-	if err != nil || n > maxBulkBytes {
-		return "", errHandshake
+	textBytes, err := strconv.Atoi(length)
+	if err != nil || textBytes > maxBulkBytes {
+		return "", errProtocol
 	}
-	if n < 0 {
+	if textBytes < 0 { // the null string
 		return "", nil
 	}
-	text := make([]byte, n+len("\r\n"))
+	text := make([]byte, textBytes+len("\r\n"))
 	_, err = io.ReadFull(c.input, text)
-	return string(text[:n]), err
+	return string(text[:textBytes]), err
 }
 
 // handshake logs in as a producer.
@@ -113,10 +114,12 @@
 		return err
 	}
 	var greeting faktoryGreeting
-	text, ok := strings.CutPrefix(line, "+HI ")
-	if !ok || json.Unmarshal([]byte(text), &greeting) != nil || greeting.Version != faktoryVersion ||
-		greeting.Iterations > maxHashIterations {
-		return errHandshake
+	text, isGreeting := strings.CutPrefix(line, "+HI ")
+	if !isGreeting || json.Unmarshal([]byte(text), &greeting) != nil {
+		return errProtocol
+	}
+	if greeting.Version != faktoryVersion || greeting.Iterations > maxHashIterations {
+		return errProtocol
 	}
 	hello := faktoryHello{Hostname: "rehearsal", Version: faktoryVersion}
 	if greeting.Salt != "" {
--- a/internal/rehearsal/replay/fidelity.go
+++ b/internal/rehearsal/replay/fidelity.go
@@ -3,9 +3,6 @@
 import (
 	"math"
 	"slices"
-	"time"
-
-	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
 // Fidelity compares the times of the sends with those of the recording. Withheld entries count in
@@ -29,84 +26,20 @@
 	Replayed int64   `json:"replayed_us"`
 }
 
-const (
-	maxCompared    = 4 << 20 // entries
-	minSecondCount = 50      // a smaller second's error is a share of this
-)
-
 // gapQuantiles are those of Fidelity.Gaps.
 var gapQuantiles = []float64{0.1, 0.5, 0.9, 0.99, 0.999}
 
-// series collects the times of a replay. Times are since its start.
-type series struct {
-	seconds       []*Second
-	due           []int64 // µs
-	sent          []int64 // µs
-	lateness      *hdrhistogram.Histogram
-	writeLateness *hdrhistogram.Histogram
-}
-
-func newSeries() *series {
-	return &series{lateness: newHistogram(), writeLateness: newHistogram()}
-}
-
-// second returns the second of a time.
-func (s *series) second(at time.Duration) *Second {
-	n := max(int(at/time.Second), 0)
-	for len(s.seconds) <= n {
-		s.seconds = append(s.seconds, &Second{})
-	}
-	return s.seconds[n]
-}
-
-// add adds an entry that was due and sent at the given times.
-func (s *series) add(due, sent time.Duration) {
-	s.second(due).Recorded++
-	s.second(sent).Replayed++
-	s.lateness.RecordValue(max((sent - due).Microseconds(), 0))
-	if len(s.due) < maxCompared {
-		s.due = append(s.due, due.Microseconds())
-		s.sent = append(s.sent, sent.Microseconds())
-	}
-}
-
-// addWritten adds the time at which an entry was written.
-func (s *series) addWritten(due, written time.Duration) {
-	s.writeLateness.RecordValue(max((written - due).Microseconds(), 0))
-}
-
-// finish completes the seconds and computes the fidelity.
-func (s *series) finish(f *Fidelity) []*Second {
-	for _, second := range s.seconds {
-		difference := math.Abs(float64(second.Replayed - second.Recorded))
-		f.MaxSecondError = max(f.MaxSecondError, difference/float64(max(second.Recorded, minSecondCount)))
-		slices.Sort(second.latency)
-		if n := len(second.latency); n > 0 {
-			second.P99Us = second.latency[(n-1)*99/100]
-		}
-	}
-	f.LatenessP50 = s.lateness.ValueAtQuantile(50)
-	f.LatenessP99 = s.lateness.ValueAtQuantile(99)
-	f.LatenessMax = s.lateness.Max()
-	f.WriteLatenessP99 = s.writeLateness.ValueAtQuantile(99)
-	f.Compared = len(s.due)
-	slices.Sort(s.due)
-	slices.Sort(s.sent)
-	f.KS = kolmogorovSmirnov(s.due, s.sent)
-	recorded := sortedGaps(s.due)
-	replayed := sortedGaps(s.sent)
-	f.KSGaps = kolmogorovSmirnov(recorded, replayed)
+// gapRows returns the rows of the quantiles of two sorted samples of the same size; none if they are empty.
+func gapRows(recorded, replayed []int64) []GapRow {
 	if len(recorded) == 0 {
-		return s.seconds
+		return nil
 	}
-	for _, q := range gapQuantiles {
-		f.Gaps = append(f.Gaps, GapRow{
-			Quantile: q,
-			Recorded: recorded[int(q*float64(len(recorded)-1))],
-			Replayed: replayed[int(q*float64(len(replayed)-1))],
-		})
+	var rows []GapRow
+	for _, quantile := range gapQuantiles {
+		index := int(quantile * float64(len(recorded)-1))
+		rows = append(rows, GapRow{Quantile: quantile, Recorded: recorded[index], Replayed: replayed[index]})
 	}
-	return s.seconds
+	return rows
 }
 
 // sortedGaps returns the differences of neighbouring values, sorted.
@@ -121,18 +54,21 @@
 
 // kolmogorovSmirnov is the Kolmogorov-Smirnov distance of two sorted samples: the largest
 // difference of their distribution functions.
-func kolmogorovSmirnov(a, b []int64) (distance float64) {
+func kolmogorovSmirnov(first, second []int64) float64 {
+	distance := 0.0
 	i := 0
 	j := 0
-	for i < len(a) && j < len(b) {
-		value := min(a[i], b[j])
-		for i < len(a) && a[i] == value {
+	for i < len(first) && j < len(second) {
+		value := min(first[i], second[j])
+		for i < len(first) && first[i] == value {
 			i++
 		}
-		for j < len(b) && b[j] == value {
+		for j < len(second) && second[j] == value {
 			j++
 		}
-		distance = max(distance, math.Abs(float64(i)/float64(len(a))-float64(j)/float64(len(b))))
+		shareOfFirst := float64(i) / float64(len(first))
+		shareOfSecond := float64(j) / float64(len(second))
+		distance = max(distance, math.Abs(shareOfFirst-shareOfSecond))
 	}
 	return distance
 }
--- a/internal/rehearsal/replay/http.go
+++ b/internal/rehearsal/replay/http.go
@@ -11,17 +11,17 @@
 const maxAnswerBytes = 1 << 20
 
 // appendHTTPRequest appends the request in the form of the HTTP front end.
-func appendHTTPRequest(b []byte, next *request, target string, body []byte) []byte {
-	b = fmt.Appendf(b, "POST %s HTTP/1.1\r\nHost: %s\r\nX-Correlation-Id: %s\r\nX-Time-Left-Ms: %d\r\n"+
+func appendHTTPRequest(buffer []byte, next *request, target string, body []byte) []byte {
+	buffer = fmt.Appendf(buffer, "POST %s HTTP/1.1\r\nHost: %s\r\nX-Correlation-Id: %s\r\nX-Time-Left-Ms: %d\r\n"+
 		"X-Weight-Hint: %d\r\nContent-Length: %d\r\n", next.path, target, next.id, next.Timeout.Milliseconds(),
 		next.Effort.Microseconds(), len(body))
 	if next.Slots != 1 {
-		b = append(b, "X-Facts: slots="...)
-		b = strconv.AppendFloat(b, next.Slots, 'g', -1, 64)
-		b = append(b, "\r\n"...)
+		buffer = append(buffer, "X-Facts: slots="...)
+		buffer = strconv.AppendFloat(buffer, next.Slots, 'g', -1, 64)
+		buffer = append(buffer, "\r\n"...)
 	}
-	b = append(b, "\r\n"...)
-	return append(b, body...)
+	buffer = append(buffer, "\r\n"...)
+	return append(buffer, body...)
 }
 
 // readHTTPAnswer reads an answer of the HTTP front end.
--- a/internal/rehearsal/replay/replay.go
+++ b/internal/rehearsal/replay/replay.go
@@ -58,34 +58,36 @@
 	if !(options.Speed >= minSpeed && options.Speed <= maxSpeed) {
 		return nil, fmt.Errorf("speed: %g is not between 0.001 and 1000", options.Speed)
 	}
-	r := newReplayer(options, reader.Header.Classes)
+	replayer := newReplayer(options, reader.Header.Classes)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	requests := make(chan *request, readAhead)
 	var readErr error
-	go func() { // decompression must not delay a send
-		defer close(requests)
-		readErr = r.readRequests(ctx, reader, requests)
+	// Entries are read ahead, so that decompression does not delay a send.
+	go func() {
+		defer close(requests) // after readErr is set
+		readErr = replayer.readRequests(ctx, reader, requests)
 	}()
-	r.openWarmConnections()
-	r.start = time.Now().Add(startDelay)
-	r.sendAll(requests)
-	r.inFlight.Wait()
+	replayer.openWarmConnections()
+	replayer.start = time.Now().Add(startDelay)
+	replayer.sendAll(requests)
+	replayer.unfinished.Wait()
 	canceled := errors.Is(readErr, context.Canceled)
 	if readErr != nil && !canceled {
 		return nil, readErr
 	}
 	time.Sleep(duplicateWindow)
-	result := r.finish()
+	replayer.pool.closeAll()
+	result := replayer.recorder.finish()
 	if canceled {
 		return result, context.Canceled
 	}
 	return result, nil
 }
 
-// ID is the n-th id of a seed in the form that clients use: 16 hexadecimal digits.
-func ID(seed uint64, n int) string {
-	return fmt.Sprintf("%016x", xxhash.Sum64String(fmt.Sprintf("hollyyoke rehearsal %d %d", seed, n)))
+// ID is the id of an entry by its number in the recording, in the form that clients use: 16 hexadecimal digits.
+func ID(seed uint64, number int) string {
+	return fmt.Sprintf("%016x", xxhash.Sum64String(fmt.Sprintf("hollyyoke rehearsal %d %d", seed, number)))
 }
 
 // CheckLoopback returns an error unless addr is a host:port on a loopback address.
--- a/internal/rehearsal/replay/replayer.go
+++ b/internal/rehearsal/replay/replayer.go
@@ -2,14 +2,12 @@
 
 import (
 	"context"
-	"fmt"
 	"net"
 	"runtime"
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
 	"golang.org/x/sys/unix"
 
 	"hollyyoke.example/hollyyoke/internal/rehearsal/recording"
@@ -17,75 +15,50 @@
 )
 
 const (
-	deadlineSlack      = 50 * time.Millisecond // that every timeout is longer on sockets
-	dialTimeout        = 2 * time.Second
-	readAhead          = 4096 // entries that are read before they are due
-	maxBodyBytes       = 60 << 10
-	maxIdleConnections = 4096
-	warmConnections    = 48                     // that are opened before the first entry
-	startDelay         = 300 * time.Millisecond // before the first entry
-	duplicateWindow    = 200 * time.Millisecond // in which a second answer is still detected
+	deadlineSlack   = 50 * time.Millisecond // that every timeout is longer on sockets
+	dialTimeout     = 2 * time.Second
+	readAhead       = 4096 // entries that are read before they are due
+	maxBodyBytes    = 60 << 10
+	warmConnections = 48                     // that are opened before the first entry
+	startDelay      = 300 * time.Millisecond // before the first entry
+	duplicateWindow = 200 * time.Millisecond // in which a second answer is still detected
 )
 
-// request is an entry that is being sent.
+// request is an entry that is being sent. Times are since the start of the replay.
 type request struct {
 	recording.Entry
-	id         string
-	path       string
-	class      string
-	retryable  bool
-	tally      *Tally
-	due        time.Duration // since the start
-	dispatched time.Duration // when it was written, or a connection for it was begun
-	written    time.Duration
-	retried    bool        // sent again on a new connection
-	completed  atomic.Bool // its outcome is recorded
-}
-
-// replayer is one run.
+	id        string
+	path      string
+	class     string
+	retryable bool
+	tally     *Tally // of its class
+	due       time.Duration
+	begun     time.Duration // when it was written, or a connection for it was begun
+	written   time.Duration // first
+	retried   bool          // sent again on a new connection
+	completed atomic.Bool   // its outcome is recorded
+}
+
+// replayer is one replay. It sends requests from one goroutine; answers arrive on one goroutine for each connection.
 type replayer struct {
-	Options
-	start  time.Time
-	opened atomic.Int64 // connections
-	// inFlight counts the entries without an outcome.
-	inFlight sync.WaitGroup
-
-	mu             sync.Mutex // for idle, and for all that is recorded
-	idle           []*connection
-	result         *Result
-	series         *series
-	idsHash        uint64 // of the ids that were sent, whatever their order
-	completedCount int
+	options    Options
+	start      time.Time // set before the first request is sent
+	recorder   *recorder
+	pool       pool
+	dialed     atomic.Int64   // connections, to choose their local addresses in turn
+	unfinished sync.WaitGroup // the requests that were sent and have no outcome
 }
 
 func newReplayer(options Options, classes []*recordingpb.Class) *replayer {
-	r := &replayer{Options: options, series: newSeries()}
-	r.result = &Result{Classes: map[string]*Tally{}, Rejections: map[string]int{}, Failures: map[string]int{}}
-	for _, class := range classes {
-		r.result.Classes[class.Name] = &Tally{intended: newHistogram(), actual: newHistogram()}
-	}
-	return r
+	return &replayer{options: options, recorder: newRecorder(classes, options.LatencyObjectives)}
 }
 
 // readRequests reads the recording's entries into the channel.
 func (r *replayer) readRequests(ctx context.Context, reader *recording.Reader, requests chan<- *request) error {
-	n := 0
+	count := 0
 	return reader.ForEach(func(entry *recording.Entry) error {
-		class := reader.Header.Classes[entry.Class]
-		path := "/" + class.Name
-		if entry.Key != 0 {
-			path += "/" + entry.KeyText()
-		}
-		next := &request{
-			Entry:     *entry,
-			id:        ID(r.Seed, n),
-			path:      path,
-			class:     class.Name,
-			retryable: class.Retryable,
-			tally:     r.result.Classes[class.Name],
-			due:       time.Duration(float64(entry.Arrival) / r.Speed),
-		}
-		n++
+		next := r.newRequest(count, entry, reader.Header.Classes[entry.Class])
+		count++
 		select {
 		case requests <- next:
 			return nil
@@ -95,6 +68,23 @@
 	})
 }
 
+// newRequest makes the request of a recording's entry.
+func (r *replayer) newRequest(number int, entry *recording.Entry, class *recordingpb.Class) *request {
+	path := "/" + class.Name
+	if entry.Key != 0 {
+		path += "/" + entry.KeyText()
+	}
+	return &request{
+		Entry:     *entry,
+		id:        ID(r.options.Seed, number),
+		path:      path,
+		class:     class.Name,
+		retryable: class.Retryable,
+		tally:     r.recorder.tally(class.Name),
+		due:       time.Duration(float64(entry.Arrival) / r.options.Speed),
+	}
+}
+
 // sendAll sends each request when it is due, and waits for nothing else.
 func (r *replayer) sendAll(requests <-chan *request) {
 	// The sender must run when a request is due, whatever else this process does: it gets a
@@ -112,45 +102,39 @@
 	}
 	for next := range requests {
 		sleepUntil(r.start.Add(next.due))
-		r.dispatch(next)
+		r.sendOrWithhold(next)
 	}
 }
 
-// dispatch sends a request on an idle connection or a new one, or withholds it.
-func (r *replayer) dispatch(next *request) {
-	next.dispatched = time.Since(r.start)
-	if !next.retryable && (r.Verified == nil || !r.Verified()) {
-		r.mu.Lock()
-		next.tally.Withheld++
-		r.mu.Unlock()
+// sendOrWithhold sends a request on an idle connection or a new one, or withholds it if it must not be retried and the
+// workers are not verified.
+func (r *replayer) sendOrWithhold(next *request) {
+	next.begun = time.Since(r.start)
+	if !next.retryable && !r.isVerified() {
+		r.recorder.addWithheld(next)
 		return
 	}
-	if r.OnSend != nil {
-		r.OnSend(next.id, next.class, next.retryable, next.path, &next.Entry)
-	}
-	r.mu.Lock()
-	next.tally.Sent++
-	r.idsHash ^= xxhash.Sum64String(next.id)
-	var idle *connection
-	if n := len(r.idle); n > 0 {
-		idle = r.idle[n-1]
-		r.idle = r.idle[:n-1]
+	if r.options.OnSend != nil {
+		r.options.OnSend(next.id, next.class, next.retryable, next.path, &next.Entry)
 	}
-	r.mu.Unlock()
-	r.inFlight.Add(1)
-	if idle != nil {
+	r.recorder.addSent(next)
+	r.unfinished.Add(1)
+	if idle := r.pool.take(); idle != nil {
 		idle.send(next)
-	} else {
-		go r.sendOnNewConnection(next)
+		return
 	}
+	go r.sendOnNewConnection(next)
 }
 
+// isVerified reports whether requests that must not be retried may be sent now.
+func (r *replayer) isVerified() bool { return r.options.Verified != nil && r.options.Verified() }
+
 // sleepUntil sleeps as precisely as the system can; Go's timers may be a millisecond late on an
 // idle machine.
-func sleepUntil(t time.Time) {
+func sleepUntil(moment time.Time) {
 	const spin = 60 * time.Microsecond // that are spent yielding
 	for {
-		left := time.Until(t)
+		left := time.Until(moment)
 		switch {
 		case left <= 0:
 			return
@@ -163,18 +147,16 @@
 	}
 }
 
-// openWarmConnections opens some connections before the first entry.
+// openWarmConnections opens some connections before the first entry. Those that cannot be opened are left out.
 func (r *replayer) openWarmConnections() {
 	var opening sync.WaitGroup
 	for range warmConnections {
-		opening.Add(1)
-		go func() {
-			defer opening.Done()
-			if c, err := r.dial(); err == nil {
-				r.release(c)
-				go c.readAnswers()
+		opening.Go(func() {
+			if opened, err := r.dial(); err == nil {
+				r.pool.put(opened)
+				go opened.readAnswers()
 			}
-		}()
+		})
 	}
 	opening.Wait()
 }
@@ -182,61 +164,36 @@
 // dial opens a connection and, for the Faktory front end, logs in.
 func (r *replayer) dial() (*connection, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
-	if n := len(r.LocalAddresses); n > 0 {
-		dialer.LocalAddr = &net.TCPAddr{IP: r.LocalAddresses[int(r.opened.Add(1))%n].AsSlice()}
+	if addresses := r.options.LocalAddresses; len(addresses) > 0 {
+		turn := int(r.dialed.Add(1)) % len(addresses)
+		dialer.LocalAddr = &net.TCPAddr{IP: addresses[turn].AsSlice()}
 	}
-	conn, err := dialer.Dial("tcp", r.Target)
+	conn, err := dialer.Dial("tcp", r.options.Target)
 	if err != nil {
 		return nil, err
 	}
-	c := newConnection(r, conn)
-	if r.Faktory {
+	opened := newConnection(r, conn)
+	if r.options.Faktory {
 		conn.SetDeadline(time.Now().Add(dialTimeout))
-		if err := c.handshake(r.Password); err != nil {
+		if err := opened.handshake(r.options.Password); err != nil {
 			conn.Close()
 			return nil, err
 		}
 		conn.SetDeadline(time.Time{})
 	}
-	return c, nil
+	return opened, nil
 }
 
 // sendOnNewConnection opens a connection and sends a request on it.
 func (r *replayer) sendOnNewConnection(next *request) {
-	c, err := r.dial()
+	opened, err := r.dial()
 	if err != nil {
-		r.mu.Lock()
-		next.tally.Sent--
-		r.idsHash ^= xxhash.Sum64String(next.id)
-		r.mu.Unlock()
+		r.recorder.removeSent(next)
 		r.complete(next, Unsent, Reason(err.Error()))
 		return
 	}
-	c.send(next)
-	go c.readAnswers()
-}
-
-// release makes a connection idle.
-func (r *replayer) release(c *connection) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if len(r.idle) >= maxIdleConnections {
-		c.conn.Close()
-		return
-	}
-	r.idle = append(r.idle, c)
-}
-
-// removeIdle removes a connection that has ended from the idle ones.
-func (r *replayer) removeIdle(c *connection) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for i, other := range r.idle {
-		if other == c {
-			r.idle = append(r.idle[:i], r.idle[i+1:]...)
-			return
-		}
-	}
+	opened.send(next)
+	go opened.readAnswers()
 }
 
 // complete records the outcome of a request; only its first call has an effect.
@@ -244,76 +201,9 @@
 	if done.completed.Swap(true) {
 		return
 	}
-	now := time.Since(r.start)
-	r.mu.Lock()
-	r.recordOutcome(done, outcome, reason, now)
-	r.completedCount++
-	completed := r.completedCount
-	r.mu.Unlock()
-	if r.OnProgress != nil {
-		r.OnProgress(completed)
-	}
-	r.inFlight.Done()
-}
-
-// recordOutcome records an outcome at a time since the start. The caller holds the lock.
-func (r *replayer) recordOutcome(done *request, outcome Outcome, reason Reason, now time.Duration) {
-	tally := done.tally
-	second := r.series.second(now)
-	switch outcome {
-	case Served:
-		tally.Served++
-		second.Served++
-		r.recordLatency(done, now)
-	case Rejected:
-		tally.Rejected++
-		second.Rejected++
-		countReason(r.result.Rejections, done.class, reason)
-	case Failed:
-		tally.Failed++
-		second.Failed++
-		countReason(r.result.Failures, done.class, reason)
-	case Lost:
-		tally.Lost++
-		second.Lost++
-		countReason(r.result.Failures, done.class, reason)
-	case Unsent:
-		tally.Unsent++
-		countReason(r.result.Failures, done.class, reasonUnsent)
-	}
-	if outcome != Unsent {
-		r.series.addWritten(done.due, done.written)
-	}
-	r.series.add(done.due, done.dispatched)
-}
-
-// recordLatency records the latency of a served request. The caller holds the lock.
-func (r *replayer) recordLatency(served *request, now time.Duration) {
-	latency := now - served.due
-	if objective := r.LatencyObjectives[served.class]; objective == 0 || latency <= objective {
-		served.tally.WithinObjective++
-	}
-	served.tally.intended.RecordValue(max(latency.Microseconds(), 1))
-	served.tally.actual.RecordValue(max((now - served.written).Microseconds(), 1))
-	due := r.series.second(served.due)
-	due.latency = append(due.latency, latency.Microseconds())
-	r.result.ServedIDs = append(r.result.ServedIDs, served.id)
-}
-
-// finish closes the idle connections and completes the result.
-func (r *replayer) finish() *Result {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, c := range r.idle {
-		c.conn.Close()
-	}
-	result := r.result
-	for _, tally := range result.Classes {
-		tally.Intended = quantiles(tally.intended)
-		tally.Actual = quantiles(tally.actual)
+	completed := r.recorder.addOutcome(done, outcome, reason, time.Since(r.start))
+	if r.options.OnProgress != nil {
+		r.options.OnProgress(completed)
 	}
-	result.IDsHash = fmt.Sprintf("%016x", r.idsHash)
-	result.Seconds = r.series.finish(&result.Fidelity)
-	result.SpanSeconds = float64(len(result.Seconds))
-	return result
+	r.unfinished.Done()
 }
--- a/internal/rehearsal/replay/result.go
+++ b/internal/rehearsal/replay/result.go
@@ -1,10 +1,6 @@
 package replay
 
-import (
-	"strings"
-
-	"github.com/HdrHistogram/hdrhistogram-go"
-)
+import "github.com/HdrHistogram/hdrhistogram-go"
 
 // Outcome is what became of an entry.
 type Outcome uint8
@@ -18,9 +14,6 @@
 	Unsent // no connection could be opened
 )
 
-// Reason says why an entry was not served, in the dispatcher's words or in those of an error.
-type Reason string
-
 // Tally counts the entries of a class.
 type Tally struct {
 	Sent             int `json:"sent"`
@@ -50,13 +43,13 @@
 	Max  int64 `json:"max"`
 }
 
-func quantiles(h *hdrhistogram.Histogram) Quantiles {
+func quantiles(histogram *hdrhistogram.Histogram) Quantiles {
 	return Quantiles{
-		P50:  h.ValueAtQuantile(50),
-		P90:  h.ValueAtQuantile(90),
-		P99:  h.ValueAtQuantile(99),
-		P999: h.ValueAtQuantile(99.9),
-		Max:  h.Max(),
+		P50:  histogram.ValueAtQuantile(50),
+		P90:  histogram.ValueAtQuantile(90),
+		P99:  histogram.ValueAtQuantile(99),
+		P999: histogram.ValueAtQuantile(99.9),
+		Max:  histogram.Max(),
 	}
 }
 
@@ -114,40 +107,3 @@
 	}
 	return sum
 }
-
-const (
-	maxReasons     = 32 // further ones are counted together
-	maxReasonBytes = 120
-	otherReasons   = "others"
-)
-
-// countReason counts a reason by its class and first line.
-func countReason(counts map[string]int, class string, reason Reason) {
-	key, _, _ := strings.Cut(strings.TrimSpace(class+": "+string(reason)), "\n")
-	if len(key) > maxReasonBytes {
-		key = key[:maxReasonBytes]
-	}
-	if _, known := counts[key]; !known && len(counts) >= maxReasons {
-		key = otherReasons
-	}
-	counts[key]++
-}
-
-// normalizeReason replaces numbers by N, so that similar reasons are counted together.
-func normalizeReason(text string) Reason {
-	text, _, _ = strings.Cut(text, "\n")
-	var normalized strings.Builder
-	inNumber := false
-	for _, c := range text {
-		if c >= '0' && c <= '9' || inNumber && c == '.' {
-			if !inNumber {
-				normalized.WriteByte('N')
-			}
-			inNumber = true
-			continue
-		}
-		inNumber = false
-		normalized.WriteRune(c)
-	}
-	return Reason(normalized.String())
-}
