--- a/internal/rehearsal/report/chart.go
+++ b/internal/rehearsal/report/chart.go
@@ -26,13 +26,17 @@
 )
 
 const (
+	chartWidth  = 9 * vg.Inch
+	chartHeight = 3.2 * vg.Inch
+
 	maxLinePoints = 1200 // longer series are drawn as the means of neighbouring values
-	lineWidth     = 1.5  // points
-	chartWidth    = 9 * vg.Inch
-	chartHeight   = 3.2 * vg.Inch
-	barGroupWidth = 90 // points, of the bars of one percentile
+	lineWidth     = 1.5  // points, as all widths and lengths below
+	dashLength    = 5
+	dashGap       = 3
+	barGroupWidth = 90 // of the bars of one percentile
 )
 
+// newChart makes an empty chart whose values begin at zero.
 func newChart(xLabel, yLabel string) *plot.Plot {
 	chart := plot.New()
 	chart.X.Label.Text = xLabel
@@ -52,8 +56,8 @@
 }
 
 // addLine adds a line with a value for each second; without seconds it adds none.
-func addLine(chart *plot.Plot, s series, seconds []*replay.Second) error {
-	points := meanPoints(seconds, s.value)
+func addLine(chart *plot.Plot, drawn series, seconds []*replay.Second) error {
+	points := meanPoints(seconds, drawn.value)
 	if len(points) == 0 {
 		return nil
 	}
@@ -61,13 +65,13 @@
 	if err != nil {
 		return err
 	}
-	line.Color = s.color
+	line.Color = drawn.color
 	line.Width = vg.Points(lineWidth)
-	if s.dashed {
-		line.Dashes = []vg.Length{vg.Points(5), vg.Points(3)}
+	if drawn.dashed {
+		line.Dashes = []vg.Length{vg.Points(dashLength), vg.Points(dashGap)}
 	}
 	chart.Add(line)
-	chart.Legend.Add(s.name, line)
+	chart.Legend.Add(drawn.name, line)
 	return nil
 }
 
@@ -77,15 +81,21 @@
 	var points plotter.XYs
 	for start := 0; start < len(seconds); start += step {
 		group := seconds[start:min(start+step, len(seconds))]
-		sum := 0.0
-		for _, second := range group {
-			sum += float64(value(second))
-		}
-		points = append(points, plotter.XY{X: float64(start), Y: sum / float64(len(group))})
+		points = append(points, plotter.XY{X: float64(start), Y: mean(group, value)})
 	}
 	return points
 }
 
+// mean is the mean of a value over some seconds.
+func mean(seconds []*replay.Second, value func(*replay.Second) int) float64 {
+	sum := 0.0
+	for _, second := range seconds {
+		sum += float64(value(second))
+	}
+	return sum / float64(len(seconds))
+}
+
+// arrivalsChart draws the requests as recorded and as sent.
 func (r *Report) arrivalsChart() (*plot.Plot, error) {
 	return r.secondsChart("requests", []series{
 		{name: "recorded", color: blue, value: func(s *replay.Second) int { return s.Recorded }},
@@ -93,20 +103,21 @@
 	})
 }
 
+// outcomesChart draws the final answers by outcome.
 func (r *Report) outcomesChart() (*plot.Plot, error) {
 	return r.secondsChart("answers", []series{
 		{name: "served", color: green, value: func(s *replay.Second) int { return s.Served }},
-		{name: "refused", color: orange, value: func(s *replay.Second) int { return s.Rejected }},
+		{name: "rejected", color: orange, value: func(s *replay.Second) int { return s.Rejected }},
 		{name: "failed", color: red, value: func(s *replay.Second) int { return s.Failed }},
 		{name: "lost", color: grey, dashed: true, value: func(s *replay.Second) int { return s.Lost }},
 	})
 }
 
 // secondsChart draws lines over the seconds of the run.
-func (r *Report) secondsChart(yLabel string, lines []series) (*plot.Plot, error) {
+func (r *Report) secondsChart(yLabel string, drawn []series) (*plot.Plot, error) {
 	chart := newChart("second of the run", yLabel)
-	for _, line := range lines {
-		if err := addLine(chart, line, r.Seconds); err != nil {
+	for _, oneSeries := range drawn {
+		if err := addLine(chart, oneSeries, r.Seconds); err != nil {
 			return nil, err
 		}
 	}
@@ -116,16 +127,20 @@
 // latencyChart draws the latency percentiles of the classes as bars.
 func (r *Report) latencyChart() (*plot.Plot, error) {
 	chart := newChart("", "ms")
-	names := slices.DeleteFunc(r.ClassNames(), func(name string) bool { return r.Classes[name].Served == 0 })
-	if len(names) == 0 {
+	hasNoLatency := func(class string) bool { return r.Classes[class].Served == 0 }
+	classes := slices.DeleteFunc(r.ClassNames(), hasNoLatency)
+	if len(classes) == 0 {
 		return chart, nil
 	}
-	width := vg.Points(barGroupWidth / float64(len(names)))
+	width := vg.Points(barGroupWidth / float64(len(classes)))
 	colors := []color.Color{blue, orange, green, red, grey}
-	for i, name := range names {
-		latency := r.Classes[name].Intended
+	for i, class := range classes {
+		latency := r.Classes[class].Intended
 		bars, err := plotter.NewBarChart(plotter.Values{
-			milliseconds(latency.P50), milliseconds(latency.P90), milliseconds(latency.P99), milliseconds(latency.P999),
+			milliseconds(latency.P50),
+			milliseconds(latency.P90),
+			milliseconds(latency.P99),
+			milliseconds(latency.P999),
 			milliseconds(latency.Max),
 		}, width)
 		if err != nil {
@@ -133,9 +148,10 @@
 		}
 		bars.Color = colors[i%len(colors)]
 		bars.LineStyle.Width = 0
-		bars.Offset = width * vg.Length(float64(i)-float64(len(names)-1)/2)
+		distanceFromMiddle := float64(i) - float64(len(classes)-1)/2 // in bars
+		bars.Offset = width * vg.Length(distanceFromMiddle)
 		chart.Add(bars)
-		chart.Legend.Add(name, bars)
+		chart.Legend.Add(class, bars)
 	}
 	chart.Legend.Left = true
 	chart.NominalX("p50", "p90", "p99", "p99.9", "max")
@@ -150,9 +166,9 @@
 	if _, err := canvas.WriteTo(&out); err != nil {
 		return "", err
 	}
-	text := out.String()
-	if start := strings.Index(text, "<svg"); start >= 0 {
-		text = text[start:]
+	svg := out.String()
+	if start := strings.Index(svg, "<svg"); start >= 0 {
+		svg = svg[start:]
 	}
-	return template.HTML(text), nil
+	return template.HTML(svg), nil
 }
--- a/internal/rehearsal/report/page.go
+++ b/internal/rehearsal/report/page.go
@@ -12,14 +12,15 @@
 //go:embed page.html
 var pageText string
 
+// page is the template of the HTML report.
 var page = template.Must(template.New("page").Funcs(template.FuncMap{
-	"ms": func(microseconds int64) string { return fmt.Sprintf("%.1f", milliseconds(microseconds)) },
-	"pc": func(share float64) string { return fmt.Sprintf("%.2f %%", 100*share) },
+	"ms":      func(microseconds int64) string { return fmt.Sprintf("%.1f", milliseconds(microseconds)) },
+	"percent": func(share float64) string { return fmt.Sprintf("%.2f %%", 100*share) },
 }).Parse(pageText))
 
 // pageData is what page.html shows.
 type pageData struct {
-	R      *Report
+	Report *Report
 	Charts []pageChart
 }
 
@@ -32,21 +33,17 @@
 
 // WriteHTML writes the report as one file that needs no other.
 func (r *Report) WriteHTML(w io.Writer) error {
-	data := pageData{R: r}
+	data := pageData{Report: r}
 	for _, chart := range []struct {
 		title   string
 		caption string
 		draw    func() (*plot.Plot, error)
 	}{
 		{"Arrivals", "Requests in each second: as recorded, and as they were sent.", r.arrivalsChart},
-		{"Waiting", "How long those served waited, from the moment at which the recording has them arrive.", r.latencyChart},
+		{"Latency", "Of the served requests, from the moment at which the recording has them arrive.", r.latencyChart},
 		{"Outcomes", "Final answers in each second.", r.outcomesChart},
 	} {
-		drawn, err := chart.draw()
-		if err != nil {
-			return fmt.Errorf("chart %s: %w", chart.title, err)
-		}
-		svg, err := renderSVG(drawn)
+		svg, err := drawSVG(chart.draw)
 		if err != nil {
 			return fmt.Errorf("chart %s: %w", chart.title, err)
 		}
@@ -54,3 +51,12 @@
 	}
 	return page.Execute(w, data)
 }
+
+// drawSVG draws a chart and renders it.
+func drawSVG(draw func() (*plot.Plot, error)) (template.HTML, error) {
+	chart, err := draw()
+	if err != nil {
+		return "", err
+	}
+	return renderSVG(chart)
+}
--- a/internal/rehearsal/report/report.go
+++ b/internal/rehearsal/report/report.go
@@ -16,7 +16,7 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/standin"
 )
 
-// Report is the result of one rehearsal. Evaluate completes it.
+// Report is the result of one rehearsal. Evaluate completes it. It is not safe for concurrent use.
 type Report struct {
 	Recording string            `json:"recording"` // base name of the file
 	FrontEnd  string            `json:"front"`
@@ -37,7 +37,8 @@
 	Passed         bool   `json:"kept"`
 }
 
-// Import is what the recording's header says about its import.
+// Import is what the recording's header says about its import. Counts are of lines or entries of the sources, by what
+// became of them.
 type Import struct {
 	Counts        map[string]uint64 `json:"counts"`
 	Repairs       map[string]uint64 `json:"repairs"`
@@ -65,8 +66,12 @@
 	counts := header.GetCounts()
 	result := &Import{
 		Counts: map[string]uint64{
-			"read": counts.GetRead(), "accepted": counts.GetAccepted(), "malformed": counts.GetMalformed(),
-			"unmapped": counts.GetUnmapped(), "ignored": counts.GetIgnored(), "repaired": counts.GetRepaired(),
+			"read":      counts.GetRead(),
+			"accepted":  counts.GetAccepted(),
+			"malformed": counts.GetMalformed(),
+			"unmapped":  counts.GetUnmapped(),
+			"ignored":   counts.GetIgnored(),
+			"repaired":  counts.GetRepaired(),
 		},
 		Repairs:       header.Repairs,
 		SyntheticKeys: header.MadeUpKeys,
@@ -88,6 +93,7 @@
 	return result
 }
 
+// Conclusions of a report without violations.
 const (
 	passedWithLedger    = "all rules kept: every entry sent had one final answer in time, and no job ran twice that must not"
 	passedWithoutLedger = "all rules kept that can be seen from outside: every entry sent had one final answer in time"
@@ -97,20 +103,20 @@
 // stand-ins; the jobs' executions are then not checked.
 func (r *Report) Evaluate(ledger *standin.Ledger) {
 	var violations []string
-	check := func(n int, violation string) {
-		if n > 0 {
-			violations = append(violations, fmt.Sprintf("%d %s", n, violation))
+	check := func(count int, violation string) {
+		if count > 0 {
+			violations = append(violations, fmt.Sprintf("%d %s", count, violation))
 		}
 	}
 	if ledger != nil {
 		r.evaluateExecutions(ledger)
 		check(r.DuplicatedJobs, "jobs that must not run twice did")
 		check(r.NeverExecuted, "jobs were answered as served and never ran")
-		check(len(r.Findings.Unexpected), "requests reached a worker that were not sent so")
+		check(len(r.Findings.Unexpected), "requests reached a worker in a form in which none was sent")
 	}
 	check(r.Sum(func(t *replay.Tally) int { return t.Lost }), "entries had no final answer in time")
 	check(r.Sum(func(t *replay.Tally) int { return t.DuplicateAnswers }), "entries were answered twice")
-	check(r.StrayAnswers, "answers came to nothing that was sent")
+	check(r.StrayAnswers, "answers belonged to no request")
 	r.Passed = len(violations) == 0
 	switch {
 	case !r.Passed:
