--- a/internal/rehearsal/faultinject/plan.go
+++ b/internal/rehearsal/faultinject/plan.go
@@ -22,10 +22,20 @@
 	SetOption
 	FileWrite
 	Sync
-	calls // the number of groups
+	callCount // the number of groups
 )
 
-var callNames = [calls]string{"read", "write", "accept", "socket", "connect", "epoll_wait", "setsockopt", "file write", "sync"}
+var callNames = [callCount]string{
+	SocketRead:  "read",
+	SocketWrite: "write",
+	Accept:      "accept",
+	Socket:      "socket",
+	Connect:     "connect",
+	Wait:        "epoll_wait",
+	SetOption:   "setsockopt",
+	FileWrite:   "file write",
+	Sync:        "sync",
+}
 
 // String returns the name of the system call that the group stands for.
 func (c Call) String() string { return callNames[c] }
--- a/internal/rehearsal/faultinject/plan_test.go
+++ b/internal/rehearsal/faultinject/plan_test.go
@@ -41,7 +41,7 @@
 
 func TestCallNames(t *testing.T) {
 	seen := map[string]bool{}
-	for call := range calls {
+	for call := range callCount {
 		name := call.String()
 		if name == "" || seen[name] {
 			t.Errorf("call %d is named %q", int(call), name)
--- a/internal/rehearsal/faultinject/process.go
+++ b/internal/rehearsal/faultinject/process.go
@@ -14,15 +14,18 @@
 type Process struct {
 	PID int // set once Start has returned
 
-	plan     Plan
-	random   *rand.Rand
-	started  time.Time
-	threads  map[int]*thread     // by thread ID
-	peers    map[string]int      // ports of sockets' peers, by the socket's inode
-	struck   [calls]atomic.Int64 // calls that were affected
-	over     chan struct{}       // closed after status and traceErr are set
-	status   syscall.WaitStatus  // how the process ended
-	traceErr error               // why tracing ended before the process did
+	plan       Plan
+	injections [callCount]atomic.Int64 // calls that were made fail or transfer less
+
+	// Of the goroutine that runs trace.
+	random  *rand.Rand
+	started time.Time
+	threads map[int]*thread // by thread ID
+	peers   map[string]int  // ports of sockets' peers, by the socket's inode
+
+	done     chan struct{}      // closed after status and traceErr are set
+	status   syscall.WaitStatus // how the process ended
+	traceErr error              // why tracing ended before the process did
 }
 
 // Start starts command under plan. The standard output and error of command must be
@@ -33,7 +36,7 @@
 		random:  rand.New(rand.NewPCG(plan.Seed, 0)),
 		threads: map[int]*thread{},
 		peers:   map[string]int{},
-		over:    make(chan struct{}),
+		done:    make(chan struct{}),
 	}
 	started := make(chan error)
 	go p.trace(command, started)
@@ -44,10 +47,10 @@
 }
 
 // Injected returns how many calls of a group the plan has made fail or transfer less.
-func (p *Process) Injected(c Call) int64 { return p.struck[c].Load() }
+func (p *Process) Injected(call Call) int64 { return p.injections[call].Load() }
 
 // Done returns a channel that is closed once the process has ended.
-func (p *Process) Done() <-chan struct{} { return p.over }
+func (p *Process) Done() <-chan struct{} { return p.done }
 
 // Status returns how the process ended, or why it could not be traced to its end.
 // It must not be called before the channel of Done is closed.
--- a/internal/rehearsal/faultinject/process_test.go
+++ b/internal/rehearsal/faultinject/process_test.go
@@ -40,8 +40,11 @@
 	}
 }
 
+// manyReads is the number of reads that readToEnd tells from fewer.
+const manyReads = 100
+
 // readToEnd reads from an address to the end and prints how many bytes arrived, and
-// whether that took at least a hundred reads.
+// whether that took at least manyReads reads.
 func readToEnd() {
 	conn, err := net.Dial("tcp", os.Getenv(addrVariable))
 	if err != nil {
@@ -59,7 +62,7 @@
 		bytes += n
 		reads++
 	}
-	fmt.Printf("%d bytes, %v\n", bytes, reads >= 100)
+	fmt.Printf("%d bytes, %v\n", bytes, reads >= manyReads)
 }
 
 // measureClocks prints how far the wall clock and the monotonic clock advance in 300 ms.
@@ -84,17 +87,17 @@
 	command.Env = append(os.Environ(), roleVariable+"="+role, addrVariable+"="+addr)
 	command.Stdout = output
 	command.Stderr = output
-	p, err := Start(command, plan)
+	traced, err := Start(command, plan)
 	if err != nil {
 		t.Fatal(err)
 	}
 	select {
-	case <-p.Done():
+	case <-traced.Done():
 	case <-time.After(programTimeout):
-		p.Signal(syscall.SIGKILL)
+		traced.Signal(syscall.SIGKILL)
 		t.Fatal("the program does not end")
 	}
-	status, err := p.Status()
+	status, err := traced.Status()
 	if err != nil || !status.Exited() || status.ExitStatus() != 0 {
 		t.Errorf("the program ended with %v, %v", status, err)
 	}
@@ -102,7 +105,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return p, string(text)
+	return traced, string(text)
 }
 
 // startSender starts a server that sends a number of bytes on each connection, and
@@ -130,27 +133,27 @@
 func TestShortReads(t *testing.T) {
 	addr := startSender(t, 1000)
 	plan := Plan{Rules: []Rule{{Call: SocketRead, Probability: 1, Short: 10}}}
-	p, output := run(t, plan, roleRead, addr)
+	traced, output := run(t, plan, roleRead, addr)
 	if output != "1000 bytes, true\n" {
 		t.Errorf("the program printed %q", output)
 	}
-	if n := p.Injected(SocketRead); n < 100 {
-		t.Errorf("%d reads were shortened", n)
+	if shortened := traced.Injected(SocketRead); shortened < manyReads {
+		t.Errorf("%d reads were shortened, want at least %d", shortened, manyReads)
 	}
 }
 
-func TestRuleOfOnePeer(t *testing.T) {
+func TestRuleAppliesToOnePeer(t *testing.T) {
 	addr := startSender(t, 1000)
 	_, portText, _ := net.SplitHostPort(addr)
 	port, _ := strconv.Atoi(portText)
 	for _, peer := range []int{port, port + 1} {
 		plan := Plan{Rules: []Rule{{Call: SocketRead, Probability: 1, Short: 10, Peer: peer}}}
-		p, output := run(t, plan, roleRead, addr)
+		traced, output := run(t, plan, roleRead, addr)
 		applies := peer == port
 		want := fmt.Sprintf("1000 bytes, %v\n", applies)
-		shortened := p.Injected(SocketRead)
+		shortened := traced.Injected(SocketRead)
 		if output != want || shortened > 0 != applies {
-			t.Errorf("peer %d: the program printed %q, %d reads were shortened", peer, output, shortened)
+			t.Errorf("peer %d: the program printed %q, want %q; %d reads were shortened", peer, output, want, shortened)
 		}
 	}
 }
@@ -175,10 +178,28 @@
 	}
 }
 
-func TestNoPlanChangesNothing(t *testing.T) {
+func TestOutcomeNamesSignal(t *testing.T) {
+	traced, err := Start(exec.Command("sleep", "60"), Plan{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := traced.Signal(syscall.SIGKILL); err != nil {
+		t.Fatal(err)
+	}
+	select {
+	case <-traced.Done():
+	case <-time.After(programTimeout):
+		t.Fatal("the program does not end")
+	}
+	if got, want := traced.Outcome(), "signal: killed"; got != want {
+		t.Errorf("outcome %q, want %q", got, want)
+	}
+}
+
+func TestEmptyPlanChangesNothing(t *testing.T) {
 	addr := startSender(t, 1000)
-	p, output := run(t, Plan{}, roleRead, addr)
-	shortened := p.Injected(SocketRead)
+	traced, output := run(t, Plan{}, roleRead, addr)
+	shortened := traced.Injected(SocketRead)
 	if output != "1000 bytes, false\n" || shortened != 0 {
 		t.Errorf("the program printed %q, %d reads were shortened", output, shortened)
 	}
--- a/internal/rehearsal/faultinject/syscallstop.go
+++ b/internal/rehearsal/faultinject/syscallstop.go
@@ -8,26 +8,26 @@
 const noSyscall = ^uint64(0)
 
 // handleSyscallStop handles the entry or the exit of a system call; they alternate.
-func (p *Process) handleSyscallStop(tid int, t *thread) {
+func (p *Process) handleSyscallStop(tid int, stopped *thread) {
 	var registers syscall.PtraceRegs
 	if syscall.PtraceGetRegs(tid, &registers) != nil {
 		return
 	}
-	t.inCall = !t.inCall
-	if t.inCall {
-		p.enterSyscall(tid, t, &registers)
+	stopped.inCall = !stopped.inCall
+	if stopped.inCall {
+		p.enterSyscall(tid, stopped, &registers)
 	} else {
-		p.exitSyscall(tid, t, &registers)
+		p.exitSyscall(tid, stopped, &registers)
 	}
 }
 
 // enterSyscall applies the plan's rules to a call that a thread is about to make.
-func (p *Process) enterSyscall(tid int, t *thread, registers *syscall.PtraceRegs) {
-	t.injected = 0
-	t.timespecAddr = 0
+func (p *Process) enterSyscall(tid int, stopped *thread, registers *syscall.PtraceRegs) {
+	stopped.injectedError = 0
+	stopped.timespecAddr = 0
 	if registers.Orig_rax == syscall.SYS_CLOCK_GETTIME {
 		if isWallClock(registers.Rdi) {
-			t.timespecAddr = registers.Rsi
+			stopped.timespecAddr = registers.Rsi
 		}
 		return
 	}
@@ -35,9 +35,9 @@
 	if rule == nil {
 		return
 	}
-	p.struck[rule.Call].Add(1)
+	p.injections[rule.Call].Add(1)
 	if rule.Error != 0 {
-		t.injected = rule.Error
+		stopped.injectedError = rule.Error
 		registers.Orig_rax = noSyscall
 	} else {
 		registers.Rdx = min(registers.Rdx, uint64(rule.Short))
@@ -47,18 +47,18 @@
 
 // exitSyscall sets the result of a call that was made to fail, and shifts the wall
 // clock that a call has read.
-func (p *Process) exitSyscall(tid int, t *thread, registers *syscall.PtraceRegs) {
-	if t.injected != 0 {
-		registers.Rax = uint64(-int64(t.injected))
+func (p *Process) exitSyscall(tid int, stopped *thread, registers *syscall.PtraceRegs) {
+	if stopped.injectedError != 0 {
+		registers.Rax = uint64(-int64(stopped.injectedError))
 		_ = syscall.PtraceSetRegs(tid, registers)
 	}
 	succeeded := int64(registers.Rax) == 0
-	if t.timespecAddr == 0 || !succeeded {
+	if stopped.timespecAddr == 0 || !succeeded {
 		return
 	}
 	offset := p.plan.clockOffset(p.elapsed())
 	if offset != 0 {
-		shiftTimespec(tid, uintptr(t.timespecAddr), offset)
+		shiftTimespec(tid, uintptr(stopped.timespecAddr), offset)
 	}
 }
 
--- a/internal/rehearsal/faultinject/tracer.go
+++ b/internal/rehearsal/faultinject/tracer.go
@@ -27,10 +27,10 @@
 
 // thread is the state of a traced thread between its stops.
 type thread struct {
-	started      bool          // its first stop has been handled
-	inCall       bool          // it is between the entry and the exit of a system call
-	injected     syscall.Errno // what the current call returns; 0: its own result
-	timespecAddr uint64        // where the current call writes the wall clock; 0: it does not
+	started       bool          // its first stop has been handled
+	inCall        bool          // it is between the entry and the exit of a system call
+	injectedError syscall.Errno // what the current call returns; 0: its own result
+	timespecAddr  uint64        // where the current call writes the wall clock; 0: it does not
 }
 
 // trace starts the command, reports on started whether that succeeded, and handles
@@ -38,7 +38,7 @@
 // since ptrace binds a tracee to the thread that traces it.
 func (p *Process) trace(command *exec.Cmd, started chan<- error) {
 	runtime.LockOSThread() // never unlocked: the thread ends with the goroutine
-	defer close(p.over)
+	defer close(p.done)
 	if command.SysProcAttr == nil {
 		command.SysProcAttr = &syscall.SysProcAttr{}
 	}
@@ -101,24 +101,24 @@
 
 // handleStop handles one stop and returns the signal to deliver to the thread; 0: none.
 func (p *Process) handleStop(tid int, status syscall.WaitStatus) syscall.Signal {
-	t := p.threads[tid]
-	if t == nil {
-		t = &thread{}
-		p.threads[tid] = t
+	stopped := p.threads[tid]
+	if stopped == nil {
+		stopped = &thread{}
+		p.threads[tid] = stopped
 	}
 	signal := status.StopSignal()
 	switch {
 	case signal == syscallStop:
-		t.started = true
-		p.handleSyscallStop(tid, t)
+		stopped.started = true
+		p.handleSyscallStop(tid, stopped)
 		return 0
 	case signal == syscall.SIGTRAP && status.TrapCause() == syscall.PTRACE_EVENT_EXEC:
 		p.handleExec()
 		return 0
 	case signal == syscall.SIGTRAP && status.TrapCause() > 0: // a clone
 		return 0
-	case signal == syscall.SIGSTOP && !t.started: // the first stop of a thread
-		t.started = true
+	case signal == syscall.SIGSTOP && !stopped.started: // the first stop of a thread
+		stopped.started = true
 		return 0
 	}
 	return signal
--- a/internal/rehearsal/faultinject/wallclock.go
+++ b/internal/rehearsal/faultinject/wallclock.go
@@ -16,11 +16,15 @@
 
 // Types of entries of the auxiliary vector, see getauxval(3).
 const (
-	auxNull         = 0  // AT_NULL: the end of the vector
-	auxIgnore       = 1  // AT_IGNORE
-	auxSysinfoEHDR  = 33 // AT_SYSINFO_EHDR: the address of the vDSO
-	auxEntryBytes   = 2 * wordBytes
-	argumentVectors = 2 // the arguments and the environment, each ends with a null
+	auxNull        = 0  // AT_NULL: the end of the vector
+	auxIgnore      = 1  // AT_IGNORE
+	auxSysinfoEHDR = 33 // AT_SYSINFO_EHDR: the address of the vDSO
+)
+
+// Layout of a new program's stack, see execve(2).
+const (
+	auxEntryBytes   = 2 * wordBytes // a type and a value
+	argumentVectors = 2             // the arguments and the environment, each ends with a null
 )
 
 // isWallClock reports whether a clock of clock_gettime follows the wall clock.
--- a/internal/rehearsal/hostileload/load_test.go
+++ b/internal/rehearsal/hostileload/load_test.go
@@ -81,7 +81,8 @@
 	})
 	kinds := []Kind{Silent, SlowHead, SlowBody, Flooding, Disconnecting, NeverReading}
 	start := time.Now()
-	counts, err := Run(context.Background(), Config{Target: target, Seed: 1, Clients: 12, Sources: 3, Duration: time.Second, Kinds: kinds})
+	config := Config{Target: target, Seed: 1, Clients: 12, Sources: 3, Duration: time.Second, Kinds: kinds}
+	counts, err := Run(context.Background(), config)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,11 +90,11 @@
 		t.Errorf("a run of a second took %v", elapsed)
 	}
 	if counts.Attempted != counts.Connected+counts.Failed || counts.Connected < 12 {
-		t.Errorf("got %+v", counts)
+		t.Errorf("got %+v; want at least 12 connections, and each attempt connected or failed", counts)
 	}
 	for _, kind := range kinds {
 		if counts.ByKind[kind.String()] < 2 {
-			t.Errorf("%v: %d attempts of two clients", kind, counts.ByKind[kind.String()])
+			t.Errorf("%v: %d attempts of two clients, want at least 2", kind, counts.ByKind[kind.String()])
 		}
 	}
 	mu.Lock()
@@ -104,7 +105,7 @@
 		}
 	}
 	if len(seen) != 3 {
-		t.Errorf("connections from %v", seen)
+		t.Errorf("connections from %v, want three addresses", seen)
 	}
 }
 
@@ -112,57 +113,64 @@
 func TestRunCountsEndsAndBytes(t *testing.T) {
 	const response = "HTTP/1.1 408 Request Timeout\r\n\r\n"
 	target := listen(t, func(conn net.Conn) { io.WriteString(conn, response) })
-	counts, err := Run(context.Background(), Config{Target: target, Clients: 4, Sources: 1, Duration: time.Second, Kinds: []Kind{Silent}})
+	config := Config{Target: target, Clients: 4, Sources: 1, Duration: time.Second, Kinds: []Kind{Silent}}
+	counts, err := Run(context.Background(), config)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if counts.ClosedByPeer < 4 || counts.AnswerBytes < 4*int64(len(response)) {
-		t.Errorf("got %+v", counts)
+		t.Errorf("got %+v; want at least 4 closed connections and 4 responses of %d bytes", counts, len(response))
 	}
 }
 
-// A batch of a flooding client consists of well-formed requests, the same for the same seed.
-func TestFloodSendsRequests(t *testing.T) {
-	var paths [2][]string
-	for i := range paths {
-		ours, theirs := net.Pipe()
-		ctx, cancel := context.WithCancel(context.Background())
-		c := &client{random: rand.New(rand.NewPCG(7, 0))}
-		done := make(chan struct{})
-		go func() {
-			defer close(done)
-			c.flood(ctx, ours)
-		}()
-		in := bufio.NewReader(theirs)
-		for range batchRequests {
-			request, err := http.ReadRequest(in)
-			if err != nil {
-				t.Fatal(err)
-			}
-			paths[i] = append(paths[i], request.URL.Path)
+// floodedPaths returns the paths of the first batch of requests that a flooding client with a seed sends.
+func floodedPaths(t *testing.T, seed uint64) []string {
+	t.Helper()
+	clientEnd, serverEnd := net.Pipe()
+	ctx, cancel := context.WithCancel(context.Background())
+	flooding := &client{random: rand.New(rand.NewPCG(seed, 0))}
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		flooding.flood(ctx, clientEnd)
+	}()
+	var paths []string
+	input := bufio.NewReader(serverEnd)
+	for range batchRequests {
+		request, err := http.ReadRequest(input)
+		if err != nil {
+			t.Fatal(err)
 		}
-		cancel()
-		theirs.Close()
-		<-done
+		paths = append(paths, request.URL.Path)
 	}
-	for i := range paths[0] {
-		if paths[0][i] != paths[1][i] {
-			t.Fatalf("request %d: %s, then %s", i, paths[0][i], paths[1][i])
+	cancel()
+	serverEnd.Close()
+	<-done
+	return paths
+}
+
+// A batch of a flooding client consists of well-formed requests, the same for the same seed.
+func TestFloodSendsRequests(t *testing.T) {
+	first := floodedPaths(t, 7)
+	second := floodedPaths(t, 7)
+	for i := range first {
+		if first[i] != second[i] {
+			t.Fatalf("request %d: %s, then %s", i, first[i], second[i])
 		}
 	}
 }
 
 // A slow request ends as soon as the server closes the connection.
 func TestTrickleStopsWithConnection(t *testing.T) {
-	ours, theirs := net.Pipe()
+	clientEnd, serverEnd := net.Pipe()
 	go func() {
-		io.ReadFull(theirs, make([]byte, len("prompt")+1))
-		theirs.Close()
+		io.ReadFull(serverEnd, make([]byte, len("prompt")+1))
+		serverEnd.Close()
 	}()
-	if received := trickle(context.Background(), ours, "prompt", "slow"); received != 0 {
-		t.Errorf("%d bytes received", received)
+	if received := trickle(context.Background(), clientEnd, "prompt", "slow"); received != 0 {
+		t.Errorf("%d bytes received, want none", received)
 	}
-	if _, err := ours.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+	if _, err := clientEnd.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("the connection is still open: %v", err)
 	}
 }
