--- a/cmd/rehearse/generate.go
+++ b/cmd/rehearse/generate.go
@@ -18,21 +18,33 @@
 	Precise  bool          `help:"Stamps of milliseconds, to be imported with the format that is logged on standard error."`
 }
 
-func (c *generateCmd) Run(e *environment) error {
-	lines, err := recording.GenerateLog(e.out, recording.SyntheticLog{Shape: c.Shape, Rate: c.Rate, Length: c.Duration, MeanDurationMs: c.MeanMs, Members: c.Members,
-		Seed: c.Seed, MillisecondStamps: c.Precise})
-	if err == nil && c.Precise {
-		e.log.Info("log generated", "lines", lines, "format", recording.SyntheticLogFormat)
+// Run writes the log to standard output.
+func (c *generateCmd) Run(env *environment) error {
+	lineCount, err := recording.GenerateLog(env.out, recording.SyntheticLog{
+		Shape:             c.Shape,
+		Rate:              c.Rate,
+		Length:            c.Duration,
+		MeanDurationMs:    c.MeanMs,
+		Members:           c.Members,
+		Seed:              c.Seed,
+		MillisecondStamps: c.Precise,
+	})
+	if err != nil {
+		return err
 	}
-	return err
+	if c.Precise {
+		env.log.Info("log generated", "lines", lineCount, "format", recording.SyntheticLogFormat)
+	}
+	return nil
 }
 
 // formatsCmd lists the formats of inputs.
 type formatsCmd struct{}
 
-func (formatsCmd) Run(e *environment) error {
-	for _, line := range recording.Formats {
-		fmt.Fprintln(e.out, line)
+// Run lists the formats.
+func (formatsCmd) Run(env *environment) error {
+	for _, format := range recording.Formats {
+		fmt.Fprintln(env.out, format)
 	}
 	return nil
 }
--- a/cmd/rehearse/golden_test.go
+++ b/cmd/rehearse/golden_test.go
@@ -29,14 +29,22 @@
 
 // Command lines of earlier versions still work.
 func TestGoldenEarlierCommandLines(t *testing.T) {
-	var lines []string
+	var translations []string
 	for _, line := range []string{
-		"scale -o out in", "scale --output=out in", "scale file", "-in a -rules b -to c -front faktory -password p -limit 1 -span 2 -json",
-		"--in a -rules=b", "-password p", "-unknown -to c", "replay -to c", "",
+		"scale -o out in",
+		"scale --output=out in",
+		"scale file",
+		"-in a -rules b -to c -front faktory -password p -limit 1 -span 2 -json",
+		"--in a -rules=b",
+		"-password p",
+		"-unknown -to c",
+		"replay -to c",
+		"",
 	} {
-		lines = append(lines, fmt.Sprintf("%q: %q", strings.Fields(line), translateEarlier(strings.Fields(line))))
+		args := strings.Fields(line)
+		translations = append(translations, fmt.Sprintf("%q: %q", args, translateEarlier(args)))
 	}
-	goldentest.Compare(t, "earlier.golden", goldentest.Lines(lines))
+	goldentest.Compare(t, "earlier.golden", goldentest.Lines(translations))
 }
 
 // Scripts depend on the exit codes.
@@ -46,13 +54,17 @@
 
 // Other programs read the JSON that commands write.
 func TestGoldenResults(t *testing.T) {
-	for file, of := range map[string]reflect.Type{
-		"inspect.golden": reflect.TypeFor[recordingContents](), "flood.golden": reflect.TypeFor[floodResult](),
-		"sim.golden": reflect.TypeFor[simulator.Result](), "import.golden": reflect.TypeFor[recording.Report](),
-		"rejects.golden": reflect.TypeFor[recording.Reject](), "report.golden": reflect.TypeFor[report.Report](),
-		"slopes.golden": reflect.TypeFor[capacity.Slopes](), "scale.golden": reflect.TypeFor[scale.Record](),
+	for file, resultType := range map[string]reflect.Type{
+		"inspect.golden":          reflect.TypeFor[recordingContents](),
+		"flood.golden":            reflect.TypeFor[floodResult](),
+		"sim.golden":              reflect.TypeFor[simulator.Result](),
+		"import.golden":           reflect.TypeFor[recording.Report](),
+		"rejects.golden":          reflect.TypeFor[recording.Reject](),
+		"report.golden":           reflect.TypeFor[report.Report](),
+		"slopes.golden":           reflect.TypeFor[capacity.Slopes](),
+		"scale.golden":            reflect.TypeFor[scale.Record](),
 		"recording-header.golden": reflect.TypeFor[recordingpb.Header](),
 	} {
-		goldentest.Compare(t, filepath.Join("json", file), goldentest.Lines(goldentest.Keys(of, "json")))
+		goldentest.Compare(t, filepath.Join("json", file), goldentest.Lines(goldentest.Keys(resultType, "json")))
 	}
 }
--- a/cmd/rehearse/importreport.go
+++ b/cmd/rehearse/importreport.go
@@ -15,8 +15,8 @@
 
 // writeImportReport writes the report of an import as text.
 func writeImportReport(w io.Writer, report *recording.Report) {
-	fmt.Fprintf(w, "read %d = accepted %d + malformed %d + unmapped %d + ignored %d; repaired %d of the accepted\n", report.Read, report.Accepted, report.Malformed,
-		report.Unmapped, report.Ignored, report.Repaired)
+	fmt.Fprintf(w, "read %d = accepted %d + malformed %d + unmapped %d + ignored %d; repaired %d of the accepted\n",
+		report.Read, report.Accepted, report.Malformed, report.Unmapped, report.Ignored, report.Repaired)
 	for _, repair := range slices.Sorted(maps.Keys(report.Repairs)) {
 		fmt.Fprintf(w, "repaired: %d  %s\n", report.Repairs[repair], repair)
 	}
@@ -25,14 +25,15 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(report.Classes)) {
 		class := report.Classes[name]
-		fmt.Fprintf(w, "class %s: %d entries; durations: %d recorded, %d drawn from those, %d drawn as the rules say; keys made up: %d\n", name,
-			class.Entries, class.Recorded, class.DrawnRecorded, class.DrawnRules, class.SyntheticKeys)
+		fmt.Fprintf(w, "class %s: %d entries; durations: %d recorded, %d drawn from those, %d drawn as the rules say; keys made up: %d\n",
+			name, class.Entries, class.Recorded, class.DrawnRecorded, class.DrawnRules, class.SyntheticKeys)
 	}
 	if report.Repairs["key made up"] > 0 {
 		fmt.Fprintf(w, "made-up keys: %s\n", report.SyntheticKeys)
 	}
 	for i, source := range report.Sources {
-		writeImportedSource(w, source, i)
+		isReference := i == 0 // of the others' clock offsets
+		writeImportedSource(w, source, isReference)
 	}
 	writeRejects(w, report)
 	if report.Accepted > 0 {
@@ -40,19 +41,21 @@
 	}
 }
 
-// writeImportedSource writes the part of one source. The clock offset of the first, number 0, is the reference.
-func writeImportedSource(w io.Writer, source *recording.SourceReport, number int) {
-	fmt.Fprintf(w, "source %s: %s, stamps mark the %s, read %d, accepted %d", source.Name, source.Format, source.Stamp, source.Read, source.Accepted)
+// writeImportedSource writes the part of one source.
+func writeImportedSource(w io.Writer, source *recording.SourceReport, isReference bool) {
+	fmt.Fprintf(w, "source %s: %s, stamps mark the %s, read %d, accepted %d",
+		source.Name, source.Format, source.Stamp, source.Read, source.Accepted)
 	switch {
 	case source.Estimated:
-		fmt.Fprintf(w, "; clock offset %+.3f s, estimated from %d requests, half within %.3f s", float64(source.OffsetUs)/1e6, source.Pairs, float64(source.SpreadUs)/1e6)
+		fmt.Fprintf(w, "; clock offset %+.3f s, estimated from %d requests, half within %.3f s",
+			secondsFromMicroseconds(source.OffsetUs), source.Pairs, secondsFromMicroseconds(source.SpreadUs))
 	case source.OffsetUs != 0:
-		fmt.Fprintf(w, "; clock offset %+.3f s, given", float64(source.OffsetUs)/1e6)
-	case number > 0:
+		fmt.Fprintf(w, "; clock offset %+.3f s, given", secondsFromMicroseconds(source.OffsetUs))
+	case !isReference:
 		fmt.Fprint(w, "; clock offset not known: too few requests that another source saw too")
 	}
 	if source.ClockSteps > 0 {
-		fmt.Fprintf(w, "; its clock stepped back %d times, by %.3f s", source.ClockSteps, float64(source.SteppedUs)/1e6)
+		fmt.Fprintf(w, "; its clock stepped back %d times, by %.3f s", source.ClockSteps, secondsFromMicroseconds(source.SteppedUs))
 	}
 	if source.OutlierTimestamps > 0 {
 		fmt.Fprintf(w, "; %d odd stamps", source.OutlierTimestamps)
--- a/cmd/rehearse/inspect.go
+++ b/cmd/rehearse/inspect.go
@@ -16,93 +16,86 @@
 }
 
 // Run reads the recording to its end and writes what it contains.
-func (c *inspectCmd) Run(e *environment) error {
-	reader, done, err := openRecording(c.File)
+func (c *inspectCmd) Run(env *environment) error {
+	reader, closeAll, err := openRecording(c.File)
 	if err != nil {
 		return err
 	}
-	defer done()
-	got, err := readContents(reader)
+	defer closeAll()
+	contents, err := readContents(reader)
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
 	if c.JSON {
-		got.Header = reader.Header
-		return writeJSON(e.out, got)
+		contents.Header = reader.Header
+		return writeJSON(env.out, contents)
 	}
-	writeContents(e.out, reader, got)
+	writeContents(env.out, reader.Header, contents)
 	return nil
 }
 
 // maxCountedKeys bounds the memory for counting different keys.
 const maxCountedKeys = 1_000_000
 
-// readContents reads a recording to its end.
+// readContents reads a recording to its end. Header is left empty.
 func readContents(reader *recording.Reader) (recordingContents, error) {
-	got := recordingContents{
+	contents := recordingContents{
 		Version: reader.Header.Version,
 		Start:   time.UnixMicro(reader.Header.StartUnixUs).UTC(),
 		Classes: map[string]*classContents{},
 	}
 	keys := map[uint64]struct{}{}
-	second := time.Duration(-1)
-	inSecond := 0
-	err := reader.ForEach(func(x *recording.Entry) error {
-		got.Entries++
-		got.SpanS = x.Arrival.Seconds()
-		got.addToClass(reader, x)
+	currentSecond := time.Duration(-1)
+	inSecond := 0 // entries of the current second
+	err := reader.ForEach(func(entry *recording.Entry) error {
+		contents.Entries++
+		contents.SpanS = entry.Arrival.Seconds()
+		contents.addToClass(reader.Header.Classes[entry.Class], entry)
 		if len(keys) < maxCountedKeys {
-			keys[x.Key] = struct{}{}
+			keys[entry.Key] = struct{}{}
 		}
-		if at := x.Arrival.Truncate(time.Second); at != second {
-			second = at
+		if second := entry.Arrival.Truncate(time.Second); second != currentSecond {
+			currentSecond = second
 			inSecond = 0
 		}
 		inSecond++
-		got.PeakRate = max(got.PeakRate, inSecond)
+		contents.PeakRate = max(contents.PeakRate, inSecond)
 		return nil
 	})
-	got.Keys = len(keys)
-	return got, err
+	contents.Keys = len(keys)
+	return contents, err
 }
 
 // addToClass counts an entry in its class.
-func (c *recordingContents) addToClass(reader *recording.Reader, x *recording.Entry) {
-	class := reader.Header.Classes[x.Class]
+func (c *recordingContents) addToClass(class *recordingpb.Class, entry *recording.Entry) {
 	counts := c.Classes[class.Name]
 	if counts == nil {
 		counts = &classContents{Retryable: class.Retryable}
 		c.Classes[class.Name] = counts
 	}
 	counts.Entries++
-	counts.WorkS += x.Slots * x.Duration.Seconds()
-	if x.Repairs&recording.DrawnDuration != 0 {
+	counts.WorkS += entry.Slots * entry.Duration.Seconds()
+	if entry.Repairs&recording.DrawnDuration != 0 {
 		counts.DrawnDurations++
 	}
-	if x.Repairs&recording.SyntheticKey != 0 {
+	if entry.Repairs&recording.SyntheticKey != 0 {
 		counts.GeneratedKeys++
 	}
 }
 
 // writeContents writes the contents of a recording as text.
-func writeContents(out io.Writer, reader *recording.Reader, got recordingContents) {
-	fmt.Fprintf(out, "%d entries from %s on, over %.1f s, at most %d in a second, %d keys\n", got.Entries,
-		got.Start.Format(time.RFC3339), got.SpanS, got.PeakRate, got.Keys)
-	for _, class := range reader.Header.Classes {
-		counts := got.Classes[class.Name]
-		if counts == nil {
-			continue
+func writeContents(out io.Writer, header *recordingpb.Header, contents recordingContents) {
+	fmt.Fprintf(out, "%d entries from %s on, over %.1f s, at most %d in a second, %d keys\n", contents.Entries,
+		contents.Start.Format(time.RFC3339), contents.SpanS, contents.PeakRate, contents.Keys)
+	for _, class := range header.Classes {
+		if counts := contents.Classes[class.Name]; counts != nil {
+			writeClass(out, class.Name, counts)
 		}
-		idempotency := "not idempotent: replayed only to proven stand-ins"
-		if counts.Retryable {
-			idempotency = "retryable"
-		}
-		fmt.Fprintf(out, "class %s: %d entries, %.1f s of work, %s; %d durations drawn, %d keys generated\n", class.Name, counts.Entries,
-			counts.WorkS, idempotency, counts.DrawnDurations, counts.GeneratedKeys)
 	}
-	header := reader.Header
-	fmt.Fprintf(out, "imported: read %d, accepted %d, malformed %d, unmapped %d, ignored %d, repaired %d; seed %d\n", header.Counts.GetRead(),
-		header.Counts.GetAccepted(), header.Counts.GetMalformed(), header.Counts.GetUnmapped(), header.Counts.GetIgnored(), header.Counts.GetRepaired(), header.Seed)
+	imported := header.Counts
+	fmt.Fprintf(out, "imported: read %d, accepted %d, malformed %d, unmapped %d, ignored %d, repaired %d; seed %d\n",
+		imported.GetRead(), imported.GetAccepted(), imported.GetMalformed(), imported.GetUnmapped(), imported.GetIgnored(),
+		imported.GetRepaired(), header.Seed)
 	for _, source := range header.Sources {
 		writeSource(out, source)
 	}
@@ -111,21 +104,34 @@
 	}
 }
 
+// writeClass writes the part of one class as text.
+func writeClass(out io.Writer, name string, counts *classContents) {
+	idempotency := "not idempotent: replayed only to proven stand-ins"
+	if counts.Retryable {
+		idempotency = "retryable"
+	}
+	fmt.Fprintf(out, "class %s: %d entries, %.1f s of work, %s; %d durations drawn, %d keys generated\n",
+		name, counts.Entries, counts.WorkS, idempotency, counts.DrawnDurations, counts.GeneratedKeys)
+}
+
 // writeSource writes a source of a recording as text.
 func writeSource(out io.Writer, source *recordingpb.Source) {
 	fmt.Fprintf(out, "source %s (%s, stamps mark the %s): sha256 %x\n", source.Name, source.Format, source.Stamp, source.Sha256)
 	switch {
 	case source.Estimated:
-		fmt.Fprintf(out, "  clock offset %+.3f s, estimated from %d requests, half of them within %.3f s\n", float64(source.OffsetUs)/1e6, source.Pairs,
-			float64(source.SpreadUs)/1e6)
+		fmt.Fprintf(out, "  clock offset %+.3f s, estimated from %d requests, half of them within %.3f s\n",
+			secondsFromMicroseconds(source.OffsetUs), source.Pairs, secondsFromMicroseconds(source.SpreadUs))
 	case source.OffsetUs != 0:
-		fmt.Fprintf(out, "  clock offset %+.3f s, given\n", float64(source.OffsetUs)/1e6)
+		fmt.Fprintf(out, "  clock offset %+.3f s, given\n", secondsFromMicroseconds(source.OffsetUs))
 	}
 	if source.Cut != "" {
 		fmt.Fprintf(out, "  cut: %s\n", source.Cut)
 	}
 }
 
+// secondsFromMicroseconds converts microseconds.
+func secondsFromMicroseconds(microseconds int64) float64 { return float64(microseconds) / 1e6 }
+
 // recordingContents is the output of inspect.
 type recordingContents struct {
 	Version  uint32                    `json:"version"`
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -10,8 +10,6 @@
 	"log/slog"
 	"os"
 	"runtime/debug"
-	"slices"
-	"strings"
 
 	"github.com/alecthomas/kong"
 )
@@ -30,10 +28,29 @@
 
 // environment has what commands read from and write to.
 type environment struct {
-	out, errOut   io.Writer
 	in            io.Reader
-	log           *slog.Logger
-	errIsTerminal bool // errOut is a terminal
+	out, errOut   io.Writer
+	log           *slog.Logger // writes to errOut
+	errIsTerminal bool         // errOut is a terminal
+}
+
+// newEnvironment makes the environment of a command. logFormat is a value of --log-format.
+func newEnvironment(in io.Reader, out, errOut io.Writer, logFormat string) *environment {
+	var handler slog.Handler = slog.NewTextHandler(errOut, nil)
+	if logFormat == "json" {
+		handler = slog.NewJSONHandler(errOut, nil)
+	}
+	return &environment{in: in, out: out, errOut: errOut, log: slog.New(handler), errIsTerminal: isTerminal(errOut)}
+}
+
+// isTerminal reports whether what is written appears on a terminal.
+func isTerminal(w io.Writer) bool {
+	file, isFile := w.(*os.File)
+	if !isFile {
+		return false
+	}
+	info, err := file.Stat()
+	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
 // cli has the global flags and the commands. kong derives the names of commands, flags and arguments from the names of
@@ -62,80 +79,43 @@
 	ScaleOrigin scaleOriginCmd `cmd:"" hidden:"" help:"Run the origin, for scale."`
 }
 
+// importMemoryLimit keeps an import below 64 MB whatever it reads. Commands that need more lift it.
+const importMemoryLimit = 48 << 20
+
 // main runs the command line of the process.
 func main() {
-	debug.SetMemoryLimit(48 << 20) // an import stays below 64 MB whatever it reads; other commands lift this
+	debug.SetMemoryLimit(importMemoryLimit)
 	os.Exit(run(os.Args[1:], os.Stdin, os.Stdout, os.Stderr))
 }
 
-// translateEarlier translates command lines of earlier versions, which had no commands and single dashes. Their
-// command scale is rescale now.
-func translateEarlier(args []string) []string {
-	if len(args) > 0 && args[0] == "scale" && slices.ContainsFunc(args, isOutput) {
-		return append([]string{"rescale"}, args[1:]...)
-	}
-	if len(args) == 0 || !strings.HasPrefix(args[0], "-") {
-		return args
-	}
-	known := []string{"in", "rules", "to", "front", "password", "limit", "span", "json"}
-	translated := []string{"replay"}
-	for _, arg := range args {
-		name, _, _ := strings.Cut(strings.TrimLeft(arg, "-"), "=")
-		if strings.HasPrefix(arg, "-") && !strings.HasPrefix(arg, "--") && slices.Contains(known, name) {
-			arg = "-" + arg
-		}
-		translated = append(translated, arg)
-	}
-	for _, a := range translated[1:] {
-		if strings.HasPrefix(a, "--in") || strings.HasPrefix(a, "--rules") || strings.HasPrefix(a, "--to") {
-			return translated
-		}
-	}
-	return args
-}
-
-// isOutput reports whether an argument names an output file, as those of commands on recordings do.
-func isOutput(arg string) bool {
-	return strings.HasPrefix(arg, "-o") || strings.HasPrefix(arg, "--output")
-}
-
 // run runs a command line and returns its exit code.
-func run(args []string, in io.Reader, out, errOut io.Writer) (code int) {
+func run(args []string, in io.Reader, out, errOut io.Writer) int {
 	var commands cli
-	exit := -1
-	parser, err := kong.New(&commands, kong.Name("rehearse"), kong.Writers(out, errOut), kong.Exit(func(code int) { exit = code }),
+	exitCode := -1 // set by kong when it has printed help
+	parser, err := kong.New(&commands,
+		kong.Name("rehearse"),
 		kong.Description("Rehearses recorded traffic against the dispatcher, with stand-ins for everything around it."),
-		kong.UsageOnError(), kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
+		kong.Writers(out, errOut),
+		kong.Exit(func(code int) { exitCode = code }),
+		kong.UsageOnError(),
+		kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
+	)
 	if err != nil {
 		panic(err) // the declarations above are wrong
 	}
 	parsed, err := parser.Parse(translateEarlier(args))
-	if exit >= 0 { // help was asked for
-		return exit
+	if exitCode >= 0 {
+		return exitCode
 	}
-	if err != nil {
-		fmt.Fprintln(errOut, "rehearse:", err)
-		return exitFailure
+	if err == nil {
+		err = parsed.Run(newEnvironment(in, out, errOut, commands.LogFormat))
 	}
-	environment := &environment{out: out, errOut: errOut, in: in}
-	if commands.LogFormat == "json" {
-		environment.log = slog.New(slog.NewJSONHandler(errOut, nil))
-	} else {
-		environment.log = slog.New(slog.NewTextHandler(errOut, nil))
-	}
-	if file, ok := errOut.(*os.File); ok {
-		info, err := file.Stat()
-		environment.errIsTerminal = err == nil && info.Mode()&os.ModeCharDevice != 0
-	}
-	err = parsed.Run(environment)
-	var violation violationError
-	switch {
-	case err == nil:
+	if err == nil {
 		return exitSuccess
-	case errors.As(err, &violation):
-		fmt.Fprintln(errOut, "rehearse:", err)
-		return exitViolation
 	}
 	fmt.Fprintln(errOut, "rehearse:", err)
+	if _, isViolation := errors.AsType[violationError](err); isViolation {
+		return exitViolation
+	}
 	return exitFailure
 }
--- a/cmd/rehearse/process.go
+++ b/cmd/rehearse/process.go
@@ -1,24 +1,43 @@
 package main
 
 import (
-	"fmt"
+	"cmp"
+	"errors"
 	"os"
 	"path/filepath"
 	"syscall"
 )
 
-// daemonPath returns the daemon's program: the given one, or the one beside this program.
+// The programs of this project that commands start, as they stand beside this one.
+const (
+	daemonProgram      = "dispatcher"
+	daemonServeProgram = "dispatcher-serve"
+	relayProgram       = "membership-relay"
+)
+
+var errNoDaemon = errors.New("no daemon beside this program: build it, or name it by --daemon")
+
+// siblingProgram returns the given program or, if none is given, the one of that name beside this program. The
+// program need not exist.
+func siblingProgram(given, name string) (string, error) {
+	self, err := os.Executable()
+	if err != nil {
+		return "", err
+	}
+	return cmp.Or(given, filepath.Join(filepath.Dir(self), name)), nil
+}
+
+// daemonPath returns the given program or, if none is given, the daemon beside this program, which must exist.
 func daemonPath(given string) (string, error) {
 	if given != "" {
 		return given, nil
 	}
-	self, err := os.Executable()
+	path, err := siblingProgram("", daemonProgram)
 	if err != nil {
 		return "", err
 	}
-	path := filepath.Join(filepath.Dir(self), "dispatcher")
 	if _, err := os.Stat(path); err != nil {
-		return "", fmt.Errorf("no daemon beside this program: build it, or name it by --daemon")
+		return "", errNoDaemon
 	}
 	return path, nil
 }
@@ -27,8 +46,9 @@
 // open.
 func raiseDescriptorLimit() {
 	var limit syscall.Rlimit
-	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit) == nil && limit.Cur < limit.Max {
-		limit.Cur = limit.Max
-		syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit)
+	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit) != nil || limit.Cur >= limit.Max {
+		return
 	}
+	limit.Cur = limit.Max
+	syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit)
 }
--- a/cmd/rehearse/run.go
+++ b/cmd/rehearse/run.go
@@ -1,13 +1,9 @@
 package main
 
 import (
-	"fmt"
 	"math"
 	"os"
 	"runtime/debug"
-	"time"
-
-	"github.com/schollz/progressbar/v3"
 
 	"hollyyoke.example/hollyyoke/internal/rehearsal/childprocess"
 	"hollyyoke.example/hollyyoke/internal/rehearsal/recording"
@@ -23,7 +19,7 @@
 	Seed      uint64  `default:"1" help:"Of ids, service times and the daemon."`
 	Speed     float64 `default:"1" help:"Times as fast."`
 	Report    string  `help:"Directory for report.json and report.html."`
-	Front     string  `enum:"platform,faktory" default:"platform" help:"The front that is sent to: platform or faktory."`
+	FrontEnd  string  `name:"front" enum:"platform,faktory" default:"platform" help:"The front end that is sent to: platform or faktory."`
 	Workers   int     `default:"0" help:"Stand-in workers; 0: as many as the recording's work needs."`
 	Cores     float64 `default:"0" help:"Slots of each worker; 0: 3, and 2 of every third."`
 	Noise     float64 `default:"0.1" help:"Coefficient of variation of service times."`
@@ -31,48 +27,16 @@
 	JSON      bool    `name:"json" help:"Print the report as JSON."`
 }
 
-// recordingSize is the load of a recording.
-type recordingSize struct {
-	entries  int
-	workRate float64 // slots times seconds of work per second, in the busiest window
-	classes  []standin.ClassConfig
-}
-
-// measureRecording reads a recording to its end and returns its load at a speed.
-func measureRecording(path string, speed float64) (s recordingSize, err error) {
-	reader, done, err := openRecording(path)
-	if err != nil {
-		return s, err
-	}
-	defer done()
-	for _, c := range reader.Header.Classes {
-		s.classes = append(s.classes, standin.ClassConfig{Name: c.Name, Retryable: c.Retryable, Timeout: time.Second})
-	}
-	window := -1
-	windowWork := 0.0
-	err = reader.ForEach(func(e *recording.Entry) error {
-		s.entries++
-		c := &s.classes[e.Class]
-		c.Timeout = max(c.Timeout, e.Timeout)
-		if number := int(e.Arrival.Seconds() / speed / loadWindowS); number != window {
-			window = number
-			windowWork = 0
-		}
-		windowWork += e.Slots * e.Duration.Seconds()
-		s.workRate = max(s.workRate, windowWork/loadWindowS)
-		return nil
-	})
+// Run replays the recording and fails if a rule was violated.
+func (c *runCmd) Run(env *environment) error {
+	evaluated, err := c.rehearse(env, nil)
 	if err != nil {
-		return s, fmt.Errorf("%s: %w", path, err)
-	}
-	if s.entries == 0 {
-		return s, fmt.Errorf("%s: no entry to replay", path)
+		return err
 	}
-	return s, nil
+	return finishReport(env, evaluated, c.JSON, c.Report)
 }
 
 const (
-	loadWindowS       = 10   // length of the windows of which the busiest counts
 	targetUtilization = 0.6  // of the workers' capacity, in the busiest window
 	meanWorkerSpeed   = 2.3  // slots times speed of a worker, mean of the stand-ins' mixture
 	meanSlotSpeed     = 0.83 // speed of a slot, mean of that mixture
@@ -81,37 +45,31 @@
 	maxAnnouncedBody  = 60 << 10 // bytes
 )
 
-func (c *runCmd) Run(e *environment) error {
-	rep, err := c.rehearse(e, nil)
-	if err != nil {
-		return err
-	}
-	return finishReport(e, rep, c.JSON, c.Report)
+// workerSize is a number of workers and the slots of each; 0 slots: by the kind of the worker.
+type workerSize struct {
+	count int
+	slots float64
 }
 
-// workerCount returns the number of workers and the slots of each: as given, or enough for the load.
-func (c *runCmd) workerCount(workRate float64) (workers int, slots float64) {
+// workerSize returns the workers as the flags give them, or enough for the load.
+func (c *runCmd) workerSize(load recordingLoad) workerSize {
 	if c.Workers != 0 {
-		return c.Workers, c.Cores
+		return workerSize{count: c.Workers, slots: c.Cores}
 	}
-	workers = min(max(int(math.Ceil(workRate/targetUtilization/meanWorkerSpeed)), minWorkers), maxWorkers)
-	slots = c.Cores
-	if workers == maxWorkers && slots == 0 {
-		slots = math.Ceil(workRate / targetUtilization / meanSlotSpeed / maxWorkers)
+	needed := int(math.Ceil(load.workRate / targetUtilization / meanWorkerSpeed))
+	size := workerSize{count: min(max(needed, minWorkers), maxWorkers), slots: c.Cores}
+	if size.count == maxWorkers && size.slots == 0 {
+		size.slots = math.Ceil(load.workRate / targetUtilization / meanSlotSpeed / maxWorkers)
 	}
-	return workers, slots
+	return size
 }
 
 // rehearse runs the daemon and replays the recording. beforeSending, which may be nil, is called before the first
 // request.
-func (c *runCmd) rehearse(e *environment, beforeSending func(*standin.Fleet)) (*report.Report, error) {
+func (c *runCmd) rehearse(env *environment, beforeSending func(*standin.Fleet)) (*report.Report, error) {
 	debug.SetMemoryLimit(math.MaxInt64)
 	raiseDescriptorLimit()
-	size, err := measureRecording(c.Recording, c.Speed)
-	if err != nil {
-		return nil, err
-	}
-	daemon, err := daemonPath(c.Daemon)
+	load, err := measureRecording(c.Recording, c.Speed)
 	if err != nil {
 		return nil, err
 	}
@@ -120,50 +78,76 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	workers, cores := c.workerCount(size.workRate)
-	fleet, err := standin.StartFleet(standin.FleetConfig{Daemon: daemon, Dir: dir, Classes: size.classes, Workers: workers, Cores: cores,
-		Seed: c.Seed, Faktory: c.Front == "faktory", Noise: c.Noise})
+	fleet, err := c.startFleet(dir, load)
 	if err != nil {
 		return nil, err
 	}
 	defer fleet.Close()
-	e.log.Info("daemon and stand-ins are up", "front", c.Front, "workers", workers, "entries", size.entries)
+	env.log.Info("daemon and stand-ins are up", "front", c.FrontEnd, "workers", len(fleet.Workers), "entries", load.entries)
 	if beforeSending != nil {
 		beforeSending(fleet)
 	}
-	options := replay.Options{Target: fleet.Addr, Seed: c.Seed, Speed: c.Speed, Verified: fleet.Gate.IsOpen, OnProgress: progressBar(e, size.entries)}
-	if c.Front == "faktory" {
-		options.Target = fleet.FaktoryAddr
-		options.Faktory = true
-		options.Password = fleet.Password
-	}
-	options.OnSend = func(id, class string, retryable bool, path string, x *recording.Entry) {
-		j := standin.Job{ID: id, Class: class, Retryable: retryable, Path: path, BodyBytes: min(x.BodyBytes, maxAnnouncedBody), ServiceTime: x.Duration, Slots: x.Slots}
-		if options.Faktory { // the body becomes arguments, which the Faktory tests check
-			j.Path = ""
-		}
-		fleet.Ledger.Announce(j)
-	}
-	rep, err := replayRecording(e, c.Recording, options)
+	evaluated, err := replayRecording(c.Recording, c.replayOptions(env, fleet, load))
 	if err != nil {
 		return nil, err
 	}
-	rep.FrontEnd = c.Front
-	rep.Workers = len(fleet.Workers)
-	rep.DaemonRSS = childprocess.ResidentKiB(fleet.PID())
+	evaluated.FrontEnd = c.FrontEnd
+	evaluated.Workers = len(fleet.Workers)
+	evaluated.DaemonRSS = childprocess.ResidentKiB(fleet.PID())
 	if reason := fleet.Gate.Failure(); reason != nil {
-		rep.WithheldReason = reason.Error()
+		evaluated.WithheldReason = reason.Error()
 	}
-	rep.Evaluate(&fleet.Ledger)
-	return rep, nil
+	evaluated.Evaluate(&fleet.Ledger)
+	return evaluated, nil
 }
 
-// progressBar returns a function that shows the progress of a run; nil if standard error is no terminal.
-func progressBar(e *environment, total int) func(int) {
-	if !e.errIsTerminal {
-		return nil
+// startFleet starts the daemon, with its files in dir, and its stand-ins.
+func (c *runCmd) startFleet(dir string, load recordingLoad) (*standin.Fleet, error) {
+	daemon, err := daemonPath(c.Daemon)
+	if err != nil {
+		return nil, err
+	}
+	size := c.workerSize(load)
+	return standin.StartFleet(standin.FleetConfig{
+		Daemon:  daemon,
+		Dir:     dir,
+		Classes: load.classes,
+		Workers: size.count,
+		Cores:   size.slots,
+		Seed:    c.Seed,
+		Faktory: c.FrontEnd == frontEndFaktory,
+		Noise:   c.Noise,
+	})
+}
+
+// replayOptions says how the recording is sent to the daemon of a fleet. Every job is announced to the ledger.
+func (c *runCmd) replayOptions(env *environment, fleet *standin.Fleet, load recordingLoad) replay.Options {
+	options := replay.Options{
+		Target:     fleet.Addr,
+		Seed:       c.Seed,
+		Speed:      c.Speed,
+		Verified:   fleet.Gate.IsOpen,
+		OnProgress: progressBar(env, load.entries),
+	}
+	if c.FrontEnd == frontEndFaktory {
+		options.Target = fleet.FaktoryAddr
+		options.Faktory = true
+		options.Password = fleet.Password
+	}
+	options.OnSend = func(id, class string, retryable bool, path string, entry *recording.Entry) {
+		job := standin.Job{
+			ID:          id,
+			Class:       class,
+			Retryable:   retryable,
+			Path:        path,
+			BodyBytes:   min(entry.BodyBytes, maxAnnouncedBody),
+			ServiceTime: entry.Duration,
+			Slots:       entry.Slots,
+		}
+		if options.Faktory { // the body becomes arguments, which the Faktory tests check
+			job.Path = ""
+		}
+		fleet.Ledger.Announce(job)
 	}
-	bar := progressbar.NewOptions(total, progressbar.OptionSetWriter(e.errOut), progressbar.OptionSetDescription("replay"),
-		progressbar.OptionThrottle(200*time.Millisecond), progressbar.OptionClearOnFinish())
-	return func(n int) { bar.Set(n) }
+	return options
 }
--- a/cmd/rehearse/scale.go
+++ b/cmd/rehearse/scale.go
@@ -1,14 +1,12 @@
 package main
 
 import (
-	"cmp"
 	"context"
 	"fmt"
 	"io"
 	"math"
 	"os"
 	"os/signal"
-	"path/filepath"
 	"runtime/debug"
 	"strings"
 	"syscall"
@@ -21,7 +19,7 @@
 	Scenario    string `arg:"" help:"Scenario file, of deploy/scenarios/scale."`
 	Workers     int    `help:"Workers listed; 0: as the scenario says."`
 	Dispatchers int    `help:"Hollow dispatchers; 0: as the scenario says."`
-	Real        int    `help:"Real daemons; below 0: as the scenario says." default:"-1"`
+	Daemons     int    `name:"real" help:"Real daemons; below 0: as the scenario says." default:"-1"`
 	Seed        uint64 `help:"0: as the scenario says."`
 	Mechanism   string `enum:",discovery,relays" default:"" help:"discovery or relays alone; not given: as the scenario says."`
 	JSON        string `name:"json" placeholder:"FILE" help:"Write the figures as JSON."`
@@ -32,7 +30,7 @@
 }
 
 // Run runs the scenario.
-func (c *scaleCmd) Run(e *environment) error {
+func (c *scaleCmd) Run(env *environment) error {
 	debug.SetMemoryLimit(math.MaxInt64)
 	raiseDescriptorLimit()
 	scenario, err := c.readScenario()
@@ -48,19 +46,19 @@
 	var runs []*scale.Run
 	var records []scale.Record
 	for _, mechanism := range scenario.Mechanism {
-		run, err := scale.Execute(ctx, scenario, mechanism, programs, e.log)
+		run, err := scale.Execute(ctx, scenario, mechanism, programs, env.log)
 		if err != nil {
 			return err
 		}
 		runs = append(runs, run)
 		records = append(records, run.Record(c.commandLine()))
 	}
-	return c.writeResults(e, runs, records)
+	return c.writeResults(env, runs, records)
 }
 
 // readScenario reads the scenario; flags take precedence over it.
-func (c *scaleCmd) readScenario() (scenario scale.Scenario, err error) {
-	scenario, err = scale.ReadScenario(c.Scenario)
+func (c *scaleCmd) readScenario() (scale.Scenario, error) {
+	scenario, err := scale.ReadScenario(c.Scenario)
 	if err != nil {
 		return scenario, err
 	}
@@ -70,8 +68,8 @@
 	if c.Dispatchers > 0 {
 		scenario.Dispatchers = c.Dispatchers
 	}
-	if c.Real >= 0 {
-		scenario.Daemons = c.Real
+	if c.Daemons >= 0 {
+		scenario.Daemons = c.Daemons
 	}
 	if c.Seed > 0 {
 		scenario.Seed = c.Seed
@@ -85,44 +83,47 @@
 	return scenario, nil
 }
 
-// siblingProgram returns the given program, or the one of that name beside this one.
-func siblingProgram(self, given, name string) string {
-	return cmp.Or(given, filepath.Join(filepath.Dir(self), name))
-}
-
-// programs returns the programs of a run.
-func (c *scaleCmd) programs() (programs scale.Programs, err error) {
+// programs returns the programs of a run. Hollow dispatchers and the origin are hidden commands of this one.
+func (c *scaleCmd) programs() (scale.Programs, error) {
 	self, err := os.Executable()
 	if err != nil {
-		return programs, err
+		return scale.Programs{}, err
+	}
+	daemon, err := siblingProgram(c.Daemon, daemonServeProgram)
+	if err != nil {
+		return scale.Programs{}, err
+	}
+	relay, err := siblingProgram(c.Relay, relayProgram)
+	if err != nil {
+		return scale.Programs{}, err
 	}
 	return scale.Programs{
 		Hollow: []string{self, "scale-hollow"},
 		Origin: []string{self, "scale-origin"},
-		Daemon: siblingProgram(self, c.Daemon, "dispatcher-serve"),
-		Relay:  siblingProgram(self, c.Relay, "membership-relay"),
+		Daemon: daemon,
+		Relay:  relay,
 	}, nil
 }
 
 // commandLine returns the command that repeats this run.
 func (c *scaleCmd) commandLine() string {
 	args := []string{"bin/rehearse", "scale", c.Scenario}
-	add := func(given bool, flag string, value any) {
-		if given {
+	add := func(isGiven bool, flag string, value any) {
+		if isGiven {
 			args = append(args, "--"+flag, fmt.Sprint(value))
 		}
 	}
 	add(c.Workers > 0, "workers", c.Workers)
 	add(c.Dispatchers > 0, "dispatchers", c.Dispatchers)
-	add(c.Real >= 0, "real", c.Real)
+	add(c.Daemons >= 0, "real", c.Daemons)
 	add(c.Seed > 0, "seed", c.Seed)
 	add(c.Mechanism != "", "mechanism", c.Mechanism)
 	return strings.Join(args, " ")
 }
 
 // writeResults writes the table and the requested files.
-func (c *scaleCmd) writeResults(e *environment, runs []*scale.Run, records []scale.Record) error {
-	scale.WriteTable(e.out, runs, records)
+func (c *scaleCmd) writeResults(env *environment, runs []*scale.Run, records []scale.Record) error {
+	scale.WriteTable(env.out, runs, records)
 	for _, file := range []struct {
 		path  string
 		write func(io.Writer) error
@@ -149,16 +150,18 @@
 // scaleHollowCmd runs a process of hollow dispatchers.
 type scaleHollowCmd struct{}
 
-func (scaleHollowCmd) Run(e *environment) error {
+// Run runs the process until its input ends.
+func (scaleHollowCmd) Run(env *environment) error {
 	raiseDescriptorLimit()
-	return scale.RunHollow(e.in, e.out)
+	return scale.RunHollow(env.in, env.out)
 }
 
 // scaleOriginCmd runs the origin.
 type scaleOriginCmd struct{}
 
-func (scaleOriginCmd) Run(e *environment) error {
+// Run runs the process until its input ends.
+func (scaleOriginCmd) Run(env *environment) error {
 	debug.SetMemoryLimit(math.MaxInt64)
 	raiseDescriptorLimit()
-	return scale.RunOrigin(e.in, e.out)
+	return scale.RunOrigin(env.in, env.out)
 }
--- a/cmd/rehearse/scale_test.go
+++ b/cmd/rehearse/scale_test.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"errors"
-	"os"
 	"os/exec"
 	"path/filepath"
 	"strings"
@@ -12,6 +11,7 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/scale"
 )
 
+// scaleScenario is a scenario that takes about a second.
 const scaleScenario = `name = "tiny"
 seed = 3
 workers = 20
@@ -27,47 +27,61 @@
 count = 3
 `
 
+// buildProgram builds this program and returns its path. The scale command starts further processes of it.
+func buildProgram(t *testing.T) string {
+	t.Helper()
+	program := filepath.Join(t.TempDir(), "rehearse")
+	output, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput()
+	if err != nil {
+		t.Fatalf("%v: %s", err, output)
+	}
+	return program
+}
+
+// runScale runs the scale command of a program with a scenario, and returns its exit code and output.
+func runScale(t *testing.T, program, scenario string, args ...string) (exitCode int, text string) {
+	t.Helper()
+	path := writeFile(t, "tiny.toml", scenario)
+	command := exec.Command(program, append([]string{"scale", path}, args...)...)
+	output, err := command.CombinedOutput()
+	var exitError *exec.ExitError
+	if err != nil && !errors.As(err, &exitError) {
+		t.Fatal(err)
+	}
+	return command.ProcessState.ExitCode(), string(output)
+}
+
 // The output of the command as a program, and its exit code where a bound is exceeded.
 func TestScaleProgram(t *testing.T) {
-	dir := t.TempDir()
-	program := filepath.Join(dir, "rehearse")
-	if out, err := exec.Command("go", "build", "-o", program, ".").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
-	}
-	runScale := func(scenario string, args ...string) (code int, text string) {
-		t.Helper()
-		path := write(t, "tiny.toml", scenario)
-		out, err := exec.Command(program, append([]string{"scale", path}, args...)...).CombinedOutput()
-		var ended *exec.ExitError
-		if err != nil && !errors.As(err, &ended) {
+	program := buildProgram(t)
+	t.Run("results", func(t *testing.T) {
+		figures := filepath.Join(t.TempDir(), "f.json")
+		chart := filepath.Join(t.TempDir(), "c.svg")
+		exitCode, text := runScale(t, program, scaleScenario, "--json", figures, "--chart", chart, "--workers", "30")
+		if exitCode != exitSuccess || !strings.Contains(text, "30 workers") {
+			t.Errorf("exit code %d, want success with 30 workers: %s", exitCode, text)
+		}
+		var records []scale.Record
+		if err := json.Unmarshal(readFile(t, figures), &records); err != nil {
 			t.Fatal(err)
 		}
-		if ended != nil {
-			code = ended.ExitCode()
+		if len(records) != 1 || records[0].Workers != 30 || !strings.HasSuffix(records[0].Command, "--workers 30") {
+			t.Errorf("%+v, want one record of 30 workers with its command", records)
 		}
-		return code, string(out)
-	}
-	figures := filepath.Join(dir, "f.json")
-	chart := filepath.Join(dir, "c.svg")
-	if code, text := runScale(scaleScenario, "--json", figures, "--chart", chart, "--workers", "30"); code != exitSuccess || !strings.Contains(text, "30 workers") {
-		t.Errorf("code %d: %s", code, text)
-	}
-	var records []scale.Record
-	raw, err := os.ReadFile(figures)
-	if err == nil {
-		err = json.Unmarshal(raw, &records)
-	}
-	if err != nil || len(records) != 1 || records[0].Workers != 30 || !strings.HasSuffix(records[0].Command, "--workers 30") {
-		t.Errorf("%v: %+v", err, records)
-	}
-	if svg, err := os.ReadFile(chart); err != nil || !strings.Contains(string(svg), "<svg") {
-		t.Errorf("chart: %v", err)
-	}
-	code, text := runScale(scaleScenario + "[bounds]\nmemory_mb = 0\nin_force_max_s = 1e-9\n")
-	if code != exitViolation || !strings.Contains(text, "in_force_max_s") {
-		t.Errorf("an exceeded bound: code %d: %s", code, text)
-	}
-	if code, text := runScale(scaleScenario + "colour = 1\n"); code != exitFailure || !strings.Contains(text, "colour: unknown key") {
-		t.Errorf("an invalid scenario: code %d: %s", code, text)
-	}
+		if svg := readFile(t, chart); !strings.Contains(string(svg), "<svg") {
+			t.Errorf("the chart is no SVG: %.40s", svg)
+		}
+	})
+	t.Run("exceeded bound", func(t *testing.T) {
+		exitCode, text := runScale(t, program, scaleScenario+"[bounds]\nmemory_mb = 0\nin_force_max_s = 1e-9\n")
+		if exitCode != exitViolation || !strings.Contains(text, "in_force_max_s") {
+			t.Errorf("exit code %d, want a violation of in_force_max_s: %s", exitCode, text)
+		}
+	})
+	t.Run("invalid scenario", func(t *testing.T) {
+		exitCode, text := runScale(t, program, scaleScenario+"colour = 1\n")
+		if exitCode != exitFailure || !strings.Contains(text, "colour: unknown key") {
+			t.Errorf("exit code %d, want a failure by the key colour: %s", exitCode, text)
+		}
+	})
 }
--- a/cmd/rehearse/sim_test.go
+++ b/cmd/rehearse/sim_test.go
@@ -9,51 +9,84 @@
 	"testing"
 )
 
-// The output and exit codes of the simulator's commands.
-func TestSimCommands(t *testing.T) {
-	dir := t.TempDir()
-	valid, err := os.ReadFile("../../deploy/scenarios/faults.toml")
+// writeScenario writes a variant of the shipped scenario of faults, with the text old replaced, and returns its path.
+func writeScenario(t *testing.T, name, old, replacement string) string {
+	t.Helper()
+	text, err := os.ReadFile("../../deploy/scenarios/faults.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	path := func(name, old, new string) string {
-		p := filepath.Join(dir, name)
-		text := strings.Replace(string(valid), "length_s = 60", "length_s = 30", 1)
-		if err := os.WriteFile(p, []byte(strings.Replace(text, old, new, 1)), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		return p
-	}
-	a := path("a.toml", `name = "faults"`, `name = "a"`)
-	b := path("b.toml", "rate_per_s = 40", "rate_per_s = 75")
-	do := func(code int, want string, args ...string) string {
-		t.Helper()
-		var out, errs bytes.Buffer
-		if got := run(append([]string{"sim"}, args...), strings.NewReader(""), &out, &errs); got != code || !strings.Contains(out.String()+errs.String(), want) {
-			t.Fatalf("%v: code %d, want %d: %s%s; want %q", args, got, code, out.String(), errs.String(), want)
-		}
-		return out.String()
+	short := strings.Replace(string(text), "length_s = 60", "length_s = 30", 1)
+	return writeFile(t, name, strings.Replace(short, old, replacement, 1))
+}
+
+// calmScenario is the shipped scenario, called a.
+func calmScenario(t *testing.T) string {
+	t.Helper()
+	return writeScenario(t, "a.toml", `name = "faults"`, `name = "a"`)
+}
+
+// busyScenario has nearly twice the requests of calmScenario.
+func busyScenario(t *testing.T) string {
+	t.Helper()
+	return writeScenario(t, "b.toml", "rate_per_s = 40", "rate_per_s = 75")
+}
+
+// runSim runs a command of the simulator, checks its exit code and that its output contains a text, and returns the
+// output.
+func runSim(t *testing.T, wantExitCode int, wantText string, args ...string) string {
+	t.Helper()
+	result := runCommand(append([]string{"sim"}, args...)...)
+	if result.exitCode != wantExitCode || !strings.Contains(result.out+result.errOut, wantText) {
+		t.Fatalf("%v; want exit code %d and %q", result, wantExitCode, wantText)
 	}
+	return result.out
+}
+
+// The same scenario and seed give the same events, with a log or without.
+func TestSimRunFollowsSeed(t *testing.T) {
+	scenario := calmScenario(t)
+	logPath := filepath.Join(t.TempDir(), "log")
+	first := runSim(t, exitSuccess, "a, seed 3:", "run", scenario, "--seed", "3", "--log", logPath)
+	second := runSim(t, exitSuccess, "a, seed 3:", "run", scenario, "--seed", "3")
 	hash := regexp.MustCompile(`hash ([0-9a-f]{16})`)
-	log := filepath.Join(dir, "log")
-	first := do(0, "a, seed 3:", "run", a, "--seed", "3", "--log", log)
-	again := do(0, "a, seed 3:", "run", a, "--seed", "3")
-	if x, y := hash.FindStringSubmatch(first), hash.FindStringSubmatch(again); x == nil || y == nil || x[1] != y[1] {
-		t.Errorf("%s%s", first, again)
+	firstHash := hash.FindString(first)
+	secondHash := hash.FindString(second)
+	if firstHash == "" || secondHash == "" || firstHash != secondHash {
+		t.Errorf("%q, then %q: %s%s", firstHash, secondHash, first, second)
 	}
-	if text, _ := os.ReadFile(log); bytes.Count(text, []byte(" runs ")) < 100 || !bytes.Contains(text, []byte("end of pause")) {
-		t.Errorf("the log has %d bytes", len(text))
+	log := readFile(t, logPath)
+	if bytes.Count(log, []byte(" runs ")) < 100 || !bytes.Contains(log, []byte("end of pause")) {
+		t.Errorf("the log of %d bytes lacks requests that run or the end of a pause", len(log))
 	}
-	do(0, `"Hash"`, "run", a, "--json")
-	if out := do(0, "the worst:", "hunt", a, b, "--seeds", "3", "--worst", "2"); strings.Count(out, ", seed ") != 2 {
-		t.Errorf("hunt: %s", out)
+}
+
+func TestSimRunWritesJSON(t *testing.T) {
+	runSim(t, exitSuccess, `"Hash"`, "run", calmScenario(t), "--json")
+}
+
+func TestSimHuntListsWorstRuns(t *testing.T) {
+	out := runSim(t, exitSuccess, "the worst:", "hunt", calmScenario(t), busyScenario(t), "--seeds", "3", "--worst", "2")
+	if listed := strings.Count(out, ", seed "); listed != 2 {
+		t.Errorf("%d runs are listed, want 2: %s", listed, out)
 	}
-	do(0, "A is better", "compare", a, b, "--seeds", "5")
-	do(0, "noise", "compare", a, a, "--seeds", "3")
-	small := filepath.Join(dir, "small.toml")
-	do(0, "", "shrink", b, "--when", "refused", "-o", small)
-	do(0, "seed 1", "run", small)
-	do(2, "nothing is broken", "shrink", a)
-	do(2, "lenght_s: unknown key", "run", path("c.toml", "length_s", "lenght_s"))
-	do(2, "no such file", "hunt", filepath.Join(dir, "none.toml"))
+}
+
+func TestSimCompare(t *testing.T) {
+	calm := calmScenario(t)
+	runSim(t, exitSuccess, "A is better", "compare", calm, busyScenario(t), "--seeds", "5")
+	runSim(t, exitSuccess, "noise", "compare", calm, calm, "--seeds", "3")
+}
+
+// The reduced scenario can be run.
+func TestSimShrink(t *testing.T) {
+	small := filepath.Join(t.TempDir(), "small.toml")
+	runSim(t, exitSuccess, "", "shrink", busyScenario(t), "--when", "refused", "-o", small)
+	runSim(t, exitSuccess, "seed 1", "run", small)
+}
+
+func TestSimErrors(t *testing.T) {
+	runSim(t, exitFailure, "nothing is broken", "shrink", calmScenario(t))
+	runSim(t, exitFailure, "lenght_s: unknown key", "run", writeScenario(t, "c.toml", "length_s", "lenght_s"))
+	runSim(t, exitFailure, "no such file", "hunt", filepath.Join(t.TempDir(), "none.toml"))
 }
--- a/cmd/rehearse/slopes_test.go
+++ b/cmd/rehearse/slopes_test.go
@@ -10,58 +10,79 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/capacity"
 )
 
+// slopeZones is the number of zones in which the listed workers of a slope run stand.
+const slopeZones = 17
+
+// positiveSeries are series whose values depend on the machine, but are never zero.
+var positiveSeries = map[capacity.SeriesName]bool{
+	capacity.SnapshotBytes: true,
+	capacity.SnapshotGzip:  true,
+	capacity.DeltaBytes:    true,
+	capacity.StartResident: true,
+	capacity.PeakResident:  true,
+	capacity.ReadyTime:     true,
+	capacity.StartCPU:      true,
+	capacity.ModuleDelta:   true,
+	capacity.ModuleWarm:    true,
+	capacity.ModuleCold:    true,
+	capacity.ModulePick:    true,
+	capacity.ModuleTeams:   true,
+	capacity.ModuleSweep:   true,
+}
+
 // A small slope run with the daemon: every series has its values, and those that do not depend on the machine are right.
 // Two runs are merged.
 func TestSlopes(t *testing.T) {
-	file := filepath.Join(t.TempDir(), "slopes.json")
-	args := []string{"slopes", "--sizes", "34,68,170", "--plays", "1", "--idle-span", "100ms", "--delta-span", "200ms", "--delta-rate", "50",
-		"--daemon", filepath.Join(filepath.Dir(daemon), "dispatcher-serve"), "--append", "-o", file}
+	path := filepath.Join(t.TempDir(), "slopes.json")
+	program := filepath.Join(filepath.Dir(daemon), daemonServeProgram)
 	for range 2 {
-		var out, errs bytes.Buffer
-		if code := run(args, strings.NewReader(""), &out, &errs); code != exitSuccess {
-			t.Fatalf("code %d: %s", code, errs.String())
+		result := runCommand("slopes", "--sizes", "34,68,170", "--plays", "1", "--idle-span", "100ms", "--delta-span", "200ms",
+			"--delta-rate", "50", "--daemon", program, "--append", "-o", path)
+		if result.exitCode != exitSuccess {
+			t.Fatal(result)
 		}
 	}
-	s, err := capacity.ReadSlopes(file)
+	slopes, err := capacity.ReadSlopes(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Plays != 2 || s.Zones != 17 || !strings.Contains(s.Command, "--sizes 34,68,170 ") {
-		t.Errorf("%d plays in %d zones of %q", s.Plays, s.Zones, s.Command)
+	if slopes.Plays != 2 || slopes.Zones != slopeZones || !strings.Contains(slopes.Command, "--sizes 34,68,170 ") {
+		t.Errorf("%d repetitions in %d zones of %q, want 2 in %d with the sizes", slopes.Plays, slopes.Zones, slopes.Command, slopeZones)
 	}
-	const series = 19
-	if len(s.Series) != series {
-		t.Errorf("%d series, want %d", len(s.Series), series)
+	const wantSeries = 19
+	if len(slopes.Series) != wantSeries {
+		t.Errorf("%d series, want %d", len(slopes.Series), wantSeries)
 	}
-	for _, x := range s.Series {
-		for _, p := range x.Points {
-			switch value := p.Values[0]; x.Name {
-			case capacity.ZoneLossDeltas: // one for each worker of one of 17 zones
-				if value != float64(p.Size)/17 {
-					t.Errorf("%d workers: %v deltas for a lost zone", p.Size, value)
-				}
-			case capacity.SnapshotBytes, capacity.SnapshotGzip, capacity.DeltaBytes, capacity.StartResident, capacity.PeakResident,
-				capacity.ReadyTime, capacity.StartCPU, capacity.ModuleDelta, capacity.ModuleWarm, capacity.ModuleCold, capacity.ModulePick, capacity.ModuleTeams,
-				capacity.ModuleSweep:
-				if value <= 0 {
-					t.Errorf("%s at %d: %v", x.Name, p.Size, value)
-				}
+	for _, series := range slopes.Series {
+		for _, point := range series.Points {
+			value := point.Values[0]
+			if series.Name == capacity.ZoneLossDeltas && value != float64(point.Size)/slopeZones {
+				t.Errorf("%d workers: %v deltas for a lost zone, want one for each of its workers", point.Size, value)
+			}
+			if positiveSeries[series.Name] && value <= 0 {
+				t.Errorf("%s at %d: %v, want more than 0", series.Name, point.Size, value)
 			}
 		}
 	}
 }
 
-// The page is generated from the committed data; data without runs is refused.
-func TestCapacityCommand(t *testing.T) {
-	page := filepath.Join(t.TempDir(), "CAPACITY.md")
-	var out, errs bytes.Buffer
-	if code := run([]string{"capacity", "--data", "../../docs/capacity", "-o", page}, strings.NewReader(""), &out, &errs); code != exitSuccess {
-		t.Fatalf("code %d: %s", code, errs.String())
+// The page is generated from the committed data.
+func TestCapacityWritesPage(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "CAPACITY.md")
+	result := runCommand("capacity", "--data", "../../docs/capacity", "-o", path)
+	if result.exitCode != exitSuccess {
+		t.Fatal(result)
 	}
-	if text, err := os.ReadFile(page); err != nil || !bytes.HasPrefix(text, []byte("# Capacity\n")) {
-		t.Errorf("%v: %.40s", err, text)
+	page, err := os.ReadFile(path)
+	if err != nil || !bytes.HasPrefix(page, []byte("# Capacity\n")) {
+		t.Errorf("%v: %.40s", err, page)
 	}
-	if code := run([]string{"capacity", "--data", t.TempDir(), "-o", page}, strings.NewReader(""), &out, &errs); code != exitFailure {
-		t.Errorf("an empty directory: code %d", code)
+}
+
+func TestCapacityRejectsMissingRuns(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "CAPACITY.md")
+	result := runCommand("capacity", "--data", t.TempDir(), "-o", path)
+	if result.exitCode != exitFailure {
+		t.Errorf("%v, want a failure", result)
 	}
 }
--- a/cmd/rehearse/soak.go
+++ b/cmd/rehearse/soak.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"os"
 	"time"
 
 	"hollyyoke.example/hollyyoke/internal/rehearsal/soak"
@@ -19,21 +18,23 @@
 }
 
 // Run runs the soaks and fails if a rule was violated; the report names the seed.
-func (c *soakCmd) Run(e *environment) error {
-	self, err := os.Executable()
+func (c *soakCmd) Run(env *environment) error {
+	program, err := siblingProgram(c.Daemon, daemonServeProgram)
 	if err != nil {
 		return err
 	}
-	program := siblingProgram(self, c.Daemon, "dispatcher-serve")
 	failed := 0
 	for i := range c.Seeds {
 		report, err := soak.Run(context.Background(), soak.Config{
-			Program: program, Seed: c.Seed + uint64(i), Daemons: c.Daemons, Duration: c.Duration,
+			Program:  program,
+			Seed:     c.Seed + uint64(i),
+			Daemons:  c.Daemons,
+			Duration: c.Duration,
 		})
 		if err != nil {
 			return err
 		}
-		fmt.Fprintln(e.out, report)
+		fmt.Fprintln(env.out, report)
 		if len(report.Violations) > 0 {
 			failed++
 		}
--- a/cmd/rehearse/transform.go
+++ b/cmd/rehearse/transform.go
@@ -9,19 +9,20 @@
 
 // sliceCmd cuts a window out of a recording.
 type sliceCmd struct {
-	From   time.Duration `help:"Start of the window, from the recording's start on." default:"0"`
-	To     time.Duration `help:"End of the window; 0: the recording's end." default:"0"`
+	Start  time.Duration `name:"from" help:"Start of the window, from the recording's start on." default:"0"`
+	End    time.Duration `name:"to" help:"End of the window; 0: the recording's end." default:"0"`
 	Output string        `short:"o" required:"" help:"The new recording."`
 	File   string        `arg:"" help:"The recording."`
 }
 
-func (c *sliceCmd) Run(e *environment) error {
-	reader, done, err := openRecording(c.File)
+// Run writes the window as a new recording.
+func (c *sliceCmd) Run(env *environment) error {
+	reader, closeAll, err := openRecording(c.File)
 	if err != nil {
 		return err
 	}
-	defer done()
-	return writeAtomically(c.Output, func(w io.Writer) error { return recording.Slice(reader, w, c.From, c.To) })
+	defer closeAll()
+	return writeAtomically(c.Output, func(w io.Writer) error { return recording.Slice(reader, w, c.Start, c.End) })
 }
 
 // mergeCmd merges recordings.
@@ -31,15 +32,16 @@
 	Files  []string `arg:"" help:"The recordings."`
 }
 
-func (c *mergeCmd) Run(e *environment) error {
+// Run writes the entries of all recordings as a new one.
+func (c *mergeCmd) Run(env *environment) error {
 	var readers []*recording.Reader
 	for _, path := range c.Files {
-		r, done, err := openRecording(path)
+		reader, closeAll, err := openRecording(path)
 		if err != nil {
 			return err
 		}
-		defer done()
-		readers = append(readers, r)
+		defer closeAll()
+		readers = append(readers, reader)
 	}
 	return writeAtomically(c.Output, func(w io.Writer) error { return recording.Merge(readers, w, c.Align) })
 }
@@ -53,11 +55,12 @@
 	File   string  `arg:"" help:"The recording."`
 }
 
-func (c *rescaleCmd) Run(e *environment) error {
-	reader, done, err := openRecording(c.File)
+// Run writes the changed recording as a new one.
+func (c *rescaleCmd) Run(env *environment) error {
+	reader, closeAll, err := openRecording(c.File)
 	if err != nil {
 		return err
 	}
-	defer done()
+	defer closeAll()
 	return writeAtomically(c.Output, func(w io.Writer) error { return recording.Scale(reader, w, c.Rate, c.Speed, c.Seed) })
 }
--- a/cmd/rehearse/version.go
+++ b/cmd/rehearse/version.go
@@ -9,13 +9,14 @@
 
 // buildVersion returns the version and revision that the program was built from.
 func buildVersion() string {
-	version := "(devel)"
-	if info, ok := debug.ReadBuildInfo(); ok {
-		version = info.Main.Version
-		for _, s := range info.Settings {
-			if s.Key == "vcs.revision" {
-				version += " " + s.Value
-			}
+	info, ok := debug.ReadBuildInfo()
+	if !ok {
+		return "(devel)"
+	}
+	version := info.Main.Version
+	for _, setting := range info.Settings {
+		if setting.Key == "vcs.revision" {
+			version += " " + setting.Value
 		}
 	}
 	return version
@@ -24,7 +25,8 @@
 // versionCmd prints the version.
 type versionCmd struct{}
 
-func (versionCmd) Run(e *environment) error {
-	fmt.Fprintf(e.out, "rehearse %s, recordings of version %d\n", buildVersion(), recording.Version)
+// Run prints the version.
+func (versionCmd) Run(env *environment) error {
+	fmt.Fprintf(env.out, "rehearse %s, recordings of version %d\n", buildVersion(), recording.Version)
 	return nil
 }
