--- a/internal/rehearsal/soak/clients.go
+++ b/internal/rehearsal/soak/clients.go
@@ -95,8 +95,8 @@
 	return sent
 }
 
-// waitTime is how long the client waits for an answer. One that does not leave waits longer than
-// the rules allow, so that a late answer is told from a missing one.
+// waitTime is how long the client waits for an answer. A client that does not leave early waits
+// longer than the rules allow, so that late and missing answers are reported as what they are.
 func (p *clientPlan) waitTime() time.Duration {
 	if p.leaveAfter > 0 {
 		return p.leaveAfter
--- a/internal/rehearsal/soak/records.go
+++ b/internal/rehearsal/soak/records.go
@@ -29,7 +29,7 @@
 // clientLeft reports whether the client closed the connection without an answer.
 func (r *request) clientLeft() bool { return !r.clientLeftAt.IsZero() }
 
-// records are the observations of clients and workers. Its methods are safe for concurrent use.
+// records are the observations of clients and workers. Their methods are safe for concurrent use.
 // The fields are read without the lock once nothing is added any more.
 type records struct {
 	mutex      sync.Mutex
--- a/internal/rehearsal/soak/rules_test.go
+++ b/internal/rehearsal/soak/rules_test.go
@@ -1,80 +1,103 @@
 package soak
 
 import (
+	"net/http"
 	"slices"
 	"strings"
 	"testing"
 	"time"
 )
 
-// Each kind of violation is found in records that contain one of each.
-func TestCheckRulesFindsEachViolation(t *testing.T) {
-	service, err := startDiscovery()
-	if err != nil {
-		t.Fatal(err)
+// recordMaker makes records of renewals that are all sent at second 10 of a run to one dispatcher and may take 4 s.
+type recordMaker struct {
+	start      time.Time
+	dispatcher *daemon
+}
+
+// second is a moment of the run.
+func (m recordMaker) second(number float64) time.Time {
+	return m.start.Add(time.Duration(number * float64(time.Second)))
+}
+
+func (m recordMaker) unanswered(id string) request {
+	return request{id: id, class: classRenewal, daemon: m.dispatcher, timeout: 4 * time.Second, sentAt: m.second(10)}
+}
+
+func (m recordMaker) answered(id string, answeredAt float64) request {
+	sent := m.unanswered(id)
+	sent.status = http.StatusOK
+	sent.answeredAt = m.second(answeredAt)
+	return sent
+}
+
+// abandoned is a request whose client closes the connection without an answer.
+func (m recordMaker) abandoned(id string, clientLeftAt float64) request {
+	sent := m.unanswered(id)
+	sent.clientLeftAt = m.second(clientLeftAt)
+	return sent
+}
+
+// arrived is an attempt with the seconds that its client had left according to the dispatcher.
+func (m recordMaker) arrived(id, worker string, arrivedAt, timeLeft float64) attempt {
+	return attempt{
+		id:        id,
+		class:     classRenewal,
+		worker:    worker,
+		arrivedAt: m.second(arrivedAt),
+		timeLeft:  time.Duration(timeLeft * float64(time.Second)),
+	}
+}
+
+// violatingRun returns a run whose records contain one violation of each kind. The worker s-gone was removed at second 0.
+func violatingRun(service *discovery) *run {
+	m := recordMaker{
+		start:      time.Now(),
+		dispatcher: &daemon{name: "n", config: daemonConfig{AdminAddress: "127.0.0.1:1"}},
 	}
-	defer service.close()
-	start := time.Now()
-	second := func(number float64) time.Time { return start.Add(time.Duration(number * float64(time.Second))) }
 	service.history["s-gone"] = []healthChange{
-		{changedAt: second(-20), health: healthReady},
-		{changedAt: second(0), health: healthGone},
+		{changedAt: m.second(-20), health: healthReady},
+		{changedAt: m.second(0), health: healthGone},
 	}
 	service.history["s-here"] = []healthChange{
-		{changedAt: second(-20), health: healthReady},
+		{changedAt: m.second(-20), health: healthReady},
 	}
-
-	// All requests are sent at second 10 and may take 4 s.
-	dispatcher := &daemon{name: "n", config: daemonConfig{AdminAddress: "127.0.0.1:1"}}
-	sent := request{class: classRenewal, daemon: dispatcher, sentAt: second(10), timeout: 4 * time.Second}
-	answered := func(id string, answeredAt float64) request {
-		answered := sent
-		answered.id = id
-		answered.status = 200
-		answered.answeredAt = second(answeredAt)
-		return answered
+	r := &run{start: m.start, discovery: service}
+	r.records.requests = []request{
+		m.answered("good", 11),
+		m.answered("late", 15),
+		m.unanswered("none"),
+		m.abandoned("left", 10.1),
+		m.answered("twice", 11),
+		m.answered("drained", 11),
+		m.answered("long", 11),
 	}
-	unanswered := sent
-	unanswered.id = "none"
-	abandoned := sent
-	abandoned.id = "left"
-	abandoned.clientLeftAt = second(10.1)
-	arrived := func(id, worker string, arrivedAt, timeLeft float64) attempt {
-		return attempt{
-			id:        id,
-			class:     classRenewal,
-			worker:    worker,
-			arrivedAt: second(arrivedAt),
-			timeLeft:  time.Duration(timeLeft * float64(time.Second)),
-		}
+	r.records.attempts = []attempt{
+		m.arrived("good", "s-here", 10.1, 3.9),
+		m.arrived("left", "s-here", 11, 3),
+		m.arrived("twice", "s-here", 10.1, 3.9),
+		m.arrived("twice", "s-here", 10.5, 3.5),
+		m.arrived("drained", "s-gone", 10.1, 3.9),
+		m.arrived("long", "s-here", 12, 3.9),
 	}
+	return r
+}
 
-	checked := &run{start: start, discovery: service}
-	checked.records.requests = []request{
-		answered("good", 11),
-		answered("late", 15),
-		unanswered,
-		abandoned,
-		answered("twice", 11),
-		answered("drained", 11),
-		answered("long", 11),
-	}
-	checked.records.attempts = []attempt{
-		arrived("good", "s-here", 10.1, 3.9),
-		arrived("left", "s-here", 11, 3),
-		arrived("twice", "s-here", 10.1, 3.9),
-		arrived("twice", "s-here", 10.5, 3.5),
-		arrived("drained", "s-gone", 10.1, 3.9),
-		arrived("long", "s-here", 12, 3.9),
+// Each kind of violation is found in records that contain one of each, and no other.
+func TestCheckRulesFindsEachViolation(t *testing.T) {
+	service, err := startDiscovery()
+	if err != nil {
+		t.Fatal(err)
 	}
-	report := checked.checkRules()
-	for _, want := range []string{"lost: late", "lost: none", "lost: left", "duplicate: twice", "drain: drained", "time left: long"} {
+	defer service.close()
+	report := violatingRun(service).checkRules()
+	wantViolations := []string{"lost: late", "lost: none", "lost: left", "duplicate: twice", "drain: drained", "time left: long"}
+	for _, want := range wantViolations {
 		isWanted := func(violation string) bool { return strings.Contains(violation, want) }
 		if !slices.ContainsFunc(report.Violations, isWanted) {
 			t.Errorf("%q was not found", want)
 		}
 	}
-	if len(report.Violations) != 6 || report.Answered != 4 {
-		t.Errorf("%d violations and %d answered, want 6 and 4: %v", len(report.Violations), report.Answered, report)
+	if len(report.Violations) != len(wantViolations) || report.Answered != 4 {
+		t.Errorf("%d violations and %d answered, want %d and 4: %v", len(report.Violations), report.Answered, len(wantViolations), report)
 	}
 }
