--- a/cmd/rehearse/floodpart.go
+++ b/cmd/rehearse/floodpart.go
@@ -176,9 +176,14 @@
 		last := addresses[len(addresses)-1]
 		addresses = append(addresses, last.Next())
 	}
-	announce := func(id, class string, retryable bool, path string, entry *recording.Entry) {
+	announce := func(sent replay.Job) {
 		fleet.Ledger.Announce(standin.Job{
-			ID: id, Class: class, Retryable: retryable, Path: path, ServiceTime: entry.Duration, Slots: entry.Slots,
+			ID:          sent.ID,
+			Class:       sent.Class,
+			Retryable:   sent.Retryable,
+			Path:        sent.Path,
+			ServiceTime: sent.Entry.Duration,
+			Slots:       sent.Entry.Slots,
 		})
 	}
 	return replay.Run(context.Background(), reader, replay.Options{
--- a/cmd/rehearse/run.go
+++ b/cmd/rehearse/run.go
@@ -6,7 +6,6 @@
 	"runtime/debug"
 
 	"hollyyoke.example/hollyyoke/internal/rehearsal/childprocess"
-	"hollyyoke.example/hollyyoke/internal/rehearsal/recording"
 	"hollyyoke.example/hollyyoke/internal/rehearsal/replay"
 	"hollyyoke.example/hollyyoke/internal/rehearsal/report"
 	"hollyyoke.example/hollyyoke/internal/rehearsal/standin"
@@ -134,15 +133,15 @@
 		options.Faktory = true
 		options.Password = fleet.Password
 	}
-	options.OnSend = func(id, class string, retryable bool, path string, entry *recording.Entry) {
+	options.OnSend = func(sent replay.Job) {
 		job := standin.Job{
-			ID:          id,
-			Class:       class,
-			Retryable:   retryable,
-			Path:        path,
-			BodyBytes:   min(entry.BodyBytes, maxAnnouncedBody),
-			ServiceTime: entry.Duration,
-			Slots:       entry.Slots,
+			ID:          sent.ID,
+			Class:       sent.Class,
+			Retryable:   sent.Retryable,
+			Path:        sent.Path,
+			BodyBytes:   min(sent.Entry.BodyBytes, maxAnnouncedBody),
+			ServiceTime: sent.Entry.Duration,
+			Slots:       sent.Entry.Slots,
 		}
 		if options.Faktory { // the body becomes arguments, which the Faktory tests check
 			job.Path = ""
--- a/internal/rehearsal/replay/replay.go
+++ b/internal/rehearsal/replay/replay.go
@@ -33,12 +33,21 @@
 	// Verified reports at each send whether a job that must not be retried may be sent. nil: no
 	// such job is sent, and nothing overrides that.
 	Verified func() bool
-	// OnSend is called for each job before it is sent; may be nil.
-	OnSend func(id, class string, retryable bool, path string, entry *recording.Entry)
+	// OnSend is called for each job before it is sent; may be nil. It must not change the job's entry.
+	OnSend func(Job)
 	// OnProgress is called with the number of completed entries; may be nil.
 	OnProgress func(completed int)
 }
 
+// Job is an entry of a recording as it is sent.
+type Job struct {
+	ID        string
+	Class     string
+	Retryable bool
+	Path      string // /CLASS/KEY, of its HTTP request; a Faktory job has both as fields
+	Entry     *recording.Entry
+}
+
 // Limits of Options.Speed.
 const (
 	minSpeed = 0.001
--- a/internal/rehearsal/replay/replayer.go
+++ b/internal/rehearsal/replay/replayer.go
@@ -115,7 +115,7 @@
 		return
 	}
 	if r.options.OnSend != nil {
-		r.options.OnSend(next.id, next.class, next.retryable, next.path, &next.Entry)
+		r.options.OnSend(Job{ID: next.id, Class: next.class, Retryable: next.retryable, Path: next.path, Entry: &next.Entry})
 	}
 	r.recorder.addSent(next)
 	r.unfinished.Add(1)
--- a/internal/rehearsal/soak/daemon.go
+++ b/internal/rehearsal/soak/daemon.go
@@ -185,7 +185,8 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// end ends the current process by a signal and waits for it. One that does not end in time is killed, which counts as a crash.
+// end ends the current process by a signal and waits for it. One that does not end in time is
+// killed, which counts as a crash.
 func (d *daemon) end(signal syscall.Signal) {
 	d.mutex.Lock()
 	process := d.process
