--- a/internal/jobs/due.go
+++ b/internal/jobs/due.go
@@ -34,7 +34,7 @@
 // scheduleDue has Tick look at a job at a time.
 func (m *Machine) scheduleDue(id string, at time.Duration) { heap.Push(&m.dueQueue, dueEntry{at, id}) }
 
-// NextDue is when Tick has something to do; false: never, as things stand.
+// NextDue is when Tick must be called next; false: not before another call changes the machine.
 func (m *Machine) NextDue() (at time.Duration, ok bool) {
 	if len(m.dueQueue) == 0 {
 		return 0, false
@@ -47,24 +47,24 @@
 	return first.at, true
 }
 
-// Tick acts on all that is due: schedules, retries, leases that have expired, and retentions that are over.
+// Tick acts on all that is due: scheduled jobs, retries, leases that have expired, and retentions that are over.
 func (m *Machine) Tick(now time.Duration) []Effect {
-	var later []dueEntry
+	var postponed []dueEntry
 	for len(m.dueQueue) > 0 && m.dueQueue[0].at <= now {
 		due := heap.Pop(&m.dueQueue).(dueEntry)
 		entry := m.jobs[due.id]
 		switch {
 		case entry == nil || entry.State == Accepted || entry.State == Ready || entry.State == InDoubt:
-			// Outdated: nothing is due by itself in these states.
+			// Outdated: jobs in these states wait for no time.
 		case entry.DueAt > now: // renewed, or scheduled for something else
-			later = append(later, dueEntry{entry.DueAt, due.id})
+			postponed = append(postponed, dueEntry{entry.DueAt, due.id})
 		case entry.State == Leased && entry.beingStored(): // it is not known yet whether the lease is stored
-			later = append(later, dueEntry{now + m.leaseDuration(entry), due.id})
+			postponed = append(postponed, dueEntry{now + m.leaseDuration(entry), due.id})
 		default:
 			m.actOnDue(now, entry)
 		}
 	}
-	for _, due := range later {
+	for _, due := range postponed {
 		m.scheduleDue(due.id, due.at)
 	}
 	return m.takeEffects()
--- a/internal/jobs/explorer_test.go
+++ b/internal/jobs/explorer_test.go
@@ -1,7 +1,6 @@
 package jobs
 
 import (
-	"errors"
 	"fmt"
 	"maps"
 	"slices"
@@ -14,8 +13,6 @@
 // late, leases that expire, and crashes with and without the writes that had not been confirmed. Every interleaving to
 // a depth is tried; states visited before with as many steps left are not tried again.
 
-var errDiskFull = errors.New("disk full")
-
 // messageKind is what a message between the machine and a worker says.
 type messageKind string
 
@@ -34,6 +31,12 @@
 	fence  uint64
 }
 
+// answer is a message of another kind about the same lease.
+func (m message) answer(kind messageKind) message {
+	m.kind = kind
+	return m
+}
+
 // world is a machine with its store, its network and its workers.
 type world struct {
 	machine       *Machine
@@ -52,9 +55,9 @@
 	pushedJobs    []string
 }
 
-func newWorld(c Config, guarantees [2]Guarantee) *world {
+func newWorld(config Config, guarantees [2]Guarantee) *world {
 	return &world{
-		machine:       New(c),
+		machine:       New(config),
 		guarantees:    guarantees,
 		disk:          map[string]Job{},
 		held:          [2]map[string]uint64{{}, {}},
@@ -69,18 +72,18 @@
 }
 
 func (w *world) clone() *world {
-	c := *w
-	c.machine = cloneMachine(w.machine)
-	c.disk = maps.Clone(w.disk)
-	c.runs = maps.Clone(w.runs)
-	c.acknowledged = maps.Clone(w.acknowledged)
-	c.ranUnrecorded = maps.Clone(w.ranUnrecorded)
-	c.writes = slices.Clone(w.writes)
-	c.network = slices.Clone(w.network)
-	for i := range c.held {
-		c.held[i] = maps.Clone(w.held[i])
+	clone := *w
+	clone.machine = cloneMachine(w.machine)
+	clone.disk = maps.Clone(w.disk)
+	clone.runs = maps.Clone(w.runs)
+	clone.acknowledged = maps.Clone(w.acknowledged)
+	clone.ranUnrecorded = maps.Clone(w.ranUnrecorded)
+	clone.writes = slices.Clone(w.writes)
+	clone.network = slices.Clone(w.network)
+	for worker := range clone.held {
+		clone.held[worker] = maps.Clone(w.held[worker])
 	}
-	return &c
+	return &clone
 }
 
 // cloneMachine copies a machine but for the order of its jobs, which the explorer does not look at.
@@ -107,16 +110,16 @@
 
 // key tells states apart.
 func (w *world) key() string {
-	var b strings.Builder
-	fmt.Fprint(&b, w.now, w.crashesLeft, w.expiriesLeft, w.lossesLeft, w.machine.lastFence)
+	var key strings.Builder
+	fmt.Fprint(&key, w.now, w.crashesLeft, w.expiriesLeft, w.lossesLeft, w.machine.lastFence)
 	for _, id := range sortedIDs(w.machine) {
 		entry := w.machine.jobs[id]
-		fmt.Fprint(&b, entry.Job, entry.storedVersion, len(entry.afterStore))
+		fmt.Fprint(&key, entry.Job, entry.storedVersion, len(entry.afterStore))
 	}
 	network := slices.Clone(w.network)
 	slices.SortFunc(network, func(a, b message) int { return strings.Compare(fmt.Sprint(a), fmt.Sprint(b)) })
-	fmt.Fprint(&b, w.disk, w.writes, network, w.held, w.runs, w.acknowledged)
-	return b.String()
+	fmt.Fprint(&key, w.disk, w.writes, network, w.held, w.runs, w.acknowledged)
+	return key.String()
 }
 
 // carryOut carries out effects.
@@ -140,36 +143,37 @@
 }
 
 // receive lets a message arrive.
-func (w *world) receive(m message) {
-	switch m.kind {
+func (w *world) receive(received message) {
+	switch received.kind {
 	case deliverMessage:
-		if w.guarantees[m.worker] == HonorsFences {
-			w.network = append(w.network, message{startMessage, m.worker, m.id, m.fence})
+		if w.guarantees[received.worker] == HonorsFences {
+			w.network = append(w.network, received.answer(startMessage))
 		} else {
-			w.held[m.worker][m.id] = m.fence
+			w.held[received.worker][received.id] = received.fence
 		}
 	case grantMessage:
-		w.held[m.worker][m.id] = m.fence
+		w.held[received.worker][received.id] = received.fence
 	case startMessage:
-		w.receiveStart(m)
+		w.receiveStart(received)
 	case ackMessage:
-		w.carryOut(w.machine.Ack(w.now, m.id, m.fence, nil))
+		w.carryOut(w.machine.Ack(w.now, received.id, received.fence, nil))
 	}
 }
 
-func (w *world) receiveStart(m message) {
-	effects, err := w.machine.Start(w.now, m.id, m.fence)
+// receiveStart lets a worker's request to start a job arrive. A machine that ignores fences grants it to any worker.
+func (w *world) receiveStart(request message) {
+	effects, err := w.machine.Start(w.now, request.id, request.fence)
 	w.carryOut(effects)
 	if err != nil || !w.machine.config.ignoreFences {
 		return
 	}
 	if len(effects) == 0 {
-		w.network = append(w.network, message{grantMessage, m.worker, m.id, m.fence})
+		w.network = append(w.network, request.answer(grantMessage))
 		return
 	}
-	for i := range w.network { // without fences the grant goes to whoever asked
-		if w.network[i].kind == grantMessage && w.network[i].id == m.id {
-			w.network[i].worker = m.worker
+	for i := range w.network { // without fences the grant goes to the worker that asked
+		if w.network[i].kind == grantMessage && w.network[i].id == request.id {
+			w.network[i].worker = request.worker
 		}
 	}
 }
@@ -208,7 +212,7 @@
 func (w *world) pushSteps() (steps []step) {
 	for _, id := range w.pushedJobs {
 		_, known := w.machine.Get(id)
-		if !known && w.crashesLeft == 2 || !known && !w.acknowledged[id] {
+		if !known && !w.acknowledged[id] {
 			steps = append(steps, func(w *world) {
 				w.carryOut(w.machine.Push(w.now, Job{ID: id, NonIdempotent: true}, 0))
 			})
@@ -218,10 +222,10 @@
 }
 
 func (w *world) networkSteps() (steps []step) {
-	for i, m := range w.network {
+	for i, received := range w.network {
 		steps = append(steps, func(w *world) {
 			w.network = slices.Delete(slices.Clone(w.network), i, i+1)
-			w.receive(m)
+			w.receive(received)
 		})
 		if w.lossesLeft > 0 {
 			steps = append(steps, func(w *world) {
@@ -269,7 +273,7 @@
 		}
 	}
 	w.writes = nil
-	toMachine := func(m message) bool { return m.kind == startMessage || m.kind == ackMessage }
+	toMachine := func(sent message) bool { return sent.kind == startMessage || sent.kind == ackMessage }
 	w.network = slices.DeleteFunc(slices.Clone(w.network), toMachine)
 	w.machine = New(w.machine.config)
 	w.machine.Recover(w.now, slices.Collect(maps.Values(w.disk)))
@@ -303,7 +307,7 @@
 }
 
 // explore tries all interleavings to a depth. It returns how many states it visited and the first violation.
-func explore(w *world, depth int) (visited int, violation string) {
+func explore(start *world, depth int) (visited int, violation string) {
 	stepsLeftByState := map[string]int{}
 	var walk func(w *world, stepsLeft int) string
 	walk = func(w *world, stepsLeft int) string {
@@ -327,7 +331,7 @@
 		}
 		return ""
 	}
-	violation = walk(w, depth)
+	violation = walk(start, depth)
 	return len(stepsLeftByState), violation
 }
 
@@ -352,6 +356,22 @@
 	}
 }
 
+// newDeliveredWorld is a world with one job, which the first worker has just received.
+func newDeliveredWorld(config Config, guarantees [2]Guarantee) *world {
+	delivered := newWorld(config, guarantees)
+	delivered.pushedJobs = []string{"a"}
+	delivered.expiriesLeft = 1
+	delivered.lossesLeft = 0
+	delivered.carryOut(delivered.machine.Push(0, Job{ID: "a", NonIdempotent: true}, 0))
+	delivered.confirmWrite()
+	delivered.assign("a", 0)
+	delivered.confirmWrite()
+	delivery := delivered.network[0]
+	delivered.network = nil
+	delivered.receive(delivery)
+	return delivered
+}
+
 // From a delivered job on, with one job and deeper: a late start against the next lease. A machine that ignores fences
 // is found to run it twice.
 func TestExploreDelivered(t *testing.T) {
@@ -367,21 +387,11 @@
 		{[2]Guarantee{HonorsFences, Deduplicates}, false},
 		{[2]Guarantee{Deduplicates, HonorsFences}, false},
 	} {
-		w := newWorld(Config{ignoreFences: test.ignoreFences}, test.guarantees)
-		w.pushedJobs = []string{"a"}
-		w.expiriesLeft = 1
-		w.lossesLeft = 0
-		w.carryOut(w.machine.Push(0, Job{ID: "a", NonIdempotent: true}, 0))
-		w.confirmWrite()
-		w.assign("a", 0)
-		w.confirmWrite()
-		delivery := w.network[0]
-		w.network = nil
-		w.receive(delivery)
+		start := newDeliveredWorld(Config{ignoreFences: test.ignoreFences}, test.guarantees)
 		if test.ignoreFences {
-			w.crashesLeft = 0
+			start.crashesLeft = 0
 		}
-		visited, violation := explore(w, 13)
+		visited, violation := explore(start, 13)
 		t.Logf("from a delivery on, workers that guarantee %v, fences ignored %v: %d states to depth 13, %q",
 			test.guarantees, test.ignoreFences, visited, violation)
 		ranTwice := strings.Contains(violation, "ran 2 times")
--- a/internal/jobs/lease.go
+++ b/internal/jobs/lease.go
@@ -82,7 +82,7 @@
 		m.afterStored(entry, Effect{Kind: AnswerReport, Job: entry.Job})
 	case entry.State == Done:
 		m.emit(Effect{Kind: AnswerReport, Job: entry.Job})
-	case m.holdsLease(entry, fence), entry.Fence == fence && (entry.State == InDoubt || entry.State == Waiting || entry.State == Ready):
+	case m.holdsLease(entry, fence) || entry.Fence == fence && entry.State.acceptsLateAck():
 		m.finish(now, entry, Done)
 		entry.Reason = ""
 		entry.Payload = nil
--- a/internal/jobs/operator.go
+++ b/internal/jobs/operator.go
@@ -1,18 +1,21 @@
 package jobs
 
-import "time"
+import (
+	"fmt"
+	"time"
+)
 
 // Resolve ends a job in doubt at an operator's request: it ran, or it did not and runs again. A reason is required.
-// The error is a *TransitionError.
+// An error leaves the job as it was and tells the operator why.
 func (m *Machine) Resolve(now time.Duration, id string, ran bool, reason Reason) ([]Effect, error) {
 	entry := m.jobs[id]
 	switch {
 	case entry == nil:
-		return nil, &TransitionError{ID: id, Cause: ErrUnknownJob}
+		return nil, noJobError(id)
 	case entry.State != InDoubt:
-		return nil, &TransitionError{id, entry.State, ErrNotInDoubt}
+		return nil, fmt.Errorf("job %s is %s, not in doubt", id, entry.State)
 	case reason == "":
-		return nil, &TransitionError{id, entry.State, ErrReasonRequired}
+		return nil, fmt.Errorf("job %s: a reason is needed", id)
 	}
 	entry.Reason = reasonResolved(reason)
 	if ran {
@@ -42,16 +45,16 @@
 func (move Move) String() string { return moveNames[move] }
 
 // Move moves a job that waits or is dead. operator is set where an operator asks for it; no one else may requeue a dead
-// non-idempotent job. The error is a *TransitionError.
+// non-idempotent job. An error leaves the job as it was and tells the operator or Faktory client why.
 func (m *Machine) Move(now time.Duration, id string, move Move, reason Reason, operator bool) ([]Effect, error) {
 	entry := m.jobs[id]
 	switch {
 	case entry == nil:
-		return nil, &TransitionError{ID: id, Cause: ErrUnknownJob}
+		return nil, noJobError(id)
 	case !entry.State.IsMovable():
-		return nil, &TransitionError{id, entry.State, ErrNotMovable}
+		return nil, fmt.Errorf("job %s is %s: only one that waits or is dead can be moved", id, entry.State)
 	case entry.State == Dead && entry.NonIdempotent && move == Requeue && !operator:
-		return nil, &TransitionError{id, entry.State, ErrOperatorRequired}
+		return nil, fmt.Errorf("job %s may not run twice: an operator retries it, with a reason", id)
 	}
 	entry.Reason = reason
 	switch move {
@@ -68,3 +71,6 @@
 	m.store(entry)
 	return m.takeEffects(), nil
 }
+
+// noJobError rejects a request about a job that is not known.
+func noJobError(id string) error { return fmt.Errorf("no job %s", id) }
--- a/internal/jobs/recovery.go
+++ b/internal/jobs/recovery.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// recoveryFenceGap is added to the highest stored fence. Where an older copy of the store is read, leases have been
-// granted since that it does not know, and their fences must not be given again.
+// recoveryFenceGap is added to the highest stored fence. The file may be an older copy of the store that an operator has
+// restored; the fences of leases that were granted after that copy must not be given again.
 const recoveryFenceGap = 1 << 20
 
 // Recover starts an empty machine from the stored jobs, each of which comes once. Leases last for a grace time at
--- a/internal/jobs/state.go
+++ b/internal/jobs/state.go
@@ -42,3 +42,7 @@
 
 // IsMovable reports whether a job in this state waits or is dead, so that Machine.Move can move it.
 func (s State) IsMovable() bool { return s == Scheduled || s == Ready || s == Waiting || s == Dead }
+
+// acceptsLateAck reports whether an Ack under the last lease of a job in this state, which no worker holds, proves that
+// the job ran.
+func (s State) acceptsLateAck() bool { return s == InDoubt || s == Waiting || s == Ready }
--- a/internal/jobs/storing.go
+++ b/internal/jobs/storing.go
@@ -54,16 +54,21 @@
 	if entry.State == Accepted {
 		m.setState(entry, stateUntilDue(now, entry, Scheduled))
 	}
+	m.emitDeferred(entry)
+	return m.takeEffects()
+}
+
+// emitDeferred emits the effects that waited for a version that is stored now.
+func (m *Machine) emitDeferred(entry *jobEntry) {
 	for len(entry.afterStore) > 0 && entry.afterStore[0].version <= entry.storedVersion {
 		effect := entry.afterStore[0].effect
 		entry.afterStore = entry.afterStore[1:]
 		leaseEnded := entry.State != Leased || entry.Fence != effect.Job.Fence
 		if effect.Kind == DeliverJob && leaseEnded {
-			continue // nobody has received the job under that lease
+			continue // the job is not sent under a lease that is over
 		}
 		m.emit(effect)
 	}
-	return m.takeEffects()
 }
 
 // stateUntilDue is Ready for a job that is due, and before that the state in which it waits.
@@ -74,9 +79,9 @@
 	return Ready
 }
 
-// StoreFailed reports that a version of a job cannot be stored. A job that was being accepted is rejected with a
-// NotStoredError, and a lease that was about to be granted is taken back; any other change has happened already, and
-// the caller must store it again.
+// StoreFailed reports that a version of a job cannot be stored, for a cause. A job that was being accepted is rejected
+// with an error that wraps the cause, and a lease that was about to be granted is taken back; any other change has
+// happened already, and the caller must store it again.
 func (m *Machine) StoreFailed(id string, version uint64, cause error) []Effect {
 	entry := m.jobs[id]
 	if entry == nil || version != entry.Version {
@@ -85,9 +90,10 @@
 	switch entry.State {
 	case Accepted:
 		m.remove(entry)
-		m.emit(Effect{Kind: AnswerPush, Job: entry.Job, Err: &NotStoredError{cause}})
+		m.emit(Effect{Kind: AnswerPush, Job: entry.Job, Err: notStoredError(cause)})
 	case Leased: // it has not been delivered, as that waits for the store
-		entry.afterStore = slices.DeleteFunc(entry.afterStore, func(d deferredEffect) bool { return d.effect.Kind == DeliverJob })
+		isDelivery := func(deferred deferredEffect) bool { return deferred.effect.Kind == DeliverJob }
+		entry.afterStore = slices.DeleteFunc(entry.afterStore, isDelivery)
 		m.releaseUnstarted(entry)
 	}
 	return m.takeEffects()
