--- a/internal/durable/leasing.go
+++ b/internal/durable/leasing.go
@@ -14,53 +14,88 @@
 // Acquire leases a job to a worker, after reserving one of its slots. onAcquired is called once with the lease's fence
 // once the lease is on disk, or with 0 where there is none; it returns false where the lease is not wanted any more.
 func (s *Scheduler) Acquire(request *dispatch.Request, worker string, onAcquired func(fence uint64) bool) {
-	id := request.ID
-	assignment := s.assignmentsByJob[id]
 	if s.stopped {
 		onAcquired(0)
 		return
 	}
-	reject := func() {
-		s.workers.Unreserve(worker, id)
-		onAcquired(0)
+	acquisition := &leaseAcquisition{
+		scheduler:  s,
+		id:         request.ID,
+		worker:     worker,
+		assignment: s.assignmentsByJob[request.ID],
+		onAcquired: onAcquired,
+	}
+	s.workers.Reserve(worker, request.Class, request.ID, acquisition.onReserved)
+}
+
+// leaseAcquisition is a call of Acquire that is not answered yet. It reserves a slot, has the lease stored, and passes
+// the lease on to the dispatcher.
+type leaseAcquisition struct {
+	scheduler  *Scheduler
+	id         string // of the job
+	worker     string
+	assignment *jobAssignment // of the job when Acquire was called; nil: it had none
+	onAcquired func(fence uint64) bool
+}
+
+// onReserved is called when the worker has a slot for the job, or has none in time.
+func (a *leaseAcquisition) onReserved(reserved bool) {
+	if !reserved {
+		a.reject()
+		return
+	}
+	guarantee := a.scheduler.workers.Guarantee(a.worker)
+	assigned := a.scheduler.service.Assign(a.id, a.worker, guarantee, a.onLeased)
+	if !assigned {
+		a.reject()
 	}
-	s.workers.Reserve(worker, request.Class, id, func(reserved bool) {
-		if !reserved {
-			reject()
-			return
-		}
-		assigned := s.service.Assign(id, worker, s.workers.Guarantee(worker), func(job jobs.Job, err error) {
-			if err != nil {
-				reject()
-				return
-			}
-			s.onLeased(assignment, job, onAcquired)
-		})
-		if !assigned {
-			reject()
-		}
-	})
 }
 
-// onLeased passes a lease that is on disk on to the dispatcher.
-func (s *Scheduler) onLeased(assignment *jobAssignment, job jobs.Job, onAcquired func(fence uint64) bool) {
-	if assignment != nil && !assignment.leased {
-		assignment.leased = true
-		if s.assignmentsByJob[job.ID] == assignment {
-			s.unleasedAssignments--
-		}
+// reject answers that there is no lease.
+func (a *leaseAcquisition) reject() {
+	a.scheduler.workers.Unreserve(a.worker, a.id)
+	a.onAcquired(0)
+}
+
+// onLeased is called when the lease is on disk, or could not be stored.
+func (a *leaseAcquisition) onLeased(job jobs.Job, err error) {
+	if err != nil {
+		a.reject()
+		return
 	}
+	s := a.scheduler
+	s.markLeased(a.assignment)
 	if !s.workers.SendsHeartbeats(job.Worker) { // the running attempt shows that the worker is alive, up to its deadline
 		deadline := s.dispatcher.Settings.Classes[s.classes[job.Class]].Deadline
 		s.service.Extend(job.ID, job.Fence, s.dispatcher.Loop.Now()+deadline)
 	}
-	if !onAcquired(job.Fence) {
+	if !a.onAcquired(job.Fence) {
 		s.workers.Unreserve(job.Worker, job.ID)
 		s.service.Fail(job.ID, job.Fence, reasonLeaseNotWanted, false, ignoreResult)
 	}
 	s.Wake()
 }
 
+// markLeased records that an assignment has a lease. It may have ended before that.
+func (s *Scheduler) markLeased(assignment *jobAssignment) {
+	if assignment == nil || assignment.leased {
+		return
+	}
+	assignment.leased = true
+	if s.assignmentsByJob[assignment.id] == assignment {
+		s.unleasedAssignments--
+	}
+}
+
+// markUnleased records that the attempt under an assignment's lease never ran, so the job needs another free slot.
+func (s *Scheduler) markUnleased(assignment *jobAssignment) {
+	if assignment == nil || !assignment.leased {
+		return
+	}
+	assignment.leased = false
+	s.unleasedAssignments++
+}
+
 // Ended is called when the attempt under a lease has ended. Where it is not known whether the job ran, the lease
 // stays: its worker may reconnect and report.
 func (s *Scheduler) Ended(request *dispatch.Request, fence uint64, outcome decision.AttemptOutcome, neverRan bool, result []byte) {
@@ -69,10 +104,7 @@
 	case outcome == decision.Completed:
 		s.service.Ack(request.ID, fence, slices.Clone(result), ignoreResult)
 	case neverRan:
-		if assignment := s.assignmentsByJob[request.ID]; assignment != nil && assignment.leased {
-			assignment.leased = false
-			s.unleasedAssignments++
-		}
+		s.markUnleased(s.assignmentsByJob[request.ID])
 		s.service.Fail(request.ID, fence, reason, false, ignoreResult)
 	case outcome == decision.Failed:
 		s.service.Fail(request.ID, fence, reason, true, ignoreResult)
--- a/internal/durable/scheduler.go
+++ b/internal/durable/scheduler.go
@@ -41,17 +41,13 @@
 	service    *Service
 	dispatcher *dispatch.Dispatcher
 	workers    Workers
-	classes    map[string]int // the index of each class by its name
-	paused     map[string]bool
+	classes    map[string]int  // the index of each class by its name
+	paused     map[string]bool // the paused classes by name
+	queues     jobQueues       // a job in them may have been leased or have ended since; it is skipped when it comes up
 
-	// Queues of ids by class. A job that has been leased or has ended since is skipped when it comes up.
-	queued   [][]string
-	rejected [][]string // jobs that the dispatcher has rejected, after their wait; they go first
-	isQueued map[string]bool
-
-	assignments         slotmap.Map[jobAssignment]
+	assignments         slotmap.Map[jobAssignment] // by the token that the dispatcher responds with
 	assignmentsByJob    map[string]*jobAssignment
-	unleasedAssignments int
+	unleasedAssignments int // how many assignments have no lease; each is meant for one free slot
 
 	pumpTimer eventloop.Deadline
 	stopped   bool
@@ -63,25 +59,25 @@
 	_ dispatch.Leaser   = (*Scheduler)(nil)
 )
 
-// jobAssignment is a job at the dispatcher.
+// jobAssignment is a job at the dispatcher, from Accept to Respond.
 type jobAssignment struct {
 	id      string
 	request uint64 // the dispatcher's handle
 	class   int
-	leased  bool
+	leased  bool // an attempt has its lease on disk, so the job takes no other free slot
 }
 
 // NewScheduler joins a service to a dispatcher. The service must be started after that.
 func NewScheduler(service *Service, dispatcher *dispatch.Dispatcher, workers Workers) *Scheduler {
-	classCount := len(dispatcher.Settings.Classes)
 	scheduler := &Scheduler{
-		service: service, dispatcher: dispatcher, workers: workers, classes: map[string]int{}, paused: map[string]bool{},
-		queued: make([][]string, classCount), rejected: make([][]string, classCount), isQueued: map[string]bool{},
+		service:          service,
+		dispatcher:       dispatcher,
+		workers:          workers,
+		classes:          ClassIndexes(&dispatcher.Settings),
+		paused:           map[string]bool{},
+		queues:           newJobQueues(len(dispatcher.Settings.Classes)),
 		assignmentsByJob: map[string]*jobAssignment{},
 	}
-	for i, class := range dispatcher.Settings.Classes {
-		scheduler.classes[class.Name] = i
-	}
 	for _, class := range service.pausedClasses {
 		scheduler.paused[class] = true
 	}
@@ -92,7 +88,7 @@
 
 // Wake lets the scheduler look for jobs soon: a slot has become free.
 func (s *Scheduler) Wake() {
-	if len(s.isQueued) > 0 {
+	if !s.queues.isEmpty() {
 		s.dispatcher.Loop.Set(&s.pumpTimer, s.dispatcher.Loop.Now())
 	}
 }
@@ -117,11 +113,10 @@
 		s.dispatcher.Log(fmt.Sprintf("durable job %s waits: no class %q is served here", job.ID, job.Class))
 		return
 	}
-	if s.assignmentsByJob[job.ID] != nil || s.isQueued[job.ID] {
+	if s.assignmentsByJob[job.ID] != nil || s.queues.contains(job.ID) {
 		return // Respond queues it again when its assignment ends
 	}
-	s.isQueued[job.ID] = true
-	s.queued[class] = append(s.queued[class], job.ID)
+	s.queues.add(class, job.ID)
 	s.Wake()
 }
 
@@ -132,7 +127,7 @@
 			continue
 		}
 		for s.Waiting(class) > 0 {
-			job, known := s.service.Get(s.popID(class))
+			job, known := s.service.Get(s.queues.pop(class))
 			if known && job.State == jobs.Ready {
 				return job, class, true
 			}
@@ -141,19 +136,7 @@
 	return jobs.Job{}, 0, false
 }
 
-// popID takes the first id from the queues of a class, which are not both empty.
-func (s *Scheduler) popID(class int) string {
-	queue := &s.rejected[class]
-	if len(*queue) == 0 {
-		queue = &s.queued[class]
-	}
-	id := (*queue)[0]
-	*queue = (*queue)[1:]
-	delete(s.isQueued, id)
-	return id
-}
-
-// pump hands the dispatcher a job for each free slot that no job without a lease is meant for.
+// pump hands the dispatcher a job for each free slot, less those that its jobs without a lease are meant for.
 func (s *Scheduler) pump() {
 	if s.stopped {
 		return
@@ -170,7 +153,7 @@
 // assign hands a job to the dispatcher.
 func (s *Scheduler) assign(job jobs.Job, class int) {
 	request, err := s.workers.Request(job)
-	if err != nil { // it could be read when it was accepted
+	if err != nil { // unexpected, as the job was read once when it was accepted
 		s.dispatcher.Log(fmt.Sprintf("durable job %s cannot be read, and is dead: %v", job.ID, err))
 		s.service.Move(job.ID, jobs.Kill, jobs.Reason(err.Error()), true)
 		return
@@ -183,8 +166,8 @@
 	assignment.request = s.dispatcher.Accept(s, s.assignments.Insert(assignment), request)
 }
 
-// Respond is called when the dispatcher is through with a job. A job that has not run waits and goes to the head of
-// its queue.
+// Respond is called when the dispatcher has no more to do with a job. A job that has not run waits, as the response
+// asks, and then goes before the jobs that the dispatcher has not rejected.
 func (s *Scheduler) Respond(token uint64, response dispatch.Response) {
 	assignment := s.assignments.Get(token)
 	s.assignments.Remove(token)
@@ -200,15 +183,15 @@
 	if response.RetryAfter > 0 {
 		retryAfter = response.RetryAfter
 	}
-	s.isQueued[assignment.id] = true
+	s.queues.postpone(assignment.id)
 	s.dispatcher.Loop.After(retryAfter, func() {
-		s.rejected[assignment.class] = append(s.rejected[assignment.class], assignment.id)
+		s.queues.requeue(assignment.class, assignment.id)
 		s.Wake()
 	})
 }
 
 // Waiting is the number of jobs of a class that may run and are not at the dispatcher.
-func (s *Scheduler) Waiting(class int) int { return len(s.queued[class]) + len(s.rejected[class]) }
+func (s *Scheduler) Waiting(class int) int { return s.queues.length(class) }
 
 // Paused lists the paused classes by name, sorted.
 func (s *Scheduler) Paused() []string { return slices.Sorted(maps.Keys(s.paused)) }
--- a/internal/durable/service.go
+++ b/internal/durable/service.go
@@ -56,9 +56,16 @@
 		return nil, err
 	}
 	service := &Service{
-		loop: loop, path: config.Path, machine: jobs.New(config.Jobs), store: file, log: log,
-		pushWaiters: waiters{}, reportWaiters: waiters{}, startWaiters: waiters{},
-		leaseWaiters: map[string]func(jobs.Job, error){}, finalWaiters: map[string][]func(jobs.Job){},
+		loop:          loop,
+		machine:       jobs.New(config.Jobs),
+		store:         file,
+		log:           log,
+		path:          config.Path,
+		pushWaiters:   waiters{},
+		reportWaiters: waiters{},
+		startWaiters:  waiters{},
+		leaseWaiters:  map[string]func(jobs.Job, error){},
+		finalWaiters:  map[string][]func(jobs.Job){},
 	}
 	service.dueTimer.Fire = func() { service.carryOut(service.machine.Tick(service.loop.Now())) }
 	defer useAllCores()()
@@ -88,8 +95,8 @@
 	s.carryOut(recovered)
 }
 
-// Close stores all changes so far and closes the file. Callers of Watch are called with their jobs as they stand, and
-// find out more from whoever opens the store next.
+// Close stores all changes so far and closes the file. Callers of Watch are called with their jobs as they stand; what
+// becomes of the jobs after that, the next process that opens the store knows.
 func (s *Service) Close() error {
 	if s.closed {
 		return nil
@@ -119,6 +126,7 @@
 	}
 }
 
+// carryOutOne carries out one effect, as jobs.EffectKind says.
 func (s *Service) carryOutOne(effect jobs.Effect) {
 	job := effect.Job
 	switch effect.Kind {
