--- /dev/null
+++ b/internal/durable/diskfull_test.go
@@ -0,0 +1,158 @@
+package durable
+
+import (
+	"path/filepath"
+	"strings"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"hollyyoke.example/hollyyoke/internal/jobs"
+	"hollyyoke.example/hollyyoke/internal/store"
+)
+
+// writeStep is a change of a job that must be written to disk.
+type writeStep string
+
+const (
+	pushStep  writeStep = "push"
+	leaseStep writeStep = "lease"
+	startStep writeStep = "start"
+	ackStep   writeStep = "ack"
+	noStep    writeStep = "nowhere"
+)
+
+// diskFullRun takes one job from its push to its ack. The disk is full at one step, for a while.
+type diskFullRun struct {
+	*testService
+	path           string
+	fullAt         writeStep
+	diskFull       atomic.Bool
+	rejectedWrites atomic.Int32
+}
+
+func startDiskFullRun(t *testing.T, fullAt writeStep) *diskFullRun {
+	t.Helper()
+	run := &diskFullRun{path: filepath.Join(t.TempDir(), "jobs.db"), fullAt: fullAt}
+	run.testService = openTest(t, Config{Path: run.path, Store: store.Options{InjectWriteError: run.writeError}})
+	return run
+}
+
+// writeError is the error of the next write.
+func (r *diskFullRun) writeError() error {
+	if !r.diskFull.Load() {
+		return nil
+	}
+	r.rejectedWrites.Add(1)
+	return syscall.ENOSPC
+}
+
+// beginStep begins a step: the disk is full if the run says so.
+func (r *diskFullRun) beginStep(step writeStep) { r.diskFull.Store(step == r.fullAt) }
+
+func (r *diskFullRun) pushJob() error {
+	r.t.Helper()
+	return r.push(jobs.Job{ID: "r", Class: "renewal", NonIdempotent: true})
+}
+
+// runPush pushes the job. A push that cannot be stored is rejected and leaves nothing behind.
+func (r *diskFullRun) runPush() {
+	r.t.Helper()
+	r.beginStep(pushStep)
+	err := r.pushJob()
+	if (err != nil) != r.diskFull.Load() || err != nil && !strings.Contains(err.Error(), "no space") {
+		r.t.Fatalf("the push, with the disk full %v: %v", r.diskFull.Load(), err)
+	}
+	if r.diskFull.Load() {
+		if r.state("r") != "" {
+			r.t.Fatal("a job that was rejected is known")
+		}
+		r.diskFull.Store(false)
+		if err := r.pushJob(); err != nil {
+			r.t.Fatal(err)
+		}
+	}
+	receive(r.t, "the job", r.runnable)
+}
+
+// runLease leases the job and returns its fence. A lease that cannot be stored is not granted.
+func (r *diskFullRun) runLease() (fence uint64) {
+	r.t.Helper()
+	r.beginStep(leaseStep)
+	lease := r.assign("r")
+	if (lease.err != nil) != r.diskFull.Load() {
+		r.t.Fatalf("the lease, with the disk full %v: %v", r.diskFull.Load(), lease.err)
+	}
+	if r.diskFull.Load() {
+		r.diskFull.Store(false)
+		receive(r.t, "the job again", r.runnable)
+		lease = r.assign("r")
+		if lease.err != nil {
+			r.t.Fatal(lease.err)
+		}
+	}
+	if lease.job.Attempts != 1 {
+		r.t.Errorf("%d attempts, want 1", lease.job.Attempts)
+	}
+	return lease.job.Fence
+}
+
+// runReport makes a change that has happened already. It is written again until the disk takes it, and acknowledged
+// only then.
+func (r *diskFullRun) runReport(step writeStep, start func(done func(error))) {
+	r.t.Helper()
+	r.beginStep(step)
+	result := r.begin(start)
+	if r.diskFull.Load() {
+		r.awaitRejectedWrites(step, 2)
+		select {
+		case <-result:
+			r.t.Fatalf("the %s was acknowledged before the disk had it", step)
+		default:
+		}
+		r.diskFull.Store(false)
+	}
+	if err := receive(r.t, "the answer to the "+string(step), result); err != nil {
+		r.t.Fatalf("the %s: %v", step, err)
+	}
+}
+
+// awaitRejectedWrites waits until the disk has rejected so many writes.
+func (r *diskFullRun) awaitRejectedWrites(step writeStep, want int32) {
+	r.t.Helper()
+	for end := time.Now().Add(patience); r.rejectedWrites.Load() < want; time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			r.t.Fatalf("the %s is not tried again", step)
+		}
+	}
+}
+
+// checkAfterRestart checks that the job is done, and that pushing it again changes nothing.
+func (r *diskFullRun) checkAfterRestart() {
+	r.t.Helper()
+	r.close()
+	r.testService = openTest(r.t, Config{Path: r.path})
+	if got := r.state("r"); got != "done" {
+		r.t.Errorf("after a restart it is %q, want done", got)
+	}
+	if err := r.pushJob(); err != nil || len(r.runnable) > 0 {
+		r.t.Errorf("pushed again: %v, %d may run", err, len(r.runnable))
+	}
+	r.close()
+}
+
+// The disk is full at each write in turn, for a while. A push that cannot be stored is rejected and leaves nothing behind,
+// a lease that cannot be stored is not granted, and what has happened already is acknowledged once it is on disk.
+func TestDiskFullAtEachWrite(t *testing.T) {
+	for _, fullAt := range []writeStep{pushStep, leaseStep, startStep, ackStep, noStep} {
+		t.Run(string(fullAt), func(t *testing.T) {
+			run := startDiskFullRun(t, fullAt)
+			run.runPush()
+			fence := run.runLease()
+			run.runReport(startStep, func(done func(error)) { run.service.StartJob("r", fence, done) })
+			run.runReport(ackStep, func(done func(error)) { run.service.Ack("r", fence, nil, done) })
+			run.checkAfterRestart()
+		})
+	}
+}
