--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -1,7 +1,7 @@
 package store
 
 import (
-	"encoding/json"
+	"bytes"
 	"fmt"
 	"maps"
 	"math/rand/v2"
@@ -31,147 +31,195 @@
 func crashImage(random *rand.Rand, before, after []byte) (image []byte, committed bool) {
 	image = slices.Clone(before)
 	if len(after) > len(before) && random.IntN(4) > 0 { // the file had grown
-		image = append(image, make([]byte, len(after)-len(before))...)
+		image = grow(image, len(after))
 	}
-	synced := random.IntN(2) == 0 // all pages are on disk, and the meta page is being written
+	allPagesSynced := random.IntN(2) == 0
+	if !allPagesSynced {
+		tearPages(random, image, before, after)
+		return image, false
+	}
+	image = grow(image, len(after))
+	copy(image[metaPages*pageSize:], after[metaPages*pageSize:])
+	return image, tearMetaPages(random, image, before, after)
+}
+
+// grow appends zeros up to a size.
+func grow(image []byte, size int) []byte {
+	return append(image, make([]byte, max(size-len(image), 0))...)
+}
+
+// isUnchanged reports whether a commit has left the page at an offset as it was.
+func isUnchanged(before, after []byte, at int) bool {
+	return at < len(before) && bytes.Equal(before[at:at+pageSize], after[at:at+pageSize])
+}
+
+// tearPages writes some sectors of each page that the commit has changed, but for the meta pages.
+func tearPages(random *rand.Rand, image, before, after []byte) {
 	for at := metaPages * pageSize; at < len(after); at += pageSize {
-		if at < len(before) && string(before[at:at+pageSize]) == string(after[at:at+pageSize]) {
+		if isUnchanged(before, after, at) {
 			continue
 		}
-		n := pageSize
-		if !synced {
-			n = random.IntN(pageSize/sectorSize+1) * sectorSize
+		size := random.IntN(pageSize/sectorSize+1) * sectorSize
+		if at+size <= len(image) {
+			copy(image[at:at+size], after[at:at+size])
 		}
-		if at+n > len(image) {
-			if !synced {
-				continue
-			}
-			image = append(image, make([]byte, at+n-len(image))...)
+	}
+}
+
+// tearMetaPages writes some bytes of the meta page that the commit has changed. It returns whether the page is as the
+// commit leaves it, so that the commit counts.
+func tearMetaPages(random *rand.Rand, image, before, after []byte) (committed bool) {
+	for at := 0; at < metaPages*pageSize; at += pageSize {
+		if isUnchanged(before, after, at) {
+			continue
+		}
+		size := random.IntN(tornMetaMaxLen)
+		copy(image[at:at+size], after[at:at+size])
+		if bytes.Equal(image[at:at+pageSize], after[at:at+pageSize]) {
+			committed = true
 		}
-		copy(image[at:at+n], after[at:at+n])
 	}
-	if !synced {
-		return image, false
+	return committed
+}
+
+// Size of TestCrashPoints.
+const (
+	crashWorkers     = 8
+	commitsPerWorker = 20
+	imagesPerCommit  = 25
+)
+
+// crashCounts count what the workers of TestCrashPoints have tried.
+type crashCounts struct {
+	tried     atomic.Int64
+	committed atomic.Int64 // of them, those that left the commit complete
+}
+
+// crashWorker makes commits to a store of its own, and opens images of what a crash during each may leave.
+type crashWorker struct {
+	t         *testing.T
+	number    int
+	random    *rand.Rand
+	counts    *crashCounts
+	store     *Store
+	path      string
+	imagePath string
+	model     map[string]string // what the store holds, by id
+	before    []byte            // the file after the last commit
+}
+
+// run makes all commits of the worker, unless a check fails.
+func (w *crashWorker) run() {
+	directory := memoryDir(w.t)
+	w.path = filepath.Join(directory, "jobs.db")
+	w.imagePath = filepath.Join(directory, "image.db")
+	store, err := Open(w.path, Options{})
+	if err != nil {
+		w.t.Error(err)
+		return
 	}
-	if len(image) < len(after) {
-		image = append(image, make([]byte, len(after)-len(image))...)
+	defer store.Close()
+	w.store = store
+	w.model = map[string]string{}
+	w.before = w.readFile()
+	for commit := range commitsPerWorker {
+		if !w.tryCommit(commit) {
+			return
+		}
 	}
-	for at := 0; at < metaPages*pageSize; at += pageSize {
-		if string(before[at:at+pageSize]) == string(after[at:at+pageSize]) {
+}
+
+func (w *crashWorker) readFile() []byte {
+	content, err := os.ReadFile(w.path)
+	if err != nil {
+		w.t.Error(err)
+	}
+	return content
+}
+
+// changes draws the records of a commit, and returns them with what the store holds after it.
+func (w *crashWorker) changes(commit int) (records []Record, next map[string]string) {
+	next = maps.Clone(w.model)
+	for range 1 + w.random.IntN(12) {
+		id := fmt.Sprint("job-", w.random.IntN(60))
+		_, known := next[id]
+		if known && w.random.IntN(3) == 0 {
+			delete(next, id)
+			records = append(records, Record{id, nil})
 			continue
 		}
-		n := random.IntN(tornMetaMaxLen)
-		copy(image[at:at+n], after[at:at+n])
-		committed = committed || string(image[at:at+pageSize]) == string(after[at:at+pageSize])
+		next[id] = strings.Repeat(fmt.Sprint(commit, " "), w.random.IntN(400))
+		records = append(records, Record{id, next[id]})
 	}
-	return image, committed
+	return records, next
+}
+
+// tryCommit makes a commit and checks the images of a crash during it; false: a check has failed.
+func (w *crashWorker) tryCommit(commit int) bool {
+	records, next := w.changes(commit)
+	if err := put(w.store, records...); err != nil {
+		w.t.Error(err)
+		return false
+	}
+	after := w.readFile()
+	for range imagesPerCommit {
+		if !w.tryImage(commit, after, next) {
+			return false
+		}
+	}
+	w.model = next
+	w.before = after
+	return true
+}
+
+// tryImage checks that an image holds all that was there before the commit, or all that is there after it.
+func (w *crashWorker) tryImage(commit int, after []byte, next map[string]string) bool {
+	image, committed := crashImage(w.random, w.before, after)
+	os.Remove(w.imagePath) // a new file, as the system would flush one that is truncated and rewritten
+	if err := os.WriteFile(w.imagePath, image, fileMode); err != nil {
+		w.t.Error(err)
+		return false
+	}
+	want := w.model
+	if committed {
+		want = next
+		w.counts.committed.Add(1)
+	}
+	w.counts.tried.Add(1)
+	got, err := contents(w.imagePath)
+	if err != nil || !maps.Equal(got, want) {
+		w.t.Errorf("worker %d, commit %d, committed %v: %v; %d jobs, want %d", w.number, commit, committed, err, len(got), len(want))
+		return false
+	}
+	return true
 }
 
 // Thousands of crash points: each leaves all that was there before the commit, or all that is there after it, and the
 // file opens without an error.
 func TestCrashPoints(t *testing.T) {
-	const workers, commitsPerWorker, imagesPerCommit = 8, 20, 25
 	began := time.Now()
 	var running sync.WaitGroup
-	var tried, committed atomic.Int64
-	for worker := range workers {
-		running.Add(1)
-		go func() {
-			defer running.Done()
-			random := rand.New(rand.NewPCG(11, uint64(worker)))
-			dir := memoryDir(t)
-			path, imagePath := filepath.Join(dir, "jobs.db"), filepath.Join(dir, "image.db")
-			s, err := Open(path, Options{})
-			if err != nil {
-				t.Error(err)
-				return
-			}
-			defer s.Close()
-			read := func() []byte {
-				text, err := os.ReadFile(path)
-				if err != nil {
-					t.Error(err)
-				}
-				return text
-			}
-			model, before := map[string]string{}, read()
-			for c := range commitsPerWorker {
-				next := maps.Clone(model)
-				var records []Record
-				for range 1 + random.IntN(12) {
-					id := fmt.Sprint("job-", random.IntN(60))
-					if _, known := next[id]; known && random.IntN(3) == 0 {
-						delete(next, id)
-						records = append(records, Record{id, nil})
-						continue
-					}
-					next[id] = strings.Repeat(fmt.Sprint(c, " "), random.IntN(400))
-					records = append(records, Record{id, next[id]})
-				}
-				result := make(chan error, 1)
-				s.Put(records, func(err error) { result <- err })
-				if err := <-result; err != nil {
-					t.Error(err)
-					return
-				}
-				now := read()
-				for range imagesPerCommit {
-					image, isCommitted := crashImage(random, before, now)
-					os.Remove(imagePath) // a new file, as the system would flush one that is truncated and rewritten
-					if err := os.WriteFile(imagePath, image, 0o600); err != nil {
-						t.Error(err)
-						return
-					}
-					want := model
-					if isCommitted {
-						want = next
-						committed.Add(1)
-					}
-					got, err := contents(imagePath)
-					if tried.Add(1); err != nil || !maps.Equal(got, want) {
-						t.Errorf("worker %d, commit %d, committed %v: %v; %d jobs, want %d", worker, c, isCommitted, err, len(got), len(want))
-						return
-					}
-				}
-				model, before = next, now
-			}
-		}()
+	var counts crashCounts
+	for number := range crashWorkers {
+		worker := &crashWorker{t: t, number: number, random: rand.New(rand.NewPCG(11, uint64(number))), counts: &counts}
+		running.Go(worker.run)
 	}
 	running.Wait()
-	t.Logf("%d crash points, %d of which left the commit complete, %.0f a second", tried.Load(), committed.Load(), float64(tried.Load())/time.Since(began).Seconds())
-	if tried.Load() != workers*commitsPerWorker*imagesPerCommit || committed.Load() == 0 || committed.Load() == tried.Load() {
-		t.Errorf("%d of %d points tried, %d left the commit complete", tried.Load(), workers*commitsPerWorker*imagesPerCommit, committed.Load())
+	tried := counts.tried.Load()
+	committed := counts.committed.Load()
+	t.Logf("%d crash points, %d of which left the commit complete, %.0f a second", tried, committed, float64(tried)/time.Since(began).Seconds())
+	const want = crashWorkers * commitsPerWorker * imagesPerCommit
+	if tried != want || committed == 0 || committed == tried {
+		t.Errorf("%d of %d points tried, %d left the commit complete", tried, want, committed)
 	}
 }
 
 // memoryDir is a directory in memory where there is one: the disk is simulated, so there is no need to wait for a real one.
 func memoryDir(t *testing.T) string {
-	dir, err := os.MkdirTemp("/dev/shm", "store")
+	directory, err := os.MkdirTemp("/dev/shm", "store")
 	if err != nil {
 		return t.TempDir()
 	}
-	t.Cleanup(func() { os.RemoveAll(dir) })
-	return dir
-}
-
-// contents is all that a verified file holds.
-func contents(path string) (map[string]string, error) {
-	s, err := Open(path, Options{})
-	if err != nil {
-		return nil, err
-	}
-	defer s.Close()
-	if _, err := s.Verify(); err != nil {
-		return nil, err
-	}
-	got := map[string]string{}
-	list, err := Load(s, func(id string, value []byte) (pair [2]string, keep bool, err error) {
-		pair[0] = id
-		err = json.Unmarshal(value, &pair[1])
-		return pair, true, err
-	})
-	for _, pair := range list {
-		got[pair[0]] = pair[1]
-	}
-	return got, err
+	t.Cleanup(func() { os.RemoveAll(directory) })
+	return directory
 }
--- a/internal/store/disk_errors_test.go
+++ b/internal/store/disk_errors_test.go
@@ -7,7 +7,6 @@
 	"os"
 	"os/exec"
 	"os/signal"
-	"path/filepath"
 	"strings"
 	"syscall"
 	"testing"
@@ -34,90 +33,135 @@
 }
 
 func testDiskErrors(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "jobs.db")
-	s, err := Open(path, Options{GroupCommitDelay: time.Microsecond})
+	run := newDiskErrorsRun(t)
+	run.writeWithErrors()
+	run.writeAtSizeLimit()
+	run.checkContents()
+}
+
+// diskErrorsRun writes records to a store whose file the system cannot write to for a while.
+type diskErrorsRun struct {
+	t            *testing.T
+	path         string
+	store        *Store
+	descriptor   int               // the store's own
+	writable     int               // a copy of it
+	readOnly     int               // of the same file, opened for reading
+	want         map[string]string // what has been reported as stored, by id
+	failedWrites int
+}
+
+func newDiskErrorsRun(t *testing.T) *diskErrorsRun {
+	path := newPath(t)
+	store, err := Open(path, Options{GroupCommitDelay: time.Microsecond})
 	if err != nil {
 		t.Fatal(err)
 	}
-	try := func(id, text string) error {
-		result := make(chan error, 1)
-		s.Put([]Record{{id, text}}, func(err error) { result <- err })
-		return <-result
-	}
 	descriptor := descriptorOf(path)
 	writable, err := syscall.Dup(descriptor)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer syscall.Close(writable)
+	t.Cleanup(func() { syscall.Close(writable) })
 	reader, err := os.Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer reader.Close()
+	t.Cleanup(func() { reader.Close() })
+	return &diskErrorsRun{
+		t:          t,
+		path:       path,
+		store:      store,
+		descriptor: descriptor,
+		writable:   writable,
+		readOnly:   int(reader.Fd()),
+		want:       map[string]string{},
+	}
+}
+
+// put stores a record, and records what the store must hold after it.
+func (r *diskErrorsRun) put(id, text string) error {
+	err := put(r.store, Record{id, text})
+	if err == nil {
+		r.want[id] = text
+	}
+	return err
+}
+
+// putReadOnly stores a record while the system rejects each write of the store.
+func (r *diskErrorsRun) putReadOnly(id, text string) error {
+	syscall.Dup3(r.readOnly, r.descriptor, syscall.O_CLOEXEC)
+	err := r.put(id, text)
+	syscall.Dup3(r.writable, r.descriptor, syscall.O_CLOEXEC)
+	return err
+}
+
+// writeWithErrors writes records, during a third of which the system rejects each write.
+func (r *diskErrorsRun) writeWithErrors() {
 	random := rand.New(rand.NewPCG(3, 3))
-	want := map[string]string{}
-	failed := 0
 	for i := range 200 {
-		id, text := fmt.Sprint("job-", random.IntN(40)), strings.Repeat("z", random.IntN(3000))
+		id := fmt.Sprint("job-", random.IntN(40))
+		text := strings.Repeat("z", random.IntN(3000))
 		readOnly := random.IntN(3) == 0
-		if readOnly { // the system rejects each write
-			syscall.Dup3(int(reader.Fd()), descriptor, syscall.O_CLOEXEC)
+		write := r.put
+		if readOnly {
+			write = r.putReadOnly
+			r.failedWrites++
 		}
-		err := try(id, text)
-		syscall.Dup3(writable, descriptor, syscall.O_CLOEXEC)
+		err := write(id, text)
 		if (err != nil) != readOnly {
-			t.Fatalf("%d: read-only %v, and the result is %v", i, readOnly, err)
-		}
-		if readOnly {
-			failed++
-			continue
+			r.t.Fatalf("%d: read-only %v, and the result is %v", i, readOnly, err)
 		}
-		want[id] = text
 	}
+}
+
+// writeAtSizeLimit writes records until the file cannot grow, then some more without the limit.
+func (r *diskErrorsRun) writeAtSizeLimit() {
 	signal.Ignore(syscall.SIGXFSZ)
 	defer signal.Reset(syscall.SIGXFSZ)
 	var limit syscall.Rlimit
 	syscall.Getrlimit(syscall.RLIMIT_FSIZE, &limit)
-	info, _ := os.Stat(path)
-	tight := limit
-	tight.Cur = uint64(info.Size())
-	if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &tight); err != nil {
-		t.Fatal(err)
+	info, err := os.Stat(r.path)
+	if err != nil {
+		r.t.Fatal(err)
 	}
-	var full error
-	for i := 0; full == nil && i < 1000; i++ {
-		id, text := fmt.Sprint("big-", i), strings.Repeat("b", 30_000)
-		if full = try(id, text); full == nil {
-			want[id] = text
-		}
+	tightLimit := limit
+	tightLimit.Cur = uint64(info.Size())
+	if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &tightLimit); err != nil {
+		r.t.Fatal(err)
 	}
-	afterFull := try("small", "s")
-	syscall.Setrlimit(syscall.RLIMIT_FSIZE, &limit)
-	if full == nil || !strings.Contains(full.Error(), syscall.EFBIG.Error()) {
-		t.Fatalf("a file that must not grow: %v", full)
+	var fileFull error
+	for i := 0; fileFull == nil && i < 1000; i++ {
+		fileFull = r.put(fmt.Sprint("big-", i), strings.Repeat("b", 30_000))
 	}
-	if afterFull == nil {
-		want["small"] = "s"
+	r.put("small", "s") // it may fit
+	syscall.Setrlimit(syscall.RLIMIT_FSIZE, &limit)
+	if fileFull == nil || !strings.Contains(fileFull.Error(), syscall.EFBIG.Error()) {
+		r.t.Fatalf("a file that must not grow: %v", fileFull)
 	}
-	if err := try("after", "a"); err != nil {
-		t.Fatalf("with space again: %v", err)
+	if err := r.put("after", "a"); err != nil {
+		r.t.Fatalf("with space again: %v", err)
 	}
-	want["after"] = "a"
-	if err := s.Close(); err != nil {
-		t.Fatal(err)
+}
+
+// checkContents checks that the file holds what was reported as stored, and nothing else.
+func (r *diskErrorsRun) checkContents() {
+	if err := r.store.Close(); err != nil {
+		r.t.Fatal(err)
 	}
-	if got, err := contents(path); err != nil || !maps.Equal(got, want) || failed < 30 {
-		t.Errorf("%v; %d jobs, want %d; %d writes failed", err, len(got), len(want), failed)
+	got, err := contents(r.path)
+	if err != nil || !maps.Equal(got, r.want) || r.failedWrites < 30 {
+		r.t.Errorf("%v; %d jobs, want %d; %d writes failed", err, len(got), len(r.want), r.failedWrites)
 	}
 }
 
 // descriptorOf is the descriptor that this process has of a file; -1: none.
 func descriptorOf(path string) int {
 	descriptor := -1
-	list, _ := os.ReadDir("/proc/self/fd")
-	for _, entry := range list {
-		if target, _ := os.Readlink("/proc/self/fd/" + entry.Name()); target == path {
+	open, _ := os.ReadDir("/proc/self/fd")
+	for _, entry := range open {
+		target, _ := os.Readlink("/proc/self/fd/" + entry.Name())
+		if target == path {
 			fmt.Sscan(entry.Name(), &descriptor)
 		}
 	}
--- a/internal/store/example_test.go
+++ b/internal/store/example_test.go
@@ -17,18 +17,18 @@
 		return
 	}
 	defer os.RemoveAll(directory)
-	s, err := store.Open(filepath.Join(directory, "jobs.db"), store.Options{})
+	file, err := store.Open(filepath.Join(directory, "jobs.db"), store.Options{})
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	defer s.Close()
+	defer file.Close()
 
 	stored := make(chan error)
-	s.Put([]store.Record{{ID: "renewal-7", Value: "ready"}}, func(err error) { stored <- err })
+	file.Put([]store.Record{{ID: "renewal-7", Value: "ready"}}, func(err error) { stored <- err })
 	fmt.Println("stored:", <-stored)
 
-	states, err := store.Load(s, func(id string, value []byte) (state string, keep bool, err error) {
+	states, err := store.Load(file, func(id string, value []byte) (state string, keep bool, err error) {
 		err = json.Unmarshal(value, &state)
 		return id + " is " + state, true, err
 	})
--- a/internal/store/kill_test.go
+++ b/internal/store/kill_test.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"os"
 	"os/exec"
-	"path/filepath"
 	"strings"
 	"sync"
 	"syscall"
@@ -27,80 +26,89 @@
 
 // writeUntilKilled writes records, and prints each id whose record the store has reported as stored.
 func writeUntilKilled(path string) {
-	s, err := Open(path, Options{})
+	store, err := Open(path, Options{})
 	if err != nil {
 		fmt.Println(err)
 		os.Exit(1)
 	}
-	var mu sync.Mutex
+	var printing sync.Mutex
 	var running sync.WaitGroup
-	for p := range 8 {
-		running.Add(1)
-		go func() {
-			defer running.Done()
+	for producer := range 8 {
+		running.Go(func() {
 			for i := 0; ; i++ {
-				id := fmt.Sprintf("%s-%d-%06d", os.Getenv(killedRound), p, i)
-				done := make(chan struct{})
-				s.Put([]Record{{id, testJob{"accepted", strings.Repeat("x", i%700)}}, {id + "+", testJob{"twin", ""}}}, func(err error) {
-					if err == nil {
-						mu.Lock()
-						fmt.Println(id)
-						mu.Unlock()
-					}
-					close(done)
-				})
-				<-done
+				id := fmt.Sprintf("%s-%d-%06d", os.Getenv(killedRound), producer, i)
+				err := put(store, withTwin(id, strings.Repeat("x", i%700))...)
+				if err != nil {
+					continue
+				}
+				printing.Lock()
+				fmt.Println(id)
+				printing.Unlock()
 			}
-		}()
+		})
 	}
 	running.Wait()
 }
 
+// writeAndKill runs a child process that writes to a file, and kills it after it has reported so many records as
+// stored. It returns their ids, and those of records that it reported until it had ended.
+func writeAndKill(t *testing.T, path string, round, killAfter int) (acknowledged []string) {
+	t.Helper()
+	child := exec.Command(os.Args[0])
+	child.Env = append(os.Environ(), killedChild+"="+path, fmt.Sprint(killedRound, "=", round))
+	output, err := child.StdoutPipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := child.Start(); err != nil {
+		t.Fatal(err)
+	}
+	lines := bufio.NewScanner(output)
+	for count := 0; lines.Scan(); count++ {
+		acknowledged = append(acknowledged, lines.Text())
+		if count == killAfter {
+			child.Process.Signal(syscall.SIGKILL)
+		}
+	}
+	child.Wait()
+	return acknowledged
+}
+
+// checkAfterKill checks that a file opens, holds all records that were reported as stored, and those of one Put
+// together.
+func checkAfterKill(t *testing.T, path string, round int, acknowledged map[string]bool) {
+	t.Helper()
+	when := fmt.Sprint("after kill ", round)
+	store, err := Open(path, Options{})
+	if err != nil {
+		t.Fatalf("%s: %v", when, err)
+	}
+	records, err := store.Verify()
+	states := mustLoad(t, store)
+	if err != nil || records != len(states) {
+		t.Fatalf("%s: %d records, want %d, %v", when, records, len(states), err)
+	}
+	for id := range acknowledged {
+		if states[id] != "accepted" {
+			t.Fatalf("%s: %s was reported as stored and is not there", when, id)
+		}
+	}
+	checkTwins(t, when, states)
+	if err := store.Close(); err != nil {
+		t.Fatal(err)
+	}
+}
+
 // A process is killed at arbitrary moments, over and over on one file: all records that were reported as stored are
 // there, those of one Put are there together, and the file opens at once.
 func TestKilled(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "jobs.db")
+	path := newPath(t)
 	acknowledged := map[string]bool{}
 	for round := range 12 {
-		cmd := exec.Command(os.Args[0])
-		cmd.Env = append(os.Environ(), killedChild+"="+path, fmt.Sprint(killedRound, "=", round))
-		out, err := cmd.StdoutPipe()
-		if err != nil {
-			t.Fatal(err)
-		}
-		if err := cmd.Start(); err != nil {
-			t.Fatal(err)
-		}
-		in := bufio.NewScanner(out)
-		for n := 0; in.Scan(); n++ {
-			acknowledged[in.Text()] = true
-			if n == 20+round*13 {
-				cmd.Process.Signal(syscall.SIGKILL)
-			}
-		}
-		cmd.Wait()
-		s, err := Open(path, Options{})
-		if err != nil {
-			t.Fatalf("after kill %d: %v", round, err)
-		}
-		records, err := s.Verify()
-		got := mustLoad(t, s)
-		if err != nil || records != len(got) {
-			t.Fatalf("after kill %d: %d records, %v", round, records, err)
-		}
-		for id := range acknowledged {
-			if got[id] != "accepted" {
-				t.Fatalf("after kill %d: %s was reported as stored and is not there", round, id)
-			}
-		}
-		for id := range got {
-			if twin, is := strings.CutSuffix(id, "+"); is && got[twin] == "" || !is && got[id+"+"] == "" {
-				t.Fatalf("after kill %d: %s is there without the other record of its Put", round, id)
-			}
-		}
-		if err := s.Close(); err != nil {
-			t.Fatal(err)
+		for _, id := range writeAndKill(t, path, round, 20+round*13) {
+			acknowledged[id] = true
 		}
+		checkAfterKill(t, path, round, acknowledged)
 	}
 	if len(acknowledged) < 500 {
 		t.Errorf("only %d records were reported as stored", len(acknowledged))
--- a/internal/store/load.go
+++ b/internal/store/load.go
@@ -12,21 +12,21 @@
 const loadChunkSize = 4096
 
 // Load reads all records, in the order of their ids, and returns what parse makes of them. Several goroutines call
-// parse at a time, each record once; where it returns false the record is left out. The bytes are valid during the
-// call only. A damaged record is an error that names it.
-func Load[T any](store *Store, parse func(id string, value []byte) (T, bool, error)) (all []T, err error) {
+// parse at a time, each record once; where keep is false the record is left out. The bytes are valid during the call
+// only. A damaged record is an error that names it.
+func Load[T any](store *Store, parse func(id string, value []byte) (parsed T, keep bool, err error)) (all []T, err error) {
 	defer recoverDamaged("", &err)
 	var chunks []*loadChunk[T]
 	err = store.db.View(func(tx *bbolt.Tx) error {
 		var running sync.WaitGroup
-		defer running.Wait() // the records are valid until the transaction ends
-		slots := make(chan struct{}, runtime.GOMAXPROCS(0))
-		start := func(c *loadChunk[T]) {
-			chunks = append(chunks, c)
-			slots <- struct{}{}
+		defer running.Wait()                                  // the records are valid until the transaction ends
+		parsing := make(chan struct{}, runtime.GOMAXPROCS(0)) // bounds the goroutines that parse
+		startParsing := func(chunk *loadChunk[T]) {
+			chunks = append(chunks, chunk)
+			parsing <- struct{}{}
 			running.Go(func() {
-				defer func() { <-slots }()
-				c.parseAll(parse)
+				defer func() { <-parsing }()
+				chunk.parseAll(parse)
 			})
 		}
 		chunk := &loadChunk[T]{}
@@ -34,17 +34,17 @@
 			chunk.ids = append(chunk.ids, string(id))
 			chunk.raw = append(chunk.raw, raw)
 			if len(chunk.ids) == loadChunkSize {
-				start(chunk)
+				startParsing(chunk)
 				chunk = &loadChunk[T]{}
 			}
 			return nil
 		})
-		start(chunk)
+		startParsing(chunk)
 		return err
 	})
-	for _, c := range chunks {
-		all = append(all, c.parsed...)
-		err = errors.Join(err, c.err)
+	for _, chunk := range chunks {
+		all = append(all, chunk.parsed...)
+		err = errors.Join(err, chunk.err)
 	}
 	return all, err
 }
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -39,6 +39,7 @@
 	return value, nil
 }
 
+// checksum covers a record's id too, so that a value under another id is found.
 func checksum(id string, value []byte) uint64 {
 	digest := xxhash.New()
 	digest.WriteString(id)
--- a/internal/store/snapshot_test.go
+++ b/internal/store/snapshot_test.go
@@ -11,107 +11,148 @@
 	"time"
 )
 
-// A snapshot that is taken while others write is consistent: the records of one Put are there together, and all that
-// was reported as stored before it. Compact keeps all records, in less space.
-func TestSnapshotAndCompact(t *testing.T) {
-	dir := t.TempDir()
-	path := filepath.Join(dir, "jobs.db")
-	s, err := Open(path, Options{})
-	if err != nil {
-		t.Fatal(err)
+// backgroundWriters write records to a store until they are stopped.
+type backgroundWriters struct {
+	running      sync.WaitGroup
+	stopping     chan struct{}
+	mu           sync.Mutex
+	acknowledged map[string]bool // ids that were reported as stored; guarded by mu
+}
+
+func startWriters(store *Store, count int) *backgroundWriters {
+	writers := &backgroundWriters{stopping: make(chan struct{}), acknowledged: map[string]bool{}}
+	for writer := range count {
+		writers.running.Go(func() { writers.write(store, writer) })
 	}
-	var mu sync.Mutex
-	acknowledged := map[string]bool{}
-	stop := make(chan struct{})
-	var running sync.WaitGroup
-	for p := range 4 {
-		running.Add(1)
-		go func() {
-			defer running.Done()
-			for i := 0; ; i++ {
-				select {
-				case <-stop:
-					return
-				default:
-				}
-				id, done := fmt.Sprint(p, "-", i), make(chan struct{})
-				s.Put([]Record{{id, testJob{"accepted", strings.Repeat("s", 300)}}, {id + "+", testJob{"twin", ""}}}, func(error) {
-					mu.Lock()
-					acknowledged[id] = true
-					mu.Unlock()
-					close(done)
-				})
-				<-done
-			}
-		}()
+	return writers
+}
+
+// write writes records one after the other.
+func (w *backgroundWriters) write(store *Store, writer int) {
+	for i := 0; ; i++ {
+		select {
+		case <-w.stopping:
+			return
+		default:
+		}
+		id := fmt.Sprint(writer, "-", i)
+		put(store, withTwin(id, strings.Repeat("s", 300))...)
+		w.mu.Lock()
+		w.acknowledged[id] = true
+		w.mu.Unlock()
 	}
-	for n := range 5 {
-		for enough := false; !enough; time.Sleep(time.Millisecond) {
-			mu.Lock()
-			enough = len(acknowledged) > 40*(n+1)
-			mu.Unlock()
+}
+
+// stop stops the writers after the records that they are writing.
+func (w *backgroundWriters) stop() {
+	close(w.stopping)
+	w.running.Wait()
+}
+
+// awaitMoreThan waits until more than so many records have been reported as stored, and returns their ids.
+func (w *backgroundWriters) awaitMoreThan(count int) map[string]bool {
+	for {
+		w.mu.Lock()
+		acknowledged := maps.Clone(w.acknowledged)
+		w.mu.Unlock()
+		if len(acknowledged) > count {
+			return acknowledged
 		}
-		mu.Lock()
-		var before []string
-		for id := range acknowledged {
-			before = append(before, id)
+		time.Sleep(time.Millisecond)
+	}
+}
+
+// checkSnapshot checks that a snapshot is in order, and holds what was reported as stored before it.
+func checkSnapshot(t *testing.T, path string, acknowledged map[string]bool) {
+	t.Helper()
+	when := "snapshot " + filepath.Base(path)
+	snapshot := mustOpen(t, path)
+	defer snapshot.Close()
+	if _, err := snapshot.Verify(); err != nil {
+		t.Errorf("%s: %v", when, err)
+	}
+	states := mustLoad(t, snapshot)
+	for id := range acknowledged {
+		if states[id] == "" {
+			t.Fatalf("%s: %s was reported as stored before it and is not there", when, id)
 		}
-		mu.Unlock()
-		snapshotPath := filepath.Join(dir, fmt.Sprint("copy-", n))
-		if err := s.Snapshot(snapshotPath); err != nil {
-			t.Fatal(err)
+	}
+	checkTwins(t, when, states)
+}
+
+// checkNothingLeft checks that a directory holds no temporary file.
+func checkNothingLeft(t *testing.T, directory string) {
+	t.Helper()
+	entries, err := os.ReadDir(directory)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, entry := range entries {
+		if strings.HasPrefix(entry.Name(), ".") || strings.HasSuffix(entry.Name(), ".compact") {
+			t.Errorf("left behind: %s", entry.Name())
 		}
-		snapshot, err := Open(snapshotPath, Options{})
-		if err != nil {
+	}
+}
+
+// A snapshot that is taken while others write is consistent: the records of one Put are there together, and all that
+// was reported as stored before it.
+func TestSnapshotWhileOthersWrite(t *testing.T) {
+	path := newPath(t)
+	store := mustOpen(t, path)
+	defer store.Close()
+	writers := startWriters(store, 4)
+	defer writers.stop()
+	for number := range 5 {
+		acknowledged := writers.awaitMoreThan(40 * (number + 1))
+		snapshotPath := filepath.Join(filepath.Dir(path), fmt.Sprint("copy-", number))
+		if err := store.Snapshot(snapshotPath); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := snapshot.Verify(); err != nil {
-			t.Error(err)
-		}
-		got := mustLoad(t, snapshot)
-		snapshot.Close()
-		for _, id := range before {
-			if got[id] == "" {
-				t.Fatalf("snapshot %d: %s was reported as stored before it and is not there", n, id)
-			}
-		}
-		for id := range got {
-			if twin, is := strings.CutSuffix(id, "+"); is && got[twin] == "" || !is && got[id+"+"] == "" {
-				t.Fatalf("snapshot %d: %s is there without the other record of its Put", n, id)
-			}
-		}
+		checkSnapshot(t, snapshotPath, acknowledged)
+	}
+	checkNothingLeft(t, filepath.Dir(path))
+}
+
+// A snapshot does not replace a file.
+func TestSnapshotReplacesNoFile(t *testing.T) {
+	path := newPath(t)
+	store := mustOpen(t, path)
+	defer store.Close()
+	snapshotPath := filepath.Join(filepath.Dir(path), "copy")
+	if err := store.Snapshot(snapshotPath); err != nil {
+		t.Fatal(err)
 	}
-	close(stop)
-	running.Wait()
-	want := mustLoad(t, s)
+	if store.Snapshot(snapshotPath) == nil {
+		t.Error("a snapshot replaced another file")
+	}
+	checkNothingLeft(t, filepath.Dir(path))
+}
+
+// Compact keeps all records, in less space, and does nothing to a file that is open.
+func TestCompact(t *testing.T) {
+	path := newPath(t)
+	store := mustOpen(t, path)
+	writers := startWriters(store, 4)
+	writers.awaitMoreThan(200)
+	writers.stop()
+	want := mustLoad(t, store)
 	for id := range want { // most are deleted
 		if len(want) > 20 {
-			mustPut(t, s, id, nil)
+			mustPut(t, store, id, nil)
 			delete(want, id)
 		}
 	}
-	if _, _, err := Compact(path, 50*time.Millisecond); err == nil || !strings.Contains(err.Error(), "another process has it open") {
-		t.Errorf("compacted while open: %v", err)
-	}
-	if err := s.Snapshot(filepath.Join(dir, "copy-0")); err == nil {
-		t.Error("a snapshot replaced another file")
-	}
-	s.Close()
+	_, _, err := Compact(path, 50*time.Millisecond)
+	expectError(t, "compacted while open", err, "another process has it open")
+	store.Close()
 	before, after, err := Compact(path, time.Second)
 	if err != nil || after >= before {
 		t.Errorf("compacted from %d to %d bytes: %v", before, after, err)
 	}
-	if s, err = Open(path, Options{}); err != nil {
-		t.Fatal(err)
-	}
-	defer s.Close()
-	if got := mustLoad(t, s); !maps.Equal(got, want) {
+	store = mustOpen(t, path)
+	defer store.Close()
+	if got := mustLoad(t, store); !maps.Equal(got, want) {
 		t.Errorf("compacted: %d jobs, want %d", len(got), len(want))
 	}
-	list, _ := os.ReadDir(dir)
-	for _, f := range list {
-		if strings.HasPrefix(f.Name(), ".") || strings.HasSuffix(f.Name(), ".compact") {
-			t.Errorf("left behind: %s", f.Name())
-		}
-	}
+	checkNothingLeft(t, filepath.Dir(path))
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -88,6 +88,7 @@
 	return db, nil
 }
 
+// fileOptions are the options with which bbolt opens a file.
 func fileOptions(timeout time.Duration) *bbolt.Options {
 	return &bbolt.Options{Timeout: timeout, FreelistType: bbolt.FreelistMapType}
 }
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -35,7 +35,8 @@
 	}
 }
 
-// write stores changes as they come, all that have come at a time, until the store is closed and the queue empty.
+// write is the writer's goroutine. It stores changes as they come, all that have come at a time, until the store is
+// closed and the queue empty.
 func (s *Store) write() {
 	defer close(s.writerStopped)
 	for range s.wake {
@@ -66,6 +67,7 @@
 	return batch
 }
 
+// queueLen is the number of changes in the queue.
 func (s *Store) queueLen() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,8 +86,8 @@
 func (s *Store) commit(batch []change) {
 	err := s.update(batch)
 	if err == nil || len(batch) == 1 {
-		for _, c := range batch {
-			c.onStored(err)
+		for _, stored := range batch {
+			stored.onStored(err)
 		}
 		return
 	}
@@ -99,8 +101,8 @@
 	defer recoverDamaged("", &err)
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		bucket := tx.Bucket(recordsBucket)
-		for _, c := range batch {
-			for _, record := range c.records {
+		for _, pending := range batch {
+			for _, record := range pending.records {
 				if err := putRecord(bucket, record); err != nil {
 					return err
 				}
@@ -113,6 +115,7 @@
 	})
 }
 
+// putRecord stores or deletes a record.
 func putRecord(bucket *bbolt.Bucket, record Record) error {
 	key := []byte(record.ID)
 	if record.Value == nil {
--- a/internal/store/writer_test.go
+++ b/internal/store/writer_test.go
@@ -3,83 +3,93 @@
 import (
 	"errors"
 	"fmt"
-	"path/filepath"
 	"sync"
+	"sync/atomic"
 	"testing"
 	"time"
 )
 
-// A change that cannot be stored is reported, takes no other change with it, and the store goes on.
+var errDiskFull = errors.New("no space left on device")
+
+// A change that cannot be stored is reported, in its turn, and the store goes on.
 func TestWriteFails(t *testing.T) {
-	s, err := Open(filepath.Join(t.TempDir(), "jobs.db"), Options{GroupCommitDelay: 5 * time.Millisecond})
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer s.Close()
-	mustPut(t, s, "a", testJob{"accepted", ""})
-	full := errors.New("no space left on device")
-	var mu sync.Mutex
-	failing := true
-	s.mu.Lock()
-	s.options.InjectWriteError = func() error {
-		mu.Lock()
-		defer mu.Unlock()
-		if failing {
-			return full
+	var diskFull atomic.Bool
+	store, err := Open(newPath(t), Options{GroupCommitDelay: 5 * time.Millisecond, InjectWriteError: func() error {
+		if diskFull.Load() {
+			return errDiskFull
 		}
 		return nil
+	}})
+	if err != nil {
+		t.Fatal(err)
 	}
-	s.mu.Unlock()
-	var order []int
+	defer store.Close()
+	mustPut(t, store, "a", testJob{"accepted", ""})
+
+	diskFull.Store(true)
+	var reported []int
 	var running sync.WaitGroup
 	for i := range 50 {
 		running.Add(1)
-		s.Put([]Record{{fmt.Sprint("b", i), testJob{"accepted", ""}}}, func(err error) {
-			if !errors.Is(err, full) {
-				t.Errorf("%d: %v", i, err)
+		store.Put([]Record{{fmt.Sprint("b", i), testJob{"accepted", ""}}}, func(err error) {
+			if !errors.Is(err, errDiskFull) {
+				t.Errorf("%d: %v, want %v", i, err, errDiskFull)
 			}
-			order = append(order, i)
+			reported = append(reported, i)
 			running.Done()
 		})
 	}
 	running.Wait()
-	for i, n := range order {
-		if i != n {
-			t.Fatalf("reported in the order %v", order)
+	for want, got := range reported {
+		if got != want {
+			t.Fatalf("reported in the order %v", reported)
 		}
 	}
-	mu.Lock()
-	failing = false
-	mu.Unlock()
-	mustPut(t, s, "c", testJob{"accepted", ""})
-	mustPut(t, s, "a", nil)
-	if got := mustLoad(t, s); len(got) != 1 || got["c"] != "accepted" {
-		t.Errorf("%v", got)
-	}
-	results := make(chan error, 2) // a value that cannot be marshalled does not take the other with it
-	s.Put([]Record{{"d", make(chan int)}}, func(err error) { results <- err })
-	s.Put([]Record{{"e", testJob{"accepted", ""}}}, func(err error) { results <- err })
-	if first, second := <-results, <-results; first == nil || second != nil {
-		t.Errorf("%v, %v", first, second)
+
+	diskFull.Store(false)
+	mustPut(t, store, "c", testJob{"accepted", ""})
+	mustPut(t, store, "a", nil)
+	if got := mustLoad(t, store); len(got) != 1 || got["c"] != "accepted" {
+		t.Errorf("the store holds %v, want c alone", got)
 	}
 }
 
-// Close while a change is being reported, with another one queued behind it: both are stored, and Close ends.
-func TestCloseMeetsAWrite(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "jobs.db")
-	s, err := Open(path, Options{})
+// A change whose value cannot be marshalled does not take another with it.
+func TestValueThatCannotBeStored(t *testing.T) {
+	store, err := Open(newPath(t), Options{GroupCommitDelay: 5 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
+	defer store.Close()
+	results := make(chan error, 2)
+	report := func(err error) { results <- err }
+	store.Put([]Record{{"d", make(chan int)}}, report)
+	store.Put([]Record{{"e", testJob{"accepted", ""}}}, report)
+	unmarshallable := <-results
+	other := <-results
+	if unmarshallable == nil || other != nil {
+		t.Errorf("%v, %v; want an error for the first alone", unmarshallable, other)
+	}
+}
+
+// awaitClosed waits until a store rejects further changes.
+func awaitClosed(store *Store) {
+	for closed := false; !closed; time.Sleep(time.Millisecond) {
+		store.mu.Lock()
+		closed = store.closed
+		store.mu.Unlock()
+	}
+}
+
+// Close while a change is being reported, with another one queued behind it: both are stored, and Close ends.
+func TestCloseMeetsAWrite(t *testing.T) {
+	path := newPath(t)
+	store := mustOpen(t, path)
 	ended := make(chan error, 1)
-	s.Put([]Record{{"a", testJob{"accepted", ""}}}, func(error) {
-		s.Put([]Record{{"b", testJob{"accepted", ""}}}, func(error) {})
-		go func() { ended <- s.Close() }()
-		for closed := false; !closed; time.Sleep(time.Millisecond) {
-			s.mu.Lock()
-			closed = s.closed
-			s.mu.Unlock()
-		}
+	store.Put([]Record{{"a", testJob{"accepted", ""}}}, func(error) {
+		store.Put([]Record{{"b", testJob{"accepted", ""}}}, func(error) {})
+		go func() { ended <- store.Close() }()
+		awaitClosed(store)
 	})
 	select {
 	case err := <-ended:
@@ -89,11 +99,9 @@
 	case <-time.After(20 * time.Second):
 		t.Fatal("Close does not end")
 	}
-	if s, err = Open(path, Options{}); err != nil {
-		t.Fatal(err)
-	}
-	defer s.Close()
-	if got := mustLoad(t, s); len(got) != 2 {
-		t.Errorf("%v", got)
+	store = mustOpen(t, path)
+	defer store.Close()
+	if got := mustLoad(t, store); len(got) != 2 {
+		t.Errorf("the store holds %v, want two records", got)
 	}
 }
