--- /dev/null
+++ b/internal/faktory/bulkpush.go
@@ -0,0 +1,67 @@
+package faktory
+
+import (
+	"cmp"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"strings"
+)
+
+// errBulkDirectQueue rejects a job of PUSHB.
+var errBulkDirectQueue = errors.New("its queue is direct, and is answered job by job: PUSH it")
+
+// bulkPush is a PUSHB of which some jobs are not on disk yet.
+type bulkPush struct {
+	pending  int               // jobs, and the reading of the list itself
+	rejected map[string]string // reasons, by jid
+	reply    func(line string)
+}
+
+// handlePushBulk stores many jobs at once. The answer lists, by jid, which are
+// rejected.
+func (c *connection) handlePushBulk(rest []byte) {
+	var list []json.RawMessage
+	err := json.Unmarshal(rest, &list)
+	if err != nil {
+		c.writeLine(replyMalformed + "PUSHB: " + singleLine(err.Error()))
+		return
+	}
+	bulk := &bulkPush{pending: 1, rejected: map[string]string{}, reply: c.deferReply()}
+	for i, raw := range list {
+		c.storeBulkJob(bulk, i, raw)
+	}
+	bulk.completeOne()
+}
+
+// storeBulkJob stores a job of a PUSHB.
+func (c *connection) storeBulkJob(bulk *bulkPush, index int, raw []byte) {
+	server := c.server
+	request, payload, err := parseJob(raw, server.classNumbers, server.dispatcher.Loop.Now())
+	if err == nil && !server.isDurable(request.Class) {
+		err = errBulkDirectQueue
+	}
+	id := cmp.Or(request.ID, fmt.Sprintf("[%d]", index))
+	if err != nil {
+		bulk.rejected[id] = err.Error()
+		return
+	}
+	bulk.pending++
+	c.storeJob(request, raw, &payload, func(err error) {
+		if err != nil {
+			bulk.rejected[id] = err.Error()
+		}
+		bulk.completeOne()
+	})
+}
+
+// completeOne answers the PUSHB once nothing of it is pending.
+func (b *bulkPush) completeOne() {
+	b.pending--
+	if b.pending > 0 {
+		return
+	}
+	raw, _ := json.Marshal(b.rejected) // strings always marshal
+	bulk := appendBulk(nil, raw)
+	b.reply(strings.TrimSuffix(string(bulk), "\r\n")) // reply ends the line
+}
--- a/internal/faktory/connection.go
+++ b/internal/faktory/connection.go
@@ -1,16 +1,10 @@
 package faktory
 
 import (
-	"crypto/rand"
-	"crypto/subtle"
-	"encoding/hex"
-	"encoding/json"
-	"fmt"
 	"time"
 
 	"hollyyoke.example/hollyyoke/internal/connlimit"
 	"hollyyoke.example/hollyyoke/internal/eventloop"
-	"hollyyoke.example/hollyyoke/internal/listener"
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
@@ -52,20 +46,6 @@
 	reservedFor    string // the durable job that it is reserved for; empty: it is free
 }
 
-// sendGreeting sends the server's first line.
-func (c *connection) sendGreeting() {
-	message := greeting{Version: protocolVersion}
-	if c.server.password != "" {
-		var salt [saltBytes]byte
-		rand.Read(salt[:])
-		c.salt = hex.EncodeToString(salt[:])
-		message.Salt = c.salt
-		message.Iterations = hashIterations
-	}
-	raw, _ := json.Marshal(message) // strings and numbers always marshal
-	c.writeLine("+" + greetingPrefix + string(raw))
-}
-
 func (c *connection) writeLine(line string) { c.conn.Write([]byte(line + "\r\n")) }
 
 func (c *connection) writeBulk(text []byte) { c.conn.Write(appendBulk(nil, text)) }
@@ -158,134 +138,16 @@
 	c.conn.CloseGracefully()
 }
 
-// readProxyHeader reads the PROXY header of a trusted proxy, which names the
-// client's address. It returns false if the header is incomplete or the client
-// is rejected.
-func (c *connection) readProxyHeader() bool {
-	gate := c.server.gate
-	address, used, err := listener.ParseProxyHeader(c.input.bytes())
-	if err == nil && used == 0 {
-		return false
-	}
-	reason := connlimit.Allowed
-	switch {
-	case err != nil:
-		reason = connlimit.BadHeader
-	case address.IsValid():
-		reason = gate.Limiter.Identify(c.server.dispatcher.Loop.Now(), c.admissionID, address)
-	}
-	if reason != connlimit.Allowed {
-		gate.LogRejection(reason, address)
-		c.detach()
-		c.conn.Close()
-		return false
-	}
-	c.awaitsProxyHeader = false
-	c.input.skip(used)
-	c.sendGreeting()
-	return true
-}
-
-// processInput handles received commands until one has to wait for its answer.
-func (c *connection) processInput() {
-	for !c.input.empty() && !c.busy && !c.closed {
-		line, used, err := parseLine(c.input.bytes())
-		if err != nil {
-			c.writeLine(replyMalformed + "command " + err.Error())
-			c.closeGracefully()
-			return
-		}
-		if used == 0 {
+// deferReply makes the connection wait for the answer to its command. The
+// answer is sent by reply, unless the connection is closed by then.
+func (c *connection) deferReply() (reply func(line string)) {
+	c.busy = true
+	c.server.dispatcher.Loop.Clear(&c.deadline)
+	return func(line string) {
+		if c.closed {
 			return
 		}
-		verb, rest := parseCommand(line)
-		// line, and with it rest, lies in this buffer; a PUSH keeps it for as long as its job is in progress.
-		buffer := c.input.take(used)
-		c.setDeadline(idleTimeout)
-		c.server.commandCount++
-		pool := c.input.pool
-		if verb == commandPush && c.authenticated {
-			c.handlePush(rest, func() { pool.Put(buffer) })
-			continue
-		}
-		c.handleCommand(verb, rest)
-		pool.Put(buffer)
-	}
-}
-
-// handleCommand handles all commands but PUSH.
-func (c *connection) handleCommand(verb string, rest []byte) {
-	if !c.authenticated && verb != commandHello && verb != commandEnd {
-		c.writeLine(replyError + "HELLO is needed first")
-		c.closeGracefully()
-		return
-	}
-	switch verb {
-	case commandHello:
-		c.handleHello(rest)
-	case commandFetch:
-		c.handleFetch(rest)
-	case commandAck, commandFail:
-		c.handleCompletion(verb, rest)
-	case commandBeat:
-		c.handleBeat(rest)
-	case commandStart, commandPushBulk, commandQueue, commandMutate, commandFlush, commandTrack:
-		c.handleDurableCommand(verb, rest)
-	case commandInfo:
-		c.writeBulk(c.server.infoDocument())
-	case commandEnd:
-		c.writeLine(replyOK)
-		c.closeGracefully()
-	default:
-		c.writeLine(replyError + "Unknown command " + singleLine(fmt.Sprintf("%.*s", maxVerbShown, verb)))
-	}
-}
-
-// handleHello authenticates the peer, and registers the worker that it names.
-func (c *connection) handleHello(rest []byte) {
-	if c.authenticated {
-		c.writeLine(replyError + "HELLO was said before")
-		return
-	}
-	var message hello
-	err := json.Unmarshal(rest, &message)
-	if err != nil {
-		c.rejectHello("MALFORMED HELLO: " + singleLine(err.Error()))
-		return
-	}
-	if message.Version != protocolVersion {
-		c.rejectHello("version: this server speaks 2")
-		return
-	}
-	if !c.passwordMatches(message.Hash) {
-		c.rejectHello("Invalid password")
-		return
-	}
-	if len(message.Wid) > maxWidLength || !hasOnlyGraphicASCII(message.Wid) {
-		c.rejectHello("wid: 128 characters without spaces at most")
-		return
-	}
-	c.authenticated = true
-	now := c.server.dispatcher.Loop.Now()
-	if message.Wid != "" {
-		c.worker = c.server.registerWorker(message)
-		c.server.gate.Limiter.RequestComplete(now, c.admissionID)
-	} else {
-		c.server.gate.Limiter.BecameIdle(now, c.admissionID, false)
-	}
-	c.writeLine(replyOK)
-}
-
-func (c *connection) rejectHello(text string) {
-	c.writeLine(replyError + text)
-	c.closeGracefully()
-}
-
-// passwordMatches checks a client's hash in constant time.
-func (c *connection) passwordMatches(hash string) bool {
-	if c.server.password == "" {
-		return true
+		c.writeLine(line)
+		c.resume()
 	}
-	want := hashPassword(c.server.password, c.salt, hashIterations)
-	return subtle.ConstantTimeCompare([]byte(hash), []byte(want)) == 1
 }
--- a/internal/faktory/delivery.go
+++ b/internal/faktory/delivery.go
@@ -59,17 +59,6 @@
 	s.dispatcher.AttemptEnded(delivery.attempt.Handle, outcome, decision.LoadReport{}, nil)
 }
 
-// Cancel gives an attempt up and reports whether its job never ran. The
-// protocol cannot call a job back that a worker has.
-func (s *Server) Cancel(handle uint64) (neverRan bool) {
-	delivery := s.deliveries[handle]
-	if delivery == nil {
-		return false
-	}
-	s.forgetDelivery(delivery)
-	return !delivery.handedOut
-}
-
 // findHandedOut returns the oldest delivery of a jid that is handed out, to
 // worker unless that is nil.
 func (s *Server) findHandedOut(worker *registeredWorker, jid string) (oldest *jobDelivery) {
--- a/internal/faktory/durable.go
+++ b/internal/faktory/durable.go
@@ -1,10 +1,8 @@
 package faktory
 
 import (
-	"errors"
 	"fmt"
 	"log/slog"
-	"time"
 
 	"hollyyoke.example/hollyyoke/decision"
 	"hollyyoke.example/hollyyoke/internal/dispatch"
@@ -12,15 +10,6 @@
 	"hollyyoke.example/hollyyoke/internal/jobs"
 )
 
-const (
-	// releaseTimeout is how long a release waits for commands whose changes are
-	// not on disk yet, before it closes their connections.
-	releaseTimeout = time.Second
-
-	// releasePollInterval is how often a release looks for such connections.
-	releasePollInterval = 5 * time.Millisecond
-)
-
 // durableQueues is the durable side of a server: the service that stores jobs,
 // and the scheduler that assigns them to free slots. No answer says +OK to a
 // change before it is on disk, and no worker's report counts for the lease of
@@ -107,88 +96,3 @@
 // SendsHeartbeats reports whether a worker renews its leases itself, as those
 // of this front end do.
 func (s *Server) SendsHeartbeats(workerName string) bool { return s.workers[workerName] != nil }
-
-// storeJob stores a job and calls onStored once it is on disk, or with the
-// error that its producer gets.
-func (c *connection) storeJob(request dispatch.Request, raw []byte, payload *work, onStored func(error)) {
-	server := c.server
-	class := &server.dispatcher.Settings.Classes[request.Class]
-	job := durableJob(raw, request.ID, payload, class)
-	server.durable.Push(job, payload.scheduledAt, func(err error) {
-		switch {
-		case err == nil:
-			onStored(nil)
-		case errors.Is(err, jobs.ErrIDConflict):
-			onStored(fmt.Errorf("NOTUNIQUE %w", err))
-		default:
-			onStored(fmt.Errorf("REFUSED %w; pushing it again is harmless", err))
-		}
-	})
-}
-
-// deferReply makes the connection wait for the answer to its command. The
-// answer is sent by reply, unless the connection is closed by then.
-func (c *connection) deferReply() (reply func(line string)) {
-	c.busy = true
-	c.server.dispatcher.Loop.Clear(&c.deadline)
-	return func(line string) {
-		if c.closed {
-			return
-		}
-		c.writeLine(line)
-		c.resume()
-	}
-}
-
-// moveAll moves the jobs that match, and returns the last error of those that
-// cannot be moved.
-func (q *durableQueues) moveAll(move jobs.Move, reason jobs.Reason, matches func(jobs.Job) bool) (lastError error) {
-	var jids []string
-	q.Each(func(job jobs.Job) {
-		if matches(job) {
-			jids = append(jids, job.ID)
-		}
-	})
-	for _, jid := range jids {
-		err := q.Move(jid, move, reason, false)
-		if err != nil {
-			lastError = err
-		}
-	}
-	return lastError
-}
-
-// releaseDurable closes all connections, each once its command is answered,
-// and then the store, and calls done. Workers reconnect to the successor with
-// the jobs that they hold.
-func (s *Server) releaseDurable(done func()) {
-	s.acceptor.Close()
-	s.durable.scheduler.Release()
-	limit := s.dispatcher.Loop.Now() + releaseTimeout
-	s.continueRelease(limit, done)
-}
-
-// continueRelease closes the connections that can be closed by now, and continues
-// later if some are left.
-func (s *Server) continueRelease(limit time.Duration, done func()) {
-	loop := s.dispatcher.Loop
-	late := loop.Now() >= limit
-	s.connections.ForEach(func(_ uint64, c *connection) {
-		switch {
-		case c.parked:
-			c.writeLine(nullBulk)
-			c.closeGracefully()
-		case !c.busy, late:
-			c.closeGracefully()
-		}
-	})
-	if s.connections.Len() > 0 {
-		loop.After(releasePollInterval, func() { s.continueRelease(limit, done) })
-		return
-	}
-	err := s.durable.Service.Close()
-	if err != nil {
-		s.dispatcher.Log(fmt.Sprintf("durable job store: %v", err))
-	}
-	done()
-}
--- a/internal/faktory/front.go
+++ b/internal/faktory/frontend.go
@@ -1,17 +1,3 @@
-// Package faktory speaks the Faktory work protocol in two roles: as a server
-// that producers and workers connect to (Server), and as a consumer of an
-// upstream server (Source). Both hand jobs as requests to the dispatcher that
-// the HTTP front end uses too; workers that connect here are workers of its
-// fleet.
-//
-// A queue is direct or durable. The PUSH of a direct queue is answered when the
-// job has completed, since nothing of it is stored; the PUSH of a durable queue
-// is answered once the job is on disk.
-//
-// The package never decides where a job runs or whether it is retried, and it
-// never hands out again a job that may have run unless its class is idempotent.
-// No input makes it panic. Everything here belongs to the goroutine of the
-// event loop.
 package faktory
 
 import (
--- /dev/null
+++ b/internal/faktory/handshake.go
@@ -0,0 +1,102 @@
+package faktory
+
+import (
+	"crypto/rand"
+	"crypto/subtle"
+	"encoding/hex"
+	"encoding/json"
+
+	"hollyyoke.example/hollyyoke/internal/connlimit"
+	"hollyyoke.example/hollyyoke/internal/listener"
+)
+
+// sendGreeting sends the server's first line.
+func (c *connection) sendGreeting() {
+	message := greeting{Version: protocolVersion}
+	if c.server.password != "" {
+		var salt [saltBytes]byte
+		rand.Read(salt[:])
+		c.salt = hex.EncodeToString(salt[:])
+		message.Salt = c.salt
+		message.Iterations = hashIterations
+	}
+	raw, _ := json.Marshal(message) // strings and numbers always marshal
+	c.writeLine("+" + greetingPrefix + string(raw))
+}
+
+// readProxyHeader reads the PROXY header of a trusted proxy, which names the
+// client's address. It returns false if the header is incomplete or the client
+// is rejected.
+func (c *connection) readProxyHeader() bool {
+	gate := c.server.gate
+	address, used, err := listener.ParseProxyHeader(c.input.bytes())
+	if err == nil && used == 0 {
+		return false
+	}
+	reason := connlimit.Allowed
+	switch {
+	case err != nil:
+		reason = connlimit.BadHeader
+	case address.IsValid():
+		reason = gate.Limiter.Identify(c.server.dispatcher.Loop.Now(), c.admissionID, address)
+	}
+	if reason != connlimit.Allowed {
+		gate.LogRejection(reason, address)
+		c.detach()
+		c.conn.Close()
+		return false
+	}
+	c.awaitsProxyHeader = false
+	c.input.skip(used)
+	c.sendGreeting()
+	return true
+}
+
+// handleHello authenticates the peer, and registers the worker that it names.
+func (c *connection) handleHello(rest []byte) {
+	if c.authenticated {
+		c.writeLine(replyError + "HELLO was said before")
+		return
+	}
+	var message hello
+	err := json.Unmarshal(rest, &message)
+	if err != nil {
+		c.rejectHello("MALFORMED HELLO: " + singleLine(err.Error()))
+		return
+	}
+	if message.Version != protocolVersion {
+		c.rejectHello("version: this server speaks 2")
+		return
+	}
+	if !c.passwordMatches(message.Hash) {
+		c.rejectHello("Invalid password")
+		return
+	}
+	if len(message.Wid) > maxWidLength || !hasOnlyGraphicASCII(message.Wid) {
+		c.rejectHello("wid: 128 characters without spaces at most")
+		return
+	}
+	c.authenticated = true
+	now := c.server.dispatcher.Loop.Now()
+	if message.Wid != "" {
+		c.worker = c.server.registerWorker(message)
+		c.server.gate.Limiter.RequestComplete(now, c.admissionID)
+	} else {
+		c.server.gate.Limiter.BecameIdle(now, c.admissionID, false)
+	}
+	c.writeLine(replyOK)
+}
+
+func (c *connection) rejectHello(text string) {
+	c.writeLine(replyError + text)
+	c.closeGracefully()
+}
+
+// passwordMatches checks a client's hash in constant time.
+func (c *connection) passwordMatches(hash string) bool {
+	if c.server.password == "" {
+		return true
+	}
+	want := hashPassword(c.server.password, c.salt, hashIterations)
+	return subtle.ConstantTimeCompare([]byte(hash), []byte(want)) == 1
+}
--- a/internal/faktory/lane.go
+++ b/internal/faktory/lane.go
@@ -5,11 +5,8 @@
 	"errors"
 	"fmt"
 	"math/rand/v2"
-	"os"
-	"strings"
 	"time"
 
-	"hollyyoke.example/hollyyoke/internal/dispatch"
 	"hollyyoke.example/hollyyoke/internal/eventloop"
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
@@ -180,98 +177,6 @@
 	}
 }
 
-// handleReply handles one reply. It returns true if it keeps the reply's
-// buffer, which release frees later.
-func (l *lane) handleReply(answer reply, release func()) (retained bool) {
-	switch l.state {
-	case laneAwaitingGreeting:
-		l.handleGreeting(answer)
-	case laneAwaitingHello:
-		if answer.kind != kindSimple {
-			l.reconnect(fmt.Errorf("HELLO: %s", answer.text))
-			return false
-		}
-		l.backoff = 0
-		l.advance()
-	case laneFetching:
-		return l.handleFetchReply(answer, release)
-	case laneClosing:
-		if answer.kind == kindError { // upstream does not want it, and would not if it came again
-			l.source.dispatcher.Log("upstream: closing " + singleLine(l.pendingClose) + ": " + singleLine(string(answer.text)))
-		}
-		l.pendingClose = ""
-		l.advance()
-	case laneBeating:
-		l.handleBeatReply(answer)
-	default:
-		l.reconnect(errUnexpectedReply)
-	}
-	return false
-}
-
-// handleGreeting answers the server's greeting by HELLO.
-func (l *lane) handleGreeting(answer reply) {
-	var message greeting
-	text, hasPrefix := strings.CutPrefix(string(answer.text), greetingPrefix)
-	if answer.kind != kindSimple || !hasPrefix {
-		l.reconnect(errGreetingVersion)
-		return
-	}
-	err := json.Unmarshal([]byte(text), &message)
-	if err != nil || message.Version != protocolVersion {
-		l.reconnect(errGreetingVersion)
-		return
-	}
-	host, _ := os.Hostname()
-	identity := hello{
-		Hostname: host,
-		Wid:      l.source.wid,
-		Pid:      os.Getpid(),
-		Labels:   []string{"hollyyoke"},
-		Version:  protocolVersion,
-	}
-	if message.Salt != "" {
-		if message.Iterations > maxHashIterations {
-			l.reconnect(errTooManyIterations)
-			return
-		}
-		identity.Hash = hashPassword(l.source.config.Source.Password, message.Salt, max(message.Iterations, 1))
-	}
-	raw, _ := json.Marshal(identity) // strings and numbers always marshal
-	l.send(laneAwaitingHello, commandHello+" "+string(raw), replyTimeout)
-}
-
-// handleFetchReply handles the answer to FETCH, as handleReply does.
-func (l *lane) handleFetchReply(answer reply, release func()) (retained bool) {
-	if answer.kind == kindBulk && !answer.null && len(answer.text) > 0 {
-		return l.handleJob(answer.text, release)
-	}
-	if answer.kind == kindError {
-		l.reconnect(fmt.Errorf("FETCH: %s", answer.text))
-		return false
-	}
-	l.advance()
-	return false
-}
-
-// handleBeatReply handles the answer to BEAT, by which upstream can ask for an
-// end of fetching.
-func (l *lane) handleBeatReply(answer reply) {
-	source := l.source
-	var message struct {
-		State string `json:"state"`
-	}
-	if answer.kind != kindError && !source.draining {
-		err := json.Unmarshal(answer.text, &message)
-		if err == nil && message.State != "" {
-			source.dispatcher.Log("upstream says " + singleLine(message.State) + ": fetching no more")
-			source.draining = true
-		}
-	}
-	l.state = laneIdle
-	l.setDeadline(beatInterval)
-}
-
 // send sends a command and waits for its answer in the state next.
 func (l *lane) send(next laneState, line string, timeout time.Duration) {
 	l.state = next
@@ -298,78 +203,3 @@
 		l.send(laneFetching, l.source.fetchCommand, fetchTimeout)
 	}
 }
-
-// handleJob runs a job that was delivered, or closes the delivery at once if
-// its jid is known. It returns true if the job keeps the buffer of raw, until
-// it calls release.
-func (l *lane) handleJob(raw []byte, release func()) (retained bool) {
-	source := l.source
-	now := source.dispatcher.Loop.Now()
-	request, payload, err := parseJob(raw, source.classNumbers, now)
-	if payload.scheduledAt > 0 {
-		err = errScheduledOnDirectQueue
-	}
-	if err != nil {
-		l.rejectJob(raw, err)
-		return false
-	}
-	l.jid = request.ID
-	l.jobOpen = true
-	l.state = laneWorking
-	source.dispatcher.Loop.Clear(&l.deadline)
-	switch source.jids.status(l.jid) {
-	case jidServed:
-		l.closeDelivery(commandAck, closeMessage{})
-		return false
-	case jidMayHaveRun:
-		l.closeDelivery(commandFail, closeMessage{Type: "Failed", Message: "it may have run before; it does not run again under this jid"})
-		return false
-	case jidInProgress: // delivered twice: both are closed by what becomes of the first
-		source.jids.whenFinished(l.jid, l.closeWith)
-		return false
-	}
-	source.jids.begin(l.jid, now)
-	l.class = request.Class
-	request.Release = release
-	source.dispatcher.Accept(source, uint64(l.number), request)
-	return true
-}
-
-// rejectJob closes the delivery of a job that cannot be read.
-func (l *lane) rejectJob(raw []byte, reason error) {
-	var job struct {
-		Jid string `json:"jid"`
-	}
-	err := json.Unmarshal(raw, &job)
-	if err != nil || job.Jid == "" {
-		l.reconnect(errJobWithoutJid)
-		return
-	}
-	l.jid = job.Jid
-	l.closeDelivery(commandFail, closeMessage{Type: "Malformed", Message: reason.Error()})
-}
-
-// closeWith closes the delivery of the lane with the final answer of its job.
-func (l *lane) closeWith(response dispatch.Response) {
-	switch response.Outcome {
-	case dispatch.Served:
-		l.closeDelivery(commandAck, closeMessage{})
-	case dispatch.Rejected:
-		text := fmt.Sprintf("not run; come back after %.3f s", response.RetryAfter.Seconds())
-		l.closeDelivery(commandFail, closeMessage{Type: "Refused", Message: text})
-	default:
-		l.closeDelivery(commandFail, closeMessage{Type: "Failed", Message: "it may have run"})
-	}
-}
-
-// closeDelivery closes the delivery of the lane by ACK or FAIL, now or once it
-// is connected again.
-func (l *lane) closeDelivery(verb string, message closeMessage) {
-	l.jobOpen = false
-	message.Jid = l.jid
-	raw, _ := json.Marshal(message) // strings always marshal
-	l.pendingClose = verb + " " + string(raw)
-	if l.state == laneWorking || l.state == laneFetching {
-		l.advance()
-	}
-}
--- a/internal/faktory/producer.go
+++ b/internal/faktory/push.go
@@ -7,6 +7,7 @@
 
 	"hollyyoke.example/hollyyoke/decision"
 	"hollyyoke.example/hollyyoke/internal/dispatch"
+	"hollyyoke.example/hollyyoke/internal/jobs"
 )
 
 // handlePush accepts a job. The answer of a direct queue is the final answer of
@@ -40,6 +41,24 @@
 	c.dispatch(request, now)
 }
 
+// storeJob stores a job and calls onStored once it is on disk, or with the
+// error that its producer gets.
+func (c *connection) storeJob(request dispatch.Request, raw []byte, payload *work, onStored func(error)) {
+	server := c.server
+	class := &server.dispatcher.Settings.Classes[request.Class]
+	job := durableJob(raw, request.ID, payload, class)
+	server.durable.Push(job, payload.scheduledAt, func(err error) {
+		switch {
+		case err == nil:
+			onStored(nil)
+		case errors.Is(err, jobs.ErrIDConflict):
+			onStored(fmt.Errorf("NOTUNIQUE %w", err))
+		default:
+			onStored(fmt.Errorf("REFUSED %w; pushing it again is harmless", err))
+		}
+	})
+}
+
 // dispatch hands the job of a direct queue to the dispatcher.
 func (c *connection) dispatch(request dispatch.Request, now time.Duration) {
 	server := c.server
--- a/internal/faktory/queues.go
+++ b/internal/faktory/queues.go
@@ -1,11 +1,7 @@
 package faktory
 
 import (
-	"cmp"
-	"encoding/json"
-	"errors"
 	"fmt"
-	"path"
 	"slices"
 	"strings"
 
@@ -20,27 +16,6 @@
 	allQueues   = "*" // in place of a queue: all durable ones
 )
 
-// mutateClear is the operation of MUTATE that ignores its filter.
-const mutateClear = "clear"
-
-// mutateStates are the states that MUTATE's targets name.
-var mutateStates = map[string]jobs.State{
-	"scheduled": jobs.Scheduled,
-	"retries":   jobs.Waiting,
-	"dead":      jobs.Dead,
-}
-
-// mutateMoves are the moves that MUTATE's operations make.
-var mutateMoves = map[string]jobs.Move{
-	mutateClear: jobs.Discard,
-	"discard":   jobs.Discard,
-	"kill":      jobs.Kill,
-	"requeue":   jobs.Requeue,
-}
-
-// errInvalidMutation rejects a MUTATE.
-var errInvalidMutation = errors.New("cmd is clear, discard, kill or requeue, target is scheduled, retries or dead, regexp has * for any text")
-
 // unknownQueueError rejects a QUEUE command that names no durable queue.
 type unknownQueueError struct{ queue string }
 
@@ -110,74 +85,3 @@
 		})
 	}
 }
-
-// handleMutate handles MUTATE: it moves the jobs of a state that match a filter.
-func (c *connection) handleMutate(rest []byte) {
-	var message mutateMessage
-	err := json.Unmarshal(rest, &message)
-	if err != nil {
-		c.writeLine(replyMalformed + "MUTATE: " + singleLine(err.Error()))
-		return
-	}
-	state, targetKnown := mutateStates[message.Target]
-	move, operationKnown := mutateMoves[message.Cmd]
-	_, patternError := path.Match(message.Filter.Regexp, "")
-	if !targetKnown || !operationKnown || patternError != nil {
-		c.writeLine(replyMalformed + "MUTATE: " + errInvalidMutation.Error())
-		return
-	}
-	reply := c.deferReply()
-	queues := c.server.durable
-	moveError := queues.moveAll(move, jobs.Reason("MUTATE "+message.Cmd), func(job jobs.Job) bool {
-		if job.State != state {
-			return false
-		}
-		return message.Cmd == mutateClear || matchesFilter(job, &message)
-	})
-	queues.AfterSync(func(err error) {
-		if err == nil && moveError != nil {
-			err = fmt.Errorf("REFUSED %w", moveError)
-		}
-		reply(resultLine(err))
-	})
-}
-
-// matchesFilter reports whether a job matches all parts of the filter that a
-// MUTATE gives.
-func matchesFilter(job jobs.Job, message *mutateMessage) bool {
-	filter := &message.Filter
-	if filter.Jobtype != "" {
-		var payload work
-		json.Unmarshal(job.Payload, &payload) // a job that cannot be read has its class for a type
-		if filter.Jobtype != cmp.Or(payload.Jobtype, job.Class) {
-			return false
-		}
-	}
-	if filter.Jids != nil && !slices.Contains(filter.Jids, job.ID) {
-		return false
-	}
-	if filter.Regexp == "" {
-		return true
-	}
-	text := strings.ReplaceAll(string(job.Payload), "/", " ") // no * of path.Match matches a slash
-	matches, _ := path.Match(filter.Regexp, text)
-	return matches
-}
-
-// handleFlush handles FLUSH where the operator allows it: all jobs that wait
-// are discarded. Those that are leased or in doubt stay.
-func (c *connection) handleFlush() {
-	if !c.server.durable.flushAllowed {
-		c.writeLine(replyError + "REFUSED FLUSH is off here: durable.flush in the operator's file")
-		return
-	}
-	c.discardAll("FLUSH", func(job jobs.Job) bool { return job.State.IsMovable() })
-}
-
-// discardAll discards the jobs that match, and answers once that is on disk.
-func (c *connection) discardAll(reason jobs.Reason, matches func(jobs.Job) bool) {
-	reply := c.deferReply()
-	queues := c.server.durable
-	queues.moveAll(jobs.Discard, reason, matches)
-	queues.AfterSync(func(err error) { reply(resultLine(err)) })
-}
--- a/internal/faktory/worker.go
+++ b/internal/faktory/worker.go
@@ -1,14 +1,12 @@
 package faktory
 
 import (
-	"encoding/json"
 	"fmt"
 	"slices"
 	"strings"
 	"time"
 
 	"hollyyoke.example/hollyyoke/decision"
-	"hollyyoke.example/hollyyoke/internal/dispatch"
 	"hollyyoke.example/hollyyoke/internal/eventloop"
 	"hollyyoke.example/hollyyoke/internal/jobs"
 )
@@ -29,13 +27,6 @@
 	labelIdempotent = "idempotent:1" // it deduplicates jobs by jid
 )
 
-// States that a worker reports by BEAT when it wants no more jobs.
-const (
-	stateQuiet       = "quiet"
-	stateTerminate   = "terminate"
-	stateTerminating = "terminating"
-)
-
 // registeredWorker is one wid, whatever the number of its connections: one worker
 // of the fleet to the dispatcher.
 type registeredWorker struct {
@@ -165,105 +156,3 @@
 		s.endAttempt(w.awaitingFetch[0], decision.Saturated)
 	}
 }
-
-// handleBeat takes a worker's heartbeat. A worker that says it is quiet or
-// about to terminate drains from now on.
-func (c *connection) handleBeat(rest []byte) {
-	var message beatMessage
-	err := json.Unmarshal(rest, &message)
-	if err != nil {
-		c.writeLine(replyMalformed + "BEAT: " + singleLine(err.Error()))
-		return
-	}
-	name := workerNamePrefix + message.Wid
-	worker := c.server.workers[name]
-	if worker == nil {
-		worker = c.worker
-	}
-	if queues := c.server.durable; queues != nil {
-		if message.Wid == "" && c.worker != nil {
-			name = c.worker.name
-		}
-		queues.Heartbeat(name)
-	}
-	c.writeLine(replyOK)
-	if worker == nil {
-		return
-	}
-	switch message.State {
-	case stateQuiet, stateTerminate, stateTerminating:
-		worker.drain(c.server)
-	}
-}
-
-// handleCompletion takes an ACK or a FAIL: the outcome of a job. One for a job
-// that is not handed out, or not any more, changes no answer and is accepted
-// all the same.
-func (c *connection) handleCompletion(verb string, rest []byte) {
-	var message word
-	err := json.Unmarshal(rest, &message)
-	if err != nil || message.Jid == "" {
-		c.writeLine(replyMalformed + verb + ": a jid is needed")
-		return
-	}
-	server := c.server
-	if server.durable != nil {
-		job, known := server.durable.Get(message.Jid)
-		if known {
-			c.completeDurable(verb, job, message)
-			return
-		}
-	}
-	c.writeLine(replyOK)
-	delivery := server.findHandedOut(c.worker, message.Jid)
-	if delivery == nil {
-		if verb == commandAck {
-			server.jids.confirm(message.Jid, server.dispatcher.Loop.Now())
-		}
-		return
-	}
-	outcome := decision.Completed
-	if verb == commandFail {
-		outcome = decision.Failed
-	}
-	server.endAttempt(delivery, outcome)
-}
-
-// Subscribe does nothing: workers connect by themselves.
-func (s *Server) Subscribe() {}
-
-// CloseIdle does nothing: the connections are the workers' own.
-func (s *Server) CloseIdle(string) {}
-
-// CheckHealth answers at once from what is known of a worker.
-func (s *Server) CheckHealth(name string) {
-	if worker := s.workers[name]; worker != nil {
-		s.reportFreeSlots(worker)
-	}
-}
-
-// reportFreeSlots reports to the dispatcher how many FETCHes of a worker wait.
-func (s *Server) reportFreeSlots(worker *registeredWorker) {
-	report := decision.LoadReport{FreeSlots: float64(len(worker.parked)), HasFreeSlots: true}
-	s.dispatcher.HealthChecked(worker.name, decision.Completed, report)
-}
-
-// Start hands an attempt's job to a parked FETCH of its worker, or lets it wait
-// for the worker's next one.
-func (s *Server) Start(attempt dispatch.Attempt) {
-	worker := s.workers[attempt.Worker]
-	if worker == nil || worker.endpoint.State != decision.Running || len(worker.awaitingFetch) >= max(worker.maxSlots, 1) {
-		s.dispatcher.AttemptEnded(attempt.Handle, decision.Saturated, decision.LoadReport{}, nil)
-		return
-	}
-	delivery := &jobDelivery{attempt: attempt, worker: worker}
-	delivery.fetchDeadline.Fire = func() { s.endAttempt(delivery, decision.Saturated) }
-	s.deliveries[attempt.Handle] = delivery
-	if slot := worker.slotFor(attempt.Request.Class, attempt.Request.ID); slot != nil {
-		s.handOut(delivery, slot)
-		return
-	}
-	worker.awaitingFetch = append(worker.awaitingFetch, delivery)
-	loop := s.dispatcher.Loop
-	loop.Set(&delivery.fetchDeadline, loop.Now()+nextFetchTimeout)
-}
