--- a/internal/faktory/bulkpush.go
+++ b/internal/faktory/bulkpush.go
@@ -37,7 +37,7 @@
 // storeBulkJob stores a job of a PUSHB.
 func (c *connection) storeBulkJob(bulk *bulkPush, index int, raw []byte) {
 	server := c.server
-	request, payload, err := parseJob(raw, server.classNumbers, server.dispatcher.Loop.Now())
+	request, payload, err := parseJob(raw, server.classIndexes, server.dispatcher.Loop.Now())
 	if err == nil && !server.isDurable(request.Class) {
 		err = errBulkDirectQueue
 	}
--- a/internal/faktory/classset.go
+++ b/internal/faktory/classset.go
@@ -6,10 +6,23 @@
 	"hollyyoke.example/hollyyoke/decision"
 )
 
+// maxClasses bounds the worker kinds that Prepare adds: one for each set of
+// classes, 256 at most.
+const maxClasses = 8
+
+// classSet is a set of classes: bit i is set if it has the class of index i.
+type classSet int
+
+// has reports whether the set has a class.
+func (s classSet) has(class int) bool { return s>>class&1 == 1 }
+
+// with returns the set with one more class.
+func (s classSet) with(class int) classSet { return s | 1<<class }
+
 // Prepare adds worker kinds to the settings for workers that fetch some classes
-// only: kind number len(KindNames)+mask runs the classes whose bits are set in
-// mask. Thus the decisions themselves keep a job from a worker that does not
-// fetch its queue.
+// only: kind number len(KindNames)+set runs the classes of that classSet. Thus
+// the decisions themselves keep a job from a worker that does not fetch its
+// queue.
 func Prepare(settings *decision.Settings) error {
 	if len(settings.Classes) > maxClasses {
 		return fmt.Errorf("settings: classes: the Faktory front takes %d at most", maxClasses)
@@ -22,9 +35,9 @@
 				class.Kinds = append(class.Kinds, kind)
 			}
 		}
-		for mask := range 1 << len(settings.Classes) {
-			if mask>>i&1 == 1 {
-				class.Kinds = append(class.Kinds, firstClassKind+mask)
+		for set := range classSet(1) << len(settings.Classes) {
+			if set.has(i) {
+				class.Kinds = append(class.Kinds, firstClassKind+int(set))
 			}
 		}
 	}
--- a/internal/faktory/config.go
+++ b/internal/faktory/config.go
@@ -21,8 +21,6 @@
 const (
 	defaultLanes = 8
 	maxLanes     = 64
-	// maxClasses bounds the worker kinds that Prepare adds: one for each set of classes, 256 at most.
-	maxClasses = 8
 	// maxDurableValue bounds the numbers of the durable table, so that a span in seconds fits a duration.
 	maxDurableValue = 1e9
 )
@@ -148,7 +146,7 @@
 	return nil
 }
 
-// Classes returns, by class number, which classes are durable.
+// Classes returns, by class index, which classes are durable.
 func (c *Durable) Classes(settings *decision.Settings) []bool {
 	durable := make([]bool, len(settings.Classes))
 	for i := range settings.Classes {
--- a/internal/faktory/connection.go
+++ b/internal/faktory/connection.go
@@ -30,20 +30,10 @@
 	lastPushServed    bool
 	worker            *registeredWorker // nil: a producer's
 	busy              bool              // a command awaits its answer; no other is read
+	push              *pendingPush      // the PUSH of a direct queue that awaits its answer; nil: none
+	fetch             *parkedFetch      // the FETCH that waits for a job; nil: none
 	closed            bool
 	deadline          eventloop.Deadline // of a parked FETCH, or of an idle connection
-
-	// The PUSH of a direct queue that awaits its answer.
-	pendingRequest uint64 // 0: none, or its handle is not known yet
-	pendingJid     string
-	pendingClass   int
-
-	// The FETCH that waits for a job.
-	parked         bool
-	classMask      int    // the classes that it fetches
-	durableClasses []int  // of them the durable ones, in the order it names them
-	parkSequence   uint64 // orders parked FETCHes by age
-	reservedFor    string // the durable job that it is reserved for; empty: it is free
 }
 
 func (c *connection) writeLine(line string) { c.conn.Write([]byte(line + "\r\n")) }
@@ -59,7 +49,7 @@
 // onDeadline answers a FETCH for which no job came, or closes an idle connection.
 func (c *connection) onDeadline() {
 	switch {
-	case c.parked:
+	case c.fetch != nil:
 		c.unpark()
 		c.writeLine(nullBulk)
 		c.resume()
@@ -107,7 +97,7 @@
 // OnClosed handles the end of the connection by the peer or by a fault.
 func (c *connection) OnClosed(*transport.Conn, error) {
 	c.detach()
-	c.cancelPending()
+	c.cancelPush()
 }
 
 // OnData handles received bytes, whose buffer it takes over.
@@ -134,7 +124,7 @@
 	}
 	c.server.gate.Limiter.ReportAbuse(c.server.dispatcher.Loop.Now(), c.admissionID, connlimit.Greedy)
 	c.detach()
-	c.cancelPending()
+	c.cancelPush()
 	c.conn.CloseGracefully()
 }
 
--- a/internal/faktory/delivery.go
+++ b/internal/faktory/delivery.go
@@ -20,8 +20,9 @@
 
 // handOut answers a parked FETCH with the job of a delivery. If the connection
 // is known to be broken, nothing has run.
-func (s *Server) handOut(delivery *jobDelivery, slot *connection) {
-	slot.unpark()
+func (s *Server) handOut(delivery *jobDelivery, slot *parkedFetch) {
+	c := slot.connection
+	c.unpark()
 	request := delivery.attempt.Request
 	raw := request.Body
 	if request.Target != "" {
@@ -31,14 +32,14 @@
 		raw = withFence(raw, delivery.attempt.Fence)
 	}
 	s.writeBuffer = appendBulk(s.writeBuffer[:0], raw)
-	sentBefore := slot.conn.SentBytes()
-	if !slot.conn.Write(s.writeBuffer) && slot.conn.SentBytes()-sentBefore < int64(len(s.writeBuffer)) {
+	sentBefore := c.conn.SentBytes()
+	if !c.conn.Write(s.writeBuffer) && c.conn.SentBytes()-sentBefore < int64(len(s.writeBuffer)) {
 		s.endAttempt(delivery, decision.ConnectionRefused)
 		return
 	}
 	delivery.handedOut = true
 	delivery.worker.inProgress++
-	slot.resume()
+	c.resume()
 	s.dispatcher.AttemptStarted(delivery.attempt.Handle)
 }
 
--- a/internal/faktory/durable.go
+++ b/internal/faktory/durable.go
@@ -17,7 +17,7 @@
 type durableQueues struct {
 	*durable.Service
 	scheduler    *durable.Scheduler
-	classes      []bool // by class number: whether it is durable
+	classes      []bool // by class index: whether it is durable
 	flushAllowed bool
 	progress     map[string]jobProgress // by jid
 	parkCount    uint64                 // FETCHes parked so far
@@ -51,8 +51,8 @@
 // isDurable reports whether the queue of a class is durable.
 func (s *Server) isDurable(class int) bool { return s.durable != nil && s.durable.classes[class] }
 
-// classNumbers returns the durable classes.
-func (q *durableQueues) classNumbers() (classes []int) {
+// allClasses returns the durable classes.
+func (q *durableQueues) allClasses() (classes []int) {
 	for class, isDurable := range q.classes {
 		if isDurable {
 			classes = append(classes, class)
@@ -65,10 +65,10 @@
 func (s *Server) Request(job jobs.Job) (dispatch.Request, error) {
 	stored, isRequest := durable.ReadRequest(job)
 	if !isRequest {
-		request, _, err := parseJob(job.Payload, s.classNumbers, s.dispatcher.Loop.Now())
+		request, _, err := parseJob(job.Payload, s.classIndexes, s.dispatcher.Loop.Now())
 		return request, err
 	}
-	class, known := s.classNumbers[job.Class]
+	class, known := s.classIndexes[job.Class]
 	if !known {
 		return dispatch.Request{}, errUnknownClass
 	}
--- a/internal/faktory/fetch.go
+++ b/internal/faktory/fetch.go
@@ -8,14 +8,18 @@
 	"hollyyoke.example/hollyyoke/decision"
 )
 
-const (
-	parkTimeout      = 2 * time.Second // a FETCH waits so long for a job
-	nextFetchTimeout = time.Second     // a job waits so long for its worker's next FETCH
+// parkTimeout is how long a FETCH waits for a job.
+const parkTimeout = 2 * time.Second
 
-	// foreignOffers is how many jobs are offered at a time where workers of
-	// other front ends run, whose free slots are not known here.
-	foreignOffers = 16
-)
+// parkedFetch is a FETCH that waits for a job: a free slot of its worker. It
+// ends when it is answered or its connection is closed (unpark).
+type parkedFetch struct {
+	connection     *connection
+	classes        classSet // that it fetches
+	durableClasses []int    // of them the durable ones, in the order it names them
+	sequence       uint64   // orders parked FETCHes by age
+	reservedFor    string   // jid of the durable job that the slot is reserved for; empty: it is free
+}
 
 // handleFetch parks a worker's FETCH until there is a job for it.
 func (c *connection) handleFetch(rest []byte) {
@@ -24,7 +28,7 @@
 		return
 	}
 	c.park(string(rest))
-	c.server.offerSlot(c)
+	c.server.offerSlot(c.fetch)
 	if queues := c.server.durable; queues != nil {
 		queues.scheduler.Wake()
 	}
@@ -32,54 +36,60 @@
 
 // park records a FETCH of some queues as a free slot of its worker.
 func (c *connection) park(queues string) {
-	c.busy = true
-	c.parked = true
-	c.classMask = c.server.classMaskOf(queues)
+	fetch := &parkedFetch{connection: c, classes: c.server.classesOf(queues)}
 	if durable := c.server.durable; durable != nil {
 		durable.parkCount++
-		c.durableClasses = c.server.durableClassesOf(queues)
-		c.parkSequence = durable.parkCount
+		fetch.durableClasses = c.server.durableClassesOf(queues)
+		fetch.sequence = durable.parkCount
 	}
+	c.fetch = fetch
+	c.busy = true
 	worker := c.worker
-	worker.parked = append(worker.parked, c)
+	worker.parked = append(worker.parked, fetch)
 	worker.maxSlots = max(worker.maxSlots, len(worker.parked)+worker.inProgress)
 	c.setDeadline(parkTimeout)
 }
 
-// unpark takes a FETCH off its worker's free slots.
+// unpark takes the connection's FETCH, if it has one, off its worker's free
+// slots.
 func (c *connection) unpark() {
-	if !c.parked {
+	if c.fetch == nil {
 		return
 	}
-	c.parked = false
-	c.reservedFor = ""
-	c.worker.parked = remove(c.worker.parked, c)
+	c.worker.parked = remove(c.worker.parked, c.fetch)
+	c.fetch = nil
 }
 
+// isParked reports whether the FETCH still waits.
+func (f *parkedFetch) isParked() bool { return f.connection.fetch == f }
+
 // offerSlot gives a newly parked FETCH what waits for it, or else notifies
 // the dispatcher of the free slot. A worker that drains gets nothing: its FETCH is
 // answered with no job in time.
-func (s *Server) offerSlot(slot *connection) {
-	worker := slot.worker
+func (s *Server) offerSlot(slot *parkedFetch) {
+	worker := slot.connection.worker
 	if worker.endpoint.State != decision.Running {
 		return
 	}
-	s.extendKind(worker, slot.classMask)
+	s.extendKind(worker, slot.classes)
 	worker.deliverAwaiting(s)
 	worker.fillReservations(s)
-	if slot.parked && worker.listed {
+	if slot.isParked() && worker.listed {
 		s.reportFreeSlots(worker)
 	}
 }
 
 // extendKind adds classes to those that the worker's kind runs, which are what
 // any of its connections has fetched. The first time lists the worker.
-func (s *Server) extendKind(worker *registeredWorker, classMask int) {
-	kind := s.firstClassKind + classMask
-	if oldMask := worker.endpoint.Kind - s.firstClassKind; worker.listed && oldMask >= 0 {
-		kind = s.firstClassKind + (oldMask | classMask)
+func (s *Server) extendKind(worker *registeredWorker, classes classSet) {
+	if classes == 0 {
+		return
 	}
-	if classMask == 0 || worker.listed && kind == worker.endpoint.Kind {
+	if worker.listed {
+		classes |= classSet(worker.endpoint.Kind - s.firstClassKind)
+	}
+	kind := s.firstClassKind + int(classes)
+	if worker.listed && kind == worker.endpoint.Kind {
 		return
 	}
 	worker.endpoint.Kind = kind
@@ -87,20 +97,20 @@
 	s.updateEndpoint(worker)
 }
 
-// classMaskOf returns the classes that a FETCH names, as bits.
-func (s *Server) classMaskOf(queues string) (mask int) {
+// classesOf returns the classes that a FETCH names. Other queues are ignored.
+func (s *Server) classesOf(queues string) (classes classSet) {
 	for queue := range strings.FieldsSeq(queues) {
-		if class, known := s.classNumbers[queue]; known {
-			mask |= 1 << class
+		if class, known := s.classIndexes[queue]; known {
+			classes = classes.with(class)
 		}
 	}
-	return mask
+	return classes
 }
 
 // durableClassesOf returns the durable classes that a FETCH names, in its order.
 func (s *Server) durableClassesOf(queues string) (classes []int) {
 	for queue := range strings.FieldsSeq(queues) {
-		class, known := s.classNumbers[queue]
+		class, known := s.classIndexes[queue]
 		if known && s.isDurable(class) && !slices.Contains(classes, class) {
 			classes = append(classes, class)
 		}
--- a/internal/faktory/info.go
+++ b/internal/faktory/info.go
@@ -59,7 +59,7 @@
 		TotalEnqueued:  s.dispatcher.Unanswered(),
 		TotalFailures:  counts.Failed,
 		TotalProcessed: counts.Served,
-		TotalQueues:    len(s.classNumbers),
+		TotalQueues:    len(s.classIndexes),
 		TotalRejected:  counts.Rejected,
 	}
 	if s.durable != nil {
@@ -82,7 +82,7 @@
 func (s *Server) addDurableInfo(faktory *infoFaktory) {
 	counts := s.durable.Counts()
 	waiting := map[string]int{}
-	for name, class := range s.classNumbers {
+	for name, class := range s.classIndexes {
 		if s.durable.classes[class] {
 			waiting[name] = s.durable.scheduler.Waiting(class)
 		}
--- a/internal/faktory/jobpayload.go
+++ b/internal/faktory/jobpayload.go
@@ -73,7 +73,7 @@
 }
 
 // parseJob reads a job's JSON into a request. classes maps the names of classes
-// to their numbers. The request's body is raw itself.
+// to their indexes. The request's body is raw itself.
 func parseJob(raw []byte, classes map[string]int, now time.Duration) (request dispatch.Request, payload work, err error) {
 	err = json.Unmarshal(raw, &payload)
 	if err != nil {
@@ -110,7 +110,7 @@
 	return request, payload, nil
 }
 
-// class returns the number of the class that the job's queue or type names.
+// class returns the index of the class that the job's queue or type names.
 func (w *work) class(classes map[string]int) (int, error) {
 	byQueue, queueKnown := classes[w.Queue]
 	byType, typeKnown := classes[w.Jobtype]
--- a/internal/faktory/lanedelivery.go
+++ b/internal/faktory/lanedelivery.go
@@ -13,7 +13,7 @@
 func (l *lane) handleJob(raw []byte, release func()) (retained bool) {
 	source := l.source
 	now := source.dispatcher.Loop.Now()
-	request, payload, err := parseJob(raw, source.classNumbers, now)
+	request, payload, err := parseJob(raw, source.classIndexes, now)
 	if payload.scheduledAt > 0 {
 		err = errScheduledOnDirectQueue
 	}
--- a/internal/faktory/push.go
+++ b/internal/faktory/push.go
@@ -10,15 +10,22 @@
 	"hollyyoke.example/hollyyoke/internal/jobs"
 )
 
+// pendingPush is a PUSH of a direct queue that awaits the final answer of its job.
+type pendingPush struct {
+	request uint64 // the dispatcher's handle; 0: not known yet
+	jid     string
+	class   int
+}
+
 // handlePush accepts a job. The answer of a direct queue is the final answer of
 // the job; that of a durable queue says that the job is stored. release frees
 // the buffer that rest lies in.
 func (c *connection) handlePush(rest []byte, release func()) {
 	server := c.server
 	now := server.dispatcher.Loop.Now()
-	request, payload, err := parseJob(rest, server.classNumbers, now)
-	durable := err == nil && server.isDurable(request.Class)
-	if payload.scheduledAt > 0 && !durable {
+	request, payload, err := parseJob(rest, server.classIndexes, now)
+	isDurable := err == nil && server.isDurable(request.Class)
+	if payload.scheduledAt > 0 && !isDurable {
 		err = errScheduledOnDirectQueue
 	}
 	if err != nil {
@@ -26,7 +33,7 @@
 		release()
 		return
 	}
-	if durable {
+	if isDurable {
 		reply := c.deferReply()
 		c.storeJob(request, rest, &payload, func(err error) { reply(resultLine(err)) })
 		release()
@@ -63,23 +70,20 @@
 func (c *connection) dispatch(request dispatch.Request, now time.Duration) {
 	server := c.server
 	server.jids.begin(request.ID, now)
+	push := &pendingPush{jid: request.ID, class: request.Class}
+	c.push = push
 	c.busy = true
-	c.pendingRequest = 0
-	c.pendingJid = request.ID
-	c.pendingClass = request.Class
 	server.gate.Limiter.RequestComplete(now, c.admissionID)
 	server.dispatcher.Loop.Clear(&c.deadline)
 	handle := server.dispatcher.Accept(server, c.token, request)
-	if c.busy && c.pendingJid != "" { // it has no answer yet, and its producer has not left
-		c.pendingRequest = handle
-	}
+	push.request = handle
 }
 
 // respond sends the final answer of the pending PUSH.
 func (c *connection) respond(response dispatch.Response) {
-	class := c.pendingClass
-	c.server.finishJid(c.pendingJid, class, response)
-	c.clearPending()
+	push := c.push
+	c.server.finishJid(push, response)
+	c.push = nil
 	switch response.Outcome {
 	case dispatch.Served:
 		c.lastPushServed = true
@@ -87,28 +91,21 @@
 	case dispatch.Rejected:
 		c.writeLine(rejectionLine(response.RetryAfter))
 	default:
-		idempotent := c.server.dispatcher.Settings.Classes[class].Idempotency == decision.Idempotent
+		idempotent := c.server.dispatcher.Settings.Classes[push.class].Idempotency == decision.Idempotent
 		c.writeLine(failureLine(response.MayHaveRun, idempotent))
 	}
 	c.resume()
 }
 
-// cancelPending cancels the pending PUSH of a producer that has left.
-func (c *connection) cancelPending() {
-	request := c.pendingRequest
-	if request == 0 {
+// cancelPush cancels the pending PUSH of a producer that has left.
+func (c *connection) cancelPush() {
+	push := c.push
+	if push == nil || push.request == 0 {
 		return
 	}
-	id := c.pendingJid
-	class := c.pendingClass
-	c.pendingRequest = 0
-	mayHaveRun := c.server.dispatcher.Cancel(request)
-	c.server.finishJid(id, class, dispatch.Response{Outcome: dispatch.Failed, MayHaveRun: mayHaveRun})
-}
-
-func (c *connection) clearPending() {
-	c.pendingRequest = 0
-	c.pendingJid = ""
+	c.push = nil
+	mayHaveRun := c.server.dispatcher.Cancel(push.request)
+	c.server.finishJid(push, dispatch.Response{Outcome: dispatch.Failed, MayHaveRun: mayHaveRun})
 }
 
 // invalidJobLine is the answer to a PUSH whose job cannot be accepted.
--- a/internal/faktory/queues.go
+++ b/internal/faktory/queues.go
@@ -52,7 +52,7 @@
 func (s *Server) durableQueueNames(queues []string) (names []string, err error) {
 	for _, queue := range queues {
 		if queue == allQueues {
-			for name, class := range s.classNumbers {
+			for name, class := range s.classIndexes {
 				if s.isDurable(class) {
 					names = append(names, name)
 				}
@@ -60,7 +60,7 @@
 			slices.Sort(names)
 			continue
 		}
-		class, known := s.classNumbers[queue]
+		class, known := s.classIndexes[queue]
 		if !known || !s.isDurable(class) {
 			return nil, &unknownQueueError{queue: queue}
 		}
--- a/internal/faktory/release.go
+++ b/internal/faktory/release.go
@@ -31,7 +31,7 @@
 	late := loop.Now() >= limit
 	s.connections.ForEach(func(_ uint64, c *connection) {
 		switch {
-		case c.parked:
+		case c.fetch != nil:
 			c.writeLine(nullBulk)
 			c.closeGracefully()
 		case !c.busy, late:
--- a/internal/faktory/server.go
+++ b/internal/faktory/server.go
@@ -6,6 +6,7 @@
 
 	"hollyyoke.example/hollyyoke/internal/connlimit"
 	"hollyyoke.example/hollyyoke/internal/dispatch"
+	"hollyyoke.example/hollyyoke/internal/durable"
 	"hollyyoke.example/hollyyoke/internal/listener"
 	"hollyyoke.example/hollyyoke/internal/slotmap"
 	"hollyyoke.example/hollyyoke/internal/transport"
@@ -27,8 +28,8 @@
 	dispatcher     *dispatch.Dispatcher
 	engine         *transport.Engine
 	password       string
-	classNumbers   map[string]int // by name
-	firstClassKind int            // worker kinds from here on are sets of classes, see Prepare
+	classIndexes   map[string]int // by name
+	firstClassKind int            // worker kinds from here on are a classSet each, see Prepare
 	connections    slotmap.Map[connection]
 	gate           *listener.Gate
 	workers        map[string]*registeredWorker // by name
@@ -59,7 +60,7 @@
 		dispatcher:     dispatcher,
 		engine:         engine,
 		password:       password,
-		classNumbers:   classNumbers(dispatcher),
+		classIndexes:   durable.ClassIndexes(&dispatcher.Settings),
 		firstClassKind: len(dispatcher.Settings.KindNames),
 		gate:           listener.NewUnlimited(dispatcher.Loop),
 		workers:        map[string]*registeredWorker{},
@@ -71,15 +72,6 @@
 	return server
 }
 
-// classNumbers maps the names of classes to their numbers.
-func classNumbers(dispatcher *dispatch.Dispatcher) map[string]int {
-	numbers := map[string]int{}
-	for i, class := range dispatcher.Settings.Classes {
-		numbers[class.Name] = i
-	}
-	return numbers
-}
-
 // SetGate sets what decides which connections are admitted. It must be called
 // before Listen.
 func (s *Server) SetGate(gate *listener.Gate) { s.gate = gate }
@@ -157,7 +149,7 @@
 // Respond answers the PUSH of a direct queue.
 func (s *Server) Respond(token uint64, response dispatch.Response) {
 	c := s.connections.Get(token)
-	if c == nil || !c.busy || c.pendingJid == "" {
+	if c == nil || c.push == nil {
 		return
 	}
 	c.respond(response)
@@ -173,15 +165,15 @@
 // its producer has left, which OnClosed would have reported a little later.
 func (s *Server) RequestCancelled(token uint64, mayHaveRun bool) {
 	c := s.connections.Get(token)
-	if c == nil || c.pendingJid == "" {
+	if c == nil || c.push == nil {
 		return
 	}
-	s.finishJid(c.pendingJid, c.pendingClass, dispatch.Response{Outcome: dispatch.Failed, MayHaveRun: mayHaveRun})
-	c.clearPending()
+	s.finishJid(c.push, dispatch.Response{Outcome: dispatch.Failed, MayHaveRun: mayHaveRun})
+	c.push = nil
 }
 
-// finishJid records the final answer of a direct job.
-func (s *Server) finishJid(id string, class int, response dispatch.Response) {
-	idempotency := s.dispatcher.Settings.Classes[class].Idempotency
-	s.jids.finish(id, response, idempotency, s.dispatcher.Loop.Now())
+// finishJid records the final answer of the job of a PUSH.
+func (s *Server) finishJid(push *pendingPush, response dispatch.Response) {
+	idempotency := s.dispatcher.Settings.Classes[push.class].Idempotency
+	s.jids.finish(push.jid, response, idempotency, s.dispatcher.Loop.Now())
 }
--- a/internal/faktory/slots.go
+++ b/internal/faktory/slots.go
@@ -3,11 +3,21 @@
 import (
 	"cmp"
 	"slices"
+	"time"
 
 	"hollyyoke.example/hollyyoke/decision"
 	"hollyyoke.example/hollyyoke/internal/eventloop"
 )
 
+const (
+	// nextFetchTimeout is how long a job waits for its worker's next FETCH.
+	nextFetchTimeout = time.Second
+
+	// foreignOffers is how many jobs are offered at a time where workers of
+	// other front ends run, whose free slots are not known here.
+	foreignOffers = 16
+)
+
 // slotReservation is a durable job that waits for a slot of a worker before it is leased.
 type slotReservation struct {
 	jid      string
@@ -18,9 +28,9 @@
 
 // slotFor returns the parked FETCH that is reserved for a job, or else the
 // oldest free one that fetches its class.
-func (w *registeredWorker) slotFor(class int, jid string) (free *connection) {
+func (w *registeredWorker) slotFor(class int, jid string) (free *parkedFetch) {
 	for _, slot := range w.parked {
-		if slot.classMask>>class&1 == 0 {
+		if !slot.classes.has(class) {
 			continue
 		}
 		if slot.reservedFor != "" && slot.reservedFor == jid {
@@ -50,13 +60,13 @@
 // classes that it takes, in its order.
 func (s *Server) FreeSlots() (slots [][]int) {
 	parked, running := s.freeParked()
-	for _, c := range parked {
-		if len(c.durableClasses) > 0 {
-			slots = append(slots, c.durableClasses)
+	for _, slot := range parked {
+		if len(slot.durableClasses) > 0 {
+			slots = append(slots, slot.durableClasses)
 		}
 	}
-	if s.dispatcher.ReadyWorkers() > running {
-		all := s.durable.classNumbers()
+	if s.dispatcher.ReadyWorkers() > running { // workers of other front ends
+		all := s.durable.allClasses()
 		for range foreignOffers {
 			slots = append(slots, all)
 		}
@@ -66,7 +76,7 @@
 
 // freeParked returns the parked FETCHes that no delivery waits for, from the
 // oldest on, and the number of running workers.
-func (s *Server) freeParked() (parked []*connection, running int) {
+func (s *Server) freeParked() (parked []*parkedFetch, running int) {
 	for _, worker := range s.workers {
 		if !worker.listed || worker.endpoint.State != decision.Running {
 			continue
@@ -75,7 +85,7 @@
 		taken := min(len(worker.awaitingFetch), len(worker.parked))
 		parked = append(parked, worker.parked[taken:]...)
 	}
-	slices.SortFunc(parked, func(a, b *connection) int { return cmp.Compare(a.parkSequence, b.parkSequence) })
+	slices.SortFunc(parked, func(a, b *parkedFetch) int { return cmp.Compare(a.sequence, b.sequence) })
 	return parked, running
 }
 
--- a/internal/faktory/source.go
+++ b/internal/faktory/source.go
@@ -6,6 +6,7 @@
 	"strings"
 
 	"hollyyoke.example/hollyyoke/internal/dispatch"
+	"hollyyoke.example/hollyyoke/internal/durable"
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
@@ -17,7 +18,7 @@
 	dispatcher   *dispatch.Dispatcher
 	engine       *transport.Engine
 	config       Config
-	classNumbers map[string]int
+	classIndexes map[string]int // by name
 	wid          string
 	fetchCommand string
 	lanes        []*lane // the first only sends heartbeats
@@ -31,7 +32,7 @@
 		dispatcher:   dispatcher,
 		engine:       engine,
 		config:       config,
-		classNumbers: classNumbers(dispatcher),
+		classIndexes: durable.ClassIndexes(&dispatcher.Settings),
 		wid:          config.Source.Wid,
 		fetchCommand: commandFetch + " " + strings.Join(config.Source.Queues, " "),
 		jids:         jids,
--- a/internal/faktory/worker.go
+++ b/internal/faktory/worker.go
@@ -34,7 +34,7 @@
 	endpoint       decision.Endpoint
 	listed         bool           // the dispatcher knows it
 	connections    int            // open ones
-	parked         []*connection  // FETCHes that wait, the oldest first: its free slots
+	parked         []*parkedFetch // its free slots, the oldest first
 	awaitingFetch  []*jobDelivery // deliveries that wait for its next FETCH
 	reservations   []*slotReservation
 	inProgress     int // jobs handed out and not closed
