--- a/internal/faktory/bulkpush.go
+++ b/internal/faktory/bulkpush.go
@@ -37,17 +37,17 @@
 // storeBulkJob stores a job of a PUSHB.
 func (c *connection) storeBulkJob(bulk *bulkPush, index int, raw []byte) {
 	server := c.server
-	request, payload, err := parseJob(raw, server.classIndexes, server.dispatcher.Loop.Now())
-	if err == nil && !server.isDurable(request.Class) {
+	job, err := parseJob(raw, server.classIndexes, server.dispatcher.Loop.Now())
+	if err == nil && !server.isDurable(job.request.Class) {
 		err = errBulkDirectQueue
 	}
-	id := cmp.Or(request.ID, fmt.Sprintf("[%d]", index))
+	id := cmp.Or(job.request.ID, fmt.Sprintf("[%d]", index))
 	if err != nil {
 		bulk.rejected[id] = err.Error()
 		return
 	}
 	bulk.pending++
-	c.storeJob(request, raw, &payload, func(err error) {
+	c.storeJob(&job, func(err error) {
 		if err != nil {
 			bulk.rejected[id] = err.Error()
 		}
--- a/internal/faktory/durable.go
+++ b/internal/faktory/durable.go
@@ -65,8 +65,8 @@
 func (s *Server) Request(job jobs.Job) (dispatch.Request, error) {
 	stored, isRequest := durable.ReadRequest(job)
 	if !isRequest {
-		request, _, err := parseJob(job.Payload, s.classIndexes, s.dispatcher.Loop.Now())
-		return request, err
+		parsed, err := parseJob(job.Payload, s.classIndexes, s.dispatcher.Loop.Now())
+		return parsed.request, err
 	}
 	class, known := s.classIndexes[job.Class]
 	if !known {
--- a/internal/faktory/fuzz_test.go
+++ b/internal/faktory/fuzz_test.go
@@ -120,8 +120,10 @@
 			t.Fatalf("%+v, used %d of %d, %v", r, used, len(b), err)
 		}
 		parseCommand(b)
-		if j, _, err := parseJob(b, map[string]int{"a": 0}, time.Hour); err == nil && (len(j.ID) < 8 || j.TimeLeft < 0 || j.Work < 0) {
-			t.Fatalf("%+v", j)
+		job, err := parseJob(b, map[string]int{"a": 0}, time.Hour)
+		request := &job.request
+		if err == nil && (len(request.ID) < 8 || request.TimeLeft < 0 || request.Work < 0) {
+			t.Fatalf("%+v", request)
 		}
 	})
 }
--- a/internal/faktory/jobpayload.go
+++ b/internal/faktory/jobpayload.go
@@ -68,21 +68,27 @@
 		Key      string  `json:"key"`
 		Repeat   bool    `json:"repeat"`
 	} `json:"custom"`
+}
 
-	scheduledAt time.Duration // clock time of RunAt; 0: now
+// incomingJob is a job that a producer or the upstream server has sent.
+type incomingJob struct {
+	request     dispatch.Request // its body is the job's JSON itself
+	payload     work
+	scheduledAt time.Duration // Unix time before which it must not run; 0: it may run now
 }
 
-// parseJob reads a job's JSON into a request. classes maps the names of classes
-// to their indexes. The request's body is raw itself.
-func parseJob(raw []byte, classes map[string]int, now time.Duration) (request dispatch.Request, payload work, err error) {
-	err = json.Unmarshal(raw, &payload)
+// parseJob reads a job's JSON. classes maps the names of classes to their
+// indexes. With an error, the job's request has its ID if that is valid.
+func parseJob(raw []byte, classes map[string]int, now time.Duration) (job incomingJob, err error) {
+	payload := &job.payload
+	err = json.Unmarshal(raw, payload)
 	if err != nil {
-		return request, payload, err
+		return job, err
 	}
-	if len(payload.Jid) < minJidLength || len(payload.Jid) > maxJidLength || !hasOnlyGraphicASCII(payload.Jid) {
-		return request, payload, errInvalidJid
+	if !isValidJid(payload.Jid) {
+		return job, errInvalidJid
 	}
-	request = dispatch.Request{
+	job.request = dispatch.Request{
 		ID:          payload.Jid,
 		Key:         payload.Custom.Key,
 		Body:        raw,
@@ -91,23 +97,28 @@
 		ClientRetry: payload.Custom.Repeat,
 	}
 	if payload.Args == nil {
-		return request, payload, errMissingArgs
+		return job, errMissingArgs
 	}
-	request.Class, err = payload.class(classes)
+	job.request.Class, err = payload.class(classes)
 	if err != nil {
-		return request, payload, err
+		return job, err
 	}
-	payload.scheduledAt, err = parseSchedule(payload.RunAt, now)
+	job.scheduledAt, err = parseSchedule(payload.RunAt, now)
 	if err != nil {
-		return request, payload, err
+		return job, err
 	}
 	if milliseconds := payload.Custom.LeftMs; milliseconds > 0 {
-		request.TimeLeft = time.Duration(min(milliseconds*1e6, maxHint))
+		job.request.TimeLeft = time.Duration(min(milliseconds*1e6, maxHint))
 	}
 	if microseconds := payload.Custom.EffortUs; microseconds > 0 {
-		request.Work = time.Duration(min(microseconds*1e3, maxHint))
+		job.request.Work = time.Duration(min(microseconds*1e3, maxHint))
 	}
-	return request, payload, nil
+	return job, nil
+}
+
+// isValidJid reports whether a job can have this id.
+func isValidJid(jid string) bool {
+	return len(jid) >= minJidLength && len(jid) <= maxJidLength && hasOnlyGraphicASCII(jid)
 }
 
 // class returns the index of the class that the job's queue or type names.
@@ -125,7 +136,7 @@
 	return byType, nil
 }
 
-// parseSchedule returns the clock time at which a job may run; 0: now.
+// parseSchedule returns the Unix time at which a job may run; 0: now.
 func parseSchedule(schedule string, now time.Duration) (time.Duration, error) {
 	if schedule == "" {
 		return 0, nil
@@ -182,24 +193,24 @@
 	return encoded
 }
 
-// durableJob returns what the durable service stores of a job.
-func durableJob(raw []byte, id string, payload *work, class *decision.Class) jobs.Job {
-	job := jobs.Job{
-		ID:            id,
+// durableJob returns what the durable service stores of a job of a class.
+func (j *incomingJob) durableJob(class *decision.Class) jobs.Job {
+	stored := jobs.Job{
+		ID:            j.request.ID,
 		Class:         class.Name,
 		NonIdempotent: class.Idempotency != decision.Idempotent,
-		Payload:       bytes.Clone(raw),
-		PayloadHash:   payload.hash(class.Name),
+		Payload:       bytes.Clone(j.request.Body),
+		PayloadHash:   j.payload.hash(class.Name),
 	}
-	if payload.Retry != nil {
-		retries := max(min(*payload.Retry, maxRetries), 0)
-		job.MaxAttempts = retries + 1
-		job.DiscardWhenExhausted = *payload.Retry < 0
+	if j.payload.Retry != nil {
+		retries := max(min(*j.payload.Retry, maxRetries), 0)
+		stored.MaxAttempts = retries + 1
+		stored.DiscardWhenExhausted = *j.payload.Retry < 0
 	}
-	if payload.ReserveForSeconds > 0 {
-		job.LeaseDuration = min(seconds(min(payload.ReserveForSeconds, maxReserveSeconds)), maxLease)
+	if j.payload.ReserveForSeconds > 0 {
+		stored.LeaseDuration = min(seconds(min(j.payload.ReserveForSeconds, maxReserveSeconds)), maxLease)
 	}
-	return job
+	return stored
 }
 
 // hash covers what distinguishes two jobs with one jid: class, type and args.
--- a/internal/faktory/lane.go
+++ b/internal/faktory/lane.go
@@ -32,7 +32,14 @@
 	errJobWithoutJid     = errors.New("a job without a jid")
 )
 
-// laneState is what a lane waits for. From laneIdle on it is authenticated.
+// laneState is the state of a lane's connection: what it waits for.
+//
+//	laneDown -> laneAwaitingGreeting -> laneAwaitingHello -> laneIdle
+//	laneIdle -> laneFetching -> laneIdle                                 no job
+//	laneIdle -> laneFetching -> laneWorking -> laneClosing -> laneIdle   a job
+//	laneIdle -> laneWorking or laneClosing     with a delivery of before a reconnection
+//	laneIdle -> laneBeating -> laneIdle        the heartbeat lane
+//	any state -> laneDown                      reconnect or shutdown
 type laneState uint8
 
 const (
@@ -46,29 +53,42 @@
 	laneBeating                           // for the answer to BEAT
 )
 
-// lane is one connection to the upstream server, with at most one job.
+// isAuthenticated reports whether HELLO has been accepted in this state.
+func (s laneState) isAuthenticated() bool { return s >= laneIdle }
+
+// heartbeatLane is the number of the lane that sends heartbeats and fetches
+// nothing; its heartbeats are those of the source's wid.
+const heartbeatLane = 0
+
+// lane is one connection to the upstream server, with at most one job. It lives
+// as long as its source: it reconnects, after a backoff, when
+//
+//   - the connection ends or cannot be opened,
+//   - an answer does not come in time,
+//   - upstream breaks the protocol, rejects HELLO, or answers FETCH by an error.
+//
+// Its delivery outlives the connection: the job goes on, and is closed by ACK or
+// FAIL once the lane is connected again. A lane that waits for nothing sends
+// what is due (advance): the ACK or FAIL of its delivery, or else FETCH.
 type lane struct {
-	source     *Source
-	number     int
-	conn       *transport.Conn // nil: not connected
-	input      input
-	state      laneState
-	deadline   eventloop.Deadline
-	backoff    time.Duration // before the latest reconnection; 0: the connection has worked
-	generation int           // of the connection; a dial of an older one is void
-
-	jid          string
-	class        int
-	jobOpen      bool   // its job is in progress, whatever becomes of the connection
-	pendingClose string // an ACK or FAIL that has not been answered yet; empty: none
-	writeOffset  int64  // of the connection, behind the latest command
+	source      *Source
+	number      int
+	conn        *transport.Conn // nil: not connected
+	input       input
+	state       laneState
+	deadline    eventloop.Deadline // see onDeadline
+	backoff     time.Duration      // before the latest reconnection; 0: the connection has worked
+	generation  int                // counts connections; the end of a dial of an earlier one is ignored
+	writeOffset int64              // of the connection, behind the latest command
+	delivery    upstreamDelivery
 }
 
 // busy reports whether a delivery is not closed yet, or being fetched.
 func (l *lane) busy() bool {
-	return l.jobOpen || l.pendingClose != "" || l.state == laneFetching || l.state == laneClosing
+	return l.delivery.state != noDelivery || l.state == laneFetching || l.state == laneClosing
 }
 
+// connect dials. The connection is laneAwaitingGreeting once it is open.
 func (l *lane) connect() {
 	l.generation++
 	generation := l.generation
@@ -91,7 +111,7 @@
 
 // shutdown closes the connection for good.
 func (l *lane) shutdown() {
-	if l.state >= laneIdle {
+	if l.state.isAuthenticated() {
 		l.conn.Write([]byte(commandEnd + "\r\n"))
 	}
 	if l.conn != nil {
@@ -111,14 +131,14 @@
 
 // reconnect drops the connection and dials again after a backoff. A job in
 // progress goes on. An ACK or FAIL of which a part has not left is sent again;
-// one that may have arrived is not: if upstream lacks it, it will deliver the
-// jid again.
+// one that may have arrived is not: if upstream has not received it, it will
+// deliver the jid again.
 func (l *lane) reconnect(reason error) {
 	if l.state != laneDown || l.backoff == 0 {
 		l.source.dispatcher.Log(fmt.Sprintf("upstream, lane %d: %s", l.number, singleLine(reason.Error())))
 	}
 	if l.state == laneClosing && l.conn.Flushed(l.writeOffset) {
-		l.pendingClose = ""
+		l.delivery = upstreamDelivery{}
 	}
 	if l.conn != nil {
 		l.conn.Close()
@@ -138,6 +158,8 @@
 	}
 }
 
+// onDeadline ends the backoff, the pause of a lane that is idle, or the wait for
+// an answer.
 func (l *lane) onDeadline() {
 	switch l.state {
 	case laneDown:
@@ -189,14 +211,14 @@
 func (l *lane) advance() {
 	l.state = laneIdle
 	switch {
-	case l.number == 0:
+	case l.number == heartbeatLane:
 		raw, _ := json.Marshal(heartbeat{Wid: l.source.wid}) // strings always marshal
 		l.send(laneBeating, commandBeat+" "+string(raw), replyTimeout)
-	case l.jobOpen:
+	case l.delivery.state == deliveryInProgress:
 		l.state = laneWorking
 		l.source.dispatcher.Loop.Clear(&l.deadline)
-	case l.pendingClose != "":
-		l.send(laneClosing, l.pendingClose, replyTimeout)
+	case l.delivery.state == deliveryClosing:
+		l.send(laneClosing, l.delivery.closeCommand, replyTimeout)
 	case l.source.draining:
 		l.setDeadline(drainInterval)
 	default:
--- a/internal/faktory/lanedelivery.go
+++ b/internal/faktory/lanedelivery.go
@@ -7,25 +7,44 @@
 	"hollyyoke.example/hollyyoke/internal/dispatch"
 )
 
+// upstreamDelivery is a job that upstream has delivered to a lane. The zero value
+// is none.
+type upstreamDelivery struct {
+	state        deliveryState
+	jid          string
+	class        int
+	closeCommand string // the ACK or FAIL, in deliveryClosing
+}
+
+// deliveryState is how far a delivery is.
+type deliveryState uint8
+
+const (
+	noDelivery         deliveryState = iota
+	deliveryInProgress               // its job has no final answer yet
+	deliveryClosing                  // its ACK or FAIL has not been answered yet
+)
+
 // handleJob runs a job that was delivered, or closes the delivery at once if
 // its jid is known. It returns true if the job keeps the buffer of raw, until
 // it calls release.
 func (l *lane) handleJob(raw []byte, release func()) (retained bool) {
 	source := l.source
 	now := source.dispatcher.Loop.Now()
-	request, payload, err := parseJob(raw, source.classIndexes, now)
-	if payload.scheduledAt > 0 {
+	job, err := parseJob(raw, source.classIndexes, now)
+	if job.scheduledAt > 0 {
 		err = errScheduledOnDirectQueue
 	}
 	if err != nil {
 		l.rejectJob(raw, err)
 		return false
 	}
-	l.jid = request.ID
-	l.jobOpen = true
+	request := job.request
+	jid := request.ID
+	l.delivery = upstreamDelivery{state: deliveryInProgress, jid: jid, class: request.Class}
 	l.state = laneWorking
 	source.dispatcher.Loop.Clear(&l.deadline)
-	switch source.jids.status(l.jid) {
+	switch source.jids.status(jid) {
 	case jidServed:
 		l.closeDelivery(commandAck, closeMessage{})
 		return false
@@ -33,11 +52,10 @@
 		l.closeDelivery(commandFail, closeMessage{Type: "Failed", Message: "it may have run before; it does not run again under this jid"})
 		return false
 	case jidInProgress: // delivered twice: both are closed by what becomes of the first
-		source.jids.whenFinished(l.jid, l.closeWith)
+		source.jids.whenFinished(jid, l.closeWith)
 		return false
 	}
-	source.jids.begin(l.jid, now)
-	l.class = request.Class
+	source.jids.begin(jid, now)
 	request.Release = release
 	source.dispatcher.Accept(source, uint64(l.number), request)
 	return true
@@ -53,7 +71,7 @@
 		l.reconnect(errJobWithoutJid)
 		return
 	}
-	l.jid = job.Jid
+	l.delivery.jid = job.Jid
 	l.closeDelivery(commandFail, closeMessage{Type: "Malformed", Message: reason.Error()})
 }
 
@@ -73,10 +91,10 @@
 // closeDelivery closes the delivery of the lane by ACK or FAIL, now or once it
 // is connected again.
 func (l *lane) closeDelivery(verb string, message closeMessage) {
-	l.jobOpen = false
-	message.Jid = l.jid
+	message.Jid = l.delivery.jid
 	raw, _ := json.Marshal(message) // strings always marshal
-	l.pendingClose = verb + " " + string(raw)
+	l.delivery.state = deliveryClosing
+	l.delivery.closeCommand = verb + " " + string(raw)
 	if l.state == laneWorking || l.state == laneFetching {
 		l.advance()
 	}
--- a/internal/faktory/lanereplies.go
+++ b/internal/faktory/lanereplies.go
@@ -24,9 +24,9 @@
 		return l.handleFetchReply(answer, release)
 	case laneClosing:
 		if answer.kind == kindError { // upstream does not want it, and would not if it came again
-			l.source.dispatcher.Log("upstream: closing " + singleLine(l.pendingClose) + ": " + singleLine(string(answer.text)))
+			l.source.dispatcher.Log("upstream: closing " + singleLine(l.delivery.closeCommand) + ": " + singleLine(string(answer.text)))
 		}
-		l.pendingClose = ""
+		l.delivery = upstreamDelivery{}
 		l.advance()
 	case laneBeating:
 		l.handleBeatReply(answer)
@@ -85,9 +85,7 @@
 // end of fetching.
 func (l *lane) handleBeatReply(answer reply) {
 	source := l.source
-	var message struct {
-		State string `json:"state"`
-	}
+	var message beatReply
 	if answer.kind != kindError && !source.draining {
 		err := json.Unmarshal(answer.text, &message)
 		if err == nil && message.State != "" {
--- a/internal/faktory/messages.go
+++ b/internal/faktory/messages.go
@@ -51,6 +51,11 @@
 	Wid string `json:"wid"`
 }
 
+// beatReply is the JSON of an answer to BEAT that is not a plain OK.
+type beatReply struct {
+	State string `json:"state"` // what the worker shall do: quiet or terminate
+}
+
 // closeMessage is the JSON of an ACK or FAIL that is sent upstream.
 type closeMessage struct {
 	Jid     string `json:"jid"`
--- a/internal/faktory/push.go
+++ b/internal/faktory/push.go
@@ -23,9 +23,9 @@
 func (c *connection) handlePush(rest []byte, release func()) {
 	server := c.server
 	now := server.dispatcher.Loop.Now()
-	request, payload, err := parseJob(rest, server.classIndexes, now)
-	isDurable := err == nil && server.isDurable(request.Class)
-	if payload.scheduledAt > 0 && !isDurable {
+	job, err := parseJob(rest, server.classIndexes, now)
+	isDurable := err == nil && server.isDurable(job.request.Class)
+	if job.scheduledAt > 0 && !isDurable {
 		err = errScheduledOnDirectQueue
 	}
 	if err != nil {
@@ -35,26 +35,25 @@
 	}
 	if isDurable {
 		reply := c.deferReply()
-		c.storeJob(request, rest, &payload, func(err error) { reply(resultLine(err)) })
+		c.storeJob(&job, func(err error) { reply(resultLine(err)) })
 		release()
 		return
 	}
-	if line := knownJidLine(server.jids.status(request.ID)); line != "" {
+	if line := knownJidLine(server.jids.status(job.request.ID)); line != "" {
 		c.writeLine(line)
 		release()
 		return
 	}
-	request.Release = release
-	c.dispatch(request, now)
+	job.request.Release = release
+	c.dispatch(job.request, now)
 }
 
 // storeJob stores a job and calls onStored once it is on disk, or with the
 // error that its producer gets.
-func (c *connection) storeJob(request dispatch.Request, raw []byte, payload *work, onStored func(error)) {
+func (c *connection) storeJob(job *incomingJob, onStored func(error)) {
 	server := c.server
-	class := &server.dispatcher.Settings.Classes[request.Class]
-	job := durableJob(raw, request.ID, payload, class)
-	server.durable.Push(job, payload.scheduledAt, func(err error) {
+	class := &server.dispatcher.Settings.Classes[job.request.Class]
+	server.durable.Push(job.durableJob(class), job.scheduledAt, func(err error) {
 		switch {
 		case err == nil:
 			onStored(nil)
--- a/internal/faktory/source.go
+++ b/internal/faktory/source.go
@@ -21,7 +21,7 @@
 	classIndexes map[string]int // by name
 	wid          string
 	fetchCommand string
-	lanes        []*lane // the first only sends heartbeats
+	lanes        []*lane // by number; the first is the heartbeatLane
 	jids         *jidMemory
 	draining     bool // nothing more is fetched
 }
@@ -59,7 +59,8 @@
 // Stop fetches nothing more. Jobs in progress continue.
 func (s *Source) Stop() { s.draining = true }
 
-// Busy returns the number of deliveries that are not closed yet, or being fetched.
+// Busy returns the number of lanes with a delivery that is not closed yet, or
+// that is being fetched.
 func (s *Source) Busy() (busy int) {
 	for _, l := range s.lanes {
 		if l.busy() {
@@ -79,7 +80,8 @@
 // Respond closes the delivery of a lane with the final answer of its job.
 func (s *Source) Respond(token uint64, response dispatch.Response) {
 	l := s.lanes[token]
-	idempotency := s.dispatcher.Settings.Classes[l.class].Idempotency
-	s.jids.finish(l.jid, response, idempotency, s.dispatcher.Loop.Now())
+	delivery := l.delivery
+	idempotency := s.dispatcher.Settings.Classes[delivery.class].Idempotency
+	s.jids.finish(delivery.jid, response, idempotency, s.dispatcher.Loop.Now())
 	l.closeWith(response)
 }
