--- a/internal/faktory/bulkpush.go
+++ b/internal/faktory/bulkpush.go
@@ -11,10 +11,10 @@
 // errBulkDirectQueue rejects a job of PUSHB.
 var errBulkDirectQueue = errors.New("its queue is direct, and is answered job by job: PUSH it")
 
-// bulkPush is a PUSHB of which some jobs are not on disk yet.
+// bulkPush is a PUSHB that is not answered yet.
 type bulkPush struct {
-	pending  int               // jobs, and the reading of the list itself
-	rejected map[string]string // reasons, by jid
+	pending  int               // jobs that are not on disk yet, and 1 until all jobs of the list have been read
+	rejected map[string]string // reasons, by jid, or by index in brackets where a job has no valid jid
 	reply    func(line string)
 }
 
@@ -34,7 +34,7 @@
 	bulk.completeOne()
 }
 
-// storeBulkJob stores a job of a PUSHB.
+// storeBulkJob stores a job of a PUSHB, or records why it is rejected.
 func (c *connection) storeBulkJob(bulk *bulkPush, index int, raw []byte) {
 	server := c.server
 	job, err := parseJob(raw, server.classIndexes, server.dispatcher.Loop.Now())
@@ -62,6 +62,6 @@
 		return
 	}
 	raw, _ := json.Marshal(b.rejected) // strings always marshal
-	bulk := appendBulk(nil, raw)
-	b.reply(strings.TrimSuffix(string(bulk), "\r\n")) // reply ends the line
+	answer := appendBulk(nil, raw)
+	b.reply(strings.TrimSuffix(string(answer), "\r\n")) // reply ends the line
 }
--- a/internal/faktory/commands.go
+++ b/internal/faktory/commands.go
@@ -2,6 +2,10 @@
 
 import "fmt"
 
+// maxVerbShown is how many characters of an unknown command or queue its answer
+// quotes.
+const maxVerbShown = 40
+
 // processInput handles received commands until one has to wait for its answer.
 func (c *connection) processInput() {
 	for !c.input.empty() && !c.busy && !c.closed {
@@ -29,7 +33,8 @@
 	}
 }
 
-// handleCommand handles all commands but PUSH.
+// handleCommand handles all commands but PUSH, and PUSH before HELLO. rest is
+// valid during the call only.
 func (c *connection) handleCommand(verb string, rest []byte) {
 	if !c.authenticated && verb != commandHello && verb != commandEnd {
 		c.writeLine(replyError + "HELLO is needed first")
--- a/internal/faktory/connection.go
+++ b/internal/faktory/connection.go
@@ -8,36 +8,39 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-const (
-	helloTimeout   = 5 * time.Second  // a new connection must say HELLO in this time
-	idleTimeout    = 60 * time.Second // a connection without a command is closed; workers BEAT every 15 s
-	hashIterations = 1545             // that the greeting asks for with a password
-	saltBytes      = 8
-	maxWidLength   = 128
-	maxVerbShown   = 40 // characters of an unknown command that its answer quotes
-)
+// idleTimeout is how long a connection may send no command; workers BEAT every
+// 15 s.
+const idleTimeout = 60 * time.Second
 
 // connection is a connection of a producer or a worker.
+//
+// It is busy from the moment a command is read that is not answered at once,
+// until its answer: a PUSH of a direct queue (push), a FETCH (fetch), or a
+// command whose change is not on disk yet (deferReply).
 type connection struct {
-	server            *Server
-	token             uint64
-	admissionID       connlimit.ID
-	conn              *transport.Conn
-	input             input
-	awaitsProxyHeader bool   // from a trusted proxy that names the client first
-	salt              string // of the greeting
-	authenticated     bool   // HELLO has been accepted
-	lastPushServed    bool
-	worker            *registeredWorker // nil: a producer's
-	busy              bool              // a command awaits its answer; no other is read
-	push              *pendingPush      // the PUSH of a direct queue that awaits its answer; nil: none
-	fetch             *parkedFetch      // the FETCH that waits for a job; nil: none
-	closed            bool
-	deadline          eventloop.Deadline // of a parked FETCH, or of an idle connection
+	server      *Server
+	token       uint64       // the server's handle of the connection
+	admissionID connlimit.ID // the limiter's handle of the connection
+	conn        *transport.Conn
+	input       input
+
+	awaitsProxyHeader bool              // from a trusted proxy, which names the client in it
+	salt              string            // of the greeting; empty: no password is required
+	authenticated     bool              // HELLO has been accepted
+	worker            *registeredWorker // nil: a producer's connection
+
+	busy           bool               // a command awaits its answer; no other is read
+	push           *pendingPush       // the PUSH of a direct queue that awaits its answer; nil: none
+	fetch          *parkedFetch       // the FETCH that waits for a job; nil: none
+	lastPushServed bool               // the job of the PUSH that is being answered was served
+	deadline       eventloop.Deadline // of a parked FETCH, or of an idle connection
+	closed         bool               // detached from the server
 }
 
+// writeLine sends a reply of one line.
 func (c *connection) writeLine(line string) { c.conn.Write([]byte(line + "\r\n")) }
 
+// writeBulk sends a reply that is a bulk string.
 func (c *connection) writeBulk(text []byte) { c.conn.Write(appendBulk(nil, text)) }
 
 // setDeadline calls onDeadline after a span of time.
@@ -72,6 +75,7 @@
 	}
 }
 
+// closeGracefully closes the connection once what was written has left.
 func (c *connection) closeGracefully() {
 	c.detach()
 	c.conn.CloseGracefully()
@@ -128,8 +132,8 @@
 	c.conn.CloseGracefully()
 }
 
-// deferReply makes the connection wait for the answer to its command. The
-// answer is sent by reply, unless the connection is closed by then.
+// deferReply makes the connection busy until its command is answered by reply,
+// which sends nothing if the connection is closed by then.
 func (c *connection) deferReply() (reply func(line string)) {
 	c.busy = true
 	c.server.dispatcher.Loop.Clear(&c.deadline)
--- a/internal/faktory/handshake.go
+++ b/internal/faktory/handshake.go
@@ -5,11 +5,19 @@
 	"crypto/subtle"
 	"encoding/hex"
 	"encoding/json"
+	"time"
 
 	"hollyyoke.example/hollyyoke/internal/connlimit"
 	"hollyyoke.example/hollyyoke/internal/listener"
 )
 
+const (
+	helloTimeout   = 5 * time.Second // a new connection must say HELLO in this time
+	hashIterations = 1545            // that the greeting asks for with a password
+	saltBytes      = 8
+	maxWidLength   = 128
+)
+
 // sendGreeting sends the server's first line.
 func (c *connection) sendGreeting() {
 	message := greeting{Version: protocolVersion}
@@ -87,6 +95,7 @@
 	c.writeLine(replyOK)
 }
 
+// rejectHello answers a HELLO by an error and closes the connection.
 func (c *connection) rejectHello(text string) {
 	c.writeLine(replyError + text)
 	c.closeGracefully()
--- a/internal/faktory/reports.go
+++ b/internal/faktory/reports.go
@@ -47,13 +47,22 @@
 	}
 }
 
+// decodeReport decodes a worker's message about a job, which must name one; else
+// it answers the command.
+func (c *connection) decodeReport(verb string, rest []byte) (message word, ok bool) {
+	err := json.Unmarshal(rest, &message)
+	if err != nil || message.Jid == "" {
+		c.writeLine(replyMalformed + verb + ": a jid is needed")
+		return word{}, false
+	}
+	return message, true
+}
+
 // handleStart handles START, by which a worker that honors fences asks whether
 // it may begin a job.
 func (c *connection) handleStart(rest []byte) {
-	var message word
-	err := json.Unmarshal(rest, &message)
-	if err != nil || message.Jid == "" {
-		c.writeLine(replyMalformed + "START: a jid is needed")
+	message, ok := c.decodeReport(commandStart, rest)
+	if !ok {
 		return
 	}
 	server := c.server
@@ -76,56 +85,63 @@
 // that is not handed out, or not any more, changes no answer and is accepted
 // all the same.
 func (c *connection) handleCompletion(verb string, rest []byte) {
-	var message word
-	err := json.Unmarshal(rest, &message)
-	if err != nil || message.Jid == "" {
-		c.writeLine(replyMalformed + verb + ": a jid is needed")
+	message, ok := c.decodeReport(verb, rest)
+	if !ok {
 		return
 	}
-	server := c.server
-	if server.durable != nil {
-		job, known := server.durable.Get(message.Jid)
+	if queues := c.server.durable; queues != nil {
+		job, known := queues.Get(message.Jid)
 		if known {
 			c.completeDurable(verb, job, message)
 			return
 		}
 	}
 	c.writeLine(replyOK)
-	delivery := server.findHandedOut(c.worker, message.Jid)
-	if delivery == nil {
-		if verb == commandAck {
-			server.jids.confirm(message.Jid, server.dispatcher.Loop.Now())
-		}
+	c.server.completeDirect(verb, c.worker, message.Jid)
+}
+
+// outcomeOf is the outcome of an attempt whose worker sends ACK or FAIL.
+func outcomeOf(verb string) decision.AttemptOutcome {
+	if verb == commandAck {
+		return decision.Completed
+	}
+	return decision.Failed
+}
+
+// completeDirect ends the attempt of a direct job that is handed out to worker,
+// or to any worker if that is nil. An ACK that comes after the end of the
+// attempt tells that the job ran.
+func (s *Server) completeDirect(verb string, worker *registeredWorker, jid string) {
+	delivery := s.findHandedOut(worker, jid)
+	if delivery != nil {
+		s.endAttempt(delivery, outcomeOf(verb))
 		return
 	}
-	outcome := decision.Completed
-	if verb == commandFail {
-		outcome = decision.Failed
+	if verb == commandAck {
+		s.jids.confirm(jid, s.dispatcher.Loop.Now())
 	}
-	server.endAttempt(delivery, outcome)
 }
 
-// completeDurable handles the ACK or FAIL of a durable job.
+// completeDurable handles the ACK or FAIL of a durable job. It is answered once
+// the report is on disk.
 func (c *connection) completeDurable(verb string, job jobs.Job, message word) {
-	server := c.server
+	queues := c.server.durable
 	fence := c.fenceOf(job, message)
 	reply := c.deferReply()
 	onStored := func(err error) { reply(leaseResultLine(err)) }
-	outcome := decision.Completed
 	if verb == commandAck {
-		server.durable.Ack(message.Jid, fence, nil, onStored)
+		queues.Ack(message.Jid, fence, nil, onStored)
 	} else {
-		outcome = decision.Failed
 		started := message.Started == nil || *message.Started
-		server.durable.Fail(message.Jid, fence, failureReason(message), started, onStored)
+		queues.Fail(message.Jid, fence, failureReason(message), started, onStored)
 	}
-	delete(server.durable.progress, message.Jid)
-	server.endLease(message.Jid, fence, outcome)
+	delete(queues.progress, message.Jid)
+	c.server.endLease(message.Jid, fence, outcomeOf(verb))
 }
 
-// fenceOf returns the fence of the lease that a worker's message is about.
-// Without a fence in the message it is the lease that the connection's worker
-// holds, or held last; no message counts for the lease of another worker.
+// fenceOf returns the fence of the lease that a worker's message is about: that
+// of the message, or else that of the job's newest lease if the connection's
+// worker has it; 0: neither. No message counts for the lease of another worker.
 func (c *connection) fenceOf(job jobs.Job, message word) uint64 {
 	if message.Fence == 0 && c.worker != nil && c.worker.name == job.Worker {
 		return job.Fence
