--- a/internal/faktory/config_test.go
+++ b/internal/faktory/config_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"errors"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 
@@ -11,7 +9,7 @@
 )
 
 func TestReadConfigNamesTheField(t *testing.T) {
-	s := decision.Settings{Classes: []decision.Class{{Name: "renewal"}}}
+	settings := decision.Settings{Classes: []decision.Class{{Name: "renewal"}}}
 	for text, want := range map[string]string{
 		"":                     "listen: missing",
 		"listen = \"nowhere\"": "listen:",
@@ -21,36 +19,39 @@
 		"[source]\naddress = \"127.0.0.1:1\"\nqueues=[\"\"]": "source.queues[0]:",
 		"[source]\naddr = \"127.0.0.1:1\"":                   "source.addr: unknown key",
 	} {
-		path := filepath.Join(t.TempDir(), "f.toml")
-		os.WriteFile(path, []byte(text), 0o600)
-		if _, err := ReadConfig(path, &s); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
+		_, err := readConfigText(t, text, &settings)
+		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q: %v, want one line with %q", text, err, want)
 		}
 	}
-	if c, err := ReadConfig("../../deploy/faktory.toml", &s); err != nil || c.Listen == "" {
-		t.Errorf("the file shipped: %+v, %v", c, err)
+	shipped, err := ReadConfig("../../deploy/faktory.toml", &settings)
+	if err != nil || shipped.Listen == "" {
+		t.Errorf("the file shipped: %+v, %v", shipped, err)
 	}
 }
 
 // An invalid durable table is rejected, and the error names the key.
 func TestDurableTableIsChecked(t *testing.T) {
-	s := decision.Settings{Classes: []decision.Class{{Name: "renewal"}}}
+	settings := decision.Settings{Classes: []decision.Class{{Name: "renewal"}}}
 	for _, test := range []struct {
-		c    Durable
-		want string
+		table Durable
+		want  string // how the error begins; empty: none
 	}{
 		{Durable{Queues: []string{"renewal"}}, "durable.path"},
 		{Durable{Path: "x", Queues: []string{"y"}}, "durable.queues[0]"},
 		{Durable{Path: "x", LeaseS: -1}, "durable.lease_s"},
 		{Durable{Path: "x", Queues: []string{"renewal"}}, ""},
 	} {
-		c := Default()
-		c.Listen, c.Durable = "127.0.0.1:0", test.c
-		err := c.Check(&s)
+		config := Default()
+		config.Listen = "127.0.0.1:0"
+		config.Durable = test.table
+		err := config.Check(&settings)
 		if test.want == "" && err != nil || test.want != "" && (err == nil || !strings.HasPrefix(err.Error(), test.want)) {
-			t.Errorf("%+v: %v", test.c, err)
+			t.Errorf("%+v: %v, want %q", test.table, err, test.want)
 		}
-		if c.Listen, c.Source.Address = "", "127.0.0.1:1"; test.want == "" && c.Check(&s) == nil {
+		config.Listen = ""
+		config.Source.Address = "127.0.0.1:1"
+		if test.want == "" && config.Check(&settings) == nil {
 			t.Error("durable without the server role")
 		}
 	}
--- a/internal/faktory/durable_test.go
+++ b/internal/faktory/durable_test.go
@@ -13,51 +13,88 @@
 
 // withDurableFront runs a front end with durable queues, from its start on the
 // store at file to its end. options are further lines of the durable table.
-func withDurableFront(t *testing.T, file, options string, run func(addr string)) {
+func withDurableFront(t *testing.T, file, options string, run func(address string)) {
 	t.Helper()
 	t.Run("", func(t *testing.T) {
-		addr, _ := openFront(t, serverConfig+"[durable]\npath = \""+file+"\"\nqueues = [\"renewal\", \"status-check\"]\n"+options, func(s *decision.Settings) {
-			for i := range s.Classes {
-				s.Classes[i].Deadline = 2 * time.Second
+		table := "[durable]\npath = \"" + file + "\"\nqueues = [\"renewal\", \"status-check\"]\n" + options
+		address, _ := openFront(t, serverConfig+table, func(settings *decision.Settings) {
+			for i := range settings.Classes {
+				settings.Classes[i].Deadline = 2 * time.Second
 			}
 		})
-		run(addr)
+		run(address)
 	})
 }
 
+// newStorePath is the path of a store in a directory of its own.
+func newStorePath(t *testing.T) string {
+	t.Helper()
+	return filepath.Join(t.TempDir(), "jobs.db")
+}
+
+// leasedJob is what these tests read of a durable job that a worker has fetched.
 type leasedJob struct {
 	Jid    string
 	Args   json.RawMessage
 	Custom struct{ Fence uint64 }
 }
 
-func (p *client) lease(queues string) (l leasedJob) {
-	p.t.Helper()
-	got := p.fetch(queues)
-	if err := json.Unmarshal([]byte(got), &l); err != nil || l.Custom.Fence == 0 {
-		p.t.Fatalf("fetched %q", got)
+// message is a message about the job under its lease.
+func (l leasedJob) message() string { return messageUnder(l.Jid, l.Custom.Fence) }
+
+// messageUnder is a message about a job under a fence.
+func messageUnder(jid string, fence uint64) string {
+	return fmt.Sprintf(`{"jid":%q,"fence":%d}`, jid, fence)
+}
+
+// lease fetches a durable job, which must come with a fence.
+func (c *client) lease(queues string) (job leasedJob) {
+	c.t.Helper()
+	got := c.fetch(queues)
+	err := json.Unmarshal([]byte(got), &job)
+	if err != nil || job.Custom.Fence == 0 {
+		c.t.Fatalf("fetched %q", got)
 	}
-	return l
+	return job
 }
 
-func (p *client) expect(command, want string) {
-	p.t.Helper()
-	if got := p.do(command); !strings.HasPrefix(got, want) || want == "+OK" && got != want {
-		p.t.Fatalf("%.60s: %q, want %q", command, got, want)
+// expectLease fetches a durable job, which must be that of jid.
+func (c *client) expectLease(queues, jid string) leasedJob {
+	c.t.Helper()
+	job := c.lease(queues)
+	if job.Jid != jid {
+		c.t.Fatalf("leased %+v, want %s", job, jid)
 	}
+	return job
+}
+
+// expectAck acknowledges a job, and checks how the answer begins.
+func (c *client) expectAck(jid, want string) {
+	c.t.Helper()
+	c.expect(`ACK {"jid":"`+jid+`"}`, want)
 }
 
-func stateOf(p *client, jid string) string {
+// stateOf is the state of a job by TRACK.
+func (c *client) stateOf(jid string) string {
 	var got struct{ State string }
-	json.Unmarshal([]byte(p.do("TRACK GET "+jid)), &got)
+	json.Unmarshal([]byte(c.do("TRACK GET "+jid)), &got)
 	return got.State
 }
 
-func (p *client) awaitState(jid, want string) {
-	p.t.Helper()
-	for end := time.Now().Add(testTimeout); stateOf(p, jid) != want; time.Sleep(5 * time.Millisecond) {
+// expectState checks the state of a job.
+func (c *client) expectState(when, jid, want string) {
+	c.t.Helper()
+	if got := c.stateOf(jid); got != want {
+		c.t.Errorf("%s: %s is %q, want %q", when, jid, got, want)
+	}
+}
+
+// awaitState waits until a job is in a state.
+func (c *client) awaitState(jid, want string) {
+	c.t.Helper()
+	for end := time.Now().Add(testTimeout); c.stateOf(jid) != want; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			p.t.Fatalf("%s is %q, and not %q in time", jid, stateOf(p, jid), want)
+			c.t.Fatalf("%s is %q, and not %q in time", jid, c.stateOf(jid), want)
 		}
 	}
 }
@@ -65,84 +102,92 @@
 // A job is stored before it runs, survives restarts, and runs once, however often
 // its producer pushes and its worker acknowledges it.
 func TestDurableJobsSurviveRestart(t *testing.T) {
-	file := filepath.Join(t.TempDir(), "jobs.db")
+	file := newStorePath(t)
 	var first leasedJob
-	withDurableFront(t, file, "", func(addr string) {
-		p := dial(t, addr, hello{})
-		p.expect(pushCommand("keep-00001", "renewal", ""), "+OK")
-		p.expect(pushCommand("keep-00001", "renewal", ""), "+OK")
-		p.expect(pushCommand("keep-00002", "renewal", ""), "+OK")
-		p.expect(strings.Replace(pushCommand("keep-00002", "renewal", ""), "[1]", "[2]", 1), "-ERR NOTUNIQUE")
-		w := dial(t, addr, hello{Wid: "w1", Labels: []string{"fences:1"}})
-		first = w.lease("renewal")
-		if first.Jid != "keep-00001" || string(first.Args) != "[1]" {
-			t.Fatalf("leased %+v", first)
-		}
-		w.expect(fmt.Sprintf(`START {"jid":"keep-00001","fence":%d}`, first.Custom.Fence), "+OK")
-		w.expect(fmt.Sprintf(`START {"jid":"keep-00001","fence":%d}`, first.Custom.Fence+1), "-ERR VOID")
-	})
-	withDurableFront(t, file, "", func(addr string) {
-		p := dial(t, addr, hello{})
-		p.expect(pushCommand("keep-00001", "renewal", ""), "+OK")
-		if stateOf(p, "keep-00001") != "working" || stateOf(p, "keep-00002") != "enqueued" {
-			t.Fatalf("after a restart: %s, %s", stateOf(p, "keep-00001"), stateOf(p, "keep-00002"))
-		}
-		w2 := dial(t, addr, hello{Wid: "w2"})
-		if l := w2.lease("renewal"); l.Jid != "keep-00002" || l.Custom.Fence <= first.Custom.Fence {
-			t.Fatalf("leased %+v after %+v", l, first)
-		}
-		w2.expect(`ACK {"jid":"keep-00001"}`, "-ERR VOID") // it is w1's
-		w2.expect(`ACK {"jid":"keep-00002"}`, "+OK")
-		w2.expect(`ACK {"jid":"keep-00002"}`, "+OK")
-		w1 := dial(t, addr, hello{Wid: "w1"})
-		w1.expect(`ACK {"jid":"keep-00001"}`, "+OK")
-		if stateOf(p, "keep-00001") != "success" || stateOf(p, "keep-00002") != "success" {
-			t.Errorf("at the end: %s, %s", stateOf(p, "keep-00001"), stateOf(p, "keep-00002"))
-		}
-	})
-	withDurableFront(t, file, "", func(addr string) {
-		p, w := dial(t, addr, hello{}), dial(t, addr, hello{Wid: "w1"})
-		p.expect(pushCommand("keep-00001", "renewal", ""), "+OK")
-		if got := w.do("FETCH renewal"); got != "$-1" {
+	withDurableFront(t, file, "", func(address string) { first = pushTwoAndStartOne(t, address) })
+	withDurableFront(t, file, "", func(address string) { finishBoth(t, address, first) })
+	withDurableFront(t, file, "", func(address string) {
+		producer := dialProducer(t, address)
+		worker := dialWorker(t, address, "w1")
+		producer.expect(pushCommand("keep-00001", "renewal", ""), "+OK")
+		if got := worker.do("FETCH renewal"); got != nullBulk {
 			t.Errorf("run again: %q", got)
 		}
 	})
 }
 
+// pushTwoAndStartOne pushes two jobs, each more than once, and starts the first
+// at worker w1.
+func pushTwoAndStartOne(t *testing.T, address string) (started leasedJob) {
+	t.Helper()
+	producer := dialProducer(t, address)
+	producer.expect(pushCommand("keep-00001", "renewal", ""), "+OK")
+	producer.expect(pushCommand("keep-00001", "renewal", ""), "+OK")
+	producer.expect(pushCommand("keep-00002", "renewal", ""), "+OK")
+	otherArgs := strings.Replace(pushCommand("keep-00002", "renewal", ""), "[1]", "[2]", 1)
+	producer.expect(otherArgs, "-ERR NOTUNIQUE")
+	worker := dialWorker(t, address, "w1", "fences:1")
+	started = worker.expectLease("renewal", "keep-00001")
+	if string(started.Args) != "[1]" {
+		t.Fatalf("leased %+v", started)
+	}
+	worker.expect("START "+started.message(), "+OK")
+	worker.expect("START "+messageUnder(started.Jid, started.Custom.Fence+1), "-ERR VOID")
+	return started
+}
+
+// finishBoth has the other job run at w2, and both acknowledged.
+func finishBoth(t *testing.T, address string, first leasedJob) {
+	t.Helper()
+	producer := dialProducer(t, address)
+	producer.expect(pushCommand("keep-00001", "renewal", ""), "+OK")
+	producer.expectState("after a restart", "keep-00001", "working")
+	producer.expectState("after a restart", "keep-00002", "enqueued")
+	other := dialWorker(t, address, "w2")
+	second := other.expectLease("renewal", "keep-00002")
+	if second.Custom.Fence <= first.Custom.Fence {
+		t.Fatalf("leased %+v after %+v", second, first)
+	}
+	other.expectAck("keep-00001", "-ERR VOID") // it is w1's
+	other.expectAck("keep-00002", "+OK")
+	other.expectAck("keep-00002", "+OK")
+	worker := dialWorker(t, address, "w1")
+	worker.expectAck("keep-00001", "+OK")
+	producer.expectState("at the end", "keep-00001", "success")
+	producer.expectState("at the end", "keep-00002", "success")
+}
+
 // A worker disconnects with two leased jobs. When the leases expire, the
 // non-idempotent job is in doubt and the idempotent one goes to the next worker.
 // A non-idempotent job that a worker which honors fences has not started goes to
 // the next worker too, and the first one's START is not granted.
 func TestDurableLeaseExpires(t *testing.T) {
-	withDurableFront(t, filepath.Join(t.TempDir(), "jobs.db"), "lease_s = 0.3\nbackoff_s = 0.01\n", func(addr string) {
-		p, w1, w2 := dial(t, addr, hello{}), dial(t, addr, hello{Wid: "w1"}), dial(t, addr, hello{Wid: "w2", Labels: []string{"fences:1"}})
+	withDurableFront(t, newStorePath(t), "lease_s = 0.3\nbackoff_s = 0.01\n", func(address string) {
+		producer := dialProducer(t, address)
+		worker := dialWorker(t, address, "w1")
+		fenced := dialWorker(t, address, "w2", "fences:1")
 		for _, class := range []string{"renewal", "status-check"} {
-			p.expect(pushCommand("lost-"+class, class, ""), "+OK")
-			if l := w1.lease(class); l.Jid != "lost-"+class {
-				t.Fatalf("leased %+v", l)
-			}
-		}
-		p.expect(pushCommand("slow-00001", "renewal", `"effort_us":1`), "+OK")
-		old := w2.lease("renewal")
-		p.awaitState("lost-renewal", "in doubt")
-		again := w1.lease("status-check")
-		if again.Jid != "lost-status-check" {
-			t.Fatalf("leased %+v", again)
+			producer.expect(pushCommand("lost-"+class, class, ""), "+OK")
+			worker.expectLease(class, "lost-"+class)
 		}
-		w1.expect(`ACK {"jid":"lost-status-check"}`, "+OK")
-		now := w1.lease("renewal")
-		if now.Jid != "slow-00001" || now.Custom.Fence <= old.Custom.Fence {
-			t.Fatalf("leased %+v after %+v", now, old)
+		producer.expect(pushCommand("slow-00001", "renewal", `"effort_us":1`), "+OK")
+		expired := fenced.lease("renewal")
+		producer.awaitState("lost-renewal", "in doubt")
+		worker.expectLease("status-check", "lost-status-check")
+		worker.expectAck("lost-status-check", "+OK")
+		renewed := worker.expectLease("renewal", "slow-00001")
+		if renewed.Custom.Fence <= expired.Custom.Fence {
+			t.Fatalf("leased %+v after %+v", renewed, expired)
 		}
-		w2.expect(fmt.Sprintf(`START {"jid":"slow-00001","fence":%d}`, old.Custom.Fence), "-ERR VOID")
-		w2.expect(fmt.Sprintf(`ACK {"jid":"slow-00001","fence":%d}`, old.Custom.Fence), "-ERR VOID")
+		fenced.expect("START "+messageUnder("slow-00001", expired.Custom.Fence), "-ERR VOID")
+		fenced.expect("ACK "+messageUnder("slow-00001", expired.Custom.Fence), "-ERR VOID")
 		for range 5 { // heartbeats renew the lease
 			time.Sleep(100 * time.Millisecond)
-			w1.expect(`BEAT {"wid":"w1"}`, "+OK")
+			worker.expect(`BEAT {"wid":"w1"}`, "+OK")
 		}
-		w1.expect(`ACK {"jid":"slow-00001"}`, "+OK")
-		w1.expect(`ACK {"jid":"lost-renewal"}`, "+OK") // a late ACK proves that it ran
-		p.awaitState("lost-renewal", "success")
+		worker.expectAck("slow-00001", "+OK")
+		worker.expectAck("lost-renewal", "+OK") // a late ACK proves that it ran
+		producer.awaitState("lost-renewal", "success")
 	})
 }
 
@@ -156,16 +201,8 @@
 func newDurableRun(t *testing.T, address string) *durableRun {
 	return &durableRun{
 		t:        t,
-		producer: dial(t, address, hello{}),
-		worker:   dial(t, address, hello{Wid: "w1"}),
-	}
-}
-
-// lease fetches a job, which must be that of jid.
-func (r *durableRun) lease(queues, jid string) {
-	r.t.Helper()
-	if l := r.worker.lease(queues); l.Jid != jid {
-		r.t.Fatalf("leased %s, not %s", l.Jid, jid)
+		producer: dialProducer(t, address),
+		worker:   dialWorker(t, address, "w1"),
 	}
 }
 
@@ -174,8 +211,8 @@
 	r.producer.expect(pushCommand("order-check", "status-check", ""), "+OK")
 	r.producer.expect(pushCommand("order-renewal", "renewal", ""), "+OK")
 	for _, jid := range []string{"order-renewal", "order-check"} {
-		r.lease("renewal status-check", jid)
-		r.worker.expect(`ACK {"jid":"`+jid+`"}`, "+OK")
+		r.worker.expectLease("renewal status-check", jid)
+		r.worker.expectAck(jid, "+OK")
 	}
 }
 
@@ -184,7 +221,7 @@
 func (r *durableRun) checkRetries() {
 	r.producer.expect(pushCommand("fails-twice", "status-check", ""), "+OK")
 	for range 2 {
-		r.lease("status-check", "fails-twice")
+		r.worker.expectLease("status-check", "fails-twice")
 		r.worker.expect(`FAIL {"jid":"fails-twice","errtype":"Broken","message":"no till"}`, "+OK")
 	}
 	r.producer.awaitState("fails-twice", "dead")
@@ -206,29 +243,36 @@
 	r.producer.expect(`MUTATE {"cmd":"requeue","target":"dead","filter":{"regexp":"*no such thing*"}}`, "+OK")
 	r.producer.awaitState("fails-twice", "dead")
 	r.producer.expect(`MUTATE {"cmd":"requeue","target":"dead","filter":{"regexp":"*fails-tw*"}}`, "+OK")
-	r.lease("status-check", "fails-twice")
+	r.worker.expectLease("status-check", "fails-twice")
 }
 
 // TRACK tells the progress of a job.
 func (r *durableRun) checkProgress() {
 	r.worker.expect(`TRACK SET {"jid":"fails-twice","percent":40,"desc":"at the till"}`, "+OK")
-	if got := r.producer.do("TRACK GET fails-twice"); !strings.Contains(got, `"percent":40`) || !strings.Contains(got, `"working"`) {
+	got := r.producer.do("TRACK GET fails-twice")
+	if !strings.Contains(got, `"percent":40`) || !strings.Contains(got, `"working"`) {
 		r.t.Errorf("TRACK: %s", got)
 	}
-	r.worker.expect(`ACK {"jid":"fails-twice"}`, "+OK")
+	r.worker.expectAck("fails-twice", "+OK")
+}
+
+// scheduledJob is a renewal that is to run at a time.
+func scheduledJob(jid string, at time.Time) string {
+	job := strings.TrimPrefix(pushCommand(jid, "renewal", ""), "PUSH ")
+	return strings.Replace(job, `"args"`, `"at":"`+at.Format(time.RFC3339Nano)+`","args"`, 1)
 }
 
 // PUSHB stores several jobs, some for later.
 func (r *durableRun) checkScheduledBulk() {
 	soon := time.Now().Add(300 * time.Millisecond)
-	scheduled := func(jid string, at time.Time) string {
-		return strings.TrimPrefix(strings.Replace(pushCommand(jid, "renewal", ""), `"args"`, `"at":"`+at.Format(time.RFC3339Nano)+`","args"`, 1), "PUSH ")
-	}
-	r.producer.expect("PUSHB ["+scheduled("bulk-00001", soon)+","+scheduled("bulk-00002", soon.Add(time.Hour))+`,{"jid":"x"}]`, `{"[2]":"jid:`)
-	if l := r.worker.lease("renewal"); l.Jid != "bulk-00001" || time.Now().Before(soon) {
-		r.t.Fatalf("leased %+v, %s early", l, time.Until(soon))
+	first := scheduledJob("bulk-00001", soon)
+	second := scheduledJob("bulk-00002", soon.Add(time.Hour))
+	r.producer.expect("PUSHB ["+first+","+second+`,{"jid":"x"}]`, `{"[2]":"jid:`)
+	leased := r.worker.expectLease("renewal", "bulk-00001")
+	if time.Now().Before(soon) {
+		r.t.Fatalf("leased %+v, %s early", leased, time.Until(soon))
 	}
-	r.worker.expect(`ACK {"jid":"bulk-00001"}`, "+OK")
+	r.worker.expectAck("bulk-00001", "+OK")
 	r.producer.expect(`MUTATE {"cmd":"kill","target":"scheduled","filter":{"jobtype":"x"}}`, "+OK")
 	r.producer.awaitState("bulk-00002", "dead")
 }
@@ -256,7 +300,7 @@
 // checkPaused checks that a queue which was paused before a restart hands
 // nothing out until it is resumed.
 func (r *durableRun) checkPaused() {
-	if got := r.worker.do("FETCH renewal"); got != "$-1" {
+	if got := r.worker.do("FETCH renewal"); got != nullBulk {
 		r.t.Errorf("paused, and handed out: %q", got)
 	}
 	info := r.producer.do("INFO")
@@ -266,40 +310,38 @@
 		}
 	}
 	r.producer.expect("QUEUE RESUME *", "+OK")
-	r.lease("renewal", "held-00001")
+	r.worker.expectLease("renewal", "held-00001")
 }
 
 // QUEUE REMOVE and FLUSH discard jobs that wait, and no leased one.
 func (r *durableRun) checkDiscarding() {
-	p := r.producer
-	p.expect(pushCommand("held-00002", "renewal", ""), "+OK")
-	p.expect("QUEUE REMOVE renewal", "+OK")
-	if stateOf(p, "held-00002") != "discarded" || stateOf(p, "held-00001") != "working" {
-		r.t.Errorf("removed: %s, %s", stateOf(p, "held-00002"), stateOf(p, "held-00001"))
-	}
-	p.expect("FLUSH", "+OK")
-	if stateOf(p, "fails-paid") != "discarded" || stateOf(p, "held-00001") != "working" {
-		r.t.Errorf("flushed: %s, %s", stateOf(p, "fails-paid"), stateOf(p, "held-00001"))
-	}
+	producer := r.producer
+	producer.expect(pushCommand("held-00002", "renewal", ""), "+OK")
+	producer.expect("QUEUE REMOVE renewal", "+OK")
+	producer.expectState("removed", "held-00002", "discarded")
+	producer.expectState("removed", "held-00001", "working")
+	producer.expect("FLUSH", "+OK")
+	producer.expectState("flushed", "fails-paid", "discarded")
+	producer.expectState("flushed", "held-00001", "working")
 }
 
 // The commands of durable queues do what the protocol says, over a restart too.
 func TestDurableCommands(t *testing.T) {
-	file := filepath.Join(t.TempDir(), "jobs.db")
+	file := newStorePath(t)
 	withDurableFront(t, file, "backoff_s = 0.05\nattempts = 2\n", func(address string) {
-		r := newDurableRun(t, address)
-		r.checkQueueOrder()
-		r.checkRetries()
-		r.checkRequeue()
-		r.checkProgress()
-		r.checkScheduledBulk()
-		r.producer.expect("QUEUE PAUSE renewal", "+OK")
-		r.producer.expect(pushCommand("held-00001", "renewal", ""), "+OK")
-		r.checkRejections()
+		run := newDurableRun(t, address)
+		run.checkQueueOrder()
+		run.checkRetries()
+		run.checkRequeue()
+		run.checkProgress()
+		run.checkScheduledBulk()
+		run.producer.expect("QUEUE PAUSE renewal", "+OK")
+		run.producer.expect(pushCommand("held-00001", "renewal", ""), "+OK")
+		run.checkRejections()
 	})
 	withDurableFront(t, file, "flush = true\n", func(address string) {
-		r := newDurableRun(t, address)
-		r.checkPaused()
-		r.checkDiscarding()
+		run := newDurableRun(t, address)
+		run.checkPaused()
+		run.checkDiscarding()
 	})
 }
--- /dev/null
+++ b/internal/faktory/frontend_test.go
@@ -0,0 +1,119 @@
+package faktory
+
+import (
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/dispatch"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
+	"hollyyoke.example/hollyyoke/internal/transport"
+)
+
+// serverConfig is an operator's file of the server role alone.
+const serverConfig = "listen = \"127.0.0.1:0\"\n"
+
+// testSettings are settings with an idempotent and a non-idempotent class.
+func testSettings() decision.Settings {
+	return decision.Settings{
+		Classes: []decision.Class{
+			{
+				Name:             "status-check",
+				PriorityWeight:   3,
+				LateWeight:       0.25,
+				LatencyObjective: 4 * time.Second,
+				Deadline:         5 * time.Second,
+			},
+			{
+				Name:             "renewal",
+				PriorityWeight:   5,
+				LateWeight:       0.5,
+				LatencyObjective: 4 * time.Second,
+				Deadline:         8 * time.Second,
+				Idempotency:      decision.NonIdempotent,
+			},
+		},
+		Tick:              time.Millisecond,
+		MaxAttempts:       3,
+		Cancellation:      true,
+		StartNotices:      true,
+		MaxRetryAfter:     2 * time.Second,
+		SlowStartFloor:    0.33,
+		SlowStartDuration: 8600 * time.Millisecond,
+		OverloadMultiple:  4,
+		OverloadWindow:    time.Second,
+		FreeSlots:         "x0",
+		DrainGrace:        500 * time.Millisecond,
+	}
+}
+
+// readConfigText reads the text of an operator's file as ReadConfig does.
+func readConfigText(t testing.TB, text string, settings *decision.Settings) (Config, error) {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "faktory.toml")
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return ReadConfig(path, settings)
+}
+
+// openFront runs a front end with the text of an operator's file, and returns
+// its address. adjust, which may be nil, changes the settings.
+func openFront(t testing.TB, toml string, adjust func(*decision.Settings)) (address string, dispatcher *dispatch.Dispatcher) {
+	t.Helper()
+	settings := testSettings()
+	if adjust != nil {
+		adjust(&settings)
+	}
+	config, err := readConfigText(t, toml, &settings)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := Prepare(&settings); err != nil {
+		t.Fatal(err)
+	}
+	loop := eventloop.New()
+	dispatcher, err = dispatch.New(loop, settings, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	engine, err := transport.NewEngine(loop, 512)
+	if err != nil {
+		t.Fatal(err)
+	}
+	dispatcher.Log = func(text string) {
+		if bound, isAddress := strings.CutPrefix(text, "faktory: listening on "); isAddress {
+			address = bound
+		}
+	}
+	frontEnd, err := Open(dispatcher, engine, config, 200, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	stopped := make(chan struct{})
+	go func() {
+		loop.Run()
+		close(stopped)
+	}()
+	t.Cleanup(func() {
+		loop.Stop()
+		<-stopped
+		frontEnd.Close()
+		engine.StopListening()
+	})
+	return address, dispatcher
+}
+
+// onLoop runs a function on the loop's goroutine and waits for its end.
+func onLoop(t *testing.T, dispatcher *dispatch.Dispatcher, run func()) {
+	t.Helper()
+	done := make(chan struct{})
+	dispatcher.Loop.Post(func() {
+		run()
+		close(done)
+	})
+	<-done
+}
--- a/internal/faktory/fuzz_test.go
+++ b/internal/faktory/fuzz_test.go
@@ -1,10 +1,8 @@
 package faktory
 
 import (
-	"bufio"
 	"fmt"
 	"io"
-	"net"
 	"strings"
 	"testing"
 	"time"
@@ -15,13 +13,15 @@
 
 // keyedWorker is a worker client whose one worker ends each attempt at once, with
 // the outcome that the job's key names.
-type keyedWorker struct{ core *dispatch.Dispatcher }
+type keyedWorker struct{ dispatcher *dispatch.Dispatcher }
 
-func (e keyedWorker) Start(f dispatch.Attempt) {
-	o := map[string]decision.AttemptOutcome{
-		"done": decision.Completed, "failed": decision.Failed, "full": decision.Saturated,
-	}[f.Request.Key]
-	e.core.AttemptEnded(f.Handle, o, decision.LoadReport{}, nil)
+func (w keyedWorker) Start(attempt dispatch.Attempt) {
+	outcome := map[string]decision.AttemptOutcome{
+		"done":   decision.Completed,
+		"failed": decision.Failed,
+		"full":   decision.Saturated,
+	}[attempt.Request.Key]
+	w.dispatcher.AttemptEnded(attempt.Handle, outcome, decision.LoadReport{}, nil)
 }
 
 func (keyedWorker) Cancel(uint64) bool { return false }
@@ -32,12 +32,17 @@
 
 func (keyedWorker) Subscribe() {}
 
-// sessionCommands are commands, how their answers begin, and whether the server
-// closes the connection after them. JID stands for a new jid in each use.
-var sessionCommands = []struct {
-	text, want string
-	ends       bool
-}{
+// sessionCommand is a command of FuzzSession. JID in its text stands for a new
+// jid in each use.
+type sessionCommand struct {
+	text string
+	want string // how its answer begins
+	ends bool   // the server closes the connection after it
+}
+
+func (c sessionCommand) isHello() bool { return strings.HasPrefix(c.text, "HELLO") }
+
+var sessionCommands = []sessionCommand{
 	{`HELLO {"v":2}`, "+OK", false},
 	{`PUSH {"jid":"JID","queue":"renewal","jobtype":"x","args":[],"custom":{"key":"done"}}`, "+OK", false},
 	{`push {"jid":"JID","queue":"x","jobtype":"renewal","args":[],"custom":{"key":"failed"}}`, "-ERR FAILED", false},
@@ -53,6 +58,60 @@
 	{`END`, "+OK", true},
 }
 
+// sessionModel is what a producer's connection must answer.
+type sessionModel struct {
+	want    []string // how each answer begins
+	greeted bool     // a command has been sent
+	ended   bool     // the server closes the connection
+}
+
+// send adds the answer to a command.
+func (m *sessionModel) send(command sessionCommand) {
+	want := command.want
+	ends := command.ends
+	switch {
+	case command.isHello() && m.greeted:
+		want = "-ERR HELLO"
+	case !command.isHello() && !m.greeted && !command.ends:
+		want = "-ERR HELLO"
+		ends = true
+	}
+	m.want = append(m.want, want)
+	m.greeted = true
+	m.ended = m.ended || ends
+}
+
+// check reads all answers.
+func (m *sessionModel) check(t *testing.T, c *client) {
+	t.Helper()
+	for i, want := range m.want {
+		got, err := c.readReply()
+		if err != nil || !strings.HasPrefix(got, want) {
+			t.Fatalf("answer %d: %q, %v; want %q of %q", i, got, err, want, m.want)
+		}
+	}
+	if m.ended {
+		rest, _ := io.ReadAll(c.reader)
+		if len(rest) > 0 {
+			t.Fatalf("after the last answer: %q", rest)
+		}
+	}
+}
+
+// sendSplit sends a line in two parts. split says where the cut is, and whether
+// there is a pause.
+func sendSplit(c *client, line string, split byte) {
+	cut := int(split) * len(line) / 256
+	c.conn.Write([]byte(line[:cut]))
+	if split%16 == 15 {
+		time.Sleep(time.Millisecond)
+	}
+	c.conn.Write([]byte(line[cut:]))
+}
+
+// maxSessionBytes bounds the input of FuzzSession: two bytes a command.
+const maxSessionBytes = 60
+
 // FuzzSession checks a producer's connection against a model: each command gets
 // exactly one answer, in order, however its bytes are split; before HELLO only
 // HELLO and END are accepted, and HELLO is accepted once.
@@ -61,66 +120,40 @@
 	f.Add([]byte{0, 9, 1, 200, 0, 3, 12, 12, 1, 1})
 	f.Add([]byte{1, 0, 0, 0})
 	f.Add([]byte{12, 90})
-	addr, c := openFront(f, serverConfig, func(s *decision.Settings) { s.MaxAttempts = 1 })
-	c.Loop.Post(func() {
-		c.UpdateWorkers(keyedWorker{c}, decision.ListDelta, []decision.Endpoint{{Name: "w", Kind: 3}})
+	address, dispatcher := openFront(f, serverConfig, func(settings *decision.Settings) { settings.MaxAttempts = 1 })
+	dispatcher.Loop.Post(func() {
+		dispatcher.UpdateWorkers(keyedWorker{dispatcher}, decision.ListDelta, []decision.Endpoint{{Name: "w", Kind: 3}})
 	})
 	jids := 0
 	f.Fuzz(func(t *testing.T, steps []byte) {
-		conn, err := net.Dial("tcp", addr)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer conn.Close()
-		conn.SetDeadline(time.Now().Add(testTimeout))
-		p := &client{t, conn, bufio.NewReader(conn)}
-		want, greeted, ended := []string{"+HI"}, false, false
-		for i := 0; i+1 < len(steps) && i < 60 && !ended; i += 2 {
-			x := sessionCommands[int(steps[i])%len(sessionCommands)]
+		c := connect(t, address)
+		c.conn.SetDeadline(time.Now().Add(testTimeout))
+		model := sessionModel{want: []string{"+HI"}}
+		for i := 0; i+1 < len(steps) && i < maxSessionBytes && !model.ended; i += 2 {
+			command := sessionCommands[int(steps[i])%len(sessionCommands)]
 			jids++
-			text := strings.ReplaceAll(x.text, "JID", fmt.Sprintf("fuzz-%09d", jids)) + "\r\n"
-			cut := int(steps[i+1]) * len(text) / 256
-			conn.Write([]byte(text[:cut]))
-			if steps[i+1]%16 == 15 {
-				time.Sleep(time.Millisecond)
-			}
-			conn.Write([]byte(text[cut:]))
-			answer := x.want
-			switch hello := strings.HasPrefix(x.text, "HELLO"); {
-			case hello && greeted:
-				answer = "-ERR HELLO"
-			case !hello && !greeted && !x.ends:
-				answer, ended = "-ERR HELLO", true
-			}
-			greeted = true
-			want, ended = append(want, answer), ended || x.ends
-		}
-		for i, w := range want {
-			if got, err := p.reply(); err != nil || !strings.HasPrefix(got, w) {
-				t.Fatalf("answer %d: %q, %v; want %q of %q", i, got, err, w, want)
-			}
-		}
-		if ended {
-			if rest, _ := io.ReadAll(p.reader); len(rest) > 0 {
-				t.Fatalf("after the last answer: %q", rest)
-			}
+			line := strings.ReplaceAll(command.text, "JID", fmt.Sprintf("fuzz-%09d", jids)) + "\r\n"
+			sendSplit(c, line, steps[i+1])
+			model.send(command)
 		}
+		model.check(t, c)
 	})
 }
 
 // FuzzParse checks that no input makes a parser panic or use more bytes than
 // there are.
 func FuzzParse(f *testing.F) {
-	for _, s := range []string{"+HI {\"v\":2}\r\n", "$5\r\nhello\r\n", "$-1\r\n", "$99999999\r\n", ":1\n", "-ERR x\r\n", "$3\r\nabcde", ""} {
-		f.Add([]byte(s))
+	for _, seed := range []string{"+HI {\"v\":2}\r\n", "$5\r\nhello\r\n", "$-1\r\n", "$99999999\r\n", ":1\n", "-ERR x\r\n", "$3\r\nabcde", ""} {
+		f.Add([]byte(seed))
 	}
 	f.Add([]byte(`{"jid":"12345678","queue":"a","args":[],"at":"2026-12-01T00:00:00Z","custom":{"time_left_ms":1e300,"effort_us":-1}}`))
-	f.Fuzz(func(t *testing.T, b []byte) {
-		if r, used, err := parseReply(b); used > len(b) || used > 0 && len(r.text) > used || err != nil && used != 0 {
-			t.Fatalf("%+v, used %d of %d, %v", r, used, len(b), err)
+	f.Fuzz(func(t *testing.T, input []byte) {
+		answer, used, err := parseReply(input)
+		if used > len(input) || used > 0 && len(answer.text) > used || err != nil && used != 0 {
+			t.Fatalf("%+v, used %d of %d, %v", answer, used, len(input), err)
 		}
-		parseCommand(b)
-		job, err := parseJob(b, map[string]int{"a": 0}, time.Hour)
+		parseCommand(input)
+		job, err := parseJob(input, map[string]int{"a": 0}, time.Hour)
 		request := &job.request
 		if err == nil && (len(request.ID) < 8 || request.TimeLeft < 0 || request.Work < 0) {
 			t.Fatalf("%+v", request)
--- a/internal/faktory/golden_config_test.go
+++ b/internal/faktory/golden_config_test.go
@@ -20,17 +20,23 @@
 		t.Fatal(err)
 	}
 	for _, text := range []string{
-		string(committed), "", "unknown = 1", "listen = \"a\"", "[source]\naddress = \"a\"", "listen = \":1\"\n[source]\nlanes = 65",
-		"listen = \":1\"\n[source]\nqueues = [\"a b\"]", "listen = 3", "listen = \":1\"\n[durable]\nunknown = 1",
-		"listen = \":1\"\n[durable]\npath = \"p\"", "listen = \":1\"\n[durable]\npath = \"p\"\nqueues = [\"none\"]",
-		"listen = \":1\"\n[durable]\npath = \"p\"\nqueues = [\"renewal\"]", "listen = \":1\"\n[durable]\npath = \"p\"\nqueues = [\"renewal\"]\nlease_s = -1.0",
-		"listen = \":1\"\n[durable]\npath = \"p\"\nqueues = [\"renewal\"]\nattempts = -1", "[source]\naddress = \":1\"\n[durable]\npath = \"p\"\nqueues = [\"renewal\"]",
+		string(committed),
+		"",
+		"unknown = 1",
+		"listen = \"a\"",
+		"[source]\naddress = \"a\"",
+		"listen = \":1\"\n[source]\nlanes = 65",
+		"listen = \":1\"\n[source]\nqueues = [\"a b\"]",
+		"listen = 3",
+		"listen = \":1\"\n[durable]\nunknown = 1",
+		"listen = \":1\"\n[durable]\npath = \"p\"",
+		"listen = \":1\"\n[durable]\npath = \"p\"\nqueues = [\"none\"]",
+		"listen = \":1\"\n[durable]\npath = \"p\"\nqueues = [\"renewal\"]",
+		"listen = \":1\"\n[durable]\npath = \"p\"\nqueues = [\"renewal\"]\nlease_s = -1.0",
+		"listen = \":1\"\n[durable]\npath = \"p\"\nqueues = [\"renewal\"]\nattempts = -1",
+		"[source]\naddress = \":1\"\n[durable]\npath = \"p\"\nqueues = [\"renewal\"]",
 	} {
-		path := filepath.Join(t.TempDir(), "faktory.toml")
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		config, err := ReadConfig(path, &settings)
+		config, err := readConfigText(t, text, &settings)
 		name := text
 		if text == string(committed) {
 			name = "deploy/faktory.toml"
--- a/internal/faktory/jidmemory_test.go
+++ b/internal/faktory/jidmemory_test.go
@@ -11,19 +11,24 @@
 
 // The memory is bounded by number and by age, and never forgets jobs in progress.
 func TestJidMemoryIsBounded(t *testing.T) {
-	m := newJidMemory()
-	m.begin("in-work", 0)
+	jids := newJidMemory()
+	jids.begin("in-work", 0)
 	done := dispatch.Response{Outcome: dispatch.Served, MayHaveRun: true}
 	for i := range maxCompletedJids + 10 {
 		id := fmt.Sprint(i)
-		m.begin(id, time.Second)
-		m.finish(id, done, decision.NonIdempotent, time.Second)
+		jids.begin(id, time.Second)
+		jids.finish(id, done, decision.NonIdempotent, time.Second)
 	}
-	if len(m.entries) != maxCompletedJids+1 || m.status("9") != jidUnknown || m.status("10") != jidServed || m.status("in-work") != jidInProgress {
-		t.Errorf("%d jids, statuses %v %v %v", len(m.entries), m.status("9"), m.status("10"), m.status("in-work"))
+	if len(jids.entries) != maxCompletedJids+1 {
+		t.Errorf("%d jids, want %d", len(jids.entries), maxCompletedJids+1)
 	}
-	m.begin("new", time.Second+jidRetention)
-	if len(m.entries) != 2 || len(m.completed) != 0 {
-		t.Errorf("%d jids after their age", len(m.entries))
+	for id, want := range map[string]jidStatus{"9": jidUnknown, "10": jidServed, "in-work": jidInProgress} {
+		if got := jids.status(id); got != want {
+			t.Errorf("the status of %s is %v, want %v", id, got, want)
+		}
+	}
+	jids.begin("new", time.Second+jidRetention)
+	if len(jids.entries) != 2 || len(jids.completed) != 0 {
+		t.Errorf("%d jids, %d completed after their age, want 2 and 0", len(jids.entries), len(jids.completed))
 	}
 }
--- a/internal/faktory/server_test.go
+++ b/internal/faktory/server_test.go
@@ -1,10 +1,8 @@
 package faktory
 
 import (
-	"bufio"
 	"encoding/json"
 	"fmt"
-	"net"
 	"slices"
 	"strings"
 	"sync"
@@ -13,40 +11,42 @@
 )
 
 func TestPushIsAnsweredWhenTheJobCompletes(t *testing.T) {
-	addr, _ := openFront(t, serverConfig, nil)
-	w := dial(t, addr, hello{Wid: "w1"})
+	address, _ := openFront(t, serverConfig, nil)
+	worker := dialWorker(t, address, "w1")
 	for _, test := range []struct{ class, verb, want string }{
 		{"status-check", "ACK", "+OK"},
 		{"renewal", "ACK", "+OK"},
 		{"renewal", "FAIL", "-ERR FAILED it may have run; it will not be run again under this jid"},
 	} {
 		jid := "job-" + test.class + test.verb
-		got := pushAsync(t, addr, pushCommand(jid, test.class, ""))
-		if raw := w.fetch(bothQueues); jidOf(raw) != jid || !strings.Contains(raw, `"args":[1]`) {
-			t.Fatalf("fetched %q", raw)
+		answer := pushAsync(t, address, pushCommand(jid, test.class, ""))
+		raw := worker.fetch(bothQueues)
+		if jidOf(raw) != jid || !strings.Contains(raw, `"args":[1]`) {
+			t.Fatalf("fetched %q, want %s", raw, jid)
 		}
-		if r := w.do(test.verb + ` {"jid":"` + jid + `"}`); r != "+OK" {
-			t.Fatalf("%s: %q", test.verb, r)
+		if got := worker.do(test.verb + ` {"jid":"` + jid + `"}`); got != "+OK" {
+			t.Fatalf("%s: %q", test.verb, got)
 		}
-		if a := awaitAnswer(t, got); a != test.want {
-			t.Errorf("%s after %s: %q, want %q", test.class, test.verb, a, test.want)
+		if got := awaitAnswer(t, answer); got != test.want {
+			t.Errorf("%s after %s: %q, want %q", test.class, test.verb, got, test.want)
 		}
 	}
-	info := w.do("INFO")
-	if !strings.Contains(info, `"total_processed":2`) {
+	if info := worker.do("INFO"); !strings.Contains(info, `"total_processed":2`) {
 		t.Errorf("INFO %s", info)
 	}
-	if r := w.do("END"); r != "+OK" {
-		t.Errorf("END %q", r)
+	if got := worker.do("END"); got != "+OK" {
+		t.Errorf("END %q", got)
 	}
-	if _, err := w.reply(); err == nil {
+	if _, err := worker.readReply(); err == nil {
 		t.Error("the connection stays open after END")
 	}
 }
 
-func TestBadInputIsAnswered(t *testing.T) {
-	addr, _ := openFront(t, serverConfig, nil)
-	p := dial(t, addr, hello{})
+// Input that is invalid is answered by an error of its kind, and the connection
+// stays open.
+func TestInvalidCommandIsAnswered(t *testing.T) {
+	address, _ := openFront(t, serverConfig, nil)
+	producer := dialProducer(t, address)
 	for command, want := range map[string]string{
 		pushCommand("job-00001", "nonsense", ""):                                           "-ERR UNKNOWN",
 		`PUSH {"jid":"job-00001","queue":"renewal","jobtype":"status-check","args":[]}`:    "-ERR UNKNOWN",
@@ -63,52 +63,55 @@
 		`ACK {"jid":"nobodys"}`:  "+OK",
 		`BEAT {"wid":"nobodys"}`: "+OK",
 	} {
-		if got := p.do(command); !strings.HasPrefix(got, want) {
+		if got := producer.do(command); !strings.HasPrefix(got, want) {
 			t.Errorf("%.40s: %q, want %q", command, got, want)
 		}
 	}
 	// A line without an end must not take up memory without bound.
-	if got := p.do(strings.Repeat("x", maxCommandBytes+100)); !strings.HasPrefix(got, "-ERR MALFORMED") {
+	if got := producer.do(strings.Repeat("x", maxCommandBytes+100)); !strings.HasPrefix(got, "-ERR MALFORMED") {
 		t.Errorf("endless line: %.60q", got)
 	}
+}
+
+// An invalid first command is answered, and the connection is closed.
+func TestInvalidFirstCommandClosesTheConnection(t *testing.T) {
+	address, _ := openFront(t, serverConfig, nil)
 	for _, first := range []string{`HELLO {"v":3}`, `HELLO x`, `PUSH {}`, `HELLO {"v":2,"wid":"a b"}`} {
-		conn, err := net.Dial("tcp", addr)
-		if err != nil {
-			t.Fatal(err)
-		}
-		q := &client{t, conn, bufio.NewReader(conn)}
-		q.reply()
-		if got := q.do(first); !strings.HasPrefix(got, "-ERR") {
+		c := connect(t, address)
+		c.readReply()
+		if got := c.do(first); !strings.HasPrefix(got, "-ERR") {
 			t.Errorf("%s: %q", first, got)
 		}
-		if _, err := q.reply(); err == nil {
+		if _, err := c.readReply(); err == nil {
 			t.Errorf("%s: the connection stays open", first)
 		}
-		conn.Close()
 	}
 }
 
 func TestPassword(t *testing.T) {
-	addr, _ := openFront(t, serverConfig+"password = \"open sesame\"\n", nil)
-	for _, test := range []struct{ password, want string }{{"open sesame", "+OK"}, {"", "-ERR Invalid password"}} {
-		conn, err := net.Dial("tcp", addr)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer conn.Close()
-		p := &client{t, conn, bufio.NewReader(conn)}
-		hi, _ := p.reply()
-		var g greeting
-		if err := json.Unmarshal([]byte(strings.TrimPrefix(hi, "+HI ")), &g); err != nil || g.Salt == "" || g.Iterations < 1 {
-			t.Fatalf("greeting %q", hi)
+	address, _ := openFront(t, serverConfig+"password = \"open sesame\"\n", nil)
+	for _, test := range []struct{ password, want string }{
+		{"open sesame", "+OK"},
+		{"", "-ERR Invalid password"},
+	} {
+		c := connect(t, address)
+		line, _ := c.readReply()
+		var message greeting
+		err := json.Unmarshal([]byte(strings.TrimPrefix(line, "+HI ")), &message)
+		if err != nil || message.Salt == "" || message.Iterations < 1 {
+			t.Fatalf("greeting %q", line)
 		}
-		raw, _ := json.Marshal(hello{Version: 2, Hash: hashPassword(test.password, g.Salt, g.Iterations)})
-		if got := p.do("HELLO " + string(raw)); got != test.want {
+		raw, _ := json.Marshal(hello{Version: 2, Hash: hashPassword(test.password, message.Salt, message.Iterations)})
+		if got := c.do("HELLO " + string(raw)); got != test.want {
 			t.Errorf("password %q: %q, want %q", test.password, got, test.want)
 		}
 	}
-	// The specification's own example of the hash.
-	if got := hashPassword("foobar", "55104dc76695721d", 1545); got != "6d877f8e5544b1f2598768f817413ab8a357afffa924dedae99eb91472d4ec30" {
+}
+
+// The specification's own example of the hash.
+func TestHashPassword(t *testing.T) {
+	got := hashPassword("foobar", "55104dc76695721d", 1545)
+	if got != "6d877f8e5544b1f2598768f817413ab8a357afffa924dedae99eb91472d4ec30" {
 		t.Errorf("hash %s", got)
 	}
 }
@@ -116,28 +119,31 @@
 // A job that no worker fetches in time is rejected with a Retry-After; one whose
 // client has no time left is rejected at once.
 func TestRejectionsAndDeadlines(t *testing.T) {
-	addr, c := openFront(t, serverConfig, nil)
-	p := dial(t, addr, hello{})
-	if got := p.do(pushCommand("late-00001", "renewal", `"time_left_ms":300`)); !strings.HasPrefix(got, "-ERR REFUSED pushing it again is harmless; retry after ") {
+	address, dispatcher := openFront(t, serverConfig, nil)
+	producer := dialProducer(t, address)
+	got := producer.do(pushCommand("late-00001", "renewal", `"time_left_ms":300`))
+	if !strings.HasPrefix(got, "-ERR REFUSED pushing it again is harmless; retry after ") {
 		t.Errorf("no worker: %q", got)
 	}
-	if got := p.do(pushCommand("late-00001", "renewal", `"time_left_ms":1`)); !strings.HasPrefix(got, "-ERR REFUSED") {
+	got = producer.do(pushCommand("late-00001", "renewal", `"time_left_ms":1`))
+	if !strings.HasPrefix(got, "-ERR REFUSED") {
 		t.Errorf("no time, and the same jid again after a rejection: %q", got)
 	}
 	// Handed out, and never closed: at the deadline it fails, for it may have run.
-	w := dial(t, addr, hello{Wid: "w1"})
+	worker := dialWorker(t, address, "w1")
 	fetched := make(chan string, 1)
-	go func() { fetched <- w.fetch(bothQueues) }()
-	got := pushAsync(t, addr, pushCommand("late-00002", "renewal", `"time_left_ms":1500,"effort_us":20000`))
+	go func() { fetched <- worker.fetch(bothQueues) }()
+	answer := pushAsync(t, address, pushCommand("late-00002", "renewal", `"time_left_ms":1500,"effort_us":20000`))
 	if jidOf(awaitAnswer(t, fetched)) != "late-00002" {
 		t.Fatal("not fetched")
 	}
-	if a := awaitAnswer(t, got); !strings.HasPrefix(a, "-ERR FAILED it may have run") {
-		t.Errorf("overdue: %q", a)
+	if got := awaitAnswer(t, answer); !strings.HasPrefix(got, "-ERR FAILED it may have run") {
+		t.Errorf("overdue: %q", got)
 	}
-	onLoop(t, c, func() {
-		if c.Unanswered() != 0 || c.Counts().Rejected != 2 || c.Counts().Failed != 1 {
-			t.Errorf("unanswered %d, counts %+v", c.Unanswered(), c.Counts())
+	onLoop(t, dispatcher, func() {
+		counts := dispatcher.Counts()
+		if dispatcher.Unanswered() != 0 || counts.Rejected != 2 || counts.Failed != 1 {
+			t.Errorf("unanswered %d, counts %+v", dispatcher.Unanswered(), counts)
 		}
 	})
 }
@@ -146,43 +152,46 @@
 // is not handed out again, not even when it is pushed again; a late ACK makes it
 // served. An idempotent job goes to another worker.
 func TestLostAck(t *testing.T) {
-	addr, _ := openFront(t, serverConfig, nil)
-	w1 := dial(t, addr, hello{Wid: "w1"})
-	lost, other := pushAsync(t, addr, pushCommand("lost-00001", "renewal", "")), pushAsync(t, addr, pushCommand("lost-00002", "status-check", ""))
-	first, second := w1.fetch(bothQueues), ""
-	w1b := dial(t, addr, hello{Wid: "w1"})
-	second = w1b.fetch(bothQueues)
-	if got := []string{jidOf(first), jidOf(second)}; !slices.Contains(got, "lost-00001") || !slices.Contains(got, "lost-00002") {
-		t.Fatalf("fetched %q", got)
-	}
-	again := dial(t, addr, hello{})
-	if got := again.do(pushCommand("lost-00001", "renewal", "")); !strings.HasPrefix(got, "-ERR REFUSED this jid is in work") {
+	address, _ := openFront(t, serverConfig, nil)
+	lostWorker := dialWorker(t, address, "w1")
+	renewal := pushAsync(t, address, pushCommand("lost-00001", "renewal", ""))
+	statusCheck := pushAsync(t, address, pushCommand("lost-00002", "status-check", ""))
+	first := lostWorker.fetch(bothQueues)
+	lostWorkerToo := dialWorker(t, address, "w1")
+	second := lostWorkerToo.fetch(bothQueues)
+	fetched := []string{jidOf(first), jidOf(second)}
+	if !slices.Contains(fetched, "lost-00001") || !slices.Contains(fetched, "lost-00002") {
+		t.Fatalf("fetched %q", fetched)
+	}
+	producer := dialProducer(t, address)
+	pushRenewal := func() string { return producer.do(pushCommand("lost-00001", "renewal", "")) }
+	if got := pushRenewal(); !strings.HasPrefix(got, "-ERR REFUSED this jid is in work") {
 		t.Errorf("pushed while in progress: %q", got)
 	}
-	w2 := dial(t, addr, hello{Wid: "w2"})
-	w1.conn.Close()
-	w1b.conn.Close()
-	if got := w2.fetch(bothQueues); jidOf(got) != "lost-00002" {
+	otherWorker := dialWorker(t, address, "w2")
+	lostWorker.conn.Close()
+	lostWorkerToo.conn.Close()
+	if got := otherWorker.fetch(bothQueues); jidOf(got) != "lost-00002" {
 		t.Fatalf("the idempotent job is not retried: %q", got)
 	}
-	w2.do(`ACK {"jid":"lost-00002"}`)
-	if a := awaitAnswer(t, other); a != "+OK" {
-		t.Errorf("status-check: %q", a)
+	otherWorker.ack("lost-00002")
+	if got := awaitAnswer(t, statusCheck); got != "+OK" {
+		t.Errorf("status-check: %q", got)
 	}
-	if a := awaitAnswer(t, lost); !strings.HasPrefix(a, "-ERR FAILED it may have run") {
-		t.Errorf("renewal: %q", a)
+	if got := awaitAnswer(t, renewal); !strings.HasPrefix(got, "-ERR FAILED it may have run") {
+		t.Errorf("renewal: %q", got)
 	}
-	if got := again.do(pushCommand("lost-00001", "renewal", "")); !strings.HasPrefix(got, "-ERR FAILED it may have run") {
+	if got := pushRenewal(); !strings.HasPrefix(got, "-ERR FAILED it may have run") {
 		t.Errorf("pushed again: %q", got)
 	}
-	if got := w2.do("FETCH " + bothQueues); got != "$-1" {
+	if got := otherWorker.do("FETCH " + bothQueues); got != nullBulk {
 		t.Errorf("handed out again: %q", got)
 	}
-	w3 := dial(t, addr, hello{Wid: "w1"}) // back, with the ACK that was lost
-	if got := w3.do(`ACK {"jid":"lost-00001"}`); got != "+OK" {
+	returned := dialWorker(t, address, "w1") // back, with the ACK that was lost
+	if got := returned.ack("lost-00001"); got != "+OK" {
 		t.Errorf("late ACK: %q", got)
 	}
-	if got := again.do(pushCommand("lost-00001", "renewal", "")); got != "+OK" {
+	if got := pushRenewal(); got != "+OK" {
 		t.Errorf("pushed again after the late ACK: %q", got)
 	}
 }
@@ -190,121 +199,138 @@
 // A worker that has said quiet gets no job, neither on the FETCH that is parked
 // nor on its next one; it finishes the jobs that it has.
 func TestQuietWorkerDrains(t *testing.T) {
-	addr, _ := openFront(t, serverConfig, nil)
-	w1, w1b := dial(t, addr, hello{Wid: "w1"}), dial(t, addr, hello{Wid: "w1"})
-	had := pushAsync(t, addr, pushCommand("quiet-0001", "renewal", ""))
-	if jidOf(w1.fetch(bothQueues)) != "quiet-0001" {
+	address, _ := openFront(t, serverConfig, nil)
+	quiet := dialWorker(t, address, "w1")
+	quietToo := dialWorker(t, address, "w1")
+	firstAnswer := pushAsync(t, address, pushCommand("quiet-0001", "renewal", ""))
+	if jidOf(quiet.fetch(bothQueues)) != "quiet-0001" {
 		t.Fatal("not fetched")
 	}
 	parked := make(chan string, 1)
-	go func() { parked <- w1b.do("FETCH " + bothQueues) }()
-	if got := w1.do(`BEAT {"wid":"w1","current_state":"quiet"}`); got != "+OK" {
+	go func() { parked <- quietToo.do("FETCH " + bothQueues) }()
+	if got := quiet.do(`BEAT {"wid":"w1","current_state":"quiet"}`); got != "+OK" {
 		t.Fatalf("BEAT %q", got)
 	}
-	late := pushAsync(t, addr, pushCommand("quiet-0002", "status-check", ""))
-	if got := awaitAnswer(t, parked); got != "$-1" {
+	secondAnswer := pushAsync(t, address, pushCommand("quiet-0002", "status-check", ""))
+	if got := awaitAnswer(t, parked); got != nullBulk {
 		t.Errorf("a quiet worker was given %q", got)
 	}
-	if got := w1b.do("FETCH " + bothQueues); got != "$-1" {
+	if got := quietToo.do("FETCH " + bothQueues); got != nullBulk {
 		t.Errorf("a quiet worker was given %q", got)
 	}
-	w1.do(`ACK {"jid":"quiet-0001"}`)
-	if a := awaitAnswer(t, had); a != "+OK" {
-		t.Errorf("what it had: %q", a)
+	quiet.ack("quiet-0001")
+	if got := awaitAnswer(t, firstAnswer); got != "+OK" {
+		t.Errorf("the job that it had: %q", got)
 	}
-	w2 := dial(t, addr, hello{Wid: "w2"})
-	if a := awaitAnswer(t, late); !strings.HasPrefix(a, "-ERR REFUSED") { // it waited for the next FETCH without success
-		t.Errorf("with no worker but a quiet one: %q", a)
+	other := dialWorker(t, address, "w2")
+	if got := awaitAnswer(t, secondAnswer); !strings.HasPrefix(got, "-ERR REFUSED") { // no FETCH came for it
+		t.Errorf("with no worker but a quiet one: %q", got)
 	}
-	next := pushAsync(t, addr, pushCommand("quiet-0003", "status-check", ""))
-	if got := w2.fetch("status-check"); jidOf(got) != "quiet-0003" {
-		t.Fatalf("the other worker got %q", got)
-	}
-	w2.do(`ACK {"jid":"quiet-0003"}`)
-	if a := awaitAnswer(t, next); a != "+OK" {
-		t.Errorf("next: %q", a)
+	thirdAnswer := pushAsync(t, address, pushCommand("quiet-0003", "status-check", ""))
+	other.expectFetch("status-check", "quiet-0003")
+	other.ack("quiet-0003")
+	if got := awaitAnswer(t, thirdAnswer); got != "+OK" {
+		t.Errorf("the job of the other worker: %q", got)
 	}
 }
 
 // A worker gets only jobs of the queues that it names.
 func TestWorkerGetsOnlyItsQueues(t *testing.T) {
-	addr, _ := openFront(t, serverConfig, nil)
-	checks, renewals := dial(t, addr, hello{Wid: "checks"}), dial(t, addr, hello{Wid: "renewals"})
-	var wg sync.WaitGroup
-	for w, class := range map[*client]string{checks: "status-check", renewals: "renewal"} {
-		wg.Go(func() {
+	address, _ := openFront(t, serverConfig, nil)
+	workers := map[*client]string{
+		dialWorker(t, address, "checks"):   "status-check",
+		dialWorker(t, address, "renewals"): "renewal",
+	}
+	var running sync.WaitGroup
+	for worker, class := range workers {
+		running.Go(func() {
 			for range 3 {
 				var got work
-				json.Unmarshal([]byte(w.fetch(class)), &got)
+				json.Unmarshal([]byte(worker.fetch(class)), &got)
 				if got.Queue != class {
 					t.Errorf("fetched %+v from %s", got, class)
 				}
-				w.do(`ACK {"jid":"` + got.Jid + `"}`)
+				worker.ack(got.Jid)
 			}
 		})
 	}
 	for i := range 3 {
 		for _, class := range []string{"status-check", "renewal"} {
-			if a := awaitAnswer(t, pushAsync(t, addr, pushCommand(fmt.Sprintf("bind-%s%d", class, i), class, ""))); a != "+OK" {
-				t.Errorf("%s: %q", class, a)
+			answer := pushAsync(t, address, pushCommand(fmt.Sprintf("bind-%s%d", class, i), class, ""))
+			if got := awaitAnswer(t, answer); got != "+OK" {
+				t.Errorf("%s: %q", class, got)
 			}
 		}
 	}
-	wg.Wait()
+	running.Wait()
 }
 
-// A worker in slow start gets fewer jobs than the warmed-up ones.
-func TestSlowStartSparesNewWorker(t *testing.T) {
-	addr, _ := openFront(t, serverConfig, nil)
-	var mu sync.Mutex
-	ran := map[string]int{}
-	serve := func(wid string, born int64) {
-		w := dial(t, addr, hello{Wid: wid, Labels: []string{fmt.Sprintf("born_ms:%d", born)}})
-		go func() {
-			for {
-				raw := w.do("FETCH " + bothQueues)
-				if strings.HasPrefix(raw, "broken") {
-					return
-				}
-				if raw == "$-1" {
-					continue
+// runCounts count how often something has run, by name.
+type runCounts struct {
+	mu     sync.Mutex
+	counts map[string]int
+}
+
+func newRunCounts() *runCounts { return &runCounts{counts: map[string]int{}} }
+
+func (r *runCounts) add(name string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.counts[name]++
+}
+
+// take returns the counts and starts anew.
+func (r *runCounts) take() map[string]int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	counts := r.counts
+	r.counts = map[string]int{}
+	return counts
+}
+
+// pushAll pushes jobs with numbers from first up to end on six connections, and
+// waits until all have run.
+func pushAll(t *testing.T, address string, first, end int) {
+	t.Helper()
+	const producers = 6
+	var running sync.WaitGroup
+	for number := range producers {
+		producer := dialProducer(t, address)
+		running.Go(func() {
+			for i := first + number; i < end; i += producers {
+				got := producer.do(pushCommand(fmt.Sprintf("cold-%05d", i), "status-check", `"effort_us":2000`))
+				if got != "+OK" {
+					t.Errorf("job %d: %q", i, got)
 				}
-				time.Sleep(2 * time.Millisecond)
-				mu.Lock()
-				ran[wid]++
-				mu.Unlock()
-				w.do(`ACK {"jid":"` + jidOf(raw) + `"}`)
 			}
-		}()
+		})
+	}
+	running.Wait()
+}
+
+// A worker in slow start gets fewer jobs than the warmed-up ones.
+func TestSlowStartSparesNewWorker(t *testing.T) {
+	address, _ := openFront(t, serverConfig, nil)
+	runs := newRunCounts()
+	serve := func(wid string, startedAt int64) {
+		worker := dialWorker(t, address, wid, fmt.Sprintf("born_ms:%d", startedAt))
+		go worker.serveJobs(func(string) {
+			time.Sleep(2 * time.Millisecond)
+			runs.add(wid)
+		})
 	}
 	serve("warm1", 1)
 	serve("warm2", 1)
-	load := func(from, to int) {
-		var wg sync.WaitGroup
-		for lane := range 6 {
-			p := dial(t, addr, hello{})
-			wg.Go(func() {
-				for i := from + lane; i < to; i += 6 {
-					if a := p.do(pushCommand(fmt.Sprintf("cold-%05d", i), "status-check", `"effort_us":2000`)); a != "+OK" {
-						t.Errorf("job %d: %q", i, a)
-					}
-				}
-			})
-		}
-		wg.Wait()
-	}
-	load(0, 60)
+	pushAll(t, address, 0, 60)
 	serve("cold", time.Now().UnixMilli())
-	mu.Lock()
-	clear(ran)
-	mu.Unlock()
-	load(60, 180)
-	mu.Lock()
-	defer mu.Unlock()
-	if total := ran["warm1"] + ran["warm2"] + ran["cold"]; total != 120 {
+	runs.take()
+	pushAll(t, address, 60, 180)
+	ran := runs.take()
+	warm := ran["warm1"] + ran["warm2"]
+	if total := warm + ran["cold"]; total != 120 {
 		t.Errorf("ran %v, want 120 in all", ran)
 	}
-	if 3*ran["cold"] > ran["warm1"]+ran["warm2"] {
+	if 3*ran["cold"] > warm {
 		t.Errorf("the worker in slow start got its full share or more: %v", ran)
 	}
 }
--- /dev/null
+++ b/internal/faktory/upstream_test.go
@@ -0,0 +1,183 @@
+package faktory
+
+import (
+	"bufio"
+	"encoding/json"
+	"fmt"
+	"net"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+)
+
+// Password, salt and iterations of the upstream server, as in the specification's
+// example.
+const (
+	upstreamPassword   = "password"
+	upstreamSalt       = "55104dc76695721d"
+	upstreamIterations = 1545
+)
+
+// upstreamServer is a server with reservations, written from the public
+// specification of the protocol.
+type upstreamServer struct {
+	listener net.Listener
+
+	mu              sync.Mutex        // guards what follows
+	queue           []string          // raw jobs
+	reserved        map[string]string // raw jobs by jid
+	closed          map[string]int    // ACKs and FAILs that found a reservation
+	unmatchedCloses int               // those that found none
+	closedBy        map[string]string // the verb of the last, by jid
+	loseAnswerTo    string            // the ACK of this jid is accepted and its answer lost, once
+	loseCloseOf     string            // the ACK of this jid is lost on the way, once
+	heartbeats      int
+}
+
+func startUpstream(t *testing.T) *upstreamServer {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	upstream := &upstreamServer{
+		listener: listener,
+		reserved: map[string]string{},
+		closed:   map[string]int{},
+		closedBy: map[string]string{},
+	}
+	t.Cleanup(func() { listener.Close() })
+	go upstream.acceptAll()
+	return upstream
+}
+
+// sourceConfig is an operator's file of both roles, with this server as upstream.
+func (u *upstreamServer) sourceConfig(lanes int) string {
+	return serverConfig + fmt.Sprintf("[source]\naddress = %q\npassword = %q\nlanes = %d\n", u.listener.Addr(), upstreamPassword, lanes)
+}
+
+func (u *upstreamServer) acceptAll() {
+	for {
+		conn, err := u.listener.Accept()
+		if err != nil {
+			return
+		}
+		go u.serve(conn)
+	}
+}
+
+// serve answers the commands of one connection.
+func (u *upstreamServer) serve(conn net.Conn) {
+	defer conn.Close()
+	fmt.Fprintf(conn, "+HI {\"v\":2,\"s\":%q,\"i\":%d}\r\n", upstreamSalt, upstreamIterations)
+	reader := bufio.NewReader(conn)
+	for {
+		line, err := reader.ReadString('\n')
+		if err != nil {
+			return
+		}
+		verb, rest, _ := strings.Cut(strings.TrimSpace(line), " ")
+		answer, open := u.handle(verb, rest)
+		fmt.Fprint(conn, answer)
+		if !open {
+			return
+		}
+	}
+}
+
+// handle returns the answer to a command, and whether the connection stays open.
+func (u *upstreamServer) handle(verb, rest string) (answer string, open bool) {
+	switch verb {
+	case "HELLO":
+		if !isValidHello(rest) {
+			return "-ERR Invalid password\r\n", false
+		}
+		return "+OK\r\n", true
+	case "FETCH":
+		raw, found := u.reserveNext()
+		if !found {
+			time.Sleep(20 * time.Millisecond)
+			return "$-1\r\n", true
+		}
+		return fmt.Sprintf("$%d\r\n%s\r\n", len(raw), raw), true
+	case "ACK", "FAIL":
+		if !u.close(verb, jidOf(rest)) {
+			return "", false
+		}
+		return "+OK\r\n", true
+	case "BEAT":
+		u.mu.Lock()
+		u.heartbeats++
+		u.mu.Unlock()
+		return "+OK\r\n", true
+	case "END":
+		return "", false
+	}
+	return "-ERR Unknown command\r\n", true
+}
+
+// isValidHello reports whether a worker has said HELLO with its wid and the right
+// password.
+func isValidHello(rest string) bool {
+	var message hello
+	err := json.Unmarshal([]byte(rest), &message)
+	return err == nil && message.Wid != "" && message.Hash == hashPassword(upstreamPassword, upstreamSalt, upstreamIterations)
+}
+
+// push queues a job.
+func (u *upstreamServer) push(raw string) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.queue = append(u.queue, raw)
+}
+
+// reserveNext takes the first job off the queue and reserves it; false: there is
+// none.
+func (u *upstreamServer) reserveNext() (raw string, found bool) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if len(u.queue) == 0 {
+		return "", false
+	}
+	raw = u.queue[0]
+	u.queue = u.queue[1:]
+	u.reserved[jidOf(raw)] = raw
+	return raw, true
+}
+
+// close records an ACK or FAIL; false: the connection breaks in place of an answer.
+func (u *upstreamServer) close(verb, jid string) bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	if jid == u.loseCloseOf {
+		u.loseCloseOf = ""
+		u.queue = append(u.queue, u.reserved[jid]) // its reservation expires
+		return false
+	}
+	if u.reserved[jid] == "" {
+		u.unmatchedCloses++
+	} else {
+		u.closed[jid]++
+		u.closedBy[jid] = verb
+		delete(u.reserved, jid)
+	}
+	if jid == u.loseAnswerTo {
+		u.loseAnswerTo = ""
+		return false
+	}
+	return true
+}
+
+// isIdle reports whether so many jobs have been closed and none is left.
+func (u *upstreamServer) isIdle(closed int) bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return len(u.closed) == closed && len(u.queue) == 0 && len(u.reserved) == 0
+}
+
+// closesOf returns how often a job has been closed, and the verb of the last time.
+func (u *upstreamServer) closesOf(jid string) (count int, verb string) {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return u.closed[jid], u.closedBy[jid]
+}
