--- a/internal/faktory/config.go
+++ b/internal/faktory/config.go
@@ -21,7 +21,9 @@
 const (
 	defaultLanes = 8
 	maxLanes     = 64
-	// maxDurableValue bounds the numbers of the durable table, so that a span in seconds fits a duration.
+
+	// maxDurableValue bounds the numbers of the durable table, so that a span in
+	// seconds fits a duration.
 	maxDurableValue = 1e9
 )
 
@@ -55,19 +57,6 @@
 	Log *slog.Logger `toml:"-"` // receives the audit records; nil: discarded
 }
 
-// ErrSourceNotMovable says that a process with the source role cannot hand
-// over to a successor.
-var ErrSourceNotMovable = errors.New("it fetches from upstream, whose jids are in memory only")
-
-// DirectQueueError says that a process with a direct queue cannot hand over to
-// a successor.
-type DirectQueueError struct{ Queue string }
-
-// Error names the queue.
-func (e *DirectQueueError) Error() string {
-	return fmt.Sprintf("queue %q is direct, and its jids are in memory only", e.Queue)
-}
-
 // Default returns the configuration that a file or table is decoded into.
 func Default() (c Config) {
 	c.Source.Lanes = defaultLanes
@@ -130,17 +119,17 @@
 	return nil
 }
 
-// Movable reports whether a process with this configuration can hand over to a
-// successor, which needs all its state to be in the store. The error is nil,
-// ErrSourceNotMovable or a *DirectQueueError.
+// Movable checks that a process with this configuration can hand over to a
+// successor, which needs all its state to be in the store. The error tells the
+// operator why it cannot.
 func (c *Config) Movable(settings *decision.Settings) error {
 	if c.Source.Address != "" {
-		return ErrSourceNotMovable
+		return errors.New("it fetches from upstream, whose jids are in memory only")
 	}
 	for i := range settings.Classes {
 		name := settings.Classes[i].Name
 		if !slices.Contains(c.Durable.Queues, name) {
-			return &DirectQueueError{Queue: name}
+			return fmt.Errorf("queue %q is direct, and its jids are in memory only", name)
 		}
 	}
 	return nil
@@ -155,6 +144,7 @@
 	return durable
 }
 
+// check validates the durable table. Each error names the field.
 func (c *Durable) check(settings *decision.Settings, serverRole bool) error {
 	if c.Path == "" {
 		if len(c.Queues) > 0 {
--- a/internal/faktory/config_test.go
+++ b/internal/faktory/config_test.go
@@ -1,7 +1,6 @@
 package faktory
 
 import (
-	"errors"
 	"strings"
 	"testing"
 
@@ -67,12 +66,13 @@
 		t.Errorf("all queues durable: %v", err)
 	}
 	config.Durable.Queues = []string{"status-check"}
-	var direct *DirectQueueError
-	if err := config.Movable(&settings); !errors.As(err, &direct) || direct.Queue != "renewal" {
+	err := config.Movable(&settings)
+	if err == nil || err.Error() != `queue "renewal" is direct, and its jids are in memory only` {
 		t.Errorf("one direct queue: %v", err)
 	}
 	config.Source.Address = "127.0.0.1:1"
-	if err := config.Movable(&settings); !errors.Is(err, ErrSourceNotMovable) {
+	err = config.Movable(&settings)
+	if err == nil || err.Error() != "it fetches from upstream, whose jids are in memory only" {
 		t.Errorf("with the source role: %v", err)
 	}
 }
--- a/internal/faktory/connection.go
+++ b/internal/faktory/connection.go
@@ -94,7 +94,7 @@
 	c.unpark()
 	if worker := c.worker; worker != nil {
 		c.worker = nil
-		worker.connectionClosed(c.server)
+		worker.connectionClosed()
 	}
 }
 
--- a/internal/faktory/fetch.go
+++ b/internal/faktory/fetch.go
@@ -4,8 +4,6 @@
 	"slices"
 	"strings"
 	"time"
-
-	"hollyyoke.example/hollyyoke/decision"
 )
 
 // parkTimeout is how long a FETCH waits for a job.
@@ -28,7 +26,7 @@
 		return
 	}
 	c.park(string(rest))
-	c.server.offerSlot(c.fetch)
+	c.worker.offerSlot(c.fetch)
 	if queues := c.server.durable; queues != nil {
 		queues.scheduler.Wake()
 	}
@@ -63,38 +61,39 @@
 // isParked reports whether the FETCH still waits.
 func (f *parkedFetch) isParked() bool { return f.connection.fetch == f }
 
-// offerSlot gives a newly parked FETCH what waits for it, or else notifies
-// the dispatcher of the free slot. A worker that drains gets nothing: its FETCH is
-// answered with no job in time.
-func (s *Server) offerSlot(slot *parkedFetch) {
-	worker := slot.connection.worker
-	if worker.endpoint.State != decision.Running {
+// offerSlot gives a newly parked FETCH of the worker a job that waits for it, or
+// else notifies the dispatcher of the free slot. A worker that drains gets
+// nothing: its FETCH is answered with no job in time.
+func (w *registeredWorker) offerSlot(slot *parkedFetch) {
+	if !w.isRunning() {
 		return
 	}
-	s.extendKind(worker, slot.classes)
-	worker.deliverAwaiting(s)
-	worker.fillReservations(s)
-	if slot.isParked() && worker.listed {
-		s.reportFreeSlots(worker)
+	w.extendKind(slot.classes)
+	w.deliverAwaiting()
+	w.fillReservations()
+	if slot.isParked() && w.listed {
+		w.reportFreeSlots()
 	}
 }
 
-// extendKind adds classes to those that the worker's kind runs, which are what
-// any of its connections has fetched. The first time lists the worker.
-func (s *Server) extendKind(worker *registeredWorker, classes classSet) {
+// extendKind adds classes to those that the worker's kind runs, which are the
+// classes that any of its connections has fetched. The first time lists the
+// worker.
+func (w *registeredWorker) extendKind(classes classSet) {
 	if classes == 0 {
 		return
 	}
-	if worker.listed {
-		classes |= classSet(worker.endpoint.Kind - s.firstClassKind)
+	firstClassKind := w.server.firstClassKind
+	if w.listed {
+		classes |= classSet(w.endpoint.Kind - firstClassKind)
 	}
-	kind := s.firstClassKind + int(classes)
-	if worker.listed && kind == worker.endpoint.Kind {
+	kind := firstClassKind + int(classes)
+	if w.listed && kind == w.endpoint.Kind {
 		return
 	}
-	worker.endpoint.Kind = kind
-	worker.listed = true
-	s.updateEndpoint(worker)
+	w.endpoint.Kind = kind
+	w.listed = true
+	w.updateEndpoint()
 }
 
 // classesOf returns the classes that a FETCH names. Other queues are ignored.
--- a/internal/faktory/queues.go
+++ b/internal/faktory/queues.go
@@ -16,13 +16,6 @@
 	allQueues   = "*" // in place of a queue: all durable ones
 )
 
-// unknownQueueError rejects a QUEUE command that names no durable queue.
-type unknownQueueError struct{ queue string }
-
-func (e *unknownQueueError) Error() string {
-	return fmt.Sprintf("queue %s: no durable one", singleLine(fmt.Sprintf("%.*s", maxVerbShown, e.queue)))
-}
-
 // handleQueue handles QUEUE PAUSE, RESUME and REMOVE.
 func (c *connection) handleQueue(rest []byte) {
 	fields := strings.Fields(string(rest))
@@ -48,27 +41,33 @@
 }
 
 // durableQueueNames checks that all queues are durable. All durable queues take
-// the place of "*", in alphabetical order.
+// the place of "*", after which the names so far are in alphabetical order.
 func (s *Server) durableQueueNames(queues []string) (names []string, err error) {
 	for _, queue := range queues {
 		if queue == allQueues {
-			for name, class := range s.classIndexes {
-				if s.isDurable(class) {
-					names = append(names, name)
-				}
-			}
+			names = append(names, s.allDurableQueues()...)
 			slices.Sort(names)
 			continue
 		}
 		class, known := s.classIndexes[queue]
 		if !known || !s.isDurable(class) {
-			return nil, &unknownQueueError{queue: queue}
+			return nil, fmt.Errorf("queue %s: no durable one", singleLine(fmt.Sprintf("%.*s", maxVerbShown, queue)))
 		}
 		names = append(names, queue)
 	}
 	return names, nil
 }
 
+// allDurableQueues returns the names of the durable queues.
+func (s *Server) allDurableQueues() (names []string) {
+	for name, class := range s.classIndexes {
+		if s.isDurable(class) {
+			names = append(names, name)
+		}
+	}
+	return names
+}
+
 // pauseQueues pauses or resumes queues, and answers once that is on disk.
 func (c *connection) pauseQueues(names []string, pause bool) {
 	reply := c.deferReply()
--- a/internal/faktory/reports.go
+++ b/internal/faktory/reports.go
@@ -43,7 +43,7 @@
 	}
 	switch message.State {
 	case stateQuiet, stateTerminate, stateTerminating:
-		worker.drain(c.server)
+		worker.drain()
 	}
 }
 
--- a/internal/faktory/slots.go
+++ b/internal/faktory/slots.go
@@ -5,7 +5,6 @@
 	"slices"
 	"time"
 
-	"hollyyoke.example/hollyyoke/decision"
 	"hollyyoke.example/hollyyoke/internal/eventloop"
 )
 
@@ -20,10 +19,10 @@
 
 // slotReservation is a durable job that waits for a slot of a worker before it is leased.
 type slotReservation struct {
-	jid      string
-	class    int
-	onResult func(free bool)
-	deadline eventloop.Deadline
+	jid        string
+	class      int
+	onReserved func(reserved bool)
+	deadline   eventloop.Deadline
 }
 
 // slotFor returns the parked FETCH that is reserved for a job, or else the
@@ -44,15 +43,15 @@
 }
 
 // deliverAwaiting hands deliveries that wait for a FETCH to the slots that fit.
-func (w *registeredWorker) deliverAwaiting(s *Server) {
+func (w *registeredWorker) deliverAwaiting() {
 	for _, delivery := range slices.Clone(w.awaitingFetch) {
 		slot := w.slotFor(delivery.attempt.Request.Class, delivery.attempt.Request.ID)
 		if slot == nil {
 			continue
 		}
 		w.awaitingFetch = remove(w.awaitingFetch, delivery)
-		s.dispatcher.Loop.Clear(&delivery.fetchDeadline)
-		s.handOut(delivery, slot)
+		w.server.dispatcher.Loop.Clear(&delivery.fetchDeadline)
+		w.server.handOut(delivery, slot)
 	}
 }
 
@@ -78,7 +77,7 @@
 // oldest on, and the number of running workers.
 func (s *Server) freeParked() (parked []*parkedFetch, running int) {
 	for _, worker := range s.workers {
-		if !worker.listed || worker.endpoint.State != decision.Running {
+		if !worker.listed || !worker.isRunning() {
 			continue
 		}
 		running++
@@ -90,24 +89,24 @@
 }
 
 // Reserve keeps a parked FETCH of a worker for a job, now or when one comes in
-// time, and calls onResult with whether there is one. A worker of another front
-// end is always free.
-func (s *Server) Reserve(workerName string, class int, jid string, onResult func(free bool)) {
+// time, and calls onReserved with whether there is one. A worker of another front
+// end always has a slot.
+func (s *Server) Reserve(workerName string, class int, jid string, onReserved func(reserved bool)) {
 	worker := s.workers[workerName]
 	if worker == nil {
-		onResult(true)
+		onReserved(true)
 		return
 	}
-	if worker.endpoint.State != decision.Running || len(worker.reservations) >= max(worker.maxSlots, 1) {
-		onResult(false)
+	if !worker.isRunning() || len(worker.reservations) >= worker.maxWaiting() {
+		onReserved(false)
 		return
 	}
-	reservation := &slotReservation{jid: jid, class: class, onResult: onResult}
-	reservation.deadline.Fire = func() { worker.resolveReservation(s, reservation, false) }
+	reservation := &slotReservation{jid: jid, class: class, onReserved: onReserved}
+	reservation.deadline.Fire = func() { worker.resolveReservation(reservation, false) }
 	worker.reservations = append(worker.reservations, reservation)
 	loop := s.dispatcher.Loop
 	loop.Set(&reservation.deadline, loop.Now()+nextFetchTimeout)
-	worker.fillReservations(s)
+	worker.fillReservations()
 }
 
 // Unreserve frees a slot that was reserved for a job.
@@ -122,26 +121,26 @@
 		}
 	}
 	s.dispatcher.Loop.Post(func() {
-		worker.deliverAwaiting(s)
-		worker.fillReservations(s)
+		worker.deliverAwaiting()
+		worker.fillReservations()
 	})
 }
 
-// resolveReservation ends a reservation that waits.
-func (w *registeredWorker) resolveReservation(s *Server, reservation *slotReservation, free bool) {
+// resolveReservation ends the wait of a reservation.
+func (w *registeredWorker) resolveReservation(reservation *slotReservation, reserved bool) {
 	w.reservations = remove(w.reservations, reservation)
-	s.dispatcher.Loop.Clear(&reservation.deadline)
-	reservation.onResult(free)
+	w.server.dispatcher.Loop.Clear(&reservation.deadline)
+	reservation.onReserved(reserved)
 }
 
 // fillReservations reserves free slots for the jobs that wait for one.
-func (w *registeredWorker) fillReservations(s *Server) {
+func (w *registeredWorker) fillReservations() {
 	for _, reservation := range slices.Clone(w.reservations) {
 		slot := w.slotFor(reservation.class, "")
 		if slot == nil || !slices.Contains(w.reservations, reservation) {
 			continue
 		}
 		slot.reservedFor = reservation.jid
-		w.resolveReservation(s, reservation, true)
+		w.resolveReservation(reservation, true)
 	}
 }
--- a/internal/faktory/worker.go
+++ b/internal/faktory/worker.go
@@ -14,9 +14,8 @@
 const (
 	workerNamePrefix    = "faktory:"      // distinguishes wids from the names that discovery uses
 	rejoinTimeout       = time.Second     // a worker without connections is removed after that
-	runningBeforeWindow = 5 * time.Second // who joins so soon after our start was running before it
-
-	maxStartMillis = 1e13 // latest start that a label may tell, in Unix milliseconds
+	runningBeforeWindow = 5 * time.Second // a worker that joins so soon after our start was running before it
+	maxStartMillis      = 1e13            // latest start that a label may tell, in Unix milliseconds
 )
 
 // Labels of a worker's HELLO, in the form name:value.
@@ -30,19 +29,28 @@
 // registeredWorker is one wid, whatever the number of its connections: one worker
 // of the fleet to the dispatcher.
 type registeredWorker struct {
-	name           string // the wid with workerNamePrefix
-	endpoint       decision.Endpoint
-	listed         bool           // the dispatcher knows it
-	connections    int            // open ones
-	parked         []*parkedFetch // its free slots, the oldest first
-	awaitingFetch  []*jobDelivery // deliveries that wait for its next FETCH
-	reservations   []*slotReservation
-	inProgress     int // jobs handed out and not closed
+	server         *Server
+	name           string            // the wid with workerNamePrefix
+	endpoint       decision.Endpoint // as the dispatcher knows it, or will
+	listed         bool              // the dispatcher knows it: it has sent a FETCH
 	guarantee      jobs.Guarantee
-	maxSlots       int // the most it ever had parked and in progress
-	rejoinDeadline eventloop.Deadline
+	connections    int                // open ones
+	rejoinDeadline eventloop.Deadline // removes it, while it has no connection
+
+	parked        []*parkedFetch     // its free slots, the oldest first
+	reservations  []*slotReservation // durable jobs that wait for its next FETCH to be leased
+	awaitingFetch []*jobDelivery     // deliveries that wait for its next FETCH
+	inProgress    int                // jobs handed out and not closed
+	maxSlots      int                // the most it ever had parked and in progress
 }
 
+// isRunning reports whether the worker takes jobs: it neither drains nor is gone.
+func (w *registeredWorker) isRunning() bool { return w.endpoint.State == decision.Running }
+
+// maxWaiting bounds the deliveries, and the reservations, that wait for the
+// worker's next FETCH.
+func (w *registeredWorker) maxWaiting() int { return max(w.maxSlots, 1) }
+
 // registerWorker records a connection of a wid. A wid that is new is a worker
 // that has just started and is subject to slow start, unless it was surely
 // running before: it joins right after our own start, or a label gives its
@@ -64,9 +72,10 @@
 	return worker
 }
 
+// newWorker returns a worker that the dispatcher does not know yet.
 func (s *Server) newWorker(message hello) *registeredWorker {
 	now := s.dispatcher.Loop.Now()
-	worker := &registeredWorker{name: workerNamePrefix + message.Wid}
+	worker := &registeredWorker{server: s, name: workerNamePrefix + message.Wid}
 	worker.endpoint = decision.Endpoint{
 		Name:      worker.name,
 		Zone:      s.dispatcher.Settings.Zone,
@@ -78,7 +87,7 @@
 		worker.endpoint.StartedAt = 0
 	}
 	s.applyLabels(&worker.endpoint, message.Labels)
-	worker.rejoinDeadline.Fire = func() { s.removeWorker(worker) }
+	worker.rejoinDeadline.Fire = worker.remove
 	return worker
 }
 
@@ -99,60 +108,62 @@
 	}
 }
 
+// hasRunningWorker reports whether any worker of this front end takes jobs.
 func (s *Server) hasRunningWorker() bool {
 	for _, worker := range s.workers {
-		if worker.listed && worker.endpoint.State == decision.Running {
+		if worker.listed && worker.isRunning() {
 			return true
 		}
 	}
 	return false
 }
 
-// updateEndpoint notifies the dispatcher of a change of a worker's endpoint, if it
-// knows the worker.
-func (s *Server) updateEndpoint(worker *registeredWorker) {
-	if worker.listed {
-		s.dispatcher.UpdateWorkers(s, decision.ListDelta, []decision.Endpoint{worker.endpoint})
+// updateEndpoint notifies the dispatcher of a change of the worker's endpoint, if
+// it knows the worker.
+func (w *registeredWorker) updateEndpoint() {
+	if w.listed {
+		w.server.dispatcher.UpdateWorkers(w.server, decision.ListDelta, []decision.Endpoint{w.endpoint})
 	}
 }
 
 // connectionClosed records the end of a connection of the worker, which is
 // removed if it does not come back in time after the last one.
-func (w *registeredWorker) connectionClosed(s *Server) {
+func (w *registeredWorker) connectionClosed() {
 	w.connections--
 	if w.connections == 0 {
-		loop := s.dispatcher.Loop
+		loop := w.server.dispatcher.Loop
 		loop.Set(&w.rejoinDeadline, loop.Now()+rejoinTimeout)
 	}
 }
 
-// removeWorker removes a worker that has gone, and with it what was in progress there.
-func (s *Server) removeWorker(worker *registeredWorker) {
-	delete(s.workers, worker.name)
-	worker.endpoint.State = decision.Removed
-	s.updateEndpoint(worker)
-	worker.returnUndelivered(s)
-	for _, delivery := range s.deliveriesOf(worker) {
-		s.endAttempt(delivery, decision.ConnectionLost)
+// remove removes a worker that has gone, and with it what was in progress there.
+func (w *registeredWorker) remove() {
+	delete(w.server.workers, w.name)
+	w.endpoint.State = decision.Removed
+	w.updateEndpoint()
+	w.returnUndelivered()
+	for _, delivery := range w.server.deliveriesOf(w) {
+		w.server.endAttempt(delivery, decision.ConnectionLost)
 	}
 }
 
 // drain lets a worker finish what it has, and gives it nothing new.
-func (w *registeredWorker) drain(s *Server) {
-	if w.endpoint.State != decision.Running {
+func (w *registeredWorker) drain() {
+	if !w.isRunning() {
 		return
 	}
 	w.endpoint.State = decision.Draining
-	s.updateEndpoint(w)
-	w.returnUndelivered(s)
+	w.updateEndpoint()
+	w.returnUndelivered()
 }
 
-// returnUndelivered gives back what waits for a worker's next FETCH: it has not run.
-func (w *registeredWorker) returnUndelivered(s *Server) {
+// returnUndelivered gives back the jobs that wait for the worker's next FETCH:
+// they have not run.
+func (w *registeredWorker) returnUndelivered() {
 	for len(w.reservations) > 0 {
-		w.resolveReservation(s, w.reservations[0], false)
+		w.resolveReservation(w.reservations[0], false)
 	}
 	for len(w.awaitingFetch) > 0 {
-		s.endAttempt(w.awaitingFetch[0], decision.Saturated)
+		w.server.endAttempt(w.awaitingFetch[0], decision.Saturated)
 	}
 }
--- a/internal/faktory/workerclient.go
+++ b/internal/faktory/workerclient.go
@@ -14,21 +14,21 @@
 // CheckHealth answers at once from what is known of a worker.
 func (s *Server) CheckHealth(name string) {
 	if worker := s.workers[name]; worker != nil {
-		s.reportFreeSlots(worker)
+		worker.reportFreeSlots()
 	}
 }
 
-// reportFreeSlots reports to the dispatcher how many FETCHes of a worker wait.
-func (s *Server) reportFreeSlots(worker *registeredWorker) {
-	report := decision.LoadReport{FreeSlots: float64(len(worker.parked)), HasFreeSlots: true}
-	s.dispatcher.HealthChecked(worker.name, decision.Completed, report)
+// reportFreeSlots reports to the dispatcher how many FETCHes of the worker wait.
+func (w *registeredWorker) reportFreeSlots() {
+	report := decision.LoadReport{FreeSlots: float64(len(w.parked)), HasFreeSlots: true}
+	w.server.dispatcher.HealthChecked(w.name, decision.Completed, report)
 }
 
 // Start hands an attempt's job to a parked FETCH of its worker, or lets it wait
 // for the worker's next one.
 func (s *Server) Start(attempt dispatch.Attempt) {
 	worker := s.workers[attempt.Worker]
-	if worker == nil || worker.endpoint.State != decision.Running || len(worker.awaitingFetch) >= max(worker.maxSlots, 1) {
+	if worker == nil || !worker.isRunning() || len(worker.awaitingFetch) >= worker.maxWaiting() {
 		s.dispatcher.AttemptEnded(attempt.Handle, decision.Saturated, decision.LoadReport{}, nil)
 		return
 	}
