--- a/internal/durable/leasing.go
+++ b/internal/durable/leasing.go
@@ -111,5 +111,5 @@
 	}
 }
 
-// ignoreResult is for reports of the scheduler itself, which nobody waits for.
+// ignoreResult is for reports of the scheduler itself: no caller waits for their answers.
 func ignoreResult(error) {}
--- a/internal/durable/scheduler.go
+++ b/internal/durable/scheduler.go
@@ -15,18 +15,22 @@
 // defaultRetryAfter is how long a job that the dispatcher has rejected waits here, where the rejection does not say.
 const defaultRetryAfter = 250 * time.Millisecond
 
+// FreeSlot is a free slot of a worker.
+type FreeSlot struct {
+	Classes []int // that it takes, in order of preference
+}
+
 // Workers is what the Scheduler must know of workers and of the payloads of jobs.
 type Workers interface {
 	// Request converts a job to a request for the dispatcher.
 	Request(job jobs.Job) (dispatch.Request, error)
-	// FreeSlots lists, for each free slot, the classes that it takes, in order of preference; the slot that has been
-	// free longest comes first.
-	FreeSlots() [][]int
+	// FreeSlots lists the free slots, the one that has been free longest first.
+	FreeSlots() []FreeSlot
 	// Guarantee is what a worker has promised of non-idempotent jobs.
 	Guarantee(worker string) jobs.Guarantee
 	// Reserve reserves a slot of a worker for a job and calls onReserved with true, now or once a slot is free, or
-	// with false where none is free in time. A lease is stored only after that: a crash in between would leave a job
-	// in doubt that nobody has received.
+	// with false where none is free in time. A lease is stored only after that: if it were stored before, a crash in
+	// between would leave a job in doubt that no worker has received.
 	Reserve(worker string, class int, id string, onReserved func(reserved bool))
 	// Unreserve releases a slot that was reserved for a job.
 	Unreserve(worker, id string)
@@ -96,8 +100,8 @@
 // Stop begins a graceful shutdown: no more jobs are handed to the dispatcher.
 func (s *Scheduler) Stop() { s.stopped = true }
 
-// Release takes all jobs back from the dispatcher. Leases stay as they are, and their workers will report to whoever
-// opens the store next.
+// Release takes all jobs back from the dispatcher. Leases stay as they are: their workers report to the next process
+// that opens the store.
 func (s *Scheduler) Release() {
 	s.stopped = true
 	for _, assignment := range s.assignmentsByJob {
@@ -143,7 +147,7 @@
 	}
 	slots := s.workers.FreeSlots()
 	for i := s.unleasedAssignments; i < len(slots); i++ {
-		job, class, ok := s.dequeue(slots[i])
+		job, class, ok := s.dequeue(slots[i].Classes)
 		if ok {
 			s.assign(job, class)
 		}
--- a/internal/durable/service.go
+++ b/internal/durable/service.go
@@ -95,8 +95,8 @@
 	s.carryOut(recovered)
 }
 
-// Close stores all changes so far and closes the file. Callers of Watch are called with their jobs as they stand; what
-// becomes of the jobs after that, the next process that opens the store knows.
+// Close stores all changes that have been made and closes the file. The callbacks of Watch are called with their jobs
+// as they are; the next process that opens the store continues them.
 func (s *Service) Close() error {
 	if s.closed {
 		return nil
--- a/internal/durable/storing.go
+++ b/internal/durable/storing.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// AfterSync calls done with nil once all changes so far are on disk, or with the store's error.
+// AfterSync calls done with nil once all changes made before it are on disk, or with the store's error.
 func (s *Service) AfterSync(done func(error)) { s.storeRecord(syncedRecord, nil, done) }
 
 // storeRecord stores a record that is no job, or deletes it where value is nil.
--- a/internal/faktory/config.go
+++ b/internal/faktory/config.go
@@ -120,8 +120,8 @@
 }
 
 // Movable checks that a process with this configuration can hand over to a
-// successor, which needs all its state to be in the store. The error tells the
-// operator why it cannot.
+// successor, which needs all its state to be in the store. The error says why it
+// cannot.
 func (c *Config) Movable(settings *decision.Settings) error {
 	if c.Source.Address != "" {
 		return errors.New("it fetches from upstream, whose jids are in memory only")
--- a/internal/faktory/delivery.go
+++ b/internal/faktory/delivery.go
@@ -14,8 +14,8 @@
 type jobDelivery struct {
 	attempt       dispatch.Attempt
 	worker        *registeredWorker
-	handedOut     bool // from then on the job may have run
-	fetchDeadline eventloop.Deadline
+	handedOut     bool               // from then on the job may have run
+	fetchDeadline eventloop.Deadline // by which the worker's next FETCH must have come
 }
 
 // handOut answers a parked FETCH with the job of a delivery. If the connection
--- a/internal/faktory/input.go
+++ b/internal/faktory/input.go
@@ -2,7 +2,7 @@
 
 import "hollyyoke.example/hollyyoke/internal/transport"
 
-// input holds what a peer has sent and nobody has processed yet.
+// input holds what a peer has sent and what has not been processed yet.
 type input struct {
 	pool   *transport.Pool
 	buffer *transport.Buffer // nil: empty
--- a/internal/faktory/jidmemory.go
+++ b/internal/faktory/jidmemory.go
@@ -44,7 +44,7 @@
 // jobs from running twice.
 type jidMemory struct {
 	entries   map[string]*jidEntry
-	completed []completedJid // the oldest first; the jids of some may have begun anew since
+	completed []completedJid // the oldest first; some of their jids may be in progress again
 }
 
 func newJidMemory() *jidMemory { return &jidMemory{entries: map[string]*jidEntry{}} }
--- a/internal/faktory/jobpayload.go
+++ b/internal/faktory/jobpayload.go
@@ -108,10 +108,10 @@
 		return job, err
 	}
 	if milliseconds := payload.Custom.LeftMs; milliseconds > 0 {
-		job.request.TimeLeft = time.Duration(min(milliseconds*1e6, maxHint))
+		job.request.TimeLeft = time.Duration(min(milliseconds*float64(time.Millisecond), maxHint))
 	}
 	if microseconds := payload.Custom.EffortUs; microseconds > 0 {
-		job.request.Work = time.Duration(min(microseconds*1e3, maxHint))
+		job.request.Work = time.Duration(min(microseconds*float64(time.Microsecond), maxHint))
 	}
 	return job, nil
 }
--- a/internal/faktory/lane.go
+++ b/internal/faktory/lane.go
@@ -130,9 +130,9 @@
 }
 
 // reconnect drops the connection and dials again after a backoff. A job in
-// progress goes on. An ACK or FAIL of which a part has not left is sent again;
-// one that may have arrived is not: if upstream has not received it, it will
-// deliver the jid again.
+// progress goes on. An ACK or FAIL that has not been sent completely is sent
+// again; one that may have arrived is not: if upstream has not received it, it
+// will deliver the jid again.
 func (l *lane) reconnect(reason error) {
 	if l.state != laneDown || l.backoff == 0 {
 		l.source.dispatcher.Log(fmt.Sprintf("upstream, lane %d: %s", l.number, singleLine(reason.Error())))
--- a/internal/faktory/reports.go
+++ b/internal/faktory/reports.go
@@ -17,7 +17,7 @@
 	stateTerminating = "terminating"
 )
 
-// handleBeat takes a worker's heartbeat. A worker that says it is quiet or
+// handleBeat handles BEAT, a worker's heartbeat. A worker that says it is quiet or
 // about to terminate drains from now on.
 func (c *connection) handleBeat(rest []byte) {
 	var message beatMessage
@@ -81,9 +81,8 @@
 	})
 }
 
-// handleCompletion takes an ACK or a FAIL: the outcome of a job. One for a job
-// that is not handed out, or not any more, changes no answer and is accepted
-// all the same.
+// handleCompletion handles ACK and FAIL: the outcome of a job. For a direct job
+// that is not handed out, or not any more, the answer is +OK too.
 func (c *connection) handleCompletion(verb string, rest []byte) {
 	message, ok := c.decodeReport(verb, rest)
 	if !ok {
@@ -110,7 +109,7 @@
 
 // completeDirect ends the attempt of a direct job that is handed out to worker,
 // or to any worker if that is nil. An ACK that comes after the end of the
-// attempt tells that the job ran.
+// attempt is the proof that the job ran.
 func (s *Server) completeDirect(verb string, worker *registeredWorker, jid string) {
 	delivery := s.findHandedOut(worker, jid)
 	if delivery != nil {
--- a/internal/faktory/server.go
+++ b/internal/faktory/server.go
@@ -27,19 +27,22 @@
 type Server struct {
 	dispatcher     *dispatch.Dispatcher
 	engine         *transport.Engine
-	password       string
+	password       string         // empty: none is required
 	classIndexes   map[string]int // by name
 	firstClassKind int            // worker kinds from here on are a classSet each, see Prepare
-	connections    slotmap.Map[connection]
-	gate           *listener.Gate
-	workers        map[string]*registeredWorker // by name
-	deliveries     map[uint64]*jobDelivery
-	jids           *jidMemory
-	durable        *durableQueues // nil: all queues are direct
-	acceptor       *transport.Acceptor
-	startedAt      time.Duration
-	commandCount   uint64
-	writeBuffer    []byte
+
+	gate        *listener.Gate
+	acceptor    *transport.Acceptor
+	connections slotmap.Map[connection] // by the token that the dispatcher and the gate use
+
+	workers    map[string]*registeredWorker // by name
+	deliveries map[uint64]*jobDelivery      // by the handle of their attempt
+	jids       *jidMemory                   // of direct jobs
+	durable    *durableQueues               // nil: all queues are direct
+
+	startedAt    time.Duration
+	commandCount uint64 // for INFO
+	writeBuffer  []byte // reused by handOut
 }
 
 // The interfaces that the dispatcher and the gate use; ClientWatcher is asked
--- a/internal/faktory/server_test.go
+++ b/internal/faktory/server_test.go
@@ -279,7 +279,7 @@
 	r.counts[name]++
 }
 
-// take returns the counts and starts anew.
+// take returns the counts and resets them.
 func (r *runCounts) take() map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/faktory/slots.go
+++ b/internal/faktory/slots.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"hollyyoke.example/hollyyoke/internal/durable"
 	"hollyyoke.example/hollyyoke/internal/eventloop"
 )
 
@@ -55,19 +56,20 @@
 	}
 }
 
-// FreeSlots returns, for each parked FETCH from the oldest on, the durable
-// classes that it takes, in its order.
-func (s *Server) FreeSlots() (slots [][]int) {
+// FreeSlots returns the parked FETCHes that name durable classes, the oldest
+// first. Where workers of other front ends are ready it adds slots that take all
+// durable classes, as their free slots are not known.
+func (s *Server) FreeSlots() (slots []durable.FreeSlot) {
 	parked, running := s.freeParked()
-	for _, slot := range parked {
-		if len(slot.durableClasses) > 0 {
-			slots = append(slots, slot.durableClasses)
+	for _, fetch := range parked {
+		if len(fetch.durableClasses) > 0 {
+			slots = append(slots, durable.FreeSlot{Classes: fetch.durableClasses})
 		}
 	}
-	if s.dispatcher.ReadyWorkers() > running { // workers of other front ends
+	if s.dispatcher.ReadyWorkers() > running {
 		all := s.durable.allClasses()
 		for range foreignOffers {
-			slots = append(slots, all)
+			slots = append(slots, durable.FreeSlot{Classes: all})
 		}
 	}
 	return slots
--- a/internal/jobs/explorer_test.go
+++ b/internal/jobs/explorer_test.go
@@ -9,9 +9,10 @@
 	"time"
 )
 
-// An exhaustive explorer: two workers, two non-idempotent jobs, a store that takes its time, messages that are lost or
-// late, leases that expire, and crashes with and without the writes that had not been confirmed. Every interleaving to
-// a depth is tried; states visited before with as many steps left are not tried again.
+// An exhaustive explorer of interleavings (model checking): two workers, two non-idempotent jobs, a store that confirms
+// writes late, messages that are lost or late, leases that expire, and crashes with and without the writes that had not
+// been confirmed. Every interleaving to a depth is tried; a state that was visited before with as many steps left is not
+// tried again.
 
 // messageKind is what a message between the machine and a worker says.
 type messageKind string
@@ -108,7 +109,7 @@
 
 func sortedIDs(m *Machine) []string { return slices.Sorted(maps.Keys(m.jobs)) }
 
-// key tells states apart.
+// key is equal for equal states.
 func (w *world) key() string {
 	var key strings.Builder
 	fmt.Fprint(&key, w.now, w.crashesLeft, w.expiriesLeft, w.lossesLeft, w.machine.lastFence)
@@ -267,7 +268,7 @@
 
 func (w *world) crash(writesSurvive bool) {
 	w.crashesLeft--
-	if writesSurvive { // they were complete, but nobody had heard
+	if writesSurvive { // they were complete, but not confirmed to the machine
 		for _, job := range w.writes {
 			w.disk[job.ID] = job
 		}
--- a/internal/jobs/machine_test.go
+++ b/internal/jobs/machine_test.go
@@ -229,8 +229,8 @@
 	m.lease("t", Deduplicates)
 }
 
-// The clock is set back by a day while the program is down: that holds nothing up, neither leases, retries nor
-// retentions, and fences go on rising.
+// The clock is set back by a day while the program is down: leases, retries and retentions are not a day late, and
+// fences go on rising.
 func TestClockSetBack(t *testing.T) {
 	m := newStoredMachine(t)
 	m.now = 95 * time.Second
--- a/internal/jobs/recovery.go
+++ b/internal/jobs/recovery.go
@@ -28,8 +28,8 @@
 	return m.takeEffects()
 }
 
-// recoverState derives a job's state and due time from what is stored. Due times are bounded, so that a clock that
-// has been set back holds nothing up.
+// recoverState derives a job's state and due time from what is stored. Due times are bounded: a wall clock that was set
+// back while the process was down would put them far into the future.
 func (m *Machine) recoverState(now time.Duration, entry *jobEntry) {
 	switch entry.State {
 	case Accepted, Scheduled:
--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -26,7 +26,7 @@
 	tornMetaMaxLen = 160 // a meta page has its fields and a checksum in its first 80 bytes
 )
 
-// crashImage makes an image of the file at a moment of the commit that leads from before to after. committed tells that
+// crashImage makes an image of the file at a moment of the commit that leads from before to after. committed says that
 // the commit counts.
 func crashImage(random *rand.Rand, before, after []byte) (image []byte, committed bool) {
 	image = slices.Clone(before)
--- a/internal/store/disk_errors_test.go
+++ b/internal/store/disk_errors_test.go
@@ -17,7 +17,7 @@
 const diskErrorsChild = "STORE_DISK_ERRORS_CHILD"
 
 // Errors of the system at real writes: the file cannot be written to for a while, or cannot grow. The changes that meet
-// them are rejected and leave nothing behind, and the store goes on. This runs in a child process, as the limit on file
+// them are rejected and leave no record, and the store stores later ones. This runs in a child process, as the limit on file
 // sizes holds for a whole process and would also meet the log that go test has it write.
 func TestDiskErrors(t *testing.T) {
 	if os.Getenv(diskErrorsChild) != "" {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -30,7 +30,7 @@
 	defaultOpenTimeout = time.Second
 )
 
-// fileMode lets nobody but the file's owner read jobs, whose payloads may be personal.
+// fileMode lets only the file's owner read jobs, whose payloads may be personal.
 const fileMode = 0o600
 
 // Record is what is stored under one id.
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -27,7 +27,7 @@
 	s.wakeWriter()
 }
 
-// wakeWriter lets the writer look at the queue; a wake-up that it has not received yet does as well.
+// wakeWriter lets the writer look at the queue. If a wake-up is pending already, that one is enough.
 func (s *Store) wakeWriter() {
 	select {
 	case s.wake <- struct{}{}:
