--- a/internal/faktory/doc.go
+++ b/internal/faktory/doc.go
@@ -53,5 +53,9 @@
 // # Lanes
 //
 // The source role has a number of lanes: connections to the upstream server,
-// each with one job at most, and one more connection for heartbeats. See lane.
+// each with one job at most, and one more connection for heartbeats. See lane,
+// also for when it reconnects. A job is acknowledged upstream by ACK once it has
+// been served, and by FAIL once it has failed or was rejected. A jid that is
+// delivered again is closed without running if it was served, or may have run and
+// its class is not idempotent (jidMemory).
 package faktory
--- a/internal/faktory/jidmemory.go
+++ b/internal/faktory/jidmemory.go
@@ -47,8 +47,10 @@
 	completed []completedJid // the oldest first; some of their jids may be in progress again
 }
 
+// newJidMemory returns a memory without jids.
 func newJidMemory() *jidMemory { return &jidMemory{entries: map[string]*jidEntry{}} }
 
+// status returns what is known about a jid.
 func (m *jidMemory) status(id string) jidStatus {
 	if entry := m.entries[id]; entry != nil {
 		return entry.status
@@ -96,6 +98,7 @@
 	}
 }
 
+// complete records how a job that does not run again has ended.
 func (m *jidMemory) complete(id string, status jidStatus, now time.Duration) {
 	m.entries[id] = &jidEntry{status: status, since: now}
 	m.completed = append(m.completed, completedJid{id: id, since: now})
--- a/internal/faktory/lanedelivery.go
+++ b/internal/faktory/lanedelivery.go
@@ -75,7 +75,8 @@
 	l.closeDelivery(commandFail, closeMessage{Type: "Malformed", Message: reason.Error()})
 }
 
-// closeWith closes the delivery of the lane with the final answer of its job.
+// closeWith closes the delivery of the lane with the final answer of its job:
+// by ACK if it was served, and else by FAIL.
 func (l *lane) closeWith(response dispatch.Response) {
 	switch response.Outcome {
 	case dispatch.Served:
--- a/internal/jobs/machine.go
+++ b/internal/jobs/machine.go
@@ -33,23 +33,27 @@
 
 // Machine is the state of all jobs. It is not safe for concurrent use.
 type Machine struct {
-	config         Config
-	jobs           map[string]*jobEntry
-	lastFence      uint64
-	lastSequence   uint64
-	effects        []Effect                        // of the call that is being made
-	becameReady    []*jobEntry                     // in the call that is being made
+	config       Config
+	jobs         map[string]*jobEntry // by id
+	lastFence    uint64               // the highest fence that has been given
+	lastSequence uint64               // the highest sequence number that has been given
+
+	// Indexes of jobs.
 	dueQueue       dueHeap                         // may hold outdated times; each is checked against its job when it comes up
 	leasesByWorker map[string]map[string]*jobEntry // by worker, then by job id
 	counts         [stateCount]int                 // jobs by state
 	inOrder        []*jobEntry                     // by sequence; may hold removed jobs
 	removedInOrder int                             // how many of inOrder are removed
+
+	// The call that is being made.
+	effects     []Effect    // what it returns
+	becameReady []*jobEntry // announced after all other effects
 }
 
 // jobEntry is a job with the effects that wait for it to be stored.
 type jobEntry struct {
 	Job
-	storedVersion uint64
+	storedVersion uint64           // the highest version that is on disk; 0: none
 	afterStore    []deferredEffect // in order of version
 }
 
