--- a/internal/faktory/frontend_test.go
+++ b/internal/faktory/frontend_test.go
@@ -8,9 +8,7 @@
 	"time"
 
 	"hollyyoke.example/hollyyoke/decision"
-	"hollyyoke.example/hollyyoke/internal/dispatch"
-	"hollyyoke.example/hollyyoke/internal/eventloop"
-	"hollyyoke.example/hollyyoke/internal/transport"
+	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
 // serverConfig is an operator's file of the server role alone.
@@ -61,8 +59,9 @@
 }
 
 // openFront runs a front end with the text of an operator's file, and returns
-// its address. adjust, which may be nil, changes the settings.
-func openFront(t testing.TB, toml string, adjust func(*decision.Settings)) (address string, dispatcher *dispatch.Dispatcher) {
+// its address and the rig it runs on. adjust, which may be nil, changes the
+// settings.
+func openFront(t testing.TB, toml string, adjust func(*decision.Settings)) (address string, rig *testkit.Rig) {
 	t.Helper()
 	settings := testSettings()
 	if adjust != nil {
@@ -75,45 +74,20 @@
 	if err := Prepare(&settings); err != nil {
 		t.Fatal(err)
 	}
-	loop := eventloop.New()
-	dispatcher, err = dispatch.New(loop, settings, 1)
-	if err != nil {
-		t.Fatal(err)
-	}
-	engine, err := transport.NewEngine(loop, 512)
-	if err != nil {
-		t.Fatal(err)
-	}
-	dispatcher.Log = func(text string) {
-		if bound, isAddress := strings.CutPrefix(text, "faktory: listening on "); isAddress {
-			address = bound
+	var frontEnd FrontEnd
+	t.Cleanup(func() { frontEnd.Close() }) // runs last, when the rig's loop has stopped
+	rig = testkit.NewRig(t, func(rigSettings *decision.Settings) { *rigSettings = settings })
+	rig.LimitDescriptors(t, 512)
+	rig.Do(func() {
+		rig.Dispatcher.Log = func(text string) {
+			if bound, isAddress := strings.CutPrefix(text, "faktory: listening on "); isAddress {
+				address = bound
+			}
 		}
-	}
-	frontEnd, err := Open(dispatcher, engine, config, 200, nil)
+		frontEnd, err = Open(rig.Dispatcher, rig.Engine, config, 200, nil)
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	stopped := make(chan struct{})
-	go func() {
-		loop.Run()
-		close(stopped)
-	}()
-	t.Cleanup(func() {
-		loop.Stop()
-		<-stopped
-		frontEnd.Close()
-		engine.StopListening()
-	})
-	return address, dispatcher
-}
-
-// onLoop runs a function on the loop's goroutine and waits for its end.
-func onLoop(t *testing.T, dispatcher *dispatch.Dispatcher, run func()) {
-	t.Helper()
-	done := make(chan struct{})
-	dispatcher.Loop.Post(func() {
-		run()
-		close(done)
-	})
-	<-done
+	return address, rig
 }
--- a/internal/faktory/fuzz_test.go
+++ b/internal/faktory/fuzz_test.go
@@ -120,7 +120,8 @@
 	f.Add([]byte{0, 9, 1, 200, 0, 3, 12, 12, 1, 1})
 	f.Add([]byte{1, 0, 0, 0})
 	f.Add([]byte{12, 90})
-	address, dispatcher := openFront(f, serverConfig, func(settings *decision.Settings) { settings.MaxAttempts = 1 })
+	address, rig := openFront(f, serverConfig, func(settings *decision.Settings) { settings.MaxAttempts = 1 })
+	dispatcher := rig.Dispatcher
 	dispatcher.Loop.Post(func() {
 		dispatcher.UpdateWorkers(keyedWorker{dispatcher}, decision.ListDelta, []decision.Endpoint{{Name: "w", Kind: 3}})
 	})
--- a/internal/faktory/server_test.go
+++ b/internal/faktory/server_test.go
@@ -119,7 +119,7 @@
 // A job that no worker fetches in time is rejected with a Retry-After; one whose
 // client has no time left is rejected at once.
 func TestRejectionsAndDeadlines(t *testing.T) {
-	address, dispatcher := openFront(t, serverConfig, nil)
+	address, rig := openFront(t, serverConfig, nil)
 	producer := dialProducer(t, address)
 	got := producer.do(pushCommand("late-00001", "renewal", `"time_left_ms":300`))
 	if !strings.HasPrefix(got, "-ERR REFUSED pushing it again is harmless; retry after ") {
@@ -140,7 +140,8 @@
 	if got := awaitAnswer(t, answer); !strings.HasPrefix(got, "-ERR FAILED it may have run") {
 		t.Errorf("overdue: %q", got)
 	}
-	onLoop(t, dispatcher, func() {
+	dispatcher := rig.Dispatcher
+	rig.Do(func() {
 		counts := dispatcher.Counts()
 		if dispatcher.Unanswered() != 0 || counts.Rejected != 2 || counts.Failed != 1 {
 			t.Errorf("unanswered %d, counts %+v", dispatcher.Unanswered(), counts)
