--- a/internal/durable/scheduler.go
+++ b/internal/durable/scheduler.go
@@ -53,8 +53,8 @@
 	assignmentsByJob    map[string]*jobAssignment
 	unleasedAssignments int // how many assignments have no lease; each is meant for one free slot
 
-	pumpTimer eventloop.Deadline
-	stopped   bool
+	scheduleTimer eventloop.Deadline
+	stopped       bool
 }
 
 // The Scheduler is the front end of its jobs, and grants the leases of their attempts.
@@ -85,7 +85,7 @@
 	for _, class := range service.pausedClasses {
 		scheduler.paused[class] = true
 	}
-	scheduler.pumpTimer.Fire = scheduler.pump
+	scheduler.scheduleTimer.Fire = scheduler.schedule
 	service.OnRunnable = scheduler.enqueue
 	return scheduler
 }
@@ -93,7 +93,7 @@
 // Wake lets the scheduler look for jobs soon: a slot has become free.
 func (s *Scheduler) Wake() {
 	if !s.queues.isEmpty() {
-		s.dispatcher.Loop.Set(&s.pumpTimer, s.dispatcher.Loop.Now())
+		s.dispatcher.Loop.Set(&s.scheduleTimer, s.dispatcher.Loop.Now())
 	}
 }
 
@@ -140,8 +140,8 @@
 	return jobs.Job{}, 0, false
 }
 
-// pump hands the dispatcher a job for each free slot, less those that its jobs without a lease are meant for.
-func (s *Scheduler) pump() {
+// schedule hands the dispatcher a job for each free slot, less those that its jobs without a lease are meant for.
+func (s *Scheduler) schedule() {
 	if s.stopped {
 		return
 	}
--- a/internal/faktory/slots.go
+++ b/internal/faktory/slots.go
@@ -13,9 +13,9 @@
 	// nextFetchTimeout is how long a job waits for its worker's next FETCH.
 	nextFetchTimeout = time.Second
 
-	// foreignOffers is how many jobs are offered at a time where workers of
+	// otherFrontEndOffers is how many jobs are offered at a time where workers of
 	// other front ends run, whose free slots are not known here.
-	foreignOffers = 16
+	otherFrontEndOffers = 16
 )
 
 // slotReservation is a durable job that waits for a slot of a worker before it is leased.
@@ -68,7 +68,7 @@
 	}
 	if s.dispatcher.ReadyWorkers() > running {
 		all := s.durable.allClasses()
-		for range foreignOffers {
+		for range otherFrontEndOffers {
 			slots = append(slots, durable.FreeSlot{Classes: all})
 		}
 	}
