--- a/internal/durable/service.go
+++ b/internal/durable/service.go
@@ -56,9 +56,16 @@
 		return nil, err
 	}
 	service := &Service{
-		loop: loop, path: config.Path, machine: jobs.New(config.Jobs), store: file, log: log,
-		pushWaiters: waiters{}, reportWaiters: waiters{}, startWaiters: waiters{},
-		leaseWaiters: map[string]func(jobs.Job, error){}, finalWaiters: map[string][]func(jobs.Job){},
+		loop:          loop,
+		machine:       jobs.New(config.Jobs),
+		store:         file,
+		log:           log,
+		path:          config.Path,
+		pushWaiters:   waiters{},
+		reportWaiters: waiters{},
+		startWaiters:  waiters{},
+		leaseWaiters:  map[string]func(jobs.Job, error){},
+		finalWaiters:  map[string][]func(jobs.Job){},
 	}
 	service.dueTimer.Fire = func() { service.carryOut(service.machine.Tick(service.loop.Now())) }
 	defer useAllCores()()
@@ -88,8 +95,8 @@
 	s.carryOut(recovered)
 }
 
-// Close stores all changes so far and closes the file. Callers of Watch are called with their jobs as they stand, and
-// find out more from whoever opens the store next.
+// Close stores all changes that have been made and closes the file. The callbacks of Watch are called with their jobs
+// as they are; the next process that opens the store continues them.
 func (s *Service) Close() error {
 	if s.closed {
 		return nil
@@ -119,6 +126,7 @@
 	}
 }
 
+// carryOutOne carries out one effect, as jobs.EffectKind says.
 func (s *Service) carryOutOne(effect jobs.Effect) {
 	job := effect.Job
 	switch effect.Kind {
@@ -146,7 +154,7 @@
 }
 
 // Push accepts job, to run at notBefore at the earliest, and calls onStored with nil once the job is on disk, or with
-// jobs.ErrIDConflict or a *jobs.NotStoredError. Pushing an accepted job again changes nothing and succeeds.
+// jobs.ErrIDConflict or an error that wraps the store's. Pushing an accepted job again changes nothing and succeeds.
 func (s *Service) Push(job jobs.Job, notBefore time.Duration, onStored func(error)) {
 	effects := s.machine.Push(s.loop.Now(), job, notBefore)
 	s.answerWhenStored(effects, jobs.AnswerPush, s.pushWaiters, job.ID, onStored)
@@ -198,8 +206,8 @@
 	s.answerWhenStored(effects, jobs.AnswerReport, s.reportWaiters, id, onStored)
 }
 
-// Resolve ends the doubt about a job at an operator's request: it ran, or it did not and runs again. An error is a
-// *jobs.TransitionError.
+// Resolve ends the doubt about a job at an operator's request: it ran, or it did not and runs again. An error leaves
+// the job as it was and tells the operator why.
 func (s *Service) Resolve(id string, ran bool, reason jobs.Reason) error {
 	effects, err := s.machine.Resolve(s.loop.Now(), id, ran, reason)
 	if err != nil {
@@ -212,7 +220,7 @@
 }
 
 // Move discards, kills or requeues a job that waits or is dead; operator is set where an operator asks for it. An
-// error is a *jobs.TransitionError.
+// error leaves the job as it was and tells the operator or Faktory client why.
 func (s *Service) Move(id string, move jobs.Move, reason jobs.Reason, operator bool) error {
 	effects, err := s.machine.Move(s.loop.Now(), id, move, reason, operator)
 	if err != nil {
--- a/internal/durable/storing.go
+++ b/internal/durable/storing.go
@@ -52,10 +52,11 @@
 
 // rejectPush answers all producers of a job that could not be stored.
 func (s *Service) rejectPush(job jobs.Job, err error) {
-	s.carryOut(s.machine.StoreFailed(job.ID, job.Version, err))
-	for len(s.pushWaiters[job.ID]) > 0 { // those who have pushed it again meanwhile
-		s.pushWaiters.notifyFirst(job.ID, &jobs.NotStoredError{Cause: err})
+	rejection, others := splitAnswer(s.machine.StoreFailed(job.ID, job.Version, err), jobs.AnswerPush)
+	for len(s.pushWaiters[job.ID]) > 0 { // also those who have pushed it again meanwhile
+		s.pushWaiters.notifyFirst(job.ID, rejection.Err)
 	}
+	s.carryOut(others)
 }
 
 // rejectLease takes back a lease that could not be stored. The job is announced as runnable after a pause, as the next
@@ -77,7 +78,7 @@
 	}
 }
 
-// AfterSync calls done with nil once all changes so far are on disk, or with the store's error.
+// AfterSync calls done with nil once all changes made before it are on disk, or with the store's error.
 func (s *Service) AfterSync(done func(error)) { s.storeRecord(syncedRecord, nil, done) }
 
 // storeRecord stores a record that is no job, or deletes it where value is nil.
--- a/internal/faktory/config.go
+++ b/internal/faktory/config.go
@@ -21,9 +21,9 @@
 const (
 	defaultLanes = 8
 	maxLanes     = 64
-	// maxClasses bounds the worker kinds that Prepare adds: one for each set of classes, 256 at most.
-	maxClasses = 8
-	// maxDurableValue bounds the numbers of the durable table, so that a span in seconds fits a duration.
+
+	// maxDurableValue bounds the numbers of the durable table, so that a span in
+	// seconds fits a duration.
 	maxDurableValue = 1e9
 )
 
@@ -57,19 +57,6 @@
 	Log *slog.Logger `toml:"-"` // receives the audit records; nil: discarded
 }
 
-// ErrSourceNotMovable says that a process with the source role cannot hand
-// over to a successor.
-var ErrSourceNotMovable = errors.New("it fetches from upstream, whose jids are in memory only")
-
-// DirectQueueError says that a process with a direct queue cannot hand over to
-// a successor.
-type DirectQueueError struct{ Queue string }
-
-// Error names the queue.
-func (e *DirectQueueError) Error() string {
-	return fmt.Sprintf("queue %q is direct, and its jids are in memory only", e.Queue)
-}
-
 // Default returns the configuration that a file or table is decoded into.
 func Default() (c Config) {
 	c.Source.Lanes = defaultLanes
@@ -132,23 +119,23 @@
 	return nil
 }
 
-// Movable reports whether a process with this configuration can hand over to a
-// successor, which needs all its state to be in the store. The error is nil,
-// ErrSourceNotMovable or a *DirectQueueError.
+// Movable checks that a process with this configuration can hand over to a
+// successor, which needs all its state to be in the store. The error says why it
+// cannot.
 func (c *Config) Movable(settings *decision.Settings) error {
 	if c.Source.Address != "" {
-		return ErrSourceNotMovable
+		return errors.New("it fetches from upstream, whose jids are in memory only")
 	}
 	for i := range settings.Classes {
 		name := settings.Classes[i].Name
 		if !slices.Contains(c.Durable.Queues, name) {
-			return &DirectQueueError{Queue: name}
+			return fmt.Errorf("queue %q is direct, and its jids are in memory only", name)
 		}
 	}
 	return nil
 }
 
-// Classes returns, by class number, which classes are durable.
+// Classes returns, by class index, which classes are durable.
 func (c *Durable) Classes(settings *decision.Settings) []bool {
 	durable := make([]bool, len(settings.Classes))
 	for i := range settings.Classes {
@@ -157,6 +144,7 @@
 	return durable
 }
 
+// check validates the durable table. Each error names the field.
 func (c *Durable) check(settings *decision.Settings, serverRole bool) error {
 	if c.Path == "" {
 		if len(c.Queues) > 0 {
@@ -210,28 +198,3 @@
 
 // seconds converts a number of seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
-
-// Prepare adds worker kinds to the settings for workers that fetch some classes
-// only: kind number len(KindNames)+mask runs the classes whose bits are set in
-// mask. Thus the decisions themselves keep a job from a worker that does not
-// fetch its queue.
-func Prepare(settings *decision.Settings) error {
-	if len(settings.Classes) > maxClasses {
-		return fmt.Errorf("settings: classes: the Faktory front takes %d at most", maxClasses)
-	}
-	firstClassKind := len(settings.KindNames)
-	for i := range settings.Classes {
-		class := &settings.Classes[i]
-		if class.Kinds == nil {
-			for kind := range firstClassKind {
-				class.Kinds = append(class.Kinds, kind)
-			}
-		}
-		for mask := range 1 << len(settings.Classes) {
-			if mask>>i&1 == 1 {
-				class.Kinds = append(class.Kinds, firstClassKind+mask)
-			}
-		}
-	}
-	return nil
-}
--- a/internal/faktory/delivery.go
+++ b/internal/faktory/delivery.go
@@ -14,14 +14,15 @@
 type jobDelivery struct {
 	attempt       dispatch.Attempt
 	worker        *registeredWorker
-	handedOut     bool // from then on the job may have run
-	fetchDeadline eventloop.Deadline
+	handedOut     bool               // from then on the job may have run
+	fetchDeadline eventloop.Deadline // by which the worker's next FETCH must have come
 }
 
 // handOut answers a parked FETCH with the job of a delivery. If the connection
 // is known to be broken, nothing has run.
-func (s *Server) handOut(delivery *jobDelivery, slot *connection) {
-	slot.unpark()
+func (s *Server) handOut(delivery *jobDelivery, slot *parkedFetch) {
+	c := slot.connection
+	c.unpark()
 	request := delivery.attempt.Request
 	raw := request.Body
 	if request.Target != "" {
@@ -31,14 +32,14 @@
 		raw = withFence(raw, delivery.attempt.Fence)
 	}
 	s.writeBuffer = appendBulk(s.writeBuffer[:0], raw)
-	sentBefore := slot.conn.SentBytes()
-	if !slot.conn.Write(s.writeBuffer) && slot.conn.SentBytes()-sentBefore < int64(len(s.writeBuffer)) {
+	sentBefore := c.conn.SentBytes()
+	if !c.conn.Write(s.writeBuffer) && c.conn.SentBytes()-sentBefore < int64(len(s.writeBuffer)) {
 		s.endAttempt(delivery, decision.ConnectionRefused)
 		return
 	}
 	delivery.handedOut = true
 	delivery.worker.inProgress++
-	slot.resume()
+	c.resume()
 	s.dispatcher.AttemptStarted(delivery.attempt.Handle)
 }
 
@@ -59,17 +60,6 @@
 	s.dispatcher.AttemptEnded(delivery.attempt.Handle, outcome, decision.LoadReport{}, nil)
 }
 
-// Cancel gives an attempt up and reports whether its job never ran. The
-// protocol cannot call a job back that a worker has.
-func (s *Server) Cancel(handle uint64) (neverRan bool) {
-	delivery := s.deliveries[handle]
-	if delivery == nil {
-		return false
-	}
-	s.forgetDelivery(delivery)
-	return !delivery.handedOut
-}
-
 // findHandedOut returns the oldest delivery of a jid that is handed out, to
 // worker unless that is nil.
 func (s *Server) findHandedOut(worker *registeredWorker, jid string) (oldest *jobDelivery) {
--- a/internal/faktory/lane.go
+++ b/internal/faktory/lane.go
@@ -5,11 +5,8 @@
 	"errors"
 	"fmt"
 	"math/rand/v2"
-	"os"
-	"strings"
 	"time"
 
-	"hollyyoke.example/hollyyoke/internal/dispatch"
 	"hollyyoke.example/hollyyoke/internal/eventloop"
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
@@ -35,7 +32,14 @@
 	errJobWithoutJid     = errors.New("a job without a jid")
 )
 
-// laneState is what a lane waits for. From laneIdle on it is authenticated.
+// laneState is the state of a lane's connection: what it waits for.
+//
+//	laneDown -> laneAwaitingGreeting -> laneAwaitingHello -> laneIdle
+//	laneIdle -> laneFetching -> laneIdle                                 no job
+//	laneIdle -> laneFetching -> laneWorking -> laneClosing -> laneIdle   a job
+//	laneIdle -> laneWorking or laneClosing     with a delivery of before a reconnection
+//	laneIdle -> laneBeating -> laneIdle        the heartbeat lane
+//	any state -> laneDown                      reconnect or shutdown
 type laneState uint8
 
 const (
@@ -49,29 +53,42 @@
 	laneBeating                           // for the answer to BEAT
 )
 
-// lane is one connection to the upstream server, with at most one job.
+// isAuthenticated reports whether HELLO has been accepted in this state.
+func (s laneState) isAuthenticated() bool { return s >= laneIdle }
+
+// heartbeatLane is the number of the lane that sends heartbeats and fetches
+// nothing; its heartbeats are those of the source's wid.
+const heartbeatLane = 0
+
+// lane is one connection to the upstream server, with at most one job. It lives
+// as long as its source: it reconnects, after a backoff, when
+//
+//   - the connection ends or cannot be opened,
+//   - an answer does not come in time,
+//   - upstream breaks the protocol, rejects HELLO, or answers FETCH by an error.
+//
+// Its delivery outlives the connection: the job goes on, and is closed by ACK or
+// FAIL once the lane is connected again. A lane that waits for nothing sends
+// what is due (advance): the ACK or FAIL of its delivery, or else FETCH.
 type lane struct {
-	source     *Source
-	number     int
-	conn       *transport.Conn // nil: not connected
-	input      input
-	state      laneState
-	deadline   eventloop.Deadline
-	backoff    time.Duration // before the latest reconnection; 0: the connection has worked
-	generation int           // of the connection; a dial of an older one is void
-
-	jid          string
-	class        int
-	jobOpen      bool   // its job is in progress, whatever becomes of the connection
-	pendingClose string // an ACK or FAIL that has not been answered yet; empty: none
-	writeOffset  int64  // of the connection, behind the latest command
+	source      *Source
+	number      int
+	conn        *transport.Conn // nil: not connected
+	input       input
+	state       laneState
+	deadline    eventloop.Deadline // see onDeadline
+	backoff     time.Duration      // before the latest reconnection; 0: the connection has worked
+	generation  int                // counts connections; the end of a dial of an earlier one is ignored
+	writeOffset int64              // of the connection, behind the latest command
+	delivery    upstreamDelivery
 }
 
 // busy reports whether a delivery is not closed yet, or being fetched.
 func (l *lane) busy() bool {
-	return l.jobOpen || l.pendingClose != "" || l.state == laneFetching || l.state == laneClosing
+	return l.delivery.state != noDelivery || l.state == laneFetching || l.state == laneClosing
 }
 
+// connect dials. The connection is laneAwaitingGreeting once it is open.
 func (l *lane) connect() {
 	l.generation++
 	generation := l.generation
@@ -94,7 +111,7 @@
 
 // shutdown closes the connection for good.
 func (l *lane) shutdown() {
-	if l.state >= laneIdle {
+	if l.state.isAuthenticated() {
 		l.conn.Write([]byte(commandEnd + "\r\n"))
 	}
 	if l.conn != nil {
@@ -113,15 +130,15 @@
 }
 
 // reconnect drops the connection and dials again after a backoff. A job in
-// progress goes on. An ACK or FAIL of which a part has not left is sent again;
-// one that may have arrived is not: if upstream lacks it, it will deliver the
-// jid again.
+// progress goes on. An ACK or FAIL that has not been sent completely is sent
+// again; one that may have arrived is not: if upstream has not received it, it
+// will deliver the jid again.
 func (l *lane) reconnect(reason error) {
 	if l.state != laneDown || l.backoff == 0 {
 		l.source.dispatcher.Log(fmt.Sprintf("upstream, lane %d: %s", l.number, singleLine(reason.Error())))
 	}
 	if l.state == laneClosing && l.conn.Flushed(l.writeOffset) {
-		l.pendingClose = ""
+		l.delivery = upstreamDelivery{}
 	}
 	if l.conn != nil {
 		l.conn.Close()
@@ -141,6 +158,8 @@
 	}
 }
 
+// onDeadline ends the backoff, the pause of a lane that is idle, or the wait for
+// an answer.
 func (l *lane) onDeadline() {
 	switch l.state {
 	case laneDown:
@@ -180,98 +199,6 @@
 	}
 }
 
-// handleReply handles one reply. It returns true if it keeps the reply's
-// buffer, which release frees later.
-func (l *lane) handleReply(answer reply, release func()) (retained bool) {
-	switch l.state {
-	case laneAwaitingGreeting:
-		l.handleGreeting(answer)
-	case laneAwaitingHello:
-		if answer.kind != kindSimple {
-			l.reconnect(fmt.Errorf("HELLO: %s", answer.text))
-			return false
-		}
-		l.backoff = 0
-		l.advance()
-	case laneFetching:
-		return l.handleFetchReply(answer, release)
-	case laneClosing:
-		if answer.kind == kindError { // upstream does not want it, and would not if it came again
-			l.source.dispatcher.Log("upstream: closing " + singleLine(l.pendingClose) + ": " + singleLine(string(answer.text)))
-		}
-		l.pendingClose = ""
-		l.advance()
-	case laneBeating:
-		l.handleBeatReply(answer)
-	default:
-		l.reconnect(errUnexpectedReply)
-	}
-	return false
-}
-
-// handleGreeting answers the server's greeting by HELLO.
-func (l *lane) handleGreeting(answer reply) {
-	var message greeting
-	text, hasPrefix := strings.CutPrefix(string(answer.text), greetingPrefix)
-	if answer.kind != kindSimple || !hasPrefix {
-		l.reconnect(errGreetingVersion)
-		return
-	}
-	err := json.Unmarshal([]byte(text), &message)
-	if err != nil || message.Version != protocolVersion {
-		l.reconnect(errGreetingVersion)
-		return
-	}
-	host, _ := os.Hostname()
-	identity := hello{
-		Hostname: host,
-		Wid:      l.source.wid,
-		Pid:      os.Getpid(),
-		Labels:   []string{"hollyyoke"},
-		Version:  protocolVersion,
-	}
-	if message.Salt != "" {
-		if message.Iterations > maxHashIterations {
-			l.reconnect(errTooManyIterations)
-			return
-		}
-		identity.Hash = hashPassword(l.source.config.Source.Password, message.Salt, max(message.Iterations, 1))
-	}
-	raw, _ := json.Marshal(identity) // strings and numbers always marshal
-	l.send(laneAwaitingHello, commandHello+" "+string(raw), replyTimeout)
-}
-
-// handleFetchReply handles the answer to FETCH, as handleReply does.
-func (l *lane) handleFetchReply(answer reply, release func()) (retained bool) {
-	if answer.kind == kindBulk && !answer.null && len(answer.text) > 0 {
-		return l.handleJob(answer.text, release)
-	}
-	if answer.kind == kindError {
-		l.reconnect(fmt.Errorf("FETCH: %s", answer.text))
-		return false
-	}
-	l.advance()
-	return false
-}
-
-// handleBeatReply handles the answer to BEAT, by which upstream can ask for an
-// end of fetching.
-func (l *lane) handleBeatReply(answer reply) {
-	source := l.source
-	var message struct {
-		State string `json:"state"`
-	}
-	if answer.kind != kindError && !source.draining {
-		err := json.Unmarshal(answer.text, &message)
-		if err == nil && message.State != "" {
-			source.dispatcher.Log("upstream says " + singleLine(message.State) + ": fetching no more")
-			source.draining = true
-		}
-	}
-	l.state = laneIdle
-	l.setDeadline(beatInterval)
-}
-
 // send sends a command and waits for its answer in the state next.
 func (l *lane) send(next laneState, line string, timeout time.Duration) {
 	l.state = next
@@ -284,92 +211,17 @@
 func (l *lane) advance() {
 	l.state = laneIdle
 	switch {
-	case l.number == 0:
+	case l.number == heartbeatLane:
 		raw, _ := json.Marshal(heartbeat{Wid: l.source.wid}) // strings always marshal
 		l.send(laneBeating, commandBeat+" "+string(raw), replyTimeout)
-	case l.jobOpen:
+	case l.delivery.state == deliveryInProgress:
 		l.state = laneWorking
 		l.source.dispatcher.Loop.Clear(&l.deadline)
-	case l.pendingClose != "":
-		l.send(laneClosing, l.pendingClose, replyTimeout)
+	case l.delivery.state == deliveryClosing:
+		l.send(laneClosing, l.delivery.closeCommand, replyTimeout)
 	case l.source.draining:
 		l.setDeadline(drainInterval)
 	default:
 		l.send(laneFetching, l.source.fetchCommand, fetchTimeout)
 	}
 }
-
-// handleJob runs a job that was delivered, or closes the delivery at once if
-// its jid is known. It returns true if the job keeps the buffer of raw, until
-// it calls release.
-func (l *lane) handleJob(raw []byte, release func()) (retained bool) {
-	source := l.source
-	now := source.dispatcher.Loop.Now()
-	request, payload, err := parseJob(raw, source.classNumbers, now)
-	if payload.scheduledAt > 0 {
-		err = errScheduledOnDirectQueue
-	}
-	if err != nil {
-		l.rejectJob(raw, err)
-		return false
-	}
-	l.jid = request.ID
-	l.jobOpen = true
-	l.state = laneWorking
-	source.dispatcher.Loop.Clear(&l.deadline)
-	switch source.jids.status(l.jid) {
-	case jidServed:
-		l.closeDelivery(commandAck, closeMessage{})
-		return false
-	case jidMayHaveRun:
-		l.closeDelivery(commandFail, closeMessage{Type: "Failed", Message: "it may have run before; it does not run again under this jid"})
-		return false
-	case jidInProgress: // delivered twice: both are closed by what becomes of the first
-		source.jids.whenFinished(l.jid, l.closeWith)
-		return false
-	}
-	source.jids.begin(l.jid, now)
-	l.class = request.Class
-	request.Release = release
-	source.dispatcher.Accept(source, uint64(l.number), request)
-	return true
-}
-
-// rejectJob closes the delivery of a job that cannot be read.
-func (l *lane) rejectJob(raw []byte, reason error) {
-	var job struct {
-		Jid string `json:"jid"`
-	}
-	err := json.Unmarshal(raw, &job)
-	if err != nil || job.Jid == "" {
-		l.reconnect(errJobWithoutJid)
-		return
-	}
-	l.jid = job.Jid
-	l.closeDelivery(commandFail, closeMessage{Type: "Malformed", Message: reason.Error()})
-}
-
-// closeWith closes the delivery of the lane with the final answer of its job.
-func (l *lane) closeWith(response dispatch.Response) {
-	switch response.Outcome {
-	case dispatch.Served:
-		l.closeDelivery(commandAck, closeMessage{})
-	case dispatch.Rejected:
-		text := fmt.Sprintf("not run; come back after %.3f s", response.RetryAfter.Seconds())
-		l.closeDelivery(commandFail, closeMessage{Type: "Refused", Message: text})
-	default:
-		l.closeDelivery(commandFail, closeMessage{Type: "Failed", Message: "it may have run"})
-	}
-}
-
-// closeDelivery closes the delivery of the lane by ACK or FAIL, now or once it
-// is connected again.
-func (l *lane) closeDelivery(verb string, message closeMessage) {
-	l.jobOpen = false
-	message.Jid = l.jid
-	raw, _ := json.Marshal(message) // strings always marshal
-	l.pendingClose = verb + " " + string(raw)
-	if l.state == laneWorking || l.state == laneFetching {
-		l.advance()
-	}
-}
--- a/internal/faktory/slots.go
+++ b/internal/faktory/slots.go
@@ -3,126 +3,34 @@
 import (
 	"cmp"
 	"slices"
-	"strings"
 	"time"
 
-	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/durable"
 	"hollyyoke.example/hollyyoke/internal/eventloop"
 )
 
 const (
-	parkTimeout      = 2 * time.Second // a FETCH waits so long for a job
-	nextFetchTimeout = time.Second     // a job waits so long for its worker's next FETCH
+	// nextFetchTimeout is how long a job waits for its worker's next FETCH.
+	nextFetchTimeout = time.Second
 
-	// foreignOffers is how many jobs are offered at a time where workers of
+	// otherFrontEndOffers is how many jobs are offered at a time where workers of
 	// other front ends run, whose free slots are not known here.
-	foreignOffers = 16
+	otherFrontEndOffers = 16
 )
 
 // slotReservation is a durable job that waits for a slot of a worker before it is leased.
 type slotReservation struct {
-	jid      string
-	class    int
-	onResult func(free bool)
-	deadline eventloop.Deadline
-}
-
-// handleFetch parks a worker's FETCH until there is a job for it.
-func (c *connection) handleFetch(rest []byte) {
-	if c.worker == nil {
-		c.writeLine(replyError + "FETCH is for workers: HELLO told no wid")
-		return
-	}
-	c.park(string(rest))
-	c.server.offerSlot(c)
-	if queues := c.server.durable; queues != nil {
-		queues.scheduler.Wake()
-	}
-}
-
-// park records a FETCH of some queues as a free slot of its worker.
-func (c *connection) park(queues string) {
-	c.busy = true
-	c.parked = true
-	c.classMask = c.server.classMaskOf(queues)
-	if durable := c.server.durable; durable != nil {
-		durable.parkCount++
-		c.durableClasses = c.server.durableClassesOf(queues)
-		c.parkSequence = durable.parkCount
-	}
-	worker := c.worker
-	worker.parked = append(worker.parked, c)
-	worker.maxSlots = max(worker.maxSlots, len(worker.parked)+worker.inProgress)
-	c.setDeadline(parkTimeout)
-}
-
-// unpark takes a FETCH off its worker's free slots.
-func (c *connection) unpark() {
-	if !c.parked {
-		return
-	}
-	c.parked = false
-	c.reservedFor = ""
-	c.worker.parked = remove(c.worker.parked, c)
-}
-
-// offerSlot gives a newly parked FETCH what waits for it, or else notifies
-// the dispatcher of the free slot. A worker that drains gets nothing: its FETCH is
-// answered with no job in time.
-func (s *Server) offerSlot(slot *connection) {
-	worker := slot.worker
-	if worker.endpoint.State != decision.Running {
-		return
-	}
-	s.extendKind(worker, slot.classMask)
-	worker.deliverAwaiting(s)
-	worker.fillReservations(s)
-	if slot.parked && worker.listed {
-		s.reportFreeSlots(worker)
-	}
-}
-
-// extendKind adds classes to those that the worker's kind runs, which are what
-// any of its connections has fetched. The first time lists the worker.
-func (s *Server) extendKind(worker *registeredWorker, classMask int) {
-	kind := s.firstClassKind + classMask
-	if oldMask := worker.endpoint.Kind - s.firstClassKind; worker.listed && oldMask >= 0 {
-		kind = s.firstClassKind + (oldMask | classMask)
-	}
-	if classMask == 0 || worker.listed && kind == worker.endpoint.Kind {
-		return
-	}
-	worker.endpoint.Kind = kind
-	worker.listed = true
-	s.updateEndpoint(worker)
-}
-
-// classMaskOf returns the classes that a FETCH names, as bits.
-func (s *Server) classMaskOf(queues string) (mask int) {
-	for queue := range strings.FieldsSeq(queues) {
-		if class, known := s.classNumbers[queue]; known {
-			mask |= 1 << class
-		}
-	}
-	return mask
-}
-
-// durableClassesOf returns the durable classes that a FETCH names, in its order.
-func (s *Server) durableClassesOf(queues string) (classes []int) {
-	for queue := range strings.FieldsSeq(queues) {
-		class, known := s.classNumbers[queue]
-		if known && s.isDurable(class) && !slices.Contains(classes, class) {
-			classes = append(classes, class)
-		}
-	}
-	return classes
+	jid        string
+	class      int
+	onReserved func(reserved bool)
+	deadline   eventloop.Deadline
 }
 
 // slotFor returns the parked FETCH that is reserved for a job, or else the
 // oldest free one that fetches its class.
-func (w *registeredWorker) slotFor(class int, jid string) (free *connection) {
+func (w *registeredWorker) slotFor(class int, jid string) (free *parkedFetch) {
 	for _, slot := range w.parked {
-		if slot.classMask>>class&1 == 0 {
+		if !slot.classes.has(class) {
 			continue
 		}
 		if slot.reservedFor != "" && slot.reservedFor == jid {
@@ -136,31 +44,32 @@
 }
 
 // deliverAwaiting hands deliveries that wait for a FETCH to the slots that fit.
-func (w *registeredWorker) deliverAwaiting(s *Server) {
+func (w *registeredWorker) deliverAwaiting() {
 	for _, delivery := range slices.Clone(w.awaitingFetch) {
 		slot := w.slotFor(delivery.attempt.Request.Class, delivery.attempt.Request.ID)
 		if slot == nil {
 			continue
 		}
 		w.awaitingFetch = remove(w.awaitingFetch, delivery)
-		s.dispatcher.Loop.Clear(&delivery.fetchDeadline)
-		s.handOut(delivery, slot)
+		w.server.dispatcher.Loop.Clear(&delivery.fetchDeadline)
+		w.server.handOut(delivery, slot)
 	}
 }
 
-// FreeSlots returns, for each parked FETCH from the oldest on, the durable
-// classes that it takes, in its order.
-func (s *Server) FreeSlots() (slots [][]int) {
+// FreeSlots returns the parked FETCHes that name durable classes, the oldest
+// first. Where workers of other front ends are ready it adds slots that take all
+// durable classes, as their free slots are not known.
+func (s *Server) FreeSlots() (slots []durable.FreeSlot) {
 	parked, running := s.freeParked()
-	for _, c := range parked {
-		if len(c.durableClasses) > 0 {
-			slots = append(slots, c.durableClasses)
+	for _, fetch := range parked {
+		if len(fetch.durableClasses) > 0 {
+			slots = append(slots, durable.FreeSlot{Classes: fetch.durableClasses})
 		}
 	}
 	if s.dispatcher.ReadyWorkers() > running {
-		all := s.durable.classNumbers()
-		for range foreignOffers {
-			slots = append(slots, all)
+		all := s.durable.allClasses()
+		for range otherFrontEndOffers {
+			slots = append(slots, durable.FreeSlot{Classes: all})
 		}
 	}
 	return slots
@@ -168,38 +77,38 @@
 
 // freeParked returns the parked FETCHes that no delivery waits for, from the
 // oldest on, and the number of running workers.
-func (s *Server) freeParked() (parked []*connection, running int) {
+func (s *Server) freeParked() (parked []*parkedFetch, running int) {
 	for _, worker := range s.workers {
-		if !worker.listed || worker.endpoint.State != decision.Running {
+		if !worker.listed || !worker.isRunning() {
 			continue
 		}
 		running++
 		taken := min(len(worker.awaitingFetch), len(worker.parked))
 		parked = append(parked, worker.parked[taken:]...)
 	}
-	slices.SortFunc(parked, func(a, b *connection) int { return cmp.Compare(a.parkSequence, b.parkSequence) })
+	slices.SortFunc(parked, func(a, b *parkedFetch) int { return cmp.Compare(a.sequence, b.sequence) })
 	return parked, running
 }
 
 // Reserve keeps a parked FETCH of a worker for a job, now or when one comes in
-// time, and calls onResult with whether there is one. A worker of another front
-// end is always free.
-func (s *Server) Reserve(workerName string, class int, jid string, onResult func(free bool)) {
+// time, and calls onReserved with whether there is one. A worker of another front
+// end always has a slot.
+func (s *Server) Reserve(workerName string, class int, jid string, onReserved func(reserved bool)) {
 	worker := s.workers[workerName]
 	if worker == nil {
-		onResult(true)
+		onReserved(true)
 		return
 	}
-	if worker.endpoint.State != decision.Running || len(worker.reservations) >= max(worker.maxSlots, 1) {
-		onResult(false)
+	if !worker.isRunning() || len(worker.reservations) >= worker.maxWaiting() {
+		onReserved(false)
 		return
 	}
-	reservation := &slotReservation{jid: jid, class: class, onResult: onResult}
-	reservation.deadline.Fire = func() { worker.resolveReservation(s, reservation, false) }
+	reservation := &slotReservation{jid: jid, class: class, onReserved: onReserved}
+	reservation.deadline.Fire = func() { worker.resolveReservation(reservation, false) }
 	worker.reservations = append(worker.reservations, reservation)
 	loop := s.dispatcher.Loop
 	loop.Set(&reservation.deadline, loop.Now()+nextFetchTimeout)
-	worker.fillReservations(s)
+	worker.fillReservations()
 }
 
 // Unreserve frees a slot that was reserved for a job.
@@ -214,26 +123,26 @@
 		}
 	}
 	s.dispatcher.Loop.Post(func() {
-		worker.deliverAwaiting(s)
-		worker.fillReservations(s)
+		worker.deliverAwaiting()
+		worker.fillReservations()
 	})
 }
 
-// resolveReservation ends a reservation that waits.
-func (w *registeredWorker) resolveReservation(s *Server, reservation *slotReservation, free bool) {
+// resolveReservation ends the wait of a reservation.
+func (w *registeredWorker) resolveReservation(reservation *slotReservation, reserved bool) {
 	w.reservations = remove(w.reservations, reservation)
-	s.dispatcher.Loop.Clear(&reservation.deadline)
-	reservation.onResult(free)
+	w.server.dispatcher.Loop.Clear(&reservation.deadline)
+	reservation.onReserved(reserved)
 }
 
 // fillReservations reserves free slots for the jobs that wait for one.
-func (w *registeredWorker) fillReservations(s *Server) {
+func (w *registeredWorker) fillReservations() {
 	for _, reservation := range slices.Clone(w.reservations) {
 		slot := w.slotFor(reservation.class, "")
 		if slot == nil || !slices.Contains(w.reservations, reservation) {
 			continue
 		}
 		slot.reservedFor = reservation.jid
-		w.resolveReservation(s, reservation, true)
+		w.resolveReservation(reservation, true)
 	}
 }
--- a/internal/jobs/recovery.go
+++ b/internal/jobs/recovery.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// recoveryFenceGap is added to the highest stored fence. Where an older copy of the store is read, leases have been
-// granted since that it does not know, and their fences must not be given again.
+// recoveryFenceGap is added to the highest stored fence. The file may be an older copy of the store that an operator has
+// restored; the fences of leases that were granted after that copy must not be given again.
 const recoveryFenceGap = 1 << 20
 
 // Recover starts an empty machine from the stored jobs, each of which comes once. Leases last for a grace time at
@@ -28,8 +28,8 @@
 	return m.takeEffects()
 }
 
-// recoverState derives a job's state and due time from what is stored. Due times are bounded, so that a clock that
-// has been set back holds nothing up.
+// recoverState derives a job's state and due time from what is stored. Due times are bounded: a wall clock that was set
+// back while the process was down would put them far into the future.
 func (m *Machine) recoverState(now time.Duration, entry *jobEntry) {
 	switch entry.State {
 	case Accepted, Scheduled:
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -30,7 +30,7 @@
 	defaultOpenTimeout = time.Second
 )
 
-// fileMode lets nobody but the file's owner read jobs, whose payloads may be personal.
+// fileMode lets only the file's owner read jobs, whose payloads may be personal.
 const fileMode = 0o600
 
 // Record is what is stored under one id.
@@ -88,6 +88,7 @@
 	return db, nil
 }
 
+// fileOptions are the options with which bbolt opens a file.
 func fileOptions(timeout time.Duration) *bbolt.Options {
 	return &bbolt.Options{Timeout: timeout, FreelistType: bbolt.FreelistMapType}
 }
