--- a/internal/durable/service.go
+++ b/internal/durable/service.go
@@ -154,7 +154,7 @@
 }
 
 // Push accepts job, to run at notBefore at the earliest, and calls onStored with nil once the job is on disk, or with
-// jobs.ErrIDConflict or an error that wraps the store's. Pushing an accepted job again changes nothing and succeeds.
+// jobs.ErrIDConflict or a *jobs.NotStoredError. Pushing an accepted job again changes nothing and succeeds.
 func (s *Service) Push(job jobs.Job, notBefore time.Duration, onStored func(error)) {
 	effects := s.machine.Push(s.loop.Now(), job, notBefore)
 	s.answerWhenStored(effects, jobs.AnswerPush, s.pushWaiters, job.ID, onStored)
@@ -206,8 +206,8 @@
 	s.answerWhenStored(effects, jobs.AnswerReport, s.reportWaiters, id, onStored)
 }
 
-// Resolve ends the doubt about a job at an operator's request: it ran, or it did not and runs again. An error leaves
-// the job as it was and tells the operator why.
+// Resolve ends the doubt about a job at an operator's request: it ran, or it did not and runs again. The error
+// is a *jobs.TransitionError.
 func (s *Service) Resolve(id string, ran bool, reason jobs.Reason) error {
 	effects, err := s.machine.Resolve(s.loop.Now(), id, ran, reason)
 	if err != nil {
@@ -219,8 +219,8 @@
 	return nil
 }
 
-// Move discards, kills or requeues a job that waits or is dead; operator is set where an operator asks for it. An
-// error leaves the job as it was and tells the operator or Faktory client why.
+// Move discards, kills or requeues a job that waits or is dead; operator is set where an operator asks for it. The
+// error is a *jobs.TransitionError.
 func (s *Service) Move(id string, move jobs.Move, reason jobs.Reason, operator bool) error {
 	effects, err := s.machine.Move(s.loop.Now(), id, move, reason, operator)
 	if err != nil {
--- a/internal/durable/storing.go
+++ b/internal/durable/storing.go
@@ -52,11 +52,10 @@
 
 // rejectPush answers all producers of a job that could not be stored.
 func (s *Service) rejectPush(job jobs.Job, err error) {
-	rejection, others := splitAnswer(s.machine.StoreFailed(job.ID, job.Version, err), jobs.AnswerPush)
-	for len(s.pushWaiters[job.ID]) > 0 { // also those who have pushed it again meanwhile
-		s.pushWaiters.notifyFirst(job.ID, rejection.Err)
+	s.carryOut(s.machine.StoreFailed(job.ID, job.Version, err))
+	for len(s.pushWaiters[job.ID]) > 0 { // those who have pushed it again meanwhile
+		s.pushWaiters.notifyFirst(job.ID, &jobs.NotStoredError{Cause: err})
 	}
-	s.carryOut(others)
 }
 
 // rejectLease takes back a lease that could not be stored. The job is announced as runnable after a pause, as the next
--- a/internal/faktory/config.go
+++ b/internal/faktory/config.go
@@ -57,6 +57,19 @@
 	Log *slog.Logger `toml:"-"` // receives the audit records; nil: discarded
 }
 
+// ErrSourceNotMovable says that a process with the source role cannot hand over
+// to a successor.
+var ErrSourceNotMovable = errors.New("it fetches from upstream, whose jids are in memory only")
+
+// DirectQueueError says that a process with a direct queue cannot hand over to a
+// successor.
+type DirectQueueError struct{ Queue string }
+
+// Error names the queue.
+func (e *DirectQueueError) Error() string {
+	return fmt.Sprintf("queue %q is direct, and its jids are in memory only", e.Queue)
+}
+
 // Default returns the configuration that a file or table is decoded into.
 func Default() (c Config) {
 	c.Source.Lanes = defaultLanes
@@ -120,16 +133,16 @@
 }
 
 // Movable checks that a process with this configuration can hand over to a
-// successor, which needs all its state to be in the store. The error says why it
-// cannot.
+// successor, which needs all its state to be in the store. The error is
+// ErrSourceNotMovable or a *DirectQueueError.
 func (c *Config) Movable(settings *decision.Settings) error {
 	if c.Source.Address != "" {
-		return errors.New("it fetches from upstream, whose jids are in memory only")
+		return ErrSourceNotMovable
 	}
 	for i := range settings.Classes {
 		name := settings.Classes[i].Name
 		if !slices.Contains(c.Durable.Queues, name) {
-			return fmt.Errorf("queue %q is direct, and its jids are in memory only", name)
+			return &DirectQueueError{Queue: name}
 		}
 	}
 	return nil
--- a/internal/faktory/config_test.go
+++ b/internal/faktory/config_test.go
@@ -1,6 +1,7 @@
 package faktory
 
 import (
+	"errors"
 	"strings"
 	"testing"
 
@@ -67,11 +68,18 @@
 	}
 	config.Durable.Queues = []string{"status-check"}
 	err := config.Movable(&settings)
+	var direct *DirectQueueError
+	if !errors.As(err, &direct) || direct.Queue != "renewal" {
+		t.Errorf("one direct queue: %v", err)
+	}
 	if err == nil || err.Error() != `queue "renewal" is direct, and its jids are in memory only` {
 		t.Errorf("one direct queue: %v", err)
 	}
 	config.Source.Address = "127.0.0.1:1"
 	err = config.Movable(&settings)
+	if !errors.Is(err, ErrSourceNotMovable) {
+		t.Errorf("with the source role: %v", err)
+	}
 	if err == nil || err.Error() != "it fetches from upstream, whose jids are in memory only" {
 		t.Errorf("with the source role: %v", err)
 	}
--- a/internal/jobs/errors_test.go
+++ b/internal/jobs/errors_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The texts of rejections reach clients and operators and must stay.
+// The texts of rejections reach clients and operators and must stay; their causes are found by errors.Is.
 func TestErrorTexts(t *testing.T) {
 	diskFull := errors.New("no space left on device")
 	for _, test := range []struct {
@@ -17,7 +17,12 @@
 		{ErrIDConflict, ErrIDConflict, "this id is another job's"},
 		{ErrUnknownJob, ErrUnknownJob, "no such job"},
 		{ErrLeaseVoid, ErrLeaseVoid, "the lease is void"},
-		{notStoredError(diskFull), diskFull, "not kept: no space left on device"},
+		{&NotStoredError{diskFull}, diskFull, "not kept: no space left on device"},
+		{&TransitionError{ID: "a", Cause: ErrUnknownJob}, ErrUnknownJob, "no job a"},
+		{&TransitionError{"a", Ready, ErrNotInDoubt}, ErrNotInDoubt, "job a is ready, not in doubt"},
+		{&TransitionError{"a", InDoubt, ErrReasonRequired}, ErrReasonRequired, "job a: a reason is needed"},
+		{&TransitionError{"a", Done, ErrNotMovable}, ErrNotMovable, "job a is done: only one that waits or is dead can be moved"},
+		{&TransitionError{"a", Dead, ErrOperatorRequired}, ErrOperatorRequired, "job a may not run twice: an operator retries it, with a reason"},
 	} {
 		if test.err.Error() != test.text {
 			t.Errorf("%q, want %q", test.err, test.text)
@@ -40,13 +45,14 @@
 		stored  []Job
 		request func(*Machine) ([]Effect, error)
 		text    string
+		cause   error
 	}{
-		{nil, resolve("asked"), "no job a"},
-		{nil, move(Kill), "no job a"},
-		{[]Job{{ID: "a", State: Ready}}, resolve("asked"), "job a is ready, not in doubt"},
-		{[]Job{{ID: "a", State: InDoubt}}, resolve(""), "job a: a reason is needed"},
-		{[]Job{{ID: "a", State: Done}}, move(Kill), "job a is done: only one that waits or is dead can be moved"},
-		{[]Job{{ID: "a", State: Dead, NonIdempotent: true}}, move(Requeue), "job a may not run twice: an operator retries it, with a reason"},
+		{nil, resolve("asked"), "no job a", ErrUnknownJob},
+		{nil, move(Kill), "no job a", ErrUnknownJob},
+		{[]Job{{ID: "a", State: Ready}}, resolve("asked"), "job a is ready, not in doubt", ErrNotInDoubt},
+		{[]Job{{ID: "a", State: InDoubt}}, resolve(""), "job a: a reason is needed", ErrReasonRequired},
+		{[]Job{{ID: "a", State: Done}}, move(Kill), "job a is done: only one that waits or is dead can be moved", ErrNotMovable},
+		{[]Job{{ID: "a", State: Dead, NonIdempotent: true}}, move(Requeue), "job a may not run twice: an operator retries it, with a reason", ErrOperatorRequired},
 	} {
 		machine := New(Config{})
 		machine.Recover(0, test.stored)
@@ -55,6 +61,9 @@
 		if err == nil || err.Error() != test.text {
 			t.Errorf("rejected with %v, want %q", err, test.text)
 		}
+		if !errors.Is(err, test.cause) {
+			t.Errorf("%v does not wrap %q", err, test.cause)
+		}
 		if after, _ := machine.Get("a"); len(effects) > 0 || after.State != before.State || after.Version != before.Version {
 			t.Errorf("%q: the effects are %v, and the job went from %s to %s", test.text, effects, before.State, after.State)
 		}
--- a/internal/jobs/operator.go
+++ b/internal/jobs/operator.go
@@ -1,21 +1,18 @@
 package jobs
 
-import (
-	"fmt"
-	"time"
-)
+import "time"
 
 // Resolve ends a job in doubt at an operator's request: it ran, or it did not and runs again. A reason is required.
-// An error leaves the job as it was and tells the operator why.
+// The error is a *TransitionError.
 func (m *Machine) Resolve(now time.Duration, id string, ran bool, reason Reason) ([]Effect, error) {
 	entry := m.jobs[id]
 	switch {
 	case entry == nil:
-		return nil, noJobError(id)
+		return nil, &TransitionError{ID: id, Cause: ErrUnknownJob}
 	case entry.State != InDoubt:
-		return nil, fmt.Errorf("job %s is %s, not in doubt", id, entry.State)
+		return nil, &TransitionError{ID: id, State: entry.State, Cause: ErrNotInDoubt}
 	case reason == "":
-		return nil, fmt.Errorf("job %s: a reason is needed", id)
+		return nil, &TransitionError{ID: id, State: entry.State, Cause: ErrReasonRequired}
 	}
 	entry.Reason = reasonResolved(reason)
 	if ran {
@@ -45,16 +42,16 @@
 func (move Move) String() string { return moveNames[move] }
 
 // Move moves a job that waits or is dead. operator is set where an operator asks for it; no one else may requeue a dead
-// non-idempotent job. An error leaves the job as it was and tells the operator or Faktory client why.
+// non-idempotent job. The error is a *TransitionError.
 func (m *Machine) Move(now time.Duration, id string, move Move, reason Reason, operator bool) ([]Effect, error) {
 	entry := m.jobs[id]
 	switch {
 	case entry == nil:
-		return nil, noJobError(id)
+		return nil, &TransitionError{ID: id, Cause: ErrUnknownJob}
 	case !entry.State.IsMovable():
-		return nil, fmt.Errorf("job %s is %s: only one that waits or is dead can be moved", id, entry.State)
+		return nil, &TransitionError{ID: id, State: entry.State, Cause: ErrNotMovable}
 	case entry.State == Dead && entry.NonIdempotent && move == Requeue && !operator:
-		return nil, fmt.Errorf("job %s may not run twice: an operator retries it, with a reason", id)
+		return nil, &TransitionError{ID: id, State: entry.State, Cause: ErrOperatorRequired}
 	}
 	entry.Reason = reason
 	switch move {
@@ -71,6 +68,3 @@
 	m.store(entry)
 	return m.takeEffects(), nil
 }
-
-// noJobError rejects a request about a job that is not known.
-func noJobError(id string) error { return fmt.Errorf("no job %s", id) }
--- a/internal/jobs/storing.go
+++ b/internal/jobs/storing.go
@@ -80,7 +80,7 @@
 }
 
 // StoreFailed reports that a version of a job cannot be stored, for a cause. A job that was being accepted is rejected
-// with an error that wraps the cause, and a lease that was about to be granted is taken back; any other change has
+// with a *NotStoredError, and a lease that was about to be granted is taken back; any other change has
 // happened already, and the caller must store it again.
 func (m *Machine) StoreFailed(id string, version uint64, cause error) []Effect {
 	entry := m.jobs[id]
@@ -90,7 +90,7 @@
 	switch entry.State {
 	case Accepted:
 		m.remove(entry)
-		m.emit(Effect{Kind: AnswerPush, Job: entry.Job, Err: notStoredError(cause)})
+		m.emit(Effect{Kind: AnswerPush, Job: entry.Job, Err: &NotStoredError{Cause: cause}})
 	case Leased: // it has not been delivered, as that waits for the store
 		isDelivery := func(deferred deferredEffect) bool { return deferred.effect.Kind == DeliverJob }
 		entry.afterStore = slices.DeleteFunc(entry.afterStore, isDelivery)
