--- a/internal/dispatch/attempt_test.go
+++ b/internal/dispatch/attempt_test.go
@@ -8,14 +8,14 @@
 	"hollyyoke.example/hollyyoke/internal/eventloop"
 )
 
-// dedupWindow and connectTimeout are the settings of the tests of RepeatBy.
+// dedupWindow and connectTimeout are the settings of the tests of RetryBy.
 const (
 	dedupWindow    = 2 * time.Second
 	connectTimeout = 200 * time.Millisecond
 )
 
-// repeatByCase is a request whose attempts end in turn; the attempt after the last of them stays open.
-type repeatByCase struct {
+// retryByCase is a request whose attempts end in turn; the attempt after the last of them stays open.
+type retryByCase struct {
 	name        string
 	idempotency decision.Idempotency
 	outcomes    []decision.AttemptOutcome
@@ -24,33 +24,20 @@
 
 // A retry must be sent within the window of the first attempt that may have run, less the way to the worker; an attempt
 // that never ran opens no window. Requests of other classes have no bound.
-func TestRepeatBy(t *testing.T) {
-	for _, c := range []repeatByCase{
+func TestRetryMustBeSentWithinDedupWindow(t *testing.T) {
+	for _, c := range []retryByCase{
 		{"may have run", decision.Deduplicated, []decision.AttemptOutcome{decision.Failed}, []int{-1, 0}},
 		{"never ran", decision.Deduplicated, []decision.AttemptOutcome{decision.ConnectionRefused}, []int{-1, -1}},
 		{"idempotent", decision.Idempotent, []decision.AttemptOutcome{decision.Failed}, []int{-1, -1}},
 		{"not idempotent", decision.NonIdempotent, []decision.AttemptOutcome{decision.ConnectionRefused}, []int{-1, -1}},
 	} {
-		t.Run(c.name, func(t *testing.T) { testRepeatBy(t, c) })
+		t.Run(c.name, func(t *testing.T) { testRetryBy(t, c) })
 	}
 }
 
-func testRepeatBy(t *testing.T, c repeatByCase) {
+func testRetryBy(t *testing.T, c retryByCase) {
 	now := time.Hour
-	d := newTestDispatcher(t, eventloop.NewVirtual(func() time.Duration { return now }), decision.Settings{
-		Classes: []decision.Class{{
-			PriorityWeight:   3,
-			LatencyObjective: 300 * time.Millisecond,
-			Deadline:         9 * time.Second,
-			Idempotency:      c.idempotency,
-			DedupWindow:      dedupWindow,
-		}},
-		Tick:           time.Millisecond,
-		MaxAttempts:    4,
-		Cancellation:   true,
-		ConnectTimeout: connectTimeout,
-		MaxRetryAfter:  time.Second,
-	})
+	d := newTestDispatcher(t, eventloop.NewVirtual(func() time.Duration { return now }), retryBySettings(c.idempotency))
 	client := &recordingClient{}
 	d.AddSource(client)
 	d.UpdateWorkers(client, decision.ListSnapshot, []decision.Endpoint{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "d"}})
@@ -82,15 +69,32 @@
 		}
 		unsafe := c.idempotency != decision.Idempotent
 		if attempt.RetryBy != want || attempt.RetryUnsafe != unsafe {
-			t.Errorf("attempt %d: repeat by %v, want %v; repeat unsafe %v, want %v",
+			t.Errorf("attempt %d: retry by %v, want %v; retry unsafe %v, want %v",
 				i, attempt.RetryBy-time.Hour, want-time.Hour, attempt.RetryUnsafe, unsafe)
 		}
 	}
-	checkRepeatBy(t, d, c.idempotency)
+	checkRetryByOfReorderedAttempts(t, d, c.idempotency)
+}
+
+func retryBySettings(idempotency decision.Idempotency) decision.Settings {
+	return decision.Settings{
+		Classes: []decision.Class{{
+			PriorityWeight:   3,
+			LatencyObjective: 300 * time.Millisecond,
+			Deadline:         9 * time.Second,
+			Idempotency:      idempotency,
+			DedupWindow:      dedupWindow,
+		}},
+		Tick:           time.Millisecond,
+		MaxAttempts:    4,
+		Cancellation:   true,
+		ConnectTimeout: connectTimeout,
+		MaxRetryAfter:  time.Second,
+	}
 }
 
-// checkRepeatBy checks the bound after attempts that were assigned in another order than they would be.
-func checkRepeatBy(t *testing.T, d *Dispatcher, idempotency decision.Idempotency) {
+// checkRetryByOfReorderedAttempts checks the bound after attempts that were assigned in another order than they would be.
+func checkRetryByOfReorderedAttempts(t *testing.T, d *Dispatcher, idempotency decision.Idempotency) {
 	t.Helper()
 	neverRan := attemptRecord{assignedAt: 9, neverRan: true}
 	for _, c := range []struct {
@@ -103,8 +107,8 @@
 		if idempotency != decision.Deduplicated {
 			c.want = 0
 		}
-		if got := d.repeatBy(&openRequest{attempts: c.attempts}); got != c.want {
-			t.Errorf("after %v: repeat by %v, want %v", c.attempts, got, c.want)
+		if got := d.retryBy(&openRequest{attempts: c.attempts}); got != c.want {
+			t.Errorf("after %v: retry by %v, want %v", c.attempts, got, c.want)
 		}
 	}
 }
--- /dev/null
+++ b/internal/dispatch/attemptreport.go
@@ -0,0 +1,105 @@
+package dispatch
+
+import (
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/invariant"
+)
+
+// The methods below are what a worker client reports of an attempt. For an attempt that is not open they do nothing.
+
+// AttemptSent reports that the last byte of an attempt was sent. Further calls for the attempt do nothing.
+func (d *Dispatcher) AttemptSent(attemptHandle uint64) {
+	attempt := d.attempts.Get(attemptHandle)
+	if attempt == nil || attempt.sent {
+		return
+	}
+	attempt.sent = true
+	attempt.phase = delivered
+	d.counters.total.Sent++
+	d.checkSent(attempt)
+	d.traceAttempt(attempt, StepSent)
+}
+
+// checkSent has the guard check an attempt after its last byte was sent.
+func (d *Dispatcher) checkSent(attempt *openAttempt) {
+	request := d.requests.Get(attempt.request)
+	if request == nil {
+		return
+	}
+	since, leaving := d.workers.leavingSince[attempt.worker]
+	start := d.startFacts(request, attempt.number)
+	send := invariant.Send{
+		Now:          start.Now,
+		Deadline:     request.deadline,
+		Leaving:      leaving,
+		LeavingSince: since,
+		Grace:        d.Settings.DrainGrace,
+	}
+	d.Guard.CheckSent(start, send, "request "+request.ID+" to "+attempt.worker)
+}
+
+// AttemptStarted reports that a worker has begun to run an attempt.
+func (d *Dispatcher) AttemptStarted(attemptHandle uint64) {
+	attempt := d.attempts.Get(attemptHandle)
+	if attempt == nil {
+		return
+	}
+	attempt.phase = delivered
+	d.traceAttempt(attempt, StepStarted)
+	d.handle(decision.Event{
+		Kind:    decision.AttemptStarted,
+		Request: attempt.request,
+		Attempt: attempt.number,
+		Worker:  attempt.worker,
+	})
+}
+
+// AttemptProgressed reports which fraction of an attempt is done, from 0 to 1.
+func (d *Dispatcher) AttemptProgressed(attemptHandle uint64, fraction float64) {
+	attempt := d.attempts.Get(attemptHandle)
+	if attempt == nil {
+		return
+	}
+	d.handle(decision.Event{
+		Kind:     decision.AttemptProgressed,
+		Request:  attempt.request,
+		Attempt:  attempt.number,
+		Worker:   attempt.worker,
+		Fraction: fraction,
+	})
+}
+
+// AttemptEnded reports how an attempt ended. result is the response body of a completed one, valid during the call only.
+func (d *Dispatcher) AttemptEnded(
+	attemptHandle uint64, outcome decision.AttemptOutcome, load decision.LoadReport, result []byte,
+) {
+	attempt := d.attempts.Get(attemptHandle)
+	if attempt == nil {
+		return
+	}
+	request := d.requests.Get(attempt.request)
+	d.traceEnded(request, attempt, outcome, load)
+	d.attempts.Remove(attemptHandle)
+	request.openAttempts--
+	neverRan := outcome.NeverRan(&d.Settings)
+	request.attempts[attempt.number].neverRan = neverRan
+	if attempt.fence != 0 {
+		request.Leaser.Ended(&request.Request, attempt.fence, outcome, neverRan, result)
+	}
+	switch {
+	case outcome == decision.Completed:
+		d.respond(request, Response{Outcome: Served, Body: result})
+	case attempt.fence != 0 && !neverRan: // see Leaser: the job is not retried as the same request
+		d.respond(request, Response{Outcome: Failed})
+	}
+	d.handle(decision.Event{
+		Kind:     decision.AttemptEnded,
+		Request:  attempt.request,
+		Attempt:  attempt.number,
+		Worker:   attempt.worker,
+		Outcome:  outcome,
+		Answered: request.answered,
+		Load:     load,
+	})
+	d.cleanUp(request)
+}
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -10,21 +10,19 @@
 	"hollyyoke.example/hollyyoke/internal/slotmap"
 )
 
-// Dispatcher owns the open requests, their attempts and the workers listed. Its exported fields are set before the first
-// request; its methods belong to the loop's goroutine.
+// Dispatcher owns the open requests, their attempts and the workers listed. Its methods belong to the loop's goroutine.
 type Dispatcher struct {
+	// What New was given. Others only read it; Reconfigure replaces Settings.
 	Loop     *eventloop.Loop
 	Settings decision.Settings
 	Seed     uint64 // of the process, for what worker clients draw at random
-	Log      func(text string)
 
-	// Trace is called at each step of each request, with the client's ID of the request and with keys and values; nil:
-	// tracing is off.
-	Trace func(id, step string, more ...any)
+	// The hooks are set before the first request, and may be set to nil later, except Log.
 
-	// OnAccepted and OnReserved pass on what a second process of the same dispatcher must know; nil: there is none.
-	OnAccepted func(idHash uint64)                      // a request with that hashed ID was accepted
-	OnReserved func(worker string, reservation float64) // an attempt took that much of a worker's slow-start budget
+	Log        func(text string)                        // writes a line to the process's log
+	Trace      func(id, step string, more ...any)       // see the constants StepAccepted and so on; nil: tracing is off
+	OnAccepted func(idHash uint64)                      // a request with that hashed ID was accepted; nil: no other process must know
+	OnReserved func(worker string, reservation float64) // an attempt took that much of a worker's slow-start budget; nil: as above
 
 	// Guard checks each start, send, retry and close.
 	Guard invariant.Guard
@@ -33,23 +31,14 @@
 	// without workers use it.
 	ClientOverride WorkerClient
 
-	machine  *decision.Machine
-	pending  []decision.Event // waiting until the machine has handled the present one
-	actions  []decision.Action
-	handling bool
+	driver  machineDriver
+	workers workerList
+	sources []WorkerClient // each owns a part of workers
 
-	requests   slotmap.Map[openRequest]
-	attempts   slotmap.Map[openAttempt]
-	unanswered int
-	ids        requestIDs
-
-	sources      []WorkerClient
-	workers      map[string]listedWorker  // by name
-	ready        int                      // workers listed that take new work
-	leavingSince map[string]time.Duration // clock time at which a worker was reported as draining or removed, by name
-
-	counts      Counts
-	classCounts []ClassCounts // by class
+	requests slotmap.Map[openRequest]
+	attempts slotmap.Map[openAttempt]
+	ids      requestIDs
+	counters requestCounters
 }
 
 // New returns a Dispatcher that knows no workers. It returns an error if the settings are invalid.
@@ -59,15 +48,14 @@
 		return nil, err
 	}
 	return &Dispatcher{
-		Loop:         loop,
-		Settings:     config,
-		Seed:         seed,
-		Log:          func(string) {},
-		machine:      machine,
-		ids:          newRequestIDs(),
-		workers:      map[string]listedWorker{},
-		leavingSince: map[string]time.Duration{},
-		classCounts:  make([]ClassCounts, len(config.Classes)),
+		Loop:     loop,
+		Settings: config,
+		Seed:     seed,
+		Log:      func(string) {},
+		driver:   machineDriver{machine: machine},
+		workers:  newWorkerList(),
+		ids:      newRequestIDs(),
+		counters: newRequestCounters(len(config.Classes)),
 	}, nil
 }
 
@@ -83,61 +71,6 @@
 	return nil
 }
 
-// handle feeds an event to the machine and carries out its actions. Events that these bring about are queued, and handled
-// by the outermost call.
-func (d *Dispatcher) handle(event decision.Event) {
-	nested := d.handling
-	if !nested {
-		d.handling = true
-		d.refreshSources() // the events of this come first
-	}
-	d.pending = append(d.pending, event)
-	if nested {
-		return
-	}
-	for len(d.pending) > 0 {
-		next := d.pending[0]
-		d.pending = append(d.pending[:0], d.pending[1:]...)
-		d.actions = d.machine.Handle(d.Loop.Now(), next, d.actions[:0])
-		for i := range d.actions {
-			d.act(&d.actions[i])
-		}
-	}
-	d.handling = false
-}
-
-// act carries out one action of the machine.
-func (d *Dispatcher) act(action *decision.Action) {
-	switch action.Kind {
-	case decision.Assign:
-		d.assign(action.Request, action.Worker, action.Reservation)
-	case decision.Reject:
-		d.conclude(action.Request, Response{Outcome: Rejected, RetryAfter: action.Delay})
-	case decision.Fail:
-		d.conclude(action.Request, Response{Outcome: Failed})
-	case decision.CancelAttempt:
-		if request := d.requests.Get(action.Request); request != nil && action.Attempt < len(request.attempts) {
-			d.stopAttempt(request.attempts[action.Attempt].handle, decision.Cancelled)
-		}
-	case decision.SetTimer:
-		d.setTimer(action.Timer, d.Loop.Now()+action.Delay)
-	case decision.CheckHealth:
-		if listed, ok := d.workers[action.Worker]; ok {
-			d.clientOf(listed).CheckHealth(action.Worker)
-		}
-	case decision.CloseIdle:
-		if listed, ok := d.workers[action.Worker]; ok {
-			d.clientOf(listed).CloseIdle(action.Worker)
-		}
-	case decision.Subscribe:
-		for _, source := range d.sources {
-			source.Subscribe()
-		}
-	case decision.Log:
-		d.Log(action.Text)
-	}
-}
-
 // setTimer sets a timer of the machine. One whose number is the handle of an open request belongs to that request.
 func (d *Dispatcher) setTimer(number uint64, at time.Duration) {
 	request := d.requests.Get(number)
--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -13,6 +13,18 @@
 //     returns. It enforces what must hold whatever the machine decides: one response for each request, none later than
 //     its deadline, and no attempt that a rule of package invariant forbids.
 //
+// # The way of a request
+//
+//  1. [Dispatcher.Accept] gives it a handle and a deadline and feeds its arrival to the machine.
+//  2. The machine rejects it, queues it or assigns it to a worker. An assigned attempt passes the guard, gets its lease if
+//     the request has a [Leaser], and goes to [WorkerClient.Start].
+//  3. The worker client reports on the attempt: [Dispatcher.AttemptSent], [Dispatcher.AttemptStarted],
+//     [Dispatcher.AttemptProgressed], and once [Dispatcher.AttemptEnded]. What has not run may be assigned again.
+//  4. [FrontEnd.Respond] gets the final response: of the first attempt that completed, or of the machine, which rejects
+//     the request or gives it up, or at the deadline. Open attempts are stopped; the request is removed with the last.
+//
+// The client may end it sooner, see [Dispatcher.Cancel] and [ClientWatcher].
+//
 // # Concurrency
 //
 // All state belongs to one goroutine, that of the [eventloop.Loop]. Every method of Dispatcher, and every method that
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -33,16 +33,19 @@
 // openRequest is a request that has no final response yet, or has attempts in flight.
 type openRequest struct {
 	Request
-	handle       uint64
-	idHash       uint64
-	frontEnd     FrontEnd
-	token        uint64        // of the front end
-	deadline     time.Duration // clock time by which the final response leaves
-	attempts     []attemptRecord
-	openAttempts int
-	answered     bool               // it has its final response, or was cancelled
-	timer        eventloop.Deadline // of the machine, under the request's handle
-	expiry       eventloop.Deadline // at deadline
+	handle   uint64
+	idHash   uint64
+	deadline time.Duration // clock time by which the final response leaves
+
+	frontEnd FrontEnd
+	token    uint64 // by which frontEnd knows the request
+	answered bool   // it has its final response, or was cancelled
+
+	attempts     []attemptRecord // all that were assigned, by number
+	openAttempts int             // of them, those that have not ended
+
+	timer  eventloop.Deadline // of the machine, under the request's handle
+	expiry eventloop.Deadline // at deadline
 }
 
 // attemptRecord is what remains known of an attempt for as long as its request is open.
@@ -60,22 +63,12 @@
 }
 
 // Accept takes a request on: from now on its front end is owed one final response under the token, which may come before
-// Accept returns. It returns the handle of the request for Cancel.
-func (d *Dispatcher) Accept(frontEnd FrontEnd, token uint64, request Request) uint64 {
+// Accept returns. It returns the handle of the request, for Cancel.
+func (d *Dispatcher) Accept(frontEnd FrontEnd, token uint64, request Request) (requestHandle uint64) {
 	now := d.Loop.Now()
-	open := &openRequest{frontEnd: frontEnd, token: token, Request: request}
-	open.deadline = d.deadlineOf(&request, now)
-	open.handle = d.requests.Insert(open)
-	open.idHash = d.ids.hash(request.ID)
-	d.ids.add(open.idHash)
-	if d.OnAccepted != nil {
-		d.OnAccepted(open.idHash)
-	}
-	open.expiry.Fire = func() { d.expire(open) }
-	open.timer.Fire = func() { d.fireTimer(open.handle) }
-	d.Loop.Set(&open.expiry, open.deadline)
-	d.unanswered++
-	d.counts.Accepted++
+	open := d.openRequest(frontEnd, token, request, now)
+	d.counters.unanswered++
+	d.counters.total.Accepted++
 	d.traceAccepted(open)
 	d.handle(decision.Event{
 		Kind:        decision.RequestArrived,
@@ -90,6 +83,22 @@
 	return open.handle
 }
 
+// openRequest gives a request its handle and its deadline, and makes its ID known.
+func (d *Dispatcher) openRequest(frontEnd FrontEnd, token uint64, request Request, now time.Duration) *openRequest {
+	open := &openRequest{frontEnd: frontEnd, token: token, Request: request}
+	open.deadline = d.deadlineOf(&request, now)
+	open.handle = d.requests.Insert(open)
+	open.idHash = d.ids.hash(request.ID)
+	d.ids.add(open.idHash)
+	if d.OnAccepted != nil {
+		d.OnAccepted(open.idHash)
+	}
+	open.expiry.Fire = func() { d.expire(open) }
+	open.timer.Fire = func() { d.fireTimer(open.handle) }
+	d.Loop.Set(&open.expiry, open.deadline)
+	return open
+}
+
 // deadlineOf returns the clock time by which the final response to a request must leave.
 func (d *Dispatcher) deadlineOf(request *Request, now time.Duration) time.Duration {
 	timeLeft := d.Settings.Classes[request.Class].Deadline
@@ -103,78 +112,9 @@
 	return max(receivedAt+timeLeft-responseMargin, now)
 }
 
-// Cancel withdraws a request: its client wants no response any more. It returns whether the request may have run by then.
-func (d *Dispatcher) Cancel(handle uint64) (mayHaveRun bool) {
-	request := d.requests.Get(handle)
-	if request == nil || request.answered {
-		return false
-	}
-	d.counts.Cancelled++
-	d.traceCancelled(request)
-	d.resolve(request)
-	d.handle(decision.Event{Kind: decision.ClientDisconnected, Request: handle})
-	d.cleanUp(request)
-	return request.mayHaveRun() // only now: to stop an attempt may show that it never ran
-}
-
-// cancelIfClientLeft cancels a request whose client has disconnected, and reports whether it did. A leased job is wanted
-// whether its client waits or not.
-func (d *Dispatcher) cancelIfClientLeft(request *openRequest) bool {
-	watcher, ok := request.frontEnd.(ClientWatcher)
-	if !ok || request.Leaser != nil || !watcher.ClientLeft(request.token) {
-		return false
-	}
-	mayHaveRun := d.Cancel(request.handle)
-	watcher.RequestCancelled(request.token, mayHaveRun)
-	return true
-}
-
-// ExpireAll makes all open requests expire now.
-func (d *Dispatcher) ExpireAll() {
-	d.requests.ForEach(func(_ uint64, request *openRequest) { d.expire(request) })
-}
-
-// expire ends a request at its deadline: its open attempts have timed out, and if that leaves it without a response, it
-// has failed. No request goes unanswered, whatever the machine does.
-func (d *Dispatcher) expire(request *openRequest) {
-	for i := 0; i < len(request.attempts) && d.requests.Get(request.handle) == request; i++ {
-		d.stopAttempt(request.attempts[i].handle, decision.TimedOut)
-	}
-	if request.answered {
-		return
-	}
-	d.respond(request, Response{Outcome: Failed})
-	d.handle(decision.Event{Kind: decision.ClientDisconnected, Request: request.handle})
-	d.cleanUp(request)
-}
-
-// conclude gives a request the final response that the machine decided on.
-func (d *Dispatcher) conclude(handle uint64, response Response) {
-	request := d.requests.Get(handle)
-	if request == nil {
-		return
-	}
-	d.respond(request, response)
-	d.cleanUp(request)
-}
-
-// respond gives a request its final response, if it has none yet.
-func (d *Dispatcher) respond(request *openRequest, response Response) {
-	if request.answered {
-		return
-	}
-	response.MayHaveRun = request.mayHaveRun()
-	d.countOutcome(request.Class, response.Outcome)
-	d.traceResponse(request, response)
-	d.resolve(request)
-	request.frontEnd.Respond(request.token, response)
-}
-
-// resolve marks a request as answered or cancelled.
-func (d *Dispatcher) resolve(request *openRequest) {
-	request.answered = true
-	d.unanswered--
-	d.Loop.Clear(&request.timer)
+// isOpen reports whether a request still has its handle.
+func (d *Dispatcher) isOpen(request *openRequest) bool {
+	return d.requests.Get(request.handle) == request
 }
 
 // cleanUp stops what an answered request does not need any more, and removes the request once it has no open attempt.
@@ -184,7 +124,7 @@
 		return
 	}
 	d.stopUndelivered(request)
-	if request.openAttempts > 0 || d.requests.Get(request.handle) != request {
+	if request.openAttempts > 0 || !d.isOpen(request) {
 		return
 	}
 	d.Loop.Clear(&request.expiry)
@@ -194,19 +134,3 @@
 		request.Release()
 	}
 }
-
-// stopUndelivered stops the attempts that have not been delivered to their workers, also where the settings allow no
-// cancellation. An attempt that has its lease continues: the job is wanted whether its client waits or not, and it is
-// the front end that ends it.
-func (d *Dispatcher) stopUndelivered(request *openRequest) {
-	for i := 0; i < len(request.attempts); i++ {
-		handle := request.attempts[i].handle
-		attempt := d.attempts.Get(handle)
-		if attempt == nil || attempt.delivered {
-			continue
-		}
-		if attempt.awaitsLease || request.Leaser == nil {
-			d.stopAttempt(handle, decision.Cancelled)
-		}
-	}
-}
--- a/internal/dispatch/requestids_test.go
+++ b/internal/dispatch/requestids_test.go
@@ -14,21 +14,7 @@
 	id := func(i int) string { return string(rune('a'+i%20)) + time.Duration(i).String() }
 	const requests = 2 * maxRecentIDs
 	for i := range requests {
-		responses, cancelled := 0, false
-		frontEnd := respondFunc(func(response Response) {
-			responses++
-			if responses > 1 || cancelled || response.MayHaveRun {
-				t.Fatalf("request %d: response %d, cancelled: %v, may have run: %v", i, responses, cancelled, response.MayHaveRun)
-			}
-		})
-		handle := d.Accept(frontEnd, uint64(i), Request{ID: id(i)})
-		if !d.IsKnownID(id(i)) {
-			t.Fatalf("request %d is open, but its ID is unknown", i)
-		}
-		if responses == 0 {
-			cancelled = true
-			d.Cancel(handle)
-		}
+		acceptAndEnd(t, d, i, id(i))
 	}
 	const last = requests - 1
 	const oldestKnown = last - maxRecentIDs + 1
@@ -36,6 +22,28 @@
 		t.Error("the known IDs are not those of the latest requests")
 	}
 	if len(d.ids.open) != 0 || len(d.ids.recent) != maxRecentIDs {
-		t.Errorf("%d open, %d recent", len(d.ids.open), len(d.ids.recent))
+		t.Errorf("%d IDs open and %d recent are remembered, want 0 and %d", len(d.ids.open), len(d.ids.recent), maxRecentIDs)
+	}
+}
+
+// acceptAndEnd accepts a request and cancels it, unless it is answered at once.
+func acceptAndEnd(t *testing.T, d *Dispatcher, number int, id string) {
+	t.Helper()
+	responses := 0
+	cancelled := false
+	frontEnd := respondFunc(func(response Response) {
+		responses++
+		if responses > 1 || cancelled || response.MayHaveRun {
+			t.Fatalf("request %d: response %d, cancelled: %v, may have run: %v",
+				number, responses, cancelled, response.MayHaveRun)
+		}
+	})
+	handle := d.Accept(frontEnd, uint64(number), Request{ID: id})
+	if !d.IsKnownID(id) {
+		t.Fatalf("request %d is open, but its ID is unknown", number)
+	}
+	if responses == 0 {
+		cancelled = true
+		d.Cancel(handle)
 	}
 }
--- /dev/null
+++ b/internal/dispatch/requestmodel_test.go
@@ -0,0 +1,251 @@
+package dispatch
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
+)
+
+// requestModel follows the requests of one Dispatcher, whose front end and worker client it is.
+type requestModel struct {
+	t          *testing.T
+	now        time.Duration // the loop's clock
+	dispatcher *Dispatcher
+	requests   []*modelRequest          // by token
+	attempts   map[uint64]*modelRequest // in flight, by handle
+	order      []uint64                 // handles of the attempts in flight, in the order of Start
+	states     map[string]decision.WorkerState
+}
+
+type modelRequest struct {
+	handle    uint64
+	class     int
+	responses int
+	cancelled bool
+	ran       int // attempts that have ended and may have run
+	inFlight  int
+	released  int
+}
+
+func (r *modelRequest) mayHaveRun() bool { return r.ran+r.inFlight > 0 }
+
+const (
+	idempotentClass    = 0
+	nonIdempotentClass = 1
+)
+
+// newRequestModel returns a model with a Dispatcher that has two running workers.
+func newRequestModel(t *testing.T, cancellation bool) *requestModel {
+	m := &requestModel{
+		t:        t,
+		now:      time.Hour,
+		attempts: map[uint64]*modelRequest{},
+		states:   map[string]decision.WorkerState{},
+	}
+	m.dispatcher = newTestDispatcher(t, eventloop.NewVirtual(func() time.Duration { return m.now }), decision.Settings{
+		Classes: []decision.Class{
+			idempotentClass: {
+				PriorityWeight:   3,
+				LateWeight:       0.25,
+				LatencyObjective: 300 * time.Millisecond,
+				Deadline:         2 * time.Second,
+			},
+			nonIdempotentClass: {
+				PriorityWeight:   5,
+				LateWeight:       0.5,
+				LatencyObjective: 300 * time.Millisecond,
+				Deadline:         3 * time.Second,
+				Idempotency:      decision.NonIdempotent,
+			},
+		},
+		Tick:             time.Millisecond,
+		MaxAttempts:      3,
+		Hedging:          true,
+		Cancellation:     cancellation,
+		StartNotices:     true,
+		ProgressInterval: 100 * time.Millisecond,
+		ConnectTimeout:   50 * time.Millisecond,
+		MaxRetryAfter:    time.Second,
+	})
+	m.dispatcher.AddSource(m)
+	m.setWorker("a", decision.Running)
+	m.setWorker("b", decision.Running)
+	return m
+}
+
+// Respond checks a response against what is known of the request.
+func (m *requestModel) Respond(token uint64, response Response) {
+	r := m.requests[token]
+	r.responses++
+	if r.responses > 1 || r.cancelled {
+		m.t.Fatalf("request %d: %d responses, cancelled: %v", token, r.responses, r.cancelled)
+	}
+	if response.Outcome == Rejected && r.class == nonIdempotentClass && r.mayHaveRun() {
+		m.t.Fatalf("request %d: rejected though it may have run", token)
+	}
+	if response.MayHaveRun != r.mayHaveRun() {
+		m.t.Fatalf("request %d: may have run: %v, but %d ran and %d are in flight",
+			token, response.MayHaveRun, r.ran, r.inFlight)
+	}
+}
+
+// Start checks an attempt against what is known of its worker and its request.
+func (m *requestModel) Start(attempt Attempt) {
+	r := m.requests[attempt.Request.Body[0]]
+	if m.states[attempt.Worker] != decision.Running {
+		m.t.Fatalf("an attempt for %s, which is %v", attempt.Worker, m.states[attempt.Worker])
+	}
+	if r.class == nonIdempotentClass && r.mayHaveRun() {
+		m.t.Fatalf("a non-idempotent request retried: %d ran, %d in flight", r.ran, r.inFlight)
+	}
+	if r.responses > 0 || r.cancelled || r.released > 0 {
+		m.t.Fatalf("an attempt for a request that is over")
+	}
+	r.inFlight++
+	m.attempts[attempt.Handle] = r
+	m.order = append(m.order, attempt.Handle)
+}
+
+// remove removes an attempt from those in flight.
+func (m *requestModel) remove(handle uint64) *modelRequest {
+	r := m.attempts[handle]
+	delete(m.attempts, handle)
+	m.order = slices.DeleteFunc(m.order, func(h uint64) bool { return h == handle })
+	r.inFlight--
+	return r
+}
+
+func (m *requestModel) Cancel(handle uint64) bool {
+	r := m.remove(handle)
+	if handle%3 == 0 {
+		return true // as if it had not been sent
+	}
+	r.ran++
+	return false
+}
+
+func (m *requestModel) CloseIdle(string)   {}
+func (m *requestModel) CheckHealth(string) {}
+func (m *requestModel) Subscribe()         {}
+
+// accept hands in a request with the properties that x selects.
+func (m *requestModel) accept(x int) {
+	r := &modelRequest{class: x % 2}
+	token := len(m.requests)
+	m.requests = append(m.requests, r)
+	r.handle = m.dispatcher.Accept(m, uint64(token), Request{
+		Class:    x % 2,
+		Body:     []byte{byte(token)},
+		TimeLeft: time.Duration(x) * 20 * time.Millisecond,
+		Work:     time.Duration(x%7) * 10 * time.Millisecond,
+		Release:  func() { r.released++ },
+	})
+}
+
+func (m *requestModel) cancelRequest(r *modelRequest) {
+	r.cancelled = r.cancelled || r.responses == 0
+	m.dispatcher.Cancel(r.handle)
+}
+
+// endAttempt reports the end of an attempt twice; the second report must change nothing.
+func (m *requestModel) endAttempt(handle uint64, outcome decision.AttemptOutcome) {
+	r := m.remove(handle)
+	if outcome != decision.Saturated && outcome != decision.ConnectionRefused {
+		r.ran++
+	}
+	m.dispatcher.AttemptEnded(handle, outcome, decision.LoadReport{}, nil)
+	m.dispatcher.AttemptEnded(handle, decision.Completed, decision.LoadReport{}, nil)
+}
+
+func (m *requestModel) setWorker(name string, state decision.WorkerState) {
+	m.states[name] = state
+	m.dispatcher.UpdateWorkers(m, decision.ListDelta, []decision.Endpoint{{Name: name, State: state}})
+}
+
+func (m *requestModel) advance(milliseconds int) {
+	m.now += time.Duration(milliseconds) * time.Millisecond
+	m.dispatcher.Loop.RunOnce()
+}
+
+// maxModelRequests bounds the requests of one run, so that a byte names each.
+const maxModelRequests = 201
+
+// Operations of step. The numbers stand in the fuzzer's seeds; those that are missing repeat the operation before, which
+// makes it more frequent.
+const (
+	opAccept     = 0
+	opEndAttempt = 1
+	opProgress   = 3
+	opCancel     = 4
+	opSetWorker  = 6
+	opListFailed = 7
+	opAdvance    = 8
+	operations   = 10
+)
+
+// endOutcomes are the outcomes that a worker client reports.
+var endOutcomes = []decision.AttemptOutcome{
+	decision.Completed,
+	decision.Failed,
+	decision.Saturated,
+	decision.TimedOut,
+	decision.ConnectionRefused,
+	decision.ConnectionLost,
+	decision.InvalidRequest,
+}
+
+// step does what one pair of bytes of the fuzzer says: the operation, and x, which selects what it is done to.
+func (m *requestModel) step(operation byte, x int) {
+	switch operation % operations {
+	case opAccept:
+		if len(m.requests) < maxModelRequests {
+			m.accept(x)
+		}
+	case opEndAttempt, opEndAttempt + 1:
+		if len(m.order) > 0 {
+			handle := m.order[x/8%len(m.order)]
+			m.endAttempt(handle, endOutcomes[x%len(endOutcomes)])
+		}
+	case opProgress:
+		if len(m.order) > 0 {
+			handle := m.order[x%len(m.order)]
+			m.dispatcher.AttemptStarted(handle)
+			m.dispatcher.AttemptProgressed(handle, float64(x)/255)
+		}
+	case opCancel, opCancel + 1:
+		if len(m.requests) > 0 {
+			m.cancelRequest(m.requests[x%len(m.requests)])
+		}
+	case opSetWorker:
+		m.setWorker([]string{"a", "b", "c"}[x%3], decision.WorkerState(x/3%3))
+	case opListFailed:
+		m.dispatcher.UpdateWorkers(m, decision.ListFailed, nil)
+	case opAdvance, opAdvance + 1:
+		m.advance(x * 4)
+	}
+}
+
+// finish lets all deadlines pass, ends what is still in flight and checks that nothing is left.
+func (m *requestModel) finish() {
+	for range 8 {
+		m.advance(1000)
+	}
+	for len(m.order) > 0 {
+		m.endAttempt(m.order[0], decision.ConnectionLost)
+	}
+	for i, r := range m.requests {
+		if r.responses == 0 != r.cancelled || r.released != 1 {
+			m.t.Fatalf("request %d: %d responses, cancelled: %v, released %d times", i, r.responses, r.cancelled, r.released)
+		}
+	}
+	d := m.dispatcher
+	counts := d.Counts()
+	if d.Unanswered() != 0 || d.requests.Len() != 0 || d.attempts.Len() != 0 ||
+		counts.Accepted != counts.Served+counts.Rejected+counts.Failed+counts.Cancelled {
+		m.t.Fatalf("%d unanswered, %d requests, %d attempts, counts %+v",
+			d.Unanswered(), d.requests.Len(), d.attempts.Len(), counts)
+	}
+}
--- a/internal/dispatch/trace.go
+++ b/internal/dispatch/trace.go
@@ -29,7 +29,7 @@
 	class := d.Settings.Classes[request.Class].Name
 	timeLeft := request.deadline - d.Loop.Now()
 	d.Trace(request.ID, StepAccepted,
-		"class", class, "time_left", timeLeft, "work", request.Work, "unanswered", d.unanswered)
+		"class", class, "time_left", timeLeft, "work", request.Work, "unanswered", d.counters.unanswered)
 }
 
 func (d *Dispatcher) traceCancelled(request *openRequest) {
--- a/internal/dispatch/workers_test.go
+++ b/internal/dispatch/workers_test.go
@@ -15,12 +15,12 @@
 	d.UpdateWorkers(a, decision.ListSnapshot, []decision.Endpoint{{Name: "a1"}, {Name: "a2"}})
 	d.UpdateWorkers(b, decision.ListDelta, []decision.Endpoint{{Name: "b1"}, {Name: "b2", State: decision.Draining}})
 	d.UpdateWorkers(a, decision.ListSnapshot, []decision.Endpoint{{Name: "a2"}})
-	if len(d.workers) != 3 || d.workers["b1"].source != b || d.ReadyWorkers() != 2 {
-		t.Fatalf("listed %v", d.workers)
+	if len(d.workers.listed) != 3 || d.workers.listed["b1"].source != b || d.ReadyWorkers() != 2 {
+		t.Fatalf("listed %v, %d ready; want a2, b1 and b2, 2 ready", d.workers.listed, d.ReadyWorkers())
 	}
 	d.UpdateWorkers(b, decision.ListDelta, []decision.Endpoint{{Name: "b1", State: decision.Removed}})
-	if len(d.workers) != 2 || d.ReadyWorkers() != 1 {
-		t.Fatalf("listed %v", d.workers)
+	if len(d.workers.listed) != 2 || d.ReadyWorkers() != 1 {
+		t.Fatalf("listed %v, %d ready; want a2 and b2, 1 ready", d.workers.listed, d.ReadyWorkers())
 	}
 }
 
@@ -49,7 +49,7 @@
 	} {
 		d.UpdateWorkers(step.source, step.kind, step.endpoints)
 		counted := 0
-		for _, listed := range d.workers {
+		for _, listed := range d.workers.listed {
 			if listed.endpoint.State == running {
 				counted++
 			}
