--- a/internal/eventloop/deadline.go
+++ b/internal/eventloop/deadline.go
@@ -43,10 +43,13 @@
 // fireDeadlines fires what is due now; what is set meanwhile is left to the next turn.
 func (l *Loop) fireDeadlines() {
 	now := l.Now()
-	last := l.lastSequence
+	lastSetBefore := l.lastSequence
 	l.firedAt = now
-	for len(l.deadlines) > 0 && l.deadlines[0].at <= now && l.deadlines[0].sequence <= last {
+	for len(l.deadlines) > 0 {
 		d := l.deadlines[0]
+		if d.at > now || d.sequence > lastSetBefore {
+			return
+		}
 		heap.Pop(&l.deadlines)
 		d.Fire()
 	}
--- a/internal/eventloop/deadline_test.go
+++ b/internal/eventloop/deadline_test.go
@@ -21,19 +21,19 @@
 			}
 		}
 	}
-	for i, at := range []time.Duration{30, 10, 20, 10, 5, time.Hour} {
-		loop.Set(&deadlines[i], now+at)
+	for i, delay := range []time.Duration{30, 10, 20, 10, 5, time.Hour} {
+		loop.Set(&deadlines[i], now+delay)
 	}
 	loop.Set(&deadlines[2], now+40) // later than it was
 	loop.Clear(&deadlines[4])
 	loop.Clear(&deadlines[4])
-	loop.startedUnix += time.Minute
+	loop.startedUnix += time.Minute // moves the clock on
 	loop.fireDeadlines()
 	if want := []int{1, 3, 0, 2}; !slices.Equal(fired, want) {
 		t.Fatalf("fired %v, want %v", fired, want)
 	}
 	loop.fireDeadlines()
 	if want := []int{1, 3, 0, 2, 0}; !slices.Equal(fired, want) {
-		t.Fatalf("fired %v, want %v", fired, want)
+		t.Fatalf("in the next turn: fired %v, want %v", fired, want)
 	}
 }
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -25,16 +25,16 @@
 	clock       func() time.Duration // of virtual time; nil: the system's monotonic clock
 
 	mu      sync.Mutex // guards posted and stopped
-	posted  []func()
+	posted  []func()   // calls that the next turn makes, in their order
 	stopped bool
-	wake    chan struct{}
-	spare   []func() // reused for posted
+	wake    chan struct{} // of capacity 1; holds a value when Run is to look at posted and stopped
+	spare   []func()      // the emptied slice of the turn before, reused for posted
 
 	deadlines    deadlineHeap
-	lastSequence uint64
+	lastSequence uint64        // of Set; see Deadline.sequence
 	firedAt      time.Duration // when deadlines were last fired
 
-	turnEndedAt time.Duration
+	turnEndedAt time.Duration // the end of the last turn, from which a stall counts
 	lastStall   stall
 }
 
@@ -106,25 +106,30 @@
 // RunOnce runs one turn: it calls what was posted and then fires the deadlines that are due. What is posted meanwhile, and
 // what is set while deadlines fire, is left to the next turn. After Stop it does nothing and returns true.
 func (l *Loop) RunOnce() (stopped bool) {
-	l.mu.Lock()
-	stopped = l.stopped
-	work := l.posted
-	l.posted = l.spare[:0]
-	l.mu.Unlock()
+	calls, stopped := l.takePosted()
 	if stopped {
 		return true
 	}
 	l.detectStall()
-	for _, f := range work {
+	for _, f := range calls {
 		f()
 	}
-	clear(work)
-	l.spare = work[:0]
+	clear(calls) // so that the spare slice keeps nothing alive
+	l.spare = calls[:0]
 	l.fireDeadlines()
 	l.turnEndedAt = l.Now()
 	return false
 }
 
+// takePosted removes and returns what was posted, and returns whether the loop was stopped.
+func (l *Loop) takePosted() (calls []func(), stopped bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	calls = l.posted
+	l.posted = l.spare[:0]
+	return calls, l.stopped
+}
+
 // NextDue returns when the next turn has something to do; ok is false if nothing is posted or set.
 func (l *Loop) NextDue() (at time.Duration, ok bool) {
 	l.mu.Lock()
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -8,7 +8,7 @@
 )
 
 // What other goroutines post runs in order, and a deadline wakes the loop.
-func TestRunCallsWhatIsPosted(t *testing.T) {
+func TestRunCallsPostedFunctionsInOrder(t *testing.T) {
 	loop := New()
 	var got []int
 	go func() {
@@ -19,7 +19,7 @@
 	}()
 	loop.Run()
 	if len(got) != 100 || !slices.IsSorted(got) {
-		t.Fatalf("ran %v", got)
+		t.Fatalf("ran %v, want 0 to 99 in order", got)
 	}
 }
 
--- a/internal/eventloop/stall_test.go
+++ b/internal/eventloop/stall_test.go
@@ -18,17 +18,17 @@
 	for ; now < 10*time.Second; now += turn {
 		loop.RunOnce()
 		if loop.QueuedSince() != now {
-			t.Errorf("at %v, without a stall: since %v", now, loop.QueuedSince())
+			t.Errorf("at %v, without a stall: since %v, want now", now, loop.QueuedSince())
 		}
 	}
 	begin := now - turn
 	now += 7 * time.Second
 	loop.RunOnce()
 	if loop.QueuedSince() != begin || stalls != 1 {
-		t.Errorf("right after a stall: since %v, not %v; %d stalls", loop.QueuedSince(), begin, stalls)
+		t.Errorf("right after a stall: since %v, want %v; %d stalls, want 1", loop.QueuedSince(), begin, stalls)
 	}
 	now += stallRecoveryTime
 	if loop.QueuedSince() != now {
-		t.Errorf("later: since %v", loop.QueuedSince())
+		t.Errorf("%v after a stall: since %v, want now, %v", stallRecoveryTime, loop.QueuedSince(), now)
 	}
 }
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -21,12 +21,22 @@
 	Duplicate               // a non-idempotent request has one attempt at most that may have run
 	Answered                // nothing is sent for a request that has its final response
 	Unanswered              // no client connection is closed while a response is owed
-	rules
+	numRules
 )
 
 // String returns the rule as it is written in the admin API and in logs.
-func (r Rule) String() string {
-	return [...]string{"none", "drain", "old_list", "deadline", "window", "duplicate", "answered", "unanswered"}[r]
+func (r Rule) String() string { return ruleNames[r] }
+
+// ruleNames are keys of the admin API's JSON.
+var ruleNames = [numRules]string{
+	None:        "none",
+	Drain:       "drain",
+	ListStale:   "old_list",
+	Deadline:    "deadline",
+	DedupWindow: "window",
+	Duplicate:   "duplicate",
+	Answered:    "answered",
+	Unanswered:  "unanswered",
 }
 
 // Send describes a request whose first or last byte is about to be sent. Times are those of the dispatcher's clock.
@@ -83,17 +93,20 @@
 	// Report is called with each violation and what it concerns; nil: violations are only counted.
 	Report func(rule Rule, subject string)
 
-	prevented [rules]uint64
-	violated  [rules]uint64
+	prevented [numRules]uint64
+	violated  [numRules]uint64
 }
 
 // MaySend reports whether a request may be sent, and if not, which rule forbids it.
-func (g *Guard) MaySend(send Send) (Rule, bool) { return g.prevent(send.brokenRule()) }
+func (g *Guard) MaySend(send Send) (broken Rule, allowed bool) { return g.prevent(send.brokenRule()) }
 
 // MayStart reports whether an attempt may be started, and if not, which rule forbids it.
-func (g *Guard) MayStart(start Start) (Rule, bool) { return g.prevent(start.brokenRule()) }
+func (g *Guard) MayStart(start Start) (broken Rule, allowed bool) {
+	return g.prevent(start.brokenRule())
+}
 
-func (g *Guard) prevent(rule Rule) (Rule, bool) {
+// prevent counts an action that would break a rule.
+func (g *Guard) prevent(rule Rule) (broken Rule, allowed bool) {
 	if rule == None {
 		return None, true
 	}
@@ -135,7 +148,7 @@
 // Violated returns how many actions broke a rule nevertheless.
 func (g *Guard) Violated() Counts { return countsByName(&g.violated) }
 
-func countsByName(numbers *[rules]uint64) Counts {
+func countsByName(numbers *[numRules]uint64) Counts {
 	counts := Counts{}
 	for rule, n := range numbers {
 		if n > 0 {
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -12,7 +12,7 @@
 	millisecond = time.Millisecond
 )
 
-func TestMaySend(t *testing.T) {
+func TestMaySendNamesBrokenRule(t *testing.T) {
 	leaving := func(since time.Duration) func(*Send) {
 		return func(s *Send) {
 			s.Leaving = true
@@ -37,20 +37,20 @@
 			send := Send{Now: 10 * second, Deadline: 12 * second}
 			c.change(&send)
 			if rule, ok := guard.MaySend(send); rule != c.want || ok != (c.want == None) {
-				t.Errorf("%v, %v", rule, ok)
+				t.Errorf("rule %v, allowed %v; want %v", rule, ok, c.want)
 			}
 			want := Counts{}
 			if c.want != None {
 				want[c.want.String()] = 1
 			}
 			if got := guard.Prevented(); !maps.Equal(got, want) {
-				t.Errorf("counted %v", got)
+				t.Errorf("prevented %v, want %v", got, want)
 			}
 		})
 	}
 }
 
-func TestMayStart(t *testing.T) {
+func TestMayStartNamesBrokenRule(t *testing.T) {
 	for _, c := range []struct {
 		start Start
 		want  Rule
@@ -64,34 +64,37 @@
 	} {
 		var guard Guard
 		if rule, ok := guard.MayStart(c.start); rule != c.want || ok != (c.want == None) {
-			t.Errorf("%+v: %v, %v", c.start, rule, ok)
+			t.Errorf("%+v: rule %v, allowed %v; want %v", c.start, rule, ok, c.want)
 		}
 	}
 }
 
 func TestViolationsAreCountedAndReported(t *testing.T) {
 	var reported []string
-	guard := Guard{Report: func(rule Rule, subject string) { reported = append(reported, rule.String()+" "+subject) }}
+	report := func(rule Rule, subject string) { reported = append(reported, rule.String()+" "+subject) }
+	guard := Guard{Report: report}
 	start := Start{Now: second, Deadline: 2 * second}
 	send := Send{Now: second, Deadline: 2 * second}
-	guard.CheckSent(start, send, "fine")
 	repeat := start
 	repeat.NonIdempotent = true
 	repeat.MayHaveRun = true
-	guard.CheckSent(repeat, send, "twice")
 	toRemoved := send
 	toRemoved.Leaving = true
+
+	guard.CheckSent(start, send, "fine")
+	guard.CheckSent(repeat, send, "twice")
 	guard.CheckSent(start, toRemoved, "removed")
 	guard.CheckClosed(false, "fine")
 	guard.CheckClosed(true, "client")
+
 	if want := (Counts{"duplicate": 1, "drain": 1, "unanswered": 1}); !maps.Equal(guard.Violated(), want) {
-		t.Errorf("counted %v", guard.Violated())
+		t.Errorf("violated %v, want %v", guard.Violated(), want)
 	}
-	if fmt.Sprint(reported) != "[duplicate twice drain removed unanswered client]" {
-		t.Errorf("reported %q", reported)
+	if want := "[duplicate twice drain removed unanswered client]"; fmt.Sprint(reported) != want {
+		t.Errorf("reported %q, want %s", reported, want)
 	}
 	if len(guard.Prevented()) > 0 {
-		t.Errorf("prevented %v", guard.Prevented())
+		t.Errorf("prevented %v, want nothing: a check comes after the action", guard.Prevented())
 	}
 }
 
--- a/internal/slotmap/slotmap.go
+++ b/internal/slotmap/slotmap.go
@@ -14,7 +14,7 @@
 // below 2^62 and are not used again. A Map is not safe for concurrent use.
 type Map[T any] struct {
 	slots []slot[T]
-	free  []uint32 // indices of the slots not in use
+	free  []uint32 // indexes of the slots not in use
 }
 
 type slot[T any] struct {
