--- a/internal/listener/admission.go
+++ b/internal/listener/admission.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"hollyyoke.example/hollyyoke/internal/connlimit"
+	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
 const (
@@ -31,17 +32,22 @@
 }
 
 // Admit decides on a connection that was accepted, as transport.Admission says.
-func (g *Gate) Admit(conn net.Conn) (token uint64, admitted, wait bool) {
+func (g *Gate) Admit(conn net.Conn) transport.AdmissionResult {
 	addr := peerAddr(conn)
 	id, reason := g.tryAdmit(addr)
 	if reason == connlimit.Allowed {
-		return uint64(id), true, false
+		return admitted(id)
 	}
 	if reason == connlimit.FullKnown && g.startWaiting() {
-		return 0, false, true
+		return transport.AdmissionResult{Outcome: transport.Deferred}
 	}
-	g.reject(conn, addr, reason)
-	return 0, false, false
+	return g.reject(conn, addr, reason)
+}
+
+// admitted returns the result for an admitted connection: its token is its ID in
+// the Limiter.
+func admitted(id connlimit.ID) transport.AdmissionResult {
+	return transport.AdmissionResult{Outcome: transport.Admitted, Token: transport.AdmissionToken(id)}
 }
 
 // tryAdmit asks the budget and the limiter about a connection of an address.
@@ -79,7 +85,7 @@
 
 // WaitForCapacity evicts connections until conn can be admitted, as
 // transport.Admission says.
-func (g *Gate) WaitForCapacity(conn net.Conn) (token uint64, admitted bool) {
+func (g *Gate) WaitForCapacity(conn net.Conn) transport.AdmissionResult {
 	defer g.waiting.Add(-1)
 	addr := peerAddr(conn)
 	for range evictionAttempts {
@@ -90,21 +96,20 @@
 		}
 		id, reason := g.admitWithDescriptor(addr)
 		if reason == connlimit.Allowed {
-			return uint64(id), true
+			return admitted(id)
 		}
 	}
-	g.reject(conn, addr, connlimit.FullKnown)
-	return 0, false
+	return g.reject(conn, addr, connlimit.FullKnown)
 }
 
 // Abandoned removes an admitted connection that no front end got.
-func (g *Gate) Abandoned(token uint64) { g.Limiter.Closed(connlimit.ID(token)) }
+func (g *Gate) Abandoned(token transport.AdmissionToken) { g.Limiter.Closed(connlimit.ID(token)) }
 
 // Release returns the descriptor of an admitted connection.
 func (g *Gate) Release() { g.Budget.Release(connlimit.ClientConnections) }
 
 // reject answers and closes a connection that is not admitted.
-func (g *Gate) reject(conn net.Conn, addr netip.Addr, reason connlimit.Reason) {
+func (g *Gate) reject(conn net.Conn, addr netip.Addr, reason connlimit.Reason) transport.AdmissionResult {
 	tcp, ok := conn.(*net.TCPConn)
 	if ok && g.respond503.Load() {
 		tcp.SetWriteDeadline(time.Now().Add(rejectionDeadline))
@@ -113,4 +118,5 @@
 	}
 	conn.Close()
 	g.LogRejection(reason, addr)
+	return transport.AdmissionResult{Outcome: transport.Rejected}
 }
--- a/internal/listener/frontend.go
+++ b/internal/listener/frontend.go
@@ -4,6 +4,7 @@
 	"net/netip"
 
 	"hollyyoke.example/hollyyoke/internal/connlimit"
+	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
 // FrontEnd serves client connections of one protocol.
@@ -29,7 +30,7 @@
 // Accepted passes a connection to the front end with a number, under the front
 // end's own token. admissionToken is that of transport.Conn; 0: it was accepted
 // without Admit.
-func (g *Gate) Accepted(number int, token uint64, admissionToken uint64) connlimit.ID {
+func (g *Gate) Accepted(number int, token uint64, admissionToken transport.AdmissionToken) connlimit.ID {
 	if admissionToken == 0 {
 		return g.Limiter.Adopt(g.loop.Now(), limiterToken(number, token))
 	}
--- a/internal/transport/accept.go
+++ b/internal/transport/accept.go
@@ -174,23 +174,24 @@
 
 // admit asks the Admission about a connection and registers an admitted one.
 func (e *Engine) admit(acceptor *Acceptor, conn net.Conn, newHandler func(*Conn) Handler) {
-	token, admitted, wait := e.admission.Admit(conn)
-	if admitted {
-		e.registerAdmitted(acceptor, conn, token, newHandler)
-		return
-	}
-	if !wait {
+	result := e.admission.Admit(conn)
+	if result.Outcome != Deferred {
+		e.registerAdmitted(acceptor, conn, result, newHandler)
 		return
 	}
 	go func() {
-		token, admitted := e.admission.WaitForCapacity(conn)
-		if admitted {
-			e.registerAdmitted(acceptor, conn, token, newHandler)
-		}
+		result := e.admission.WaitForCapacity(conn)
+		e.registerAdmitted(acceptor, conn, result, newHandler)
 	}()
 }
 
-func (e *Engine) registerAdmitted(acceptor *Acceptor, conn net.Conn, token uint64, newHandler func(*Conn) Handler) {
+// registerAdmitted registers a connection, if it was admitted.
+func (e *Engine) registerAdmitted(
+	acceptor *Acceptor, conn net.Conn, result AdmissionResult, newHandler func(*Conn) Handler,
+) {
+	if result.Outcome != Admitted {
+		return
+	}
 	acceptor.group.add()
-	e.register(conn, acceptor.group, token, newHandler)
+	e.register(conn, acceptor.group, result.Token, newHandler)
 }
--- a/internal/transport/admission.go
+++ b/internal/transport/admission.go
@@ -2,21 +2,40 @@
 
 import "net"
 
+// AdmissionToken is an Admission's name for a connection that it admitted, until
+// that ends. 0 is none.
+type AdmissionToken uint64
+
+// AdmissionOutcome is what an Admission decides on a connection.
+type AdmissionOutcome uint8
+
+// The outcomes.
+const (
+	Rejected AdmissionOutcome = iota // the Admission has closed the connection
+	Admitted
+	Deferred // WaitForCapacity decides
+)
+
+// AdmissionResult is the decision on a connection.
+type AdmissionResult struct {
+	Outcome AdmissionOutcome
+	Token   AdmissionToken // of an admitted connection
+}
+
 // Admission decides on connections as they are accepted. Its methods are called
 // off the loop's goroutine and must not wait for the loop, except
 // WaitForCapacity.
 type Admission interface {
-	// Admit decides on an accepted connection. token identifies an admitted one
-	// until it ends. Where neither admitted nor wait is set, Admit has closed conn.
-	Admit(conn net.Conn) (token uint64, admitted, wait bool)
+	// Admit decides on an accepted connection.
+	Admit(conn net.Conn) AdmissionResult
 
-	// WaitForCapacity decides on a connection for which Admit set wait. It is called on
-	// a goroutine of its own, and has closed conn where it does not admit it.
-	WaitForCapacity(conn net.Conn) (token uint64, admitted bool)
+	// WaitForCapacity decides on a connection that Admit deferred, and does not
+	// defer it again. It is called on a goroutine of its own.
+	WaitForCapacity(conn net.Conn) AdmissionResult
 
 	// Abandoned is called for an admitted connection that ended before it had a
 	// handler.
-	Abandoned(token uint64)
+	Abandoned(token AdmissionToken)
 
 	// Release is called when the descriptor of an admitted connection is free.
 	Release()
--- a/internal/transport/close.go
+++ b/internal/transport/close.go
@@ -22,7 +22,7 @@
 
 // Close closes the connection at once. No more of it reaches its handler.
 func (c *Conn) Close() {
-	if c.Handle == 0 {
+	if !c.connected() {
 		return
 	}
 	c.freeSlot()
@@ -34,7 +34,7 @@
 // sending what it holds, for minutes, and delivers it once an interrupted path
 // works again. Where the kernel refuses the reset, the close is an orderly one.
 func (c *Conn) Abort() {
-	if c.Handle == 0 {
+	if !c.connected() {
 		return
 	}
 	c.control(func(fd int) {
@@ -74,9 +74,10 @@
 // peer that sends without end costs little: the kernel would answer bytes that
 // nobody reads by a reset, which may overtake the last answer.
 func (c *Conn) CloseGracefully() {
-	if c.Handle == 0 || c.lingerDeadline > 0 {
+	if c.state != stateOpen {
 		return
 	}
+	c.state = stateLingering
 	c.Handler = discardHandler{&c.engine.Pool}
 	c.Pause()
 	c.lingerDeadline = c.engine.Loop.Now() + lingerTimeout
@@ -96,8 +97,8 @@
 		c.Close()
 		return
 	}
-	if !c.writeClosed && c.Flushed(c.writeOffset) {
-		c.writeClosed = true
+	if !c.sendingClosed && c.Flushed(c.writeOffset) {
+		c.sendingClosed = true
 		c.control(func(fd int) { _ = syscall.Shutdown(fd, syscall.SHUT_WR) })
 	}
 	c.engine.Loop.Set(&c.closeTimer, min(now+lingerInterval, c.lingerDeadline))
@@ -107,7 +108,7 @@
 // most limit bytes. None of it reaches the handler, but OnClosed does when the
 // peer closes, which would not be seen behind bytes that nobody reads.
 func (c *Conn) Discard(limit int) {
-	if c.Handle == 0 || c.lingerDeadline > 0 || c.discarding {
+	if c.state != stateOpen || c.discarding {
 		return
 	}
 	c.discarding = true
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -26,27 +26,29 @@
 type Conn struct {
 	Handle         uint64 // its slot; 0 until it is open and after it is closed
 	Handler        Handler
-	Opened         time.Duration // when it was opened, by the loop's clock
-	AdmissionToken uint64        // of Admission; 0: it was not asked
-
-	engine      *Engine
-	group       *connGroup
-	peer        netip.Addr
-	socket      *nbio.Conn          // nil where nbio could not duplicate the descriptor
-	newHandler  func(*Conn) Handler // nil once it has been called
-	writeOffset int64               // bytes given to Write
-	sentBytes   atomic.Int64        // bytes that went to the socket
-	closeTimer  eventloop.Deadline  // of a graceful close, Discard or the end of shutDown
-
-	lingerDeadline time.Duration // of CloseGracefully; 0: it was not called
-	writeClosed    bool          // no more is sent
-	discarding     bool          // received bytes are dropped
+	Opened         time.Duration  // when it was opened, by the loop's clock
+	AdmissionToken AdmissionToken // 0: no Admission was asked
+
+	engine     *Engine
+	group      *connGroup
+	peer       netip.Addr
+	socket     *nbio.Conn          // nil where nbio could not duplicate the descriptor
+	newHandler func(*Conn) Handler // nil once it has been called
+	state      connState
+
+	writeOffset int64        // bytes given to Write
+	sentBytes   atomic.Int64 // bytes that went to the socket
+
+	closeTimer     eventloop.Deadline // of lingering, of Discard, or of the end of shutDown
+	lingerDeadline time.Duration      // until which it lingers
+	sendingClosed  bool               // while it lingers: the peer was told that no more comes
+	discarding     bool               // Discard was called: received bytes are dropped
 	discardedBytes int
 
-	readMu    sync.Mutex // guards what follows
-	inTransit int        // buffers on their way to the handler
-	paused    bool       // the handler wants no more for now
-	stalled   bool       // there may be more to read
+	readMu      sync.Mutex // guards what follows
+	inTransit   int        // buffers on their way to the handler
+	paused      bool       // the handler wants no more for now
+	mayHaveMore bool       // the last read left off before the socket was empty; the poller does not report that again
 }
 
 // discardHandler drops received bytes.
@@ -60,7 +62,7 @@
 // Its slot is taken on the loop's goroutine before any of its data, since both
 // are posted in order. Only nbio can say when it is open: a connection that it
 // does not hold yet cannot be written to.
-func (e *Engine) register(conn net.Conn, group *connGroup, token uint64, newHandler func(*Conn) Handler) {
+func (e *Engine) register(conn net.Conn, group *connGroup, token AdmissionToken, newHandler func(*Conn) Handler) {
 	connection := &Conn{engine: e, group: group, AdmissionToken: token, newHandler: newHandler}
 	tcp, ok := conn.RemoteAddr().(*net.TCPAddr)
 	if ok {
@@ -83,6 +85,7 @@
 
 // onRegisterFailed notifies the handler of a connection that never opened.
 func (c *Conn) onRegisterFailed(err error) {
+	c.state = stateClosed
 	c.Handler = c.newHandler(c)
 	if c.Handler != nil {
 		c.Handler.OnClosed(c, err)
@@ -92,8 +95,8 @@
 // onOpen takes the connection's slot and asks for its handler.
 func (c *Conn) onOpen() {
 	newHandler := c.newHandler
-	c.newHandler = nil
-	c.Handle = c.engine.conns.Insert(c)
+	c.newHandler = nil // the connection may outlive what it refers to
+	c.takeSlot()
 	c.Opened = c.engine.Loop.Now()
 	c.Handler = newHandler(c)
 	if c.Handler == nil {
@@ -105,21 +108,16 @@
 // onSocketClosed frees the connection after nbio has closed its descriptor.
 func (c *Conn) onSocketClosed(err error) {
 	c.engine.Loop.Clear(&c.closeTimer)
-	if c.Handle == 0 {
-		neverOpened := c.newHandler != nil
-		if neverOpened && c.AdmissionToken != 0 {
+	switch c.state {
+	case stateOpening:
+		c.state = stateClosed
+		if c.AdmissionToken != 0 {
 			c.engine.admission.Abandoned(c.AdmissionToken)
 		}
-		return
+	case stateOpen, stateLingering:
+		c.freeSlot()
+		c.Handler.OnClosed(c, err)
 	}
-	c.freeSlot()
-	c.Handler.OnClosed(c, err)
-}
-
-func (c *Conn) freeSlot() {
-	c.engine.conns.Remove(c.Handle)
-	c.Handle = 0
-	c.engine.Loop.Clear(&c.closeTimer)
 }
 
 // Peer returns the address of the other end.
--- a/internal/transport/read.go
+++ b/internal/transport/read.go
@@ -15,8 +15,8 @@
 func (c *Conn) read() error {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
-	c.stalled = c.paused || c.inTransit >= c.group.window
-	if c.stalled {
+	c.mayHaveMore = c.paused || c.inTransit >= c.group.window
+	if c.mayHaveMore {
 		return nil
 	}
 	b := c.engine.Pool.Get()
@@ -27,7 +27,7 @@
 	}
 	b.extend(length)
 	c.inTransit++
-	c.stalled = length == len(b.array)
+	c.mayHaveMore = length == len(b.array)
 	c.engine.addInTransit(1)
 	c.engine.Loop.Post(func() { c.deliver(b) })
 	return err
@@ -59,10 +59,10 @@
 
 // deliver passes a buffer to the handler and reads on.
 func (c *Conn) deliver(b *Buffer) {
-	if c.Handle == 0 {
-		c.engine.Pool.Put(b)
-	} else {
+	if c.connected() {
 		c.Handler.OnData(c, b)
+	} else {
+		c.engine.Pool.Put(b)
 	}
 	c.engine.addInTransit(-1)
 	c.changeAndRead(func() { c.inTransit-- })
@@ -72,9 +72,9 @@
 func (c *Conn) changeAndRead(change func()) {
 	c.readMu.Lock()
 	change()
-	stalled := c.stalled
+	mayHaveMore := c.mayHaveMore
 	c.readMu.Unlock()
-	if !stalled {
+	if !mayHaveMore {
 		return
 	}
 	err := c.read()
--- a/internal/transport/socketstate.go
+++ b/internal/transport/socketstate.go
@@ -15,63 +15,73 @@
 
 // AllRead reports whether no byte of the peer's waits for the handler, in a
 // buffer or in the socket: a close now loses nothing that has arrived.
-func (c *Conn) AllRead() bool {
-	bytes, _ := c.unread()
-	return !bytes
-}
+func (c *Conn) AllRead() bool { return c.unread() != unreadBytes }
 
 // Idle reports whether the connection is open and neither bytes of the peer's
 // nor its end wait for the handler: a request that is sent now cannot be answered
 // by what came before it.
-func (c *Conn) Idle() bool {
-	bytes, end := c.unread()
-	return !bytes && !end
-}
+func (c *Conn) Idle() bool { return c.unread() == unreadNothing }
+
+// unreadInput is what of the peer's waits for the handler next.
+type unreadInput uint8
+
+const (
+	unreadNothing unreadInput = iota
+	unreadBytes
+	unreadEnd // the connection is at its end, and no bytes are before it
+)
 
-// unread reports whether bytes of the peer's wait for the handler and, where there
-// are none, whether the connection is at its end.
-func (c *Conn) unread() (bytes, end bool) {
+// unread returns what of the peer's waits for the handler, in a buffer or in the
+// socket.
+func (c *Conn) unread() unreadInput {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
-	if c.Handle == 0 {
-		return false, true
+	if !c.connected() {
+		return unreadEnd
 	}
 	if c.inTransit > 0 {
-		return true, false
+		return unreadBytes
 	}
-	end = true // unless there is a descriptor to ask
-	c.control(func(fd int) {
-		// recv(2): EAGAIN says that nothing is there, 0 bytes that the peer has closed.
-		peeked, _, err := syscall.Recvfrom(fd, make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		bytes = err == nil && peeked > 0
-		end = err != syscall.EAGAIN && peeked <= 0
-	})
-	return bytes, end
+	unread := unreadEnd // unless there is a descriptor to ask
+	c.control(func(fd int) { unread = peek(fd) })
+	return unread
+}
+
+// peek returns what recv(2) would read next.
+func peek(fd int) unreadInput {
+	peeked, _, err := syscall.Recvfrom(fd, make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	switch {
+	case peeked > 0:
+		return unreadBytes
+	case err == syscall.EAGAIN:
+		return unreadNothing
+	}
+	return unreadEnd // 0 bytes: the peer has closed; an error: the connection has broken
 }
 
 // PeerClosed reports whether the peer has closed its side or the connection has
 // broken. It asks the kernel, so that it sees this before the poller does, and
 // also behind bytes that nobody has read.
 func (c *Conn) PeerClosed() bool {
-	if c.Handle == 0 {
+	if !c.connected() {
 		return true
 	}
-	closed := true // unless there is a descriptor to ask
+	peerClosed := true // unless there is a descriptor to ask
 	c.control(func(fd int) {
 		// TCP_INFO begins with the state, in one byte; an int reads four of them.
 		info, err := syscall.GetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_INFO)
 		var bytes [4]byte
 		binary.NativeEndian.PutUint32(bytes[:], uint32(info))
 		state := bytes[0]
-		closed = err == nil && (state == tcpClosed || state == tcpCloseWait)
+		peerClosed = err == nil && (state == tcpClosed || state == tcpCloseWait)
 	})
-	return closed
+	return peerClosed
 }
 
 // Unacknowledged returns how many of the written bytes the peer's kernel has not
 // acknowledged; 0 also where the kernel does not tell.
 func (c *Conn) Unacknowledged() int {
-	if c.Handle == 0 {
+	if !c.connected() {
 		return 0
 	}
 	queued := 0
--- a/internal/transport/write.go
+++ b/internal/transport/write.go
@@ -8,7 +8,7 @@
 // Write sends p and keeps a copy of what the socket cannot take now. It returns
 // false if the connection is closed or has just broken.
 func (c *Conn) Write(p []byte) bool {
-	if c.Handle == 0 {
+	if !c.connected() {
 		return false
 	}
 	c.writeOffset += int64(len(p))
