--- a/internal/admin/api.go
+++ b/internal/admin/api.go
@@ -66,7 +66,7 @@
 	now := a.dispatcher.Loop.Now()
 	c := &call{api: a, conn: conn}
 	c.token = a.calls.Insert(c)
-	c.id = a.limiter.Adopt(now, c.token)
+	c.id = a.limiter.Adopt(now, connlimit.Token(c.token))
 	c.timeout.Fire = c.expire
 	a.dispatcher.Loop.Set(&c.timeout, now+callTimeout)
 	return c
@@ -100,17 +100,14 @@
 // evictionCandidate returns the token of the connection to close.
 func (a *API) evictionCandidate() (token uint64, found bool) {
 	now := a.dispatcher.Loop.Now()
-	token, _, found = a.limiter.EvictionCandidate(now, connlimit.ForUnknown, false, nil)
-	if found {
-		return token, true
+	candidate, found := a.limiter.EvictionCandidate(now, connlimit.ForUnknown, connlimit.Spared{})
+	if !found {
+		candidate, found = a.limiter.EvictionCandidate(now, connlimit.ForMemory, connlimit.Spared{})
 	}
-	token, _, found = a.limiter.EvictionCandidate(now, connlimit.ForMemory, false, nil)
-	if found {
-		return token, true
+	if !found { // all are within their grace
+		candidate, found = a.limiter.EvictionCandidate(now+callerGrace, connlimit.ForUnknown, connlimit.Spared{})
 	}
-	// All are within their grace.
-	token, _, found = a.limiter.EvictionCandidate(now+callerGrace, connlimit.ForUnknown, false, nil)
-	return token, found
+	return uint64(candidate.Token), found
 }
 
 // removeClosed removes the answered calls whose connections are closed.
--- a/internal/admin/call.go
+++ b/internal/admin/call.go
@@ -85,7 +85,7 @@
 	a := c.api
 	a.removeClosed()
 	now := a.dispatcher.Loop.Now()
-	c.id = a.limiter.Adopt(now, c.token) // as a connection that is idle after its answer
+	c.id = a.limiter.Adopt(now, connlimit.Token(c.token)) // as a connection that is idle after its answer
 	a.limiter.BecameIdle(now, c.id, true)
 	a.answered = append(a.answered, c)
 }
--- a/internal/admin/connections.go
+++ b/internal/admin/connections.go
@@ -41,14 +41,14 @@
 	if gate == nil {
 		return
 	}
-	used, floor, total := gate.Budget.Usage()
+	usage := gate.Budget.Usage()
 	view := connectionsView{
 		View:        gate.Limiter.Snapshot(c.api.dispatcher.Loop.Now()),
 		Descriptors: map[string]descriptorUsage{},
-		Total:       total,
+		Total:       usage.Total,
 	}
 	for kind := range connlimit.DescriptorKinds {
-		view.Descriptors[kind.String()] = descriptorUsage{Floor: floor[kind], Used: used[kind]}
+		view.Descriptors[kind.String()] = descriptorUsage{Floor: usage.Floors[kind], Used: usage.Used[kind]}
 	}
 	c.respondJSON(view)
 }
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -164,7 +164,7 @@
 		}
 		now := r.dispatcher.Loop.Now()
 		for i, addr := range []string{"10.9.0.1", "10.8.0.1", "10.8.0.1", "10.8.0.1"} {
-			gate.Limiter.Admit(now, netip.MustParseAddr(addr), uint64(i))
+			gate.Limiter.Admit(now, netip.MustParseAddr(addr), connlimit.Token(i))
 		}
 		api = New(r.dispatcher, engine, scriptedWorkers{r.dispatcher}, Operations{
 			Ready: func() bool { return true }, SetOutOfService: func(bool) error { return nil },
--- a/internal/connlimit/admission.go
+++ b/internal/connlimit/admission.go
@@ -33,10 +33,9 @@
 	return decision{trust: trust, address: noIndex, prefix: noIndex}
 }
 
-// Admit decides on a connection that was accepted. token is the caller's own name
-// for it, by which EvictionCandidate returns it; 0: SetToken follows. Where the
+// Admit decides on a connection that was accepted. token may be NoToken. Where the
 // reason is not Allowed, the ID is 0 and the caller closes the connection.
-func (l *Limiter) Admit(now time.Duration, addr netip.Addr, token uint64) (ID, Reason) {
+func (l *Limiter) Admit(now time.Duration, addr netip.Addr, token Token) (ID, Reason) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	addr = addr.Unmap()
@@ -55,7 +54,7 @@
 
 // Adopt adds a connection without a decision, for listeners that bound theirs by
 // other means; its address is not counted.
-func (l *Limiter) Adopt(now time.Duration, token uint64) ID {
+func (l *Limiter) Adopt(now time.Duration, token Token) ID {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.add(now, token, uncounted(Unknown))
--- /dev/null
+++ b/internal/connlimit/block_test.go
@@ -0,0 +1,53 @@
+package connlimit
+
+import (
+	"net/netip"
+	"testing"
+	"time"
+)
+
+// A block holds for new connections and for the clients of trusted proxies; those
+// that are open stay, and can be found.
+func TestBlockHoldsForClientsOfTrustedProxies(t *testing.T) {
+	limiter := newProxyLimiter(t)
+	admitUnderPressure(t, limiter)
+	client := netip.MustParseAddr("10.0.0.2")
+	proxied := admit(t, limiter, 0, trustedProxyAddr, Allowed)
+	if limiter.TrustOf(proxied) != TrustedProxy || limiter.Identify(0, proxied, client) != Allowed || limiter.TrustOf(proxied) != Unknown {
+		t.Error("the client of a trusted proxy is not identified as an unknown address")
+	}
+	second := admit(t, limiter, 0, trustedProxyAddr, Allowed)
+	if err := limiter.Block(0, netip.MustParsePrefix("10.0.0.9/24"), time.Minute); err != nil {
+		t.Fatal(err)
+	}
+	if reason := limiter.Identify(0, second, client); reason != Blocked {
+		t.Errorf("a blocked client of a trusted proxy: %v, want %v", reason, Blocked)
+	}
+	limiter.Closed(second)
+	admit(t, limiter, time.Second, "10.0.0.7", Blocked)
+	if idle := limiter.IdleWithin(netip.MustParsePrefix("10.0.0.0/24")); len(idle) != 9 {
+		t.Errorf("%d idle connections within the prefix, want 9", len(idle))
+	}
+	view := limiter.Snapshot(time.Second)
+	if len(view.Blocks) != 1 || view.Prefixes[0].Open != 9 || view.Rejections["barred"] != 2 || view.Rejections["fair_share"] != 1 {
+		t.Errorf("%+v; want one block, 9 connections of the prefix, 2 rejections by the block and one by the fair share", view)
+	}
+	checkInvariants(t, limiter)
+}
+
+// A block ends by Unblock, once, or when its time is over.
+func TestBlockEnds(t *testing.T) {
+	limiter := newProxyLimiter(t)
+	prefix := netip.MustParsePrefix("10.0.0.0/24")
+	if err := limiter.Block(0, netip.MustParsePrefix("10.0.0.9/24"), time.Minute); err != nil {
+		t.Fatal(err)
+	}
+	if !limiter.Unblock(prefix) || limiter.Unblock(prefix) {
+		t.Error("Unblock does not end the block, or ends it twice")
+	}
+	if err := limiter.Block(0, prefix, time.Second); err != nil {
+		t.Fatal(err)
+	}
+	admit(t, limiter, 2*time.Second, "10.0.0.7", Allowed)
+	checkInvariants(t, limiter)
+}
--- a/internal/connlimit/config_test.go
+++ b/internal/connlimit/config_test.go
@@ -1,13 +1,17 @@
 package connlimit
 
-import (
-	"testing"
-)
+import "testing"
 
 // A configuration with a value out of bounds is rejected.
-func TestInvalidConfig(t *testing.T) {
-	for _, config := range []Config{{}, {Capacity: 5, Reserve: 5}, {Capacity: 5, V4Bits: 33}, {Capacity: 5, Rate: -1}, {Capacity: 5, Learn: LearnConfig{Share: 2}},
-		{Capacity: 5, Prefix: Limits{HalfRead: -1}}} {
+func TestInvalidConfigIsRejected(t *testing.T) {
+	for _, config := range []Config{
+		{},
+		{Capacity: 5, Reserve: 5},
+		{Capacity: 5, V4Bits: 33},
+		{Capacity: 5, Rate: -1},
+		{Capacity: 5, Learn: LearnConfig{Share: 2}},
+		{Capacity: 5, Prefix: Limits{HalfRead: -1}},
+	} {
 		if _, err := New(config); err == nil {
 			t.Errorf("%+v is accepted", config)
 		}
--- a/internal/connlimit/descriptorbudget.go
+++ b/internal/connlimit/descriptorbudget.go
@@ -191,10 +191,16 @@
 	return max(b.level, b.forcedLevel)
 }
 
-// Usage returns how many descriptors of each kind are in use, the floors, and how
-// many descriptors there are in all.
-func (b *DescriptorBudget) Usage() (used, floors [DescriptorKinds]int, total int) {
+// DescriptorUsage is how a DescriptorBudget is used.
+type DescriptorUsage struct {
+	Used   [DescriptorKinds]int // in use, by kind
+	Floors [DescriptorKinds]int
+	Total  int // in use or free, of all kinds
+}
+
+// Usage returns how the budget is used now.
+func (b *DescriptorBudget) Usage() DescriptorUsage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.used, b.floors, b.total
+	return DescriptorUsage{Used: b.used, Floors: b.floors, Total: b.total}
 }
--- a/internal/connlimit/descriptorbudget_test.go
+++ b/internal/connlimit/descriptorbudget_test.go
@@ -5,16 +5,22 @@
 	"testing"
 )
 
-// Kinds keep their floors, and the level of pressure rises and falls with
-// hysteresis.
-func TestDescriptorBudget(t *testing.T) {
-	floors := [DescriptorKinds]int{ClientConnections: 10, WorkerConnections: 20, DiscoveryConnections: 2}
-	budget, err := NewDescriptorBudget(100, floors, Watermarks{})
+// budgetFloors leave 68 of 100 descriptors to all kinds.
+var budgetFloors = [DescriptorKinds]int{ClientConnections: 10, WorkerConnections: 20, DiscoveryConnections: 2}
+
+// newBudget returns a budget of 100 descriptors.
+func newBudget(t *testing.T) *DescriptorBudget {
+	t.Helper()
+	budget, err := NewDescriptorBudget(100, budgetFloors, Watermarks{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	acquired := 0
-	levels := []Pressure{}
+	return budget
+}
+
+// acquireClients takes all descriptors that client connections may have, and returns
+// how many and the levels of pressure on the way.
+func acquireClients(budget *DescriptorBudget) (acquired int, levels []Pressure) {
 	for budget.Acquire(ClientConnections) {
 		acquired++
 		level := budget.Pressure()
@@ -22,44 +28,82 @@
 			levels = append(levels, level)
 		}
 	}
-	if acquired != 78 || !slices.Equal(levels, []Pressure{PressureNone}) {
-		t.Errorf("%d client connections, levels %v: the others' floors are 22", acquired, levels)
-	}
+	return acquired, levels
+}
+
+// fillBudget takes 99 of the 100 descriptors.
+func fillBudget(t *testing.T, budget *DescriptorBudget) {
+	t.Helper()
+	acquireClients(budget)
 	for range 20 {
 		if !budget.Acquire(WorkerConnections) {
 			t.Fatal("a floor is not kept")
 		}
 	}
-	if budget.Acquire(WorkerConnections) || !budget.Acquire(DiscoveryConnections) || budget.Pressure() != PressureCritical {
-		t.Errorf("level %d", budget.Pressure())
+	if budget.Acquire(WorkerConnections) || !budget.Acquire(DiscoveryConnections) {
+		t.Error("worker connections get more than their floor, or discovery less")
 	}
-	for range 7 { // 99 in use down to 92: within the hysteresis of the critical mark
+}
+
+func release(budget *DescriptorBudget, clients int) {
+	for range clients {
 		budget.Release(ClientConnections)
 	}
-	if budget.Pressure() != PressureCritical {
-		t.Errorf("level %d at 92", budget.Pressure())
-	}
-	budget.Release(ClientConnections)
-	if budget.Pressure() != PressureHigh {
-		t.Errorf("level %d at 91", budget.Pressure())
+}
+
+func wantPressure(t *testing.T, budget *DescriptorBudget, when string, want Pressure) {
+	t.Helper()
+	if got := budget.Pressure(); got != want {
+		t.Errorf("%s: level %d, want %d", when, got, want)
 	}
-	for range 30 {
-		budget.Release(ClientConnections)
+}
+
+// One kind takes all that others' floors do not hold.
+func TestDescriptorFloorsAreKept(t *testing.T) {
+	budget := newBudget(t)
+	acquired, levels := acquireClients(budget)
+	if acquired != 78 || !slices.Equal(levels, []Pressure{PressureNone}) {
+		t.Errorf("%d client connections, levels %v; want 78, without pressure: the others' floors are 22", acquired, levels)
 	}
+}
+
+// The level of pressure falls only by the hysteresis below its mark.
+func TestPressureFallsWithHysteresis(t *testing.T) {
+	budget := newBudget(t)
+	fillBudget(t, budget)
+	wantPressure(t, budget, "99 in use", PressureCritical)
+	release(budget, 7)
+	wantPressure(t, budget, "92 in use, within the hysteresis of the critical mark", PressureCritical)
+	release(budget, 1)
+	wantPressure(t, budget, "91 in use", PressureHigh)
+}
+
+// A forced level holds whatever is in use, and ends when it is withdrawn.
+func TestForcedPressure(t *testing.T) {
+	budget := newBudget(t)
+	fillBudget(t, budget)
+	release(budget, 38)
 	budget.ForcePressure(PressureHigh)
-	forced := budget.Pressure()
+	wantPressure(t, budget, "forced, 61 in use", PressureHigh)
 	budget.ForcePressure(PressureNone)
-	if forced != PressureHigh || budget.Pressure() != PressureNone {
-		t.Errorf("forced %d, then %d", forced, budget.Pressure())
-	}
-	err = budget.Reconfigure(50, floors, Watermarks{})
+	wantPressure(t, budget, "no more forced, 61 in use", PressureNone)
+}
+
+// Reconfigure counts the pressure anew, and rejects floors and watermarks that make
+// no sense.
+func TestReconfigureBudget(t *testing.T) {
+	budget := newBudget(t)
+	fillBudget(t, budget)
+	release(budget, 38)
+	wantPressure(t, budget, "61 of 100 in use", PressureNone)
+	err := budget.Reconfigure(50, budgetFloors, Watermarks{})
 	if err != nil || budget.Pressure() == PressureNone {
-		t.Errorf("half of the descriptors: %v, level %d", err, budget.Pressure())
+		t.Errorf("half of the descriptors: error %v, level %d, want some pressure", err, budget.Pressure())
 	}
-	if budget.Reconfigure(10, floors, Watermarks{}) == nil {
+	if budget.Reconfigure(10, budgetFloors, Watermarks{}) == nil {
 		t.Error("floors above the total are taken")
 	}
-	if budget.Reconfigure(100, floors, Watermarks{Low: 0.9, High: 0.8}) == nil {
+	if budget.Reconfigure(100, budgetFloors, Watermarks{Low: 0.9, High: 0.8}) == nil {
 		t.Error("watermarks that do not rise are taken")
 	}
 }
--- a/internal/connlimit/eviction.go
+++ b/internal/connlimit/eviction.go
@@ -20,38 +20,50 @@
 // evictionOrder leaves out Busy: an answer is owed.
 var evictionOrder = [...]Stage{Unserved, Silent, Proven, HalfRead}
 
-// EvictionCandidate returns the connection to be evicted first, by the caller's
-// token.
+// Candidate is a connection that may be evicted.
+type Candidate struct {
+	Token Token
+	Stage Stage
+}
+
+// Spared says which connections are not candidates. The zero value spares none.
+type Spared struct {
+	Proven bool             // all in the stage Proven
+	Single func(Token) bool // those for which it returns true; nil: no others
+}
+
+// spares reports whether a connection is not a candidate.
+func (s Spared) spares(connection *conn) bool { return s.Single != nil && s.Single(connection.token) }
+
+// EvictionCandidate returns the connection to be evicted first, and false if there
+// is none.
 //
 // Unknown addresses come before trusted ones; of each, the stages come in their
 // order, and in a stage the connection that has been in it the longest.
-// Connections that are silent or half read are spared for a while after they
-// became so, since a request is on its way. spareProven spares those in the stage
-// Proven, and spare, which may be nil, single ones.
-func (l *Limiter) EvictionCandidate(
-	now time.Duration, need EvictionReason, spareProven bool, spare func(token uint64) bool,
-) (token uint64, stage Stage, ok bool) {
+// Connections that are silent or half read are not candidates for a while after
+// they became so, since a request is on its way.
+func (l *Limiter) EvictionCandidate(now time.Duration, need EvictionReason, spared Spared) (Candidate, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if need == ForSilence && !l.tooManySilent() {
-		return 0, 0, false
+		return Candidate{}, false
 	}
 	for side := range l.stageLists {
 		if need == ForKnown && side == trustedSide {
 			break
 		}
 		for _, stage := range evictionOrder {
-			if !mayEvict(need, stage) || spareProven && stage == Proven {
+			if !mayEvict(need, stage) || spared.Proven && stage == Proven {
 				continue
 			}
 			latest := l.latestEvictable(now, need, stage)
-			connection := l.firstEvictable(&l.stageLists[side][stage], latest, spare)
+			connection := l.firstEvictable(&l.stageLists[side][stage], latest, spared)
 			if connection != nil {
-				return connection.token, stage, true
+				return Candidate{Token: connection.token, Stage: stage}, true
 			}
 		}
 	}
-	return 0, 0, false
+	return Candidate{}, false
 }
 
 // mayEvict reports whether evicting connections of a stage helps a need.
@@ -79,13 +91,13 @@
 
 // firstEvictable returns the first connection of a list that may be evicted, of
 // those in it since latest or before; nil: there is none.
-func (l *Limiter) firstEvictable(list *stageList, latest time.Duration, spare func(token uint64) bool) *conn {
+func (l *Limiter) firstEvictable(list *stageList, latest time.Duration, spared Spared) *conn {
 	for index := list.first; index != noIndex; index = l.connections[index].next {
 		connection := &l.connections[index]
 		if connection.stageSince > latest {
 			return nil // so are all that follow
 		}
-		if connection.hasToken && (spare == nil || !spare(connection.token)) {
+		if connection.hasToken && !spared.spares(connection) {
 			return connection
 		}
 	}
@@ -104,7 +116,7 @@
 
 // IdleWithin returns the tokens of a prefix's connections on which no answer is
 // owed, for a block that ends them.
-func (l *Limiter) IdleWithin(prefix netip.Prefix) (tokens []uint64) {
+func (l *Limiter) IdleWithin(prefix netip.Prefix) (tokens []Token) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for index := range l.connections {
--- a/internal/connlimit/example_test.go
+++ b/internal/connlimit/example_test.go
@@ -29,8 +29,8 @@
 	limiter.RequestStarted(now, id)
 	limiter.RequestComplete(now, id)
 	limiter.BecameIdle(now, id, true)
-	token, stage, ok := limiter.EvictionCandidate(now, connlimit.ForUnknown, false, nil)
-	fmt.Println("to be evicted:", token, stage, ok)
+	candidate, ok := limiter.EvictionCandidate(now, connlimit.ForUnknown, connlimit.Spared{})
+	fmt.Println("to be evicted:", candidate.Token, candidate.Stage, ok)
 	limiter.Closed(id)
 	// Output:
 	// first connection: fine
--- a/internal/connlimit/limiter.go
+++ b/internal/connlimit/limiter.go
@@ -20,6 +20,13 @@
 // generation, so that the ID of a closed connection is never that of another.
 type ID uint64
 
+// Token is the caller's own name for a connection, by which EvictionCandidate and
+// IdleWithin return it. A connection without one cannot be evicted.
+type Token uint64
+
+// NoToken is what Admit is given where SetToken follows.
+const NoToken Token = 0
+
 const generationShift = 32
 
 func newID(index int32, generation uint32) ID {
@@ -61,7 +68,7 @@
 
 // conn is a connection.
 type conn struct {
-	token          uint64 // by which the caller knows it
+	token          Token
 	generation     uint32
 	address        int32 // index of its entry; noIndex: its address is not counted
 	prefix         int32
@@ -141,11 +148,11 @@
 }
 
 // add adds a connection that was admitted.
-func (l *Limiter) add(now time.Duration, token uint64, outcome decision) ID {
+func (l *Limiter) add(now time.Duration, token Token, outcome decision) ID {
 	index := l.allocate()
 	connection := &l.connections[index]
 	*connection = conn{
-		token: token, hasToken: token != 0, generation: connection.generation, open: true,
+		token: token, hasToken: token != NoToken, generation: connection.generation, open: true,
 		address: outcome.address, prefix: outcome.prefix, trust: outcome.trust, isRetry: outcome.isRetry,
 	}
 	if connection.isRetry {
@@ -184,7 +191,7 @@
 }
 
 // SetToken sets the token of a connection that was admitted without one.
-func (l *Limiter) SetToken(id ID, token uint64) {
+func (l *Limiter) SetToken(id ID, token Token) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	_, connection := l.find(id)
--- a/internal/connlimit/roundrobin_test.go
+++ b/internal/connlimit/roundrobin_test.go
@@ -7,13 +7,14 @@
 )
 
 // A thousand connections of one address take the turns of one address.
-func TestRoundRobin(t *testing.T) {
+func TestRoundRobinByAddress(t *testing.T) {
 	var roundRobin RoundRobin
 	for i := range 1000 {
 		roundRobin.Add(netip.MustParseAddr("10.0.0.1"), uint64(i))
 	}
+	const firstSingle = 5000 // token of the first address with one connection
 	for i := range 3 {
-		roundRobin.Add(netip.MustParseAddr(fmt.Sprintf("10.0.0.%d", i+2)), uint64(5000+i))
+		roundRobin.Add(netip.MustParseAddr(fmt.Sprintf("10.0.0.%d", i+2)), uint64(firstSingle+i))
 	}
 	turns := map[uint64]int{}
 	for i := 0; roundRobin.Len() > 0; i++ {
@@ -24,11 +25,13 @@
 		turns[token] = i
 	}
 	for i := range 3 {
-		if turns[uint64(5000+i)] > 3 {
-			t.Errorf("a single connection had turn %d", turns[uint64(5000+i)])
+		turn := turns[uint64(firstSingle+i)]
+		if turn > 3 {
+			t.Errorf("a single connection had turn %d, want one of the first four", turn)
 		}
 	}
 	if turns[7] >= turns[8] || len(turns) != 1003 {
-		t.Error("tokens of an address are not in order")
+		t.Errorf("%d tokens had turns, want 1003; those of one address in order: token 7 at %d, 8 at %d",
+			len(turns), turns[7], turns[8])
 	}
 }
--- a/internal/connlimit/scale_test.go
+++ b/internal/connlimit/scale_test.go
@@ -8,189 +8,261 @@
 	"time"
 )
 
+// The load of TestMillionAddresses.
+const (
+	scaleAddresses = 1_000_000
+	scaleSeconds   = 10_000 // of virtual time
+	arrivalsPerS   = 400    // of unknown addresses
+	scaleCapacity  = 1000
+	scaleReserve   = 200
+
+	longestOpen   = 8 * time.Second // for which a connection stays open
+	retryInterval = time.Second     // between two attempts of the address that keeps its limits
+	longestWait   = longestOpen + retryInterval
+
+	minDistinctAddresses = 970_000
+	maxHeapBytes         = 8 << 20
+)
+
 // A million addresses in 10,000 s of virtual time: memory stays bounded, addresses
 // with connections are never forgotten, unknown ones never use the reserve, and an
 // address that keeps its limits is admitted within the bound that
 // docs/connections.md states: the longest time for which a connection stays, and
 // the time between two attempts.
 func TestMillionAddresses(t *testing.T) {
-	const (
-		addresses = 1_000_000
-		seconds   = 10_000
-		perSecond = 400
-		capacity  = 1000
-		reserve   = 200
-		hold      = 8 * time.Second // the longest for which a connection stays open
-		retry     = time.Second
-		bound     = hold + retry
-	)
 	if raceEnabled {
 		t.Skip("make test runs it without the race detector, which has nothing to find in one goroutine")
 	}
-	heap := func() uint64 {
-		var m runtime.MemStats
-		runtime.GC()
-		runtime.ReadMemStats(&m)
-		return m.HeapAlloc
-	}
-	before := heap()
-	limiter := newLimiter(t, Config{Capacity: capacity, Reserve: reserve, Known: []netip.Prefix{netip.MustParsePrefix("10.255.0.0/16")},
-		Address: Limits{Open: 20, Opening: 10, PerSecond: 5, Burst: 10, HalfRead: 4}, Prefix: Limits{Open: 100, HalfRead: 30}, Learn: LearnConfig{Enabled: true}})
-	rng := rand.New(rand.NewPCG(1, 2))
-	type openConn struct {
-		id   ID
-		ends time.Duration
-		busy bool
-	}
-	var live []openConn
-	byToken := map[uint64]ID{}
-	seen := make([]uint64, addresses/64+1)
-	distinct := 0
-	token := uint64(0)
-	var wellBehaved struct {
-		since, worst time.Duration
-		waiting      bool
-	}
-	attempts := 0
-	admitted := 0
-	knownRejected := 0
-	admit := func(now time.Duration, addr netip.Addr, span time.Duration, busy bool) Reason {
-		attempts++
-		token++
-		id, reason := limiter.Admit(now, addr, token)
-		if reason == Full || reason == FullKnown { // as the listener does: the candidate is evicted
-			need := ForUnknown
-			if reason == FullKnown {
-				need = ForKnown
-			}
-			candidate, _, ok := limiter.EvictionCandidate(now, need, false, nil)
-			if ok {
-				limiter.Closed(byToken[candidate])
-				delete(byToken, candidate)
-				id, reason = limiter.Admit(now, addr, token)
-			}
-		}
-		if reason == Allowed {
-			admitted++
-			byToken[token] = id
-			limiter.RequestStarted(now, id)
-			if busy {
-				limiter.RequestComplete(now, id)
-			} else {
-				limiter.BecameIdle(now, id, rng.IntN(2) == 0)
-			}
-			live = append(live, openConn{id, now + span, busy})
-		}
-		return reason
-	}
-	for second := range seconds {
-		now := time.Duration(second) * time.Second
-		stillOpen := live[:0]
-		for _, c := range live {
-			if c.ends <= now {
-				limiter.Closed(c.id)
-			} else {
-				stillOpen = append(stillOpen, c)
-			}
-		}
-		live = stillOpen
+	before := heapBytes()
+	s := newScaleTest(t)
+	for second := range scaleSeconds {
+		s.now = time.Duration(second) * time.Second
+		s.closeEnded()
 		if second%500 == 0 {
-			for token, id := range byToken {
-				if _, c := limiter.find(id); c == nil {
-					delete(byToken, token)
-				}
-			}
+			s.forgetClosedTokens()
 		}
-		for range perSecond {
-			n := rng.IntN(addresses)
-			if second%7 == 0 && rng.IntN(2) == 0 {
-				n = rng.IntN(20) // some that retry again and again, fewer than the part for retries
-			}
-			if seen[n/64]>>(n%64)&1 == 0 {
-				seen[n/64] |= 1 << (n % 64)
-				distinct++
-			}
-			admit(now, netip.AddrFrom4([4]byte{11, byte(n >> 16), byte(n >> 8), byte(n)}), time.Duration(1+rng.IntN(7))*time.Second, rng.IntN(3) > 0)
-		}
-		for i := range 5 { // of known addresses
-			reason := admit(now, netip.AddrFrom4([4]byte{10, 255, 0, byte(rng.IntN(40))}), 2*time.Second, i%2 == 0)
-			if reason != Allowed {
-				knownRejected++
-			}
-		}
-		if !wellBehaved.waiting {
-			wellBehaved.since = now
-			wellBehaved.waiting = true
-		}
-		reason := admit(now, netip.MustParseAddr("12.0.0.1"), time.Second, false)
-		if reason == Allowed {
-			wellBehaved.worst = max(wellBehaved.worst, now-wellBehaved.since)
-			wellBehaved.waiting = false
-		} else if now-wellBehaved.since > bound {
-			t.Fatalf("an address that keeps its limits waits since %v at %v: %v; open %v, retries among them %d", wellBehaved.since, now, reason, limiter.openByTrust, limiter.openRetries)
+		s.admitUnknown(second)
+		s.admitKnown()
+		s.admitWellBehaved()
+		s.checkReserve()
+		if second%250 == 0 {
+			s.checkInvariants()
 		}
-		if limiter.openByTrust[Unknown]+limiter.openByTrust[Learned] > capacity-reserve+reserve/2 || limiter.openByTrust[Unknown] > capacity-reserve {
-			t.Fatalf("%v: %v", now, limiter.openByTrust)
+	}
+	s.freeOwnMemory()
+	used := int64(heapBytes()) - int64(before)
+	if s.distinct < minDistinctAddresses || s.knownRejected > 0 {
+		t.Errorf("%d distinct addresses, want %d; %d known connections were rejected, want none",
+			s.distinct, minDistinctAddresses, s.knownRejected)
+	}
+	if used > maxHeapBytes {
+		t.Errorf("%d bytes are used after a million addresses, want at most %d", used, maxHeapBytes)
+	}
+	t.Logf("%d addresses, %d attempts, %d admitted, %.1f MB, the longest wait of the address that keeps its limits %v",
+		s.distinct, s.attempts, s.admitted, float64(used)/(1<<20), s.wellBehaved.worst)
+	runtime.KeepAlive(s.limiter)
+}
+
+// heapBytes returns the size of all that is reachable on the heap.
+func heapBytes() uint64 {
+	var stats runtime.MemStats
+	runtime.GC()
+	runtime.ReadMemStats(&stats)
+	return stats.HeapAlloc
+}
+
+// scaleTest is a Limiter under the load of TestMillionAddresses, and what is known
+// of its connections.
+type scaleTest struct {
+	t       *testing.T
+	limiter *Limiter
+	random  *rand.Rand
+	now     time.Duration
+
+	lastToken Token
+	open      []scaleConnection
+	byToken   map[Token]ID // also of connections that have ended
+
+	seen          []uint64 // a bit for each address
+	distinct      int      // addresses seen
+	attempts      int
+	admitted      int
+	knownRejected int
+
+	// wellBehaved is the address that keeps its limits.
+	wellBehaved struct {
+		waiting bool
+		since   time.Duration
+		worst   time.Duration // the longest wait
+	}
+}
+
+// scaleConnection is a connection that ends by itself.
+type scaleConnection struct {
+	id   ID
+	ends time.Duration
+}
+
+func newScaleTest(t *testing.T) *scaleTest {
+	limiter := newLimiter(t, Config{
+		Capacity: scaleCapacity,
+		Reserve:  scaleReserve,
+		Known:    []netip.Prefix{netip.MustParsePrefix("10.255.0.0/16")},
+		Address:  Limits{Open: 20, Opening: 10, PerSecond: 5, Burst: 10, HalfRead: 4},
+		Prefix:   Limits{Open: 100, HalfRead: 30},
+		Learn:    LearnConfig{Enabled: true},
+	})
+	return &scaleTest{
+		t:       t,
+		limiter: limiter,
+		random:  rand.New(rand.NewPCG(1, 2)),
+		byToken: map[Token]ID{},
+		seen:    make([]uint64, scaleAddresses/64+1),
+	}
+}
+
+// unknownAddr returns the address with a number below a million.
+func unknownAddr(n int) netip.Addr {
+	return netip.AddrFrom4([4]byte{11, byte(n >> 16), byte(n >> 8), byte(n)})
+}
+
+// admit opens a connection and begins a request on it, which is answered at once
+// unless busy. The connection ends after the span.
+func (s *scaleTest) admit(addr netip.Addr, span time.Duration, busy bool) Reason {
+	s.attempts++
+	s.lastToken++
+	id, reason := s.limiter.Admit(s.now, addr, s.lastToken)
+	if reason == Full || reason == FullKnown { // as the listener does: the candidate is evicted
+		if s.evictFor(reason) {
+			id, reason = s.limiter.Admit(s.now, addr, s.lastToken)
 		}
-		if second%250 == 0 {
-			if err := limiter.CheckInvariants(); err != nil {
-				t.Fatalf("%v: %v", now, err)
-			}
+	}
+	if reason != Allowed {
+		return reason
+	}
+	s.admitted++
+	s.byToken[s.lastToken] = id
+	s.limiter.RequestStarted(s.now, id)
+	if busy {
+		s.limiter.RequestComplete(s.now, id)
+	} else {
+		s.limiter.BecameIdle(s.now, id, s.random.IntN(2) == 0)
+	}
+	s.open = append(s.open, scaleConnection{id, s.now + span})
+	return Allowed
+}
+
+// evictFor evicts a connection for one that was rejected, and returns false if there
+// is no candidate.
+func (s *scaleTest) evictFor(reason Reason) bool {
+	need := ForUnknown
+	if reason == FullKnown {
+		need = ForKnown
+	}
+	candidate, ok := s.limiter.EvictionCandidate(s.now, need, Spared{})
+	if ok {
+		s.limiter.Closed(s.byToken[candidate.Token])
+		delete(s.byToken, candidate.Token)
+	}
+	return ok
+}
+
+// closeEnded closes the connections whose span is over.
+func (s *scaleTest) closeEnded() {
+	stillOpen := s.open[:0]
+	for _, connection := range s.open {
+		if connection.ends <= s.now {
+			s.limiter.Closed(connection.id)
+		} else {
+			stillOpen = append(stillOpen, connection)
 		}
 	}
-	clear(byToken)
-	byToken = nil
-	live = nil
-	seen = nil
-	used := int64(heap()) - int64(before)
-	if distinct < 970_000 || knownRejected > 0 {
-		t.Errorf("%d distinct addresses, %d known connections were rejected", distinct, knownRejected)
-	}
-	if used > 8<<20 {
-		t.Errorf("%d bytes are used after a million addresses", used)
-	}
-	t.Logf("%d addresses, %d attempts, %d admitted, %.1f MB, the longest wait of the address that keeps its limits %v", distinct, attempts, admitted, float64(used)/(1<<20), wellBehaved.worst)
-	runtime.KeepAlive(limiter)
-}
-
-// BenchmarkDecision decides on connections of a million addresses in random order,
-// with all of them remembered and with the default tables, which fit the
-// processor's caches: rejected is a decision alone, admitted one with its Closed.
-func BenchmarkDecision(b *testing.B) {
-	for _, benchmark := range []struct {
-		name    string
-		full    bool
-		entries int
-	}{{"default/rejected", true, 0}, {"default/admitted", false, 0}, {"million/rejected", true, 1_000_000}, {"million/admitted", false, 1_000_000}} {
-		limiter := newLimiter(b, Config{Capacity: 1000, Reserve: 200, Known: []netip.Prefix{netip.MustParsePrefix("10.255.0.0/16")}, Addresses: benchmark.entries, Prefixes: benchmark.entries / 10,
-			Address: Limits{Open: 20, Opening: 10, PerSecond: 5, Burst: 10}, Prefix: Limits{Open: 100}})
-		var addresses []netip.Addr
-		for n := range 1_000_000 {
-			addresses = append(addresses, netip.AddrFrom4([4]byte{11, byte(n >> 16), byte(n >> 8), byte(n)}))
+	s.open = stillOpen
+}
+
+// forgetClosedTokens removes the tokens of connections that have ended.
+func (s *scaleTest) forgetClosedTokens() {
+	for token, id := range s.byToken {
+		if _, connection := s.limiter.find(id); connection == nil {
+			delete(s.byToken, token)
 		}
-		rand.New(rand.NewPCG(1, 1)).Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
-		now := time.Duration(0)
-		for _, addr := range addresses {
-			now += time.Millisecond
-			if id, reason := limiter.Admit(now, addr, 1); reason == Allowed {
-				limiter.Closed(id)
-			}
+	}
+}
+
+// admitUnknown opens a second's connections of unknown addresses.
+func (s *scaleTest) admitUnknown(second int) {
+	for range arrivalsPerS {
+		n := s.random.IntN(scaleAddresses)
+		if second%7 == 0 && s.random.IntN(2) == 0 {
+			n = s.random.IntN(20) // some that retry again and again, fewer than the part for retries
 		}
-		if benchmark.full {
-			for i := range 800 {
-				limiter.Admit(now, netip.AddrFrom4([4]byte{12, 0, byte(i / 50), byte(i % 50)}), 1)
-			}
+		s.countDistinct(n)
+		span := time.Duration(1+s.random.IntN(7)) * time.Second
+		busy := s.random.IntN(3) > 0
+		s.admit(unknownAddr(n), span, busy)
+	}
+}
+
+func (s *scaleTest) countDistinct(n int) {
+	bit := uint64(1) << (n % 64)
+	if s.seen[n/64]&bit == 0 {
+		s.seen[n/64] |= bit
+		s.distinct++
+	}
+}
+
+// admitKnown opens connections of known addresses, which are never rejected.
+func (s *scaleTest) admitKnown() {
+	for i := range 5 {
+		addr := netip.AddrFrom4([4]byte{10, 255, 0, byte(s.random.IntN(40))})
+		reason := s.admit(addr, 2*time.Second, i%2 == 0)
+		if reason != Allowed {
+			s.knownRejected++
 		}
-		b.Run(benchmark.name, func(b *testing.B) {
-			b.ReportAllocs()
-			i := 0
-			for b.Loop() {
-				now += time.Millisecond
-				if id, reason := limiter.Admit(now, addresses[i%len(addresses)], 1); reason == Allowed {
-					limiter.Closed(id)
-				}
-				i++
-			}
-		})
 	}
 }
+
+// admitWellBehaved opens a connection of the address that keeps its limits, and
+// checks how long it waits.
+func (s *scaleTest) admitWellBehaved() {
+	client := &s.wellBehaved
+	if !client.waiting {
+		client.waiting = true
+		client.since = s.now
+	}
+	reason := s.admit(netip.MustParseAddr("12.0.0.1"), time.Second, false)
+	if reason == Allowed {
+		client.waiting = false
+		client.worst = max(client.worst, s.now-client.since)
+		return
+	}
+	if s.now-client.since > longestWait {
+		s.t.Fatalf("an address that keeps its limits waits since %v at %v: %v; open %v, retries among them %d",
+			client.since, s.now, reason, s.limiter.openByTrust, s.limiter.openRetries)
+	}
+}
+
+// checkReserve checks that unknown addresses use none of the reserve, and learned
+// ones their half at most.
+func (s *scaleTest) checkReserve() {
+	const unreserved = scaleCapacity - scaleReserve
+	unknown := s.limiter.openByTrust[Unknown]
+	learned := s.limiter.openByTrust[Learned]
+	if unknown+learned > unreserved+scaleReserve/2 || unknown > unreserved {
+		s.t.Fatalf("%v: open by trust %v, of %d unreserved and %d reserved",
+			s.now, s.limiter.openByTrust, unreserved, scaleReserve)
+	}
+}
+
+func (s *scaleTest) checkInvariants() {
+	if err := s.limiter.CheckInvariants(); err != nil {
+		s.t.Fatalf("%v: %v", s.now, err)
+	}
+}
+
+// freeOwnMemory frees all but the Limiter.
+func (s *scaleTest) freeOwnMemory() {
+	s.byToken = nil
+	s.open = nil
+	s.seen = nil
+}
--- a/internal/httpfront/eviction.go
+++ b/internal/httpfront/eviction.go
@@ -38,20 +38,20 @@
 func (f *FrontEnd) evictForCapacity() {
 	spareProven := f.listenerShared // the other process has capacity
 	for evicted := range evictionsPerCall {
-		token, stage, found := f.gate.EvictionCandidate(connlimit.ForUnknown, spareProven)
+		candidate, found := f.gate.EvictionCandidate(connlimit.ForUnknown, connlimit.Spared{Proven: spareProven})
 		if !found {
 			f.capacityExhausted = evicted == 0 && !spareProven
 			break
 		}
-		if stage == connlimit.Proven && evicted > 0 { // there is capacity already
+		if candidate.Stage == connlimit.Proven && evicted > 0 { // there is capacity already
 			break
 		}
-		if stage == connlimit.Proven && !f.provenSpared { // by the next look, new connections may have become candidates
+		if candidate.Stage == connlimit.Proven && !f.provenSpared { // by the next look, new connections may have become candidates
 			f.provenSpared = true
 			f.loop().Set(&f.evictionTimer, f.loop().Now()+evictionInterval)
 			return
 		}
-		f.gate.CloseConnection(token) // at once: one that closes gracefully keeps its descriptor for a while
+		f.gate.CloseConnection(candidate.Token) // at once: one that closes gracefully keeps its descriptor for a while
 	}
 	if f.capacityExhausted {
 		f.loop().Set(&f.evictionTimer, f.loop().Now()+evictionInterval)
@@ -69,15 +69,15 @@
 func (f *FrontEnd) freeMemory() {
 	for f.memoryExhausted() {
 		var chosen *clientConnection
-		spare := func(token uint64) bool {
-			connection := f.connections.Get(token)
+		spare := func(token connlimit.Token) bool {
+			connection := f.connections.Get(uint64(token))
 			if connection == nil || connection.input == nil || connection.readPosted || connection.token == f.reading {
 				return true
 			}
 			chosen = connection
 			return false
 		}
-		_, _, found := f.gate.Limiter.EvictionCandidate(f.loop().Now(), connlimit.ForMemory, false, spare)
+		_, found := f.gate.EvictionCandidate(connlimit.ForMemory, connlimit.Spared{Single: spare})
 		if !found {
 			return
 		}
--- a/internal/listener/admission.go
+++ b/internal/listener/admission.go
@@ -67,7 +67,7 @@
 // admitWithDescriptor asks the limiter, and releases the descriptor that was
 // acquired unless the connection is admitted.
 func (g *Gate) admitWithDescriptor(addr netip.Addr) (connlimit.ID, connlimit.Reason) {
-	id, reason := g.Limiter.Admit(g.loop.Now(), addr, 0)
+	id, reason := g.Limiter.Admit(g.loop.Now(), addr, connlimit.NoToken)
 	if reason != connlimit.Allowed {
 		g.Budget.Release(connlimit.ClientConnections)
 	}
--- a/internal/listener/frontend.go
+++ b/internal/listener/frontend.go
@@ -13,15 +13,15 @@
 	Evict(token uint64)
 }
 
-// A token of a Limiter is the front end's own token with its number in the top bit.
+// A connlimit.Token is the front end's own token with its number in the top bit.
 const (
 	maxFrontEnds  = 2
 	frontEndShift = 63
 	ownTokenMask  = 1<<frontEndShift - 1
 )
 
-func limiterToken(frontEnd int, token uint64) uint64 {
-	return token | uint64(frontEnd)<<frontEndShift
+func limiterToken(frontEnd int, token uint64) connlimit.Token {
+	return connlimit.Token(token | uint64(frontEnd)<<frontEndShift)
 }
 
 // AddFrontEnd sets the front end with a number, 0 or 1, which its tokens carry.
@@ -41,26 +41,26 @@
 
 // EvictionCandidate returns the connection to be evicted first, for CloseConnection;
 // see connlimit.Limiter.EvictionCandidate.
-func (g *Gate) EvictionCandidate(need connlimit.EvictionReason, spareProven bool) (token uint64, stage connlimit.Stage, ok bool) {
-	return g.Limiter.EvictionCandidate(g.loop.Now(), need, spareProven, nil)
+func (g *Gate) EvictionCandidate(need connlimit.EvictionReason, spared connlimit.Spared) (connlimit.Candidate, bool) {
+	return g.Limiter.EvictionCandidate(g.loop.Now(), need, spared)
 }
 
 // CloseConnection closes a connection that EvictionCandidate returned.
-func (g *Gate) CloseConnection(token uint64) {
+func (g *Gate) CloseConnection(token connlimit.Token) {
 	frontEnd := g.frontEnds[token>>frontEndShift]
 	if frontEnd != nil {
-		frontEnd.Evict(token & ownTokenMask)
+		frontEnd.Evict(uint64(token & ownTokenMask))
 	}
 }
 
 // EvictOne closes the connection to be evicted first, and returns false if there is
 // none.
 func (g *Gate) EvictOne(need connlimit.EvictionReason) bool {
-	token, _, ok := g.EvictionCandidate(need, false)
-	if ok {
-		g.CloseConnection(token)
+	candidate, found := g.EvictionCandidate(need, connlimit.Spared{})
+	if found {
+		g.CloseConnection(candidate.Token)
 	}
-	return ok
+	return found
 }
 
 // EvictPrefix closes the connections of a prefix on which no answer is owed, and
