--- a/internal/admin/api.go
+++ b/internal/admin/api.go
@@ -54,7 +54,12 @@
 
 // Listen opens the API at an address, and returns the address with its port.
 func (a *API) Listen(addr string) (string, error) {
-	acceptor, err := a.engine.Listen(addr, MaxCalls, true, a.accept, a.evict)
+	acceptor, err := a.engine.Listen(addr, transport.AcceptOptions{
+		NewHandler:   a.accept,
+		SingleBuffer: true,
+		Limit:        MaxCalls,
+		OnFull:       a.evict,
+	})
 	if err != nil {
 		return "", err
 	}
--- a/internal/daemon/predecessor.go
+++ b/internal/daemon/predecessor.go
@@ -36,7 +36,8 @@
 		p.dispatcher.Log(fmt.Sprintf("handover socket cannot be opened, a successor will not find this process: %v", err))
 		return
 	}
-	p.handover.acceptor = p.engine.Serve(ln, 1, false, p.acceptSuccessor, func() {}).FixLimit()
+	options := transport.AcceptOptions{NewHandler: p.acceptSuccessor, Limit: 1}
+	p.handover.acceptor = p.engine.Serve(ln, options).FixLimit()
 }
 
 // acceptSuccessor sends a successor the state of this process.
--- a/internal/faktory/server.go
+++ b/internal/faktory/server.go
@@ -88,15 +88,16 @@
 // unless the gate limits them, and returns the address that was bound.
 func (s *Server) Listen(address string, maxConnections int) (string, error) {
 	s.gate.AddFrontEnd(frontEndNumber, s)
+	options := transport.AcceptOptions{NewHandler: s.accept, Limit: maxConnections, OnFull: s.shedConnections}
 	if s.gate.Enabled() {
 		socket, err := net.Listen("tcp", address)
 		if err != nil {
 			return "", err
 		}
-		s.acceptor = s.engine.ServeWithAdmission(socket, false, s.accept)
+		s.acceptor = s.engine.ServeWithAdmission(socket, options)
 		return s.acceptor.String(), nil
 	}
-	acceptor, err := s.engine.Listen(address, maxConnections, false, s.accept, s.shedConnections)
+	acceptor, err := s.engine.Listen(address, options)
 	if err != nil {
 		return "", err
 	}
--- a/internal/handover/link_test.go
+++ b/internal/handover/link_test.go
@@ -48,11 +48,12 @@
 	if p.listener, err = Listen(path); err != nil {
 		t.Fatal(err)
 	}
-	p.engine.Serve(p.listener, 1, false, func(c *transport.Conn) transport.Handler {
+	newHandler := func(c *transport.Conn) transport.Handler {
 		l := NewLink(p.engine, c, func(m Message) { p.received <- m }, func() { p.lost <- true })
 		p.links <- l
 		return l
-	}, func() {})
+	}
+	p.engine.Serve(p.listener, transport.AcceptOptions{NewHandler: newHandler, Limit: 1})
 	done := make(chan struct{})
 	go func() { p.loop.Run(); close(done) }()
 	t.Cleanup(func() { p.loop.Stop(); <-done; p.engine.StopListening() })
--- a/internal/httpfront/frontend.go
+++ b/internal/httpfront/frontend.go
@@ -105,11 +105,17 @@
 		f.gate.Limiter.SetCapacity(maxConnections)
 	}
 	f.gate.AddFrontEnd(frontEndNumber, f)
+	options := transport.AcceptOptions{
+		NewHandler:   f.accept,
+		SingleBuffer: true,
+		Limit:        maxConnections,
+		OnFull:       f.evictForCapacity,
+	}
 	if f.gate.Enabled() {
-		f.acceptor = f.engine.ServeWithAdmission(ln, true, f.accept)
+		f.acceptor = f.engine.ServeWithAdmission(ln, options)
 		return
 	}
-	f.acceptor = f.engine.Serve(ln, maxConnections, true, f.accept, f.evictForCapacity)
+	f.acceptor = f.engine.Serve(ln, options)
 }
 
 // accept takes over a connection that the acceptor has accepted, and returns its handler.
--- a/internal/listener/bench_test.go
+++ b/internal/listener/bench_test.go
@@ -84,11 +84,12 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	return engine.ServeWithAdmission(listener, true, func(c *transport.Conn) transport.Handler {
+	newHandler := func(c *transport.Conn) transport.Handler {
 		accepted.Add(1)
-		gate.Limiter.Closed(gate.Accepted(0, uint64(c.Handle), c.AdmissionToken))
+		gate.Limiter.Closed(gate.Accepted(0, c.Handle, c.AdmissionToken))
 		return nil
-	})
+	}
+	return engine.ServeWithAdmission(listener, transport.AcceptOptions{NewHandler: newHandler, SingleBuffer: true})
 }
 
 func serveWithoutAdmission(_ *testing.B, engine *transport.Engine, listener net.Listener, accepted *atomic.Int64) *transport.Acceptor {
@@ -96,5 +97,5 @@
 		accepted.Add(1)
 		return nil
 	}
-	return engine.Serve(listener, 3000, true, newHandler, func() {})
+	return engine.Serve(listener, transport.AcceptOptions{NewHandler: newHandler, SingleBuffer: true, Limit: 3000})
 }
--- a/internal/transport/accept.go
+++ b/internal/transport/accept.go
@@ -52,49 +52,65 @@
 	return a
 }
 
+// AcceptOptions say how the connections of a listener are accepted. Their functions
+// run on the loop's goroutine.
+type AcceptOptions struct {
+	// NewHandler returns the handler of a connection, or nil to close it.
+	NewHandler func(*Conn) Handler
+
+	// SingleBuffer hands over one buffer of a connection at a time, so that a handler
+	// that pauses gets no more; what a peer sent just before it closed may be lost.
+	SingleBuffer bool
+
+	// Limit is how many connections may be open at a time, at least one.
+	// ServeWithAdmission does not use it, nor OnFull.
+	Limit int
+
+	// OnFull is called when a connection waits since the limit is reached, or since
+	// no descriptor is left; nil: nothing is called.
+	OnFull func()
+}
+
+// window returns how many buffers of a connection may be on their way to its handler.
+func (o *AcceptOptions) window() int {
+	if o.SingleBuffer {
+		return narrowWindow
+	}
+	return wideWindow
+}
+
 // Listen accepts connections on an address as Serve does.
-func (e *Engine) Listen(
-	addr string, limit int, singleBuffer bool, newHandler func(*Conn) Handler, onFull func(),
-) (*Acceptor, error) {
+func (e *Engine) Listen(addr string, options AcceptOptions) (*Acceptor, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	return e.Serve(listener, limit, singleBuffer, newHandler, onFull), nil
+	return e.Serve(listener, options), nil
 }
 
-// Serve accepts connections from a listener, at most limit at a time. newHandler
-// returns the handler of each, or nil to close it; onFull is called when one
-// waits since the limit is reached. Both run on the loop's goroutine.
-//
-// singleBuffer hands over one buffer of a connection at a time, so that a handler
-// that pauses gets no more; what a peer sent just before it closed may be lost.
-func (e *Engine) Serve(
-	listener net.Listener, limit int, singleBuffer bool, newHandler func(*Conn) Handler, onFull func(),
-) *Acceptor {
-	a := &Acceptor{listener: listener, group: newConnGroup(limit, windowFor(singleBuffer))}
+// Serve accepts connections from a listener, up to a limit.
+func (e *Engine) Serve(listener net.Listener, options AcceptOptions) *Acceptor {
+	a := &Acceptor{listener: listener, group: newConnGroup(options.Limit, options.window())}
 	e.mu.Lock()
 	a.group.resize(e.share)
 	e.acceptors = append(e.acceptors, a)
 	e.mu.Unlock()
-	go e.acceptUpToLimit(a, newHandler, onFull)
+	go e.acceptUpToLimit(a, options)
 	return a
 }
 
-func windowFor(singleBuffer bool) int {
-	if singleBuffer {
-		return narrowWindow
-	}
-	return wideWindow
-}
-
 // acceptUpToLimit accepts connections until the listener is closed, none while
 // the limit is reached.
-func (e *Engine) acceptUpToLimit(acceptor *Acceptor, newHandler func(*Conn) Handler, onFull func()) {
-	for acceptor.group.acquire(func() { e.Loop.Post(onFull) }) {
+func (e *Engine) acceptUpToLimit(acceptor *Acceptor, options AcceptOptions) {
+	reportFull := func() {
+		if options.OnFull != nil {
+			e.Loop.Post(options.OnFull)
+		}
+	}
+	for acceptor.group.acquire(reportFull) {
 		conn, err := acceptor.listener.Accept()
 		if err == nil {
-			e.register(conn, acceptor.group, 0, newHandler)
+			e.register(conn, acceptor.group, 0, options.NewHandler)
 			continue
 		}
 		acceptor.group.release()
@@ -102,24 +118,22 @@
 			return
 		}
 		if isDescriptorExhausted(err) {
-			e.Loop.Post(onFull)
+			reportFull()
 		}
 		time.Sleep(acceptRetryPause)
 	}
 }
 
 // ServeWithAdmission accepts connections from a listener and serves those that
-// the engine's Admission admits. newHandler and singleBuffer are as for Serve.
-func (e *Engine) ServeWithAdmission(
-	listener net.Listener, singleBuffer bool, newHandler func(*Conn) Handler,
-) *Acceptor {
-	group := newConnGroup(unlimited, windowFor(singleBuffer))
+// the engine's Admission admits.
+func (e *Engine) ServeWithAdmission(listener net.Listener, options AcceptOptions) *Acceptor {
+	group := newConnGroup(unlimited, options.window())
 	group.quota.Release = e.admission.Release
 	acceptor := &Acceptor{listener: listener, group: group, fixedLimit: true}
 	e.mu.Lock()
 	e.acceptors = append(e.acceptors, acceptor)
 	e.mu.Unlock()
-	go e.acceptWithAdmission(acceptor, newHandler)
+	go e.acceptWithAdmission(acceptor, options.NewHandler)
 	return acceptor
 }
 
--- a/internal/transport/accept_test.go
+++ b/internal/transport/accept_test.go
@@ -1,46 +1,49 @@
 package transport
 
 import (
-	"net"
 	"testing"
 	"time"
 )
 
-// No more connections than the limit are open; onFull is called for one that
+// No more connections than the limit are open; OnFull is called for one that
 // waits, and it is accepted once another has ended.
 func TestConnectionLimit(t *testing.T) {
 	engine := startEngine(t, 100)
 	handler := newRecordingHandler(engine)
 	full := make(chan bool, 100)
-	opened := make(chan *Conn, 10)
-	newHandler := func(c *Conn) Handler { opened <- c; return handler }
-	acceptor, err := engine.Listen("127.0.0.1:0", 2, true, newHandler, func() { full <- true })
-	if err != nil {
-		t.Fatal(err)
-	}
+	server := serve(t, engine, AcceptOptions{
+		NewHandler:   handler.accept,
+		SingleBuffer: true,
+		Limit:        2,
+		OnFull:       func() { full <- true },
+	})
 	for range 3 {
-		conn, err := net.Dial("tcp", acceptor.String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer conn.Close()
+		server.connect(t)
 	}
-	first := receive(t, opened)
-	receive(t, opened)
+	first := receive(t, server.opened)
+	receive(t, server.opened)
 	receive(t, full)
 	runOnLoop(engine, func() {
-		if len(opened) != 0 {
-			t.Error("a third is open")
+		if len(server.opened) != 0 {
+			t.Error("a third connection is open, with a limit of two")
 		}
 		first.Close()
 	})
-	receive(t, opened)
+	receive(t, server.opened)
+}
+
+// No more connections are dialed than there are descriptors for.
+func TestDialLimit(t *testing.T) {
+	engine := startEngine(t, 100)
+	handler := newRecordingHandler(engine)
+	server := serve(t, engine, AcceptOptions{NewHandler: handler.accept, Limit: 2})
 	dials := 0
-	for ; engine.dials.tryAcquire(); dials++ {
+	for engine.dials.tryAcquire() {
+		dials++
 	}
-	result := receive(t, dial(engine, acceptor.String(), handler))
+	result := receive(t, dial(engine, server.String(), handler))
 	if dials != engine.dials.limit || result.err != ErrNoDescriptor {
-		t.Errorf("after %d dials: %v", dials, result.err)
+		t.Errorf("after %d dials: %v, want %v after %d", dials, result.err, ErrNoDescriptor, engine.dials.limit)
 	}
 }
 
@@ -49,48 +52,47 @@
 // limit stays as it is, and a listener that is added later gets the share.
 func TestResize(t *testing.T) {
 	engine := startEngine(t, 124)
-	opened := make(chan *Conn, 100)
 	handler := newRecordingHandler(engine)
-	newHandler := func(c *Conn) Handler { opened <- c; return handler }
-	serve := func(limit int) *Acceptor {
-		acceptor, err := engine.Listen("127.0.0.1:0", limit, true, newHandler, func() {})
-		if err != nil {
-			t.Fatal(err)
+	serveUpTo := func(limit int) *testServer {
+		return serve(t, engine, AcceptOptions{NewHandler: handler.accept, SingleBuffer: true, Limit: limit})
+	}
+	connect := func(server *testServer, connections int) {
+		for range connections {
+			server.connect(t)
 		}
-		return acceptor
 	}
-	dial := func(a *Acceptor, n int) {
-		for range n {
-			conn, err := net.Dial("tcp", a.String())
-			if err != nil {
-				t.Fatal(err)
-			}
-			t.Cleanup(func() { conn.Close() })
+	receiveOpened := func(server *testServer, connections int) {
+		t.Helper()
+		for range connections {
+			receive(t, server.opened)
 		}
 	}
-	wide, fixed := serve(10), serve(4).FixLimit()
+	resizable := serveUpTo(10)
+	fixed := serveUpTo(4)
+	fixed.FixLimit()
+
 	engine.Resize(24 + 50) // half of what is usable
-	dial(wide, 7)
-	dial(fixed, 4)
-	for range 9 {
-		receive(t, opened)
-	}
-	later := serve(6)
-	dial(later, 4)
-	for range 3 {
-		receive(t, opened)
-	}
+	connect(resizable, 7)
+	connect(fixed, 4)
+	receiveOpened(resizable, 5)
+	receiveOpened(fixed, 4)
+	later := serveUpTo(6)
+	connect(later, 4)
+	receiveOpened(later, 3)
 	time.Sleep(20 * time.Millisecond) // time for one too many to be accepted
-	if n := len(opened); n > 0 || engine.dials.limit != 20 {
-		t.Fatalf("%d more than half were accepted; the limit of dials is %d", n, engine.dials.limit)
+	tooMany := len(resizable.opened) + len(fixed.opened) + len(later.opened)
+	if tooMany > 0 || engine.dials.limit != 20 {
+		t.Fatalf("%d more than half were accepted, want none; the limit of dials is %d, want 20",
+			tooMany, engine.dials.limit)
 	}
+
 	engine.Resize(124)
-	for range 3 {
-		receive(t, opened)
-	}
+	receiveOpened(resizable, 2)
+	receiveOpened(later, 1)
+
 	engine.Resize(1 << 20)
 	if engine.dials.limit != 40 {
-		t.Errorf("the limit of dials is %d, more than at the start", engine.dials.limit)
+		t.Errorf("the limit of dials is %d, want 40 as at the start", engine.dials.limit)
 	}
 }
 
@@ -100,31 +102,35 @@
 	for _, limit := range []int{1, 5} {
 		engine := startEngine(t, 100)
 		handler := newRecordingHandler(engine)
-		opened := make(chan *Conn, 1)
 		full := make(chan bool, 10)
-		newHandler := func(c *Conn) Handler { opened <- c; return handler }
-		acceptor, err := engine.Listen("127.0.0.1:0", limit, true, newHandler, func() { full <- true })
-		if err != nil {
-			t.Fatal(err)
-		}
-		conn, err := net.Dial("tcp", acceptor.String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		receive(t, opened)
+		server := serve(t, engine, AcceptOptions{
+			NewHandler:   handler.accept,
+			SingleBuffer: true,
+			Limit:        limit,
+			OnFull:       func() { full <- true },
+		})
+		peer, _ := server.open(t)
 		if limit == 1 {
 			receive(t, full) // it waits for a connection to end
 		}
-		acceptor.Close()
-		if n := acceptor.OpenConnections(); n < 1 {
-			t.Errorf("%d connections counted, one is open", n)
+		server.Close()
+		if n := server.OpenConnections(); n < 1 {
+			t.Errorf("limit %d: %d connections counted, one is open", limit, n)
 		}
-		conn.Close()
+		peer.Close()
 		handler.waitClosed(t)
-		for end := time.Now().Add(testTimeout); acceptor.OpenConnections() > 0; time.Sleep(time.Millisecond) {
-			if time.Now().After(end) {
-				t.Fatalf("limit %d: %d connections counted, none is open", limit, acceptor.OpenConnections())
-			}
+		waitForNoConnections(t, server)
+	}
+}
+
+// waitForNoConnections waits until a server counts no connection.
+func waitForNoConnections(t *testing.T, server *testServer) {
+	t.Helper()
+	end := time.Now().Add(testTimeout)
+	for server.OpenConnections() > 0 {
+		if time.Now().After(end) {
+			t.Fatalf("%d connections counted, none is open", server.OpenConnections())
 		}
+		time.Sleep(time.Millisecond)
 	}
 }
--- a/internal/transport/buffer_test.go
+++ b/internal/transport/buffer_test.go
@@ -3,11 +3,17 @@
 import "testing"
 
 // A buffer is full at BufferSize, and is empty when it is used again.
-func TestBuffers(t *testing.T) {
+func TestBufferIsFullAtItsSize(t *testing.T) {
 	var p Pool
 	b := p.Get()
-	if !b.Append([]byte("abc")) || b.Append(make([]byte, BufferSize)) || !b.Append(make([]byte, BufferSize-3)) || b.Append([]byte("x")) {
-		t.Error("Append does not stop at BufferSize")
+	if b.Append(make([]byte, BufferSize+1)) {
+		t.Error("Append takes more than BufferSize into an empty buffer")
+	}
+	if !b.Append([]byte("abc")) || b.Append(make([]byte, BufferSize)) {
+		t.Error("Append takes BufferSize bytes behind three others")
+	}
+	if !b.Append(make([]byte, BufferSize-3)) || b.Append([]byte("x")) {
+		t.Error("Append does not stop at BufferSize exactly")
 	}
 	b.Consume(2)
 	if b.Bytes()[0] != 'c' || len(b.Bytes()) != BufferSize-2 {
@@ -31,7 +37,7 @@
 		small = append(small, b)
 	}
 	if n := p.BytesInUse(); n != 40*pageSize {
-		t.Errorf("40 small buffers take up %d bytes", n)
+		t.Errorf("40 small buffers take up %d bytes, want a page each", n)
 	}
 	for range 40 {
 		b := p.Get()
@@ -39,7 +45,7 @@
 		large = append(large, b)
 	}
 	if n := p.BytesInUse(); n != 40*pageSize+40*BufferSize {
-		t.Errorf("with 40 large buffers they take up %d bytes", n)
+		t.Errorf("with 40 large buffers they take up %d bytes, want %d", n, 40*pageSize+40*BufferSize)
 	}
 	for _, b := range append(small, large...) {
 		p.Put(b)
@@ -49,7 +55,8 @@
 		resident += b.resident
 	}
 	if n := p.BytesInUse(); n != 0 || resident > 80*minResidentBytes+maxFreeResidentBytes {
-		t.Errorf("all free, %d bytes are in use and %d resident", n, resident)
+		t.Errorf("all free, %d bytes are in use, want 0, and %d resident, want at most %d",
+			n, resident, 80*minResidentBytes+maxFreeResidentBytes)
 	}
 	if b := p.Get(); !b.Append(make([]byte, BufferSize)) || b.Bytes()[BufferSize-1] != 0 {
 		t.Error("a buffer whose memory was returned cannot be used again")
--- a/internal/transport/close_test.go
+++ b/internal/transport/close_test.go
@@ -29,138 +29,166 @@
 	runOnLoop(engine, func() {
 		c.Write(large)
 		if c.Flushed(c.WriteOffset()) || !c.Flushed(5) {
-			t.Errorf("%d of %d bytes were sent", c.SentBytes(), c.WriteOffset())
+			t.Errorf("%d of %d bytes were sent, want 5 at least but not all", c.SentBytes(), c.WriteOffset())
 		}
 		c.CloseGracefully()
 	})
 	// CloseGracefully waits for at most lingerTimeout, so this peer reads at once.
 	n, err := io.Copy(io.Discard, conn)
 	if n != int64(len(large)+5) || err != nil {
-		t.Errorf("%d bytes arrived, %v", n, err)
+		t.Errorf("%d bytes arrived, error %v; want %d", n, err, len(large)+5)
 	}
 }
 
+// setInTransit sets how many buffers the poller counts as on their way to handlers.
+func setInTransit(engine *Engine, buffers int) {
+	engine.transitMu.Lock()
+	engine.inTransit = buffers
+	engine.transitMu.Unlock()
+	engine.transitCond.Signal()
+}
+
+// closeOnLoop closes connections, and keeps the loop busy until resume is closed.
+func closeOnLoop(t *testing.T, engine *Engine, conns []*Conn, resume chan bool, meanwhile func()) {
+	t.Helper()
+	closed := make(chan bool)
+	engine.Loop.Post(func() {
+		for _, c := range conns {
+			c.Close()
+		}
+		close(closed)
+		<-resume
+	})
+	meanwhile()
+	receive(t, closed)
+}
+
 // A connection that is closed while the poller still has an event for it must not
 // free its descriptor for the next connection: the event closed that one, unread.
 // The poller is blocked between two events here, as by a busy loop.
 func TestCloseKeepsDescriptorFromReuse(t *testing.T) {
 	engine := startEngine(t, 100)
 	handler := newRecordingHandler(engine)
-	opened := make(chan *Conn, 20)
-	acceptor, err := engine.Listen("127.0.0.1:0", 20, false, func(c *Conn) Handler { opened <- c; return handler }, func() {})
-	if err != nil {
-		t.Fatal(err)
-	}
-	dial := func() net.Conn {
-		conn, err := net.Dial("tcp", acceptor.String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { conn.Close() })
-		return conn
-	}
-	setInTransit := func(n int) {
-		engine.transitMu.Lock()
-		engine.inTransit = n
-		engine.transitMu.Unlock()
-		engine.transitCond.Signal()
-	}
-	first, second := dial(), dial()
-	receive(t, opened)
-	receive(t, opened)
+	server := serve(t, engine, AcceptOptions{NewHandler: handler.accept, Limit: 20})
+	first := server.connect(t)
+	second := server.connect(t)
+	receive(t, server.opened)
+	receive(t, server.opened)
 	var peers []net.Conn
 	var conns []*Conn
 	for range 6 {
-		peers = append(peers, dial())
-		conns = append(conns, receive(t, opened))
+		peer, c := server.open(t)
+		peers = append(peers, peer)
+		conns = append(conns, c)
 	}
-	setInTransit(maxBuffersInTransit)
-	first.Write([]byte("first")) // the poller waits before it reads this
+
+	// The poller waits before it reads the first connection, and will wait before the
+	// second, while it has the events of the others' ends.
+	setInTransit(engine, maxBuffersInTransit)
+	first.Write([]byte("first"))
 	time.Sleep(20 * time.Millisecond)
-	second.Write([]byte("second")) // and will wait before this one, while it has the events of the others' ends
-	for _, p := range peers {
-		p.Close()
+	second.Write([]byte("second"))
+	for _, peer := range peers {
+		peer.Close()
 	}
-	closed := make(chan bool)
+
 	resumeLoop := make(chan bool)
-	engine.Loop.Post(func() {
-		for _, c := range conns {
-			c.Close()
-		}
-		close(closed)
-		<-resumeLoop
-	})
-	setInTransit(maxBuffersInTransit - 1)
-	receive(t, closed)
-	next := []net.Conn{dial(), dial(), dial()}
+	closeOnLoop(t, engine, conns, resumeLoop, func() { setInTransit(engine, maxBuffersInTransit-1) })
+	var next []net.Conn
+	for range 3 {
+		next = append(next, server.connect(t))
+	}
 	time.Sleep(50 * time.Millisecond) // for them to be accepted; where they are not, the test checks less
 	close(resumeLoop)
-	setInTransit(0)
-	for range 3 {
-		receive(t, opened)
+	setInTransit(engine, 0)
+	for range next {
+		receive(t, server.opened)
 	}
-	for _, conn := range next {
-		conn.Write([]byte("next"))
+
+	for _, peer := range next {
+		peer.Write([]byte("next"))
 	}
 	received := map[string]int{}
 	for range 5 {
 		received[receive(t, handler.data)]++
 	}
 	if received["first"] != 1 || received["second"] != 1 || received["next"] != 3 || len(handler.closed) > 0 {
-		t.Errorf("received %v; %d connections were closed unread", received, len(handler.closed))
+		t.Errorf("received %v, want first, second and three times next; %d connections were closed unread",
+			received, len(handler.closed))
 	}
 }
 
-// What Discard drops is bounded and reaches no handler; the peer's end, which comes
-// behind it, does.
-func TestDiscard(t *testing.T) {
+// discardLimit is the limit of the tests of Discard.
+const discardLimit = 1 << 20
+
+// serveDiscarding starts a server that discards what it receives.
+func serveDiscarding(t *testing.T, engine *Engine, handler *recordingHandler) *testServer {
+	t.Helper()
+	discard := func(c *Conn) Handler {
+		c.Discard(discardLimit)
+		return handler
+	}
+	return serve(t, engine, AcceptOptions{NewHandler: discard, SingleBuffer: true, Limit: 20})
+}
+
+// sendAndClose sends zeros and closes the connection, and then passes on how many
+// were sent.
+func sendAndClose(peer net.Conn, size int) (sent chan int) {
+	sent = make(chan int, 1)
+	go func() {
+		n, _ := peer.Write(make([]byte, size))
+		peer.Close()
+		sent <- n
+	}()
+	return sent
+}
+
+// What Discard drops reaches no handler; the peer's end, which comes behind it, does.
+func TestDiscardReachesEnd(t *testing.T) {
 	engine := startEngine(t, 100)
 	handler := newRecordingHandler(engine)
-	opened := make(chan *Conn, 2)
-	acceptor, err := engine.Listen("127.0.0.1:0", 20, true, func(c *Conn) Handler { c.Discard(1 << 20); opened <- c; return handler }, func() {})
-	if err != nil {
-		t.Fatal(err)
-	}
-	for _, x := range []struct {
-		bytes        int
-		endIsReached bool
-	}{{0, true}, {100, true}, {700 << 10, true}, {64 << 20, false}} {
-		conn, err := net.Dial("tcp", acceptor.String())
-		if err != nil {
-			t.Fatal(err)
+	server := serveDiscarding(t, engine, handler)
+	for _, size := range []int{0, 100, 700 << 10} {
+		peer, _ := server.open(t)
+		sent := sendAndClose(peer, size)
+		handler.waitClosed(t)
+		if n := receive(t, sent); n != size || len(handler.data) > 0 {
+			t.Errorf("%d of %d bytes sent, the handler got %d buffers, want none", n, size, len(handler.data))
 		}
-		c := receive(t, opened)
-		sent := make(chan int, 1)
-		go func() {
-			n, _ := conn.Write(make([]byte, x.bytes))
-			conn.Close()
-			sent <- n
-		}()
-		if !x.endIsReached { // it stops for good, so that the peer fills the kernel's buffers
-			deadline := time.Now().Add(testTimeout)
-			last := discardedBytes(engine, c)
-			lastChange := time.Now()
-			for last < 1<<20 || time.Since(lastChange) < 50*lingerInterval {
-				time.Sleep(lingerInterval)
-				now := discardedBytes(engine, c)
-				if now != last {
-					last = now
-					lastChange = time.Now()
-				}
-				if time.Now().After(deadline) {
-					t.Fatalf("%d bytes were discarded, and it does not stop", last)
-				}
-			}
-			if n := discardedBytes(engine, c); n > 1<<20+BufferSize {
-				t.Errorf("%d bytes were discarded, the limit is %d", n, 1<<20)
-			}
-			runOnLoop(engine, c.Close)
-			receive(t, sent)
-			continue
+	}
+}
+
+// Discard stops for good at its limit, so that the peer fills the kernel's buffers.
+func TestDiscardIsBounded(t *testing.T) {
+	engine := startEngine(t, 100)
+	handler := newRecordingHandler(engine)
+	server := serveDiscarding(t, engine, handler)
+	peer, c := server.open(t)
+	sent := sendAndClose(peer, 64<<20)
+	waitUntilDiscardStops(t, engine, c)
+	if n := discardedBytes(engine, c); n > discardLimit+BufferSize {
+		t.Errorf("%d bytes were discarded, the limit is %d", n, discardLimit)
+	}
+	runOnLoop(engine, c.Close)
+	receive(t, sent)
+}
+
+// waitUntilDiscardStops waits until a connection has reached the limit and discards
+// no more.
+func waitUntilDiscardStops(t *testing.T, engine *Engine, c *Conn) {
+	t.Helper()
+	deadline := time.Now().Add(testTimeout)
+	last := discardedBytes(engine, c)
+	lastChange := time.Now()
+	for last < discardLimit || time.Since(lastChange) < 50*lingerInterval {
+		time.Sleep(lingerInterval)
+		now := discardedBytes(engine, c)
+		if now != last {
+			last = now
+			lastChange = time.Now()
 		}
-		handler.waitClosed(t)
-		if n := receive(t, sent); n != x.bytes || len(handler.data) > 0 {
-			t.Errorf("%d of %d bytes sent, the handler got %d buffers", n, x.bytes, len(handler.data))
+		if time.Now().After(deadline) {
+			t.Fatalf("%d bytes were discarded, and it does not stop", last)
 		}
 	}
 }
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -21,20 +21,22 @@
 		t.Fatal(err)
 	}
 	c := receive(t, got).conn
-	if b := make([]byte, 5); c == nil || c.Handle == 0 {
+	if c == nil || c.Handle == 0 {
 		t.Fatal("no connection")
-	} else if _, err := io.ReadFull(conn, b); err != nil || string(b) != "first" {
-		t.Fatalf("%q, %v", b, err)
+	}
+	sent := make([]byte, len("first"))
+	if _, err := io.ReadFull(conn, sent); err != nil || string(sent) != "first" {
+		t.Fatalf("the peer read %q, error %v; want first", sent, err)
 	}
 	conn.Write([]byte("hello"))
-	if s := receive(t, handler.data); s != "hello" {
-		t.Errorf("read %q", s)
+	if received := receive(t, handler.data); received != "hello" {
+		t.Errorf("received %q, want hello", received)
 	}
 	conn.Close()
 	handler.waitClosed(t)
 	runOnLoop(engine, func() {
 		if c.Handle != 0 || engine.OpenConnections() != 0 || c.Write([]byte("x")) {
-			t.Error("the connection is still there")
+			t.Error("the connection is still there after the peer has closed it")
 		}
 	})
 	listener.Close()
--- a/internal/transport/example_test.go
+++ b/internal/transport/example_test.go
@@ -29,7 +29,7 @@
 		return
 	}
 	newHandler := func(*transport.Conn) transport.Handler { return echo{&engine.Pool} }
-	acceptor, err := engine.Listen("127.0.0.1:0", 10, false, newHandler, func() {})
+	acceptor, err := engine.Listen("127.0.0.1:0", transport.AcceptOptions{NewHandler: newHandler, Limit: 10})
 	if err != nil {
 		fmt.Println(err)
 		return
--- a/internal/transport/helpers_test.go
+++ b/internal/transport/helpers_test.go
@@ -1,6 +1,7 @@
 package transport
 
 import (
+	"net"
 	"testing"
 	"time"
 
@@ -28,8 +29,14 @@
 
 func (h *recordingHandler) OnClosed(_ *Conn, err error) { h.closed <- err }
 
+// accept is the NewHandler of a listener all of whose connections have this handler.
+func (h *recordingHandler) accept(*Conn) Handler { return h }
+
 // waitClosed waits until a connection has ended, and returns how.
-func (h *recordingHandler) waitClosed(t *testing.T) error { return receive(t, h.closed) }
+func (h *recordingHandler) waitClosed(t *testing.T) error {
+	t.Helper()
+	return receive(t, h.closed)
+}
 
 // receive returns the next value of a channel.
 func receive[T any](t *testing.T, c chan T) (v T) {
@@ -42,23 +49,76 @@
 	return v
 }
 
+// testServer is an acceptor that passes on the connections it opens.
+type testServer struct {
+	*Acceptor
+	opened chan *Conn
+}
+
+// serve starts a testServer on the loopback interface.
+func serve(t *testing.T, engine *Engine, options AcceptOptions) *testServer {
+	t.Helper()
+	server := &testServer{opened: make(chan *Conn, 100)}
+	newHandler := options.NewHandler
+	options.NewHandler = func(c *Conn) Handler {
+		handler := newHandler(c)
+		server.opened <- c
+		return handler
+	}
+	acceptor, err := engine.Listen("127.0.0.1:0", options)
+	if err != nil {
+		t.Fatal(err)
+	}
+	server.Acceptor = acceptor
+	return server
+}
+
+// connect opens a connection to the server, which is closed at the end of the test.
+func (s *testServer) connect(t *testing.T) net.Conn {
+	t.Helper()
+	peer, err := net.Dial("tcp", s.String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { peer.Close() })
+	return peer
+}
+
+// open opens a connection to the server, and returns both of its ends.
+func (s *testServer) open(t *testing.T) (net.Conn, *Conn) {
+	t.Helper()
+	peer := s.connect(t)
+	return peer, receive(t, s.opened)
+}
+
 // startEngine starts an engine and its loop until the end of the test.
 func startEngine(t *testing.T, descriptors int) *Engine {
+	t.Helper()
 	loop := eventloop.New()
 	engine, err := NewEngine(loop, descriptors)
 	if err != nil {
 		t.Fatal(err)
 	}
 	done := make(chan struct{})
-	go func() { loop.Run(); close(done) }()
-	t.Cleanup(func() { loop.Stop(); <-done; engine.StopListening() })
+	go func() {
+		loop.Run()
+		close(done)
+	}()
+	t.Cleanup(func() {
+		loop.Stop()
+		<-done
+		engine.StopListening()
+	})
 	return engine
 }
 
 // runOnLoop runs f on the loop's goroutine.
 func runOnLoop(engine *Engine, f func()) {
 	done := make(chan struct{})
-	engine.Loop.Post(func() { f(); close(done) })
+	engine.Loop.Post(func() {
+		f()
+		close(done)
+	})
 	<-done
 }
 
--- a/internal/transport/read_test.go
+++ b/internal/transport/read_test.go
@@ -8,52 +8,53 @@
 )
 
 // No more is read from a connection than its handler takes in: a peer that sent as
-// fast as it could once filled the memory with what waited for the loop. What a
-// peer sent before it closed still arrives, and its end is reported while paused.
+// fast as it could once filled the memory with what waited for the loop.
 func TestReadBackpressure(t *testing.T) {
 	engine := startEngine(t, 100)
 	handler := newRecordingHandler(engine)
-	opened := make(chan *Conn, 10)
-	newHandler := func(c *Conn) Handler { opened <- c; return handler }
-	narrow, err1 := engine.Listen("127.0.0.1:0", 10, true, newHandler, func() {})
-	wide, err2 := engine.Listen("127.0.0.1:0", 10, false, newHandler, func() {})
-	if err1 != nil || err2 != nil {
-		t.Fatal(err1, err2)
-	}
-	open := func(addr net.Addr) (net.Conn, *Conn) {
-		peer, err := net.Dial("tcp", addr.String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { peer.Close() })
-		return peer, receive(t, opened)
-	}
-	peer, c := open(narrow.Addr())
+	server := serve(t, engine, AcceptOptions{NewHandler: handler.accept, SingleBuffer: true, Limit: 10})
+	peer, c := server.open(t)
 	runOnLoop(engine, c.Pause)
-	total := 5 << 20
+	const total = 5 << 20
 	go peer.Write(bytes.Repeat([]byte("x"), total))
 	for range 10 {
 		time.Sleep(time.Millisecond)
 		runOnLoop(engine, func() {})
 	}
 	if n := len(handler.data); n != 0 {
-		t.Fatalf("%d buffers arrived while paused", n)
+		t.Fatalf("%d buffers arrived while paused, want none", n)
 	}
 	runOnLoop(engine, c.Resume)
-	for n := 0; n < total; {
-		n += len(receive(t, handler.data))
+	received := 0
+	for received < total {
+		received += len(receive(t, handler.data))
 		if inUse := engine.Pool.BytesInUse(); inUse > 4*BufferSize {
-			t.Fatalf("%d bytes are in use", inUse)
+			t.Fatalf("%d bytes are in use, want at most %d", inUse, 4*BufferSize)
 		}
 	}
-	peer, c = open(narrow.Addr())
+}
+
+// The end of a connection is reported while it is paused.
+func TestEndIsReportedWhilePaused(t *testing.T) {
+	engine := startEngine(t, 100)
+	handler := newRecordingHandler(engine)
+	server := serve(t, engine, AcceptOptions{NewHandler: handler.accept, SingleBuffer: true, Limit: 10})
+	peer, c := server.open(t)
 	runOnLoop(engine, c.Pause)
 	peer.Close()
 	handler.waitClosed(t)
-	peer, _ = open(wide.Addr())
+}
+
+// What a peer sent before it closed still arrives where several buffers are handed
+// over, also while the loop is busy elsewhere.
+func TestBytesBeforeEndArrive(t *testing.T) {
+	engine := startEngine(t, 100)
+	handler := newRecordingHandler(engine)
+	server := serve(t, engine, AcceptOptions{NewHandler: handler.accept, Limit: 10})
+	peer, _ := server.open(t)
 	release := make(chan bool)
 	engine.Loop.Post(func() { <-release })
-	for _, part := range []string{"one ", "two ", "three"} { // while the loop is busy elsewhere
+	for _, part := range []string{"one ", "two ", "three"} {
 		peer.Write([]byte(part))
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -65,49 +66,55 @@
 	for len(handler.data) > 0 {
 		got += <-handler.data
 	}
-	if got != "one two three" {
-		t.Errorf("%q arrived before the end", got)
+	if want := "one two three"; got != want {
+		t.Errorf("%q arrived before the end, want %q", got, want)
 	}
 }
 
+// idleCase is what a peer does on an idle connection, and what follows.
+type idleCase struct {
+	name    string
+	act     func(*net.TCPConn) // on loopback its effect has arrived when the call returns
+	idle    bool
+	allRead bool
+}
+
 // A connection is idle only while its handler has got all that has arrived: there
 // are no bytes, read or unread, and no end.
 func TestIdle(t *testing.T) {
-	for name, act := range map[string]func(*net.TCPConn){
-		"nothing": func(*net.TCPConn) {},
-		"a byte":  func(c *net.TCPConn) { c.Write([]byte("x")) },
-		"its end": func(c *net.TCPConn) { c.CloseWrite() },
-		"a reset": func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
+	reset := func(c *net.TCPConn) {
+		c.SetLinger(0)
+		c.Close()
+	}
+	for _, c := range []idleCase{
+		{"nothing", func(*net.TCPConn) {}, true, true},
+		{"a byte", func(c *net.TCPConn) { c.Write([]byte("x")) }, false, false},
+		{"its end", func(c *net.TCPConn) { c.CloseWrite() }, false, true},
+		{"a reset", reset, false, true},
 	} {
-		for _, paused := range []bool{false, true} {
-			engine := startEngine(t, 100)
-			handler := newRecordingHandler(engine)
-			opened := make(chan *Conn, 1)
-			acceptor, err := engine.Listen("127.0.0.1:0", 20, true, func(c *Conn) Handler { opened <- c; return handler }, func() {})
-			if err != nil {
-				t.Fatal(err)
-			}
-			conn, err := net.Dial("tcp", acceptor.String())
-			if err != nil {
-				t.Fatal(err)
-			}
-			c := receive(t, opened)
-			runOnLoop(engine, func() {
-				if paused {
-					c.Pause()
-				}
-				if !c.Idle() || !c.AllRead() {
-					t.Errorf("%s: it is not idle at first", name)
-				}
-				act(conn.(*net.TCPConn)) // on loopback it has arrived when the call returns
-				if c.Idle() != (name == "nothing") {
-					t.Errorf("%s, paused %v: Idle is %v", name, paused, c.Idle())
-				}
-				if c.AllRead() != (name != "a byte") {
-					t.Errorf("%s, paused %v: NothingUnread is %v", name, paused, c.AllRead())
-				}
-			})
-			conn.Close()
-		}
+		t.Run(c.name, func(t *testing.T) { testIdle(t, c, false) })
+		t.Run(c.name+" while paused", func(t *testing.T) { testIdle(t, c, true) })
 	}
 }
+
+func testIdle(t *testing.T, want idleCase, paused bool) {
+	engine := startEngine(t, 100)
+	handler := newRecordingHandler(engine)
+	server := serve(t, engine, AcceptOptions{NewHandler: handler.accept, SingleBuffer: true, Limit: 20})
+	peer, c := server.open(t)
+	runOnLoop(engine, func() {
+		if paused {
+			c.Pause()
+		}
+		if !c.Idle() || !c.AllRead() {
+			t.Error("it is not idle at first")
+		}
+		want.act(peer.(*net.TCPConn))
+		if c.Idle() != want.idle {
+			t.Errorf("Idle is %v, want %v", c.Idle(), want.idle)
+		}
+		if c.AllRead() != want.allRead {
+			t.Errorf("AllRead is %v, want %v", c.AllRead(), want.allRead)
+		}
+	})
+}
