--- a/internal/faktory/connection.go
+++ b/internal/faktory/connection.go
@@ -163,25 +163,25 @@
 // is rejected.
 func (c *connection) readProxyHeader() bool {
 	gate := c.server.gate
-	address, used, err := listener.ParseProxyHeader(c.input.bytes())
-	if err == nil && used == 0 {
+	header, err := listener.ParseProxyHeader(c.input.bytes())
+	if err == nil && !header.Complete() {
 		return false
 	}
 	reason := connlimit.Allowed
 	switch {
 	case err != nil:
 		reason = connlimit.BadHeader
-	case address.IsValid():
-		reason = gate.Limiter.Identify(c.server.dispatcher.Loop.Now(), c.admissionID, address)
+	case header.Client.IsValid():
+		reason = gate.Limiter.Identify(c.server.dispatcher.Loop.Now(), c.admissionID, header.Client)
 	}
 	if reason != connlimit.Allowed {
-		gate.LogRejection(reason, address)
+		gate.LogRejection(reason, header.Client)
 		c.detach()
 		c.conn.Close()
 		return false
 	}
 	c.awaitsProxyHeader = false
-	c.input.skip(used)
+	c.input.skip(header.Length)
 	c.sendGreeting()
 	return true
 }
--- a/internal/httpfront/proxyheader.go
+++ b/internal/httpfront/proxyheader.go
@@ -13,30 +13,30 @@
 		c.closeNow()
 		return
 	}
-	addr, used, err := listener.ParseProxyHeader(c.input.Bytes())
+	header, err := listener.ParseProxyHeader(c.input.Bytes())
 	if err != nil {
 		frontEnd.gate.Limiter.CountReason(connlimit.BadHeader)
 		frontEnd.gate.LogRejection(connlimit.BadHeader, c.peer)
 		c.closeNow()
 		return
 	}
-	if used == 0 { // it is incomplete
+	if !header.Complete() {
 		frontEnd.loop().Set(&c.timer, c.conn.Opened+firstRequestTimeout)
 		return
 	}
 	c.awaitsProxyHeader = false
-	if addr.IsValid() {
-		reason := frontEnd.gate.Limiter.Identify(frontEnd.loop().Now(), c.limiterID, addr)
+	if header.Client.IsValid() {
+		reason := frontEnd.gate.Limiter.Identify(frontEnd.loop().Now(), c.limiterID, header.Client)
 		if reason != connlimit.Allowed {
-			frontEnd.gate.LogRejection(reason, addr)
+			frontEnd.gate.LogRejection(reason, header.Client)
 			c.closeNow()
 			return
 		}
-		c.peer = addr
+		c.peer = header.Client
 	}
 	rest := c.input
 	c.input = nil
-	rest.Consume(used)
+	rest.Consume(header.Length)
 	if len(rest.Bytes()) == 0 {
 		frontEnd.engine.Pool.Put(rest)
 		return
--- a/internal/listener/proxyheader.go
+++ b/internal/listener/proxyheader.go
@@ -28,31 +28,39 @@
 	maxV2Header    = v2FixedLength + maxV2Extension
 )
 
-// ParseProxyHeader reads a PROXY header, of version 1 or 2, off the front of b and
-// returns the client's address and the header's length. A length of 0 without an
-// error says that more must arrive first. The address is invalid where the proxy
-// itself is the client, for a health check. The error is ErrProxyHeader.
-func ParseProxyHeader(b []byte) (addr netip.Addr, length int, err error) {
-	length, err = proxyHeaderLength(b)
+// ProxyHeader is what a PROXY header says. The zero value is one that has not
+// arrived completely.
+type ProxyHeader struct {
+	Client netip.Addr // invalid where the proxy itself is the client, for a health check
+	Length int        // in bytes; the client's own follow
+}
+
+// Complete reports whether all of the header has arrived.
+func (h ProxyHeader) Complete() bool { return h.Length > 0 }
+
+// ParseProxyHeader reads a PROXY header, of version 1 or 2, off the front of b. A
+// header that is not Complete is no error. The error is ErrProxyHeader.
+func ParseProxyHeader(b []byte) (ProxyHeader, error) {
+	length, err := proxyHeaderLength(b)
 	if err != nil || length == 0 {
-		return addr, 0, err
+		return ProxyHeader{}, err
 	}
 	header, err := proxyproto.Read(bufio.NewReader(bytes.NewReader(b[:length])))
 	if err != nil {
-		return addr, 0, ErrProxyHeader
+		return ProxyHeader{}, ErrProxyHeader
 	}
 	if header.Command.IsLocal() {
-		return addr, length, nil
+		return ProxyHeader{Length: length}, nil
 	}
 	tcp, ok := header.SourceAddr.(*net.TCPAddr)
 	if !ok {
-		return addr, 0, ErrProxyHeader
+		return ProxyHeader{}, ErrProxyHeader
 	}
-	addr, ok = netip.AddrFromSlice(tcp.IP)
+	client, ok := netip.AddrFromSlice(tcp.IP)
 	if !ok {
-		return addr, 0, ErrProxyHeader
+		return ProxyHeader{}, ErrProxyHeader
 	}
-	return addr.Unmap(), length, nil
+	return ProxyHeader{Client: client.Unmap(), Length: length}, nil
 }
 
 // proxyHeaderLength returns the length of a header that is complete; 0: more must
--- a/internal/listener/proxyheader_test.go
+++ b/internal/listener/proxyheader_test.go
@@ -21,46 +21,56 @@
 	return text
 }
 
-// A header is read when it is complete, however its bytes arrive; what is none is
-// an error.
+// afterV2Signature returns a header of version 2 whose fixed part ends with these bytes.
+func afterV2Signature(rest ...byte) []byte {
+	return append([]byte(v2Signature), rest...)
+}
+
+// A header is read when it is complete, however its bytes arrive.
 func TestParseProxyHeader(t *testing.T) {
-	local := append(append([]byte{}, v2Signature...), 0x20, 0, 0, 0)
 	for _, c := range []struct {
-		text []byte
-		addr string // empty: none
+		name   string
+		text   []byte
+		client string // empty: the proxy itself
 	}{
-		{[]byte("PROXY TCP4 10.0.0.1 10.0.0.2 5 6\r\n"), "10.0.0.1"},
-		{[]byte("PROXY TCP6 2001:db8::1 2001:db8::2 5 6\r\n"), "2001:db8::1"},
-		{formatV2Header(t, "10.0.0.1"), "10.0.0.1"},
-		{formatV2Header(t, "2001:db8::1"), "2001:db8::1"},
-		{local, ""},
+		{"version 1, IPv4", []byte("PROXY TCP4 10.0.0.1 10.0.0.2 5 6\r\n"), "10.0.0.1"},
+		{"version 1, IPv6", []byte("PROXY TCP6 2001:db8::1 2001:db8::2 5 6\r\n"), "2001:db8::1"},
+		{"version 2, IPv4", formatV2Header(t, "10.0.0.1"), "10.0.0.1"},
+		{"version 2, IPv6", formatV2Header(t, "2001:db8::1"), "2001:db8::1"},
+		{"version 2, local", afterV2Signature(0x20, 0, 0, 0), ""},
 	} {
-		for n := range c.text {
-			if _, length, err := ParseProxyHeader(c.text[:n]); length != 0 || err != nil {
-				t.Fatalf("%q: %d, %v", c.text[:n], length, err)
+		t.Run(c.name, func(t *testing.T) {
+			for n := range c.text {
+				header, err := ParseProxyHeader(c.text[:n])
+				if header.Complete() || err != nil {
+					t.Fatalf("%q: %+v, error %v; want an incomplete header", c.text[:n], header, err)
+				}
 			}
-		}
-		addr, length, err := ParseProxyHeader(append(append([]byte{}, c.text...), "GET /"...))
-		var want netip.Addr
-		if c.addr != "" {
-			want = netip.MustParseAddr(c.addr)
-		}
-		if err != nil || length != len(c.text) || addr != want {
-			t.Errorf("%q: %v, %d, %v", c.text, addr, length, err)
-		}
+			want := ProxyHeader{Length: len(c.text)}
+			if c.client != "" {
+				want.Client = netip.MustParseAddr(c.client)
+			}
+			header, err := ParseProxyHeader(append(c.text, "GET /"...))
+			if err != nil || header != want {
+				t.Errorf("%q: %+v, error %v; want %+v", c.text, header, err, want)
+			}
+		})
 	}
-	huge := append(append([]byte{}, v2Signature...), 0x21, 0x11, 0xff, 0xff)
-	unknownVersion := append(append([]byte{}, v2Signature...), 0x41, 0x11, 0, 0)
+}
+
+// What is no header, or names no client, is an error or the proxy's own connection.
+func TestInvalidProxyHeader(t *testing.T) {
 	for _, text := range [][]byte{
 		[]byte("GET / HTTP/1.1\r\n"),
 		[]byte("PROXY what\r\n"),
 		[]byte("PROXY " + strings.Repeat("x", 200)),
-		huge,
+		afterV2Signature(0x21, 0x11, 0xff, 0xff), // too long
 		[]byte("PROXY UNKNOWN\r\n"),
-		unknownVersion,
+		afterV2Signature(0x41, 0x11, 0, 0), // an unknown version
 	} {
-		if addr, length, err := ParseProxyHeader(text); err == nil && (length == 0 || addr.IsValid()) {
-			t.Errorf("%q is accepted: %v, %d", text, addr, length)
+		header, err := ParseProxyHeader(text)
+		if err == nil && (!header.Complete() || header.Client.IsValid()) {
+			t.Errorf("%q is accepted: %+v", text, header)
 		}
 	}
 }
@@ -70,17 +80,17 @@
 func FuzzParseProxyHeader(f *testing.F) {
 	f.Add([]byte("PROXY TCP4 10.0.0.1 10.0.0.2 5 6\r\nGET /"))
 	f.Add(formatV2Header(f, "10.0.0.1"))
-	f.Add(append(append([]byte{}, v2Signature...), 0x21, 0x11, 0, 200))
+	f.Add(afterV2Signature(0x21, 0x11, 0, 200))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		_, length, err := ParseProxyHeader(text)
-		if length < 0 || length > len(text) || err != nil && length != 0 {
-			t.Fatal(length, err)
+		header, err := ParseProxyHeader(text)
+		if header.Length < 0 || header.Length > len(text) || err != nil && header.Length != 0 {
+			t.Fatalf("length %d of %d bytes, error %v", header.Length, len(text), err)
 		}
-		if err == nil && length == 0 && len(text) >= maxV2Header {
+		if err == nil && !header.Complete() && len(text) >= maxV2Header {
 			t.Fatal("it waits for more than the longest header")
 		}
 		for n := range min(len(text), 64) {
-			if _, _, early := ParseProxyHeader(text[:n]); early != nil && err == nil {
+			if _, early := ParseProxyHeader(text[:n]); early != nil && err == nil {
 				t.Fatalf("an error at %d of %d bytes, and none later: %v", n, len(text), early)
 			}
 		}
--- a/internal/listener/rejectlog_test.go
+++ b/internal/listener/rejectlog_test.go
@@ -16,12 +16,13 @@
 	var out bytes.Buffer
 	gate := NewUnlimited(eventloop.New())
 	gate.logger = slog.New(slog.NewTextHandler(&out, nil))
+	addr := netip.MustParseAddr("10.0.0.1")
 	for range 500 {
-		gate.LogRejection(connlimit.AddressOpen, netip.MustParseAddr("10.0.0.1"))
-		gate.LogRejection(connlimit.Slow, netip.MustParseAddr("10.0.0.1"))
+		gate.LogRejection(connlimit.AddressOpen, addr)
+		gate.LogRejection(connlimit.Slow, addr)
 	}
 	lines := strings.Count(out.String(), "\n")
 	if lines != 2 {
-		t.Errorf("%d lines for two reasons", lines)
+		t.Errorf("%d lines for two reasons, want 2", lines)
 	}
 }
