--- a/internal/connlimit/admission.go
+++ b/internal/connlimit/admission.go
@@ -105,16 +105,13 @@
 	prefixKey := keyOf(l.config.prefixOf(addr).Addr())
 	// Both lookups come before the use of either: waiting for memory is most of what
 	// a decision costs, and so it waits for both at once.
-	address, addressFound := l.addresses.find(addressKey)
-	prefix, prefixFound := l.prefixes.find(prefixKey)
-	addressEntry := l.addresses.entryAt(address, addressFound)
+	address := l.addresses.find(addressKey)
+	prefix := l.prefixes.find(prefixKey)
+	addressEntry := l.addresses.entryAt(address)
 	trust := l.trustOf(now, addr, addressEntry)
-	prefixEntry := l.prefixes.entryAt(prefix, prefixFound)
+	prefixEntry := l.prefixes.entryAt(prefix)
 	if trust != Known { // the operator vouches for known addresses
-		reason := exceededLimit(now, &l.config.Address, addressEntry, &addressReasons)
-		if reason == Allowed {
-			reason = exceededLimit(now, &l.config.Prefix, prefixEntry, &prefixReasons)
-		}
+		reason := l.exceededLimits(now, addressEntry, prefixEntry)
 		if reason != Allowed {
 			return rejected(reason)
 		}
@@ -124,7 +121,7 @@
 		if trust != Unknown {
 			return rejected(FullKnown)
 		}
-		l.rememberRejection(now, addressKey, address, addressFound)
+		l.rememberRejection(now, addressKey, address)
 		return rejected(Full)
 	}
 	if trust == Unknown {
@@ -133,13 +130,13 @@
 			return rejected(reason)
 		}
 	}
-	if !addressFound {
+	if address == noIndex {
 		address = l.addresses.insert(addressKey)
 	}
 	if address == noIndex {
 		return rejected(Full)
 	}
-	if !prefixFound {
+	if prefix == noIndex {
 		prefix = l.prefixes.insert(prefixKey)
 	}
 	if prefix == noIndex {
@@ -151,6 +148,16 @@
 	return decision{trust: trust, address: address, prefix: prefix, isRetry: isRetry && trust == Unknown}
 }
 
+// exceededLimits returns the limit of an address or of its prefix that another
+// connection would exceed; the entries may be nil.
+func (l *Limiter) exceededLimits(now time.Duration, address, prefix *tableEntry) Reason {
+	reason := exceededLimit(now, &l.config.Address, address, &addressReasons)
+	if reason != Allowed {
+		return reason
+	}
+	return exceededLimit(now, &l.config.Prefix, prefix, &prefixReasons)
+}
+
 // exceededLimit returns the limit that another connection of an entry, which may be
 // nil, would exceed.
 func exceededLimit(now time.Duration, limits *Limits, entry *tableEntry, reasons *limitReasons) Reason {
@@ -183,9 +190,9 @@
 }
 
 // rememberRejection notes when an unknown address was first rejected for lack of
-// capacity.
-func (l *Limiter) rememberRejection(now time.Duration, k key, index int32, found bool) {
-	if !found {
+// capacity. index is its entry's, or noIndex.
+func (l *Limiter) rememberRejection(now time.Duration, k key, index int32) {
+	if index == noIndex {
 		index = l.addresses.insert(k)
 	}
 	if index == noIndex {
--- a/internal/connlimit/eviction.go
+++ b/internal/connlimit/eviction.go
@@ -121,7 +121,7 @@
 	defer l.mu.Unlock()
 	for index := range l.connections {
 		connection := &l.connections[index]
-		if !connection.open || !connection.hasToken || connection.stage == Busy || connection.address < 0 {
+		if !connection.open || !connection.hasToken || connection.stage == Busy || !connection.counted() {
 			continue
 		}
 		if prefix.Contains(l.addresses.entries[connection.address].key.addr()) {
--- a/internal/connlimit/invariants_test.go
+++ b/internal/connlimit/invariants_test.go
@@ -82,7 +82,7 @@
 		if !connection.listed {
 			return counts, fmt.Errorf("connection %d is in no list", i)
 		}
-		if connection.address < 0 {
+		if !connection.counted() {
 			continue
 		}
 		address := counts.byAddress[connection.address]
@@ -113,8 +113,7 @@
 		if got != want {
 			return fmt.Errorf("entry %d of %s counts %+v, there are %+v", index, name, got, want)
 		}
-		found, ok := t.find(entry.key)
-		if !ok || found != index {
+		if t.find(entry.key) != index {
 			return fmt.Errorf("entry %d of %s is not found", index, name)
 		}
 	}
--- a/internal/connlimit/limiter.go
+++ b/internal/connlimit/limiter.go
@@ -41,29 +41,34 @@
 // Limiter decides on connections. Its methods may be called from any goroutine;
 // each holds one lock.
 type Limiter struct {
-	mu       sync.Mutex
+	mu       sync.Mutex // guards all
 	config   Config
-	epoch    time.Duration // of ticks; 0: not set yet
+	known    prefixSet // of Config.Known
+	proxies  prefixSet // of Config.TrustedProxies
+	blocks   []block
 	pressure Pressure
 
+	// What is remembered of clients.
+	epoch     time.Duration // when ticks begin; 0: not set yet
 	addresses table
 	prefixes  table
-	known     prefixSet
-	proxies   prefixSet
-	blocks    []block
 
+	// The connections, closed ones among them, whose places are used again.
 	connections []conn
-	firstFree   int32 // of connections, linked by next; noIndex: none
+	firstFree   int32 // linked by next; noIndex: none
 	stageLists  [numSides][numStages]stageList
 
+	// Counts of the open connections.
 	openByTrust     [numTrusts]int
-	silent          int // connections in the stage Silent
-	openRetries     int // connections that were admitted as retries
-	activeAddresses int // that have connections counted as unknown
+	silent          int // in the stage Silent
+	openRetries     int // admitted as retries
+	activeAddresses int // addresses with connections that count as unknown
 
 	unknownRate gcra // of Config.Rate
-	rejections  [NumReasons]uint64
-	admitted    uint64
+
+	// Counts since the start.
+	rejections [NumReasons]uint64
+	admitted   uint64
 }
 
 // conn is a connection.
@@ -85,6 +90,9 @@
 	stageSince     time.Duration
 }
 
+// counted reports whether the connection counts for its address and prefix.
+func (c *conn) counted() bool { return c.address != noIndex }
+
 // New returns a Limiter. An error names the field of the configuration that is wrong.
 func New(config Config) (*Limiter, error) {
 	err := config.Check()
@@ -152,8 +160,14 @@
 	index := l.allocate()
 	connection := &l.connections[index]
 	*connection = conn{
-		token: token, hasToken: token != NoToken, generation: connection.generation, open: true,
-		address: outcome.address, prefix: outcome.prefix, trust: outcome.trust, isRetry: outcome.isRetry,
+		token:      token,
+		hasToken:   token != NoToken,
+		generation: connection.generation,
+		open:       true,
+		address:    outcome.address,
+		prefix:     outcome.prefix,
+		trust:      outcome.trust,
+		isRetry:    outcome.isRetry,
 	}
 	if connection.isRetry {
 		l.openRetries++
@@ -227,7 +241,7 @@
 
 // countOpen adds delta to the connections of a connection's address and prefix.
 func (l *Limiter) countOpen(connection *conn, delta int32) {
-	if connection.address < 0 {
+	if !connection.counted() {
 		return
 	}
 	if connection.trust == Unknown {
@@ -243,16 +257,24 @@
 	l.prefixes.countOpen(connection.prefix, delta)
 }
 
-// countSilent adds delta to the silent connections, and to those of a connection's
+// countSilent adds delta to the silent connections, of all and of a connection's
 // address and prefix.
 func (l *Limiter) countSilent(connection *conn, delta int32) {
 	l.silent += int(delta)
 	l.countOpening(connection, delta)
 }
 
+// countOpening adds delta to the silent connections of a connection's address and
+// prefix.
 func (l *Limiter) countOpening(connection *conn, delta int32) {
-	if connection.address >= 0 {
-		l.addresses.entries[connection.address].opening += delta
-		l.prefixes.entries[connection.prefix].opening += delta
+	if connection.counted() {
+		address, prefix := l.entriesOf(connection)
+		address.opening += delta
+		prefix.opening += delta
 	}
 }
+
+// entriesOf returns the entries of a counted connection's address and prefix.
+func (l *Limiter) entriesOf(connection *conn) (address, prefix *tableEntry) {
+	return &l.addresses.entries[connection.address], &l.prefixes.entries[connection.prefix]
+}
--- a/internal/connlimit/request.go
+++ b/internal/connlimit/request.go
@@ -13,11 +13,10 @@
 	}
 	l.setStage(index, HalfRead, now)
 	connection.halfRead = true
-	if connection.address < 0 {
+	if !connection.counted() {
 		return Allowed
 	}
-	address := &l.addresses.entries[connection.address]
-	prefix := &l.prefixes.entries[connection.prefix]
+	address, prefix := l.entriesOf(connection)
 	address.halfRead++
 	prefix.halfRead++
 	if connection.trust == Known {
@@ -38,11 +37,10 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	_, connection := l.find(id)
-	if connection == nil || connection.address < 0 {
+	if connection == nil || !connection.counted() {
 		return Allowed
 	}
-	address := &l.addresses.entries[connection.address]
-	prefix := &l.prefixes.entries[connection.prefix]
+	address, prefix := l.entriesOf(connection)
 	added := int32(bytes) - connection.bufferedBytes
 	connection.bufferedBytes = int32(bytes)
 	address.bufferedBytes += added
@@ -64,9 +62,8 @@
 
 // clearHalfRead uncounts a connection's half-read request.
 func (l *Limiter) clearHalfRead(connection *conn) {
-	if connection.address >= 0 {
-		address := &l.addresses.entries[connection.address]
-		prefix := &l.prefixes.entries[connection.prefix]
+	if connection.counted() {
+		address, prefix := l.entriesOf(connection)
 		if connection.halfRead {
 			address.halfRead--
 			prefix.halfRead--
--- a/internal/connlimit/table.go
+++ b/internal/connlimit/table.go
@@ -107,23 +107,23 @@
 	t.seed = seed
 }
 
-// find returns the index of a key's entry; noIndex and false: there is none.
-func (t *table) find(k key) (int32, bool) {
+// find returns the index of a key's entry; noIndex: there is none.
+func (t *table) find(k key) int32 {
 	hash := k.hash(t.seed)
 	for i := hash & t.mask; ; i = (i + 1) & t.mask {
 		s := t.slots[i]
 		if s.number == 0 {
-			return noIndex, false
+			return noIndex
 		}
 		if s.hash == hash && t.entries[s.number-1].key == k {
-			return s.number - 1, true
+			return s.number - 1
 		}
 	}
 }
 
-// entryAt returns the entry that find found; nil: it found none.
-func (t *table) entryAt(index int32, found bool) *tableEntry {
-	if !found {
+// entryAt returns the entry with an index; nil for noIndex.
+func (t *table) entryAt(index int32) *tableEntry {
+	if index == noIndex {
 		return nil
 	}
 	return &t.entries[index]
--- a/internal/connlimit/trust.go
+++ b/internal/connlimit/trust.go
@@ -45,9 +45,8 @@
 func (l *Limiter) IsKnown(now time.Duration, addr netip.Addr) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	index, found := l.addresses.find(keyOf(addr))
-	e := l.addresses.entryAt(index, found)
-	return l.proxies.contains(addr) || l.trustOf(now, addr, e) != Unknown
+	entry := l.addresses.entryAt(l.addresses.find(keyOf(addr)))
+	return l.proxies.contains(addr) || l.trustOf(now, addr, entry) != Unknown
 }
 
 // TrustOf returns the trust that a connection is counted under, and Unknown for a
@@ -65,7 +64,7 @@
 // countServed counts a served request for the trust in a connection's address.
 func (l *Limiter) countServed(now time.Duration, connection *conn) {
 	learn := &l.config.Learn
-	if !learn.Enabled || connection.address < 0 {
+	if !learn.Enabled || !connection.counted() {
 		return
 	}
 	entry := &l.addresses.entries[connection.address]
@@ -86,7 +85,7 @@
 	defer l.mu.Unlock()
 	l.rejections[reason]++
 	index, connection := l.find(id)
-	if connection == nil || connection.address < 0 {
+	if connection == nil || !connection.counted() {
 		return
 	}
 	entry := &l.addresses.entries[connection.address]
