--- a/internal/listener/gate.go
+++ b/internal/listener/gate.go
@@ -48,14 +48,16 @@
 	descriptors int  // with no other process beside this one
 	frontEnds   [maxFrontEnds]FrontEnd
 
-	respond503   atomic.Bool
+	// Of admission, for any goroutine.
+	respond503   atomic.Bool  // Config.Respond503
 	waiting      atomic.Int32 // connections in WaitForCapacity
 	rejectionLog rejectionLog
 
-	pressure        atomic.Int32
-	relieving       atomic.Bool  // relievePressure runs or is posted
-	exhaustedAt     atomic.Int64 // when the kernel last had no descriptor, by the loop's clock; 0: it has
-	pressureRecheck eventloop.Deadline
+	// Of the pressure on descriptors.
+	pressure        atomic.Int32       // the connlimit.Pressure that was last passed on
+	exhaustedAt     atomic.Int64       // when the kernel last had no descriptor, by the loop's clock; 0: it has
+	relieving       atomic.Bool        // relievePressure is posted, or will run again
+	pressureRecheck eventloop.Deadline // runs relievePressure again
 }
 
 var _ transport.Admission = (*Gate)(nil)
--- a/internal/listener/pressure.go
+++ b/internal/listener/pressure.go
@@ -47,18 +47,11 @@
 // pressure.
 func (g *Gate) relievePressure() {
 	now := g.loop.Now()
-	exhaustedAt := g.exhaustedAt.Load()
-	if exhaustedAt != 0 && now-time.Duration(exhaustedAt) > exhaustedPeriod {
-		g.exhaustedAt.Store(0)
-		g.Budget.ForcePressure(connlimit.PressureNone)
-	}
+	g.endExhaustion(now)
 	level := g.Budget.Pressure()
 	g.setPressure(level)
 	if level == connlimit.PressureNone {
-		g.relieving.Store(false)
-		if g.Budget.Pressure() > connlimit.PressureNone { // it rose just now
-			g.updatePressure()
-		}
+		g.stopRelieving()
 		return
 	}
 	for range evictionsPerRecheck {
@@ -72,6 +65,23 @@
 	g.loop.Set(&g.pressureRecheck, now+pressureRecheckInterval)
 }
 
+// endExhaustion ends what Exhausted began once its period is over.
+func (g *Gate) endExhaustion(now time.Duration) {
+	exhaustedAt := time.Duration(g.exhaustedAt.Load())
+	if exhaustedAt != 0 && now-exhaustedAt > exhaustedPeriod {
+		g.exhaustedAt.Store(0)
+		g.Budget.ForcePressure(connlimit.PressureNone)
+	}
+}
+
+// stopRelieving lets the next pressure start relievePressure anew.
+func (g *Gate) stopRelieving() {
+	g.relieving.Store(false)
+	if g.Budget.Pressure() > connlimit.PressureNone { // it rose just now, and another goroutine saw relieving still set
+		g.updatePressure()
+	}
+}
+
 // setPressure passes a level on and logs a change.
 func (g *Gate) setPressure(level connlimit.Pressure) {
 	g.Limiter.SetPressure(level)
--- a/internal/transport/engine.go
+++ b/internal/transport/engine.go
@@ -38,17 +38,17 @@
 
 	admission Admission
 
-	poller   *nbio.Engine
-	conns    slotmap.Map[Conn] // belongs to the loop's goroutine
-	dials    *connGroup        // connections that this process opens
-	reserved *connGroup        // those of them whose descriptors no other connection can take
+	poller *nbio.Engine
+	conns  slotmap.Map[Conn] // belongs to the loop's goroutine
+
+	dials       *connGroup // connections that this process opens
+	reserved    *connGroup // those of them whose descriptors no other connection can take
+	descriptors int        // allowed in all, with no other process beside this one
 
 	// sessionMu orders the writes of register before the reads of nbio's callbacks.
 	// The kernel orders them already, which the race detector cannot see.
 	sessionMu sync.Mutex
 
-	descriptors int // allowed in all, with no other process beside this one
-
 	mu        sync.Mutex // guards what follows
 	share     float64    // of the descriptors, that is this process's now
 	acceptors []*Acceptor
@@ -94,6 +94,9 @@
 	return c
 }
 
+// onOpen, onReadable, onWritten and onClosed are called by nbio, on its poller's
+// goroutine or on that of AddConn.
+
 func (e *Engine) onOpen(socket *nbio.Conn) {
 	c := e.connOf(socket)
 	if c != nil {
--- a/internal/transport/write.go
+++ b/internal/transport/write.go
@@ -11,8 +11,8 @@
 	if !c.connected() {
 		return false
 	}
+	nothingQueued := c.UnsentBytes() == 0
 	c.writeOffset += int64(len(p))
-	nothingQueued := c.UnsentBytes() == int64(len(p))
 	if nothingQueued {
 		written, err := c.writeToSocket(p)
 		if err != nil {
