--- a/internal/connlimit/eviction.go
+++ b/internal/connlimit/eviction.go
@@ -11,10 +11,10 @@
 
 // The reasons for an eviction.
 const (
-	ForUnknown EvictionReason = iota // a connection of any client
-	ForKnown                         // one of a trusted client: only unknown ones are evicted
-	ForSilence                       // too many connections are silent: only silent ones are evicted
-	ForMemory                        // buffers are short: only half-read requests are evicted
+	ForUnknown EvictionReason = iota // a new connection of an unknown client: any may be evicted
+	ForKnown                         // one of a trusted client: only those of unknown ones are evicted
+	ForSilence                       // fewer silent connections, of which there are too many: only those are evicted
+	ForMemory                        // buffers, which are short: only half-read requests are evicted
 )
 
 // evictionOrder leaves out Busy: an answer is owed.
--- a/internal/connlimit/limiter_test.go
+++ b/internal/connlimit/limiter_test.go
@@ -57,14 +57,14 @@
 	}
 	second := admit(t, limiter, now, "10.0.0.1", Allowed)
 	admit(t, limiter, now, "10.0.0.1", AddressOpen)
-	if reason := limiter.RequestStarted(now, second); reason != AddressHalf {
-		t.Errorf("a second half-read request of the address: %v, want %v", reason, AddressHalf)
+	if reason := limiter.RequestStarted(now, second); reason != AddressHalfRead {
+		t.Errorf("a second half-read request of the address: %v, want %v", reason, AddressHalfRead)
 	}
 	if limiter.SetBuffered(first, 900) != Allowed || limiter.SetBuffered(second, 101) != AddressBytes {
 		t.Error("the limit of an address on buffered bytes does not hold at 1000")
 	}
 	neighbour := admit(t, limiter, now, "10.0.0.2", Allowed)
-	if limiter.RequestStarted(now, neighbour) != PrefixHalf || limiter.SetBuffered(neighbour, 600) != PrefixBytes {
+	if limiter.RequestStarted(now, neighbour) != PrefixHalfRead || limiter.SetBuffered(neighbour, 600) != PrefixBytes {
 		t.Error("the limits of a prefix on half-read requests and their bytes do not hold at 2 and 1500")
 	}
 	admit(t, limiter, now, "10.0.0.3", Allowed)
--- a/internal/connlimit/reason.go
+++ b/internal/connlimit/reason.go
@@ -5,53 +5,53 @@
 
 // The reasons.
 const (
-	Allowed        Reason = iota // it is not rejected
-	Blocked                      // by Block
-	AddressOpen                  // Limits.Open, and so on
-	AddressOpening               //
-	AddressRate                  //
-	AddressHalf                  //
-	AddressBytes                 //
-	PrefixOpen                   //
-	PrefixOpening                //
-	PrefixRate                   //
-	PrefixHalf                   //
-	PrefixBytes                  //
-	FairShare                    // more than an equal share, under pressure
-	Full                         // no capacity for an unknown address
-	FullKnown                    // none for a trusted one, which may be admitted once another is evicted
-	TotalRate                    // Config.Rate
-	NoDescriptors                // the descriptors are exhausted, or nearly
-	BadHeader                    // no readable PROXY header from a trusted proxy
-	Slow                         // a request arrives below Config.MinRate
-	Stalled                      // the client does not read its answers
-	Greedy                       // the client uses more memory than its share
-	NumReasons                   // the number of reasons
+	Allowed         Reason = iota // it is not rejected
+	Blocked                       // by Block
+	AddressOpen                   // Limits.Open of the address
+	AddressOpening                // Limits.Opening
+	AddressRate                   // Limits.PerSecond and Burst
+	AddressHalfRead               // Limits.HalfRead
+	AddressBytes                  // Limits.Bytes
+	PrefixOpen                    // Limits.Open of the prefix, and so on
+	PrefixOpening
+	PrefixRate
+	PrefixHalfRead
+	PrefixBytes
+	FairShare     // more than an equal share, under pressure
+	Full          // no capacity for an unknown address
+	FullKnown     // none for a trusted one, which may be admitted once another is evicted
+	TotalRate     // Config.Rate
+	NoDescriptors // the descriptors are exhausted, or nearly
+	BadHeader     // no readable PROXY header from a trusted proxy
+	Slow          // a request arrives below Config.MinRate
+	Stalled       // the client does not read its answers
+	Greedy        // the client uses more memory than its share
+	NumReasons    // the number of reasons
 )
 
 // reasonNames are keys of the admin API's JSON.
 var reasonNames = [NumReasons]string{
-	Allowed:        "fine",
-	Blocked:        "barred",
-	AddressOpen:    "address_open",
-	AddressOpening: "address_opening",
-	AddressRate:    "address_rate",
-	AddressHalf:    "address_half",
-	AddressBytes:   "address_bytes",
-	PrefixOpen:     "prefix_open",
-	PrefixOpening:  "prefix_opening",
-	PrefixRate:     "prefix_rate",
-	PrefixHalf:     "prefix_half",
-	PrefixBytes:    "prefix_bytes",
-	FairShare:      "fair_share",
-	Full:           "full",
-	FullKnown:      "full_known",
-	TotalRate:      "total_rate",
-	NoDescriptors:  "descriptors",
-	BadHeader:      "bad_proxy_header",
-	Slow:           "too_slow",
-	Stalled:        "answers_not_read",
-	Greedy:         "too_greedy",
+	Allowed:         "fine",
+	Blocked:         "barred",
+	AddressOpen:     "address_open",
+	AddressOpening:  "address_opening",
+	AddressRate:     "address_rate",
+	AddressHalfRead: "address_half",
+	AddressBytes:    "address_bytes",
+	PrefixOpen:      "prefix_open",
+	PrefixOpening:   "prefix_opening",
+	PrefixRate:      "prefix_rate",
+	PrefixHalfRead:  "prefix_half",
+	PrefixBytes:     "prefix_bytes",
+	FairShare:       "fair_share",
+	Full:            "full",
+	FullKnown:       "full_known",
+	TotalRate:       "total_rate",
+	NoDescriptors:   "descriptors",
+	BadHeader:       "bad_proxy_header",
+	Slow:            "too_slow",
+	Stalled:         "answers_not_read",
+	Greedy:          "too_greedy",
 }
 
 // String returns the reason's key in the admin API's JSON.
--- a/internal/connlimit/request.go
+++ b/internal/connlimit/request.go
@@ -24,9 +24,9 @@
 	}
 	switch {
 	case exceeds(address.halfRead, l.config.Address.HalfRead):
-		return l.reject(AddressHalf)
+		return l.reject(AddressHalfRead)
 	case exceeds(prefix.halfRead, l.config.Prefix.HalfRead):
-		return l.reject(PrefixHalf)
+		return l.reject(PrefixHalfRead)
 	}
 	return Allowed
 }
