--- a/internal/connlimit/block_test.go
+++ b/internal/connlimit/block_test.go
@@ -13,8 +13,11 @@
 	admitUnderPressure(t, limiter)
 	client := netip.MustParseAddr("10.0.0.2")
 	proxied := admit(t, limiter, 0, trustedProxyAddr, Allowed)
-	if limiter.TrustOf(proxied) != TrustedProxy || limiter.Identify(0, proxied, client) != Allowed || limiter.TrustOf(proxied) != Unknown {
-		t.Error("the client of a trusted proxy is not identified as an unknown address")
+	if trust := limiter.TrustOf(proxied); trust != TrustedProxy {
+		t.Errorf("a proxy's connection has the trust %v, want %v", trust, TrustedProxy)
+	}
+	if reason := limiter.Identify(0, proxied, client); reason != Allowed || limiter.TrustOf(proxied) != Unknown {
+		t.Errorf("its client: %v, trust %v; want it allowed, and unknown", reason, limiter.TrustOf(proxied))
 	}
 	second := admit(t, limiter, 0, trustedProxyAddr, Allowed)
 	if err := limiter.Block(0, netip.MustParsePrefix("10.0.0.9/24"), time.Minute); err != nil {
@@ -29,8 +32,11 @@
 		t.Errorf("%d idle connections within the prefix, want 9", len(idle))
 	}
 	view := limiter.Snapshot(time.Second)
-	if len(view.Blocks) != 1 || view.Prefixes[0].Open != 9 || view.Rejections["barred"] != 2 || view.Rejections["fair_share"] != 1 {
-		t.Errorf("%+v; want one block, 9 connections of the prefix, 2 rejections by the block and one by the fair share", view)
+	if len(view.Blocks) != 1 || view.Prefixes[0].Open != 9 {
+		t.Errorf("blocks %v, prefixes %v; want one block, 9 connections of the first prefix", view.Blocks, view.Prefixes)
+	}
+	if view.Rejections["barred"] != 2 || view.Rejections["fair_share"] != 1 {
+		t.Errorf("rejections %v, want 2 by the block and one by the fair share", view.Rejections)
 	}
 	checkInvariants(t, limiter)
 }
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -17,12 +17,16 @@
 	Settings decision.Settings
 	Seed     uint64 // of the process, for what worker clients draw at random
 
-	// The hooks are set before the first request, and may be set to nil later, except Log.
+	// Log writes a line to the log of the process. It is set before the first request.
+	Log func(text string)
 
-	Log        func(text string)                        // writes a line to the process's log
-	Trace      func(id, step string, more ...any)       // see the constants StepAccepted and so on; nil: tracing is off
-	OnAccepted func(idHash uint64)                      // a request with that hashed ID was accepted; nil: no other process must know
-	OnReserved func(worker string, reservation float64) // an attempt took that much of a worker's slow-start budget; nil: as above
+	// Trace is called at each step of each request, with the client's ID of the request and with keys and values; see
+	// StepAccepted and the others. nil: tracing is off.
+	Trace func(id, step string, more ...any)
+
+	// OnAccepted and OnReserved pass on what a second process of the same dispatcher must know; nil: there is none.
+	OnAccepted func(idHash uint64)                      // a request with that hashed ID was accepted
+	OnReserved func(worker string, reservation float64) // an attempt took that much of a worker's slow-start budget
 
 	// Guard checks each start, send, retry and close.
 	Guard invariant.Guard
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -31,6 +31,7 @@
 	err = d.Reconfigure([]settings.Change{change("projects[0].quota_per_s", "7"), change("classes[0].worth", "2")})
 	quota, weight := d.Settings.TenantQuotas[0], d.Settings.Classes[0].PriorityWeight
 	if err != nil || quota != 7 || weight != 2 || before.TenantQuotas[0] != 5 {
-		t.Fatalf("valid changes: error %v, settings %+v, before %+v; want a quota of 7 and a weight of 2", err, d.Settings, before)
+		t.Fatalf("valid changes: error %v, settings %+v, before %+v; want a quota of 7 and a weight of 2",
+			err, d.Settings, before)
 	}
 }
--- a/internal/listener/bench_test.go
+++ b/internal/listener/bench_test.go
@@ -30,7 +30,9 @@
 }
 
 // serveFunc serves a listener and counts what it accepts.
-type serveFunc func(b *testing.B, engine *transport.Engine, listener net.Listener, accepted *atomic.Int64) *transport.Acceptor
+type serveFunc func(
+	b *testing.B, engine *transport.Engine, listener net.Listener, accepted *atomic.Int64,
+) *transport.Acceptor
 
 // acceptRate returns how many connections a second are accepted.
 func acceptRate(b *testing.B, serve serveFunc) float64 {
@@ -72,7 +74,9 @@
 	clients.Wait()
 }
 
-func serveWithAdmission(b *testing.B, engine *transport.Engine, listener net.Listener, accepted *atomic.Int64) *transport.Acceptor {
+func serveWithAdmission(
+	b *testing.B, engine *transport.Engine, listener net.Listener, accepted *atomic.Int64,
+) *transport.Acceptor {
 	config := Config{Limits: connlimit.Config{
 		Capacity: 3000,
 		Reserve:  100,
@@ -92,7 +96,9 @@
 	return engine.ServeWithAdmission(listener, transport.AcceptOptions{NewHandler: newHandler, SingleBuffer: true})
 }
 
-func serveWithoutAdmission(_ *testing.B, engine *transport.Engine, listener net.Listener, accepted *atomic.Int64) *transport.Acceptor {
+func serveWithoutAdmission(
+	_ *testing.B, engine *transport.Engine, listener net.Listener, accepted *atomic.Int64,
+) *transport.Acceptor {
 	newHandler := func(*transport.Conn) transport.Handler {
 		accepted.Add(1)
 		return nil
