--- a/internal/dispatch/requestids.go
+++ b/internal/dispatch/requestids.go
@@ -44,11 +44,11 @@
 	if s.open[hash] <= 0 {
 		delete(s.open, hash)
 	}
-	s.block(hash)
+	s.remember(hash)
 }
 
-// block remembers an ID as recent, and forgets the oldest one where there are too many.
-func (s *requestIDs) block(hash uint64) {
+// remember remembers an ID as recent, and forgets the oldest one where there are too many.
+func (s *requestIDs) remember(hash uint64) {
 	if _, ok := s.recent[hash]; ok {
 		return
 	}
@@ -86,6 +86,6 @@
 // BlockIDs makes these hashed IDs known: another process has or had requests with them.
 func (d *Dispatcher) BlockIDs(hashes []uint64) {
 	for _, hash := range hashes {
-		d.ids.block(hash)
+		d.ids.remember(hash)
 	}
 }
--- a/internal/transport/close_test.go
+++ b/internal/transport/close_test.go
@@ -48,10 +48,10 @@
 	engine.transitCond.Signal()
 }
 
-// closeOnLoop closes connections, and keeps the loop busy until resume is closed.
-func closeOnLoop(t *testing.T, engine *Engine, conns []*Conn, resume chan bool, meanwhile func()) {
-	t.Helper()
-	closed := make(chan bool)
+// closeOnLoop closes connections on the loop, which then is busy until resume is
+// closed. The channel that it returns is closed once they are.
+func closeOnLoop(engine *Engine, conns []*Conn, resume chan bool) (closed chan bool) {
+	closed = make(chan bool)
 	engine.Loop.Post(func() {
 		for _, c := range conns {
 			c.Close()
@@ -59,8 +59,7 @@
 		close(closed)
 		<-resume
 	})
-	meanwhile()
-	receive(t, closed)
+	return closed
 }
 
 // A connection that is closed while the poller still has an event for it must not
@@ -93,7 +92,9 @@
 	}
 
 	resumeLoop := make(chan bool)
-	closeOnLoop(t, engine, conns, resumeLoop, func() { setInTransit(engine, maxBuffersInTransit-1) })
+	closed := closeOnLoop(engine, conns, resumeLoop)
+	setInTransit(engine, maxBuffersInTransit-1)
+	receive(t, closed)
 	var next []net.Conn
 	for range 3 {
 		next = append(next, server.connect(t))
