--- a/internal/connlimit/admission.go
+++ b/internal/connlimit/admission.go
@@ -76,23 +76,30 @@
 	if outcome.reason != Allowed {
 		return l.reject(outcome.reason)
 	}
-	connection.isRetry = outcome.isRetry
-	if connection.isRetry {
-		l.openRetries++
-	}
+	l.setClient(now, index, outcome)
+	return Allowed
+}
+
+// setClient counts a trusted proxy's connection as one of its client, which was
+// admitted.
+func (l *Limiter) setClient(now time.Duration, index int32, client decision) {
+	connection := &l.connections[index]
 	stage := connection.stage
 	l.removeFromStage(index)
 	l.openByTrust[TrustedProxy]--
-	connection.trust = outcome.trust
-	connection.address = outcome.address
-	connection.prefix = outcome.prefix
-	l.countOpen(connection, 1)
+	connection.trust = client.trust
+	connection.address = client.address
+	connection.prefix = client.prefix
+	connection.isRetry = client.isRetry
+	if connection.isRetry {
+		l.openRetries++
+	}
 	l.openByTrust[connection.trust]++
+	l.countOpen(connection, 1)
 	if stage == Silent { // l.silent counts it already
 		l.countOpening(connection, 1)
 	}
 	l.addToStage(index, stage, now)
-	return Allowed
 }
 
 // decide decides on a connection of an address, and counts it as an arrival if it
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -9,13 +9,13 @@
 
 // openAttempt is an attempt that has not ended.
 type openAttempt struct {
-	request uint64 // handle of its request
-	number  int    // index in the attempts of its request
-	worker  string
-	client  WorkerClient
-	phase   attemptPhase
-	sent    bool   // its last byte was sent
-	fence   uint64 // fencing token of its lease; 0: it has none
+	requestHandle uint64 // handle of its request
+	number        int    // index in the attempts of its request
+	worker        string
+	client        WorkerClient
+	phase         attemptPhase
+	sent          bool   // its last byte was sent
+	fence         uint64 // fencing token of its lease; 0: it has none
 }
 
 // attemptPhase is how far an open attempt has come on its way to its worker.
@@ -76,7 +76,7 @@
 // startAttempt hands an attempt to a worker client, once it has its lease if it needs one.
 func (d *Dispatcher) startAttempt(request *openRequest, worker string, client WorkerClient, reservation float64) {
 	number := len(request.attempts)
-	attempt := &openAttempt{request: request.handle, number: number, worker: worker, client: client, phase: handedOver}
+	attempt := &openAttempt{requestHandle: request.handle, number: number, worker: worker, client: client, phase: handedOver}
 	handle := d.attempts.Insert(attempt)
 	start := Attempt{
 		Handle:      handle,
--- a/internal/dispatch/attemptreport.go
+++ b/internal/dispatch/attemptreport.go
@@ -22,7 +22,7 @@
 
 // checkSent has the guard check an attempt after its last byte was sent.
 func (d *Dispatcher) checkSent(attempt *openAttempt) {
-	request := d.requests.Get(attempt.request)
+	request := d.requests.Get(attempt.requestHandle)
 	if request == nil {
 		return
 	}
@@ -48,7 +48,7 @@
 	d.traceAttempt(attempt, StepStarted)
 	d.handle(decision.Event{
 		Kind:    decision.AttemptStarted,
-		Request: attempt.request,
+		Request: attempt.requestHandle,
 		Attempt: attempt.number,
 		Worker:  attempt.worker,
 	})
@@ -62,7 +62,7 @@
 	}
 	d.handle(decision.Event{
 		Kind:     decision.AttemptProgressed,
-		Request:  attempt.request,
+		Request:  attempt.requestHandle,
 		Attempt:  attempt.number,
 		Worker:   attempt.worker,
 		Fraction: fraction,
@@ -77,7 +77,7 @@
 	if attempt == nil {
 		return
 	}
-	request := d.requests.Get(attempt.request)
+	request := d.requests.Get(attempt.requestHandle)
 	d.traceEnded(request, attempt, outcome, load)
 	d.attempts.Remove(attemptHandle)
 	request.openAttempts--
@@ -94,7 +94,7 @@
 	}
 	d.handle(decision.Event{
 		Kind:     decision.AttemptEnded,
-		Request:  attempt.request,
+		Request:  attempt.requestHandle,
 		Attempt:  attempt.number,
 		Worker:   attempt.worker,
 		Outcome:  outcome,
--- a/internal/dispatch/cancellation.go
+++ b/internal/dispatch/cancellation.go
@@ -28,7 +28,7 @@
 	if attempt == nil {
 		return true
 	}
-	request := d.requests.Get(attempt.request)
+	request := d.requests.Get(attempt.requestHandle)
 	return !request.answered && d.cancelIfClientLeft(request)
 }
 
--- a/internal/dispatch/trace.go
+++ b/internal/dispatch/trace.go
@@ -59,7 +59,7 @@
 	if d.Trace == nil {
 		return
 	}
-	if request := d.requests.Get(attempt.request); request != nil {
+	if request := d.requests.Get(attempt.requestHandle); request != nil {
 		d.Trace(request.ID, step, "number", attempt.number, "worker", attempt.worker)
 	}
 }
