--- a/internal/connlimit/admission.go
+++ b/internal/connlimit/admission.go
@@ -33,10 +33,9 @@
 	return decision{trust: trust, address: noIndex, prefix: noIndex}
 }
 
-// Admit decides on a connection that was accepted. token is the caller's own name
-// for it, by which EvictionCandidate returns it; 0: SetToken follows. Where the
+// Admit decides on a connection that was accepted. token may be NoToken. Where the
 // reason is not Allowed, the ID is 0 and the caller closes the connection.
-func (l *Limiter) Admit(now time.Duration, addr netip.Addr, token uint64) (ID, Reason) {
+func (l *Limiter) Admit(now time.Duration, addr netip.Addr, token Token) (ID, Reason) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	addr = addr.Unmap()
@@ -55,7 +54,7 @@
 
 // Adopt adds a connection without a decision, for listeners that bound theirs by
 // other means; its address is not counted.
-func (l *Limiter) Adopt(now time.Duration, token uint64) ID {
+func (l *Limiter) Adopt(now time.Duration, token Token) ID {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.add(now, token, uncounted(Unknown))
@@ -77,23 +76,30 @@
 	if outcome.reason != Allowed {
 		return l.reject(outcome.reason)
 	}
-	connection.isRetry = outcome.isRetry
-	if connection.isRetry {
-		l.openRetries++
-	}
+	l.setClient(now, index, outcome)
+	return Allowed
+}
+
+// setClient counts a trusted proxy's connection as one of its client, which was
+// admitted.
+func (l *Limiter) setClient(now time.Duration, index int32, client decision) {
+	connection := &l.connections[index]
 	stage := connection.stage
 	l.removeFromStage(index)
 	l.openByTrust[TrustedProxy]--
-	connection.trust = outcome.trust
-	connection.address = outcome.address
-	connection.prefix = outcome.prefix
-	l.countOpen(connection, 1)
+	connection.trust = client.trust
+	connection.address = client.address
+	connection.prefix = client.prefix
+	connection.isRetry = client.isRetry
+	if connection.isRetry {
+		l.openRetries++
+	}
 	l.openByTrust[connection.trust]++
+	l.countOpen(connection, 1)
 	if stage == Silent { // l.silent counts it already
 		l.countOpening(connection, 1)
 	}
 	l.addToStage(index, stage, now)
-	return Allowed
 }
 
 // decide decides on a connection of an address, and counts it as an arrival if it
@@ -106,16 +112,13 @@
 	prefixKey := keyOf(l.config.prefixOf(addr).Addr())
 	// Both lookups come before the use of either: waiting for memory is most of what
 	// a decision costs, and so it waits for both at once.
-	address, addressFound := l.addresses.find(addressKey)
-	prefix, prefixFound := l.prefixes.find(prefixKey)
-	addressEntry := l.addresses.entryAt(address, addressFound)
+	address := l.addresses.find(addressKey)
+	prefix := l.prefixes.find(prefixKey)
+	addressEntry := l.addresses.entryAt(address)
 	trust := l.trustOf(now, addr, addressEntry)
-	prefixEntry := l.prefixes.entryAt(prefix, prefixFound)
+	prefixEntry := l.prefixes.entryAt(prefix)
 	if trust != Known { // the operator vouches for known addresses
-		reason := exceededLimit(now, &l.config.Address, addressEntry, &addressReasons)
-		if reason == Allowed {
-			reason = exceededLimit(now, &l.config.Prefix, prefixEntry, &prefixReasons)
-		}
+		reason := l.exceededLimits(now, addressEntry, prefixEntry)
 		if reason != Allowed {
 			return rejected(reason)
 		}
@@ -125,7 +128,7 @@
 		if trust != Unknown {
 			return rejected(FullKnown)
 		}
-		l.rememberRejection(now, addressKey, address, addressFound)
+		l.rememberRejection(now, addressKey, address)
 		return rejected(Full)
 	}
 	if trust == Unknown {
@@ -134,13 +137,13 @@
 			return rejected(reason)
 		}
 	}
-	if !addressFound {
+	if address == noIndex {
 		address = l.addresses.insert(addressKey)
 	}
 	if address == noIndex {
 		return rejected(Full)
 	}
-	if !prefixFound {
+	if prefix == noIndex {
 		prefix = l.prefixes.insert(prefixKey)
 	}
 	if prefix == noIndex {
@@ -152,6 +155,16 @@
 	return decision{trust: trust, address: address, prefix: prefix, isRetry: isRetry && trust == Unknown}
 }
 
+// exceededLimits returns the limit of an address or of its prefix that another
+// connection would exceed; the entries may be nil.
+func (l *Limiter) exceededLimits(now time.Duration, address, prefix *tableEntry) Reason {
+	reason := exceededLimit(now, &l.config.Address, address, &addressReasons)
+	if reason != Allowed {
+		return reason
+	}
+	return exceededLimit(now, &l.config.Prefix, prefix, &prefixReasons)
+}
+
 // exceededLimit returns the limit that another connection of an entry, which may be
 // nil, would exceed.
 func exceededLimit(now time.Duration, limits *Limits, entry *tableEntry, reasons *limitReasons) Reason {
@@ -184,9 +197,9 @@
 }
 
 // rememberRejection notes when an unknown address was first rejected for lack of
-// capacity.
-func (l *Limiter) rememberRejection(now time.Duration, k key, index int32, found bool) {
-	if !found {
+// capacity. index is its entry's, or noIndex.
+func (l *Limiter) rememberRejection(now time.Duration, k key, index int32) {
+	if index == noIndex {
 		index = l.addresses.insert(k)
 	}
 	if index == noIndex {
--- a/internal/dispatch/trace.go
+++ b/internal/dispatch/trace.go
@@ -29,7 +29,7 @@
 	class := d.Settings.Classes[request.Class].Name
 	timeLeft := request.deadline - d.Loop.Now()
 	d.Trace(request.ID, StepAccepted,
-		"class", class, "time_left", timeLeft, "work", request.Work, "unanswered", d.unanswered)
+		"class", class, "time_left", timeLeft, "work", request.Work, "unanswered", d.counters.unanswered)
 }
 
 func (d *Dispatcher) traceCancelled(request *openRequest) {
@@ -59,7 +59,7 @@
 	if d.Trace == nil {
 		return
 	}
-	if request := d.requests.Get(attempt.request); request != nil {
+	if request := d.requests.Get(attempt.requestHandle); request != nil {
 		d.Trace(request.ID, step, "number", attempt.number, "worker", attempt.worker)
 	}
 }
--- a/internal/listener/bench_test.go
+++ b/internal/listener/bench_test.go
@@ -30,7 +30,9 @@
 }
 
 // serveFunc serves a listener and counts what it accepts.
-type serveFunc func(b *testing.B, engine *transport.Engine, listener net.Listener, accepted *atomic.Int64) *transport.Acceptor
+type serveFunc func(
+	b *testing.B, engine *transport.Engine, listener net.Listener, accepted *atomic.Int64,
+) *transport.Acceptor
 
 // acceptRate returns how many connections a second are accepted.
 func acceptRate(b *testing.B, serve serveFunc) float64 {
@@ -72,7 +74,9 @@
 	clients.Wait()
 }
 
-func serveWithAdmission(b *testing.B, engine *transport.Engine, listener net.Listener, accepted *atomic.Int64) *transport.Acceptor {
+func serveWithAdmission(
+	b *testing.B, engine *transport.Engine, listener net.Listener, accepted *atomic.Int64,
+) *transport.Acceptor {
 	config := Config{Limits: connlimit.Config{
 		Capacity: 3000,
 		Reserve:  100,
@@ -84,17 +88,20 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	return engine.ServeWithAdmission(listener, true, func(c *transport.Conn) transport.Handler {
+	newHandler := func(c *transport.Conn) transport.Handler {
 		accepted.Add(1)
-		gate.Limiter.Closed(gate.Accepted(0, uint64(c.Handle), c.AdmissionToken))
+		gate.Limiter.Closed(gate.Accepted(0, c.Handle, c.AdmissionToken))
 		return nil
-	})
+	}
+	return engine.ServeWithAdmission(listener, transport.AcceptOptions{NewHandler: newHandler, SingleBuffer: true})
 }
 
-func serveWithoutAdmission(_ *testing.B, engine *transport.Engine, listener net.Listener, accepted *atomic.Int64) *transport.Acceptor {
+func serveWithoutAdmission(
+	_ *testing.B, engine *transport.Engine, listener net.Listener, accepted *atomic.Int64,
+) *transport.Acceptor {
 	newHandler := func(*transport.Conn) transport.Handler {
 		accepted.Add(1)
 		return nil
 	}
-	return engine.Serve(listener, 3000, true, newHandler, func() {})
+	return engine.Serve(listener, transport.AcceptOptions{NewHandler: newHandler, SingleBuffer: true, Limit: 3000})
 }
--- a/internal/transport/write.go
+++ b/internal/transport/write.go
@@ -8,11 +8,11 @@
 // Write sends p and keeps a copy of what the socket cannot take now. It returns
 // false if the connection is closed or has just broken.
 func (c *Conn) Write(p []byte) bool {
-	if c.Handle == 0 {
+	if !c.connected() {
 		return false
 	}
+	nothingQueued := c.UnsentBytes() == 0
 	c.writeOffset += int64(len(p))
-	nothingQueued := c.UnsentBytes() == int64(len(p))
 	if nothingQueued {
 		written, err := c.writeToSocket(p)
 		if err != nil {
