--- a/internal/daemon/load.go
+++ b/internal/daemon/load.go
@@ -97,22 +97,31 @@
 
 // gateConfig converts the operator's table [connections] for a gate that has a
 // number of descriptors.
-func gateConfig(table *settings.Connections, descriptors int) (c listener.Config, err error) {
-	c.Limits, c.DescriptorFloors, c.Watermarks, c.WriteStall, err = table.Ready(transport.ConnectionDescriptors(descriptors))
+func gateConfig(table *settings.Connections, descriptors int) (listener.Config, error) {
+	limits, err := table.LimitsFor(transport.ConnectionDescriptors(descriptors))
 	if err != nil {
-		return c, fmt.Errorf("connections.%w", err)
+		return listener.Config{}, fmt.Errorf("connections.%w", err)
 	}
-	c.Respond503 = table.Responds503()
-	return c, nil
+	return listener.Config{
+		Limits:           limits.Admission,
+		DescriptorFloors: limits.DescriptorFloors,
+		Watermarks:       limits.Watermarks,
+		Respond503:       limits.Respond503,
+		WriteStall:       limits.WriteStall,
+	}, nil
 }
 
 // followConfig converts the operator's table [membership].
-func followConfig(table *settings.Membership, c *config, s *decision.Settings) (f discovery.FollowConfig, err error) {
-	f.Zone, f.Servers, f.AcknowledgeInterval, err = table.Ready(s)
+func followConfig(table *settings.Membership, c *config, s *decision.Settings) (discovery.FollowConfig, error) {
+	sources, err := table.SourcesFor(s)
 	if err != nil {
-		return f, fmt.Errorf("membership.%w", err)
+		return discovery.FollowConfig{}, fmt.Errorf("membership.%w", err)
 	}
-	f.Name = c.Name
-	f.Seed = c.seed()
-	return f, nil
+	return discovery.FollowConfig{
+		Name:                c.Name,
+		Zone:                sources.PreferredZone,
+		Servers:             sources.Servers,
+		AcknowledgeInterval: sources.AcknowledgeInterval,
+		Seed:                c.seed(),
+	}, nil
 }
--- a/internal/settings/connections.go
+++ b/internal/settings/connections.go
@@ -79,28 +79,41 @@
 	rejectWith503   = "503"
 )
 
-// Ready turns the table into the configuration of what decides, for a process
-// that may use so many descriptors for its connections. stall is how long
-// responses may wait to be read; 0: unbounded. An error names the key.
-func (c *Connections) Ready(descriptors int) (limits connlimit.Config, floors [connlimit.DescriptorKinds]int, marks connlimit.Watermarks, stall time.Duration, err error) {
-	limits, err = c.limits(descriptors)
+// ConnectionLimits is the table [connections], converted and checked for a process
+// with a given number of descriptors.
+type ConnectionLimits struct {
+	Admission        connlimit.Config // which connections are admitted and evicted
+	DescriptorFloors [connlimit.DescriptorKinds]int
+	Watermarks       connlimit.Watermarks
+	WriteStall       time.Duration // how long responses may wait to be read; 0: unbounded
+	Respond503       bool          // rejected connections get a 503 response; else they are closed
+}
+
+// LimitsFor converts the table for a process that may use a number of descriptors
+// for its connections. An error names the key.
+func (c *Connections) LimitsFor(descriptors int) (ConnectionLimits, error) {
+	admission, err := c.admission(descriptors)
 	if err != nil {
-		return limits, floors, marks, 0, err
+		return ConnectionLimits{}, err
 	}
-	floors = c.descriptorFloors(descriptors)
-	marks = connlimit.Watermarks{Low: c.Low, High: c.High, Critical: c.Critical, Hysteresis: c.Back}
-	checked := limits // Check fills in defaults
-	if err := checked.Check(); err != nil {
-		return limits, floors, marks, 0, err
+	limits := ConnectionLimits{
+		Admission:        admission,
+		DescriptorFloors: c.descriptorFloors(descriptors),
+		Watermarks:       connlimit.Watermarks{Low: c.Low, High: c.High, Critical: c.Critical, Hysteresis: c.Back},
+		WriteStall:       milliseconds(c.WriteStall),
+		Respond503:       c.RejectWith == rejectWith503,
 	}
-	if _, err := connlimit.NewDescriptorBudget(descriptors, floors, marks); err != nil {
-		return limits, floors, marks, 0, err
+	if err := admission.Check(); err != nil { // it fills in defaults, in this copy only
+		return ConnectionLimits{}, err
 	}
-	return limits, floors, marks, milliseconds(c.WriteStall), nil
+	if _, err := connlimit.NewDescriptorBudget(descriptors, limits.DescriptorFloors, limits.Watermarks); err != nil {
+		return ConnectionLimits{}, err
+	}
+	return limits, nil
 }
 
-// limits returns the table's limits on connections.
-func (c *Connections) limits(descriptors int) (connlimit.Config, error) {
+// admission returns which connections the table admits.
+func (c *Connections) admission(descriptors int) (connlimit.Config, error) {
 	known, err := parsePrefixes("known", c.Known)
 	if err != nil {
 		return connlimit.Config{}, err
@@ -177,9 +190,6 @@
 	return floors
 }
 
-// Responds503 reports whether a rejected connection gets a response 503 before it is closed.
-func (c *Connections) Responds503() bool { return c.RejectWith == rejectWith503 }
-
 // checkValues checks what connlimit does not.
 func (c *Connections) checkValues() error {
 	switch c.RejectWith {
--- a/internal/settings/membership.go
+++ b/internal/settings/membership.go
@@ -66,28 +66,43 @@
 	return nil
 }
 
-// Ready turns the table into what a dispatcher with those settings follows: the
-// zone whose servers it prefers, the servers, and the minimum interval between
-// acknowledgements. An error names a zone that the settings do not have.
-func (m *Membership) Ready(settings *decision.Settings) (zone string, servers []membership.Server, acknowledge time.Duration, err error) {
+// MembershipSources is the table [membership], converted for a dispatcher: where it
+// gets versioned changes.
+type MembershipSources struct {
+	PreferredZone       string // its servers come first; empty: none is preferred
+	Servers             []membership.Server
+	AcknowledgeInterval time.Duration // minimum time between acknowledgements of a version
+}
+
+// SourcesFor converts the table for a dispatcher with those settings. An error names
+// a zone that the settings do not have.
+func (m *Membership) SourcesFor(settings *decision.Settings) (MembershipSources, error) {
 	if !hasZone(settings, m.Zone) {
-		return "", nil, 0, fmt.Errorf("zone: the settings have no zone %q", m.Zone)
+		return MembershipSources{}, fmt.Errorf("zone: the settings have no zone %q", m.Zone)
+	}
+	sources := MembershipSources{
+		PreferredZone:       m.preferredZone(settings),
+		AcknowledgeInterval: defaultAcknowledge,
 	}
 	for i, server := range m.Servers {
 		if !hasZone(settings, server.Zone) {
-			return "", nil, 0, fmt.Errorf("servers[%d].zone: the settings have no zone %q", i, server.Zone)
+			return MembershipSources{}, fmt.Errorf("servers[%d].zone: the settings have no zone %q", i, server.Zone)
 		}
-		servers = append(servers, membership.Server{Zone: server.Zone, Address: server.Address})
-	}
-	zone = m.Zone
-	if zone == "" && settings.Zone >= 0 && settings.Zone < len(settings.ZoneNames) {
-		zone = settings.ZoneNames[settings.Zone]
+		sources.Servers = append(sources.Servers, membership.Server{Zone: server.Zone, Address: server.Address})
 	}
-	acknowledge = defaultAcknowledge
 	if m.AcknowledgeMs > 0 {
-		acknowledge = milliseconds(m.AcknowledgeMs)
+		sources.AcknowledgeInterval = milliseconds(m.AcknowledgeMs)
+	}
+	return sources, nil
+}
+
+// preferredZone returns the table's zone or, where it has none, the dispatcher's own.
+func (m *Membership) preferredZone(settings *decision.Settings) string {
+	isOwnZoneNamed := settings.Zone >= 0 && settings.Zone < len(settings.ZoneNames)
+	if m.Zone == "" && isOwnZoneNamed {
+		return settings.ZoneNames[settings.Zone]
 	}
-	return zone, servers, acknowledge, nil
+	return m.Zone
 }
 
 // hasZone reports whether the settings have a zone. Settings without zone names
--- a/internal/settings/operator.go
+++ b/internal/settings/operator.go
@@ -61,7 +61,7 @@
 	if err := tomlfile.CheckKeys(meta); err != nil {
 		return Operator{}, err
 	}
-	if _, _, _, _, err := operator.Connections.Ready(checkDescriptors); err != nil {
+	if _, err := operator.Connections.LimitsFor(checkDescriptors); err != nil {
 		return Operator{}, fmt.Errorf("connections.%w", err)
 	}
 	if err := operator.Membership.Check(); err != nil {
--- a/internal/settings/operator_test.go
+++ b/internal/settings/operator_test.go
@@ -3,6 +3,7 @@
 import (
 	"os"
 	"path/filepath"
+	"reflect"
 	"strings"
 	"testing"
 	"time"
@@ -44,7 +45,7 @@
 }
 
 func TestMembershipTable(t *testing.T) {
-	o, err := ReadOperator(writeOperatorFile(t, `
+	operator, err := ReadOperator(writeOperatorFile(t, `
 [membership]
 on = true
 [[membership.servers]]
@@ -53,24 +54,33 @@
 [[membership.servers]]
 address = "127.0.0.1:8600"
 `), nil)
-	if err != nil || !o.Membership.Enabled {
-		t.Fatalf("%+v, %v", o.Membership, err)
+	if err != nil || !operator.Membership.Enabled {
+		t.Fatalf("%+v, %v", operator.Membership, err)
 	}
-	s := decision.Settings{Zone: 1, ZoneNames: []string{"z1", "z2"}}
-	zone, servers, acknowledge, err := o.Membership.Ready(&s)
-	want := []membership.Server{{Zone: "z2", Address: "127.0.0.1:8601"}, {Address: "127.0.0.1:8600"}}
-	if zone != "z2" || acknowledge != time.Second || err != nil || len(servers) != 2 || servers[0] != want[0] || servers[1] != want[1] {
-		t.Errorf("%q %v %v %v", zone, servers, acknowledge, err)
+	settings := decision.Settings{Zone: 1, ZoneNames: []string{"z1", "z2"}}
+	sources, err := operator.Membership.SourcesFor(&settings)
+	want := MembershipSources{
+		PreferredZone:       "z2",
+		Servers:             []membership.Server{{Zone: "z2", Address: "127.0.0.1:8601"}, {Address: "127.0.0.1:8600"}},
+		AcknowledgeInterval: time.Second,
 	}
-	o.Membership.Servers[0].Zone = "z3"
-	if _, _, _, err := o.Membership.Ready(&s); err == nil || !strings.Contains(err.Error(), `servers[0].zone: the settings have no zone "z3"`) {
-		t.Errorf("an unknown zone: %v", err)
+	if err != nil || !reflect.DeepEqual(sources, want) {
+		t.Errorf("%+v, %v; want %+v", sources, err, want)
+	}
+
+	operator.Membership.Servers[0].Zone = "z3"
+	_, err = operator.Membership.SourcesFor(&settings)
+	if err == nil || !strings.Contains(err.Error(), `servers[0].zone: the settings have no zone "z3"`) {
+		t.Errorf("an unknown zone of a server: %v", err)
 	}
-	o.Membership.Zone = "z4"
-	if _, _, _, err := o.Membership.Ready(&s); err == nil || !strings.Contains(err.Error(), "zone: ") {
+	operator.Membership.Zone = "z4"
+	_, err = operator.Membership.SourcesFor(&settings)
+	if err == nil || !strings.Contains(err.Error(), "zone: ") {
 		t.Errorf("an unknown zone: %v", err)
 	}
-	if o, err = ReadOperator(writeOperatorFile(t, "[connections]\non = false\n"), nil); err != nil || o.Membership.Enabled {
-		t.Errorf("without the table: %+v, %v", o.Membership, err)
+
+	operator, err = ReadOperator(writeOperatorFile(t, "[connections]\non = false\n"), nil)
+	if err != nil || operator.Membership.Enabled {
+		t.Errorf("without the table: %+v, %v", operator.Membership, err)
 	}
 }
