--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -49,10 +49,18 @@
 	Sockets  float64 `json:"sockets"`
 }
 
+// occasion is when the configuration is read.
+type occasion int
+
+const (
+	atStart occasion = iota // the environment's discovery address goes before the file's
+	// At a reload the file's goes first: the environment still has the one of the start.
+	atReload
+)
+
 // readConfig reads and checks the configuration file at path, or at the path that
-// the environment names if path is empty. On a reload the file's discovery address
-// goes before the environment's, which still names the one of the start.
-func readConfig(path string, env func(string) string, reload bool) (c config, s decision.Settings, err error) {
+// the environment names if path is empty.
+func readConfig(path string, env func(string) string, when occasion) (c config, s decision.Settings, err error) {
 	path = cmp.Or(path, env(envConfig))
 	if path == "" {
 		return c, s, errors.New("config: neither -config nor BALANCER_CONFIG names a file")
@@ -64,7 +72,7 @@
 	if err := json.Unmarshal(text, &c); err != nil {
 		return c, s, fmt.Errorf("config: %w", settings.DecodeError(err))
 	}
-	c.applyEnvironment(env, reload)
+	c.applyEnvironment(env, when)
 	if c.Discovery != "" {
 		if _, _, err := net.SplitHostPort(c.Discovery); err != nil {
 			return c, s, fmt.Errorf("config: discovery: %w", err)
@@ -75,11 +83,11 @@
 }
 
 // applyEnvironment overrides what the environment names.
-func (c *config) applyEnvironment(env func(string) string, reload bool) {
+func (c *config) applyEnvironment(env func(string) string, when occasion) {
 	c.Name = cmp.Or(env(envName), c.Name, defaultName)
 	c.Listen = cmp.Or(env(envListen), c.Listen)
 	c.Admin = cmp.Or(env(envAdminAddress), c.Admin)
-	if !reload || c.Discovery == "" {
+	if when == atStart || c.Discovery == "" {
 		c.Discovery = cmp.Or(env(envDiscovery), c.Discovery)
 	}
 }
--- a/internal/daemon/doc.go
+++ b/internal/daemon/doc.go
@@ -3,6 +3,11 @@
 // life cycle: start, reload (SIGHUP), drain, replacement by a successor process
 // and graceful shutdown.
 //
+// Serve has the order of the start, shutdown that of the end. Each part of the life
+// cycle has a file: serve.go and listen.go the start, reload.go, drain.go and
+// shutdown.go what they are named after, peer.go, predecessor.go and successor.go the
+// replacement, handover.go the shutdown beside a successor.
+//
 // A replacement goes in these steps. The platform keeps the listener and starts a
 // second process, which finds the handover socket of the first. The first, the
 // predecessor, sends its endpoint list and its request ids, and grants a small part
--- a/internal/daemon/drain.go
+++ b/internal/daemon/drain.go
@@ -14,34 +14,32 @@
 
 // ready reports whether this process accepts clients.
 func (p *process) ready() bool {
-	if p.stopping {
+	if p.phase != serving {
 		return false
 	}
-	if p.frontEnds.http == nil {
-		return true
-	}
-	return p.serving && p.frontEnds.http.Ready()
+	return p.frontEnds.http == nil || p.frontEnds.http.Ready()
 }
 
 // setOutOfService begins or ends a drain, here and in the peer process. To repeat a
 // call changes nothing.
 func (p *process) setOutOfService(out bool) error {
 	switch {
-	case p.stopping && !out:
+	case p.phase == stopping && !out:
 		return errStopping
 	case p.frontEnds.http == nil:
 		return errNoHealthCheck
 	}
 	p.sendToPeer(handover.Message{OutOfService: &out})
-	p.drain(out)
+	p.setDraining(out)
 	return nil
 }
 
-// drain begins or ends a drain of this process.
-func (p *process) drain(out bool) {
+// setDraining begins or ends a drain of this process. One that stops is drained
+// already, and stays so.
+func (p *process) setDraining(draining bool) {
 	switch {
-	case p.stopping: // it is drained already
-	case out:
+	case p.phase == stopping:
+	case draining:
 		p.dispatcher.Log("out of service")
 		p.frontEnds.http.Drain()
 	default:
--- a/internal/daemon/golden_config_test.go
+++ b/internal/daemon/golden_config_test.go
@@ -19,30 +19,41 @@
 func TestGoldenConfiguration(t *testing.T) {
 	lines := goldentest.Keys(reflect.TypeFor[config](), "json")
 	const settings = `"settings":{"classes":[{"name":"a","repeat":"retryable"}]}`
-	asked := map[string]bool{}
-	read := func(text string, again bool, environment map[string]string) {
+	requested := map[string]bool{} // variables of the environment
+	read := func(text string, when occasion, environment map[string]string) {
 		path := filepath.Join(t.TempDir(), "config.json")
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		c, _, err := readConfig(path, func(name string) string { asked[name] = true; return environment[name] }, again)
-		c.Settings = nil
+		env := func(name string) string {
+			requested[name] = true
+			return environment[name]
+		}
+		c, _, err := readConfig(path, env, when)
 		values, _ := json.Marshal([]any{c.Name, c.Listen, c.Discovery, c.Admin, c.Seed, c.Limits.MemoryMB, c.Limits.Sockets, string(c.Known)})
-		lines = append(lines, fmt.Sprintf("%s again=%v %v: %s; %v", text, again, environment, values, err))
+		lines = append(lines, fmt.Sprintf("%s again=%v %v: %s; %v", text, when == atReload, environment, values, err))
 	}
 	for _, text := range []string{
-		`{}`, `{` + settings + `}`, `{"name":"n","listen":"l","discovery":"d:1","admin_addr":"a","seed":"s","limits":{"memory_mb":1,"sockets":2},"known":{"k":1},` + settings + `}`,
-		`{"name":1}`, `{"limits":{"sockets":"2"}}`, `{"limits":{"memory_mb":true}}`, `{"discovery":"d",` + settings + `}`, `{"unknown":1,` + settings + `}`,
-		`{"settings":{"classes":[{"repeat":"retryable"}]}}`, `{"settings":{"classes":[{"repeat":"often"}]}}`, `{`,
+		`{}`,
+		`{` + settings + `}`,
+		`{"name":"n","listen":"l","discovery":"d:1","admin_addr":"a","seed":"s","limits":{"memory_mb":1,"sockets":2},"known":{"k":1},` + settings + `}`,
+		`{"name":1}`,
+		`{"limits":{"sockets":"2"}}`,
+		`{"limits":{"memory_mb":true}}`,
+		`{"discovery":"d",` + settings + `}`,
+		`{"unknown":1,` + settings + `}`,
+		`{"settings":{"classes":[{"repeat":"retryable"}]}}`,
+		`{"settings":{"classes":[{"repeat":"often"}]}}`,
+		`{`,
 	} {
-		read(text, false, nil)
+		read(text, atStart, nil)
 	}
-	names := slices.Sorted(maps.Keys(asked))
+	names := slices.Sorted(maps.Keys(requested))
 	for _, name := range names {
-		for _, again := range []bool{false, true} {
+		for _, when := range []occasion{atStart, atReload} {
 			environment := map[string]string{name: "e:9"}
-			read(`{`+settings+`}`, again, environment)
-			read(`{"name":"n","listen":"l","discovery":"d:1","admin_addr":"a",`+settings+`}`, again, environment)
+			read(`{`+settings+`}`, when, environment)
+			read(`{"name":"n","listen":"l","discovery":"d:1","admin_addr":"a",`+settings+`}`, when, environment)
 		}
 	}
 	_, err := openListener(func(name string) string {
--- a/internal/daemon/load.go
+++ b/internal/daemon/load.go
@@ -33,7 +33,7 @@
 
 // load reads and checks all files.
 func load(files Files, env func(string) string) (l loadedFiles, err error) {
-	l.config, l.configuredSettings, err = readConfig(files.Config, env, false)
+	l.config, l.configuredSettings, err = readConfig(files.Config, env, atStart)
 	if err != nil {
 		return l, err
 	}
--- a/internal/daemon/peer.go
+++ b/internal/daemon/peer.go
@@ -3,20 +3,35 @@
 import (
 	"fmt"
 
+	"hollyyoke.example/hollyyoke/internal/eventloop"
 	"hollyyoke.example/hollyyoke/internal/handover"
 )
 
+// This file is what a process does with its peer, whichever of them is the successor.
+
+// replacement is the state of the replacement of one process by another. A process may
+// be a successor first and a predecessor later, never both at a time.
+type replacement struct {
+	enabled     bool               // the listener is the platform's, and other processes have it
+	socketPath  string             // of the handover socket
+	link        *handover.Link     // to the peer process; nil: there is none
+	limitsTimer eventloop.Deadline // for the next message about the limits
+
+	successorRole
+	predecessorRole
+}
+
 // sendToPeer sends a message to the peer process, if there is one.
 func (p *process) sendToPeer(message handover.Message) {
-	if p.handover.link != nil {
-		p.handover.link.Send(message)
+	if p.replacement.link != nil {
+		p.replacement.link.Send(message)
 	}
 }
 
 // shareWithPeer reports accepted request ids and slow-start reservations to the peer
 // process, which must not repeat them.
 func (p *process) shareWithPeer() {
-	p.dispatcher.OnAccepted = p.handover.link.SendAccepted
+	p.dispatcher.OnAccepted = p.replacement.link.SendAccepted
 	p.dispatcher.OnReserved = func(worker string, amount float64) {
 		p.sendToPeer(handover.Message{Reservation: &handover.Reservation{Worker: worker, Amount: amount}})
 	}
@@ -35,7 +50,7 @@
 		p.dispatcher.ReservedElsewhere(message.Reservation.Worker, message.Reservation.Amount)
 	}
 	if message.OutOfService != nil {
-		p.drain(*message.OutOfService)
+		p.setDraining(*message.OutOfService)
 	}
 	if message.DiscoveryMoved != "" && message.DiscoveryMoved != p.config.Discovery {
 		p.dispatcher.Log("discovery moves to " + message.DiscoveryMoved + ", as the peer process says")
@@ -46,12 +61,12 @@
 
 // peerEnded returns to a single process, which has all descriptors and memory.
 func (p *process) peerEnded() {
-	p.handover.link = nil
-	p.handover.peerServing = false
+	p.replacement.link = nil
+	p.replacement.successorServing = false
 	p.dispatcher.OnAccepted = nil
 	p.dispatcher.OnReserved = nil
 	p.registry.OnUpdate = nil
-	p.dispatcher.Loop.Clear(&p.handover.limitsTimer)
+	p.dispatcher.Loop.Clear(&p.replacement.limitsTimer)
 	p.useAllLimits()
 	if p.frontEnds.http != nil {
 		p.frontEnds.http.SetShared(false)
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -5,9 +5,7 @@
 
 	"hollyyoke.example/hollyyoke/internal/discovery"
 	"hollyyoke.example/hollyyoke/internal/dispatch"
-	"hollyyoke.example/hollyyoke/internal/eventloop"
 	"hollyyoke.example/hollyyoke/internal/faktory"
-	"hollyyoke.example/hollyyoke/internal/handover"
 	"hollyyoke.example/hollyyoke/internal/httpfront"
 	"hollyyoke.example/hollyyoke/internal/listener"
 	"hollyyoke.example/hollyyoke/internal/transport"
@@ -17,49 +15,63 @@
 // process is the running dispatcher. After the start it belongs to the loop's
 // goroutine.
 type process struct {
+	// What the start has read. It does not change.
 	files  Files
 	loaded loadedFiles
 
+	// config is in force. A reload or the peer process may move its discovery address.
+	config config
+
+	// Components that newProcess makes.
 	dispatcher *dispatch.Dispatcher
 	engine     *transport.Engine
 	registry   *discovery.Registry
 	workers    *workerclient.Client
-	frontEnds  frontEnds
 	gate       *listener.Gate // admits connections; nil: all are admitted
 
-	config            config       // in force
-	followsMembership bool         // versioned changes are followed in place of the discovery watch
-	listener          net.Listener // for HTTP clients; nil: the HTTP front end is off
-	maxClients        int          // connections of clients at a time, for each front end
+	frontEnds   frontEnds
+	phase       phase
+	replacement replacement
+}
+
+// phase is a part of a process's life. One follows the other, and none comes back. A
+// drain is none: it begins and ends while the process is serving.
+type phase int
 
-	serving  bool // the HTTP front end accepts clients
-	stopping bool // a graceful shutdown has begun
+const (
+	starting phase = iota // clients are not accepted yet; a predecessor may serve them
+	serving               // clients are accepted
+	stopping              // the graceful shutdown has begun
+)
 
-	handover handoverState
+// frontEnds are those that are on.
+type frontEnds struct {
+	http         *httpfront.FrontEnd // nil: off
+	httpListener net.Listener        // nil: the HTTP front end is off
+	faktory      faktory.FrontEnd
+	maxClients   int // connections of clients at a time, for each front end
 }
 
-// handoverState is the replacement of one process by another, seen from either.
-type handoverState struct {
-	enabled       bool   // the listener is the platform's, and other processes have it
-	socketPath    string // of the handover socket
-	acceptor      *transport.Acceptor
-	link          *handover.Link // to the peer process; nil: there is none
-	greetingDone  bool           // the predecessor has sent its greeting, or its time is over
-	peerServing   bool           // the successor accepts clients
-	storeReleased bool           // the successor may open the store of durable jobs
-	openFaktory   func() error   // opens the Faktory front end that the predecessor has; nil: nothing to open
-	limitsTimer   eventloop.Deadline
+// beginShutdown lets the front ends answer as ones that are about to end. They go on
+// accepting.
+func (f *frontEnds) beginShutdown() {
+	if f.http != nil {
+		f.http.BeginShutdown()
+	}
+	f.faktory.Stop()
 }
 
-// frontEnds are those that are on.
-type frontEnds struct {
-	http    *httpfront.FrontEnd // nil: off
-	faktory faktory.FrontEnd
+// stopAccepting closes the listener for HTTP clients: what arrives later waits in the
+// backlog, which a successor shares, or is rejected by the system.
+func (f *frontEnds) stopAccepting() {
+	if f.http != nil {
+		f.http.StopAccepting()
+	}
 }
 
 // closeIdle closes the connections on which nothing is owed, and reports whether
 // none is left.
-func (f frontEnds) closeIdle() bool {
+func (f *frontEnds) closeIdle() bool {
 	idle := f.faktory.CloseIdle()
 	if f.http != nil {
 		f.http.CloseIdle()
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -7,7 +7,6 @@
 	"strings"
 
 	"hollyyoke.example/hollyyoke/decision"
-	"hollyyoke.example/hollyyoke/internal/discovery"
 	"hollyyoke.example/hollyyoke/internal/handover"
 	"hollyyoke.example/hollyyoke/internal/settings"
 	"hollyyoke.example/hollyyoke/internal/transport"
@@ -22,7 +21,7 @@
 
 // readForReload reads the files again, off the loop's goroutine.
 func readForReload(files Files, env func(string) string) (r reloadedFiles, err error) {
-	r.config, r.settings, err = readConfig(files.Config, env, true)
+	r.config, r.settings, err = readConfig(files.Config, env, atReload)
 	if err != nil || files.Operator == "" {
 		return r, err
 	}
@@ -35,32 +34,28 @@
 
 // reload applies what can change while the process runs: the discovery address, the
 // limits on connections, and the servers from which versioned changes are followed.
-// An error in any part, readErr included, leaves all as it was. What needs a restart
-// is logged.
-func (p *process) reload(next reloadedFiles, readErr error) {
-	err := readErr
-	if err == nil {
-		err = p.checkReload(&next)
-	}
-	var follow discovery.FollowConfig
-	if err == nil {
-		follow, err = followConfig(&next.operator.Membership, &p.config, &p.loaded.configuredSettings)
+// What needs a restart is logged. An error in any part leaves all as it was.
+func (p *process) reload(next *reloadedFiles) error {
+	if err := p.checkReload(next); err != nil {
+		return err
 	}
-	if err == nil {
-		err = p.reloadGate(&next.operator.Connections) // last, since it applies what is right
+	follow, err := followConfig(&next.operator.Membership, &p.config, &p.loaded.configuredSettings)
+	if err != nil {
+		return err
 	}
+	err = p.reloadGate(&next.operator.Connections) // the last that can fail, since it also applies
 	if err != nil {
-		p.dispatcher.Log(fmt.Sprintf("reload: %v; configuration unchanged", err))
-		return
+		return err
 	}
 	if p.gate != nil {
 		p.dispatcher.Log("reload: connection limits are applied from the operator's file")
 	}
-	if p.followsMembership {
+	if p.loaded.membership.Enabled {
 		p.registry.Follow(follow)
 		p.dispatcher.Log(fmt.Sprintf("reload: versioned changes come from %d servers, zone %q first", len(follow.Servers), follow.Zone))
 	}
-	p.reloadDiscovery(&next)
+	p.reloadDiscovery(next)
+	return nil
 }
 
 // checkReload reports what is wrong with the new configuration.
@@ -71,7 +66,7 @@
 	if _, err := decision.New(next.settings, 0); err != nil {
 		return fmt.Errorf("config: %w", err)
 	}
-	if next.operator.Membership.Enabled != p.followsMembership {
+	if next.operator.Membership.Enabled != p.loaded.membership.Enabled {
 		return errors.New("membership.on: only a restart turns it on or off")
 	}
 	return nil
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -1,21 +1,14 @@
 package daemon
 
 import (
-	"cmp"
-	"errors"
 	"fmt"
 	"log/slog"
 	"net"
 	"runtime"
-	"strconv"
 
-	"hollyyoke.example/hollyyoke/internal/admin"
 	"hollyyoke.example/hollyyoke/internal/discovery"
 	"hollyyoke.example/hollyyoke/internal/dispatch"
-	"hollyyoke.example/hollyyoke/internal/durable"
 	"hollyyoke.example/hollyyoke/internal/eventloop"
-	"hollyyoke.example/hollyyoke/internal/faktory"
-	"hollyyoke.example/hollyyoke/internal/httpfront"
 	"hollyyoke.example/hollyyoke/internal/invariant"
 	"hollyyoke.example/hollyyoke/internal/listener"
 	"hollyyoke.example/hollyyoke/internal/transport"
@@ -52,7 +45,7 @@
 	daemon.start(predecessor)
 	go daemon.handleReloads(env, caught.reload)
 	go daemon.handleStops(caught.stop)
-	daemon.dispatcher.Loop.Run()
+	daemon.dispatcher.Loop.Run() // until the end of shutdown
 	daemon.end()
 	return nil
 }
@@ -78,15 +71,12 @@
 	daemon := &process{
 		files:      files,
 		loaded:     loaded,
+		config:     fileConfig,
 		dispatcher: dispatcher,
 		engine:     engine,
 		registry:   registry,
 		workers:    workers,
-		config:     fileConfig,
-		maxClients: transport.AcceptedShare(fileConfig.connectionDescriptors()),
-	}
-	if loaded.hasFaktory && fileConfig.Listen != "" {
-		daemon.maxClients /= 2 // half for either front end
+		frontEnds:  frontEnds{maxClients: loaded.maxClients()},
 	}
 	if err := daemon.applyOperator(log); err != nil {
 		return nil, fmt.Errorf("%s: %w", files.Operator, err)
@@ -114,7 +104,6 @@
 			return err
 		}
 		p.registry.Follow(follow)
-		p.followsMembership = true
 	}
 	if !p.loaded.connections.Enabled {
 		return nil
@@ -132,140 +121,23 @@
 	return nil
 }
 
-// openHTTP opens the HTTP front end's listener, if it is on.
-func (p *process) openHTTP(env func(string) string) (err error) {
-	if p.config.Listen == "" {
-		return nil
-	}
-	p.frontEnds.http = httpfront.New(p.dispatcher, p.engine, p.config.bufferMemory(), p.hasWorkers)
-	if p.gate != nil {
-		p.frontEnds.http.SetGate(p.gate)
-	}
-	p.listener, err = openListener(env, p.config.Listen)
-	if err != nil {
-		return err
-	}
-	p.dispatcher.Log("listening on " + p.listener.Addr().String())
-	return nil
-}
-
-// hasWorkers reports whether requests can be served by the endpoint list.
-func (p *process) hasWorkers() bool {
-	if p.dispatcher.ReadyWorkers() == 0 && !p.registry.HasRunning() {
-		return false
-	}
-	return p.registry.Usable()
-}
-
-// openListener returns the listener for clients: the socket that the platform keeps
-// and numbers in the environment, or a new one at addr.
-func openListener(env func(string) string, addr string) (net.Listener, error) {
-	text := env(envListenerDescriptor)
-	if text == "" {
-		opened, err := net.Listen("tcp", addr)
-		if err != nil {
-			return nil, fmt.Errorf("config: listen: %w", err)
-		}
-		return opened, nil
-	}
-	inherited, err := inheritListener(text)
-	if err != nil {
-		return nil, fmt.Errorf("%s: %q: %w", envListenerDescriptor, text, err)
-	}
-	return inherited, nil
-}
-
-// inheritListener returns the listener of a descriptor's number.
-func inheritListener(text string) (net.Listener, error) {
-	descriptor, err := strconv.Atoi(text)
-	if err != nil {
-		return nil, err
-	}
-	if descriptor < 0 {
-		return nil, errors.New("a descriptor is not negative")
-	}
-	return transport.ListenerFromDescriptor(descriptor)
-}
-
-// setUpFaktory opens the Faktory front end, if it is on; beside a predecessor, which
-// has its address and its store, it prepares to open it later.
-func (p *process) setUpFaktory(hasPredecessor bool, log *slog.Logger) error {
-	if !p.loaded.hasFaktory {
-		return nil
-	}
-	faktoryConfig := p.loaded.faktory
-	faktoryConfig.Durable.Log = log
-	file := cmp.Or(p.files.Faktory, p.files.Operator)
-	open := func() error { return p.openFaktory(faktoryConfig) }
-	if !hasPredecessor {
-		if err := open(); err != nil {
-			return fmt.Errorf("%s: %w", file, err)
-		}
-		return nil
-	}
-	if err := faktoryConfig.Movable(&p.dispatcher.Settings); err != nil {
-		return fmt.Errorf("%s: the Faktory front end cannot be handed over, %w: end the running process first", file, err)
-	}
-	p.handover.openFaktory = open
-	if p.frontEnds.http != nil {
-		p.frontEnds.http.SetDurable(nil, faktoryConfig.Durable.Classes(&p.dispatcher.Settings))
-	}
-	return nil
-}
-
-// openFaktory opens the Faktory front end, and lets the HTTP front end use its
-// store.
-func (p *process) openFaktory(c faktory.Config) (err error) {
-	p.frontEnds.faktory, err = faktory.Open(p.dispatcher, p.engine, c, p.maxClients, p.gate)
-	if err != nil {
-		return err
-	}
-	service := p.frontEnds.faktory.DurableJobs()
-	if service != nil && p.frontEnds.http != nil {
-		p.frontEnds.http.SetDurable(service, c.Durable.Classes(&p.dispatcher.Settings))
-	}
-	return nil
-}
-
-// openAdmin opens the admin API, if it is on.
-func (p *process) openAdmin() error {
-	if p.config.Admin == "" {
-		return nil
-	}
-	api := admin.New(p.dispatcher, p.engine, p.workers, admin.Operations{
-		Ready:           p.ready,
-		SetOutOfService: p.setOutOfService,
-		Gate:            p.gate,
-		Membership:      p.registry.Stats,
-		Jobs:            func() *durable.Service { return p.frontEnds.faktory.DurableJobs() },
-	})
-	addr, err := api.Listen(p.config.Admin)
-	if err != nil {
-		return fmt.Errorf("config: admin_addr: %w", err)
-	}
-	p.dispatcher.Log("admin API at " + addr)
-	return nil
-}
-
 // start accepts clients; beside a predecessor, only once they can be served.
 func (p *process) start(predecessor net.Conn) {
-	p.handover.limitsTimer.Fire = p.sendLimits
+	p.replacement.limitsTimer.Fire = p.sendLimits
 	if predecessor != nil && p.startAsSuccessor(predecessor) == nil {
 		return
 	}
-	p.handover.greetingDone = true
+	p.replacement.greetingDone = true // there is none to wait for
 	p.loadInitialList(nil)
-	if p.frontEnds.http != nil {
-		p.serve()
-	}
+	p.serve()
 	p.listenForSuccessor()
 }
 
 // loadInitialList starts from an endpoint list: the predecessor's or, where it has
 // none or it cannot be used, the configuration's.
-func (p *process) loadInitialList(list []byte) {
-	if len(list) > 0 {
-		err := p.registry.LoadInitial(list)
+func (p *process) loadInitialList(predecessorList []byte) {
+	if len(predecessorList) > 0 {
+		err := p.registry.LoadInitial(predecessorList)
 		if err == nil {
 			return
 		}
@@ -278,16 +150,8 @@
 
 // serve accepts clients from now on.
 func (p *process) serve() {
-	p.serving = true
-	p.frontEnds.http.Serve(p.listener, p.maxClients)
-}
-
-// end closes the store and logs what the process has done.
-func (p *process) end() {
-	if err := p.frontEnds.faktory.Close(); err != nil {
-		p.dispatcher.Log(fmt.Sprintf("durable job store: %v", err))
+	p.phase = serving
+	if p.frontEnds.http != nil {
+		p.frontEnds.http.Serve(p.frontEnds.httpListener, p.frontEnds.maxClients)
 	}
-	sum := p.dispatcher.Counts()
-	p.dispatcher.Log(fmt.Sprintf("stopped: accepted %d, served %d, rejected %d, failed %d, cancelled %d, attempts %d",
-		sum.Accepted, sum.Served, sum.Rejected, sum.Failed, sum.Cancelled, sum.Attempts))
 }
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -1,6 +1,7 @@
 package daemon
 
 import (
+	"fmt"
 	"time"
 
 	"hollyyoke.example/hollyyoke/internal/transport"
@@ -21,76 +22,89 @@
 	flushTime = 50 * time.Millisecond
 )
 
-// shutdown begins the graceful end. Without a successor that accepts clients, all
-// that arrives in the arrival window is served as before; then connections end
-// between requests and nothing more is read. The last answer ends the process.
+// shutdown ends the process gracefully. Beside a successor that accepts clients it
+// hands over. Otherwise all that arrives in the arrival window is served as before;
+// then nothing is accepted, connections end between requests, and after the read window
+// nothing is read. The last answer stops the loop, and Serve calls end.
 func (p *process) shutdown() {
-	p.stopping = true
-	if p.handover.acceptor != nil {
-		p.handover.acceptor.Close()
-	}
-	if p.handover.peerServing {
+	p.phase = stopping
+	p.closeHandoverSocket()
+	if p.replacement.successorServing {
 		p.handOver()
 		return
 	}
-	if p.frontEnds.http != nil {
-		p.frontEnds.http.BeginShutdown()
-	}
-	p.frontEnds.faktory.Stop()
-	p.dispatcher.Loop.After(arrivalWindow, p.finish)
+	p.frontEnds.beginShutdown()
+	p.dispatcher.Loop.After(arrivalWindow, func() {
+		p.frontEnds.stopAccepting()
+		p.stopWhen(newLastAnswers(p).advance, shutdownPoll)
+	})
 }
 
-// finish ends the arrival window.
-func (p *process) finish() {
-	if p.frontEnds.http != nil {
-		p.frontEnds.http.StopAccepting() // what arrives now waits in the backlog, or is rejected by the system
-	}
-	now := p.dispatcher.Loop.Now()
-	ending := &finisher{
-		process:       p,
-		stopReading:   now + readWindow,
-		lingerUntil:   now + readWindow + transport.LingerTime,
-		upstreamUntil: now + upstreamTimeout,
+// stopWhen calls advance now and at intervals until it reports that nothing is left to
+// do, and stops the loop then.
+func (p *process) stopWhen(advance func() (finished bool), interval time.Duration) {
+	loop := p.dispatcher.Loop
+	if advance() {
+		loop.After(flushTime, loop.Stop)
+		return
 	}
-	ending.step()
+	loop.After(interval, func() { p.stopWhen(advance, interval) })
 }
 
-// finisher is the last part of a graceful end, after the arrival window.
-type finisher struct {
+// lastAnswers is the part of a shutdown after the arrival window: connections end as
+// their requests are answered.
+type lastAnswers struct {
 	process       *process
 	stopReading   time.Duration // nothing is read from then on
 	lingerUntil   time.Duration // for clients to read their answers; moves while answers are owed
 	upstreamUntil time.Duration // for the upstream server to accept the last reports
 }
 
-// step closes what is idle and stops the loop once nothing is owed.
-func (f *finisher) step() {
-	daemon := f.process
-	loop := daemon.dispatcher.Loop
-	idle := daemon.frontEnds.closeIdle()
-	now := loop.Now()
-	if daemon.frontEnds.http != nil && now >= f.stopReading {
-		daemon.frontEnds.http.StopReading()
-		idle = idle && daemon.frontEnds.http.OpenConnections() == 0
+// newLastAnswers begins the part now.
+func newLastAnswers(p *process) *lastAnswers {
+	now := p.dispatcher.Loop.Now()
+	return &lastAnswers{
+		process:       p,
+		stopReading:   now + readWindow,
+		lingerUntil:   now + readWindow + transport.LingerTime,
+		upstreamUntil: now + upstreamTimeout,
 	}
-	if daemon.dispatcher.Unanswered() > 0 {
-		f.lingerUntil = now + transport.LingerTime
+}
+
+// advance closes what is idle, and reports whether the process may exit.
+func (a *lastAnswers) advance() (finished bool) {
+	frontEnds := &a.process.frontEnds
+	idle := frontEnds.closeIdle()
+	now := a.process.dispatcher.Loop.Now()
+	if frontEnds.http != nil && now >= a.stopReading {
+		frontEnds.http.StopReading()
+		idle = idle && frontEnds.http.OpenConnections() == 0
 	}
-	if f.finished(now, idle) {
-		loop.After(flushTime, loop.Stop)
-		return
+	if a.process.dispatcher.Unanswered() > 0 {
+		a.lingerUntil = now + transport.LingerTime
 	}
-	loop.After(shutdownPoll, f.step)
+	return a.finished(now, idle)
 }
 
-// finished reports whether the process may exit.
-func (f *finisher) finished(now time.Duration, idle bool) bool {
-	daemon := f.process
-	if now < f.stopReading || daemon.dispatcher.Unanswered() > 0 {
+// finished reports whether nothing is owed any more. idle says that no connection is
+// left.
+func (a *lastAnswers) finished(now time.Duration, idle bool) bool {
+	if now < a.stopReading || a.process.dispatcher.Unanswered() > 0 {
 		return false
 	}
-	if idle || now > f.upstreamUntil {
+	if idle || now > a.upstreamUntil {
 		return true
 	}
-	return now > f.lingerUntil && !daemon.frontEnds.faktory.Busy()
+	return now > a.lingerUntil && !a.process.frontEnds.faktory.Busy()
+}
+
+// end closes the store and logs what the process has done. It is called after the loop
+// has stopped.
+func (p *process) end() {
+	if err := p.frontEnds.faktory.Close(); err != nil {
+		p.dispatcher.Log(fmt.Sprintf("durable job store: %v", err))
+	}
+	sum := p.dispatcher.Counts()
+	p.dispatcher.Log(fmt.Sprintf("stopped: accepted %d, served %d, rejected %d, failed %d, cancelled %d, attempts %d",
+		sum.Accepted, sum.Served, sum.Rejected, sum.Failed, sum.Cancelled, sum.Attempts))
 }
--- a/internal/daemon/signals.go
+++ b/internal/daemon/signals.go
@@ -1,6 +1,7 @@
 package daemon
 
 import (
+	"fmt"
 	"os"
 	"os/signal"
 	"syscall"
@@ -33,7 +34,14 @@
 func (p *process) handleReloads(env func(string) string, reloads <-chan os.Signal) {
 	for range reloads {
 		next, err := readForReload(p.files, env)
-		p.dispatcher.Loop.Post(func() { p.reload(next, err) })
+		p.dispatcher.Loop.Post(func() {
+			if err == nil {
+				err = p.reload(&next)
+			}
+			if err != nil {
+				p.dispatcher.Log(fmt.Sprintf("reload: %v; configuration unchanged", err))
+			}
+		})
 	}
 }
 
--- a/internal/daemon/successor.go
+++ b/internal/daemon/successor.go
@@ -22,15 +22,21 @@
 	takeoverPoll    = 20 * time.Millisecond
 )
 
+// successorRole is the state of a process that replaces a predecessor.
+type successorRole struct {
+	greetingDone bool         // the predecessor has sent its greeting, or its time is over
+	openFaktory  func() error // opens the Faktory front end that the predecessor has; nil: nothing to open
+}
+
 // dialPredecessor connects to the process that this one may replace; nil: there is
 // none.
 func (p *process) dialPredecessor(env func(string) string) net.Conn {
-	p.handover.enabled = env(envListenerDescriptor) != "" && p.listener != nil
-	if !p.handover.enabled {
+	p.replacement.enabled = env(envListenerDescriptor) != "" && p.frontEnds.httpListener != nil
+	if !p.replacement.enabled {
 		return nil
 	}
-	p.handover.socketPath = handover.SocketPath(env(envRuntimeDirectory), p.config.Name+" "+p.config.Listen)
-	conn, err := handover.Dial(p.handover.socketPath, dialTimeout)
+	p.replacement.socketPath = handover.SocketPath(env(envRuntimeDirectory), p.config.Name+" "+p.config.Listen)
+	conn, err := handover.Dial(p.replacement.socketPath, dialTimeout)
 	if err != nil {
 		return nil
 	}
@@ -42,9 +48,9 @@
 func (p *process) startAsSuccessor(predecessor net.Conn) error {
 	p.useLimits(p.config.descriptors()/4, p.config.memory()/4)
 	err := p.engine.Adopt(predecessor, func(c *transport.Conn) transport.Handler {
-		p.handover.link = handover.NewLink(p.engine, c, p.receiveFromPredecessor, p.predecessorEnded)
+		p.replacement.link = handover.NewLink(p.engine, c, p.receiveFromPredecessor, p.predecessorEnded)
 		p.shareWithPeer()
-		return p.handover.link
+		return p.replacement.link
 	})
 	if err != nil {
 		p.useAllLimits()
@@ -76,10 +82,10 @@
 // handleGreeting starts from the predecessor's state, or without it where greeting is
 // nil: the predecessor has ended or has sent none in time. Only the first call counts.
 func (p *process) handleGreeting(greeting *handover.Greeting) {
-	if p.handover.greetingDone {
+	if p.replacement.greetingDone {
 		return
 	}
-	p.handover.greetingDone = true
+	p.replacement.greetingDone = true
 	var list []byte
 	if greeting != nil {
 		p.dispatcher.Log("started as the successor of a running process")
@@ -88,7 +94,7 @@
 		p.config.Discovery = cmp.Or(greeting.Discovery, p.config.Discovery)
 		p.registry.SetAddress(p.config.Discovery)
 		if greeting.OutOfService {
-			p.drain(true)
+			p.setDraining(true)
 		}
 	}
 	p.loadInitialList(list)
@@ -96,9 +102,9 @@
 }
 
 // serveWhenReady accepts clients once discovery has answered and a worker is ready,
-// or from a time on with the initial endpoint list. Until then the predecessor serves.
+// or from latest on with the initial endpoint list. Until then the predecessor serves.
 func (p *process) serveWhenReady(latest time.Duration) {
-	if p.stopping {
+	if p.phase == stopping {
 		return
 	}
 	loop := p.dispatcher.Loop
@@ -107,7 +113,7 @@
 		loop.After(readyPoll, func() { p.serveWhenReady(latest) })
 		return
 	}
-	if p.handover.link != nil {
+	if p.replacement.link != nil {
 		p.frontEnds.http.SetShared(true)
 	}
 	p.serve()
@@ -121,22 +127,22 @@
 	p.peerEnded()
 	p.takeOverFaktory(p.dispatcher.Loop.Now() + takeoverTimeout)
 	p.handleGreeting(nil)
-	if !p.stopping {
+	if p.phase != stopping {
 		p.listenForSuccessor()
 	}
 }
 
 // takeOverFaktory opens the Faktory front end that the predecessor has released, and
-// tries again until a time while its address or its store is still in use.
+// tries again until latest while its address or its store is still in use.
 func (p *process) takeOverFaktory(latest time.Duration) {
-	if p.handover.openFaktory == nil {
+	if p.replacement.openFaktory == nil {
 		return
 	}
 	loop := p.dispatcher.Loop
-	err := p.handover.openFaktory()
+	err := p.replacement.openFaktory()
 	switch {
 	case err == nil:
-		p.handover.openFaktory = nil
+		p.replacement.openFaktory = nil
 		p.dispatcher.Log("durable jobs taken over")
 	case loop.Now() < latest:
 		loop.After(takeoverPoll, func() { p.takeOverFaktory(latest) })
