--- a/internal/admin/api_test.go
+++ b/internal/admin/api_test.go
@@ -35,28 +35,37 @@
 	{"GET /control/ready HTTP/1.1\r\nX-Long: " + strings.Repeat("x", 7000) + "\r\n\r\n", 431},
 }
 
+// Steps of FuzzAPI beside the calls.
+const (
+	silentStep     = 255 // a connection that sends nothing
+	incompleteStep = 254 // an incomplete call
+)
+
 // FuzzAPI checks the API against its table: whatever the calls, wherever their bytes
 // are cut, and however many connections are held open meanwhile, each call has its one
-// answer. Two bytes are a step: the call, or 255 for a connection that sends nothing
-// and 254 for an incomplete call, and where to cut.
+// answer. Two bytes are a step: what is sent, and where to cut.
 func FuzzAPI(f *testing.F) {
 	for i := range calls {
 		f.Add([]byte{byte(i), byte(i * 14)})
 	}
 	f.Add([]byte(strings.Repeat("\xff\x00\xfe\x30", 40) + "\x00\x10\x01\x00"))
-	r := newTestAPI(f)
+	api := newTestAPI(f)
 	f.Fuzz(func(t *testing.T, steps []byte) {
-		for i := 0; i+1 < len(steps) && i < 200; i += 2 {
+		const maxStepBytes = 200
+		for i := 0; i+1 < len(steps) && i < maxStepBytes; i += 2 {
+			step := steps[i]
 			cut := int(steps[i+1])
-			switch steps[i] {
-			case 255:
-				r.dial(t)
-			case 254:
-				r.dial(t).Write([]byte(calls[0].text[:min(1+cut, len(calls[0].text)-1)]))
+			switch step {
+			case silentStep:
+				api.dial(t)
+			case incompleteStep:
+				text := calls[0].text
+				api.dial(t).Write([]byte(text[:min(1+cut, len(text)-1)]))
 			default:
-				x := calls[int(steps[i])%len(calls)]
-				if status, body := r.call(t, x.text, cut*len(x.text)/256); status != x.status {
-					t.Fatalf("%q: %d %q, want %d", x.text, status, body, x.status)
+				call := calls[int(step)%len(calls)]
+				status, body := api.call(t, call.text, cut*len(call.text)/256)
+				if status != call.status {
+					t.Fatalf("%q: %d %q, want %d", call.text, status, body, call.status)
 				}
 			}
 		}
@@ -65,33 +74,35 @@
 
 // The API refuses what its operations refuse, and passes on what is asked for.
 func TestServiceAndReady(t *testing.T) {
-	r := newTestAPI(t)
-	r.do(func() {
-		r.ready = false
-		r.refusal = errors.New("it is ending")
+	api := newTestAPI(t)
+	api.do(func() {
+		api.ready = false
+		api.refusal = errors.New("it is ending")
 	})
-	if status, _ := r.call(t, calls[0].text); status != 503 {
+	if status, _ := api.call(t, calls[0].text); status != 503 {
 		t.Errorf("not ready: %d", status)
 	}
-	for _, i := range []int{3, 4} {
-		if status, body := r.call(t, calls[i].text); status != 409 || body != "it is ending\n" {
+	for _, i := range []int{3, 4} { // out-of-service and in-service
+		if status, body := api.call(t, calls[i].text); status != 409 || body != "it is ending\n" {
 			t.Errorf("refused: %d %q", status, body)
 		}
 	}
-	r.do(func() {
-		if fmt.Sprint(r.outOfService) != "[true false]" {
-			t.Errorf("calls of SetOutOfService: %v", r.outOfService)
+	api.do(func() {
+		if fmt.Sprint(api.outOfService) != "[true false]" {
+			t.Errorf("calls of SetOutOfService: %v", api.outOfService)
 		}
 	})
 }
 
 // An incomplete call is answered in the end, and a silent connection is closed.
 func TestIncompleteCall(t *testing.T) {
-	r := newTestAPI(t)
-	half, silent := r.dial(t), r.dial(t)
-	half.Write([]byte("GET /control/re"))
-	if resp, err := http.ReadResponse(bufio.NewReader(half), nil); err != nil || resp.StatusCode != 408 {
-		t.Errorf("an incomplete call: %v, %v", resp, err)
+	api := newTestAPI(t)
+	incomplete := api.dial(t)
+	silent := api.dial(t)
+	incomplete.Write([]byte("GET /control/re"))
+	response, err := http.ReadResponse(bufio.NewReader(incomplete), nil)
+	if err != nil || response.StatusCode != 408 {
+		t.Errorf("an incomplete call: %v, %v", response, err)
 	}
 	if n, err := silent.Read(make([]byte, 1)); n != 0 || err != io.EOF {
 		t.Errorf("a silent connection: %d, %v", n, err)
--- a/internal/admin/counters_test.go
+++ b/internal/admin/counters_test.go
@@ -15,22 +15,18 @@
 // forwards are attempts that were sent, not those assigned; and only the client workers
 // are discovered.
 func TestCounters(t *testing.T) {
-	r := newTestAPI(t)
-	r.do(func() {
-		d := r.dispatcher
-		d.UpdateWorkers(scriptedWorkers{d}, decision.ListSnapshot, []decision.Endpoint{
-			{Name: "a"}, {Name: "b"}, {Name: "d", State: decision.Draining},
-		})
-		other := otherWorkers{scriptedWorkers{d}}
-		d.UpdateWorkers(other, decision.ListSnapshot, []decision.Endpoint{{Name: "other", Kind: 5}})
-		for i, id := range []string{"done-1", "done-2", "full-1", "hold-1", "hold-2"} {
-			d.Accept(discardResponses{}, uint64(i), dispatch.Request{ID: id, Class: i % 2})
-		}
-		d.Accept(discardResponses{}, 9, dispatch.Request{ID: "fail-1", Class: 1})
-		d.Cancel(d.Accept(discardResponses{}, 10, dispatch.Request{ID: "hold-3", Class: 1}))
-		d.CountResponse(0, dispatch.Rejected)
+	api := newTestAPI(t)
+	api.do(func() {
+		dispatcher := api.dispatcher
+		api.addScriptedWorkers()
+		other := otherWorkers{scriptedWorkers{dispatcher}}
+		dispatcher.UpdateWorkers(other, decision.ListSnapshot, []decision.Endpoint{{Name: "other", Kind: 5}})
+		api.acceptScripted()
+		cancelled := dispatcher.Accept(discardResponses{}, 10, dispatch.Request{ID: "hold-3", Class: 1})
+		dispatcher.Cancel(cancelled)
+		dispatcher.CountResponse(0, dispatch.Rejected)
 	})
-	_, body := r.call(t, calls[1].text)
+	_, body := api.call(t, calls[1].text)
 	var got map[string]any
 	if err := json.Unmarshal([]byte(body), &got); err != nil {
 		t.Fatal(err)
@@ -44,12 +40,12 @@
 
 // The guard's counts are by rule, apart from the counters, whose keys stay.
 func TestInvariants(t *testing.T) {
-	r := newTestAPI(t)
-	r.do(func() {
-		r.dispatcher.Guard.MaySend(invariant.Send{Now: 2, Deadline: 1})
-		r.dispatcher.Guard.CheckClosed(true, "a connection")
+	api := newTestAPI(t)
+	api.do(func() {
+		api.dispatcher.Guard.MaySend(invariant.Send{Now: 2, Deadline: 1})
+		api.dispatcher.Guard.CheckClosed(true, "a connection")
 	})
-	_, body := r.call(t, "GET /control/invariants HTTP/1.1\r\nHost: d\r\n\r\n")
+	_, body := api.call(t, "GET /control/invariants HTTP/1.1\r\nHost: d\r\n\r\n")
 	if want := `{"prevented":{"deadline":1},"violated":{"unanswered":1}}`; strings.TrimSpace(body) != want {
 		t.Errorf("%q, not %q", body, want)
 	}
--- a/internal/admin/testapi_test.go
+++ b/internal/admin/testapi_test.go
@@ -60,45 +60,91 @@
 
 func newTestAPI(t testing.TB) *testAPI {
 	t.Helper()
-	d, err := dispatch.New(eventloop.New(), decision.Settings{
+	dispatcher, err := dispatch.New(eventloop.New(), decision.Settings{
 		Classes: []decision.Class{
-			{Name: "status-check", PriorityWeight: 3, LatencyObjective: time.Second, Deadline: 5 * time.Second},
-			{Name: "renewal", PriorityWeight: 5, LatencyObjective: time.Second, Deadline: 8 * time.Second, Idempotency: decision.NonIdempotent},
+			{
+				Name:             "status-check",
+				PriorityWeight:   3,
+				LatencyObjective: time.Second,
+				Deadline:         5 * time.Second,
+			},
+			{
+				Name:             "renewal",
+				PriorityWeight:   5,
+				LatencyObjective: time.Second,
+				Deadline:         8 * time.Second,
+				Idempotency:      decision.NonIdempotent,
+			},
 		},
-		Tick: time.Millisecond, MaxAttempts: 1,
+		Tick:        time.Millisecond,
+		MaxAttempts: 1,
 	}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	e, err := transport.NewEngine(d.Loop, 200)
+	engine, err := transport.NewEngine(dispatcher.Loop, 200)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &testAPI{dispatcher: d, ready: true}
-	d.AddSource(scriptedWorkers{d})
-	api := New(d, e, scriptedWorkers{d}, Operations{
-		Ready:           func() bool { return r.ready },
-		SetOutOfService: func(out bool) error { r.outOfService = append(r.outOfService, out); return r.refusal },
+	api := &testAPI{dispatcher: dispatcher, ready: true}
+	dispatcher.AddSource(scriptedWorkers{dispatcher})
+	tested := New(dispatcher, engine, scriptedWorkers{dispatcher}, Operations{
+		Ready:           func() bool { return api.ready },
+		SetOutOfService: api.setOutOfService,
 	})
-	if r.addr, err = api.Listen("127.0.0.1:0"); err != nil {
+	api.addr, err = tested.Listen("127.0.0.1:0")
+	if err != nil {
 		t.Fatal(err)
 	}
-	done := make(chan struct{})
-	go func() { d.Loop.Run(); close(done) }()
-	t.Cleanup(func() { d.Loop.Stop(); <-done; e.StopListening() })
-	return r
+	stopped := make(chan struct{})
+	go func() {
+		dispatcher.Loop.Run()
+		close(stopped)
+	}()
+	t.Cleanup(func() {
+		dispatcher.Loop.Stop()
+		<-stopped
+		engine.StopListening()
+	})
+	return api
+}
+
+// setOutOfService records a call, and refuses it where refusal is set.
+func (a *testAPI) setOutOfService(out bool) error {
+	a.outOfService = append(a.outOfService, out)
+	return a.refusal
+}
+
+// addScriptedWorkers adds two workers and one that is draining. It runs on the loop.
+func (a *testAPI) addScriptedWorkers() {
+	a.dispatcher.UpdateWorkers(scriptedWorkers{a.dispatcher}, decision.ListSnapshot, []decision.Endpoint{
+		{Name: "a"},
+		{Name: "b"},
+		{Name: "d", State: decision.Draining},
+	})
+}
+
+// acceptScripted accepts requests that end as their ids say. It runs on the loop.
+func (a *testAPI) acceptScripted() {
+	for i, id := range []string{"done-1", "done-2", "full-1", "hold-1", "hold-2"} {
+		a.dispatcher.Accept(discardResponses{}, uint64(i), dispatch.Request{ID: id, Class: i % 2})
+	}
+	a.dispatcher.Accept(discardResponses{}, 9, dispatch.Request{ID: "fail-1", Class: 1})
 }
 
 // do runs f on the loop.
-func (r *testAPI) do(f func()) {
+func (a *testAPI) do(f func()) {
 	done := make(chan struct{})
-	r.dispatcher.Loop.Post(func() { f(); close(done) })
+	a.dispatcher.Loop.Post(func() {
+		f()
+		close(done)
+	})
 	<-done
 }
 
-func (r *testAPI) dial(t testing.TB) net.Conn {
+func (a *testAPI) dial(t testing.TB) net.Conn {
 	t.Helper()
-	conn, err := net.Dial("tcp", r.addr)
+	conn, err := net.Dial("tcp", a.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,28 +153,29 @@
 	return conn
 }
 
-// call sends a call's bytes and returns what comes until the connection ends.
-func (r *testAPI) call(t testing.TB, text string, cuts ...int) (int, string) {
+// call sends a call's bytes, in parts that end at the cuts, and returns the response.
+// Nothing else may come until the connection ends.
+func (a *testAPI) call(t testing.TB, text string, cuts ...int) (status int, body string) {
 	t.Helper()
-	conn := r.dial(t)
-	at := 0
+	conn := a.dial(t)
+	sent := 0
 	for _, cut := range cuts {
-		cut = min(max(cut, at), len(text))
-		conn.Write([]byte(text[at:cut]))
-		at = cut
+		end := min(max(cut, sent), len(text))
+		conn.Write([]byte(text[sent:end]))
+		sent = end
 	}
-	conn.Write([]byte(text[at:]))
-	in := bufio.NewReader(conn)
-	resp, err := http.ReadResponse(in, nil)
+	conn.Write([]byte(text[sent:]))
+	reader := bufio.NewReader(conn)
+	response, err := http.ReadResponse(reader, nil)
 	if err != nil {
 		t.Fatalf("%q: %v", text, err)
 	}
-	body, err := io.ReadAll(resp.Body)
-	if err != nil || !resp.Close {
-		t.Errorf("%q: %v, closes: %v", text, err, resp.Close)
+	answer, err := io.ReadAll(response.Body)
+	if err != nil || !response.Close {
+		t.Errorf("%q: %v, closes: %v", text, err, response.Close)
 	}
-	if rest, _ := io.ReadAll(in); len(rest) > 0 {
+	if rest, _ := io.ReadAll(reader); len(rest) > 0 {
 		t.Errorf("%q: behind the answer: %q", text, rest)
 	}
-	return resp.StatusCode, string(body)
+	return response.StatusCode, string(answer)
 }
