--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -38,18 +38,19 @@
 // Messages of all kinds are written byte for byte as the golden file has them, and
 // read back equal: the peer process may be of an older build or a newer one.
 func TestGoldenMessages(t *testing.T) {
-	p := newTestPeer(t, SocketPath(t.TempDir(), "n"))
-	conn, link := p.connect(t)
+	peer := newTestPeer(t, SocketPath(t.TempDir(), "n"))
+	conn, link := peer.connect(t)
 	defer conn.Close()
-	p.loop.Post(func() {
-		for _, m := range goldenMessages() {
-			link.Send(m)
+	peer.loop.Post(func() {
+		for _, message := range goldenMessages() {
+			link.Send(message)
 		}
 		link.SendIDs(goldenIDs)
 	})
 	var written bytes.Buffer
-	for in := bufio.NewReader(conn); bytes.Count(written.Bytes(), []byte("\n")) < len(goldenMessages())+1; {
-		line, err := in.ReadBytes('\n')
+	reader := bufio.NewReader(conn)
+	for range len(goldenMessages()) + 1 {
+		line, err := reader.ReadBytes('\n')
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -64,11 +65,11 @@
 		t.Fatal(err)
 	}
 	for i, want := range goldenMessages() {
-		if got := receive(t, p.received); !reflect.DeepEqual(got, want) {
+		if got := receive(t, peer.received); !reflect.DeepEqual(got, want) {
 			t.Errorf("message %d is read as %+v, want %+v", i, got, want)
 		}
 	}
-	last := receive(t, p.received)
+	last := receive(t, peer.received)
 	if ids, err := last.ReadIDs(); err != nil || !reflect.DeepEqual(ids, goldenIDs) {
 		t.Errorf("ids %x, %v", ids, err)
 	}
@@ -76,11 +77,11 @@
 
 // Keys that a newer build may add are ignored.
 func TestGoldenUnknownKeys(t *testing.T) {
-	p := newTestPeer(t, SocketPath(t.TempDir(), "n"))
-	conn, _ := p.connect(t)
+	peer := newTestPeer(t, SocketPath(t.TempDir(), "n"))
+	conn, _ := peer.connect(t)
 	defer conn.Close()
-	fmt.Fprintln(conn, `{"a_word_to_come":{"x":1},"ready":true}`)
-	if got := receive(t, p.received); !reflect.DeepEqual(got, Message{Ready: true}) {
+	fmt.Fprintln(conn, `{"a_key_to_come":{"x":1},"ready":true}`)
+	if got := receive(t, peer.received); !reflect.DeepEqual(got, Message{Ready: true}) {
 		t.Errorf("read as %+v", got)
 	}
 }
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -28,13 +28,13 @@
 	idsTimer  eventloop.Deadline
 }
 
-// NewLink returns the handler of a connection with the peer process. onMessage gets
-// each message; onLost is called once, when the connection has ended, or when a line
-// is too long or no message.
-func NewLink(e *transport.Engine, c *transport.Conn, onMessage func(Message), onLost func()) *Link {
-	l := &Link{engine: e, conn: c, onMessage: onMessage, onLost: onLost}
-	l.idsTimer.Fire = l.flushIDs
-	return l
+// NewLink returns the handler of a connection with the peer process. onMessage is
+// called for each message, in their order. onLost is called once: when the connection
+// has ended, or when a line is too long or no message. Both are called on the loop.
+func NewLink(engine *transport.Engine, conn *transport.Conn, onMessage func(Message), onLost func()) *Link {
+	link := &Link{engine: engine, conn: conn, onMessage: onMessage, onLost: onLost}
+	link.idsTimer.Fire = link.flushIDs
+	return link
 }
 
 // Send sends a message. One to a process that has ended is lost.
--- a/internal/handover/link_test.go
+++ b/internal/handover/link_test.go
@@ -17,46 +17,65 @@
 const testTimeout = 20 * time.Second // no test waits that long unless something is broken
 
 // receive returns the next value of a channel, and fails the test after testTimeout.
-func receive[T any](t testing.TB, c chan T) (v T) {
+func receive[T any](t testing.TB, values <-chan T) (value T) {
 	t.Helper()
 	select {
-	case v = <-c:
+	case value = <-values:
 	case <-time.After(testTimeout):
 		t.Fatal("nothing received")
 	}
-	return v
+	return value
 }
 
 // testPeer is a process that listens for a successor, which the test is.
 type testPeer struct {
 	loop     *eventloop.Loop
 	engine   *transport.Engine
-	listener net.Listener
 	path     string
-	links    chan *Link
-	received chan Message
-	lost     chan bool
+	links    chan *Link    // one for each connection
+	received chan Message  // on all links
+	lost     chan struct{} // a value for each link that has ended
 }
 
 func newTestPeer(t testing.TB, path string) *testPeer {
 	t.Helper()
-	p := &testPeer{loop: eventloop.New(), path: path, links: make(chan *Link, 9), received: make(chan Message, 5000), lost: make(chan bool, 9)}
-	var err error
-	if p.engine, err = transport.NewEngine(p.loop, 100); err != nil {
+	peer := &testPeer{
+		loop:     eventloop.New(),
+		path:     path,
+		links:    make(chan *Link, 9),
+		received: make(chan Message, 5000),
+		lost:     make(chan struct{}, 9),
+	}
+	engine, err := transport.NewEngine(peer.loop, 100)
+	if err != nil {
 		t.Fatal(err)
 	}
-	if p.listener, err = Listen(path); err != nil {
+	peer.engine = engine
+	listener, err := Listen(path)
+	if err != nil {
 		t.Fatal(err)
 	}
-	p.engine.Serve(p.listener, 1, false, func(c *transport.Conn) transport.Handler {
-		l := NewLink(p.engine, c, func(m Message) { p.received <- m }, func() { p.lost <- true })
-		p.links <- l
-		return l
-	}, func() {})
-	done := make(chan struct{})
-	go func() { p.loop.Run(); close(done) }()
-	t.Cleanup(func() { p.loop.Stop(); <-done; p.engine.StopListening() })
-	return p
+	engine.Serve(listener, 1, false, peer.accept, func() {})
+	stopped := make(chan struct{})
+	go func() {
+		peer.loop.Run()
+		close(stopped)
+	}()
+	t.Cleanup(func() {
+		peer.loop.Stop()
+		<-stopped
+		engine.StopListening()
+	})
+	return peer
+}
+
+// accept makes a link of a connection. It runs on the loop.
+func (p *testPeer) accept(conn *transport.Conn) transport.Handler {
+	onMessage := func(message Message) { p.received <- message }
+	onLost := func() { p.lost <- struct{}{} }
+	link := NewLink(p.engine, conn, onMessage, onLost)
+	p.links <- link
+	return link
 }
 
 // connect connects as the successor, and returns the link of the other end too.
@@ -72,29 +91,32 @@
 
 // Request ids arrive complete, however many; other text is rejected.
 func TestRequestIDs(t *testing.T) {
-	p := newTestPeer(t, SocketPath(t.TempDir(), "n"))
-	conn, link := p.connect(t)
+	peer := newTestPeer(t, SocketPath(t.TempDir(), "n"))
+	conn, link := peer.connect(t)
 	defer conn.Close()
-	var want, got []uint64
-	for i := range 5001 {
-		want = append(want, uint64(i)<<40|uint64(i))
+	const sentAtOnce = 5000
+	var sent []uint64
+	for i := range uint64(sentAtOnce + 1) {
+		sent = append(sent, i<<40|i)
 	}
-	p.loop.Post(func() {
-		link.SendIDs(want[:5000])
-		link.SendAccepted(want[5000]) // sent after idsDelay
+	peer.loop.Post(func() {
+		link.SendIDs(sent[:sentAtOnce])
+		link.SendAccepted(sent[sentAtOnce]) // sent after idsDelay
 	})
-	for in := json.NewDecoder(conn); len(got) < len(want); {
-		var m Message
-		if err := in.Decode(&m); err != nil {
+	var received []uint64
+	decoder := json.NewDecoder(conn)
+	for len(received) < len(sent) {
+		var message Message
+		if err := decoder.Decode(&message); err != nil {
 			t.Fatal(err)
 		}
-		ids, err := m.ReadIDs()
+		ids, err := message.ReadIDs()
 		if err != nil {
 			t.Fatal(err)
 		}
-		got = append(got, ids...)
+		received = append(received, ids...)
 	}
-	if !reflect.DeepEqual(got, want) {
+	if !reflect.DeepEqual(received, sent) {
 		t.Error("other ids were received")
 	}
 	for _, bad := range []string{"x", "AAAA"} {
@@ -104,54 +126,86 @@
 	}
 }
 
+// fuzzMessages returns the messages that FuzzLink sends.
+func fuzzMessages() []Message {
+	out := true
+	return []Message{
+		{Ready: true},
+		{IDs: "AAAAAAAAAAA="},
+		{OutOfService: &out},
+		{Reservation: &Reservation{Worker: "w", Amount: 0.5}},
+		{Limits: &Limits{Descriptors: 200, Memory: 1 << 20}},
+		{Greeting: &Greeting{
+			Discovery:    "127.0.0.1:1",
+			List:         json.RawMessage(`{"seq":1}`),
+			OutOfService: true,
+			IDKey:        []byte("key"),
+		}},
+		{List: json.RawMessage(`{"hosts":["` + strings.Repeat("x", 50000) + `"]}`)},
+	}
+}
+
+// fuzzStep is a step of FuzzLink: three bits for the message, where one more than there
+// are is a line that is no JSON, and five for where its line is cut. From 128 on there is a
+// pause at the cut.
+type fuzzStep byte
+
+func (s fuzzStep) message() int { return int(s % 8) }
+
+func (s fuzzStep) cut(length int) int { return int(s/8) * length / 32 }
+
+func (s fuzzStep) pauses() bool { return s >= 128 }
+
+// write writes a line in two parts.
+func (s fuzzStep) write(conn net.Conn, line []byte) {
+	cut := s.cut(len(line))
+	conn.Write(line[:cut])
+	if s.pauses() {
+		time.Sleep(time.Millisecond)
+	}
+	conn.Write(line[cut:])
+}
+
 // FuzzLink checks what a link receives: the messages sent, in order and once each,
 // wherever their bytes are cut, until one is no JSON, which ends the link as the end
-// of the peer process does. A byte is a step: the message, and where to cut.
+// of the peer process does.
 func FuzzLink(f *testing.F) {
+	const maxSteps = 40
 	f.Add([]byte{0, 17, 34, 51, 68, 85, 200})
 	f.Add([]byte{0, 1, 2, 3, 4, 5, 6})
 	f.Add([]byte{0, 7})
-	out := true
-	messages := []Message{
-		{Ready: true}, {IDs: "AAAAAAAAAAA="}, {OutOfService: &out}, {Reservation: &Reservation{"w", 0.5}}, {Limits: &Limits{200, 1 << 20}},
-		{Greeting: &Greeting{"127.0.0.1:1", json.RawMessage(`{"seq":1}`), true, []byte("key")}},
-		{List: json.RawMessage(`{"hosts":["` + strings.Repeat("x", 50000) + `"]}`)},
-	}
-	p := newTestPeer(f, SocketPath(f.TempDir(), "n"))
+	messages := fuzzMessages()
+	peer := newTestPeer(f, SocketPath(f.TempDir(), "n"))
 	f.Fuzz(func(t *testing.T, steps []byte) {
-		conn, _ := p.connect(t)
+		conn, _ := peer.connect(t)
 		sent := 0
-		for _, b := range steps[:min(len(steps), 40)] {
-			if int(b%8) == len(messages) {
+		for _, code := range steps[:min(len(steps), maxSteps)] {
+			step := fuzzStep(code)
+			if step.message() == len(messages) {
 				fmt.Fprintln(conn, `{"ready":`)
 				break
 			}
-			text, _ := json.Marshal(messages[b%8])
-			text = append(text, '\n')
-			cut := int(b/8) * len(text) / 32
-			conn.Write(text[:cut])
-			if b >= 128 {
-				time.Sleep(time.Millisecond)
-			}
-			conn.Write(text[cut:])
+			message := messages[step.message()]
+			line, _ := json.Marshal(message)
+			step.write(conn, append(line, '\n'))
 			sent++
-			if got := receive(t, p.received); !reflect.DeepEqual(got, messages[b%8]) {
-				t.Fatalf("received %+v, sent %+v", got, messages[b%8])
+			if got := receive(t, peer.received); !reflect.DeepEqual(got, message) {
+				t.Fatalf("received %+v, sent %+v", got, message)
 			}
 		}
 		conn.Close()
-		receive(t, p.lost)
-		if n := len(p.received); n > 0 {
-			t.Fatalf("%d messages more than the %d sent", n, sent)
+		receive(t, peer.lost)
+		if more := len(peer.received); more > 0 {
+			t.Fatalf("%d messages more than the %d sent", more, sent)
 		}
 	})
 }
 
 // A line longer than a buffer ends the link.
 func TestLineTooLong(t *testing.T) {
-	p := newTestPeer(t, SocketPath(t.TempDir(), "n"))
-	conn, _ := p.connect(t)
+	peer := newTestPeer(t, SocketPath(t.TempDir(), "n"))
+	conn, _ := peer.connect(t)
 	defer conn.Close()
 	go conn.Write([]byte(strings.Repeat("x", 2*transport.BufferSize)))
-	receive(t, p.lost)
+	receive(t, peer.lost)
 }
--- a/internal/handover/socket_test.go
+++ b/internal/handover/socket_test.go
@@ -11,16 +11,16 @@
 // Dial reaches a listener whatever the length of its path, and one that replaced the
 // file of a dead process; it fails without a listener or a directory.
 func TestDialAndListen(t *testing.T) {
-	directory, err := os.MkdirTemp("", "y")
+	short, err := os.MkdirTemp("", "y")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer os.RemoveAll(directory)
-	long := filepath.Join(directory, strings.Repeat("long-", 30))
+	defer os.RemoveAll(short)
+	long := filepath.Join(short, strings.Repeat("long-", 30))
 	os.Mkdir(long, 0o700)
-	for _, dir := range []string{directory, long} {
-		path := SocketPath(dir, "n0 127.0.0.1:80")
-		if path == SocketPath(dir, "n1 127.0.0.1:80") {
+	for _, directory := range []string{short, long} {
+		path := SocketPath(directory, "n0 127.0.0.1:80")
+		if path == SocketPath(directory, "n1 127.0.0.1:80") {
 			t.Error("two dispatchers have one socket")
 		}
 		if _, err := Dial(path, testTimeout); err == nil {
@@ -37,10 +37,10 @@
 		if _, err := Dial(path, testTimeout); err == nil {
 			t.Errorf("%s: connected to a dead process", path)
 		}
-		p := newTestPeer(t, path)
-		conn, _ := p.connect(t)
+		peer := newTestPeer(t, path)
+		conn, _ := peer.connect(t)
 		conn.Close()
-		receive(t, p.lost)
+		receive(t, peer.lost)
 	}
 	if SocketPath("", "n0") != "" {
 		t.Error("a path without a directory")
