--- a/internal/settings/connections.go
+++ b/internal/settings/connections.go
@@ -15,48 +15,48 @@
 type Connections struct {
 	Enabled bool `toml:"on" help:"decide on each connection; false: the table is checked and not used"`
 
-	Known  []string `toml:"known" help:"prefixes of known clients, as 10.1.0.0/16: they have the reserve, and no caps"`
-	Fronts []string `toml:"fronts" help:"prefixes of fronts that send a PROXY header (v1 or v2): caps hold for the clients it names"`
-
-	Capacity    int     `toml:"sessions_connections" help:"sessions at a time; 0: six tenths of the descriptors"`
-	Reserve     int     `toml:"reserve_connections" help:"of them, that unknown clients cannot use; 0: a quarter of them where clients are known"`
-	UnknownPerS float64 `toml:"unknown_new_per_s" help:"new connections a second of all unknown clients together; 0: no bound"`
-
-	AddressOpen    int     `toml:"address_open_connections" help:"open connections of one address; 0: no bound"`
-	AddressOpening int     `toml:"address_opening_connections" help:"of them, those on which not a byte has come; 0: no bound"`
-	AddressPerS    float64 `toml:"address_new_per_s" help:"new connections a second of one address; 0: no bound"`
-	AddressBurst   int     `toml:"address_new_burst" help:"that may come at once; 0: a second's"`
-	AddressHalf    int     `toml:"address_half_read_requests" help:"half-read requests of one address; 0: no bound"`
-	AddressBytes   int     `toml:"address_buffered_bytes" help:"that half-read requests of one address hold; 0: no bound"`
-
-	PrefixOpen    int     `toml:"prefix_open_connections" help:"the same of all addresses of one prefix"`
-	PrefixOpening int     `toml:"prefix_opening_connections"`
-	PrefixPerS    float64 `toml:"prefix_new_per_s"`
-	PrefixBurst   int     `toml:"prefix_new_burst"`
-	PrefixHalf    int     `toml:"prefix_half_read_requests"`
-	PrefixBytes   int     `toml:"prefix_buffered_bytes"`
-	V4Bits        int     `toml:"prefix_v4_bits" help:"length of an IPv4 prefix; default 24"`
-	V6Bits        int     `toml:"prefix_v6_bits" help:"length of an IPv6 prefix; default 64"`
-
-	Learn         bool    `toml:"learn" help:"addresses whose jobs are served become known"`
-	LearnAfter    float64 `toml:"learn_after_jobs" help:"served jobs, decayed, from which on; default 20"`
-	LearnHalfLife float64 `toml:"learn_half_life_s" help:"of what is remembered; default 600"`
-	LearnShare    float64 `toml:"learn_reserve_share" help:"share of the reserve that learned ones may use; default 0.5"`
-	Newcomers     float64 `toml:"newcomer_share" help:"share of the other room that learned ones leave to newcomers; default 0.1"`
-	Addresses     int     `toml:"remembered_addresses" help:"default 16384; only a restart changes it"`
-	Prefixes      int     `toml:"remembered_prefixes" help:"default 4096; only a restart changes it"`
-
-	MinRate    float64 `toml:"min_bytes_per_s" help:"of a request on its way; 0: no bound but the 2 s in which it must be whole"`
-	RateGrace  float64 `toml:"min_rate_after_ms" help:"from its first byte on; default 500"`
-	WriteStall float64 `toml:"write_stall_ms" help:"for which answers may wait to be read; 0: no bound"`
+	Known          []string `toml:"known" help:"prefixes of known clients, as 10.1.0.0/16: they have the reserve, and no caps"`
+	TrustedProxies []string `toml:"fronts" help:"prefixes of fronts that send a PROXY header (v1 or v2): caps hold for the clients it names"`
+
+	Capacity         int     `toml:"sessions_connections" help:"sessions at a time; 0: six tenths of the descriptors"`
+	Reserve          int     `toml:"reserve_connections" help:"of them, that unknown clients cannot use; 0: a quarter of them where clients are known"`
+	UnknownPerSecond float64 `toml:"unknown_new_per_s" help:"new connections a second of all unknown clients together; 0: no bound"`
+
+	AddressOpen      int     `toml:"address_open_connections" help:"open connections of one address; 0: no bound"`
+	AddressOpening   int     `toml:"address_opening_connections" help:"of them, those on which not a byte has come; 0: no bound"`
+	AddressPerSecond float64 `toml:"address_new_per_s" help:"new connections a second of one address; 0: no bound"`
+	AddressBurst     int     `toml:"address_new_burst" help:"that may come at once; 0: a second's"`
+	AddressHalfRead  int     `toml:"address_half_read_requests" help:"half-read requests of one address; 0: no bound"`
+	AddressBytes     int     `toml:"address_buffered_bytes" help:"that half-read requests of one address hold; 0: no bound"`
+
+	PrefixOpen      int     `toml:"prefix_open_connections" help:"the same of all addresses of one prefix"`
+	PrefixOpening   int     `toml:"prefix_opening_connections"`
+	PrefixPerSecond float64 `toml:"prefix_new_per_s"`
+	PrefixBurst     int     `toml:"prefix_new_burst"`
+	PrefixHalfRead  int     `toml:"prefix_half_read_requests"`
+	PrefixBytes     int     `toml:"prefix_buffered_bytes"`
+	V4Bits          int     `toml:"prefix_v4_bits" help:"length of an IPv4 prefix; default 24"`
+	V6Bits          int     `toml:"prefix_v6_bits" help:"length of an IPv6 prefix; default 64"`
+
+	Learn                bool    `toml:"learn" help:"addresses whose jobs are served become known"`
+	LearnAfterJobs       float64 `toml:"learn_after_jobs" help:"served jobs, decayed, from which on; default 20"`
+	LearnHalfLifeSeconds float64 `toml:"learn_half_life_s" help:"of what is remembered; default 600"`
+	LearnShare           float64 `toml:"learn_reserve_share" help:"share of the reserve that learned ones may use; default 0.5"`
+	NewcomerShare        float64 `toml:"newcomer_share" help:"share of the other room that learned ones leave to newcomers; default 0.1"`
+	RememberedAddresses  int     `toml:"remembered_addresses" help:"default 16384; only a restart changes it"`
+	RememberedPrefixes   int     `toml:"remembered_prefixes" help:"default 4096; only a restart changes it"`
+
+	MinRate      float64 `toml:"min_bytes_per_s" help:"of a request on its way; 0: no bound but the 2 s in which it must be whole"`
+	RateGraceMs  float64 `toml:"min_rate_after_ms" help:"from its first byte on; default 500"`
+	WriteStallMs float64 `toml:"write_stall_ms" help:"for which answers may wait to be read; 0: no bound"`
 
 	RejectWith     string  `toml:"refuse" help:"how: close (default) or 503"`
-	Low            float64 `toml:"low_mark" help:"share of descriptors at which idle unknown sessions go; default 0.8"`
-	High           float64 `toml:"high_mark" help:"at which unknown arrivals end at once; default 0.9"`
-	Critical       float64 `toml:"critical_mark" help:"at which even idle connections to workers go; default 0.97"`
-	Back           float64 `toml:"mark_hysteresis" help:"so far below its mark a level ends; default 0.05"`
-	FloorSessions  int     `toml:"floor_sessions_descriptors" help:"that no other kind can take; default 32"`
-	FloorBackends  int     `toml:"floor_backends_descriptors" help:"default a quarter"`
+	LowMark        float64 `toml:"low_mark" help:"share of descriptors at which idle unknown sessions go; default 0.8"`
+	HighMark       float64 `toml:"high_mark" help:"at which unknown arrivals end at once; default 0.9"`
+	CriticalMark   float64 `toml:"critical_mark" help:"at which even idle connections to workers go; default 0.97"`
+	MarkHysteresis float64 `toml:"mark_hysteresis" help:"so far below its mark a level ends; default 0.05"`
+	FloorClients   int     `toml:"floor_sessions_descriptors" help:"that no other kind can take; default 32"`
+	FloorWorkers   int     `toml:"floor_backends_descriptors" help:"default a quarter"`
 	FloorDiscovery int     `toml:"floor_discovery_descriptors" help:"default 2"`
 	FloorStores    int     `toml:"floor_stores_descriptors" help:"default 0"`
 }
@@ -99,8 +99,8 @@
 	limits := ConnectionLimits{
 		Admission:        admission,
 		DescriptorFloors: c.descriptorFloors(descriptors),
-		Watermarks:       connlimit.Watermarks{Low: c.Low, High: c.High, Critical: c.Critical, Hysteresis: c.Back},
-		WriteStall:       milliseconds(c.WriteStall),
+		Watermarks:       connlimit.Watermarks{Low: c.LowMark, High: c.HighMark, Critical: c.CriticalMark, Hysteresis: c.MarkHysteresis},
+		WriteStall:       milliseconds(c.WriteStallMs),
 		Respond503:       c.RejectWith == rejectWith503,
 	}
 	if err := admission.Check(); err != nil { // it fills in defaults, in this copy only
@@ -118,7 +118,7 @@
 	if err != nil {
 		return connlimit.Config{}, err
 	}
-	proxies, err := parsePrefixes("fronts", c.Fronts)
+	proxies, err := parsePrefixes("fronts", c.TrustedProxies)
 	if err != nil {
 		return connlimit.Config{}, err
 	}
@@ -135,16 +135,16 @@
 		TrustedProxies: proxies,
 		Capacity:       capacity,
 		Reserve:        reserve,
-		Rate:           c.UnknownPerS,
+		Rate:           c.UnknownPerSecond,
 		Address:        c.addressLimits(),
 		Prefix:         c.prefixLimits(),
 		V4Bits:         c.V4Bits,
 		V6Bits:         c.V6Bits,
 		Learn:          c.learning(),
-		Addresses:      c.Addresses,
-		Prefixes:       c.Prefixes,
+		Addresses:      c.RememberedAddresses,
+		Prefixes:       c.RememberedPrefixes,
 		MinRate:        c.MinRate,
-		RateGrace:      milliseconds(c.RateGrace),
+		RateGrace:      milliseconds(c.RateGraceMs),
 	}, nil
 }
 
@@ -152,9 +152,9 @@
 	return connlimit.Limits{
 		Open:      c.AddressOpen,
 		Opening:   c.AddressOpening,
-		PerSecond: c.AddressPerS,
+		PerSecond: c.AddressPerSecond,
 		Burst:     c.AddressBurst,
-		HalfRead:  c.AddressHalf,
+		HalfRead:  c.AddressHalfRead,
 		Bytes:     c.AddressBytes,
 	}
 }
@@ -163,9 +163,9 @@
 	return connlimit.Limits{
 		Open:      c.PrefixOpen,
 		Opening:   c.PrefixOpening,
-		PerSecond: c.PrefixPerS,
+		PerSecond: c.PrefixPerSecond,
 		Burst:     c.PrefixBurst,
-		HalfRead:  c.PrefixHalf,
+		HalfRead:  c.PrefixHalfRead,
 		Bytes:     c.PrefixBytes,
 	}
 }
@@ -173,18 +173,18 @@
 func (c *Connections) learning() connlimit.LearnConfig {
 	return connlimit.LearnConfig{
 		Enabled:  c.Learn,
-		HalfLife: seconds(c.LearnHalfLife),
-		After:    c.LearnAfter,
+		HalfLife: seconds(c.LearnHalfLifeSeconds),
+		After:    c.LearnAfterJobs,
 		Share:    c.LearnShare,
-		Newcomer: c.Newcomers,
+		Newcomer: c.NewcomerShare,
 	}
 }
 
 // descriptorFloors returns the descriptors that each kind has to itself.
 func (c *Connections) descriptorFloors(descriptors int) (floors [connlimit.DescriptorKinds]int) {
 	quarter := descriptors / defaultFloorDivisor
-	floors[connlimit.ClientConnections] = cmp.Or(c.FloorSessions, min(maxDefaultClientFloor, quarter))
-	floors[connlimit.WorkerConnections] = cmp.Or(c.FloorBackends, quarter)
+	floors[connlimit.ClientConnections] = cmp.Or(c.FloorClients, min(maxDefaultClientFloor, quarter))
+	floors[connlimit.WorkerConnections] = cmp.Or(c.FloorWorkers, quarter)
 	floors[connlimit.DiscoveryConnections] = cmp.Or(c.FloorDiscovery, defaultDiscoveryFloor)
 	floors[connlimit.StoreFiles] = c.FloorStores
 	return floors
@@ -201,13 +201,13 @@
 		key   string
 		value float64
 	}{
-		{"learn_half_life_s", c.LearnHalfLife},
-		{"learn_after_jobs", c.LearnAfter},
-		{"min_rate_after_ms", c.RateGrace},
-		{"write_stall_ms", c.WriteStall},
+		{"learn_half_life_s", c.LearnHalfLifeSeconds},
+		{"learn_after_jobs", c.LearnAfterJobs},
+		{"min_rate_after_ms", c.RateGraceMs},
+		{"write_stall_ms", c.WriteStallMs},
 		{"min_bytes_per_s", c.MinRate},
-		{"unknown_new_per_s", c.UnknownPerS},
-		{"floor_sessions_descriptors", float64(c.FloorSessions)},
+		{"unknown_new_per_s", c.UnknownPerSecond},
+		{"floor_sessions_descriptors", float64(c.FloorClients)},
 		{"sessions_connections", float64(c.Capacity)},
 	}
 	for _, amount := range amounts {
