--- a/cmd/dispatcher-serve/golden_test.go
+++ b/cmd/dispatcher-serve/golden_test.go
@@ -13,6 +13,7 @@
 // printFlags makes this test's program print the flags that main declares.
 const printFlags = "HOLLYYOKE_TEST_TELL_FLAGS"
 
+// TestMain runs the tests, or prints the flags in a process that a test starts.
 func TestMain(m *testing.M) {
 	if os.Getenv(printFlags) == "" {
 		os.Exit(m.Run())
--- a/internal/daemon/golden_config_test.go
+++ b/internal/daemon/golden_config_test.go
@@ -14,8 +14,8 @@
 	"hollyyoke.example/hollyyoke/internal/goldentest"
 )
 
-// Keys of the main configuration, complaints, and the variables of the environment
-// with what they go before.
+// Keys of the main configuration, its errors, and the variables of the environment with
+// the keys that they override.
 func TestGoldenConfiguration(t *testing.T) {
 	lines := goldentest.Keys(reflect.TypeFor[config](), "json")
 	const settings = `"settings":{"classes":[{"name":"a","repeat":"retryable"}]}`
@@ -29,8 +29,17 @@
 			requested[name] = true
 			return environment[name]
 		}
-		c, _, err := readConfig(path, env, when)
-		values, _ := json.Marshal([]any{c.Name, c.Listen, c.Discovery, c.Admin, c.Seed, c.Limits.MemoryMB, c.Limits.Sockets, string(c.Known)})
+		loaded, _, err := readConfig(path, env, when)
+		values, _ := json.Marshal([]any{
+			loaded.Name,
+			loaded.Listen,
+			loaded.Discovery,
+			loaded.Admin,
+			loaded.Seed,
+			loaded.Limits.MemoryMB,
+			loaded.Limits.Sockets,
+			string(loaded.Known),
+		})
 		lines = append(lines, fmt.Sprintf("%s again=%v %v: %s; %v", text, when == atReload, environment, values, err))
 	}
 	for _, text := range []string{
--- a/internal/daemon/load.go
+++ b/internal/daemon/load.go
@@ -112,16 +112,16 @@
 }
 
 // followConfig converts the operator's table [membership].
-func followConfig(table *settings.Membership, c *config, s *decision.Settings) (discovery.FollowConfig, error) {
-	sources, err := table.SourcesFor(s)
+func followConfig(table *settings.Membership, current *config, configured *decision.Settings) (discovery.FollowConfig, error) {
+	sources, err := table.SourcesFor(configured)
 	if err != nil {
 		return discovery.FollowConfig{}, fmt.Errorf("membership.%w", err)
 	}
 	return discovery.FollowConfig{
-		Name:                c.Name,
+		Name:                current.Name,
 		Zone:                sources.PreferredZone,
 		Servers:             sources.Servers,
 		AcknowledgeInterval: sources.AcknowledgeInterval,
-		Seed:                c.seed(),
+		Seed:                current.seed(),
 	}, nil
 }
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -15,7 +15,8 @@
 
 // goldenMessages are messages of every kind, in the order of the golden file.
 func goldenMessages() []Message {
-	out, in := true, false
+	outOfService := true
+	inService := false
 	list := json.RawMessage(`{"seq":41,"whole":true,"hosts":[{"host":"s-1","dial":"127.0.0.1:8001"}],"age_ms":1250}`)
 	return []Message{
 		{Greeting: &Greeting{Discovery: "127.0.0.1:7000", List: list, OutOfService: true, IDKey: []byte("\x00\x01key of 16 byte\xff")}},
@@ -25,8 +26,8 @@
 		{Limits: &Limits{}},
 		{DiscoveryMoved: "127.0.0.1:7001"},
 		{List: list},
-		{OutOfService: &out},
-		{OutOfService: &in},
+		{OutOfService: &outOfService},
+		{OutOfService: &inService},
 		{Reservation: &Reservation{Worker: "s-1", Amount: 0.125}},
 		{StoreReleased: true},
 	}
--- a/internal/settings/live_test.go
+++ b/internal/settings/live_test.go
@@ -15,6 +15,7 @@
 	"hollyyoke.example/hollyyoke/decision"
 )
 
+// TestMain has rapid draw the same cases on each run.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "21", "rapid.nofailfile": "true", "rapid.checks": "300"} {
@@ -40,6 +41,7 @@
 	}
 }
 
+// A change sets the field that its key names, or is rejected and changes nothing.
 func TestApplyByKey(t *testing.T) {
 	for _, test := range []struct {
 		settings string // of testSettings
--- a/internal/settings/operator_test.go
+++ b/internal/settings/operator_test.go
@@ -44,6 +44,8 @@
 	}
 }
 
+// The table [membership] is converted with the dispatcher's own zone first; zones that
+// the settings do not have are errors.
 func TestMembershipTable(t *testing.T) {
 	operator, err := ReadOperator(writeOperatorFile(t, `
 [membership]
