--- a/cmd/dispatcher/daemon_test.go
+++ b/cmd/dispatcher/daemon_test.go
@@ -1,16 +1,15 @@
 package main
 
 import (
-	"bufio"
 	"cmp"
 	"encoding/json"
-	"fmt"
-	"io"
+	"maps"
 	"net"
 	"net/http"
 	"os"
 	"os/exec"
 	"path/filepath"
+	"strconv"
 	"strings"
 	"syscall"
 	"testing"
@@ -22,78 +21,108 @@
 
 const testTimeout = 30 * time.Second // no test waits that long unless something is broken
 
-const settingsText = `{"areas":["here","there"],"kinds":["m"],"my_zone":0,"peers_total":1,"tick_us":2000,
-"discovery":"ask","worth_by":"work","classes":[
-{"name":"status-check","repeat":"retryable","worth":3,"late_worth":0.25,"slo_us":250000,"deadline_us":5000000},
-{"name":"renewal","repeat":"fragile","worth":5,"late_worth":0.5,"slo_us":200000,"deadline_us":8000000}],
-"limits":{"cancel":true,"connect_timeout_us":250000,"conn_idle_us":CONN_IDLE,"max_attempts":3,"max_retry_after_us":2000000,
-"second_copies":true},"rules":{"ask_within_us":10000000,"cold_from":0.33,"warm_after_us":8600000,"fall_multiple":4,
-"fall_us":1000000,"drain_grace_us":500000},"domain":{"tells_start":true,"progress_us":1000000,"queue_order":"fifo",
-"report_x0":"free slots"},"reporting":{"via":"answers"}}`
+// settingsText are the settings of the tests. CONN_IDLE stands for how long a connection
+// to a worker may be idle, in microseconds. Tests replace other values by their text.
+const settingsText = `{
+	"areas":["here","there"],
+	"kinds":["m"],
+	"my_zone":0,
+	"peers_total":1,
+	"tick_us":2000,
+	"discovery":"ask",
+	"worth_by":"work",
+	"classes":[
+		{
+			"name":"status-check",
+			"repeat":"retryable",
+			"worth":3,
+			"late_worth":0.25,
+			"slo_us":250000,
+			"deadline_us":5000000
+		},
+		{
+			"name":"renewal",
+			"repeat":"fragile",
+			"worth":5,
+			"late_worth":0.5,
+			"slo_us":200000,
+			"deadline_us":8000000
+		}
+	],
+	"limits":{
+		"cancel":true,
+		"connect_timeout_us":250000,
+		"conn_idle_us":CONN_IDLE,
+		"max_attempts":3,
+		"max_retry_after_us":2000000,
+		"second_copies":true
+	},
+	"rules":{
+		"ask_within_us":10000000,
+		"cold_from":0.33,
+		"warm_after_us":8600000,
+		"fall_multiple":4,
+		"fall_us":1000000,
+		"drain_grace_us":500000
+	},
+	"domain":{
+		"tells_start":true,
+		"progress_us":1000000,
+		"queue_order":"fifo",
+		"report_x0":"free slots"
+	},
+	"reporting":{"via":"answers"}
+}`
 
-// testDaemon is a process of the program, with its configuration, its workers and its
-// discovery, which are stand-ins.
-type testDaemon struct {
-	t               *testing.T
-	workers         []*testWorker
-	watches         chan string // the query of each watch call
-	changes         chan string // lines for the open watch; "silence" ends its heartbeats, "end" the watch
-	listen          string
-	config          map[string]any
-	configPath      string               // of the configuration file
-	env             []string             // variables beside those of environment
-	skipReadyWait   bool                 // start does not wait until healthz answers 200
-	inheritedFiles  []*os.File           // descriptors from 3 on
-	firstLine       chan string          // the first line of each watch; nil: an empty one
-	answerDiscovery func(conn net.Conn)  // answers each call to discovery; nil: answerWatch does
-	startProcess    func()               // starts cmd in place of its own Start
-	traced          *faultinject.Process // the daemon, where its system calls fail
-	program         string               // the program to start; empty: the one under test
-	cmd             *exec.Cmd
-	log             childprocess.Output
-	client          *http.Client
+// defaultConnectionIdle is longer than a test leaves a connection to a worker idle.
+const defaultConnectionIdle = 10 * time.Second
+
+// settingsWithIdle returns the settings with a limit on how long a connection to a
+// worker may be idle.
+func settingsWithIdle(limit time.Duration) string {
+	return strings.ReplaceAll(settingsText, "CONN_IDLE", strconv.FormatInt(limit.Microseconds(), 10))
 }
 
-func (d *testDaemon) addWorker(name string, act func(string, net.Conn) bool) *testWorker {
-	b := &testWorker{name: name, listener: listenLocal(d.t), respond: act}
-	d.workers = append(d.workers, b)
-	go func() {
-		for {
-			conn, err := b.listener.Accept()
-			if err != nil {
-				return
-			}
-			go b.serve(conn)
-		}
-	}()
-	return b
+// testDaemon is a process of the program, with its configuration, its stand-ins for
+// workers and discovery, and a client.
+type testDaemon struct {
+	t         *testing.T
+	workers   []*testWorker  // all that are added before start are in the initial endpoint list
+	discovery *testDiscovery // nil: start makes one
+
+	// How it is started.
+	program        string         // the program to start; empty: the one under test
+	listen         string         // address for clients; empty: start chooses one
+	config         map[string]any // keys that go before those of defaultConfig; after start, all keys
+	configPath     string         // of the configuration file
+	env            []string       // variables beside those of environment
+	inheritedFiles []*os.File     // descriptors from 3 on
+	skipReadyWait  bool           // start does not wait until healthz answers 200
+	startProcess   func()         // starts cmd in place of its own Start
+
+	// The running process.
+	cmd    *exec.Cmd
+	traced *faultinject.Process // the same, where its system calls fail
+	log    childprocess.Output
+	client *http.Client
 }
 
-// start starts the program, with all workers in its initial endpoint list.
+// start starts the program and waits until it is ready.
 func (d *testDaemon) start(args ...string) {
-	t := d.t
-	t.Helper()
-	discovery := d.startDiscovery()
-	if d.listen == "" {
-		d.listen = unusedAddress(t)
-	}
-	var hosts []json.RawMessage
-	for _, b := range d.workers {
-		hosts = append(hosts, json.RawMessage(b.listEntry("ready")))
-	}
-	idle, _ := d.config["conn_idle_us"].(string)
-	if idle == "" {
-		idle = "10000000"
+	d.t.Helper()
+	if d.discovery == nil {
+		d.discovery = &testDiscovery{t: d.t}
 	}
-	config := map[string]any{
-		"name": "n0", "listen": d.listen, "discovery": discovery, "seed": "8c1f30d27a5be964",
-		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
-		"known":  map[string]any{"seq": 41, "whole": true, "hosts": hosts}, "settings": json.RawMessage(strings.ReplaceAll(settingsText, "CONN_IDLE", idle)),
+	if d.discovery.address == "" {
+		d.discovery.start()
 	}
-	for k, v := range d.config {
-		config[k] = v
+	if d.listen == "" {
+		d.listen = unusedAddress(d.t)
 	}
-	d.config, d.configPath = config, filepath.Join(t.TempDir(), "config.json")
+	config := d.defaultConfig()
+	maps.Copy(config, d.config)
+	d.config = config
+	d.configPath = filepath.Join(d.t.TempDir(), "config.json")
 	d.writeConfig()
 	d.launch(args...)
 	d.client = &http.Client{Timeout: testTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 100}}
@@ -101,160 +130,124 @@
 		d.waitForLog("listening on")
 		return
 	}
+	d.waitUntilHealthy()
+}
+
+// defaultConfig returns the configuration of a daemon with all its workers in the
+// initial endpoint list.
+func (d *testDaemon) defaultConfig() map[string]any {
+	var hosts []json.RawMessage
+	for _, worker := range d.workers {
+		hosts = append(hosts, json.RawMessage(worker.listEntry("ready")))
+	}
+	return map[string]any{
+		"name":      "n0",
+		"listen":    d.listen,
+		"discovery": d.discovery.address,
+		"seed":      "8c1f30d27a5be964",
+		"limits":    map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024},
+		"known":     map[string]any{"seq": 41, "whole": true, "hosts": hosts},
+		"settings":  json.RawMessage(settingsWithIdle(defaultConnectionIdle)),
+	}
+}
+
+// waitUntilHealthy waits until healthz answers 200.
+func (d *testDaemon) waitUntilHealthy() {
+	d.t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
-		if resp, err := d.client.Get("http://" + d.listen + "/healthz"); err == nil {
-			resp.Body.Close()
-			if resp.StatusCode == 200 {
+		response, err := d.client.Get("http://" + d.listen + "/healthz")
+		if err == nil {
+			response.Body.Close()
+			if response.StatusCode == http.StatusOK {
 				return
 			}
 		} else if time.Now().After(end) {
-			t.Fatalf("it does not start: %v", err)
+			d.t.Fatalf("it does not start: %v", err)
 		}
 	}
 }
 
 // launch starts a process of the program.
 func (d *testDaemon) launch(args ...string) {
-	t := d.t
-	t.Helper()
+	d.t.Helper()
 	d.cmd = exec.Command(cmp.Or(d.program, builtProgram), args...)
-	d.cmd.Env, d.cmd.ExtraFiles, d.cmd.Stderr = d.environment(), d.inheritedFiles, &d.log
+	d.cmd.Env = d.environment()
+	d.cmd.ExtraFiles = d.inheritedFiles
+	d.cmd.Stderr = &d.log
 	if d.startProcess != nil {
 		d.startProcess()
 		return
 	}
 	if err := d.cmd.Start(); err != nil {
-		t.Fatal(err)
+		d.t.Fatal(err)
 	}
-	t.Cleanup(func() {
+	d.t.Cleanup(func() {
 		if d.cmd.ProcessState == nil {
 			d.cmd.Process.Kill()
 			d.cmd.Wait()
 		}
-		if t.Failed() {
-			t.Logf("its log:\n%s", d.log.String())
+		if d.t.Failed() {
+			d.t.Logf("its log:\n%s", d.log.String())
 		}
 	})
 }
 
 func (d *testDaemon) environment() []string {
 	discovery, _ := d.config["discovery"].(string)
-	env := append(os.Environ(), "BALANCER_CONFIG="+d.configPath, "BALANCER_LISTEN=", "BALANCER_DISCOVERY="+discovery,
-		"BALANCER_NAME=", "BALANCER_ADMIN_ADDR=", "BALANCER_FD=")
+	env := append(os.Environ(),
+		"BALANCER_CONFIG="+d.configPath,
+		"BALANCER_LISTEN=",
+		"BALANCER_DISCOVERY="+discovery,
+		"BALANCER_NAME=",
+		"BALANCER_ADMIN_ADDR=",
+		"BALANCER_FD=",
+	)
 	return append(env, d.env...)
 }
 
 // writeConfig writes the configuration file.
 func (d *testDaemon) writeConfig() {
-	raw, err := json.Marshal(d.config)
+	d.t.Helper()
+	text, err := json.Marshal(d.config)
 	if err == nil {
-		err = os.WriteFile(d.configPath, raw, 0o600)
+		err = os.WriteFile(d.configPath, text, 0o600)
 	}
 	if err != nil {
 		d.t.Fatal(err)
 	}
 }
 
-// startDiscovery starts a stand-in for discovery and returns its address.
-func (d *testDaemon) startDiscovery() string {
-	ln := listenLocal(d.t)
-	d.watches, d.changes = make(chan string, 100), make(chan string, 100)
-	go func() {
-		for {
-			conn, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			go d.serveDiscovery(conn)
-		}
-	}()
-	return ln.Addr().String()
-}
-
-func (d *testDaemon) serveDiscovery(conn net.Conn) {
-	defer conn.Close()
-	req, err := http.ReadRequest(bufio.NewReader(conn))
-	switch {
-	case err != nil:
-	case d.answerDiscovery != nil:
-		d.answerDiscovery(conn)
-	default:
-		d.answerWatch(conn, req.URL.RawQuery)
-	}
-}
-
-// answerWatch answers a watch call with a query.
-func (d *testDaemon) answerWatch(conn net.Conn, query string) {
-	chunk := func(line string) { fmt.Fprintf(conn, "%x\r\n%s\n\r\n", len(line)+1, line) }
-	fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-	if d.firstLine != nil {
-		chunk(<-d.firstLine)
-	} else {
-		chunk("")
-	}
-	d.watches <- query
-	gone := make(chan struct{})
-	go func() { io.Copy(io.Discard, conn); close(gone) }()
-	for {
-		select {
-		case <-gone:
-			return
-		case line := <-d.changes:
-			switch line {
-			case "silence":
-				<-gone // until the program closes the connection
-				return
-			case "end":
-				return
-			}
-			chunk(line)
-		case <-time.After(500 * time.Millisecond):
-			chunk("")
-		}
+func (d *testDaemon) signal(sig os.Signal) {
+	d.t.Helper()
+	if err := d.cmd.Process.Signal(sig); err != nil {
+		d.t.Fatal(err)
 	}
 }
 
-// post sends a request and returns status, body and Retry-After.
-func (d *testDaemon) post(class, id, body string, leftMs int) (int, string, string) {
-	d.t.Helper()
-	req, _ := http.NewRequest("POST", "http://"+d.listen+"/"+class+"/key-1?x=y", strings.NewReader(body))
-	req.Header.Set("X-Correlation-Id", id)
-	req.Header.Set("X-Weight-Hint", "20000")
-	if leftMs > 0 {
-		req.Header.Set("X-Time-Left-Ms", fmt.Sprint(leftMs))
-	}
-	resp, err := d.client.Do(req)
-	if err != nil {
-		d.t.Errorf("%s: %v", id, err)
-		return 0, "", ""
-	}
-	defer resp.Body.Close()
-	text, _ := io.ReadAll(resp.Body)
-	return resp.StatusCode, string(text), resp.Header.Get("Retry-After")
+// kill ends the process by SIGKILL, and waits for its end.
+func (d *testDaemon) kill() {
+	d.cmd.Process.Kill()
+	d.cmd.Wait()
 }
 
 // waitForExit waits for the program's end and returns its exit code.
 func (d *testDaemon) waitForExit() int {
 	d.t.Helper()
-	over := make(chan struct{})
-	go func() { d.cmd.Wait(); close(over) }()
+	ended := make(chan struct{})
+	go func() {
+		d.cmd.Wait()
+		close(ended)
+	}()
 	select {
-	case <-over:
+	case <-ended:
 	case <-time.After(testTimeout):
 		d.cmd.Process.Signal(syscall.SIGQUIT) // the log then has all goroutines
-		<-over
+		<-ended
 		d.t.Fatal("it does not end")
 	}
 	return d.cmd.ProcessState.ExitCode()
 }
 
-func (d *testDaemon) signal(sig os.Signal) {
-	d.t.Helper()
-	if err := d.cmd.Process.Signal(sig); err != nil {
-		d.t.Fatal(err)
-	}
-}
-
 // waitForLog waits until the program has logged a text.
 func (d *testDaemon) waitForLog(text string) {
 	d.t.Helper()
@@ -265,31 +258,24 @@
 	}
 }
 
-func (d *testDaemon) waitForWatch() string {
+// waitUntil waits until a condition holds.
+func (d *testDaemon) waitUntil(what string, holds func() bool) {
 	d.t.Helper()
-	select {
-	case q := <-d.watches:
-		return q
-	case <-time.After(testTimeout):
-		d.t.Fatal("no watch")
-		return ""
+	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(2 * time.Millisecond) {
+		if time.Now().After(end) {
+			d.t.Fatalf("timeout: %s", what)
+		}
 	}
 }
 
-// waitUntilUnhealthy waits until healthz answers 503: a signal is handled some time after it is sent.
-func (d *testDaemon) waitUntilUnhealthy() {
+// openDescriptors returns how many descriptors the process has open.
+func (d *testDaemon) openDescriptors() int {
 	d.t.Helper()
-	for begin := time.Now(); time.Since(begin) < testTimeout; time.Sleep(time.Millisecond) {
-		resp, err := d.client.Get("http://" + d.listen + "/healthz")
-		if err != nil {
-			d.t.Fatalf("healthz after SIGTERM: %v", err)
-		}
-		resp.Body.Close()
-		if resp.StatusCode == http.StatusServiceUnavailable {
-			return
-		}
+	descriptors, err := os.ReadDir("/proc/" + strconv.Itoa(d.cmd.Process.Pid) + "/fd")
+	if err != nil {
+		d.t.Fatal(err)
 	}
-	d.t.Fatal("healthz does not answer 503 after SIGTERM")
+	return len(descriptors)
 }
 
 // unusedAddress returns an address for a daemon to listen on.
@@ -303,10 +289,33 @@
 }
 
 func listenLocal(t *testing.T) net.Listener {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { ln.Close() })
-	return ln
+	t.Cleanup(func() { listener.Close() })
+	return listener
+}
+
+// acceptConnections serves each connection of a listener in a goroutine of its own, until the
+// listener is closed.
+func acceptConnections(listener net.Listener, serve func(net.Conn)) {
+	for {
+		conn, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		go serve(conn)
+	}
+}
+
+// writeFile writes a file that a test needs, and returns its path.
+func writeFile(t *testing.T, directory, name, text string) string {
+	t.Helper()
+	path := filepath.Join(directory, name)
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
 }
--- a/cmd/dispatcher/discovery_test.go
+++ b/cmd/dispatcher/discovery_test.go
@@ -13,40 +13,44 @@
 // watch without heartbeats is closed and opened again while the list stays; so is one
 // that ends or sends invalid lines.
 func TestDiscovery(t *testing.T) {
-	d := &testDaemon{t: t}
-	a, b := d.addWorker("s-a", respondDone), d.addWorker("s-b", respondDone)
-	d.start()
-	d.waitForWatch()
-	d.changes <- `{"seq":42,"whole":false,"hosts":[` + a.listEntry("draining") + `]}`
-	// The changes have arrived once an answer that needs them has been given.
-	for i, end := 0, time.Now().Add(testTimeout); len(b.requests()) == 0 && time.Now().Before(end); i++ {
-		d.post("status-check", fmt.Sprint("probe-", i), "x", 0)
-	}
+	daemon := &testDaemon{t: t}
+	draining := daemon.addWorker("s-a", respondDone)
+	other := daemon.addWorker("s-b", respondDone)
+	daemon.start()
+	daemon.discovery.waitForWatch()
+	daemon.discovery.sendChange(42, draining.listEntry("draining"))
+	// The change has arrived once a response that needs it has been given.
+	daemon.postUntil(func() bool { return len(other.requests()) > 0 }, "probe-", 0)
 	time.Sleep(100 * time.Millisecond)
-	before := len(a.requests())
+
+	before := len(draining.requests())
 	for i := range 20 {
-		if status, _, _ := d.post("renewal", fmt.Sprint("drain-", i), "x", 0); status != 200 {
+		if status := daemon.postStatus("renewal", fmt.Sprint("drain-", i)); status != 200 {
 			t.Errorf("%d: %d", i, status)
 		}
 	}
-	if n := len(a.requests()); n != before {
-		t.Errorf("the draining worker got %d more", n-before)
+	if count := len(draining.requests()); count != before {
+		t.Errorf("the draining worker got %d more", count-before)
 	}
-	for i, fault := range []string{"silence", "end", `{"seq":43,"hosts":[{"host":"","health":"ready"}]}`, "nonsense"} {
-		d.changes <- fault
-		if q := d.waitForWatch(); q != "watch=1&after=42" {
-			t.Errorf("after %q: watch %q", fault, q)
+	faults := []watchEvent{watchFallsSilent, watchEnds, `{"seq":43,"hosts":[{"host":"","health":"ready"}]}`, "nonsense"}
+	for i, fault := range faults {
+		daemon.discovery.events <- fault
+		if query := daemon.discovery.waitForWatch(); query != "watch=1&after=42" {
+			t.Errorf("after %q: watch %q", fault, query)
 		}
-		if status, _, _ := d.post("renewal", fmt.Sprint("kept-", i), "x", 0); status != 200 {
+		if status := daemon.postStatus("renewal", fmt.Sprint("kept-", i)); status != 200 {
 			t.Errorf("after %q: the list is lost: %d", fault, status)
 		}
 	}
-	if n := len(a.requests()); n != before {
-		t.Errorf("the draining worker got %d more", n-before)
+	if count := len(draining.requests()); count != before {
+		t.Errorf("the draining worker got %d more", count-before)
 	}
-	d.changes <- `{"seq":44,"whole":true,"hosts":[` + a.listEntry("ready") + `]}`
-	for i, end := 0, time.Now().Add(testTimeout); len(a.requests()) == before; i++ {
-		if status, _, _ := d.post("status-check", fmt.Sprint("back-", i), "x", 0); status != 200 || time.Now().After(end) {
+
+	daemon.discovery.sendList(44, draining.listEntry("ready"))
+	end := time.Now().Add(testTimeout)
+	for i := 0; len(draining.requests()) == before; i++ {
+		status := daemon.postStatus("status-check", fmt.Sprint("back-", i))
+		if status != 200 || time.Now().After(end) {
 			t.Fatalf("the one worker listed: %d", status)
 		}
 	}
@@ -56,93 +60,111 @@
 // whatever the environment says, while the list and the running request stay; an
 // invalid file changes nothing; close to SIGTERM it does no harm.
 func TestReload(t *testing.T) {
-	d, other := &testDaemon{t: t}, &testDaemon{t: t}
-	hold := make(chan bool)
-	b := d.addWorker("s-1", func(id string, conn net.Conn) bool { <-hold; return respondDone(id, conn) })
-	d.start()
-	d.waitForWatch()
-	answer := make(chan int)
-	go func() {
-		status, _, _ := d.post("renewal", "held", "x", 0)
-		answer <- status
-	}()
-	for end := time.Now().Add(testTimeout); len(b.requests()) == 0; time.Sleep(time.Millisecond) {
+	daemon := &testDaemon{t: t}
+	release := make(chan struct{})
+	worker := daemon.addWorker("s-1", func(id string, conn net.Conn) bool {
+		<-release
+		return respondDone(id, conn)
+	})
+	daemon.start()
+	daemon.discovery.waitForWatch()
+	running := daemon.postInBackground("renewal", "held")
+	for end := time.Now().Add(testTimeout); len(worker.requests()) == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the request does not arrive")
 		}
 	}
-	good, addr := d.config, other.startDiscovery()
-	for name, bad := range map[string]any{"discovery": "nowhere", "settings": map[string]any{}, "known": 5} {
-		d.config = maps.Clone(good)
-		d.config["discovery"], d.config[name] = addr, bad
-		d.writeConfig()
-		d.signal(syscall.SIGHUP)
-		d.waitForLog("reload: config: " + name)
-	}
-	d.config = maps.Clone(good)
-	d.config["discovery"], d.config["limits"] = addr, map[string]any{"memory_mb": 64}
-	d.writeConfig()
-	for range 3 {
-		d.signal(syscall.SIGHUP)
-	}
-	if q := other.waitForWatch(); q != "watch=1&after=41" {
-		t.Errorf("watch %q at the new address", q)
-	}
-	d.waitForLog("a restart is needed: limits")
+
+	moved := startDiscovery(t)
+	daemon.checkInvalidReloads(moved.address)
+	daemon.reloadWith(map[string]any{"discovery": moved.address, "limits": map[string]any{"memory_mb": 64}})
+	daemon.signal(syscall.SIGHUP)
+	daemon.signal(syscall.SIGHUP)
+	if query := moved.waitForWatch(); query != "watch=1&after=41" {
+		t.Errorf("watch %q at the new address", query)
+	}
+	daemon.waitForLog("a restart is needed: limits")
 	select {
-	case q := <-d.watches:
-		t.Errorf("watch %q at the old address", q)
+	case query := <-daemon.discovery.watches:
+		t.Errorf("watch %q at the old address", query)
 	default:
 	}
-	c := d.addWorker("s-2", respondDone)
-	other.changes <- `{"seq":42,"whole":false,"hosts":[` + c.listEntry("ready") + `]}`
-	for i, end := 0, time.Now().Add(testTimeout); len(c.requests()) == 0 && time.Now().Before(end); i++ {
-		d.post("status-check", fmt.Sprint("new-", i), "x", 200)
-	}
-	if len(c.requests()) == 0 {
+	added := daemon.addWorker("s-2", respondDone)
+	moved.sendChange(42, added.listEntry("ready"))
+	daemon.postUntil(func() bool { return len(added.requests()) > 0 }, "new-", 200)
+	if len(added.requests()) == 0 {
 		t.Error("the new discovery is not used")
 	}
-	d.signal(syscall.SIGHUP)
-	d.signal(syscall.SIGTERM)
-	d.signal(syscall.SIGHUP)
-	close(hold)
-	if status := <-answer; status != 200 {
+
+	daemon.signal(syscall.SIGHUP)
+	daemon.signal(syscall.SIGTERM)
+	daemon.signal(syscall.SIGHUP)
+	close(release)
+	if status := <-running; status != 200 {
 		t.Errorf("the running request got %d", status)
 	}
-	if code := d.waitForExit(); code != 0 {
+	if code := daemon.waitForExit(); code != 0 {
 		t.Errorf("exit code %d", code)
 	}
 }
 
+// reloadWith has the daemon reload its configuration with some keys changed. Those that
+// an earlier call has changed are as they were at the start.
+func (d *testDaemon) reloadWith(changes map[string]any) {
+	d.t.Helper()
+	atStart := d.config
+	d.config = maps.Clone(atStart)
+	maps.Copy(d.config, changes)
+	d.writeConfig()
+	d.config = atStart
+	d.signal(syscall.SIGHUP)
+}
+
+// checkInvalidReloads checks that the log names the key of an invalid configuration. All
+// have another address of discovery, which must not be used.
+func (d *testDaemon) checkInvalidReloads(unusedDiscovery string) {
+	d.t.Helper()
+	for key, invalid := range map[string]any{"discovery": "nowhere", "settings": map[string]any{}, "known": 5} {
+		changes := map[string]any{"discovery": unusedDiscovery}
+		changes[key] = invalid
+		d.reloadWith(changes)
+		d.waitForLog("reload: config: " + key)
+	}
+}
+
 // The initial endpoint list may be stale. The program accepts requests at once, since
 // clients have no other dispatcher, but sends none by that list until discovery has
 // answered.
 func TestStartWithStaleList(t *testing.T) {
-	d := &testDaemon{t: t, firstLine: make(chan string, 1), skipReadyWait: true}
-	old := d.addWorker("s-old", respondDone)
-	d.start()
-	if status := d.health(); status != 503 {
+	daemon := &testDaemon{
+		t:             t,
+		discovery:     &testDiscovery{t: t, firstLines: make(chan string, 1)},
+		skipReadyWait: true,
+	}
+	stale := daemon.addWorker("s-old", respondDone)
+	daemon.start()
+	if status := daemon.health(); status != 503 {
 		t.Errorf("before the list is known to be good: healthz says %d", status)
 	}
-	fresh := d.addWorker("s-new", respondDone)
-	answer := make(chan int)
-	for i := range 4 {
-		go func() {
-			status, _, _ := d.post("renewal", fmt.Sprint("early-", i), "x", 0)
-			answer <- status
-		}()
+	added := daemon.addWorker("s-new", respondDone)
+	const early = 4 // requests
+	statuses := make(chan int)
+	for i := range early {
+		go func() { statuses <- daemon.postStatus("renewal", fmt.Sprint("early-", i)) }()
 	}
 	time.Sleep(50 * time.Millisecond) // for the requests to wait; the test holds without it too
-	d.firstLine <- `{"seq":42,"whole":false,"hosts":[` + fresh.listEntry("ready") + `,` + old.listEntry("draining") + `]}`
-	for range 4 {
-		if status := <-answer; status != 200 {
+	daemon.discovery.firstLines <- endpointList(42, false, added.listEntry("ready"), stale.listEntry("draining"))
+	for range early {
+		if status := <-statuses; status != 200 {
 			t.Errorf("status %d", status)
 		}
 	}
-	if n, m := len(old.requests()), len(fresh.requests()); n != 0 || m != 4 {
-		t.Errorf("the stale list's worker got %d, the new one %d", n, m)
+	toStale := len(stale.requests())
+	toAdded := len(added.requests())
+	if toStale != 0 || toAdded != early {
+		t.Errorf("the stale list's worker got %d, the new one %d", toStale, toAdded)
 	}
-	if status := d.health(); status != 200 {
+	if status := daemon.health(); status != 200 {
 		t.Errorf("afterwards: healthz says %d", status)
 	}
 }
--- a/cmd/dispatcher/drain_test.go
+++ b/cmd/dispatcher/drain_test.go
@@ -6,32 +6,82 @@
 	"testing"
 )
 
+// drainedClients are the connections that are open when a drain begins.
+type drainedClients struct {
+	health *clientConn // asks for the health only
+	idle   *clientConn // has had an answer
+	silent *clientConn // has sent nothing
+	long   *clientConn // its request is still running
+}
+
+func (d *testDaemon) connectDrainedClients() drainedClients {
+	return drainedClients{health: d.connect(), idle: d.connect(), silent: d.connect(), long: d.connect()}
+}
+
+// askHealth asks for the health on a connection that stays open.
+func (c *clientConn) askHealth(t *testing.T) int {
+	t.Helper()
+	fmt.Fprint(c, "GET /healthz HTTP/1.1\r\n\r\n")
+	status, _ := c.readResponse(t)
+	return status
+}
+
 // A drain: healthz answers 503 at once, on open connections too; requests are still
 // served; connections end, idle and silent ones too; a new one is served once. Back in
 // service all is as before. To repeat either call changes nothing.
 func TestDrain(t *testing.T) {
-	d := newDaemonWithAdmin(t, nil)
-	release, arrived := make(chan struct{}), make(chan struct{}, 1)
-	d.addWorker("s-1", respondWhenReleased("long", arrived, release))
-	d.start()
-	health, idle, silent, long := d.connect(), d.connect(), d.connect(), d.connect()
-	ask := func() int {
-		fmt.Fprint(health, "GET /healthz HTTP/1.1\r\n\r\n")
-		status, _ := health.readResponse(t)
-		return status
-	}
-	idle.send("idle")
-	if status, ends := idle.readResponse(t); status != 200 || ends || ask() != 200 {
+	daemon := newDaemonWithAdmin(t, nil)
+	release := make(chan struct{})
+	arrived := make(chan struct{}, 1)
+	daemon.addWorker("s-1", respondWhenReleased("long", arrived, release))
+	daemon.start()
+
+	clients := daemon.connectDrainedClients()
+	clients.idle.send("idle")
+	if status, ends := clients.idle.readResponse(t); status != 200 || ends || clients.health.askHealth(t) != 200 {
 		t.Errorf("in service: %d, ends: %v", status, ends)
 	}
-	long.send("long")
+	clients.long.send("long")
 	<-arrived
+
 	for range 2 {
-		if status, _ := d.callAdmin("PUT", "/control/out-of-service"); status != 200 {
+		if status := daemon.setOutOfService(); status != 200 {
 			t.Errorf("out of service: %d", status)
 		}
 	}
-	if status := ask(); status != 503 {
+	daemon.checkDrained(clients)
+	close(release)
+	if status, ends := clients.long.readResponse(t); status != 200 || !ends {
+		t.Errorf("a request from before: %d, ends: %v", status, ends)
+	}
+
+	for range 2 {
+		if status := daemon.setInService(); status != 200 {
+			t.Errorf("in service: %d", status)
+		}
+	}
+	back := daemon.connect()
+	back.send("back")
+	if status, ends := back.readResponse(t); status != 200 || ends || daemon.health() != 200 {
+		t.Errorf("back in service: %d, ends: %v", status, ends)
+	}
+	counters := daemon.counters()
+	if counters.Succeeded["renewal"] != 5 || counters.Forwards != 5 || counters.Discovered != 1 || counters.Outstanding != 0 {
+		t.Errorf("counters %+v", counters)
+	}
+
+	daemon.signal(syscall.SIGTERM)
+	daemon.waitUntil("refusal after SIGTERM", func() bool { return daemon.setInService() == 409 })
+	if code := daemon.waitForExit(); code != 0 {
+		t.Errorf("exit code %d", code)
+	}
+}
+
+// checkDrained checks that a drained dispatcher ends its connections, and still serves.
+func (d *testDaemon) checkDrained(clients drainedClients) {
+	t := d.t
+	t.Helper()
+	if status := clients.health.askHealth(t); status != 503 {
 		t.Errorf("healthz of a drained dispatcher: %d", status)
 	}
 	fresh := d.connect()
@@ -39,8 +89,9 @@
 	if status, _ := fresh.readResponse(t); status != 200 {
 		t.Errorf("while the platform still sends: %d", status)
 	}
-	for name, s := range map[string]*clientConn{"idle": idle, "silent": silent, "health": health, "fresh": fresh} {
-		if !s.closed() {
+	ending := map[string]*clientConn{"idle": clients.idle, "silent": clients.silent, "health": clients.health, "fresh": fresh}
+	for name, client := range ending {
+		if !client.closed() {
 			t.Errorf("the %s connection does not end by itself", name)
 		}
 	}
@@ -52,26 +103,4 @@
 	if !d.connect().closed() {
 		t.Error("a new connection that sends nothing stays")
 	}
-	close(release)
-	if status, ends := long.readResponse(t); status != 200 || !ends {
-		t.Errorf("a request from before: %d, ends: %v", status, ends)
-	}
-	for range 2 {
-		if status, _ := d.callAdmin("PUT", "/control/in-service"); status != 200 {
-			t.Errorf("in service: %d", status)
-		}
-	}
-	back := d.connect()
-	back.send("back")
-	if status, ends := back.readResponse(t); status != 200 || ends || d.health() != 200 {
-		t.Errorf("back in service: %d, ends: %v", status, ends)
-	}
-	if f := d.counters(); f.Succeeded["renewal"] != 5 || f.Forwards != 5 || f.Discovered != 1 || f.Outstanding != 0 {
-		t.Errorf("counters %+v", f)
-	}
-	d.signal(syscall.SIGTERM)
-	d.waitUntil("refusal after SIGTERM", func() bool { status, _ := d.callAdmin("PUT", "/control/in-service"); return status == 409 })
-	if code := d.waitForExit(); code != 0 {
-		t.Errorf("exit code %d", code)
-	}
 }
--- /dev/null
+++ b/cmd/dispatcher/durablehandover_test.go
@@ -0,0 +1,164 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// handedOverDaemon is a dispatcher with durable queues, which is replaced while jobs run.
+type handedOverDaemon struct {
+	*testDaemon
+	worker      *testWorker
+	directory   string        // with the address for dialFaktory
+	newClient   *http.Client  // opens a connection for each request
+	slowArrived chan struct{} // the request that is held has reached the worker
+}
+
+// handedOverKey is the idempotency key of the request that the HTTP worker holds during
+// the handover.
+const handedOverKey = "slow-2"
+
+// startHandedOverDaemon starts the dispatcher. The HTTP worker holds the request with
+// handedOverKey until the test ends, and rejects all others: they are for a Faktory
+// worker.
+func startHandedOverDaemon(t *testing.T) *handedOverDaemon {
+	t.Helper()
+	daemon := &handedOverDaemon{
+		testDaemon:  newDaemonWithAdmin(t, newPlatformListener(t)),
+		directory:   t.TempDir(),
+		newClient:   newConnectionClient(),
+		slowArrived: make(chan struct{}, 1),
+	}
+	release := make(chan struct{})
+	t.Cleanup(func() { close(release) })
+	const slowID = "idem:" + handedOverKey
+	respondSlow := respondWhenReleased(slowID, daemon.slowArrived, release)
+	daemon.worker = daemon.addWorker("s-1", func(id string, conn net.Conn) bool {
+		if id == slowID {
+			return respondSlow(id, conn)
+		}
+		return respondUnprocessed(id, conn)
+	})
+	address := unusedAddress(t)
+	writeFile(t, daemon.directory, faktoryAddressFileName, address)
+	operatorFile := writeFile(t, daemon.directory, "faktory.toml", fmt.Sprintf("listen = %q\n"+
+		"[durable]\npath = %q\nqueues = [\"renewal\", \"status-check\"]\nlease_s = 20\n", address, filepath.Join(daemon.directory, storeFileName)))
+	daemon.env = append(daemon.env, "HOLLYYOKE_FAKTORY="+operatorFile)
+	daemon.start()
+	return daemon
+}
+
+// connectFaktory connects a worker, or a producer if workerID is empty, as soon as the
+// dispatcher accepts it.
+func (d *handedOverDaemon) connectFaktory(workerID string) (client *faktoryClient) {
+	d.t.Helper()
+	d.waitUntil("a session", func() bool {
+		var err error
+		client, err = dialFaktory(d.directory, faktoryHello(workerID))
+		return err == nil
+	})
+	return client
+}
+
+// renewOnNewConnection sends the request that is held, and returns the status, or 0 where
+// it is not answered.
+func (d *handedOverDaemon) renewOnNewConnection() int {
+	request, _ := http.NewRequest(http.MethodPost, "http://"+d.listen+"/renewal/m?x=y", strings.NewReader("x"))
+	request.Header.Set("X-Correlation-Id", fmt.Sprint("c-", time.Now().UnixNano()))
+	request.Header.Set("Idempotency-Key", handedOverKey)
+	request.Header.Set("X-Time-Left-Ms", "200")
+	response, err := d.newClient.Do(request)
+	if err != nil {
+		return 0
+	}
+	defer response.Body.Close()
+	io.Copy(io.Discard, response.Body)
+	return response.StatusCode
+}
+
+// pushUntilLeased pushes jobs until the Faktory worker has one, and returns its id. A job
+// may go to a worker of either protocol: the HTTP worker rejects it, the Faktory worker
+// holds it.
+func (d *handedOverDaemon) pushUntilLeased(producer, worker *faktoryClient) (id string) {
+	d.t.Helper()
+	producer.expect(d.t, pushRenewal("moved-001", "[1]", ""), "+OK")
+	for i := 2; i < 60; i++ {
+		producer.expect(d.t, pushRenewal(fmt.Sprintf("moved-%03d", i), "[1]", ""), "+OK")
+		job, err := worker.do("FETCH renewal")
+		if err != nil {
+			d.t.Fatal(err)
+		}
+		if _, rest, leased := strings.Cut(job, `"jid":"moved-`); leased {
+			number, _, _ := strings.Cut(rest, `"`)
+			return "moved-" + number
+		}
+	}
+	d.t.Fatal("the worker got nothing")
+	return ""
+}
+
+// checkBothAnswer sends the request that is held until both processes have answered: the
+// predecessor, which holds it, with 202, and the successor, whose store is not open yet,
+// with 503.
+func (d *handedOverDaemon) checkBothAnswer() {
+	d.t.Helper()
+	answers := map[int]int{} // by status
+	sent := 0
+	for end := time.Now().Add(testTimeout); (answers[202] == 0 || answers[503] == 0) && time.Now().Before(end); sent++ {
+		answers[d.renewOnNewConnection()]++
+	}
+	if answers[202] == 0 || answers[503] == 0 || answers[202]+answers[503] != sent {
+		d.t.Errorf("beside each other: %v", answers)
+	}
+}
+
+// A process with durable queues is replaced while jobs run: its successor has the
+// address, the store and the leases, workers reconnect with the jobs that they hold,
+// and a request with an idempotency key is never run by both.
+func TestDurableJobsAreHandedOver(t *testing.T) {
+	daemon := startHandedOverDaemon(t)
+	if status := daemon.renewOnNewConnection(); status != 202 {
+		t.Fatalf("not over in time: %d", status)
+	}
+	<-daemon.slowArrived
+	producer := daemon.connectFaktory("")
+	worker := daemon.connectFaktory("w1")
+	leased := daemon.pushUntilLeased(producer, worker)
+	producer.expect(t, pushRenewal("later-009", "[1]", `,"at":"2999-01-01T00:00:00Z"`), "+OK")
+
+	successor := daemon.startSuccessor()
+	successor.waitUntil("the successor is ready", successor.ready)
+	if job, _ := producer.do("TRACK GET " + leased); !strings.Contains(job, "working") {
+		t.Errorf("the predecessor still has it: %q", job)
+	}
+	daemon.checkBothAnswer()
+	daemon.signal(syscall.SIGTERM)
+	successor.waitForLog("durable jobs taken over")
+	if code := daemon.waitForExit(); code != 0 {
+		t.Errorf("exit code %d", code)
+	}
+
+	producer = daemon.connectFaktory("")
+	worker = daemon.connectFaktory("w1")
+	producer.expect(t, "TRACK GET "+leased, `{"jid":"`+leased+`","state":"working"`)
+	worker.expect(t, `ACK {"jid":"`+leased+`"}`, "+OK")
+	producer.expect(t, "TRACK GET "+leased, `{"jid":"`+leased+`","state":"success"`)
+	producer.expect(t, "TRACK GET later-009", `{"jid":"later-009","state":"scheduled"`)
+	producer.expect(t, pushRenewal(leased, "[1]", ""), "+OK")
+	if status := daemon.renewOnNewConnection(); status != 202 {
+		t.Errorf("the request that is still held: %d", status)
+	}
+	if count := daemon.worker.runsByID()["idem:"+handedOverKey]; count != 1 {
+		t.Errorf("the request ran %d times", count)
+	}
+	if _, scheduled := successor.callAdmin("GET", "/control/jobs?state=scheduled"); !strings.Contains(scheduled, "later-009") {
+		t.Errorf("the successor's admin API: %s", scheduled)
+	}
+}
--- a/cmd/dispatcher/faktoryclient_test.go
+++ b/cmd/dispatcher/faktoryclient_test.go
@@ -3,12 +3,14 @@
 import (
 	"bufio"
 	"encoding/json"
+	"fmt"
 	"io"
 	"net"
 	"os"
 	"path/filepath"
 	"strconv"
 	"strings"
+	"testing"
 	"time"
 )
 
@@ -19,43 +21,74 @@
 	reader *bufio.Reader
 }
 
-func (c *faktoryClient) readReply() (string, error) {
-	c.conn.SetDeadline(time.Now().Add(testTimeout))
-	line, err := c.reader.ReadString('\n')
-	line = strings.TrimRight(line, "\r\n")
-	n, bulk := strconv.Atoi(strings.TrimPrefix(line, "$"))
-	if err != nil || line == "" || line[0] != '$' || bulk != nil || n < 0 {
-		return line, err
-	}
-	text := make([]byte, n+2)
-	_, err = io.ReadFull(c.reader, text)
-	return string(text[:n]), err
-}
-
-func (c *faktoryClient) do(command string) (string, error) {
-	if _, err := c.conn.Write([]byte(command + "\r\n")); err != nil {
-		return "", err
-	}
-	return c.readReply()
-}
-
+// dialFaktory connects to the dispatcher whose address is in a file of dir, with the
+// fields of hello.
 func dialFaktory(dir string, hello map[string]any) (*faktoryClient, error) {
-	addr, err := os.ReadFile(filepath.Join(dir, "addr"))
+	address, err := os.ReadFile(filepath.Join(dir, faktoryAddressFileName))
 	if err != nil {
 		return nil, err
 	}
-	conn, err := net.DialTimeout("tcp", string(addr), time.Second)
+	conn, err := net.DialTimeout("tcp", string(address), time.Second)
 	if err != nil {
 		return nil, err
 	}
-	c := &faktoryClient{conn, bufio.NewReader(conn)}
-	if _, err = c.readReply(); err == nil {
+	client := &faktoryClient{conn, bufio.NewReader(conn)}
+	_, err = client.readReply()
+	if err == nil {
 		hello["v"] = 2
-		raw, _ := json.Marshal(hello)
-		_, err = c.do("HELLO " + string(raw))
+		text, _ := json.Marshal(hello)
+		_, err = client.do("HELLO " + string(text))
 	}
 	if err != nil {
 		conn.Close()
 	}
-	return c, err
+	return client, err
+}
+
+// faktoryHello returns the fields of HELLO of a worker, or of a producer if workerID is
+// empty.
+func faktoryHello(workerID string, labels ...string) map[string]any {
+	hello := map[string]any{"labels": append([]string{"born_ms:1"}, labels...)}
+	if workerID != "" {
+		hello["wid"] = workerID
+	}
+	return hello
+}
+
+// do sends a command and returns its reply.
+func (c *faktoryClient) do(command string) (string, error) {
+	if _, err := c.conn.Write([]byte(command + "\r\n")); err != nil {
+		return "", err
+	}
+	return c.readReply()
+}
+
+// readReply returns a line, or the text of a bulk string.
+func (c *faktoryClient) readReply() (string, error) {
+	c.conn.SetDeadline(time.Now().Add(testTimeout))
+	line, err := c.reader.ReadString('\n')
+	line = strings.TrimRight(line, "\r\n")
+	size, sizeErr := strconv.Atoi(strings.TrimPrefix(line, "$"))
+	isBulk := strings.HasPrefix(line, "$") && sizeErr == nil && size >= 0
+	if err != nil || !isBulk {
+		return line, err
+	}
+	text := make([]byte, size+len("\r\n"))
+	_, err = io.ReadFull(c.reader, text)
+	return string(text[:size]), err
+}
+
+// expect sends a command whose reply must begin with a text.
+func (c *faktoryClient) expect(t *testing.T, command, reply string) {
+	t.Helper()
+	got, err := c.do(command)
+	if err != nil || !strings.HasPrefix(got, reply) {
+		t.Fatalf("%s: %q, %v; want %q", command, got, err, reply)
+	}
+}
+
+// pushRenewal returns the command that pushes a renewal; fields are further ones, each
+// after a comma.
+func pushRenewal(id, arguments, fields string) string {
+	return fmt.Sprintf(`PUSH {"jid":%q,"queue":"renewal","jobtype":"renewal","args":%s%s}`, id, arguments, fields)
 }
--- a/cmd/dispatcher/golden_test.go
+++ b/cmd/dispatcher/golden_test.go
@@ -31,25 +31,30 @@
 // The command line and the check read these environment variables; where one names a
 // file that does not exist, the error has its path.
 func TestGoldenEnvironment(t *testing.T) {
-	read := map[string]bool{}
-	config := filepath.Join("..", "..", "deploy", "faktory-config.json")
-	var out bytes.Buffer
-	if err := command([]string{"check", config}, func(name string) string { read[name] = true; return "" }, &out, &out); err == nil {
+	configuration := filepath.Join("..", "..", "deploy", "faktory-config.json")
+	requested := map[string]bool{}
+	recordRequested := func(name string) string {
+		requested[name] = true
+		return ""
+	}
+	var output bytes.Buffer
+	if err := command([]string{"check", configuration}, recordRequested, &output, &output); err == nil {
 		t.Error("a configuration without anything to listen on is accepted")
 	}
-	lines := slices.Sorted(maps.Keys(read))
-	for _, name := range slices.Clone(lines) {
+	names := slices.Sorted(maps.Keys(requested))
+	lines := slices.Clone(names)
+	for _, name := range names {
 		env := func(variable string) string {
 			if variable == name {
 				return "/nowhere"
 			}
 			return ""
 		}
-		out.Reset()
-		err := command([]string{"check"}, env, &out, &out)
+		output.Reset()
+		err := command([]string{"check"}, env, &output, &output)
 		lines = append(lines, fmt.Sprintf("%s=/nowhere: %v", name, err))
-		err = command([]string{"check", config}, env, &out, &out)
+		err = command([]string{"check", configuration}, env, &output, &output)
 		lines = append(lines, fmt.Sprintf("%s=/nowhere and a configuration: %v", name, err))
 	}
-	goldentest.Compare(t, "environment.golden", goldentest.Lines(lines)+out.String())
+	goldentest.Compare(t, "environment.golden", goldentest.Lines(lines)+output.String())
 }
--- a/cmd/dispatcher/handover_golden_test.go
+++ b/cmd/dispatcher/handover_golden_test.go
@@ -31,18 +31,26 @@
 	{regexp.MustCompile(`127\.0\.0\.1:[0-9]+`), `ADDRESS`},
 }
 
+func maskValues(line string) string {
+	for _, value := range maskedValues {
+		line = value.text.ReplaceAllString(line, value.mask)
+	}
+	return line
+}
+
 // testPeer is the peer process of the program under test.
 type testPeer struct {
 	t          *testing.T
 	conn       net.Conn
-	lines      *bufio.Reader
+	reader     *bufio.Reader
 	transcript strings.Builder
 }
 
 func newPeer(t *testing.T, conn net.Conn) *testPeer {
+	t.Helper()
 	conn.SetDeadline(time.Now().Add(testTimeout))
 	t.Cleanup(func() { conn.Close() })
-	return &testPeer{t: t, conn: conn, lines: bufio.NewReader(conn)}
+	return &testPeer{t: t, conn: conn, reader: bufio.NewReader(conn)}
 }
 
 // send sends a line.
@@ -54,72 +62,26 @@
 }
 
 // receive reads up to a message whose first key is given, and adds it to the
-// transcript, masked.
-func (p *testPeer) receive(word string) {
+// transcript, masked. Other messages may come at any time.
+func (p *testPeer) receive(key string) {
 	p.t.Helper()
 	for {
-		line, err := p.lines.ReadString('\n')
+		line, err := p.reader.ReadString('\n')
 		if err != nil {
-			p.t.Fatalf("no %s: %v; received so far:\n%s", word, err, p.transcript.String())
+			p.t.Fatalf("no %s: %v; received so far:\n%s", key, err, p.transcript.String())
 		}
-		if !strings.HasPrefix(line, `{"`+word+`":`) {
-			continue // others are sent at any time
+		if strings.HasPrefix(line, `{"`+key+`":`) {
+			p.transcript.WriteString(maskValues(line))
+			return
 		}
-		masked := line
-		for _, v := range maskedValues {
-			masked = v.text.ReplaceAllString(masked, v.mask)
-		}
-		p.transcript.WriteString(masked)
-		return
-	}
-}
-
-// The messages of a predecessor to its successor, from the first to the last.
-func TestGoldenPredecessor(t *testing.T) {
-	d := newDaemonWithAdmin(t, newPlatformListener(t))
-	d.addWorker("s-1", respondDone)
-	d.start()
-	d.waitForWatch()
-	other := &testDaemon{t: t}
-	address := other.startDiscovery()
-	meeting, err := filepath.Glob(filepath.Join(d.runtimeDirectory(), "hollyyoke-*.sock"))
-	if err != nil || len(meeting) != 1 {
-		t.Fatalf("its socket is %q, %v", meeting, err)
-	}
-	conn, err := net.Dial("unix", meeting[0])
-	if err != nil {
-		t.Fatal(err)
-	}
-	p := newPeer(t, conn)
-	p.receive("hello")
-	p.receive("room")
-	d.post("renewal", "one-name", "x", 0)
-	p.receive("names")
-	added := d.addWorker("s-2", respondDone)
-	d.changes <- `{"seq":42,"whole":true,"hosts":[` + d.workers[0].listEntry("draining") + "," + added.listEntry("ready") + `]}`
-	p.receive("list")
-	d.callAdmin("PUT", "/control/out-of-service")
-	p.receive("out_of_service")
-	d.callAdmin("PUT", "/control/in-service")
-	p.receive("out_of_service")
-	d.config["discovery"] = address
-	d.writeConfig()
-	d.signal(syscall.SIGHUP)
-	p.receive("discovery")
-	p.send(`{"ready":true}`)
-	d.waitForLog("successor is accepting clients")
-	d.signal(syscall.SIGTERM)
-	p.receive("kept")
-	if code := d.waitForExit(); code != 0 {
-		t.Errorf("exit code %d", code)
 	}
-	goldentest.Compare(t, "handover-predecessor.jsonl", p.transcript.String())
 }
 
 // runtimeDirectory returns the directory of the handover socket.
 func (d *testDaemon) runtimeDirectory() string {
+	d.t.Helper()
 	for _, variable := range d.env {
-		if directory, is := strings.CutPrefix(variable, "TMPDIR="); is {
+		if directory, found := strings.CutPrefix(variable, "TMPDIR="); found {
 			return directory
 		}
 	}
@@ -127,51 +89,112 @@
 	return ""
 }
 
-// What a successor does with a predecessor's messages, and those that it sends.
-func TestGoldenSuccessor(t *testing.T) {
-	d := newDaemonWithAdmin(t, newPlatformListener(t))
-	path := handover.SocketPath(d.runtimeDirectory(), "n0 "+d.listen)
-	ln, err := net.Listen("unix", path)
+// connectAsSuccessor connects to the one handover socket in the daemon's directory.
+func (d *testDaemon) connectAsSuccessor() *testPeer {
+	d.t.Helper()
+	sockets, err := filepath.Glob(filepath.Join(d.runtimeDirectory(), "hollyyoke-*.sock"))
+	if err != nil || len(sockets) != 1 {
+		d.t.Fatalf("its socket is %q, %v", sockets, err)
+	}
+	conn, err := net.Dial("unix", sockets[0])
+	if err != nil {
+		d.t.Fatal(err)
+	}
+	return newPeer(d.t, conn)
+}
+
+// startAsSuccessor starts the daemon beside a predecessor, which is the test.
+func (d *testDaemon) startAsSuccessor() (predecessor *testPeer) {
+	d.t.Helper()
+	listener, err := net.Listen("unix", handover.SocketPath(d.runtimeDirectory(), "n0 "+d.listen))
 	if err != nil {
-		t.Fatal(err)
+		d.t.Fatal(err)
 	}
-	defer ln.Close()
-	greeted, listed := d.addWorker("s-1", respondDone), (&testDaemon{t: t}).addWorker("s-2", respondDone)
-	silent, moved := listenLocal(t), listenLocal(t)
+	d.t.Cleanup(func() { listener.Close() })
 	d.skipReadyWait = true
 	d.start()
-	conn, err := ln.Accept()
+	conn, err := listener.Accept()
 	if err != nil {
-		t.Fatal(err)
+		d.t.Fatal(err)
+	}
+	return newPeer(d.t, conn)
+}
+
+// The messages of a predecessor to its successor, from the first to the last.
+func TestGoldenPredecessor(t *testing.T) {
+	daemon := newDaemonWithAdmin(t, newPlatformListener(t))
+	first := daemon.addWorker("s-1", respondDone)
+	daemon.start()
+	daemon.discovery.waitForWatch()
+	successor := daemon.connectAsSuccessor()
+	successor.receive("hello")
+	successor.receive("room")
+
+	daemon.postStatus("renewal", "one-name")
+	successor.receive("names")
+	added := daemon.addWorker("s-2", respondDone)
+	daemon.discovery.sendList(42, first.listEntry("draining"), added.listEntry("ready"))
+	successor.receive("list")
+	daemon.setOutOfService()
+	successor.receive("out_of_service")
+	daemon.setInService()
+	successor.receive("out_of_service")
+	daemon.config["discovery"] = startDiscovery(t).address
+	daemon.writeConfig()
+	daemon.signal(syscall.SIGHUP)
+	successor.receive("discovery")
+
+	successor.send(`{"ready":true}`)
+	daemon.waitForLog("successor is accepting clients")
+	daemon.signal(syscall.SIGTERM)
+	successor.receive("kept")
+	if code := daemon.waitForExit(); code != 0 {
+		t.Errorf("exit code %d", code)
 	}
-	p := newPeer(t, conn)
-	list := func(b *testWorker) string {
-		return `{"seq":57,"whole":true,"hosts":[` + b.listEntry("ready") + `],"age_ms":10}`
+	goldentest.Compare(t, "handover-predecessor.jsonl", successor.transcript.String())
+}
+
+// What a successor does with a predecessor's messages, and those that it sends.
+func TestGoldenSuccessor(t *testing.T) {
+	daemon := newDaemonWithAdmin(t, newPlatformListener(t))
+	greeted := daemon.addWorker("s-1", respondDone)
+	listed := (&testDaemon{t: t}).addWorker("s-2", respondDone) // in no initial list
+	silent := listenLocal(t)
+	moved := listenLocal(t)
+	list := func(worker *testWorker) string {
+		return `{"seq":57,"whole":true,"hosts":[` + worker.listEntry("ready") + `],"age_ms":10}`
 	}
-	p.send(`{"hello":{"discovery":"` + silent.Addr().String() + `","list":` + list(greeted) + `,"out_of_service":true,"key":"AAECAwQFBgcICQoLDA0ODw=="}}`)
-	p.send(`{"room":{"descriptors":512,"memory":100663296}}`)
-	p.send(`{"names":"AQAAAAAAAAA="}`)
-	d.waitForLog("started as the successor of a running process")
-	d.waitForLog(`"out of service"`)
-	p.receive("ready")
-	p.send(`{"list":` + list(listed) + `}`)
-	p.send(`{"charge":{"backend":"s-2","amount":0.125}}`)
-	p.send(`{"out_of_service":false}`)
-	d.waitForLog(`"in service"`)
-	d.waitUntil("in service", func() bool { return d.health() == 200 })
-	if status, _, _ := d.post("renewal", "by-the-list", "x", 0); status != 200 || len(greeted.requests()) != 0 || len(listed.requests()) != 1 {
+	predecessor := daemon.startAsSuccessor()
+
+	predecessor.send(`{"hello":{"discovery":"` + silent.Addr().String() + `","list":` + list(greeted) +
+		`,"out_of_service":true,"key":"AAECAwQFBgcICQoLDA0ODw=="}}`)
+	predecessor.send(`{"room":{"descriptors":512,"memory":100663296}}`)
+	predecessor.send(`{"names":"AQAAAAAAAAA="}`)
+	daemon.waitForLog("started as the successor of a running process")
+	daemon.waitForLog(`"out of service"`)
+	predecessor.receive("ready")
+
+	predecessor.send(`{"list":` + list(listed) + `}`)
+	predecessor.send(`{"charge":{"backend":"s-2","amount":0.125}}`)
+	predecessor.send(`{"out_of_service":false}`)
+	daemon.waitForLog(`"in service"`)
+	daemon.waitUntil("in service", func() bool { return daemon.health() == 200 })
+	status := daemon.postStatus("renewal", "by-the-list")
+	if status != 200 || len(greeted.requests()) != 0 || len(listed.requests()) != 1 {
 		t.Errorf("by the list handed over: %d; %q, %q", status, greeted.requests(), listed.requests())
 	}
-	p.receive("names")
-	p.send(`{"discovery":"` + moved.Addr().String() + `"}`)
-	d.waitForLog("discovery moves to " + moved.Addr().String())
-	d.callAdmin("PUT", "/control/out-of-service")
-	p.receive("out_of_service")
-	p.send(`{"kept":true}`)
-	conn.Close()
-	d.waitForLog("predecessor has ended")
-	if d.waitForLog("accepting clients"); strings.Contains(d.log.String(), "handover: ") { // the prefix of all errors in messages
+	predecessor.receive("names")
+	predecessor.send(`{"discovery":"` + moved.Addr().String() + `"}`)
+	daemon.waitForLog("discovery moves to " + moved.Addr().String())
+	daemon.setOutOfService()
+	predecessor.receive("out_of_service")
+
+	predecessor.send(`{"kept":true}`)
+	predecessor.conn.Close()
+	daemon.waitForLog("predecessor has ended")
+	daemon.waitForLog("accepting clients")
+	if strings.Contains(daemon.log.String(), "handover: ") { // the prefix of all errors in messages
 		t.Error("it could not read the messages")
 	}
-	goldentest.Compare(t, "handover-successor.jsonl", p.transcript.String())
+	goldentest.Compare(t, "handover-successor.jsonl", predecessor.transcript.String())
 }
--- a/cmd/dispatcher/jobs.go
+++ b/cmd/dispatcher/jobs.go
@@ -53,33 +53,62 @@
 // compactTimeout is how long compact waits for another process to close the file.
 const compactTimeout = time.Second
 
-// jobChange is a change of a job that an operator requests. Its text is the admin API's path.
-type jobChange string
+// jobsVerb is the name of a command on jobs, as the command line has it.
+type jobsVerb string
 
 const (
-	retryJob   jobChange = "retry"
-	discardJob jobChange = "discard"
-	resolveJob jobChange = "settle"
+	verbList     jobsVerb = "list"
+	verbShow     jobsVerb = "show"
+	verbRetry    jobsVerb = "retry"
+	verbDiscard  jobsVerb = "discard"
+	verbExport   jobsVerb = "export"
+	verbAudit    jobsVerb = "audit"
+	verbSnapshot jobsVerb = "snapshot"
+	verbCompact  jobsVerb = "compact"
+	verbVerify   jobsVerb = "verify"
 )
 
+// changeKind is what an operator decides about a job. Its text is the admin API's path.
+type changeKind string
+
+const (
+	retryJob   changeKind = "retry"
+	discardJob changeKind = "discard"
+	resolveJob changeKind = "settle"
+)
+
+// jobChange is a change of a job that an operator requests.
+type jobChange struct {
+	kind   changeKind
+	id     string
+	reason jobs.Reason
+	ran    bool // of resolveJob: the job ran
+}
+
+// jobsFilter says which jobs are listed, and how.
+type jobsFilter struct {
+	state       string // empty: all
+	class       string // empty: all
+	withPayload bool
+}
+
 // jobsBackend is where the commands look for jobs: a store file or the admin API.
 type jobsBackend interface {
 	// page lists some jobs, those that were accepted after a sequence number; next is the one to continue after; 0:
 	// there are no more.
-	page(state, class string, after uint64, withPayload bool) (list []durable.View, next uint64, err error)
+	page(filter jobsFilter, after uint64) (list []durable.View, next uint64, err error)
 	show(id string) (durable.View, error)
-	// change changes a job; ran matters to resolveJob only.
-	change(change jobChange, id string, reason jobs.Reason, ran bool) error
+	change(change jobChange) error
 	snapshot(name string) error
 }
 
-// run carries out one of the commands by its name.
-func (c *jobsCmd) run(verb string, out io.Writer) error {
+// run carries out one of the commands.
+func (c *jobsCmd) run(verb jobsVerb, out io.Writer) error {
 	if (c.Store == "") == (c.AdminAddress == "") {
 		return errors.New("jobs: either --store or --door is needed")
 	}
 	switch verb {
-	case "verify", "audit", "compact":
+	case verbVerify, verbAudit, verbCompact:
 		return c.runOnStore(verb, out)
 	}
 	if c.Store == "" {
@@ -94,14 +123,14 @@
 }
 
 // runOnStore carries out the commands that need the store of a stopped dispatcher.
-func (c *jobsCmd) runOnStore(verb string, out io.Writer) error {
+func (c *jobsCmd) runOnStore(verb jobsVerb, out io.Writer) error {
 	if c.Store == "" {
 		return fmt.Errorf("jobs: %s needs --store: the file of a stopped dispatcher", verb)
 	}
 	switch verb {
-	case "compact":
+	case verbCompact:
 		return compactStore(c.Store, out)
-	case "verify":
+	case verbVerify:
 		return verifyStore(c.Store, out)
 	default:
 		return printAudits(c.Store, out)
@@ -109,29 +138,43 @@
 }
 
 // runOnBackend carries out the other commands.
-func (c *jobsCmd) runOnBackend(backend jobsBackend, verb string, out io.Writer) error {
+func (c *jobsCmd) runOnBackend(backend jobsBackend, verb jobsVerb, out io.Writer) error {
 	switch verb {
-	case "list":
+	case verbList:
 		return c.list(backend, out)
-	case "export":
+	case verbExport:
 		return exportJobs(backend, out)
-	case "show":
+	case verbShow:
 		return showJob(backend, c.Show.ID, out)
-	case "snapshot":
+	case verbSnapshot:
 		return backend.snapshot(c.Snapshot.Name)
-	case "retry":
-		return backend.change(retryJob, c.Retry.ID, jobs.Reason(c.Retry.Reason), false)
-	case "discard":
-		return backend.change(discardJob, c.Discard.ID, jobs.Reason(c.Discard.Reason), false)
 	default:
-		return backend.change(resolveJob, c.Resolve.ID, jobs.Reason(c.Resolve.Reason), c.Resolve.Ran)
+		return backend.change(c.requestedChange(verb))
+	}
+}
+
+// requestedChange returns the change that the command line requests.
+func (c *jobsCmd) requestedChange(verb jobsVerb) jobChange {
+	switch verb {
+	case verbRetry:
+		return jobChange{kind: retryJob, id: c.Retry.ID, reason: jobs.Reason(c.Retry.Reason)}
+	case verbDiscard:
+		return jobChange{kind: discardJob, id: c.Discard.ID, reason: jobs.Reason(c.Discard.Reason)}
+	default:
+		return jobChange{
+			kind:   resolveJob,
+			id:     c.Resolve.ID,
+			reason: jobs.Reason(c.Resolve.Reason),
+			ran:    c.Resolve.Ran,
+		}
 	}
 }
 
 // list prints a line for each job that is asked for.
 func (c *jobsCmd) list(backend jobsBackend, out io.Writer) error {
+	filter := jobsFilter{state: c.List.State, class: c.List.Class}
 	listed := 0
-	return forEachJob(backend, c.List.State, c.List.Class, false, func(view durable.View) (more bool) {
+	return forEachJob(backend, filter, func(view durable.View) (more bool) {
 		reason := strings.ReplaceAll(string(view.Reason), "\n", " ")
 		fmt.Fprintf(out, "%s\t%s\t%s\t%s\n", view.ID, view.Class, view.State, reason)
 		listed++
@@ -141,10 +184,10 @@
 
 // exportJobs prints all jobs with their payloads.
 func exportJobs(backend jobsBackend, out io.Writer) error {
-	lines := json.NewEncoder(out)
+	encoder := json.NewEncoder(out)
 	var encodeErr error
-	err := forEachJob(backend, "", "", true, func(view durable.View) (more bool) {
-		encodeErr = lines.Encode(view)
+	err := forEachJob(backend, jobsFilter{withPayload: true}, func(view durable.View) (more bool) {
+		encodeErr = encoder.Encode(view)
 		return encodeErr == nil
 	})
 	return errors.Join(err, encodeErr)
@@ -160,11 +203,11 @@
 	return err
 }
 
-// forEachJob visits all jobs of a state and class, each empty for all, until visit returns false.
-func forEachJob(backend jobsBackend, state, class string, withPayload bool, visit func(durable.View) (more bool)) error {
+// forEachJob visits the jobs that the filter selects, until visit returns false.
+func forEachJob(backend jobsBackend, filter jobsFilter, visit func(durable.View) (more bool)) error {
 	after := uint64(0)
 	for {
-		list, next, err := backend.page(state, class, after, withPayload)
+		list, next, err := backend.page(filter, after)
 		if err != nil {
 			return err
 		}
@@ -209,9 +252,9 @@
 		return err
 	}
 	defer offline.Close()
-	lines := json.NewEncoder(out)
+	encoder := json.NewEncoder(out)
 	for _, audit := range offline.Audits {
-		if err := lines.Encode(audit); err != nil {
+		if err := encoder.Encode(audit); err != nil {
 			return err
 		}
 	}
--- a/cmd/dispatcher/jobs_admin.go
+++ b/cmd/dispatcher/jobs_admin.go
@@ -10,7 +10,6 @@
 	"time"
 
 	"hollyyoke.example/hollyyoke/internal/durable"
-	"hollyyoke.example/hollyyoke/internal/jobs"
 )
 
 // adminAPI is the admin API of a running dispatcher, by its address; it implements jobsBackend.
@@ -50,9 +49,12 @@
 	return a.call(http.MethodPut, "/snapshot", url.Values{"name": {name}}, nil)
 }
 
-func (a adminAPI) page(state, class string, after uint64, withPayload bool) ([]durable.View, uint64, error) {
+func (a adminAPI) page(filter jobsFilter, after uint64) ([]durable.View, uint64, error) {
 	query := url.Values{
-		"state": {state}, "class": {class}, "after": {fmt.Sprint(after)}, "full": {fmt.Sprint(withPayload)},
+		"state": {filter.state},
+		"class": {filter.class},
+		"after": {fmt.Sprint(after)},
+		"full":  {fmt.Sprint(filter.withPayload)},
 	}
 	var page struct {
 		Jobs []durable.View `json:"jobs"`
@@ -67,7 +69,11 @@
 	return view, err
 }
 
-func (a adminAPI) change(change jobChange, id string, reason jobs.Reason, ran bool) error {
-	query := url.Values{"id": {id}, "reason": {string(reason)}, "ran": {fmt.Sprint(ran)}}
-	return a.call(http.MethodPut, "/"+string(change), query, nil)
+func (a adminAPI) change(change jobChange) error {
+	query := url.Values{
+		"id":     {change.id},
+		"reason": {string(change.reason)},
+		"ran":    {fmt.Sprint(change.ran)},
+	}
+	return a.call(http.MethodPut, "/"+string(change.kind), query, nil)
 }
--- a/cmd/dispatcher/jobs_commands_test.go
+++ b/cmd/dispatcher/jobs_commands_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"fmt"
 	"os"
+	"os/exec"
 	"path/filepath"
 	"strings"
 	"syscall"
@@ -11,144 +12,234 @@
 	"time"
 )
 
-// The operators' commands, through the admin API of a running dispatcher and on the
-// store of a stopped one; each operation is in the audit log with its reason.
-func TestJobsCommands(t *testing.T) {
-	dir := t.TempDir()
-	writeDurableConfig(t, dir, 0.2)
-	dispatcher := startDurable(t, builtProgram, dir)
-	defer func() { dispatcher.Process.Kill() }()
-	adminAddress, _ := os.ReadFile(filepath.Join(dir, "admin"))
-	readAdminAddress := func() { adminAddress, _ = os.ReadFile(filepath.Join(dir, "admin")) }
-	jobs := func(where string, args ...string) (string, error) {
-		var out bytes.Buffer
-		flag := []string{"--door", string(adminAddress)}
-		if where == "file" {
-			flag = []string{"--store", filepath.Join(dir, "jobs.db")}
-		}
-		err := command(append(append([]string{"jobs"}, flag...), args...), func(string) string { return "" }, &out, &out)
-		return out.String(), err
-	}
-	must := func(want, where string, args ...string) string {
-		t.Helper()
-		got, err := jobs(where, args...)
-		if err != nil || !strings.Contains(got, want) {
-			t.Fatalf("%s %v: %q, %v; want %q", where, args, got, err, want)
-		}
-		return got
+// Jobs that the test of the commands pushes.
+const (
+	scheduledJobs = 250
+	jobCount      = scheduledJobs + 3
+)
+
+// jobsTest is a dispatcher with a durable queue, and the commands on its jobs.
+type jobsTest struct {
+	t            *testing.T
+	dir          string
+	dispatcher   *exec.Cmd
+	adminAddress string // of the dispatcher that was started last
+	producer     *faktoryClient
+}
+
+// jobsTarget is what the commands work on.
+type jobsTarget string
+
+const (
+	runningDispatcher jobsTarget = "admin" // through its admin API
+	stoppedDispatcher jobsTarget = "file"  // its store file
+)
+
+// start starts the dispatcher, with a lease in seconds.
+func (j *jobsTest) start(lease float64) {
+	j.t.Helper()
+	writeDurableConfig(j.t, j.dir, lease)
+	j.dispatcher = startDurable(j.t, builtProgram, j.dir)
+	address, err := os.ReadFile(filepath.Join(j.dir, adminAddressFileName))
+	if err != nil {
+		j.t.Fatal(err)
 	}
-	mustNot := func(want, where string, args ...string) {
-		t.Helper()
-		if got, err := jobs(where, args...); err == nil || !strings.Contains(err.Error(), want) {
-			t.Fatalf("%s %v: %q, %v; want the error %q", where, args, got, err, want)
-		}
+	j.adminAddress = string(address)
+}
+
+func (j *jobsTest) storePath() string { return filepath.Join(j.dir, storeFileName) }
+
+// run runs a command on jobs, and returns what it prints.
+func (j *jobsTest) run(target jobsTarget, args ...string) (string, error) {
+	targetFlag := []string{"--door", j.adminAddress}
+	if target == stoppedDispatcher {
+		targetFlag = []string{"--store", j.storePath()}
 	}
-	do := func(c *faktoryClient, command string) {
-		t.Helper()
-		if got, err := c.do(command); err != nil || strings.HasPrefix(got, "-") {
-			t.Fatalf("%s: %q, %v", command, got, err)
-		}
+	commandLine := append([]string{"jobs"}, targetFlag...)
+	commandLine = append(commandLine, args...)
+	var output bytes.Buffer
+	err := command(commandLine, func(string) string { return "" }, &output, &output)
+	return output.String(), err
+}
+
+// mustPrint runs a command that must print a text, and returns all that it prints.
+func (j *jobsTest) mustPrint(want string, target jobsTarget, args ...string) string {
+	j.t.Helper()
+	got, err := j.run(target, args...)
+	if err != nil || !strings.Contains(got, want) {
+		j.t.Fatalf("%s %v: %q, %v; want %q", target, args, got, err, want)
+	}
+	return got
+}
+
+// must runs a command that must not fail.
+func (j *jobsTest) must(target jobsTarget, args ...string) string {
+	j.t.Helper()
+	return j.mustPrint("", target, args...)
+}
+
+// mustFail runs a command that must fail with an error that has a text.
+func (j *jobsTest) mustFail(want string, target jobsTarget, args ...string) {
+	j.t.Helper()
+	got, err := j.run(target, args...)
+	if err == nil || !strings.Contains(err.Error(), want) {
+		j.t.Fatalf("%s %v: %q, %v; want the error %q", target, args, got, err, want)
+	}
+}
+
+// connect connects a Faktory worker, or a producer if workerID is empty.
+func (j *jobsTest) connect(workerID string) *faktoryClient {
+	j.t.Helper()
+	client, err := dialFaktory(j.dir, faktoryHello(workerID))
+	if err != nil {
+		j.t.Fatal(err)
 	}
-	client := func(wid string) *faktoryClient {
-		c, err := dialFaktory(dir, map[string]any{"wid": wid, "labels": []string{"born_ms:1"}})
-		if err != nil {
-			t.Fatal(err)
+	return client
+}
+
+// push pushes a renewal; fields are further ones, each after a comma.
+func (j *jobsTest) push(id, fields string) {
+	j.t.Helper()
+	command := pushRenewal(id, `["member 7"]`, fields)
+	got, err := j.producer.do(command)
+	if err != nil || strings.HasPrefix(got, "-") {
+		j.t.Fatalf("%s: %q, %v", command, got, err)
+	}
+}
+
+// fetch waits until a worker has got a job.
+func (j *jobsTest) fetch(worker *faktoryClient) {
+	j.t.Helper()
+	for end := time.Now().Add(testTimeout); ; {
+		got, err := worker.do("FETCH renewal")
+		if err != nil || time.Now().After(end) {
+			j.t.Fatalf("FETCH: %q, %v", got, err)
 		}
-		return c
-	}
-	p := client("")
-	push := func(id, more string) {
-		t.Helper()
-		do(p, fmt.Sprintf(`PUSH {"jid":%q,"queue":"renewal","jobtype":"renewal","args":["member 7"]%s}`, id, more))
-	}
-	fetch := func(c *faktoryClient) {
-		t.Helper()
-		for end := time.Now().Add(testTimeout); ; {
-			if got, err := c.do("FETCH renewal"); err != nil || time.Now().After(end) {
-				t.Fatalf("FETCH: %q, %v", got, err)
-			} else if strings.Contains(got, "jid") {
-				return
-			}
+		if strings.Contains(got, "jid") {
+			return
 		}
 	}
-	push("doubt-0001", "")
-	fetch(client("w1"))
-	push("doubt-0002", "")
-	fetch(client("w2"))
+}
+
+// waitUntilInDoubt waits until the leases of jobs have expired.
+func (j *jobsTest) waitUntilInDoubt(count int) {
+	j.t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
-		if got := must("", "admin", "list", "--state", "in doubt"); strings.Count(got, "may have run") == 2 {
-			break
+		list := j.must(runningDispatcher, "list", "--state", "in doubt")
+		if strings.Count(list, "may have run") == count {
+			return
 		}
 		if time.Now().After(end) {
-			t.Fatal("not in doubt in time")
+			j.t.Fatal("not in doubt in time")
 		}
 	}
-	far := time.Now().Add(time.Hour).Format(time.RFC3339)
-	push("later-0001", `,"at":"`+far+`"`)
-	for i := range 250 {
-		push(fmt.Sprintf("later-1%03d", i), `,"at":"`+far+`"`)
-	}
-	must(`"member 7"`, "admin", "show", "doubt-0001")
-	mustNot("either --store or --door", "admin", "--store", "x", "list")
-	mustNot("state:", "admin", "list", "--state", "lost")
-	mustNot("no such job", "admin", "show", "nobody")
-	mustNot("reason", "admin", "settle", "doubt-0001", "--ran")
-	mustNot("not in doubt", "admin", "settle", "later-0001", "--ran", "--reason", "x")
-	mustNot("needs --store", "admin", "verify")
-	must("", "admin", "settle", "doubt-0001", "--ran", "--reason", "the till shows it")
-	must("done", "admin", "list", "--state", "done")
-	must("", "admin", "discard", "later-0001", "--reason", "asked twice")
-	if got := must("", "admin", "list"); strings.Count(got, "\n") != 253 {
-		t.Errorf("the list over pages has %d lines", strings.Count(got, "\n"))
-	}
-	if got := must("", "admin", "list", "--limit", "3"); strings.Count(got, "\n") != 3 || !strings.HasPrefix(got, "doubt-0001") {
-		t.Errorf("three are %q", got)
-	}
-	mustNot("another process has it open", "file", "list")
-	mustNot("another process has it open", "file", "compact")
-	must("", "admin", "snapshot", "copy.db")
-	mustNot("there is a file already", "admin", "snapshot", "copy.db")
-	mustNot("no plain file name", "admin", "snapshot", "../copy.db")
-	dispatcher.Process.Kill()
-	dispatcher.Wait()
-	must("whole", "file", "verify")
-	all := must("doubt-0002", "file", "list")
-	must("bytes now", "file", "compact")
-	must("", "file", "snapshot", "second.db")
-	for _, name := range []string{"jobs.db", "copy.db", "second.db"} {
-		var out bytes.Buffer
-		if err := command([]string{"jobs", "--store", filepath.Join(dir, name), "list"}, os.Getenv, &out, &out); err != nil || out.String() != all {
-			t.Errorf("%s: %v; %d lines, want %d", name, err, strings.Count(out.String(), "\n"), strings.Count(all, "\n"))
+}
+
+// The operators' commands, through the admin API of a running dispatcher and on the
+// store of a stopped one; each operation is in the audit log with its reason.
+func TestJobsCommands(t *testing.T) {
+	jobs := &jobsTest{t: t, dir: t.TempDir()}
+	defer func() { jobs.dispatcher.Process.Kill() }()
+	jobs.start(0.2)
+	jobs.producer = jobs.connect("")
+	jobs.push("doubt-0001", "")
+	jobs.fetch(jobs.connect("w1"))
+	jobs.push("doubt-0002", "")
+	jobs.fetch(jobs.connect("w2"))
+	jobs.waitUntilInDoubt(2)
+	inAnHour := time.Now().Add(time.Hour).Format(time.RFC3339)
+	jobs.push("later-0001", `,"at":"`+inAnHour+`"`)
+	for i := range scheduledJobs {
+		jobs.push(fmt.Sprintf("later-1%03d", i), `,"at":"`+inAnHour+`"`)
+	}
+
+	jobs.checkCommandsOfRunning()
+	jobs.dispatcher.Process.Kill()
+	jobs.dispatcher.Wait()
+	jobs.checkCommandsOfStopped()
+	jobs.checkResolvedJobsRun()
+	jobs.checkDamagedRecord()
+}
+
+// checkCommandsOfRunning checks the commands that go through the admin API.
+func (j *jobsTest) checkCommandsOfRunning() {
+	j.t.Helper()
+	j.mustPrint(`"member 7"`, runningDispatcher, "show", "doubt-0001")
+	j.mustFail("either --store or --door", runningDispatcher, "--store", "x", "list")
+	j.mustFail("state:", runningDispatcher, "list", "--state", "lost")
+	j.mustFail("no such job", runningDispatcher, "show", "nobody")
+	j.mustFail("reason", runningDispatcher, "settle", "doubt-0001", "--ran")
+	j.mustFail("not in doubt", runningDispatcher, "settle", "later-0001", "--ran", "--reason", "x")
+	j.mustFail("needs --store", runningDispatcher, "verify")
+	j.must(runningDispatcher, "settle", "doubt-0001", "--ran", "--reason", "the till shows it")
+	j.mustPrint("done", runningDispatcher, "list", "--state", "done")
+	j.must(runningDispatcher, "discard", "later-0001", "--reason", "asked twice")
+	if list := j.must(runningDispatcher, "list"); strings.Count(list, "\n") != jobCount {
+		j.t.Errorf("the list over pages has %d lines", strings.Count(list, "\n"))
+	}
+	if list := j.must(runningDispatcher, "list", "--limit", "3"); strings.Count(list, "\n") != 3 || !strings.HasPrefix(list, "doubt-0001") {
+		j.t.Errorf("three are %q", list)
+	}
+	j.mustFail("another process has it open", stoppedDispatcher, "list")
+	j.mustFail("another process has it open", stoppedDispatcher, "compact")
+	j.must(runningDispatcher, "snapshot", "copy.db")
+	j.mustFail("there is a file already", runningDispatcher, "snapshot", "copy.db")
+	j.mustFail("no plain file name", runningDispatcher, "snapshot", "../copy.db")
+}
+
+// checkCommandsOfStopped checks the commands on the store file.
+func (j *jobsTest) checkCommandsOfStopped() {
+	j.t.Helper()
+	j.mustPrint("whole", stoppedDispatcher, "verify")
+	list := j.mustPrint("doubt-0002", stoppedDispatcher, "list")
+	j.mustPrint("bytes now", stoppedDispatcher, "compact")
+	j.must(stoppedDispatcher, "snapshot", "second.db")
+	for _, name := range []string{storeFileName, "copy.db", "second.db"} {
+		var output bytes.Buffer
+		err := command([]string{"jobs", "--store", filepath.Join(j.dir, name), "list"}, os.Getenv, &output, &output)
+		if err != nil || output.String() != list {
+			j.t.Errorf("%s: %v; %d lines, want %d", name, err, strings.Count(output.String(), "\n"), strings.Count(list, "\n"))
 		}
 	}
-	must("", "file", "settle", "doubt-0002", "--not-ran", "--reason", "the till has no such member")
-	mustNot("not in doubt", "file", "settle", "doubt-0002", "--ran", "--reason", "x")
-	must("ready", "file", "list", "--state", "ready")
-	must("", "file", "retry", "later-1007", "--reason", "the member waits")
-	if got := must(`"args":["member 7"]`, "file", "export"); strings.Count(got, "\n") != 253 {
-		t.Errorf("the export has %d lines", strings.Count(got, "\n"))
+	j.must(stoppedDispatcher, "settle", "doubt-0002", "--not-ran", "--reason", "the till has no such member")
+	j.mustFail("not in doubt", stoppedDispatcher, "settle", "doubt-0002", "--ran", "--reason", "x")
+	j.mustPrint("ready", stoppedDispatcher, "list", "--state", "ready")
+	j.must(stoppedDispatcher, "retry", "later-1007", "--reason", "the member waits")
+	if export := j.mustPrint(`"args":["member 7"]`, stoppedDispatcher, "export"); strings.Count(export, "\n") != jobCount {
+		j.t.Errorf("the export has %d lines", strings.Count(export, "\n"))
 	}
-	audit := must("", "file", "audit")
+	audit := j.must(stoppedDispatcher, "audit")
 	for _, want := range []string{"in doubt", "the till shows it", "settled: it did not run", "asked twice", "the member waits"} {
 		if !strings.Contains(audit, want) {
-			t.Errorf("the audit lacks %q: %s", want, audit)
+			j.t.Errorf("the audit lacks %q: %s", want, audit)
 		}
 	}
-	writeDurableConfig(t, dir, 60)                  // no lease expires from here on, however slow the machine is
-	dispatcher = startDurable(t, builtProgram, dir) // what was resolved or retried runs
-	readAdminAddress()
-	w := client("w3")
-	fetch(w)
-	fetch(client("w4"))
-	if got := must("", "admin", "list", "--state", "leased"); !strings.Contains(got, "doubt-0002") || !strings.Contains(got, "later-1007") {
-		t.Errorf("leased: %q", got)
-	}
-	dispatcher.Process.Signal(syscall.SIGTERM)
-	dispatcher.Wait()
-	// A damaged record is reported, and nothing is skipped.
-	path := filepath.Join(dir, "jobs.db")
-	text, _ := os.ReadFile(path)
-	os.WriteFile(path, bytes.ReplaceAll(text, []byte("later-1003\",\"Class"), []byte("later-1003\",\"Clqss")), 0o600)
-	mustNot("later-1003", "file", "verify")
-	mustNot("later-1003", "file", "list")
+}
+
+// checkResolvedJobsRun checks that what was resolved or retried in the store file runs
+// after the next start.
+func (j *jobsTest) checkResolvedJobsRun() {
+	j.t.Helper()
+	j.start(60) // no lease expires from here on, however slow the machine is
+	j.fetch(j.connect("w3"))
+	j.fetch(j.connect("w4"))
+	leased := j.must(runningDispatcher, "list", "--state", "leased")
+	if !strings.Contains(leased, "doubt-0002") || !strings.Contains(leased, "later-1007") {
+		j.t.Errorf("leased: %q", leased)
+	}
+	j.dispatcher.Process.Signal(syscall.SIGTERM)
+	j.dispatcher.Wait()
+}
+
+// checkDamagedRecord checks that a damaged record is reported, and nothing is skipped.
+func (j *jobsTest) checkDamagedRecord() {
+	j.t.Helper()
+	text, err := os.ReadFile(j.storePath())
+	if err != nil {
+		j.t.Fatal(err)
+	}
+	damaged := bytes.ReplaceAll(text, []byte("later-1003\",\"Class"), []byte("later-1003\",\"Clqss"))
+	writeFile(j.t, j.dir, storeFileName, string(damaged))
+	j.mustFail("later-1003", stoppedDispatcher, "verify")
+	j.mustFail("later-1003", stoppedDispatcher, "list")
 }
--- a/cmd/dispatcher/jobs_golden_test.go
+++ b/cmd/dispatcher/jobs_golden_test.go
@@ -27,21 +27,24 @@
 		"jobs-show-idem.txt": {"show", "idem:key-1"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var out bytes.Buffer
-			if err := command(append([]string{"jobs", "--store", store}, args...), os.Getenv, &out, &out); err != nil {
-				t.Fatal(err)
-			}
-			goldentest.Compare(t, name, leaseEnd.ReplaceAllString(out.String(), `$1"(a grace time from now)"`))
+			output := runJobs(t, store, args...)
+			goldentest.Compare(t, name, leaseEnd.ReplaceAllString(output, `$1"(a grace time from now)"`))
 		})
 	}
 	snapshot := filepath.Join(filepath.Dir(store), "copy.db")
-	var out bytes.Buffer
-	for _, args := range [][]string{{"--store", store, "snapshot", "copy.db"}, {"--store", snapshot, "verify"}} {
-		if err := command(append([]string{"jobs"}, args...), os.Getenv, &out, &out); err != nil {
-			t.Fatal(err)
-		}
+	output := runJobs(t, store, "snapshot", "copy.db") + runJobs(t, snapshot, "verify")
+	if want := snapshot + ": 34 records, all whole\n"; output != want {
+		t.Errorf("%q, want %q", output, want)
 	}
-	if want := snapshot + ": 34 records, all whole\n"; out.String() != want {
-		t.Errorf("%q, want %q", out.String(), want)
+}
+
+// runJobs runs a command on a store file, and returns what it prints.
+func runJobs(t *testing.T, store string, args ...string) string {
+	t.Helper()
+	commandLine := append([]string{"jobs", "--store", store}, args...)
+	var output bytes.Buffer
+	if err := command(commandLine, os.Getenv, &output, &output); err != nil {
+		t.Fatal(err)
 	}
+	return output.String()
 }
--- a/cmd/dispatcher/jobs_store.go
+++ b/cmd/dispatcher/jobs_store.go
@@ -28,14 +28,14 @@
 
 func (f storeFile) snapshot(name string) error { return f.Snapshot(f.path, name) }
 
-func (f storeFile) page(state, class string, after uint64, withPayload bool) (views []durable.View, next uint64, err error) {
-	filter, err := durable.Filter(state, class)
+func (f storeFile) page(filter jobsFilter, after uint64) (views []durable.View, next uint64, err error) {
+	match, err := durable.Filter(filter.state, filter.class)
 	if err != nil {
 		return nil, 0, err
 	}
-	list, next := f.Page(after, storePageSize, storePageMaxScan, filter)
+	list, next := f.Page(after, storePageSize, storePageMaxScan, match)
 	for _, job := range list {
-		views = append(views, durable.NewView(job, withPayload))
+		views = append(views, durable.NewView(job, filter.withPayload))
 	}
 	return views, next, nil
 }
@@ -48,13 +48,13 @@
 	return durable.NewView(job, true), nil
 }
 
-func (f storeFile) change(change jobChange, id string, reason jobs.Reason, ran bool) error {
-	switch change {
+func (f storeFile) change(change jobChange) error {
+	switch change.kind {
 	case resolveJob:
-		return f.Resolve(id, ran, reason)
+		return f.Resolve(change.id, change.ran, change.reason)
 	case retryJob:
-		return f.Move(id, jobs.Requeue, reason)
+		return f.Move(change.id, jobs.Requeue, change.reason)
 	default:
-		return f.Move(id, jobs.Discard, reason)
+		return f.Move(change.id, jobs.Discard, change.reason)
 	}
 }
--- a/cmd/dispatcher/killrun_test.go
+++ b/cmd/dispatcher/killrun_test.go
@@ -15,33 +15,46 @@
 	"time"
 )
 
+// killOptions say how long a run of the kill test is, and what its workers are.
+type killOptions struct {
+	promise  string  // of the workers
+	slow     float64 // share of the jobs before which a worker pauses
+	seed     uint64
+	maxKills int
+	renewals int // that are pushed at least
+}
+
 // killReport is the result of a run.
 type killReport struct {
-	kills, jobs, done, inDoubt, dead, ranTwice, neverRan int
-	inDoubtRan                                           int // of those in doubt
-	illegal                                              int // histories that are not linearizable
-	seconds                                              float64
-	faults                                               []string
+	kills      int
+	jobs       int
+	seconds    float64
+	done       int
+	dead       int
+	inDoubt    int
+	inDoubtRan int // of those in doubt
+	ranTwice   int
+	neverRan   int
+	illegal    int // histories that are not linearizable
+	faults     []string
 }
 
 // maxReportedHistories is how many histories that are not linearizable are reported in full.
 const maxReportedHistories = 3
 
 const (
-	killWorkers   = 4 // processes
-	killProducers = 4 // clients
+	killWorkers   = 4   // processes
+	killProducers = 4   // clients
+	killLease     = 0.3 // seconds
 )
 
 // killRun is a dispatcher and its workers, which are killed at seeded moments.
 type killRun struct {
-	t        *testing.T
-	dir      string
-	program  string // of the dispatcher
-	promise  string // of the workers
-	slow     float64
-	renewals int // that are pushed at least
-	random   *rand.Rand
-	report   killReport
+	t       *testing.T
+	dir     string
+	options killOptions
+	random  *rand.Rand
+	report  killReport
 
 	dispatcher *exec.Cmd
 	workers    [killWorkers]*exec.Cmd
@@ -50,98 +63,101 @@
 	producers sync.WaitGroup
 	killsOver chan struct{}
 
-	mu      sync.Mutex // protects next and history while producers run
-	next    int        // number of the next job
-	history []historyCall
+	mu         sync.Mutex // protects nextNumber and history while producers run
+	nextNumber int        // of the next job
+	history    []historyCall
 }
 
-// runKills runs jobs until there have been maxKills kills and so many renewals.
-func runKills(t *testing.T, program, promise string, seed uint64, maxKills, renewals int, slow float64) killReport {
+// runKills runs jobs until there have been enough kills and renewals.
+func runKills(t *testing.T, options killOptions) killReport {
 	t.Helper()
-	r := &killRun{
+	run := &killRun{
 		t:         t,
 		dir:       t.TempDir(),
-		program:   program,
-		promise:   promise,
-		slow:      slow,
-		renewals:  renewals,
-		random:    rand.New(rand.NewPCG(seed, 1)),
+		options:   options,
+		random:    rand.New(rand.NewPCG(options.seed, 1)),
 		killsOver: make(chan struct{}),
 	}
-	os.Mkdir(filepath.Join(r.dir, resultsDirectory), 0o700)
-	writeDurableConfig(t, r.dir, 0.3)
-	t.Cleanup(r.end)
+	os.Mkdir(filepath.Join(run.dir, resultsDirectory), 0o700)
+	writeDurableConfig(t, run.dir, killLease)
+	t.Cleanup(run.end)
 	began := time.Now()
-	r.startDispatcher()
-	for i := range r.workers {
-		r.startWorker(i)
+	run.startDispatcher()
+	for i := range run.workers {
+		run.startWorker(i)
 	}
 	for i := range killProducers {
-		r.producers.Add(1)
-		go r.produce(-1 - i)
+		run.producers.Add(1)
+		go run.produce(-1 - i)
 	}
-	for r.report.kills < maxKills {
-		r.killSome()
+	for run.report.kills < options.maxKills {
+		run.killSome()
 	}
-	close(r.killsOver)
-	r.producers.Wait()
-	ids := r.pushedIDs()
-	states := r.finalStates(ids)
-	r.report.seconds = time.Since(began).Seconds()
-	r.checkRuns(ids, states)
-	r.checkHistories(ids)
-	return r.report
+	close(run.killsOver)
+	run.producers.Wait()
+	ids := run.pushedIDs()
+	states := run.finalStates(ids)
+	run.report.seconds = time.Since(began).Seconds()
+	run.checkRuns(ids, states)
+	run.checkHistories(ids)
+	return run.report
 }
 
-func (r *killRun) startDispatcher() { r.dispatcher = startDurable(r.t, r.program, r.dir) }
+func (r *killRun) startDispatcher() { r.dispatcher = startDurable(r.t, builtProgram, r.dir) }
 
+// startWorker starts a worker process: this test's program, whose TestMain runs it.
 func (r *killRun) startWorker(i int) {
 	r.t.Helper()
 	r.started++
-	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), "KILL_WORKER="+r.dir, fmt.Sprintf("KILL_WID=w%d", r.started), "KILL_PROMISE="+r.promise,
-		fmt.Sprint("KILL_SEED=", r.started), fmt.Sprint("KILL_SLOW=", r.slow))
-	cmd.Stderr = os.Stderr
-	if err := cmd.Start(); err != nil {
+	worker := exec.Command(os.Args[0])
+	worker.Env = append(os.Environ(),
+		killWorkerDirectory+"="+r.dir,
+		fmt.Sprintf("%s=w%d", killWorkerID, r.started),
+		killWorkerPromise+"="+r.options.promise,
+		fmt.Sprintf("%s=%d", killWorkerSeed, r.started),
+		fmt.Sprintf("%s=%v", killWorkerSlow, r.options.slow),
+	)
+	worker.Stderr = os.Stderr
+	if err := worker.Start(); err != nil {
 		r.t.Fatal(err)
 	}
-	r.workers[i] = cmd
+	r.workers[i] = worker
 }
 
 // end ends all processes.
 func (r *killRun) end() {
-	for _, cmd := range append(r.workers[:], r.dispatcher) {
-		if cmd != nil {
-			cmd.Process.Kill()
-			cmd.Wait()
+	for _, process := range append(r.workers[:], r.dispatcher) {
+		if process != nil {
+			process.Process.Kill()
+			process.Wait()
 		}
 	}
 }
 
 // kill kills a process and counts it.
-func (r *killRun) kill(cmd *exec.Cmd) {
-	cmd.Process.Signal(syscall.SIGKILL)
-	cmd.Wait()
+func (r *killRun) kill(process *exec.Cmd) {
+	process.Process.Signal(syscall.SIGKILL)
+	process.Wait()
 	r.report.kills++
 }
 
 // killSome kills the dispatcher, a worker or both, after a while, and starts them again.
 func (r *killRun) killSome() {
 	time.Sleep(time.Duration(20+r.random.IntN(100)) * time.Millisecond)
-	i := r.random.IntN(killWorkers)
+	worker := r.random.IntN(killWorkers)
 	switch r.random.IntN(5) {
 	case 0, 1:
 		r.kill(r.dispatcher)
 		r.startDispatcher()
 	case 2, 3:
-		r.kill(r.workers[i])
-		r.startWorker(i)
+		r.kill(r.workers[worker])
+		r.startWorker(worker)
 	default: // both together
 		r.dispatcher.Process.Signal(syscall.SIGKILL)
-		r.kill(r.workers[i])
+		r.kill(r.workers[worker])
 		r.kill(r.dispatcher)
 		r.startDispatcher()
-		r.startWorker(i)
+		r.startWorker(worker)
 	}
 }
 
@@ -150,11 +166,8 @@
 	defer r.producers.Done()
 	var conn *faktoryClient
 	for {
-		r.mu.Lock()
-		number := r.next
-		r.next++
-		r.mu.Unlock()
-		if number >= r.renewals && r.areKillsOver() {
+		number := r.takeNumber()
+		if number >= r.options.renewals && r.areKillsOver() {
 			return
 		}
 		conn = r.push(conn, client, fmt.Sprintf("paid-%06d", number), number)
@@ -162,6 +175,22 @@
 	}
 }
 
+// takeNumber returns the number of the next job.
+func (r *killRun) takeNumber() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	number := r.nextNumber
+	r.nextNumber++
+	return number
+}
+
+// record adds a call of a producer to the history.
+func (r *killRun) record(call historyCall) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.history = append(r.history, call)
+}
+
 func (r *killRun) areKillsOver() bool {
 	select {
 	case <-r.killsOver:
@@ -182,18 +211,16 @@
 			}
 			conn = dialed
 		}
-		call := historyCall{Client: client, Kind: "push", Jid: jid, Began: time.Now().UnixNano()}
-		got, err := conn.do(fmt.Sprintf(`PUSH {"jid":%q,"queue":"renewal","jobtype":"renewal","args":[%d]}`, jid, number))
+		call := historyCall{Client: client, Kind: callPush, Jid: jid, Began: time.Now().UnixNano()}
+		reply, err := conn.do(pushRenewal(jid, fmt.Sprintf("[%d]", number), ""))
 		if err != nil {
 			conn.conn.Close()
 			conn = nil
 		} else {
 			call.Ended = time.Now().UnixNano()
-			call.OK = got == "+OK"
+			call.OK = reply == "+OK"
 		}
-		r.mu.Lock()
-		r.history = append(r.history, call)
-		r.mu.Unlock()
+		r.record(call)
 		if call.OK {
 			return conn
 		}
@@ -231,10 +258,10 @@
 func (r *killRun) finalState(conn *faktoryClient, id string, limit time.Time) string {
 	r.t.Helper()
 	for {
-		got, err := conn.do("TRACK GET " + id)
+		reply, err := conn.do("TRACK GET " + id)
 		var job struct{ State, Why string }
-		if err != nil || json.Unmarshal([]byte(got), &job) != nil {
-			r.t.Fatalf("%s: %q, %v", id, got, err)
+		if err != nil || json.Unmarshal([]byte(reply), &job) != nil {
+			r.t.Fatalf("%s: %q, %v", id, reply, err)
 		}
 		if job.State == "in doubt" && job.Why == "" {
 			r.t.Errorf("%s is in doubt without a reason", id)
@@ -302,7 +329,7 @@
 		byJob[call.Jid] = append(byJob[call.Jid], call)
 	}
 	for _, id := range ids {
-		if linearizable(r.promise, byJob[id]) {
+		if linearizable(r.options.promise, byJob[id]) {
 			continue
 		}
 		r.report.illegal++
--- a/cmd/dispatcher/killworker_test.go
+++ b/cmd/dispatcher/killworker_test.go
@@ -6,12 +6,22 @@
 	"math/rand/v2"
 	"os"
 	"path/filepath"
+	"strconv"
 	"time"
 )
 
-// What a worker of the kill test guarantees, as its label in HELLO has it. A worker
-// without a label guarantees nothing.
+// Environment variables of a worker process.
 const (
+	killWorkerDirectory = "KILL_WORKER" // where this is set, TestMain runs a worker
+	killWorkerID        = "KILL_WID"
+	killWorkerPromise   = "KILL_PROMISE"
+	killWorkerSeed      = "KILL_SEED"
+	killWorkerSlow      = "KILL_SLOW"
+)
+
+// What a worker of the kill test guarantees, as its label in HELLO has it.
+const (
+	promiseNothing    = ""             // it has no label
 	promiseFences     = "fences:1"     // it reports the start, and runs a job only if the start is granted
 	promiseIdempotent = "idempotent:1" // a job that runs twice has the effect of one run
 )
@@ -25,7 +35,7 @@
 
 const (
 	redialPause = 3 * time.Millisecond // before a client dials again
-	askAttempts = 1000
+	maxDials    = 1000                 // and commands, until an answer
 )
 
 // killWorker is a worker process of the kill test.
@@ -38,16 +48,26 @@
 	history *os.File
 }
 
-// runKillWorker runs a worker with two slots. It writes what it ran to the ledger, and
-// its calls to a history of its own. It does not return.
-func runKillWorker(dir, id, promise string, seed uint64, slow float64) {
-	w := &killWorker{dir: dir, id: id, promise: promise, slow: slow}
-	w.ledger = w.openForAppend(ledgerFile)
-	w.history = w.openForAppend(historyPrefix + id)
-	for number := range 2 {
+// killSlots is how many jobs a worker runs at a time.
+const killSlots = 2
+
+// runKillWorker runs the worker that the environment configures. It writes what it ran
+// to the ledger, and its calls to a history of its own. It does not return.
+func runKillWorker() {
+	seed, _ := strconv.ParseUint(os.Getenv(killWorkerSeed), 10, 64)
+	slow, _ := strconv.ParseFloat(os.Getenv(killWorkerSlow), 64)
+	worker := &killWorker{
+		dir:     os.Getenv(killWorkerDirectory),
+		id:      os.Getenv(killWorkerID),
+		promise: os.Getenv(killWorkerPromise),
+		slow:    slow,
+	}
+	worker.ledger = worker.openForAppend(ledgerFile)
+	worker.history = worker.openForAppend(historyPrefix + worker.id)
+	for number := range killSlots {
 		slot := &killSlot{
-			killWorker: w,
-			client:     int(seed)*2 + number,
+			killWorker: worker,
+			client:     int(seed)*killSlots + number,
 			random:     rand.New(rand.NewPCG(seed, uint64(number))),
 		}
 		go slot.run()
@@ -56,11 +76,11 @@
 }
 
 func (w *killWorker) openForAppend(name string) *os.File {
-	f, err := os.OpenFile(filepath.Join(w.dir, name), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	file, err := os.OpenFile(filepath.Join(w.dir, name), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		panic(err)
 	}
-	return f
+	return file
 }
 
 // record appends a call to the history.
@@ -84,82 +104,97 @@
 	}
 }
 
+// killLeased is a leased job.
+type killLeased struct {
+	jid   string
+	fence uint64
+}
+
 // runJob leases a job, runs it and reports its end.
 func (s *killSlot) runJob() {
-	jid, fence, leased := s.lease()
+	job, leased := s.lease()
 	if !leased {
 		return
 	}
-	arguments := fmt.Sprintf(`{"jid":%q,"fence":%d}`, jid, fence)
+	arguments := fmt.Sprintf(`{"jid":%q,"fence":%d}`, job.jid, job.fence)
 	if s.random.Float64() < s.slow { // half of these longer than the lease
 		time.Sleep(time.Duration(s.random.IntN(600)) * time.Millisecond)
 	}
 	if s.promise == promiseFences {
-		got, answered := s.ask("start", jid, fence, "START "+arguments)
-		if !answered || got != "+OK" {
+		reply, answered := s.call(callStart, job, "START "+arguments)
+		if !answered || reply != "+OK" {
 			return
 		}
 	}
-	s.recordRun(jid, fence)
+	s.recordRun(job)
 	time.Sleep(time.Duration(s.random.IntN(2000)) * time.Microsecond)
-	s.ask("ack", jid, fence, "ACK "+arguments)
+	s.call(callAck, job, "ACK "+arguments)
 }
 
 // lease fetches a job.
-func (s *killSlot) lease() (jid string, fence uint64, leased bool) {
+func (s *killSlot) lease() (leased killLeased, found bool) {
 	began := time.Now().UnixNano()
-	got, answered := s.ask("lease", "", 0, "FETCH renewal")
+	reply, answered := s.call(callLease, killLeased{}, "FETCH renewal")
 	var job struct {
 		Jid    string
 		Custom struct{ Fence uint64 }
 	}
-	if !answered || json.Unmarshal([]byte(got), &job) != nil || job.Jid == "" {
-		return "", 0, false
+	if !answered || json.Unmarshal([]byte(reply), &job) != nil || job.Jid == "" {
+		return killLeased{}, false
 	}
-	s.record(historyCall{s.client, "lease", job.Jid, job.Custom.Fence, began, time.Now().UnixNano(), true})
-	return job.Jid, job.Custom.Fence, true
+	s.record(historyCall{
+		Client: s.client,
+		Kind:   callLease,
+		Jid:    job.Jid,
+		Fence:  job.Custom.Fence,
+		Began:  began,
+		Ended:  time.Now().UnixNano(),
+		OK:     true,
+	})
+	return killLeased{job.Jid, job.Custom.Fence}, true
 }
 
 // recordRun writes that a job ran.
-func (s *killSlot) recordRun(jid string, fence uint64) {
+func (s *killSlot) recordRun(job killLeased) {
 	if s.promise != promiseIdempotent {
-		fmt.Fprintf(s.ledger, "%s %d %s\n", jid, fence, s.id)
+		fmt.Fprintf(s.ledger, "%s %d %s\n", job.jid, job.fence, s.id)
 		return
 	}
-	f, err := os.OpenFile(filepath.Join(s.dir, resultsDirectory, jid), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
+	file, err := os.OpenFile(filepath.Join(s.dir, resultsDirectory, job.jid), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 	if err == nil {
-		f.Close() // the file says that it ran
+		file.Close() // the file says that it ran
 	}
 }
 
-// ask repeats a command until it is answered, over restarts of the dispatcher; a lease
-// is asked for once on a connection. All calls but leases are recorded, as they begin
+// call repeats a command until it is answered, over restarts of the dispatcher; a lease
+// is requested once on a connection. All calls but leases are recorded, as they begin
 // and as they end.
-func (s *killSlot) ask(kind, jid string, fence uint64, command string) (got string, answered bool) {
-	for range askAttempts {
+func (s *killSlot) call(kind callKind, job killLeased, command string) (reply string, answered bool) {
+	isLease := kind == callLease
+	for range maxDials {
 		if !s.connect() {
 			time.Sleep(redialPause)
 			continue
 		}
-		call := historyCall{Client: s.client, Kind: kind, Jid: jid, Fence: fence, Began: time.Now().UnixNano()}
-		if kind != "lease" {
+		call := historyCall{Client: s.client, Kind: kind, Jid: job.jid, Fence: job.fence, Began: time.Now().UnixNano()}
+		if !isLease {
 			s.record(call) // a kill leaves it without an end
 		}
-		got, err := s.conn.do(command)
+		reply, err := s.conn.do(command)
 		if err != nil {
 			s.conn.conn.Close()
 			s.conn = nil
-			if kind == "lease" {
+			if isLease {
 				return "", false
 			}
 			continue
 		}
 		call.Ended = time.Now().UnixNano()
-		call.OK = got == "+OK"
-		if kind != "lease" {
+		call.OK = reply == "+OK"
+		if !isLease {
 			s.record(call)
 		}
-		return got, true
+		return reply, true
 	}
 	return "", false
 }
@@ -169,11 +204,11 @@
 	if s.conn != nil {
 		return true
 	}
-	labels := []string{"born_ms:1"}
-	if s.promise != "" {
+	var labels []string
+	if s.promise != promiseNothing {
 		labels = append(labels, s.promise)
 	}
-	conn, err := dialFaktory(s.dir, map[string]any{"wid": s.id, "labels": labels})
+	conn, err := dialFaktory(s.dir, faktoryHello(s.id, labels...))
 	if err != nil {
 		return false
 	}
--- a/cmd/dispatcher/leftover_test.go
+++ b/cmd/dispatcher/leftover_test.go
@@ -3,9 +3,11 @@
 import (
 	"bufio"
 	"context"
+	"fmt"
 	"io"
 	"net"
 	"net/http"
+	"slices"
 	"strings"
 	"sync"
 	"syscall"
@@ -21,11 +23,11 @@
 // is released.
 type unreadWorker struct {
 	*testWorker
-	release     chan struct{}
+	release   chan struct{}
+	connected chan struct{} // one value for each connection
+
 	mu          sync.Mutex
 	completeIDs []string // of the requests that arrived completely
-	completedAt []time.Time
-	connected   chan struct{} // one value for each connection
 }
 
 // minReceiveBuffer sets the smallest receive buffer that the kernel allows.
@@ -40,49 +42,52 @@
 	return err
 }
 
-func newUnreadWorker(d *testDaemon, name string) *unreadWorker {
-	ln, err := (&net.ListenConfig{Control: minReceiveBuffer}).Listen(context.Background(), "tcp", "127.0.0.1:0")
+func (d *testDaemon) addUnreadWorker(name string) *unreadWorker {
+	d.t.Helper()
+	config := net.ListenConfig{Control: minReceiveBuffer}
+	listener, err := config.Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	d.t.Cleanup(func() { ln.Close() })
-	c := &unreadWorker{testWorker: &testWorker{name: name, listener: ln}, release: make(chan struct{}), connected: make(chan struct{}, 100)}
-	d.workers = append(d.workers, c.testWorker)
-	go func() {
-		for {
-			conn, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			go c.serve(conn)
-		}
-	}()
-	return c
+	d.t.Cleanup(func() { listener.Close() })
+	worker := &unreadWorker{
+		testWorker: &testWorker{name: name, listener: listener},
+		release:    make(chan struct{}),
+		connected:  make(chan struct{}, 100),
+	}
+	d.workers = append(d.workers, worker.testWorker)
+	go acceptConnections(listener, worker.serve)
+	return worker
 }
 
-func (c *unreadWorker) serve(conn net.Conn) {
+func (w *unreadWorker) serve(conn net.Conn) {
 	defer conn.Close()
-	c.connected <- struct{}{}
-	<-c.release
-	in := bufio.NewReader(conn)
+	w.connected <- struct{}{}
+	<-w.release
+	reader := bufio.NewReader(conn)
 	for {
-		req, err := http.ReadRequest(in)
+		request, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
-		if _, err := io.ReadAll(req.Body); err != nil {
+		if _, err := io.ReadAll(request.Body); err != nil {
 			return
 		}
-		c.mu.Lock()
-		c.completeIDs, c.completedAt = append(c.completeIDs, req.Header.Get("X-Correlation-Id")), append(c.completedAt, time.Now())
-		c.mu.Unlock()
+		w.addComplete(request.Header.Get("X-Correlation-Id"))
 	}
 }
 
-func (c *unreadWorker) complete() []string {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.completeIDs
+func (w *unreadWorker) addComplete(id string) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.completeIDs = append(w.completeIDs, id)
+}
+
+// complete returns the ids of the requests that arrived completely.
+func (w *unreadWorker) complete() []string {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return slices.Clone(w.completeIDs)
 }
 
 // stuckBody is larger than the receive window and smaller than the daemon's send buffer.
@@ -94,69 +99,79 @@
 
 // releaseAndWait releases the worker, gives the rest time to arrive, and returns the ids
 // of the complete requests.
-func (c *unreadWorker) releaseAndWait() []string {
+func (w *unreadWorker) releaseAndWait() []string {
 	time.Sleep(resetTimeout)
-	close(c.release)
+	close(w.release)
 	time.Sleep(time.Second) // the kernel tries a closed window again after 0.2, 0.4 and 0.8 s
-	return c.complete()
+	return w.complete()
+}
+
+// postStuck sends a request that the worker does not read, and returns a channel for the
+// status. leftMs is as for post.
+func (d *testDaemon) postStuck(worker *unreadWorker, leftMs int) (status <-chan int) {
+	result := make(chan int, 1)
+	go func() {
+		got, _, _ := d.post("renewal", "stuck", stuckBody, leftMs)
+		result <- got
+	}()
+	<-worker.connected
+	return result
+}
+
+// abandonAtDeadline has an attempt abandoned by its deadline.
+func abandonAtDeadline(daemon *testDaemon, worker *unreadWorker) {
+	<-daemon.postStuck(worker, 500)
+}
+
+// abandonByClient has an attempt abandoned by its client.
+func abandonByClient(daemon *testDaemon, worker *unreadWorker) {
+	conn, err := net.Dial("tcp", daemon.listen)
+	if err != nil {
+		daemon.t.Error(err)
+		return
+	}
+	fmt.Fprintf(conn, "POST /renewal/k HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: stuck\r\nContent-Length: %d\r\n\r\n%s", len(stuckBody), stuckBody)
+	<-worker.connected
+	time.Sleep(50 * time.Millisecond)
+	conn.Close()
+	time.Sleep(300 * time.Millisecond)
+}
+
+// abandonByRemoval has an attempt abandoned by the removal of its worker.
+func abandonByRemoval(daemon *testDaemon, worker *unreadWorker) {
+	status := daemon.postStuck(worker, 0)
+	daemon.discovery.sendChange(42, worker.listEntry("gone"))
+	select {
+	case got := <-status:
+		if got != 502 {
+			daemon.t.Errorf("its worker is removed: the client has %d", got)
+		}
+	case <-time.After(drainGrace + time.Second):
+		daemon.t.Error("its worker is removed: the client waits for it")
+	}
 }
 
 // An attempt is abandoned at its deadline, when its client leaves, and when its worker is
 // removed and the grace has passed. The partition ends later.
 func TestAbandonedRequestNeverArrives(t *testing.T) {
-	type scenario struct {
-		name   string
-		giveUp func(d *testDaemon, c *unreadWorker)
-	}
-	send := func(d *testDaemon, c *unreadWorker, left int) (status chan int) {
-		status = make(chan int, 1)
-		go func() {
-			got, _, _ := d.post("renewal", "stuck", stuckBody, left)
-			status <- got
-		}()
-		<-c.connected
-		return status
-	}
-	scenarios := []scenario{
-		{"its deadline passes", func(d *testDaemon, c *unreadWorker) { <-send(d, c, 500) }},
-		{"its client leaves", func(d *testDaemon, c *unreadWorker) {
-			conn, err := net.Dial("tcp", d.listen)
-			if err != nil {
-				d.t.Error(err)
-				return
-			}
-			io.WriteString(conn, "POST /renewal/k HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: stuck\r\nContent-Length: 8192\r\n\r\n"+stuckBody)
-			<-c.connected
-			time.Sleep(50 * time.Millisecond)
-			conn.Close()
-			time.Sleep(300 * time.Millisecond)
-		}},
-		{"its worker is removed", func(d *testDaemon, c *unreadWorker) {
-			status := send(d, c, 0)
-			d.changes <- `{"seq":42,"whole":false,"hosts":[` + c.listEntry("gone") + `]}`
-			select {
-			case got := <-status:
-				if got != 502 {
-					d.t.Errorf("its worker is removed: the client has %d", got)
-				}
-			case <-time.After(drainGrace + time.Second):
-				d.t.Error("its worker is removed: the client waits for it")
-			}
-		}},
-	}
-	var all sync.WaitGroup
-	for _, s := range scenarios {
-		d := &testDaemon{t: t}
-		c := newUnreadWorker(d, "s-cut")
-		d.start()
-		all.Add(1)
-		go func() {
-			defer all.Done()
-			s.giveUp(d, c)
-			if got := c.releaseAndWait(); len(got) > 0 {
-				t.Errorf("%s: %v arrived afterwards", s.name, got)
+	var scenarios sync.WaitGroup
+	for _, scenario := range []struct {
+		name    string
+		abandon func(*testDaemon, *unreadWorker)
+	}{
+		{"its deadline passes", abandonAtDeadline},
+		{"its client leaves", abandonByClient},
+		{"its worker is removed", abandonByRemoval},
+	} {
+		daemon := &testDaemon{t: t}
+		worker := daemon.addUnreadWorker("s-cut")
+		daemon.start()
+		scenarios.Go(func() {
+			scenario.abandon(daemon, worker)
+			if arrived := worker.releaseAndWait(); len(arrived) > 0 {
+				t.Errorf("%s: %v arrived afterwards", scenario.name, arrived)
 			}
-		}()
+		})
 	}
-	all.Wait()
+	scenarios.Wait()
 }
--- a/cmd/dispatcher/link_test.go
+++ b/cmd/dispatcher/link_test.go
@@ -13,11 +13,37 @@
 	"github.com/BurntSushi/toml"
 )
 
+// externalLinking are the options that link a program against the C library.
+const externalLinking = "-ldflags=-linkmode=external"
+
 // The fleet's platform loads a library of its own into the dispatcher, which a static
 // program would not take, and starts no second process: build links against the C
 // library, and run ends by exec in the binary that serves.
 func TestDeployedBinary(t *testing.T) {
 	root := filepath.Join("..", "..")
+	name := deployedProgram(t, root)
+	directory := t.TempDir()
+	build := exec.Command("go", "build", externalLinking, "-o", directory, "./cmd/"+name)
+	build.Dir = root
+	build.Env = append(os.Environ(), "CGO_ENABLED=1")
+	if output, err := build.CombinedOutput(); err != nil {
+		t.Fatalf("%s%v", output, err)
+	}
+	checkDynamicLinking(t, filepath.Join(directory, name))
+
+	// And it serves, though the directory of the handover socket cannot be used.
+	platform := newPlatformListener(t)
+	platform.directory = filepath.Join(directory, "nowhere")
+	daemon := newDaemonWithAdmin(t, platform)
+	daemon.program = filepath.Join(directory, name)
+	daemon.addWorker("s-1", respondDone)
+	daemon.start()
+}
+
+// deployedProgram returns the name of the program that the deploy file runs, and checks
+// that the Makefile builds it as the deploy file does.
+func deployedProgram(t *testing.T, root string) (name string) {
+	t.Helper()
 	var deploy struct{ Build, Run string }
 	if _, err := toml.DecodeFile(filepath.Join(root, "deploy", "balancer.toml"), &deploy); err != nil {
 		t.Fatal(err)
@@ -26,39 +52,32 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	flags := regexp.MustCompile(`CGO_ENABLED=1 go build -ldflags=-linkmode=external`).FindString(deploy.Build)
-	if flags == "" || !strings.Contains(string(makefile), flags) {
+	build := regexp.MustCompile(`CGO_ENABLED=1 go build ` + externalLinking).FindString(deploy.Build)
+	if build == "" || !strings.Contains(string(makefile), build) {
 		t.Fatalf("build is %q; the Makefile must build the same way", deploy.Build)
 	}
-	name, ok := strings.CutPrefix(deploy.Run, "exec bin/")
-	if !ok {
+	name, found := strings.CutPrefix(deploy.Run, "exec bin/")
+	if !found {
 		t.Fatalf("run is %q", deploy.Run)
 	}
-	dir := t.TempDir()
-	cmd := exec.Command("go", "build", "-ldflags=-linkmode=external", "-o", dir, "./cmd/"+name)
-	cmd.Dir, cmd.Env = root, append(os.Environ(), "CGO_ENABLED=1")
-	if out, err := cmd.CombinedOutput(); err != nil {
-		t.Fatalf("%s%v", out, err)
-	}
-	f, err := elf.Open(filepath.Join(dir, name))
+	return name
+}
+
+// checkDynamicLinking checks that a program needs the C library and a loader.
+func checkDynamicLinking(t *testing.T, program string) {
+	t.Helper()
+	file, err := elf.Open(program)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
-	libraries, err := f.ImportedLibraries()
-	if err != nil || !slices.ContainsFunc(libraries, func(l string) bool { return strings.HasPrefix(l, "libc.so") }) {
-		t.Errorf("%s needs %v, not the C library (%v)", name, libraries, err)
+	defer file.Close()
+	libraries, err := file.ImportedLibraries()
+	isC := func(library string) bool { return strings.HasPrefix(library, "libc.so") }
+	if err != nil || !slices.ContainsFunc(libraries, isC) {
+		t.Errorf("%s needs %v, not the C library (%v)", program, libraries, err)
 	}
-	if !slices.ContainsFunc(f.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP }) {
-		t.Errorf("%s names no loader: it is linked statically", name)
+	isInterpreter := func(header *elf.Prog) bool { return header.Type == elf.PT_INTERP }
+	if !slices.ContainsFunc(file.Progs, isInterpreter) {
+		t.Errorf("%s names no loader: it is linked statically", program)
 	}
-	// And it serves, though the directory of the handover socket cannot be used.
-	usual := builtProgram
-	builtProgram = filepath.Join(dir, name)
-	defer func() { builtProgram = usual }()
-	k := newPlatformListener(t)
-	k.directory = filepath.Join(dir, "nowhere")
-	d := newDaemonWithAdmin(t, k)
-	d.addWorker("s-1", respondDone)
-	d.start()
 }
--- /dev/null
+++ b/cmd/dispatcher/load_test.go
@@ -0,0 +1,93 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"sync"
+	"time"
+)
+
+// clientLoad is clients that send without a pause.
+type clientLoad struct {
+	address string
+	stop    chan struct{}
+	clients sync.WaitGroup
+
+	mu     sync.Mutex
+	sent   int
+	failed []string
+}
+
+func startLoad(address string, clients int) *clientLoad {
+	load := &clientLoad{address: address, stop: make(chan struct{})}
+	for number := range clients {
+		load.clients.Go(func() { load.runClient(number) })
+	}
+	return load
+}
+
+// runClient sends until the load is stopped, at times on a new connection.
+func (l *clientLoad) runClient(number int) {
+	const requestsPerConnection = 20
+	client := &http.Client{Timeout: testTimeout, Transport: &http.Transport{}}
+	defer client.CloseIdleConnections()
+	for i := 0; ; i++ {
+		select {
+		case <-l.stop:
+			return
+		case <-time.After(time.Millisecond):
+		}
+		id := fmt.Sprintf("load-%d-%d", number, i)
+		status, err := sendRenewal(client, l.address, id, "")
+		l.record(id, status, err)
+		if i%requestsPerConnection == requestsPerConnection-1 {
+			client.CloseIdleConnections()
+		}
+	}
+}
+
+// record counts a request that was answered, or has failed.
+func (l *clientLoad) record(id string, status int, err error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.sent++
+	if err != nil || status != http.StatusOK {
+		l.failed = append(l.failed, fmt.Sprintf("%s: %d, %v", id, status, err))
+	}
+}
+
+// sentSoFar is how many requests have been answered, or have failed.
+func (l *clientLoad) sentSoFar() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.sent
+}
+
+// stopAndReport stops the clients, and returns how many requests were sent and which
+// failed.
+func (l *clientLoad) stopAndReport() (sent int, failed []string) {
+	close(l.stop)
+	l.clients.Wait()
+	return l.sent, l.failed
+}
+
+// sendRenewal sends a renewal, under an idempotency key unless it is empty.
+func sendRenewal(client *http.Client, address, id, key string) (status int, err error) {
+	request, err := http.NewRequest(http.MethodPost, "http://"+address+"/renewal/k", strings.NewReader("x"))
+	if err != nil {
+		return 0, err
+	}
+	request.Header.Set("X-Correlation-Id", id)
+	if key != "" {
+		request.Header.Set("Idempotency-Key", key)
+	}
+	response, err := client.Do(request)
+	if err != nil {
+		return 0, err
+	}
+	defer response.Body.Close()
+	_, err = io.Copy(io.Discard, response.Body)
+	return response.StatusCode, err
+}
--- a/cmd/dispatcher/main.go
+++ b/cmd/dispatcher/main.go
@@ -67,14 +67,18 @@
 // exit code is 0 unless an error is returned.
 func command(args []string, env func(string) string, out, errs io.Writer) error {
 	var c cli
-	helped := false
-	parser, err := kong.New(&c, kong.Name("dispatcher"), kong.Writers(out, errs), kong.Exit(func(int) { helped = true }),
-		kong.Description("The dispatcher: takes jobs from clients and has workers run them."))
+	helpPrinted := false
+	parser, err := kong.New(&c,
+		kong.Name("dispatcher"),
+		kong.Description("The dispatcher: takes jobs from clients and has workers run them."),
+		kong.Writers(out, errs),
+		kong.Exit(func(int) { helpPrinted = true }),
+	)
 	if err != nil {
 		return err
 	}
 	parsed, err := parser.Parse(doubleDashes(args))
-	if helped || err != nil {
+	if helpPrinted || err != nil {
 		return err
 	}
 	files := daemon.Files{
@@ -92,7 +96,7 @@
 	default:
 		if jobsCommand, found := strings.CutPrefix(name, "jobs "); found {
 			verb, _, _ := strings.Cut(jobsCommand, " ")
-			return c.Jobs.run(verb, out)
+			return c.Jobs.run(jobsVerb(verb), out)
 		}
 		files.Config = c.Serve.Config
 		return serve(files, c.LogFormat, env, errs)
--- a/cmd/dispatcher/main_test.go
+++ b/cmd/dispatcher/main_test.go
@@ -5,7 +5,6 @@
 	"os"
 	"os/exec"
 	"path/filepath"
-	"strconv"
 	"testing"
 )
 
@@ -17,18 +16,17 @@
 var builtProgram string
 
 func TestMain(m *testing.M) {
-	if dir := os.Getenv("KILL_WORKER"); dir != "" {
-		seed, _ := strconv.ParseUint(os.Getenv("KILL_SEED"), 10, 64)
-		slow, _ := strconv.ParseFloat(os.Getenv("KILL_SLOW"), 64)
-		runKillWorker(dir, os.Getenv("KILL_WID"), os.Getenv("KILL_PROMISE"), seed, slow)
+	if os.Getenv(killWorkerDirectory) != "" {
+		runKillWorker()
 	}
 	dir, err := os.MkdirTemp("", "hollyyoke")
 	if err != nil {
 		panic(err)
 	}
 	builtProgram = filepath.Join(dir, "dispatcher")
-	if out, err := exec.Command("go", "build", "-ldflags=-linkmode=external", "-o", dir, ".", "../dispatcher-serve").CombinedOutput(); err != nil {
-		fmt.Fprintf(os.Stderr, "%s%v\n", out, err)
+	build := exec.Command("go", "build", "-ldflags=-linkmode=external", "-o", dir, ".", "../dispatcher-serve")
+	if output, err := build.CombinedOutput(); err != nil {
+		fmt.Fprintf(os.Stderr, "%s%v\n", output, err)
 		os.Exit(1)
 	}
 	code := m.Run()
--- a/cmd/dispatcher/serving_test.go
+++ b/cmd/dispatcher/serving_test.go
@@ -3,10 +3,7 @@
 import (
 	"bufio"
 	"fmt"
-	"io"
 	"net"
-	"os"
-	"path/filepath"
 	"strings"
 	"sync/atomic"
 	"syscall"
@@ -15,98 +12,91 @@
 )
 
 func TestServesRequestUnchanged(t *testing.T) {
-	d := &testDaemon{t: t}
-	b := d.addWorker("s-1", respondDone)
-	d.start()
-	if q := d.waitForWatch(); q != "watch=1&after=41" {
-		t.Errorf("watch %q", q)
+	daemon := &testDaemon{t: t}
+	worker := daemon.addWorker("s-1", respondDone)
+	daemon.start()
+	if query := daemon.discovery.waitForWatch(); query != "watch=1&after=41" {
+		t.Errorf("watch %q", query)
 	}
 	for i := range 5 {
 		id := fmt.Sprintf("id-%d", i)
-		if status, body, _ := d.post("renewal", id, "pay", 0); status != 200 || body != "made for "+id {
+		status, body, _ := daemon.post("renewal", id, "pay", 0)
+		if status != 200 || body != "made for "+id {
 			t.Errorf("%s: %d %q", id, status, body)
 		}
 	}
-	got := b.requests()
-	if len(got) != 5 || got[4] != "id-4 POST /renewal/key-1?x=y pay" {
-		t.Errorf("arrived: %q", got)
+	arrived := worker.requests()
+	if len(arrived) != 5 || arrived[4] != "id-4 POST /renewal/key-1?x=y pay" {
+		t.Errorf("arrived: %q", arrived)
 	}
 }
 
 // A renewal that may have run is never sent again: not after a reset, not after a
 // timeout, not on an idle connection that turns out to be closed. A status-check is.
 func TestRenewalIsNeverSentTwice(t *testing.T) {
-	d := &testDaemon{t: t}
-	reset := func(string, net.Conn) bool { return false }
-	b := d.addWorker("s-1", respondDone)
-	d.start()
-	d.post("renewal", "warm-up", "x", 0)
-	b.setRespond(reset)
-	if status, _, _ := d.post("renewal", "reset", "x", 0); status != 502 {
+	daemon := &testDaemon{t: t}
+	worker := daemon.addWorker("s-1", respondDone)
+	daemon.start()
+	daemon.postStatus("renewal", "warm-up") // its connection stays open
+
+	worker.setRespond(closeUnanswered)
+	if status := daemon.postStatus("renewal", "reset"); status != 502 {
 		t.Errorf("after a reset: %d", status)
 	}
-	b.setRespond(func(_ string, conn net.Conn) bool { io.Copy(io.Discard, conn); return false })
-	if status, _, _ := d.post("renewal", "silent", "x", 1500); status != 502 {
+	worker.setRespond(respondNever)
+	if status, _, _ := daemon.post("renewal", "silent", "x", 1500); status != 502 {
 		t.Errorf("after silence: %d", status)
 	}
-	var before atomic.Int32
-	b.setRespond(func(id string, conn net.Conn) bool {
-		if before.Add(1) == 1 {
-			return false
+	var attempts atomic.Int32
+	worker.setRespond(func(id string, conn net.Conn) bool {
+		if attempts.Add(1) == 1 {
+			return closeUnanswered(id, conn)
 		}
 		return respondDone(id, conn)
 	})
-	if status, _, _ := d.post("status-check", "check", "x", 0); status != 200 {
+	if status := daemon.postStatus("status-check", "check"); status != 200 {
 		t.Errorf("a status-check after a reset: %d", status)
 	}
-	count := map[string]int{}
-	for _, a := range b.requests() {
-		id, _, _ := strings.Cut(a, " ")
-		count[id]++
-	}
-	if count["reset"] != 1 || count["silent"] != 1 || count["check"] != 2 {
-		t.Errorf("arrivals %v", count)
+
+	runs := worker.runsByID()
+	if runs["reset"] != 1 || runs["silent"] != 1 || runs["check"] != 2 {
+		t.Errorf("arrivals %v", runs)
 	}
 }
 
 // A request that no worker can take is rejected before its deadline, with Retry-After.
 func TestRejectionHasRetryAfter(t *testing.T) {
-	d := &testDaemon{t: t}
-	d.addWorker("s-1", func(_ string, conn net.Conn) bool {
-		fmt.Fprint(conn, "HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")
-		return true
-	})
-	d.start()
+	daemon := &testDaemon{t: t}
+	daemon.addWorker("s-1", respondUnprocessed)
+	daemon.start()
 	for _, class := range []string{"status-check", "renewal"} {
-		status, _, retry := d.post(class, "full-"+class, "x", 1500)
-		var s float64
-		if _, err := fmt.Sscan(retry, &s); status != 503 || err != nil || s < 0 || s > 2 {
-			t.Errorf("%s: %d, Retry-After %q", class, status, retry)
+		status, _, retryAfter := daemon.post(class, "full-"+class, "x", 1500)
+		var seconds float64
+		_, err := fmt.Sscan(retryAfter, &seconds)
+		if status != 503 || err != nil || seconds < 0 || seconds > 2 {
+			t.Errorf("%s: %d, Retry-After %q", class, status, retryAfter)
 		}
 	}
 }
 
 // The attempt of a client that closes its connection is cancelled.
 func TestCancelReachesWorker(t *testing.T) {
-	d := &testDaemon{t: t}
-	gone := make(chan struct{})
+	daemon := &testDaemon{t: t}
 	arrived := make(chan struct{})
-	d.addWorker("s-1", func(_ string, conn net.Conn) bool {
+	cancelled := make(chan struct{})
+	daemon.addWorker("s-1", func(id string, conn net.Conn) bool {
 		close(arrived)
-		io.Copy(io.Discard, conn)
-		close(gone)
+		respondNever(id, conn)
+		close(cancelled)
 		return false
 	})
-	d.start()
-	conn, err := net.Dial("tcp", d.listen)
-	if err != nil {
-		t.Fatal(err)
-	}
-	fmt.Fprint(conn, "POST /renewal/k HTTP/1.1\r\nX-Correlation-Id: gone\r\nContent-Length: 1\r\n\r\nx")
+	daemon.start()
+	client := daemon.connect()
+	client.send("gone")
 	<-arrived
-	conn.Close()
+	client.Close()
 	select {
-	case <-gone:
+	case <-cancelled:
 	case <-time.After(testTimeout):
 		t.Error("the worker still has it")
 	}
@@ -114,37 +104,40 @@
 
 // The Faktory front end runs beside the HTTP front end, on the same workers.
 func TestFaktoryFrontEnd(t *testing.T) {
-	d := &testDaemon{t: t}
-	b := d.addWorker("s-1", respondDone)
-	addr := unusedAddress(t)
-	path := filepath.Join(t.TempDir(), "faktory.toml")
-	os.WriteFile(path, []byte(fmt.Sprintf("listen = %q\n", addr)), 0o600)
-	d.start("-faktory", path)
-	conn, err := net.Dial("tcp", addr)
+	daemon := &testDaemon{t: t}
+	worker := daemon.addWorker("s-1", respondDone)
+	address := unusedAddress(t)
+	operatorFile := writeFile(t, t.TempDir(), "faktory.toml", fmt.Sprintf("listen = %q\n", address))
+	daemon.start("-faktory", operatorFile)
+
+	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(testTimeout))
-	in := bufio.NewReader(conn)
-	for _, x := range []struct{ command, want string }{
+	reader := bufio.NewReader(conn)
+	for _, exchange := range []struct{ command, reply string }{
 		{"", "+HI {\"v\":2}"},
 		{`HELLO {"v":2}`, "+OK"},
 		{`PUSH {"jid":"pushed-01","queue":"renewal","jobtype":"x","args":[],"custom":{"key":"a b","effort_us":20000}}`, "+OK"},
 		{`PUSH {"jid":"pushed-01","queue":"renewal","jobtype":"x","args":[]}`, "+OK"},
 	} {
-		if x.command != "" {
-			fmt.Fprintf(conn, "%s\r\n", x.command)
+		if exchange.command != "" {
+			fmt.Fprintf(conn, "%s\r\n", exchange.command)
 		}
-		if line, err := in.ReadString('\n'); err != nil || strings.TrimSpace(line) != x.want {
-			t.Fatalf("%s: %q, %v", x.command, line, err)
+		line, err := reader.ReadString('\n')
+		if err != nil || strings.TrimSpace(line) != exchange.reply {
+			t.Fatalf("%s: %q, %v", exchange.command, line, err)
 		}
 	}
-	if got := b.requests(); len(got) != 1 || !strings.HasPrefix(got[0], "pushed-01 POST /renewal/a%20b {") {
-		t.Errorf("arrived: %q", got)
+
+	arrived := worker.requests()
+	if len(arrived) != 1 || !strings.HasPrefix(arrived[0], "pushed-01 POST /renewal/a%20b {") {
+		t.Errorf("arrived: %q", arrived)
 	}
-	d.cmd.Process.Signal(syscall.SIGTERM)
-	if code := d.waitForExit(); code != 0 {
+	daemon.signal(syscall.SIGTERM)
+	if code := daemon.waitForExit(); code != 0 {
 		t.Errorf("exit code %d", code)
 	}
 }
--- a/cmd/dispatcher/shortreads_test.go
+++ b/cmd/dispatcher/shortreads_test.go
@@ -19,74 +19,80 @@
 func (d *testDaemon) trace(plan faultinject.Plan) {
 	d.startProcess = func() {
 		t := d.t
-		out, err := os.Create(filepath.Join(t.TempDir(), "log"))
+		t.Helper()
+		log, err := os.Create(filepath.Join(t.TempDir(), "log"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.cmd.Stderr = out
-		p, err := faultinject.Start(d.cmd, plan)
+		d.cmd.Stderr = log
+		process, err := faultinject.Start(d.cmd, plan)
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.traced = p
+		d.traced = process
 		t.Cleanup(func() {
-			p.Signal(syscall.SIGKILL)
-			<-p.Done()
-			if text, _ := os.ReadFile(out.Name()); t.Failed() {
+			process.Signal(syscall.SIGKILL)
+			<-process.Done()
+			if text, _ := os.ReadFile(log.Name()); t.Failed() {
 				t.Logf("its log:\n%s", text)
 			}
-			out.Close()
+			log.Close()
 		})
 	}
 }
 
-func port(t *testing.T, addr string) int {
+// port returns the port of an address.
+func port(t *testing.T, address string) int {
 	t.Helper()
-	_, text, err := net.SplitHostPort(addr)
+	_, text, err := net.SplitHostPort(address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	n, err := strconv.Atoi(text)
+	number, err := strconv.Atoi(text)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return n
+	return number
 }
 
 // Reads of the watch are short, so that a part of a change stays in the socket, and then
 // nothing more arrives. Unread bytes must not delay the detection of the silence.
 func TestNotifiedInTimeOverShortReads(t *testing.T) {
-	const fault = 2 * time.Second // from the start
+	const (
+		faultAfter = 2 * time.Second // from the start
+		shortRead  = 7               // bytes
+	)
 	remove := make(chan struct{})
-	r := newRemoval(t, func(r *removal, call int, conn net.Conn) {
-		io.WriteString(conn, lineHead)
+	removal := newRemoval(t, func(r *removalTest, call int, conn net.Conn) {
+		io.WriteString(conn, watchHead)
 		if call > 0 {
 			io.WriteString(conn, r.change())
-			heartbeats(conn, nil)
+			writeHeartbeats(conn, nil)
 			return
 		}
-		heartbeats(conn, remove)
-		r.at = time.Now()
+		writeHeartbeats(conn, remove)
+		r.removedAt = time.Now()
 		io.WriteString(conn, r.change())
-		untilClosed(conn)
+		waitUntilClosed(conn)
 	})
-	discovery := r.startDiscovery()
-	r.config = map[string]any{"discovery": discovery}
-	r.trace(faultinject.Plan{Rules: []faultinject.Rule{{
-		Call: faultinject.SocketRead, Probability: 1, Short: 7, Peer: port(t, discovery), After: fault,
+	removal.discovery.start()
+	removal.trace(faultinject.Plan{Rules: []faultinject.Rule{{
+		Call:        faultinject.SocketRead,
+		Probability: 1,
+		Short:       shortRead,
+		Peer:        port(t, removal.discovery.address),
+		After:       faultAfter,
 	}}})
-	begun := time.Now()
-	r.start()
-	stop, over := make(chan struct{}), make(chan struct{})
-	go func() { r.load(stop); close(over) }()
-	r.waitUntil("the worker to be removed is used", func() bool { return r.last.Load() > 0 })
-	time.Sleep(time.Until(begun.Add(fault + 100*time.Millisecond)))
+	began := time.Now()
+	removal.start()
+	stopLoad := removal.startLoad()
+	removal.waitUntilRemovedIsUsed()
+	time.Sleep(time.Until(began.Add(faultAfter + 100*time.Millisecond)))
 	close(remove)
 	time.Sleep(notifiedAfter + drainGrace + 3*time.Second)
-	close(stop)
-	<-over
-	r.checkBound()
-	if r.traced.Injected(faultinject.SocketRead) == 0 {
+	stopLoad()
+	removal.checkBound()
+	if removal.traced.Injected(faultinject.SocketRead) == 0 {
 		t.Error("no read was short")
 	}
 }
--- a/cmd/dispatcher/startlist_test.go
+++ b/cmd/dispatcher/startlist_test.go
@@ -16,24 +16,22 @@
 		for _, discovery := range []string{"ask", "push"} {
 			t.Run(fmt.Sprintf("%d %s", peers, discovery), func(t *testing.T) {
 				t.Parallel()
-				r := newRemoval(t, func(r *removal, _ int, conn net.Conn) {
+				removal := newRemoval(t, func(r *removalTest, _ int, conn net.Conn) {
 					if discovery == "ask" { // polls are handled one after the other; an agent answers at once
 						time.Sleep(500 * time.Millisecond)
 					}
-					io.WriteString(conn, lineHead+r.change())
-					heartbeats(conn, nil)
+					io.WriteString(conn, watchHead+r.change())
+					writeHeartbeats(conn, nil)
 				})
-				r.config = map[string]any{"settings": settingsOf(peers, discovery)}
-				r.start()
-				stop, over := make(chan struct{}), make(chan struct{})
-				go func() { r.load(stop); close(over) }()
+				removal.config = map[string]any{"settings": settingsOf(peers, discovery)}
+				removal.start()
+				stopLoad := removal.startLoad()
 				time.Sleep(3 * time.Second)
-				close(stop)
-				<-over
-				if n := len(r.removed.requests()); n > 0 {
-					t.Errorf("%d requests went to the removed worker", n)
+				stopLoad()
+				if count := len(removal.removed.requests()); count > 0 {
+					t.Errorf("%d requests went to the removed worker", count)
 				}
-				if r.answered(200) == 0 {
+				if removal.answered(200) == 0 {
 					t.Error("no request was served")
 				}
 			})
--- a/cmd/dispatcher/worker_test.go
+++ b/cmd/dispatcher/worker_test.go
@@ -6,53 +6,85 @@
 	"io"
 	"net"
 	"net/http"
+	"slices"
+	"strings"
 	"sync"
 )
 
-// testWorker is a stand-in for a worker: respond answers each request, and returns
-// whether the connection stays open.
+// responder answers the request with an id, and returns whether the connection stays
+// open.
+type responder func(id string, conn net.Conn) (keepOpen bool)
+
+// testWorker is a stand-in for a worker.
 type testWorker struct {
 	name     string
 	listener net.Listener
+
 	mu       sync.Mutex
 	received []string // id, method, URI and body of each request
-	respond  func(id string, conn net.Conn) (keep bool)
+	respond  responder
 }
 
-func (b *testWorker) serve(conn net.Conn) {
+// addWorker starts a worker of the daemon.
+func (d *testDaemon) addWorker(name string, respond responder) *testWorker {
+	d.t.Helper()
+	worker := &testWorker{name: name, listener: listenLocal(d.t), respond: respond}
+	d.workers = append(d.workers, worker)
+	go acceptConnections(worker.listener, worker.serve)
+	return worker
+}
+
+func (w *testWorker) serve(conn net.Conn) {
 	defer conn.Close()
-	in := bufio.NewReader(conn)
+	reader := bufio.NewReader(conn)
 	for {
-		req, err := http.ReadRequest(in)
+		request, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
-		body, _ := io.ReadAll(req.Body)
-		id := req.Header.Get("X-Correlation-Id")
-		b.mu.Lock()
-		b.received = append(b.received, fmt.Sprintf("%s %s %s %s", id, req.Method, req.RequestURI, body))
-		act := b.respond
-		b.mu.Unlock()
-		if !act(id, conn) {
+		body, _ := io.ReadAll(request.Body)
+		id := request.Header.Get("X-Correlation-Id")
+		respond := w.receive(id, fmt.Sprintf("%s %s %s %s", id, request.Method, request.RequestURI, body))
+		if !respond(id, conn) {
 			return
 		}
 	}
 }
 
-func (b *testWorker) requests() []string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return append([]string(nil), b.received...)
+// receive records a request, and returns who answers it.
+func (w *testWorker) receive(id, request string) responder {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.received = append(w.received, request)
+	return w.respond
+}
+
+// requests returns the requests so far: id, method, URI and body of each.
+func (w *testWorker) requests() []string {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return slices.Clone(w.received)
 }
 
-func (b *testWorker) setRespond(act func(string, net.Conn) bool) {
-	b.mu.Lock()
-	b.respond = act
-	b.mu.Unlock()
+// runsByID returns how often each request has arrived.
+func (w *testWorker) runsByID() map[string]int {
+	runs := map[string]int{}
+	for _, request := range w.requests() {
+		id, _, _ := strings.Cut(request, " ")
+		runs[id]++
+	}
+	return runs
 }
 
-func (b *testWorker) listEntry(health string) string {
-	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"here","class":"m","health":%q,"share":1}`, b.name, b.listener.Addr(), health)
+func (w *testWorker) setRespond(respond responder) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.respond = respond
+}
+
+// listEntry returns the worker's entry in the endpoint list.
+func (w *testWorker) listEntry(health string) string {
+	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":"here","class":"m","health":%q,"share":1}`, w.name, w.listener.Addr(), health)
 }
 
 func respondDone(id string, conn net.Conn) bool {
@@ -67,27 +99,44 @@
 	return false
 }
 
-func writeDone(id string, conn net.Conn, fields string) {
+// respondUnprocessed says that the worker has no free slot and has not begun the request.
+func respondUnprocessed(_ string, conn net.Conn) bool {
+	io.WriteString(conn, "HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")
+	return true
+}
+
+// respondNever reads what the daemon sends until it closes the connection.
+func respondNever(_ string, conn net.Conn) bool {
+	io.Copy(io.Discard, conn)
+	return false
+}
+
+// closeUnanswered closes the connection in place of an answer.
+func closeUnanswered(string, net.Conn) bool { return false }
+
+func writeDone(id string, conn net.Conn, headers string) {
 	text := fmt.Sprintf(`{"id":%q,"state":"started"}`+"\n"+`{"id":%q,"state":"done","result":"made for %s"}`+"\n", id, id, id)
-	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%sTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", fields, len(text), text)
+	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%sTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", headers, len(text), text)
 }
 
 // respondWhenReleased answers one request once it is released, and all others at once.
-func respondWhenReleased(slow string, arrived chan<- struct{}, release <-chan struct{}) func(string, net.Conn) bool {
+func respondWhenReleased(slowID string, arrived chan<- struct{}, release <-chan struct{}) responder {
 	return func(id string, conn net.Conn) bool {
-		if id != slow {
+		if id != slowID {
 			return respondDone(id, conn)
 		}
-		line := func(state string) {
-			text := fmt.Sprintf(`{"id":%q,"state":%q,"result":"x"}`+"\n", id, state)
-			fmt.Fprintf(conn, "%x\r\n%s\r\n", len(text), text)
-		}
 		fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-		line("started") // or the worker counts as one that starts nothing
+		writeState(id, conn, "started") // or the worker counts as one that starts nothing
 		arrived <- struct{}{}
 		<-release
-		line("done")
+		writeState(id, conn, "done")
 		fmt.Fprint(conn, "0\r\n\r\n")
 		return true
 	}
 }
+
+// writeState writes a chunk with the state of a request.
+func writeState(id string, conn net.Conn, state string) {
+	text := fmt.Sprintf(`{"id":%q,"state":%q,"result":"x"}`+"\n", id, state)
+	fmt.Fprintf(conn, "%x\r\n%s\r\n", len(text), text)
+}
