--- a/internal/daemon/handover.go
+++ b/internal/daemon/handover.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// handoverIdleTimeout is how long connections left to a successor may rest.
+	// handoverIdleTimeout is how long after SIGTERM idle connections are kept.
 	handoverIdleTimeout = 1500 * time.Millisecond
 
 	// The platform sends SIGKILL killDelay after the longest deadline of a class,
@@ -20,9 +20,10 @@
 	handoverPoll = 10 * time.Millisecond // between checks whether all is handed over
 )
 
-// handOver shuts this process down beside a successor that accepts clients. Nothing is
-// accepted any more, connections end with an answer, and only those that rest are
-// closed. What is unanswered shortly before SIGKILL is answered then.
+// handOver shuts this process down beside a successor that accepts clients. From now on
+// this process accepts nothing. Connections end with their next answer; those that stay
+// idle are closed after handoverIdleTimeout. Requests that are unanswered shortly before
+// SIGKILL are answered then.
 func (p *process) handOver() {
 	began := p.dispatcher.Loop.Now()
 	p.dispatcher.Log("handing over to the successor")
@@ -54,7 +55,7 @@
 // the release of its durable jobs.
 type handoverRemainder struct {
 	process   *process
-	idleAfter time.Duration // resting connections are closed from then on
+	idleAfter time.Duration // idle connections are closed from then on
 	expireAt  time.Duration // all requests end then
 }
 
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -34,8 +34,8 @@
 	replacement replacement
 }
 
-// phase is a part of a process's life. One follows the other, and none comes back. A
-// drain is none: it begins and ends while the process is serving.
+// phase is a part of a process's life. The phases follow in the order of the constants.
+// A drain is not a phase: it begins and ends while the process is serving.
 type phase int
 
 const (
@@ -52,8 +52,8 @@
 	maxClients   int // connections of clients at a time, for each front end
 }
 
-// beginShutdown lets the front ends answer as ones that are about to end. They go on
-// accepting.
+// beginShutdown makes the health check fail and stops the supply of stored and upstream
+// jobs. Clients are still accepted.
 func (f *frontEnds) beginShutdown() {
 	if f.http != nil {
 		f.http.BeginShutdown()
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -51,8 +51,8 @@
 	loop.After(interval, func() { p.stopWhen(advance, interval) })
 }
 
-// lastAnswers is the part of a shutdown after the arrival window: connections end as
-// their requests are answered.
+// lastAnswers is the part of a shutdown after the arrival window. Requests that were
+// read are answered, and each connection is closed after its last answer.
 type lastAnswers struct {
 	process       *process
 	stopReading   time.Duration // nothing is read from then on
