--- a/cmd/dispatcher/syscalls_test.go
+++ b/cmd/dispatcher/syscalls_test.go
@@ -46,7 +46,7 @@
 func settingsWithObjective(t *testing.T, objective time.Duration) json.RawMessage {
 	t.Helper()
 	var settings map[string]any
-	if err := json.Unmarshal([]byte(strings.ReplaceAll(settingsText, "CONN_IDLE", "10000000")), &settings); err != nil {
+	if err := json.Unmarshal([]byte(settingsWithIdle(defaultConnectionIdle)), &settings); err != nil {
 		t.Fatal(err)
 	}
 	for _, class := range settings["classes"].([]any) {
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -15,7 +15,8 @@
 
 // goldenMessages are messages of every kind, in the order of the golden file.
 func goldenMessages() []Message {
-	out, in := true, false
+	outOfService := true
+	inService := false
 	list := json.RawMessage(`{"seq":41,"whole":true,"hosts":[{"host":"s-1","dial":"127.0.0.1:8001"}],"age_ms":1250}`)
 	return []Message{
 		{Greeting: &Greeting{Discovery: "127.0.0.1:7000", List: list, OutOfService: true, IDKey: []byte("\x00\x01key of 16 byte\xff")}},
@@ -25,8 +26,8 @@
 		{Limits: &Limits{}},
 		{DiscoveryMoved: "127.0.0.1:7001"},
 		{List: list},
-		{OutOfService: &out},
-		{OutOfService: &in},
+		{OutOfService: &outOfService},
+		{OutOfService: &inService},
 		{Reservation: &Reservation{Worker: "s-1", Amount: 0.125}},
 		{StoreReleased: true},
 	}
@@ -38,18 +39,19 @@
 // Messages of all kinds are written byte for byte as the golden file has them, and
 // read back equal: the peer process may be of an older build or a newer one.
 func TestGoldenMessages(t *testing.T) {
-	p := newTestPeer(t, SocketPath(t.TempDir(), "n"))
-	conn, link := p.connect(t)
+	peer := newTestPeer(t, SocketPath(t.TempDir(), "n"))
+	conn, link := peer.connect(t)
 	defer conn.Close()
-	p.loop.Post(func() {
-		for _, m := range goldenMessages() {
-			link.Send(m)
+	peer.loop.Post(func() {
+		for _, message := range goldenMessages() {
+			link.Send(message)
 		}
 		link.SendIDs(goldenIDs)
 	})
 	var written bytes.Buffer
-	for in := bufio.NewReader(conn); bytes.Count(written.Bytes(), []byte("\n")) < len(goldenMessages())+1; {
-		line, err := in.ReadBytes('\n')
+	reader := bufio.NewReader(conn)
+	for range len(goldenMessages()) + 1 {
+		line, err := reader.ReadBytes('\n')
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -64,11 +66,11 @@
 		t.Fatal(err)
 	}
 	for i, want := range goldenMessages() {
-		if got := receive(t, p.received); !reflect.DeepEqual(got, want) {
+		if got := receive(t, peer.received); !reflect.DeepEqual(got, want) {
 			t.Errorf("message %d is read as %+v, want %+v", i, got, want)
 		}
 	}
-	last := receive(t, p.received)
+	last := receive(t, peer.received)
 	if ids, err := last.ReadIDs(); err != nil || !reflect.DeepEqual(ids, goldenIDs) {
 		t.Errorf("ids %x, %v", ids, err)
 	}
@@ -76,11 +78,11 @@
 
 // Keys that a newer build may add are ignored.
 func TestGoldenUnknownKeys(t *testing.T) {
-	p := newTestPeer(t, SocketPath(t.TempDir(), "n"))
-	conn, _ := p.connect(t)
+	peer := newTestPeer(t, SocketPath(t.TempDir(), "n"))
+	conn, _ := peer.connect(t)
 	defer conn.Close()
-	fmt.Fprintln(conn, `{"a_word_to_come":{"x":1},"ready":true}`)
-	if got := receive(t, p.received); !reflect.DeepEqual(got, Message{Ready: true}) {
+	fmt.Fprintln(conn, `{"a_key_to_come":{"x":1},"ready":true}`)
+	if got := receive(t, peer.received); !reflect.DeepEqual(got, Message{Ready: true}) {
 		t.Errorf("read as %+v", got)
 	}
 }
