--- a/decision/admission.go
+++ b/decision/admission.go
@@ -112,17 +112,17 @@
 	if !m.withinRetryBudget(request) || !m.withinConcurrency(request) {
 		return false
 	}
-	m.inFlight += request.slots
-	m.refillBucket()
+	m.ceilings.inFlight += request.slots
+	m.bucket.refill(m.now, m.readyWorkers(), m.bucketCapacity())
 	var worker *worker
-	if m.bucketTokens >= min(request.cost, m.bucketCapacity()) {
+	if m.bucket.tokens >= min(request.cost, m.bucketCapacity()) {
 		worker = m.pickWorker(request)
 	}
 	if worker == nil {
-		m.inFlight -= request.slots
+		m.ceilings.inFlight -= request.slots
 		return false
 	}
-	m.bucketTokens -= request.cost
+	m.bucket.tokens -= request.cost
 	m.closeStaleConnections(worker)
 	if worker.ejected { // this is a trial: the next one comes later
 		m.scheduleTrial(worker)
--- a/decision/admission_test.go
+++ b/decision/admission_test.go
@@ -6,34 +6,40 @@
 	"time"
 )
 
-// An attempt needs both the concurrency ceiling and the token bucket, and a worker. What one of them
-// refuses keeps nothing of the others.
-func TestRefusedAttemptKeepsNoCapacity(t *testing.T) {
+// An attempt needs the concurrency ceiling, the token bucket and a worker. Where one of them refuses it,
+// nothing of the others may stay reserved.
+
+func TestConcurrencyCeilingBoundsSlotsInFlight(t *testing.T) {
 	rig := newRig(t, testSettings(), 4)
-	rig.concurrencyPerWorker = 0.5 // two slots, and the headroom
+	rig.ceilings.concurrencyPerWorker = 0.5 // two slots, and the headroom
 	for range 2 + int(concurrencyHeadroom) {
 		rig.arrive(0)
 	}
-	if rig.inFlight != 2+concurrencyHeadroom {
+	if rig.ceilings.inFlight != 2+concurrencyHeadroom {
 		t.Fatalf("%v slots in flight under a ceiling of two and headroom of %v",
-			rig.inFlight, concurrencyHeadroom)
+			rig.ceilings.inFlight, concurrencyHeadroom)
 	}
 	if rig.send(0) != "" {
 		t.Fatal("an attempt above the ceiling")
 	}
-	rig = newRig(t, testSettings(), 4)
-	rig.bucketTokens = 0.5
-	rig.bucketRefilledAt = rig.now
-	rig.workRatePerWorker = 1
-	if id := rig.arrive(0); rig.assignedTo(id) != "" || rig.inFlight != 0 {
-		t.Fatalf("bucket denied, yet sent or %v slots in flight", rig.inFlight)
+}
+
+func TestEmptyTokenBucketReservesNoSlot(t *testing.T) {
+	rig := newRig(t, testSettings(), 4)
+	rig.bucket = tokenBucket{ratePerWorker: 1, tokens: 0.5, refilledAt: rig.now}
+	if id := rig.arrive(0); rig.assignedTo(id) != "" || rig.ceilings.inFlight != 0 {
+		t.Fatalf("bucket denied, yet sent or %v slots in flight", rig.ceilings.inFlight)
 	}
-	rig = newRig(t, testSettings(), 1)
+}
+
+func TestLackOfWorkersReservesNoSlotAndNoTokens(t *testing.T) {
+	rig := newRig(t, testSettings(), 1)
 	rig.fleet[0].saturatedUntil = rig.now + time.Second
-	bucket := 1.5
-	rig.bucketTokens = bucket
-	rig.bucketRefilledAt = rig.now
-	if id := rig.arrive(0); rig.assignedTo(id) != "" || rig.inFlight != 0 || rig.bucketTokens != bucket {
+	tokens := 1.5
+	rig.bucket.tokens = tokens
+	rig.bucket.refilledAt = rig.now
+	id := rig.arrive(0)
+	if rig.assignedTo(id) != "" || rig.ceilings.inFlight != 0 || rig.bucket.tokens != tokens {
 		t.Fatal("no ready worker, yet slots or tokens were kept")
 	}
 }
--- a/decision/attempt.go
+++ b/decision/attempt.go
@@ -40,7 +40,7 @@
 	}
 	worker.outstanding += request.slots
 	if worker.ejected {
-		m.inFlightAtEjected += request.slots
+		m.ceilings.inFlightAtEjected += request.slots
 	}
 	worker.freeSlots -= request.slots
 	m.zone(worker.Zone).lastAttemptAt = m.now
@@ -153,16 +153,16 @@
 	request.outstanding--
 	worker.outstanding -= request.slots
 	worker.freeSlots += request.slots
-	m.inFlight = max(m.inFlight-request.slots, 0)
+	m.ceilings.inFlight = max(m.ceilings.inFlight-request.slots, 0)
 	if worker.ejected {
-		m.inFlightAtEjected -= request.slots
+		m.ceilings.inFlightAtEjected -= request.slots
 	}
 }
 
 // refundWork gives back the work of an attempt that did not run: to the token bucket, and off the worker's
 // recent work, since what warm workers reject says nothing of what one in slow start can do.
 func (m *Machine) refundWork(request *request, worker *worker) {
-	m.bucketTokens += request.cost
+	m.bucket.tokens += request.cost
 	worker.recentWork.add(m.now, m.planningHorizon, -request.cost)
 }
 
--- a/decision/capacity_test.go
+++ b/decision/capacity_test.go
@@ -46,8 +46,8 @@
 		}
 	}
 	machine.Handle(start, Event{Kind: ListUpdated, ListKind: ListCached, Endpoints: list}, nil)
-	machine.concurrencyPerWorker = 1e6
-	machine.workRatePerWorker = 1e6 // no ceiling binds: what is measured is the pick
+	machine.ceilings.concurrencyPerWorker = 1e6
+	machine.bucket.ratePerWorker = 1e6 // no ceiling binds: what is measured is the pick
 	return machine, list
 }
 
--- a/decision/ceilings.go
+++ b/decision/ceilings.go
@@ -12,18 +12,48 @@
 	initialSlotsPerWorker = 8.0  // slots per worker of all dispatchers together, as both ceilings
 	ceilingFloorRatio     = 0.25 // part of the initial value below which no ceiling is cut
 	ceilingRaiseStep      = 0.4  // slots that a served slot adds to the ceiling when no outcome is bad
-	concurrencyHeadroom   = 3.0  // slots above the ceiling, lest a tiny one reject beside idle workers
+	concurrencyHeadroom   = 3.0  // slots above the ceiling, so that a tiny one leaves no worker idle
 	badRatioSpan          = 16   // outcomes over which badRatio is averaged
 	overloadBadRatio      = 0.25 // badRatio from which the workers count as overloaded
 )
 
+// ceilings is the state of the concurrency ceiling, and of the outcomes from which both ceilings are
+// learned. The other ceiling is the tokenBucket.
+type ceilings struct {
+	inFlight             float64 // slots of all outstanding attempts
+	inFlightAtEjected    float64 // those of them at ejected workers
+	concurrencyPerWorker float64 // learned ceiling of slots in flight per ready worker
+	badRatio             float64 // recent share of bad outcomes, 0 to 1
+	cutAt                time.Duration
+}
+
+// tokenBucket bounds the work that is sent over time. Its rate is learned per ready worker.
+type tokenBucket struct {
+	ratePerWorker float64 // slot-seconds a second
+	tokens        float64 // slot-seconds left
+	refilledAt    time.Duration
+}
+
+// capacity is what the bucket holds when full: the slot-seconds that its rate gives in a span of time.
+func (b *tokenBucket) capacity(readyWorkers float64, span time.Duration) float64 {
+	return b.ratePerWorker * readyWorkers * span.Seconds()
+}
+
+// refill adds the tokens that have come in since the last refill.
+func (b *tokenBucket) refill(now time.Duration, readyWorkers, capacity float64) {
+	rate := b.ratePerWorker * readyWorkers
+	refilled := b.tokens + rate*(now-b.refilledAt).Seconds()
+	b.tokens = min(refilled, capacity)
+	b.refilledAt = now
+}
+
 // countedInFlight is the number of slots in flight that the ceiling applies to. Those at ejected workers
 // are left out: the ceiling is that of the ready workers, and requests stuck elsewhere must not exhaust it.
 func (m *Machine) countedInFlight() float64 {
 	if m.inPanic() {
-		return m.inFlight
+		return m.ceilings.inFlight
 	}
-	return m.inFlight - m.inFlightAtEjected
+	return m.ceilings.inFlight - m.ceilings.inFlightAtEjected
 }
 
 // readyWorkers is the number of running workers, less the ejected ones unless in panic; at least one.
@@ -36,45 +66,37 @@
 
 // concurrencyCeiling is the number of slots that may be in flight.
 func (m *Machine) concurrencyCeiling() float64 {
-	return m.concurrencyPerWorker*m.readyWorkers() + concurrencyHeadroom
+	return m.ceilings.concurrencyPerWorker*m.readyWorkers() + concurrencyHeadroom
 }
 
-// withinConcurrency reports whether the concurrency ceiling admits one more attempt; where none is in flight
-// it does.
+// withinConcurrency reports whether the concurrency ceiling admits one more attempt. It always does while
+// no attempt is in flight.
 func (m *Machine) withinConcurrency(request *request) bool {
 	return m.countedInFlight() <= 0 || m.countedInFlight()+request.slots <= m.concurrencyCeiling()
 }
 
-// bucketCapacity is what the token bucket holds when full: the slot-seconds that its rate gives in a
-// planning horizon.
+// bucketCapacity is what the token bucket holds when full: its rate over a planning horizon.
 func (m *Machine) bucketCapacity() float64 {
-	return m.workRatePerWorker * m.readyWorkers() * m.planningHorizon.Seconds()
-}
-
-// refillBucket adds the tokens that have come in since the last refill.
-func (m *Machine) refillBucket() {
-	rate := m.workRatePerWorker * m.readyWorkers()
-	refilled := m.bucketTokens + rate*(m.now-m.bucketRefilledAt).Seconds()
-	m.bucketTokens = min(refilled, m.bucketCapacity())
-	m.bucketRefilledAt = m.now
+	return m.bucket.capacity(m.readyWorkers(), m.planningHorizon)
 }
 
-// bucketIsScarce reports whether the token bucket limits what is sent. A rate that was cut while it did not
-// would price work away later.
+// bucketIsScarce reports whether the token bucket limits what is sent. Its rate is raised and cut only then:
+// a rate that was cut while it limited nothing would price work away later.
 func (m *Machine) bucketIsScarce() bool {
-	return m.bucketTokens < m.bucketCapacity()/2 || m.workPrice > 0
+	return m.bucket.tokens < m.bucketCapacity()/2 || m.workPrice > 0
 }
 
 // raiseCeilings raises the ceilings that bind, for a request served in time. One that grew unused would be
 // stale when it is needed.
 func (m *Machine) raiseCeilings(request *request) {
-	m.badRatio -= m.badRatio / badRatioSpan
-	step := ceilingRaiseStep * math.Pow(1-m.badRatio, 4) / m.readyWorkers()
-	if m.countedInFlight()+request.slots > m.concurrencyPerWorker*m.readyWorkers()/2 || m.slotPrice > 0 {
-		m.concurrencyPerWorker += step * request.slots
+	c := &m.ceilings
+	c.badRatio -= c.badRatio / badRatioSpan
+	step := ceilingRaiseStep * math.Pow(1-c.badRatio, 4) / m.readyWorkers()
+	if m.countedInFlight()+request.slots > c.concurrencyPerWorker*m.readyWorkers()/2 || m.slotPrice > 0 {
+		c.concurrencyPerWorker += step * request.slots
 	}
 	if m.bucketIsScarce() {
-		m.workRatePerWorker += step * request.cost / m.latencyEstimate()
+		m.bucket.ratePerWorker += step * request.cost / m.latencyEstimate()
 	}
 }
 
@@ -82,21 +104,22 @@
 // request. They are cut once in a mean latency, and an outcome of what was sent before the last cut is
 // ignored: it says nothing of the ceilings since.
 func (m *Machine) cutCeilings(request *request, sentAt time.Duration) {
+	c := &m.ceilings
 	request.countedAsBad = true
-	if sentAt < m.ceilingsCutAt {
+	if sentAt < c.cutAt {
 		return
 	}
 	share := m.eligibleShare(request.class)
-	m.badRatio += share * (1 - m.badRatio) / badRatioSpan
-	if m.now-m.ceilingsCutAt <= seconds(m.latencyEstimate()) {
+	c.badRatio += share * (1 - c.badRatio) / badRatioSpan
+	if m.now-c.cutAt <= seconds(m.latencyEstimate()) {
 		return
 	}
-	m.ceilingsCutAt = m.now
+	c.cutAt = m.now
 	floor := ceilingFloorRatio * initialSlotsPerWorker / float64(m.settings.Peers)
-	remaining := 1 - share*m.badRatio/2
-	m.concurrencyPerWorker = max(m.concurrencyPerWorker*remaining, floor)
+	remaining := 1 - share*c.badRatio/2
+	c.concurrencyPerWorker = max(c.concurrencyPerWorker*remaining, floor)
 	if m.bucketIsScarce() {
-		m.workRatePerWorker = max(m.workRatePerWorker*remaining, floor)
+		m.bucket.ratePerWorker = max(m.bucket.ratePerWorker*remaining, floor)
 	}
 }
 
--- a/decision/ceilings_test.go
+++ b/decision/ceilings_test.go
@@ -10,45 +10,50 @@
 func TestInitialCeilingsAreSharedByPeers(t *testing.T) {
 	settings := testSettings()
 	settings.Peers = 22
-	if rig := newRig(t, settings, 2); math.Abs(rig.concurrencyPerWorker*22-initialSlotsPerWorker) > 1e-9 ||
-		rig.workRatePerWorker != rig.concurrencyPerWorker {
-		t.Fatalf("22 dispatchers start with %v slots a worker each", rig.concurrencyPerWorker)
+	rig := newRig(t, settings, 2)
+	slots := rig.ceilings.concurrencyPerWorker
+	if math.Abs(slots*22-initialSlotsPerWorker) > 1e-9 || rig.bucket.ratePerWorker != slots {
+		t.Fatalf("22 dispatchers start with %v slots a worker each", slots)
 	}
 }
 
-func TestCeilingsLearn(t *testing.T) {
+func TestCeilingRisesWithServedRequestsAndFallsWithLateOnes(t *testing.T) {
 	rig := newRig(t, testSettings(), 2)
-	rig.concurrencyPerWorker = 1.2
-	before := rig.concurrencyPerWorker
+	rig.ceilings.concurrencyPerWorker = 1.2
+	before := rig.ceilings.concurrencyPerWorker
 	a := rig.arrive(0)
 	b := rig.arrive(0)
 	rig.endAttempt(a, 0, Completed, time.Second)
-	if rig.concurrencyPerWorker <= before {
+	if rig.ceilings.concurrencyPerWorker <= before {
 		t.Fatal("no step up for a request served at the ceiling")
 	}
-	before = rig.concurrencyPerWorker
+	before = rig.ceilings.concurrencyPerWorker
 	rig.endAttempt(b, 0, Completed, 4*time.Second) // late
-	if rig.concurrencyPerWorker >= before {
+	if rig.ceilings.concurrencyPerWorker >= before {
 		t.Fatal("no cut for a late answer")
 	}
-	rig.badRatio = 1
-	before = rig.concurrencyPerWorker
+	rig.ceilings.badRatio = 1
+	before = rig.ceilings.concurrencyPerWorker
 	rig.cutCeilings(&request{class: &rig.settings.Classes[0]}, rig.now)
-	if rig.concurrencyPerWorker != before {
+	if rig.ceilings.concurrencyPerWorker != before {
 		t.Fatal("two cuts within a round trip")
 	}
+}
+
+// A dispatcher that restarted amid overload once cut its ceilings to nothing before it had measured a round
+// trip.
+func TestCeilingsAreNotCutBelowAQuarterOfTheirStart(t *testing.T) {
+	rig := newRig(t, testSettings(), 2)
 	for range 1000 {
 		rig.now += time.Minute
-		rig.badRatio = 1
+		rig.ceilings.badRatio = 1
 		rig.cutCeilings(&request{class: &rig.settings.Classes[0]}, rig.now)
 	}
-	// A dispatcher that restarted amid overload once cut itself to nothing before it knew a round trip
-	// (i1d0b2b).
-	if rig.concurrencyPerWorker != initialCeiling/4 || rig.workRatePerWorker < initialCeiling/4 {
+	if rig.ceilings.concurrencyPerWorker != initialCeiling/4 || rig.bucket.ratePerWorker < initialCeiling/4 {
 		t.Fatalf(
 			"ceilings fell to %v and %v, below a quarter of where they start",
-			rig.concurrencyPerWorker,
-			rig.workRatePerWorker,
+			rig.ceilings.concurrencyPerWorker,
+			rig.bucket.ratePerWorker,
 		)
 	}
 }
@@ -66,12 +71,12 @@
 			rig.handle(rig.now, Event{Kind: AttemptStarted, Request: id, Worker: rig.assignedTo(id)})
 		}
 		rig.handle(request.objective-seconds(request.work), Event{Kind: TimerFired, Timer: sweepTimer})
-		if cut := rig.concurrencyPerWorker < initialCeiling; cut == started {
+		if cut := rig.ceilings.concurrencyPerWorker < initialCeiling; cut == started {
 			t.Fatalf("started %v, cut %v", started, cut)
 		}
-		before := rig.badRatio
+		before := rig.ceilings.badRatio
 		rig.endAttempt(id, 0, Completed, 2*time.Second)
-		if !started && rig.badRatio != before {
+		if !started && rig.ceilings.badRatio != before {
 			t.Fatal("a late request was counted twice")
 		}
 	}
@@ -83,12 +88,10 @@
 	settings := testSettings()
 	settings.Peers = 100
 	rig := newRig(t, settings, 4)
-	rig.workRatePerWorker = 1
-	if rig.concurrencyPerWorker*rig.readyWorkers() >= 1 || rig.send(0) == "" || rig.send(0) == "" {
-		t.Fatalf(
-			"a second request was held back at a ceiling of %v slots",
-			rig.concurrencyPerWorker*rig.readyWorkers(),
-		)
+	rig.bucket.ratePerWorker = 1
+	ceiling := rig.ceilings.concurrencyPerWorker * rig.readyWorkers()
+	if ceiling >= 1 || rig.send(0) == "" || rig.send(0) == "" {
+		t.Fatalf("a second request was held back at a ceiling of %v slots", ceiling)
 	}
 }
 
@@ -96,17 +99,20 @@
 func TestBucketThatDoesNotBindIsNotCut(t *testing.T) {
 	rig := newRig(t, testSettings(), 4)
 	id := rig.arrive(0)
-	rig.badRatio = 1
+	rig.ceilings.badRatio = 1
 	rig.endAttempt(id, 0, Completed, 4*time.Second)
-	if rig.workRatePerWorker != initialCeiling || rig.concurrencyPerWorker >= initialCeiling {
-		t.Fatalf("rate %v, slots %v", rig.workRatePerWorker, rig.concurrencyPerWorker)
+	if rig.bucket.ratePerWorker != initialCeiling || rig.ceilings.concurrencyPerWorker >= initialCeiling {
+		t.Fatalf("rate %v, slots %v", rig.bucket.ratePerWorker, rig.ceilings.concurrencyPerWorker)
 	}
-	rig = newRig(t, testSettings(), 4)
-	id = rig.arrive(0)
-	rig.bucketTokens = 0
-	rig.badRatio = 1
+}
+
+func TestBucketThatBindsIsCut(t *testing.T) {
+	rig := newRig(t, testSettings(), 4)
+	id := rig.arrive(0)
+	rig.bucket.tokens = 0
+	rig.ceilings.badRatio = 1
 	rig.endAttempt(id, 0, Completed, 4*time.Second)
-	if rig.workRatePerWorker >= initialCeiling {
+	if rig.bucket.ratePerWorker >= initialCeiling {
 		t.Fatal("a bucket that binds is not cut")
 	}
 }
@@ -120,17 +126,14 @@
 		ids = append(ids, rig.arrive(0))
 	}
 	rig.endAttempt(ids[0], 0, Completed, 4*time.Second)
-	after := rig.concurrencyPerWorker
+	after := rig.ceilings.concurrencyPerWorker
 	for _, id := range ids[1:] {
 		rig.meanLatency = 0.001
 		rig.endAttempt(id, 0, Completed, 100*time.Millisecond)
 	}
-	if after >= initialCeiling || rig.concurrencyPerWorker != after {
-		t.Fatalf(
-			"ceiling %v after the first late answer, %v after the others",
-			after,
-			rig.concurrencyPerWorker,
-		)
+	last := rig.ceilings.concurrencyPerWorker
+	if after >= initialCeiling || last != after {
+		t.Fatalf("ceiling %v after the first late answer, %v after the others", after, last)
 	}
 }
 
@@ -146,10 +149,10 @@
 	)
 	cut := func(class int) float64 {
 		rig.now += time.Minute
-		before := rig.concurrencyPerWorker
-		rig.badRatio = 0.5
+		before := rig.ceilings.concurrencyPerWorker
+		rig.ceilings.badRatio = 0.5
 		rig.cutCeilings(&request{class: &rig.settings.Classes[class]}, rig.now)
-		return 1 - rig.concurrencyPerWorker/before
+		return 1 - rig.ceilings.concurrencyPerWorker/before
 	}
 	all := cut(0)
 	one := cut(1)
@@ -164,11 +167,12 @@
 	id := rig.arrive(0)
 	first := rig.assignedTo(id)
 	rig.endAttempt(id, 0, Saturated, time.Millisecond)
-	if rig.concurrencyPerWorker != initialCeiling || rig.assignedTo(id) == first {
-		t.Fatalf("ceiling %v, sent again to %v", rig.concurrencyPerWorker, rig.assignedTo(id))
+	ceiling := rig.ceilings.concurrencyPerWorker
+	if ceiling != initialCeiling || rig.assignedTo(id) == first {
+		t.Fatalf("ceiling %v, sent again to %v", ceiling, rig.assignedTo(id))
 	}
 	rig.endAttempt(id, 1, Saturated, time.Millisecond)
-	if rig.concurrencyPerWorker >= initialCeiling || rig.badRatio == 0 {
+	if rig.ceilings.concurrencyPerWorker >= initialCeiling || rig.ceilings.badRatio == 0 {
 		t.Fatal("a second failure is about the fleet")
 	}
 }
--- a/decision/hedge_test.go
+++ b/decision/hedge_test.go
@@ -72,13 +72,13 @@
 		for n := range rig.requests[id].attempts {
 			rig.endAttempt(id, n, Cancelled, 0)
 		}
-		if worker.unstarted != 0 || worker.outstanding != 0 || rig.inFlight != 0 {
+		if worker.unstarted != 0 || worker.outstanding != 0 || rig.ceilings.inFlight != 0 {
 			t.Errorf(
 				"%s: in the end %d starts are waited for, %v slots out, %v in flight",
 				name,
 				worker.unstarted,
 				worker.outstanding,
-				rig.inFlight,
+				rig.ceilings.inFlight,
 			)
 		}
 	}
--- a/decision/load_test.go
+++ b/decision/load_test.go
@@ -7,7 +7,7 @@
 // What other dispatchers have outstanding at a worker delays a request there as much as own attempts do.
 func TestOthersOutstandingCounts(t *testing.T) {
 	rig := newRig(t, testSettings(), 2)
-	rig.concurrencyPerWorker = 100
+	rig.ceilings.concurrencyPerWorker = 100
 	rig.handle(
 		rig.now,
 		Event{Kind: HealthChecked, Worker: "w0", Load: LoadReport{Outstanding: 5, HasOutstanding: true}},
--- a/decision/machine.go
+++ b/decision/machine.go
@@ -57,15 +57,8 @@
 	arrivals    []time.Duration // in the last RetryBudgetWindow
 	retries     []time.Duration // attempts beyond a request's first in the last RetryBudgetWindow
 
-	// Ceilings: see ceilings.go.
-	inFlight             float64 // slots of all outstanding attempts
-	inFlightAtEjected    float64 // those of them at ejected workers
-	concurrencyPerWorker float64 // learned ceiling of slots in flight per ready worker
-	workRatePerWorker    float64 // learned rate of the token bucket, slot-seconds a second per ready worker
-	bucketTokens         float64 // slot-seconds left in the token bucket
-	bucketRefilledAt     time.Duration
-	badRatio             float64 // recent share of bad outcomes, 0 to 1
-	ceilingsCutAt        time.Duration
+	ceilings ceilings    // how much may be in flight: see ceilings.go
+	bucket   tokenBucket // how much work may be sent over time: see ceilings.go
 
 	// Prices: see pricing.go and mix.go.
 	mix           []requestGroup
@@ -126,9 +119,9 @@
 	}
 	m.planningHorizon = max(longestDeadline/4, m.settings.Tick)
 	m.sweepInterval = m.shortestSweepInterval()
-	m.bucketTokens = math.Inf(1)
-	m.concurrencyPerWorker = initialSlotsPerWorker / float64(m.settings.Peers)
-	m.workRatePerWorker = m.concurrencyPerWorker
+	initialCeiling := initialSlotsPerWorker / float64(m.settings.Peers)
+	m.ceilings.concurrencyPerWorker = initialCeiling
+	m.bucket = tokenBucket{ratePerWorker: initialCeiling, tokens: math.Inf(1)}
 	m.subsetSize = 2 * minSubsetSize
 	m.safeIdleTime = cmp.Or(m.settings.ConnectionIdleTimeout, math.MaxInt64/2)
 	m.initialOwners = maxOwners
--- a/decision/machine_test.go
+++ b/decision/machine_test.go
@@ -42,9 +42,10 @@
 		}
 	}
 	rig.handle(rig.now, Event{Kind: TimerFired, Timer: sweepTimer})
-	if n := len(rig.requests) + len(rig.unanswered) + len(rig.queue); n != 0 || rig.inFlight != 0 ||
-		rig.inFlightAtEjected != 0 {
-		t.Fatalf("%d requests and %v slots held", n, rig.inFlight)
+	inFlight := rig.ceilings.inFlight
+	held := len(rig.requests) + len(rig.unanswered) + len(rig.queue)
+	if held != 0 || inFlight != 0 || rig.ceilings.inFlightAtEjected != 0 {
+		t.Fatalf("%d requests and %v slots held", held, inFlight)
 	}
 	if len(rig.workers) != 6 || len(rig.fleet) != 6 || len(rig.mix) > 100 {
 		t.Fatalf("%d workers, %d in the fleet, %d points", len(rig.workers), len(rig.fleet), len(rig.mix))
--- a/decision/outlier.go
+++ b/decision/outlier.go
@@ -77,7 +77,7 @@
 	if !ejected {
 		sign = -1
 	}
-	m.inFlightAtEjected += float64(sign) * worker.outstanding
+	m.ceilings.inFlightAtEjected += float64(sign) * worker.outstanding
 	if worker.State == Running {
 		m.ejectedCount += sign
 	}
--- a/decision/outlier_test.go
+++ b/decision/outlier_test.go
@@ -33,9 +33,7 @@
 		}
 	}
 	rig.now += worker.ejectionBackoff
-	rig.concurrencyPerWorker = 100
-	rig.workRatePerWorker = 100
-	rig.bucketTokens = 1e6
+	rig.setCeilings(100, 1e6)
 	trials := 0
 	for range 40 {
 		rig.arrive(0)
@@ -54,7 +52,7 @@
 // all slots count, lest ejecting workers lift the ceiling.
 func TestSlotsAtEjectedWorkersDoNotCount(t *testing.T) {
 	rig := newRig(t, testSettings(), 3)
-	rig.concurrencyPerWorker = (6 - concurrencyHeadroom) / 3
+	rig.ceilings.concurrencyPerWorker = (6 - concurrencyHeadroom) / 3
 	var stuck []uint64
 	for len(stuck) < 6 {
 		stuck = append(stuck, rig.arrive(0))
@@ -62,7 +60,7 @@
 	ejected := rig.fleet[0]
 	atEjected := ejected.outstanding
 	rig.setFailureScore(ejected, 1, reportsNoMore)
-	if rig.inFlight != 6 || atEjected == 0 || rig.countedInFlight() != 6-atEjected {
+	if rig.ceilings.inFlight != 6 || atEjected == 0 || rig.countedInFlight() != 6-atEjected {
 		t.Fatalf("%v of 6 slots count though an ejected worker holds %v", rig.countedInFlight(), atEjected)
 	}
 	rig.setFailureScore(rig.fleet[1], 1, reportsNoMore)
@@ -80,8 +78,10 @@
 	for _, id := range stuck {
 		rig.endAttempt(id, 0, Completed, 0)
 	}
-	if rig.inFlight != 0 || rig.inFlightAtEjected != 0 {
-		t.Fatalf("%v slots, %v of them stuck, after all have ended", rig.inFlight, rig.inFlightAtEjected)
+	inFlight := rig.ceilings.inFlight
+	atEjected = rig.ceilings.inFlightAtEjected
+	if inFlight != 0 || atEjected != 0 {
+		t.Fatalf("%v slots, %v of them stuck, after all have ended", inFlight, atEjected)
 	}
 }
 
@@ -101,9 +101,7 @@
 // and none in panic.
 func TestEjectedNamesWorkersThatGetNothing(t *testing.T) {
 	rig := newRig(t, testSettings(), 5)
-	rig.concurrencyPerWorker = 1000
-	rig.workRatePerWorker = 1000
-	rig.bucketTokens = 1e6
+	rig.setCeilings(1000, 1e6)
 	ejected := rig.fleet[2]
 	if rig.Ejected() != nil {
 		t.Fatalf("%v are ejected at the start", rig.Ejected())
@@ -194,7 +192,7 @@
 // nor the fleet is blamed. A worker that says so of all that it gets is at fault itself.
 func TestInvalidRequestBlamesNoWorker(t *testing.T) {
 	rig := newRig(t, testSettings(), 3)
-	concurrency := rig.concurrencyPerWorker
+	before := rig.ceilings.concurrencyPerWorker
 	worker := ""
 	for i := range 2 * maxConsecutiveInvalid {
 		id := rig.arrive(i % 2)
@@ -209,14 +207,10 @@
 			worker.consecutiveInvalid = 0
 		}
 	}
-	if rig.ejectedCount != 0 || rig.concurrencyPerWorker < concurrency || rig.inFlight != 0 {
-		t.Errorf(
-			"%d ejected, ceiling %v of %v, %v in flight",
-			rig.ejectedCount,
-			rig.concurrencyPerWorker,
-			concurrency,
-			rig.inFlight,
-		)
+	ceiling := rig.ceilings.concurrencyPerWorker
+	inFlight := rig.ceilings.inFlight
+	if rig.ejectedCount != 0 || ceiling < before || inFlight != 0 {
+		t.Errorf("%d ejected, ceiling %v of %v, %v in flight", rig.ejectedCount, ceiling, before, inFlight)
 	}
 	rig.workers[worker].consecutiveInvalid = maxConsecutiveInvalid
 	for {
--- a/decision/pricing_test.go
+++ b/decision/pricing_test.go
@@ -9,14 +9,14 @@
 func TestPricesAreCheckedBeforeCapacityIsTaken(t *testing.T) {
 	rig := newRig(t, testSettings(), 4)
 	rig.arrive(0)
-	inFlight := rig.inFlight
-	bucket := rig.bucketTokens
+	inFlight := rig.ceilings.inFlight
+	tokens := rig.bucket.tokens
 	rig.workPrice = 2 // above class 0's weight a slot-second, below class 1's
 	rig.arrive(0)
 	if findAction(rig.actions, Reject) == nil || findAction(rig.actions, Assign) != nil {
 		t.Fatalf("weight 1 at price 2 was not rejected: %v", rig.actions)
 	}
-	if rig.inFlight != inFlight || rig.bucketTokens != bucket {
+	if rig.ceilings.inFlight != inFlight || rig.bucket.tokens != tokens {
 		t.Fatal("a rejected request was debited")
 	}
 	rig.arrive(1)
@@ -48,8 +48,8 @@
 // Prices for a smaller budget than the concurrency ceiling admits would reject work beside idle workers.
 func TestPricesCountConcurrencyHeadroom(t *testing.T) {
 	rig := newRig(t, testSettings(), 4)
-	rig.concurrencyPerWorker = 0
-	rig.workRatePerWorker = 1e6
+	rig.ceilings.concurrencyPerWorker = 0
+	rig.bucket.ratePerWorker = 1e6
 	for range minPricedRequests + 5 {
 		rig.addToMix(&request{value: 0.1, cost: 0.1, holdTime: 0.1}, requestGroupKey{})
 	}
@@ -61,8 +61,8 @@
 
 func TestFewRequestsArePricedAtNothing(t *testing.T) {
 	rig := newRig(t, testSettings(), 2)
-	rig.concurrencyPerWorker = 0.01
-	rig.workRatePerWorker = 0.01
+	rig.ceilings.concurrencyPerWorker = 0.01
+	rig.bucket.ratePerWorker = 0.01
 	for i := range 3 * minPricedRequests {
 		rig.arrive(0)
 		rig.solvePrices()
@@ -129,8 +129,8 @@
 	for range 2 * minPricedRequests {
 		rig.arrive(0)
 	}
-	rig.concurrencyPerWorker = 1e6
-	rig.workRatePerWorker = 1e6
+	rig.ceilings.concurrencyPerWorker = 1e6
+	rig.bucket.ratePerWorker = 1e6
 	rig.solvePrices()
 	if rig.workPrice != 0 || rig.slotPrice != 0 {
 		t.Fatalf("prices %v, %v with budgets to spare", rig.workPrice, rig.slotPrice)
--- a/decision/rig_test.go
+++ b/decision/rig_test.go
@@ -70,6 +70,13 @@
 	}
 }
 
+// setCeilings sets both ceilings per ready worker, and fills the token bucket.
+func (r *rig) setCeilings(perWorker, tokens float64) {
+	r.ceilings.concurrencyPerWorker = perWorker
+	r.bucket.ratePerWorker = perWorker
+	r.bucket.tokens = tokens
+}
+
 // testSettings has a class of idempotent requests and one of those that must not run twice.
 func testSettings() Settings {
 	return Settings{
--- a/decision/ring.go
+++ b/decision/ring.go
@@ -39,7 +39,7 @@
 // there is a fault.
 func (m *Machine) ownerHash(key string) uint64 {
 	hash, recent := m.recordKey(key)
-	healthy := m.ejectedCount == 0 && m.badRatio < overloadBadRatio
+	healthy := m.ejectedCount == 0 && m.ceilings.badRatio < overloadBadRatio
 	if m.settings.CacheMissCost > 0 || !recent && healthy {
 		return hash
 	}
--- a/decision/ring_test.go
+++ b/decision/ring_test.go
@@ -41,7 +41,7 @@
 		owners[r.assignedTo(r.arriveWithKey(0, "k"))] = true
 		for name, wrong := range map[string]func(*rig){
 			"an ejected worker": func(rig *rig) { rig.setFailureScore(rig.fleet[0], 1, attemptsFail) },
-			"many bad outcomes": func(rig *rig) { rig.badRatio = overloadBadRatio },
+			"many bad outcomes": func(rig *rig) { rig.ceilings.badRatio = overloadBadRatio },
 		} { // then what is known of workers counts for more than their caches
 			rig := newSeededRig(t, testSettings(), 50, seed)
 			wrong(rig)
--- a/decision/routing_test.go
+++ b/decision/routing_test.go
@@ -11,7 +11,7 @@
 	rig := newRig(t, testSettings(), 2)
 	rig.fleet[0].runTimeRatio = 2
 	rig.fleet[1].runTimeRatio = 0.5
-	rig.concurrencyPerWorker = 100
+	rig.ceilings.concurrencyPerWorker = 100
 	for range 3 {
 		if rig.send(0) != "w1" {
 			t.Fatal("the slower of two idle workers was taken")
@@ -83,9 +83,7 @@
 // The work for a pick must not grow with the fleet.
 func TestPickDrawsAreBounded(t *testing.T) {
 	rig := newRig(t, testSettings(), 300)
-	rig.concurrencyPerWorker = 100
-	rig.workRatePerWorker = 100
-	rig.bucketTokens = 1e6
+	rig.setCeilings(100, 1e6)
 	for _, worker := range rig.fleet {
 		worker.saturatedUntil = rig.now + time.Hour
 	}
--- a/decision/rules_test.go
+++ b/decision/rules_test.go
@@ -388,8 +388,8 @@
 		if n := len(sim.machine.keyQueues) + len(sim.machine.coolingDown); n != 0 {
 			t.Fatalf("%d keys held after all have ended and cooled down", n)
 		}
-		if sim.machine.inFlight != 0 {
-			t.Fatalf("%v slots in flight after all have ended", sim.machine.inFlight)
+		if slots := sim.machine.ceilings.inFlight; slots != 0 {
+			t.Fatalf("%v slots in flight after all have ended", slots)
 		}
 	})
 }
--- a/decision/slowstart_test.go
+++ b/decision/slowstart_test.go
@@ -144,9 +144,7 @@
 		settings := testSettings()
 		settings.Peers = 1
 		rig := newRig(t, settings, 4)
-		rig.concurrencyPerWorker = 1000
-		rig.workRatePerWorker = 1000
-		rig.bucketTokens = 1e6
+		rig.setCeilings(1000, 1e6)
 		for range 40 {
 			rig.endAttempt(rig.arrive(0), 0, Completed, 10*time.Millisecond)
 		}
--- a/decision/sweep.go
+++ b/decision/sweep.go
@@ -117,7 +117,7 @@
 func (m *Machine) delaysOthers(request *request) bool {
 	earnsNothing := request.class.LateWeight <= 0
 	repeatable := request.class.Idempotency == Idempotent && request.class.LateWeight < 1
-	if !earnsNothing && !(repeatable && m.badRatio > overloadBadRatio) {
+	if !earnsNothing && !(repeatable && m.ceilings.badRatio > overloadBadRatio) {
 		return false
 	}
 	return m.settings.StartNotices && m.settings.Cancellation &&
--- a/decision/sweep_test.go
+++ b/decision/sweep_test.go
@@ -29,9 +29,9 @@
 		}
 		var refused, stopped bool
 		for sweep := range 20 {
-			rig.badRatio = 0
+			rig.ceilings.badRatio = 0
 			if sweep >= test.from {
-				rig.badRatio = test.bad
+				rig.ceilings.badRatio = test.bad
 			}
 			if sweep == 16 && test.from > 0 && !rig.requests[id].late {
 				t.Fatal("it is not late yet")
@@ -43,7 +43,7 @@
 		if refused != test.away || stopped != test.away {
 			t.Errorf("%s: rejected %v, cancelled %v, want %v", name, refused, stopped, test.away)
 		}
-		rig.badRatio = test.bad
+		rig.ceilings.badRatio = test.bad
 		const full = 5 * time.Second
 		rig.maxTimeLeft[0] = full
 		rig.handle(
@@ -82,7 +82,7 @@
 // At full ceilings and prices of zero, late requests must not stay in the queue and make fresh ones late.
 func TestLateRequestIsRejectedAtFullCeiling(t *testing.T) {
 	rig := newRig(t, testSettings(), 2)
-	rig.concurrencyPerWorker = (2 - concurrencyHeadroom) / 2
+	rig.ceilings.concurrencyPerWorker = (2 - concurrencyHeadroom) / 2
 	rig.arrive(0)
 	rig.arrive(0)
 	waits := rig.requests[rig.arrive(0)]
