--- a/decision/admission.go
+++ b/decision/admission.go
@@ -18,7 +18,7 @@
 	if m.requests[event.Request] != nil {
 		return
 	}
-	m.countArrival()
+	m.retryBudget.countArrival(m.now, &m.settings)
 	if event.Class < 0 || event.Class >= len(m.settings.Classes) {
 		m.emit(Action{Kind: Fail, Request: event.Request})
 		return
@@ -34,12 +34,13 @@
 	objective := m.now + request.class.LatencyObjective + seconds(request.class.ObjectiveStretch*request.work)
 	request.objective = min(objective, request.deadline) - elapsed
 	if !isRetry {
-		m.addToMix(request, requestGroupKey{
+		key := requestGroupKey{
 			class:     event.Class,
 			overQuota: overQuota,
 			slots:     int(math.Log2(request.slots)),
 			work:      int(math.Log2(request.work) / 2),
-		})
+		}
+		m.mix.add(m.now, m.planningHorizon, request, key)
 	}
 	if m.rejectedOnArrival(request) {
 		m.rejectOrFail(request)
@@ -47,19 +48,19 @@
 	}
 	request.keyHash = m.ownerHash(event.Key)
 	if request.class.Serialized && event.Key != "" {
-		m.joinKeyQueue(request, event.Key)
+		m.serializer.join(request, event.Key)
 	}
 	m.emit(Action{Kind: SetTimer, Timer: request.id, Delay: request.deadline - m.now})
 	m.unanswered = append(m.unanswered, request)
 	m.scheduleSweep()
-	m.enqueue(request)
+	m.queue.add(request)
 	m.requestHealthChecks()
 }
 
 // rejectedOnArrival reports whether a request that has just arrived is rejected at once.
 func (m *Machine) rejectedOnArrival(request *request) bool {
 	return request.deadline <= m.now || m.hasNoValue(request) ||
-		!m.paysPrices(request) || m.delaysOthers(request)
+		!m.prices.coveredBy(request) || m.delaysOthers(request)
 }
 
 // newRequest records what an arrival says of a request, and the hint of its work into the mean of its
@@ -106,7 +107,7 @@
 // tryAssign starts an attempt, unless the key's turn, the retry budget, the concurrency ceiling, the token
 // bucket or the lack of a fit worker forbids it.
 func (m *Machine) tryAssign(request *request) bool {
-	if request.ended || m.awaitsKey(request) {
+	if request.ended || request.awaitsKey(m.now) {
 		return false
 	}
 	if !m.withinRetryBudget(request) || !m.withinConcurrency(request) {
--- a/decision/admission_test.go
+++ b/decision/admission_test.go
@@ -91,8 +91,9 @@
 		t.Fatal("an unknown class is not answered")
 	}
 	rig.solvePrices()
-	if !(rig.workPrice >= 0 && rig.slotPrice >= 0) || math.IsInf(rig.workPrice+rig.slotPrice, 0) {
-		t.Fatalf("prices %v, %v", rig.workPrice, rig.slotPrice)
+	prices := rig.prices
+	if !(prices.work >= 0 && prices.slot >= 0) || math.IsInf(prices.work+prices.slot, 0) {
+		t.Fatalf("prices %v, %v", prices.work, prices.slot)
 	}
 }
 
@@ -110,7 +111,7 @@
 	if request := rig.requests[99]; request == nil || request.objective != objective {
 		t.Fatalf("the retry of a request with its objective at %v: %+v", objective, request)
 	}
-	if _, requests := rig.recentMix(); requests > 1 {
+	if _, requests := rig.recentBids(); requests > 1 {
 		t.Fatalf("%v requests in the mix", requests)
 	}
 }
--- a/decision/attempt.go
+++ b/decision/attempt.go
@@ -50,8 +50,8 @@
 		worker.unstartedSince = m.now
 	}
 	worker.unstarted++
-	if len(request.attempts) > 0 && m.settings.RetryBudgetWindow > 0 {
-		m.retries = append(m.retries, m.now)
+	if len(request.attempts) > 0 {
+		m.retryBudget.countRetry(m.now, &m.settings)
 	}
 	request.attempts = append(request.attempts, attempt)
 	request.outstanding++
@@ -114,7 +114,7 @@
 	attempt.neverRan = outcome.NeverRan(&m.settings)
 	m.releaseAttempt(request, attempt, outcome)
 	if request.keyQueue != nil && outcome.mayStillRun() {
-		m.startCooldown(request.keyQueue, m.settings.KeyCooldown+m.settings.Tick)
+		m.startCooldown(request.keyQueue)
 	}
 	if outcome.notAccepted() || outcome == InvalidRequest || outcome == Cancelled && attempt.startedAt == 0 {
 		m.refundWork(request, attempt.worker)
--- a/decision/ceilings.go
+++ b/decision/ceilings.go
@@ -83,7 +83,7 @@
 // bucketIsScarce reports whether the token bucket limits what is sent. Its rate is raised and cut only then:
 // a rate that was cut while it limited nothing would price work away later.
 func (m *Machine) bucketIsScarce() bool {
-	return m.bucket.tokens < m.bucketCapacity()/2 || m.workPrice > 0
+	return m.bucket.tokens < m.bucketCapacity()/2 || m.prices.work > 0
 }
 
 // raiseCeilings raises the ceilings that bind, for a request served in time. One that grew unused would be
@@ -92,7 +92,7 @@
 	c := &m.ceilings
 	c.badRatio -= c.badRatio / badRatioSpan
 	step := ceilingRaiseStep * math.Pow(1-c.badRatio, 4) / m.readyWorkers()
-	if m.countedInFlight()+request.slots > c.concurrencyPerWorker*m.readyWorkers()/2 || m.slotPrice > 0 {
+	if m.countedInFlight()+request.slots > c.concurrencyPerWorker*m.readyWorkers()/2 || m.prices.slot > 0 {
 		c.concurrencyPerWorker += step * request.slots
 	}
 	if m.bucketIsScarce() {
--- a/decision/dual_test.go
+++ b/decision/dual_test.go
@@ -38,10 +38,10 @@
 }
 
 // dualAt is the dual at the given prices.
-func dualAt(bids []bid, workBudget, slotBudget, workPrice, slotPrice float64) float64 {
-	sum := workBudget*workPrice + slotBudget*slotPrice
-	for _, p := range bids {
-		sum += math.Max(0, p.value-workPrice*p.cost-slotPrice*p.holdTime)
+func dualAt(bids []bid, workBudget, slotBudget float64, at prices) float64 {
+	sum := workBudget*at.work + slotBudget*at.slot
+	for _, b := range bids {
+		sum += math.Max(0, b.value-at.work*b.cost-at.slot*b.holdTime)
 	}
 	return sum
 }
@@ -59,11 +59,11 @@
 		}
 		workBudget := float64(rng.IntN(3 * n))
 		slotBudget := float64(rng.IntN(3 * n))
-		c, k := solveDual(bids, workBudget, slotBudget)
-		if !(c >= 0 && k >= 0) || math.IsInf(c+k, 0) {
-			t.Fatalf("prices %v, %v", c, k)
+		solution := solveDual(bids, workBudget, slotBudget)
+		if !(solution.work >= 0 && solution.slot >= 0) || math.IsInf(solution.work+solution.slot, 0) {
+			t.Fatalf("prices %+v", solution)
 		}
-		got := dualAt(bids, workBudget, slotBudget, c, k)
+		got := dualAt(bids, workBudget, slotBudget, solution)
 		want := solvePrimal(t, bids, workBudget, slotBudget)
 		if math.Abs(got-want) > 1e-6*(1+want) {
 			t.Fatalf("dual %v, simplex %v for %v, budgets %v, %v", got, want, bids, workBudget, slotBudget)
@@ -71,13 +71,13 @@
 		// Ties go to the most selective prices: on a grid that holds every lone bid's vertex none with
 		// the same dual is higher.
 		for _, p := range bids {
-			for _, v := range [][2]float64{{p.value / p.cost, 0}, {0, p.value / p.holdTime}} {
-				if math.IsInf(v[1], 0) || math.IsNaN(v[1]) {
+			for _, vertex := range []prices{{work: p.value / p.cost}, {slot: p.value / p.holdTime}} {
+				if math.IsInf(vertex.slot, 0) || math.IsNaN(vertex.slot) {
 					continue
 				}
-				dual := dualAt(bids, workBudget, slotBudget, v[0], v[1])
-				if dual <= got+1e-12 && v[0]+v[1] > c+k+1e-9 {
-					t.Fatalf("tie broken toward %v, %v; %v is more selective", c, k, v)
+				dual := dualAt(bids, workBudget, slotBudget, vertex)
+				if dual <= got+1e-12 && vertex.work+vertex.slot > solution.work+solution.slot+1e-9 {
+					t.Fatalf("tie broken toward %+v; %+v is more selective", solution, vertex)
 				}
 			}
 		}
@@ -91,19 +91,19 @@
 		name                   string
 		bids                   []bid
 		workBudget, slotBudget float64
-		workPrice, slotPrice   float64
+		want                   prices
 	}{
-		{"no bids", nil, 1, 1, 0, 0},
-		{"plenty", same, 10, 10, 0, 0},
-		{"exactly enough for one of three equal bids", same, 1, 10, 2, 0},
-		{"exactly enough for all: the highest price that still clears", same, 3, 10, 2, 0},
-		{"concurrency binds", same, 10, 1, 0, 2},
-		{"no budget, no hold times", []bid{{3, 1, 0}, {1, 1, 0}}, 0, 0, 3, 0},
-		{"worthless and free requests", []bid{{0, 0, 0}, {0, 1, 1}}, 1, 1, 0, 0},
+		{"no bids", nil, 1, 1, prices{0, 0}},
+		{"plenty", same, 10, 10, prices{0, 0}},
+		{"exactly enough for one of three equal bids", same, 1, 10, prices{2, 0}},
+		{"exactly enough for all: the highest price that still clears", same, 3, 10, prices{2, 0}},
+		{"concurrency binds", same, 10, 1, prices{0, 2}},
+		{"no budget, no hold times", []bid{{3, 1, 0}, {1, 1, 0}}, 0, 0, prices{3, 0}},
+		{"worthless and free requests", []bid{{0, 0, 0}, {0, 1, 1}}, 1, 1, prices{0, 0}},
 	} {
-		work, slot := solveDual(test.bids, test.workBudget, test.slotBudget)
-		if work != test.workPrice || slot != test.slotPrice {
-			t.Errorf("%s: prices %v, %v, want %v, %v", test.name, work, slot, test.workPrice, test.slotPrice)
+		got := solveDual(test.bids, test.workBudget, test.slotBudget)
+		if got != test.want {
+			t.Errorf("%s: prices %+v, want %+v", test.name, got, test.want)
 		}
 	}
 }
--- a/decision/hedge.go
+++ b/decision/hedge.go
@@ -60,7 +60,7 @@
 	if attempt.startedAt > 0 {
 		return m.now-attempt.lastSeen > m.settings.ProgressInterval+grace
 	}
-	scarce := m.workPrice+m.slotPrice > 0 || len(m.queue) > 0
+	scarce := m.prices.positive() || len(m.queue.waiting) > 0
 	if !m.settings.StartsInOrder || m.now-attempt.sentAt <= grace || scarce {
 		return false
 	}
--- a/decision/machine.go
+++ b/decision/machine.go
@@ -47,25 +47,19 @@
 	zones    map[int]*zone
 	lastSeen time.Duration // when any worker last showed that it lives
 
-	// Requests: see request.go, queue.go, serialization.go and retry.go.
-	requests    map[uint64]*request
-	unanswered  []*request     // by arrival; answered ones leave with the next sweep
-	queue       []*request     // waiting, by compareByValue
-	misses      map[*Class]int // requests of a class that could not be placed in one dispatchQueue
-	keyQueues   map[string]*keyQueue
-	coolingDown []*keyQueue     // the first to end first
-	arrivals    []time.Duration // in the last RetryBudgetWindow
-	retries     []time.Duration // attempts beyond a request's first in the last RetryBudgetWindow
+	requests    map[uint64]*request // by id
+	unanswered  []*request          // by arrival; answered ones leave with the next sweep
+	queue       requestQueue        // those that wait for a worker: see queue.go
+	serializer  serializer          // requests with one key: see serialization.go
+	retryBudget retryBudget         // see retry.go
 
 	ceilings ceilings    // how much may be in flight: see ceilings.go
 	bucket   tokenBucket // how much work may be sent over time: see ceilings.go
 
-	// Prices: see pricing.go and mix.go.
-	mix           []requestGroup
-	workPrice     float64 // value per slot-second of work
-	slotPrice     float64 // value per second for which a slot is held
+	mix           requestMix // recent demand: see mix.go
+	prices        prices     // what a request must be worth: see pricing.go
 	nextPricingAt time.Duration
-	tenants       []tenant
+	tenants       []tenant // see quota.go
 
 	// What is learned of run times and connections: see estimates.go and connection.go.
 	meanLatency      float64         // recent mean time of a completed attempt, seconds
@@ -98,8 +92,8 @@
 		kindRunTimeRatio: map[int]float64{},
 		nominalWeight:    map[int]float64{},
 		requests:         map[uint64]*request{},
-		misses:           map[*Class]int{},
-		keyQueues:        map[string]*keyQueue{},
+		queue:            requestQueue{skips: map[*Class]int{}},
+		serializer:       serializer{queues: map[string]*keyQueue{}},
 		classMeanWork:    make([]float64, len(settings.Classes)),
 		maxTimeLeft:      make([]time.Duration, len(settings.Classes)),
 		learnedRuns:      make([]float64, len(settings.Classes)),
--- a/decision/machine_test.go
+++ b/decision/machine_test.go
@@ -43,11 +43,12 @@
 	}
 	rig.handle(rig.now, Event{Kind: TimerFired, Timer: sweepTimer})
 	inFlight := rig.ceilings.inFlight
-	held := len(rig.requests) + len(rig.unanswered) + len(rig.queue)
+	held := len(rig.requests) + len(rig.unanswered) + len(rig.queue.waiting)
 	if held != 0 || inFlight != 0 || rig.ceilings.inFlightAtEjected != 0 {
 		t.Fatalf("%d requests and %v slots held", held, inFlight)
 	}
-	if len(rig.workers) != 6 || len(rig.fleet) != 6 || len(rig.mix) > 100 {
-		t.Fatalf("%d workers, %d in the fleet, %d points", len(rig.workers), len(rig.fleet), len(rig.mix))
+	groups := len(rig.mix.groups)
+	if len(rig.workers) != 6 || len(rig.fleet) != 6 || groups > 100 {
+		t.Fatalf("%d workers, %d in the fleet, %d groups", len(rig.workers), len(rig.fleet), groups)
 	}
 }
--- a/decision/mix.go
+++ b/decision/mix.go
@@ -3,6 +3,7 @@
 import (
 	"math"
 	"slices"
+	"time"
 )
 
 const (
@@ -10,6 +11,12 @@
 	fadedRequestCount = 0.01 // requests left of a group below which it is dropped
 )
 
+// requestMix is the recent demand: sums over groups of like requests, which fade over a span of time that
+// the caller gives, the same at each call.
+type requestMix struct {
+	groups []requestGroup
+}
+
 // requestGroup is a group of like requests of the recent mix. All four are sums over its requests.
 type requestGroup struct {
 	key      requestGroupKey
@@ -34,44 +41,51 @@
 	holdTime float64 // seconds
 }
 
-// addToMix counts a first try into the recent mix. Where the mix has its largest number of groups, a
-// request joins the one of its class that is nearest in size.
-func (m *Machine) addToMix(request *request, key requestGroupKey) {
-	nearest := -1
-	distance := math.MaxInt
-	for i := range m.mix {
-		k := m.mix[i].key
-		difference := abs(k.slots-key.slots) + abs(k.work-key.work)
-		if k.class == key.class && k.overQuota == key.overQuota && difference < distance {
+// add counts a first try. Where the mix has its largest number of groups, the request joins the one of its
+// class that is nearest in size.
+func (x *requestMix) add(now, span time.Duration, request *request, key requestGroupKey) {
+	nearest, distance := x.nearestGroup(key)
+	if nearest < 0 || distance > 0 && len(x.groups) < maxRequestGroups {
+		nearest = len(x.groups)
+		x.groups = append(x.groups, requestGroup{key: key})
+	}
+	group := &x.groups[nearest]
+	group.count.add(now, span, 1)
+	group.value.add(now, span, request.value)
+	group.cost.add(now, span, request.cost)
+	group.holdTime.add(now, span, request.holdTime)
+}
+
+// nearestGroup returns the index of the group of the same class that is nearest in size, -1 if there is
+// none, and its distance.
+func (x *requestMix) nearestGroup(key requestGroupKey) (nearest, distance int) {
+	nearest = -1
+	distance = math.MaxInt
+	for i := range x.groups {
+		other := x.groups[i].key
+		difference := abs(other.slots-key.slots) + abs(other.work-key.work)
+		if other.class == key.class && other.overQuota == key.overQuota && difference < distance {
 			nearest = i
 			distance = difference
 		}
 	}
-	if nearest < 0 || distance > 0 && len(m.mix) < maxRequestGroups {
-		nearest = len(m.mix)
-		m.mix = append(m.mix, requestGroup{key: key})
-	}
-	group := &m.mix[nearest]
-	group.count.add(m.now, m.planningHorizon, 1)
-	group.value.add(m.now, m.planningHorizon, request.value)
-	group.cost.add(m.now, m.planningHorizon, request.cost)
-	group.holdTime.add(m.now, m.planningHorizon, request.holdTime)
+	return nearest, distance
 }
 
 func abs(x int) int { return max(x, -x) }
 
-// recentMix returns the recent mix as bids, and how many requests are in it. It drops what has faded away.
-func (m *Machine) recentMix() (bids []bid, count float64) {
-	m.mix = slices.DeleteFunc(m.mix, func(group requestGroup) bool {
-		return group.count.get(m.now, m.planningHorizon) < fadedRequestCount
+// bids returns the mix as bids, and how many requests are in it. It drops the groups that have faded away.
+func (x *requestMix) bids(now, span time.Duration) (bids []bid, count float64) {
+	x.groups = slices.DeleteFunc(x.groups, func(group requestGroup) bool {
+		return group.count.get(now, span) < fadedRequestCount
 	})
-	for i := range m.mix {
-		group := &m.mix[i]
-		count += group.count.get(m.now, m.planningHorizon)
+	for i := range x.groups {
+		group := &x.groups[i]
+		count += group.count.get(now, span)
 		bids = append(bids, bid{
-			value:    group.value.get(m.now, m.planningHorizon),
-			cost:     group.cost.get(m.now, m.planningHorizon),
-			holdTime: group.holdTime.get(m.now, m.planningHorizon),
+			value:    group.value.get(now, span),
+			cost:     group.cost.get(now, span),
+			holdTime: group.holdTime.get(now, span),
 		})
 	}
 	return bids, count
--- a/decision/pricing.go
+++ b/decision/pricing.go
@@ -6,26 +6,33 @@
 // of demand.
 const minPricedRequests = 20
 
-// priceTolerance is the relative error within which values count as equal, as sums in floating point have
-// one.
+// priceTolerance is the relative error within which values count as equal: that of sums in floating point.
 const priceTolerance = 1e-9
 
-// paysPrices reports whether the value of a request covers the prices of its work and of the slot that it
+// prices are what a request must be worth to be admitted; both are 0 while capacity is not scarce.
+type prices struct {
+	work float64 // value per slot-second of work
+	slot float64 // value per second for which a slot is held
+}
+
+// coveredBy reports whether the value of a request covers the prices of its work and of the slot that it
 // holds.
-func (m *Machine) paysPrices(request *request) bool {
-	return request.value >= (m.workPrice*request.cost+m.slotPrice*request.holdTime)*(1-priceTolerance)
+func (p prices) coveredBy(request *request) bool {
+	return request.value >= (p.work*request.cost+p.slot*request.holdTime)*(1-priceTolerance)
 }
 
+// positive reports whether anything has a price, since capacity is scarce.
+func (p prices) positive() bool { return p.work+p.slot > 0 }
+
 // solvePrices sets the prices from the recent mix, for what the token bucket and the concurrency ceiling
 // admit in the same span, and sizes the subset of workers by the number of recent requests.
 func (m *Machine) solvePrices() {
-	bids, recent := m.recentMix()
+	bids, recent := m.mix.bids(m.now, m.planningHorizon)
 	m.subsetSize = max(int(recent/subsetRequestsPerWorker), minSubsetSize)
-	m.workPrice = 0
-	m.slotPrice = 0
+	m.prices = prices{}
 	if recent >= minPricedRequests {
 		slotSeconds := m.concurrencyCeiling() * m.planningHorizon.Seconds()
-		m.workPrice, m.slotPrice = solveDual(bids, m.bucketCapacity(), slotSeconds)
+		m.prices = solveDual(bids, m.bucketCapacity(), slotSeconds)
 	}
 }
 
@@ -35,9 +42,9 @@
 //	workBudget*workPrice + slotBudget*slotPrice + sum of max(0, value - workPrice*cost - slotPrice*holdTime)
 //
 // over prices that are not negative. The dual is convex and piecewise linear, so that some vertex of the
-// bids' lines is a minimum; of equal ones the most selective is taken. It takes the cube of the number of
-// bids.
-func solveDual(bids []bid, workBudget, slotBudget float64) (bestWork, bestSlot float64) {
+// bids' lines is a minimum; of equal ones the most selective is taken. The time taken grows with the cube of
+// the number of bids.
+func solveDual(bids []bid, workBudget, slotBudget float64) (solution prices) {
 	best := math.MaxFloat64
 	try := func(work, slot float64) {
 		if !(work >= 0 && slot >= 0) || math.IsInf(work+slot, 0) {
@@ -48,10 +55,9 @@
 			dual += max(0, b.value-work*b.cost-slot*b.holdTime)
 		}
 		tie := dual <= best*(1+priceTolerance) && dual >= best*(1-priceTolerance)
-		if !tie && dual < best || tie && work+slot > bestWork+bestSlot {
+		if !tie && dual < best || tie && work+slot > solution.work+solution.slot {
 			best = dual
-			bestWork = work
-			bestSlot = slot
+			solution = prices{work: work, slot: slot}
 		}
 	}
 	try(0, 0)
@@ -65,5 +71,5 @@
 			try(work, slot)
 		}
 	}
-	return bestWork, bestSlot
+	return solution
 }
--- a/decision/pricing_test.go
+++ b/decision/pricing_test.go
@@ -11,7 +11,7 @@
 	rig.arrive(0)
 	inFlight := rig.ceilings.inFlight
 	tokens := rig.bucket.tokens
-	rig.workPrice = 2 // above class 0's weight a slot-second, below class 1's
+	rig.prices.work = 2 // above class 0's weight a slot-second, below class 1's
 	rig.arrive(0)
 	if findAction(rig.actions, Reject) == nil || findAction(rig.actions, Assign) != nil {
 		t.Fatalf("weight 1 at price 2 was not rejected: %v", rig.actions)
@@ -23,13 +23,12 @@
 	if findAction(rig.actions, Assign) == nil {
 		t.Fatal("weight 3 at price 2 was not sent")
 	}
-	rig.workPrice = 1
-	rig.slotPrice = 2
+	rig.prices = prices{work: 1, slot: 2}
 	rig.arrive(1)
 	if findAction(rig.actions, Assign) == nil {
 		t.Fatal("a value equal to the prices is admitted")
 	}
-	rig.slotPrice = 2.1
+	rig.prices.slot = 2.1
 	rig.arrive(1)
 	if findAction(rig.actions, Reject) == nil {
 		t.Fatal("hold time is not priced")
@@ -38,7 +37,7 @@
 
 func TestUnhintedRequestPaysNoSlotPrice(t *testing.T) {
 	rig := newRig(t, testSettings(), 4)
-	rig.slotPrice = 100
+	rig.prices.slot = 100
 	rig.handle(rig.now, Event{Kind: RequestArrived, Request: 1, Slots: 1, TimeLeft: 5 * time.Second})
 	if findAction(rig.actions, Assign) == nil {
 		t.Fatal("an unhinted request pays no slot price")
@@ -51,11 +50,12 @@
 	rig.ceilings.concurrencyPerWorker = 0
 	rig.bucket.ratePerWorker = 1e6
 	for range minPricedRequests + 5 {
-		rig.addToMix(&request{value: 0.1, cost: 0.1, holdTime: 0.1}, requestGroupKey{})
+		small := &request{value: 0.1, cost: 0.1, holdTime: 0.1}
+		rig.mix.add(rig.now, rig.planningHorizon, small, requestGroupKey{})
 	}
 	rig.solvePrices()
-	if rig.workPrice+rig.slotPrice > 0 {
-		t.Fatalf("prices %v and %v though the headroom holds all of the mix", rig.workPrice, rig.slotPrice)
+	if rig.prices.work+rig.prices.slot > 0 {
+		t.Fatalf("prices %+v though the headroom holds all of the mix", rig.prices)
 	}
 }
 
@@ -67,11 +67,11 @@
 		rig.arrive(0)
 		rig.solvePrices()
 		// What has faded a little already does not count in full.
-		if priced := rig.workPrice+rig.slotPrice > 0; priced && i < minPricedRequests-1 {
+		if priced := rig.prices.work+rig.prices.slot > 0; priced && i < minPricedRequests-1 {
 			t.Fatalf("priced from %d requests", i+1)
 		}
 	}
-	if rig.workPrice+rig.slotPrice == 0 {
+	if rig.prices.work+rig.prices.slot == 0 {
 		t.Fatal("scarcity is not priced")
 	}
 }
@@ -95,7 +95,7 @@
 		},
 	)
 	rig.sweep()
-	if _, requests := rig.recentMix(); math.Abs(requests-5) > 1e-9 {
+	if _, requests := rig.recentBids(); math.Abs(requests-5) > 1e-9 {
 		t.Fatalf("%v requests in the mix, want 5", requests)
 	}
 }
@@ -111,14 +111,14 @@
 			Work: time.Duration(1+i/20) * time.Millisecond << (i % 13), TimeLeft: 5 * time.Second,
 		})
 	}
-	bids, n := rig.recentMix()
+	bids, n := rig.recentBids()
 	if len(bids) > 50 || math.Abs(n-requests) > 1e-6 {
-		t.Fatalf("%v requests in %d points, want %d requests in a few dozen", n, len(bids), requests)
+		t.Fatalf("%v requests in %d groups, want %d requests in a few dozen", n, len(bids), requests)
 	}
 	rig.now += 12 * rig.planningHorizon
 	rig.arrive(0)
-	if bids, _ := rig.recentMix(); len(bids) != 1 {
-		t.Fatalf("%d points are left of a mix that has faded away", len(bids)-1)
+	if bids, _ := rig.recentBids(); len(bids) != 1 {
+		t.Fatalf("%d groups are left of a mix that has faded away", len(bids)-1)
 	}
 }
 
@@ -132,7 +132,7 @@
 	rig.ceilings.concurrencyPerWorker = 1e6
 	rig.bucket.ratePerWorker = 1e6
 	rig.solvePrices()
-	if rig.workPrice != 0 || rig.slotPrice != 0 {
-		t.Fatalf("prices %v, %v with budgets to spare", rig.workPrice, rig.slotPrice)
+	if rig.prices != (prices{}) {
+		t.Fatalf("prices %+v with budgets to spare", rig.prices)
 	}
 }
--- a/decision/queue.go
+++ b/decision/queue.go
@@ -5,29 +5,38 @@
 	"slices"
 )
 
-// maxQueueSkips is how many waiting requests of a class are tried without success in one pass over the queue.
-// Requests that no worker can take at present, for a machine kind that is gone, would else cost their whole
-// number at each event.
+// maxQueueSkips is how many waiting requests of a class are tried without success in one pass over the
+// queue. Without it, requests that no worker can take at present, since a machine kind is gone, would all be
+// tried at each event.
 const maxQueueSkips = 8
 
+// requestQueue holds the requests that wait for a worker.
+type requestQueue struct {
+	waiting []*request     // by compareByValue
+	skips   map[*Class]int // requests of a class that could not be placed in the present pass
+}
+
 // compareByValue orders the queue: the highest value per cost first, then the nearest objective.
 func compareByValue(a, b *request) int {
 	byValue := cmp.Compare(b.value/b.cost, a.value/a.cost)
 	return cmp.Or(byValue, cmp.Compare(a.objective, b.objective), cmp.Compare(a.id, b.id))
 }
 
-// enqueue lets a request wait, in the order of compareByValue.
-func (m *Machine) enqueue(request *request) {
-	position, _ := slices.BinarySearchFunc(m.queue, request, compareByValue)
-	m.queue = slices.Insert(m.queue, position, request)
+// add lets a request wait.
+func (q *requestQueue) add(request *request) {
+	position, _ := slices.BinarySearchFunc(q.waiting, request, compareByValue)
+	q.waiting = slices.Insert(q.waiting, position, request)
 	request.queued = true
 }
 
+// sort restores the order after values have changed.
+func (q *requestQueue) sort() { slices.SortFunc(q.waiting, compareByValue) }
+
 // dispatchQueue places waiting requests in their order, as far as they can be placed now.
 func (m *Machine) dispatchQueue() {
-	m.endCooldowns()
-	clear(m.misses)
-	m.queue = slices.DeleteFunc(m.queue, m.tryDequeue)
+	m.serializer.endCooldowns(m.now)
+	clear(m.queue.skips)
+	m.queue.waiting = slices.DeleteFunc(m.queue.waiting, m.tryDequeue)
 }
 
 // tryDequeue tries to place a waiting request, and reports whether it waits no more.
@@ -36,7 +45,8 @@
 		request.queued = false
 		return true
 	}
-	if m.now < request.notBefore || m.awaitsKey(request) || m.misses[request.class] >= maxQueueSkips {
+	if m.now < request.notBefore || request.awaitsKey(m.now) ||
+		m.queue.skips[request.class] >= maxQueueSkips {
 		return false
 	}
 	if !m.withinRetryBudget(request) { // others have spent the budget meanwhile
@@ -44,7 +54,7 @@
 	}
 	request.queued = !request.ended && !m.tryAssign(request)
 	if request.queued {
-		m.misses[request.class]++
+		m.queue.skips[request.class]++
 	}
 	return !request.queued
 }
--- a/decision/queue_test.go
+++ b/decision/queue_test.go
@@ -35,7 +35,8 @@
 	rig.requests[high].value /= 10
 	low := rig.arrive(0)
 	rig.sweep()
-	if len(rig.queue) != 2 || rig.queue[0].id != low {
+	waiting := rig.queue.waiting
+	if len(waiting) != 2 || waiting[0].id != low {
 		t.Fatal("the late request keeps its place")
 	}
 }
--- a/decision/request.go
+++ b/decision/request.go
@@ -73,6 +73,6 @@
 	}
 	delete(m.requests, request.id)
 	if request.keyQueue != nil {
-		m.leaveKeyQueue(request)
+		m.serializer.leave(request, m.now)
 	}
 }
--- a/decision/retry.go
+++ b/decision/retry.go
@@ -9,25 +9,38 @@
 // one more. It keeps clients apart that were rejected together.
 const retryAfterJitter = 0.5
 
-// countArrival counts a request for the retry budget, whatever becomes of it.
-func (m *Machine) countArrival() {
-	if m.settings.RetryBudgetWindow > 0 {
-		m.arrivals = append(dropBefore(m.arrivals, m.now-m.settings.RetryBudgetWindow), m.now)
+// retryBudget bounds the retries and hedges in any span of Settings.RetryBudgetWindow, in proportion to the
+// requests that arrived in it. With a window of 0 it is off.
+type retryBudget struct {
+	arrivals []time.Duration // of requests, in the latest window
+	retries  []time.Duration // attempts beyond a request's first in the latest window
+}
+
+// countArrival counts a request, whatever becomes of it.
+func (b *retryBudget) countArrival(now time.Duration, settings *Settings) {
+	if settings.RetryBudgetWindow > 0 {
+		b.arrivals = append(dropBefore(b.arrivals, now-settings.RetryBudgetWindow), now)
 	}
 }
 
-// withinRetryBudget reports whether the retry budget allows another attempt at the request; a first
-// attempt needs none. Arrivals leave the window a tick early and retries a tick late, to be safe of clocks'
-// resolution.
-func (m *Machine) withinRetryBudget(request *request) bool {
-	if len(request.attempts) == 0 || m.settings.RetryBudgetWindow <= 0 {
+// countRetry counts an attempt beyond a request's first.
+func (b *retryBudget) countRetry(now time.Duration, settings *Settings) {
+	if settings.RetryBudgetWindow > 0 {
+		b.retries = append(b.retries, now)
+	}
+}
+
+// allowsRetry reports whether one more retry is within the budget. Arrivals leave the window a tick early
+// and retries a tick late, since clocks have that resolution.
+func (b *retryBudget) allowsRetry(now time.Duration, settings *Settings) bool {
+	if settings.RetryBudgetWindow <= 0 {
 		return true
 	}
-	windowStart := m.now - m.settings.RetryBudgetWindow
-	m.arrivals = dropBefore(m.arrivals, windowStart+m.settings.Tick)
-	m.retries = dropBefore(m.retries, windowStart-m.settings.Tick)
-	budget := m.settings.RetryBudgetFloor + m.settings.RetryBudgetRatio*float64(len(m.arrivals))
-	return float64(len(m.retries)+1) <= budget
+	windowStart := now - settings.RetryBudgetWindow
+	b.arrivals = dropBefore(b.arrivals, windowStart+settings.Tick)
+	b.retries = dropBefore(b.retries, windowStart-settings.Tick)
+	budget := settings.RetryBudgetFloor + settings.RetryBudgetRatio*float64(len(b.arrivals))
+	return float64(len(b.retries)+1) <= budget
 }
 
 // dropBefore drops the times before from. The times ascend.
@@ -36,8 +49,14 @@
 	return times[i:]
 }
 
-// mustNotRepeat reports whether no attempt may follow one that may have run: by the class, or since the time
-// is over for which workers discard a repeat.
+// withinRetryBudget reports whether the retry budget allows the next attempt at the request. The first one
+// needs no budget.
+func (m *Machine) withinRetryBudget(request *request) bool {
+	return len(request.attempts) == 0 || m.retryBudget.allowsRetry(m.now, &m.settings)
+}
+
+// mustNotRepeat reports whether no further attempt is allowed since an earlier one may have run: the class
+// is NonIdempotent, or the workers no longer discard a repeat.
 func (m *Machine) mustNotRepeat(request *request) bool {
 	if request.class.Idempotency == Idempotent {
 		return false
@@ -56,8 +75,8 @@
 }
 
 // retry lets a request whose attempts have failed wait for another, as far as its class and the retry
-// budget allow. From the third attempt on they are spread over the time left, lest all be spent in a burst
-// while workers are full.
+// budget allow. From the third attempt on they are spread over the time left, so that not all are spent in a
+// burst while workers are full.
 func (m *Machine) retry(request *request) {
 	left := m.settings.MaxAttempts - len(request.attempts)
 	if left <= 0 || m.now >= request.deadline || m.hasNoValue(request) ||
@@ -69,7 +88,7 @@
 		slack := max(request.objective-m.now-seconds(request.work), m.sweepInterval)
 		request.notBefore = m.now + slack/time.Duration(left)
 	}
-	m.enqueue(request)
+	m.queue.add(request)
 }
 
 // rejectOrFail gives a request its final answer: Reject where a repeat by the client is safe, else Fail. A
--- a/decision/rig_test.go
+++ b/decision/rig_test.go
@@ -77,6 +77,9 @@
 	r.bucket.tokens = tokens
 }
 
+// recentBids returns the recent mix as bids, and how many requests are in it.
+func (r *rig) recentBids() (bids []bid, count float64) { return r.mix.bids(r.now, r.planningHorizon) }
+
 // testSettings has a class of idempotent requests and one of those that must not run twice.
 func testSettings() Settings {
 	return Settings{
--- a/decision/routing_test.go
+++ b/decision/routing_test.go
@@ -90,7 +90,7 @@
 	rig.arrive(0)
 	before := slices.Clone(rig.warmWorkers)
 	moved := 0
-	rig.pickFrom(rig.queue[0], rig.warmWorkers, inWarmWorkers)
+	rig.pickFrom(rig.queue.waiting[0], rig.warmWorkers, inWarmWorkers)
 	for i, worker := range rig.warmWorkers {
 		if worker != before[i] {
 			moved++
--- a/decision/rules_test.go
+++ b/decision/rules_test.go
@@ -381,11 +381,11 @@
 				t.Fatalf("no answer: %+v", request)
 			}
 		}
-		if n := len(sim.machine.requests) + len(sim.machine.queue); n != 0 {
+		if n := len(sim.machine.requests) + len(sim.machine.queue.waiting); n != 0 {
 			t.Fatalf("%d requests held after all have ended", n)
 		}
 		sim.advance(sim.settings.KeyCooldown + 2*sim.settings.Tick)
-		if n := len(sim.machine.keyQueues) + len(sim.machine.coolingDown); n != 0 {
+		if n := len(sim.machine.serializer.queues) + len(sim.machine.serializer.coolingDown); n != 0 {
 			t.Fatalf("%d keys held after all have ended and cooled down", n)
 		}
 		if slots := sim.machine.ceilings.inFlight; slots != 0 {
--- a/decision/serialization.go
+++ b/decision/serialization.go
@@ -5,59 +5,67 @@
 	"time"
 )
 
-// keyQueue is the serialization queue of one key: its requests run one at a time.
+// serializer orders the requests of Serialized classes: those with one key run one at a time, in the order
+// of their arrival.
+type serializer struct {
+	queues      map[string]*keyQueue // by key
+	coolingDown []*keyQueue          // by the end of the cooldown
+}
+
+// keyQueue is the queue of one key.
 type keyQueue struct {
 	key           string
 	requests      []*request // that are not over, by arrival
 	cooldownUntil time.Duration
 }
 
-// joinKeyQueue puts a request last among those of its key.
-func (m *Machine) joinKeyQueue(request *request, key string) {
-	queue := m.keyQueues[key]
+// join puts a request last among those of its key.
+func (s *serializer) join(request *request, key string) {
+	queue := s.queues[key]
 	if queue == nil {
 		queue = &keyQueue{key: key}
-		m.keyQueues[key] = queue
+		s.queues[key] = queue
 	}
 	request.keyQueue = queue
 	queue.requests = append(queue.requests, request)
 }
 
-// leaveKeyQueue takes out a request that is over.
-func (m *Machine) leaveKeyQueue(over *request) {
+// leave takes out a request that is over.
+func (s *serializer) leave(over *request, now time.Duration) {
 	queue := over.keyQueue
 	queue.requests = slices.DeleteFunc(queue.requests, func(request *request) bool { return request == over })
-	m.dropKeyQueueIfIdle(queue)
+	s.dropIfIdle(queue, now)
+}
+
+// endCooldowns forgets the idle keys whose cooldown is over.
+func (s *serializer) endCooldowns(now time.Duration) {
+	for len(s.coolingDown) > 0 && now >= s.coolingDown[0].cooldownUntil {
+		s.dropIfIdle(s.coolingDown[0], now)
+		s.coolingDown = s.coolingDown[1:]
+	}
+}
+
+// dropIfIdle forgets a key that has no request and no cooldown.
+func (s *serializer) dropIfIdle(queue *keyQueue, now time.Duration) {
+	if len(queue.requests) == 0 && now >= queue.cooldownUntil && s.queues[queue.key] == queue {
+		delete(s.queues, queue.key)
+	}
 }
 
 // awaitsKey reports whether a request must wait for its key: an earlier request is not over, or, if this one
 // has had no attempt yet, an attempt at an earlier one may still run.
-func (m *Machine) awaitsKey(request *request) bool {
-	queue := request.keyQueue
+func (r *request) awaitsKey(now time.Duration) bool {
+	queue := r.keyQueue
 	if queue == nil {
 		return false
 	}
-	return queue.requests[0] != request || len(request.attempts) == 0 && m.now < queue.cooldownUntil
+	return queue.requests[0] != r || len(r.attempts) == 0 && now < queue.cooldownUntil
 }
 
-// startCooldown lets the key wait, since an attempt at one of its requests may still run.
-func (m *Machine) startCooldown(queue *keyQueue, span time.Duration) {
+// startCooldown holds back the next request of a key, since an attempt at an earlier one may still run.
+func (m *Machine) startCooldown(queue *keyQueue) {
+	span := m.settings.KeyCooldown + m.settings.Tick
 	queue.cooldownUntil = m.now + span
-	m.coolingDown = append(m.coolingDown, queue)
+	m.serializer.coolingDown = append(m.serializer.coolingDown, queue)
 	m.emit(Action{Kind: SetTimer, Timer: cooldownTimer, Delay: span})
 }
-
-// endCooldowns forgets the idle keys whose cooldown is over.
-func (m *Machine) endCooldowns() {
-	for len(m.coolingDown) > 0 && m.now >= m.coolingDown[0].cooldownUntil {
-		m.dropKeyQueueIfIdle(m.coolingDown[0])
-		m.coolingDown = m.coolingDown[1:]
-	}
-}
-
-// dropKeyQueueIfIdle forgets a key that has no request and no cooldown.
-func (m *Machine) dropKeyQueueIfIdle(queue *keyQueue) {
-	if len(queue.requests) == 0 && m.now >= queue.cooldownUntil && m.keyQueues[queue.key] == queue {
-		delete(m.keyQueues, queue.key)
-	}
-}
--- a/decision/sweep.go
+++ b/decision/sweep.go
@@ -44,7 +44,7 @@
 		m.sweepRequest(request)
 	}
 	m.promoteWarmedUp()
-	slices.SortFunc(m.queue, compareByValue) // late requests have less value now
+	m.queue.sort() // late requests have less value now
 	if m.now >= m.nextPricingAt {
 		m.nextPricingAt = m.now + m.planningHorizon/pricingsPerHorizon
 		grown := m.safeIdleTime + m.safeIdleTime/safeIdleTimeGrowth
@@ -108,7 +108,7 @@
 
 // capacityScarce reports whether a waiting request has little hope of a worker soon.
 func (m *Machine) capacityScarce(request *request) bool {
-	return m.workPrice+m.slotPrice > 0 || !m.withinConcurrency(request) || m.allSuspended()
+	return m.prices.positive() || !m.withinConcurrency(request) || m.allSuspended()
 }
 
 // delaysOthers reports whether a request that can hardly be in time, and has not started, stands before
--- a/decision/sweep_test.go
+++ b/decision/sweep_test.go
@@ -67,7 +67,7 @@
 	rig.fleet[0].saturatedUntil = rig.now + time.Hour
 	id := rig.arrive(0)
 	objective := rig.requests[id].objective
-	rig.workPrice = 0.1
+	rig.prices.work = 0.1
 	rig.nextPricingAt = rig.now + time.Hour
 	for rig.requests[id] != nil && rig.now < objective+time.Second {
 		rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
@@ -86,7 +86,7 @@
 	rig.arrive(0)
 	rig.arrive(0)
 	waits := rig.requests[rig.arrive(0)]
-	if !waits.queued || rig.workPrice+rig.slotPrice > 0 {
+	if !waits.queued || rig.prices.work+rig.prices.slot > 0 {
 		t.Fatal("the third request should wait, unpriced")
 	}
 	rig.handle(waits.objective-seconds(waits.work), Event{Kind: TimerFired, Timer: sweepTimer})
