--- a/decision/attempt.go
+++ b/decision/attempt.go
@@ -43,7 +43,7 @@
 		m.ceilings.inFlightAtEjected += request.slots
 	}
 	worker.freeSlots -= request.slots
-	m.zone(worker.Zone).lastAttemptAt = m.now
+	m.zones.get(worker.Zone).lastAttemptAt = m.now
 	attempt := attempt{worker: worker, sentAt: m.now, lastSeen: m.now}
 	attempt.connectionIdle = m.takeIdleConnection(worker)
 	if worker.unstarted == 0 {
--- a/decision/capacity_test.go
+++ b/decision/capacity_test.go
@@ -132,10 +132,10 @@
 // listsOf returns the lists in which each worker knows its position.
 func listsOf(machine *Machine) map[listID][]*worker {
 	return map[listID][]*worker{
-		inFleet:            machine.fleet,
-		inWarmWorkers:      machine.warmWorkers,
-		inLocalWarmWorkers: machine.localWarmWorkers,
-		inWarmingUp:        machine.warmingUp,
+		inFleet:     machine.fleet,
+		inWarm:      machine.candidates.warm,
+		inLocalWarm: machine.candidates.localWarm,
+		inWarmingUp: machine.candidates.warmingUp,
 	}
 }
 
@@ -156,7 +156,7 @@
 		machine, list := newLargeFleet(t, workers, 10)
 		worker := machine.workers[changed]
 		if warming := index%10 == 0; (worker.positions[inWarmingUp] > 0) != warming ||
-			(worker.positions[inLocalWarmWorkers] > 0) == warming {
+			(worker.positions[inLocalWarm] > 0) == warming {
 			t.Fatalf("%s stands in the wrong lists: %v", changed, worker.positions)
 		}
 		for id, members := range listsOf(machine) {
@@ -306,8 +306,8 @@
 		warming := worker.positions[inWarmingUp] > 0 // until the next sweep, though it may have warmed up
 		local := !warming && worker.Zone == machine.settings.Zone
 		if !warming && machine.capacityFraction(worker) < 1 ||
-			warming == (worker.positions[inWarmWorkers] > 0) ||
-			local != (worker.positions[inLocalWarmWorkers] > 0) {
+			warming == (worker.positions[inWarm] > 0) ||
+			local != (worker.positions[inLocalWarm] > 0) {
 			t.Fatalf("in the wrong lists: %+v, %v", worker.Endpoint, worker.positions)
 		}
 		if worker.State != Running {
@@ -323,10 +323,10 @@
 			}
 		}
 	}
-	if machine.runningCount != running || machine.ejectedCount != ejected ||
-		!maps.Equal(machine.eligible, eligible) {
+	counts := machine.counts
+	if counts.running != running || counts.ejected != ejected || !maps.Equal(counts.eligible, eligible) {
 		t.Fatalf("%d run, %d of them ejected, open %v; counted %d, %d, %v",
-			machine.runningCount, machine.ejectedCount, machine.eligible, running, ejected, eligible)
+			counts.running, counts.ejected, counts.eligible, running, ejected, eligible)
 	}
 	for id, members := range listsOf(machine) {
 		for i, worker := range members {
@@ -341,17 +341,17 @@
 			}
 		}
 	}
-	machine.updateRing()
-	if len(machine.ring) != len(machine.fleet) ||
-		!slices.IsSortedFunc(machine.ring, compareByHash) {
+	machine.ring.update(machine.fleet)
+	ring := machine.ring.sorted
+	if len(ring) != len(machine.fleet) || !slices.IsSortedFunc(ring, compareByHash) {
 		t.Fatalf(
 			"%d on the ring, of %d; in order: %v",
-			len(machine.ring),
+			len(ring),
 			len(machine.fleet),
-			slices.IsSortedFunc(machine.ring, compareByHash),
+			slices.IsSortedFunc(ring, compareByHash),
 		)
 	}
-	for _, worker := range machine.ring {
+	for _, worker := range ring {
 		if machine.workers[worker.Name] != worker {
 			t.Fatalf("%s is on the ring and not known", worker.Name)
 		}
@@ -363,9 +363,9 @@
 func TestDrawsInSlowStartAreBoundedAndFair(t *testing.T) {
 	machine, _ := newLargeFleet(t, 21000, 1)
 	drawn := map[*worker]int{}
-	rounds := (len(machine.warmingUp) + maxWarmingUpDraws - 1) / maxWarmingUpDraws
+	rounds := (len(machine.candidates.warmingUp) + maxWarmingUpDraws - 1) / maxWarmingUpDraws
 	for range 3 * rounds {
-		members := machine.nextWarmingUp()
+		members := machine.candidates.nextWarmingUp()
 		if len(members) == 0 || len(members) > maxWarmingUpDraws {
 			t.Fatalf("%d workers in slow start are drawn for one pick", len(members))
 		}
@@ -373,19 +373,19 @@
 			drawn[worker]++
 		}
 	}
-	for _, worker := range machine.warmingUp {
+	for _, worker := range machine.candidates.warmingUp {
 		if drawn[worker] != 3 {
 			t.Fatalf("%s was drawn %d times in three rounds", worker.Name, drawn[worker])
 		}
 	}
-	before := slices.Clone(machine.warmingUp)
+	before := slices.Clone(machine.candidates.warmingUp)
 	machine.Handle(
 		machine.now,
 		Event{Kind: RequestArrived, Request: 1, Slots: 1, Work: time.Second, TimeLeft: 5 * time.Second},
 		nil,
 	)
 	moved := 0
-	for i, worker := range machine.warmingUp {
+	for i, worker := range machine.candidates.warmingUp {
 		if worker != before[i] {
 			moved++
 		}
--- a/decision/ceilings.go
+++ b/decision/ceilings.go
@@ -59,9 +59,9 @@
 // readyWorkers is the number of running workers, less the ejected ones unless in panic; at least one.
 func (m *Machine) readyWorkers() float64 {
 	if m.inPanic() {
-		return float64(max(m.runningCount, 1))
+		return float64(max(m.counts.running, 1))
 	}
-	return float64(max(m.runningCount-m.ejectedCount, 1))
+	return float64(max(m.counts.running-m.counts.ejected, 1))
 }
 
 // concurrencyCeiling is the number of slots that may be in flight.
@@ -109,7 +109,7 @@
 	if sentAt < c.cutAt {
 		return
 	}
-	share := m.eligibleShare(request.class)
+	share := m.counts.eligibleShare(request.class)
 	c.badRatio += share * (1 - c.badRatio) / badRatioSpan
 	if m.now-c.cutAt <= seconds(m.latencyEstimate()) {
 		return
@@ -122,8 +122,3 @@
 		m.bucket.ratePerWorker = max(m.bucket.ratePerWorker*remaining, floor)
 	}
 }
-
-// eligibleShare is the part of the running workers that may run the class.
-func (m *Machine) eligibleShare(class *Class) float64 {
-	return float64(m.eligible[class]) / float64(max(m.runningCount, 1))
-}
--- a/decision/endpoints.go
+++ b/decision/endpoints.go
@@ -17,13 +17,28 @@
 	maxSubscribeSpread     = 0.25  // part of ListPollInterval
 )
 
+// endpointList is the state of the endpoint list itself; the workers that it names are in Machine.workers.
+type endpointList struct {
+	snapshots     uint64          // complete lists so far
+	nominalWeight map[int]float64 // the largest weight seen, by machine kind
+	backoff       time.Duration   // after the latest failure of a call for the list; 0: it did not fail
+}
+
+// workerCounts are numbers of workers, kept so that no decision counts the fleet.
+type workerCounts struct {
+	running   int            // workers in state Running
+	ejected   int            // running workers that are ejected
+	suspended int            // workers that are suspended
+	eligible  map[*Class]int // running workers that may run the class; absent: none
+}
+
 // handleList handles the endpoint list, or that a call for it has failed: then the old list stands.
 func (m *Machine) handleList(event Event) {
 	if event.ListKind == ListFailed {
 		m.retrySubscribe()
 		return
 	}
-	m.listBackoff = 0
+	m.list.backoff = 0
 	if event.ListKind == ListCached && m.settings.ListBySubscription {
 		delay := m.subscribeDelay()
 		if delay > 0 {
@@ -39,9 +54,9 @@
 func (m *Machine) retrySubscribe() {
 	smallest := m.settings.ListPollInterval / minListBackoffPart
 	largest := max(m.settings.ListPollInterval/maxListBackoffPart, m.settings.Tick)
-	m.listBackoff = min(max(2*m.listBackoff, smallest), largest)
+	m.list.backoff = min(max(2*m.list.backoff, smallest), largest)
 	jitter := listBackoffJitter + m.random.Float64()/2
-	wait := seconds(m.listBackoff.Seconds()*jitter) + m.subscribeDelay()
+	wait := seconds(m.list.backoff.Seconds()*jitter) + m.subscribeDelay()
 	m.emit(Action{Kind: SetTimer, Timer: subscribeTimer, Delay: wait})
 	m.logf("worker list unavailable, asking again in %v", wait)
 }
@@ -60,12 +75,13 @@
 func (m *Machine) applyList(event Event) {
 	complete := event.ListKind != ListDelta
 	if complete {
-		m.snapshots++
+		m.list.snapshots++
 		m.warmWorkRatesAt = 0
 	}
 	if m.settings.LoadAdjustedWeights {
 		for _, endpoint := range event.Endpoints {
-			m.nominalWeight[endpoint.Kind] = max(m.nominalWeight[endpoint.Kind], endpoint.Weight)
+			nominal := m.list.nominalWeight
+			nominal[endpoint.Kind] = max(nominal[endpoint.Kind], endpoint.Weight)
 		}
 	}
 	for _, endpoint := range event.Endpoints {
@@ -86,7 +102,7 @@
 func (m *Machine) removeUnlisted() {
 	for i := len(m.fleet) - 1; i >= 0; i-- {
 		worker := m.fleet[i]
-		if worker.lastSnapshot != m.snapshots {
+		if worker.lastSnapshot != m.list.snapshots {
 			m.removeWorker(worker)
 		}
 	}
@@ -104,27 +120,27 @@
 		endpoint.StartedAt = m.startTime(listedStart, delta)
 		m.workers[endpoint.Name] = worker
 		m.fleet = appendToList(m.fleet, inFleet, worker)
-		m.ringChanged(worker)
+		m.ring.noteChange(worker)
 		m.markZoneReachable(endpoint.Zone)
 	case listedStart > worker.listedStart:
 		m.setEjected(worker, false)
-		m.countRunning(worker, -1)
+		m.counts.uncount(worker, m.settings.Classes)
 		m.markZoneReachable(endpoint.Zone) // workers start there
 		*worker = worker.restarted(m.now)
 		endpoint.StartedAt = m.startTime(listedStart, delta)
 	default:
-		m.countRunning(worker, -1)
+		m.counts.uncount(worker, m.settings.Classes)
 		if listedStart == worker.listedStart {
 			endpoint.StartedAt = worker.StartedAt
 		}
 	}
 	worker.Endpoint = endpoint
-	worker.lastSnapshot = m.snapshots
+	worker.lastSnapshot = m.list.snapshots
 	worker.listedStart = listedStart
-	m.countRunning(worker, 1)
+	m.counts.count(worker, m.settings.Classes)
 	m.placeInLists(worker)
 	if m.settings.LoadAdjustedWeights && endpoint.Weight > 0 {
-		worker.othersOutstanding = m.nominalWeight[endpoint.Kind]/endpoint.Weight - 1
+		worker.othersOutstanding = m.list.nominalWeight[endpoint.Kind]/endpoint.Weight - 1
 		worker.othersOutstandingAt = m.now
 	}
 }
@@ -132,37 +148,46 @@
 // removeWorker forgets a worker that is gone. Attempts there continue.
 func (m *Machine) removeWorker(worker *worker) {
 	m.setSuspended([]Endpoint{worker.Endpoint}, false)
-	m.countRunning(worker, -1)
+	m.counts.uncount(worker, m.settings.Classes)
 	worker.State = Removed
 	delete(m.workers, worker.Name)
 	m.fleet = removeFromList(m.fleet, inFleet, worker)
-	m.warmWorkers = removeFromList(m.warmWorkers, inWarmWorkers, worker)
-	m.localWarmWorkers = removeFromList(m.localWarmWorkers, inLocalWarmWorkers, worker)
-	m.warmingUp = removeFromList(m.warmingUp, inWarmingUp, worker)
-	m.ringChanged(worker)
+	m.candidates.remove(worker)
+	m.ring.noteChange(worker)
 }
 
-// countRunning adds a worker, with sign 1, or takes it off, with sign -1, where those that run are counted.
-func (m *Machine) countRunning(worker *worker, sign int) {
+// count adds a worker, if it runs.
+func (c *workerCounts) count(worker *worker, classes []Class) { c.add(worker, classes, 1) }
+
+// uncount takes off a worker that was counted. Its fields must be what they were then, but for ejected,
+// which setEjected keeps in step.
+func (c *workerCounts) uncount(worker *worker, classes []Class) { c.add(worker, classes, -1) }
+
+func (c *workerCounts) add(worker *worker, classes []Class, n int) {
 	if worker.State != Running {
 		return
 	}
-	m.runningCount += sign
+	c.running += n
 	if worker.ejected {
-		m.ejectedCount += sign
+		c.ejected += n
 	}
-	for i := range m.settings.Classes {
-		class := &m.settings.Classes[i]
+	for i := range classes {
+		class := &classes[i]
 		if !class.mayRunOn(worker) {
 			continue
 		}
-		m.eligible[class] += sign
-		if m.eligible[class] == 0 {
-			delete(m.eligible, class)
+		c.eligible[class] += n
+		if c.eligible[class] == 0 {
+			delete(c.eligible, class)
 		}
 	}
 }
 
+// eligibleShare is the part of the running workers that may run the class.
+func (c *workerCounts) eligibleShare(class *Class) float64 {
+	return float64(c.eligible[class]) / float64(max(c.running, 1))
+}
+
 // setSuspended suspends workers, or resumes them. Attempts there continue.
 func (m *Machine) setSuspended(endpoints []Endpoint, suspended bool) {
 	for _, endpoint := range endpoints {
@@ -172,16 +197,16 @@
 		}
 		worker.suspended = suspended
 		if suspended {
-			m.suspendedCount++
+			m.counts.suspended++
 		} else {
-			m.suspendedCount--
+			m.counts.suspended--
 		}
 	}
 }
 
 // allSuspended reports whether there are suspended workers and no running one may be sent to.
 func (m *Machine) allSuspended() bool {
-	if m.suspendedCount == 0 {
+	if m.counts.suspended == 0 {
 		return false
 	}
 	return !slices.ContainsFunc(m.fleet, func(worker *worker) bool {
--- a/decision/endpoints_test.go
+++ b/decision/endpoints_test.go
@@ -152,13 +152,15 @@
 				near++
 			}
 		}
-		if len(rig.fleet) != 4000 || len(rig.warmWorkers) != 4000 || len(rig.localWarmWorkers) != near ||
+		warm := rig.candidates.warm
+		local := rig.candidates.localWarm
+		if len(rig.fleet) != 4000 || len(warm) != 4000 || len(local) != near ||
 			len(rig.workers) != 4000 {
 			t.Fatalf(
 				"%d workers, %d to draw, %d of %d near",
 				len(rig.fleet),
-				len(rig.warmWorkers),
-				len(rig.localWarmWorkers),
+				len(warm),
+				len(local),
 				near,
 			)
 		}
@@ -168,7 +170,8 @@
 	}
 	rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListSnapshot})
 	if rig.send(0) != "" ||
-		len(rig.warmWorkers)+len(rig.localWarmWorkers)+rig.runningCount+len(rig.eligible) != 0 {
+		len(rig.candidates.warm)+len(rig.candidates.localWarm) != 0 ||
+		rig.counts.running+len(rig.counts.eligible) != 0 {
 		t.Fatal("an empty list leaves workers behind")
 	}
 	rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: list[:1]})
--- a/decision/lists.go
+++ b/decision/lists.go
@@ -1,49 +1,71 @@
 package decision
 
-// listID names a list of workers. Each worker knows its position there, so that it leaves without a walk.
+import "math/rand/v2"
+
+// listID names a list of workers. Each worker knows its position in each list, so that it leaves one
+// without a search.
 type listID int
 
 const (
 	inFleet listID = iota
-	inWarmWorkers
-	inLocalWarmWorkers
+	inWarm
+	inLocalWarm
 	inWarmingUp
 	inOwners // of a key: the list is made for one use, and positions in it mean nothing
 	listCount
 )
 
-// placeInLists puts a worker into the lists that picks draw from: in slow start into that of its like
-// alone, later into those of the warm ones.
+// candidateLists are the lists that picks draw workers from, each in random order. The first subsetSize of
+// a list are the dispatcher's subset, which is drawn first.
+type candidateLists struct {
+	warm            []*worker // those that have warmed up
+	localWarm       []*worker // those of them in the dispatcher's own zone
+	warmingUp       []*worker // those in slow start
+	warmingUpNext   int       // index at which the next pick begins to draw them
+	subsetSize      int
+	healthCheckNext int // counts the health checks, to go round the subset
+}
+
+// placeInLists puts a worker into the candidate lists where it belongs, and takes it out of the others.
 func (m *Machine) placeInLists(worker *worker) {
 	warm := m.capacityFraction(worker) >= 1
 	local := warm && worker.Zone == m.settings.Zone
-	m.warmingUp = m.setMembership(m.warmingUp, inWarmingUp, worker, !warm)
-	m.warmWorkers = m.setMembership(m.warmWorkers, inWarmWorkers, worker, warm)
-	m.localWarmWorkers = m.setMembership(m.localWarmWorkers, inLocalWarmWorkers, worker, local)
+	c := &m.candidates
+	c.warmingUp = setMembership(c.warmingUp, inWarmingUp, worker, !warm, m.random)
+	c.warm = setMembership(c.warm, inWarm, worker, warm, m.random)
+	c.localWarm = setMembership(c.localWarm, inLocalWarm, worker, local, m.random)
+}
+
+// remove takes a worker out of all candidate lists.
+func (c *candidateLists) remove(worker *worker) {
+	c.warm = removeFromList(c.warm, inWarm, worker)
+	c.localWarm = removeFromList(c.localWarm, inLocalWarm, worker)
+	c.warmingUp = removeFromList(c.warmingUp, inWarmingUp, worker)
+}
+
+// nextWarmingUp returns the workers in slow start that the next pick may draw. Their number is bounded, and
+// successive calls go round the list.
+func (c *candidateLists) nextWarmingUp() []*worker {
+	if c.warmingUpNext >= len(c.warmingUp) {
+		c.warmingUpNext = 0
+	}
+	first := c.warmingUpNext
+	c.warmingUpNext = min(first+maxWarmingUpDraws, len(c.warmingUp))
+	return c.warmingUp[first:c.warmingUpNext]
 }
 
 // setMembership puts a worker into a list, at a random position, or takes it out.
-func (m *Machine) setMembership(list []*worker, id listID, worker *worker, member bool) []*worker {
+func setMembership(list []*worker, id listID, worker *worker, member bool, random *rand.Rand) []*worker {
 	if !member {
 		return removeFromList(list, id, worker)
 	}
 	if worker.positions[id] == 0 {
-		list = m.insertAtRandom(list, id, worker)
+		list = appendToList(list, id, worker)
+		swapInList(list, id, random.IntN(len(list)), len(list)-1)
 	}
 	return list
 }
 
-// nextWarmingUp returns the workers in slow start that the next pick may draw: a bounded number, in turn
-// with all others.
-func (m *Machine) nextWarmingUp() []*worker {
-	if m.warmingUpNext >= len(m.warmingUp) {
-		m.warmingUpNext = 0
-	}
-	first := m.warmingUpNext
-	m.warmingUpNext = min(first+maxWarmingUpDraws, len(m.warmingUp))
-	return m.warmingUp[first:m.warmingUpNext]
-}
-
 // appendToList adds a worker at the end of a list.
 func appendToList(list []*worker, id listID, worker *worker) []*worker {
 	list = append(list, worker)
@@ -51,13 +73,6 @@
 	return list
 }
 
-// insertAtRandom adds a worker to a list in random order, at a random position.
-func (m *Machine) insertAtRandom(list []*worker, id listID, worker *worker) []*worker {
-	list = appendToList(list, id, worker)
-	swapInList(list, id, m.random.IntN(len(list)), len(list)-1)
-	return list
-}
-
 // removeFromList takes a worker out of a list, if it is there. The last one takes its position.
 func removeFromList(list []*worker, id listID, worker *worker) []*worker {
 	i := worker.positions[id] - 1
--- a/decision/load.go
+++ b/decision/load.go
@@ -9,14 +9,15 @@
 	if !m.settings.HealthChecks || !m.settings.LoadByHealthCheck {
 		return
 	}
-	from := m.warmWorkers
+	c := &m.candidates
+	from := c.warm
 	if len(from) == 0 {
-		from = m.warmingUp
+		from = c.warmingUp
 	}
-	subset := from[:min(m.subsetSize, len(from))]
+	subset := from[:min(c.subsetSize, len(from))]
 	for range min(healthChecksPerArrival, len(from)) {
-		m.healthCheckNext++
-		worker := subset[m.healthCheckNext%len(subset)]
+		c.healthCheckNext++
+		worker := subset[c.healthCheckNext%len(subset)]
 		m.emit(Action{Kind: CheckHealth, Worker: worker.Name})
 	}
 }
--- a/decision/machine.go
+++ b/decision/machine.go
@@ -19,33 +19,14 @@
 	sweepInterval   time.Duration
 	sweepScheduled  bool
 
-	// Workers: see worker.go, endpoints.go and lists.go.
-	workers          map[string]*worker // by name
-	fleet            []*worker          // all of them
-	warmWorkers      []*worker          // those that are warmed up, in the order in which they are drawn
-	localWarmWorkers []*worker          // those of them in the dispatcher's own zone
-	warmingUp        []*worker          // those in slow start
-	warmingUpNext    int                // index at which the next pick begins to draw them
-	subsetSize       int                // so many at the head of a list make up the dispatcher's subset
-	snapshots        uint64             // complete lists so far
-	runningCount     int                // workers in state Running
-	ejectedCount     int                // running workers that are ejected
-	suspendedCount   int                // workers that are suspended
-	eligible         map[*Class]int     // running workers that may run the class; absent: none
-	nominalWeight    map[int]float64    // the largest weight seen, by machine kind
-	healthCheckNext  int                // counts the health checks, to go round the subset
-	listBackoff      time.Duration      // after the latest failure of the list; 0: it did not fail
-
-	// Consistent hashing: see ring.go.
-	ring          []*worker // the fleet by hash, but for ringChanges
-	ringChanges   []*worker // workers that came or went since the ring was last used
-	owners        []*worker // buffer of ownersOf
-	initialOwners int       // owners of a key that are looked at first
-	recentKeys    []uint64  // hashes of the latest requests' keys
-
-	// Zones: see zone.go.
-	zones    map[int]*zone
-	lastSeen time.Duration // when any worker last showed that it lives
+	list       endpointList       // see endpoints.go
+	workers    map[string]*worker // by name
+	fleet      []*worker          // all of them
+	counts     workerCounts       // see endpoints.go
+	candidates candidateLists     // see lists.go
+	ring       hashRing           // owners of keys: see ring.go
+	recentKeys recentKeys         // see ring.go
+	zones      zoneTable          // see zone.go
 
 	requests    map[uint64]*request // by id
 	unanswered  []*request          // by arrival; answered ones leave with the next sweep
@@ -87,10 +68,11 @@
 		settings:         settings,
 		random:           rand.New(rand.NewPCG(seed, 0)),
 		workers:          map[string]*worker{},
-		zones:            map[int]*zone{},
-		eligible:         map[*Class]int{},
+		list:             endpointList{nominalWeight: map[int]float64{}},
+		counts:           workerCounts{eligible: map[*Class]int{}},
+		candidates:       candidateLists{subsetSize: 2 * minSubsetSize},
+		zones:            zoneTable{byNumber: map[int]*zone{}},
 		kindRunTimeRatio: map[int]float64{},
-		nominalWeight:    map[int]float64{},
 		requests:         map[uint64]*request{},
 		queue:            requestQueue{skips: map[*Class]int{}},
 		serializer:       serializer{queues: map[string]*keyQueue{}},
@@ -116,12 +98,7 @@
 	initialCeiling := initialSlotsPerWorker / float64(m.settings.Peers)
 	m.ceilings.concurrencyPerWorker = initialCeiling
 	m.bucket = tokenBucket{ratePerWorker: initialCeiling, tokens: math.Inf(1)}
-	m.subsetSize = 2 * minSubsetSize
 	m.safeIdleTime = cmp.Or(m.settings.ConnectionIdleTimeout, math.MaxInt64/2)
-	m.initialOwners = maxOwners
-	if m.settings.CacheMissCost > 0 {
-		m.initialOwners = minOwners
-	}
 }
 
 // Handle processes what happened at time now and appends what must be done to out, which it returns.
--- a/decision/outlier.go
+++ b/decision/outlier.go
@@ -24,7 +24,7 @@
 // like failure. One that gets a request now and then, to try whether it has come back, is still among them.
 // In panic, when most workers look bad, all are used and none is named.
 func (m *Machine) Ejected() (names []string) {
-	if m.ejectedCount == 0 || m.inPanic() {
+	if m.counts.ejected == 0 || m.inPanic() {
 		return nil
 	}
 	for _, worker := range m.fleet {
@@ -37,7 +37,7 @@
 
 // inPanic reports whether at least half of the fleet cannot be used. Then the fault is not theirs, and
 // ejected workers are used as well.
-func (m *Machine) inPanic() bool { return 2*(m.runningCount-m.ejectedCount) <= len(m.fleet) }
+func (m *Machine) inPanic() bool { return 2*(m.counts.running-m.counts.ejected) <= len(m.fleet) }
 
 // usable reports whether a worker may get the request as far as its health and that of its zone go. An
 // ejected worker gets a trial now and then, and one that must not run twice only once half of its failure
@@ -79,7 +79,7 @@
 	}
 	m.ceilings.inFlightAtEjected += float64(sign) * worker.outstanding
 	if worker.State == Running {
-		m.ejectedCount += sign
+		m.counts.ejected += sign
 	}
 	worker.ejected = ejected
 	worker.ejectionBackoff = 0
--- a/decision/outlier_test.go
+++ b/decision/outlier_test.go
@@ -209,8 +209,9 @@
 	}
 	ceiling := rig.ceilings.concurrencyPerWorker
 	inFlight := rig.ceilings.inFlight
-	if rig.ejectedCount != 0 || ceiling < before || inFlight != 0 {
-		t.Errorf("%d ejected, ceiling %v of %v, %v in flight", rig.ejectedCount, ceiling, before, inFlight)
+	ejected := rig.counts.ejected
+	if ejected != 0 || ceiling < before || inFlight != 0 {
+		t.Errorf("%d ejected, ceiling %v of %v, %v in flight", ejected, ceiling, before, inFlight)
 	}
 	rig.workers[worker].consecutiveInvalid = maxConsecutiveInvalid
 	for {
--- a/decision/pricing.go
+++ b/decision/pricing.go
@@ -28,7 +28,7 @@
 // admit in the same span, and sizes the subset of workers by the number of recent requests.
 func (m *Machine) solvePrices() {
 	bids, recent := m.mix.bids(m.now, m.planningHorizon)
-	m.subsetSize = max(int(recent/subsetRequestsPerWorker), minSubsetSize)
+	m.candidates.subsetSize = max(int(recent/subsetRequestsPerWorker), minSubsetSize)
 	m.prices = prices{}
 	if recent >= minPricedRequests {
 		slotSeconds := m.concurrencyCeiling() * m.planningHorizon.Seconds()
--- a/decision/reconfigure_test.go
+++ b/decision/reconfigure_test.go
@@ -44,7 +44,7 @@
 		)
 	}
 	rig.endAttempt(open.id, 0, Completed, time.Second)
-	if rig.requests[open.id] != nil || rig.eligibleShare(class) != 1 {
+	if rig.requests[open.id] != nil || rig.counts.eligibleShare(class) != 1 {
 		t.Errorf("the open request cannot end as before")
 	}
 }
--- a/decision/ring_test.go
+++ b/decision/ring_test.go
@@ -20,7 +20,7 @@
 	if len(owners) > 2 {
 		t.Fatalf("20 dispatchers send one key to %d workers", len(owners))
 	}
-	for _, worker := range rig.ring {
+	for _, worker := range rig.ring.sorted {
 		if owners[worker.Name] {
 			worker.saturatedUntil = rig.now + time.Hour
 		}
--- a/decision/routing.go
+++ b/decision/routing.go
@@ -27,10 +27,10 @@
 // of the request's key, and then a worker of the own zone, is preferred unless it costs too much of the
 // time left.
 func (m *Machine) pickWorker(request *request) *worker {
-	if worker := m.pickFrom(request, m.nextWarmingUp(), inWarmingUp); worker != nil {
+	if worker := m.pickFrom(request, m.candidates.nextWarmingUp(), inWarmingUp); worker != nil {
 		return worker
 	}
-	worker := m.pickFrom(request, m.warmWorkers, inWarmWorkers)
+	worker := m.pickFrom(request, m.candidates.warm, inWarm)
 	timeLeft := max(request.objective-m.now, 0).Seconds()
 	ownerBias := max(cacheMissCostWeight*m.settings.CacheMissCost, defaultOwnerBias)
 	owner := m.pickOwner(request)
@@ -41,7 +41,7 @@
 	if zoneBias <= 0 || worker != nil && worker.Zone == m.settings.Zone {
 		return worker
 	}
-	local := m.pickFrom(request, m.localWarmWorkers, inLocalWarmWorkers)
+	local := m.pickFrom(request, m.candidates.localWarm, inLocalWarm)
 	if m.preferred(request, local, worker, zoneBias*timeLeft) {
 		return local
 	}
@@ -62,8 +62,9 @@
 	if request.keyHash == 0 {
 		return nil
 	}
-	for n := m.initialOwners; n <= maxOwners; n *= 2 {
-		if worker := m.pickFrom(request, m.ownersOf(request.keyHash, n), inOwners); worker != nil {
+	for n := m.settings.initialOwners(); n <= maxOwners; n *= 2 {
+		owners := m.ring.ownersOf(request.keyHash, n, m.fleet)
+		if worker := m.pickFrom(request, owners, inOwners); worker != nil {
 			return worker
 		}
 	}
@@ -79,8 +80,8 @@
 	drawnWarm := 0
 	for i := 0; i < len(from) && drawnWarm < maxWarmDraws && found < 2; i++ {
 		end := len(from)
-		if i < m.subsetSize {
-			end = min(end, m.subsetSize)
+		if i < m.candidates.subsetSize {
+			end = min(end, m.candidates.subsetSize)
 		}
 		swapInList(from, id, i, i+m.random.IntN(end-i))
 		worker := from[i]
--- a/decision/routing_test.go
+++ b/decision/routing_test.go
@@ -88,10 +88,11 @@
 		worker.saturatedUntil = rig.now + time.Hour
 	}
 	rig.arrive(0)
-	before := slices.Clone(rig.warmWorkers)
+	warm := rig.candidates.warm
+	before := slices.Clone(warm)
 	moved := 0
-	rig.pickFrom(rig.queue.waiting[0], rig.warmWorkers, inWarmWorkers)
-	for i, worker := range rig.warmWorkers {
+	rig.pickFrom(rig.queue.waiting[0], warm, inWarm)
+	for i, worker := range warm {
 		if worker != before[i] {
 			moved++
 		}
@@ -114,17 +115,18 @@
 	if len(used) > 2*minSubsetSize {
 		t.Fatalf("100 requests, one at a time, went to %d workers", len(used))
 	}
-	for _, worker := range rig.warmWorkers[:rig.subsetSize] {
+	subset := rig.candidates.warm[:rig.candidates.subsetSize]
+	for _, worker := range subset {
 		worker.saturatedUntil = rig.now + time.Hour
 	}
 	if w := rig.send(0); w == "" || used[w] {
 		t.Fatalf("with its subset full, a request went to %q", w)
 	}
-	before := slices.Clone(rig.warmWorkers)
+	before := slices.Clone(rig.candidates.warm)
 	rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: "new"}}})
 	moved := 0
 	for i, worker := range before {
-		if rig.warmWorkers[i] != worker {
+		if rig.candidates.warm[i] != worker {
 			moved++
 		}
 	}
@@ -137,7 +139,8 @@
 func TestSubsetsDiffer(t *testing.T) {
 	var heads []string
 	for seed := range uint64(8) {
-		heads = append(heads, newSeededRig(t, testSettings(), 100, seed).warmWorkers[0].Name)
+		rig := newSeededRig(t, testSettings(), 100, seed)
+		heads = append(heads, rig.candidates.warm[0].Name)
 	}
 	slices.Sort(heads)
 	if len(slices.Compact(heads)) < 5 {
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -99,8 +99,8 @@
 
 // promoteWarmedUp moves workers that have warmed up to the lists of warm ones.
 func (m *Machine) promoteWarmedUp() {
-	for i := len(m.warmingUp) - 1; i >= 0; i-- {
-		worker := m.warmingUp[i]
+	for i := len(m.candidates.warmingUp) - 1; i >= 0; i-- {
+		worker := m.candidates.warmingUp[i]
 		if m.capacityFraction(worker) >= 1 {
 			m.placeInLists(worker)
 		}
--- a/decision/slowstart_test.go
+++ b/decision/slowstart_test.go
@@ -192,7 +192,7 @@
 			worker.slowStartBudgetAt = rig.now
 			worker.slowStartBudget = -1
 			worker.recentWork.add(rig.now, rig.planningHorizon, 0)
-			rig.warmingUp = append(rig.warmingUp, worker)
+			rig.candidates.warmingUp = append(rig.candidates.warmingUp, worker)
 		}
 		rig.fleet[0].recentWork.add(rig.now, rig.planningHorizon, 100)
 		rig.warmWorkRatesAt = 0
@@ -206,25 +206,26 @@
 			cost:          1,
 			objective:     rig.now + time.Minute,
 		}
-		if worker := rig.pickFrom(request, rig.warmingUp, inWarmingUp); worker != room {
+		if worker := rig.pickFrom(request, rig.candidates.warmingUp, inWarmingUp); worker != room {
 			t.Fatalf(
 				"seed %d: the one worker in slow start of %d that has budget is not found: %v",
 				seed,
-				len(rig.warmingUp),
+				len(rig.candidates.warmingUp),
 				worker,
 			)
 		}
-		for _, worker := range rig.warmWorkers {
+		warm := rig.candidates.warm
+		for _, worker := range warm {
 			worker.saturatedUntil = rig.now + time.Second
 		}
-		first := slices.Clone(rig.warmWorkers)
+		first := slices.Clone(warm)
 		for _, worker := range rig.fleet[1:] {
 			worker.StartedAt = 0
 		}
-		rig.pickFrom(request, rig.warmWorkers, inWarmWorkers)
+		rig.pickFrom(request, warm, inWarm)
 		moved := 0
 		for i := maxWarmDraws; i < len(first); i++ {
-			if rig.warmWorkers[i] != first[i] {
+			if warm[i] != first[i] {
 				moved++
 			}
 		}
@@ -285,7 +286,7 @@
 			worker.outstanding = float64(i)
 			worker.recentWork.add(rig.now, rig.planningHorizon, 0)
 		}
-		rig.warmingUp = append(rig.warmingUp[:0], rig.fleet...)
+		rig.candidates.warmingUp = append(rig.candidates.warmingUp[:0], rig.fleet...)
 		rig.warmWorkRates = map[int]float64{0: 0.1}
 		rig.warmWorkRatesAt = rig.now
 		request := &request{
@@ -296,7 +297,8 @@
 			classMeanWork: 0.05,
 			objective:     rig.now + time.Second,
 		}
-		if picked := rig.pickFrom(request, rig.warmingUp, inWarmingUp); picked != rig.warmingUp[0] {
+		warmingUp := rig.candidates.warmingUp
+		if picked := rig.pickFrom(request, warmingUp, inWarmingUp); picked != warmingUp[0] {
 			t.Fatalf("seed %d: the first that had budget was passed over", seed)
 		}
 	}
--- a/decision/zone.go
+++ b/decision/zone.go
@@ -14,6 +14,12 @@
 	maxTrialDoublings = 8
 )
 
+// zoneTable holds what is known of all zones.
+type zoneTable struct {
+	byNumber map[int]*zone
+	lastSeen time.Duration // when a worker of any zone last showed that it lives
+}
+
 // zone is what is known of the workers of one zone together.
 type zone struct {
 	failedConnects int           // in a row, since any of its workers was seen
@@ -21,36 +27,36 @@
 	lastAttemptAt  time.Duration // when one failed last, or a later request was sent there
 }
 
-// zone returns what is known of a zone, from its number.
-func (m *Machine) zone(number int) *zone {
-	if m.zones[number] == nil {
-		m.zones[number] = &zone{}
+// get returns what is known of the zone with that number.
+func (t *zoneTable) get(number int) *zone {
+	if t.byNumber[number] == nil {
+		t.byNumber[number] = &zone{}
 	}
-	return m.zones[number]
+	return t.byNumber[number]
 }
 
 // zoneUnreachable reports whether a worker's zone gets no requests: connects there have failed in a row, and
 // workers of other zones have been seen since. One request at a time tries whether it is back, after ever
 // longer intervals.
 func (m *Machine) zoneUnreachable(worker *worker) bool {
-	zone := m.zone(worker.Zone)
+	zone := m.zones.get(worker.Zone)
 	doublings := min(zone.failedConnects, maxTrialDoublings)
 	trialInterval := min(m.settings.ConnectTimeout<<doublings, m.planningHorizon)
 	return zone.failedConnects >= unreachableZoneConnects &&
 		m.now-zone.lastAttemptAt < trialInterval &&
-		m.lastSeen > zone.firstFailureAt
+		m.zones.lastSeen > zone.firstFailureAt
 }
 
 // markSeen records that a worker has shown that it lives.
 func (m *Machine) markSeen(worker *worker) {
 	worker.lastSeen = m.now
-	m.lastSeen = m.now
+	m.zones.lastSeen = m.now
 	m.markZoneReachable(worker.Zone)
 }
 
 // markZoneReachable records that a zone can be reached.
 func (m *Machine) markZoneReachable(number int) {
-	zone := m.zone(number)
+	zone := m.zones.get(number)
 	if zone.failedConnects >= unreachableZoneConnects {
 		m.logf("zone %s is reachable again", m.zoneName(number))
 	}
@@ -59,7 +65,7 @@
 
 // recordConnectFailure records that a connection to a worker was refused or timed out.
 func (m *Machine) recordConnectFailure(worker *worker) {
-	zone := m.zone(worker.Zone)
+	zone := m.zones.get(worker.Zone)
 	zone.failedConnects++
 	switch zone.failedConnects {
 	case 1:
