--- a/decision/admission.go
+++ b/decision/admission.go
@@ -71,14 +71,13 @@
 	if event.Slots > 0 && event.Slots < maxSlots {
 		request.slots = event.Slots
 	}
-	classMean := &m.classMeanWork[event.Class]
-	request.work = *classMean
-	request.classMeanWork = *classMean
+	request.classMeanWork = m.estimates.classMeanWork[event.Class]
+	request.work = request.classMeanWork
 	if event.Work > 0 {
 		hint := min(event.Work, maxWorkDeadlines*request.class.Deadline)
 		request.work = max(hint, m.settings.Tick).Seconds()
 		request.holdTime = request.work
-		*classMean += (request.work - *classMean) / meanSpan
+		m.estimates.learnHint(event.Class, request.work)
 	}
 	request.cost = request.slots * request.work
 	request.value = request.class.PriorityWeight
@@ -91,12 +90,11 @@
 // elapsedSinceFirstTry returns for how long the client has waited already: the latency objective runs from
 // its first try, and a retry, or what was held up on its way, has less time left.
 func (m *Machine) elapsedSinceFirstTry(request *request, event *Event) time.Duration {
-	longest := &m.maxTimeLeft[event.Class]
-	*longest = max(*longest, min(event.TimeLeft, request.class.Deadline))
+	longest := m.estimates.learnTimeLeft(event.Class, min(event.TimeLeft, request.class.Deadline))
 	if event.ClientRetry {
 		return max(request.class.Deadline-event.TimeLeft, 0)
 	}
-	return max(*longest-event.TimeLeft, 0)
+	return max(longest-event.TimeLeft, 0)
 }
 
 // hasNoValue reports whether a response to the request would earn nothing any more.
--- a/decision/attempt.go
+++ b/decision/attempt.go
@@ -87,7 +87,7 @@
 	attempt.recordAccepted(class)
 	if m.settings.StartNotices {
 		waited := (m.now - attempt.sentAt).Seconds()
-		m.meanStartWait += (waited - m.meanStartWait) / startWaitSpan
+		m.estimates.learnStartWait(waited)
 		expected := m.expectedStartWait(attempt.worker)
 		attempt.worker.startWait = decayingValue{value: (expected + waited) / 2, at: m.now}
 	}
@@ -177,7 +177,7 @@
 		m.markSeen(worker)
 		attempt.recordAccepted(request.class)
 		m.learnRunTimeRatio(worker, (m.now-max(attempt.sentAt, attempt.startedAt)).Seconds()/request.work)
-		m.meanLatency += ((m.now - attempt.sentAt).Seconds() - m.meanLatency) / meanSpan
+		m.estimates.learnLatency((m.now - attempt.sentAt).Seconds())
 		m.setFailureScore(worker, failureScoreFactor*score, answersAgain)
 	case Saturated:
 		m.recordSaturated(worker, request.class)
--- a/decision/capacity_test.go
+++ b/decision/capacity_test.go
@@ -488,7 +488,7 @@
 		if sweeps > 2*workers/scanWorkersPerSweep+2 {
 			t.Fatalf("%v after %d sweeps, not %v", machine.warmWorkRate(0), sweeps, second)
 		}
-		if at := machine.warmWorkRateScan.next; at%scanWorkersPerSweep != 0 || at > workers {
+		if at := machine.workRates.scan.next; at%scanWorkersPerSweep != 0 || at > workers {
 			t.Fatalf("%d workers were looked at after %d sweeps", at, sweeps)
 		}
 		machine.now += machine.sweepInterval
--- a/decision/ceilings_test.go
+++ b/decision/ceilings_test.go
@@ -128,7 +128,7 @@
 	rig.endAttempt(ids[0], 0, Completed, 4*time.Second)
 	after := rig.ceilings.concurrencyPerWorker
 	for _, id := range ids[1:] {
-		rig.meanLatency = 0.001
+		rig.estimates.meanLatency = 0.001
 		rig.endAttempt(id, 0, Completed, 100*time.Millisecond)
 	}
 	last := rig.ceilings.concurrencyPerWorker
--- a/decision/connection.go
+++ b/decision/connection.go
@@ -1,8 +1,12 @@
 package decision
 
-import "time"
+import (
+	"cmp"
+	"math"
+	"time"
+)
 
-// Connections that are dropped unseen while they are unused swallow what is sent on them. Idle ones are
+// What is sent on a connection that was dropped unnoticed while it was unused is lost. Idle connections are
 // closed before use once they are older than safeIdleTime, which is learned from requests that were lost.
 const (
 	// deadConnectionHorizons is the number of planning horizons within which a second loss must follow for
@@ -12,6 +16,35 @@
 	safeIdleTimeGrowth = 32
 )
 
+// connectionReuse is what is learned of idle connections to workers.
+type connectionReuse struct {
+	safeIdleTime time.Duration // connections unused for longer may be dead
+	lostAt       time.Duration // when one was found dead last
+}
+
+// newConnectionReuse begins with the span after which workers close idle connections; unknown, it is as
+// good as endless.
+func newConnectionReuse(settings *Settings) connectionReuse {
+	return connectionReuse{safeIdleTime: cmp.Or(settings.ConnectionIdleTimeout, math.MaxInt64/2)}
+}
+
+// grow lets safeIdleTime grow again, up to the limit; 0: it stays as it is.
+func (c *connectionReuse) grow(limit time.Duration) {
+	grown := c.safeIdleTime + c.safeIdleTime/safeIdleTimeGrowth
+	c.safeIdleTime = min(grown, cmp.Or(limit, c.safeIdleTime))
+}
+
+// recordDead learns from a connection that was found dead after it was unused for that long, and reports
+// whether safeIdleTime was cut: the loss of one connection alone may have another cause.
+func (c *connectionReuse) recordDead(now, planningHorizon, idle time.Duration) (cut bool) {
+	cut = now < c.lostAt+deadConnectionHorizons*planningHorizon
+	if cut {
+		c.safeIdleTime = min(c.safeIdleTime, idle/2)
+	}
+	c.lostAt = now
+	return cut
+}
+
 // takeIdleConnection uses up the latest idle connection to a worker, and returns for how long it was
 // unused; 0 if there is none, or if an attempt there may have to wait for its start, so that its silence
 // would prove nothing.
@@ -32,7 +65,7 @@
 // safeIdleTime.
 func (m *Machine) closeStaleConnections(worker *worker) {
 	n := len(worker.idleConnections)
-	if n > 0 && m.now-worker.idleConnections[n-1] > m.safeIdleTime {
+	if n > 0 && m.now-worker.idleConnections[n-1] > m.connections.safeIdleTime {
 		m.closeIdleConnections(worker)
 	}
 }
@@ -52,11 +85,9 @@
 
 // recordDeadConnection learns for how long a connection may be unused. The worker is not blamed.
 func (m *Machine) recordDeadConnection(attempt *attempt) {
-	if m.now < m.connectionLostAt+deadConnectionHorizons*m.planningHorizon {
-		m.safeIdleTime = min(m.safeIdleTime, attempt.connectionIdle/2)
-		m.logf("connections unused for over %v look dead", m.safeIdleTime)
+	if m.connections.recordDead(m.now, m.planningHorizon, attempt.connectionIdle) {
+		m.logf("connections unused for over %v look dead", m.connections.safeIdleTime)
 	}
-	m.connectionLostAt = m.now
 }
 
 // markPossiblyLost notes that the connection of a late attempt may be dead, so that its worker gets another
--- a/decision/connection_test.go
+++ b/decision/connection_test.go
@@ -18,8 +18,8 @@
 	first := rig.arrive(1)
 	rig.endAttempt(first, 0, Completed, 100*time.Millisecond)
 	rig.now += 6 * time.Second
-	rig.connectionLostAt = rig.now // one was lost before: a single one may have another cause
-	lost := rig.arrive(1)          // sent on the connection that was unused for 6 s
+	rig.connections.lostAt = rig.now // one was lost before: a single one may have another cause
+	lost := rig.arrive(1)            // sent on the connection that was unused for 6 s
 	if findAction(rig.actions, CloseIdle) != nil {
 		t.Fatal("connections closed without a reason")
 	}
@@ -35,8 +35,9 @@
 		!rig.requests[lost].ended {
 		t.Fatalf("a lost request is kept: %v", rig.actions)
 	}
-	if rig.workers["w0"].ejected || rig.safeIdleTime > 3*time.Second {
-		t.Fatalf("ejected %v, bound %v", rig.workers["w0"].ejected, rig.safeIdleTime)
+	safe := rig.connections.safeIdleTime
+	if rig.workers["w0"].ejected || safe > 3*time.Second {
+		t.Fatalf("ejected %v, safe idle time %v", rig.workers["w0"].ejected, safe)
 	}
 	rig.endAttempt(next, 0, Completed, 100*time.Millisecond)
 	rig.handle(rig.now, Event{Kind: AttemptEnded, Request: lost, Worker: "w0", Outcome: Cancelled})
@@ -54,11 +55,12 @@
 	rig := newRig(t, settings, 1)
 	rig.endAttempt(rig.arrive(0), 0, Completed, 100*time.Millisecond)
 	rig.now += 6 * time.Second
-	rig.connectionLostAt = rig.now
+	rig.connections.lostAt = rig.now
 	id := rig.arrive(0)
 	rig.endAttempt(id, 0, ConnectionLost, time.Millisecond)
-	if worker := rig.fleet[0]; worker.ejected || worker.failureScore.value > 0 ||
-		rig.safeIdleTime != 3*time.Second {
-		t.Fatalf("failure score %v, bound %v", worker.failureScore.value, rig.safeIdleTime)
+	worker := rig.fleet[0]
+	safe := rig.connections.safeIdleTime
+	if worker.ejected || worker.failureScore.value > 0 || safe != 3*time.Second {
+		t.Fatalf("failure score %v, safe idle time %v", worker.failureScore.value, safe)
 	}
 }
--- a/decision/endpoints.go
+++ b/decision/endpoints.go
@@ -76,7 +76,7 @@
 	complete := event.ListKind != ListDelta
 	if complete {
 		m.list.snapshots++
-		m.warmWorkRatesAt = 0
+		m.workRates.scannedAt = 0
 	}
 	if m.settings.LoadAdjustedWeights {
 		for _, endpoint := range event.Endpoints {
--- a/decision/hedge.go
+++ b/decision/hedge.go
@@ -39,7 +39,7 @@
 		return false
 	}
 	return attempt.worker.ejected || m.zoneUnreachable(attempt.worker) ||
-		attempt.startedAt == 0 && attempt.connectionIdle > m.safeIdleTime
+		attempt.startedAt == 0 && attempt.connectionIdle > m.connections.safeIdleTime
 }
 
 // waitsLongForStart reports whether an attempt that can still be in time has waited for its start for half a
--- a/decision/machine.go
+++ b/decision/machine.go
@@ -1,7 +1,6 @@
 package decision
 
 import (
-	"cmp"
 	"math"
 	"math/rand/v2"
 	"time"
@@ -42,20 +41,9 @@
 	nextPricingAt time.Duration
 	tenants       []tenant // see quota.go
 
-	// What is learned of run times and connections: see estimates.go and connection.go.
-	meanLatency      float64         // recent mean time of a completed attempt, seconds
-	meanStartWait    float64         // recent mean wait for a start at workers, seconds
-	classMeanWork    []float64       // recent mean run time by class, seconds, hinted or learned
-	learnedRuns      []float64       // attempts without a hint that it was learned from, by class
-	kindRunTimeRatio map[int]float64 // mean runTimeRatio of workers, by machine kind
-	maxTimeLeft      []time.Duration // the longest TimeLeft of an arrival, by class: that of a first try
-	safeIdleTime     time.Duration   // connections unused for longer may be dead
-	connectionLostAt time.Duration   // when one was found dead last
-
-	// Slow start: see slowstart.go.
-	warmWorkRates    map[int]float64 // work a second that a warm worker takes from this dispatcher, by kind
-	warmWorkRatesAt  time.Duration   // when they were last worked on; 0: they are unknown
-	warmWorkRateScan workRateScan
+	estimates   estimates       // run times and waits: see estimates.go
+	connections connectionReuse // see connection.go
+	workRates   warmWorkRates   // what slow-start budgets are measured by: see slowstart.go
 }
 
 // New returns a machine that knows no worker yet, or an error that names the field of the settings which is
@@ -64,41 +52,40 @@
 	if err := settings.normalize(); err != nil {
 		return nil, err
 	}
-	machine := &Machine{
-		settings:         settings,
-		random:           rand.New(rand.NewPCG(seed, 0)),
-		workers:          map[string]*worker{},
-		list:             endpointList{nominalWeight: map[int]float64{}},
-		counts:           workerCounts{eligible: map[*Class]int{}},
-		candidates:       candidateLists{subsetSize: 2 * minSubsetSize},
-		zones:            zoneTable{byNumber: map[int]*zone{}},
-		kindRunTimeRatio: map[int]float64{},
-		requests:         map[uint64]*request{},
-		queue:            requestQueue{skips: map[*Class]int{}},
-		serializer:       serializer{queues: map[string]*keyQueue{}},
-		classMeanWork:    make([]float64, len(settings.Classes)),
-		maxTimeLeft:      make([]time.Duration, len(settings.Classes)),
-		learnedRuns:      make([]float64, len(settings.Classes)),
-		tenants:          make([]tenant, len(settings.TenantQuotas)),
-	}
-	machine.initEstimates()
-	return machine, nil
+	initialCeiling := initialSlotsPerWorker / float64(settings.Peers)
+	return &Machine{
+		settings: settings,
+		random:   rand.New(rand.NewPCG(seed, 0)),
+
+		planningHorizon: settings.planningHorizon(),
+		sweepInterval:   settings.sweepInterval(),
+
+		list:       endpointList{nominalWeight: map[int]float64{}},
+		workers:    map[string]*worker{},
+		counts:     workerCounts{eligible: map[*Class]int{}},
+		candidates: candidateLists{subsetSize: 2 * minSubsetSize},
+		zones:      zoneTable{byNumber: map[int]*zone{}},
+
+		requests:   map[uint64]*request{},
+		queue:      requestQueue{skips: map[*Class]int{}},
+		serializer: serializer{queues: map[string]*keyQueue{}},
+
+		ceilings: ceilings{concurrencyPerWorker: initialCeiling},
+		bucket:   tokenBucket{ratePerWorker: initialCeiling, tokens: math.Inf(1)},
+		tenants:  make([]tenant, len(settings.TenantQuotas)),
+
+		estimates:   newEstimates(&settings),
+		connections: newConnectionReuse(&settings),
+	}, nil
 }
 
-// initEstimates derives spans of time from the settings, and sets what is learned to permissive first values.
-func (m *Machine) initEstimates() {
+// planningHorizon is the span over which the recent past is averaged: a quarter of the longest deadline.
+func (s *Settings) planningHorizon() time.Duration {
 	longestDeadline := time.Duration(0)
-	for i := range m.settings.Classes {
-		class := &m.settings.Classes[i]
-		longestDeadline = max(longestDeadline, class.Deadline)
-		m.classMeanWork[i] = max(class.LatencyObjective, m.settings.Tick).Seconds()
+	for i := range s.Classes {
+		longestDeadline = max(longestDeadline, s.Classes[i].Deadline)
 	}
-	m.planningHorizon = max(longestDeadline/4, m.settings.Tick)
-	m.sweepInterval = m.shortestSweepInterval()
-	initialCeiling := initialSlotsPerWorker / float64(m.settings.Peers)
-	m.ceilings.concurrencyPerWorker = initialCeiling
-	m.bucket = tokenBucket{ratePerWorker: initialCeiling, tokens: math.Inf(1)}
-	m.safeIdleTime = cmp.Or(m.settings.ConnectionIdleTimeout, math.MaxInt64/2)
+	return max(longestDeadline/4, s.Tick)
 }
 
 // Handle processes what happened at time now and appends what must be done to out, which it returns.
--- a/decision/reconfigure.go
+++ b/decision/reconfigure.go
@@ -27,5 +27,5 @@
 	m.settings.TenantQuotas = slices.Clone(next.TenantQuotas)
 	m.settings.OverQuotaWeight = next.OverQuotaWeight
 	m.settings.MaxRetryAfter = next.MaxRetryAfter
-	m.sweepInterval = m.shortestSweepInterval()
+	m.sweepInterval = m.settings.sweepInterval()
 }
--- a/decision/reconfigure_test.go
+++ b/decision/reconfigure_test.go
@@ -34,7 +34,7 @@
 			objective,
 		)
 	}
-	if rig.sweepInterval >= sweepInterval || rig.sweepInterval != rig.shortestSweepInterval() ||
+	if rig.sweepInterval >= sweepInterval || rig.sweepInterval != rig.settings.sweepInterval() ||
 		rig.settings.MaxRetryAfter != time.Second {
 		t.Errorf(
 			"a sweep each %v, before %v; Retry-After of %v at the most",
--- a/decision/routing.go
+++ b/decision/routing.go
@@ -119,12 +119,12 @@
 	known := math.Exp((knownAt - m.now).Seconds() / m.planningHorizon.Seconds())
 	slots := worker.outstanding + worker.othersOutstanding*known + request.slots
 	return slots*m.expectedRunTime(request, worker) +
-		m.expectedStartWait(worker) + unknownWorkerWaits*m.meanStartWait*(1-known)
+		m.expectedStartWait(worker) + unknownWorkerWaits*m.estimates.meanStartWait*(1-known)
 }
 
 // expectedRunTime is the run time of the request at a worker, in seconds.
 func (m *Machine) expectedRunTime(request *request, worker *worker) float64 {
-	ratio := cmp.Or(worker.runTimeRatio, m.kindRunTimeRatio[worker.Kind], 1)
+	ratio := cmp.Or(worker.runTimeRatio, m.estimates.kindRunTimeRatio[worker.Kind], 1)
 	return request.work * ratio / m.capacityFraction(worker)
 }
 
--- a/decision/routing_test.go
+++ b/decision/routing_test.go
@@ -63,7 +63,7 @@
 		got := map[string]int{}
 		for seed := range uint64(20) {
 			rig := newSeededRig(t, settings, 2, seed+1)
-			rig.meanStartWait = test.meanWait
+			rig.estimates.meanStartWait = test.meanWait
 			rig.fleet[0].othersOutstanding = test.others
 			rig.fleet[0].othersOutstandingAt = rig.now - test.age
 			got[rig.send(0)]++
@@ -75,8 +75,9 @@
 	rig := newRig(t, settings, 2)
 	id := rig.arrive(0)
 	rig.handle(rig.now+time.Second, Event{Kind: AttemptStarted, Request: id, Worker: rig.assignedTo(id)})
-	if want := 2.0 / minPricedRequests; math.Abs(rig.meanStartWait-want) > 1e-9 {
-		t.Errorf("after a first wait of a second the mean is %v, not %v", rig.meanStartWait, want)
+	got := rig.estimates.meanStartWait
+	if want := 2.0 / minPricedRequests; math.Abs(got-want) > 1e-9 {
+		t.Errorf("after a first wait of a second the mean is %v, not %v", got, want)
 	}
 }
 
--- a/decision/saturation.go
+++ b/decision/saturation.go
@@ -54,7 +54,7 @@
 		rejections.firstRejectedAt = m.now
 	}
 	if rejections.count == 1 || !worker.acceptsOtherClasses(class, rejections.firstRejectedAt) {
-		worker.saturatedUntil = m.now + seconds(m.meanLatency*saturationLatencies)
+		worker.saturatedUntil = m.now + seconds(m.estimates.meanLatency*saturationLatencies)
 		return
 	}
 	rejections.backoff = m.nextBackoff(rejections.backoff)
@@ -66,7 +66,7 @@
 	if m.now < max(worker.saturatedUntil, worker.rejectionsOf(request.class).blockedUntil) {
 		return true
 	}
-	freshness := max(seconds(m.meanLatency), m.sweepInterval)
+	freshness := max(seconds(m.estimates.meanLatency), m.sweepInterval)
 	fresh := worker.freeSlotsAt > 0 && m.now-worker.freeSlotsAt < freshness
 	return fresh && worker.freeSlots < request.slots
 }
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -115,32 +115,45 @@
 	scanWorkersPerSweep = 2048
 )
 
-// workRateScan is a walk over the fleet, spread over sweep intervals, that computes the mean work rate of
-// each kind.
+// warmWorkRates is the work a second that a warm worker takes from this dispatcher: the mean by machine
+// kind, and the smallest of all workers.
+type warmWorkRates struct {
+	byKind    map[int]float64 // by the latest complete scan
+	scannedAt time.Duration   // when the scan was last continued; 0: a complete one is due
+	scan      workRateScan
+}
+
+// ofKind returns the rate of a kind, or the smallest of all workers where no warm one of the kind is known.
+func (r *warmWorkRates) ofKind(kind int) float64 {
+	if rate, ok := r.byKind[kind]; ok {
+		return rate
+	}
+	return r.byKind[minOfAllKinds]
+}
+
+// workRateScan is a scan of the fleet, spread over sweep intervals, that computes the mean work rate of each
+// kind.
 type workRateScan struct {
 	next  int             // index in the fleet at which it continues
-	count map[int]float64 // warm workers so far, by kind; nil: the walk has not begun
+	count map[int]float64 // warm workers so far, by kind; nil: the scan has not begun
 	rates map[int]float64 // their mean work rate
 }
 
-// warmWorkRate is the work a second that a warm worker of the kind takes from this dispatcher: the mean of
-// its kind, or the smallest of all workers where no warm one of its kind is known.
+// warmWorkRate is the work a second that a warm worker of the kind takes from this dispatcher. It continues
+// the scan of the fleet once in a sweep interval.
 func (m *Machine) warmWorkRate(kind int) float64 {
-	if m.warmWorkRatesAt == 0 || m.now-m.warmWorkRatesAt >= m.sweepInterval {
-		complete := m.warmWorkRatesAt == 0
-		m.warmWorkRatesAt = m.now
+	if m.workRates.scannedAt == 0 || m.now-m.workRates.scannedAt >= m.sweepInterval {
+		complete := m.workRates.scannedAt == 0
+		m.workRates.scannedAt = m.now
 		m.scanWarmWorkRates(complete)
 	}
-	if rate, ok := m.warmWorkRates[kind]; ok {
-		return rate
-	}
-	return m.warmWorkRates[minOfAllKinds]
+	return m.workRates.ofKind(kind)
 }
 
-// scanWarmWorkRates continues the walk over the fleet, to its end if complete. Its results hold once it is
-// at the end.
+// scanWarmWorkRates continues the scan of the fleet, to its end if complete. Its results take effect once it
+// is at the end.
 func (m *Machine) scanWarmWorkRates(complete bool) {
-	scan := &m.warmWorkRateScan
+	scan := &m.workRates.scan
 	if complete || scan.count == nil || scan.next > len(m.fleet) {
 		*scan = workRateScan{count: map[int]float64{}, rates: map[int]float64{}}
 	}
@@ -153,7 +166,7 @@
 	}
 	scan.next = end
 	if end == len(m.fleet) {
-		m.warmWorkRates = scan.rates
+		m.workRates.byKind = scan.rates
 		*scan = workRateScan{}
 	}
 }
--- a/decision/slowstart_test.go
+++ b/decision/slowstart_test.go
@@ -53,7 +53,7 @@
 				nil,
 			)
 		}
-		machine.warmWorkRatesAt = 0 // look anew
+		machine.workRates.scannedAt = 0 // scan anew
 		took := (time.Duration(requests) * run).Seconds() / machine.planningHorizon.Seconds()
 		if rate := machine.warmWorkRate(0); rate > took*1.001 {
 			t.Errorf("%d requests of %v count as %.3f of a slot, and took %.3f", requests, run, rate, took)
@@ -96,8 +96,8 @@
 		)
 		worker := machine.workers["new"]
 		worker.recentWork.add(machine.now, machine.planningHorizon, 0) // it has had its first request
-		machine.warmWorkRates = map[int]float64{0: share}
-		machine.warmWorkRatesAt = start + time.Hour
+		machine.workRates.byKind = map[int]float64{0: share}
+		machine.workRates.scannedAt = start + time.Hour
 		var sent []fleetWorkSent
 		for range 300 {
 			machine.now += rapid.SampledFrom([]time.Duration{
@@ -195,7 +195,7 @@
 			rig.candidates.warmingUp = append(rig.candidates.warmingUp, worker)
 		}
 		rig.fleet[0].recentWork.add(rig.now, rig.planningHorizon, 100)
-		rig.warmWorkRatesAt = 0
+		rig.workRates.scannedAt = 0
 		room := rig.fleet[len(rig.fleet)-1]
 		room.slowStartBudget = 100
 		request := &request{
@@ -249,7 +249,7 @@
 		worker.StartedAt = rig.now
 		worker.slowStartBudgetAt = rig.now
 		worker.slowStartBudget = 0
-		rig.warmWorkRatesAt = 0
+		rig.workRates.scannedAt = 0
 		worker.recentWork.add(rig.now, rig.planningHorizon, 0)
 		rig.now += settings.OverloadWindow * 3
 		share := rig.warmWorkRate(0)
@@ -287,8 +287,8 @@
 			worker.recentWork.add(rig.now, rig.planningHorizon, 0)
 		}
 		rig.candidates.warmingUp = append(rig.candidates.warmingUp[:0], rig.fleet...)
-		rig.warmWorkRates = map[int]float64{0: 0.1}
-		rig.warmWorkRatesAt = rig.now
+		rig.workRates.byKind = map[int]float64{0: 0.1}
+		rig.workRates.scannedAt = rig.now
 		request := &request{
 			class:         &rig.settings.Classes[0],
 			slots:         1,
@@ -352,7 +352,7 @@
 			worker.StartedAt = rig.now
 			worker.slowStartBudgetAt = rig.now
 			worker.slowStartBudget = 0.1
-			rig.warmWorkRatesAt = 0
+			rig.workRates.scannedAt = 0
 			taken = taken || rig.withinSlowStartBudget(request, worker)
 		}
 		if taken != test.want {
@@ -370,7 +370,7 @@
 	request := &request{class: &rig.settings.Classes[0], slots: 1, work: 1, cost: 1}
 	worker.StartedAt = rig.now
 	worker.slowStartBudgetAt = rig.now
-	rig.warmWorkRatesAt = 0
+	rig.workRates.scannedAt = 0
 	sent := 0
 	last := time.Duration(0)
 	end := rig.now + rig.settings.SlowStartDuration/2
@@ -407,7 +407,7 @@
 	}
 	request := &request{class: &rig.settings.Classes[0], slots: 1, work: 0.5, cost: 0.5, classMeanWork: 0.5}
 	worker.StartedAt = rig.now - rig.settings.SlowStartDuration/2
-	rig.warmWorkRatesAt = 0
+	rig.workRates.scannedAt = 0
 	taken := 0
 	const tries = 1000
 	for range tries {
--- a/decision/sweep.go
+++ b/decision/sweep.go
@@ -1,7 +1,6 @@
 package decision
 
 import (
-	"cmp"
 	"math"
 	"slices"
 	"time"
@@ -17,14 +16,14 @@
 	minObjectivePart = 50
 )
 
-// shortestSweepInterval derives the interval of the sweep from the shortest latency objective.
-func (m *Machine) shortestSweepInterval() time.Duration {
+// sweepInterval derives the interval of the sweep from the shortest latency objective.
+func (s *Settings) sweepInterval() time.Duration {
 	shortest := time.Duration(math.MaxInt64)
-	for i := range m.settings.Classes {
-		class := &m.settings.Classes[i]
+	for i := range s.Classes {
+		class := &s.Classes[i]
 		shortest = min(shortest, max(class.LatencyObjective, class.Deadline/minObjectivePart))
 	}
-	return max(shortest/sweepsPerObjective, m.settings.Tick)
+	return max(shortest/sweepsPerObjective, s.Tick)
 }
 
 // scheduleSweep sets the timer of the next sweep, unless it is set. Without unanswered requests there is no
@@ -47,8 +46,7 @@
 	m.queue.sort() // late requests have less value now
 	if m.now >= m.nextPricingAt {
 		m.nextPricingAt = m.now + m.planningHorizon/pricingsPerHorizon
-		grown := m.safeIdleTime + m.safeIdleTime/safeIdleTimeGrowth
-		m.safeIdleTime = min(grown, cmp.Or(m.settings.ConnectionIdleTimeout, m.safeIdleTime))
+		m.connections.grow(m.settings.ConnectionIdleTimeout)
 		m.solvePrices()
 	}
 	m.sweepScheduled = false
@@ -91,7 +89,7 @@
 	unstarted := request.unstartedAttempt()
 	if unstarted != nil && m.settings.StartNotices {
 		switch {
-		case unstarted.connectionIdle > m.safeIdleTime:
+		case unstarted.connectionIdle > m.connections.safeIdleTime:
 			m.rejectOrFail(request)
 			return
 		case unstarted.connectionIdle > m.sweepInterval && m.settings.StartsInOrder:
--- a/decision/sweep_test.go
+++ b/decision/sweep_test.go
@@ -45,7 +45,7 @@
 		}
 		rig.ceilings.badRatio = test.bad
 		const full = 5 * time.Second
-		rig.maxTimeLeft[0] = full
+		rig.estimates.maxTimeLeft[0] = full
 		rig.handle(
 			rig.now,
 			Event{
