--- a/decision/zone_test.go
+++ b/decision/zone_test.go
@@ -6,116 +6,196 @@
 	"time"
 )
 
-// Workers of a lost zone let connects time out, one after the other, at each dispatcher, until the endpoint
-// list tells of it. Two such failures in a row are enough while workers of other zones are seen; one
-// request at a time finds out whether the zone is back.
-func TestUnreachableZoneIsAvoided(t *testing.T) {
+// Workers of an unreachable zone let connects time out, one after the other, at each dispatcher, until the
+// endpoint list removes them. Two such failures in a row are enough while workers of other zones are seen;
+// one request at a time finds out whether the zone is back.
+
+// zoneRig is a rig with four workers in each of three zones.
+type zoneRig struct {
+	*rig
+	entries []Endpoint
+	logs    []string
+}
+
+// forZoneRigs runs a test with rigs of ten seeds.
+func forZoneRigs(t *testing.T, test func(t *testing.T, rig *zoneRig)) {
+	t.Helper()
 	settings := testSettings()
 	settings.StartNotices = true
 	settings.ZoneNames = []string{"zarqa-east", "russeifa", "hashemiya"}
 	for seed := range uint64(10) {
-		rig := newSeededRig(t, settings, 12, seed+1)
-		var logs []string
-		var entries []Endpoint
+		rig := &zoneRig{rig: newSeededRig(t, settings, 12, seed+1)}
 		for i, worker := range rig.fleet {
-			entries = append(entries, Endpoint{Name: worker.Name, Zone: i % 3, State: Running})
-		}
-		rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: entries})
-		refuseConnect := func(worker *worker) { // a request there whose connect fails
-			request := &request{
-				id:       rig.next,
-				class:    &rig.settings.Classes[1],
-				slots:    1,
-				work:     1,
-				deadline: rig.now + time.Second,
-			}
-			rig.next++
-			rig.requests[request.id] = request
-			rig.startAttempt(request, worker)
-			refused := Event{
-				Kind: AttemptEnded, Request: request.id, Worker: worker.Name,
-				Outcome: ConnectionRefused, Answered: true,
-			}
-			for _, action := range rig.handle(rig.now+settings.ConnectTimeout, refused) {
-				logs = append(logs, action.Text)
-			}
-			rig.now += time.Millisecond
+			rig.entries = append(rig.entries, Endpoint{Name: worker.Name, Zone: i % 3, State: Running})
 		}
-		zone := func(n int) (of []*worker) {
-			for _, worker := range rig.fleet {
-				if worker.Zone == n {
-					of = append(of, worker)
-				}
-			}
-			return of
+		rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: rig.entries})
+		test(t, rig)
+	}
+}
+
+// inZone returns the workers of a zone.
+func (r *zoneRig) inZone(number int) (workers []*worker) {
+	for _, worker := range r.fleet {
+		if worker.Zone == number {
+			workers = append(workers, worker)
 		}
-		unreachableZones := func() (n int) {
-			for z := range 3 {
-				if rig.zoneUnreachable(zone(z)[3]) {
-					n++
-				}
-			}
-			return n
+	}
+	return workers
+}
+
+// seeZone records that a worker of the zone has shown that it lives.
+func (r *zoneRig) seeZone(number int) { r.markSeen(r.inZone(number)[0]) }
+
+// unreachable reports whether a zone is taken for unreachable.
+func (r *zoneRig) unreachable(number int) bool { return r.zoneUnreachable(r.inZone(number)[3]) }
+
+// countUnreachable returns the number of zones that are taken for unreachable.
+func (r *zoneRig) countUnreachable() (n int) {
+	for number := range 3 {
+		if r.unreachable(number) {
+			n++
 		}
-		refuseConnect(zone(1)[0])
-		rig.markSeen(zone(0)[0])
-		if unreachableZones() != 0 {
+	}
+	return n
+}
+
+// refuseConnect sends a request to a worker, whose connect fails.
+func (r *zoneRig) refuseConnect(worker *worker) {
+	request := &request{
+		id:       r.next,
+		class:    &r.settings.Classes[1],
+		slots:    1,
+		work:     1,
+		deadline: r.now + time.Second,
+	}
+	r.next++
+	r.requests[request.id] = request
+	r.startAttempt(request, worker)
+	refused := Event{
+		Kind:     AttemptEnded,
+		Request:  request.id,
+		Worker:   worker.Name,
+		Outcome:  ConnectionRefused,
+		Answered: true,
+	}
+	for _, action := range r.handle(r.now+r.settings.ConnectTimeout, refused) {
+		r.logs = append(r.logs, action.Text)
+	}
+	r.now += time.Millisecond
+}
+
+// refuseTwice lets two connects in a row fail in each of the zones.
+func (r *zoneRig) refuseTwice(zones ...int) {
+	for _, number := range zones {
+		r.refuseConnect(r.inZone(number)[0])
+		r.refuseConnect(r.inZone(number)[1])
+	}
+}
+
+func TestZoneIsUnreachableAfterTwoFailedConnects(t *testing.T) {
+	forZoneRigs(t, func(t *testing.T, rig *zoneRig) {
+		rig.refuseConnect(rig.inZone(1)[0])
+		rig.seeZone(0)
+		if rig.countUnreachable() != 0 {
 			t.Fatal("one failed connect makes a zone unreachable")
 		}
-		refuseConnect(zone(1)[1])
-		rig.markSeen(zone(0)[0])
-		logged := slices.Contains(logs, "zone russeifa looks unreachable: 2 connects failed in a row")
-		if unreachableZones() != 1 || !rig.zoneUnreachable(zone(1)[3]) || !logged {
-			t.Fatalf("a zone is not unreachable after two failed connects in a row: %q", logs)
+		rig.refuseConnect(rig.inZone(1)[1])
+		rig.seeZone(0)
+		logged := slices.Contains(rig.logs, "zone russeifa looks unreachable: 2 connects failed in a row")
+		if rig.countUnreachable() != 1 || !rig.unreachable(1) || !logged {
+			t.Fatalf("a zone is not unreachable after two failed connects in a row: %q", rig.logs)
 		}
 		for range 6 {
 			if worker := rig.workers[rig.send(1)]; worker != nil && worker.Zone == 1 {
 				t.Fatalf("%s of the unreachable zone was sent a request", worker.Name)
 			}
 		}
-		rig.now += 4*settings.ConnectTimeout + time.Millisecond
-		if unreachableZones() != 0 {
+	})
+}
+
+func TestTrialsOfAnUnreachableZoneBecomeRarer(t *testing.T) {
+	forZoneRigs(t, func(t *testing.T, rig *zoneRig) {
+		rig.refuseTwice(1)
+		rig.seeZone(0)
+		fourTimeouts := 4*rig.settings.ConnectTimeout + time.Millisecond
+		rig.now += fourTimeouts
+		if rig.countUnreachable() != 0 {
 			t.Fatal("no trial is due after four time-outs")
 		}
-		refuseConnect(zone(1)[2]) // the trial fails: the next one comes later
-		rig.now += 4*settings.ConnectTimeout + time.Millisecond
-		rig.markSeen(zone(0)[0])
-		if unreachableZones() != 1 {
+		rig.refuseConnect(rig.inZone(1)[2]) // the trial fails: the next one comes later
+		rig.now += fourTimeouts
+		rig.seeZone(0)
+		if rig.countUnreachable() != 1 {
 			t.Fatal("trials do not become rarer")
 		}
+	})
+}
+
+func TestZoneThatWasSeenIsReachable(t *testing.T) {
+	forZoneRigs(t, func(t *testing.T, rig *zoneRig) {
+		rig.refuseTwice(1)
+		rig.seeZone(0)
+		if rig.countUnreachable() != 1 {
+			t.Fatal("a zone is not unreachable after two failed connects in a row")
+		}
 		id := rig.arrive(0)
-		rig.requests[id].attempts[0].worker = zone(1)[3]
-		actions := rig.handle(rig.now, Event{Kind: AttemptStarted, Request: id, Worker: zone(1)[3].Name})
-		if unreachableZones() != 0 || findAction(actions, Log).Text != "zone russeifa is reachable again" {
+		seen := rig.inZone(1)[3]
+		rig.requests[id].attempts[0].worker = seen
+		actions := rig.handle(rig.now, Event{Kind: AttemptStarted, Request: id, Worker: seen.Name})
+		log := findAction(actions, Log)
+		if rig.countUnreachable() != 0 || log == nil || log.Text != "zone russeifa is reachable again" {
 			t.Fatalf("a zone that was seen is still unreachable: %+v", actions)
 		}
-		for z := range 3 { // nothing is heard of any more: the trouble is ours
-			refuseConnect(zone(z)[0])
-			refuseConnect(zone(z)[1])
-		}
-		if unreachableZones() != 0 {
+	})
+}
+
+// Where nothing is heard of any zone any more, the fault is at the dispatcher.
+func TestNotAllZonesAreUnreachableAtOnce(t *testing.T) {
+	forZoneRigs(t, func(t *testing.T, rig *zoneRig) {
+		rig.seeZone(0)
+		rig.refuseTwice(0, 1, 2)
+		if rig.countUnreachable() != 0 {
 			t.Fatal("all zones are unreachable at once")
 		}
-		rig.markSeen(zone(0)[0])
-		if unreachableZones() != 2 {
+		rig.seeZone(0)
+		if rig.countUnreachable() != 2 {
 			t.Fatal("one zone is back, the other two are not unreachable")
 		}
-		entries[1].StartedAt = rig.now
-		rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: entries[1:2]})
-		if unreachableZones() != 1 {
+		rig.entries[1].StartedAt = rig.now
+		started := rig.entries[1:2]
+		rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: started})
+		if rig.countUnreachable() != 1 {
 			t.Fatal("a zone in which a worker started is still unreachable")
 		}
+	})
+}
+
+func TestUnreachableZoneGetsOneTrialAtATime(t *testing.T) {
+	forZoneRigs(t, func(t *testing.T, rig *zoneRig) {
+		rig.refuseTwice(2)
+		rig.seeZone(0)
+		if !rig.unreachable(2) {
+			t.Fatal("a zone is not unreachable after two failed connects in a row")
+		}
 		rig.now += rig.planningHorizon
-		if rig.zoneUnreachable(zone(2)[3]) {
+		if rig.unreachable(2) {
 			t.Fatal("no trial is due after a horizon")
 		}
-		rig.markSeen(zone(0)[0])
-		rig.startAttempt(&request{class: &rig.settings.Classes[0], slots: 1, work: 1}, zone(2)[0])
-		if !rig.zoneUnreachable(zone(2)[3]) {
+		rig.seeZone(0)
+		rig.startAttempt(&request{class: &rig.settings.Classes[0], slots: 1, work: 1}, rig.inZone(2)[0])
+		if !rig.unreachable(2) {
 			t.Fatal("two trials at once")
 		}
-		// A request that runs there and may be repeated is hedged: silence shows after two seconds
-		// only.
+	})
+}
+
+// A request that runs in an unreachable zone and may be repeated is hedged: without progress reports its
+// worker counts as silent only after two seconds.
+func TestAttemptInUnreachableZoneIsHedged(t *testing.T) {
+	forZoneRigs(t, func(t *testing.T, rig *zoneRig) {
+		rig.refuseTwice(2)
+		rig.now += rig.planningHorizon
+		rig.seeZone(0)
 		request := &request{
 			id:        rig.next,
 			class:     &rig.settings.Classes[0],
@@ -124,12 +204,12 @@
 			cost:      1,
 			objective: rig.now + 5*time.Second,
 		}
-		rig.startAttempt(request, zone(2)[3])
+		rig.startAttempt(request, rig.inZone(2)[3])
 		rig.recordStart(request.class, &request.attempts[0])
 		rig.now += 2 * rig.sweepInterval
 		rig.superviseAttempt(request, &request.attempts[0])
 		if len(request.attempts) != 2 {
 			t.Fatalf("a request in an unreachable zone has %d attempts", len(request.attempts))
 		}
-	}
+	})
 }
