--- a/decision/hedge_test.go
+++ b/decision/hedge_test.go
@@ -43,27 +43,15 @@
 		rig := newRig(t, settings, 4)
 		id := rig.arrive(test.class)
 		worker := rig.workers[rig.assignedTo(id)]
-		note := func(q uint64) {
-			rig.handle(rig.now, Event{Kind: AttemptStarted, Request: q, Worker: rig.assignedTo(q)})
-		}
 		if test.started {
-			note(id)
-		}
-		probes := 0
-		for end := rig.now + 1900*time.Millisecond; rig.now < end; {
-			rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
-			if findAction(rig.actions, CheckHealth) != nil {
-				probes++
-				rig.handle(rig.now, Event{Kind: HealthChecked, Worker: worker.Name, Outcome: Completed,
-					Load: LoadReport{Backlog: float64(test.backlog), HasBacklog: true}})
-			}
-			worker.lastSeen = rig.now // by another connection
+			rig.handle(rig.now, Event{Kind: AttemptStarted, Request: id, Worker: worker.Name})
 		}
+		checks := rig.waitSilently(worker, test.backlog)
 		if n := len(rig.requests[id].attempts); n != test.want || worker.ejected {
 			t.Errorf("%s: %d attempts, want %d; ejected %v", name, n, test.want, worker.ejected)
 		}
-		if test.started != (probes == 0) || probes > 3 {
-			t.Errorf("%s: %d probes", name, probes)
+		if test.started != (checks == 0) || checks > 3 {
+			t.Errorf("%s: %d health checks", name, checks)
 		}
 		if blocked := worker.unstarted > 0; !test.started && blocked != (test.backlog > 0) {
 			t.Errorf("%s: %d starts are waited for", name, worker.unstarted)
@@ -72,18 +60,34 @@
 		for n := range rig.requests[id].attempts {
 			rig.endAttempt(id, n, Cancelled, 0)
 		}
-		if worker.unstarted != 0 || worker.outstanding != 0 || rig.ceilings.inFlight != 0 {
-			t.Errorf(
-				"%s: in the end %d starts are waited for, %v slots out, %v in flight",
-				name,
-				worker.unstarted,
-				worker.outstanding,
-				rig.ceilings.inFlight,
-			)
+		inFlight := rig.ceilings.inFlight
+		if worker.unstarted != 0 || worker.outstanding != 0 || inFlight != 0 {
+			t.Errorf("%s: in the end %d starts are waited for, %v slots out, %v in flight",
+				name, worker.unstarted, worker.outstanding, inFlight)
 		}
 	}
 }
 
+// waitSilently lets 1.9 seconds pass in which nothing comes on the connection of an attempt, while its
+// worker is seen on another one. Health checks of the worker are answered with the backlog; it returns their
+// number.
+func (r *rig) waitSilently(worker *worker, backlog int) (checks int) {
+	for end := r.now + 1900*time.Millisecond; r.now < end; {
+		r.handle(r.now+r.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
+		if findAction(r.actions, CheckHealth) != nil {
+			checks++
+			r.handle(r.now, Event{
+				Kind:    HealthChecked,
+				Worker:  worker.Name,
+				Outcome: Completed,
+				Load:    LoadReport{Backlog: float64(backlog), HasBacklog: true},
+			})
+		}
+		worker.lastSeen = r.now
+	}
+	return checks
+}
+
 // Where starts are reported, an attempt in a worker's queue is silent by nature: that proves nothing, and a
 // hedge that could not be cancelled would only fill another queue.
 func TestUnstartedAttemptIsNotSilence(t *testing.T) {
@@ -109,45 +113,16 @@
 }
 
 // With 300 dispatchers each knows next to nothing of the workers' queues. An attempt that waits and may be
-// repeated is hedged, and the first to start has the other cancelled. One that may not run twice is not,
-// nor one that is late already.
-func TestWaitingAttemptIsHedged(t *testing.T) {
-	settings := testSettings()
-	settings.StartNotices = true
-	cancelled := func(rig *rig) []int {
-		var list []int
-		for _, action := range rig.actions {
-			if action.Kind == CancelAttempt {
-				list = append(list, action.Attempt)
-			}
-		}
-		return list
-	}
-	wait := func(class int) (*rig, uint64) {
-		rig := newRig(t, settings, 4)
-		id := rig.arrive(class)
-		rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
-		return rig, id
-	}
-	start := func(rig *rig, id uint64, n int) {
-		rig.handle(
-			rig.now+time.Millisecond,
-			Event{
-				Kind:    AttemptStarted,
-				Request: id,
-				Attempt: n,
-				Worker:  rig.requests[id].attempts[n].worker.Name,
-			},
-		)
-	}
+// repeated is hedged, and the first of the two to start has the other cancelled.
+func TestFirstAttemptToStartCancelsTheOther(t *testing.T) {
 	for first := range 2 {
-		rig, id := wait(0)
+		rig, id := newWaitingRequest(t, 0)
 		request := rig.requests[id]
 		if len(request.attempts) != 2 || request.attempts[0].worker == request.attempts[1].worker {
 			t.Fatalf("%d attempts for a request that waits", len(request.attempts))
 		}
-		start(rig, id, first)
-		if got := cancelled(rig); len(got) != 1 || got[0] != 1-first {
+		rig.startAfterMillisecond(id, first)
+		if got := rig.cancelledAttempts(); len(got) != 1 || got[0] != 1-first {
 			t.Fatalf("attempt %d starts first: cancelled: %v", first, got)
 		}
 		rig.endAttempt(id, 1-first, Cancelled, 0)
@@ -157,20 +132,64 @@
 				worker.unstarted, worker.recentWork)
 		}
 	}
-	rig, id := wait(0)
+}
+
+func TestLaterStartOfTwoAttemptsIsCancelled(t *testing.T) {
+	rig, id := newWaitingRequest(t, 0)
 	rig.requests[id].attempts[0].startedAt = rig.now
-	start(rig, id, 1)
-	if got := cancelled(rig); len(got) != 1 || got[0] != 1 {
+	rig.startAfterMillisecond(id, 1)
+	if got := rig.cancelledAttempts(); len(got) != 1 || got[0] != 1 {
 		t.Errorf("the later start is not cancelled: %v", got)
 	}
-	if rig, id := wait(1); len(rig.requests[id].attempts) != 1 {
+}
+
+func TestWaitingNonIdempotentAttemptIsNotHedged(t *testing.T) {
+	rig, id := newWaitingRequest(t, 1)
+	if len(rig.requests[id].attempts) != 1 {
 		t.Error("a hedge of a request that must not run twice")
 	}
-	rig = newRig(t, settings, 4)
-	id = rig.arrive(0)
+}
+
+func TestLateRequestIsNotHedged(t *testing.T) {
+	settings := testSettings()
+	settings.StartNotices = true
+	rig := newRig(t, settings, 4)
+	id := rig.arrive(0)
 	rig.requests[id].late = true
 	rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
 	if len(rig.requests[id].attempts) != 1 {
 		t.Error("a hedge of a request that is late")
 	}
 }
+
+// newWaitingRequest returns a rig with a request of the class, whose start was not reported until the next
+// sweep.
+func newWaitingRequest(t *testing.T, class int) (*rig, uint64) {
+	t.Helper()
+	settings := testSettings()
+	settings.StartNotices = true
+	rig := newRig(t, settings, 4)
+	id := rig.arrive(class)
+	rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
+	return rig, id
+}
+
+// startAfterMillisecond reports, a millisecond later, that an attempt has started.
+func (r *rig) startAfterMillisecond(id uint64, attempt int) {
+	r.handle(r.now+time.Millisecond, Event{
+		Kind:    AttemptStarted,
+		Request: id,
+		Attempt: attempt,
+		Worker:  r.requests[id].attempts[attempt].worker.Name,
+	})
+}
+
+// cancelledAttempts returns the numbers of the attempts that the last event has cancelled.
+func (r *rig) cancelledAttempts() (numbers []int) {
+	for _, action := range r.actions {
+		if action.Kind == CancelAttempt {
+			numbers = append(numbers, action.Attempt)
+		}
+	}
+	return numbers
+}
