--- a/decision/slowstart_test.go
+++ b/decision/slowstart_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"math"
-	"slices"
 	"testing"
 	"time"
 
@@ -70,73 +69,95 @@
 		t.Errorf("a saved part, a window's and half of one come to %.2f of the budget", sum)
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		window := time.Duration(rapid.IntRange(200, 3000).Draw(t, "window in ms")) * time.Millisecond
-		multiple := rapid.Float64Range(1, 8).Draw(t, "overload multiple")
-		share := rapid.Float64Range(0.01, 4).Draw(t, "work of a warm worker, slots")
-		machine, err := New(Settings{
-			Classes: []Class{
-				{PriorityWeight: 1, LatencyObjective: time.Second, Deadline: 4 * time.Second},
-			}, Peers: rapid.IntRange(20, 30).Draw(t, "peers"),
-			SlowStartFloor: rapid.Float64Range(0.1, 0.9).
-				Draw(t, "slow-start floor"),
-			SlowStartDuration: time.Hour, OverloadMultiple: multiple, OverloadWindow: window,
-		}, 1)
-		if err != nil {
-			t.Fatal(err)
-		}
-		start := 24 * time.Hour
-		machine.Handle(
-			start,
-			Event{
-				Kind:      ListUpdated,
-				ListKind:  ListSnapshot,
-				Endpoints: []Endpoint{{Name: "new", StartedAt: start - time.Minute}},
-			},
-			nil,
-		)
-		worker := machine.workers["new"]
-		worker.recentWork.add(machine.now, machine.planningHorizon, 0) // it has had its first request
-		machine.workRates.byKind = map[int]float64{0: share}
-		machine.workRates.scannedAt = start + time.Hour
-		var sent []fleetWorkSent
+		run := newReservationRun(t)
+		window := run.machine.settings.OverloadWindow
+		pauses := []time.Duration{0, 0, 0, window / 50, window / 50, window / 10, 2 * window}
 		for range 300 {
-			machine.now += rapid.SampledFrom([]time.Duration{
-				0, 0, 0, window / 50, window / 50, window / 10, 2 * window,
-			}).Draw(t, "pause")
-			part := slowStartSafety * multiple * machine.capacityFraction(worker) * share * window.Seconds()
-			work := rapid.SampledFrom([]float64{0.05, 0.05, 0.3, 1}).Draw(t, "work, parts") * part
-			request := &request{
-				class:         &machine.settings.Classes[0],
-				slots:         1,
-				work:          work,
-				classMeanWork: work,
-				cost:          work,
-				holdTime:      work,
-			}
-			if machine.withinSlowStartBudget(request, worker) {
-				worker.slowStartBudget -= request.slowStartCost()
-				if worker.slowStartBudget < -part/2*(1+1e-9) {
-					t.Fatalf("%.3f of a part beyond what was there", -worker.slowStartBudget/part)
-				}
-				sent = append(sent, fleetWorkSent{machine.now, request.slowStartCost()})
-			}
-			sum := 0.0
-			for _, s := range sent {
-				if s.at > machine.now-window {
-					sum += s.work
-				}
-			}
-			allowed := multiple * machine.capacityFraction(worker) * share * window.Seconds()
-			if sum > allowed*(1+1e-9) {
-				t.Fatalf("%.3f of the budget in a window", sum/allowed)
-			}
+			run.machine.now += rapid.SampledFrom(pauses).Draw(t, "pause")
+			run.offerRequest(rapid.SampledFrom([]float64{0.05, 0.05, 0.3, 1}).Draw(t, "work, parts"))
+			run.checkWindow()
 		}
-		if len(sent) == 0 {
+		if len(run.sent) == 0 {
 			t.Fatal("nothing was sent")
 		}
 	})
 }
 
+// reservationRun is a dispatcher with one worker, which is in slow start and has had its first request.
+type reservationRun struct {
+	t        *rapid.T
+	machine  *Machine
+	worker   *worker
+	workRate float64 // work a second that a warm worker takes
+	sent     []workSent
+}
+
+// newReservationRun draws the settings and the work rate of warm workers.
+func newReservationRun(t *rapid.T) *reservationRun {
+	window := time.Duration(rapid.IntRange(200, 3000).Draw(t, "window in ms")) * time.Millisecond
+	multiple := rapid.Float64Range(1, 8).Draw(t, "overload multiple")
+	workRate := rapid.Float64Range(0.01, 4).Draw(t, "work of a warm worker, slots")
+	machine, err := New(Settings{
+		Classes:           []Class{{PriorityWeight: 1, LatencyObjective: time.Second, Deadline: 4 * time.Second}},
+		Peers:             rapid.IntRange(20, 30).Draw(t, "peers"),
+		SlowStartFloor:    rapid.Float64Range(0.1, 0.9).Draw(t, "slow-start floor"),
+		SlowStartDuration: time.Hour,
+		OverloadMultiple:  multiple,
+		OverloadWindow:    window,
+	}, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	start := 24 * time.Hour
+	list := []Endpoint{{Name: "new", StartedAt: start - time.Minute}}
+	machine.Handle(start, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: list}, nil)
+	worker := machine.workers["new"]
+	worker.recentWork.add(machine.now, machine.planningHorizon, 0)
+	machine.workRates.byKind = map[int]float64{0: workRate}
+	machine.workRates.scannedAt = start + time.Hour
+	return &reservationRun{t: t, machine: machine, worker: worker, workRate: workRate}
+}
+
+// windowBudget is what all dispatchers together may send the worker within a window that ends now, if they
+// use that part of the budget. The factors stand in the machine's order: a request that is larger than a
+// part by a rounding error would be a matter of chance.
+func (r *reservationRun) windowBudget(used float64) float64 {
+	settings := &r.machine.settings
+	capacity := r.machine.capacityFraction(r.worker)
+	return used * settings.OverloadMultiple * capacity * r.workRate * settings.OverloadWindow.Seconds()
+}
+
+// offerRequest offers the worker a request, and checks that the budget is overdrawn by half a part at most.
+// The work of the request is given in parts: what the dispatcher may send in a window.
+func (r *reservationRun) offerRequest(parts float64) {
+	part := r.windowBudget(slowStartSafety)
+	work := parts * part
+	request := &request{
+		class:         &r.machine.settings.Classes[0],
+		slots:         1,
+		work:          work,
+		classMeanWork: work,
+		cost:          work,
+		holdTime:      work,
+	}
+	if !r.machine.withinSlowStartBudget(request, r.worker) {
+		return
+	}
+	r.worker.slowStartBudget -= request.slowStartCost()
+	if r.worker.slowStartBudget < -part/2*(1+1e-9) {
+		r.t.Fatalf("%.3f of a part beyond what was there", -r.worker.slowStartBudget/part)
+	}
+	r.sent = append(r.sent, workSent{r.machine.now, request.slowStartCost()})
+}
+
+// checkWindow checks what was sent within the window that ends now.
+func (r *reservationRun) checkWindow() {
+	sum := workAfter(r.sent, r.machine.now-r.machine.settings.OverloadWindow)
+	if budget := r.windowBudget(1); sum > budget*(1+1e-9) {
+		r.t.Fatalf("%.3f of the budget in a window", sum/budget)
+	}
+}
+
 // While a process is replaced, what either process sends a worker in slow start is of one budget: each
 // tells what it reserves there, and the other counts it as its own.
 func TestReservationsOfBothProcessesAddUp(t *testing.T) {
@@ -180,61 +201,6 @@
 	}
 }
 
-// After a mass replacement most of the fleet is in slow start, and nearly every worker there has no budget
-// for a request. All of them are drawn, while warm ones stay bounded.
-func TestAllWorkersInSlowStartAreDrawn(t *testing.T) {
-	settings := testSettings()
-	settings.Peers = 300
-	for seed := range uint64(10) {
-		rig := newSeededRig(t, settings, 4*maxWarmDraws, seed)
-		for _, worker := range rig.fleet[1:] { // the first stays warm: budgets are measured by it
-			worker.StartedAt = rig.now
-			worker.slowStartBudgetAt = rig.now
-			worker.slowStartBudget = -1
-			worker.recentWork.add(rig.now, rig.planningHorizon, 0)
-			rig.candidates.warmingUp = append(rig.candidates.warmingUp, worker)
-		}
-		rig.fleet[0].recentWork.add(rig.now, rig.planningHorizon, 100)
-		rig.workRates.scannedAt = 0
-		room := rig.fleet[len(rig.fleet)-1]
-		room.slowStartBudget = 100
-		request := &request{
-			class:         &rig.settings.Classes[0],
-			slots:         1,
-			work:          1,
-			classMeanWork: 1,
-			cost:          1,
-			objective:     rig.now + time.Minute,
-		}
-		if worker := rig.pickFrom(request, rig.candidates.warmingUp, inWarmingUp); worker != room {
-			t.Fatalf(
-				"seed %d: the one worker in slow start of %d that has budget is not found: %v",
-				seed,
-				len(rig.candidates.warmingUp),
-				worker,
-			)
-		}
-		warm := rig.candidates.warm
-		for _, worker := range warm {
-			worker.saturatedUntil = rig.now + time.Second
-		}
-		first := slices.Clone(warm)
-		for _, worker := range rig.fleet[1:] {
-			worker.StartedAt = 0
-		}
-		rig.pickFrom(request, warm, inWarm)
-		moved := 0
-		for i := maxWarmDraws; i < len(first); i++ {
-			if warm[i] != first[i] {
-				moved++
-			}
-		}
-		if moved > maxWarmDraws {
-			t.Fatalf("%d warm ones were drawn in vain", moved)
-		}
-	}
-}
-
 // Where requests are larger than a window's part, a slow-start budget is saved for two windows, lest a
 // dispatcher with a request a second lose part of it. Where they are small it is one window, so that few
 // dispatchers that spend all at once stay within the rule: that and a window's part are 0.8 of it.
@@ -274,36 +240,6 @@
 	}
 }
 
-// Of the workers in slow start the first that can take a request gets it: a drawing for the budget that was
-// won must not go for nothing.
-func TestWonDrawingIsUsed(t *testing.T) {
-	for seed := range uint64(20) {
-		rig := newSeededRig(t, testSettings(), 6, seed+1)
-		for i, worker := range rig.fleet {
-			worker.StartedAt = rig.now
-			worker.slowStartBudgetAt = rig.now
-			worker.slowStartBudget = 0.06
-			worker.outstanding = float64(i)
-			worker.recentWork.add(rig.now, rig.planningHorizon, 0)
-		}
-		rig.candidates.warmingUp = append(rig.candidates.warmingUp[:0], rig.fleet...)
-		rig.workRates.byKind = map[int]float64{0: 0.1}
-		rig.workRates.scannedAt = rig.now
-		request := &request{
-			class:         &rig.settings.Classes[0],
-			slots:         1,
-			work:          0.05,
-			cost:          0.05,
-			classMeanWork: 0.05,
-			objective:     rig.now + time.Second,
-		}
-		warmingUp := rig.candidates.warmingUp
-		if picked := rig.pickFrom(request, warmingUp, inWarmingUp); picked != warmingUp[0] {
-			t.Fatalf("seed %d: the first that had budget was passed over", seed)
-		}
-	}
-}
-
 // A rule whose window is 0 is off: workers in slow start get requests.
 func TestNoOverloadRuleBindsNothing(t *testing.T) {
 	settings := testSettings()
@@ -361,69 +297,6 @@
 	}
 }
 
-// With few dispatchers a window's part holds a request, and requests go to a worker in slow start at an
-// even pace. Drawn for each time, those of several dispatchers would fall together.
-func TestSlowStartPaceIsEven(t *testing.T) {
-	rig := newRig(t, testSettings(), 2)
-	worker := rig.fleet[0]
-	warm := rig.fleet[1]
-	request := &request{class: &rig.settings.Classes[0], slots: 1, work: 1, cost: 1}
-	worker.StartedAt = rig.now
-	worker.slowStartBudgetAt = rig.now
-	rig.workRates.scannedAt = 0
-	sent := 0
-	last := time.Duration(0)
-	end := rig.now + rig.settings.SlowStartDuration/2
-	for ; rig.now < end; rig.Machine.now += 10 * time.Millisecond {
-		// Four slot-seconds a second.
-		warm.recentWork = decayingValue{4 * rig.planningHorizon.Seconds(), rig.now}
-		if !rig.withinSlowStartBudget(request, worker) {
-			continue
-		}
-		rate := slowStartSafety * rig.settings.OverloadMultiple *
-			rig.capacityFraction(worker) * rig.warmWorkRate(0)
-		if gap := (rig.now - last).Seconds(); sent > 1 && (gap < 0.9/rate || gap > 1.2/rate+0.02) {
-			t.Fatalf("%.2f s between two requests, the budget pays for one in %.2f s", gap, 1/rate)
-		}
-		sent++
-		last = rig.now
-		worker.recentWork.add(rig.now, rig.planningHorizon, 1e-9) // the first has gone
-		worker.slowStartBudget -= request.cost
-	}
-	if sent < 4 {
-		t.Fatalf("%d requests were sent", sent)
-	}
-}
-
-// With many dispatchers a request is larger than a window's part, and is drawn for each time. Taken on debt
-// by all dispatchers whose last, small request was paid for, such requests would overload the worker.
-func TestLargeRequestsInSlowStartAreDrawnFor(t *testing.T) {
-	settings := testSettings()
-	settings.Peers = 100
-	rig := newRig(t, settings, 2)
-	worker := rig.fleet[0]
-	for _, x := range rig.fleet {
-		x.recentWork.add(rig.now, rig.planningHorizon, 0.04*rig.planningHorizon.Seconds())
-	}
-	request := &request{class: &rig.settings.Classes[0], slots: 1, work: 0.5, cost: 0.5, classMeanWork: 0.5}
-	worker.StartedAt = rig.now - rig.settings.SlowStartDuration/2
-	rig.workRates.scannedAt = 0
-	taken := 0
-	const tries = 1000
-	for range tries {
-		worker.slowStartBudgetAt = rig.now
-		worker.slowStartBudget = 0.01
-		if rig.withinSlowStartBudget(request, worker) {
-			taken++
-		} else if worker.slowStartBudget != 0 {
-			t.Fatal("the budget of a lost drawing is still there")
-		}
-	}
-	if taken == 0 || taken > 2*tries*0.01/0.5 {
-		t.Fatalf("%d of %d requests taken, 20 are paid for", taken, tries)
-	}
-}
-
 // Requests chosen for their small, rough hints run for many times what those say. They take more of the
 // budget than their hints.
 func TestSmallHintsDoNotFloodAWorkerInSlowStart(t *testing.T) {
@@ -436,67 +309,3 @@
 		t.Fatal("a large hint is taken as it is")
 	}
 }
-
-// A machine whose wall clock is an hour off at the start of the process takes no new worker for a warm one,
-// in either direction.
-func TestSlowStartUnderAWrongClock(t *testing.T) {
-	const hour, warm = time.Hour, 8 * time.Second
-	for name, c := range map[string]struct {
-		list  ListKind
-		known time.Duration // listed start of the worker in the first list; -1: it is not in it
-		start time.Duration // listed start in the list at hand, whose time is now
-		now   time.Duration
-		slow  bool // the worker is in slow start
-	}{
-		"a new one, clock ahead":             {ListDelta, -1, 2*hour - time.Second, 3 * hour, true},
-		"a restarted one, clock ahead":       {ListDelta, hour, 2*hour - time.Second, 3 * hour, true},
-		"a new one, clock behind":            {ListDelta, -1, 3 * hour, 2 * hour, true},
-		"a new one, clock right":             {ListDelta, -1, 2*hour - time.Second, 2 * hour, true},
-		"one known for long":                 {ListDelta, hour, hour, 3 * hour, false},
-		"of a snapshot, started an hour ago": {ListSnapshot, -1, 2 * hour, 3 * hour, false},
-		"a new one that started long ago":    {ListDelta, -1, hour, 4 * hour, false},
-		"one that started before time began": {ListDelta, -1, 0, 3 * hour, false},
-	} {
-		t.Run(name, func(t *testing.T) {
-			machine, err := New(
-				Settings{
-					Classes:           []Class{{Deadline: time.Second}},
-					SlowStartFloor:    0.3,
-					SlowStartDuration: warm,
-					OverloadMultiple:  4,
-					OverloadWindow:    time.Second,
-				},
-				1,
-			)
-			if err != nil {
-				t.Fatal(err)
-			}
-			first := []Endpoint{{Name: "other"}}
-			if c.known >= 0 {
-				first = append(first, Endpoint{Name: "w", StartedAt: c.known})
-			}
-			machine.Handle(
-				c.now-hour/2,
-				Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: first},
-				nil,
-			)
-			list := Event{
-				Kind:      ListUpdated,
-				ListKind:  c.list,
-				Endpoints: []Endpoint{{Name: "w", StartedAt: c.start}, {Name: "other"}},
-			}
-			machine.Handle(c.now, list, nil)
-			if slow := machine.capacityFraction(machine.workers["w"]) < 1; slow != c.slow {
-				t.Errorf("in slow start %v, not %v", slow, c.slow)
-			}
-			machine.Handle(c.now+time.Second, list, nil) // listed again, it is no news
-			if slow := machine.capacityFraction(machine.workers["w"]) < 1; slow != c.slow {
-				t.Errorf("listed again: in slow start %v, not %v", slow, c.slow)
-			}
-			machine.Handle(c.now+warm+time.Second, Event{Kind: TimerFired, Timer: sweepTimer}, nil)
-			if c.now >= c.start && machine.capacityFraction(machine.workers["w"]) < 1 {
-				t.Error("it does not become warm")
-			}
-		})
-	}
-}
