--- a/decision/admission.go
+++ b/decision/admission.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// What a client may claim of a request.
+// Bounds of what a client may state about a request.
 const (
-	maxSlots         = math.MaxInt32 // more, or none, counts as one slot
+	maxSlots         = math.MaxInt32 // from this number on, and below or at zero, it counts as one slot
 	maxWorkDeadlines = 10            // a hint of the work counts up to this multiple of the deadline
 )
 
-// handleArrival decides whether a request is taken: its class must be known, its answer still have a value
-// that covers the prices, and it must not make others late. A request that is taken waits in the queue,
-// which is looked at after each event.
+// handleArrival decides whether a request is admitted: its class must be known, an answer must still have a
+// value that covers the prices, and the request must not delay others for nothing. An admitted request waits
+// in the queue, which Handle looks at after each event.
 func (m *Machine) handleArrival(event Event) {
 	if m.requests[event.Request] != nil {
 		return
@@ -63,8 +63,8 @@
 		!m.prices.coveredBy(request) || m.delaysOthers(request)
 }
 
-// newRequest records what an arrival says of a request, and the hint of its work into the mean of its
-// class. The deadline lies two ticks early: one for the timer, one for the answer's way.
+// newRequest returns the request that an arrival describes, and learns from the hint of its work. The
+// deadline is two ticks early: one for the timer, one for the transmission of the answer.
 func (m *Machine) newRequest(event *Event) *request {
 	request := &request{id: event.Request, class: &m.settings.Classes[event.Class], slots: 1}
 	request.deadline = m.now + min(event.TimeLeft, request.class.Deadline) - 2*m.settings.Tick
@@ -87,8 +87,9 @@
 	return request
 }
 
-// elapsedSinceFirstTry returns for how long the client has waited already: the latency objective runs from
-// its first try, and a retry, or what was held up on its way, has less time left.
+// elapsedSinceFirstTry returns for how long the client has waited already, since the latency objective runs
+// from its first try. It follows from the time left: a client's retry, or a request that was delayed in
+// transmission, has less of it than the class allows.
 func (m *Machine) elapsedSinceFirstTry(request *request, event *Event) time.Duration {
 	longest := m.estimates.learnTimeLeft(event.Class, min(event.TimeLeft, request.class.Deadline))
 	if event.ClientRetry {
@@ -102,8 +103,8 @@
 	return m.now >= request.objective && request.class.LateWeight <= 0
 }
 
-// tryAssign starts an attempt, unless the key's turn, the retry budget, the concurrency ceiling, the token
-// bucket or the lack of a fit worker forbids it.
+// tryAssign starts an attempt and reports whether it did. It does not where the request must wait for its
+// key, the retry budget, the concurrency ceiling or the token bucket is exhausted, or no worker can take it.
 func (m *Machine) tryAssign(request *request) bool {
 	if request.ended || request.awaitsKey(m.now) {
 		return false
--- a/decision/attempt.go
+++ b/decision/attempt.go
@@ -12,12 +12,13 @@
 	neverRan     bool // it has ended and proved to have had no effect
 	unresponsive bool // its connection looks dead: its start is no longer awaited
 
-	// connectionIdle is for how long its connection may have been unused before, where the worker seemed to
-	// have room to start it at once; else 0, and a late start proves nothing.
+	// connectionIdle is for how long its connection may have been unused before. It is set only where the
+	// worker seemed to have capacity to start the attempt at once: elsewhere a late start proves nothing.
 	connectionIdle time.Duration
 }
 
-// outstandingAttempt returns the attempt that an event is about, or nils if it has ended or is unknown.
+// outstandingAttempt returns the attempt that an event reports on and its request, or nil for both if the
+// attempt has ended or is unknown.
 func (m *Machine) outstandingAttempt(event *Event) (*request, *attempt) {
 	request := m.requests[event.Request]
 	if request == nil || event.Attempt < 0 || event.Attempt >= len(request.attempts) {
@@ -30,7 +31,7 @@
 	return request, attempt
 }
 
-// startAttempt emits an attempt at a worker and records it.
+// startAttempt assigns a request to a worker and records the attempt.
 func (m *Machine) startAttempt(request *request, worker *worker) {
 	worker.recentWork.add(m.now, m.planningHorizon, request.cost)
 	reservation := request.slowStartCost()
@@ -78,7 +79,8 @@
 	}
 }
 
-// recordStart records, once, that an attempt runs, and how long it waited for that.
+// recordStart records that an attempt runs, and how long it waited for its start. Later calls for the same
+// attempt do nothing.
 func (m *Machine) recordStart(class *Class, attempt *attempt) {
 	if attempt.startedAt > 0 {
 		return
@@ -102,8 +104,8 @@
 	worker.unstartedSince = m.now
 }
 
-// handleAttemptEnded handles the end of an attempt: what it used is released, what it shows is learned,
-// and its request is finished or retried.
+// handleAttemptEnded handles the end of an attempt: it releases what the attempt used, learns from its
+// outcome, and finishes or retries its request.
 func (m *Machine) handleAttemptEnded(event Event) {
 	m.recordLoad(event)
 	request, attempt := m.outstandingAttempt(&event)
@@ -120,8 +122,8 @@
 		m.refundWork(request, attempt.worker)
 	}
 	if outcome == InvalidRequest && !event.Answered && !request.ended && request.outstanding == 0 {
-		// The request is at fault: it is not tried at other workers, and neither they nor the fleet are
-		// blamed.
+		// The request itself is at fault: other workers would fail it too, and nothing is learned from it
+		// about the worker or the fleet.
 		m.emit(Action{Kind: Fail, Request: request.id})
 		m.finish(request)
 		return
@@ -136,8 +138,7 @@
 	m.forgetIfOver(request)
 }
 
-// releaseAttempt records the end of an attempt, and gives back its slots and, after an answer, its
-// connection.
+// releaseAttempt records the end of an attempt, and releases its slots and, after an answer, its connection.
 func (m *Machine) releaseAttempt(request *request, attempt *attempt, outcome AttemptOutcome) {
 	worker := attempt.worker
 	if outcome.keepsConnection() {
@@ -159,15 +160,15 @@
 	}
 }
 
-// refundWork gives back the work of an attempt that did not run: to the token bucket, and off the worker's
-// recent work, since what warm workers reject says nothing of what one in slow start can do.
+// refundWork returns the work of an attempt that did not run to the token bucket, and takes it off the
+// worker's recent work: slow-start budgets follow from what warm workers carry, not from what they reject.
 func (m *Machine) refundWork(request *request, worker *worker) {
 	m.bucket.tokens += request.cost
 	worker.recentWork.add(m.now, m.planningHorizon, -request.cost)
 }
 
-// recordOutcome learns what the end of an attempt shows of its worker. Only completed ones teach speed: a
-// fast error must not look like a fast worker.
+// recordOutcome learns from the outcome of an attempt about its worker. Only completed attempts count for
+// the worker's speed: one that fails fast must not look fast.
 func (m *Machine) recordOutcome(request *request, attempt *attempt, outcome AttemptOutcome) {
 	worker := attempt.worker
 	score := worker.failureScore.get(m.now, m.planningHorizon)
@@ -193,9 +194,8 @@
 	}
 }
 
-// adjustCeilings raises the ceilings for an answer in time and cuts them for a bad outcome, once for each
-// request. A first attempt that fails is about its worker; a request that fails at a second one is about
-// the fleet.
+// adjustCeilings raises the ceilings for an answer in time and cuts them, once for each request, for a bad
+// outcome. The failure of a first attempt is put down to its worker, that of a later one to the fleet.
 func (m *Machine) adjustCeilings(request *request, attempt *attempt, outcome AttemptOutcome) {
 	if outcome == Completed && m.now <= request.objective {
 		m.raiseCeilings(request)
--- a/decision/ceilings.go
+++ b/decision/ceilings.go
@@ -86,8 +86,8 @@
 	return m.bucket.tokens < m.bucketCapacity()/2 || m.prices.work > 0
 }
 
-// raiseCeilings raises the ceilings that bind, for a request served in time. One that grew unused would be
-// stale when it is needed.
+// raiseCeilings raises the ceilings that bind, for a request served in time. A ceiling that rose while it did
+// not bind would be too high when it is needed.
 func (m *Machine) raiseCeilings(request *request) {
 	c := &m.ceilings
 	c.badRatio -= c.badRatio / badRatioSpan
@@ -100,9 +100,9 @@
 	}
 }
 
-// cutCeilings cuts the ceilings by half of badRatio, weighed by the part of the fleet that is open to the
-// request. They are cut once in a mean latency, and an outcome of what was sent before the last cut is
-// ignored: it says nothing of the ceilings since.
+// cutCeilings cuts the ceilings by half of badRatio, weighted by the part of the fleet that is open to the
+// request. They are cut at most once in a mean latency. The outcome of an attempt that was sent before the
+// last cut is ignored, since it says nothing about the ceilings after it.
 func (m *Machine) cutCeilings(request *request, sentAt time.Duration) {
 	c := &m.ceilings
 	request.countedAsBad = true
--- a/decision/connection.go
+++ b/decision/connection.go
@@ -45,9 +45,9 @@
 	return cut
 }
 
-// takeIdleConnection uses up the latest idle connection to a worker, and returns for how long it was
-// unused; 0 if there is none, or if an attempt there may have to wait for its start, so that its silence
-// would prove nothing.
+// takeIdleConnection takes the latest idle connection to a worker, and returns for how long it was unused. It
+// returns 0 if there is none, or if an attempt at the worker may have to wait for its start, so that a late
+// start would not show a dead connection.
 func (m *Machine) takeIdleConnection(worker *worker) (idle time.Duration) {
 	n := len(worker.idleConnections)
 	if n == 0 {
@@ -76,22 +76,23 @@
 	m.emit(Action{Kind: CloseIdle, Worker: worker.Name})
 }
 
-// connectionWasDead reports whether an attempt whose connection was lost went out on one that was dropped
-// while unused: the loss came at once.
+// connectionWasDead reports whether an attempt whose connection was lost had been sent on one that was
+// dropped while unused: then the loss shows at once.
 func (m *Machine) connectionWasDead(attempt *attempt) bool {
 	atOnce := attempt.startedAt == 0 && m.now-attempt.sentAt < m.settings.ConnectTimeout
 	return atOnce && attempt.connectionIdle > m.sweepInterval
 }
 
-// recordDeadConnection learns for how long a connection may be unused. The worker is not blamed.
+// recordDeadConnection learns from an attempt that was lost with its connection for how long a connection
+// may be unused. The worker is not blamed.
 func (m *Machine) recordDeadConnection(attempt *attempt) {
 	if m.connections.recordDead(m.now, m.planningHorizon, attempt.connectionIdle) {
 		m.logf("connections unused for over %v look dead", m.connections.safeIdleTime)
 	}
 }
 
-// markPossiblyLost notes that the connection of a late attempt may be dead, so that its worker gets another
-// request on a new one: if that starts first, the attempt was lost.
+// markPossiblyLost notes that the connection of a late attempt may be dead. The worker then gets other
+// requests, on a new connection; if one of them starts first, the attempt was lost (see overtakenAttempt).
 func (m *Machine) markPossiblyLost(request *request, attempt *attempt) {
 	m.removeUnstarted(attempt.worker)
 	attempt.worker.possiblyLost = request
@@ -99,16 +100,16 @@
 }
 
 // stopAwaitingStart no longer counts an attempt among those that wait for their start, so that its worker
-// gets others.
+// gets other requests.
 func (m *Machine) stopAwaitingStart(request *request, attempt *attempt) {
-	if attempt.worker.possiblyLost != request { // else it is not counted any more
+	if attempt.worker.possiblyLost != request { // markPossiblyLost has not taken it off already
 		m.removeUnstarted(attempt.worker)
 	}
 	m.closeIdleConnections(attempt.worker)
 }
 
-// overtakenAttempt returns the possibly lost request of a worker and its attempt, if the attempt of another
-// request that was sent later has started before it; else nils.
+// overtakenAttempt returns the possibly lost request of a worker and its attempt, if the given attempt of
+// another request was sent later and has started first. Otherwise it returns nil for both.
 func (m *Machine) overtakenAttempt(request *request, attempt *attempt) (*request, *attempt) {
 	worker := attempt.worker
 	suspected := worker.possiblyLost
--- a/decision/endpoints.go
+++ b/decision/endpoints.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// After a failure the endpoint list is asked for again after a backoff, from a twentieth of
-// ListPollInterval up to half of it. In a large fleet all calls are spread over time besides: measured with
-// 36 and 300 dispatchers, so that a list service that answers seven calls a second keeps up, and three
-// calls that fail still fit into ListPollInterval.
+// After a failure the endpoint list is asked for again after a backoff, from a twentieth of ListPollInterval
+// up to half of it. In a large fleet all calls are also spread over time, so that a list service that answers
+// seven calls a second keeps up, and three calls that fail still fit into ListPollInterval. This was measured
+// with 36 and 300 dispatchers.
 const (
 	minListBackoffPart     = 20    // inverse of the smallest backoff's part of ListPollInterval
 	maxListBackoffPart     = 2     // inverse of the largest one's
@@ -32,7 +32,7 @@
 	eligible  map[*Class]int // running workers that may run the class; absent: none
 }
 
-// handleList handles the endpoint list, or that a call for it has failed: then the old list stands.
+// handleList handles an endpoint list, or the failure of a call for one: then the old list stays in force.
 func (m *Machine) handleList(event Event) {
 	if event.ListKind == ListFailed {
 		m.retrySubscribe()
@@ -70,8 +70,8 @@
 	return seconds(part * m.settings.ListPollInterval.Seconds() * m.random.Float64())
 }
 
-// applyList applies a list to the known workers. The work for a delta goes with its length, not with the
-// fleet's. A list may name a worker twice: the last entry counts, so removals come after all of them.
+// applyList applies a list to the known workers. The work for a delta is proportional to its length, not to
+// the fleet. A list may name a worker twice: the last entry counts, so removals come after all entries.
 func (m *Machine) applyList(event Event) {
 	complete := event.ListKind != ListDelta
 	if complete {
@@ -108,7 +108,7 @@
 	}
 }
 
-// applyEndpoint applies what a list says of one worker; delta says that its start is news.
+// applyEndpoint applies one entry of a list; delta says whether the list is one.
 func (m *Machine) applyEndpoint(endpoint Endpoint, delta bool) {
 	worker := m.workers[endpoint.Name]
 	listedStart := endpoint.StartedAt
@@ -125,7 +125,7 @@
 	case listedStart > worker.listedStart:
 		m.setEjected(worker, false)
 		m.counts.uncount(worker, m.settings.Classes)
-		m.markZoneReachable(endpoint.Zone) // workers start there
+		m.markZoneReachable(endpoint.Zone) // a worker has started there
 		*worker = worker.restarted(m.now)
 		endpoint.StartedAt = m.startTime(listedStart, delta)
 	default:
--- a/decision/estimates.go
+++ b/decision/estimates.go
@@ -8,11 +8,12 @@
 const (
 	// meanSpan is the number of samples over which means are taken.
 	meanSpan = 20
-	// startWaitSpan is the same for waits, of which many come at once.
+	// startWaitSpan is the same for waits, which come in bursts.
 	startWaitSpan = meanSpan / 2
 	// runTimeRatioSpan is the number of samples over which a worker's own run time ratio is averaged.
 	runTimeRatioSpan = 5
-	// maxRunTimeRatio bounds a sample of it, and its inverse: hints may be wrong by any factor.
+	// maxRunTimeRatio bounds a sample of the run time ratio, and its inverse: hints may be wrong by any
+	// factor.
 	maxRunTimeRatio = 32
 )
 
@@ -77,10 +78,10 @@
 	ofKinds[worker.Kind] = kind + (sample-kind)/meanSpan
 }
 
-// learnClassMeanWork records how long a request without a hint ran: the mean of its class stands for the
-// hints that do not come. The worker's recentWork is corrected from the guess to what the request took,
-// since slow-start budgets come from it: a first guess far above the mean would grant them many times what
-// warm workers take.
+// learnClassMeanWork records how long a request without a hint ran, into the mean of its class, which is used
+// in place of a hint. The worker's recentWork is corrected from that estimate to what the request took.
+// Slow-start budgets follow from recentWork: a first estimate far too high would make them many times what
+// warm workers carry.
 func (m *Machine) learnClassMeanWork(request *request, attempt *attempt) {
 	run := (m.now - max(attempt.sentAt, attempt.startedAt)).Seconds() * m.capacityFraction(attempt.worker)
 	correction := decayingValue{value: request.slots*run - request.cost, at: attempt.sentAt}
--- a/decision/hedge.go
+++ b/decision/hedge.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// superviseAttempt looks after the only outstanding attempt of a request. It ejects a worker that has
-// fallen silent, the only sign of a machine that has vanished, and hedges an attempt that is stuck: it is
-// held by a worker or zone that looks gone, its connection is unresponsive, or it waits long for its start
-// where the first attempt to start has the other cancelled.
+// superviseAttempt looks after the only outstanding attempt of a request.
+//
+// It ejects a worker that has fallen silent, which is the only sign of a machine that has crashed. It hedges
+// an attempt that is stuck: its worker or zone looks gone, its connection is unresponsive, or it waits long
+// for its start.
 func (m *Machine) superviseAttempt(request *request, attempt *attempt) {
 	if m.workerSilent(attempt) {
 		m.setFailureScore(attempt.worker, 1, reportsNoMore)
@@ -21,8 +22,8 @@
 	}
 }
 
-// workerSilent reports whether two progress reports are missing. An attempt in a worker's queue is silent by
-// nature.
+// workerSilent reports whether two progress reports of the attempt's worker are missing. An attempt that
+// waits in its worker's queue has none.
 func (m *Machine) workerSilent(attempt *attempt) bool {
 	mayRun := attempt.startedAt > 0 || !m.settings.StartNotices
 	if m.settings.ProgressInterval <= 0 || !mayRun || attempt.worker.ejected {
@@ -32,8 +33,8 @@
 	return m.now-max(attempt.lastSeen, attempt.worker.lastSeen) > limit
 }
 
-// workerLooksGone reports whether nothing was received of an attempt for a while, and its worker, zone or
-// connection is not to be trusted.
+// workerLooksGone reports whether there was no report on an attempt for a sweep interval, while its worker is
+// ejected, its zone is unreachable or its connection may have been dead from the start.
 func (m *Machine) workerLooksGone(attempt *attempt) bool {
 	if m.now-attempt.lastSeen <= m.sweepInterval {
 		return false
@@ -42,16 +43,17 @@
 		attempt.startedAt == 0 && attempt.connectionIdle > m.connections.safeIdleTime
 }
 
-// waitsLongForStart reports whether an attempt that can still be in time has waited for its start for half a
-// sweep interval, where a hedge costs little since one of the two is cancelled.
+// waitsLongForStart reports whether an attempt that can still be in time has waited for its start for more
+// than half a sweep interval. It does so only where the first attempt to start has the other cancelled, so
+// that a hedge costs little.
 func (m *Machine) waitsLongForStart(request *request, attempt *attempt) bool {
 	return attempt.startedAt == 0 && !request.late && m.settings.StartNotices && m.settings.Cancellation &&
 		m.now-attempt.sentAt > m.sweepInterval/2
 }
 
-// connectionUnresponsive reports whether the connection of an attempt looks dead though its worker lives:
-// progress reports are overdue, or the start is while nothing waits there by a report of its load since.
-// Where there is no such report, one is asked for.
+// connectionUnresponsive reports whether the connection of an attempt looks dead though its worker lives.
+// After the start, progress reports are overdue. Before it, the start is overdue although a load report since
+// says that nothing waits at the worker; where there is no such report, it asks for one.
 func (m *Machine) connectionUnresponsive(request *request, attempt *attempt) bool {
 	if m.settings.ProgressInterval <= 0 || !m.settings.StartNotices || attempt.unresponsive {
 		return attempt.unresponsive
@@ -77,7 +79,7 @@
 }
 
 // checkBacklog asks a worker for its load, unless it was asked within the interval. The interval grows with
-// the dispatchers that may all ask.
+// the number of dispatchers, which may all ask.
 func (m *Machine) checkBacklog(worker *worker, interval time.Duration) {
 	interval *= time.Duration(max(m.settings.Peers/largeFleetThreshold, 1))
 	if !m.settings.HealthChecks || m.now-worker.healthCheckedAt <= interval {
@@ -87,9 +89,9 @@
 	m.emit(Action{Kind: CheckHealth, Worker: worker.Name})
 }
 
-// cancelOtherAttempts leaves a request one attempt of those that run, after news of the one with that
-// number: others that wait for their start are cancelled, and this one if another started before it at a
-// worker that is trusted.
+// cancelOtherAttempts leaves a request one attempt, after a report that the one with that number runs. Others
+// that have not started are cancelled. This one is cancelled if another one started before it, at a worker
+// that is trusted.
 func (m *Machine) cancelOtherAttempts(request *request, number int) {
 	if !m.settings.StartNotices || !m.settings.Cancellation || request.class.Streaming {
 		return
--- a/decision/lists.go
+++ b/decision/lists.go
@@ -88,7 +88,9 @@
 
 // swapInList exchanges two workers of a list, or of a part of one.
 func swapInList(list []*worker, id listID, i, j int) {
-	a, b := list[i], list[j]
-	list[i], list[j] = b, a
+	a := list[i]
+	b := list[j]
+	list[i] = b
+	list[j] = a
 	a.positions[id], b.positions[id] = b.positions[id], a.positions[id]
 }
--- a/decision/load.go
+++ b/decision/load.go
@@ -3,8 +3,8 @@
 // healthChecksPerArrival is the number of workers that are asked for their load at each arrival.
 const healthChecksPerArrival = 2
 
-// requestHealthChecks asks workers of the subset in turn for their load, where reports come with health
-// checks only; those in slow start where none has warmed up.
+// requestHealthChecks asks workers of the subset for their load, one after the other, where load reports come
+// with health checks only. Where no worker is warm, it asks those in slow start.
 func (m *Machine) requestHealthChecks() {
 	if !m.settings.HealthChecks || !m.settings.LoadByHealthCheck {
 		return
--- a/decision/machine.go
+++ b/decision/machine.go
@@ -37,7 +37,7 @@
 	bucket   tokenBucket // how much work may be sent over time: see ceilings.go
 
 	mix           requestMix // recent demand: see mix.go
-	prices        prices     // what a request must be worth: see pricing.go
+	prices        prices     // value that a request must have: see pricing.go
 	nextPricingAt time.Duration
 	tenants       []tenant // see quota.go
 
--- a/decision/outlier.go
+++ b/decision/outlier.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// The failure score of a worker lies between 0 and 1 and fades over the planning horizon, lest a worker
-// that no repeatable request can try stay ejected for good.
+// The failure score of a worker lies between 0 and 1. It fades over the planning horizon, so that a worker
+// comes back into use also where no idempotent request is there to try it.
 const (
 	ejectionThreshold  = 0.4 // failure score from which a worker is ejected
 	failureScoreFactor = 0.7 // for a completed attempt; a failed one brings the score half the way to 1
@@ -20,9 +20,8 @@
 	reportsNoMore healthReason = "is silent"
 )
 
-// Ejected returns the names of the running workers that get no requests, since what they did lately looks
-// like failure. One that gets a request now and then, to try whether it has come back, is still among them.
-// In panic, when most workers look bad, all are used and none is named.
+// Ejected returns the names of the running workers that are ejected: they get no requests but a trial now
+// and then, since they failed lately. In panic all workers are used and none is named.
 func (m *Machine) Ejected() (names []string) {
 	if m.counts.ejected == 0 || m.inPanic() {
 		return nil
@@ -35,13 +34,13 @@
 	return names
 }
 
-// inPanic reports whether at least half of the fleet cannot be used. Then the fault is not theirs, and
-// ejected workers are used as well.
+// inPanic reports whether at least half of the fleet cannot be used (the panic threshold of outlier
+// detection). Then the fault is unlikely to be the workers', and ejected ones are used as well.
 func (m *Machine) inPanic() bool { return 2*(m.counts.running-m.counts.ejected) <= len(m.fleet) }
 
 // usable reports whether a worker may get the request as far as its health and that of its zone go. An
-// ejected worker gets a trial now and then, and one that must not run twice only once half of its failure
-// score has faded.
+// ejected worker gets a request as a trial now and then; a NonIdempotent one only once its failure score is
+// below half of the threshold.
 func (m *Machine) usable(request *request, worker *worker) bool {
 	if m.zoneUnreachable(worker) {
 		return false
--- a/decision/pricing.go
+++ b/decision/pricing.go
@@ -2,14 +2,15 @@
 
 import "math"
 
-// minPricedRequests is the number of recent requests below which nothing is priced: a handful says nothing
-// of demand.
+// minPricedRequests is the number of recent requests below which nothing is priced: so few do not show the
+// demand.
 const minPricedRequests = 20
 
 // priceTolerance is the relative error within which values count as equal: that of sums in floating point.
 const priceTolerance = 1e-9
 
-// prices are what a request must be worth to be admitted; both are 0 while capacity is not scarce.
+// prices are shadow prices: the value that a request must have to be admitted. Both are 0 while capacity is
+// not scarce.
 type prices struct {
 	work float64 // value per slot-second of work
 	slot float64 // value per second for which a slot is held
@@ -42,8 +43,8 @@
 //	workBudget*workPrice + slotBudget*slotPrice + sum of max(0, value - workPrice*cost - slotPrice*holdTime)
 //
 // over prices that are not negative. The dual is convex and piecewise linear, so that some vertex of the
-// bids' lines is a minimum; of equal ones the most selective is taken. The time taken grows with the cube of
-// the number of bids.
+// bids' lines is a minimum; of several the one with the highest sum of prices is taken. The time taken grows
+// with the cube of the number of bids.
 func solveDual(bids []bid, workBudget, slotBudget float64) (solution prices) {
 	best := math.MaxFloat64
 	try := func(work, slot float64) {
--- a/decision/quota.go
+++ b/decision/quota.go
@@ -12,9 +12,9 @@
 	arrivals   decayingValue // first tries
 }
 
-// overQuota reports whether an arrival is beyond its tenant's quota. The dispatcher grants an even part of
-// the quota, or the part of all traffic that arrives here if that is more. A client's retry was counted at
-// its first try.
+// overQuota reports whether an arrival is beyond its tenant's quota, and counts it. The dispatcher grants an
+// even share of the quota, or the share of all traffic that arrives here if that is more. A client's retry is
+// not counted, since its first try was.
 func (m *Machine) overQuota(tenant int, isRetry bool) bool {
 	if tenant < 0 || tenant >= len(m.tenants) {
 		return false
@@ -40,8 +40,8 @@
 	return false
 }
 
-// tenantTraffic is the rate at which all tenants' requests arrive here, and the sum of their quotas over all
-// dispatchers, both a second.
+// tenantTraffic returns the requests a second of all tenants that arrive here, and the sum of their quotas,
+// which are for all dispatchers together.
 func (m *Machine) tenantTraffic() (arrivals, quotas float64) {
 	for i := range m.tenants {
 		arrivals += m.tenants[i].arrivals.get(m.now, m.planningHorizon) / m.planningHorizon.Seconds()
--- a/decision/request.go
+++ b/decision/request.go
@@ -54,8 +54,8 @@
 	return nil
 }
 
-// finish marks a request that needs no further decision, and cancels its outstanding attempts. A stream is
-// left to run until its client goes.
+// finish marks a request that needs no further decision, and cancels its outstanding attempts. A stream runs
+// on until its client disconnects.
 func (m *Machine) finish(request *request) {
 	request.ended = true
 	for i := range request.attempts {
--- a/decision/routing.go
+++ b/decision/routing.go
@@ -5,26 +5,27 @@
 	"math"
 )
 
-// A pick compares two usable workers that are drawn at random, by the delay that the request can expect
-// there. It draws from the dispatcher's subset first: one that spread few requests over a large fleet would
-// know nothing recent of any worker. The figures were inherited with the decision machine, but for
-// unknownWorkerWaits and zoneCostWeight, which were chosen by the mean score of simulated days, and
-// defaultOwnerBias.
+// A pick draws workers at random until two can take the request, and takes the one with the shorter expected
+// delay (power of two choices). It draws from the dispatcher's subset first: a dispatcher that spread few
+// requests over a large fleet would have no recent knowledge of any worker.
+//
+// The figures were inherited with the decision machine. unknownWorkerWaits and zoneCostWeight were chosen by
+// the mean score of simulated runs; defaultOwnerBias was added later.
 const (
 	maxWarmDraws            = 32               // warm workers looked at for one pick, to bound its work
 	maxWarmingUpDraws       = 4 * maxWarmDraws // workers in slow start looked at; few of them have budget
 	subsetRequestsPerWorker = 2                // recent requests for each worker of the subset
 	minSubsetSize           = 4
-	unknownWorkerWaits      = 4   // mean waits that count for a worker of which nothing recent is known
-	zoneCostWeight          = 4   // part of the time left for a unit of CrossZoneCost
-	cacheMissCostWeight     = 4   // part of the time left for a unit of CacheMissCost
-	defaultOwnerBias        = 0.1 // the least such part: a cache miss takes time even where it has no price
+	unknownWorkerWaits      = 4   // mean waits that are expected at a worker without recent knowledge
+	zoneCostWeight          = 4   // fraction of the time left for a unit of CrossZoneCost
+	cacheMissCostWeight     = 4   // fraction of the time left for a unit of CacheMissCost
+	defaultOwnerBias        = 0.1 // smallest such fraction: a miss takes time even where it has no price
 	unstartedPatience       = 4   // ticks that an attempt may wait for its start before its worker is busy
 )
 
-// pickWorker returns the worker for a request, nil if there is none. One in slow start that has budget
-// comes first: few dispatchers draw it, and it would idle until it has warmed up. Of the others, an owner
-// of the request's key, and then a worker of the own zone, is preferred unless it costs too much of the
+// pickWorker returns the worker for a request, nil if there is none. A worker in slow start that has budget
+// comes first: few dispatchers draw it, and it would idle until it has warmed up. Otherwise an owner of the
+// request's key, and then a worker of the dispatcher's zone, is preferred, unless it costs too much of the
 // time left.
 func (m *Machine) pickWorker(request *request) *worker {
 	if worker := m.pickFrom(request, m.candidates.nextWarmingUp(), inWarmingUp); worker != nil {
@@ -48,8 +49,8 @@
 	return worker
 }
 
-// preferred reports whether a candidate, if there is one, is to be taken rather than another worker: its
-// expected delay is longer by less than the bias, in seconds.
+// preferred reports whether to take a candidate, if there is one, rather than another worker: its expected
+// delay must exceed the other's by less than the bias, in seconds.
 func (m *Machine) preferred(request *request, candidate, other *worker, bias float64) bool {
 	if candidate == nil || other == nil {
 		return candidate != nil
@@ -57,7 +58,8 @@
 	return m.expectedDelay(request, candidate)-m.expectedDelay(request, other) < bias
 }
 
-// pickOwner returns one of the owners of the request's key, from ever more of them until one can take it.
+// pickOwner returns an owner of the request's key that can take it. It looks at twice as many owners each
+// time, up to maxOwners.
 func (m *Machine) pickOwner(request *request) *worker {
 	if request.keyHash == 0 {
 		return nil
@@ -72,9 +74,9 @@
 }
 
 // pickFrom draws workers from a list until two can take the request, and returns the one with the shorter
-// expected delay; of those in slow start the first. It draws from the head of the list, the subset, before
-// the rest of it, and moves what it draws to the front, so that the head stays a random but stable part of
-// the fleet.
+// expected delay. A worker in slow start that can take it is returned at once, since its budget may have
+// been spent on a draw. The subset, at the head of the list, is drawn before the rest. What is drawn moves
+// to the front, so that the head stays a random but stable part of the fleet.
 func (m *Machine) pickFrom(request *request, from []*worker, id listID) (best *worker) {
 	found := 0
 	drawnWarm := 0
@@ -103,17 +105,18 @@
 	return best
 }
 
-// canTake reports whether a worker may have the request now. The slow-start budget comes last, since it may
-// be drawn for.
+// canTake reports whether a worker may have the request now. The slow-start budget is checked last, since
+// that check may spend it.
 func (m *Machine) canTake(request *request, worker *worker) bool {
 	return m.mayAssign(request, worker) && !m.busy(request, worker) &&
 		m.usable(request, worker) && m.withinSlowStartBudget(request, worker)
 }
 
-// expectedDelay is in how many seconds the request can be expected to end at a worker: the slots
-// outstanding there, own and others', times the run time, and the wait for a start. What is known of a
-// worker fades over the planning horizon, and a multiple of the mean wait takes its place, lest workers of
-// which nothing is known look the best to all.
+// expectedDelay is the number of seconds after which the request can be expected to end at a worker: the
+// slots outstanding there, from this and other dispatchers, times the run time, and the wait for a start.
+//
+// Knowledge of a worker fades over the planning horizon, and a multiple of the mean wait takes its place.
+// Otherwise workers without recent knowledge would look idle to all dispatchers.
 func (m *Machine) expectedDelay(request *request, worker *worker) float64 {
 	knownAt := max(worker.startWait.at, worker.othersOutstandingAt)
 	known := math.Exp((knownAt - m.now).Seconds() / m.planningHorizon.Seconds())
@@ -128,8 +131,8 @@
 	return request.work * ratio / m.capacityFraction(worker)
 }
 
-// expectedStartWait is the wait for a start at a worker, in seconds: as learned, which fades, but at least
-// for as long as the oldest of this dispatcher's attempts waits there already.
+// expectedStartWait is the wait for a start at a worker, in seconds. It is the learned wait, which fades, but
+// at least the time for which the oldest of this dispatcher's attempts has waited there already.
 func (m *Machine) expectedStartWait(worker *worker) float64 {
 	wait := worker.startWait.get(m.now, m.planningHorizon/4)
 	if m.settings.StartNotices && worker.unstarted > 0 {
@@ -138,9 +141,9 @@
 	return wait
 }
 
-// mayAssign reports whether the rules allow an attempt at a worker: it runs, is open to the class, and no
-// effect can happen twice. A worker that had the request lately does not get it again, unless it is the
-// only one.
+// mayAssign reports whether the rules allow an attempt at a worker: it is running and not suspended, is open
+// to the class, and no effect can happen twice. A worker that had the request lately does not get it again,
+// unless it is the only one.
 func (m *Machine) mayAssign(request *request, worker *worker) bool {
 	class := request.class
 	if worker.State != Running || worker.suspended || !class.mayRunOn(worker) || m.mustNotRepeat(request) {
@@ -159,8 +162,8 @@
 	return true
 }
 
-// busy reports whether the request would wait at a worker without success. While it waits here, the first
-// worker with capacity can take it.
+// busy reports whether the request would wait at the worker for too long. It had better wait in this
+// dispatcher's queue, from which the first worker with capacity can take it.
 func (m *Machine) busy(request *request, worker *worker) bool {
 	if m.saturated(request, worker) {
 		return true
--- a/decision/saturation.go
+++ b/decision/saturation.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// saturationLatencies is the part of the mean latency for which a saturated worker gets no more. Inherited
-// with the decision machine.
+// saturationLatencies is the fraction of the mean latency for which a saturated worker gets no requests. It
+// was inherited with the decision machine.
 const saturationLatencies = 0.25
 
-// classRejections is how a worker rejects requests of one class.
+// classRejections records how a worker rejects requests of one class.
 type classRejections struct {
-	lastAcceptedAt  time.Duration // when the latest request was sent that it took
+	lastAcceptedAt  time.Duration // when the latest request that it accepted was sent
 	count           int           // requests rejected since
-	firstRejectedAt time.Duration // of those
+	firstRejectedAt time.Duration // when the first of those was rejected
 	backoff         time.Duration
 	blockedUntil    time.Duration // it gets none of the class until then
 }
 
-// rejectionsOf returns how the worker rejects requests of a class.
+// rejectionsOf returns the record of a class.
 func (w *worker) rejectionsOf(class *Class) *classRejections {
 	if w.rejections[class] == nil {
 		if w.rejections == nil {
@@ -26,7 +26,7 @@
 	return w.rejections[class]
 }
 
-// recordAccepted records that the worker has taken an attempt at a request of a class.
+// recordAccepted records that the worker has accepted the attempt, at a request of the class.
 func (a *attempt) recordAccepted(class *Class) {
 	rejections := a.worker.rejectionsOf(class)
 	if a.sentAt > rejections.lastAcceptedAt {
@@ -34,8 +34,8 @@
 	}
 }
 
-// acceptsOtherClasses reports whether the worker has taken requests of other classes that were sent after a
-// moment.
+// acceptsOtherClasses reports whether the worker has accepted requests of other classes that were sent after
+// a moment.
 func (w *worker) acceptsOtherClasses(class *Class, after time.Duration) bool {
 	for other, rejections := range w.rejections {
 		if other != class && rejections.lastAcceptedAt > after {
@@ -45,8 +45,9 @@
 	return false
 }
 
-// recordSaturated records that a worker has rejected a request: it is full for a moment, or, where it
-// takes other classes meanwhile, does not take this one, and gets it after an ever longer backoff.
+// recordSaturated records that a worker has rejected a request. It is taken for full for a moment. Where it
+// has accepted other classes meanwhile, it is taken not to serve this one, which is blocked there for a
+// backoff that doubles.
 func (m *Machine) recordSaturated(worker *worker, class *Class) {
 	rejections := worker.rejectionsOf(class)
 	rejections.count++
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -75,8 +75,8 @@
 
 	SlowStartFloor    float64       // part of its capacity that a worker has when it has just started
 	SlowStartDuration time.Duration // it has all of it after this time
-	OverloadMultiple  float64       // in slow start it falls over when sent this multiple of its capacity
-	OverloadWindow    time.Duration // for this long
+	OverloadMultiple  float64       // in slow start it is overloaded when sent this multiple of its capacity
+	OverloadWindow    time.Duration // within a window of this length
 
 	SaturatedMayHaveRun bool          // Saturated does not prove that an attempt never ran
 	KeyCooldown         time.Duration // a key waits this long after an attempt that may still be running
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -2,34 +2,37 @@
 
 import "time"
 
-// A worker that has just started has only part of its capacity, and falls over when it is sent more than a
-// multiple of that within a window. The budget binds all dispatchers together, and they share nothing: each
-// keeps to its own part, which it measures by the work that warmed-up workers take from it. Budgets are in
-// hinted slot-seconds.
+// A worker that has just started has only part of its capacity, and is overloaded when it is sent more than
+// a multiple of that within a window: that multiple is its budget. The budget binds all dispatchers
+// together, and they share nothing. So each keeps to its own share, which it derives from the work that
+// warm workers take from it: a dispatcher that sends them a tenth of all work has a tenth of the budget.
+//
+// A window's part is the work that this dispatcher may send the worker in one window, if it uses
+// slowStartSafety of its share. What it does not send is saved. Budgets are in hinted slot-seconds.
 const (
-	// slowStartSafety is the part of the budget that is used: what was saved, what comes in during a window
-	// and half a window beyond that make 2.5 times it, the budget.
+	// slowStartSafety is the part of the share that is used. Within any window the dispatcher can send a
+	// part that it had saved, a part that comes in and half a part of overdraft, which is 2.5 parts: the
+	// whole share.
 	slowStartSafety = 0.4
-	// slowStartSavedWindows is for how many windows a budget may be saved, where a request takes more than
-	// one's.
+	// slowStartSavedWindows is the number of parts that may be saved for a request that takes more than one.
 	slowStartSavedWindows = 2
-	// slowStartOverdraft is the part of a window's budget that may be spent beyond what there is.
+	// slowStartOverdraft is the fraction of a part that may be spent beyond what was saved.
 	slowStartOverdraft = 0.5
-	// slowStartMaxRequest bounds one request, as a share of what all dispatchers together may use in a
-	// window, and slowStartMaxRequestMeans as a multiple of its class's mean: a busy dispatcher takes all its
-	// peers to be as busy.
+	// slowStartMaxRequest bounds one request, as a fraction of the parts of all dispatchers together. A busy
+	// dispatcher overestimates these, since it takes its peers to be as busy; slowStartMaxRequestMeans
+	// bounds the request as a multiple of its class's mean besides.
 	slowStartMaxRequest      = 0.31
 	slowStartMaxRequestMeans = 2
-	// smallHintCorrection is how far a request with a small hint counts towards the mean of its class.
-	// Measured in a rehearsal with rough hints: requests chosen for small hints ran for many times what
-	// those said.
+	// smallHintCorrection is the fraction of the difference by which a request with a hint below the mean of
+	// its class is counted above its hint. Measured in a rehearsal with rough hints: requests chosen for
+	// small hints ran for many times what those said.
 	smallHintCorrection = 0.25
 	// clockError is by how much the clock of this machine may have been ahead when the process started.
 	// Clocks are stepped by seconds or by an hour.
 	clockError = 90 * time.Minute
 )
 
-// capacityFraction is the part of its capacity that a worker surely has, 1 once it has warmed up.
+// capacityFraction is the part of its capacity that a worker is sure to have, 1 once it has warmed up.
 func (m *Machine) capacityFraction(worker *worker) float64 {
 	age := max(m.now-worker.StartedAt, 0)
 	if worker.StartedAt <= 0 || age >= m.settings.SlowStartDuration {
@@ -39,10 +42,10 @@
 	return floor + (1-floor)*age.Seconds()/m.settings.SlowStartDuration.Seconds()
 }
 
-// startTime is when a worker counts as started, by the start time of the list. Where the start is news and
-// the listed time would make the worker warmed up, a clock that is ahead may be the reason: it counts as
-// just started, since it would else be sent all that a warmed-up worker takes. One that had only been out
-// of reach gets less for a while.
+// startTime is when a worker counts as started, from the start time that the list gives. A worker that a
+// delta adds or restarts should have started just now. Where its listed time would make it warm already, the
+// clock of this machine may be ahead: it then counts as started now, so that it is not sent what a warm
+// worker takes. A worker that was only unreachable for a while gets less than it could take.
 func (m *Machine) startTime(listed time.Duration, delta bool) time.Duration {
 	age := m.now - listed
 	warmUp := m.settings.SlowStartDuration
@@ -52,9 +55,11 @@
 	return listed
 }
 
-// withinSlowStartBudget reports whether a worker, if in slow start, may get the request. The first request
-// there, and one that takes more than a window's part, are drawn for with odds of the budget saved to the
-// cost; a drawing that is lost spends the budget.
+// withinSlowStartBudget reports whether a worker, if in slow start, may get the request.
+//
+// A request that takes at most a window's part is paid from the budget, with an overdraft. One that takes
+// more, and the first one at the worker, is admitted by a random draw whose odds are the budget to the cost,
+// so that the budget holds on average. A lost draw spends the budget too.
 func (m *Machine) withinSlowStartBudget(request *request, worker *worker) bool {
 	capacity := m.capacityFraction(worker)
 	if capacity >= 1 || m.settings.OverloadWindow <= 0 { // a rule whose window is 0 is off
@@ -63,15 +68,8 @@
 	rate := slowStartSafety * m.settings.OverloadMultiple * capacity * m.warmWorkRate(worker.Kind)
 	part := rate * m.settings.OverloadWindow.Seconds()
 	cost := request.slowStartCost()
-	maxSaved := max(part, min(slowStartSavedWindows*part, cost))
-	saved := worker.slowStartBudget + rate*(m.now-worker.slowStartBudgetAt).Seconds()
-	worker.slowStartBudget = min(saved, maxSaved)
-	worker.slowStartBudgetAt = m.now
-	largest := min(
-		slowStartMaxRequest*part*float64(m.settings.Peers),
-		slowStartMaxRequestMeans*request.slots*request.classMeanWork,
-	)
-	if worker.slowStartBudget < 0 || cost > max(worker.slowStartBudget, largest) {
+	worker.saveSlowStartBudget(m.now, rate, max(part, min(slowStartSavedWindows*part, cost)))
+	if worker.slowStartBudget < 0 || cost > max(worker.slowStartBudget, m.maxSlowStartCost(request, part)) {
 		return false
 	}
 	first := worker.recentWork.at == 0
@@ -82,13 +80,28 @@
 	return cost > part || cost <= worker.slowStartBudget+part*slowStartOverdraft
 }
 
+// saveSlowStartBudget adds to the budget what has come in since it was last used, up to a maximum.
+func (w *worker) saveSlowStartBudget(now time.Duration, rate, maxSaved float64) {
+	saved := w.slowStartBudget + rate*(now-w.slowStartBudgetAt).Seconds()
+	w.slowStartBudget = min(saved, maxSaved)
+	w.slowStartBudgetAt = now
+}
+
+// maxSlowStartCost is the largest cost of a request that a worker in slow start may get beyond its budget.
+func (m *Machine) maxSlowStartCost(request *request, part float64) float64 {
+	return min(
+		slowStartMaxRequest*part*float64(m.settings.Peers),
+		slowStartMaxRequestMeans*request.slots*request.classMeanWork,
+	)
+}
+
 // slowStartCost is what a request takes of a slow-start budget.
 func (r *request) slowStartCost() float64 {
 	return r.cost + smallHintCorrection*r.slots*max(r.classMeanWork-r.work, 0)
 }
 
-// recordReservedElsewhere takes off the budget what the dispatcher's other process has sent, while it is
-// replaced: both have one budget.
+// recordReservedElsewhere takes off the budget what the predecessor or successor of this process has sent
+// the worker: both keep to one budget while one replaces the other.
 func (m *Machine) recordReservedElsewhere(worker *worker, reservation float64) {
 	if worker == nil || !(reservation > 0) {
 		return
@@ -110,8 +123,8 @@
 const (
 	// minOfAllKinds is the key of the smallest work rate; no kind has this number.
 	minOfAllKinds = -1
-	// scanWorkersPerSweep bounds the workers that one sweep interval looks at, lest its work grow with the
-	// fleet.
+	// scanWorkersPerSweep bounds the workers that are scanned in one sweep interval, so that the work does
+	// not grow with the fleet.
 	scanWorkersPerSweep = 2048
 )
 
--- a/decision/slowstart_overload_test.go
+++ b/decision/slowstart_overload_test.go
@@ -137,7 +137,7 @@
 		}
 		group.endAttempts(func(worker string) { load[worker]-- })
 		for i, rig := range group.rigs {
-			if int(group.now/overloadTick)%10 == i { // ten requests a second each: more than there is capacity
+			if int(group.now/overloadTick)%10 == i { // ten requests a second each: far beyond the capacity
 				group.arrive(rig, time.Duration(300+rig.random.IntN(2000))*time.Millisecond)
 			}
 			group.sweepIfDue(rig)
--- a/decision/slowstart_test.go
+++ b/decision/slowstart_test.go
@@ -98,7 +98,9 @@
 	multiple := rapid.Float64Range(1, 8).Draw(t, "overload multiple")
 	workRate := rapid.Float64Range(0.01, 4).Draw(t, "work of a warm worker, slots")
 	machine, err := New(Settings{
-		Classes:           []Class{{PriorityWeight: 1, LatencyObjective: time.Second, Deadline: 4 * time.Second}},
+		Classes: []Class{
+			{PriorityWeight: 1, LatencyObjective: time.Second, Deadline: 4 * time.Second},
+		},
 		Peers:             rapid.IntRange(20, 30).Draw(t, "peers"),
 		SlowStartFloor:    rapid.Float64Range(0.1, 0.9).Draw(t, "slow-start floor"),
 		SlowStartDuration: time.Hour,
--- a/decision/sweep.go
+++ b/decision/sweep.go
@@ -11,8 +11,8 @@
 	pricingsPerHorizon = 8
 	// sweepsPerObjective is the number of sweeps within the shortest latency objective.
 	sweepsPerObjective = 2
-	// minObjectivePart is the inverse of the part of the deadline that a latency objective counts as at the
-	// least.
+	// minObjectivePart is the inverse of the part of its deadline that the latency objective of a class is
+	// taken to be at least.
 	minObjectivePart = 50
 )
 
@@ -35,8 +35,8 @@
 	}
 }
 
-// sweep decides what the passing of time alone brings: which requests are late, stuck or without any value
-// left, which workers have warmed up, and the prices.
+// sweep decides what follows from the passing of time alone: which requests are late, stuck or without any
+// value left, which workers have warmed up, and the prices.
 func (m *Machine) sweep() {
 	m.unanswered = slices.DeleteFunc(m.unanswered, func(request *request) bool { return request.ended })
 	for _, request := range m.unanswered {
@@ -78,9 +78,10 @@
 }
 
 // markLate marks a request that can hardly be in time, and lowers its value to that of a late answer. It is
-// rejected at once if it waits while capacity is scarce, or delays others. An attempt that is not known to
-// have started shows overload now, where its end would show it much later; unless its connection may be
-// dead.
+// rejected at once if it waits while capacity is scarce, or if it delays others.
+//
+// Where starts are reported, an attempt that has not started by now shows overload, much earlier than its end
+// would, and the ceilings are cut. The exception is an attempt whose connection may be dead.
 func (m *Machine) markLate(request *request) {
 	request.late = true
 	if request.outstanding > 1 && m.settings.StartNotices && !request.countedAsBad && !request.hasStarted() {
@@ -109,9 +110,9 @@
 	return m.prices.positive() || !m.withinConcurrency(request) || m.allSuspended()
 }
 
-// delaysOthers reports whether a request that can hardly be in time, and has not started, stands before
-// others in its worker's queue for little: it earns nothing late, or may be repeated while many outcomes
-// are bad.
+// delaysOthers reports whether a request delays others in its worker's queue for little: it can hardly be in
+// time, has not started, and earns nothing late, or less than in time while many outcomes are bad. In the
+// latter case it must be Idempotent.
 func (m *Machine) delaysOthers(request *request) bool {
 	earnsNothing := request.class.LateWeight <= 0
 	repeatable := request.class.Idempotency == Idempotent && request.class.LateWeight < 1
--- a/decision/zone.go
+++ b/decision/zone.go
@@ -7,8 +7,8 @@
 
 const (
 	// unreachableZoneConnects is the number of failed connects in a row from which a zone looks
-	// unreachable. Measured in a rehearsal of 80 dispatchers: without it each ran into a time-out at each
-	// worker of a lost zone.
+	// unreachable. Measured in a rehearsal of 80 dispatchers: without this rule each of them ran into a
+	// time-out at each worker of an unreachable zone.
 	unreachableZoneConnects = 2
 	// maxTrialDoublings bounds how often the interval between trials of an unreachable zone is doubled.
 	maxTrialDoublings = 8
@@ -23,8 +23,8 @@
 // zone is what is known of the workers of one zone together.
 type zone struct {
 	failedConnects int           // in a row, since any of its workers was seen
-	firstFailureAt time.Duration // of those
-	lastAttemptAt  time.Duration // when one failed last, or a later request was sent there
+	firstFailureAt time.Duration // when the first of them failed
+	lastAttemptAt  time.Duration // when the last of them failed, or a request was sent there since
 }
 
 // get returns what is known of the zone with that number.
@@ -36,8 +36,8 @@
 }
 
 // zoneUnreachable reports whether a worker's zone gets no requests: connects there have failed in a row, and
-// workers of other zones have been seen since. One request at a time tries whether it is back, after ever
-// longer intervals.
+// workers of other zones have been seen since. One request at a time is sent as a trial, at intervals that
+// double.
 func (m *Machine) zoneUnreachable(worker *worker) bool {
 	zone := m.zones.get(worker.Zone)
 	doublings := min(zone.failedConnects, maxTrialDoublings)
