--- a/decision/ceilings_test.go
+++ b/decision/ceilings_test.go
@@ -68,9 +68,9 @@
 		id := rig.arrive(0)
 		request := rig.requests[id]
 		if started {
-			rig.handle(rig.now, Event{Kind: AttemptStarted, Request: id, Worker: rig.assignedTo(id)})
+			rig.reportStart(id)
 		}
-		rig.handle(request.objective-seconds(request.work), Event{Kind: TimerFired, Timer: sweepTimer})
+		rig.sweepAt(request.objective - seconds(request.work))
 		if cut := rig.ceilings.concurrencyPerWorker < initialCeiling; cut == started {
 			t.Fatalf("started %v, cut %v", started, cut)
 		}
@@ -117,8 +117,8 @@
 	}
 }
 
-// Late answers of requests sent before a cut come in for a long time after a slow spell. They tell nothing
-// of the ceiling after the cut and must not cut it to the floor.
+// Late answers of requests that were sent before a cut come in long after it. They say nothing about the
+// ceiling after the cut and must not cut it to the floor.
 func TestAnswersSentBeforeACutDoNotCutAgain(t *testing.T) {
 	rig := newRig(t, testSettings(), 4)
 	var ids []uint64
@@ -143,10 +143,7 @@
 	settings := testSettings()
 	settings.Classes[1].Kinds = []int{7}
 	rig := newRig(t, settings, 10)
-	rig.handle(
-		rig.now,
-		Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: "w0", Kind: 7}}},
-	)
+	rig.updateList(Endpoint{Name: "w0", Kind: 7})
 	cut := func(class int) float64 {
 		rig.now += time.Minute
 		before := rig.ceilings.concurrencyPerWorker
--- a/decision/connection_test.go
+++ b/decision/connection_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Connections that were dropped while unused swallow what is sent on them. A later request that starts
-// there shows it; from then on old ones are closed before use.
+// What is sent on a connection that was dropped while unused is lost. A later request that starts at the same
+// worker shows it; from then on connections that were unused for as long are closed before use.
 func TestDeadConnectionsAreFoundAndClosed(t *testing.T) {
 	settings := testSettings()
 	settings.StartNotices = true
@@ -24,11 +24,11 @@
 		t.Fatal("connections closed without a reason")
 	}
 	for range 40 {
-		rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
+		rig.nextSweep()
 	}
 	next := rig.arrive(1)
 	if rig.assignedTo(next) == "" {
-		t.Fatal("the worker is kept from work by a request that its connection lost")
+		t.Fatal("the worker gets no work because of a request that its connection lost")
 	}
 	rig.handle(rig.now+5*time.Millisecond, Event{Kind: AttemptStarted, Request: next, Worker: "w0"})
 	if findAction(rig.actions, Fail) == nil || findAction(rig.actions, CancelAttempt) == nil ||
--- a/decision/endpoints_test.go
+++ b/decision/endpoints_test.go
@@ -3,16 +3,14 @@
 import (
 	"fmt"
 	"math"
+	"slices"
 	"testing"
 	"time"
 )
 
 func TestDrainingWorkerGetsNothing(t *testing.T) {
 	rig := newRig(t, testSettings(), 2)
-	rig.handle(
-		rig.now,
-		Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: "w0", State: Draining}}},
-	)
+	rig.updateList(Endpoint{Name: "w0", State: Draining})
 	for range 4 {
 		if rig.send(0) == "w0" {
 			t.Fatal("sent to a draining worker")
@@ -49,7 +47,7 @@
 		t.Fatal("not asked again")
 	}
 	if rig.send(0) != "w0" {
-		t.Fatal("the old list does not stand")
+		t.Fatal("the old list is no longer in force")
 	}
 }
 
@@ -75,70 +73,92 @@
 	}
 }
 
-// Thirty-six dispatchers that start together, or lose their subscription together, do not call together: a
-// service that answers seven calls a second keeps none waiting for the two seconds after which it fails,
-// and those that fail come back ever more seldom. Few dispatchers call at once.
-func TestLargeFleetSpreadsItsCalls(t *testing.T) {
-	const peers, service, patience = 36, time.Second / 7, 2 * time.Second
+func TestFewDispatchersCallForTheListAtOnce(t *testing.T) {
 	settings := testSettings()
 	settings.ListBySubscription = true
 	settings.Peers = largeFleetThreshold
-	if rig := newRig(t, settings, 1); findAction(rig.actions, Subscribe) == nil ||
-		findAction(rig.actions, SetTimer) != nil {
+	rig := newRig(t, settings, 1)
+	if findAction(rig.actions, Subscribe) == nil || findAction(rig.actions, SetTimer) != nil {
 		t.Fatalf("few dispatchers do not call at once: %v", rig.actions)
 	}
-	settings.Peers = peers
+}
+
+// Thirty-six dispatchers that start together, or lose their subscription together, do not call together: a
+// service that answers seven calls a second lets few of them wait for the two seconds after which a call
+// fails, and those that fail call again after a growing backoff.
+func TestLargeFleetSpreadsItsCalls(t *testing.T) {
+	const peers = 36
 	for _, first := range []ListKind{ListCached, ListFailed} {
-		var rigs []*rig
-		var calls []time.Duration // when each calls next
-		for i := range peers {
-			rig := newSeededRig(t, settings, 1, uint64(i))
-			if first == ListFailed {
-				rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListFailed})
-			}
-			if rig.send(0) == "" {
-				t.Fatal("the known list does not serve meanwhile")
-			}
-			rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: first})
-			action := findAction(rig.actions, SetTimer)
-			if action == nil || findAction(rig.actions, Subscribe) != nil {
-				t.Fatalf("called at once: %v", rig.actions)
-			}
-			rigs = append(rigs, rig)
-			calls = append(calls, time.Hour+action.Delay)
+		fleet := newCallingFleet(t, peers, first)
+		for fleet.served < peers {
+			fleet.serveNextCall()
 		}
-		free := time.Duration(0)
-		failed := 0
-		last := time.Duration(0)
-		for served := 0; served < peers; {
-			next := 0
-			for i := range calls {
-				if calls[i] < calls[next] {
-					next = i
-				}
-			}
-			now := calls[next]
-			start := max(free, now)
-			free = start + service // a call that has waited too long takes its time all the same
-			if start+service-now <= patience {
-				served++
-				last = start + service
-				calls[next] = math.MaxInt64
-				continue
-			}
-			failed++
-			rig := rigs[next]
-			rig.handle(now+patience, Event{Kind: ListUpdated, ListKind: ListFailed})
-			calls[next] = now + patience + findAction(rig.actions, SetTimer).Delay
+		if fleet.lastServedAt > time.Hour+10*time.Second || fleet.failed > peers/2 {
+			t.Errorf("list kind %d: all served after %v, %d calls failed",
+				first, fleet.lastServedAt-time.Hour, fleet.failed)
+		}
+	}
+}
+
+// callingFleet is dispatchers that call a list service, which serves one call at a time.
+type callingFleet struct {
+	rigs         []*rig
+	calls        []time.Duration // when each dispatcher calls next; math.MaxInt64: it was served
+	freeAt       time.Duration   // when the service has served all calls so far
+	served       int
+	failed       int
+	lastServedAt time.Duration
+}
+
+// newCallingFleet starts dispatchers that were served by an initial list, or whose first call has failed.
+func newCallingFleet(t *testing.T, peers int, first ListKind) *callingFleet {
+	t.Helper()
+	settings := testSettings()
+	settings.ListBySubscription = true
+	settings.Peers = peers
+	fleet := &callingFleet{}
+	for i := range peers {
+		rig := newSeededRig(t, settings, 1, uint64(i))
+		if first == ListFailed {
+			rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListFailed})
 		}
-		if last > time.Hour+10*time.Second || failed > peers/2 {
-			t.Errorf("list kind %d: all served after %v, %d calls in vain", first, last-time.Hour, failed)
+		if rig.send(0) == "" {
+			t.Fatal("the initial list does not serve meanwhile")
 		}
+		rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: first})
+		action := findAction(rig.actions, SetTimer)
+		if action == nil || findAction(rig.actions, Subscribe) != nil {
+			t.Fatalf("called at once: %v", rig.actions)
+		}
+		fleet.rigs = append(fleet.rigs, rig)
+		fleet.calls = append(fleet.calls, time.Hour+action.Delay)
 	}
+	return fleet
+}
+
+// serveNextCall serves the earliest call, or lets it fail if it would wait for too long. Such a call takes
+// the service's time all the same.
+func (f *callingFleet) serveNextCall() {
+	const serviceTime = time.Second / 7
+	const callTimeout = 2 * time.Second
+	next := slices.Index(f.calls, slices.Min(f.calls))
+	calledAt := f.calls[next]
+	f.freeAt = max(f.freeAt, calledAt) + serviceTime
+	if f.freeAt-calledAt <= callTimeout {
+		f.served++
+		f.lastServedAt = f.freeAt
+		f.calls[next] = math.MaxInt64
+		return
+	}
+	f.failed++
+	failedAt := calledAt + callTimeout
+	rig := f.rigs[next]
+	rig.handle(failedAt, Event{Kind: ListUpdated, ListKind: ListFailed})
+	f.calls[next] = failedAt + findAction(rig.actions, SetTimer).Delay
 }
 
-// Lists may be long, name a worker twice, or shrink to nothing; none of it may break the counts.
-func TestOddListsAreHarmless(t *testing.T) {
+// Lists may be long, name workers twice, or shrink to nothing; none of it may break the counts.
+func TestListsWithRepeatedOrNoEntries(t *testing.T) {
 	rig := newRig(t, testSettings(), 0)
 	var list []Endpoint
 	for i := range 5000 {
@@ -146,23 +166,17 @@
 	}
 	for range 2 {
 		rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: list})
-		near := 0
+		wantLocal := 0
 		for _, worker := range rig.fleet {
 			if worker.Zone == rig.settings.Zone {
-				near++
+				wantLocal++
 			}
 		}
-		warm := rig.candidates.warm
-		local := rig.candidates.localWarm
-		if len(rig.fleet) != 4000 || len(warm) != 4000 || len(local) != near ||
-			len(rig.workers) != 4000 {
-			t.Fatalf(
-				"%d workers, %d to draw, %d of %d near",
-				len(rig.fleet),
-				len(warm),
-				len(local),
-				near,
-			)
+		warm := len(rig.candidates.warm)
+		local := len(rig.candidates.localWarm)
+		if len(rig.fleet) != 4000 || warm != 4000 || local != wantLocal || len(rig.workers) != 4000 {
+			t.Fatalf("%d workers, %d of them warm, %d of %d in the own zone",
+				len(rig.fleet), warm, local, wantLocal)
 		}
 	}
 	if rig.send(0) == "" {
@@ -186,8 +200,7 @@
 	worker := rig.fleet[0]
 	rig.setFailureScore(worker, 1, attemptsFail)
 	worker.runTimeRatio = 9
-	rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListDelta,
-		Endpoints: []Endpoint{{Name: "w0", State: Running, StartedAt: rig.now - 20*time.Second}}})
+	rig.updateList(Endpoint{Name: "w0", State: Running, StartedAt: rig.now - 20*time.Second})
 	if worker.ejected || worker.runTimeRatio != 0 {
 		t.Fatal("the old process is remembered")
 	}
--- a/decision/estimates_test.go
+++ b/decision/estimates_test.go
@@ -5,30 +5,28 @@
 	"time"
 )
 
-// Where no hints come, the run time of a class is learned, lest requests be given up that can be in time.
+// Where no hints come, the run time of a class is learned. Otherwise requests would be rejected that can be
+// in time.
 func TestRunTimesAreLearnedWithoutHints(t *testing.T) {
 	rig := newRig(t, settingsWithoutHints(), 4)
-	job := func(work time.Duration) *request {
+	arrive := func(work time.Duration) *request {
 		id := rig.next
 		rig.next++
-		rig.handle(
-			rig.now,
-			Event{Kind: RequestArrived, Request: id, Slots: 1, Work: work, TimeLeft: 5 * time.Second},
-		)
+		rig.offer(Event{Request: id, Slots: 1, Work: work, TimeLeft: 5 * time.Second})
 		return rig.requests[id]
 	}
 	for range 30 {
-		request := job(0)
+		request := arrive(0)
 		rig.handle(
 			rig.now+time.Second,
 			Event{Kind: AttemptStarted, Request: request.id, Worker: rig.assignedTo(request.id)},
 		) // waits are no part of it
 		rig.endAttempt(request.id, 0, Completed, 300*time.Millisecond)
 	}
-	if got := job(0).work; got < 0.29 || got > 0.45 {
+	if got := arrive(0).work; got < 0.29 || got > 0.45 {
 		t.Fatalf("requests run for 0.3 s, %v s is expected", got)
 	}
-	if got := job(2 * time.Second).work; got != 2 {
+	if got := arrive(2 * time.Second).work; got != 2 {
 		t.Fatalf("a hint of 2 s is taken for %v s", got)
 	}
 }
--- a/decision/hedge_test.go
+++ b/decision/hedge_test.go
@@ -5,23 +5,22 @@
 	"time"
 )
 
-// A vanished machine gives no sign: the request is hedged, and the worker is ejected.
+// A machine that has crashed sends nothing: the request is hedged, and the worker is ejected.
 func TestSilentWorkerIsEjectedAndHedged(t *testing.T) {
 	rig := newRig(t, testSettings(), 4)
 	id := rig.arrive(0)
 	worker := rig.workers[rig.assignedTo(id)]
 	for end := rig.now + 4*time.Second; rig.now < end && len(rig.requests[id].attempts) < 2; {
-		rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
+		rig.nextSweep()
 	}
 	if !worker.ejected || len(rig.requests[id].attempts) != 2 {
 		t.Fatalf("ejected %v, %d attempts", worker.ejected, len(rig.requests[id].attempts))
 	}
 }
 
-// A connection may fall silent alone, at a worker that lives: progress reports stop, or the start is not
-// reported though nothing waits there. A request that may be repeated is hedged, one that may not never,
-// and the worker is neither ejected nor kept from other requests. Where requests wait, a missing start
-// proves nothing.
+// One connection may fall silent while its worker lives: progress reports stop, or the start is not reported
+// though nothing waits there. An idempotent request is then hedged, and the worker is neither ejected nor
+// kept from other requests. Where requests wait, a missing start proves nothing.
 func TestUnresponsiveConnectionIsHedged(t *testing.T) {
 	for name, test := range map[string]struct {
 		class, backlog int
@@ -44,7 +43,7 @@
 		id := rig.arrive(test.class)
 		worker := rig.workers[rig.assignedTo(id)]
 		if test.started {
-			rig.handle(rig.now, Event{Kind: AttemptStarted, Request: id, Worker: worker.Name})
+			rig.reportStart(id)
 		}
 		checks := rig.waitSilently(worker, test.backlog)
 		if n := len(rig.requests[id].attempts); n != test.want || worker.ejected {
@@ -73,7 +72,7 @@
 // number.
 func (r *rig) waitSilently(worker *worker, backlog int) (checks int) {
 	for end := r.now + 1900*time.Millisecond; r.now < end; {
-		r.handle(r.now+r.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
+		r.nextSweep()
 		if findAction(r.actions, CheckHealth) != nil {
 			checks++
 			r.handle(r.now, Event{
@@ -88,8 +87,8 @@
 	return checks
 }
 
-// Where starts are reported, an attempt in a worker's queue is silent by nature: that proves nothing, and a
-// hedge that could not be cancelled would only fill another queue.
+// Where starts are reported, there are no reports on an attempt in a worker's queue: that proves nothing, and
+// a hedge that could not be cancelled would only fill another queue.
 func TestUnstartedAttemptIsNotSilence(t *testing.T) {
 	settings := testSettings()
 	settings.StartNotices = true
@@ -98,21 +97,18 @@
 	id := rig.arrive(0)
 	worker := rig.workers[rig.assignedTo(id)]
 	for range 30 {
-		rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
+		rig.nextSweep()
 	}
-	if worker.ejected || len(rig.requests[id].attempts) != 1 {
-		t.Fatalf(
-			"ejected %v, %d attempts for a request that waits in a queue",
-			worker.ejected,
-			len(rig.requests[id].attempts),
-		)
+	attempts := len(rig.requests[id].attempts)
+	if worker.ejected || attempts != 1 {
+		t.Fatalf("ejected %v, %d attempts for a request that waits in a queue", worker.ejected, attempts)
 	}
 	if next := rig.arrive(0); rig.assignedTo(next) == worker.Name {
 		t.Fatal("more work behind an attempt that has not started")
 	}
 }
 
-// With 300 dispatchers each knows next to nothing of the workers' queues. An attempt that waits and may be
+// With 300 dispatchers each has hardly any knowledge of the workers' queues. An attempt that waits and may be
 // repeated is hedged, and the first of the two to start has the other cancelled.
 func TestFirstAttemptToStartCancelsTheOther(t *testing.T) {
 	for first := range 2 {
@@ -156,7 +152,7 @@
 	rig := newRig(t, settings, 4)
 	id := rig.arrive(0)
 	rig.requests[id].late = true
-	rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
+	rig.nextSweep()
 	if len(rig.requests[id].attempts) != 1 {
 		t.Error("a hedge of a request that is late")
 	}
@@ -170,7 +166,7 @@
 	settings.StartNotices = true
 	rig := newRig(t, settings, 4)
 	id := rig.arrive(class)
-	rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
+	rig.nextSweep()
 	return rig, id
 }
 
--- a/decision/load_test.go
+++ b/decision/load_test.go
@@ -19,16 +19,16 @@
 	}
 }
 
-// Load-adjusted weights are all that is known of others' load at workers that this dispatcher has not used
-// lately.
-func TestLoadAdjustedWeightsTellOthersLoad(t *testing.T) {
+// Load-adjusted weights are the only source for the load of other dispatchers at workers that this one has
+// not used lately.
+func TestLoadAdjustedWeightsCountAsOthersLoad(t *testing.T) {
 	settings := testSettings()
 	settings.LoadAdjustedWeights = true
 	rig := newRig(t, settings, 2)
-	rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{
-		{Name: "w0", Weight: 2}, // it holds two requests a core, and did so when this dispatcher started
-		{Name: "w1", Weight: 6},
-	}})
+	rig.updateList(
+		Endpoint{Name: "w0", Weight: 2}, // it holds two requests a core, and did so at the start
+		Endpoint{Name: "w1", Weight: 6},
+	)
 	rig.expectAllAt("w1", "sent to the worker that others load")
 }
 
--- a/decision/machine_test.go
+++ b/decision/machine_test.go
@@ -6,42 +6,37 @@
 	"time"
 )
 
+// disconnect lets a client go, and ends the attempts that its request still has.
+func (r *rig) disconnect(id uint64) {
+	request := r.requests[id]
+	r.handle(r.now, Event{Kind: ClientDisconnected, Request: id})
+	for number := range request.attempts {
+		if !request.attempts[number].ended {
+			r.endAttempt(id, number, Cancelled, time.Millisecond)
+		}
+	}
+}
+
 // All state of a request is released in the end, over many thousands and over restarts of workers.
 func TestNothingLeaks(t *testing.T) {
 	outcomes := []AttemptOutcome{Completed, Completed, Completed, Failed, Saturated, ConnectionLost}
 	rig := newRig(t, testSettings(), 6)
 	for i := range 30000 {
 		id := rig.arrive(i % 2)
-		if request := rig.requests[id]; request != nil && len(request.attempts) > 0 {
-			outcome := outcomes[i%len(outcomes)]
-			rig.endAttempt(id, 0, outcome, 10*time.Millisecond)
-			if request := rig.requests[id]; request != nil {
-				rig.handle(rig.now, Event{Kind: ClientDisconnected, Request: id})
-				for n := range request.attempts {
-					if !request.attempts[n].ended {
-						rig.endAttempt(id, n, Cancelled, time.Millisecond)
-					}
-				}
-			}
-		} else if request != nil {
-			rig.handle(rig.now, Event{Kind: ClientDisconnected, Request: id})
+		if rig.assignedTo(id) != "" {
+			rig.endAttempt(id, 0, outcomes[i%len(outcomes)], 10*time.Millisecond)
+		}
+		if rig.requests[id] != nil {
+			rig.disconnect(id)
 		}
 		if i%50 == 0 {
-			rig.handle(rig.now, Event{Kind: TimerFired, Timer: sweepTimer})
+			rig.sweepAt(rig.now)
 			name := fmt.Sprintf("w%d", i/50%6)
-			rig.handle(
-				rig.now,
-				Event{
-					Kind:      ListUpdated,
-					ListKind:  ListDelta,
-					Endpoints: []Endpoint{{Name: name, State: Removed}},
-				},
-			)
-			rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListDelta,
-				Endpoints: []Endpoint{{Name: fmt.Sprintf("w%d", i/50%6), State: Running}}})
+			rig.updateList(Endpoint{Name: name, State: Removed})
+			rig.updateList(Endpoint{Name: name, State: Running})
 		}
 	}
-	rig.handle(rig.now, Event{Kind: TimerFired, Timer: sweepTimer})
+	rig.sweepAt(rig.now)
 	inFlight := rig.ceilings.inFlight
 	held := len(rig.requests) + len(rig.unanswered) + len(rig.queue.waiting)
 	if held != 0 || inFlight != 0 || rig.ceilings.inFlightAtEjected != 0 {
--- a/decision/retry_test.go
+++ b/decision/retry_test.go
@@ -128,8 +128,11 @@
 	settings.Classes[1].Kinds = []int{1}
 	settings.Classes[1].Zones = []int{2}
 	rig := newRig(t, settings, 4)
-	rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{
-		{Name: "w0", Kind: 1}, {Name: "w1", Zone: 2}, {Name: "w2", Kind: 1, Zone: 2}}})
+	rig.updateList(
+		Endpoint{Name: "w0", Kind: 1},
+		Endpoint{Name: "w1", Zone: 2},
+		Endpoint{Name: "w2", Kind: 1, Zone: 2},
+	)
 	id := rig.arrive(1)
 	if rig.assignedTo(id) != "w2" {
 		t.Fatalf("sent to %q", rig.assignedTo(id))
--- a/decision/rig_test.go
+++ b/decision/rig_test.go
@@ -37,6 +37,30 @@
 	return id
 }
 
+// offer brings the request that the event describes, at the present time.
+func (r *rig) offer(event Event) []Action {
+	event.Kind = RequestArrived
+	return r.handle(r.now, event)
+}
+
+// updateList brings a delta of the endpoint list.
+func (r *rig) updateList(entries ...Endpoint) []Action {
+	return r.handle(r.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: entries})
+}
+
+// sweepAt fires the sweep timer at a moment.
+func (r *rig) sweepAt(now time.Duration) []Action {
+	return r.handle(now, Event{Kind: TimerFired, Timer: sweepTimer})
+}
+
+// nextSweep lets a sweep interval pass and fires the sweep timer.
+func (r *rig) nextSweep() []Action { return r.sweepAt(r.now + r.sweepInterval) }
+
+// reportStart reports, at the present time, that the latest attempt of a request has started.
+func (r *rig) reportStart(id uint64) []Action {
+	return r.handle(r.now, Event{Kind: AttemptStarted, Request: id, Worker: r.assignedTo(id)})
+}
+
 // endAttempt ends the attempt with that number; a completed one is the answer.
 func (r *rig) endAttempt(id uint64, n int, outcome AttemptOutcome, after time.Duration) []Action {
 	worker := r.requests[id].attempts[n].worker
--- a/decision/routing_test.go
+++ b/decision/routing_test.go
@@ -23,15 +23,12 @@
 	}
 }
 
-// Where crossing zones has a cost, the own zone wins until its delay outweighs that.
-func TestOwnZoneBias(t *testing.T) {
+// Where crossing zones has a cost, the dispatcher's own zone is preferred until its delay outweighs that.
+func TestOwnZoneIsPreferredWithinItsBias(t *testing.T) {
 	settings := testSettings()
 	settings.CrossZoneCost = 0.05
 	rig := newRig(t, settings, 2)
-	rig.handle(
-		rig.now,
-		Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: "w1", Zone: 1}}},
-	)
+	rig.updateList(Endpoint{Name: "w1", Zone: 1})
 	rig.fleet[0].runTimeRatio = 1
 	rig.fleet[1].runTimeRatio = 0.9
 	if rig.send(0) != "w0" {
@@ -43,9 +40,8 @@
 	}
 }
 
-// What is known of a worker fades: one of which nothing was heard counts as loaded as the mean, and an old
-// report tells nothing more. Workers of which nothing is known would else look idle, get a third of all
-// requests and let them wait.
+// Knowledge of a worker fades: one without a recent report counts as loaded as the mean. Otherwise workers
+// without reports would look idle, get a third of all requests and let them wait.
 func TestKnowledgeOfWorkersFades(t *testing.T) {
 	settings := testSettings()
 	settings.StartNotices = true
@@ -124,7 +120,7 @@
 		t.Fatalf("with its subset full, a request went to %q", w)
 	}
 	before := slices.Clone(rig.candidates.warm)
-	rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: "new"}}})
+	rig.updateList(Endpoint{Name: "new"})
 	moved := 0
 	for i, worker := range before {
 		if rig.candidates.warm[i] != worker {
@@ -136,7 +132,7 @@
 	}
 }
 
-// Each dispatcher must draw a subset of its own: the same for all would overload a few workers.
+// Each dispatcher must have another subset: the same for all would overload a few workers.
 func TestSubsetsDiffer(t *testing.T) {
 	var heads []string
 	for seed := range uint64(8) {
--- a/decision/zone_test.go
+++ b/decision/zone_test.go
@@ -163,7 +163,7 @@
 		}
 		rig.entries[1].StartedAt = rig.now
 		started := rig.entries[1:2]
-		rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: started})
+		rig.updateList(started...)
 		if rig.countUnreachable() != 1 {
 			t.Fatal("a zone in which a worker started is still unreachable")
 		}
