--- a/decision/admission_test.go
+++ b/decision/admission_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// Peers may be missing, or far above the requests a second there are: one request at a time is still
+// Whatever the number of peers is, also far more than there are requests a second, one request at a time is
 // admitted.
 func TestAnyNumberOfPeersWorks(t *testing.T) {
 	for _, peers := range []int{-1, 0, 1, 1e6} {
@@ -61,24 +61,14 @@
 	}
 }
 
-func TestAbsurdInputIsHarmless(t *testing.T) {
+func TestExtremeValuesOfRequestsAreHarmless(t *testing.T) {
 	rig := newRig(t, testSettings(), 3)
 	for _, work := range []time.Duration{-1, 0, 1, math.MaxInt64, math.MinInt64} {
 		for _, left := range []time.Duration{-time.Hour, 0, 1, math.MaxInt64} {
 			for _, slots := range []float64{0, -1, math.NaN(), math.Inf(1), 1e300, 3} {
 				id := rig.next
 				rig.next++
-				rig.handle(
-					rig.now,
-					Event{
-						Kind:     RequestArrived,
-						Request:  id,
-						Slots:    slots,
-						Work:     work,
-						TimeLeft: left,
-						Tenant:   -7,
-					},
-				)
+				rig.offer(Event{Request: id, Slots: slots, Work: work, TimeLeft: left, Tenant: -7})
 				if request := rig.requests[id]; request != nil &&
 					!(request.value >= 0 && request.cost > 0 && !math.IsInf(request.cost+request.value, 0)) {
 					t.Fatalf("work %v, left %v, slots %v: %+v", work, left, slots, request)
@@ -86,7 +76,7 @@
 			}
 		}
 	}
-	rig.handle(rig.now, Event{Kind: RequestArrived, Request: 1 << 40, Class: 99})
+	rig.offer(Event{Request: 1 << 40, Class: 99})
 	if findAction(rig.actions, Fail) == nil {
 		t.Fatal("an unknown class is not answered")
 	}
@@ -104,10 +94,7 @@
 	first := rig.arrive(0)
 	objective := rig.requests[first].objective
 	rig.now += 2 * time.Second
-	rig.handle(
-		rig.now,
-		Event{Kind: RequestArrived, Request: 99, Slots: 1, Work: time.Second, TimeLeft: 3 * time.Second},
-	)
+	rig.offer(Event{Request: 99, Slots: 1, Work: time.Second, TimeLeft: 3 * time.Second})
 	if request := rig.requests[99]; request == nil || request.objective != objective {
 		t.Fatalf("the retry of a request with its objective at %v: %+v", objective, request)
 	}
--- a/decision/outlier_test.go
+++ b/decision/outlier_test.go
@@ -1,6 +1,7 @@
 package decision
 
 import (
+	"slices"
 	"testing"
 	"time"
 )
@@ -48,8 +49,8 @@
 	}
 }
 
-// Attempts stuck at ejected workers must not exhaust a ceiling that is scaled to the ready ones. In panic
-// all slots count, lest ejecting workers lift the ceiling.
+// Attempts stuck at ejected workers must not exhaust a ceiling that is scaled to the ready ones. In panic all
+// slots count: otherwise ejecting workers would raise the ceiling.
 func TestSlotsAtEjectedWorkersDoNotCount(t *testing.T) {
 	rig := newRig(t, testSettings(), 3)
 	rig.ceilings.concurrencyPerWorker = (6 - concurrencyHeadroom) / 3
@@ -73,8 +74,7 @@
 	}
 	rig.handle(rig.now, Event{Kind: ClientDisconnected, Request: rig.next - 1})
 	rig.setFailureScore(rig.fleet[1], 0, answersAgain)
-	rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{
-		{Name: ejected.Name, State: Running, StartedAt: rig.now}}})
+	rig.updateList(Endpoint{Name: ejected.Name, State: Running, StartedAt: rig.now})
 	for _, id := range stuck {
 		rig.endAttempt(id, 0, Completed, 0)
 	}
@@ -97,9 +97,9 @@
 	}
 }
 
-// Ejected names the workers that get no requests: until they answer again, on trial too; none that drains,
-// and none in panic.
-func TestEjectedNamesWorkersThatGetNothing(t *testing.T) {
+// Ejected names the workers that get no requests, until they answer again; a trial meanwhile does not change
+// that.
+func TestEjectedNamesAWorkerUntilItAnswers(t *testing.T) {
 	rig := newRig(t, testSettings(), 5)
 	rig.setCeilings(1000, 1e6)
 	ejected := rig.fleet[2]
@@ -131,6 +131,10 @@
 	if trials == 0 || rig.Ejected() != nil {
 		t.Fatalf("%v are ejected after %d trials that were served", rig.Ejected(), trials)
 	}
+}
+
+func TestEjectedNamesNoneInPanicAndNoneThatDrains(t *testing.T) {
+	rig := newRig(t, testSettings(), 5)
 	for _, worker := range rig.fleet[:3] {
 		rig.setFailureScore(worker, 1, attemptsFail)
 	}
@@ -139,26 +143,23 @@
 	}
 	rig.setFailureScore(rig.fleet[0], 0, answersAgain)
 	rig.setFailureScore(rig.fleet[1], 0, answersAgain)
-	rig.handle(
-		rig.now,
-		Event{
-			Kind:      ListUpdated,
-			ListKind:  ListDelta,
-			Endpoints: []Endpoint{{Name: ejected.Name, State: Draining}},
-		},
-	)
+	ejected := rig.fleet[2]
+	if !slices.Equal(rig.Ejected(), []string{ejected.Name}) {
+		t.Fatalf("%v are ejected, want %s", rig.Ejected(), ejected.Name)
+	}
+	rig.updateList(Endpoint{Name: ejected.Name, State: Draining})
 	if rig.Ejected() != nil {
 		t.Fatalf("%v are ejected, and drain", rig.Ejected())
 	}
 }
 
-// Two faults at once: a worker vanishes while the endpoint list cannot be had. Its silence alone must keep
-// new requests away, and the list that comes at last must not bring it back into use.
+// A worker crashes while calls for the endpoint list fail. Its silence alone must keep new requests away, and
+// the next list must not bring it back into use, since it names no new start.
 func TestSilentWorkerIsAvoidedWhileTheListFails(t *testing.T) {
 	rig := newRig(t, testSettings(), 3)
 	lost := rig.assignedTo(rig.arrive(0))
 	rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListFailed})
-	rig.handle(rig.now+3*time.Second, Event{Kind: TimerFired, Timer: sweepTimer})
+	rig.sweepAt(rig.now + 3*time.Second)
 	for range 20 {
 		id := rig.arrive(0)
 		if rig.assignedTo(id) == lost {
@@ -168,11 +169,11 @@
 	}
 	rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: []Endpoint{{Name: lost}}})
 	if worker := rig.workers[lost]; !worker.ejected || len(rig.fleet) != 1 {
-		t.Fatal("the list cleared a silent worker that has not started anew")
+		t.Fatal("the list took back a silent worker that has not started again")
 	}
 }
 
-// A worker that no repeatable request can try must not stay ejected for good.
+// A worker that only gets requests which must not run twice does not stay ejected for ever.
 func TestFailureScoreFades(t *testing.T) {
 	rig := newRig(t, testSettings(), 3)
 	id := rig.arrive(1)
@@ -184,25 +185,23 @@
 	}
 	rig.now += 3 * rig.planningHorizon
 	if !rig.usable(request, bad) {
-		t.Fatal("ejected for good")
+		t.Fatal("still ejected after three horizons")
 	}
 }
 
-// A request that a worker calls invalid fails at once: it is not tried elsewhere, and neither that worker
-// nor the fleet is blamed. A worker that says so of all that it gets is at fault itself.
+// A request that a worker calls invalid fails at once: it is not tried elsewhere, and neither that worker nor
+// the fleet is blamed.
 func TestInvalidRequestBlamesNoWorker(t *testing.T) {
 	rig := newRig(t, testSettings(), 3)
 	before := rig.ceilings.concurrencyPerWorker
-	worker := ""
 	for i := range 2 * maxConsecutiveInvalid {
 		id := rig.arrive(i % 2)
-		out := rig.endAttempt(id, 0, InvalidRequest, time.Millisecond)
-		if len(out) == 0 || out[0].Kind != Fail || out[0].Request != id || rig.requests[id] != nil {
-			t.Fatalf("request %d: %+v", i, out)
+		actions := rig.endAttempt(id, 0, InvalidRequest, time.Millisecond)
+		if len(actions) == 0 || actions[0].Kind != Fail || actions[0].Request != id ||
+			rig.requests[id] != nil {
+			t.Fatalf("request %d: %+v", i, actions)
 		}
-		good := rig.arrive(0)
-		worker = rig.assignedTo(good)
-		rig.endAttempt(good, 0, Completed, time.Second)
+		rig.endAttempt(rig.arrive(0), 0, Completed, time.Second)
 		for _, worker := range rig.fleet {
 			worker.consecutiveInvalid = 0
 		}
@@ -213,18 +212,22 @@
 	if ejected != 0 || ceiling < before || inFlight != 0 {
 		t.Errorf("%d ejected, ceiling %v of %v, %v in flight", ejected, ceiling, before, inFlight)
 	}
-	rig.workers[worker].consecutiveInvalid = maxConsecutiveInvalid
-	for {
-		id := rig.arrive(0)
-		if rig.assignedTo(id) != worker {
-			rig.endAttempt(id, 0, Completed, time.Second)
-			continue
-		}
-		rig.endAttempt(id, 0, InvalidRequest, time.Millisecond)
-		if rig.requests[id] == nil ||
-			!rig.workers[worker].ejected {
-			t.Error("a worker that can use nothing is believed")
-		}
-		break
+}
+
+// A worker that calls all requests invalid is at fault itself: it is ejected, and its request is retried.
+func TestWorkerThatCallsAllRequestsInvalidIsEjected(t *testing.T) {
+	rig := newRig(t, testSettings(), 3)
+	first := rig.arrive(0)
+	worker := rig.workers[rig.assignedTo(first)]
+	rig.endAttempt(first, 0, Completed, time.Second)
+	worker.consecutiveInvalid = maxConsecutiveInvalid
+	id := rig.arrive(0)
+	for rig.assignedTo(id) != worker.Name {
+		rig.endAttempt(id, 0, Completed, time.Second)
+		id = rig.arrive(0)
+	}
+	rig.endAttempt(id, 0, InvalidRequest, time.Millisecond)
+	if rig.requests[id] == nil || !worker.ejected {
+		t.Error("a worker that calls all requests invalid is believed")
 	}
 }
--- a/decision/pricing_test.go
+++ b/decision/pricing_test.go
@@ -38,7 +38,7 @@
 func TestUnhintedRequestPaysNoSlotPrice(t *testing.T) {
 	rig := newRig(t, testSettings(), 4)
 	rig.prices.slot = 100
-	rig.handle(rig.now, Event{Kind: RequestArrived, Request: 1, Slots: 1, TimeLeft: 5 * time.Second})
+	rig.offer(Event{Request: 1, Slots: 1, TimeLeft: 5 * time.Second})
 	if findAction(rig.actions, Assign) == nil {
 		t.Fatal("an unhinted request pays no slot price")
 	}
@@ -83,17 +83,7 @@
 	for range 5 {
 		rig.arrive(0)
 	}
-	rig.handle(
-		rig.now,
-		Event{
-			Kind:        RequestArrived,
-			Request:     99,
-			Slots:       1,
-			Work:        time.Second,
-			TimeLeft:    4 * time.Second,
-			ClientRetry: true,
-		},
-	)
+	rig.offer(Event{Request: 99, Slots: 1, Work: time.Second, TimeLeft: 4 * time.Second, ClientRetry: true})
 	rig.sweep()
 	if _, requests := rig.recentBids(); math.Abs(requests-5) > 1e-9 {
 		t.Fatalf("%v requests in the mix, want 5", requests)
--- a/decision/quota_test.go
+++ b/decision/quota_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-func TestTenantBeyondQuotaWeighsLess(t *testing.T) {
+// Requests beyond their tenant's quota have less value; those of other tenants keep theirs.
+func TestRequestsBeyondTheQuotaHaveLessValue(t *testing.T) {
 	settings := testSettings()
 	settings.TenantQuotas = []float64{2, 50}
 	settings.OverQuotaWeight = 0.1
@@ -13,17 +14,7 @@
 	over := 0
 	for id := uint64(1); id <= 40; id++ {
 		rig.now += 50 * time.Millisecond // 20 a second, of which the quota here is 1
-		rig.handle(
-			rig.now,
-			Event{
-				Kind:     RequestArrived,
-				Request:  id,
-				Tenant:   0,
-				Slots:    1,
-				Work:     time.Second,
-				TimeLeft: 5 * time.Second,
-			},
-		)
+		rig.offer(Event{Request: id, Tenant: 0, Slots: 1, Work: time.Second, TimeLeft: 5 * time.Second})
 		if rig.requests[id].value < 0.5 {
 			over++
 		}
@@ -31,31 +22,11 @@
 	if over < 20 {
 		t.Fatalf("%d of 40 judged beyond the quota", over)
 	}
-	rig.handle(
-		rig.now,
-		Event{
-			Kind:        RequestArrived,
-			Request:     41,
-			Slots:       1,
-			Work:        time.Second,
-			TimeLeft:    4 * time.Second,
-			ClientRetry: true,
-		},
-	)
+	rig.offer(Event{Request: 41, Slots: 1, Work: time.Second, TimeLeft: 4 * time.Second, ClientRetry: true})
 	if rig.requests[41].value > 0.5 {
-		t.Fatal("a repeat escapes the quota")
+		t.Fatal("a client's retry is not held to the quota")
 	}
-	rig.handle(
-		rig.now,
-		Event{
-			Kind:     RequestArrived,
-			Request:  42,
-			Tenant:   1,
-			Slots:    1,
-			Work:     time.Second,
-			TimeLeft: 5 * time.Second,
-		},
-	)
+	rig.offer(Event{Request: 42, Tenant: 1, Slots: 1, Work: time.Second, TimeLeft: 5 * time.Second})
 	if rig.requests[42].value < 0.5 {
 		t.Fatal("another tenant pays for the burst")
 	}
--- a/decision/reconfigure_test.go
+++ b/decision/reconfigure_test.go
@@ -26,22 +26,13 @@
 	}
 	later := rig.requests[rig.arrive(0)]
 	if later.class != class || later.value != 7*value || later.objective != objective-160*time.Millisecond {
-		t.Errorf(
-			"a later request has value %v and objective %v; the former %v and %v",
-			later.value,
-			later.objective,
-			value,
-			objective,
-		)
+		t.Errorf("a later request has value %v and objective %v; the former %v and %v",
+			later.value, later.objective, value, objective)
 	}
 	if rig.sweepInterval >= sweepInterval || rig.sweepInterval != rig.settings.sweepInterval() ||
 		rig.settings.MaxRetryAfter != time.Second {
-		t.Errorf(
-			"a sweep each %v, before %v; Retry-After of %v at the most",
-			rig.sweepInterval,
-			sweepInterval,
-			rig.settings.MaxRetryAfter,
-		)
+		t.Errorf("a sweep each %v, before %v; Retry-After of %v at the most",
+			rig.sweepInterval, sweepInterval, rig.settings.MaxRetryAfter)
 	}
 	rig.endAttempt(open.id, 0, Completed, time.Second)
 	if rig.requests[open.id] != nil || rig.counts.eligibleShare(class) != 1 {
@@ -102,7 +93,7 @@
 			settings.Classes[1].LatencyObjective = -1
 			return settings
 		},
-		"no number at all": func(settings *Settings) *Settings {
+		"not a number": func(settings *Settings) *Settings {
 			settings.OverQuotaWeight = math.NaN()
 			return settings
 		},
@@ -114,7 +105,7 @@
 		next.Classes[0].PriorityWeight = 9
 		rig.handle(rig.now, Event{Kind: SettingsChanged, Settings: change(&next)})
 		if !reflect.DeepEqual(rig.settings, before) || findAction(rig.actions, Log) == nil {
-			t.Errorf("%s: taken in: %+v", name, rig.settings)
+			t.Errorf("%s: accepted: %+v", name, rig.settings)
 		}
 	}
 }
--- a/decision/retry_test.go
+++ b/decision/retry_test.go
@@ -26,73 +26,82 @@
 	id := rig.arrive(0)
 	rig.endAttempt(id, 0, Saturated, time.Millisecond)
 	rig.endAttempt(id, 1, Saturated, time.Millisecond)
-	if request := rig.requests[id]; request == nil || !request.queued ||
-		request.notBefore < rig.now+100*time.Millisecond {
+	request := rig.requests[id]
+	if request == nil || !request.queued || request.notBefore < rig.now+100*time.Millisecond {
 		t.Fatalf("third attempt not held: %+v", request)
 	}
 }
 
-// A deduplicated request that may have run and whose window is over has nothing to wait for: it is answered
-// then, rejected where any worker would discard a repeat, else failed.
-func TestRequestBeyondItsDedupWindowIsAnsweredAtOnce(t *testing.T) {
-	answers := map[DedupScope]ActionKind{
-		DedupEverywhere: Reject,
-		DedupWithinZone: Fail,
-		DedupWithinCell: Fail,
-	}
-	for scope, want := range answers {
-		// The window ends as it waits, and as it comes back.
-		for _, last := range []AttemptOutcome{Failed, Saturated} {
-			settings := testSettings()
-			settings.Classes[1].Idempotency = Deduplicated
-			settings.Classes[1].DedupScope = scope
-			settings.Classes[1].DedupWindow = 1500 * time.Millisecond
-			settings.Classes[1].LatencyObjective = 5 * time.Second
-			settings.Classes[1].ObjectiveStretch = 0
-			rig := newRig(t, settings, 2)
-			id := rig.arrive(1)
-			sent := rig.requests[id].attempts[0].sentAt
-			for _, worker := range rig.fleet {
-				worker.saturatedUntil = rig.now + time.Hour
-			}
-			if last == Saturated {
-				rig.fleet[0].saturatedUntil = 0
-				rig.fleet[1].saturatedUntil = 0
-			}
-			rig.endAttempt(id, 0, Failed, 100*time.Millisecond)
-			if last == Saturated { // a retry has gone out in time, and comes back late, never run
-				if request := rig.requests[id]; request == nil || len(request.attempts) != 2 {
-					t.Fatalf("group %d: not retried in time", scope)
-				}
-				rig.endAttempt(id, 1, Saturated, 1500*time.Millisecond)
-				if findAction(rig.actions, want) == nil {
-					t.Fatalf("group %d: not answered in the turn in which its last attempt came back", scope)
-				}
-			}
-			for findAction(rig.actions, want) == nil {
-				rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
-				if rig.now > sent+2*time.Second {
-					t.Fatalf("group %d, %v: still waiting after its window", scope, last)
-				}
-				if findAction(rig.actions, Assign) != nil {
-					t.Fatalf("group %d, %v: retried after its window", scope, last)
-				}
+// dedupAnswers are the final answers of a Deduplicated request that may have run and whose DedupWindow is
+// over: it is rejected where any worker would discard a repeat by the client, and failed elsewhere.
+var dedupAnswers = map[DedupScope]ActionKind{
+	DedupEverywhere: Reject,
+	DedupWithinZone: Fail,
+	DedupWithinCell: Fail,
+}
+
+// newDedupRig returns a rig with two workers, and a Deduplicated request that was sent to one of them.
+func newDedupRig(t *testing.T, scope DedupScope) (*rig, uint64) {
+	t.Helper()
+	settings := testSettings()
+	class := &settings.Classes[1]
+	class.Idempotency = Deduplicated
+	class.DedupScope = scope
+	class.DedupWindow = 1500 * time.Millisecond
+	class.LatencyObjective = 5 * time.Second
+	class.ObjectiveStretch = 0
+	rig := newRig(t, settings, 2)
+	return rig, rig.arrive(1)
+}
+
+func TestWaitingRequestIsAnsweredAtTheEndOfItsDedupWindow(t *testing.T) {
+	for scope, want := range dedupAnswers {
+		rig, id := newDedupRig(t, scope)
+		sent := rig.requests[id].attempts[0].sentAt
+		for _, worker := range rig.fleet {
+			worker.saturatedUntil = rig.now + time.Hour
+		}
+		rig.endAttempt(id, 0, Failed, 100*time.Millisecond)
+		for findAction(rig.actions, want) == nil {
+			rig.nextSweep()
+			if rig.now > sent+2*time.Second {
+				t.Fatalf("scope %d: still waiting after its window", scope)
 			}
-			if rig.now < sent+1400*time.Millisecond {
-				t.Errorf(
-					"group %d, %v: given up after %v, with the window still open",
-					scope,
-					last,
-					rig.now-sent,
-				)
+			if findAction(rig.actions, Assign) != nil {
+				t.Fatalf("scope %d: retried after its window", scope)
 			}
 		}
+		if rig.now < sent+1400*time.Millisecond {
+			t.Errorf("scope %d: given up after %v, with the window still open", scope, rig.now-sent)
+		}
+	}
+}
+
+// A retry is sent in time, and rejected by its worker after the window.
+func TestRetryThatEndsAfterTheDedupWindowIsAnsweredAtOnce(t *testing.T) {
+	for scope, want := range dedupAnswers {
+		rig, id := newDedupRig(t, scope)
+		sent := rig.requests[id].attempts[0].sentAt
+		rig.endAttempt(id, 0, Failed, 100*time.Millisecond)
+		if request := rig.requests[id]; request == nil || len(request.attempts) != 2 {
+			t.Fatalf("scope %d: not retried in time", scope)
+		}
+		rig.endAttempt(id, 1, Saturated, 1500*time.Millisecond)
+		if findAction(rig.actions, want) == nil {
+			t.Fatalf("scope %d: not answered when its last attempt ended: %v", scope, rig.actions)
+		}
+		if findAction(rig.actions, Assign) != nil {
+			t.Fatalf("scope %d: retried after its window", scope)
+		}
+		if rig.now < sent+1400*time.Millisecond {
+			t.Errorf("scope %d: given up after %v, with the window still open", scope, rig.now-sent)
+		}
 	}
 }
 
 // Once the retry budget is spent, a failed request is answered at once rather than retried, and a window
 // later there is budget again.
-func TestRetryBudget(t *testing.T) {
+func TestRetryBudgetBoundsRetriesInAWindow(t *testing.T) {
 	settings := testSettings()
 	settings.RetryBudgetWindow = 10 * time.Second
 	settings.RetryBudgetFloor = 1
@@ -140,10 +149,10 @@
 	rig.endAttempt(id, 0, Saturated, time.Millisecond)
 	if findAction(rig.actions, Fail) == nil || findAction(rig.actions, Assign) != nil ||
 		findAction(rig.actions, Reject) != nil {
-		t.Fatalf("after 'full' without proof: %v", rig.actions)
+		t.Fatalf("after Saturated without proof: %v", rig.actions)
 	}
 	rig.workers["w2"].saturatedUntil = rig.now + time.Hour
-	if w := rig.send(1); w != "" {
-		t.Fatalf("sent to %q though its only worker is full", w)
+	if name := rig.send(1); name != "" {
+		t.Fatalf("sent to %q though its only worker is full", name)
 	}
 }
--- a/decision/ring_test.go
+++ b/decision/ring_test.go
@@ -7,7 +7,7 @@
 
 // Where a cache miss has a price, all dispatchers send a key to the same few workers, and elsewhere when
 // those are full.
-func TestKeysHaveOwners(t *testing.T) {
+func TestAllDispatchersSendAKeyToItsOwners(t *testing.T) {
 	settings := testSettings()
 	settings.CacheMissCost = 0.15
 	owners := map[string]bool{}
@@ -30,37 +30,39 @@
 	}
 }
 
-// A worker caches what few keys name. Where a miss has no price, rare keys go to the same eight workers
-// from every dispatcher; a frequent one would overrun those, and is cached everywhere.
-func TestRareKeysHaveOwnersWithoutAPrice(t *testing.T) {
+// Where a cache miss has no price, rare keys go to the same eight workers from every dispatcher. A frequent
+// key would overload these, and is cached everywhere. During a fault, what is known of workers counts for
+// more than their caches.
+func TestOnlyRareKeysHaveOwnersWhereAMissHasNoPrice(t *testing.T) {
 	owners := map[string]bool{}
 	frequent := map[string]bool{}
 	faulty := map[string]bool{}
+	faults := map[string]func(*rig){
+		"an ejected worker": func(rig *rig) { rig.setFailureScore(rig.fleet[0], 1, attemptsFail) },
+		"many bad outcomes": func(rig *rig) { rig.ceilings.badRatio = overloadBadRatio },
+	}
 	for seed := range uint64(60) {
-		r := newSeededRig(t, testSettings(), 50, seed)
-		owners[r.assignedTo(r.arriveWithKey(0, "k"))] = true
-		for name, wrong := range map[string]func(*rig){
-			"an ejected worker": func(rig *rig) { rig.setFailureScore(rig.fleet[0], 1, attemptsFail) },
-			"many bad outcomes": func(rig *rig) { rig.ceilings.badRatio = overloadBadRatio },
-		} { // then what is known of workers counts for more than their caches
+		healthy := newSeededRig(t, testSettings(), 50, seed)
+		owners[healthy.assignedTo(healthy.arriveWithKey(0, "k"))] = true
+		for name, cause := range faults {
 			rig := newSeededRig(t, testSettings(), 50, seed)
-			wrong(rig)
+			cause(rig)
 			faulty[name+rig.assignedTo(rig.arriveWithKey(0, "k"))] = true
 		}
 		for range 8 {
-			r.now += 5 * time.Second
-			id := r.arriveWithKey(0, "k")
-			frequent[r.assignedTo(id)] = true
-			r.endAttempt(id, 0, Completed, time.Second)
+			healthy.now += 5 * time.Second
+			id := healthy.arriveWithKey(0, "k")
+			frequent[healthy.assignedTo(id)] = true
+			healthy.endAttempt(id, 0, Completed, time.Second)
 		}
 	}
 	if len(owners) > maxOwners || len(owners) < maxOwners/2 {
 		t.Fatalf("60 dispatchers send a rare key to %d workers", len(owners))
 	}
 	if len(faulty) < 2*3*maxOwners {
-		t.Fatalf("in trouble they send a rare key to %d workers", len(faulty)/2)
+		t.Fatalf("during a fault they send a rare key to %d workers", len(faulty)/2)
 	}
 	if len(frequent) < 3*maxOwners {
-		t.Fatalf("they send one that they meet all the time to %d", len(frequent))
+		t.Fatalf("they send a frequent key to %d workers", len(frequent))
 	}
 }
--- a/decision/saturation_test.go
+++ b/decision/saturation_test.go
@@ -7,55 +7,66 @@
 	"time"
 )
 
-// A worker that turns away request after request of one class while it takes others gets that class ever
-// more seldom, and the others as before.
-func TestClassTurnedAwayGoesElsewhere(t *testing.T) {
+// A worker that rejects all requests of one class while it accepts others is sent that class more and more
+// rarely, and the others as before. Once it accepts the class again, it is no longer blocked.
+func TestClassThatAWorkerRejectsGoesElsewhere(t *testing.T) {
 	settings := testSettings()
 	settings.StartNotices = true
-	rig := newRig(t, settings, 4)
-	rejected := map[string]int{}
-	selective := true
-	serve := func(class int) { // also what was held back and is placed only now
-		rig.arrive(class)
-		for _, id := range slices.Sorted(maps.Keys(rig.requests)) {
-			for n := 0; rig.requests[id] != nil && n < len(rig.requests[id].attempts); n++ {
-				request := rig.requests[id]
-				w := request.attempts[n].worker.Name
-				if request.attempts[n].ended {
-					continue
-				}
-				if selective && request.class == &rig.settings.Classes[1] && (w == "w0" || w == "w1") {
-					rejected[w]++
-					rig.endAttempt(id, n, Saturated, time.Millisecond)
-					continue
-				}
-				rig.handle(
-					rig.now+time.Millisecond,
-					Event{Kind: AttemptStarted, Request: id, Attempt: n, Worker: w},
-				)
-				rig.endAttempt(id, n, Completed, 100*time.Millisecond)
-			}
-		}
-	}
+	rig := &selectiveRig{rig: newRig(t, settings, 4), selective: true}
 	for range 120 {
-		serve(0)
-		serve(1)
+		rig.arrive(0)
+		rig.serve()
+		rig.arrive(1)
+		rig.serve()
 	}
-	if n := rejected["w0"] + rejected["w1"]; n < 4 || n > 30 {
-		t.Errorf("%d of 120 requests were rejected by workers that do not take them", n)
+	if rig.rejections < 4 || rig.rejections > 30 {
+		t.Errorf("%d of 120 requests were rejected by workers that do not take them", rig.rejections)
 	}
-	// It is tried again, and believed.
 	rig.now += 5 * time.Second
-	selective = false
-	for range 40 { // four at a time, lest the two known best serve them all
-		rig.arrive(1)
-		rig.arrive(1)
-		rig.arrive(1)
-		serve(1)
+	rig.selective = false
+	for range 40 {
+		for range 4 { // so many at a time that the two best known workers cannot serve them all
+			rig.arrive(1)
+		}
+		rig.serve()
 	}
 	for _, worker := range rig.fleet {
-		if u := worker.rejectionsOf(&rig.settings.Classes[1]); u.count != 0 || u.blockedUntil != 0 {
-			t.Errorf("%s takes the class again, but is held to turn it away: %+v", worker.Name, *u)
+		rejections := worker.rejectionsOf(&rig.settings.Classes[1])
+		if rejections.count != 0 || rejections.blockedUntil != 0 {
+			t.Errorf("%s accepts the class again, and is still blocked: %+v", worker.Name, *rejections)
+		}
+	}
+}
+
+// selectiveRig is a rig whose workers w0 and w1 reject class 1 while selective.
+type selectiveRig struct {
+	*rig
+	selective  bool
+	rejections int
+}
+
+// serve ends all outstanding attempts, and those that are assigned meanwhile.
+func (r *selectiveRig) serve() {
+	for _, id := range slices.Sorted(maps.Keys(r.requests)) {
+		for number := 0; r.requests[id] != nil && number < len(r.requests[id].attempts); number++ {
+			if !r.requests[id].attempts[number].ended {
+				r.serveAttempt(id, number)
+			}
 		}
 	}
 }
+
+// serveAttempt lets a worker reject an attempt or complete it.
+func (r *selectiveRig) serveAttempt(id uint64, number int) {
+	request := r.requests[id]
+	worker := request.attempts[number].worker.Name
+	rejecting := r.selective && (worker == "w0" || worker == "w1")
+	if rejecting && request.class == &r.settings.Classes[1] {
+		r.rejections++
+		r.endAttempt(id, number, Saturated, time.Millisecond)
+		return
+	}
+	started := Event{Kind: AttemptStarted, Request: id, Attempt: number, Worker: worker}
+	r.handle(r.now+time.Millisecond, started)
+	r.endAttempt(id, number, Completed, 100*time.Millisecond)
+}
--- a/decision/serialization_test.go
+++ b/decision/serialization_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Serialized requests with one key run one at a time, in the order in which they came, and after a reset
-// the key has a cooldown. Those without it, or with another, go on.
+// Serialized requests with one key run one at a time, in the order of their arrival. After a connection was
+// lost the key has a cooldown. Requests without a key, or with another one, do not wait.
 func TestSerializedKeysRunOneAtATime(t *testing.T) {
 	settings := testSettings()
 	settings.KeyCooldown = 300 * time.Millisecond
--- a/decision/sweep_test.go
+++ b/decision/sweep_test.go
@@ -5,59 +5,52 @@
 	"time"
 )
 
-// While many outcomes are bad, a request that can hardly be in time stands before others in its worker's
-// queue for a part of its weight. It is cancelled before it starts and rejected; so is a client's retry
-// that comes too late. One that has started, or must not run twice, goes on, and so do all while few
-// outcomes are bad.
-func TestLateRequestMakesWay(t *testing.T) {
+// While many outcomes are bad, a request that can hardly be in time delays others in its worker's queue for
+// a part of its weight. It is cancelled before it starts and rejected; so is a client's retry that comes too
+// late. One that has started, or must not run twice, goes on, and so do all while few outcomes are bad.
+func TestLateRequestIsCancelledUnderOverload(t *testing.T) {
 	for name, test := range map[string]struct {
 		class         int
-		bad           float64
-		from          int // sweeps after which it is so
+		badRatio      float64
+		from          int // sweeps after which badRatio is so high
 		started, away bool
 	}{
-		"overloaded": {0, 0.4, 0, false, true}, "calm": {0, 0.1, 0, false, false},
+		"overloaded":                 {0, 0.4, 0, false, true},
+		"calm":                       {0, 0.1, 0, false, false},
 		"overloaded once it is late": {0, 0.4, 16, false, true},
-		"started":                    {0, 0.4, 0, true, false}, "not idempotent": {1, 0.4, 0, false, false},
+		"started":                    {0, 0.4, 0, true, false},
+		"not idempotent":             {1, 0.4, 0, false, false},
 	} {
 		settings := testSettings()
 		settings.StartNotices = true
 		rig := newRig(t, settings, 4)
 		id := rig.arrive(test.class)
 		if test.started {
-			rig.handle(rig.now, Event{Kind: AttemptStarted, Request: id, Worker: rig.assignedTo(id)})
+			rig.reportStart(id)
 		}
-		var refused, stopped bool
+		rejected := false
+		cancelled := false
 		for sweep := range 20 {
 			rig.ceilings.badRatio = 0
 			if sweep >= test.from {
-				rig.ceilings.badRatio = test.bad
+				rig.ceilings.badRatio = test.badRatio
 			}
 			if sweep == 16 && test.from > 0 && !rig.requests[id].late {
 				t.Fatal("it is not late yet")
 			}
-			rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
-			refused = refused || findAction(rig.actions, Reject) != nil
-			stopped = stopped || findAction(rig.actions, CancelAttempt) != nil
+			rig.nextSweep()
+			rejected = rejected || findAction(rig.actions, Reject) != nil
+			cancelled = cancelled || findAction(rig.actions, CancelAttempt) != nil
 		}
-		if refused != test.away || stopped != test.away {
-			t.Errorf("%s: rejected %v, cancelled %v, want %v", name, refused, stopped, test.away)
+		if rejected != test.away || cancelled != test.away {
+			t.Errorf("%s: rejected %v, cancelled %v, want %v", name, rejected, cancelled, test.away)
 		}
-		rig.ceilings.badRatio = test.bad
-		const full = 5 * time.Second
-		rig.estimates.maxTimeLeft[0] = full
-		rig.handle(
-			rig.now,
-			Event{
-				Kind:     RequestArrived,
-				Request:  1 << 40,
-				Class:    0,
-				Work:     100 * time.Millisecond,
-				TimeLeft: full / 2,
-			},
-		)
-		if again := findAction(rig.actions, Reject) != nil; again != (test.bad > overloadBadRatio) {
-			t.Errorf("%s: a repeat that comes too late: rejected %v", name, again)
+		rig.ceilings.badRatio = test.badRatio
+		const fullTime = 5 * time.Second
+		rig.estimates.maxTimeLeft[0] = fullTime
+		rig.offer(Event{Request: 1 << 40, Class: 0, Work: 100 * time.Millisecond, TimeLeft: fullTime / 2})
+		if again := findAction(rig.actions, Reject) != nil; again != (test.badRatio > overloadBadRatio) {
+			t.Errorf("%s: a client's retry that comes too late: rejected %v", name, again)
 		}
 	}
 }
@@ -70,7 +63,7 @@
 	rig.prices.work = 0.1
 	rig.nextPricingAt = rig.now + time.Hour
 	for rig.requests[id] != nil && rig.now < objective+time.Second {
-		rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
+		rig.nextSweep()
 	}
 	action := findAction(rig.actions, Reject)
 	if action == nil || rig.now >= objective ||
@@ -89,14 +82,14 @@
 	if !waits.queued || rig.prices.work+rig.prices.slot > 0 {
 		t.Fatal("the third request should wait, unpriced")
 	}
-	rig.handle(waits.objective-seconds(waits.work), Event{Kind: TimerFired, Timer: sweepTimer})
+	rig.sweepAt(waits.objective - seconds(waits.work))
 	if !waits.ended || findAction(rig.actions, Reject) == nil {
 		t.Fatal("a request that can hardly be in time waits on, though the ceiling is full")
 	}
 }
 
-// A request that earns nothing once late is rejected when its objective passes.
-func TestWorthlessRequestIsAnsweredAtOnce(t *testing.T) {
+// A request that earns nothing once it is late is rejected when its objective passes.
+func TestRequestWithoutLateValueIsRejectedAtItsObjective(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[0].LateWeight = 0
 	rig := newRig(t, settings, 1)
@@ -104,7 +97,7 @@
 	id := rig.arrive(0)
 	objective := rig.requests[id].objective
 	for findAction(rig.actions, Reject) == nil {
-		rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
+		rig.nextSweep()
 		if rig.now > objective {
 			t.Fatal("still waiting after its objective")
 		}
@@ -114,9 +107,9 @@
 	}
 }
 
-// A request that waits in a worker's queue, can't be in time any more and earns nothing late is cancelled,
-// lest workers' queues be full of such.
-func TestWorthlessAttemptIsCancelledWhereItWaits(t *testing.T) {
+// A request that waits in a worker's queue, can no longer be in time and earns nothing late is cancelled, so
+// that workers' queues do not fill with such requests.
+func TestAttemptWithoutLateValueIsCancelledBeforeItsStart(t *testing.T) {
 	for class, answer := range []ActionKind{Reject, Fail} {
 		for _, started := range []bool{false, true} {
 			rig := newRig(t, settingsWithoutHints(), 1)
@@ -125,22 +118,19 @@
 				t.Fatal("not sent")
 			}
 			if started {
-				rig.handle(rig.now, Event{Kind: AttemptStarted, Request: id, Worker: "w0"})
+				rig.reportStart(id)
 			}
 			var actions []Action
-			sweep := func(until time.Duration) {
-				for rig.now < time.Hour+until {
-					actions = append(
-						actions,
-						rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})...)
+			sweepUntil := func(end time.Duration) {
+				for rig.now < end {
+					actions = append(actions, rig.nextSweep()...)
 				}
 			}
-			sweep(time.Second)
-			if findAction(actions, CancelAttempt) != nil ||
-				findAction(actions, answer) != nil {
+			sweepUntil(time.Hour + time.Second)
+			if findAction(actions, CancelAttempt) != nil || findAction(actions, answer) != nil {
 				t.Fatalf("class %d is cancelled while it can be in time: %v", class, actions)
 			}
-			sweep(3 * time.Second)
+			sweepUntil(time.Hour + 3*time.Second)
 			cancelled := findAction(actions, CancelAttempt) != nil && findAction(actions, answer) != nil
 			if cancelled == started {
 				t.Fatalf("class %d, started %v, cancelled %v: %v", class, started, cancelled, actions)
@@ -149,7 +139,7 @@
 	}
 }
 
-// settingsWithoutHints are classes as another customer has them: no hints come, and an answer that is late
+// settingsWithoutHints returns settings for clients that give no hints, and for which an answer that is late
 // earns nothing.
 func settingsWithoutHints() Settings {
 	settings := testSettings()
