--- a/decision/attempt.go
+++ b/decision/attempt.go
@@ -35,7 +35,7 @@
 func (m *Machine) startAttempt(request *request, worker *worker) {
 	worker.recentWork.add(m.now, m.planningHorizon, request.cost)
 	reservation := request.slowStartCost()
-	worker.slowStartBudget -= reservation
+	worker.budget.saved -= reservation
 	if m.capacityFraction(worker) >= 1 {
 		reservation = 0
 	}
@@ -43,7 +43,7 @@
 	if worker.ejected {
 		m.ceilings.inFlightAtEjected += request.slots
 	}
-	worker.freeSlots -= request.slots
+	worker.load.freeSlots -= request.slots
 	m.zones.get(worker.Zone).lastAttemptAt = m.now
 	attempt := attempt{worker: worker, sentAt: m.now, lastSeen: m.now}
 	attempt.connectionIdle = m.takeIdleConnection(worker)
@@ -153,7 +153,7 @@
 	attempt.ended = true
 	request.outstanding--
 	worker.outstanding -= request.slots
-	worker.freeSlots += request.slots
+	worker.load.freeSlots += request.slots
 	m.ceilings.inFlight = max(m.ceilings.inFlight-request.slots, 0)
 	if worker.ejected {
 		m.ceilings.inFlightAtEjected -= request.slots
--- a/decision/connection.go
+++ b/decision/connection.go
@@ -54,7 +54,7 @@
 		return 0
 	}
 	startsSoon := m.expectedStartWait(worker) <= m.sweepInterval.Seconds()
-	if startsSoon && worker.othersOutstanding <= 0 && worker.unstarted == 0 {
+	if startsSoon && worker.load.othersOutstanding <= 0 && worker.unstarted == 0 {
 		idle = m.now - worker.idleConnections[n-1]
 	}
 	worker.idleConnections = worker.idleConnections[:n-1]
--- a/decision/endpoints.go
+++ b/decision/endpoints.go
@@ -140,8 +140,8 @@
 	m.counts.count(worker, m.settings.Classes)
 	m.placeInLists(worker)
 	if m.settings.LoadAdjustedWeights && endpoint.Weight > 0 {
-		worker.othersOutstanding = m.list.nominalWeight[endpoint.Kind]/endpoint.Weight - 1
-		worker.othersOutstandingAt = m.now
+		perCore := m.list.nominalWeight[endpoint.Kind]/endpoint.Weight - 1
+		worker.load.setOthersOutstanding(perCore, m.now)
 	}
 }
 
--- a/decision/hedge.go
+++ b/decision/hedge.go
@@ -67,11 +67,11 @@
 		return false
 	}
 	worker := attempt.worker
-	if worker.backlogAt <= attempt.sentAt+m.settings.ConnectTimeout {
+	if worker.load.backlogAt <= attempt.sentAt+m.settings.ConnectTimeout {
 		m.checkBacklog(worker, grace)
 		return false
 	}
-	attempt.unresponsive = worker.backlog < 1
+	attempt.unresponsive = worker.load.backlog < 1
 	if attempt.unresponsive {
 		m.stopAwaitingStart(request, attempt)
 	}
--- a/decision/load.go
+++ b/decision/load.go
@@ -1,5 +1,7 @@
 package decision
 
+import "time"
+
 // healthChecksPerArrival is the number of workers that are asked for their load at each arrival.
 const healthChecksPerArrival = 2
 
@@ -22,27 +24,43 @@
 	}
 }
 
-// recordLoad keeps a worker's report of its load, if there is one.
+// workerLoad is the load of a worker by its latest reports. Each figure has the time of its report, since a
+// report need not have all of them.
+type workerLoad struct {
+	freeSlots           float64 // less what was sent since
+	freeSlotsAt         time.Duration
+	backlog             float64 // requests that wait there
+	backlogAt           time.Duration
+	othersOutstanding   float64 // requests of other dispatchers; also by a load-adjusted weight
+	othersOutstandingAt time.Duration
+}
+
+// setOthersOutstanding records how many requests of other dispatchers the worker has.
+func (l *workerLoad) setOthersOutstanding(requests float64, now time.Duration) {
+	l.othersOutstanding = requests
+	l.othersOutstandingAt = now
+}
+
+// recordLoad records a worker's report of its load, if the event has one.
 func (m *Machine) recordLoad(event Event) {
 	worker := m.workers[event.Worker]
 	if worker == nil {
 		return
 	}
-	load := &event.Load
-	if load.HasFreeSlots {
-		worker.freeSlots = load.FreeSlots
-		worker.freeSlotsAt = m.now
+	report := &event.Load
+	load := &worker.load
+	if report.HasFreeSlots {
+		load.freeSlots = report.FreeSlots
+		load.freeSlotsAt = m.now
 	}
-	if load.HasBacklog {
-		worker.backlog = load.Backlog
-		worker.backlogAt = m.now
+	if report.HasBacklog {
+		load.backlog = report.Backlog
+		load.backlogAt = m.now
 	}
 	switch {
-	case load.HasOutstanding:
-		worker.othersOutstanding = max(load.Outstanding-worker.outstanding, 0)
-		worker.othersOutstandingAt = m.now
-	case load.HasBacklog:
-		worker.othersOutstanding = max(load.Backlog, 0)
-		worker.othersOutstandingAt = m.now
+	case report.HasOutstanding:
+		load.setOthersOutstanding(max(report.Outstanding-worker.outstanding, 0), m.now)
+	case report.HasBacklog:
+		load.setOthersOutstanding(max(report.Backlog, 0), m.now)
 	}
 }
--- a/decision/routing.go
+++ b/decision/routing.go
@@ -118,9 +118,9 @@
 // Knowledge of a worker fades over the planning horizon, and a multiple of the mean wait takes its place.
 // Otherwise workers without recent knowledge would look idle to all dispatchers.
 func (m *Machine) expectedDelay(request *request, worker *worker) float64 {
-	knownAt := max(worker.startWait.at, worker.othersOutstandingAt)
+	knownAt := max(worker.startWait.at, worker.load.othersOutstandingAt)
 	known := math.Exp((knownAt - m.now).Seconds() / m.planningHorizon.Seconds())
-	slots := worker.outstanding + worker.othersOutstanding*known + request.slots
+	slots := worker.outstanding + worker.load.othersOutstanding*known + request.slots
 	return slots*m.expectedRunTime(request, worker) +
 		m.expectedStartWait(worker) + unknownWorkerWaits*m.estimates.meanStartWait*(1-known)
 }
--- a/decision/routing_test.go
+++ b/decision/routing_test.go
@@ -60,8 +60,7 @@
 		for seed := range uint64(20) {
 			rig := newSeededRig(t, settings, 2, seed+1)
 			rig.estimates.meanStartWait = test.meanWait
-			rig.fleet[0].othersOutstanding = test.others
-			rig.fleet[0].othersOutstandingAt = rig.now - test.age
+			rig.fleet[0].load.setOthersOutstanding(test.others, rig.now-test.age)
 			got[rig.send(0)]++
 		}
 		if test.want != "" && got[test.want] != 20 || test.want == "" && (got["w0"] < 3 || got["w1"] < 3) {
--- a/decision/saturation.go
+++ b/decision/saturation.go
@@ -68,6 +68,7 @@
 		return true
 	}
 	freshness := max(seconds(m.estimates.meanLatency), m.sweepInterval)
-	fresh := worker.freeSlotsAt > 0 && m.now-worker.freeSlotsAt < freshness
-	return fresh && worker.freeSlots < request.slots
+	load := &worker.load
+	fresh := load.freeSlotsAt > 0 && m.now-load.freeSlotsAt < freshness
+	return fresh && load.freeSlots < request.slots
 }
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -32,6 +32,19 @@
 	clockError = 90 * time.Minute
 )
 
+// slowStartBudget is what a worker in slow start may get from this dispatcher, in hinted slot-seconds.
+type slowStartBudget struct {
+	saved   float64 // below 0 after an overdraft
+	savedAt time.Duration
+}
+
+// save adds what has come in since savedAt, up to a maximum.
+func (b *slowStartBudget) save(now time.Duration, rate, maxSaved float64) {
+	saved := b.saved + rate*(now-b.savedAt).Seconds()
+	b.saved = min(saved, maxSaved)
+	b.savedAt = now
+}
+
 // capacityFraction is the part of its capacity that a worker is sure to have, 1 once it has warmed up.
 func (m *Machine) capacityFraction(worker *worker) float64 {
 	age := max(m.now-worker.StartedAt, 0)
@@ -68,23 +81,17 @@
 	rate := slowStartSafety * m.settings.OverloadMultiple * capacity * m.warmWorkRate(worker.Kind)
 	part := rate * m.settings.OverloadWindow.Seconds()
 	cost := request.slowStartCost()
-	worker.saveSlowStartBudget(m.now, rate, max(part, min(slowStartSavedWindows*part, cost)))
-	if worker.slowStartBudget < 0 || cost > max(worker.slowStartBudget, m.maxSlowStartCost(request, part)) {
+	budget := &worker.budget
+	budget.save(m.now, rate, max(part, min(slowStartSavedWindows*part, cost)))
+	if budget.saved < 0 || cost > max(budget.saved, m.maxSlowStartCost(request, part)) {
 		return false
 	}
 	first := worker.recentWork.at == 0
-	if (cost > part || first) && m.random.Float64()*cost >= worker.slowStartBudget {
-		worker.slowStartBudget = 0
+	if (cost > part || first) && m.random.Float64()*cost >= budget.saved {
+		budget.saved = 0
 		return false
 	}
-	return cost > part || cost <= worker.slowStartBudget+part*slowStartOverdraft
-}
-
-// saveSlowStartBudget adds to the budget what has come in since it was last used, up to a maximum.
-func (w *worker) saveSlowStartBudget(now time.Duration, rate, maxSaved float64) {
-	saved := w.slowStartBudget + rate*(now-w.slowStartBudgetAt).Seconds()
-	w.slowStartBudget = min(saved, maxSaved)
-	w.slowStartBudgetAt = now
+	return cost > part || cost <= budget.saved+part*slowStartOverdraft
 }
 
 // maxSlowStartCost is the largest cost of a request that a worker in slow start may get beyond its budget.
@@ -106,7 +113,7 @@
 	if worker == nil || !(reservation > 0) {
 		return
 	}
-	worker.slowStartBudget -= reservation
+	worker.budget.saved -= reservation
 	worker.recentWork.add(m.now, m.planningHorizon, 0) // the worker has had its first request
 }
 
--- a/decision/slowstart_draw_test.go
+++ b/decision/slowstart_draw_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// After a mass replacement most of the fleet is in slow start, and nearly every worker there has no budget
-// for a request. All of them are drawn, while warm ones stay bounded.
+// After a mass replacement most of the fleet is in slow start, and hardly any worker there has budget for a
+// request. All of them are drawn, while the number of warm ones drawn stays bounded.
 func TestAllWorkersInSlowStartAreDrawn(t *testing.T) {
 	settings := testSettings()
 	settings.Peers = 300
@@ -15,15 +15,14 @@
 		rig := newSeededRig(t, settings, 4*maxWarmDraws, seed)
 		for _, worker := range rig.fleet[1:] { // the first stays warm: budgets are measured by it
 			worker.StartedAt = rig.now
-			worker.slowStartBudgetAt = rig.now
-			worker.slowStartBudget = -1
+			worker.budget = slowStartBudget{saved: -1, savedAt: rig.now}
 			worker.recentWork.add(rig.now, rig.planningHorizon, 0)
 			rig.candidates.warmingUp = append(rig.candidates.warmingUp, worker)
 		}
 		rig.fleet[0].recentWork.add(rig.now, rig.planningHorizon, 100)
 		rig.workRates.scannedAt = 0
-		room := rig.fleet[len(rig.fleet)-1]
-		room.slowStartBudget = 100
+		withBudget := rig.fleet[len(rig.fleet)-1]
+		withBudget.budget.saved = 100
 		request := &request{
 			class:         &rig.settings.Classes[0],
 			slots:         1,
@@ -32,13 +31,10 @@
 			cost:          1,
 			objective:     rig.now + time.Minute,
 		}
-		if worker := rig.pickFrom(request, rig.candidates.warmingUp, inWarmingUp); worker != room {
-			t.Fatalf(
-				"seed %d: the one worker in slow start of %d that has budget is not found: %v",
-				seed,
-				len(rig.candidates.warmingUp),
-				worker,
-			)
+		warmingUp := rig.candidates.warmingUp
+		if worker := rig.pickFrom(request, warmingUp, inWarmingUp); worker != withBudget {
+			t.Fatalf("seed %d: the one worker in slow start of %d that has budget is not found: %v",
+				seed, len(warmingUp), worker)
 		}
 		warm := rig.candidates.warm
 		for _, worker := range warm {
@@ -56,20 +52,19 @@
 			}
 		}
 		if moved > maxWarmDraws {
-			t.Fatalf("%d warm ones were drawn in vain", moved)
+			t.Fatalf("%d warm ones were drawn without success", moved)
 		}
 	}
 }
 
-// Of the workers in slow start the first that can take a request gets it: a drawing for the budget that was
-// won must not go for nothing.
-func TestWonDrawingIsUsed(t *testing.T) {
+// The first worker in slow start that can take a request gets it: its random draw for the budget is won, and
+// another draw must not waste that.
+func TestWorkerThatWinsItsDrawIsPicked(t *testing.T) {
 	for seed := range uint64(20) {
 		rig := newSeededRig(t, testSettings(), 6, seed+1)
 		for i, worker := range rig.fleet {
 			worker.StartedAt = rig.now
-			worker.slowStartBudgetAt = rig.now
-			worker.slowStartBudget = 0.06
+			worker.budget = slowStartBudget{saved: 0.06, savedAt: rig.now}
 			worker.outstanding = float64(i)
 			worker.recentWork.add(rig.now, rig.planningHorizon, 0)
 		}
@@ -91,15 +86,15 @@
 	}
 }
 
-// With many dispatchers a request is larger than a window's part, and is drawn for each time. Taken on debt
-// by all dispatchers whose last, small request was paid for, such requests would overload the worker.
-func TestLargeRequestsInSlowStartAreDrawnFor(t *testing.T) {
+// With many dispatchers a request is larger than a window's part, and needs a random draw each time. If all
+// dispatchers without debt could overdraw their budgets by such a request, the worker would be overloaded.
+func TestLargeRequestsInSlowStartNeedADraw(t *testing.T) {
 	settings := testSettings()
 	settings.Peers = 100
 	rig := newRig(t, settings, 2)
 	worker := rig.fleet[0]
-	for _, x := range rig.fleet {
-		x.recentWork.add(rig.now, rig.planningHorizon, 0.04*rig.planningHorizon.Seconds())
+	for _, each := range rig.fleet {
+		each.recentWork.add(rig.now, rig.planningHorizon, 0.04*rig.planningHorizon.Seconds())
 	}
 	request := &request{class: &rig.settings.Classes[0], slots: 1, work: 0.5, cost: 0.5, classMeanWork: 0.5}
 	worker.StartedAt = rig.now - rig.settings.SlowStartDuration/2
@@ -107,12 +102,11 @@
 	taken := 0
 	const tries = 1000
 	for range tries {
-		worker.slowStartBudgetAt = rig.now
-		worker.slowStartBudget = 0.01
+		worker.budget = slowStartBudget{saved: 0.01, savedAt: rig.now}
 		if rig.withinSlowStartBudget(request, worker) {
 			taken++
-		} else if worker.slowStartBudget != 0 {
-			t.Fatal("the budget of a lost drawing is still there")
+		} else if worker.budget.saved != 0 {
+			t.Fatal("the budget of a lost draw is still there")
 		}
 	}
 	if taken == 0 || taken > 2*tries*0.01/0.5 {
@@ -120,15 +114,15 @@
 	}
 }
 
-// With few dispatchers a window's part holds a request, and requests go to a worker in slow start at an
-// even pace. Drawn for each time, those of several dispatchers would fall together.
+// With few dispatchers a window's part is larger than a request, and requests go to a worker in slow start at
+// an even pace. If each needed a random draw, those of several dispatchers would coincide.
 func TestSlowStartPaceIsEven(t *testing.T) {
 	rig := newRig(t, testSettings(), 2)
 	worker := rig.fleet[0]
 	warm := rig.fleet[1]
 	request := &request{class: &rig.settings.Classes[0], slots: 1, work: 1, cost: 1}
 	worker.StartedAt = rig.now
-	worker.slowStartBudgetAt = rig.now
+	worker.budget.savedAt = rig.now
 	rig.workRates.scannedAt = 0
 	sent := 0
 	last := time.Duration(0)
@@ -147,7 +141,7 @@
 		sent++
 		last = rig.now
 		worker.recentWork.add(rig.now, rig.planningHorizon, 1e-9) // the first has gone
-		worker.slowStartBudget -= request.cost
+		worker.budget.saved -= request.cost
 	}
 	if sent < 4 {
 		t.Fatalf("%d requests were sent", sent)
--- a/decision/slowstart_test.go
+++ b/decision/slowstart_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// What a warm worker has taken is counted as the time its requests ran, not as the guess that stood for
-// them: slow-start budgets are shares of it, and 20 to 30 dispatchers that have just started all begin with
-// the guess.
+// What a warm worker has taken is counted by the time for which its requests ran, not by the estimate that
+// was used before: slow-start budgets follow from it, and 20 to 30 dispatchers that have just started all
+// begin with the same estimate.
 func TestSlowStartBudgetsFollowRunTimes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		objective := time.Duration(rapid.IntRange(500, 3000).Draw(t, "objective in ms")) * time.Millisecond
@@ -60,10 +60,10 @@
 	})
 }
 
-// What all dispatchers together may reserve at a worker in slow start within any window stays within what
-// the settings allow, however busy warm workers are: each has saved at most a window's part, gets one more,
-// and may go beyond by half of one. Requests larger than a part, and the first, are a matter of chance,
-// which the rule allows for.
+// What all dispatchers together may reserve at a worker in slow start within any window stays within what the
+// settings allow, however busy warm workers are: each has saved at most a window's part, gets one more, and
+// may overdraw its budget by half of one. Requests larger than a part, and the first one, need a random draw,
+// for which the rule has an allowance.
 func TestSlowStartReservationsStayWithinTheBudget(t *testing.T) {
 	if sum := 2.5 * slowStartSafety; sum > 1+1e-9 {
 		t.Errorf("a saved part, a window's and half of one come to %.2f of the budget", sum)
@@ -145,9 +145,10 @@
 	if !r.machine.withinSlowStartBudget(request, r.worker) {
 		return
 	}
-	r.worker.slowStartBudget -= request.slowStartCost()
-	if r.worker.slowStartBudget < -part/2*(1+1e-9) {
-		r.t.Fatalf("%.3f of a part beyond what was there", -r.worker.slowStartBudget/part)
+	budget := &r.worker.budget
+	budget.saved -= request.slowStartCost()
+	if budget.saved < -part/2*(1+1e-9) {
+		r.t.Fatalf("%.3f of a part beyond what was saved, want half of one at the most", -budget.saved/part)
 	}
 	r.sent = append(r.sent, workSent{r.machine.now, request.slowStartCost()})
 }
@@ -160,8 +161,8 @@
 	}
 }
 
-// While a process is replaced, what either process sends a worker in slow start is of one budget: each
-// tells what it reserves there, and the other counts it as its own.
+// While a process is replaced, the predecessor and its successor have one budget for a worker in slow start:
+// each reports what it reserves, and the other takes that off its own budget.
 func TestReservationsOfBothProcessesAddUp(t *testing.T) {
 	budget := func(other float64) (sent int, reserved float64) {
 		settings := testSettings()
@@ -171,14 +172,7 @@
 		for range 40 {
 			rig.endAttempt(rig.arrive(0), 0, Completed, 10*time.Millisecond)
 		}
-		rig.handle(
-			rig.now,
-			Event{
-				Kind:      ListUpdated,
-				ListKind:  ListDelta,
-				Endpoints: []Endpoint{{Name: "w0", StartedAt: rig.now}},
-			},
-		)
+		rig.updateList(Endpoint{Name: "w0", StartedAt: rig.now})
 		for range 200 {
 			id := rig.arrive(0)
 			for _, action := range rig.actions {
@@ -196,17 +190,18 @@
 		rig.handle(rig.now, Event{Kind: ReservedElsewhere, Worker: "unknown", Reservation: 1})
 		return sent, reserved
 	}
-	alone, charged := budget(0)
-	beside, _ := budget(charged / 200 / 2) // the other one sends half of what one may
-	if alone < 10 || beside >= alone*3/4 || beside == 0 || charged <= 0 {
-		t.Fatalf("%d sent alone, reserved %v; %d beside one that sends half as much", alone, charged, beside)
+	alone, reserved := budget(0)
+	beside, _ := budget(reserved / 200 / 2) // the other process sends half of what one may
+	if alone < 10 || beside >= alone*3/4 || beside == 0 || reserved <= 0 {
+		t.Fatalf("%d sent alone, reserved %v; %d beside one that sends half as much", alone, reserved, beside)
 	}
 }
 
-// Where requests are larger than a window's part, a slow-start budget is saved for two windows, lest a
-// dispatcher with a request a second lose part of it. Where they are small it is one window, so that few
-// dispatchers that spend all at once stay within the rule: that and a window's part are 0.8 of it.
-func TestSlowStartBudgetIsSaved(t *testing.T) {
+// Where requests are larger than a window's part, a slow-start budget is saved for two windows, so that a
+// dispatcher with a request a second does not lose part of it. Where they are small it is saved for one, so
+// that few dispatchers that spend all at once stay within the rule: a saved part and the part that comes in
+// are 0.8 of what it allows.
+func TestSlowStartBudgetIsSavedForTwoWindowsAtMost(t *testing.T) {
 	settings := testSettings()
 	settings.Peers = 300
 	for _, test := range []struct{ work, windows float64 }{{1e6, 2}, {1e-6, 1}} {
@@ -215,26 +210,24 @@
 		warm := rig.workers["w1"]
 		warm.recentWork.add(rig.now, rig.planningHorizon, 2)
 		worker.StartedAt = rig.now
-		worker.slowStartBudgetAt = rig.now
-		worker.slowStartBudget = 0
+		worker.budget = slowStartBudget{savedAt: rig.now}
 		rig.workRates.scannedAt = 0
 		worker.recentWork.add(rig.now, rig.planningHorizon, 0)
 		rig.now += settings.OverloadWindow * 3
-		share := rig.warmWorkRate(0)
-		warmth := rig.capacityFraction(worker)
-		rig.withinSlowStartBudget(
-			&request{
-				class:         &rig.settings.Classes[0],
-				slots:         1,
-				work:          test.work,
-				cost:          test.work,
-				classMeanWork: 1e-7,
-			},
-			worker,
-		)
-		most := settings.OverloadMultiple * warmth * share * settings.OverloadWindow.Seconds()
-		if got := worker.slowStartBudget / most / slowStartSafety; math.Abs(got-test.windows) > 0.01 {
-			t.Errorf("requests of %g s: the budget of %.2f windows is saved", test.work, got)
+		workRate := rig.warmWorkRate(0)
+		capacity := rig.capacityFraction(worker)
+		request := &request{
+			class:         &rig.settings.Classes[0],
+			slots:         1,
+			work:          test.work,
+			cost:          test.work,
+			classMeanWork: 1e-7,
+		}
+		rig.withinSlowStartBudget(request, worker)
+		window := settings.OverloadMultiple * capacity * workRate * settings.OverloadWindow.Seconds()
+		if got := worker.budget.saved / window / slowStartSafety; math.Abs(got-test.windows) > 0.01 {
+			t.Errorf("requests of %g s: the budget of %.2f windows is saved, want %v",
+				test.work, got, test.windows)
 		}
 	}
 	if 2*slowStartSafety > 0.8 {
@@ -242,29 +235,22 @@
 	}
 }
 
-// A rule whose window is 0 is off: workers in slow start get requests.
-func TestNoOverloadRuleBindsNothing(t *testing.T) {
+// With an OverloadWindow of 0 the rule is off: workers in slow start get requests.
+func TestSlowStartWithoutOverloadWindowIsNotBounded(t *testing.T) {
 	settings := testSettings()
 	settings.OverloadWindow = 0
 	settings.OverloadMultiple = 0
 	settings.SlowStartFloor = 0.9
 	rig := newRig(t, settings, 1)
-	rig.handle(
-		rig.now,
-		Event{
-			Kind:      ListUpdated,
-			ListKind:  ListDelta,
-			Endpoints: []Endpoint{{Name: "w0", StartedAt: rig.now}},
-		},
-	)
+	rig.updateList(Endpoint{Name: "w0", StartedAt: rig.now})
 	if rig.send(0) != "w0" {
-		t.Fatal("a worker in slow start gets nothing though no rule says so")
+		t.Fatal("a worker in slow start gets nothing though no rule bounds it")
 	}
 }
 
 // A busy dispatcher takes all its peers to be as busy. A request of many times the mean must not go to a
-// worker that has just started, though the share of all dispatchers would seem to allow it.
-func TestNoHeavyRequestInSlowStart(t *testing.T) {
+// worker that has just started, though the parts of all dispatchers together would seem to allow it.
+func TestLargeRequestDoesNotGoToAWorkerThatHasJustStarted(t *testing.T) {
 	settings := testSettings()
 	settings.Peers = 80
 	for _, test := range []struct {
@@ -273,11 +259,8 @@
 	}{{0.9, true}, {1.1, false}} {
 		rig := newRig(t, settings, 2)
 		worker := rig.fleet[0]
-		rig.fleet[1].recentWork.add(
-			rig.now,
-			rig.planningHorizon,
-			rig.planningHorizon.Seconds(),
-		) // a slot-second a second from this one alone
+		oneSlot := rig.planningHorizon.Seconds() // a slot-second a second from this dispatcher alone
+		rig.fleet[1].recentWork.add(rig.now, rig.planningHorizon, oneSlot)
 		request := &request{
 			class:         &rig.settings.Classes[0],
 			slots:         1,
@@ -288,20 +271,20 @@
 		taken := false
 		for range 1000 {
 			worker.StartedAt = rig.now
-			worker.slowStartBudgetAt = rig.now
-			worker.slowStartBudget = 0.1
+			worker.budget = slowStartBudget{saved: 0.1, savedAt: rig.now}
 			rig.workRates.scannedAt = 0
 			taken = taken || rig.withinSlowStartBudget(request, worker)
 		}
 		if taken != test.want {
-			t.Errorf("a request of %.1f s where the mean is 0.5: taken %v", test.work, taken)
+			t.Errorf("a request of %.1f s where the mean is 0.5: taken %v, want %v",
+				test.work, taken, test.want)
 		}
 	}
 }
 
-// Requests chosen for their small, rough hints run for many times what those say. They take more of the
-// budget than their hints.
-func TestSmallHintsDoNotFloodAWorkerInSlowStart(t *testing.T) {
+// Requests that are chosen for a small, rough hint run for many times the hint. They take more of the budget
+// than their hints say.
+func TestSmallHintsCostMoreInSlowStart(t *testing.T) {
 	small := &request{slots: 1, work: 0.008, cost: 0.008, classMeanWork: 0.14}
 	if cost := small.slowStartCost(); cost < 0.03 {
 		t.Fatalf("a request that ran for 40 ms and more takes %v s", cost)
--- a/decision/worker.go
+++ b/decision/worker.go
@@ -20,16 +20,9 @@
 	runTimeRatio float64       // learned run time per hinted second; 0: unknown
 	recentWork   decayingValue // work that it took lately, hinted slot-seconds
 
-	slowStartBudget   float64 // what it may get now, hinted slot-seconds; below 0 after an overdraft
-	slowStartBudgetAt time.Duration
-
-	freeSlots           float64 // by the latest report, less what was sent since
-	freeSlotsAt         time.Duration
-	backlog             float64 // requests that wait there by the latest report
-	backlogAt           time.Duration
-	othersOutstanding   float64 // requests of other dispatchers, by a report or a load-adjusted weight
-	othersOutstandingAt time.Duration
-	healthCheckedAt     time.Duration // when an unresponsive connection had its load asked for
+	budget          slowStartBudget // see slowstart.go
+	load            workerLoad      // see load.go
+	healthCheckedAt time.Duration   // when its load was last asked for since a connection is unresponsive
 
 	idleConnections []time.Duration // since when each is unused, the oldest first
 	possiblyLost    *request        // late and not started: its connection may be dead
@@ -46,20 +39,20 @@
 
 // newWorker returns a worker of which only the name is known.
 func newWorker(name string, now time.Duration) *worker {
-	return &worker{nameHash: hashName(name), slowStartBudgetAt: now}
+	return &worker{nameHash: hashName(name), budget: slowStartBudget{savedAt: now}}
 }
 
-// restarted returns the worker as it is after a start: only what is outstanding there still counts, all
-// that was learned is about its previous process.
+// restarted returns the worker as it is after a restart. What is outstanding there still counts; all that was
+// learned is dropped, since it is about the previous process.
 func (w *worker) restarted(now time.Duration) worker {
 	return worker{
-		Endpoint:          w.Endpoint,
-		nameHash:          w.nameHash,
-		positions:         w.positions,
-		suspended:         w.suspended,
-		outstanding:       w.outstanding,
-		unstarted:         w.unstarted,
-		unstartedSince:    now,
-		slowStartBudgetAt: now,
+		Endpoint:       w.Endpoint,
+		nameHash:       w.nameHash,
+		positions:      w.positions,
+		suspended:      w.suspended,
+		outstanding:    w.outstanding,
+		unstarted:      w.unstarted,
+		unstartedSince: now,
+		budget:         slowStartBudget{savedAt: now},
 	}
 }
