--- a/decision/admission.go
+++ b/decision/admission.go
@@ -25,7 +25,18 @@
 	}
 	request := m.newRequest(&event)
 	m.requests[request.id] = request
-	elapsed := m.elapsedSinceFirstTry(request, &event)
+	m.appraise(request, &event)
+	if m.rejectedOnArrival(request) {
+		m.rejectOrFail(request)
+		return
+	}
+	m.admit(request, event.Key)
+}
+
+// appraise sets the objective of a request that has arrived, lowers its value if it is beyond its tenant's
+// quota, and counts it into the mix. The mix has first tries only, so that it shows the demand.
+func (m *Machine) appraise(request *request, event *Event) {
+	elapsed := m.elapsedSinceFirstTry(request, event)
 	isRetry := event.ClientRetry || !m.settings.ClientsMarkRetries && elapsed > m.sweepInterval
 	overQuota := m.overQuota(event.Tenant, isRetry)
 	if overQuota {
@@ -33,22 +44,23 @@
 	}
 	objective := m.now + request.class.LatencyObjective + seconds(request.class.ObjectiveStretch*request.work)
 	request.objective = min(objective, request.deadline) - elapsed
-	if !isRetry {
-		key := requestGroupKey{
-			class:     event.Class,
-			overQuota: overQuota,
-			slots:     int(math.Log2(request.slots)),
-			work:      int(math.Log2(request.work) / 2),
-		}
-		m.mix.add(m.now, m.planningHorizon, request, key)
-	}
-	if m.rejectedOnArrival(request) {
-		m.rejectOrFail(request)
+	if isRetry {
 		return
 	}
-	request.keyHash = m.ownerHash(event.Key)
-	if request.class.Serialized && event.Key != "" {
-		m.serializer.join(request, event.Key)
+	key := requestGroupKey{
+		class:     event.Class,
+		overQuota: overQuota,
+		slots:     int(math.Log2(request.slots)),
+		work:      int(math.Log2(request.work) / 2),
+	}
+	m.mix.add(m.now, m.planningHorizon, request, key)
+}
+
+// admit lets a request wait in the queue until its deadline.
+func (m *Machine) admit(request *request, key string) {
+	request.keyHash = m.ownerHash(key)
+	if request.class.Serialized && key != "" {
+		m.serializer.join(request, key)
 	}
 	m.emit(Action{Kind: SetTimer, Timer: request.id, Delay: request.deadline - m.now})
 	m.unanswered = append(m.unanswered, request)
--- a/decision/attempt.go
+++ b/decision/attempt.go
@@ -112,7 +112,7 @@
 	if attempt == nil {
 		return
 	}
-	outcome := attempt.worker.believedOutcome(event.Outcome)
+	outcome := attempt.worker.believeOutcome(event.Outcome)
 	attempt.neverRan = outcome.NeverRan(&m.settings)
 	m.releaseAttempt(request, attempt, outcome)
 	if request.keyQueue != nil && outcome.mayStillRun() {
@@ -122,8 +122,8 @@
 		m.refundWork(request, attempt.worker)
 	}
 	if outcome == InvalidRequest && !event.Answered && !request.ended && request.outstanding == 0 {
-		// The request itself is at fault: other workers would fail it too, and nothing is learned from it
-		// about the worker or the fleet.
+		// The request itself is at fault: another worker would find it invalid too, and this outcome shows
+		// nothing of the worker or the fleet.
 		m.emit(Action{Kind: Fail, Request: request.id})
 		m.finish(request)
 		return
--- a/decision/doc.go
+++ b/decision/doc.go
@@ -68,8 +68,9 @@
 //
 // # Where to begin
 //
-// Read Settings, Event and Action, then Machine.Handle, and follow one request: admission.go, routing.go,
-// attempt.go. Each decision has its file:
+// Read Settings, Event and Action, then the fields of Machine, which name the state that each decision keeps,
+// and Machine.Handle. Then follow one request: admission.go, routing.go, attempt.go. Each decision has its
+// file:
 //
 //   - admission.go: whether a request is taken, and when a waiting one is placed; queue.go: the order in
 //     which they wait.
--- a/decision/outlier.go
+++ b/decision/outlier.go
@@ -95,9 +95,9 @@
 	return min(max(2*previous, m.planningHorizon/8), 2*m.planningHorizon)
 }
 
-// believedOutcome is the outcome of an attempt that counts. InvalidRequest blames the request, unless the
-// worker says so of all that it gets: then the worker has failed.
-func (w *worker) believedOutcome(outcome AttemptOutcome) AttemptOutcome {
+// believeOutcome returns the outcome that counts for an attempt with the reported one. InvalidRequest puts
+// the blame on the request, but a worker that reports it too many times in a row has failed itself.
+func (w *worker) believeOutcome(outcome AttemptOutcome) AttemptOutcome {
 	if outcome != InvalidRequest {
 		return outcome
 	}
--- a/decision/queue_test.go
+++ b/decision/queue_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// A request that becomes late while it waits is worth less and must fall behind those still in time.
+// A request that becomes late while it waits has less value and must fall behind those still in time.
 func TestLateRequestFallsBackInTheQueue(t *testing.T) {
 	rig := newRig(t, testSettings(), 1)
 	rig.fleet[0].saturatedUntil = rig.now + time.Hour
--- a/decision/quota.go
+++ b/decision/quota.go
@@ -25,19 +25,24 @@
 	}
 	t.arrivals.add(m.now, m.planningHorizon, 1)
 	arrivals, quotas := m.tenantTraffic()
-	part := max(1/float64(m.settings.Peers), arrivals/max(quotas, math.SmallestNonzeroFloat32))
-	allowed := part * m.settings.TenantQuotas[tenant]
-	capacity := max(allowed*m.planningHorizon.Seconds()/2, 1)
+	share := max(1/float64(m.settings.Peers), arrivals/max(quotas, math.SmallestNonzeroFloat32))
+	rate := share * m.settings.TenantQuotas[tenant]
+	capacity := max(rate*m.planningHorizon.Seconds()/2, 1)
+	return !t.takeToken(m.now, rate, capacity)
+}
+
+// takeToken refills the bucket, which is full at first, and takes a token if there is one.
+func (t *tenant) takeToken(now time.Duration, rate, capacity float64) bool {
 	if t.refilledAt == 0 {
 		t.tokens = capacity
 	}
-	t.tokens = min(t.tokens+allowed*(m.now-t.refilledAt).Seconds(), capacity)
-	t.refilledAt = m.now
+	t.tokens = min(t.tokens+rate*(now-t.refilledAt).Seconds(), capacity)
+	t.refilledAt = now
 	if t.tokens < 1 {
-		return true
+		return false
 	}
 	t.tokens--
-	return false
+	return true
 }
 
 // tenantTraffic returns the requests a second of all tenants that arrive here, and the sum of their quotas,
