--- a/decision/outlier_test.go
+++ b/decision/outlier_test.go
@@ -141,13 +141,14 @@
 	if rig.Ejected() != nil {
 		t.Fatalf("%v are ejected while most look bad", rig.Ejected())
 	}
+	running := rig.fleet[1]
+	draining := rig.fleet[2]
 	rig.setFailureScore(rig.fleet[0], 0, answersAgain)
-	rig.setFailureScore(rig.fleet[1], 0, answersAgain)
-	ejected := rig.fleet[2]
-	if !slices.Equal(rig.Ejected(), []string{ejected.Name}) {
-		t.Fatalf("%v are ejected, want %s", rig.Ejected(), ejected.Name)
+	rig.updateList(Endpoint{Name: draining.Name, State: Draining})
+	if !slices.Equal(rig.Ejected(), []string{running.Name}) {
+		t.Fatalf("%v are ejected, want %s; %s drains", rig.Ejected(), running.Name, draining.Name)
 	}
-	rig.updateList(Endpoint{Name: ejected.Name, State: Draining})
+	rig.setFailureScore(running, 0, answersAgain)
 	if rig.Ejected() != nil {
 		t.Fatalf("%v are ejected, and drain", rig.Ejected())
 	}
