--- a/decision/attempt.go
+++ b/decision/attempt.go
@@ -195,7 +195,8 @@
 }
 
 // adjustCeilings raises the ceilings for an answer in time and cuts them, once for each request, for a bad
-// outcome. The failure of a first attempt is put down to its worker, that of a later one to the fleet.
+// outcome. The failure of a first attempt counts against its worker alone, that of a later one against the
+// fleet.
 func (m *Machine) adjustCeilings(request *request, attempt *attempt, outcome AttemptOutcome) {
 	if outcome == Completed && m.now <= request.objective {
 		m.raiseCeilings(request)
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -19,8 +19,8 @@
 	// slowStartOverdraft is the fraction of a part that may be spent beyond what was saved.
 	slowStartOverdraft = 0.5
 	// slowStartMaxRequest bounds one request, as a fraction of the parts of all dispatchers together. A busy
-	// dispatcher overestimates these, since it takes its peers to be as busy; slowStartMaxRequestMeans
-	// bounds the request as a multiple of its class's mean besides.
+	// dispatcher overestimates these, since it assumes that its peers are as busy. So
+	// slowStartMaxRequestMeans also bounds the request, as a multiple of its class's mean.
 	slowStartMaxRequest      = 0.31
 	slowStartMaxRequestMeans = 2
 	// smallHintCorrection is the fraction of the difference by which a request with a hint below the mean of
--- a/decision/slowstart_test.go
+++ b/decision/slowstart_test.go
@@ -248,8 +248,8 @@
 	}
 }
 
-// A busy dispatcher takes all its peers to be as busy. A request of many times the mean must not go to a
-// worker that has just started, though the parts of all dispatchers together would seem to allow it.
+// A busy dispatcher assumes that all its peers are as busy. A request of many times the mean must not go to a
+// worker that has just started, though the parts of all dispatchers together would then allow it.
 func TestLargeRequestDoesNotGoToAWorkerThatHasJustStarted(t *testing.T) {
 	settings := testSettings()
 	settings.Peers = 80
--- a/decision/worker.go
+++ b/decision/worker.go
@@ -22,7 +22,7 @@
 
 	budget          slowStartBudget // see slowstart.go
 	load            workerLoad      // see load.go
-	healthCheckedAt time.Duration   // when its load was last asked for since a connection is unresponsive
+	healthCheckedAt time.Duration   // when checkBacklog last asked for its load
 
 	idleConnections []time.Duration // since when each is unused, the oldest first
 	possiblyLost    *request        // late and not started: its connection may be dead
