--- a/decision/admission_test.go
+++ b/decision/admission_test.go
@@ -6,39 +6,45 @@
 	"time"
 )
 
-// An attempt needs both the concurrency ceiling and the token bucket, and a worker. What one of them
-// refuses keeps nothing of the others.
-func TestRefusedAttemptKeepsNoCapacity(t *testing.T) {
+// An attempt needs the concurrency ceiling, the token bucket and a worker. Where one of them refuses it,
+// nothing of the others may stay reserved.
+
+func TestConcurrencyCeilingBoundsSlotsInFlight(t *testing.T) {
 	rig := newRig(t, testSettings(), 4)
-	rig.concurrencyPerWorker = 0.5 // two slots, and the headroom
+	rig.ceilings.concurrencyPerWorker = 0.5 // two slots, and the headroom
 	for range 2 + int(concurrencyHeadroom) {
 		rig.arrive(0)
 	}
-	if rig.inFlight != 2+concurrencyHeadroom {
+	if rig.ceilings.inFlight != 2+concurrencyHeadroom {
 		t.Fatalf("%v slots in flight under a ceiling of two and headroom of %v",
-			rig.inFlight, concurrencyHeadroom)
+			rig.ceilings.inFlight, concurrencyHeadroom)
 	}
 	if rig.send(0) != "" {
 		t.Fatal("an attempt above the ceiling")
 	}
-	rig = newRig(t, testSettings(), 4)
-	rig.bucketTokens = 0.5
-	rig.bucketRefilledAt = rig.now
-	rig.workRatePerWorker = 1
-	if id := rig.arrive(0); rig.assignedTo(id) != "" || rig.inFlight != 0 {
-		t.Fatalf("bucket denied, yet sent or %v slots in flight", rig.inFlight)
+}
+
+func TestEmptyTokenBucketReservesNoSlot(t *testing.T) {
+	rig := newRig(t, testSettings(), 4)
+	rig.bucket = tokenBucket{ratePerWorker: 1, tokens: 0.5, refilledAt: rig.now}
+	if id := rig.arrive(0); rig.assignedTo(id) != "" || rig.ceilings.inFlight != 0 {
+		t.Fatalf("bucket denied, yet sent or %v slots in flight", rig.ceilings.inFlight)
 	}
-	rig = newRig(t, testSettings(), 1)
+}
+
+func TestLackOfWorkersReservesNoSlotAndNoTokens(t *testing.T) {
+	rig := newRig(t, testSettings(), 1)
 	rig.fleet[0].saturatedUntil = rig.now + time.Second
-	bucket := 1.5
-	rig.bucketTokens = bucket
-	rig.bucketRefilledAt = rig.now
-	if id := rig.arrive(0); rig.assignedTo(id) != "" || rig.inFlight != 0 || rig.bucketTokens != bucket {
+	tokens := 1.5
+	rig.bucket.tokens = tokens
+	rig.bucket.refilledAt = rig.now
+	id := rig.arrive(0)
+	if rig.assignedTo(id) != "" || rig.ceilings.inFlight != 0 || rig.bucket.tokens != tokens {
 		t.Fatal("no ready worker, yet slots or tokens were kept")
 	}
 }
 
-// Peers may be missing, or far above the requests a second there are: one request at a time is still
+// Whatever the number of peers is, also far more than there are requests a second, one request at a time is
 // admitted.
 func TestAnyNumberOfPeersWorks(t *testing.T) {
 	for _, peers := range []int{-1, 0, 1, 1e6} {
@@ -55,24 +61,14 @@
 	}
 }
 
-func TestAbsurdInputIsHarmless(t *testing.T) {
+func TestExtremeValuesOfRequestsAreHarmless(t *testing.T) {
 	rig := newRig(t, testSettings(), 3)
 	for _, work := range []time.Duration{-1, 0, 1, math.MaxInt64, math.MinInt64} {
 		for _, left := range []time.Duration{-time.Hour, 0, 1, math.MaxInt64} {
 			for _, slots := range []float64{0, -1, math.NaN(), math.Inf(1), 1e300, 3} {
 				id := rig.next
 				rig.next++
-				rig.handle(
-					rig.now,
-					Event{
-						Kind:     RequestArrived,
-						Request:  id,
-						Slots:    slots,
-						Work:     work,
-						TimeLeft: left,
-						Tenant:   -7,
-					},
-				)
+				rig.offer(Event{Request: id, Slots: slots, Work: work, TimeLeft: left, Tenant: -7})
 				if request := rig.requests[id]; request != nil &&
 					!(request.value >= 0 && request.cost > 0 && !math.IsInf(request.cost+request.value, 0)) {
 					t.Fatalf("work %v, left %v, slots %v: %+v", work, left, slots, request)
@@ -80,13 +76,14 @@
 			}
 		}
 	}
-	rig.handle(rig.now, Event{Kind: RequestArrived, Request: 1 << 40, Class: 99})
+	rig.offer(Event{Request: 1 << 40, Class: 99})
 	if findAction(rig.actions, Fail) == nil {
 		t.Fatal("an unknown class is not answered")
 	}
 	rig.solvePrices()
-	if !(rig.workPrice >= 0 && rig.slotPrice >= 0) || math.IsInf(rig.workPrice+rig.slotPrice, 0) {
-		t.Fatalf("prices %v, %v", rig.workPrice, rig.slotPrice)
+	prices := rig.prices
+	if !(prices.work >= 0 && prices.slot >= 0) || math.IsInf(prices.work+prices.slot, 0) {
+		t.Fatalf("prices %v, %v", prices.work, prices.slot)
 	}
 }
 
@@ -97,14 +94,11 @@
 	first := rig.arrive(0)
 	objective := rig.requests[first].objective
 	rig.now += 2 * time.Second
-	rig.handle(
-		rig.now,
-		Event{Kind: RequestArrived, Request: 99, Slots: 1, Work: time.Second, TimeLeft: 3 * time.Second},
-	)
+	rig.offer(Event{Request: 99, Slots: 1, Work: time.Second, TimeLeft: 3 * time.Second})
 	if request := rig.requests[99]; request == nil || request.objective != objective {
 		t.Fatalf("the retry of a request with its objective at %v: %+v", objective, request)
 	}
-	if _, requests := rig.recentMix(); requests > 1 {
+	if _, requests := rig.recentBids(); requests > 1 {
 		t.Fatalf("%v requests in the mix", requests)
 	}
 }
--- a/decision/attempt.go
+++ b/decision/attempt.go
@@ -12,12 +12,13 @@
 	neverRan     bool // it has ended and proved to have had no effect
 	unresponsive bool // its connection looks dead: its start is no longer awaited
 
-	// connectionIdle is for how long its connection may have been unused before, where the worker seemed to
-	// have room to start it at once; else 0, and a late start proves nothing.
+	// connectionIdle is for how long its connection may have been unused before. It is set only where the
+	// worker seemed to have capacity to start the attempt at once: elsewhere a late start proves nothing.
 	connectionIdle time.Duration
 }
 
-// outstandingAttempt returns the attempt that an event is about, or nils if it has ended or is unknown.
+// outstandingAttempt returns the attempt that an event reports on and its request, or nil for both if the
+// attempt has ended or is unknown.
 func (m *Machine) outstandingAttempt(event *Event) (*request, *attempt) {
 	request := m.requests[event.Request]
 	if request == nil || event.Attempt < 0 || event.Attempt >= len(request.attempts) {
@@ -30,28 +31,28 @@
 	return request, attempt
 }
 
-// startAttempt emits an attempt at a worker and records it.
+// startAttempt assigns a request to a worker and records the attempt.
 func (m *Machine) startAttempt(request *request, worker *worker) {
 	worker.recentWork.add(m.now, m.planningHorizon, request.cost)
 	reservation := request.slowStartCost()
-	worker.slowStartBudget -= reservation
+	worker.budget.saved -= reservation
 	if m.capacityFraction(worker) >= 1 {
 		reservation = 0
 	}
 	worker.outstanding += request.slots
 	if worker.ejected {
-		m.inFlightAtEjected += request.slots
+		m.ceilings.inFlightAtEjected += request.slots
 	}
-	worker.freeSlots -= request.slots
-	m.zone(worker.Zone).lastAttemptAt = m.now
+	worker.load.freeSlots -= request.slots
+	m.zones.get(worker.Zone).lastAttemptAt = m.now
 	attempt := attempt{worker: worker, sentAt: m.now, lastSeen: m.now}
 	attempt.connectionIdle = m.takeIdleConnection(worker)
 	if worker.unstarted == 0 {
 		worker.unstartedSince = m.now
 	}
 	worker.unstarted++
-	if len(request.attempts) > 0 && m.settings.RetryBudgetWindow > 0 {
-		m.retries = append(m.retries, m.now)
+	if len(request.attempts) > 0 {
+		m.retryBudget.countRetry(m.now, &m.settings)
 	}
 	request.attempts = append(request.attempts, attempt)
 	request.outstanding++
@@ -78,7 +79,8 @@
 	}
 }
 
-// recordStart records, once, that an attempt runs, and how long it waited for that.
+// recordStart records that an attempt runs, and how long it waited for its start. Later calls for the same
+// attempt do nothing.
 func (m *Machine) recordStart(class *Class, attempt *attempt) {
 	if attempt.startedAt > 0 {
 		return
@@ -87,7 +89,7 @@
 	attempt.recordAccepted(class)
 	if m.settings.StartNotices {
 		waited := (m.now - attempt.sentAt).Seconds()
-		m.meanStartWait += (waited - m.meanStartWait) / startWaitSpan
+		m.estimates.learnStartWait(waited)
 		expected := m.expectedStartWait(attempt.worker)
 		attempt.worker.startWait = decayingValue{value: (expected + waited) / 2, at: m.now}
 	}
@@ -102,26 +104,26 @@
 	worker.unstartedSince = m.now
 }
 
-// handleAttemptEnded handles the end of an attempt: what it used is released, what it shows is learned,
-// and its request is finished or retried.
+// handleAttemptEnded handles the end of an attempt: it releases what the attempt used, learns from its
+// outcome, and finishes or retries its request.
 func (m *Machine) handleAttemptEnded(event Event) {
 	m.recordLoad(event)
 	request, attempt := m.outstandingAttempt(&event)
 	if attempt == nil {
 		return
 	}
-	outcome := attempt.worker.believedOutcome(event.Outcome)
+	outcome := attempt.worker.believeOutcome(event.Outcome)
 	attempt.neverRan = outcome.NeverRan(&m.settings)
 	m.releaseAttempt(request, attempt, outcome)
 	if request.keyQueue != nil && outcome.mayStillRun() {
-		m.startCooldown(request.keyQueue, m.settings.KeyCooldown+m.settings.Tick)
+		m.startCooldown(request.keyQueue)
 	}
 	if outcome.notAccepted() || outcome == InvalidRequest || outcome == Cancelled && attempt.startedAt == 0 {
 		m.refundWork(request, attempt.worker)
 	}
 	if outcome == InvalidRequest && !event.Answered && !request.ended && request.outstanding == 0 {
-		// The request is at fault: it is not tried at other workers, and neither they nor the fleet are
-		// blamed.
+		// The request itself is at fault: another worker would find it invalid too, and this outcome shows
+		// nothing of the worker or the fleet.
 		m.emit(Action{Kind: Fail, Request: request.id})
 		m.finish(request)
 		return
@@ -136,8 +138,7 @@
 	m.forgetIfOver(request)
 }
 
-// releaseAttempt records the end of an attempt, and gives back its slots and, after an answer, its
-// connection.
+// releaseAttempt records the end of an attempt, and releases its slots and, after an answer, its connection.
 func (m *Machine) releaseAttempt(request *request, attempt *attempt, outcome AttemptOutcome) {
 	worker := attempt.worker
 	if outcome.keepsConnection() {
@@ -152,22 +153,22 @@
 	attempt.ended = true
 	request.outstanding--
 	worker.outstanding -= request.slots
-	worker.freeSlots += request.slots
-	m.inFlight = max(m.inFlight-request.slots, 0)
+	worker.load.freeSlots += request.slots
+	m.ceilings.inFlight = max(m.ceilings.inFlight-request.slots, 0)
 	if worker.ejected {
-		m.inFlightAtEjected -= request.slots
+		m.ceilings.inFlightAtEjected -= request.slots
 	}
 }
 
-// refundWork gives back the work of an attempt that did not run: to the token bucket, and off the worker's
-// recent work, since what warm workers reject says nothing of what one in slow start can do.
+// refundWork returns the work of an attempt that did not run to the token bucket, and takes it off the
+// worker's recent work: slow-start budgets follow from what warm workers carry, not from what they reject.
 func (m *Machine) refundWork(request *request, worker *worker) {
-	m.bucketTokens += request.cost
+	m.bucket.tokens += request.cost
 	worker.recentWork.add(m.now, m.planningHorizon, -request.cost)
 }
 
-// recordOutcome learns what the end of an attempt shows of its worker. Only completed ones teach speed: a
-// fast error must not look like a fast worker.
+// recordOutcome learns from the outcome of an attempt about its worker. Only completed attempts count for
+// the worker's speed: one that fails fast must not look fast.
 func (m *Machine) recordOutcome(request *request, attempt *attempt, outcome AttemptOutcome) {
 	worker := attempt.worker
 	score := worker.failureScore.get(m.now, m.planningHorizon)
@@ -177,7 +178,7 @@
 		m.markSeen(worker)
 		attempt.recordAccepted(request.class)
 		m.learnRunTimeRatio(worker, (m.now-max(attempt.sentAt, attempt.startedAt)).Seconds()/request.work)
-		m.meanLatency += ((m.now - attempt.sentAt).Seconds() - m.meanLatency) / meanSpan
+		m.estimates.learnLatency((m.now - attempt.sentAt).Seconds())
 		m.setFailureScore(worker, failureScoreFactor*score, answersAgain)
 	case Saturated:
 		m.recordSaturated(worker, request.class)
@@ -193,9 +194,9 @@
 	}
 }
 
-// adjustCeilings raises the ceilings for an answer in time and cuts them for a bad outcome, once for each
-// request. A first attempt that fails is about its worker; a request that fails at a second one is about
-// the fleet.
+// adjustCeilings raises the ceilings for an answer in time and cuts them, once for each request, for a bad
+// outcome. The failure of a first attempt counts against its worker alone, that of a later one against the
+// fleet.
 func (m *Machine) adjustCeilings(request *request, attempt *attempt, outcome AttemptOutcome) {
 	if outcome == Completed && m.now <= request.objective {
 		m.raiseCeilings(request)
--- a/decision/connection_test.go
+++ b/decision/connection_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Connections that were dropped while unused swallow what is sent on them. A later request that starts
-// there shows it; from then on old ones are closed before use.
+// What is sent on a connection that was dropped while unused is lost. A later request that starts at the same
+// worker shows it; from then on connections that were unused for as long are closed before use.
 func TestDeadConnectionsAreFoundAndClosed(t *testing.T) {
 	settings := testSettings()
 	settings.StartNotices = true
@@ -18,25 +18,26 @@
 	first := rig.arrive(1)
 	rig.endAttempt(first, 0, Completed, 100*time.Millisecond)
 	rig.now += 6 * time.Second
-	rig.connectionLostAt = rig.now // one was lost before: a single one may have another cause
-	lost := rig.arrive(1)          // sent on the connection that was unused for 6 s
+	rig.connections.lostAt = rig.now // one was lost before: a single one may have another cause
+	lost := rig.arrive(1)            // sent on the connection that was unused for 6 s
 	if findAction(rig.actions, CloseIdle) != nil {
 		t.Fatal("connections closed without a reason")
 	}
 	for range 40 {
-		rig.handle(rig.now+rig.sweepInterval, Event{Kind: TimerFired, Timer: sweepTimer})
+		rig.nextSweep()
 	}
 	next := rig.arrive(1)
 	if rig.assignedTo(next) == "" {
-		t.Fatal("the worker is kept from work by a request that its connection lost")
+		t.Fatal("the worker gets no work because of a request that its connection lost")
 	}
 	rig.handle(rig.now+5*time.Millisecond, Event{Kind: AttemptStarted, Request: next, Worker: "w0"})
 	if findAction(rig.actions, Fail) == nil || findAction(rig.actions, CancelAttempt) == nil ||
 		!rig.requests[lost].ended {
 		t.Fatalf("a lost request is kept: %v", rig.actions)
 	}
-	if rig.workers["w0"].ejected || rig.safeIdleTime > 3*time.Second {
-		t.Fatalf("ejected %v, bound %v", rig.workers["w0"].ejected, rig.safeIdleTime)
+	safe := rig.connections.safeIdleTime
+	if rig.workers["w0"].ejected || safe > 3*time.Second {
+		t.Fatalf("ejected %v, safe idle time %v", rig.workers["w0"].ejected, safe)
 	}
 	rig.endAttempt(next, 0, Completed, 100*time.Millisecond)
 	rig.handle(rig.now, Event{Kind: AttemptEnded, Request: lost, Worker: "w0", Outcome: Cancelled})
@@ -54,11 +55,12 @@
 	rig := newRig(t, settings, 1)
 	rig.endAttempt(rig.arrive(0), 0, Completed, 100*time.Millisecond)
 	rig.now += 6 * time.Second
-	rig.connectionLostAt = rig.now
+	rig.connections.lostAt = rig.now
 	id := rig.arrive(0)
 	rig.endAttempt(id, 0, ConnectionLost, time.Millisecond)
-	if worker := rig.fleet[0]; worker.ejected || worker.failureScore.value > 0 ||
-		rig.safeIdleTime != 3*time.Second {
-		t.Fatalf("failure score %v, bound %v", worker.failureScore.value, rig.safeIdleTime)
+	worker := rig.fleet[0]
+	safe := rig.connections.safeIdleTime
+	if worker.ejected || worker.failureScore.value > 0 || safe != 3*time.Second {
+		t.Fatalf("failure score %v, safe idle time %v", worker.failureScore.value, safe)
 	}
 }
--- a/decision/load_test.go
+++ b/decision/load_test.go
@@ -7,7 +7,7 @@
 // What other dispatchers have outstanding at a worker delays a request there as much as own attempts do.
 func TestOthersOutstandingCounts(t *testing.T) {
 	rig := newRig(t, testSettings(), 2)
-	rig.concurrencyPerWorker = 100
+	rig.ceilings.concurrencyPerWorker = 100
 	rig.handle(
 		rig.now,
 		Event{Kind: HealthChecked, Worker: "w0", Load: LoadReport{Outstanding: 5, HasOutstanding: true}},
@@ -19,16 +19,16 @@
 	}
 }
 
-// Load-adjusted weights are all that is known of others' load at workers that this dispatcher has not used
-// lately.
-func TestLoadAdjustedWeightsTellOthersLoad(t *testing.T) {
+// Load-adjusted weights are the only source for the load of other dispatchers at workers that this one has
+// not used lately.
+func TestLoadAdjustedWeightsCountAsOthersLoad(t *testing.T) {
 	settings := testSettings()
 	settings.LoadAdjustedWeights = true
 	rig := newRig(t, settings, 2)
-	rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{
-		{Name: "w0", Weight: 2}, // it holds two requests a core, and did so when this dispatcher started
-		{Name: "w1", Weight: 6},
-	}})
+	rig.updateList(
+		Endpoint{Name: "w0", Weight: 2}, // it holds two requests a core, and did so at the start
+		Endpoint{Name: "w1", Weight: 6},
+	)
 	rig.expectAllAt("w1", "sent to the worker that others load")
 }
 
--- a/decision/machine.go
+++ b/decision/machine.go
@@ -1,7 +1,6 @@
 package decision
 
 import (
-	"cmp"
 	"math"
 	"math/rand/v2"
 	"time"
@@ -19,75 +18,32 @@
 	sweepInterval   time.Duration
 	sweepScheduled  bool
 
-	// Workers: see worker.go, endpoints.go and lists.go.
-	workers          map[string]*worker // by name
-	fleet            []*worker          // all of them
-	warmWorkers      []*worker          // those that are warmed up, in the order in which they are drawn
-	localWarmWorkers []*worker          // those of them in the dispatcher's own zone
-	warmingUp        []*worker          // those in slow start
-	warmingUpNext    int                // index at which the next pick begins to draw them
-	subsetSize       int                // so many at the head of a list make up the dispatcher's subset
-	snapshots        uint64             // complete lists so far
-	runningCount     int                // workers in state Running
-	ejectedCount     int                // running workers that are ejected
-	suspendedCount   int                // workers that are suspended
-	eligible         map[*Class]int     // running workers that may run the class; absent: none
-	nominalWeight    map[int]float64    // the largest weight seen, by machine kind
-	healthCheckNext  int                // counts the health checks, to go round the subset
-	listBackoff      time.Duration      // after the latest failure of the list; 0: it did not fail
-
-	// Consistent hashing: see ring.go.
-	ring          []*worker // the fleet by hash, but for ringChanges
-	ringChanges   []*worker // workers that came or went since the ring was last used
-	owners        []*worker // buffer of ownersOf
-	initialOwners int       // owners of a key that are looked at first
-	recentKeys    []uint64  // hashes of the latest requests' keys
-
-	// Zones: see zone.go.
-	zones    map[int]*zone
-	lastSeen time.Duration // when any worker last showed that it lives
-
-	// Requests: see request.go, queue.go, serialization.go and retry.go.
-	requests    map[uint64]*request
-	unanswered  []*request     // by arrival; answered ones leave with the next sweep
-	queue       []*request     // waiting, by compareByValue
-	misses      map[*Class]int // requests of a class that could not be placed in one dispatchQueue
-	keyQueues   map[string]*keyQueue
-	coolingDown []*keyQueue     // the first to end first
-	arrivals    []time.Duration // in the last RetryBudgetWindow
-	retries     []time.Duration // attempts beyond a request's first in the last RetryBudgetWindow
-
-	// Ceilings: see ceilings.go.
-	inFlight             float64 // slots of all outstanding attempts
-	inFlightAtEjected    float64 // those of them at ejected workers
-	concurrencyPerWorker float64 // learned ceiling of slots in flight per ready worker
-	workRatePerWorker    float64 // learned rate of the token bucket, slot-seconds a second per ready worker
-	bucketTokens         float64 // slot-seconds left in the token bucket
-	bucketRefilledAt     time.Duration
-	badRatio             float64 // recent share of bad outcomes, 0 to 1
-	ceilingsCutAt        time.Duration
-
-	// Prices: see pricing.go and mix.go.
-	mix           []requestGroup
-	workPrice     float64 // value per slot-second of work
-	slotPrice     float64 // value per second for which a slot is held
+	list       endpointList       // see endpoints.go
+	workers    map[string]*worker // by name
+	fleet      []*worker          // all of them
+	counts     workerCounts       // see endpoints.go
+	candidates candidateLists     // see lists.go
+	ring       hashRing           // owners of keys: see ring.go
+	recentKeys recentKeys         // see ring.go
+	zones      zoneTable          // see zone.go
+
+	requests    map[uint64]*request // by id
+	unanswered  []*request          // by arrival; answered ones leave with the next sweep
+	queue       requestQueue        // those that wait for a worker: see queue.go
+	serializer  serializer          // requests with one key: see serialization.go
+	retryBudget retryBudget         // see retry.go
+
+	ceilings ceilings    // how much may be in flight: see ceilings.go
+	bucket   tokenBucket // how much work may be sent over time: see ceilings.go
+
+	mix           requestMix // recent demand: see mix.go
+	prices        prices     // value that a request must have: see pricing.go
 	nextPricingAt time.Duration
-	tenants       []tenant
-
-	// What is learned of run times and connections: see estimates.go and connection.go.
-	meanLatency      float64         // recent mean time of a completed attempt, seconds
-	meanStartWait    float64         // recent mean wait for a start at workers, seconds
-	classMeanWork    []float64       // recent mean run time by class, seconds, hinted or learned
-	learnedRuns      []float64       // attempts without a hint that it was learned from, by class
-	kindRunTimeRatio map[int]float64 // mean runTimeRatio of workers, by machine kind
-	maxTimeLeft      []time.Duration // the longest TimeLeft of an arrival, by class: that of a first try
-	safeIdleTime     time.Duration   // connections unused for longer may be dead
-	connectionLostAt time.Duration   // when one was found dead last
-
-	// Slow start: see slowstart.go.
-	warmWorkRates    map[int]float64 // work a second that a warm worker takes from this dispatcher, by kind
-	warmWorkRatesAt  time.Duration   // when they were last worked on; 0: they are unknown
-	warmWorkRateScan workRateScan
+	tenants       []tenant // see quota.go
+
+	estimates   estimates       // run times and waits: see estimates.go
+	connections connectionReuse // see connection.go
+	workRates   warmWorkRates   // what slow-start budgets are measured by: see slowstart.go
 }
 
 // New returns a machine that knows no worker yet, or an error that names the field of the settings which is
@@ -96,45 +52,40 @@
 	if err := settings.normalize(); err != nil {
 		return nil, err
 	}
-	machine := &Machine{
-		settings:         settings,
-		random:           rand.New(rand.NewPCG(seed, 0)),
-		workers:          map[string]*worker{},
-		zones:            map[int]*zone{},
-		eligible:         map[*Class]int{},
-		kindRunTimeRatio: map[int]float64{},
-		nominalWeight:    map[int]float64{},
-		requests:         map[uint64]*request{},
-		misses:           map[*Class]int{},
-		keyQueues:        map[string]*keyQueue{},
-		classMeanWork:    make([]float64, len(settings.Classes)),
-		maxTimeLeft:      make([]time.Duration, len(settings.Classes)),
-		learnedRuns:      make([]float64, len(settings.Classes)),
-		tenants:          make([]tenant, len(settings.TenantQuotas)),
-	}
-	machine.initEstimates()
-	return machine, nil
+	initialCeiling := initialSlotsPerWorker / float64(settings.Peers)
+	return &Machine{
+		settings: settings,
+		random:   rand.New(rand.NewPCG(seed, 0)),
+
+		planningHorizon: settings.planningHorizon(),
+		sweepInterval:   settings.sweepInterval(),
+
+		list:       endpointList{nominalWeight: map[int]float64{}},
+		workers:    map[string]*worker{},
+		counts:     workerCounts{eligible: map[*Class]int{}},
+		candidates: candidateLists{subsetSize: 2 * minSubsetSize},
+		zones:      zoneTable{byNumber: map[int]*zone{}},
+
+		requests:   map[uint64]*request{},
+		queue:      requestQueue{skips: map[*Class]int{}},
+		serializer: serializer{queues: map[string]*keyQueue{}},
+
+		ceilings: ceilings{concurrencyPerWorker: initialCeiling},
+		bucket:   tokenBucket{ratePerWorker: initialCeiling, tokens: math.Inf(1)},
+		tenants:  make([]tenant, len(settings.TenantQuotas)),
+
+		estimates:   newEstimates(&settings),
+		connections: newConnectionReuse(&settings),
+	}, nil
 }
 
-// initEstimates derives spans of time from the settings, and sets what is learned to permissive first values.
-func (m *Machine) initEstimates() {
+// planningHorizon is the span over which the recent past is averaged: a quarter of the longest deadline.
+func (s *Settings) planningHorizon() time.Duration {
 	longestDeadline := time.Duration(0)
-	for i := range m.settings.Classes {
-		class := &m.settings.Classes[i]
-		longestDeadline = max(longestDeadline, class.Deadline)
-		m.classMeanWork[i] = max(class.LatencyObjective, m.settings.Tick).Seconds()
-	}
-	m.planningHorizon = max(longestDeadline/4, m.settings.Tick)
-	m.sweepInterval = m.shortestSweepInterval()
-	m.bucketTokens = math.Inf(1)
-	m.concurrencyPerWorker = initialSlotsPerWorker / float64(m.settings.Peers)
-	m.workRatePerWorker = m.concurrencyPerWorker
-	m.subsetSize = 2 * minSubsetSize
-	m.safeIdleTime = cmp.Or(m.settings.ConnectionIdleTimeout, math.MaxInt64/2)
-	m.initialOwners = maxOwners
-	if m.settings.CacheMissCost > 0 {
-		m.initialOwners = minOwners
+	for i := range s.Classes {
+		longestDeadline = max(longestDeadline, s.Classes[i].Deadline)
 	}
+	return max(longestDeadline/4, s.Tick)
 }
 
 // Handle processes what happened at time now and appends what must be done to out, which it returns.
--- a/decision/outlier_test.go
+++ b/decision/outlier_test.go
@@ -1,6 +1,7 @@
 package decision
 
 import (
+	"slices"
 	"testing"
 	"time"
 )
@@ -33,9 +34,7 @@
 		}
 	}
 	rig.now += worker.ejectionBackoff
-	rig.concurrencyPerWorker = 100
-	rig.workRatePerWorker = 100
-	rig.bucketTokens = 1e6
+	rig.setCeilings(100, 1e6)
 	trials := 0
 	for range 40 {
 		rig.arrive(0)
@@ -50,11 +49,11 @@
 	}
 }
 
-// Attempts stuck at ejected workers must not exhaust a ceiling that is scaled to the ready ones. In panic
-// all slots count, lest ejecting workers lift the ceiling.
+// Attempts stuck at ejected workers must not exhaust a ceiling that is scaled to the ready ones. In panic all
+// slots count: otherwise ejecting workers would raise the ceiling.
 func TestSlotsAtEjectedWorkersDoNotCount(t *testing.T) {
 	rig := newRig(t, testSettings(), 3)
-	rig.concurrencyPerWorker = (6 - concurrencyHeadroom) / 3
+	rig.ceilings.concurrencyPerWorker = (6 - concurrencyHeadroom) / 3
 	var stuck []uint64
 	for len(stuck) < 6 {
 		stuck = append(stuck, rig.arrive(0))
@@ -62,7 +61,7 @@
 	ejected := rig.fleet[0]
 	atEjected := ejected.outstanding
 	rig.setFailureScore(ejected, 1, reportsNoMore)
-	if rig.inFlight != 6 || atEjected == 0 || rig.countedInFlight() != 6-atEjected {
+	if rig.ceilings.inFlight != 6 || atEjected == 0 || rig.countedInFlight() != 6-atEjected {
 		t.Fatalf("%v of 6 slots count though an ejected worker holds %v", rig.countedInFlight(), atEjected)
 	}
 	rig.setFailureScore(rig.fleet[1], 1, reportsNoMore)
@@ -75,13 +74,14 @@
 	}
 	rig.handle(rig.now, Event{Kind: ClientDisconnected, Request: rig.next - 1})
 	rig.setFailureScore(rig.fleet[1], 0, answersAgain)
-	rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{
-		{Name: ejected.Name, State: Running, StartedAt: rig.now}}})
+	rig.updateList(Endpoint{Name: ejected.Name, State: Running, StartedAt: rig.now})
 	for _, id := range stuck {
 		rig.endAttempt(id, 0, Completed, 0)
 	}
-	if rig.inFlight != 0 || rig.inFlightAtEjected != 0 {
-		t.Fatalf("%v slots, %v of them stuck, after all have ended", rig.inFlight, rig.inFlightAtEjected)
+	inFlight := rig.ceilings.inFlight
+	atEjected = rig.ceilings.inFlightAtEjected
+	if inFlight != 0 || atEjected != 0 {
+		t.Fatalf("%v slots, %v of them stuck, after all have ended", inFlight, atEjected)
 	}
 }
 
@@ -97,13 +97,11 @@
 	}
 }
 
-// Ejected names the workers that get no requests: until they answer again, on trial too; none that drains,
-// and none in panic.
-func TestEjectedNamesWorkersThatGetNothing(t *testing.T) {
+// Ejected names the workers that get no requests, until they answer again; a trial meanwhile does not change
+// that.
+func TestEjectedNamesAWorkerUntilItAnswers(t *testing.T) {
 	rig := newRig(t, testSettings(), 5)
-	rig.concurrencyPerWorker = 1000
-	rig.workRatePerWorker = 1000
-	rig.bucketTokens = 1e6
+	rig.setCeilings(1000, 1e6)
 	ejected := rig.fleet[2]
 	if rig.Ejected() != nil {
 		t.Fatalf("%v are ejected at the start", rig.Ejected())
@@ -133,34 +131,36 @@
 	if trials == 0 || rig.Ejected() != nil {
 		t.Fatalf("%v are ejected after %d trials that were served", rig.Ejected(), trials)
 	}
+}
+
+func TestEjectedNamesNoneInPanicAndNoneThatDrains(t *testing.T) {
+	rig := newRig(t, testSettings(), 5)
 	for _, worker := range rig.fleet[:3] {
 		rig.setFailureScore(worker, 1, attemptsFail)
 	}
 	if rig.Ejected() != nil {
 		t.Fatalf("%v are ejected while most look bad", rig.Ejected())
 	}
+	running := rig.fleet[1]
+	draining := rig.fleet[2]
 	rig.setFailureScore(rig.fleet[0], 0, answersAgain)
-	rig.setFailureScore(rig.fleet[1], 0, answersAgain)
-	rig.handle(
-		rig.now,
-		Event{
-			Kind:      ListUpdated,
-			ListKind:  ListDelta,
-			Endpoints: []Endpoint{{Name: ejected.Name, State: Draining}},
-		},
-	)
+	rig.updateList(Endpoint{Name: draining.Name, State: Draining})
+	if !slices.Equal(rig.Ejected(), []string{running.Name}) {
+		t.Fatalf("%v are ejected, want %s; %s drains", rig.Ejected(), running.Name, draining.Name)
+	}
+	rig.setFailureScore(running, 0, answersAgain)
 	if rig.Ejected() != nil {
 		t.Fatalf("%v are ejected, and drain", rig.Ejected())
 	}
 }
 
-// Two faults at once: a worker vanishes while the endpoint list cannot be had. Its silence alone must keep
-// new requests away, and the list that comes at last must not bring it back into use.
+// A worker crashes while calls for the endpoint list fail. Its silence alone must keep new requests away, and
+// the next list must not bring it back into use, since it names no new start.
 func TestSilentWorkerIsAvoidedWhileTheListFails(t *testing.T) {
 	rig := newRig(t, testSettings(), 3)
 	lost := rig.assignedTo(rig.arrive(0))
 	rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListFailed})
-	rig.handle(rig.now+3*time.Second, Event{Kind: TimerFired, Timer: sweepTimer})
+	rig.sweepAt(rig.now + 3*time.Second)
 	for range 20 {
 		id := rig.arrive(0)
 		if rig.assignedTo(id) == lost {
@@ -170,11 +170,11 @@
 	}
 	rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: []Endpoint{{Name: lost}}})
 	if worker := rig.workers[lost]; !worker.ejected || len(rig.fleet) != 1 {
-		t.Fatal("the list cleared a silent worker that has not started anew")
+		t.Fatal("the list took back a silent worker that has not started again")
 	}
 }
 
-// A worker that no repeatable request can try must not stay ejected for good.
+// A worker that only gets requests which must not run twice does not stay ejected for ever.
 func TestFailureScoreFades(t *testing.T) {
 	rig := newRig(t, testSettings(), 3)
 	id := rig.arrive(1)
@@ -186,50 +186,49 @@
 	}
 	rig.now += 3 * rig.planningHorizon
 	if !rig.usable(request, bad) {
-		t.Fatal("ejected for good")
+		t.Fatal("still ejected after three horizons")
 	}
 }
 
-// A request that a worker calls invalid fails at once: it is not tried elsewhere, and neither that worker
-// nor the fleet is blamed. A worker that says so of all that it gets is at fault itself.
+// A request that a worker calls invalid fails at once: it is not tried elsewhere, and neither that worker nor
+// the fleet is blamed.
 func TestInvalidRequestBlamesNoWorker(t *testing.T) {
 	rig := newRig(t, testSettings(), 3)
-	concurrency := rig.concurrencyPerWorker
-	worker := ""
+	before := rig.ceilings.concurrencyPerWorker
 	for i := range 2 * maxConsecutiveInvalid {
 		id := rig.arrive(i % 2)
-		out := rig.endAttempt(id, 0, InvalidRequest, time.Millisecond)
-		if len(out) == 0 || out[0].Kind != Fail || out[0].Request != id || rig.requests[id] != nil {
-			t.Fatalf("request %d: %+v", i, out)
+		actions := rig.endAttempt(id, 0, InvalidRequest, time.Millisecond)
+		if len(actions) == 0 || actions[0].Kind != Fail || actions[0].Request != id ||
+			rig.requests[id] != nil {
+			t.Fatalf("request %d: %+v", i, actions)
 		}
-		good := rig.arrive(0)
-		worker = rig.assignedTo(good)
-		rig.endAttempt(good, 0, Completed, time.Second)
+		rig.endAttempt(rig.arrive(0), 0, Completed, time.Second)
 		for _, worker := range rig.fleet {
 			worker.consecutiveInvalid = 0
 		}
 	}
-	if rig.ejectedCount != 0 || rig.concurrencyPerWorker < concurrency || rig.inFlight != 0 {
-		t.Errorf(
-			"%d ejected, ceiling %v of %v, %v in flight",
-			rig.ejectedCount,
-			rig.concurrencyPerWorker,
-			concurrency,
-			rig.inFlight,
-		)
+	ceiling := rig.ceilings.concurrencyPerWorker
+	inFlight := rig.ceilings.inFlight
+	ejected := rig.counts.ejected
+	if ejected != 0 || ceiling < before || inFlight != 0 {
+		t.Errorf("%d ejected, ceiling %v of %v, %v in flight", ejected, ceiling, before, inFlight)
 	}
-	rig.workers[worker].consecutiveInvalid = maxConsecutiveInvalid
-	for {
-		id := rig.arrive(0)
-		if rig.assignedTo(id) != worker {
-			rig.endAttempt(id, 0, Completed, time.Second)
-			continue
-		}
-		rig.endAttempt(id, 0, InvalidRequest, time.Millisecond)
-		if rig.requests[id] == nil ||
-			!rig.workers[worker].ejected {
-			t.Error("a worker that can use nothing is believed")
-		}
-		break
+}
+
+// A worker that calls all requests invalid is at fault itself: it is ejected, and its request is retried.
+func TestWorkerThatCallsAllRequestsInvalidIsEjected(t *testing.T) {
+	rig := newRig(t, testSettings(), 3)
+	first := rig.arrive(0)
+	worker := rig.workers[rig.assignedTo(first)]
+	rig.endAttempt(first, 0, Completed, time.Second)
+	worker.consecutiveInvalid = maxConsecutiveInvalid
+	id := rig.arrive(0)
+	for rig.assignedTo(id) != worker.Name {
+		rig.endAttempt(id, 0, Completed, time.Second)
+		id = rig.arrive(0)
+	}
+	rig.endAttempt(id, 0, InvalidRequest, time.Millisecond)
+	if rig.requests[id] == nil || !worker.ejected {
+		t.Error("a worker that calls all requests invalid is believed")
 	}
 }
--- a/decision/queue_test.go
+++ b/decision/queue_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// A request that becomes late while it waits is worth less and must fall behind those still in time.
+// A request that becomes late while it waits has less value and must fall behind those still in time.
 func TestLateRequestFallsBackInTheQueue(t *testing.T) {
 	rig := newRig(t, testSettings(), 1)
 	rig.fleet[0].saturatedUntil = rig.now + time.Hour
@@ -35,7 +35,8 @@
 	rig.requests[high].value /= 10
 	low := rig.arrive(0)
 	rig.sweep()
-	if len(rig.queue) != 2 || rig.queue[0].id != low {
+	waiting := rig.queue.waiting
+	if len(waiting) != 2 || waiting[0].id != low {
 		t.Fatal("the late request keeps its place")
 	}
 }
--- a/decision/quota.go
+++ b/decision/quota.go
@@ -12,9 +12,9 @@
 	arrivals   decayingValue // first tries
 }
 
-// overQuota reports whether an arrival is beyond its tenant's quota. The dispatcher grants an even part of
-// the quota, or the part of all traffic that arrives here if that is more. A client's retry was counted at
-// its first try.
+// overQuota reports whether an arrival is beyond its tenant's quota, and counts it. The dispatcher grants an
+// even share of the quota, or the share of all traffic that arrives here if that is more. A client's retry is
+// not counted, since its first try was.
 func (m *Machine) overQuota(tenant int, isRetry bool) bool {
 	if tenant < 0 || tenant >= len(m.tenants) {
 		return false
@@ -25,23 +25,28 @@
 	}
 	t.arrivals.add(m.now, m.planningHorizon, 1)
 	arrivals, quotas := m.tenantTraffic()
-	part := max(1/float64(m.settings.Peers), arrivals/max(quotas, math.SmallestNonzeroFloat32))
-	allowed := part * m.settings.TenantQuotas[tenant]
-	capacity := max(allowed*m.planningHorizon.Seconds()/2, 1)
+	share := max(1/float64(m.settings.Peers), arrivals/max(quotas, math.SmallestNonzeroFloat32))
+	rate := share * m.settings.TenantQuotas[tenant]
+	capacity := max(rate*m.planningHorizon.Seconds()/2, 1)
+	return !t.takeToken(m.now, rate, capacity)
+}
+
+// takeToken refills the bucket, which is full at first, and takes a token if there is one.
+func (t *tenant) takeToken(now time.Duration, rate, capacity float64) bool {
 	if t.refilledAt == 0 {
 		t.tokens = capacity
 	}
-	t.tokens = min(t.tokens+allowed*(m.now-t.refilledAt).Seconds(), capacity)
-	t.refilledAt = m.now
+	t.tokens = min(t.tokens+rate*(now-t.refilledAt).Seconds(), capacity)
+	t.refilledAt = now
 	if t.tokens < 1 {
-		return true
+		return false
 	}
 	t.tokens--
-	return false
+	return true
 }
 
-// tenantTraffic is the rate at which all tenants' requests arrive here, and the sum of their quotas over all
-// dispatchers, both a second.
+// tenantTraffic returns the requests a second of all tenants that arrive here, and the sum of their quotas,
+// which are for all dispatchers together.
 func (m *Machine) tenantTraffic() (arrivals, quotas float64) {
 	for i := range m.tenants {
 		arrivals += m.tenants[i].arrivals.get(m.now, m.planningHorizon) / m.planningHorizon.Seconds()
--- a/decision/routing_test.go
+++ b/decision/routing_test.go
@@ -11,7 +11,7 @@
 	rig := newRig(t, testSettings(), 2)
 	rig.fleet[0].runTimeRatio = 2
 	rig.fleet[1].runTimeRatio = 0.5
-	rig.concurrencyPerWorker = 100
+	rig.ceilings.concurrencyPerWorker = 100
 	for range 3 {
 		if rig.send(0) != "w1" {
 			t.Fatal("the slower of two idle workers was taken")
@@ -23,15 +23,12 @@
 	}
 }
 
-// Where crossing zones has a cost, the own zone wins until its delay outweighs that.
-func TestOwnZoneBias(t *testing.T) {
+// Where crossing zones has a cost, the dispatcher's own zone is preferred until its delay outweighs that.
+func TestOwnZoneIsPreferredWithinItsBias(t *testing.T) {
 	settings := testSettings()
 	settings.CrossZoneCost = 0.05
 	rig := newRig(t, settings, 2)
-	rig.handle(
-		rig.now,
-		Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: "w1", Zone: 1}}},
-	)
+	rig.updateList(Endpoint{Name: "w1", Zone: 1})
 	rig.fleet[0].runTimeRatio = 1
 	rig.fleet[1].runTimeRatio = 0.9
 	if rig.send(0) != "w0" {
@@ -43,9 +40,8 @@
 	}
 }
 
-// What is known of a worker fades: one of which nothing was heard counts as loaded as the mean, and an old
-// report tells nothing more. Workers of which nothing is known would else look idle, get a third of all
-// requests and let them wait.
+// Knowledge of a worker fades: one without a recent report counts as loaded as the mean. Otherwise workers
+// without reports would look idle, get a third of all requests and let them wait.
 func TestKnowledgeOfWorkersFades(t *testing.T) {
 	settings := testSettings()
 	settings.StartNotices = true
@@ -63,9 +59,8 @@
 		got := map[string]int{}
 		for seed := range uint64(20) {
 			rig := newSeededRig(t, settings, 2, seed+1)
-			rig.meanStartWait = test.meanWait
-			rig.fleet[0].othersOutstanding = test.others
-			rig.fleet[0].othersOutstandingAt = rig.now - test.age
+			rig.estimates.meanStartWait = test.meanWait
+			rig.fleet[0].load.setOthersOutstanding(test.others, rig.now-test.age)
 			got[rig.send(0)]++
 		}
 		if test.want != "" && got[test.want] != 20 || test.want == "" && (got["w0"] < 3 || got["w1"] < 3) {
@@ -75,25 +70,25 @@
 	rig := newRig(t, settings, 2)
 	id := rig.arrive(0)
 	rig.handle(rig.now+time.Second, Event{Kind: AttemptStarted, Request: id, Worker: rig.assignedTo(id)})
-	if want := 2.0 / minPricedRequests; math.Abs(rig.meanStartWait-want) > 1e-9 {
-		t.Errorf("after a first wait of a second the mean is %v, not %v", rig.meanStartWait, want)
+	got := rig.estimates.meanStartWait
+	if want := 2.0 / minPricedRequests; math.Abs(got-want) > 1e-9 {
+		t.Errorf("after a first wait of a second the mean is %v, not %v", got, want)
 	}
 }
 
 // The work for a pick must not grow with the fleet.
 func TestPickDrawsAreBounded(t *testing.T) {
 	rig := newRig(t, testSettings(), 300)
-	rig.concurrencyPerWorker = 100
-	rig.workRatePerWorker = 100
-	rig.bucketTokens = 1e6
+	rig.setCeilings(100, 1e6)
 	for _, worker := range rig.fleet {
 		worker.saturatedUntil = rig.now + time.Hour
 	}
 	rig.arrive(0)
-	before := slices.Clone(rig.warmWorkers)
+	warm := rig.candidates.warm
+	before := slices.Clone(warm)
 	moved := 0
-	rig.pickFrom(rig.queue[0], rig.warmWorkers, inWarmWorkers)
-	for i, worker := range rig.warmWorkers {
+	rig.pickFrom(rig.queue.waiting[0], warm, inWarm)
+	for i, worker := range warm {
 		if worker != before[i] {
 			moved++
 		}
@@ -116,17 +111,18 @@
 	if len(used) > 2*minSubsetSize {
 		t.Fatalf("100 requests, one at a time, went to %d workers", len(used))
 	}
-	for _, worker := range rig.warmWorkers[:rig.subsetSize] {
+	subset := rig.candidates.warm[:rig.candidates.subsetSize]
+	for _, worker := range subset {
 		worker.saturatedUntil = rig.now + time.Hour
 	}
 	if w := rig.send(0); w == "" || used[w] {
 		t.Fatalf("with its subset full, a request went to %q", w)
 	}
-	before := slices.Clone(rig.warmWorkers)
-	rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: []Endpoint{{Name: "new"}}})
+	before := slices.Clone(rig.candidates.warm)
+	rig.updateList(Endpoint{Name: "new"})
 	moved := 0
 	for i, worker := range before {
-		if rig.warmWorkers[i] != worker {
+		if rig.candidates.warm[i] != worker {
 			moved++
 		}
 	}
@@ -135,11 +131,12 @@
 	}
 }
 
-// Each dispatcher must draw a subset of its own: the same for all would overload a few workers.
+// Each dispatcher must have another subset: the same for all would overload a few workers.
 func TestSubsetsDiffer(t *testing.T) {
 	var heads []string
 	for seed := range uint64(8) {
-		heads = append(heads, newSeededRig(t, testSettings(), 100, seed).warmWorkers[0].Name)
+		rig := newSeededRig(t, testSettings(), 100, seed)
+		heads = append(heads, rig.candidates.warm[0].Name)
 	}
 	slices.Sort(heads)
 	if len(slices.Compact(heads)) < 5 {
--- a/decision/sweep.go
+++ b/decision/sweep.go
@@ -1,7 +1,6 @@
 package decision
 
 import (
-	"cmp"
 	"math"
 	"slices"
 	"time"
@@ -12,19 +11,19 @@
 	pricingsPerHorizon = 8
 	// sweepsPerObjective is the number of sweeps within the shortest latency objective.
 	sweepsPerObjective = 2
-	// minObjectivePart is the inverse of the part of the deadline that a latency objective counts as at the
-	// least.
+	// minObjectivePart is the inverse of the part of its deadline that the latency objective of a class is
+	// taken to be at least.
 	minObjectivePart = 50
 )
 
-// shortestSweepInterval derives the interval of the sweep from the shortest latency objective.
-func (m *Machine) shortestSweepInterval() time.Duration {
+// sweepInterval derives the interval of the sweep from the shortest latency objective.
+func (s *Settings) sweepInterval() time.Duration {
 	shortest := time.Duration(math.MaxInt64)
-	for i := range m.settings.Classes {
-		class := &m.settings.Classes[i]
+	for i := range s.Classes {
+		class := &s.Classes[i]
 		shortest = min(shortest, max(class.LatencyObjective, class.Deadline/minObjectivePart))
 	}
-	return max(shortest/sweepsPerObjective, m.settings.Tick)
+	return max(shortest/sweepsPerObjective, s.Tick)
 }
 
 // scheduleSweep sets the timer of the next sweep, unless it is set. Without unanswered requests there is no
@@ -36,19 +35,18 @@
 	}
 }
 
-// sweep decides what the passing of time alone brings: which requests are late, stuck or without any value
-// left, which workers have warmed up, and the prices.
+// sweep decides what follows from the passing of time alone: which requests are late, stuck or without any
+// value left, which workers have warmed up, and the prices.
 func (m *Machine) sweep() {
 	m.unanswered = slices.DeleteFunc(m.unanswered, func(request *request) bool { return request.ended })
 	for _, request := range m.unanswered {
 		m.sweepRequest(request)
 	}
 	m.promoteWarmedUp()
-	slices.SortFunc(m.queue, compareByValue) // late requests have less value now
+	m.queue.sort() // late requests have less value now
 	if m.now >= m.nextPricingAt {
 		m.nextPricingAt = m.now + m.planningHorizon/pricingsPerHorizon
-		grown := m.safeIdleTime + m.safeIdleTime/safeIdleTimeGrowth
-		m.safeIdleTime = min(grown, cmp.Or(m.settings.ConnectionIdleTimeout, m.safeIdleTime))
+		m.connections.grow(m.settings.ConnectionIdleTimeout)
 		m.solvePrices()
 	}
 	m.sweepScheduled = false
@@ -80,9 +78,10 @@
 }
 
 // markLate marks a request that can hardly be in time, and lowers its value to that of a late answer. It is
-// rejected at once if it waits while capacity is scarce, or delays others. An attempt that is not known to
-// have started shows overload now, where its end would show it much later; unless its connection may be
-// dead.
+// rejected at once if it waits while capacity is scarce, or if it delays others.
+//
+// Where starts are reported, an attempt that has not started by now shows overload, much earlier than its end
+// would, and the ceilings are cut. The exception is an attempt whose connection may be dead.
 func (m *Machine) markLate(request *request) {
 	request.late = true
 	if request.outstanding > 1 && m.settings.StartNotices && !request.countedAsBad && !request.hasStarted() {
@@ -91,7 +90,7 @@
 	unstarted := request.unstartedAttempt()
 	if unstarted != nil && m.settings.StartNotices {
 		switch {
-		case unstarted.connectionIdle > m.safeIdleTime:
+		case unstarted.connectionIdle > m.connections.safeIdleTime:
 			m.rejectOrFail(request)
 			return
 		case unstarted.connectionIdle > m.sweepInterval && m.settings.StartsInOrder:
@@ -108,16 +107,16 @@
 
 // capacityScarce reports whether a waiting request has little hope of a worker soon.
 func (m *Machine) capacityScarce(request *request) bool {
-	return m.workPrice+m.slotPrice > 0 || !m.withinConcurrency(request) || m.allSuspended()
+	return m.prices.positive() || !m.withinConcurrency(request) || m.allSuspended()
 }
 
-// delaysOthers reports whether a request that can hardly be in time, and has not started, stands before
-// others in its worker's queue for little: it earns nothing late, or may be repeated while many outcomes
-// are bad.
+// delaysOthers reports whether a request delays others in its worker's queue for little: it can hardly be in
+// time, has not started, and earns nothing late, or less than in time while many outcomes are bad. In the
+// latter case it must be Idempotent.
 func (m *Machine) delaysOthers(request *request) bool {
 	earnsNothing := request.class.LateWeight <= 0
 	repeatable := request.class.Idempotency == Idempotent && request.class.LateWeight < 1
-	if !earnsNothing && !(repeatable && m.badRatio > overloadBadRatio) {
+	if !earnsNothing && !(repeatable && m.ceilings.badRatio > overloadBadRatio) {
 		return false
 	}
 	return m.settings.StartNotices && m.settings.Cancellation &&
--- a/decision/zone.go
+++ b/decision/zone.go
@@ -7,50 +7,56 @@
 
 const (
 	// unreachableZoneConnects is the number of failed connects in a row from which a zone looks
-	// unreachable. Measured in a rehearsal of 80 dispatchers: without it each ran into a time-out at each
-	// worker of a lost zone.
+	// unreachable. Measured in a rehearsal of 80 dispatchers: without this rule each of them ran into a
+	// time-out at each worker of an unreachable zone.
 	unreachableZoneConnects = 2
 	// maxTrialDoublings bounds how often the interval between trials of an unreachable zone is doubled.
 	maxTrialDoublings = 8
 )
 
+// zoneTable holds what is known of all zones.
+type zoneTable struct {
+	byNumber map[int]*zone
+	lastSeen time.Duration // when a worker of any zone last showed that it lives
+}
+
 // zone is what is known of the workers of one zone together.
 type zone struct {
 	failedConnects int           // in a row, since any of its workers was seen
-	firstFailureAt time.Duration // of those
-	lastAttemptAt  time.Duration // when one failed last, or a later request was sent there
+	firstFailureAt time.Duration // when the first of them failed
+	lastAttemptAt  time.Duration // when the last of them failed, or a request was sent there since
 }
 
-// zone returns what is known of a zone, from its number.
-func (m *Machine) zone(number int) *zone {
-	if m.zones[number] == nil {
-		m.zones[number] = &zone{}
+// get returns what is known of the zone with that number.
+func (t *zoneTable) get(number int) *zone {
+	if t.byNumber[number] == nil {
+		t.byNumber[number] = &zone{}
 	}
-	return m.zones[number]
+	return t.byNumber[number]
 }
 
 // zoneUnreachable reports whether a worker's zone gets no requests: connects there have failed in a row, and
-// workers of other zones have been seen since. One request at a time tries whether it is back, after ever
-// longer intervals.
+// workers of other zones have been seen since. One request at a time is sent as a trial, at intervals that
+// double.
 func (m *Machine) zoneUnreachable(worker *worker) bool {
-	zone := m.zone(worker.Zone)
+	zone := m.zones.get(worker.Zone)
 	doublings := min(zone.failedConnects, maxTrialDoublings)
 	trialInterval := min(m.settings.ConnectTimeout<<doublings, m.planningHorizon)
 	return zone.failedConnects >= unreachableZoneConnects &&
 		m.now-zone.lastAttemptAt < trialInterval &&
-		m.lastSeen > zone.firstFailureAt
+		m.zones.lastSeen > zone.firstFailureAt
 }
 
 // markSeen records that a worker has shown that it lives.
 func (m *Machine) markSeen(worker *worker) {
 	worker.lastSeen = m.now
-	m.lastSeen = m.now
+	m.zones.lastSeen = m.now
 	m.markZoneReachable(worker.Zone)
 }
 
 // markZoneReachable records that a zone can be reached.
 func (m *Machine) markZoneReachable(number int) {
-	zone := m.zone(number)
+	zone := m.zones.get(number)
 	if zone.failedConnects >= unreachableZoneConnects {
 		m.logf("zone %s is reachable again", m.zoneName(number))
 	}
@@ -59,7 +65,7 @@
 
 // recordConnectFailure records that a connection to a worker was refused or timed out.
 func (m *Machine) recordConnectFailure(worker *worker) {
-	zone := m.zone(worker.Zone)
+	zone := m.zones.get(worker.Zone)
 	zone.failedConnects++
 	switch zone.failedConnects {
 	case 1:
