--- a/internal/rehearsal/recording/assemble.go
+++ b/internal/rehearsal/recording/assemble.go
@@ -2,7 +2,6 @@
 
 import (
 	"crypto/sha256"
-	"encoding/hex"
 	"fmt"
 	"io"
 	"math"
@@ -184,18 +183,19 @@
 func (m *importer) newHeader(first int64, entries uint64) *recordingpb.Header {
 	rulesDigest := sha256.Sum256(m.options.RulesText)
 	header := &recordingpb.Header{
-		Version: Version, Seed: m.options.Seed, RulesSha256: rulesDigest[:], StartUnixUs: first,
-		Counts: m.report.Counts.proto(), Repairs: m.report.Repairs, Entries: entries,
+		Version:     Version,
+		Seed:        m.options.Seed,
+		RulesSha256: rulesDigest[:],
+		StartUnixUs: first,
+		Counts:      m.report.Counts.proto(),
+		Repairs:     m.report.Repairs,
+		Entries:     entries,
 	}
 	if m.report.Repairs[SyntheticKey.name()] > 0 {
 		header.MadeUpKeys = m.report.SyntheticKeys
 	}
 	for _, source := range m.report.Sources {
-		digest, _ := hex.DecodeString(source.SHA256)
-		header.Sources = append(header.Sources, &recordingpb.Source{
-			Name: source.Name, Sha256: digest, Format: source.Format, Stamp: source.Stamp, Counts: source.Counts.proto(), OffsetUs: source.OffsetUs,
-			Estimated: source.Estimated, Pairs: uint32(source.Pairs), SpreadUs: source.SpreadUs, Cut: source.Truncation, Files: source.Files,
-		})
+		header.Sources = append(header.Sources, source.proto())
 	}
 	return header
 }
@@ -225,9 +225,14 @@
 		}
 		rule := &m.options.Rules.Classes[pending.class]
 		entry := Entry{
-			Arrival: time.Duration(pending.timestamp-first) * time.Microsecond, Class: classOfRule[pending.class],
-			Key: pseudonyms.keyOf(pending), Timeout: rule.timeout(), Status: int(pending.status),
-			BodyBytes: int(pending.bodyBytes), Source: source, Slots: rule.Slots,
+			Arrival:   time.Duration(pending.timestamp-first) * time.Microsecond,
+			Class:     classOfRule[pending.class],
+			Key:       pseudonyms.keyOf(pending),
+			Timeout:   rule.timeout(),
+			Slots:     rule.Slots,
+			BodyBytes: int(pending.bodyBytes),
+			Status:    int(pending.status),
+			Source:    source,
 		}
 		m.setDurations(&entry, pending, durations)
 		entry.Repairs = pending.repairs
--- a/internal/rehearsal/recording/clockcorrector.go
+++ b/internal/rehearsal/recording/clockcorrector.go
@@ -69,18 +69,14 @@
 		entry.repairs |= RepeatedHour
 	}
 	entry.foldOffset = 0
+	behind := completion < earliest
 	if len(c.suspects) > 0 {
-		resumed := completion >= earliest && completion <= c.lastGood+resumeWindow
-		if !resumed {
-			c.suspects = append(c.suspects, entry)
-			if len(c.suspects) >= stepConfirmations {
-				c.acceptSuspects()
-			}
+		if behind || completion > c.lastGood+resumeWindow {
+			c.addSuspect(entry)
 			return
 		}
-		c.releaseOutliers()
+		c.releaseOutliers() // the clock goes on from where it was before the suspects
 	}
-	behind := completion < c.lastGood-entry.tolerance()
 	if behind || completion > c.lastGood+maxForwardJump {
 		c.suspectsBehind = behind
 		c.suspects = append(c.suspects, entry)
@@ -89,6 +85,14 @@
 	c.accept(entry)
 }
 
+// addSuspect adds an entry that confirms the suspects; enough of them are accepted as a step.
+func (c *clockCorrector) addSuspect(entry pendingEntry) {
+	c.suspects = append(c.suspects, entry)
+	if len(c.suspects) >= stepConfirmations {
+		c.acceptSuspects()
+	}
+}
+
 // accept emits an entry whose timestamp is certain but for the correction.
 func (c *clockCorrector) accept(entry pendingEntry) {
 	entry.timestamp += c.correction
--- a/internal/rehearsal/recording/har.go
+++ b/internal/rehearsal/recording/har.go
@@ -120,8 +120,8 @@
 	if err != nil || token.Kind() != '[' {
 		return errors.Join(errors.New("log.entries is no array"), err)
 	}
-	for at := (position{line: 1}); r.decoder.PeekKind() != ']'; at.line++ {
-		at.offset = r.decoder.InputOffset()
+	for position := (entryPosition{line: 1}); r.decoder.PeekKind() != ']'; position.line++ {
+		position.offset = r.decoder.InputOffset()
 		raw := &RawEntry{Duration: notRecorded, ServiceTime: notRecorded, StampsArrival: true}
 		malformed, err := r.readEntry(raw)
 		if err != nil {
@@ -130,7 +130,7 @@
 		if malformed != nil {
 			raw = nil
 		}
-		if err := r.handle(at, raw, malformed); err != nil {
+		if err := r.handle(position, raw, malformed); err != nil {
 			return handlerError{err}
 		}
 	}
--- a/internal/rehearsal/recording/importer.go
+++ b/internal/rehearsal/recording/importer.go
@@ -76,17 +76,17 @@
 	if options.MaxListedRejects == 0 {
 		options.MaxListedRejects = defaultListedRejects
 	}
-	m := newImporter(&options)
-	if err := m.open(inputs); err != nil {
+	importer := newImporter(&options)
+	if err := importer.open(inputs); err != nil {
 		return nil, err
 	}
-	for index := range m.sources {
-		if err := m.readSource(index); err != nil {
+	for index := range importer.sources {
+		if err := importer.readSource(index); err != nil {
 			return nil, err
 		}
 	}
-	m.alignClocks()
-	return m.report, m.write(out)
+	importer.alignClocks()
+	return importer.report, importer.write(out)
 }
 
 func newImporter(options *Options) *importer {
--- a/internal/rehearsal/recording/lines.go
+++ b/internal/rehearsal/recording/lines.go
@@ -8,39 +8,39 @@
 	"io"
 )
 
-// position is where a line or an entry is found.
-type position struct {
+// entryPosition is where a line or an entry is found.
+type entryPosition struct {
 	line   int   // from 1; in a HAR file the number of the entry
 	offset int64 // of the first byte, in the decompressed file
 }
 
 // entryHandler takes one entry; malformed says what is wrong with it, and raw is then nil. raw is
 // only valid during the call. An error ends the reading.
-type entryHandler func(at position, raw *RawEntry, malformed error) error
+type entryHandler func(at entryPosition, raw *RawEntry, malformed error) error
 
 // readLines calls handle for each line of a log that is not blank. The error returned is the
 // input's or the handler's.
 func readLines(input *bufio.Reader, format *Format, handle entryHandler) error {
 	var raw RawEntry
-	at := position{line: 1}
+	position := entryPosition{line: 1}
 	for {
 		line, err := readLine(input)
 		if err != nil && !errors.Is(err, io.EOF) {
 			if line.size > 0 {
-				if handlerErr := handle(at, nil, fmt.Errorf("cut off: %w", err)); handlerErr != nil {
+				if handlerErr := handle(position, nil, fmt.Errorf("cut off: %w", err)); handlerErr != nil {
 					return handlerErr
 				}
 			}
 			return err
 		}
-		if handlerErr := handleLine(line, format, at, &raw, handle); handlerErr != nil {
+		if handlerErr := handleLine(line, format, position, &raw, handle); handlerErr != nil {
 			return handlerErr
 		}
 		if err != nil {
 			return nil
 		}
-		at.line++
-		at.offset += line.size
+		position.line++
+		position.offset += line.size
 	}
 }
 
@@ -64,20 +64,20 @@
 	return line, err
 }
 
-func handleLine(line rawLine, format *Format, at position, raw *RawEntry, handle entryHandler) error {
+func handleLine(line rawLine, format *Format, position entryPosition, raw *RawEntry, handle entryHandler) error {
 	text := line.text
-	if at.line == 1 {
+	if position.line == 1 {
 		text = bytes.TrimPrefix(text, []byte(byteOrderMark))
 	}
 	text = bytes.TrimRight(text, "\r\n")
 	switch {
 	case line.tooLong:
-		return handle(at, nil, errLineTooLong)
+		return handle(position, nil, errLineTooLong)
 	case len(bytes.TrimSpace(text)) == 0:
 		return nil
 	}
 	if malformed := format.Parse(string(text), raw); malformed != nil {
-		return handle(at, nil, malformed)
+		return handle(position, nil, malformed)
 	}
-	return handle(at, raw, nil)
+	return handle(position, raw, nil)
 }
--- a/internal/rehearsal/recording/logsource.go
+++ b/internal/rehearsal/recording/logsource.go
@@ -5,6 +5,7 @@
 	"crypto/sha256"
 	"encoding/hex"
 	"fmt"
+	"hash"
 	"io"
 	"math"
 	"slices"
@@ -59,24 +60,31 @@
 		m.report.InputBytes += file.digest.bytes
 		m.reportProgress(0, true)
 	}
-	if len(source.files) == 1 {
-		source.report.SHA256 = hex.EncodeToString(source.files[0].digest.full.Sum(nil))
-	} else {
-		source.report.SHA256 = hex.EncodeToString(digests.Sum(nil))
-	}
-	source.report.ClockSteps = source.clock.StepsBack
-	source.report.SteppedUs = source.clock.SteppedMicroseconds
-	source.report.OutlierTimestamps = source.clock.Outliers
-	source.report.Spread = source.spreader.Spread
-	source.report.CrowdedSeconds = source.spreader.CrowdedSeconds
+	source.reportRead(digests)
 	if err := source.sorter.close(); err != nil {
 		return err
 	}
 	var err error
-	source.sorter.runs, err = compactRuns(m.options.Spool, &m.runs, source.sorter.runs, max(1, maxMergedRuns/len(m.sources)))
+	maxRuns := max(1, maxMergedRuns/len(m.sources))
+	source.sorter.runs, err = compactRuns(m.options.Spool, &m.runs, source.sorter.runs, maxRuns)
 	return err
 }
 
+// reportRead completes the report of a source whose files have been read. digests has hashed the
+// digests of its files; the digest of a single file is reported as it is.
+func (s *logSource) reportRead(digests hash.Hash) {
+	digest := digests.Sum(nil)
+	if len(s.files) == 1 {
+		digest = s.files[0].digest.full.Sum(nil)
+	}
+	s.report.SHA256 = hex.EncodeToString(digest)
+	s.report.ClockSteps = s.clock.StepsBack
+	s.report.SteppedUs = s.clock.SteppedMicroseconds
+	s.report.OutlierTimestamps = s.clock.Outliers
+	s.report.Spread = s.spreader.Spread
+	s.report.CrowdedSeconds = s.spreader.CrowdedSeconds
+}
+
 // readFile reads one file. A fault of the file is reported as a truncation of its source; the
 // error returned is the spool's.
 func (m *importer) readFile(source *logSource, file *inputFile) error {
@@ -88,7 +96,9 @@
 		report.Stamp = stampArrival
 	}
 	source.clock.unordered = file.format.HAR
-	handle := func(at position, raw *RawEntry, err error) error { return m.countEntry(source, file, at, raw, err) }
+	handle := func(position entryPosition, raw *RawEntry, malformed error) error {
+		return m.countEntry(source, file, position, raw, malformed)
+	}
 	err := file.openError
 	switch {
 	case err != nil:
@@ -105,23 +115,30 @@
 		err = remainderErr
 	}
 	if err != nil {
-		truncation := fmt.Sprintf("%s: %v, after %d bytes", file.File, err, file.digest.bytes)
-		report.Truncation = strings.TrimPrefix(report.Truncation+"; "+truncation, "; ")
+		report.addTruncation(fmt.Sprintf("%s: %v, after %d bytes", file.File, err, file.digest.bytes))
 	}
 	source.clock.acceptSuspects()
 	source.spreader.flush()
 	return nil
 }
 
+// addTruncation adds the reason why a file of the source ended early.
+func (r *SourceReport) addTruncation(reason string) {
+	if r.Truncation != "" {
+		r.Truncation += "; "
+	}
+	r.Truncation += reason
+}
+
 // countEntry counts one entry as accepted, malformed, unmapped or ignored, and passes an
 // accepted one on to the clock of its source. The error returned is the spool's.
-func (m *importer) countEntry(source *logSource, file *inputFile, at position, raw *RawEntry, malformed error) error {
+func (m *importer) countEntry(source *logSource, file *inputFile, position entryPosition, raw *RawEntry, malformed error) error {
 	const typicalLineBytes = 256
 	counts := &source.report.Counts
 	counts.Read++
 	if malformed != nil {
 		counts.Malformed++
-		m.reject(Reject{Source: file.File, Line: at.line, Offset: at.offset, Reason: malformed.Error()})
+		m.reject(Reject{Source: file.File, Line: position.line, Offset: position.offset, Reason: malformed.Error()})
 		return nil
 	}
 	if raw.Ignored != "" {
@@ -156,10 +173,18 @@
 // the target are kept as hashes alone.
 func (m *importer) newPendingEntry(source *logSource, raw *RawEntry, rule int, token string) pendingEntry {
 	entry := pendingEntry{
-		timestamp: raw.Timestamp, sequence: source.sequence, duration: raw.Duration, serviceTime: raw.ServiceTime,
-		resolution: raw.Resolution, class: int32(rule), status: int32(raw.Status),
-		bodyBytes: int32(min(raw.BodyBytes, math.MaxInt32)), repairs: raw.Repairs,
-		stampsArrival: raw.StampsArrival, foldOffset: raw.FoldOffset, signature: raw.signature(),
+		timestamp:     raw.Timestamp,
+		sequence:      source.sequence,
+		signature:     raw.signature(),
+		duration:      raw.Duration,
+		serviceTime:   raw.ServiceTime,
+		resolution:    raw.Resolution,
+		class:         int32(rule),
+		status:        int32(raw.Status),
+		bodyBytes:     int32(min(raw.BodyBytes, math.MaxInt32)),
+		repairs:       raw.Repairs,
+		stampsArrival: raw.StampsArrival,
+		foldOffset:    raw.FoldOffset,
 	}
 	source.sequence++
 	source.wholeSeconds = source.wholeSeconds || raw.Resolution >= second
--- a/internal/rehearsal/recording/pseudonym.go
+++ b/internal/rehearsal/recording/pseudonym.go
@@ -32,22 +32,22 @@
 	domainSynthetic keyDomain = 'x'
 )
 
-func newPseudonymizer(m *importer) *pseudonymizer {
+func newPseudonymizer(importer *importer) *pseudonymizer {
 	secret := sha256.New()
 	io.WriteString(secret, "hollyyoke: pseudonyms\n")
-	if len(m.options.Secret) > 0 {
-		secret.Write(m.options.Secret)
+	if len(importer.options.Secret) > 0 {
+		secret.Write(importer.options.Secret)
 	} else {
-		for _, source := range m.sources {
+		for _, source := range importer.sources {
 			for _, file := range source.files {
 				secret.Write(file.digest.secretSample.Sum(nil))
 			}
 		}
 	}
-	redacted := &m.options.Rules.Redacted
+	redacted := &importer.options.Rules.Redacted
 	pseudonyms := &pseudonymizer{
 		mac:     hmac.New(sha256.New, secret.Sum(nil)),
-		random:  newRandomStream(m.options.Seed, "made-up keys"),
+		random:  newRandomStream(importer.options.Seed, "made-up keys"),
 		members: redacted.Members,
 	}
 	if redacted.Skew > 1 {
--- a/internal/rehearsal/recording/reader.go
+++ b/internal/rehearsal/recording/reader.go
@@ -36,12 +36,12 @@
 }
 
 // NewReader opens a recording and reads its header. The caller must close the reader.
-func NewReader(r io.Reader) (*Reader, error) {
+func NewReader(input io.Reader) (*Reader, error) {
 	const (
 		inputBytes      = 64 << 10
 		unlimitedMemory = 1 << 40
 	)
-	decoder, err := zstd.NewReader(r, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true),
+	decoder, err := zstd.NewReader(input, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true),
 		zstd.WithDecoderMaxWindow(maxZstdWindowBytes), zstd.WithDecoderMaxMemory(unlimitedMemory))
 	if err != nil {
 		return nil, err
@@ -184,9 +184,9 @@
 	if err != nil {
 		return err
 	}
-	switch of := frame.Of.(type) {
+	switch content := frame.Of.(type) {
 	case *recordingpb.Frame_Block:
-		entries := of.Block.GetEntries()
+		entries := content.Block.GetEntries()
 		if len(entries) > maxBlockEntries {
 			return fmt.Errorf("frame %d: %d entries, at most %d are read", r.frames, len(entries), maxBlockEntries)
 		}
@@ -194,8 +194,8 @@
 		r.nextEntry = 0
 		return nil
 	case *recordingpb.Frame_End:
-		if of.End.Entries != r.count {
-			return fmt.Errorf("frame %d: %d entries were read, the end tells %d", r.frames, r.count, of.End.Entries)
+		if content.End.Entries != r.count {
+			return fmt.Errorf("frame %d: %d entries were read, the end tells %d", r.frames, r.count, content.End.Entries)
 		}
 		if _, err := r.input.ReadByte(); !errors.Is(err, io.EOF) {
 			return fmt.Errorf("frame %d: something follows the end", r.frames)
--- a/internal/rehearsal/recording/report.go
+++ b/internal/rehearsal/recording/report.go
@@ -1,6 +1,7 @@
 package recording
 
 import (
+	"encoding/hex"
 	"errors"
 	"slices"
 	"time"
@@ -43,7 +44,12 @@
 
 func (c *Counts) proto() *recordingpb.Counts {
 	return &recordingpb.Counts{
-		Read: c.Read, Accepted: c.Accepted, Malformed: c.Malformed, Unmapped: c.Unmapped, Ignored: c.Ignored, Repaired: c.Repaired,
+		Read:      c.Read,
+		Accepted:  c.Accepted,
+		Malformed: c.Malformed,
+		Unmapped:  c.Unmapped,
+		Ignored:   c.Ignored,
+		Repaired:  c.Repaired,
 	}
 }
 
@@ -69,6 +75,23 @@
 	Truncation        string `json:"cut,omitempty"` // why the source ended early; empty: it did not
 }
 
+func (r *SourceReport) proto() *recordingpb.Source {
+	digest, _ := hex.DecodeString(r.SHA256) // the importer encoded it
+	return &recordingpb.Source{
+		Name:      r.Name,
+		Sha256:    digest,
+		Format:    r.Format,
+		Stamp:     r.Stamp,
+		Counts:    r.Counts.proto(),
+		OffsetUs:  r.OffsetUs,
+		Estimated: r.Estimated,
+		Pairs:     uint32(r.Pairs),
+		SpreadUs:  r.SpreadUs,
+		Cut:       r.Truncation,
+		Files:     r.Files,
+	}
+}
+
 // Values of SourceReport.Stamp: what the timestamps of a source mark.
 const (
 	stampArrival = "arrival"
--- a/internal/rehearsal/recording/reservoir.go
+++ b/internal/rehearsal/recording/reservoir.go
@@ -28,10 +28,10 @@
 
 // drawDuration draws a duration in microseconds: one of the recorded ones, otherwise one of the
 // lognormal distribution that the rule gives.
-func (c *Rule) drawDuration(recorded *reservoir, random *rand.Rand) int64 {
+func (r *Rule) drawDuration(recorded *reservoir, random *rand.Rand) int64 {
 	if len(recorded.values) > 0 {
 		return recorded.values[random.IntN(len(recorded.values))]
 	}
-	variance := math.Log(1 + c.DurationSpread*c.DurationSpread) // of the logarithm
-	return max(1, int64(c.DurationMs*1000*math.Exp(random.NormFloat64()*math.Sqrt(variance)-variance/2)))
+	variance := math.Log(1 + r.DurationSpread*r.DurationSpread) // of the logarithm
+	return max(1, int64(r.DurationMs*1000*math.Exp(random.NormFloat64()*math.Sqrt(variance)-variance/2)))
 }
--- a/internal/rehearsal/recording/rules.go
+++ b/internal/rehearsal/recording/rules.go
@@ -117,38 +117,38 @@
 	return nil
 }
 
-// validate sets defaults, checks the values and compiles the patterns. at is the rule's key for
+// validate sets defaults, checks the values and compiles the patterns. ruleKey names the rule in
 // errors; policies holds the retry policies of the classes before it.
-func (c *Rule) validate(at string, policies map[string]RetryPolicy) error {
-	if c.Name == "" || strings.ContainsAny(c.Name, "/ ?#\r\n\t") {
-		return fmt.Errorf("%s.name: %q is no name of a class", at, c.Name)
+func (r *Rule) validate(ruleKey string, policies map[string]RetryPolicy) error {
+	if r.Name == "" || strings.ContainsAny(r.Name, "/ ?#\r\n\t") {
+		return fmt.Errorf("%s.name: %q is no name of a class", ruleKey, r.Name)
 	}
-	if c.TimeoutMs < 1 || c.TimeoutMs > maxTimeoutMs {
-		return fmt.Errorf("%s.left_ms: %d is not between 1 and %d", at, c.TimeoutMs, maxTimeoutMs)
+	if r.TimeoutMs < 1 || r.TimeoutMs > maxTimeoutMs {
+		return fmt.Errorf("%s.left_ms: %d is not between 1 and %d", ruleKey, r.TimeoutMs, maxTimeoutMs)
 	}
-	if c.RetryPolicy == "" {
-		c.RetryPolicy = Fragile
+	if r.RetryPolicy == "" {
+		r.RetryPolicy = Fragile
 	}
-	if c.RetryPolicy != Fragile && c.RetryPolicy != Retryable {
-		return fmt.Errorf("%s.repeat: %q is neither fragile nor retryable", at, c.RetryPolicy)
+	if r.RetryPolicy != Fragile && r.RetryPolicy != Retryable {
+		return fmt.Errorf("%s.repeat: %q is neither fragile nor retryable", ruleKey, r.RetryPolicy)
 	}
-	if earlier, ok := policies[c.Name]; ok && earlier != c.RetryPolicy {
-		return fmt.Errorf("%s.repeat: %s was %s before", at, c.Name, earlier)
+	if earlier, ok := policies[r.Name]; ok && earlier != r.RetryPolicy {
+		return fmt.Errorf("%s.repeat: %s was %s before", ruleKey, r.Name, earlier)
 	}
-	policies[c.Name] = c.RetryPolicy
-	switch c.KeySource {
+	policies[r.Name] = r.RetryPolicy
+	switch r.KeySource {
 	case "", KeyFromPath, KeyFromClient, KeyFromNone:
 	default:
-		return fmt.Errorf("%s.key_from: %q is neither path, client nor none", at, c.KeySource)
+		return fmt.Errorf("%s.key_from: %q is neither path, client nor none", ruleKey, r.KeySource)
 	}
-	if err := c.validateNumbers(at); err != nil {
+	if err := r.validateNumbers(ruleKey); err != nil {
 		return err
 	}
-	return c.compilePatterns(at)
+	return r.compilePatterns(ruleKey)
 }
 
 // validateNumbers sets the defaults of the rule's numbers and checks their ranges.
-func (c *Rule) validateNumbers(at string) error {
+func (r *Rule) validateNumbers(ruleKey string) error {
 	const maxMilliseconds = 600_000
 	for _, number := range []struct {
 		key          string
@@ -156,36 +156,36 @@
 		defaultValue float64
 		max          float64
 	}{
-		{"slots", &c.Slots, 1, maxSlots},
-		{"effort_factor", &c.EffortFactor, 1, 1000},
-		{"effort_ms", &c.EffortMs, 0, maxMilliseconds},
-		{"duration_ms", &c.DurationMs, 100, maxMilliseconds},
-		{"duration_spread", &c.DurationSpread, 0.5, 10},
+		{"slots", &r.Slots, 1, maxSlots},
+		{"effort_factor", &r.EffortFactor, 1, 1000},
+		{"effort_ms", &r.EffortMs, 0, maxMilliseconds},
+		{"duration_ms", &r.DurationMs, 100, maxMilliseconds},
+		{"duration_spread", &r.DurationSpread, 0.5, 10},
 	} {
 		if *number.value == 0 {
 			*number.value = number.defaultValue
 		}
 		if math.IsNaN(*number.value) || *number.value < 0 || *number.value > number.max {
-			return fmt.Errorf("%s.%s: %g is not between 0 and %g", at, number.key, *number.value, number.max)
+			return fmt.Errorf("%s.%s: %g is not between 0 and %g", ruleKey, number.key, *number.value, number.max)
 		}
 	}
 	return nil
 }
 
-func (c *Rule) compilePatterns(at string) (err error) {
-	c.pathPattern, err = regexp.Compile(c.Path)
+func (r *Rule) compilePatterns(ruleKey string) (err error) {
+	r.pathPattern, err = regexp.Compile(r.Path)
 	if err != nil {
-		return fmt.Errorf("%s.path: %w", at, err)
+		return fmt.Errorf("%s.path: %w", ruleKey, err)
 	}
-	c.keyPattern, err = regexp.Compile(c.Key)
+	r.keyPattern, err = regexp.Compile(r.Key)
 	if err != nil {
-		return fmt.Errorf("%s.key: %w", at, err)
+		return fmt.Errorf("%s.key: %w", ruleKey, err)
 	}
-	if c.Key != "" && c.keyPattern.NumSubexp() < 1 {
-		return fmt.Errorf("%s.key: no group", at)
+	if r.Key != "" && r.keyPattern.NumSubexp() < 1 {
+		return fmt.Errorf("%s.key: no group", ruleKey)
 	}
-	c.pathMatcher = compileSegmentPattern(c.Path)
-	c.keyMatcher = compileSegmentPattern(c.Key)
+	r.pathMatcher = compileSegmentPattern(r.Path)
+	r.keyMatcher = compileSegmentPattern(r.Key)
 	return nil
 }
 
@@ -201,38 +201,38 @@
 	return -1, ""
 }
 
-func (c *Rule) matches(method, path string) bool {
-	if c.Method != "" && c.Method != method {
+func (r *Rule) matches(method, path string) bool {
+	if r.Method != "" && r.Method != method {
 		return false
 	}
-	if c.pathMatcher != nil {
-		_, ok := c.pathMatcher.match(path)
+	if r.pathMatcher != nil {
+		_, ok := r.pathMatcher.match(path)
 		return ok
 	}
-	return c.pathPattern.MatchString(path)
+	return r.pathPattern.MatchString(path)
 }
 
 // keyToken extracts the text that the key of an entry is made from; empty: there is none.
-func (c *Rule) keyToken(path, client string) string {
+func (r *Rule) keyToken(path, client string) string {
 	switch {
-	case c.KeySource == KeyFromNone:
+	case r.KeySource == KeyFromNone:
 		return ""
-	case c.KeySource == KeyFromClient:
+	case r.KeySource == KeyFromClient:
 		return client
-	case c.Key == "":
+	case r.Key == "":
 		return path[strings.LastIndexByte(path, '/')+1:]
-	case c.keyMatcher != nil:
-		token, _ := c.keyMatcher.match(path)
+	case r.keyMatcher != nil:
+		token, _ := r.keyMatcher.match(path)
 		return token
 	}
-	if groups := c.keyPattern.FindStringSubmatch(path); groups != nil {
+	if groups := r.keyPattern.FindStringSubmatch(path); groups != nil {
 		return groups[1]
 	}
 	return ""
 }
 
 // timeout is how long a client of the rule waits.
-func (c *Rule) timeout() time.Duration { return time.Duration(c.TimeoutMs) * time.Millisecond }
+func (r *Rule) timeout() time.Duration { return time.Duration(r.TimeoutMs) * time.Millisecond }
 
 // isRedacted reports whether a token says nothing about the member: it is empty, a dash, a word
 // for something removed, or made of characters that replace removed ones.
--- a/internal/rehearsal/recording/run.go
+++ b/internal/rehearsal/recording/run.go
@@ -73,11 +73,11 @@
 	size := len(encoded)
 	err = nil
 	readUvarint := func() uint64 {
-		value, n := binary.Uvarint(encoded)
-		if n <= 0 {
+		value, length := binary.Uvarint(encoded)
+		if length <= 0 {
 			err = errSpoolTruncated
 		}
-		encoded = encoded[max(n, 0):]
+		encoded = encoded[max(length, 0):]
 		return value
 	}
 	entry := &r.entry
@@ -108,22 +108,25 @@
 	return err
 }
 
-// runHeap orders runs by the time of their next entry, then source, then position in the source.
-type runHeap []*runReader
-
-func (h runHeap) Len() int { return len(h) }
-func (h runHeap) Less(i, j int) bool {
-	a, b := h[i], h[j]
+// before reports whether the run's entry comes before that of another run in the merged order: by
+// time, then source, then position in the source.
+func (r *runReader) before(other *runReader) bool {
 	switch {
-	case a.entry.timestamp != b.entry.timestamp:
-		return a.entry.timestamp < b.entry.timestamp
-	case a.source != b.source:
-		return a.source < b.source
+	case r.entry.timestamp != other.entry.timestamp:
+		return r.entry.timestamp < other.entry.timestamp
+	case r.source != other.source:
+		return r.source < other.source
 	}
-	return a.entry.sequence < b.entry.sequence
+	return r.entry.sequence < other.entry.sequence
 }
-func (h runHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *runHeap) Push(x any)   { *h = append(*h, x.(*runReader)) }
+
+// runHeap is a heap of runs, the one whose entry is next in the merged order first.
+type runHeap []*runReader
+
+func (h runHeap) Len() int           { return len(h) }
+func (h runHeap) Less(i, j int) bool { return h[i].before(h[j]) }
+func (h runHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *runHeap) Push(x any)        { *h = append(*h, x.(*runReader)) }
 func (h *runHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
--- a/internal/rehearsal/recording/segmentpattern.go
+++ b/internal/rehearsal/recording/segmentpattern.go
@@ -29,11 +29,11 @@
 	pattern := &segmentPattern{groupSegment: -1}
 	rest, pattern.anchoredEnd = strings.CutSuffix(rest, "$")
 	for {
-		at := strings.Index(rest, segmentClass)
-		if at < 0 || at+len(segmentExpression) > len(rest) {
+		start := strings.Index(rest, segmentClass)
+		if start < 0 || start+len(segmentExpression) > len(rest) {
 			break
 		}
-		rest, ok = pattern.addSegment(rest[:at], rest[at+len(segmentClass)], rest[at+len(segmentExpression):])
+		rest, ok = pattern.addSegment(rest[:start], rest[start+len(segmentClass)], rest[start+len(segmentExpression):])
 		if !ok {
 			return nil
 		}
--- a/internal/rehearsal/recording/sorter.go
+++ b/internal/rehearsal/recording/sorter.go
@@ -70,7 +70,9 @@
 func (s *sorter) writeEarliest() {
 	if len(s.current) == 0 {
 		s.endRun()
-		s.current, s.following = s.following, s.current[:0]
+		emptied := s.current[:0]
+		s.current = s.following
+		s.following = emptied
 	}
 	if s.output == nil {
 		file, err := s.spool.Create()
--- a/internal/rehearsal/recording/template.go
+++ b/internal/rehearsal/recording/template.go
@@ -80,14 +80,18 @@
 
 // appendField adds a field behind the literal text, which it empties.
 func (f *Format) appendField(kind fieldKind, layout string, literal *strings.Builder) {
-	if n := len(f.template); n > 0 && kind == fieldQuery && f.template[n-1].kind == fieldPath && literal.Len() == 0 {
-		f.template[n-1].kind = fieldTarget // %U%q is one text
+	var previous *templateField
+	if len(f.template) > 0 {
+		previous = &f.template[len(f.template)-1]
+	}
+	if previous != nil && previous.kind == fieldPath && kind == fieldQuery && literal.Len() == 0 {
+		previous.kind = fieldTarget // %U%q is one text
 		return
 	}
 	before := literal.String()
 	literal.Reset()
-	if n := len(f.template); n > 0 {
-		f.template[n-1].end = before
+	if previous != nil {
+		previous.end = before
 	}
 	f.template = append(f.template, templateField{
 		kind: kind, layout: layout, before: before, quoted: strings.HasSuffix(before, `"`),
@@ -310,21 +314,22 @@
 	return nil
 }
 
-// closingQuote returns the index of the quote that ends a quoted text; -1: there is none.
+// closingQuote returns the index of the quote that ends a quoted text; -1: there is none. A quote
+// behind an odd number of backslashes is escaped.
 func closingQuote(text string) int {
-	for at := 0; ; {
-		n := strings.IndexByte(text[at:], '"')
-		if n < 0 {
+	searchFrom := 0
+	for {
+		length := strings.IndexByte(text[searchFrom:], '"')
+		if length < 0 {
 			return -1
 		}
-		backslashes := 0
-		for i := at + n - 1; i >= 0 && text[i] == '\\'; i-- {
-			backslashes++
-		}
+		quote := searchFrom + length
+		unescaped := strings.TrimRight(text[:quote], `\`)
+		backslashes := quote - len(unescaped)
 		if backslashes%2 == 0 {
-			return at + n
+			return quote
 		}
-		at += n + 1
+		searchFrom = quote + 1
 	}
 }
 
@@ -337,25 +342,39 @@
 			continue
 		}
 		i++
-		switch text[i] {
-		case 'n':
-			out = append(out, '\n')
-		case 't':
-			out = append(out, '\t')
-		case 'r':
-			out = append(out, '\r')
-		case 'x':
-			if i+2 < len(text) {
-				if n, err := strconv.ParseUint(text[i+1:i+3], 16, 8); err == nil {
-					out = append(out, byte(n))
-					i += 2
-					continue
-				}
+		if text[i] == 'x' {
+			if value, ok := parseHexByte(text[i+1:]); ok {
+				out = append(out, value)
+				i += hexByteDigits
+				continue
 			}
-			out = append(out, 'x')
-		default:
-			out = append(out, text[i])
 		}
+		out = append(out, unescapedByte(text[i]))
 	}
 	return string(out)
 }
+
+// hexByteDigits is the number of digits behind \x.
+const hexByteDigits = 2
+
+// parseHexByte reads the two hexadecimal digits at the start of text; ok is false if there are none.
+func parseHexByte(text string) (value byte, ok bool) {
+	if len(text) < hexByteDigits {
+		return 0, false
+	}
+	number, err := strconv.ParseUint(text[:hexByteDigits], 16, 8)
+	return byte(number), err == nil
+}
+
+// unescapedByte returns the byte that a backslash and a letter stand for; others stand for themselves.
+func unescapedByte(letter byte) byte {
+	switch letter {
+	case 'n':
+		return '\n'
+	case 't':
+		return '\t'
+	case 'r':
+		return '\r'
+	}
+	return letter
+}
--- a/internal/rehearsal/recording/template_apache.go
+++ b/internal/rehearsal/recording/template_apache.go
@@ -27,28 +27,28 @@
 
 // apacheCompiler compiles the text of a LogFormat directive into a format.
 type apacheCompiler struct {
-	format  *Format
-	text    string
-	at      int // index of the next byte of text
-	literal strings.Builder
+	format   *Format
+	text     string
+	position int // index of the next byte of text
+	literal  strings.Builder
 }
 
 // compileApache compiles the text of a LogFormat directive.
 func (f *Format) compileApache(text string) error {
 	f.StampsArrival = true
 	compiler := apacheCompiler{format: f, text: text}
-	for compiler.at < len(text) {
+	for compiler.position < len(text) {
 		switch {
-		case text[compiler.at] == '\\' && compiler.at+1 < len(text):
+		case text[compiler.position] == '\\' && compiler.position+1 < len(text):
 			compiler.readEscape()
-		case text[compiler.at] == '%':
-			compiler.at++
+		case text[compiler.position] == '%':
+			compiler.position++
 			if err := compiler.readDirective(); err != nil {
 				return err
 			}
 		default:
-			compiler.literal.WriteByte(text[compiler.at])
-			compiler.at++
+			compiler.literal.WriteByte(text[compiler.position])
+			compiler.position++
 		}
 	}
 	return f.finishTemplate(compiler.literal.String())
@@ -56,14 +56,14 @@
 
 // readEscape reads a backslash and the byte behind it, as the configuration file writes them.
 func (c *apacheCompiler) readEscape() {
-	switch escaped := c.text[c.at+1]; escaped {
+	switch escaped := c.text[c.position+1]; escaped {
 	case 't':
 		c.literal.WriteByte('\t')
 	case 'n':
 	default:
 		c.literal.WriteByte(escaped)
 	}
-	c.at += 2
+	c.position += 2
 }
 
 // readDirective reads a directive from the byte behind its percent sign.
@@ -73,11 +73,11 @@
 	if err != nil {
 		return err
 	}
-	if c.at >= len(c.text) {
+	if c.position >= len(c.text) {
 		return errors.New("ends in the middle of a field")
 	}
-	directive := c.text[c.at]
-	c.at++
+	directive := c.text[c.position]
+	c.position++
 	switch directive {
 	case '%':
 		c.literal.WriteByte('%')
@@ -95,22 +95,22 @@
 
 // skipModifiers skips status codes and the < and > of redirected requests.
 func (c *apacheCompiler) skipModifiers() {
-	for c.at < len(c.text) && (strings.IndexByte("<>!,", c.text[c.at]) >= 0 || c.text[c.at] >= '0' && c.text[c.at] <= '9') {
-		c.at++
+	for c.position < len(c.text) && (strings.IndexByte("<>!,", c.text[c.position]) >= 0 || c.text[c.position] >= '0' && c.text[c.position] <= '9') {
+		c.position++
 	}
 }
 
 // readArgument reads an argument in braces; empty: there is none.
 func (c *apacheCompiler) readArgument() (string, error) {
-	if c.at >= len(c.text) || c.text[c.at] != '{' {
+	if c.position >= len(c.text) || c.text[c.position] != '{' {
 		return "", nil
 	}
-	length := strings.IndexByte(c.text[c.at:], '}')
+	length := strings.IndexByte(c.text[c.position:], '}')
 	if length < 0 {
-		return "", fmt.Errorf("at %d: %%{ without }", c.at)
+		return "", fmt.Errorf("at %d: %%{ without }", c.position)
 	}
-	argument := c.text[c.at+1 : c.at+length]
-	c.at += length + 1
+	argument := c.text[c.position+1 : c.position+length]
+	c.position += length + 1
 	return argument, nil
 }
 
--- a/internal/rehearsal/recording/template_nginx.go
+++ b/internal/rehearsal/recording/template_nginx.go
@@ -19,17 +19,17 @@
 // compileNGINX compiles the text of a log_format directive.
 func (f *Format) compileNGINX(text string) error {
 	var literal strings.Builder
-	for at := 0; at < len(text); {
-		if text[at] != '$' {
-			literal.WriteByte(text[at])
-			at++
+	for index := 0; index < len(text); {
+		if text[index] != '$' {
+			literal.WriteByte(text[index])
+			index++
 			continue
 		}
-		name, end, err := cutNGINXVariable(text, at+1)
+		name, end, err := cutNGINXVariable(text, index+1)
 		if err != nil {
 			return err
 		}
-		at = end
+		index = end
 		f.appendField(nginxFields[name], "", &literal)
 	}
 	return f.finishTemplate(literal.String())
@@ -37,16 +37,16 @@
 
 // cutNGINXVariable reads the name of a variable, with or without braces, from the byte
 // behind its $ and returns the index of the byte behind the variable.
-func cutNGINXVariable(text string, at int) (name string, end int, err error) {
-	braces := at < len(text) && text[at] == '{'
+func cutNGINXVariable(text string, start int) (name string, end int, err error) {
+	braces := start < len(text) && text[start] == '{'
 	if braces {
-		at++
+		start++
 	}
-	end = at
+	end = start
 	for end < len(text) && isNGINXNameByte(text[end]) {
 		end++
 	}
-	name = text[at:end]
+	name = text[start:end]
 	if braces {
 		if end >= len(text) || text[end] != '}' {
 			return "", 0, fmt.Errorf("at %d: ${ without }", end)
--- a/internal/rehearsal/recording/transform.go
+++ b/internal/rehearsal/recording/transform.go
@@ -21,13 +21,13 @@
 	return header
 }
 
-// Slice copies the entries that arrive at from or later and before to; to 0 means the end. The
+// Slice copies the entries that arrive at from or later and before until; 0 means the end. The
 // new recording starts at from.
-func Slice(recording *Reader, out io.Writer, from, to time.Duration) error {
-	if from < 0 || to != 0 && to <= from {
+func Slice(recording *Reader, out io.Writer, from, until time.Duration) error {
+	if from < 0 || until != 0 && until <= from {
 		return errors.New("slice: the window is empty")
 	}
-	header := recording.deriveHeader(fmt.Sprintf("slice from %v to %v", from, to))
+	header := recording.deriveHeader(fmt.Sprintf("slice from %v to %v", from, until))
 	header.StartUnixUs += from.Microseconds()
 	writer, err := NewWriter(out, header)
 	if err != nil {
@@ -35,7 +35,7 @@
 	}
 	// The recording is read to its end, which verifies that it is intact.
 	err = recording.ForEach(func(entry *Entry) error {
-		if entry.Arrival < from || to != 0 && entry.Arrival >= to {
+		if entry.Arrival < from || until != 0 && entry.Arrival >= until {
 			return nil
 		}
 		entry.Arrival -= from
@@ -202,12 +202,12 @@
 			copies++
 		}
 		for i := range copies {
-			c := *entry
+			copied := *entry
 			if i > 0 {
-				c.Arrival += time.Duration(random.Int64N(int64(time.Second)))
-				c.Key = keyOfCopy(entry.Key, i)
+				copied.Arrival += time.Duration(random.Int64N(int64(time.Second)))
+				copied.Key = keyOfCopy(entry.Key, i)
 			}
-			scaler.add(c)
+			scaler.add(copied)
 		}
 		return nil
 	})
--- a/internal/rehearsal/recording/unpack.go
+++ b/internal/rehearsal/recording/unpack.go
@@ -28,8 +28,8 @@
 	bytes        int64
 }
 
-func newHashingReader(r io.Reader) *hashingReader {
-	h := &hashingReader{reader: r, full: sha256.New(), secretSample: sha256.New()}
+func newHashingReader(reader io.Reader) *hashingReader {
+	h := &hashingReader{reader: reader, full: sha256.New(), secretSample: sha256.New()}
 	io.WriteString(h.secretSample, "hollyyoke: pseudonyms of members\n")
 	return h
 }
@@ -69,8 +69,8 @@
 
 // unpack decompresses gzip and zstd, which it recognises by their first bytes; anything else is
 // read as it is.
-func unpack(r io.Reader) (*bufio.Reader, error) {
-	input := bufio.NewReaderSize(r, maxLineBytes)
+func unpack(source io.Reader) (*bufio.Reader, error) {
+	input := bufio.NewReaderSize(source, maxLineBytes)
 	head, err := input.Peek(len(zstdMagic))
 	if err != nil && !errors.Is(err, io.EOF) {
 		return input, err
--- a/internal/rehearsal/recording/writer.go
+++ b/internal/rehearsal/recording/writer.go
@@ -28,8 +28,8 @@
 }
 
 // NewWriter starts a file by writing the header, which remains the caller's.
-func NewWriter(w io.Writer, header *recordingpb.Header) (*Writer, error) {
-	encoder, err := zstd.NewWriter(w, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest),
+func NewWriter(out io.Writer, header *recordingpb.Header) (*Writer, error) {
+	encoder, err := zstd.NewWriter(out, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest),
 		zstd.WithWindowSize(zstdWindowBytes), zstd.WithEncoderCRC(true))
 	if err != nil {
 		return nil, err
