--- a/internal/rehearsal/capacity/daemonconfig.go
+++ b/internal/rehearsal/capacity/daemonconfig.go
@@ -3,6 +3,8 @@
 import (
 	"encoding/json"
 	"fmt"
+
+	"hollyyoke.example/hollyyoke/internal/rehearsal/daemonconfig"
 )
 
 // daemonConfig is the daemon's configuration file.
@@ -12,16 +14,17 @@
 	Discovery string          `json:"discovery"`
 	Seed      string          `json:"seed"`
 	AdminAddr string          `json:"admin_addr"`
-	Limits    processLimits   `json:"limits"`
+	Limits    resourceLimits  `json:"limits"`
 	Settings  json.RawMessage `json:"settings"`
 }
 
-type processLimits struct {
-	MemoryMB int `json:"memory_mb"`
-	Sockets  int `json:"sockets"`
+type resourceLimits struct {
+	MemoryMB    int `json:"memory_mb"`
+	Descriptors int `json:"sockets"`
 }
 
-// dispatcherSettings is the settings object, as internal/settings reads it.
+// dispatcherSettings is the settings object. Fields have the names of package daemonconfig, but their keys are written in
+// another order, and with quotas of projects.
 type dispatcherSettings struct {
 	ZoneNames []string        `json:"areas"`
 	KindNames []string        `json:"kinds"`
@@ -41,22 +44,22 @@
 }
 
 type classSettings struct {
-	Name             string  `json:"name"`
-	Idempotency      string  `json:"repeat"`
-	PriorityWeight   float64 `json:"worth"`
-	LateWeight       float64 `json:"late_worth"`
-	ObjectiveUs      int     `json:"slo_us"`
-	ObjectiveStretch float64 `json:"aim_stretch"`
-	DeadlineUs       int     `json:"deadline_us"`
+	Name               string                   `json:"name"`
+	Idempotency        daemonconfig.Idempotency `json:"repeat"`
+	PriorityWeight     float64                  `json:"worth"`
+	LateWeight         float64                  `json:"late_worth"`
+	LatencyObjectiveUs int                      `json:"slo_us"`
+	ObjectiveStretch   float64                  `json:"aim_stretch"`
+	DeadlineUs         int                      `json:"deadline_us"`
 }
 
 type attemptLimits struct {
-	Cancellation     bool `json:"cancel"`
-	Hedging          bool `json:"second_copies"`
-	MaxAttempts      int  `json:"max_attempts"`
-	ConnectTimeoutUs int  `json:"connect_timeout_us"`
-	ConnIdleUs       int  `json:"conn_idle_us"`
-	MaxRetryAfterUs  int  `json:"max_retry_after_us"`
+	Cancellation            bool `json:"cancel"`
+	Hedging                 bool `json:"second_copies"`
+	MaxAttempts             int  `json:"max_attempts"`
+	ConnectTimeoutUs        int  `json:"connect_timeout_us"`
+	ConnectionIdleTimeoutUs int  `json:"conn_idle_us"`
+	MaxRetryAfterUs         int  `json:"max_retry_after_us"`
 }
 
 type workerRules struct {
@@ -68,12 +71,15 @@
 }
 
 type domainSettings struct {
-	StartNotices    bool   `json:"tells_start"`
-	ProgressUs      int    `json:"progress_us"`
-	QueueOrder      string `json:"queue_order"`
-	LoadReportField string `json:"report_x0"`
+	StartNotices       bool   `json:"tells_start"`
+	ProgressIntervalUs int    `json:"progress_us"`
+	QueueOrder         string `json:"queue_order"`
+	FirstReport        string `json:"report_x0"` // what a load report's x0 means
 }
 
+// Zones is the number of zones of the target.
+const Zones = 17
+
 // zoneNames returns the names of the zones of the target.
 func zoneNames() []string {
 	names := make([]string, Zones)
@@ -83,24 +89,68 @@
 	return names
 }
 
+// Units of the settings, which are in microseconds.
+const (
+	millisecondUs = 1_000
+	secondUs      = 1_000 * millisecondUs
+)
+
+// teamQuota is the quota of each team in requests per second, which one dispatcher does not reach here.
+const teamQuota = 1000
+
 // settingsJSON returns the settings of one of a number of dispatchers, with a quota for each team.
 func settingsJSON(peers, teams int) (json.RawMessage, error) {
-	settings := dispatcherSettings{ZoneNames: zoneNames(), KindNames: []string{kindName}, Peers: peers, TickUs: 2000, WeightBy: "work",
-		Projects: make([]projectQuota, teams),
+	settings := dispatcherSettings{
+		ZoneNames: zoneNames(),
+		KindNames: []string{kindName},
+		Peers:     peers,
+		TickUs:    2 * millisecondUs,
+		WeightBy:  "work",
+		Projects:  make([]projectQuota, teams),
 		Classes: []classSettings{
-			{Name: "status-check", Idempotency: "retryable", PriorityWeight: 3, LateWeight: 0.25, ObjectiveUs: 250_000, ObjectiveStretch: 2, DeadlineUs: 5_000_000},
-			{Name: "renewal", Idempotency: "fragile", PriorityWeight: 5, LateWeight: 0.5, ObjectiveUs: 200_000, ObjectiveStretch: 2, DeadlineUs: 8_000_000},
+			{
+				Name:               "status-check",
+				Idempotency:        daemonconfig.Retryable,
+				PriorityWeight:     3,
+				LateWeight:         0.25,
+				LatencyObjectiveUs: 250 * millisecondUs,
+				ObjectiveStretch:   2,
+				DeadlineUs:         5 * secondUs,
+			},
+			{
+				Name:               "renewal",
+				Idempotency:        daemonconfig.Fragile,
+				PriorityWeight:     5,
+				LateWeight:         0.5,
+				LatencyObjectiveUs: 200 * millisecondUs,
+				ObjectiveStretch:   2,
+				DeadlineUs:         8 * secondUs,
+			},
+		},
+		Limits: attemptLimits{
+			Cancellation:            true,
+			Hedging:                 true,
+			MaxAttempts:             3,
+			ConnectTimeoutUs:        250 * millisecondUs,
+			ConnectionIdleTimeoutUs: 10 * secondUs,
+			MaxRetryAfterUs:         2 * secondUs,
+		},
+		Workers: workerRules{
+			SlowStartFloor:      0.33,
+			SlowStartDurationUs: 8_600 * millisecondUs,
+			OverloadMultiple:    4,
+			OverloadWindowUs:    secondUs,
+			DrainGraceUs:        500 * millisecondUs,
+		},
+		Domain: domainSettings{
+			StartNotices:       true,
+			ProgressIntervalUs: secondUs,
+			QueueOrder:         "fifo",
+			FirstReport:        "free slots",
 		},
-		Limits:  attemptLimits{Cancellation: true, Hedging: true, MaxAttempts: 3, ConnectTimeoutUs: 250_000, ConnIdleUs: 10_000_000, MaxRetryAfterUs: 2_000_000},
-		Workers: workerRules{SlowStartFloor: 0.33, SlowStartDurationUs: 8_600_000, OverloadMultiple: 4, OverloadWindowUs: 1_000_000, DrainGraceUs: 500_000},
-		Domain:  domainSettings{StartNotices: true, ProgressUs: 1_000_000, QueueOrder: "fifo", LoadReportField: "free slots"},
 	}
-	const quota = 1000 // per second; one dispatcher does not reach it here
 	for i := range settings.Projects {
-		settings.Projects[i].PerSecond = quota
+		settings.Projects[i].PerSecond = teamQuota
 	}
 	return json.Marshal(settings)
 }
-
-// Zones is the number of zones of the target.
-const Zones = 17
--- a/internal/rehearsal/capacity/daemonrun.go
+++ b/internal/rehearsal/capacity/daemonrun.go
@@ -29,7 +29,7 @@
 
 // meter runs during and returns what the daemon used meanwhile.
 func (r *daemonRun) meter(during func() error) (cpu, span time.Duration, bytes int64, err error) {
-	cpuBefore, err := r.daemon.CPU()
+	cpuBefore, err := r.daemon.cpu()
 	if err != nil {
 		return 0, 0, 0, err
 	}
@@ -38,13 +38,13 @@
 	if err := during(); err != nil {
 		return 0, 0, 0, err
 	}
-	cpuAfter, err := r.daemon.CPU()
+	cpuAfter, err := r.daemon.cpu()
 	return cpuAfter - cpuBefore, time.Since(began), r.proxy.Bytes() - bytesBefore, err
 }
 
 // waitSteady waits until the daemon is idle.
 func (r *daemonRun) waitSteady() error {
-	previous, err := r.daemon.CPU()
+	previous, err := r.daemon.cpu()
 	if err != nil {
 		return err
 	}
@@ -54,7 +54,7 @@
 			return errNotSteady
 		}
 		time.Sleep(steadySampleInterval)
-		current, err := r.daemon.CPU()
+		current, err := r.daemon.cpu()
 		if err != nil {
 			return err
 		}
@@ -73,15 +73,15 @@
 	if err := r.waitSteady(); err != nil {
 		return err
 	}
-	cpu, err := r.daemon.CPU()
+	cpu, err := r.daemon.cpu()
 	if err != nil {
 		return err
 	}
-	peak, err := r.daemon.PeakResident()
+	peak, err := r.daemon.peakResident()
 	if err != nil {
 		return err
 	}
-	r.record(ReadyTime, UnitSeconds, r.daemon.Ready.Seconds())
+	r.record(ReadyTime, UnitSeconds, r.daemon.startTime.Seconds())
 	r.record(StartCPU, UnitSeconds, cpu.Seconds())
 	r.record(StartResident, UnitBytes, peak)
 	r.record(SnapshotBytes, UnitBytes, float64(r.proxy.Bytes()))
@@ -202,23 +202,23 @@
 		hosts[i] = listedWorker(i)
 	}
 	discovery.Set(hosts...)
-	link, err := StartCountingProxy(discovery.Addr)
+	proxy, err := StartCountingProxy(discovery.Addr)
 	if err != nil {
 		return err
 	}
-	defer link.Close()
-	process, err := startDaemon(config.Program, dir, link.Addr)
+	defer proxy.Close()
+	started, err := startDaemon(config.Program, dir, proxy.Addr)
 	if err != nil {
 		return err
 	}
-	defer process.stop()
-	run := daemonRun{slopes: slopes, size: size, daemon: process, proxy: link, discovery: discovery, hosts: hosts}
+	defer started.stop()
+	run := daemonRun{slopes: slopes, size: size, daemon: started, proxy: proxy, discovery: discovery, hosts: hosts}
 	for _, step := range []func(Config) error{run.measureStart, run.measureIdle, run.measureDeltas, run.measureZoneLoss} {
 		if err := step(config); err != nil {
 			return err
 		}
 	}
-	peak, err := process.PeakResident()
+	peak, err := started.peakResident()
 	if err != nil {
 		return err
 	}
--- /dev/null
+++ b/internal/rehearsal/processusage/processusage.go
@@ -0,0 +1,61 @@
+// Package processusage reads what a process has used, from outside and by the kernel's accounts. It neither starts nor
+// stops a process.
+package processusage
+
+import (
+	"bytes"
+	"fmt"
+	"os"
+	"strconv"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// cpuClockSched is the kernel's CPUCLOCK_SCHED: nanoseconds of processor time, over all threads of a process.
+const cpuClockSched = 2
+
+// CPU returns the processor time that a process has used so far. It fails if there is no such process.
+func CPU(pid int) (time.Duration, error) {
+	// The clock of another process, as clock_getcpuclockid(3) computes it. /proc/PID/stat has the same value with a
+	// resolution of 10 ms.
+	clock := int32(^pid<<3 | cpuClockSched)
+	var used unix.Timespec
+	if err := unix.ClockGettime(clock, &used); err != nil {
+		return 0, fmt.Errorf("processor time of process %d: %w", pid, err)
+	}
+	return time.Duration(used.Nano()), nil
+}
+
+// Memory is the resident memory of a process, in bytes. A value that the kernel does not give is 0.
+type Memory struct {
+	Resident     int64
+	PeakResident int64 // the largest so far
+}
+
+// ReadMemory reads the memory of a process. It fails if there is no such process.
+func ReadMemory(pid int) (Memory, error) {
+	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
+	if err != nil {
+		return Memory{}, err
+	}
+	memory := Memory{
+		Resident:     statusBytes(status, "VmRSS:"),
+		PeakResident: statusBytes(status, "VmHWM:"),
+	}
+	return memory, nil
+}
+
+// statusBytes returns the value of a line of /proc/PID/status that is in kB, in bytes; 0: there is no such line.
+func statusBytes(status []byte, key string) int64 {
+	_, rest, found := bytes.Cut(status, []byte("\n"+key))
+	if !found {
+		return 0
+	}
+	fields := bytes.Fields(rest)
+	if len(fields) == 0 {
+		return 0
+	}
+	kilobytes, _ := strconv.ParseInt(string(fields[0]), 10, 64)
+	return kilobytes << 10
+}
--- a/internal/rehearsal/scale/cluster.go
+++ b/internal/rehearsal/scale/cluster.go
@@ -122,7 +122,7 @@
 
 // writeInitialList writes the list that dispatchers start with to its file.
 func (c *cluster) writeInitialList() error {
-	list := initialList{Seq: initialVersion, Whole: true, Hosts: c.plan.Hosts, Settings: []any{}}
+	list := initialList{Version: initialVersion, Complete: true, Hosts: c.plan.Hosts, Settings: []any{}}
 	text, err := json.Marshal(list)
 	if err != nil {
 		return err
@@ -134,8 +134,8 @@
 // initialList is the list that dispatchers start with. A follower resumes from it only if it has settings, even if
 // none has changed.
 type initialList struct {
-	Seq      int64          `json:"seq"`
-	Whole    bool           `json:"whole"`
+	Version  int64          `json:"seq"`
+	Complete bool           `json:"whole"`
 	Hosts    []standin.Host `json:"hosts"`
 	Settings []any          `json:"settings"`
 }
@@ -327,10 +327,10 @@
 		return err
 	}
 	config := daemonConfig{
-		Name:     name,
-		Limits:   daemonLimits{MemoryMB: scenario.MemoryMB},
-		Known:    c.initialList,
-		Settings: dispatcherSettings(scenario, c.plan.Zones, zone),
+		Name:        name,
+		Limits:      resourceLimits{MemoryMB: scenario.MemoryMB},
+		InitialList: c.initialList,
+		Settings:    dispatcherSettings(scenario, c.plan.Zones, zone),
 	}
 	cmd, err := daemonCommand(c.programs.Daemon, c.dir, ZoneName(zone), config, source)
 	if err != nil {
--- a/internal/rehearsal/scale/meter.go
+++ b/internal/rehearsal/scale/meter.go
@@ -1,55 +1,11 @@
 package scale
 
 import (
-	"bytes"
-	"fmt"
-	"os"
-	"strconv"
 	"time"
 
-	"golang.org/x/sys/unix"
+	"hollyyoke.example/hollyyoke/internal/rehearsal/processusage"
 )
 
-// usage is what a process has used so far.
-type usage struct {
-	cpu          time.Duration
-	resident     int64 // bytes
-	peakResident int64
-}
-
-// readUsage reads the usage of a process from the system.
-func readUsage(pid int) (used usage, err error) {
-	// The processor-time clock of another process, as clock_getcpuclockid(3) computes it; /proc/PID/stat has the same
-	// value with a resolution of 10 ms.
-	const cpuClockSched = 2
-	var cpu unix.Timespec
-	if err := unix.ClockGettime(int32(^pid<<3|cpuClockSched), &cpu); err != nil {
-		return used, fmt.Errorf("processor time of %d: %w", pid, err)
-	}
-	used.cpu = time.Duration(cpu.Nano())
-	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
-	if err != nil {
-		return used, err
-	}
-	used.resident = statusBytes(status, "VmRSS:")
-	used.peakResident = statusBytes(status, "VmHWM:")
-	return used, nil
-}
-
-// statusBytes returns a line of /proc/PID/status that is in kB, in bytes.
-func statusBytes(status []byte, key string) int64 {
-	_, rest, found := bytes.Cut(status, []byte("\n"+key))
-	if !found {
-		return 0
-	}
-	fields := bytes.Fields(rest)
-	if len(fields) == 0 {
-		return 0
-	}
-	kilobytes, _ := strconv.ParseInt(string(fields[0]), 10, 64)
-	return kilobytes << 10
-}
-
 // sample is one reading of all meters. All counts rise from the start of the run.
 type sample struct {
 	at            time.Time
@@ -81,8 +37,8 @@
 // unfollow stops metering a process. It must be called before the process ends.
 func (m *meter) unfollow(name string) {
 	if pid, followed := m.pids[name]; followed {
-		if used, err := readUsage(pid); err == nil {
-			m.latestCPU[name] = used.cpu
+		if cpu, err := processusage.CPU(pid); err == nil {
+			m.latestCPU[name] = cpu
 		}
 		delete(m.pids, name)
 	}
@@ -99,13 +55,14 @@
 		peakResident:  map[string]int64{},
 	}
 	for name, pid := range m.pids {
-		used, err := readUsage(pid)
-		if err != nil {
+		cpu, cpuErr := processusage.CPU(pid)
+		memory, memoryErr := processusage.ReadMemory(pid)
+		if cpuErr != nil || memoryErr != nil {
 			continue // it has just ended
 		}
-		m.latestCPU[name] = used.cpu
-		taken.residentBytes[name] = used.resident
-		taken.peakResident[name] = used.peakResident
+		m.latestCPU[name] = cpu
+		taken.residentBytes[name] = memory.Resident
+		taken.peakResident[name] = memory.PeakResident
 	}
 	for name := range m.earlierCPU {
 		taken.cpu[name] = m.earlierCPU[name] + m.latestCPU[name]
--- a/internal/rehearsal/scale/origin.go
+++ b/internal/rehearsal/scale/origin.go
@@ -16,9 +16,9 @@
 
 // listing is a snapshot or a delta on the wire.
 type listing struct {
-	Seq   int64          `json:"seq"`
-	Whole bool           `json:"whole"`
-	Hosts []standin.Host `json:"hosts"`
+	Version  int64          `json:"seq"`
+	Complete bool           `json:"whole"`
+	Hosts    []standin.Host `json:"hosts"`
 }
 
 func (l *listing) line() []byte {
@@ -38,13 +38,13 @@
 	server      *http.Server
 	maxVersions int // in the log
 
-	mutex       sync.Mutex
-	seq         int64
-	hosts       []standin.Host // in the order of their first listing; removed ones stay
-	indexByName map[string]int
-	log         []version     // the latest, up to seq
-	snapshot    []byte        // marshalled; nil: outdated
-	changed     chan struct{} // closed at the next change
+	mutex         sync.Mutex
+	latestVersion int64
+	hosts         []standin.Host // in the order of their first listing; removed ones stay
+	indexByName   map[string]int
+	log           []version     // the latest, up to seq
+	snapshot      []byte        // marshalled; nil: outdated
+	changed       chan struct{} // closed at the next change
 }
 
 // heartbeatInterval is the time between empty lines on an idle watch.
@@ -67,7 +67,7 @@
 func (o *origin) change(hosts []standin.Host) int64 {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.seq++
+	o.latestVersion++
 	for _, host := range hosts {
 		i, known := o.indexByName[host.Host]
 		if !known {
@@ -77,7 +77,7 @@
 		}
 		o.hosts[i] = host
 	}
-	update := listing{Seq: o.seq, Hosts: hosts}
+	update := listing{Version: o.latestVersion, Hosts: hosts}
 	o.log = append(o.log, version{line: update.line(), hosts: hosts})
 	if excess := len(o.log) - o.maxVersions; excess > 0 {
 		o.log = o.log[excess:]
@@ -85,7 +85,7 @@
 	o.snapshot = nil
 	close(o.changed)
 	o.changed = make(chan struct{})
-	return o.seq
+	return o.latestVersion
 }
 
 // snapshotLine returns the line of the snapshot. The caller holds the mutex.
@@ -93,7 +93,7 @@
 	if o.snapshot != nil {
 		return o.snapshot
 	}
-	snapshot := listing{Seq: o.seq, Whole: true, Hosts: []standin.Host{}}
+	snapshot := listing{Version: o.latestVersion, Complete: true, Hosts: []standin.Host{}}
 	for _, host := range o.hosts {
 		if host.Health != standin.HealthGone {
 			snapshot.Hosts = append(snapshot.Hosts, host)
@@ -105,21 +105,21 @@
 
 // hasVersionsAfter reports whether the log has all versions after one. The caller holds the mutex.
 func (o *origin) hasVersionsAfter(after int64) bool {
-	return after > 0 && after >= o.seq-int64(len(o.log)) && after <= o.seq
+	return after > 0 && after >= o.latestVersion-int64(len(o.log)) && after <= o.latestVersion
 }
 
 // updatesAfter returns what a watch gets next that has a version, a line for each later version, and the channel that
 // is closed at the next change.
-func (o *origin) updatesAfter(after int64) (text []byte, seq int64, changed chan struct{}) {
+func (o *origin) updatesAfter(after int64) (text []byte, latest int64, changed chan struct{}) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	if !o.hasVersionsAfter(after) {
-		return o.snapshotLine(), o.seq, o.changed
+		return o.snapshotLine(), o.latestVersion, o.changed
 	}
-	for _, version := range o.log[len(o.log)-int(o.seq-after):] {
+	for _, version := range o.log[len(o.log)-int(o.latestVersion-after):] {
 		text = append(text, version.line...)
 	}
-	return text, o.seq, o.changed
+	return text, o.latestVersion, o.changed
 }
 
 // mergedDelta returns the answer to a poll that has a version: each changed worker once.
@@ -129,9 +129,9 @@
 	if !o.hasVersionsAfter(after) {
 		return o.snapshotLine()
 	}
-	delta := listing{Seq: o.seq, Hosts: []standin.Host{}}
+	delta := listing{Version: o.latestVersion, Hosts: []standin.Host{}}
 	seen := map[string]bool{}
-	missed := o.log[len(o.log)-int(o.seq-after):]
+	missed := o.log[len(o.log)-int(o.latestVersion-after):]
 	for i := len(missed) - 1; i >= 0; i-- {
 		for _, host := range missed[i].hosts {
 			if !seen[host.Host] {
@@ -165,7 +165,7 @@
 func (o *origin) version() int64 {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	return o.seq
+	return o.latestVersion
 }
 
 // respond answers a poll, compressed if the client accepts that.
@@ -189,14 +189,14 @@
 	heartbeat := time.NewTicker(heartbeatInterval)
 	defer heartbeat.Stop()
 	for first := true; ; first = false {
-		text, seq, changed := o.updatesAfter(after)
+		text, latest, changed := o.updatesAfter(after)
 		if first && len(text) == 0 {
 			text = []byte("\n") // nothing has changed: the line shows that the watch is open
 		}
 		if len(text) > 0 {
 			writer.Write(text)
 			flush()
-			after = seq
+			after = latest
 		}
 		select {
 		case <-changed:
--- a/internal/rehearsal/scale/origin_test.go
+++ b/internal/rehearsal/scale/origin_test.go
@@ -38,17 +38,17 @@
 	o.change([]standin.Host{host("a", "draining")})
 	o.change([]standin.Host{host("b", "gone")})
 	o.change([]standin.Host{host("a", "ready")})
-	if l := getListing(t, base); !l.Whole || l.Seq != 4 || len(l.Hosts) != 1 {
+	if l := getListing(t, base); !l.Complete || l.Version != 4 || len(l.Hosts) != 1 {
 		t.Errorf("%+v", l)
 	}
-	if l := getListing(t, base+"?after=2"); l.Whole || len(l.Hosts) != 2 || l.Hosts[0].Health != "ready" {
+	if l := getListing(t, base+"?after=2"); l.Complete || len(l.Hosts) != 2 || l.Hosts[0].Health != "ready" {
 		t.Errorf("delta: %+v", l)
 	}
-	if l := getListing(t, base+"?after=4"); l.Whole || len(l.Hosts) != 0 || l.Seq != 4 {
+	if l := getListing(t, base+"?after=4"); l.Complete || len(l.Hosts) != 0 || l.Version != 4 {
 		t.Errorf("nothing new: %+v", l)
 	}
 	o.change([]standin.Host{host("c", "ready")})
-	if l := getListing(t, base+"?after=1"); !l.Whole || l.Seq != 5 {
+	if l := getListing(t, base+"?after=1"); !l.Complete || l.Version != 5 {
 		t.Errorf("beyond the log: %+v", l)
 	}
 	response, err := http.Get(base + "?after=9")
@@ -89,11 +89,11 @@
 		t.Fatal(lines.Err())
 		return l
 	}
-	if l := next(); l.Seq != 2 || l.Whole || l.Hosts[0].Host != "b" {
+	if l := next(); l.Version != 2 || l.Complete || l.Hosts[0].Host != "b" {
 		t.Errorf("%+v", l)
 	}
 	o.change([]standin.Host{host("c", "ready")})
-	if l := next(); l.Seq != 3 || l.Hosts[0].Host != "c" {
+	if l := next(); l.Version != 3 || l.Hosts[0].Host != "c" {
 		t.Errorf("%+v", l)
 	}
 }
--- a/internal/rehearsal/scale/process.go
+++ b/internal/rehearsal/scale/process.go
@@ -14,23 +14,23 @@
 
 // daemonConfig is the configuration file of the daemon.
 type daemonConfig struct {
-	Name      string          `json:"name"`
-	Listen    string          `json:"listen"`
-	Discovery string          `json:"discovery,omitempty"`
-	Seed      string          `json:"seed"`
-	Limits    daemonLimits    `json:"limits"`
-	Known     json.RawMessage `json:"known,omitempty"`
-	Settings  json.RawMessage `json:"settings"`
+	Name        string          `json:"name"`
+	Listen      string          `json:"listen"`
+	Discovery   string          `json:"discovery,omitempty"`
+	Seed        string          `json:"seed"`
+	Limits      resourceLimits  `json:"limits"`
+	InitialList json.RawMessage `json:"known,omitempty"`
+	Settings    json.RawMessage `json:"settings"`
 }
 
-type daemonLimits struct {
-	MemoryMB float64 `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
+type resourceLimits struct {
+	MemoryMB    float64 `json:"memory_mb"`
+	Descriptors int     `json:"sockets"`
 }
 
 const (
-	daemonSockets = 1024
-	listenAny     = "127.0.0.1:0"
+	daemonDescriptors = 1024
+	listenAny         = "127.0.0.1:0"
 )
 
 // upstream is where a dispatcher gets changes from: discovery at an address, or the membership servers of its zone and
@@ -46,7 +46,7 @@
 	config.Listen = listenAny
 	config.Discovery = source.discovery
 	config.Seed = "1"
-	config.Limits.Sockets = daemonSockets
+	config.Limits.Descriptors = daemonDescriptors
 	text, err := json.Marshal(config)
 	if err != nil {
 		return nil, err
--- a/internal/rehearsal/scale/run_test.go
+++ b/internal/rehearsal/scale/run_test.go
@@ -133,7 +133,7 @@
 // lineBytes returns the length on the wire of the list at the start, and of all changes.
 func lineBytes(plan *Plan) (snapshot, deltas int64) {
 	line := func(hosts []Change) int64 {
-		delta := listing{Seq: 1}
+		delta := listing{Version: 1}
 		for _, change := range hosts {
 			host := change.Host
 			if change.JustStarted {
--- a/internal/rehearsal/standin/daemon.go
+++ b/internal/rehearsal/standin/daemon.go
@@ -5,11 +5,10 @@
 	"net"
 	"net/http"
 	"os"
-	"os/exec"
 	"path/filepath"
-	"strings"
-	"syscall"
 	"time"
+
+	"hollyyoke.example/hollyyoke/internal/rehearsal/daemonprocess"
 )
 
 const (
@@ -39,21 +38,17 @@
 	if err != nil {
 		return err
 	}
-	f.daemon = exec.Command(f.FleetConfig.Daemon, arguments...)
-	// The environment is not passed on: it might name workers of others.
-	f.daemon.Env = []string{"BALANCER_FD=3", "TMPDIR=" + f.Dir}
-	f.daemon.ExtraFiles = []*os.File{socket}
-	f.daemon.Stdout = &f.Log
-	f.daemon.Stderr = &f.Log
-	f.daemon.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	if err := f.daemon.Start(); err != nil {
-		f.daemon = nil
-		return fmt.Errorf("the daemon: %w", err)
+	f.daemon, err = daemonprocess.Start(daemonprocess.Config{
+		Program:   f.FleetConfig.Daemon,
+		Arguments: arguments,
+		// Nothing else: this process's environment might name workers of others.
+		Environment: []string{"BALANCER_FD=3", "TMPDIR=" + f.Dir},
+		Files:       []*os.File{socket},
+		Log:         &f.Log,
+	})
+	if err != nil {
+		return err
 	}
-	go func() {
-		f.daemon.Wait()
-		close(f.ended)
-	}()
 	return f.awaitReady()
 }
 
@@ -86,41 +81,16 @@
 // awaitReady waits until the daemon answers its health check and all its front ends listen.
 func (f *Fleet) awaitReady() error {
 	client := &http.Client{Timeout: healthCheckTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
-	for deadline := time.Now().Add(startTimeout); ; time.Sleep(startPollInterval) {
-		select {
-		case <-f.ended:
-			return fmt.Errorf("the daemon has ended: %s", strings.TrimSpace(f.Log.String()))
-		default:
+	isReady := func() bool {
+		if !daemonprocess.IsHealthy(client, f.Addr) {
+			return false
 		}
-		if f.isHealthy(client) && (!f.Faktory || f.findFaktoryAddr()) {
-			return nil
+		if !f.Faktory {
+			return true
 		}
-		if time.Now().After(deadline) {
-			return fmt.Errorf("the daemon is not ready after %v", startTimeout)
-		}
-	}
-}
-
-func (f *Fleet) isHealthy(client *http.Client) bool {
-	answer, err := client.Get("http://" + f.Addr + "/healthz")
-	if err != nil {
-		return false
-	}
-	answer.Body.Close()
-	return answer.StatusCode == http.StatusOK
-}
-
-// findFaktoryAddr finds the address of the Faktory front end in the daemon's log. It reports
-// false if the log does not contain it yet.
-func (f *Fleet) findFaktoryAddr() bool {
-	_, rest, ok := strings.Cut(f.Log.String(), "faktory: listening on ")
-	if !ok {
-		return false
-	}
-	end := strings.IndexAny(rest, "\" \n")
-	if end < 0 {
-		return false
+		f.FaktoryAddr = daemonprocess.LoggedAddress(f.Log.String(), "faktory: listening on ")
+		return f.FaktoryAddr != ""
 	}
-	f.FaktoryAddr = rest[:end]
-	return true
+	_, err := f.daemon.WaitReady(isReady, startPollInterval, startTimeout)
+	return err
 }
--- a/internal/rehearsal/standin/fleet.go
+++ b/internal/rehearsal/standin/fleet.go
@@ -6,13 +6,12 @@
 	"errors"
 	"fmt"
 	"os"
-	"os/exec"
 	"strconv"
 	"strings"
-	"syscall"
 	"time"
 
 	"hollyyoke.example/hollyyoke/internal/rehearsal/childprocess"
+	"hollyyoke.example/hollyyoke/internal/rehearsal/daemonprocess"
 )
 
 // ClassConfig is a class of the daemon's configuration.
@@ -57,15 +56,13 @@
 	Log         childprocess.Output
 
 	secret []byte
-	daemon *exec.Cmd
-	ended  chan struct{} // closed when the daemon has ended
+	daemon *daemonprocess.Process // nil: not started
 	ctx    context.Context
 	cancel context.CancelFunc
 }
 
 const (
 	verifyInterval   = 2 * time.Second
-	shutdownTimeout  = 10 * time.Second
 	warmup           = 6 * time.Second // of workers that are added with a warm-up
 	workersPerBlock  = 4
 	fleetSecretBytes = 32
@@ -94,7 +91,6 @@
 		FleetConfig: config,
 		Log:         childprocess.Output{Limit: maxOutputBytes},
 		secret:      make([]byte, fleetSecretBytes),
-		ended:       make(chan struct{}),
 	}
 	rand.Read(f.secret)
 	f.ctx, f.cancel = context.WithCancel(context.Background())
@@ -178,7 +174,7 @@
 		select {
 		case <-f.ctx.Done():
 			return
-		case <-f.ended:
+		case <-f.daemon.Ended():
 			f.Gate.CloseForGood(errors.New("the daemon has ended"))
 			return
 		case <-changed:
@@ -217,12 +213,14 @@
 }
 
 // PID is the daemon's process id.
-func (f *Fleet) PID() int { return f.daemon.Process.Pid }
+func (f *Fleet) PID() int { return f.daemon.PID() }
 
-// Close shuts the daemon down gracefully, or kills it after shutdownTimeout, and stops the rest.
+// Close shuts the daemon down gracefully, or kills it if that takes too long, and stops the rest.
 func (f *Fleet) Close() {
 	f.Gate.Close()
-	f.stopDaemon()
+	if f.daemon != nil {
+		f.daemon.Stop()
+	}
 	f.cancel()
 	for _, worker := range f.Workers {
 		worker.Close()
@@ -231,16 +229,3 @@
 		f.Discovery.Close()
 	}
 }
-
-func (f *Fleet) stopDaemon() {
-	if f.daemon == nil {
-		return
-	}
-	f.daemon.Process.Signal(syscall.SIGTERM)
-	select {
-	case <-f.ended:
-	case <-time.After(shutdownTimeout):
-		f.daemon.Process.Kill()
-		<-f.ended
-	}
-}
