--- a/internal/rehearsal/standin/challenge.go
+++ b/internal/rehearsal/standin/challenge.go
@@ -36,22 +36,22 @@
 }
 
 // answerChallenge is the worker's side of a challenge.
-func answerChallenge(out http.ResponseWriter, in *http.Request, secret []byte, name string) {
-	local, _ := in.Context().Value(http.LocalAddrContextKey).(net.Addr)
-	nonce := in.URL.Query().Get("nonce")
+func answerChallenge(out http.ResponseWriter, request *http.Request, secret []byte, name string) {
+	local, _ := request.Context().Value(http.LocalAddrContextKey).(net.Addr)
+	nonce := request.URL.Query().Get("nonce")
 	if local == nil || len(nonce) != 2*nonceBytes {
 		http.Error(out, "no nonce", http.StatusBadRequest)
 		return
 	}
-	fmt.Fprintf(out, "%s\n%s\n", name, signature(secret, nonce, name, local.String(), in.RemoteAddr))
+	fmt.Fprintf(out, "%s\n%s\n", name, signature(secret, nonce, name, local.String(), request.RemoteAddr))
 }
 
 // Challenge verifies that the stand-in of the given name, started with the given secret, listens
 // at a loopback address, and that no proxy is in between.
 func Challenge(ctx context.Context, addr, name string, secret []byte) error {
 	host, _, err := net.SplitHostPort(addr)
-	ip := net.ParseIP(host)
-	if err != nil || ip == nil || !ip.IsLoopback() {
+	hostAddress := net.ParseIP(host)
+	if err != nil || hostAddress == nil || !hostAddress.IsLoopback() {
 		return fmt.Errorf("%s: %s is no loopback address", name, addr)
 	}
 	ctx, cancel := context.WithTimeout(ctx, challengeTimeout)
--- a/internal/rehearsal/standin/discovery.go
+++ b/internal/rehearsal/standin/discovery.go
@@ -47,7 +47,7 @@
 	server       *http.Server
 	beforeChange func() // called before a change is published; may be nil
 
-	mu       sync.Mutex
+	mutex    sync.Mutex
 	version  int64
 	hosts    map[string]Host
 	order    []string
@@ -70,7 +70,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &Discovery{
+	service := &Discovery{
 		Addr:         listener.Addr().String(),
 		callTime:     defaultCallTime,
 		maxCallWait:  defaultMaxCallWait,
@@ -81,9 +81,9 @@
 		gone:         map[string]Host{},
 		changed:      make(chan struct{}),
 	}
-	d.server = newServer(d)
-	go d.server.Serve(listener)
-	return d, nil
+	service.server = newServer(service)
+	go service.server.Serve(listener)
+	return service, nil
 }
 
 // Close stops the service: watches end and new connections fail.
@@ -91,8 +91,8 @@
 
 // SetDown makes calls fail and ends watches, until it is up again.
 func (d *Discovery) SetDown(down bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
 	d.disabled = down
 	d.publish()
 }
@@ -102,8 +102,8 @@
 	if d.beforeChange != nil {
 		d.beforeChange()
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
 	d.version++
 	for _, host := range hosts {
 		if host.Share == 0 {
@@ -132,15 +132,15 @@
 
 // nextChange returns a channel that is closed at the next change.
 func (d *Discovery) nextChange() <-chan struct{} {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
 	return d.changed
 }
 
 // List is the list as it is published now.
 func (d *Discovery) List() []Host {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
 	return d.complete().Hosts
 }
 
@@ -178,36 +178,36 @@
 }
 
 // ServeHTTP serves the list and its watches.
-func (d *Discovery) ServeHTTP(out http.ResponseWriter, in *http.Request) {
-	if in.URL.Path != "/v1/servers" || in.Method != http.MethodGet {
-		http.NotFound(out, in)
+func (d *Discovery) ServeHTTP(out http.ResponseWriter, request *http.Request) {
+	if request.URL.Path != "/v1/servers" || request.Method != http.MethodGet {
+		http.NotFound(out, request)
 		return
 	}
-	if !d.takeCallSlot(out, in) {
+	if !d.takeCallSlot(out, request) {
 		return
 	}
 	time.Sleep(d.callTime)
 	<-d.callSlot
-	d.mu.Lock()
+	d.mutex.Lock()
 	disabled := d.disabled
 	list := d.complete()
-	d.mu.Unlock()
+	d.mutex.Unlock()
 	if disabled {
 		http.Error(out, "down", http.StatusServiceUnavailable)
 		return
 	}
 	out.Header().Set("Content-Type", "application/json")
-	if in.URL.Query().Get("watch") != "1" {
+	if request.URL.Query().Get("watch") != "1" {
 		writeListing(out, list)
 		return
 	}
-	after, _ := strconv.ParseInt(in.URL.Query().Get("after"), 10, 64) // missing: 0, all
-	d.watch(out, in, after)
+	after, _ := strconv.ParseInt(request.URL.Query().Get("after"), 10, 64) // missing: 0, all
+	d.watch(out, request, after)
 }
 
 // takeCallSlot waits until no other call is handled. It reports false if the call has ended, with
 // an answer if it waited too long.
-func (d *Discovery) takeCallSlot(out http.ResponseWriter, in *http.Request) bool {
+func (d *Discovery) takeCallSlot(out http.ResponseWriter, request *http.Request) bool {
 	timeout := time.NewTimer(d.maxCallWait)
 	defer timeout.Stop()
 	select {
@@ -215,22 +215,22 @@
 		return true
 	case <-timeout.C:
 		http.Error(out, "busy", http.StatusServiceUnavailable)
-	case <-in.Context().Done():
+	case <-request.Context().Done():
 	}
 	return false
 }
 
 // watch writes the changes after a version as they are published, and blank lines as heartbeats.
-func (d *Discovery) watch(out http.ResponseWriter, in *http.Request, after int64) {
+func (d *Discovery) watch(out http.ResponseWriter, request *http.Request, after int64) {
 	flush := out.(http.Flusher).Flush
 	heartbeat := time.NewTicker(heartbeatInterval)
 	defer heartbeat.Stop()
 	for first := true; ; first = false {
-		d.mu.Lock()
+		d.mutex.Lock()
 		list := d.since(after)
 		changed := d.changed
 		disabled := d.disabled
-		d.mu.Unlock()
+		d.mutex.Unlock()
 		if disabled {
 			return
 		}
@@ -244,7 +244,7 @@
 		case <-heartbeat.C:
 			out.Write([]byte("\n"))
 			flush()
-		case <-in.Context().Done():
+		case <-request.Context().Done():
 			return
 		}
 	}
--- a/internal/rehearsal/standin/fleet.go
+++ b/internal/rehearsal/standin/fleet.go
@@ -87,19 +87,19 @@
 	if config.Descriptors == 0 {
 		config.Descriptors = defaultDescriptors
 	}
-	f := &Fleet{
+	fleet := &Fleet{
 		FleetConfig: config,
 		Log:         childprocess.Output{Limit: maxOutputBytes},
 		secret:      make([]byte, fleetSecretBytes),
 	}
-	rand.Read(f.secret)
-	f.ctx, f.cancel = context.WithCancel(context.Background())
-	if err := f.start(); err != nil {
-		f.Close()
+	rand.Read(fleet.secret)
+	fleet.ctx, fleet.cancel = context.WithCancel(context.Background())
+	if err := fleet.start(); err != nil {
+		fleet.Close()
 		return nil, err
 	}
-	go f.keepVerified()
-	return f, nil
+	go fleet.keepVerified()
+	return fleet, nil
 }
 
 func (f *Fleet) start() (err error) {
@@ -121,22 +121,22 @@
 // Add starts one more worker and lists it, which closes the gate until the workers are verified
 // again. warmupShare is the share of its speed at which it starts; 0: no warm-up.
 func (f *Fleet) Add(warmupShare float64) (*Worker, error) {
-	n := len(f.Workers)
-	kind := workerKinds[n%len(workerKinds)]
+	index := len(f.Workers)
+	kind := workerKinds[index%len(workerKinds)]
 	cores := kind.cores
 	if f.Cores > 0 {
 		cores = f.Cores
 	}
 	worker, err := StartWorker(WorkerConfig{
-		Name:         fmt.Sprintf("s-%04d", n+1),
-		Site:         sites[n/len(workerKinds)%len(sites)],
+		Name:         fmt.Sprintf("s-%04d", index+1),
+		Site:         sites[index/len(workerKinds)%len(sites)],
 		Class:        kind.name,
 		Cores:        cores,
 		Speed:        kind.speed,
 		Noise:        f.Noise,
 		WarmupShare:  warmupShare,
 		Warmup:       warmup,
-		Seed:         f.Seed + uint64(n),
+		Seed:         f.Seed + uint64(index),
 		SendsReports: true,
 	}, &f.Ledger, f.secret)
 	if err != nil {
@@ -144,7 +144,12 @@
 	}
 	f.Workers = append(f.Workers, worker)
 	host := Host{
-		Host: worker.Name, Dial: worker.Addr, Site: worker.Site, Class: worker.Class, Block: n / workersPerBlock, Health: HealthReady,
+		Host:   worker.Name,
+		Dial:   worker.Addr,
+		Site:   worker.Site,
+		Class:  worker.Class,
+		Block:  index / workersPerBlock,
+		Health: HealthReady,
 	}
 	if warmupShare > 0 {
 		host.BornMs = worker.Started.UnixMilli()
--- a/internal/rehearsal/standin/gate.go
+++ b/internal/rehearsal/standin/gate.go
@@ -12,7 +12,7 @@
 // verified again in the same run. It is safe for concurrent use; the zero value is closed.
 type Gate struct {
 	open    atomic.Bool
-	mu      sync.Mutex
+	mutex   sync.Mutex
 	failure error
 }
 
@@ -23,8 +23,8 @@
 
 // Failure is the error that closed the gate for the rest of the run; nil: none has.
 func (g *Gate) Failure() error {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
 	return g.failure
 }
 
@@ -33,8 +33,8 @@
 
 // CloseForGood closes the gate for the rest of the run. The first failure is kept.
 func (g *Gate) CloseForGood(failure error) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
 	if g.failure == nil {
 		g.failure = failure
 	}
@@ -51,8 +51,8 @@
 		g.CloseForGood(err)
 		return err
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
 	if g.failure == nil {
 		g.open.Store(true)
 	}
--- a/internal/rehearsal/standin/jobhandler.go
+++ b/internal/rehearsal/standin/jobhandler.go
@@ -15,26 +15,26 @@
 const maxBodyBytes = 64 << 10
 
 // ServeHTTP takes jobs and challenges.
-func (w *Worker) ServeHTTP(out http.ResponseWriter, in *http.Request) {
-	if in.URL.Path == challengePath {
-		answerChallenge(out, in, w.secret, w.Name)
+func (w *Worker) ServeHTTP(out http.ResponseWriter, request *http.Request) {
+	if request.URL.Path == challengePath {
+		answerChallenge(out, request, w.secret, w.Name)
 		return
 	}
-	id := in.Header.Get("X-Correlation-Id")
-	if id == "" || in.Method != http.MethodPost {
+	id := request.Header.Get("X-Correlation-Id")
+	if id == "" || request.Method != http.MethodPost {
 		http.Error(out, "no id", http.StatusNotFound)
 		return
 	}
-	body, err := io.ReadAll(io.LimitReader(in.Body, maxBodyBytes+1))
+	body, err := io.ReadAll(io.LimitReader(request.Body, maxBodyBytes+1))
 	if err != nil {
 		return // the request is incomplete: nothing is executed
 	}
-	job, ok := w.ledger.accept(id, in.URL.EscapedPath(), len(body))
+	job, ok := w.ledger.accept(id, request.URL.EscapedPath(), len(body))
 	if !ok {
 		http.Error(out, "no client sent this", http.StatusBadRequest)
 		return
 	}
-	slots := requestedSlots(in.Header, job)
+	slots := requestedSlots(request.Header, job)
 	queued, ok := w.enqueue(slots)
 	if !ok {
 		w.setReportHeader(out.Header())
@@ -43,11 +43,11 @@
 		return
 	}
 	updates := startUpdates(out, id, w.Name)
-	if !w.awaitStart(in.Context(), queued, updates) {
+	if !w.awaitStart(request.Context(), queued, updates) {
 		return
 	}
 	defer w.release(slots)
-	w.execute(in.Context(), job, updates)
+	w.execute(request.Context(), job, updates)
 }
 
 // requestedSlots is the number of slots that a request asks for, by its header or its announcement.
--- a/internal/rehearsal/standin/jobqueue.go
+++ b/internal/rehearsal/standin/jobqueue.go
@@ -14,8 +14,8 @@
 
 // enqueue queues a job. It reports false if the worker has no capacity for it, now or ever.
 func (w *Worker) enqueue(slots float64) (*queuedJob, bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
 	if w.draining || slots > w.Cores || slots > w.Memory || len(w.queue) >= w.QueueLimit {
 		return nil, false
 	}
@@ -41,8 +41,8 @@
 
 // abandon takes a job out of the queue. It reports false if the job has been started or returned.
 func (w *Worker) abandon(queued *queuedJob) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
 	i := slices.Index(w.queue, queued)
 	if i < 0 {
 		return false
@@ -54,8 +54,8 @@
 
 // release frees the capacity of a job that has ended.
 func (w *Worker) release(slots float64) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
 	w.usedSlots -= slots
 	w.usedMemory -= slots
 	w.startQueued()
@@ -63,7 +63,7 @@
 
 // Free returns the number of free slots and of queued jobs.
 func (w *Worker) Free() (slots float64, queued int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
 	return w.Cores - w.usedSlots, len(w.queue)
 }
--- a/internal/rehearsal/standin/ledger.go
+++ b/internal/rehearsal/standin/ledger.go
@@ -28,7 +28,7 @@
 // Ledger records every announced job and all its executions. It is safe for concurrent use, and
 // the zero value is an empty ledger.
 type Ledger struct {
-	mu         sync.Mutex
+	mutex      sync.Mutex
 	jobs       map[string]*jobRecord
 	unexpected []string // requests that were not announced, or modified on the way
 }
@@ -43,8 +43,8 @@
 
 // Announce records a job that will be sent. It reports false if the id is taken.
 func (l *Ledger) Announce(job Job) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
 	if l.jobs == nil {
 		l.jobs = map[string]*jobRecord{}
 	}
@@ -65,8 +65,8 @@
 // accept looks up the job of a request that a worker has received completely. It reports false
 // if the request was not announced in this form.
 func (l *Ledger) accept(id, path string, bodyBytes int) (Job, bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
 	record := l.jobs[id]
 	switch {
 	case record == nil:
@@ -82,8 +82,8 @@
 // startRun records the start of an execution and returns its index among those of the job, which
 // must have been announced.
 func (l *Ledger) startRun(id, worker string, at time.Time) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
 	record := l.jobs[id]
 	record.runs = append(record.runs, Execution{Worker: worker, Start: at})
 	return len(record.runs) - 1
@@ -91,8 +91,8 @@
 
 // endRun records the end of an execution.
 func (l *Ledger) endRun(id string, run int, at time.Time, completed bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
 	execution := &l.jobs[id].runs[run]
 	execution.End = at
 	execution.Completed = completed
@@ -100,8 +100,8 @@
 
 // Runs counts how often a job was started, and how often it completed.
 func (l *Ledger) Runs(id string) (started, completed int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
 	record := l.jobs[id]
 	if record == nil {
 		return 0, 0
@@ -126,35 +126,43 @@
 
 // Check summarises the ledger.
 func (l *Ledger) Check() Findings {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
 	findings := Findings{
-		Announced: len(l.jobs), Duplicated: []string{}, Unexpected: slices.Clone(l.unexpected), ByWorker: map[string]int{},
+		Announced:  len(l.jobs),
+		Duplicated: []string{},
+		Unexpected: slices.Clone(l.unexpected),
+		ByWorker:   map[string]int{},
 	}
-	for id, record := range l.jobs {
-		for _, run := range record.runs {
-			findings.ByWorker[run.Worker]++
-		}
-		if len(record.runs) > 0 {
-			findings.Executed++
-		}
-		if len(record.runs) <= 1 {
-			continue
-		}
-		if record.Retryable {
-			findings.Retried++
-		} else {
-			findings.Duplicated = append(findings.Duplicated, id)
-		}
+	for _, record := range l.jobs {
+		findings.add(record)
 	}
 	slices.Sort(findings.Duplicated)
 	return findings
 }
 
+// add counts one job.
+func (f *Findings) add(record *jobRecord) {
+	for _, run := range record.runs {
+		f.ByWorker[run.Worker]++
+	}
+	executions := len(record.runs)
+	if executions > 0 {
+		f.Executed++
+	}
+	switch {
+	case executions <= 1:
+	case record.Retryable:
+		f.Retried++
+	default:
+		f.Duplicated = append(f.Duplicated, record.ID)
+	}
+}
+
 // ExecutedIDs lists the ids of all jobs that were started, sorted.
 func (l *Ledger) ExecutedIDs() (ids []string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
 	for id, record := range l.jobs {
 		if len(record.runs) > 0 {
 			ids = append(ids, id)
--- a/internal/rehearsal/standin/loadreport.go
+++ b/internal/rehearsal/standin/loadreport.go
@@ -16,24 +16,24 @@
 
 // loadSnapshot is a load report and when it was made.
 type loadSnapshot struct {
-	at     time.Time
+	madeAt time.Time
 	report loadReport
 }
 
 // report returns the load report to send, which is as old as ReportLag says. ok is false if the
 // worker has stalled before it made one.
 func (w *Worker) report() (report loadReport, ok bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
 	now := time.Now()
-	n := len(w.reports)
-	due := n == 0 || now.Sub(w.reports[n-1].at) >= w.ReportInterval
-	if due && !now.Before(w.stalledUntil) {
-		w.reports = append(w.reports, loadSnapshot{at: now, report: loadReport{
-			Queue: float64(len(w.queue)), FreeSlots: w.Cores - w.usedSlots, FreeMemory: w.Memory - w.usedMemory,
+	if w.reportIsDue(now) && !now.Before(w.stalledUntil) {
+		w.reports = append(w.reports, loadSnapshot{madeAt: now, report: loadReport{
+			Queue:      float64(len(w.queue)),
+			FreeSlots:  w.Cores - w.usedSlots,
+			FreeMemory: w.Memory - w.usedMemory,
 		}})
 	}
-	for len(w.reports) > 1 && now.Sub(w.reports[1].at) >= w.ReportLag {
+	for len(w.reports) > 1 && now.Sub(w.reports[1].madeAt) >= w.ReportLag {
 		w.reports = w.reports[1:]
 	}
 	if len(w.reports) == 0 {
@@ -42,6 +42,15 @@
 	return w.reports[0].report, true
 }
 
+// reportIsDue reports whether it is time for the next load report. The caller holds the lock.
+func (w *Worker) reportIsDue(now time.Time) bool {
+	if len(w.reports) == 0 {
+		return true
+	}
+	latest := w.reports[len(w.reports)-1]
+	return now.Sub(latest.madeAt) >= w.ReportInterval
+}
+
 // encodedReport is the load report as JSON; an empty object if there is none.
 func (w *Worker) encodedReport() json.RawMessage {
 	report, ok := w.report()
--- a/internal/rehearsal/standin/worker.go
+++ b/internal/rehearsal/standin/worker.go
@@ -71,7 +71,7 @@
 	secret []byte
 	server *http.Server
 
-	mu           sync.Mutex
+	mutex        sync.Mutex
 	queue        []*queuedJob
 	usedSlots    float64
 	usedMemory   float64
@@ -89,7 +89,7 @@
 	if err != nil {
 		return nil, err
 	}
-	w := &Worker{
+	worker := &Worker{
 		WorkerConfig: config,
 		Addr:         listener.Addr().String(),
 		Started:      time.Now(),
@@ -97,9 +97,9 @@
 		secret:       secret,
 		slowdown:     1,
 	}
-	w.server = newServer(w)
-	go w.server.Serve(listener)
-	return w, nil
+	worker.server = newServer(worker)
+	go worker.server.Serve(listener)
+	return worker, nil
 }
 
 // newServer makes a server that does not write to the program's log.
@@ -121,8 +121,8 @@
 
 // Drain makes the worker reject new jobs and return the queued ones.
 func (w *Worker) Drain() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
 	w.draining = true
 	for _, queued := range w.queue {
 		queued.begin <- false
@@ -133,12 +133,12 @@
 // Stall makes the worker stand still: running jobs make no progress, none is started, and its
 // load reports do not change.
 func (w *Worker) Stall(duration time.Duration) {
-	w.mu.Lock()
+	w.mutex.Lock()
 	w.stalledUntil = time.Now().Add(duration)
-	w.mu.Unlock()
+	w.mutex.Unlock()
 	time.AfterFunc(duration, func() {
-		w.mu.Lock()
-		defer w.mu.Unlock()
+		w.mutex.Lock()
+		defer w.mutex.Unlock()
 		w.startQueued()
 	})
 }
@@ -146,15 +146,15 @@
 // SlowDown multiplies the time of jobs that start from now on.
 func (w *Worker) SlowDown(factor float64) {
 	const minFactor = 0.01
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
 	w.slowdown = max(factor, minFactor)
 }
 
 // currentSpeed is the worker's speed at this moment.
 func (w *Worker) currentSpeed() float64 {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
 	speed := w.Speed / w.slowdown
 	if age := time.Since(w.Started); w.WarmupShare > 0 && age < w.Warmup {
 		speed *= w.WarmupShare + (1-w.WarmupShare)*float64(age)/float64(w.Warmup)
@@ -176,16 +176,20 @@
 		if spent < time.Duration(total) {
 			onProgress(float64(spent) / total)
 		}
-		w.mu.Lock()
-		stall := time.Until(w.stalledUntil)
-		w.mu.Unlock()
-		if stall > 0 && !sleep(ctx, stall) {
+		if stall := w.remainingStall(); stall > 0 && !sleep(ctx, stall) {
 			return false
 		}
 	}
 	return true
 }
 
+// remainingStall is how long the worker still stands still; not positive: it does not.
+func (w *Worker) remainingStall() time.Duration {
+	w.mutex.Lock()
+	defer w.mutex.Unlock()
+	return time.Until(w.stalledUntil)
+}
+
 // runTime is the time of an execution in nanoseconds. It depends on the job's id and the number of
 // its earlier runs, and on the worker's speed at this moment.
 func (w *Worker) runTime(job Job, run int) float64 {
