--- a/internal/rehearsal/simulator/batch.go
+++ b/internal/rehearsal/simulator/batch.go
@@ -60,7 +60,7 @@
 	var worst []ScenarioResult
 	for i, list := range results {
 		for _, result := range list {
-			worst = append(worst, ScenarioResult{scenarios[i], result})
+			worst = append(worst, ScenarioResult{Scenario: scenarios[i], Result: result})
 		}
 	}
 	slices.SortStableFunc(worst, func(a, b ScenarioResult) int {
--- a/internal/rehearsal/simulator/client.go
+++ b/internal/rehearsal/simulator/client.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"math/rand/v2"
 	"time"
 
 	"hollyyoke.example/hollyyoke/internal/dispatch"
@@ -29,36 +30,58 @@
 	r.answeredAt = at
 }
 
-// startArrivals starts the clients of the dispatcher. They are an open loop: requests arrive whether or not earlier ones
-// are answered.
+// arrivals generates the requests of one dispatcher's clients. They are an open loop: requests arrive whether or not
+// earlier ones are answered.
+type arrivals struct {
+	dispatcher *dispatcher
+	random     *rand.Rand
+	meanRate   float64 // per second
+	count      int     // requests so far
+}
+
+// startArrivals starts the clients of the dispatcher.
 func (d *dispatcher) startArrivals() {
-	simulation := d.simulation
-	random := simulation.randomStream(fmt.Sprint("arrivals ", d.number))
-	meanRate := simulation.scenario.Load.Rate / float64(simulation.scenario.Dispatchers)
-	count := 0
-	interval := func(rate float64) time.Duration {
-		return time.Duration(random.ExpFloat64() / rate * float64(time.Second))
+	scenario := &d.simulation.scenario
+	started := &arrivals{
+		dispatcher: d,
+		random:     d.simulation.randomStream(fmt.Sprint("arrivals ", d.number)),
+		meanRate:   scenario.Load.Rate / float64(scenario.Dispatchers),
 	}
-	var arrive func()
-	arrive = func() {
-		elapsed := simulation.now - runStart
-		if elapsed >= seconds(simulation.scenario.LengthS) {
-			return
-		}
-		count++
-		arrived := &request{
-			id:           fmt.Sprintf("%d-%d", d.number, count),
-			class:        simulation.scenario.classAt(random.Float64()),
-			arrivedAt:    simulation.now,
-			attemptsLeft: simulation.scenario.Load.MaxAttempts,
-		}
-		arrived.work = simulation.scenario.Classes[arrived.class].drawWork(random)
-		simulation.requests = append(simulation.requests, arrived)
-		simulation.workByRequest[arrived.id] = arrived.work
-		d.submit(arrived)
-		simulation.after(interval(simulation.scenario.rateAt(elapsed, meanRate)), arrive)
+	started.scheduleNext(started.meanRate)
+}
+
+// scheduleNext schedules the next request of a Poisson process.
+func (a *arrivals) scheduleNext(rate float64) {
+	interval := time.Duration(a.random.ExpFloat64() / rate * float64(time.Second))
+	a.dispatcher.simulation.scheduleAfter(interval, a.arrive)
+}
+
+// arrive submits a request and schedules the next, until the end of the run.
+func (a *arrivals) arrive() {
+	simulation := a.dispatcher.simulation
+	elapsed := simulation.now - runStart
+	if elapsed >= seconds(simulation.scenario.LengthS) {
+		return
+	}
+	arrived := a.newRequest()
+	simulation.requests = append(simulation.requests, arrived)
+	simulation.workByRequest[arrived.id] = arrived.work
+	a.dispatcher.submit(arrived)
+	a.scheduleNext(simulation.scenario.rateAt(elapsed, a.meanRate))
+}
+
+// newRequest draws the class and the work of a request, in this order.
+func (a *arrivals) newRequest() *request {
+	simulation := a.dispatcher.simulation
+	a.count++
+	drawn := &request{
+		id:           fmt.Sprintf("%d-%d", a.dispatcher.number, a.count),
+		class:        simulation.scenario.classAt(a.random.Float64()),
+		arrivedAt:    simulation.now,
+		attemptsLeft: simulation.scenario.Load.MaxAttempts,
 	}
-	simulation.after(interval(meanRate), arrive)
+	drawn.work = simulation.scenario.Classes[drawn.class].drawWork(a.random)
+	return drawn
 }
 
 // submit sends a client's next attempt to the dispatcher.
@@ -110,7 +133,7 @@
 	deadline := answered.arrivedAt + simulation.settings.Classes[answered.class].Deadline
 	canRetry := answered.attemptsLeft > 0 && simulation.now+response.RetryAfter < deadline
 	if response.Outcome == dispatch.Rejected && canRetry {
-		simulation.after(max(response.RetryAfter, minClientBackoff), func() { d.submit(answered) })
+		simulation.scheduleAfter(max(response.RetryAfter, minClientBackoff), func() { d.submit(answered) })
 		return
 	}
 	answered.finish(response.Outcome, simulation.now)
--- a/internal/rehearsal/simulator/clock.go
+++ b/internal/rehearsal/simulator/clock.go
@@ -11,7 +11,7 @@
 
 // event is a callback that is due at a virtual time.
 type event struct {
-	at       time.Duration
+	dueAt    time.Duration
 	sequence uint64 // order among events of the same time
 	callback func()
 }
@@ -22,7 +22,7 @@
 func (q eventQueue) Len() int { return len(q) }
 
 func (q eventQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
+	return q[i].dueAt < q[j].dueAt || q[i].dueAt == q[j].dueAt && q[i].sequence < q[j].sequence
 }
 
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
@@ -45,20 +45,22 @@
 	eventCount   uint64 // events run so far
 }
 
-// at schedules callback at a virtual time, or now if that has passed.
-func (c *clock) at(at time.Duration, callback func()) {
+// scheduleAt schedules callback at a virtual time, or now if that has passed.
+func (c *clock) scheduleAt(due time.Duration, callback func()) {
 	c.lastSequence++
-	heap.Push(&c.queue, event{max(at, c.now), c.lastSequence, callback})
+	heap.Push(&c.queue, event{dueAt: max(due, c.now), sequence: c.lastSequence, callback: callback})
 }
 
-// after schedules callback when span has passed.
-func (c *clock) after(span time.Duration, callback func()) { c.at(c.now+span, callback) }
+// scheduleAfter schedules callback when span has passed.
+func (c *clock) scheduleAfter(span time.Duration, callback func()) {
+	c.scheduleAt(c.now+span, callback)
+}
 
 // runUntil runs all events that are due until a virtual time, which is then the present.
 func (c *clock) runUntil(until time.Duration) {
-	for len(c.queue) > 0 && c.queue[0].at <= until {
+	for len(c.queue) > 0 && c.queue[0].dueAt <= until {
 		next := heap.Pop(&c.queue).(event)
-		c.now = next.at
+		c.now = next.dueAt
 		c.eventCount++
 		next.callback()
 	}
--- a/internal/rehearsal/simulator/comparison.go
+++ b/internal/rehearsal/simulator/comparison.go
@@ -23,13 +23,13 @@
 }
 
 // Compare compares the scores of two lists of results pair by pair. The same lists give the same interval.
-func Compare(a, b []Result) Comparison {
-	comparison := Comparison{Pairs: min(len(a), len(b))}
+func Compare(resultsA, resultsB []Result) Comparison {
+	comparison := Comparison{Pairs: min(len(resultsA), len(resultsB))}
 	differences := make([]float64, comparison.Pairs)
 	for i := range differences {
-		differences[i] = b[i].Score - a[i].Score
-		comparison.MeanA += a[i].Score / float64(comparison.Pairs)
-		comparison.MeanB += b[i].Score / float64(comparison.Pairs)
+		differences[i] = resultsB[i].Score - resultsA[i].Score
+		comparison.MeanA += resultsA[i].Score / float64(comparison.Pairs)
+		comparison.MeanB += resultsB[i].Score / float64(comparison.Pairs)
 		comparison.MeanDifference += differences[i] / float64(comparison.Pairs)
 		switch {
 		case differences[i] < 0:
--- a/internal/rehearsal/simulator/dispatcher.go
+++ b/internal/rehearsal/simulator/dispatcher.go
@@ -35,7 +35,7 @@
 }
 
 func newDispatcher(simulation *Simulation, number int) (*dispatcher, error) {
-	d := &dispatcher{
+	created := &dispatcher{
 		simulation:    simulation,
 		number:        number,
 		zone:          number % len(simulation.scenario.Net.Zones),
@@ -43,10 +43,10 @@
 		attempts:      map[uint64]*attempt{},
 		workerUpdates: map[string]workerUpdate{},
 	}
-	if err := d.startProcess(simulation.seed + uint64(number)); err != nil {
+	if err := created.startProcess(simulation.seed + uint64(number)); err != nil {
 		return nil, err
 	}
-	return d, nil
+	return created, nil
 }
 
 // startProcess gives the dispatcher a process without state.
@@ -112,13 +112,13 @@
 
 // scheduleTurn schedules the loop's next turn. It is called after anything that may have changed when that is.
 func (d *dispatcher) scheduleTurn() {
-	at, due := d.loop.NextDue()
-	if !due || d.nextTurn != 0 && d.nextTurn <= at {
+	next, scheduled := d.loop.NextDue()
+	if !scheduled || d.nextTurn != 0 && d.nextTurn <= next {
 		return
 	}
-	d.nextTurn = at
-	d.simulation.at(at, func() {
-		if d.nextTurn != at { // superseded by an earlier turn
+	d.nextTurn = next
+	d.simulation.scheduleAt(next, func() {
+		if d.nextTurn != next { // superseded by an earlier turn
 			return
 		}
 		d.nextTurn = 0
--- a/internal/rehearsal/simulator/fault.go
+++ b/internal/rehearsal/simulator/fault.go
@@ -53,17 +53,17 @@
 	case FaultBurst: // Scenario.rateAt applies it
 	case FaultRestart:
 		for _, i := range random.Perm(len(s.dispatchers))[:fault.Dispatchers] {
-			d := s.dispatchers[i]
-			s.at(begin, d.kill)
-			s.at(end, d.restart)
+			target := s.dispatchers[i]
+			s.scheduleAt(begin, target.kill)
+			s.scheduleAt(end, target.restart)
 		}
 	default:
 		for _, target := range s.faultTargets(fault, random) {
 			if fault.Kind == FaultJoin {
 				target.down = true
 			}
-			s.at(begin, func() { target.beginFault(fault) })
-			s.at(end, func() { target.endFault(fault) })
+			s.scheduleAt(begin, func() { target.beginFault(fault) })
+			s.scheduleAt(end, func() { target.endFault(fault) })
 		}
 	}
 }
@@ -73,12 +73,12 @@
 	var targets []*worker
 	wholeZone := fault.Workers == 0 && fault.Zone != ""
 	for _, i := range random.Perm(len(s.workers)) {
-		w := s.workers[i]
-		if fault.Zone != "" && s.scenario.Net.Zones[w.zone] != fault.Zone {
+		candidate := s.workers[i]
+		if fault.Zone != "" && s.scenario.Net.Zones[candidate.zone] != fault.Zone {
 			continue
 		}
 		if len(targets) < fault.Workers || wholeZone {
-			targets = append(targets, w)
+			targets = append(targets, candidate)
 		}
 	}
 	return targets
--- a/internal/rehearsal/simulator/result.go
+++ b/internal/rehearsal/simulator/result.go
@@ -71,20 +71,20 @@
 	class := &s.settings.Classes[number]
 	result.Name = class.Name
 	var latencies []time.Duration
-	for _, r := range s.requests {
-		if r.class != number {
+	for _, request := range s.requests {
+		if request.class != number {
 			continue
 		}
 		result.Requests++
 		requested += class.PriorityWeight
-		latency := r.answeredAt - r.arrivedAt
-		objective := class.LatencyObjective + time.Duration(class.ObjectiveStretch*float64(r.work))
+		latency := request.answeredAt - request.arrivedAt
+		objective := class.LatencyObjective + time.Duration(class.ObjectiveStretch*float64(request.work))
 		switch {
-		case r.answeredAt == 0:
+		case request.answeredAt == 0:
 			result.Unanswered++
-		case r.outcome == dispatch.Rejected:
+		case request.outcome == dispatch.Rejected:
 			result.Rejected++
-		case r.outcome == dispatch.Failed:
+		case request.outcome == dispatch.Failed:
 			result.Failed++
 		case latency <= objective:
 			result.WithinObjective++
@@ -93,7 +93,7 @@
 			result.Late++
 			earned += class.PriorityWeight * class.LateWeight
 		}
-		if r.answeredAt > 0 && r.outcome == dispatch.Served {
+		if request.answeredAt > 0 && request.outcome == dispatch.Served {
 			latencies = append(latencies, latency)
 		}
 	}
--- a/internal/rehearsal/simulator/simulation.go
+++ b/internal/rehearsal/simulator/simulation.go
@@ -60,20 +60,20 @@
 	simulation.now = runStart
 	simulation.latency = simulation.randomStream("latency")
 	for i := range scenario.Workers.Count {
-		w := newWorker(simulation, i)
-		simulation.workers = append(simulation.workers, w)
-		simulation.workersByName[w.name] = w
+		created := newWorker(simulation, i)
+		simulation.workers = append(simulation.workers, created)
+		simulation.workersByName[created.name] = created
 	}
 	for i := range scenario.Dispatchers {
-		d, err := newDispatcher(simulation, i)
+		created, err := newDispatcher(simulation, i)
 		if err != nil {
 			return nil, err
 		}
-		simulation.dispatchers = append(simulation.dispatchers, d)
-		simulation.after(0, func() {
-			d.updateWorkers(decision.ListCached, simulation.endpoints())
+		simulation.dispatchers = append(simulation.dispatchers, created)
+		simulation.scheduleAfter(0, func() {
+			created.updateWorkers(decision.ListCached, simulation.endpoints())
 		})
-		d.startArrivals()
+		created.startArrivals()
 	}
 	for i, fault := range scenario.Faults {
 		simulation.scheduleFault(i, fault)
@@ -144,13 +144,13 @@
 func (s *Simulation) discoveryLag() time.Duration { return seconds(s.scenario.Discovery.LagMs / 1000) }
 
 // announceChange sends a worker's present state to all subscribers.
-func (s *Simulation) announceChange(w *worker) {
-	endpoint := w.endpoint()
+func (s *Simulation) announceChange(changed *worker) {
+	endpoint := changed.endpoint()
 	for _, d := range s.dispatchers {
 		if !d.subscribed {
 			continue
 		}
-		s.after(s.discoveryLag(), func() {
+		s.scheduleAfter(s.discoveryLag(), func() {
 			if !d.down {
 				d.updateWorkers(decision.ListDelta, []decision.Endpoint{endpoint})
 			}
--- a/internal/rehearsal/simulator/simulation_test.go
+++ b/internal/rehearsal/simulator/simulation_test.go
@@ -97,13 +97,13 @@
 	sc.LengthS = 5
 	for name, spoil := range map[string]func(s *Simulation){
 		"a second answer to a request": func(s *Simulation) {
-			s.at(runStart+2*time.Second, func() {
+			s.scheduleAt(runStart+2*time.Second, func() {
 				s.dispatchers[0].Respond(1, dispatch.Response{})
 				s.dispatchers[0].Respond(1, dispatch.Response{})
 			})
 		},
 		"ran twice": func(s *Simulation) {
-			s.at(runStart+4*time.Second, func() {
+			s.scheduleAt(runStart+4*time.Second, func() {
 				for _, w := range s.workers {
 					for _, r := range w.executions {
 						if r.class == 1 {
@@ -115,7 +115,7 @@
 			})
 		},
 		"sent too late to w1": func(s *Simulation) {
-			s.at(runStart+4*time.Second, func() {
+			s.scheduleAt(runStart+4*time.Second, func() {
 				d := s.dispatchers[0]
 				d.workerUpdates["w1"] = workerUpdate{unavailableSince: s.now - s.settings.DrainGrace - timingSlack}
 				d.Start(dispatch.Attempt{Handle: 1 << 40, Worker: "w1", Request: &dispatch.Request{ID: "in time", Work: time.Millisecond}})
@@ -124,7 +124,7 @@
 			})
 		},
 		"unanswered requests": func(s *Simulation) {
-			s.at(runStart+20*time.Second, func() {
+			s.scheduleAt(runStart+20*time.Second, func() {
 				s.dispatchers[1].core.Accept(s.dispatchers[1], 1<<40, dispatch.Request{ID: "late", Work: time.Second})
 			})
 			s.scenario.LengthS = 11 // the run ends before it is answered
--- a/internal/rehearsal/simulator/source.go
+++ b/internal/rehearsal/simulator/source.go
@@ -33,7 +33,7 @@
 	}
 	d.subscribed = true
 	simulation := d.simulation
-	simulation.after(simulation.discoveryLag(), func() {
+	simulation.scheduleAfter(simulation.discoveryLag(), func() {
 		if !d.down {
 			d.updateWorkers(decision.ListSnapshot, simulation.endpoints())
 		}
@@ -68,7 +68,7 @@
 	d.attempts[sent.handle] = sent
 	d.core.AttemptSent(sent.handle)
 	target := simulation.workersByName[requested.Worker]
-	simulation.after(simulation.delay(d.zone, target.zone), func() { target.receive(sent) })
+	simulation.scheduleAfter(simulation.delay(d.zone, target.zone), func() { target.receive(sent) })
 }
 
 // checkDrainGrace reports an attempt that is sent to a worker too long after discovery reported it as draining or removed.
@@ -86,7 +86,7 @@
 func (a *attempt) notifyDispatcher(from *worker, handle func(d *dispatcher)) {
 	d := a.dispatcher
 	simulation := d.simulation
-	simulation.after(simulation.delay(d.zone, from.zone), func() {
+	simulation.scheduleAfter(simulation.delay(d.zone, from.zone), func() {
 		if d.attempts[a.handle] != a {
 			return
 		}
@@ -116,7 +116,7 @@
 		cancelled.cancelled = true
 		return false
 	}
-	d.simulation.after(d.simulation.delay(d.zone, holder.zone), func() { holder.dequeue(cancelled) })
+	d.simulation.scheduleAfter(d.simulation.delay(d.zone, holder.zone), func() { holder.dequeue(cancelled) })
 	return false
 }
 
@@ -127,13 +127,13 @@
 func (d *dispatcher) CheckHealth(workerName string) {
 	simulation := d.simulation
 	target := simulation.workersByName[workerName]
-	simulation.after(simulation.delay(d.zone, target.zone), func() {
+	simulation.scheduleAfter(simulation.delay(d.zone, target.zone), func() {
 		outcome := decision.Completed
 		if target.down {
 			outcome = decision.ConnectionRefused
 		}
 		load := target.loadReport()
-		simulation.after(simulation.delay(d.zone, target.zone), func() {
+		simulation.scheduleAfter(simulation.delay(d.zone, target.zone), func() {
 			if d.down {
 				return
 			}
--- a/internal/rehearsal/simulator/worker.go
+++ b/internal/rehearsal/simulator/worker.go
@@ -131,14 +131,7 @@
 	workers := &simulation.scenario.Workers
 	window := seconds(workers.OverloadWindowS)
 	w.recordArrival(received, window)
-	totalWork := 0.0
-	knownWork := 0.0
-	for _, a := range w.recentArrivals {
-		totalWork += a.work
-		if a.startKnown {
-			knownWork += a.work
-		}
-	}
+	totalWork, knownWork := w.recentWork()
 	meanWork := simulation.scenario.meanWork()
 	budget := workers.OverloadMultiple * w.pace() * float64(w.slots) * window.Seconds() / meanWork
 	limit := budget + chanceAllowance(budget)
@@ -161,8 +154,19 @@
 func (w *worker) recordArrival(received *attempt, window time.Duration) {
 	now := w.simulation.now
 	startKnown := received.dispatcher.workerUpdates[w.name].startedAt == w.startedAt
-	w.recentArrivals = append(w.recentArrivals, arrival{now, received.work.Seconds(), startKnown})
-	w.recentArrivals = slices.DeleteFunc(w.recentArrivals, func(a arrival) bool { return a.arrivedAt <= now-window })
+	w.recentArrivals = append(w.recentArrivals, arrival{arrivedAt: now, work: received.work.Seconds(), startKnown: startKnown})
+	w.recentArrivals = slices.DeleteFunc(w.recentArrivals, func(earlier arrival) bool { return earlier.arrivedAt <= now-window })
+}
+
+// recentWork sums up recentArrivals, in seconds of work. known is the part from dispatchers that knew of the start.
+func (w *worker) recentWork() (total, known float64) {
+	for _, recent := range w.recentArrivals {
+		total += recent.work
+		if recent.startKnown {
+			known += recent.work
+		}
+	}
+	return total, known
 }
 
 // chanceAllowance is how many requests beyond a slow-start budget are attributed to chance.
@@ -174,7 +178,7 @@
 		started := w.queue[0]
 		w.queue = w.queue[1:]
 		w.running = append(w.running, started)
-		w.executions = append(w.executions, execution{started.id, started.class, w.simulation.now})
+		w.executions = append(w.executions, execution{id: started.id, class: started.class, startedAt: w.simulation.now})
 		started.remaining = started.work.Seconds()
 		started.advancedAt = w.simulation.now
 		w.simulation.logEvent(workerSource, "runs", started.id, w.name)
@@ -195,7 +199,7 @@
 	if w.warmingUp() {
 		step = min(step, warmingRefresh)
 	}
-	w.simulation.after(step, func() {
+	w.simulation.scheduleAfter(step, func() {
 		if running.completionVersion != version || w.down {
 			return
 		}
@@ -204,12 +208,17 @@
 			w.scheduleCompletion(running)
 			return
 		}
-		w.running = slices.DeleteFunc(w.running, func(other *attempt) bool { return other == running })
-		running.end(w, decision.Completed)
-		w.startQueued()
+		w.complete(running)
 	})
 }
 
+// complete ends an attempt whose work is done, which frees its slot.
+func (w *worker) complete(done *attempt) {
+	w.running = slices.DeleteFunc(w.running, func(running *attempt) bool { return running == done })
+	done.end(w, decision.Completed)
+	w.startQueued()
+}
+
 // advance accounts for the work done at a pace since the last call.
 func (w *worker) advance(running *attempt, pace float64) {
 	running.remaining -= (w.simulation.now - running.advancedAt).Seconds() * pace
--- a/internal/rehearsal/simulator/worker_test.go
+++ b/internal/rehearsal/simulator/worker_test.go
@@ -30,10 +30,10 @@
 		came = append(came, s.now)
 		w.receive(&attempt{id: fmt.Sprint(len(came)), work: class.drawWork(random), dispatcher: d})
 		if len(came) < n {
-			s.after(seconds(random.ExpFloat64()/rate), next)
+			s.scheduleAfter(seconds(random.ExpFloat64()/rate), next)
 		}
 	}
-	s.after(0, next)
+	s.scheduleAfter(0, next)
 	s.runUntil(s.now + 1e9*time.Second)
 	if len(w.executions) != n {
 		t.Fatalf("%d of %d ran", len(w.executions), n)
@@ -100,7 +100,7 @@
 		s.scheduleFault(0, f)
 		w := s.workers[0]
 		sent := &attempt{id: "j", work: work, dispatcher: &dispatcher{simulation: s}}
-		s.at(runStart+at, func() { w.receive(sent) })
+		s.scheduleAt(runStart+at, func() { w.receive(sent) })
 		for until := time.Duration(0); until < 60*time.Second; until += time.Millisecond {
 			s.runUntil(runStart + until)
 			if len(w.executions) == 1 && len(w.running) == 0 {
