--- a/internal/rehearsal/simulator/batch_test.go
+++ b/internal/rehearsal/simulator/batch_test.go
@@ -6,36 +6,65 @@
 	"testing"
 )
 
-// The results of many runs do not depend on the number of cores, and the worst come first.
-func TestRunAll(t *testing.T) {
-	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(0))
-	list := []Scenario{readScenario(t, "day"), readScenario(t, "faults")}
-	for i := range list {
-		list[i].LengthS = 10
+// setProcessors sets the number of processors until the test ends.
+func setProcessors(t *testing.T, processors int) {
+	t.Helper()
+	previous := runtime.GOMAXPROCS(processors)
+	t.Cleanup(func() { runtime.GOMAXPROCS(previous) })
+}
+
+// shortScenarios are the scenarios "day" and "faults", cut to a length in seconds.
+func shortScenarios(t *testing.T, length float64) []Scenario {
+	t.Helper()
+	scenarios := []Scenario{readScenario(t, "day"), readScenario(t, "faults")}
+	for i := range scenarios {
+		scenarios[i].LengthS = length
 	}
+	return scenarios
+}
+
+// The results of many runs do not depend on the number of cores, and are in the order of scenarios and seeds.
+func TestRunAll(t *testing.T) {
+	scenarios := shortScenarios(t, 10)
 	seeds := Seeds(5, 6)
-	runtime.GOMAXPROCS(8)
+	setProcessors(t, 8)
 	runs := 0
-	wide, err := RunAll(list, seeds, func() { runs++ })
+	onEightCores, err := RunAll(scenarios, seeds, func() { runs++ })
 	if err != nil || runs != 12 {
-		t.Fatalf("%d runs, %v", runs, err)
+		t.Fatalf("%d runs, want 12: %v", runs, err)
 	}
-	runtime.GOMAXPROCS(1)
-	narrow, _ := RunAll(list, seeds, nil)
-	if !reflect.DeepEqual(wide, narrow) {
+	setProcessors(t, 1)
+	onOneCore, err := RunAll(scenarios, seeds, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(onEightCores, onOneCore) {
 		t.Error("the results differ by the number of cores")
 	}
-	if wide[0][1].Seed != 6 || wide[1][0].Scenario != "faults" {
-		t.Errorf("out of place: %+v", wide[0][1])
+	if onOneCore[0][1].Seed != 6 || onOneCore[1][0].Scenario != "faults" {
+		t.Errorf("out of place: %+v", onOneCore[0][1])
+	}
+}
+
+// The worst runs are those with violations, then those with the lowest scores.
+func TestWorst(t *testing.T) {
+	scenarios := shortScenarios(t, 10)
+	results, err := RunAll(scenarios, Seeds(5, 6), nil)
+	if err != nil {
+		t.Fatal(err)
 	}
-	wide[0][3].Violations = []string{"a rule"}
-	worst := Worst(list, wide, 4)
+	results[0][3].Violations = []string{"a rule"}
+	worst := Worst(scenarios, results, 4)
 	if len(worst) != 4 || worst[0].Result.Seed != 8 || worst[1].Result.Score > worst[2].Result.Score {
-		t.Errorf("the worst: %+v", worst)
+		t.Errorf("%+v, want 4 results, that of seed 8 first, then by score", worst)
 	}
-	bad := list[0]
-	bad.Classes = nil
-	if _, err := RunAll([]Scenario{bad}, seeds, nil); err == nil {
+}
+
+// A scenario that dispatchers cannot be made for is an error.
+func TestRunAllWithoutClasses(t *testing.T) {
+	scenario := readScenario(t, "day")
+	scenario.Classes = nil
+	if _, err := RunAll([]Scenario{scenario}, Seeds(5, 6), nil); err == nil {
 		t.Error("a scenario without classes was run")
 	}
 }
--- a/internal/rehearsal/simulator/recorded_test.go
+++ b/internal/rehearsal/simulator/recorded_test.go
@@ -53,11 +53,11 @@
 	}
 	var list []Scenario
 	for _, path := range paths {
-		sc, err := ReadScenario(path)
+		scenario, err := ReadScenario(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		list = append(list, sc)
+		list = append(list, scenario)
 	}
 	results, err := RunAll(list, Seeds(1, recordedSeeds), func() {})
 	if err != nil {
--- a/internal/rehearsal/simulator/scenario_test.go
+++ b/internal/rehearsal/simulator/scenario_test.go
@@ -14,7 +14,11 @@
 		t.Fatal(err)
 	}
 	path := filepath.Join(t.TempDir(), "bad.toml")
-	for _, x := range [][3]string{
+	for _, test := range []struct {
+		replaced    string
+		replacement string
+		want        string // in the error
+	}{
 		{"length_s = 60", "lenght_s = 60", "lenght_s: unknown key"},
 		{"dispatchers = 5", "dispatchers = 0", "dispatchers: 0 is not between"},
 		{"share = 0.64", "share = 0.5", "shares add up to 0.86"},
@@ -25,9 +29,12 @@
 		{"work_ms = 500", "work_ms = 0", "class[0]"},
 		{"slots = 4", "slots = ", "line"},
 	} {
-		os.WriteFile(path, []byte(strings.Replace(string(valid), x[0], x[1], 1)), 0o600)
-		if _, err := ReadScenario(path); err == nil || !strings.Contains(err.Error(), x[2]) {
-			t.Errorf("%s: %v", x[1], err)
+		invalid := strings.Replace(string(valid), test.replaced, test.replacement, 1)
+		if err := os.WriteFile(path, []byte(invalid), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		if _, err := ReadScenario(path); err == nil || !strings.Contains(err.Error(), test.want) {
+			t.Errorf("%s: %v, want %s", test.replacement, err, test.want)
 		}
 	}
 }
--- a/internal/rehearsal/simulator/shrink_test.go
+++ b/internal/rehearsal/simulator/shrink_test.go
@@ -7,30 +7,34 @@
 // A bad run is reduced to its cause: of four faults the one that kills, and a small fleet. The reduced scenario is bad
 // when it is run again.
 func TestShrink(t *testing.T) {
-	sc := readScenario(t, "faults")
-	sc.Load.Rate = 15 // few fail but by a kill
-	bad := func(r Result) bool { return r.Classes[1].Failed > 0 }
-	seed := uint64(0)
-	for s := uint64(1); s < 40 && seed == 0; s++ {
-		if r, _ := runScenario(t, sc, s); bad(r) {
-			seed = s
-		}
-	}
-	if seed == 0 {
-		t.Fatal("no bad run to reduce")
-	}
-	small, runs, err := Shrink(sc, seed, bad)
+	scenario := readScenario(t, "faults")
+	scenario.Load.Rate = 15 // few fail but by a kill
+	isBad := func(result Result) bool { return result.Classes[1].Failed > 0 }
+	seed := firstBadSeed(t, scenario, isBad)
+	small, runs, err := Shrink(scenario, seed, isBad)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Logf("seed %d: %d runs; %+v", seed, runs, small)
-	if r, _ := runScenario(t, small, seed); !bad(r) {
+	if result, _ := runScenario(t, small, seed); !isBad(result) {
 		t.Error("the reduced scenario is not bad")
 	}
-	if len(small.Faults) > 1 || small.Dispatchers > 2 || small.Workers.Count > 4 || small.LengthS >= sc.LengthS {
+	if len(small.Faults) > 1 || small.Dispatchers > 2 || small.Workers.Count > 4 || small.LengthS >= scenario.LengthS {
 		t.Errorf("not small: %+v", small)
 	}
-	if len(sc.Faults) != 4 {
+	if len(scenario.Faults) != 4 {
 		t.Error("the original scenario has changed")
 	}
 }
+
+// firstBadSeed returns the first of the seeds 1 to 39 with which a run is bad.
+func firstBadSeed(t *testing.T, scenario Scenario, isBad func(Result) bool) uint64 {
+	t.Helper()
+	for seed := uint64(1); seed < 40; seed++ {
+		if result, _ := runScenario(t, scenario, seed); isBad(result) {
+			return seed
+		}
+	}
+	t.Fatal("no bad run to reduce")
+	return 0
+}
--- a/internal/rehearsal/simulator/simulation_test.go
+++ b/internal/rehearsal/simulator/simulation_test.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"math/rand/v2"
 	"path/filepath"
-	"runtime"
 	"strings"
 	"testing"
 	"time"
@@ -15,49 +14,54 @@
 
 func readScenario(t testing.TB, name string) Scenario {
 	t.Helper()
-	sc, err := ReadScenario(filepath.Join("../../../deploy/scenarios", name+".toml"))
+	scenario, err := ReadScenario(filepath.Join("../../../deploy/scenarios", name+".toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return sc
+	return scenario
 }
 
-func runScenario(t testing.TB, sc Scenario, seed uint64) (Result, []byte) {
+func runScenario(t testing.TB, scenario Scenario, seed uint64) (Result, []byte) {
 	t.Helper()
 	var log bytes.Buffer
-	s, err := New(sc, seed, &log)
+	simulation, err := New(scenario, seed, &log)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s.Run(), log.Bytes()
+	return simulation.Run(), log.Bytes()
 }
 
 // The same scenario and seed give the same event log, byte for byte, on any number of cores; another seed gives another.
 // No run has violations.
 func TestRunIsDeterministic(t *testing.T) {
-	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(0))
 	for _, name := range []string{"day", "faults", "zone", "slow-start"} {
-		sc := readScenario(t, name)
-		runtime.GOMAXPROCS(1)
-		first, log := runScenario(t, sc, 7)
-		runtime.GOMAXPROCS(4)
-		second, again := runScenario(t, sc, 7)
-		other, _ := runScenario(t, sc, 8)
-		if first.Hash != second.Hash || !bytes.Equal(log, again) || first.Score != second.Score {
+		scenario := readScenario(t, name)
+		setProcessors(t, 1)
+		first, firstLog := runScenario(t, scenario, 7)
+		setProcessors(t, 4)
+		second, secondLog := runScenario(t, scenario, 7)
+		other, _ := runScenario(t, scenario, 8)
+		if first.Hash != second.Hash || !bytes.Equal(firstLog, secondLog) || first.Score != second.Score {
 			t.Errorf("%s: seed 7 gives %s and %s", name, first.Hash, second.Hash)
 		}
 		if first.Hash == other.Hash {
 			t.Errorf("%s: seeds 7 and 8 give the same run", name)
 		}
-		for _, r := range []Result{first, other} {
-			if len(r.Violations) > 0 || r.Score < 0.7 || r.Events < 1000 || r.Executed < 1000 {
-				t.Errorf("%s: score %.3f, %d events, %d runs, violations %v", name, r.Score, r.Events, r.Executed, r.Violations)
-			}
-			for _, k := range r.Classes {
-				if k.Requests != k.WithinObjective+k.Late+k.Rejected+k.Failed+k.Unanswered || k.Unanswered > 0 {
-					t.Errorf("%s: %+v does not add up", name, k)
-				}
-			}
+		checkResult(t, name, first)
+		checkResult(t, name, other)
+	}
+}
+
+// checkResult checks that a run has no violations, ran much and answered every request.
+func checkResult(t *testing.T, name string, result Result) {
+	t.Helper()
+	if len(result.Violations) > 0 || result.Score < 0.7 || result.Events < 1000 || result.Executed < 1000 {
+		t.Errorf("%s: score %.3f, %d events, %d runs, violations %v", name, result.Score, result.Events, result.Executed, result.Violations)
+	}
+	for _, class := range result.Classes {
+		outcomes := class.WithinObjective + class.Late + class.Rejected + class.Failed + class.Unanswered
+		if class.Requests != outcomes || class.Unanswered > 0 {
+			t.Errorf("%s: %+v does not add up", name, class)
 		}
 	}
 }
@@ -65,79 +69,120 @@
 // Random scenarios with random faults have no violations.
 func TestRandomScenarios(t *testing.T) {
 	for seed := range uint64(40) {
-		random := rand.New(rand.NewPCG(seed, 99))
-		sc := readScenario(t, "day")
-		sc.LengthS = 8
-		sc.Dispatchers = 1 + random.IntN(6)
-		sc.Workers.Count = 1 + random.IntN(8)
-		sc.Workers.Slots = 1 + random.IntN(5)
-		sc.Workers.Queue = random.IntN(10)
-		sc.Load.Rate = 5 + 60*random.Float64()
-		sc.Load.MaxAttempts = 1 + random.IntN(3)
-		sc.Load.Swing = random.Float64() * 0.9
-		sc.Load.SwingPeriodS = 3
-		sc.Net.Jitter = random.Float64() * 20
-		for range random.IntN(5) {
-			sc.Faults = append(sc.Faults, Fault{Kind: faultKinds[random.IntN(len(faultKinds))], AtS: 7 * random.Float64(), ForS: 4 * random.Float64(),
-				Workers: 1 + random.IntN(sc.Workers.Count), Factor: 0.05 + 0.9*random.Float64(),
-				Dispatchers: 1 + random.IntN(sc.Dispatchers)})
-		}
-		if err := sc.Check(); err != nil {
+		scenario := randomScenario(t, seed)
+		if err := scenario.Check(); err != nil {
 			t.Fatal(err)
 		}
-		if r, _ := runScenario(t, sc, seed); len(r.Violations) > 0 {
-			t.Errorf("seed %d: %v", seed, r.Violations[0])
+		if result, _ := runScenario(t, scenario, seed); len(result.Violations) > 0 {
+			t.Errorf("seed %d: %v", seed, result.Violations[0])
 		}
 	}
 }
 
-// Each violation of an invariant is reported.
-func TestViolationsAreReported(t *testing.T) {
-	sc := readScenario(t, "day")
-	sc.LengthS = 5
-	for name, spoil := range map[string]func(s *Simulation){
-		"a second answer to a request": func(s *Simulation) {
-			s.scheduleAt(runStart+2*time.Second, func() {
-				s.dispatchers[0].Respond(1, dispatch.Response{})
-				s.dispatchers[0].Respond(1, dispatch.Response{})
-			})
-		},
-		"ran twice": func(s *Simulation) {
-			s.scheduleAt(runStart+4*time.Second, func() {
-				for _, w := range s.workers {
-					for _, r := range w.executions {
-						if r.class == 1 {
-							s.workers[0].executions = append(s.workers[0].executions, execution{r.id, r.class, s.now})
-							return
-						}
-					}
+// randomScenario draws the size of a fleet, its load and its faults.
+func randomScenario(t *testing.T, seed uint64) Scenario {
+	t.Helper()
+	random := rand.New(rand.NewPCG(seed, 99))
+	scenario := readScenario(t, "day")
+	scenario.LengthS = 8
+	scenario.Dispatchers = 1 + random.IntN(6)
+	scenario.Workers.Count = 1 + random.IntN(8)
+	scenario.Workers.Slots = 1 + random.IntN(5)
+	scenario.Workers.Queue = random.IntN(10)
+	scenario.Load.Rate = 5 + 60*random.Float64()
+	scenario.Load.MaxAttempts = 1 + random.IntN(3)
+	scenario.Load.Swing = random.Float64() * 0.9
+	scenario.Load.SwingPeriodS = 3
+	scenario.Net.Jitter = random.Float64() * 20
+	for range random.IntN(5) {
+		scenario.Faults = append(scenario.Faults, Fault{
+			Kind:        faultKinds[random.IntN(len(faultKinds))],
+			AtS:         7 * random.Float64(),
+			ForS:        4 * random.Float64(),
+			Workers:     1 + random.IntN(scenario.Workers.Count),
+			Factor:      0.05 + 0.9*random.Float64(),
+			Dispatchers: 1 + random.IntN(scenario.Dispatchers),
+		})
+	}
+	return scenario
+}
+
+// violationCases breaks an invariant each; the keys are texts of the violations.
+var violationCases = map[string]func(*Simulation){
+	"a second answer to a request": answerTwice,
+	"ran twice":                    repeatExecution,
+	"sent too late to w1":          sendToDrainedWorker,
+	"unanswered requests":          acceptTooLate,
+}
+
+// answerTwice answers a request twice.
+func answerTwice(simulation *Simulation) {
+	simulation.scheduleAt(runStart+2*time.Second, func() {
+		simulation.dispatchers[0].Respond(1, dispatch.Response{})
+		simulation.dispatchers[0].Respond(1, dispatch.Response{})
+	})
+}
+
+// repeatExecution records an execution of a request that is not idempotent a second time.
+func repeatExecution(simulation *Simulation) {
+	const nonIdempotentClass = 1
+	simulation.scheduleAt(runStart+4*time.Second, func() {
+		for _, executing := range simulation.workers {
+			for _, run := range executing.executions {
+				if run.class != nonIdempotentClass {
+					continue
 				}
-			})
-		},
-		"sent too late to w1": func(s *Simulation) {
-			s.scheduleAt(runStart+4*time.Second, func() {
-				d := s.dispatchers[0]
-				d.workerUpdates["w1"] = workerUpdate{unavailableSince: s.now - s.settings.DrainGrace - timingSlack}
-				d.Start(dispatch.Attempt{Handle: 1 << 40, Worker: "w1", Request: &dispatch.Request{ID: "in time", Work: time.Millisecond}})
-				d.workerUpdates["w1"] = workerUpdate{unavailableSince: s.now - s.settings.DrainGrace - timingSlack - 1}
-				d.Start(dispatch.Attempt{Handle: 1<<40 + 1, Worker: "w1", Request: &dispatch.Request{ID: "too late", Work: time.Millisecond}})
-			})
-		},
-		"unanswered requests": func(s *Simulation) {
-			s.scheduleAt(runStart+20*time.Second, func() {
-				s.dispatchers[1].core.Accept(s.dispatchers[1], 1<<40, dispatch.Request{ID: "late", Work: time.Second})
-			})
-			s.scenario.LengthS = 11 // the run ends before it is answered
-		},
-	} {
-		s, err := New(sc, 3, nil)
+				other := simulation.workers[0]
+				other.executions = append(other.executions, execution{id: run.id, class: run.class, startedAt: simulation.now})
+				return
+			}
+		}
+	})
+}
+
+// sendToDrainedWorker sends an attempt at the last moment that is allowed after the drain of a worker, and one after it.
+func sendToDrainedWorker(simulation *Simulation) {
+	simulation.scheduleAt(runStart+4*time.Second, func() {
+		sender := simulation.dispatchers[0]
+		lastDrain := simulation.now - simulation.settings.DrainGrace - timingSlack
+		send := func(handle uint64, id string) {
+			request := &dispatch.Request{ID: id, Work: time.Millisecond}
+			sender.Start(dispatch.Attempt{Handle: handle, Worker: "w1", Request: request})
+		}
+		sender.workerUpdates["w1"] = workerUpdate{unavailableSince: lastDrain}
+		send(1<<40, "in time")
+		sender.workerUpdates["w1"] = workerUpdate{unavailableSince: lastDrain - 1}
+		send(1<<40+1, "too late")
+	})
+}
+
+// acceptTooLate accepts a request that the run ends before it can answer.
+func acceptTooLate(simulation *Simulation) {
+	simulation.scheduleAt(runStart+20*time.Second, func() {
+		receiver := simulation.dispatchers[1]
+		receiver.core.Accept(receiver, 1<<40, dispatch.Request{ID: "late", Work: time.Second})
+	})
+	simulation.scenario.LengthS = 11
+}
+
+// Each violation of an invariant is reported, with the seed.
+func TestViolationsAreReported(t *testing.T) {
+	scenario := readScenario(t, "day")
+	scenario.LengthS = 5
+	for want, violate := range violationCases {
+		simulation, err := New(scenario, 3, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		spoil(s)
-		r := s.Run()
-		if all := strings.Join(r.Violations, "\n"); !strings.Contains(all, name) || strings.Contains(all, "sent in time") || !strings.Contains(r.Violations[0], "seed 3") {
-			t.Errorf("%s: %v", name, r.Violations)
+		violate(simulation)
+		violations := simulation.Run().Violations
+		if len(violations) == 0 {
+			t.Errorf("%s: no violation", want)
+			continue
+		}
+		text := strings.Join(violations, "\n")
+		if !strings.Contains(text, want) || strings.Contains(text, "sent in time") || !strings.Contains(violations[0], "seed 3") {
+			t.Errorf("%s: %v", want, violations)
 		}
 	}
 }
@@ -146,17 +191,17 @@
 func BenchmarkRun(b *testing.B) {
 	for _, size := range []int{1, 4, 16, 40} {
 		b.Run(fmt.Sprint(size*5), func(b *testing.B) {
-			sc := readScenario(b, "day")
-			sc.Dispatchers = 5 * size
-			sc.Workers.Count = 10 * size
-			sc.Load.Rate = 33 * float64(size)
+			scenario := readScenario(b, "day")
+			scenario.Dispatchers = 5 * size
+			scenario.Workers.Count = 10 * size
+			scenario.Load.Rate = 33 * float64(size)
 			events := uint64(0)
 			for range b.N {
-				s, err := New(sc, 1, nil)
+				simulation, err := New(scenario, 1, nil)
 				if err != nil {
 					b.Fatal(err)
 				}
-				events = s.Run().Events
+				events = simulation.Run().Events
 			}
 			b.ReportMetric(float64(events)*float64(b.N)/b.Elapsed().Seconds(), "events/s")
 		})
--- a/internal/rehearsal/simulator/worker_test.go
+++ b/internal/rehearsal/simulator/worker_test.go
@@ -7,170 +7,235 @@
 	"time"
 )
 
-// meanWait runs one worker with Poisson arrivals and nothing else, and returns the mean wait in seconds.
-func meanWait(t *testing.T, slots int, rate float64, law string, n int) float64 {
+// loneWorkerScenario is a scenario with one dispatcher and one worker.
+func loneWorkerScenario(t *testing.T) Scenario {
 	t.Helper()
-	sc := readScenario(t, "day")
-	sc.Dispatchers = 1
-	sc.Workers.Count = 1
-	sc.Workers.Slots = slots
-	sc.Workers.Queue = 1e6
-	s, err := New(sc, 5, nil)
+	scenario := readScenario(t, "day")
+	scenario.Dispatchers = 1
+	scenario.Workers.Count = 1
+	return scenario
+}
+
+// newIdleSimulation prepares a run in which nothing is scheduled.
+func newIdleSimulation(t *testing.T, scenario Scenario, seed uint64) *Simulation {
+	t.Helper()
+	simulation, err := New(scenario, seed, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.queue = nil // only the worker matters
-	class := ScenarioClass{WorkMs: 100, Distribution: law}
-	w := s.workers[0]
-	d := &dispatcher{simulation: s}
-	random := s.randomStream("lone")
-	came := make([]time.Duration, 0, n)
-	var next func()
-	next = func() {
-		came = append(came, s.now)
-		w.receive(&attempt{id: fmt.Sprint(len(came)), work: class.drawWork(random), dispatcher: d})
-		if len(came) < n {
-			s.scheduleAfter(seconds(random.ExpFloat64()/rate), next)
+	simulation.queue = nil
+	return simulation
+}
+
+// queueModel is a queue of queueing theory: Poisson arrivals at one worker, which serves them in their order.
+type queueModel struct {
+	name         string
+	slots        int
+	rate         float64 // arrivals per second
+	distribution string  // of the service time
+	wantMeanWait float64 // seconds
+}
+
+// serviceTime is the mean service time of all models, in seconds.
+const serviceTime = 0.1
+
+// meanWait runs a model with a number of arrivals and nothing else, and returns the mean wait in seconds.
+func (m *queueModel) meanWait(t *testing.T, arrivals int) float64 {
+	t.Helper()
+	scenario := loneWorkerScenario(t)
+	scenario.Workers.Slots = m.slots
+	scenario.Workers.Queue = 1e6
+	simulation := newIdleSimulation(t, scenario, 5)
+	class := ScenarioClass{WorkMs: serviceTime * 1000, Distribution: m.distribution}
+	server := simulation.workers[0]
+	sender := &dispatcher{simulation: simulation}
+	random := simulation.randomStream("lone")
+	arrivedAt := make([]time.Duration, 0, arrivals)
+	var arrive func()
+	arrive = func() {
+		arrivedAt = append(arrivedAt, simulation.now)
+		server.receive(&attempt{id: fmt.Sprint(len(arrivedAt)), work: class.drawWork(random), dispatcher: sender})
+		if len(arrivedAt) < arrivals {
+			simulation.scheduleAfter(seconds(random.ExpFloat64()/m.rate), arrive)
 		}
 	}
-	s.scheduleAfter(0, next)
-	s.runUntil(s.now + 1e9*time.Second)
-	if len(w.executions) != n {
-		t.Fatalf("%d of %d ran", len(w.executions), n)
+	simulation.scheduleAfter(0, arrive)
+	simulation.runUntil(simulation.now + 1e9*time.Second)
+	if len(server.executions) != arrivals {
+		t.Fatalf("%d of %d ran", len(server.executions), arrivals)
 	}
 	sum := 0.0
-	for i, r := range w.executions { // in order: the first in is the first to start
-		sum += (r.startedAt - came[i]).Seconds()
+	for i, run := range server.executions { // in order: the first in is the first to start
+		sum += (run.startedAt - arrivedAt[i]).Seconds()
 	}
-	return sum / float64(n)
+	return sum / float64(arrivals)
 }
 
-// The worker's model agrees with queueing theory within 2%: mean waits of M/M/c by Erlang's C, of M/G/1 by Pollaczek and
-// Khinchine.
-func TestWorkerAgreesWithQueueingTheory(t *testing.T) {
-	const service = 0.1
-	erlang := func(c int, rate float64) float64 {
-		a := rate * service
-		sum, term := 0.0, 1.0
-		for k := range c {
-			sum += term
-			term *= a / float64(k+1)
-		}
-		wait := term / (1 - a/float64(c))
-		return wait / (sum + wait) * service / (float64(c) - a)
+// erlangMeanWait is the mean wait of M/M/c by Erlang's C formula.
+func erlangMeanWait(servers int, rate float64) float64 {
+	load := rate * serviceTime
+	sum := 0.0
+	term := 1.0
+	for k := range servers {
+		sum += term
+		term *= load / float64(k+1)
 	}
-	khinchine := func(rate, square float64) float64 { return rate * square / (2 * (1 - rate*service)) }
-	for _, x := range []struct {
-		name  string
-		slots int
-		rate  float64
-		law   string
-		want  float64
-	}{
-		{"M/M/1", 1, 6, "", erlang(1, 6)},
-		{"M/M/4", 4, 28, "", erlang(4, 28)},
-		{"M/D/1", 1, 7, "constant", khinchine(7, service*service)},
-		{"M/G/1, lognormal", 1, 5, "lognormal", khinchine(5, service*service*math.E)},
+	waiting := term / (1 - load/float64(servers))
+	return waiting / (sum + waiting) * serviceTime / (float64(servers) - load)
+}
+
+// pollaczekKhinchineMeanWait is the mean wait of M/G/1. secondMoment is that of the service time.
+func pollaczekKhinchineMeanWait(rate, secondMoment float64) float64 {
+	return rate * secondMoment / (2 * (1 - rate*serviceTime))
+}
+
+// The worker's model agrees with queueing theory within 2%.
+func TestWorkerAgreesWithQueueingTheory(t *testing.T) {
+	const (
+		arrivals  = 400_000
+		tolerance = 0.02
+		squared   = serviceTime * serviceTime
+	)
+	for _, model := range []queueModel{
+		{name: "M/M/1", slots: 1, rate: 6, wantMeanWait: erlangMeanWait(1, 6)},
+		{name: "M/M/4", slots: 4, rate: 28, wantMeanWait: erlangMeanWait(4, 28)},
+		{name: "M/D/1", slots: 1, rate: 7, distribution: Constant, wantMeanWait: pollaczekKhinchineMeanWait(7, squared)},
+		{name: "M/G/1, lognormal", slots: 1, rate: 5, distribution: Lognormal, wantMeanWait: pollaczekKhinchineMeanWait(5, squared*math.E)},
 	} {
-		got := meanWait(t, x.slots, x.rate, x.law, 400_000)
-		t.Logf("%s: mean wait %.3f ms, by theory %.3f ms (%+.2f%%)", x.name, got*1000, x.want*1000, 100*(got/x.want-1))
-		if math.Abs(got/x.want-1) > 0.02 {
-			t.Errorf("%s: mean wait %.3f ms, by theory %.3f ms", x.name, got*1000, x.want*1000)
+		got := model.meanWait(t, arrivals)
+		want := model.wantMeanWait
+		t.Logf("%s: mean wait %.3f ms, by theory %.3f ms (%+.2f%%)", model.name, got*1000, want*1000, 100*(got/want-1))
+		if math.Abs(got/want-1) > tolerance {
+			t.Errorf("%s: mean wait %.3f ms, by theory %.3f ms", model.name, got*1000, want*1000)
 		}
 	}
 }
 
-// Each fault delays a running attempt by as much as it should.
-func TestFaultsDelayAttempt(t *testing.T) {
-	sc := readScenario(t, "day")
-	sc.Dispatchers = 1
-	sc.Workers.Count = 1
-	sc.Workers.Slots = 1
-	sc.Workers.SlowStartFloor = 0.5
-	sc.Workers.SlowStartDurationS = 10
-	endOfAttempt := func(f Fault, at, work time.Duration) time.Duration {
-		t.Helper()
-		faulty := sc
-		faulty.Faults = []Fault{f}
-		s, err := New(faulty, 1, nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		s.queue = nil
-		s.scheduleFault(0, f)
-		w := s.workers[0]
-		sent := &attempt{id: "j", work: work, dispatcher: &dispatcher{simulation: s}}
-		s.scheduleAt(runStart+at, func() { w.receive(sent) })
-		for until := time.Duration(0); until < 60*time.Second; until += time.Millisecond {
-			s.runUntil(runStart + until)
-			if len(w.executions) == 1 && len(w.running) == 0 {
-				return until
-			}
+// endOfAttempt sends an attempt of 2 s of work to a worker with a fault and returns when it ends; -1: not within a minute.
+func endOfAttempt(t *testing.T, fault Fault, sentAt time.Duration) time.Duration {
+	t.Helper()
+	const (
+		work     = 2 * time.Second
+		maxSpan  = 60 * time.Second
+		stepSize = time.Millisecond
+	)
+	scenario := loneWorkerScenario(t)
+	scenario.Workers.Slots = 1
+	scenario.Workers.SlowStartFloor = 0.5
+	scenario.Workers.SlowStartDurationS = 10
+	scenario.Faults = []Fault{fault}
+	simulation := newIdleSimulation(t, scenario, 1)
+	simulation.scheduleFault(0, fault)
+	server := simulation.workers[0]
+	sent := &attempt{id: "j", work: work, dispatcher: &dispatcher{simulation: simulation}}
+	simulation.scheduleAt(runStart+sentAt, func() { server.receive(sent) })
+	for elapsed := time.Duration(0); elapsed < maxSpan; elapsed += stepSize {
+		simulation.runUntil(runStart + elapsed)
+		if len(server.executions) == 1 && len(server.running) == 0 {
+			return elapsed
 		}
-		return -1
 	}
-	for _, x := range []struct {
-		name     string
-		f        Fault
-		at, work time.Duration
-		want     time.Duration
+	return -1
+}
+
+// Each fault delays a running attempt by as much as it should, within 2%.
+func TestFaultsDelayAttempt(t *testing.T) {
+	for _, test := range []struct {
+		name   string
+		fault  Fault
+		sentAt time.Duration
+		want   time.Duration
 	}{
-		{"none", Fault{Kind: "slow", AtS: 50, ForS: 1, Workers: 1, Factor: 0.5}, time.Second, 2 * time.Second, 3 * time.Second},
-		{"slow while it runs", Fault{Kind: "slow", AtS: 2, ForS: 1, Workers: 1, Factor: 0.5}, time.Second, 2 * time.Second, 3500 * time.Millisecond},
-		{"paused while it runs", Fault{Kind: "pause", AtS: 2, ForS: 3, Workers: 1}, time.Second, 2 * time.Second, 6 * time.Second},
-		{"arrives while paused", Fault{Kind: "pause", AtS: 0.5, ForS: 3, Workers: 1}, time.Second, 2 * time.Second, 5500 * time.Millisecond},
-		// The pace rises linearly from half at 2 s to all at 12 s: 0.5 t + t*t/40 = 2 at t = 3.416.
-		{"cold", Fault{Kind: "kill", AtS: 1, ForS: 1, Workers: 1}, 2 * time.Second, 2 * time.Second, 5416 * time.Millisecond},
+		{
+			name:   "none",
+			fault:  Fault{Kind: FaultSlow, AtS: 50, ForS: 1, Workers: 1, Factor: 0.5},
+			sentAt: time.Second,
+			want:   3 * time.Second,
+		},
+		{
+			name:   "slow while it runs",
+			fault:  Fault{Kind: FaultSlow, AtS: 2, ForS: 1, Workers: 1, Factor: 0.5},
+			sentAt: time.Second,
+			want:   3500 * time.Millisecond,
+		},
+		{
+			name:   "paused while it runs",
+			fault:  Fault{Kind: FaultPause, AtS: 2, ForS: 3, Workers: 1},
+			sentAt: time.Second,
+			want:   6 * time.Second,
+		},
+		{
+			name:   "arrives while paused",
+			fault:  Fault{Kind: FaultPause, AtS: 0.5, ForS: 3, Workers: 1},
+			sentAt: time.Second,
+			want:   5500 * time.Millisecond,
+		},
+		{
+			// The pace rises linearly from half at 2 s to all at 12 s: 0.5 t + t*t/40 = 2 at t = 3.416.
+			name:   "warming up",
+			fault:  Fault{Kind: FaultKill, AtS: 1, ForS: 1, Workers: 1},
+			sentAt: 2 * time.Second,
+			want:   5416 * time.Millisecond,
+		},
 	} {
-		got := endOfAttempt(x.f, x.at, x.work)
-		if slack := x.want / 50; got < x.want-slack || got > x.want+slack {
-			t.Errorf("%s: ends at %v, want %v", x.name, got, x.want)
+		got := endOfAttempt(t, test.fault, test.sentAt)
+		if slack := test.want / 50; got < test.want-slack || got > test.want+slack {
+			t.Errorf("%s: ends at %v, want %v", test.name, got, test.want)
 		}
 	}
-	if got := endOfAttempt(Fault{Kind: "kill", AtS: 2, ForS: 100, Workers: 1}, time.Second, 2*time.Second); got != 2*time.Second {
-		t.Errorf("killed: ended at %v", got)
+}
+
+// An attempt ends when its worker is killed.
+func TestKillEndsAttempt(t *testing.T) {
+	fault := Fault{Kind: FaultKill, AtS: 2, ForS: 100, Workers: 1}
+	if got := endOfAttempt(t, fault, time.Second); got != 2*time.Second {
+		t.Errorf("killed at 2 s: ended at %v", got)
 	}
 }
 
 // A warming worker crashes for good when too much is sent to it; that is a violation if those who sent it knew of its
 // start.
 func TestWarmingWorkerCrashes(t *testing.T) {
-	sc := readScenario(t, "day")
-	sc.LengthS = 1
 	// Four slots at a third of their pace carry 4 * 0.33 / 0.572 requests of mean work per second; four times that plus
 	// the chance allowance is 17.3.
-	for _, x := range []struct {
-		name               string
-		sent, knowing      int // requests, and those from a dispatcher that knows of the start
-		crashes, violation bool
+	const meanWork = 572 * time.Millisecond
+	scenario := readScenario(t, "day")
+	scenario.LengthS = 1
+	for _, test := range []struct {
+		name          string
+		sent          int // requests
+		fromKnowing   int // of those, from a dispatcher that knows of the start
+		wantCrash     bool
+		wantViolation bool
 	}{
-		{"within its budget", 17, 17, false, false},
-		{"one more", 18, 18, true, true},
-		{"one more, less than two thirds from those who knew", 18, 11, true, false},
-		{"one more, over two thirds from those who knew", 18, 13, true, true},
+		{name: "within its budget", sent: 17, fromKnowing: 17},
+		{name: "one more", sent: 18, fromKnowing: 18, wantCrash: true, wantViolation: true},
+		{name: "one more, less than two thirds from those who knew", sent: 18, fromKnowing: 11, wantCrash: true},
+		{name: "one more, over two thirds from those who knew", sent: 18, fromKnowing: 13, wantCrash: true, wantViolation: true},
 	} {
-		s, err := New(sc, 1, nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		s.queue = nil
-		w := s.workers[0]
-		w.startedAt = s.now
-		s.dispatchers[0].workerUpdates[w.name] = workerUpdate{startedAt: w.startedAt}
-		for i := range x.sent {
-			from := s.dispatchers[0]
-			if i >= x.knowing {
-				from = s.dispatchers[1]
+		simulation := newIdleSimulation(t, scenario, 1)
+		knowing := simulation.dispatchers[0]
+		unknowing := simulation.dispatchers[1]
+		warming := simulation.workers[0]
+		warming.startedAt = simulation.now
+		knowing.workerUpdates[warming.name] = workerUpdate{startedAt: warming.startedAt}
+		for i := range test.sent {
+			sender := knowing
+			if i >= test.fromKnowing {
+				sender = unknowing
 			}
-			w.receive(&attempt{id: fmt.Sprint(i), work: 572 * time.Millisecond, dispatcher: from})
+			warming.receive(&attempt{id: fmt.Sprint(i), work: meanWork, dispatcher: sender})
 		}
-		if w.down != x.crashes || len(s.violations) > 0 != x.violation {
-			t.Errorf("%s: down %v, violations %q", x.name, w.down, s.violations)
+		violated := len(simulation.violations) > 0
+		if warming.down != test.wantCrash || violated != test.wantViolation {
+			t.Errorf("%s: down %v, want %v; violations %q, want any: %v",
+				test.name, warming.down, test.wantCrash, simulation.violations, test.wantViolation)
 		}
-		s.scheduleFault(0, Fault{Kind: "kill", AtS: 0.1, ForS: 0.1, Workers: sc.Workers.Count})
-		s.runUntil(runStart + time.Second)
-		if w.down != x.crashes {
-			t.Errorf("%s: killed and restarted, it is down: %v", x.name, w.down)
+		restart := Fault{Kind: FaultKill, AtS: 0.1, ForS: 0.1, Workers: scenario.Workers.Count}
+		simulation.scheduleFault(0, restart)
+		simulation.runUntil(runStart + time.Second)
+		if warming.down != test.wantCrash {
+			t.Errorf("%s: killed and restarted, it is down: %v, want %v", test.name, warming.down, test.wantCrash)
 		}
 	}
 }
