--- a/internal/rehearsal/scale/chart.go
+++ b/internal/rehearsal/scale/chart.go
@@ -23,7 +23,7 @@
 
 // WriteChart writes a chart of runs of one scenario as SVG: bytes and processor time of a hollow dispatcher over the
 // run, a line for each mechanism.
-func WriteChart(w io.Writer, runs []*Run) error {
+func WriteChart(out io.Writer, runs []*Run) error {
 	bytes := newPlot("Bytes of a dispatcher a second, mean of the hollow ones", "bytes a second")
 	share := newPlot("Processor time of a dispatcher, mean of the hollow ones", "share of a core")
 	for i, run := range runs {
@@ -54,16 +54,16 @@
 	whole := draw.New(canvas)
 	bytes.Draw(tiles.At(whole, 0, 0))
 	share.Draw(tiles.At(whole, 0, 1))
-	_, err := canvas.WriteTo(w)
+	_, err := canvas.WriteTo(out)
 	return err
 }
 
 // newPlot returns an empty plot over the time of the run.
-func newPlot(title, y string) *plot.Plot {
+func newPlot(title, yLabel string) *plot.Plot {
 	created := plot.New()
 	created.Title.Text = title
 	created.X.Label.Text = "second of the run"
-	created.Y.Label.Text = y
+	created.Y.Label.Text = yLabel
 	created.Y.Min = 0
 	created.Legend.Top = true
 	created.Add(plotter.NewGrid())
@@ -73,15 +73,15 @@
 // addLine draws the rise of a count between samples, per second.
 func addLine(target *plot.Plot, run *Run, lineColor color.Color, count func(*sample) float64) error {
 	var points plotter.XYs
-	startedAt := run.samples[0].at
+	startedAt := run.samples[0].takenAt
 	for i := 1; i < len(run.samples); i++ {
 		before := &run.samples[i-1]
 		after := &run.samples[i]
-		span := after.at.Sub(before.at).Seconds()
+		span := after.takenAt.Sub(before.takenAt).Seconds()
 		if span < sampleInterval.Seconds()/2 {
 			continue // the last sample follows soon after the one before
 		}
-		points = append(points, plotter.XY{X: after.at.Sub(startedAt).Seconds(), Y: (count(after) - count(before)) / span})
+		points = append(points, plotter.XY{X: after.takenAt.Sub(startedAt).Seconds(), Y: (count(after) - count(before)) / span})
 	}
 	if len(points) == 0 {
 		return nil
--- a/internal/rehearsal/scale/cluster.go
+++ b/internal/rehearsal/scale/cluster.go
@@ -237,30 +237,38 @@
 	return c.network.open(zone, originZone, originName, c.origin.address, name)
 }
 
-// hollowNumbers returns the numbers of the hollow dispatchers of a zone.
-func (c *cluster) hollowNumbers(zone int) (numbers []int) {
+// hollowNames returns the names of the hollow dispatchers of a zone.
+func (c *cluster) hollowNames(zone int) (names []string) {
 	for i := range c.scenario.Dispatchers {
 		if hollowZone(i, c.scenario.Zones) == zone {
-			numbers = append(numbers, i)
+			names = append(names, hollowName(i))
 		}
 	}
-	return numbers
-}
-
-// hollowNames returns the names of the hollow dispatchers of a zone.
-func (c *cluster) hollowNames(zone int) (names []string) {
-	for _, i := range c.hollowNumbers(zone) {
-		names = append(names, hollowName(i))
-	}
 	return names
 }
 
 // startHollowProcess starts the process of the hollow dispatchers of a zone, if it has any.
 func (c *cluster) startHollowProcess(zone int) error {
-	numbers := c.hollowNumbers(zone)
-	if len(numbers) == 0 {
+	names := c.hollowNames(zone)
+	if len(names) == 0 {
 		return nil
 	}
+	config, err := c.hollowConfig(zone, names)
+	if err != nil {
+		return err
+	}
+	processName := hollowProcessName(zone)
+	process, err := startChild(processName, c.command(c.programs.Hollow), func(line []byte) { c.onReport(names, line) })
+	if err != nil {
+		return err
+	}
+	c.hollowProcesses[zone] = process
+	c.meter.follow(processName, process.pid())
+	return process.send(config)
+}
+
+// hollowConfig is the configuration of the process of a zone's hollow dispatchers.
+func (c *cluster) hollowConfig(zone int, names []string) (hollowConfig, error) {
 	scenario := c.scenario
 	config := hollowConfig{
 		Settings:     dispatcherSettings(scenario, c.plan.Zones, zone),
@@ -273,23 +281,14 @@
 	if c.initialList != nil {
 		config.InitialListFile = c.initialListFile()
 	}
-	var names []string
-	for _, i := range numbers {
-		name := hollowName(i)
+	for _, name := range names {
 		source, err := c.upstreamOf(name, zone)
 		if err != nil {
-			return err
+			return hollowConfig{}, err
 		}
-		names = append(names, name)
 		config.Dispatchers = append(config.Dispatchers, hollowDispatcher{Name: name, Discovery: source.discovery, Servers: source.servers})
 	}
-	process, err := startChild(hollowProcessName(zone), c.command(c.programs.Hollow), func(line []byte) { c.onReport(names, line) })
-	if err != nil {
-		return err
-	}
-	c.hollowProcesses[zone] = process
-	c.meter.follow(hollowProcessName(zone), process.pid())
-	return process.send(config)
+	return config, nil
 }
 
 // onReport handles a report of the hollow dispatchers with the names.
@@ -302,7 +301,7 @@
 	defer c.mutex.Unlock()
 	for _, applied := range report.Applied {
 		if applied.Version > 0 {
-			c.tracker.recordApplied(names[applied.Dispatcher], applied.Version, applied.At)
+			c.tracker.recordApplied(names[applied.Dispatcher], applied.Version, applied.AppliedAt)
 		}
 	}
 	if report.Traffic != nil {
--- a/internal/rehearsal/scale/driver.go
+++ b/internal/rehearsal/scale/driver.go
@@ -26,8 +26,12 @@
 
 func newDriver(core *dispatch.Dispatcher, traffic Traffic, random *rand.Rand, onCounts func(trafficCounts)) *driver {
 	started := &driver{core: core, traffic: traffic, random: random, onCounts: onCounts}
-	started.arrivalDue.Fire = started.arrivals
-	core.ClientOverride = &hollowWorkers{core: core, running: map[uint64]*hollowAttempt{}}
+	started.arrivalDue.Fire = started.submitDue
+	core.ClientOverride = &hollowWorkers{
+		core:             core,
+		running:          map[uint64]*hollowAttempt{},
+		attemptsByWorker: map[string]int{},
+	}
 	return started
 }
 
@@ -41,11 +45,11 @@
 	now := loop.Now()
 	d.nextArrival = now
 	d.reportedAt = now
-	d.arrivals()
+	d.submitDue()
 }
 
-// arrivals submits the requests that are due.
-func (d *driver) arrivals() {
+// submitDue submits the requests that are due.
+func (d *driver) submitDue() {
 	loop := d.core.Loop
 	arrivedUntil := loop.Now()
 	for d.nextArrival <= arrivedUntil {
@@ -96,8 +100,8 @@
 
 var _ dispatch.WorkerClient = (*hollowWorkers)(nil)
 
-// hollowWorkers is a dispatch.WorkerClient without workers: each attempt starts at once, takes as long as its work,
-// and reports the worker's load.
+// hollowWorkers is the dispatch.WorkerClient of a hollow dispatcher, without workers: each attempt starts at once, takes
+// as long as its work, and reports the worker's load.
 type hollowWorkers struct {
 	core             *dispatch.Dispatcher
 	running          map[uint64]*hollowAttempt
@@ -112,9 +116,6 @@
 
 // Start starts an attempt.
 func (h *hollowWorkers) Start(attempt dispatch.Attempt) {
-	if h.attemptsByWorker == nil {
-		h.attemptsByWorker = map[string]int{}
-	}
 	running := &hollowAttempt{worker: attempt.Worker}
 	running.end.Fire = func() { h.end(attempt.Handle, running) }
 	h.running[attempt.Handle] = running
@@ -129,8 +130,13 @@
 
 func (h *hollowWorkers) end(handle uint64, ended *hollowAttempt) {
 	h.remove(handle, ended)
-	free := float64(machineSlots - h.attemptsByWorker[ended.worker])
-	h.core.AttemptEnded(handle, decision.Completed, decision.LoadReport{FreeSlots: max(free, 0), HasFreeSlots: true}, nil)
+	h.core.AttemptEnded(handle, decision.Completed, h.loadReport(ended.worker), nil)
+}
+
+// loadReport is the load that this dispatcher's attempts cause at a worker.
+func (h *hollowWorkers) loadReport(worker string) decision.LoadReport {
+	free := float64(machineSlots - h.attemptsByWorker[worker])
+	return decision.LoadReport{FreeSlots: max(free, 0), HasFreeSlots: true}
 }
 
 func (h *hollowWorkers) remove(handle uint64, ended *hollowAttempt) {
@@ -155,10 +161,8 @@
 
 // CheckHealth reports the load that this dispatcher's attempts cause.
 func (h *hollowWorkers) CheckHealth(worker string) {
-	free := float64(machineSlots - h.attemptsByWorker[worker])
-	h.core.Loop.Post(func() {
-		h.core.HealthChecked(worker, decision.Completed, decision.LoadReport{FreeSlots: max(free, 0), HasFreeSlots: true})
-	})
+	load := h.loadReport(worker)
+	h.core.Loop.Post(func() { h.core.HealthChecked(worker, decision.Completed, load) })
 }
 
 // Subscribe does nothing: the registry subscribes.
--- a/internal/rehearsal/scale/figures.go
+++ b/internal/rehearsal/scale/figures.go
@@ -53,7 +53,7 @@
 
 func (r *Run) addRun(figures *Figures) {
 	last := r.samples[len(r.samples)-1]
-	figures.add("run.span", "s", last.at.Sub(r.samples[0].at).Seconds())
+	figures.add("run.span", "s", last.takenAt.Sub(r.samples[0].takenAt).Seconds())
 	figures.add("run.day_factor", "", r.Scenario.Background.TimeFactor)
 	figures.add("run.changes", "", float64(len(r.tracker.changes)))
 	figures.add("run.processes", "", float64(r.processes))
@@ -121,22 +121,23 @@
 	for _, group := range r.groups() {
 		prefix := "dispatcher." + group.name
 		means := r.means(group)
-		share := 0.0
-		peak := 0.0
-		bytes := 0.0
+		worstShare := 0.0
+		peakMemory := 0.0
+		worstBytes := 0.0
 		for process, count := range group.processes {
-			share = max(share, r.worstCoreShare(process)/float64(count))
-			peak = max(peak, r.peakMemory(process)/float64(count))
+			worstShare = max(worstShare, r.worstCoreShare(process)/float64(count))
+			peakMemory = max(peakMemory, r.peakMemory(process)/float64(count))
 		}
 		for _, name := range group.members {
-			bytes = max(bytes, r.worstRate(minuteWindow, func(s *sample) float64 { return float64(s.clientBytes[name]) }))
+			clientBytes := func(s *sample) float64 { return float64(s.clientBytes[name]) }
+			worstBytes = max(worstBytes, r.worstRate(minuteWindow, clientBytes))
 		}
 		figures.add(prefix+".core_share", "cores", means.coreShare)
-		figures.add(prefix+".core_share_worst_10s", "cores", share)
+		figures.add(prefix+".core_share_worst_10s", "cores", worstShare)
 		figures.add(prefix+".memory", "MB", means.residentMB)
-		figures.add(prefix+".memory_peak", "MB", peak/megabyte)
+		figures.add(prefix+".memory_peak", "MB", peakMemory/megabyte)
 		figures.add(prefix+".bytes", "B/s", means.bytesPerS)
-		figures.add(prefix+".bytes_worst_minute", "B/s", bytes)
+		figures.add(prefix+".bytes_worst_minute", "B/s", worstBytes)
 	}
 	for _, comparison := range r.Compare() {
 		figures.add("hollow_beside_real."+comparison.What+".apart", "", comparison.Deviation)
@@ -160,7 +161,7 @@
 	}
 	dispatchers := float64(r.Scenario.Dispatchers)
 	if read := r.countsAtEnd.BytesRead - r.countsAtStart.BytesRead; read > 0 {
-		span := r.samples[len(r.samples)-1].at.Sub(r.samples[0].at).Seconds()
+		span := r.samples[len(r.samples)-1].takenAt.Sub(r.samples[0].takenAt).Seconds()
 		figures.add("own_count.bytes", "B/s", float64(read+r.countsAtEnd.BytesWritten-r.countsAtStart.BytesWritten)/span/dispatchers)
 	}
 	if r.Scenario.CountEntries {
@@ -177,14 +178,14 @@
 // worstRate returns the largest rise of a count per second in any window; the mean if the run is shorter.
 func (r *Run) worstRate(window time.Duration, count func(*sample) float64) float64 {
 	worst := 0.0
-	from := 0
-	for to := 1; to < len(r.samples); to++ {
-		for from+1 < to && r.samples[to].at.Sub(r.samples[from+1].at) >= window {
-			from++
+	start := 0
+	for end := 1; end < len(r.samples); end++ {
+		for start+1 < end && r.samples[end].takenAt.Sub(r.samples[start+1].takenAt) >= window {
+			start++
 		}
-		span := r.samples[to].at.Sub(r.samples[from].at)
-		if span >= window || from == 0 && to == len(r.samples)-1 {
-			worst = max(worst, (count(&r.samples[to])-count(&r.samples[from]))/span.Seconds())
+		span := r.samples[end].takenAt.Sub(r.samples[start].takenAt)
+		if span >= window || start == 0 && end == len(r.samples)-1 {
+			worst = max(worst, (count(&r.samples[end])-count(&r.samples[start]))/span.Seconds())
 		}
 	}
 	return worst
@@ -205,18 +206,18 @@
 		}))
 	}
 	for i, taken := range r.actions {
-		until := r.samples[len(r.samples)-1].at
+		until := r.samples[len(r.samples)-1].takenAt
 		if i+1 < len(r.actions) {
-			until = r.actions[i+1].at
+			until = r.actions[i+1].takenAt
 		}
-		r.addBusiest(figures, "control.after_"+string(taken.kind), machines, r.inRange(taken.at, until))
+		r.addBusiest(figures, "control.after_"+string(taken.kind), machines, r.inRange(taken.takenAt, until))
 	}
 }
 
 // inRange returns the samples between two times.
 func (r *Run) inRange(from, to time.Time) (between []sample) {
 	for _, s := range r.samples {
-		if !s.at.Before(from) && !s.at.After(to) {
+		if !s.takenAt.Before(from) && !s.takenAt.After(to) {
 			between = append(between, s)
 		}
 	}
@@ -230,7 +231,7 @@
 	}
 	first := samples[0]
 	last := samples[len(samples)-1]
-	span := last.at.Sub(first.at).Seconds()
+	span := last.takenAt.Sub(first.takenAt).Seconds()
 	share := 0.0
 	sent := 0.0
 	open := int64(0)
@@ -249,7 +250,7 @@
 func (r *Run) addMachine(figures *Figures, prefix, name string) {
 	first := r.samples[0]
 	last := r.samples[len(r.samples)-1]
-	span := last.at.Sub(first.at).Seconds()
+	span := last.takenAt.Sub(first.takenAt).Seconds()
 	open := int64(0)
 	for i := range r.samples {
 		open = max(open, r.samples[i].connections[name])
@@ -288,10 +289,11 @@
 
 // Comparison compares a figure of hollow dispatchers with that of daemons.
 type Comparison struct {
-	What         string
-	Hollow, Real float64
-	Deviation    float64 // as a share of the daemon's figure
-	Reason       string  // text of the report; empty within maxDeviation
+	What      string
+	Hollow    float64
+	Real      float64
+	Deviation float64 // as a share of the daemon's figure
+	Reason    string  // text of the report; empty within maxDeviation
 }
 
 // Compare compares daemons with the hollow dispatchers of the same zones. Where hollow dispatchers serve requests,
@@ -304,8 +306,9 @@
 	hollow := r.means(hollowGroup)
 	daemons := r.means(r.groups()[1])
 	for _, compared := range []struct {
-		what         string
-		hollow, real float64
+		what   string
+		hollow float64
+		real   float64
 	}{
 		{"core_share", hollow.coreShare, daemons.coreShare},
 		{"memory", hollow.residentMB, daemons.residentMB},
@@ -351,7 +354,7 @@
 	var means dispatcherMeans
 	first := r.samples[0]
 	last := r.samples[len(r.samples)-1]
-	span := last.at.Sub(first.at).Seconds()
+	span := last.takenAt.Sub(first.takenAt).Seconds()
 	count := float64(len(dispatchers.members))
 	for process := range dispatchers.processes {
 		means.coreShare += (last.cpu[process] - first.cpu[process]).Seconds() / span / count
--- a/internal/rehearsal/scale/figures_test.go
+++ b/internal/rehearsal/scale/figures_test.go
@@ -11,7 +11,7 @@
 	began := time.Unix(1000, 0)
 	total := int64(0)
 	for second := range 31 {
-		run.samples = append(run.samples, sample{at: began.Add(time.Duration(second) * time.Second), clientBytes: map[string]int64{"d": total}})
+		run.samples = append(run.samples, sample{takenAt: began.Add(time.Duration(second) * time.Second), clientBytes: map[string]int64{"d": total}})
 		if total += 10; second >= 12 && second < 17 {
 			total += 90
 		}
--- a/internal/rehearsal/scale/hollowprocess.go
+++ b/internal/rehearsal/scale/hollowprocess.go
@@ -52,7 +52,7 @@
 type hollowApplied struct {
 	Dispatcher int           `json:"d"`
 	Version    int64         `json:"v"`
-	At         time.Duration `json:"t"` // Unix time
+	AppliedAt  time.Duration `json:"t"` // Unix time
 }
 
 // ownCounts is what a process and its dispatchers have counted themselves since their start.
@@ -135,20 +135,23 @@
 		return err
 	}
 	process.loop.Post(func() { process.initialList = nil }) // after the dispatchers have read it
-	go func() {
-		for { // each further line requests the counts
-			if _, err := reader.ReadBytes('\n'); err != nil {
-				process.loop.Stop()
-				return
-			}
-			process.loop.Post(process.reportOwnCounts)
-		}
-	}()
+	go process.serveRequests(reader)
 	go process.report()
 	process.loop.Run()
 	return nil
 }
 
+// serveRequests reports the counts for each line of the input, and stops the loop at its end.
+func (p *hollowProcess) serveRequests(input *bufio.Reader) {
+	for {
+		if _, err := input.ReadBytes('\n'); err != nil {
+			p.loop.Stop()
+			return
+		}
+		p.loop.Post(p.reportOwnCounts)
+	}
+}
+
 // start creates the dispatchers; they are opened on the loop.
 func (p *hollowProcess) start() error {
 	parsed, err := settings.Read(p.config.Settings)
@@ -196,7 +199,7 @@
 // recordApplied records that a version is in force now.
 func (p *hollowProcess) recordApplied(number int, version int64) {
 	p.mutex.Lock()
-	p.applied = append(p.applied, hollowApplied{Dispatcher: number, Version: version, At: p.loop.Now()})
+	p.applied = append(p.applied, hollowApplied{Dispatcher: number, Version: version, AppliedAt: p.loop.Now()})
 	p.mutex.Unlock()
 	p.wakeReporter()
 }
--- a/internal/rehearsal/scale/link.go
+++ b/internal/rehearsal/scale/link.go
@@ -54,13 +54,13 @@
 
 	listener    net.Listener
 	sent        atomic.Int64 // bytes sent by the server
-	connections atomic.Int64 // connections
+	connections atomic.Int64 // that are forwarded at present
 
 	mutex  sync.Mutex
 	target string
 	cut    bool
-	conns  map[net.Conn]struct{}
-	healed chan struct{} // closed while the link is not cut
+	conns  map[net.Conn]struct{} // both ends of those that are forwarded, and accepted ones that wait
+	healed chan struct{}         // closed while the link is not cut
 }
 
 func newLink(target, client string, ledger *ledger) (*link, error) {
@@ -174,24 +174,26 @@
 	if l.client != "" {
 		counted.Store(l.ledger.client(l.client))
 	}
-	go func() {
-		defer server.Close()
-		defer client.Close()
-		l.forward(server, client, func(data []byte) {
-			if name := clientName(data); l.client == "" && name != "" {
-				counted.Store(l.ledger.client(name))
-			}
-			if counter := counted.Load(); counter != nil {
-				counter.bytesUp.Add(int64(len(data)))
-			}
-		})
-	}()
-	l.forward(client, server, func(data []byte) {
+	countUp := func(data []byte) {
+		if name := clientName(data); l.client == "" && name != "" {
+			counted.Store(l.ledger.client(name))
+		}
+		if counter := counted.Load(); counter != nil {
+			counter.bytesUp.Add(int64(len(data)))
+		}
+	}
+	countDown := func(data []byte) {
 		l.sent.Add(int64(len(data)))
 		if counter := counted.Load(); counter != nil {
 			counter.bytesDown.Add(int64(len(data)))
 		}
-	})
+	}
+	go func() {
+		defer server.Close()
+		defer client.Close()
+		l.forward(server, client, countUp)
+	}()
+	l.forward(client, server, countDown)
 }
 
 // forwardBufferSize is the size of the buffer for each direction, in bytes.
@@ -201,13 +203,13 @@
 func (l *link) forward(destination, source net.Conn, onData func([]byte)) {
 	buffer := make([]byte, forwardBufferSize)
 	for {
-		n, err := source.Read(buffer)
-		if n > 0 {
+		length, err := source.Read(buffer)
+		if length > 0 {
 			if _, uncut := l.waitHealed(); !uncut {
 				return
 			}
-			onData(buffer[:n])
-			if _, err := destination.Write(buffer[:n]); err != nil {
+			onData(buffer[:length])
+			if _, err := destination.Write(buffer[:length]); err != nil {
 				return
 			}
 		}
--- a/internal/rehearsal/scale/meter.go
+++ b/internal/rehearsal/scale/meter.go
@@ -8,7 +8,7 @@
 
 // sample is one reading of all meters. All counts rise from the start of the run.
 type sample struct {
-	at            time.Time
+	takenAt       time.Time
 	cpu           map[string]time.Duration // by process
 	residentBytes map[string]int64
 	peakResident  map[string]int64
@@ -49,7 +49,7 @@
 // read reads the usage of all processes into a sample.
 func (m *meter) read() sample {
 	taken := sample{
-		at:            time.Now(),
+		takenAt:       time.Now(),
 		cpu:           map[string]time.Duration{},
 		residentBytes: map[string]int64{},
 		peakResident:  map[string]int64{},
--- a/internal/rehearsal/scale/network.go
+++ b/internal/rehearsal/scale/network.go
@@ -13,15 +13,16 @@
 
 // network has all links of a run, through which all control traffic goes, and knows which of them are cut.
 type network struct {
-	zones, regions int
-	ledger         ledger
-	paths          []*path
-	lostZones      map[int]bool
-	lostRegions    map[int]bool // cut off from the other regions
+	zones       int
+	regions     int
+	ledger      ledger
+	paths       []*path
+	lostZones   map[int]bool
+	lostRegions map[int]bool // cut off from the other regions
 }
 
-func newNetwork(s *Scenario) *network {
-	return &network{zones: s.Zones, regions: s.Regions, lostZones: map[int]bool{}, lostRegions: map[int]bool{}}
+func newNetwork(scenario *Scenario) *network {
+	return &network{zones: scenario.Zones, regions: scenario.Regions, lostZones: map[int]bool{}, lostRegions: map[int]bool{}}
 }
 
 // open opens a link to a server. client is the client whose traffic it carries; empty: requests name it.
--- a/internal/rehearsal/scale/originprocess.go
+++ b/internal/rehearsal/scale/originprocess.go
@@ -30,7 +30,7 @@
 // originVersion is a version that was made.
 type originVersion struct {
 	Version int64         `json:"version"`
-	At      time.Duration `json:"at"` // Unix time
+	MadeAt  time.Duration `json:"at"` // Unix time
 }
 
 // RunOrigin runs an origin until its input ends. It is a process of its own, so that its cost can be metered from
@@ -77,7 +77,7 @@
 			}
 		}
 		version := o.change(hosts)
-		report.Made = append(report.Made, originVersion{Version: version, At: time.Duration(now.UnixNano())})
+		report.Made = append(report.Made, originVersion{Version: version, MadeAt: time.Duration(now.UnixNano())})
 	}
 	return report
 }
--- a/internal/rehearsal/scale/plan.go
+++ b/internal/rehearsal/scale/plan.go
@@ -20,7 +20,7 @@
 
 // Step is one step of a run: changes, each of which becomes one version, or an action.
 type Step struct {
-	At      time.Duration
+	DueAt   time.Duration
 	Phase   string // under which its changes are counted
 	Changes [][]Change
 	Action  Action
@@ -65,13 +65,13 @@
 )
 
 // NewPlan makes the plan of a scenario.
-func NewPlan(s *Scenario) *Plan {
-	planner := &planner{scenario: s, random: rand.New(rand.NewPCG(s.Seed, 1)), plan: &Plan{}}
-	for zone := range s.Zones {
+func NewPlan(scenario *Scenario) *Plan {
+	planner := &planner{scenario: scenario, random: rand.New(rand.NewPCG(scenario.Seed, 1)), plan: &Plan{}}
+	for zone := range scenario.Zones {
 		planner.plan.Zones = append(planner.plan.Zones, ZoneName(zone))
 	}
 	planner.listWorkers()
-	for _, event := range s.Events {
+	for _, event := range scenario.Events {
 		planner.addEvent(event)
 	}
 	planner.addBackground()
@@ -108,13 +108,13 @@
 }
 
 // spread adds one step for each change, at even distances within a period.
-func (p *planner) spread(phase string, at, over time.Duration, changes []Change) {
+func (p *planner) spread(phase string, begin, period time.Duration, changes []Change) {
 	for i, change := range changes {
 		offset := time.Duration(0)
 		if len(changes) > 1 {
-			offset = over * time.Duration(i) / time.Duration(len(changes))
+			offset = period * time.Duration(i) / time.Duration(len(changes))
 		}
-		p.add(Step{At: at + offset, Phase: phase, Changes: [][]Change{{change}}})
+		p.add(Step{DueAt: begin + offset, Phase: phase, Changes: [][]Change{{change}}})
 	}
 }
 
@@ -162,33 +162,33 @@
 
 // addEvent adds the steps of an event.
 func (p *planner) addEvent(event Event) {
-	at := seconds(event.AtS)
-	over := seconds(event.OverS)
+	begin := seconds(event.AtS)
+	period := seconds(event.OverS)
 	phase := string(event.Kind)
 	action := Action{Kind: event.Kind, Zone: event.Zone, Region: event.Region}
 	switch event.Kind {
 	case Rack:
 		lost := p.workersByZone[event.Zone][:min(event.Count, len(p.workersByZone[event.Zone]))]
-		p.add(Step{At: at, Phase: phase, Changes: [][]Change{changesOf(lost, p.remove)}})
+		p.add(Step{DueAt: begin, Phase: phase, Changes: [][]Change{changesOf(lost, p.remove)}})
 		if event.ForS > 0 {
-			p.spread("rack_return", at+seconds(event.ForS), over, changesOf(lost, p.start))
+			p.spread("rack_return", begin+seconds(event.ForS), period, changesOf(lost, p.start))
 		}
 	case ZoneLoss:
-		p.add(Step{At: at, Phase: phase, Action: action})
-		p.spread(phase, at, over, changesOf(p.workersByZone[event.Zone], p.remove))
+		p.add(Step{DueAt: begin, Phase: phase, Action: action})
+		p.spread(phase, begin, period, changesOf(p.workersByZone[event.Zone], p.remove))
 	case ZoneReturn:
-		p.add(Step{At: at, Phase: phase, Action: action})
-		p.spread(phase, at, over, changesOf(p.workersByZone[event.Zone], p.start))
+		p.add(Step{DueAt: begin, Phase: phase, Action: action})
+		p.spread(phase, begin, period, changesOf(p.workersByZone[event.Zone], p.start))
 	case Changes:
 		var changes []Change
 		for range event.Count {
 			changes = append(changes, p.reweight(p.random.IntN(p.scenario.Workers)))
 		}
-		p.spread(phase, at, over, changes)
+		p.spread(phase, begin, period, changes)
 	case WorkerStarts:
-		p.add(Step{At: at, Phase: phase, Changes: [][]Change{changesOf(p.drawWorkers(event.Count), p.start)}})
+		p.add(Step{DueAt: begin, Phase: phase, Changes: [][]Change{changesOf(p.drawWorkers(event.Count), p.start)}})
 	default:
-		p.add(Step{At: at, Phase: phase, Action: action})
+		p.add(Step{DueAt: begin, Phase: phase, Action: action})
 	}
 }
 
@@ -202,17 +202,17 @@
 	}
 	pick := func() int { return candidates[p.random.IntN(len(candidates))] }
 	p.poisson(background.Changes, func(at time.Duration) {
-		p.add(Step{At: at, Changes: [][]Change{{p.reweight(pick())}}})
+		p.add(Step{DueAt: at, Changes: [][]Change{{p.reweight(pick())}}})
 	})
 	p.poisson(background.Failures, func(at time.Duration) {
 		worker := pick()
-		p.add(Step{At: at, Changes: [][]Change{{p.remove(worker)}}})
-		p.add(Step{At: at + replacementTime, Changes: [][]Change{{p.start(worker)}}})
+		p.add(Step{DueAt: at, Changes: [][]Change{{p.remove(worker)}}})
+		p.add(Step{DueAt: at + replacementTime, Changes: [][]Change{{p.start(worker)}}})
 	})
 	p.poisson(background.Restarts, func(at time.Duration) {
 		worker := pick()
-		p.add(Step{At: at, Changes: [][]Change{{p.drain(worker)}}})
-		p.add(Step{At: at + restartTime, Changes: [][]Change{{p.start(worker)}}})
+		p.add(Step{DueAt: at, Changes: [][]Change{{p.drain(worker)}}})
+		p.add(Step{DueAt: at + restartTime, Changes: [][]Change{{p.start(worker)}}})
 	})
 }
 
@@ -220,11 +220,9 @@
 func (p *planner) neverRemoved() (candidates []int) {
 	removed := map[string]bool{}
 	for _, step := range p.plan.Steps {
-		for _, change := range step.Changes {
-			for _, entry := range change {
-				if entry.Host.Health == standin.HealthGone {
-					removed[entry.Host.Host] = true
-				}
+		for _, change := range slices.Concat(step.Changes...) {
+			if change.Host.Health == standin.HealthGone {
+				removed[change.Host.Host] = true
 			}
 		}
 	}
@@ -254,7 +252,7 @@
 	steps := p.plan.Steps
 	slices.SortStableFunc(steps, func(a, b Step) int {
 		// An event's action comes before changes at the same time.
-		return cmp.Or(cmp.Compare(a.At, b.At), -strings.Compare(string(a.Action.Kind), string(b.Action.Kind)))
+		return cmp.Or(cmp.Compare(a.DueAt, b.DueAt), -strings.Compare(string(a.Action.Kind), string(b.Action.Kind)))
 	})
 	phase := phaseCalm
 	for i := range steps {
--- a/internal/rehearsal/scale/plan_test.go
+++ b/internal/rehearsal/scale/plan_test.go
@@ -36,10 +36,10 @@
 	count := map[string]int{}
 	before := time.Duration(0)
 	for _, step := range plan.Steps {
-		if step.At < before {
-			t.Fatalf("a step at %v comes after one at %v", step.At, before)
+		if step.DueAt < before {
+			t.Fatalf("a step at %v comes after one at %v", step.DueAt, before)
 		}
-		before = step.At
+		before = step.DueAt
 		for _, change := range step.Changes {
 			count[step.Phase+" "+change[0].Host.Health] += len(change)
 			if lost := change[0].Host.Site == ZoneName(3); lost && step.Phase == phaseCalm {
@@ -53,7 +53,7 @@
 	}
 	if steps := plan.Steps; len(steps) > 0 {
 		for i, step := range steps {
-			if step.Action.Kind == ZoneLoss && (steps[i+1].Phase != "zone_loss" || steps[i+1].At < step.At) {
+			if step.Action.Kind == ZoneLoss && (steps[i+1].Phase != "zone_loss" || steps[i+1].DueAt < step.DueAt) {
 				t.Errorf("after the loss: %+v", steps[i+1])
 			}
 		}
--- a/internal/rehearsal/scale/report.go
+++ b/internal/rehearsal/scale/report.go
@@ -49,21 +49,21 @@
 }
 
 // WriteJSON writes records as an indented list.
-func WriteJSON(w io.Writer, records []Record) error {
-	encoder := json.NewEncoder(w)
+func WriteJSON(out io.Writer, records []Record) error {
+	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(records)
 }
 
 // WriteTable writes runs of one scenario side by side.
-func WriteTable(w io.Writer, runs []*Run, records []Record) {
+func WriteTable(out io.Writer, runs []*Run, records []Record) {
 	scenario := &runs[0].Scenario
-	fmt.Fprintf(w, "%s: %d workers in %d zones of %d regions, %d hollow and %d real dispatchers, seed %d\n",
+	fmt.Fprintf(out, "%s: %d workers in %d zones of %d regions, %d hollow and %d real dispatchers, seed %d\n",
 		scenario.Name, scenario.Workers, scenario.Zones, scenario.Regions, scenario.Dispatchers, scenario.Daemons, scenario.Seed)
 	if scenario.Background.TimeFactor > 0 {
-		fmt.Fprintf(w, "time runs %g times as fast: %.4g s of the run are an hour\n", scenario.Background.TimeFactor, 3600/scenario.Background.TimeFactor)
+		fmt.Fprintf(out, "time runs %g times as fast: %.4g s of the run are an hour\n", scenario.Background.TimeFactor, 3600/scenario.Background.TimeFactor)
 	}
-	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(table, "figure\tunit\t")
 	for _, record := range records {
 		fmt.Fprintf(table, "%s\t", record.Mechanism)
@@ -74,17 +74,17 @@
 	}
 	table.Flush()
 	for _, run := range runs {
-		writeComparisons(w, run)
+		writeComparisons(out, run)
 	}
 	for _, record := range records {
 		for _, violation := range record.Violations {
-			fmt.Fprintln(w, "BROKEN", violation)
+			fmt.Fprintln(out, "BROKEN", violation)
 		}
 	}
 }
 
 // writeRow writes the values of one figure.
-func writeRow(w io.Writer, name string, records []Record) {
+func writeRow(out io.Writer, name string, records []Record) {
 	unit := ""
 	cells := ""
 	for _, record := range records {
@@ -96,7 +96,7 @@
 		}
 		cells += cell + "\t"
 	}
-	fmt.Fprintf(w, "%s\t%s\t%s\n", name, unit, cells)
+	fmt.Fprintf(out, "%s\t%s\t%s\n", name, unit, cells)
 }
 
 // figureNames returns the names of all figures, in the order of their first record.
@@ -112,31 +112,37 @@
 }
 
 // writeComparisons writes how hollow dispatchers differ from daemons.
-func writeComparisons(w io.Writer, run *Run) {
+func writeComparisons(out io.Writer, run *Run) {
 	for _, comparison := range run.Compare() {
-		fmt.Fprintf(w, "%s: %s of a hollow dispatcher %.4g, of a real one in its zone %.4g: %+.0f%%", run.Mechanism, comparison.What, comparison.Hollow, comparison.Real, 100*comparison.Deviation)
+		fmt.Fprintf(out, "%s: %s of a hollow dispatcher %.4g, of a real one in its zone %.4g: %+.0f%%", run.Mechanism, comparison.What, comparison.Hollow, comparison.Real, 100*comparison.Deviation)
 		if comparison.Reason != "" {
-			fmt.Fprintf(w, " DIFFERS: %s", comparison.Reason)
+			fmt.Fprintf(out, " DIFFERS: %s", comparison.Reason)
 		}
-		fmt.Fprintln(w)
+		fmt.Fprintln(out)
 	}
 }
 
 // WriteChanges writes each change of runs as a line of CSV: when it was made, and how long it took until the last
 // reachable dispatcher had it in force.
-func WriteChanges(w io.Writer, runs []*Run) error {
-	records := csv.NewWriter(w)
+func WriteChanges(out io.Writer, runs []*Run) error {
+	records := csv.NewWriter(out)
 	records.Write([]string{"mechanism", "version", "made_s", "phase", "in_force_s", "last_at"})
 	for _, run := range runs {
-		startedAt := time.Duration(run.samples[0].at.UnixNano())
+		startedAt := time.Duration(run.samples[0].takenAt.UnixNano())
 		for _, change := range run.tracker.changes {
-			delay, slowest, everywhere := run.tracker.propagation(change)
-			text := "never"
-			if everywhere {
-				text = fmt.Sprintf("%.4f", delay.Seconds())
+			reached := run.tracker.propagationOf(change)
+			inForce := "never"
+			if reached.everywhere {
+				inForce = fmt.Sprintf("%.4f", reached.delay.Seconds())
 			}
-			records.Write([]string{string(run.Mechanism), strconv.FormatInt(change.version, 10),
-				fmt.Sprintf("%.4f", (change.at - startedAt).Seconds()), change.phase, text, slowest})
+			records.Write([]string{
+				string(run.Mechanism),
+				strconv.FormatInt(change.version, 10),
+				fmt.Sprintf("%.4f", (change.madeAt - startedAt).Seconds()),
+				change.phase,
+				inForce,
+				reached.slowest,
+			})
 		}
 	}
 	records.Flush()
--- a/internal/rehearsal/scale/run.go
+++ b/internal/rehearsal/scale/run.go
@@ -25,8 +25,8 @@
 
 // takenAction is an action with the time at which it was taken.
 type takenAction struct {
-	kind EventKind
-	at   time.Time
+	kind    EventKind
+	takenAt time.Time
 }
 
 const (
@@ -128,10 +128,10 @@
 }
 
 // waitUntil waits until a time of the run, and samples the meters meanwhile.
-func (r *runner) waitUntil(ctx context.Context, at time.Duration) error {
+func (r *runner) waitUntil(ctx context.Context, offset time.Duration) error {
 	for {
-		nextSample := r.run.samples[len(r.run.samples)-1].at.Add(sampleInterval)
-		due := r.startedAt.Add(at)
+		nextSample := r.run.samples[len(r.run.samples)-1].takenAt.Add(sampleInterval)
+		due := r.startedAt.Add(offset)
 		if due.Before(nextSample) {
 			return sleep(ctx, time.Until(due))
 		}
@@ -157,8 +157,8 @@
 // runSteps makes the plan's steps and waits until the scenario's length has passed.
 func (r *runner) runSteps(ctx context.Context) error {
 	for _, step := range r.run.Plan.Steps {
-		if time.Until(r.startedAt.Add(step.At)) > stepTolerance {
-			if err := r.waitUntil(ctx, step.At); err != nil {
+		if time.Until(r.startedAt.Add(step.DueAt)) > stepTolerance {
+			if err := r.waitUntil(ctx, step.DueAt); err != nil {
 				return err
 			}
 		}
@@ -186,7 +186,7 @@
 	r.cluster.mutex.Lock()
 	defer r.cluster.mutex.Unlock()
 	for _, version := range versions {
-		r.cluster.tracker.recordMade(version.Version, version.At, step.Phase)
+		r.cluster.tracker.recordMade(version.Version, version.MadeAt, step.Phase)
 		r.newestVersion = version.Version
 	}
 	return nil
@@ -195,7 +195,7 @@
 // takeAction takes an action, and records which dispatchers are reachable before and after it.
 func (r *runner) takeAction(action Action) error {
 	cluster := r.cluster
-	r.run.actions = append(r.run.actions, takenAction{action.Kind, time.Now()})
+	r.run.actions = append(r.run.actions, takenAction{kind: action.Kind, takenAt: time.Now()})
 	r.log.Info(string(action.Kind), "zone", action.Zone, "region", action.Region)
 	switch action.Kind {
 	case ZoneLoss:
--- a/internal/rehearsal/scale/run_test.go
+++ b/internal/rehearsal/scale/run_test.go
@@ -160,7 +160,7 @@
 	t.Helper()
 	snapshot, deltas := lineBytes(run.Plan)
 	last := run.samples[len(run.samples)-1]
-	heartbeats := int(last.at.Sub(run.samples[0].at)/heartbeatInterval+10) * frameBytes // those of the start and the end, too
+	heartbeats := int(last.takenAt.Sub(run.samples[0].takenAt)/heartbeatInterval+10) * frameBytes // those of the start and the end, too
 	minBytes := snapshot + deltas/2
 	maxBytes := snapshot + deltas + int64(heartbeats+headBytes)
 	for i := range run.Scenario.Dispatchers {
@@ -252,7 +252,7 @@
 		t.Errorf("%d entries were updated, not between %d and %d", entries, dispatchers, maxEntries)
 	}
 	last := run.samples[len(run.samples)-1]
-	acknowledgements := int64(last.at.Sub(run.samples[0].at)/time.Second) + 5 // one per second, and those of the start and of moves
+	acknowledgements := int64(last.takenAt.Sub(run.samples[0].takenAt)/time.Second) + 5 // one per second, and those of the start and of moves
 	snapshot, deltas := lineBytes(run.Plan)
 	for i := range run.Scenario.Dispatchers {
 		if got := last.clientBytes[hollowName(i)]; got == 0 || got > 2*snapshot+deltas+acknowledgements*acknowledgementBytes {
--- a/internal/rehearsal/scale/scenario.go
+++ b/internal/rehearsal/scale/scenario.go
@@ -1,6 +1,10 @@
 // Package scale runs many dispatchers with their control machines on one machine and measures what control costs: real
-// daemons as processes, hollow dispatchers many to a process, an origin that lists hollow workers, and relays. It uses
-// loopback only, and every process that it starts ends with the run.
+// daemons as processes, hollow dispatchers many to a process, an origin, and relays. It uses loopback only, and every
+// process that it starts ends with the run.
+//
+// A hollow dispatcher, like a hollow node of Kubernetes' kubemark, is the real control plane client without the rest: it
+// follows the endpoint list with the real dispatcher, decision module and registry, but has neither clients nor workers.
+// The listed workers do not exist. Hollow dispatchers are compared with real daemons of the same zones.
 package scale
 
 import (
@@ -149,8 +153,10 @@
 func (s *Scenario) Check() error {
 	s.setDefaults()
 	for _, limit := range []struct {
-		key              string
-		value, low, high float64
+		key   string
+		value float64
+		low   float64
+		high  float64
 	}{
 		{"workers", float64(s.Workers), 1, maxWorkers},
 		{"zones", float64(s.Zones), 1, 64},
--- a/internal/rehearsal/scale/tracker.go
+++ b/internal/rehearsal/scale/tracker.go
@@ -10,20 +10,20 @@
 // madeVersion is a version that the origin has made.
 type madeVersion struct {
 	version int64
-	at      time.Duration
+	madeAt  time.Duration
 	phase   string
 }
 
 // appliedVersion is a version that a dispatcher had in force.
 type appliedVersion struct {
-	version int64
-	at      time.Duration
+	version   int64
+	appliedAt time.Duration
 }
 
 // outage is a period in which a dispatcher cannot be reached.
 type outage struct {
 	from    time.Duration
-	to      time.Duration // outageLasts while it lasts
+	until   time.Duration // outageLasts while it lasts
 	phase   string        // of the event that ended it
 	version int64         // the newest when it ended
 }
@@ -49,7 +49,7 @@
 
 // recordMade records that the origin has made a version.
 func (t *tracker) recordMade(version int64, at time.Duration, phase string) {
-	t.changes = append(t.changes, madeVersion{version, at, phase})
+	t.changes = append(t.changes, madeVersion{version: version, madeAt: at, phase: phase})
 }
 
 // recordApplied records that a dispatcher has a version in force.
@@ -57,25 +57,25 @@
 	if newest, _ := t.current(name); version < newest {
 		t.regressions++
 	}
-	t.appliedVersions[name] = append(t.appliedVersions[name], appliedVersion{version, at})
+	t.appliedVersions[name] = append(t.appliedVersions[name], appliedVersion{version: version, appliedAt: at})
 }
 
 // recordCut records that a dispatcher cannot be reached from now on.
 func (t *tracker) recordCut(name string, at time.Duration) {
-	t.outages[name] = append(t.outages[name], outage{from: at, to: outageLasts})
+	t.outages[name] = append(t.outages[name], outage{from: at, until: outageLasts})
 }
 
 // recordHeal records that a dispatcher can be reached again, and the newest version.
-func (t *tracker) recordHeal(name string, at time.Duration, phase string, version int64) {
+func (t *tracker) recordHeal(name string, healedAt time.Duration, phase string, version int64) {
 	outages := t.outages[name]
 	if len(outages) == 0 {
 		return
 	}
 	latest := &outages[len(outages)-1]
-	if latest.to != outageLasts {
+	if latest.until != outageLasts {
 		return
 	}
-	latest.to = at
+	latest.until = healedAt
 	latest.phase = phase
 	latest.version = version
 }
@@ -86,24 +86,24 @@
 		version = applied[len(applied)-1].version
 	}
 	outages := t.outages[name]
-	return version, len(outages) == 0 || outages[len(outages)-1].to < outageLasts
+	return version, len(outages) == 0 || outages[len(outages)-1].until < outageLasts
 }
 
 // firstApplied returns the first time from a given one at which a dispatcher had a version or a later one; false if it
 // never had.
 func (t *tracker) firstApplied(name string, version int64, from time.Duration) (time.Duration, bool) {
 	applied := t.appliedVersions[name]
-	i := sort.Search(len(applied), func(i int) bool { return applied[i].version >= version && applied[i].at >= from })
+	i := sort.Search(len(applied), func(i int) bool { return applied[i].version >= version && applied[i].appliedAt >= from })
 	if i == len(applied) {
 		return 0, false
 	}
-	return applied[i].at, true
+	return applied[i].appliedAt, true
 }
 
 // reachableUntil reports whether a dispatcher could be reached from a change until it had it. One that was cut off
 // meanwhile counts as catching up instead.
-func (t *tracker) reachableUntil(name string, at, appliedAt time.Duration) bool {
-	return !slices.ContainsFunc(t.outages[name], func(o outage) bool { return o.from <= appliedAt && at <= o.to })
+func (t *tracker) reachableUntil(name string, changedAt, appliedAt time.Duration) bool {
+	return !slices.ContainsFunc(t.outages[name], func(o outage) bool { return o.from <= appliedAt && changedAt <= o.until })
 }
 
 // inForce returns for each change of a phase how long it took, in seconds, until the last reachable dispatcher had it.
@@ -113,34 +113,41 @@
 		if change.phase != phase {
 			continue
 		}
-		delay, _, everywhere := t.propagation(change)
-		if !everywhere {
+		reached := t.propagationOf(change)
+		if !reached.everywhere {
 			missing++
 			continue
 		}
-		delays = append(delays, delay.Seconds())
+		delays = append(delays, reached.delay.Seconds())
 	}
 	return delays, missing
 }
 
-// propagation returns how long a change took until the last reachable dispatcher had it, and which one that was.
-// everywhere is false if one never had it.
-func (t *tracker) propagation(change madeVersion) (delay time.Duration, slowest string, everywhere bool) {
+// propagation is how a change reached the dispatchers.
+type propagation struct {
+	everywhere bool          // every reachable dispatcher had it
+	delay      time.Duration // until the last of them had it
+	slowest    string        // that dispatcher; otherwise one that never had it
+}
+
+// propagationOf follows a change to the dispatchers that could be reached until they had it.
+func (t *tracker) propagationOf(change madeVersion) propagation {
+	reached := propagation{everywhere: true}
 	for name := range t.appliedVersions {
-		appliedAt, found := t.firstApplied(name, change.version, change.at)
+		appliedAt, found := t.firstApplied(name, change.version, change.madeAt)
 		if !found {
 			appliedAt = never
 		}
 		switch {
-		case !t.reachableUntil(name, change.at, appliedAt):
+		case !t.reachableUntil(name, change.madeAt, appliedAt):
 		case !found:
-			return 0, name, false
-		case appliedAt-change.at > delay:
-			delay = appliedAt - change.at
-			slowest = name
+			return propagation{slowest: name}
+		case appliedAt-change.madeAt > reached.delay:
+			reached.delay = appliedAt - change.madeAt
+			reached.slowest = name
 		}
 	}
-	return delay, slowest, true
+	return reached
 }
 
 // phases returns the phases that have changes, in the order of their first.
@@ -159,15 +166,15 @@
 	delays = map[string][]float64{}
 	for name, outages := range t.outages {
 		for _, outage := range outages {
-			if outage.to == outageLasts {
+			if outage.until == outageLasts {
 				continue
 			}
-			appliedAt, found := t.firstApplied(name, outage.version, outage.to)
+			appliedAt, found := t.firstApplied(name, outage.version, outage.until)
 			if !found {
 				missing++
 				continue
 			}
-			delays[outage.phase] = append(delays[outage.phase], (appliedAt - outage.to).Seconds())
+			delays[outage.phase] = append(delays[outage.phase], (appliedAt - outage.until).Seconds())
 		}
 	}
 	return delays, missing
--- a/internal/rehearsal/simulator/scenario.go
+++ b/internal/rehearsal/simulator/scenario.go
@@ -118,8 +118,10 @@
 // checkRanges checks the numbers that stand outside of lists.
 func (s *Scenario) checkRanges() error {
 	for _, limit := range []struct {
-		key             string
-		value, min, max float64
+		key   string
+		value float64
+		min   float64
+		max   float64
 	}{
 		{"length_s", s.LengthS, 0.001, 86400},
 		{"dispatchers", float64(s.Dispatchers), 1, 1000},
