--- a/cmd/rehearse/slopes_test.go
+++ b/cmd/rehearse/slopes_test.go
@@ -26,8 +26,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Plays != 2 || s.Zones != 17 || !strings.Contains(s.Command, "--sizes 34,68,170 ") {
-		t.Errorf("%d plays in %d zones of %q", s.Plays, s.Zones, s.Command)
+	if s.Repetitions != 2 || s.Zones != 17 || !strings.Contains(s.Command, "--sizes 34,68,170 ") {
+		t.Errorf("%d plays in %d zones of %q", s.Repetitions, s.Zones, s.Command)
 	}
 	const series = 19
 	if len(s.Series) != series {
--- a/internal/rehearsal/capacity/basis.go
+++ b/internal/rehearsal/capacity/basis.go
@@ -21,14 +21,14 @@
 	source := []string{runSource(name)}
 	for _, point := range series.Points {
 		if float64(point.Size) == size {
-			return Quantity{Median(point.Values), series.Unit, Measured, source}, nil
+			return Quantity{Value: Median(point.Values), Unit: series.Unit, Mark: Measured, Sources: source}, nil
 		}
 	}
 	fit, err := FitSeries(series.Points)
 	if err != nil {
 		return Quantity{}, fmt.Errorf("%s: series %s: %w", b.File, name, err)
 	}
-	return Quantity{fit.At(size), series.Unit, Extrapolated, source}, nil
+	return Quantity{Value: fit.At(size), Unit: series.Unit, Mark: Extrapolated, Sources: source}, nil
 }
 
 // runSource returns a series as a source, in code type; assumptions have none.
@@ -44,41 +44,54 @@
 	if err != nil {
 		return Quantity{}, fmt.Errorf("%s: series %s: %w", b.File, name, err)
 	}
-	return Quantity{fit.Slope, series.Unit, Extrapolated, []string{runSource(name)}}, nil
+	return Quantity{Value: fit.Slope, Unit: series.Unit, Mark: Extrapolated, Sources: []string{runSource(name)}}, nil
 }
 
 // measured has the figures of the runs at the target's size.
 type measured struct {
-	snapshot, snapshotGzip  Quantity
-	delta, idleBytes        Quantity
-	deltaCPU, idleCPU       Quantity
-	startCPU, zoneLossCPU   Quantity
-	peakResident, taskBytes Quantity
-	workerBytes             Quantity
-	arrivalWarm             Quantity
-	arrivalCold             Quantity
+	snapshot     Quantity // bytes
+	snapshotGzip Quantity // bytes
+	delta        Quantity // bytes of a one-worker delta
+	idleBytes    Quantity // bytes per second
+	deltaCPU     Quantity // processor time of a one-worker delta
+	idleCPU      Quantity
+	startCPU     Quantity
+	zoneLossCPU  Quantity
+	peakResident Quantity
+	workerBytes  Quantity // memory for one more worker
+	taskBytes    Quantity // memory for one more running task
+	arrivalWarm  Quantity // processor time of a request, all workers warm
+	arrivalCold  Quantity // the same, a tenth of the workers warming up
 }
 
-func (b *Basis) measured() (m measured, err error) {
+func (b *Basis) measured() (figures measured, err error) {
 	for _, figure := range []struct {
 		value  *Quantity
 		series SeriesName
 	}{
-		{&m.snapshot, SnapshotBytes}, {&m.snapshotGzip, SnapshotGzip}, {&m.delta, DeltaBytes}, {&m.idleBytes, IdleBytes},
-		{&m.deltaCPU, DeltaCPU}, {&m.idleCPU, IdleCPU}, {&m.startCPU, StartCPU}, {&m.zoneLossCPU, ZoneLossCPU},
-		{&m.peakResident, PeakResident}, {&m.arrivalWarm, ModuleWarm}, {&m.arrivalCold, ModuleCold},
+		{&figures.snapshot, SnapshotBytes},
+		{&figures.snapshotGzip, SnapshotGzip},
+		{&figures.delta, DeltaBytes},
+		{&figures.idleBytes, IdleBytes},
+		{&figures.deltaCPU, DeltaCPU},
+		{&figures.idleCPU, IdleCPU},
+		{&figures.startCPU, StartCPU},
+		{&figures.zoneLossCPU, ZoneLossCPU},
+		{&figures.peakResident, PeakResident},
+		{&figures.arrivalWarm, ModuleWarm},
+		{&figures.arrivalCold, ModuleCold},
 	} {
 		*figure.value, err = b.valueAt(figure.series, b.Target.Workers)
 		if err != nil {
-			return m, err
+			return figures, err
 		}
 	}
-	m.workerBytes, err = b.slopeOf(PeakResident)
+	figures.workerBytes, err = b.slopeOf(PeakResident)
 	if err != nil {
-		return m, err
+		return figures, err
 	}
-	m.taskBytes, err = b.slopeOf(ModuleHeld)
-	return m, err
+	figures.taskBytes, err = b.slopeOf(ModuleHeld)
+	return figures, err
 }
 
 // dispatcherCount returns a number of dispatchers, which the target does not give.
--- a/internal/rehearsal/capacity/capacity_test.go
+++ b/internal/rehearsal/capacity/capacity_test.go
@@ -82,7 +82,7 @@
 	if math.Abs(fit.Fixed-7) > 1e-6 || math.Abs(fit.Slope-0.5) > 1e-9 || fit.Residual > 1e-9 || !fit.Linear() {
 		t.Errorf("a line: %+v", fit)
 	}
-	if fit.From != 200 || fit.To != 21000 || math.Abs(fit.Spread-0.03) > 1e-9 {
+	if fit.MinSize != 200 || fit.MaxSize != 21000 || math.Abs(fit.Spread-0.03) > 1e-9 {
 		t.Errorf("range and spread: %+v", fit)
 	}
 	fit, err = FitSeries(points(func(x float64) float64 { return x * x }, 200, 2100, 21000))
@@ -154,7 +154,7 @@
 		LongestObject: a(4<<20, UnitBytes)}
 	b.Assumed.assumptions()
 	b.Mechanisms = Mechanisms{Membership: "m", Decisions: "d", Resume: "r", Configuration: mechanismMissing, Relays: "relay", Acknowledgement: mechanismMissing}
-	b.Slopes = Slopes{Command: "test", Date: "2026-12-02", Plays: 3, Sizes: []int{200, 2100, 21000}}
+	b.Slopes = Slopes{Command: "test", Date: "2026-12-02", Repetitions: 3, Sizes: []int{200, 2100, 21000}}
 	add := func(name SeriesName, unit Unit, at21000 float64) {
 		s := Series{Name: name, Unit: unit, Axis: AxisWorkers, Points: points(func(x float64) float64 { return at21000 * x / 21000 }, 200, 2100, 21000)}
 		b.Slopes.Series = append(b.Slopes.Series, s)
@@ -308,12 +308,12 @@
 
 func TestMerge(t *testing.T) {
 	of := func(version string) Slopes {
-		s := Slopes{Command: "c", Date: "2026-12-02", Version: version, Cores: 8, Plays: 1, Sizes: []int{200}}
+		s := Slopes{Command: "c", Date: "2026-12-02", Version: version, Cores: 8, Repetitions: 1, Sizes: []int{200}}
 		s.record(ReadyTime, UnitSeconds, AxisWorkers, 200, 0.02)
 		return s
 	}
 	s := of("a")
-	if err := s.Merge(of("a")); err != nil || s.Plays != 2 || len(s.Series[0].Points[0].Values) != 2 {
+	if err := s.Merge(of("a")); err != nil || s.Repetitions != 2 || len(s.Series[0].Points[0].Values) != 2 {
 		t.Errorf("%+v, %v", s, err)
 	}
 	if err := s.Merge(of("b")); err == nil {
@@ -352,7 +352,7 @@
 	}
 	path := filepath.Join(t.TempDir(), "slopes.json")
 	s := testBasis().Slopes
-	s.Plays = 2
+	s.Repetitions = 2
 	text, err := json.Marshal(s)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/rehearsal/capacity/daemonrun.go
+++ b/internal/rehearsal/capacity/daemonrun.go
@@ -27,19 +27,38 @@
 	r.slopes.record(name, unit, AxisWorkers, r.size, value)
 }
 
-// meter runs during and returns what the daemon used meanwhile.
-func (r *daemonRun) meter(during func() error) (cpu, span time.Duration, bytes int64, err error) {
+// daemonUsage is what the daemon has used in a span of time.
+type daemonUsage struct {
+	span  time.Duration
+	cpu   time.Duration
+	bytes int64 // on the connection to discovery
+}
+
+// meter runs activity and returns what the daemon used meanwhile.
+func (r *daemonRun) meter(activity func() error) (daemonUsage, error) {
 	cpuBefore, err := r.daemon.cpu()
 	if err != nil {
-		return 0, 0, 0, err
+		return daemonUsage{}, err
 	}
 	bytesBefore := r.proxy.Bytes()
-	began := time.Now()
-	if err := during(); err != nil {
-		return 0, 0, 0, err
+	startedAt := time.Now()
+	if err := activity(); err != nil {
+		return daemonUsage{}, err
 	}
 	cpuAfter, err := r.daemon.cpu()
-	return cpuAfter - cpuBefore, time.Since(began), r.proxy.Bytes() - bytesBefore, err
+	if err != nil {
+		return daemonUsage{}, err
+	}
+	return daemonUsage{
+		span:  time.Since(startedAt),
+		cpu:   cpuAfter - cpuBefore,
+		bytes: r.proxy.Bytes() - bytesBefore,
+	}, nil
+}
+
+// cpuBeyondIdle is the processor time in seconds that was used beyond what the daemon uses while nothing changes.
+func (r *daemonRun) cpuBeyondIdle(used daemonUsage) float64 {
+	return used.cpu.Seconds() - r.idleCores*used.span.Seconds()
 }
 
 // waitSteady waits until the daemon is idle.
@@ -95,15 +114,15 @@
 
 // measureIdle records what the daemon costs while nothing changes.
 func (r *daemonRun) measureIdle(config Config) error {
-	cpu, span, bytes, err := r.meter(func() error {
+	used, err := r.meter(func() error {
 		time.Sleep(config.IdleTime)
 		return nil
 	})
 	if err != nil {
 		return err
 	}
-	r.idleCores = cpu.Seconds() / span.Seconds()
-	r.idleBytes = float64(bytes) / span.Seconds()
+	r.idleCores = used.cpu.Seconds() / used.span.Seconds()
+	r.idleBytes = float64(used.bytes) / used.span.Seconds()
 	r.record(IdleCPU, UnitCores, r.idleCores)
 	r.record(IdleBytes, UnitBytesPerSecond, r.idleBytes)
 	return nil
@@ -113,30 +132,33 @@
 // back to ready.
 func (r *daemonRun) measureDeltas(config Config) error {
 	count := int(config.DeltaRate * config.DeltaTime.Seconds())
-	cpu, span, bytes, err := r.meter(func() error {
-		tick := time.NewTicker(time.Duration(float64(time.Second) / config.DeltaRate))
-		defer tick.Stop()
-		for i := range count {
-			<-tick.C
-			host := &r.hosts[i/2%len(r.hosts)]
-			host.Health = standin.HealthDraining
-			if i%2 == 1 {
-				host.Health = standin.HealthReady
-			}
-			if err := r.changeWorker(*host); err != nil {
-				return err
-			}
-		}
-		return r.waitSteady()
-	})
+	used, err := r.meter(func() error { return r.makeDeltas(count, config.DeltaRate) })
 	if err != nil {
 		return err
 	}
-	r.record(DeltaCPU, UnitSeconds, (cpu.Seconds()-r.idleCores*span.Seconds())/float64(count))
-	r.record(DeltaBytes, UnitBytes, (float64(bytes)-r.idleBytes*span.Seconds())/float64(count))
+	r.record(DeltaCPU, UnitSeconds, r.cpuBeyondIdle(used)/float64(count))
+	r.record(DeltaBytes, UnitBytes, (float64(used.bytes)-r.idleBytes*used.span.Seconds())/float64(count))
 	return nil
 }
 
+// makeDeltas makes a number of deltas at a rate per second, and waits until the daemon is idle.
+func (r *daemonRun) makeDeltas(count int, rate float64) error {
+	tick := time.NewTicker(time.Duration(float64(time.Second) / rate))
+	defer tick.Stop()
+	for i := range count {
+		<-tick.C
+		host := &r.hosts[i/2%len(r.hosts)]
+		host.Health = standin.HealthDraining
+		if i%2 == 1 {
+			host.Health = standin.HealthReady
+		}
+		if err := r.changeWorker(*host); err != nil {
+			return err
+		}
+	}
+	return r.waitSteady()
+}
+
 // changeWorker changes a worker and waits until the delta has passed to the daemon, so that it is not merged with the next.
 func (r *daemonRun) changeWorker(host standin.Host) error {
 	before := r.proxy.Versions()
@@ -151,27 +173,30 @@
 
 // measureZoneLoss removes all workers of a zone, one delta each, as fast as they pass.
 func (r *daemonRun) measureZoneLoss(Config) error {
-	before := r.proxy.Versions()
-	cpu, span, _, err := r.meter(func() error {
-		for i, host := range r.hosts {
-			if i%Zones != lostZone {
-				continue
-			}
-			host.Health = standin.HealthGone
-			if err := r.changeWorker(host); err != nil {
-				return err
-			}
-		}
-		return r.waitSteady()
-	})
+	versionsBefore := r.proxy.Versions()
+	used, err := r.meter(r.removeZone)
 	if err != nil {
 		return err
 	}
-	r.record(ZoneLossCPU, UnitSeconds, cpu.Seconds()-r.idleCores*span.Seconds())
-	r.record(ZoneLossDeltas, UnitCount, float64(r.proxy.Versions()-before))
+	r.record(ZoneLossCPU, UnitSeconds, r.cpuBeyondIdle(used))
+	r.record(ZoneLossDeltas, UnitCount, float64(r.proxy.Versions()-versionsBefore))
 	return nil
 }
 
+// removeZone removes the workers of the zone that is lost, and waits until the daemon is idle.
+func (r *daemonRun) removeZone() error {
+	for i, host := range r.hosts {
+		if i%Zones != lostZone {
+			continue
+		}
+		host.Health = standin.HealthGone
+		if err := r.changeWorker(host); err != nil {
+			return err
+		}
+	}
+	return r.waitSteady()
+}
+
 // gzipSize returns the length of a list as compressed JSON.
 func gzipSize(list []standin.Host) (int, error) {
 	var out bytes.Buffer
--- a/internal/rehearsal/capacity/fit.go
+++ b/internal/rehearsal/capacity/fit.go
@@ -30,10 +30,12 @@
 
 // Fit is a line through the medians of a series: Fixed + Slope * size.
 type Fit struct {
-	Fixed, Slope float64
-	From, To     int     // smallest and largest size
-	Residual     float64 // largest error of the line at a measured size, as a share of the median there
-	Spread       float64 // largest spread of the repetitions at a size
+	Fixed    float64
+	Slope    float64
+	MinSize  int // of the measured sizes
+	MaxSize  int
+	Residual float64 // largest error of the line at a measured size, as a share of the median there
+	Spread   float64 // largest spread of the repetitions at a size
 }
 
 // maxLinearResidual is the residual up to which a series counts as linear.
@@ -57,23 +59,23 @@
 	if len(points) < minFitPoints {
 		return Fit{}, errFewPoints
 	}
-	fit := Fit{From: points[0].Size, To: points[0].Size}
+	fit := Fit{MinSize: points[0].Size, MaxSize: points[0].Size}
 	relative := !slices.ContainsFunc(points, func(point Point) bool { return Median(point.Values) <= 0 })
 	var weights, sumX, sumY, sumXX, sumXY float64
 	for _, point := range points {
-		x := float64(point.Size)
-		y := Median(point.Values)
+		size := float64(point.Size)
+		median := Median(point.Values)
 		weight := 1.0
 		if relative {
-			weight = 1 / (y * y)
+			weight = 1 / (median * median)
 		}
 		weights += weight
-		sumX += weight * x
-		sumY += weight * y
-		sumXX += weight * x * x
-		sumXY += weight * x * y
-		fit.From = min(fit.From, point.Size)
-		fit.To = max(fit.To, point.Size)
+		sumX += weight * size
+		sumY += weight * median
+		sumXX += weight * size * size
+		sumXY += weight * size * median
+		fit.MinSize = min(fit.MinSize, point.Size)
+		fit.MaxSize = max(fit.MaxSize, point.Size)
 		fit.Spread = max(fit.Spread, Spread(point.Values))
 	}
 	fit.Slope = (weights*sumXY - sumX*sumY) / (weights*sumXX - sumX*sumX)
--- a/internal/rehearsal/capacity/load.go
+++ b/internal/rehearsal/capacity/load.go
@@ -3,16 +3,37 @@
 import "fmt"
 
 // Spans is a rate as the mean of a day, in the worst hour and at its peak.
-type Spans struct{ Mean, WorstHour, Peak Quantity }
+type Spans struct {
+	Mean      Quantity
+	WorstHour Quantity
+	Peak      Quantity
+}
 
 // times multiplies all three.
-func (s Spans) times(q Quantity, unit Unit) Spans {
-	return Spans{s.Mean.Times(q, unit), s.WorstHour.Times(q, unit), s.Peak.Times(q, unit)}
+func (s Spans) times(factor Quantity, unit Unit) Spans {
+	return Spans{
+		Mean:      s.Mean.Times(factor, unit),
+		WorstHour: s.WorstHour.Times(factor, unit),
+		Peak:      s.Peak.Times(factor, unit),
+	}
 }
 
 // over divides all three.
-func (s Spans) over(q Quantity, unit Unit) Spans {
-	return Spans{s.Mean.Over(q, unit), s.WorstHour.Over(q, unit), s.Peak.Over(q, unit)}
+func (s Spans) over(divisor Quantity, unit Unit) Spans {
+	return Spans{
+		Mean:      s.Mean.Over(divisor, unit),
+		WorstHour: s.WorstHour.Over(divisor, unit),
+		Peak:      s.Peak.Over(divisor, unit),
+	}
+}
+
+// plus adds all three.
+func (s Spans) plus(other Spans) Spans {
+	return Spans{
+		Mean:      s.Mean.Plus(other.Mean),
+		WorstHour: s.WorstHour.Plus(other.WorstHour),
+		Peak:      s.Peak.Plus(other.Peak),
+	}
 }
 
 // Load is the messages and bytes per second that a role sends or receives.
@@ -56,25 +77,54 @@
 	flow := b.flow(runs, rates)
 	membership := b.membershipRate(rates)
 	configuration := b.configurationRate(rates)
-	messages := Spans{membership.Mean.Plus(configuration.Mean), membership.WorstHour.Plus(configuration.WorstHour), membership.Peak.Plus(configuration.Peak)}
-	bytes := Spans{flow.Mean, flow.WorstHour, flow.PeakMinute}
-	seen := membership.over(count(b.Target.Workers), UnitPerSecond)
-	seen.Peak = given(1, UnitCount).Over(given(b.Target.MeanOver, UnitSeconds), UnitPerSecond) // its zone is lost: one change in a minute
+	messages := membership.plus(configuration)
+	bytes := Spans{Mean: flow.Mean, WorstHour: flow.WorstHour, Peak: flow.PeakMinute}
+	oneWorker := membership.over(count(b.Target.Workers), UnitPerSecond)
+	oneWorker.Peak = given(1, UnitCount).Over(given(b.Target.MeanOver, UnitSeconds), UnitPerSecond) // its zone is lost: one change in a minute
+	// loadOf is the load of a role that serves a number of dispatchers.
+	loadOf := func(role Role, with string, dispatchers Quantity, mechanism string) Load {
+		return Load{
+			Role:      role,
+			With:      with,
+			Messages:  messages.times(dispatchers, UnitPerSecond),
+			Bytes:     bytes.times(dispatchers, UnitBytesPerSecond),
+			Mechanism: mechanism,
+		}
+	}
 	loads := []Load{
-		{Dispatcher, "each; it watches list and configuration", messages, bytes, mechanisms.Membership},
-		{WorkerSeen, "each; its changes of state", seen, seen.times(runs.delta, UnitBytesPerSecond), mechanisms.Membership},
+		{
+			Role:      Dispatcher,
+			With:      "each; it watches list and configuration",
+			Messages:  messages,
+			Bytes:     bytes,
+			Mechanism: mechanisms.Membership,
+		},
+		{
+			Role:      WorkerSeen,
+			With:      "each; its changes of state",
+			Messages:  oneWorker,
+			Bytes:     oneWorker.times(runs.delta, UnitBytesPerSecond),
+			Mechanism: mechanisms.Membership,
+		},
 	}
 	for _, number := range b.Assumed.Dispatchers {
-		all := b.dispatcherCount(number)
-		loads = append(loads, Load{Origin, counted(number) + " dispatchers watch it", messages.times(all, UnitPerSecond), bytes.times(all, UnitBytesPerSecond), mechanisms.Membership})
+		with := counted(number) + " dispatchers watch it"
+		loads = append(loads, loadOf(Origin, with, b.dispatcherCount(number), mechanisms.Membership))
 	}
 	machines := count(b.Target.ControlMachines)
-	loads = append(loads, Load{Origin, "the control machines watch it, as relays", messages.times(machines, UnitPerSecond), bytes.times(machines, UnitBytesPerSecond), mechanisms.Relays})
-	for _, n := range b.Assumed.Dispatchers {
-		part := b.dispatcherCount(n).Over(count(b.Target.ControlMachines-1), UnitCount)
-		loads = append(loads, Load{ControlMachine, "each; its part of " + counted(n) + " dispatchers, one machine down", messages.times(part, UnitPerSecond), bytes.times(part, UnitBytesPerSecond), mechanisms.Relays})
+	loads = append(loads, loadOf(Origin, "the control machines watch it, as relays", machines, mechanisms.Relays))
+	for _, number := range b.Assumed.Dispatchers {
+		part := b.dispatcherCount(number).Over(count(b.Target.ControlMachines-1), UnitCount)
+		with := "each; its part of " + counted(number) + " dispatchers, one machine down"
+		loads = append(loads, loadOf(ControlMachine, with, part, mechanisms.Relays))
 	}
-	return append(loads, Load{Writer, "all together", configuration, configuration.times(b.Assumed.ConfigChangeBytes.Quantity(), UnitBytesPerSecond), mechanisms.Configuration}), nil
+	return append(loads, Load{
+		Role:      Writer,
+		With:      "all together",
+		Messages:  configuration,
+		Bytes:     configuration.times(b.Assumed.ConfigChangeBytes.Quantity(), UnitBytesPerSecond),
+		Mechanism: mechanisms.Configuration,
+	}), nil
 }
 
 // counted returns a whole number with commas.
--- a/internal/rehearsal/capacity/measure.go
+++ b/internal/rehearsal/capacity/measure.go
@@ -41,14 +41,29 @@
 
 // listedWorker returns a worker as discovery lists it.
 func listedWorker(number int) standin.Host {
-	return standin.Host{Host: workerName(number), Dial: fmt.Sprintf("10.%d.%d.%d:7001", number%Zones, number/Zones/250, number/Zones%250+1),
-		Site: zoneNames()[number%Zones], Class: kindName, Block: number / cellWorkers, Health: standin.HealthReady, Share: 1}
+	zone := number % Zones
+	numberInZone := number / Zones
+	return standin.Host{
+		Host:   workerName(number),
+		Dial:   fmt.Sprintf("10.%d.%d.%d:7001", zone, numberInZone/250, numberInZone%250+1),
+		Site:   zoneNames()[zone],
+		Class:  kindName,
+		Block:  number / cellWorkers,
+		Health: standin.HealthReady,
+		Share:  1,
+	}
 }
 
 // Measure runs a daemon without clients against a stand-in discovery at each size, and the decision module alone, and
 // returns the cost of what happens to them.
 func Measure(config Config) (Slopes, error) {
-	slopes := Slopes{Date: time.Now().Format(time.DateOnly), Cores: runtime.NumCPU(), Zones: Zones, Plays: config.Repetitions, Sizes: config.Sizes}
+	slopes := Slopes{
+		Date:        time.Now().Format(time.DateOnly),
+		Cores:       runtime.NumCPU(),
+		Zones:       Zones,
+		Repetitions: config.Repetitions,
+		Sizes:       config.Sizes,
+	}
 	for repetition := range config.Repetitions {
 		for _, size := range config.Sizes {
 			if config.OnProgress != nil {
--- a/internal/rehearsal/capacity/modulemeasure.go
+++ b/internal/rehearsal/capacity/modulemeasure.go
@@ -10,30 +10,33 @@
 
 // measureModule measures the decision module at one number of workers.
 func measureModule(slopes *Slopes, workers int) error {
-	for _, loop := range []struct {
-		name  SeriesName
-		cold  int
-		count int
-	}{{ModuleWarm, 0, warmRequests}, {ModuleCold, coldOneIn, coldRequests}} {
-		started, err := newModule(workers, loop.cold, daemonPeers, daemonTeams)
+	for _, requests := range []struct {
+		series SeriesName
+		cold   int // one worker in so many is warming up; 0: none
+		count  int
+	}{
+		{series: ModuleWarm, count: warmRequests},
+		{series: ModuleCold, cold: coldOneIn, count: coldRequests},
+	} {
+		started, err := newModule(workers, requests.cold, daemonPeers, daemonTeams)
 		if err != nil {
 			return err
 		}
 		runtime.GC()
-		mean, median, err := started.measureRequests(loop.count, daemonTeams)
+		mean, median, err := started.measureRequests(requests.count, daemonTeams)
 		if err != nil {
-			return fmt.Errorf("%s: %w", loop.name, err)
+			return fmt.Errorf("%s: %w", requests.series, err)
 		}
-		slopes.record(loop.name, UnitSeconds, AxisWorkers, workers, mean)
-		if loop.name == ModuleCold {
+		slopes.record(requests.series, UnitSeconds, AxisWorkers, workers, mean)
+		if requests.series == ModuleCold {
 			slopes.record(ModulePick, UnitSeconds, AxisWorkers, workers, median)
 		}
 	}
-	m, err := newModule(workers, 0, daemonPeers, daemonTeams)
+	started, err := newModule(workers, 0, daemonPeers, daemonTeams)
 	if err != nil {
 		return err
 	}
-	slopes.record(ModuleDelta, UnitSeconds, AxisWorkers, workers, m.measureDeltas(moduleDeltas, workers).Seconds())
+	slopes.record(ModuleDelta, UnitSeconds, AxisWorkers, workers, started.measureDeltas(moduleDeltas, workers).Seconds())
 	return nil
 }
 
--- a/internal/rehearsal/capacity/page.go
+++ b/internal/rehearsal/capacity/page.go
@@ -18,25 +18,25 @@
 
 // Page is the data of the template, which refers to its fields and methods by name.
 type Page struct {
-	Target      Target
-	Assumed     Assumed
-	Mechanisms  Mechanisms
-	Assumptions []*Assumption
-	Rates       Rates
-	Flow        Flow
-	Rows        []ComparedRow
-	Loads       []Load
-	Lines       []SlopeLine
-	Runs        []Slopes // the slope runs, the earliest first
-	Scale       []ScaleTable
-	HealChanges Quantity // bytes of the changes missed in an hour
-	HealPaced   Quantity // how long they take at the target's bytes per second
-	Snapshot    Quantity // bytes of a snapshot
-	SnapshotGz  Quantity
-	ListPaced   Quantity // how long it takes at that rate
-	GzipPaced   Quantity
-	TasksPerJob Quantity // on average, by the assumed peak factor
-	TaskTime    Quantity // mean time of a task, by Little's law
+	Target           Target
+	Assumed          Assumed
+	Mechanisms       Mechanisms
+	Assumptions      []*Assumption
+	Rates            Rates
+	Flow             Flow
+	Rows             []ComparedRow
+	Loads            []Load
+	Lines            []SlopeLine
+	Runs             []Slopes // the slope runs, the earliest first
+	Scale            []ScaleTable
+	MissedBytes      Quantity // bytes of the changes missed in an hour
+	MissedTime       Quantity // how long they take at the target's bytes per second
+	Snapshot         Quantity // bytes of a snapshot
+	SnapshotGzip     Quantity
+	SnapshotTime     Quantity // how long it takes at that rate
+	SnapshotGzipTime Quantity
+	TasksPerJob      Quantity // on average, by the assumed peak factor
+	TaskTime         Quantity // mean time of a task, by Little's law
 }
 
 // ComparedRow is a need by the latest runs, with the headroom by the earlier ones.
@@ -184,38 +184,38 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, r := range needs {
-		rows = append(rows, ComparedRow{Row: r, Before: headrooms[string(r.Role)+r.What]})
+	for _, need := range needs {
+		rows = append(rows, ComparedRow{Row: need, Before: headrooms[string(need.Role)+need.What]})
 	}
 	return rows, nil
 }
 
 // computeFigures computes the figures in the text of the page.
-func (p *Page) computeFigures(b *Basis) (err error) {
-	runs, err := b.measured()
+func (p *Page) computeFigures(basis *Basis) (err error) {
+	runs, err := basis.measured()
 	if err != nil {
 		return err
 	}
-	p.Loads, err = b.Loads()
+	p.Loads, err = basis.Loads()
 	if err != nil {
 		return err
 	}
-	p.Target = b.Target
-	p.Assumed = b.Assumed
-	p.Mechanisms = b.Mechanisms
-	p.Assumptions = b.Assumed.assumptions()
-	p.Rates = b.rates()
-	p.Flow = b.flow(runs, p.Rates)
-	allowedRate := given(b.Target.DispatcherBytes, UnitBytesPerSecond)
-	p.HealChanges = b.missedBytes(runs, p.Rates)
-	p.HealPaced = p.HealChanges.Over(allowedRate, UnitSeconds)
+	p.Target = basis.Target
+	p.Assumed = basis.Assumed
+	p.Mechanisms = basis.Mechanisms
+	p.Assumptions = basis.Assumed.assumptions()
+	p.Rates = basis.rates()
+	p.Flow = basis.flow(runs, p.Rates)
+	allowedRate := given(basis.Target.DispatcherBytes, UnitBytesPerSecond)
+	p.MissedBytes = basis.missedBytes(runs, p.Rates)
+	p.MissedTime = p.MissedBytes.Over(allowedRate, UnitSeconds)
 	p.Snapshot = runs.snapshot
-	p.SnapshotGz = runs.snapshotGzip
-	p.ListPaced = runs.snapshot.Over(allowedRate, UnitSeconds)
-	p.GzipPaced = runs.snapshotGzip.Over(allowedRate, UnitSeconds)
-	meanStarts := given(b.Target.PeakStarts, UnitPerSecond).Over(b.Assumed.StartPeakFactor.Quantity(), UnitPerSecond)
-	p.TasksPerJob = meanStarts.Times(count(secondsPerDay), UnitPerDay).Over(given(b.Target.JobsPerDay, UnitPerDay), UnitCount)
-	p.TaskTime = count(b.Target.RunningTasks).Over(meanStarts, UnitSeconds)
+	p.SnapshotGzip = runs.snapshotGzip
+	p.SnapshotTime = runs.snapshot.Over(allowedRate, UnitSeconds)
+	p.SnapshotGzipTime = runs.snapshotGzip.Over(allowedRate, UnitSeconds)
+	meanStarts := given(basis.Target.PeakStarts, UnitPerSecond).Over(basis.Assumed.StartPeakFactor.Quantity(), UnitPerSecond)
+	p.TasksPerJob = meanStarts.Times(count(secondsPerDay), UnitPerDay).Over(given(basis.Target.JobsPerDay, UnitPerDay), UnitCount)
+	p.TaskTime = count(basis.Target.RunningTasks).Over(meanStarts, UnitSeconds)
 	return nil
 }
 
@@ -266,8 +266,8 @@
 	return strings.Join(found, "; ")
 }
 
-// Of returns the value of a series of the latest run at its largest size.
-func (p Page) Of(name SeriesName) (Quantity, error) {
+// ValueOf returns the value of a series of the latest run at its largest size.
+func (p Page) ValueOf(name SeriesName) (Quantity, error) {
 	for _, line := range p.Lines {
 		switch {
 		case line.Name != name:
--- a/internal/rehearsal/capacity/proxy.go
+++ b/internal/rehearsal/capacity/proxy.go
@@ -7,6 +7,9 @@
 	"sync/atomic"
 )
 
+// versionKey is a text that each object of discovery contains once.
+var versionKey = []byte(`"seq":`)
+
 // CountingProxy forwards TCP connections to a server and counts the bytes that they carry, without the headers of TCP and
 // IP, and the versioned objects of discovery. It is safe for concurrent use.
 type CountingProxy struct {
@@ -62,20 +65,20 @@
 	defer destination.Close()
 	defer source.Close()
 	const bufferSize = 64 << 10 // bytes
-	buf := make([]byte, bufferSize)
+	buffer := make([]byte, bufferSize)
 	carried := 0 // bytes of the previous read, in which a key may begin
 	for {
-		n, err := source.Read(buf[carried:])
-		if n > 0 {
-			read := buf[carried : carried+n]
+		length, err := source.Read(buffer[carried:])
+		if length > 0 {
+			read := buffer[carried : carried+length]
 			if _, err := destination.Write(read); err != nil {
 				return
 			}
-			byteCount.Add(int64(n))
+			byteCount.Add(int64(length))
 			if versionCount != nil {
-				seen := buf[:carried+n]
+				seen := buffer[:carried+length]
 				versionCount.Add(int64(bytes.Count(seen, versionKey)))
-				carried = copy(buf, seen[max(len(seen)-len(versionKey)+1, 0):])
+				carried = copy(buffer, seen[max(len(seen)-len(versionKey)+1, 0):])
 			}
 		}
 		if err != nil {
@@ -85,15 +88,12 @@
 }
 
 // StartCountingProxy starts a proxy to a server on a loopback port that the kernel chooses.
-func StartCountingProxy(to string) (*CountingProxy, error) {
+func StartCountingProxy(target string) (*CountingProxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &CountingProxy{Addr: listener.Addr().String(), target: to, listener: listener}
-	go p.accept()
-	return p, nil
+	started := &CountingProxy{Addr: listener.Addr().String(), target: target, listener: listener}
+	go started.accept()
+	return started, nil
 }
-
-// versionKey is a text that each object of discovery contains once.
-var versionKey = []byte(`"seq":`)
--- a/internal/rehearsal/capacity/quantity.go
+++ b/internal/rehearsal/capacity/quantity.go
@@ -65,13 +65,13 @@
 // Times returns a product, in a unit that the caller gives.
 func (q Quantity) Times(other Quantity, unit Unit) Quantity {
 	mark, sources := q.combined(other)
-	return Quantity{q.Value * other.Value, unit, mark, sources}
+	return Quantity{Value: q.Value * other.Value, Unit: unit, Mark: mark, Sources: sources}
 }
 
 // Over returns a quotient, in a unit that the caller gives.
 func (q Quantity) Over(other Quantity, unit Unit) Quantity {
 	mark, sources := q.combined(other)
-	return Quantity{q.Value / other.Value, unit, mark, sources}
+	return Quantity{Value: q.Value / other.Value, Unit: unit, Mark: mark, Sources: sources}
 }
 
 // Plus returns a sum. It panics if the units differ.
@@ -80,7 +80,7 @@
 		panic(fmt.Sprintf("capacity: %s added to %s", other.Unit, q.Unit))
 	}
 	mark, sources := q.combined(other)
-	return Quantity{q.Value + other.Value, q.Unit, mark, sources}
+	return Quantity{Value: q.Value + other.Value, Unit: q.Unit, Mark: mark, Sources: sources}
 }
 
 // count returns a number that follows from the target or from arithmetic alone.
--- a/internal/rehearsal/capacity/scalerun.go
+++ b/internal/rehearsal/capacity/scalerun.go
@@ -87,15 +87,17 @@
 
 // ScaleLine is one figure of all runs of a scenario.
 type ScaleLine struct {
-	Name, Unit, Kind string
-	Values           []string // one for each run; empty where it has no such figure
+	Name   string
+	Unit   string
+	Kind   string
+	Values []string // one for each run; empty where it has no such figure
 }
 
 // scaleTables groups runs, which are sorted by scenario, into tables.
 func scaleTables(runs []ScaleRun) (tables []ScaleTable) {
 	for _, run := range runs {
-		count := len(tables)
-		if count == 0 || tables[count-1].Scenario != run.Scenario {
+		isFirst := len(tables) == 0 || tables[len(tables)-1].Scenario != run.Scenario
+		if isFirst {
 			tables = append(tables, ScaleTable{Scenario: run.Scenario})
 		}
 		table := &tables[len(tables)-1]
@@ -111,12 +113,24 @@
 func (t *ScaleTable) fill() {
 	for column, run := range t.Runs {
 		for _, figure := range run.Figures {
-			i := slices.IndexFunc(t.Lines, func(l ScaleLine) bool { return l.Name == figure.Name && l.Unit == figure.Unit && l.Kind == figure.Kind })
-			if i < 0 {
-				t.Lines = append(t.Lines, ScaleLine{Name: figure.Name, Unit: figure.Unit, Kind: figure.Kind, Values: make([]string, len(t.Runs))})
-				i = len(t.Lines) - 1
-			}
-			t.Lines[i].Values[column] = significant(figure.Value)
+			t.lineOf(figure).Values[column] = significant(figure.Value)
+		}
+	}
+}
+
+// lineOf returns the line of a figure, which is added if there is none.
+func (t *ScaleTable) lineOf(figure ScaleFigure) *ScaleLine {
+	for i := range t.Lines {
+		line := &t.Lines[i]
+		if line.Name == figure.Name && line.Unit == figure.Unit && line.Kind == figure.Kind {
+			return line
 		}
 	}
+	t.Lines = append(t.Lines, ScaleLine{
+		Name:   figure.Name,
+		Unit:   figure.Unit,
+		Kind:   figure.Kind,
+		Values: make([]string, len(t.Runs)),
+	})
+	return &t.Lines[len(t.Lines)-1]
 }
--- a/internal/rehearsal/capacity/slopes.go
+++ b/internal/rehearsal/capacity/slopes.go
@@ -90,16 +90,16 @@
 	Points []Point    `json:"points"`
 }
 
-// Slopes is one file of slope runs. Plays is the number of repetitions of each size; the page's template uses the name.
+// Slopes is one file of slope runs.
 type Slopes struct {
-	Command string   `json:"command"`
-	Date    string   `json:"date"`
-	Version string   `json:"version"`
-	Cores   int      `json:"cores"`
-	Zones   int      `json:"zones"`
-	Plays   int      `json:"plays"`
-	Sizes   []int    `json:"sizes"`
-	Series  []Series `json:"series"`
+	Command     string   `json:"command"`
+	Date        string   `json:"date"`
+	Version     string   `json:"version"`
+	Cores       int      `json:"cores"`
+	Zones       int      `json:"zones"`
+	Repetitions int      `json:"plays"`
+	Sizes       []int    `json:"sizes"` // listed workers
+	Series      []Series `json:"series"`
 }
 
 // ReadSlopes reads and checks a file of slope runs.
@@ -134,8 +134,8 @@
 	}
 	for _, series := range s.Series {
 		for _, point := range series.Points {
-			if point.Size <= 0 || len(point.Values) != s.Plays {
-				return fmt.Errorf("series %s, size %d: %d values for %d plays", series.Name, point.Size, len(point.Values), s.Plays)
+			if point.Size <= 0 || len(point.Values) != s.Repetitions {
+				return fmt.Errorf("series %s, size %d: %d values for %d plays", series.Name, point.Size, len(point.Values), s.Repetitions)
 			}
 		}
 	}
@@ -144,7 +144,7 @@
 
 // series returns a series, or nil if it was not measured.
 func (s *Slopes) series(name SeriesName) *Series {
-	i := slices.IndexFunc(s.Series, func(x Series) bool { return x.Name == name })
+	i := slices.IndexFunc(s.Series, func(candidate Series) bool { return candidate.Name == name })
 	if i < 0 {
 		return nil
 	}
@@ -158,7 +158,7 @@
 		s.Series = append(s.Series, Series{Name: name, Unit: unit, Axis: axis})
 		series = &s.Series[len(s.Series)-1]
 	}
-	i := slices.IndexFunc(series.Points, func(p Point) bool { return p.Size == size })
+	i := slices.IndexFunc(series.Points, func(candidate Point) bool { return candidate.Size == size })
 	if i < 0 {
 		series.Points = append(series.Points, Point{Size: size})
 		i = len(series.Points) - 1
@@ -168,9 +168,9 @@
 
 // Replace replaces the series that another run of the same program also has, and adds the others of that run.
 func (s *Slopes) Replace(other Slopes) error {
-	if s.Version != other.Version || s.Plays != other.Plays || !slices.Equal(s.Sizes, other.Sizes) {
+	if s.Version != other.Version || s.Repetitions != other.Repetitions || !slices.Equal(s.Sizes, other.Sizes) {
 		return fmt.Errorf("runs differ: version %s, %d plays, sizes %v beside version %s, %d plays, sizes %v",
-			s.Version, s.Plays, s.Sizes, other.Version, other.Plays, other.Sizes)
+			s.Version, s.Repetitions, s.Sizes, other.Version, other.Repetitions, other.Sizes)
 	}
 	for _, series := range other.Series {
 		existing := s.series(series.Name)
@@ -197,7 +197,7 @@
 			}
 		}
 	}
-	s.Plays += other.Plays
+	s.Repetitions += other.Repetitions
 	s.Date = other.Date
 	return s.check()
 }
