--- a/internal/rehearsal/capacity/golden_test.go
+++ b/internal/rehearsal/capacity/golden_test.go
@@ -24,10 +24,12 @@
 
 // Keys of the results that are read and written, and of the daemon's configuration.
 func TestGoldenResults(t *testing.T) {
-	for file, of := range map[string]reflect.Type{
-		"slopes": reflect.TypeFor[Slopes](), "scale-run": reflect.TypeFor[ScaleRun](), "daemon-config": reflect.TypeFor[daemonConfig](),
+	for file, message := range map[string]reflect.Type{
+		"slopes":              reflect.TypeFor[Slopes](),
+		"scale-run":           reflect.TypeFor[ScaleRun](),
+		"daemon-config":       reflect.TypeFor[daemonConfig](),
 		"dispatcher-settings": reflect.TypeFor[dispatcherSettings](),
 	} {
-		goldentest.Compare(t, filepath.Join("json", file+".golden"), goldentest.Lines(goldentest.Keys(of, "json")))
+		goldentest.Compare(t, filepath.Join("json", file+".golden"), goldentest.Lines(goldentest.Keys(message, "json")))
 	}
 }
--- a/internal/rehearsal/capacity/needs.go
+++ b/internal/rehearsal/capacity/needs.go
@@ -45,18 +45,30 @@
 	suffix := fmt.Sprintf(" with %s dispatchers", counted(fewest))
 	rows := []Row{
 		Dispatcher.row("bytes a second, mean of a day", flow.Mean, bytesAllowed, mechanisms.Membership),
-		Dispatcher.row("bytes a second, worst hour: a zone lost and back, one snapshot", flow.WorstHour, bytesAllowed, mechanisms.Membership),
-		Dispatcher.row("bytes a second, peak minute: a zone lost during a rollout", flow.PeakMinute, bytesAllowed, mechanisms.Membership),
-		Dispatcher.row("bytes a second, the whole list within a minute of a start", flow.Snapshot, bytesAllowed, mechanisms.Membership),
-		Dispatcher.row("bytes a second, the whole list compressed within a minute of a start (made-up names)", runs.snapshotGzip.Over(given(target.MeanOver, UnitSeconds), UnitBytesPerSecond), bytesAllowed, mechanisms.Relays),
-		Dispatcher.row("bytes a second, the changes missed in an hour within a minute of the heal", flow.CatchUp, bytesAllowed, mechanisms.Resume),
-		Dispatcher.row("length of the list as one object", runs.snapshot, b.Assumed.LongestObject.Quantity(), mechanisms.Membership),
-		Dispatcher.row("processor time, mean of a day", runs.idleCPU.Plus(rates.Membership.Times(runs.deltaCPU, UnitCores)), coresAllowed, mechanisms.Membership),
-		Dispatcher.row("processor time, a lost zone told within ten seconds, one delta a worker", runs.zoneLossCPU.Over(b.Assumed.ZoneLossAnnounced.Quantity(), UnitCores), coresAllowed, mechanisms.Membership),
-		Dispatcher.row("processor time, its start within ten seconds", runs.startCPU.Over(window, UnitCores), coresAllowed, mechanisms.Membership),
-		Dispatcher.row("memory: peak of a play, and its share of the running tasks"+suffix, runs.peakResident.Plus(tasks), given(target.DispatcherMemory, UnitBytes), mechanisms.Membership),
-		Dispatcher.row("processor time of decisions at the peak"+suffix+", all workers warm", starts.Times(runs.arrivalWarm, UnitCores), core, mechanisms.Decisions),
-		Dispatcher.row("processor time of decisions at the peak"+suffix+", a tenth of the workers cold", starts.Times(runs.arrivalCold, UnitCores), core, mechanisms.Decisions),
+		Dispatcher.row("bytes a second, worst hour: a zone lost and back, one snapshot",
+			flow.WorstHour, bytesAllowed, mechanisms.Membership),
+		Dispatcher.row("bytes a second, peak minute: a zone lost during a rollout",
+			flow.PeakMinute, bytesAllowed, mechanisms.Membership),
+		Dispatcher.row("bytes a second, the whole list within a minute of a start",
+			flow.Snapshot, bytesAllowed, mechanisms.Membership),
+		Dispatcher.row("bytes a second, the whole list compressed within a minute of a start (made-up names)",
+			runs.snapshotGzip.Over(given(target.MeanOver, UnitSeconds), UnitBytesPerSecond), bytesAllowed, mechanisms.Relays),
+		Dispatcher.row("bytes a second, the changes missed in an hour within a minute of the heal",
+			flow.CatchUp, bytesAllowed, mechanisms.Resume),
+		Dispatcher.row("length of the list as one object",
+			runs.snapshot, b.Assumed.LongestObject.Quantity(), mechanisms.Membership),
+		Dispatcher.row("processor time, mean of a day",
+			runs.idleCPU.Plus(rates.Membership.Times(runs.deltaCPU, UnitCores)), coresAllowed, mechanisms.Membership),
+		Dispatcher.row("processor time, a lost zone told within ten seconds, one delta a worker",
+			runs.zoneLossCPU.Over(b.Assumed.ZoneLossAnnounced.Quantity(), UnitCores), coresAllowed, mechanisms.Membership),
+		Dispatcher.row("processor time, its start within ten seconds",
+			runs.startCPU.Over(window, UnitCores), coresAllowed, mechanisms.Membership),
+		Dispatcher.row("memory: peak of a play, and its share of the running tasks"+suffix,
+			runs.peakResident.Plus(tasks), given(target.DispatcherMemory, UnitBytes), mechanisms.Membership),
+		Dispatcher.row("processor time of decisions at the peak"+suffix+", all workers warm",
+			starts.Times(runs.arrivalWarm, UnitCores), core, mechanisms.Decisions),
+		Dispatcher.row("processor time of decisions at the peak"+suffix+", a tenth of the workers cold",
+			starts.Times(runs.arrivalCold, UnitCores), core, mechanisms.Decisions),
 	}
 	if mechanisms.Configuration != mechanismMissing && b.inForceMeasured() {
 		return rows // a scale run has the figure
@@ -80,7 +92,8 @@
 	workers := count(b.Target.Workers)
 	memory := given(b.Target.DispatcherMemory, UnitBytes).Over(workers, UnitBytes)
 	return []Row{
-		WorkerSeen.row("state: memory of a dispatcher for each listed worker", runs.workerBytes, memory, b.Mechanisms.Membership),
+		WorkerSeen.row("state: memory of a dispatcher for each listed worker",
+			runs.workerBytes, memory, b.Mechanisms.Membership),
 	}
 }
 
@@ -96,12 +109,18 @@
 		zone := all.Over(count(target.Zones), UnitCount)
 		suffix := fmt.Sprintf(", %s dispatchers that watch it", counted(number))
 		rows = append(rows,
-			Origin.row("bytes a second, mean"+suffix, all.Times(flow.Mean, UnitBytesPerSecond), line, mechanisms.Membership),
-			Origin.row("bytes a second, peak minute"+suffix, all.Times(flow.PeakMinute, UnitBytesPerSecond), line, mechanisms.Membership),
-			Origin.row("bytes a second, worst hour"+suffix, all.Times(flow.WorstHour, UnitBytesPerSecond), line, mechanisms.Membership),
-			Origin.row("bytes a second, all start within a minute"+suffix, all.Times(runs.snapshot, UnitBytes).Over(minute, UnitBytesPerSecond), line, mechanisms.Membership),
-			Origin.row("calls a second, a zone's dispatchers start within 10 s"+suffix, zone.Over(window, UnitPerSecond), b.Assumed.CallsPerSecond.Quantity(), mechanisms.Membership),
-			Origin.row("calls a second, all start within 10 s"+suffix, all.Over(window, UnitPerSecond), b.Assumed.CallsPerSecond.Quantity(), mechanisms.Membership),
+			Origin.row("bytes a second, mean"+suffix,
+				all.Times(flow.Mean, UnitBytesPerSecond), line, mechanisms.Membership),
+			Origin.row("bytes a second, peak minute"+suffix,
+				all.Times(flow.PeakMinute, UnitBytesPerSecond), line, mechanisms.Membership),
+			Origin.row("bytes a second, worst hour"+suffix,
+				all.Times(flow.WorstHour, UnitBytesPerSecond), line, mechanisms.Membership),
+			Origin.row("bytes a second, all start within a minute"+suffix,
+				all.Times(runs.snapshot, UnitBytes).Over(minute, UnitBytesPerSecond), line, mechanisms.Membership),
+			Origin.row("calls a second, a zone's dispatchers start within 10 s"+suffix,
+				zone.Over(window, UnitPerSecond), b.Assumed.CallsPerSecond.Quantity(), mechanisms.Membership),
+			Origin.row("calls a second, all start within 10 s"+suffix,
+				all.Over(window, UnitPerSecond), b.Assumed.CallsPerSecond.Quantity(), mechanisms.Membership),
 		)
 	}
 	return append(rows, Row{Role: Origin, What: "processor time and memory", Allowed: count(1), Mechanism: mechanisms.Membership,
@@ -118,10 +137,14 @@
 		part := b.dispatcherCount(number).Over(remaining, UnitCount)
 		suffix := fmt.Sprintf(", its part of %s dispatchers with one machine down", counted(number))
 		rows = append(rows,
-			ControlMachine.row("bytes a second, mean"+suffix, part.Times(flow.Mean, UnitBytesPerSecond), line, b.Mechanisms.Relays),
-			ControlMachine.row("bytes a second, peak minute"+suffix, part.Times(flow.PeakMinute, UnitBytesPerSecond), line, b.Mechanisms.Relays),
-			ControlMachine.row("bytes a second, worst hour"+suffix, part.Times(flow.WorstHour, UnitBytesPerSecond), line, b.Mechanisms.Relays),
-			ControlMachine.row("bytes a second, snapshots, compressed, to all of them within a minute"+suffix, part.Times(runs.snapshotGzip, UnitBytes).Over(minute, UnitBytesPerSecond), line, b.Mechanisms.Relays),
+			ControlMachine.row("bytes a second, mean"+suffix,
+				part.Times(flow.Mean, UnitBytesPerSecond), line, b.Mechanisms.Relays),
+			ControlMachine.row("bytes a second, peak minute"+suffix,
+				part.Times(flow.PeakMinute, UnitBytesPerSecond), line, b.Mechanisms.Relays),
+			ControlMachine.row("bytes a second, worst hour"+suffix,
+				part.Times(flow.WorstHour, UnitBytesPerSecond), line, b.Mechanisms.Relays),
+			ControlMachine.row("bytes a second, snapshots, compressed, to all of them within a minute"+suffix,
+				part.Times(runs.snapshotGzip, UnitBytes).Over(minute, UnitBytesPerSecond), line, b.Mechanisms.Relays),
 		)
 	}
 	return rows
@@ -131,9 +154,12 @@
 func (b *Basis) writerRows(rates Rates) []Row {
 	mechanisms := b.Mechanisms
 	return []Row{
-		Writer.row("writes a second, mean of a day", rates.Configuration, b.Assumed.CallsPerSecond.Quantity(), mechanisms.Configuration),
-		Writer.row("writes a second, worst hour", rates.Configuration.Times(b.Assumed.ConfigPeakFactor.Quantity(), UnitPerSecond), b.Assumed.CallsPerSecond.Quantity(), mechanisms.Configuration),
-		Writer.row("writes a second, peak", b.Assumed.ConfigPeakRate.Quantity(), b.Assumed.CallsPerSecond.Quantity(), mechanisms.Configuration),
+		Writer.row("writes a second, mean of a day",
+			rates.Configuration, b.Assumed.CallsPerSecond.Quantity(), mechanisms.Configuration),
+		Writer.row("writes a second, worst hour",
+			rates.Configuration.Times(b.Assumed.ConfigPeakFactor.Quantity(), UnitPerSecond), b.Assumed.CallsPerSecond.Quantity(), mechanisms.Configuration),
+		Writer.row("writes a second, peak",
+			b.Assumed.ConfigPeakRate.Quantity(), b.Assumed.CallsPerSecond.Quantity(), mechanisms.Configuration),
 		{Role: Writer, What: "to learn who has a change", Allowed: given(b.Target.InForceWithin, UnitSeconds), Mechanism: mechanisms.Acknowledgement, Unknown: unknownFor(mechanisms.Acknowledgement, "nothing tells")},
 	}
 }
--- /dev/null
+++ b/internal/rehearsal/capacity/page_test.go
@@ -0,0 +1,25 @@
+package capacity
+
+import (
+	"bytes"
+	"os"
+	"testing"
+)
+
+// dataDir has the committed runs and assumptions.
+const dataDir = "../../../docs/capacity"
+
+// The committed page is what the committed runs and assumptions give.
+func TestPageFollowsRuns(t *testing.T) {
+	want, err := Write(dataDir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, err := os.ReadFile("../../../docs/CAPACITY.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Error("docs/CAPACITY.md is not what docs/capacity gives: run make capacity")
+	}
+}
--- a/internal/rehearsal/capacity/scaleneeds.go
+++ b/internal/rehearsal/capacity/scaleneeds.go
@@ -20,6 +20,12 @@
 
 const megabyte = 1 << 20 // of the scale runs' MB
 
+// The mechanisms of scale runs, as ScaleRun.Mechanism has them.
+const (
+	byDiscovery = "discovery"
+	byRelays    = "relays"
+)
+
 func allowedBytes(b *Basis) Quantity   { return given(b.Target.DispatcherBytes, UnitBytesPerSecond) }
 func allowedCores(b *Basis) Quantity   { return given(b.Target.DispatcherCores, UnitCores) }
 func allowedMemory(b *Basis) Quantity  { return given(b.Target.DispatcherMemory, UnitBytes) }
@@ -30,18 +36,54 @@
 
 // boundedFigures lists the limited figures.
 var boundedFigures = []boundedFigure{
-	{Dispatcher, "dispatcher.real.bytes", "bytes a second over the run, a real daemon", 1, UnitBytesPerSecond, allowedBytes},
-	{Dispatcher, "dispatcher.real.bytes_worst_minute", "bytes a second in the worst minute, a real daemon", 1, UnitBytesPerSecond, allowedBytes},
-	{Dispatcher, "dispatcher.hollow.bytes_worst_minute", "bytes a second in the worst minute, a hollow dispatcher", 1, UnitBytesPerSecond, allowedBytes},
-	{Dispatcher, "dispatcher.real.core_share", "processor time over the run, a real daemon", 1, UnitCores, allowedCores},
-	{Dispatcher, "dispatcher.real.core_share_worst_10s", "processor time in the worst ten seconds, a real daemon", 1, UnitCores, allowedCores},
-	{Dispatcher, "dispatcher.real.memory_peak", "memory at its peak, a real daemon", megabyte, UnitBytes, allowedMemory},
-	{Dispatcher, "in_force.*.max", "time until the last reachable dispatcher has a change", 1, UnitSeconds, allowedInForce},
-	{Origin, "origin.core_share_worst_10s", "processor time in the worst ten seconds", 1, UnitCores, machineCores},
-	{Origin, "origin.bytes_out_worst_10s", "bytes a second in the worst ten seconds", 1, UnitBytesPerSecond, machineLine},
-	{ControlMachine, "relay.busiest.core_share_worst_10s", "processor time in the worst ten seconds, the busiest relay", 1, UnitCores, machineCores},
-	{ControlMachine, "relay.busiest.memory_peak", "memory at its peak, the busiest relay", megabyte, UnitBytes, machineMemory},
-	{ControlMachine, "relay.busiest.bytes_out_worst_10s", "bytes a second in the worst ten seconds, the busiest relay", 1, UnitBytesPerSecond, machineLine},
+	{
+		role: Dispatcher, figure: "dispatcher.real.bytes", factor: 1, unit: UnitBytesPerSecond, allowed: allowedBytes,
+		what: "bytes a second over the run, a real daemon",
+	},
+	{
+		role: Dispatcher, figure: "dispatcher.real.bytes_worst_minute", factor: 1, unit: UnitBytesPerSecond, allowed: allowedBytes,
+		what: "bytes a second in the worst minute, a real daemon",
+	},
+	{
+		role: Dispatcher, figure: "dispatcher.hollow.bytes_worst_minute", factor: 1, unit: UnitBytesPerSecond, allowed: allowedBytes,
+		what: "bytes a second in the worst minute, a hollow dispatcher",
+	},
+	{
+		role: Dispatcher, figure: "dispatcher.real.core_share", factor: 1, unit: UnitCores, allowed: allowedCores,
+		what: "processor time over the run, a real daemon",
+	},
+	{
+		role: Dispatcher, figure: "dispatcher.real.core_share_worst_10s", factor: 1, unit: UnitCores, allowed: allowedCores,
+		what: "processor time in the worst ten seconds, a real daemon",
+	},
+	{
+		role: Dispatcher, figure: "dispatcher.real.memory_peak", factor: megabyte, unit: UnitBytes, allowed: allowedMemory,
+		what: "memory at its peak, a real daemon",
+	},
+	{
+		role: Dispatcher, figure: "in_force.*.max", factor: 1, unit: UnitSeconds, allowed: allowedInForce,
+		what: "time until the last reachable dispatcher has a change",
+	},
+	{
+		role: Origin, figure: "origin.core_share_worst_10s", factor: 1, unit: UnitCores, allowed: machineCores,
+		what: "processor time in the worst ten seconds",
+	},
+	{
+		role: Origin, figure: "origin.bytes_out_worst_10s", factor: 1, unit: UnitBytesPerSecond, allowed: machineLine,
+		what: "bytes a second in the worst ten seconds",
+	},
+	{
+		role: ControlMachine, figure: "relay.busiest.core_share_worst_10s", factor: 1, unit: UnitCores, allowed: machineCores,
+		what: "processor time in the worst ten seconds, the busiest relay",
+	},
+	{
+		role: ControlMachine, figure: "relay.busiest.memory_peak", factor: megabyte, unit: UnitBytes, allowed: machineMemory,
+		what: "memory at its peak, the busiest relay",
+	},
+	{
+		role: ControlMachine, figure: "relay.busiest.bytes_out_worst_10s", factor: 1, unit: UnitBytesPerSecond, allowed: machineLine,
+		what: "bytes a second in the worst ten seconds, the busiest relay",
+	},
 }
 
 // matches reports whether a figure of a run has the name.
@@ -57,7 +99,7 @@
 // run in which it was largest.
 func (b *Basis) scaleRows(runs []ScaleRun) (rows []Row) {
 	for _, figure := range boundedFigures {
-		for _, mechanism := range []string{"discovery", "relays"} {
+		for _, mechanism := range []string{byDiscovery, byRelays} {
 			if row, ok := b.worstOf(figure, mechanism, runs); ok {
 				rows = append(rows, row)
 			}
@@ -68,24 +110,35 @@
 
 // worstOf returns the row of the run in which a figure is largest.
 func (b *Basis) worstOf(figure boundedFigure, mechanism string, runs []ScaleRun) (row Row, ok bool) {
-	carrier := b.Mechanisms.Membership
-	if mechanism == "relays" {
-		carrier = b.Mechanisms.Relays
-	}
 	for _, run := range runs {
 		if run.Mechanism != mechanism || float64(run.Workers) != b.Target.Workers {
 			continue
 		}
-		for _, measuredFigure := range run.Figures {
-			value := measuredFigure.Value * figure.factor
-			if !figure.matches(measuredFigure.Name) || ok && value <= row.Need.Value {
+		for _, candidate := range run.Figures {
+			value := candidate.Value * figure.factor
+			if !figure.matches(candidate.Name) || ok && value <= row.Need.Value {
 				continue
 			}
 			ok = true
-			row = Row{Role: figure.role, Mechanism: carrier, Allowed: figure.allowed(b),
-				What: fmt.Sprintf(scaleNeedPrefix+"%s: %s (scenario %s, %s dispatchers)", mechanism, figure.what, run.Scenario, counted(run.Dispatchers+run.Real)),
-				Need: Quantity{Value: value, Unit: figure.unit, Mark: Measured, Sources: []string{fmt.Sprintf("`%s` of `%s`", measuredFigure.Name, run.File)}}}
+			row = b.scaleRow(figure, run, candidate)
 		}
 	}
 	return row, ok
 }
+
+// scaleRow returns the need that a figure of a run shows.
+func (b *Basis) scaleRow(bounded boundedFigure, run ScaleRun, figure ScaleFigure) Row {
+	carrier := b.Mechanisms.Membership
+	if run.Mechanism == byRelays {
+		carrier = b.Mechanisms.Relays
+	}
+	fleet := fmt.Sprintf("scenario %s, %s dispatchers", run.Scenario, counted(run.Dispatchers+run.Real))
+	source := fmt.Sprintf("`%s` of `%s`", figure.Name, run.File)
+	return Row{
+		Role:      bounded.role,
+		What:      scaleNeedPrefix + run.Mechanism + ": " + bounded.what + " (" + fleet + ")",
+		Need:      Quantity{Value: figure.Value * bounded.factor, Unit: bounded.unit, Mark: Measured, Sources: []string{source}},
+		Allowed:   bounded.allowed(b),
+		Mechanism: carrier,
+	}
+}
