--- a/internal/rehearsal/recording/importer.go
+++ b/internal/rehearsal/recording/importer.go
@@ -110,29 +110,29 @@
 }
 
 // open finds the sources, the formats of their files and the order of these.
-func (m *importer) open(inputs []Input) error {
+func (imp *importer) open(inputs []Input) error {
 	byName := map[string]*logSource{}
 	for i, input := range inputs {
 		source := byName[input.Source]
 		if source == nil {
 			source = &logSource{report: &SourceReport{Name: input.Source}, earliest: math.MaxInt64}
 			byName[input.Source] = source
-			m.sources = append(m.sources, source)
-			m.report.Sources = append(m.report.Sources, source.report)
+			imp.sources = append(imp.sources, source)
+			imp.report.Sources = append(imp.report.Sources, source.report)
 		}
-		file, err := openInputFile(input, m.options)
+		file, err := openInputFile(input, imp.options)
 		if err != nil {
 			return err
 		}
 		file.order = i
 		source.files = append(source.files, file)
 	}
-	for name := range m.options.Offsets {
+	for name := range imp.options.Offsets {
 		if byName[name] == nil {
 			return fmt.Errorf("offset: no source is called %q", name)
 		}
 	}
-	for _, s := range m.sources {
+	for _, s := range imp.sources {
 		s.sortFiles()
 	}
 	return nil
@@ -140,39 +140,39 @@
 
 // reportProgress calls Options.OnProgress at the end of a file, or after some MiB of entries, of
 // which one more of approximately the given size was read.
-func (m *importer) reportProgress(bytes int64, endOfFile bool) {
+func (imp *importer) reportProgress(bytes int64, endOfFile bool) {
 	const progressInterval = 8 << 20 // bytes
-	if m.options.OnProgress == nil {
+	if imp.options.OnProgress == nil {
 		return
 	}
-	m.bytesRead += bytes
-	if !endOfFile && m.bytesRead-m.bytesReported <= progressInterval {
+	imp.bytesRead += bytes
+	if !endOfFile && imp.bytesRead-imp.bytesReported <= progressInterval {
 		return
 	}
-	m.bytesReported = m.bytesRead
+	imp.bytesReported = imp.bytesRead
 	total := int64(0)
-	for _, source := range m.sources {
+	for _, source := range imp.sources {
 		for _, file := range source.files {
 			total += file.digest.bytes
 		}
 	}
-	m.options.OnProgress(total)
+	imp.options.OnProgress(total)
 }
 
 // alignClocks finds how far the clocks of the sources are apart.
-func (m *importer) alignClocks() {
-	for i, source := range m.sources {
-		if given, ok := m.options.Offsets[source.report.Name]; ok {
+func (imp *importer) alignClocks() {
+	for i, source := range imp.sources {
+		if given, ok := imp.options.Offsets[source.report.Name]; ok {
 			source.offset = ClockOffset{Microseconds: given.Microseconds()}
 		} else {
-			source.offset = estimateFrom(m.sources[:i], source)
+			source.offset = estimateFrom(imp.sources[:i], source)
 		}
 		source.report.OffsetUs = source.offset.Microseconds
 		source.report.Estimated = source.offset.Estimated
 		source.report.Pairs = source.offset.Pairs
 		source.report.SpreadUs = source.offset.Spread
 	}
-	for _, s := range m.sources {
+	for _, s := range imp.sources {
 		s.signatures = nil
 	}
 }
--- a/internal/rehearsal/recording/jsonlog.go
+++ b/internal/rehearsal/recording/jsonlog.go
@@ -149,19 +149,25 @@
 }
 
 // parseJSONTime reads the entry's time, a number since 1970 or a text.
-func (f *Format) parseJSONTime(object *fastjson.Value, raw *RawEntry) (err error) {
+func (f *Format) parseJSONTime(object *fastjson.Value, raw *RawEntry) error {
 	value := findJSON(object, f.jsonFields.time)
 	if value == nil {
 		return errTimestamp
 	}
-	text := scalarText(value)
-	if value.Type() == fastjson.TypeNumber || strings.Trim(text, "0123456789.") == "" {
+	parsed, err := f.parseJSONTimeText(scalarText(value), value.Type() == fastjson.TypeNumber)
+	raw.Timestamp = parsed.timestamp
+	raw.Resolution = parsed.resolution
+	raw.FoldOffset = parsed.foldOffset
+	return err
+}
+
+// parseJSONTimeText reads the text of a time, which may be a number in a string too.
+func (f *Format) parseJSONTimeText(text string, isNumber bool) (parsedTime, error) {
+	if isNumber || strings.Trim(text, "0123456789.") == "" {
 		number, scale := guessEpochUnit(text)
-		raw.Timestamp, raw.Resolution, err = parseEpoch(number, scale)
-		return err
+		return parseEpoch(number, scale)
 	}
-	raw.Timestamp, raw.Resolution, raw.FoldOffset, err = parseTimestamp(text, f.zone)
-	return err
+	return parseTimestamp(text, f.zone)
 }
 
 // guessEpochUnit guesses from the length of a time since 1970 whether it is in seconds,
--- a/internal/rehearsal/recording/rawentry.go
+++ b/internal/rehearsal/recording/rawentry.go
@@ -5,6 +5,8 @@
 	"math/bits"
 	"strings"
 	"unicode/utf8"
+
+	"github.com/cespare/xxhash/v2"
 )
 
 // Spans of time in microseconds, the unit of all times that are read from logs.
@@ -152,3 +154,12 @@
 	}
 	return text != "" && len(text) <= maxMethodBytes
 }
+
+// signature is equal for two sources' entries of the same request.
+func (r *RawEntry) signature() uint64 {
+	if r.RequestID != "" {
+		return xxhash.Sum64String(r.RequestID)
+	}
+	const goldenRatio = 0x9e3779b97f4a7c15 // 2^64 / φ spreads small numbers over all bits
+	return xxhash.Sum64String(r.Target)*31 + xxhash.Sum64String(r.Method) + uint64(r.Status)*goldenRatio
+}
--- a/internal/rehearsal/recording/template.go
+++ b/internal/rehearsal/recording/template.go
@@ -243,16 +243,22 @@
 
 // parseTimeField takes a field that gives the time or a part of it.
 func (f *Format) parseTimeField(field *templateField, value string, raw *RawEntry) (err error) {
+	var parsed parsedTime
 	switch field.kind {
 	case fieldTimeLocal:
 		raw.Timestamp, err = f.parseLocalTime(value)
 		raw.Resolution = second
 		f.state.timeSeen = true
 	case fieldTimeISO:
-		raw.Timestamp, raw.Resolution, raw.FoldOffset, err = parseTimestamp(value, f.zone)
+		parsed, err = parseTimestamp(value, f.zone)
+		raw.Timestamp = parsed.timestamp
+		raw.Resolution = parsed.resolution
+		raw.FoldOffset = parsed.foldOffset
 		f.state.timeSeen = true
 	case fieldTimeSeconds, fieldTimeMilliseconds, fieldTimeMicroseconds:
-		raw.Timestamp, raw.Resolution, err = parseEpoch(value, field.kind.microseconds())
+		parsed, err = parseEpoch(value, field.kind.microseconds())
+		raw.Timestamp = parsed.timestamp
+		raw.Resolution = parsed.resolution
 		f.state.timeSeen = true
 	case fieldTimePiece:
 		f.state.pieces = append(f.state.pieces, value)
--- a/internal/rehearsal/recording/timestamp.go
+++ b/internal/rehearsal/recording/timestamp.go
@@ -43,44 +43,51 @@
 	return sum, nil
 }
 
-// parseEpoch reads a time since 1970 in units of scale microseconds, and its resolution.
-func parseEpoch(text string, scale float64) (timestamp, resolution int64, err error) {
+// parsedTime is a time as it is read from a log, in microseconds.
+type parsedTime struct {
+	timestamp  int64 // Unix time
+	resolution int64
+	foldOffset int64 // as in RawEntry
+}
+
+// parseEpoch reads a time since 1970 in units of scale microseconds.
+func parseEpoch(text string, scale float64) (parsedTime, error) {
 	const yearTenThousand = 253402300799e6 // the last second of the year 9999, µs
 	whole, fraction, hasFraction := strings.Cut(text, ".")
 	units, err := strconv.ParseInt(whole, 10, 64)
 	if err != nil || units < 0 || float64(units)*scale > yearTenThousand {
-		return 0, 0, errTimestamp
+		return parsedTime{}, errTimestamp
 	}
-	timestamp = units * int64(scale)
-	resolution = int64(scale)
+	parsed := parsedTime{timestamp: units * int64(scale), resolution: int64(scale)}
 	if hasFraction {
 		part, err := strconv.ParseFloat("0."+fraction, 64)
 		if err != nil {
-			return 0, 0, errTimestamp
+			return parsedTime{}, errTimestamp
 		}
-		timestamp += int64(math.Round(part * scale))
-		resolution = max(1, resolution/1000)
+		parsed.timestamp += int64(math.Round(part * scale))
+		parsed.resolution = max(1, parsed.resolution/1000)
 	}
-	return timestamp, resolution, nil
+	return parsed, nil
 }
 
-// parseTimestamp reads a timestamp in one of the layouts that logs use. foldOffset is as in RawEntry.
-func parseTimestamp(text string, zone *time.Location) (timestamp, resolution, foldOffset int64, err error) {
-	parsed, err := parseLayouts(zonedLayouts, text, zone)
+// parseTimestamp reads a timestamp in one of the layouts that logs use.
+func parseTimestamp(text string, zone *time.Location) (parsedTime, error) {
+	var foldOffset int64
+	moment, err := parseLayouts(zonedLayouts, text, zone)
 	if err != nil {
-		parsed, err = parseLayouts(localLayouts, text, zone)
+		moment, err = parseLayouts(localLayouts, text, zone)
 		if err == nil {
-			parsed, foldOffset = resolveFold(parsed)
+			moment, foldOffset = resolveFold(moment)
 		}
 	}
-	if err != nil || parsed.Year() < 1970 || parsed.Year() > 9999 {
-		return 0, 0, 0, errTimestamp
+	if err != nil || moment.Year() < 1970 || moment.Year() > 9999 {
+		return parsedTime{}, errTimestamp
 	}
-	resolution = second
+	parsed := parsedTime{timestamp: moment.UnixMicro(), resolution: second, foldOffset: foldOffset}
 	if strings.ContainsAny(text, ".,") {
-		resolution = millisecond
+		parsed.resolution = millisecond
 	}
-	return parsed.UnixMicro(), resolution, foldOffset, nil
+	return parsed, nil
 }
 
 // parseLayouts parses text in the first layout that fits.
