--- a/internal/rehearsal/scale/scenario.go
+++ b/internal/rehearsal/scale/scenario.go
@@ -8,12 +8,14 @@
 package scale
 
 import (
+	"cmp"
 	"errors"
 	"fmt"
 	"slices"
 	"strings"
 	"time"
 
+	"hollyyoke.example/hollyyoke/internal/rehearsal/rangecheck"
 	"hollyyoke.example/hollyyoke/internal/tomlfile"
 )
 
@@ -152,33 +154,8 @@
 // Check sets defaults and checks all values.
 func (s *Scenario) Check() error {
 	s.setDefaults()
-	for _, limit := range []struct {
-		key   string
-		value float64
-		low   float64
-		high  float64
-	}{
-		{"workers", float64(s.Workers), 1, maxWorkers},
-		{"zones", float64(s.Zones), 1, 64},
-		{"regions", float64(s.Regions), 1, float64(s.Zones)},
-		{"dispatchers", float64(s.Dispatchers), 1, maxHollow},
-		{"real", float64(s.Daemons), 0, 64},
-		{"length_s", s.LengthS, 0.1, 600},
-		{"deadline_s", s.DeadlineS, 1, 1200},
-		{"memory_mb", s.MemoryMB, 8, 4096},
-		{"warm_after_s", s.SlowStartS, 0, 3600},
-		{"log_changes", float64(s.LogChanges), 1, 1e6},
-		{"day.factor", s.Background.TimeFactor, 0, 86400},
-		{"day.changes", s.Background.Changes, 0, 1e7},
-		{"day.failures", s.Background.Failures, 0, 1e6},
-		{"day.restarts", s.Background.Restarts, 0, 1e6},
-		{"traffic.rate_per_s", s.Traffic.RatePerS, 0, 1e4},
-		{"traffic.work_ms", s.Traffic.WorkMs, 1, 1e5},
-	} {
-		inRange := limit.value >= limit.low && limit.value <= limit.high // false for NaN
-		if !inRange {
-			return fmt.Errorf("%s: %g is not between %g and %g", limit.key, limit.value, limit.low, limit.high)
-		}
+	if err := s.checkRanges(); err != nil {
+		return err
 	}
 	if s.Name == "" {
 		return errors.New("name: missing")
@@ -191,6 +168,28 @@
 	return nil
 }
 
+// checkRanges checks the numbers that stand outside of lists.
+func (s *Scenario) checkRanges() error {
+	return cmp.Or(
+		rangecheck.Between("workers", float64(s.Workers), 1, maxWorkers),
+		rangecheck.Between("zones", float64(s.Zones), 1, 64),
+		rangecheck.Between("regions", float64(s.Regions), 1, float64(s.Zones)),
+		rangecheck.Between("dispatchers", float64(s.Dispatchers), 1, maxHollow),
+		rangecheck.Between("real", float64(s.Daemons), 0, 64),
+		rangecheck.Between("length_s", s.LengthS, 0.1, 600),
+		rangecheck.Between("deadline_s", s.DeadlineS, 1, 1200),
+		rangecheck.Between("memory_mb", s.MemoryMB, 8, 4096),
+		rangecheck.Between("warm_after_s", s.SlowStartS, 0, 3600),
+		rangecheck.Between("log_changes", float64(s.LogChanges), 1, 1e6),
+		rangecheck.Between("day.factor", s.Background.TimeFactor, 0, 86400),
+		rangecheck.Between("day.changes", s.Background.Changes, 0, 1e7),
+		rangecheck.Between("day.failures", s.Background.Failures, 0, 1e6),
+		rangecheck.Between("day.restarts", s.Background.Restarts, 0, 1e6),
+		rangecheck.Between("traffic.rate_per_s", s.Traffic.RatePerS, 0, 1e4),
+		rangecheck.Between("traffic.work_ms", s.Traffic.WorkMs, 1, 1e5),
+	)
+}
+
 // setDefaults sets the defaults of absent keys.
 func (s *Scenario) setDefaults() {
 	if s.MemoryMB == 0 {
--- a/internal/rehearsal/simulator/scenario.go
+++ b/internal/rehearsal/simulator/scenario.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/rehearsal/rangecheck"
 	"hollyyoke.example/hollyyoke/internal/tomlfile"
 )
 
@@ -117,35 +118,24 @@
 
 // checkRanges checks the numbers that stand outside of lists.
 func (s *Scenario) checkRanges() error {
-	for _, limit := range []struct {
-		key   string
-		value float64
-		min   float64
-		max   float64
-	}{
-		{"length_s", s.LengthS, 0.001, 86400},
-		{"dispatchers", float64(s.Dispatchers), 1, 1000},
-		{"workers.count", float64(s.Workers.Count), 1, 10000},
-		{"workers.slots", float64(s.Workers.Slots), 1, 1000},
-		{"workers.speed", s.Workers.Speed, 1e-6, 1e6},
-		{"workers.queue", float64(s.Workers.Queue), 0, 1e6},
-		{"workers.cold_from", s.Workers.SlowStartFloor, 0, 1},
-		{"workers.warm_after_s", s.Workers.SlowStartDurationS, 0, 3600},
-		{"workers.fall_multiple", s.Workers.OverloadMultiple, 0, 1000},
-		{"workers.fall_s", s.Workers.OverloadWindowS, 0, 3600},
-		{"load.rate_per_s", s.Load.Rate, 1e-3, 1e6},
-		{"load.swing", s.Load.Swing, 0, 0.99},
-		{"net.same_ms", s.Net.SameMs, 0, 1e4},
-		{"net.cross_ms", s.Net.CrossMs, 0, 1e4},
-		{"net.jitter", s.Net.Jitter, 0, 100},
-		{"discovery.lag_ms", s.Discovery.LagMs, 0, 1e6},
-	} {
-		inRange := limit.value >= limit.min && limit.value <= limit.max // false for NaN
-		if !inRange {
-			return fmt.Errorf("%s: %g is not between %g and %g", limit.key, limit.value, limit.min, limit.max)
-		}
-	}
-	return nil
+	return cmp.Or(
+		rangecheck.Between("length_s", s.LengthS, 0.001, 86400),
+		rangecheck.Between("dispatchers", float64(s.Dispatchers), 1, 1000),
+		rangecheck.Between("workers.count", float64(s.Workers.Count), 1, 10000),
+		rangecheck.Between("workers.slots", float64(s.Workers.Slots), 1, 1000),
+		rangecheck.Between("workers.speed", s.Workers.Speed, 1e-6, 1e6),
+		rangecheck.Between("workers.queue", float64(s.Workers.Queue), 0, 1e6),
+		rangecheck.Between("workers.cold_from", s.Workers.SlowStartFloor, 0, 1),
+		rangecheck.Between("workers.warm_after_s", s.Workers.SlowStartDurationS, 0, 3600),
+		rangecheck.Between("workers.fall_multiple", s.Workers.OverloadMultiple, 0, 1000),
+		rangecheck.Between("workers.fall_s", s.Workers.OverloadWindowS, 0, 3600),
+		rangecheck.Between("load.rate_per_s", s.Load.Rate, 1e-3, 1e6),
+		rangecheck.Between("load.swing", s.Load.Swing, 0, 0.99),
+		rangecheck.Between("net.same_ms", s.Net.SameMs, 0, 1e4),
+		rangecheck.Between("net.cross_ms", s.Net.CrossMs, 0, 1e4),
+		rangecheck.Between("net.jitter", s.Net.Jitter, 0, 100),
+		rangecheck.Between("discovery.lag_ms", s.Discovery.LagMs, 0, 1e6),
+	)
 }
 
 func (s *Scenario) setDefaults() {
