--- a/internal/rehearsal/capacity/basis.go
+++ b/internal/rehearsal/capacity/basis.go
@@ -49,19 +49,19 @@
 
 // measured has the figures of the runs at the target's size.
 type measured struct {
-	snapshot     Quantity // bytes
-	snapshotGzip Quantity // bytes
-	delta        Quantity // bytes of a one-worker delta
-	idleBytes    Quantity // bytes per second
-	deltaCPU     Quantity // processor time of a one-worker delta
-	idleCPU      Quantity
-	startCPU     Quantity
-	zoneLossCPU  Quantity
-	peakResident Quantity
-	workerBytes  Quantity // memory for one more worker
-	taskBytes    Quantity // memory for one more running task
-	arrivalWarm  Quantity // processor time of a request, all workers warm
-	arrivalCold  Quantity // the same, a tenth of the workers warming up
+	snapshot       Quantity // bytes
+	snapshotGzip   Quantity // bytes
+	delta          Quantity // bytes of a one-worker delta
+	idleBytes      Quantity // bytes per second
+	deltaCPU       Quantity // processor time of a one-worker delta
+	idleCPU        Quantity
+	startCPU       Quantity
+	zoneLossCPU    Quantity
+	peakResident   Quantity
+	workerBytes    Quantity // memory for one more worker
+	taskBytes      Quantity // memory for one more running task
+	arrivalWarm    Quantity // processor time of a request, all workers warm
+	arrivalWarming Quantity // the same, a tenth of the workers warming up
 }
 
 func (b *Basis) measured() (figures measured, err error) {
@@ -79,7 +79,7 @@
 		{&figures.zoneLossCPU, ZoneLossCPU},
 		{&figures.peakResident, PeakResident},
 		{&figures.arrivalWarm, ModuleWarm},
-		{&figures.arrivalCold, ModuleCold},
+		{&figures.arrivalWarming, ModuleCold},
 	} {
 		*figure.value, err = b.valueAt(figure.series, b.Target.Workers)
 		if err != nil {
--- a/internal/rehearsal/capacity/module.go
+++ b/internal/rehearsal/capacity/module.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	moduleDeltas = 200
-	warmRequests = 2000
-	coldRequests = 200
-	coldOneIn    = 10 // one worker in so many is warming up
+	moduleDeltas    = 200
+	warmRequests    = 2000
+	warmingRequests = 200
+	warmingOneIn    = 10 // one worker in so many is warming up
 
 	// requestInterval is the time between two requests at one of 300 dispatchers that together take the target's
 	// 8,000 per second.
@@ -45,8 +45,8 @@
 	return decision.Endpoint{Name: workerName(i), Zone: i % Zones, Cell: i / cellWorkers, State: decision.Running, Weight: 1}
 }
 
-// newModule starts a module with a number of listed workers. One in cold of them is warming up; 0: none.
-func newModule(workers, cold, peers, teams int) (*module, error) {
+// newModule starts a module with a number of listed workers, one in oneInWarming of which is warming up; 0: none is.
+func newModule(workers, oneInWarming, peers, teams int) (*module, error) {
 	text, err := settingsJSON(peers, teams)
 	if err != nil {
 		return nil, err
@@ -63,7 +63,7 @@
 	endpoints := make([]decision.Endpoint, workers)
 	for i := range endpoints {
 		endpoints[i] = endpoint(i)
-		if cold > 0 && i%cold == 0 {
+		if oneInWarming > 0 && i%oneInWarming == 0 {
 			endpoints[i].StartedAt = runStart
 		}
 	}
@@ -91,9 +91,9 @@
 }
 
 // request sends one request to the machine. It returns how long the decision took, and the assigned worker or "".
-func (m *module) request(tenant int, left time.Duration) (spent time.Duration, worker string) {
+func (m *module) request(tenant int, timeLeft time.Duration) (spent time.Duration, worker string) {
 	m.lastRequest++
-	event := decision.Event{Kind: decision.RequestArrived, Request: m.lastRequest, Tenant: tenant, Slots: 1, Work: taskTime, TimeLeft: left}
+	event := decision.Event{Kind: decision.RequestArrived, Request: m.lastRequest, Tenant: tenant, Slots: 1, Work: taskTime, TimeLeft: timeLeft}
 	startedAt := time.Now()
 	m.actions = m.Handle(m.now, event, m.actions[:0])
 	spent = time.Since(startedAt)
--- a/internal/rehearsal/capacity/modulemeasure.go
+++ b/internal/rehearsal/capacity/modulemeasure.go
@@ -11,14 +11,14 @@
 // measureModule measures the decision module at one number of workers.
 func measureModule(slopes *Slopes, workers int) error {
 	for _, requests := range []struct {
-		series SeriesName
-		cold   int // one worker in so many is warming up; 0: none
-		count  int
+		series       SeriesName
+		oneInWarming int // one worker in so many is warming up; 0: none
+		count        int
 	}{
 		{series: ModuleWarm, count: warmRequests},
-		{series: ModuleCold, cold: coldOneIn, count: coldRequests},
+		{series: ModuleCold, oneInWarming: warmingOneIn, count: warmingRequests},
 	} {
-		started, err := newModule(workers, requests.cold, daemonPeers, daemonTeams)
+		started, err := newModule(workers, requests.oneInWarming, daemonPeers, daemonTeams)
 		if err != nil {
 			return err
 		}
@@ -53,8 +53,8 @@
 		}
 		slopes.record(ModuleTeams, UnitSeconds, AxisTeams, teams, mean)
 	}
-	for _, held := range taskCounts {
-		if err := measureRunningTasks(slopes, held); err != nil {
+	for _, tasks := range taskCounts {
+		if err := measureRunningTasks(slopes, tasks); err != nil {
 			return fmt.Errorf("%s: %w", ModuleHeld, err)
 		}
 	}
@@ -62,28 +62,28 @@
 }
 
 // measureRunningTasks measures what running tasks cost while nothing happens to them.
-func measureRunningTasks(slopes *Slopes, held int) error {
+func measureRunningTasks(slopes *Slopes, tasks int) error {
 	started, err := newModule(taskAxisWorkers, 0, 1, 1)
 	if err != nil {
 		return err
 	}
 	before := heap()
 	placed := 0
-	for range held {
+	for range tasks {
 		if _, worker := started.request(0, clientDeadline); worker != "" {
 			placed++
 		}
 	}
-	if placed < held {
-		return fmt.Errorf("%d of %d tasks were assigned to a worker", placed, held)
+	if placed < tasks {
+		return fmt.Errorf("%d of %d tasks were assigned to a worker", placed, tasks)
 	}
-	slopes.record(ModuleHeld, UnitBytes, AxisTasks, held, heap()-before)
+	slopes.record(ModuleHeld, UnitBytes, AxisTasks, tasks, heap()-before)
 	const sweeps = 20
 	startedAt := time.Now()
 	for range sweeps {
 		started.handle(decision.Event{Kind: decision.TimerFired, Timer: sweepTimerID})
 	}
-	slopes.record(ModuleSweep, UnitSeconds, AxisTasks, held, time.Since(startedAt).Seconds()/sweeps)
+	slopes.record(ModuleSweep, UnitSeconds, AxisTasks, tasks, time.Since(startedAt).Seconds()/sweeps)
 	runtime.KeepAlive(started)
 	return nil
 }
--- a/internal/rehearsal/capacity/needs.go
+++ b/internal/rehearsal/capacity/needs.go
@@ -68,13 +68,18 @@
 		Dispatcher.row("processor time of decisions at the peak"+suffix+", all workers warm",
 			starts.Times(runs.arrivalWarm, UnitCores), core, mechanisms.Decisions),
 		Dispatcher.row("processor time of decisions at the peak"+suffix+", a tenth of the workers cold",
-			starts.Times(runs.arrivalCold, UnitCores), core, mechanisms.Decisions),
+			starts.Times(runs.arrivalWarming, UnitCores), core, mechanisms.Decisions),
 	}
 	if mechanisms.Configuration != mechanismMissing && b.inForceMeasured() {
 		return rows // a scale run has the figure
 	}
-	return append(rows, Row{Role: Dispatcher, What: "a change of configuration in force within 10 s", Allowed: given(target.InForceWithin, UnitSeconds),
-		Mechanism: mechanisms.Configuration, Unknown: unknownFor(mechanisms.Configuration, "quotas and classes are read once, at the start")})
+	return append(rows, Row{
+		Role:      Dispatcher,
+		What:      "a change of configuration in force within 10 s",
+		Allowed:   given(target.InForceWithin, UnitSeconds),
+		Mechanism: mechanisms.Configuration,
+		Unknown:   unknownFor(mechanisms.Configuration, "quotas and classes are read once, at the start"),
+	})
 }
 
 // inForceMeasured reports whether a scale run at the target's size timed changes.
@@ -123,8 +128,13 @@
 				all.Over(window, UnitPerSecond), b.Assumed.CallsPerSecond.Quantity(), mechanisms.Membership),
 		)
 	}
-	return append(rows, Row{Role: Origin, What: "processor time and memory", Allowed: count(1), Mechanism: mechanisms.Membership,
-		Unknown: "discovery is not part of this product"})
+	return append(rows, Row{
+		Role:      Origin,
+		What:      "processor time and memory",
+		Allowed:   count(1),
+		Mechanism: mechanisms.Membership,
+		Unknown:   "discovery is not part of this product",
+	})
 }
 
 // machineRows returns the needs of one control machine that relays to its part of the dispatchers, with one machine down.
@@ -160,7 +170,13 @@
 			rates.Configuration.Times(b.Assumed.ConfigPeakFactor.Quantity(), UnitPerSecond), b.Assumed.CallsPerSecond.Quantity(), mechanisms.Configuration),
 		Writer.row("writes a second, peak",
 			b.Assumed.ConfigPeakRate.Quantity(), b.Assumed.CallsPerSecond.Quantity(), mechanisms.Configuration),
-		{Role: Writer, What: "to learn who has a change", Allowed: given(b.Target.InForceWithin, UnitSeconds), Mechanism: mechanisms.Acknowledgement, Unknown: unknownFor(mechanisms.Acknowledgement, "nothing tells")},
+		{
+			Role:      Writer,
+			What:      "to learn who has a change",
+			Allowed:   given(b.Target.InForceWithin, UnitSeconds),
+			Mechanism: mechanisms.Acknowledgement,
+			Unknown:   unknownFor(mechanisms.Acknowledgement, "nothing tells"),
+		},
 	}
 }
 
--- a/internal/rehearsal/simulator/result.go
+++ b/internal/rehearsal/simulator/result.go
@@ -50,10 +50,10 @@
 	totalEarned := 0.0
 	totalRequested := 0.0
 	for i := range s.settings.Classes {
-		class, earned, requested := s.classResult(i)
-		totalEarned += earned
-		totalRequested += requested
-		result.Classes = append(result.Classes, class)
+		class := s.classScore(i)
+		totalEarned += class.earned
+		totalRequested += class.requested
+		result.Classes = append(result.Classes, class.ClassResult)
 	}
 	if totalRequested > 0 {
 		result.Score = totalEarned / totalRequested
@@ -66,8 +66,15 @@
 	return result
 }
 
-// classResult evaluates one class; earned and requested are sums of priority weights.
-func (s *Simulation) classResult(number int) (result ClassResult, earned, requested float64) {
+// classScore is the result of a class with the sums of priority weights that it rests on.
+type classScore struct {
+	ClassResult
+	earned    float64
+	requested float64
+}
+
+// classScore evaluates one class.
+func (s *Simulation) classScore(number int) (result classScore) {
 	class := &s.settings.Classes[number]
 	result.Name = class.Name
 	var latencies []time.Duration
@@ -76,7 +83,7 @@
 			continue
 		}
 		result.Requests++
-		requested += class.PriorityWeight
+		result.requested += class.PriorityWeight
 		latency := request.answeredAt - request.arrivedAt
 		objective := class.LatencyObjective + time.Duration(class.ObjectiveStretch*float64(request.work))
 		switch {
@@ -88,10 +95,10 @@
 			result.Failed++
 		case latency <= objective:
 			result.WithinObjective++
-			earned += class.PriorityWeight
+			result.earned += class.PriorityWeight
 		default:
 			result.Late++
-			earned += class.PriorityWeight * class.LateWeight
+			result.earned += class.PriorityWeight * class.LateWeight
 		}
 		if request.answeredAt > 0 && request.outcome == dispatch.Served {
 			latencies = append(latencies, latency)
@@ -101,10 +108,10 @@
 	result.P50Ms = quantileMs(latencies, 0.5)
 	result.P90Ms = quantileMs(latencies, 0.9)
 	result.P99Ms = quantileMs(latencies, 0.99)
-	if requested > 0 {
-		result.WeightShare = earned / requested
+	if result.requested > 0 {
+		result.WeightShare = result.earned / result.requested
 	}
-	return result, earned, requested
+	return result
 }
 
 // checkInvariants checks what only a whole run shows: one final answer for each attempt of a client, and at most one
