--- a/cmd/rehearse/slopes_test.go
+++ b/cmd/rehearse/slopes_test.go
@@ -46,8 +46,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if slopes.Plays != 2 || slopes.Zones != slopeZones || !strings.Contains(slopes.Command, "--sizes 34,68,170 ") {
-		t.Errorf("%d repetitions in %d zones of %q, want 2 in %d with the sizes", slopes.Plays, slopes.Zones, slopes.Command, slopeZones)
+	if slopes.Repetitions != 2 || slopes.Zones != slopeZones || !strings.Contains(slopes.Command, "--sizes 34,68,170 ") {
+		t.Errorf("%d repetitions in %d zones of %q, want 2 in %d with the sizes", slopes.Repetitions, slopes.Zones, slopes.Command, slopeZones)
 	}
 	const wantSeries = 19
 	if len(slopes.Series) != wantSeries {
--- a/internal/rehearsal/capacity/daemonrun.go
+++ b/internal/rehearsal/capacity/daemonrun.go
@@ -27,24 +27,43 @@
 	r.slopes.record(name, unit, AxisWorkers, r.size, value)
 }
 
-// meter runs during and returns what the daemon used meanwhile.
-func (r *daemonRun) meter(during func() error) (cpu, span time.Duration, bytes int64, err error) {
-	cpuBefore, err := r.daemon.CPU()
+// daemonUsage is what the daemon has used in a span of time.
+type daemonUsage struct {
+	span  time.Duration
+	cpu   time.Duration
+	bytes int64 // on the connection to discovery
+}
+
+// meter runs activity and returns what the daemon used meanwhile.
+func (r *daemonRun) meter(activity func() error) (daemonUsage, error) {
+	cpuBefore, err := r.daemon.cpu()
 	if err != nil {
-		return 0, 0, 0, err
+		return daemonUsage{}, err
 	}
 	bytesBefore := r.proxy.Bytes()
-	began := time.Now()
-	if err := during(); err != nil {
-		return 0, 0, 0, err
+	startedAt := time.Now()
+	if err := activity(); err != nil {
+		return daemonUsage{}, err
+	}
+	cpuAfter, err := r.daemon.cpu()
+	if err != nil {
+		return daemonUsage{}, err
 	}
-	cpuAfter, err := r.daemon.CPU()
-	return cpuAfter - cpuBefore, time.Since(began), r.proxy.Bytes() - bytesBefore, err
+	return daemonUsage{
+		span:  time.Since(startedAt),
+		cpu:   cpuAfter - cpuBefore,
+		bytes: r.proxy.Bytes() - bytesBefore,
+	}, nil
+}
+
+// cpuBeyondIdle is the processor time in seconds that was used beyond what the daemon uses while nothing changes.
+func (r *daemonRun) cpuBeyondIdle(used daemonUsage) float64 {
+	return used.cpu.Seconds() - r.idleCores*used.span.Seconds()
 }
 
 // waitSteady waits until the daemon is idle.
 func (r *daemonRun) waitSteady() error {
-	previous, err := r.daemon.CPU()
+	previous, err := r.daemon.cpu()
 	if err != nil {
 		return err
 	}
@@ -54,7 +73,7 @@
 			return errNotSteady
 		}
 		time.Sleep(steadySampleInterval)
-		current, err := r.daemon.CPU()
+		current, err := r.daemon.cpu()
 		if err != nil {
 			return err
 		}
@@ -73,15 +92,15 @@
 	if err := r.waitSteady(); err != nil {
 		return err
 	}
-	cpu, err := r.daemon.CPU()
+	cpu, err := r.daemon.cpu()
 	if err != nil {
 		return err
 	}
-	peak, err := r.daemon.PeakResident()
+	peak, err := r.daemon.peakResident()
 	if err != nil {
 		return err
 	}
-	r.record(ReadyTime, UnitSeconds, r.daemon.Ready.Seconds())
+	r.record(ReadyTime, UnitSeconds, r.daemon.startTime.Seconds())
 	r.record(StartCPU, UnitSeconds, cpu.Seconds())
 	r.record(StartResident, UnitBytes, peak)
 	r.record(SnapshotBytes, UnitBytes, float64(r.proxy.Bytes()))
@@ -95,15 +114,15 @@
 
 // measureIdle records what the daemon costs while nothing changes.
 func (r *daemonRun) measureIdle(config Config) error {
-	cpu, span, bytes, err := r.meter(func() error {
+	used, err := r.meter(func() error {
 		time.Sleep(config.IdleTime)
 		return nil
 	})
 	if err != nil {
 		return err
 	}
-	r.idleCores = cpu.Seconds() / span.Seconds()
-	r.idleBytes = float64(bytes) / span.Seconds()
+	r.idleCores = used.cpu.Seconds() / used.span.Seconds()
+	r.idleBytes = float64(used.bytes) / used.span.Seconds()
 	r.record(IdleCPU, UnitCores, r.idleCores)
 	r.record(IdleBytes, UnitBytesPerSecond, r.idleBytes)
 	return nil
@@ -113,30 +132,33 @@
 // back to ready.
 func (r *daemonRun) measureDeltas(config Config) error {
 	count := int(config.DeltaRate * config.DeltaTime.Seconds())
-	cpu, span, bytes, err := r.meter(func() error {
-		tick := time.NewTicker(time.Duration(float64(time.Second) / config.DeltaRate))
-		defer tick.Stop()
-		for i := range count {
-			<-tick.C
-			host := &r.hosts[i/2%len(r.hosts)]
-			host.Health = standin.HealthDraining
-			if i%2 == 1 {
-				host.Health = standin.HealthReady
-			}
-			if err := r.changeWorker(*host); err != nil {
-				return err
-			}
-		}
-		return r.waitSteady()
-	})
+	used, err := r.meter(func() error { return r.makeDeltas(count, config.DeltaRate) })
 	if err != nil {
 		return err
 	}
-	r.record(DeltaCPU, UnitSeconds, (cpu.Seconds()-r.idleCores*span.Seconds())/float64(count))
-	r.record(DeltaBytes, UnitBytes, (float64(bytes)-r.idleBytes*span.Seconds())/float64(count))
+	r.record(DeltaCPU, UnitSeconds, r.cpuBeyondIdle(used)/float64(count))
+	r.record(DeltaBytes, UnitBytes, (float64(used.bytes)-r.idleBytes*used.span.Seconds())/float64(count))
 	return nil
 }
 
+// makeDeltas makes a number of deltas at a rate per second, and waits until the daemon is idle.
+func (r *daemonRun) makeDeltas(count int, rate float64) error {
+	tick := time.NewTicker(time.Duration(float64(time.Second) / rate))
+	defer tick.Stop()
+	for i := range count {
+		<-tick.C
+		host := &r.hosts[i/2%len(r.hosts)]
+		host.Health = standin.HealthDraining
+		if i%2 == 1 {
+			host.Health = standin.HealthReady
+		}
+		if err := r.changeWorker(*host); err != nil {
+			return err
+		}
+	}
+	return r.waitSteady()
+}
+
 // changeWorker changes a worker and waits until the delta has passed to the daemon, so that it is not merged with the next.
 func (r *daemonRun) changeWorker(host standin.Host) error {
 	before := r.proxy.Versions()
@@ -151,27 +173,30 @@
 
 // measureZoneLoss removes all workers of a zone, one delta each, as fast as they pass.
 func (r *daemonRun) measureZoneLoss(Config) error {
-	before := r.proxy.Versions()
-	cpu, span, _, err := r.meter(func() error {
-		for i, host := range r.hosts {
-			if i%Zones != lostZone {
-				continue
-			}
-			host.Health = standin.HealthGone
-			if err := r.changeWorker(host); err != nil {
-				return err
-			}
-		}
-		return r.waitSteady()
-	})
+	versionsBefore := r.proxy.Versions()
+	used, err := r.meter(r.removeZone)
 	if err != nil {
 		return err
 	}
-	r.record(ZoneLossCPU, UnitSeconds, cpu.Seconds()-r.idleCores*span.Seconds())
-	r.record(ZoneLossDeltas, UnitCount, float64(r.proxy.Versions()-before))
+	r.record(ZoneLossCPU, UnitSeconds, r.cpuBeyondIdle(used))
+	r.record(ZoneLossDeltas, UnitCount, float64(r.proxy.Versions()-versionsBefore))
 	return nil
 }
 
+// removeZone removes the workers of the zone that is lost, and waits until the daemon is idle.
+func (r *daemonRun) removeZone() error {
+	for i, host := range r.hosts {
+		if i%Zones != lostZone {
+			continue
+		}
+		host.Health = standin.HealthGone
+		if err := r.changeWorker(host); err != nil {
+			return err
+		}
+	}
+	return r.waitSteady()
+}
+
 // gzipSize returns the length of a list as compressed JSON.
 func gzipSize(list []standin.Host) (int, error) {
 	var out bytes.Buffer
@@ -202,23 +227,23 @@
 		hosts[i] = listedWorker(i)
 	}
 	discovery.Set(hosts...)
-	link, err := StartCountingProxy(discovery.Addr)
+	proxy, err := StartCountingProxy(discovery.Addr)
 	if err != nil {
 		return err
 	}
-	defer link.Close()
-	process, err := startDaemon(config.Program, dir, link.Addr)
+	defer proxy.Close()
+	started, err := startDaemon(config.Program, dir, proxy.Addr)
 	if err != nil {
 		return err
 	}
-	defer process.stop()
-	run := daemonRun{slopes: slopes, size: size, daemon: process, proxy: link, discovery: discovery, hosts: hosts}
+	defer started.stop()
+	run := daemonRun{slopes: slopes, size: size, daemon: started, proxy: proxy, discovery: discovery, hosts: hosts}
 	for _, step := range []func(Config) error{run.measureStart, run.measureIdle, run.measureDeltas, run.measureZoneLoss} {
 		if err := step(config); err != nil {
 			return err
 		}
 	}
-	peak, err := process.PeakResident()
+	peak, err := started.peakResident()
 	if err != nil {
 		return err
 	}
--- a/internal/rehearsal/standin/fleet.go
+++ b/internal/rehearsal/standin/fleet.go
@@ -6,13 +6,12 @@
 	"errors"
 	"fmt"
 	"os"
-	"os/exec"
 	"strconv"
 	"strings"
-	"syscall"
 	"time"
 
 	"hollyyoke.example/hollyyoke/internal/rehearsal/childprocess"
+	"hollyyoke.example/hollyyoke/internal/rehearsal/daemonprocess"
 )
 
 // ClassConfig is a class of the daemon's configuration.
@@ -57,15 +56,13 @@
 	Log         childprocess.Output
 
 	secret []byte
-	daemon *exec.Cmd
-	ended  chan struct{} // closed when the daemon has ended
+	daemon *daemonprocess.Process // nil: not started
 	ctx    context.Context
 	cancel context.CancelFunc
 }
 
 const (
 	verifyInterval   = 2 * time.Second
-	shutdownTimeout  = 10 * time.Second
 	warmup           = 6 * time.Second // of workers that are added with a warm-up
 	workersPerBlock  = 4
 	fleetSecretBytes = 32
@@ -90,20 +87,19 @@
 	if config.Descriptors == 0 {
 		config.Descriptors = defaultDescriptors
 	}
-	f := &Fleet{
+	fleet := &Fleet{
 		FleetConfig: config,
 		Log:         childprocess.Output{Limit: maxOutputBytes},
 		secret:      make([]byte, fleetSecretBytes),
-		ended:       make(chan struct{}),
 	}
-	rand.Read(f.secret)
-	f.ctx, f.cancel = context.WithCancel(context.Background())
-	if err := f.start(); err != nil {
-		f.Close()
+	rand.Read(fleet.secret)
+	fleet.ctx, fleet.cancel = context.WithCancel(context.Background())
+	if err := fleet.start(); err != nil {
+		fleet.Close()
 		return nil, err
 	}
-	go f.keepVerified()
-	return f, nil
+	go fleet.keepVerified()
+	return fleet, nil
 }
 
 func (f *Fleet) start() (err error) {
@@ -125,22 +121,22 @@
 // Add starts one more worker and lists it, which closes the gate until the workers are verified
 // again. warmupShare is the share of its speed at which it starts; 0: no warm-up.
 func (f *Fleet) Add(warmupShare float64) (*Worker, error) {
-	n := len(f.Workers)
-	kind := workerKinds[n%len(workerKinds)]
+	index := len(f.Workers)
+	kind := workerKinds[index%len(workerKinds)]
 	cores := kind.cores
 	if f.Cores > 0 {
 		cores = f.Cores
 	}
 	worker, err := StartWorker(WorkerConfig{
-		Name:         fmt.Sprintf("s-%04d", n+1),
-		Site:         sites[n/len(workerKinds)%len(sites)],
+		Name:         fmt.Sprintf("s-%04d", index+1),
+		Site:         sites[index/len(workerKinds)%len(sites)],
 		Class:        kind.name,
 		Cores:        cores,
 		Speed:        kind.speed,
 		Noise:        f.Noise,
 		WarmupShare:  warmupShare,
 		Warmup:       warmup,
-		Seed:         f.Seed + uint64(n),
+		Seed:         f.Seed + uint64(index),
 		SendsReports: true,
 	}, &f.Ledger, f.secret)
 	if err != nil {
@@ -148,7 +144,12 @@
 	}
 	f.Workers = append(f.Workers, worker)
 	host := Host{
-		Host: worker.Name, Dial: worker.Addr, Site: worker.Site, Class: worker.Class, Block: n / workersPerBlock, Health: HealthReady,
+		Host:   worker.Name,
+		Dial:   worker.Addr,
+		Site:   worker.Site,
+		Class:  worker.Class,
+		Block:  index / workersPerBlock,
+		Health: HealthReady,
 	}
 	if warmupShare > 0 {
 		host.BornMs = worker.Started.UnixMilli()
@@ -178,7 +179,7 @@
 		select {
 		case <-f.ctx.Done():
 			return
-		case <-f.ended:
+		case <-f.daemon.Ended():
 			f.Gate.CloseForGood(errors.New("the daemon has ended"))
 			return
 		case <-changed:
@@ -217,12 +218,14 @@
 }
 
 // PID is the daemon's process id.
-func (f *Fleet) PID() int { return f.daemon.Process.Pid }
+func (f *Fleet) PID() int { return f.daemon.PID() }
 
-// Close shuts the daemon down gracefully, or kills it after shutdownTimeout, and stops the rest.
+// Close shuts the daemon down gracefully, or kills it if that takes too long, and stops the rest.
 func (f *Fleet) Close() {
 	f.Gate.Close()
-	f.stopDaemon()
+	if f.daemon != nil {
+		f.daemon.Stop()
+	}
 	f.cancel()
 	for _, worker := range f.Workers {
 		worker.Close()
@@ -231,16 +234,3 @@
 		f.Discovery.Close()
 	}
 }
-
-func (f *Fleet) stopDaemon() {
-	if f.daemon == nil {
-		return
-	}
-	f.daemon.Process.Signal(syscall.SIGTERM)
-	select {
-	case <-f.ended:
-	case <-time.After(shutdownTimeout):
-		f.daemon.Process.Kill()
-		<-f.ended
-	}
-}
