--- a/internal/workerclient/client.go
+++ b/internal/workerclient/client.go
@@ -66,7 +66,7 @@
 	}
 	conn := c.acquire(worker, attempt.RetryUnsafe)
 	conn.assign(attempt)
-	if conn.conn != nil {
+	if conn.state != stateDialing {
 		conn.send()
 	}
 }
@@ -80,12 +80,12 @@
 	}
 	conn.reportSent()
 	conn.unassign()
-	if conn.conn == nil { // once it is open, the connection may serve another attempt
-		conn.unwanted = true
+	if conn.state == stateDialing { // once it is open, the connection may serve another attempt
+		conn.dial.unwanted = true
 		return true
 	}
 	conn.close() // before asking what was flushed: until then, buffered bytes may still leave on another goroutine
-	return conn.phase == idle || conn.confirming || !conn.requestFlushed()
+	return conn.state == stateIdle || conn.request.kind == confirmation || !conn.requestFlushed()
 }
 
 // CloseIdle closes the idle connections to a worker, given by its name.
--- a/internal/workerclient/connection.go
+++ b/internal/workerclient/connection.go
@@ -1,68 +1,52 @@
 package workerclient
 
 import (
-	"time"
-
 	"hollyyoke.example/hollyyoke/decision"
 	"hollyyoke.example/hollyyoke/internal/discovery"
 	"hollyyoke.example/hollyyoke/internal/dispatch"
 	"hollyyoke.example/hollyyoke/internal/eventloop"
-	"hollyyoke.example/hollyyoke/internal/httpwire"
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-// phase is where a connection stands between the request on it and the end of its response.
-type phase uint8
+// connectionState is what a connection is doing. Traces show its number.
+type connectionState uint8
 
 const (
-	idle          phase = iota // no request has been sent: the connection is idle or still being dialed
-	awaitingHead               // a request has been sent, entirely or but for its last byte
-	streamingBody              // the head of the response has come
+	stateIdle         connectionState = iota // open, and no request is on it
+	stateAwaitingHead                        // a request has been sent, entirely or but for its last byte
+	stateReadingBody                         // the head of the response has come
+	stateDialing                             // not open yet; if the dial fails, the connection never leaves this state
 )
 
 // connection is a connection to a worker. It carries one request at a time: that of an attempt, or a health check.
+//
+//	state         next, and by what                                            its timer
+//	dialing       idle: onDialed                                               the connect timeout
+//	idle          awaiting head: write                                         the idle timeout
+//	awaiting head reading body: handleHead                                     of a health check: its timeout; else: when the
+//	                                                                           held last byte is due, then when a retry is too late
+//	reading body  idle: release; after a confirmation, write follows at once   of a health check: its timeout; once the result
+//	                                                                           has been reported: the response's end
+//
+// close and OnClosed end the connection in each state but dialing, and leave the state as it is.
 type connection struct {
 	client *Client
 	worker *discovery.Worker
 	conn   *transport.Conn // nil while dialing
-	phase  phase
-	timer  eventloop.Deadline // of the connect, the health check, the held last byte, the idle time or the response's end
-
-	handle      uint64           // of the attempt whose outcome is to be reported; 0: none
-	attempt     dispatch.Attempt // the latest
-	healthCheck bool             // the request is a health check
-	confirming  bool             // the health check precedes the attempt's request, which is sent once it has succeeded
-
-	// dialing
-	unwanted            bool          // what it was dialed for has ended
-	dialFailedLocally   bool          // the latest dial failed for a reason of this machine
-	redialBackoff       time.Duration // before the latest retry of the dial
-	newConnectionFailed bool          // a new connection has broken under the attempt before
-
-	// idle
-	reused    bool          // it has been idle, so the worker may have closed it unnoticed
-	idleSince time.Duration // when it became idle
-	idleUntil time.Duration // when it is closed for being idle; 0: never
-
-	// request
-	healthCheckSentAt time.Duration
-	requestEnd        int64 // write offset behind the last byte of the request
-	lastByte          byte
-	lastByteHeld      bool          // the last byte has not been sent yet
-	lastByteDue       time.Duration // when it is to be sent; the time left that the request states counts from here
-
-	// response
-	input            *transport.Buffer // bytes that have not been dropped yet
-	headScanned      int               // bytes of input that hold no end of a head
-	consumed         int               // bytes of input that have been parsed
-	line             *transport.Buffer // the part of a body's line that has come
-	status           int
-	chunked          bool
-	chunks           httpwire.ChunkReader
-	bodyLeft         int // bytes of a body of known length; -1: it ends with the connection
-	responseComplete bool
-	closeAfter       bool           // the connection cannot be used again after this response
-	result           *attemptResult // not reported until the received bytes have been parsed
+	state  connectionState
+	timer  eventloop.Deadline
+
+	handle              uint64           // of the attempt whose outcome is to be reported; 0: none
+	attempt             dispatch.Attempt // the latest
+	newConnectionFailed bool             // a new connection has broken under the attempt before
+
+	dial     dialProgress
+	idle     idleTimes
+	reused   bool // it has been idle, so the worker may have closed it unnoticed
+	request  outgoingRequest
+	response response
+
+	closeAfterResponse bool // it cannot be used again after the present response
 }
 
 // attemptResult is how an attempt ended, as the worker stated it.
@@ -72,6 +56,18 @@
 	body    []byte
 }
 
+// newConnection returns a connection that has yet to be dialed.
+func newConnection(client *Client, worker *discovery.Worker) *connection {
+	conn := &connection{client: client, worker: worker, state: stateDialing}
+	conn.timer.Fire = conn.onTimer
+	conn.response.parser.pool = &client.engine.Pool
+	conn.response.line.pool = &client.engine.Pool
+	return conn
+}
+
+// hasAttempt reports whether the connection carries an attempt whose outcome is to be reported.
+func (c *connection) hasAttempt() bool { return c.handle != 0 }
+
 // assign gives an attempt to the connection.
 func (c *connection) assign(attempt dispatch.Attempt) {
 	c.handle = attempt.Handle
@@ -93,14 +89,14 @@
 	other := c.client.acquire(c.worker, c.attempt.RetryUnsafe)
 	other.assign(c.attempt)
 	other.newConnectionFailed = newConnectionFailed
-	if other.conn != nil && !c.client.dispatcher.ClientGone(other.handle) {
+	if other.state != stateDialing && !c.client.dispatcher.ClientGone(other.handle) {
 		other.send()
 	}
 }
 
 // correlationID returns the ID of the attempt's request for the trace; a health check has none.
 func (c *connection) correlationID() string {
-	if c.attempt.Request == nil || c.healthCheck {
+	if c.attempt.Request == nil || c.request.isHealthCheck() {
 		return ""
 	}
 	return c.attempt.Request.ID
@@ -109,16 +105,16 @@
 // onTimer is called when the time for what the connection waits for is over.
 func (c *connection) onTimer() {
 	switch {
-	case c.conn == nil && c.dialFailedLocally: // nothing ran, and the worker is not to blame
+	case c.state == stateDialing && c.dial.failedLocally: // nothing ran, and the worker is not to blame
 		c.fail(decision.NotSent)
-	case c.conn == nil:
+	case c.state == stateDialing:
 		c.fail(decision.ConnectionRefused)
-	case c.lastByteHeld:
+	case c.request.lastByte.held:
 		c.sendLastByte()
-	case c.healthCheck:
+	case c.request.isHealthCheck():
 		c.fail(decision.TimedOut)
 		c.close()
-	case c.handle != 0 && c.phase == awaitingHead: // the time by which a retry must have been sent
+	case c.hasAttempt() && c.state == stateAwaitingHead: // the time by which a retry must have been sent
 		c.reportSent()
 		if !c.requestFlushed() {
 			c.abandonRequest()
@@ -131,16 +127,16 @@
 
 // fail reports the outcome of the health check and the attempt, where one is still to be reported.
 func (c *connection) fail(outcome decision.AttemptOutcome) {
-	c.unwanted = true
-	if c.confirming {
+	c.dial.unwanted = true
+	if c.request.kind == confirmation {
 		c.confirmationFailed()
 		return
 	}
-	if outcome == decision.ConnectionRefused && c.handle != 0 {
+	if outcome == decision.ConnectionRefused && c.hasAttempt() {
 		c.client.registry.ConnectFailed(c.worker)
 	}
-	if c.healthCheck {
-		c.healthCheck = false
+	if c.request.kind == healthCheck {
+		c.request.kind = attemptRequest
 		c.client.dispatcher.HealthChecked(c.worker.Name, outcome, decision.LoadReport{})
 	}
 	c.complete(attemptResult{outcome: outcome})
@@ -160,12 +156,11 @@
 // The attempt continues on another connection if this one was reused, since the worker may have closed it long ago, and
 // likewise once if it was new. Otherwise the worker counts as unreachable.
 func (c *connection) retryUnsent() {
-	if !c.reused && c.newConnectionFailed || c.handle == 0 {
+	if !c.reused && c.newConnectionFailed || !c.hasAttempt() {
 		c.fail(decision.ConnectionRefused)
 		return
 	}
-	c.confirming = false
-	c.healthCheck = false
+	c.request.kind = attemptRequest
 	c.moveAttempt(c.newConnectionFailed || !c.reused)
 }
 
@@ -174,16 +169,16 @@
 	loop := c.client.loop()
 	loop.Clear(&c.timer)
 	c.removeIdle()
-	if c.phase != streamingBody && c.worker.State == decision.Running {
+	if c.state != stateReadingBody && c.worker.State == decision.Running {
 		c.client.holdLastByteUntil = loop.Now() + holdLastBytePeriod
 	}
 	c.reportSent()
-	bodyEnded := c.phase == streamingBody && !c.chunked && c.bodyLeft < 0
+	bodyEnded := c.state == stateReadingBody && c.response.parser.endsWithConnection()
 	if bodyEnded && c.finishResponse() == nil {
 		c.reportResult()
 	}
-	c.freeBuffers()
-	if c.phase == awaitingHead && !closed.Flushed(c.requestEnd) {
+	c.response.freeBuffers()
+	if c.state == stateAwaitingHead && !closed.Flushed(c.request.end) {
 		c.retryUnsent()
 		return
 	}
@@ -194,26 +189,16 @@
 // request arrives later.
 func (c *connection) close() {
 	c.client.loop().Clear(&c.timer)
-	c.freeBuffers()
-	if c.conn == nil {
+	c.response.freeBuffers()
+	if c.state == stateDialing {
 		return
 	}
 	if c.client.dispatcher.Trace != nil {
-		c.client.dispatcher.TraceStep(c.correlationID(), "connection closed", "worker", c.worker.Name, "phase", c.phase)
+		c.client.dispatcher.TraceStep(c.correlationID(), "connection closed", "worker", c.worker.Name, "phase", c.state)
 	}
-	if c.phase == awaitingHead {
+	if c.state == stateAwaitingHead {
 		c.conn.Abort()
 		return
 	}
 	c.conn.Close()
 }
-
-// freeBuffers returns the buffers of the response to their pool.
-func (c *connection) freeBuffers() {
-	c.client.engine.Pool.Put(c.input)
-	c.client.engine.Pool.Put(c.line)
-	c.input = nil
-	c.line = nil
-	c.consumed = 0
-	c.headScanned = 0
-}
--- a/internal/workerclient/dial.go
+++ b/internal/workerclient/dial.go
@@ -19,6 +19,13 @@
 	maxRedialBackoff = 40 * time.Millisecond
 )
 
+// dialProgress is what has become of the dial of a connection that is not open yet.
+type dialProgress struct {
+	unwanted      bool          // what it was dialed for has ended
+	failedLocally bool          // the latest dial failed for a reason of this machine
+	backoff       time.Duration // before the latest retry of the dial
+}
+
 // connectTimeout returns how long a connect may take.
 func (c *Client) connectTimeout() time.Duration {
 	if c.dispatcher.Settings.ConnectTimeout > 0 {
@@ -30,8 +37,7 @@
 // dial returns a new connection to a worker, which is not open yet. It fails if it is not open within the connect
 // timeout.
 func (c *Client) dial(worker *discovery.Worker) *connection {
-	conn := &connection{client: c, worker: worker}
-	conn.timer.Fire = conn.onTimer
+	conn := newConnection(c, worker)
 	c.loop().Set(&conn.timer, c.loop().Now()+c.connectTimeout())
 	conn.connect()
 	return conn
@@ -39,7 +45,7 @@
 
 // connect dials for the connection, unless nobody wants it any more.
 func (c *connection) connect() {
-	if c.unwanted {
+	if c.dial.unwanted {
 		return
 	}
 	timeout := c.client.connectTimeout() + dialTimeoutMargin
@@ -48,8 +54,8 @@
 
 // onDialed is called with the connection that a dial opened, or with the reason why it failed.
 func (c *connection) onDialed(opened *transport.Conn, err error) {
-	c.dialFailedLocally = transport.IsLocalError(err)
-	if c.dialFailedLocally {
+	c.dial.failedLocally = transport.IsLocalError(err)
+	if c.dial.failedLocally {
 		c.redial(err)
 		return
 	}
@@ -59,11 +65,12 @@
 	}
 	c.client.loop().Clear(&c.timer)
 	c.conn = opened
+	c.state = stateIdle
 	switch {
-	case c.unwanted || c.handle == 0 && !c.healthCheck:
-		c.unwanted = false
+	case c.dial.unwanted || !c.hasAttempt() && !c.request.isHealthCheck():
+		c.dial.unwanted = false
 		c.release()
-	case c.handle != 0 && c.client.dispatcher.ClientGone(c.handle): // the dispatcher has cancelled the attempt
+	case c.hasAttempt() && c.client.dispatcher.ClientGone(c.handle): // the dispatcher has cancelled the attempt
 	default:
 		c.send()
 	}
@@ -76,6 +83,6 @@
 		c.client.CloseAllIdle()
 	}
 	c.client.dispatcher.TraceStep(c.correlationID(), "dial retried", "worker", c.worker.Name, "error", err)
-	c.redialBackoff = min(max(2*c.redialBackoff, minRedialBackoff), maxRedialBackoff)
-	c.client.loop().After(c.redialBackoff, c.connect)
+	c.dial.backoff = min(max(2*c.dial.backoff, minRedialBackoff), maxRedialBackoff)
+	c.client.loop().After(c.dial.backoff, c.connect)
 }
--- a/internal/workerclient/drain.go
+++ b/internal/workerclient/drain.go
@@ -31,7 +31,7 @@
 			return
 		}
 		for _, conn := range c.connectionsTo(worker) {
-			if conn.phase == awaitingHead && (worker.State == decision.Removed || conn.conn.Unacknowledged() > 0) {
+			if conn.state == stateAwaitingHead && (worker.State == decision.Removed || conn.conn.Unacknowledged() > 0) {
 				conn.abandonRequest()
 			}
 		}
@@ -42,7 +42,7 @@
 func (c *Client) connectionsTo(worker *discovery.Worker) []*connection {
 	var found []*connection
 	for _, conn := range c.connections {
-		if conn.worker == worker && conn.conn != nil {
+		if conn.worker == worker && conn.state != stateDialing {
 			found = append(found, conn)
 		}
 	}
@@ -56,7 +56,7 @@
 	c.reportSent()
 	c.close() // before asking what was flushed: until then, buffered bytes may still leave on another goroutine
 	outcome := decision.NotSent
-	if c.requestFlushed() && !c.confirming {
+	if c.requestFlushed() && c.request.kind != confirmation {
 		outcome = decision.ConnectionLost
 	}
 	c.complete(attemptResult{outcome: outcome})
--- a/internal/workerclient/healthcheck.go
+++ b/internal/workerclient/healthcheck.go
@@ -18,15 +18,15 @@
 		return
 	}
 	conn := c.acquire(worker, false)
-	conn.healthCheck = true
-	if conn.conn != nil {
+	conn.request.kind = healthCheck
+	if conn.state != stateDialing {
 		conn.send()
 	}
 }
 
 // healthCheckTimeout returns how long the worker may take to respond to the present health check.
 func (c *connection) healthCheckTimeout() time.Duration {
-	if c.confirming {
+	if c.request.kind == confirmation {
 		return c.client.connectTimeout()
 	}
 	return defaultHealthCheckTimeout
@@ -41,43 +41,42 @@
 
 // finishHealthCheck handles the response to a health check, which has ended.
 func (c *connection) finishHealthCheck() {
-	c.healthCheck = false
 	c.client.loop().Clear(&c.timer)
+	c.response.complete = true
+	if c.request.kind == confirmation { // confirmationAnswered follows
+		return
+	}
+	c.request.kind = attemptRequest
 	outcome := decision.Failed
 	var load decision.LoadReport
-	if c.status == httpwire.StatusOK {
+	if c.response.parser.status == httpwire.StatusOK {
 		outcome = decision.Completed
-		if c.line != nil {
-			load = settings.ReadLoadReport(&c.client.dispatcher.Settings, c.line.Bytes())
+		if !c.response.line.empty() {
+			load = settings.ReadLoadReport(&c.client.dispatcher.Settings, c.response.line.bytes())
 		}
 	}
-	c.responseComplete = true
-	if !c.confirming {
-		c.client.dispatcher.HealthChecked(c.worker.Name, outcome, load)
-	}
+	c.client.dispatcher.HealthChecked(c.worker.Name, outcome, load)
 }
 
 // confirmHealth sends a health check, which must succeed before the attempt's request is sent.
 func (c *connection) confirmHealth(now time.Duration) {
-	c.confirming = true
-	c.healthCheck = true
-	c.healthCheckSentAt = now
+	c.request.kind = confirmation
+	c.request.sentAt = now
 	c.write(now)
 }
 
 // confirmationAnswered continues the attempt once the worker has responded to the health check sent for it.
 func (c *connection) confirmationAnswered() {
-	c.confirming = false
-	healthy := c.status == httpwire.StatusOK
-	reusable := !c.closeAfter
+	healthy := c.response.parser.status == httpwire.StatusOK
+	reusable := !c.closeAfterResponse
 	handle := c.handle
-	c.resetResponse()
+	c.endExchange()
 	if !healthy {
 		c.rejectUnconfirmed()
 		c.release()
 		return
 	}
-	c.client.registry.HealthConfirmed(c.worker, c.healthCheckSentAt)
+	c.client.registry.HealthConfirmed(c.worker, c.request.sentAt)
 	if c.client.dispatcher.ClientGone(handle) { // the dispatcher has cancelled the attempt
 		return
 	}
@@ -92,8 +91,7 @@
 // confirmationFailed is called when the worker has not responded to the health check sent for an attempt. If the
 // connection was reused, the worker may have closed it long ago, so the attempt continues on another.
 func (c *connection) confirmationFailed() {
-	c.confirming = false
-	c.healthCheck = false
+	c.request.kind = attemptRequest
 	if c.reused {
 		c.moveAttempt(c.newConnectionFailed)
 		return
--- a/internal/workerclient/jobupdate.go
+++ b/internal/workerclient/jobupdate.go
@@ -31,15 +31,15 @@
 	Load     json.RawMessage `json:"load"`
 }
 
-// handleUpdate handles a job update: it reports the job's start or progress, and keeps the result of a job that has
-// ended. An update for another request, or with an unknown state, is an error.
-func (c *connection) handleUpdate(text []byte) error {
-	text = bytes.TrimSpace(text)
-	if len(text) == 0 {
+// handleUpdate handles a line with a job update, which may be empty: it reports the job's start or progress, and keeps
+// the result of a job that has ended. An update for another request, or with an unknown state, is an error.
+func (c *connection) handleUpdate(line []byte) error {
+	line = bytes.TrimSpace(line)
+	if len(line) == 0 {
 		return nil
 	}
 	var update jobUpdate
-	err := json.Unmarshal(text, &update)
+	err := json.Unmarshal(line, &update)
 	if err != nil {
 		return err
 	}
@@ -56,13 +56,13 @@
 	case jobRunning:
 		c.client.dispatcher.AttemptProgressed(c.handle, update.Progress)
 	case jobDone:
-		c.result = &attemptResult{outcome: decision.Completed, load: load, body: resultBody(update.Result)}
+		c.response.result = &attemptResult{outcome: decision.Completed, load: load, body: resultBody(update.Result)}
 	case jobFailed:
-		c.result = &attemptResult{outcome: decision.Failed, load: load}
+		c.response.result = &attemptResult{outcome: decision.Failed, load: load}
 	case jobReturned:
-		c.result = &attemptResult{outcome: decision.Saturated, load: load}
+		c.response.result = &attemptResult{outcome: decision.Saturated, load: load}
 	case jobLost:
-		c.result = &attemptResult{outcome: decision.ConnectionLost, load: load}
+		c.response.result = &attemptResult{outcome: decision.ConnectionLost, load: load}
 	default:
 		return httpwire.ErrMalformed
 	}
--- a/internal/workerclient/lastbyte.go
+++ b/internal/workerclient/lastbyte.go
@@ -15,18 +15,24 @@
 	maxLastByteLateness = 50 * time.Millisecond
 )
 
+// lastByte is the last byte of the request, if it is held back.
+type lastByte struct {
+	held  bool // it has not been sent yet
+	value byte
+	due   time.Duration // when it is to be sent; the time left that the request states counts from here
+}
+
 // planLastByte decides whether the last byte of the request is held back, and when it is to be sent.
 func (c *connection) planLastByte(now time.Duration) {
-	c.lastByteHeld = !c.healthCheck && now < c.client.holdLastByteUntil
-	c.lastByteDue = now
-	if c.lastByteHeld {
-		c.lastByteDue += c.client.lastByteDelay
+	c.request.lastByte = lastByte{held: !c.request.isHealthCheck() && now < c.client.holdLastByteUntil, due: now}
+	if c.request.lastByte.held {
+		c.request.lastByte.due += c.client.lastByteDelay
 	}
 }
 
 // sendLastByte sends the held last byte of a request, unless the attempt is over or the byte is too late.
 func (c *connection) sendLastByte() {
-	c.lastByteHeld = false
+	c.request.lastByte.held = false
 	now := c.client.loop().Now()
 	if !c.permitSend(now) {
 		c.close()
@@ -35,8 +41,8 @@
 	if c.client.dispatcher.ClientGone(c.handle) { // the dispatcher has cancelled the attempt
 		return
 	}
-	tooLate := now-c.lastByteDue > maxLastByteLateness
-	if tooLate || !c.conn.Write([]byte{c.lastByte}) {
+	tooLate := now-c.request.lastByte.due > maxLastByteLateness
+	if tooLate || !c.conn.Write([]byte{c.request.lastByte.value}) {
 		c.close()
 		c.retryUnsent()
 		return
--- a/internal/workerclient/pool.go
+++ b/internal/workerclient/pool.go
@@ -26,9 +26,18 @@
 	return max(fleetIdleConnections/max(c.dispatcher.Settings.Peers, 1), 1)
 }
 
+// idleTimes are the times of a connection's latest idle period.
+type idleTimes struct {
+	since time.Duration
+	until time.Duration // when the connection is closed for being idle; 0: never
+}
+
+// expired reports whether the connection may not be used any more at the time now.
+func (t idleTimes) expired(now time.Duration) bool { return t.until > 0 && now >= t.until }
+
 // acquire returns an idle connection to a worker, or else a new one, which is still being dialed.
-func (c *Client) acquire(worker *discovery.Worker, repeatUnsafe bool) *connection {
-	conn := c.takeIdle(worker, repeatUnsafe)
+func (c *Client) acquire(worker *discovery.Worker, retryUnsafe bool) *connection {
+	conn := c.takeIdle(worker, retryUnsafe)
 	if conn == nil {
 		conn = c.dial(worker)
 	}
@@ -36,19 +45,19 @@
 }
 
 // takeIdle removes the connection used last from the idle ones and returns it, or nil if there is none. For a request
-// that is unsafe to repeat, it passes over connections used less than the reuse delay ago. Connections that the worker
+// that is unsafe to retry, it passes over connections used less than the reuse delay ago. Connections that the worker
 // may have closed, or has sent something on, are closed.
-func (c *Client) takeIdle(worker *discovery.Worker, repeatUnsafe bool) *connection {
+func (c *Client) takeIdle(worker *discovery.Worker, retryUnsafe bool) *connection {
 	idleConnections := c.idle[worker]
 	for i := len(idleConnections) - 1; i >= 0; i-- {
 		conn := idleConnections[i]
 		now := c.loop().Now()
-		if repeatUnsafe && now-conn.idleSince < c.reuseDelay {
+		if retryUnsafe && now-conn.idle.since < c.reuseDelay {
 			continue
 		}
 		idleConnections = slices.Delete(idleConnections, i, i+1)
 		c.idle[worker] = idleConnections
-		if conn.conn.Idle() && (conn.idleUntil == 0 || now < conn.idleUntil) {
+		if conn.conn.Idle() && !conn.idle.expired(now) {
 			c.loop().Clear(&conn.timer)
 			return conn
 		}
@@ -74,18 +83,17 @@
 
 // release makes the connection idle, so that the next attempt can use it, or closes it if none may.
 func (c *connection) release() {
-	c.resetResponse()
-	if c.conn == nil || c.conn.Handle == 0 {
+	c.endExchange()
+	if c.conn.Handle == 0 {
 		return
 	}
-	if c.closeAfter || c.worker.State == decision.Removed || c.client.registry.Worker(c.worker.Name) != c.worker {
+	if c.closeAfterResponse || c.worker.State == decision.Removed || c.client.registry.Worker(c.worker.Name) != c.worker {
 		c.close()
 		return
 	}
 	loop := c.client.loop()
 	c.reused = true
-	c.idleSince = loop.Now()
-	c.idleUntil = 0
+	c.idle = idleTimes{since: loop.Now()}
 	idleConnections := append(c.client.idle[c.worker], c)
 	if len(idleConnections) > c.client.maxIdlePerWorker() {
 		leastRecentlyUsed := idleConnections[0]
@@ -95,8 +103,8 @@
 	c.client.idle[c.worker] = idleConnections
 	idleTimeout := c.client.dispatcher.Settings.ConnectionIdleTimeout
 	if idleTimeout > 0 {
-		c.idleUntil = c.idleSince + max(idleTimeout-idleMargin, idleTimeout/2)
-		loop.Set(&c.timer, c.idleUntil)
+		c.idle.until = c.idle.since + max(idleTimeout-idleMargin, idleTimeout/2)
+		loop.Set(&c.timer, c.idle.until)
 	}
 }
 
--- a/internal/workerclient/races_test.go
+++ b/internal/workerclient/races_test.go
@@ -222,7 +222,7 @@
 	rig.Do(func() {
 		rig.Dispatcher.Accept(testkit.RespondFunc(func(a dispatch.Response) {
 			rig.Dispatcher.Loop.Post(func() { // its connection is idle by now, and the idle timeout passes in this turn of the loop
-				idleUntil = client.idle[client.registry.Worker("s")][0].idleUntil
+				idleUntil = client.idle[client.registry.Worker("s")][0].idle.until
 				second = make(testkit.Responses, 1)
 				close(release)
 				for rig.Dispatcher.Loop.Now() <= idleUntil {
--- a/internal/workerclient/request.go
+++ b/internal/workerclient/request.go
@@ -9,15 +9,35 @@
 	"hollyyoke.example/hollyyoke/internal/dispatch"
 )
 
+// requestKind is what a connection sends to its worker.
+type requestKind uint8
+
+const (
+	attemptRequest requestKind = iota // the request of an attempt, or nothing yet
+	healthCheck                       // a health check that the dispatcher asked for
+	confirmation                      // a health check that precedes the attempt's request, which is sent once it has succeeded
+)
+
+// outgoingRequest is the request that a connection sends, or has sent last.
+type outgoingRequest struct {
+	kind     requestKind
+	sentAt   time.Duration // of a confirmation
+	end      int64         // write offset behind its last byte
+	lastByte lastByte
+}
+
+// isHealthCheck reports whether the request is a health check, of whichever kind.
+func (r *outgoingRequest) isHealthCheck() bool { return r.kind != attemptRequest }
+
 // send sends the request of the connection's attempt, or its health check. Where the worker must first show that it
 // serves, it sends a health check before the attempt's request.
 func (c *connection) send() {
 	now := c.client.loop().Now()
-	if c.handle != 0 && !c.permitSend(now) {
+	if c.hasAttempt() && !c.permitSend(now) {
 		c.release()
 		return
 	}
-	if c.handle != 0 && c.client.registry.Admit(c.worker, now) == discovery.NeedsHealthCheck {
+	if c.hasAttempt() && c.client.registry.Admit(c.worker, now) == discovery.NeedsHealthCheck {
 		c.confirmHealth(now)
 		return
 	}
@@ -29,7 +49,7 @@
 	loop := c.client.loop()
 	c.planLastByte(now)
 	var out []byte
-	if c.healthCheck {
+	if c.request.isHealthCheck() {
 		loop.Set(&c.timer, now+c.healthCheckTimeout()) // here, so that it holds on a new connection too
 		out = c.appendHealthCheck(c.client.out[:0])
 	} else {
@@ -37,38 +57,43 @@
 	}
 	c.client.out = out
 	c.traceWrite(now, len(out))
-	c.phase = awaitingHead
-	sentNow := len(out)
-	if c.lastByteHeld {
-		sentNow--
-	}
-	written := c.conn.Write(out[:sentNow])
-	c.requestEnd = c.conn.WriteOffset()
-	if c.lastByteHeld {
-		c.requestEnd++
-		c.lastByte = out[sentNow]
-	}
-	if !written {
+	c.state = stateAwaitingHead
+	if !c.writeToSocket(out) {
 		c.close()
 		c.retryUnsent()
 		return
 	}
 	switch {
-	case c.lastByteHeld:
-		loop.Set(&c.timer, c.lastByteDue)
-	case !c.healthCheck:
+	case c.request.lastByte.held:
+		loop.Set(&c.timer, c.request.lastByte.due)
+	case !c.request.isHealthCheck():
 		c.setRetryDeadline()
 	}
 	c.reportSent()
 }
 
+// writeToSocket hands a request to the socket, but for a last byte that is held back. It returns false if the
+// connection is broken.
+func (c *connection) writeToSocket(out []byte) bool {
+	if !c.request.lastByte.held {
+		written := c.conn.Write(out)
+		c.request.end = c.conn.WriteOffset()
+		return written
+	}
+	last := len(out) - 1
+	written := c.conn.Write(out[:last])
+	c.request.end = c.conn.WriteOffset() + 1
+	c.request.lastByte.value = out[last]
+	return written
+}
+
 // traceWrite traces that a request is written.
 func (c *connection) traceWrite(now time.Duration, size int) {
 	dispatcher := c.client.dispatcher
 	if dispatcher.Trace == nil {
 		return
 	}
-	dispatcher.TraceStep(c.correlationID(), "request written", "worker", c.worker.Name, "health_check", c.healthCheck,
+	dispatcher.TraceStep(c.correlationID(), "request written", "worker", c.worker.Name, "health_check", c.request.isHealthCheck(),
 		"bytes", size, "reused", c.reused, "listed_for", now-c.worker.StateSince)
 }
 
@@ -86,7 +111,7 @@
 		out = append(out, request.IdempotencyKey...)
 	}
 	out = append(out, "\r\nX-Time-Left-Ms: "...)
-	timeLeft := c.attempt.Deadline - c.lastByteDue
+	timeLeft := c.attempt.Deadline - c.request.lastByte.due
 	out = strconv.AppendInt(out, max(timeLeft.Milliseconds(), 1), 10)
 	out = append(out, "\r\nContent-Length: "...)
 	out = strconv.AppendInt(out, int64(len(request.Body)), 10)
@@ -127,17 +152,21 @@
 // setRetryDeadline sets the timer by which a retry must have left entirely, if the socket has not taken all of it: the
 // rest would leave whenever the worker makes room.
 func (c *connection) setRetryDeadline() {
-	if c.handle != 0 && c.attempt.RetryBy > 0 && !c.requestFlushed() {
+	if c.hasAttempt() && c.attempt.RetryBy > 0 && !c.requestFlushed() {
 		c.client.loop().Set(&c.timer, c.attempt.RetryBy)
 	}
 }
 
 // requestFlushed reports whether the socket has taken all of the latest request.
-func (c *connection) requestFlushed() bool { return c.conn.Flushed(c.requestEnd) }
+func (c *connection) requestFlushed() bool { return c.conn.Flushed(c.request.end) }
 
 // reportSent reports that the last byte of the attempt's request has left, if it has.
 func (c *connection) reportSent() {
-	if c.handle != 0 && !c.confirming && c.phase != idle && !c.lastByteHeld && c.requestFlushed() {
+	if !c.hasAttempt() || c.request.kind == confirmation || c.request.lastByte.held {
+		return
+	}
+	onTheWay := c.state == stateAwaitingHead || c.state == stateReadingBody
+	if onTheWay && c.requestFlushed() {
 		c.client.dispatcher.AttemptSent(c.handle)
 	}
 }
--- a/internal/workerclient/response.go
+++ b/internal/workerclient/response.go
@@ -13,68 +13,92 @@
 // responseEndTimeout is how long the rest of a response may take once the attempt's outcome is known.
 const responseEndTimeout = time.Second
 
+// response is the response to the request on a connection.
+type response struct {
+	parser   responseParser
+	line     lineBuffer     // of a body's line, or the body of a health check's response
+	complete bool           // all of it has been parsed
+	result   *attemptResult // not reported until the received bytes have been parsed
+}
+
+// freeBuffers returns the buffers to their pool.
+func (r *response) freeBuffers() {
+	r.parser.free()
+	r.line.free()
+}
+
 // OnData handles bytes that the worker has sent. It implements transport.Handler.
 func (c *connection) OnData(_ *transport.Conn, b *transport.Buffer) {
-	if c.phase == idle { // no request was sent, so this is no response
+	if c.state == stateIdle { // no request was sent, so this is no response
 		c.client.engine.Pool.Put(b)
 		c.removeIdle()
 		c.close()
 		return
 	}
 	c.reportSent()
-	if !c.client.engine.Pool.Collect(&c.input, b) || c.parseInput() != nil {
+	if !c.response.parser.add(b) || c.parseInput() != nil {
 		c.failMalformed()
 		return
 	}
-	c.dropConsumed()
-	if c.responseComplete {
+	c.response.parser.dropParsed()
+	if c.response.complete {
 		c.client.loop().Clear(&c.timer)
-		bytesBehind := c.input != nil
-		c.closeAfter = c.closeAfter || bytesBehind
-		if c.confirming {
+		bytesBehind := len(c.response.parser.unparsed()) > 0
+		c.closeAfterResponse = c.closeAfterResponse || bytesBehind
+		if c.request.kind == confirmation {
 			c.confirmationAnswered()
 			return
 		}
-		c.closeAfter = c.closeAfter || c.lastByteHeld // the worker must not get the rest of the request any more
-		c.release()                                   // before the report: an attempt that it starts can use the connection
+		lastByteUnwanted := c.request.lastByte.held // the worker must not get the rest of the request any more
+		c.closeAfterResponse = c.closeAfterResponse || lastByteUnwanted
+		c.release() // before the report: an attempt that it starts can use the connection
 	}
 	c.reportResult()
 }
 
 // parseInput parses as much of the input as it can.
 func (c *connection) parseInput() error {
-	for !c.responseComplete && c.input != nil && c.consumed < len(c.input.Bytes()) {
-		progress, err := c.parseNext(c.input.Bytes()[c.consumed:])
-		if err != nil {
+	for !c.response.complete && len(c.response.parser.unparsed()) > 0 {
+		progress, err := c.parseNext()
+		if err != nil || !progress {
 			return err
 		}
-		if !progress {
-			return nil
-		}
 	}
 	return nil
 }
 
-// dropConsumed drops what has been parsed, once for all pieces: each removal moves all bytes behind it.
-func (c *connection) dropConsumed() {
-	consumed := c.consumed
-	c.consumed = 0
-	if c.input != nil {
-		c.client.engine.Pool.Consume(&c.input, consumed)
+// parseNext parses and handles the next piece of the response. It returns false if more bytes are needed for that.
+func (c *connection) parseNext() (progress bool, err error) {
+	if c.state == stateAwaitingHead {
+		var head httpwire.Head
+		complete, err := c.response.parser.parseHead(&head)
+		if err != nil || !complete {
+			return false, err
+		}
+		return true, c.handleHead(&head)
+	}
+	piece, progress, err := c.response.parser.parseBody()
+	if err != nil || !progress {
+		return false, err
+	}
+	err = c.handleBody(piece.data)
+	if err == nil && piece.last {
+		err = c.finishResponse()
 	}
+	return true, err
 }
 
 // reportResult reports the attempt's result, if the response has stated it.
 func (c *connection) reportResult() {
-	result := c.result
-	c.result = nil
+	result := c.response.result
+	c.response.result = nil
 	if result == nil {
 		return
 	}
-	if c.lastByteHeld { // an attempt that is reported as ended must not begin
+	if c.request.lastByte.held { // an attempt that is reported as ended must not begin
 		c.close()
 	}
-	if c.phase != idle && c.conn.Handle != 0 {
+	if c.state != stateIdle && c.conn.Handle != 0 {
 		loop := c.client.loop()
 		loop.Set(&c.timer, loop.Now()+responseEndTimeout)
 	}
@@ -88,94 +112,25 @@
 	c.fail(decision.ConnectionLost)
 }
 
-// resetResponse discards the state of the response, so that the next request can be sent.
-func (c *connection) resetResponse() {
-	c.phase = idle
-	c.healthCheck = false
-	c.confirming = false
-	c.responseComplete = false
-	c.lastByteHeld = false
-	c.status = 0
-	c.freeBuffers()
-}
-
-// parseNext parses the next piece of the response. It returns false if more bytes are needed for that.
-func (c *connection) parseNext(input []byte) (progress bool, err error) {
-	switch {
-	case c.phase == awaitingHead:
-		return c.parseHead(input)
-	case c.chunked:
-		return c.parseChunk(input)
-	default:
-		return true, c.parsePlainBody(input)
-	}
-}
-
-// parseHead parses the head of a response.
-func (c *connection) parseHead(input []byte) (progress bool, err error) {
-	var head httpwire.Head
-	complete, err := httpwire.ParseHead(input, &head, &c.headScanned)
-	if !complete {
-		return false, err
-	}
-	c.headScanned = 0
-	c.consumed += head.Size
-	return true, c.handleHead(&head)
-}
-
-// parseChunk parses data or framing of a chunked body.
-func (c *connection) parseChunk(input []byte) (progress bool, err error) {
-	data, used, err := c.chunks.Next(input)
-	if err != nil || used == 0 {
-		return false, err
-	}
-	err = c.handleBody(data)
-	c.consumed += used
-	if err == nil && c.chunks.Done() {
-		err = c.finishResponse()
-	}
-	return true, err
-}
-
-// parsePlainBody parses a body that has a length, or that ends with the connection.
-func (c *connection) parsePlainBody(input []byte) error {
-	size := len(input)
-	if c.bodyLeft >= 0 {
-		size = min(size, c.bodyLeft)
-		c.bodyLeft -= size
-	}
-	err := c.handleBody(input[:size])
-	c.consumed += size
-	if err == nil && c.bodyLeft == 0 {
-		err = c.finishResponse()
-	}
-	return err
+// endExchange makes the connection ready for the next request, if it is still open.
+func (c *connection) endExchange() {
+	c.state = stateIdle
+	c.request.kind = attemptRequest
+	c.request.lastByte.held = false
+	c.response.complete = false
+	c.response.parser.status = 0
+	c.response.freeBuffers()
 }
 
 // handleHead handles the head of a response. Each status but 200 states the attempt's result by itself.
 func (c *connection) handleHead(head *httpwire.Head) error {
-	status, valid := head.Status()
-	if !valid {
-		return httpwire.ErrMalformed
+	parser := &c.response.parser
+	c.closeAfterResponse = parser.endsWithConnection() || head.HasToken("Connection", "close")
+	c.state = stateReadingBody
+	if !c.request.isHealthCheck() && parser.status != httpwire.StatusOK {
+		c.response.result = &attemptResult{outcome: outcomeOfStatus(parser.status, head), load: c.loadOfHead(head)}
 	}
-	if status < 200 {
-		return nil // an interim response; the final one follows
-	}
-	length, chunked, err := head.Framing()
-	if err != nil {
-		return err
-	}
-	c.status = status
-	c.chunked = chunked
-	c.chunks = httpwire.ChunkReader{}
-	c.bodyLeft = length
-	endsWithConnection := !chunked && length < 0
-	c.closeAfter = endsWithConnection || head.HasToken("Connection", "close")
-	c.phase = streamingBody
-	if !c.healthCheck && status != httpwire.StatusOK {
-		c.result = &attemptResult{outcome: outcomeOfStatus(status, head), load: c.loadOfHead(head)}
-	}
-	if length == 0 {
+	if parser.bodyEmpty() {
 		return c.finishResponse()
 	}
 	return nil
@@ -203,21 +158,22 @@
 	return settings.ReadLoadReport(&c.client.dispatcher.Settings, report)
 }
 
-// handleBody handles a piece of the body. Each line in that of a 200 is a job update.
+// handleBody handles a piece of the body. That of a health check's response is its load report; each line in that of a
+// 200 is a job update; any other is ignored.
 func (c *connection) handleBody(data []byte) error {
-	if c.healthCheck {
-		return c.bufferLine(data)
+	if c.request.isHealthCheck() {
+		return c.response.line.add(data)
 	}
-	if c.status != httpwire.StatusOK || c.handle == 0 || c.result != nil {
+	if c.response.parser.status != httpwire.StatusOK || !c.hasAttempt() || c.response.result != nil {
 		return nil
 	}
 	for len(data) > 0 {
 		end := bytes.IndexByte(data, '\n')
 		if end < 0 {
-			return c.bufferLine(data)
+			return c.response.line.add(data)
 		}
 		err := c.handleLine(data[:end])
-		if err != nil || c.result != nil {
+		if err != nil || c.response.result != nil {
 			return err
 		}
 		data = data[end+1:]
@@ -226,49 +182,35 @@
 }
 
 // handleLine handles the end of a line, whose beginning may be buffered.
-func (c *connection) handleLine(text []byte) error {
-	if c.line != nil {
-		err := c.bufferLine(text)
+func (c *connection) handleLine(end []byte) error {
+	line := end
+	if !c.response.line.empty() {
+		err := c.response.line.add(end)
 		if err != nil {
 			return err
 		}
-		text = c.line.Bytes()
+		line = c.response.line.bytes()
 	}
-	err := c.handleUpdate(text)
-	c.client.engine.Pool.Put(c.line)
-	c.line = nil
+	err := c.handleUpdate(line)
+	c.response.line.free()
 	return err
 }
 
-// bufferLine keeps a part of a line until the rest has come.
-func (c *connection) bufferLine(data []byte) error {
-	if len(data) == 0 {
-		return nil
-	}
-	if c.line == nil {
-		c.line = c.client.engine.Pool.Get()
-	}
-	if !c.line.Append(data) {
-		return httpwire.ErrBodyTooLong
-	}
-	return nil
-}
-
 // finishResponse is called at the end of the response. An attempt whose result it has not stated counts as lost.
 func (c *connection) finishResponse() error {
-	if c.healthCheck {
+	if c.request.isHealthCheck() {
 		c.finishHealthCheck()
 		return nil
 	}
-	if c.line != nil && c.handle != 0 && c.result == nil { // the last line may have no line end
-		err := c.handleUpdate(c.line.Bytes())
+	if !c.response.line.empty() && c.hasAttempt() && c.response.result == nil { // the last line may have no line end
+		err := c.handleUpdate(c.response.line.bytes())
 		if err != nil {
 			return err
 		}
 	}
-	if c.handle != 0 && c.result == nil {
-		c.result = &attemptResult{outcome: decision.ConnectionLost}
+	if c.hasAttempt() && c.response.result == nil {
+		c.response.result = &attemptResult{outcome: decision.ConnectionLost}
 	}
-	c.responseComplete = true
+	c.response.complete = true
 	return nil
 }
