--- a/internal/testkit/acceptedconn.go
+++ b/internal/testkit/acceptedconn.go
@@ -4,64 +4,191 @@
 	"bufio"
 	"io"
 	"net"
+	"net/http"
 	"regexp"
 	"strings"
+	"syscall"
 	"testing"
 	"time"
 )
 
-// AcceptedConn is a connection that a stand-in for a worker or a server has accepted.
-type AcceptedConn struct {
-	Conn net.Conn
+// Listener lets a test play a worker or a server by hand: the test accepts each connection, reads each request and
+// writes each response itself, and so decides in which order events happen.
+type Listener struct {
+	// ReadAhead is how many bytes accepted connections read from the socket at once, where a test must leave the rest in
+	// the socket's buffer; 0: as bufio does by default.
+	ReadAhead int
 
-	t      *testing.T
-	reader *bufio.Reader
-	addr   string // of the listener
+	t        *testing.T
+	listener *net.TCPListener
 }
 
-// ListenOnLoopback starts to listen until the end of the test. accept waits for the next connection.
-func ListenOnLoopback(t *testing.T) (addr string, accept func() *AcceptedConn) {
+// Listen returns a listener on a loopback address, which is closed at the end of the test.
+func Listen(t *testing.T) *Listener {
+	t.Helper()
+	return ListenWith(t, net.ListenConfig{})
+}
+
+// ListenWithSmallBuffers is Listen for tests that need a full socket: the kernel takes only a part of a request that
+// the test does not read.
+func ListenWithSmallBuffers(t *testing.T) *Listener {
+	t.Helper()
+	const (
+		receiveBuffer  = 2048 // bytes
+		maxSegmentSize = 500  // bytes
+	)
+	return ListenWith(t, net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
+		return raw.Control(func(fd uintptr) {
+			syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, receiveBuffer)
+			syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_MAXSEG, maxSegmentSize)
+		})
+	}})
+}
+
+// ListenWith is Listen for tests that set options of the listening socket.
+func ListenWith(t *testing.T, config net.ListenConfig) *Listener {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := config.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { listener.Close() })
-	addr = listener.Addr().String()
-	accept = func() *AcceptedConn {
-		t.Helper()
-		conn, err := listener.Accept()
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { conn.Close() })
-		conn.SetDeadline(time.Now().Add(Patience))
-		return &AcceptedConn{Conn: conn, t: t, reader: bufio.NewReader(conn), addr: addr}
+	return &Listener{t: t, listener: listener.(*net.TCPListener)}
+}
+
+// Addr returns the address that tests give to the code under test as a worker's or a server's.
+func (l *Listener) Addr() string { return l.listener.Addr().String() }
+
+// Accept waits for the next connection, and fails the test if none comes within Patience.
+func (l *Listener) Accept() *AcceptedConn {
+	l.t.Helper()
+	l.listener.SetDeadline(time.Now().Add(Patience))
+	conn, err := l.listener.Accept()
+	if err != nil {
+		l.t.Fatal(err)
 	}
-	return addr, accept
+	l.t.Cleanup(func() { conn.Close() })
+	return l.wrap(conn)
+}
+
+// AcceptAny waits for the connection that comes first at one of some listeners, for tests that do not choose which
+// worker gets an attempt. None of the listeners may be used after it.
+func AcceptAny(listeners ...*Listener) *AcceptedConn {
+	t := listeners[0].t
+	t.Helper()
+	accepted := make(chan *AcceptedConn, len(listeners))
+	for _, listener := range listeners {
+		go func() {
+			if conn, err := listener.listener.Accept(); err == nil { // or the test has ended
+				accepted <- listener.wrap(conn)
+			}
+		}()
+	}
+	first := Receive(t, accepted)
+	t.Cleanup(func() { first.Conn.Close() })
+	return first
+}
+
+// wrap returns the test's end of a connection.
+func (l *Listener) wrap(conn net.Conn) *AcceptedConn {
+	conn.SetDeadline(time.Now().Add(Patience))
+	reader := bufio.NewReader(conn)
+	if l.ReadAhead > 0 {
+		reader = bufio.NewReaderSize(conn, l.ReadAhead)
+	}
+	return &AcceptedConn{Conn: conn, Reader: reader, t: l.t, addr: l.Addr()}
+}
+
+// ListenOnLoopback returns the address of a new listener and its Accept, for tests that need no more of it.
+func ListenOnLoopback(t *testing.T) (addr string, accept func() *AcceptedConn) {
+	t.Helper()
+	listener := Listen(t)
+	return listener.Addr(), listener.Accept
+}
+
+// AcceptedConn is the worker's or server's end of a connection, on which a test reads requests and writes responses
+// step by step. Reads and writes fail after Patience.
+type AcceptedConn struct {
+	Conn   net.Conn
+	Reader *bufio.Reader // of what comes on Conn
+
+	t    *testing.T
+	addr string // of the listener
 }
 
 // ReadRequest reads the head of a request and a body of bodySize bytes, and returns their text without what changes
-// from run to run.
+// from run to run. Tests compare it with a golden file.
 func (c *AcceptedConn) ReadRequest(bodySize int) string {
 	c.t.Helper()
 	var text strings.Builder
 	for !strings.HasSuffix(text.String(), "\r\n\r\n") {
-		line, err := c.reader.ReadString('\n')
+		line, err := c.Reader.ReadString('\n')
 		if err != nil {
 			c.t.Fatalf("%q, %v", text.String(), err)
 		}
 		text.WriteString(line)
 	}
 	body := make([]byte, bodySize)
-	if _, err := io.ReadFull(c.reader, body); err != nil {
+	if _, err := io.ReadFull(c.Reader, body); err != nil {
 		c.t.Fatal(err)
 	}
 	return MaskVolatile(strings.ReplaceAll(text.String()+string(body), c.addr, "ADDRESS"))
 }
 
+// ParseRequest reads a request with its body and returns both. Tests check its header fields, or only wait for it.
+func (c *AcceptedConn) ParseRequest() (request *http.Request, body string) {
+	c.t.Helper()
+	request, err := http.ReadRequest(c.Reader)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	content, err := io.ReadAll(request.Body)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	return request, string(content)
+}
+
+// AwaitFirstByte waits until a request has begun to come, and leaves it unread.
+func (c *AcceptedConn) AwaitFirstByte() {
+	c.t.Helper()
+	if _, err := c.Reader.Peek(1); err != nil {
+		c.t.Fatal(err)
+	}
+}
+
+// Write writes a response or a part of it. An error is ignored: tests check what the far end makes of it.
+func (c *AcceptedConn) Write(text string) { io.WriteString(c.Conn, text) }
+
+// WriteDone responds to the request with a correlation ID that it is done.
+func (c *AcceptedConn) WriteDone(id string) { c.Write(DoneResponse(id)) }
+
+// ServeRequest reads a request, responds that it is done, and returns both the request and its body.
+func (c *AcceptedConn) ServeRequest() (request *http.Request, body string) {
+	c.t.Helper()
+	request, body = c.ParseRequest()
+	c.WriteDone(request.Header.Get("X-Correlation-Id"))
+	return request, body
+}
+
+// ReadRest reads what comes until the far end closes the connection. Tests see by it what was sent of a request.
+func (c *AcceptedConn) ReadRest() (string, error) {
+	rest, err := io.ReadAll(c.Reader)
+	return string(rest), err
+}
+
+// Close closes the connection in order, as a worker does with idle ones.
+func (c *AcceptedConn) Close() { c.Conn.Close() }
+
+// Reset breaks the connection by a reset, as a crashed worker's kernel does.
+func (c *AcceptedConn) Reset() {
+	c.Conn.(*net.TCPConn).SetLinger(0)
+	c.Conn.Close()
+}
+
 // volatileFields matches the header fields whose values change from run to run.
 var volatileFields = regexp.MustCompile(`(Retry-After|X-Time-Left-Ms): [0-9.]+`)
 
-// MaskVolatile replaces the values of header fields that change from run to run.
+// MaskVolatile replaces the values of header fields that change from run to run, so that tests can compare a message
+// with a golden file.
 func MaskVolatile(text string) string { return volatileFields.ReplaceAllString(text, "$1: MASKED") }
--- a/internal/testkit/rig.go
+++ b/internal/testkit/rig.go
@@ -22,7 +22,14 @@
 	defaultDescriptors = 900 // of a rig's engine
 )
 
-// Rig is a dispatcher with its transport engine, on an event loop of its own.
+// Classes of a rig, by their indexes in its settings.
+const (
+	StatusCheck = iota // idempotent: tests expect retries and hedges of it
+	Renewal            // non-idempotent: tests expect that it never runs twice
+)
+
+// Rig is a dispatcher with its transport engine, on an event loop of its own. Tests add to it what they are about: a
+// front end, a worker client or a registry.
 type Rig struct {
 	Dispatcher *dispatch.Dispatcher
 	Engine     *transport.Engine
@@ -85,7 +92,7 @@
 	}
 }
 
-// Do runs f on the event loop and waits for its end.
+// Do runs f on the event loop and waits for its end. Tests use it for all that belongs to the loop's goroutine.
 func (r *Rig) Do(f func()) {
 	done := make(chan struct{})
 	r.Dispatcher.Loop.Post(func() {
@@ -95,7 +102,8 @@
 	<-done
 }
 
-// BlockLoop blocks the event loop until release is called.
+// BlockLoop blocks the event loop until release is called, which must be once. Tests use it to force events into one
+// turn of the loop.
 func (r *Rig) BlockLoop() (release func()) {
 	blocked := make(chan struct{})
 	released := make(chan struct{})
@@ -107,7 +115,22 @@
 	return func() { close(released) }
 }
 
-// Write writes a text to a connection and waits until the rig's poller has read some of it.
+// Accept hands a request to the dispatcher, and returns once it has been handled; the response comes from the channel.
+func (r *Rig) Accept(request dispatch.Request) Responses {
+	responses := make(Responses, 1)
+	r.Do(func() { r.Dispatcher.Accept(responses, 0, request) })
+	return responses
+}
+
+// PostRequest is Accept without waiting for the event loop, which may be blocked.
+func (r *Rig) PostRequest(request dispatch.Request) Responses {
+	responses := make(Responses, 1)
+	r.Dispatcher.Loop.Post(func() { r.Dispatcher.Accept(responses, 0, request) })
+	return responses
+}
+
+// Write writes a text to a connection and waits until the rig's poller has read some of it. Tests use it while the
+// event loop is blocked, so that the text is there once it goes on.
 func (r *Rig) Write(t *testing.T, conn net.Conn, text string) {
 	t.Helper()
 	inUse := r.Engine.Pool.BytesInUse()
@@ -118,7 +141,7 @@
 }
 
 // WithSubscription returns another rig, on the loop and the engine of r, whose dispatcher is one of a number of peers
-// and polls for its endpoint list.
+// and polls for its endpoint list, for tests of discovery.
 func (r *Rig) WithSubscription(t *testing.T, peers int, pollInterval time.Duration) *Rig {
 	t.Helper()
 	settings := r.Dispatcher.Settings
@@ -132,7 +155,8 @@
 	return &Rig{Dispatcher: dispatcher, Engine: r.Engine}
 }
 
-// FillDescriptors opens connections to an address until no descriptor is left for them, and returns their number.
+// FillDescriptors opens connections to an address until no descriptor is left for them, and returns their number. Tests
+// use it to see what still works then.
 func (r *Rig) FillDescriptors(t *testing.T, addr string) (opened int) {
 	t.Helper()
 	for {
@@ -147,7 +171,7 @@
 	}
 }
 
-// LimitDescriptors gives the rig a new engine, which keeps to a number of descriptors.
+// LimitDescriptors gives the rig a new engine, which keeps to a number of descriptors, for tests of their shortage.
 func (r *Rig) LimitDescriptors(t testing.TB, descriptors int) {
 	t.Helper()
 	engine, err := transport.NewEngine(r.Dispatcher.Loop, descriptors)
@@ -158,7 +182,7 @@
 	r.Engine = engine
 }
 
-// Until waits until a condition holds, which what describes.
+// Until waits until a condition holds, which what describes, and fails the test if that takes longer than Patience.
 func Until(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	end := time.Now().Add(Patience)
@@ -170,7 +194,7 @@
 	}
 }
 
-// Receive returns what comes from a channel.
+// Receive returns what comes from a channel, and fails the test if nothing comes within Patience.
 func Receive[T any](t *testing.T, c chan T) (value T) {
 	t.Helper()
 	select {
--- a/internal/testkit/scriptedworker.go
+++ b/internal/testkit/scriptedworker.go
@@ -14,8 +14,9 @@
 // splitSteps is the number of places at which a response can be split.
 const splitSteps = 256
 
-// ScriptedWorker is a worker that responds to its n-th request with its n-th script, whatever the request. Its methods
-// may be called from any goroutine.
+// ScriptedWorker is a worker that responds to its n-th request with its n-th script, whatever the request, for tests in
+// which the order of events does not matter; where it does, they play the worker by a Listener. Its methods may be
+// called from any goroutine.
 type ScriptedWorker struct {
 	listener net.Listener
 
@@ -52,21 +53,23 @@
 	w.scripts = scripts
 }
 
-// SplitResponses makes the worker write each response in two parts, of which the first has split/256 of the bytes.
+// SplitResponses makes the worker write each response in two parts, of which the first has split/256 of the bytes, so
+// that tests can cut a response anywhere.
 func (w *ScriptedWorker) SplitResponses(split int) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.split = split
 }
 
-// Arrivals returns how many requests with a correlation ID have come.
+// Arrivals returns how many requests with a correlation ID have come. Tests check by it that none is sent twice.
 func (w *ScriptedWorker) Arrivals(id string) int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.arrivals[id]
 }
 
-// ConnectionsAccepted returns how many connections have been accepted since the latest HangUp.
+// ConnectionsAccepted returns how many connections have been accepted since the latest HangUp. Tests check by it whether
+// a connection was reused.
 func (w *ScriptedWorker) ConnectionsAccepted() int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -130,7 +133,7 @@
 	if len(w.scripts) == 0 {
 		return "", 0, false
 	}
-	response = strings.ReplaceAll(w.scripts[0], "IDENTITY", id)
+	response = WithID(w.scripts[0], id)
 	w.scripts = w.scripts[1:]
 	return response, w.split * len(response) / splitSteps, true
 }
--- a/internal/testkit/stubs.go
+++ b/internal/testkit/stubs.go
@@ -16,8 +16,8 @@
 	_ dispatch.FrontEnd     = RespondFunc(nil)
 )
 
-// EchoWorkerClient is a worker client whose attempts end at once, as the first word of the request's body says: done,
-// failed or returned. One that says hold does not end.
+// EchoWorkerClient is a worker client for tests of a front end. Its attempts end at once, as the first word of the
+// request's body says: done, failed or returned. One that says hold does not end.
 type EchoWorkerClient struct{ Dispatcher *dispatch.Dispatcher }
 
 // Start reports the attempt's outcome, with the request's body behind "made " as the result.
@@ -45,7 +45,8 @@
 // Subscribe does nothing: the test gives the endpoint list.
 func (EchoWorkerClient) Subscribe() {}
 
-// HoldingWorkerClient is a worker client whose attempts end when the test reports it.
+// HoldingWorkerClient is a worker client whose attempts end when the test reports it, for tests in which something
+// happens while a response is pending.
 type HoldingWorkerClient struct {
 	EchoWorkerClient
 	Started chan dispatch.Attempt // gets each attempt; it must have room for all
@@ -54,7 +55,8 @@
 // Start passes the attempt to the test.
 func (h HoldingWorkerClient) Start(attempt dispatch.Attempt) { h.Started <- attempt }
 
-// Responses is a front end that collects its responses. It must have room for all.
+// Responses is a front end that collects its responses, for tests that call the dispatcher without HTTP. It must have
+// room for all.
 type Responses chan dispatch.Response
 
 // Respond adds a response with a copy of its body.
@@ -63,7 +65,7 @@
 	r <- response
 }
 
-// RespondFunc is a front end that calls a function with each response, on the event loop.
+// RespondFunc is a front end that calls a function with each response, for tests that act on the event loop right then.
 type RespondFunc func(dispatch.Response)
 
 // Respond calls the function.
--- a/internal/workerclient/client_test.go
+++ b/internal/workerclient/client_test.go
@@ -2,228 +2,172 @@
 
 import (
 	"bufio"
-	"bytes"
 	"fmt"
 	"io"
-	"net"
-	"net/http"
-	"slices"
 	"strings"
 	"testing"
 	"time"
 
-	"hollyyoke.example/hollyyoke/internal/discovery"
 	"hollyyoke.example/hollyyoke/internal/dispatch"
 	"hollyyoke.example/hollyyoke/internal/testkit"
+	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-// newWorkerClient returns a worker client with a registry that follows discovery at addr.
-func newWorkerClient(rig *testkit.Rig, addr string) *Client {
-	return New(rig.Dispatcher, rig.Engine, discovery.New(rig.Dispatcher, rig.Engine, addr))
-}
-
 // FuzzWorkerResponses checks a worker connection against a model: whatever the worker responds, and wherever the bytes
 // are split, the request ends as the protocol's table says, and it arrives at most once, also where the connection
-// reused from the request before has just been closed.
+// reused from the request before has just been closed. Two bytes are a step: the response, with closeBefore if the
+// worker closes its connections first, and where to split the response.
 func FuzzWorkerResponses(f *testing.F) {
+	const (
+		closeBefore = 64
+		maxSteps    = 10
+	)
 	f.Add([]byte{0, 0, 0, 1, 0, 255, 1, 33, 2, 90})
 	f.Add([]byte{0, 0, 64, 0, 64, 0, 64, 255})
 	for i := range testkit.WorkerResponses {
 		f.Add([]byte{0, 0, byte(i), 101, 0, 3, byte(i), 254, 0, 0})
 	}
-	rig, worker := testkit.NewRig(f), testkit.NewScriptedWorker(f)
+	rig := testkit.NewRig(f)
+	worker := testkit.NewScriptedWorker(f)
 	rig.Do(func() {
-		client := newWorkerClient(rig, "")
-		client.reuseDelay = 0 // a connection is used again at once
-		endpointList := fmt.Sprintf(`{"hosts":[{"host":"s","dial":%q,"site":"here","health":"ready"}]}`, worker.Addr())
-		if err := client.registry.LoadInitial([]byte(endpointList)); err != nil {
-			f.Error(err)
-		}
+		client := newWorkerClient(f, rig, listedWorker{Name: soleWorker, Address: worker.Addr(), Zone: "here", Health: "ready"})
+		client.reuseDelay = reuseAtOnce
 	})
 	number := 0
 	f.Fuzz(func(t *testing.T, steps []byte) {
-		for i := 0; i+1 < len(steps) && i < 20; i += 2 {
-			response := testkit.WorkerResponses[int(steps[i])%64%len(testkit.WorkerResponses)]
-			closed := steps[i]&64 != 0
+		for i := 0; i+1 < len(steps) && i < 2*maxSteps; i += 2 {
+			number++
+			response := testkit.WorkerResponses[int(steps[i])%closeBefore%len(testkit.WorkerResponses)]
+			closed := steps[i]&closeBefore != 0
 			if closed {
 				worker.HangUp()
 			}
-			number++
-			id := fmt.Sprintf("id%06d", number) // as long as what it replaces
 			worker.SetScripts(response.Script)
 			worker.SplitResponses(int(steps[i+1]))
-			responses := make(testkit.Responses, 2)
-			rig.Do(func() {
-				rig.Dispatcher.Accept(responses, 0, dispatch.Request{ID: id, Class: 1, Target: "/renewal/k", Body: []byte("b"), Work: 1e6})
-			})
-			var got dispatch.Response
-			select {
-			case got = <-responses:
-			case <-time.After(testkit.Patience):
-				t.Fatalf("no response to %q", response.Script)
-			}
-			arrivals := worker.Arrivals(id)
-			// A reused connection that has just been closed may cost the request, but never cause a second run.
-			if got.Outcome != response.Want && !(closed && got.Outcome == dispatch.Failed && arrivals <= 1) || arrivals > 1 {
-				t.Fatalf("%q: %v, want %v; arrived %d times", response.Script, got.Outcome, response.Want, arrivals)
-			}
-			if got.Outcome == dispatch.Served && string(got.Body) != "made" {
-				t.Fatalf("%q: result %q", response.Script, got.Body)
-			}
+			checkWorkerResponse(t, rig, worker, response, closed, fmt.Sprintf("id%06d", number)) // as long as what it replaces
 		}
 	})
 }
 
-// A connection that breaks under a request does not cost the request, even if it is not idempotent: its last byte is
-// held back until the connection has shown that it is open. A worker that responds before that byte never gets it.
-func TestLastByteIsHeldBack(t *testing.T) {
-	rig := testkit.NewRig(t)
-	ln, acceptConnection := listenAsWorker(t)
-	var client *Client
-	rig.Do(func() {
-		client = newSoleWorkerClient(t, rig, ln, 0)   // a connection is used again at once
-		client.lastByteDelay = 400 * time.Millisecond // this end must act within it, however busy the machine is
-	})
-	serveRequest := func(conn net.Conn, in *bufio.Reader) {
-		req, err := http.ReadRequest(in)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if body, err := io.ReadAll(req.Body); string(body) != "body" {
-			t.Fatalf("%q, %v", body, err)
-		}
-		io.WriteString(conn, strings.ReplaceAll(testkit.ChunkedResponse(testkit.DoneLine), "IDENTITY", req.Header.Get("X-Correlation-Id")))
-	}
-	first := acceptRequest(rig, 1, "id000001")
-	conn, in := acceptConnection()
-	serveRequest(conn, in)
-	if a := <-first; a.Outcome != dispatch.Served {
-		t.Fatalf("the first request: %v", a.Outcome)
-	}
-	conn.Close() // unexpectedly: from now on, last bytes are held back
-	for holding, end := false, time.Now().Add(testkit.Patience); !holding; time.Sleep(time.Millisecond) {
-		if rig.Do(func() { holding = client.holdLastByteUntil > 0 }); time.Now().After(end) {
-			t.Fatal("the unexpected close of a connection goes unnoticed")
-		}
-	}
-	again := acceptRequest(rig, 1, "id000012")
-	conn, in = acceptConnection()
-	serveRequest(conn, in)
-	if a := <-again; a.Outcome != dispatch.Served {
-		t.Fatalf("the request after the close: %v", a.Outcome)
-	}
-	second := acceptRequest(rig, 1, "id000002")
-	if _, err := in.ReadByte(); err != nil { // on the reused connection
-		t.Fatal(err)
-	}
-	conn.(*net.TCPConn).SetLinger(0)
-	conn.Close()
-	conn, in = acceptConnection()
-	serveRequest(conn, in)
-	if a := <-second; a.Outcome != dispatch.Served {
-		t.Errorf("after a reset on its first byte: %v", a.Outcome)
-	}
-	third := acceptRequest(rig, 1, "id000003")
-	if _, err := in.Peek(1); err != nil {
-		t.Fatal(err)
+// checkWorkerResponse sends a request to a worker, which gives a response. closed reports whether the worker has just
+// closed its connections.
+func checkWorkerResponse(
+	t *testing.T, rig *testkit.Rig, worker *testkit.ScriptedWorker, response testkit.WorkerResponse, closed bool, id string,
+) {
+	t.Helper()
+	request := newRequest(rig, testkit.Renewal, id)
+	request.Body = []byte("b")
+	responses := rig.Accept(request)
+	var got dispatch.Response
+	select {
+	case got = <-responses:
+	case <-time.After(testkit.Patience):
+		t.Fatalf("no response to %q", response.Script)
 	}
-	io.WriteString(conn, "HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")
-	if a := <-third; a.Outcome != dispatch.Rejected {
-		t.Errorf("rejected before the last byte: %v", a.Outcome)
+	arrivals := worker.Arrivals(id)
+	// A reused connection that has just been closed may cost the request, but never cause a second run.
+	lostWithConnection := closed && got.Outcome == dispatch.Failed && arrivals <= 1
+	if got.Outcome != response.Want && !lostWithConnection || arrivals > 1 {
+		t.Fatalf("%q: %v, want %v; arrived %d times", response.Script, got.Outcome, response.Want, arrivals)
 	}
-	text, err := io.ReadAll(in)
-	if err != nil || !bytes.HasSuffix(text, []byte("\r\n\r\nbod")) {
-		t.Errorf("the request's bytes are %q, %v", text, err)
+	if got.Outcome == dispatch.Served && string(got.Body) != "made" {
+		t.Fatalf("%q: result %q", response.Script, got.Body)
 	}
 }
 
-// A health check that gets no response times out, also on a new connection. One that gets a response leaves its
-// connection to an attempt.
-func TestHealthChecks(t *testing.T) {
-	rig, worker := testkit.NewRig(t), testkit.NewScriptedWorker(t)
-	silent, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer silent.Close()
-	var client *Client
-	rig.Do(func() {
-		client = newWorkerClient(rig, "")
-		client.reuseDelay = 0 // a connection is used again at once
-		endpointList := `{"hosts":[{"host":"s","dial":%q,"health":"ready"},{"host":"silent","dial":%q,"health":"draining"}]}`
-		if err := client.registry.LoadInitial(fmt.Appendf(nil, endpointList, worker.Addr(), silent.Addr())); err != nil {
-			t.Error(err)
+// The worker gets a client's idempotency key unchanged.
+func TestIdempotencyKeyIsPassedOn(t *testing.T) {
+	rig := testkit.NewRig(t)
+	worker := testkit.Listen(t)
+	startSoleWorkerClient(t, rig, worker.Addr(), defaultReuseDelay)
+	clientConn, clientReader := testkit.Connect(t, startFrontEnd(t, rig, 20), "")
+	var workerConn *testkit.AcceptedConn
+	for i, key := range []string{"5c0f6e1a2b3d4c59a8b7c6d5e4f30211", "", `"quoted", and more`} {
+		io.WriteString(clientConn, requestWithKey(fmt.Sprintf("key%05d", i), key))
+		if workerConn == nil {
+			workerConn = worker.Accept()
 		}
-		client.CheckHealth("silent")
-		client.CheckHealth("unlisted")
-	})
-	conn, err := silent.Accept()
-	if err != nil {
-		t.Fatal(err)
+		request, _ := workerConn.ServeRequest()
+		got, sent := request.Header["Idempotency-Key"]
+		if sent != (key != "") || sent && got[0] != key {
+			t.Errorf("%q was passed on as %q", key, got)
+		}
+		checkStatus(t, clientReader, 200)
 	}
-	conn.SetDeadline(time.Now().Add(testkit.Patience))
-	if text, err := io.ReadAll(conn); err != nil || !bytes.HasPrefix(text, []byte("GET /load HTTP/1.1\r\n")) {
-		t.Errorf("the health check is %q, %v", text, err)
+}
+
+// requestWithKey returns a client's request with an idempotency key, unless that is empty.
+func requestWithKey(id, key string) string {
+	field := ""
+	if key != "" {
+		field = "idempotency-key: " + key + "\r\n"
 	}
-	worker.SetScripts(testkit.LoadResponse, testkit.ChunkedResponse(testkit.DoneLine))
-	rig.Do(func() { client.CheckHealth("s") })
-	for end := time.Now().Add(testkit.Patience); ; time.Sleep(time.Millisecond) {
-		idle := 0
-		rig.Do(func() { idle = len(client.idle[client.registry.Worker("s")]) })
-		if idle == 1 {
-			break
-		}
-		if time.Now().After(end) {
-			t.Fatal("the health check's connection does not become idle")
-		}
+	return "POST /status-check/k HTTP/1.1\r\nX-Correlation-Id: " + id + "\r\n" + field + "Content-Length: 4\r\n\r\nbody"
+}
+
+// checkStatus reads a response of the front end and checks its status code.
+func checkStatus(t *testing.T, reader *bufio.Reader, want int) {
+	t.Helper()
+	got := testkit.ReadStatus(reader)
+	if got != want {
+		t.Errorf("the status is %d, want %d", got, want)
 	}
-	got := make(testkit.Responses, 1)
-	rig.Do(func() {
-		rig.Dispatcher.Accept(got, 0, dispatch.Request{ID: "id000001", Class: 1, Target: "/renewal/k", Work: 1e6})
-	})
-	select {
-	case a := <-got:
-		if a.Outcome != dispatch.Served {
-			t.Errorf("after the health check: %v", a.Outcome)
+}
+
+// A response that never ends is cut: behind its last object the connection has a second, and carries no other request.
+// An object that never ends is no response.
+func TestEndlessResponses(t *testing.T) {
+	rig := testkit.NewRig(t)
+	worker := testkit.Listen(t)
+	startSoleWorkerClient(t, rig, worker.Addr(), reuseAtOnce)
+	endlessTrail := strings.TrimSuffix(testkit.ChunkedResponse(testkit.DoneLine), "0\r\n\r\n")
+	for i, test := range []struct {
+		name   string
+		start  string
+		repeat string // without end
+		want   dispatch.Outcome
+	}{
+		{"lines behind the result", endlessTrail, testkit.Chunk("more\n"), dispatch.Served},
+		{"a line", testkit.WatchHead, testkit.Chunk(strings.Repeat("x", 1000)), dispatch.Failed},
+		{"empty lines", testkit.WatchHead, testkit.Chunk("\n"), dispatch.Failed},
+		{"a head", testkit.StatusLineOK, "X-More: more\r\n", dispatch.Failed},
+	} {
+		id := fmt.Sprintf("id%06d", i)
+		request := newRequest(rig, testkit.Renewal, id)
+		request.TimeLeft = 3 * time.Second
+		responses := rig.Accept(request)
+		conn := worker.Accept()
+		conn.ParseRequest()
+		conn.Write(testkit.WithID(test.start, id))
+		cut := writeEndlessly(conn, test.repeat)
+		checkOutcome(t, test.name, responses, test.want)
+		if test.want == dispatch.Served {
+			other := post(rig, testkit.Renewal, "id000099")
+			otherConn := worker.Accept()
+			otherConn.ServeRequest()
+			checkOutcome(t, "beside an endless response", other, dispatch.Served)
+			otherConn.Close()
+		}
+		testkit.Receive(t, cut)
+		if buffered := rig.Engine.Pool.BytesInUse(); buffered > 8*transport.BufferSize {
+			t.Errorf("%s: %d bytes are buffered", test.name, buffered)
 		}
-	case <-time.After(testkit.Patience):
-		t.Fatal("no response")
-	}
-	if n := worker.ConnectionsAccepted(); n != 1 {
-		t.Errorf("%d connections", n)
 	}
 }
 
-// A worker holds a limited number of idle connections for all dispatchers together: the more dispatchers there are, the
-// fewer each keeps.
-func TestIdleConnectionsScaleWithDispatchers(t *testing.T) {
-	for _, test := range []struct{ peers, maxIdle int }{{fleetIdleConnections / 3, 3}, {48 * fleetIdleConnections, 1}} {
-		rig, worker := testkit.NewRig(t), testkit.NewScriptedWorker(t)
-		rig.Dispatcher.Settings.Peers = test.peers
-		worker.SetScripts(slices.Repeat([]string{testkit.LoadResponse}, 5)...)
-		var client *Client
-		rig.Do(func() {
-			client = newWorkerClient(rig, "")
-			if err := client.registry.LoadInitial(fmt.Appendf(nil, `{"hosts":[{"host":"s","dial":%q,"health":"ready"}]}`, worker.Addr())); err != nil {
-				t.Error(err)
-			}
-			for range 5 {
-				client.CheckHealth("s")
-			}
-		})
-		for end := time.Now().Add(testkit.Patience); ; time.Sleep(time.Millisecond) {
-			idle, open := 0, 0
-			rig.Do(func() { idle, open = len(client.idle[client.registry.Worker("s")]), rig.Engine.OpenConnections() })
-			accepted := worker.ConnectionsAccepted()
-			if idle > test.maxIdle {
-				t.Fatalf("%d dispatchers: %d connections are idle, at most %d may be", test.peers, idle, test.maxIdle)
-			}
-			if accepted == 5 && idle == test.maxIdle && open == test.maxIdle {
-				break
-			}
-			if time.Now().After(end) {
-				t.Fatalf("%d dispatchers: %d connections accepted, %d idle, %d open", test.peers, accepted, idle, open)
+// writeEndlessly writes a text again and again. The channel gets the number of bytes once the connection has ended.
+func writeEndlessly(conn *testkit.AcceptedConn, text string) (cut chan int) {
+	cut = make(chan int, 1)
+	go func() {
+		total := 0
+		for {
+			written, err := io.WriteString(conn.Conn, text)
+			total += written
+			if err != nil {
+				cut <- total
+				return
 			}
 		}
-	}
+	}()
+	return cut
 }
--- a/internal/workerclient/dial_test.go
+++ b/internal/workerclient/dial_test.go
@@ -1,13 +1,11 @@
 package workerclient
 
 import (
-	"fmt"
 	"slices"
 	"testing"
 	"time"
 
 	"hollyyoke.example/hollyyoke/internal/dispatch"
-	"hollyyoke.example/hollyyoke/internal/httpfront"
 	"hollyyoke.example/hollyyoke/internal/testkit"
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
@@ -15,38 +13,31 @@
 // An attempt for which no descriptor is free, since there are idle connections to another worker, is sent once those
 // are closed: a shortage of this process says nothing of the worker, and must not end the attempt.
 func TestAttemptWaitsForADescriptor(t *testing.T) {
-	const descriptors = 64
+	const (
+		descriptors    = 64
+		ownDescriptors = 24 // of them that neither clients nor workers get
+	)
+	maxDials := descriptors - ownDescriptors - transport.AcceptedShare(descriptors)
 	rig := testkit.NewRig(t).WithSubscription(t, 1, 10*time.Second)
 	rig.LimitDescriptors(t, descriptors)
-	rig.Do(func() {
-		front := httpfront.New(rig.Dispatcher, rig.Engine, 64<<20, func() bool { return true })
-		if _, err := front.Listen("127.0.0.1:0", transport.AcceptedShare(descriptors)); err != nil {
-			t.Error(err)
-		}
-	})
-	other, own := testkit.NewScriptedWorker(t), testkit.NewScriptedWorker(t)
-	maxDials := descriptors - 24 - transport.AcceptedShare(descriptors) // for connections that we open
-	other.SetScripts(slices.Repeat([]string{testkit.LoadResponse}, maxDials)...)
-	own.SetScripts(testkit.ChunkedResponse(testkit.DoneLine))
+	startFrontEnd(t, rig, transport.AcceptedShare(descriptors))
+	otherWorker := testkit.NewScriptedWorker(t)
+	otherWorker.SetScripts(slices.Repeat([]string{testkit.LoadResponse}, maxDials)...)
+	worker := testkit.NewScriptedWorker(t)
+	worker.SetScripts(testkit.ChunkedResponse(testkit.DoneLine))
 	var client *Client
 	rig.Do(func() {
-		client = newWorkerClient(rig, "")
-		if err := client.registry.LoadInitial(fmt.Appendf(nil, `{"hosts":[{"host":"other","dial":%q,"health":"draining"},{"host":"own","dial":%q,"health":"ready"}]}`,
-			other.Addr(), own.Addr())); err != nil {
-			t.Error(err)
-		}
+		client = newWorkerClient(t, rig,
+			listedWorker{Name: "other", Address: otherWorker.Addr(), Health: "draining"},
+			listedWorker{Name: "own", Address: worker.Addr(), Health: "ready"},
+		)
 		for range maxDials {
 			client.CheckHealth("other")
 		}
 	})
-	testkit.Until(t, "all connections are idle", func() (full bool) {
-		rig.Do(func() { full = len(client.idle[client.registry.Worker("other")]) == maxDials })
-		return full
-	})
-	if n := rig.FillDescriptors(t, own.Addr()); n != 0 {
-		t.Fatalf("%d descriptors were free", n)
-	}
-	if v := awaitOutcome(t, acceptRequest(rig, 1, "id000001")); v != dispatch.Served {
-		t.Errorf("the request ended as %v", v)
+	testkit.Until(t, "all connections are idle", func() bool { return idleConnections(rig, client, "other") == maxDials })
+	if free := rig.FillDescriptors(t, worker.Addr()); free != 0 {
+		t.Fatalf("%d descriptors were free", free)
 	}
+	checkOutcome(t, "the request", post(rig, testkit.Renewal, "id000001"), dispatch.Served)
 }
--- a/internal/workerclient/golden_test.go
+++ b/internal/workerclient/golden_test.go
@@ -2,10 +2,8 @@
 
 import (
 	"fmt"
-	"io"
 	"strings"
 	"testing"
-	"time"
 
 	"hollyyoke.example/hollyyoke/internal/dispatch"
 	"hollyyoke.example/hollyyoke/internal/goldentest"
@@ -14,39 +12,33 @@
 
 // The requests that a worker gets: attempts with and without a target, with an idempotency key, and a health check.
 func TestGoldenRequests(t *testing.T) {
+	const doneAndClose = testkit.StatusLineOK + "Connection: close\r\n\r\n" + testkit.DoneText
 	rig := testkit.NewRig(t)
-	addr, accept := testkit.ListenOnLoopback(t)
+	worker := testkit.Listen(t)
 	var client *Client
 	rig.Do(func() {
-		client = newWorkerClient(rig, "")
-		if err := client.registry.LoadInitial(fmt.Appendf(nil, `{"hosts":[{"host":"s","dial":%q,"site":"here","health":"ready"}]}`, addr)); err != nil {
-			t.Error(err)
-		}
+		client = newWorkerClient(t, rig, listedWorker{Name: soleWorker, Address: worker.Addr(), Zone: "here", Health: "ready"})
 	})
 	var text strings.Builder
 	for i, request := range []dispatch.Request{
-		{Class: 1, Target: "/renewal/a/k?q=1", Key: "k", Body: []byte("body\r\n")},
-		{Class: 0, Target: "/status-check", IdempotencyKey: "key-1"},
-		{Class: 1, Key: "a b/ü%", Body: []byte("{}")},
-		{Class: 0},
+		{Class: testkit.Renewal, Target: "/renewal/a/k?q=1", Key: "k", Body: []byte("body\r\n")},
+		{Class: testkit.StatusCheck, Target: "/status-check", IdempotencyKey: "key-1"},
+		{Class: testkit.Renewal, Key: "a b/ü%", Body: []byte("{}")},
+		{Class: testkit.StatusCheck},
 	} {
-		request.ID, request.Work = fmt.Sprintf("id%06d", i), 1e6
-		got := make(testkit.Responses, 1)
-		rig.Do(func() { rig.Dispatcher.Accept(got, 0, request) })
-		conn := accept()
+		request.ID = fmt.Sprintf("id%06d", i)
+		request.Work = testWork
+		responses := rig.Accept(request)
+		conn := worker.Accept()
 		text.WriteString(conn.ReadRequest(len(request.Body)) + "\n---\n")
-		io.WriteString(conn.Conn, strings.ReplaceAll(testkit.StatusLineOK+"Connection: close\r\n\r\n"+testkit.DoneText, "IDENTITY", request.ID))
-		conn.Conn.Close()
-		select {
-		case a := <-got:
-			if a.Outcome != dispatch.Served || string(a.Body) != "made" {
-				t.Errorf("request %d: %v %q", i, a.Outcome, a.Body)
-			}
-		case <-time.After(testkit.Patience):
-			t.Fatal("no response")
+		conn.Write(testkit.WithID(doneAndClose, request.ID))
+		conn.Close()
+		response := testkit.Receive(t, responses)
+		if response.Outcome != dispatch.Served || string(response.Body) != "made" {
+			t.Errorf("request %d: %v %q", i, response.Outcome, response.Body)
 		}
 	}
-	rig.Do(func() { client.CheckHealth("s") })
-	text.WriteString(accept().ReadRequest(0))
+	rig.Do(func() { client.CheckHealth(soleWorker) })
+	text.WriteString(worker.Accept().ReadRequest(0))
 	goldentest.CompareHTTP(t, "toworkers.golden", text.String())
 }
--- /dev/null
+++ b/internal/workerclient/helpers_test.go
@@ -0,0 +1,140 @@
+package workerclient
+
+import (
+	"encoding/json"
+	"testing"
+	"time"
+
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/discovery"
+	"hollyyoke.example/hollyyoke/internal/dispatch"
+	"hollyyoke.example/hollyyoke/internal/httpfront"
+	"hollyyoke.example/hollyyoke/internal/testkit"
+)
+
+const (
+	// soleWorker is the name under which tests with one worker list it.
+	soleWorker = "s"
+
+	// testWork is the work that test requests state.
+	testWork = time.Millisecond
+
+	// reuseAtOnce is the reuse delay of tests in which a connection is used again at once.
+	reuseAtOnce = time.Duration(0)
+)
+
+// listedWorker is a worker as an endpoint list names it.
+type listedWorker struct {
+	Name    string `json:"host"`
+	Address string `json:"dial"`
+	Zone    string `json:"site,omitempty"`
+	Health  string `json:"health"`
+}
+
+// newWorkerClient returns a worker client whose registry lists some workers. It must be called on the event loop.
+func newWorkerClient(t testing.TB, rig *testkit.Rig, workers ...listedWorker) *Client {
+	t.Helper()
+	client := New(rig.Dispatcher, rig.Engine, discovery.New(rig.Dispatcher, rig.Engine, ""))
+	list, err := json.Marshal(map[string][]listedWorker{"hosts": workers})
+	if err != nil {
+		t.Error(err)
+	}
+	if err := client.registry.LoadInitial(list); err != nil {
+		t.Error(err)
+	}
+	return client
+}
+
+// startSoleWorkerClient returns a worker client that knows one worker, to which it sends unsafe requests on connections
+// that have been idle for the reuse delay.
+func startSoleWorkerClient(t testing.TB, rig *testkit.Rig, address string, reuseDelay time.Duration) (client *Client) {
+	t.Helper()
+	rig.Do(func() {
+		client = newWorkerClient(t, rig, listedWorker{Name: soleWorker, Address: address, Health: "ready"})
+		client.reuseDelay = reuseDelay
+	})
+	return client
+}
+
+// startFrontEnd starts an HTTP front end for up to maxConnections connections and returns its address.
+func startFrontEnd(t *testing.T, rig *testkit.Rig, maxConnections int) (addr string) {
+	t.Helper()
+	const memoryLimit = 64 << 20
+	alwaysReady := func() bool { return true }
+	rig.Do(func() {
+		var err error
+		addr, err = httpfront.New(rig.Dispatcher, rig.Engine, memoryLimit, alwaysReady).Listen("127.0.0.1:0", maxConnections)
+		if err != nil {
+			t.Error(err)
+		}
+	})
+	return addr
+}
+
+// newRequest returns a request of a class of the rig.
+func newRequest(rig *testkit.Rig, class int, id string) dispatch.Request {
+	return dispatch.Request{
+		ID:     id,
+		Class:  class,
+		Target: "/" + rig.Dispatcher.Settings.Classes[class].Name + "/k",
+		Body:   []byte("body"),
+		Work:   testWork,
+	}
+}
+
+// post hands a request of a class to the dispatcher, without waiting for the event loop.
+func post(rig *testkit.Rig, class int, id string) testkit.Responses {
+	return rig.PostRequest(newRequest(rig, class, id))
+}
+
+// checkOutcome waits for a response and checks its outcome. what names the request.
+func checkOutcome(t *testing.T, what string, responses testkit.Responses, want dispatch.Outcome) {
+	t.Helper()
+	got := testkit.Receive(t, responses).Outcome
+	if got != want {
+		t.Errorf("%s: %v, want %v", what, got, want)
+	}
+}
+
+// checkNotServed waits for a response and checks that the request was not served. what names the request.
+func checkNotServed(t *testing.T, what string, responses testkit.Responses) {
+	t.Helper()
+	got := testkit.Receive(t, responses).Outcome
+	if got == dispatch.Served {
+		t.Errorf("%s: %v, want a failure or a rejection", what, got)
+	}
+}
+
+// idleConnections returns how many connections to a worker are idle.
+func idleConnections(rig *testkit.Rig, client *Client, worker string) (count int) {
+	rig.Do(func() { count = len(client.idle[client.registry.Worker(worker)]) })
+	return count
+}
+
+// holdLastBytes makes the client hold the last byte of each request for a time.
+func holdLastBytes(rig *testkit.Rig, client *Client, delay time.Duration) {
+	rig.Do(func() {
+		client.holdLastByteUntil = rig.Dispatcher.Loop.Now() + time.Hour
+		client.lastByteDelay = delay
+	})
+}
+
+// transfer is the index of the class that withDeduplicatedClass adds.
+const transfer = testkit.Renewal + 1
+
+// withDeduplicatedClass adds a class whose workers recognize retries for a window, and sets the connect timeout.
+func withDeduplicatedClass(window, connectTimeout time.Duration) func(*decision.Settings) {
+	return func(settings *decision.Settings) {
+		settings.Classes = append(settings.Classes, decision.Class{
+			Name:             "transfer",
+			PriorityWeight:   4,
+			LateWeight:       1, // worth waiting for to its end
+			LatencyObjective: 8 * time.Second,
+			Deadline:         8 * time.Second,
+			Idempotency:      decision.Deduplicated,
+			DedupWindow:      window,
+		})
+		settings.MaxAttempts = 3
+		settings.ConnectTimeout = connectTimeout
+	}
+}
--- /dev/null
+++ b/internal/workerclient/pool_test.go
@@ -0,0 +1,168 @@
+package workerclient
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"slices"
+	"testing"
+	"time"
+
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/dispatch"
+	"hollyyoke.example/hollyyoke/internal/testkit"
+)
+
+// A worker holds a limited number of idle connections for all dispatchers together: the more dispatchers there are, the
+// fewer each keeps.
+func TestIdleConnectionsScaleWithDispatchers(t *testing.T) {
+	const opened = 5 // connections, one for each of as many health checks
+	for _, test := range []struct{ peers, maxIdle int }{
+		{peers: fleetIdleConnections / 3, maxIdle: 3},
+		{peers: 48 * fleetIdleConnections, maxIdle: 1},
+	} {
+		rig := testkit.NewRig(t)
+		worker := testkit.NewScriptedWorker(t)
+		rig.Dispatcher.Settings.Peers = test.peers
+		worker.SetScripts(slices.Repeat([]string{testkit.LoadResponse}, opened)...)
+		var client *Client
+		rig.Do(func() {
+			client = newWorkerClient(t, rig, listedWorker{Name: soleWorker, Address: worker.Addr(), Health: "ready"})
+			for range opened {
+				client.CheckHealth(soleWorker)
+			}
+		})
+		for end := time.Now().Add(testkit.Patience); ; time.Sleep(time.Millisecond) {
+			idle, open := 0, 0
+			rig.Do(func() {
+				idle = len(client.idle[client.registry.Worker(soleWorker)])
+				open = rig.Engine.OpenConnections()
+			})
+			accepted := worker.ConnectionsAccepted()
+			if idle > test.maxIdle {
+				t.Fatalf("%d dispatchers: %d connections are idle, at most %d may be", test.peers, idle, test.maxIdle)
+			}
+			if accepted == opened && idle == test.maxIdle && open == test.maxIdle {
+				break
+			}
+			if time.Now().After(end) {
+				t.Fatalf("%d dispatchers: %d connections accepted, %d idle, %d open", test.peers, accepted, idle, open)
+			}
+		}
+	}
+}
+
+// What comes on an idle connection is no response to the next request, and its close does not end the next attempt,
+// also where the loop handles both at once.
+func TestIdleConnectionIsNotTakenForAResponse(t *testing.T) {
+	writes := func(text string) func(*testing.T, *testkit.Rig, *testkit.AcceptedConn) {
+		return func(t *testing.T, rig *testkit.Rig, conn *testkit.AcceptedConn) { rig.Write(t, conn.Conn, text) }
+	}
+	for name, interfere := range map[string]func(*testing.T, *testkit.Rig, *testkit.AcceptedConn){
+		"a rejection": writes("HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"),
+		"half a line": writes(`{"id":"id00`),
+		"a response":  writes(testkit.DoneResponse("id000002")),
+		"a close":     func(_ *testing.T, _ *testkit.Rig, conn *testkit.AcceptedConn) { conn.Close() },
+		"a reset":     func(_ *testing.T, _ *testkit.Rig, conn *testkit.AcceptedConn) { conn.Reset() },
+	} {
+		for _, requestFirst := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s, the loop knows: %v", name, !requestFirst), func(t *testing.T) {
+				rig := testkit.NewRig(t)
+				worker := testkit.Listen(t)
+				startSoleWorkerClient(t, rig, worker.Addr(), reuseAtOnce)
+				first := post(rig, testkit.Renewal, "id000001")
+				conn := worker.Accept()
+				conn.ServeRequest()
+				checkOutcome(t, "the first request", first, dispatch.Served)
+
+				release := rig.BlockLoop()
+				var second testkit.Responses
+				if requestFirst {
+					second = post(rig, testkit.Renewal, "id000002")
+				}
+				interfere(t, rig, conn)
+				if !requestFirst {
+					second = post(rig, testkit.Renewal, "id000002")
+				}
+				release()
+				worker.Accept().ServeRequest()
+				checkOutcome(t, "the next request", second, dispatch.Served)
+			})
+		}
+	}
+}
+
+// A second response that comes late does not name its request where it says that nothing ran. A request that must not
+// run twice is therefore sent on a connection that has been idle for the reuse delay, or on a new one. Others may use
+// the connection at once.
+func TestUnsafeRequestWaitsForReuseDelay(t *testing.T) {
+	rig := testkit.NewRig(t, func(settings *decision.Settings) {
+		settings.Classes = append(settings.Classes, decision.Class{
+			Name:             "transfer",
+			PriorityWeight:   4,
+			LatencyObjective: time.Second,
+			Deadline:         8 * time.Second,
+			Idempotency:      decision.Deduplicated,
+			DedupWindow:      2 * time.Second,
+		})
+	})
+	worker := testkit.Listen(t)
+	client := startSoleWorkerClient(t, rig, worker.Addr(), time.Hour)
+	first := post(rig, testkit.Renewal, "id000001")
+	conn := worker.Accept()
+	conn.ServeRequest()
+	checkOutcome(t, "the first request", first, dispatch.Served)
+	for class, id := range map[int]string{testkit.Renewal: "id000002", transfer: "id000003"} {
+		unsafe := post(rig, class, id)
+		otherConn := worker.Accept()
+		otherConn.ServeRequest()
+		checkOutcome(t, id, unsafe, dispatch.Served)
+		otherConn.Close()
+	}
+	testkit.Until(t, "the others' closes are noticed", func() bool { return idleConnections(rig, client, soleWorker) == 1 })
+
+	safe := post(rig, testkit.StatusCheck, "id000004")
+	conn.ServeRequest()
+	checkOutcome(t, "an idempotent request", safe, dispatch.Served)
+	rig.Do(func() { client.reuseDelay = reuseAtOnce })
+	later := post(rig, testkit.Renewal, "id000005")
+	conn.ServeRequest()
+	checkOutcome(t, "on a connection that has been idle for longer", later, dispatch.Served)
+}
+
+// A connection is not reused after its idle timeout, even if a late event loop has not closed it yet.
+func TestExpiredIdleConnectionIsNotReused(t *testing.T) {
+	rig := testkit.NewRig(t, func(settings *decision.Settings) { settings.ConnectionIdleTimeout = 200 * time.Millisecond })
+	worker := testkit.Listen(t)
+	client := startSoleWorkerClient(t, rig, worker.Addr(), reuseAtOnce)
+	first := make(testkit.Responses, 1)
+	second := make(testkit.Responses, 1)
+	loopBlocked := make(chan struct{})
+	acceptSecondLate := func() { // the first request's connection is idle by now, and its time passes in this turn of the loop
+		idleUntil := client.idle[client.registry.Worker(soleWorker)][0].idle.until
+		close(loopBlocked)
+		for rig.Dispatcher.Loop.Now() <= idleUntil {
+			time.Sleep(time.Millisecond)
+		}
+		rig.Dispatcher.Accept(second, 0, newRequest(rig, testkit.Renewal, "id000002"))
+	}
+	respondToFirst := testkit.RespondFunc(func(response dispatch.Response) {
+		rig.Dispatcher.Loop.Post(acceptSecondLate)
+		first <- response
+	})
+	rig.Do(func() { rig.Dispatcher.Accept(respondToFirst, 0, newRequest(rig, testkit.Renewal, "id000001")) })
+	conn := worker.Accept()
+	conn.ServeRequest()
+	testkit.Receive(t, first)
+	<-loopBlocked
+	closed := make(chan bool, 1)
+	go func() {
+		_, err := conn.Reader.ReadByte()
+		closed <- errors.Is(err, io.EOF)
+	}()
+	worker.Accept().ServeRequest()
+	checkOutcome(t, "the next request", second, dispatch.Served)
+	if !<-closed {
+		t.Error("the connection was reused after its idle timeout")
+	}
+}
--- /dev/null
+++ b/internal/workerclient/stack_test.go
@@ -0,0 +1,110 @@
+package workerclient
+
+import (
+	"fmt"
+	"net"
+	"os"
+	"strconv"
+	"strings"
+	"sync"
+	"testing"
+
+	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/testkit"
+)
+
+// testStack is a dispatcher with an HTTP front end and a worker client, whose clients and workers the test plays.
+type testStack struct {
+	*testkit.Rig
+	t       *testing.T
+	addr    string // of the front end
+	client  *Client
+	workers []*testkit.Listener
+}
+
+// newStack starts a stack with a number of workers. change changes its settings.
+func newStack(t *testing.T, workers int, change func(*decision.Settings)) *testStack {
+	t.Helper()
+	stack := &testStack{Rig: testkit.NewRig(t, change), t: t}
+	var listed []listedWorker
+	for i := range workers {
+		worker := testkit.Listen(t)
+		stack.workers = append(stack.workers, worker)
+		listed = append(listed, listedWorker{Name: fmt.Sprint("s", i), Address: worker.Addr(), Health: "ready"})
+	}
+	stack.Do(func() { stack.client = newWorkerClient(t, stack.Rig, listed...) })
+	stack.addr = startFrontEnd(t, stack.Rig, 50)
+	return stack
+}
+
+// withRetries allows three attempts of a request.
+func withRetries(settings *decision.Settings) { settings.MaxAttempts = 3 }
+
+// blockLoop blocks the event loop until release is called, or until the test ends.
+func (s *testStack) blockLoop() (release func()) {
+	release = sync.OnceFunc(s.BlockLoop())
+	s.t.Cleanup(release)
+	return release
+}
+
+// connectClient connects a client that sends a status check, and a number of bytes behind it.
+func (s *testStack) connectClient(id string, bytesBehind int) net.Conn {
+	s.t.Helper()
+	request := "POST /status-check/k HTTP/1.1\r\nX-Correlation-Id: " + id + "\r\nX-Weight-Hint: 1000\r\nContent-Length: 4\r\n\r\nbody"
+	conn, _ := testkit.Connect(s.t, s.addr, request+strings.Repeat("x", bytesBehind))
+	return conn
+}
+
+// closeClient closes a client's connection and waits until the kernel at the front end's side knows of it.
+func (s *testStack) closeClient(conn net.Conn) {
+	s.t.Helper()
+	clientAddr := conn.LocalAddr().String()
+	conn.Close()
+	testkit.Until(s.t, "the client's close arrives", func() bool { return !isEstablished(s.t, s.addr, clientAddr) })
+}
+
+// awaitCancelled waits until a client's request has been cancelled, and returns how many attempts were sent entirely.
+func (s *testStack) awaitCancelled() (sent uint64) {
+	s.t.Helper()
+	testkit.Until(s.t, "the request is cancelled", func() (cancelled bool) {
+		s.Do(func() {
+			counts := s.Dispatcher.Counts()
+			cancelled = counts.Cancelled == 1
+			sent = counts.Sent
+		})
+		return cancelled
+	})
+	return sent
+}
+
+// isEstablished reports whether the kernel lists the connection between two addresses as open at the local one.
+func isEstablished(t *testing.T, localAddr, remoteAddr string) bool {
+	t.Helper()
+	const (
+		localColumn  = 1
+		remoteColumn = 2
+		stateColumn  = 3
+		established  = "01"
+	)
+	table, err := os.ReadFile("/proc/self/net/tcp")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for line := range strings.Lines(string(table)) {
+		columns := strings.Fields(line)
+		if len(columns) > stateColumn &&
+			strings.HasSuffix(columns[localColumn], hexPort(localAddr)) &&
+			strings.HasSuffix(columns[remoteColumn], hexPort(remoteAddr)) &&
+			columns[stateColumn] == established {
+			return true
+		}
+	}
+	return false
+}
+
+// hexPort returns the end of an address as the kernel lists it.
+func hexPort(addr string) string {
+	_, port, _ := net.SplitHostPort(addr)
+	number, _ := strconv.Atoi(port)
+	return fmt.Sprintf(":%04X", number)
+}
