--- a/internal/httpfront/drain.go
+++ b/internal/httpfront/drain.go
@@ -1,6 +1,10 @@
 package httpfront
 
-import "time"
+import (
+	"time"
+
+	"hollyyoke.example/hollyyoke/internal/eventloop"
+)
 
 // The steps of a drain. The load balancer polls /healthz every 0.1 s and opens new connections here for 0.2 s more.
 // After that, connections end with their next responses, since a close between requests may cross one. Those that go
@@ -12,35 +16,42 @@
 	drainInterval   = 50 * time.Millisecond   // between looks for idle connections
 )
 
+// drainState is how far a drain is.
+type drainState struct {
+	active    bool // the front end is out of service
+	startedAt time.Duration
+	timer     eventloop.Deadline // the next step
+}
+
 // Drain takes the front end out of service: /healthz says so at once, and connections end soon. Requests that come all
 // the same are served. It does nothing if the front end is draining already.
 func (f *FrontEnd) Drain() {
-	if f.draining {
+	if f.drain.active {
 		return
 	}
-	f.draining = true
-	f.drainStartedAt = f.loop().Now()
-	f.loop().Set(&f.drainTimer, f.drainStartedAt+drainNoticeTime)
+	f.drain.active = true
+	f.drain.startedAt = f.loop().Now()
+	f.loop().Set(&f.drain.timer, f.drain.startedAt+drainNoticeTime)
 }
 
 // EndDrain brings the front end back into service at once. It must not be called after HandOver or StopReading.
 func (f *FrontEnd) EndDrain() {
-	f.draining = false
+	f.drain.active = false
 	f.closeAfterResponse = false
-	f.loop().Clear(&f.drainTimer)
+	f.loop().Clear(&f.drain.timer)
 }
 
 // Draining reports whether the front end is out of service.
-func (f *FrontEnd) Draining() bool { return f.draining }
+func (f *FrontEnd) Draining() bool { return f.drain.active }
 
 // continueDrain takes the next step of a drain.
 func (f *FrontEnd) continueDrain() {
 	f.closeAfterResponse = true
 	now := f.loop().Now()
-	if now >= f.drainStartedAt+drainIdleTime {
+	if now >= f.drain.startedAt+drainIdleTime {
 		f.closeBetweenRequests(drainSilentTime)
 	}
-	f.loop().Set(&f.drainTimer, now+drainInterval)
+	f.loop().Set(&f.drain.timer, now+drainInterval)
 }
 
 // closeBetweenRequests closes the connections between requests of which nothing is unread, but for those on which
@@ -71,7 +82,7 @@
 	f.shuttingDown = true
 	f.closeAfterResponse = true
 	f.handedOver = true
-	f.loop().Clear(&f.drainTimer)
+	f.loop().Clear(&f.drain.timer)
 	f.StopAccepting()
 }
 
@@ -85,7 +96,7 @@
 	f.shuttingDown = true
 	f.closeAfterResponse = true
 	f.readingStopped = true
-	f.loop().Clear(&f.drainTimer)
+	f.loop().Clear(&f.drain.timer)
 	f.StopAccepting()
 	f.connections.ForEach(func(_ uint64, c *clientConnection) { c.conn.Pause() })
 	f.loop().Post(func() { // behind all that was read
@@ -95,16 +106,16 @@
 
 // finishReading ends a connection of which nothing more is read, or makes it end with its response.
 func (c *clientConnection) finishReading() {
-	if c.queued && !c.awaitsProxyHeader { // its turn has not come
-		c.queued = false
+	if c.reading.queued && !c.awaitsProxyHeader { // its turn has not come
+		c.reading.queued = false
 		c.read()
 	}
 	switch {
 	case c.closed:
-	case c.responsePending:
+	case c.response.pending:
 		c.closeAfterResponse = true
 		c.conn.Resume() // only to notice the client's close
-	case c.input != nil && !c.awaitsProxyHeader:
+	case !c.input.empty() && !c.awaitsProxyHeader:
 		c.reject(errEnding)
 	default:
 		c.closeGracefully()
--- a/internal/httpfront/eviction.go
+++ b/internal/httpfront/eviction.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"hollyyoke.example/hollyyoke/internal/connlimit"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
 )
 
 const (
@@ -12,11 +13,19 @@
 	memoryShortDivisor = 2                     // memory is short when this part of the limit is in use
 )
 
+// evictionState is what the front end does to find room for new connections.
+type evictionState struct {
+	capacityExhausted bool               // new connections wait, and none could be closed for them
+	provenSpared      bool               // a proven connection was spared until the next look
+	retryTimer        eventloop.Deadline // of evictForCapacity
+	silenceTimer      eventloop.Deadline // of evictSilent
+}
+
 // Evict closes a connection that the gate has chosen, unless a response is pending on it. It implements
 // listener.FrontEnd.
 func (f *FrontEnd) Evict(token uint64) {
 	c := f.connections.Get(token)
-	if c != nil && !c.responsePending && !c.closed {
+	if c != nil && !c.response.pending && !c.closed {
 		c.closeNow()
 	}
 }
@@ -27,7 +36,7 @@
 func (f *FrontEnd) evictSilent() {
 	for f.gate.Limiter.TooManySilent() {
 		if !f.gate.EvictOne(connlimit.ForSilence) {
-			f.loop().Set(&f.silenceTimer, f.loop().Now()+evictionInterval)
+			f.loop().Set(&f.eviction.silenceTimer, f.loop().Now()+evictionInterval)
 			return
 		}
 	}
@@ -40,27 +49,27 @@
 	for evicted := range evictionsPerCall {
 		token, stage, found := f.gate.EvictionCandidate(connlimit.ForUnknown, spareProven)
 		if !found {
-			f.capacityExhausted = evicted == 0 && !spareProven
+			f.eviction.capacityExhausted = evicted == 0 && !spareProven
 			break
 		}
 		if stage == connlimit.Proven && evicted > 0 { // there is capacity already
 			break
 		}
-		if stage == connlimit.Proven && !f.provenSpared { // by the next look, new connections may have become candidates
-			f.provenSpared = true
-			f.loop().Set(&f.evictionTimer, f.loop().Now()+evictionInterval)
+		if stage == connlimit.Proven && !f.eviction.provenSpared { // by the next look, new connections may have become candidates
+			f.eviction.provenSpared = true
+			f.loop().Set(&f.eviction.retryTimer, f.loop().Now()+evictionInterval)
 			return
 		}
 		f.gate.CloseConnection(token) // at once: one that closes gracefully keeps its descriptor for a while
 	}
-	if f.capacityExhausted {
-		f.loop().Set(&f.evictionTimer, f.loop().Now()+evictionInterval)
+	if f.eviction.capacityExhausted {
+		f.loop().Set(&f.eviction.retryTimer, f.loop().Now()+evictionInterval)
 	}
 }
 
 // retryEviction evicts again if no connection has been accepted since the last time.
 func (f *FrontEnd) retryEviction() {
-	if f.capacityExhausted || f.provenSpared {
+	if f.eviction.capacityExhausted || f.eviction.provenSpared {
 		f.evictForCapacity()
 	}
 }
@@ -71,7 +80,7 @@
 		var chosen *clientConnection
 		spare := func(token uint64) bool {
 			connection := f.connections.Get(token)
-			if connection == nil || connection.input == nil || connection.readPosted || connection.token == f.reading {
+			if connection == nil || connection.input.empty() || connection.reading.posted || connection.token == f.turns.reading {
 				return true
 			}
 			chosen = connection
--- a/internal/httpfront/frontend.go
+++ b/internal/httpfront/frontend.go
@@ -8,7 +8,6 @@
 
 import (
 	"net"
-	"time"
 
 	"hollyyoke.example/hollyyoke/internal/connlimit"
 	"hollyyoke.example/hollyyoke/internal/dispatch"
@@ -34,26 +33,15 @@
 	ready       func() bool // whether workers are known
 	memoryLimit int         // bytes that buffers may take up before incomplete requests are rejected
 
-	// fairness between addresses
-	turns      connlimit.RoundRobin // connections whose input waits for their address's turn
-	turnPosted bool                 // takeTurns is in the loop's queue
-	reading    uint64               // token of the connection that is being read
+	turns    turnState
+	drain    drainState
+	eviction evictionState
 
-	// shutdown and drain
+	closeAfterResponse bool // connections end with their next response
 	shuttingDown       bool // a restart has begun: not ready any more
-	draining           bool // out of service
-	drainStartedAt     time.Duration
-	drainTimer         eventloop.Deadline // the drain's next step
-	closeAfterResponse bool               // connections end with their next response
-	readingStopped     bool               // nothing is read from clients any more
-	handedOver         bool               // a successor accepts, so that the service is ready
-	listenerShared     bool               // another process accepts on the same listener
-
-	// eviction
-	capacityExhausted bool // new connections wait, and none could be closed for them
-	provenSpared      bool // a proven connection was spared until the next look
-	evictionTimer     eventloop.Deadline
-	silenceTimer      eventloop.Deadline
+	handedOver         bool // a successor accepts, so that the service is ready
+	readingStopped     bool // nothing is read from clients any more
+	listenerShared     bool // another process accepts on the same listener
 
 	durable        *durable.Service // nil: none, or not there yet
 	durableClasses []bool           // by class; nil: none is durable
@@ -77,9 +65,9 @@
 		memoryLimit: memoryLimit,
 		ready:       ready,
 	}
-	frontEnd.evictionTimer.Fire = frontEnd.retryEviction
-	frontEnd.silenceTimer.Fire = frontEnd.evictSilent
-	frontEnd.drainTimer.Fire = frontEnd.continueDrain
+	frontEnd.eviction.retryTimer.Fire = frontEnd.retryEviction
+	frontEnd.eviction.silenceTimer.Fire = frontEnd.evictSilent
+	frontEnd.drain.timer.Fire = frontEnd.continueDrain
 	for i, class := range dispatcher.Settings.Classes {
 		frontEnd.classes[class.Name] = i
 	}
@@ -118,14 +106,11 @@
 		conn.CloseGracefully()
 		return conn.Handler
 	}
-	connection := &clientConnection{frontEnd: f, conn: conn}
-	connection.timer.Fire = connection.onTimer
-	connection.stallTimer.Fire = connection.checkStall
-	connection.floodTimer.Fire = connection.checkFlood
+	connection := newClientConnection(f, conn)
 	connection.token = f.connections.Insert(connection)
 	connection.limiterID = f.gate.Accepted(frontEndNumber, connection.token, conn.AdmissionToken)
-	f.capacityExhausted = false
-	f.provenSpared = false
+	f.eviction.capacityExhausted = false
+	f.eviction.provenSpared = false
 	if f.gate.Enabled() {
 		connection.peer = conn.Peer()
 		connection.awaitsProxyHeader = f.gate.Limiter.TrustOf(connection.limiterID) == connlimit.TrustedProxy
--- a/internal/httpfront/idempotency.go
+++ b/internal/httpfront/idempotency.go
@@ -41,7 +41,7 @@
 		return
 	}
 	if frontEnd.durable == nil {
-		c.consumeInput(message.Size)
+		c.input.consume(message.Size)
 		frontEnd.dispatcher.CountResponse(request.Class, dispatch.Rejected)
 		response := textResponse(503, "the other process has the store\n")
 		response.retryAfter = durableRetryAfter
@@ -49,10 +49,10 @@
 		return
 	}
 	job := frontEnd.durableJob(request, message.Body, key)
-	c.consumeInput(message.Size)
-	c.durableRequests++
+	c.input.consume(message.Size)
+	c.response.durableNumber++
 	c.beginService()
-	response := durableResponse{connection: c, number: c.durableRequests}
+	response := durableResponse{connection: c, number: c.response.durableNumber}
 	untilResponse := request.ReceivedAt + frontEnd.clientTimeout(request) - durableResponseMargin - frontEnd.loop().Now()
 	frontEnd.loop().After(max(untilResponse, 0), response.notDone)
 	frontEnd.durable.Push(job, 0, func(err error) {
@@ -96,7 +96,7 @@
 func (p durableResponse) write(status int, body []byte, retryAfter time.Duration) {
 	c := p.connection
 	connected := c.frontEnd.connections.Get(c.token) == c
-	if !connected || !c.responsePending || c.durableRequests != p.number {
+	if !connected || !c.response.pending || c.response.durableNumber != p.number {
 		return
 	}
 	served := status == httpwire.StatusOK
--- a/internal/httpfront/input.go
+++ b/internal/httpfront/input.go
@@ -2,8 +2,10 @@
 
 import (
 	"bytes"
+	"time"
 
 	"hollyyoke.example/hollyyoke/internal/connlimit"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
 	"hollyyoke.example/hollyyoke/internal/httpwire"
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
@@ -11,47 +13,30 @@
 // maxRequestsPerTurn is how many requests of one connection are read before the loop continues with others.
 const maxRequestsPerTurn = 16
 
-// appendInput adds data to the input, or to the overflow if there is no room.
-func (c *clientConnection) appendInput(b *transport.Buffer) {
-	switch {
-	case c.input == nil:
-		c.input = b
-	case c.overflow == nil:
-		c.overflow = b
-		c.refillInput()
-	default: // cannot happen before the overflow has found room, since the connection is paused until then
-		c.frontEnd.engine.Pool.Put(b)
-		c.closeAfterResponse = true
-	}
-}
-
-// refillInput moves data from the overflow to the input.
-func (c *clientConnection) refillInput() {
-	if c.overflow == nil {
-		return
-	}
-	if c.input == nil {
-		c.input = c.overflow
-		c.overflow = nil
-		return
-	}
-	moved := c.input.Fill(c.overflow.Bytes())
-	c.frontEnd.engine.Pool.Consume(&c.overflow, moved)
+// incomingRequest is the next request on a connection, as far as it has come.
+type incomingRequest struct {
+	scan         httpwire.ScanState // how far it has been parsed
+	continueSent bool               // 100 Continue has been sent for it
+	startedAt    time.Duration      // when its first byte came
+	deadline     time.Duration      // when it must be complete
+	capExceeded  connlimit.Reason   // the limit that it exceeds while it is incomplete
 }
 
-// consumeInput removes a request of a number of bytes from the input.
-func (c *clientConnection) consumeInput(size int) {
-	c.frontEnd.engine.Pool.Consume(&c.input, size)
-	c.refillInput()
+// readingState is what keeps the input of a connection from being handled, or read from the socket, at once.
+type readingState struct {
+	queued     bool               // the input waits for its address's turn
+	posted     bool               // read is in the loop's queue
+	paused     bool               // nothing more is read from the socket for now
+	floodTimer eventloop.Deadline // of a paused connection: the next check for more input than fits into the buffers
 }
 
 // read handles the requests in the input, until one is incomplete or must be waited for.
 func (c *clientConnection) read() {
 	frontEnd := c.frontEnd
-	frontEnd.reading = c.token
-	defer func() { frontEnd.reading = 0 }()
-	if c.capExceeded != connlimit.Allowed && !c.responsePending && c.input != nil {
-		frontEnd.gate.LogRejection(c.capExceeded, c.peer)
+	frontEnd.turns.reading = c.token
+	defer func() { frontEnd.turns.reading = 0 }()
+	if c.incoming.capExceeded != connlimit.Allowed && !c.response.pending && !c.input.empty() {
+		frontEnd.gate.LogRejection(c.incoming.capExceeded, c.peer)
 		c.reject(errCaps)
 		return
 	}
@@ -65,7 +50,7 @@
 
 // readRequests handles requests until one is incomplete, a response is pending, or the others must have their turn.
 func (c *clientConnection) readRequests() error {
-	for count := 0; c.input != nil && !c.responsePending && !c.closed; count++ {
+	for count := 0; !c.input.empty() && !c.response.pending && !c.closed; count++ {
 		if count == maxRequestsPerTurn {
 			c.postRead()
 			if c.frontEnd.gate.Enabled() {
@@ -78,8 +63,8 @@
 		if !complete {
 			return err
 		}
-		c.continueSent = false
-		c.scan = httpwire.ScanState{}
+		c.incoming.continueSent = false
+		c.incoming.scan = httpwire.ScanState{}
 		c.closeAfterResponse = c.closeAfterResponse || c.frontEnd.closeAfterResponse || !wantsKeepAlive(&message)
 		c.route(&message)
 	}
@@ -88,16 +73,16 @@
 
 // parseRequest parses the request at the start of the input. If its client waits for 100 Continue, it sends that.
 func (c *clientConnection) parseRequest(message *httpwire.Message) (complete bool, err error) {
-	input := c.input.Bytes()
-	complete, expectsContinue, err := httpwire.ParseRequest(input, message, &c.scan)
+	input := c.input.bytes()
+	complete, expectsContinue, err := httpwire.ParseRequest(input, message, &c.incoming.scan)
 	if err != nil {
 		return false, err
 	}
 	if !complete && len(input) == transport.BufferSize { // chunked, and with so much framing that it can never fit
 		return false, httpwire.ErrBodyTooLong
 	}
-	if expectsContinue && !c.continueSent {
-		c.continueSent = true
+	if expectsContinue && !c.incoming.continueSent {
+		c.incoming.continueSent = true
 		c.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
 	return complete, nil
@@ -114,30 +99,32 @@
 // updatePause stops reading from the socket while there is input that cannot be handled yet, or resumes it.
 func (c *clientConnection) updatePause() {
 	frontEnd := c.frontEnd
-	if c.closed || c.responsePending && c.closeAfterResponse || frontEnd.readingStopped { // what comes is discarded, or not read
+	discarding := c.response.pending && c.closeAfterResponse
+	if c.closed || discarding || frontEnd.readingStopped {
 		return
 	}
-	pause := c.overflow != nil || c.readPosted || c.responsePending && c.input != nil && frontEnd.memoryShort()
-	if pause == c.paused {
+	readAhead := c.response.pending && !c.input.empty()
+	pause := c.input.overflowing() || c.reading.posted || readAhead && frontEnd.memoryShort()
+	if pause == c.reading.paused {
 		return
 	}
-	c.paused = pause
+	c.reading.paused = pause
 	if !pause {
 		c.conn.Resume()
 		return
 	}
 	c.conn.Pause()
-	frontEnd.loop().Set(&c.floodTimer, frontEnd.loop().Now()+floodCheckInterval)
+	frontEnd.loop().Set(&c.reading.floodTimer, frontEnd.loop().Now()+floodCheckInterval)
 }
 
 // postRead continues to read once the loop has handled what is in its queue.
 func (c *clientConnection) postRead() {
-	if c.readPosted {
+	if c.reading.posted {
 		return
 	}
-	c.readPosted = true
+	c.reading.posted = true
 	c.frontEnd.loop().Post(func() {
-		c.readPosted = false
+		c.reading.posted = false
 		c.read()
 	})
 }
--- a/internal/httpfront/proxyheader.go
+++ b/internal/httpfront/proxyheader.go
@@ -9,11 +9,11 @@
 // readProxyHeader reads the PROXY header of a trusted proxy, which states the client's address.
 func (c *clientConnection) readProxyHeader(b *transport.Buffer) {
 	frontEnd := c.frontEnd
-	if !frontEnd.engine.Pool.Collect(&c.input, b) {
+	if !c.input.addContiguous(b) {
 		c.closeNow()
 		return
 	}
-	addr, used, err := listener.ParseProxyHeader(c.input.Bytes())
+	addr, used, err := listener.ParseProxyHeader(c.input.bytes())
 	if err != nil {
 		frontEnd.gate.Limiter.CountReason(connlimit.BadHeader)
 		frontEnd.gate.LogRejection(connlimit.BadHeader, c.peer)
@@ -34,8 +34,7 @@
 		}
 		c.peer = addr
 	}
-	rest := c.input
-	c.input = nil
+	rest := c.input.detachAll()
 	rest.Consume(used)
 	if len(rest.Bytes()) == 0 {
 		frontEnd.engine.Pool.Put(rest)
--- a/internal/httpfront/request.go
+++ b/internal/httpfront/request.go
@@ -51,7 +51,7 @@
 		c.rejectInvalid(message, class, 400, err.Error()+"\n")
 		return
 	}
-	request.ReceivedAt = c.requestStartedAt
+	request.ReceivedAt = c.incoming.startedAt
 	request.Class = class
 	key := message.Get("Idempotency-Key")
 	if len(key) > 0 && frontEnd.isDurable(class) {
@@ -65,7 +65,7 @@
 	frontEnd.freeMemory()
 	if frontEnd.memoryExhausted() {
 		frontEnd.dispatcher.CountResponse(class, dispatch.Rejected)
-		c.consumeInput(message.Size)
+		c.input.consume(message.Size)
 		response := textResponse(503, errMemory.Error()+"\n")
 		response.retryAfter = memoryRetryAfter
 		c.writeResponse(response)
@@ -162,23 +162,21 @@
 // dispatch hands a request to the dispatcher. The input's buffer goes with it; what came behind moves to a new one.
 func (c *clientConnection) dispatch(message *httpwire.Message, request dispatch.Request) {
 	frontEnd := c.frontEnd
-	pool := &frontEnd.engine.Pool
-	buffer := pool.Detach(&c.input, message.Size)
-	c.refillInput()
+	buffer := c.input.detach(message.Size)
 	request.Body = message.Body
-	request.Release = func() { pool.Put(buffer) }
+	request.Release = func() { frontEnd.engine.Pool.Put(buffer) }
 	c.beginService()
 	handle := frontEnd.dispatcher.Accept(frontEnd, c.token, request)
-	if c.responsePending {
-		c.request = handle
+	if c.response.pending {
+		c.response.handle = handle
 	}
 }
 
 // beginService notes that a request is complete and its response is pending.
 func (c *clientConnection) beginService() {
-	f := c.frontEnd
-	c.responsePending = true
-	c.request = 0
-	f.loop().Clear(&c.timer)
-	f.gate.Limiter.RequestComplete(f.loop().Now(), c.limiterID)
+	frontEnd := c.frontEnd
+	c.response.pending = true
+	c.response.handle = 0
+	frontEnd.loop().Clear(&c.timer)
+	frontEnd.gate.Limiter.RequestComplete(frontEnd.loop().Now(), c.limiterID)
 }
--- a/internal/httpfront/response.go
+++ b/internal/httpfront/response.go
@@ -20,6 +20,13 @@
 	served     bool          // a worker has served the request
 }
 
+// pendingResponse is the response that a client waits for, if any.
+type pendingResponse struct {
+	pending       bool   // a request is being served
+	handle        uint64 // of the request; 0: the dispatcher has not returned it yet, or the request is durable
+	durableNumber uint64 // the number of durable requests so far, by which the latest is told from earlier ones
+}
+
 // textResponse returns a response with a text that the front end gives by itself.
 func textResponse(status int, text string) httpResponse {
 	return httpResponse{status: status, body: []byte(text)}
@@ -35,7 +42,7 @@
 // Respond writes the response to a request that was handed to the dispatcher. It implements dispatch.FrontEnd.
 func (f *FrontEnd) Respond(token uint64, response dispatch.Response) {
 	connection := f.connections.Get(token)
-	if connection == nil || !connection.responsePending {
+	if connection == nil || !connection.response.pending {
 		return
 	}
 	switch response.Outcome {
@@ -50,10 +57,10 @@
 
 // completeService writes the pending response, and continues to read.
 func (c *clientConnection) completeService(response httpResponse) {
-	c.responsePending = false
+	c.response.pending = false
 	c.closeAfterResponse = c.closeAfterResponse || c.frontEnd.closeAfterResponse
 	c.writeResponse(response)
-	if (c.paused || c.input != nil) && !c.closed {
+	if (c.reading.paused || !c.input.empty()) && !c.closed {
 		c.postRead() // not now, since the dispatcher may be the caller
 	}
 }
@@ -65,7 +72,7 @@
 	if !isGet && !isHead {
 		return methodNotAllowed("GET")
 	}
-	ready := f.ready() && (!f.shuttingDown || f.handedOver) && !f.draining
+	ready := f.ready() && (!f.shuttingDown || f.handedOver) && !f.drain.active
 	if !ready {
 		return textResponse(503, "not ready\n")
 	}
@@ -74,7 +81,7 @@
 
 // respondDirectly removes a request from the input and responds to it.
 func (c *clientConnection) respondDirectly(message *httpwire.Message, response httpResponse) {
-	c.consumeInput(message.Size)
+	c.input.consume(message.Size)
 	if bytes.Equal(message.Method(), []byte("HEAD")) { // its response has no body, so that the length would mislead
 		c.closeAfterResponse = true
 		response.body = nil
@@ -92,15 +99,16 @@
 // writeResponse writes a response, and makes the connection ready for the next request or closes it.
 func (c *clientConnection) writeResponse(response httpResponse) {
 	frontEnd := c.frontEnd
-	c.closeAfterResponse = c.closeAfterResponse || frontEnd.capacityExhausted
-	frontEnd.out = httpwire.AppendResponse(frontEnd.out[:0], response.status, response.body, response.retryAfter, c.closeAfterResponse, response.fields)
+	c.closeAfterResponse = c.closeAfterResponse || frontEnd.eviction.capacityExhausted
+	frontEnd.out = httpwire.AppendResponse(
+		frontEnd.out[:0], response.status, response.body, response.retryAfter, c.closeAfterResponse, response.fields)
 	c.conn.Write(frontEnd.out)
 	switch {
 	case c.closeAfterResponse:
 		c.closeGracefully()
 	case c.conn.UnsentBytes() > maxUnsentBytes:
 		c.closeNow()
-	case c.input != nil:
+	case !c.input.empty():
 		c.becomeIdle(response.served)
 		c.startRequest()
 	default:
--- a/internal/httpfront/timeouts.go
+++ b/internal/httpfront/timeouts.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"hollyyoke.example/hollyyoke/internal/connlimit"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
 )
 
 const (
@@ -31,30 +32,37 @@
 	maxDiscardedBytes = 8 << 20
 )
 
+// stallWatch finds out whether a client reads its responses.
+type stallWatch struct {
+	timer      eventloop.Deadline
+	sentBefore int64 // bytes that had been sent when the timer was set
+}
+
 // becomeIdle sets how long the connection may stay idle, after a response.
 func (c *clientConnection) becomeIdle(served bool) {
-	f := c.frontEnd
+	frontEnd := c.frontEnd
 	c.proven = c.proven || served
 	timeout := unprovenIdleTimeout
 	if c.proven {
 		timeout = idleTimeout
 	}
-	now := f.loop().Now()
-	f.gate.Limiter.BecameIdle(now, c.limiterID, served)
-	f.loop().Set(&c.timer, now+timeout)
+	now := frontEnd.loop().Now()
+	frontEnd.gate.Limiter.BecameIdle(now, c.limiterID, served)
+	frontEnd.loop().Set(&c.timer, now+timeout)
 }
 
 // startRequest is called at the first byte of a request, and sets when the request must be complete.
 func (c *clientConnection) startRequest() {
 	frontEnd := c.frontEnd
 	now := frontEnd.loop().Now()
-	c.requestStartedAt = frontEnd.loop().QueuedSince()
-	c.requestDeadline = now + requestTimeout
+	c.incoming.startedAt = frontEnd.loop().QueuedSince()
+	c.incoming.deadline = now + requestTimeout
 	if !c.hasSent {
 		c.hasSent = true
-		c.requestDeadline = min(c.requestDeadline, max(c.conn.Opened+firstRequestTimeout, now+lateRequestTimeout))
+		firstDeadline := max(c.conn.Opened+firstRequestTimeout, now+lateRequestTimeout)
+		c.incoming.deadline = min(c.incoming.deadline, firstDeadline)
 	}
-	checkAt := c.requestDeadline
+	checkAt := c.incoming.deadline
 	tooSlow, nextCheck := frontEnd.gate.Limiter.TooSlow(now, now, 0)
 	if !tooSlow && nextCheck > 0 {
 		checkAt = min(checkAt, nextCheck)
@@ -62,7 +70,7 @@
 	frontEnd.loop().Set(&c.timer, checkAt)
 	reason := frontEnd.gate.Limiter.RequestStarted(now, c.limiterID)
 	if reason != connlimit.Allowed {
-		c.capExceeded = reason
+		c.incoming.capExceeded = reason
 	}
 }
 
@@ -70,8 +78,8 @@
 func (c *clientConnection) onTimer() {
 	loop := c.frontEnd.loop()
 	switch {
-	case c.responsePending:
-	case c.input != nil:
+	case c.response.pending:
+	case !c.input.empty():
 		c.checkIncomplete()
 	case !c.conn.AllRead(): // a request has come, though it has not been read
 		loop.Set(&c.timer, loop.Now()+unreadGrace)
@@ -84,10 +92,10 @@
 func (c *clientConnection) checkIncomplete() {
 	frontEnd := c.frontEnd
 	now := frontEnd.loop().Now()
-	if now < c.requestDeadline {
-		tooSlow, nextCheck := frontEnd.gate.Limiter.TooSlow(now, c.requestStartedAt, len(c.input.Bytes()))
+	if now < c.incoming.deadline {
+		tooSlow, nextCheck := frontEnd.gate.Limiter.TooSlow(now, c.incoming.startedAt, len(c.input.bytes()))
 		if !tooSlow {
-			frontEnd.loop().Set(&c.timer, min(c.requestDeadline, max(nextCheck, now+minRateInterval)))
+			frontEnd.loop().Set(&c.timer, min(c.incoming.deadline, max(nextCheck, now+minRateInterval)))
 			return
 		}
 		c.reportAbuse(connlimit.Slow)
@@ -101,12 +109,12 @@
 func (c *clientConnection) checkFlood() {
 	loop := c.frontEnd.loop()
 	switch {
-	case c.closed || !c.paused:
-	case !c.responsePending || c.conn.AllRead():
-		loop.Set(&c.floodTimer, loop.Now()+floodCheckInterval)
+	case c.closed || !c.reading.paused:
+	case !c.response.pending || c.conn.AllRead():
+		loop.Set(&c.reading.floodTimer, loop.Now()+floodCheckInterval)
 	default:
 		c.closeAfterResponse = true
-		c.freeBuffers()
+		c.input.free()
 		c.conn.Discard(maxDiscardedBytes)
 	}
 }
@@ -116,8 +124,8 @@
 	timeout := c.frontEnd.gate.WriteStall()
 	if timeout > 0 && c.conn.UnsentBytes() > 0 {
 		loop := c.frontEnd.loop()
-		c.sentAtStall = c.conn.SentBytes()
-		loop.Set(&c.stallTimer, loop.Now()+timeout)
+		c.stall.sentBefore = c.conn.SentBytes()
+		loop.Set(&c.stall.timer, loop.Now()+timeout)
 	}
 }
 
@@ -125,7 +133,7 @@
 func (c *clientConnection) checkStall() {
 	switch {
 	case c.closed || c.conn.UnsentBytes() == 0:
-	case c.responsePending || c.conn.SentBytes() > c.sentAtStall:
+	case c.response.pending || c.conn.SentBytes() > c.stall.sentBefore:
 		c.watchStall()
 	default:
 		c.reportAbuse(connlimit.Stalled)
