--- a/internal/httpfront/drain_test.go
+++ b/internal/httpfront/drain_test.go
@@ -43,7 +43,7 @@
 	f.Add([]byte{0, 2, 8, 9, 16, 18, 4, 5, 6, 3, 9, 19, 7, 24, 25, 26, 27})
 	f.Add([]byte{4, 5, 0, 2, 6, 3, 8, 9, 7, 16, 17, 4, 6, 17, 7, 4, 4, 7, 7, 16, 17})
 	rig := testkit.NewRig(f)
-	frontEnd, addr := newEchoFrontEnd(f, rig, 64<<20, 200, alwaysReady)
+	frontEnd, addr := newEchoFrontEnd(f, rig, ampleMemory, 200, alwaysReady)
 	requests := 0
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		model := &drainModel{t: t, rig: rig, frontEnd: frontEnd, addr: addr, steps: steps, requests: &requests}
@@ -93,7 +93,7 @@
 		if m.draining {
 			status = 503
 		}
-		m.exchange(number, "GET /healthz HTTP/1.1\r\n\r\n", status)
+		m.exchange(number, healthRequest, status)
 	case step == sendHalfRequest && between:
 		m.sendHalf(client)
 	case step == sendOtherHalf && client != nil && client.rest != "":
--- a/internal/httpfront/eviction_test.go
+++ b/internal/httpfront/eviction_test.go
@@ -15,65 +15,54 @@
 func TestIncompleteRequestsAreEvictedForMemory(t *testing.T) {
 	const buffers = 8
 	addr := startEchoFrontEnd(t, buffers*transport.BufferSize, 100)
-	half := "POST /renewal/k HTTP/1.1\r\nX-Correlation-Id: half\r\nContent-Length: 65000\r\n\r\n" + strings.Repeat("x", 64000)
-	var first *bufio.Reader
+	incomplete := "POST /renewal/k HTTP/1.1\r\nX-Correlation-Id: half\r\nContent-Length: 65000\r\n\r\n" + strings.Repeat("x", 64000)
+	var oldest *bufio.Reader
 	for i := range 3 * buffers {
-		_, in := testkit.Connect(t, addr, half)
+		_, reader := testkit.Connect(t, addr, incomplete)
 		if i == 0 {
-			first = in
+			oldest = reader
 		}
-		if _, usual := testkit.Connect(t, addr, testkit.RequestWithID(fmt.Sprint("usual-", i))); testkit.ReadStatus(usual) != 200 {
-			t.Fatalf("beside %d incomplete requests a usual one gets no response", i)
-		}
-	}
-	if code := testkit.ReadStatus(first); code != 503 {
-		t.Errorf("the oldest got %d", code)
+		_, usual := testkit.Connect(t, addr, testkit.RequestWithID(fmt.Sprint("usual-", i)))
+		requireStatus(t, fmt.Sprintf("a usual request beside %d incomplete ones", i), usual, 200)
 	}
+	checkStatus(t, "the oldest incomplete request", oldest, 503)
 }
 
 // Connections whose requests have not been served are evicted first, and a proven one stays, even if it is older.
 func TestEvictionSparesProvenConnections(t *testing.T) {
-	addr := startEchoFrontEnd(t, 64<<20, 4)
-	proven, in := testkit.Connect(t, addr, testkit.RequestWithID("first"))
-	if testkit.ReadStatus(in) != 200 {
-		t.Fatal("no response")
+	const maxConnections = 4
+	addr := startEchoFrontEnd(t, ampleMemory, maxConnections)
+	proven, provenReader := testkit.Connect(t, addr, testkit.RequestWithID("first"))
+	requireStatus(t, "the first request", provenReader, 200)
+	for range maxConnections - 1 {
+		_, unproven := testkit.Connect(t, addr, healthRequest)
+		requireStatus(t, "an unproven connection", unproven, 200)
 	}
-	const health = "GET /healthz HTTP/1.1\r\n\r\n"
-	for range 3 {
-		if _, talk := testkit.Connect(t, addr, health); testkit.ReadStatus(talk) != 200 {
-			t.Fatal("no response")
-		}
-	}
-	for i := range 8 { // each needs the place of an unproven one
-		if _, talk := testkit.Connect(t, addr, health); testkit.ReadStatus(talk) != 200 {
-			t.Fatalf("%d: no response", i)
-		}
-	}
-	if io.WriteString(proven, testkit.RequestWithID("second")); testkit.ReadStatus(in) != 200 {
-		t.Error("the proven connection was closed")
+	for i := range 2 * maxConnections { // each needs the place of an unproven one
+		_, unproven := testkit.Connect(t, addr, healthRequest)
+		requireStatus(t, fmt.Sprint("beyond the limit, connection ", i), unproven, 200)
 	}
+	io.WriteString(proven, testkit.RequestWithID("second"))
+	checkStatus(t, "the proven connection", provenReader, 200)
+
 	// A silent one is evicted when there is no room, but not at once.
 	for range 6 {
 		testkit.Connect(t, addr, "")
 	}
-	if _, talk := testkit.Connect(t, addr, health); testkit.ReadStatus(talk) != 200 {
-		t.Error("silent connections keep all others out")
-	}
+	_, last := testkit.Connect(t, addr, healthRequest)
+	checkStatus(t, "a connection behind silent ones", last, 200)
 }
 
 // A connection on which a response is pending is never evicted for memory.
 func TestFreeMemorySparesPendingResponses(t *testing.T) {
-	rig := testkit.NewRig(t)
-	f, addr, worker := startWithHoldingClient(rig, 64<<20)
-	_, in := testkit.Connect(t, addr, testkit.RequestWithID("first")+"POST /renewal/k HTTP/1.1\r\n")
-	attempt := awaitAttempt(t, worker)
-	rig.Do(func() {
-		f.memoryLimit = 1
-		f.freeMemory()
-		f.memoryLimit = 64 << 20
+	front := startHoldingFrontEnd(t)
+	_, reader := testkit.Connect(t, front.addr, testkit.RequestWithID("first")+"POST /renewal/k HTTP/1.1\r\n")
+	attempt := front.awaitAttempt()
+	front.Do(func() {
+		front.memoryLimit = 1
+		front.freeMemory()
+		front.memoryLimit = ampleMemory
 	})
-	completeAttempt(rig, attempt)
-	if code := testkit.ReadStatus(in); code != 200 {
-		t.Errorf("the pending response: %d", code)
-	}
+	front.complete(attempt)
+	checkStatus(t, "the pending response", reader, 200)
 }
--- a/internal/httpfront/golden_test.go
+++ b/internal/httpfront/golden_test.go
@@ -29,51 +29,64 @@
 func TestGoldenResponses(t *testing.T) {
 	rig := testkit.NewRig(t)
 	ready := true
-	_, addr := newEchoFrontEnd(t, rig, 64<<20, 200, func() bool { return ready })
+	_, addr := newEchoFrontEnd(t, rig, ampleMemory, 200, func() bool { return ready })
 	acceptNamedRequests(rig)
 	var text strings.Builder
-	exchange := func(request string, ends bool) {
-		t.Helper()
-		conn, err := net.Dial("tcp", addr)
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer conn.Close()
-		conn.SetDeadline(time.Now().Add(testkit.Patience))
-		sent := request
-		if !ends {
-			sent += lastExchange
-		}
-		io.WriteString(conn, sent)
-		response, _ := io.ReadAll(conn) // a reset behind the response does not matter
-		got := string(response)
-		if !ends && ready {
-			var found bool
-			if got, found = strings.CutSuffix(got, lastResponse); !found {
-				t.Errorf("%q ended the connection: %q", request, got)
-			}
+	for i, exchange := range testkit.Exchanges {
+		request := testkit.WithID(exchange.Request, fmt.Sprintf("id%06d", i))
+		if exchange.Ends {
+			text.WriteString(record(request, roundTrip(t, addr, request)))
+		} else {
+			text.WriteString(record(request, roundTripKeptAlive(t, addr, request)))
 		}
-		shown := regexp.MustCompile(`x{100,}`).ReplaceAllStringFunc(request, func(many string) string {
-			return fmt.Sprintf("(%d times x)", len(many))
-		})
-		text.WriteString("> " + strings.ReplaceAll(shown, "\n", "\n> ") + "\n" + testkit.MaskVolatile(got) + "\n")
 	}
-	for i, x := range testkit.Exchanges {
-		exchange(strings.ReplaceAll(x.Request, "IDENTITY", fmt.Sprintf("id%06d", i)), x.Ends)
-	}
-	for _, request := range []string{
-		"HEAD /healthz HTTP/1.1\r\n\r\n", "HEAD / HTTP/1.1\r\n\r\n",
+	for _, request := range []string{ // each ends its connection
+		"HEAD /healthz HTTP/1.1\r\n\r\n",
+		"HEAD / HTTP/1.1\r\n\r\n",
+		"POST /renewal/k HTTP/1.1\r\nX-Correlation-Id: head-1\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n", // 408 in the end
+		"POST /renewal/k HTTP/1.1\r\nX-Correlation-Id: head-2",
+		"GET / HTTP/1.1\r\n\r\nGET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n",
 	} {
-		exchange(request, true)
+		text.WriteString(record(request, roundTrip(t, addr, request)))
 	}
-	exchange("POST /renewal/k HTTP/1.1\r\nX-Correlation-Id: head-1\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n", true) // 408 in the end
-	exchange("POST /renewal/k HTTP/1.1\r\nX-Correlation-Id: head-2", true)
-	exchange("GET / HTTP/1.1\r\n\r\nGET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n", true)
 	rig.Do(func() { ready = false })
-	exchange(lastExchange, true)
+	text.WriteString(record(lastExchange, roundTrip(t, addr, lastExchange)))
 	goldentest.CompareHTTP(t, "answers.golden", text.String())
 }
 
+// roundTrip sends a text on a connection of its own, and returns all that comes until the connection ends.
+func roundTrip(t *testing.T, addr, text string) string {
+	t.Helper()
+	conn, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(testkit.Patience))
+	io.WriteString(conn, text)
+	response, _ := io.ReadAll(conn) // a reset behind the response does not matter
+	return string(response)
+}
+
+// roundTripKeptAlive is roundTrip for a request that does not end its connection, which it checks by another one.
+func roundTripKeptAlive(t *testing.T, addr, request string) string {
+	t.Helper()
+	responses := roundTrip(t, addr, request+lastExchange)
+	response, keptAlive := strings.CutSuffix(responses, lastResponse)
+	if !keptAlive {
+		t.Errorf("%q ended the connection: %q", request, responses)
+	}
+	return response
+}
+
+// record returns a request and its response as the golden file holds them.
+func record(request, response string) string {
+	shown := regexp.MustCompile(`x{100,}`).ReplaceAllStringFunc(request, func(many string) string {
+		return fmt.Sprintf("(%d times x)", len(many))
+	})
+	return "> " + strings.ReplaceAll(shown, "\n", "\n> ") + "\n" + testkit.MaskVolatile(response) + "\n"
+}
+
 // The status line of each status, and the head of a response with each part.
 func TestGoldenStatuses(t *testing.T) {
 	var text []byte
@@ -87,57 +100,78 @@
 
 // The responses to durable requests.
 func TestGoldenDurableRequests(t *testing.T) {
-	rig := testkit.NewRig(t, func(s *decision.Settings) { s.Classes[1].Deadline = time.Second })
-	service, err := durable.Open(rig.Dispatcher.Loop, durable.Config{
-		Path: filepath.Join(t.TempDir(), "jobs.db"), Jobs: jobs.Config{LeaseDuration: 20 * time.Millisecond, RecoveryGrace: time.Millisecond},
-	}, slog.New(slog.DiscardHandler))
+	rig := testkit.NewRig(t, func(settings *decision.Settings) { settings.Classes[testkit.Renewal].Deadline = time.Second })
+	service := openDurableService(t, rig)
+	durableClasses := []bool{testkit.StatusCheck: false, testkit.Renewal: true}
+	var addr string
+	var frontEnd *FrontEnd
+	rig.Do(func() {
+		service.Start()
+		rig.Dispatcher.AddSource(testkit.EchoWorkerClient{Dispatcher: rig.Dispatcher})
+		frontEnd = New(rig.Dispatcher, rig.Engine, ampleMemory, alwaysReady)
+		frontEnd.SetDurable(nil, durableClasses)
+		var err error
+		addr, err = frontEnd.Listen("127.0.0.1:0", 20)
+		if err != nil {
+			t.Error(err)
+		}
+	})
+	text := durableRoundTrip(t, addr, "key-1", "done") // the other process has the store
+	rig.Do(func() { frontEnd.SetDurable(service, durableClasses) })
+	for _, request := range []struct{ key, body string }{
+		{"key-1", "done"},
+		{"key-1", "done"},
+		{"key-1", "done again"},
+		{"a b", "done"},
+		{"key-2", "hold"},
+		{"key-3", "discard"},
+		{"key-4", "lost"},
+	} {
+		text += durableRoundTrip(t, addr, request.key, request.body)
+	}
+	goldentest.CompareHTTP(t, "kept.golden", text)
+}
+
+// openDurableService opens a service whose jobs end as the first word of their body says: done, discard or lost. One
+// that says hold does not end.
+func openDurableService(t *testing.T, rig *testkit.Rig) *durable.Service {
+	t.Helper()
+	config := durable.Config{
+		Path: filepath.Join(t.TempDir(), "jobs.db"),
+		Jobs: jobs.Config{LeaseDuration: 20 * time.Millisecond, RecoveryGrace: time.Millisecond},
+	}
+	service, err := durable.Open(rig.Dispatcher.Loop, config, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { rig.Do(func() { service.Close() }) })
-	// The first word of a job's body says how it ends.
-	ignore := func(error) {}
-	service.OnRunnable = func(j jobs.Job) {
-		request, _ := durable.ReadRequest(j)
+	ignoreError := func(error) {}
+	service.OnRunnable = func(job jobs.Job) {
+		request, _ := durable.ReadRequest(job)
 		switch word := string(request.Body); {
 		case strings.HasPrefix(word, "discard"):
-			rig.Dispatcher.Loop.Post(func() { service.Move(j.ID, jobs.Discard, "unwanted", true) })
+			rig.Dispatcher.Loop.Post(func() { service.Move(job.ID, jobs.Discard, "unwanted", true) })
 		case !strings.HasPrefix(word, "hold"):
-			service.Assign(j.ID, "w", jobs.NoGuarantee, func(leased jobs.Job, _ error) {
+			service.Assign(job.ID, "w", jobs.NoGuarantee, func(leased jobs.Job, _ error) {
 				if strings.HasPrefix(word, "done") {
-					service.Ack(j.ID, leased.Fence, []byte("made"), ignore)
+					service.Ack(job.ID, leased.Fence, []byte("made"), ignoreError)
 				}
 			})
 		}
 	}
-	var addr string
-	var frontEnd *FrontEnd
-	rig.Do(func() {
-		service.Start()
-		rig.Dispatcher.AddSource(testkit.EchoWorkerClient{Dispatcher: rig.Dispatcher})
-		frontEnd = New(rig.Dispatcher, rig.Engine, 64<<20, func() bool { return true })
-		frontEnd.SetDurable(nil, []bool{false, true})
-		addr, _ = frontEnd.Listen("127.0.0.1:0", 20)
-	})
-	var text strings.Builder
-	send := func(key, body string) {
-		t.Helper()
-		request := fmt.Sprintf("POST /renewal/k HTTP/1.1\r\nX-Correlation-Id: id\r\nConnection: close\r\nIdempotency-Key: %s\r\nContent-Length: %d\r\n\r\n%s", key, len(body), body)
-		_, in := testkit.Connect(t, addr, request)
-		response, err := io.ReadAll(in)
-		if err != nil {
-			t.Error(err)
-		}
-		text.WriteString("> " + key + ", " + body + "\n" + string(response) + "\n")
+	return service
+}
+
+// durableRoundTrip sends a request with an idempotency key, and returns it with its response as the golden file holds
+// them.
+func durableRoundTrip(t *testing.T, addr, key, body string) string {
+	t.Helper()
+	request := fmt.Sprintf("POST /renewal/k HTTP/1.1\r\nX-Correlation-Id: id\r\nConnection: close\r\n"+
+		"Idempotency-Key: %s\r\nContent-Length: %d\r\n\r\n%s", key, len(body), body)
+	_, reader := testkit.Connect(t, addr, request)
+	response, err := io.ReadAll(reader)
+	if err != nil {
+		t.Error(err)
 	}
-	send("key-1", "done") // the other process has the store
-	rig.Do(func() { frontEnd.SetDurable(service, []bool{false, true}) })
-	send("key-1", "done")
-	send("key-1", "done")
-	send("key-1", "done again")
-	send("a b", "done")
-	send("key-2", "hold")
-	send("key-3", "discard")
-	send("key-4", "lost")
-	goldentest.CompareHTTP(t, "kept.golden", text.String())
+	return "> " + key + ", " + body + "\n" + string(response) + "\n"
 }
--- /dev/null
+++ b/internal/httpfront/timeouts_test.go
@@ -0,0 +1,49 @@
+package httpfront
+
+import (
+	"io"
+	"testing"
+	"time"
+
+	"hollyyoke.example/hollyyoke/internal/testkit"
+)
+
+// A request that does not become complete in time is rejected, however its bytes trickle in.
+func TestTricklingRequestTimesOut(t *testing.T) {
+	addr := startEchoFrontEnd(t, ampleMemory, 20)
+	for _, start := range []string{
+		"POST /renewal/k HTTP/1.1\r\nX-Note: ",
+		"POST /renewal/k HTTP/1.1\r\nContent-Length: 60000\r\n\r\n",
+	} {
+		conn, reader := testkit.Connect(t, addr, start)
+		responded := make(chan int, 1)
+		go func() { responded <- testkit.ReadStatus(reader) }()
+		status := -1
+		for status < 0 {
+			select {
+			case status = <-responded:
+			case <-time.After(20 * time.Millisecond):
+				io.WriteString(conn, "x")
+			}
+		}
+		if status != 408 {
+			t.Errorf("%q: status %d, want 408", start, status)
+		}
+	}
+}
+
+// A connection's idle timeout ends in the turn of the loop in which its next request comes: the request is served.
+func TestIdleTimeoutAsARequestComes(t *testing.T) {
+	front := startHoldingFrontEnd(t)
+	conn, reader := testkit.Connect(t, front.addr, testkit.RequestWithID("first"))
+	front.completeNext()
+	requireStatus(t, "the first request", reader, 200)
+	release := front.BlockLoop()
+	front.Dispatcher.Loop.Post(func() {
+		front.connections.ForEach(func(_ uint64, connection *clientConnection) { connection.onTimer() })
+	})
+	front.Write(t, conn, testkit.RequestWithID("crossing"))
+	release()
+	front.completeNext()
+	checkStatus(t, "the crossing request", reader, 200)
+}
