--- a/internal/httpfront/input.go
+++ b/internal/httpfront/input.go
@@ -74,18 +74,21 @@
 // parseRequest parses the request at the start of the input. If its client waits for 100 Continue, it sends that.
 func (c *clientConnection) parseRequest(message *httpwire.Message) (complete bool, err error) {
 	input := c.input.bytes()
-	complete, expectsContinue, err := httpwire.ParseRequest(input, message, &c.incoming.scan)
+	progress, err := httpwire.ParseRequest(input, message, &c.incoming.scan)
 	if err != nil {
 		return false, err
 	}
-	if !complete && len(input) == transport.BufferSize { // chunked, and with so much framing that it can never fit
+	if progress == httpwire.Complete {
+		return true, nil
+	}
+	if len(input) == transport.BufferSize { // chunked, and with so much framing that it can never fit
 		return false, httpwire.ErrBodyTooLong
 	}
-	if expectsContinue && !c.incoming.continueSent {
+	if progress == httpwire.AwaitingContinue && !c.incoming.continueSent {
 		c.incoming.continueSent = true
 		c.conn.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
-	return complete, nil
+	return false, nil
 }
 
 // wantsKeepAlive reports whether the client means to send more requests on the connection.
--- a/internal/httpwire/example_test.go
+++ b/internal/httpwire/example_test.go
@@ -12,12 +12,12 @@
 	var message httpwire.Message
 	var state httpwire.ScanState
 	input := []byte("POST /renewal/k HTTP/1.1\r\nContent-Length: 4\r\n\r\nbo")
-	complete, _, err := httpwire.ParseRequest(input, &message, &state)
-	fmt.Println(complete, err)
+	progress, err := httpwire.ParseRequest(input, &message, &state)
+	fmt.Println(progress == httpwire.Complete, err)
 
 	input = append(input, "dy"...)
-	complete, _, err = httpwire.ParseRequest(input, &message, &state)
-	fmt.Println(complete, err)
+	progress, err = httpwire.ParseRequest(input, &message, &state)
+	fmt.Println(progress == httpwire.Complete, err)
 	fmt.Printf("%s %s %s\n", message.Method(), message.Target(), message.Body)
 	// Output:
 	// false <nil>
--- a/internal/httpwire/head.go
+++ b/internal/httpwire/head.go
@@ -46,10 +46,10 @@
 // Version returns the protocol version of a request, such as HTTP/1.1.
 func (h *Head) Version() []byte { return h.third }
 
-// Status returns the status code of a response. ok is false if it has none, or is no HTTP/1 response.
-func (h *Head) Status() (code int, ok bool) {
-	code, ok = ParseNumber(h.second)
-	return code, ok && bytes.HasPrefix(h.first, []byte("HTTP/1."))
+// Status returns the status code of a response. It is not valid if there is none, or if this is no HTTP/1 response.
+func (h *Head) Status() (code int, valid bool) {
+	code, valid = ParseNumber(h.second)
+	return code, valid && bytes.HasPrefix(h.first, []byte("HTTP/1."))
 }
 
 // Get returns the value of a field, nil if there is none.
@@ -83,6 +83,7 @@
 	return false
 }
 
+// listHasToken reports whether a comma-separated list holds a token.
 func listHasToken(list []byte, token string) bool {
 	for part := range bytes.SplitSeq(list, []byte(",")) {
 		if EqualFold(bytes.TrimSpace(part), token) {
@@ -121,7 +122,7 @@
 // ParseHead parses a head at the start of b. It returns false without an error while b holds only a part of it.
 // scanned is the number of bytes of b in which no end was found; it starts at 0 and goes with b from
 // call to call, so that bytes which trickle in are searched once.
-func ParseHead(b []byte, head *Head, scanned *int) (bool, error) {
+func ParseHead(b []byte, head *Head, scanned *int) (complete bool, err error) {
 	const end = "\r\n\r\n"
 	from := max(*scanned-(len(end)-1), 0)
 	index := bytes.Index(b[from:], []byte(end))
@@ -137,7 +138,7 @@
 	if err := head.parseStartLine(startLine); err != nil {
 		return false, err
 	}
-	if err := head.parseFields(fields); err != nil {
+	if err := head.parseHeaderFields(fields); err != nil {
 		return false, err
 	}
 	return true, nil
@@ -159,6 +160,7 @@
 	return nil
 }
 
+// parseStartLine parses a request line or a status line.
 func (h *Head) parseStartLine(line []byte) error {
 	first, rest, hasSecond := bytes.Cut(line, []byte(" "))
 	hasThird := false
@@ -176,7 +178,8 @@
 	return nil
 }
 
-func (h *Head) parseFields(lines []byte) error {
+// parseHeaderFields parses the lines behind the start line.
+func (h *Head) parseHeaderFields(lines []byte) error {
 	for len(lines) > 0 {
 		var line []byte
 		line, lines, _ = bytes.Cut(lines, []byte("\r\n"))
@@ -184,7 +187,7 @@
 		if !ok || len(name) == 0 || h.fieldCount == maxFields || !isToken(name) || bytes.ContainsAny(value, "\r\n\x00") {
 			return ErrMalformed
 		}
-		h.fields[h.fieldCount] = headerField{name, bytes.TrimSpace(value)}
+		h.fields[h.fieldCount] = headerField{name: name, value: bytes.TrimSpace(value)}
 		h.fieldCount++
 	}
 	return nil
--- a/internal/httpwire/parse_test.go
+++ b/internal/httpwire/parse_test.go
@@ -15,40 +15,68 @@
 	for _, exchange := range testkit.Exchanges {
 		f.Add([]byte(exchange.Request))
 	}
-	for _, x := range testkit.WorkerResponses {
-		f.Add([]byte(x.Script))
+	for _, response := range testkit.WorkerResponses {
+		f.Add([]byte(response.Script))
 	}
 	f.Add([]byte("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n7fffffff\r\n"))
-	f.Fuzz(func(t *testing.T, b []byte) {
-		if len(b) > transport.BufferSize {
+	f.Fuzz(func(t *testing.T, input []byte) {
+		if len(input) > transport.BufferSize {
 			return
 		}
-		var message Message
-		complete, _, err := ParseRequest(slices.Clone(b), &message, new(ScanState))
-		if complete && (err != nil || message.Size > len(b) || len(message.Body) > message.Size || len(message.Body) > maxBody) {
-			t.Fatalf("size %d, body %d of %d bytes, %v", message.Size, len(message.Body), len(b), err)
-		}
-		// What has been scanned is not scanned again.
-		var state ScanState
-		for n := 1; n <= min(len(b), 700); n++ {
-			var atOnce, inPieces Message
-			headBefore, bodyBefore := state.headScanned, state.bodyScanned
-			completeAtOnce, _, errAtOnce := ParseRequest(slices.Clone(b[:n]), &atOnce, new(ScanState))
-			completeInPieces, _, errInPieces := ParseRequest(slices.Clone(b[:n]), &inPieces, &state)
-			if completeAtOnce != completeInPieces || errAtOnce != errInPieces || !bytes.Equal(atOnce.Body, inPieces.Body) || atOnce.Size != inPieces.Size && completeAtOnce {
-				t.Fatalf("%d bytes of %q: at once %v, %v; in pieces %v, %v", n, b, completeAtOnce, errAtOnce, completeInPieces, errInPieces)
-			}
-			if completeAtOnce || errAtOnce != nil {
-				break
-			}
-			if state.needed == 0 && !state.chunked && state.headScanned != n || state.headScanned < headBefore-1 || state.bodyScanned < bodyBefore {
-				t.Fatalf("%d bytes of %q: head scanned to %d, then %d; body to %d, then %d", n, b, headBefore, state.headScanned, bodyBefore, state.bodyScanned)
-			}
-		}
+		checkSizes(t, input)
+		checkPieces(t, input)
 		var head Head
-		if ok, _ := ParseHead(b, &head, new(int)); ok {
+		if complete, _ := ParseHead(input, &head, new(int)); complete {
 			head.Framing()
 			head.HasToken("Connection", "close")
 		}
 	})
 }
+
+// parseCopy parses a copy of an input, since a chunked body is put together in place.
+func parseCopy(input []byte, state *ScanState) (Message, Progress, error) {
+	var message Message
+	progress, err := ParseRequest(slices.Clone(input), &message, state)
+	return message, progress, err
+}
+
+// checkSizes checks that a request and its body are no larger than the input.
+func checkSizes(t *testing.T, input []byte) {
+	t.Helper()
+	message, progress, err := parseCopy(input, new(ScanState))
+	if progress != Complete {
+		return
+	}
+	if err != nil || message.Size > len(input) || len(message.Body) > message.Size || len(message.Body) > maxBody {
+		t.Fatalf("size %d, body %d of %d bytes, %v", message.Size, len(message.Body), len(input), err)
+	}
+}
+
+// checkPieces checks that an input which comes byte by byte is parsed as if it came at once, and that what has been
+// scanned is not scanned again.
+func checkPieces(t *testing.T, input []byte) {
+	t.Helper()
+	const maxPieces = 700
+	var state ScanState
+	for size := 1; size <= min(len(input), maxPieces); size++ {
+		before := state
+		atOnce, progressAtOnce, errAtOnce := parseCopy(input[:size], new(ScanState))
+		inPieces, progressInPieces, errInPieces := parseCopy(input[:size], &state)
+		completeAtOnce := progressAtOnce == Complete
+		completeInPieces := progressInPieces == Complete
+		sizesDiffer := completeAtOnce && atOnce.Size != inPieces.Size
+		if completeAtOnce != completeInPieces || errAtOnce != errInPieces || !bytes.Equal(atOnce.Body, inPieces.Body) || sizesDiffer {
+			t.Fatalf("%d bytes of %q: at once %v, %v; in pieces %v, %v",
+				size, input, completeAtOnce, errAtOnce, completeInPieces, errInPieces)
+		}
+		if completeAtOnce || errAtOnce != nil {
+			return
+		}
+		inHead := state.needed == 0 && !state.chunked
+		scannedBack := state.headScanned < before.headScanned-1 || state.bodyScanned < before.bodyScanned
+		if inHead && state.headScanned != size || scannedBack {
+			t.Fatalf("%d bytes of %q: head scanned to %d, then %d; body to %d, then %d",
+				size, input, before.headScanned, state.headScanned, before.bodyScanned, state.bodyScanned)
+		}
+	}
+}
--- a/internal/httpwire/request.go
+++ b/internal/httpwire/request.go
@@ -9,6 +9,18 @@
 	Size int // bytes that the message takes in the buffer, head and framing included
 }
 
+// Progress says how much of a request has come.
+type Progress uint8
+
+const (
+	// Incomplete means that more bytes are needed.
+	Incomplete Progress = iota
+	// AwaitingContinue means that the head is there, and that the client waits for 100 Continue before it sends the body.
+	AwaitingContinue
+	// Complete means that all of the request is there.
+	Complete
+)
+
 // ScanState is how far a request has been parsed, so that bytes which trickle in are not parsed again and again.
 // Its zero value belongs to a request that has not begun.
 type ScanState struct {
@@ -24,30 +36,31 @@
 // singleFields must not be repeated: different readers would take different ones for the request's.
 var singleFields = []string{"X-Correlation-Id", "X-Time-Left-Ms", "Idempotency-Key"}
 
-// ParseRequest parses a request at the start of b. It returns ok false without an error while b holds only a part of
-// it; state then goes with b to the next call. A chunked body is put together in place. expectsContinue says that the
-// head is there and that the client waits for 100 Continue before it sends the body.
-func ParseRequest(b []byte, message *Message, state *ScanState) (ok, expectsContinue bool, err error) {
+// ParseRequest parses a request at the start of b. While b holds only a part of it, state goes with b to the next call.
+// A chunked body is put together in place. With an error, the request is Incomplete and stays so.
+func ParseRequest(b []byte, message *Message, state *ScanState) (Progress, error) {
 	if len(b) < state.needed {
-		return false, false, nil
+		return Incomplete, nil
 	}
 	if state.chunked {
-		if done, err := state.scanChunks(b); !done {
-			return false, false, err
+		done, err := state.scanChunks(b)
+		if !done {
+			return Incomplete, err
 		}
 	}
-	if ok, err = ParseHead(b, &message.Head, &state.headScanned); !ok {
-		return false, false, err
+	headComplete, err := ParseHead(b, &message.Head, &state.headScanned)
+	if !headComplete {
+		return Incomplete, err
 	}
 	if err := message.checkRequestHead(); err != nil {
-		return false, false, err
+		return Incomplete, err
 	}
 	length, chunked, err := message.Framing()
 	if err != nil {
-		return false, false, err
+		return Incomplete, err
 	}
 	if length > maxBody {
-		return false, false, ErrBodyTooLong
+		return Incomplete, ErrBodyTooLong
 	}
 	message.Body = nil
 	message.Size = message.Head.Size
@@ -57,11 +70,11 @@
 	length = max(length, 0)
 	state.needed = message.Size + length
 	if len(b) < state.needed {
-		return false, message.awaitsContinue(b), nil
+		return message.progressWithoutBody(b), nil
 	}
 	message.Body = b[message.Size : message.Size+length]
 	message.Size += length
-	return true, false, nil
+	return Complete, nil
 }
 
 // checkRequestHead checks what a head has beyond a well-formed one if it is a request's.
@@ -78,9 +91,13 @@
 	return nil
 }
 
-// awaitsContinue reports whether b holds the head alone and the client waits for 100 Continue.
-func (m *Message) awaitsContinue(b []byte) bool {
-	return len(b) == m.Head.Size && m.HasToken("Expect", "100-continue")
+// progressWithoutBody returns how much of a request has come whose head is there, and whose body is not complete.
+func (m *Message) progressWithoutBody(b []byte) Progress {
+	headAlone := len(b) == m.Head.Size
+	if headAlone && m.HasToken("Expect", "100-continue") {
+		return AwaitingContinue
+	}
+	return Incomplete
 }
 
 // scanChunks continues with a chunked body from where it stopped, without moving its data.
@@ -102,13 +119,18 @@
 	return true, nil
 }
 
-func (m *Message) parseChunkedBody(b []byte, state *ScanState) (ok, expectsContinue bool, err error) {
+// parseChunkedBody parses a chunked body behind the head in b, and puts it together in place once all of it is there.
+func (m *Message) parseChunkedBody(b []byte, state *ScanState) (Progress, error) {
 	if !state.chunked {
 		state.chunked = true
 		state.bodyScanned = m.Head.Size
 	}
-	if done, err := state.scanChunks(b); !done {
-		return false, m.awaitsContinue(b), err
+	done, err := state.scanChunks(b)
+	if err != nil {
+		return Incomplete, err
+	}
+	if !done {
+		return m.progressWithoutBody(b), nil
 	}
 	var chunks ChunkReader
 	from := m.Head.Size
@@ -120,23 +142,23 @@
 	}
 	m.Body = b[m.Head.Size:bodyEnd]
 	m.Size = from
-	return true, false, nil
+	return Complete, nil
 }
 
-// Call is a complete request as the admin API needs it.
+// Call is a complete request as the admin API needs it: a copy, without its body.
 type Call struct{ Method, Path, Query string }
 
-// CallReader reads one call, however its bytes come.
+// CallReader reads one call, however its bytes come. Its zero value is ready for use.
 type CallReader struct{ state ScanState }
 
 // Read parses the call at the start of b, which holds all that has come so far. It returns false without an error
 // while b holds only a part of it.
 func (r *CallReader) Read(b []byte) (Call, bool, error) {
-	var m Message
-	ok, _, err := ParseRequest(b, &m, &r.state)
-	if !ok || err != nil {
+	var message Message
+	progress, err := ParseRequest(b, &message, &r.state)
+	if progress != Complete || err != nil {
 		return Call{}, false, err
 	}
-	path, query, _ := bytes.Cut(m.Target(), []byte("?"))
-	return Call{string(m.Method()), string(path), string(query)}, true, nil
+	path, query, _ := bytes.Cut(message.Target(), []byte("?"))
+	return Call{Method: string(message.Method()), Path: string(path), Query: string(query)}, true, nil
 }
