--- a/internal/goldentest/commands.go
+++ b/internal/goldentest/commands.go
@@ -11,29 +11,30 @@
 )
 
 // Commands lists a command line, sorted: each command with its flags and arguments,
-// and of each all that decides how it is written. The program's name and the help
-// texts do not occur.
+// and of each all that decides how it is written. Tests compare it with a golden
+// file; the program's name and the help texts, which may change, do not occur.
 func Commands(app *kong.Application) []string {
-	var lines []string
-	var walk func(path string, node *kong.Node)
-	walk = func(path string, node *kong.Node) {
-		for _, flag := range node.Flags {
-			lines = append(lines, strings.TrimSpace(path+" "+flagLine(flag)))
-		}
-		for i, argument := range node.Positional {
-			lines = append(lines, strings.TrimSpace(fmt.Sprintf("%s argument %d %s", path, i+1, valueLine(argument))))
-		}
-		for _, child := range node.Children {
-			name := strings.TrimSpace(path + " " + child.Name)
-			lines = append(lines, name+commandLine(node, child))
-			walk(name, child)
-		}
-	}
-	walk("", app.Node)
+	lines := appendCommandLines(nil, "", app.Node)
 	slices.Sort(lines)
 	return lines
 }
 
+// appendCommandLines appends the lines of a command at a path, and of those below it.
+func appendCommandLines(lines []string, path string, command *kong.Node) []string {
+	for _, flag := range command.Flags {
+		lines = append(lines, strings.TrimSpace(path+" "+flagLine(flag)))
+	}
+	for i, argument := range command.Positional {
+		lines = append(lines, strings.TrimSpace(fmt.Sprintf("%s argument %d %s", path, i+1, valueLine(argument))))
+	}
+	for _, child := range command.Children {
+		childPath := strings.TrimSpace(path + " " + child.Name)
+		lines = append(lines, childPath+commandLine(command, child))
+		lines = appendCommandLines(lines, childPath, child)
+	}
+	return lines
+}
+
 // commandLine formats what is particular to a command.
 func commandLine(parent, command *kong.Node) string {
 	line := ""
--- a/internal/goldentest/goldentest_test.go
+++ b/internal/goldentest/goldentest_test.go
@@ -11,6 +11,8 @@
 	"github.com/alecthomas/kong"
 )
 
+// The types below have what encoders treat in ways of their own.
+
 type inner struct {
 	Deep  float64 `json:"deep" toml:"deeper"`
 	Above *sample `json:"above"`
@@ -31,22 +33,33 @@
 	hidden  int
 }
 
+// Keys names what the encoder of a tag writes, by the tag's names.
 func TestKeysAreThoseOfTheEncoder(t *testing.T) {
 	got := strings.Join(Keys(reflect.TypeFor[sample](), "json"), "\n")
-	want := "Plain: string\nby_name{}: time\nlist[].above: nested again\nlist[].deep: number\nraised: boolean\nraw: any\nspan: integer"
+	want := strings.Join([]string{
+		"Plain: string",
+		"by_name{}: time",
+		"list[].above: nested again",
+		"list[].deep: number",
+		"raised: boolean",
+		"raw: any",
+		"span: integer",
+	}, "\n")
 	if got != want {
 		t.Errorf("keys:\n%s\nwant:\n%s", got, want)
 	}
-	if got := Keys(reflect.TypeFor[inner](), "toml"); !slices.Contains(got, "deeper: number") || !slices.Contains(got, "Above.Skipped: integer") {
-		t.Errorf("keys of another tag: %s", got)
+	ofOtherTag := Keys(reflect.TypeFor[inner](), "toml")
+	if !slices.Contains(ofOtherTag, "deeper: number") || !slices.Contains(ofOtherTag, "Above.Skipped: integer") {
+		t.Errorf("keys of another tag: %s", ofOtherTag)
 	}
 }
 
+// Effects names what becomes of values without a key, and no Go fields.
 func TestEffectsNameValuesNotFields(t *testing.T) {
 	decode := func(text []byte) (any, error) {
-		s := sample{hidden: 3}
-		err := json.Unmarshal(text, &s)
-		return s, err
+		decoded := sample{hidden: 3}
+		err := json.Unmarshal(text, &decoded)
+		return decoded, err
 	}
 	document := map[string]any{"raised": true, "list": []any{map[string]any{"deep": 2.5}}, "other": 1}
 	got := Effects(t, document, json.Marshal, decode)
@@ -56,27 +69,33 @@
 	}
 }
 
-func TestCommandsTellFlagsAndArguments(t *testing.T) {
-	var c struct {
+// Commands has all that decides how flags, arguments and commands are written.
+func TestCommandsListFlagsAndArguments(t *testing.T) {
+	var commandLine struct {
 		Mode string        `enum:"a,b" default:"a" env:"MODE" short:"m" placeholder:"M"`
 		Wait time.Duration `hidden:""`
 		Play struct {
 			Files []string `arg:"" optional:""`
 		} `cmd:"" default:"withargs"`
 	}
-	parser, err := kong.New(&c)
+	parser, err := kong.New(&commandLine)
 	if err != nil {
 		t.Fatal(err)
 	}
 	got := Lines(Commands(parser.Model))
-	for _, want := range []string{`--mode string default="a" enum=a,b env=MODE short=-m placeholder=M`, "--wait duration hidden",
-		"play argument 1 files list of string", "play default=withargs:"} {
+	for _, want := range []string{
+		`--mode string default="a" enum=a,b env=MODE short=-m placeholder=M`,
+		"--wait duration hidden",
+		"play argument 1 files list of string",
+		"play default=withargs:",
+	} {
 		if !strings.Contains(got, want+"\n") {
 			t.Errorf("no line %q in:\n%s", want, got)
 		}
 	}
 }
 
+// Difference shows the lines of both texts, and tells equal lines in another order from equal texts.
 func TestDifferenceShowsBothSides(t *testing.T) {
 	for _, test := range []struct{ want, got, difference string }{
 		{"a\nb\n", "a\nb\n", ""},
--- a/internal/goldentest/keys.go
+++ b/internal/goldentest/keys.go
@@ -11,34 +11,41 @@
 
 // Keys lists the key paths under which an encoder that reads the struct tag named
 // tag, as json or toml, writes and reads a value of type t, each with the kind of
-// its value, sorted. Elements of lists are named [], those of maps {}. The type's
-// own name, and names of fields that have a tag, do not occur.
+// its value, sorted. Elements of lists are named [], those of maps {}. Tests compare
+// it with a golden file; the type's own name, and names of fields that have a tag,
+// which may change, do not occur.
 func Keys(t reflect.Type, tag string) []string {
-	k := keys{tag: tag}
-	k.add("", "", t, nil)
-	slices.Sort(k.lines)
-	return k.lines
+	paths := keyPaths{tag: tag}
+	paths.add("", "", t, nil)
+	slices.Sort(paths.lines)
+	return paths.lines
 }
 
-// keys gathers the key paths of one type.
-type keys struct {
+// keyPaths gathers the key paths of one type.
+type keyPaths struct {
 	tag   string
 	lines []string
 }
 
+// The interfaces of types that write or read their own TOML.
+type (
+	tomlMarshaler   interface{ MarshalTOML() ([]byte, error) }
+	tomlUnmarshaler interface{ UnmarshalTOML(any) error }
+)
+
 var (
 	timeType     = reflect.TypeFor[time.Time]()
 	rawType      = reflect.TypeFor[json.RawMessage]()
 	bytesType    = reflect.TypeFor[[]byte]()
 	textTypes    = []reflect.Type{reflect.TypeFor[encoding.TextMarshaler](), reflect.TypeFor[encoding.TextUnmarshaler]()}
-	encoderTypes = map[string][]reflect.Type{
+	encoderTypes = map[string][]reflect.Type{ // by tag
 		"json": {reflect.TypeFor[json.Marshaler](), reflect.TypeFor[json.Unmarshaler]()},
-		"toml": {reflect.TypeFor[interface{ UnmarshalTOML(any) error }](), reflect.TypeFor[interface{ MarshalTOML() ([]byte, error) }]()},
+		"toml": {reflect.TypeFor[tomlMarshaler](), reflect.TypeFor[tomlUnmarshaler]()},
 	}
 )
 
 // add adds the lines of a value of type t at a path; outer are the structs around it.
-func (k *keys) add(path, options string, t reflect.Type, outer []reflect.Type) {
+func (k *keyPaths) add(path, options string, t reflect.Type, outer []reflect.Type) {
 	for t.Kind() == reflect.Pointer {
 		t = t.Elem()
 	}
@@ -62,11 +69,8 @@
 	}
 }
 
-// special is the kind of a type that the encoder does not take apart; empty for others.
-func (k *keys) special(t reflect.Type) string {
-	implements := func(list []reflect.Type) bool {
-		return slices.ContainsFunc(list, func(i reflect.Type) bool { return t.Implements(i) || reflect.PointerTo(t).Implements(i) })
-	}
+// special returns the kind of a type that the encoder does not take apart; empty for others.
+func (k *keyPaths) special(t reflect.Type) string {
 	switch {
 	case t == timeType:
 		return "time"
@@ -74,16 +78,23 @@
 		return "any"
 	case t == bytesType:
 		return "bytes"
-	case implements(encoderTypes[k.tag]):
+	case implementsAny(t, encoderTypes[k.tag]):
 		return "own encoding"
-	case implements(textTypes):
+	case implementsAny(t, textTypes):
 		return "text"
 	}
 	return ""
 }
 
+// implementsAny reports whether a type, or a pointer to it, implements one of some interfaces.
+func implementsAny(t reflect.Type, interfaces []reflect.Type) bool {
+	return slices.ContainsFunc(interfaces, func(candidate reflect.Type) bool {
+		return t.Implements(candidate) || reflect.PointerTo(t).Implements(candidate)
+	})
+}
+
 // fields adds the lines of a struct's fields.
-func (k *keys) fields(path string, t reflect.Type, outer []reflect.Type) {
+func (k *keyPaths) fields(path string, t reflect.Type, outer []reflect.Type) {
 	for field := range t.Fields() {
 		name, options, _ := strings.Cut(field.Tag.Get(k.tag), ",")
 		inner := field.Type
@@ -109,14 +120,14 @@
 }
 
 // line adds one line.
-func (k *keys) line(path, kind, options string) {
+func (k *keyPaths) line(path, kind, options string) {
 	if options != "" {
 		kind += ", " + options
 	}
 	k.lines = append(k.lines, path+": "+kind)
 }
 
-// scalar is the kind of an encoded value that has no parts.
+// scalar returns the kind of an encoded value that has no parts.
 func scalar(kind reflect.Kind) string {
 	switch kind {
 	case reflect.Bool:
--- a/internal/goldentest/scenarios.go
+++ b/internal/goldentest/scenarios.go
@@ -10,7 +10,7 @@
 )
 
 // CompareScenarios compares a kind of scenario file with testdata/scenarios.golden: its keys, the files that pattern
-// matches as they are read with defaults, and the errors of faulty texts.
+// matches as they are read with defaults, and the errors of faulty texts. It is the whole test of such a kind.
 func CompareScenarios[T any](t *testing.T, pattern string, read func(path string) (T, error), faulty ...string) {
 	t.Helper()
 	lines := Keys(reflect.TypeFor[T](), "toml")
--- a/internal/goldentest/unpack.go
+++ b/internal/goldentest/unpack.go
@@ -10,7 +10,8 @@
 )
 
 // Unpack writes the content of a gzip file to a directory of the test, under the file's name without .gz, and returns
-// the path. Such a file was written by an earlier build; no flag writes it again.
+// the path. Tests use it for stored data that must stay readable: such a file was written by an earlier build, and no
+// flag writes it again.
 func Unpack(t *testing.T, packed string) (path string) {
 	t.Helper()
 	file, err := os.Open(packed)
