--- a/cmd/simulator-adapter/golden_test.go
+++ b/cmd/simulator-adapter/golden_test.go
@@ -13,12 +13,12 @@
 // replies, byte for byte. It has every command but release, which TestEncode of
 // package simwire covers.
 func TestConversation(t *testing.T) {
-	in, err := os.ReadFile(filepath.Join("testdata", "conversation.in"))
+	input, err := os.ReadFile(filepath.Join("testdata", "conversation.in"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
-	if err := run(bytes.NewReader(in), &out); err != nil {
+	if err := run(bytes.NewReader(input), &out); err != nil {
 		t.Fatal(err)
 	}
 	for _, command := range []string{
--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -26,14 +26,14 @@
 
 // run answers each line of input with one line of output until input ends.
 func run(input io.Reader, output io.Writer) error {
-	lines := lineReader{reader: bufio.NewReaderSize(input, bufferBytes)}
+	batches := lineReader{reader: bufio.NewReaderSize(input, bufferBytes)}
 	writer := bufio.NewWriterSize(output, bufferBytes)
 	instances := host{
-		dispatchers: map[int64]*decision.Machine{},
-		decoder:     simwire.NewDecoder(),
+		machines: map[int64]*decision.Machine{},
+		decoder:  simwire.NewDecoder(),
 	}
 	for {
-		line, err := lines.next()
+		line, err := batches.next()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
@@ -82,11 +82,11 @@
 
 // host holds the instances. They share nothing but the decoder's tables.
 type host struct {
-	decoder     *simwire.Decoder
-	encoder     simwire.Encoder
-	dispatchers map[int64]*decision.Machine // nil after an instance has exited
-	batch       simwire.Batch
-	actions     []decision.Action
+	decoder  *simwire.Decoder
+	encoder  simwire.Encoder
+	machines map[int64]*decision.Machine // by instance; nil after it has exited
+	batch    simwire.Batch               // the present one
+	actions  []decision.Action           // scratch space for those of one event
 }
 
 // answer returns the reply to a line, which is valid until the next call.
@@ -95,36 +95,39 @@
 	return h.encoder.End(), err
 }
 
+// begin begins the reply to a batch.
 func (h *host) begin(batch simwire.Batch) {
 	h.batch = batch
 	h.encoder.Begin(batch.Turn)
 }
 
+// handle handles a message and adds its actions to the reply.
 func (h *host) handle(message *simwire.Message) error {
 	switch message.Operation {
 	case simwire.Boot:
 		return h.boot(message)
 	case simwire.Exit:
-		h.dispatchers[message.Instance] = nil
+		h.machines[message.Instance] = nil
 		return nil
 	}
-	dispatcher, known := h.dispatchers[message.Instance]
+	machine, known := h.machines[message.Instance]
 	if !known {
 		return fmt.Errorf("dispatcher %d was never started", message.Instance)
 	}
-	if dispatcher == nil {
+	if machine == nil {
 		return nil
 	}
-	h.actions = dispatcher.Handle(h.batch.Now, message.Event, h.actions[:0])
+	h.actions = machine.Handle(h.batch.Now, message.Event, h.actions[:0])
 	h.encoder.Add(message.Instance, h.actions)
 	return nil
 }
 
+// boot starts an instance.
 func (h *host) boot(message *simwire.Message) error {
-	dispatcher, err := decision.New(message.Settings, message.Seed)
+	machine, err := decision.New(message.Settings, message.Seed)
 	if err != nil {
 		return fmt.Errorf("dispatcher %d: %w", message.Instance, err)
 	}
-	h.dispatchers[message.Instance] = dispatcher
+	h.machines[message.Instance] = machine
 	return nil
 }
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -17,6 +17,9 @@
 	"hollyyoke.example/hollyyoke/decision"
 )
 
+// maxMoment is the last moment of the clock, in microseconds, that a time.Duration can hold.
+const maxMoment = math.MaxInt64 / int64(time.Microsecond)
+
 // Operation says what a Message asks of the host of the instances.
 type Operation uint8
 
@@ -31,9 +34,9 @@
 type Message struct {
 	Operation Operation
 	Instance  int64
-	Event     decision.Event
-	Settings  decision.Settings
-	Seed      uint64
+	Event     decision.Event    // of Deliver
+	Settings  decision.Settings // of Boot
+	Seed      uint64            // of Boot: of the instance's random numbers
 }
 
 // Batch is the frame of a line: its clock and its number.
@@ -89,6 +92,7 @@
 	return nil
 }
 
+// readBatch reads the clock and the number of a batch.
 func readBatch(value *fastjson.Value) (Batch, error) {
 	now, err := readInteger(value, "moment_us")
 	if err != nil {
@@ -98,7 +102,7 @@
 	if err != nil {
 		return Batch{}, fmt.Errorf("malformed batch: %w", err)
 	}
-	if now < 0 || now > math.MaxInt64/1000 {
+	if now < 0 || now > maxMoment {
 		return Batch{}, fmt.Errorf("batch %d: clock out of range", turn)
 	}
 	return Batch{Now: time.Duration(now) * time.Microsecond, Turn: turn}, nil
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -9,8 +9,8 @@
 	"hollyyoke.example/hollyyoke/decision"
 )
 
-// maxTimerMicroseconds is the longest timer of the protocol, 71 minutes.
-const maxTimerMicroseconds = 71 * 60 * 1000 * 1000
+// maxTimer is the longest timer of the protocol.
+const maxTimer = 71 * time.Minute
 
 // commandNames are the names of actions on the wire.
 var commandNames = [...]string{
@@ -52,6 +52,7 @@
 	return e.buffer
 }
 
+// appendAction appends one action of an instance.
 func (e *Encoder) appendAction(instance int64, action *decision.Action) {
 	if e.hasAction {
 		e.buffer = append(e.buffer, ',')
@@ -77,7 +78,7 @@
 		e.appendNumber("trial", uint64(action.Attempt))
 	case decision.SetTimer:
 		e.appendNumber("handle", action.Timer)
-		e.appendNumber("span_us", min(microsecondsUp(action.Delay), maxTimerMicroseconds))
+		e.appendNumber("span_us", microsecondsUp(min(action.Delay, maxTimer)))
 	case decision.CheckHealth, decision.CloseIdle:
 		e.appendText("worker", action.Worker)
 	case decision.Subscribe:
@@ -88,12 +89,14 @@
 	e.buffer = append(e.buffer, '}')
 }
 
+// appendName appends the name of a further field.
 func (e *Encoder) appendName(name string) {
 	e.buffer = append(e.buffer, `,"`...)
 	e.buffer = append(e.buffer, name...)
 	e.buffer = append(e.buffer, `":`...)
 }
 
+// appendNumber appends a number field.
 func (e *Encoder) appendNumber(name string, number uint64) {
 	e.appendName(name)
 	e.buffer = strconv.AppendUint(e.buffer, number, 10)
@@ -103,19 +106,27 @@
 // encoding/json.
 func (e *Encoder) appendText(name, text string) {
 	e.appendName(name)
-	for i := 0; i < len(text); i++ {
-		char := text[i]
-		if char < ' ' || char == '"' || char == '\\' || char >= 0x7f {
-			quoted, _ := json.Marshal(text) // a string always marshals
-			e.buffer = append(e.buffer, quoted...)
-			return
-		}
+	if needsEscapes(text) {
+		quoted, _ := json.Marshal(text) // a string always marshals
+		e.buffer = append(e.buffer, quoted...)
+		return
 	}
 	e.buffer = append(e.buffer, '"')
 	e.buffer = append(e.buffer, text...)
 	e.buffer = append(e.buffer, '"')
 }
 
+// needsEscapes reports whether a text cannot stand between quotes as it is.
+func needsEscapes(text string) bool {
+	for i := range len(text) {
+		char := text[i]
+		if char < ' ' || char == '"' || char == '\\' || char >= 0x7f {
+			return true
+		}
+	}
+	return false
+}
+
 // microsecondsUp rounds up, so that a timer never fires early.
 func microsecondsUp(span time.Duration) uint64 {
 	if span <= 0 {
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -39,6 +39,7 @@
 	return d.readEvent(command, value, message)
 }
 
+// readBoot decodes the start of an instance.
 func (d *Decoder) readBoot(value *fastjson.Value, message *Message) error {
 	message.Operation = Boot
 	message.Seed = value.GetUint64("rng_seed")
@@ -71,12 +72,22 @@
 	case "peer_data":
 		event.Kind = decision.PeerMessage
 		return true, nil
+	}
+	return d.readRequestEvent(command, value, message)
+}
+
+// readRequestEvent decodes an event of a request; isDelivered is false for an interim
+// message of unknown kind.
+func (d *Decoder) readRequestEvent(command []byte, value *fastjson.Value, message *Message) (isDelivered bool, err error) {
+	event := &message.Event
+	switch string(command) {
 	case "ingress":
 		readArrival(value, event)
 	case "first_byte":
 		event.Kind = decision.FirstByte
 	case "response":
-		if err := d.readResponse(value, message.Instance, event); err != nil {
+		err := d.readResponse(value, message.Instance, event)
+		if err != nil {
 			return false, err
 		}
 	case "interim":
@@ -97,6 +108,7 @@
 	return true, nil
 }
 
+// readArrival decodes the arrival of a request.
 func readArrival(value *fastjson.Value, event *decision.Event) {
 	event.Kind = decision.RequestArrived
 	event.Class = value.GetInt("class")
@@ -108,6 +120,7 @@
 	event.Key = string(value.GetStringBytes("key"))
 }
 
+// readResponse decodes the end of an attempt.
 func (d *Decoder) readResponse(value *fastjson.Value, instance int64, event *decision.Event) (err error) {
 	event.Kind = decision.AttemptEnded
 	event.Answered = value.GetBool("settled")
@@ -130,6 +143,7 @@
 	return true
 }
 
+// readHealthCheck decodes the outcome of a health check.
 func (d *Decoder) readHealthCheck(value *fastjson.Value, instance int64, event *decision.Event) (err error) {
 	event.Kind = decision.HealthChecked
 	event.Load = d.readLoad(instance, value.Get("gauge"))
@@ -138,6 +152,7 @@
 	return err
 }
 
+// outcomeByName holds the outcomes of attempts and health checks by their names on the wire.
 var outcomeByName = map[string]decision.AttemptOutcome{
 	"completed":    decision.Completed,
 	"errored":      decision.Failed,
@@ -149,6 +164,7 @@
 	"superseded":   decision.NotSent,
 }
 
+// parseOutcome returns the outcome with a name.
 func parseOutcome(name []byte) (decision.AttemptOutcome, error) {
 	outcome, known := outcomeByName[string(name)]
 	if !known {
--- a/internal/simwire/table.go
+++ b/internal/simwire/table.go
@@ -38,6 +38,7 @@
 	return nil
 }
 
+// readEndpoint decodes an entry of a table.
 func (d *Decoder) readEndpoint(element *fastjson.Value) (decision.Endpoint, error) {
 	state, err := parseWorkerState(element.GetStringBytes("readiness"))
 	if err != nil {
@@ -58,6 +59,7 @@
 	return endpoint, nil
 }
 
+// readTableNumber returns the number of the table that a message fills or refers to.
 func readTableNumber(value *fastjson.Value) (int, error) {
 	number := value.GetInt("table")
 	if number < 0 || number >= tableCount {
@@ -93,6 +95,7 @@
 	return nil
 }
 
+// parseWorkerState returns the state that an entry's readiness names.
 func parseWorkerState(readiness []byte) (decision.WorkerState, error) {
 	switch string(readiness) {
 	case "Running":
--- a/internal/tools/docpaths/docpaths.go
+++ b/internal/tools/docpaths/docpaths.go
@@ -7,9 +7,10 @@
 	"strings"
 )
 
-// roots are the folders of the repository that pages refer to.
+// roots matches the folders of the repository that pages refer to.
 const roots = `(?:cmd|decision|deploy|docs|internal|tools)`
 
+// quotedPath matches a path in backquotes that begins with one of the folders.
 var quotedPath = regexp.MustCompile("`(" + roots + "(?:/[A-Za-z0-9_.-]+)*/?)`")
 
 // Find returns the paths in backquotes that a page names, each once, in the order of their first occurrence.
--- a/internal/tools/docpaths/docpaths_test.go
+++ b/internal/tools/docpaths/docpaths_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// Find returns paths in backquotes alone, each once.
 func TestFind(t *testing.T) {
 	page := "See `decision/retry.go`, `internal/jobs/`, `cmd`, again `decision/retry.go`; not `go test` or decision/x.go."
 	want := []string{"decision/retry.go", "internal/jobs", "cmd"}
--- a/internal/tools/testgate/knownfailures.go
+++ b/internal/tools/testgate/knownfailures.go
@@ -10,11 +10,12 @@
 
 const (
 	listFile       = "KNOWN-RED.txt"
-	maxEntries     = 3 // more known failures than these stop the work
+	maxEntries     = 3 // with more known failures the run fails
 	entryFields    = 4
 	fieldSeparator = " | "
 )
 
+// errEntryForm is returned for a line of the list that is no entry.
 var errEntryForm = errors.New("not of the form package | test | cause | issue")
 
 // knownFailure is one entry of the list: a test that fails for a real fault.
@@ -54,6 +55,7 @@
 	return known, nil
 }
 
+// parseKnownFailure parses one entry.
 func parseKnownFailure(line string) (knownFailure, error) {
 	fields := strings.Split(line, fieldSeparator)
 	if len(fields) != entryFields {
--- a/internal/tools/testgate/main_test.go
+++ b/internal/tools/testgate/main_test.go
@@ -8,6 +8,7 @@
 	"testing"
 )
 
+// Events of `go test -json`.
 const (
 	passes = `{"Action":"run","Package":"m/a","Test":"TestPasses"}
 {"Action":"pass","Package":"m/a","Test":"TestPasses"}
@@ -29,13 +30,15 @@
 	packageOnly = `{"Action":"fail","Package":"m/c"}` + "\n"
 )
 
+// A run passes if nothing fails but what is listed, and if all that is listed fails.
 func TestEvaluate(t *testing.T) {
 	failing := knownFailure{Package: "a", Test: "TestFails", Cause: "a cause", Issue: "issue 1"}
 	part := knownFailure{Package: "a", Test: "TestFails/part", Cause: "a cause", Issue: "issue 1"}
-	for _, c := range []struct {
-		name, events string
-		known        []knownFailure
-		want         string // part of the error; empty: the run passes
+	for _, test := range []struct {
+		name   string
+		events string
+		known  []knownFailure
+		want   string // part of the error; empty: the run passes
 	}{
 		{"all pass", passes, nil, ""},
 		{"no test", "", nil, "no test ran"},
@@ -50,27 +53,30 @@
 		{"no build beside a listed failure", passes + fails + noBuild, []knownFailure{failing}, "m/b does not build"},
 		{"a package that fails by itself", passes + fails + packageOnly, []knownFailure{failing}, "m/c"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			r := newResults(io.Discard)
-			if err := r.read(strings.NewReader(c.events)); err != nil {
+		t.Run(test.name, func(t *testing.T) {
+			results := newResults(io.Discard)
+			if err := results.read(strings.NewReader(test.events)); err != nil {
 				t.Fatal(err)
 			}
-			err := r.evaluate(c.known, nil)
+			err := results.evaluate(test.known, nil)
 			switch {
-			case c.want == "" && err != nil:
+			case test.want == "" && err != nil:
 				t.Errorf("fails: %v", err)
-			case c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)):
-				t.Errorf("%v, not %q", err, c.want)
+			case test.want != "" && (err == nil || !strings.Contains(err.Error(), test.want)):
+				t.Errorf("%v, want %q", err, test.want)
 			}
 		})
 	}
 }
 
+// A list is read whole or not at all, and errors name the line.
 func TestReadKnownFailures(t *testing.T) {
 	line := "internal/core | TestX | a cause | issue 27\n"
-	for _, c := range []struct {
-		name, text, want string
-		entries          int
+	for _, test := range []struct {
+		name    string
+		text    string
+		want    string // part of the error; empty: none
+		entries int
 	}{
 		{"comments and one entry", "# a comment\n\n" + line, "", 1},
 		{"three", strings.Repeat(line, 3), "", 3},
@@ -78,18 +84,20 @@
 		{"a field missing", "internal/core | TestX | a cause\n", ":1: not of the form", 0},
 		{"an empty field", "# x\ninternal/core |  | a cause | issue 27\n", ":2: not of the form", 0},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "list")
-			if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
+			if err := os.WriteFile(path, []byte(test.text), 0o600); err != nil {
 				t.Fatal(err)
 			}
 			known, err := readKnownFailures(path)
-			if len(known) != c.entries || (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
-				t.Errorf("%d entries, %v", len(known), err)
+			asWanted := err == nil && test.want == "" || err != nil && test.want != "" && strings.Contains(err.Error(), test.want)
+			if len(known) != test.entries || !asWanted {
+				t.Errorf("%d entries, %v; want %d, %q", len(known), err, test.entries, test.want)
 			}
 		})
 	}
-	if known, err := readKnownFailures(filepath.Join(t.TempDir(), "none")); err != nil || len(known) != 0 {
+	known, err := readKnownFailures(filepath.Join(t.TempDir(), "none"))
+	if err != nil || len(known) != 0 {
 		t.Errorf("no file: %v, %v", known, err)
 	}
 }
--- a/internal/tools/testgate/results.go
+++ b/internal/tools/testgate/results.go
@@ -42,57 +42,63 @@
 // results collects how each test and each package ended.
 type results struct {
 	out          io.Writer
-	outcomes     map[testName]action // the last of run, pass, fail and skip
-	finished     int                 // tests that passed, failed or were skipped
-	output       map[testName][]string
-	failedBuilds []string // packages
+	outcomes     map[testName]action   // the last of run, pass, fail and skip
+	finished     int                   // tests that passed, failed or were skipped
+	output       map[testName][]string // of tests that have not finished
+	failedBuilds []string              // packages
 }
 
+// newResults returns results without an event. What the tests print goes to out.
 func newResults(out io.Writer) *results {
 	return &results{out: out, outcomes: map[testName]action{}, output: map[testName][]string{}}
 }
 
 // read reads all events. Lines that are no events are printed.
 func (r *results) read(events io.Reader) error {
-	lines := bufio.NewScanner(events)
-	lines.Buffer(nil, maxEventBytes)
-	for lines.Scan() {
+	scanner := bufio.NewScanner(events)
+	scanner.Buffer(nil, maxEventBytes)
+	for scanner.Scan() {
 		var read event
-		err := json.Unmarshal(lines.Bytes(), &read)
+		err := json.Unmarshal(scanner.Bytes(), &read)
 		if err != nil || read.Action == "" {
-			fmt.Fprintln(r.out, lines.Text())
+			fmt.Fprintln(r.out, scanner.Text())
 			continue
 		}
 		r.add(read)
 	}
-	return lines.Err()
+	return scanner.Err()
 }
 
 // add records an event. A test's output is printed if the test fails.
-func (r *results) add(result event) {
-	name := testName{result.Package, result.Test}
-	switch result.Action {
+func (r *results) add(reported event) {
+	name := testName{Package: reported.Package, Test: reported.Test}
+	switch reported.Action {
 	case actionOutput:
-		if result.Test == "" {
-			fmt.Fprint(r.out, result.Output)
+		if reported.Test == "" {
+			fmt.Fprint(r.out, reported.Output)
 			return
 		}
-		r.output[name] = append(r.output[name], result.Output)
+		r.output[name] = append(r.output[name], reported.Output)
 	case actionBuildOutput:
-		fmt.Fprint(r.out, result.Output)
+		fmt.Fprint(r.out, reported.Output)
 	case actionBuildFail:
-		r.failedBuilds = append(r.failedBuilds, result.Package)
+		r.failedBuilds = append(r.failedBuilds, reported.Package)
 	case actionRun:
-		r.outcomes[name] = result.Action
+		r.outcomes[name] = reported.Action
 	case actionPass, actionFail, actionSkip:
-		r.outcomes[name] = result.Action
-		if result.Action == actionFail {
-			fmt.Fprint(r.out, strings.Join(r.output[name], ""))
-		}
-		delete(r.output, name)
-		if result.Test != "" {
-			r.finished++
-		}
+		r.finish(name, reported.Action)
+	}
+}
+
+// finish records how a test or a package ended.
+func (r *results) finish(name testName, outcome action) {
+	r.outcomes[name] = outcome
+	if outcome == actionFail {
+		fmt.Fprint(r.out, strings.Join(r.output[name], ""))
+	}
+	delete(r.output, name)
+	if name.Test != "" {
+		r.finished++
 	}
 }
 
@@ -110,7 +116,8 @@
 		case "":
 			errs = append(errs, fmt.Errorf("%s: %s matches no test", listFile, failure.Test))
 		default:
-			errs = append(errs, fmt.Errorf("%s: %s is listed, but its outcome is %s: remove the entry", listFile, failure.Test, outcome))
+			errs = append(errs, fmt.Errorf(
+				"%s: %s is listed, but its outcome is %s: remove the entry", listFile, failure.Test, outcome))
 		}
 	}
 	for _, name := range r.failedBuilds {
