--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -9,6 +9,7 @@
 	"hollyyoke.example/hollyyoke/decision"
 )
 
+// bootLine starts an instance with all settings that the wire has, fills a table and refers to it.
 const bootLine = `{"moment_us":5000000,"turn":1,"msgs":[{"cmd":"boot","dispatcher":3,"rng_seed":77,"params":{` +
 	`"areas":["a","b"],"my_zone":1,"peers_total":4,"tick_us":2000,"discovery":"ask","worth_by":"work",` +
 	`"over_share_worth":0.1,"unheard_of":[1,{"x":2}],` +
@@ -27,15 +28,17 @@
 	`"readiness":"Stopping","capacity_hint":1.5,"last_start_us":6100000}]},` +
 	`{"cmd":"roster_change","dispatcher":3,"how":"Persisted","serial":41,"table":2}]}`
 
-func decode(t *testing.T, d *Decoder, line string) (batch Batch, messages []Message, err error) {
+// decode decodes a line and returns its batch and messages.
+func decode(t *testing.T, decoder *Decoder, line string) (batch Batch, messages []Message, err error) {
 	t.Helper()
-	err = d.Decode([]byte(line), func(begun Batch) { batch = begun }, func(message *Message) error {
+	err = decoder.Decode([]byte(line), func(begun Batch) { batch = begun }, func(message *Message) error {
 		messages = append(messages, *message)
 		return nil
 	})
 	return batch, messages, err
 }
 
+// Each setting of the wire comes to the setting of package decision that it means, and unknown ones are ignored.
 func TestDecodeBoot(t *testing.T) {
 	batch, got, err := decode(t, NewDecoder(), bootLine)
 	if err != nil {
@@ -47,24 +50,61 @@
 	want := decision.Settings{
 		Classes: []decision.Class{
 			{
-				Name: "q", PriorityWeight: 1.5, LateWeight: 0.25, LatencyObjective: 200 * time.Millisecond, ObjectiveStretch: 2.5, Deadline: 5 * time.Second,
-				Idempotency: decision.Deduplicated, DedupScope: decision.DedupWithinCell, DedupWindow: 4 * time.Second,
-				Streaming: true,
+				Name:             "q",
+				PriorityWeight:   1.5,
+				LateWeight:       0.25,
+				LatencyObjective: 200 * time.Millisecond,
+				ObjectiveStretch: 2.5,
+				Deadline:         5 * time.Second,
+				Idempotency:      decision.Deduplicated,
+				DedupScope:       decision.DedupWithinCell,
+				DedupWindow:      4 * time.Second,
+				Streaming:        true,
 			},
 			{
-				PriorityWeight: 2, LatencyObjective: 100 * time.Microsecond, ObjectiveStretch: 3, Deadline: 9 * time.Second,
-				Idempotency: decision.NonIdempotent, Kinds: []int{1}, Zones: []int{1}, Serialized: true,
+				PriorityWeight:   2,
+				LatencyObjective: 100 * time.Microsecond,
+				ObjectiveStretch: 3,
+				Deadline:         9 * time.Second,
+				Idempotency:      decision.NonIdempotent,
+				Kinds:            []int{1},
+				Zones:            []int{1},
+				Serialized:       true,
 			},
 		},
-		TenantQuotas: []float64{12.5}, OverQuotaWeight: 0.1, WeightByWork: true, Zone: 1, Peers: 4,
-		Tick: 2 * time.Millisecond, ListBySubscription: true, ListPollInterval: 10 * time.Second,
-		SlowStartFloor: 0.31, SlowStartDuration: 8600 * time.Millisecond, OverloadMultiple: 2.5, OverloadWindow: 2 * time.Second,
-		SaturatedMayHaveRun: true, KeyCooldown: 300 * time.Millisecond, RetryBudgetWindow: 10 * time.Second, RetryBudgetFloor: 1, RetryBudgetRatio: 0.2,
-		ConnectionIdleTimeout: 30 * time.Second, CacheMissCost: 0.15, LoadAdjustedWeights: true,
-		MaxAttempts: 5, Hedging: true, Cancellation: true, HealthChecks: true, LoadByHealthCheck: true,
-		MaxRetryAfter: 2 * time.Second, ConnectTimeout: 200 * time.Millisecond,
-		StartNotices: true, ProgressInterval: time.Second, CrossZoneCost: 0.03,
-		ZoneNames: []string{"a", "b"}, FreeSlots: "x0", DrainGrace: 500 * time.Millisecond,
+		TenantQuotas:          []float64{12.5},
+		OverQuotaWeight:       0.1,
+		WeightByWork:          true,
+		Zone:                  1,
+		Peers:                 4,
+		Tick:                  2 * time.Millisecond,
+		ListBySubscription:    true,
+		ListPollInterval:      10 * time.Second,
+		SlowStartFloor:        0.31,
+		SlowStartDuration:     8600 * time.Millisecond,
+		OverloadMultiple:      2.5,
+		OverloadWindow:        2 * time.Second,
+		SaturatedMayHaveRun:   true,
+		KeyCooldown:           300 * time.Millisecond,
+		RetryBudgetWindow:     10 * time.Second,
+		RetryBudgetFloor:      1,
+		RetryBudgetRatio:      0.2,
+		ConnectionIdleTimeout: 30 * time.Second,
+		CacheMissCost:         0.15,
+		LoadAdjustedWeights:   true,
+		MaxAttempts:           5,
+		Hedging:               true,
+		Cancellation:          true,
+		HealthChecks:          true,
+		LoadByHealthCheck:     true,
+		MaxRetryAfter:         2 * time.Second,
+		ConnectTimeout:        200 * time.Millisecond,
+		StartNotices:          true,
+		ProgressInterval:      time.Second,
+		CrossZoneCost:         0.03,
+		ZoneNames:             []string{"a", "b"},
+		FreeSlots:             "x0",
+		DrainGrace:            500 * time.Millisecond,
 	}
 	if len(got) != 2 || got[0].Operation != Boot || got[0].Instance != 3 || got[0].Seed != 77 {
 		t.Fatalf("messages %+v", got)
@@ -72,19 +112,25 @@
 	if !reflect.DeepEqual(got[0].Settings, want) {
 		t.Fatalf("settings\n got %+v\nwant %+v", got[0].Settings, want)
 	}
-	entry := decision.Endpoint{
-		Name: "10.0.0.1:1", Zone: 1, Kind: 2, Cell: 3, State: decision.Draining, Weight: 1.5,
+	endpoint := decision.Endpoint{
+		Name:      "10.0.0.1:1",
+		Zone:      1,
+		Kind:      2,
+		Cell:      3,
+		State:     decision.Draining,
+		Weight:    1.5,
 		StartedAt: 6100 * time.Millisecond,
 	}
-	ev := got[1].Event
-	if ev.ListKind != decision.ListCached || len(ev.Endpoints) != 1 || ev.Endpoints[0] != entry {
-		t.Fatalf("list %+v", ev)
+	update := got[1].Event
+	if update.ListKind != decision.ListCached || len(update.Endpoints) != 1 || update.Endpoints[0] != endpoint {
+		t.Fatalf("list %+v, want the one endpoint %+v", update, endpoint)
 	}
 }
 
+// Each message comes to the event that it means.
 func TestDecodeEvents(t *testing.T) {
-	d := NewDecoder()
-	if _, _, err := decode(t, d, bootLine); err != nil {
+	decoder := NewDecoder()
+	if _, _, err := decode(t, decoder, bootLine); err != nil {
 		t.Fatal(err)
 	}
 	for _, test := range []struct {
@@ -121,7 +167,7 @@
 		{`{"cmd":"roster_change","dispatcher":3,"how":"Error"}`,
 			decision.Event{Kind: decision.ListUpdated, ListKind: decision.ListFailed}},
 	} {
-		_, got, err := decode(t, d, `{"moment_us":1,"turn":2,"msgs":[`+test.line+`]}`)
+		_, got, err := decode(t, decoder, `{"moment_us":1,"turn":2,"msgs":[`+test.line+`]}`)
 		if err != nil || len(got) != 1 || !reflect.DeepEqual(got[0].Event, test.want) {
 			t.Errorf("%s\n got %+v, %v\nwant %+v", test.line, got, err, test.want)
 		}
@@ -131,20 +177,23 @@
 // A table's number may be reused within a batch: each list update refers to the
 // table before it.
 func TestDecodeTableReuse(t *testing.T) {
-	table := func(w string) string {
-		return `{"cmd":"table","table":0,"elements":[{"worker":"` + w + `","readiness":"Running"}]}`
+	table := func(worker string) string {
+		return `{"cmd":"table","table":0,"elements":[{"worker":"` + worker + `","readiness":"Running"}]}`
 	}
-	const roster = `{"cmd":"roster_change","dispatcher":1,"how":"Complete","table":0}`
+	const listUpdate = `{"cmd":"roster_change","dispatcher":1,"how":"Complete","table":0}`
 	_, got, err := decode(t, NewDecoder(),
-		`{"moment_us":1,"turn":1,"msgs":[`+strings.Join([]string{table("a"), roster, table("b"), roster}, ",")+`]}`)
+		`{"moment_us":1,"turn":1,"msgs":[`+strings.Join([]string{table("a"), listUpdate, table("b"), listUpdate}, ",")+`]}`)
 	if err != nil || len(got) != 2 {
 		t.Fatal(got, err)
 	}
-	if a, b := got[0].Event.Endpoints[0].Name, got[1].Event.Endpoints[0].Name; a != "a" || b != "b" {
-		t.Fatalf("workers %s, %s", a, b)
+	first := got[0].Event.Endpoints[0].Name
+	second := got[1].Event.Endpoints[0].Name
+	if first != "a" || second != "b" {
+		t.Fatalf("workers %s, %s; want a, b", first, second)
 	}
 }
 
+// A line that is no batch, or that holds a message which cannot be meant, is an error.
 func TestDecodeErrors(t *testing.T) {
 	for _, line := range []string{
 		``, `x`, `[]`, `{}`, `{"moment_us":1,"turn":1}`, `{"moment_us":"1","turn":1,"msgs":[]}`,
@@ -165,10 +214,11 @@
 	}
 }
 
+// Each action has its command on the wire.
 func TestEncode(t *testing.T) {
-	var e Encoder
-	e.Begin(12)
-	e.Add(3, []decision.Action{
+	var encoder Encoder
+	encoder.Begin(12)
+	encoder.Add(3, []decision.Action{
 		{Kind: decision.Assign, Request: 7, Worker: "10.0.0.1:1"},
 		{Kind: decision.Reject, Request: 7, Delay: 250 * time.Millisecond},
 		{Kind: decision.Reject, Request: 8},
@@ -191,7 +241,7 @@
 		`{"cmd":"listen","dispatcher":3,"active":true},` +
 		`{"cmd":"release","dispatcher":3,"worker":"w"},` +
 		`{"cmd":"say_log","dispatcher":3,"reason_text":"say \"é\"\n"}]}` + "\n"
-	if got := string(e.End()); got != want {
+	if got := string(encoder.End()); got != want {
 		t.Fatalf("got  %swant %s", got, want)
 	}
 }
