--- a/internal/workerclient/response.go
+++ b/internal/workerclient/response.go
@@ -42,17 +42,24 @@
 	}
 	c.response.parser.dropParsed()
 	if c.response.complete {
-		c.client.loop().Clear(&c.timer)
-		bytesBehind := len(c.response.parser.unparsed()) > 0
-		c.closeAfterResponse = c.closeAfterResponse || bytesBehind
-		if c.request.kind == confirmation {
-			c.confirmationAnswered()
-			return
-		}
-		lastByteUnwanted := c.request.lastByte.held // the worker must not get the rest of the request any more
-		c.closeAfterResponse = c.closeAfterResponse || lastByteUnwanted
-		c.release() // before the report: an attempt that it starts can use the connection
+		c.responseCompleted()
+		return
+	}
+	c.reportResult()
+}
+
+// responseCompleted ends the exchange once all of the response has been parsed.
+func (c *connection) responseCompleted() {
+	c.client.loop().Clear(&c.timer)
+	bytesBehind := len(c.response.parser.unparsed()) > 0
+	c.closeAfterResponse = c.closeAfterResponse || bytesBehind
+	if c.request.kind == confirmation {
+		c.confirmationAnswered()
+		return
 	}
+	lastByteUnwanted := c.request.lastByte.held // the worker must not get the rest of the request any more
+	c.closeAfterResponse = c.closeAfterResponse || lastByteUnwanted
+	c.release() // before the report: an attempt that it starts can use the connection
 	c.reportResult()
 }
 
