--- a/internal/httpfront/errors.go
+++ b/internal/httpfront/errors.go
@@ -18,9 +18,9 @@
 func statusOf(err error) int {
 	switch {
 	case errors.Is(err, errSlow):
-		return 408
+		return httpwire.StatusRequestTimeout
 	case errors.Is(err, errMemory), errors.Is(err, errCaps), errors.Is(err, errEnding):
-		return 503
+		return httpwire.StatusServiceUnavailable
 	}
 	return httpwire.StatusOf(err)
 }
--- a/internal/httpfront/idempotency.go
+++ b/internal/httpfront/idempotency.go
@@ -37,15 +37,12 @@
 func (c *clientConnection) admitDurable(message *httpwire.Message, request dispatch.Request, key string) {
 	frontEnd := c.frontEnd
 	if !httpwire.IsIdentifier([]byte(durable.RequestID(key))) {
-		c.rejectInvalid(message, request.Class, 400, "Idempotency-Key is not of 1 to 123 letters, digits or -._:~+/=@\n")
+		c.rejectInvalid(message, request.Class, httpwire.StatusBadRequest,
+			"Idempotency-Key is not of 1 to 123 letters, digits or -._:~+/=@\n")
 		return
 	}
 	if frontEnd.durable == nil {
-		c.input.consume(message.Size)
-		frontEnd.dispatcher.CountResponse(request.Class, dispatch.Rejected)
-		response := textResponse(503, "the other process has the store\n")
-		response.retryAfter = durableRetryAfter
-		c.writeResponse(response)
+		c.rejectForNow(message, request.Class, "the other process has the store\n", durableRetryAfter)
 		return
 	}
 	job := frontEnd.durableJob(request, message.Body, key)
@@ -105,16 +102,16 @@
 
 // notDone responds that the job is stored and not done yet.
 func (p durableResponse) notDone() {
-	p.write(202, []byte("the job is kept and not over yet: ask again with the same key\n"), durableRetryAfter)
+	p.write(httpwire.StatusAccepted, []byte("the job is kept and not over yet: ask again with the same key\n"), durableRetryAfter)
 }
 
 // notStored responds that the job was not stored.
 func (p durableResponse) notStored(err error) {
 	if errors.Is(err, jobs.ErrIDConflict) {
-		p.write(422, []byte("Idempotency-Key belongs to another request\n"), 0)
+		p.write(httpwire.StatusUnprocessableContent, []byte("Idempotency-Key belongs to another request\n"), 0)
 		return
 	}
-	p.write(503, []byte(err.Error()+"\n"), durableRetryAfter)
+	p.write(httpwire.StatusServiceUnavailable, []byte(err.Error()+"\n"), durableRetryAfter)
 }
 
 // ended responds with the result of a job that has ended, or that is handed over to a successor with its store.
@@ -125,8 +122,8 @@
 	case jobs.Accepted, jobs.Scheduled, jobs.Ready, jobs.Leased, jobs.Started, jobs.Waiting: // the store is handed over
 		p.notDone()
 	case jobs.InDoubt:
-		p.write(409, []byte("in doubt, an operator settles it: "+string(job.Reason)+"\n"), 0)
+		p.write(httpwire.StatusConflict, []byte("in doubt, an operator settles it: "+string(job.Reason)+"\n"), 0)
 	default:
-		p.write(502, []byte(job.State.String()+": "+string(job.Reason)+"\n"), 0)
+		p.write(httpwire.StatusBadGateway, []byte(job.State.String()+": "+string(job.Reason)+"\n"), 0)
 	}
 }
--- a/internal/httpfront/request.go
+++ b/internal/httpfront/request.go
@@ -33,7 +33,7 @@
 	}
 	class, known := c.frontEnd.classOf(path)
 	if !known {
-		c.respondDirectly(message, textResponse(404, "no such class\n"))
+		c.respondDirectly(message, textResponse(httpwire.StatusNotFound, "no such class\n"))
 		return
 	}
 	if !bytes.Equal(message.Method(), []byte("POST")) {
@@ -48,7 +48,7 @@
 	frontEnd := c.frontEnd
 	request, err := parseRequestFields(message)
 	if err != nil {
-		c.rejectInvalid(message, class, 400, err.Error()+"\n")
+		c.rejectInvalid(message, class, httpwire.StatusBadRequest, err.Error()+"\n")
 		return
 	}
 	request.ReceivedAt = c.incoming.startedAt
@@ -59,16 +59,12 @@
 		return
 	}
 	if frontEnd.dispatcher.IsKnownID(request.ID) { // it may be another client's request
-		c.rejectInvalid(message, class, 409, "X-Correlation-Id names another request\n")
+		c.rejectInvalid(message, class, httpwire.StatusConflict, "X-Correlation-Id names another request\n")
 		return
 	}
 	frontEnd.freeMemory()
 	if frontEnd.memoryExhausted() {
-		frontEnd.dispatcher.CountResponse(class, dispatch.Rejected)
-		c.input.consume(message.Size)
-		response := textResponse(503, errMemory.Error()+"\n")
-		response.retryAfter = memoryRetryAfter
-		c.writeResponse(response)
+		c.rejectForNow(message, class, errMemory.Error()+"\n", memoryRetryAfter)
 		return
 	}
 	c.dispatch(message, request)
@@ -80,6 +76,15 @@
 	c.respondDirectly(message, textResponse(status, text))
 }
 
+// rejectForNow responds to a request for a class that may be served if it is sent again later.
+func (c *clientConnection) rejectForNow(message *httpwire.Message, class int, text string, retryAfter time.Duration) {
+	c.frontEnd.dispatcher.CountResponse(class, dispatch.Rejected)
+	response := textResponse(httpwire.StatusServiceUnavailable, text)
+	response.retryAfter = retryAfter
+	c.input.consume(message.Size)
+	c.writeResponse(response)
+}
+
 // classOf returns the class that a path names by its first segment.
 func (f *FrontEnd) classOf(path []byte) (class int, known bool) {
 	if len(path) < 2 || path[0] != '/' {
--- a/internal/httpfront/response.go
+++ b/internal/httpfront/response.go
@@ -34,7 +34,7 @@
 
 // methodNotAllowed returns the response to a request for a target that allows one method only.
 func methodNotAllowed(allowed string) httpResponse {
-	response := textResponse(405, allowed+" only\n")
+	response := textResponse(httpwire.StatusMethodNotAllowed, allowed+" only\n")
 	response.fields = "Allow: " + allowed + "\r\n"
 	return response
 }
@@ -47,11 +47,11 @@
 	}
 	switch response.Outcome {
 	case dispatch.Served:
-		connection.completeService(httpResponse{status: 200, body: response.Body, served: true})
+		connection.completeService(httpResponse{status: httpwire.StatusOK, body: response.Body, served: true})
 	case dispatch.Rejected:
-		connection.completeService(httpResponse{status: 503, retryAfter: response.RetryAfter})
+		connection.completeService(httpResponse{status: httpwire.StatusServiceUnavailable, retryAfter: response.RetryAfter})
 	default:
-		connection.completeService(httpResponse{status: 502})
+		connection.completeService(httpResponse{status: httpwire.StatusBadGateway})
 	}
 }
 
@@ -74,9 +74,9 @@
 	}
 	ready := f.ready() && (!f.shuttingDown || f.handedOver) && !f.drain.active
 	if !ready {
-		return textResponse(503, "not ready\n")
+		return textResponse(httpwire.StatusServiceUnavailable, "not ready\n")
 	}
-	return textResponse(200, "ready\n")
+	return textResponse(httpwire.StatusOK, "ready\n")
 }
 
 // respondDirectly removes a request from the input and responds to it.
--- /dev/null
+++ b/internal/httpwire/status.go
@@ -0,0 +1,49 @@
+package httpwire
+
+import "errors"
+
+// Status codes, by the names that net/http gives them. That package is not linked into the daemon.
+const (
+	StatusOK                          = 200
+	StatusAccepted                    = 202
+	StatusBadRequest                  = 400
+	StatusNotFound                    = 404
+	StatusMethodNotAllowed            = 405
+	StatusRequestTimeout              = 408
+	StatusConflict                    = 409
+	StatusContentTooLarge             = 413
+	StatusUnprocessableContent        = 422
+	StatusRequestHeaderFieldsTooLarge = 431
+	StatusInternalServerError         = 500
+	StatusBadGateway                  = 502
+	StatusServiceUnavailable          = 503
+	StatusGatewayTimeout              = 504
+)
+
+// reasonPhrases are those of the status codes that this program answers with.
+var reasonPhrases = map[int]string{
+	StatusOK:                          "OK",
+	StatusAccepted:                    "Accepted",
+	StatusBadRequest:                  "Bad Request",
+	StatusNotFound:                    "Not Found",
+	StatusMethodNotAllowed:            "Method Not Allowed",
+	StatusRequestTimeout:              "Request Timeout",
+	StatusConflict:                    "Conflict",
+	StatusContentTooLarge:             "Content Too Large",
+	StatusUnprocessableContent:        "Unprocessable Content",
+	StatusRequestHeaderFieldsTooLarge: "Request Header Fields Too Large",
+	StatusInternalServerError:         "Internal Server Error",
+	StatusBadGateway:                  "Bad Gateway",
+	StatusServiceUnavailable:          "Service Unavailable",
+}
+
+// StatusOf returns the status code that answers a message which could not be read.
+func StatusOf(err error) int {
+	switch {
+	case errors.Is(err, ErrBodyTooLong):
+		return StatusContentTooLarge
+	case errors.Is(err, ErrHeadTooLong):
+		return StatusRequestHeaderFieldsTooLarge
+	}
+	return StatusBadRequest
+}
--- a/internal/workerclient/response.go
+++ b/internal/workerclient/response.go
@@ -146,10 +146,11 @@
 // outcomeOfStatus returns the outcome that a response other than 200 states.
 func outcomeOfStatus(status int, head *httpwire.Head) decision.AttemptOutcome {
 	unprocessed := bytes.Equal(head.Get("X-Unprocessed"), []byte("1"))
+	unavailable := status == httpwire.StatusServiceUnavailable || status == httpwire.StatusGatewayTimeout
 	switch {
-	case (status == 503 || status == 504) && unprocessed:
+	case unavailable && unprocessed:
 		return decision.Saturated
-	case status >= 400 && status < 500:
+	case status >= httpwire.StatusBadRequest && status < httpwire.StatusInternalServerError:
 		return decision.InvalidRequest
 	default: // 500, and what the protocol does not define: the attempt may have run
 		return decision.Failed
