--- a/internal/httpfront/response.go
+++ b/internal/httpfront/response.go
@@ -24,7 +24,7 @@
 type pendingResponse struct {
 	pending       bool   // a request is being served
 	handle        uint64 // of the request; 0: the dispatcher has not returned it yet, or the request is durable
-	durableNumber uint64 // the number of durable requests so far, by which the latest is told from earlier ones
+	durableNumber uint64 // the number of durable requests so far; late responses to earlier ones are ignored by it
 }
 
 // textResponse returns a response with a text that the front end gives by itself.
