--- a/internal/httpfront/idempotency.go
+++ b/internal/httpfront/idempotency.go
@@ -90,40 +90,44 @@
 }
 
 // write writes the response, if it is still pending.
-func (p durableResponse) write(status int, body []byte, retryAfter time.Duration) {
-	c := p.connection
+func (r durableResponse) write(status int, body []byte, retryAfter time.Duration) {
+	c := r.connection
 	connected := c.frontEnd.connections.Get(c.token) == c
-	if !connected || !c.response.pending || c.response.durableNumber != p.number {
+	if !connected || !c.response.pending || c.response.durableNumber != r.number {
 		return
 	}
-	served := status == httpwire.StatusOK
-	c.completeService(httpResponse{status: status, body: body, retryAfter: retryAfter, served: served})
+	c.completeService(httpResponse{
+		status:     status,
+		body:       body,
+		retryAfter: retryAfter,
+		served:     status == httpwire.StatusOK,
+	})
 }
 
 // notDone responds that the job is stored and not done yet.
-func (p durableResponse) notDone() {
-	p.write(httpwire.StatusAccepted, []byte("the job is kept and not over yet: ask again with the same key\n"), durableRetryAfter)
+func (r durableResponse) notDone() {
+	r.write(httpwire.StatusAccepted, []byte("the job is kept and not over yet: ask again with the same key\n"), durableRetryAfter)
 }
 
 // notStored responds that the job was not stored.
-func (p durableResponse) notStored(err error) {
+func (r durableResponse) notStored(err error) {
 	if errors.Is(err, jobs.ErrIDConflict) {
-		p.write(httpwire.StatusUnprocessableContent, []byte("Idempotency-Key belongs to another request\n"), 0)
+		r.write(httpwire.StatusUnprocessableContent, []byte("Idempotency-Key belongs to another request\n"), 0)
 		return
 	}
-	p.write(httpwire.StatusServiceUnavailable, []byte(err.Error()+"\n"), durableRetryAfter)
+	r.write(httpwire.StatusServiceUnavailable, []byte(err.Error()+"\n"), durableRetryAfter)
 }
 
 // ended responds with the result of a job that has ended, or that is handed over to a successor with its store.
-func (p durableResponse) ended(job jobs.Job) {
+func (r durableResponse) ended(job jobs.Job) {
 	switch job.State {
 	case jobs.Done:
-		p.write(httpwire.StatusOK, job.Result, 0)
+		r.write(httpwire.StatusOK, job.Result, 0)
 	case jobs.Accepted, jobs.Scheduled, jobs.Ready, jobs.Leased, jobs.Started, jobs.Waiting: // the store is handed over
-		p.notDone()
+		r.notDone()
 	case jobs.InDoubt:
-		p.write(httpwire.StatusConflict, []byte("in doubt, an operator settles it: "+string(job.Reason)+"\n"), 0)
+		r.write(httpwire.StatusConflict, []byte("in doubt, an operator settles it: "+string(job.Reason)+"\n"), 0)
 	default:
-		p.write(httpwire.StatusBadGateway, []byte(job.State.String()+": "+string(job.Reason)+"\n"), 0)
+		r.write(httpwire.StatusBadGateway, []byte(job.State.String()+": "+string(job.Reason)+"\n"), 0)
 	}
 }
