--- a/internal/workerclient/helpers_test.go
+++ b/internal/workerclient/helpers_test.go
@@ -96,6 +96,15 @@
 	}
 }
 
+// requireOutcome is checkOutcome for a response without which the test can't go on.
+func requireOutcome(t *testing.T, what string, responses testkit.Responses, want dispatch.Outcome) {
+	t.Helper()
+	got := testkit.Receive(t, responses).Outcome
+	if got != want {
+		t.Fatalf("%s: %v, want %v", what, got, want)
+	}
+}
+
 // checkNotServed waits for a response and checks that the request was not served. what names the request.
 func checkNotServed(t *testing.T, what string, responses testkit.Responses) {
 	t.Helper()
--- a/internal/workerclient/lastbyte_test.go
+++ b/internal/workerclient/lastbyte_test.go
@@ -28,7 +28,7 @@
 	first := post(rig, testkit.Renewal, "id000001")
 	conn := worker.Accept()
 	serve(conn)
-	checkOutcome(t, "the first request", first, dispatch.Served)
+	requireOutcome(t, "the first request", first, dispatch.Served)
 	conn.Close()
 	testkit.Until(t, "the unexpected close of a connection is noticed", func() (holding bool) {
 		rig.Do(func() { holding = client.holdLastByteUntil > 0 })
@@ -37,7 +37,7 @@
 	afterClose := post(rig, testkit.Renewal, "id000012")
 	conn = worker.Accept()
 	serve(conn)
-	checkOutcome(t, "the request after the close", afterClose, dispatch.Served)
+	requireOutcome(t, "the request after the close", afterClose, dispatch.Served)
 
 	// The reused connection is reset at the request's first byte.
 	second := post(rig, testkit.Renewal, "id000002")
--- a/internal/workerclient/pool_test.go
+++ b/internal/workerclient/pool_test.go
@@ -73,7 +73,7 @@
 				first := post(rig, testkit.Renewal, "id000001")
 				conn := worker.Accept()
 				conn.ServeRequest()
-				checkOutcome(t, "the first request", first, dispatch.Served)
+				requireOutcome(t, "the first request", first, dispatch.Served)
 
 				release := rig.BlockLoop()
 				var second testkit.Responses
@@ -111,7 +111,7 @@
 	first := post(rig, testkit.Renewal, "id000001")
 	conn := worker.Accept()
 	conn.ServeRequest()
-	checkOutcome(t, "the first request", first, dispatch.Served)
+	requireOutcome(t, "the first request", first, dispatch.Served)
 	for class, id := range map[int]string{testkit.Renewal: "id000002", transfer: "id000003"} {
 		unsafe := post(rig, class, id)
 		otherConn := worker.Accept()
