--- a/internal/httpfront/idempotency.go
+++ b/internal/httpfront/idempotency.go
@@ -37,22 +37,19 @@
 func (c *clientConnection) admitDurable(message *httpwire.Message, request dispatch.Request, key string) {
 	frontEnd := c.frontEnd
 	if !httpwire.IsIdentifier([]byte(durable.RequestID(key))) {
-		c.rejectInvalid(message, request.Class, 400, "Idempotency-Key is not of 1 to 123 letters, digits or -._:~+/=@\n")
+		c.rejectInvalid(message, request.Class, httpwire.StatusBadRequest,
+			"Idempotency-Key is not of 1 to 123 letters, digits or -._:~+/=@\n")
 		return
 	}
 	if frontEnd.durable == nil {
-		c.consumeInput(message.Size)
-		frontEnd.dispatcher.CountResponse(request.Class, dispatch.Rejected)
-		response := textResponse(503, "the other process has the store\n")
-		response.retryAfter = durableRetryAfter
-		c.writeResponse(response)
+		c.rejectForNow(message, request.Class, "the other process has the store\n", durableRetryAfter)
 		return
 	}
 	job := frontEnd.durableJob(request, message.Body, key)
-	c.consumeInput(message.Size)
-	c.durableRequests++
+	c.input.consume(message.Size)
+	c.response.durableNumber++
 	c.beginService()
-	response := durableResponse{connection: c, number: c.durableRequests}
+	response := durableResponse{connection: c, number: c.response.durableNumber}
 	untilResponse := request.ReceivedAt + frontEnd.clientTimeout(request) - durableResponseMargin - frontEnd.loop().Now()
 	frontEnd.loop().After(max(untilResponse, 0), response.notDone)
 	frontEnd.durable.Push(job, 0, func(err error) {
@@ -93,40 +90,44 @@
 }
 
 // write writes the response, if it is still pending.
-func (p durableResponse) write(status int, body []byte, retryAfter time.Duration) {
-	c := p.connection
+func (r durableResponse) write(status int, body []byte, retryAfter time.Duration) {
+	c := r.connection
 	connected := c.frontEnd.connections.Get(c.token) == c
-	if !connected || !c.responsePending || c.durableRequests != p.number {
+	if !connected || !c.response.pending || c.response.durableNumber != r.number {
 		return
 	}
-	served := status == httpwire.StatusOK
-	c.completeService(httpResponse{status: status, body: body, retryAfter: retryAfter, served: served})
+	c.completeService(httpResponse{
+		status:     status,
+		body:       body,
+		retryAfter: retryAfter,
+		served:     status == httpwire.StatusOK,
+	})
 }
 
 // notDone responds that the job is stored and not done yet.
-func (p durableResponse) notDone() {
-	p.write(202, []byte("the job is kept and not over yet: ask again with the same key\n"), durableRetryAfter)
+func (r durableResponse) notDone() {
+	r.write(httpwire.StatusAccepted, []byte("the job is kept and not over yet: ask again with the same key\n"), durableRetryAfter)
 }
 
 // notStored responds that the job was not stored.
-func (p durableResponse) notStored(err error) {
+func (r durableResponse) notStored(err error) {
 	if errors.Is(err, jobs.ErrIDConflict) {
-		p.write(422, []byte("Idempotency-Key belongs to another request\n"), 0)
+		r.write(httpwire.StatusUnprocessableContent, []byte("Idempotency-Key belongs to another request\n"), 0)
 		return
 	}
-	p.write(503, []byte(err.Error()+"\n"), durableRetryAfter)
+	r.write(httpwire.StatusServiceUnavailable, []byte(err.Error()+"\n"), durableRetryAfter)
 }
 
 // ended responds with the result of a job that has ended, or that is handed over to a successor with its store.
-func (p durableResponse) ended(job jobs.Job) {
+func (r durableResponse) ended(job jobs.Job) {
 	switch job.State {
 	case jobs.Done:
-		p.write(httpwire.StatusOK, job.Result, 0)
+		r.write(httpwire.StatusOK, job.Result, 0)
 	case jobs.Accepted, jobs.Scheduled, jobs.Ready, jobs.Leased, jobs.Started, jobs.Waiting: // the store is handed over
-		p.notDone()
+		r.notDone()
 	case jobs.InDoubt:
-		p.write(409, []byte("in doubt, an operator settles it: "+string(job.Reason)+"\n"), 0)
+		r.write(httpwire.StatusConflict, []byte("in doubt, an operator settles it: "+string(job.Reason)+"\n"), 0)
 	default:
-		p.write(502, []byte(job.State.String()+": "+string(job.Reason)+"\n"), 0)
+		r.write(httpwire.StatusBadGateway, []byte(job.State.String()+": "+string(job.Reason)+"\n"), 0)
 	}
 }
--- a/internal/httpfront/request.go
+++ b/internal/httpfront/request.go
@@ -33,7 +33,7 @@
 	}
 	class, known := c.frontEnd.classOf(path)
 	if !known {
-		c.respondDirectly(message, textResponse(404, "no such class\n"))
+		c.respondDirectly(message, textResponse(httpwire.StatusNotFound, "no such class\n"))
 		return
 	}
 	if !bytes.Equal(message.Method(), []byte("POST")) {
@@ -48,10 +48,10 @@
 	frontEnd := c.frontEnd
 	request, err := parseRequestFields(message)
 	if err != nil {
-		c.rejectInvalid(message, class, 400, err.Error()+"\n")
+		c.rejectInvalid(message, class, httpwire.StatusBadRequest, err.Error()+"\n")
 		return
 	}
-	request.ReceivedAt = c.requestStartedAt
+	request.ReceivedAt = c.incoming.startedAt
 	request.Class = class
 	key := message.Get("Idempotency-Key")
 	if len(key) > 0 && frontEnd.isDurable(class) {
@@ -59,16 +59,12 @@
 		return
 	}
 	if frontEnd.dispatcher.IsKnownID(request.ID) { // it may be another client's request
-		c.rejectInvalid(message, class, 409, "X-Correlation-Id names another request\n")
+		c.rejectInvalid(message, class, httpwire.StatusConflict, "X-Correlation-Id names another request\n")
 		return
 	}
 	frontEnd.freeMemory()
 	if frontEnd.memoryExhausted() {
-		frontEnd.dispatcher.CountResponse(class, dispatch.Rejected)
-		c.consumeInput(message.Size)
-		response := textResponse(503, errMemory.Error()+"\n")
-		response.retryAfter = memoryRetryAfter
-		c.writeResponse(response)
+		c.rejectForNow(message, class, errMemory.Error()+"\n", memoryRetryAfter)
 		return
 	}
 	c.dispatch(message, request)
@@ -80,6 +76,15 @@
 	c.respondDirectly(message, textResponse(status, text))
 }
 
+// rejectForNow responds to a request for a class that may be served if it is sent again later.
+func (c *clientConnection) rejectForNow(message *httpwire.Message, class int, text string, retryAfter time.Duration) {
+	c.frontEnd.dispatcher.CountResponse(class, dispatch.Rejected)
+	response := textResponse(httpwire.StatusServiceUnavailable, text)
+	response.retryAfter = retryAfter
+	c.input.consume(message.Size)
+	c.writeResponse(response)
+}
+
 // classOf returns the class that a path names by its first segment.
 func (f *FrontEnd) classOf(path []byte) (class int, known bool) {
 	if len(path) < 2 || path[0] != '/' {
@@ -162,23 +167,21 @@
 // dispatch hands a request to the dispatcher. The input's buffer goes with it; what came behind moves to a new one.
 func (c *clientConnection) dispatch(message *httpwire.Message, request dispatch.Request) {
 	frontEnd := c.frontEnd
-	pool := &frontEnd.engine.Pool
-	buffer := pool.Detach(&c.input, message.Size)
-	c.refillInput()
+	buffer := c.input.detach(message.Size)
 	request.Body = message.Body
-	request.Release = func() { pool.Put(buffer) }
+	request.Release = func() { frontEnd.engine.Pool.Put(buffer) }
 	c.beginService()
 	handle := frontEnd.dispatcher.Accept(frontEnd, c.token, request)
-	if c.responsePending {
-		c.request = handle
+	if c.response.pending {
+		c.response.handle = handle
 	}
 }
 
 // beginService notes that a request is complete and its response is pending.
 func (c *clientConnection) beginService() {
-	f := c.frontEnd
-	c.responsePending = true
-	c.request = 0
-	f.loop().Clear(&c.timer)
-	f.gate.Limiter.RequestComplete(f.loop().Now(), c.limiterID)
+	frontEnd := c.frontEnd
+	c.response.pending = true
+	c.response.handle = 0
+	frontEnd.loop().Clear(&c.timer)
+	frontEnd.gate.Limiter.RequestComplete(frontEnd.loop().Now(), c.limiterID)
 }
