--- a/internal/httpfront/frontend.go
+++ b/internal/httpfront/frontend.go
@@ -61,16 +61,13 @@
 		dispatcher:  dispatcher,
 		engine:      engine,
 		gate:        listener.NewUnlimited(dispatcher.Loop),
-		classes:     map[string]int{},
+		classes:     durable.ClassIndexes(&dispatcher.Settings),
 		memoryLimit: memoryLimit,
 		ready:       ready,
 	}
 	frontEnd.eviction.retryTimer.Fire = frontEnd.retryEviction
 	frontEnd.eviction.silenceTimer.Fire = frontEnd.evictSilent
 	frontEnd.drain.timer.Fire = frontEnd.continueDrain
-	for i, class := range dispatcher.Settings.Classes {
-		frontEnd.classes[class.Name] = i
-	}
 	return frontEnd
 }
 
--- a/internal/testkit/stubs.go
+++ b/internal/testkit/stubs.go
@@ -17,13 +17,15 @@
 )
 
 // EchoWorkerClient is a worker client for tests of a front end. Its attempts end at once, as the first word of the
-// request's body says: done, failed or returned. One that says hold does not end.
+// request's body says: done, failed or returned. One that says hold starts and does not end: an attempt that does not
+// start either would keep other requests from the worker.
 type EchoWorkerClient struct{ Dispatcher *dispatch.Dispatcher }
 
 // Start reports the attempt's outcome, with the request's body behind "made " as the result.
 func (e EchoWorkerClient) Start(attempt dispatch.Attempt) {
 	word, _, _ := bytes.Cut(attempt.Request.Body, []byte(" "))
 	if string(word) == "hold" {
+		e.Dispatcher.AttemptStarted(attempt.Handle)
 		return
 	}
 	outcome := map[string]decision.AttemptOutcome{
