--- a/internal/discovery/endpointlist.go
+++ b/internal/discovery/endpointlist.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/membership"
 )
 
 // endpointList is a list of workers, or a change of one, in its wire form. The same form serves the discovery watch,
@@ -27,24 +28,9 @@
 	AgeMs *int64 `json:"age_ms,omitempty"`
 }
 
-// endpoint is one worker in its wire form.
-type endpoint struct {
-	Name        string  `json:"host"`
-	Address     string  `json:"dial"` // host:port
-	Zone        string  `json:"site"`
-	Kind        string  `json:"class"`
-	Cell        int     `json:"block"`
-	Health      string  `json:"health"` // one of the health constants
-	Weight      float64 `json:"share"`
-	StartedAtMs float64 `json:"born_ms"` // when the worker started; 0: unknown
-}
-
-// The values of endpoint.Health.
-const (
-	healthReady    = "ready"
-	healthDraining = "draining"
-	healthGone     = "gone" // the worker was removed
-)
+// endpoint is one worker in its wire form, the same as that of a membership server. Errors of encoding/json contain
+// the name of this type.
+type endpoint membership.Endpoint
 
 // maxStartedAtMs bounds the start times that are believed. Later ones count as unknown.
 const maxStartedAtMs = 1e13
@@ -113,11 +99,11 @@
 // parseHealth returns the state that a health value stands for.
 func parseHealth(health string) (decision.WorkerState, error) {
 	switch health {
-	case healthReady:
+	case membership.HealthReady:
 		return decision.Running, nil
-	case healthDraining:
+	case membership.HealthDraining:
 		return decision.Draining, nil
-	case healthGone:
+	case membership.HealthGone:
 		return decision.Removed, nil
 	}
 	return decision.Removed, fmt.Errorf("health: unknown value %q", health)
@@ -127,9 +113,9 @@
 func formatHealth(state decision.WorkerState) string {
 	switch state {
 	case decision.Running:
-		return healthReady
+		return membership.HealthReady
 	case decision.Draining:
-		return healthDraining
+		return membership.HealthDraining
 	}
-	return healthGone
+	return membership.HealthGone
 }
--- a/internal/membership/backfill_test.go
+++ b/internal/membership/backfill_test.go
@@ -10,7 +10,7 @@
 	t.Helper()
 	snapshot := Change{Version: 50, Snapshot: true}
 	for i := range 100 {
-		snapshot.Records = append(snapshot.Records, workerRecord(fmt.Sprint("h", i), healthReady, 0))
+		snapshot.Records = append(snapshot.Records, workerRecord(fmt.Sprint("h", i), HealthReady, 0))
 	}
 	store := NewStore(1000)
 	if outcome, err := store.Apply(snapshot); outcome != Applied {
@@ -24,7 +24,7 @@
 	if !store.NeedsSnapshot(49) {
 		t.Fatal("resumes from a version before its first snapshot")
 	}
-	missed := Change{Version: 52, Base: 40, Records: []Record{workerRecord("h1", healthDraining, 0), workerRecord("old", healthGone, 0)}}
+	missed := Change{Version: 52, Base: 40, Records: []Record{workerRecord("h1", HealthDraining, 0), workerRecord("old", HealthGone, 0)}}
 	if !store.Backfill(missed) {
 		t.Fatal("rejected")
 	}
@@ -37,7 +37,7 @@
 	if c, _ := store.Since(39); !c.Snapshot || len(c.Records) != 100 {
 		t.Errorf("since 39: snapshot %v, %d records", c.Snapshot, len(c.Records))
 	}
-	if outcome, err := store.Apply(Change{Version: 53, Base: 52, Records: []Record{workerRecord("new", healthReady, 0)}}); outcome != Applied {
+	if outcome, err := store.Apply(Change{Version: 53, Base: 52, Records: []Record{workerRecord("new", HealthReady, 0)}}); outcome != Applied {
 		t.Fatal(outcome, err)
 	}
 	if c, _ := store.Since(45); len(c.Records) != 3 {
@@ -46,7 +46,7 @@
 }
 
 func TestBackfillRejects(t *testing.T) {
-	records := []Record{workerRecord("h1", healthDraining, 0)}
+	records := []Record{workerRecord("h1", HealthDraining, 0)}
 	for name, change := range map[string]Change{
 		"a snapshot":                   {Version: 52, Snapshot: true, Base: 40, Records: records},
 		"an exact delta":               {Version: 52, Exact: true, Base: 40, Records: records},
--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -13,7 +13,7 @@
 func fleetSnapshot(version Version, size int) Change {
 	snapshot := Change{Version: version, Snapshot: true}
 	for i := range size {
-		snapshot.Records = append(snapshot.Records, workerRecord(fmt.Sprintf("w-%06x", i), healthReady, 0))
+		snapshot.Records = append(snapshot.Records, workerRecord(fmt.Sprintf("w-%06x", i), HealthReady, 0))
 	}
 	return snapshot
 }
@@ -51,7 +51,7 @@
 }
 
 func BenchmarkParseDelta(b *testing.B) {
-	change := Change{Version: 2, Records: []Record{workerRecord("w-1", healthDraining, 0)}}
+	change := Change{Version: 2, Records: []Record{workerRecord("w-1", HealthDraining, 0)}}
 	line := change.Append(nil)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -94,7 +94,7 @@
 	benchmarkBySize(b, func(b *testing.B, size int) {
 		store := NewStore(size)
 		store.Apply(fleetSnapshot(1, size))
-		store.Apply(Change{Version: 2, Records: []Record{workerRecord("w-1", healthDraining, 0)}})
+		store.Apply(Change{Version: 2, Records: []Record{workerRecord("w-1", HealthDraining, 0)}})
 		for b.Loop() {
 			if change, ok := store.Since(1); !ok || len(change.Records) != 1 {
 				b.Fatal(change, ok)
@@ -111,7 +111,7 @@
 		store.Apply(fleetSnapshot(1, size))
 		for i := range changes {
 			name := fmt.Sprintf("w-%06x", i%size)
-			store.Apply(Change{Version: store.Version() + 1, Records: []Record{workerRecord(name, healthReady, i)}})
+			store.Apply(Change{Version: store.Version() + 1, Records: []Record{workerRecord(name, HealthReady, i)}})
 		}
 		for b.Loop() {
 			if change, ok := store.Since(1); !ok || len(change.Records) != min(changes, size) {
--- a/internal/membership/parse.go
+++ b/internal/membership/parse.go
@@ -60,19 +60,19 @@
 }
 
 func parseWorker(raw json.RawMessage) (Record, error) {
-	var worker wireWorker
+	var worker Endpoint
 	if err := json.Unmarshal(raw, &worker); err != nil {
 		return Record{}, err
 	}
 	switch worker.Health {
-	case healthReady, healthDraining, healthGone:
+	case HealthReady, HealthDraining, HealthGone:
 	default:
 		return Record{}, &contentError{"health", ": unknown value " + strconv.Quote(worker.Health)}
 	}
 	if worker.Name == "" {
 		return Record{}, &contentError{"host", " is empty"}
 	}
-	if worker.Health != healthGone {
+	if worker.Health != HealthGone {
 		if err := checkAddress(worker.Address); err != nil {
 			return Record{}, &contentError{"dial", ": " + err.Error()}
 		}
@@ -80,8 +80,8 @@
 	return Record{
 		Key:     WorkerPrefix + worker.Name,
 		Value:   onOneLine(raw),
-		Deleted: worker.Health == healthGone,
-		Urgent:  worker.Health != healthReady,
+		Deleted: worker.Health == HealthGone,
+		Urgent:  worker.Health != HealthReady,
 	}, nil
 }
 
--- a/internal/membership/store.go
+++ b/internal/membership/store.go
@@ -245,7 +245,7 @@
 	r.Deleted = true
 	if strings.HasPrefix(r.Key, WorkerPrefix) {
 		r.Urgent = true
-		r.Value = withHealth(r.Value, healthGone)
+		r.Value = withHealth(r.Value, HealthGone)
 		return r
 	}
 	r.Value = json.RawMessage("null")
--- a/internal/membership/store_test.go
+++ b/internal/membership/store_test.go
@@ -191,8 +191,8 @@
 // A worker that a snapshot lacks is deleted, which is urgent.
 func TestWorkerMissingFromASnapshotIsDeletedUrgently(t *testing.T) {
 	store := storeWith(t, 10,
-		Change{Version: 1, Snapshot: true, Records: []Record{workerRecord("w1", healthReady, 7), workerRecord("w2", healthReady, 7)}},
-		Change{Version: 2, Snapshot: true, Records: []Record{workerRecord("w2", healthReady, 7)}})
+		Change{Version: 1, Snapshot: true, Records: []Record{workerRecord("w1", HealthReady, 7), workerRecord("w2", HealthReady, 7)}},
+		Change{Version: 2, Snapshot: true, Records: []Record{workerRecord("w2", HealthReady, 7)}})
 	change, _ := store.Since(1)
 	if len(change.Records) != 1 || !change.Urgent() {
 		t.Fatalf("%+v", change)
@@ -371,7 +371,7 @@
 func TestSinceCostIsProportionalToTheChanges(t *testing.T) {
 	for _, size := range benchmarkSizes {
 		store := storeWith(t, size, fleetSnapshot(1, size),
-			Change{Version: 2, Base: 1, Records: []Record{workerRecord("w-1", healthDraining, 0)}})
+			Change{Version: 2, Base: 1, Records: []Record{workerRecord("w-1", HealthDraining, 0)}})
 		if allocations := testing.AllocsPerRun(10, func() { store.Since(1) }); allocations > 1 {
 			t.Errorf("%d workers: %v allocations for one changed worker", size, allocations)
 		}
--- a/internal/membership/tree_test.go
+++ b/internal/membership/tree_test.go
@@ -129,7 +129,7 @@
 		key := fmt.Sprint(SettingPrefix, "s", rapid.IntRange(0, treeSettings-1).Draw(t, "setting"))
 		return Record{Key: key, Value: []byte(value), Deleted: value == "null"}
 	}
-	healths := []string{healthReady, healthDraining, healthGone, invalidHealth}
+	healths := []string{HealthReady, HealthDraining, HealthGone, invalidHealth}
 	health := rapid.SampledFrom(healths).Draw(t, "health")
 	name := fmt.Sprint("h", rapid.IntRange(0, treeWorkers-1).Draw(t, "host"))
 	return workerRecord(name, health, 0) // few values, so that workers return to earlier states
@@ -281,12 +281,12 @@
 		_, err := Parse(Change{Version: 1, Records: []Record{r}}.Append(nil))
 		switch {
 		case err != nil:
-			records = append(records, workerRecord(r.Key[len(WorkerPrefix):], healthReady, 9))
+			records = append(records, workerRecord(r.Key[len(WorkerPrefix):], HealthReady, 9))
 		case !acceptAllButForbidden(r):
 			records = append(records, Record{Key: r.Key, Value: []byte("9")})
 		}
 	}
-	records = append(records, workerRecord("last", healthReady, tr.origin.versionNumber()))
+	records = append(records, workerRecord("last", HealthReady, tr.origin.versionNumber()))
 	tr.origin.publish(t, records)
 }
 
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -18,16 +18,17 @@
 	Settings    []json.RawMessage `json:"settings"`
 }
 
-// wireWorker holds the fields of a worker whose types are checked.
-type wireWorker struct {
+// Endpoint is one worker in its wire form. Fields that a sender adds to these are
+// passed on, and their types are not checked.
+type Endpoint struct {
 	Name        string  `json:"host"`
-	Address     string  `json:"dial"`
+	Address     string  `json:"dial"` // host:port
 	Zone        string  `json:"site"`
 	Kind        string  `json:"class"`
 	Cell        int     `json:"block"`
-	Health      string  `json:"health"`
+	Health      string  `json:"health"` // HealthReady, HealthDraining or HealthGone
 	Weight      float64 `json:"share"`
-	StartedAtMs float64 `json:"born_ms"`
+	StartedAtMs float64 `json:"born_ms"` // when the worker started; 0: unknown
 }
 
 type wireSetting struct {
@@ -35,11 +36,11 @@
 	Value json.RawMessage `json:"value"`
 }
 
-// Values of a worker's health on the wire.
+// The values of Endpoint.Health.
 const (
-	healthReady    = "ready"
-	healthDraining = "draining"
-	healthGone     = "gone"
+	HealthReady    = "ready"
+	HealthDraining = "draining"
+	HealthGone     = "gone" // the worker was removed
 )
 
 // Append appends the change to dst as one line with its line end, and returns
--- a/internal/membership/wire_test.go
+++ b/internal/membership/wire_test.go
@@ -18,8 +18,8 @@
 	return Record{
 		Key:     WorkerPrefix + name,
 		Value:   json.RawMessage(value),
-		Deleted: health == healthGone,
-		Urgent:  health != healthReady,
+		Deleted: health == HealthGone,
+		Urgent:  health != HealthReady,
 	}
 }
 
@@ -43,7 +43,7 @@
 }
 
 func TestParseDoesNotRetainTheLine(t *testing.T) {
-	line := Change{Version: 1, Records: []Record{workerRecord("a", healthReady, 0), settingRecord("b", "1")}}.Append(nil)
+	line := Change{Version: 1, Records: []Record{workerRecord("a", HealthReady, 0), settingRecord("b", "1")}}.Append(nil)
 	change, err := Parse(line)
 	if err != nil {
 		t.Fatal(err)
@@ -101,7 +101,7 @@
 }
 
 func TestParseKeepsTheLastRecordOfAKey(t *testing.T) {
-	records := []Record{workerRecord("a", healthGone, 0), workerRecord("b", healthReady, 0), workerRecord("a", healthReady, 1)}
+	records := []Record{workerRecord("a", HealthGone, 0), workerRecord("b", HealthReady, 0), workerRecord("a", HealthReady, 1)}
 	change, err := Parse(Change{Version: 1, Records: records}.Append(nil))
 	if err != nil || !reflect.DeepEqual(change.Records, records[1:]) {
 		t.Errorf("%+v, %v", change, err)
@@ -139,12 +139,12 @@
 	}
 	change.MissingFrom = Version(rapid.Int64Range(0, int64(change.Version)).Draw(t, "missing"))
 	for _, name := range rapid.SliceOfNDistinct(rapid.StringN(1, 8, -1), 0, 3, rapid.ID).Draw(t, "hosts") {
-		health := rapid.SampledFrom([]string{healthReady, healthDraining, healthGone}).Draw(t, "health")
+		health := rapid.SampledFrom([]string{HealthReady, HealthDraining, HealthGone}).Draw(t, "health")
 		object := map[string]any{"host": name, "health": health, "dial": "h:1"}
 		object[rapid.StringMatching("x[a-z]*").Draw(t, "field")] = rapid.String().Draw(t, "value")
 		value, _ := json.Marshal(object)
 		change.Records = append(change.Records, Record{Key: WorkerPrefix + name, Value: value,
-			Deleted: health == healthGone, Urgent: health != healthReady})
+			Deleted: health == HealthGone, Urgent: health != HealthReady})
 	}
 	for _, path := range rapid.SliceOfNDistinct(rapid.StringN(1, 8, -1), 0, 3, rapid.ID).Draw(t, "settings") {
 		value := rapid.SampledFrom([]string{"1", `"x"`, `[1, 2]`, "null"}).Draw(t, "value")
@@ -165,7 +165,7 @@
 }
 
 func TestWithHealth(t *testing.T) {
-	got := withHealth(json.RawMessage(`{"host":"a","Health":"ready","health":"ready","rack":{"row":7}}`), healthGone)
+	got := withHealth(json.RawMessage(`{"host":"a","Health":"ready","health":"ready","rack":{"row":7}}`), HealthGone)
 	if string(got) != `{"health":"gone","host":"a","rack":{"row":7}}` {
 		t.Errorf("%s", got)
 	}
