--- a/internal/discovery/httpconn.go
+++ b/internal/discovery/httpconn.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"hollyyoke.example/hollyyoke/internal/eventloop"
+	"hollyyoke.example/hollyyoke/internal/httpwire"
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
@@ -35,11 +36,16 @@
 	awaitingResponse bool // or its rest
 	reused           bool // the connection has carried a response before, and may have been closed unnoticed since
 	response         responseReader
+	gzipped          bool // the body of the latest response is compressed
+	closesConnection bool // the server closes the connection after the latest response
 	timeout          eventloop.Deadline
 	timeoutExtended  bool // by unreadDataGrace
 }
 
-var _ transport.Handler = (*httpConn)(nil)
+var (
+	_ transport.Handler = (*httpConn)(nil)
+	_ responseConsumer  = (*httpConn)(nil)
+)
 
 // get sends a GET request, on the connection that is open or on a new one.
 func (h *httpConn) get(target string) {
@@ -127,15 +133,49 @@
 		return
 	}
 	h.restartTimeout()
-	done, err := h.response.feed(pool, received.Bytes(), h.onBody)
+	err := h.response.feed(pool, received.Bytes(), h)
+	if h.response.trailingData {
+		err = httpwire.ErrMalformed
+	}
 	switch {
-	case err != nil || done:
+	case err != nil || h.response.done:
 		h.finish(err)
 	case h.conn == conn:
 		h.onProgress()
 	}
 }
 
+// acceptHead implements responseConsumer: the status must be 200 and the content coding one that was asked for.
+func (h *httpConn) acceptHead(head *httpwire.Head) (bodyFraming, error) {
+	status, ok := head.Status()
+	if !ok {
+		return bodyFraming{}, httpwire.ErrMalformed
+	}
+	if status < httpwire.StatusOK {
+		return bodyFraming{interim: true}, nil
+	}
+	if status != httpwire.StatusOK {
+		return bodyFraming{}, statusError(status)
+	}
+	length, chunked, err := head.Framing()
+	if err != nil {
+		return bodyFraming{}, err
+	}
+	if !chunked && length < 0 {
+		return bodyFraming{}, errNoLength
+	}
+	coding := head.Get("Content-Encoding")
+	h.gzipped = httpwire.EqualFold(coding, "gzip")
+	if coding != nil && !h.gzipped && !httpwire.EqualFold(coding, "identity") {
+		return bodyFraming{}, errContentCoding
+	}
+	h.closesConnection = head.HasToken("Connection", "close")
+	return bodyFraming{chunked: chunked, length: length}, nil
+}
+
+// takeBody implements responseConsumer.
+func (h *httpConn) takeBody(piece []byte) error { return h.onBody(piece) }
+
 // OnClosed implements transport.Handler: the server has closed the connection, or it broke.
 func (h *httpConn) OnClosed(conn *transport.Conn, _ error) {
 	if conn == h.conn {
@@ -158,14 +198,11 @@
 // finish ends the request. The connection is kept after a complete response.
 func (h *httpConn) finish(err error) {
 	wasAwaiting := h.awaitingResponse
-	closesConnection := h.response.closesConnection
-	gzipped := h.response.gzipped
 	h.registry.dispatcher.Loop.Clear(&h.timeout)
 	h.response.reset(&h.registry.engine.Pool)
-	h.response.gzipped = gzipped // read by onDone
 	h.awaitingResponse = false
 	h.reused = true
-	if err != nil || closesConnection {
+	if err != nil || h.closesConnection {
 		h.disconnect()
 	}
 	if wasAwaiting {
--- a/internal/discovery/objectsplitter.go
+++ b/internal/discovery/objectsplitter.go
@@ -39,6 +39,25 @@
 	text    stringTracker
 }
 
+// split calls onObject with each object that data completes, and with an empty one for each line end between objects.
+// An object is valid during its call. An error of onObject is returned at once, and nothing more is read.
+func (o *objectSplitter) split(data []byte, onObject func(object []byte) error) error {
+	for len(data) > 0 {
+		object, used, complete, err := o.next(data)
+		if err != nil {
+			return err
+		}
+		data = data[used:]
+		if !complete {
+			return nil
+		}
+		if err := onObject(object); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
 // next takes bytes from the start of data up to the end of an object, which it returns, or up to a line end between
 // objects, for which it returns an empty object. The object is valid until the next call. used is the number of bytes
 // taken. complete is false if the data ends first, all of which is taken then.
--- a/internal/discovery/responsereader.go
+++ b/internal/discovery/responsereader.go
@@ -18,18 +18,34 @@
 
 func (e statusError) Error() string { return fmt.Sprintf("status %d", int(e)) }
 
+// responseConsumer decides which responses are accepted and takes their bodies.
+type responseConsumer interface {
+	// acceptHead says how the body after a head ends. An error rejects the response.
+	acceptHead(head *httpwire.Head) (bodyFraming, error)
+
+	// takeBody takes a piece of the body, which is valid during the call. It returns an error if the response must not
+	// be read any further, also where the call has replaced or reset the reader.
+	takeBody(piece []byte) error
+}
+
+// bodyFraming says what follows the head of a response.
+type bodyFraming struct {
+	interim bool // another head, and no body
+	chunked bool // a body in chunks
+	length  int  // of a body that is not chunked
+}
+
 // responseReader parses one HTTP response incrementally, whatever pieces it arrives in. It buffers the head and the
-// framing; the body is passed on as it comes.
+// framing; the body is passed on as it comes. The discovery watch and the connections to membership servers read by it.
 type responseReader struct {
-	buffer           *transport.Buffer
-	scanned          int  // bytes of buffer that were searched for the end of the head
-	headRead         bool // the head has come
-	gzipped          bool
-	closesConnection bool // the server closes the connection after the response
-	chunked          bool
-	chunks           httpwire.ChunkReader
-	remaining        int // bytes of a body of known length
-	done             bool
+	buffer       *transport.Buffer
+	scanned      int  // bytes of buffer that were searched for the end of the head
+	headRead     bool // the head has come
+	chunked      bool
+	chunks       httpwire.ChunkReader
+	remaining    int  // bytes of a body of known length
+	done         bool // the response is complete
+	trailingData bool // bytes have come after its end
 }
 
 // reset makes the reader ready for the next response.
@@ -38,56 +54,53 @@
 	*r = responseReader{}
 }
 
-// feed reads data and calls onBody with each piece of the body, which is valid during the call. done reports that the
-// response is complete. Bytes after its end are an error.
-func (r *responseReader) feed(pool *transport.Pool, data []byte, onBody func(piece []byte) error) (done bool, err error) {
+// feed reads data up to the end of the response. After an error the reader must be reset.
+func (r *responseReader) feed(pool *transport.Pool, data []byte, consumer responseConsumer) error {
 	if r.buffer == nil {
 		r.buffer = pool.Get()
 	}
-	for len(data) > 0 {
+	for len(data) > 0 && !r.done {
 		copied := r.buffer.Fill(data)
 		data = data[copied:]
-		if err := r.readBuffer(onBody); err != nil {
-			return false, err
+		if err := r.readBuffer(consumer); err != nil {
+			return err
 		}
 		if copied == 0 { // the buffer is full of a line of the framing that does not end
-			return false, httpwire.ErrMalformed
-		}
-		if r.done && (len(data) > 0 || len(r.buffer.Bytes()) > 0) {
-			return false, httpwire.ErrMalformed
+			return httpwire.ErrMalformed
 		}
 	}
-	return r.done, nil
+	r.trailingData = r.done && (len(data) > 0 || len(r.buffer.Bytes()) > 0)
+	return nil
 }
 
 // readBuffer consumes what it can of the buffer.
-func (r *responseReader) readBuffer(onBody func(piece []byte) error) error {
+func (r *responseReader) readBuffer(consumer responseConsumer) error {
 	consumed := 0
-	defer func() { r.buffer.Consume(consumed) }()
 	for !r.done {
-		piece, used, err := r.next(r.buffer.Bytes()[consumed:])
+		piece, used, err := r.next(r.buffer.Bytes()[consumed:], consumer)
 		if err != nil {
 			return err
 		}
 		if used == 0 && !r.done {
-			return nil
+			break
 		}
 		if len(piece) > 0 {
-			if err := onBody(piece); err != nil {
+			if err := consumer.takeBody(piece); err != nil {
 				return err
 			}
 		}
 		consumed += used
 	}
+	r.buffer.Consume(consumed)
 	return nil
 }
 
 // next takes the head, a piece of the body, or bytes of the framing from the start of data. used is the number of bytes
 // taken; 0: more must come first.
-func (r *responseReader) next(data []byte) (body []byte, used int, err error) {
+func (r *responseReader) next(data []byte, consumer responseConsumer) (body []byte, used int, err error) {
 	switch {
 	case !r.headRead:
-		used, err = r.readHead(data)
+		used, err = r.readHead(data, consumer)
 		return nil, used, err
 	case r.chunked:
 		body, used, err = r.chunks.Next(data)
@@ -103,44 +116,23 @@
 
 // readHead reads a head from the start of data and returns its size; 0: it is not complete. The head of an interim
 // response is passed over.
-func (r *responseReader) readHead(data []byte) (size int, err error) {
+func (r *responseReader) readHead(data []byte, consumer responseConsumer) (size int, err error) {
 	var head httpwire.Head
 	complete, err := httpwire.ParseHead(data, &head, &r.scanned)
 	if !complete {
 		return 0, err
 	}
 	r.scanned = 0
-	status, ok := head.Status()
-	if !ok {
-		return head.Size, httpwire.ErrMalformed
-	}
-	if status < httpwire.StatusOK {
-		return head.Size, nil
-	}
-	if status != httpwire.StatusOK {
-		return head.Size, statusError(status)
-	}
-	return head.Size, r.beginBody(&head)
-}
-
-// beginBody sets how the body is framed and coded.
-func (r *responseReader) beginBody(head *httpwire.Head) error {
-	length, chunked, err := head.Framing()
+	framing, err := consumer.acceptHead(&head)
 	if err != nil {
-		return err
-	}
-	if !chunked && length < 0 {
-		return errNoLength
+		return head.Size, err
 	}
-	coding := head.Get("Content-Encoding")
-	r.gzipped = httpwire.EqualFold(coding, "gzip")
-	if coding != nil && !r.gzipped && !httpwire.EqualFold(coding, "identity") {
-		return errContentCoding
+	if framing.interim {
+		return head.Size, nil
 	}
 	r.headRead = true
-	r.chunked = chunked
-	r.remaining = length
-	r.closesConnection = head.HasToken("Connection", "close")
-	r.done = length == 0
-	return nil
+	r.chunked = framing.chunked
+	r.remaining = framing.length
+	r.done = !framing.chunked && framing.length == 0
+	return head.Size, nil
 }
--- a/internal/discovery/subscription.go
+++ b/internal/discovery/subscription.go
@@ -110,7 +110,7 @@
 		s.pollBody = responseBody{}
 		var change membershipChange
 		if err == nil {
-			change, err = body.decode(s.pollConn.response.gzipped)
+			change, err = body.decode(s.pollConn.gzipped)
 			change.base = after
 		}
 		onChange(change, err)
@@ -193,22 +193,11 @@
 
 // onWatchBody reads a piece of the watch.
 func (s *subscription) onWatchBody(data []byte) error {
-	if s.watchConn.response.gzipped {
+	if s.watchConn.gzipped {
 		return errContentCoding
 	}
-	for len(data) > 0 {
-		object, used, complete, err := s.splitter.next(data)
-		if err != nil {
-			return err
-		}
-		data = data[used:]
-		if !complete {
-			break
-		}
-		s.objectStartedAt = 0
-		if err := s.readLine(object); err != nil {
-			return err
-		}
+	if err := s.splitter.split(data, s.readLine); err != nil {
+		return err
 	}
 	return s.checkObjectTime()
 }
@@ -230,6 +219,7 @@
 // readLine handles one line of the watch: a change, or an empty line that only shows that the server is alive. A server
 // that has caught up with the version in force replaces the one in use.
 func (s *subscription) readLine(text []byte) error {
+	s.objectStartedAt = 0
 	follower := s.follower
 	if len(text) == 0 {
 		follower.registry.publishInitial(nil) // the state in force is confirmed
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -8,7 +8,6 @@
 
 	"hollyyoke.example/hollyyoke/internal/eventloop"
 	"hollyyoke.example/hollyyoke/internal/freshness"
-	"hollyyoke.example/hollyyoke/internal/httpwire"
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
@@ -52,18 +51,18 @@
 type watchCall struct {
 	calling     bool
 	conn        *transport.Conn // nil: not connected yet
-	buffer      *transport.Buffer
-	scanned     int  // bytes of buffer that were searched for the end of the head
-	headRead    bool // the head of the answer has come
-	established bool // its first line has come
-	chunks      httpwire.ChunkReader
+	response    responseReader
+	established bool // the first line of the answer has come
 	splitter    objectSplitter
 
 	deadline        time.Duration // the latest time to which partial lines move the timeout
 	timeoutExtended bool          // by unreadDataGrace
 }
 
-var _ transport.Handler = (*watch)(nil)
+var (
+	_ transport.Handler = (*watch)(nil)
+	_ responseConsumer  = (*watch)(nil)
+)
 
 // Subscribe starts a call to discovery, unless one is in progress or membership servers are followed. The dispatcher
 // may call it at any time: no call begins within minBackoff of one that failed.
@@ -131,7 +130,7 @@
 	loop.Clear(&w.timeout)
 	loop.Clear(&w.nextCall)
 	w.nextCallAt = 0
-	w.registry.engine.Pool.Put(w.buffer)
+	w.response.reset(&w.registry.engine.Pool)
 	if w.conn != nil {
 		w.conn.Close()
 	}
@@ -176,13 +175,13 @@
 	case w.conn == nil, errors.As(cause, &status), transport.IsLocalError(cause):
 		return freshness.NotReached
 	case w.usesAgent():
-		if w.headRead && !w.established {
+		if w.response.headRead && !w.established {
 			return freshness.BrokenOff
 		}
 		return freshness.NotReached
 	case cause == errWatchEnded && w.established && !w.midLine(): // as in an orderly shutdown
 		return freshness.NotReached
-	case w.headRead:
+	case w.response.headRead:
 		return freshness.BrokenOff
 	}
 	return freshness.NotReached
--- a/internal/discovery/watchreader.go
+++ b/internal/discovery/watchreader.go
@@ -2,11 +2,16 @@
 
 import (
 	"encoding/json"
+	"errors"
 
 	"hollyyoke.example/hollyyoke/internal/httpwire"
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
+// errCallReplaced ends the reading of an answer after a line has ended its call, as a move to another address does. It is
+// never reported.
+var errCallReplaced = errors.New("the call was ended by a line of its answer")
+
 // OnData implements transport.Handler: it reads what discovery has sent.
 func (w *watch) OnData(conn *transport.Conn, received *transport.Buffer) {
 	pool := &w.registry.engine.Pool
@@ -18,20 +23,16 @@
 	if w.registry.dispatcher.Trace != nil {
 		w.registry.dispatcher.TraceStep("", "discovery data received", "bytes", len(received.Bytes()))
 	}
-	for w.conn == conn && len(received.Bytes()) > 0 {
-		if w.buffer == nil {
-			w.buffer = pool.Get()
-		}
-		copied := w.buffer.Fill(received.Bytes())
-		received.Consume(copied)
-		err := w.readAnswer()
-		if err == nil && copied == 0 {
-			err = httpwire.ErrMalformed // the buffer is full of a line of the framing that does not end
-		}
-		if err != nil && w.conn == conn {
-			w.fail(err)
-			return
-		}
+	err := w.response.feed(pool, received.Bytes(), w)
+	if conn != w.conn {
+		return
+	}
+	if err == nil && w.response.done {
+		err = errWatchEnded
+	}
+	if err != nil {
+		w.fail(err)
+		return
 	}
 	w.limitPartialAnswer()
 }
@@ -39,7 +40,7 @@
 // limitPartialAnswer shortens the timeout while a part of an answer is outstanding, so that a call that breaks off
 // leaves time for another one within the notification bound.
 func (w *watch) limitPartialAnswer() {
-	if w.conn == nil || !w.headRead || w.established && !w.midLine() {
+	if !w.response.headRead || w.established && !w.midLine() {
 		return
 	}
 	loop := w.registry.dispatcher.Loop
@@ -47,71 +48,29 @@
 }
 
 // midLine reports whether a line has begun and not ended.
-func (w *watch) midLine() bool { return w.splitter.midObject() || w.chunks.MidChunk() }
-
-// readAnswer reads what the buffer holds of the answer: its head, then the chunks of the stream.
-func (w *watch) readAnswer() error {
-	if !w.headRead {
-		complete, err := w.readHead()
-		if err != nil || !complete {
-			return err
-		}
-	}
-	for conn := w.conn; w.conn == conn; {
-		data, used, err := w.chunks.Next(w.buffer.Bytes())
-		if err != nil {
-			return err
-		}
-		if w.chunks.Done() {
-			return errWatchEnded
-		}
-		if used == 0 {
-			return nil
-		}
-		if err := w.readLines(data); err != nil {
-			return err
-		}
-		if w.conn == conn { // else the buffer belonged to a call that a line has ended
-			w.buffer.Consume(used)
-		}
-	}
-	return nil
-}
+func (w *watch) midLine() bool { return w.splitter.midObject() || w.response.chunks.MidChunk() }
 
-// readHead reads the head of the answer. complete is false if more bytes must come first.
-func (w *watch) readHead() (complete bool, err error) {
-	var head httpwire.Head
-	complete, err = httpwire.ParseHead(w.buffer.Bytes(), &head, &w.scanned)
-	if !complete {
-		return false, err
-	}
+// acceptHead implements responseConsumer: the answer must be a stream with status 200.
+func (w *watch) acceptHead(head *httpwire.Head) (bodyFraming, error) {
 	if status, _ := head.Status(); status != httpwire.StatusOK {
-		return false, statusError(status)
+		return bodyFraming{}, statusError(status)
 	}
 	if !head.HasToken("Transfer-Encoding", "chunked") {
-		return false, httpwire.ErrMalformed
+		return bodyFraming{}, httpwire.ErrMalformed
 	}
-	w.headRead = true
-	w.buffer.Consume(head.Size)
-	return true, nil
+	return bodyFraming{chunked: true}, nil
 }
 
-// readLines reads the lines that data completes.
-func (w *watch) readLines(data []byte) error {
-	for conn := w.conn; len(data) > 0 && w.conn == conn; {
-		object, used, complete, err := w.splitter.next(data)
-		if err != nil {
-			return err
-		}
-		data = data[used:]
-		if !complete {
-			continue
-		}
-		if err := w.readLine(object); err != nil {
-			return err
+// takeBody implements responseConsumer: it reads the lines that a piece of the stream completes.
+func (w *watch) takeBody(piece []byte) error {
+	conn := w.conn
+	return w.splitter.split(piece, func(line []byte) error {
+		err := w.readLine(line)
+		if err == nil && w.conn != conn {
+			return errCallReplaced
 		}
-	}
-	return nil
+		return err
+	})
 }
 
 // readLine applies one line: a list, a change, or an empty line that only shows that discovery is alive. A line that
