--- a/internal/discovery/applychange.go
+++ b/internal/discovery/applychange.go
@@ -39,7 +39,7 @@
 	f.resumable = true
 	f.rememberSettings(change.settings)
 	f.registry.adopt(change.endpoints, entries)
-	if change.snapshot || len(entries) > 0 || f.registry.initialEntries != nil {
+	if change.snapshot || len(entries) > 0 || f.registry.initial.withheld() {
 		f.registry.publish(change.snapshot, entries)
 	}
 	f.recordApplied(change.snapshot)
--- a/internal/discovery/handover.go
+++ b/internal/discovery/handover.go
@@ -24,7 +24,7 @@
 		exported.Endpoints = append(exported.Endpoints, listed)
 	}
 	slices.SortFunc(exported.Endpoints, func(a, b endpoint) int { return strings.Compare(a.Name, b.Name) })
-	age := (r.dispatcher.Loop.Now() - r.tracker.LastContact()).Milliseconds()
+	age := (r.dispatcher.Loop.Now() - r.freshness.tracker.LastContact()).Milliseconds()
 	exported.AgeMs = &age
 	list, err = json.Marshal(exported)
 	return r.watch.address, list, err
@@ -50,7 +50,7 @@
 	r.watch.version = max(r.watch.version, list.Version)
 	r.replaceAll(entries)
 	if list.AgeMs != nil {
-		r.tracker.HandedOver(r.dispatcher.Loop.Now(), time.Duration(*list.AgeMs)*time.Millisecond)
+		r.freshness.tracker.HandedOver(r.dispatcher.Loop.Now(), time.Duration(*list.AgeMs)*time.Millisecond)
 	}
 	r.refreshAndSchedule()
 	return nil
@@ -59,12 +59,9 @@
 // replaceAll puts a complete list, which has been adopted, in place of what is known. The initial list stays withheld.
 func (r *Registry) replaceAll(entries []decision.Endpoint) {
 	r.removeUnlisted(entries)
-	if r.initialEntries == nil {
-		r.dispatcher.UpdateWorkers(r.client, decision.ListSnapshot, entries)
+	if r.initial.withheld() {
+		r.initial.replace(entries)
 		return
 	}
-	clear(r.initialEntries)
-	for _, entry := range entries {
-		r.initialEntries[entry.Name] = entry
-	}
+	r.dispatcher.UpdateWorkers(r.client, decision.ListSnapshot, entries)
 }
--- a/internal/discovery/initiallist.go
+++ b/internal/discovery/initiallist.go
@@ -8,11 +8,54 @@
 	"time"
 
 	"hollyyoke.example/hollyyoke/decision"
+	"hollyyoke.example/hollyyoke/internal/eventloop"
 )
 
 // initialListTimeout is how long the initial endpoint list is withheld for the first update of the source.
 const initialListTimeout = time.Second
 
+// initialEndpoints is the list that the dispatcher had before its start. It is withheld from the dispatcher until the source
+// answers or the timeout expires. Changes that come before that are added to it.
+type initialEndpoints struct {
+	entries map[string]decision.Endpoint // by worker name; nil: no list is withheld
+	timeout eventloop.Deadline
+}
+
+// withheld reports whether the list has yet to be published.
+func (l *initialEndpoints) withheld() bool { return l.entries != nil }
+
+// withhold keeps the entries of a list that are not removed.
+func (l *initialEndpoints) withhold(entries []decision.Endpoint) {
+	l.entries = map[string]decision.Endpoint{}
+	l.merge(entries)
+}
+
+// replace puts another list in its place.
+func (l *initialEndpoints) replace(entries []decision.Endpoint) {
+	clear(l.entries)
+	for _, entry := range entries {
+		l.entries[entry.Name] = entry
+	}
+}
+
+// merge applies changes to the list.
+func (l *initialEndpoints) merge(changes []decision.Endpoint) {
+	for _, entry := range changes {
+		if entry.State == decision.Removed {
+			delete(l.entries, entry.Name)
+		} else {
+			l.entries[entry.Name] = entry
+		}
+	}
+}
+
+// sorted returns the entries by their names, since the order of a map would make runs differ.
+func (l *initialEndpoints) sorted() []decision.Endpoint {
+	return slices.SortedFunc(maps.Values(l.entries), func(a, b decision.Endpoint) int {
+		return strings.Compare(a.Name, b.Name)
+	})
+}
+
 // LoadInitial applies the list that the dispatcher had before its start, in its wire form, and begins to follow the
 // source. No worker is taken from a list that is wrong, for which an error is returned.
 //
@@ -29,32 +72,22 @@
 	now := r.dispatcher.Loop.Now()
 	r.watch.version = list.Version
 	r.watch.lastContact = now
-	r.tracker.Start(now)
+	r.freshness.tracker.Start(now)
 	r.refreshAndSchedule()
 	entries, err := r.parseAndAdopt(list.Endpoints)
 	if err != nil {
 		return err
 	}
-	r.withhold(entries)
+	r.initial.withhold(entries)
 	r.followSource(&list)
 	return nil
 }
 
-// withhold keeps the entries of the initial list until publishInitial.
-func (r *Registry) withhold(entries []decision.Endpoint) {
-	r.initialEntries = map[string]decision.Endpoint{}
-	for _, entry := range entries {
-		if entry.State != decision.Removed {
-			r.initialEntries[entry.Name] = entry
-		}
-	}
-}
-
 // followSource begins to follow the source from the initial list.
 func (r *Registry) followSource(list *endpointList) {
 	loop := r.dispatcher.Loop
 	if r.follower != nil {
-		loop.Set(&r.initialTimeout, loop.Now()+initialListTimeout)
+		loop.Set(&r.initial.timeout, loop.Now()+initialListTimeout)
 		r.follower.start(list)
 		return
 	}
@@ -65,28 +98,25 @@
 		r.watch.scheduleReconnect(r.watch.lastContact)
 		return
 	}
-	loop.Set(&r.initialTimeout, loop.Now()+initialListTimeout)
+	loop.Set(&r.initial.timeout, loop.Now()+initialListTimeout)
 	r.watch.open()
 }
 
 // publishInitial reports the initial list to the dispatcher, with the changes that have come since, unless a list has
 // been published.
 func (r *Registry) publishInitial(changes []decision.Endpoint) {
-	if r.initialEntries == nil {
+	if !r.initial.withheld() {
 		return
 	}
-	for _, entry := range changes {
-		if entry.State == decision.Removed {
-			delete(r.initialEntries, entry.Name)
-		} else {
-			r.initialEntries[entry.Name] = entry
-		}
-	}
-	entries := slices.SortedFunc(maps.Values(r.initialEntries), func(a, b decision.Endpoint) int {
-		return strings.Compare(a.Name, b.Name) // map order would make runs differ
-	})
-	r.initialEntries = nil
-	r.dispatcher.Loop.Clear(&r.initialTimeout)
+	r.initial.merge(changes)
+	entries := r.initial.sorted()
+	r.endInitial()
 	r.dispatcher.UpdateWorkers(r.client, decision.ListCached, entries)
 	r.refreshAndSchedule()
 }
+
+// endInitial drops the initial list, since it is published or replaced.
+func (r *Registry) endInitial() {
+	r.initial.entries = nil
+	r.dispatcher.Loop.Clear(&r.initial.timeout)
+}
--- a/internal/discovery/registry.go
+++ b/internal/discovery/registry.go
@@ -4,8 +4,18 @@
 // A [Registry] follows one source of updates. The source is either the discovery watch, a single long-lived HTTP call
 // whose answer is a stream of lists and changes, or one of several membership servers (origins and relays, package
 // membership), which serve numbered versions as snapshots and deltas. Each list or change is checked as a whole before
-// any of it is applied, an older version never replaces a newer one, and package freshness decides how long a list
-// counts as current. What is applied is reported to the dispatcher on behalf of the worker client.
+// any of it is applied, and an older version never replaces a newer one. What is applied is reported to the dispatcher
+// on behalf of the worker client.
+//
+// The state is divided by its owner:
+//
+//   - [Registry] has the listed workers and tells the dispatcher of changes (update.go).
+//   - initialEndpoints withholds the list of the configuration until the source has answered (initiallist.go).
+//   - listFreshness decides whether the list is current, unconfirmed or unknown; its comment says when it is which, and
+//     what follows (staleness.go, suspension.go).
+//   - watch is the discovery watch (watch.go, watchreader.go, reconnect.go).
+//   - membershipFollower chooses a membership server and applies its changes (follower.go, applychange.go); a
+//     subscription is the state with one server (subscription.go).
 //
 // A Registry and everything it owns belong to the event loop's goroutine.
 package discovery
@@ -15,8 +25,6 @@
 
 	"hollyyoke.example/hollyyoke/decision"
 	"hollyyoke.example/hollyyoke/internal/dispatch"
-	"hollyyoke.example/hollyyoke/internal/eventloop"
-	"hollyyoke.example/hollyyoke/internal/freshness"
 	"hollyyoke.example/hollyyoke/internal/membership"
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
@@ -40,21 +48,13 @@
 	engine     *transport.Engine
 	client     WorkerClient
 	workers    map[string]*Worker // by name; removed workers are not in it
+	initial    initialEndpoints
+	freshness  listFreshness
 
 	watch    watch               // the discovery watch; unused while follower is set
 	follower *membershipFollower // follows membership servers; nil: the discovery watch is the source
 	stats    Stats
 
-	// initialEntries is the initial endpoint list, by worker name, which is withheld from the dispatcher until the
-	// source answers or initialTimeout expires; nil: a list has been published.
-	initialEntries map[string]decision.Endpoint
-	initialTimeout eventloop.Deadline
-
-	tracker        freshness.Tracker   // the age of the list
-	knowledge      freshness.Knowledge // as last reported to the dispatcher
-	freshnessTimer eventloop.Deadline  // when the knowledge may change by itself
-	usable         bool                // the published list has been good enough to send by since the start
-
 	// applySettings puts changed settings in force, all or none.
 	applySettings func(changes []settingChange) error
 
@@ -72,10 +72,10 @@
 	r.watch.timeout.Fire = r.watch.onTimeout
 	r.watch.nextCall.Fire = r.watch.open
 	r.applySettings = r.reconfigureDispatcher
-	r.freshnessTimer.Fire = r.refreshAndSchedule
-	r.initialTimeout.Fire = func() { r.publishInitial(nil) }
-	r.tracker.CanCheckHealth = d.Settings.HealthChecks
-	d.Loop.OnStall = func() { r.tracker.Stalled(d.Loop.Now()) }
+	r.freshness.timer.Fire = r.refreshAndSchedule
+	r.initial.timeout.Fire = func() { r.publishInitial(nil) }
+	r.freshness.tracker.CanCheckHealth = d.Settings.HealthChecks
+	d.Loop.OnStall = func() { r.freshness.tracker.Stalled(d.Loop.Now()) }
 	return r
 }
 
@@ -100,10 +100,10 @@
 
 // Ready reports whether the dispatcher has been given a list that has been usable: one of the source's, or the initial
 // endpoint list after its timeout.
-func (r *Registry) Ready() bool { return r.initialEntries == nil && r.Usable() }
+func (r *Registry) Ready() bool { return !r.initial.withheld() && r.Usable() }
 
 // Usable reports whether the list has, at any time since the start, been fresh enough to send requests by.
 func (r *Registry) Usable() bool {
 	r.Refresh()
-	return r.usable
+	return r.freshness.wasUsable
 }
--- a/internal/discovery/staleness.go
+++ b/internal/discovery/staleness.go
@@ -4,20 +4,40 @@
 	"fmt"
 	"time"
 
+	"hollyyoke.example/hollyyoke/internal/eventloop"
 	"hollyyoke.example/hollyyoke/internal/freshness"
 )
 
+// listFreshness is what the list may be used for at present. Of the discovery watch the list is
+//
+//   - current until shortly before freshness.NotificationBound has passed since the source last confirmed it. Requests
+//     are sent to all listed workers.
+//   - unconfirmed after that, in three cases: the last call has failed to reach the source; workers have health checks
+//     and the source has confirmed a list since the start; or the source has not answered for long after the start. A
+//     request is sent once a recent health check of the worker has passed. A worker that failed one, or that could not
+//     be connected to, is suspended until the source confirms the list again.
+//   - unknown otherwise. All workers are suspended. They are resumed when the list is current or unconfirmed again.
+//
+// A suspended worker stays in the list, and the dispatcher sends it nothing. In the cases that currentKnowledge names the
+// list never ceases to be current. Package freshness has the rules in detail.
+type listFreshness struct {
+	tracker   freshness.Tracker   // when the source confirmed the list, and how calls to it have ended since
+	knowledge freshness.Knowledge // at the last Refresh, which workers were suspended by
+	timer     eventloop.Deadline  // when the knowledge may change by the passing of time
+	wasUsable bool                // since the start a published list has been current or unconfirmed at some time
+}
+
 // Refresh evaluates how fresh the list is now, and suspends or resumes workers where that has changed.
 func (r *Registry) Refresh() {
 	knowledge := r.currentKnowledge()
-	if r.initialEntries == nil && knowledge != freshness.Unknown {
-		r.usable = true
+	if !r.initial.withheld() && knowledge != freshness.Unknown {
+		r.freshness.wasUsable = true
 	}
-	if knowledge == r.knowledge {
+	if knowledge == r.freshness.knowledge {
 		return
 	}
-	r.knowledge = knowledge
-	lastContact := r.dispatcher.Loop.Now() - r.tracker.LastContact()
+	r.freshness.knowledge = knowledge
+	lastContact := r.dispatcher.Loop.Now() - r.freshness.tracker.LastContact()
 	r.dispatcher.Log(fmt.Sprintf("the endpoint list is %v, the last contact with discovery was %v ago",
 		knowledge, lastContact.Round(time.Millisecond)))
 	if knowledge == freshness.Unknown {
@@ -25,16 +45,16 @@
 		return
 	}
 	r.resumeIf(func(worker *Worker) bool {
-		return knowledge == freshness.Current || worker.evidence.Holds(&r.tracker)
+		return knowledge == freshness.Current || worker.evidence.Holds(&r.freshness.tracker)
 	})
 }
 
 // refreshAndSchedule refreshes now and again when the list may next become stale by itself.
 func (r *Registry) refreshAndSchedule() {
 	r.Refresh()
-	next := r.tracker.NextChange(r.dispatcher.Loop.Now())
+	next := r.freshness.tracker.NextChange(r.dispatcher.Loop.Now())
 	if next > 0 {
-		r.dispatcher.Loop.Set(&r.freshnessTimer, next)
+		r.dispatcher.Loop.Set(&r.freshness.timer, next)
 	}
 }
 
@@ -42,10 +62,10 @@
 // followed, where there is no source, and before it is published. Where health checks are off, an unconfirmed list
 // counts as current, since workers cannot be asked.
 func (r *Registry) currentKnowledge() freshness.Knowledge {
-	if r.follower != nil || r.watch.address == "" || r.initialEntries != nil {
+	if r.follower != nil || r.watch.address == "" || r.initial.withheld() {
 		return freshness.Current
 	}
-	knowledge := r.tracker.Knowledge(r.dispatcher.Loop.Now())
+	knowledge := r.freshness.tracker.Knowledge(r.dispatcher.Loop.Now())
 	if knowledge == freshness.Unconfirmed && !r.dispatcher.Settings.HealthChecks {
 		return freshness.Current
 	}
@@ -54,9 +74,9 @@
 
 // sourceConfirmed records that a complete line of the discovery watch has been applied.
 func (r *Registry) sourceConfirmed() {
-	r.tracker.Confirmed(r.dispatcher.Loop.Now())
+	r.freshness.tracker.Confirmed(r.dispatcher.Loop.Now())
 	r.refreshAndSchedule()
-	if r.knowledge == freshness.Unknown { // workers listed just now are not suspended yet
+	if r.freshness.knowledge == freshness.Unknown { // workers listed just now are not suspended yet
 		r.suspendAll()
 	}
 }
--- a/internal/discovery/update.go
+++ b/internal/discovery/update.go
@@ -79,10 +79,9 @@
 	switch {
 	case snapshot:
 		r.removeUnlisted(entries)
-		r.initialEntries = nil
-		r.dispatcher.Loop.Clear(&r.initialTimeout)
+		r.endInitial()
 		r.dispatcher.UpdateWorkers(r.client, decision.ListSnapshot, entries)
-	case r.initialEntries != nil:
+	case r.initial.withheld():
 		r.publishInitial(entries)
 	default:
 		r.dispatcher.UpdateWorkers(r.client, decision.ListDelta, entries)
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -147,7 +147,7 @@
 	lastContact := w.lastContact
 	failure := w.classifyFailure(cause)
 	w.reset()
-	w.registry.tracker.Failed(now, failure)
+	w.registry.freshness.tracker.Failed(now, failure)
 	defer w.registry.Refresh()
 	if w.usesAgent() {
 		if !w.outageLogged { // one log line for an outage, not one for each call
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -25,7 +25,7 @@
 			testkit.Until(t, "the list is applied", func() (applied bool) {
 				rig.Do(func() {
 					applied = registry.workers["new"] != nil
-					confirmedAt = registry.tracker.LastContact()
+					confirmedAt = registry.freshness.tracker.LastContact()
 				})
 				return applied
 			})
@@ -35,8 +35,8 @@
 				return rejected
 			})
 			rig.Do(func() {
-				if registry.tracker.LastContact() != confirmedAt {
-					t.Errorf("confirmed at %v, not at %v", registry.tracker.LastContact(), confirmedAt)
+				if registry.freshness.tracker.LastContact() != confirmedAt {
+					t.Errorf("confirmed at %v, not at %v", registry.freshness.tracker.LastContact(), confirmedAt)
 				}
 			})
 		})
--- a/internal/discovery/watchreader.go
+++ b/internal/discovery/watchreader.go
@@ -88,7 +88,7 @@
 		if err := w.applyList(text); err != nil {
 			return err
 		}
-	} else if first || w.registry.initialEntries != nil {
+	} else if first || w.registry.initial.withheld() {
 		w.registry.publish(false, nil) // nothing has changed, which the dispatcher waits for after a call
 	}
 	w.registry.sourceConfirmed()
--- a/internal/discovery/worker.go
+++ b/internal/discovery/worker.go
@@ -27,11 +27,11 @@
 
 // HealthDenied reports that a worker failed a health check. It is suspended where the list alone does not vouch for it.
 func (r *Registry) HealthDenied(worker *Worker) {
-	worker.evidence.Denied(&r.tracker)
-	if r.knowledge == freshness.Unconfirmed {
+	worker.evidence.Denied(&r.freshness.tracker)
+	if r.freshness.knowledge == freshness.Unconfirmed {
 		r.suspend(worker)
 	}
 }
 
 // ConnectFailed reports that no connection to a worker could be established.
-func (r *Registry) ConnectFailed(worker *Worker) { worker.evidence.Denied(&r.tracker) }
+func (r *Registry) ConnectFailed(worker *Worker) { worker.evidence.Denied(&r.freshness.tracker) }
