--- a/internal/discovery/acknowledgement_test.go
+++ b/internal/discovery/acknowledgement_test.go
@@ -20,7 +20,7 @@
 		follower.waitForVersion(membership.Version(v), "a=ready "+strings.Join([]string{"b2=ready", "b3=ready", "b4=ready", "b5=ready"}[:v-1], " "))
 	}
 	follower.Do(func() {
-		if f := follower.registry.follower; !f.active.ignoresVersion || f.acknowledgementScheduled {
+		if f := follower.registry.follower; !f.active.ignoresVersion || f.acknowledgement.scheduled {
 			t.Error("another acknowledgement is scheduled")
 		}
 	})
@@ -64,7 +64,7 @@
 	home.expectRequest(pollQuery(7) + "&acked=5&fleet=1").answer(encodeChange(7, false))
 	testkit.Until(t, "it is acknowledged", func() bool { return follower.stats().Acknowledged == 2 })
 	follower.Do(func() { // the next repair is due
-		follower.registry.follower.repairRequestedAt -= idleAcknowledgeInterval
+		follower.registry.follower.acknowledgement.repairRequestedAt -= idleAcknowledgeInterval
 		follower.registry.follower.acknowledge()
 	})
 	home.expectRequest(pollQuery(5)).answer(encodeChange(7, false, "a=draining", "b=ready", "c=ready"))
@@ -73,7 +73,7 @@
 	follower.waitForVersion(8, "a=draining b=ready")
 	home.expectRequest(pollQuery(8))
 	follower.Do(func() {
-		if f := follower.registry.follower; f.completeThrough != 8 || follower.registry.stats.Rejected != 1 {
+		if f := &follower.registry.follower.inForce; f.completeThrough != 8 || follower.registry.stats.Rejected != 1 {
 			t.Errorf("complete through %d, %d rejected", f.completeThrough, follower.registry.stats.Rejected)
 		}
 	})
--- a/internal/discovery/applychange.go
+++ b/internal/discovery/applychange.go
@@ -19,13 +19,15 @@
 
 // apply puts a change in force as a whole, unless it is stale, wrong or made for another state.
 func (f *membershipFollower) apply(change membershipChange) changeOutcome {
-	if change.version < f.version || change.version == f.version && !f.repairs(change) {
+	inForce := &f.inForce
+	if change.version < inForce.version || change.version == inForce.version && !inForce.repairs(change) {
 		f.registry.publishInitial(nil) // the state in force is confirmed
 		return changeStale
 	}
-	if !change.snapshot && change.base < f.version && (change.exact || change.missingFrom > 0) {
-		if change.exact && f.repairs(change) { // asked for from an earlier version, the repair comes as a snapshot
-			f.completeThrough = max(min(f.completeThrough, change.base-1), 0)
+	repeatsChanges := !change.snapshot && change.base < inForce.version
+	if repeatsChanges && (change.exact || change.missingFrom > 0) {
+		if change.exact && inForce.repairs(change) {
+			inForce.requestRepairFromBefore(change)
 		}
 		return changeMismatched
 	}
@@ -34,10 +36,7 @@
 		f.reject(change.version, err)
 		return changeRejected
 	}
-	f.completeThrough = f.completeThroughWith(change)
-	f.version = change.version
-	f.resumable = true
-	f.rememberSettings(change.settings)
+	inForce.advance(change)
 	f.registry.adopt(change.endpoints, entries)
 	if change.snapshot || len(entries) > 0 || f.registry.initial.withheld() {
 		f.registry.publish(change.snapshot, entries)
@@ -46,33 +45,6 @@
 	return changeApplied
 }
 
-// covers reports whether a change holds everything after completeThrough.
-func (f *membershipFollower) covers(change membershipChange) bool {
-	return change.snapshot || change.base <= f.completeThrough
-}
-
-// repairs reports whether a change holds what is missing of the version in force.
-func (f *membershipFollower) repairs(change membershipChange) bool {
-	return f.completeThrough < f.version && change.missingFrom == 0 && f.covers(change)
-}
-
-// completeThroughWith returns what completeThrough becomes with a change, by the same rule as membership.Store.
-func (f *membershipFollower) completeThroughWith(change membershipChange) membership.Version {
-	senderComplete := change.version
-	if change.missingFrom > 0 {
-		senderComplete = change.missingFrom - 1
-	}
-	switch {
-	case change.snapshot || change.exact && f.completeThrough == f.version && change.base == f.version:
-		return senderComplete
-	case change.exact:
-		return min(f.completeThrough, senderComplete)
-	case f.covers(change):
-		return max(f.completeThrough, senderComplete)
-	}
-	return f.completeThrough
-}
-
 // validate checks all of a change. Its settings are put in force, unless there is an error: they come last, since
 // whatever applies them checks them itself.
 func (f *membershipFollower) validate(change membershipChange) ([]decision.Endpoint, error) {
@@ -94,7 +66,7 @@
 	f.rejectedVersion = version
 	f.registry.stats.Rejected++
 	f.registry.dispatcher.Log(fmt.Sprintf("membership: version %d rejected: %v; version %d stays in force",
-		version, cause, f.version))
+		version, cause, f.inForce.version))
 }
 
 // recordApplied counts an applied change, notifies observers, and schedules its acknowledgement.
@@ -107,7 +79,7 @@
 		stats.Deltas++
 	}
 	if f.registry.OnVersionApplied != nil {
-		f.registry.OnVersionApplied(f.version)
+		f.registry.OnVersionApplied(f.inForce.version)
 	}
 	f.registry.notifyUpdate()
 	f.scheduleAcknowledgement()
@@ -121,20 +93,20 @@
 		endpoints: list.Endpoints,
 		settings:  list.Settings,
 	}
-	if change.version <= f.version {
+	if change.version <= f.inForce.version {
 		return nil
 	}
 	entries, err := f.validate(change)
 	if err != nil {
 		return err
 	}
-	f.version = change.version
-	f.completeThrough = 0
+	f.inForce.version = change.version
+	f.inForce.completeThrough = 0
 	if list.Settings != nil {
-		f.completeThrough = change.version
-		f.resumable = true
+		f.inForce.completeThrough = change.version
+		f.inForce.resumable = true
 	}
-	f.rememberSettings(change.settings)
+	f.inForce.rememberSettings(change.settings)
 	f.registry.adopt(change.endpoints, entries)
 	f.registry.replaceAll(entries)
 	return nil
--- a/internal/discovery/applychange_test.go
+++ b/internal/discovery/applychange_test.go
@@ -153,7 +153,7 @@
 	watch.sendLine(strings.Replace(encodeChange(8, false, "a=draining"), `"whole":false`, `"whole":false,"exact":true`, 1))
 	follower.waitForVersion(8, "a=draining b=ready")
 	follower.Do(func() {
-		if f := follower.registry.follower; f.completeThrough != 8 {
+		if f := &follower.registry.follower.inForce; f.completeThrough != 8 {
 			t.Errorf("complete through %d", f.completeThrough)
 		}
 	})
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -33,31 +33,24 @@
 const followerRandomStream = 1
 
 // membershipFollower follows membership servers: it chooses the one in use, replaces one that failed, moves back to a
-// preferred one, and holds the version in force. A server in use is kept until another has caught up with that
-// version.
+// preferred one, and applies their changes. A server in use is kept until another has caught up with the version in
+// force.
 type membershipFollower struct {
 	registry *Registry
 	config   FollowConfig
-	selector *membership.Selector
 	random   *rand.Rand
 
-	version         membership.Version         // in force
-	completeThrough membership.Version         // nothing is missing up to it; below version after a rejected change
-	resumable       bool                       // version includes its settings, so that a server can continue from it
-	rejectedVersion membership.Version         // the newest that was rejected
-	settings        map[string]json.RawMessage // changed since the start, by key
-
-	active       *subscription   // in use; nil: none
-	candidates   []*subscription // that may come into use
-	lastServer   string          // address of the server used last
-	outageLogged bool            // the present outage has its log line
-	attemptTimer eventloop.Deadline
-
-	acknowledgedVersion      membership.Version // last sent to the server in use
-	acknowledgedAt           time.Duration      // when it was sent
-	acknowledgementScheduled bool               // for a version that was not sent yet
-	acknowledgementTimer     eventloop.Deadline
-	repairRequestedAt        time.Duration // when what a rejected change left out was asked for last
+	inForce         stateInForce
+	rejectedVersion membership.Version // the newest that was rejected
+
+	selector     *membership.Selector
+	active       *subscription      // in use; nil: none
+	candidates   []*subscription    // that may come into use
+	attemptTimer eventloop.Deadline // starts the next attempt at a server
+	lastServer   string             // address of the server used last
+	outageLogged bool               // the present outage has its log line
+
+	acknowledgement acknowledgementState
 }
 
 // Follow makes the registry follow membership servers in place of the discovery watch. It must be called before
@@ -78,37 +71,29 @@
 		config:   config,
 		selector: membership.NewSelector(config.Name, config.Zone, config.Servers, config.Seed),
 		random:   rand.New(rand.NewPCG(config.Seed, followerRandomStream)),
-		settings: map[string]json.RawMessage{},
+		inForce:  stateInForce{settings: map[string]json.RawMessage{}},
 	}
 	follower.attemptTimer.Fire = follower.connect
-	follower.acknowledgementTimer.Fire = follower.acknowledge
+	follower.acknowledgement.timer.Fire = follower.acknowledge
 	r.follower = follower
 }
 
 // start begins to follow from the initial list. Servers continue from its version only if the list has the settings of
 // that version, as a predecessor's has.
 func (f *membershipFollower) start(list *endpointList) {
-	f.version = membership.Version(list.Version)
+	f.inForce.version = membership.Version(list.Version)
 	if list.Settings != nil {
 		if err := f.applySettings(list.Settings); err != nil {
 			f.registry.dispatcher.Log("membership: initial endpoint list: " + err.Error())
 		} else {
-			f.rememberSettings(list.Settings)
-			f.completeThrough = f.version
-			f.resumable = true
+			f.inForce.rememberSettings(list.Settings)
+			f.inForce.completeThrough = f.inForce.version
+			f.inForce.resumable = true
 		}
 	}
 	f.connect()
 }
 
-// resumeVersion returns the version from which a server is asked to continue; 0: it is asked for a snapshot.
-func (f *membershipFollower) resumeVersion() membership.Version {
-	if !f.resumable {
-		return 0
-	}
-	return f.version
-}
-
 // connect starts an attempt at a server, if one is due, and schedules its next call.
 func (f *membershipFollower) connect() {
 	loop := f.registry.dispatcher.Loop
@@ -188,10 +173,7 @@
 	}
 	f.selector.MarkActive(now, chosen.server.Address)
 	f.recordServer(chosen.server)
-	f.acknowledgedVersion = chosen.polledVersion
-	f.acknowledgedAt = now
-	f.acknowledgementScheduled = false
-	f.repairRequestedAt = now
+	f.acknowledgement.restart(now, chosen.poll.after)
 	f.scheduleAcknowledgement()
 	f.connect()
 }
@@ -222,7 +204,7 @@
 	f.selector.MarkFailed(loop.Now(), failed.server.Address)
 	if failed == f.active {
 		f.active = nil
-		loop.Clear(&f.acknowledgementTimer)
+		loop.Clear(&f.acknowledgement.timer)
 		f.outageLogged = false
 	}
 	f.candidates = slices.DeleteFunc(f.candidates, func(lost *subscription) bool { return lost == failed })
--- a/internal/discovery/handover.go
+++ b/internal/discovery/handover.go
@@ -13,9 +13,9 @@
 func (r *Registry) Export() (addr string, list json.RawMessage, err error) {
 	exported := endpointList{Version: r.watch.version, Snapshot: true, Endpoints: []endpoint{}}
 	if follower := r.follower; follower != nil {
-		exported.Version = int64(follower.version)
-		if follower.resumable && follower.completeThrough == follower.version {
-			exported.Settings = follower.appliedSettings()
+		exported.Version = int64(follower.inForce.version)
+		if follower.inForce.resumable && follower.inForce.complete() {
+			exported.Settings = follower.inForce.settingChanges()
 		}
 	}
 	for _, worker := range r.workers {
--- a/internal/discovery/stats.go
+++ b/internal/discovery/stats.go
@@ -21,7 +21,7 @@
 func (r *Registry) Stats() Stats {
 	stats := r.stats
 	if follower := r.follower; follower != nil {
-		stats.Version = follower.version
+		stats.Version = follower.inForce.version
 		if follower.active != nil {
 			stats.Server = follower.active.server.Address
 		}
--- a/internal/discovery/subscription.go
+++ b/internal/discovery/subscription.go
@@ -29,30 +29,39 @@
 	follower *membershipFollower
 	server   membership.Server
 
-	exclusiveUntil time.Duration // until then no attempt at another server is started beside this one
+	poll    membershipPoll
+	watch   membershipWatch
+	version membership.Version // the newest that the server has sent
 
-	pollConn               httpConn
-	polling                bool
-	polledVersion          membership.Version // that the last poll asked to continue from
-	pollBody               responseBody
-	failedAcknowledgements int // in a row
-
-	watchConn       httpConn
-	splitter        objectSplitter
-	objectStartedAt time.Duration      // when the object that is arriving began; 0: none is
-	version         membership.Version // the newest that the server has sent
-	watchEndVersion membership.Version // the newest when the server last ended the watch in order
-	reopenWatch     bool               // it did so during a poll: catch up and open the watch again after that
+	exclusiveUntil         time.Duration // until then no attempt at another server is started beside this one
+	catchUpAfterPoll       bool          // the watch has ended during a poll, after which it is opened again
+	failedAcknowledgements int           // in a row
 
 	// ignoresVersion is set where the server answers polls with its complete list, whatever version they continue
 	// from, so that each acknowledgement there would cost a snapshot.
 	ignoresVersion bool
 }
 
+// membershipPoll is the connection for polls, and the poll in progress.
+type membershipPoll struct {
+	conn       httpConn
+	inProgress bool
+	after      membership.Version // that the last poll asked to continue from
+	body       responseBody
+}
+
+// membershipWatch is the connection for watches, and the stream in progress.
+type membershipWatch struct {
+	conn            httpConn
+	splitter        objectSplitter
+	objectStartedAt time.Duration      // when the object that is arriving began; 0: none is
+	endedAt         membership.Version // the newest version when the server last ended the watch in order
+}
+
 // start sends the poll that catches up.
 func (s *subscription) start() {
 	registry := s.follower.registry
-	s.pollConn = httpConn{
+	s.poll.conn = httpConn{
 		registry:     registry,
 		address:      s.server.Address,
 		headerFields: "Accept-Encoding: gzip\r\n",
@@ -60,7 +69,7 @@
 		onProgress:   s.onPollProgress,
 		onBody:       s.onPollBody,
 	}
-	s.watchConn = httpConn{
+	s.watch.conn = httpConn{
 		registry:    registry,
 		address:     s.server.Address,
 		onConnected: s.onConnected,
@@ -68,13 +77,13 @@
 		onBody:      s.onWatchBody,
 		onDone:      s.onWatchEnded,
 	}
-	s.poll(s.follower.resumeVersion(), s.onCaughtUp)
+	s.sendPoll(s.follower.inForce.resumeVersion(), s.onCaughtUp)
 }
 
 // close ends the subscription. The follower is not notified.
 func (s *subscription) close() {
-	s.pollConn.close()
-	s.watchConn.close()
+	s.poll.conn.close()
+	s.watch.conn.close()
 }
 
 func (s *subscription) now() time.Duration { return s.follower.registry.dispatcher.Loop.Now() }
@@ -82,7 +91,7 @@
 func (s *subscription) onConnected() { s.exclusiveUntil = s.now() + answerStagger }
 
 // receiving reports whether the response to a poll is arriving.
-func (s *subscription) receiving() bool { return s.polling && s.pollConn.response.headRead }
+func (s *subscription) receiving() bool { return s.poll.inProgress && s.poll.conn.response.headRead }
 
 // requestTarget returns the target of a poll, or of a watch with the parameter for one in prefix.
 func (s *subscription) requestTarget(prefix string, after membership.Version) string {
@@ -93,46 +102,48 @@
 // incompleteParameters returns what a poll adds to its target where changes up to the version it continues from are
 // missing: only the version before them is acknowledged as in force.
 func (s *subscription) incompleteParameters(after membership.Version) string {
-	completeThrough := s.follower.completeThrough
+	completeThrough := s.follower.inForce.completeThrough
 	if completeThrough >= after {
 		return ""
 	}
 	return "&acked=" + strconv.FormatInt(int64(completeThrough), 10) + "&fleet=1"
 }
 
-// poll asks for what is newer than a version, which also acknowledges that one, and calls onChange with the answer.
-func (s *subscription) poll(after membership.Version, onChange func(change membershipChange, err error)) {
-	s.polling = true
-	s.polledVersion = after
-	s.pollConn.onDone = func(err error) {
-		s.polling = false
-		body := s.pollBody
-		s.pollBody = responseBody{}
+// sendPoll asks for what is newer than a version, which also acknowledges that one, and calls onChange with the answer.
+func (s *subscription) sendPoll(after membership.Version, onChange func(change membershipChange, err error)) {
+	poll := &s.poll
+	poll.inProgress = true
+	poll.after = after
+	poll.conn.onDone = func(err error) {
+		poll.inProgress = false
+		body := poll.body
+		poll.body = responseBody{}
 		var change membershipChange
 		if err == nil {
-			change, err = body.decode(s.pollConn.gzipped)
+			change, err = body.decode(poll.conn.gzipped)
 			change.base = after
 		}
 		onChange(change, err)
 	}
-	s.pollConn.get(s.requestTarget("", after) + s.incompleteParameters(after))
+	poll.conn.get(s.requestTarget("", after) + s.incompleteParameters(after))
 }
 
 func (s *subscription) onPollProgress() {
-	if len(s.pollBody.data) == 0 {
+	if len(s.poll.body.data) == 0 {
 		s.exclusiveUntil = s.now() + receiveStagger
 	}
 }
 
 func (s *subscription) onPollBody(piece []byte) error {
-	return s.pollBody.append(piece, s.pollConn.response.remaining)
+	return s.poll.body.append(piece, s.poll.conn.response.remaining)
 }
 
 // onCaughtUp applies the answer to the poll that catches up, and opens the watch after it.
 func (s *subscription) onCaughtUp(change membershipChange, err error) {
 	follower := s.follower
-	if err == nil && change.version < follower.version {
-		err = fmt.Errorf("the server is behind: it has version %d, and %d is in force here", change.version, follower.version)
+	inForce := follower.inForce.version
+	if err == nil && change.version < inForce {
+		err = fmt.Errorf("the server is behind: it has version %d, and %d is in force here", change.version, inForce)
 	}
 	if err != nil {
 		follower.subscriptionFailed(s, err)
@@ -145,34 +156,33 @@
 		return
 	}
 	s.exclusiveUntil = s.now() + answerStagger
-	s.watchConn.get(s.requestTarget("watch=1&", change.version))
+	s.watch.conn.get(s.requestTarget("watch=1&", change.version))
 	if s == follower.active {
-		follower.acknowledgedVersion = s.polledVersion
-		follower.acknowledgedAt = s.now()
+		follower.acknowledgement.sent(s.now(), s.poll.after)
 		follower.scheduleAcknowledgement()
 	}
 }
 
 // detectIgnoredVersion sets ignoresVersion by an answer that sends the version polled from again, as a snapshot.
 func (s *subscription) detectIgnoredVersion(change membershipChange) {
-	if s.polledVersion > 0 && change.snapshot && change.version == s.polledVersion {
+	if s.poll.after > 0 && change.snapshot && change.version == s.poll.after {
 		s.ignoresVersion = true
 	}
 }
 
 // catchUp polls for what the watch has left out and opens the watch again, after the poll in progress, if there is one.
 func (s *subscription) catchUp() {
-	s.reopenWatch = s.polling
-	if s.polling {
+	s.catchUpAfterPoll = s.poll.inProgress
+	if s.poll.inProgress {
 		return
 	}
-	s.poll(s.follower.resumeVersion(), s.onCaughtUp)
+	s.sendPoll(s.follower.inForce.resumeVersion(), s.onCaughtUp)
 }
 
 // onWatchProgress puts the server in use as its watch begins, if no other is.
 func (s *subscription) onWatchProgress() {
 	follower := s.follower
-	if follower.active == nil && s.watchConn.response.headRead {
+	if follower.active == nil && s.watch.conn.response.headRead {
 		follower.activate(s)
 	}
 }
@@ -180,8 +190,8 @@
 // onWatchEnded handles the end of the watch. A server ends it in order where a change is better fetched by a poll,
 // whose response is compressed. One that does so again without anything newer has failed.
 func (s *subscription) onWatchEnded(err error) {
-	if err == nil && s.version > s.watchEndVersion {
-		s.watchEndVersion = s.version
+	if err == nil && s.version > s.watch.endedAt {
+		s.watch.endedAt = s.version
 		s.catchUp()
 		return
 	}
@@ -193,10 +203,10 @@
 
 // onWatchBody reads a piece of the watch.
 func (s *subscription) onWatchBody(data []byte) error {
-	if s.watchConn.gzipped {
+	if s.watch.conn.gzipped {
 		return errContentCoding
 	}
-	if err := s.splitter.split(data, s.readLine); err != nil {
+	if err := s.watch.splitter.split(data, s.readLine); err != nil {
 		return err
 	}
 	return s.checkObjectTime()
@@ -205,12 +215,13 @@
 // checkObjectTime fails once an object has been arriving for too long.
 func (s *subscription) checkObjectTime() error {
 	now := s.now()
+	watch := &s.watch
 	switch {
-	case !s.splitter.midObject():
-		s.objectStartedAt = 0
-	case s.objectStartedAt == 0:
-		s.objectStartedAt = now
-	case now-s.objectStartedAt > maxObjectTime:
+	case !watch.splitter.midObject():
+		watch.objectStartedAt = 0
+	case watch.objectStartedAt == 0:
+		watch.objectStartedAt = now
+	case now-watch.objectStartedAt > maxObjectTime:
 		return errUnendedObject
 	}
 	return nil
@@ -219,14 +230,14 @@
 // readLine handles one line of the watch: a change, or an empty line that only shows that the server is alive. A server
 // that has caught up with the version in force replaces the one in use.
 func (s *subscription) readLine(text []byte) error {
-	s.objectStartedAt = 0
+	s.watch.objectStartedAt = 0
 	follower := s.follower
 	if len(text) == 0 {
 		follower.registry.publishInitial(nil) // the state in force is confirmed
 	} else if err := s.readChange(text); err != nil {
 		return err
 	}
-	if s != follower.active && s.version >= follower.version {
+	if s != follower.active && s.version >= follower.inForce.version {
 		follower.activate(s)
 	}
 	return nil
--- a/internal/discovery/subscription_test.go
+++ b/internal/discovery/subscription_test.go
@@ -21,7 +21,7 @@
 	follower.waitForServer(home)
 	text := testkit.Chunk(encodeChange(6, false, "b=ready") + "\n")
 	watch.sendLine("")
-	follower.Do(func() { follower.registry.follower.active.watchConn.onTimeout() }) // timed out
+	follower.Do(func() { follower.registry.follower.active.watch.conn.onTimeout() }) // timed out
 	other.serveFirstPoll(5, encodeChange(7, false, "c=ready"), 7)
 	follower.waitForVersion(7, "a=ready c=ready")
 	io.WriteString(watch, text) // too late
@@ -35,7 +35,7 @@
 	watch := home.serveFirstPoll(0, encodeChange(5, true, "a=ready"), 5)
 	follower.waitForServer(home)
 	release := follower.BlockLoop()
-	follower.Dispatcher.Loop.Post(func() { follower.registry.follower.active.watchConn.onTimeout() })
+	follower.Dispatcher.Loop.Post(func() { follower.registry.follower.active.watch.conn.onTimeout() })
 	follower.Write(t, watch, testkit.Chunk(encodeChange(6, false, "a=draining")+"\n"))
 	release()
 	follower.waitForVersion(6, "a=draining")
--- a/internal/discovery/testfollower_test.go
+++ b/internal/discovery/testfollower_test.go
@@ -91,7 +91,7 @@
 }
 
 func (f *testFollower) version() (version membership.Version) {
-	f.Do(func() { version = f.registry.follower.version })
+	f.Do(func() { version = f.registry.follower.inForce.version })
 	return version
 }
 
