--- a/internal/discovery/acknowledgement_test.go
+++ b/internal/discovery/acknowledgement_test.go
@@ -11,10 +11,10 @@
 
 // A server that answers an acknowledgement with a complete snapshot gets no more of them.
 func TestNoAcknowledgementToServerThatIgnoresVersion(t *testing.T) {
-	home := newServer(t)
-	follower := startFollower(t, 0, home).loadInitial(``)
-	watch := home.serveFirstPoll(0, encodeChange(1, true, "a=ready"), 1)
-	home.expectRequest(pollQuery(1)).answer(encodeChange(1, true, "a=ready"))
+	server := newServer(t)
+	follower := startFollower(t, server).loadInitial(``)
+	watch := server.serveFirstPoll(0, encodeChange(1, true, "a=ready"), 1)
+	server.expectRequest(pollQuery(1)).answer(encodeChange(1, true, "a=ready"))
 	for v := 2; v < 6; v++ {
 		watch.sendLine(encodeChange(v, false, fmt.Sprintf("b%d=ready", v)))
 		follower.waitForVersion(membership.Version(v), "a=ready "+strings.Join([]string{"b2=ready", "b3=ready", "b4=ready", "b5=ready"}[:v-1], " "))
@@ -28,13 +28,13 @@
 
 // An acknowledgement is retried on a new connection where the server has closed the kept one.
 func TestAcknowledgementOnClosedConnection(t *testing.T) {
-	home := newServer(t)
-	follower := startFollower(t, 0, home).loadInitial(``)
-	first := home.expectRequest(pollQuery(0))
+	server := newServer(t)
+	follower := startFollower(t, server).loadInitial(``)
+	first := server.expectRequest(pollQuery(0))
 	first.answer(encodeChange(5, true, "a=ready"))
-	watch := home.expectRequest(watchQuery(5))
+	watch := server.expectRequest(watchQuery(5))
 	watch.openWatch()
-	home.expectRequest(pollQuery(5)).answer(encodeChange(5, false))
+	server.expectRequest(pollQuery(5)).answer(encodeChange(5, false))
 	testkit.Until(t, "it is acknowledged", func() bool { return follower.stats().Acknowledged == 1 })
 	release := follower.BlockLoop()
 	follower.Write(t, watch, testkit.Chunk(encodeChange(6, false, "b=ready")+"\n"))
@@ -42,36 +42,36 @@
 	first.Close()
 	release()
 	for acknowledged := false; !acknowledged; {
-		r := testkit.Receive(t, home.requests)
+		r := testkit.Receive(t, server.requests)
 		r.answer(encodeChange(6, false))
 		acknowledged = r.query == pollQuery(6)
 	}
-	follower.waitForServer(home)
+	follower.waitForServer(server)
 	testkit.Until(t, "it is acknowledged", func() bool { return follower.stats().Acknowledged >= 2 })
 }
 
 // After a rejected change only the version before it is acknowledged as in force, until a poll brings what was left
 // out.
 func TestRepairAfterRejectedChange(t *testing.T) {
-	home := newServer(t)
-	follower := startFollower(t, 0, home).loadInitial(``)
-	watch := home.serveFirstPoll(0, encodeChange(5, true, "a=ready"), 5)
-	home.expectRequest(pollQuery(5)).answer(encodeChange(5, false))
+	server := newServer(t)
+	follower := startFollower(t, server).loadInitial(``)
+	watch := server.serveFirstPoll(0, encodeChange(5, true, "a=ready"), 5)
+	server.expectRequest(pollQuery(5)).answer(encodeChange(5, false))
 	testkit.Until(t, "it is acknowledged", func() bool { return follower.stats().Acknowledged == 1 })
 	watch.sendLine(encodeChange(6, false, "a=draining", "b=asleep"))
 	watch.sendLine(encodeChange(7, false, "c=ready"))
 	follower.waitForVersion(7, "a=ready c=ready")
-	home.expectRequest(pollQuery(7) + "&acked=5&fleet=1").answer(encodeChange(7, false))
+	server.expectRequest(pollQuery(7) + "&acked=5&fleet=1").answer(encodeChange(7, false))
 	testkit.Until(t, "it is acknowledged", func() bool { return follower.stats().Acknowledged == 2 })
 	follower.Do(func() { // the next repair is due
 		follower.registry.follower.acknowledgement.repairRequestedAt -= idleAcknowledgeInterval
 		follower.registry.follower.acknowledge()
 	})
-	home.expectRequest(pollQuery(5)).answer(encodeChange(7, false, "a=draining", "b=ready", "c=ready"))
+	server.expectRequest(pollQuery(5)).answer(encodeChange(7, false, "a=draining", "b=ready", "c=ready"))
 	testkit.Until(t, "what was left out is in force", func() bool { return follower.workers() == "a=draining b=ready c=ready" })
 	watch.sendLine(encodeChange(8, false, "c=gone"))
 	follower.waitForVersion(8, "a=draining b=ready")
-	home.expectRequest(pollQuery(8))
+	server.expectRequest(pollQuery(8))
 	follower.Do(func() {
 		if f := &follower.registry.follower.inForce; f.completeThrough != 8 || follower.registry.stats.Rejected != 1 {
 			t.Errorf("complete through %d, %d rejected", f.completeThrough, follower.registry.stats.Rejected)
--- a/internal/discovery/applychange_test.go
+++ b/internal/discovery/applychange_test.go
@@ -24,10 +24,10 @@
 		"hosts[0].health: unknown value \"asleep\"; version 5 st": `{"host":"a","dial":"127.0.0.1:9","health":"asleep"},` + good,
 	} {
 		t.Run(field, func(t *testing.T) {
-			home := newServer(t)
-			follower := startFollower(t, 0, home).loadInitial(``)
+			server := newServer(t)
+			follower := startFollower(t, server).loadInitial(``)
 			follower.Do(func() { follower.registry.applySettings = acceptOneSetting(nil) })
-			watch := home.serveFirstPoll(0, encodeChange(5, true, "a=ready"), 5)
+			watch := server.serveFirstPoll(0, encodeChange(5, true, "a=ready"), 5)
 			watch.sendLine(`{"seq":6,"whole":false,"hosts":[` + object + `]}`)
 			testkit.Until(t, "it is rejected", func() bool { return follower.stats().Rejected == 1 })
 			if got := follower.workers(); follower.version() != 5 || got != "a=ready" {
@@ -35,7 +35,7 @@
 			}
 			watch.sendLine(encodeChange(7, false, "c=ready"))
 			follower.waitForVersion(7, "a=ready c=ready")
-			follower.waitForServer(home)
+			follower.waitForServer(server)
 			if n := follower.countLogLines("rejected: "); n != 1 || follower.countLogLines(field) != 1 {
 				t.Errorf("%d lines, %d name the field: %q", n, follower.countLogLines(field), follower.logLines)
 			}
@@ -46,9 +46,9 @@
 // Settings of a change are put in force at the dispatcher. One that cannot change while the program runs rejects the
 // whole change.
 func TestSettingsReachTheDispatcher(t *testing.T) {
-	home := newServer(t)
-	follower := startFollower(t, 0, home).loadInitial(``)
-	watch := home.serveFirstPoll(0, encodeChange(5, true, "a=ready"), 5)
+	server := newServer(t)
+	follower := startFollower(t, server).loadInitial(``)
+	watch := server.serveFirstPoll(0, encodeChange(5, true, "a=ready"), 5)
 	watch.sendLine(`{"seq":6,"whole":false,"hosts":[],"settings":[{"key":"over_share_worth","value":0.25}]}`)
 	follower.waitForVersion(6, "a=ready")
 	watch.sendLine(`{"seq":7,"whole":false,"hosts":[{"host":"a","health":"gone"}],"settings":[{"key":"over_share_worth","value":0.5},{"key":"limits.max_attempts","value":9}]}`)
@@ -65,11 +65,11 @@
 
 // Settings and endpoints of one change are put in force together: another turn of the event loop sees both or none.
 func TestSettingsAndEndpointsApplyTogether(t *testing.T) {
-	home := newServer(t)
-	follower := startFollower(t, 0, home).loadInitial(``)
+	server := newServer(t)
+	follower := startFollower(t, server).loadInitial(``)
 	settingApplied := false
 	follower.Do(func() { follower.registry.applySettings = acceptOneSetting(func() { settingApplied = true }) })
-	watch := home.serveFirstPoll(0, encodeChange(5, true, "a=ready"), 5)
+	watch := server.serveFirstPoll(0, encodeChange(5, true, "a=ready"), 5)
 	follower.waitForVersion(5, "a=ready")
 	text := testkit.Chunk(`{"seq":6,"whole":false,"settings":[{"key":"over_share_worth","value":0.5}],"hosts":[{"host":"b","dial":"127.0.0.1:9","health":"ready"}]}` + "\n")
 	seen := false
@@ -103,11 +103,11 @@
 // A drain is in force in the turn of the event loop in which its bytes are read, so that an attempt that starts right
 // after does not go there.
 func TestDrainAppliesInSameLoopTurn(t *testing.T) {
-	home := newServer(t)
-	follower := startFollower(t, 0, home).loadInitial(``)
-	watch := home.serveFirstPoll(0, encodeChange(5, true, "a=ready"), 5)
-	follower.waitForServer(home)
-	home.expectRequest(pollQuery(5)) // not answered, so that all bytes from now on are the drain's
+	server := newServer(t)
+	follower := startFollower(t, server).loadInitial(``)
+	watch := server.serveFirstPoll(0, encodeChange(5, true, "a=ready"), 5)
+	follower.waitForServer(server)
+	server.expectRequest(pollQuery(5)) // not answered, so that all bytes from now on are the drain's
 	before := follower.stats().BytesRead
 	watch.sendLine(encodeChange(6, false, "a=draining"))
 	testkit.Until(t, "the drain is read", func() (taken bool) {
@@ -123,21 +123,21 @@
 
 // A delta that applies to one state alone is not applied to another: the server is polled again.
 func TestExactDeltaForAnotherState(t *testing.T) {
-	home := newServer(t)
-	follower := startFollower(t, 0, home).loadInitial(``)
-	watch := home.serveFirstPoll(0, encodeChange(5, true, "a=ready", "b=ready"), 5)
-	home.expectRequest(pollQuery(5)).answer(encodeChange(6, false, "b=draining")) // the watch is still at 5
+	server := newServer(t)
+	follower := startFollower(t, server).loadInitial(``)
+	watch := server.serveFirstPoll(0, encodeChange(5, true, "a=ready", "b=ready"), 5)
+	server.expectRequest(pollQuery(5)).answer(encodeChange(6, false, "b=draining")) // the watch is still at 5
 	follower.waitForVersion(6, "a=ready b=draining")
 	exact := strings.Replace(encodeChange(8, false, "a=draining"), `"whole":false`, `"whole":false,"exact":true`, 1)
 	watch.sendLine(exact) // b has changed back meanwhile, which a delta from 5 does not tell
-	again := home.expectRequest(pollQuery(6))
+	again := server.expectRequest(pollQuery(6))
 	if follower.version() != 6 || follower.workers() != "a=ready b=draining" {
 		t.Fatalf("version %d: %s", follower.version(), follower.workers())
 	}
 	testkit.Until(t, "the snapshot is in force", func() bool {
 		again.answer(encodeChange(8, true, "a=draining", "b=ready"))
 		select {
-		case again = <-home.requests: // the first one may have been an acknowledgement that the watch's end overtook
+		case again = <-server.requests: // the first one may have been an acknowledgement that the watch's end overtook
 		default:
 		}
 		return follower.version() == 8
@@ -147,9 +147,9 @@
 
 // An exact delta that continues from the state in force is applied like any other.
 func TestExactDeltaThatFits(t *testing.T) {
-	home := newServer(t)
-	follower := startFollower(t, 0, home).loadInitial(``)
-	watch := home.serveFirstPoll(0, encodeChange(5, true, "a=ready", "b=ready"), 5)
+	server := newServer(t)
+	follower := startFollower(t, server).loadInitial(``)
+	watch := server.serveFirstPoll(0, encodeChange(5, true, "a=ready", "b=ready"), 5)
 	watch.sendLine(strings.Replace(encodeChange(8, false, "a=draining"), `"whole":false`, `"whole":false,"exact":true`, 1))
 	follower.waitForVersion(8, "a=draining b=ready")
 	follower.Do(func() {
--- a/internal/discovery/follower_test.go
+++ b/internal/discovery/follower_test.go
@@ -13,31 +13,31 @@
 // connection that is kept.
 func TestFollow(t *testing.T) {
 	for _, compressed := range []bool{true, false} {
-		home := newServer(t)
-		follower := startFollower(t, 0, home).loadInitial(``)
-		first := home.expectRequest(pollQuery(0))
+		server := newServer(t)
+		follower := startFollower(t, server).loadInitial(``)
+		first := server.expectRequest(pollQuery(0))
 		if text := encodeChange(7, true, "a=ready", "b=ready"); compressed {
 			first.answerCompressed(text)
 		} else {
 			first.answer(text)
 		}
-		watch := home.expectRequest(watchQuery(7))
+		watch := server.expectRequest(watchQuery(7))
 		watch.openWatch()
 		follower.waitForVersion(7, "a=ready b=ready")
-		ack := home.expectRequest(pollQuery(7))
+		ack := server.expectRequest(pollQuery(7))
 		if ack.Conn != first.Conn {
 			t.Error("the acknowledgement has a connection of its own")
 		}
 		ack.answer(encodeChange(7, false))
 		watch.sendLine(encodeChange(9, false, "a=draining", "c=ready"))
 		follower.waitForVersion(9, "a=draining b=ready c=ready")
-		home.expectRequest(pollQuery(9)).answer(encodeChange(10, false, "b=gone")) // which the watch has yet to bring
+		server.expectRequest(pollQuery(9)).answer(encodeChange(10, false, "b=gone")) // which the watch has yet to bring
 		follower.waitForVersion(10, "a=draining c=ready")
 		watch.sendLine(encodeChange(10, false, "b=gone")) // as it does now
 		watch.sendLine(encodeChange(11, false, "a=gone"))
 		follower.waitForVersion(11, "c=ready")
 		testkit.Until(t, "version 11 is acknowledged", func() bool {
-			r := testkit.Receive(t, home.requests)
+			r := testkit.Receive(t, server.requests)
 			r.answer(encodeChange(11, false))
 			return r.query == pollQuery(11)
 		})
@@ -58,10 +58,10 @@
 // A server fails in the middle of a change: none of it is in force, and the next server is polled from the version in
 // force.
 func TestServerFailsMidChange(t *testing.T) {
-	home := newServer(t)
-	other := newServer(t)
-	follower := startFollower(t, 1, home, other).loadInitial(``)
-	watch := home.serveFirstPoll(0, encodeChange(5, true, "a=ready", "b=ready"), 5)
+	local := newServer(t)
+	remote := newRemoteServer(t)
+	follower := startFollower(t, local, remote).loadInitial(``)
+	watch := local.serveFirstPoll(0, encodeChange(5, true, "a=ready", "b=ready"), 5)
 	follower.waitForVersion(5, "a=ready b=ready")
 	text := testkit.Chunk(encodeChange(6, false, "a=gone", "b=draining") + "\n")
 	release := follower.BlockLoop()
@@ -71,10 +71,10 @@
 	if got := follower.workers(); got != "a=ready b=ready" {
 		t.Fatalf("half of a change is in force: %s", got)
 	}
-	home.stop()
-	other.serveFirstPoll(5, encodeChange(6, false, "a=gone", "b=draining"), 6)
+	local.stop()
+	remote.serveFirstPoll(5, encodeChange(6, false, "a=gone", "b=draining"), 6)
 	follower.waitForVersion(6, "b=draining")
-	follower.waitForServer(other)
+	follower.waitForServer(remote)
 	if stats := follower.stats(); stats.Failovers != 1 {
 		t.Errorf("%d failovers", stats.Failovers)
 	}
@@ -85,7 +85,7 @@
 func TestServersBehindAreSkipped(t *testing.T) {
 	old := encodeChange(3, true, "old=ready")
 	for name, behind := range map[string]func(*testServer){
-		"a status":       func(follower *testServer) { follower.expectRequest(pollQuery(5)).answerUnavailable() },
+		"a status":       func(s *testServer) { s.expectRequest(pollQuery(5)).answerUnavailable() },
 		"older snapshot": func(s *testServer) { s.expectRequest(pollQuery(5)).answer(old) },
 		"older delta":    func(s *testServer) { s.expectRequest(pollQuery(5)).answerCompressed(encodeChange(4, false)) },
 		"older watch": func(s *testServer) {
@@ -94,13 +94,13 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			home := newServer(t)
-			second := newServer(t)
-			third := newServer(t)
-			s := startFollower(t, 2, home, second, third).loadInitial(``)
-			home.serveFirstPoll(0, encodeChange(5, true, "a=ready"), 5)
-			s.waitForServer(home)
-			home.stop()
+			local := newServer(t)
+			second := newRemoteServer(t)
+			third := newRemoteServer(t)
+			follower := startFollower(t, local, second, third).loadInitial(``)
+			local.serveFirstPoll(0, encodeChange(5, true, "a=ready"), 5)
+			follower.waitForServer(local)
+			local.stop()
 			next := second
 			last := third
 			var first request
@@ -114,33 +114,33 @@
 			next.requests <- first
 			behind(next)
 			last.serveFirstPoll(5, encodeChange(6, false, "b=ready"), 6)
-			s.waitForVersion(6, "a=ready b=ready")
-			s.waitForServer(last)
+			follower.waitForVersion(6, "a=ready b=ready")
+			follower.waitForServer(last)
 		})
 	}
 }
 
 // A server is restarted with an older version than it had.
 func TestRestartedServerWithOlderVersion(t *testing.T) {
-	home := newServer(t)
-	follower := startFollower(t, 0, home).loadInitial(``)
-	home.serveFirstPoll(0, encodeChange(8, true, "a=ready", "b=ready"), 8)
+	server := newServer(t)
+	follower := startFollower(t, server).loadInitial(``)
+	server.serveFirstPoll(0, encodeChange(8, true, "a=ready", "b=ready"), 8)
 	follower.waitForVersion(8, "a=ready b=ready")
-	home.stop()
-	home.restart()
+	server.stop()
+	server.restart()
 	for {
-		r := testkit.Receive(t, home.requests)
+		r := testkit.Receive(t, server.requests)
 		if r.query != pollQuery(8) { // an acknowledgement on the old connection
 			continue
 		}
 		r.answer(encodeChange(2, true, "old=ready"))
 		break
 	}
-	home.expectRequest(pollQuery(8)).answer(encodeChange(3, true, "old=ready"))
+	server.expectRequest(pollQuery(8)).answer(encodeChange(3, true, "old=ready"))
 	if got := follower.workers(); follower.version() != 8 || got != "a=ready b=ready" {
 		t.Fatalf("version %d: %s", follower.version(), got)
 	}
-	home.serveFirstPoll(8, encodeChange(9, false, "b=gone"), 9)
+	server.serveFirstPoll(8, encodeChange(9, false, "b=gone"), 9)
 	follower.waitForVersion(9, "a=ready")
 }
 
@@ -148,7 +148,7 @@
 func TestTwoServersOneBehind(t *testing.T) {
 	one := newServer(t)
 	two := newServer(t)
-	follower := startFollower(t, 0, one, two)
+	follower := startFollower(t, one, two)
 	follower.loadInitial(`{"seq":40,"settings":[],"hosts":[{"host":"k","dial":"127.0.0.1:9","health":"ready"}]}`)
 	for range 2 {
 		select {
@@ -169,11 +169,11 @@
 
 // All servers are down at the start: the initial list is used after its timeout, and the server that comes up is found.
 func TestAllServersDownAtStart(t *testing.T) {
-	home := newServer(t)
-	other := newServer(t)
-	home.stop()
-	other.stop()
-	follower := startFollower(t, 1, home, other)
+	local := newServer(t)
+	remote := newRemoteServer(t)
+	local.stop()
+	remote.stop()
+	follower := startFollower(t, local, remote)
 	follower.loadInitial(`{"seq":40,"hosts":[{"host":"k","dial":"127.0.0.1:9","health":"ready"}]}`)
 	testkit.Until(t, "the initial list is used", func() (ready bool) {
 		follower.Do(func() { ready = follower.registry.Ready() && follower.Dispatcher.ReadyWorkers() == 1 })
@@ -182,22 +182,22 @@
 	if n := follower.countLogLines(": "); n != 1 {
 		t.Errorf("the outage has %d log lines: %q", n, follower.logLines)
 	}
-	other.restart()
-	other.serveFirstPoll(0, encodeChange(44, true, "k=draining"), 44) // its settings are unknown, so a snapshot is asked for
+	remote.restart()
+	remote.serveFirstPoll(0, encodeChange(44, true, "k=draining"), 44) // its settings are unknown, so a snapshot is asked for
 	follower.waitForVersion(44, "k=draining")
 }
 
 // The follower returns to the server of its own zone once that works, and not before it has caught up.
 func TestReturnToLocalZone(t *testing.T) {
-	home := newServer(t)
-	other := newServer(t)
-	home.stop()
-	follower := startFollower(t, 1, home, other).loadInitial(``)
-	away := other.serveFirstPoll(0, encodeChange(5, true, "a=ready"), 5)
-	follower.waitForServer(other)
-	home.restart()
+	local := newServer(t)
+	remote := newRemoteServer(t)
+	local.stop()
+	follower := startFollower(t, local, remote).loadInitial(``)
+	away := remote.serveFirstPoll(0, encodeChange(5, true, "a=ready"), 5)
+	follower.waitForServer(remote)
+	local.restart()
 	follower.Do(func() { follower.makeAttemptDue() })
-	back := home.expectRequest(pollQuery(5))
+	back := local.expectRequest(pollQuery(5))
 	away.sendLine(encodeChange(6, false, "b=ready"))
 	follower.waitForVersion(6, "a=ready b=ready")
 	back.answer(encodeChange(5, false)) // behind by now
@@ -205,18 +205,18 @@
 		follower.Do(func() { none = len(follower.registry.follower.candidates) == 0 })
 		return none
 	})
-	follower.waitForServer(other)
+	follower.waitForServer(remote)
 	follower.Do(func() { follower.makeAttemptDue() })
-	home.expectRequest(pollQuery(6)).answer(encodeChange(6, false))
-	watch := home.expectRequest(watchQuery(6))
+	local.expectRequest(pollQuery(6)).answer(encodeChange(6, false))
+	watch := local.expectRequest(watchQuery(6))
 	watch.openWatch()
 	away.sendLine(encodeChange(7, false, "c=ready"))
 	follower.waitForVersion(7, "a=ready b=ready c=ready")
 	watch.sendLine(encodeChange(6, false))
 	follower.Do(func() {}) // behind again: the server in use stays
-	follower.waitForServer(other)
+	follower.waitForServer(remote)
 	watch.sendLine(encodeChange(7, false, "c=ready"))
-	follower.waitForServer(home)
+	follower.waitForServer(local)
 	watch.sendLine(encodeChange(8, false, "a=gone"))
 	follower.waitForVersion(8, "b=ready c=ready")
 }
@@ -225,17 +225,17 @@
 func TestFollowAgainWithOtherServers(t *testing.T) {
 	old := newServer(t)
 	next := newServer(t)
-	follower := startFollower(t, 0, old).loadInitial(``)
+	follower := startFollower(t, old).loadInitial(``)
 	watch := old.serveFirstPoll(0, encodeChange(5, true, "a=ready"), 5)
 	follower.waitForServer(old)
-	follower.Do(func() { follower.registry.Follow(follower.followConfig(0, next)) })
+	follower.Do(func() { follower.registry.Follow(followConfig(next)) })
 	call := next.expectRequest(pollQuery(5))
 	watch.sendLine(encodeChange(6, false, "b=ready"))
 	follower.waitForVersion(6, "a=ready b=ready")
 	call.answer(encodeChange(6, false, "b=ready"))
-	other := next.expectRequest(watchQuery(6))
-	other.openWatch()
-	other.sendLine("")
+	nextWatch := next.expectRequest(watchQuery(6))
+	nextWatch.openWatch()
+	nextWatch.sendLine("")
 	follower.waitForServer(next)
 	if _, err := watch.Read(make([]byte, 1)); err == nil {
 		t.Error("the previous watch is open")
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -37,7 +37,7 @@
 	addr, accept := testkit.ListenOnLoopback(t)
 	rig.Do(func() {
 		registry := newRegistry(rig, "")
-		registry.Follow((&testFollower{}).followConfig(0, &testServer{addr: addr}))
+		registry.Follow(followConfig(&testServer{zone: localZone, addr: addr}))
 		if err := registry.LoadInitial([]byte(`{"hosts":[]}`)); err != nil {
 			t.Error(err)
 		}
--- a/internal/discovery/membershipserver_test.go
+++ b/internal/discovery/membershipserver_test.go
@@ -20,6 +20,7 @@
 // matters, byte by byte.
 type testServer struct {
 	t        *testing.T
+	zone     string
 	addr     string
 	listener net.Listener
 	requests chan request
@@ -39,18 +40,37 @@
 // until it is restarted.
 var loopbackHost = fmt.Sprintf("127.88.%d.%d", os.Getpid()>>8&0xff, os.Getpid()&0xff)
 
+// localZone is the zone of the dispatchers that follow servers.
+const localZone = "near"
+
+// newServer starts a server in the dispatcher's zone.
 func newServer(t *testing.T) *testServer {
 	t.Helper()
 	ln, err := net.Listen("tcp", loopbackHost+":0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &testServer{t: t, addr: ln.Addr().String(), listener: ln, requests: make(chan request, 1000)}
+	s := &testServer{
+		t:        t,
+		zone:     localZone,
+		addr:     ln.Addr().String(),
+		listener: ln,
+		requests: make(chan request, 1000),
+	}
 	t.Cleanup(s.stop)
 	go s.accept(ln)
 	return s
 }
 
+// newRemoteServer starts a server in a zone of its own.
+func newRemoteServer(t *testing.T) *testServer {
+	t.Helper()
+	s := newServer(t)
+	s.zone = "far " + s.addr
+	return s
+}
+
+// accept serves the connections of a listener until it is closed.
 func (s *testServer) accept(ln net.Listener) {
 	for {
 		conn, err := ln.Accept()
@@ -64,6 +84,7 @@
 	}
 }
 
+// serve passes the requests of a connection on to the test.
 func (s *testServer) serve(conn net.Conn) {
 	in := bufio.NewReader(conn)
 	for {
@@ -124,6 +145,7 @@
 	fmt.Fprintf(r, "HTTP/1.1 200 OK\r\nContent-Encoding: gzip\r\nContent-Length: %d\r\n\r\n%s", body.Len(), body.Bytes())
 }
 
+// answerUnavailable answers a poll with status 503.
 func (r request) answerUnavailable() {
 	io.WriteString(r, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 }
--- a/internal/discovery/responsebody_test.go
+++ b/internal/discovery/responsebody_test.go
@@ -32,13 +32,13 @@
 		"elements":    {compressBomb(`{"seq":9,"whole":true,"hosts":[`, "{},", maxElements*3), errTooManyElements},
 	} {
 		t.Run(name, func(t *testing.T) {
-			home := newServer(t)
-			other := newServer(t)
-			follower := startFollower(t, 1, home, other).loadInitial(``)
-			first := home.expectRequest(pollQuery(0))
+			local := newServer(t)
+			remote := newRemoteServer(t)
+			follower := startFollower(t, local, remote).loadInitial(``)
+			first := local.expectRequest(pollQuery(0))
 			fmt.Fprintf(first, "HTTP/1.1 200 OK\r\nContent-Encoding: gzip\r\nContent-Length: %d\r\n\r\n", len(test.body))
 			first.Write(test.body)
-			other.serveFirstPoll(0, encodeChange(5, true, "a=ready"), 5)
+			remote.serveFirstPoll(0, encodeChange(5, true, "a=ready"), 5)
 			follower.waitForVersion(5, "a=ready")
 			if follower.countLogLines(test.want.Error()) != 1 {
 				t.Errorf("no log line has %q", test.want)
--- a/internal/discovery/subscription_test.go
+++ b/internal/discovery/subscription_test.go
@@ -14,26 +14,26 @@
 
 // A watch that goes silent is replaced by that of the next server.
 func TestWatchTimeout(t *testing.T) {
-	home := newServer(t)
-	other := newServer(t)
-	follower := startFollower(t, 1, home, other).loadInitial(``)
-	watch := home.serveFirstPoll(0, encodeChange(5, true, "a=ready"), 5)
-	follower.waitForServer(home)
+	local := newServer(t)
+	remote := newRemoteServer(t)
+	follower := startFollower(t, local, remote).loadInitial(``)
+	watch := local.serveFirstPoll(0, encodeChange(5, true, "a=ready"), 5)
+	follower.waitForServer(local)
 	text := testkit.Chunk(encodeChange(6, false, "b=ready") + "\n")
 	watch.sendLine("")
 	follower.Do(func() { follower.registry.follower.active.watch.conn.onTimeout() }) // timed out
-	other.serveFirstPoll(5, encodeChange(7, false, "c=ready"), 7)
+	remote.serveFirstPoll(5, encodeChange(7, false, "c=ready"), 7)
 	follower.waitForVersion(7, "a=ready c=ready")
 	io.WriteString(watch, text) // too late
-	follower.waitForServer(other)
+	follower.waitForServer(remote)
 }
 
 // A watch does not time out in a turn of the event loop in which its bytes wait to be read.
 func TestWatchTimeoutWithUnreadData(t *testing.T) {
-	home := newServer(t)
-	follower := startFollower(t, 0, home).loadInitial(``)
-	watch := home.serveFirstPoll(0, encodeChange(5, true, "a=ready"), 5)
-	follower.waitForServer(home)
+	server := newServer(t)
+	follower := startFollower(t, server).loadInitial(``)
+	watch := server.serveFirstPoll(0, encodeChange(5, true, "a=ready"), 5)
+	follower.waitForServer(server)
 	release := follower.BlockLoop()
 	follower.Dispatcher.Loop.Post(func() { follower.registry.follower.active.watch.conn.onTimeout() })
 	follower.Write(t, watch, testkit.Chunk(encodeChange(6, false, "a=draining")+"\n"))
@@ -46,8 +46,8 @@
 
 // A large snapshot that comes byte by byte is neither given up nor applied before its end.
 func TestSnapshotByteByByte(t *testing.T) {
-	home := newServer(t)
-	follower := startFollower(t, 0, home).loadInitial(``)
+	server := newServer(t)
+	follower := startFollower(t, server).loadInitial(``)
 	var names []string
 	for i := range 300 {
 		names = append(names, fmt.Sprintf("w%04d=ready", i))
@@ -56,7 +56,7 @@
 	w := gzip.NewWriter(&body)
 	io.WriteString(w, encodeChange(5, true, names...))
 	w.Close()
-	first := home.expectRequest(pollQuery(0))
+	first := server.expectRequest(pollQuery(0))
 	fmt.Fprintf(first, "HTTP/1.1 200 OK\r\nContent-Encoding: gzip\r\nContent-Length: %d\r\n\r\n", body.Len())
 	raw := body.Bytes()
 	for i := range raw {
@@ -67,22 +67,22 @@
 		}
 		first.Write(raw[i : i+1])
 	}
-	home.expectRequest(watchQuery(5)).openWatch()
+	server.expectRequest(watchQuery(5)).openWatch()
 	follower.waitForVersion(5, strings.Join(names, " "))
 }
 
 // The same with a chunked response, and a delta byte by byte on the watch.
 func TestChunkedSnapshotAndDeltaByteByByte(t *testing.T) {
-	home := newServer(t)
-	follower := startFollower(t, 0, home).loadInitial(``)
-	first := home.expectRequest(pollQuery(0))
+	server := newServer(t)
+	follower := startFollower(t, server).loadInitial(``)
+	first := server.expectRequest(pollQuery(0))
 	io.WriteString(first, testkit.WatchHead)
 	text := encodeChange(5, true, "a=ready")
 	for i := range text {
 		io.WriteString(first, testkit.Chunk(text[i:i+1]))
 	}
 	io.WriteString(first, "0\r\n\r\n")
-	watch := home.expectRequest(watchQuery(5))
+	watch := server.expectRequest(watchQuery(5))
 	watch.openWatch()
 	follower.waitForVersion(5, "a=ready")
 	for _, b := range []byte(testkit.Chunk(encodeChange(6, false, "a=draining", "b=ready") + "\n")) {
@@ -94,28 +94,28 @@
 // A server may end its watch in order where the next change is better fetched compressed: it is polled at once, and
 // stays in use. One that does so again without anything newer has failed.
 func TestWatchEndedInOrder(t *testing.T) {
-	home := newServer(t)
-	other := newServer(t)
+	local := newServer(t)
+	remote := newRemoteServer(t)
 	follower := newFollower(t)
-	config := follower.followConfig(1, home, other)
+	config := followConfig(local, remote)
 	config.AcknowledgeInterval = time.Minute // no acknowledgement falls due, which would be a poll too
 	follower.Do(func() { follower.registry.Follow(config) })
 	follower.loadInitial(``)
-	watch := home.serveFirstPoll(0, encodeChange(1, true, "a=ready"), 1)
-	follower.waitForServer(home)
+	watch := local.serveFirstPoll(0, encodeChange(1, true, "a=ready"), 1)
+	follower.waitForServer(local)
 	io.WriteString(watch, "0\r\n\r\n")
-	home.expectRequest(pollQuery(1)).answerCompressed(encodeChange(2, false, "a=gone", "b=ready"))
+	local.expectRequest(pollQuery(1)).answerCompressed(encodeChange(2, false, "a=gone", "b=ready"))
 	follower.waitForVersion(2, "b=ready")
-	watch = home.expectRequest(watchQuery(2))
+	watch = local.expectRequest(watchQuery(2))
 	watch.openWatch()
-	if stats := follower.stats(); stats.Server != home.addr || stats.Failovers != 0 {
+	if stats := follower.stats(); stats.Server != local.addr || stats.Failovers != 0 {
 		t.Errorf("%+v", stats)
 	}
 	io.WriteString(watch, "0\r\n\r\n")
-	home.expectRequest(pollQuery(2)).answer(encodeChange(2, false))
-	watch = home.expectRequest(watchQuery(2))
+	local.expectRequest(pollQuery(2)).answer(encodeChange(2, false))
+	watch = local.expectRequest(watchQuery(2))
 	watch.openWatch()
 	io.WriteString(watch, "0\r\n\r\n")
-	other.serveFirstPoll(2, encodeChange(3, false, "b=draining"), 3)
+	remote.serveFirstPoll(2, encodeChange(3, false, "b=draining"), 3)
 	follower.waitForVersion(3, "b=draining")
 }
--- a/internal/discovery/testfollower_test.go
+++ b/internal/discovery/testfollower_test.go
@@ -24,49 +24,49 @@
 	applied  []membership.Version
 }
 
-const localZone = "near"
-
-// startFollower returns a dispatcher that follows servers. The last of them, as many as far says, are in other zones.
-func startFollower(t *testing.T, far int, servers ...*testServer) *testFollower {
+// startFollower returns a dispatcher that follows servers.
+func startFollower(t *testing.T, servers ...*testServer) *testFollower {
 	t.Helper()
-	s := newFollower(t)
-	s.Do(func() { s.registry.Follow(s.followConfig(far, servers...)) })
-	return s
+	follower := newFollower(t)
+	follower.Do(func() { follower.registry.Follow(followConfig(servers...)) })
+	return follower
 }
 
 // newFollower returns a dispatcher that has yet to follow servers.
 func newFollower(t *testing.T) *testFollower {
 	t.Helper()
-	s := &testFollower{Rig: testkit.NewRig(t, func(s *decision.Settings) { s.DrainGrace = 500 * time.Millisecond }), t: t}
-	s.Do(func() {
-		s.Dispatcher.Log = func(text string) {
-			s.mu.Lock()
-			s.logLines = append(s.logLines, text)
-			s.mu.Unlock()
-		}
-		s.registry = newRegistry(s.Rig, "")
-		s.registry.OnVersionApplied = func(v membership.Version) {
-			s.mu.Lock()
-			s.applied = append(s.applied, v)
-			s.mu.Unlock()
-		}
+	setDrainGrace := func(settings *decision.Settings) { settings.DrainGrace = 500 * time.Millisecond }
+	f := &testFollower{Rig: testkit.NewRig(t, setDrainGrace), t: t}
+	f.Do(func() {
+		f.Dispatcher.Log = f.recordLogLine
+		f.registry = newRegistry(f.Rig, "")
+		f.registry.OnVersionApplied = f.recordApplied
 	})
-	return s
+	return f
+}
+
+func (f *testFollower) recordLogLine(text string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.logLines = append(f.logLines, text)
 }
 
-func (f *testFollower) followConfig(far int, servers ...*testServer) FollowConfig {
+func (f *testFollower) recordApplied(version membership.Version) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.applied = append(f.applied, version)
+}
+
+// followConfig is the configuration of a dispatcher in localZone that follows servers.
+func followConfig(servers ...*testServer) FollowConfig {
 	config := FollowConfig{Name: "d 1", Zone: localZone, AcknowledgeInterval: 10 * time.Millisecond, Seed: 1}
-	for i, server := range servers {
-		zone := localZone
-		if i >= len(servers)-far {
-			zone = fmt.Sprintf("far%d", i)
-		}
-		config.Servers = append(config.Servers, membership.Server{Zone: zone, Address: server.addr})
+	for _, server := range servers {
+		config.Servers = append(config.Servers, membership.Server{Zone: server.zone, Address: server.addr})
 	}
 	return config
 }
 
-// loadInitial starts it from an initial endpoint list.
+// loadInitial starts the follower from an initial endpoint list.
 func (f *testFollower) loadInitial(list string) *testFollower {
 	f.t.Helper()
 	f.Do(func() {
@@ -79,22 +79,24 @@
 
 // workers returns the listed workers as name=health, sorted.
 func (f *testFollower) workers() string {
+	healthOf := map[decision.WorkerState]string{decision.Running: "ready", decision.Draining: "draining"}
 	var list []string
 	f.Do(func() {
 		for name, worker := range f.registry.workers {
-			health := map[decision.WorkerState]string{decision.Running: "ready", decision.Draining: "draining"}[worker.State]
-			list = append(list, name+"="+health)
+			list = append(list, name+"="+healthOf[worker.State])
 		}
 	})
 	slices.Sort(list)
 	return strings.Join(list, " ")
 }
 
+// version returns the version in force.
 func (f *testFollower) version() (version membership.Version) {
 	f.Do(func() { version = f.registry.follower.inForce.version })
 	return version
 }
 
+// stats returns the counters of the registry.
 func (f *testFollower) stats() (stats Stats) {
 	f.Do(func() { stats = f.registry.Stats() })
 	return stats
@@ -129,10 +131,10 @@
 
 // makeAttemptDue makes the next attempt at a preferred server due.
 func (f *testFollower) makeAttemptDue() {
-	followed := f.registry.follower
-	config := followed.config
-	followed.selector = membership.NewSelector(config.Name, config.Zone, config.Servers, 1)
-	followed.connect()
+	follower := f.registry.follower
+	config := follower.config
+	follower.selector = membership.NewSelector(config.Name, config.Zone, config.Servers, 1)
+	follower.connect()
 }
 
 // acceptOneSetting accepts changes of one setting alone, all or none, and calls onAccepted, unless it is nil.
