--- a/internal/discovery/descriptors_test.go
+++ b/internal/discovery/descriptors_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"io"
 	"net"
 	"testing"
 	"time"
@@ -25,11 +24,7 @@
 		frontEnd = httpfront.New(rig.Dispatcher, rig.Engine, 64<<20, func() bool { return true })
 		if limited {
 			usable := transport.ConnectionDescriptors(descriptors)
-			gate, err := listener.New(rig.Dispatcher.Loop, rig.Engine, listener.Config{
-				Limits:           connlimit.Config{Capacity: usable, Address: connlimit.Limits{Open: usable, PerSecond: 1e6}, Prefix: connlimit.Limits{Open: usable}},
-				DescriptorFloors: [connlimit.DescriptorKinds]int{connlimit.ClientConnections: 8, connlimit.WorkerConnections: 4, connlimit.DiscoveryConnections: 2},
-				Watermarks:       connlimit.Watermarks{Low: 0.8, High: 0.9, Critical: 0.97, Hysteresis: 0.05},
-			}, usable, nil)
+			gate, err := listener.New(rig.Dispatcher.Loop, rig.Engine, gateConfig(usable), usable, nil)
 			if err != nil {
 				t.Error(err)
 				return
@@ -44,6 +39,23 @@
 	return rig, frontEnd, addr
 }
 
+// gateConfig returns connection limits of which the number of descriptors alone binds.
+func gateConfig(usable int) listener.Config {
+	return listener.Config{
+		Limits: connlimit.Config{
+			Capacity: usable,
+			Address:  connlimit.Limits{Open: usable, PerSecond: 1e6},
+			Prefix:   connlimit.Limits{Open: usable},
+		},
+		DescriptorFloors: [connlimit.DescriptorKinds]int{
+			connlimit.ClientConnections:    8,
+			connlimit.WorkerConnections:    4,
+			connlimit.DiscoveryConnections: 2,
+		},
+		Watermarks: connlimit.Watermarks{Low: 0.8, High: 0.9, Critical: 0.97, Hysteresis: 0.05},
+	}
+}
+
 // Idle clients and attempts hold all descriptors that they can get while discovery is down: it is called all the same,
 // and its list is applied once it is back.
 func TestDiscoveryHasReservedDescriptor(t *testing.T) {
@@ -56,10 +68,7 @@
 					t.Cleanup(func() { conn.Close() })
 				}
 			}
-			testkit.Until(t, "the clients are connected", func() (connected bool) {
-				rig.Do(func() { connected = frontEnd.ConnectionCount() >= 8 })
-				return connected
-			})
+			waitOnLoop(t, rig, "the clients are connected", func() bool { return frontEnd.ConnectionCount() >= 8 })
 			if n := rig.FillDescriptors(t, silentAddr); n == 0 {
 				t.Error("no descriptor is left for attempts")
 			}
@@ -67,18 +76,11 @@
 			registry := followDiscovery(t, rig, addr)
 			for range 3 { // an outage
 				testkit.Receive(t, calls).Close()
-				testkit.Until(t, "the call has failed", func() (failed bool) {
-					rig.Do(func() { failed = !registry.watch.calling })
-					return failed
-				})
+				waitOnLoop(t, rig, "the call has failed", func() bool { return !registry.watch.calling })
 				rig.Do(func() { registry.watch.open() }) // in place of the backoff
 			}
-			call := testkit.Receive(t, calls)
-			io.WriteString(call, testkit.WatchHead+testkit.Chunk(laterSnapshot+"\n"))
-			testkit.Until(t, "the list is heard", func() (heard bool) {
-				rig.Do(func() { heard = registry.workers["new"] != nil })
-				return heard
-			})
+			testkit.Receive(t, calls).sendLaterSnapshot()
+			waitOnLoop(t, rig, "the list is applied", func() bool { return registry.workers["new"] != nil })
 		})
 	}
 }
--- a/internal/discovery/discoveryserver_test.go
+++ b/internal/discovery/discoveryserver_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"io"
 	"net"
 	"net/http"
 	"testing"
@@ -64,8 +65,42 @@
 	query string
 }
 
+// reset resets the connection of a call.
+func (c discoveryCall) reset() {
+	c.Conn.(*net.TCPConn).SetLinger(0)
+	c.Close()
+}
+
+// openWatch answers a call with the head of a stream.
+func (c discoveryCall) openWatch() { io.WriteString(c, testkit.WatchHead) }
+
+// answerUnavailable answers a call with status 503.
+func (c discoveryCall) answerUnavailable(reason string) {
+	io.WriteString(c, "HTTP/1.1 503 "+reason+"\r\nContent-Length: 0\r\n\r\n")
+}
+
+// sendLaterSnapshot answers a call with laterSnapshot.
+func (c discoveryCall) sendLaterSnapshot() {
+	io.WriteString(c, testkit.WatchHead+testkit.Chunk(laterSnapshot+"\n"))
+}
+
+// hasLaterSnapshot reports, on the loop's goroutine, whether laterSnapshot has replaced initialList.
+func hasLaterSnapshot(registry *Registry) bool {
+	return registry.workers["new"] != nil && registry.workers["old"] == nil
+}
+
+// waitOnLoop waits until a condition holds that is evaluated on the goroutine of the rig's event loop.
+func waitOnLoop(t *testing.T, rig *testkit.Rig, what string, condition func() bool) {
+	t.Helper()
+	testkit.Until(t, what, func() (holds bool) {
+		rig.Do(func() { holds = condition() })
+		return holds
+	})
+}
+
 // listenForCalls starts a stand-in for discovery, which answers no call by itself.
 func listenForCalls(t *testing.T) (addr string, calls chan discoveryCall) {
+	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -80,8 +115,9 @@
 			}
 			t.Cleanup(func() { conn.Close() })
 			go func() {
-				if req, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
-					calls <- discoveryCall{conn, req.URL.RawQuery}
+				request, err := http.ReadRequest(bufio.NewReader(conn))
+				if err == nil {
+					calls <- discoveryCall{conn, request.URL.RawQuery}
 				}
 			}()
 		}
--- a/internal/discovery/reconnect_test.go
+++ b/internal/discovery/reconnect_test.go
@@ -4,7 +4,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"net"
 	"strings"
 	"sync/atomic"
 	"testing"
@@ -48,59 +47,56 @@
 	}
 }
 
+// callEndings are the ways in which a call to discovery ends, by name.
+var callEndings = map[string]func(discoveryCall){
+	"reset":                 discoveryCall.reset,
+	"busy":                  func(call discoveryCall) { call.answerUnavailable("Busy") },
+	"silent":                func(discoveryCall) {},
+	"silent after the head": discoveryCall.openWatch,
+	"silent midway": func(call discoveryCall) {
+		io.WriteString(call, testkit.WatchHead+testkit.Chunk("\n")+"20\r\n{\"seq\"")
+	},
+	"ended": func(call discoveryCall) {
+		io.WriteString(call, testkit.WatchHead+testkit.Chunk("\n")+"0\r\n\r\n")
+	},
+	"malformed": func(call discoveryCall) { io.WriteString(call, testkit.WatchHead+testkit.Chunk("{]\n")) },
+}
+
 // However a call ends, and however long the poll interval is, discovery is called again in time, and its list applied.
 func TestReconnectWithinNotificationBound(t *testing.T) {
 	common := testkit.NewRig(t)
-	endings := map[string]func(*testing.T, discoveryCall){
-		"reset": func(_ *testing.T, call discoveryCall) {
-			call.Conn.(*net.TCPConn).SetLinger(0)
-			call.Close()
-		},
-		"busy": func(_ *testing.T, c discoveryCall) {
-			io.WriteString(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
-		},
-		"silent":                func(*testing.T, discoveryCall) {},
-		"silent after the head": func(_ *testing.T, c discoveryCall) { io.WriteString(c, testkit.WatchHead) },
-		"silent midway": func(_ *testing.T, c discoveryCall) {
-			io.WriteString(c, testkit.WatchHead+testkit.Chunk("\n")+"20\r\n{\"seq\"")
-		},
-		"ended": func(_ *testing.T, c discoveryCall) {
-			io.WriteString(c, testkit.WatchHead+testkit.Chunk("\n")+"0\r\n\r\n")
-		},
-		"malformed": func(_ *testing.T, c discoveryCall) { io.WriteString(c, testkit.WatchHead+testkit.Chunk("{]\n")) },
-	}
-	for name, endCall := range endings {
+	for name, endCall := range callEndings {
 		for _, peers := range []int{1, 300, 3000} {
 			for _, pollInterval := range []time.Duration{0, time.Hour} {
 				t.Run(fmt.Sprintf("%s/%d/%v", name, peers, pollInterval), func(t *testing.T) {
 					t.Parallel()
-					r := common.WithSubscription(t, peers, pollInterval)
-					addr, calls := listenForCalls(t)
-					registry := followDiscovery(t, r, addr)
-					r.Do(func() { // the first call of a large fleet has jitter
-						registry.watch.checkNextCall(t)
-						registry.Subscribe()
-					})
-					endCall(t, testkit.Receive(t, calls))
-					testkit.Until(t, "the call has failed", func() (failed bool) {
-						r.Do(func() {
-							failed = registry.watch.lastContact > 0 && !registry.watch.calling
-							registry.watch.checkNextCall(t)
-						})
-						return failed || len(calls) > 0
-					})
-					c := testkit.Receive(t, calls)
-					io.WriteString(c, testkit.WatchHead+testkit.Chunk(laterSnapshot+"\n"))
-					testkit.Until(t, "the list is applied", func() (applied bool) {
-						r.Do(func() { applied = registry.workers["new"] != nil && registry.workers["old"] == nil })
-						return applied
-					})
+					checkReconnect(t, common.WithSubscription(t, peers, pollInterval), endCall)
 				})
 			}
 		}
 	}
 }
 
+// checkReconnect checks that a dispatcher whose first call is ended by endCall schedules the next one in time, and
+// applies its answer.
+func checkReconnect(t *testing.T, rig *testkit.Rig, endCall func(discoveryCall)) {
+	t.Helper()
+	addr, calls := listenForCalls(t)
+	registry := followDiscovery(t, rig, addr)
+	rig.Do(func() { // the first call of a large fleet has jitter
+		registry.watch.checkNextCall(t)
+		registry.Subscribe()
+	})
+	endCall(testkit.Receive(t, calls))
+	waitOnLoop(t, rig, "the call has failed", func() bool {
+		failed := registry.watch.lastContact > 0 && !registry.watch.calling
+		registry.watch.checkNextCall(t)
+		return failed || len(calls) > 0
+	})
+	testkit.Receive(t, calls).sendLaterSnapshot()
+	waitOnLoop(t, rig, "the list is applied", func() bool { return hasLaterSnapshot(registry) })
+}
+
 // In an outage the backoff stays within the bound, and no second failure is reported to the dispatcher before it has
 // subscribed again: it sets a timer for each, all of which would call.
 func TestOutageIsReportedOnce(t *testing.T) {
@@ -118,10 +114,7 @@
 		registry := followDiscovery(t, rig, addr)
 		for range 12 {
 			rig.Do(func() { registry.watch.open() }) // in place of the backoff
-			testkit.Until(t, "the call is refused", func() (failed bool) {
-				rig.Do(func() { failed = !registry.watch.calling })
-				return failed
-			})
+			waitOnLoop(t, rig, "the call is refused", func() bool { return !registry.watch.calling })
 			rig.Do(func() { registry.watch.checkNextCall(t) })
 		}
 		if n := reports.Load(); n != 1 {
@@ -147,10 +140,7 @@
 	registry := followDiscovery(t, rig, former)
 	rig.Do(func() { registry.Subscribe() }) // without the jitter of a large fleet
 	testkit.Receive(t, formerCalls).Close()
-	testkit.Until(t, "the call has failed", func() (failed bool) {
-		rig.Do(func() { failed = registry.watch.nextCallAt > 0 })
-		return failed
-	})
+	waitOnLoop(t, rig, "the call has failed", func() bool { return registry.watch.nextCallAt > 0 })
 	rig.Do(func() {
 		registry.MoveTo(next)
 		if !registry.watch.calling || registry.watch.nextCallAt != 0 {
@@ -158,37 +148,41 @@
 		}
 	})
 	testkit.Receive(t, nextCalls).Close()
-	testkit.Until(t, "the call to the new address has failed", func() (failed bool) {
-		rig.Do(func() {
-			failed = registry.watch.nextCallAt > 0
-			registry.watch.checkNextCall(t)
-		})
-		return failed
+	waitOnLoop(t, rig, "the call to the new address has failed", func() bool {
+		registry.watch.checkNextCall(t)
+		return registry.watch.nextCallAt > 0
 	})
 	call := testkit.Receive(t, nextCalls)
 	if call.query != "watch=1&after=41" {
 		t.Errorf("asked for %s", call.query)
 	}
 	rig.Do(func() { registry.Subscribe() }) // a timer of the earlier outage: the call goes on
-	io.WriteString(call, testkit.WatchHead+testkit.Chunk(laterSnapshot+"\n"))
-	testkit.Until(t, "the list is applied", func() (applied bool) {
-		rig.Do(func() { applied = registry.workers["new"] != nil && registry.watch.version == 43 })
-		return applied
+	call.sendLaterSnapshot()
+	waitOnLoop(t, rig, "the list is applied", func() bool {
+		return registry.workers["new"] != nil && registry.watch.version == 43
 	})
 	if len(formerCalls) > 0 {
 		t.Error("the former address was called again")
 	}
 }
 
+// agentCallEndings are the ways in which calls to an agent end, one after the other.
+var agentCallEndings = []func(discoveryCall){
+	func(discoveryCall) {}, // silent
+	discoveryCall.reset,
+	func(call discoveryCall) { call.answerUnavailable("Down") },
+	discoveryCall.openWatch, // silent after the head
+}
+
 // Where lists come from an agent, what it has counts as notified, whether a watch is open or not: it is called at the
 // start, however many dispatchers there are, and several times within a drain grace where it is silent, resets the call
 // or is unavailable.
 func TestAgentIsCalledAgainAfterShortBackoff(t *testing.T) {
 	for _, peers := range []int{1, 300} {
-		rig := testkit.NewRig(t, func(s *decision.Settings) {
-			s.Peers = peers
-			s.ListPollInterval = 10 * time.Second
-			s.DrainGrace = 500 * time.Millisecond
+		rig := testkit.NewRig(t, func(settings *decision.Settings) {
+			settings.Peers = peers
+			settings.ListPollInterval = 10 * time.Second
+			settings.DrainGrace = 500 * time.Millisecond
 		})
 		addr, calls := listenForCalls(t)
 		registry := followDiscovery(t, rig, addr)
@@ -201,30 +195,27 @@
 			if call.query != "watch=1&after=41" {
 				t.Fatalf("call %d: %s", i, call.query)
 			}
-			switch i % 4 {
-			case 0: // silent
-			case 1:
-				call.Conn.(*net.TCPConn).SetLinger(0)
-				call.Close()
-			case 2:
-				io.WriteString(call, "HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n")
-			case 3: // silent after the head
-				io.WriteString(call, testkit.WatchHead)
-			}
+			agentCallEndings[i%len(agentCallEndings)](call)
 		}
-		c := testkit.Receive(t, calls)
-		for strings.Contains(c.query, "watch") { // until the call in progress is answered
-			io.WriteString(c, testkit.WatchHead+testkit.Chunk(laterSnapshot+"\n"))
-			applied := false
-			for end := time.Now().Add(200 * time.Millisecond); !applied && time.Now().Before(end); time.Sleep(time.Millisecond) {
-				rig.Do(func() {
-					applied = registry.workers["new"] != nil && registry.workers["old"] == nil && registry.watch.established
-				})
-			}
-			if applied {
-				break
-			}
-			c = testkit.Receive(t, calls)
+		answerAgentCalls(t, rig, registry, calls)
+	}
+}
+
+// answerAgentCalls answers calls with laterSnapshot until one of them was answered before its timeout.
+func answerAgentCalls(t *testing.T, rig *testkit.Rig, registry *Registry, calls chan discoveryCall) {
+	t.Helper()
+	call := testkit.Receive(t, calls)
+	for strings.Contains(call.query, "watch") {
+		call.sendLaterSnapshot()
+		applied := false
+		end := time.Now().Add(200 * time.Millisecond)
+		for !applied && time.Now().Before(end) {
+			rig.Do(func() { applied = hasLaterSnapshot(registry) && registry.watch.established })
+			time.Sleep(time.Millisecond)
+		}
+		if applied {
+			return
 		}
+		call = testkit.Receive(t, calls)
 	}
 }
