--- a/internal/discovery/acknowledgement_test.go
+++ b/internal/discovery/acknowledgement_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"strings"
 	"testing"
 
 	"hollyyoke.example/hollyyoke/internal/membership"
@@ -15,9 +14,12 @@
 	follower := startFollower(t, server).loadInitial(``)
 	watch := server.serveFirstPoll(0, encodeChange(1, true, "a=ready"), 1)
 	server.expectRequest(pollQuery(1)).answer(encodeChange(1, true, "a=ready"))
-	for v := 2; v < 6; v++ {
-		watch.sendLine(encodeChange(v, false, fmt.Sprintf("b%d=ready", v)))
-		follower.waitForVersion(membership.Version(v), "a=ready "+strings.Join([]string{"b2=ready", "b3=ready", "b4=ready", "b5=ready"}[:v-1], " "))
+	workers := "a=ready"
+	for version := 2; version < 6; version++ {
+		added := fmt.Sprintf("b%d=ready", version)
+		watch.sendLine(encodeChange(version, false, added))
+		workers += " " + added
+		follower.waitForVersion(membership.Version(version), workers)
 	}
 	follower.Do(func() {
 		if f := follower.registry.follower; !f.active.ignoresVersion || f.acknowledgement.scheduled {
--- a/internal/discovery/applychange_test.go
+++ b/internal/discovery/applychange_test.go
@@ -51,7 +51,8 @@
 	watch := server.serveFirstPoll(0, encodeChange(5, true, "a=ready"), 5)
 	watch.sendLine(`{"seq":6,"whole":false,"hosts":[],"settings":[{"key":"over_share_worth","value":0.25}]}`)
 	follower.waitForVersion(6, "a=ready")
-	watch.sendLine(`{"seq":7,"whole":false,"hosts":[{"host":"a","health":"gone"}],"settings":[{"key":"over_share_worth","value":0.5},{"key":"limits.max_attempts","value":9}]}`)
+	watch.sendLine(`{"seq":7,"whole":false,"hosts":[{"host":"a","health":"gone"}],"settings":[` +
+		`{"key":"over_share_worth","value":0.5},{"key":"limits.max_attempts","value":9}]}`)
 	testkit.Until(t, "it is rejected", func() bool { return follower.stats().Rejected == 1 })
 	follower.Do(func() {
 		if weight := follower.Dispatcher.Settings.OverQuotaWeight; weight != 0.25 {
@@ -71,7 +72,8 @@
 	follower.Do(func() { follower.registry.applySettings = acceptOneSetting(func() { settingApplied = true }) })
 	watch := server.serveFirstPoll(0, encodeChange(5, true, "a=ready"), 5)
 	follower.waitForVersion(5, "a=ready")
-	text := testkit.Chunk(`{"seq":6,"whole":false,"settings":[{"key":"over_share_worth","value":0.5}],"hosts":[{"host":"b","dial":"127.0.0.1:9","health":"ready"}]}` + "\n")
+	text := testkit.Chunk(`{"seq":6,"whole":false,"settings":[{"key":"over_share_worth","value":0.5}],` +
+		`"hosts":[{"host":"b","dial":"127.0.0.1:9","health":"ready"}]}` + "\n")
 	seen := false
 	checks := 0
 	check := func() {
--- a/internal/discovery/change_test.go
+++ b/internal/discovery/change_test.go
@@ -16,15 +16,19 @@
 	f.Add([]byte("{ \"seq\" :\n\n 1 , \"hosts\":[ {\"host\": \"a  \\\"  b\" } ] }"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		change, err := decodeChange(bytes.NewReader(text))
-		again, errAgain := decodeChange(&whitespaceCompactor{source: iotest.OneByteReader(bytes.NewReader(text))})
-		if (err == nil) != (errAgain == nil) || fmt.Sprint(change.endpoints, change.version) != fmt.Sprint(again.endpoints, again.version) {
+		byteByByte := &whitespaceCompactor{source: iotest.OneByteReader(bytes.NewReader(text))}
+		again, errAgain := decodeChange(byteByByte)
+		sameContent := fmt.Sprint(change.endpoints, change.version) == fmt.Sprint(again.endpoints, again.version)
+		if (err == nil) != (errAgain == nil) || !sameContent {
 			t.Errorf("%q: %+v, %v; byte by byte %+v, %v", text, change, err, again, errAgain)
 		}
 		var list endpointList
 		if json.Unmarshal(text, &list) != nil || err != nil || change.typeError != nil {
 			return
 		}
-		if fmt.Sprint(change.endpoints, change.version, change.snapshot) != fmt.Sprint(list.Endpoints, list.Version, list.Snapshot) {
+		got := fmt.Sprint(change.endpoints, change.version, change.snapshot)
+		want := fmt.Sprint(list.Endpoints, list.Version, list.Snapshot)
+		if got != want {
 			t.Errorf("%q: %+v, want %+v", text, change, list)
 		}
 	})
--- a/internal/discovery/follower_test.go
+++ b/internal/discovery/follower_test.go
@@ -16,19 +16,20 @@
 		server := newServer(t)
 		follower := startFollower(t, server).loadInitial(``)
 		first := server.expectRequest(pollQuery(0))
-		if text := encodeChange(7, true, "a=ready", "b=ready"); compressed {
-			first.answerCompressed(text)
+		snapshot := encodeChange(7, true, "a=ready", "b=ready")
+		if compressed {
+			first.answerCompressed(snapshot)
 		} else {
-			first.answer(text)
+			first.answer(snapshot)
 		}
 		watch := server.expectRequest(watchQuery(7))
 		watch.openWatch()
 		follower.waitForVersion(7, "a=ready b=ready")
-		ack := server.expectRequest(pollQuery(7))
-		if ack.Conn != first.Conn {
+		acknowledgement := server.expectRequest(pollQuery(7))
+		if acknowledgement.Conn != first.Conn {
 			t.Error("the acknowledgement has a connection of its own")
 		}
-		ack.answer(encodeChange(7, false))
+		acknowledgement.answer(encodeChange(7, false))
 		watch.sendLine(encodeChange(9, false, "a=draining", "c=ready"))
 		follower.waitForVersion(9, "a=draining b=ready c=ready")
 		server.expectRequest(pollQuery(9)).answer(encodeChange(10, false, "b=gone")) // which the watch has yet to bring
@@ -37,16 +38,12 @@
 		watch.sendLine(encodeChange(11, false, "a=gone"))
 		follower.waitForVersion(11, "c=ready")
 		testkit.Until(t, "version 11 is acknowledged", func() bool {
-			r := testkit.Receive(t, server.requests)
-			r.answer(encodeChange(11, false))
-			return r.query == pollQuery(11)
+			poll := testkit.Receive(t, server.requests)
+			poll.answer(encodeChange(11, false))
+			return poll.query == pollQuery(11)
 		})
 		testkit.Until(t, "its answer is read", func() bool { return follower.stats().Acknowledged >= 3 })
-		stats := follower.stats()
-		if stats.Applied != 4 || stats.Snapshots != 1 || stats.Deltas != 3 || stats.Rejected != 0 || stats.Failovers != 0 ||
-			stats.BytesRead < 500 || stats.BytesWritten < 100 || stats.Version != 11 {
-			t.Errorf("%+v", stats)
-		}
+		checkFollowStats(t, follower.stats())
 		follower.mu.Lock()
 		if want := []membership.Version{7, 9, 10, 11}; !slices.Equal(follower.applied, want) {
 			t.Errorf("applied %v, want %v", follower.applied, want)
@@ -55,6 +52,17 @@
 	}
 }
 
+// checkFollowStats checks the counters at the end of TestFollow.
+func checkFollowStats(t *testing.T, stats Stats) {
+	t.Helper()
+	if stats.Applied != 4 || stats.Snapshots != 1 || stats.Deltas != 3 || stats.Rejected != 0 || stats.Failovers != 0 {
+		t.Errorf("want a snapshot and three deltas: %+v", stats)
+	}
+	if stats.BytesRead < 500 || stats.BytesWritten < 100 || stats.Version != 11 {
+		t.Errorf("want version 11, at least 500 bytes read and 100 written: %+v", stats)
+	}
+}
+
 // A server fails in the middle of a change: none of it is in force, and the next server is polled from the version in
 // force.
 func TestServerFailsMidChange(t *testing.T) {
@@ -101,17 +109,7 @@
 			local.serveFirstPoll(0, encodeChange(5, true, "a=ready"), 5)
 			follower.waitForServer(local)
 			local.stop()
-			next := second
-			last := third
-			var first request
-			select {
-			case first = <-second.requests:
-			case first = <-third.requests:
-				next, last = last, next
-			case <-time.After(testkit.Patience):
-				t.Fatal("no server is polled")
-			}
-			next.requests <- first
+			next, last := orderOfPolls(t, second, third)
 			behind(next)
 			last.serveFirstPoll(5, encodeChange(6, false, "b=ready"), 6)
 			follower.waitForVersion(6, "a=ready b=ready")
@@ -120,6 +118,22 @@
 	}
 }
 
+// orderOfPolls returns the one of two servers that is polled first, with the poll among its requests, and the other one.
+func orderOfPolls(t *testing.T, one, two *testServer) (first, last *testServer) {
+	t.Helper()
+	var poll request
+	first, last = one, two
+	select {
+	case poll = <-one.requests:
+	case poll = <-two.requests:
+		first, last = two, one
+	case <-time.After(testkit.Patience):
+		t.Fatal("no server is polled")
+	}
+	first.requests <- poll
+	return first, last
+}
+
 // A server is restarted with an older version than it had.
 func TestRestartedServerWithOlderVersion(t *testing.T) {
 	server := newServer(t)
@@ -128,14 +142,11 @@
 	follower.waitForVersion(8, "a=ready b=ready")
 	server.stop()
 	server.restart()
-	for {
-		r := testkit.Receive(t, server.requests)
-		if r.query != pollQuery(8) { // an acknowledgement on the old connection
-			continue
-		}
-		r.answer(encodeChange(2, true, "old=ready"))
-		break
+	poll := testkit.Receive(t, server.requests)
+	for poll.query != pollQuery(8) { // an acknowledgement on the old connection
+		poll = testkit.Receive(t, server.requests)
 	}
+	poll.answer(encodeChange(2, true, "old=ready"))
 	server.expectRequest(pollQuery(8)).answer(encodeChange(3, true, "old=ready"))
 	if got := follower.workers(); follower.version() != 8 || got != "a=ready b=ready" {
 		t.Fatalf("version %d: %s", follower.version(), got)
--- a/internal/discovery/objectsplitter_test.go
+++ b/internal/discovery/objectsplitter_test.go
@@ -7,37 +7,43 @@
 	"testing"
 )
 
+// splitInPieces returns the objects of a text that is split in pieces of a size, up to the first error.
+func splitInPieces(t *testing.T, text []byte, size int) (objects []string, failed bool) {
+	t.Helper()
+	var splitter objectSplitter
+	for at := 0; at < len(text); at += size {
+		data := text[at:min(at+size, len(text))]
+		for len(data) > 0 {
+			object, used, complete, err := splitter.next(data)
+			if err != nil {
+				return objects, true
+			}
+			if used == 0 {
+				t.Fatalf("nothing is taken of %q", data)
+			}
+			data = data[used:]
+			if complete {
+				objects = append(objects, string(object))
+			}
+		}
+	}
+	return objects, false
+}
+
 // FuzzObjectSplitter checks that objects come out of a stream as they went in, however it is cut.
 func FuzzObjectSplitter(f *testing.F) {
 	f.Add([]byte(`{"a":{"b":[1,"}{"]}}`+"\n\n"+`{"c":"\\\""}{"d":[]}`), byte(1))
 	f.Add([]byte("{\n \"a\": 1\n}\n\r\n[1]\n"), byte(3))
 	f.Fuzz(func(t *testing.T, text []byte, cut byte) {
-		read := func(piece int) (got []string, failed bool) {
-			var splitter objectSplitter
-			for at := 0; at < len(text); at += piece {
-				for data := text[at:min(at+piece, len(text))]; len(data) > 0; {
-					object, used, complete, err := splitter.next(data)
-					if err != nil {
-						return got, true
-					}
-					if used == 0 {
-						t.Fatalf("nothing is taken of %q", data)
-					}
-					data = data[used:]
-					if complete {
-						got = append(got, string(object))
-					}
-				}
-			}
-			return got, false
-		}
-		at1, failed1 := read(max(len(text), 1))
-		atN, failedN := read(int(cut)%64 + 1)
-		if fmt.Sprint(at1, failed1) != fmt.Sprint(atN, failedN) {
-			t.Fatalf("%q at once: %q, %v; in pieces of %d: %q, %v", text, at1, failed1, cut%64+1, atN, failedN)
+		size := int(cut)%64 + 1
+		objects, failed := splitInPieces(t, text, max(len(text), 1))
+		objectsOfPieces, piecesFailed := splitInPieces(t, text, size)
+		if fmt.Sprint(objects, failed) != fmt.Sprint(objectsOfPieces, piecesFailed) {
+			t.Fatalf("%q at once: %q, %v; in pieces of %d: %q, %v",
+				text, objects, failed, size, objectsOfPieces, piecesFailed)
 		}
 		decoder := json.NewDecoder(bytes.NewReader(text))
-		for _, object := range at1 {
+		for _, object := range objects {
 			if object == "" {
 				continue
 			}
--- a/internal/discovery/responsebody_test.go
+++ b/internal/discovery/responsebody_test.go
@@ -10,26 +10,33 @@
 	"testing"
 )
 
-// A response that decompresses to more than its limit, or has more bytes as sent or more elements than theirs, is
-// rejected, and the next server is polled.
-func TestResponseBodyLimits(t *testing.T) {
-	compressBomb := func(text string, unit string, size int) []byte {
-		var body bytes.Buffer
-		w := gzip.NewWriter(&body)
-		io.WriteString(w, text)
-		piece := strings.Repeat(unit, 1<<20/len(unit))
-		for n := 0; n <= size; n += len(piece) {
-			io.WriteString(w, piece)
-		}
-		w.Close()
-		return body.Bytes()
+// compressedOf returns, compressed, a text followed by a unit that is repeated to more than size bytes.
+func compressedOf(text string, unit string, size int) []byte {
+	var body bytes.Buffer
+	w := gzip.NewWriter(&body)
+	io.WriteString(w, text)
+	piece := strings.Repeat(unit, 1<<20/len(unit))
+	for n := 0; n <= size; n += len(piece) {
+		io.WriteString(w, piece)
 	}
+	w.Close()
+	return body.Bytes()
+}
+
+// A response that decompresses to too many bytes or elements is rejected, and the next server is polled.
+func TestDecompressedBodyLimits(t *testing.T) {
 	for name, test := range map[string]struct {
 		body []byte
 		want error
 	}{
-		"white space": {compressBomb(`{"seq":9,"whole":true,`, " ", maxDecompressedBytes), errDecompressedTooLarge},
-		"elements":    {compressBomb(`{"seq":9,"whole":true,"hosts":[`, "{},", maxElements*3), errTooManyElements},
+		"white space": {
+			compressedOf(`{"seq":9,"whole":true,`, " ", maxDecompressedBytes),
+			errDecompressedTooLarge,
+		},
+		"elements": {
+			compressedOf(`{"seq":9,"whole":true,"hosts":[`, "{},", maxElements*3),
+			errTooManyElements,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			local := newServer(t)
@@ -45,10 +52,15 @@
 			}
 		})
 	}
+}
+
+// A body that has more bytes as sent than its limit is rejected.
+func TestSentBodyLimit(t *testing.T) {
 	var body responseBody
 	var err error
 	for range maxBodyBytes>>20 + 1 {
-		if err = errors.Join(err, body.append(make([]byte, 1<<20), 0)); err != nil {
+		err = body.append(make([]byte, 1<<20), 0)
+		if err != nil {
 			break
 		}
 	}
--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -123,7 +123,13 @@
 // LastContact returns the time up to which all changes are in the list.
 func (t *Tracker) LastContact() time.Duration { return t.confirmedAt }
 
-// Knowledge returns what the list may be used for now.
+// Knowledge returns what the list may be used for now:
+//
+//   - Current until StaleAt;
+//   - after that, for a list that was never confirmed since the start: Unknown during startupWait; then Unconfirmed once a
+//     call has failed to reach the source, and at the latest after maxStartupWait;
+//   - after that, for a list that was confirmed: Unconfirmed if workers have health checks, or the last call has failed
+//     to reach the source within failureValidity; otherwise Unknown.
 func (t *Tracker) Knowledge(now time.Duration) Knowledge {
 	switch {
 	case now < t.StaleAt():
@@ -159,19 +165,19 @@
 	return next
 }
 
-// HealthEvidence says whether a health check of a worker can still prove that the worker is listed. The zero value says that it
-// can.
+// HealthEvidence says whether a health check of one worker can still prove that the worker is listed. The zero value says
+// that it can. A HealthEvidence is not safe for concurrent use.
 type HealthEvidence struct {
 	denied      bool
 	confirmedAt time.Duration // of the list, when the worker was denied
 }
 
 // Denied reports that the worker could not be reached, or said that it does not serve.
-func (p *HealthEvidence) Denied(t *Tracker) {
-	p.denied = true
-	p.confirmedAt = t.LastContact()
+func (e *HealthEvidence) Denied(t *Tracker) {
+	e.denied = true
+	e.confirmedAt = t.LastContact()
 }
 
 // Holds reports whether the worker may still be asked. One that was denied may have been removed and restarted since: its
 // health checks prove nothing until the list is confirmed again.
-func (p *HealthEvidence) Holds(t *Tracker) bool { return !p.denied || p.confirmedAt != t.LastContact() }
+func (e *HealthEvidence) Holds(t *Tracker) bool { return !e.denied || e.confirmedAt != t.LastContact() }
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -20,56 +20,61 @@
 func brokenOff(t *Tracker, now time.Duration)  { t.Failed(now, BrokenOff) }
 func stalled(t *Tracker, now time.Duration)    { t.Stalled(now) }
 
+// step is one step of a scenario: what happens at a time, and what the list may be used for right after.
+type step struct {
+	at    time.Duration
+	event event
+	want  Knowledge
+}
+
+// knowledgeScenarios begin with a list that was confirmed at time 0, where workers have no health checks.
+var knowledgeScenarios = map[string][]step{
+	"confirmed in time": {
+		{5 * second, confirmed, Current},
+		{10 * second, nil, Current},
+		{10900 * millisecond, nil, Unknown},
+	},
+	"silence": {
+		{5800 * millisecond, nil, Current},
+		{6 * second, nil, Unknown},
+	},
+	"calls that break off extend nothing": {
+		{3 * second, brokenOff, Current},
+		{5800 * millisecond, brokenOff, Current},
+		{6 * second, nil, Unknown},
+		{7 * second, confirmed, Current},
+	},
+	"an outage": {
+		{2 * second, notReached, Current},
+		{5 * second, notReached, Current},
+		{6 * second, nil, Unconfirmed},
+		{9 * second, notReached, Unconfirmed},
+		{16 * second, nil, Unconfirmed},
+		{17 * second, nil, Unknown},
+	},
+	"an outage that ends with an incomplete response": {
+		{5 * second, notReached, Current},
+		{7 * second, brokenOff, Unknown},
+	},
+	"an incomplete response, then an outage": {
+		{5 * second, brokenOff, Current},
+		{7 * second, notReached, Unconfirmed},
+	},
+	"what is read right after a stall may be old": {
+		{10 * second, stalled, Unknown},
+		{10*second + millisecond, confirmed, Unknown},
+		{11 * second, confirmed, Current},
+	},
+	"a short stall": {
+		{2 * second, confirmed, Current},
+		{3 * second, stalled, Current},
+		{3*second + millisecond, confirmed, Current},
+		{8 * second, nil, Unknown},
+	},
+}
+
 func TestKnowledge(t *testing.T) {
-	type step struct {
-		at    time.Duration
-		event event
-		want  Knowledge
-	}
-	for name, steps := range map[string][]step{
-		"confirmed in time": {
-			{5 * second, confirmed, Current},
-			{10 * second, nil, Current},
-			{10900 * millisecond, nil, Unknown},
-		},
-		"silence": {
-			{5800 * millisecond, nil, Current},
-			{6 * second, nil, Unknown},
-		},
-		"calls that break off extend nothing": {
-			{3 * second, brokenOff, Current},
-			{5800 * millisecond, brokenOff, Current},
-			{6 * second, nil, Unknown},
-			{7 * second, confirmed, Current},
-		},
-		"an outage": {
-			{2 * second, notReached, Current},
-			{5 * second, notReached, Current},
-			{6 * second, nil, Unconfirmed},
-			{9 * second, notReached, Unconfirmed},
-			{16 * second, nil, Unconfirmed},
-			{17 * second, nil, Unknown},
-		},
-		"an outage that ends with an incomplete response": {
-			{5 * second, notReached, Current},
-			{7 * second, brokenOff, Unknown},
-		},
-		"an incomplete response, then an outage": {
-			{5 * second, brokenOff, Current},
-			{7 * second, notReached, Unconfirmed},
-		},
-		"what is read right after a stall may be old": {
-			{10 * second, stalled, Unknown},
-			{10*second + millisecond, confirmed, Unknown},
-			{11 * second, confirmed, Current},
-		},
-		"a short stall": {
-			{2 * second, confirmed, Current},
-			{3 * second, stalled, Current},
-			{3*second + millisecond, confirmed, Current},
-			{8 * second, nil, Unknown},
-		},
-	} {
+	for name, steps := range knowledgeScenarios {
 		t.Run(name, func(t *testing.T) {
 			var tracker Tracker
 			tracker.Start(-startupWait)
@@ -88,13 +93,13 @@
 
 // The list that a process starts with is unknown until its source has confirmed it; if the source does not respond, it
 // becomes unconfirmed after a while.
-func TestStart(t *testing.T) {
+func TestStartBeginsUnknown(t *testing.T) {
 	const start = 100 * second
 	var confirmed, refused, silent Tracker
 	for _, tracker := range []*Tracker{&confirmed, &refused, &silent} {
 		tracker.Start(start)
-		if k := tracker.Knowledge(start); k != Unknown {
-			t.Errorf("at the start: %v", k)
+		if got := tracker.Knowledge(start); got != Unknown {
+			t.Errorf("at the start: %v, not %v", got, Unknown)
 		}
 	}
 	confirmed.Confirmed(start + second)
@@ -118,21 +123,24 @@
 	tracker.Start(0)
 	tracker.Confirmed(second)
 	tracker.Failed(5*second, BrokenOff)
-	if k := tracker.Knowledge(8 * second); k != Unconfirmed {
-		t.Errorf("%v", k)
+	if got := tracker.Knowledge(8 * second); got != Unconfirmed {
+		t.Errorf("%v, not %v", got, Unconfirmed)
 	}
 }
 
+// A list that another process hands over is as old as it was there.
 func TestHandedOver(t *testing.T) {
 	var tracker Tracker
 	tracker.Start(100 * second)
 	tracker.HandedOver(100*second, 7*second)
-	if k := tracker.Knowledge(100 * second); k != Unknown {
-		t.Errorf("by a list that was stale already: %v", k)
+	if got := tracker.Knowledge(100 * second); got != Unknown {
+		t.Errorf("a list that was stale already: %v, not %v", got, Unknown)
 	}
 	tracker.HandedOver(101*second, 2*second)
-	if before, after := tracker.Knowledge(104*second), tracker.Knowledge(105*second); before != Current || after != Unknown {
-		t.Errorf("by a list confirmed 2 s before: %v, then %v", before, after)
+	before := tracker.Knowledge(104 * second)
+	after := tracker.Knowledge(105 * second)
+	if before != Current || after != Unknown {
+		t.Errorf("a list confirmed 2 s before: %v, then %v; not %v, then %v", before, after, Current, Unknown)
 	}
 }
 
@@ -150,20 +158,22 @@
 			case 1:
 				tracker.Stalled(now)
 			}
-			if k := tracker.Knowledge(now); k == Current && now >= NotificationBound {
+			if tracker.Knowledge(now) == Current && now >= NotificationBound {
 				t.Fatalf("seed %d: current at %v, though nothing was confirmed since the start", seed, now)
 			}
 		}
 	}
 }
 
-func TestProof(t *testing.T) {
+// A worker that was denied proves nothing until the list is confirmed again.
+func TestHealthEvidence(t *testing.T) {
 	var tracker Tracker
 	tracker.Confirmed(0)
 	var untouched, denied HealthEvidence
 	denied.Denied(&tracker)
 	if !untouched.Holds(&tracker) || denied.Holds(&tracker) {
-		t.Errorf("the zero value holds: %v; after a denial: %v", untouched.Holds(&tracker), denied.Holds(&tracker))
+		t.Errorf("the zero value holds: %v, want true; after a denial: %v, want false",
+			untouched.Holds(&tracker), denied.Holds(&tracker))
 	}
 	tracker.Confirmed(31 * second)
 	if !denied.Holds(&tracker) {
