--- a/internal/membership/acktracker.go
+++ b/internal/membership/acktracker.go
@@ -22,6 +22,7 @@
 	oldest, newest *acknowledgement
 }
 
+// acknowledgement is the last one of a subscriber.
 type acknowledgement struct {
 	name     string
 	version  Version
@@ -133,6 +134,7 @@
 	a.newest = ack
 }
 
+// unlink takes ack out of the list.
 func (a *AckTracker) unlink(ack *acknowledgement) {
 	if ack.previous != nil {
 		ack.previous.next = ack.next
--- a/internal/membership/acktracker_test.go
+++ b/internal/membership/acktracker_test.go
@@ -16,9 +16,14 @@
 	tracker.Acknowledge(0, "d1", 5, 1)
 	tracker.Acknowledge(0, "d2", 7, 1)
 	tracker.Acknowledge(0, "relay", 6, 1235)
-	want := Summary{Subscribers: 1237, Lowest: 5, Newest: 7, Cumulative: []VersionCount{{5, 1237}, {6, 1236}, {7, 1}}}
+	want := Summary{
+		Subscribers: 1237,
+		Lowest:      5,
+		Newest:      7,
+		Cumulative:  []VersionCount{{5, 1237}, {6, 1236}, {7, 1}},
+	}
 	if got := tracker.Summary(0); !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v", got)
+		t.Errorf("%+v, want %+v", got, want)
 	}
 	if count, total := tracker.CountAtLeast(0, 6); count != 1236 || total != 1237 {
 		t.Errorf("%d of %d subscribers", count, total)
@@ -39,8 +44,9 @@
 	if got := tracker.Summary(ackExpiry + 1); got.Subscribers != 1 || got.Lowest != 7 {
 		t.Errorf("%+v", got)
 	}
-	if count, total := tracker.CountAtLeast(ackExpiry+time.Second+1, 0); count != 0 || total != 0 || len(tracker.byName) != 0 {
-		t.Errorf("%d of %d, %d names left", count, total, len(tracker.byName))
+	count, total := tracker.CountAtLeast(ackExpiry+time.Second+1, 0)
+	if count != 0 || total != 0 || len(tracker.byName) != 0 {
+		t.Errorf("%d of %d, %d names left; want none", count, total, len(tracker.byName))
 	}
 }
 
@@ -85,17 +91,7 @@
 
 			version := Version(rapid.IntRange(0, 5).Draw(t, "asked"))
 			count, total := tracker.CountAtLeast(now, version)
-			wantCount := 0
-			wantTotal := 0
-			for _, last := range model {
-				if now-last.lastSeen > ackExpiry {
-					continue
-				}
-				wantTotal += last.count
-				if last.version >= version {
-					wantCount += last.count
-				}
-			}
+			wantCount, wantTotal := countInModel(model, now, version)
 			if count != wantCount || total != wantTotal {
 				t.Fatalf("%d of %d acknowledged %d, want %d of %d", count, total, version, wantCount, wantTotal)
 			}
@@ -104,6 +100,20 @@
 	})
 }
 
+// countInModel is what CountAtLeast should return.
+func countInModel(model map[string]modelAck, now time.Duration, version Version) (count, total int) {
+	for _, last := range model {
+		if now-last.lastSeen > ackExpiry {
+			continue
+		}
+		total += last.count
+		if last.version >= version {
+			count += last.count
+		}
+	}
+	return count, total
+}
+
 // checkSummary compares a summary with the counts by version.
 func checkSummary(t *rapid.T, tracker *AckTracker, now time.Duration) {
 	summary := tracker.Summary(now)
--- a/internal/membership/backfill.go
+++ b/internal/membership/backfill.go
@@ -26,6 +26,8 @@
 	return true
 }
 
+// canBackfill reports whether the delta holds everything that changed before the
+// snapshot that the store started from.
 func (s *Store) canBackfill(delta Change) bool {
 	startedFromSnapshot := s.snapshots == 1 && s.exactBase == 0 && s.complete()
 	isComplete := !delta.Snapshot && !delta.Exact && delta.MissingFrom == 0 && delta.check() == nil
--- a/internal/membership/backfill_test.go
+++ b/internal/membership/backfill_test.go
@@ -24,24 +24,33 @@
 	if !store.NeedsSnapshot(49) {
 		t.Fatal("resumes from a version before its first snapshot")
 	}
-	missed := Change{Version: 52, Base: 40, Records: []Record{workerRecord("h1", HealthDraining, 0), workerRecord("old", HealthGone, 0)}}
+	missed := Change{
+		Version: 52,
+		Base:    40,
+		Records: []Record{workerRecord("h1", HealthDraining, 0), workerRecord("old", HealthGone, 0)},
+	}
 	if !store.Backfill(missed) {
 		t.Fatal("rejected")
 	}
 	for _, after := range []Version{40, 45, 50, 51} {
 		change, ok := store.Since(after)
-		if !ok || change.Snapshot || change.Version != 52 || len(change.Records) != 2 || change.Records[0].Key != WorkerPrefix+"h1" {
-			t.Errorf("since %d: %v, snapshot %v, version %d, %d records", after, ok, change.Snapshot, change.Version, len(change.Records))
+		if !ok || change.Snapshot || change.Version != 52 {
+			t.Errorf("since %d: %v, snapshot %v, version %d; want a delta of version 52",
+				after, ok, change.Snapshot, change.Version)
+		}
+		if len(change.Records) != 2 || change.Records[0].Key != WorkerPrefix+"h1" {
+			t.Errorf("since %d: %d records, want the two that were missed", after, len(change.Records))
 		}
 	}
-	if c, _ := store.Since(39); !c.Snapshot || len(c.Records) != 100 {
-		t.Errorf("since 39: snapshot %v, %d records", c.Snapshot, len(c.Records))
+	if change, _ := store.Since(39); !change.Snapshot || len(change.Records) != 100 {
+		t.Errorf("since 39: snapshot %v, %d records", change.Snapshot, len(change.Records))
 	}
-	if outcome, err := store.Apply(Change{Version: 53, Base: 52, Records: []Record{workerRecord("new", HealthReady, 0)}}); outcome != Applied {
+	later := Change{Version: 53, Base: 52, Records: []Record{workerRecord("new", HealthReady, 0)}}
+	if outcome, err := store.Apply(later); outcome != Applied {
 		t.Fatal(outcome, err)
 	}
-	if c, _ := store.Since(45); len(c.Records) != 3 {
-		t.Errorf("since 45, a change later: %d records", len(c.Records))
+	if change, _ := store.Since(45); len(change.Records) != 3 {
+		t.Errorf("since 45, a change later: %d records", len(change.Records))
 	}
 }
 
@@ -65,10 +74,10 @@
 	if NewStore(10).Backfill(valid) {
 		t.Error("an empty store accepted it")
 	}
-	s := storeFromSnapshot(t)
-	s.Apply(Change{Version: 51, Base: 50, Records: records})
-	s.Reject(52)
-	if s.Backfill(Change{Version: 53, Base: 40, Records: records}) {
+	store := storeFromSnapshot(t)
+	store.Apply(Change{Version: 51, Base: 50, Records: records})
+	store.Reject(52)
+	if store.Backfill(Change{Version: 53, Base: 40, Records: records}) {
 		t.Error("an incomplete store accepted it")
 	}
 }
--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -18,6 +18,7 @@
 	return snapshot
 }
 
+// benchmarkBySize runs a benchmark for each of benchmarkSizes.
 func benchmarkBySize(b *testing.B, run func(b *testing.B, size int)) {
 	for _, size := range benchmarkSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -68,8 +69,9 @@
 		store.Apply(fleetSnapshot(1, size))
 		records := fleetSnapshot(1, size).Records
 		for i := 0; b.Loop(); i++ {
-			at := i % size
-			if outcome, _ := store.Apply(Change{Version: store.Version() + 1, Records: records[at : at+1]}); outcome != Applied {
+			worker := i % size
+			change := Change{Version: store.Version() + 1, Records: records[worker : worker+1]}
+			if outcome, _ := store.Apply(change); outcome != Applied {
 				b.Fatal(outcome)
 			}
 		}
--- a/internal/membership/golden_test.go
+++ b/internal/membership/golden_test.go
@@ -8,7 +8,8 @@
 // The wire form of changes, byte for byte.
 func TestAppendGolden(t *testing.T) {
 	worker := func(health string) Record { return workerRecord("s-1", health, 1722800000000) }
-	const ready = `{"host":"s-1","dial":"10.1.0.18:8080","site":"a","class":"m2","block":3,"health":"ready","share":1.0,"born_ms":1722800000000}`
+	const ready = `{"host":"s-1","dial":"10.1.0.18:8080","site":"a","class":"m2","block":3,` +
+		`"health":"ready","share":1.0,"born_ms":1722800000000}`
 	for _, test := range []struct {
 		change Change
 		want   string
--- a/internal/membership/parse.go
+++ b/internal/membership/parse.go
@@ -47,6 +47,7 @@
 	return change, nil
 }
 
+// check checks the versions of a line.
 func (w *wireChange) check() error {
 	switch {
 	case w.Version == nil:
@@ -59,6 +60,7 @@
 	return nil
 }
 
+// parseWorker checks a worker and returns its record.
 func parseWorker(raw json.RawMessage) (Record, error) {
 	var worker Endpoint
 	if err := json.Unmarshal(raw, &worker); err != nil {
--- a/internal/membership/selector.go
+++ b/internal/membership/selector.go
@@ -115,9 +115,9 @@
 
 // Next returns the server to try now, for a subscriber that follows none, or how
 // long to wait for one. The server counts as being tried until MarkActive,
-// MarkFailed or MarkAbandoned is called for it. Servers that have not failed come first, in order
-// of preference; then the one that has been due for longest, so that all are
-// tried in turn.
+// MarkFailed or MarkAbandoned is called for it. Servers that have not failed come
+// first, in order of preference; then the one that has been due for longest, so
+// that all are tried in turn.
 func (s *Selector) Next(now time.Duration) (server Server, wait time.Duration) {
 	var next *serverState
 	wait = maxRetryDelay
@@ -211,6 +211,7 @@
 	state.returnDelay = min(2*state.returnDelay, maxReturnDelay)
 }
 
+// find returns the state of a listed server, or nil.
 func (s *Selector) find(address string) *serverState {
 	for _, state := range s.servers {
 		if state.Address == address {
--- a/internal/membership/selector_test.go
+++ b/internal/membership/selector_test.go
@@ -8,6 +8,7 @@
 	"pgregory.net/rapid"
 )
 
+// serversInZones returns servers in zones z0 and so on, as many in each.
 func serversInZones(zoneCount, serversEach int) (servers []Server) {
 	for z := range zoneCount {
 		for i := range serversEach {
@@ -46,15 +47,15 @@
 // The return to the own zone's server has a backoff that grows as it flaps.
 func TestSelectorReturnsWithHysteresis(t *testing.T) {
 	selector := NewSelector("d", "z0", serversInZones(2, 1), 1)
-	home, _ := selector.Next(0)
-	selector.MarkActive(0, home.Address)
-	if _, _, ok := selector.NextPreferred(0, home.Address); ok {
+	local, _ := selector.Next(0)
+	selector.MarkActive(0, local.Address)
+	if _, _, ok := selector.NextPreferred(0, local.Address); ok {
 		t.Error("a server is better than that of the own zone")
 	}
 	now := time.Second
 	var waits []time.Duration
 	for range 4 {
-		selector.MarkFailed(now, home.Address)
+		selector.MarkFailed(now, local.Address)
 		away, wait := selector.Next(now)
 		if away.Zone != "z1" || wait != 0 {
 			t.Fatalf("%v after %v", away, wait)
@@ -67,19 +68,19 @@
 		waits = append(waits, wait)
 		now += wait
 		back, wait, ok := selector.NextPreferred(now, away.Address)
-		if !ok || wait != 0 || back != home {
+		if !ok || wait != 0 || back != local {
 			t.Fatalf("%v after %v, %v", back, wait, ok)
 		}
 		selector.MarkAbandoned(away.Address)
 		now += 100 * time.Millisecond
-		selector.MarkActive(now, home.Address)
+		selector.MarkActive(now, local.Address)
 		now += time.Second
 	}
 	if waits[3] <= waits[0] {
 		t.Errorf("the waits do not grow: %v", waits)
 	}
 	now += stablePeriod
-	selector.MarkFailed(now, home.Address)
+	selector.MarkFailed(now, local.Address)
 	away, _ := selector.Next(now)
 	if _, wait, _ := selector.NextPreferred(now, away.Address); wait > initialReturnDelay {
 		t.Errorf("after a stable period the wait is %v", wait)
@@ -109,6 +110,25 @@
 	}
 }
 
+// unansweredAttempt is an attempt at a server that does not respond.
+type unansweredAttempt struct {
+	address string
+	endsAt  time.Duration
+}
+
+// failEndedAttempts marks the attempts as failed that end by now, and returns the others.
+func failEndedAttempts(selector *Selector, attempts []unansweredAttempt, now time.Duration) []unansweredAttempt {
+	var remaining []unansweredAttempt
+	for _, attempt := range attempts {
+		if attempt.endsAt <= now {
+			selector.MarkFailed(now, attempt.address)
+		} else {
+			remaining = append(remaining, attempt)
+		}
+	}
+	return remaining
+}
+
 // A server that becomes reachable is tried soon, whatever the outcomes before and
 // however many others are unreachable, since all are tried in turn.
 func TestSelectorFindsAnyServerThatIsUp(t *testing.T) {
@@ -119,26 +139,17 @@
 	)
 	rapid.Check(t, func(t *rapid.T) {
 		servers := serversInZones(rapid.IntRange(1, 9).Draw(t, "zones"), rapid.IntRange(1, 2).Draw(t, "each"))
-		selector := NewSelector(rapid.StringMatching(`d-[0-9]{1,4}`).Draw(t, "name"), "z0", servers, rapid.Uint64().Draw(t, "seed"))
+		name := rapid.StringMatching(`d-[0-9]{1,4}`).Draw(t, "name")
+		selector := NewSelector(name, "z0", servers, rapid.Uint64().Draw(t, "seed"))
 		unresponsive := map[string]bool{}
 		for _, server := range servers {
 			unresponsive[server.Address] = rapid.Bool().Draw(t, "silent")
 		}
 		reachable := servers[rapid.IntRange(0, len(servers)-1).Draw(t, "up")].Address
 		reachableFrom := time.Duration(rapid.Int64Range(0, int64(20*time.Second)).Draw(t, "from"))
-		type attempt struct {
-			address string
-			ends    time.Duration
-		}
-		var attempts []attempt
+		var attempts []unansweredAttempt
 		for now := time.Duration(0); ; {
-			for i := 0; i < len(attempts); i++ {
-				if attempts[i].ends <= now {
-					selector.MarkFailed(now, attempts[i].address)
-					attempts = append(attempts[:i], attempts[i+1:]...)
-					i--
-				}
-			}
+			attempts = failEndedAttempts(selector, attempts, now)
 			server, wait := selector.Next(now)
 			switch {
 			case wait > 0:
@@ -150,7 +161,7 @@
 				}
 				return
 			case unresponsive[server.Address]:
-				attempts = append(attempts, attempt{server.Address, now + connectTimeout})
+				attempts = append(attempts, unansweredAttempt{server.Address, now + connectTimeout})
 			default:
 				selector.MarkFailed(now, server.Address)
 			}
@@ -175,7 +186,8 @@
 			server, wait := selector.Next(now)
 			if wait == 0 {
 				if attempting[server.Address] || retryableFrom[server.Address] > now {
-					t.Fatalf("%v: being tried %v, backoff until %v", server, attempting[server.Address], retryableFrom[server.Address])
+					t.Fatalf("%v: being tried %v, backoff until %v",
+						server, attempting[server.Address], retryableFrom[server.Address])
 				}
 				attempting[server.Address] = true
 			} else if wait > maxRetryDelay {
--- a/internal/membership/store.go
+++ b/internal/membership/store.go
@@ -182,6 +182,7 @@
 	return s.resumeVersion
 }
 
+// check checks what Parse guarantees of a line, for changes that did not come from it.
 func (c Change) check() error {
 	if c.Version < 0 || c.Base < 0 || c.MissingFrom < 0 {
 		return errors.New("a version is negative")
@@ -225,6 +226,7 @@
 	}
 }
 
+// compareKeys orders entries by their keys.
 func compareKeys(a, b *logEntry) int { return cmp.Compare(a.record.Key, b.record.Key) }
 
 // setIfDifferent puts a snapshot's record into the state where it differs.
@@ -252,6 +254,7 @@
 	return r
 }
 
+// setAll puts the records of a delta into the state.
 func (s *Store) setAll(change Change) {
 	for i := range change.Records {
 		s.set(change.Records[i], change.Version)
--- a/internal/membership/store_test.go
+++ b/internal/membership/store_test.go
@@ -8,19 +8,22 @@
 	"testing"
 )
 
+// settingRecord returns the record of a setting; null resets it.
 func settingRecord(path, value string) Record {
 	return Record{Key: SettingPrefix + path, Value: []byte(value), Deleted: value == "null"}
 }
 
-// snapshot and delta are changes of settings, each "path=value".
+// snapshot returns a snapshot of settings, each given as path=value.
 func snapshot(v Version, settings ...string) Change {
 	return Change{Version: v, Snapshot: true, Records: settingRecords(settings)}
 }
 
+// delta returns a delta of settings, each given as path=value.
 func delta(v, base Version, settings ...string) Change {
 	return Change{Version: v, Base: base, Records: settingRecords(settings)}
 }
 
+// settingRecords returns the records of settings given as path=value.
 func settingRecords(settings []string) []Record {
 	var records []Record
 	for _, setting := range settings {
@@ -30,6 +33,7 @@
 	return records
 }
 
+// storeWith returns a store with a log limit to which changes were applied.
 func storeWith(t *testing.T, limit int, changes ...Change) *Store {
 	t.Helper()
 	store := NewStore(limit)
@@ -39,6 +43,7 @@
 	return store
 }
 
+// mustApply applies a change, which must have an outcome.
 func mustApply(t *testing.T, s *Store, c Change, want Outcome) {
 	t.Helper()
 	if got, err := s.Apply(c); got != want || (err != nil) != (want == Rejected) {
@@ -47,44 +52,48 @@
 }
 
 // describe returns a change in short form: its kind, version, and settings.
-func describe(c Change) string {
+func describe(change Change) string {
 	kind := "delta"
 	switch {
-	case c.Snapshot:
+	case change.Snapshot:
 		kind = "snapshot"
-	case c.Exact:
+	case change.Exact:
 		kind = "exact delta"
 	}
-	parts := []string{kind, fmt.Sprint(c.Version)}
-	if c.MissingFrom > 0 {
-		parts = append(parts, fmt.Sprint("missing ", c.MissingFrom))
+	parts := []string{kind, fmt.Sprint(change.Version)}
+	if change.MissingFrom > 0 {
+		parts = append(parts, fmt.Sprint("missing ", change.MissingFrom))
 	}
-	for _, r := range c.Records {
-		parts = append(parts, strings.TrimPrefix(r.Key, SettingPrefix)+"="+string(r.Value))
+	for _, record := range change.Records {
+		parts = append(parts, strings.TrimPrefix(record.Key, SettingPrefix)+"="+string(record.Value))
 	}
 	return strings.Join(parts, " ")
 }
 
-func expectSince(t *testing.T, s *Store, after Version, want string) {
+// expectSince checks what a store answers a subscriber at a version, in the form of describe.
+func expectSince(t *testing.T, store *Store, after Version, want string) {
 	t.Helper()
-	change, ok := s.Since(after)
+	change, ok := store.Since(after)
 	if got := describe(change); !ok || got != want {
 		t.Errorf("Since(%d): %q, %v; want %q", after, got, ok, want)
 	}
 	if !change.Snapshot && change.Base != after {
 		t.Errorf("Since(%d) continues from %d", after, change.Base)
 	}
-	if change.Snapshot != s.NeedsSnapshot(after) {
+	if change.Snapshot != store.NeedsSnapshot(after) {
 		t.Errorf("NeedsSnapshot(%d) is %v", after, !change.Snapshot)
 	}
 }
 
-func expectState(t *testing.T, s *Store, version, resume Version, want string) {
+// expectState checks a store's version, its resume version, and its settings in the form of describe.
+func expectState(t *testing.T, s *Store, version, resume Version, settings string) {
 	t.Helper()
 	change := s.Snapshot()
 	change.MissingFrom = 0
-	if got := describe(change); got != strings.TrimSpace(fmt.Sprint("snapshot ", version, " ", want)) || s.ResumeVersion() != resume {
-		t.Errorf("state is %q up to %d, want %d %s up to %d", got, s.ResumeVersion(), version, want, resume)
+	got := describe(change)
+	want := strings.TrimSpace(fmt.Sprint("snapshot ", version, " ", settings))
+	if got != want || s.ResumeVersion() != resume {
+		t.Errorf("state is %q up to %d, want %q up to %d", got, s.ResumeVersion(), want, resume)
 	}
 }
 
@@ -182,8 +191,8 @@
 
 	// The same holds for the next relay.
 	below := storeWith(t, 10, before)
-	c, _ := store.Since(4)
-	mustApply(t, below, c, Applied)
+	change, _ := store.Since(4)
+	mustApply(t, below, change, Applied)
 	expectSince(t, below, 4, "exact delta 10 b=2 d=1 c=null a=2")
 	expectSince(t, below, 6, "snapshot 10 a=2 b=2 d=1")
 }
@@ -201,9 +210,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := read.Records[0]
-	if r.Key != "host/w1" || !r.Deleted || !r.Urgent || !strings.Contains(string(r.Value), `"born_ms":7`) {
-		t.Errorf("%+v", r)
+	record := read.Records[0]
+	if record.Key != "host/w1" || !record.Deleted || !record.Urgent || !strings.Contains(string(record.Value), `"born_ms":7`) {
+		t.Errorf("%+v", record)
 	}
 }
 
@@ -315,7 +324,8 @@
 			base = 6
 		}
 		exact := delta(9, base, "a=2")
-		exact.Exact, exact.MissingFrom = true, test.missing
+		exact.Exact = true
+		exact.MissingFrom = test.missing
 		mustApply(t, store, exact, Applied)
 		if store.ResumeVersion() != test.resume {
 			t.Errorf("%+v: resumes after %d", test, store.ResumeVersion())
@@ -351,8 +361,10 @@
 func TestEqualStatesMakeEqualSnapshots(t *testing.T) {
 	one := storeWith(t, 3, snapshot(1, "a=1", "b=1"), delta(2, 1, "c=1"), delta(3, 2, "a=2"))
 	other := storeWith(t, 0, snapshot(3, "c=1", "b=1", "a=2"))
-	if a, b := one.Snapshot().Append(nil), other.Snapshot().Append(nil); !slices.Equal(a, b) {
-		t.Errorf("%s\n%s", a, b)
+	oneLine := one.Snapshot().Append(nil)
+	otherLine := other.Snapshot().Append(nil)
+	if !slices.Equal(oneLine, otherLine) {
+		t.Errorf("one: %s\nother: %s", oneLine, otherLine)
 	}
 }
 
@@ -376,10 +388,10 @@
 			t.Errorf("%d workers: %v allocations for one changed worker", size, allocations)
 		}
 		record := fleetSnapshot(1, 1).Records
-		v := store.Version()
+		version := store.Version()
 		allocations := testing.AllocsPerRun(10, func() {
-			v++
-			store.Apply(Change{Version: v, Records: record})
+			version++
+			store.Apply(Change{Version: version, Records: record})
 		})
 		if allocations > 0 {
 			t.Errorf("%d workers: %v allocations to apply one changed worker", size, allocations)
--- a/internal/membership/subscribers.go
+++ b/internal/membership/subscribers.go
@@ -22,6 +22,7 @@
 	subscribers map[SubscriberID]*subscriber
 }
 
+// subscriber is one watch of a relay.
 type subscriber struct {
 	version Version // including the line that is being written
 	limiter *RateLimiter
@@ -121,6 +122,7 @@
 	return s.wait(now, sub)
 }
 
+// wait is Wait for a subscriber that is there.
 func (s *Subscribers) wait(now time.Duration, sub *subscriber) (wait time.Duration, pending bool) {
 	switch {
 	case sub.sending:
--- a/internal/membership/subscribers_test.go
+++ b/internal/membership/subscribers_test.go
@@ -10,6 +10,7 @@
 
 const millisecond = time.Millisecond
 
+// testSubscribers returns an empty set with an interval of 50 ms, or 20 ms for urgent changes.
 func testSubscribers() *Subscribers {
 	return NewSubscribers(BatchLimits{Interval: 50 * millisecond, UrgentInterval: 20 * millisecond})
 }
@@ -46,8 +47,8 @@
 	var unbounded RateLimiter
 	subscribers.Add(1, 1, &unbounded)
 	sendLine(subscribers, 0, 1, 1, 10)
-	for v := Version(2); v < 6; v++ {
-		subscribers.Changed(v, false)
+	for version := Version(2); version < 6; version++ {
+		subscribers.Changed(version, false)
 	}
 	due, next, waiting := subscribers.Due(10 * millisecond)
 	if len(due) != 0 || !waiting || next != 50*millisecond {
--- a/internal/membership/tree_test.go
+++ b/internal/membership/tree_test.go
@@ -37,9 +37,10 @@
 	server      versionServer   // the one it follows now; nil: none
 	sentVersion Version         // what the server has sent so far
 	saved       []byte          // a relay's state on disk
-	restarts    bool
+	restarts    bool            // it is a relay
 }
 
+// versionServer is what a node may follow: the origin or a relay.
 type versionServer interface{ serve() *Store }
 
 func (o *originModel) serve() *Store { return o.store }
@@ -63,6 +64,7 @@
 
 func acceptAllButForbidden(r Record) bool { return string(r.Value) != forbiddenValue }
 
+// newTree returns an origin, two relays that follow it, a relay that follows these, and two followers of any of them.
 func newTree(t *rapid.T) *simulatedTree {
 	limits := rapid.SampledFrom([]int{0, 1, 2, 4, 1000})
 	origin := &originModel{
@@ -70,12 +72,19 @@
 		state:   map[string]string{},
 		history: map[Version]map[string]string{0: {}},
 	}
-	tr := &simulatedTree{origin: origin}
+	tree := &simulatedTree{origin: origin}
 	add := func(name string, accepts func(Record) bool, restarts bool, servers ...versionServer) *treeNode {
 		limit := limits.Draw(t, name+"'s log")
-		n := &treeNode{name: name, store: NewStore(limit), limit: limit, accepts: accepts, servers: servers, restarts: restarts}
-		tr.nodes = append(tr.nodes, n)
-		return n
+		node := &treeNode{
+			name:     name,
+			store:    NewStore(limit),
+			limit:    limit,
+			accepts:  accepts,
+			servers:  servers,
+			restarts: restarts,
+		}
+		tree.nodes = append(tree.nodes, node)
+		return node
 	}
 	first := add("relay 1", acceptAll, true, origin)
 	second := add("relay 2", acceptAll, true, origin)
@@ -83,7 +92,7 @@
 	for i := range 2 {
 		add(fmt.Sprint("follower ", i), acceptAllButForbidden, false, first, second, below, origin)
 	}
-	return tr
+	return tree
 }
 
 // contents returns the state of a store, by key.
@@ -95,12 +104,13 @@
 	return state
 }
 
-func applyTo(state map[string]string, c Change) map[string]string {
+// applyTo returns the state that a change makes of a state.
+func applyTo(state map[string]string, change Change) map[string]string {
 	next := map[string]string{}
-	if !c.Snapshot {
+	if !change.Snapshot {
 		next = maps.Clone(state)
 	}
-	for _, r := range c.Records {
+	for _, r := range change.Records {
 		if r.Deleted {
 			delete(next, r.Key)
 		} else {
@@ -123,6 +133,7 @@
 
 func (o *originModel) versionNumber() int { return int(o.store.Version()) }
 
+// drawRecord draws a setting or a worker, valid or not.
 func drawRecord(t *rapid.T) Record {
 	if rapid.Bool().Draw(t, "a setting") {
 		value := rapid.SampledFrom([]string{"1", "2", "null", forbiddenValue}).Draw(t, "value")
@@ -146,25 +157,26 @@
 
 // open makes a node follow a server from its own version on.
 func (n *treeNode) open(s versionServer) {
-	n.server, n.sentVersion = nil, n.store.Version()
+	n.server = nil
+	n.sentVersion = n.store.Version()
 	if _, ok := s.serve().Since(n.sentVersion); ok {
 		n.server = s
 	}
 }
 
 // sendPending sends a node what its server has beyond sentVersion.
-func (tr *simulatedTree) sendPending(n *treeNode) {
-	if n.server == nil {
+func (tr *simulatedTree) sendPending(node *treeNode) {
+	if node.server == nil {
 		return
 	}
-	c, ok := n.server.serve().Since(n.sentVersion)
+	change, ok := node.server.serve().Since(node.sentVersion)
 	if !ok { // the server is behind the node
-		n.server = nil
+		node.server = nil
 		return
 	}
-	if c.Version > n.sentVersion {
-		tr.inFlight = append(tr.inFlight, &lineInFlight{to: n, line: c.Append(nil), base: n.sentVersion})
-		n.sentVersion = c.Version
+	if change.Version > node.sentVersion {
+		tr.inFlight = append(tr.inFlight, &lineInFlight{to: node, line: change.Append(nil), base: node.sentVersion})
+		node.sentVersion = change.Version
 	}
 }
 
@@ -179,90 +191,93 @@
 }
 
 // receive delivers a line to a node and checks the node's state afterwards.
-func (tr *simulatedTree) receive(t *rapid.T, m *lineInFlight) {
-	n := m.to
-	before, version := contents(n.store), n.store.Version()
-	c, err := Parse(m.line)
+func (tr *simulatedTree) receive(t *rapid.T, message *lineInFlight) {
+	node := message.to
+	before := contents(node.store)
+	version := node.store.Version()
+	change, err := Parse(message.line)
 	if err == nil {
-		for _, r := range c.Records {
-			if !n.accepts(r) {
+		for _, r := range change.Records {
+			if !node.accepts(r) {
 				err = errors.New(r.Key + ": not allowed")
 			}
 		}
 	}
 	if err != nil {
-		if c.Snapshot {
-			n.server = nil
+		if change.Snapshot {
+			node.server = nil
 		} else {
-			n.store.Reject(c.Version)
+			node.store.Reject(change.Version)
 		}
-		tr.check(t, n, version, before)
+		tr.check(t, node, version, before)
 		return
 	}
-	if !c.Snapshot {
-		c.Base = m.base
+	if !change.Snapshot {
+		change.Base = message.base
 	}
-	outcome, err := n.store.Apply(c)
+	outcome, err := node.store.Apply(change)
 	if outcome != Applied {
-		if n.store.Version() != version {
-			t.Fatalf("%s: %v, but the version went from %d to %d", n.name, outcome, version, n.store.Version())
+		if node.store.Version() != version {
+			t.Fatalf("%s: %v, but the version went from %d to %d", node.name, outcome, version, node.store.Version())
 		}
 		if errors.Is(err, ErrGap) {
-			n.server = nil
+			node.server = nil
 		}
-		tr.check(t, n, version, before)
+		tr.check(t, node, version, before)
 		return
 	}
-	if n.store.Version() != c.Version {
-		t.Fatalf("%s: applied %d, but is of version %d", n.name, c.Version, n.store.Version())
+	if node.store.Version() != change.Version {
+		t.Fatalf("%s: applied %d, but is of version %d", node.name, change.Version, node.store.Version())
 	}
-	tr.check(t, n, version, applyTo(before, c))
-	if version == 0 && c.Snapshot && n.restarts {
-		tr.backfill(t, n)
+	tr.check(t, node, version, applyTo(before, change))
+	if version == 0 && change.Snapshot && node.restarts {
+		tr.backfill(t, node)
 	}
 }
 
 // backfill makes a relay that has just started ask what changed before.
-func (tr *simulatedTree) backfill(t *rapid.T, n *treeNode) {
-	after := Version(rapid.IntRange(1, int(n.store.Version())).Draw(t, "backfilled from"))
-	c, ok := rapid.SampledFrom(n.servers).Draw(t, "backfilled by").serve().Since(after)
+func (tr *simulatedTree) backfill(t *rapid.T, node *treeNode) {
+	after := Version(rapid.IntRange(1, int(node.store.Version())).Draw(t, "backfilled from"))
+	change, ok := rapid.SampledFrom(node.servers).Draw(t, "backfilled by").serve().Since(after)
 	if !ok {
 		return
 	}
-	c, err := Parse(c.Append(nil))
+	change, err := Parse(change.Append(nil))
 	if err != nil {
 		return
 	}
-	c.Base = after
-	before, version := contents(n.store), n.store.Version()
-	if n.store.Backfill(c) {
-		before = applyTo(before, c)
+	change.Base = after
+	before := contents(node.store)
+	version := node.store.Version()
+	if node.store.Backfill(change) {
+		before = applyTo(before, change)
 	}
-	tr.check(t, n, version, before)
+	tr.check(t, node, version, before)
 }
 
 // check checks that a node's version has not gone back, that its state is want,
 // and that it is the origin's where nothing is missing.
-func (tr *simulatedTree) check(t *rapid.T, n *treeNode, version Version, want map[string]string) {
-	got := contents(n.store)
-	if n.store.Version() < version {
-		t.Fatalf("%s: went back from version %d to %d", n.name, version, n.store.Version())
+func (tr *simulatedTree) check(t *rapid.T, node *treeNode, version Version, want map[string]string) {
+	got := contents(node.store)
+	if node.store.Version() < version {
+		t.Fatalf("%s: went back from version %d to %d", node.name, version, node.store.Version())
 	}
 	if !maps.Equal(got, want) {
-		t.Fatalf("%s at %d has\n%v, want\n%v", n.name, n.store.Version(), got, want)
+		t.Fatalf("%s at %d has\n%v, want\n%v", node.name, node.store.Version(), got, want)
 	}
-	if n.store.Len() != len(got) {
-		t.Fatalf("%s: Len is %d of %d", n.name, n.store.Len(), len(got))
+	if node.store.Len() != len(got) {
+		t.Fatalf("%s: Len is %d of %d", node.name, node.store.Len(), len(got))
 	}
-	if n.store.ResumeVersion() == n.store.Version() && !maps.Equal(got, tr.origin.history[n.store.Version()]) {
+	if node.store.ResumeVersion() == node.store.Version() && !maps.Equal(got, tr.origin.history[node.store.Version()]) {
 		t.Fatalf("%s at %d is complete, but has\n%v, the origin had\n%v",
-			n.name, n.store.Version(), got, tr.origin.history[n.store.Version()])
+			node.name, node.store.Version(), got, tr.origin.history[node.store.Version()])
 	}
 }
 
 // restart restarts a relay with its saved state, or with none.
 func (tr *simulatedTree) restart(t *rapid.T, n *treeNode) {
-	n.store, n.server = NewStore(n.limit), nil
+	n.store = NewStore(n.limit)
+	n.server = nil
 	if n.saved == nil || rapid.Bool().Draw(t, "disk lost") {
 		return
 	}
@@ -298,14 +313,15 @@
 			tr.sendPending(n)
 			tr.deliverAll(t)
 			if n.store.ResumeVersion() < n.store.Version() {
-				if m := tr.callOnce(n, n.servers[0]); m != nil {
-					tr.receive(t, m)
+				if message := tr.callOnce(n, n.servers[0]); message != nil {
+					tr.receive(t, message)
 				}
 			}
 		}
 	}
 }
 
+// deliverAll delivers the lines in flight, in the order in which they were sent.
 func (tr *simulatedTree) deliverAll(t *rapid.T) {
 	for _, m := range tr.inFlight {
 		tr.receive(t, m)
@@ -317,76 +333,99 @@
 	return rapid.SampledFrom(tr.nodes).Draw(t, "node")
 }
 
-// drawMessage draws a line in flight, and removes it unless it is to be duplicated.
-func (tr *simulatedTree) drawMessage(t *rapid.T, duplicate bool) *lineInFlight {
+// drawLine draws a line in flight, and removes it unless it is to be duplicated.
+func (tr *simulatedTree) drawLine(t *rapid.T, duplicate bool) *lineInFlight {
 	if len(tr.inFlight) == 0 {
 		t.Skip("nothing in flight")
 	}
 	at := rapid.IntRange(0, len(tr.inFlight)-1).Draw(t, "message")
-	m := tr.inFlight[at]
+	line := tr.inFlight[at]
 	if !duplicate {
 		tr.inFlight = append(tr.inFlight[:at:at], tr.inFlight[at+1:]...)
 	}
-	return m
+	return line
+}
+
+// flow makes a node follow a server, unless it does, and sends it what it lacks.
+func (tr *simulatedTree) flow(t *rapid.T) {
+	node := tr.drawNode(t)
+	if node.server == nil {
+		node.open(rapid.SampledFrom(node.servers).Draw(t, "server"))
+	}
+	tr.sendPending(node)
+}
+
+// pump brings each node in turn to the version of its first server.
+func (tr *simulatedTree) pump(t *rapid.T) {
+	for _, node := range tr.nodes {
+		if node.server == nil {
+			node.open(node.servers[0])
+		}
+		tr.sendPending(node)
+		tr.deliverAll(t)
+	}
+}
+
+// ask sends the answer to a single call of a node for what may be missing.
+func (tr *simulatedTree) ask(t *rapid.T) {
+	node := tr.drawNode(t)
+	answer := tr.callOnce(node, rapid.SampledFrom(node.servers).Draw(t, "server"))
+	if answer != nil {
+		tr.inFlight = append(tr.inFlight, answer)
+	}
+}
+
+// saveRelay saves the state of a relay.
+func (tr *simulatedTree) saveRelay(t *rapid.T) {
+	node := tr.drawNode(t)
+	if node.restarts && node.store.Version() > 0 {
+		node.saved = node.store.Snapshot().Append(nil)
+	}
+}
+
+// restartRelay restarts a relay.
+func (tr *simulatedTree) restartRelay(t *rapid.T) {
+	node := tr.drawNode(t)
+	if node.restarts {
+		tr.restart(t, node)
+	}
+}
+
+// checkConverged checks that all nodes have the origin's newest state.
+func (tr *simulatedTree) checkConverged(t *rapid.T) {
+	for _, node := range tr.nodes {
+		store := node.store
+		if store.Version() != tr.origin.store.Version() || store.ResumeVersion() != store.Version() {
+			t.Fatalf("%s is at version %d, complete up to %d, the origin at %d",
+				node.name, store.Version(), store.ResumeVersion(), tr.origin.store.Version())
+		}
+		tr.check(t, node, 0, tr.origin.state)
+	}
 }
 
 // All nodes reach the origin's newest state once they can reach it; none goes
 // back, and none ever has a part of a change.
 func TestTreeConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tr := newTree(t)
-		flow := func(t *rapid.T) {
-			n := tr.drawNode(t)
-			if n.server == nil {
-				n.open(rapid.SampledFrom(n.servers).Draw(t, "server"))
-			}
-			tr.sendPending(n)
-		}
-		deliver := func(t *rapid.T) { tr.receive(t, tr.drawMessage(t, false)) }
-		t.Repeat(map[string]func(*rapid.T){
-			"change":       tr.originChanges,
-			"flow":         flow,
-			"flow again":   flow,
+		tree := newTree(t)
+		deliver := func(t *rapid.T) { tree.receive(t, tree.drawLine(t, false)) }
+		t.Repeat(map[string]func(*rapid.T){ // two names make a step twice as frequent
+			"change":       tree.originChanges,
+			"flow":         tree.flow,
+			"flow again":   tree.flow,
 			"deliver":      deliver,
 			"deliver next": deliver,
-			"duplicate":    func(t *rapid.T) { tr.receive(t, tr.drawMessage(t, true)) },
-			"lose":         func(t *rapid.T) { tr.drawMessage(t, false) },
-			"cut":          func(t *rapid.T) { tr.drawNode(t).server = nil },
-			"pump": func(t *rapid.T) {
-				for _, n := range tr.nodes {
-					if n.server == nil {
-						n.open(n.servers[0])
-					}
-					tr.sendPending(n)
-					tr.deliverAll(t)
-				}
-			},
-			"ask": func(t *rapid.T) {
-				n := tr.drawNode(t)
-				if m := tr.callOnce(n, rapid.SampledFrom(n.servers).Draw(t, "server")); m != nil {
-					tr.inFlight = append(tr.inFlight, m)
-				}
-			},
-			"save": func(t *rapid.T) {
-				if n := tr.drawNode(t); n.restarts && n.store.Version() > 0 {
-					n.saved = n.store.Snapshot().Append(nil)
-				}
-			},
-			"restart": func(t *rapid.T) {
-				if n := tr.drawNode(t); n.restarts {
-					tr.restart(t, n)
-				}
-			},
+			"duplicate":    func(t *rapid.T) { tree.receive(t, tree.drawLine(t, true)) },
+			"lose":         func(t *rapid.T) { tree.drawLine(t, false) },
+			"cut":          func(t *rapid.T) { tree.drawNode(t).server = nil },
+			"pump":         tree.pump,
+			"ask":          tree.ask,
+			"save":         tree.saveRelay,
+			"restart":      tree.restartRelay,
 		})
-		tr.repair(t)
-		tr.deliverAll(t)
-		tr.converge(t)
-		for _, n := range tr.nodes {
-			if n.store.Version() != tr.origin.store.Version() || n.store.ResumeVersion() != n.store.Version() {
-				t.Fatalf("%s is at version %d, complete up to %d, the origin at %d",
-					n.name, n.store.Version(), n.store.ResumeVersion(), tr.origin.store.Version())
-			}
-			tr.check(t, n, 0, tr.origin.state)
-		}
+		tree.repair(t)
+		tree.deliverAll(t)
+		tree.converge(t)
+		tree.checkConverged(t)
 	})
 }
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -31,6 +31,7 @@
 	StartedAtMs float64 `json:"born_ms"` // when the worker started; 0: unknown
 }
 
+// wireSetting is the new value of a setting in its wire form.
 type wireSetting struct {
 	Key   string          `json:"key"`
 	Value json.RawMessage `json:"value"`
@@ -76,6 +77,7 @@
 	return append(dst, "}\n"...)
 }
 
+// appendSettings appends the field that holds the settings.
 func (c Change) appendSettings(dst []byte) []byte {
 	dst = append(dst, `,"settings":[`...)
 	count := 0
@@ -95,8 +97,8 @@
 	return append(dst, ']')
 }
 
-// appendSeparator appends the comma between two elements of an array, of which
-// so many have been written.
+// appendSeparator appends the comma before the next element of an array, unless
+// it is the first one.
 func appendSeparator(dst []byte, written int) []byte {
 	if written > 0 {
 		return append(dst, ',')
@@ -104,6 +106,7 @@
 	return dst
 }
 
+// appendString appends a string in its JSON form.
 func appendString(dst []byte, text string) []byte {
 	quoted, _ := json.Marshal(text) // a string always marshals
 	return append(dst, quoted...)
--- a/internal/membership/wire_test.go
+++ b/internal/membership/wire_test.go
@@ -23,6 +23,7 @@
 	}
 }
 
+// Unknown fields of workers are kept, and of the line ignored.
 func TestParse(t *testing.T) {
 	line := `{"seq":43,"whole":false,"hosts":[
 	  {"host":"s-1","dial":"10.1.0.18:8080","health":"ready","rack": {"row" : 7}},
@@ -164,6 +165,7 @@
 	})
 }
 
+// Another health replaces the old one, however its key is written.
 func TestWithHealth(t *testing.T) {
 	got := withHealth(json.RawMessage(`{"host":"a","Health":"ready","health":"ready","rack":{"row":7}}`), HealthGone)
 	if string(got) != `{"health":"gone","host":"a","rack":{"row":7}}` {
