--- a/internal/relay/acklatency.go
+++ b/internal/relay/acklatency.go
@@ -26,11 +26,13 @@
 	histogram *hdrhistogram.Histogram
 }
 
+// arrival is when a version arrived.
 type arrival struct {
 	version   membership.Version
 	arrivedAt time.Duration
 }
 
+// newAckLatency returns an empty measurement.
 func newAckLatency() *ackLatency {
 	return &ackLatency{histogram: hdrhistogram.New(1, maxRecordedLatency.Microseconds(), significantFigures)}
 }
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -87,6 +87,7 @@
 	return c.checkNumbers()
 }
 
+// checkNumbers returns an error that names the first number out of its range, or nil.
 func (c *Config) checkNumbers() error {
 	ranges := []struct {
 		key     string
@@ -112,6 +113,7 @@
 	return nil
 }
 
+// checkUpstreams returns an error that names the first invalid address, or nil.
 func checkUpstreams(upstreams []string) error {
 	if len(upstreams) == 0 {
 		return errors.New("upstreams: at least one is needed")
@@ -129,6 +131,7 @@
 	return nil
 }
 
+// checkAddress accepts HOST:PORT.
 func checkAddress(address string) error {
 	_, port, err := net.SplitHostPort(address)
 	if err == nil && port == "" {
@@ -140,6 +143,7 @@
 	return nil
 }
 
+// checkName accepts the name of a relay or subscriber.
 func checkName(name string) error {
 	if name == "" {
 		return errors.New("is empty")
@@ -169,4 +173,5 @@
 // ackExpiry is how long a silent subscriber is counted.
 func (c *Config) ackExpiry() time.Duration { return time.Duration(c.AckExpiryS) * time.Second }
 
+// milliseconds returns an option's value as a duration.
 func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
--- a/internal/relay/encodedchange.go
+++ b/internal/relay/encodedchange.go
@@ -26,10 +26,14 @@
 
 // counters count what has been encoded and sent.
 type counters struct {
-	snapshotsEncoded, snapshotsCompressed atomic.Int64
-	snapshotsSent, deltasSent, bytesSent  atomic.Int64
+	snapshotsEncoded    atomic.Int64
+	snapshotsCompressed atomic.Int64
+	snapshotsSent       atomic.Int64
+	deltasSent          atomic.Int64
+	bytesSent           atomic.Int64
 }
 
+// newEncodedChange returns a change that has yet to be encoded.
 func newEncodedChange(change membership.Change, counters *counters) *encodedChange {
 	return &encodedChange{version: change.Version, isSnapshot: change.Snapshot, change: change, counters: counters}
 }
--- a/internal/relay/follower.go
+++ b/internal/relay/follower.go
@@ -41,10 +41,12 @@
 	workingSignal chan struct{}        // the current upstream delivers changes
 
 	// snapshotOnly holds the upstreams that answer a single call with their complete
-	// list, whatever version it asks for.
+	// list, whatever version it asks for. While a watch is open, only the goroutine
+	// of acknowledge accesses it, otherwise that of follow.
 	snapshotOnly map[string]bool
 }
 
+// newFollower returns a follower that has yet to run.
 func newFollower(owner *state, config Config, log *slog.Logger) *follower {
 	seed := fnv.New64a()
 	io.WriteString(seed, config.Name)
--- a/internal/relay/messages.go
+++ b/internal/relay/messages.go
@@ -30,6 +30,7 @@
 	reply   chan openWatchReply
 }
 
+// openWatchReply is the watch that was opened, or why it was not.
 type openWatchReply struct {
 	id        membership.SubscriberID
 	watch     *watch
@@ -42,7 +43,7 @@
 	if err == nil {
 		opened.isRelay = m.isRelay
 	}
-	path := append([]string{s.config.Name}, s.relayPath...)
+	path := append([]string{s.config.Name}, s.upstream.relayPath...)
 	m.reply <- openWatchReply{id, opened, path, err}
 }
 
@@ -85,6 +86,7 @@
 	reply            chan callReply
 }
 
+// callReply is what a single call is answered with, or why it is not.
 type callReply struct {
 	change *encodedChange
 	err    error
@@ -102,6 +104,7 @@
 	m.reply <- callReply{change, err}
 }
 
+// acknowledge records the versions that a call acknowledges.
 func (m callMessage) acknowledge(s *state) {
 	if m.isRelay {
 		s.acks.Acknowledge(s.now(), m.name, min(m.ackedBelow, m.after), m.subscribersBelow)
@@ -137,6 +140,7 @@
 	reply    chan applyReply
 }
 
+// applyReply is what became of a change.
 type applyReply struct {
 	outcome      membership.Outcome
 	stateVersion membership.Version // after the change
@@ -208,6 +212,7 @@
 // positionMessage asks for the versions of this relay and of the subscribers below it.
 type positionMessage struct{ reply chan position }
 
+// position is how far this relay and the subscribers below it have come.
 type position struct {
 	version          membership.Version // of the state
 	resumeVersion    membership.Version // see membership.Store
@@ -228,18 +233,18 @@
 }
 
 func (m upstreamChangedMessage) handle(s *state) {
-	if m.address != "" && !slices.Equal(m.relayPath, s.relayPath) {
-		s.relayPath = m.relayPath
+	if m.address != "" && !slices.Equal(m.relayPath, s.upstream.relayPath) {
+		s.upstream.relayPath = m.relayPath
 		s.endRelayWatches()
 	}
-	if m.address == s.upstream {
+	if m.address == s.upstream.address {
 		return
 	}
 	if m.address == "" {
-		s.upstreamLostAt = s.now()
+		s.upstream.lostAt = s.now()
 	}
-	s.upstream = m.address
-	s.upstreamSince = time.Now()
+	s.upstream.address = m.address
+	s.upstream.since = time.Now()
 }
 
 // closeMessage ends the watches, and makes the state reject further calls.
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -81,6 +81,7 @@
 	return started, nil
 }
 
+// serve starts to serve HTTP on a listener, until Close.
 func (r *Relay) serve(listener net.Listener, handler http.Handler) {
 	server := &http.Server{
 		Handler:           handler,
@@ -128,6 +129,7 @@
 	return r.closeErr
 }
 
+// close ends the follower, the watches, the servers and the state, in that order.
 func (r *Relay) close() error {
 	r.cancel()
 	<-r.followerDone
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -124,6 +124,7 @@
 	h.state.send(callAnsweredMessage{call.name, answer.change, len(body) + responseHeadBytes})
 }
 
+// acceptsGzip reports whether the caller accepts a response that is compressed.
 func acceptsGzip(request *http.Request) bool {
 	for coding := range strings.SplitSeq(request.Header.Get("Accept-Encoding"), ",") {
 		name, parameters, _ := strings.Cut(coding, ";")
--- a/internal/relay/state.go
+++ b/internal/relay/state.go
@@ -8,9 +8,8 @@
 )
 
 const (
-	snapshotReuseTime = 250 * time.Millisecond // for which a snapshot is sent again, with deltas to follow
-	scanInterval      = 5 * time.Millisecond   // minimum between two scans for due lines, unless a change arrives
-	sweepInterval     = 100 * time.Millisecond // between checks of acknowledgements, expiries and the upstream
+	scanInterval  = 5 * time.Millisecond   // minimum between two scans for due lines, unless a change arrives
+	sweepInterval = 100 * time.Millisecond // between checks of acknowledgements, expiries and the upstream
 )
 
 // state is all that a relay knows. Only the goroutine of run accesses it; others
@@ -23,36 +22,40 @@
 	stopped  chan struct{} // closed when run has returned
 	counters *counters
 
-	hasSnapshot bool // a snapshot has been applied
+	// What comes from upstream.
 	store       *membership.Store
-	changedAt   time.Duration
-	acks        *membership.AckTracker
-	latency     *ackLatency
+	hasSnapshot bool          // a snapshot has been applied
+	changedAt   time.Duration // when the store's version last changed
+	upstream    upstreamState
+	rejections  rejectionList
+
+	// What is sent to subscribers, and what they have acknowledged.
+	changes     *changeCache
 	subscribers *membership.Subscribers
 	watches     map[membership.SubscriberID]*watch
+	lastID      membership.SubscriberID // of the watch that was opened last
 	peers       map[string]*peer
-	lastID      membership.SubscriberID
-
-	// Encodings of the newest version, by the version they continue from, and
-	// the snapshot, which may be of a version shortly before.
-	deltas     map[membership.Version]*encodedChange
-	snapshot   *encodedChange
-	snapshotAt time.Duration
-
-	upstream       string // empty: none
-	upstreamSince  time.Time
-	relayPath      []string // the relays between this one and the origin, the nearest first
-	upstreamLostAt time.Duration
-	rejections     []Rejection // oldest first
-	rejectionCount int
-	closing        bool
+	acks        *membership.AckTracker
+	latency     *ackLatency
+	closing     bool // further calls are rejected
 
 	nextScan  time.Duration // 0: no scan is due
 	nextSweep time.Duration
 }
 
+// upstreamState is the upstream that delivers changes.
+type upstreamState struct {
+	address   string        // empty: none does
+	since     time.Time     // when address last changed
+	lostAt    time.Duration // when it last became empty
+	relayPath []string      // the relays between this one and the origin, the nearest first
+}
+
+// newState returns the state of a relay that has nothing yet.
 func newState(config Config, log *slog.Logger) *state {
 	start := time.Now()
+	store := membership.NewStore(config.LogChanges)
+	counted := &counters{}
 	limits := membership.BatchLimits{
 		Interval:       milliseconds(config.BatchMs),
 		UrgentInterval: milliseconds(config.UrgentBatchMs),
@@ -63,14 +66,14 @@
 		now:         func() time.Duration { return time.Since(start) },
 		messages:    make(chan message),
 		stopped:     make(chan struct{}),
-		counters:    &counters{},
-		store:       membership.NewStore(config.LogChanges),
+		counters:    counted,
+		store:       store,
+		changes:     newChangeCache(store, counted),
 		acks:        membership.NewAckTracker(config.ackExpiry()),
 		latency:     newAckLatency(),
 		subscribers: membership.NewSubscribers(limits),
 		watches:     map[membership.SubscriberID]*watch{},
 		peers:       map[string]*peer{},
-		deltas:      map[membership.Version]*encodedChange{},
 	}
 }
 
@@ -105,6 +108,7 @@
 	}
 }
 
+// untilNextTimer returns the time until the next scan or sweep.
 func (s *state) untilNextTimer() time.Duration {
 	next := s.nextSweep
 	if s.nextScan != 0 {
@@ -123,7 +127,7 @@
 // onStoreChanged updates what depends on the store's version.
 func (s *state) onStoreChanged(now time.Duration, urgent bool) {
 	s.changedAt = now
-	clear(s.deltas)
+	s.changes.dropDeltas()
 	s.subscribers.Changed(s.store.Version(), urgent)
 	s.latency.arrived(now, s.store.Version())
 	s.scanAt(now)
@@ -141,48 +145,14 @@
 		s.log.Warn("no upstream: ending watches, so that subscribers fail over", "watches", len(s.watches))
 		s.endWatches()
 	}
-	if s.snapshot != nil && s.snapshot.version != s.store.Version() && now-s.snapshotAt > snapshotReuseTime {
-		s.snapshot = nil
-	}
+	s.changes.expire(now)
 	s.expirePeers(now)
 }
 
 // isStale reports whether the relay has been without an upstream for so long
 // that its subscribers should fail over to another server.
 func (s *state) isStale(now time.Duration) bool {
-	return s.upstream == "" && now-s.upstreamLostAt >= milliseconds(s.config.StaleAfterMs)
-}
-
-// changeSince returns the encoding of what a subscriber at version after lacks,
-// or nil where after is newer than the state.
-func (s *state) changeSince(now time.Duration, after membership.Version) *encodedChange {
-	if s.store.NeedsSnapshot(after) && s.canReuseSnapshot(now, after) {
-		return s.snapshot
-	}
-	cached := s.deltas[after]
-	if cached != nil {
-		return cached
-	}
-	change, ok := s.store.Since(after)
-	if !ok {
-		return nil
-	}
-	encoded := newEncodedChange(change, s.counters)
-	if change.Snapshot {
-		s.snapshot = encoded
-		s.snapshotAt = now
-		return encoded
-	}
-	s.deltas[after] = encoded
-	return encoded
-}
-
-// canReuseSnapshot reports whether the last snapshot may be sent again.
-func (s *state) canReuseSnapshot(now time.Duration, after membership.Version) bool {
-	if s.snapshot == nil || s.snapshot.version <= after && after != 0 {
-		return false
-	}
-	return s.snapshot.version == s.store.Version() || now-s.snapshotAt < snapshotReuseTime
+	return s.upstream.address == "" && now-s.upstream.lostAt >= milliseconds(s.config.StaleAfterMs)
 }
 
 // unavailableError says why a call cannot be answered now. Its text is sent with
@@ -228,7 +198,7 @@
 		empty := membership.Change{Version: after}
 		return newEncodedChange(empty, s.counters), nil
 	}
-	change := s.changeSince(now, after)
+	change := s.changes.since(now, after)
 	if change == nil {
 		return nil, errOlderVersion
 	}
--- a/internal/relay/status.go
+++ b/internal/relay/status.go
@@ -6,9 +6,6 @@
 	"hollyyoke.example/hollyyoke/internal/membership"
 )
 
-// listedRejections is how many rejected changes the status lists.
-const listedRejections = 20
-
 // Status is what GET /control/membership of the admin API answers.
 type Status struct {
 	Name          string             `json:"name"`
@@ -35,18 +32,6 @@
 	AckLatency          AckLatency `json:"in_force_s"`
 }
 
-// Rejection is a change that was rejected.
-type Rejection struct {
-	Time     time.Time          `json:"time"`
-	Upstream string             `json:"upstream"`
-	Version  membership.Version `json:"version"` // 0: not readable
-	Reason   string             `json:"reason"`  // names the field
-}
-
-func (r Rejection) sameAs(upstream string, version membership.Version, reason error) bool {
-	return r.Upstream == upstream && r.Version == version && r.Reason == reason.Error()
-}
-
 // AckLatency is the time from a change's arrival at the relay to its
 // acknowledgement by all subscribers, in seconds.
 type AckLatency struct {
@@ -56,6 +41,7 @@
 	Max     float64 `json:"max"`
 }
 
+// status returns what the admin API answers.
 func (s *state) status() Status {
 	now := s.now()
 	summary := s.acks.Summary(now)
@@ -66,15 +52,15 @@
 		Version:       s.store.Version(),
 		Entries:       s.store.Len(),
 		Complete:      s.store.ResumeVersion() == s.store.Version(),
-		Upstream:      s.upstream,
-		UpstreamSince: s.upstreamSince,
+		Upstream:      s.upstream.address,
+		UpstreamSince: s.upstream.since,
 
 		Subscribers:        summary.Subscribers,
 		Watches:            s.subscribers.Len(),
 		LowestAcknowledged: summary.Lowest,
 		HaveNewest:         haveNewest,
-		Rejections:         append([]Rejection{}, s.rejections...),
-		RejectionCount:     s.rejectionCount,
+		Rejections:         append([]Rejection{}, s.rejections.latest...),
+		RejectionCount:     s.rejections.total,
 
 		SentBytes:           s.counters.bytesSent.Load(),
 		SentSnapshots:       s.counters.snapshotsSent.Load(),
@@ -93,23 +79,3 @@
 	}
 	return status
 }
-
-// recordRejection lists and logs a change that was rejected. The last valid state
-// stays. A rejection that repeats the one before is counted and logged once.
-func (s *state) recordRejection(upstream string, version membership.Version, reason error) {
-	last := len(s.rejections) - 1
-	if last >= 0 && s.rejections[last].sameAs(upstream, version, reason) {
-		return
-	}
-	s.rejectionCount++
-	s.log.Error("change rejected, the last valid state stays", "upstream", upstream, "version", version, "reason", reason)
-	s.rejections = append(s.rejections, Rejection{
-		Time:     time.Now(),
-		Upstream: upstream,
-		Version:  version,
-		Reason:   reason.Error(),
-	})
-	if len(s.rejections) > listedRejections {
-		s.rejections = append(s.rejections[:0], s.rejections[len(s.rejections)-listedRejections:]...)
-	}
-}
--- a/internal/relay/upstreamcall.go
+++ b/internal/relay/upstreamcall.go
@@ -144,4 +144,5 @@
 	return response, nil
 }
 
-func formatVersion(v membership.Version) string { return strconv.FormatInt(int64(v), 10) }
+// formatVersion formats a version as a parameter of a query.
+func formatVersion(version membership.Version) string { return strconv.FormatInt(int64(version), 10) }
--- a/internal/relay/upstreamwatch.go
+++ b/internal/relay/upstreamwatch.go
@@ -57,50 +57,84 @@
 	defer acknowledging.Wait()
 	defer cancel()
 	acknowledging.Go(func() { f.acknowledge(ctx, server) })
-	return f.readWatch(server, path, start, watched)
+	opened := &openedWatch{
+		follower: f,
+		server:   server,
+		path:     path,
+		start:    start.version,
+		base:     start.version,
+		isFirst:  true,
+	}
+	return opened.read(watched)
+}
+
+// openedWatch is an upstream's watch that is read.
+type openedWatch struct {
+	follower *follower
+	server   string
+	path     []string           // the relays that its changes come by
+	start    membership.Version // of the state when it was opened
+	base     membership.Version // the newest that it has brought, from which its next delta continues
+	isFirst  bool               // it has brought nothing yet
 }
 
-// readWatch applies the objects of a watch. A delta that is rejected is skipped;
-// a snapshot that is rejected, or an object that cannot be read, ends the watch.
-func (f *follower) readWatch(server string, path []string, start position, source *watchdog) error {
+// read applies the objects of the watch. A delta that is rejected is skipped; a
+// snapshot that is rejected, or an object that cannot be read, ends the watch.
+func (w *openedWatch) read(source *watchdog) error {
 	objects := json.NewDecoder(source)
-	base := start.version
-	isFirst := true
 	for {
 		var object json.RawMessage
 		source.budget = maxObjectBytes
 		if err := objects.Decode(&object); err != nil {
-			return f.reportUnreadable(server, err)
-		}
-		change, err := membership.Parse(object)
-		if err != nil {
-			f.state.send(rejectedMessage{version: change.Version, isSnapshot: change.Snapshot, upstream: server, reason: err})
-			if change.Snapshot || change.Version == 0 {
-				return errSnapshotRejected
-			}
-			base = max(base, change.Version)
-			isFirst = false
-			continue
+			return w.follower.reportUnreadable(w.server, err)
 		}
-		if isFirst && change.Version < start.version {
-			return errBehind
-		}
-		if !change.Snapshot {
-			change.Base = base
-		}
-		applied, err := f.apply(server, change)
+		version, err := w.applyObject(object)
 		if err != nil {
 			return err
 		}
-		if applied.stateVersion < change.Version {
-			return errDeltaDoesNotFit
-		}
-		if isFirst {
-			f.reportWorking(server, path)
-		}
-		base = max(base, change.Version)
-		isFirst = false
+		w.base = max(w.base, version)
+		w.isFirst = false
+	}
+}
+
+// applyObject applies one object, and returns its version. An error ends the watch.
+func (w *openedWatch) applyObject(object json.RawMessage) (membership.Version, error) {
+	change, err := membership.Parse(object)
+	if err != nil {
+		return change.Version, w.reject(change, err)
+	}
+	if w.isFirst && change.Version < w.start {
+		return 0, errBehind
+	}
+	if !change.Snapshot {
+		change.Base = w.base
+	}
+	applied, err := w.follower.apply(w.server, change)
+	if err != nil {
+		return 0, err
+	}
+	if applied.stateVersion < change.Version {
+		return 0, errDeltaDoesNotFit
+	}
+	if w.isFirst {
+		w.follower.reportWorking(w.server, w.path)
+	}
+	return change.Version, nil
+}
+
+// reject rejects a change that holds an invalid field. Only a delta whose version
+// is known can be skipped; for all others it returns an error.
+func (w *openedWatch) reject(change membership.Change, reason error) error {
+	w.follower.state.send(rejectedMessage{
+		version:    change.Version,
+		isSnapshot: change.Snapshot,
+		upstream:   w.server,
+		reason:     reason,
+	})
+	if change.Snapshot || change.Version == 0 {
+		return errSnapshotRejected
 	}
+	return nil
 }
 
 // reportUnreadable lists the rejection of text that is no JSON object, and returns
--- a/internal/relay/watch.go
+++ b/internal/relay/watch.go
@@ -54,7 +54,7 @@
 	}
 	for _, id := range due {
 		version := s.subscribers.Version(id)
-		change := s.changeSince(now, version)
+		change := s.changes.since(now, version)
 		if change == nil {
 			continue // unreachable: no watch is opened for a version newer than the state
 		}
@@ -104,6 +104,7 @@
 	s.removeWatch(id, open)
 }
 
+// removeWatch forgets a watch.
 func (s *state) removeWatch(id membership.SubscriberID, open *watch) {
 	delete(s.watches, id)
 	s.subscribers.Remove(id)
--- a/internal/relay/watchdog.go
+++ b/internal/relay/watchdog.go
@@ -22,6 +22,7 @@
 	budget int
 }
 
+// newWatchdog starts to watch a body. cancel must end its reading.
 func newWatchdog(source io.Reader, cancel func()) *watchdog {
 	return &watchdog{source: source, timer: time.AfterFunc(silenceTimeout, cancel), budget: maxObjectBytes}
 }
@@ -37,4 +38,5 @@
 	return n, err
 }
 
+// stop ends the watching.
 func (w *watchdog) stop() { w.timer.Stop() }
