--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -8,6 +8,7 @@
 	"testing"
 )
 
+// writeOptions writes an options file and returns its path.
 func writeOptions(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "relay.toml")
@@ -17,6 +18,7 @@
 	return path
 }
 
+// validOptions has all options that have no default.
 const validOptions = `[relay]
 name = "r"
 listen = "127.0.0.1:0"
@@ -58,6 +60,7 @@
 	}
 }
 
+// The options file in the deploy folder is valid and states the defaults.
 func TestDeployedOptions(t *testing.T) {
 	config, err := Load("../../deploy/relay.toml")
 	if err != nil {
--- a/internal/relay/failover_test.go
+++ b/internal/relay/failover_test.go
@@ -20,7 +20,7 @@
 	upstream := startScriptedUpstream(t, "127.0.0.1:0", first)
 	running, _ := startRelay(t, testConfig(upstream.address()))
 	client := subscribe(t, running.Addr().String(), "d1")
-	eventually(t, "snapshot", func() bool { return client.hasVersion(1) })
+	eventually(t, "snapshot", client.hasVersion(1))
 
 	upstream.setAnswer(func(url.Values) string { return changeJSON(1, false) })
 	upstreamWatch := upstream.awaitWatch()
@@ -32,7 +32,7 @@
 		t.Errorf("resumed after %s", after)
 	}
 	upstreamWatch.sendLine(changeJSON(3, false, workerJSON("y", "draining")))
-	eventually(t, "next change", func() bool { return client.hasVersion(3) })
+	eventually(t, "next change", client.hasVersion(3))
 	if client.health("x") != "ready" || client.health("y") != "draining" {
 		t.Errorf("x %s, y %s", client.health("x"), client.health("y"))
 	}
@@ -48,7 +48,7 @@
 	first, _ := startRelay(t, testConfig(upstream.address()))
 	address := first.Addr().String()
 	client := subscribe(t, address, "d1")
-	eventually(t, "version 5", func() bool { return client.hasVersion(5) })
+	eventually(t, "version 5", client.hasVersion(5))
 	first.Close()
 
 	older := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(3, true, workerJSON("x", "ready")))
@@ -57,14 +57,17 @@
 	second, _ := startRelay(t, config)
 	eventually(t, "older snapshot", second.hasVersion(3))
 	_, opened, rejected := client.counts()
-	eventually(t, "rejection", func() bool { _, _, n := client.counts(); return n > rejected })
+	eventually(t, "rejection", func() bool {
+		_, _, rejectedNow := client.counts()
+		return rejectedNow > rejected
+	})
 	if _, now, _ := client.counts(); now != opened {
 		t.Error("a watch was opened for a newer version")
 	}
 	upstreamWatch := older.awaitWatch()
 	upstreamWatch.sendLine(changeJSON(3, false))
 	upstreamWatch.sendLine(changeJSON(6, false, workerJSON("x", "draining")))
-	eventually(t, "version 6", func() bool { return client.hasVersion(6) })
+	eventually(t, "version 6", client.hasVersion(6))
 	if client.health("x") != "draining" {
 		t.Errorf("x is %s", client.health("x"))
 	}
@@ -76,7 +79,7 @@
 	b := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(6, false, workerJSON("x", "draining")))
 	running, _ := startRelay(t, testConfig(a.address(), b.address()))
 	client := subscribe(t, running.Addr().String(), "d1")
-	eventually(t, "version 5", func() bool { return client.hasVersion(5) })
+	eventually(t, "version 5", client.hasVersion(5))
 	upstreamWatch := a.awaitWatch()
 	a.setAnswer(func(url.Values) string { return changeJSON(3, true, workerJSON("old", "ready")) })
 	b.setAnswer(func(url.Values) string { return changeJSON(4, true, workerJSON("old", "ready")) })
@@ -86,7 +89,7 @@
 		t.Errorf("version %d", status.Version)
 	}
 	b.setAnswer(func(url.Values) string { return changeJSON(6, false, workerJSON("x", "draining")) })
-	eventually(t, "version 6", func() bool { return client.hasVersion(6) })
+	eventually(t, "version 6", client.hasVersion(6))
 	if seen := client.seenVersions(); !slices.Equal(seen, []int64{5, 6}) {
 		t.Errorf("versions seen: %v", seen)
 	}
@@ -101,48 +104,66 @@
 	isBroken bool
 }
 
-func (c *breakableLink) accept() {
+// accept forwards the connections that arrive, until the listener is closed.
+func (l *breakableLink) accept() {
 	for {
-		conn, err := c.listener.Accept()
+		conn, err := l.listener.Accept()
 		if err != nil {
 			return
 		}
-		onward, err := net.Dial("tcp", c.target)
-		c.mu.Lock()
-		if c.isBroken || err != nil {
+		onward, err := net.Dial("tcp", l.target)
+		if err != nil {
 			reset(conn)
-			if err == nil {
-				reset(onward)
-			}
-			c.mu.Unlock()
 			continue
 		}
-		c.conns = append(c.conns, conn, onward)
-		c.mu.Unlock()
-		go func() { io.Copy(conn, onward); conn.Close() }()
-		go func() { io.Copy(onward, conn); onward.Close() }()
+		l.forward(conn, onward)
 	}
 }
 
-func (c *breakableLink) setBroken(broken bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.isBroken = broken
-	for _, conn := range c.conns {
+// forward copies between two connections, or resets both while the link is broken.
+func (l *breakableLink) forward(conn, onward net.Conn) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.isBroken {
 		reset(conn)
+		reset(onward)
+		return
 	}
-	c.conns = nil
+	l.conns = append(l.conns, conn, onward)
+	go copyUntilClosed(conn, onward)
+	go copyUntilClosed(onward, conn)
 }
 
+// copyUntilClosed copies from a connection to another, which it closes at the end.
+func copyUntilClosed(to, from net.Conn) {
+	io.Copy(to, from)
+	to.Close()
+}
+
+// setBroken breaks or mends the link. Breaking resets all connections.
+func (l *breakableLink) setBroken(broken bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.isBroken = broken
+	for _, conn := range l.conns {
+		reset(conn)
+	}
+	l.conns = nil
+}
+
+// startBreakableLink starts a link to an address, broken at the end of the test.
 func startBreakableLink(t *testing.T, target string) *breakableLink {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &breakableLink{listener: listener, target: target}
-	go c.accept()
-	t.Cleanup(func() { listener.Close(); c.setBroken(true) })
-	return c
+	link := &breakableLink{listener: listener, target: target}
+	go link.accept()
+	t.Cleanup(func() {
+		listener.Close()
+		link.setBroken(true)
+	})
+	return link
 }
 
 // After a partition that outlasts the log of the relay above, the relay below gets
@@ -154,14 +175,15 @@
 	above, _ := startRelay(t, aboveConfig)
 	link := startBreakableLink(t, above.Addr().String())
 	config := testConfig(link.listener.Addr().String())
-	config.Name, config.StaleAfterMs = "relay-below", 100
+	config.Name = "relay-below"
+	config.StaleAfterMs = 100
 	below, text := startRelay(t, config)
 	client := subscribe(t, below.Addr().String(), "d1")
-	eventually(t, "snapshot", func() bool { return client.hasVersion(1) })
+	eventually(t, "snapshot", client.hasVersion(1))
 
 	link.setBroken(true)
 	eventually(t, "the watch ends", func() bool { return strings.Contains(text.String(), "no upstream: ending watches") })
-	eventually(t, "a new watch is rejected", func() bool { _, _, rejected := client.counts(); return rejected > 0 })
+	eventually(t, "a new watch is rejected", client.wasRejected)
 	if line := getLine(t, below.Addr().String(), "name=d2"); line.Version != 1 || len(line.Workers) != 20 {
 		t.Errorf("single call during the partition: version %d, %d workers", line.Version, len(line.Workers))
 	}
@@ -174,7 +196,7 @@
 	eventually(t, "the relay above has all", above.hasVersion(32))
 	snapshots := above.Status().SentSnapshots
 	link.setBroken(false)
-	eventually(t, "all at the subscriber", func() bool { return client.hasVersion(32) })
+	eventually(t, "all at the subscriber", client.hasVersion(32))
 	if above.Status().SentSnapshots == snapshots {
 		t.Error("the relay below got no snapshot")
 	}
@@ -185,7 +207,7 @@
 		t.Errorf("the subscriber got snapshot %v, %d workers", line.Snapshot, len(line.Workers))
 	}
 	origin.Set(readyWorker("s-last"))
-	eventually(t, "a delta after it", func() bool { return client.hasVersion(33) })
+	eventually(t, "a delta after it", client.hasVersion(33))
 	if line := client.lastLine(); line.Snapshot || len(line.Workers) != 1 {
 		t.Errorf("after the partition: %+v", line)
 	}
@@ -196,13 +218,13 @@
 	origin := startDiscovery(t, 3)
 	running, _ := startRelay(t, testConfig(origin.Addr))
 	client := subscribe(t, running.Addr().String(), "d1")
-	eventually(t, "snapshot", func() bool { return client.hasVersion(1) })
+	eventually(t, "snapshot", client.hasVersion(1))
 	for i := range 10 {
 		origin.SetDown(true)
 		eventually(t, "the loss is seen", func() bool { return running.Status().Upstream == "" })
 		origin.Set(readyWorker(fmt.Sprintf("s-flap-%d", i)))
 		origin.SetDown(false)
-		eventually(t, "the change", func() bool { return client.hasVersion(int64(2 + i)) })
+		eventually(t, "the change", client.hasVersion(int64(2+i)))
 	}
 	if workers, opened, _ := client.counts(); workers != 13 || opened != 1 {
 		t.Errorf("%d workers by %d watches", workers, opened)
@@ -223,9 +245,9 @@
 	}
 	eventually(t, "both are tried", func() bool { return len(other.singleCalls()) > 2 })
 	client := subscribe(t, running.Addr().String(), "d1")
-	eventually(t, "rejection", func() bool { _, _, rejected := client.counts(); return rejected > 0 })
+	eventually(t, "rejection", client.wasRejected)
 	startScriptedUpstream(t, address, changeJSON(7, true, workerJSON("x", "ready")))
-	eventually(t, "snapshot", func() bool { return client.hasVersion(7) })
+	eventually(t, "snapshot", client.hasVersion(7))
 }
 
 // Invalid JSON and an invalid snapshot leave the last valid state unchanged, and
@@ -235,11 +257,11 @@
 	valid := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(3, false, workerJSON("x", "draining")))
 	running, text := startRelay(t, testConfig(unreadable.address(), valid.address()))
 	client := subscribe(t, running.Addr().String(), "d1")
-	eventually(t, "snapshot", func() bool { return client.hasVersion(1) })
+	eventually(t, "snapshot", client.hasVersion(1))
 	unreadable.setAnswer(func(url.Values) string { return changeJSON(9, true, workerJSON("", "ready")) })
 	upstreamWatch := unreadable.awaitWatch()
 	upstreamWatch.sendLine(`{"seq":2,"whole":false,"hosts":[}`)
-	eventually(t, "the other upstream", func() bool { return client.hasVersion(3) })
+	eventually(t, "the other upstream", client.hasVersion(3))
 	reset(valid.awaitWatch().conn)
 	eventually(t, "an invalid snapshot is rejected", func() bool { return strings.Contains(text.String(), "hosts[0].host is empty") })
 	if status := running.Status(); status.Version != 3 || status.RejectionCount < 2 {
@@ -253,15 +275,19 @@
 	b := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(2, false, workerJSON("x", "draining")))
 	running, _ := startRelay(t, testConfig(a.address()))
 	client := subscribe(t, running.Addr().String(), "d1")
-	eventually(t, "snapshot", func() bool { return client.hasVersion(1) })
-	if err := running.SetUpstreams([]string{b.address(), "nowhere"}); err == nil || !strings.HasPrefix(err.Error(), "upstreams[1]: ") {
+	eventually(t, "snapshot", client.hasVersion(1))
+	err := running.SetUpstreams([]string{b.address(), "nowhere"})
+	if err == nil || !strings.HasPrefix(err.Error(), "upstreams[1]: ") {
 		t.Errorf("an invalid list: %v", err)
 	}
 	eventually(t, "the first upstream", func() bool { return running.Status().Upstream == a.address() })
 	if err := running.SetUpstreams([]string{b.address()}); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the other upstream", func() bool { return client.hasVersion(2) && running.Status().Upstream == b.address() })
+	hasVersion2 := client.hasVersion(2)
+	eventually(t, "the other upstream", func() bool {
+		return hasVersion2() && running.Status().Upstream == b.address()
+	})
 }
 
 // Relays that may follow each other do not count each other as a working upstream
@@ -272,7 +298,8 @@
 	relays := make([]*Relay, 3)
 	for i := range relays {
 		config := testConfig(address)
-		config.Name, config.StaleAfterMs = fmt.Sprintf("relay-%d", i), 100
+		config.Name = fmt.Sprintf("relay-%d", i)
+		config.StaleAfterMs = 100
 		relays[i], _ = startRelay(t, config)
 		eventually(t, "snapshot", relays[i].hasVersion(1))
 	}
@@ -308,6 +335,7 @@
 	eventually(t, "the other upstream", func() bool { return running.Status().Upstream == valid.address() })
 }
 
+// Names are read as they were written, and other elements of the header ignored.
 func TestVia(t *testing.T) {
 	path := []string{"relay-a", "relay-b"}
 	if got := parseVia([]string{formatVia(path), "HTTP/1.0 proxy"}); !slices.Equal(got, path) {
@@ -321,9 +349,9 @@
 	b := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(2, false, workerJSON("x", "draining")))
 	running, _ := startRelay(t, testConfig(a.address(), b.address()))
 	client := subscribe(t, running.Addr().String(), "d1")
-	eventually(t, "snapshot", func() bool { return client.hasVersion(1) })
+	eventually(t, "snapshot", client.hasVersion(1))
 	a.awaitWatch() // on which nothing is sent
-	eventually(t, "the other upstream", func() bool { return client.hasVersion(2) })
+	eventually(t, "the other upstream", client.hasVersion(2))
 }
 
 // A relay that starts fetches what changed before its first snapshot, so that
@@ -348,8 +376,10 @@
 	t.Cleanup(origin.Close)
 	running, _ := startRelay(t, testConfig(origin.Listener.Addr().String()))
 	eventually(t, "the newest version", running.hasVersion(3002))
-	if first, second := <-fetched, <-fetched; first != "snapshot" || second != "1000" {
-		t.Errorf("fetched %s, then after %s", first, second)
+	first := <-fetched
+	second := <-fetched
+	if first != "snapshot" || second != "1000" {
+		t.Errorf("fetched %s, then after %s; want the snapshot, then after 1000", first, second)
 	}
 	line := getLine(t, running.Addr().String(), "after=1500&name=d1")
 	if line.Snapshot || line.Version != 3002 || len(line.Workers) != 2 || line.Workers[0].Health != "draining" {
--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -13,98 +13,185 @@
 	"time"
 
 	"hollyyoke.example/hollyyoke/internal/goldentest"
-
 	"hollyyoke.example/hollyyoke/internal/membership"
 )
 
 // varyingFields matches what differs from run to run.
 var varyingFields = regexp.MustCompile(`Date: [^\r]*|"(newest_age_s|changes|p50|p99|max|upstream_since|time|sent_bytes)": [^,\n]*|127\.0\.0\.1:\d+`)
 
+// contentLength matches the field that varies with the fields of a status.
+var contentLength = regexp.MustCompile(`Content-Length: \d+`)
+
+// mask replaces what differs from run to run.
 func mask(text string) string {
 	return varyingFields.ReplaceAllStringFunc(text, func(field string) string {
-		if key, _, isField := strings.Cut(field, ": "); isField {
+		key, _, isField := strings.Cut(field, ": ")
+		if isField {
 			return key + ": MASKED"
 		}
 		return "ADDRESS"
 	})
 }
 
-// exchange sends a request on a connection of its own and appends the request and
-// the response to text.
-func exchange(t *testing.T, text *strings.Builder, address, request string) {
-	t.Helper()
+// transcript records the requests to a relay and its responses.
+type transcript struct {
+	t    *testing.T
+	text strings.Builder
+}
+
+// exchange sends requests, each on a connection of its own, and records them with
+// their responses.
+func (r *transcript) exchange(address string, requests ...string) {
+	r.t.Helper()
+	for _, request := range requests {
+		r.exchangeOne(address, request)
+	}
+}
+
+// exchangeOne sends a request and records it with its response.
+func (r *transcript) exchangeOne(address, request string) {
+	r.t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
-		t.Fatal(err)
+		r.t.Fatal(err)
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(testTimeout))
 	io.WriteString(conn, request+"Host: h\r\nConnection: close\r\n\r\n")
 	answer, err := io.ReadAll(conn)
 	if err != nil {
-		t.Fatalf("%q: %v", request, err)
+		r.t.Fatalf("%q: %v", request, err)
 	}
-	got := mask(string(answer))
-	if strings.Contains(got, "/control/") || strings.Contains(got, `"newest_age_s"`) {
-		got = regexp.MustCompile(`Content-Length: \d+`).ReplaceAllString(got, "Content-Length: MASKED")
+	response := mask(string(answer))
+	if strings.Contains(response, "/control/") || strings.Contains(response, `"newest_age_s"`) {
+		response = contentLength.ReplaceAllString(response, "Content-Length: MASKED")
 	}
-	text.WriteString("> " + strings.TrimSuffix(strings.ReplaceAll(request, "\r\n", "\n> "), "> ") + got + "\n")
+	quoted := strings.TrimSuffix(strings.ReplaceAll(request, "\r\n", "\n> "), "> ")
+	r.text.WriteString("> " + quoted + response + "\n")
 }
 
 // All responses of a relay to subscribers and operators, byte for byte: before it
 // has a snapshot, with one, and with each status that a call can have.
 func TestGoldenServes(t *testing.T) {
-	up := startScriptedUpstream(t, "127.0.0.1:0", "")
-	config := testConfig(up.address())
+	upstream := startScriptedUpstream(t, "127.0.0.1:0", "")
+	config := testConfig(upstream.address())
 	config.AdminAddr = "127.0.0.1:0"
 	running, _ := startRelay(t, config)
-	var text strings.Builder
-	subscribers, operators := running.Addr().String(), running.AdminAddr().String()
-	exchangeAll := func(requests ...string) {
-		t.Helper()
-		for _, request := range requests {
-			exchange(t, &text, subscribers, request)
-		}
-	}
-	exchangeAll("GET /v1/servers?after=0&name=d1 HTTP/1.1\r\n", "GET /v1/servers?watch=1&after=0&name=d1 HTTP/1.1\r\n")
-	exchange(t, &text, operators, "GET /control/membership HTTP/1.1\r\n")
-	up.setAnswer(func(query url.Values) string {
+	subscribers := running.Addr().String()
+	operators := running.AdminAddr().String()
+	recorded := &transcript{t: t}
+	recorded.exchange(subscribers,
+		"GET /v1/servers?after=0&name=d1 HTTP/1.1\r\n",
+		"GET /v1/servers?watch=1&after=0&name=d1 HTTP/1.1\r\n",
+	)
+	recorded.exchange(operators, "GET /control/membership HTTP/1.1\r\n")
+	upstream.setAnswer(func(query url.Values) string {
 		if query.Get("after") == "0" {
 			return changeJSON(41, true, workerJSON("a", "ready"), workerJSON("b", "draining"))
 		}
 		return changeJSON(41, false)
 	})
-	watch := up.awaitWatch()
+	watch := upstream.awaitWatch()
 	go watch.keepAlive()
-	eventually(t, "the snapshot has arrived", func() bool { s := running.Status(); return s.Version == 41 && s.Upstream != "" })
-	longName := strings.Repeat("x", maxNameBytes+1)
-	exchangeAll(
-		"GET /v1/servers?after=0&name=d1 HTTP/1.1\r\n", "GET /v1/servers?after=41&name=d1 HTTP/1.1\r\n",
-		"GET /v1/servers?after=41&name=r1&acked=40&fleet=3 HTTP/1.1\r\n", "GET /v1/servers HTTP/1.1\r\n",
-		"GET /v1/servers?after=99&name=d1 HTTP/1.1\r\n", "GET /v1/servers?after=0&name=d1 HTTP/1.0\r\n",
-		"GET /v1/servers?after=x HTTP/1.1\r\n", "GET /v1/servers?after=-1 HTTP/1.1\r\n", "GET /v1/servers?acked=x HTTP/1.1\r\n",
-		"GET /v1/servers?fleet=9999999999 HTTP/1.1\r\n", "GET /v1/servers?name="+longName+" HTTP/1.1\r\n",
-		"GET /v1/servers?name=a%0Ab HTTP/1.1\r\n", "POST /v1/servers HTTP/1.1\r\nContent-Length: 0\r\n",
-		"HEAD /v1/servers HTTP/1.1\r\n", "GET /v1/servers/ HTTP/1.1\r\n", "GET / HTTP/1.1\r\n", "GET /healthz HTTP/1.1\r\n",
+	eventually(t, "the snapshot has arrived", func() bool {
+		status := running.Status()
+		return status.Version == 41 && status.Upstream != ""
+	})
+	recorded.exchange(subscribers,
+		"GET /v1/servers?after=0&name=d1 HTTP/1.1\r\n",
+		"GET /v1/servers?after=41&name=d1 HTTP/1.1\r\n",
+		"GET /v1/servers?after=41&name=r1&acked=40&fleet=3 HTTP/1.1\r\n",
+		"GET /v1/servers HTTP/1.1\r\n",
+		"GET /v1/servers?after=99&name=d1 HTTP/1.1\r\n",
+		"GET /v1/servers?after=0&name=d1 HTTP/1.0\r\n",
+		"GET /v1/servers?after=x HTTP/1.1\r\n",
+		"GET /v1/servers?after=-1 HTTP/1.1\r\n",
+		"GET /v1/servers?acked=x HTTP/1.1\r\n",
+		"GET /v1/servers?fleet=9999999999 HTTP/1.1\r\n",
+		"GET /v1/servers?name="+strings.Repeat("x", maxNameBytes+1)+" HTTP/1.1\r\n",
+		"GET /v1/servers?name=a%0Ab HTTP/1.1\r\n",
+		"POST /v1/servers HTTP/1.1\r\nContent-Length: 0\r\n",
+		"HEAD /v1/servers HTTP/1.1\r\n",
+		"GET /v1/servers/ HTTP/1.1\r\n",
+		"GET / HTTP/1.1\r\n",
+		"GET /healthz HTTP/1.1\r\n",
+	)
+	eventually(t, "all sent changes are counted", func() bool {
+		status := running.Status()
+		return status.SentSnapshots == 3 && status.SentDeltas == 2
+	})
+	recorded.exchange(operators,
+		"GET /control/membership HTTP/1.1\r\n",
+		"PUT /control/membership HTTP/1.1\r\nContent-Length: 0\r\n",
+		"GET /control/ready HTTP/1.1\r\n",
 	)
-	eventually(t, "all sent changes are counted", func() bool { s := running.Status(); return s.SentSnapshots == 3 && s.SentDeltas == 2 })
-	for _, request := range []string{"GET /control/membership HTTP/1.1\r\n", "PUT /control/membership HTTP/1.1\r\nContent-Length: 0\r\n", "GET /control/ready HTTP/1.1\r\n"} {
-		exchange(t, &text, operators, request)
-	}
 	watch.sendLine(changeJSON(42, false, workerJSON("a", "asleep")))
-	eventually(t, "a change is rejected", func() bool { return running.Status().RejectionCount == 1 && running.Status().Version == 42 })
-	exchange(t, &text, operators, "GET /control/membership HTTP/1.1\r\n")
-	goldentest.CompareHTTP(t, "serves.golden", text.String())
+	eventually(t, "a change is rejected", func() bool {
+		return running.Status().RejectionCount == 1 && running.Status().Version == 42
+	})
+	recorded.exchange(operators, "GET /control/membership HTTP/1.1\r\n")
+	goldentest.CompareHTTP(t, "serves.golden", recorded.text.String())
+}
+
+// watchTranscript records a watch as its subscriber reads it.
+type watchTranscript struct {
+	t    *testing.T
+	in   *bufio.Reader
+	text strings.Builder
+}
+
+// copyHead records the head of the response.
+func (w *watchTranscript) copyHead() {
+	w.t.Helper()
+	for line := ""; line != "\r\n"; {
+		var err error
+		line, err = w.in.ReadString('\n')
+		if err != nil {
+			w.t.Fatal(err)
+		}
+		w.text.WriteString(mask(line))
+	}
+}
+
+// copyChunks records chunks, up to one that contains a text or to the end. It
+// leaves out heartbeats, chunks of one byte that may come at any time.
+func (w *watchTranscript) copyChunks(until string) {
+	w.t.Helper()
+	for {
+		sizeLine, err := w.in.ReadString('\n')
+		if err != nil {
+			w.t.Fatal(err)
+		}
+		size := 0
+		if _, err := fmt.Sscanf(sizeLine, "%x", &size); err != nil {
+			w.t.Fatalf("%q: %v", sizeLine, err)
+		}
+		chunk := make([]byte, size+len("\r\n"))
+		if _, err := io.ReadFull(w.in, chunk); err != nil {
+			w.t.Fatal(err)
+		}
+		if size == 1 {
+			continue
+		}
+		w.text.WriteString(sizeLine + string(chunk))
+		if size == 0 || strings.Contains(string(chunk), until) {
+			return
+		}
+	}
 }
 
 // A watch as its subscriber reads it: the head, the snapshot, deltas with
 // settings, and a complete end.
 func TestGoldenWatch(t *testing.T) {
-	up := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(41, true, workerJSON("a", "ready"), workerJSON("b", "ready")))
-	running, _ := startRelay(t, testConfig(up.address()))
-	above := up.awaitWatch()
+	snapshot := changeJSON(41, true, workerJSON("a", "ready"), workerJSON("b", "ready"))
+	upstream := startScriptedUpstream(t, "127.0.0.1:0", snapshot)
+	running, _ := startRelay(t, testConfig(upstream.address()))
+	above := upstream.awaitWatch()
 	go above.keepAlive()
-	eventually(t, "the snapshot has arrived", func() bool { s := running.Status(); return s.Version == 41 && s.Upstream != "" })
+	eventually(t, "the snapshot has arrived", func() bool {
+		status := running.Status()
+		return status.Version == 41 && status.Upstream != ""
+	})
 	conn, err := net.Dial("tcp", running.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -112,51 +199,25 @@
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(testTimeout))
 	io.WriteString(conn, "GET /v1/servers?watch=1&after=0&name=d1 HTTP/1.1\r\nHost: h\r\n\r\n")
-	in := bufio.NewReader(conn)
-	var text strings.Builder
-	copyChunks := func(until string) { // heartbeats may come at any time
-		t.Helper()
-		for {
-			size, err := in.ReadString('\n')
-			if err != nil {
-				t.Fatal(err)
-			}
-			var n int
-			if _, err := fmt.Sscanf(size, "%x", &n); err != nil {
-				t.Fatalf("%q: %v", size, err)
-			}
-			body := make([]byte, n+2)
-			if _, err := io.ReadFull(in, body); err != nil {
-				t.Fatal(err)
-			}
-			if n != 1 {
-				text.WriteString(size + string(body))
-			}
-			if n == 0 || n != 1 && strings.Contains(string(body), until) {
-				return
-			}
-		}
-	}
-	for line := ""; line != "\r\n"; {
-		if line, err = in.ReadString('\n'); err != nil {
-			t.Fatal(err)
-		}
-		text.WriteString(mask(line))
-	}
-	copyChunks(`"seq":41`)
+	recorded := &watchTranscript{t: t, in: bufio.NewReader(conn)}
+	recorded.copyHead()
+	recorded.copyChunks(`"seq":41`)
 	above.sendLine(changeJSON(42, false, workerJSON("b", "draining")))
-	copyChunks(`"seq":42`)
-	above.sendLine(strings.TrimSuffix(changeJSON(43, false, workerJSON("b", "gone")), "}") + `,"settings":[{"key":"limits.x","value":3},{"key":"y","value":null}]}`)
-	copyChunks(`"seq":43`)
+	recorded.copyChunks(`"seq":42`)
+	above.sendLine(strings.TrimSuffix(changeJSON(43, false, workerJSON("b", "gone")), "}") +
+		`,"settings":[{"key":"limits.x","value":3},{"key":"y","value":null}]}`)
+	recorded.copyChunks(`"seq":43`)
 	go running.Close()
-	copyChunks("never")
-	goldentest.CompareHTTP(t, "watch.golden", text.String())
+	recorded.copyChunks("never")
+	goldentest.CompareHTTP(t, "watch.golden", recorded.text.String())
 }
 
+// A long snapshot is compressed for a caller that accepts gzip.
 func TestGoldenCompressed(t *testing.T) {
-	up := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(41, true, workerJSON("a", "ready"), workerJSON(strings.Repeat("long", 200), "ready")))
-	running, _ := startRelay(t, testConfig(up.address()))
-	go up.awaitWatch().keepAlive()
+	snapshot := changeJSON(41, true, workerJSON("a", "ready"), workerJSON(strings.Repeat("long", 200), "ready"))
+	upstream := startScriptedUpstream(t, "127.0.0.1:0", snapshot)
+	running, _ := startRelay(t, testConfig(upstream.address()))
+	go upstream.awaitWatch().keepAlive()
 	eventually(t, "the snapshot has arrived", running.hasVersion(41))
 	request, _ := http.NewRequest(http.MethodGet, "http://"+running.Addr().String()+"/v1/servers?after=0", nil)
 	request.Header.Set("Accept-Encoding", "gzip")
@@ -165,8 +226,9 @@
 		t.Fatal(err)
 	}
 	defer response.Body.Close()
-	if got := response.Header.Get("Content-Encoding") + ", " + response.Header.Get("Content-Type"); got != "gzip, application/json" {
-		t.Errorf("%s", got)
+	got := response.Header.Get("Content-Encoding") + ", " + response.Header.Get("Content-Type")
+	if want := "gzip, application/json"; got != want {
+		t.Errorf("%s, want %s", got, want)
 	}
 }
 
@@ -206,28 +268,35 @@
 	defer conn.Close()
 	in := bufio.NewReader(conn)
 	for {
-		var head strings.Builder
-		for !strings.HasSuffix(head.String(), "\r\n\r\n") {
-			line, err := in.ReadString('\n')
-			if err != nil {
-				return
-			}
-			head.WriteString(line)
+		head, err := readHead(in)
+		if err != nil {
+			return
 		}
-		requests <- head.String()
-		if strings.Contains(head.String(), "watch=1") {
+		requests <- head
+		if strings.Contains(head, "watch=1") {
 			io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 			go (&scriptedWatch{conn: conn}).keepAlive()
 			continue
 		}
-		body := changeJSON(5041, !strings.Contains(head.String(), "after=5041"), workerJSON("a", "ready"))
-		if strings.Contains(head.String(), "after=3041") {
-			body = changeJSON(5041, false, workerJSON("a", "ready"))
-		}
+		isSnapshot := !strings.Contains(head, "after=5041") && !strings.Contains(head, "after=3041")
+		body := changeJSON(5041, isSnapshot, workerJSON("a", "ready"))
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	}
 }
 
+// readHead reads a request up to the empty line that ends its head.
+func readHead(in *bufio.Reader) (string, error) {
+	var head strings.Builder
+	for !strings.HasSuffix(head.String(), "\r\n\r\n") {
+		line, err := in.ReadString('\n')
+		if err != nil {
+			return "", err
+		}
+		head.WriteString(line)
+	}
+	return head.String(), nil
+}
+
 // The form of the relays' names in the Via header.
 func TestGoldenVia(t *testing.T) {
 	if got := formatVia([]string{"relay-a", "relay-b"}); got != "1.1 relay-a, 1.1 relay-b" {
--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -23,33 +23,39 @@
 // eventually waits for a condition.
 func eventually(t testing.TB, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(2 * time.Millisecond) {
+	end := time.Now().Add(testTimeout)
+	for !condition() {
 		if time.Now().After(end) {
 			t.Fatalf("not in time: %s", what)
 		}
+		time.Sleep(2 * time.Millisecond)
 	}
 }
 
 // testConfig returns a configuration with a port that the kernel chooses.
 func testConfig(upstreams ...string) Config {
 	config := Defaults()
-	config.Name, config.Zone, config.Listen, config.Upstreams = "relay-test", "a", "127.0.0.1:0", upstreams
-	config.BatchMs, config.UrgentBatchMs = 5, 5
+	config.Name = "relay-test"
+	config.Zone = "a"
+	config.Listen = "127.0.0.1:0"
+	config.Upstreams = upstreams
+	config.BatchMs = 5
+	config.UrgentBatchMs = 5
 	config.BytesPerS = 1e9
 	config.StaleAfterMs = 60_000
 	return config
 }
 
-// startRelay starts a relay that is closed at the end of the test.
+// startRelay starts a relay that is closed at the end of the test, and returns its log too.
 func startRelay(t testing.TB, config Config) (*Relay, *childprocess.Output) {
 	t.Helper()
-	text := &childprocess.Output{}
-	r, err := Start(config, slog.New(slog.NewTextHandler(text, nil)))
+	log := &childprocess.Output{}
+	running, err := Start(config, slog.New(slog.NewTextHandler(log, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { r.Close() })
-	return r, text
+	t.Cleanup(func() { running.Close() })
+	return running, log
 }
 
 // testWorker is a listed worker as a subscriber reads it.
@@ -123,7 +129,12 @@
 	}
 	s.opened++
 	s.mu.Unlock()
-	in := bufio.NewReader(response.Body)
+	s.readLines(response.Body)
+}
+
+// readLines applies the lines of a watch until it ends.
+func (s *subscriber) readLines(body io.Reader) {
+	in := bufio.NewReader(body)
 	for {
 		text, err := in.ReadBytes('\n')
 		if err != nil {
@@ -158,21 +169,32 @@
 	if line.Snapshot {
 		clear(s.workers)
 	}
-	for _, host := range line.Workers {
-		if s.workers[host.Name] = host; host.Health == "gone" {
-			delete(s.workers, host.Name)
+	for _, worker := range line.Workers {
+		if worker.Health == "gone" {
+			delete(s.workers, worker.Name)
+		} else {
+			s.workers[worker.Name] = worker
 		}
 	}
-	if s.version = line.Version; line.Snapshot || len(line.Workers) > 0 {
+	s.version = line.Version
+	if line.Snapshot || len(line.Workers) > 0 {
 		s.lines = append(s.lines, line)
 	}
 }
 
-// hasVersion reports whether the subscriber has exactly that version.
-func (s *subscriber) hasVersion(version int64) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.version == version
+// hasVersion returns the condition that the subscriber has exactly a version.
+func (s *subscriber) hasVersion(version int64) func() bool {
+	return func() bool {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		return s.version == version
+	}
+}
+
+// wasRejected reports whether a watch was answered with 503.
+func (s *subscriber) wasRejected() bool {
+	_, _, rejected := s.counts()
+	return rejected > 0
 }
 
 // seenVersions returns the versions of the lines that were not empty.
@@ -192,12 +214,15 @@
 	return s.lines[len(s.lines)-1]
 }
 
-func (s *subscriber) health(host string) string {
+// health returns the health of a worker; empty: it is not listed.
+func (s *subscriber) health(worker string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.workers[host].Health
+	return s.workers[worker].Health
 }
 
+// counts returns how many workers are listed, and how many watches were answered
+// with 200 and with 503.
 func (s *subscriber) counts() (workers, opened, rejected int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -14,39 +14,51 @@
 // startDiscovery starts a stand-in of discovery with some ready workers.
 func startDiscovery(t *testing.T, workers int) *standin.Discovery {
 	t.Helper()
-	d, err := standin.StartDiscovery(nil)
+	discovery, err := standin.StartDiscovery(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { d.Close() })
+	t.Cleanup(func() { discovery.Close() })
 	list := make([]standin.Host, workers)
 	for i := range list {
 		list[i] = readyWorker(fmt.Sprintf("s-%05d", i))
 	}
-	d.Set(list...)
-	return d
+	discovery.Set(list...)
+	return discovery
 }
 
+// readyWorker returns a worker that is ready.
 func readyWorker(name string) standin.Host {
-	return standin.Host{Host: name, Dial: "10.0.0.1:8080", Site: "a", Class: "m2", Block: 3, Health: "ready", Share: 1}
+	return standin.Host{
+		Host:   name,
+		Dial:   "10.0.0.1:8080",
+		Site:   "a",
+		Class:  "m2",
+		Block:  3,
+		Health: "ready",
+		Share:  1,
+	}
 }
 
+// hasVersion returns the condition that the relay has exactly a version.
 func (r *Relay) hasVersion(version membership.Version) func() bool {
 	return func() bool { return r.Status().Version == version }
 }
 
+// A subscriber gets a snapshot, then deltas, on its watch and by single calls.
 func TestSnapshotThenDeltas(t *testing.T) {
 	origin := startDiscovery(t, 3)
 	running, _ := startRelay(t, testConfig(origin.Addr))
 	eventually(t, "snapshot", running.hasVersion(1))
 	client := subscribe(t, running.Addr().String(), "d1")
-	eventually(t, "snapshot at the subscriber", func() bool { return client.hasVersion(1) })
+	eventually(t, "snapshot at the subscriber", client.hasVersion(1))
 	origin.Set(readyWorker("s-new"))
-	eventually(t, "delta at the subscriber", func() bool { return client.hasVersion(2) })
+	eventually(t, "delta at the subscriber", client.hasVersion(2))
 	if line := client.lastLine(); line.Snapshot || len(line.Workers) != 1 || line.Workers[0].Name != "s-new" {
 		t.Errorf("delta %+v", line)
 	}
-	if line := getLine(t, running.Addr().String(), "after=1&name=d2"); line.Snapshot || line.Version != 2 || len(line.Workers) != 1 {
+	line := getLine(t, running.Addr().String(), "after=1&name=d2")
+	if line.Snapshot || line.Version != 2 || len(line.Workers) != 1 {
 		t.Errorf("single call after 1: %+v", line)
 	}
 	eventually(t, "the complete list by a single call", func() bool { // a snapshot may be somewhat older than the newest change
@@ -64,12 +76,12 @@
 	upstream := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(1, true, workerJSON("x", "ready"), workerJSON("y", "ready")))
 	running, text := startRelay(t, testConfig(upstream.address()))
 	client := subscribe(t, running.Addr().String(), "d1")
-	eventually(t, "snapshot", func() bool { return client.hasVersion(1) })
+	eventually(t, "snapshot", client.hasVersion(1))
 	upstreamWatch := upstream.awaitWatch()
 	upstreamWatch.sendLine(changeJSON(1, false))
 	upstreamWatch.sendLine(changeJSON(2, false, workerJSON("x", "draining"), workerJSON("y", "asleep")))
 	upstreamWatch.sendLine(changeJSON(3, false, workerJSON("y", "draining")))
-	eventually(t, "the valid change", func() bool { return client.hasVersion(3) })
+	eventually(t, "the valid change", client.hasVersion(3))
 	if client.health("x") != "ready" || client.health("y") != "draining" {
 		t.Errorf("x %s, y %s", client.health("x"), client.health("y"))
 	}
@@ -78,8 +90,11 @@
 		t.Errorf("%d lines: %s", n, text)
 	}
 	status := running.Status()
-	if status.RejectionCount != 1 || len(status.Rejections) != 1 || status.Rejections[0].Reason != reason || status.Rejections[0].Version != 2 {
-		t.Errorf("rejections: %+v", status.Rejections)
+	if status.RejectionCount != 1 || len(status.Rejections) != 1 {
+		t.Fatalf("%d rejections, listed: %+v; want one", status.RejectionCount, status.Rejections)
+	}
+	if rejection := status.Rejections[0]; rejection.Reason != reason || rejection.Version != 2 {
+		t.Errorf("rejection: %+v, want version 2 for %s", rejection, reason)
 	}
 }
 
@@ -88,7 +103,7 @@
 	upstream := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(1, true, workerJSON("x", "ready")))
 	running, _ := startRelay(t, testConfig(upstream.address()))
 	client := subscribe(t, running.Addr().String(), "d1")
-	eventually(t, "snapshot", func() bool { return client.hasVersion(1) })
+	eventually(t, "snapshot", client.hasVersion(1))
 	upstreamWatch := upstream.awaitWatch()
 	upstreamWatch.sendLine(changeJSON(1, false))
 	upstreamWatch.sendLine(changeJSON(2, false, workerJSON("x", "asleep"), workerJSON("y", "ready")))
@@ -99,7 +114,7 @@
 		return changeJSON(3, false, workerJSON("x", "draining"))
 	})
 	upstreamWatch.sendLine(changeJSON(3, false, workerJSON("x", "draining")))
-	eventually(t, "version 3", func() bool { return client.hasVersion(3) })
+	eventually(t, "version 3", client.hasVersion(3))
 	eventually(t, "nothing is missing", func() bool { return running.Status().Entries == 2 && running.Status().Complete })
 	line := getLine(t, running.Addr().String(), "after=0&name=d2")
 	if line.Version != 3 || len(line.Workers) != 2 {
@@ -139,7 +154,9 @@
 	})
 	getLine(t, above.Addr().String(), "after=2&name=direct")
 	eventually(t, "all have it", func() bool { return above.Status().LowestAcknowledged == 2 })
-	eventually(t, "the latency is measured", func() bool { return above.Status().AckLatency.Changes > 0 && below.Status().AckLatency.Changes > 0 })
+	eventually(t, "the latency is measured", func() bool {
+		return above.Status().AckLatency.Changes > 0 && below.Status().AckLatency.Changes > 0
+	})
 }
 
 // Close ends watches with a complete response.
@@ -148,7 +165,7 @@
 	running, _ := startRelay(t, testConfig(origin.Addr))
 	eventually(t, "snapshot", running.hasVersion(1))
 	client := subscribe(t, running.Addr().String(), "d1")
-	eventually(t, "watch", func() bool { return client.hasVersion(1) })
+	eventually(t, "watch", client.hasVersion(1))
 	if err := running.Close(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/relay/scripted_upstream_test.go
+++ b/internal/relay/scripted_upstream_test.go
@@ -6,7 +6,7 @@
 	"net"
 	"net/http"
 	"net/url"
-	"strconv"
+	"strings"
 	"sync"
 	"testing"
 	"time"
@@ -45,7 +45,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	u := &scriptedUpstream{t: t, listener: listener, via: via, watches: make(chan *scriptedWatch, 100), conns: map[net.Conn]bool{}}
+	u := &scriptedUpstream{
+		t:        t,
+		listener: listener,
+		via:      via,
+		watches:  make(chan *scriptedWatch, 100),
+		conns:    map[net.Conn]bool{},
+	}
 	u.setAnswer(func(url.Values) string { return body })
 	go u.accept()
 	t.Cleanup(u.stop)
@@ -56,14 +62,15 @@
 func (u *scriptedUpstream) awaitWatch() *scriptedWatch {
 	u.t.Helper()
 	select {
-	case w := <-u.watches:
-		return w
+	case watch := <-u.watches:
+		return watch
 	case <-time.After(testTimeout):
 		u.t.Fatal("no watch is opened")
 		return nil
 	}
 }
 
+// address returns where it listens.
 func (u *scriptedUpstream) address() string { return u.listener.Addr().String() }
 
 // setAnswer sets what single calls are answered with.
@@ -83,11 +90,13 @@
 	}
 }
 
+// reset closes a connection by a reset.
 func reset(conn net.Conn) {
 	conn.(*net.TCPConn).SetLinger(0)
 	conn.Close()
 }
 
+// accept serves connections until the listener is closed.
 func (u *scriptedUpstream) accept() {
 	for {
 		conn, err := u.listener.Accept()
@@ -101,6 +110,7 @@
 	}
 }
 
+// serve answers the single calls of a connection, and hands its watch to the test.
 func (u *scriptedUpstream) serve(conn net.Conn) {
 	in := bufio.NewReader(conn)
 	for {
@@ -114,10 +124,7 @@
 			u.watches <- &scriptedWatch{conn, query}
 			return
 		}
-		u.mu.Lock()
-		u.calls = append(u.calls, query)
-		body := u.answer(query)
-		u.mu.Unlock()
+		body := u.recordCall(query)
 		status := "200 OK"
 		if body == "" {
 			status = "503 Service Unavailable"
@@ -126,6 +133,14 @@
 	}
 }
 
+// recordCall records a single call and returns the body of its answer.
+func (u *scriptedUpstream) recordCall(query url.Values) string {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	u.calls = append(u.calls, query)
+	return u.answer(query)
+}
+
 // singleCalls returns the single calls that have arrived.
 func (u *scriptedUpstream) singleCalls() []url.Values {
 	u.mu.Lock()
@@ -156,17 +171,12 @@
 
 // workerJSON returns a listed worker.
 func workerJSON(name, health string) string {
-	return fmt.Sprintf(`{"host":%q,"dial":"10.0.0.1:80","site":"a","class":"m2","block":3,"health":%q,"share":1,"born_ms":0}`, name, health)
+	const format = `{"host":%q,"dial":"10.0.0.1:80","site":"a","class":"m2","block":3,` +
+		`"health":%q,"share":1,"born_ms":0}`
+	return fmt.Sprintf(format, name, health)
 }
 
 // changeJSON returns a snapshot or delta.
 func changeJSON(version int, isSnapshot bool, workers ...string) string {
-	text := `{"seq":` + strconv.Itoa(version) + `,"whole":` + strconv.FormatBool(isSnapshot) + `,"hosts":[`
-	for i, host := range workers {
-		if i > 0 {
-			text += ","
-		}
-		text += host
-	}
-	return text + "]}"
+	return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`, version, isSnapshot, strings.Join(workers, ","))
 }
--- a/internal/relay/slowreader_test.go
+++ b/internal/relay/slowreader_test.go
@@ -16,7 +16,10 @@
 // Beside a subscriber that does not read, 50 others get every change, and nothing
 // is queued for the slow one.
 func TestSlowReader(t *testing.T) {
-	const changes, maxGrowth = 40, 2 << 20
+	const (
+		changes   = 40
+		maxGrowth = 2 << 20 // bytes on the heap
+	)
 	upstream := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(1, true, workerJSON("x", "ready")))
 	config := testConfig(upstream.address())
 	config.WriteTimeoutMs = 60_000 // the slow one stays connected while memory is measured
@@ -29,14 +32,14 @@
 	slow := dialSlowReader(t, running.Addr().String())
 	eventually(t, "all watch", func() bool { return running.Status().Watches == 51 })
 	for _, s := range fast {
-		eventually(t, "snapshot", func() bool { return s.hasVersion(1) })
+		eventually(t, "snapshot", s.hasVersion(1))
 	}
 	upstreamWatch := upstream.awaitWatch()
 	before := heapBytes()
 	for i := range changes {
 		upstreamWatch.sendLine(changeJSON(i+2, false, largeWorker(), workerJSON(fmt.Sprintf("once-%d", i), "ready")))
 		for _, s := range fast {
-			eventually(t, "change at a fast subscriber", func() bool { return s.hasVersion(int64(i + 2)) })
+			eventually(t, "change at a fast subscriber", s.hasVersion(int64(i+2)))
 		}
 	}
 	for _, s := range fast {
@@ -103,6 +106,7 @@
 	return fmt.Sprintf(`{"host":"large","dial":"10.0.0.1:80","health":"ready","class":%q}`, strings.Repeat("x", 80_000))
 }
 
+// heapBytes returns the bytes of the objects on the heap that are in use.
 func heapBytes() int64 {
 	var stats runtime.MemStats
 	runtime.GC()
--- a/internal/relay/subscriber_test.go
+++ b/internal/relay/subscriber_test.go
@@ -17,7 +17,10 @@
 
 // When 200 subscribers start at once, the snapshot is encoded once for all.
 func TestManySubscribersStartAtOnce(t *testing.T) {
-	const workers, starting = 21_000, 200
+	const (
+		workers  = 21_000
+		starting = 200
+	)
 	origin := startDiscovery(t, workers)
 	running, _ := startRelay(t, testConfig(origin.Addr))
 	eventually(t, "snapshot", running.hasVersion(1))
@@ -45,7 +48,8 @@
 		t.Fatal(err)
 	}
 	var line testLine
-	if err := json.NewDecoder(uncompressed).Decode(&line); err != nil || !line.Snapshot || len(line.Workers) != workers {
+	err = json.NewDecoder(uncompressed).Decode(&line)
+	if err != nil || !line.Snapshot || len(line.Workers) != workers {
 		t.Errorf("%v: snapshot %v, %d workers", err, line.Snapshot, len(line.Workers))
 	}
 }
@@ -61,13 +65,15 @@
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
-	if err != nil || response.Header.Get("Content-Encoding") != "gzip" || response.ContentLength != int64(len(body)) {
-		t.Errorf("%v: encoding %q, length %d of %d", err, response.Header.Get("Content-Encoding"), len(body), response.ContentLength)
+	coding := response.Header.Get("Content-Encoding")
+	if err != nil || coding != "gzip" || response.ContentLength != int64(len(body)) {
+		t.Errorf("%v: encoding %q, length %d of %d", err, coding, len(body), response.ContentLength)
 	}
 	return body
 }
 
-func TestLimits(t *testing.T) {
+// Watches and names of callers beyond their limits are rejected.
+func TestSubscriberLimits(t *testing.T) {
 	origin := startDiscovery(t, 1)
 	config := testConfig(origin.Addr)
 	config.MaxSubscribers = 2
@@ -78,7 +84,21 @@
 	subscribe(t, address, "d2")
 	eventually(t, "two watches", func() bool { return running.Status().Watches == 2 })
 	third := subscribe(t, address, "d3")
-	eventually(t, "the third is rejected", func() bool { _, _, rejected := third.counts(); return rejected > 0 })
+	eventually(t, "the third is rejected", third.wasRejected)
+	for _, name := range []string{"d1", "d2", "d4", "d5", "d6", "d7", "d8"} {
+		getLine(t, address, "after=1&name="+name)
+	}
+	if status, _ := get(t, address, "after=1&name=d9"); status != http.StatusServiceUnavailable {
+		t.Errorf("a name beyond the limit: status %d", status)
+	}
+}
+
+// Requests with invalid parameters or another method are answered with their status.
+func TestInvalidRequests(t *testing.T) {
+	origin := startDiscovery(t, 1)
+	running, _ := startRelay(t, testConfig(origin.Addr))
+	eventually(t, "snapshot", running.hasVersion(1))
+	address := running.Addr().String()
 	for query, want := range map[string]int{
 		"after=x":          http.StatusBadRequest,
 		"after=-1":         http.StatusBadRequest,
@@ -96,12 +116,39 @@
 		t.Errorf("POST: %v %v", response, err)
 	}
 	response.Body.Close()
-	for _, name := range []string{"d1", "d2", "d4", "d5", "d6", "d7", "d8"} {
-		getLine(t, address, "after=1&name="+name)
+}
+
+// fetcher is a caller that accepts gzip, at version 1.
+type fetcher struct {
+	t       *testing.T
+	address string // of the relay
+}
+
+// call makes a single call.
+func (f fetcher) call() *http.Response {
+	f.t.Helper()
+	request, err := http.NewRequest(http.MethodGet, "http://"+f.address+"/v1/servers?after=1&name=fetches", nil)
+	if err != nil {
+		f.t.Fatal(err)
 	}
-	if status, _ := get(t, address, "after=1&name=d9"); status != http.StatusServiceUnavailable {
-		t.Errorf("a name beyond the limit: status %d", status)
+	request.Header.Set("Accept-Encoding", "gzip")
+	response, err := http.DefaultClient.Do(request)
+	if err != nil {
+		f.t.Fatal(err)
 	}
+	f.t.Cleanup(func() { response.Body.Close() })
+	return response
+}
+
+// watch opens a watch.
+func (f fetcher) watch() *bufio.Reader {
+	f.t.Helper()
+	response, err := http.Get("http://" + f.address + "/v1/servers?watch=1&after=1&name=fetches")
+	if err != nil || response.StatusCode != http.StatusOK {
+		f.t.Fatalf("%v, %v", response, err)
+	}
+	f.t.Cleanup(func() { response.Body.Close() })
+	return bufio.NewReader(response.Body)
 }
 
 // A long delta is fetched: the watch of a caller that accepts gzip is ended, once
@@ -111,31 +158,12 @@
 	upstream := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(1, true, workerJSON("first", "ready")))
 	running, _ := startRelay(t, testConfig(upstream.address()))
 	withoutGzip := subscribe(t, running.Addr().String(), "plain")
-	eventually(t, "the first snapshot", func() bool { return withoutGzip.hasVersion(1) })
-	call := func() *http.Response {
-		t.Helper()
-		request, _ := http.NewRequest(http.MethodGet, "http://"+running.Addr().String()+"/v1/servers?after=1&name=fetches", nil)
-		request.Header.Set("Accept-Encoding", "gzip")
-		response, err := http.DefaultClient.Do(request)
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { response.Body.Close() })
-		return response
-	}
-	if coding := call().Header.Get("Content-Encoding"); coding != "" {
+	eventually(t, "the first snapshot", withoutGzip.hasVersion(1))
+	caller := fetcher{t, running.Addr().String()}
+	if coding := caller.call().Header.Get("Content-Encoding"); coding != "" {
 		t.Errorf("an empty delta is encoded: %q", coding)
 	}
-	watch := func() *bufio.Reader {
-		t.Helper()
-		response, err := http.Get("http://" + running.Addr().String() + "/v1/servers?watch=1&after=1&name=fetches")
-		if err != nil || response.StatusCode != http.StatusOK {
-			t.Fatalf("%v, %v", response, err)
-		}
-		t.Cleanup(func() { response.Body.Close() })
-		return bufio.NewReader(response.Body)
-	}
-	before := watch()
+	before := caller.watch()
 	if line, err := before.ReadString('\n'); err != nil || !strings.Contains(line, `"seq":1`) {
 		t.Fatalf("%q, %v", line, err)
 	}
@@ -143,25 +171,26 @@
 	for i := range workers {
 		workers[i] = workerJSON(fmt.Sprintf("s-%d", i), "ready")
 	}
-	up := upstream.awaitWatch()
-	up.sendLine(changeJSON(2, false, workers...))
+	upstream.awaitWatch().sendLine(changeJSON(2, false, workers...))
 	if rest, err := io.ReadAll(before); err != nil || len(bytes.TrimSpace(rest)) > 0 {
 		t.Errorf("the watch does not end completely: %q, %v", rest, err)
 	}
-	answer := call()
-	unpacked, err := gzip.NewReader(answer.Body)
+	answer := caller.call()
+	uncompressed, err := gzip.NewReader(answer.Body)
 	if err != nil || answer.ContentLength > maxPushedBytes/2 {
 		t.Fatalf("%v, %d bytes", err, answer.ContentLength)
 	}
 	var line testLine
-	if err := json.NewDecoder(unpacked).Decode(&line); err != nil || line.Version != 2 || line.Snapshot || len(line.Workers) != len(workers) {
-		t.Errorf("%v, version %d, %d workers", err, line.Version, len(line.Workers))
+	err = json.NewDecoder(uncompressed).Decode(&line)
+	if err != nil || line.Version != 2 || line.Snapshot || len(line.Workers) != len(workers) {
+		t.Errorf("%v, version %d, %d workers; want a delta of version 2 with %d",
+			err, line.Version, len(line.Workers), len(workers))
 	}
-	text, err := watch().ReadString('\n') // it was made to fetch this version once, and watches again
+	text, err := caller.watch().ReadString('\n') // it was made to fetch this version once, and watches again
 	if err != nil || !strings.Contains(text, `"s-199"`) {
 		t.Errorf("%.40q, %v", text, err)
 	}
-	eventually(t, "the delta on a watch", func() bool { return withoutGzip.hasVersion(2) })
+	eventually(t, "the delta on a watch", withoutGzip.hasVersion(2))
 	if _, opened, _ := withoutGzip.counts(); opened != 1 {
 		t.Errorf("%d watches of a caller that does not accept gzip", opened)
 	}
@@ -174,12 +203,13 @@
 	for i := range workers {
 		workers[i] = workerJSON(fmt.Sprintf("s-%d", i), "ready")
 	}
-	upstream := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(1, true, workers...)) // 500 KB: compressed, too, over a minute's budget
+	snapshot := changeJSON(1, true, workers...) // 500 KB: compressed, too, over a minute's budget
+	upstream := startScriptedUpstream(t, "127.0.0.1:0", snapshot)
 	config := testConfig(upstream.address())
 	config.BytesPerS = 100
 	running, _ := startRelay(t, config)
 	client := subscribe(t, running.Addr().String(), "d1")
-	eventually(t, "snapshot", func() bool { return client.hasVersion(1) })
+	eventually(t, "snapshot", client.hasVersion(1))
 	getLine(t, running.Addr().String(), "after=0&name=polls")
 	eventually(t, "its budget is exhausted", func() bool { return running.Status().SentSnapshots == 2 })
 	upstreamWatch := upstream.awaitWatch()
@@ -187,12 +217,13 @@
 	upstreamWatch.sendLine(changeJSON(2, false, workerJSON("new", "ready")))
 	eventually(t, "a change that waits", running.hasVersion(2))
 	for _, name := range []string{"d1", "polls"} {
-		if line := getLine(t, running.Addr().String(), "after=1&name="+name); line.Version != 1 || line.Snapshot || len(line.Workers) != 0 {
+		line := getLine(t, running.Addr().String(), "after=1&name="+name)
+		if line.Version != 1 || line.Snapshot || len(line.Workers) != 0 {
 			t.Errorf("a single call of %s bypassed the rate limit: %+v", name, line)
 		}
 	}
 	upstreamWatch.sendLine(changeJSON(3, false, workerJSON("s-7", "draining")))
-	eventually(t, "the draining worker", func() bool { return client.hasVersion(3) })
+	eventually(t, "the draining worker", client.hasVersion(3))
 	if seen := client.seenVersions(); !slices.Equal(seen, []int64{1, 3}) {
 		t.Errorf("versions seen: %v", seen)
 	}
@@ -215,10 +246,13 @@
 		origin.Set(readyWorker(fmt.Sprintf("s-new-%d", i)))
 		eventually(t, "change", running.hasVersion(membership.Version(i+2)))
 	}
-	if line := getLine(t, running.Addr().String(), "after=1&name=d1"); !line.Snapshot || line.Version != 31 || len(line.Workers) != 50 {
-		t.Errorf("snapshot %v, version %d, %d workers", line.Snapshot, line.Version, len(line.Workers))
+	line := getLine(t, running.Addr().String(), "after=1&name=d1")
+	if !line.Snapshot || line.Version != 31 || len(line.Workers) != 50 {
+		t.Errorf("since 1: snapshot %v, version %d, %d workers; want a snapshot of version 31 with 50",
+			line.Snapshot, line.Version, len(line.Workers))
 	}
-	if line := getLine(t, running.Addr().String(), "after=29&name=d1"); line.Snapshot || len(line.Workers) != 2 {
-		t.Errorf("snapshot %v, %d workers", line.Snapshot, len(line.Workers))
+	line = getLine(t, running.Addr().String(), "after=29&name=d1")
+	if line.Snapshot || len(line.Workers) != 2 {
+		t.Errorf("since 29: snapshot %v, %d workers; want a delta of 2", line.Snapshot, len(line.Workers))
 	}
 }
