--- a/cmd/membership-relay/bench_test.go
+++ b/cmd/membership-relay/bench_test.go
@@ -22,15 +22,29 @@
 	}
 }
 
-func benchmarkRelay(b *testing.B, subscribers int) {
-	const workers = 21_000
-	hosts := make([]standin.Host, workers)
-	for i := range hosts {
-		hosts[i] = standin.Host{Host: fmt.Sprintf("s-%08x", i*0x9e3779b1), Dial: fmt.Sprintf("10.%d.%d.1:8080", i/250, i%250),
-			Site: "a", Class: "m2", Block: i / 40, Health: "ready", Share: 1, BornMs: 1_700_000_000_000 + int64(i)*977}
+// benchmarkWorkers returns a list of the size of the fleet, whose names sort in another order.
+func benchmarkWorkers() []standin.Host {
+	workers := make([]standin.Host, 21_000)
+	for i := range workers {
+		workers[i] = standin.Host{
+			Host:   fmt.Sprintf("s-%08x", i*0x9e3779b1),
+			Dial:   fmt.Sprintf("10.%d.%d.1:8080", i/250, i%250),
+			Site:   "a",
+			Class:  "m2",
+			Block:  i / 40,
+			Health: "ready",
+			Share:  1,
+			BornMs: 1_700_000_000_000 + int64(i)*977,
+		}
 	}
+	return workers
+}
+
+// benchmarkRelay measures a relay with a number of subscribers.
+func benchmarkRelay(b *testing.B, subscribers int) {
+	workers := benchmarkWorkers()
 	origin := startDiscovery(b)
-	origin.Set(hosts...)
+	origin.Set(workers...)
 	p := startRelay(b, optionsText(origin.Addr))
 	eventually(b, "snapshot", func() bool { return p.status().Version == 1 })
 	arrived := make(chan struct{}, subscribers)
@@ -41,8 +55,8 @@
 	used := processCPUTime(b, p.command.Process.Pid)
 	b.ResetTimer()
 	for i := range b.N {
-		hosts[0].BornMs = int64(i)
-		origin.Set(hosts[0])
+		workers[0].BornMs = int64(i)
+		origin.Set(workers[0])
 		for range subscribers {
 			<-arrived
 		}
@@ -91,9 +105,13 @@
 	}
 	_, rest, _ := strings.Cut(string(text), ") ") // after the name
 	fields := strings.Fields(rest)
-	const user, system, tick = 11, 12, 10 * time.Millisecond
+	const (
+		userField   = 11 // of the fields after the name, see proc_pid_stat(5)
+		systemField = 12
+		tick        = 10 * time.Millisecond
+	)
 	ticks := 0
-	for _, field := range []int{user, system} {
+	for _, field := range []int{userField, systemField} {
 		n, err := strconv.Atoi(fields[field])
 		if err != nil {
 			b.Fatal(err)
@@ -110,9 +128,9 @@
 		b.Skip(err)
 	}
 	_, rest, _ := strings.Cut(string(text), "VmHWM:")
-	kilobytes, err := strconv.ParseFloat(strings.Fields(rest)[0], 64)
+	kibibytes, err := strconv.ParseFloat(strings.Fields(rest)[0], 64)
 	if err != nil {
 		b.Fatal(err)
 	}
-	return kilobytes * 1024
+	return kibibytes * 1024
 }
--- a/cmd/membership-relay/main_test.go
+++ b/cmd/membership-relay/main_test.go
@@ -24,6 +24,7 @@
 // runAsRelayVariable is the environment variable that makes the test binary run as the relay.
 const runAsRelayVariable = "HOLLYYOKE_TEST_AS_RELAY"
 
+// TestMain runs the relay in place of the tests where runAsRelayVariable is set.
 func TestMain(m *testing.M) {
 	if os.Getenv(runAsRelayVariable) != "" {
 		main()
@@ -35,12 +36,15 @@
 // testTimeout is how long a condition may take. It is generous, since the machine may be loaded.
 const testTimeout = 60 * time.Second
 
+// eventually waits for a condition.
 func eventually(t testing.TB, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(5 * time.Millisecond) {
+	end := time.Now().Add(testTimeout)
+	for !condition() {
 		if time.Now().After(end) {
 			t.Fatalf("not in time: %s", what)
 		}
+		time.Sleep(5 * time.Millisecond)
 	}
 }
 
@@ -50,22 +54,27 @@
 	command *exec.Cmd
 	options string // path of its options file
 	address string
-	admin   string
+	admin   string // address of its admin API
 	log     childprocess.Output
 }
 
+// optionsText returns an options file with upstreams and free ports.
 func optionsText(upstreams ...string) string {
-	list, _ := json.Marshal(upstreams)
-	return fmt.Sprintf("[relay]\nname = \"relay-a\"\nlisten = \"127.0.0.1:0\"\nadmin_addr = \"127.0.0.1:0\"\nupstreams = %s\n", list)
+	list, _ := json.Marshal(upstreams) // strings always marshal
+	return fmt.Sprintf(`[relay]
+name = "relay-a"
+listen = "127.0.0.1:0"
+admin_addr = "127.0.0.1:0"
+upstreams = %s
+`, list)
 }
 
-// startRelay starts a relay and waits until it listens.
-func startRelay(t testing.TB, text string) *relayProcess {
+// startRelay starts a relay with an options file and waits until it listens.
+func startRelay(t testing.TB, options string) *relayProcess {
 	t.Helper()
 	p := &relayProcess{t: t, options: filepath.Join(t.TempDir(), "relay.toml")}
-	p.writeOptions(text)
-	p.command = exec.Command(os.Args[0], "--operator", p.options)
-	p.command.Env = append(os.Environ(), runAsRelayVariable+"=1")
+	p.writeOptions(options)
+	p.command = relayCommand("--operator", p.options)
 	p.command.Stderr = &p.log
 	out, err := p.command.StdoutPipe()
 	if err != nil {
@@ -74,20 +83,33 @@
 	if err := p.command.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { p.command.Process.Kill(); p.command.Wait() })
+	t.Cleanup(func() {
+		p.command.Process.Kill()
+		p.command.Wait()
+	})
 	lines := bufio.NewScanner(out)
-	for _, field := range []struct {
-		prefix string
-		into   *string
-	}{{"listening on ", &p.address}, {"admin API on ", &p.admin}} {
-		if !lines.Scan() {
-			t.Fatalf("no line %q: %s", field.prefix, &p.log)
-		}
-		*field.into = strings.TrimPrefix(lines.Text(), field.prefix)
-	}
+	p.address = p.readAddress(lines, "listening on ")
+	p.admin = p.readAddress(lines, "admin API on ")
 	return p
 }
 
+// relayCommand returns a command that runs the relay in a process of its own.
+func relayCommand(args ...string) *exec.Cmd {
+	command := exec.Command(os.Args[0], args...)
+	command.Env = append(os.Environ(), runAsRelayVariable+"=1")
+	return command
+}
+
+// readAddress returns the address on the next line of output, after a prefix.
+func (p *relayProcess) readAddress(lines *bufio.Scanner, prefix string) string {
+	p.t.Helper()
+	if !lines.Scan() {
+		p.t.Fatalf("no line %q: %s", prefix, &p.log)
+	}
+	return strings.TrimPrefix(lines.Text(), prefix)
+}
+
+// writeOptions replaces the options file.
 func (p *relayProcess) writeOptions(text string) {
 	if err := os.WriteFile(p.options, []byte(text), 0o600); err != nil {
 		p.t.Fatal(err)
@@ -108,17 +130,18 @@
 	return status
 }
 
+// startDiscovery starts a stand-in of discovery that lists workers, one version after the other.
 func startDiscovery(t testing.TB, workers ...string) *standin.Discovery {
 	t.Helper()
-	d, err := standin.StartDiscovery(nil)
+	discovery, err := standin.StartDiscovery(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { d.Close() })
-	for _, host := range workers {
-		d.Set(standin.Host{Host: host, Dial: "10.0.0.1:80", Site: "a", Class: "m2", Health: "ready"})
+	t.Cleanup(func() { discovery.Close() })
+	for _, name := range workers {
+		discovery.Set(standin.Host{Host: name, Dial: "10.0.0.1:80", Site: "a", Class: "m2", Health: "ready"})
 	}
-	return d
+	return discovery
 }
 
 // SIGTERM ends watches with a complete response, and the process with exit code 0.
@@ -145,20 +168,23 @@
 
 // SIGHUP reloads the upstreams; an invalid file changes nothing.
 func TestHangupReloadsUpstreams(t *testing.T) {
-	a, b := startDiscovery(t, "x"), startDiscovery(t, "x", "y")
-	p := startRelay(t, optionsText(a.Addr))
-	eventually(t, "first upstream", func() bool { return p.status().Upstream == a.Addr })
-	p.writeOptions(optionsText(b.Addr) + "batch = 3\n")
+	first := startDiscovery(t, "x")
+	second := startDiscovery(t, "x", "y")
+	p := startRelay(t, optionsText(first.Addr))
+	eventually(t, "first upstream", func() bool { return p.status().Upstream == first.Addr })
+	p.writeOptions(optionsText(second.Addr) + "batch = 3\n")
 	p.command.Process.Signal(syscall.SIGHUP)
-	eventually(t, "line in the log", func() bool { return strings.Contains(p.log.String(), "relay.batch: unknown key") })
-	if status := p.status(); status.Upstream != a.Addr || status.Version != 1 {
+	eventually(t, "line in the log", func() bool {
+		return strings.Contains(p.log.String(), "relay.batch: unknown key")
+	})
+	if status := p.status(); status.Upstream != first.Addr || status.Version != 1 {
 		t.Errorf("after an invalid file: %+v", status)
 	}
-	p.writeOptions(optionsText(b.Addr))
+	p.writeOptions(optionsText(second.Addr))
 	p.command.Process.Signal(syscall.SIGHUP)
 	eventually(t, "other upstream", func() bool {
 		status := p.status()
-		return status.Upstream == b.Addr && status.Version == 2
+		return status.Upstream == second.Addr && status.Version == 2
 	})
 }
 
@@ -169,22 +195,23 @@
 		t.Fatal(err)
 	}
 	for _, args := range [][]string{{"check", "--operator", path}, {"--operator", path}} {
-		run := exec.Command(os.Args[0], args...)
-		run.Env = append(os.Environ(), runAsRelayVariable+"=1")
-		out, err := run.CombinedOutput()
+		out, err := relayCommand(args...).CombinedOutput()
 		var exit *exec.ExitError
 		if !errors.As(err, &exit) || exit.ExitCode() != 1 {
-			t.Errorf("%v: %v", args, err)
+			t.Errorf("%v: %v, want exit code 1", args, err)
 		}
-		if text := string(out); strings.Count(text, "\n") != 1 || !strings.Contains(text, "relay.bytes_per_s: ") {
-			t.Errorf("%v: %q", args, text)
+		text := string(out)
+		if strings.Count(text, "\n") != 1 || !strings.Contains(text, "relay.bytes_per_s: ") {
+			t.Errorf("%v: %q, want one line that names the key", args, text)
 		}
 	}
 }
 
+// The subcommand check prints each option with its description.
 func TestCheckPrintsOptions(t *testing.T) {
-	var out, errs bytes.Buffer
-	if err := runCommand([]string{"check", "--operator", "../../deploy/relay.toml"}, nil, &out, &errs); err != nil {
+	var out, errorOutput bytes.Buffer
+	args := []string{"check", "--operator", "../../deploy/relay.toml"}
+	if err := runCommand(args, nil, &out, &errorOutput); err != nil {
 		t.Fatal(err)
 	}
 	if !strings.Contains(out.String(), "relay.batch_ms = 1000  # ") {
