--- a/internal/discovery/acknowledgement_test.go
+++ b/internal/discovery/acknowledgement_test.go
@@ -44,9 +44,9 @@
 	first.Close()
 	release()
 	for acknowledged := false; !acknowledged; {
-		r := testkit.Receive(t, server.requests)
-		r.answer(encodeChange(6, false))
-		acknowledged = r.query == pollQuery(6)
+		poll := testkit.Receive(t, server.requests)
+		poll.answer(encodeChange(6, false))
+		acknowledged = poll.query == pollQuery(6)
 	}
 	follower.waitForServer(server)
 	testkit.Until(t, "it is acknowledged", func() bool { return follower.stats().Acknowledged >= 2 })
--- a/internal/discovery/change.go
+++ b/internal/discovery/change.go
@@ -9,11 +9,8 @@
 	"hollyyoke.example/hollyyoke/internal/membership"
 )
 
-// settingChange is the new value of a setting in its wire form.
-type settingChange struct {
-	Key   string          `json:"key"`
-	Value json.RawMessage `json:"value"`
-}
+// settingChange is the new value of a setting in its wire form. Errors of encoding/json contain the name of this type.
+type settingChange membership.Setting
 
 // membershipChange is one object of a membership server: a snapshot or a delta.
 type membershipChange struct {
--- a/internal/discovery/discoveryserver_test.go
+++ b/internal/discovery/discoveryserver_test.go
@@ -101,15 +101,15 @@
 // listenForCalls starts a stand-in for discovery, which answers no call by itself.
 func listenForCalls(t *testing.T) (addr string, calls chan discoveryCall) {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	calls = make(chan discoveryCall, 100)
-	t.Cleanup(func() { ln.Close() })
+	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
-			conn, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -122,5 +122,5 @@
 			}()
 		}
 	}()
-	return ln.Addr().String(), calls
+	return listener.Addr().String(), calls
 }
--- a/internal/discovery/follower_test.go
+++ b/internal/discovery/follower_test.go
@@ -122,11 +122,13 @@
 func orderOfPolls(t *testing.T, one, two *testServer) (first, last *testServer) {
 	t.Helper()
 	var poll request
-	first, last = one, two
 	select {
 	case poll = <-one.requests:
+		first = one
+		last = two
 	case poll = <-two.requests:
-		first, last = two, one
+		first = two
+		last = one
 	case <-time.After(testkit.Patience):
 		t.Fatal("no server is polled")
 	}
@@ -163,10 +165,10 @@
 	follower.loadInitial(`{"seq":40,"settings":[],"hosts":[{"host":"k","dial":"127.0.0.1:9","health":"ready"}]}`)
 	for range 2 {
 		select {
-		case r := <-one.requests:
-			r.answer(encodeChange(39, true, "old=ready"))
-		case r := <-two.requests:
-			r.answer(encodeChange(41, false, "n=ready"))
+		case poll := <-one.requests:
+			poll.answer(encodeChange(39, true, "old=ready"))
+		case poll := <-two.requests:
+			poll.answer(encodeChange(41, false, "n=ready"))
 			two.expectRequest(watchQuery(41)).openWatch()
 			follower.waitForVersion(41, "k=ready n=ready")
 			follower.waitForServer(two)
--- a/internal/discovery/httpconn.go
+++ b/internal/discovery/httpconn.go
@@ -49,13 +49,7 @@
 
 // get sends a GET request, on the connection that is open or on a new one.
 func (h *httpConn) get(target string) {
-	h.request = append(h.request[:0], "GET "...)
-	h.request = append(h.request, target...)
-	h.request = append(h.request, " HTTP/1.1\r\nHost: "...)
-	h.request = append(h.request, h.address...)
-	h.request = append(h.request, "\r\n"...)
-	h.request = append(h.request, h.headerFields...)
-	h.request = append(h.request, "\r\n"...)
+	h.request = appendGetRequest(h.request[:0], h.address, target, h.headerFields)
 	h.awaitingResponse = true
 	if h.conn != nil {
 		h.send()
@@ -64,6 +58,17 @@
 	h.dial()
 }
 
+// appendGetRequest appends a GET request with additional header fields, each ended by CRLF.
+func appendGetRequest(dst []byte, address, target, headerFields string) []byte {
+	dst = append(dst, "GET "...)
+	dst = append(dst, target...)
+	dst = append(dst, " HTTP/1.1\r\nHost: "...)
+	dst = append(dst, address...)
+	dst = append(dst, "\r\n"...)
+	dst = append(dst, headerFields...)
+	return append(dst, "\r\n"...)
+}
+
 // dial opens a connection and sends the request on it.
 func (h *httpConn) dial() {
 	h.generation++
--- a/internal/discovery/membershipserver_test.go
+++ b/internal/discovery/membershipserver_test.go
@@ -46,19 +46,19 @@
 // newServer starts a server in the dispatcher's zone.
 func newServer(t *testing.T) *testServer {
 	t.Helper()
-	ln, err := net.Listen("tcp", loopbackHost+":0")
+	listener, err := net.Listen("tcp", loopbackHost+":0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := &testServer{
 		t:        t,
 		zone:     localZone,
-		addr:     ln.Addr().String(),
-		listener: ln,
+		addr:     listener.Addr().String(),
+		listener: listener,
 		requests: make(chan request, 1000),
 	}
 	t.Cleanup(s.stop)
-	go s.accept(ln)
+	go s.accept(listener)
 	return s
 }
 
@@ -71,9 +71,9 @@
 }
 
 // accept serves the connections of a listener until it is closed.
-func (s *testServer) accept(ln net.Listener) {
+func (s *testServer) accept(listener net.Listener) {
 	for {
-		conn, err := ln.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
@@ -110,12 +110,12 @@
 // restart listens again on the same address.
 func (s *testServer) restart() {
 	s.t.Helper()
-	ln, err := net.Listen("tcp", s.addr)
+	listener, err := net.Listen("tcp", s.addr)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.listener = ln
-	go s.accept(ln)
+	s.listener = listener
+	go s.accept(listener)
 }
 
 // expectRequest waits for the next request and checks its query. All but watches must accept gzip.
--- a/internal/discovery/testfollower_test.go
+++ b/internal/discovery/testfollower_test.go
@@ -106,8 +106,10 @@
 func (f *testFollower) waitForVersion(version membership.Version, workers string) {
 	f.t.Helper()
 	testkit.Until(f.t, fmt.Sprintf("version %d is in force", version), func() bool { return f.version() >= version })
-	if got, now := f.workers(), f.version(); now != version || got != workers {
-		f.t.Fatalf("version %d: %s; want %d: %s", now, got, version, workers)
+	gotWorkers := f.workers()
+	gotVersion := f.version()
+	if gotVersion != version || gotWorkers != workers {
+		f.t.Fatalf("version %d: %s; want %d: %s", gotVersion, gotWorkers, version, workers)
 	}
 }
 
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -118,8 +118,8 @@
 
 // sendRequest asks for the changes after the version reached.
 func (w *watch) sendRequest() {
-	request := []byte("GET /v1/servers?watch=1&after=" + strconv.FormatInt(w.version, 10) +
-		" HTTP/1.1\r\nHost: " + w.address + "\r\n\r\n")
+	target := "/v1/servers?watch=1&after=" + strconv.FormatInt(w.version, 10)
+	request := appendGetRequest(nil, w.address, target, "")
 	w.registry.stats.BytesWritten += int64(len(request))
 	w.conn.Write(request)
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -113,10 +113,13 @@
 		return registry.watch.version == 4
 	})
 	rig.Do(func() {
-		removed, draining, running := registry.workers["s-0"], registry.workers["s-1"], registry.workers["s-2"]
-		if n := len(registry.workers); n != workers-1 || removed != nil ||
-			draining.State != decision.Draining || running.State != decision.Running {
-			t.Errorf("indent %q in pieces of %d: %d workers", indent, chunkSize, n)
+		if listed := len(registry.workers); listed != workers-1 || registry.workers["s-0"] != nil {
+			t.Errorf("indent %q in pieces of %d: %d workers, want %d without s-0", indent, chunkSize, listed, workers-1)
+		}
+		draining := registry.workers["s-1"].State
+		running := registry.workers["s-2"].State
+		if draining != decision.Draining || running != decision.Running {
+			t.Errorf("indent %q in pieces of %d: s-1 %v, s-2 %v", indent, chunkSize, draining, running)
 		}
 	})
 }
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -73,6 +73,7 @@
 	},
 }
 
+// What a list may be used for follows from the time and from how the calls to its source have ended.
 func TestKnowledge(t *testing.T) {
 	for name, steps := range knowledgeScenarios {
 		t.Run(name, func(t *testing.T) {
--- a/internal/membership/acktracker_test.go
+++ b/internal/membership/acktracker_test.go
@@ -11,6 +11,7 @@
 
 const ackExpiry = 90 * time.Second
 
+// Subscribers are counted by version, and those below a relay by its version.
 func TestAckTrackerSummary(t *testing.T) {
 	tracker := NewAckTracker(ackExpiry)
 	tracker.Acknowledge(0, "d1", 5, 1)
--- a/internal/membership/backfill_test.go
+++ b/internal/membership/backfill_test.go
@@ -54,6 +54,8 @@
 	}
 }
 
+// A delta that does not bring everything since before the snapshot is rejected, and so is any where the state is
+// not that of a snapshot.
 func TestBackfillRejects(t *testing.T) {
 	records := []Record{workerRecord("h1", HealthDraining, 0)}
 	for name, change := range map[string]Change{
--- a/internal/membership/failover_test.go
+++ b/internal/membership/failover_test.go
@@ -19,6 +19,7 @@
 	}
 }
 
+// A server that has worked for a while is left only when it fails, and the next one is called at once.
 func TestFailoverKeepsAWorkingServer(t *testing.T) {
 	failover := NewFailover([]string{"a", "b"}, 1)
 	failover.MarkFailed(0)
@@ -83,6 +84,7 @@
 	}
 }
 
+// The current server is kept if it is listed again; otherwise the first one is called at once.
 func TestFailoverReplace(t *testing.T) {
 	failover := NewFailover([]string{"a", "b"}, 1)
 	failover.MarkFailed(0)
--- a/internal/membership/parse.go
+++ b/internal/membership/parse.go
@@ -90,7 +90,7 @@
 // parseSetting checks the form of a setting. Its value is checked by the
 // subscriber that applies it.
 func parseSetting(raw json.RawMessage) (Record, error) {
-	var setting wireSetting
+	var setting Setting
 	if err := json.Unmarshal(raw, &setting); err != nil {
 		return Record{}, err
 	}
--- a/internal/membership/store_test.go
+++ b/internal/membership/store_test.go
@@ -143,6 +143,7 @@
 	expectSince(t, store, 0, "snapshot 3 a=1")
 }
 
+// A delta has the newest record of each key alone, in the order of the changes.
 func TestSinceCoalesces(t *testing.T) {
 	store := storeWith(t, 10, snapshot(1, "a=1", "b=1", "c=1"),
 		delta(2, 1, "c=2"), delta(3, 2, "a=2"), delta(5, 3, "c=3", "b=null"))
@@ -216,6 +217,7 @@
 	}
 }
 
+// A record in a snapshot that is marked as deleted counts as one that the snapshot lacks.
 func TestDeletionsInASnapshotAreNotStored(t *testing.T) {
 	store := storeWith(t, 10, snapshot(1, "a=1"), snapshot(2, "a=null", "b=null"))
 	expectState(t, store, 2, 2, "")
@@ -232,6 +234,7 @@
 	expectSince(t, store, 2, "exact delta 3 a=1")
 }
 
+// A store skips a rejected delta, says what is missing, and is complete again once that has come.
 func TestRejectedDeltaIsSkipped(t *testing.T) {
 	store := storeWith(t, 10, snapshot(1, "a=1", "b=1"))
 	store.Reject(2)
@@ -368,6 +371,7 @@
 	}
 }
 
+// Get returns the records in the state, and not those that were deleted.
 func TestGet(t *testing.T) {
 	store := storeWith(t, 3, snapshot(1, "a=1", "b=1"), delta(2, 1, "b=null"))
 	if r, ok := store.Get("setting/a"); !ok || string(r.Value) != "1" {
@@ -380,6 +384,7 @@
 	}
 }
 
+// The number of allocations does not grow with the state.
 func TestSinceCostIsProportionalToTheChanges(t *testing.T) {
 	for _, size := range benchmarkSizes {
 		store := storeWith(t, size, fleetSnapshot(1, size),
--- a/internal/membership/subscribers_test.go
+++ b/internal/membership/subscribers_test.go
@@ -28,6 +28,7 @@
 	s.Sent(now, id, bytes)
 }
 
+// The first line waits for the limiter only if it is a delta.
 func TestFirstLineIsDueAtOnce(t *testing.T) {
 	subscribers := testSubscribers()
 	subscribers.Changed(7, false)
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -31,10 +31,10 @@
 	StartedAtMs float64 `json:"born_ms"` // when the worker started; 0: unknown
 }
 
-// wireSetting is the new value of a setting in its wire form.
-type wireSetting struct {
-	Key   string          `json:"key"`
-	Value json.RawMessage `json:"value"`
+// Setting is the new value of a setting in its wire form.
+type Setting struct {
+	Key   string          `json:"key"`   // the setting's path
+	Value json.RawMessage `json:"value"` // null: the initial value holds again
 }
 
 // The values of Endpoint.Health.
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -25,6 +25,7 @@
 upstreams = ["127.0.0.1:1"]
 `
 
+// Options that the file lacks have their defaults.
 func TestLoadFillsInDefaults(t *testing.T) {
 	config, err := Load(writeOptions(t, validOptions+"batch_ms = 70\n"))
 	if err != nil {
@@ -36,6 +37,7 @@
 	}
 }
 
+// An error is one line that begins with the key that is wrong.
 func TestLoadNamesTheKey(t *testing.T) {
 	for _, test := range []struct{ text, want string }{
 		{validOptions + "burst = 3\n", "relay.burst: unknown key"},
--- a/internal/relay/failover_test.go
+++ b/internal/relay/failover_test.go
@@ -75,20 +75,20 @@
 
 // An upstream that restarts with an older version is skipped.
 func TestUpstreamWithAnOlderVersionIsSkipped(t *testing.T) {
-	a := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(5, true, workerJSON("x", "ready")))
-	b := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(6, false, workerJSON("x", "draining")))
-	running, _ := startRelay(t, testConfig(a.address(), b.address()))
+	first := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(5, true, workerJSON("x", "ready")))
+	second := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(6, false, workerJSON("x", "draining")))
+	running, _ := startRelay(t, testConfig(first.address(), second.address()))
 	client := subscribe(t, running.Addr().String(), "d1")
 	eventually(t, "version 5", client.hasVersion(5))
-	upstreamWatch := a.awaitWatch()
-	a.setAnswer(func(url.Values) string { return changeJSON(3, true, workerJSON("old", "ready")) })
-	b.setAnswer(func(url.Values) string { return changeJSON(4, true, workerJSON("old", "ready")) })
+	upstreamWatch := first.awaitWatch()
+	first.setAnswer(func(url.Values) string { return changeJSON(3, true, workerJSON("old", "ready")) })
+	second.setAnswer(func(url.Values) string { return changeJSON(4, true, workerJSON("old", "ready")) })
 	reset(upstreamWatch.conn)
-	eventually(t, "both are called", func() bool { return len(a.singleCalls()) > 1 && len(b.singleCalls()) > 1 })
+	eventually(t, "both are called", func() bool { return len(first.singleCalls()) > 1 && len(second.singleCalls()) > 1 })
 	if status := running.Status(); status.Version != 5 {
 		t.Errorf("version %d", status.Version)
 	}
-	b.setAnswer(func(url.Values) string { return changeJSON(6, false, workerJSON("x", "draining")) })
+	second.setAnswer(func(url.Values) string { return changeJSON(6, false, workerJSON("x", "draining")) })
 	eventually(t, "version 6", client.hasVersion(6))
 	if seen := client.seenVersions(); !slices.Equal(seen, []int64{5, 6}) {
 		t.Errorf("versions seen: %v", seen)
@@ -271,22 +271,22 @@
 
 // An invalid list of upstreams changes nothing; a valid one is followed.
 func TestSetUpstreams(t *testing.T) {
-	a := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(1, true, workerJSON("x", "ready")))
-	b := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(2, false, workerJSON("x", "draining")))
-	running, _ := startRelay(t, testConfig(a.address()))
+	first := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(1, true, workerJSON("x", "ready")))
+	second := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(2, false, workerJSON("x", "draining")))
+	running, _ := startRelay(t, testConfig(first.address()))
 	client := subscribe(t, running.Addr().String(), "d1")
 	eventually(t, "snapshot", client.hasVersion(1))
-	err := running.SetUpstreams([]string{b.address(), "nowhere"})
+	err := running.SetUpstreams([]string{second.address(), "nowhere"})
 	if err == nil || !strings.HasPrefix(err.Error(), "upstreams[1]: ") {
 		t.Errorf("an invalid list: %v", err)
 	}
-	eventually(t, "the first upstream", func() bool { return running.Status().Upstream == a.address() })
-	if err := running.SetUpstreams([]string{b.address()}); err != nil {
+	eventually(t, "the first upstream", func() bool { return running.Status().Upstream == first.address() })
+	if err := running.SetUpstreams([]string{second.address()}); err != nil {
 		t.Fatal(err)
 	}
 	hasVersion2 := client.hasVersion(2)
 	eventually(t, "the other upstream", func() bool {
-		return hasVersion2() && running.Status().Upstream == b.address()
+		return hasVersion2() && running.Status().Upstream == second.address()
 	})
 }
 
@@ -345,12 +345,12 @@
 
 // An upstream that is silent for 3 s is left for the next one.
 func TestSilentUpstreamIsLeft(t *testing.T) {
-	a := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(1, true, workerJSON("x", "ready")))
-	b := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(2, false, workerJSON("x", "draining")))
-	running, _ := startRelay(t, testConfig(a.address(), b.address()))
+	first := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(1, true, workerJSON("x", "ready")))
+	second := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(2, false, workerJSON("x", "draining")))
+	running, _ := startRelay(t, testConfig(first.address(), second.address()))
 	client := subscribe(t, running.Addr().String(), "d1")
 	eventually(t, "snapshot", client.hasVersion(1))
-	a.awaitWatch() // on which nothing is sent
+	first.awaitWatch() // on which nothing is sent
 	eventually(t, "the other upstream", client.hasVersion(2))
 }
 
