--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -70,8 +70,8 @@
 		records := fleetSnapshot(1, size).Records
 		for i := 0; b.Loop(); i++ {
 			worker := i % size
-			change := Change{Version: store.Version() + 1, Records: records[worker : worker+1]}
-			if outcome, _ := store.Apply(change); outcome != Applied {
+			outcome, _ := store.Apply(Change{Version: store.Version() + 1, Records: records[worker : worker+1]})
+			if outcome != Applied {
 				b.Fatal(outcome)
 			}
 		}
