--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -13,11 +13,12 @@
 func fleetSnapshot(version Version, size int) Change {
 	snapshot := Change{Version: version, Snapshot: true}
 	for i := range size {
-		snapshot.Records = append(snapshot.Records, workerRecord(fmt.Sprintf("w-%06x", i), healthReady, 0))
+		snapshot.Records = append(snapshot.Records, workerRecord(fmt.Sprintf("w-%06x", i), HealthReady, 0))
 	}
 	return snapshot
 }
 
+// benchmarkBySize runs a benchmark for each of benchmarkSizes.
 func benchmarkBySize(b *testing.B, run func(b *testing.B, size int)) {
 	for _, size := range benchmarkSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -51,7 +52,7 @@
 }
 
 func BenchmarkParseDelta(b *testing.B) {
-	change := Change{Version: 2, Records: []Record{workerRecord("w-1", healthDraining, 0)}}
+	change := Change{Version: 2, Records: []Record{workerRecord("w-1", HealthDraining, 0)}}
 	line := change.Append(nil)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -68,8 +69,9 @@
 		store.Apply(fleetSnapshot(1, size))
 		records := fleetSnapshot(1, size).Records
 		for i := 0; b.Loop(); i++ {
-			at := i % size
-			if outcome, _ := store.Apply(Change{Version: store.Version() + 1, Records: records[at : at+1]}); outcome != Applied {
+			worker := i % size
+			outcome, _ := store.Apply(Change{Version: store.Version() + 1, Records: records[worker : worker+1]})
+			if outcome != Applied {
 				b.Fatal(outcome)
 			}
 		}
@@ -94,7 +96,7 @@
 	benchmarkBySize(b, func(b *testing.B, size int) {
 		store := NewStore(size)
 		store.Apply(fleetSnapshot(1, size))
-		store.Apply(Change{Version: 2, Records: []Record{workerRecord("w-1", healthDraining, 0)}})
+		store.Apply(Change{Version: 2, Records: []Record{workerRecord("w-1", HealthDraining, 0)}})
 		for b.Loop() {
 			if change, ok := store.Since(1); !ok || len(change.Records) != 1 {
 				b.Fatal(change, ok)
@@ -111,7 +113,7 @@
 		store.Apply(fleetSnapshot(1, size))
 		for i := range changes {
 			name := fmt.Sprintf("w-%06x", i%size)
-			store.Apply(Change{Version: store.Version() + 1, Records: []Record{workerRecord(name, healthReady, i)}})
+			store.Apply(Change{Version: store.Version() + 1, Records: []Record{workerRecord(name, HealthReady, i)}})
 		}
 		for b.Loop() {
 			if change, ok := store.Since(1); !ok || len(change.Records) != min(changes, size) {
--- a/internal/membership/parse.go
+++ b/internal/membership/parse.go
@@ -47,6 +47,7 @@
 	return change, nil
 }
 
+// check checks the versions of a line.
 func (w *wireChange) check() error {
 	switch {
 	case w.Version == nil:
@@ -59,20 +60,21 @@
 	return nil
 }
 
+// parseWorker checks a worker and returns its record.
 func parseWorker(raw json.RawMessage) (Record, error) {
-	var worker wireWorker
+	var worker Endpoint
 	if err := json.Unmarshal(raw, &worker); err != nil {
 		return Record{}, err
 	}
 	switch worker.Health {
-	case healthReady, healthDraining, healthGone:
+	case HealthReady, HealthDraining, HealthGone:
 	default:
 		return Record{}, &contentError{"health", ": unknown value " + strconv.Quote(worker.Health)}
 	}
 	if worker.Name == "" {
 		return Record{}, &contentError{"host", " is empty"}
 	}
-	if worker.Health != healthGone {
+	if worker.Health != HealthGone {
 		if err := checkAddress(worker.Address); err != nil {
 			return Record{}, &contentError{"dial", ": " + err.Error()}
 		}
@@ -80,15 +82,15 @@
 	return Record{
 		Key:     WorkerPrefix + worker.Name,
 		Value:   onOneLine(raw),
-		Deleted: worker.Health == healthGone,
-		Urgent:  worker.Health != healthReady,
+		Deleted: worker.Health == HealthGone,
+		Urgent:  worker.Health != HealthReady,
 	}, nil
 }
 
 // parseSetting checks the form of a setting. Its value is checked by the
 // subscriber that applies it.
 func parseSetting(raw json.RawMessage) (Record, error) {
-	var setting wireSetting
+	var setting Setting
 	if err := json.Unmarshal(raw, &setting); err != nil {
 		return Record{}, err
 	}
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -18,28 +18,30 @@
 	Settings    []json.RawMessage `json:"settings"`
 }
 
-// wireWorker holds the fields of a worker whose types are checked.
-type wireWorker struct {
+// Endpoint is one worker in its wire form. Fields that a sender adds to these are
+// passed on, and their types are not checked.
+type Endpoint struct {
 	Name        string  `json:"host"`
-	Address     string  `json:"dial"`
+	Address     string  `json:"dial"` // host:port
 	Zone        string  `json:"site"`
 	Kind        string  `json:"class"`
 	Cell        int     `json:"block"`
-	Health      string  `json:"health"`
+	Health      string  `json:"health"` // HealthReady, HealthDraining or HealthGone
 	Weight      float64 `json:"share"`
-	StartedAtMs float64 `json:"born_ms"`
+	StartedAtMs float64 `json:"born_ms"` // when the worker started; 0: unknown
 }
 
-type wireSetting struct {
-	Key   string          `json:"key"`
-	Value json.RawMessage `json:"value"`
+// Setting is the new value of a setting in its wire form.
+type Setting struct {
+	Key   string          `json:"key"`   // the setting's path
+	Value json.RawMessage `json:"value"` // null: the initial value holds again
 }
 
-// Values of a worker's health on the wire.
+// The values of Endpoint.Health.
 const (
-	healthReady    = "ready"
-	healthDraining = "draining"
-	healthGone     = "gone"
+	HealthReady    = "ready"
+	HealthDraining = "draining"
+	HealthGone     = "gone" // the worker was removed
 )
 
 // Append appends the change to dst as one line with its line end, and returns
@@ -75,6 +77,7 @@
 	return append(dst, "}\n"...)
 }
 
+// appendSettings appends the field that holds the settings.
 func (c Change) appendSettings(dst []byte) []byte {
 	dst = append(dst, `,"settings":[`...)
 	count := 0
@@ -94,8 +97,8 @@
 	return append(dst, ']')
 }
 
-// appendSeparator appends the comma between two elements of an array, of which
-// so many have been written.
+// appendSeparator appends the comma before the next element of an array, unless
+// it is the first one.
 func appendSeparator(dst []byte, written int) []byte {
 	if written > 0 {
 		return append(dst, ',')
@@ -103,6 +106,7 @@
 	return dst
 }
 
+// appendString appends a string in its JSON form.
 func appendString(dst []byte, text string) []byte {
 	quoted, _ := json.Marshal(text) // a string always marshals
 	return append(dst, quoted...)
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -8,6 +8,7 @@
 	"testing"
 )
 
+// writeOptions writes an options file and returns its path.
 func writeOptions(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "relay.toml")
@@ -17,12 +18,14 @@
 	return path
 }
 
+// validOptions has all options that have no default.
 const validOptions = `[relay]
 name = "r"
 listen = "127.0.0.1:0"
 upstreams = ["127.0.0.1:1"]
 `
 
+// Options that the file lacks have their defaults.
 func TestLoadFillsInDefaults(t *testing.T) {
 	config, err := Load(writeOptions(t, validOptions+"batch_ms = 70\n"))
 	if err != nil {
@@ -34,6 +37,7 @@
 	}
 }
 
+// An error is one line that begins with the key that is wrong.
 func TestLoadNamesTheKey(t *testing.T) {
 	for _, test := range []struct{ text, want string }{
 		{validOptions + "burst = 3\n", "relay.burst: unknown key"},
@@ -58,6 +62,7 @@
 	}
 }
 
+// The options file in the deploy folder is valid and states the defaults.
 func TestDeployedOptions(t *testing.T) {
 	config, err := Load("../../deploy/relay.toml")
 	if err != nil {
