--- a/internal/discovery/initiallist.go
+++ b/internal/discovery/initiallist.go
@@ -15,7 +15,7 @@
 const initialListTimeout = time.Second
 
 // initialEndpoints is the list that the dispatcher had before its start. It is withheld from the dispatcher until the source
-// answers or the timeout expires. Changes that come before that are added to it.
+// answers or the timeout expires. A first delta is added to it, and both are published together.
 type initialEndpoints struct {
 	entries map[string]decision.Endpoint // by worker name; nil: no list is withheld
 	timeout eventloop.Deadline
@@ -27,7 +27,11 @@
 // withhold keeps the entries of a list that are not removed.
 func (l *initialEndpoints) withhold(entries []decision.Endpoint) {
 	l.entries = map[string]decision.Endpoint{}
-	l.merge(entries)
+	for _, entry := range entries {
+		if entry.State != decision.Removed {
+			l.entries[entry.Name] = entry
+		}
+	}
 }
 
 // replace puts another list in its place.
--- a/internal/discovery/responsereader.go
+++ b/internal/discovery/responsereader.go
@@ -39,8 +39,9 @@
 // framing; the body is passed on as it comes. The discovery watch and the connections to membership servers read by it.
 type responseReader struct {
 	buffer       *transport.Buffer
-	scanned      int  // bytes of buffer that were searched for the end of the head
-	headRead     bool // the head has come
+	head         httpwire.Head // the latest; a field, since it is large and would be allocated for each call
+	scanned      int           // bytes of buffer that were searched for the end of the head
+	headRead     bool          // the head has come
 	chunked      bool
 	chunks       httpwire.ChunkReader
 	remaining    int  // bytes of a body of known length
@@ -117,22 +118,19 @@
 // readHead reads a head from the start of data and returns its size; 0: it is not complete. The head of an interim
 // response is passed over.
 func (r *responseReader) readHead(data []byte, consumer responseConsumer) (size int, err error) {
-	var head httpwire.Head
-	complete, err := httpwire.ParseHead(data, &head, &r.scanned)
+	complete, err := httpwire.ParseHead(data, &r.head, &r.scanned)
 	if !complete {
 		return 0, err
 	}
 	r.scanned = 0
-	framing, err := consumer.acceptHead(&head)
-	if err != nil {
-		return head.Size, err
-	}
-	if framing.interim {
-		return head.Size, nil
+	size = r.head.Size
+	framing, err := consumer.acceptHead(&r.head)
+	if err != nil || framing.interim {
+		return size, err
 	}
 	r.headRead = true
 	r.chunked = framing.chunked
 	r.remaining = framing.length
 	r.done = !framing.chunked && framing.length == 0
-	return head.Size, nil
+	return size, nil
 }
