--- a/decision/ceilings_test.go
+++ b/decision/ceilings_test.go
@@ -46,6 +46,7 @@
 	rig := newRig(t, testSettings(), 2)
 	for range 1000 {
 		rig.now += time.Minute
+		rig.bucket.tokens = 0 // so that its rate is cut as well
 		rig.ceilings.badRatio = 1
 		rig.cutCeilings(&request{class: &rig.settings.Classes[0]}, rig.now)
 	}
--- a/internal/jobs/machine_test.go
+++ b/internal/jobs/machine_test.go
@@ -51,6 +51,7 @@
 	s.effects("its lease cannot be stored", m.StoreFailed("n", 2, errDiskFull), "")
 	s.equal("and is taken back", s.state("n"), "ready")
 	fence := s.leaseStored(41*time.Second, "n", "w0")
+	s.equal("the fence of the failed lease is not given again", fmt.Sprint(fence), "2")
 	s.effects("never started, as its worker reports", m.Fail(42*time.Second, "n", fence, "full", false), "store n ready")
 	s.effects("a push", m.Push(0, Job{ID: "x"}, 0), "store x accepted")
 	s.effects("that cannot be stored", m.StoreFailed("x", 1, errDiskFull), "answer x accepted not kept: disk full")
@@ -92,6 +93,36 @@
 	s.equal("the error of that", fmt.Sprint(err), "<nil>")
 }
 
+// A machine that recovers what another one holds has the jobs in the same states.
+func TestRecoversWhatAMachineHolds(t *testing.T) {
+	s := newScript(t)
+	m := s.machine
+	for _, id := range []string{"done", "dead", "leased"} {
+		m.Push(0, Job{ID: id, NonIdempotent: true}, 0)
+		m.Stored(0, id, 1)
+		fence := s.leaseStored(time.Second, id, "w0")
+		switch id {
+		case "done":
+			s.effects("acknowledged", m.Ack(2*time.Second, id, fence, nil), "store done done")
+		case "dead":
+			s.effects("failed", m.Fail(2*time.Second, id, fence, "no card", true), "store dead dead no card")
+		}
+	}
+	var held []Job
+	for _, id := range []string{"done", "dead", "leased"} {
+		job, known := m.Get(id)
+		if !known {
+			t.Fatalf("the machine does not hold %s", id)
+		}
+		held = append(held, job)
+	}
+	s.machine = New(Config{LeaseDuration: 10 * time.Second, RecoveryGrace: 30 * time.Second})
+	s.machine.Recover(3*time.Second, held)
+	for _, id := range []string{"done", "dead", "leased"} {
+		s.equal("recovered", s.state(id), id)
+	}
+}
+
 // runnableIDs are the ids of the jobs that effects announce as runnable, which must come after all other effects.
 func runnableIDs(t *testing.T, effects []Effect) (ids string) {
 	t.Helper()
--- a/internal/store/helpers_test.go
+++ b/internal/store/helpers_test.go
@@ -51,8 +51,17 @@
 
 // put stores records and returns the error with which they are reported.
 func put(store *Store, records ...Record) error {
+	return putAndReport(store, func(error) {}, records...)
+}
+
+// putAndReport stores records together as put does, and calls report from within the store's own report, so that nothing
+// that the store does later has happened by then.
+func putAndReport(store *Store, report func(error), records ...Record) error {
 	result := make(chan error, 1)
-	store.Put(records, func(err error) { result <- err })
+	store.Put(records, func(err error) {
+		report(err)
+		result <- err
+	})
 	return <-result
 }
 
--- a/internal/store/kill_test.go
+++ b/internal/store/kill_test.go
@@ -37,13 +37,15 @@
 		running.Go(func() {
 			for i := 0; ; i++ {
 				id := fmt.Sprintf("%s-%d-%06d", os.Getenv(killedRound), producer, i)
-				err := put(store, withTwin(id, strings.Repeat("x", i%700))...)
-				if err != nil {
-					continue
+				printStored := func(err error) {
+					if err != nil {
+						return
+					}
+					printing.Lock()
+					defer printing.Unlock()
+					fmt.Println(id)
 				}
-				printing.Lock()
-				fmt.Println(id)
-				printing.Unlock()
+				putAndReport(store, printStored, withTwin(id, strings.Repeat("x", i%700))...)
 			}
 		})
 	}
--- a/internal/store/snapshot_test.go
+++ b/internal/store/snapshot_test.go
@@ -36,10 +36,12 @@
 		default:
 		}
 		id := fmt.Sprint(writer, "-", i)
-		put(store, withTwin(id, strings.Repeat("s", 300))...)
-		w.mu.Lock()
-		w.acknowledged[id] = true
-		w.mu.Unlock()
+		acknowledge := func(error) {
+			w.mu.Lock()
+			defer w.mu.Unlock()
+			w.acknowledged[id] = true
+		}
+		putAndReport(store, acknowledge, withTwin(id, strings.Repeat("s", 300))...)
 	}
 }
 
