--- a/cmd/dispatcher/ready_test.go
+++ b/cmd/dispatcher/ready_test.go
@@ -17,8 +17,8 @@
 // These tests start the program while discovery does not answer: it is ready by its
 // initial endpoint list, and serves.
 
-// settingsOf returns the settings of one of several dispatchers, which poll the endpoint
-// list ("ask") or watch it ("push").
+// settingsOf returns the settings of one of several dispatchers, which call discovery
+// themselves ("ask") or have an agent that pushes the endpoint list ("push").
 func settingsOf(peers int, discovery string) json.RawMessage {
 	text := strings.NewReplacer(
 		`"peers_total":1,`, fmt.Sprintf(`"peers_total":%d,`, peers),
--- a/decision/connection_test.go
+++ b/decision/connection_test.go
@@ -6,7 +6,7 @@
 )
 
 // What is sent on a connection that was dropped while unused is lost. A later request that starts at the same
-// worker shows it; from then on connections that were unused for as long are closed before use.
+// worker shows it; after the second such loss connections unused for over half as long are closed before use.
 func TestDeadConnectionsAreFoundAndClosed(t *testing.T) {
 	settings := testSettings()
 	settings.StartNotices = true
--- a/decision/lists.go
+++ b/decision/lists.go
@@ -15,8 +15,8 @@
 	listCount
 )
 
-// candidateLists are the lists that picks draw workers from, each in random order. The first subsetSize of
-// a list are the dispatcher's subset, which is drawn first.
+// candidateLists are the lists that picks draw workers from, each in random order. The first subsetSize
+// workers of a list, or of the part of warmingUp that a pick may draw, are drawn first: the subset.
 type candidateLists struct {
 	warm            []*worker // those that have warmed up
 	localWarm       []*worker // those of them in the dispatcher's own zone
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -23,8 +23,8 @@
 	// slowStartMaxRequestMeans also bounds the request, as a multiple of its class's mean.
 	slowStartMaxRequest      = 0.31
 	slowStartMaxRequestMeans = 2
-	// smallHintCorrection is the fraction of the difference by which a request with a hint below the mean of
-	// its class is counted above its hint. Measured in a rehearsal with rough hints: requests chosen for
+	// smallHintCorrection is by how much a hint below the mean of its class is raised: to
+	// hint + smallHintCorrection*(mean-hint). Measured in a rehearsal with rough hints: requests chosen for
 	// small hints ran for many times what those said.
 	smallHintCorrection = 0.25
 	// clockError is by how much the clock of this machine may have been ahead when the process started.
@@ -56,9 +56,10 @@
 }
 
 // startTime is when a worker counts as started, from the start time that the list gives. A worker that a
-// delta adds or restarts should have started just now. Where its listed time would make it warm already, the
-// clock of this machine may be ahead: it then counts as started now, so that it is not sent what a warm
-// worker takes. A worker that was only unreachable for a while gets less than it could take.
+// delta adds or restarts should have started just now. Where its listed time would make it warm already, by
+// no more than clockError, the clock of this machine may be ahead: it then counts as started now, so that it
+// is not sent what a warm worker takes. A worker that was only unreachable for a while gets less than it
+// could take.
 func (m *Machine) startTime(listed time.Duration, delta bool) time.Duration {
 	age := m.now - listed
 	warmUp := m.settings.SlowStartDuration
@@ -94,7 +95,8 @@
 	return cost > part || cost <= budget.saved+part*slowStartOverdraft
 }
 
-// maxSlowStartCost is the largest cost of a request that a worker in slow start may get beyond its budget.
+// maxSlowStartCost is the largest cost of a request that a worker in slow start may get though the budget
+// does not cover it.
 func (m *Machine) maxSlowStartCost(request *request, part float64) float64 {
 	return min(
 		slowStartMaxRequest*part*float64(m.settings.Peers),
--- a/internal/connlimit/admission.go
+++ b/internal/connlimit/admission.go
@@ -82,15 +82,15 @@
 
 // setClient counts a trusted proxy's connection as one of its client, which was
 // admitted.
-func (l *Limiter) setClient(now time.Duration, index int32, client decision) {
+func (l *Limiter) setClient(now time.Duration, index int32, admitted decision) {
 	connection := &l.connections[index]
 	stage := connection.stage
 	l.removeFromStage(index)
 	l.openByTrust[TrustedProxy]--
-	connection.trust = client.trust
-	connection.address = client.address
-	connection.prefix = client.prefix
-	connection.isRetry = client.isRetry
+	connection.trust = admitted.trust
+	connection.address = admitted.address
+	connection.prefix = admitted.prefix
+	connection.isRetry = admitted.isRetry
 	if connection.isRetry {
 		l.openRetries++
 	}
--- a/internal/connlimit/eviction.go
+++ b/internal/connlimit/eviction.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// EvictionReason is what capacity is needed for.
+// EvictionReason is why a connection is to be evicted, which decides which ones may be.
 type EvictionReason uint8
 
 // The reasons for an eviction.
 const (
-	ForUnknown EvictionReason = iota // a new connection of an unknown client: any may be evicted
-	ForKnown                         // one of a trusted client: only those of unknown ones are evicted
-	ForSilence                       // fewer silent connections, of which there are too many: only those are evicted
-	ForMemory                        // buffers, which are short: only half-read requests are evicted
+	ForUnknown EvictionReason = iota // for a new connection of an unknown client: any may be evicted
+	ForKnown                         // for one of a trusted client: only those of unknown clients are evicted
+	ForSilence                       // there are too many silent connections: only those are evicted
+	ForMemory                        // buffers are short: only connections with a half-read request are evicted
 )
 
 // evictionOrder leaves out Busy: an answer is owed.
--- a/internal/daemon/predecessor.go
+++ b/internal/daemon/predecessor.go
@@ -95,7 +95,7 @@
 }
 
 // sendLimits reports to the successor, at intervals, what this process uses of the
-// descriptors and the memory, and keeps to it.
+// descriptors and the memory, and keeps to it unless it is stopping.
 func (p *process) sendLimits() {
 	if p.replacement.link == nil {
 		return
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -35,7 +35,7 @@
 }
 
 // phase is a part of a process's life. The phases follow in the order of the constants.
-// A drain is not a phase: it begins and ends while the process is serving.
+// A drain is not a phase: it may begin and end in any of them but stopping.
 type phase int
 
 const (
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -24,8 +24,8 @@
 
 // shutdown ends the process gracefully. Beside a successor that accepts clients it
 // hands over. Otherwise all that arrives in the arrival window is served as before;
-// then nothing is accepted, connections end between requests, and after the read window
-// nothing is read. The last answer stops the loop, and Serve calls end.
+// then no HTTP client is accepted, connections end between requests, and after the read
+// window nothing is read. The last answer stops the loop, and Serve calls end.
 func (p *process) shutdown() {
 	p.phase = stopping
 	p.closeHandoverSocket()
--- a/internal/discovery/staleness.go
+++ b/internal/discovery/staleness.go
@@ -12,17 +12,17 @@
 //
 //   - current until shortly before freshness.NotificationBound has passed since the source last confirmed it. Requests
 //     are sent to all listed workers.
-//   - unconfirmed after that, in three cases: the last call has failed to reach the source; workers have health checks
+//   - unconfirmed after that, in three cases: the last call, a short while ago, has failed to reach the source; workers have health checks
 //     and the source has confirmed a list since the start; or the source has not answered for long after the start. A
 //     request is sent once a recent health check of the worker has passed. A worker that failed one, or that could not
 //     be connected to, is suspended until the source confirms the list again.
 //   - unknown otherwise. All workers are suspended. They are resumed when the list is current or unconfirmed again.
 //
-// A suspended worker stays in the list, and the dispatcher sends it nothing. In the cases that currentKnowledge names the
-// list never ceases to be current. Package freshness has the rules in detail.
+// A suspended worker stays in the list, and the dispatcher sends it nothing. currentKnowledge has the cases in which the
+// list does not become stale, or unconfirmed counts as current; package freshness has the rules in detail.
 type listFreshness struct {
 	tracker   freshness.Tracker   // when the source confirmed the list, and how calls to it have ended since
-	knowledge freshness.Knowledge // at the last Refresh, which workers were suspended by
+	knowledge freshness.Knowledge // the result of the last Refresh; workers are suspended by it
 	timer     eventloop.Deadline  // when the knowledge may change by the passing of time
 	wasUsable bool                // since the start a published list has been current or unconfirmed at some time
 }
--- a/internal/discovery/subscription.go
+++ b/internal/discovery/subscription.go
@@ -55,7 +55,7 @@
 	conn            httpConn
 	splitter        objectSplitter
 	objectStartedAt time.Duration      // when the object that is arriving began; 0: none is
-	endedAt         membership.Version // the newest version when the server last ended the watch in order
+	versionAtEnd    membership.Version // the newest version when the server last ended the watch in order
 }
 
 // start sends the poll that catches up.
@@ -190,8 +190,8 @@
 // onWatchEnded handles the end of the watch. A server ends it in order where a change is better fetched by a poll,
 // whose response is compressed. One that does so again without anything newer has failed.
 func (s *subscription) onWatchEnded(err error) {
-	if err == nil && s.version > s.watch.endedAt {
-		s.watch.endedAt = s.version
+	if err == nil && s.version > s.watch.versionAtEnd {
+		s.watch.versionAtEnd = s.version
 		s.catchUp()
 		return
 	}
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -14,7 +14,7 @@
 	worker        string
 	client        WorkerClient
 	phase         attemptPhase
-	sent          bool   // its last byte was sent
+	sent          bool   // its last byte was sent; a reported start makes it delivered, too
 	fence         uint64 // fencing token of its lease; 0: it has none
 }
 
--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -19,9 +19,11 @@
 //  2. The machine rejects it, queues it or assigns it to a worker. An assigned attempt passes the guard, gets its lease if
 //     the request has a [Leaser], and goes to [WorkerClient.Start].
 //  3. The worker client reports on the attempt: [Dispatcher.AttemptSent], [Dispatcher.AttemptStarted],
-//     [Dispatcher.AttemptProgressed], and once [Dispatcher.AttemptEnded]. What has not run may be assigned again.
-//  4. [FrontEnd.Respond] gets the final response: of the first attempt that completed, or of the machine, which rejects
-//     the request or gives it up, or at the deadline. Open attempts are stopped; the request is removed with the last.
+//     [Dispatcher.AttemptProgressed], and once [Dispatcher.AttemptEnded]. The machine may then assign a retry, or a hedge
+//     while the attempt runs, as far as the class allows.
+//  4. [FrontEnd.Respond] gets the final response: of the first attempt that completed, of a leased one that failed and may
+//     have run, or of the machine, which rejects the request or gives it up, or at the deadline. Attempts that have not
+//     been delivered are stopped then, others as far as the settings allow; the request is removed with the last.
 //
 // The client may end it sooner, see [Dispatcher.Cancel] and [ClientWatcher].
 //
--- a/internal/dispatch/workerlist.go
+++ b/internal/dispatch/workerlist.go
@@ -22,7 +22,7 @@
 	source   WorkerClient
 }
 
-// workerList is the endpoint lists of all sources, and the workers that have left them of late.
+// workerList is the endpoint lists of all sources, and the workers that have lately begun to drain or were removed.
 type workerList struct {
 	listed       map[string]listedWorker  // by name
 	ready        int                      // workers listed that take new work
--- a/internal/faktory/bulkpush.go
+++ b/internal/faktory/bulkpush.go
@@ -14,7 +14,7 @@
 // bulkPush is a PUSHB that is not answered yet.
 type bulkPush struct {
 	pending  int               // jobs that are not on disk yet, and 1 until all jobs of the list have been read
-	rejected map[string]string // reasons, by jid, or by index in brackets where a job has no valid jid
+	rejected map[string]string // reasons, by jid, or by index in brackets where no valid jid of a job could be read
 	reply    func(line string)
 }
 
--- a/internal/faktory/jobpayload.go
+++ b/internal/faktory/jobpayload.go
@@ -78,7 +78,8 @@
 }
 
 // parseJob reads a job's JSON. classes maps the names of classes to their
-// indexes. With an error, the job's request has its ID if that is valid.
+// indexes. With an error, the job's request has its ID if that could be read and is
+// valid.
 func parseJob(raw []byte, classes map[string]int, now time.Duration) (job incomingJob, err error) {
 	payload := &job.payload
 	err = json.Unmarshal(raw, payload)
--- a/internal/faktory/lane.go
+++ b/internal/faktory/lane.go
@@ -37,7 +37,8 @@
 //	laneDown -> laneAwaitingGreeting -> laneAwaitingHello -> laneIdle
 //	laneIdle -> laneFetching -> laneIdle                                 no job
 //	laneIdle -> laneFetching -> laneWorking -> laneClosing -> laneIdle   a job
-//	laneIdle -> laneWorking or laneClosing     with a delivery of before a reconnection
+//	laneIdle -> laneFetching -> laneClosing -> laneIdle                  a job that is rejected
+//	laneIdle -> laneWorking or laneClosing     with a delivery from before a reconnection
 //	laneIdle -> laneBeating -> laneIdle        the heartbeat lane
 //	any state -> laneDown                      reconnect or shutdown
 type laneState uint8
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -16,8 +16,7 @@
 var update = flag.Bool("update", false, "write golden files instead of comparing with them")
 
 // Compare fails the test if got is not the text of the golden file testdata/file of
-// the package under test. Tests call it last, with all that they gathered. With the
-// flag -update it writes the file.
+// the package under test. With the flag -update it writes the file.
 func Compare(t *testing.T, file, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", file)
--- a/internal/httpwire/status.go
+++ b/internal/httpwire/status.go
@@ -2,7 +2,7 @@
 
 import "errors"
 
-// Status codes, by the names that net/http gives them. That package is not linked into the daemon.
+// Status codes, named after their reason phrases in RFC 9110. The daemon does not link net/http, which has them too.
 const (
 	StatusOK                          = 200
 	StatusAccepted                    = 202
--- a/internal/jobs/script_test.go
+++ b/internal/jobs/script_test.go
@@ -38,7 +38,7 @@
 	return strings.Join(descriptions, "; ")
 }
 
-// script checks a machine step by step: each call and the effects that it has. Versions are stored by the script.
+// script checks a machine step by step: each call and the effects that it has. The test itself calls Stored.
 type script struct {
 	t       *testing.T
 	machine *Machine
--- a/internal/membership/tree_test.go
+++ b/internal/membership/tree_test.go
@@ -355,7 +355,7 @@
 	tr.sendPending(node)
 }
 
-// pump brings each node in turn to the version of its first server.
+// pump brings each node in turn to the version of the server that it follows, at first its first one.
 func (tr *simulatedTree) pump(t *rapid.T) {
 	for _, node := range tr.nodes {
 		if node.server == nil {
--- a/internal/rehearsal/capacity/quantity_test.go
+++ b/internal/rehearsal/capacity/quantity_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// What is computed has the sources of both operands, and the weaker of their marks.
+// What is computed has the sources of both operands and the weaker of their marks; it is extrapolated where that would be
+// measured.
 func TestQuantities(t *testing.T) {
 	run := Quantity{Value: 200, Unit: UnitBytes, Mark: Measured, Sources: []string{"run"}}
 	assumption := Quantity{Value: 3, Unit: UnitPerSecond, Mark: ByAssumption, Sources: []string{"guess"}}
--- a/internal/rehearsal/replay/replayer.go
+++ b/internal/rehearsal/replay/replayer.go
@@ -39,7 +39,8 @@
 	completed atomic.Bool   // its outcome is recorded
 }
 
-// replayer is one replay. It sends requests from one goroutine; answers arrive on one goroutine for each connection.
+// replayer is one replay. One goroutine sends the requests in their order; a new connection is opened, and what it waits
+// for sent, on a goroutine of its own. Answers arrive on one goroutine for each connection.
 type replayer struct {
 	options    Options
 	start      time.Time // set before the first request is sent
--- a/internal/rehearsal/soak/rules.go
+++ b/internal/rehearsal/soak/rules.go
@@ -24,7 +24,7 @@
 type rule string
 
 const (
-	ruleLost      rule = "lost"      // each request has one final answer in time, and none is worked on after its client left
+	ruleLost      rule = "lost"      // each request has a final answer in time, and none is worked on after its client left
 	ruleDuplicate rule = "duplicate" // no renewal arrives at workers twice
 	ruleDrain     rule = "drain"     // no attempt arrives at a worker that the dispatcher must know to be draining or removed
 	ruleTimeLeft  rule = "time left" // no attempt is given more time than its client has left
--- a/internal/rehearsal/soak/soak.go
+++ b/internal/rehearsal/soak/soak.go
@@ -64,7 +64,7 @@
 	latenessInterval = 10 * time.Millisecond // between two measurements
 )
 
-// run is one soak. Its fields are set before clients and faults run.
+// run is one soak. Its fields are set before clients and faults run, but for what these record.
 type run struct {
 	config    Config
 	dir       string // for the dispatchers' files
--- a/internal/transport/connstate.go
+++ b/internal/transport/connstate.go
@@ -7,8 +7,8 @@
 //	   |                  |                           |
 //	   +------------------+---------------------------+--> closed
 //
-// Close, Abort, a broken connection and the peer's end lead to closed from any
-// state. Whether received bytes reach the handler is a matter of its own: see
+// A broken connection and the peer's end lead to closed from any state, Close and
+// Abort from open and lingering. Whether received bytes reach the handler is a matter of its own: see
 // Pause and Discard.
 type connState uint8
 
--- a/internal/workerclient/connection.go
+++ b/internal/workerclient/connection.go
@@ -25,8 +25,8 @@
 //	idle          awaiting head: write                                         the idle timeout
 //	awaiting head reading body: handleHead                                     of a health check: its timeout; else: when the
 //	                                                                           held last byte is due, then when a retry is too late
-//	reading body  idle: release; after a confirmation, write follows at once   of a health check: its timeout; once the result
-//	                                                                           has been reported: the response's end
+//	reading body  idle: release, or endExchange after a confirmation           as before; once the result has been reported:
+//	                                                                           the response's end
 //
 // close and OnClosed end the connection in each state but dialing, and leave the state as it is.
 type connection struct {
@@ -136,7 +136,7 @@
 		c.client.registry.ConnectFailed(c.worker)
 	}
 	if c.request.kind == healthCheck {
-		c.request.kind = attemptRequest
+		c.request.kind = noHealthCheck
 		c.client.dispatcher.HealthChecked(c.worker.Name, outcome, decision.LoadReport{})
 	}
 	c.complete(attemptResult{outcome: outcome})
@@ -160,7 +160,7 @@
 		c.fail(decision.ConnectionRefused)
 		return
 	}
-	c.request.kind = attemptRequest
+	c.request.kind = noHealthCheck
 	c.moveAttempt(c.newConnectionFailed || !c.reused)
 }
 
--- a/internal/workerclient/dial.go
+++ b/internal/workerclient/dial.go
@@ -19,7 +19,7 @@
 	maxRedialBackoff = 40 * time.Millisecond
 )
 
-// dialProgress is what has become of the dial of a connection that is not open yet.
+// dialProgress is what has become of the dial of a connection. It is of use until the connection is open.
 type dialProgress struct {
 	unwanted      bool          // what it was dialed for has ended
 	failedLocally bool          // the latest dial failed for a reason of this machine
--- a/internal/workerclient/healthcheck.go
+++ b/internal/workerclient/healthcheck.go
@@ -46,7 +46,7 @@
 	if c.request.kind == confirmation { // confirmationAnswered follows
 		return
 	}
-	c.request.kind = attemptRequest
+	c.request.kind = noHealthCheck
 	outcome := decision.Failed
 	var load decision.LoadReport
 	if c.response.parser.status == httpwire.StatusOK {
@@ -91,7 +91,7 @@
 // confirmationFailed is called when the worker has not responded to the health check sent for an attempt. If the
 // connection was reused, the worker may have closed it long ago, so the attempt continues on another.
 func (c *connection) confirmationFailed() {
-	c.request.kind = attemptRequest
+	c.request.kind = noHealthCheck
 	if c.reused {
 		c.moveAttempt(c.newConnectionFailed)
 		return
--- a/internal/workerclient/request.go
+++ b/internal/workerclient/request.go
@@ -13,9 +13,9 @@
 type requestKind uint8
 
 const (
-	attemptRequest requestKind = iota // the request of an attempt, or nothing yet
-	healthCheck                       // a health check that the dispatcher asked for
-	confirmation                      // a health check that precedes the attempt's request, which is sent once it has succeeded
+	noHealthCheck requestKind = iota // the request of an attempt, or nothing
+	healthCheck                      // a health check that the dispatcher asked for
+	confirmation                     // a health check that precedes the attempt's request, which is sent once it has succeeded
 )
 
 // outgoingRequest is the request that a connection sends, or has sent last.
@@ -27,7 +27,7 @@
 }
 
 // isHealthCheck reports whether the request is a health check, of whichever kind.
-func (r *outgoingRequest) isHealthCheck() bool { return r.kind != attemptRequest }
+func (r *outgoingRequest) isHealthCheck() bool { return r.kind != noHealthCheck }
 
 // send sends the request of the connection's attempt, or its health check. Where the worker must first show that it
 // serves, it sends a health check before the attempt's request.
--- a/internal/workerclient/response.go
+++ b/internal/workerclient/response.go
@@ -122,7 +122,7 @@
 // endExchange makes the connection ready for the next request, if it is still open.
 func (c *connection) endExchange() {
 	c.state = stateIdle
-	c.request.kind = attemptRequest
+	c.request.kind = noHealthCheck
 	c.request.lastByte.held = false
 	c.response.complete = false
 	c.response.parser.status = 0
