--- a/internal/dispatch/overtaken_test.go
+++ b/internal/dispatch/overtaken_test.go
@@ -32,18 +32,31 @@
 	r[token] = append(r[token], response)
 }
 
-// A non-idempotent request whose attempt has never been sent, since its connection is still being dialed, has not run. It
-// must not fail as one that may have run when a later request starts at the same worker before it.
-func TestOvertakenRequestThatWasNeverSentIsRejected(t *testing.T) {
-	const deadline = 8 * time.Second
-	now := time.Hour
-	loop := eventloop.NewVirtual(func() time.Duration { return now })
-	dispatcher := newTestDispatcher(t, loop, decision.Settings{
+// overtakingDeadline is the deadline of the requests of an overtakingTest.
+const overtakingDeadline = 8 * time.Second
+
+// overtakingTest is a dispatcher of non-idempotent requests, in virtual time, with one worker that starts requests in the
+// order in which they came.
+type overtakingTest struct {
+	now        time.Duration
+	dispatcher *Dispatcher
+	client     *dialingClient
+	responses  responseRecorder
+}
+
+func newOvertakingTest(t *testing.T) *overtakingTest {
+	test := &overtakingTest{
+		now:       time.Hour,
+		client:    &dialingClient{sent: map[uint64]bool{}},
+		responses: responseRecorder{},
+	}
+	loop := eventloop.NewVirtual(func() time.Duration { return test.now })
+	test.dispatcher = newTestDispatcher(t, loop, decision.Settings{
 		Classes: []decision.Class{{
 			PriorityWeight:   5,
 			LateWeight:       0.5,
 			LatencyObjective: 200 * time.Millisecond,
-			Deadline:         deadline,
+			Deadline:         overtakingDeadline,
 			Idempotency:      decision.NonIdempotent,
 		}},
 		Tick:                  2 * time.Millisecond,
@@ -56,42 +69,53 @@
 		ConnectionIdleTimeout: 10 * time.Second,
 		MaxRetryAfter:         time.Second,
 	})
-	client := &dialingClient{sent: map[uint64]bool{}}
-	dispatcher.AddSource(client)
-	dispatcher.UpdateWorkers(client, decision.ListDelta, []decision.Endpoint{{Name: "w"}})
-	responses := responseRecorder{}
-	accept := func(token uint64) {
-		dispatcher.Accept(responses, token, Request{Work: 20 * time.Millisecond})
-	}
-	advance := func(span time.Duration) {
-		for end := now + span; now < end; {
-			now += time.Millisecond
-			loop.RunOnce()
-		}
-	}
-	sendAndStart := func(handle uint64) {
-		client.sent[handle] = true
-		dispatcher.AttemptSent(handle)
-		dispatcher.AttemptStarted(handle)
+	test.dispatcher.AddSource(test.client)
+	test.dispatcher.UpdateWorkers(test.client, decision.ListDelta, []decision.Endpoint{{Name: "w"}})
+	return test
+}
+
+// accept hands in a request, which is assigned at once.
+func (o *overtakingTest) accept(token uint64) {
+	o.dispatcher.Accept(o.responses, token, Request{Work: 20 * time.Millisecond})
+}
+
+// advance lets a span of time pass.
+func (o *overtakingTest) advance(span time.Duration) {
+	for end := o.now + span; o.now < end; {
+		o.now += time.Millisecond
+		o.dispatcher.Loop.RunOnce()
 	}
+}
 
-	accept(1) // leaves a connection that the machine counts as idle, though the worker may have closed it
-	sendAndStart(client.lastStarted())
-	dispatcher.AttemptEnded(client.lastStarted(), decision.Completed, decision.LoadReport{}, nil)
-	advance(time.Second)
-	accept(2) // its attempt is still being dialed when it becomes late
-	advance(150 * time.Millisecond)
-	accept(3)
-	if len(client.started) != 3 {
-		t.Fatalf("%d attempts were started, want 3", len(client.started))
+// sendAndStart reports that an attempt was sent and has started.
+func (o *overtakingTest) sendAndStart(handle uint64) {
+	o.client.sent[handle] = true
+	o.dispatcher.AttemptSent(handle)
+	o.dispatcher.AttemptStarted(handle)
+}
+
+// A non-idempotent request whose attempt has never been sent, since its connection is still being dialed, has not run. It
+// must not fail as one that may have run when a later request starts at the same worker before it.
+func TestOvertakenRequestThatWasNeverSentIsRejected(t *testing.T) {
+	test := newOvertakingTest(t)
+	test.accept(1) // leaves a connection that the machine counts as idle, though the worker may have closed it
+	first := test.client.lastStarted()
+	test.sendAndStart(first)
+	test.dispatcher.AttemptEnded(first, decision.Completed, decision.LoadReport{}, nil)
+	test.advance(time.Second)
+	test.accept(2) // its attempt is still being dialed when it becomes late
+	test.advance(150 * time.Millisecond)
+	test.accept(3)
+	if started := len(test.client.started); started != 3 {
+		t.Fatalf("%d attempts were started, want 3", started)
 	}
-	sendAndStart(client.lastStarted())
+	test.sendAndStart(test.client.lastStarted())
+	test.advance(overtakingDeadline) // by then each request has its response
 
-	advance(deadline) // by then it must have its answer
-	if len(responses[2]) != 1 {
-		t.Fatalf("%d responses to the request that was never sent, want one", len(responses[2]))
+	if responses := len(test.responses[2]); responses != 1 {
+		t.Fatalf("%d responses to the request that was never sent, want one", responses)
 	}
-	response := responses[2][0]
+	response := test.responses[2][0]
 	if response.Outcome != Rejected || response.MayHaveRun {
 		t.Errorf("a request that was never sent is answered with %v, may have run: %v; want a rejection",
 			response.Outcome, response.MayHaveRun)
--- a/internal/rehearsal/recording/report.go
+++ b/internal/rehearsal/recording/report.go
@@ -76,11 +76,11 @@
 }
 
 // addTruncation adds the reason why a file of the source ended early.
-func (r *SourceReport) addTruncation(reason string) {
+func (r *SourceReport) addTruncation(text string) {
 	if r.Truncation != "" {
 		r.Truncation += "; "
 	}
-	r.Truncation += reason
+	r.Truncation += text
 }
 
 func (r *SourceReport) proto() *recordingpb.Source {
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -47,7 +47,30 @@
 	if batch != (Batch{Now: 5 * time.Second, Turn: 1}) {
 		t.Fatalf("batch %+v", batch)
 	}
-	want := decision.Settings{
+	if len(got) != 2 || got[0].Operation != Boot || got[0].Instance != 3 || got[0].Seed != 77 {
+		t.Fatalf("messages %+v", got)
+	}
+	if want := bootSettings(); !reflect.DeepEqual(got[0].Settings, want) {
+		t.Fatalf("settings\n got %+v\nwant %+v", got[0].Settings, want)
+	}
+	endpoint := decision.Endpoint{
+		Name:      "10.0.0.1:1",
+		Zone:      1,
+		Kind:      2,
+		Cell:      3,
+		State:     decision.Draining,
+		Weight:    1.5,
+		StartedAt: 6100 * time.Millisecond,
+	}
+	update := got[1].Event
+	if update.ListKind != decision.ListCached || len(update.Endpoints) != 1 || update.Endpoints[0] != endpoint {
+		t.Fatalf("list %+v, want the one endpoint %+v", update, endpoint)
+	}
+}
+
+// bootSettings returns the settings that bootLine means.
+func bootSettings() decision.Settings {
+	return decision.Settings{
 		Classes: []decision.Class{
 			{
 				Name:             "q",
@@ -106,25 +129,6 @@
 		FreeSlots:             "x0",
 		DrainGrace:            500 * time.Millisecond,
 	}
-	if len(got) != 2 || got[0].Operation != Boot || got[0].Instance != 3 || got[0].Seed != 77 {
-		t.Fatalf("messages %+v", got)
-	}
-	if !reflect.DeepEqual(got[0].Settings, want) {
-		t.Fatalf("settings\n got %+v\nwant %+v", got[0].Settings, want)
-	}
-	endpoint := decision.Endpoint{
-		Name:      "10.0.0.1:1",
-		Zone:      1,
-		Kind:      2,
-		Cell:      3,
-		State:     decision.Draining,
-		Weight:    1.5,
-		StartedAt: 6100 * time.Millisecond,
-	}
-	update := got[1].Event
-	if update.ListKind != decision.ListCached || len(update.Endpoints) != 1 || update.Endpoints[0] != endpoint {
-		t.Fatalf("list %+v, want the one endpoint %+v", update, endpoint)
-	}
 }
 
 // Each message comes to the event that it means.
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -41,7 +41,7 @@
 
 	closeTimer     eventloop.Deadline // of lingering, of Discard, or of the end of shutDown
 	lingerDeadline time.Duration      // until which it lingers
-	sendingClosed  bool               // while it lingers: the peer was told that no more comes
+	sendingClosed  bool               // while it lingers: the sending side of the socket is shut down
 	discarding     bool               // Discard was called: received bytes are dropped
 	discardedBytes int
 
