--- a/internal/jobs/doc.go
+++ b/internal/jobs/doc.go
@@ -1,5 +1,5 @@
 // Package jobs is the state machine of durable jobs: when a job may be handed to a worker, what the worker's lease
-// allows, and what becomes of a job whose worker falls silent.
+// allows, and what happens to a job whose worker stops sending heartbeats.
 //
 // # Machine and caller
 //
@@ -25,22 +25,22 @@
 //
 // # Leases and fences
 //
-// A lease gives one job to one worker until its expiry, which heartbeats move on. Its fence is a number that is
-// higher than that of all earlier leases; a report under another fence than the newest one, or about a job that no
-// worker has or had in its hands, is rejected with ErrLeaseVoid (Machine.standing decides that for all reports). An
-// idempotent job is retried when its lease expires. A non-idempotent job may run again only on proof that it did not
-// run, or that running it again does no harm:
+// A lease gives one job to one worker until the lease expires; each heartbeat of the worker renews it. The fence of a
+// lease is a number that is higher than that of all earlier leases. A worker's report names the fence of its lease. It
+// is rejected with ErrLeaseVoid if that is not the job's newest fence, or if the job was never delivered under it;
+// Machine.checkFence decides this for all reports. An idempotent job is retried when its lease expires. A
+// non-idempotent job may run again only on proof that it did not run, or that running it again does no harm:
 //
-//   - a worker that HonorsFences starts a job only when Start has granted it, so a job that it has not asked for can be
-//     leased again: the next fence voids the first;
-//   - a worker that Deduplicates remembers the ids of what has been run, so the job is ready again, for such workers
-//     only;
+//   - a worker that HonorsFences starts a job only when Start has granted it, so a job that it has not asked to start
+//     can be leased again: the new lease's fence makes the old one void;
+//   - a worker that Deduplicates remembers the ids of the jobs that have run, so the job is ready again, but only for
+//     workers that deduplicate;
 //   - otherwise the job is InDoubt.
 //
-// # What is acknowledged when
+// # When requests are acknowledged
 //
-// A producer is notified that its job is accepted, and a worker that its report counts or that it may start, only
-// once the change is stored (the caller reports that by Stored). A job is delivered only once its lease is stored: a
-// crash must find out who may have run it. The changes from Accepted or Scheduled or Waiting to Ready follow from
-// what is stored and are not stored themselves; Recover derives them again.
+// A producer is told that its job is accepted, and a worker that its report is accepted or that it may start, only
+// once the change is stored (the caller reports that by Stored). A job is delivered only once its lease is stored, so
+// that Recover knows after a crash which worker may have run it. The changes from Accepted, Scheduled or Waiting to
+// Ready follow from what is stored and are not stored themselves; Recover derives them again.
 package jobs
--- a/internal/jobs/due.go
+++ b/internal/jobs/due.go
@@ -11,7 +11,7 @@
 	id string
 }
 
-// dueHeap is a heap of due times, the earliest first; it implements heap.Interface.
+// dueHeap is a min-heap of due times; it implements heap.Interface.
 type dueHeap []dueEntry
 
 func (h dueHeap) Len() int { return len(h) }
@@ -31,10 +31,11 @@
 	return last
 }
 
-// scheduleDue has Tick look at a job at a time.
+// scheduleDue makes Tick check a job at the given time.
 func (m *Machine) scheduleDue(id string, at time.Duration) { heap.Push(&m.dueQueue, dueEntry{at, id}) }
 
-// NextDue is when Tick must be called next; false: not before another call changes the machine.
+// NextDue returns the time at which Tick must be called next, or false if nothing is due until another call changes the
+// machine.
 func (m *Machine) NextDue() (at time.Duration, ok bool) {
 	if len(m.dueQueue) == 0 {
 		return 0, false
@@ -42,12 +43,12 @@
 	first := m.dueQueue[0]
 	entry := m.jobs[first.id]
 	if entry != nil && entry.State.IsHeld() {
-		return max(first.at, entry.DueAt), true // the lease has been renewed since
+		return max(first.at, entry.DueAt), true // the lease may have been renewed since the heap entry was made
 	}
 	return first.at, true
 }
 
-// Tick acts on all that is due: scheduled jobs, retries, leases that have expired, and retentions that are over.
+// Tick processes every job that is due: scheduled jobs, retries, expired leases, and jobs whose retention is over.
 func (m *Machine) Tick(now time.Duration) []Effect {
 	var postponed []dueEntry
 	for len(m.dueQueue) > 0 && m.dueQueue[0].at <= now {
@@ -55,10 +56,10 @@
 		entry := m.jobs[due.id]
 		switch {
 		case entry == nil || entry.State == Accepted || entry.State == Ready || entry.State == InDoubt:
-			// Outdated: jobs in these states wait for no time.
-		case entry.DueAt > now: // renewed, or scheduled for something else
+			// Outdated: jobs in these states have no due time.
+		case entry.DueAt > now: // the lease was renewed, or the job has another due time by now
 			postponed = append(postponed, dueEntry{entry.DueAt, due.id})
-		case entry.State == Leased && entry.beingStored(): // it is not known yet whether the lease is stored
+		case entry.State == Leased && entry.beingStored(): // the store has not confirmed or rejected the lease yet
 			postponed = append(postponed, dueEntry{now + m.leaseDuration(entry), due.id})
 		default:
 			m.actOnDue(now, entry)
@@ -74,7 +75,7 @@
 func (m *Machine) actOnDue(now time.Duration, entry *jobEntry) {
 	switch entry.State {
 	case Scheduled, Waiting:
-		m.setState(entry, Ready) // not stored: Recover derives it
+		m.setState(entry, Ready) // this change is not stored: Recover derives it
 	case Leased, Started:
 		m.expireLease(now, entry)
 	case Done, Dead, Discarded:
@@ -82,7 +83,7 @@
 	}
 }
 
-// deleteExpired deletes a job whose retention is over, or waits until its last change is stored.
+// deleteExpired deletes a job whose retention is over. While its last change is not stored it tries again later.
 func (m *Machine) deleteExpired(now time.Duration, entry *jobEntry) {
 	if entry.beingStored() {
 		m.scheduleDue(entry.ID, now+m.config.LeaseDuration)
--- a/internal/jobs/errors.go
+++ b/internal/jobs/errors.go
@@ -5,22 +5,22 @@
 	"fmt"
 )
 
-// The reasons for which a request about a job is rejected. Their texts reach producers, workers and operators.
+// The errors with which a request about a job is rejected. Their texts reach producers, workers and operators.
 var (
-	// ErrIDConflict rejects a job whose id another job has already.
+	// ErrIDConflict rejects a push whose job id is already used by a job with another payload hash.
 	ErrIDConflict = errors.New("this id is another job's")
-	// ErrUnknownJob rejects a report about a job that is not known, or no longer.
+	// ErrUnknownJob rejects a request about a job that does not exist or has been deleted.
 	ErrUnknownJob = errors.New("no such job")
-	// ErrLeaseVoid rejects a report under a lease that has expired or has been replaced.
+	// ErrLeaseVoid rejects a report under a lease that does not exist, has expired or has been replaced.
 	ErrLeaseVoid = errors.New("the lease is void")
 
-	// ErrNotInDoubt rejects to resolve a job that is not in doubt.
+	// ErrNotInDoubt rejects a request to resolve a job that is not in doubt.
 	ErrNotInDoubt = errors.New("the job is not in doubt")
-	// ErrReasonRequired rejects to resolve a job without a reason for the audit.
+	// ErrReasonRequired rejects a request to resolve a job that gives no reason for the audit.
 	ErrReasonRequired = errors.New("a reason is needed")
-	// ErrNotMovable rejects to move a job that is neither waiting nor dead.
+	// ErrNotMovable rejects a request to move a job that is neither waiting to run nor dead.
 	ErrNotMovable = errors.New("only a job that waits or is dead can be moved")
-	// ErrOperatorRequired rejects to requeue a dead non-idempotent job but at an operator's request.
+	// ErrOperatorRequired rejects a request to requeue a dead non-idempotent job that does not come from an operator.
 	ErrOperatorRequired = errors.New("only an operator may requeue a non-idempotent job")
 )
 
--- a/internal/jobs/errors_test.go
+++ b/internal/jobs/errors_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The texts of rejections reach clients and operators and must stay; their causes are found by errors.Is.
+// The texts of rejections reach clients and operators and must not change; errors.Is finds their causes.
 func TestErrorTexts(t *testing.T) {
 	diskFull := errors.New("no space left on device")
 	for _, test := range []struct {
--- a/internal/jobs/example_test.go
+++ b/internal/jobs/example_test.go
@@ -7,7 +7,7 @@
 	"hollyyoke.example/hollyyoke/internal/jobs"
 )
 
-// A job from its push to its end. The caller carries out the effects; here the store succeeds at once.
+// A job is pushed, leased, delivered and acknowledged. The caller carries out the effects; here each write succeeds at once.
 func Example() {
 	machine := jobs.New(jobs.Config{})
 	now := 1_700_000_000 * time.Second
--- a/internal/jobs/explorer_test.go
+++ b/internal/jobs/explorer_test.go
@@ -9,22 +9,22 @@
 	"time"
 )
 
-// An exhaustive explorer of interleavings (model checking): two workers, two non-idempotent jobs, a store that confirms
-// writes late, messages that are lost or late, leases that expire, and crashes with and without the writes that had not
-// been confirmed. Every interleaving to a depth is tried; a state that was visited before with as many steps left is not
-// tried again.
+// These tests explore all interleavings of a small system up to a number of steps (model checking). The system has two
+// workers, two non-idempotent jobs, a store that confirms writes late, messages that are lost or late, leases that
+// expire, and crashes that keep or lose the writes that had not been confirmed. A state that was already visited with
+// at least as many steps left is not explored again.
 
-// messageKind is what a message between the machine and a worker says.
+// messageKind is the kind of a message between the machine and a worker.
 type messageKind string
 
 const (
 	deliverMessage messageKind = "deliver" // to the worker: a job
-	startMessage   messageKind = "start"   // to the machine: may I start it?
-	grantMessage   messageKind = "grant"   // to the worker: yes
-	ackMessage     messageKind = "ack"     // to the machine: it is done
+	startMessage   messageKind = "start"   // to the machine: the worker asks to start the job
+	grantMessage   messageKind = "grant"   // to the worker: it may start the job
+	ackMessage     messageKind = "ack"     // to the machine: the job is done
 )
 
-// message is on its way between the machine and a worker.
+// message is a message in transit between the machine and a worker.
 type message struct {
 	kind   messageKind
 	worker int
@@ -32,14 +32,14 @@
 	fence  uint64
 }
 
-// answer is a message of another kind about the same lease.
+// answer returns a message of another kind about the same lease.
 func (m message) answer(kind messageKind) message {
 	m.kind = kind
 	return m
 }
 
-// world is a machine with its store, its network and its workers.
-type world struct {
+// system is a machine with its store, its network and its workers.
+type system struct {
 	machine       *Machine
 	guarantees    [2]Guarantee // by worker
 	disk          map[string]Job
@@ -47,8 +47,8 @@
 	network       []message
 	held          [2]map[string]uint64 // by worker: the jobs that it may run and has not run yet, with their fences
 	runs          map[string]int       // by job
-	ranUnrecorded map[string]bool      // run by a worker that does not deduplicate
-	acknowledged  map[string]bool      // its producer has heard that it is accepted
+	ranUnrecorded map[string]bool      // last run by a worker that does not deduplicate, so that no worker knows of it
+	acknowledged  map[string]bool      // by job: its producer was told that it is accepted
 	now           time.Duration
 	crashesLeft   int
 	expiriesLeft  int
@@ -56,8 +56,8 @@
 	pushedJobs    []string
 }
 
-func newWorld(config Config, guarantees [2]Guarantee) *world {
-	return &world{
+func newSystem(config Config, guarantees [2]Guarantee) *system {
+	return &system{
 		machine:       New(config),
 		guarantees:    guarantees,
 		disk:          map[string]Job{},
@@ -72,22 +72,22 @@
 	}
 }
 
-func (w *world) clone() *world {
-	clone := *w
-	clone.machine = cloneMachine(w.machine)
-	clone.disk = maps.Clone(w.disk)
-	clone.runs = maps.Clone(w.runs)
-	clone.acknowledged = maps.Clone(w.acknowledged)
-	clone.ranUnrecorded = maps.Clone(w.ranUnrecorded)
-	clone.writes = slices.Clone(w.writes)
-	clone.network = slices.Clone(w.network)
+func (s *system) clone() *system {
+	clone := *s
+	clone.machine = cloneMachine(s.machine)
+	clone.disk = maps.Clone(s.disk)
+	clone.runs = maps.Clone(s.runs)
+	clone.acknowledged = maps.Clone(s.acknowledged)
+	clone.ranUnrecorded = maps.Clone(s.ranUnrecorded)
+	clone.writes = slices.Clone(s.writes)
+	clone.network = slices.Clone(s.network)
 	for worker := range clone.held {
-		clone.held[worker] = maps.Clone(w.held[worker])
+		clone.held[worker] = maps.Clone(s.held[worker])
 	}
 	return &clone
 }
 
-// cloneMachine copies a machine but for the order of its jobs, which the explorer does not look at.
+// cloneMachine copies a machine without the order of its jobs, which the explorer does not use.
 func cloneMachine(m *Machine) *Machine {
 	clone := *m
 	clone.jobs = map[string]*jobEntry{}
@@ -109,22 +109,22 @@
 
 func sortedIDs(m *Machine) []string { return slices.Sorted(maps.Keys(m.jobs)) }
 
-// key is equal for equal states.
-func (w *world) key() string {
+// key returns a text that is the same for equal states.
+func (s *system) key() string {
 	var key strings.Builder
-	fmt.Fprint(&key, w.now, w.crashesLeft, w.expiriesLeft, w.lossesLeft, w.machine.lastFence)
-	for _, id := range sortedIDs(w.machine) {
-		entry := w.machine.jobs[id]
+	fmt.Fprint(&key, s.now, s.crashesLeft, s.expiriesLeft, s.lossesLeft, s.machine.lastFence)
+	for _, id := range sortedIDs(s.machine) {
+		entry := s.machine.jobs[id]
 		fmt.Fprint(&key, entry.Job, entry.storedVersion, len(entry.afterStore))
 	}
-	network := slices.Clone(w.network)
+	network := slices.Clone(s.network)
 	slices.SortFunc(network, func(a, b message) int { return strings.Compare(fmt.Sprint(a), fmt.Sprint(b)) })
-	fmt.Fprint(&key, w.disk, w.writes, network, w.held, w.runs, w.acknowledged)
+	fmt.Fprint(&key, s.disk, s.writes, network, s.held, s.runs, s.acknowledged)
 	return key.String()
 }
 
 // carryOut carries out effects.
-func (w *world) carryOut(effects []Effect) {
+func (s *system) carryOut(effects []Effect) {
 	for _, effect := range effects {
 		worker := 0
 		if effect.Job.Worker == "w1" {
@@ -132,174 +132,174 @@
 		}
 		switch effect.Kind {
 		case StoreJob:
-			w.writes = append(w.writes, effect.Job)
+			s.writes = append(s.writes, effect.Job)
 		case AnswerPush:
-			w.acknowledged[effect.Job.ID] = w.acknowledged[effect.Job.ID] || effect.Err == nil
+			s.acknowledged[effect.Job.ID] = s.acknowledged[effect.Job.ID] || effect.Err == nil
 		case DeliverJob:
-			w.network = append(w.network, message{deliverMessage, worker, effect.Job.ID, effect.Job.Fence})
+			s.network = append(s.network, message{deliverMessage, worker, effect.Job.ID, effect.Job.Fence})
 		case GrantStart:
-			w.network = append(w.network, message{grantMessage, worker, effect.Job.ID, effect.Job.Fence})
+			s.network = append(s.network, message{grantMessage, worker, effect.Job.ID, effect.Job.Fence})
 		}
 	}
 }
 
-// receive lets a message arrive.
-func (w *world) receive(received message) {
+// receive delivers a message to the machine or to a worker.
+func (s *system) receive(received message) {
 	switch received.kind {
 	case deliverMessage:
-		if w.guarantees[received.worker] == HonorsFences {
-			w.network = append(w.network, received.answer(startMessage))
+		if s.guarantees[received.worker] == HonorsFences {
+			s.network = append(s.network, received.answer(startMessage))
 		} else {
-			w.held[received.worker][received.id] = received.fence
+			s.held[received.worker][received.id] = received.fence
 		}
 	case grantMessage:
-		w.held[received.worker][received.id] = received.fence
+		s.held[received.worker][received.id] = received.fence
 	case startMessage:
-		w.receiveStart(received)
+		s.receiveStart(received)
 	case ackMessage:
-		w.carryOut(w.machine.Ack(w.now, received.id, received.fence, nil))
+		s.carryOut(s.machine.Ack(s.now, received.id, received.fence, nil))
 	}
 }
 
-// receiveStart lets a worker's request to start a job arrive. A machine that ignores fences grants it to any worker.
-func (w *world) receiveStart(request message) {
-	effects, err := w.machine.Start(w.now, request.id, request.fence)
-	w.carryOut(effects)
-	if err != nil || !w.machine.config.ignoreFences {
+// receiveStart delivers a worker's request to start a job. A machine that ignores fences grants it to any worker.
+func (s *system) receiveStart(request message) {
+	effects, err := s.machine.Start(s.now, request.id, request.fence)
+	s.carryOut(effects)
+	if err != nil || !s.machine.config.ignoreFences {
 		return
 	}
 	if len(effects) == 0 {
-		w.network = append(w.network, request.answer(grantMessage))
+		s.network = append(s.network, request.answer(grantMessage))
 		return
 	}
-	for i := range w.network { // without fences the grant goes to the worker that asked
-		if w.network[i].kind == grantMessage && w.network[i].id == request.id {
-			w.network[i].worker = request.worker
+	for i := range s.network { // without fences the grant goes to the worker that asked
+		if s.network[i].kind == grantMessage && s.network[i].id == request.id {
+			s.network[i].worker = request.worker
 		}
 	}
 }
 
-// step is one thing that may happen next.
-type step func(*world)
+// step is one event that may happen next.
+type step func(*system)
 
-// steps are all that may happen next.
-func (w *world) steps() (steps []step) {
-	steps = append(steps, w.pushSteps()...)
-	if len(w.writes) > 0 {
-		steps = append(steps, (*world).confirmWrite)
+// steps returns all events that may happen next.
+func (s *system) steps() (steps []step) {
+	steps = append(steps, s.pushSteps()...)
+	if len(s.writes) > 0 {
+		steps = append(steps, (*system).confirmWrite)
 	}
-	for _, id := range w.machine.Ready() {
+	for _, id := range s.machine.Ready() {
 		for worker := range 2 {
-			steps = append(steps, func(w *world) { w.assign(id, worker) })
+			steps = append(steps, func(s *system) { s.assign(id, worker) })
 		}
 	}
-	steps = append(steps, w.networkSteps()...)
-	for worker := range w.held {
-		for _, id := range slices.Sorted(maps.Keys(w.held[worker])) {
-			steps = append(steps, func(w *world) { w.run(worker, id) })
+	steps = append(steps, s.networkSteps()...)
+	for worker := range s.held {
+		for _, id := range slices.Sorted(maps.Keys(s.held[worker])) {
+			steps = append(steps, func(s *system) { s.run(worker, id) })
 		}
 	}
-	if w.expiriesLeft > 0 {
-		steps = append(steps, (*world).expireLeases)
+	if s.expiriesLeft > 0 {
+		steps = append(steps, (*system).expireLeases)
 	}
-	if w.crashesLeft > 0 {
+	if s.crashesLeft > 0 {
 		for _, writesSurvive := range []bool{false, true} {
-			steps = append(steps, func(w *world) { w.crash(writesSurvive) })
+			steps = append(steps, func(s *system) { s.crash(writesSurvive) })
 		}
 	}
 	return steps
 }
 
-func (w *world) pushSteps() (steps []step) {
-	for _, id := range w.pushedJobs {
-		_, known := w.machine.Get(id)
-		if !known && !w.acknowledged[id] {
-			steps = append(steps, func(w *world) {
-				w.carryOut(w.machine.Push(w.now, Job{ID: id, NonIdempotent: true}, 0))
+func (s *system) pushSteps() (steps []step) {
+	for _, id := range s.pushedJobs {
+		_, known := s.machine.Get(id)
+		if !known && !s.acknowledged[id] {
+			steps = append(steps, func(s *system) {
+				s.carryOut(s.machine.Push(s.now, Job{ID: id, NonIdempotent: true}, 0))
 			})
 		}
 	}
 	return steps
 }
 
-func (w *world) networkSteps() (steps []step) {
-	for i, received := range w.network {
-		steps = append(steps, func(w *world) {
-			w.network = slices.Delete(slices.Clone(w.network), i, i+1)
-			w.receive(received)
+func (s *system) networkSteps() (steps []step) {
+	for i, received := range s.network {
+		steps = append(steps, func(s *system) {
+			s.network = slices.Delete(slices.Clone(s.network), i, i+1)
+			s.receive(received)
 		})
-		if w.lossesLeft > 0 {
-			steps = append(steps, func(w *world) {
-				w.lossesLeft--
-				w.network = slices.Delete(slices.Clone(w.network), i, i+1)
+		if s.lossesLeft > 0 {
+			steps = append(steps, func(s *system) {
+				s.lossesLeft--
+				s.network = slices.Delete(slices.Clone(s.network), i, i+1)
 			})
 		}
 	}
 	return steps
 }
 
-func (w *world) confirmWrite() {
-	job := w.writes[0]
-	w.writes = w.writes[1:]
-	w.disk[job.ID] = job
-	w.carryOut(w.machine.Stored(w.now, job.ID, job.Version))
+func (s *system) confirmWrite() {
+	job := s.writes[0]
+	s.writes = s.writes[1:]
+	s.disk[job.ID] = job
+	s.carryOut(s.machine.Stored(s.now, job.ID, job.Version))
 }
 
-func (w *world) assign(id string, worker int) {
-	w.carryOut(w.machine.Assign(w.now, id, fmt.Sprint("w", worker), w.guarantees[worker]))
+func (s *system) assign(id string, worker int) {
+	s.carryOut(s.machine.Assign(s.now, id, fmt.Sprint("w", worker), s.guarantees[worker]))
 }
 
-func (w *world) run(worker int, id string) {
-	fence := w.held[worker][id]
-	delete(w.held[worker], id)
-	deduplicates := w.guarantees[worker] == Deduplicates
-	if !deduplicates || w.runs[id] == 0 || w.ranUnrecorded[id] { // else it knows that the job has been run
-		w.runs[id]++
-		w.ranUnrecorded[id] = !deduplicates
+func (s *system) run(worker int, id string) {
+	fence := s.held[worker][id]
+	delete(s.held[worker], id)
+	deduplicates := s.guarantees[worker] == Deduplicates
+	if !deduplicates || s.runs[id] == 0 || s.ranUnrecorded[id] { // otherwise the worker knows that the job has run
+		s.runs[id]++
+		s.ranUnrecorded[id] = !deduplicates
 	}
-	w.network = append(w.network, message{ackMessage, worker, id, fence})
+	s.network = append(s.network, message{ackMessage, worker, id, fence})
 }
 
-func (w *world) expireLeases() {
-	w.expiriesLeft--
-	w.now += w.machine.config.LeaseDuration + w.machine.config.RecoveryGrace + 1
-	w.carryOut(w.machine.Tick(w.now))
+func (s *system) expireLeases() {
+	s.expiriesLeft--
+	s.now += s.machine.config.LeaseDuration + s.machine.config.RecoveryGrace + 1
+	s.carryOut(s.machine.Tick(s.now))
 }
 
-func (w *world) crash(writesSurvive bool) {
-	w.crashesLeft--
-	if writesSurvive { // they were complete, but not confirmed to the machine
-		for _, job := range w.writes {
-			w.disk[job.ID] = job
+func (s *system) crash(writesSurvive bool) {
+	s.crashesLeft--
+	if writesSurvive { // they had reached the disk, but were not confirmed to the machine
+		for _, job := range s.writes {
+			s.disk[job.ID] = job
 		}
 	}
-	w.writes = nil
+	s.writes = nil
 	toMachine := func(sent message) bool { return sent.kind == startMessage || sent.kind == ackMessage }
-	w.network = slices.DeleteFunc(slices.Clone(w.network), toMachine)
-	w.machine = New(w.machine.config)
-	w.machine.Recover(w.now, slices.Collect(maps.Values(w.disk)))
+	s.network = slices.DeleteFunc(slices.Clone(s.network), toMachine)
+	s.machine = New(s.machine.config)
+	s.machine.Recover(s.now, slices.Collect(maps.Values(s.disk)))
 }
 
-// violation is the rule that a state breaks; empty: none.
-func (w *world) violation() string {
-	for id, n := range w.runs {
+// violation describes the invariant that the state violates; it is empty if there is none.
+func (s *system) violation() string {
+	for id, n := range s.runs {
 		if n > 1 {
 			return fmt.Sprintf("job %s ran %d times", id, n)
 		}
 	}
-	for id := range w.acknowledged {
-		if _, known := w.machine.Get(id); w.acknowledged[id] && !known {
+	for id := range s.acknowledged {
+		if _, known := s.machine.Get(id); s.acknowledged[id] && !known {
 			return fmt.Sprintf("job %s was accepted and is lost", id)
 		}
 	}
-	for _, entry := range w.machine.jobs {
-		if entry.State == Done && w.runs[entry.ID] == 0 {
+	for _, entry := range s.machine.jobs {
+		if entry.State == Done && s.runs[entry.ID] == 0 {
 			return fmt.Sprintf("job %s is done and never ran", entry.ID)
 		}
-		if entry.State == InDoubt && w.guarantees == [2]Guarantee{Deduplicates, Deduplicates} {
+		if entry.State == InDoubt && s.guarantees == [2]Guarantee{Deduplicates, Deduplicates} {
 			return fmt.Sprintf("job %s is in doubt, though all workers deduplicate", entry.ID)
 		}
-		if entry.State == InDoubt && w.guarantees == [2]Guarantee{HonorsFences, HonorsFences} && entry.storedVersion > 0 &&
+		if entry.State == InDoubt && s.guarantees == [2]Guarantee{HonorsFences, HonorsFences} && entry.storedVersion > 0 &&
 			!strings.Contains(string(entry.Reason), "may have run") {
 			return fmt.Sprintf("job %s is in doubt without a reason", entry.ID)
 		}
@@ -307,24 +307,24 @@
 	return ""
 }
 
-// explore tries all interleavings to a depth. It returns how many states it visited and the first violation.
-func explore(start *world, depth int) (visited int, violation string) {
+// explore tries all interleavings of up to depth steps. It returns the number of states visited and the first violation.
+func explore(start *system, depth int) (visited int, violation string) {
 	stepsLeftByState := map[string]int{}
-	var walk func(w *world, stepsLeft int) string
-	walk = func(w *world, stepsLeft int) string {
-		key := w.key()
+	var walk func(s *system, stepsLeft int) string
+	walk = func(s *system, stepsLeft int) string {
+		key := s.key()
 		if before, ok := stepsLeftByState[key]; ok && before >= stepsLeft {
 			return ""
 		}
 		stepsLeftByState[key] = stepsLeft
-		if violation := w.violation(); violation != "" {
+		if violation := s.violation(); violation != "" {
 			return violation
 		}
 		if stepsLeft == 0 {
 			return ""
 		}
-		for _, step := range w.steps() {
-			next := w.clone()
+		for _, step := range s.steps() {
+			next := s.clone()
 			step(next)
 			if violation := walk(next, stepsLeft-1); violation != "" {
 				return violation
@@ -346,20 +346,20 @@
 		if guarantees[0] != guarantees[1] {
 			depth = 9
 		}
-		visited, violation := explore(newWorld(Config{}, guarantees), depth)
+		visited, violation := explore(newSystem(Config{}, guarantees), depth)
 		if violation != "" {
 			t.Errorf("workers that guarantee %v: %s", guarantees, violation)
 		}
 		t.Logf("workers that guarantee %v: %d states to depth %d", guarantees, visited, depth)
 		if visited < 1000 {
-			t.Error("too few states to tell anything")
+			t.Error("too few states were explored")
 		}
 	}
 }
 
-// newDeliveredWorld is a world with one job, which the first worker has just received.
-func newDeliveredWorld(config Config, guarantees [2]Guarantee) *world {
-	delivered := newWorld(config, guarantees)
+// newDeliveredSystem returns a system with one job, which the first worker has just received.
+func newDeliveredSystem(config Config, guarantees [2]Guarantee) *system {
+	delivered := newSystem(config, guarantees)
 	delivered.pushedJobs = []string{"a"}
 	delivered.expiriesLeft = 1
 	delivered.lossesLeft = 0
@@ -373,8 +373,8 @@
 	return delivered
 }
 
-// From a delivered job on, with one job and deeper: a late start against the next lease. A machine that ignores fences
-// is found to run it twice.
+// Starts from one delivered job and explores more steps than TestExplore, so that a late request to start can meet the
+// job's next lease. A machine that ignores fences must be found to run the job twice.
 func TestExploreDelivered(t *testing.T) {
 	for _, test := range []struct {
 		guarantees   [2]Guarantee
@@ -388,7 +388,7 @@
 		{[2]Guarantee{HonorsFences, Deduplicates}, false},
 		{[2]Guarantee{Deduplicates, HonorsFences}, false},
 	} {
-		start := newDeliveredWorld(Config{ignoreFences: test.ignoreFences}, test.guarantees)
+		start := newDeliveredSystem(Config{ignoreFences: test.ignoreFences}, test.guarantees)
 		if test.ignoreFences {
 			start.crashesLeft = 0
 		}
--- a/internal/jobs/lease.go
+++ b/internal/jobs/lease.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Assign leases a ready job to a worker that has given a guarantee. The job is delivered once the lease is stored. It
-// returns nil where the job is not ready, or only a worker of another guarantee may have it.
+// Assign leases a ready job to a worker with the given guarantee. The job is delivered once the lease is stored. Assign
+// returns nil if the job is not ready, or if it requires a worker that Deduplicates and this one does not.
 func (m *Machine) Assign(now time.Duration, id, worker string, guarantee Guarantee) []Effect {
 	entry := m.jobs[id]
 	if entry == nil || entry.State != Ready || entry.RequiresDeduplication && guarantee != Deduplicates {
@@ -23,24 +23,24 @@
 	return m.takeEffects()
 }
 
-// leaseDuration is how long the worker of a job may be silent.
+// leaseDuration is how long a lease on a job lasts without a heartbeat.
 func (m *Machine) leaseDuration(entry *jobEntry) time.Duration {
 	return cmp.Or(entry.LeaseDuration, m.config.LeaseDuration)
 }
 
-// leaseStanding is what a report's fence is to the job that the report is about.
-type leaseStanding uint8
+// leaseStatus says whether the fence of a worker's report belongs to a lease on the job.
+type leaseStatus uint8
 
 const (
-	leaseVoid    leaseStanding = iota // no lease of the job, or not its newest one
-	leaseInForce                      // its worker has the job
-	leaseExpired                      // its worker had the job, and may have run it
+	leaseVoid    leaseStatus = iota // not the fence of the job's newest lease, or that lease was returned or never delivered
+	leaseInForce                    // its worker holds the job
+	leaseExpired                    // its worker held the job until the lease ended, and may have run it
 )
 
-// standing decides which lease a report is under; all reports are judged by it. A job that was never leased has fence 0,
-// as has a report without a fence, so 0 is nobody's. A job whose newest lease was given back, or never delivered, has no
-// worker: nobody can have run it.
-func (m *Machine) standing(entry *jobEntry, fence uint64) leaseStanding {
+// checkFence compares the fence of a report with the job's newest lease; all reports are checked by it. NoFence never
+// matches: both a job that was never leased and a report without a fence have it. A job whose newest lease was returned
+// before it started, or was never delivered, has no Worker, so nobody can have run it under that lease.
+func (m *Machine) checkFence(entry *jobEntry, fence uint64) leaseStatus {
 	switch {
 	case entry == nil:
 		return leaseVoid
@@ -55,11 +55,11 @@
 	}
 }
 
-// Start reports that a worker asks to start a job. A worker that HonorsFences starts it only on GrantStart, which
-// comes once the start is stored; asked again, it is granted again. With ErrLeaseVoid the worker must not start it.
+// Start handles a worker's request to start a job. A worker that HonorsFences starts it only on GrantStart, which
+// comes once the start is stored; a repeated request is granted again. On ErrLeaseVoid the worker must not start it.
 func (m *Machine) Start(now time.Duration, id string, fence uint64) ([]Effect, error) {
 	entry := m.jobs[id]
-	if m.standing(entry, fence) != leaseInForce {
+	if m.checkFence(entry, fence) != leaseInForce {
 		return nil, ErrLeaseVoid
 	}
 	if entry.State == Leased && entry.beingStored() && !m.config.ignoreFences {
@@ -78,7 +78,7 @@
 	return m.takeEffects(), nil
 }
 
-// Heartbeat renews all leases of a worker.
+// Heartbeat renews all leases that a worker holds.
 func (m *Machine) Heartbeat(now time.Duration, worker string) {
 	for _, entry := range m.leasesByWorker[worker] {
 		entry.DueAt = max(entry.DueAt, now+m.leaseDuration(entry))
@@ -88,16 +88,16 @@
 // Extend renews one lease until a time that its worker asks for.
 func (m *Machine) Extend(id string, fence uint64, until time.Duration) {
 	entry := m.jobs[id]
-	if m.standing(entry, fence) == leaseInForce {
+	if m.checkFence(entry, fence) == leaseInForce {
 		entry.DueAt = max(entry.DueAt, until)
 	}
 }
 
-// Ack reports that a job is done, with its result. Under the newest fence it counts after the lease has expired too,
-// where the job is in doubt or waits to run again: it is the proof that the job ran.
+// Ack handles a worker's report that a job is done, with its result. If the lease has expired, but its fence is still
+// the newest, and the job is in doubt or waits to run again, the report is accepted too: it proves that the job ran.
 func (m *Machine) Ack(now time.Duration, id string, fence uint64, result []byte) []Effect {
 	entry := m.jobs[id]
-	standing := m.standing(entry, fence)
+	status := m.checkFence(entry, fence)
 	switch {
 	case entry == nil:
 		m.emit(Effect{Kind: AnswerReport, Err: ErrUnknownJob})
@@ -105,7 +105,7 @@
 		m.afterStored(entry, Effect{Kind: AnswerReport, Job: entry.Job})
 	case entry.State == Done:
 		m.emit(Effect{Kind: AnswerReport, Job: entry.Job})
-	case standing == leaseInForce || standing == leaseExpired && entry.State.acceptsLateAck():
+	case status == leaseInForce || status == leaseExpired && entry.State.acceptsLateAck():
 		m.finish(now, entry, Done)
 		entry.Reason = ""
 		entry.Payload = nil
@@ -117,17 +117,18 @@
 	return m.takeEffects()
 }
 
-// Fail reports that a job failed. With started false the worker says that it never began, and any job may run again.
-// Else an idempotent job is retried, and a non-idempotent one is Dead, as it ran.
+// Fail handles a worker's report that a job failed. With started false the worker says that the job never started, so
+// the job may run again, idempotent or not. Otherwise an idempotent job is retried, and a non-idempotent one is Dead,
+// as it ran.
 func (m *Machine) Fail(now time.Duration, id string, fence uint64, reason Reason, started bool) []Effect {
 	entry := m.jobs[id]
 	if entry == nil {
 		m.emit(Effect{Kind: AnswerReport, Err: ErrUnknownJob})
 		return m.takeEffects()
 	}
-	standing := m.standing(entry, fence)
-	lateReport := standing == leaseExpired && entry.State == InDoubt
-	if standing != leaseInForce && !lateReport {
+	status := m.checkFence(entry, fence)
+	lateReport := status == leaseExpired && entry.State == InDoubt
+	if status != leaseInForce && !lateReport {
 		m.emit(Effect{Kind: AnswerReport, Job: entry.Job, Err: ErrLeaseVoid})
 		return m.takeEffects()
 	}
@@ -144,14 +145,15 @@
 	return m.takeEffects()
 }
 
-// releaseUnstarted takes back the lease of a job that never started; it does not count as an attempt.
+// releaseUnstarted makes a job ready again whose lease ended before the job started. The lease does not count as an
+// attempt.
 func (m *Machine) releaseUnstarted(entry *jobEntry) {
 	m.setState(entry, Ready)
 	entry.Worker = ""
 	entry.Attempts--
 }
 
-// expireLease decides what becomes of a job whose lease has expired; see the package comment.
+// expireLease sets the next state of a job whose lease has expired; see the package comment.
 func (m *Machine) expireLease(now time.Duration, entry *jobEntry) {
 	m.emit(Effect{Kind: AnnounceLeaseExpiry, Job: entry.Job})
 	switch {
--- a/internal/jobs/machine.go
+++ b/internal/jobs/machine.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Config sets how long and how often. A zero field takes its default.
+// Config sets the durations and limits of a Machine. A zero field takes its default.
 type Config struct {
 	LeaseDuration  time.Duration // how long a lease lasts without a heartbeat; default 60 s
-	RecoveryGrace  time.Duration // how long leases last at least after Recover, for workers to reconnect; default 60 s
+	RecoveryGrace  time.Duration // minimum duration of leases after Recover, in which workers can reconnect; default 60 s
 	MaxAttempts    int           // of an idempotent job; default 5
-	InitialBackoff time.Duration // before the second attempt, doubled for each further one; default 1 s
+	InitialBackoff time.Duration // wait before the second attempt, doubled before each further one; default 1 s
 	Retention      time.Duration // how long a Done or Discarded job, and its id, is kept; default 24 h
 	DeadRetention  time.Duration // how long a Dead job is kept; default 180 days
 
-	ignoreFences bool // for tests of the checkers, which must find what that leads to
+	ignoreFences bool // for tests that show that the checkers find the faults of a machine without fences
 }
 
 // The defaults of Config.
@@ -35,26 +35,26 @@
 type Machine struct {
 	config       Config
 	jobs         map[string]*jobEntry // by id
-	lastFence    uint64               // the highest fence that has been given
-	lastSequence uint64               // the highest sequence number that has been given
+	lastFence    uint64               // the highest fence that has been assigned
+	lastSequence uint64               // the highest sequence number that has been assigned
 
 	// Indexes of jobs.
-	dueQueue       dueHeap                         // may hold outdated times; each is checked against its job when it comes up
+	dueQueue       dueHeap                         // may hold outdated times; each is checked against its job when it is reached
 	leasesByWorker map[string]map[string]*jobEntry // by worker, then by job id
 	counts         [stateCount]int                 // jobs by state
 	readyByClass   map[string]int                  // jobs that are Ready, by class
-	inOrder        []*jobEntry                     // by sequence; may hold removed jobs
+	inOrder        []*jobEntry                     // all jobs by sequence number; may still hold removed ones
 	removedInOrder int                             // how many of inOrder are removed
 
-	// The call that is being made.
-	effects     []Effect    // what it returns
+	// State of the method call in progress.
+	effects     []Effect    // to be returned
 	becameReady []*jobEntry // announced after all other effects
 }
 
 // jobEntry is a job with the effects that wait for it to be stored.
 type jobEntry struct {
 	Job
-	storedVersion uint64           // the highest version that is on disk; 0: none
+	storedVersion uint64           // the highest version that is on disk; 0 if there is none
 	afterStore    []deferredEffect // in order of version
 }
 
@@ -81,10 +81,10 @@
 	}
 }
 
-// emit adds an effect to those of the present call.
+// emit adds an effect to those that the current call returns.
 func (m *Machine) emit(effect Effect) { m.effects = append(m.effects, effect) }
 
-// takeEffects returns the effects of the present call, with the jobs that became ready at their end.
+// takeEffects returns the effects of the current call, followed by an AnnounceRunnable for each job that became ready.
 func (m *Machine) takeEffects() []Effect {
 	for _, entry := range m.becameReady {
 		if entry.State == Ready && m.jobs[entry.ID] == entry {
@@ -97,14 +97,14 @@
 	return effects
 }
 
-// add takes in a job whose state is set.
+// add adds a job whose state is already set.
 func (m *Machine) add(entry *jobEntry) {
 	m.jobs[entry.ID] = entry
 	m.inOrder = append(m.inOrder, entry)
 	m.count(entry, 1)
 }
 
-// count counts a job, in its present state, in or out.
+// count adds change, which is 1 or -1, to the counters for a job's current state and class.
 func (m *Machine) count(entry *jobEntry, change int) {
 	m.counts[entry.State] += change
 	if entry.State == Ready {
@@ -112,7 +112,7 @@
 	}
 }
 
-// remove drops a job.
+// remove removes a job. The entries of removed jobs are dropped from inOrder once they are more than half of it.
 func (m *Machine) remove(entry *jobEntry) {
 	delete(m.jobs, entry.ID)
 	m.count(entry, -1)
@@ -125,8 +125,9 @@
 	m.removedInOrder = 0
 }
 
-// setState changes a job's state and the indexes that depend on it. DueAt and Worker must have their new values where
-// the new state is found by them, and Worker its old one where the job was leased.
+// setState changes a job's state and updates the indexes that depend on it. The caller must have set DueAt before if
+// the new state is due at a time, and Worker if the new state is a lease. A job that leaves a lease must still have the
+// Worker of that lease.
 func (m *Machine) setState(entry *jobEntry, newState State) {
 	if entry.State.IsHeld() {
 		leases := m.leasesByWorker[entry.Worker]
@@ -141,7 +142,7 @@
 	m.index(entry)
 }
 
-// index lets a job be found by what its state needs: its worker, when it is due, or that it is ready.
+// index adds a job to the indexes that its state requires: by worker, by due time, or among the jobs that became ready.
 func (m *Machine) index(entry *jobEntry) {
 	switch entry.State {
 	case Leased, Started:
@@ -166,19 +167,20 @@
 	m.setState(entry, finalState)
 }
 
-// store has a changed job stored.
+// store increases a changed job's version and emits the effect that stores it.
 func (m *Machine) store(entry *jobEntry) {
 	entry.Version++
 	m.emit(Effect{Kind: StoreJob, Job: entry.Job})
 }
 
-// storeThen has a changed job stored, and then the effect of that kind carried out with the job as it is now.
+// storeThen stores a changed job, and emits an effect of that kind, with a copy of the job as it is now, once that is
+// stored.
 func (m *Machine) storeThen(entry *jobEntry, kind EffectKind) {
 	m.store(entry)
 	m.afterStored(entry, Effect{Kind: kind, Job: entry.Job})
 }
 
-// afterStored emits an effect once the job's present version is stored.
+// afterStored emits an effect once the job's current version is stored.
 func (m *Machine) afterStored(entry *jobEntry, effect Effect) {
 	entry.afterStore = append(entry.afterStore, deferredEffect{entry.Version, effect})
 }
--- a/internal/jobs/machine_test.go
+++ b/internal/jobs/machine_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// A non-idempotent job whose worker falls silent is in doubt, and a late ack proves that it ran.
+// A non-idempotent job whose lease expires is in doubt, and a late ack proves that it ran.
 func TestNonIdempotentJobWhoseLeaseExpires(t *testing.T) {
 	s := newScript(t)
 	m := s.machine
@@ -26,7 +26,7 @@
 	s.effects("a repeated ack", m.Ack(22*time.Second, "r", 1, nil), "reply r done")
 }
 
-// An idempotent job whose worker falls silent runs again, and the first worker's ack is void.
+// An idempotent job whose lease expires runs again, and the first worker's ack is rejected.
 func TestIdempotentJobWhoseLeaseExpires(t *testing.T) {
 	s := newScript(t)
 	m := s.machine
@@ -41,7 +41,7 @@
 	s.effects("the second worker fails", m.Fail(33*time.Second, "c", second, "no card", true), "store c dead no card")
 }
 
-// A lease that cannot be stored is taken back, and a push that cannot be stored is rejected.
+// A lease that cannot be stored is released, and a push that cannot be stored is rejected.
 func TestStoreFails(t *testing.T) {
 	s := newScript(t)
 	m := s.machine
@@ -49,9 +49,9 @@
 	m.Stored(0, "n", 1)
 	m.Assign(40*time.Second, "n", "w0", NoGuarantee)
 	s.effects("its lease cannot be stored", m.StoreFailed("n", 2, errDiskFull), "")
-	s.equal("and is taken back", s.state("n"), "ready")
+	s.equal("and is released", s.state("n"), "ready")
 	fence := s.leaseStored(41*time.Second, "n", "w0")
-	s.equal("the fence of the failed lease is not given again", fmt.Sprint(fence), "2")
+	s.equal("the fence of the failed lease is not assigned again", fmt.Sprint(fence), "2")
 	s.effects("never started, as its worker reports", m.Fail(42*time.Second, "n", fence, "full", false), "store n ready")
 	s.effects("a push", m.Push(0, Job{ID: "x"}, 0), "store x accepted")
 	s.effects("that cannot be stored", m.StoreFailed("x", 1, errDiskFull), "answer x accepted not kept: disk full")
@@ -88,13 +88,13 @@
 	if _, err := m.Resolve(94*time.Second, "l", true, ""); err == nil {
 		t.Error("resolved without a reason")
 	}
-	effects, err := m.Resolve(94*time.Second, "l", false, "the till shows nothing")
-	s.effects("resolved", effects, "store l ready settled: the till shows nothing")
+	effects, err := m.Resolve(94*time.Second, "l", false, "nothing was charged")
+	s.effects("resolved", effects, "store l ready settled: nothing was charged")
 	s.equal("the error of that", fmt.Sprint(err), "<nil>")
 }
 
-// A machine that recovers what another one holds has the jobs in the same states.
-func TestRecoversWhatAMachineHolds(t *testing.T) {
+// A machine that recovers the jobs of another one has them in the same states.
+func TestRecoverPreservesStates(t *testing.T) {
 	s := newScript(t)
 	m := s.machine
 	for _, id := range []string{"done", "dead", "leased"} {
@@ -123,7 +123,8 @@
 	}
 }
 
-// runnableIDs are the ids of the jobs that effects announce as runnable, which must come after all other effects.
+// runnableIDs returns the ids of the jobs that are announced as runnable, and checks that these announcements come after
+// all other effects.
 func runnableIDs(t *testing.T, effects []Effect) (ids string) {
 	t.Helper()
 	for i, effect := range effects {
@@ -144,8 +145,8 @@
 	}
 }
 
-// A job that becomes ready is announced once, after all other effects, whatever made it so; a job that is over is kept
-// for its retention and then deleted, on disk too.
+// A job that becomes ready is announced as runnable once, after all other effects, whatever made it ready. A finished
+// job is kept for its retention and then deleted, also on disk.
 func TestRunnableAndDeleted(t *testing.T) {
 	m := New(Config{LeaseDuration: 10 * time.Second, RecoveryGrace: 5 * time.Second, InitialBackoff: time.Second, Retention: 100 * time.Second})
 	expectRunnable(t, "pushed", m.Push(0, Job{ID: "a"}, 0), "")
@@ -196,7 +197,7 @@
 	}
 }
 
-// Jobs that no worker has are moved; a dead non-idempotent job is requeued by an operator only.
+// Jobs that no worker holds can be moved; only an operator may requeue a dead non-idempotent job.
 func TestMoves(t *testing.T) {
 	m := newStoredMachine(t)
 	m.push(Job{ID: "p", NonIdempotent: true, PayloadHash: 7, Payload: []byte("x")})
@@ -223,16 +224,16 @@
 	m.expectState("p", Discarded)
 }
 
-// A job's own number of attempts holds: after the last it is discarded.
-func TestJobsOwnAttempts(t *testing.T) {
+// A job's own MaxAttempts overrides Config.MaxAttempts: after the last attempt it is discarded.
+func TestMaxAttemptsOfJob(t *testing.T) {
 	m := newStoredMachine(t)
 	m.push(Job{ID: "d", MaxAttempts: 1, DiscardWhenExhausted: true})
 	m.fail("d", m.lease("d", NoGuarantee), "no", true)
 	m.expectState("d", Discarded)
 }
 
-// A job's own lease duration holds, also where a heartbeat renews the lease.
-func TestJobsOwnLeaseDuration(t *testing.T) {
+// A job's own lease duration overrides Config.LeaseDuration, also when a heartbeat renews the lease.
+func TestLeaseDurationOfJob(t *testing.T) {
 	m := newStoredMachine(t)
 	m.push(Job{ID: "l", LeaseDuration: 50 * time.Second})
 	fence := m.lease("l", NoGuarantee)
@@ -247,7 +248,7 @@
 	m.expectState("l", Waiting)
 }
 
-// What may have run under a worker that deduplicates is ready for such workers, and for no other.
+// A non-idempotent job whose lease expires at a worker that deduplicates is ready again, but only for such workers.
 func TestLeaseOfDeduplicatingWorkerExpires(t *testing.T) {
 	m := newStoredMachine(t)
 	m.push(Job{ID: "t", NonIdempotent: true})
@@ -260,8 +261,8 @@
 	m.lease("t", Deduplicates)
 }
 
-// The clock is set back by a day while the program is down: leases, retries and retentions are not a day late, and
-// fences go on rising.
+// The clock is set back by a day while the program is down: leases, retries and retentions do not end a day late, and
+// new fences are still higher than old ones.
 func TestClockSetBack(t *testing.T) {
 	m := newStoredMachine(t)
 	m.now = 95 * time.Second
@@ -284,8 +285,8 @@
 	m.expectState("t", Ready)
 	m.expectState("l", Ready)
 	newFence := m.lease("l", NoGuarantee)
-	if newFence <= fence+1000 { // what was read may be an older copy
-		t.Errorf("the fence %d is given after %d", newFence, fence)
+	if newFence <= fence+1000 { // the gap must cover leases granted after a restored copy was made
+		t.Errorf("the fence %d is assigned after %d", newFence, fence)
 	}
 	m.fail("l", newFence, "busy", false)
 	m.tickAt(m.now + 200*time.Second)
--- a/internal/jobs/nofence.go
+++ b/internal/jobs/nofence.go
@@ -2,6 +2,6 @@
 
 package jobs
 
-// A build with this tag ignores all fences. It is for the tests of the checkers, which must find what that leads to,
-// and must never be put into service.
+// A build with this tag ignores all fences. It is only for tests that show that the checkers find the resulting faults,
+// and must never be deployed.
 func init() { ignoreAllFences = true }
--- a/internal/jobs/operator.go
+++ b/internal/jobs/operator.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Resolve ends a job in doubt at an operator's request: it ran, or it did not and runs again. A reason is required.
-// The error is a *TransitionError.
+// Resolve records an operator's decision about a job in doubt: either it ran and is Done, or it did not run and becomes
+// Ready. A reason is required. The error is a *TransitionError.
 func (m *Machine) Resolve(now time.Duration, id string, ran bool, reason Reason) ([]Effect, error) {
 	entry := m.jobs[id]
 	switch {
@@ -26,14 +26,14 @@
 	return m.takeEffects(), nil
 }
 
-// Move is a change that may be requested of a job that no worker has.
+// Move is a state change that an operator or a client may request for a job that no worker holds.
 type Move uint8
 
 // The moves.
 const (
-	Discard Move = iota // it will never run
-	Kill                // it is Dead, and may be requeued
-	Requeue             // it may run now, with all its attempts
+	Discard Move = iota // the job will never run
+	Kill                // the job is Dead, and may be requeued
+	Requeue             // the job may run now, with its attempts counted from zero
 )
 
 var moveNames = [...]string{"discard", "kill", "requeue"}
@@ -41,8 +41,8 @@
 // String is the name of the move.
 func (move Move) String() string { return moveNames[move] }
 
-// Move moves a job that waits or is dead. operator is set where an operator asks for it; no one else may requeue a dead
-// non-idempotent job. The error is a *TransitionError.
+// Move moves a job that waits to run or is dead. operator says that the request comes from an operator; only an operator
+// may requeue a dead non-idempotent job. The error is a *TransitionError.
 func (m *Machine) Move(now time.Duration, id string, move Move, reason Reason, operator bool) ([]Effect, error) {
 	entry := m.jobs[id]
 	switch {
--- a/internal/jobs/query.go
+++ b/internal/jobs/query.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Get returns a job as it stands; false: it is not known.
+// Get returns the current state of a job, or false if there is no such job.
 func (m *Machine) Get(id string) (Job, bool) {
 	entry := m.jobs[id]
 	if entry == nil {
@@ -14,7 +14,7 @@
 	return entry.Job, true
 }
 
-// IsStored reports whether a job is stored as it stands.
+// IsStored reports whether the latest version of a job is stored.
 func (m *Machine) IsStored(id string) bool {
 	entry := m.jobs[id]
 	return entry != nil && entry.storedVersion == entry.Version
@@ -40,8 +40,9 @@
 	}
 }
 
-// Page lists up to maxResults jobs that match, of the maxScanned jobs at most that were accepted after the sequence
-// number after. next is the sequence number to continue after; 0: there are no more.
+// Page lists jobs that match, in the order in which they were accepted, starting after the sequence number after. It
+// returns at most maxResults jobs and looks at no more than maxScanned. next is the sequence number to continue after,
+// or 0 if there are no more jobs.
 func (m *Machine) Page(after uint64, maxResults, maxScanned int, match func(Job) bool) (list []Job, next uint64) {
 	compare := func(entry *jobEntry, sequence uint64) int { return cmp.Compare(entry.Sequence, sequence) }
 	start, _ := slices.BinarySearchFunc(m.inOrder, after+1, compare)
--- a/internal/jobs/reason.go
+++ b/internal/jobs/reason.go
@@ -7,8 +7,8 @@
 // are.
 type Reason string
 
-// The reasons that an expired lease leaves with its job.
-// They are stored; "till" stands for a worker that deduplicates.
+// The reasons of jobs whose lease has expired. The texts are stored; "till" in them means what a worker that
+// Deduplicates uses to remember which jobs have run.
 const (
 	reasonLeaseExpired       Reason = "the lease ran out"
 	reasonNeedsDeduplication Reason = "the lease ran out; it is for workers whose till knows what has been run"
--- a/internal/jobs/recovery.go
+++ b/internal/jobs/recovery.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// recoveryFenceGap is added to the highest stored fence. The file may be an older copy of the store that an operator has
-// restored; the fences of leases that were granted after that copy must not be given again.
+// recoveryFenceGap is added to the highest stored fence. An operator may have restored an older copy of the store; the
+// fences of leases that were granted after that copy was made must not be assigned again.
 const recoveryFenceGap = 1 << 20
 
-// Recover starts an empty machine from the stored jobs, each of which comes once. Leases last for a grace time at
-// least, in which workers reconnect and report.
+// Recover fills an empty machine with the stored jobs; each job must occur once. Leases last for Config.RecoveryGrace
+// at least, in which workers can reconnect and report.
 func (m *Machine) Recover(now time.Duration, stored []Job) []Effect {
 	for _, job := range stored {
 		entry := &jobEntry{Job: job, storedVersion: job.Version}
@@ -28,8 +28,8 @@
 	return m.takeEffects()
 }
 
-// recoverState derives a job's state and due time from what is stored. Due times are bounded: a wall clock that was set
-// back while the process was down would put them far into the future.
+// recoverState derives a job's state and due time from what is stored. Due times are bounded: if the wall clock was set
+// back while the process was down, the stored times may lie far in the future.
 func (m *Machine) recoverState(now time.Duration, entry *jobEntry) {
 	switch entry.State {
 	case Accepted, Scheduled:
--- a/internal/jobs/report_test.go
+++ b/internal/jobs/report_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// A paid job was lost without having run: an ACK without a fence ended a job that was stored and that no worker had
-// ever been given, and its producer found it done. The cause: a job that was never leased has fence 0, a report without
-// a fence has 0 too, and Ack compared the two numbers alone; the test showed "reply r done" for a job that was never
-// delivered. A report counts only under a lease that a worker has, or had until it expired. These tests report jobs in
-// every state in which nobody has such a lease.
+// These tests guard against a report that finishes a job which no worker has run. An ACK without a fence once made a
+// stored job Done that had never been delivered: a job that was never leased has fence 0, a report without a fence has
+// 0 too, and Ack compared only the two numbers. A report must be accepted only under a lease that a worker holds, or
+// held until it expired. The tests send every report about a job in every state in which there is no such lease.
 
-// unleasedJob is a non-idempotent job that no worker has or has had in its hands, and a fence that is no lease of it.
+// unleasedJob is a non-idempotent job that was never delivered to a worker, or was returned unstarted, and a fence under
+// which no report about it may be accepted.
 type unleasedJob struct {
 	name    string
 	prepare func(m *storedMachine)
@@ -24,7 +24,7 @@
 	push := func(m *storedMachine) { m.push(Job{ID: "r", NonIdempotent: true}) }
 	return []unleasedJob{
 		{"being stored", func(m *storedMachine) { m.Push(m.now, Job{ID: "r", NonIdempotent: true}, 0) }, 0, Accepted},
-		{"for later", func(m *storedMachine) {
+		{"scheduled", func(m *storedMachine) {
 			m.carryOut(m.Push(m.now, Job{ID: "r", NonIdempotent: true}, time.Hour))
 		}, 0, Scheduled},
 		{"ready", push, 0, Ready},
@@ -38,11 +38,11 @@
 			job, _ := m.Get("r")
 			m.carryOut(m.StoreFailed("r", job.Version, errDiskFull))
 		}, 1, Ready},
-		{"its lease was given back before it began", func(m *storedMachine) {
+		{"its lease was returned before it started", func(m *storedMachine) {
 			push(m)
 			m.fail("r", m.lease("r", NoGuarantee), "full", false)
 		}, 1, Ready},
-		{"given back, after a restart", func(m *storedMachine) {
+		{"its lease was returned, after a restart", func(m *storedMachine) {
 			push(m)
 			m.fail("r", m.lease("r", NoGuarantee), "full", false)
 			m.restart()
@@ -59,7 +59,7 @@
 		"fail": func(m *storedMachine, fence uint64) error {
 			return m.carryOut(m.Fail(m.now, "r", fence, "no card", true))
 		},
-		"fail, not begun": func(m *storedMachine, fence uint64) error {
+		"fail, not started": func(m *storedMachine, fence uint64) error {
 			return m.carryOut(m.Fail(m.now, "r", fence, "full", false))
 		},
 		"start": func(m *storedMachine, fence uint64) error {
@@ -69,13 +69,13 @@
 		},
 		"extend": func(m *storedMachine, fence uint64) error {
 			m.Extend("r", fence, m.now+time.Hour)
-			return ErrLeaseVoid // it has no answer
+			return ErrLeaseVoid // Extend has no answer
 		},
 	}
 }
 
-// No report changes a job that no worker has a lease of, and each is rejected.
-func TestJobWithoutLeaseOutlivesEveryReport(t *testing.T) {
+// Each report about a job that no worker holds a lease on is rejected and does not change the job.
+func TestJobWithoutLeaseRejectsEveryReport(t *testing.T) {
 	for _, job := range unleasedJobs() {
 		for report, send := range reports() {
 			t.Run(job.name+"/"+report, func(t *testing.T) {
--- a/internal/jobs/retry.go
+++ b/internal/jobs/retry.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// maxBackoffDoublings bounds the backoff at InitialBackoff times 2^20, some 12 days for one of a second.
+// maxBackoffDoublings bounds the backoff at InitialBackoff times 2^20, which is some 12 days for an InitialBackoff of 1 s.
 const maxBackoffDoublings = 20
 
-// retryOrFinish lets an idempotent job that failed wait for its next attempt, or ends it after its last one.
+// retryOrFinish schedules the next attempt of an idempotent job that failed, or finishes the job after its last attempt.
 func (m *Machine) retryOrFinish(now time.Duration, entry *jobEntry, reason Reason) {
 	entry.Reason = reason
 	exhausted := entry.Attempts >= cmp.Or(entry.MaxAttempts, m.config.MaxAttempts)
@@ -23,7 +23,7 @@
 	}
 }
 
-// backoff is the wait before the next attempt of a job.
+// backoff is the wait before a job's next attempt.
 func (m *Machine) backoff(entry *jobEntry) time.Duration {
 	doublings := min(max(entry.Attempts-1, 0), maxBackoffDoublings)
 	return m.config.InitialBackoff << doublings
--- a/internal/jobs/script_test.go
+++ b/internal/jobs/script_test.go
@@ -20,8 +20,8 @@
 	AnnounceLeaseExpiry: "expired",
 }
 
-// describeEffects lists effects but those that announce a runnable job: the effect, the job, its state, and the error
-// or the job's reason.
+// describeEffects describes each effect, except AnnounceRunnable, by its name, the job's id and state, and the error or,
+// without one, the job's reason.
 func describeEffects(effects []Effect) string {
 	var descriptions []string
 	for _, effect := range effects {
@@ -38,7 +38,7 @@
 	return strings.Join(descriptions, "; ")
 }
 
-// script checks a machine step by step: each call and the effects that it has. The test itself calls Stored.
+// script checks the effects of each call to a machine. It stores nothing by itself: the test calls Stored.
 type script struct {
 	t       *testing.T
 	machine *Machine
@@ -76,7 +76,7 @@
 	return job.Fence
 }
 
-// storedMachine is a machine whose store succeeds at once, with a clock.
+// storedMachine is a machine with a clock, and with a store that succeeds at once.
 type storedMachine struct {
 	*Machine
 	t   *testing.T
@@ -94,7 +94,7 @@
 	return &storedMachine{Machine: New(config), t: t}
 }
 
-// carryOut stores what is to be stored, and returns the error of the answer.
+// carryOut reports each StoreJob effect as stored, and returns the error of the last answer.
 func (m *storedMachine) carryOut(effects []Effect) (err error) {
 	for len(effects) > 0 {
 		effect := effects[0]
--- a/internal/jobs/state.go
+++ b/internal/jobs/state.go
@@ -2,17 +2,17 @@
 
 import "slices"
 
-// State is where a job stands in its life. Its number is stored and its name is shown to operators.
+// State is a stage in the lifecycle of a job. The number is stored and the name is shown to operators.
 type State uint8
 
 // The states of a job.
 const (
-	Accepted  State = iota // being stored; its producer has no answer yet
+	Accepted  State = iota // being stored; its producer has not been answered yet
 	Scheduled              // to run at a later time
 	Ready                  // to be leased as soon as a worker has a free slot
-	Leased                 // given to a worker, or about to be; once the lease is stored the job may have started
-	Started                // its worker has been granted the start
-	Waiting                // for its next attempt, after a failure
+	Leased                 // to a worker; the job is delivered, and may start, once the lease is stored
+	Started                // its worker has been told that it may start
+	Waiting                // for its next attempt, after one that failed
 	Done                   // it ran
 	Dead                   // it failed and will not be retried, unless it is moved
 	Discarded              // it will never run
@@ -33,16 +33,16 @@
 // IsState reports whether text is the name of a state.
 func IsState(text string) bool { return slices.Contains(stateNames[:], text) }
 
-// IsFinal reports whether a job in this state stays in it unless a request moves or resolves it, or, where it is InDoubt,
-// a late report ends it.
+// IsFinal reports whether a job stays in this state unless an operator or client moves or resolves it. A job InDoubt
+// also leaves the state on a late report of its worker.
 func (s State) IsFinal() bool { return s == Done || s == Dead || s == Discarded || s == InDoubt }
 
-// IsHeld reports whether a worker has a lease of a job in this state.
+// IsHeld reports whether a worker holds a lease on a job in this state.
 func (s State) IsHeld() bool { return s == Leased || s == Started }
 
-// IsMovable reports whether a job in this state waits or is dead, so that Machine.Move can move it.
+// IsMovable reports whether Machine.Move can move a job in this state: it waits to run, or it is dead.
 func (s State) IsMovable() bool { return s == Scheduled || s == Ready || s == Waiting || s == Dead }
 
-// acceptsLateAck reports whether an Ack under the last lease of a job in this state, which no worker holds, proves that
-// the job ran.
+// acceptsLateAck reports whether an Ack that arrives in this state, after the job's last lease has expired, proves that
+// the job ran and makes it Done.
 func (s State) acceptsLateAck() bool { return s == InDoubt || s == Waiting || s == Ready }
--- a/internal/jobs/storing.go
+++ b/internal/jobs/storing.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Push accepts a job, to run at notBefore at the earliest. Its producer is answered once the job is stored. Where a
-// job of the same id is known already nothing changes: the producer is answered with success, or with ErrIDConflict
-// where the payload hashes differ.
+// Push accepts a job, to run at notBefore at the earliest. Its producer is answered once the job is stored. If there is
+// already a job of the same id, nothing changes: the producer is answered with success if the payload hashes are equal,
+// and with ErrIDConflict if they differ.
 func (m *Machine) Push(now time.Duration, job Job, notBefore time.Duration) []Effect {
 	if known := m.jobs[job.ID]; known != nil {
-		m.pushAgain(known, job)
+		m.pushDuplicate(known, job)
 		return m.takeEffects()
 	}
 	m.lastSequence++
@@ -30,8 +30,8 @@
 	return m.takeEffects()
 }
 
-// pushAgain answers the producer of a job whose id is known.
-func (m *Machine) pushAgain(known *jobEntry, job Job) {
+// pushDuplicate answers a push whose job id already exists.
+func (m *Machine) pushDuplicate(known *jobEntry, job Job) {
 	answer := Effect{Kind: AnswerPush, Job: known.Job}
 	switch {
 	case known.PayloadHash != job.PayloadHash:
@@ -44,7 +44,7 @@
 	}
 }
 
-// Stored reports that a version of a job is on disk.
+// Stored tells the machine that a version of a job is on disk.
 func (m *Machine) Stored(now time.Duration, id string, version uint64) []Effect {
 	entry := m.jobs[id]
 	if entry == nil {
@@ -58,20 +58,20 @@
 	return m.takeEffects()
 }
 
-// emitDeferred emits the effects that waited for a version that is stored now.
+// emitDeferred emits the effects that waited for a version that is now stored.
 func (m *Machine) emitDeferred(entry *jobEntry) {
 	for len(entry.afterStore) > 0 && entry.afterStore[0].version <= entry.storedVersion {
 		effect := entry.afterStore[0].effect
 		entry.afterStore = entry.afterStore[1:]
 		leaseEnded := entry.State != Leased || entry.Fence != effect.Job.Fence
 		if effect.Kind == DeliverJob && leaseEnded {
-			continue // the job is not sent under a lease that is over
+			continue // the lease has ended, so the job must not be delivered under it
 		}
 		m.emit(effect)
 	}
 }
 
-// stateUntilDue is Ready for a job that is due, and before that the state in which it waits.
+// stateUntilDue returns Ready for a job that is due, and before for one that is not.
 func stateUntilDue(now time.Duration, entry *jobEntry, before State) State {
 	if entry.DueAt > now {
 		return before
@@ -79,9 +79,9 @@
 	return Ready
 }
 
-// StoreFailed reports that a version of a job cannot be stored, for a cause. A job that was being accepted is rejected
-// with a *NotStoredError, and a lease that was about to be granted is taken back; any other change has
-// happened already, and the caller must store it again.
+// StoreFailed tells the machine that a version of a job could not be stored, and why. A job that was being accepted is
+// rejected with a *NotStoredError, and a lease whose job has not been delivered is released. Any other change has
+// already happened, and the caller must try again to store it.
 func (m *Machine) StoreFailed(id string, version uint64, cause error) []Effect {
 	entry := m.jobs[id]
 	if entry == nil || version != entry.Version {
@@ -91,7 +91,7 @@
 	case Accepted:
 		m.remove(entry)
 		m.emit(Effect{Kind: AnswerPush, Job: entry.Job, Err: &NotStoredError{Cause: cause}})
-	case Leased: // it has not been delivered, as that waits for the store
+	case Leased: // not delivered yet: that waits for the lease to be stored
 		isDelivery := func(deferred deferredEffect) bool { return deferred.effect.Kind == DeliverJob }
 		entry.afterStore = slices.DeleteFunc(entry.afterStore, isDelivery)
 		m.releaseUnstarted(entry)
