--- a/internal/store/benchmark_test.go
+++ b/internal/store/benchmark_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// measureFsyncs is how often in a second a page of a file in a directory is written and synced.
+// measureFsyncs measures how often per second a page of a file in the directory can be written and synced.
 func measureFsyncs(b *testing.B, directory string) float64 {
 	file, err := os.Create(filepath.Join(directory, "raw"))
 	if err != nil {
@@ -27,7 +27,7 @@
 	return float64(count) / time.Since(begin).Seconds()
 }
 
-// BenchmarkPut measures changes per second beside the disk's own fsyncs per second in the same run.
+// BenchmarkPut measures the changes per second, and for comparison the fsyncs per second of the disk in the same run.
 func BenchmarkPut(b *testing.B) {
 	directory := b.TempDir()
 	for _, producers := range []int{1, 16, 256} {
--- a/internal/store/compact.go
+++ b/internal/store/compact.go
@@ -9,12 +9,12 @@
 	"go.etcd.io/bbolt"
 )
 
-// compactTxSize is the size in bytes of the transactions that Compact writes the new file in.
+// compactTxSize is the maximum size in bytes of a transaction with which Compact writes the new file.
 const compactTxSize = 16 << 20
 
-// Compact rewrites a file without the free space inside it, and returns its sizes in bytes before and after. No
-// process may have it open; timeout is how long Compact waits for that. The old file stays in place until the new one
-// is on disk.
+// Compact rewrites a file without the unused space in it, and returns its size in bytes before and after. If a process
+// has the file open, Compact waits for up to timeout until that one closes it. The old file stays in place until the
+// new one is on disk.
 func Compact(path string, timeout time.Duration) (before, after int64, err error) {
 	source, err := openFile(path, timeout)
 	if err != nil {
@@ -23,7 +23,7 @@
 	defer source.Close()
 	defer recoverDamaged(path+": ", &err)
 	temporary := path + ".compact"
-	if err := os.Remove(temporary); err != nil && !errors.Is(err, os.ErrNotExist) { // of a Compact that was interrupted
+	if err := os.Remove(temporary); err != nil && !errors.Is(err, os.ErrNotExist) { // left by a Compact that was interrupted
 		return 0, 0, err
 	}
 	target, err := bbolt.Open(temporary, fileMode, fileOptions(timeout))
@@ -38,7 +38,7 @@
 	return replaceFile(path, temporary)
 }
 
-// replaceFile puts a new file in the place of an old one, and returns the sizes of both.
+// replaceFile replaces the file at path and returns the sizes of the old and the new file.
 func replaceFile(path, replacement string) (before, after int64, err error) {
 	oldInfo, err := os.Stat(path)
 	if err != nil {
--- a/internal/store/crash_test.go
+++ b/internal/store/crash_test.go
@@ -15,8 +15,9 @@
 	"time"
 )
 
-// These tests simulate what a power cut may leave of a commit, from the file before and after it. Pages that had not been
-// synced are there, missing, or torn at any sector; the meta page that makes the commit count is old, new or torn.
+// These tests simulate what a power cut during a commit may leave on disk, from the file before and after the commit.
+// Pages that had not been synced are written, not written, or torn at any sector. The meta page, with which the commit
+// takes effect, is old, new or torn.
 
 // Sizes in bytes of the simulated disk and of bbolt.
 const (
@@ -26,11 +27,11 @@
 	tornMetaMaxLen = 160 // a meta page has its fields and a checksum in its first 80 bytes
 )
 
-// crashImage makes an image of the file at a moment of the commit that leads from before to after. committed says that
-// the commit counts.
+// crashImage returns an image of the file after a crash at a random moment of the commit that changed it from before to
+// after. committed says that the commit has taken effect.
 func crashImage(random *rand.Rand, before, after []byte) (image []byte, committed bool) {
 	image = slices.Clone(before)
-	if len(after) > len(before) && random.IntN(4) > 0 { // the file had grown
+	if len(after) > len(before) && random.IntN(4) > 0 { // the file had already grown
 		image = grow(image, len(after))
 	}
 	allPagesSynced := random.IntN(2) == 0
@@ -48,12 +49,12 @@
 	return append(image, make([]byte, max(size-len(image), 0))...)
 }
 
-// isUnchanged reports whether a commit has left the page at an offset as it was.
+// isUnchanged reports whether the page at an offset is the same before and after a commit.
 func isUnchanged(before, after []byte, at int) bool {
 	return at < len(before) && bytes.Equal(before[at:at+pageSize], after[at:at+pageSize])
 }
 
-// tearPages writes some sectors of each page that the commit has changed, but for the meta pages.
+// tearPages copies a random number of sectors of each page that the commit has changed, except the meta pages.
 func tearPages(random *rand.Rand, image, before, after []byte) {
 	for at := metaPages * pageSize; at < len(after); at += pageSize {
 		if isUnchanged(before, after, at) {
@@ -66,8 +67,8 @@
 	}
 }
 
-// tearMetaPages writes some bytes of the meta page that the commit has changed. It returns whether the page is as the
-// commit leaves it, so that the commit counts.
+// tearMetaPages copies a random number of bytes of the meta page that the commit has changed. It reports whether the
+// page is then complete, so that the commit takes effect.
 func tearMetaPages(random *rand.Rand, image, before, after []byte) (committed bool) {
 	for at := 0; at < metaPages*pageSize; at += pageSize {
 		if isUnchanged(before, after, at) {
@@ -89,13 +90,13 @@
 	imagesPerCommit  = 25
 )
 
-// crashCounts count what the workers of TestCrashPoints have tried.
+// crashCounts counts the crash images that the workers of TestCrashPoints have tried.
 type crashCounts struct {
 	tried     atomic.Int64
-	committed atomic.Int64 // of them, those that left the commit complete
+	committed atomic.Int64 // those of them in which the commit had taken effect
 }
 
-// crashWorker makes commits to a store of its own, and opens images of what a crash during each may leave.
+// crashWorker commits to a store of its own, and checks images of what a crash during each commit may leave.
 type crashWorker struct {
 	t         *testing.T
 	number    int
@@ -108,7 +109,7 @@
 	before    []byte            // the file after the last commit
 }
 
-// run makes all commits of the worker, unless a check fails.
+// run makes the commits of the worker until a check fails.
 func (w *crashWorker) run() {
 	directory := memoryDir(w.t)
 	w.path = filepath.Join(directory, "jobs.db")
@@ -137,7 +138,7 @@
 	return content
 }
 
-// changes draws the records of a commit, and returns them with what the store holds after it.
+// changes picks random records for a commit, and returns them with what the store must hold after it.
 func (w *crashWorker) changes(commit int) (records []Record, next map[string]string) {
 	next = maps.Clone(w.model)
 	for range 1 + w.random.IntN(12) {
@@ -154,7 +155,7 @@
 	return records, next
 }
 
-// tryCommit makes a commit and checks the images of a crash during it; false: a check has failed.
+// tryCommit makes a commit and checks images of a crash during it. It returns false if a check has failed.
 func (w *crashWorker) tryCommit(commit int) bool {
 	records, next := w.changes(commit)
 	if err := put(w.store, records...); err != nil {
@@ -172,10 +173,10 @@
 	return true
 }
 
-// tryImage checks that an image holds all that was there before the commit, or all that is there after it.
+// tryImage checks that an image holds exactly what was there before the commit, or exactly what is there after it.
 func (w *crashWorker) tryImage(commit int, after []byte, next map[string]string) bool {
 	image, committed := crashImage(w.random, w.before, after)
-	os.Remove(w.imagePath) // a new file, as the system would flush one that is truncated and rewritten
+	os.Remove(w.imagePath) // write a new file: the system would flush one that is truncated and rewritten
 	if err := os.WriteFile(w.imagePath, image, fileMode); err != nil {
 		w.t.Error(err)
 		return false
@@ -194,8 +195,8 @@
 	return true
 }
 
-// Thousands of crash points: each leaves all that was there before the commit, or all that is there after it, and the
-// file opens without an error.
+// After a crash at any of thousands of points the file opens without an error, and holds exactly what was there before
+// the commit, or exactly what is there after it.
 func TestCrashPoints(t *testing.T) {
 	began := time.Now()
 	var running sync.WaitGroup
@@ -207,14 +208,15 @@
 	running.Wait()
 	tried := counts.tried.Load()
 	committed := counts.committed.Load()
-	t.Logf("%d crash points, %d of which left the commit complete, %.0f a second", tried, committed, float64(tried)/time.Since(began).Seconds())
+	t.Logf("%d crash points, after %d of which the commit had taken effect, %.0f a second", tried, committed, float64(tried)/time.Since(began).Seconds())
 	const want = crashWorkers * commitsPerWorker * imagesPerCommit
 	if tried != want || committed == 0 || committed == tried {
-		t.Errorf("%d of %d points tried, %d left the commit complete", tried, want, committed)
+		t.Errorf("%d of %d points tried, after %d the commit had taken effect", tried, want, committed)
 	}
 }
 
-// memoryDir is a directory in memory where there is one: the disk is simulated, so there is no need to wait for a real one.
+// memoryDir returns a directory on a file system in memory if there is one: the crashes are simulated, so the tests need
+// not wait for a real disk.
 func memoryDir(t *testing.T) string {
 	directory, err := os.MkdirTemp("/dev/shm", "store")
 	if err != nil {
--- a/internal/store/disk_errors_test.go
+++ b/internal/store/disk_errors_test.go
@@ -13,12 +13,12 @@
 	"time"
 )
 
-// diskErrorsChild is set in the environment of the process in which TestDiskErrors does its work.
+// diskErrorsChild is set in the environment of the child process in which TestDiskErrors runs its checks.
 const diskErrorsChild = "STORE_DISK_ERRORS_CHILD"
 
-// Errors of the system at real writes: the file cannot be written to for a while, or cannot grow. The changes that meet
-// them are rejected and leave no record, and the store stores later ones. This runs in a child process, as the limit on file
-// sizes holds for a whole process and would also meet the log that go test has it write.
+// The system rejects real writes: the file cannot be written to for a while, or cannot grow. Changes during that time are
+// rejected and leave no record, and the store then stores later ones. The test runs in a child process, as the limit on
+// file sizes applies to a whole process, and thus also to the log that it writes for go test.
 func TestDiskErrors(t *testing.T) {
 	if os.Getenv(diskErrorsChild) != "" {
 		testDiskErrors(t)
@@ -39,15 +39,15 @@
 	run.checkContents()
 }
 
-// diskErrorsRun writes records to a store whose file the system cannot write to for a while.
+// diskErrorsRun writes records to a store while the system rejects some of the writes.
 type diskErrorsRun struct {
 	t            *testing.T
 	path         string
 	store        *Store
-	descriptor   int               // the store's own
-	writable     int               // a copy of it
-	readOnly     int               // of the same file, opened for reading
-	want         map[string]string // what has been reported as stored, by id
+	descriptor   int               // of the store's file
+	writable     int               // a duplicate of descriptor
+	readOnly     int               // another descriptor of the file, opened for reading only
+	want         map[string]string // the values that have been reported as stored, by id
 	failedWrites int
 }
 
@@ -79,7 +79,7 @@
 	}
 }
 
-// put stores a record, and records what the store must hold after it.
+// put stores a record and, if that succeeds, adds it to what the store must hold.
 func (r *diskErrorsRun) put(id, text string) error {
 	err := put(r.store, Record{id, text})
 	if err == nil {
@@ -96,7 +96,7 @@
 	return err
 }
 
-// writeWithErrors writes records, during a third of which the system rejects each write.
+// writeWithErrors writes records; the system rejects the writes of a third of them.
 func (r *diskErrorsRun) writeWithErrors() {
 	random := rand.New(rand.NewPCG(3, 3))
 	for i := range 200 {
@@ -115,7 +115,7 @@
 	}
 }
 
-// writeAtSizeLimit writes records until the file cannot grow, then some more without the limit.
+// writeAtSizeLimit writes records until the file cannot grow, and another one without the limit.
 func (r *diskErrorsRun) writeAtSizeLimit() {
 	signal.Ignore(syscall.SIGXFSZ)
 	defer signal.Reset(syscall.SIGXFSZ)
@@ -134,13 +134,13 @@
 	for i := 0; fileFull == nil && i < 1000; i++ {
 		fileFull = r.put(fmt.Sprint("big-", i), strings.Repeat("b", 30_000))
 	}
-	r.put("small", "s") // it may fit
+	r.put("small", "s") // this one may still fit
 	syscall.Setrlimit(syscall.RLIMIT_FSIZE, &limit)
 	if fileFull == nil || !strings.Contains(fileFull.Error(), syscall.EFBIG.Error()) {
-		r.t.Fatalf("a file that must not grow: %v", fileFull)
+		r.t.Fatalf("writing to a file that cannot grow: %v", fileFull)
 	}
 	if err := r.put("after", "a"); err != nil {
-		r.t.Fatalf("with space again: %v", err)
+		r.t.Fatalf("after the limit was lifted: %v", err)
 	}
 }
 
@@ -155,7 +155,7 @@
 	}
 }
 
-// descriptorOf is the descriptor that this process has of a file; -1: none.
+// descriptorOf returns the descriptor of this process for a file, or -1 if there is none.
 func descriptorOf(path string) int {
 	descriptor := -1
 	open, _ := os.ReadDir("/proc/self/fd")
--- a/internal/store/example_test.go
+++ b/internal/store/example_test.go
@@ -9,7 +9,7 @@
 	"hollyyoke.example/hollyyoke/internal/store"
 )
 
-// Records are written in the background, and read when a file is opened.
+// Records are written in the background and read with Load.
 func Example() {
 	directory, err := os.MkdirTemp("", "store")
 	if err != nil {
--- a/internal/store/helpers_test.go
+++ b/internal/store/helpers_test.go
@@ -14,7 +14,7 @@
 // twinSuffix ends the id of the second record of a Put of two records.
 const twinSuffix = "+"
 
-// withTwin returns two records, which must be stored together or not at all.
+// withTwin returns two records for one Put, which must be stored together or not at all.
 func withTwin(id, payload string) []Record {
 	return []Record{
 		{id, testJob{"accepted", payload}},
@@ -22,7 +22,7 @@
 	}
 }
 
-// checkTwins checks that the records of each Put of withTwin are there together.
+// checkTwins checks that both records of each Put of withTwin are there, or none.
 func checkTwins(t *testing.T, when string, states map[string]string) {
 	t.Helper()
 	for id := range states {
@@ -54,8 +54,8 @@
 	return putAndReport(store, func(error) {}, records...)
 }
 
-// putAndReport stores records together as put does, and calls report from within the store's own report, so that nothing
-// that the store does later has happened by then.
+// putAndReport stores records as put does. It calls report from within onStored, on the store's goroutine, so the store
+// does nothing else before report returns.
 func putAndReport(store *Store, report func(error), records ...Record) error {
 	result := make(chan error, 1)
 	store.Put(records, func(err error) {
@@ -105,7 +105,7 @@
 	return states
 }
 
-// contents is all that a verified file holds, where the values are texts.
+// contents verifies a file whose values are strings and returns them by id.
 func contents(path string) (map[string]string, error) {
 	store, err := Open(path, Options{})
 	if err != nil {
@@ -118,7 +118,7 @@
 	return load[string](store)
 }
 
-// expectError checks that an error has come whose text has a part.
+// expectError checks that err is an error whose text contains part.
 func expectError(t *testing.T, what string, err error, part string) {
 	t.Helper()
 	if err == nil || !strings.Contains(err.Error(), part) {
--- a/internal/store/kill_test.go
+++ b/internal/store/kill_test.go
@@ -52,8 +52,8 @@
 	running.Wait()
 }
 
-// writeAndKill runs a child process that writes to a file, and kills it after it has reported so many records as
-// stored. It returns their ids, and those of records that it reported until it had ended.
+// writeAndKill runs a child process that writes to a file, and kills it after it has reported more than killAfter
+// records as stored. It returns the ids of all records that were reported before the process ended.
 func writeAndKill(t *testing.T, path string, round, killAfter int) (acknowledged []string) {
 	t.Helper()
 	child := exec.Command(os.Args[0])
@@ -76,8 +76,8 @@
 	return acknowledged
 }
 
-// checkAfterKill checks that a file opens, holds all records that were reported as stored, and those of one Put
-// together.
+// checkAfterKill checks that a file opens, and holds all records that were reported as stored and both records of each
+// Put or none.
 func checkAfterKill(t *testing.T, path string, round int, acknowledged map[string]bool) {
 	t.Helper()
 	when := fmt.Sprint("after kill ", round)
@@ -101,8 +101,8 @@
 	}
 }
 
-// A process is killed at arbitrary moments, over and over on one file: all records that were reported as stored are
-// there, those of one Put are there together, and the file opens at once.
+// A process that writes to the file is killed at arbitrary moments, several times: the file opens each time, and holds
+// all records that were reported as stored, and both records of each Put or none.
 func TestKilled(t *testing.T) {
 	path := newPath(t)
 	acknowledged := map[string]bool{}
--- a/internal/store/load.go
+++ b/internal/store/load.go
@@ -11,9 +11,9 @@
 // loadChunkSize is how many records one goroutine of Load decodes at a time.
 const loadChunkSize = 4096
 
-// Load reads all records, in the order of their ids, and returns what parse makes of them. Several goroutines call
-// parse at a time, each record once; where keep is false the record is left out. The bytes are valid during the call
-// only. A damaged record is an error that names it.
+// Load reads all records and returns the results of parse in the order of their ids. It calls parse once for each
+// record, from several goroutines at a time; a record for which keep is false is left out. value is valid only during
+// the call. A damaged record is an error that names it.
 func Load[T any](store *Store, parse func(id string, value []byte) (parsed T, keep bool, err error)) (all []T, err error) {
 	defer recoverDamaged("", &err)
 	var chunks []*loadChunk[T]
@@ -49,7 +49,7 @@
 	return all, err
 }
 
-// loadChunk is some records that one goroutine decodes.
+// loadChunk holds records that one goroutine decodes, and the result.
 type loadChunk[T any] struct {
 	ids    []string
 	raw    [][]byte
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -11,8 +11,8 @@
 // checksumSize is the size of a record's checksum in bytes.
 const checksumSize = 8
 
-// encode returns the stored form of a record: its schema version as a varint, a checksum over id and value, and the
-// value as JSON.
+// encode returns the stored form of a record: the schema version as a varint, a checksum over the id and the value, and
+// the value as JSON.
 func encode(r Record) ([]byte, error) {
 	value, err := json.Marshal(r.Value)
 	if err != nil {
@@ -23,7 +23,7 @@
 	return append(raw, value...), nil
 }
 
-// decode returns the value of a stored record, which shares its memory.
+// decode checks a stored record and returns its value, which is a slice of raw.
 func decode(id string, raw []byte) ([]byte, error) {
 	version, headerSize := binary.Uvarint(raw)
 	if headerSize <= 0 || len(raw) < headerSize+checksumSize {
@@ -39,7 +39,7 @@
 	return value, nil
 }
 
-// checksum covers a record's id too, so that a value under another id is found.
+// checksum covers the id too, so that a value that is stored under the wrong id is detected.
 func checksum(id string, value []byte) uint64 {
 	digest := xxhash.New()
 	digest.WriteString(id)
--- a/internal/store/rejected_test.go
+++ b/internal/store/rejected_test.go
@@ -13,7 +13,8 @@
 	"go.etcd.io/bbolt"
 )
 
-// fillWithMarker writes 300 records, and one more, 'last', whose payload is a marker that is found in the file.
+// fillWithMarker writes 300 records, and one more, 'last', whose payload is the text 'marker', by which damageRecord finds
+// it in the file.
 func fillWithMarker(t *testing.T, store *Store) {
 	t.Helper()
 	for i := range 300 {
@@ -22,7 +23,7 @@
 	mustPut(t, store, "last", testJob{"accepted", "marker"})
 }
 
-// newMarkedFile makes a file with the records of fillWithMarker.
+// newMarkedFile creates a file with the records of fillWithMarker.
 func newMarkedFile(t *testing.T) (path string) {
 	t.Helper()
 	path = newPath(t)
@@ -32,7 +33,7 @@
 	return path
 }
 
-// damageRecord changes a byte in each copy of the marker.
+// damageRecord changes a byte in each occurrence of the marker.
 func damageRecord(content []byte) {
 	for {
 		at := bytes.Index(content, []byte("marker"))
@@ -63,7 +64,7 @@
 	file.Close()
 }
 
-// A file that is open elsewhere is not opened.
+// A file that is already open cannot be opened again.
 func TestOpenTwice(t *testing.T) {
 	path := newPath(t)
 	store := mustOpen(t, path)
@@ -73,7 +74,7 @@
 	expectError(t, "opened twice", err, "another process has it open")
 }
 
-// A change that is handed over after Close is rejected.
+// A Put after Close is rejected.
 func TestPutAfterClose(t *testing.T) {
 	store := mustOpen(t, newPath(t))
 	store.Close()
@@ -84,7 +85,7 @@
 	})
 }
 
-// A byte of a record has changed: the record is named by Load and found by Verify, and not passed over.
+// A byte of a record has changed: Load fails with an error that names the record, and Verify finds it.
 func TestDamagedRecord(t *testing.T) {
 	content := mustReadFile(t, newMarkedFile(t))
 	damageRecord(content)
@@ -99,7 +100,7 @@
 	}
 }
 
-// Both meta pages of a file are damaged: it does not open, and the error names it.
+// A file with both meta pages damaged cannot be opened, and the error names the file.
 func TestDamagedMetaPages(t *testing.T) {
 	content := mustReadFile(t, newMarkedFile(t))
 	damageRecord(content)
@@ -110,7 +111,7 @@
 	expectError(t, "damaged meta pages", err, path)
 }
 
-// A file of a later schema does not open.
+// A file of a later schema cannot be opened.
 func TestLaterSchema(t *testing.T) {
 	path := newMarkedFile(t)
 	setSchema(t, path, SchemaVersion+1)
--- a/internal/store/schema.go
+++ b/internal/store/schema.go
@@ -7,11 +7,11 @@
 	"go.etcd.io/bbolt"
 )
 
-// SchemaVersion is the version of the files and records that are written. Open brings files of earlier versions
-// forward by migrations and rejects those of later ones.
+// SchemaVersion is the version of the files and records that are written. Open migrates files of earlier versions and
+// rejects those of later ones.
 const SchemaVersion = 1
 
-// migrations[n] brings a file from schema n to n+1.
+// migrations[n] migrates a file from schema n to n+1.
 var migrations = map[uint64]func(*bbolt.Tx) error{}
 
 // The buckets of a file, and the key of its schema version in the meta bucket: 8 bytes, big-endian.
@@ -21,7 +21,7 @@
 	schemaKey     = []byte("schema")
 )
 
-// migrate brings the file to SchemaVersion. A file that has it already is not written to.
+// migrate migrates the file to SchemaVersion. A file that already has this version is not written to.
 func (s *Store) migrate() (err error) {
 	defer recoverDamaged("", &err)
 	current := false
@@ -40,7 +40,7 @@
 	return s.db.Update(migrateFile)
 }
 
-// readSchema reads a file's schema version; false: it has none.
+// readSchema reads a file's schema version; known is false if it has none.
 func readSchema(meta *bbolt.Bucket) (version uint64, known bool) {
 	raw := meta.Get(schemaKey)
 	if len(raw) != 8 {
@@ -49,7 +49,7 @@
 	return binary.BigEndian.Uint64(raw), true
 }
 
-// migrateFile makes the buckets of a new file, and applies all migrations that a file of an earlier schema lacks.
+// migrateFile creates the buckets of a new file, and applies to a file of an earlier schema all migrations from there.
 func migrateFile(tx *bbolt.Tx) error {
 	meta, err := tx.CreateBucketIfNotExists(metaBucket)
 	if err != nil {
--- a/internal/store/schema_test.go
+++ b/internal/store/schema_test.go
@@ -7,7 +7,7 @@
 	"go.etcd.io/bbolt"
 )
 
-// A file of an earlier schema is migrated as it is opened, completely or not at all.
+// Open migrates a file of an earlier schema, completely or not at all.
 func TestMigration(t *testing.T) {
 	path := newPath(t)
 	store := mustOpen(t, path)
@@ -24,13 +24,13 @@
 			err = tx.Bucket(recordsBucket).Put([]byte("a"), raw)
 		}
 		if migrationFails {
-			return errors.New("half way")
+			return errors.New("migration interrupted")
 		}
 		return err
 	}
 	defer delete(migrations, SchemaVersion-1)
 	_, err = Open(path, Options{})
-	expectError(t, "a migration that fails", err, "half way")
+	expectError(t, "a migration that fails", err, "migration interrupted")
 
 	migrationFails = false
 	store = mustOpen(t, path)
@@ -38,7 +38,7 @@
 		t.Errorf("after the migration: %v, want a new", got)
 	}
 	store.Close()
-	delete(migrations, SchemaVersion-1) // it is not needed again
+	delete(migrations, SchemaVersion-1) // a migrated file needs no migration
 	store = mustOpen(t, path)
 	store.Close()
 }
--- a/internal/store/snapshot.go
+++ b/internal/store/snapshot.go
@@ -9,8 +9,8 @@
 	"go.etcd.io/bbolt"
 )
 
-// Snapshot writes a copy of the file as it is at one moment to another path, completely or not at all, while the store
-// stays in use. An existing file there is an error.
+// Snapshot writes a consistent copy of the file to another path, completely or not at all. The store can be used
+// meanwhile. It is an error if there already is a file at that path.
 func (s *Store) Snapshot(path string) error {
 	if _, err := os.Lstat(path); !errors.Is(err, os.ErrNotExist) {
 		return fmt.Errorf("%s: there is a file already", path)
@@ -24,13 +24,13 @@
 	if err = errors.Join(err, temporary.Close()); err != nil {
 		return err
 	}
-	if err := os.Link(temporary.Name(), path); err != nil { // unlike a rename, it never replaces a file
+	if err := os.Link(temporary.Name(), path); err != nil { // unlike os.Rename, os.Link never replaces a file
 		return err
 	}
 	return syncDirectoryOf(path)
 }
 
-// copyTo writes the store's present content to a file and syncs it.
+// copyTo writes the store's current content to a file and syncs it.
 func (s *Store) copyTo(file *os.File) error {
 	err := s.db.View(func(tx *bbolt.Tx) error {
 		_, err := tx.WriteTo(file)
--- a/internal/store/snapshot_test.go
+++ b/internal/store/snapshot_test.go
@@ -45,13 +45,13 @@
 	}
 }
 
-// stop stops the writers after the records that they are writing.
+// stop waits until the writers have written their current records and stopped.
 func (w *backgroundWriters) stop() {
 	close(w.stopping)
 	w.running.Wait()
 }
 
-// awaitMoreThan waits until more than so many records have been reported as stored, and returns their ids.
+// awaitMoreThan waits until more than count records have been reported as stored, and returns their ids.
 func (w *backgroundWriters) awaitMoreThan(count int) map[string]bool {
 	for {
 		w.mu.Lock()
@@ -64,7 +64,7 @@
 	}
 }
 
-// checkSnapshot checks that a snapshot is in order, and holds what was reported as stored before it.
+// checkSnapshot checks that a snapshot is undamaged and holds all records that were reported as stored before it.
 func checkSnapshot(t *testing.T, path string, acknowledged map[string]bool) {
 	t.Helper()
 	when := "snapshot " + filepath.Base(path)
@@ -96,8 +96,8 @@
 	}
 }
 
-// A snapshot that is taken while others write is consistent: the records of one Put are there together, and all that
-// was reported as stored before it.
+// A snapshot that is taken while other goroutines write is consistent: it holds both records of a Put or none, and all
+// records that were reported as stored before it.
 func TestSnapshotWhileOthersWrite(t *testing.T) {
 	path := newPath(t)
 	store := mustOpen(t, path)
@@ -130,7 +130,7 @@
 	checkNothingLeft(t, filepath.Dir(path))
 }
 
-// Compact keeps all records, in less space, and does nothing to a file that is open.
+// Compact keeps all records in a smaller file, and is an error on a file that is open.
 func TestCompact(t *testing.T) {
 	path := newPath(t)
 	store := mustOpen(t, path)
@@ -138,7 +138,7 @@
 	writers.awaitMoreThan(200)
 	writers.stop()
 	want := mustLoad(t, store)
-	for id := range want { // most are deleted
+	for id := range want { // delete most records
 		if len(want) > 20 {
 			mustPut(t, store, id, nil)
 			delete(want, id)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,7 +1,7 @@
-// Package store keeps records, the durable jobs, in one bbolt file. A single goroutine writes them, many changes to
-// one fsync, and reports each change's fate in the order in which the changes were handed over: a change is reported
-// as stored only once the disk has it. A damaged record is an error, never passed over. The package does not know
-// what a record means.
+// Package store keeps the records of durable jobs in one bbolt file. A single goroutine writes them, with one fsync for
+// a batch of changes, and reports for each change whether it was stored, in the order of the calls of Put. A change is
+// reported as stored only once it is on disk. Reading a damaged record is an error; it is never skipped. The package
+// does not interpret the records.
 package store
 
 import (
@@ -14,14 +14,14 @@
 	bbolterrors "go.etcd.io/bbolt/errors"
 )
 
-// Options bound a store. A zero field takes its default.
+// Options configure a store. A zero field takes its default.
 type Options struct {
-	// GroupCommitDelay is how long a batch of changes waits for further ones before its fsync; 0: a batch is what
-	// came while the one before it was being stored.
+	// GroupCommitDelay is how long a batch of several changes waits for further ones before it is written. With 0 a
+	// batch holds the changes that arrived while the previous batch was being stored.
 	GroupCommitDelay time.Duration
-	MaxBatch         int           // changes in one fsync at most; default 1024
+	MaxBatch         int           // maximum number of changes in one transaction; default 1024
 	OpenTimeout      time.Duration // how long Open waits for another process to close the file; default 1 s
-	InjectWriteError func() error  // for tests: the error of the next write; nil: none
+	InjectWriteError func() error  // for tests: called in each write; an error that it returns makes the write fail
 }
 
 // The defaults of Options.
@@ -30,13 +30,13 @@
 	defaultOpenTimeout = time.Second
 )
 
-// fileMode lets only the file's owner read jobs, whose payloads may be personal.
+// fileMode lets only the file's owner read the jobs, whose payloads may hold personal data.
 const fileMode = 0o600
 
 // Record is what is stored under one id.
 type Record struct {
 	ID    string
-	Value any // marshalled as JSON; nil: delete the record
+	Value any // marshalled as JSON; nil deletes the record
 }
 
 // Store is an open file. Its methods may be called from any goroutine.
@@ -46,15 +46,15 @@
 	mu            sync.Mutex
 	queue         []change      // guarded by mu
 	closed        bool          // guarded by mu
-	wake          chan struct{} // of capacity 1: there may be something for the writer to do
+	wake          chan struct{} // of capacity 1; a value tells the writer that the queue or closed has changed
 	writerStopped chan struct{}
 }
 
-// ErrClosed is the fate of changes that are handed over after Close.
+// ErrClosed is the error of calls after Close: of Put, for its changes, and of a second Close.
 var ErrClosed = errors.New("the store is closed")
 
-// Open opens a file, or makes one. The error names the file and says that another process has it open, that it is
-// damaged, or that its schema is a later one.
+// Open opens a file, and creates it if it does not exist. The error names the file and says whether another process has
+// it open, it is damaged, or its schema is newer than this program.
 func Open(path string, options Options) (*Store, error) {
 	if options.MaxBatch == 0 {
 		options.MaxBatch = defaultMaxBatch
@@ -75,7 +75,7 @@
 	return store, nil
 }
 
-// openFile opens a file, waiting a while for another process to close it.
+// openFile opens a file. If another process has it open, it waits for up to timeout until that one closes it.
 func openFile(path string, timeout time.Duration) (db *bbolt.DB, err error) {
 	defer recoverDamaged(path+": ", &err)
 	db, err = bbolt.Open(path, fileMode, fileOptions(timeout))
@@ -93,14 +93,14 @@
 	return &bbolt.Options{Timeout: timeout, FreelistType: bbolt.FreelistMapType}
 }
 
-// recoverDamaged, deferred, turns a panic into an error: bbolt panics in places where a file is damaged.
+// recoverDamaged must be deferred. It turns a panic into an error, as some functions of bbolt panic on a damaged file.
 func recoverDamaged(prefix string, err *error) {
 	if p := recover(); p != nil {
 		*err = fmt.Errorf("%sthe file is damaged: %v", prefix, p)
 	}
 }
 
-// Close stores what has been handed over and closes the file. A second Close returns ErrClosed.
+// Close stores all changes that were passed to Put before and closes the file. A second Close returns ErrClosed.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	if s.closed {
--- a/internal/store/verify.go
+++ b/internal/store/verify.go
@@ -6,8 +6,8 @@
 	"go.etcd.io/bbolt"
 )
 
-// Verify checks the file's own structure and the checksum of every record. It returns how many records there are, and
-// all that is wrong.
+// Verify checks the structure of the file and the checksum of every record. It returns the number of records, and all
+// problems that it found, joined into one error.
 func (s *Store) Verify() (records int, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		var problems []error
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -12,9 +12,9 @@
 	onStored func(error)
 }
 
-// Put hands over records, which are stored together or not at all. onStored is called once, in the order of the Puts,
-// on the store's goroutine: with nil once the disk has the records, or with the error for which they are not stored.
-// After Close it is called at once with ErrClosed.
+// Put queues records that are stored together or not at all. onStored is called once, in the order of the calls of Put,
+// on the store's goroutine: with nil once the records are on disk, or with the error for which they were not stored.
+// After Close, Put calls onStored with ErrClosed before it returns.
 func (s *Store) Put(records []Record, onStored func(error)) {
 	s.mu.Lock()
 	if s.closed {
@@ -27,7 +27,7 @@
 	s.wakeWriter()
 }
 
-// wakeWriter lets the writer look at the queue. If a wake-up is pending already, that one is enough.
+// wakeWriter makes the writer check the queue. It does nothing if a wake-up is already pending.
 func (s *Store) wakeWriter() {
 	select {
 	case s.wake <- struct{}{}:
@@ -35,8 +35,8 @@
 	}
 }
 
-// write is the writer's goroutine. It stores changes as they come, all that have come at a time, until the store is
-// closed and the queue empty.
+// write is the writer's goroutine. It stores the queued changes in batches until the store is closed and the queue is
+// empty.
 func (s *Store) write() {
 	defer close(s.writerStopped)
 	for range s.wake {
@@ -53,7 +53,8 @@
 	}
 }
 
-// nextBatch takes the next changes off the queue, after the time for which they wait for others.
+// nextBatch takes the next batch off the queue. If several changes are queued, but no full batch, it first waits for
+// GroupCommitDelay.
 func (s *Store) nextBatch() []change {
 	waiting := s.queueLen()
 	if waiting > 1 && waiting < s.options.MaxBatch && s.options.GroupCommitDelay > 0 {
@@ -74,15 +75,15 @@
 	return len(s.queue)
 }
 
-// isFinished reports whether the store is closed and everything has been written.
+// isFinished reports whether the store is closed and the queue is empty.
 func (s *Store) isFinished() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.closed && len(s.queue) == 0
 }
 
-// commit stores a batch. If that fails, the changes are tried one at a time, so that one that cannot be stored does
-// not take others with it.
+// commit stores a batch and reports the result of each change. If the batch cannot be stored, its changes are stored one
+// at a time, so that one that cannot be stored does not make the others fail.
 func (s *Store) commit(batch []change) {
 	err := s.update(batch)
 	if err == nil || len(batch) == 1 {
--- a/internal/store/writer_test.go
+++ b/internal/store/writer_test.go
@@ -11,7 +11,7 @@
 
 var errDiskFull = errors.New("no space left on device")
 
-// A change that cannot be stored is reported, in its turn, and the store goes on.
+// Changes that cannot be stored are reported in the order of their Puts, and the store then stores later ones.
 func TestWriteFails(t *testing.T) {
 	var diskFull atomic.Bool
 	store, err := Open(newPath(t), Options{GroupCommitDelay: 5 * time.Millisecond, InjectWriteError: func() error {
@@ -54,7 +54,7 @@
 	}
 }
 
-// A change whose value cannot be marshalled does not take another with it.
+// A change whose value cannot be marshalled does not make another one fail.
 func TestValueThatCannotBeStored(t *testing.T) {
 	store, err := Open(newPath(t), Options{GroupCommitDelay: 5 * time.Millisecond})
 	if err != nil {
@@ -81,8 +81,8 @@
 	}
 }
 
-// Close while a change is being reported, with another one queued behind it: both are stored, and Close ends.
-func TestCloseMeetsAWrite(t *testing.T) {
+// Close is called while a change is being reported and another one is queued: both are stored, and Close returns.
+func TestCloseDuringWrite(t *testing.T) {
 	path := newPath(t)
 	store := mustOpen(t, path)
 	ended := make(chan error, 1)
@@ -97,7 +97,7 @@
 			t.Fatal(err)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatal("Close does not end")
+		t.Fatal("Close does not return")
 	}
 	store = mustOpen(t, path)
 	defer store.Close()
