--- a/internal/durable/benchmark_test.go
+++ b/internal/durable/benchmark_test.go
@@ -18,7 +18,7 @@
 // fillBatch is how many jobs fillStore writes in one Put.
 const fillBatch = 10_000
 
-// fillStore writes a store as a long service leaves it: most jobs are over, some wait, some are leased.
+// fillStore writes a store like that of a long-running service: most jobs are done, some wait, some are leased.
 func fillStore(b *testing.B, path string, jobCount int) {
 	file, err := store.Open(path, store.Options{MaxBatch: 20_000})
 	if err != nil {
@@ -43,8 +43,8 @@
 	}
 }
 
-// oldJob is one of the jobs that a long service leaves: of ten, one waits to run, one to be retried, one is leased, and
-// the others are done.
+// oldJob returns the i-th job of such a store: of ten jobs, one waits to run, one waits for its next attempt, one is
+// leased, and the others are done.
 func oldJob(i int, now time.Duration) jobs.Job {
 	payload := []byte(`{"jid":"paid-0000000","queue":"renewal","jobtype":"renewal","args":["member 1234567","plan gold"],"custom":{"effort_us":200000}}`)
 	job := jobs.Job{
@@ -74,7 +74,7 @@
 	return job
 }
 
-// The time until all jobs are recovered and the runnable ones announced.
+// BenchmarkRecover measures the time until all jobs are recovered and the runnable ones are announced.
 func BenchmarkRecover(b *testing.B) {
 	for _, jobCount := range []int{100_000, 1_000_000} {
 		b.Run(fmt.Sprint(jobCount), func(b *testing.B) {
@@ -116,7 +116,8 @@
 	}
 }
 
-// How long other work of the loop waits while producers push: how late ticks are that are a millisecond apart.
+// BenchmarkLoopStall measures how long other work of the loop waits while producers push: it posts a function to the loop
+// every millisecond and measures the time until the function runs.
 func BenchmarkLoopStall(b *testing.B) {
 	for _, producers := range []int{0, 16, 256} {
 		b.Run(fmt.Sprint(producers), func(b *testing.B) {
--- a/internal/durable/diskfull_test.go
+++ b/internal/durable/diskfull_test.go
@@ -12,7 +12,7 @@
 	"hollyyoke.example/hollyyoke/internal/store"
 )
 
-// writeStep is a change of a job that must be written to disk.
+// writeStep is a step of a job's processing that must be written to disk.
 type writeStep string
 
 const (
@@ -23,7 +23,7 @@
 	noStep    writeStep = "nowhere"
 )
 
-// diskFullRun takes one job from its push to its ack. The disk is full at one step, for a while.
+// diskFullRun takes one job from its push to its ack. The disk is full for some time during one of the steps.
 type diskFullRun struct {
 	*testService
 	path           string
@@ -39,7 +39,7 @@
 	return run
 }
 
-// writeError is the error of the next write.
+// writeError is the InjectWriteError of the store: it makes writes fail while the disk is full.
 func (r *diskFullRun) writeError() error {
 	if !r.diskFull.Load() {
 		return nil
@@ -48,7 +48,7 @@
 	return syscall.ENOSPC
 }
 
-// beginStep begins a step: the disk is full if the run says so.
+// beginStep begins a step, and makes the disk full if fullAt is this step.
 func (r *diskFullRun) beginStep(step writeStep) { r.diskFull.Store(step == r.fullAt) }
 
 func (r *diskFullRun) pushJob() error {
@@ -56,7 +56,7 @@
 	return r.push(jobs.Job{ID: "r", Class: "renewal", NonIdempotent: true})
 }
 
-// runPush pushes the job. A push that cannot be stored is rejected and leaves nothing behind.
+// runPush pushes the job. A push that cannot be stored must be rejected and leave no job behind.
 func (r *diskFullRun) runPush() {
 	r.t.Helper()
 	r.beginStep(pushStep)
@@ -66,7 +66,7 @@
 	}
 	if r.diskFull.Load() {
 		if r.state("r") != "" {
-			r.t.Fatal("a job that was rejected is known")
+			r.t.Fatal("a job that was rejected exists")
 		}
 		r.diskFull.Store(false)
 		if err := r.pushJob(); err != nil {
@@ -76,7 +76,7 @@
 	receive(r.t, "the job", r.runnable)
 }
 
-// runLease leases the job and returns its fence. A lease that cannot be stored is not granted.
+// runLease leases the job and returns its fence. A lease that cannot be stored must not be granted.
 func (r *diskFullRun) runLease() (fence uint64) {
 	r.t.Helper()
 	r.beginStep(leaseStep)
@@ -98,8 +98,8 @@
 	return lease.job.Fence
 }
 
-// runReport makes a change that has happened already. It is written again until the disk takes it, and acknowledged
-// only then.
+// runReport sends a worker's report. If it cannot be stored, the write must be repeated until it succeeds, and the report
+// must be acknowledged only then.
 func (r *diskFullRun) runReport(step writeStep, start func(done func(error))) {
 	r.t.Helper()
 	r.beginStep(step)
@@ -118,12 +118,12 @@
 	}
 }
 
-// awaitRejectedWrites waits until the disk has rejected so many writes.
+// awaitRejectedWrites waits until at least want writes have been rejected.
 func (r *diskFullRun) awaitRejectedWrites(step writeStep, want int32) {
 	r.t.Helper()
-	for end := time.Now().Add(patience); r.rejectedWrites.Load() < want; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); r.rejectedWrites.Load() < want; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			r.t.Fatalf("the %s is not tried again", step)
+			r.t.Fatalf("the write of the %s is not tried again", step)
 		}
 	}
 }
@@ -142,8 +142,8 @@
 	r.close()
 }
 
-// The disk is full at each write in turn, for a while. A push that cannot be stored is rejected and leaves nothing behind,
-// a lease that cannot be stored is not granted, and what has happened already is acknowledged once it is on disk.
+// The disk is full for some time at each write in turn. A push that cannot be stored is rejected and leaves no job behind,
+// a lease that cannot be stored is not granted, and a worker's report is acknowledged only once it is on disk.
 func TestDiskFullAtEachWrite(t *testing.T) {
 	for _, fullAt := range []writeStep{pushStep, leaseStep, startStep, ackStep, noStep} {
 		t.Run(string(fullAt), func(t *testing.T) {
--- a/internal/durable/doc.go
+++ b/internal/durable/doc.go
@@ -1,12 +1,12 @@
-// Package durable runs the jobs that outlive the process. A Service joins the state machine of package jobs with the
-// store and the event loop's clock, a Scheduler hands runnable jobs to the dispatcher, and an OfflineStore lets
-// operators work on the store of a stopped dispatcher.
+// Package durable runs jobs that survive a restart of the process. A Service connects the state machine of package jobs
+// to the store and to the event loop's clock, a Scheduler passes runnable jobs to the dispatcher, and an OfflineStore
+// lets operators work on the store of a stopped dispatcher.
 //
-// # What is acknowledged when
+// # When requests are acknowledged
 //
-// A caller's callback runs with nil only once the change that it asked for is on disk. A change that has happened
-// already, such as a worker's report, is written again until the disk takes it; a push or a lease that cannot be
-// stored is rejected instead. What a job's state allows is decided by package jobs alone.
+// A caller's callback runs with nil only once the change that it requested is on disk. If a change that has already
+// happened, such as a worker's report, cannot be written, the write is repeated until it succeeds; a push or a lease
+// that cannot be stored is rejected instead. Only package jobs decides which changes a job's state allows.
 //
 // # Concurrency
 //
--- a/internal/durable/example_test.go
+++ b/internal/durable/example_test.go
@@ -11,7 +11,7 @@
 	"hollyyoke.example/hollyyoke/internal/jobs"
 )
 
-// A job from its push to its end. Each callback runs on the loop's goroutine once its change is on disk.
+// A job is pushed, leased and acknowledged. Each callback runs on the loop's goroutine once its change is on disk.
 func ExampleService() {
 	directory, err := os.MkdirTemp("", "durable")
 	if err != nil {
--- a/internal/durable/golden_test.go
+++ b/internal/durable/golden_test.go
@@ -17,17 +17,17 @@
 	"hollyyoke.example/hollyyoke/internal/store"
 )
 
-// These tests check the form of the store file, byte for byte: files of earlier builds must be read, and a file that is
-// written now must be one that they read. The golden files hold the stored names only.
+// These tests check the format of the store file byte by byte: this build must read files of earlier builds, and earlier
+// builds must be able to read the files that it writes. The golden files contain only stored names.
 
-// The store file of an earlier build, and Unix times of the script.
+// The store file of an earlier build, and Unix times that runScript uses.
 const (
 	goldenStore = "testdata/jobs-schema-1.db.gz"
-	goldenStart = 1_700_000_000 * time.Second // Unix time at which the sequence begins, in the past by any clock
-	farFuture   = 7_258_118_400 * time.Second // the year 2200
+	goldenStart = 1_700_000_000 * time.Second // when the script begins; always in the past
+	farFuture   = 7_258_118_400 * time.Second // in the year 2200
 )
 
-// dump describes each record of a store file: its bucket, its key, and its value with what comes before the JSON in
+// dump lists the records of a store file: bucket, key, and value. The part of a value before the JSON is shown in
 // hexadecimal.
 func dump(t *testing.T, path string) []byte {
 	t.Helper()
@@ -42,7 +42,7 @@
 			return bucket.ForEach(func(key, value []byte) error {
 				headerSize := len(value)
 				if string(name) == "jobs" {
-					headerSize = 9 // the schema and the checksum
+					headerSize = 9 // the schema version and the checksum
 				}
 				_, err := fmt.Fprintf(&out, "%s %q %x %s\n", name, key, value[:headerSize], value[headerSize:])
 				return err
@@ -55,7 +55,7 @@
 	return out.Bytes()
 }
 
-// A fixed sequence of changes writes exactly the records that it has always written.
+// A fixed sequence of changes writes exactly the same records as earlier builds did.
 func TestGoldenWritten(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "jobs.db")
 	s := openScripted(t, path)
@@ -66,7 +66,7 @@
 	goldentest.Compare(t, "records.txt", string(dump(t, path)))
 }
 
-// describe lists all fields of a job under names of this test's own.
+// describe lists all fields of a job, under names that only the golden files of this test use.
 func describe(job jobs.Job) string {
 	return fmt.Sprintf("%s: class %q, not twice %v, payload %q, sum %d, result %q, state %q, fence %d, worker %q, promise %d, for tills only %v, "+
 		"due %d, attempts %d, at most %d, lease %d, dropped %v, why %q, version %d, sequence %d",
@@ -75,8 +75,8 @@
 		job.DiscardWhenExhausted, job.Reason, job.Version, job.Sequence)
 }
 
-// A store file of an earlier build is read: every job with every field, what an
-// idempotency key asked for, the paused classes, and the audit.
+// A store file of an earlier build can be read: every field of every job, the request with an idempotency key, the paused
+// classes, and the audits.
 func TestGoldenRead(t *testing.T) {
 	path := goldentest.Unpack(t, goldenStore)
 	file, err := store.Open(path, store.Options{})
@@ -108,7 +108,7 @@
 	}
 	goldentest.Compare(t, "jobs.txt", out.String())
 	if want := dump(t, path); !bytes.Equal(want, mustRead(t, "records.txt")) {
-		t.Error("the store file holds other records than today's writer writes")
+		t.Error("the store file holds other records than this build writes")
 	}
 }
 
@@ -122,7 +122,7 @@
 	return raw
 }
 
-// A service recovers from that file: the states that are derived, and the paused classes.
+// A service recovers the jobs of that file, with the states that Recover derives, and the paused classes.
 func TestGoldenRecovered(t *testing.T) {
 	s := openScripted(t, goldentest.Unpack(t, goldenStore))
 	defer s.Close()
@@ -136,7 +136,7 @@
 	goldentest.Compare(t, "recovered.txt", out.String())
 }
 
-// Views and audits keep their JSON form.
+// The JSON format of views and audits does not change.
 func TestGoldenShown(t *testing.T) {
 	offline, err := OpenOffline(goldentest.Unpack(t, goldenStore), func() time.Duration { return goldenStart + 2*time.Minute })
 	if err != nil {
@@ -161,7 +161,7 @@
 	goldentest.Compare(t, "shown.jsonl", out.String())
 }
 
-// States keep the numbers by which they are stored, and their names.
+// The numbers by which states are stored, and their names, do not change.
 func TestGoldenStates(t *testing.T) {
 	for number, want := range []string{"accepted", "scheduled", "ready", "leased", "started", "waiting", "done", "dead", "discarded", "in doubt"} {
 		var job jobs.Job
--- a/internal/durable/leasing.go
+++ b/internal/durable/leasing.go
@@ -8,11 +8,13 @@
 	"hollyyoke.example/hollyyoke/internal/jobs"
 )
 
-// reasonLeaseNotWanted is the reason of a job whose lease was stored after the dispatcher had given it up.
+// reasonLeaseNotWanted is the reason of a job whose lease was stored after the dispatcher had stopped waiting for it.
+// The text is stored.
 const reasonLeaseNotWanted jobs.Reason = "nobody waited for the lease any more"
 
-// Acquire leases a job to a worker, after reserving one of its slots. onAcquired is called once with the lease's fence
-// once the lease is on disk, or with 0 where there is none; it returns false where the lease is not wanted any more.
+// Acquire reserves a slot of a worker and leases a job to the worker. It calls onAcquired once: with the lease's fence
+// when the lease is on disk, or with 0 if there is no lease. onAcquired returns false if the dispatcher no longer needs
+// the lease.
 func (s *Scheduler) Acquire(request *dispatch.Request, worker string, onAcquired func(fence uint64) bool) {
 	if s.stopped {
 		onAcquired(0)
@@ -28,17 +30,17 @@
 	s.workers.Reserve(worker, request.Class, request.ID, acquisition.onReserved)
 }
 
-// leaseAcquisition is a call of Acquire that is not answered yet. It reserves a slot, has the lease stored, and passes
-// the lease on to the dispatcher.
+// leaseAcquisition is a call of Acquire in progress. It reserves a slot, has the lease stored, and passes the lease to
+// the dispatcher.
 type leaseAcquisition struct {
 	scheduler  *Scheduler
 	id         string // of the job
 	worker     string
-	assignment *jobAssignment // of the job when Acquire was called; nil: it had none
+	assignment *jobAssignment // of the job when Acquire was called; nil if it had none
 	onAcquired func(fence uint64) bool
 }
 
-// onReserved is called when the worker has a slot for the job, or has none in time.
+// onReserved is called when a slot of the worker is reserved for the job, or none became free in time.
 func (a *leaseAcquisition) onReserved(reserved bool) {
 	if !reserved {
 		a.reject()
@@ -51,7 +53,7 @@
 	}
 }
 
-// reject answers that there is no lease.
+// reject tells the dispatcher that there is no lease, and releases the slot.
 func (a *leaseAcquisition) reject() {
 	a.scheduler.workers.Unreserve(a.worker, a.id)
 	a.onAcquired(0)
@@ -65,7 +67,7 @@
 	}
 	s := a.scheduler
 	s.markLeased(a.assignment)
-	if !s.workers.SendsHeartbeats(job.Worker) { // the running attempt shows that the worker is alive, up to its deadline
+	if !s.workers.SendsHeartbeats(job.Worker) { // the lease must last until the deadline of the attempt
 		deadline := s.dispatcher.Settings.Classes[s.classes[job.Class]].Deadline
 		s.service.Extend(job.ID, job.Fence, s.dispatcher.Loop.Now()+deadline)
 	}
@@ -76,7 +78,7 @@
 	s.Wake()
 }
 
-// markLeased records that an assignment has a lease. It may have ended before that.
+// markLeased records that an assignment has a lease. The assignment may already have ended.
 func (s *Scheduler) markLeased(assignment *jobAssignment) {
 	if assignment == nil || assignment.leased {
 		return
@@ -96,8 +98,8 @@
 	s.unleasedAssignments++
 }
 
-// Ended is called when the attempt under a lease has ended. Where it is not known whether the job ran, the lease
-// stays: its worker may reconnect and report.
+// Ended is called when the attempt under a lease has ended. If it is not known whether the job ran, the lease stays in
+// force: its worker may reconnect and report.
 func (s *Scheduler) Ended(request *dispatch.Request, fence uint64, outcome decision.AttemptOutcome, neverRan bool, result []byte) {
 	reason := jobs.Reason(outcome.String())
 	switch {
@@ -111,5 +113,5 @@
 	}
 }
 
-// ignoreResult is for reports of the scheduler itself: no caller waits for their answers.
+// ignoreResult is the callback of the scheduler's own reports, for whose results no caller waits.
 func ignoreResult(error) {}
--- a/internal/durable/offline.go
+++ b/internal/durable/offline.go
@@ -11,18 +11,18 @@
 	"hollyyoke.example/hollyyoke/internal/store"
 )
 
-// OfflineStore is a store that no dispatcher has open. Its changes go through the same state machine as a Service's,
-// and each is stored together with its audit.
+// OfflineStore gives access to a store that no dispatcher has open. Changes go through the same state machine as those
+// of a Service, and each is stored together with its audit.
 type OfflineStore struct {
 	store      *store.Store
 	machine    *jobs.Machine
 	now        func() time.Duration
-	auditCount int // since the store was opened
+	auditCount int // audits made since the store was opened
 
-	Audits []Audit // of the time before the store was opened, oldest first
+	Audits []Audit // those in the store when it was opened, oldest first
 }
 
-// OpenOffline opens a store; now is the Unix time. A store that a dispatcher has open is an error.
+// OpenOffline opens a store; now returns the Unix time. It fails if a dispatcher has the store open.
 func OpenOffline(path string, now func() time.Duration) (*OfflineStore, error) {
 	file, err := store.Open(path, store.Options{})
 	if err != nil {
@@ -39,7 +39,7 @@
 	return offlineStore, nil
 }
 
-// readRecord reads a record that is no job.
+// readRecord reads a record that is not a job.
 func (o *OfflineStore) readRecord(id string, value []byte) error {
 	if !strings.HasPrefix(id, auditPrefix) {
 		return nil
@@ -55,10 +55,10 @@
 	return o.machine.Page(after, maxResults, maxScanned, match)
 }
 
-// Get returns a job as it is stored; false: it is not known.
+// Get returns a job, or false if there is no such job.
 func (o *OfflineStore) Get(id string) (jobs.Job, bool) { return o.machine.Get(id) }
 
-// Resolve ends the doubt about a job, as Service.Resolve does, and returns once that is on disk.
+// Resolve resolves a job in doubt as Service.Resolve does, and returns once the change is on disk.
 func (o *OfflineStore) Resolve(id string, ran bool, reason jobs.Reason) error {
 	effects, err := o.machine.Resolve(o.now(), id, ran, reason)
 	if err != nil {
@@ -67,7 +67,7 @@
 	return o.commit(effects, Audit{ID: id, Action: resolveAction(ran), Reason: reason, Operator: true})
 }
 
-// Move moves a job that waits or is dead at an operator's request, and returns once that is on disk.
+// Move moves a job that waits to run or is dead at an operator's request, and returns once the change is on disk.
 func (o *OfflineStore) Move(id string, move jobs.Move, reason jobs.Reason) error {
 	effects, err := o.machine.Move(o.now(), id, move, reason, true)
 	if err != nil {
@@ -90,7 +90,7 @@
 	return <-stored
 }
 
-// Snapshot writes a copy of the store, which lies at path, to a file of that name beside it.
+// Snapshot writes a copy of the store, whose own file is at path, to a file of the given name in the same directory.
 func (o *OfflineStore) Snapshot(path, name string) error {
 	target, err := SiblingPath(path, name)
 	if err != nil {
--- a/internal/durable/queue.go
+++ b/internal/durable/queue.go
@@ -1,15 +1,15 @@
 package durable
 
-// jobQueues holds the ids of runnable jobs that are not at the dispatcher, in a queue for each class. A job is in them
-// once at most.
+// jobQueues holds the ids of runnable jobs that have not been passed to the dispatcher, in a queue for each class. A job
+// is queued at most once.
 type jobQueues struct {
 	byClass []classQueue
-	queued  map[string]bool // the ids in any queue, and those that wait to be requeued
+	queued  map[string]bool // the ids in any queue, and those of postponed jobs
 }
 
-// classQueue is the queue of one class: rejected jobs go first.
+// classQueue is the queue of one class. Jobs in rejected come before those in waiting.
 type classQueue struct {
-	rejected []string // the dispatcher has rejected them, and they have waited since
+	rejected []string // rejected by the dispatcher, and requeued after a wait
 	waiting  []string
 }
 
@@ -23,7 +23,7 @@
 	q.byClass[class].waiting = append(q.byClass[class].waiting, id)
 }
 
-// postpone keeps the place of a rejected job, which requeue puts into its queue.
+// postpone records a rejected job, so that enqueue does not add it again before requeue puts it into its queue.
 func (q *jobQueues) postpone(id string) { q.queued[id] = true }
 
 // requeue puts a job that was postponed behind the other rejected jobs of its class.
@@ -37,7 +37,7 @@
 // isEmpty reports whether no job is queued or postponed.
 func (q *jobQueues) isEmpty() bool { return len(q.queued) == 0 }
 
-// length is the number of jobs in the queue of a class; postponed jobs are not in it.
+// length is the number of jobs in the queue of a class, without postponed jobs.
 func (q *jobQueues) length(class int) int {
 	queue := &q.byClass[class]
 	return len(queue.rejected) + len(queue.waiting)
--- a/internal/durable/records.go
+++ b/internal/durable/records.go
@@ -10,7 +10,7 @@
 	"hollyyoke.example/hollyyoke/internal/store"
 )
 
-// The ids of records in the store that are no jobs; no job's id begins with a zero byte.
+// The ids of records in the store that are not jobs. No job id begins with a zero byte.
 const (
 	metaPrefix   = "\x00"
 	pausedRecord = metaPrefix + "paused" // the names of the paused classes
@@ -18,7 +18,8 @@
 	auditPrefix  = metaPrefix + "audit-"
 )
 
-// readJobs reads all jobs of a store. readOther is called with each record that is no job, one at a time, in no order.
+// readJobs reads all jobs of a store. readOther is called with each record that is not a job, one at a time, in no
+// particular order.
 func readJobs(file *store.Store, readOther func(id string, value []byte) error) ([]jobs.Job, error) {
 	var mu sync.Mutex
 	return store.Load(file, func(id string, value []byte) (job jobs.Job, isJob bool, err error) {
@@ -34,7 +35,7 @@
 	})
 }
 
-// readRecord reads a record that is no job. Audits that are too old are deleted with the next change.
+// readRecord reads a record that is not a job. Expired audits are deleted together with the next change.
 func (s *Service) readRecord(id string, value []byte) error {
 	if id == pausedRecord {
 		return json.Unmarshal(value, &s.pausedClasses)
--- a/internal/durable/rejectpush_test.go
+++ b/internal/durable/rejectpush_test.go
@@ -10,12 +10,11 @@
 	"hollyyoke.example/hollyyoke/internal/store"
 )
 
-// A producer whose push was rejected, since the disk was full, pushes the job again at once, from within the rejection.
-// The second push was rejected with the first, though its write was on its way: the job was stored, and run, for a
-// producer that had heard that it was not. The cause: the rejection went on until no producer of that ID waited, and so
-// took in those who came while it was under way (second push "not kept: no space left on device", job announced as
-// runnable).
-func TestPushAgainFromWithinItsRejection(t *testing.T) {
+// A push is rejected since the disk is full, and the producer pushes the job again from within the callback of the
+// rejection. The second push must get its own answer. It was once rejected together with the first, as the rejection went
+// on until no producer of that id was waiting; its write was already queued, so the job was stored and run although its
+// producer had been told that it was not kept.
+func TestPushDuringRejection(t *testing.T) {
 	var diskFull atomic.Bool
 	writeError := func() error {
 		if diskFull.Load() {
--- a/internal/durable/request.go
+++ b/internal/durable/request.go
@@ -10,28 +10,28 @@
 	"hollyyoke.example/hollyyoke/internal/jobs"
 )
 
-// requestPrefix begins the ids of jobs that came with an idempotency key, and keeps them apart from the ids that
-// Faktory producers choose.
+// requestPrefix is the prefix of the ids of jobs that came with an idempotency key. It distinguishes them from the ids
+// that Faktory producers choose.
 const requestPrefix = "idem:"
 
-// Request is what a client of the HTTP front end asked for under an idempotency key: the payload of its job. The JSON
-// names belong to the store's file format and must stay.
+// Request is an HTTP request with an idempotency key, as it is stored in the payload of its job. The JSON names belong
+// to the store's file format and must stay.
 type Request struct {
 	Target         string        `json:"Target"`
-	Key            string        `json:"Key"` // what the request concerns, as in dispatch.Request
-	IdempotencyKey string        `json:"-"`   // the job's id holds it
+	Key            string        `json:"Key"` // as in dispatch.Request
+	IdempotencyKey string        `json:"-"`   // part of the job's id instead
 	Body           []byte        `json:"Body"`
 	Slots          float64       `json:"Slots"`
 	Work           time.Duration `json:"Work"`
 }
 
-// RequestID is the id of the job under an idempotency key.
+// RequestID is the id of the job of a request with an idempotency key.
 func RequestID(idempotencyKey string) string { return requestPrefix + idempotencyKey }
 
-// Job is the job that a request under an idempotency key becomes. Its hash distinguishes requests under one key that
-// ask for different things.
+// Job returns the job of a request with an idempotency key. Its hash covers class, target and body, so that different
+// requests with the same key are detected.
 func (r Request) Job(idempotencyKey, class string, nonIdempotent bool) jobs.Job {
-	payload, _ := json.Marshal(r) // text, bytes and numbers always marshal
+	payload, _ := json.Marshal(r) // marshalling strings, bytes and numbers never fails
 	return jobs.Job{
 		ID:            RequestID(idempotencyKey),
 		Class:         class,
@@ -41,7 +41,7 @@
 	}
 }
 
-// ReadRequest reads the request of a job; false: the job did not come with an idempotency key.
+// ReadRequest decodes the request of a job. It returns false if the job did not come with an idempotency key.
 func ReadRequest(job jobs.Job) (request Request, isRequest bool) {
 	request.IdempotencyKey, isRequest = strings.CutPrefix(job.ID, requestPrefix)
 	if !isRequest {
--- a/internal/durable/scheduler.go
+++ b/internal/durable/scheduler.go
@@ -12,25 +12,25 @@
 	"hollyyoke.example/hollyyoke/internal/slotmap"
 )
 
-// defaultRetryAfter is how long a job that the dispatcher has rejected waits here, where the rejection does not say.
+// defaultRetryAfter is how long a job that the dispatcher has rejected waits if the rejection gives no time.
 const defaultRetryAfter = 250 * time.Millisecond
 
 // FreeSlot is a free slot of a worker.
 type FreeSlot struct {
-	Classes []int // that it takes, in order of preference
+	Classes []int // the classes whose jobs it takes, in order of preference
 }
 
-// Workers is what the Scheduler must know of workers and of the payloads of jobs.
+// Workers gives the Scheduler access to the workers and to the payloads of jobs.
 type Workers interface {
 	// Request converts a job to a request for the dispatcher.
 	Request(job jobs.Job) (dispatch.Request, error)
-	// FreeSlots lists the free slots, the one that has been free longest first.
+	// FreeSlots lists the free slots; the one that has been free for the longest time comes first.
 	FreeSlots() []FreeSlot
-	// Guarantee is what a worker has promised of non-idempotent jobs.
+	// Guarantee returns what a worker guarantees about non-idempotent jobs.
 	Guarantee(worker string) jobs.Guarantee
-	// Reserve reserves a slot of a worker for a job and calls onReserved with true, now or once a slot is free, or
-	// with false where none is free in time. A lease is stored only after that: if it were stored before, a crash in
-	// between would leave a job in doubt that no worker has received.
+	// Reserve reserves a slot of a worker for a job. It calls onReserved with true, at once or when a slot becomes
+	// free, or with false if none becomes free in time. The lease is stored only after that: if it were stored before,
+	// a crash in between would leave a job in doubt that no worker has received.
 	Reserve(worker string, class int, id string, onReserved func(reserved bool))
 	// Unreserve releases a slot that was reserved for a job.
 	Unreserve(worker, id string)
@@ -38,40 +38,40 @@
 	SendsHeartbeats(worker string) bool
 }
 
-// Scheduler queues runnable jobs by class and hands them to the dispatcher, one for each free slot; the decision
-// module then picks the worker or rejects the job. A job is at the dispatcher at most once at a time. Jobs that are
-// queued here put no load on the dispatcher.
+// Scheduler queues runnable jobs by class and passes them to the dispatcher, one for each free slot; the decision
+// module then picks the worker or rejects the job. A job is passed to the dispatcher again only after the dispatcher
+// has responded. Jobs in the queues of the Scheduler put no load on the dispatcher.
 type Scheduler struct {
 	service    *Service
 	dispatcher *dispatch.Dispatcher
 	workers    Workers
 	classes    map[string]int  // the index of each class by its name
 	paused     map[string]bool // the paused classes by name
-	queues     jobQueues       // a job in them may have been leased or have ended since; it is skipped when it comes up
+	queues     jobQueues       // jobs that are no longer ready are skipped when they are dequeued
 
 	assignments         slotmap.Map[jobAssignment] // by the token that the dispatcher responds with
 	assignmentsByJob    map[string]*jobAssignment
-	unleasedAssignments int // how many assignments have no lease; each is meant for one free slot
+	unleasedAssignments int // how many assignments have no lease yet; each needs one free slot
 
 	scheduleTimer eventloop.Deadline
 	stopped       bool
 }
 
-// The Scheduler is the front end of its jobs, and grants the leases of their attempts.
+// The Scheduler is the front end from which the dispatcher gets its jobs, and grants the leases of their attempts.
 var (
 	_ dispatch.FrontEnd = (*Scheduler)(nil)
 	_ dispatch.Leaser   = (*Scheduler)(nil)
 )
 
-// jobAssignment is a job at the dispatcher, from Accept to Respond.
+// jobAssignment is a job that was passed to the dispatcher (Accept) and has no response yet (Respond).
 type jobAssignment struct {
 	id      string
-	request uint64 // the dispatcher's handle
+	request uint64 // the dispatcher's handle of the request
 	class   int
-	leased  bool // an attempt has its lease on disk, so the job takes no other free slot
+	leased  bool // the lease of an attempt is on disk, so the job needs no other free slot
 }
 
-// NewScheduler joins a service to a dispatcher. The service must be started after that.
+// NewScheduler connects a service to a dispatcher. The service must be started after that.
 func NewScheduler(service *Service, dispatcher *dispatch.Dispatcher, workers Workers) *Scheduler {
 	scheduler := &Scheduler{
 		service:          service,
@@ -90,18 +90,18 @@
 	return scheduler
 }
 
-// Wake lets the scheduler look for jobs soon: a slot has become free.
+// Wake makes the scheduler run soon if jobs are queued. It must be called when a slot becomes free.
 func (s *Scheduler) Wake() {
 	if !s.queues.isEmpty() {
 		s.dispatcher.Loop.Set(&s.scheduleTimer, s.dispatcher.Loop.Now())
 	}
 }
 
-// Stop begins a graceful shutdown: no more jobs are handed to the dispatcher.
+// Stop begins a graceful shutdown: no more jobs are passed to the dispatcher.
 func (s *Scheduler) Stop() { s.stopped = true }
 
-// Release takes all jobs back from the dispatcher. Leases stay as they are: their workers report to the next process
-// that opens the store.
+// Release cancels all jobs at the dispatcher. Their leases stay in force: the workers report to the next process that
+// opens the store.
 func (s *Scheduler) Release() {
 	s.stopped = true
 	for _, assignment := range s.assignmentsByJob {
@@ -124,7 +124,7 @@
 	s.Wake()
 }
 
-// dequeue takes the first job that may run from the queues of some classes, in the order of the classes.
+// dequeue removes and returns the first job that is ready from the queues of the given classes, in their order.
 func (s *Scheduler) dequeue(classes []int) (job jobs.Job, class int, ok bool) {
 	for _, class := range classes {
 		if s.paused[s.dispatcher.Settings.Classes[class].Name] {
@@ -140,7 +140,7 @@
 	return jobs.Job{}, 0, false
 }
 
-// schedule hands the dispatcher a job for each free slot, less those that its jobs without a lease are meant for.
+// schedule passes a job to the dispatcher for each free slot that is not needed by an assignment without a lease.
 func (s *Scheduler) schedule() {
 	if s.stopped {
 		return
@@ -154,10 +154,10 @@
 	}
 }
 
-// assign hands a job to the dispatcher.
+// assign passes a job to the dispatcher.
 func (s *Scheduler) assign(job jobs.Job, class int) {
 	request, err := s.workers.Request(job)
-	if err != nil { // unexpected, as the job was read once when it was accepted
+	if err != nil { // unexpected, as the job was decoded when it was accepted
 		s.dispatcher.Log(fmt.Sprintf("durable job %s cannot be read, and is dead: %v", job.ID, err))
 		s.service.Move(job.ID, jobs.Kill, jobs.Reason(err.Error()), true)
 		return
@@ -170,8 +170,8 @@
 	assignment.request = s.dispatcher.Accept(s, s.assignments.Insert(assignment), request)
 }
 
-// Respond is called when the dispatcher has no more to do with a job. A job that has not run waits, as the response
-// asks, and then goes before the jobs that the dispatcher has not rejected.
+// Respond is called when the dispatcher is done with a job. A job that is still ready, as it has not run, waits for the
+// time that the response gives, and is then queued before the jobs that the dispatcher has not rejected.
 func (s *Scheduler) Respond(token uint64, response dispatch.Response) {
 	assignment := s.assignments.Get(token)
 	s.assignments.Remove(token)
@@ -197,8 +197,8 @@
 // Paused lists the paused classes by name, sorted.
 func (s *Scheduler) Paused() []string { return slices.Sorted(maps.Keys(s.paused)) }
 
-// Pause pauses or resumes a class and calls done with nil once that is on disk, or with the error. Jobs of a paused
-// class are not handed out.
+// Pause pauses or resumes a class and calls done with nil once the change is on disk, or with the error. Jobs of a
+// paused class are not passed to the dispatcher.
 func (s *Scheduler) Pause(class string, paused bool, done func(error)) {
 	if paused {
 		s.paused[class] = true
--- a/internal/durable/scriptedservice_test.go
+++ b/internal/durable/scriptedservice_test.go
@@ -9,7 +9,7 @@
 	"hollyyoke.example/hollyyoke/internal/jobs"
 )
 
-// scriptedService is a service in virtual time.
+// scriptedService is a service that runs in virtual time.
 type scriptedService struct {
 	*Service
 	t   *testing.T
@@ -38,7 +38,7 @@
 	return s
 }
 
-// wait starts an operation, turns the loop until it is done and returns its error.
+// wait starts an operation, runs the loop until it is done and returns its result.
 func (s *scriptedService) wait(what string, start func(done func(error))) (result error) {
 	s.t.Helper()
 	finished := false
@@ -46,16 +46,16 @@
 		finished = true
 		result = err
 	})
-	for end := time.Now().Add(patience); !finished; time.Sleep(100 * time.Microsecond) {
+	for end := time.Now().Add(testTimeout); !finished; time.Sleep(100 * time.Microsecond) {
 		if time.Now().After(end) {
-			s.t.Fatalf("nothing came: %s", what)
+			s.t.Fatalf("timed out waiting for %s", what)
 		}
 		s.loop.RunOnce()
 	}
 	return result
 }
 
-// must waits for an operation that succeeds.
+// must starts an operation, waits for it and fails the test if it returns an error.
 func (s *scriptedService) must(what string, start func(done func(error))) {
 	s.t.Helper()
 	if err := s.wait(what, start); err != nil {
@@ -71,7 +71,7 @@
 	}
 }
 
-// push pushes a job, a millisecond after the change before it.
+// push advances the clock by a millisecond and pushes a job.
 func (s *scriptedService) push(job jobs.Job, notBefore time.Duration) {
 	s.t.Helper()
 	s.now += time.Millisecond
@@ -102,13 +102,13 @@
 	return fence
 }
 
-// fail reports that a job failed, or, with started false, that its worker never began it.
+// fail reports that a job failed or, with started false, that its worker never started it.
 func (s *scriptedService) fail(id string, fence uint64, started bool) {
 	s.t.Helper()
 	s.must("fail "+id, func(done func(error)) { s.Fail(id, fence, "till jammed", started, done) })
 }
 
-// renewal is a non-idempotent job.
+// renewal returns a non-idempotent job.
 func renewal(id string) jobs.Job {
 	return jobs.Job{
 		ID:            id,
@@ -119,13 +119,13 @@
 	}
 }
 
-// statusCheck is an idempotent job.
+// statusCheck returns an idempotent job.
 func statusCheck(id string) jobs.Job {
 	return jobs.Job{ID: id, Class: "status-check", Payload: []byte("no JSON <&> \xff"), PayloadHash: 42}
 }
 
-// runScript makes a fixed sequence of changes, after which the store holds jobs in every state that is stored, and each
-// field is set in one of them.
+// runScript makes a fixed sequence of changes. After it the store holds jobs in every state that is stored, and each
+// field is set in at least one of them. The ids and texts are part of the golden files.
 func runScript(s *scriptedService) {
 	s.t.Helper()
 	s.expireLeases()
@@ -145,7 +145,7 @@
 	s.must("sync", s.AfterSync)
 }
 
-// reportJobs makes jobs that workers have reported as failed, as never begun, or as done.
+// reportJobs makes jobs that workers have reported as failed, as never started, or as done.
 func (s *scriptedService) reportJobs() {
 	s.t.Helper()
 	s.fail("waiting-1", s.start(statusCheck("waiting-1"), "w-nothing", jobs.NoGuarantee), true)
@@ -189,7 +189,7 @@
 	s.noError(s.Move("moved-requeue", jobs.Requeue, "the till is mended", true))
 }
 
-// pushRequest pushes a job under an idempotency key.
+// pushRequest pushes the job of a request with an idempotency key.
 func (s *scriptedService) pushRequest() {
 	s.t.Helper()
 	request := Request{
--- a/internal/durable/service.go
+++ b/internal/durable/service.go
@@ -11,45 +11,44 @@
 	"hollyyoke.example/hollyyoke/internal/store"
 )
 
-// storeRetryInterval is how long to wait after a change could not be stored: a full disk may have space by then.
+// storeRetryInterval is how long to wait before a write that failed is tried again: a full disk may have space by then.
 const storeRetryInterval = 100 * time.Millisecond
 
-// Config sets the store's file, and the settings of the state machine and the store.
+// Config holds the path of the store's file, and the settings of the state machine and the store.
 type Config struct {
 	Path  string
 	Jobs  jobs.Config
 	Store store.Options
 }
 
-// Service is all durable jobs of a dispatcher.
+// Service manages all durable jobs of a dispatcher.
 type Service struct {
 	loop     *eventloop.Loop
 	machine  *jobs.Machine
 	store    *store.Store
 	log      *slog.Logger
-	dueTimer eventloop.Deadline // when the machine has something to do by itself
+	dueTimer eventloop.Deadline // set to the machine's next due time
 
-	pushWaiters   waiters                          // producers
+	pushWaiters   waiters                          // producers that wait for the answer to a push
 	reportWaiters waiters                          // workers that sent Ack or Fail
 	startWaiters  waiters                          // workers that asked to start
 	leaseWaiters  map[string]func(jobs.Job, error) // callers of Assign, by job
 	finalWaiters  map[string][]func(jobs.Job)      // callers of Watch, by job
 
-	// OnRunnable is called with each job that may be leased, and again when it may be again. It must be set before
-	// Start.
+	// OnRunnable is called with a job each time that it becomes ready to be leased. It must be set before Start.
 	OnRunnable func(jobs.Job)
-	// OnLeaseExpired is called with each job whose lease has expired; nil: it is not called.
+	// OnLeaseExpired, if it is set, is called with each job whose lease has expired.
 	OnLeaseExpired func(jobs.Job)
 
 	path          string
-	recovered     []jobs.Effect  // of Recover, until Start
-	pausedClasses []string       // when the store was opened
+	recovered     []jobs.Effect  // the effects of Recover, until Start carries them out
+	pausedClasses []string       // as they were when the store was opened
 	pendingAudits []store.Record // to be stored with the next change
-	auditCount    int            // since the store was opened
+	auditCount    int            // audits made since the store was opened
 	closed        bool
 }
 
-// Open opens the store, or makes it, and recovers the jobs in it. A damaged store is an error that names the file.
+// Open opens the store, or creates it, and recovers the jobs in it. If the store is damaged, the error names the file.
 func Open(loop *eventloop.Loop, config Config, log *slog.Logger) (*Service, error) {
 	file, err := store.Open(config.Path, config.Store)
 	if err != nil {
@@ -81,22 +80,22 @@
 	return service, nil
 }
 
-// useAllCores speeds up the reading of a large store. After restore the store's goroutine still has a core of its own
-// beside the event loop's.
+// useAllCores lets a large store be read on all cores until restore is called. restore sets GOMAXPROCS to its former
+// value, but at least to 2, so that the store's goroutine can run in parallel with the event loop.
 func useAllCores() (restore func()) {
 	before := runtime.GOMAXPROCS(runtime.NumCPU())
 	return func() { runtime.GOMAXPROCS(max(before, 2)) }
 }
 
-// Start begins to call OnRunnable.
+// Start calls OnRunnable for the recovered jobs that are ready, and from then on for each job that becomes ready.
 func (s *Service) Start() {
 	recovered := s.recovered
 	s.recovered = nil
 	s.carryOut(recovered)
 }
 
-// Close stores all changes that have been made and closes the file. The callbacks of Watch are called with their jobs
-// as they are; the next process that opens the store continues them.
+// Close stores all changes that have been made and closes the file. The pending callbacks of Watch are called with the
+// current state of their jobs; the next process that opens the store continues these jobs.
 func (s *Service) Close() error {
 	if s.closed {
 		return nil
@@ -113,7 +112,7 @@
 	return s.store.Close()
 }
 
-// carryOut carries out effects of the machine, and sets the timer for its next due time.
+// carryOut carries out the effects of a call to the machine, and sets the timer to its next due time.
 func (s *Service) carryOut(effects []jobs.Effect) {
 	if s.closed {
 		return
@@ -126,7 +125,7 @@
 	}
 }
 
-// carryOutOne carries out one effect, as jobs.EffectKind says.
+// carryOutOne carries out one effect as its jobs.EffectKind requires.
 func (s *Service) carryOutOne(effect jobs.Effect) {
 	job := effect.Job
 	switch effect.Kind {
@@ -153,16 +152,16 @@
 	}
 }
 
-// Push accepts job, to run at notBefore at the earliest, and calls onStored with nil once the job is on disk, or with
-// jobs.ErrIDConflict or a *jobs.NotStoredError. Pushing an accepted job again changes nothing and succeeds.
+// Push accepts a job, to run at notBefore at the earliest, and calls onStored with nil once the job is on disk, or with
+// jobs.ErrIDConflict or a *jobs.NotStoredError. Repeating the push of an accepted job succeeds and changes nothing.
 func (s *Service) Push(job jobs.Job, notBefore time.Duration, onStored func(error)) {
 	effects := s.machine.Push(s.loop.Now(), job, notBefore)
 	s.answerWhenStored(effects, jobs.AnswerPush, s.pushWaiters, job.ID, onStored)
 }
 
-// Assign leases a job to a worker, which has given guarantee, and calls onLeased once the lease is on disk, or with
-// the error for which it is not granted. It returns false, and does not call onLeased, where the job is not ready
-// or needs a worker of another guarantee.
+// Assign leases a job to a worker with the given guarantee. It calls onLeased with a nil error once the lease is on
+// disk, or with the error for which the lease is not granted. It returns false, and does not call onLeased, if the job
+// is not ready, or requires a worker that deduplicates and this one does not.
 func (s *Service) Assign(id, worker string, guarantee jobs.Guarantee, onLeased func(jobs.Job, error)) bool {
 	effects := s.machine.Assign(s.loop.Now(), id, worker, guarantee)
 	if len(effects) == 0 {
@@ -173,8 +172,8 @@
 	return true
 }
 
-// StartJob asks whether a worker may start a job under the fence of its lease. It calls onGranted with nil once the
-// start is on disk, or with jobs.ErrLeaseVoid: then the worker must not start it.
+// StartJob handles a worker's request to start a job under the fence of its lease. It calls onGranted with nil once the
+// start is on disk, or with jobs.ErrLeaseVoid if the worker must not start the job.
 func (s *Service) StartJob(id string, fence uint64, onGranted func(error)) {
 	effects, err := s.machine.Start(s.loop.Now(), id, fence)
 	if err != nil {
@@ -184,7 +183,7 @@
 	s.answerWhenStored(effects, jobs.GrantStart, s.startWaiters, id, onGranted)
 }
 
-// Heartbeat renews all leases of a worker.
+// Heartbeat renews all leases that a worker holds.
 func (s *Service) Heartbeat(worker string) { s.machine.Heartbeat(s.loop.Now(), worker) }
 
 // Extend renews one lease until a time that its worker asks for.
@@ -192,22 +191,22 @@
 	s.machine.Extend(id, fence, until)
 }
 
-// Ack reports that a job is done, with its result. It calls onStored with nil once that is on disk, or with
-// jobs.ErrUnknownJob or jobs.ErrLeaseVoid where the report does not count.
+// Ack handles a worker's report that a job is done, with its result. It calls onStored with nil once the report is on
+// disk, or with jobs.ErrUnknownJob or jobs.ErrLeaseVoid if the report is rejected.
 func (s *Service) Ack(id string, fence uint64, result []byte, onStored func(error)) {
 	effects := s.machine.Ack(s.loop.Now(), id, fence, result)
 	s.answerWhenStored(effects, jobs.AnswerReport, s.reportWaiters, id, onStored)
 }
 
-// Fail reports that a job failed, or, with started false, that its worker never began it. It calls onStored as Ack
-// does.
+// Fail handles a worker's report that a job failed or, with started false, that the worker never started it. It calls
+// onStored as Ack does.
 func (s *Service) Fail(id string, fence uint64, reason jobs.Reason, started bool, onStored func(error)) {
 	effects := s.machine.Fail(s.loop.Now(), id, fence, reason, started)
 	s.answerWhenStored(effects, jobs.AnswerReport, s.reportWaiters, id, onStored)
 }
 
-// Resolve ends the doubt about a job at an operator's request: it ran, or it did not and runs again. The error
-// is a *jobs.TransitionError.
+// Resolve records an operator's decision about a job in doubt: either it ran, or it did not run and runs again. The
+// error is a *jobs.TransitionError.
 func (s *Service) Resolve(id string, ran bool, reason jobs.Reason) error {
 	effects, err := s.machine.Resolve(s.loop.Now(), id, ran, reason)
 	if err != nil {
@@ -219,8 +218,8 @@
 	return nil
 }
 
-// Move discards, kills or requeues a job that waits or is dead; operator is set where an operator asks for it. The
-// error is a *jobs.TransitionError.
+// Move discards, kills or requeues a job that waits to run or is dead; operator says that the request comes from an
+// operator. The error is a *jobs.TransitionError.
 func (s *Service) Move(id string, move jobs.Move, reason jobs.Reason, operator bool) error {
 	effects, err := s.machine.Move(s.loop.Now(), id, move, reason, operator)
 	if err != nil {
@@ -232,17 +231,18 @@
 	return nil
 }
 
-// Get returns a job as it stands; false: it is not known.
+// Get returns the current state of a job, or false if there is no such job.
 func (s *Service) Get(id string) (jobs.Job, bool) { return s.machine.Get(id) }
 
 // Counts is the number of jobs by state; states without jobs are left out.
 func (s *Service) Counts() map[jobs.State]int { return s.machine.Counts() }
 
-// ReadyCount is the number of jobs of a class that may run.
+// ReadyCount is the number of jobs of a class that are ready to run.
 func (s *Service) ReadyCount(class string) int { return s.machine.ReadyCount(class) }
 
-// Page lists up to maxResults jobs that match, of the maxScanned jobs at most that were accepted after the sequence
-// number after. next is the sequence number to continue after; 0: there are no more.
+// Page lists jobs that match, in the order in which they were accepted, starting after the sequence number after. It
+// returns at most maxResults jobs and looks at no more than maxScanned. next is the sequence number to continue after,
+// or 0 if there are no more jobs.
 func (s *Service) Page(after uint64, maxResults, maxScanned int, match func(jobs.Job) bool) (list []jobs.Job, next uint64) {
 	return s.machine.Page(after, maxResults, maxScanned, match)
 }
--- a/internal/durable/service_test.go
+++ b/internal/durable/service_test.go
@@ -12,7 +12,7 @@
 	"hollyyoke.example/hollyyoke/internal/jobs"
 )
 
-// answer is a text that names a caller, and the error that it got.
+// answer returns a text with the name of a caller and the error that it got, if any.
 func answer(caller string, err error) string {
 	if err == nil {
 		return caller
@@ -39,7 +39,7 @@
 	}
 }
 
-// Reports under a lease that has been granted again are void; those under the newest are answered in order.
+// Reports under an earlier lease of a job are rejected; those under its newest lease are answered in order.
 func TestReportsOfTwoLeases(t *testing.T) {
 	s := openTest(t, Config{Path: filepath.Join(t.TempDir(), "jobs.db"), Jobs: jobs.Config{LeaseDuration: time.Hour}})
 	defer s.close()
@@ -48,7 +48,7 @@
 	}
 	receive(t, "the job", s.runnable)
 	first := s.assign("a").job
-	err := s.wait("a report that it never began", func(done func(error)) { s.service.Fail("a", first.Fence, "busy", false, done) })
+	err := s.wait("the answer to a report that it never started", func(done func(error)) { s.service.Fail("a", first.Fence, "busy", false, done) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,7 +61,7 @@
 		t.Errorf("an ack under a void lease: %v", err)
 	}
 	answers := make(chan string, 2)
-	s.onLoop(func() { // the second before the first is on the disk
+	s.onLoop(func() { // the second is sent before the first is on disk
 		s.service.Ack("a", second.Fence, nil, func(err error) { answers <- answer("first", err) })
 		s.service.Ack("a", second.Fence, nil, func(err error) { answers <- answer("second", err) })
 	})
@@ -75,7 +75,8 @@
 	}
 }
 
-// A restart announces what waited, in its order, and leaves what may have run to its worker, then to an operator.
+// After a restart, waiting jobs are announced in the order of their pushes. A job that may have run waits for its worker's
+// report, and is then in doubt until an operator resolves it.
 func TestRestart(t *testing.T) {
 	config := Config{
 		Path: filepath.Join(t.TempDir(), "jobs.db"),
@@ -95,13 +96,13 @@
 	}
 	s.close()
 	if _, err := Open(s.loop, Config{Path: config.Path + "/no"}, slog.Default()); err == nil {
-		t.Error("opened where no file can be")
+		t.Error("opened a path where no file can be created")
 	}
 	s = openTest(t, config)
 	defer s.close()
 	var ids []string
 	for range 3 { // the worker of m honors fences and never asked to start it, so m is runnable after the grace time
-		ids = append(ids, receive(t, "what waited", s.runnable).ID)
+		ids = append(ids, receive(t, "a job that waited", s.runnable).ID)
 	}
 	if want := []string{"z", "a", "m"}; !slices.Equal(ids, want) {
 		t.Errorf("may run: %v, want %v", ids, want)
@@ -114,11 +115,11 @@
 	}
 }
 
-// checkResolution resolves a job in doubt, which needs a reason that is logged.
+// checkResolution resolves a job in doubt, and checks that a reason is required and logged.
 func checkResolution(t *testing.T, s *testService, id string) {
 	t.Helper()
 	if got := s.state(id); got != "in doubt" {
-		t.Fatalf("what had started is %q, want in doubt", got)
+		t.Fatalf("the job that had started is %q, want in doubt", got)
 	}
 	resolve := func(reason jobs.Reason) (err error) {
 		s.onLoop(func() { err = s.service.Resolve(id, true, reason) })
@@ -127,10 +128,10 @@
 	if resolve("") == nil {
 		t.Error("resolved without a reason")
 	}
-	if err := resolve("the till shows it"); err != nil || s.state(id) != "done" {
+	if err := resolve("the charge was found"); err != nil || s.state(id) != "done" {
 		t.Errorf("resolved: %v, %s", err, s.state(id))
 	}
-	if !strings.Contains(s.log.String(), "the till shows it") {
+	if !strings.Contains(s.log.String(), "the charge was found") {
 		t.Error("the reason is not in the log")
 	}
 }
--- a/internal/durable/snapshot.go
+++ b/internal/durable/snapshot.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Snapshot writes a consistent copy of the store to a file of that name beside it, while the store stays in use. It
-// calls done with nil once the copy is on disk, or with the error.
+// Snapshot writes a consistent copy of the store to a file of the given name in the same directory. The store can be
+// used meanwhile. Snapshot calls done with nil once the copy is on disk, or with the error.
 func (s *Service) Snapshot(name string, done func(error)) {
 	path, err := SiblingPath(s.path, name)
 	if err != nil {
@@ -27,7 +27,8 @@
 	}()
 }
 
-// SiblingPath returns the path of a file beside a store. A name that leads to another directory is an error.
+// SiblingPath returns the path of a file in the directory of a store. The name must not lead to another directory, be
+// empty or begin with a dot.
 func SiblingPath(storePath, name string) (string, error) {
 	if name == "" || name != filepath.Base(name) || strings.HasPrefix(name, ".") {
 		return "", fmt.Errorf("name: %q is no plain file name: a snapshot lies beside the store", name)
--- a/internal/durable/storing.go
+++ b/internal/durable/storing.go
@@ -5,7 +5,7 @@
 	"hollyyoke.example/hollyyoke/internal/store"
 )
 
-// storeJob hands a job over to the store, with the audits that are pending.
+// storeJob passes a job and the pending audits to the store. Jobs that are dead or in doubt are audited and logged.
 func (s *Service) storeJob(job jobs.Job) {
 	if job.State == jobs.InDoubt || job.State == jobs.Dead {
 		state := job.State.String()
@@ -19,7 +19,7 @@
 	})
 }
 
-// deleteJob deletes a job from the store. If that fails, the next start deletes it.
+// deleteJob deletes a job from the store. If that fails, the job is deleted after the next start.
 func (s *Service) deleteJob(id string) {
 	s.store.Put([]store.Record{{ID: id}}, func(err error) {
 		if err != nil {
@@ -37,7 +37,7 @@
 	}
 	job, known := s.machine.Get(id)
 	if !known || job.Version != version || s.closed {
-		return // a later version holds all that this one held
+		return // a later version contains this change too
 	}
 	s.log.Error("durable job not stored", "id", id, "state", job.State.String(), "error", err)
 	switch job.State {
@@ -45,13 +45,14 @@
 		s.rejectPush(job, err)
 	case jobs.Leased:
 		s.rejectLease(job, err)
-	default: // the change has happened
+	default: // the change has already happened
 		s.loop.After(storeRetryInterval, func() { s.storeAgain(id, version) })
 	}
 }
 
-// rejectPush answers all producers of a job that could not be stored: the one that pushed it and those who pushed it
-// again meanwhile. One that pushes it again from within its answer is not among them: its job is new.
+// rejectPush answers all producers of a job that could not be stored: the one that pushed it first and those that pushed
+// it again in the meantime. A producer that pushes the job again from within its callback gets no answer here, as that
+// push creates a new job.
 func (s *Service) rejectPush(job jobs.Job, err error) {
 	rejected := s.pushWaiters.takeAll(job.ID)
 	s.carryOut(s.machine.StoreFailed(job.ID, job.Version, err))
@@ -60,8 +61,8 @@
 	}
 }
 
-// rejectLease takes back a lease that could not be stored. The job is announced as runnable after a pause, as the next
-// lease would meet the same disk.
+// rejectLease releases a lease that could not be stored. The job is announced as runnable after storeRetryInterval, as
+// storing the next lease at once would probably fail too.
 func (s *Service) rejectLease(job jobs.Job, err error) {
 	onLeased := s.takeLeaseWaiter(job.ID)
 	effects := s.machine.StoreFailed(job.ID, job.Version, err)
@@ -71,7 +72,7 @@
 	s.loop.After(storeRetryInterval, func() { s.carryOut(effects) })
 }
 
-// storeAgain stores a job again, unless a later version has been handed over.
+// storeAgain stores a version of a job again, unless the job has changed since.
 func (s *Service) storeAgain(id string, version uint64) {
 	job, known := s.machine.Get(id)
 	if known && job.Version == version && !s.closed {
@@ -82,7 +83,7 @@
 // AfterSync calls done with nil once all changes made before it are on disk, or with the store's error.
 func (s *Service) AfterSync(done func(error)) { s.storeRecord(syncedRecord, nil, done) }
 
-// storeRecord stores a record that is no job, or deletes it where value is nil.
+// storeRecord stores a record that is not a job, or deletes it if value is nil.
 func (s *Service) storeRecord(id string, value any, done func(error)) {
 	s.store.Put([]store.Record{{ID: id, Value: value}}, func(err error) {
 		s.loop.Post(func() { done(err) })
--- a/internal/durable/testservice_test.go
+++ b/internal/durable/testservice_test.go
@@ -10,8 +10,8 @@
 	"hollyyoke.example/hollyyoke/internal/jobs"
 )
 
-// patience is how long these tests wait for anything that must come.
-const patience = 20 * time.Second
+// testTimeout is how long these tests wait for an expected event.
+const testTimeout = 20 * time.Second
 
 // testService runs a service on a loop of its own.
 type testService struct {
@@ -19,11 +19,11 @@
 	loop     *eventloop.Loop
 	service  *Service
 	log      bytes.Buffer
-	runnable chan jobs.Job // what OnRunnable is called with
+	runnable chan jobs.Job // the jobs with which OnRunnable is called
 	stopped  chan struct{} // closed when the loop has stopped
 }
 
-// openTest opens a service and runs its loop.
+// openTest opens a service and starts its loop.
 func openTest(t *testing.T, config Config) *testService {
 	t.Helper()
 	test := &testService{
@@ -46,7 +46,7 @@
 	return test
 }
 
-// onLoop runs a function on the loop and waits for its end.
+// onLoop runs a function on the loop and waits until it has returned.
 func (s *testService) onLoop(run func()) {
 	done := make(chan struct{})
 	s.loop.Post(func() {
@@ -72,13 +72,13 @@
 	t.Helper()
 	select {
 	case value = <-values:
-	case <-time.After(patience):
-		t.Fatal("nothing came: " + what)
+	case <-time.After(testTimeout):
+		t.Fatal("timed out waiting for " + what)
 	}
 	return value
 }
 
-// begin starts an operation and returns where its error comes.
+// begin starts an operation and returns the channel on which its result is sent.
 func (s *testService) begin(start func(done func(error))) chan error {
 	result := make(chan error, 1)
 	s.onLoop(func() {
@@ -87,7 +87,7 @@
 	return result
 }
 
-// wait starts an operation and waits for its error.
+// wait starts an operation, waits for its result and returns it.
 func (s *testService) wait(what string, start func(done func(error))) error {
 	s.t.Helper()
 	return receive(s.t, what, s.begin(start))
@@ -130,7 +130,7 @@
 	return receive(s.t, "a lease", result)
 }
 
-// state is the name of a job's state, empty where it is not known.
+// state returns the name of a job's state, or an empty string if there is no such job.
 func (s *testService) state(id string) (state string) {
 	s.onLoop(func() {
 		if job, known := s.service.Get(id); known {
--- a/internal/durable/view.go
+++ b/internal/durable/view.go
@@ -22,10 +22,10 @@
 	DueAt         string          `json:"due,omitempty"` // when its lease expires, it may run, or it is deleted
 	Reason        jobs.Reason     `json:"why,omitempty"`
 	Payload       json.RawMessage `json:"payload,omitempty"`
-	PayloadText   string          `json:"payload_text,omitempty"` // of a payload that is no JSON
+	PayloadText   string          `json:"payload_text,omitempty"` // the payload if it is not JSON
 }
 
-// NewView is the view of a job, with its payload where withPayload is set.
+// NewView returns the view of a job, with its payload if withPayload is set.
 func NewView(job jobs.Job, withPayload bool) View {
 	view := View{
 		Sequence: job.Sequence, ID: job.ID, Class: job.Class, State: job.State.String(), NonIdempotent: job.NonIdempotent,
@@ -44,7 +44,7 @@
 	return view
 }
 
-// Filter returns a filter by the names of a state and a class, each empty for all. An unknown state is an error.
+// Filter returns a filter by the names of a state and a class; an empty name matches all. An unknown state is an error.
 func Filter(state, class string) (func(jobs.Job) bool, error) {
 	if state != "" && !jobs.IsState(state) {
 		return nil, fmt.Errorf("state: %q is none of %s", state, strings.Join(jobs.States(), ", "))
--- a/internal/durable/waiters.go
+++ b/internal/durable/waiters.go
@@ -2,12 +2,12 @@
 
 import "hollyyoke.example/hollyyoke/internal/jobs"
 
-// waiters are the callbacks of callers that wait for a change to be on disk, by job, in the order of their calls.
+// waiters holds, by job id, the callbacks of callers that wait for a change to be on disk, in the order of their calls.
 type waiters map[string][]func(error)
 
 func (w waiters) add(id string, done func(error)) { w[id] = append(w[id], done) }
 
-// notifyFirst calls the caller that has waited longest for a change of a job.
+// notifyFirst removes and calls the callback that has waited for the longest time for a change of a job.
 func (w waiters) notifyFirst(id string, err error) {
 	waiting := w[id]
 	if len(waiting) == 0 {
@@ -20,15 +20,16 @@
 	waiting[0](err)
 }
 
-// takeAll removes and returns the callers that wait for a change of a job.
+// takeAll removes and returns all callbacks that wait for a change of a job.
 func (w waiters) takeAll(id string) []func(error) {
 	waiting := w[id]
 	delete(w, id)
 	return waiting
 }
 
-// answerWhenStored carries out the effects of a caller's request. The caller is answered at once where the effects
-// have an answer of that kind, and else when the machine gives one, after the change is stored.
+// answerWhenStored carries out the effects of a caller's request. If the effects contain an answer of the given kind,
+// done is called at once. Otherwise it is added to waiting, and called when the machine emits the answer after the
+// change is stored.
 func (s *Service) answerWhenStored(effects []jobs.Effect, kind jobs.EffectKind, waiting waiters, id string, done func(error)) {
 	answer, others := splitAnswer(effects, kind)
 	if answer == nil {
@@ -40,7 +41,7 @@
 	}
 }
 
-// splitAnswer separates the first effect of a kind from the others; nil: there is none.
+// splitAnswer separates the first effect of a kind from the others. answer is nil if there is none.
 func splitAnswer(effects []jobs.Effect, kind jobs.EffectKind) (answer *jobs.Effect, others []jobs.Effect) {
 	for i := range effects {
 		if effects[i].Kind == kind {
@@ -50,15 +51,15 @@
 	return nil, effects
 }
 
-// takeLeaseWaiter removes and returns the callback of the caller of Assign that waits for a job's lease; nil: none.
+// takeLeaseWaiter removes and returns the callback of Assign that waits for a job's lease, or nil if there is none.
 func (s *Service) takeLeaseWaiter(id string) func(jobs.Job, error) {
 	onLeased := s.leaseWaiters[id]
 	delete(s.leaseWaiters, id)
 	return onLeased
 }
 
-// Watch calls onFinal once the job is in a final state that is on disk, and also where the job is not known or the
-// service closes before that.
+// Watch calls onFinal once the job is in a final state that is on disk. It also calls it if there is no such job, or if
+// the service is closed before.
 func (s *Service) Watch(id string, onFinal func(jobs.Job)) {
 	if job, over := s.finalJob(id); over {
 		onFinal(job)
@@ -67,7 +68,7 @@
 	s.finalWaiters[id] = append(s.finalWaiters[id], onFinal)
 }
 
-// notifyFinal calls those who wait for a job's end, if it has come.
+// notifyFinal calls the callbacks of Watch for a job if its final state is on disk.
 func (s *Service) notifyFinal(id string) {
 	waiting := s.finalWaiters[id]
 	if len(waiting) == 0 {
@@ -83,7 +84,7 @@
 	}
 }
 
-// finalJob returns a job, and whether its final state is on disk or the job is not known.
+// finalJob returns a job, and reports whether its final state is on disk or there is no such job.
 func (s *Service) finalJob(id string) (job jobs.Job, over bool) {
 	job, known := s.machine.Get(id)
 	return job, !known || job.State.IsFinal() && s.machine.IsStored(id)
