--- a/internal/faktory/bulkpush.go
+++ b/internal/faktory/bulkpush.go
@@ -8,18 +8,18 @@
 	"strings"
 )
 
-// errBulkDirectQueue rejects a job of PUSHB.
+// errBulkDirectQueue rejects a job of PUSHB whose queue is direct.
 var errBulkDirectQueue = errors.New("its queue is direct, and is answered job by job: PUSH it")
 
 // bulkPush is a PUSHB that is not answered yet.
 type bulkPush struct {
-	pending  int               // jobs that are not on disk yet, and 1 until all jobs of the list have been read
-	rejected map[string]string // reasons, by jid, or by index in brackets where no valid jid of a job could be read
+	pending  int               // jobs that are not on disk yet, plus 1 until the whole list has been read
+	rejected map[string]string // reasons, by jid, or by index in brackets if a job has no valid jid
 	reply    func(line string)
 }
 
-// handlePushBulk stores many jobs at once. The answer lists, by jid, which are
-// rejected.
+// handlePushBulk stores a list of jobs. The answer lists the rejected ones by
+// jid.
 func (c *connection) handlePushBulk(rest []byte) {
 	var list []json.RawMessage
 	err := json.Unmarshal(rest, &list)
@@ -55,7 +55,7 @@
 	})
 }
 
-// completeOne answers the PUSHB once nothing of it is pending.
+// completeOne decreases pending and answers the PUSHB when nothing is pending.
 func (b *bulkPush) completeOne() {
 	b.pending--
 	if b.pending > 0 {
@@ -63,5 +63,5 @@
 	}
 	raw, _ := json.Marshal(b.rejected) // strings always marshal
 	answer := appendBulk(nil, raw)
-	b.reply(strings.TrimSuffix(string(answer), "\r\n")) // reply ends the line
+	b.reply(strings.TrimSuffix(string(answer), "\r\n")) // reply appends the line end
 }
--- a/internal/faktory/classset.go
+++ b/internal/faktory/classset.go
@@ -6,23 +6,22 @@
 	"hollyyoke.example/hollyyoke/decision"
 )
 
-// maxClasses bounds the worker kinds that Prepare adds: one for each set of
-// classes, 256 at most.
+// maxClasses bounds the number of worker kinds that Prepare adds: one for each set
+// of classes, so at most 256.
 const maxClasses = 8
 
-// classSet is a set of classes: bit i is set if it has the class of index i.
+// classSet is a set of classes: bit i is set if it contains the class with index i.
 type classSet int
 
-// has reports whether the set has a class.
+// has reports whether the set contains a class.
 func (s classSet) has(class int) bool { return s>>class&1 == 1 }
 
 // with returns the set with one more class.
 func (s classSet) with(class int) classSet { return s | 1<<class }
 
-// Prepare adds worker kinds to the settings for workers that fetch some classes
-// only: kind number len(KindNames)+set runs the classes of that classSet. Thus
-// the decisions themselves keep a job from a worker that does not fetch its
-// queue.
+// Prepare adds worker kinds to the settings, one for each classSet: kind
+// len(KindNames)+set runs the classes of set. With these, the decision module
+// itself never assigns a job to a worker that does not fetch its queue.
 func Prepare(settings *decision.Settings) error {
 	if len(settings.Classes) > maxClasses {
 		return fmt.Errorf("settings: classes: the Faktory front takes %d at most", maxClasses)
--- a/internal/faktory/client_test.go
+++ b/internal/faktory/client_test.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// The clients of these tests are written from the public specification of the
-// protocol: a producer and a worker.
+// The producer and the worker of these tests are implemented from the public
+// specification of the protocol.
 
-// testTimeout is longer than any test waits unless something is broken.
+// testTimeout is how long the tests wait for an expected event.
 const testTimeout = 20 * time.Second
 
 // bothQueues are the queues of the tests' classes.
@@ -27,7 +27,7 @@
 	reader *bufio.Reader
 }
 
-// connect connects and sends nothing.
+// connect opens a connection and sends nothing.
 func connect(t testing.TB, address string) *client {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -39,7 +39,7 @@
 	return &client{t, conn, bufio.NewReader(conn)}
 }
 
-// dial connects and says HELLO.
+// dial opens a connection and sends HELLO.
 func dial(t testing.TB, address string, message hello) *client {
 	t.Helper()
 	c := connect(t, address)
@@ -81,7 +81,8 @@
 	return string(text[:length]), err
 }
 
-// do sends a command and returns its answer.
+// do sends a command and returns its answer, or a text with brokenPrefix if the
+// connection is broken.
 func (c *client) do(command string) string {
 	c.conn.Write([]byte(command + "\r\n"))
 	got, err := c.readReply()
@@ -91,11 +92,12 @@
 	return got
 }
 
-// brokenPrefix begins what do returns in place of an answer where the
-// connection is broken.
+// brokenPrefix is the prefix of the text that do returns if the connection is
+// broken.
 const brokenPrefix = "broken: "
 
-// expect sends a command whose answer must begin with want; +OK must be all of it.
+// expect sends a command and checks that its answer begins with want, or is equal
+// to it if want is +OK.
 func (c *client) expect(command, want string) {
 	c.t.Helper()
 	got := c.do(command)
@@ -104,7 +106,7 @@
 	}
 }
 
-// fetch fetches until there is a job, and returns it.
+// fetch sends FETCH until there is a job, and returns the job.
 func (c *client) fetch(queues string) string {
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
 		if got := c.do("FETCH " + queues); got != nullBulk {
@@ -115,7 +117,7 @@
 	return ""
 }
 
-// expectFetch fetches a job, which must be that of jid.
+// expectFetch fetches a job and checks its jid.
 func (c *client) expectFetch(queues, jid string) {
 	c.t.Helper()
 	if got := c.fetch(queues); jidOf(got) != jid {
@@ -150,14 +152,15 @@
 	return fmt.Sprintf(`PUSH {"jid":%q,"queue":%q,"jobtype":"x","args":[1],"custom":{%s}}`, jid, class, custom)
 }
 
-// jidOf is the jid of a job or of a message about one.
+// jidOf returns the jid of a job or of a message about one.
 func jidOf(text string) string {
 	var job work
 	json.Unmarshal([]byte(text), &job)
 	return job.Jid
 }
 
-// pushAsync pushes on a connection of its own and returns where the answer comes.
+// pushAsync sends a PUSH on a new connection and returns the channel on which its
+// answer is sent.
 func pushAsync(t *testing.T, address, command string) chan string {
 	answer := make(chan string, 1)
 	producer := dialProducer(t, address)
@@ -165,7 +168,7 @@
 	return answer
 }
 
-// awaitAnswer waits for what a channel brings.
+// awaitAnswer waits for an answer on a channel.
 func awaitAnswer(t *testing.T, answer chan string) string {
 	t.Helper()
 	select {
--- a/internal/faktory/commands.go
+++ b/internal/faktory/commands.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// maxVerbShown is how many characters of an unknown command or queue its answer
-// quotes.
-const maxVerbShown = 40
+// maxQuotedLength is how many characters of an unknown command or queue are quoted
+// in the answer.
+const maxQuotedLength = 40
 
 // processInput handles received commands until one has to wait for its answer.
 func (c *connection) processInput() {
@@ -19,7 +19,7 @@
 			return
 		}
 		verb, rest := parseCommand(line)
-		// line, and with it rest, lies in this buffer; a PUSH keeps it for as long as its job is in progress.
+		// line and rest are slices of this buffer; a PUSH keeps it while its job is in progress.
 		buffer := c.input.take(used)
 		c.setDeadline(idleTimeout)
 		c.server.commandCount++
@@ -33,8 +33,8 @@
 	}
 }
 
-// handleCommand handles all commands but PUSH, and PUSH before HELLO. rest is
-// valid during the call only.
+// handleCommand handles all commands except PUSH after HELLO. rest is valid only
+// during the call.
 func (c *connection) handleCommand(verb string, rest []byte) {
 	if !c.authenticated && verb != commandHello && verb != commandEnd {
 		c.writeLine(replyError + "HELLO is needed first")
@@ -58,11 +58,11 @@
 		c.writeLine(replyOK)
 		c.closeGracefully()
 	default:
-		c.writeLine(replyError + "Unknown command " + singleLine(fmt.Sprintf("%.*s", maxVerbShown, verb)))
+		c.writeLine(replyError + "Unknown command " + singleLine(fmt.Sprintf("%.*s", maxQuotedLength, verb)))
 	}
 }
 
-// handleDurableCommand handles the commands that need stored jobs.
+// handleDurableCommand handles the commands that require durable queues.
 func (c *connection) handleDurableCommand(verb string, rest []byte) {
 	if c.server.durable == nil {
 		c.writeLine(replyError + "Unknown command " + verb + ": no queue is durable here")
--- a/internal/faktory/config.go
+++ b/internal/faktory/config.go
@@ -22,47 +22,47 @@
 	defaultLanes = 8
 	maxLanes     = 64
 
-	// maxDurableValue bounds the numbers of the durable table, so that a span in
-	// seconds fits a duration.
+	// maxDurableValue bounds the numbers of the durable table, so that a number of
+	// seconds fits a time.Duration.
 	maxDurableValue = 1e9
 )
 
 // Config is the operator's configuration of the Faktory front end.
 type Config struct {
-	Listen   string `toml:"listen"`   // address for producers and workers; empty: no server role
-	Password string `toml:"password"` // required of them; empty: none
+	Listen   string `toml:"listen"`   // address for producers and workers; empty disables the server role
+	Password string `toml:"password"` // that they must know; empty if none is required
 	Source   struct {
-		Address  string   `toml:"address"` // the upstream server; empty: no source role
+		Address  string   `toml:"address"` // of the upstream server; empty disables the source role
 		Password string   `toml:"password"`
-		Queues   []string `toml:"queues"` // fetched in this order; empty: all classes
-		Lanes    int      `toml:"lanes"`  // jobs in progress at once, each on a connection of its own
-		Wid      string   `toml:"wid"`    // worker ID shown to the upstream server; empty: drawn at random
+		Queues   []string `toml:"queues"` // fetched in this order; empty for all classes
+		Lanes    int      `toml:"lanes"`  // maximum number of jobs in progress, each on its own connection
+		Wid      string   `toml:"wid"`    // worker ID sent to the upstream server; empty for a random one
 	} `toml:"source"`
 	Durable Durable `toml:"durable"`
 }
 
 // Durable is the operator's table of durable queues.
 type Durable struct {
-	Path        string   `toml:"path"`          // the file that stores the jobs; empty: no queue is durable
-	Queues      []string `toml:"queues"`        // the durable ones, by class; the others stay direct
-	LeaseS      float64  `toml:"lease_s"`       // seconds without a heartbeat, where a job has no reserve_for
-	GraceS      float64  `toml:"grace_s"`       // seconds after a start for workers to return with what they hold
-	Attempts    int      `toml:"attempts"`      // of an idempotent job that does not say retry
-	BackoffS    float64  `toml:"backoff_s"`     // seconds before the second attempt, doubled for each further one
-	RetainS     float64  `toml:"retain_s"`      // seconds for which a completed job is remembered
-	RetainDeadS float64  `toml:"retain_dead_s"` // seconds for which a dead job is remembered
-	DelayMs     float64  `toml:"delay_ms"`      // milliseconds that a change waits for others before its fsync
+	Path        string   `toml:"path"`          // the file that stores the jobs; if it is empty no queue is durable
+	Queues      []string `toml:"queues"`        // names of the durable queues, which are classes; the others are direct
+	LeaseS      float64  `toml:"lease_s"`       // seconds that a lease lasts without a heartbeat, if the job has no reserve_for
+	GraceS      float64  `toml:"grace_s"`       // seconds after a start for workers to reconnect and report their jobs
+	Attempts    int      `toml:"attempts"`      // maximum attempts of an idempotent job without a retry field
+	BackoffS    float64  `toml:"backoff_s"`     // seconds before the second attempt, doubled before each further one
+	RetainS     float64  `toml:"retain_s"`      // seconds for which a completed job is kept
+	RetainDeadS float64  `toml:"retain_dead_s"` // seconds for which a dead job is kept
+	DelayMs     float64  `toml:"delay_ms"`      // milliseconds for which a batch of changes waits for others before its fsync
 	Flush       bool     `toml:"flush"`         // whether FLUSH is allowed
 
-	Log *slog.Logger `toml:"-"` // receives the audit records; nil: discarded
+	Log *slog.Logger `toml:"-"` // for the service of durable jobs; if it is nil nothing is logged
 }
 
-// ErrSourceNotMovable says that a process with the source role cannot hand over
-// to a successor.
+// ErrSourceNotMovable is the error of Config.Movable for a process with the
+// source role, which cannot hand over to a successor.
 var ErrSourceNotMovable = errors.New("it fetches from upstream, whose jids are in memory only")
 
-// DirectQueueError says that a process with a direct queue cannot hand over to a
-// successor.
+// DirectQueueError is the error of Config.Movable for a process with a direct
+// queue, which cannot hand over to a successor.
 type DirectQueueError struct{ Queue string }
 
 // Error names the queue.
@@ -70,14 +70,14 @@
 	return fmt.Sprintf("queue %q is direct, and its jids are in memory only", e.Queue)
 }
 
-// Default returns the configuration that a file or table is decoded into.
+// Default returns the defaults, into which a file or table is decoded.
 func Default() (c Config) {
 	c.Source.Lanes = defaultLanes
 	return c
 }
 
-// ReadConfig reads and checks the operator's file. Each error names the field
-// and takes one line.
+// ReadConfig reads and checks the operator's file. Each error names the field,
+// and its text has one line.
 func ReadConfig(path string, settings *decision.Settings) (Config, error) {
 	config := Default()
 	text, err := os.ReadFile(path)
@@ -90,8 +90,8 @@
 	return config, config.Check(settings)
 }
 
-// Check validates a configuration and fills in the queues of the source role
-// where they are left out. Each error names the field.
+// Check validates a configuration, and sets the queues of the source role to all
+// classes if there are none. Each error names the field.
 func (c *Config) Check(settings *decision.Settings) error {
 	if c.Listen == "" && c.Source.Address == "" {
 		return errors.New("listen: missing, and source.address too, so there is nothing to do")
@@ -148,7 +148,7 @@
 	return nil
 }
 
-// Classes returns, by class index, which classes are durable.
+// Classes reports for each class, by its index, whether it is durable.
 func (c *Durable) Classes(settings *decision.Settings) []bool {
 	durable := make([]bool, len(settings.Classes))
 	for i := range settings.Classes {
@@ -193,7 +193,7 @@
 	return nil
 }
 
-// serviceConfig returns what the durable service is opened with.
+// serviceConfig returns the configuration of the service of durable jobs.
 func (c *Durable) serviceConfig() durable.Config {
 	return durable.Config{
 		Path: c.Path,
--- a/internal/faktory/config_test.go
+++ b/internal/faktory/config_test.go
@@ -26,7 +26,7 @@
 	}
 	shipped, err := ReadConfig("../../deploy/faktory.toml", &settings)
 	if err != nil || shipped.Listen == "" {
-		t.Errorf("the file shipped: %+v, %v", shipped, err)
+		t.Errorf("deploy/faktory.toml: %+v, %v", shipped, err)
 	}
 }
 
@@ -35,7 +35,7 @@
 	settings := decision.Settings{Classes: []decision.Class{{Name: "renewal"}}}
 	for _, test := range []struct {
 		table Durable
-		want  string // how the error begins; empty: none
+		want  string // prefix of the error; empty if there must be none
 	}{
 		{Durable{Queues: []string{"renewal"}}, "durable.path"},
 		{Durable{Path: "x", Queues: []string{"y"}}, "durable.queues[0]"},
@@ -52,13 +52,13 @@
 		config.Listen = ""
 		config.Source.Address = "127.0.0.1:1"
 		if test.want == "" && config.Check(&settings) == nil {
-			t.Error("durable without the server role")
+			t.Error("durable queues without the server role were accepted")
 		}
 	}
 }
 
-// Only a front end all of whose state is in the store can hand over to a
-// successor; the error says why another cannot.
+// A front end can hand over to a successor only if all its state is in the store.
+// Otherwise the error says what is not.
 func TestMovable(t *testing.T) {
 	settings := decision.Settings{Classes: []decision.Class{{Name: "status-check"}, {Name: "renewal"}}}
 	config := Default()
--- a/internal/faktory/connection.go
+++ b/internal/faktory/connection.go
@@ -8,15 +8,15 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-// idleTimeout is how long a connection may send no command; workers BEAT every
-// 15 s.
+// idleTimeout is how long a connection may stay open without a command. Workers
+// send BEAT every 15 s.
 const idleTimeout = 60 * time.Second
 
 // connection is a connection of a producer or a worker.
 //
-// It is busy from the moment a command is read that is not answered at once,
-// until its answer: a PUSH of a direct queue (push), a FETCH (fetch), or a
-// command whose change is not on disk yet (deferReply).
+// It is busy while a command waits for its answer: a PUSH of a direct queue
+// (push), a FETCH (fetch), or a command whose change is not on disk yet
+// (deferReply).
 type connection struct {
 	server      *Server
 	token       uint64       // the server's handle of the connection
@@ -24,14 +24,14 @@
 	conn        *transport.Conn
 	input       input
 
-	awaitsProxyHeader bool              // from a trusted proxy, which names the client in it
-	salt              string            // of the greeting; empty: no password is required
+	awaitsProxyHeader bool              // the peer is a trusted proxy, whose PROXY header names the client
+	salt              string            // sent in the greeting; empty if no password is required
 	authenticated     bool              // HELLO has been accepted
-	worker            *registeredWorker // nil: a producer's connection
+	worker            *registeredWorker // nil if the connection is a producer's
 
-	busy           bool               // a command awaits its answer; no other is read
-	push           *pendingPush       // the PUSH of a direct queue that awaits its answer; nil: none
-	fetch          *parkedFetch       // the FETCH that waits for a job; nil: none
+	busy           bool               // a command waits for its answer; the next one is not processed
+	push           *pendingPush       // the PUSH of a direct queue that waits for its answer, or nil
+	fetch          *parkedFetch       // the FETCH that waits for a job, or nil
 	lastPushServed bool               // the job of the PUSH that is being answered was served
 	deadline       eventloop.Deadline // of a parked FETCH, or of an idle connection
 	closed         bool               // detached from the server
@@ -43,7 +43,7 @@
 // writeBulk sends a reply that is a bulk string.
 func (c *connection) writeBulk(text []byte) { c.conn.Write(appendBulk(nil, text)) }
 
-// setDeadline calls onDeadline after a span of time.
+// setDeadline makes the loop call onDeadline after a span of time.
 func (c *connection) setDeadline(span time.Duration) {
 	loop := c.server.dispatcher.Loop
 	loop.Set(&c.deadline, loop.Now()+span)
@@ -61,7 +61,7 @@
 	}
 }
 
-// resume continues with the next command after an answer.
+// resume processes the next command after a command that waited was answered.
 func (c *connection) resume() {
 	c.busy = false
 	loop := c.server.dispatcher.Loop
@@ -71,17 +71,17 @@
 	}
 	c.setDeadline(idleTimeout)
 	if !c.input.empty() {
-		loop.Post(c.processInput) // a pipelined command; not from inside the dispatcher
+		loop.Post(c.processInput) // a pipelined command; posted, as the dispatcher may be the caller
 	}
 }
 
-// closeGracefully closes the connection once what was written has left.
+// closeGracefully closes the connection once everything written has been sent.
 func (c *connection) closeGracefully() {
 	c.detach()
 	c.conn.CloseGracefully()
 }
 
-// detach removes the connection from the server, once.
+// detach removes the connection from the server. Further calls do nothing.
 func (c *connection) detach() {
 	if c.closed {
 		return
@@ -98,13 +98,13 @@
 	}
 }
 
-// OnClosed handles the end of the connection by the peer or by a fault.
+// OnClosed handles that the peer has closed the connection or that it has failed.
 func (c *connection) OnClosed(*transport.Conn, error) {
 	c.detach()
 	c.cancelPush()
 }
 
-// OnData handles received bytes, whose buffer it takes over.
+// OnData handles received bytes and takes ownership of their buffer.
 func (c *connection) OnData(_ *transport.Conn, received *transport.Buffer) {
 	if c.closed {
 		c.server.engine.Pool.Put(received)
@@ -120,8 +120,9 @@
 	c.processInput()
 }
 
-// rejectOverflow closes a connection that sends more than a command, or more
-// commands ahead than fit, even while an answer is pending.
+// rejectOverflow closes a connection whose input does not fit the buffer: a
+// command that is too long, or too many pipelined commands. It does so even while
+// a command waits for its answer.
 func (c *connection) rejectOverflow() {
 	if !c.busy {
 		c.writeLine(replyMalformed + "command " + errTooLong.Error())
@@ -132,8 +133,8 @@
 	c.conn.CloseGracefully()
 }
 
-// deferReply makes the connection busy until its command is answered by reply,
-// which sends nothing if the connection is closed by then.
+// deferReply makes the connection busy until reply is called, which sends the
+// answer to the command. If the connection is closed by then, reply does nothing.
 func (c *connection) deferReply() (reply func(line string)) {
 	c.busy = true
 	c.server.dispatcher.Loop.Clear(&c.deadline)
--- a/internal/faktory/dedupwindow_test.go
+++ b/internal/faktory/dedupwindow_test.go
@@ -7,11 +7,11 @@
 	"hollyyoke.example/hollyyoke/decision"
 )
 
-// Guards against a deduplicated job that runs twice: a repeat that waited for its worker's next FETCH was handed out
-// after workers had forgotten the first attempt.
-func TestRepeatIsNotHandedOutBeyondItsWindow(t *testing.T) {
+// Guards against a deduplicated job that runs twice: a retry that waited for its worker's next FETCH was handed out after
+// the dedup window, when workers had forgotten the first attempt.
+func TestRetryIsNotHandedOutAfterDedupWindow(t *testing.T) {
 	const window = 400 * time.Millisecond
-	address, _ := openFront(t, serverConfig, func(settings *decision.Settings) {
+	address, _ := openFrontEnd(t, serverConfig, func(settings *decision.Settings) {
 		settings.Classes = append(settings.Classes, decision.Class{
 			Name:             "transfer",
 			PriorityWeight:   4,
--- a/internal/faktory/delivery.go
+++ b/internal/faktory/delivery.go
@@ -11,18 +11,18 @@
 	"hollyyoke.example/hollyyoke/internal/jobs"
 )
 
-// jobDelivery is an attempt of the dispatcher at a worker of this front end: its
-// job waits for the worker's next FETCH, or is handed out.
+// jobDelivery is an attempt of the dispatcher at a worker of this front end. Its
+// job either waits for the worker's next FETCH, or has been handed out.
 type jobDelivery struct {
 	attempt       dispatch.Attempt
 	worker        *registeredWorker
-	handedOut     bool               // from then on the job may have run
-	fetchDeadline eventloop.Deadline // by which the worker's next FETCH must have come
+	handedOut     bool               // a FETCH was answered with the job, so it may have run
+	fetchDeadline eventloop.Deadline // until which the job waits for the worker's next FETCH
 }
 
-// handOut answers a parked FETCH with the job of a delivery. If workers may have
-// forgotten an earlier attempt by now, or the connection is known to be broken,
-// nothing has run.
+// handOut answers a parked FETCH with the job of a delivery. It ends the attempt
+// as one that never ran if workers may have forgotten an earlier attempt by now,
+// or if the write shows that the connection is broken.
 func (s *Server) handOut(delivery *jobDelivery, slot *parkedFetch) {
 	if !s.withinDedupWindow(delivery) {
 		s.endAttempt(delivery, decision.NotSent)
@@ -51,8 +51,9 @@
 	s.dispatcher.AttemptStarted(delivery.attempt.Handle)
 }
 
-// withinDedupWindow reports whether the job of a delivery, which may have waited
-// for its FETCH, may still be handed out as a repeat.
+// withinDedupWindow reports whether the job of a delivery may still be handed out.
+// If it is a retry of a deduplicated job, its dedup window may have ended while it
+// waited for the worker's FETCH.
 func (s *Server) withinDedupWindow(delivery *jobDelivery) bool {
 	_, allowed := s.dispatcher.Guard.MaySend(invariant.Send{
 		Now:      s.dispatcher.Loop.Now(),
@@ -62,7 +63,7 @@
 	return allowed
 }
 
-// forgetDelivery removes a delivery from the server and its worker.
+// forgetDelivery removes a delivery from the server and from its worker.
 func (s *Server) forgetDelivery(delivery *jobDelivery) {
 	delete(s.deliveries, delivery.attempt.Handle)
 	s.dispatcher.Loop.Clear(&delivery.fetchDeadline)
@@ -79,7 +80,8 @@
 	s.dispatcher.AttemptEnded(delivery.attempt.Handle, outcome, decision.LoadReport{}, nil)
 }
 
-// findHandedOut returns the oldest delivery of a jid that is handed out to worker.
+// findHandedOut returns the oldest delivery of a jid that was handed out to worker,
+// or nil.
 func (s *Server) findHandedOut(worker *registeredWorker, jid string) (oldest *jobDelivery) {
 	for _, delivery := range s.deliveries {
 		if !delivery.handedOut || delivery.worker != worker || delivery.attempt.Request.ID != jid {
@@ -92,9 +94,10 @@
 	return oldest
 }
 
-// endLease ends the delivery that was handed out under a lease, if there is one.
-func (s *Server) endLease(jid string, fence uint64, outcome decision.AttemptOutcome) {
-	if fence == jobs.NoFence { // that of direct jobs
+// endAttemptUnderLease ends the attempt whose job was handed out under a lease, if there is
+// one.
+func (s *Server) endAttemptUnderLease(jid string, fence uint64, outcome decision.AttemptOutcome) {
+	if fence == jobs.NoFence { // direct jobs have no lease
 		return
 	}
 	for _, delivery := range s.deliveries {
@@ -105,7 +108,8 @@
 	}
 }
 
-// deliveriesOf returns a worker's deliveries, in the order of their attempts.
+// deliveriesOf returns a worker's deliveries, sorted by the handles of their
+// attempts.
 func (s *Server) deliveriesOf(worker *registeredWorker) (deliveries []*jobDelivery) {
 	for _, delivery := range s.deliveries {
 		if delivery.worker == worker {
--- a/internal/faktory/durable.go
+++ b/internal/faktory/durable.go
@@ -10,23 +10,23 @@
 	"hollyyoke.example/hollyyoke/internal/jobs"
 )
 
-// durableQueues is the durable side of a server: the service that stores jobs,
-// and the scheduler that assigns them to free slots. No answer says +OK to a
-// change before it is on disk, and no worker's report counts for the lease of
-// another.
+// durableQueues holds the state of a server with durable queues: the service that
+// stores jobs, and the scheduler that assigns them to free slots. A change is
+// answered with +OK only once it is on disk, and a worker can only report about
+// its own leases.
 type durableQueues struct {
 	*durable.Service
 	scheduler    *durable.Scheduler
 	classes      []bool // by class index: whether it is durable
 	flushAllowed bool
 	progress     map[string]jobProgress // by jid
-	parkCount    uint64                 // FETCHes parked so far
+	parkCount    uint64                 // number of FETCHes parked so far
 }
 
 var _ durable.Workers = (*Server)(nil)
 
-// EnableDurable makes the queues that config names durable, and starts the
-// service once the loop runs. It must be called before Listen.
+// EnableDurable makes the queues in config durable. It opens their store, and
+// starts the service once the loop runs. It must be called before Listen.
 func (s *Server) EnableDurable(config Durable) error {
 	log := config.Log
 	if log == nil {
@@ -43,7 +43,7 @@
 		flushAllowed: config.Flush,
 		progress:     map[string]jobProgress{},
 	}
-	service.OnLeaseExpired = func(job jobs.Job) { s.endLease(job.ID, job.Fence, decision.TimedOut) }
+	service.OnLeaseExpired = func(job jobs.Job) { s.endAttemptUnderLease(job.ID, job.Fence, decision.TimedOut) }
 	s.dispatcher.Loop.Post(service.Start)
 	return nil
 }
@@ -51,7 +51,7 @@
 // isDurable reports whether the queue of a class is durable.
 func (s *Server) isDurable(class int) bool { return s.durable != nil && s.durable.classes[class] }
 
-// allClasses returns the durable classes.
+// allClasses returns the indexes of the durable classes.
 func (q *durableQueues) allClasses() (classes []int) {
 	for class, isDurable := range q.classes {
 		if isDurable {
@@ -61,7 +61,7 @@
 	return classes
 }
 
-// Request turns a stored job into a request for the dispatcher.
+// Request converts a stored job to a request for the dispatcher.
 func (s *Server) Request(job jobs.Job) (dispatch.Request, error) {
 	stored, isRequest := durable.ReadRequest(job)
 	if !isRequest {
@@ -84,8 +84,8 @@
 	}, nil
 }
 
-// Guarantee returns what a worker has promised. Workers of other front ends
-// promise nothing.
+// Guarantee returns the guarantee of a worker. Workers of other front ends have
+// none.
 func (s *Server) Guarantee(workerName string) jobs.Guarantee {
 	if worker := s.workers[workerName]; worker != nil {
 		return worker.guarantee
--- a/internal/faktory/durable_test.go
+++ b/internal/faktory/durable_test.go
@@ -11,13 +11,14 @@
 	"hollyyoke.example/hollyyoke/decision"
 )
 
-// withDurableFront runs a front end with durable queues, from its start on the
-// store at file to its end. options are further lines of the durable table.
-func withDurableFront(t *testing.T, file, options string, run func(address string)) {
+// withDurableFrontEnd opens a front end with durable queues on the store at file,
+// calls run, and closes the front end. options contains further lines of the
+// durable table.
+func withDurableFrontEnd(t *testing.T, file, options string, run func(address string)) {
 	t.Helper()
 	t.Run("", func(t *testing.T) {
 		table := "[durable]\npath = \"" + file + "\"\nqueues = [\"renewal\", \"status-check\"]\n" + options
-		address, _ := openFront(t, serverConfig+table, func(settings *decision.Settings) {
+		address, _ := openFrontEnd(t, serverConfig+table, func(settings *decision.Settings) {
 			for i := range settings.Classes {
 				settings.Classes[i].Deadline = 2 * time.Second
 			}
@@ -26,28 +27,29 @@
 	})
 }
 
-// newStorePath is the path of a store in a directory of its own.
+// newStorePath returns the path for a store in a new directory.
 func newStorePath(t *testing.T) string {
 	t.Helper()
 	return filepath.Join(t.TempDir(), "jobs.db")
 }
 
-// leasedJob is what these tests read of a durable job that a worker has fetched.
+// leasedJob holds the fields that these tests use of a durable job that a worker
+// has fetched.
 type leasedJob struct {
 	Jid    string
 	Args   json.RawMessage
 	Custom struct{ Fence uint64 }
 }
 
-// message is a message about the job under its lease.
+// message returns a message about the job under its lease.
 func (l leasedJob) message() string { return messageUnder(l.Jid, l.Custom.Fence) }
 
-// messageUnder is a message about a job under a fence.
+// messageUnder returns a message about a job under a fence.
 func messageUnder(jid string, fence uint64) string {
 	return fmt.Sprintf(`{"jid":%q,"fence":%d}`, jid, fence)
 }
 
-// lease fetches a durable job, which must come with a fence.
+// lease fetches a durable job and checks that it has a fence.
 func (c *client) lease(queues string) (job leasedJob) {
 	c.t.Helper()
 	got := c.fetch(queues)
@@ -58,7 +60,7 @@
 	return job
 }
 
-// expectLease fetches a durable job, which must be that of jid.
+// expectLease fetches a durable job and checks its jid.
 func (c *client) expectLease(queues, jid string) leasedJob {
 	c.t.Helper()
 	job := c.lease(queues)
@@ -68,13 +70,13 @@
 	return job
 }
 
-// expectAck acknowledges a job, and checks how the answer begins.
+// expectAck acknowledges a job and checks that the answer begins with want.
 func (c *client) expectAck(jid, want string) {
 	c.t.Helper()
 	c.expect(`ACK {"jid":"`+jid+`"}`, want)
 }
 
-// stateOf is the state of a job by TRACK.
+// stateOf returns the state of a job as TRACK GET reports it.
 func (c *client) stateOf(jid string) string {
 	var got struct{ State string }
 	json.Unmarshal([]byte(c.do("TRACK GET "+jid)), &got)
@@ -99,25 +101,25 @@
 	}
 }
 
-// A job is stored before it runs, survives restarts, and runs once, however often
-// its producer pushes and its worker acknowledges it.
+// A durable job is stored before it runs and survives restarts. It runs once,
+// however often its producer pushes it and its worker acknowledges it.
 func TestDurableJobsSurviveRestart(t *testing.T) {
 	file := newStorePath(t)
 	var first leasedJob
-	withDurableFront(t, file, "", func(address string) { first = pushTwoAndStartOne(t, address) })
-	withDurableFront(t, file, "", func(address string) { finishBoth(t, address, first) })
-	withDurableFront(t, file, "", func(address string) {
+	withDurableFrontEnd(t, file, "", func(address string) { first = pushTwoAndStartOne(t, address) })
+	withDurableFrontEnd(t, file, "", func(address string) { finishBoth(t, address, first) })
+	withDurableFrontEnd(t, file, "", func(address string) {
 		producer := dialProducer(t, address)
 		worker := dialWorker(t, address, "w1")
 		producer.expect(pushCommand("keep-00001", "renewal", ""), "+OK")
 		if got := worker.do("FETCH renewal"); got != nullBulk {
-			t.Errorf("run again: %q", got)
+			t.Errorf("handed out again: %q", got)
 		}
 	})
 }
 
-// pushTwoAndStartOne pushes two jobs, each more than once, and starts the first
-// at worker w1.
+// pushTwoAndStartOne pushes two jobs, each more than once, and lets worker w1 start
+// the first.
 func pushTwoAndStartOne(t *testing.T, address string) (started leasedJob) {
 	t.Helper()
 	producer := dialProducer(t, address)
@@ -136,7 +138,7 @@
 	return started
 }
 
-// finishBoth has the other job run at w2, and both acknowledged.
+// finishBoth lets w2 run the second job, and lets w1 and w2 acknowledge their jobs.
 func finishBoth(t *testing.T, address string, first leasedJob) {
 	t.Helper()
 	producer := dialProducer(t, address)
@@ -148,7 +150,7 @@
 	if second.Custom.Fence <= first.Custom.Fence {
 		t.Fatalf("leased %+v after %+v", second, first)
 	}
-	other.expectAck("keep-00001", "-ERR VOID") // it is w1's
+	other.expectAck("keep-00001", "-ERR VOID") // w1 holds its lease
 	other.expectAck("keep-00002", "+OK")
 	other.expectAck("keep-00002", "+OK")
 	worker := dialWorker(t, address, "w1")
@@ -159,10 +161,10 @@
 
 // A worker disconnects with two leased jobs. When the leases expire, the
 // non-idempotent job is in doubt and the idempotent one goes to the next worker.
-// A non-idempotent job that a worker which honors fences has not started goes to
-// the next worker too, and the first one's START is not granted.
+// A non-idempotent job also goes to the next worker if its first worker honors
+// fences and has not started it; the first worker's START is then rejected.
 func TestDurableLeaseExpires(t *testing.T) {
-	withDurableFront(t, newStorePath(t), "lease_s = 0.3\nbackoff_s = 0.01\n", func(address string) {
+	withDurableFrontEnd(t, newStorePath(t), "lease_s = 0.3\nbackoff_s = 0.01\n", func(address string) {
 		producer := dialProducer(t, address)
 		worker := dialWorker(t, address, "w1")
 		fenced := dialWorker(t, address, "w2", "fences:1")
@@ -186,7 +188,7 @@
 			worker.expect(`BEAT {"wid":"w1"}`, "+OK")
 		}
 		worker.expectAck("slow-00001", "+OK")
-		worker.expectAck("lost-renewal", "+OK") // a late ACK proves that it ran
+		worker.expectAck("lost-renewal", "+OK") // a late ACK proves that the job ran
 		producer.awaitState("lost-renewal", "success")
 	})
 }
@@ -206,7 +208,8 @@
 	}
 }
 
-// The order of queues in FETCH holds, not the order of PUSHes.
+// checkQueueOrder checks that jobs are handed out in the order of the queues in
+// FETCH, not in the order of the PUSHes.
 func (r *durableRun) checkQueueOrder() {
 	r.producer.expect(pushCommand("order-check", "status-check", ""), "+OK")
 	r.producer.expect(pushCommand("order-renewal", "renewal", ""), "+OK")
@@ -216,13 +219,14 @@
 	}
 }
 
-// Attempts are bounded, by the job's retry field too. A non-idempotent job that
-// has run is dead after its first failure.
+// checkRetries checks that the attempts of a job are bounded, also by its retry
+// field, and that a non-idempotent job that has run is dead after its first
+// failure.
 func (r *durableRun) checkRetries() {
 	r.producer.expect(pushCommand("fails-twice", "status-check", ""), "+OK")
 	for range 2 {
 		r.worker.expectLease("status-check", "fails-twice")
-		r.worker.expect(`FAIL {"jid":"fails-twice","errtype":"Broken","message":"no till"}`, "+OK")
+		r.worker.expect(`FAIL {"jid":"fails-twice","errtype":"Broken","message":"card declined"}`, "+OK")
 	}
 	r.producer.awaitState("fails-twice", "dead")
 	r.producer.expect(strings.Replace(pushCommand("fails-once", "status-check", ""), `"args"`, `"retry":-1,"args"`, 1), "+OK")
@@ -231,13 +235,14 @@
 	r.producer.awaitState("fails-once", "discarded")
 	r.producer.expect(pushCommand("fails-paid", "renewal", ""), "+OK")
 	r.worker.lease("renewal")
-	r.worker.expect(`FAIL {"jid":"fails-paid","started":false}`, "+OK") // it never began
+	r.worker.expect(`FAIL {"jid":"fails-paid","started":false}`, "+OK") // it was not started
 	r.worker.lease("renewal")
 	r.worker.expect(`FAIL {"jid":"fails-paid"}`, "+OK")
 	r.producer.awaitState("fails-paid", "dead")
 }
 
-// MUTATE moves what its filter matches, but no job that might run twice.
+// checkRequeue checks that MUTATE requeues the jobs that match its filter, but not
+// one that must not run twice.
 func (r *durableRun) checkRequeue() {
 	r.producer.expect(`MUTATE {"cmd":"requeue","target":"dead","filter":{"jids":["fails-paid"]}}`, "-ERR REFUSED")
 	r.producer.expect(`MUTATE {"cmd":"requeue","target":"dead","filter":{"regexp":"*no such thing*"}}`, "+OK")
@@ -246,9 +251,9 @@
 	r.worker.expectLease("status-check", "fails-twice")
 }
 
-// TRACK tells the progress of a job.
+// checkProgress checks that TRACK GET reports the progress of a job.
 func (r *durableRun) checkProgress() {
-	r.worker.expect(`TRACK SET {"jid":"fails-twice","percent":40,"desc":"at the till"}`, "+OK")
+	r.worker.expect(`TRACK SET {"jid":"fails-twice","percent":40,"desc":"charging"}`, "+OK")
 	got := r.producer.do("TRACK GET fails-twice")
 	if !strings.Contains(got, `"percent":40`) || !strings.Contains(got, `"working"`) {
 		r.t.Errorf("TRACK: %s", got)
@@ -256,13 +261,14 @@
 	r.worker.expectAck("fails-twice", "+OK")
 }
 
-// scheduledJob is a renewal that is to run at a time.
+// scheduledJob returns the JSON of a renewal that is scheduled for a time.
 func scheduledJob(jid string, at time.Time) string {
 	job := strings.TrimPrefix(pushCommand(jid, "renewal", ""), "PUSH ")
 	return strings.Replace(job, `"args"`, `"at":"`+at.Format(time.RFC3339Nano)+`","args"`, 1)
 }
 
-// PUSHB stores several jobs, some for later.
+// checkScheduledBulk checks that PUSHB stores several jobs, and that a scheduled job
+// is not handed out before its time.
 func (r *durableRun) checkScheduledBulk() {
 	soon := time.Now().Add(300 * time.Millisecond)
 	first := scheduledJob("bulk-00001", soon)
@@ -277,7 +283,7 @@
 	r.producer.awaitState("bulk-00002", "dead")
 }
 
-// Invalid commands are rejected.
+// checkRejections checks the answers to invalid commands.
 func (r *durableRun) checkRejections() {
 	for command, want := range map[string]string{
 		"QUEUE PAUSE":                            "-ERR MALFORMED",
@@ -297,11 +303,11 @@
 	}
 }
 
-// checkPaused checks that a queue which was paused before a restart hands
-// nothing out until it is resumed.
+// checkPaused checks that no job of a queue that was paused before a restart is
+// handed out until the queue is resumed.
 func (r *durableRun) checkPaused() {
 	if got := r.worker.do("FETCH renewal"); got != nullBulk {
-		r.t.Errorf("paused, and handed out: %q", got)
+		r.t.Errorf("handed out although the queue is paused: %q", got)
 	}
 	info := r.producer.do("INFO")
 	for _, want := range []string{`"paused":["renewal"]`, `"renewal":1`, `"Dead":{"size":2}`, `"Done":{"size":4}`, `"total_enqueued":1`} {
@@ -313,7 +319,8 @@
 	r.worker.expectLease("renewal", "held-00001")
 }
 
-// QUEUE REMOVE and FLUSH discard jobs that wait, and no leased one.
+// checkDiscarding checks that QUEUE REMOVE and FLUSH discard jobs that wait or are
+// dead, but no leased one.
 func (r *durableRun) checkDiscarding() {
 	producer := r.producer
 	producer.expect(pushCommand("held-00002", "renewal", ""), "+OK")
@@ -325,10 +332,11 @@
 	producer.expectState("flushed", "held-00001", "working")
 }
 
-// The commands of durable queues do what the protocol says, over a restart too.
+// The commands for durable queues have the effects that the protocol describes, also
+// after a restart.
 func TestDurableCommands(t *testing.T) {
 	file := newStorePath(t)
-	withDurableFront(t, file, "backoff_s = 0.05\nattempts = 2\n", func(address string) {
+	withDurableFrontEnd(t, file, "backoff_s = 0.05\nattempts = 2\n", func(address string) {
 		run := newDurableRun(t, address)
 		run.checkQueueOrder()
 		run.checkRetries()
@@ -339,7 +347,7 @@
 		run.producer.expect(pushCommand("held-00001", "renewal", ""), "+OK")
 		run.checkRejections()
 	})
-	withDurableFront(t, file, "flush = true\n", func(address string) {
+	withDurableFrontEnd(t, file, "flush = true\n", func(address string) {
 		run := newDurableRun(t, address)
 		run.checkPaused()
 		run.checkDiscarding()
--- a/internal/faktory/fetch.go
+++ b/internal/faktory/fetch.go
@@ -10,16 +10,16 @@
 const parkTimeout = 2 * time.Second
 
 // parkedFetch is a FETCH that waits for a job: a free slot of its worker. It
-// ends when it is answered or its connection is closed (unpark).
+// stays parked until it is answered or its connection is closed (unpark).
 type parkedFetch struct {
 	connection     *connection
-	classes        classSet // that it fetches
-	durableClasses []int    // of them the durable ones, in the order it names them
-	sequence       uint64   // orders parked FETCHes by age
-	reservedFor    string   // jid of the durable job that the slot is reserved for; empty: it is free
+	classes        classSet // of the queues that it names
+	durableClasses []int    // the durable ones of these, in the order in which it names them
+	sequence       uint64   // increases with each parked FETCH, so that they can be sorted by age
+	reservedFor    string   // jid of the durable job for which the slot is reserved; empty if it is free
 }
 
-// handleFetch parks a worker's FETCH until there is a job for it.
+// handleFetch parks a worker's FETCH, and answers it at once if a job waits for it.
 func (c *connection) handleFetch(rest []byte) {
 	if c.worker == nil {
 		c.writeLine(replyError + "FETCH is for workers: HELLO told no wid")
@@ -48,7 +48,7 @@
 	c.setDeadline(parkTimeout)
 }
 
-// unpark takes the connection's FETCH, if it has one, off its worker's free
+// unpark removes the connection's FETCH, if it has one, from its worker's free
 // slots.
 func (c *connection) unpark() {
 	if c.fetch == nil {
@@ -61,9 +61,9 @@
 // isParked reports whether the FETCH still waits.
 func (f *parkedFetch) isParked() bool { return f.connection.fetch == f }
 
-// offerSlot gives a newly parked FETCH of the worker a job that waits for it, or
-// else notifies the dispatcher of the free slot. A worker that drains gets
-// nothing: its FETCH is answered with no job in time.
+// offerSlot answers a newly parked FETCH of the worker with a job that waits for
+// it, or else notifies the dispatcher of the free slot. It does nothing if the
+// worker drains: the FETCH is then answered without a job after parkTimeout.
 func (w *registeredWorker) offerSlot(slot *parkedFetch) {
 	if !w.isRunning() {
 		return
@@ -76,9 +76,9 @@
 	}
 }
 
-// extendKind adds classes to those that the worker's kind runs, which are the
-// classes that any of its connections has fetched. The first time lists the
-// worker.
+// extendKind adds classes to those that the worker's kind runs, which are all
+// classes that any of its connections has fetched. The first call makes the worker
+// known to the dispatcher.
 func (w *registeredWorker) extendKind(classes classSet) {
 	if classes == 0 {
 		return
@@ -96,7 +96,7 @@
 	w.updateEndpoint()
 }
 
-// classesOf returns the classes that a FETCH names. Other queues are ignored.
+// classesOf returns the classes that a FETCH names. Unknown queues are ignored.
 func (s *Server) classesOf(queues string) (classes classSet) {
 	for queue := range strings.FieldsSeq(queues) {
 		if class, known := s.classIndexes[queue]; known {
@@ -106,7 +106,8 @@
 	return classes
 }
 
-// durableClassesOf returns the durable classes that a FETCH names, in its order.
+// durableClassesOf returns the durable classes that a FETCH names, in the same
+// order.
 func (s *Server) durableClassesOf(queues string) (classes []int) {
 	for queue := range strings.FieldsSeq(queues) {
 		class, known := s.classIndexes[queue]
--- a/internal/faktory/foreignreport_test.go
+++ b/internal/faktory/foreignreport_test.go
@@ -7,14 +7,15 @@
 	"time"
 )
 
-// A paid renewal was lost without having run: an ACK from any connection, the producer's own or that of a worker that
-// never fetched it, ended a stored job that no worker had been given, and a FETCH afterwards found nothing. These tests
-// send every report from connections that do not have the job: nothing of it may change, and it must still run once.
-// The cause of the first: fence 0 of a report that has none was the fence 0 of a job without a lease (TRACK GET went
-// from "enqueued" to "success"). Of the others: the session of a report was asked for only where it named no fence, and
-// not at all by BEAT and by direct jobs.
+// These tests guard against a report that takes effect although its connection's worker does not hold the job. They send
+// every report from such connections: the job must not change, and must still run once. Three faults are covered:
+//   - An ACK without a fence, from any connection, finished a stored job that had never been leased (TRACK GET went from
+//     "enqueued" to "success"), so the job was lost without having run. The report's missing fence was 0, like that of a
+//     job without a lease.
+//   - The worker of the connection was checked only for reports without a fence.
+//   - It was not checked at all for BEAT and for reports about direct jobs.
 
-// foreignReports are reports about a job by a connection that has no lease of it, without a fence and under one.
+// foreignReports returns all reports about a job, without a fence and under the given one.
 func foreignReports(jid string, fence uint64) (commands []string) {
 	for _, more := range []string{"", fmt.Sprintf(`,"fence":%d`, fence)} {
 		commands = append(commands,
@@ -28,8 +29,8 @@
 	return commands
 }
 
-// reportFromOthers sends every report about a job from a producer and from a worker that do not have it. Each must be
-// rejected, and the job must stay as it is.
+// reportFromOthers sends every report about a job from a producer and from workers that do not hold the job. Each must be
+// rejected and must not change the job.
 func reportFromOthers(t *testing.T, address, jid string, fence uint64) {
 	t.Helper()
 	producer := dialProducer(t, address)
@@ -50,15 +51,15 @@
 	}
 }
 
-// A stored job that was never leased outlives every report, before and after a restart, and runs.
-func TestNeverLeasedJobOutlivesEveryReport(t *testing.T) {
+// A stored job that was never leased is not changed by any report, before and after a restart, and then runs.
+func TestNeverLeasedJobRejectsEveryReport(t *testing.T) {
 	file := newStorePath(t)
 	const jid = "unleased-1"
-	withDurableFront(t, file, "", func(address string) {
+	withDurableFrontEnd(t, file, "", func(address string) {
 		dialProducer(t, address).expect(pushCommand(jid, "renewal", ""), "+OK")
 		reportFromOthers(t, address, jid, 1)
 	})
-	withDurableFront(t, file, "", func(address string) {
+	withDurableFrontEnd(t, file, "", func(address string) {
 		reportFromOthers(t, address, jid, 1)
 		worker := dialWorker(t, address, "w1")
 		worker.expectLease("renewal", jid)
@@ -67,13 +68,13 @@
 	})
 }
 
-// Nobody but its worker reports a leased job, whether or not the fence is known, before and after a restart. The worker
-// itself is understood in a new session too.
-func TestLeasedJobIsReportedByItsWorkerAlone(t *testing.T) {
+// Reports about a leased job are accepted only from its worker, even if others send the right fence, before and after a
+// restart. The worker can also report on a new connection.
+func TestLeasedJobAcceptsReportsOnlyFromItsWorker(t *testing.T) {
 	file := newStorePath(t)
 	const jid = "leased-001"
 	var leased leasedJob
-	withDurableFront(t, file, "", func(address string) {
+	withDurableFrontEnd(t, file, "", func(address string) {
 		dialProducer(t, address).expect(pushCommand(jid, "renewal", ""), "+OK")
 		worker := dialWorker(t, address, "w1", labelFences)
 		leased = worker.expectLease("renewal", jid)
@@ -82,7 +83,7 @@
 		worker.expect("START "+leased.message(), "+OK")
 		reportFromOthers(t, address, jid, leased.Custom.Fence)
 	})
-	withDurableFront(t, file, "", func(address string) {
+	withDurableFrontEnd(t, file, "", func(address string) {
 		reportFromOthers(t, address, jid, leased.Custom.Fence)
 		worker := dialWorker(t, address, "w1", labelFences)
 		worker.expect("ACK "+leased.message(), "+OK")
@@ -90,10 +91,10 @@
 	})
 }
 
-// A heartbeat renews the leases of the worker whose session sends it, and drains that worker alone: a lease whose worker
-// is silent expires, whatever others send under its wid.
+// A heartbeat renews only the leases of the worker whose connection sends it: a lease expires if its worker sends none,
+// even if other connections send heartbeats with that worker's wid.
 func TestForeignBeatRenewsNothing(t *testing.T) {
-	withDurableFront(t, newStorePath(t), "lease_s = 0.3\n", func(address string) {
+	withDurableFrontEnd(t, newStorePath(t), "lease_s = 0.3\n", func(address string) {
 		producer := dialProducer(t, address)
 		producer.expect(pushCommand("silent-001", "renewal", ""), "+OK")
 		dialWorker(t, address, "w1").expectLease("renewal", "silent-001")
@@ -108,9 +109,9 @@
 	})
 }
 
-// No other connection's BEAT drains a worker.
-func TestForeignBeatDrainsNobody(t *testing.T) {
-	address, _ := openFront(t, serverConfig, nil)
+// A BEAT on another connection does not drain a worker, even with that worker's wid.
+func TestForeignBeatDrainsNoWorker(t *testing.T) {
+	address, _ := openFrontEnd(t, serverConfig, nil)
 	worker := dialWorker(t, address, "w1")
 	for _, other := range []*client{dialProducer(t, address), dialWorker(t, address, "w2")} {
 		other.expect(`BEAT {"wid":"w1","current_state":"quiet"}`, "+OK")
@@ -124,9 +125,9 @@
 	}
 }
 
-// The producer of a direct job hears of the report of the worker that has it, and of no other.
-func TestDirectJobIsReportedByItsWorkerAlone(t *testing.T) {
-	address, _ := openFront(t, serverConfig, nil)
+// Only a report of the worker that holds a direct job ends the job and answers its producer.
+func TestDirectJobAcceptsReportsOnlyFromItsWorker(t *testing.T) {
+	address, _ := openFrontEnd(t, serverConfig, nil)
 	worker := dialWorker(t, address, "w1")
 	answer := pushAsync(t, address, pushCommand("direct-001", "renewal", ""))
 	worker.expectFetch("renewal", "direct-001")
@@ -136,7 +137,7 @@
 	}
 	select {
 	case got := <-answer:
-		t.Fatalf("the job is in work, and its producer heard %q", got)
+		t.Fatalf("the job is in progress, and its producer was answered %q", got)
 	case <-time.After(100 * time.Millisecond):
 	}
 	worker.ack("direct-001")
@@ -145,9 +146,9 @@
 	}
 }
 
-// A job that may have run becomes served by the late ACK of the worker that had it, and by nobody else's.
-func TestLateAckIsItsWorkersAlone(t *testing.T) {
-	address, _ := openFront(t, serverConfig, nil)
+// A late ACK marks a job that may have run as served only if it comes from the worker that held the job.
+func TestLateAckCountsOnlyFromItsWorker(t *testing.T) {
+	address, _ := openFrontEnd(t, serverConfig, nil)
 	worker := dialWorker(t, address, "w1")
 	answer := pushAsync(t, address, pushCommand("late-00001", "renewal", ""))
 	worker.expectFetch("renewal", "late-00001")
--- a/internal/faktory/frontend.go
+++ b/internal/faktory/frontend.go
@@ -9,16 +9,16 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-// FrontEnd is the front end as configured: either role, or both, with one memory
-// of jids. A role that is off is nil. The zero value has neither role.
+// FrontEnd is the configured front end: either role, or both, which then share a
+// jidMemory. A role that is off is nil. The zero value has neither role.
 type FrontEnd struct {
 	Server *Server
 	Source *Source
 }
 
-// Open starts the roles that config names. gate decides which connections are
-// admitted; without one, at most maxConnections are. On an error, what was
-// opened is closed again.
+// Open starts the roles that are configured. gate decides which connections are
+// admitted; if it is nil, at most maxConnections are. After an error nothing is
+// left open.
 func Open(dispatcher *dispatch.Dispatcher, engine *transport.Engine, config Config, maxConnections int, gate *listener.Gate) (front FrontEnd, err error) {
 	jids := newJidMemory()
 	if config.Listen != "" {
@@ -34,7 +34,7 @@
 		}
 		address, err := front.Server.Listen(config.Listen, maxConnections)
 		if err != nil {
-			front.Close() // releases the store's file
+			front.Close() // closes the store's file
 			return front, fmt.Errorf("listen: %w", err)
 		}
 		dispatcher.Log("faktory: listening on " + address)
@@ -46,8 +46,8 @@
 	return front, nil
 }
 
-// Stop begins a graceful shutdown: nothing more is fetched from upstream, and
-// no stored job is offered to workers any more.
+// Stop begins a graceful shutdown: no more jobs are fetched from upstream, and no
+// more stored jobs are passed to the dispatcher.
 func (f FrontEnd) Stop() {
 	if f.Source != nil {
 		f.Source.Stop()
@@ -72,8 +72,9 @@
 	return f.Server.durable
 }
 
-// Release gives up the address and the store for a successor, and calls done
-// once the successor may take both.
+// Release closes the listening socket, all connections and the store, so that a
+// successor can open them, and then calls done. Without durable queues it only
+// calls done.
 func (f FrontEnd) Release(done func()) {
 	if f.durableQueues() == nil {
 		done()
@@ -90,11 +91,12 @@
 	return nil
 }
 
-// Busy reports whether a delivery from upstream is not closed yet.
+// Busy reports whether a delivery from upstream is in progress or being fetched.
 func (f FrontEnd) Busy() bool { return f.Source != nil && f.Source.Busy() > 0 }
 
-// CloseIdle closes connections and lanes that have nothing pending, and reports
-// whether none with something pending is left.
+// CloseIdle closes the lanes once no delivery from upstream is in progress, and
+// then the connections that have nothing pending. It reports whether all are
+// closed.
 func (f FrontEnd) CloseIdle() bool {
 	if f.Busy() {
 		return false
--- a/internal/faktory/frontend_test.go
+++ b/internal/faktory/frontend_test.go
@@ -11,10 +11,10 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// serverConfig is an operator's file of the server role alone.
+// serverConfig is an operator's file with only the server role.
 const serverConfig = "listen = \"127.0.0.1:0\"\n"
 
-// testSettings are settings with an idempotent and a non-idempotent class.
+// testSettings returns settings with an idempotent and a non-idempotent class.
 func testSettings() decision.Settings {
 	return decision.Settings{
 		Classes: []decision.Class{
@@ -58,10 +58,10 @@
 	return ReadConfig(path, settings)
 }
 
-// openFront runs a front end with the text of an operator's file, and returns
-// its address and the rig it runs on. adjust, which may be nil, changes the
-// settings.
-func openFront(t testing.TB, toml string, adjust func(*decision.Settings)) (address string, rig *testkit.Rig) {
+// openFrontEnd opens a front end with the given text of an operator's file, and
+// returns its address and the rig on which it runs. adjust changes the settings
+// before that; it may be nil.
+func openFrontEnd(t testing.TB, toml string, adjust func(*decision.Settings)) (address string, rig *testkit.Rig) {
 	t.Helper()
 	settings := testSettings()
 	if adjust != nil {
@@ -75,7 +75,7 @@
 		t.Fatal(err)
 	}
 	var frontEnd FrontEnd
-	t.Cleanup(func() { frontEnd.Close() }) // runs last, when the rig's loop has stopped
+	t.Cleanup(func() { frontEnd.Close() }) // runs after the rig's own cleanup, which stops the loop
 	rig = testkit.NewRig(t, func(rigSettings *decision.Settings) { *rigSettings = settings })
 	rig.LimitDescriptors(t, 512)
 	rig.Do(func() {
--- a/internal/faktory/fuzz_test.go
+++ b/internal/faktory/fuzz_test.go
@@ -11,8 +11,8 @@
 	"hollyyoke.example/hollyyoke/internal/dispatch"
 )
 
-// keyedWorker is a worker client whose one worker ends each attempt at once, with
-// the outcome that the job's key names.
+// keyedWorker is a worker client with one worker, whose attempts end at once with
+// the outcome that the key of the job names.
 type keyedWorker struct{ dispatcher *dispatch.Dispatcher }
 
 func (w keyedWorker) Start(attempt dispatch.Attempt) {
@@ -32,11 +32,11 @@
 
 func (keyedWorker) Subscribe() {}
 
-// sessionCommand is a command of FuzzSession. JID in its text stands for a new
-// jid in each use.
+// sessionCommand is a command of FuzzSession. JID in its text is replaced by a new
+// jid each time that it is sent.
 type sessionCommand struct {
 	text string
-	want string // how its answer begins
+	want string // prefix of its answer
 	ends bool   // the server closes the connection after it
 }
 
@@ -58,14 +58,14 @@
 	{`END`, "+OK", true},
 }
 
-// sessionModel is what a producer's connection must answer.
+// sessionModel predicts the answers on a producer's connection.
 type sessionModel struct {
-	want    []string // how each answer begins
+	want    []string // prefix of each answer
 	greeted bool     // a command has been sent
 	ended   bool     // the server closes the connection
 }
 
-// send adds the answer to a command.
+// send adds the expected answer to a command.
 func (m *sessionModel) send(command sessionCommand) {
 	want := command.want
 	ends := command.ends
@@ -81,7 +81,7 @@
 	m.ended = m.ended || ends
 }
 
-// check reads all answers.
+// check reads all answers and compares them with the expected ones.
 func (m *sessionModel) check(t *testing.T, c *client) {
 	t.Helper()
 	for i, want := range m.want {
@@ -98,8 +98,8 @@
 	}
 }
 
-// sendSplit sends a line in two parts. split says where the cut is, and whether
-// there is a pause.
+// sendSplit sends a line in two parts. split determines where the line is split,
+// and whether there is a pause between the parts.
 func sendSplit(c *client, line string, split byte) {
 	cut := int(split) * len(line) / 256
 	c.conn.Write([]byte(line[:cut]))
@@ -109,7 +109,8 @@
 	c.conn.Write([]byte(line[cut:]))
 }
 
-// maxSessionBytes bounds the input of FuzzSession: two bytes a command.
+// maxSessionBytes bounds the input of FuzzSession, which has two bytes for each
+// command.
 const maxSessionBytes = 60
 
 // FuzzSession checks a producer's connection against a model: each command gets
@@ -120,7 +121,7 @@
 	f.Add([]byte{0, 9, 1, 200, 0, 3, 12, 12, 1, 1})
 	f.Add([]byte{1, 0, 0, 0})
 	f.Add([]byte{12, 90})
-	address, rig := openFront(f, serverConfig, func(settings *decision.Settings) { settings.MaxAttempts = 1 })
+	address, rig := openFrontEnd(f, serverConfig, func(settings *decision.Settings) { settings.MaxAttempts = 1 })
 	dispatcher := rig.Dispatcher
 	dispatcher.Loop.Post(func() {
 		dispatcher.UpdateWorkers(keyedWorker{dispatcher}, decision.ListDelta, []decision.Endpoint{{Name: "w", Kind: 3}})
@@ -141,8 +142,8 @@
 	})
 }
 
-// FuzzParse checks that no input makes a parser panic or use more bytes than
-// there are.
+// FuzzParse checks that no input makes a parser panic or report that it used more
+// bytes than there are.
 func FuzzParse(f *testing.F) {
 	for _, seed := range []string{"+HI {\"v\":2}\r\n", "$5\r\nhello\r\n", "$-1\r\n", "$99999999\r\n", ":1\n", "-ERR x\r\n", "$3\r\nabcde", ""} {
 		f.Add([]byte(seed))
--- a/internal/faktory/golden_config_test.go
+++ b/internal/faktory/golden_config_test.go
@@ -11,7 +11,8 @@
 	"hollyyoke.example/hollyyoke/internal/goldentest"
 )
 
-// Keys of the front's file, what the committed one says, and complaints.
+// Checks the keys of the operator's file, the values in deploy/faktory.toml, and the
+// errors of invalid files.
 func TestGoldenConfigurationFile(t *testing.T) {
 	lines := goldentest.Keys(reflect.TypeFor[Config](), "toml")
 	settings := decision.Settings{Classes: []decision.Class{{Name: "status-check", Idempotency: decision.Idempotent}, {Name: "renewal"}}}
--- a/internal/faktory/golden_test.go
+++ b/internal/faktory/golden_test.go
@@ -10,12 +10,13 @@
 )
 
 // directTranscript is a transcript with a front end whose queues are direct.
-// Its connections are named: p, q are producers, w a worker, n0, n1, ... say no
-// valid HELLO.
+// Connections p and q are producers and w is a worker; n0, n1, ... send no valid
+// HELLO.
 type directTranscript struct{ *transcript }
 
-// firstCommands sends each as the first command of a connection, which is closed
-// after it or by the next answer.
+// firstCommands sends each command as the first one of a new connection, and
+// records the answer and what follows it: another answer or the end of the
+// connection.
 func (s directTranscript) firstCommands(commands ...string) {
 	s.t.Helper()
 	for i, command := range commands {
@@ -26,7 +27,8 @@
 	}
 }
 
-// completeJob pushes a job, which the worker fetches and closes by ACK or FAIL.
+// completeJob pushes a job, and lets the worker fetch it and close it by ACK or
+// FAIL.
 func (s directTranscript) completeJob(jid, class, verb string) {
 	s.t.Helper()
 	s.send("p", fmt.Sprintf(`PUSH {"jid":%q,"queue":%q,"jobtype":"x","args":[1,"a"],"custom":{"k":2}}`, jid, class))
@@ -35,7 +37,8 @@
 	s.answer("p")
 }
 
-// invalidCommands sends a producer's commands that are answered at once.
+// invalidCommands sends commands of a producer, most of them invalid, that are
+// answered at once.
 func (s directTranscript) invalidCommands() {
 	s.t.Helper()
 	s.doAll("p",
@@ -73,7 +76,7 @@
 	)
 }
 
-// jobs pushes jobs that run, that have run before, and that are in progress.
+// jobs pushes jobs that run, and jids that have run before or are in progress.
 func (s directTranscript) jobs() {
 	s.t.Helper()
 	s.completeJob("direct-01", "renewal", "ACK")
@@ -90,7 +93,7 @@
 	s.answer("p")
 }
 
-// drainWorker has the worker say quiet and END.
+// drainWorker lets the worker report quiet and send END.
 func (s directTranscript) drainWorker() {
 	s.t.Helper()
 	s.do("w", `FETCH renewal`) // there is no job
@@ -100,10 +103,10 @@
 	s.answer("w")
 }
 
-// Every command before HELLO and of direct queues, in every answer that does not
-// need a fault.
+// Covers each command before HELLO and each one for direct queues, with every
+// answer that can be caused without a fault.
 func TestGoldenDirect(t *testing.T) {
-	address, _ := openFront(t, serverConfig, nil)
+	address, _ := openFrontEnd(t, serverConfig, nil)
 	s := directTranscript{newTranscript(t, address)}
 	s.firstCommands(
 		`HELLO {"v":3}`,
@@ -128,9 +131,9 @@
 	goldentest.Compare(t, "direct.golden", strings.ReplaceAll(s.text.String(), tooLong, "(too long a line)"))
 }
 
-// With a password, the greeting has a salt and HELLO a hash.
+// With a password, the greeting contains a salt and HELLO must contain a hash.
 func TestGoldenPassword(t *testing.T) {
-	address, _ := openFront(t, serverConfig+"password = \"open sesame\"\n", nil)
+	address, _ := openFrontEnd(t, serverConfig+"password = \"open sesame\"\n", nil)
 	s := newTranscript(t, address)
 	s.hello("p", `,"pwdhash":"00"`)
 	s.answer("p")
@@ -139,7 +142,8 @@
 	goldentest.Compare(t, "password.golden", s.text.String()+hashPassword("open sesame", "0123456789abcdef", hashIterations)+"\n")
 }
 
-// Answers to a PUSH that was rejected, has failed, or repeats a known jid.
+// Covers the answers to a PUSH that was rejected, has failed, or repeats a known
+// jid.
 func TestGoldenOutcomes(t *testing.T) {
 	var text strings.Builder
 	for _, retryAfter := range []time.Duration{0, 1500 * time.Millisecond} {
@@ -160,7 +164,7 @@
 // is a producer, w a worker.
 type durableTranscript struct{ *transcript }
 
-// durablePush returns a PUSH; more holds further fields of the job.
+// durablePush returns a PUSH. more contains further fields of the job.
 func durablePush(jid, class, more string) string {
 	return fmt.Sprintf(`PUSH {"jid":%q,"queue":%q,"jobtype":"x","args":[1]%s}`, jid, class, more)
 }
@@ -178,7 +182,7 @@
 	)
 }
 
-// completeJob has the worker fetch a job, tell of its progress, start and
+// completeJob lets the worker fetch a job, report its progress, start it and
 // acknowledge it.
 func (s durableTranscript) completeJob() {
 	s.t.Helper()
@@ -206,7 +210,7 @@
 	)
 }
 
-// failJob pushes a job and has the worker fail it, after which it is dead.
+// failJob pushes a job and lets the worker fail it, after which the job is dead.
 func (s durableTranscript) failJob(jid, class, custom, failure string) {
 	s.t.Helper()
 	s.do("p", durablePush(jid, class, custom))
@@ -215,7 +219,7 @@
 	s.awaitState(jid, "dead")
 }
 
-// operate sends the commands about jobs and queues.
+// operate sends the commands with which clients change jobs and queues.
 func (s durableTranscript) operate() {
 	s.t.Helper()
 	s.doAll("p",
@@ -251,10 +255,10 @@
 	)
 }
 
-// Every command of durable queues.
+// Covers each command for durable queues.
 func TestGoldenDurable(t *testing.T) {
 	file := newStorePath(t)
-	withDurableFront(t, file, "backoff_s = 0.05\nattempts = 1\n", func(address string) {
+	withDurableFrontEnd(t, file, "backoff_s = 0.05\nattempts = 1\n", func(address string) {
 		s := durableTranscript{newTranscript(t, address)}
 		s.hello("p", "")
 		s.hello("w", `,"wid":"w1","labels":["fences:1"]`)
@@ -265,7 +269,7 @@
 		s.operate()
 		goldentest.Compare(t, "durable.golden", s.text.String())
 	})
-	withDurableFront(t, file, "flush = true\n", func(address string) {
+	withDurableFrontEnd(t, file, "flush = true\n", func(address string) {
 		s := newTranscript(t, address)
 		s.hello("p", "")
 		s.do("p", "FLUSH")
--- a/internal/faktory/handshake.go
+++ b/internal/faktory/handshake.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	helloTimeout   = 5 * time.Second // a new connection must say HELLO in this time
-	hashIterations = 1545            // that the greeting asks for with a password
+	helloTimeout   = 5 * time.Second // within which a new connection must send HELLO
+	hashIterations = 1545            // of the password hash, sent in the greeting
 	saltBytes      = 8
 	maxWidLength   = 128
 )
@@ -32,9 +32,9 @@
 	c.writeLine("+" + greetingPrefix + string(raw))
 }
 
-// readProxyHeader reads the PROXY header of a trusted proxy, which names the
-// client's address. It returns false if the header is incomplete or the client
-// is rejected.
+// readProxyHeader reads the PROXY header of a trusted proxy, which contains the
+// client's address, and sends the greeting. It returns false if the header is
+// incomplete, or if the header or the client is rejected.
 func (c *connection) readProxyHeader() bool {
 	gate := c.server.gate
 	header, err := listener.ParseProxyHeader(c.input.bytes())
@@ -63,7 +63,7 @@
 	return true
 }
 
-// handleHello authenticates the peer, and registers the worker that it names.
+// handleHello authenticates the peer, and registers its worker if it sends a wid.
 func (c *connection) handleHello(rest []byte) {
 	if c.authenticated {
 		c.writeLine(replyError + "HELLO was said before")
@@ -98,7 +98,7 @@
 	c.writeLine(replyOK)
 }
 
-// rejectHello answers a HELLO by an error and closes the connection.
+// rejectHello answers HELLO with an error and closes the connection.
 func (c *connection) rejectHello(text string) {
 	c.writeLine(replyError + text)
 	c.closeGracefully()
--- a/internal/faktory/info.go
+++ b/internal/faktory/info.go
@@ -7,7 +7,8 @@
 	"hollyyoke.example/hollyyoke/internal/jobs"
 )
 
-// infoReply is the JSON of INFO. Its fields stand in alphabetical order.
+// infoReply is the JSON of the answer to INFO, with its fields in alphabetical
+// order.
 type infoReply struct {
 	Faktory infoFaktory `json:"faktory"`
 	Now     string      `json:"now"`
@@ -31,10 +32,10 @@
 	TotalRejected  uint64              `json:"total_refused"`
 }
 
-// infoDurable is present where queues are durable.
+// infoDurable is present if queues are durable.
 type infoDurable struct {
 	Paused []string       `json:"paused"`
-	Queues map[string]int `json:"queues"` // jobs that wait, by queue
+	Queues map[string]int `json:"queues"` // number of ready jobs, by queue
 }
 
 type infoSize struct {
@@ -78,7 +79,7 @@
 	return raw
 }
 
-// addDurableInfo adds what is stored to the answer to INFO.
+// addDurableInfo adds the numbers of stored jobs to the answer to INFO.
 func (s *Server) addDurableInfo(faktory *infoFaktory) {
 	counts := s.durable.Counts()
 	waiting := map[string]int{}
--- a/internal/faktory/jidmemory.go
+++ b/internal/faktory/jidmemory.go
@@ -7,11 +7,11 @@
 	"hollyyoke.example/hollyyoke/internal/dispatch"
 )
 
-// A jid is remembered while its job is in progress and, if it was served or may
-// have run and must not again, for jidRetention after that: longer than the
-// half hour for which an upstream server reserves a job by default. Of the
-// completed ones, the maxCompletedJids newest are remembered. A restart forgets
-// all.
+// A jid is remembered while its job is in progress. If the job was served, or may
+// have run and must not run again, its jid is remembered for jidRetention after
+// that, which is longer than the half hour for which an upstream server reserves a
+// job by default. At most maxCompletedJids completed ones are remembered, the
+// newest. Nothing is remembered over a restart.
 const (
 	jidRetention     = 2 * time.Hour
 	maxCompletedJids = 50_000
@@ -21,7 +21,7 @@
 type jidStatus uint8
 
 const (
-	jidUnknown jidStatus = iota // never seen, or free to run again
+	jidUnknown jidStatus = iota // not seen before, or may run again
 	jidInProgress
 	jidServed
 	jidMayHaveRun
@@ -31,21 +31,21 @@
 type jidEntry struct {
 	status     jidStatus
 	since      time.Duration
-	worker     string                    // that its job was last handed out to; empty: to none of this front end
-	onResponse []func(dispatch.Response) // called with the final answer of a job in progress
+	worker     string                    // that its job was last handed out to; empty if to none of this front end
+	onResponse []func(dispatch.Response) // called with the final result of a job in progress
 }
 
-// completedJid is a jid in the order of completion.
+// completedJid is an entry of the list of completed jids.
 type completedJid struct {
 	id    string
 	since time.Duration
 }
 
-// jidMemory recognises jids that come again, on either role. It keeps direct
-// jobs from running twice.
+// jidMemory recognises jids that are pushed or delivered again, in either role. It
+// prevents direct jobs from running twice.
 type jidMemory struct {
 	entries   map[string]*jidEntry
-	completed []completedJid // the oldest first; some of their jids may be in progress again
+	completed []completedJid // the oldest first; some of these jids may be in progress again
 }
 
 // newJidMemory returns a memory without jids.
@@ -73,14 +73,15 @@
 	}
 }
 
-// whenFinished calls onResponse with the final answer of a job in progress.
+// whenFinished registers onResponse to be called with the final result of a job
+// in progress.
 func (m *jidMemory) whenFinished(id string, onResponse func(dispatch.Response)) {
 	entry := m.entries[id]
 	entry.onResponse = append(entry.onResponse, onResponse)
 }
 
-// finish records the final answer of a job in progress, and passes it to those
-// who wait for it.
+// finish records the final result of a job in progress, and passes it to the
+// functions that were registered with whenFinished.
 func (m *jidMemory) finish(id string, response dispatch.Response, idempotency decision.Idempotency, now time.Duration) {
 	entry := m.entries[id]
 	if entry == nil || entry.status != jidInProgress {
@@ -100,7 +101,8 @@
 	}
 }
 
-// confirm records a late ACK of a worker: a job that may have run there has run.
+// confirm records the late ACK of a worker, which proves that a job that may have
+// run there has run.
 func (m *jidMemory) confirm(id, worker string, now time.Duration) {
 	entry := m.entries[id]
 	if entry != nil && entry.status == jidMayHaveRun && entry.worker == worker {
@@ -108,7 +110,7 @@
 	}
 }
 
-// complete records how a job that does not run again has ended.
+// complete records the result of a job that must not run again.
 func (m *jidMemory) complete(id string, status jidStatus, now time.Duration) {
 	entry := m.entries[id]
 	m.entries[id] = &jidEntry{status: status, since: now, worker: entry.worker}
@@ -116,7 +118,7 @@
 	m.expire(now)
 }
 
-// expire forgets completed jids that are too many or too old.
+// expire removes the oldest completed jids that are too many or too old.
 func (m *jidMemory) expire(now time.Duration) {
 	for len(m.completed) > 0 {
 		oldest := m.completed[0]
--- a/internal/faktory/jidmemory_test.go
+++ b/internal/faktory/jidmemory_test.go
@@ -9,7 +9,8 @@
 	"hollyyoke.example/hollyyoke/internal/dispatch"
 )
 
-// The memory is bounded by number and by age, and never forgets jobs in progress.
+// The number and the age of completed jids in the memory are bounded. Jobs in
+// progress are never forgotten.
 func TestJidMemoryIsBounded(t *testing.T) {
 	jids := newJidMemory()
 	jids.begin("in-work", 0)
--- a/internal/faktory/jobpayload.go
+++ b/internal/faktory/jobpayload.go
@@ -20,12 +20,13 @@
 	minJidLength = 8
 	maxJidLength = 256
 
-	// maxHint bounds the durations that a job's custom object gives, in
-	// nanoseconds as a float, so that conversions stay in range.
-	maxHint = 1e12
+	// maxCustomDuration bounds the durations in a job's custom object, in nanoseconds, so
+	// that converting them from floating point to a time.Duration does not
+	// overflow.
+	maxCustomDuration = 1e12
 
-	// maxScheduledSeconds is the latest Unix time, in seconds, that an int64 of
-	// nanoseconds holds, rounded down.
+	// maxScheduledSeconds is the latest Unix time of a schedule, in seconds: the
+	// largest one whose nanoseconds fit an int64, rounded down.
 	maxScheduledSeconds = 9_000_000_000
 
 	// maxRetries bounds a durable job's retry field.
@@ -34,7 +35,7 @@
 	// maxLease bounds a durable job's reserve_for and the extensions of its lease.
 	maxLease = 24 * time.Hour
 
-	// maxReserveSeconds keeps reserve_for in the range of a duration.
+	// maxReserveSeconds bounds reserve_for, so that it fits a time.Duration.
 	maxReserveSeconds = 1e9
 )
 
@@ -48,11 +49,12 @@
 	errInvalidTime            = errors.New("at: no time")
 )
 
-// work is what is read of a job's JSON; the rest passes through untouched.
+// work holds the fields of a job's JSON that are used here; the worker gets the
+// whole JSON.
 //
-// Decoding errors of encoding/json are sent to the peer. They spell the name of
+// Decoding errors of encoding/json are sent to the peer. They contain the name of
 // this type and the fields of the anonymous struct Custom, which therefore must
-// stay.
+// not change.
 type work struct {
 	Jid               string            `json:"jid"`
 	Queue             string            `json:"queue"`
@@ -74,12 +76,12 @@
 type incomingJob struct {
 	request     dispatch.Request // its body is the job's JSON itself
 	payload     work
-	scheduledAt time.Duration // Unix time before which it must not run; 0: it may run now
+	scheduledAt time.Duration // Unix time before which it must not run; 0 if it may run now
 }
 
-// parseJob reads a job's JSON. classes maps the names of classes to their
-// indexes. With an error, the job's request has its ID if that could be read and is
-// valid.
+// parseJob decodes a job's JSON. classes maps the names of classes to their
+// indexes. After an error, job.request.ID is still set if the JSON contains a valid
+// jid.
 func parseJob(raw []byte, classes map[string]int, now time.Duration) (job incomingJob, err error) {
 	payload := &job.payload
 	err = json.Unmarshal(raw, payload)
@@ -109,10 +111,10 @@
 		return job, err
 	}
 	if milliseconds := payload.Custom.LeftMs; milliseconds > 0 {
-		job.request.TimeLeft = time.Duration(min(milliseconds*float64(time.Millisecond), maxHint))
+		job.request.TimeLeft = time.Duration(min(milliseconds*float64(time.Millisecond), maxCustomDuration))
 	}
 	if microseconds := payload.Custom.EffortUs; microseconds > 0 {
-		job.request.Work = time.Duration(min(microseconds*float64(time.Microsecond), maxHint))
+		job.request.Work = time.Duration(min(microseconds*float64(time.Microsecond), maxCustomDuration))
 	}
 	return job, nil
 }
@@ -122,7 +124,8 @@
 	return len(jid) >= minJidLength && len(jid) <= maxJidLength && hasOnlyGraphicASCII(jid)
 }
 
-// class returns the index of the class that the job's queue or type names.
+// class returns the index of the class that has the name of the job's queue or
+// type.
 func (w *work) class(classes map[string]int) (int, error) {
 	byQueue, queueKnown := classes[w.Queue]
 	byType, typeKnown := classes[w.Jobtype]
@@ -137,7 +140,8 @@
 	return byType, nil
 }
 
-// parseSchedule returns the Unix time at which a job may run; 0: now.
+// parseSchedule returns the Unix time at which a job may run, or 0 if it may run
+// now.
 func parseSchedule(schedule string, now time.Duration) (time.Duration, error) {
 	if schedule == "" {
 		return 0, nil
@@ -153,9 +157,9 @@
 	return time.Duration(time.Unix(seconds, int64(when.Nanosecond())).UnixNano()), nil
 }
 
-// encodeJob writes a request of another front end as a job for a worker: its
-// args are the request's key and body. A body that is not UTF-8 is sent as
-// base64, and custom says so.
+// encodeJob returns the JSON of a job for a request of another front end. The args
+// are the request's key and body. A body that is not UTF-8 is sent as base64, and
+// the custom object says so.
 func encodeJob(request *dispatch.Request, class string) []byte {
 	body := string(request.Body)
 	var custom map[string]string
@@ -163,7 +167,7 @@
 		body = base64.StdEncoding.EncodeToString(request.Body)
 		custom = map[string]string{"encoding": "base64"}
 	}
-	raw, _ := json.Marshal(struct { // strings and slices of them always marshal
+	raw, _ := json.Marshal(struct { // strings, and slices and maps of them, always marshal
 		Jid     string            `json:"jid"`
 		Queue   string            `json:"queue"`
 		Jobtype string            `json:"jobtype"`
@@ -178,7 +182,7 @@
 	var job map[string]json.RawMessage
 	err := json.Unmarshal(raw, &job)
 	if err != nil {
-		return raw // it was readable when it was accepted
+		return raw // unexpected, as it was decoded when it was accepted
 	}
 	var custom map[string]json.RawMessage
 	err = json.Unmarshal(job["custom"], &custom)
@@ -186,7 +190,7 @@
 		custom = map[string]json.RawMessage{}
 	}
 	custom["fence"] = strconv.AppendUint(nil, fence, 10)
-	job["custom"], _ = json.Marshal(custom) // raw messages that have been read marshal
+	job["custom"], _ = json.Marshal(custom) // raw messages that were decoded always marshal
 	encoded, err := json.Marshal(job)
 	if err != nil {
 		return raw
@@ -194,7 +198,7 @@
 	return encoded
 }
 
-// durableJob returns what the durable service stores of a job of a class.
+// durableJob returns the job of a class in the form in which it is stored.
 func (j *incomingJob) durableJob(class *decision.Class) jobs.Job {
 	stored := jobs.Job{
 		ID:            j.request.ID,
@@ -214,8 +218,9 @@
 	return stored
 }
 
-// hash covers what distinguishes two jobs with one jid: class, type and args.
-// Times and the like may differ between a PUSH and its repetition.
+// hash covers the class, type and args of a job. Two jobs with one jid are the
+// same if these are equal; other fields, such as times, may differ between a PUSH
+// and its repetition.
 func (w *work) hash(class string) uint64 {
 	digest := xxhash.New()
 	digest.WriteString(class + "\x00" + w.Jobtype)
--- a/internal/faktory/jobpayload_test.go
+++ b/internal/faktory/jobpayload_test.go
@@ -7,8 +7,8 @@
 	"hollyyoke.example/hollyyoke/internal/dispatch"
 )
 
-// A request of another front end reaches a worker complete, whether its body is
-// text or not.
+// The job for a request of another front end contains the request's key and its
+// whole body, whether the body is UTF-8 or not.
 func TestEncodeJobOfAnotherFrontEnd(t *testing.T) {
 	for body, want := range map[string]string{
 		"pay \"now\"": `"args":["k 1","pay \"now\""]}`,
--- a/internal/faktory/lane.go
+++ b/internal/faktory/lane.go
@@ -14,82 +14,84 @@
 const (
 	connectTimeout = 2 * time.Second
 	replyTimeout   = 5 * time.Second
-	fetchTimeout   = 10 * time.Second // the server may hold a FETCH for 2 s
-	beatInterval   = 15 * time.Second // as the protocol asks of workers
-	drainInterval  = time.Second      // between looks of a lane that fetches no more
+	fetchTimeout   = 10 * time.Second // a server may wait 2 s before it answers a FETCH
+	beatInterval   = 15 * time.Second // as the protocol requires of workers
+	drainInterval  = time.Second      // between checks of a lane that no longer fetches
 	minBackoff     = 250 * time.Millisecond
 	maxBackoff     = 5 * time.Second
 )
 
 // Reasons to reconnect a lane.
 var (
-	errConnectionEnded   = errors.New("the connection ended")
-	errReplyTimeout      = errors.New("no answer in time")
-	errTooMuchInput      = errors.New("more than was asked for")
-	errUnexpectedReply   = errors.New("an answer to nothing")
-	errGreetingVersion   = errors.New("the greeting is not that of version 2")
+	errConnectionEnded   = errors.New("the connection was closed or has failed")
+	errReplyTimeout      = errors.New("timed out waiting for a reply")
+	errTooMuchInput      = errors.New("received more data than a reply may have")
+	errUnexpectedReply   = errors.New("received a reply without a command")
+	errGreetingVersion   = errors.New("the greeting is not one of protocol version 2")
 	errTooManyIterations = errors.New("the greeting asks for too many iterations")
-	errJobWithoutJid     = errors.New("a job without a jid")
+	errJobWithoutJid     = errors.New("received a job without a jid")
 )
 
-// laneState is the state of a lane's connection: what it waits for.
+// laneState is the state of a lane's connection. Its transitions:
 //
 //	laneDown -> laneAwaitingGreeting -> laneAwaitingHello -> laneIdle
-//	laneIdle -> laneFetching -> laneIdle                                 no job
-//	laneIdle -> laneFetching -> laneWorking -> laneClosing -> laneIdle   a job
-//	laneIdle -> laneFetching -> laneClosing -> laneIdle                  a job that is rejected
-//	laneIdle -> laneWorking or laneClosing     with a delivery from before a reconnection
+//	laneIdle -> laneFetching -> laneIdle                                 there is no job
+//	laneIdle -> laneFetching -> laneWorking -> laneClosing -> laneIdle   a job runs
+//	laneIdle -> laneFetching -> laneClosing -> laneIdle                  a job cannot be accepted
+//	laneIdle -> laneWorking or laneClosing     its delivery is from before a reconnection
 //	laneIdle -> laneBeating -> laneIdle        the heartbeat lane
 //	any state -> laneDown                      reconnect or shutdown
 type laneState uint8
 
 const (
 	laneDown             laneState = iota // not connected
-	laneAwaitingGreeting                  // for HI
-	laneAwaitingHello                     // for the answer to HELLO
-	laneIdle                              // for nothing: it may send
-	laneFetching                          // for the answer to FETCH
-	laneWorking                           // for the final answer of its job
-	laneClosing                           // for the answer to ACK or FAIL
-	laneBeating                           // for the answer to BEAT
+	laneAwaitingGreeting                  // waits for HI
+	laneAwaitingHello                     // waits for the answer to HELLO
+	laneIdle                              // waits for no answer, so it may send
+	laneFetching                          // waits for the answer to FETCH
+	laneWorking                           // waits for the final result of its job
+	laneClosing                           // waits for the answer to ACK or FAIL
+	laneBeating                           // waits for the answer to BEAT
 )
 
 // isAuthenticated reports whether HELLO has been accepted in this state.
 func (s laneState) isAuthenticated() bool { return s >= laneIdle }
 
-// heartbeatLane is the number of the lane that sends heartbeats and fetches
-// nothing; its heartbeats are those of the source's wid.
+// heartbeatLane is the number of the lane that sends the heartbeats of the
+// source's wid and fetches no jobs.
 const heartbeatLane = 0
 
-// lane is one connection to the upstream server, with at most one job. It lives
-// as long as its source: it reconnects, after a backoff, when
+// lane is a connection to the upstream server, with at most one job. A lane exists
+// as long as its source and reconnects, after a backoff, when
 //
 //   - the connection ends or cannot be opened,
 //   - an answer does not come in time,
 //   - upstream breaks the protocol, rejects HELLO, or answers FETCH by an error.
 //
-// Its delivery outlives the connection: the job goes on, and is closed by ACK or
-// FAIL once the lane is connected again. A lane that waits for nothing sends
-// what is due (advance): the ACK or FAIL of its delivery, or else FETCH.
+// The delivery of a lane is kept while the lane reconnects: the job continues, and
+// is closed by ACK or FAIL once the lane is connected again. A lane that waits for
+// no answer sends its next command (advance): the ACK or FAIL of its delivery, or
+// else FETCH.
 type lane struct {
 	source      *Source
 	number      int
-	conn        *transport.Conn // nil: not connected
+	conn        *transport.Conn // nil if not connected
 	input       input
 	state       laneState
 	deadline    eventloop.Deadline // see onDeadline
-	backoff     time.Duration      // before the latest reconnection; 0: the connection has worked
-	generation  int                // counts connections; the end of a dial of an earlier one is ignored
-	writeOffset int64              // of the connection, behind the latest command
+	backoff     time.Duration      // before the latest reconnection; 0 after a HELLO was accepted
+	generation  int                // counts connections, so that the result of an outdated dial is ignored
+	writeOffset int64              // of the connection after the latest command
 	delivery    upstreamDelivery
 }
 
-// busy reports whether a delivery is not closed yet, or being fetched.
+// busy reports whether the lane has a delivery that is not closed yet, or is
+// fetching one.
 func (l *lane) busy() bool {
 	return l.delivery.state != noDelivery || l.state == laneFetching || l.state == laneClosing
 }
 
-// connect dials. The connection is laneAwaitingGreeting once it is open.
+// connect opens a connection, on which the lane then waits for the greeting.
 func (l *lane) connect() {
 	l.generation++
 	generation := l.generation
@@ -110,7 +112,7 @@
 	})
 }
 
-// shutdown closes the connection for good.
+// shutdown closes the connection without reconnecting.
 func (l *lane) shutdown() {
 	if l.state.isAuthenticated() {
 		l.conn.Write([]byte(commandEnd + "\r\n"))
@@ -124,16 +126,16 @@
 	l.generation++
 }
 
-// setDeadline calls onDeadline after a span of time.
+// setDeadline makes the loop call onDeadline after a span of time.
 func (l *lane) setDeadline(span time.Duration) {
 	loop := l.source.dispatcher.Loop
 	loop.Set(&l.deadline, loop.Now()+span)
 }
 
-// reconnect drops the connection and dials again after a backoff. A job in
-// progress goes on. An ACK or FAIL that has not been sent completely is sent
-// again; one that may have arrived is not: if upstream has not received it, it
-// will deliver the jid again.
+// reconnect closes the connection and dials again after a backoff. A job in
+// progress continues. An ACK or FAIL that has not been sent completely is sent
+// again. One that may have arrived is not sent again: if upstream has not received
+// it, upstream will deliver the jid again.
 func (l *lane) reconnect(reason error) {
 	if l.state != laneDown || l.backoff == 0 {
 		l.source.dispatcher.Log(fmt.Sprintf("upstream, lane %d: %s", l.number, singleLine(reason.Error())))
@@ -152,15 +154,15 @@
 	l.setDeadline(l.backoff/2 + rand.N(l.backoff/2))
 }
 
-// OnClosed handles the end of the connection.
+// OnClosed handles that the connection was closed or has failed.
 func (l *lane) OnClosed(conn *transport.Conn, _ error) {
 	if conn == l.conn {
 		l.reconnect(errConnectionEnded)
 	}
 }
 
-// onDeadline ends the backoff, the pause of a lane that is idle, or the wait for
-// an answer.
+// onDeadline is called at the end of a backoff, of the pause of an idle lane, or of
+// the time to wait for an answer.
 func (l *lane) onDeadline() {
 	switch l.state {
 	case laneDown:
@@ -172,7 +174,7 @@
 	}
 }
 
-// OnData handles received bytes, whose buffer it takes over.
+// OnData handles received bytes and takes ownership of their buffer.
 func (l *lane) OnData(conn *transport.Conn, received *transport.Buffer) {
 	pool := l.input.pool
 	if conn != l.conn {
@@ -192,7 +194,7 @@
 		if used == 0 {
 			return
 		}
-		buffer := l.input.take(used) // answer lies in it
+		buffer := l.input.take(used) // answer.text is a slice of it
 		retained := l.handleReply(answer, func() { pool.Put(buffer) })
 		if !retained {
 			pool.Put(buffer)
@@ -200,7 +202,7 @@
 	}
 }
 
-// send sends a command and waits for its answer in the state next.
+// send sends a command and sets the state in which the lane waits for its answer.
 func (l *lane) send(next laneState, line string, timeout time.Duration) {
 	l.state = next
 	l.setDeadline(timeout)
@@ -208,7 +210,7 @@
 	l.writeOffset = l.conn.WriteOffset()
 }
 
-// advance sends what is due on a lane that may send.
+// advance sends the next command of a lane that waits for no answer.
 func (l *lane) advance() {
 	l.state = laneIdle
 	switch {
--- a/internal/faktory/lanedelivery.go
+++ b/internal/faktory/lanedelivery.go
@@ -8,26 +8,27 @@
 )
 
 // upstreamDelivery is a job that upstream has delivered to a lane. The zero value
-// is none.
+// means that there is none.
 type upstreamDelivery struct {
 	state        deliveryState
 	jid          string
 	class        int
-	closeCommand string // the ACK or FAIL, in deliveryClosing
+	closeCommand string // the ACK or FAIL to send, in state deliveryClosing
 }
 
-// deliveryState is how far a delivery is.
+// deliveryState is the state of a delivery.
 type deliveryState uint8
 
 const (
 	noDelivery         deliveryState = iota
-	deliveryInProgress               // its job has no final answer yet
+	deliveryInProgress               // its job has no final result yet
 	deliveryClosing                  // its ACK or FAIL has not been answered yet
 )
 
-// handleJob runs a job that was delivered, or closes the delivery at once if
-// its jid is known. It returns true if the job keeps the buffer of raw, until
-// it calls release.
+// handleJob passes a delivered job to the dispatcher. If its jid is known, it does
+// not run the job: it closes the delivery at once or, while the job is in
+// progress, later with the same result. It returns true if the request keeps the
+// buffer of raw until it calls release.
 func (l *lane) handleJob(raw []byte, release func()) (retained bool) {
 	source := l.source
 	now := source.dispatcher.Loop.Now()
@@ -51,7 +52,7 @@
 	case jidMayHaveRun:
 		l.closeDelivery(commandFail, closeMessage{Type: "Failed", Message: "it may have run before; it does not run again under this jid"})
 		return false
-	case jidInProgress: // delivered twice: both are closed by what becomes of the first
+	case jidInProgress: // delivered twice: both are closed with the result of the first
 		source.jids.whenFinished(jid, l.closeWith)
 		return false
 	}
@@ -61,7 +62,7 @@
 	return true
 }
 
-// rejectJob closes the delivery of a job that cannot be read.
+// rejectJob closes the delivery of a job that cannot be accepted.
 func (l *lane) rejectJob(raw []byte, reason error) {
 	var job struct {
 		Jid string `json:"jid"`
@@ -75,8 +76,8 @@
 	l.closeDelivery(commandFail, closeMessage{Type: "Malformed", Message: reason.Error()})
 }
 
-// closeWith closes the delivery of the lane with the final answer of its job:
-// by ACK if it was served, and else by FAIL.
+// closeWith closes the delivery of the lane with the final result of its job: by
+// ACK if it was served, and otherwise by FAIL.
 func (l *lane) closeWith(response dispatch.Response) {
 	switch response.Outcome {
 	case dispatch.Served:
@@ -89,8 +90,8 @@
 	}
 }
 
-// closeDelivery closes the delivery of the lane by ACK or FAIL, now or once it
-// is connected again.
+// closeDelivery closes the delivery of the lane by ACK or FAIL, at once or after
+// it has reconnected.
 func (l *lane) closeDelivery(verb string, message closeMessage) {
 	message.Jid = l.delivery.jid
 	raw, _ := json.Marshal(message) // strings always marshal
--- a/internal/faktory/lanereplies.go
+++ b/internal/faktory/lanereplies.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// handleReply handles one reply. It returns true if it keeps the reply's
-// buffer, which release frees later.
+// handleReply handles a reply. It returns true if the reply's buffer is kept; it
+// is then freed later by release.
 func (l *lane) handleReply(answer reply, release func()) (retained bool) {
 	switch l.state {
 	case laneAwaitingGreeting:
@@ -23,7 +23,7 @@
 	case laneFetching:
 		return l.handleFetchReply(answer, release)
 	case laneClosing:
-		if answer.kind == kindError { // upstream does not want it, and would not if it came again
+		if answer.kind == kindError { // upstream rejects the ACK or FAIL, and would reject it again
 			l.source.dispatcher.Log("upstream: closing " + singleLine(l.delivery.closeCommand) + ": " + singleLine(string(answer.text)))
 		}
 		l.delivery = upstreamDelivery{}
@@ -36,7 +36,7 @@
 	return false
 }
 
-// handleGreeting answers the server's greeting by HELLO.
+// handleGreeting answers the server's greeting with HELLO.
 func (l *lane) handleGreeting(answer reply) {
 	var message greeting
 	text, hasPrefix := strings.CutPrefix(string(answer.text), greetingPrefix)
@@ -81,8 +81,8 @@
 	return false
 }
 
-// handleBeatReply handles the answer to BEAT, by which upstream can ask for an
-// end of fetching.
+// handleBeatReply handles the answer to BEAT. With any state in it, upstream asks
+// the source to fetch no more jobs.
 func (l *lane) handleBeatReply(answer reply) {
 	source := l.source
 	var message beatReply
--- a/internal/faktory/messages.go
+++ b/internal/faktory/messages.go
@@ -9,11 +9,11 @@
 
 // hello is the JSON of HELLO, a client's first command.
 //
-// Decoding errors of encoding/json are sent to the peer and spell the name of
-// this type, which therefore must stay.
+// Decoding errors of encoding/json are sent to the peer and contain the name of
+// this type, which therefore must not change.
 type hello struct {
 	Hostname string   `json:"hostname,omitempty"`
-	Wid      string   `json:"wid,omitempty"` // worker ID; empty: a producer
+	Wid      string   `json:"wid,omitempty"` // worker ID; empty for a producer
 	Pid      int      `json:"pid,omitempty"`
 	Labels   []string `json:"labels,omitempty"`
 	Version  int      `json:"v"`
@@ -22,9 +22,9 @@
 
 // beatMessage is the JSON of BEAT.
 //
-// It is an alias of an anonymous struct since decoding errors of encoding/json,
-// which are sent to the peer, spell its fields: neither they nor its lack of a
-// name may change.
+// It is an alias of an anonymous struct: decoding errors of encoding/json, which
+// are sent to the peer, list the fields of an anonymous struct. Therefore the
+// fields must not change, and the type must stay anonymous.
 type beatMessage = struct {
 	Wid   string `json:"wid"`
 	State string `json:"current_state"`
@@ -33,12 +33,12 @@
 // word is the JSON of a worker's message about one job: ACK, FAIL, START and
 // TRACK SET.
 //
-// Decoding errors of encoding/json are sent to the peer and spell the name of
-// this type, which therefore must stay.
+// Decoding errors of encoding/json are sent to the peer and contain the name of
+// this type, which therefore must not change.
 type word struct {
 	Jid     string `json:"jid"`
-	Fence   uint64 `json:"fence"`   // of the lease that it is about; 0: of the one that the worker holds
-	Started *bool  `json:"started"` // in FAIL: false says that the job never began
+	Fence   uint64 `json:"fence"`   // of the lease that the message is about; 0 for the job's newest lease
+	Started *bool  `json:"started"` // in FAIL: false if the worker never started the job
 	Type    string `json:"errtype"`
 	Message string `json:"message"`
 	Percent int    `json:"percent"`
@@ -51,9 +51,9 @@
 	Wid string `json:"wid"`
 }
 
-// beatReply is the JSON of an answer to BEAT that is not a plain OK.
+// beatReply is the JSON of an answer to BEAT other than a plain OK.
 type beatReply struct {
-	State string `json:"state"` // what the worker shall do: quiet or terminate
+	State string `json:"state"` // what the worker must do: quiet or terminate
 }
 
 // closeMessage is the JSON of an ACK or FAIL that is sent upstream.
@@ -65,9 +65,9 @@
 
 // mutateMessage is the JSON of MUTATE.
 //
-// It is an alias of an anonymous struct since decoding errors of encoding/json,
-// which are sent to the peer, spell its fields: neither they nor its lack of a
-// name may change.
+// It is an alias of an anonymous struct: decoding errors of encoding/json, which
+// are sent to the peer, list the fields of an anonymous struct. Therefore the
+// fields must not change, and the type must stay anonymous.
 type mutateMessage = struct {
 	Cmd    string `json:"cmd"`
 	Target string `json:"target"`
--- a/internal/faktory/mutate.go
+++ b/internal/faktory/mutate.go
@@ -12,17 +12,17 @@
 	"hollyyoke.example/hollyyoke/internal/jobs"
 )
 
-// mutateClear is the operation of MUTATE that ignores its filter.
+// mutateClear is the operation of MUTATE that ignores the filter.
 const mutateClear = "clear"
 
-// mutateStates are the states that MUTATE's targets name.
+// mutateStates are the states of the jobs that each target of MUTATE selects.
 var mutateStates = map[string]jobs.State{
 	"scheduled": jobs.Scheduled,
 	"retries":   jobs.Waiting,
 	"dead":      jobs.Dead,
 }
 
-// mutateMoves are the moves that MUTATE's operations make.
+// mutateMoves are the moves of the operations of MUTATE.
 var mutateMoves = map[string]jobs.Move{
 	mutateClear: jobs.Discard,
 	"discard":   jobs.Discard,
@@ -30,7 +30,8 @@
 	"requeue":   jobs.Requeue,
 }
 
-// errInvalidMutation rejects a MUTATE.
+// errInvalidMutation rejects a MUTATE whose operation, target or pattern is
+// invalid.
 var errInvalidMutation = errors.New("cmd is clear, discard, kill or requeue, target is scheduled, retries or dead, regexp has * for any text")
 
 // handleMutate handles MUTATE: it moves the jobs of a state that match a filter.
@@ -64,13 +65,13 @@
 	})
 }
 
-// matchesFilter reports whether a job matches all parts of the filter that a
-// MUTATE gives.
+// matchesFilter reports whether a job matches all fields that are set in the
+// filter of a MUTATE.
 func matchesFilter(job jobs.Job, message *mutateMessage) bool {
 	filter := &message.Filter
 	if filter.Jobtype != "" {
 		var payload work
-		json.Unmarshal(job.Payload, &payload) // a job that cannot be read has its class for a type
+		json.Unmarshal(job.Payload, &payload) // if this fails, the class is used as the job's type
 		if filter.Jobtype != cmp.Or(payload.Jobtype, job.Class) {
 			return false
 		}
@@ -81,13 +82,13 @@
 	if filter.Regexp == "" {
 		return true
 	}
-	text := strings.ReplaceAll(string(job.Payload), "/", " ") // no * of path.Match matches a slash
+	text := strings.ReplaceAll(string(job.Payload), "/", " ") // the * of path.Match does not match a slash
 	matches, _ := path.Match(filter.Regexp, text)
 	return matches
 }
 
-// handleFlush handles FLUSH where the operator allows it: all jobs that wait
-// are discarded. Those that are leased or in doubt stay.
+// handleFlush handles FLUSH, if the operator allows it: all jobs that wait or are
+// dead are discarded. Those that are leased or in doubt stay.
 func (c *connection) handleFlush() {
 	if !c.server.durable.flushAllowed {
 		c.writeLine(replyError + "REFUSED FLUSH is off here: durable.flush in the operator's file")
@@ -96,7 +97,8 @@
 	c.discardAll("FLUSH", func(job jobs.Job) bool { return job.State.IsMovable() })
 }
 
-// discardAll discards the jobs that match, and answers once that is on disk.
+// discardAll discards the jobs that match, and answers once the changes are on
+// disk.
 func (c *connection) discardAll(reason jobs.Reason, matches func(jobs.Job) bool) {
 	reply := c.deferReply()
 	queues := c.server.durable
@@ -104,8 +106,8 @@
 	queues.AfterSync(func(err error) { reply(resultLine(err)) })
 }
 
-// moveAll moves the jobs that match, and returns the last error of those that
-// cannot be moved.
+// moveAll moves the jobs that match. If some cannot be moved, it returns the last
+// error.
 func (q *durableQueues) moveAll(move jobs.Move, reason jobs.Reason, matches func(jobs.Job) bool) (lastError error) {
 	var jids []string
 	q.Each(func(job jobs.Job) {
--- a/internal/faktory/protocol.go
+++ b/internal/faktory/protocol.go
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// protocolVersion is the version of the Faktory work protocol spoken here.
+// protocolVersion is the supported version of the Faktory work protocol.
 const protocolVersion = 2
 
-// maxCommandBytes is the length of the longest command line, and of the
-// longest bulk string.
+// maxCommandBytes is the maximum length of a command line, and of a bulk
+// string.
 const maxCommandBytes = 70 << 10
 
 // Commands of the protocol.
@@ -29,7 +29,7 @@
 	commandMutate   = "MUTATE"
 	commandFlush    = "FLUSH"
 	commandTrack    = "TRACK"
-	commandStart    = "START" // an extension: may a leased job begin?
+	commandStart    = "START" // an extension: asks whether a leased job may start
 )
 
 // Replies of the protocol.
@@ -38,8 +38,8 @@
 	replyError     = "-ERR "
 	replyMalformed = replyError + "MALFORMED "
 	replyUnknown   = replyError + "UNKNOWN "
-	nullBulk       = "$-1" // for a FETCH: no job
-	greetingPrefix = "HI " // of the text of a server's first reply
+	nullBulk       = "$-1" // the answer to FETCH if there is no job
+	greetingPrefix = "HI " // prefix of the text of a server's first reply
 )
 
 var (
@@ -47,8 +47,8 @@
 	errProtocol = errors.New("protocol violation")
 )
 
-// parseLine takes a line off b. used 0 without an error says that the line is
-// not complete yet.
+// parseLine parses the first line of b and returns how many bytes it uses. If the
+// line is not complete yet, used is 0 and err is nil.
 func parseLine(b []byte) (line []byte, used int, err error) {
 	end := bytes.IndexByte(b, '\n')
 	if end > maxCommandBytes || end < 0 && len(b) > maxCommandBytes {
@@ -92,7 +92,8 @@
 	return !strings.ContainsFunc(text, func(r rune) bool { return r <= ' ' || r >= 0x7f })
 }
 
-// resultLine is the reply to a command whose outcome is err.
+// resultLine returns the reply to a command that has succeeded, or failed with
+// err.
 func resultLine(err error) string {
 	if err == nil {
 		return replyOK
--- a/internal/faktory/proxyheader_test.go
+++ b/internal/faktory/proxyheader_test.go
@@ -16,15 +16,15 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// Guards against rejections that nobody can find: a PROXY header that cannot be read was not counted, and logged with an
-// invalid address.
+// Guards against a rejection that an operator cannot find: a connection with an invalid PROXY header was rejected without
+// being counted, and was logged with an invalid address.
 func TestBadProxyHeaderIsCountedAndLogged(t *testing.T) {
 	settings := testSettings()
 	if err := Prepare(&settings); err != nil {
 		t.Fatal(err)
 	}
 	rig := testkit.NewRig(t, func(rigSettings *decision.Settings) { *rigSettings = settings })
-	var log bytes.Buffer // written on the event loop alone
+	var log bytes.Buffer // only written on the event loop
 	var gate *listener.Gate
 	var address string
 	rig.Do(func() {
@@ -48,8 +48,8 @@
 	}
 	defer conn.Close()
 	fmt.Fprint(conn, "HELLO {}\r\n")
-	if text, _ := io.ReadAll(conn); len(text) > 0 { // a reset is as good as an end
-		t.Errorf("answered %q, want the end alone", text)
+	if text, _ := io.ReadAll(conn); len(text) > 0 { // the connection may also be reset
+		t.Errorf("answered %q, want no answer", text)
 	}
 	rig.Do(func() {
 		rejections := gate.Limiter.Snapshot(rig.Dispatcher.Loop.Now()).Rejections
--- a/internal/faktory/push.go
+++ b/internal/faktory/push.go
@@ -10,16 +10,17 @@
 	"hollyyoke.example/hollyyoke/internal/jobs"
 )
 
-// pendingPush is a PUSH of a direct queue that awaits the final answer of its job.
+// pendingPush is a PUSH of a direct queue that waits for the final result of its
+// job.
 type pendingPush struct {
-	request uint64 // the dispatcher's handle; 0: not known yet
+	request uint64 // the dispatcher's handle of the request; 0 while Accept has not returned
 	jid     string
 	class   int
 }
 
-// handlePush accepts a job. The answer of a direct queue is the final answer of
-// the job; that of a durable queue says that the job is stored. release frees
-// the buffer that rest lies in.
+// handlePush accepts a job. On a direct queue the PUSH is answered with the final
+// result of the job, on a durable queue once the job is stored. release frees the
+// buffer of which rest is a part.
 func (c *connection) handlePush(rest []byte, release func()) {
 	server := c.server
 	now := server.dispatcher.Loop.Now()
@@ -49,8 +50,8 @@
 	c.dispatch(job.request, now)
 }
 
-// storeJob stores a job and calls onStored once it is on disk, or with the
-// error that its producer gets.
+// storeJob stores a job and calls onStored with nil once it is on disk, or with
+// the error that its producer gets.
 func (c *connection) storeJob(job *incomingJob, onStored func(error)) {
 	server := c.server
 	class := &server.dispatcher.Settings.Classes[job.request.Class]
@@ -66,7 +67,7 @@
 	})
 }
 
-// dispatch hands the job of a direct queue to the dispatcher.
+// dispatch passes the job of a direct queue to the dispatcher.
 func (c *connection) dispatch(request dispatch.Request, now time.Duration) {
 	server := c.server
 	server.jids.begin(request.ID, now)
@@ -79,7 +80,7 @@
 	push.request = handle
 }
 
-// respond sends the final answer of the pending PUSH.
+// respond answers the pending PUSH with the final result of its job.
 func (c *connection) respond(response dispatch.Response) {
 	push := c.push
 	c.server.finishJid(push, response)
@@ -97,7 +98,7 @@
 	c.resume()
 }
 
-// cancelPush cancels the pending PUSH of a producer that has left.
+// cancelPush cancels the pending PUSH of a producer whose connection is closed.
 func (c *connection) cancelPush() {
 	push := c.push
 	if push == nil || push.request == 0 {
@@ -117,11 +118,11 @@
 	return prefix + singleLine(err.Error())
 }
 
-// knownJidLine is the answer to the PUSH of a jid that does not run again, or
-// not now; empty: it may run.
+// knownJidLine is the answer to the PUSH of a jid that must not run again, or not
+// while it is in progress. It is empty if the job may run.
 func knownJidLine(status jidStatus) string {
 	switch status {
-	case jidServed: // the answer was lost on the way
+	case jidServed: // the answer to the earlier PUSH was probably lost
 		return replyOK
 	case jidMayHaveRun:
 		return failureLine(true, false)
@@ -131,8 +132,8 @@
 	return ""
 }
 
-// rejectionLine is the answer to a PUSH whose job has not run. retryAfter 0
-// says nothing about when to retry.
+// rejectionLine is the answer to a PUSH whose job has not run. It says when to
+// retry unless retryAfter is 0.
 func rejectionLine(retryAfter time.Duration) string {
 	line := "-ERR REFUSED pushing it again is harmless"
 	if retryAfter > 0 {
--- a/internal/faktory/queuecommand_test.go
+++ b/internal/faktory/queuecommand_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// INFO counted the jobs of a queue that QUEUE REMOVE, FLUSH or MUTATE had discarded, until a worker fetched from it. The
-// cause: it counted the entries of the scheduler's queue, where a job that was discarded stays until it comes up ("renewal":2
-// after the removal, "total_enqueued":0 beside it).
+// INFO must not count jobs that QUEUE REMOVE, FLUSH or MUTATE has discarded. It once counted the entries of the
+// scheduler's queue, in which a discarded job stays until it is dequeued: after the removal of two jobs INFO reported
+// "renewal":2, although "total_enqueued" was 0.
 func TestInfoCountsNoDiscardedJobs(t *testing.T) {
-	withDurableFront(t, newStorePath(t), "flush = true\n", func(address string) {
+	withDurableFrontEnd(t, newStorePath(t), "flush = true\n", func(address string) {
 		producer := dialProducer(t, address)
 		for _, discard := range []string{"QUEUE REMOVE renewal", "FLUSH"} {
 			for _, jid := range []string{"count-0001", "count-0002"} {
@@ -26,10 +26,10 @@
 	})
 }
 
-// A QUEUE whose operation is unknown is malformed, whatever its queues are. It was answered as UNKNOWN, as if its queue
-// were at fault.
+// A QUEUE with an unknown operation must be answered with MALFORMED, whatever its queues are. If a queue was unknown too,
+// the answer was once UNKNOWN, which blames the queue.
 func TestUnknownQueueOperationIsMalformed(t *testing.T) {
-	withDurableFront(t, newStorePath(t), "", func(address string) {
+	withDurableFrontEnd(t, newStorePath(t), "", func(address string) {
 		producer := dialProducer(t, address)
 		producer.expect("QUEUE STOP nothing", "-ERR MALFORMED")
 		producer.expect("QUEUE STOP renewal", "-ERR MALFORMED")
--- a/internal/faktory/queues.go
+++ b/internal/faktory/queues.go
@@ -13,7 +13,7 @@
 	queuePause  = "PAUSE"
 	queueResume = "RESUME"
 	queueRemove = "REMOVE"
-	allQueues   = "*" // in place of a queue: all durable ones
+	allQueues   = "*" // stands for all durable queues
 )
 
 // handleQueue handles QUEUE PAUSE, RESUME and REMOVE.
@@ -42,8 +42,8 @@
 	})
 }
 
-// durableQueueNames checks that all queues are durable. All durable queues take
-// the place of "*", after which the names so far are in alphabetical order.
+// durableQueueNames checks that all queues are durable and returns their names. It
+// replaces "*" by all durable queues, and then sorts the names collected so far.
 func (s *Server) durableQueueNames(queues []string) (names []string, err error) {
 	for _, queue := range queues {
 		if queue == allQueues {
@@ -53,7 +53,7 @@
 		}
 		class, known := s.classIndexes[queue]
 		if !known || !s.isDurable(class) {
-			return nil, fmt.Errorf("queue %s: no durable one", singleLine(fmt.Sprintf("%.*s", maxVerbShown, queue)))
+			return nil, fmt.Errorf("queue %s: no durable one", singleLine(fmt.Sprintf("%.*s", maxQuotedLength, queue)))
 		}
 		names = append(names, queue)
 	}
@@ -70,7 +70,7 @@
 	return names
 }
 
-// pauseQueues pauses or resumes queues, and answers once that is on disk.
+// pauseQueues pauses or resumes queues, and answers once the changes are on disk.
 func (c *connection) pauseQueues(names []string, pause bool) {
 	reply := c.deferReply()
 	if len(names) == 0 {
@@ -80,7 +80,7 @@
 	last := len(names) - 1
 	for i, name := range names {
 		c.server.durable.scheduler.Pause(name, pause, func(err error) {
-			if i == last { // changes reach the disk in order, so all have
+			if i == last { // changes are stored in order, so all are on disk
 				reply(resultLine(err))
 			}
 		})
--- a/internal/faktory/release.go
+++ b/internal/faktory/release.go
@@ -6,40 +6,40 @@
 )
 
 const (
-	// releaseTimeout is how long a release waits for commands whose changes are
-	// not on disk yet, before it closes their connections.
+	// releaseTimeout is how long a release waits for commands that are not answered
+	// yet, before it closes their connections.
 	releaseTimeout = time.Second
 
-	// releasePollInterval is how often a release looks for such connections.
+	// releasePollInterval is how often a release checks for such connections.
 	releasePollInterval = 5 * time.Millisecond
 )
 
-// releaseDurable closes all connections, each once its command is answered,
-// and then the store, and calls done. Workers reconnect to the successor with
-// the jobs that they hold.
+// releaseDurable closes each connection once its command is answered, then closes
+// the store and calls done. The workers reconnect to the successor and report
+// their jobs there.
 func (s *Server) releaseDurable(done func()) {
 	s.acceptor.Close()
 	s.durable.scheduler.Release()
-	limit := s.dispatcher.Loop.Now() + releaseTimeout
-	s.continueRelease(limit, done)
+	deadline := s.dispatcher.Loop.Now() + releaseTimeout
+	s.continueRelease(deadline, done)
 }
 
-// continueRelease closes the connections that can be closed by now, and continues
-// later if some are left.
-func (s *Server) continueRelease(limit time.Duration, done func()) {
+// continueRelease closes the connections that can be closed. If others are left it
+// runs again after releasePollInterval.
+func (s *Server) continueRelease(deadline time.Duration, done func()) {
 	loop := s.dispatcher.Loop
-	late := loop.Now() >= limit
+	timedOut := loop.Now() >= deadline
 	s.connections.ForEach(func(_ uint64, c *connection) {
 		switch {
 		case c.fetch != nil:
 			c.writeLine(nullBulk)
 			c.closeGracefully()
-		case !c.busy, late:
+		case !c.busy, timedOut:
 			c.closeGracefully()
 		}
 	})
 	if s.connections.Len() > 0 {
-		loop.After(releasePollInterval, func() { s.continueRelease(limit, done) })
+		loop.After(releasePollInterval, func() { s.continueRelease(deadline, done) })
 		return
 	}
 	err := s.durable.Service.Close()
--- a/internal/faktory/reply.go
+++ b/internal/faktory/reply.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// Kinds of reply, by their first byte.
+// Kinds of replies: their first byte.
 const (
 	kindSimple  byte = '+'
 	kindError   byte = '-'
@@ -17,8 +17,8 @@
 	null bool // a null bulk string
 }
 
-// parseReply takes a reply off b. used 0 without an error says that the reply
-// is not complete yet.
+// parseReply parses the first reply of b and returns how many bytes it uses. If
+// the reply is not complete yet, used is 0 and err is nil.
 func parseReply(b []byte) (r reply, used int, err error) {
 	line, used, err := parseLine(b)
 	if err != nil || used == 0 {
@@ -38,8 +38,8 @@
 	return r, 0, errProtocol
 }
 
-// parseBulk completes bulk, a bulk string whose length line ends at
-// start in b.
+// parseBulk parses the text of a bulk string. bulk.text is the length from its
+// first line, which ends at start in b.
 func parseBulk(bulk reply, b []byte, start int) (_ reply, used int, err error) {
 	length, err := strconv.Atoi(string(bulk.text))
 	if err != nil || length < -1 {
--- a/internal/faktory/reports.go
+++ b/internal/faktory/reports.go
@@ -10,15 +10,15 @@
 	"hollyyoke.example/hollyyoke/internal/jobs"
 )
 
-// States that a worker reports by BEAT when it wants no more jobs.
+// States with which a worker says in BEAT that it takes no more jobs.
 const (
 	stateQuiet       = "quiet"
 	stateTerminate   = "terminate"
 	stateTerminating = "terminating"
 )
 
-// handleBeat handles BEAT, a worker's heartbeat. A worker that says it is quiet or
-// about to terminate drains from now on.
+// handleBeat handles BEAT, a worker's heartbeat. It renews the worker's leases. A
+// worker that is quiet or terminating drains from now on.
 func (c *connection) handleBeat(rest []byte) {
 	var message beatMessage
 	err := json.Unmarshal(rest, &message)
@@ -28,7 +28,7 @@
 	}
 	c.writeLine(replyOK)
 	if c.worker == nil || !c.worker.isNamed(message.Wid) {
-		return // a session speaks for its own worker alone
+		return // a connection can only report for its own worker
 	}
 	if queues := c.server.durable; queues != nil {
 		queues.Heartbeat(c.worker.name)
@@ -39,13 +39,13 @@
 	}
 }
 
-// isNamed reports whether a BEAT's wid is the worker's; a BEAT may leave it out.
+// isNamed reports whether the wid of a BEAT is the worker's. It may be left out.
 func (w *registeredWorker) isNamed(wid string) bool {
 	return wid == "" || workerNamePrefix+wid == w.name
 }
 
-// decodeReport decodes a worker's message about a job, which must name one; else
-// it answers the command.
+// decodeReport decodes a worker's message about a job. If it is invalid or has no
+// jid, decodeReport answers the command with an error and returns false.
 func (c *connection) decodeReport(verb string, rest []byte) (message word, ok bool) {
 	err := json.Unmarshal(rest, &message)
 	if err != nil || message.Jid == "" {
@@ -55,8 +55,8 @@
 	return message, true
 }
 
-// handleStart handles START, by which a worker that honors fences asks whether
-// it may begin a job.
+// handleStart handles START, with which a worker that honors fences asks whether it
+// may start a job.
 func (c *connection) handleStart(rest []byte) {
 	message, ok := c.decodeReport(commandStart, rest)
 	if !ok {
@@ -71,16 +71,15 @@
 	fence := c.fenceOf(job, message)
 	reply := c.deferReply()
 	server.durable.StartJob(message.Jid, fence, func(err error) {
-		if err != nil { // the worker will not run it
-			server.endLease(message.Jid, fence, decision.NotSent)
+		if err != nil { // the worker will not run the job
+			server.endAttemptUnderLease(message.Jid, fence, decision.NotSent)
 		}
 		reply(leaseResultLine(err))
 	})
 }
 
-// handleCompletion handles ACK and FAIL: the outcome of a job. For a direct job
-// that is not handed out to the connection's worker, or not any more, the answer
-// is +OK too.
+// handleCompletion handles ACK and FAIL, the result of a job. If a direct job is
+// not, or no longer, handed out to the connection's worker, the answer is +OK too.
 func (c *connection) handleCompletion(verb string, rest []byte) {
 	message, ok := c.decodeReport(verb, rest)
 	if !ok {
@@ -97,7 +96,7 @@
 	c.server.completeDirect(verb, c.worker, message.Jid)
 }
 
-// outcomeOf is the outcome of an attempt whose worker sends ACK or FAIL.
+// outcomeOf returns the outcome of an attempt whose worker sends ACK or FAIL.
 func outcomeOf(verb string) decision.AttemptOutcome {
 	if verb == commandAck {
 		return decision.Completed
@@ -105,9 +104,9 @@
 	return decision.Failed
 }
 
-// completeDirect ends the attempt of a direct job that is handed out to worker.
-// An ACK that comes after the end of the attempt is the proof that the job ran.
-// A producer's connection, which has no worker, has no job to report.
+// completeDirect ends the attempt of a direct job that was handed out to worker.
+// An ACK after the end of the attempt proves that the job ran. A report on the
+// connection of a producer, which has no worker, is ignored.
 func (s *Server) completeDirect(verb string, worker *registeredWorker, jid string) {
 	if worker == nil {
 		return
@@ -123,7 +122,7 @@
 }
 
 // completeDurable handles the ACK or FAIL of a durable job. It is answered once
-// the report is on disk. One that does not count changes nothing.
+// the report is on disk. A rejected report does not change the job.
 func (c *connection) completeDurable(verb string, job jobs.Job, message word) {
 	queues := c.server.durable
 	fence := c.fenceOf(job, message)
@@ -138,13 +137,14 @@
 	if fence == job.Fence {
 		delete(queues.progress, message.Jid)
 	}
-	c.server.endLease(message.Jid, fence, outcomeOf(verb))
+	c.server.endAttemptUnderLease(message.Jid, fence, outcomeOf(verb))
 }
 
-// fenceOf returns the fence of the lease that a message is about: that of the
-// message, or else that of the job's newest lease. It is jobs.NoFence for every
-// connection but those of the worker that has or had that lease: a fence is a
-// small number that a mistaken client can hit, so knowing it proves nothing.
+// fenceOf returns the fence of the lease that a message is about: the fence in the
+// message, or else that of the job's newest lease. It returns jobs.NoFence for a
+// connection of any other worker than the one that holds or held that lease, or of
+// a producer: fences are small numbers that a faulty client can send by chance, so
+// the right fence alone does not prove that a report comes from that worker.
 func (c *connection) fenceOf(job jobs.Job, message word) uint64 {
 	if c.worker == nil || c.worker.name != job.Worker {
 		return jobs.NoFence
@@ -152,13 +152,13 @@
 	return cmp.Or(message.Fence, job.Fence)
 }
 
-// failureReason is what is stored of a FAIL.
+// failureReason returns the reason that is stored for a FAIL.
 func failureReason(message word) jobs.Reason {
 	text := strings.TrimPrefix(message.Type+": "+message.Message, ": ")
 	return jobs.Reason(cmp.Or(text, "failed"))
 }
 
-// leaseResultLine is the reply to a report about a lease.
+// leaseResultLine returns the reply to a report about a lease.
 func leaseResultLine(err error) string {
 	if err != nil {
 		err = fmt.Errorf("VOID %w", err)
--- a/internal/faktory/server.go
+++ b/internal/faktory/server.go
@@ -14,44 +14,44 @@
 )
 
 const (
-	// frontEndNumber distinguishes this front end's tokens at the gate.
+	// frontEndNumber identifies this front end at the gate.
 	frontEndNumber = 1
 
-	// evictionBatch is how many connections are closed at a time when there are too many.
+	// evictionBatch is how many connections shedConnections closes at most in one call.
 	evictionBatch = 16
 
-	// shedInterval is the time between attempts to close some.
+	// shedInterval is how long shedConnections waits after it could not close a connection.
 	shedInterval = 10 * time.Millisecond
 )
 
 // Server is the server role: the PUSH of a producer becomes a request to the
-// dispatcher, and a parked FETCH is a free slot of a worker. A command is
+// dispatcher, and a parked FETCH is a free slot of a worker. Each command is
 // answered exactly once, in order. A Server is a front end and a worker client
-// of the dispatcher; all its methods belong to the loop's goroutine.
+// of the dispatcher; its methods must be called on the loop's goroutine.
 type Server struct {
 	dispatcher     *dispatch.Dispatcher
 	engine         *transport.Engine
-	password       string         // empty: none is required
+	password       string         // empty if none is required
 	classIndexes   map[string]int // by name
-	firstClassKind int            // worker kinds from here on are a classSet each, see Prepare
+	firstClassKind int            // worker kind firstClassKind+set is for the classSet set, see Prepare
 
 	gate        *listener.Gate
 	acceptor    *transport.Acceptor
 	connections slotmap.Map[connection] // by the token that the dispatcher and the gate use
-	shedTimer   eventloop.Deadline      // set while none can be closed for a new one
+	shedTimer   eventloop.Deadline      // set while no connection could be closed for a new one
 
 	workers    map[string]*registeredWorker // by name
 	deliveries map[uint64]*jobDelivery      // by the handle of their attempt
 	jids       *jidMemory                   // of direct jobs
-	durable    *durableQueues               // nil: all queues are direct
+	durable    *durableQueues               // nil if all queues are direct
 
 	startedAt    time.Duration
-	commandCount uint64 // for INFO
+	commandCount uint64 // commands received, for INFO
 	writeBuffer  []byte // reused by handOut
 }
 
-// The interfaces that the dispatcher and the gate use; ClientWatcher is asked
-// for at run time.
+// The interfaces that the dispatcher, the gate and the transport use. The
+// dispatcher checks at run time whether a front end is a ClientWatcher.
 var (
 	_ dispatch.FrontEnd      = (*Server)(nil)
 	_ dispatch.ClientWatcher = (*Server)(nil)
@@ -81,12 +81,13 @@
 	return server
 }
 
-// SetGate sets what decides which connections are admitted. It must be called
-// before Listen.
+// SetGate sets the gate that decides which connections are admitted. It must be
+// called before Listen.
 func (s *Server) SetGate(gate *listener.Gate) { s.gate = gate }
 
-// Listen accepts producers and workers at address, maxConnections at a time
-// unless the gate limits them, and returns the address that was bound.
+// Listen accepts connections of producers and workers at address and returns the
+// address that was bound. At most maxConnections are open at a time, unless the
+// gate has limits of its own.
 func (s *Server) Listen(address string, maxConnections int) (string, error) {
 	s.gate.AddFrontEnd(frontEndNumber, s)
 	options := transport.AcceptOptions{NewHandler: s.accept, Limit: maxConnections, OnFull: s.shedConnections}
@@ -121,9 +122,10 @@
 	return accepted
 }
 
-// shedConnections closes some idle connections, since there are too many and a
-// new one may wait. While none can be closed it tries again: connections become
-// candidates with time, and the acceptor asks once.
+// shedConnections closes idle connections when the limit is reached, as a new
+// connection may be waiting. If it cannot close any it tries again after
+// shedInterval: connections become eligible with time, and the acceptor calls
+// shedConnections only once.
 func (s *Server) shedConnections() {
 	for evicted := range evictionBatch {
 		if s.gate.EvictOne(connlimit.ForUnknown) {
@@ -137,8 +139,8 @@
 	}
 }
 
-// Evict closes a connection that the gate has chosen, unless it is a worker's
-// or has a command pending.
+// Evict closes a connection that the gate has chosen, unless it belongs to a
+// worker or has a command pending.
 func (s *Server) Evict(token uint64) {
 	c := s.connections.Get(token)
 	if c == nil || c.busy || c.worker != nil {
@@ -179,8 +181,9 @@
 	return c == nil || c.conn.PeerClosed()
 }
 
-// RequestCancelled records that the dispatcher has cancelled a request since
-// its producer has left, which OnClosed would have reported a little later.
+// RequestCancelled records that the dispatcher has cancelled the request of a
+// PUSH, as its producer has closed the connection. The dispatcher may notice that
+// before OnClosed is called.
 func (s *Server) RequestCancelled(token uint64, mayHaveRun bool) {
 	c := s.connections.Get(token)
 	if c == nil || c.push == nil {
--- a/internal/faktory/server_test.go
+++ b/internal/faktory/server_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestPushIsAnsweredWhenTheJobCompletes(t *testing.T) {
-	address, _ := openFront(t, serverConfig, nil)
+	address, _ := openFrontEnd(t, serverConfig, nil)
 	worker := dialWorker(t, address, "w1")
 	for _, test := range []struct{ class, verb, want string }{
 		{"status-check", "ACK", "+OK"},
@@ -42,10 +42,10 @@
 	}
 }
 
-// Input that is invalid is answered by an error of its kind, and the connection
-// stays open.
+// An invalid command is answered with an error that names its kind, and the
+// connection stays open.
 func TestInvalidCommandIsAnswered(t *testing.T) {
-	address, _ := openFront(t, serverConfig, nil)
+	address, _ := openFrontEnd(t, serverConfig, nil)
 	producer := dialProducer(t, address)
 	for command, want := range map[string]string{
 		pushCommand("job-00001", "nonsense", ""):                                           "-ERR UNKNOWN",
@@ -67,7 +67,7 @@
 			t.Errorf("%.40s: %q, want %q", command, got, want)
 		}
 	}
-	// A line without an end must not take up memory without bound.
+	// A line without an end must not use unlimited memory.
 	if got := producer.do(strings.Repeat("x", maxCommandBytes+100)); !strings.HasPrefix(got, "-ERR MALFORMED") {
 		t.Errorf("endless line: %.60q", got)
 	}
@@ -75,7 +75,7 @@
 
 // An invalid first command is answered, and the connection is closed.
 func TestInvalidFirstCommandClosesTheConnection(t *testing.T) {
-	address, _ := openFront(t, serverConfig, nil)
+	address, _ := openFrontEnd(t, serverConfig, nil)
 	for _, first := range []string{`HELLO {"v":3}`, `HELLO x`, `PUSH {}`, `HELLO {"v":2,"wid":"a b"}`} {
 		c := connect(t, address)
 		c.readReply()
@@ -89,7 +89,7 @@
 }
 
 func TestPassword(t *testing.T) {
-	address, _ := openFront(t, serverConfig+"password = \"open sesame\"\n", nil)
+	address, _ := openFrontEnd(t, serverConfig+"password = \"open sesame\"\n", nil)
 	for _, test := range []struct{ password, want string }{
 		{"open sesame", "+OK"},
 		{"", "-ERR Invalid password"},
@@ -108,7 +108,7 @@
 	}
 }
 
-// The specification's own example of the hash.
+// Checks the example of the hash in the protocol's specification.
 func TestHashPassword(t *testing.T) {
 	got := hashPassword("foobar", "55104dc76695721d", 1545)
 	if got != "6d877f8e5544b1f2598768f817413ab8a357afffa924dedae99eb91472d4ec30" {
@@ -116,10 +116,10 @@
 	}
 }
 
-// A job that no worker fetches in time is rejected with a Retry-After; one whose
-// client has no time left is rejected at once.
+// A job that no worker fetches in time is rejected, with a time after which to
+// retry. A job whose client has no time left is rejected at once.
 func TestRejectionsAndDeadlines(t *testing.T) {
-	address, rig := openFront(t, serverConfig, nil)
+	address, rig := openFrontEnd(t, serverConfig, nil)
 	producer := dialProducer(t, address)
 	got := producer.do(pushCommand("late-00001", "renewal", `"time_left_ms":300`))
 	if !strings.HasPrefix(got, "-ERR REFUSED pushing it again is harmless; retry after ") {
@@ -129,7 +129,7 @@
 	if !strings.HasPrefix(got, "-ERR REFUSED") {
 		t.Errorf("no time, and the same jid again after a rejection: %q", got)
 	}
-	// Handed out, and never closed: at the deadline it fails, for it may have run.
+	// A job that is handed out and never closed fails at its deadline: it may have run.
 	worker := dialWorker(t, address, "w1")
 	fetched := make(chan string, 1)
 	go func() { fetched <- worker.fetch(bothQueues) }()
@@ -149,17 +149,18 @@
 	})
 }
 
-// A worker fetches a non-idempotent job and disconnects before its ACK. The job
-// is not handed out again, not even when it is pushed again; a late ACK makes it
-// served. An idempotent job goes to another worker.
+// A worker fetches a non-idempotent and an idempotent job and disconnects before
+// its ACKs. The idempotent job goes to another worker. The non-idempotent one is
+// not handed out again, not even when it is pushed again; a late ACK makes it
+// served.
 func TestLostAck(t *testing.T) {
-	address, _ := openFront(t, serverConfig, nil)
+	address, _ := openFrontEnd(t, serverConfig, nil)
 	lostWorker := dialWorker(t, address, "w1")
 	renewal := pushAsync(t, address, pushCommand("lost-00001", "renewal", ""))
 	statusCheck := pushAsync(t, address, pushCommand("lost-00002", "status-check", ""))
 	first := lostWorker.fetch(bothQueues)
-	lostWorkerToo := dialWorker(t, address, "w1")
-	second := lostWorkerToo.fetch(bothQueues)
+	secondLostWorker := dialWorker(t, address, "w1")
+	second := secondLostWorker.fetch(bothQueues)
 	fetched := []string{jidOf(first), jidOf(second)}
 	if !slices.Contains(fetched, "lost-00001") || !slices.Contains(fetched, "lost-00002") {
 		t.Fatalf("fetched %q", fetched)
@@ -171,7 +172,7 @@
 	}
 	otherWorker := dialWorker(t, address, "w2")
 	lostWorker.conn.Close()
-	lostWorkerToo.conn.Close()
+	secondLostWorker.conn.Close()
 	if got := otherWorker.fetch(bothQueues); jidOf(got) != "lost-00002" {
 		t.Fatalf("the idempotent job is not retried: %q", got)
 	}
@@ -188,7 +189,7 @@
 	if got := otherWorker.do("FETCH " + bothQueues); got != nullBulk {
 		t.Errorf("handed out again: %q", got)
 	}
-	returned := dialWorker(t, address, "w1") // back, with the ACK that was lost
+	returned := dialWorker(t, address, "w1") // reconnects and sends the ACK
 	if got := returned.ack("lost-00001"); got != "+OK" {
 		t.Errorf("late ACK: %q", got)
 	}
@@ -197,18 +198,18 @@
 	}
 }
 
-// A worker that has said quiet gets no job, neither on the FETCH that is parked
-// nor on its next one; it finishes the jobs that it has.
+// A worker that has reported quiet gets no more jobs, neither on a parked FETCH nor
+// on a later one, but can finish the jobs that it has.
 func TestQuietWorkerDrains(t *testing.T) {
-	address, _ := openFront(t, serverConfig, nil)
+	address, _ := openFrontEnd(t, serverConfig, nil)
 	quiet := dialWorker(t, address, "w1")
-	quietToo := dialWorker(t, address, "w1")
+	secondQuiet := dialWorker(t, address, "w1")
 	firstAnswer := pushAsync(t, address, pushCommand("quiet-0001", "renewal", ""))
 	if jidOf(quiet.fetch(bothQueues)) != "quiet-0001" {
 		t.Fatal("not fetched")
 	}
 	parked := make(chan string, 1)
-	go func() { parked <- quietToo.do("FETCH " + bothQueues) }()
+	go func() { parked <- secondQuiet.do("FETCH " + bothQueues) }()
 	if got := quiet.do(`BEAT {"wid":"w1","current_state":"quiet"}`); got != "+OK" {
 		t.Fatalf("BEAT %q", got)
 	}
@@ -216,7 +217,7 @@
 	if got := awaitAnswer(t, parked); got != nullBulk {
 		t.Errorf("a quiet worker was given %q", got)
 	}
-	if got := quietToo.do("FETCH " + bothQueues); got != nullBulk {
+	if got := secondQuiet.do("FETCH " + bothQueues); got != nullBulk {
 		t.Errorf("a quiet worker was given %q", got)
 	}
 	quiet.ack("quiet-0001")
@@ -224,7 +225,7 @@
 		t.Errorf("the job that it had: %q", got)
 	}
 	other := dialWorker(t, address, "w2")
-	if got := awaitAnswer(t, secondAnswer); !strings.HasPrefix(got, "-ERR REFUSED") { // no FETCH came for it
+	if got := awaitAnswer(t, secondAnswer); !strings.HasPrefix(got, "-ERR REFUSED") { // no worker has sent a FETCH for it
 		t.Errorf("with no worker but a quiet one: %q", got)
 	}
 	thirdAnswer := pushAsync(t, address, pushCommand("quiet-0003", "status-check", ""))
@@ -235,9 +236,9 @@
 	}
 }
 
-// A worker gets only jobs of the queues that it names.
+// A worker gets only jobs of the queues that it names in FETCH.
 func TestWorkerGetsOnlyItsQueues(t *testing.T) {
-	address, _ := openFront(t, serverConfig, nil)
+	address, _ := openFrontEnd(t, serverConfig, nil)
 	workers := map[*client]string{
 		dialWorker(t, address, "checks"):   "status-check",
 		dialWorker(t, address, "renewals"): "renewal",
@@ -266,7 +267,7 @@
 	running.Wait()
 }
 
-// runCounts count how often something has run, by name.
+// runCounts counts how often something has run, by name.
 type runCounts struct {
 	mu     sync.Mutex
 	counts map[string]int
@@ -289,8 +290,8 @@
 	return counts
 }
 
-// pushAll pushes jobs with numbers from first up to end on six connections, and
-// waits until all have run.
+// pushAll pushes the jobs with the numbers from first to end-1 on six connections,
+// and waits until all have run.
 func pushAll(t *testing.T, address string, first, end int) {
 	t.Helper()
 	const producers = 6
@@ -309,9 +310,9 @@
 	running.Wait()
 }
 
-// A worker in slow start gets fewer jobs than the warmed-up ones.
+// A worker in slow start gets fewer jobs than workers that have finished it.
 func TestSlowStartSparesNewWorker(t *testing.T) {
-	address, _ := openFront(t, serverConfig, nil)
+	address, _ := openFrontEnd(t, serverConfig, nil)
 	runs := newRunCounts()
 	serve := func(wid string, startedAt int64) {
 		worker := dialWorker(t, address, wid, fmt.Sprintf("born_ms:%d", startedAt))
--- a/internal/faktory/slots.go
+++ b/internal/faktory/slots.go
@@ -13,12 +13,13 @@
 	// nextFetchTimeout is how long a job waits for its worker's next FETCH.
 	nextFetchTimeout = time.Second
 
-	// otherFrontEndOffers is how many jobs are offered at a time where workers of
-	// other front ends run, whose free slots are not known here.
-	otherFrontEndOffers = 16
+	// otherFrontEndSlots is how many free slots are assumed in total for the
+	// workers of other front ends, whose free slots are not known here.
+	otherFrontEndSlots = 16
 )
 
-// slotReservation is a durable job that waits for a slot of a worker before it is leased.
+// slotReservation is a durable job that waits for a free slot of a worker before it
+// is leased.
 type slotReservation struct {
 	jid        string
 	class      int
@@ -26,8 +27,8 @@
 	deadline   eventloop.Deadline
 }
 
-// slotFor returns the parked FETCH that is reserved for a job, or else the
-// oldest free one that fetches its class.
+// slotFor returns the parked FETCH that is reserved for a job, or else the oldest
+// free one that fetches its class, or nil.
 func (w *registeredWorker) slotFor(class int, jid string) (free *parkedFetch) {
 	for _, slot := range w.parked {
 		if !slot.classes.has(class) {
@@ -43,7 +44,8 @@
 	return free
 }
 
-// deliverAwaiting hands deliveries that wait for a FETCH to the slots that fit.
+// deliverAwaiting hands out the deliveries that wait for a FETCH, as far as there
+// are slots that fetch their classes.
 func (w *registeredWorker) deliverAwaiting() {
 	for _, delivery := range slices.Clone(w.awaitingFetch) {
 		slot := w.slotFor(delivery.attempt.Request.Class, delivery.attempt.Request.ID)
@@ -57,8 +59,8 @@
 }
 
 // FreeSlots returns the parked FETCHes that name durable classes, the oldest
-// first. Where workers of other front ends are ready it adds slots that take all
-// durable classes, as their free slots are not known.
+// first. If workers of other front ends are ready, it adds otherFrontEndSlots
+// slots that take all durable classes.
 func (s *Server) FreeSlots() (slots []durable.FreeSlot) {
 	parked, running := s.freeParked()
 	for _, fetch := range parked {
@@ -68,15 +70,16 @@
 	}
 	if s.dispatcher.ReadyWorkers() > running {
 		all := s.durable.allClasses()
-		for range otherFrontEndOffers {
+		for range otherFrontEndSlots {
 			slots = append(slots, durable.FreeSlot{Classes: all})
 		}
 	}
 	return slots
 }
 
-// freeParked returns the parked FETCHes that no delivery waits for, from the
-// oldest on, and the number of running workers.
+// freeParked returns the parked FETCHes, the oldest first, and the number of
+// running workers. For each delivery that waits for a FETCH of a worker, it leaves
+// out one FETCH of that worker.
 func (s *Server) freeParked() (parked []*parkedFetch, running int) {
 	for _, worker := range s.workers {
 		if !worker.listed || !worker.isRunning() {
@@ -90,9 +93,9 @@
 	return parked, running
 }
 
-// Reserve keeps a parked FETCH of a worker for a job, now or when one comes in
-// time, and calls onReserved with whether there is one. A worker of another front
-// end always has a slot.
+// Reserve reserves a parked FETCH of a worker for a job, at once or when one comes
+// within nextFetchTimeout, and calls onReserved with whether it is reserved. A
+// worker of another front end always counts as having a free slot.
 func (s *Server) Reserve(workerName string, class int, jid string, onReserved func(reserved bool)) {
 	worker := s.workers[workerName]
 	if worker == nil {
@@ -111,7 +114,7 @@
 	worker.fillReservations()
 }
 
-// Unreserve frees a slot that was reserved for a job.
+// Unreserve releases the slot that was reserved for a job.
 func (s *Server) Unreserve(workerName, jid string) {
 	worker := s.workers[workerName]
 	if worker == nil {
@@ -128,14 +131,14 @@
 	})
 }
 
-// resolveReservation ends the wait of a reservation.
+// resolveReservation removes a waiting reservation and calls its onReserved.
 func (w *registeredWorker) resolveReservation(reservation *slotReservation, reserved bool) {
 	w.reservations = remove(w.reservations, reservation)
 	w.server.dispatcher.Loop.Clear(&reservation.deadline)
 	reservation.onReserved(reserved)
 }
 
-// fillReservations reserves free slots for the jobs that wait for one.
+// fillReservations reserves free slots for the reservations that wait for one.
 func (w *registeredWorker) fillReservations() {
 	for _, reservation := range slices.Clone(w.reservations) {
 		slot := w.slotFor(reservation.class, "")
--- a/internal/faktory/source.go
+++ b/internal/faktory/source.go
@@ -10,9 +10,9 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-// Source is the source role: it takes jobs from an upstream server over lanes,
-// one job at a time on each, and closes every delivery once by ACK or FAIL. A
-// jid that is known does not run again. All its methods belong to the loop's
+// Source is the source role: it fetches jobs from an upstream server over lanes,
+// one job at a time on each, and closes each delivery once by ACK or FAIL. A job
+// whose jid is known does not run again. Its methods must be called on the loop's
 // goroutine.
 type Source struct {
 	dispatcher   *dispatch.Dispatcher
@@ -23,7 +23,7 @@
 	fetchCommand string
 	lanes        []*lane // by number; the first is the heartbeatLane
 	jids         *jidMemory
-	draining     bool // nothing more is fetched
+	draining     bool // no more jobs are fetched
 }
 
 // NewSource returns the source role. Start connects its lanes.
@@ -56,11 +56,11 @@
 	}
 }
 
-// Stop fetches nothing more. Jobs in progress continue.
+// Stop stops fetching jobs. Jobs in progress continue.
 func (s *Source) Stop() { s.draining = true }
 
-// Busy returns the number of lanes with a delivery that is not closed yet, or
-// that is being fetched.
+// Busy returns the number of lanes that have a delivery that is not closed yet, or
+// are fetching one.
 func (s *Source) Busy() (busy int) {
 	for _, l := range s.lanes {
 		if l.busy() {
@@ -77,7 +77,8 @@
 	}
 }
 
-// Respond closes the delivery of a lane with the final answer of its job.
+// Respond closes the delivery of a lane with the final result of its job. The
+// token is the number of the lane.
 func (s *Source) Respond(token uint64, response dispatch.Response) {
 	l := s.lanes[token]
 	delivery := l.delivery
--- a/internal/faktory/source_test.go
+++ b/internal/faktory/source_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// upstreamJob is a job as an upstream server delivers it.
+// upstreamJob returns the JSON of a job as an upstream server delivers it.
 func upstreamJob(jid, class string) string {
 	return fmt.Sprintf(`{"jid":%q,"queue":%q,"jobtype":"x","args":[]}`, jid, class)
 }
 
-// Jobs come from an upstream server and go to workers that fetch here. One ACK
-// is lost before it arrives, and the answer to another after that. Every job is
-// closed exactly once and runs exactly once.
+// Jobs are fetched from an upstream server and run by workers that connect here.
+// One ACK is lost before it arrives, and later the answer to another one. Each job
+// must be closed exactly once and run exactly once.
 func TestSourceClosesEveryJobOnce(t *testing.T) {
 	upstream := startUpstream(t)
 	const jobCount = 24
@@ -24,7 +24,7 @@
 	upstream.push(upstreamJob("up-nobody", "nonsense"))
 	upstream.loseCloseOf = "up-000003"
 	upstream.loseAnswerTo = "up-000005"
-	address, _ := openFront(t, upstream.sourceConfig(3), nil)
+	address, _ := openFrontEnd(t, upstream.sourceConfig(3), nil)
 	runs := newRunCounts()
 	for i := range 2 {
 		worker := dialWorker(t, address, fmt.Sprintf("w%d", i))
@@ -54,8 +54,8 @@
 	}
 }
 
-// awaitFailures waits until a job has been closed so many times, by FAIL, and
-// checks that it is not closed more often.
+// awaitFailures waits until a job has been closed the given number of times, the
+// last time by FAIL. It fails the test if the job is closed more often.
 func (u *upstreamServer) awaitFailures(t *testing.T, jid string, want int) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
@@ -71,14 +71,14 @@
 
 // A non-idempotent job that may have run fails, and its redelivery is closed
 // without running.
-func TestSourceDoesNotRunARedeliveryAgain(t *testing.T) {
+func TestSourceDoesNotRunRedeliveredJob(t *testing.T) {
 	upstream := startUpstream(t)
 	raw := upstreamJob("up-redone", "renewal")
 	upstream.push(raw)
-	address, _ := openFront(t, upstream.sourceConfig(1), nil)
+	address, _ := openFrontEnd(t, upstream.sourceConfig(1), nil)
 	first := dialWorker(t, address, "w1")
 	first.expectFetch(bothQueues, "up-redone")
-	first.conn.Close() // its ACK is lost with it
+	first.conn.Close() // before its ACK
 	upstream.awaitFailures(t, "up-redone", 1)
 	second := dialWorker(t, address, "w2")
 	upstream.push(raw)
--- a/internal/faktory/track.go
+++ b/internal/faktory/track.go
@@ -7,7 +7,7 @@
 	"hollyyoke.example/hollyyoke/internal/jobs"
 )
 
-// maxProgressEntries bounds the memory of jobs' progress.
+// maxProgressEntries bounds the number of jobs whose progress is remembered.
 const maxProgressEntries = 10_000
 
 // Subcommands of TRACK.
@@ -16,7 +16,8 @@
 	trackSet = "SET"
 )
 
-// jobProgress is how far a worker says it is with a job; a restart forgets it.
+// jobProgress is the progress of a job that its worker has reported. It is not
+// stored.
 type jobProgress struct {
 	Percent   int    `json:"percent"`
 	Desc      string `json:"desc"`
@@ -31,10 +32,10 @@
 	jobProgress
 }
 
-// trackStateUnknown is TRACK's name for the state of a jid that is not stored.
+// trackStateUnknown is the state that TRACK reports for a jid that is not stored.
 const trackStateUnknown = "unknown"
 
-// trackStateNames are TRACK's names of states.
+// trackStateNames are the names that TRACK uses for states.
 var trackStateNames = map[jobs.State]string{
 	jobs.Accepted:  "enqueued",
 	jobs.Scheduled: "scheduled",
@@ -74,8 +75,8 @@
 	c.writeBulk(raw)
 }
 
-// handleTrackSet records the progress of a job that the connection's worker has,
-// and extends its lease if it says until when.
+// handleTrackSet records the progress of a job that the connection's worker holds,
+// and extends its lease if the message has a reserve_until.
 func (c *connection) handleTrackSet(rest []byte) {
 	var message word
 	err := json.Unmarshal(rest, &message)
@@ -100,7 +101,7 @@
 		queues.Extend(message.Jid, fence, min(time.Duration(until.UnixNano()), now+maxLease))
 	}
 	if len(queues.progress) >= maxProgressEntries {
-		clear(queues.progress) // of jobs whose workers never closed them
+		clear(queues.progress) // most are of jobs that were never closed by ACK or FAIL
 	}
 	queues.progress[message.Jid] = jobProgress{
 		Percent:   message.Percent,
--- a/internal/faktory/transcript_test.go
+++ b/internal/faktory/transcript_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// volatileFields match what differs from run to run: times, salts, waits and fences.
+// volatileFields matches the parts of answers that differ from run to run, such as
+// times, salts and fences.
 var volatileFields = regexp.MustCompile(`"(now|updated_at|s)":"[^"]*"|"(uptime|connections|command_count|fence)":\d+|retry after \d+\.\d{3} s`)
 
 func maskVolatile(text string) string {
@@ -21,8 +22,8 @@
 	})
 }
 
-// transcript records the commands and answers of several connections, one command
-// after the other, byte for byte.
+// transcript sends commands on several connections, one after the other, and
+// records the commands and the answers byte by byte, except for volatile fields.
 type transcript struct {
 	t           *testing.T
 	address     string
@@ -40,14 +41,14 @@
 	return &transcript{t: t, address: address, connections: map[string]*recordedConnection{}}
 }
 
-// open connects and records the greeting.
+// open opens a connection and records the greeting.
 func (s *transcript) open(name string) {
 	s.t.Helper()
 	s.connections[name] = &recordedConnection{conn: connect(s.t, s.address).conn}
 	s.answer(name)
 }
 
-// hello connects and says HELLO.
+// hello opens a connection and sends HELLO.
 func (s *transcript) hello(name, fields string) {
 	s.t.Helper()
 	s.open(name)
@@ -68,7 +69,7 @@
 	if reply == "" {
 		shown = "(closed)"
 	}
-	if shown != strings.ReplaceAll(reply, "\r\n", `\r\n`) { // its length may differ too
+	if shown != strings.ReplaceAll(reply, "\r\n", `\r\n`) { // the length of a bulk string may differ too
 		shown = regexp.MustCompile(`^\$\d+`).ReplaceAllString(shown, "$$MASKED")
 	}
 	fmt.Fprintf(&s.text, "%s < %s\n", name, shown)
@@ -90,7 +91,7 @@
 	}
 }
 
-// fetch fetches until there is a job; only the FETCH that got it is recorded.
+// fetch sends FETCH until there is a job. Only the FETCH that got it is recorded.
 func (s *transcript) fetch(name, queues string) string {
 	s.t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
@@ -106,7 +107,8 @@
 	return ""
 }
 
-// reply reads one reply, its line ends included; empty: the connection is closed.
+// reply reads one reply with its line ends. It returns an empty string if the
+// connection is closed.
 func (r *recordedConnection) reply() string {
 	for r.replySize() == 0 {
 		more := make([]byte, 4096)
@@ -122,8 +124,8 @@
 	return reply
 }
 
-// replySize is the size of the first reply that has been received, with its line
-// ends; 0: it is not complete yet.
+// replySize returns the size of the first received reply with its line ends, or 0
+// if it is not complete yet.
 func (r *recordedConnection) replySize() int {
 	lineLength := strings.Index(string(r.received), "\r\n")
 	if lineLength < 0 {
--- a/internal/faktory/upstream_test.go
+++ b/internal/faktory/upstream_test.go
@@ -19,19 +19,19 @@
 	upstreamIterations = 1545
 )
 
-// upstreamServer is a server with reservations, written from the public
-// specification of the protocol.
+// upstreamServer is a server that reserves the jobs that it delivers. It is
+// implemented from the public specification of the protocol.
 type upstreamServer struct {
 	listener net.Listener
 
-	mu              sync.Mutex        // guards what follows
+	mu              sync.Mutex        // guards the fields below
 	queue           []string          // raw jobs
 	reserved        map[string]string // raw jobs by jid
-	closed          map[string]int    // ACKs and FAILs that found a reservation
-	unmatchedCloses int               // those that found none
-	closedBy        map[string]string // the verb of the last, by jid
-	loseAnswerTo    string            // the ACK of this jid is accepted and its answer lost, once
-	loseCloseOf     string            // the ACK of this jid is lost on the way, once
+	closed          map[string]int    // by jid: number of ACKs and FAILs of reserved jobs
+	unmatchedCloses int               // number of ACKs and FAILs of jobs that are not reserved
+	closedBy        map[string]string // by jid: the verb of the last ACK or FAIL of a reserved job
+	loseAnswerTo    string            // the answer to the first ACK or FAIL of this jid is lost
+	loseCloseOf     string            // the first ACK or FAIL of this jid is lost
 	heartbeats      int
 }
 
@@ -51,7 +51,8 @@
 	return upstream
 }
 
-// sourceConfig is an operator's file of both roles, with this server as upstream.
+// sourceConfig returns an operator's file with both roles and this server as
+// upstream.
 func (u *upstreamServer) sourceConfig(lanes int) string {
 	return serverConfig + fmt.Sprintf("[source]\naddress = %q\npassword = %q\nlanes = %d\n", u.listener.Addr(), upstreamPassword, lanes)
 }
@@ -116,7 +117,7 @@
 	return "-ERR Unknown command\r\n", true
 }
 
-// isValidHello reports whether a worker has said HELLO with its wid and the right
+// isValidHello reports whether a HELLO has a wid and the hash of the right
 // password.
 func isValidHello(rest string) bool {
 	var message hello
@@ -131,8 +132,8 @@
 	u.queue = append(u.queue, raw)
 }
 
-// reserveNext takes the first job off the queue and reserves it; false: there is
-// none.
+// reserveNext takes the first job off the queue and reserves it. It returns false
+// if the queue is empty.
 func (u *upstreamServer) reserveNext() (raw string, found bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -145,7 +146,8 @@
 	return raw, true
 }
 
-// close records an ACK or FAIL; false: the connection breaks in place of an answer.
+// close records an ACK or FAIL. It returns false if the connection must be closed
+// without an answer.
 func (u *upstreamServer) close(verb, jid string) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -168,14 +170,16 @@
 	return true
 }
 
-// isIdle reports whether so many jobs have been closed and none is left.
+// isIdle reports whether the given number of jobs have been closed and none is
+// queued or reserved.
 func (u *upstreamServer) isIdle(closed int) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return len(u.closed) == closed && len(u.queue) == 0 && len(u.reserved) == 0
 }
 
-// closesOf returns how often a job has been closed, and the verb of the last time.
+// closesOf returns how often a job has been closed, and the verb that closed it
+// last.
 func (u *upstreamServer) closesOf(jid string) (count int, verb string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/faktory/wiretypes_test.go
+++ b/internal/faktory/wiretypes_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// An answer to input of the wrong type quotes the error of encoding/json, which
-// spells the Go types that the input was decoded into. These texts are part of
-// the wire: renaming a type, or a field of an anonymous struct, would change them.
+// An answer to input of the wrong type contains the error of encoding/json, and
+// with it the name or the fields of the Go type into which the input was decoded.
+// Renaming such a type, or a field of an anonymous struct, would change the answer.
 func TestDecodingErrorsSpellGoTypes(t *testing.T) {
 	for _, test := range []struct {
 		text string
--- a/internal/faktory/worker.go
+++ b/internal/faktory/worker.go
@@ -13,51 +13,52 @@
 )
 
 const (
-	workerNamePrefix    = "faktory:"      // distinguishes wids from the names that discovery uses
-	rejoinTimeout       = time.Second     // a worker without connections is removed after that
-	runningBeforeWindow = 5 * time.Second // a worker that joins so soon after our start was running before it
+	workerNamePrefix    = "faktory:"      // distinguishes wids from the names of workers from discovery
+	rejoinTimeout       = time.Second     // after which a worker without connections is removed
+	runningBeforeWindow = 5 * time.Second // a worker that joins within this time of our start is taken to be running before
 
-	// maxStartMillis is the latest start that a label may tell, in Unix milliseconds: what a duration holds.
+	// maxStartMillis is the latest start time of a label, in Unix milliseconds: the largest that fits a time.Duration.
 	maxStartMillis = int64(math.MaxInt64 / time.Millisecond)
 )
 
 // Labels of a worker's HELLO, in the form name:value.
 const (
 	labelZone       = "zone"         // name of its zone
-	labelStarted    = "born_ms"      // when it started, in Unix milliseconds
-	labelFences     = "fences:1"     // it asks by START whether a lease still holds
+	labelStarted    = "born_ms"      // when the worker started, in Unix milliseconds
+	labelFences     = "fences:1"     // it starts a job only when START is answered with OK
 	labelIdempotent = "idempotent:1" // it deduplicates jobs by jid
 )
 
-// registeredWorker is one wid, whatever the number of its connections: one worker
-// of the fleet to the dispatcher.
+// registeredWorker is a wid with all its connections. The dispatcher sees it as one
+// worker.
 type registeredWorker struct {
 	server         *Server
 	name           string            // the wid with workerNamePrefix
-	endpoint       decision.Endpoint // as the dispatcher knows it, or will
-	listed         bool              // the dispatcher knows it: it has sent a FETCH
+	endpoint       decision.Endpoint // as the dispatcher knows it, or will once the worker is listed
+	listed         bool              // the dispatcher knows the worker, as it has sent a FETCH
 	guarantee      jobs.Guarantee
-	connections    int                // open ones
-	rejoinDeadline eventloop.Deadline // removes it, while it has no connection
+	connections    int                // number of open ones
+	rejoinDeadline eventloop.Deadline // when the worker is removed; set while it has no connection
 
 	parked        []*parkedFetch     // its free slots, the oldest first
-	reservations  []*slotReservation // durable jobs that wait for its next FETCH to be leased
+	reservations  []*slotReservation // durable jobs that wait for its next FETCH before they are leased
 	awaitingFetch []*jobDelivery     // deliveries that wait for its next FETCH
-	inProgress    int                // jobs handed out and not closed
-	maxSlots      int                // the most it ever had parked and in progress
+	inProgress    int                // number of jobs handed out and not closed by ACK or FAIL
+	maxSlots      int                // highest sum of parked FETCHes and jobs in progress so far
 }
 
-// isRunning reports whether the worker takes jobs: it neither drains nor is gone.
+// isRunning reports whether the worker takes jobs: it is neither draining nor
+// removed.
 func (w *registeredWorker) isRunning() bool { return w.endpoint.State == decision.Running }
 
-// maxWaiting bounds the deliveries, and the reservations, that wait for the
-// worker's next FETCH.
+// maxWaiting is the maximum number of deliveries, and of reservations, that wait
+// for the worker's next FETCH.
 func (w *registeredWorker) maxWaiting() int { return max(w.maxSlots, 1) }
 
-// registerWorker records a connection of a wid. A wid that is new is a worker
-// that has just started and is subject to slow start, unless it was surely
-// running before: it joins right after our own start, or a label gives its
-// start, or there is no other running worker.
+// registerWorker records a connection of a wid. A new wid is taken for a worker
+// that has just started, which is subject to slow start. Exceptions are a worker
+// that joins right after our own start, a worker that joins when no other is
+// running, and one whose label gives another start time.
 func (s *Server) registerWorker(message hello) *registeredWorker {
 	worker := s.workers[workerNamePrefix+message.Wid]
 	if worker == nil {
@@ -75,7 +76,7 @@
 	return worker
 }
 
-// newWorker returns a worker that the dispatcher does not know yet.
+// newWorker returns a worker that is not listed at the dispatcher yet.
 func (s *Server) newWorker(message hello) *registeredWorker {
 	now := s.dispatcher.Loop.Now()
 	worker := &registeredWorker{server: s, name: workerNamePrefix + message.Wid}
@@ -94,7 +95,8 @@
 	return worker
 }
 
-// applyLabels sets what a worker's labels say about it. Others are ignored.
+// applyLabels sets the zone and the start time from a worker's labels. Other labels
+// are ignored.
 func (s *Server) applyLabels(endpoint *decision.Endpoint, labels []string) {
 	for _, label := range labels {
 		name, value, _ := strings.Cut(label, ":")
@@ -122,15 +124,15 @@
 }
 
 // updateEndpoint notifies the dispatcher of a change of the worker's endpoint, if
-// it knows the worker.
+// the worker is listed.
 func (w *registeredWorker) updateEndpoint() {
 	if w.listed {
 		w.server.dispatcher.UpdateWorkers(w.server, decision.ListDelta, []decision.Endpoint{w.endpoint})
 	}
 }
 
-// connectionClosed records the end of a connection of the worker, which is
-// removed if it does not come back in time after the last one.
+// connectionClosed records that a connection of the worker is closed. After the
+// last one the worker is removed unless it reconnects within rejoinTimeout.
 func (w *registeredWorker) connectionClosed() {
 	w.connections--
 	if w.connections == 0 {
@@ -139,7 +141,7 @@
 	}
 }
 
-// remove removes a worker that has gone, and with it what was in progress there.
+// remove removes a worker that has not reconnected, and ends its attempts.
 func (w *registeredWorker) remove() {
 	delete(w.server.workers, w.name)
 	w.endpoint.State = decision.Removed
@@ -150,7 +152,7 @@
 	}
 }
 
-// drain lets a worker finish what it has, and gives it nothing new.
+// drain lets a worker finish its jobs and gives it no new ones.
 func (w *registeredWorker) drain() {
 	if !w.isRunning() {
 		return
@@ -160,8 +162,8 @@
 	w.returnUndelivered()
 }
 
-// returnUndelivered gives back the jobs that wait for the worker's next FETCH:
-// they have not run.
+// returnUndelivered rejects the reservations and ends the attempts that wait for
+// the worker's next FETCH. Their jobs have not run.
 func (w *registeredWorker) returnUndelivered() {
 	for len(w.reservations) > 0 {
 		w.resolveReservation(w.reservations[0], false)
--- a/internal/faktory/workerclient.go
+++ b/internal/faktory/workerclient.go
@@ -5,27 +5,29 @@
 	"hollyyoke.example/hollyyoke/internal/dispatch"
 )
 
-// Subscribe does nothing: workers connect by themselves.
+// Subscribe does nothing: the workers connect to this server.
 func (s *Server) Subscribe() {}
 
-// CloseIdle does nothing: the connections are the workers' own.
+// CloseIdle does nothing: the workers open and close the connections.
 func (s *Server) CloseIdle(string) {}
 
-// CheckHealth answers at once from what is known of a worker.
+// CheckHealth reports the number of a worker's free slots at once, without asking
+// the worker.
 func (s *Server) CheckHealth(name string) {
 	if worker := s.workers[name]; worker != nil {
 		worker.reportFreeSlots()
 	}
 }
 
-// reportFreeSlots reports to the dispatcher how many FETCHes of the worker wait.
+// reportFreeSlots reports the number of the worker's parked FETCHes to the
+// dispatcher.
 func (w *registeredWorker) reportFreeSlots() {
 	report := decision.LoadReport{FreeSlots: float64(len(w.parked)), HasFreeSlots: true}
 	w.server.dispatcher.HealthChecked(w.name, decision.Completed, report)
 }
 
-// Start hands an attempt's job to a parked FETCH of its worker, or lets it wait
-// for the worker's next one.
+// Start answers a parked FETCH of the attempt's worker with its job, or lets the
+// job wait for the worker's next FETCH.
 func (s *Server) Start(attempt dispatch.Attempt) {
 	worker := s.workers[attempt.Worker]
 	if worker == nil || !worker.isRunning() || len(worker.awaitingFetch) >= worker.maxWaiting() {
@@ -44,8 +46,9 @@
 	loop.Set(&delivery.fetchDeadline, loop.Now()+nextFetchTimeout)
 }
 
-// Cancel gives an attempt up and reports whether its job never ran. The
-// protocol cannot call a job back that a worker has.
+// Cancel ends an attempt without a report to the dispatcher, and reports whether
+// its job never ran. The protocol has no way to cancel a job that a worker has
+// fetched.
 func (s *Server) Cancel(handle uint64) (neverRan bool) {
 	delivery := s.deliveries[handle]
 	if delivery == nil {
