--- a/internal/durable/leasing.go
+++ b/internal/durable/leasing.go
@@ -67,7 +67,7 @@
 	}
 	s := a.scheduler
 	s.markLeased(a.assignment)
-	if !s.workers.SendsHeartbeats(job.Worker) { // the lease must last until the deadline of the attempt
+	if !s.workers.SendsHeartbeats(job.Worker) { // instead, the attempt shows that it is alive, up to its deadline
 		deadline := s.dispatcher.Settings.Classes[s.classes[job.Class]].Deadline
 		s.service.Extend(job.ID, job.Fence, s.dispatcher.Loop.Now()+deadline)
 	}
--- a/internal/durable/waiters.go
+++ b/internal/durable/waiters.go
@@ -61,7 +61,7 @@
 // Watch calls onFinal once the job is in a final state that is on disk. It also calls it if there is no such job, or if
 // the service is closed before.
 func (s *Service) Watch(id string, onFinal func(jobs.Job)) {
-	if job, over := s.finalJob(id); over {
+	if job, final := s.finalJob(id); final {
 		onFinal(job)
 		return
 	}
@@ -74,8 +74,8 @@
 	if len(waiting) == 0 {
 		return
 	}
-	job, over := s.finalJob(id)
-	if !over {
+	job, final := s.finalJob(id)
+	if !final {
 		return
 	}
 	delete(s.finalWaiters, id)
@@ -85,7 +85,7 @@
 }
 
 // finalJob returns a job, and reports whether its final state is on disk or there is no such job.
-func (s *Service) finalJob(id string) (job jobs.Job, over bool) {
+func (s *Service) finalJob(id string) (job jobs.Job, final bool) {
 	job, known := s.machine.Get(id)
 	return job, !known || job.State.IsFinal() && s.machine.IsStored(id)
 }
--- a/internal/jobs/explorer_test.go
+++ b/internal/jobs/explorer_test.go
@@ -307,7 +307,7 @@
 	return ""
 }
 
-// explore tries all interleavings of up to depth steps. It returns the number of states visited and the first violation.
+// explore tries all interleavings of up to depth steps. It returns the number of visited states and the first violation.
 func explore(start *system, depth int) (visited int, violation string) {
 	stepsLeftByState := map[string]int{}
 	var walk func(s *system, stepsLeft int) string
--- a/internal/jobs/retry.go
+++ b/internal/jobs/retry.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// maxBackoffDoublings bounds the backoff at InitialBackoff times 2^20, which is some 12 days for an InitialBackoff of 1 s.
+// maxBackoffDoublings bounds the backoff at InitialBackoff times 2^20, about 12 days for an InitialBackoff of 1 s.
 const maxBackoffDoublings = 20
 
 // retryOrFinish schedules the next attempt of an idempotent job that failed, or finishes the job after its last attempt.
--- a/internal/store/schema.go
+++ b/internal/store/schema.go
@@ -68,10 +68,10 @@
 	for ; version < SchemaVersion; version++ {
 		migration := migrations[version]
 		if migration == nil {
-			return fmt.Errorf("no way from schema %d on", version)
+			return fmt.Errorf("there is no migration from schema %d", version)
 		}
 		if err := migration(tx); err != nil {
-			return fmt.Errorf("from schema %d on: %w", version, err)
+			return fmt.Errorf("migration from schema %d: %w", version, err)
 		}
 	}
 	return meta.Put(schemaKey, binary.BigEndian.AppendUint64(nil, SchemaVersion))
--- a/internal/store/schema_test.go
+++ b/internal/store/schema_test.go
@@ -15,7 +15,7 @@
 	store.Close()
 	setSchema(t, path, SchemaVersion-1)
 	_, err := Open(path, Options{})
-	expectError(t, "without a migration", err, "no way from schema 0 on")
+	expectError(t, "without a migration", err, "there is no migration from schema 0")
 
 	migrationFails := true
 	migrations[SchemaVersion-1] = func(tx *bbolt.Tx) error {
