--- a/internal/discovery/acknowledgement.go
+++ b/internal/discovery/acknowledgement.go
@@ -9,43 +9,44 @@
 
 const (
 	defaultAcknowledgeInterval = time.Second
-	idleAcknowledgeInterval    = 30 * time.Second // with nothing new, so that the subscriber counts as alive
-	snapshotRepairInterval     = 5 * time.Minute  // between polls for a complete snapshot after a rejected one
+	idleAcknowledgeInterval    = 30 * time.Second // while there is nothing new, to show that the subscriber is alive
+	snapshotRepairInterval     = 5 * time.Minute  // between polls for a complete snapshot after one was rejected
 
-	// maxFailedAcknowledgements in a row mark the server as failed.
+	// maxFailedAcknowledgements is the number of failed acknowledgements in a row after which the server has failed.
 	maxFailedAcknowledgements = 3
 )
 
-// acknowledgementState is what the server in use has been sent about the version in force.
+// acknowledgementState records the last acknowledgement that was sent to the server in use, and schedules the next one.
 type acknowledgementState struct {
-	version           membership.Version // last sent to the server in use
+	version           membership.Version // that was acknowledged last
 	sentAt            time.Duration
-	scheduled         bool // for a version that was not sent yet
+	scheduled         bool // the timer is set to acknowledge a version that was not acknowledged yet
 	timer             eventloop.Deadline
-	repairRequestedAt time.Duration // when what a rejected change left out was asked for last
+	repairRequestedAt time.Duration // when the content of a rejected change was last requested
 }
 
-// sent records that a poll has acknowledged a version.
-func (a *acknowledgementState) sent(now time.Duration, version membership.Version) {
+// recordSent records that a poll has acknowledged a version.
+func (a *acknowledgementState) recordSent(now time.Duration, version membership.Version) {
 	a.version = version
 	a.sentAt = now
 }
 
-// restart begins with another server in use, whose last poll has acknowledged a version.
+// restart resets the state for another server that is now in use. The last poll of that server has acknowledged version.
 func (a *acknowledgementState) restart(now time.Duration, version membership.Version) {
-	a.sent(now, version)
+	a.recordSent(now, version)
 	a.scheduled = false
 	a.repairRequestedAt = now
 }
 
-// mayAcknowledge reports whether there is a server in use that can be sent an acknowledgement now.
+// mayAcknowledge reports whether an acknowledgement can be sent now: a server is in use, no poll of it is in progress,
+// and it does not answer each poll with a snapshot.
 func (f *membershipFollower) mayAcknowledge() bool {
 	active := f.active
 	return active != nil && !active.poll.inProgress && !active.ignoresVersion
 }
 
-// scheduleAcknowledgement schedules the next poll of the server in use, which sends it the version in force. After a
-// change that is not at once but at a random moment, so that the subscribers of a server do not poll it together.
+// scheduleAcknowledgement schedules the next poll of the server in use, which tells it the version in force. After a
+// change the poll is delayed by a random time, so that the subscribers of a server do not all poll it at once.
 func (f *membershipFollower) scheduleAcknowledgement() {
 	state := &f.acknowledgement
 	if state.scheduled || !f.mayAcknowledge() {
@@ -63,8 +64,9 @@
 	loop.Set(&state.timer, max(state.sentAt+f.config.AcknowledgeInterval, now+jitter))
 }
 
-// acknowledge polls the server in use from the version in force. From time to time it polls from an earlier version
-// instead, for what a rejected change has left out.
+// acknowledge polls the server in use for changes after the version in force, which acknowledges that version. While
+// the content of a rejected change is missing, one poll in each repairInterval continues from completeThrough instead,
+// so that the answer contains what is missing.
 func (f *membershipFollower) acknowledge() {
 	state := &f.acknowledgement
 	state.scheduled = false
@@ -81,7 +83,7 @@
 	f.active.sendPoll(after, f.active.onAcknowledged)
 }
 
-// repairInterval returns the time between polls for what a rejected change has left out.
+// repairInterval returns the time between polls for the content of a rejected change.
 func (f *membershipFollower) repairInterval() time.Duration {
 	if f.inForce.completeThrough == 0 { // the repair is a snapshot
 		return snapshotRepairInterval
@@ -89,7 +91,8 @@
 	return idleAcknowledgeInterval
 }
 
-// onAcknowledged applies the answer to an acknowledgement, which may hold changes that the watch has yet to bring.
+// onAcknowledged applies the answer to an acknowledgement. The answer may contain changes that have not arrived on the
+// watch yet.
 func (s *subscription) onAcknowledged(change membershipChange, err error) {
 	follower := s.follower
 	if err != nil {
--- a/internal/discovery/acknowledgement_test.go
+++ b/internal/discovery/acknowledgement_test.go
@@ -8,7 +8,7 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// A server that answers an acknowledgement with a complete snapshot gets no more of them.
+// A server that answers an acknowledgement with a complete snapshot is sent no further acknowledgements.
 func TestNoAcknowledgementToServerThatIgnoresVersion(t *testing.T) {
 	server := newServer(t)
 	follower := startFollower(t, server).loadInitial(``)
@@ -28,7 +28,7 @@
 	})
 }
 
-// An acknowledgement is retried on a new connection where the server has closed the kept one.
+// An acknowledgement is retried on a new connection if the server has closed the kept one.
 func TestAcknowledgementOnClosedConnection(t *testing.T) {
 	server := newServer(t)
 	follower := startFollower(t, server).loadInitial(``)
@@ -52,8 +52,8 @@
 	testkit.Until(t, "it is acknowledged", func() bool { return follower.stats().Acknowledged >= 2 })
 }
 
-// After a rejected change only the version before it is acknowledged as in force, until a poll brings what was left
-// out.
+// After a rejected change, only the version before it is acknowledged as in force until the answer to a poll contains
+// what is missing.
 func TestRepairAfterRejectedChange(t *testing.T) {
 	server := newServer(t)
 	follower := startFollower(t, server).loadInitial(``)
--- a/internal/discovery/applychange.go
+++ b/internal/discovery/applychange.go
@@ -7,17 +7,17 @@
 	"hollyyoke.example/hollyyoke/internal/membership"
 )
 
-// changeOutcome is what became of a change.
+// changeOutcome is the result of applying a change.
 type changeOutcome uint8
 
 const (
 	changeApplied    changeOutcome = iota
-	changeStale                    // it holds nothing newer
-	changeRejected                 // some of it is wrong: none of it was applied
-	changeMismatched               // it is newer, but continues from another state than the one in force
+	changeStale                    // not newer than the version in force, and no repair of it
+	changeRejected                 // some of it is invalid, so none of it was applied
+	changeMismatched               // newer, but based on a state other than the one in force
 )
 
-// apply puts a change in force as a whole, unless it is stale, wrong or made for another state.
+// apply puts a change in force as a whole, unless it is stale, invalid or based on another state.
 func (f *membershipFollower) apply(change membershipChange) changeOutcome {
 	inForce := &f.inForce
 	if change.version < inForce.version || change.version == inForce.version && !inForce.repairs(change) {
@@ -45,8 +45,8 @@
 	return changeApplied
 }
 
-// validate checks all of a change. Its settings are put in force, unless there is an error: they come last, since
-// whatever applies them checks them itself.
+// validate checks the whole change and, if everything else in it is valid, puts its settings in force. The settings come
+// last because the function that applies them also checks them.
 func (f *membershipFollower) validate(change membershipChange) ([]decision.Endpoint, error) {
 	if change.typeError != nil {
 		return nil, change.typeError
@@ -58,7 +58,7 @@
 	return entries, f.applySettings(change.settings)
 }
 
-// reject logs a change that is wrong, once for each version.
+// reject counts and logs an invalid change, once for each version.
 func (f *membershipFollower) reject(version membership.Version, cause error) {
 	if version <= f.rejectedVersion {
 		return
--- a/internal/discovery/applychange_test.go
+++ b/internal/discovery/applychange_test.go
@@ -10,8 +10,8 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// A change of which any part is wrong is rejected as a whole with one log line that names the field; what was in force
-// stays, and the next valid change applies.
+// A change of which any part is invalid is rejected as a whole, with one log line that names the field. The previous
+// state stays in force, and the next valid change is applied.
 func TestInvalidChangeIsRejectedAsAWhole(t *testing.T) {
 	good := `{"host":"a","dial":"127.0.0.1:9","health":"draining"}`
 	for field, object := range map[string]string{
@@ -43,8 +43,8 @@
 	}
 }
 
-// Settings of a change are put in force at the dispatcher. One that cannot change while the program runs rejects the
-// whole change.
+// The settings of a change are put in force at the dispatcher. If one of them cannot change while the program runs, the
+// whole change is rejected.
 func TestSettingsReachTheDispatcher(t *testing.T) {
 	server := newServer(t)
 	follower := startFollower(t, server).loadInitial(``)
@@ -64,7 +64,8 @@
 	}
 }
 
-// Settings and endpoints of one change are put in force together: another turn of the event loop sees both or none.
+// The settings and endpoints of one change are put in force together: any other turn of the event loop sees both or
+// neither.
 func TestSettingsAndEndpointsApplyTogether(t *testing.T) {
 	server := newServer(t)
 	follower := startFollower(t, server).loadInitial(``)
@@ -103,7 +104,7 @@
 }
 
 // A drain is in force in the turn of the event loop in which its bytes are read, so that an attempt that starts right
-// after does not go there.
+// afterwards is not sent to the draining worker.
 func TestDrainAppliesInSameLoopTurn(t *testing.T) {
 	server := newServer(t)
 	follower := startFollower(t, server).loadInitial(``)
@@ -112,18 +113,18 @@
 	server.expectRequest(pollQuery(5)) // not answered, so that all bytes from now on are the drain's
 	before := follower.stats().BytesRead
 	watch.sendLine(encodeChange(6, false, "a=draining"))
-	testkit.Until(t, "the drain is read", func() (taken bool) {
+	testkit.Until(t, "the drain is read", func() (read bool) {
 		follower.Do(func() {
-			taken = follower.registry.stats.BytesRead > before
-			if state := follower.registry.workers["a"].State; taken && state != decision.Draining {
+			read = follower.registry.stats.BytesRead > before
+			if state := follower.registry.workers["a"].State; read && state != decision.Draining {
 				t.Errorf("the next turn sees %v", state)
 			}
 		})
-		return taken
+		return read
 	})
 }
 
-// A delta that applies to one state alone is not applied to another: the server is polled again.
+// An exact delta is not applied to a state other than its base; the server is polled again instead.
 func TestExactDeltaForAnotherState(t *testing.T) {
 	server := newServer(t)
 	follower := startFollower(t, server).loadInitial(``)
@@ -131,7 +132,7 @@
 	server.expectRequest(pollQuery(5)).answer(encodeChange(6, false, "b=draining")) // the watch is still at 5
 	follower.waitForVersion(6, "a=ready b=draining")
 	exact := strings.Replace(encodeChange(8, false, "a=draining"), `"whole":false`, `"whole":false,"exact":true`, 1)
-	watch.sendLine(exact) // b has changed back meanwhile, which a delta from 5 does not tell
+	watch.sendLine(exact) // b has changed back meanwhile, which a delta from version 5 does not contain
 	again := server.expectRequest(pollQuery(6))
 	if follower.version() != 6 || follower.workers() != "a=ready b=draining" {
 		t.Fatalf("version %d: %s", follower.version(), follower.workers())
@@ -139,7 +140,7 @@
 	testkit.Until(t, "the snapshot is in force", func() bool {
 		again.answer(encodeChange(8, true, "a=draining", "b=ready"))
 		select {
-		case again = <-server.requests: // the first one may have been an acknowledgement that the watch's end overtook
+		case again = <-server.requests: // the earlier one may have been an acknowledgement that was sent before the watch ended
 		default:
 		}
 		return follower.version() == 8
@@ -147,7 +148,7 @@
 	follower.waitForVersion(8, "a=draining b=ready")
 }
 
-// An exact delta that continues from the state in force is applied like any other.
+// An exact delta that continues from the state in force is applied like any other delta.
 func TestExactDeltaThatFits(t *testing.T) {
 	server := newServer(t)
 	follower := startFollower(t, server).loadInitial(``)
--- a/internal/discovery/change.go
+++ b/internal/discovery/change.go
@@ -17,16 +17,16 @@
 	version     membership.Version
 	snapshot    bool
 	exact       bool               // a delta that applies to the state at base alone, as in membership.Change
-	missingFrom membership.Version // the first version of which the sender misses something; 0: none
+	missingFrom membership.Version // the first version of which the sender lacks some content; 0 if it lacks nothing
 	endpoints   []endpoint
 	settings    []settingChange
 
-	base      membership.Version // that a delta continues from: the one asked for, or the one before it on the watch
-	typeError error              // the first field whose value has the wrong JSON type
+	base      membership.Version // that a delta continues from: the one polled from, or the previous one on the watch
+	typeError error              // describes the first field whose value has the wrong JSON type; nil if all types are right
 }
 
-// maxElements bounds the arrays of a change, since an element of three bytes of text takes a hundred times as many in
-// memory.
+// maxElements bounds the length of the arrays of a change. An element that is three bytes of text takes a hundred times
+// as many bytes in memory.
 const maxElements = 200_000
 
 var (
@@ -34,9 +34,9 @@
 	errTrailingData    = errors.New("there is data after the object")
 )
 
-// decodeChange reads one object and the end of the text. It decodes element by element as bytes come, so that the text
-// of a large snapshot is never in memory at once. A value of the wrong type sets typeError and is no error here, so
-// that the version is known of a change that is rejected.
+// decodeChange reads one object, after which the text must end. It decodes element by element as bytes arrive, so that
+// the text of a large snapshot is never in memory as a whole. A value of the wrong type sets typeError instead of
+// returning an error, so that the version of the rejected change is known.
 func decodeChange(source io.Reader) (membershipChange, error) {
 	var change membershipChange
 	decoder := json.NewDecoder(source)
@@ -81,8 +81,8 @@
 	return decoder.Decode(&skipped)
 }
 
-// decodeArray reads an array, or null for none, element by element. The first element with a value of the wrong type
-// is described in typeError, unless that is set already, and the rest is read all the same.
+// decodeArray reads an array element by element; null is read as an empty array. The first element with a value of the
+// wrong type is described in typeError, unless that is already set, and the remaining elements are read as well.
 func decodeArray[T any](decoder *json.Decoder, field string, out *[]T, typeError *error) error {
 	token, err := decoder.Token()
 	switch {
@@ -111,7 +111,7 @@
 	return expectToken(decoder, json.Delim(']'))
 }
 
-// expectToken reads one token and fails if it is another than want.
+// expectToken reads one token and returns an error if it differs from want.
 func expectToken(decoder *json.Decoder, want json.Token) error {
 	token, err := decoder.Token()
 	if err != nil {
@@ -123,14 +123,15 @@
 	return nil
 }
 
-// describeTypeError names the field of a value of the wrong JSON type. Other errors, and nil, are returned as they are.
+// describeTypeError returns an error that names the field if err reports a value of the wrong JSON type. Other errors,
+// and nil, are returned unchanged.
 func describeTypeError(field string, err error) error {
-	wrong, ok := errors.AsType[*json.UnmarshalTypeError](err)
+	typeError, ok := errors.AsType[*json.UnmarshalTypeError](err)
 	if !ok {
 		return err
 	}
-	if wrong.Field != "" {
-		field += "." + wrong.Field
+	if typeError.Field != "" {
+		field += "." + typeError.Field
 	}
-	return fmt.Errorf("%s: unexpected %s", field, wrong.Value)
+	return fmt.Errorf("%s: unexpected %s", field, typeError.Value)
 }
--- a/internal/discovery/change_test.go
+++ b/internal/discovery/change_test.go
@@ -8,7 +8,8 @@
 	"testing/iotest"
 )
 
-// FuzzDecodeChange checks that decodeChange reads what encoding/json reads of the whole text, also byte by byte.
+// FuzzDecodeChange checks that decodeChange returns the same content as encoding/json does for the whole text, and that
+// it does not depend on how the bytes arrive.
 func FuzzDecodeChange(f *testing.F) {
 	f.Add([]byte(encodeChange(3, true, "a=ready")))
 	f.Add([]byte(`{"seq":1,"more":[{}],"hosts":null,"settings":[{"key":"k","value":[1]}]}`))
--- a/internal/discovery/descriptors_test.go
+++ b/internal/discovery/descriptors_test.go
@@ -13,8 +13,9 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-// newSmallRig returns a rig whose engine has few descriptors, and a front end, with connection limits or without.
-func newSmallRig(t *testing.T, limited bool) (rig *testkit.Rig, frontEnd *httpfront.FrontEnd, addr string) {
+// newRigWithFewDescriptors returns a rig whose engine has few descriptors, with a front end that has connection limits
+// if limited is set.
+func newRigWithFewDescriptors(t *testing.T, limited bool) (rig *testkit.Rig, frontEnd *httpfront.FrontEnd, addr string) {
 	t.Helper()
 	const descriptors = 64
 	rig = testkit.NewRig(t).WithSubscription(t, 1, 10*time.Second)
@@ -39,7 +40,7 @@
 	return rig, frontEnd, addr
 }
 
-// gateConfig returns connection limits of which the number of descriptors alone binds.
+// gateConfig returns connection limits of which only the number of descriptors takes effect.
 func gateConfig(usable int) listener.Config {
 	return listener.Config{
 		Limits: connlimit.Config{
@@ -56,12 +57,12 @@
 	}
 }
 
-// Idle clients and attempts hold all descriptors that they can get while discovery is down: it is called all the same,
+// Idle clients and attempts hold all descriptors that they can get while discovery is down. Discovery is still called,
 // and its list is applied once it is back.
 func TestDiscoveryHasReservedDescriptor(t *testing.T) {
 	for _, limited := range []bool{false, true} {
 		t.Run(fmt.Sprint("limited ", limited), func(t *testing.T) {
-			rig, frontEnd, frontEndAddr := newSmallRig(t, limited)
+			rig, frontEnd, frontEndAddr := newRigWithFewDescriptors(t, limited)
 			silentAddr, _ := listenForCalls(t) // accepts connections and never answers
 			for range 100 {                    // idle clients
 				if conn, err := net.Dial("tcp", frontEndAddr); err == nil {
--- a/internal/discovery/discoveryserver_test.go
+++ b/internal/discovery/discoveryserver_test.go
@@ -11,7 +11,7 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// An initial endpoint list, and a later snapshot of discovery that replaces it.
+// An initial endpoint list, and a later snapshot from discovery that replaces it.
 const (
 	initialList   = `{"seq":41,"hosts":[{"host":"old","dial":"127.0.0.1:9","health":"ready"}]}`
 	laterSnapshot = `{"seq":43,"whole":true,"hosts":[{"host":"new","dial":"127.0.0.1:9","health":"ready"}]}`
@@ -29,7 +29,7 @@
 	return registry
 }
 
-// stubClient is a worker client without connections: the tests are about the registry's list alone.
+// stubClient is a worker client without connections, since the tests only concern the registry's list.
 type stubClient struct{ registry *Registry }
 
 func (stubClient) Start(dispatch.Attempt) {}
@@ -98,7 +98,7 @@
 	})
 }
 
-// listenForCalls starts a stand-in for discovery, which answers no call by itself.
+// listenForCalls starts a stand-in for discovery. It passes each call on to the test and answers none by itself.
 func listenForCalls(t *testing.T) (addr string, calls chan discoveryCall) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/discovery/endpointlist.go
+++ b/internal/discovery/endpointlist.go
@@ -17,15 +17,15 @@
 // the initial endpoint list in the configuration and the handover to a successor.
 type endpointList struct {
 	Version   int64      `json:"seq"`
-	Snapshot  bool       `json:"whole"` // the list is complete; false: it holds changes alone
+	Snapshot  bool       `json:"whole"` // the list is complete; otherwise it contains only changes
 	Endpoints []endpoint `json:"hosts"`
 
-	// Settings are all settings that were changed up to Version. nil: the sender does not know of any, which is
-	// different from an empty list.
+	// Settings are all settings that were changed up to Version. nil means that the sender does not know them; an empty
+	// list means that none were changed.
 	Settings []settingChange `json:"settings,omitzero"`
 
-	// AgeMs is how long ago, in milliseconds, the process that hands the list over last received all that discovery
-	// had. nil: unknown, as in discovery's own lists.
+	// AgeMs is how long ago, in milliseconds, the process that hands the list over last received everything that
+	// discovery had. It is nil if that is unknown, as in discovery's own lists.
 	AgeMs *int64 `json:"age_ms,omitempty"`
 }
 
@@ -33,12 +33,12 @@
 // the name of this type.
 type endpoint membership.Endpoint
 
-// maxStartedAtMs bounds the start times that are believed: what a duration holds. Later ones count as unknown.
+// maxStartedAtMs is the largest start time that fits into a time.Duration. Later start times count as unknown.
 const maxStartedAtMs = float64(math.MaxInt64 / time.Millisecond)
 
 var errNoName = errors.New("host is empty")
 
-// CheckList returns what is wrong with an initial endpoint list in its wire form, and applies none of it. The empty
+// CheckList returns an error if an initial endpoint list in its wire form is invalid, and applies none of it. The empty
 // text is a valid list.
 func (r *Registry) CheckList(raw []byte) error {
 	if len(raw) == 0 {
@@ -55,7 +55,8 @@
 	return nil
 }
 
-// parse checks a list and applies none of it. An error names the field by its keys on the wire.
+// parse checks a list and converts it to the dispatcher's form, and applies none of it. An error names the field by its
+// keys on the wire.
 func (r *Registry) parse(list []endpoint) ([]decision.Endpoint, error) {
 	entries := make([]decision.Endpoint, 0, len(list))
 	for i := range list {
@@ -68,13 +69,13 @@
 	return entries, nil
 }
 
-// parseEndpoint checks one endpoint. The address of a removed worker is not checked.
+// parseEndpoint checks and converts one endpoint. The address of a removed worker is not checked.
 func (r *Registry) parseEndpoint(listed *endpoint) (decision.Endpoint, error) {
 	entry := decision.Endpoint{
 		Name:   listed.Name,
 		Cell:   listed.Cell,
 		Weight: listed.Weight,
-		Zone:   slices.Index(r.dispatcher.Settings.ZoneNames, listed.Zone), // -1: a zone that no setting names
+		Zone:   slices.Index(r.dispatcher.Settings.ZoneNames, listed.Zone), // -1 if no setting names the zone
 		Kind:   slices.Index(r.dispatcher.Settings.KindNames, listed.Kind),
 	}
 	if listed.StartedAtMs > 0 && listed.StartedAtMs < maxStartedAtMs {
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -10,26 +10,26 @@
 	"hollyyoke.example/hollyyoke/internal/membership"
 )
 
-// FollowConfig is how a dispatcher follows membership servers.
+// FollowConfig configures how a dispatcher follows membership servers.
 type FollowConfig struct {
-	Name                string              // the subscriber's name, the same after a restart
-	Zone                string              // whose servers are preferred
+	Name                string              // the subscriber's name, which must stay the same across restarts
+	Zone                string              // the dispatcher's zone, whose servers are preferred
 	Servers             []membership.Server // relays and origins, at least one
-	AcknowledgeInterval time.Duration       // least time between acknowledgements; 0: one second
+	AcknowledgeInterval time.Duration       // least time between acknowledgements; 0 stands for one second
 	Seed                uint64              // of the jitter
 }
 
-// An attempt that has no connection by connectStagger, or no response by answerStagger, does not hold up the next one
-// and continues beside it: the first to catch up is used. connectStagger covers a round trip between regions,
-// answerStagger a server that is busy.
+// The next attempt is started once an attempt has had no connection for connectStagger, or no response for
+// answerStagger. The earlier attempt continues in parallel, and the first one to catch up is used. connectStagger covers
+// a round trip between regions, answerStagger a server that is busy.
 const (
 	connectStagger = 150 * time.Millisecond
 	answerStagger  = 500 * time.Millisecond
-	receiveStagger = 3 * time.Second // for a response that has begun
-	maxReceiving   = 2               // responses that arrive at a time
+	receiveStagger = 3 * time.Second // the same for a response that has begun to arrive
+	maxReceiving   = 2               // responses arriving at a time; while there are as many, no attempt is started
 )
 
-// followerRandomStream is the PCG stream of the jitter, apart from others of the same seed.
+// followerRandomStream is the PCG stream of the jitter, which makes it independent of other streams with the same seed.
 const followerRandomStream = 1
 
 // membershipFollower follows membership servers: it chooses the one in use, replaces one that failed, moves back to a
@@ -41,21 +41,20 @@
 	random   *rand.Rand
 
 	inForce         stateInForce
-	rejectedVersion membership.Version // the newest that was rejected
+	rejectedVersion membership.Version // newest version that was rejected
 
 	selector     *membership.Selector
-	active       *subscription      // in use; nil: none
-	candidates   []*subscription    // that may come into use
+	active       *subscription      // the one in use; nil if there is none
+	candidates   []*subscription    // attempts in progress, one of which may become active
 	attemptTimer eventloop.Deadline // starts the next attempt at a server
 	lastServer   string             // address of the server used last
-	outageLogged bool               // the present outage has its log line
+	outageLogged bool               // the present outage has been logged
 
 	acknowledgement acknowledgementState
 }
 
 // Follow makes the registry follow membership servers in place of the discovery watch. It must be called before
-// LoadInitial. Called again, it takes over other servers and another zone: the server in use stays until a better one
-// has caught up.
+// LoadInitial. A later call replaces the servers and the zone; the server in use stays until a better one has caught up.
 func (r *Registry) Follow(config FollowConfig) {
 	if config.AcknowledgeInterval <= 0 {
 		config.AcknowledgeInterval = defaultAcknowledgeInterval
@@ -78,8 +77,8 @@
 	r.follower = follower
 }
 
-// start begins to follow from the initial list. Servers continue from its version only if the list has the settings of
-// that version, as a predecessor's has.
+// start begins to follow from the initial list. Servers are asked to continue from its version only if the list contains
+// the settings of that version, as the list of a predecessor does.
 func (f *membershipFollower) start(list *endpointList) {
 	f.inForce.version = membership.Version(list.Version)
 	if list.Settings != nil {
@@ -111,8 +110,8 @@
 	}
 }
 
-// attemptNext starts an attempt at the next server, unless one in progress is promising. It returns how long to wait
-// before the next call.
+// attemptNext starts an attempt at the next server, unless an attempt in progress has the exclusive right to continue
+// for now, or maxReceiving responses are arriving. It returns how long to wait before the next call.
 func (f *membershipFollower) attemptNext(now time.Duration) time.Duration {
 	var exclusive time.Duration
 	receiving := 0
@@ -137,7 +136,7 @@
 }
 
 // attemptPreferred starts an attempt at a server that is preferred to the one in use. It returns how long to wait
-// before the next call; 0: no server is preferred.
+// before the next call, or 0 if no server is preferred.
 func (f *membershipFollower) attemptPreferred(now time.Duration) time.Duration {
 	if len(f.candidates) > 0 {
 		return answerStagger
@@ -157,7 +156,7 @@
 	candidate.start()
 }
 
-// activate puts a server in use that has caught up, and gives up the one before and all other candidates.
+// activate puts a subscription that has caught up in use, and closes the previous one and all other candidates.
 func (f *membershipFollower) activate(chosen *subscription) {
 	now := f.registry.dispatcher.Loop.Now()
 	previous := f.active
@@ -178,7 +177,7 @@
 	f.connect()
 }
 
-// abandon closes a subscription in favour of another, which is no failure of its server.
+// abandon closes a subscription in favour of another, without marking its server as failed.
 func (f *membershipFollower) abandon(abandoned *subscription) {
 	f.selector.MarkAbandoned(abandoned.server.Address)
 	abandoned.close()
@@ -207,7 +206,7 @@
 		loop.Clear(&f.acknowledgement.timer)
 		f.outageLogged = false
 	}
-	f.candidates = slices.DeleteFunc(f.candidates, func(lost *subscription) bool { return lost == failed })
+	f.candidates = slices.DeleteFunc(f.candidates, func(candidate *subscription) bool { return candidate == failed })
 	if f.active == nil && !f.outageLogged {
 		f.outageLogged = true // one log line for an outage, not one for each attempt
 		f.registry.dispatcher.Log("membership: " + failed.server.Address + ": " + cause.Error())
--- a/internal/discovery/follower_test.go
+++ b/internal/discovery/follower_test.go
@@ -9,8 +9,8 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// Without faults: a compressed or plain snapshot, deltas on the watch, and an acknowledgement after each, on the
-// connection that is kept.
+// Following a server without faults: a compressed or plain snapshot, deltas on the watch, and after each of them an
+// acknowledgement on the connection that is kept.
 func TestFollow(t *testing.T) {
 	for _, compressed := range []bool{true, false} {
 		server := newServer(t)
@@ -32,9 +32,9 @@
 		acknowledgement.answer(encodeChange(7, false))
 		watch.sendLine(encodeChange(9, false, "a=draining", "c=ready"))
 		follower.waitForVersion(9, "a=draining b=ready c=ready")
-		server.expectRequest(pollQuery(9)).answer(encodeChange(10, false, "b=gone")) // which the watch has yet to bring
+		server.expectRequest(pollQuery(9)).answer(encodeChange(10, false, "b=gone")) // has not arrived on the watch yet
 		follower.waitForVersion(10, "a=draining c=ready")
-		watch.sendLine(encodeChange(10, false, "b=gone")) // as it does now
+		watch.sendLine(encodeChange(10, false, "b=gone")) // now it has
 		watch.sendLine(encodeChange(11, false, "a=gone"))
 		follower.waitForVersion(11, "c=ready")
 		testkit.Until(t, "version 11 is acknowledged", func() bool {
@@ -63,8 +63,8 @@
 	}
 }
 
-// A server fails in the middle of a change: none of it is in force, and the next server is polled from the version in
-// force.
+// A server fails in the middle of a change. No part of the change is applied, and the next server is polled from the
+// version in force.
 func TestServerFailsMidChange(t *testing.T) {
 	local := newServer(t)
 	remote := newRemoteServer(t)
@@ -88,11 +88,11 @@
 	}
 }
 
-// A server that is behind never replaces the version in force: it is skipped, whether it answers the first poll with a
-// status or an older version, or sends an older version on its watch.
+// A server that is behind never replaces the version in force. It is skipped, whether it answers the first poll with an
+// error status or an older version, or sends an older version on its watch.
 func TestServersBehindAreSkipped(t *testing.T) {
 	old := encodeChange(3, true, "old=ready")
-	for name, behind := range map[string]func(*testServer){
+	for name, serveOldVersion := range map[string]func(*testServer){
 		"a status":       func(s *testServer) { s.expectRequest(pollQuery(5)).answerUnavailable() },
 		"older snapshot": func(s *testServer) { s.expectRequest(pollQuery(5)).answer(old) },
 		"older delta":    func(s *testServer) { s.expectRequest(pollQuery(5)).answerCompressed(encodeChange(4, false)) },
@@ -110,7 +110,7 @@
 			follower.waitForServer(local)
 			local.stop()
 			next, last := orderOfPolls(t, second, third)
-			behind(next)
+			serveOldVersion(next)
 			last.serveFirstPoll(5, encodeChange(6, false, "b=ready"), 6)
 			follower.waitForVersion(6, "a=ready b=ready")
 			follower.waitForServer(last)
@@ -118,7 +118,8 @@
 	}
 }
 
-// orderOfPolls returns the one of two servers that is polled first, with the poll among its requests, and the other one.
+// orderOfPolls waits until one of two servers is polled. It returns that server, with the poll put back among its
+// requests, and the other one.
 func orderOfPolls(t *testing.T, one, two *testServer) (first, last *testServer) {
 	t.Helper()
 	var poll request
@@ -136,7 +137,7 @@
 	return first, last
 }
 
-// A server is restarted with an older version than it had.
+// A server is restarted with an older version than it had. The version in force stays until the server has a newer one.
 func TestRestartedServerWithOlderVersion(t *testing.T) {
 	server := newServer(t)
 	follower := startFollower(t, server).loadInitial(``)
@@ -157,7 +158,7 @@
 	follower.waitForVersion(9, "a=ready")
 }
 
-// Of two servers of the zone one is behind: the version of the other is put in force.
+// One of the two servers in the zone is behind. The version of the other one is put in force.
 func TestTwoServersOneBehind(t *testing.T) {
 	one := newServer(t)
 	two := newServer(t)
@@ -180,7 +181,8 @@
 	t.Fatal("the server that is not behind is not polled")
 }
 
-// All servers are down at the start: the initial list is used after its timeout, and the server that comes up is found.
+// All servers are down at the start. The initial list is used after its timeout, and a server that comes up later is
+// found.
 func TestAllServersDownAtStart(t *testing.T) {
 	local := newServer(t)
 	remote := newRemoteServer(t)
@@ -196,24 +198,24 @@
 		t.Errorf("the outage has %d log lines: %q", n, follower.logLines)
 	}
 	remote.restart()
-	remote.serveFirstPoll(0, encodeChange(44, true, "k=draining"), 44) // its settings are unknown, so a snapshot is asked for
+	remote.serveFirstPoll(0, encodeChange(44, true, "k=draining"), 44) // the initial list has no settings, so a snapshot is requested
 	follower.waitForVersion(44, "k=draining")
 }
 
-// The follower returns to the server of its own zone once that works, and not before it has caught up.
+// The follower returns to the server of its own zone once that server works again, but not before it has caught up.
 func TestReturnToLocalZone(t *testing.T) {
 	local := newServer(t)
 	remote := newRemoteServer(t)
 	local.stop()
 	follower := startFollower(t, local, remote).loadInitial(``)
-	away := remote.serveFirstPoll(0, encodeChange(5, true, "a=ready"), 5)
+	remoteWatch := remote.serveFirstPoll(0, encodeChange(5, true, "a=ready"), 5)
 	follower.waitForServer(remote)
 	local.restart()
 	follower.Do(func() { follower.makeAttemptDue() })
-	back := local.expectRequest(pollQuery(5))
-	away.sendLine(encodeChange(6, false, "b=ready"))
+	localPoll := local.expectRequest(pollQuery(5))
+	remoteWatch.sendLine(encodeChange(6, false, "b=ready"))
 	follower.waitForVersion(6, "a=ready b=ready")
-	back.answer(encodeChange(5, false)) // behind by now
+	localPoll.answer(encodeChange(5, false)) // behind the version in force by now
 	testkit.Until(t, "it is skipped", func() (none bool) {
 		follower.Do(func() { none = len(follower.registry.follower.candidates) == 0 })
 		return none
@@ -221,20 +223,20 @@
 	follower.waitForServer(remote)
 	follower.Do(func() { follower.makeAttemptDue() })
 	local.expectRequest(pollQuery(6)).answer(encodeChange(6, false))
-	watch := local.expectRequest(watchQuery(6))
-	watch.openWatch()
-	away.sendLine(encodeChange(7, false, "c=ready"))
+	localWatch := local.expectRequest(watchQuery(6))
+	localWatch.openWatch()
+	remoteWatch.sendLine(encodeChange(7, false, "c=ready"))
 	follower.waitForVersion(7, "a=ready b=ready c=ready")
-	watch.sendLine(encodeChange(6, false))
-	follower.Do(func() {}) // behind again: the server in use stays
+	localWatch.sendLine(encodeChange(6, false))
+	follower.Do(func() {}) // the local server is behind again, so the one in use stays
 	follower.waitForServer(remote)
-	watch.sendLine(encodeChange(7, false, "c=ready"))
+	localWatch.sendLine(encodeChange(7, false, "c=ready"))
 	follower.waitForServer(local)
-	watch.sendLine(encodeChange(8, false, "a=gone"))
+	localWatch.sendLine(encodeChange(8, false, "a=gone"))
 	follower.waitForVersion(8, "b=ready c=ready")
 }
 
-// Follow is called again with other servers: the one in use stays until a new one has caught up.
+// Follow is called again with other servers. The server in use stays until a new one has caught up.
 func TestFollowAgainWithOtherServers(t *testing.T) {
 	old := newServer(t)
 	next := newServer(t)
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -10,7 +10,7 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// The requests to discovery: the first call, with an agent and by subscription, and the one after a version.
+// The requests to discovery: the first call and the call after a version is known, both to an agent and by subscription.
 func TestGoldenDiscoveryRequests(t *testing.T) {
 	var text strings.Builder
 	for _, bySubscription := range []bool{false, true} {
@@ -30,8 +30,8 @@
 	goldentest.CompareHTTP(t, "discoveryrequests.golden", text.String())
 }
 
-// The requests to a membership server: the poll that catches up, the watch, and acknowledgements, also of a state in
-// which a change is missing.
+// The requests to a membership server: the poll that catches up, the watch, and acknowledgements of a complete state and
+// of one in which a change is missing.
 func TestGoldenMembershipRequests(t *testing.T) {
 	rig := testkit.NewRig(t)
 	addr, accept := testkit.ListenOnLoopback(t)
@@ -53,6 +53,6 @@
 	request{Conn: call.Conn}.answer(encodeChange(5, false))
 	request{Conn: watch.Conn}.sendLine(encodeChange(6, false, "a=draining", "b=asleep")) // rejected
 	request{Conn: watch.Conn}.sendLine(encodeChange(7, false, "c=ready"))
-	text.WriteString(call.ReadRequest(0)) // with what is missing
+	text.WriteString(call.ReadRequest(0)) // the acknowledgement of a state in which version 6 is missing
 	goldentest.CompareHTTP(t, "membershiprequests.golden", text.String())
 }
--- a/internal/discovery/handover.go
+++ b/internal/discovery/handover.go
@@ -31,7 +31,7 @@
 }
 
 // Import applies the list that a predecessor process has exported, unless this process has already received a list from
-// the source. Nothing is applied of a list that is wrong, for which an error is returned.
+// the source. An invalid list is rejected as a whole with an error.
 func (r *Registry) Import(raw json.RawMessage) error {
 	if r.watch.established || r.follower != nil && r.follower.active != nil {
 		return nil
@@ -56,7 +56,8 @@
 	return nil
 }
 
-// replaceAll puts a complete list, which has been adopted, in place of what is known. The initial list stays withheld.
+// replaceAll replaces the known workers by a complete list, which has been adopted. If the initial list is still
+// withheld, the complete list takes its place and stays withheld.
 func (r *Registry) replaceAll(entries []decision.Endpoint) {
 	r.removeUnlisted(entries)
 	if r.initial.withheld() {
--- a/internal/discovery/httpconn.go
+++ b/internal/discovery/httpconn.go
@@ -12,28 +12,28 @@
 const (
 	connectTimeout = time.Second
 
-	// responseIdleTimeout is the longest time without a byte of a response; a watch has one every 2 s.
+	// responseIdleTimeout is the longest time without a byte of a response; a watch sends one at least every 2 s.
 	responseIdleTimeout = 3 * time.Second
 )
 
 var errConnectionClosed = errors.New("the connection was closed")
 
-// httpConn is a client connection to a membership server. It carries one request at a time and is kept for the next
-// one. Its callbacks run on the event loop's goroutine and must be set before the first request.
+// httpConn is an HTTP client for one membership server. It carries one request at a time, and keeps the connection open
+// for the next one. Its callbacks run on the event loop's goroutine and must be set before the first request.
 type httpConn struct {
 	registry     *Registry
 	address      string // host:port
 	headerFields string // of each request, each field ended by CRLF
 
 	onConnected func()                   // a connection was established
-	onProgress  func()                   // a part of the response has come, not its end
+	onProgress  func()                   // a part of the response has arrived, but not its end
 	onBody      func(piece []byte) error // takes a piece of the body; an error ends the request
 	onDone      func(err error)          // the request is complete, or has failed
 
-	conn             *transport.Conn // nil: none
-	generation       int             // counts connections: what a callback of an earlier one brings is ignored
+	conn             *transport.Conn // nil if none is open
+	generation       int             // counts connections, so that callbacks of earlier ones are ignored
 	request          []byte
-	awaitingResponse bool // or its rest
+	awaitingResponse bool // the request in progress has no complete response yet
 	reused           bool // the connection has carried a response before, and may have been closed unnoticed since
 	response         responseReader
 	gzipped          bool // the body of the latest response is compressed
@@ -47,7 +47,7 @@
 	_ responseConsumer  = (*httpConn)(nil)
 )
 
-// get sends a GET request, on the connection that is open or on a new one.
+// get sends a GET request, on the open connection if there is one and otherwise on a new one.
 func (h *httpConn) get(target string) {
 	h.request = appendGetRequest(h.request[:0], h.address, target, h.headerFields)
 	h.awaitingResponse = true
@@ -106,15 +106,15 @@
 	h.registry.stats.BytesWritten += int64(len(h.request))
 }
 
-// restartTimeout gives the server time for its next bytes.
+// restartTimeout allows the server responseIdleTimeout for its next bytes.
 func (h *httpConn) restartTimeout() {
 	h.timeoutExtended = false
 	loop := h.registry.dispatcher.Loop
 	loop.Set(&h.timeout, loop.Now()+responseIdleTimeout)
 }
 
-// onTimeout ends a request on which nothing has come in time. Where bytes are waiting to be read, it is extended once,
-// and not again.
+// onTimeout fails a request for which nothing has arrived in time. If bytes are waiting to be read, the timeout is
+// extended instead, but only once.
 func (h *httpConn) onTimeout() {
 	if h.conn == nil || h.timeoutExtended || h.conn.AllRead() {
 		h.finish(errTimeout)
@@ -125,7 +125,7 @@
 	loop.Set(&h.timeout, loop.Now()+unreadDataGrace)
 }
 
-// OnData implements transport.Handler: it reads what the server has sent.
+// OnData implements transport.Handler: it parses the data that the server has sent.
 func (h *httpConn) OnData(conn *transport.Conn, received *transport.Buffer) {
 	pool := &h.registry.engine.Pool
 	defer pool.Put(received)
@@ -150,7 +150,7 @@
 	}
 }
 
-// acceptHead implements responseConsumer: the status must be 200 and the content coding one that was asked for.
+// acceptHead implements responseConsumer: the status must be 200, and the content coding gzip, identity or none.
 func (h *httpConn) acceptHead(head *httpwire.Head) (bodyFraming, error) {
 	status, ok := head.Status()
 	if !ok {
@@ -188,8 +188,8 @@
 	}
 }
 
-// connectionLost ends a request whose connection is gone, or repeats it on a new connection where the old one may have
-// been closed before the request.
+// connectionLost handles the loss of the connection. The request in progress is repeated on a new connection if the
+// server may have closed the old one before the request was sent; otherwise it fails.
 func (h *httpConn) connectionLost() {
 	retry := h.awaitingResponse && h.reused && h.response.buffer == nil
 	if retry {
@@ -227,7 +227,7 @@
 	}
 }
 
-// close ends the request without a call of onDone, and disconnects.
+// close ends the request without calling onDone, and disconnects.
 func (h *httpConn) close() {
 	h.awaitingResponse = false
 	h.disconnect()
--- a/internal/discovery/initiallist.go
+++ b/internal/discovery/initiallist.go
@@ -11,13 +11,14 @@
 	"hollyyoke.example/hollyyoke/internal/eventloop"
 )
 
-// initialListTimeout is how long the initial endpoint list is withheld for the first update of the source.
+// initialListTimeout is how long the initial endpoint list is withheld while the first update of the source is awaited.
 const initialListTimeout = time.Second
 
-// initialEndpoints is the list that the dispatcher had before its start. It is withheld from the dispatcher until the source
-// answers or the timeout expires. A first delta is added to it, and both are published together.
+// initialEndpoints is the endpoint list that was given at the start. It is withheld from the dispatcher until the source
+// answers or the timeout expires. If the first answer is a delta, it is merged into the list, and both are published
+// together.
 type initialEndpoints struct {
-	entries map[string]decision.Endpoint // by worker name; nil: no list is withheld
+	entries map[string]decision.Endpoint // by worker name; nil if no list is withheld
 	timeout eventloop.Deadline
 }
 
@@ -34,7 +35,7 @@
 	}
 }
 
-// replace puts another list in its place.
+// replace replaces the withheld list by another one.
 func (l *initialEndpoints) replace(entries []decision.Endpoint) {
 	clear(l.entries)
 	for _, entry := range entries {
@@ -53,19 +54,19 @@
 	}
 }
 
-// sorted returns the entries by their names, since the order of a map would make runs differ.
+// sorted returns the entries sorted by name, since map order would make runs differ.
 func (l *initialEndpoints) sorted() []decision.Endpoint {
 	return slices.SortedFunc(maps.Values(l.entries), func(a, b decision.Endpoint) int {
 		return strings.Compare(a.Name, b.Name)
 	})
 }
 
-// LoadInitial applies the list that the dispatcher had before its start, in its wire form, and begins to follow the
-// source. No worker is taken from a list that is wrong, for which an error is returned.
+// LoadInitial applies the endpoint list that is given at the start, in its wire form, and begins to follow the source.
+// An invalid list is rejected as a whole with an error.
 //
-// The list may be old. Requests are accepted at once, since a client has no other dispatcher to turn to, but they wait
-// until the source has sent what has changed, or initialListTimeout has passed. In a large fleet of dispatchers that
-// subscribe in turn the first update may take long, and the initial list is used at once.
+// The list may be old. Requests are accepted at once, since clients have no other dispatcher to use, but they wait until
+// the source has sent what has changed, or until initialListTimeout has passed. In a large fleet, whose dispatchers
+// subscribe in turn, the first update may take long, so the initial list is used at once.
 func (r *Registry) LoadInitial(raw []byte) error {
 	list := endpointList{Snapshot: true}
 	if len(raw) > 0 {
@@ -106,8 +107,8 @@
 	r.watch.open()
 }
 
-// publishInitial reports the initial list to the dispatcher, with the changes that have come since, unless a list has
-// been published.
+// publishInitial reports the initial list, merged with changes, to the dispatcher, unless a list has been published
+// already.
 func (r *Registry) publishInitial(changes []decision.Endpoint) {
 	if !r.initial.withheld() {
 		return
@@ -120,7 +121,7 @@
 	r.suspendNewlyListed()
 }
 
-// endInitial drops the initial list, since it is published or replaced.
+// endInitial drops the initial list once it has been published or replaced.
 func (r *Registry) endInitial() {
 	r.initial.entries = nil
 	r.dispatcher.Loop.Clear(&r.initial.timeout)
--- a/internal/discovery/livesettings.go
+++ b/internal/discovery/livesettings.go
@@ -14,8 +14,8 @@
 	return f.registry.applySettings(changes)
 }
 
-// reconfigureDispatcher puts changed settings in force at the dispatcher, all or none. The list that comes with them
-// is applied in the same turn of the event loop.
+// reconfigureDispatcher puts changed settings in force at the dispatcher, all or none. The endpoints of the same change
+// are applied in the same turn of the event loop.
 func (r *Registry) reconfigureDispatcher(changes []settingChange) error {
 	list := make([]settings.Change, 0, len(changes))
 	for _, change := range changes {
--- a/internal/discovery/membershipserver_test.go
+++ b/internal/discovery/membershipserver_test.go
@@ -16,8 +16,8 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// testServer is a membership server that answers nothing by itself: tests script it request by request and, where it
-// matters, byte by byte.
+// testServer is a membership server that answers nothing by itself. Tests receive its requests and write each response,
+// some of them byte by byte.
 type testServer struct {
 	t        *testing.T
 	zone     string
@@ -40,7 +40,7 @@
 // until it is restarted.
 var loopbackHost = fmt.Sprintf("127.88.%d.%d", os.Getpid()>>8&0xff, os.Getpid()&0xff)
 
-// localZone is the zone of the dispatchers that follow servers.
+// localZone is the zone of the dispatchers under test.
 const localZone = "near"
 
 // newServer starts a server in the dispatcher's zone.
@@ -118,7 +118,7 @@
 	go s.accept(listener)
 }
 
-// expectRequest waits for the next request and checks its query. All but watches must accept gzip.
+// expectRequest waits for the next request and checks its query, and that polls accept gzip and watches do not.
 func (s *testServer) expectRequest(query string) request {
 	s.t.Helper()
 	r := testkit.Receive(s.t, s.requests)
@@ -131,7 +131,7 @@
 	return r
 }
 
-// answer answers a poll with a body.
+// answer answers a poll with an uncompressed body.
 func (r request) answer(text string) {
 	fmt.Fprintf(r, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 }
@@ -172,7 +172,8 @@
 // watchQuery is the query of a watch that continues from a version.
 func watchQuery(after int) string { return fmt.Sprintf("watch=1&after=%d&name=d+1", after) }
 
-// serveFirstPoll answers the poll that catches up, from one version, and opens the watch after another.
+// serveFirstPoll answers the poll that catches up, which must continue from version from, with object. It then opens the
+// watch, which must continue from version.
 func (s *testServer) serveFirstPoll(from int, object string, version int) request {
 	s.t.Helper()
 	s.expectRequest(pollQuery(from)).answer(object)
--- a/internal/discovery/objectsplitter.go
+++ b/internal/discovery/objectsplitter.go
@@ -3,8 +3,8 @@
 import "errors"
 
 const (
-	maxObjectBytes      = 4 << 20  // of one object; a list of ten thousand workers has a third of it
-	maxRetainedCapacity = 64 << 10 // bytes of buffer that are kept for the next object
+	maxObjectBytes      = 4 << 20  // in one object; a list of ten thousand workers takes a third of it
+	maxRetainedCapacity = 64 << 10 // largest buffer, in bytes, that is kept for the next object
 )
 
 var errInvalidObject = errors.New("not a JSON object, or one of over 4 MB")
@@ -15,8 +15,8 @@
 	escaped  bool // the previous byte was a backslash inside a string
 }
 
-// inside reports whether c, the next byte, belongs to a string that has begun, which includes its closing quote. The
-// caller sets inString at an opening quote.
+// inside reports whether c, the next byte, belongs to a string that has begun; the closing quote does. The caller sets
+// inString at an opening quote.
 func (s *stringTracker) inside(c byte) bool {
 	if s.escaped {
 		s.escaped = false
@@ -30,17 +30,17 @@
 	return true
 }
 
-// objectSplitter splits a stream into JSON objects, however it arrives: an object may span lines and reads, and a line
-// may hold several. It also reports the line ends between objects, which a server sends to show that it is alive. It
-// does not check that an object is well-formed.
+// objectSplitter splits a stream into JSON objects. An object may span several lines and reads, and a line may contain
+// several objects. It also reports the line ends between objects, which a server sends to show that it is alive. It does
+// not check that an object is well-formed.
 type objectSplitter struct {
-	partial []byte // the beginning of an object whose end has not come
-	depth   int    // of nested objects and arrays; 0: between objects
+	partial []byte // the beginning of an object whose end has not arrived
+	depth   int    // nesting depth of objects and arrays; 0 between objects
 	text    stringTracker
 }
 
 // split calls onObject with each object that data completes, and with an empty one for each line end between objects.
-// An object is valid during its call. An error of onObject is returned at once, and nothing more is read.
+// An object is valid only during its call. An error of onObject is returned at once, and nothing more is read.
 func (o *objectSplitter) split(data []byte, onObject func(object []byte) error) error {
 	for len(data) > 0 {
 		object, used, complete, err := o.next(data)
@@ -60,12 +60,12 @@
 
 // next takes bytes from the start of data up to the end of an object, which it returns, or up to a line end between
 // objects, for which it returns an empty object. The object is valid until the next call. used is the number of bytes
-// taken. complete is false if the data ends first, all of which is taken then.
+// taken. complete is false if data ends before either; all of data is taken in that case.
 func (o *objectSplitter) next(data []byte) (object []byte, used int, complete bool, err error) {
 	if o.depth == 0 {
 		o.discard()
 	}
-	start := 0 // of the part of the object that data holds
+	start := 0 // where the object's bytes begin in data
 	for i, c := range data {
 		switch {
 		case o.text.inside(c):
@@ -98,7 +98,7 @@
 	return nil, len(data), false, nil
 }
 
-// discard empties the buffer for the next object, and frees a large one.
+// discard empties the buffer for the next object, and frees it if it is large.
 func (o *objectSplitter) discard() {
 	o.partial = o.partial[:0]
 	if cap(o.partial) > maxRetainedCapacity {
--- a/internal/discovery/objectsplitter_test.go
+++ b/internal/discovery/objectsplitter_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// splitInPieces returns the objects of a text that is split in pieces of a size, up to the first error.
+// splitInPieces passes a text to an objectSplitter in pieces of a size, and returns the objects up to the first error.
 func splitInPieces(t *testing.T, text []byte, size int) (objects []string, failed bool) {
 	t.Helper()
 	var splitter objectSplitter
@@ -30,7 +30,8 @@
 	return objects, false
 }
 
-// FuzzObjectSplitter checks that objects come out of a stream as they went in, however it is cut.
+// FuzzObjectSplitter checks that the objects of a stream do not depend on the pieces in which it arrives, and that they
+// are the ones that encoding/json reads.
 func FuzzObjectSplitter(f *testing.F) {
 	f.Add([]byte(`{"a":{"b":[1,"}{"]}}`+"\n\n"+`{"c":"\\\""}{"d":[]}`), byte(1))
 	f.Add([]byte("{\n \"a\": 1\n}\n\r\n[1]\n"), byte(3))
@@ -49,7 +50,7 @@
 			}
 			var want json.RawMessage
 			if err := decoder.Decode(&want); err != nil {
-				break // its reader will say so
+				break // malformed, which the splitter does not check
 			}
 			if string(want) != object {
 				t.Fatalf("%q: %q, want %q", text, object, want)
--- a/internal/discovery/reconnect.go
+++ b/internal/discovery/reconnect.go
@@ -7,22 +7,22 @@
 	"hollyyoke.example/hollyyoke/internal/freshness"
 )
 
-// The protocol counts a change as notified freshness.NotificationBound after discovery had it and could be reached,
-// whatever became of the calls meanwhile. Discovery may become reachable just after the last contact or failed call.
-// The next call therefore begins early enough for its answer to arrive within the bound, counted from that moment,
-// however long the dispatcher would wait.
+// By the protocol, a dispatcher counts as notified of a change once discovery has had the change and been reachable for
+// freshness.NotificationBound, even if the calls in that time failed. Discovery may have become reachable just after the
+// last contact or failed call. The next call therefore begins early enough for its answer to arrive within the bound
+// counted from that moment, even if the dispatcher would wait longer.
 const (
-	answerTimeout     = 2200 * time.Millisecond // calls are answered, or fail, after 2 s in turn; the rest is for transit
+	answerTimeout     = 2200 * time.Millisecond // discovery handles calls in turn and answers or fails one after 2 s; the rest is for transit
 	maxReconnectDelay = freshness.NotificationBound - answerTimeout
-	minBackoff        = 100 * time.Millisecond // after a failed call, where the settings allow less
+	minBackoff        = 100 * time.Millisecond // after a failed call, even if the settings allow less
 )
 
-// Where lists are pushed, an agent on this machine has them. It answers at once and at no cost, and what it has counts
-// as notified, whether a watch is open or not: a call that is not answered and the backoff after it must both fit into
-// the drain grace.
+// Where lists are pushed, they are pushed to an agent on this machine, which the dispatcher calls. The agent answers at
+// once and at no cost. A change that the agent has counts as notified even if no watch is open, so an unanswered call and
+// the backoff after it must both fit into the drain grace.
 const (
-	agentCallFraction    = 4 // part of the drain grace that a call may take
-	agentBackoffFraction = 8 // part of it from a failed call to the next
+	agentCallFraction    = 4 // the drain grace divided by it is how long a call may take
+	agentBackoffFraction = 8 // the drain grace divided by it is the time from a failed call to the next
 	minAgentWait         = 10 * time.Millisecond
 )
 
@@ -43,7 +43,8 @@
 	return max(w.registry.dispatcher.Settings.DrainGrace/agentBackoffFraction, minAgentWait)
 }
 
-// scheduleCall starts the next call at a loop time, at once if that has come. A call scheduled for earlier stays.
+// scheduleCall schedules the next call for a loop time, or starts it at once if that time has passed. A call that is
+// already scheduled for an earlier time stays.
 func (w *watch) scheduleCall(at time.Duration) {
 	loop := w.registry.dispatcher.Loop
 	if at <= loop.Now() {
@@ -56,8 +57,8 @@
 	}
 }
 
-// scheduleReconnect starts the next call within maxReconnectDelay of the last contact with discovery, unless Subscribe
-// comes first. The time has jitter, since an outage ends the watches of all dispatchers at once.
+// scheduleReconnect schedules the next call within maxReconnectDelay of the last contact with discovery; a call of
+// Subscribe may start it earlier. The time has jitter, since an outage ends the watches of all dispatchers at once.
 func (w *watch) scheduleReconnect(lastContact time.Duration) {
 	if w.calling || w.address == "" {
 		return
@@ -68,8 +69,9 @@
 	w.scheduleCall(now + remaining/2 + jitter)
 }
 
-// reportFailure notifies the dispatcher that a call failed, unless it has yet to call Subscribe after an earlier
-// report. Each report makes it set a timer, which cannot be cancelled: with several, calls would multiply.
+// reportFailure notifies the dispatcher that a call failed, unless the dispatcher has not called Subscribe since an
+// earlier report. Each report makes the dispatcher set a timer that cannot be cancelled and leads to a call, so further
+// reports would multiply the calls.
 func (w *watch) reportFailure() {
 	if w.failureReported {
 		return
--- a/internal/discovery/reconnect_test.go
+++ b/internal/discovery/reconnect_test.go
@@ -14,8 +14,8 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// These tests hold the discovery watch to the protocol's bound: a change counts as notified 6 s after discovery had it
-// and could be reached, whatever the settings say.
+// These tests check that the discovery watch keeps to the protocol's bound: whatever the settings are, a change counts as
+// notified once discovery has had it and been reachable for 6 s.
 
 // checkNextCall checks, on the loop's goroutine, that an answer to the next call fits into the notification bound,
 // counted from the last contact.
@@ -34,8 +34,8 @@
 	}
 }
 
-// The parts of the bound: a call that is never answered or a watch that goes silent, the backoff after it, and the
-// answer to the next call.
+// A call that is never answered or a watch that goes silent, the least backoff after it, and the answer to the next call
+// must together fit into the notification bound.
 func TestTimeoutsFitNotificationBound(t *testing.T) {
 	for _, silence := range []time.Duration{watchCallTimeout, watchLineTimeout} {
 		if sum := silence + minBackoff + answerTimeout; sum > freshness.NotificationBound {
@@ -47,7 +47,7 @@
 	}
 }
 
-// callEndings are the ways in which a call to discovery ends, by name.
+// callEndings are the ways in which the tests end a call to discovery, by name.
 var callEndings = map[string]func(discoveryCall){
 	"reset":                 discoveryCall.reset,
 	"busy":                  func(call discoveryCall) { call.answerUnavailable("Busy") },
@@ -62,7 +62,8 @@
 	"malformed": func(call discoveryCall) { io.WriteString(call, testkit.WatchHead+testkit.Chunk("{]\n")) },
 }
 
-// However a call ends, and however long the poll interval is, discovery is called again in time, and its list applied.
+// However a call ends, and however long the poll interval is, discovery is called again in time, and its list is
+// applied.
 func TestReconnectWithinNotificationBound(t *testing.T) {
 	common := testkit.NewRig(t)
 	for name, endCall := range callEndings {
@@ -98,7 +99,7 @@
 }
 
 // In an outage the backoff stays within the bound, and no second failure is reported to the dispatcher before it has
-// subscribed again: it sets a timer for each, all of which would call.
+// subscribed again. The dispatcher sets a timer for each report, and each timer would lead to a call.
 func TestOutageIsReportedOnce(t *testing.T) {
 	for _, peers := range []int{1, 300} {
 		rig := testkit.NewRig(t).WithSubscription(t, peers, time.Hour)
@@ -131,8 +132,8 @@
 	}
 }
 
-// Discovery moves during the backoff after an outage, and the new address has an outage too: what was scheduled for the
-// former one neither delays nor duplicates a call.
+// Discovery moves during the backoff after a failed call, and the first call to the new address fails too. What was
+// scheduled for the former address neither delays nor duplicates a call.
 func TestMoveToAfterOutage(t *testing.T) {
 	rig := testkit.NewRig(t).WithSubscription(t, 300, time.Hour)
 	former, formerCalls := listenForCalls(t)
@@ -156,7 +157,7 @@
 	if call.query != "watch=1&after=41" {
 		t.Errorf("asked for %s", call.query)
 	}
-	rig.Do(func() { registry.Subscribe() }) // a timer of the earlier outage: the call goes on
+	rig.Do(func() { registry.Subscribe() }) // from a timer of the earlier outage; the call continues
 	call.sendLaterSnapshot()
 	waitOnLoop(t, rig, "the list is applied", func() bool {
 		return registry.workers["new"] != nil && registry.watch.version == 43
@@ -166,7 +167,7 @@
 	}
 }
 
-// agentCallEndings are the ways in which calls to an agent end, one after the other.
+// agentCallEndings are the ways in which the tests end calls to an agent, in turn.
 var agentCallEndings = []func(discoveryCall){
 	func(discoveryCall) {}, // silent
 	discoveryCall.reset,
@@ -174,9 +175,9 @@
 	discoveryCall.openWatch, // silent after the head
 }
 
-// Where lists come from an agent, what it has counts as notified, whether a watch is open or not: it is called at the
-// start, however many dispatchers there are, and several times within a drain grace where it is silent, resets the call
-// or is unavailable.
+// A change that an agent has counts as notified even if no watch is open. The agent is therefore called at the start,
+// however many dispatchers there are, and again several times within a drain grace if it is silent, resets the call or
+// is unavailable.
 func TestAgentIsCalledAgainAfterShortBackoff(t *testing.T) {
 	for _, peers := range []int{1, 300} {
 		rig := testkit.NewRig(t, func(settings *decision.Settings) {
@@ -201,7 +202,7 @@
 	}
 }
 
-// answerAgentCalls answers calls with laterSnapshot until one of them was answered before its timeout.
+// answerAgentCalls answers calls with laterSnapshot until an answer has arrived before the timeout of its call.
 func answerAgentCalls(t *testing.T, rig *testkit.Rig, registry *Registry, calls chan discoveryCall) {
 	t.Helper()
 	call := testkit.Receive(t, calls)
--- a/internal/discovery/registry.go
+++ b/internal/discovery/registry.go
@@ -11,8 +11,8 @@
 //
 //   - [Registry] has the listed workers and tells the dispatcher of changes (update.go).
 //   - initialEndpoints withholds the list of the configuration until the source has answered (initiallist.go).
-//   - listFreshness decides whether the list is current, unconfirmed or unknown; its comment says when it is which, and
-//     what follows (staleness.go, suspension.go).
+//   - listFreshness decides whether the list is current, unconfirmed or unknown; its comment defines these and says what
+//     follows from each (staleness.go, suspension.go).
 //   - watch is the discovery watch (watch.go, watchreader.go, reconnect.go).
 //   - membershipFollower chooses a membership server and applies its changes (follower.go, applychange.go); a
 //     subscription is the state with one server (subscription.go).
@@ -47,12 +47,12 @@
 	dispatcher *dispatch.Dispatcher
 	engine     *transport.Engine
 	client     WorkerClient
-	workers    map[string]*Worker // by name; removed workers are not in it
+	workers    map[string]*Worker // by name, without removed workers
 	initial    initialEndpoints
 	freshness  listFreshness
 
 	watch    watch               // the discovery watch; unused while follower is set
-	follower *membershipFollower // follows membership servers; nil: the discovery watch is the source
+	follower *membershipFollower // follows membership servers; nil if the discovery watch is the source
 	stats    Stats
 
 	// applySettings puts changed settings in force, all or none.
@@ -65,7 +65,8 @@
 	OnVersionApplied func(version membership.Version)
 }
 
-// New returns a registry that follows the discovery service at addr, a host:port; empty: there is none.
+// New returns a registry that follows the discovery service at addr, a host:port. An empty addr means that there is no
+// discovery service.
 func New(d *dispatch.Dispatcher, e *transport.Engine, addr string) *Registry {
 	r := &Registry{dispatcher: d, engine: e, workers: map[string]*Worker{}}
 	r.watch = watch{registry: r, address: addr, random: rand.New(rand.NewPCG(d.Seed, 0))}
@@ -95,7 +96,7 @@
 	return false
 }
 
-// Version is the newest version that the discovery watch has applied; 0: none.
+// Version returns the newest version that the discovery watch has applied, or 0 if it has applied none.
 func (r *Registry) Version() int64 { return r.watch.version }
 
 // Ready reports whether the dispatcher has been given a list that has been usable: one of the source's, or the initial
--- a/internal/discovery/responsebody.go
+++ b/internal/discovery/responsebody.go
@@ -9,9 +9,9 @@
 
 // Bounds on the body of a response, against a server that sends too much.
 const (
-	maxDecompressedBytes = 64 << 20 // of a body once it is decompressed; 21,000 workers have 3 MB
-	maxBodyBytes         = 16 << 20 // of a body as it was sent
-	initialBodyCapacity  = 64 << 10 // allocated at most by the announced length alone
+	maxDecompressedBytes = 64 << 20 // in a decompressed body; the list of 21,000 workers has 3 MB
+	maxBodyBytes         = 16 << 20 // in a body as it was sent
+	initialBodyCapacity  = 64 << 10 // largest allocation that is based on the announced length alone
 )
 
 var (
@@ -19,10 +19,10 @@
 	errBodyTooLarge         = fmt.Errorf("the response has over %d MB as it was sent", maxBodyBytes>>20)
 )
 
-// responseBody is the body of a response as it was sent, maybe compressed.
+// responseBody is the body of a response as it was sent, possibly compressed.
 type responseBody struct{ data []byte }
 
-// append adds a piece to a body of which remaining more bytes are known to follow.
+// append adds a piece of the body. remaining is the number of bytes that are known to follow it.
 func (b *responseBody) append(piece []byte, remaining int) error {
 	if len(b.data)+len(piece) > maxBodyBytes {
 		return errBodyTooLarge
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// decode reads the one change that the body holds.
+// decode decodes the single change that the body contains.
 func (b *responseBody) decode(gzipped bool) (membershipChange, error) {
 	var source io.Reader = bytes.NewReader(b.data)
 	if gzipped {
@@ -47,8 +47,8 @@
 	return decodeChange(&whitespaceCompactor{source: source})
 }
 
-// limitedReader reads up to a limit, and fails with errDecompressedTooLarge beyond it, where io.LimitedReader would
-// report the end.
+// limitedReader reads up to a limit. Beyond the limit it returns errDecompressedTooLarge, where io.LimitedReader would
+// return io.EOF.
 type limitedReader struct {
 	source    io.Reader
 	remaining int
@@ -63,8 +63,9 @@
 	return n, err
 }
 
-// whitespaceCompactor reads JSON with each run of white space outside of strings reduced to one space. It protects
-// json.Decoder from megabytes of white space, which it scans again for each piece while it waits for the next token.
+// whitespaceCompactor reads JSON with each run of white space outside of strings reduced to one space. Otherwise
+// json.Decoder, while it waits for the next token, would scan megabytes of white space again for each piece that
+// arrives.
 type whitespaceCompactor struct {
 	source     io.Reader
 	text       stringTracker
@@ -81,7 +82,7 @@
 	}
 }
 
-// compact reduces piece in place and returns the length that is left.
+// compact compacts piece in place and returns its new length.
 func (c *whitespaceCompactor) compact(piece []byte) (n int) {
 	for _, b := range piece {
 		space := false
--- a/internal/discovery/responsebody_test.go
+++ b/internal/discovery/responsebody_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// compressedOf returns, compressed, a text followed by a unit that is repeated to more than size bytes.
-func compressedOf(text string, unit string, size int) []byte {
+// compressRepeated returns, compressed, a text followed by a unit that is repeated to more than size bytes.
+func compressRepeated(text string, unit string, size int) []byte {
 	var body bytes.Buffer
 	w := gzip.NewWriter(&body)
 	io.WriteString(w, text)
@@ -30,11 +30,11 @@
 		want error
 	}{
 		"white space": {
-			compressedOf(`{"seq":9,"whole":true,`, " ", maxDecompressedBytes),
+			compressRepeated(`{"seq":9,"whole":true,`, " ", maxDecompressedBytes),
 			errDecompressedTooLarge,
 		},
 		"elements": {
-			compressedOf(`{"seq":9,"whole":true,"hosts":[`, "{},", maxElements*3),
+			compressRepeated(`{"seq":9,"whole":true,"hosts":[`, "{},", maxElements*3),
 			errTooManyElements,
 		},
 	} {
@@ -54,7 +54,7 @@
 	}
 }
 
-// A body that has more bytes as sent than its limit is rejected.
+// A body that exceeds the limit on the bytes as sent is rejected.
 func TestSentBodyLimit(t *testing.T) {
 	var body responseBody
 	var err error
--- a/internal/discovery/responsereader.go
+++ b/internal/discovery/responsereader.go
@@ -13,40 +13,40 @@
 	errNoLength      = errors.New("the response does not say where it ends")
 )
 
-// statusError is the status of a response other than 200.
+// statusError is the error for a response with a status other than 200.
 type statusError int
 
 func (e statusError) Error() string { return fmt.Sprintf("status %d", int(e)) }
 
 // responseConsumer decides which responses are accepted and takes their bodies.
 type responseConsumer interface {
-	// acceptHead says how the body after a head ends. An error rejects the response.
+	// acceptHead returns how the body that follows a head is framed. An error rejects the response.
 	acceptHead(head *httpwire.Head) (bodyFraming, error)
 
-	// takeBody takes a piece of the body, which is valid during the call. It returns an error if the response must not
-	// be read any further, also where the call has replaced or reset the reader.
+	// takeBody takes a piece of the body, which is valid only during the call. It returns an error if the response must
+	// not be read any further, including when the call has replaced or reset the reader.
 	takeBody(piece []byte) error
 }
 
-// bodyFraming says what follows the head of a response.
+// bodyFraming describes what follows the head of a response.
 type bodyFraming struct {
-	interim bool // another head, and no body
-	chunked bool // a body in chunks
-	length  int  // of a body that is not chunked
+	interim bool // another head follows, and no body
+	chunked bool // a chunked body follows
+	length  int  // length of a body that is not chunked
 }
 
-// responseReader parses one HTTP response incrementally, whatever pieces it arrives in. It buffers the head and the
-// framing; the body is passed on as it comes. The discovery watch and the connections to membership servers read by it.
+// responseReader parses one HTTP response incrementally, in whatever pieces it arrives. It buffers the head and the
+// framing; the body is passed on as it arrives. The discovery watch and the connections to membership servers use it.
 type responseReader struct {
 	buffer       *transport.Buffer
-	head         httpwire.Head // the latest; a field, since it is large and would be allocated for each call
-	scanned      int           // bytes of buffer that were searched for the end of the head
-	headRead     bool          // the head has come
+	head         httpwire.Head // the latest one; kept here because it is large and would otherwise be allocated for each call
+	scanned      int           // bytes of buffer that have been searched for the end of the head
+	headRead     bool          // the final head, after any interim ones, has been accepted
 	chunked      bool
 	chunks       httpwire.ChunkReader
-	remaining    int  // bytes of a body of known length
+	remaining    int  // bytes to come of a body of known length
 	done         bool // the response is complete
-	trailingData bool // bytes have come after its end
+	trailingData bool // bytes have arrived after its end
 }
 
 // reset makes the reader ready for the next response.
@@ -66,7 +66,7 @@
 		if err := r.readBuffer(consumer); err != nil {
 			return err
 		}
-		if copied == 0 { // the buffer is full of a line of the framing that does not end
+		if copied == 0 { // the buffer is full, and the head or line of the framing in it has no end
 			return httpwire.ErrMalformed
 		}
 	}
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// readBuffer consumes what it can of the buffer.
+// readBuffer consumes as much of the buffer as can be parsed.
 func (r *responseReader) readBuffer(consumer responseConsumer) error {
 	consumed := 0
 	for !r.done {
@@ -97,7 +97,7 @@
 }
 
 // next takes the head, a piece of the body, or bytes of the framing from the start of data. used is the number of bytes
-// taken; 0: more must come first.
+// taken; it is 0 if more data is needed.
 func (r *responseReader) next(data []byte, consumer responseConsumer) (body []byte, used int, err error) {
 	switch {
 	case !r.headRead:
@@ -115,8 +115,8 @@
 	}
 }
 
-// readHead reads a head from the start of data and returns its size; 0: it is not complete. The head of an interim
-// response is passed over.
+// readHead reads a head from the start of data and returns its size, or 0 if it is not complete. The head of an interim
+// response is skipped.
 func (r *responseReader) readHead(data []byte, consumer responseConsumer) (size int, err error) {
 	complete, err := httpwire.ParseHead(data, &r.head, &r.scanned)
 	if !complete {
--- a/internal/discovery/staleness.go
+++ b/internal/discovery/staleness.go
@@ -8,23 +8,26 @@
 	"hollyyoke.example/hollyyoke/internal/freshness"
 )
 
-// listFreshness is what the list may be used for at present. Of the discovery watch the list is
+// listFreshness determines how far requests may be sent by the endpoint list at present. Where the discovery watch is
+// the source, the list is
 //
 //   - current until shortly before freshness.NotificationBound has passed since the source last confirmed it. Requests
 //     are sent to all listed workers.
-//   - unconfirmed after that, in three cases: the last call, a short while ago, has failed to reach the source; workers have health checks
-//     and the source has confirmed a list since the start; or the source has not answered for long after the start. A
-//     request is sent once a recent health check of the worker has passed. A worker that failed one, or that could not
-//     be connected to, is suspended until the source confirms the list again.
+//   - unconfirmed after that, in three cases: the last call, a short while ago, has failed to reach the source; workers
+//     have health checks and the source has confirmed a list since the start; or the source has not answered for long
+//     after the start. A request is sent only after a recent health check of the worker has passed. A worker that failed
+//     a health check, or to which no connection could be established, is suspended until the source confirms the list
+//     again.
 //   - unknown otherwise. All workers are suspended. They are resumed when the list is current or unconfirmed again.
 //
-// A suspended worker stays in the list, and the dispatcher sends it nothing. currentKnowledge has the cases in which the
-// list does not become stale, or unconfirmed counts as current; package freshness has the rules in detail.
+// A suspended worker stays in the list, and the dispatcher sends it nothing. currentKnowledge lists the cases in which
+// the list does not become stale, and in which unconfirmed counts as current. Package freshness defines the rules in
+// detail.
 type listFreshness struct {
 	tracker   freshness.Tracker   // when the source confirmed the list, and how calls to it have ended since
-	knowledge freshness.Knowledge // the result of the last Refresh; workers are suspended by it
-	timer     eventloop.Deadline  // when the knowledge may change by the passing of time
-	wasUsable bool                // since the start a published list has been current or unconfirmed at some time
+	knowledge freshness.Knowledge // the result of the last Refresh, by which workers are suspended
+	timer     eventloop.Deadline  // fires when the knowledge may change because time has passed
+	wasUsable bool                // a published list has been current or unconfirmed at some time since the start
 }
 
 // Refresh evaluates how fresh the list is now, and suspends or resumes workers where that has changed.
@@ -49,7 +52,7 @@
 	})
 }
 
-// refreshAndSchedule refreshes now and again when the list may next become stale by itself.
+// refreshAndSchedule refreshes now, and schedules another refresh for when the list may next become stale.
 func (r *Registry) refreshAndSchedule() {
 	r.Refresh()
 	next := r.freshness.tracker.NextChange(r.dispatcher.Loop.Now())
@@ -58,9 +61,9 @@
 	}
 }
 
-// currentKnowledge returns what the list is good for now. A list does not become stale where membership servers are
-// followed, where there is no source, and before it is published. Where health checks are off, an unconfirmed list
-// counts as current, since workers cannot be asked.
+// currentKnowledge returns how far the list can be relied on now. A list does not become stale where membership servers
+// are followed, where there is no source, and before it is published. Where health checks are off, an unconfirmed list
+// counts as current, since the workers cannot be checked.
 func (r *Registry) currentKnowledge() freshness.Knowledge {
 	if r.follower != nil || r.watch.address == "" || r.initial.withheld() {
 		return freshness.Current
@@ -79,8 +82,8 @@
 	r.suspendNewlyListed()
 }
 
-// suspendNewlyListed suspends workers that have just been listed, where the list is unknown: Refresh acts on a change of
-// that alone, and it may have been unknown before.
+// suspendNewlyListed suspends workers that have just been listed while the list is unknown. Refresh does not do so if
+// the list was unknown before, since it acts only when the knowledge changes.
 func (r *Registry) suspendNewlyListed() {
 	if r.freshness.knowledge == freshness.Unknown {
 		r.suspendAll()
--- a/internal/discovery/starttimes_test.go
+++ b/internal/discovery/starttimes_test.go
@@ -11,7 +11,7 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// A compressed answer to a poll is read where its server closes the connection after it, too.
+// A compressed answer to a poll is also read if the server closes the connection after it.
 func TestCompressedAnswerBeforeClose(t *testing.T) {
 	server := newServer(t)
 	follower := startFollower(t, server).loadInitial(``)
@@ -25,8 +25,8 @@
 	follower.waitForVersion(7, "a=ready")
 }
 
-// A start time that no duration can hold counts as unknown, like those after it. It overflowed, and the worker counted
-// as one that had started 292 years before 1970.
+// A start time that does not fit into a time.Duration counts as unknown. Such a time used to overflow, so that the worker
+// counted as one that had started 292 years before 1970.
 func TestStartTimesBeyondADuration(t *testing.T) {
 	rig := testkit.NewRig(t)
 	registry := newRegistry(rig, "")
--- a/internal/discovery/stateinforce.go
+++ b/internal/discovery/stateinforce.go
@@ -8,20 +8,20 @@
 	"hollyyoke.example/hollyyoke/internal/membership"
 )
 
-// stateInForce is how far a follower has come with the changes of its servers. A rejected change leaves a gap: version
-// goes on with the changes after it, and completeThrough stays before it until a repair, which is a change that holds
-// everything after completeThrough.
+// stateInForce records which changes of its servers a follower has applied. A rejected change leaves a gap: version
+// advances with the changes after it, while completeThrough stays before it until a repair, which is a change that
+// contains everything after completeThrough.
 type stateInForce struct {
 	version         membership.Version         // of the newest change that was applied
-	completeThrough membership.Version         // nothing is missing up to it; at most version
+	completeThrough membership.Version         // the newest version up to which nothing is missing; at most version
 	resumable       bool                       // version includes its settings, so that a server can continue from it
-	settings        map[string]json.RawMessage // changed since the start, by key
+	settings        map[string]json.RawMessage // those changed since the start, by key
 }
 
 // complete reports whether nothing is missing.
 func (s *stateInForce) complete() bool { return s.completeThrough >= s.version }
 
-// resumeVersion returns the version from which a server is asked to continue; 0: it is asked for a snapshot.
+// resumeVersion returns the version from which a server is asked to continue, or 0 to ask it for a snapshot.
 func (s *stateInForce) resumeVersion() membership.Version {
 	if !s.resumable {
 		return 0
@@ -37,17 +37,18 @@
 	s.rememberSettings(change.settings)
 }
 
-// covers reports whether a change holds everything after completeThrough.
+// covers reports whether a change contains everything after completeThrough.
 func (s *stateInForce) covers(change membershipChange) bool {
 	return change.snapshot || change.base <= s.completeThrough
 }
 
-// repairs reports whether a change holds what is missing of the version in force.
+// repairs reports whether a change contains what is missing of the version in force.
 func (s *stateInForce) repairs(change membershipChange) bool {
 	return !s.complete() && change.missingFrom == 0 && s.covers(change)
 }
 
-// completeThroughWith returns what completeThrough becomes with a change, by the same rule as membership.Store.
+// completeThroughWith returns the value of completeThrough after a change is applied, by the same rule as
+// membership.Store.
 func (s *stateInForce) completeThroughWith(change membershipChange) membership.Version {
 	senderComplete := change.version
 	if change.missingFrom > 0 {
--- a/internal/discovery/subscription.go
+++ b/internal/discovery/subscription.go
@@ -11,7 +11,8 @@
 	"hollyyoke.example/hollyyoke/internal/membership"
 )
 
-// maxObjectTime is how long one object of a watch may take to arrive, against a server that sends without end.
+// maxObjectTime is how long one object of a watch may take to arrive. It protects against a server that sends an object
+// without end.
 const maxObjectTime = time.Minute
 
 var (
@@ -22,23 +23,23 @@
 	errBaseMismatch = errors.New("a delta does not fit the version in force")
 )
 
-// subscription is the state with one membership server. It uses two connections: a poll asks for what is newer than a
-// version, to catch up and later to acknowledge, and its response may be compressed; the watch, opened once caught up,
-// streams the changes after that.
+// subscription is the communication with one membership server. It uses two connections. On one it polls for changes
+// newer than a version, first to catch up and later to acknowledge; the responses may be compressed. On the other it
+// opens the watch once it has caught up, which streams the changes after that.
 type subscription struct {
 	follower *membershipFollower
 	server   membership.Server
 
 	poll    membershipPoll
 	watch   membershipWatch
-	version membership.Version // the newest that the server has sent
+	version membership.Version // newest version that the server has sent
 
 	exclusiveUntil         time.Duration // until then no attempt at another server is started beside this one
-	catchUpAfterPoll       bool          // the watch has ended during a poll, after which it is opened again
+	catchUpAfterPoll       bool          // the watch ended while a poll was in progress, and catchUp follows that poll
 	failedAcknowledgements int           // in a row
 
-	// ignoresVersion is set where the server answers polls with its complete list, whatever version they continue
-	// from, so that each acknowledgement there would cost a snapshot.
+	// ignoresVersion is set if the server answers polls with its complete list, whatever version they continue from.
+	// Each acknowledgement would then cost a snapshot.
 	ignoresVersion bool
 }
 
@@ -46,7 +47,7 @@
 type membershipPoll struct {
 	conn       httpConn
 	inProgress bool
-	after      membership.Version // that the last poll asked to continue from
+	after      membership.Version // the version that the last poll continued from
 	body       responseBody
 }
 
@@ -54,11 +55,11 @@
 type membershipWatch struct {
 	conn            httpConn
 	splitter        objectSplitter
-	objectStartedAt time.Duration      // when the object that is arriving began; 0: none is
-	versionAtEnd    membership.Version // the newest version when the server last ended the watch in order
+	objectStartedAt time.Duration      // when the object that is arriving began; 0 if none is
+	versionAtEnd    membership.Version // the newest version when the server last ended the watch without an error
 }
 
-// start sends the poll that catches up.
+// start sets up the connections and sends the poll that catches up.
 func (s *subscription) start() {
 	registry := s.follower.registry
 	s.poll.conn = httpConn{
@@ -93,14 +94,14 @@
 // receiving reports whether the response to a poll is arriving.
 func (s *subscription) receiving() bool { return s.poll.inProgress && s.poll.conn.response.headRead }
 
-// requestTarget returns the target of a poll, or of a watch with the parameter for one in prefix.
-func (s *subscription) requestTarget(prefix string, after membership.Version) string {
-	return "/v1/servers?" + prefix + "after=" + strconv.FormatInt(int64(after), 10) +
+// requestTarget returns the request target of a poll or, if watchParameter is not empty, of a watch.
+func (s *subscription) requestTarget(watchParameter string, after membership.Version) string {
+	return "/v1/servers?" + watchParameter + "after=" + strconv.FormatInt(int64(after), 10) +
 		"&name=" + url.QueryEscape(s.follower.config.Name)
 }
 
-// incompleteParameters returns what a poll adds to its target where changes up to the version it continues from are
-// missing: only the version before them is acknowledged as in force.
+// incompleteParameters returns the parameters that a poll adds if changes up to the version it continues from are
+// missing. They acknowledge only the version before the missing changes as in force.
 func (s *subscription) incompleteParameters(after membership.Version) string {
 	completeThrough := s.follower.inForce.completeThrough
 	if completeThrough >= after {
@@ -109,7 +110,8 @@
 	return "&acked=" + strconv.FormatInt(int64(completeThrough), 10) + "&fleet=1"
 }
 
-// sendPoll asks for what is newer than a version, which also acknowledges that one, and calls onChange with the answer.
+// sendPoll polls for changes newer than a version, which also acknowledges that version, and calls onChange with the
+// answer.
 func (s *subscription) sendPoll(after membership.Version, onChange func(change membershipChange, err error)) {
 	poll := &s.poll
 	poll.inProgress = true
@@ -138,7 +140,7 @@
 	return s.poll.body.append(piece, s.poll.conn.response.remaining)
 }
 
-// onCaughtUp applies the answer to the poll that catches up, and opens the watch after it.
+// onCaughtUp applies the answer to the poll that catches up, and opens a watch that continues from it.
 func (s *subscription) onCaughtUp(change membershipChange, err error) {
 	follower := s.follower
 	inForce := follower.inForce.version
@@ -158,19 +160,20 @@
 	s.exclusiveUntil = s.now() + answerStagger
 	s.watch.conn.get(s.requestTarget("watch=1&", change.version))
 	if s == follower.active {
-		follower.acknowledgement.sent(s.now(), s.poll.after)
+		follower.acknowledgement.recordSent(s.now(), s.poll.after)
 		follower.scheduleAcknowledgement()
 	}
 }
 
-// detectIgnoredVersion sets ignoresVersion by an answer that sends the version polled from again, as a snapshot.
+// detectIgnoredVersion sets ignoresVersion if the answer to a poll is a snapshot of the very version polled from.
 func (s *subscription) detectIgnoredVersion(change membershipChange) {
 	if s.poll.after > 0 && change.snapshot && change.version == s.poll.after {
 		s.ignoresVersion = true
 	}
 }
 
-// catchUp polls for what the watch has left out and opens the watch again, after the poll in progress, if there is one.
+// catchUp polls for the changes that did not come on the watch and then opens the watch again. If a poll is in progress,
+// it does so after that poll.
 func (s *subscription) catchUp() {
 	s.catchUpAfterPoll = s.poll.inProgress
 	if s.poll.inProgress {
@@ -179,7 +182,7 @@
 	s.sendPoll(s.follower.inForce.resumeVersion(), s.onCaughtUp)
 }
 
-// onWatchProgress puts the server in use as its watch begins, if no other is.
+// onWatchProgress puts the server in use when its watch begins, if no other server is in use.
 func (s *subscription) onWatchProgress() {
 	follower := s.follower
 	if follower.active == nil && s.watch.conn.response.headRead {
@@ -187,8 +190,8 @@
 	}
 }
 
-// onWatchEnded handles the end of the watch. A server ends it in order where a change is better fetched by a poll,
-// whose response is compressed. One that does so again without anything newer has failed.
+// onWatchEnded handles the end of the watch. A server ends the watch without an error if a change is better fetched by a
+// poll, whose response is compressed. A server that does so again without having sent anything newer has failed.
 func (s *subscription) onWatchEnded(err error) {
 	if err == nil && s.version > s.watch.versionAtEnd {
 		s.watch.versionAtEnd = s.version
@@ -212,7 +215,7 @@
 	return s.checkObjectTime()
 }
 
-// checkObjectTime fails once an object has been arriving for too long.
+// checkObjectTime returns an error if an object has been arriving for more than maxObjectTime.
 func (s *subscription) checkObjectTime() error {
 	now := s.now()
 	watch := &s.watch
--- a/internal/discovery/subscription_test.go
+++ b/internal/discovery/subscription_test.go
@@ -12,7 +12,7 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// A watch that goes silent is replaced by that of the next server.
+// A watch that goes silent is replaced by a watch of the next server.
 func TestWatchTimeout(t *testing.T) {
 	local := newServer(t)
 	remote := newRemoteServer(t)
@@ -44,7 +44,7 @@
 	}
 }
 
-// A large snapshot that comes byte by byte is neither given up nor applied before its end.
+// A large snapshot that arrives byte by byte is neither abandoned nor applied before its end.
 func TestSnapshotByteByByte(t *testing.T) {
 	server := newServer(t)
 	follower := startFollower(t, server).loadInitial(``)
@@ -71,7 +71,7 @@
 	follower.waitForVersion(5, strings.Join(names, " "))
 }
 
-// The same with a chunked response, and a delta byte by byte on the watch.
+// A chunked snapshot with one byte in each chunk, and then a delta on the watch byte by byte, are applied.
 func TestChunkedSnapshotAndDeltaByteByByte(t *testing.T) {
 	server := newServer(t)
 	follower := startFollower(t, server).loadInitial(``)
@@ -91,14 +91,14 @@
 	follower.waitForVersion(6, "a=draining b=ready")
 }
 
-// A server may end its watch in order where the next change is better fetched compressed: it is polled at once, and
-// stays in use. One that does so again without anything newer has failed.
-func TestWatchEndedInOrder(t *testing.T) {
+// A server may end its watch without an error if the next change is better fetched compressed. It is polled at once and
+// stays in use. A server that does so again without having sent anything newer has failed.
+func TestWatchEndedByServer(t *testing.T) {
 	local := newServer(t)
 	remote := newRemoteServer(t)
 	follower := newFollower(t)
 	config := followConfig(local, remote)
-	config.AcknowledgeInterval = time.Minute // no acknowledgement falls due, which would be a poll too
+	config.AcknowledgeInterval = time.Minute // no acknowledgement falls due during the test, since that is a poll too
 	follower.Do(func() { follower.registry.Follow(config) })
 	follower.loadInitial(``)
 	watch := local.serveFirstPoll(0, encodeChange(1, true, "a=ready"), 1)
--- a/internal/discovery/suspension.go
+++ b/internal/discovery/suspension.go
@@ -8,7 +8,7 @@
 	"hollyyoke.example/hollyyoke/internal/freshness"
 )
 
-// Admission says whether a request that is ready may be sent to a worker, by the freshness of the list.
+// Admission is the decision whether a request that is ready may be sent to a worker, given the freshness of the list.
 type Admission uint8
 
 const (
@@ -20,12 +20,12 @@
 	Suspended
 )
 
-// healthValidityFraction divides the drain grace: a passed health check holds for that part of it, counted from when
-// the check was sent, since the worker may begin to drain right after it.
+// healthValidityFraction divides the drain grace. A passed health check is valid for the resulting time, counted from
+// when the check was sent, since the worker may begin to drain right after it.
 const healthValidityFraction = 2
 
-// Admit decides whether a request that is ready may be sent to a worker now. It suspends the worker where the list is
-// unconfirmed and the worker has failed to show that it serves.
+// Admit decides whether a request that is ready may be sent to a worker now. If the list is unconfirmed and the worker
+// has failed a health check or could not be connected to, Admit also suspends the worker.
 func (r *Registry) Admit(worker *Worker, now time.Duration) Admission {
 	switch r.currentKnowledge() {
 	case freshness.Current:
--- a/internal/discovery/testfollower_test.go
+++ b/internal/discovery/testfollower_test.go
@@ -32,7 +32,7 @@
 	return follower
 }
 
-// newFollower returns a dispatcher that has yet to follow servers.
+// newFollower returns a dispatcher that does not follow servers yet.
 func newFollower(t *testing.T) *testFollower {
 	t.Helper()
 	setDrainGrace := func(settings *decision.Settings) { settings.DrainGrace = 500 * time.Millisecond }
@@ -139,7 +139,8 @@
 	follower.connect()
 }
 
-// acceptOneSetting accepts changes of one setting alone, all or none, and calls onAccepted, unless it is nil.
+// acceptOneSetting returns a function that accepts a list of settings if it changes only over_share_worth, and then calls
+// onAccepted unless that is nil.
 func acceptOneSetting(onAccepted func()) func([]settingChange) error {
 	return func(changes []settingChange) error {
 		for i, c := range changes {
--- a/internal/discovery/update.go
+++ b/internal/discovery/update.go
@@ -14,7 +14,7 @@
 	return entries, nil
 }
 
-// adopt updates the workers by a list and its parsed form. Workers that are not in the list stay as they are.
+// adopt updates the workers from a list and its parsed form. Workers that are not in the list stay as they are.
 func (r *Registry) adopt(list []endpoint, entries []decision.Endpoint) {
 	for i, entry := range entries {
 		worker := r.workers[entry.Name]
@@ -27,7 +27,7 @@
 	}
 }
 
-// upsert updates a worker by its listed endpoint, or adds it where worker is nil.
+// upsert updates a worker from its listed endpoint, or adds a new worker if worker is nil.
 func (r *Registry) upsert(worker *Worker, listed *endpoint, state decision.WorkerState) {
 	now := r.dispatcher.Loop.Now()
 	if worker == nil {
@@ -49,7 +49,7 @@
 	}
 }
 
-// removeUnlisted removes the workers that a complete list lacks.
+// removeUnlisted removes the workers that are not in a complete list.
 func (r *Registry) removeUnlisted(entries []decision.Endpoint) {
 	listed := make(map[string]bool, len(entries))
 	for _, entry := range entries {
@@ -73,8 +73,8 @@
 	delete(r.workers, worker.Name)
 }
 
-// publish reports a list or change of the source, which has been adopted, to the dispatcher. A change that is the first
-// update goes out with the initial endpoint list; a snapshot replaces that list.
+// publish reports a list or change of the source, which has been adopted, to the dispatcher. If the first update is a
+// delta, it is published together with the initial endpoint list; a snapshot replaces that list.
 func (r *Registry) publish(snapshot bool, entries []decision.Endpoint) {
 	switch {
 	case snapshot:
@@ -88,7 +88,7 @@
 	}
 }
 
-// notifyUpdate calls OnUpdate, if anything is set there.
+// notifyUpdate calls OnUpdate, unless it is nil.
 func (r *Registry) notifyUpdate() {
 	if r.OnUpdate != nil {
 		r.OnUpdate()
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -16,7 +16,7 @@
 	watchConnectTimeout = time.Second
 	watchCallTimeout    = 3 * time.Second // from its start to the first line; discovery handles calls in turn
 	watchLineTimeout    = 3 * time.Second // between lines; one comes every 2 s at the latest
-	watchPartTimeout    = time.Second     // between the parts of an answer that has begun, or of a line
+	watchPartTimeout    = time.Second     // between the parts of an incomplete answer or line
 
 	// unreadDataGrace extends a timeout once if bytes have arrived that the loop, running late, has yet to read.
 	unreadDataGrace = 10 * time.Millisecond
@@ -28,34 +28,34 @@
 )
 
 // watch is the discovery watch: one HTTP call at a time, whose answer is a stream of lines, each a list, a change or
-// empty. When a call fails, the next one is scheduled within the time that the protocol leaves (see reconnect.go).
+// empty. When a call fails, the next one is scheduled within the time that the protocol allows (see reconnect.go).
 type watch struct {
 	registry *Registry
-	address  string // host:port of discovery; empty: there is none
+	address  string // host:port of discovery; empty if there is none
 	version  int64  // of the newest list or change applied; the next call resumes from it
 
 	watchCall
-	generation  int // counts calls: what a callback of an earlier one brings is ignored
+	generation  int // counts calls, so that callbacks of earlier ones are ignored
 	timeout     eventloop.Deadline
 	lastContact time.Duration // when the latest call was started or the latest line came
 
 	random          *rand.Rand         // spreads reconnects
 	nextCall        eventloop.Deadline // starts the next call
-	nextCallAt      time.Duration      // when that is; 0: not scheduled
+	nextCallAt      time.Duration      // when that is; 0 if it is not scheduled
 	notBefore       time.Duration      // the earliest time of the next call, after one that failed
 	failureReported bool               // a failure was reported to the dispatcher, which has not called Subscribe since
-	outageLogged    bool               // the present outage of an agent has its log line
+	outageLogged    bool               // the present outage of an agent has been logged
 }
 
-// watchCall is the state of the call in progress. Its zero value stands for no call.
+// watchCall is the state of the call in progress. Its zero value means that there is none.
 type watchCall struct {
 	calling     bool
-	conn        *transport.Conn // nil: not connected yet
+	conn        *transport.Conn // nil until connected
 	response    responseReader
-	established bool // the first line of the answer has come
+	established bool // the first line of the answer has arrived
 	splitter    objectSplitter
 
-	deadline        time.Duration // the latest time to which partial lines move the timeout
+	deadline        time.Duration // the latest time to which a partial answer may move the timeout
 	timeoutExtended bool          // by unreadDataGrace
 }
 
@@ -79,7 +79,7 @@
 func (r *Registry) SetAddress(addr string) { r.watch.address = addr }
 
 // MoveTo continues the watch at another address, at once and from the version reached. The list and all attempts in
-// flight stay.
+// flight are kept.
 func (r *Registry) MoveTo(addr string) {
 	r.watch.address = addr
 	if r.follower == nil {
@@ -116,7 +116,7 @@
 	})
 }
 
-// sendRequest asks for the changes after the version reached.
+// sendRequest requests the changes after the version reached.
 func (w *watch) sendRequest() {
 	target := "/v1/servers?watch=1&after=" + strconv.FormatInt(w.version, 10)
 	request := appendGetRequest(nil, w.address, target, "")
@@ -124,7 +124,7 @@
 	w.conn.Write(request)
 }
 
-// reset ends the call in progress without a report, and cancels the next one.
+// reset ends the call in progress without reporting a failure, and cancels the next one.
 func (w *watch) reset() {
 	loop := w.registry.dispatcher.Loop
 	loop.Clear(&w.timeout)
@@ -161,14 +161,14 @@
 	w.notBefore = now + minBackoff
 	w.registry.publishInitial(nil)
 	w.reportFailure()
-	if failure == freshness.BrokenOff { // discovery is reachable: its notification bound runs
+	if failure == freshness.BrokenOff { // discovery is reachable, so the notification bound has begun to run
 		w.scheduleCall(w.notBefore)
 		return
 	}
 	w.scheduleReconnect(lastContact)
 }
 
-// classifyFailure returns what a failed call says of discovery. It must be called before reset.
+// classifyFailure returns whether a failed call reached discovery. It must be called before reset.
 func (w *watch) classifyFailure(cause error) freshness.Failure {
 	var status statusError
 	switch {
@@ -187,8 +187,8 @@
 	return freshness.NotReached
 }
 
-// onTimeout ends a call on which nothing has come in time. Where bytes are waiting to be read, it is extended once, and
-// not again, since they need not make a complete line.
+// onTimeout ends a call for which nothing has arrived in time. If bytes are waiting to be read, the timeout is extended
+// instead, but only once, since the bytes may not complete a line.
 func (w *watch) onTimeout() {
 	if w.conn == nil || w.timeoutExtended || w.conn.AllRead() {
 		w.fail(errTimeout)
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -12,8 +12,8 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// A line that cannot be read does not renew the list.
-func TestMalformedLineDoesNotRenewList(t *testing.T) {
+// A line that is invalid does not confirm the list.
+func TestInvalidLineDoesNotConfirmList(t *testing.T) {
 	for name, line := range map[string]string{
 		"no JSON":                    "{]\n",
 		"an endpoint without a name": `{"seq":44,"hosts":[{"host":"","health":"ready"}]}` + "\n",
@@ -63,7 +63,7 @@
 	Endpoints []endpoint `json:"hosts"`
 }
 
-// encode returns the list with its line end, indented or, without an indent, on one line.
+// encode returns the list with its line end, on several lines with an indent, or on one line if indent is empty.
 func (l wireList) encode(t *testing.T, indent string) string {
 	t.Helper()
 	raw, err := json.MarshalIndent(l, "", indent)
@@ -76,8 +76,8 @@
 	return string(raw) + "\n"
 }
 
-// An object of the watch may be on one line or many, several may share a chunk, and one may span chunks and be larger
-// than a buffer.
+// An object of the watch may be on one line or many. Several objects may share a chunk, and one object may span chunks
+// and be larger than a buffer.
 func TestWatchAcceptsAnyFraming(t *testing.T) {
 	for _, indent := range []string{"", "  "} {
 		for _, chunkSize := range []int{1 << 20, 4096, 7} {
@@ -86,10 +86,10 @@
 	}
 }
 
-// checkFraming checks that three lists with an indent are applied that come in chunks of a size.
+// checkFraming checks that three lists are applied that are written with an indent and arrive in chunks of a size.
 func checkFraming(t *testing.T, indent string, chunkSize int) {
 	t.Helper()
-	const workers = 1500 // indented, over 200 KB
+	const workers = 1500 // over 200 KB when indented
 	text := numberedList(2, true, workers, "ready").encode(t, indent) +
 		numberedList(3, false, 2, "draining").encode(t, indent) +
 		numberedList(4, false, 1, "gone").encode(t, indent)
--- a/internal/discovery/watchreader.go
+++ b/internal/discovery/watchreader.go
@@ -8,11 +8,11 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-// errCallReplaced ends the reading of an answer after a line has ended its call, as a move to another address does. It is
-// never reported.
+// errCallReplaced stops the reading of an answer if applying one of its lines has ended the call, as a move to another
+// address does. It is never reported.
 var errCallReplaced = errors.New("the call was ended by a line of its answer")
 
-// OnData implements transport.Handler: it reads what discovery has sent.
+// OnData implements transport.Handler: it parses the data that discovery has sent.
 func (w *watch) OnData(conn *transport.Conn, received *transport.Buffer) {
 	pool := &w.registry.engine.Pool
 	defer pool.Put(received)
@@ -37,8 +37,8 @@
 	w.limitPartialAnswer()
 }
 
-// limitPartialAnswer shortens the timeout while a part of an answer is outstanding, so that a call that breaks off
-// leaves time for another one within the notification bound.
+// limitPartialAnswer shortens the timeout while the answer's first line or the rest of a line is outstanding, so that a
+// call that breaks off leaves time for another one within the notification bound.
 func (w *watch) limitPartialAnswer() {
 	if !w.response.headRead || w.established && !w.midLine() {
 		return
@@ -73,8 +73,8 @@
 	})
 }
 
-// readLine applies one line: a list, a change, or an empty line that only shows that discovery is alive. A line that
-// is wrong does not renew the list.
+// readLine applies one line: a list, a change, or an empty line that only shows that discovery is alive. An invalid line
+// does not confirm the list.
 func (w *watch) readLine(text []byte) error {
 	loop := w.registry.dispatcher.Loop
 	w.lastContact = loop.Now()
@@ -89,13 +89,13 @@
 			return err
 		}
 	} else if first || w.registry.initial.withheld() {
-		w.registry.publish(false, nil) // nothing has changed, which the dispatcher waits for after a call
+		w.registry.publish(false, nil) // reports that nothing has changed, since the dispatcher waits for the result of a call
 	}
 	w.registry.sourceConfirmed()
 	return nil
 }
 
-// applyList applies a list or change, unless any of it is wrong.
+// applyList applies a list or change, unless any part of it is invalid.
 func (w *watch) applyList(text []byte) error {
 	var list endpointList
 	if err := json.Unmarshal(text, &list); err != nil {
--- a/internal/discovery/worker.go
+++ b/internal/discovery/worker.go
@@ -7,7 +7,7 @@
 	"hollyyoke.example/hollyyoke/internal/freshness"
 )
 
-// Worker is one worker as its source listed it last.
+// Worker is one worker as the source last listed it.
 type Worker struct {
 	Name       string
 	Address    string // host:port
@@ -16,7 +16,7 @@
 
 	endpoint          endpoint // as listed
 	evidence          freshness.HealthEvidence
-	healthConfirmedAt time.Duration // when the latest health check that succeeded was sent; 0: never
+	healthConfirmedAt time.Duration // when the latest health check that succeeded was sent; 0 if none has
 	suspended         bool          // the dispatcher sends it nothing
 }
 
@@ -25,7 +25,7 @@
 	worker.healthConfirmedAt = sentAt
 }
 
-// HealthDenied reports that a worker failed a health check. It is suspended where the list alone does not vouch for it.
+// HealthDenied reports that a worker failed a health check. The worker is suspended if the list is unconfirmed.
 func (r *Registry) HealthDenied(worker *Worker) {
 	worker.evidence.Denied(&r.freshness.tracker)
 	if r.freshness.knowledge == freshness.Unconfirmed {
