--- a/internal/membership/acktracker.go
+++ b/internal/membership/acktracker.go
@@ -8,21 +8,22 @@
 
 // AckTracker holds the version that each subscriber acknowledged last, and
 // forgets subscribers that have been silent for longer than the expiry. A relay
-// acknowledges for all subscribers below it, by the lowest of their versions.
+// acknowledges on behalf of all subscribers below it, with the lowest of their
+// versions.
 //
-// A subscriber that moves to another relay stays in its predecessor's count until
-// it expires there, and so is counted twice for up to that time.
+// A subscriber that moves from one relay to another is still counted at the
+// previous relay until it expires there. Until then it is counted twice.
 //
 // It is created by [NewAckTracker].
 type AckTracker struct {
 	expiry time.Duration
 	byName map[string]*acknowledgement
 
-	// The ends of a list that is ordered by lastSeen.
+	// The ends of a linked list that is ordered by lastSeen.
 	oldest, newest *acknowledgement
 }
 
-// acknowledgement is the last one of a subscriber.
+// acknowledgement is the last acknowledgement of one subscriber.
 type acknowledgement struct {
 	name     string
 	version  Version
@@ -38,10 +39,11 @@
 	return &AckTracker{expiry: expiry, byName: map[string]*acknowledgement{}}
 }
 
-// Acknowledge records that the named subscriber has applied version: for itself
-// (count 1), or for count subscribers below it, each of which has at least
-// version. It replaces what the subscriber acknowledged before, also where
-// version is lower, as after a restart. A count of 0 removes the subscriber.
+// Acknowledge records that the named subscriber has applied version. count is 1
+// for a single subscriber; for a relay it is the number of subscribers below it,
+// each of which has at least version. The acknowledgement replaces the previous
+// one, even if version is lower, as after a restart. A count of 0 removes the
+// subscriber.
 func (a *AckTracker) Acknowledge(now time.Duration, name string, version Version, count int) {
 	a.expire(now)
 	ack := a.byName[name]
@@ -73,7 +75,7 @@
 type Summary struct {
 	Subscribers    int
 	Lowest, Newest Version
-	Cumulative     []VersionCount // an element for each version acknowledged last, oldest first
+	Cumulative     []VersionCount // an element for each version that is the last one of a subscriber, oldest first
 }
 
 // Summary counts the live subscribers by version.
@@ -113,7 +115,7 @@
 	return count, total
 }
 
-// expire removes the subscribers that have been silent for too long.
+// expire removes the subscribers that have been silent for longer than the expiry.
 func (a *AckTracker) expire(now time.Duration) {
 	for a.oldest != nil && now-a.oldest.lastSeen > a.expiry {
 		expired := a.oldest
@@ -122,7 +124,7 @@
 	}
 }
 
-// link appends ack to the list, as the one seen last.
+// link appends ack to the list as the newest element.
 func (a *AckTracker) link(ack *acknowledgement) {
 	ack.previous = a.newest
 	ack.next = nil
@@ -134,7 +136,7 @@
 	a.newest = ack
 }
 
-// unlink takes ack out of the list.
+// unlink removes ack from the list.
 func (a *AckTracker) unlink(ack *acknowledgement) {
 	if ack.previous != nil {
 		ack.previous.next = ack.next
--- a/internal/membership/acktracker_test.go
+++ b/internal/membership/acktracker_test.go
@@ -11,7 +11,7 @@
 
 const ackExpiry = 90 * time.Second
 
-// Subscribers are counted by version, and those below a relay by its version.
+// Subscribers are counted by version, and those below a relay by the version that the relay acknowledged.
 func TestAckTrackerSummary(t *testing.T) {
 	tracker := NewAckTracker(ackExpiry)
 	tracker.Acknowledge(0, "d1", 5, 1)
@@ -77,7 +77,7 @@
 	lastSeen time.Duration
 }
 
-// The counts equal those of a plain map of the last acknowledgements.
+// The counts equal those computed from a plain map of the last acknowledgements.
 func TestAckTrackerCountsMatchAModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tracker := NewAckTracker(ackExpiry)
@@ -101,7 +101,7 @@
 	})
 }
 
-// countInModel is what CountAtLeast should return.
+// countInModel returns what CountAtLeast should return.
 func countInModel(model map[string]modelAck, now time.Duration, version Version) (count, total int) {
 	for _, last := range model {
 		if now-last.lastSeen > ackExpiry {
@@ -115,7 +115,7 @@
 	return count, total
 }
 
-// checkSummary compares a summary with the counts by version.
+// checkSummary checks that a summary is in order and agrees with CountAtLeast.
 func checkSummary(t *rapid.T, tracker *AckTracker, now time.Duration) {
 	summary := tracker.Summary(now)
 	if summary.Subscribers > 0 && (summary.Cumulative[0] != VersionCount{summary.Lowest, summary.Subscribers}) {
--- a/internal/membership/backfill.go
+++ b/internal/membership/backfill.go
@@ -1,13 +1,13 @@
 package membership
 
 // Backfill extends the log of a store that started from a snapshot back to the
-// version delta.Base, by a delta of all that changed since. From then on
-// subscribers resume from versions back to delta.Base as if the store had been
-// there: a relay that restarts does not cost its zone one snapshot for each
-// subscriber. The state becomes that of delta.Version.
+// version delta.Base, using a delta of everything that changed since. Subscribers
+// can then resume from versions back to delta.Base, as if the store had received
+// those changes itself, so that the restart of a relay does not cost its zone one
+// snapshot for each subscriber. The state becomes that of delta.Version.
 //
-// It returns false and changes nothing where the delta does not hold everything
-// that changed, is older than the state, or where the store did not start from a
+// It returns false and changes nothing if the delta does not contain everything
+// that changed or is older than the state, or if the store did not start from a
 // snapshot.
 func (s *Store) Backfill(delta Change) bool {
 	if !s.canBackfill(delta) {
@@ -26,8 +26,9 @@
 	return true
 }
 
-// canBackfill reports whether the delta holds everything that changed before the
-// snapshot that the store started from.
+// canBackfill reports whether the store is still in the state of the snapshot that
+// it started from, or of deltas after it, with nothing missing; and whether the
+// delta is complete and reaches from before that snapshot at least to the state.
 func (s *Store) canBackfill(delta Change) bool {
 	startedFromSnapshot := s.snapshots == 1 && s.exactBase == 0 && s.complete()
 	isComplete := !delta.Snapshot && !delta.Exact && delta.MissingFrom == 0 && delta.check() == nil
--- a/internal/membership/backfill_test.go
+++ b/internal/membership/backfill_test.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// A delta that does not bring everything since before the snapshot is rejected, and so is any where the state is
-// not that of a snapshot.
+// A delta that does not contain everything since before the snapshot is rejected. Any delta is rejected if the store did
+// not start from a snapshot or is incomplete.
 func TestBackfillRejects(t *testing.T) {
 	records := []Record{workerRecord("h1", HealthDraining, 0)}
 	for name, change := range map[string]Change{
--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// A delta of one worker, with a full log.
+// Applies a delta of one worker to a store whose log is full.
 func BenchmarkApplyDelta(b *testing.B) {
 	benchmarkBySize(b, func(b *testing.B, size int) {
 		store := NewStore(size / 2)
@@ -91,7 +91,7 @@
 	})
 }
 
-// The subscriber lacks the change of one worker.
+// Answers a subscriber that lacks the change of one worker.
 func BenchmarkSinceOne(b *testing.B) {
 	benchmarkBySize(b, func(b *testing.B, size int) {
 		store := NewStore(size)
@@ -105,7 +105,7 @@
 	})
 }
 
-// The subscriber lacks an hour's changes at the rate of the scale objective.
+// Answers a subscriber that lacks an hour's changes, at the rate of the scale objective.
 func BenchmarkSinceHour(b *testing.B) {
 	benchmarkBySize(b, func(b *testing.B, size int) {
 		const changes = 1333
@@ -140,13 +140,13 @@
 		for i := range names {
 			names[i] = fmt.Sprintf("d-%06x", i)
 		}
-		b.Run("Heard", func(b *testing.B) {
+		b.Run("Acknowledge", func(b *testing.B) {
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				tracker.Acknowledge(time.Duration(i)*time.Second/time.Duration(size), names[i%size], Version(i), 1)
 			}
 		})
-		b.Run("InForce", func(b *testing.B) {
+		b.Run("CountAtLeast", func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
 				tracker.CountAtLeast(0, 1)
--- a/internal/membership/change.go
+++ b/internal/membership/change.go
@@ -2,9 +2,9 @@
 
 import "encoding/json"
 
-// Version numbers the origin's states. A later state has a higher version, and
-// relays pass versions on unchanged. 0 is the version of a subscriber that has
-// nothing yet.
+// Version is the number of a state of the origin. A later state has a higher
+// version, and relays pass versions on unchanged. 0 is the version of a
+// subscriber that has no state yet.
 type Version int64
 
 // Prefixes of a Record's key.
@@ -17,13 +17,13 @@
 type Record struct {
 	Key string // WorkerPrefix and the worker's name, or SettingPrefix and the setting's path
 
-	// Value is a worker's JSON object as the origin wrote it, so that fields
-	// unknown here are passed on, or a setting's value. It is on one line. It is
-	// shared by stores and changes, and must not be written to.
+	// Value is a setting's value, or a worker's JSON object as the origin wrote
+	// it, so that fields unknown here are passed on. It is on one line. It is
+	// shared by stores and changes, and must not be modified.
 	Value json.RawMessage
 
 	// Deleted means that the worker's health is "gone", and Value is its last
-	// object; or that the setting's value is null, and its initial value holds again.
+	// object; or that the setting's value is null, which restores its initial value.
 	Deleted bool
 
 	// Urgent means that the worker is draining or gone, so that the change must
@@ -31,35 +31,37 @@
 	Urgent bool
 }
 
-// Change is a snapshot or a delta, which one line of the wire carries. It is
-// atomic: all of it is applied, or nothing.
+// Change is a snapshot or a delta, which is one line on the wire. It is atomic:
+// all of it is applied, or nothing.
 type Change struct {
-	// Version is that of the receiver's state after the change.
+	// Version is the version of the receiver's state after the change.
 	Version Version
 
-	// Snapshot means that the change replaces the entire state: what it does not
-	// hold is deleted. Otherwise the change is a delta.
+	// Snapshot means that the change replaces the entire state: keys that it does
+	// not contain are deleted. Otherwise the change is a delta.
 	Snapshot bool
 
-	// Base is the version that a delta continues from: the one that was asked
-	// for, or that of the line before it on the same watch, rejected or not. It
-	// is not on the wire; the receiver sets it. 0 means that the receiver
-	// guarantees that nothing is missing between its state and the delta.
+	// Base is the version that a delta continues from: the one named in the
+	// request, or that of the line before it on the same watch, even if that line
+	// was rejected. It is not on the wire; the receiver sets it. 0 means that the
+	// receiver guarantees that nothing is missing between its state and the delta.
 	Base Version
 
-	// Exact means that the delta holds the differences to the state at Base, but
-	// not the keys that changed in between and back again. It fits that state only.
+	// Exact means that the delta contains the differences to the state at Base, but
+	// not the keys that changed in between and back again. It applies only to that
+	// state.
 	Exact bool
 
-	// MissingFrom is the first version of which the sender may lack something,
-	// since it has rejected a change; the receiver then lacks it too. 0: nothing.
+	// MissingFrom is the first version of which the sender may lack something
+	// because it has rejected a change; the receiver then lacks it too. It is 0 if
+	// the sender lacks nothing.
 	MissingFrom Version
 
-	// Records holds at most one record for each key.
+	// Records contains at most one record for each key.
 	Records []Record
 }
 
-// Urgent reports whether the change holds an urgent record.
+// Urgent reports whether the change contains an urgent record.
 func (c Change) Urgent() bool {
 	for i := range c.Records {
 		if c.Records[i].Urgent {
--- a/internal/membership/example_test.go
+++ b/internal/membership/example_test.go
@@ -17,13 +17,13 @@
 		`{"seq":43,"whole":false,"hosts":[{"host":"s-2","dial":"10.1.0.19:8080","health":"ready"}]}`,
 	} {
 		change, err := membership.Parse([]byte(line))
-		if err != nil { // rejected completely; the last valid state stays
+		if err != nil { // rejected as a whole; the last valid state stays
 			fmt.Println(err)
 			relay.Reject(change.Version)
 			continue
 		}
 		if !change.Snapshot {
-			change.Base = relay.Version() // of the line before on this watch
+			change.Base = relay.Version() // the version of the previous line on this watch
 		}
 		outcome, _ := relay.Apply(change)
 		fmt.Println(relay.Version(), outcome)
@@ -37,13 +37,13 @@
 	// {"seq":43,"whole":false,"missing":42,"hosts":[{"host":"s-2","dial":"10.1.0.19:8080","health":"ready"}]}
 }
 
-// The rate to a subscriber is bounded, but workers that are draining or gone do
-// not wait.
+// The rate to a subscriber is bounded, but the changes of workers that are draining
+// or gone do not wait.
 func ExampleRateLimiter() {
 	limiter := membership.NewRateLimiter(6000)
 	limiter.Spend(0, 250_000) // a compressed snapshot
 	fmt.Println(limiter.Wait(time.Second, false))
-	limiter.Spend(time.Second, 150_000) // a zone comes back: more than 360,000 in a minute
+	limiter.Spend(time.Second, 150_000) // the workers of a zone return, which exceeds the minute's 360,000
 	fmt.Println(limiter.Wait(2*time.Second, false))
 	fmt.Println(limiter.Wait(2*time.Second, true))
 	// Output:
@@ -52,7 +52,8 @@
 	// 0s
 }
 
-// A version has reached a subscriber that has acknowledged it or a newer one.
+// A version counts as having reached a subscriber once the subscriber has
+// acknowledged that version or a newer one.
 func ExampleAckTracker() {
 	tracker := membership.NewAckTracker(90 * time.Second)
 	tracker.Acknowledge(0, "dispatcher-1", 43, 1)
--- a/internal/membership/failover_test.go
+++ b/internal/membership/failover_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// A server that has worked for a while is left only when it fails, and the next one is called at once.
+// A working server is kept until it fails. The next one is then called at once, since the failures before do not count.
 func TestFailoverKeepsAWorkingServer(t *testing.T) {
 	failover := NewFailover([]string{"a", "b"}, 1)
 	failover.MarkFailed(0)
@@ -34,7 +34,7 @@
 	}
 }
 
-// Servers that accept and fail at once are called with growing backoff.
+// Servers that accept a call and then fail at once are called with a growing backoff.
 func TestFailoverBacksOffFromFlappingServers(t *testing.T) {
 	failover := NewFailover([]string{"a", "b"}, 1)
 	now := time.Duration(0)
@@ -62,7 +62,7 @@
 		now += wait
 	}
 	if now < 500*time.Second {
-		t.Errorf("a thousand failures take %v: it does not back off", now)
+		t.Errorf("a thousand failures take %v, so the backoff is too short", now)
 	}
 }
 
@@ -80,7 +80,7 @@
 	failover.MarkBehind(2 * behindReportAfter)
 	failover.MarkFailed(2 * behindReportAfter) // an unreachable server is not behind
 	if failover.AllBehind(4 * behindReportAfter) {
-		t.Error("reported though one is only unreachable")
+		t.Error("reported although one server is unreachable and not behind")
 	}
 }
 
--- a/internal/membership/log.go
+++ b/internal/membership/log.go
@@ -1,16 +1,16 @@
 package membership
 
-// logEntry is the newest record of one key, and its place in the store's log.
+// logEntry is the newest record of one key, and its position in the store's log.
 type logEntry struct {
 	record         Record
-	version        Version   // of the last change
-	seenInSnapshot int       // the number of the last snapshot that held the key
-	inLog          bool      // older and newer are valid
-	older          *logEntry // neighbours in the log
+	version        Version   // of the last change to the key
+	seenInSnapshot int       // the number of the last snapshot that contained the key
+	inLog          bool      // the entry is in the log, and older and newer are valid
+	older          *logEntry // the neighbouring entries in the log
 	newer          *logEntry
 }
 
-// link puts an entry at the newer end of the log.
+// link appends an entry at the newest end of the log.
 func (s *Store) link(entry *logEntry) {
 	entry.inLog = true
 	entry.older = s.newest
@@ -24,7 +24,7 @@
 	s.logLength++
 }
 
-// unlink takes an entry out of the log, if it is there.
+// unlink removes an entry from the log, if it is there.
 func (s *Store) unlink(entry *logEntry) {
 	if !entry.inLog {
 		return
@@ -45,8 +45,8 @@
 	s.logLength--
 }
 
-// trim drops the oldest entries beyond the log's limit, and with them the keys
-// that have been deleted.
+// trim drops the oldest entries beyond the log's limit. A deleted key is forgotten
+// with its entry.
 func (s *Store) trim() {
 	for s.logLength > s.logLimit {
 		entry := s.oldest
@@ -58,8 +58,8 @@
 	}
 }
 
-// firstAfter returns the oldest entry of the versions after that one, and the
-// number of entries from there on.
+// firstAfter returns the oldest entry whose version is newer than after, and the
+// number of entries from there to the newest.
 func (s *Store) firstAfter(after Version) (first *logEntry, count int) {
 	for entry := s.newest; entry != nil && entry.version > after; entry = entry.older {
 		first = entry
--- a/internal/membership/main_test.go
+++ b/internal/membership/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain gives the property tests a fixed seed and more checks. Flags of the
-// command line take precedence.
+// TestMain sets a fixed seed and a higher number of checks for the property tests.
+// Flags given on the command line take precedence.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	explicit := map[string]bool{}
--- a/internal/membership/parse.go
+++ b/internal/membership/parse.go
@@ -8,11 +8,11 @@
 	"strings"
 )
 
-// Parse reads one line. An error names the field that is wrong, and the Change
-// that comes with it has no records. Where only the content of workers or
-// settings is wrong, its Version and Snapshot are set, for [Store.Reject];
-// otherwise its Version is 0, and the connection that brought the line cannot be
-// read any further. Of several entries with one key the last wins, as in
+// Parse parses one line. An error names the invalid field, and the Change that is
+// returned with it has no records. If only the content of workers or settings is
+// invalid, its Version and Snapshot are set, for [Store.Reject]; otherwise its
+// Version is 0, and the connection that the line was read from cannot be read any
+// further. Of several entries with the same key the last one is used, as with
 // consecutive changes. Parse does not retain line.
 func Parse(line []byte) (Change, error) {
 	var wire wireChange
@@ -107,16 +107,16 @@
 	}, nil
 }
 
-// contentError says what is wrong with a field of a worker or setting.
+// contentError describes an invalid field of a worker or setting.
 type contentError struct {
 	field   string
-	problem string // with the punctuation that joins it to the field's name
+	problem string // starts with the punctuation that separates it from the field's name
 }
 
 func (e *contentError) Error() string { return e.field + e.problem }
 
-// fieldError names the field that an error is about; path is that of the object
-// that holds the field.
+// fieldError adds to an error the path of the field that it is about. path is the
+// path of the object that contains the field.
 func fieldError(path string, err error) error {
 	var content *contentError
 	if errors.As(err, &content) {
@@ -132,8 +132,8 @@
 	return errors.New(path + ": unexpected " + typeError.Value)
 }
 
-// checkAddress accepts HOST:PORT as net.SplitHostPort does, which a package
-// without I/O does not import.
+// checkAddress accepts the same addresses as net.SplitHostPort. It does not call
+// that, since this package does no I/O and does not import net.
 func checkAddress(address string) error {
 	colon := strings.LastIndexByte(address, ':')
 	if colon < 0 {
@@ -158,7 +158,7 @@
 	return nil
 }
 
-// lastOfEachKey drops the records that a later one with the same key replaces.
+// lastOfEachKey drops the records that are followed by another one with the same key.
 func lastOfEachKey(records []Record) []Record {
 	last := make(map[string]int, len(records))
 	for i := range records {
--- a/internal/membership/ratelimit.go
+++ b/internal/membership/ratelimit.go
@@ -3,29 +3,30 @@
 import "time"
 
 const (
-	rateWindow = time.Minute // over which the mean rate is bounded
-	rateSlot   = time.Second // resolution: bytes count as sent at the end of their slot
+	rateWindow = time.Minute // period over which the mean rate is bounded
+	rateSlot   = time.Second // resolution of the window: bytes count as sent at the end of their slot
 )
 
 // RateLimiter bounds the mean rate of the bytes sent to a subscriber over any
 // minute. A change that is not urgent waits until less than a minute's budget has
-// been sent in the minute before, and may then exceed the budget by its own size.
-// Urgent changes never wait, but their bytes count. The zero value bounds nothing.
+// been sent in the preceding minute, and may then exceed the budget by its own
+// size. Urgent changes never wait, but their bytes count. The zero value does not
+// limit anything.
 type RateLimiter struct {
-	budget float64 // bytes a minute
-	sent   []sentSlot
-	total  float64
-	latest time.Duration
+	budget float64       // bytes a minute; 0 if there is no limit
+	sent   []sentSlot    // the slots within the window, oldest first
+	total  float64       // bytes in sent
+	latest time.Duration // the latest time that was passed in
 }
 
-// sentSlot is what was sent within a slot.
+// sentSlot counts the bytes sent within one slot.
 type sentSlot struct {
 	end   time.Duration
 	bytes float64
 }
 
 // NewRateLimiter returns a limiter with its full budget left. A rate of 0 or
-// less bounds nothing.
+// less means no limit.
 func NewRateLimiter(bytesPerSecond float64) RateLimiter {
 	return RateLimiter{budget: max(bytesPerSecond, 0) * rateWindow.Seconds()}
 }
@@ -65,8 +66,8 @@
 	l.total += float64(bytes)
 }
 
-// expire drops the slots that have left the window, and returns the latest time
-// seen: a time that goes back is taken for the latest one.
+// expire drops the slots that have left the window, and returns now or, if an
+// earlier call was passed a later time, that time.
 func (l *RateLimiter) expire(now time.Duration) time.Duration {
 	l.latest = max(l.latest, now)
 	expired := 0
--- a/internal/membership/ratelimit_test.go
+++ b/internal/membership/ratelimit_test.go
@@ -56,13 +56,13 @@
 	}
 }
 
-// transmission is what was sent at one time.
+// transmission is a number of bytes sent at one time.
 type transmission struct {
 	at    time.Duration
 	bytes int
 }
 
-// maxBytesWithin returns the maximum that was sent within any span of that length.
+// maxBytesWithin returns the largest number of bytes sent within any period of length span.
 func maxBytesWithin(sent []transmission, span time.Duration) int {
 	maximum := 0
 	sum := 0
@@ -78,9 +78,9 @@
 	return maximum
 }
 
-// In any minute, at most the budget and one more change are sent that are not
-// urgent. Nothing waits for longer than a minute and a slot, nor at all while
-// less than a minute's budget has been sent.
+// In any minute, the changes sent that are not urgent exceed the budget by at most
+// one change. No change waits for longer than a minute and a slot, and none waits
+// while less than a minute's budget has been sent in all.
 func TestRateLimiterBoundsAnyMinute(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(1, 10000).Draw(t, "bytes a second")
--- a/internal/membership/selector.go
+++ b/internal/membership/selector.go
@@ -8,35 +8,37 @@
 	"time"
 )
 
-// Server is one server of versioned changes: a relay, or the origin itself.
+// Server is a server of versioned changes: a relay or the origin.
 type Server struct {
 	Zone, Address string
 }
 
 const (
-	// A server that failed is retried after a backoff that doubles up to the
-	// maximum, with a jitter of up to a half. It is short enough that any reachable
-	// server is found well within the 6 s that a change may take.
+	// A server that failed is retried after a backoff that doubles up to
+	// maxRetryDelay and is shortened by a jitter of up to a half. The backoff is
+	// short enough that any reachable server is found well within the 6 s that a
+	// change may take.
 	initialRetryDelay = 200 * time.Millisecond
 	maxRetryDelay     = 1500 * time.Millisecond
 
-	// A preferred server that failed is tried again after a longer backoff while
-	// another one works, so that subscribers do not oscillate between the two.
+	// While another server works, a preferred server that failed is tried again
+	// only after a longer backoff, so that subscribers do not oscillate between
+	// the two.
 	initialReturnDelay = 5 * time.Second
 	maxReturnDelay     = 30 * time.Second
 
 	// stablePeriod is how long a server must have worked for its return delay to
-	// start from the initial one again.
+	// be reset to initialReturnDelay.
 	stablePeriod = time.Minute
 
-	// notWorking is the value of serverState.workingSince of a server that is not followed.
+	// notWorking is the value of serverState.workingSince for a server that is not followed.
 	notWorking time.Duration = -1
 )
 
 // Selector decides which server a subscriber tries and follows. Servers of the
-// subscriber's own zone come first, the others in an order that differs by the
-// subscriber's name (rendezvous hashing), so that the subscribers of a failed
-// relay spread over all that remain. It is created by [NewSelector].
+// subscriber's own zone come first. The others follow in an order that depends on
+// the subscriber's name (rendezvous hashing), so that the subscribers of a failed
+// relay spread over all remaining servers. It is created by [NewSelector].
 type Selector struct {
 	name    string
 	zone    string
@@ -44,20 +46,20 @@
 	random  *rand.Rand
 }
 
-// serverState is what is known of one server.
+// serverState is the state of one server.
 type serverState struct {
 	Server
 	attempting   bool          // returned by Next or NextPreferred, and its outcome is not known yet
 	failed       bool          // its last outcome was a failure
-	retryDelay   time.Duration // the backoff after the next failure, before jitter
-	retryAt      time.Duration // not tried before
-	returnDelay  time.Duration // the backoff of a return after the next failure, before jitter
-	returnAt     time.Duration // not preferred to a working server before
-	workingSince time.Duration // notWorking: it is not followed
+	retryDelay   time.Duration // backoff after the next failure, before jitter
+	retryAt      time.Duration // earliest time of the next attempt after a failure
+	returnDelay  time.Duration // backoff after the next failure before a return to the server, before jitter
+	returnAt     time.Duration // earliest time at which the server is preferred to a working one after a failure
+	workingSince time.Duration // since when it is followed, or notWorking
 }
 
-// NewSelector returns a selector for the subscriber of that name and zone.
-// The seed is that of the jitter.
+// NewSelector returns a selector for the subscriber with the given name and zone.
+// The seed is for the jitter.
 func NewSelector(name, zone string, servers []Server, seed uint64) *Selector {
 	s := &Selector{name: name, random: rand.New(rand.NewPCG(seed, rendezvousWeight(name, "")))}
 	s.Reset(zone, servers)
@@ -87,8 +89,8 @@
 	slices.SortStableFunc(s.servers, s.comparePreference)
 }
 
-// comparePreference orders servers of the subscriber's own zone before others,
-// and servers of equal rank by their rendezvous weight.
+// comparePreference orders servers of the subscriber's own zone before others.
+// Within these groups it orders servers by descending rendezvous weight.
 func (s *Selector) comparePreference(a, b *serverState) int {
 	aInOwnZone := a.Zone == s.zone
 	bInOwnZone := b.Zone == s.zone
@@ -101,23 +103,23 @@
 	return cmp.Compare(rendezvousWeight(s.name, b.Address), rendezvousWeight(s.name, a.Address))
 }
 
-// rendezvousWeight is the weight that a subscriber gives to a server.
+// rendezvousWeight returns the weight that a subscriber gives to a server.
 func rendezvousWeight(name, address string) uint64 {
 	hash := fnv.New64a()
 	hash.Write([]byte(name))
 	hash.Write([]byte{0})
 	hash.Write([]byte(address))
-	sum := hash.Sum64() // mixed below, since names often differ in their last bytes only
+	sum := hash.Sum64() // mixed further, since names often differ only in their last bytes
 	sum = (sum ^ sum>>32) * 0x9e3779b97f4a7c15
 	sum = (sum ^ sum>>29) * 0xbf58476d1ce4e5b9
 	return sum ^ sum>>32
 }
 
 // Next returns the server to try now, for a subscriber that follows none, or how
-// long to wait for one. The server counts as being tried until MarkActive,
-// MarkFailed or MarkAbandoned is called for it. Servers that have not failed come
-// first, in order of preference; then the one that has been due for longest, so
-// that all are tried in turn.
+// long to wait until one may be tried. The server counts as being tried until
+// MarkActive, MarkFailed or MarkAbandoned is called for it. Servers that have not
+// failed come first, in order of preference; then the failed one that has been due
+// for longest, so that all are tried in turn.
 func (s *Selector) Next(now time.Duration) (server Server, wait time.Duration) {
 	var next *serverState
 	wait = maxRetryDelay
@@ -144,11 +146,11 @@
 	return next.Server, 0
 }
 
-// NextPreferred returns a server to try beside the one that is followed, which it may
-// replace once it works: one of the own zone where the followed one is not, or
-// any where the followed one is no longer listed. It counts as being tried like
-// that of Next. ok is false where no server is better; otherwise wait is how long
-// to wait before one may be tried.
+// NextPreferred returns a server to try in parallel to the followed one, which it
+// may replace once it works. It is a server of the subscriber's own zone if the
+// followed one is of another zone, or any server if the followed one is no longer
+// listed. Like a server returned by Next, it counts as being tried. ok is false if
+// no server is better; otherwise wait is how long to wait before one may be tried.
 func (s *Selector) NextPreferred(now time.Duration, followed string) (server Server, wait time.Duration, ok bool) {
 	current := s.find(followed)
 	if current != nil && current.Zone == s.zone {
@@ -183,7 +185,8 @@
 	state.workingSince = now
 }
 
-// MarkAbandoned records that a server was left for another one, which is no failure.
+// MarkAbandoned records that a server is no longer tried or followed, since another
+// one is followed. This does not count as a failure.
 func (s *Selector) MarkAbandoned(address string) {
 	state := s.find(address)
 	if state == nil {
@@ -193,7 +196,8 @@
 	state.workingSince = notWorking
 }
 
-// MarkFailed records that a server could not be reached, is behind, or broke off.
+// MarkFailed records that a server could not be reached, is behind, or broke off
+// the connection.
 func (s *Selector) MarkFailed(now time.Duration, address string) {
 	state := s.find(address)
 	if state == nil {
--- a/internal/membership/selector_test.go
+++ b/internal/membership/selector_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// serversInZones returns servers in zones z0 and so on, as many in each.
+// serversInZones returns serversEach servers in each of the zones z0, z1 and so on.
 func serversInZones(zoneCount, serversEach int) (servers []Server) {
 	for z := range zoneCount {
 		for i := range serversEach {
@@ -18,8 +18,8 @@
 	return servers
 }
 
-// The own zone's server comes first, whatever the configured order. When it
-// fails, the subscribers of a zone spread over all others.
+// The server of the subscriber's own zone comes first, whatever the configured
+// order. When it fails, the subscribers of that zone spread over all others.
 func TestSelectorPrefersTheOwnZoneAndSpreadsOverTheOthers(t *testing.T) {
 	servers := serversInZones(17, 1)
 	second := map[string]int{}
@@ -44,7 +44,8 @@
 	}
 }
 
-// The return to the own zone's server has a backoff that grows as it flaps.
+// The return to the server of the own zone has a backoff, which grows if that
+// server fails again and again after short periods.
 func TestSelectorReturnsWithHysteresis(t *testing.T) {
 	selector := NewSelector("d", "z0", serversInZones(2, 1), 1)
 	local, _ := selector.Next(0)
@@ -56,22 +57,22 @@
 	var waits []time.Duration
 	for range 4 {
 		selector.MarkFailed(now, local.Address)
-		away, wait := selector.Next(now)
-		if away.Zone != "z1" || wait != 0 {
-			t.Fatalf("%v after %v", away, wait)
+		remote, wait := selector.Next(now)
+		if remote.Zone != "z1" || wait != 0 {
+			t.Fatalf("%v after %v", remote, wait)
 		}
-		selector.MarkActive(now, away.Address)
-		_, wait, ok := selector.NextPreferred(now, away.Address)
+		selector.MarkActive(now, remote.Address)
+		_, wait, ok := selector.NextPreferred(now, remote.Address)
 		if !ok || wait < initialReturnDelay/2 || wait > maxReturnDelay {
 			t.Fatalf("return after %v, %v", wait, ok)
 		}
 		waits = append(waits, wait)
 		now += wait
-		back, wait, ok := selector.NextPreferred(now, away.Address)
-		if !ok || wait != 0 || back != local {
-			t.Fatalf("%v after %v, %v", back, wait, ok)
+		preferred, wait, ok := selector.NextPreferred(now, remote.Address)
+		if !ok || wait != 0 || preferred != local {
+			t.Fatalf("%v after %v, %v", preferred, wait, ok)
 		}
-		selector.MarkAbandoned(away.Address)
+		selector.MarkAbandoned(remote.Address)
 		now += 100 * time.Millisecond
 		selector.MarkActive(now, local.Address)
 		now += time.Second
@@ -81,14 +82,14 @@
 	}
 	now += stablePeriod
 	selector.MarkFailed(now, local.Address)
-	away, _ := selector.Next(now)
-	if _, wait, _ := selector.NextPreferred(now, away.Address); wait > initialReturnDelay {
+	remote, _ := selector.Next(now)
+	if _, wait, _ := selector.NextPreferred(now, remote.Address); wait > initialReturnDelay {
 		t.Errorf("after a stable period the wait is %v", wait)
 	}
 }
 
-// A server that is no longer listed is left for any listed one, and the state of
-// those that remain is kept.
+// A followed server that is no longer listed is replaced by any listed one. The
+// state of the servers that remain listed is kept.
 func TestSelectorReset(t *testing.T) {
 	selector := NewSelector("d", "z0", serversInZones(3, 1), 1)
 	first, _ := selector.Next(0)
@@ -116,7 +117,7 @@
 	endsAt  time.Duration
 }
 
-// failEndedAttempts marks the attempts as failed that end by now, and returns the others.
+// failEndedAttempts marks the attempts that have ended by now as failed, and returns the others.
 func failEndedAttempts(selector *Selector, attempts []unansweredAttempt, now time.Duration) []unansweredAttempt {
 	var remaining []unansweredAttempt
 	for _, attempt := range attempts {
@@ -129,13 +130,13 @@
 	return remaining
 }
 
-// A server that becomes reachable is tried soon, whatever the outcomes before and
-// however many others are unreachable, since all are tried in turn.
+// A server that becomes reachable is tried soon, whatever the earlier outcomes were
+// and however many other servers are unreachable, since all are tried in turn.
 func TestSelectorFindsAnyServerThatIsUp(t *testing.T) {
 	const (
 		step           = 150 * time.Millisecond // between the attempts of one subscriber
-		connectTimeout = time.Second            // until an unresponsive server is given up
-		bound          = 5 * time.Second        // of the 6 s; the rest is for the response
+		connectTimeout = time.Second            // until an attempt at an unresponsive server fails
+		bound          = 5 * time.Second        // of the 6 s that a change may take; the rest is for the response
 	)
 	rapid.Check(t, func(t *rapid.T) {
 		servers := serversInZones(rapid.IntRange(1, 9).Draw(t, "zones"), rapid.IntRange(1, 2).Draw(t, "each"))
@@ -173,8 +174,8 @@
 	})
 }
 
-// Over random outcomes, Next never returns a server that is being tried already or
-// before its backoff has ended, and never waits for longer than the maximum.
+// Over random outcomes, Next never returns a server that is already being tried or
+// whose backoff has not ended, and never waits for longer than maxRetryDelay.
 func TestSelectorNeverTriesOneTwiceAtATime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		selector := NewSelector("d", "z0", serversInZones(rapid.IntRange(1, 5).Draw(t, "zones"), 2), 7)
--- a/internal/membership/store.go
+++ b/internal/membership/store.go
@@ -10,14 +10,14 @@
 	"strings"
 )
 
-// Outcome says what became of a change.
+// Outcome is the result of applying a change.
 type Outcome int
 
 // The outcomes of Store.Apply.
 const (
-	Applied  Outcome = iota // the state is now that of the change's version
-	Stale                   // it cannot make the state newer: nothing changes
-	Rejected                // malformed, or changes before it are missing: nothing changes
+	Applied  Outcome = iota // the state now has the change's version
+	Stale                   // the change cannot make the state newer, and was not applied
+	Rejected                // the change is malformed, or changes before it are missing; it was not applied
 )
 
 // String returns the outcome in lower case.
@@ -33,16 +33,17 @@
 	return fmt.Sprintf("Outcome(%d)", int(o))
 }
 
-// ErrGap says that a delta continues from a version that the store does not have
-// yet. The caller should ask its upstream again, after Store.Version.
+// ErrGap means that a delta continues from a version that the store does not have
+// yet. The caller should request the changes after Store.Version from its
+// upstream.
 var ErrGap = errors.New("changes before this delta are missing")
 
-// noVersion is the value of Store.exactBase where no exact delta can be given.
+// noVersion is the value of Store.exactBase if no exact delta can be sent.
 const noVersion Version = -1
 
 // Store holds the newest state and a log of the last changes. The log is
 // compacted: it has one entry for each key, and a later change of a key replaces
-// the earlier one. Deleted keys are remembered as long as the log holds them.
+// the earlier one. Deleted keys are kept as long as they are in the log.
 // It is created by [NewStore].
 type Store struct {
 	version       Version
@@ -54,39 +55,41 @@
 	logLength      int
 	oldest, newest *logEntry // the ends of the log, by version
 
-	// The range that the log can answer. It lacks the changes of versions up to
-	// trimmed, and what changed within the last snapshot and back again. For the
-	// state right before that snapshot, of version exactBase, it has all
-	// differences.
+	// The versions from which the log can answer with a delta. The log lacks the
+	// changes of versions up to trimmed. Of the last snapshot, or exact delta, it
+	// has only the differences to the state right before, which has version
+	// exactBase, and not what changed in between and back again. It therefore
+	// cannot answer from other versions before lastSnapshot.
 	trimmed      Version
-	lastSnapshot Version
-	exactBase    Version // noVersion: that state was not the origin's
-	snapshots    int     // applied so far
+	lastSnapshot Version // version of the last snapshot or exact delta
+	exactBase    Version // noVersion if the state before was not exactly the origin's
+	snapshots    int     // number of snapshots applied so far
 }
 
 // NewStore returns an empty store with a log of at most logLimit entries.
-// Subscribers that are further behind are sent a snapshot; with a limit of 0 all are.
+// Subscribers that are further behind are sent a snapshot; with a limit of 0, that
+// is every subscriber that lacks a change.
 func NewStore(logLimit int) *Store {
 	return &Store{logLimit: max(logLimit, 0), entries: map[string]*logEntry{}, exactBase: noVersion}
 }
 
-// Version returns the version of the state; 0 where nothing has been applied yet.
+// Version returns the version of the state, or 0 if nothing has been applied yet.
 func (s *Store) Version() Version { return s.version }
 
-// ResumeVersion returns the version up to which nothing is missing. It is
-// Version, unless a delta has been rejected since, here or by the sender of a
-// change. What that delta carried is then missing, and is had by asking the
-// upstream for the changes after ResumeVersion: now and then, beside the calls
-// after Version that bring what is new.
+// ResumeVersion returns the version up to which nothing is missing. It equals
+// Version unless a delta after it has been rejected, here or by the sender of a
+// change. The content of that delta is then missing. To get it, the caller
+// requests the changes after ResumeVersion from its upstream from time to time,
+// in addition to following the changes after Version.
 func (s *Store) ResumeVersion() Version { return s.resumeVersion }
 
-// complete reports whether the state is the origin's at its version.
+// complete reports whether the state equals the origin's at the same version.
 func (s *Store) complete() bool { return s.resumeVersion == s.version }
 
 // Len returns the number of workers and settings in the state.
 func (s *Store) Len() int { return s.liveCount }
 
-// Get returns the record of a key in the state; false where there is none.
+// Get returns the record of a key in the state, and whether there is one.
 func (s *Store) Get(key string) (Record, bool) {
 	entry := s.entries[key]
 	if entry == nil || entry.record.Deleted {
@@ -96,8 +99,9 @@
 }
 
 // Apply applies a change completely or not at all. The change must be newer than
-// the state; or, where something is missing after ResumeVersion, of the same
-// version and bring it. The error is set where the outcome is Rejected.
+// the state. If something is missing after ResumeVersion, the change may also have
+// the same version and contain what is missing. The error is set if the outcome is
+// Rejected.
 func (s *Store) Apply(change Change) (Outcome, error) {
 	if err := change.check(); err != nil {
 		return Rejected, err
@@ -110,7 +114,7 @@
 	}
 	if s.overlaps(change) && (change.Exact || change.MissingFrom > 0) {
 		s.resumeBefore(change)
-		return Stale, nil // for some keys its record may be older than ours
+		return Stale, nil // its records of some keys may be older than the state's
 	}
 	resumeVersion := s.resumeVersionAfter(change)
 	switch {
@@ -129,18 +133,19 @@
 }
 
 // Reject skips a delta that was rejected, here or by the subscriber that would
-// have applied it: the state stays, as if that version had changed nothing, and
-// later deltas apply. ResumeVersion stays too, since the origin continues from a
-// state that holds the rejected delta. A rejected snapshot must not be skipped:
-// the caller drops it, and its connection. A store without a state skips nothing,
-// since it needs a snapshot.
+// have applied it. The state stays the same, as if that version had changed
+// nothing, and later deltas can be applied. ResumeVersion stays the same as well,
+// since the origin continues from a state that includes the rejected delta. A
+// rejected snapshot must not be skipped: the caller drops it and closes its
+// connection. A store without a state skips nothing, since it needs a snapshot.
 func (s *Store) Reject(version Version) {
 	if s.version > 0 {
 		s.version = max(s.version, version)
 	}
 }
 
-// overlaps reports whether a delta repeats changes that have been applied.
+// overlaps reports whether a delta continues from a version before the state's, so
+// that it may repeat changes that have been applied.
 func (s *Store) overlaps(delta Change) bool {
 	return !delta.Snapshot && delta.Base > 0 && delta.Base < s.version
 }
@@ -150,14 +155,14 @@
 	return change.Snapshot || change.Base > 0 && change.Base <= s.resumeVersion
 }
 
-// repairs reports whether the change brings what is missing after ResumeVersion.
+// repairs reports whether the change contains what is missing after ResumeVersion.
 func (s *Store) repairs(change Change) bool {
 	return !s.complete() && change.MissingFrom == 0 && s.coversMissing(change)
 }
 
 // resumeBefore lowers the resume version below the base of an exact delta that
-// cannot be applied, so that the next call after ResumeVersion is answered with
-// a snapshot and not with the same delta again.
+// cannot be applied, so that the next request for changes after ResumeVersion is
+// answered with a snapshot and not with the same delta again.
 func (s *Store) resumeBefore(delta Change) {
 	if delta.Exact && s.repairs(delta) {
 		s.resumeVersion = min(s.resumeVersion, delta.Base-1)
@@ -167,22 +172,23 @@
 // resumeVersionAfter returns the version up to which nothing is missing once the
 // change has been applied.
 func (s *Store) resumeVersionAfter(change Change) Version {
-	sender := change.Version
+	senderComplete := change.Version // the version up to which the sender lacks nothing
 	if change.MissingFrom > 0 {
-		sender = change.MissingFrom - 1
+		senderComplete = change.MissingFrom - 1
 	}
 	switch {
 	case change.Snapshot || change.Exact && s.complete():
-		return sender // also where it is lower: the sender's records may be older
+		return senderComplete // even if it is lower, since the sender's records may be older
 	case change.Exact:
-		return min(s.resumeVersion, sender)
+		return min(s.resumeVersion, senderComplete)
 	case s.complete() || s.coversMissing(change):
-		return max(s.resumeVersion, sender)
+		return max(s.resumeVersion, senderComplete)
 	}
 	return s.resumeVersion
 }
 
-// check checks what Parse guarantees of a line, for changes that did not come from it.
+// check checks the conditions that Parse guarantees, for changes that were not
+// returned by Parse.
 func (c Change) check() error {
 	if c.Version < 0 || c.Base < 0 || c.MissingFrom < 0 {
 		return errors.New("a version is negative")
@@ -195,8 +201,9 @@
 	return nil
 }
 
-// replace makes the state that of a snapshot. Only the differences are logged,
-// so that a subscriber at the version before the snapshot is sent no more than that.
+// replace replaces the state by that of a snapshot. Only the differences are
+// logged, so that a subscriber at the version before the snapshot is sent only
+// those.
 func (s *Store) replace(snapshot Change) {
 	s.markSnapshotBoundary(snapshot.Version)
 	s.snapshots++
@@ -210,13 +217,13 @@
 		s.setIfDifferent(snapshot.Records[i], snapshot.Version)
 	}
 	removed := slices.DeleteFunc(before, func(entry *logEntry) bool { return entry.seenInSnapshot == s.snapshots })
-	slices.SortFunc(removed, compareKeys) // a map's order would make logs differ
+	slices.SortFunc(removed, compareKeys) // map order would make logs differ
 	for _, entry := range removed {
 		s.set(entry.record.deletion(), snapshot.Version)
 	}
 }
 
-// markSnapshotBoundary notes that of the change to version only the differences
+// markSnapshotBoundary records that, of the change to version, only the differences
 // to the state before it are logged.
 func (s *Store) markSnapshotBoundary(version Version) {
 	s.lastSnapshot = version
@@ -229,10 +236,11 @@
 // compareKeys orders entries by their keys.
 func compareKeys(a, b *logEntry) int { return cmp.Compare(a.record.Key, b.record.Key) }
 
-// setIfDifferent puts a snapshot's record into the state where it differs.
+// setIfDifferent puts a record of a snapshot into the state if it differs from the
+// state's record.
 func (s *Store) setIfDifferent(record Record, version Version) {
 	if record.Deleted {
-		return // as if the snapshot did not hold it
+		return // as if the snapshot did not contain it
 	}
 	entry := s.entries[record.Key]
 	if entry == nil || entry.record.Deleted != record.Deleted || !bytes.Equal(entry.record.Value, record.Value) {
@@ -261,7 +269,7 @@
 	}
 }
 
-// set puts a record into the state and at the newer end of the log.
+// set puts a record into the state and at the newest end of the log.
 func (s *Store) set(record Record, version Version) {
 	entry := s.entries[record.Key]
 	if entry == nil {
@@ -280,11 +288,11 @@
 	s.link(entry)
 }
 
-// Since returns what a subscriber at version after lacks: the newest record of
-// each key that has changed since, in the order of the changes; or a snapshot
-// where the log does not reach back so far, or after is 0. It returns false where
-// after is newer than the state, or there is no state yet: the subscriber must
-// then ask another server. The cost is proportional to the records returned.
+// Since returns what a subscriber at version after lacks: a delta with the newest
+// record of each key that has changed since, in the order of the changes; or a
+// snapshot if the log does not reach back so far, or after is 0. It returns false
+// if after is newer than the state, or there is no state yet; the subscriber must
+// then use another server. The cost is proportional to the records returned.
 func (s *Store) Since(after Version) (Change, bool) {
 	if after > s.version || s.version == 0 {
 		return Change{}, false
@@ -310,13 +318,14 @@
 }
 
 // NeedsSnapshot reports whether Since answers a subscriber at version after with
-// a snapshot: it has nothing, or the log does not hold all that it lacks.
+// a snapshot, because the subscriber has no state, or because the log does not
+// contain everything that it lacks.
 func (s *Store) NeedsSnapshot(after Version) bool {
 	return after <= 0 || after < s.trimmed || after < s.lastSnapshot && after != s.exactBase
 }
 
-// missingFrom returns the first version of which something may be missing; 0
-// where nothing is.
+// missingFrom returns the first version of which something may be missing, or 0 if
+// nothing is.
 func (s *Store) missingFrom() Version {
 	if s.complete() {
 		return 0
@@ -324,9 +333,9 @@
 	return s.resumeVersion + 1
 }
 
-// Snapshot returns the entire state in the order of its keys, so that equal states
-// make equal snapshots. The cost is proportional to the state; callers should
-// cache the encoded line by version.
+// Snapshot returns the entire state, sorted by key, so that equal states make equal
+// snapshots. The cost is proportional to the state; callers should cache the
+// encoded line by version.
 func (s *Store) Snapshot() Change {
 	snapshot := Change{
 		Version:     s.version,
--- a/internal/membership/store_test.go
+++ b/internal/membership/store_test.go
@@ -33,7 +33,7 @@
 	return records
 }
 
-// storeWith returns a store with a log limit to which changes were applied.
+// storeWith returns a store with the log limit, to which the changes were applied.
 func storeWith(t *testing.T, limit int, changes ...Change) *Store {
 	t.Helper()
 	store := NewStore(limit)
@@ -43,7 +43,7 @@
 	return store
 }
 
-// mustApply applies a change, which must have an outcome.
+// mustApply applies a change and checks its outcome.
 func mustApply(t *testing.T, s *Store, c Change, want Outcome) {
 	t.Helper()
 	if got, err := s.Apply(c); got != want || (err != nil) != (want == Rejected) {
@@ -70,7 +70,7 @@
 	return strings.Join(parts, " ")
 }
 
-// expectSince checks what a store answers a subscriber at a version, in the form of describe.
+// expectSince checks the answer of a store to a subscriber at version after. want is in the form of describe.
 func expectSince(t *testing.T, store *Store, after Version, want string) {
 	t.Helper()
 	change, ok := store.Since(after)
@@ -143,7 +143,7 @@
 	expectSince(t, store, 0, "snapshot 3 a=1")
 }
 
-// A delta has the newest record of each key alone, in the order of the changes.
+// A delta contains only the newest record of each key, in the order of the changes.
 func TestSinceCoalesces(t *testing.T) {
 	store := storeWith(t, 10, snapshot(1, "a=1", "b=1", "c=1"),
 		delta(2, 1, "c=2"), delta(3, 2, "a=2"), delta(5, 3, "c=3", "b=null"))
@@ -178,7 +178,7 @@
 	}
 }
 
-// A subscriber that has the state before a snapshot is sent only the differences.
+// A subscriber that has the state before a snapshot is sent only the differences to the snapshot.
 func TestSnapshotIsForwardedAsAnExactDelta(t *testing.T) {
 	before := snapshot(4, "a=1", "b=1", "c=1")
 	store := storeWith(t, 10, before, snapshot(9, "a=1", "b=2", "d=1"))
@@ -190,15 +190,15 @@
 	expectSince(t, store, 4, "exact delta 10 b=2 d=1 c=null a=2")
 	expectSince(t, store, 9, "delta 10 a=2")
 
-	// The same holds for the next relay.
-	below := storeWith(t, 10, before)
+	// The same is true for a relay below that applies the exact delta.
+	relayBelow := storeWith(t, 10, before)
 	change, _ := store.Since(4)
-	mustApply(t, below, change, Applied)
-	expectSince(t, below, 4, "exact delta 10 b=2 d=1 c=null a=2")
-	expectSince(t, below, 6, "snapshot 10 a=2 b=2 d=1")
+	mustApply(t, relayBelow, change, Applied)
+	expectSince(t, relayBelow, 4, "exact delta 10 b=2 d=1 c=null a=2")
+	expectSince(t, relayBelow, 6, "snapshot 10 a=2 b=2 d=1")
 }
 
-// A worker that a snapshot lacks is deleted, which is urgent.
+// A worker that a snapshot does not contain is deleted, and the deletion is urgent.
 func TestWorkerMissingFromASnapshotIsDeletedUrgently(t *testing.T) {
 	store := storeWith(t, 10,
 		Change{Version: 1, Snapshot: true, Records: []Record{workerRecord("w1", HealthReady, 7), workerRecord("w2", HealthReady, 7)}},
@@ -217,7 +217,7 @@
 	}
 }
 
-// A record in a snapshot that is marked as deleted counts as one that the snapshot lacks.
+// A record in a snapshot that is marked as deleted is treated as if the snapshot did not contain it.
 func TestDeletionsInASnapshotAreNotStored(t *testing.T) {
 	store := storeWith(t, 10, snapshot(1, "a=1"), snapshot(2, "a=null", "b=null"))
 	expectState(t, store, 2, 2, "")
@@ -234,7 +234,8 @@
 	expectSince(t, store, 2, "exact delta 3 a=1")
 }
 
-// A store skips a rejected delta, says what is missing, and is complete again once that has come.
+// A store skips a rejected delta, reports from which version on something is missing, and is complete again once that
+// has arrived.
 func TestRejectedDeltaIsSkipped(t *testing.T) {
 	store := storeWith(t, 10, snapshot(1, "a=1", "b=1"))
 	store.Reject(2)
@@ -246,14 +247,14 @@
 	expectSince(t, store, 2, "delta 3 missing 2 b=2")
 	expectSince(t, store, 0, "snapshot 3 missing 2 a=1 b=2")
 
-	// Asked after ResumeVersion, the upstream brings the rest: also at the same version.
+	// The upstream's answer to a request after ResumeVersion completes the state, even at the same version.
 	mustApply(t, store, delta(3, 1, "a=2", "b=2"), Applied)
 	expectState(t, store, 3, 3, "a=2 b=2")
 	mustApply(t, store, delta(3, 1, "a=2", "b=2"), Stale)
 	expectSince(t, store, 2, "delta 3 a=2 b=2")
 }
 
-// The subscriber of an incomplete store learns that it is incomplete.
+// A subscriber of an incomplete store is told that its own state is incomplete.
 func TestMissingFromIsForwarded(t *testing.T) {
 	upper := storeWith(t, 10, snapshot(4, "a=1"))
 	lower := storeWith(t, 10, snapshot(4, "a=1"))
@@ -269,15 +270,15 @@
 	expectSince(t, fresh, 0, "snapshot 6 missing 5 a=1 b=1")
 }
 
-// A snapshot from an incomplete sender may hold older records than the state.
+// A snapshot from an incomplete sender may contain older records than the state, so the resume version goes back.
 func TestSnapshotFromAnIncompleteSender(t *testing.T) {
 	change := snapshot(9, "a=2")
 	change.MissingFrom = 4
 	expectState(t, storeWith(t, 10, snapshot(5, "a=5"), change), 9, 3, "a=2")
 }
 
-// An incomplete sender may have an older value of a key than the store.
-func TestNoKeyGoesBackByAnIncompleteSender(t *testing.T) {
+// An incomplete sender may have an older value of a key than the store. Its overlapping delta is not applied.
+func TestOverlappingDeltaFromAnIncompleteSenderIsNotApplied(t *testing.T) {
 	store := storeWith(t, 10, snapshot(1, "a=1"))
 	store.Reject(2)
 	mustApply(t, store, delta(3, 2, "a=3"), Applied)
@@ -289,7 +290,7 @@
 	expectState(t, store, 3, 1, "a=3")
 }
 
-// An exact delta applies to the state at its base only.
+// An exact delta applies only to the state at its base.
 func TestExactDeltaFitsOneState(t *testing.T) {
 	exact := delta(9, 4, "b=2")
 	exact.Exact = true
@@ -297,17 +298,17 @@
 	mustApply(t, store, exact, Stale)
 	expectState(t, store, 6, 6, "a=2")
 
-	// The next call for what is missing is answered with a snapshot.
+	// The next request for what is missing is answered with a snapshot.
 	store = storeWith(t, 10, snapshot(4, "a=1"))
 	store.Reject(5)
 	mustApply(t, store, exact, Stale)
 	if store.ResumeVersion() != 3 {
-		t.Errorf("would ask after %d again", store.ResumeVersion())
+		t.Errorf("would request the changes after %d again", store.ResumeVersion())
 	}
 }
 
-// With an exact delta from an incomplete sender, records may have gone back to
-// before the base.
+// An exact delta from an incomplete sender may replace records by older ones, so
+// the resume version may go back to before the base.
 func TestExactDeltaFromAnIncompleteSender(t *testing.T) {
 	for _, test := range []struct {
 		rejectedBefore bool
@@ -336,8 +337,8 @@
 	}
 }
 
-// An incomplete state differs from the one that others have at its version, and
-// so do its differences to a snapshot.
+// An incomplete state differs from the state that others have at the same version.
+// The differences between it and a snapshot are therefore not sent as an exact delta.
 func TestNoExactDeltaFromAnIncompleteState(t *testing.T) {
 	store := storeWith(t, 10, snapshot(1, "a=1"))
 	store.Reject(2) // a=2
@@ -349,7 +350,7 @@
 	}
 }
 
-// Of two snapshots of one version, the first one is incomplete.
+// A complete snapshot replaces an incomplete one of the same version.
 func TestSnapshotRepairsAtTheSameVersion(t *testing.T) {
 	first := snapshot(4, "a=1", "b=1")
 	first.MissingFrom = 3
@@ -371,7 +372,7 @@
 	}
 }
 
-// Get returns the records in the state, and not those that were deleted.
+// Get returns the records in the state, but not those that were deleted.
 func TestGet(t *testing.T) {
 	store := storeWith(t, 3, snapshot(1, "a=1", "b=1"), delta(2, 1, "b=null"))
 	if r, ok := store.Get("setting/a"); !ok || string(r.Value) != "1" {
@@ -384,7 +385,7 @@
 	}
 }
 
-// The number of allocations does not grow with the state.
+// The number of allocations for one changed worker does not grow with the state.
 func TestSinceCostIsProportionalToTheChanges(t *testing.T) {
 	for _, size := range benchmarkSizes {
 		store := storeWith(t, size, fleetSnapshot(1, size),
--- a/internal/membership/subscribers.go
+++ b/internal/membership/subscribers.go
@@ -5,30 +5,31 @@
 // SubscriberID identifies one watch of a relay.
 type SubscriberID uint64
 
-// BatchLimits says how changes that follow each other are coalesced.
+// BatchLimits sets the minimum time between deltas to a subscriber. Changes that
+// follow each other more closely are coalesced.
 type BatchLimits struct {
-	Interval       time.Duration // minimum between two deltas to a subscriber
-	UrgentInterval time.Duration // the same where the next one holds an urgent change
+	Interval       time.Duration // minimum between two deltas
+	UrgentInterval time.Duration // the same if the second one contains an urgent change
 }
 
-// Subscribers decides when each subscriber is sent its next delta. It queues no
-// deltas and holds only the version of each subscriber, so that a slow reader
-// costs no more than a fast one and catches up with one coalesced delta.
+// Subscribers decides when each subscriber is sent its next delta. It does not
+// queue deltas and keeps only the version of each subscriber, so that a slow
+// reader costs no more than a fast one and catches up with one coalesced delta.
 // It is created by [NewSubscribers].
 type Subscribers struct {
 	limits      BatchLimits
 	newest      Version
-	lastUrgent  Version // the newest version that holds an urgent change
+	lastUrgent  Version // the newest version that contains an urgent change
 	subscribers map[SubscriberID]*subscriber
 }
 
 // subscriber is one watch of a relay.
 type subscriber struct {
-	version Version // including the line that is being written
+	version Version // that it has, including the line that is being written
 	limiter *RateLimiter
-	started bool // its first line has been sent
-	sending bool // a line is being written
-	sentAt  time.Duration
+	started bool          // its first line has been sent, or is being written
+	sending bool          // a line is being written
+	sentAt  time.Duration // when the last line had been written
 }
 
 // NewSubscribers returns an empty set.
@@ -39,7 +40,7 @@
 // Len returns the number of subscribers.
 func (s *Subscribers) Len() int { return len(s.subscribers) }
 
-// Changed records that a newer version is in the store, and whether it holds an
+// Changed records that a newer version is in the store, and whether it contains an
 // urgent change.
 func (s *Subscribers) Changed(version Version, urgent bool) {
 	s.newest = max(s.newest, version)
@@ -59,7 +60,7 @@
 func (s *Subscribers) Remove(id SubscriberID) { delete(s.subscribers, id) }
 
 // Version returns the version that a subscriber has, including the line that is
-// being written; 0 for an unknown subscriber.
+// being written, or 0 for an unknown subscriber.
 func (s *Subscribers) Version(id SubscriberID) Version {
 	sub := s.subscribers[id]
 	if sub == nil {
@@ -69,7 +70,7 @@
 }
 
 // Sending records that a line up to version is being written to a subscriber.
-// Nothing else is due to it until Sent.
+// No other line is due until Sent is called.
 func (s *Subscribers) Sending(id SubscriberID, version Version) {
 	sub := s.subscribers[id]
 	if sub == nil {
@@ -91,9 +92,9 @@
 	sub.limiter.Spend(now, bytes)
 }
 
-// Due returns the subscribers whose next line is due now, in no order, and the
-// time when another one will be, if no change comes before; waiting is false
-// where there is none.
+// Due returns the subscribers whose next line is due now, in no particular order.
+// next is the time when another subscriber's line will be due if no change comes
+// before; waiting is false if there is none.
 func (s *Subscribers) Due(now time.Duration) (due []SubscriberID, next time.Duration, waiting bool) {
 	for id, sub := range s.subscribers {
 		wait, pending := s.wait(now, sub)
@@ -112,8 +113,8 @@
 	return due, next, waiting
 }
 
-// Wait returns how long a subscriber's next line has to wait; pending is false
-// where there is none to send, or no such subscriber.
+// Wait returns how long a subscriber's next line has to wait. pending is false if
+// there is nothing to send, a line is being written, or the subscriber is unknown.
 func (s *Subscribers) Wait(now time.Duration, id SubscriberID) (wait time.Duration, pending bool) {
 	sub := s.subscribers[id]
 	if sub == nil {
@@ -122,7 +123,7 @@
 	return s.wait(now, sub)
 }
 
-// wait is Wait for a subscriber that is there.
+// wait implements Wait for a known subscriber.
 func (s *Subscribers) wait(now time.Duration, sub *subscriber) (wait time.Duration, pending bool) {
 	switch {
 	case sub.sending:
@@ -147,8 +148,9 @@
 // Urgent reports whether a subscriber at version after lacks an urgent change.
 func (s *Subscribers) Urgent(after Version) bool { return after < s.lastUrgent }
 
-// UpToDate returns how long ago everything was written to a subscriber; false
-// where a line is being written or is due.
+// UpToDate returns how long ago the last line was written to a subscriber that has
+// the newest version. It returns false for any other subscriber, and while a line
+// is being written or the first one is due.
 func (s *Subscribers) UpToDate(now time.Duration, id SubscriberID) (time.Duration, bool) {
 	sub := s.subscribers[id]
 	if sub == nil || sub.sending || !sub.started || sub.version < s.newest {
--- a/internal/membership/subscribers_test.go
+++ b/internal/membership/subscribers_test.go
@@ -10,19 +10,19 @@
 
 const millisecond = time.Millisecond
 
-// testSubscribers returns an empty set with an interval of 50 ms, or 20 ms for urgent changes.
-func testSubscribers() *Subscribers {
+// newTestSubscribers returns an empty set with an interval of 50 ms, or 20 ms for urgent changes.
+func newTestSubscribers() *Subscribers {
 	return NewSubscribers(BatchLimits{Interval: 50 * millisecond, UrgentInterval: 20 * millisecond})
 }
 
-// dueSubscribers returns the subscribers that are due, in order.
+// dueSubscribers returns the subscribers whose next line is due, sorted.
 func dueSubscribers(s *Subscribers, now time.Duration) []SubscriberID {
 	due, _, _ := s.Due(now)
 	slices.Sort(due)
 	return due
 }
 
-// sendLine starts and finishes a line to a subscriber.
+// sendLine records that a line to a subscriber was begun and written.
 func sendLine(s *Subscribers, now time.Duration, id SubscriberID, version Version, bytes int) {
 	s.Sending(id, version)
 	s.Sent(now, id, bytes)
@@ -30,20 +30,20 @@
 
 // The first line waits for the limiter only if it is a delta.
 func TestFirstLineIsDueAtOnce(t *testing.T) {
-	subscribers := testSubscribers()
+	subscribers := newTestSubscribers()
 	subscribers.Changed(7, false)
 	exhausted := NewRateLimiter(100)
 	exhausted.Spend(0, 10_000)
-	subscribers.Add(1, 0, &exhausted) // it has nothing
-	subscribers.Add(2, 7, &exhausted) // it has everything: the line is empty
-	subscribers.Add(3, 6, &exhausted) // a delta that waits for its limiter
+	subscribers.Add(1, 0, &exhausted) // has no state, so that its first line is a snapshot
+	subscribers.Add(2, 7, &exhausted) // has the newest version, so that its first line is empty
+	subscribers.Add(3, 6, &exhausted) // its first line is a delta, which waits for the limiter
 	if due := dueSubscribers(subscribers, 0); !slices.Equal(due, []SubscriberID{1, 2}) {
 		t.Errorf("due: %v", due)
 	}
 }
 
 func TestDeltasAreCoalesced(t *testing.T) {
-	subscribers := testSubscribers()
+	subscribers := newTestSubscribers()
 	subscribers.Changed(1, false)
 	var unbounded RateLimiter
 	subscribers.Add(1, 1, &unbounded)
@@ -65,7 +65,7 @@
 }
 
 func TestUrgentChangeIsSentBeforeItsInterval(t *testing.T) {
-	subscribers := testSubscribers()
+	subscribers := newTestSubscribers()
 	exhausted := NewRateLimiter(100)
 	subscribers.Changed(1, false)
 	subscribers.Add(1, 1, &exhausted)
@@ -91,7 +91,7 @@
 }
 
 func TestNothingIsDueWhileALineIsWritten(t *testing.T) {
-	subscribers := testSubscribers()
+	subscribers := newTestSubscribers()
 	var unbounded RateLimiter
 	subscribers.Changed(1, false)
 	subscribers.Add(1, 1, &unbounded)
@@ -107,7 +107,7 @@
 }
 
 func TestRemovedSubscriberIsForgotten(t *testing.T) {
-	subscribers := testSubscribers()
+	subscribers := newTestSubscribers()
 	var unbounded RateLimiter
 	subscribers.Add(1, 0, &unbounded)
 	subscribers.Remove(1)
@@ -118,13 +118,13 @@
 	}
 }
 
-// Over random changes and reading speeds, a subscriber that reads has the newest
-// version in the end, no version goes back, and what is not urgent stays within
-// the rate limit.
+// Over random changes and reading speeds, a subscriber that lacks a change always
+// has a line pending, versions never go back, and without urgent changes the bytes
+// sent stay within the rate limit.
 func TestSubscribersConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const rate, lineSize = 20, 500 // two or three lines a minute
-		subscribers := testSubscribers()
+		subscribers := newTestSubscribers()
 		limiter := NewRateLimiter(rate)
 		now := time.Duration(0)
 		version := Version(1)
--- a/internal/membership/tree_test.go
+++ b/internal/membership/tree_test.go
@@ -10,17 +10,17 @@
 )
 
 // simulatedTree is an origin, a tree of relays and followers, and the lines in
-// flight between them, over random disconnections, losses, duplicates and
-// reorderings. After each line, each node's state is checked against the origin's
-// history.
+// flight between them. Lines are randomly lost, duplicated and reordered, and
+// connections break. After each line, the receiving node's state is checked
+// against the origin's history.
 type simulatedTree struct {
 	origin   *originModel
 	nodes    []*treeNode // relays first
 	inFlight []*lineInFlight
 }
 
-// originModel creates the versions. Its store accepts invalid records, as
-// discovery's does.
+// originModel is the origin, which creates the versions. Its store accepts invalid
+// records, as that of discovery does.
 type originModel struct {
 	store   *Store
 	state   map[string]string
@@ -33,20 +33,20 @@
 	store       *Store
 	limit       int
 	accepts     func(Record) bool
-	servers     []versionServer // it may follow these
-	server      versionServer   // the one it follows now; nil: none
-	sentVersion Version         // what the server has sent so far
-	saved       []byte          // a relay's state on disk
-	restarts    bool            // it is a relay
+	servers     []versionServer // the servers that it may follow
+	server      versionServer   // the one that it follows now; nil if there is none
+	sentVersion Version         // the newest version that the server has sent it
+	saved       []byte          // the state that a relay has saved
+	restarts    bool            // whether it may restart, as relays do
 }
 
-// versionServer is what a node may follow: the origin or a relay.
-type versionServer interface{ serve() *Store }
+// versionServer is a server that a node may follow: the origin or a relay.
+type versionServer interface{ currentStore() *Store }
 
-func (o *originModel) serve() *Store { return o.store }
-func (n *treeNode) serve() *Store    { return n.store }
+func (o *originModel) currentStore() *Store { return o.store }
+func (n *treeNode) currentStore() *Store    { return n.store }
 
-// lineInFlight has been sent and not received. Lines of ended connections may still arrive.
+// lineInFlight is a line that was sent and has not been received. Lines of ended connections may still arrive.
 type lineInFlight struct {
 	to   *treeNode
 	line []byte
@@ -56,15 +56,16 @@
 const (
 	treeWorkers    = 2
 	treeSettings   = 1
-	invalidHealth  = "broken"      // rejected by all
-	forbiddenValue = `"forbidden"` // a setting's value that only followers reject
+	invalidHealth  = "broken"      // a health that all nodes reject
+	forbiddenValue = `"forbidden"` // a setting value that only followers reject
 )
 
 func acceptAll(Record) bool { return true }
 
 func acceptAllButForbidden(r Record) bool { return string(r.Value) != forbiddenValue }
 
-// newTree returns an origin, two relays that follow it, a relay that follows these, and two followers of any of them.
+// newTree returns an origin, two relays that follow it, a relay that follows these two, and two followers, which may
+// follow any of the others.
 func newTree(t *rapid.T) *simulatedTree {
 	limits := rapid.SampledFrom([]int{0, 1, 2, 4, 1000})
 	origin := &originModel{
@@ -88,9 +89,9 @@
 	}
 	first := add("relay 1", acceptAll, true, origin)
 	second := add("relay 2", acceptAll, true, origin)
-	below := add("relay below", acceptAll, true, first, second)
+	lower := add("relay below", acceptAll, true, first, second)
 	for i := range 2 {
-		add(fmt.Sprint("follower ", i), acceptAllButForbidden, false, first, second, below, origin)
+		add(fmt.Sprint("follower ", i), acceptAllButForbidden, false, first, second, lower, origin)
 	}
 	return tree
 }
@@ -104,7 +105,7 @@
 	return state
 }
 
-// applyTo returns the state that a change makes of a state.
+// applyTo returns the state that results from applying a change to state.
 func applyTo(state map[string]string, change Change) map[string]string {
 	next := map[string]string{}
 	if !change.Snapshot {
@@ -120,7 +121,7 @@
 	return next
 }
 
-// publish creates a version that changes the records.
+// publish creates a version in which the given records change.
 func (o *originModel) publish(t *rapid.T, records []Record) {
 	v := o.store.Version() + Version(rapid.IntRange(1, 2).Draw(t, "versions"))
 	c := Change{Version: v, Records: records}
@@ -155,21 +156,21 @@
 	tr.origin.publish(t, lastOfEachKey(records))
 }
 
-// open makes a node follow a server from its own version on.
+// open makes a node follow a server from the node's version on, unless the server is behind it.
 func (n *treeNode) open(s versionServer) {
 	n.server = nil
 	n.sentVersion = n.store.Version()
-	if _, ok := s.serve().Since(n.sentVersion); ok {
+	if _, ok := s.currentStore().Since(n.sentVersion); ok {
 		n.server = s
 	}
 }
 
-// sendPending sends a node what its server has beyond sentVersion.
+// sendPending sends a node the changes that its server has after sentVersion.
 func (tr *simulatedTree) sendPending(node *treeNode) {
 	if node.server == nil {
 		return
 	}
-	change, ok := node.server.serve().Since(node.sentVersion)
+	change, ok := node.server.currentStore().Since(node.sentVersion)
 	if !ok { // the server is behind the node
 		node.server = nil
 		return
@@ -180,17 +181,17 @@
 	}
 }
 
-// callOnce makes a single call, for what may be missing.
-func (tr *simulatedTree) callOnce(n *treeNode, s versionServer) *lineInFlight {
+// requestMissing returns the answer of a server to a single request of a node for the changes after its resume version.
+func (tr *simulatedTree) requestMissing(n *treeNode, s versionServer) *lineInFlight {
 	after := n.store.ResumeVersion()
-	c, ok := s.serve().Since(after)
+	c, ok := s.currentStore().Since(after)
 	if !ok {
 		return nil
 	}
 	return &lineInFlight{to: n, line: c.Append(nil), base: after}
 }
 
-// receive delivers a line to a node and checks the node's state afterwards.
+// receive delivers a line to its node and then checks the node's state.
 func (tr *simulatedTree) receive(t *rapid.T, message *lineInFlight) {
 	node := message.to
 	before := contents(node.store)
@@ -235,10 +236,10 @@
 	}
 }
 
-// backfill makes a relay that has just started ask what changed before.
+// backfill makes a relay that has just started request the changes before its snapshot.
 func (tr *simulatedTree) backfill(t *rapid.T, node *treeNode) {
 	after := Version(rapid.IntRange(1, int(node.store.Version())).Draw(t, "backfilled from"))
-	change, ok := rapid.SampledFrom(node.servers).Draw(t, "backfilled by").serve().Since(after)
+	change, ok := rapid.SampledFrom(node.servers).Draw(t, "backfilled by").currentStore().Since(after)
 	if !ok {
 		return
 	}
@@ -255,8 +256,9 @@
 	tr.check(t, node, version, before)
 }
 
-// check checks that a node's version has not gone back, that its state is want,
-// and that it is the origin's where nothing is missing.
+// check checks that a node's version has not gone back from version, that its state
+// is want and, if nothing is missing, that the origin had the same state at that
+// version.
 func (tr *simulatedTree) check(t *rapid.T, node *treeNode, version Version, want map[string]string) {
 	got := contents(node.store)
 	if node.store.Version() < version {
@@ -274,7 +276,7 @@
 	}
 }
 
-// restart restarts a relay with its saved state, or with none.
+// restart restarts a relay with its saved state or, if that is lost, without a state.
 func (tr *simulatedTree) restart(t *rapid.T, n *treeNode) {
 	n.store = NewStore(n.limit)
 	n.server = nil
@@ -289,7 +291,7 @@
 	tr.check(t, n, 0, applyTo(nil, c))
 }
 
-// repair replaces what any node rejects by records that all accept.
+// repair publishes a version that replaces the records that some node rejects by records that all nodes accept.
 func (tr *simulatedTree) repair(t *rapid.T) {
 	var records []Record
 	for _, r := range tr.origin.store.Snapshot().Records {
@@ -305,7 +307,7 @@
 	tr.origin.publish(t, records)
 }
 
-// converge keeps all links up until nothing more is sent.
+// converge delivers all changes, and what is missing, to each node, as often as there are nodes.
 func (tr *simulatedTree) converge(t *rapid.T) {
 	for range len(tr.nodes) {
 		for _, n := range tr.nodes {
@@ -313,7 +315,7 @@
 			tr.sendPending(n)
 			tr.deliverAll(t)
 			if n.store.ResumeVersion() < n.store.Version() {
-				if message := tr.callOnce(n, n.servers[0]); message != nil {
+				if message := tr.requestMissing(n, n.servers[0]); message != nil {
 					tr.receive(t, message)
 				}
 			}
@@ -346,8 +348,8 @@
 	return line
 }
 
-// flow makes a node follow a server, unless it does, and sends it what it lacks.
-func (tr *simulatedTree) flow(t *rapid.T) {
+// sendToOne makes a node follow a server, unless it already follows one, and sends it the changes that it lacks.
+func (tr *simulatedTree) sendToOne(t *rapid.T) {
 	node := tr.drawNode(t)
 	if node.server == nil {
 		node.open(rapid.SampledFrom(node.servers).Draw(t, "server"))
@@ -355,8 +357,9 @@
 	tr.sendPending(node)
 }
 
-// pump brings each node in turn to the version of the server that it follows, at first its first one.
-func (tr *simulatedTree) pump(t *rapid.T) {
+// updateEach brings each node in turn to the version of the server that it follows. A node that follows none follows the
+// first of its servers.
+func (tr *simulatedTree) updateEach(t *rapid.T) {
 	for _, node := range tr.nodes {
 		if node.server == nil {
 			node.open(node.servers[0])
@@ -366,16 +369,16 @@
 	}
 }
 
-// ask sends the answer to a single call of a node for what may be missing.
-func (tr *simulatedTree) ask(t *rapid.T) {
+// sendMissing sends the answer to a single request of a node for the changes after its resume version.
+func (tr *simulatedTree) sendMissing(t *rapid.T) {
 	node := tr.drawNode(t)
-	answer := tr.callOnce(node, rapid.SampledFrom(node.servers).Draw(t, "server"))
+	answer := tr.requestMissing(node, rapid.SampledFrom(node.servers).Draw(t, "server"))
 	if answer != nil {
 		tr.inFlight = append(tr.inFlight, answer)
 	}
 }
 
-// saveRelay saves the state of a relay.
+// saveRelay saves the state of a node, if it is a relay and has one.
 func (tr *simulatedTree) saveRelay(t *rapid.T) {
 	node := tr.drawNode(t)
 	if node.restarts && node.store.Version() > 0 {
@@ -383,7 +386,7 @@
 	}
 }
 
-// restartRelay restarts a relay.
+// restartRelay restarts a node, if it is a relay.
 func (tr *simulatedTree) restartRelay(t *rapid.T) {
 	node := tr.drawNode(t)
 	if node.restarts {
@@ -403,23 +406,23 @@
 	}
 }
 
-// All nodes reach the origin's newest state once they can reach it; none goes
-// back, and none ever has a part of a change.
+// All nodes reach the origin's newest state once all links work. Until then, no
+// node's version goes back, and no node applies only a part of a change.
 func TestTreeConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tree := newTree(t)
 		deliver := func(t *rapid.T) { tree.receive(t, tree.drawLine(t, false)) }
-		t.Repeat(map[string]func(*rapid.T){ // two names make a step twice as frequent
+		t.Repeat(map[string]func(*rapid.T){ // a step that is listed twice is drawn twice as often
 			"change":       tree.originChanges,
-			"flow":         tree.flow,
-			"flow again":   tree.flow,
+			"flow":         tree.sendToOne,
+			"flow again":   tree.sendToOne,
 			"deliver":      deliver,
 			"deliver next": deliver,
 			"duplicate":    func(t *rapid.T) { tree.receive(t, tree.drawLine(t, true)) },
 			"lose":         func(t *rapid.T) { tree.drawLine(t, false) },
 			"cut":          func(t *rapid.T) { tree.drawNode(t).server = nil },
-			"pump":         tree.pump,
-			"ask":          tree.ask,
+			"pump":         tree.updateEach,
+			"ask":          tree.sendMissing,
 			"save":         tree.saveRelay,
 			"restart":      tree.restartRelay,
 		})
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// wireChange is one line of the wire: a JSON object, as discovery writes it, with
-// optional settings. Workers are kept as they are written.
+// wireChange is one line on the wire: a JSON object in the form that discovery
+// writes, with optional settings. Workers are kept as they are written.
 type wireChange struct {
 	Version     *Version          `json:"seq"`
 	Snapshot    bool              `json:"whole"`
@@ -18,8 +18,8 @@
 	Settings    []json.RawMessage `json:"settings"`
 }
 
-// Endpoint is one worker in its wire form. Fields that a sender adds to these are
-// passed on, and their types are not checked.
+// Endpoint is one worker in its wire form. Additional fields of a sender are passed
+// on, and their types are not checked.
 type Endpoint struct {
 	Name        string  `json:"host"`
 	Address     string  `json:"dial"` // host:port
@@ -28,13 +28,13 @@
 	Cell        int     `json:"block"`
 	Health      string  `json:"health"` // HealthReady, HealthDraining or HealthGone
 	Weight      float64 `json:"share"`
-	StartedAtMs float64 `json:"born_ms"` // when the worker started; 0: unknown
+	StartedAtMs float64 `json:"born_ms"` // when the worker started; 0 if unknown
 }
 
 // Setting is the new value of a setting in its wire form.
 type Setting struct {
 	Key   string          `json:"key"`   // the setting's path
-	Value json.RawMessage `json:"value"` // null: the initial value holds again
+	Value json.RawMessage `json:"value"` // null restores the initial value
 }
 
 // The values of Endpoint.Health.
@@ -44,7 +44,7 @@
 	HealthGone     = "gone" // the worker was removed
 )
 
-// Append appends the change to dst as one line with its line end, and returns
+// Append appends the change to dst as one line, including the line end, and returns
 // the extended buffer. Base is not written.
 func (c Change) Append(dst []byte) []byte {
 	dst = append(dst, `{"seq":`...)
@@ -77,7 +77,7 @@
 	return append(dst, "}\n"...)
 }
 
-// appendSettings appends the field that holds the settings.
+// appendSettings appends the field that contains the settings.
 func (c Change) appendSettings(dst []byte) []byte {
 	dst = append(dst, `,"settings":[`...)
 	count := 0
@@ -112,7 +112,8 @@
 	return append(dst, quoted...)
 }
 
-// onOneLine removes the line ends that JSON allows between tokens.
+// onOneLine returns value on one line: if it has line ends, which JSON allows
+// between tokens, all white space between tokens is removed.
 func onOneLine(value json.RawMessage) json.RawMessage {
 	if bytes.IndexByte(value, '\n') < 0 && bytes.IndexByte(value, '\r') < 0 {
 		return value
@@ -124,7 +125,7 @@
 	return line.Bytes()
 }
 
-// withHealth returns a worker's JSON object with another health and all other
+// withHealth returns a worker's JSON object with its health replaced and all other
 // fields unchanged.
 func withHealth(worker json.RawMessage, health string) json.RawMessage {
 	fields := map[string]json.RawMessage{}
--- a/internal/membership/wire_test.go
+++ b/internal/membership/wire_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// workerRecord returns a worker as the origin lists it.
+// workerRecord returns the record of a worker as the origin lists it.
 func workerRecord(name, health string, startedMs int) Record {
 	value := fmt.Sprintf(`{"host":%q,"dial":"10.1.0.18:8080","site":"a","class":"m2","block":3,`+
 		`"health":%q,"share":1.0,"born_ms":%d}`, name, health, startedMs)
@@ -23,7 +23,7 @@
 	}
 }
 
-// Unknown fields of workers are kept, and of the line ignored.
+// Unknown fields of workers are kept, and unknown fields of the line are ignored.
 func TestParse(t *testing.T) {
 	line := `{"seq":43,"whole":false,"hosts":[
 	  {"host":"s-1","dial":"10.1.0.18:8080","health":"ready","rack": {"row" : 7}},
@@ -154,7 +154,7 @@
 	return change
 }
 
-// checkAddress agrees with the standard library.
+// checkAddress accepts the same addresses as net.SplitHostPort.
 func TestCheckAddress(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		address := rapid.StringMatching(`[a1:.\[\]%]{0,8}`).Draw(t, "address")
@@ -165,7 +165,7 @@
 	})
 }
 
-// Another health replaces the old one, however its key is written.
+// The new health replaces the old one, in whatever case its key is written.
 func TestWithHealth(t *testing.T) {
 	got := withHealth(json.RawMessage(`{"host":"a","Health":"ready","health":"ready","rack":{"row":7}}`), HealthGone)
 	if string(got) != `{"health":"gone","host":"a","rack":{"row":7}}` {
@@ -173,7 +173,7 @@
 	}
 }
 
-// A line is rejected completely or parsed completely.
+// A line is rejected as a whole, without records, or parsed as a whole.
 func FuzzParse(f *testing.F) {
 	f.Add(fleetSnapshot(3, 2).Append(nil))
 	f.Add([]byte(`{"seq":1,"settings":[{"key":"a","value":null}],"exact":true,"missing":1}`))
