--- a/internal/relay/acklatency.go
+++ b/internal/relay/acklatency.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// maxPending is how many unacknowledged versions are timed at a time.
+	// maxPending is the largest number of unacknowledged versions that are timed at once.
 	maxPending = 4096
 
-	// maxRecordedLatency is the histogram's range; longer times are not recorded.
+	// maxRecordedLatency is the longest time that the histogram records.
 	maxRecordedLatency = time.Hour
 
 	// significantFigures is the histogram's resolution, in decimal digits.
@@ -26,7 +26,7 @@
 	histogram *hdrhistogram.Histogram
 }
 
-// arrival is when a version arrived.
+// arrival records when a version arrived.
 type arrival struct {
 	version   membership.Version
 	arrivedAt time.Duration
@@ -37,7 +37,8 @@
 	return &ackLatency{histogram: hdrhistogram.New(1, maxRecordedLatency.Microseconds(), significantFigures)}
 }
 
-// arrived records a new version. It is not timed where too many are pending.
+// arrived records the arrival of a new version. The version is not timed if
+// maxPending others are pending.
 func (l *ackLatency) arrived(now time.Duration, version membership.Version) {
 	if len(l.pending) < maxPending {
 		l.pending = append(l.pending, arrival{version, now})
@@ -54,10 +55,11 @@
 	l.pending = append(l.pending[:0], l.pending[acknowledged:]...)
 }
 
-// reset drops the pending versions, when no subscriber is left to acknowledge them.
+// reset drops the pending versions. It is called when no subscriber is left that
+// could acknowledge them.
 func (l *ackLatency) reset() { l.pending = l.pending[:0] }
 
-// seconds returns the latency at a percentile.
+// seconds returns the latency at a percentile, in seconds.
 func (l *ackLatency) seconds(percentile float64) float64 {
 	return float64(l.histogram.ValueAtPercentile(percentile)) / 1e6
 }
--- a/internal/relay/changecache.go
+++ b/internal/relay/changecache.go
@@ -6,18 +6,18 @@
 	"hollyyoke.example/hollyyoke/internal/membership"
 )
 
-// snapshotReuseTime is how long a snapshot is sent again, with deltas to follow,
-// after newer versions have come.
+// snapshotReuseTime is how long a snapshot is still sent after newer versions have
+// arrived. Its receivers are sent the changes since as deltas.
 const snapshotReuseTime = 250 * time.Millisecond
 
-// changeCache holds the encodings of what subscribers lack, so that each is made
-// once for all subscribers at one version. The deltas are of the store's version;
-// the snapshot may be of one shortly before.
+// changeCache holds the encoded changes that subscribers lack, so that each is
+// encoded once for all subscribers at the same version. The deltas lead to the
+// store's version; the snapshot may be of a version shortly before.
 type changeCache struct {
 	store      *membership.Store
 	counters   *counters
 	deltas     map[membership.Version]*encodedChange // by the version that they continue from
-	snapshot   *encodedChange                        // nil: none
+	snapshot   *encodedChange                        // nil if there is none
 	snapshotAt time.Duration                         // when it was made
 }
 
@@ -25,8 +25,8 @@
 	return &changeCache{store: store, counters: counters, deltas: map[membership.Version]*encodedChange{}}
 }
 
-// since returns the encoding of what a subscriber at version after lacks, or nil
-// where after is newer than the state.
+// since returns the change that a subscriber at version after lacks, or nil if
+// after is newer than the state.
 func (c *changeCache) since(now time.Duration, after membership.Version) *encodedChange {
 	if c.store.NeedsSnapshot(after) && c.canReuseSnapshot(now, after) {
 		return c.snapshot
@@ -49,7 +49,8 @@
 	return encoded
 }
 
-// canReuseSnapshot reports whether the last snapshot may be sent again.
+// canReuseSnapshot reports whether the last snapshot may be sent to a subscriber at
+// version after.
 func (c *changeCache) canReuseSnapshot(now time.Duration, after membership.Version) bool {
 	if c.snapshot == nil || c.snapshot.version <= after && after != 0 {
 		return false
@@ -57,10 +58,10 @@
 	return c.snapshot.version == c.store.Version() || now-c.snapshotAt < snapshotReuseTime
 }
 
-// dropDeltas drops the deltas, since the store's version has changed.
+// dropDeltas drops the deltas. It is called when the store's version has changed.
 func (c *changeCache) dropDeltas() { clear(c.deltas) }
 
-// expire drops a snapshot that may not be sent again.
+// expire drops the snapshot if it may not be sent any more.
 func (c *changeCache) expire(now time.Duration) {
 	if c.snapshot != nil && c.snapshot.version != c.store.Version() && now-c.snapshotAt > snapshotReuseTime {
 		c.snapshot = nil
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -18,19 +18,19 @@
 	Name           string   `toml:"name" help:"this relay's name, unique among all subscribers of its upstream"`
 	Zone           string   `toml:"zone" help:"the zone it serves"`
 	Listen         string   `toml:"listen" help:"address for subscribers"`
-	AdminAddr      string   `toml:"admin_addr" help:"address of the admin API; empty: off"`
+	AdminAddr      string   `toml:"admin_addr" help:"address of the admin API, which is off if this is empty"`
 	Upstreams      []string `toml:"upstreams" help:"addresses of discovery or of other relays, tried in order; reloaded on SIGHUP"`
 	LogChanges     int      `toml:"log_changes" help:"limit of the change log; subscribers at older versions get a snapshot"`
 	BatchMs        int      `toml:"batch_ms" help:"minimum time between two deltas to a subscriber"`
-	UrgentBatchMs  int      `toml:"urgent_batch_ms" help:"the same for deltas with a worker that is draining or gone"`
+	UrgentBatchMs  int      `toml:"urgent_batch_ms" help:"the same if the second delta has a worker that is draining or gone"`
 	BytesPerS      float64  `toml:"bytes_per_s" help:"mean rate to a subscriber"`
-	AckExpiryS     int      `toml:"ack_expiry_s" help:"after which a silent subscriber is no longer counted"`
-	StaleAfterMs   int      `toml:"stale_after_ms" help:"without an upstream after which watches are ended, so that subscribers fail over"`
-	WriteTimeoutMs int      `toml:"write_timeout_ms" help:"for one response or line, after which a subscriber that does not read is disconnected"`
-	MaxSubscribers int      `toml:"max_subscribers" help:"open watches; more are rejected with 503"`
+	AckExpiryS     int      `toml:"ack_expiry_s" help:"time after which a silent subscriber is no longer counted"`
+	StaleAfterMs   int      `toml:"stale_after_ms" help:"time without an upstream after which watches are ended, so that subscribers fail over"`
+	WriteTimeoutMs int      `toml:"write_timeout_ms" help:"time limit for writing one response or line, after which a subscriber that does not read is disconnected"`
+	MaxSubscribers int      `toml:"max_subscribers" help:"limit of open watches; further ones are rejected with 503"`
 }
 
-// Defaults returns the options that apply where the file has none.
+// Defaults returns the values of options that the file does not set.
 func Defaults() Config {
 	return Config{
 		LogChanges:     20_000,
@@ -44,8 +44,8 @@
 	}
 }
 
-// Load reads and checks an options file. Every error is one line, and names the
-// key where the content is wrong.
+// Load reads and checks an options file. Every error is one line. If an option is
+// invalid, the error names its key.
 func Load(path string) (Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return file.Relay, nil
 }
 
-const maxNameBytes = 128 // bytes of a relay's or subscriber's name
+const maxNameBytes = 128 // longest name of a relay or subscriber, in bytes
 
 // Check returns an error that names the first invalid key, or nil.
 func (c *Config) Check() error {
@@ -71,7 +71,7 @@
 		return fmt.Errorf("name: %w", err)
 	}
 	if strings.Contains(c.Name, ",") {
-		return fmt.Errorf("name: %q holds a comma", c.Name) // it separates the names in a Via header
+		return fmt.Errorf("name: %q holds a comma", c.Name) // a comma separates the names in a Via header
 	}
 	if err := checkAddress(c.Listen); err != nil {
 		return fmt.Errorf("listen: %w", err)
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// checkAddress accepts HOST:PORT.
+// checkAddress returns an error unless address has the form HOST:PORT.
 func checkAddress(address string) error {
 	_, port, err := net.SplitHostPort(address)
 	if err == nil && port == "" {
@@ -143,7 +143,8 @@
 	return nil
 }
 
-// checkName accepts the name of a relay or subscriber.
+// checkName returns an error unless name is valid as the name of a relay or
+// subscriber.
 func checkName(name string) error {
 	if name == "" {
 		return errors.New("is empty")
@@ -159,7 +160,7 @@
 	return nil
 }
 
-// Explain writes a line for each option, with its key, its value and a description.
+// Explain writes one line for each option, with its key, value and description.
 func (c *Config) Explain(out io.Writer) {
 	value := reflect.ValueOf(*c)
 	for i := range value.NumField() {
@@ -170,8 +171,8 @@
 	}
 }
 
-// ackExpiry is how long a silent subscriber is counted.
+// ackExpiry returns how long a silent subscriber is counted.
 func (c *Config) ackExpiry() time.Duration { return time.Duration(c.AckExpiryS) * time.Second }
 
-// milliseconds returns an option's value as a duration.
+// milliseconds returns the value of an option in milliseconds as a duration.
 func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -25,7 +25,7 @@
 upstreams = ["127.0.0.1:1"]
 `
 
-// Options that the file lacks have their defaults.
+// Options that the file does not set have their defaults.
 func TestLoadFillsInDefaults(t *testing.T) {
 	config, err := Load(writeOptions(t, validOptions+"batch_ms = 70\n"))
 	if err != nil {
@@ -37,7 +37,7 @@
 	}
 }
 
-// An error is one line that begins with the key that is wrong.
+// An error is one line that names the invalid key.
 func TestLoadNamesTheKey(t *testing.T) {
 	for _, test := range []struct{ text, want string }{
 		{validOptions + "burst = 3\n", "relay.burst: unknown key"},
@@ -62,7 +62,7 @@
 	}
 }
 
-// The options file in the deploy folder is valid and states the defaults.
+// The options file in the deploy folder is valid and contains the defaults.
 func TestDeployedOptions(t *testing.T) {
 	config, err := Load("../../deploy/relay.toml")
 	if err != nil {
--- a/internal/relay/encodedchange.go
+++ b/internal/relay/encodedchange.go
@@ -9,16 +9,16 @@
 	"hollyyoke.example/hollyyoke/internal/membership"
 )
 
-// encodedChange is a snapshot or delta with its encodings. Each encoding is made
-// once, by the first handler that needs it, and shared by all. It is safe for
-// concurrent use.
+// encodedChange is a snapshot or delta with its encodings, JSON and compressed JSON.
+// Each is made once, by the first handler that needs it, and shared by all
+// handlers. An encodedChange is safe for concurrent use.
 type encodedChange struct {
 	version    membership.Version
 	isSnapshot bool
 	counters   *counters
 
 	encodeOnce   sync.Once
-	change       membership.Change // released once it is encoded
+	change       membership.Change // cleared once it is encoded
 	encoded      []byte
 	compressOnce sync.Once
 	compressed   []byte
@@ -33,7 +33,7 @@
 	bytesSent           atomic.Int64
 }
 
-// newEncodedChange returns a change that has yet to be encoded.
+// newEncodedChange returns an encodedChange whose encodings have not been made yet.
 func newEncodedChange(change membership.Change, counters *counters) *encodedChange {
 	return &encodedChange{version: change.Version, isSnapshot: change.Snapshot, change: change, counters: counters}
 }
@@ -65,7 +65,7 @@
 	return e.compressed
 }
 
-// recordSent counts a change that was sent, and its bytes.
+// recordSent counts the bytes that were sent, and the change unless it is nil.
 func (c *counters) recordSent(change *encodedChange, bytes int) {
 	c.bytesSent.Add(int64(bytes))
 	switch {
--- a/internal/relay/failover_test.go
+++ b/internal/relay/failover_test.go
@@ -13,7 +13,7 @@
 	"testing"
 )
 
-// When the upstream fails in the middle of a change, no subscriber sees a part of it.
+// When the upstream fails in the middle of a change, no subscriber is sent a part of the change.
 func TestUpstreamDiesInsideAChange(t *testing.T) {
 	first := changeJSON(1, true, workerJSON("x", "ready"), workerJSON("y", "ready"))
 	second := changeJSON(2, false, workerJSON("x", "draining"), workerJSON("y", "draining"))
@@ -25,7 +25,7 @@
 	upstream.setAnswer(func(url.Values) string { return changeJSON(1, false) })
 	upstreamWatch := upstream.awaitWatch()
 	upstreamWatch.sendLine(changeJSON(1, false))
-	upstreamWatch.partialLine(second, strings.Index(second, `,{"host":"y"`)) // the first worker is complete
+	upstreamWatch.sendPartialLine(second, strings.Index(second, `,{"host":"y"`)) // the first worker is complete
 	reset(upstreamWatch.conn)
 	upstreamWatch = upstream.awaitWatch()
 	if after := upstreamWatch.query.Get("after"); after != "1" {
@@ -41,9 +41,9 @@
 	}
 }
 
-// A relay that restarts at the same address with an older version rejects the
-// subscriber until it has caught up.
-func TestSuccessorWithAnOlderVersion(t *testing.T) {
+// A relay that restarts at the same address with an older version rejects a
+// subscriber that has a newer one, until the relay has caught up.
+func TestRestartedRelayWithAnOlderVersion(t *testing.T) {
 	upstream := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(5, true, workerJSON("x", "ready")))
 	first, _ := startRelay(t, testConfig(upstream.address()))
 	address := first.Addr().String()
@@ -62,7 +62,7 @@
 		return rejectedNow > rejected
 	})
 	if _, now, _ := client.counts(); now != opened {
-		t.Error("a watch was opened for a newer version")
+		t.Error("a watch was opened that continues from a newer version")
 	}
 	upstreamWatch := older.awaitWatch()
 	upstreamWatch.sendLine(changeJSON(3, false))
@@ -73,7 +73,7 @@
 	}
 }
 
-// An upstream that restarts with an older version is skipped.
+// Upstreams that have an older version than the relay are skipped.
 func TestUpstreamWithAnOlderVersionIsSkipped(t *testing.T) {
 	first := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(5, true, workerJSON("x", "ready")))
 	second := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(6, false, workerJSON("x", "draining")))
@@ -111,36 +111,36 @@
 		if err != nil {
 			return
 		}
-		onward, err := net.Dial("tcp", l.target)
+		targetConn, err := net.Dial("tcp", l.target)
 		if err != nil {
 			reset(conn)
 			continue
 		}
-		l.forward(conn, onward)
+		l.forward(conn, targetConn)
 	}
 }
 
 // forward copies between two connections, or resets both while the link is broken.
-func (l *breakableLink) forward(conn, onward net.Conn) {
+func (l *breakableLink) forward(conn, targetConn net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.isBroken {
 		reset(conn)
-		reset(onward)
+		reset(targetConn)
 		return
 	}
-	l.conns = append(l.conns, conn, onward)
-	go copyUntilClosed(conn, onward)
-	go copyUntilClosed(onward, conn)
+	l.conns = append(l.conns, conn, targetConn)
+	go copyUntilClosed(conn, targetConn)
+	go copyUntilClosed(targetConn, conn)
 }
 
-// copyUntilClosed copies from a connection to another, which it closes at the end.
+// copyUntilClosed copies data from one connection to another until the first one is closed, and then closes the other.
 func copyUntilClosed(to, from net.Conn) {
 	io.Copy(to, from)
 	to.Close()
 }
 
-// setBroken breaks or mends the link. Breaking resets all connections.
+// setBroken breaks or restores the link, and resets all connections.
 func (l *breakableLink) setBroken(broken bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -151,7 +151,7 @@
 	l.conns = nil
 }
 
-// startBreakableLink starts a link to an address, broken at the end of the test.
+// startBreakableLink starts a link to an address. The link is stopped at the end of the test.
 func startBreakableLink(t *testing.T, target string) *breakableLink {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -166,8 +166,9 @@
 	return link
 }
 
-// After a partition that outlasts the log of the relay above, the relay below gets
-// a snapshot and then deltas; its subscribers get only the differences.
+// During a partition, more changes occur than the log of the upper relay holds.
+// Afterwards the lower relay is sent a snapshot and then deltas, and its subscribers
+// are sent only the differences.
 func TestPartitionLongerThanTheLog(t *testing.T) {
 	origin := startDiscovery(t, 20)
 	aboveConfig := testConfig(origin.Addr)
@@ -213,7 +214,7 @@
 	}
 }
 
-// While the upstream flaps, the subscriber's watch stays open and no change is lost.
+// While the upstream fails and returns again and again, the subscriber's watch stays open and no change is lost.
 func TestUpstreamFlaps(t *testing.T) {
 	origin := startDiscovery(t, 3)
 	running, _ := startRelay(t, testConfig(origin.Addr))
@@ -221,7 +222,7 @@
 	eventually(t, "snapshot", client.hasVersion(1))
 	for i := range 10 {
 		origin.SetDown(true)
-		eventually(t, "the loss is seen", func() bool { return running.Status().Upstream == "" })
+		eventually(t, "the outage is noticed", func() bool { return running.Status().Upstream == "" })
 		origin.Set(readyWorker(fmt.Sprintf("s-flap-%d", i)))
 		origin.SetDown(false)
 		eventually(t, "the change", client.hasVersion(int64(2+i)))
@@ -231,7 +232,7 @@
 	}
 }
 
-// When all upstreams are down at the start, calls are rejected until one is up.
+// When all upstreams are down at the start, calls are rejected until one of them works.
 func TestAllUpstreamsDownAtStart(t *testing.T) {
 	reserved := startScriptedUpstream(t, "127.0.0.1:0", "")
 	address := reserved.address()
@@ -291,7 +292,7 @@
 }
 
 // Relays that may follow each other do not count each other as a working upstream
-// when the origin is down, and all find it again.
+// while the origin is down, and all follow the origin again once it is back.
 func TestRelaysDoNotFollowEachOther(t *testing.T) {
 	origin := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(1, true, workerJSON("x", "ready")))
 	address := origin.address()
@@ -324,7 +325,7 @@
 	}
 }
 
-// An upstream whose changes come by way of this relay is left.
+// A relay stops following an upstream whose changes pass through the relay itself.
 func TestUpstreamThatFollowsThisRelayIsLeft(t *testing.T) {
 	body := changeJSON(1, true, workerJSON("x", "ready"))
 	loop := startScriptedUpstreamVia(t, "127.0.0.1:0", body, "1.1 another, 1.1 relay-test")
@@ -335,7 +336,7 @@
 	eventually(t, "the other upstream", func() bool { return running.Status().Upstream == valid.address() })
 }
 
-// Names are read as they were written, and other elements of the header ignored.
+// parseVia returns the names that formatVia has written, and ignores other elements of the header.
 func TestVia(t *testing.T) {
 	path := []string{"relay-a", "relay-b"}
 	if got := parseVia([]string{formatVia(path), "HTTP/1.0 proxy"}); !slices.Equal(got, path) {
@@ -343,19 +344,19 @@
 	}
 }
 
-// An upstream that is silent for 3 s is left for the next one.
+// A relay leaves an upstream that is silent for 3 s, and follows the next one.
 func TestSilentUpstreamIsLeft(t *testing.T) {
 	first := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(1, true, workerJSON("x", "ready")))
 	second := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(2, false, workerJSON("x", "draining")))
 	running, _ := startRelay(t, testConfig(first.address(), second.address()))
 	client := subscribe(t, running.Addr().String(), "d1")
 	eventually(t, "snapshot", client.hasVersion(1))
-	first.awaitWatch() // on which nothing is sent
+	first.awaitWatch() // nothing is sent on it
 	eventually(t, "the other upstream", client.hasVersion(2))
 }
 
-// A relay that starts fetches what changed before its first snapshot, so that
-// subscribers that followed another relay resume by a delta.
+// A relay that starts also fetches the changes before its first snapshot, so that
+// subscribers that followed another relay can resume with a delta.
 func TestStartBackfillsEarlierChanges(t *testing.T) {
 	fetched := make(chan string, 10)
 	origin := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, in *http.Request) {
--- a/internal/relay/follower.go
+++ b/internal/relay/follower.go
@@ -15,8 +15,8 @@
 
 const (
 	connectTimeout  = time.Second
-	responseTimeout = 2500 * time.Millisecond // up to the head of a response: discovery answers calls one at a time
-	idleConnections = 2                       // kept to an upstream
+	responseTimeout = 2500 * time.Millisecond // until the head of a response; discovery answers calls one at a time
+	idleConnections = 2                       // idle connections that are kept open to an upstream
 
 	idleConnectionTimeout = time.Minute
 )
@@ -37,23 +37,23 @@
 	log           *slog.Logger
 	client        *http.Client
 	failover      *membership.Failover // only run's goroutine accesses it
-	servers       chan []string        // receives a new list of upstreams
-	workingSignal chan struct{}        // the current upstream delivers changes
+	servers       chan []string        // passes a new list of upstreams to run
+	workingSignal chan struct{}        // tells run that the current upstream delivers changes
 
-	// snapshotOnly holds the upstreams that answer a single call with their complete
-	// list, whatever version it asks for. While a watch is open, only the goroutine
-	// of acknowledge accesses it, otherwise that of follow.
+	// snapshotOnly contains the upstreams that answer a single call with their
+	// complete list, whatever version it continues from. While a watch is open, only
+	// the goroutine of acknowledge accesses it, otherwise only that of follow.
 	snapshotOnly map[string]bool
 }
 
-// newFollower returns a follower that has yet to run.
+// newFollower returns a follower that does not run yet.
 func newFollower(owner *state, config Config, log *slog.Logger) *follower {
 	seed := fnv.New64a()
 	io.WriteString(seed, config.Name)
 	transport := &http.Transport{
 		DialContext:           (&net.Dialer{Timeout: connectTimeout}).DialContext,
 		ResponseHeaderTimeout: responseTimeout,
-		DisableCompression:    true, // asked for where it helps
+		DisableCompression:    true, // fetch requests compression itself
 		MaxIdleConnsPerHost:   idleConnections,
 		IdleConnTimeout:       idleConnectionTimeout,
 	}
@@ -106,7 +106,8 @@
 	}
 }
 
-// pause waits, and returns true if the time is up and the list still the same.
+// pause waits. It returns false if the context ended or the list of upstreams was
+// replaced before the time was up.
 func (f *follower) pause(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -154,8 +155,8 @@
 	}
 }
 
-// reportWorking reports that the current upstream delivers changes, by way of the
-// relays in path.
+// reportWorking reports that the current upstream delivers changes, which pass
+// through the relays in path.
 func (f *follower) reportWorking(server string, path []string) {
 	f.workingSignal <- struct{}{}
 	f.state.send(upstreamChangedMessage{server, path})
@@ -182,8 +183,8 @@
 	return f.watch(ctx, server)
 }
 
-// position returns the versions of this relay and of the subscribers below it;
-// false if the relay has been closed.
+// position returns the versions of this relay and of the subscribers below it. It
+// returns false if the relay has been closed.
 func (f *follower) position() (position, bool) {
 	reply := make(chan position, 1)
 	if !f.state.send(positionMessage{reply}) {
@@ -192,7 +193,7 @@
 	return <-reply, true
 }
 
-// apply passes a change to the state.
+// apply passes a change to the state's goroutine, which applies it.
 func (f *follower) apply(server string, change membership.Change) (applyReply, error) {
 	reply := make(chan applyReply, 1)
 	if !f.state.send(applyMessage{change, server, reply}) {
--- a/internal/relay/golden_options_test.go
+++ b/internal/relay/golden_options_test.go
@@ -17,7 +17,7 @@
 	config.Explain(&out)
 	var explained []string
 	for line := range strings.Lines(out.String()) {
-		option, _, _ := strings.Cut(line, "#") // the description is prose
+		option, _, _ := strings.Cut(line, "#") // the golden file does not contain the descriptions
 		explained = append(explained, strings.TrimSpace(option))
 	}
 	slices.Sort(explained)
--- a/internal/relay/golden_test.go
+++ b/internal/relay/golden_test.go
@@ -16,13 +16,13 @@
 	"hollyyoke.example/hollyyoke/internal/membership"
 )
 
-// varyingFields matches what differs from run to run.
+// varyingFields matches the fields and addresses that differ from run to run.
 var varyingFields = regexp.MustCompile(`Date: [^\r]*|"(newest_age_s|changes|p50|p99|max|upstream_since|time|sent_bytes)": [^,\n]*|127\.0\.0\.1:\d+`)
 
-// contentLength matches the field that varies with the fields of a status.
+// contentLength matches the header field that varies with the length of a status.
 var contentLength = regexp.MustCompile(`Content-Length: \d+`)
 
-// mask replaces what differs from run to run.
+// mask replaces everything that varyingFields matches.
 func mask(text string) string {
 	return varyingFields.ReplaceAllStringFunc(text, func(field string) string {
 		key, _, isField := strings.Cut(field, ": ")
@@ -70,8 +70,9 @@
 	r.text.WriteString("> " + quoted + response + "\n")
 }
 
-// All responses of a relay to subscribers and operators, byte for byte: before it
-// has a snapshot, with one, and with each status that a call can have.
+// The responses of a relay to subscribers and operators, byte for byte: before it
+// has a snapshot, once it has one, and for each status that a call can be answered
+// with.
 func TestGoldenServes(t *testing.T) {
 	upstream := startScriptedUpstream(t, "127.0.0.1:0", "")
 	config := testConfig(upstream.address())
@@ -133,7 +134,7 @@
 	goldentest.CompareHTTP(t, "serves.golden", recorded.text.String())
 }
 
-// watchTranscript records a watch as its subscriber reads it.
+// watchTranscript records a watch as the subscriber receives it.
 type watchTranscript struct {
 	t    *testing.T
 	in   *bufio.Reader
@@ -153,8 +154,8 @@
 	}
 }
 
-// copyChunks records chunks, up to one that contains a text or to the end. It
-// leaves out heartbeats, chunks of one byte that may come at any time.
+// copyChunks records chunks up to one that contains until, or up to the end. It
+// leaves out heartbeats, which are chunks of one byte that may arrive at any time.
 func (w *watchTranscript) copyChunks(until string) {
 	w.t.Helper()
 	for {
@@ -180,14 +181,14 @@
 	}
 }
 
-// A watch as its subscriber reads it: the head, the snapshot, deltas with
-// settings, and a complete end.
+// A watch as the subscriber receives it: the head, the snapshot, deltas, of which
+// one has settings, and a complete end.
 func TestGoldenWatch(t *testing.T) {
 	snapshot := changeJSON(41, true, workerJSON("a", "ready"), workerJSON("b", "ready"))
 	upstream := startScriptedUpstream(t, "127.0.0.1:0", snapshot)
 	running, _ := startRelay(t, testConfig(upstream.address()))
-	above := upstream.awaitWatch()
-	go above.keepAlive()
+	upstreamWatch := upstream.awaitWatch()
+	go upstreamWatch.keepAlive()
 	eventually(t, "the snapshot has arrived", func() bool {
 		status := running.Status()
 		return status.Version == 41 && status.Upstream != ""
@@ -202,9 +203,9 @@
 	recorded := &watchTranscript{t: t, in: bufio.NewReader(conn)}
 	recorded.copyHead()
 	recorded.copyChunks(`"seq":41`)
-	above.sendLine(changeJSON(42, false, workerJSON("b", "draining")))
+	upstreamWatch.sendLine(changeJSON(42, false, workerJSON("b", "draining")))
 	recorded.copyChunks(`"seq":42`)
-	above.sendLine(strings.TrimSuffix(changeJSON(43, false, workerJSON("b", "gone")), "}") +
+	upstreamWatch.sendLine(strings.TrimSuffix(changeJSON(43, false, workerJSON("b", "gone")), "}") +
 		`,"settings":[{"key":"limits.x","value":3},{"key":"y","value":null}]}`)
 	recorded.copyChunks(`"seq":43`)
 	go running.Close()
@@ -232,8 +233,8 @@
 	}
 }
 
-// The calls of a relay to its upstream, byte for byte: for the first snapshot, the
-// backfill, the watch and the acknowledgement.
+// The requests of a relay to its upstream, byte for byte: those for the first
+// snapshot, the backfill and the watch, and the acknowledgement.
 func TestGoldenUpstreamCalls(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -263,7 +264,7 @@
 	goldentest.CompareHTTP(t, "asks.golden", text.String())
 }
 
-// answerRelay answers a relay's calls on a connection and sends their heads to requests.
+// answerRelay answers the requests of a relay on one connection, and sends their heads to requests.
 func answerRelay(conn net.Conn, requests chan<- string) {
 	defer conn.Close()
 	in := bufio.NewReader(conn)
@@ -297,7 +298,7 @@
 	return head.String(), nil
 }
 
-// The form of the relays' names in the Via header.
+// The form of a Via header that names relays, and of a version in a query.
 func TestGoldenVia(t *testing.T) {
 	if got := formatVia([]string{"relay-a", "relay-b"}); got != "1.1 relay-a, 1.1 relay-b" {
 		t.Errorf("%s", got)
--- a/internal/relay/harness_test.go
+++ b/internal/relay/harness_test.go
@@ -17,10 +17,10 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/childprocess"
 )
 
-// testTimeout is how long a condition may take. It is generous, since the machine may be loaded.
+// testTimeout is how long eventually waits for a condition. It is long, since the machine may be loaded.
 const testTimeout = 60 * time.Second
 
-// eventually waits for a condition.
+// eventually waits until a condition holds, and fails the test if it does not within testTimeout.
 func eventually(t testing.TB, what string, condition func() bool) {
 	t.Helper()
 	end := time.Now().Add(testTimeout)
@@ -32,7 +32,8 @@
 	}
 }
 
-// testConfig returns a configuration with a port that the kernel chooses.
+// testConfig returns a configuration with short intervals, practically no rate limit, and a port that the kernel
+// chooses.
 func testConfig(upstreams ...string) Config {
 	config := Defaults()
 	config.Name = "relay-test"
@@ -46,7 +47,7 @@
 	return config
 }
 
-// startRelay starts a relay that is closed at the end of the test, and returns its log too.
+// startRelay starts a relay, which is closed at the end of the test, and returns it with its log.
 func startRelay(t testing.TB, config Config) (*Relay, *childprocess.Output) {
 	t.Helper()
 	log := &childprocess.Output{}
@@ -82,10 +83,10 @@
 	lines    []testLine // all but empty deltas
 	workers  map[string]testWorker
 	version  int64
-	opened   int  // watches that were answered with 200
-	rejected int  // and with 503
-	cut      bool // the last watch ended inside a line or without a final chunk
-	failure  string
+	opened   int    // watches that were answered with status 200
+	rejected int    // watches that were answered with another status
+	cut      bool   // the last watch ended inside a line or without a final chunk
+	failure  string // what was wrong with a line; empty if nothing was
 }
 
 // subscribe follows a relay until the test ends.
@@ -191,7 +192,7 @@
 	}
 }
 
-// wasRejected reports whether a watch was answered with 503.
+// wasRejected reports whether a watch was rejected.
 func (s *subscriber) wasRejected() bool {
 	_, _, rejected := s.counts()
 	return rejected > 0
@@ -214,22 +215,22 @@
 	return s.lines[len(s.lines)-1]
 }
 
-// health returns the health of a worker; empty: it is not listed.
+// health returns the health of a worker, or an empty string if it is not listed.
 func (s *subscriber) health(worker string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.workers[worker].Health
 }
 
-// counts returns how many workers are listed, and how many watches were answered
-// with 200 and with 503.
+// counts returns how many workers are listed, and how many watches were opened and
+// rejected.
 func (s *subscriber) counts() (workers, opened, rejected int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.workers), s.opened, s.rejected
 }
 
-// get makes a single call and returns its status and body.
+// get makes a single call and returns the status and body of the response.
 func get(t *testing.T, address, query string) (int, []byte) {
 	t.Helper()
 	response, err := http.Get("http://" + address + "/v1/servers?" + query)
@@ -244,7 +245,7 @@
 	return response.StatusCode, body
 }
 
-// getLine makes a single call that must succeed.
+// getLine makes a single call, which must succeed, and returns the line in the response.
 func getLine(t *testing.T, address, query string) testLine {
 	t.Helper()
 	status, body := get(t, address, query)
--- a/internal/relay/listener.go
+++ b/internal/relay/listener.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	sendBufferBytes  = 256 << 10 // of the kernel, for one subscriber
-	extraConnections = 64        // beyond two for each subscriber
+	sendBufferBytes  = 256 << 10 // size of the kernel's send buffer for one subscriber
+	extraConnections = 64        // connections allowed in addition to two for each subscriber
 )
 
 // boundedListener is a TCP listener that closes connections beyond a limit at once.
@@ -35,15 +35,16 @@
 	}
 }
 
-// boundedConn is a counted connection. It embeds the TCP connection so that the
-// HTTP server can close its sending side first.
+// boundedConn is a connection that counts towards its listener's limit. It embeds
+// the TCP connection so that the HTTP server can close the sending side first.
 type boundedConn struct {
 	*net.TCPConn
 	listener *boundedListener
 	closed   atomic.Bool
 }
 
-// Close closes the connection, and uncounts it once.
+// Close closes the connection. The first call also removes it from the listener's
+// count.
 func (c *boundedConn) Close() error {
 	if !c.closed.Swap(true) {
 		c.listener.open.Add(-1)
--- a/internal/relay/messages.go
+++ b/internal/relay/messages.go
@@ -8,11 +8,12 @@
 	"hollyyoke.example/hollyyoke/internal/membership"
 )
 
-// message is a request to the goroutine that owns the state, on which handle runs.
+// message is a request to the goroutine that owns the state, which calls handle.
 // Reply channels have a buffer of one, so that handle never blocks.
 type message interface{ handle(*state) }
 
-// send passes a message to the state's goroutine; false if that has ended.
+// send passes a message to the state's goroutine. It returns false if that has
+// ended.
 func (s *state) send(m message) bool {
 	select {
 	case s.messages <- m:
@@ -22,7 +23,7 @@
 	}
 }
 
-// openWatchMessage opens a watch.
+// openWatchMessage requests that a watch is opened.
 type openWatchMessage struct {
 	name    string
 	after   membership.Version
@@ -30,11 +31,11 @@
 	reply   chan openWatchReply
 }
 
-// openWatchReply is the watch that was opened, or why it was not.
+// openWatchReply contains the watch that was opened, or the reason why it was not.
 type openWatchReply struct {
 	id        membership.SubscriberID
 	watch     *watch
-	relayPath []string // the relays that changes come by, this one first
+	relayPath []string // the relays that changes pass through, this one first
 	err       error
 }
 
@@ -47,7 +48,7 @@
 	m.reply <- openWatchReply{id, opened, path, err}
 }
 
-// lineWrittenMessage says that a line of a watch has been written.
+// lineWrittenMessage reports that a line of a watch has been written.
 type lineWrittenMessage struct {
 	id     membership.SubscriberID
 	change *encodedChange
@@ -64,7 +65,7 @@
 	}
 }
 
-// watchClosedMessage says that a watch's handler has returned.
+// watchClosedMessage reports that a watch's handler has returned.
 type watchClosedMessage struct{ id membership.SubscriberID }
 
 func (m watchClosedMessage) handle(s *state) {
@@ -74,19 +75,19 @@
 	}
 }
 
-// callMessage is a single call: the acknowledgement of version after, and the
-// request for what the caller lacks.
+// callMessage is a single call. It acknowledges version after, and requests what
+// the caller lacks.
 type callMessage struct {
 	name             string
 	after            membership.Version
-	isRelay          bool               // it speaks for the subscribers below it, not for itself
-	ackedBelow       membership.Version // by all subscribers below a relay
-	subscribersBelow int                // live subscribers below a relay
+	isRelay          bool               // the caller acknowledges for the subscribers below it, not for itself
+	ackedBelow       membership.Version // acknowledged by all subscribers below a relay
+	subscribersBelow int                // number of live subscribers below a relay
 	acceptsGzip      bool
 	reply            chan callReply
 }
 
-// callReply is what a single call is answered with, or why it is not.
+// callReply contains the answer to a single call, or the reason why there is none.
 type callReply struct {
 	change *encodedChange
 	err    error
@@ -113,7 +114,7 @@
 	s.acks.Acknowledge(s.now(), m.name, m.after, 1)
 }
 
-// callAnsweredMessage says that the response to a single call has been written.
+// callAnsweredMessage reports that the response to a single call has been written.
 type callAnsweredMessage struct {
 	name   string
 	change *encodedChange
@@ -128,19 +129,19 @@
 	}
 }
 
-// statusMessage asks for the status.
+// statusMessage requests the status.
 type statusMessage struct{ reply chan Status }
 
 func (m statusMessage) handle(s *state) { m.reply <- s.status() }
 
-// applyMessage brings a change from upstream.
+// applyMessage passes on a change from upstream.
 type applyMessage struct {
 	change   membership.Change
 	upstream string
 	reply    chan applyReply
 }
 
-// applyReply is what became of a change.
+// applyReply is the result of applying a change.
 type applyReply struct {
 	outcome      membership.Outcome
 	stateVersion membership.Version // after the change
@@ -168,17 +169,17 @@
 // urgentSince reports whether an urgent record has changed since a version.
 func (s *state) urgentSince(before membership.Version) bool {
 	if s.store.NeedsSnapshot(before) {
-		return true // what changed is not known
+		return true // it is not known what changed
 	}
 	change, _ := s.store.Since(before)
 	return change.Urgent()
 }
 
-// bootstrapMessage brings the first snapshot, and what changed in the versions
-// before it, where upstream has that.
+// bootstrapMessage passes on the first snapshot and, if the upstream has it, a
+// delta of what changed in the versions before it.
 type bootstrapMessage struct {
 	snapshot membership.Change
-	backfill membership.Change // with Base 0: there is none
+	backfill membership.Change // its Base is 0 if there is none
 	upstream string
 	reply    chan applyReply
 }
@@ -192,8 +193,8 @@
 	m.reply <- reply
 }
 
-// rejectedMessage says that a line from upstream could not be read, or holds an
-// invalid field. version is 0 where not even that could be read.
+// rejectedMessage reports that a line from upstream could not be read or contains
+// an invalid field. version is 0 if not even the version could be read.
 type rejectedMessage struct {
 	version    membership.Version
 	isSnapshot bool
@@ -209,14 +210,15 @@
 	}
 }
 
-// positionMessage asks for the versions of this relay and of the subscribers below it.
+// positionMessage requests the versions of this relay and of the subscribers below it.
 type positionMessage struct{ reply chan position }
 
-// position is how far this relay and the subscribers below it have come.
+// position contains the versions that this relay and the subscribers below it have
+// reached.
 type position struct {
 	version          membership.Version // of the state
-	resumeVersion    membership.Version // see membership.Store
-	ackedBelow       membership.Version // by all live subscribers
+	resumeVersion    membership.Version // see membership.Store.ResumeVersion
+	ackedBelow       membership.Version // acknowledged by all live subscribers
 	subscribersBelow int
 }
 
@@ -225,8 +227,9 @@
 	m.reply <- position{s.store.Version(), s.store.ResumeVersion(), summary.Lowest, summary.Subscribers}
 }
 
-// upstreamChangedMessage says that an upstream delivers changes, by way of the
-// relays in relayPath, the nearest first. With an empty address none does.
+// upstreamChangedMessage reports that an upstream delivers changes, which pass
+// through the relays in relayPath, the nearest first. An empty address means that
+// no upstream delivers changes.
 type upstreamChangedMessage struct {
 	address   string
 	relayPath []string
@@ -247,7 +250,7 @@
 	s.upstream.since = time.Now()
 }
 
-// closeMessage ends the watches, and makes the state reject further calls.
+// closeMessage makes the state end all watches and reject further calls.
 type closeMessage struct{}
 
 func (closeMessage) handle(s *state) {
--- a/internal/relay/peer.go
+++ b/internal/relay/peer.go
@@ -7,22 +7,23 @@
 )
 
 const (
-	maxPeersPerWatch = 4           // names remembered for each watch that may be open
-	crossingGrace    = time.Second // within which a call may cross a line of the caller's watch
+	maxPeersPerWatch = 4           // limit of remembered names for each watch that may be open
+	crossingGrace    = time.Second // after a line of a watch; a call in this time may have been sent before the line arrived
 )
 
 // peer is a named caller. Its rate limit outlives its connections.
 type peer struct {
 	limiter         membership.RateLimiter
 	lastSeen        time.Duration
-	watchID         membership.SubscriberID // its open watch; 0: none
+	watchID         membership.SubscriberID // its open watch; 0 if there is none
 	acceptsGzip     bool                    // its calls accept compressed responses
-	endedForFetchAt membership.Version      // that it had when its watch was last ended by shouldFetch
-	acked           membership.Version      // the highest that it acknowledged on that watch
+	endedForFetchAt membership.Version      // version that it had when its watch was last ended because of shouldFetch
+	acked           membership.Version      // highest version that it has acknowledged since its latest watch was opened
 }
 
-// findOrAddPeer returns the caller of that name, or nil where there are too many
-// names. Each caller without a name gets a peer of its own.
+// findOrAddPeer returns the peer with the given name, or nil if the name is new and
+// there are too many names already. For a caller without a name it returns a new
+// peer each time.
 func (s *state) findOrAddPeer(now time.Duration, name string) *peer {
 	caller := s.peers[name]
 	if caller == nil {
@@ -38,8 +39,8 @@
 	return caller
 }
 
-// expirePeers removes the callers that have been silent, once their rate limit
-// no longer holds anything back.
+// expirePeers removes the peers that have been silent for the expiry, once their
+// rate limit would not delay anything.
 func (s *state) expirePeers(now time.Duration) {
 	for name, known := range s.peers {
 		isSilent := known.watchID == 0 && now-known.lastSeen > s.config.ackExpiry()
@@ -49,8 +50,9 @@
 	}
 }
 
-// isHeldBack reports whether a caller gets what it lacks later, by its open watch
-// or once its rate limit allows. Its call is then answered with an empty delta.
+// isHeldBack reports whether a caller is sent what it lacks later, on its open
+// watch or once its rate limit allows. Its call is then answered with an empty
+// delta.
 func (s *state) isHeldBack(now time.Duration, caller *peer, after membership.Version) bool {
 	watchDelivers := caller.watchID != 0 && s.subscribers.Version(caller.watchID) >= after
 	if watchDelivers && !s.isRepeatedCall(now, caller, after) {
@@ -59,9 +61,9 @@
 	return caller.limiter.Wait(now, s.subscribers.Urgent(after)) > 0
 }
 
-// isRepeatedCall reports whether a caller asks for what its watch has brought
-// before, since it has rejected some of it. A call that merely crossed a line of
-// the watch is none.
+// isRepeatedCall reports whether a caller requests changes that it has already been
+// sent on its watch, because it has rejected some of them. A call that may have
+// been sent before the watch's last line arrived does not count.
 func (s *state) isRepeatedCall(now time.Duration, caller *peer, after membership.Version) bool {
 	if after < caller.acked {
 		return true
--- a/internal/relay/rejections.go
+++ b/internal/relay/rejections.go
@@ -13,23 +13,23 @@
 type Rejection struct {
 	Time     time.Time          `json:"time"`
 	Upstream string             `json:"upstream"`
-	Version  membership.Version `json:"version"` // 0: not readable
-	Reason   string             `json:"reason"`  // names the field
+	Version  membership.Version `json:"version"` // 0 if it could not be read
+	Reason   string             `json:"reason"`  // names the invalid field
 }
 
-// sameAs reports whether two rejections differ by their time alone.
+// sameAs reports whether two rejections are equal apart from their times.
 func (r Rejection) sameAs(other Rejection) bool {
 	return r.Upstream == other.Upstream && r.Version == other.Version && r.Reason == other.Reason
 }
 
-// rejectionList holds the last rejections, and counts all.
+// rejectionList contains the last rejections and the number of all rejections.
 type rejectionList struct {
 	latest []Rejection // oldest first
 	total  int
 }
 
-// add adds a rejection. It returns false, and neither lists nor counts it, where
-// it repeats the one before.
+// add adds a rejection. If it repeats the previous one, add neither lists nor
+// counts it, and returns false.
 func (l *rejectionList) add(rejection Rejection) bool {
 	last := len(l.latest) - 1
 	if last >= 0 && l.latest[last].sameAs(rejection) {
@@ -43,8 +43,8 @@
 	return true
 }
 
-// recordRejection lists and logs a change that was rejected. The last valid state
-// stays. A rejection that repeats the one before is counted and logged once.
+// recordRejection lists, counts and logs a change that was rejected. The last valid
+// state stays. A rejection that repeats the previous one is ignored.
 func (s *state) recordRejection(upstream string, version membership.Version, reason error) {
 	rejection := Rejection{Time: time.Now(), Upstream: upstream, Version: version, Reason: reason.Error()}
 	if !s.rejections.add(rejection) {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,12 +1,12 @@
-// Package relay implements a relay of versioned membership and configuration. It
-// is a client of discovery, or of another relay, upstream, and serves discovery's
-// snapshot and watch protocol downstream. One relay for each zone stands between
-// the origin and the zone's dispatchers, so that the origin's load does not grow
-// with the number of dispatchers.
+// Package relay implements a relay of versioned membership and configuration.
+// Upstream, it is a client of discovery or of another relay; downstream, it serves
+// discovery's snapshot and watch protocol. Each zone has one relay between the
+// origin and the zone's dispatchers, so that the origin's load does not grow with
+// the number of dispatchers.
 //
-// Package membership decides which change replaces which, what a subscriber lacks
-// and when it is sent. This package has the sockets, the options file and the
-// goroutine that owns the state; all other goroutines send that one messages.
+// Package membership decides which changes are applied, what a subscriber lacks and
+// when that is sent. This package contains the sockets, the options file and the
+// goroutine that owns the state; all other goroutines send messages to that one.
 //
 // A relay passes versions on unchanged, applies and forwards changes completely
 // or not at all, and keeps no queue for a subscriber.
@@ -33,7 +33,7 @@
 	follower     *follower
 	servers      []*http.Server
 	address      net.Addr
-	adminAddress net.Addr // nil: the admin API is off
+	adminAddress net.Addr // nil if the admin API is off
 
 	cancel       context.CancelFunc // ends the follower
 	followerDone chan struct{}      // closed when the follower has returned
@@ -88,7 +88,7 @@
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
-		ErrorLog:          log.New(io.Discard, "", 0), // clients' errors are not logged
+		ErrorLog:          log.New(io.Discard, "", 0), // errors caused by clients are not logged
 	}
 	r.servers = append(r.servers, server)
 	go server.Serve(listener)
@@ -97,10 +97,11 @@
 // Addr returns the address where subscribers are served.
 func (r *Relay) Addr() net.Addr { return r.address }
 
-// AdminAddr returns the address of the admin API; nil if it is off.
+// AdminAddr returns the address of the admin API, or nil if it is off.
 func (r *Relay) AdminAddr() net.Addr { return r.adminAddress }
 
-// Status returns what the admin API answers. It is zero after Close.
+// Status returns the status that the admin API reports. It is the zero value after
+// Close.
 func (r *Relay) Status() Status {
 	request := statusMessage{make(chan Status, 1)}
 	if !r.state.send(request) {
@@ -110,7 +111,8 @@
 }
 
 // SetUpstreams replaces the list of upstreams. The current one is kept if it is
-// still listed. An error changes nothing.
+// still listed. If the list is invalid, SetUpstreams returns an error and changes
+// nothing.
 func (r *Relay) SetUpstreams(upstreams []string) error {
 	if err := checkUpstreams(upstreams); err != nil {
 		return err
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -40,12 +40,12 @@
 	}
 }
 
-// hasVersion returns the condition that the relay has exactly a version.
+// hasVersion returns a condition that holds if the relay has exactly this version.
 func (r *Relay) hasVersion(version membership.Version) func() bool {
 	return func() bool { return r.Status().Version == version }
 }
 
-// A subscriber gets a snapshot, then deltas, on its watch and by single calls.
+// Both on a watch and by single calls, a subscriber is sent a snapshot and then deltas.
 func TestSnapshotThenDeltas(t *testing.T) {
 	origin := startDiscovery(t, 3)
 	running, _ := startRelay(t, testConfig(origin.Addr))
@@ -61,7 +61,7 @@
 	if line.Snapshot || line.Version != 2 || len(line.Workers) != 1 {
 		t.Errorf("single call after 1: %+v", line)
 	}
-	eventually(t, "the complete list by a single call", func() bool { // a snapshot may be somewhat older than the newest change
+	eventually(t, "the complete list by a single call", func() bool { // the relay may reuse a snapshot that is slightly older than the newest change
 		line := getLine(t, running.Addr().String(), "")
 		return line.Snapshot && line.Version == 2 && len(line.Workers) == 4
 	})
@@ -70,8 +70,8 @@
 	}
 }
 
-// An invalid change is rejected completely, with one log line that names the
-// field; the next valid one is applied.
+// An invalid change is rejected as a whole, with one log line that names the field.
+// The next valid change is applied.
 func TestInvalidChangeIsRejectedAtomically(t *testing.T) {
 	upstream := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(1, true, workerJSON("x", "ready"), workerJSON("y", "ready")))
 	running, text := startRelay(t, testConfig(upstream.address()))
@@ -98,7 +98,8 @@
 	}
 }
 
-// What a rejected change left out is fetched again once its entry is valid, or replaced.
+// A change with a valid and an invalid entry is rejected. Once the invalid entry has been replaced by a valid one, both
+// entries are fetched.
 func TestRejectedChangeIsFetchedAgain(t *testing.T) {
 	upstream := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(1, true, workerJSON("x", "ready")))
 	running, _ := startRelay(t, testConfig(upstream.address()))
@@ -122,7 +123,7 @@
 	}
 }
 
-// Acknowledgements are summed over two levels of relays, and their latency is measured.
+// Acknowledgements are added up over two levels of relays, and their latency is measured.
 func TestAcknowledgements(t *testing.T) {
 	origin := startDiscovery(t, 3)
 	aboveConfig := testConfig(origin.Addr)
--- a/internal/relay/scripted_upstream_test.go
+++ b/internal/relay/scripted_upstream_test.go
@@ -12,17 +12,17 @@
 	"time"
 )
 
-// scriptedUpstream is an upstream that a test controls step by step, on raw
-// sockets. It shares no code with the relay.
+// scriptedUpstream is an upstream that a test controls step by step. It writes to
+// raw sockets and shares no code with the relay.
 type scriptedUpstream struct {
 	t        testing.TB
 	listener net.Listener
-	watches  chan *scriptedWatch // each watch that is opened
-	via      string              // header of its watches; set before the first call
+	watches  chan *scriptedWatch // receives each watch that is opened
+	via      string              // Via header of its watches; set before the first call
 
 	mu     sync.Mutex
-	answer func(url.Values) string // a single call's body; empty: 503
-	calls  []url.Values            // single calls
+	answer func(url.Values) string // returns the body for a single call, or an empty string for status 503
+	calls  []url.Values            // queries of the single calls so far
 	conns  map[net.Conn]bool
 }
 
@@ -32,13 +32,13 @@
 	query url.Values
 }
 
-// startScriptedUpstream starts one at an address that answers all single calls with body.
+// startScriptedUpstream starts an upstream at an address that answers all single calls with body.
 func startScriptedUpstream(t testing.TB, address, body string) *scriptedUpstream {
 	t.Helper()
 	return startScriptedUpstreamVia(t, address, body, "1.1 another")
 }
 
-// startScriptedUpstreamVia starts one whose watches have that Via header.
+// startScriptedUpstreamVia starts such an upstream whose watches have the given Via header.
 func startScriptedUpstreamVia(t testing.TB, address, body, via string) *scriptedUpstream {
 	t.Helper()
 	listener, err := net.Listen("tcp", address)
@@ -70,10 +70,10 @@
 	}
 }
 
-// address returns where it listens.
+// address returns the address where the upstream listens.
 func (u *scriptedUpstream) address() string { return u.listener.Addr().String() }
 
-// setAnswer sets what single calls are answered with.
+// setAnswer sets the function that returns the answers to single calls.
 func (u *scriptedUpstream) setAnswer(answer func(url.Values) string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -141,7 +141,7 @@
 	return u.answer(query)
 }
 
-// singleCalls returns the single calls that have arrived.
+// singleCalls returns the queries of the single calls that have arrived.
 func (u *scriptedUpstream) singleCalls() []url.Values {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -164,19 +164,19 @@
 	}
 }
 
-// partialLine sends the first bytes of a line, in a chunk of the complete line's length.
-func (w *scriptedWatch) partialLine(text string, count int) {
+// sendPartialLine sends the first count bytes of a line, in a chunk whose announced length is that of the complete line.
+func (w *scriptedWatch) sendPartialLine(text string, count int) {
 	fmt.Fprintf(w.conn, "%x\r\n%s", len(text)+1, text[:count])
 }
 
-// workerJSON returns a listed worker.
+// workerJSON returns a worker in its wire form.
 func workerJSON(name, health string) string {
 	const format = `{"host":%q,"dial":"10.0.0.1:80","site":"a","class":"m2","block":3,` +
 		`"health":%q,"share":1,"born_ms":0}`
 	return fmt.Sprintf(format, name, health)
 }
 
-// changeJSON returns a snapshot or delta.
+// changeJSON returns a snapshot or delta in its wire form.
 func changeJSON(version int, isSnapshot bool, workers ...string) string {
 	return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`, version, isSnapshot, strings.Join(workers, ","))
 }
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -17,15 +17,15 @@
 	maxHeaderBytes    = 8 << 10
 
 	minGzipBytes       = 512 // shorter responses are not compressed
-	responseHeadBytes  = 160 // counted for a response's head by the rate limit
-	chunkOverheadBytes = 10  // counted for a chunk's framing by the rate limit
+	responseHeadBytes  = 160 // what the rate limit counts for the head of a response
+	chunkOverheadBytes = 10  // what the rate limit counts for the framing of a chunk
 
-	maxVersion          = 1 << 62 // in a query
-	maxSubscribersBelow = 1 << 30 // in a query
+	maxVersion          = 1 << 62 // largest version accepted in a query
+	maxSubscribersBelow = 1 << 30 // largest number of subscribers accepted in a query
 )
 
-// handler serves discovery's protocol to subscribers. It has no state of its own:
-// the state's goroutine decides what a subscriber is sent, and when.
+// handler serves discovery's protocol to subscribers. It has no state of its own;
+// the goroutine that owns the state decides what a subscriber is sent, and when.
 type handler struct {
 	state        *state
 	writeTimeout time.Duration
@@ -58,7 +58,7 @@
 	h.call(response, request, call)
 }
 
-// parseCall reads a call's query. An error names the parameter.
+// parseCall parses the query of a call. An error names the invalid parameter.
 func parseCall(request *http.Request) (call callMessage, err error) {
 	query := request.URL.Query()
 	call.name = query.Get("name")
@@ -86,7 +86,8 @@
 	return call, nil
 }
 
-// parseNumber reads a parameter from 0 to maximum; an empty text is 0.
+// parseNumber parses a parameter that must be from 0 to maximum. An empty text
+// stands for 0.
 func parseNumber(parameter, text string, maximum int64) (int64, error) {
 	if text == "" {
 		return 0, nil
@@ -98,7 +99,7 @@
 	return number, nil
 }
 
-// call answers a single call with a snapshot, or with what the caller lacks.
+// call answers a single call with what the caller lacks, as a snapshot or a delta.
 func (h *handler) call(response http.ResponseWriter, request *http.Request, call callMessage) {
 	call.reply = make(chan callReply, 1)
 	call.acceptsGzip = acceptsGzip(request)
@@ -124,7 +125,7 @@
 	h.state.send(callAnsweredMessage{call.name, answer.change, len(body) + responseHeadBytes})
 }
 
-// acceptsGzip reports whether the caller accepts a response that is compressed.
+// acceptsGzip reports whether the caller accepts a gzip-compressed response.
 func acceptsGzip(request *http.Request) bool {
 	for coding := range strings.SplitSeq(request.Header.Get("Accept-Encoding"), ",") {
 		name, parameters, _ := strings.Cut(coding, ";")
@@ -152,8 +153,8 @@
 	return control.Flush()
 }
 
-// watch answers with changes as they come, until the caller leaves, reads too
-// slowly, or the state ends the watch.
+// watch answers with changes as they arrive, until the caller disconnects or reads
+// too slowly, or the state ends the watch.
 func (h *handler) watch(response http.ResponseWriter, request *http.Request, call callMessage) {
 	open := openWatchMessage{
 		name:    call.name,
@@ -179,7 +180,7 @@
 	h.sendLines(response, request, opened)
 }
 
-// sendLines writes a watch's changes and heartbeats until it ends.
+// sendLines writes a watch's changes and heartbeats until the watch ends.
 func (h *handler) sendLines(response http.ResponseWriter, request *http.Request, opened openWatchReply) {
 	heartbeat := time.NewTicker(heartbeatInterval)
 	defer heartbeat.Stop()
@@ -188,7 +189,7 @@
 		case change := <-opened.watch.pending:
 			line := change.json()
 			if err := h.write(response, line); err != nil {
-				panic(http.ErrAbortHandler) // a line was cut: the response must not look complete
+				panic(http.ErrAbortHandler) // a part of the line may be missing, so the response must not look complete
 			}
 			h.state.send(lineWrittenMessage{opened.id, change, len(line) + chunkOverheadBytes})
 			heartbeat.Reset(heartbeatInterval)
--- a/internal/relay/slowreader_test.go
+++ b/internal/relay/slowreader_test.go
@@ -13,12 +13,12 @@
 	"hollyyoke.example/hollyyoke/internal/membership"
 )
 
-// Beside a subscriber that does not read, 50 others get every change, and nothing
+// While one subscriber does not read, 50 others are sent every change, and nothing
 // is queued for the slow one.
 func TestSlowReader(t *testing.T) {
 	const (
 		changes   = 40
-		maxGrowth = 2 << 20 // bytes on the heap
+		maxGrowth = 2 << 20 // of the heap, in bytes
 	)
 	upstream := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(1, true, workerJSON("x", "ready")))
 	config := testConfig(upstream.address())
@@ -57,7 +57,7 @@
 		t.Errorf("%d bytes more on the heap", grown)
 	}
 	if line := getLine(t, running.Addr().String(), "after=1&name=slow"); line.Version != 1 || len(line.Workers) != 0 {
-		t.Error("a single call brings what the watch is delivering")
+		t.Error("a single call is answered with changes that the watch is delivering")
 	}
 	slow.Close()
 	eventually(t, "the slow subscriber is removed", func() bool { return running.Status().Watches == 50 })
@@ -87,7 +87,7 @@
 	}
 }
 
-// dialSlowReader opens a watch that is never read.
+// dialSlowReader opens a watch that nothing reads from, and returns its connection.
 func dialSlowReader(t *testing.T, address string) *net.TCPConn {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -101,12 +101,12 @@
 	return slow
 }
 
-// largeWorker returns a listed worker of 80 KB, always the same one.
+// largeWorker returns a worker of 80 KB in its wire form. It is the same one each time.
 func largeWorker() string {
 	return fmt.Sprintf(`{"host":"large","dial":"10.0.0.1:80","health":"ready","class":%q}`, strings.Repeat("x", 80_000))
 }
 
-// heapBytes returns the bytes of the objects on the heap that are in use.
+// heapBytes returns how many bytes the live objects on the heap take.
 func heapBytes() int64 {
 	var stats runtime.MemStats
 	runtime.GC()
@@ -115,7 +115,7 @@
 	return int64(stats.HeapAlloc)
 }
 
-// dropLines drops the recorded lines, so that they are not measured as memory.
+// dropLines drops the recorded lines, so that they do not count in a measurement of the heap.
 func (s *subscriber) dropLines() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/relay/state.go
+++ b/internal/relay/state.go
@@ -12,8 +12,9 @@
 	sweepInterval = 100 * time.Millisecond // between checks of acknowledgements, expiries and the upstream
 )
 
-// state is all that a relay knows. Only the goroutine of run accesses it; others
-// send it messages. It blocks on nothing but its messages and its timer.
+// state is the state of a relay. Only the goroutine that executes run accesses it;
+// other goroutines send messages to that one, which blocks only while it waits for
+// a message or its timer.
 type state struct {
 	config   Config
 	log      *slog.Logger
@@ -22,7 +23,7 @@
 	stopped  chan struct{} // closed when run has returned
 	counters *counters
 
-	// What comes from upstream.
+	// What was received from upstream.
 	store       *membership.Store
 	hasSnapshot bool          // a snapshot has been applied
 	changedAt   time.Duration // when the store's version last changed
@@ -39,19 +40,19 @@
 	latency     *ackLatency
 	closing     bool // further calls are rejected
 
-	nextScan  time.Duration // 0: no scan is due
-	nextSweep time.Duration
+	nextScan  time.Duration // time of the next scan for due lines; 0 if none is scheduled
+	nextSweep time.Duration // time of the next sweep
 }
 
 // upstreamState is the upstream that delivers changes.
 type upstreamState struct {
-	address   string        // empty: none does
+	address   string        // empty if none does
 	since     time.Time     // when address last changed
 	lostAt    time.Duration // when it last became empty
 	relayPath []string      // the relays between this one and the origin, the nearest first
 }
 
-// newState returns the state of a relay that has nothing yet.
+// newState returns the state of a relay that has no snapshot yet.
 func newState(config Config, log *slog.Logger) *state {
 	start := time.Now()
 	store := membership.NewStore(config.LogChanges)
@@ -96,7 +97,7 @@
 	}
 }
 
-// runDue runs the scan and the sweep where they are due.
+// runDue runs the scan and the sweep if they are due.
 func (s *state) runDue() {
 	now := s.now()
 	if s.nextScan != 0 && now >= s.nextScan {
@@ -117,14 +118,15 @@
 	return max(next-s.now(), 0)
 }
 
-// scanAt schedules a scan for due lines, at that time at the latest.
+// scanAt schedules a scan for due lines, unless an earlier one is scheduled.
 func (s *state) scanAt(at time.Duration) {
 	if s.nextScan == 0 || at < s.nextScan {
 		s.nextScan = at
 	}
 }
 
-// onStoreChanged updates what depends on the store's version.
+// onStoreChanged updates everything that depends on the store's version. urgent
+// means that the new version contains an urgent change.
 func (s *state) onStoreChanged(now time.Duration, urgent bool) {
 	s.changedAt = now
 	s.changes.dropDeltas()
@@ -133,7 +135,8 @@
 	s.scanAt(now)
 }
 
-// sweep evaluates acknowledgements and expires what is old.
+// sweep measures the latency of acknowledgements, ends the watches of a relay that
+// is stale, and expires old cache entries and peers.
 func (s *state) sweep(now time.Duration) {
 	summary := s.acks.Summary(now)
 	if summary.Subscribers == 0 {
@@ -155,8 +158,8 @@
 	return s.upstream.address == "" && now-s.upstream.lostAt >= milliseconds(s.config.StaleAfterMs)
 }
 
-// unavailableError says why a call cannot be answered now. Its text is sent with
-// status 503.
+// unavailableError is the reason why a call cannot be answered now. Its text is
+// sent with status 503.
 type unavailableError string
 
 func (e unavailableError) Error() string { return string(e) }
@@ -169,7 +172,8 @@
 	errClosing            = unavailableError("this relay ends")
 )
 
-// checkAvailable returns why a call after a version cannot be answered, or nil.
+// checkAvailable returns the reason why a call that continues from version after
+// cannot be answered, or nil.
 func (s *state) checkAvailable(after membership.Version) error {
 	switch {
 	case s.closing:
@@ -182,7 +186,7 @@
 	return nil
 }
 
-// answerCall returns what a single call is answered with.
+// answerCall returns the answer to a single call.
 func (s *state) answerCall(name string, after membership.Version) (*encodedChange, error) {
 	now := s.now()
 	if err := s.checkAvailable(after); err != nil {
--- a/internal/relay/status.go
+++ b/internal/relay/status.go
@@ -6,22 +6,22 @@
 	"hollyyoke.example/hollyyoke/internal/membership"
 )
 
-// Status is what GET /control/membership of the admin API answers.
+// Status is the answer to GET /control/membership of the admin API.
 type Status struct {
 	Name          string             `json:"name"`
 	Zone          string             `json:"zone"`
 	Version       membership.Version `json:"version"`
 	Entries       int                `json:"entries"`
 	Complete      bool               `json:"complete"`       // nothing is missing after a rejected change
-	AgeSeconds    float64            `json:"newest_age_s"`   // since the newest version arrived
-	Upstream      string             `json:"upstream"`       // empty: none works
+	AgeSeconds    float64            `json:"newest_age_s"`   // seconds since the newest version arrived
+	Upstream      string             `json:"upstream"`       // empty if none works
 	UpstreamSince time.Time          `json:"upstream_since"` // when Upstream last changed
 
-	Subscribers        int                `json:"subscribers"`         // that acknowledged within the expiry
-	Watches            int                `json:"watches"`             // open now
-	LowestAcknowledged membership.Version `json:"lowest_acknowledged"` // by all live subscribers
-	HaveNewest         int                `json:"have_newest"`         // subscribers that acknowledged the newest version
-	Rejections         []Rejection        `json:"refused"`             // the last ones, oldest first
+	Subscribers        int                `json:"subscribers"`         // number that acknowledged within the expiry
+	Watches            int                `json:"watches"`             // number open now
+	LowestAcknowledged membership.Version `json:"lowest_acknowledged"` // version that all live subscribers have acknowledged
+	HaveNewest         int                `json:"have_newest"`         // number of subscribers that acknowledged the newest version
+	Rejections         []Rejection        `json:"refused"`             // the last rejections, oldest first
 	RejectionCount     int                `json:"refused_total"`
 
 	SentBytes           int64      `json:"sent_bytes"`
@@ -41,7 +41,7 @@
 	Max     float64 `json:"max"`
 }
 
-// status returns what the admin API answers.
+// status returns the status that the admin API reports.
 func (s *state) status() Status {
 	now := s.now()
 	summary := s.acks.Summary(now)
--- a/internal/relay/subscriber_test.go
+++ b/internal/relay/subscriber_test.go
@@ -15,7 +15,7 @@
 	"hollyyoke.example/hollyyoke/internal/membership"
 )
 
-// When 200 subscribers start at once, the snapshot is encoded once for all.
+// When 200 subscribers start at once, the snapshot is encoded and compressed once for all of them.
 func TestManySubscribersStartAtOnce(t *testing.T) {
 	const (
 		workers  = 21_000
@@ -72,7 +72,7 @@
 	return body
 }
 
-// Watches and names of callers beyond their limits are rejected.
+// Watches beyond their limit, and callers with new names beyond the limit of names, are rejected.
 func TestSubscriberLimits(t *testing.T) {
 	origin := startDiscovery(t, 1)
 	config := testConfig(origin.Addr)
@@ -93,8 +93,8 @@
 	}
 }
 
-// Requests with invalid parameters or another method are answered with their status, also where no more watches are
-// accepted, and take no name.
+// Requests with invalid parameters or another method are answered with the corresponding status, even if no more watches
+// are accepted. They do not count towards the limit of names.
 func TestInvalidRequests(t *testing.T) {
 	origin := startDiscovery(t, 1)
 	config := testConfig(origin.Addr)
@@ -122,53 +122,53 @@
 		t.Errorf("POST: %v %v", response, err)
 	}
 	response.Body.Close()
-	for _, name := range []string{"d1", "d2", "d3", "d4", "d5", "d6", "d7", "d8"} { // all names that the limit allows
+	for _, name := range []string{"d1", "d2", "d3", "d4", "d5", "d6", "d7", "d8"} { // as many names as the limit allows
 		getLine(t, address, "after=1&name="+name)
 	}
 }
 
-// fetcher is a caller that accepts gzip, at version 1.
-type fetcher struct {
+// gzipCaller is a caller at version 1 that accepts gzip in its single calls.
+type gzipCaller struct {
 	t       *testing.T
 	address string // of the relay
 }
 
-// call makes a single call.
-func (f fetcher) call() *http.Response {
-	f.t.Helper()
-	request, err := http.NewRequest(http.MethodGet, "http://"+f.address+"/v1/servers?after=1&name=fetches", nil)
+// call makes a single call and returns the response.
+func (c gzipCaller) call() *http.Response {
+	c.t.Helper()
+	request, err := http.NewRequest(http.MethodGet, "http://"+c.address+"/v1/servers?after=1&name=fetches", nil)
 	if err != nil {
-		f.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	request.Header.Set("Accept-Encoding", "gzip")
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		f.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	f.t.Cleanup(func() { response.Body.Close() })
+	c.t.Cleanup(func() { response.Body.Close() })
 	return response
 }
 
-// watch opens a watch.
-func (f fetcher) watch() *bufio.Reader {
-	f.t.Helper()
-	response, err := http.Get("http://" + f.address + "/v1/servers?watch=1&after=1&name=fetches")
+// watch opens a watch and returns a reader of its lines.
+func (c gzipCaller) watch() *bufio.Reader {
+	c.t.Helper()
+	response, err := http.Get("http://" + c.address + "/v1/servers?watch=1&after=1&name=fetches")
 	if err != nil || response.StatusCode != http.StatusOK {
-		f.t.Fatalf("%v, %v", response, err)
+		c.t.Fatalf("%v, %v", response, err)
 	}
-	f.t.Cleanup(func() { response.Body.Close() })
+	c.t.Cleanup(func() { response.Body.Close() })
 	return bufio.NewReader(response.Body)
 }
 
-// A long delta is fetched: the watch of a caller that accepts gzip is ended, once
-// for a version, and its next call brings the delta compressed. Other callers get
-// it on the watch.
+// When a long delta is due, the watch of a caller that accepts gzip is ended, once
+// for a version, and the caller's next call is answered with the delta compressed.
+// Other callers are sent the delta on the watch.
 func TestLongDeltaIsFetchedCompressed(t *testing.T) {
 	upstream := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(1, true, workerJSON("first", "ready")))
 	running, _ := startRelay(t, testConfig(upstream.address()))
 	withoutGzip := subscribe(t, running.Addr().String(), "plain")
 	eventually(t, "the first snapshot", withoutGzip.hasVersion(1))
-	caller := fetcher{t, running.Addr().String()}
+	caller := gzipCaller{t, running.Addr().String()}
 	if coding := caller.call().Header.Get("Content-Encoding"); coding != "" {
 		t.Errorf("an empty delta is encoded: %q", coding)
 	}
@@ -195,7 +195,7 @@
 		t.Errorf("%v, version %d, %d workers; want a delta of version 2 with %d",
 			err, line.Version, len(line.Workers), len(workers))
 	}
-	text, err := caller.watch().ReadString('\n') // it was made to fetch this version once, and watches again
+	text, err := caller.watch().ReadString('\n') // its watch is not ended a second time at version 1
 	if err != nil || !strings.Contains(text, `"s-199"`) {
 		t.Errorf("%.40q, %v", text, err)
 	}
@@ -205,14 +205,14 @@
 	}
 }
 
-// A draining worker is sent at once beyond an exhausted rate limit, together with
-// the changes that wait.
+// The change of a draining worker is sent at once even if the rate limit is
+// exhausted, together with the changes that wait.
 func TestDrainingIsSentBeyondTheRateLimit(t *testing.T) {
 	workers := make([]string, 5000)
 	for i := range workers {
 		workers[i] = workerJSON(fmt.Sprintf("s-%d", i), "ready")
 	}
-	snapshot := changeJSON(1, true, workers...) // 500 KB: compressed, too, over a minute's budget
+	snapshot := changeJSON(1, true, workers...) // 500 KB, which exceeds a minute's budget even when compressed
 	upstream := startScriptedUpstream(t, "127.0.0.1:0", snapshot)
 	config := testConfig(upstream.address())
 	config.BytesPerS = 100
@@ -244,7 +244,7 @@
 	}
 }
 
-// A subscriber that was disconnected for longer than the log gets a snapshot, then deltas.
+// A subscriber that missed more changes than the log holds is sent a snapshot, and then deltas.
 func TestSubscriberAwayLongerThanTheLog(t *testing.T) {
 	origin := startDiscovery(t, 20)
 	config := testConfig(origin.Addr)
--- a/internal/relay/upstreamcall.go
+++ b/internal/relay/upstreamcall.go
@@ -13,14 +13,14 @@
 	"hollyyoke.example/hollyyoke/internal/membership"
 )
 
-// backfillSpan is how many versions before its first snapshot a relay asks for:
-// those of an hour and a half.
+// backfillSpan is the number of versions before its first snapshot that a relay
+// requests. They are those of an hour and a half.
 const backfillSpan = 2000
 
-// bootstrap fetches and applies the first snapshot, and the changes in the
-// versions before it, so that subscribers at those versions need no snapshot. An
-// upstream that does not have them, such as one that always answers with its
-// complete list, costs no more than that.
+// bootstrap fetches and applies the first snapshot, and the changes in the versions
+// before it, so that subscribers at those versions need no snapshot. If the
+// upstream does not have these changes, as one that always answers with its
+// complete list, only the snapshot is applied.
 func (f *follower) bootstrap(ctx context.Context, server string, current position) error {
 	body, err := f.fetch(ctx, server, current, 0)
 	if err != nil {
@@ -42,8 +42,8 @@
 	return (<-reply).err
 }
 
-// fetchBackfill fetches what has changed since a version. Base 0 in the result
-// means that the upstream does not have it.
+// fetchBackfill fetches what has changed since version base. Base is 0 in the
+// result if the upstream does not have that.
 func (f *follower) fetchBackfill(ctx context.Context, server string, current position, base membership.Version) membership.Change {
 	body, err := f.fetch(ctx, server, current, base)
 	if err != nil {
@@ -57,9 +57,9 @@
 	return change
 }
 
-// catchUp makes a single call and applies the response. The call also
-// acknowledges what the subscribers below have. It returns whether the response
-// was a snapshot.
+// catchUp makes a single call for the changes after a version and applies the
+// response. The call also acknowledges the versions of the subscribers below.
+// catchUp returns whether the response was a snapshot.
 func (f *follower) catchUp(ctx context.Context, server string, current position, after membership.Version) (isSnapshot bool, err error) {
 	body, err := f.fetch(ctx, server, current, after)
 	if err != nil {
@@ -68,7 +68,7 @@
 	return f.applyResponse(server, after, body)
 }
 
-// fetch makes a single call and returns the response's body, uncompressed.
+// fetch makes a single call and returns the decompressed body of the response.
 func (f *follower) fetch(ctx context.Context, server string, current position, after membership.Version) ([]byte, error) {
 	query := url.Values{
 		"name":  {f.name},
@@ -99,7 +99,8 @@
 	return body, err
 }
 
-// parseResponse parses a single call's response. An invalid one is rejected.
+// parseResponse parses the response to a single call. An invalid response is
+// recorded as a rejection.
 func (f *follower) parseResponse(server string, body []byte) (membership.Change, error) {
 	change, err := membership.Parse(body)
 	if err != nil {
@@ -109,7 +110,7 @@
 	return change, nil
 }
 
-// applyResponse parses and applies a single call's response.
+// applyResponse parses and applies the response to a single call.
 func (f *follower) applyResponse(server string, after membership.Version, body []byte) (isSnapshot bool, err error) {
 	change, err := f.parseResponse(server, body)
 	if err != nil {
@@ -144,5 +145,5 @@
 	return response, nil
 }
 
-// formatVersion formats a version as a parameter of a query.
+// formatVersion formats a version as a query parameter.
 func formatVersion(version membership.Version) string { return strconv.FormatInt(int64(version), 10) }
--- a/internal/relay/upstreamwatch.go
+++ b/internal/relay/upstreamwatch.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	acknowledgeInterval = time.Second     // between acknowledgements, where something has changed
-	repairInterval      = 5 * time.Second // between calls for what a rejected change left out
-	maxRelayHops        = 8               // between the origin and this relay
+	acknowledgeInterval = time.Second     // between acknowledgements, while something changes
+	repairInterval      = 5 * time.Second // between calls for the content of a rejected change
+	maxRelayHops        = 8               // relays between the origin and this relay
 
 	// refreshesPerExpiry is how often an unchanged acknowledgement is repeated
 	// within the expiry.
@@ -50,7 +50,7 @@
 	}
 	watched := newWatchdog(response.Body, cancel)
 	defer watched.stop()
-	if !f.snapshotOnly[server] { // otherwise its version is known from its first line
+	if !f.snapshotOnly[server] { // otherwise its version is known only from the first line
 		f.reportWorking(server, path)
 	}
 	var acknowledging sync.WaitGroup
@@ -68,14 +68,14 @@
 	return opened.read(watched)
 }
 
-// openedWatch is an upstream's watch that is read.
+// openedWatch is a watch of an upstream that is being read.
 type openedWatch struct {
 	follower *follower
 	server   string
-	path     []string           // the relays that its changes come by
-	start    membership.Version // of the state when it was opened
-	base     membership.Version // the newest that it has brought, from which its next delta continues
-	isFirst  bool               // it has brought nothing yet
+	path     []string           // the relays that its changes pass through
+	start    membership.Version // version of the state when the watch was opened
+	base     membership.Version // newest version received on the watch, from which its next delta continues
+	isFirst  bool               // no object has been received yet
 }
 
 // read applies the objects of the watch. A delta that is rejected is skipped; a
@@ -97,7 +97,7 @@
 	}
 }
 
-// applyObject applies one object, and returns its version. An error ends the watch.
+// applyObject applies one object and returns its version. An error ends the watch.
 func (w *openedWatch) applyObject(object json.RawMessage) (membership.Version, error) {
 	change, err := membership.Parse(object)
 	if err != nil {
@@ -122,8 +122,8 @@
 	return change.Version, nil
 }
 
-// reject rejects a change that holds an invalid field. Only a delta whose version
-// is known can be skipped; for all others it returns an error.
+// reject records the rejection of a change that contains an invalid field. Only a
+// delta whose version is known can be skipped; otherwise reject returns an error.
 func (w *openedWatch) reject(change membership.Change, reason error) error {
 	w.follower.state.send(rejectedMessage{
 		version:    change.Version,
@@ -137,8 +137,8 @@
 	return nil
 }
 
-// reportUnreadable lists the rejection of text that is no JSON object, and returns
-// err. A connection that broke is no rejection.
+// reportUnreadable returns err and, if that is a JSON syntax error, also records a
+// rejection. A broken connection does not count as a rejection.
 func (f *follower) reportUnreadable(server string, err error) error {
 	var syntax *json.SyntaxError
 	if errors.As(err, &syntax) {
@@ -147,9 +147,10 @@
 	return err
 }
 
-// acknowledge sends the versions of this relay and its subscribers to the
-// upstream, by single calls while the watch is open, and applies the responses.
-// Now and then it asks for what a rejected change left out.
+// acknowledge sends the versions of this relay and its subscribers to the upstream,
+// in single calls while the watch is open, and applies the responses. While the
+// content of a rejected change is missing, it also requests that every
+// repairInterval.
 func (f *follower) acknowledge(ctx context.Context, server string) {
 	refreshInterval := f.state.config.ackExpiry() / refreshesPerExpiry
 	ticker := time.NewTicker(acknowledgeInterval)
@@ -184,11 +185,11 @@
 	}
 }
 
-// tryCatchUp catches up beside an open watch, and logs an error.
+// tryCatchUp calls catchUp while the watch is open, and logs an error.
 func (f *follower) tryCatchUp(ctx context.Context, server string, current position, after membership.Version) (isSnapshot, ok bool) {
 	isSnapshot, err := f.catchUp(ctx, server, current, after)
 	if err != nil {
-		f.log.Debug("call beside the watch failed", "upstream", server, "reason", err)
+		f.log.Debug("single call during the watch failed", "upstream", server, "reason", err)
 	}
 	return isSnapshot, err == nil
 }
--- a/internal/relay/via.go
+++ b/internal/relay/via.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// viaProtocol stands before each name in a Via header.
+// viaProtocol is the protocol version that precedes each name in a Via header.
 const viaProtocol = "1.1 "
 
 // formatVia formats a Via header that names the relays in path.
@@ -10,8 +10,8 @@
 	return viaProtocol + strings.Join(path, ", "+viaProtocol)
 }
 
-// parseVia returns the relays that Via headers name, as formatVia writes them.
-// Elements of another form name no relay.
+// parseVia returns the names of the relays in Via headers that were written by
+// formatVia. Elements of another form are ignored.
 func parseVia(headers []string) (path []string) {
 	for _, header := range headers {
 		for via := range strings.SplitSeq(header, ",") {
--- a/internal/relay/watch.go
+++ b/internal/relay/watch.go
@@ -6,19 +6,20 @@
 	"hollyyoke.example/hollyyoke/internal/membership"
 )
 
-// maxPushedBytes is the length up to which a delta is sent on a watch to a
-// caller that could also fetch it compressed.
+// maxPushedBytes is the longest delta that is sent on the watch of a caller that
+// could also fetch it compressed.
 const maxPushedBytes = 4 << 10
 
 // watch is an open watch. Its handler writes the pending changes until ended is closed.
 type watch struct {
 	peer    *peer
-	isRelay bool                // its caller is a relay
-	pending chan *encodedChange // holds at most one: the next one is due when it has been written
+	isRelay bool                // the caller is a relay
+	pending chan *encodedChange // holds at most one change; the next one is due once that has been written
 	ended   chan struct{}
 }
 
-// openWatch adds a watch, or returns why it cannot.
+// openWatch adds a watch that continues from version after, or returns the reason
+// why it cannot. An open watch of the same caller is ended.
 func (s *state) openWatch(name string, after membership.Version) (membership.SubscriberID, *watch, error) {
 	now := s.now()
 	if err := s.checkAvailable(after); err != nil {
@@ -45,7 +46,7 @@
 	return s.lastID, opened, nil
 }
 
-// sendDue passes each watch that is due its next change.
+// sendDue passes the next change to each watch whose next line is due.
 func (s *state) sendDue(now time.Duration) {
 	s.nextScan = 0
 	due, next, waiting := s.subscribers.Due(now)
@@ -65,14 +66,15 @@
 			continue
 		}
 		s.subscribers.Sending(id, change.version)
-		receiver.pending <- change // does not block: the last one has been written
+		receiver.pending <- change // does not block, since the previous one has been written
 	}
 }
 
-// shouldFetch reports whether a change from version on is so long that the caller
-// should rather fetch it by a single call, whose response is compressed: its
-// watch is ended, and the caller calls at once. This is asked once for a version,
-// and never of a relay.
+// shouldFetch reports whether a change that continues from version is so long that
+// the caller should fetch it by a single call, whose response is compressed. Its
+// watch is then ended, and the caller makes the call at once. shouldFetch returns
+// false for relays, and for a caller whose watch was last ended for this reason at
+// the same version.
 func (w *watch) shouldFetch(version membership.Version, change *encodedChange) bool {
 	caller := w.peer
 	if !caller.acceptsGzip || caller.endedForFetchAt == version || w.isRelay {
@@ -81,15 +83,15 @@
 	return len(change.json()) > maxPushedBytes
 }
 
-// endWatches makes all watches' handlers end their responses.
+// endWatches ends all watches.
 func (s *state) endWatches() {
 	for id, open := range s.watches {
 		s.endWatch(id, open)
 	}
 }
 
-// endRelayWatches makes the relays below open their watches again, so that they
-// learn the new relay path and none follows itself by way of others.
+// endRelayWatches ends the watches of the relays below. They open them again, and so
+// receive the new relay path, from which a relay detects that it would follow itself.
 func (s *state) endRelayWatches() {
 	for id, open := range s.watches {
 		if open.isRelay {
@@ -98,13 +100,14 @@
 	}
 }
 
-// endWatch makes a watch's handler end its response, completely.
+// endWatch removes a watch and makes its handler end the response, which is then
+// complete.
 func (s *state) endWatch(id membership.SubscriberID, open *watch) {
 	close(open.ended)
 	s.removeWatch(id, open)
 }
 
-// removeWatch forgets a watch.
+// removeWatch removes a watch from the state.
 func (s *state) removeWatch(id membership.SubscriberID, open *watch) {
 	delete(s.watches, id)
 	s.subscribers.Remove(id)
--- a/internal/relay/watchdog.go
+++ b/internal/relay/watchdog.go
@@ -7,22 +7,23 @@
 )
 
 const (
-	silenceTimeout = 3 * time.Second // between bytes; a watch has a line every 2 s at the latest
-	maxObjectBytes = 64 << 20        // of one object, uncompressed
+	silenceTimeout = 3 * time.Second // longest time between bytes; a watch has a line every 2 s at the latest
+	maxObjectBytes = 64 << 20        // limit of one object, uncompressed
 )
 
 var errTooLong = fmt.Errorf("an object is longer than %d bytes", maxObjectBytes)
 
-// watchdog reads a response's body. It cancels the call when no byte comes for
-// too long, and bounds the bytes of an object: the reader sets budget at the start
-// of each.
+// watchdog reads a response's body. It cancels the call when no byte has arrived
+// for silenceTimeout, and bounds the size of an object: the user of the watchdog
+// sets budget at the start of each object.
 type watchdog struct {
 	source io.Reader
 	timer  *time.Timer
-	budget int
+	budget int // bytes that may still be read of the current object
 }
 
-// newWatchdog starts to watch a body. cancel must end its reading.
+// newWatchdog returns a watchdog for a body and starts its timer. cancel must make
+// reads of the body return.
 func newWatchdog(source io.Reader, cancel func()) *watchdog {
 	return &watchdog{source: source, timer: time.AfterFunc(silenceTimeout, cancel), budget: maxObjectBytes}
 }
@@ -38,5 +39,5 @@
 	return n, err
 }
 
-// stop ends the watching.
+// stop stops the timer.
 func (w *watchdog) stop() { w.timer.Stop() }
