--- a/internal/discovery/change.go
+++ b/internal/discovery/change.go
@@ -16,7 +16,7 @@
 type membershipChange struct {
 	version     membership.Version
 	snapshot    bool
-	exact       bool               // a delta that applies to the state at base alone, as in membership.Change
+	exact       bool               // a delta that applies only to the state at base, as in membership.Change
 	missingFrom membership.Version // the first version of which the sender lacks some content; 0 if it lacks nothing
 	endpoints   []endpoint
 	settings    []settingChange
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -16,7 +16,7 @@
 	Zone                string              // the dispatcher's zone, whose servers are preferred
 	Servers             []membership.Server // relays and origins, at least one
 	AcknowledgeInterval time.Duration       // least time between acknowledgements; 0 stands for one second
-	Seed                uint64              // of the jitter
+	Seed                uint64              // seed of the jitter
 }
 
 // The next attempt is started once an attempt has had no connection for connectStagger, or no response for
@@ -25,8 +25,8 @@
 const (
 	connectStagger = 150 * time.Millisecond
 	answerStagger  = 500 * time.Millisecond
-	receiveStagger = 3 * time.Second // the same for a response that has begun to arrive
-	maxReceiving   = 2               // responses arriving at a time; while there are as many, no attempt is started
+	receiveStagger = 3 * time.Second // how long a response that has begun to arrive delays the next attempt
+	maxReceiving   = 2               // while this many responses are arriving, no further attempt is started
 )
 
 // followerRandomStream is the PCG stream of the jitter, which makes it independent of other streams with the same seed.
--- a/internal/discovery/httpconn.go
+++ b/internal/discovery/httpconn.go
@@ -200,7 +200,7 @@
 	h.finish(errConnectionClosed)
 }
 
-// finish ends the request. The connection is kept after a complete response.
+// finish ends the request. After a complete response the connection is kept, unless the server closes it.
 func (h *httpConn) finish(err error) {
 	wasAwaiting := h.awaitingResponse
 	h.registry.dispatcher.Loop.Clear(&h.timeout)
@@ -215,7 +215,7 @@
 	}
 }
 
-// disconnect closes the connection, if there is one, and forgets it.
+// disconnect closes the connection, if there is one. Its callbacks are ignored from then on.
 func (h *httpConn) disconnect() {
 	h.registry.dispatcher.Loop.Clear(&h.timeout)
 	h.response.reset(&h.registry.engine.Pool)
--- a/internal/discovery/initiallist.go
+++ b/internal/discovery/initiallist.go
@@ -22,7 +22,7 @@
 	timeout eventloop.Deadline
 }
 
-// withheld reports whether the list has yet to be published.
+// withheld reports whether the list is withheld, which ends when a list is published.
 func (l *initialEndpoints) withheld() bool { return l.entries != nil }
 
 // withhold keeps the entries of a list that are not removed.
@@ -62,7 +62,7 @@
 }
 
 // LoadInitial applies the endpoint list that is given at the start, in its wire form, and begins to follow the source.
-// An invalid list is rejected as a whole with an error.
+// No worker is taken from an invalid list, for which an error is returned.
 //
 // The list may be old. Requests are accepted at once, since clients have no other dispatcher to use, but they wait until
 // the source has sent what has changed, or until initialListTimeout has passed. In a large fleet, whose dispatchers
--- a/internal/discovery/largefleet_test.go
+++ b/internal/discovery/largefleet_test.go
@@ -9,7 +9,7 @@
 
 // In a large fleet the list of the configuration is published at once, before discovery has answered. Its workers must
 // be suspended until then. They were not: the list counted as unknown before it was published, so that publishing it was
-// no change of freshness. Attempts were assigned to the workers, and then ended without being sent.
+// no change of freshness. Attempts were assigned to the workers, and then ended at the check before sending.
 func TestInitialListOfALargeFleetIsSuspended(t *testing.T) {
 	calls := testkit.Listen(t)
 	rig := testkit.NewRig(t, func(settings *decision.Settings) {
--- a/internal/discovery/reconnect.go
+++ b/internal/discovery/reconnect.go
@@ -12,7 +12,8 @@
 // last contact or failed call. The next call therefore begins early enough for its answer to arrive within the bound
 // counted from that moment, even if the dispatcher would wait longer.
 const (
-	answerTimeout     = 2200 * time.Millisecond // discovery handles calls in turn and answers or fails one after 2 s; the rest is for transit
+	// Discovery handles calls in turn, and a call is answered or fails after 2 s; the rest is for transit.
+	answerTimeout     = 2200 * time.Millisecond
 	maxReconnectDelay = freshness.NotificationBound - answerTimeout
 	minBackoff        = 100 * time.Millisecond // after a failed call, even if the settings allow less
 )
@@ -21,8 +22,8 @@
 // once and at no cost. A change that the agent has counts as notified even if no watch is open, so an unanswered call and
 // the backoff after it must both fit into the drain grace.
 const (
-	agentCallFraction    = 4 // the drain grace divided by it is how long a call may take
-	agentBackoffFraction = 8 // the drain grace divided by it is the time from a failed call to the next
+	agentCallFraction    = 4 // divides the drain grace into the time that a call may take
+	agentBackoffFraction = 8 // divides the drain grace into the time from a failed call to the next
 	minAgentWait         = 10 * time.Millisecond
 )
 
--- a/internal/discovery/registry.go
+++ b/internal/discovery/registry.go
@@ -9,13 +9,13 @@
 //
 // The state is divided by its owner:
 //
-//   - [Registry] has the listed workers and tells the dispatcher of changes (update.go).
+//   - [Registry] holds the listed workers and reports changes to the dispatcher (update.go).
 //   - initialEndpoints withholds the list of the configuration until the source has answered (initiallist.go).
 //   - listFreshness decides whether the list is current, unconfirmed or unknown; its comment defines these and says what
 //     follows from each (staleness.go, suspension.go).
 //   - watch is the discovery watch (watch.go, watchreader.go, reconnect.go).
 //   - membershipFollower chooses a membership server and applies its changes (follower.go, applychange.go); a
-//     subscription is the state with one server (subscription.go).
+//     subscription is the communication with one server (subscription.go).
 //
 // A Registry and everything it owns belong to the event loop's goroutine.
 package discovery
--- a/internal/discovery/staleness.go
+++ b/internal/discovery/staleness.go
@@ -30,7 +30,7 @@
 	wasUsable bool                // a published list has been current or unconfirmed at some time since the start
 }
 
-// Refresh evaluates how fresh the list is now, and suspends or resumes workers where that has changed.
+// Refresh evaluates how fresh the list is now, and suspends or resumes workers if that has changed.
 func (r *Registry) Refresh() {
 	knowledge := r.currentKnowledge()
 	if !r.initial.withheld() && knowledge != freshness.Unknown {
@@ -61,9 +61,9 @@
 	}
 }
 
-// currentKnowledge returns how far the list can be relied on now. A list does not become stale where membership servers
-// are followed, where there is no source, and before it is published. Where health checks are off, an unconfirmed list
-// counts as current, since the workers cannot be checked.
+// currentKnowledge returns how far the list can be relied on now. A list does not become stale if membership servers are
+// followed, if there is no source, or before it is published. If health checks are off, an unconfirmed list counts as
+// current, since the workers cannot be checked.
 func (r *Registry) currentKnowledge() freshness.Knowledge {
 	if r.follower != nil || r.watch.address == "" || r.initial.withheld() {
 		return freshness.Current
--- a/internal/discovery/subscription.go
+++ b/internal/discovery/subscription.go
@@ -34,7 +34,7 @@
 	watch   membershipWatch
 	version membership.Version // newest version that the server has sent
 
-	exclusiveUntil         time.Duration // until then no attempt at another server is started beside this one
+	exclusiveUntil         time.Duration // until then no attempt at another server is started in parallel to this one
 	catchUpAfterPoll       bool          // the watch ended while a poll was in progress, and catchUp follows that poll
 	failedAcknowledgements int           // in a row
 
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -168,7 +168,8 @@
 	w.scheduleReconnect(lastContact)
 }
 
-// classifyFailure returns whether a failed call reached discovery. It must be called before reset.
+// classifyFailure decides whether a failed call counts as one that did not reach discovery, or as one that reached it
+// and broke off. It must be called before reset.
 func (w *watch) classifyFailure(cause error) freshness.Failure {
 	var status statusError
 	switch {
--- a/internal/membership/acktracker.go
+++ b/internal/membership/acktracker.go
@@ -75,7 +75,7 @@
 type Summary struct {
 	Subscribers    int
 	Lowest, Newest Version
-	Cumulative     []VersionCount // an element for each version that is the last one of a subscriber, oldest first
+	Cumulative     []VersionCount // an element for each version that some subscriber acknowledged last, oldest first
 }
 
 // Summary counts the live subscribers by version.
--- a/internal/relay/failover_test.go
+++ b/internal/relay/failover_test.go
@@ -178,12 +178,12 @@
 	config := testConfig(link.listener.Addr().String())
 	config.Name = "relay-below"
 	config.StaleAfterMs = 100
-	below, text := startRelay(t, config)
+	below, logOutput := startRelay(t, config)
 	client := subscribe(t, below.Addr().String(), "d1")
 	eventually(t, "snapshot", client.hasVersion(1))
 
 	link.setBroken(true)
-	eventually(t, "the watch ends", func() bool { return strings.Contains(text.String(), "no upstream: ending watches") })
+	eventually(t, "the watch ends", func() bool { return strings.Contains(logOutput.String(), "no upstream: ending watches") })
 	eventually(t, "a new watch is rejected", client.wasRejected)
 	if line := getLine(t, below.Addr().String(), "name=d2"); line.Version != 1 || len(line.Workers) != 20 {
 		t.Errorf("single call during the partition: version %d, %d workers", line.Version, len(line.Workers))
@@ -256,7 +256,7 @@
 func TestFailoverFromAnUnreadableUpstream(t *testing.T) {
 	unreadable := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(1, true, workerJSON("x", "ready")))
 	valid := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(3, false, workerJSON("x", "draining")))
-	running, text := startRelay(t, testConfig(unreadable.address(), valid.address()))
+	running, logOutput := startRelay(t, testConfig(unreadable.address(), valid.address()))
 	client := subscribe(t, running.Addr().String(), "d1")
 	eventually(t, "snapshot", client.hasVersion(1))
 	unreadable.setAnswer(func(url.Values) string { return changeJSON(9, true, workerJSON("", "ready")) })
@@ -264,7 +264,7 @@
 	upstreamWatch.sendLine(`{"seq":2,"whole":false,"hosts":[}`)
 	eventually(t, "the other upstream", client.hasVersion(3))
 	reset(valid.awaitWatch().conn)
-	eventually(t, "an invalid snapshot is rejected", func() bool { return strings.Contains(text.String(), "hosts[0].host is empty") })
+	eventually(t, "an invalid snapshot is rejected", func() bool { return strings.Contains(logOutput.String(), "hosts[0].host is empty") })
 	if status := running.Status(); status.Version != 3 || status.RejectionCount < 2 {
 		t.Errorf("version %d, %d rejections", status.Version, status.RejectionCount)
 	}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -74,7 +74,7 @@
 // The next valid change is applied.
 func TestInvalidChangeIsRejectedAtomically(t *testing.T) {
 	upstream := startScriptedUpstream(t, "127.0.0.1:0", changeJSON(1, true, workerJSON("x", "ready"), workerJSON("y", "ready")))
-	running, text := startRelay(t, testConfig(upstream.address()))
+	running, logOutput := startRelay(t, testConfig(upstream.address()))
 	client := subscribe(t, running.Addr().String(), "d1")
 	eventually(t, "snapshot", client.hasVersion(1))
 	upstreamWatch := upstream.awaitWatch()
@@ -86,8 +86,8 @@
 		t.Errorf("x %s, y %s", client.health("x"), client.health("y"))
 	}
 	const reason = `hosts[1].health: unknown value "asleep"`
-	if n := strings.Count(text.String(), "change rejected"); n != 1 || !strings.Contains(text.String(), "hosts[1].health") {
-		t.Errorf("%d lines: %s", n, text)
+	if n := strings.Count(logOutput.String(), "change rejected"); n != 1 || !strings.Contains(logOutput.String(), "hosts[1].health") {
+		t.Errorf("%d lines: %s", n, logOutput)
 	}
 	status := running.Status()
 	if status.RejectionCount != 1 || len(status.Rejections) != 1 {
--- a/internal/relay/upstreamcall.go
+++ b/internal/relay/upstreamcall.go
@@ -13,8 +13,8 @@
 	"hollyyoke.example/hollyyoke/internal/membership"
 )
 
-// backfillSpan is the number of versions before its first snapshot that a relay
-// requests. They are those of an hour and a half.
+// backfillSpan is the number of versions before its first snapshot whose changes a
+// relay requests: as many as there are in an hour and a half.
 const backfillSpan = 2000
 
 // bootstrap fetches and applies the first snapshot, and the changes in the versions
