--- a/decision/action.go
+++ b/decision/action.go
@@ -11,12 +11,12 @@
 // The kinds of actions, with the fields that they use.
 const (
 	Assign        ActionKind = iota // Request, Worker, Reservation: start the next attempt
-	Reject                          // Request, Delay: not done, safe to try again after Delay
-	Fail                            // Request: failed, with no promise about effects
-	CancelAttempt                   // Request, Attempt
+	Reject                          // Request, Delay: not served; the client may safely repeat it after Delay
+	Fail                            // Request: failed; the request may or may not have had an effect
+	CancelAttempt                   // Request, Attempt: cancel this outstanding attempt
 	SetTimer                        // Timer, Delay: feed TimerFired after Delay
-	CheckHealth                     // Worker: feed HealthChecked with its answer
-	Subscribe                       // ask for changes of the endpoint list from now on
+	CheckHealth                     // Worker: check its health and feed the result as HealthChecked
+	Subscribe                       // subscribe to changes of the endpoint list
 	CloseIdle                       // Worker: close the idle connections to it
 	Log                             // Text
 )
@@ -28,15 +28,15 @@
 	Attempt     int
 	Worker      string
 	Delay       time.Duration
-	Reservation float64 // what the attempt takes of a slow-start budget, in hinted slot-seconds; 0: warmed up
+	Reservation float64 // slow-start budget that the attempt uses, in hinted slot-seconds; 0 at a warm worker
 	Timer       uint64
 	Text        string
 }
 
-// emit appends an action to those of the present event.
+// emit appends an action to those returned for the current event.
 func (m *Machine) emit(action Action) { m.actions = append(m.actions, action) }
 
-// logf emits text for operators.
+// logf emits a Log action with a message for operators.
 func (m *Machine) logf(format string, args ...any) {
 	m.emit(Action{Kind: Log, Text: fmt.Sprintf(format, args...)})
 }
--- a/decision/admission.go
+++ b/decision/admission.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Bounds of what a client may state about a request.
+// Bounds on the slots and the work that a client may declare for a request.
 const (
-	maxSlots         = math.MaxInt32 // from this number on, and below or at zero, it counts as one slot
-	maxWorkDeadlines = 10            // a hint of the work counts up to this multiple of the deadline
+	maxSlots         = math.MaxInt32 // a slot count that is not between 0 and this value counts as one slot
+	maxWorkDeadlines = 10            // a hint of the work is capped at this multiple of the class's deadline
 )
 
 // handleArrival decides whether a request is admitted: its class must be known, an answer must still have a
-// value that covers the prices, and the request must not delay others for nothing. An admitted request waits
-// in the queue, which Handle looks at after each event.
+// value that covers the prices, and the request must not delay others for little value (see delaysOthers). An
+// admitted request waits in the queue, which Handle dispatches after each event.
 func (m *Machine) handleArrival(event Event) {
 	if m.requests[event.Request] != nil {
 		return
@@ -25,7 +25,7 @@
 	}
 	request := m.newRequest(&event)
 	m.requests[request.id] = request
-	m.appraise(request, &event)
+	m.setObjectiveAndValue(request, &event)
 	if m.rejectedOnArrival(request) {
 		m.rejectOrFail(request)
 		return
@@ -33,9 +33,10 @@
 	m.admit(request, event.Key)
 }
 
-// appraise sets the objective of a request that has arrived, lowers its value if it is beyond its tenant's
-// quota, and counts it into the mix. The mix has first tries only, so that it shows the demand.
-func (m *Machine) appraise(request *request, event *Event) {
+// setObjectiveAndValue sets the objective of a request that has arrived, lowers its value if it is beyond
+// its tenant's quota, and adds it to the mix. The mix contains first tries only, so that clients' retries do
+// not inflate the measured demand.
+func (m *Machine) setObjectiveAndValue(request *request, event *Event) {
 	elapsed := m.elapsedSinceFirstTry(request, event)
 	isRetry := event.ClientRetry || !m.settings.ClientsMarkRetries && elapsed > m.sweepInterval
 	overQuota := m.overQuota(event.Tenant, isRetry)
@@ -56,7 +57,7 @@
 	m.mix.add(m.now, m.planningHorizon, request, key)
 }
 
-// admit lets a request wait in the queue until its deadline.
+// admit puts a request into the queue, where it waits until its deadline at most.
 func (m *Machine) admit(request *request, key string) {
 	request.keyHash = m.ownerHash(key)
 	if request.class.Serialized && key != "" {
@@ -75,8 +76,9 @@
 		!m.prices.coveredBy(request) || m.delaysOthers(request)
 }
 
-// newRequest returns the request that an arrival describes, and learns from the hint of its work. The
-// deadline is two ticks early: one for the timer, one for the transmission of the answer.
+// newRequest returns the request that an arrival describes, and updates the mean work of its class from its
+// hint. The request's deadline is two ticks before the client's: one tick for the timer, one for the
+// transmission of the answer.
 func (m *Machine) newRequest(event *Event) *request {
 	request := &request{id: event.Request, class: &m.settings.Classes[event.Class], slots: 1}
 	request.deadline = m.now + min(event.TimeLeft, request.class.Deadline) - 2*m.settings.Tick
@@ -99,9 +101,9 @@
 	return request
 }
 
-// elapsedSinceFirstTry returns for how long the client has waited already, since the latency objective runs
-// from its first try. It follows from the time left: a client's retry, or a request that was delayed in
-// transmission, has less of it than the class allows.
+// elapsedSinceFirstTry returns how long the client has waited already; the latency objective counts from its
+// first try. The elapsed time is derived from the time left: a client's retry, or a request that was delayed
+// in transmission, has less time left than a first try of its class.
 func (m *Machine) elapsedSinceFirstTry(request *request, event *Event) time.Duration {
 	longest := m.estimates.learnTimeLeft(event.Class, min(event.TimeLeft, request.class.Deadline))
 	if event.ClientRetry {
@@ -110,13 +112,14 @@
 	return max(longest-event.TimeLeft, 0)
 }
 
-// hasNoValue reports whether a response to the request would earn nothing any more.
+// hasNoValue reports whether an answer to the request would no longer earn anything.
 func (m *Machine) hasNoValue(request *request) bool {
 	return m.now >= request.objective && request.class.LateWeight <= 0
 }
 
-// tryAssign starts an attempt and reports whether it did. It does not where the request must wait for its
-// key, the retry budget, the concurrency ceiling or the token bucket is exhausted, or no worker can take it.
+// tryAssign starts an attempt and reports whether it did. It starts none if the request must wait for its
+// key, if the retry budget, the concurrency ceiling or the token bucket is exhausted, or if no worker can
+// take it.
 func (m *Machine) tryAssign(request *request) bool {
 	if request.ended || request.awaitsKey(m.now) {
 		return false
@@ -136,7 +139,7 @@
 	}
 	m.bucket.tokens -= request.cost
 	m.closeStaleConnections(worker)
-	if worker.ejected { // this is a trial: the next one comes later
+	if worker.ejected { // this attempt is a trial: schedule the next one
 		m.scheduleTrial(worker)
 	}
 	m.startAttempt(request, worker)
--- a/decision/admission_test.go
+++ b/decision/admission_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// An attempt needs the concurrency ceiling, the token bucket and a worker. Where one of them refuses it,
-// nothing of the others may stay reserved.
+// An attempt needs the concurrency ceiling, the token bucket and a worker. If one of them denies it, nothing
+// may remain reserved at the others.
 
 func TestConcurrencyCeilingBoundsSlotsInFlight(t *testing.T) {
 	rig := newRig(t, testSettings(), 4)
@@ -20,7 +20,7 @@
 			rig.ceilings.inFlight, concurrencyHeadroom)
 	}
 	if rig.send(0) != "" {
-		t.Fatal("an attempt above the ceiling")
+		t.Fatal("an attempt was started above the ceiling")
 	}
 }
 
@@ -28,7 +28,7 @@
 	rig := newRig(t, testSettings(), 4)
 	rig.bucket = tokenBucket{ratePerWorker: 1, tokens: 0.5, refilledAt: rig.now}
 	if id := rig.arrive(0); rig.assignedTo(id) != "" || rig.ceilings.inFlight != 0 {
-		t.Fatalf("bucket denied, yet sent or %v slots in flight", rig.ceilings.inFlight)
+		t.Fatalf("with too few tokens the request was sent, or %v slots are in flight", rig.ceilings.inFlight)
 	}
 }
 
@@ -40,12 +40,12 @@
 	rig.bucket.refilledAt = rig.now
 	id := rig.arrive(0)
 	if rig.assignedTo(id) != "" || rig.ceilings.inFlight != 0 || rig.bucket.tokens != tokens {
-		t.Fatal("no ready worker, yet slots or tokens were kept")
+		t.Fatal("no worker is ready, but the request was sent, or slots or tokens were reserved")
 	}
 }
 
-// Whatever the number of peers is, also far more than there are requests a second, one request at a time is
-// admitted.
+// An idle dispatcher admits one request at a time for any number of peers, even if that is far more than the
+// number of requests per second.
 func TestAnyNumberOfPeersWorks(t *testing.T) {
 	for _, peers := range []int{-1, 0, 1, 1e6} {
 		settings := testSettings()
@@ -54,7 +54,7 @@
 		for range 5 {
 			id := rig.arrive(0)
 			if rig.assignedTo(id) == "" {
-				t.Fatalf("%d peers: an idle dispatcher holds a request back", peers)
+				t.Fatalf("%d peers: an idle dispatcher did not send a request", peers)
 			}
 			rig.endAttempt(id, 0, Completed, time.Second)
 		}
@@ -87,8 +87,8 @@
 	}
 }
 
-// Where clients do not mark retries, the time left tells how long ago the first try was sent: a retry keeps
-// that objective and does not count in the mix again.
+// If clients do not mark retries, the time left shows how long ago the first try was sent: a retry keeps the
+// objective of the first try and is not counted in the mix again.
 func TestUnmarkedRetriesKeepTheirObjective(t *testing.T) {
 	rig := newRig(t, testSettings(), 4)
 	first := rig.arrive(0)
--- a/decision/attempt.go
+++ b/decision/attempt.go
@@ -8,17 +8,18 @@
 // attempt is one send of a request to a worker. Its number is its index in request.attempts.
 type attempt struct {
 	worker       *worker
-	sentAt       time.Duration // when it was assigned
-	leftAt       time.Duration // when its last byte left; 0: not yet, as while its connection is dialed
-	startedAt    time.Duration // when it was first known to run; 0: not yet
-	lastSeen     time.Duration // when the worker last reported on it, at first when it was sent
+	assignedAt   time.Duration // when it was assigned
+	sentAt       time.Duration // when its last byte was sent; 0 until then, as while a connection is dialed
+	startedAt    time.Duration // when it was first known to run; 0 until then
+	lastSeen     time.Duration // time of the worker's last report on it; before the first report, assignedAt
 	ended        bool
-	neverRan     bool // it has ended and proved to have had no effect
-	unsent       bool // it has ended before its last byte had left: it was held back, or could not be dialed
-	unresponsive bool // its connection looks dead: its start is no longer awaited
+	neverRan     bool // it has ended, and its outcome proves that it had no effect
+	unsent       bool // it ended before its last byte was sent: it was held back, or the dial failed
+	unresponsive bool // its connection looks dead: it no longer counts as waiting for its start
 
-	// connectionIdle is for how long its connection may have been unused before. It is set only where the
-	// worker seemed to have capacity to start the attempt at once: elsewhere a late start proves nothing.
+	// connectionIdle is how long the reused connection may have been idle before the attempt. It is set only
+	// if the worker seemed able to start the attempt at once; otherwise a late start would not indicate a
+	// dead connection.
 	connectionIdle time.Duration
 }
 
@@ -40,7 +41,7 @@
 func (m *Machine) startAttempt(request *request, worker *worker) {
 	worker.recentWork.add(m.now, m.planningHorizon, request.cost)
 	reservation := request.slowStartCost()
-	worker.budget.saved -= reservation
+	worker.budget.balance -= reservation
 	if m.capacityFraction(worker) >= 1 {
 		reservation = 0
 	}
@@ -50,9 +51,9 @@
 	}
 	worker.load.freeSlots -= request.slots
 	m.zones.get(worker.Zone).lastAttemptAt = m.now
-	attempt := attempt{worker: worker, sentAt: m.now, lastSeen: m.now}
+	attempt := attempt{worker: worker, assignedAt: m.now, lastSeen: m.now}
 	if !m.settings.SendNotices {
-		attempt.leftAt = m.now
+		attempt.sentAt = m.now
 	}
 	attempt.connectionIdle = m.takeIdleConnection(worker)
 	if worker.unstarted == 0 {
@@ -67,21 +68,21 @@
 	m.emit(Action{Kind: Assign, Request: request.id, Worker: worker.Name, Reservation: reservation})
 }
 
-// handleSent records that the last byte of an attempt has left.
+// handleSent records that the last byte of an attempt was sent.
 func (m *Machine) handleSent(event Event) {
 	if _, attempt := m.outstandingAttempt(&event); attempt != nil {
-		attempt.leftAt = cmp.Or(attempt.leftAt, m.now)
+		attempt.sentAt = cmp.Or(attempt.sentAt, m.now)
 	}
 }
 
-// handleProgress records that an attempt has started, or how far it is.
+// handleProgress records that an attempt has started or made progress.
 func (m *Machine) handleProgress(event Event) {
 	request, attempt := m.outstandingAttempt(&event)
 	if attempt == nil {
 		return
 	}
 	attempt.lastSeen = m.now
-	attempt.leftAt = cmp.Or(attempt.leftAt, m.now)
+	attempt.sentAt = cmp.Or(attempt.sentAt, m.now)
 	m.markSeen(attempt.worker)
 	if lostRequest, lost := m.overtakenAttempt(request, attempt); lost != nil {
 		m.recordDeadConnection(lost)
@@ -95,8 +96,8 @@
 	}
 }
 
-// recordStart records that an attempt runs, and how long it waited for its start. Later calls for the same
-// attempt do nothing.
+// recordStart records that an attempt runs, and how long it waited for its start. Only the first call for an
+// attempt has an effect.
 func (m *Machine) recordStart(class *Class, attempt *attempt) {
 	if attempt.startedAt > 0 {
 		return
@@ -104,7 +105,7 @@
 	attempt.startedAt = m.now
 	attempt.recordAccepted(class)
 	if m.settings.StartNotices {
-		waited := (m.now - attempt.sentAt).Seconds()
+		waited := (m.now - attempt.assignedAt).Seconds()
 		m.estimates.learnStartWait(waited)
 		expected := m.expectedStartWait(attempt.worker)
 		attempt.worker.startWait = decayingValue{value: (expected + waited) / 2, at: m.now}
@@ -114,7 +115,7 @@
 	}
 }
 
-// removeUnstarted records that one attempt fewer waits for its start.
+// removeUnstarted records that one attempt fewer waits for its start at a worker.
 func (m *Machine) removeUnstarted(worker *worker) {
 	worker.unstarted = max(worker.unstarted-1, 0)
 	worker.unstartedSince = m.now
@@ -128,9 +129,9 @@
 	if attempt == nil {
 		return
 	}
-	outcome := attempt.worker.believeOutcome(event.Outcome)
+	outcome := attempt.worker.effectiveOutcome(event.Outcome)
 	attempt.neverRan = outcome.NeverRan(&m.settings)
-	attempt.unsent = outcome == NotSent && attempt.leftAt == 0
+	attempt.unsent = outcome == NotSent && attempt.sentAt == 0
 	m.releaseAttempt(request, attempt, outcome)
 	if request.keyQueue != nil && outcome.mayStillRun() {
 		m.startCooldown(request.keyQueue)
@@ -139,8 +140,8 @@
 		m.refundWork(request, attempt.worker)
 	}
 	if outcome == InvalidRequest && !event.Answered && !request.ended && request.outstanding == 0 {
-		// The request itself is at fault: another worker would find it invalid too, and this outcome shows
-		// nothing of the worker or the fleet.
+		// The request itself is at fault: another worker would reject it too, and this outcome says nothing
+		// about the worker or the fleet.
 		m.emit(Action{Kind: Fail, Request: request.id})
 		m.finish(request)
 		return
@@ -152,10 +153,11 @@
 	} else if !request.ended && request.outstanding == 0 && !request.queued {
 		m.retry(request)
 	}
-	m.forgetIfOver(request)
+	m.dropIfOver(request)
 }
 
-// releaseAttempt records the end of an attempt, and releases its slots and, after an answer, its connection.
+// releaseAttempt records the end of an attempt and releases its slots. If the worker has answered, the
+// connection becomes idle.
 func (m *Machine) releaseAttempt(request *request, attempt *attempt, outcome AttemptOutcome) {
 	worker := attempt.worker
 	if outcome.keepsConnection() {
@@ -177,15 +179,16 @@
 	}
 }
 
-// refundWork returns the work of an attempt that did not run to the token bucket, and takes it off the
-// worker's recent work: slow-start budgets follow from what warm workers carry, not from what they reject.
+// refundWork returns the work of an attempt that did not run to the token bucket, and subtracts it from the
+// worker's recent work: slow-start budgets are derived from the work that warm workers accept, without what
+// they reject.
 func (m *Machine) refundWork(request *request, worker *worker) {
 	m.bucket.tokens += request.cost
 	worker.recentWork.add(m.now, m.planningHorizon, -request.cost)
 }
 
-// recordOutcome learns from the outcome of an attempt about its worker. Only completed attempts count for
-// the worker's speed: one that fails fast must not look fast.
+// recordOutcome updates what is known of a worker from the outcome of an attempt. Only completed attempts
+// count toward the worker's speed, so that a worker that fails quickly does not look fast.
 func (m *Machine) recordOutcome(request *request, attempt *attempt, outcome AttemptOutcome) {
 	worker := attempt.worker
 	score := worker.failureScore.get(m.now, m.planningHorizon)
@@ -194,9 +197,9 @@
 		worker.consecutiveInvalid = 0
 		m.markSeen(worker)
 		attempt.recordAccepted(request.class)
-		m.learnRunTimeRatio(worker, (m.now-max(attempt.sentAt, attempt.startedAt)).Seconds()/request.work)
-		m.estimates.learnLatency((m.now - attempt.sentAt).Seconds())
-		m.setFailureScore(worker, failureScoreFactor*score, answersAgain)
+		m.learnRunTimeRatio(worker, (m.now-max(attempt.assignedAt, attempt.startedAt)).Seconds()/request.work)
+		m.estimates.learnLatency((m.now - attempt.assignedAt).Seconds())
+		m.setFailureScore(worker, failureScoreDecay*score, reasonRecovered)
 	case Saturated:
 		m.recordSaturated(worker, request.class)
 	case Failed, ConnectionRefused, ConnectionLost, TimedOut:
@@ -207,13 +210,13 @@
 			m.recordDeadConnection(attempt)
 			return
 		}
-		m.setFailureScore(worker, (1+score)/2, attemptsFail)
+		m.setFailureScore(worker, (1+score)/2, reasonAttemptsFail)
 	}
 }
 
-// adjustCeilings raises the ceilings for an answer in time and cuts them, once for each request, for a bad
-// outcome. The failure of a first attempt counts against its worker alone, that of a later one against the
-// fleet. One that never left says nothing of either.
+// adjustCeilings raises the ceilings for an answer in time and cuts them, at most once per request, for a
+// bad outcome. The failure of a request's first attempt counts against its worker only; the failure of a
+// later attempt counts against the fleet. An attempt that was never sent says nothing about either.
 func (m *Machine) adjustCeilings(request *request, attempt *attempt, outcome AttemptOutcome) {
 	if outcome == Completed && m.now <= request.objective {
 		m.raiseCeilings(request)
@@ -223,6 +226,6 @@
 		return
 	}
 	if outcome == Completed || outcome != Cancelled && len(request.attempts) > 1 {
-		m.cutCeilings(request, attempt.sentAt)
+		m.cutCeilings(request, attempt.assignedAt)
 	}
 }
--- a/decision/benchmark_test.go
+++ b/decision/benchmark_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// fleetSizes are a decade apart; the last is the size that the design must carry.
+// fleetSizes grow by about a factor of ten; the last is the largest size that the design must support.
 var fleetSizes = []int{200, 2100, 21000}
 
-// largeFleetZones is over how many zones the workers of newLargeFleet are spread.
+// largeFleetZones is the number of zones over which newLargeFleet spreads the workers.
 const largeFleetZones = 17
 
-// newLargeFleet returns a machine with so many workers over many zones, and its endpoint list. Every
-// warmingEvery-th worker has just started; 0: none.
+// newLargeFleet returns a machine with that many workers in many zones, and its endpoint list. Every
+// warmingEvery-th worker has just started; if warmingEvery is 0, none has.
 func newLargeFleet(t testing.TB, workers, warmingEvery int) (*Machine, []Endpoint) {
 	t.Helper()
 	settings := testSettings()
@@ -44,11 +44,11 @@
 	}
 	machine.Handle(start, Event{Kind: ListUpdated, ListKind: ListCached, Endpoints: list}, nil)
 	machine.ceilings.concurrencyPerWorker = 1e6
-	machine.bucket.ratePerWorker = 1e6 // no ceiling binds: what is measured is the pick
+	machine.bucket.ratePerWorker = 1e6 // no ceiling limits what is sent, so that only the pick is measured
 	return machine, list
 }
 
-// BenchmarkDelta is one worker that drains, or comes back, by a delta of its own.
+// BenchmarkDelta measures deltas in which one worker begins to drain or returns to service.
 func BenchmarkDelta(b *testing.B) {
 	benchmarkDeltas(b, func(list []Endpoint, i int) Endpoint {
 		entry := list[i%len(list)]
@@ -59,7 +59,7 @@
 	})
 }
 
-// BenchmarkReplace is one worker that goes and one that comes, each by a delta of its own.
+// BenchmarkReplace measures deltas in which one worker is removed or added.
 func BenchmarkReplace(b *testing.B) {
 	benchmarkDeltas(b, func(list []Endpoint, i int) Endpoint {
 		entry := list[i/2%len(list)]
@@ -70,7 +70,7 @@
 	})
 }
 
-// benchmarkDeltas measures deltas of one entry each, at each size of the fleet.
+// benchmarkDeltas measures deltas of one entry each, for each fleet size.
 func benchmarkDeltas(b *testing.B, entry func(list []Endpoint, i int) Endpoint) {
 	for _, workers := range fleetSizes {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
@@ -90,8 +90,8 @@
 	}
 }
 
-// BenchmarkPick is an arrival that is placed and answered, with all workers warm and with a tenth of them
-// in slow start.
+// BenchmarkPick measures an arrival that is assigned and answered, with all workers warm and with a tenth of
+// them in slow start.
 func BenchmarkPick(b *testing.B) {
 	for _, warmingEvery := range []int{0, 10} {
 		for _, workers := range fleetSizes {
--- a/decision/ceilings.go
+++ b/decision/ceilings.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// Two ceilings bound what is sent. The concurrency ceiling bounds the slots in flight, a token bucket the
-// work sent over time. Both are learned per ready worker: they rise with each request served in time while
-// they bind, and are cut by bad outcomes. The figures were inherited with the decision machine.
+// Two ceilings limit what is sent. The concurrency ceiling limits the slots in flight; a token bucket limits
+// the work sent over time. Both are learned per ready worker: each request served in time raises the ceilings
+// that are more than half used or have a price, and bad outcomes cut them. The values were inherited with the
+// decision machine.
 const (
-	initialSlotsPerWorker = 8.0  // slots per worker of all dispatchers together, as both ceilings
-	ceilingFloorRatio     = 0.25 // part of the initial value below which no ceiling is cut
+	initialSlotsPerWorker = 8.0  // initial value of both ceilings per worker, summed over all dispatchers
+	ceilingFloorRatio     = 0.25 // no ceiling is cut below this fraction of its initial value
 	ceilingRaiseStep      = 0.4  // slots that a served slot adds to the ceiling when no outcome is bad
-	concurrencyHeadroom   = 3.0  // slots above the ceiling, so that a tiny one leaves no worker idle
-	badRatioSpan          = 16   // outcomes over which badRatio is averaged
+	concurrencyHeadroom   = 3.0  // slots added to the ceiling, so that a tiny ceiling leaves no worker idle
+	badRatioSamples       = 16   // outcomes over which badRatio is averaged
 	overloadBadRatio      = 0.25 // badRatio from which the workers count as overloaded
 )
 
@@ -21,20 +22,20 @@
 // learned. The other ceiling is the tokenBucket.
 type ceilings struct {
 	inFlight             float64 // slots of all outstanding attempts
-	inFlightAtEjected    float64 // those of them at ejected workers
+	inFlightAtEjected    float64 // slots of the outstanding attempts at ejected workers
 	concurrencyPerWorker float64 // learned ceiling of slots in flight per ready worker
 	badRatio             float64 // recent share of bad outcomes, 0 to 1
 	cutAt                time.Duration
 }
 
-// tokenBucket bounds the work that is sent over time. Its rate is learned per ready worker.
+// tokenBucket limits the work that is sent over time. Its rate is learned per ready worker.
 type tokenBucket struct {
-	ratePerWorker float64 // slot-seconds a second
+	ratePerWorker float64 // slot-seconds per second
 	tokens        float64 // slot-seconds left
 	refilledAt    time.Duration
 }
 
-// capacity is what the bucket holds when full: the slot-seconds that its rate gives in a span of time.
+// capacity is what the bucket holds when full: the slot-seconds that come in at its rate during span.
 func (b *tokenBucket) capacity(readyWorkers float64, span time.Duration) float64 {
 	return b.ratePerWorker * readyWorkers * span.Seconds()
 }
@@ -47,8 +48,9 @@
 	b.refilledAt = now
 }
 
-// countedInFlight is the number of slots in flight that the ceiling applies to. Those at ejected workers
-// are left out: the ceiling is that of the ready workers, and requests stuck elsewhere must not exhaust it.
+// countedInFlight is the number of slots in flight that count toward the concurrency ceiling. Slots at
+// ejected workers do not count: the ceiling is scaled to the ready workers, and requests stuck at ejected
+// ones must not exhaust it.
 func (m *Machine) countedInFlight() float64 {
 	if m.inPanic() {
 		return m.ceilings.inFlight
@@ -81,16 +83,16 @@
 }
 
 // bucketIsScarce reports whether the token bucket limits what is sent. Its rate is raised and cut only then:
-// a rate that was cut while it limited nothing would price work away later.
+// if the rate were cut while it limits nothing, prices would later reject requests without need.
 func (m *Machine) bucketIsScarce() bool {
 	return m.bucket.tokens < m.bucketCapacity()/2 || m.prices.work > 0
 }
 
-// raiseCeilings raises the ceilings that bind, for a request served in time. A ceiling that rose while it did
-// not bind would be too high when it is needed.
+// raiseCeilings raises, for a request served in time, each ceiling that currently limits what is sent. A
+// ceiling that rose while it limited nothing would be too high when it is needed.
 func (m *Machine) raiseCeilings(request *request) {
 	c := &m.ceilings
-	c.badRatio -= c.badRatio / badRatioSpan
+	c.badRatio -= c.badRatio / badRatioSamples
 	step := ceilingRaiseStep * math.Pow(1-c.badRatio, 4) / m.readyWorkers()
 	if m.countedInFlight()+request.slots > c.concurrencyPerWorker*m.readyWorkers()/2 || m.prices.slot > 0 {
 		c.concurrencyPerWorker += step * request.slots
@@ -100,17 +102,17 @@
 	}
 }
 
-// cutCeilings cuts the ceilings by half of badRatio, weighted by the part of the fleet that is open to the
-// request. They are cut at most once in a mean latency. The outcome of an attempt that was sent before the
-// last cut is ignored, since it says nothing about the ceilings after it.
-func (m *Machine) cutCeilings(request *request, sentAt time.Duration) {
+// cutCeilings cuts the ceilings by half of badRatio, weighted by the share of the fleet that may run the
+// request. They are cut at most once per mean latency. The outcome of an attempt that was assigned before the
+// last cut is ignored, since it says nothing about the ceilings after that cut.
+func (m *Machine) cutCeilings(request *request, assignedAt time.Duration) {
 	c := &m.ceilings
 	request.countedAsBad = true
-	if sentAt < c.cutAt {
+	if assignedAt < c.cutAt {
 		return
 	}
 	share := m.counts.eligibleShare(request.class)
-	c.badRatio += share * (1 - c.badRatio) / badRatioSpan
+	c.badRatio += share * (1 - c.badRatio) / badRatioSamples
 	if m.now-c.cutAt <= seconds(m.latencyEstimate()) {
 		return
 	}
--- a/decision/ceilings_test.go
+++ b/decision/ceilings_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Many dispatchers must not start with ceilings that add up to many times what a worker holds.
+// The initial ceilings of many dispatchers must not add up to many times what a worker can run.
 func TestInitialCeilingsAreSharedByPeers(t *testing.T) {
 	settings := testSettings()
 	settings.Peers = 22
@@ -25,23 +25,23 @@
 	b := rig.arrive(0)
 	rig.endAttempt(a, 0, Completed, time.Second)
 	if rig.ceilings.concurrencyPerWorker <= before {
-		t.Fatal("no step up for a request served at the ceiling")
+		t.Fatal("the ceiling did not rise for a request served at the ceiling")
 	}
 	before = rig.ceilings.concurrencyPerWorker
 	rig.endAttempt(b, 0, Completed, 4*time.Second) // late
 	if rig.ceilings.concurrencyPerWorker >= before {
-		t.Fatal("no cut for a late answer")
+		t.Fatal("the ceiling was not cut for a late answer")
 	}
 	rig.ceilings.badRatio = 1
 	before = rig.ceilings.concurrencyPerWorker
 	rig.cutCeilings(&request{class: &rig.settings.Classes[0]}, rig.now)
 	if rig.ceilings.concurrencyPerWorker != before {
-		t.Fatal("two cuts within a round trip")
+		t.Fatal("the ceiling was cut twice within a mean latency")
 	}
 }
 
-// A dispatcher that restarted amid overload once cut its ceilings to nothing before it had measured a round
-// trip.
+// Guards against a fault seen after a restart during overload: the dispatcher cut its ceilings to nothing
+// before it had measured a latency.
 func TestCeilingsAreNotCutBelowAQuarterOfTheirStart(t *testing.T) {
 	rig := newRig(t, testSettings(), 2)
 	for range 1000 {
@@ -52,15 +52,16 @@
 	}
 	if rig.ceilings.concurrencyPerWorker != initialCeiling/4 || rig.bucket.ratePerWorker < initialCeiling/4 {
 		t.Fatalf(
-			"ceilings fell to %v and %v, below a quarter of where they start",
+			"ceilings fell to %v and %v, want no less than a quarter of the initial value",
 			rig.ceilings.concurrencyPerWorker,
 			rig.bucket.ratePerWorker,
 		)
 	}
 }
 
-// Where starts are reported, an attempt that has not started when it can hardly be in time is known to be
-// late. Its end would tell much later, while more work is sent into the same overload.
+// If starts are reported, an attempt that has not started when its request will probably be late cuts the
+// ceilings at once. If they were cut only when it ends, more work would be sent into the same overload
+// meanwhile.
 func TestLateUnstartedAttemptCutsCeilingsAtOnce(t *testing.T) {
 	settings := testSettings()
 	settings.StartNotices = true
@@ -83,8 +84,8 @@
 	}
 }
 
-// With a hundred dispatchers the ceiling of each is a slot or less; two requests that come together by
-// chance must not be held back beside idle workers.
+// With a hundred dispatchers the ceiling of each is a slot or less. Two requests that happen to arrive
+// together must not be held back while workers are idle.
 func TestSmallCeilingsHaveHeadroom(t *testing.T) {
 	settings := testSettings()
 	settings.Peers = 100
@@ -96,7 +97,8 @@
 	}
 }
 
-// A token bucket that does not bind keeps its rate: cut while unused, it would price work away later.
+// A token bucket that limits nothing keeps its rate. If its rate were cut then, prices would later reject
+// requests without need.
 func TestBucketThatDoesNotBindIsNotCut(t *testing.T) {
 	rig := newRig(t, testSettings(), 4)
 	id := rig.arrive(0)
@@ -114,11 +116,11 @@
 	rig.ceilings.badRatio = 1
 	rig.endAttempt(id, 0, Completed, 4*time.Second)
 	if rig.bucket.ratePerWorker >= initialCeiling {
-		t.Fatal("a bucket that binds is not cut")
+		t.Fatal("the rate of a bucket that limits what is sent was not cut")
 	}
 }
 
-// Late answers of requests that were sent before a cut come in long after it. They say nothing about the
+// Late answers to requests that were sent before a cut may arrive long after it. They say nothing about the
 // ceiling after the cut and must not cut it to the floor.
 func TestAnswersSentBeforeACutDoNotCutAgain(t *testing.T) {
 	rig := newRig(t, testSettings(), 4)
@@ -159,7 +161,8 @@
 	}
 }
 
-// A first saturation or failure is about that worker: the request goes elsewhere and no ceiling is cut.
+// A request's first rejection or failure counts against that worker only: the request goes to another
+// worker, and no ceiling is cut.
 func TestFirstFailureCutsNoCeiling(t *testing.T) {
 	rig := newRig(t, testSettings(), 4)
 	id := rig.arrive(0)
@@ -171,6 +174,6 @@
 	}
 	rig.endAttempt(id, 1, Saturated, time.Millisecond)
 	if rig.ceilings.concurrencyPerWorker >= initialCeiling || rig.ceilings.badRatio == 0 {
-		t.Fatal("a second failure is about the fleet")
+		t.Fatal("a request's second failure did not cut the ceiling")
 	}
 }
--- a/decision/connection.go
+++ b/decision/connection.go
@@ -6,36 +6,39 @@
 	"time"
 )
 
-// What is sent on a connection that was dropped unnoticed while it was unused is lost. Idle connections are
-// closed before use once they are older than safeIdleTime, which is learned from requests that were lost.
+// A connection may be dropped unnoticed while it is idle; what is sent on it afterwards is lost. Connections
+// that were idle for longer than safeIdleTime are therefore closed before use. safeIdleTime is learned from
+// requests that were lost in this way.
 const (
-	// deadConnectionHorizons is the number of planning horizons within which a second loss must follow for
-	// the first to count: a single one may have another cause.
+	// deadConnectionHorizons is the number of planning horizons within which a second connection must be
+	// found dead before safeIdleTime is cut: a single loss may have another cause.
 	deadConnectionHorizons = 4
-	// safeIdleTimeGrowth is the inverse of the part by which safeIdleTime grows again with each pricing.
-	safeIdleTimeGrowth = 32
+	// safeIdleTimeGrowthDivisor is the inverse of the fraction by which safeIdleTime grows with each
+	// pricing.
+	safeIdleTimeGrowthDivisor = 32
 )
 
-// connectionReuse is what is learned of idle connections to workers.
+// connectionReuse is what is learned about idle connections to workers.
 type connectionReuse struct {
-	safeIdleTime time.Duration // connections unused for longer may be dead
-	lostAt       time.Duration // when one was found dead last
+	safeIdleTime time.Duration // connections idle for longer may be dead
+	lostAt       time.Duration // when a connection was last found dead
 }
 
-// newConnectionReuse begins with the span after which workers close idle connections; unknown, it is as
-// good as endless.
+// newConnectionReuse starts with the time after which workers close idle connections. If that is unknown,
+// idle connections count as safe for any time.
 func newConnectionReuse(settings *Settings) connectionReuse {
 	return connectionReuse{safeIdleTime: cmp.Or(settings.ConnectionIdleTimeout, math.MaxInt64/2)}
 }
 
-// grow lets safeIdleTime grow again, up to the limit; 0: it stays as it is.
+// grow increases safeIdleTime by a step, up to the limit. With a limit of 0 it does nothing.
 func (c *connectionReuse) grow(limit time.Duration) {
-	grown := c.safeIdleTime + c.safeIdleTime/safeIdleTimeGrowth
+	grown := c.safeIdleTime + c.safeIdleTime/safeIdleTimeGrowthDivisor
 	c.safeIdleTime = min(grown, cmp.Or(limit, c.safeIdleTime))
 }
 
-// recordDead learns from a connection that was found dead after it was unused for that long, and reports
-// whether safeIdleTime was cut: the loss of one connection alone may have another cause.
+// recordDead records that a connection was found dead after it had been idle for that long, and reports
+// whether safeIdleTime was cut. It is cut only if another connection was found dead shortly before, since
+// the loss of a single one may have another cause.
 func (c *connectionReuse) recordDead(now, planningHorizon, idle time.Duration) (cut bool) {
 	cut = now < c.lostAt+deadConnectionHorizons*planningHorizon
 	if cut {
@@ -45,9 +48,9 @@
 	return cut
 }
 
-// takeIdleConnection takes the latest idle connection to a worker, and returns for how long it was unused. It
-// returns 0 if there is none, or if an attempt at the worker may have to wait for its start, so that a late
-// start would not show a dead connection.
+// takeIdleConnection takes the most recently used idle connection to a worker, and returns how long it was
+// idle. It returns 0 if there is none, or if an attempt at the worker may have to wait for its start, in
+// which case a late start would not indicate a dead connection.
 func (m *Machine) takeIdleConnection(worker *worker) (idle time.Duration) {
 	n := len(worker.idleConnections)
 	if n == 0 {
@@ -61,8 +64,8 @@
 	return idle
 }
 
-// closeStaleConnections closes the idle connections to a worker if the latest of them is older than
-// safeIdleTime.
+// closeStaleConnections closes the idle connections to a worker if even the most recently used one was idle
+// for longer than safeIdleTime.
 func (m *Machine) closeStaleConnections(worker *worker) {
 	n := len(worker.idleConnections)
 	if n > 0 && m.now-worker.idleConnections[n-1] > m.connections.safeIdleTime {
@@ -76,47 +79,49 @@
 	m.emit(Action{Kind: CloseIdle, Worker: worker.Name})
 }
 
-// connectionWasDead reports whether an attempt whose connection was lost had been sent on one that was
-// dropped while unused: then the loss shows at once.
+// connectionWasDead reports whether an attempt that lost its connection was probably sent on one that had
+// been dropped while idle. In that case the loss shows soon after the send and before a start.
 func (m *Machine) connectionWasDead(attempt *attempt) bool {
-	atOnce := attempt.startedAt == 0 && m.now-attempt.sentAt < m.settings.ConnectTimeout
+	atOnce := attempt.startedAt == 0 && m.now-attempt.assignedAt < m.settings.ConnectTimeout
 	return atOnce && attempt.connectionIdle > m.sweepInterval
 }
 
-// recordDeadConnection learns from an attempt that was lost with its connection for how long a connection
-// may be unused. The worker is not blamed.
+// recordDeadConnection updates safeIdleTime after an attempt was lost with its connection. The loss does not
+// count against the worker.
 func (m *Machine) recordDeadConnection(attempt *attempt) {
 	if m.connections.recordDead(m.now, m.planningHorizon, attempt.connectionIdle) {
 		m.logf("connections unused for over %v look dead", m.connections.safeIdleTime)
 	}
 }
 
-// markPossiblyLost notes that the connection of a late attempt may be dead. The worker then gets other
-// requests, on a new connection; if one of them starts first, the attempt was lost (see overtakenAttempt).
+// markPossiblyLost records that the connection of a late attempt may be dead. The worker may then get other
+// requests, on a new connection; if one of them starts first, the late attempt was lost (see
+// overtakenAttempt).
 func (m *Machine) markPossiblyLost(request *request, attempt *attempt) {
 	m.removeUnstarted(attempt.worker)
 	attempt.worker.possiblyLost = request
 	m.closeIdleConnections(attempt.worker)
 }
 
-// stopAwaitingStart no longer counts an attempt among those that wait for their start, so that its worker
+// stopAwaitingStart removes an attempt from the count of those that wait for their start, so that its worker
 // gets other requests.
 func (m *Machine) stopAwaitingStart(request *request, attempt *attempt) {
-	if attempt.worker.possiblyLost != request { // markPossiblyLost has not taken it off already
+	if attempt.worker.possiblyLost != request { // else markPossiblyLost has removed it already
 		m.removeUnstarted(attempt.worker)
 	}
 	m.closeIdleConnections(attempt.worker)
 }
 
-// leftAfter reports whether an attempt left later than another one. One that has not left yet is not lost,
-// whatever is thought of its connection: idleConnections counts those, too, that a worker has announced to
-// close, so it may be on a new one that is still being dialed.
-func (a *attempt) leftAfter(other *attempt) bool {
-	return other.leftAt > 0 && a.leftAt > other.leftAt
+// sentAfter reports whether an attempt was sent later than another one, which must have been sent as well.
+// An attempt that was not sent yet cannot be lost, even if it was assumed to reuse an idle connection:
+// idleConnections also counts connections that the worker has announced to close, so the attempt may be
+// waiting for a new one to be dialed.
+func (a *attempt) sentAfter(other *attempt) bool {
+	return other.sentAt > 0 && a.sentAt > other.sentAt
 }
 
 // overtakenAttempt returns the possibly lost request of a worker and its attempt, if the given attempt of
-// another request left later and has started first. Otherwise it returns nil for both.
+// another request was sent later and has started first. Otherwise it returns nil for both.
 func (m *Machine) overtakenAttempt(request *request, attempt *attempt) (*request, *attempt) {
 	worker := attempt.worker
 	suspected := worker.possiblyLost
@@ -125,7 +130,7 @@
 	}
 	worker.possiblyLost = nil
 	lost := suspected.unstartedAttempt()
-	if lost == nil || lost.worker != worker || !attempt.leftAfter(lost) || suspected.ended {
+	if lost == nil || lost.worker != worker || !attempt.sentAfter(lost) || suspected.ended {
 		return nil, nil
 	}
 	return suspected, lost
--- a/decision/connection_test.go
+++ b/decision/connection_test.go
@@ -5,21 +5,22 @@
 	"time"
 )
 
-// What is sent on a connection that was dropped while unused is lost. A later request that starts at the same
-// worker shows it; after the second such loss connections unused for over half as long are closed before use.
+// A request that is sent on a connection that was dropped while idle is lost. The loss is detected when a
+// later request starts first at the same worker. After the second such loss, connections that were idle for
+// over half as long are closed before use.
 func TestDeadConnectionsAreFoundAndClosed(t *testing.T) {
 	settings := testSettings()
 	settings.StartNotices = true
 	settings.StartsInOrder = true
 	settings.ConnectionIdleTimeout = 30 * time.Second
-	// One that earns nothing late would be cancelled before the next request starts.
+	// A request that earns nothing late would be cancelled before the next request starts.
 	settings.Classes[1].LateWeight = 0.1
 	rig := newRig(t, settings, 1)
 	first := rig.arrive(1)
 	rig.endAttempt(first, 0, Completed, 100*time.Millisecond)
 	rig.now += 6 * time.Second
-	rig.connections.lostAt = rig.now // one was lost before: a single one may have another cause
-	lost := rig.arrive(1)            // sent on the connection that was unused for 6 s
+	rig.connections.lostAt = rig.now // as if another was lost before: a single loss may have another cause
+	lost := rig.arrive(1)            // sent on the connection that was idle for 6 s
 	if findAction(rig.actions, CloseIdle) != nil {
 		t.Fatal("connections closed without a reason")
 	}
@@ -28,12 +29,12 @@
 	}
 	next := rig.arrive(1)
 	if rig.assignedTo(next) == "" {
-		t.Fatal("the worker gets no work because of a request that its connection lost")
+		t.Fatal("the worker gets no requests because of one that was lost with its connection")
 	}
 	rig.handle(rig.now+5*time.Millisecond, Event{Kind: AttemptStarted, Request: next, Worker: "w0"})
 	if findAction(rig.actions, Fail) == nil || findAction(rig.actions, CancelAttempt) == nil ||
 		!rig.requests[lost].ended {
-		t.Fatalf("a lost request is kept: %v", rig.actions)
+		t.Fatalf("the lost request was not failed and cancelled: %v", rig.actions)
 	}
 	safe := rig.connections.safeIdleTime
 	if rig.workers["w0"].ejected || safe > 3*time.Second {
@@ -44,11 +45,12 @@
 	rig.now += 4 * time.Second
 	rig.arrive(1)
 	if findAction(rig.actions, CloseIdle) == nil || findAction(rig.actions, Assign) == nil {
-		t.Fatalf("a connection unused for 4 s is used: %v", rig.actions)
+		t.Fatalf("a connection that was idle for 4 s was not closed before use: %v", rig.actions)
 	}
 }
 
-// A reset right after the send on an old connection is about the connection, not about the worker.
+// A reset right after a send on a connection that was idle for long counts against the connection, not
+// against the worker.
 func TestResetOfAnOldConnectionBlamesNoWorker(t *testing.T) {
 	settings := testSettings()
 	settings.ConnectionIdleTimeout = 30 * time.Second
--- a/decision/deltacost_test.go
+++ b/decision/deltacost_test.go
@@ -5,16 +5,17 @@
 	"testing"
 )
 
-// The cost of a delta of one worker must not grow with the fleet: it reads no other worker, but for the one
-// that takes its position in a list. All others are nil here, and a loop over them would panic.
+// The cost of a delta of one worker must not grow with the fleet: it reads no other worker, except for the
+// one that takes its position in a list. The test sets all others to nil, so that a loop over them would
+// panic.
 func TestDeltaReadsNoOtherWorker(t *testing.T) {
 	const workers = 21000
-	for _, index := range []int{1700, 1717} { // both in the own zone, the first one in slow start
+	for _, index := range []int{1700, 1717} { // both in the dispatcher's zone, the first one in slow start
 		checkDeltaReadsNoOtherWorker(t, workers, index)
 	}
 }
 
-// checkDeltaReadsNoOtherWorker changes the worker with that index, to each state.
+// checkDeltaReadsNoOtherWorker applies a delta for the worker with that index, once with each state.
 func checkDeltaReadsNoOtherWorker(t *testing.T, workers, index int) {
 	changed := fmt.Sprintf("w%d", index)
 	for _, state := range []WorkerState{Running, Draining, Removed} {
@@ -22,10 +23,10 @@
 		worker := machine.workers[changed]
 		if warming := index%10 == 0; (worker.positions[inWarmingUp] > 0) != warming ||
 			(worker.positions[inLocalWarm] > 0) == warming {
-			t.Fatalf("%s stands in the wrong lists: %v", changed, worker.positions)
+			t.Fatalf("%s is in the wrong lists: %v", changed, worker.positions)
 		}
 		for id, members := range listsOf(machine) {
-			for i, other := range members[:len(members)-1] { // the last one takes the place
+			for i, other := range members[:len(members)-1] { // the last one moves to the free position
 				if i != worker.positions[id]-1 {
 					delete(machine.workers, other.Name)
 					machine.workers["unknown "+other.Name] = nil
@@ -35,7 +36,7 @@
 		}
 		endpoint := list[index]
 		if endpoint.Name != changed {
-			t.Fatalf("%s is changed", endpoint.Name)
+			t.Fatalf("the list has %s at the index of the changed worker", endpoint.Name)
 		}
 		endpoint.State = state
 		machine.Handle(
@@ -44,12 +45,12 @@
 			nil,
 		)
 		if gone := machine.workers[changed] == nil; gone != (state == Removed) {
-			t.Errorf("state %v: gone: %v", state, gone)
+			t.Errorf("state %v: removed %v", state, gone)
 		}
 	}
 }
 
-// The allocations for a worker that goes and comes must not grow with the fleet.
+// The allocations for a worker that is removed and added again must not grow with the fleet.
 func TestDeltaAllocatesByItsLength(t *testing.T) {
 	allocated := map[int]float64{}
 	for _, workers := range fleetSizes {
--- a/decision/endpoints.go
+++ b/decision/endpoints.go
@@ -5,34 +5,35 @@
 	"time"
 )
 
-// After a failure the endpoint list is asked for again after a backoff, from a twentieth of ListPollInterval
-// up to half of it. In a large fleet all calls are also spread over time, so that a list service that answers
-// seven calls a second keeps up, and three calls that fail still fit into ListPollInterval. This was measured
-// with 36 and 300 dispatchers.
+// After a failed call for the endpoint list, the next call follows after a backoff, from a twentieth of
+// ListPollInterval up to half of it. If there are many dispatchers, all calls are also spread over time, so
+// that a list service that answers seven calls a second keeps up, and three calls that fail still fit into
+// ListPollInterval. This was measured with 36 and 300 dispatchers.
 const (
-	minListBackoffPart     = 20    // inverse of the smallest backoff's part of ListPollInterval
-	maxListBackoffPart     = 2     // inverse of the largest one's
-	listBackoffJitter      = 0.5   // a wait is at least this part of the backoff, and at most all of it
-	subscribeSpreadPerPeer = 0.008 // part of ListPollInterval that each dispatcher above the threshold adds
-	maxSubscribeSpread     = 0.25  // part of ListPollInterval
+	minListBackoffDivisor  = 20    // the smallest backoff is ListPollInterval divided by this
+	maxListBackoffDivisor  = 2     // the largest backoff is ListPollInterval divided by this
+	listBackoffJitter      = 0.5   // a wait is a random fraction of the backoff, from this value to 1
+	subscribeSpreadPerPeer = 0.008 // fraction of ListPollInterval per peer above largeFleetThreshold
+	maxSubscribeSpread     = 0.25  // largest spread, as a fraction of ListPollInterval
 )
 
 // endpointList is the state of the endpoint list itself; the workers that it names are in Machine.workers.
 type endpointList struct {
-	snapshots     uint64          // complete lists so far
+	snapshots     uint64          // number of complete lists so far
 	nominalWeight map[int]float64 // the largest weight seen, by machine kind
-	backoff       time.Duration   // after the latest failure of a call for the list; 0: it did not fail
+	backoff       time.Duration   // backoff after the latest call for the list; 0 if that call did not fail
 }
 
-// workerCounts are numbers of workers, kept so that no decision counts the fleet.
+// workerCounts are numbers of workers, kept up to date so that no decision has to count the fleet.
 type workerCounts struct {
 	running   int            // workers in state Running
 	ejected   int            // running workers that are ejected
 	suspended int            // workers that are suspended
-	eligible  map[*Class]int // running workers that may run the class; absent: none
+	eligible  map[*Class]int // running workers that may run the class; absent if there are none
 }
 
-// handleList handles an endpoint list, or the failure of a call for one: then the old list stays in force.
+// handleList handles an endpoint list, or the failure of a call for one. After a failure the old list stays
+// in force.
 func (m *Machine) handleList(event Event) {
 	if event.ListKind == ListFailed {
 		m.retrySubscribe()
@@ -52,8 +53,8 @@
 
 // retrySubscribe schedules the next call for the list after one that failed.
 func (m *Machine) retrySubscribe() {
-	smallest := m.settings.ListPollInterval / minListBackoffPart
-	largest := max(m.settings.ListPollInterval/maxListBackoffPart, m.settings.Tick)
+	smallest := m.settings.ListPollInterval / minListBackoffDivisor
+	largest := max(m.settings.ListPollInterval/maxListBackoffDivisor, m.settings.Tick)
 	m.list.backoff = min(max(2*m.list.backoff, smallest), largest)
 	jitter := listBackoffJitter + m.random.Float64()/2
 	wait := seconds(m.list.backoff.Seconds()*jitter) + m.subscribeDelay()
@@ -61,7 +62,8 @@
 	m.logf("worker list unavailable, asking again in %v", wait)
 }
 
-// subscribeDelay is a random wait before a call for the list, so that a large fleet does not call at once.
+// subscribeDelay is a random wait before a call for the list, so that many dispatchers do not call at the
+// same moment.
 func (m *Machine) subscribeDelay() time.Duration {
 	if !m.settings.LargeFleet() {
 		return 0
@@ -70,8 +72,9 @@
 	return seconds(part * m.settings.ListPollInterval.Seconds() * m.random.Float64())
 }
 
-// applyList applies a list to the known workers. The work for a delta is proportional to its length, not to
-// the fleet. A list may name a worker twice: the last entry counts, so removals come after all entries.
+// applyList applies a list to the known workers. The cost of a delta is proportional to its length, not to
+// the size of the fleet. A list may name a worker twice, and the last entry counts; therefore workers are
+// removed only after all entries were applied.
 func (m *Machine) applyList(event Event) {
 	complete := event.ListKind != ListDelta
 	if complete {
@@ -98,7 +101,7 @@
 	}
 }
 
-// removeUnlisted removes the workers that the latest complete list lacks.
+// removeUnlisted removes the workers that are not in the latest complete list.
 func (m *Machine) removeUnlisted() {
 	for i := len(m.fleet) - 1; i >= 0; i-- {
 		worker := m.fleet[i]
@@ -108,7 +111,7 @@
 	}
 }
 
-// applyEndpoint applies one entry of a list; delta says whether the list is one.
+// applyEndpoint applies one entry of a list; delta says whether the list is a delta.
 func (m *Machine) applyEndpoint(endpoint Endpoint, delta bool) {
 	worker := m.workers[endpoint.Name]
 	listedStart := endpoint.StartedAt
@@ -117,7 +120,7 @@
 		return
 	case worker == nil:
 		worker = newWorker(endpoint.Name, m.now)
-		endpoint.StartedAt = m.startTime(listedStart, delta)
+		endpoint.StartedAt = m.effectiveStartTime(listedStart, delta)
 		m.workers[endpoint.Name] = worker
 		m.fleet = appendToList(m.fleet, inFleet, worker)
 		m.ring.noteChange(worker)
@@ -127,7 +130,7 @@
 		m.counts.uncount(worker, m.settings.Classes)
 		m.markZoneReachable(endpoint.Zone) // a worker has started there
 		*worker = worker.restarted(m.now)
-		endpoint.StartedAt = m.startTime(listedStart, delta)
+		endpoint.StartedAt = m.effectiveStartTime(listedStart, delta)
 	default:
 		m.counts.uncount(worker, m.settings.Classes)
 		if listedStart == worker.listedStart {
@@ -145,7 +148,7 @@
 	}
 }
 
-// removeWorker forgets a worker that is gone. Attempts there continue.
+// removeWorker removes a worker from all state but its outstanding attempts, which continue.
 func (m *Machine) removeWorker(worker *worker) {
 	m.setSuspended([]Endpoint{worker.Endpoint}, false)
 	m.counts.uncount(worker, m.settings.Classes)
@@ -156,11 +159,11 @@
 	m.ring.noteChange(worker)
 }
 
-// count adds a worker, if it runs.
+// count adds a worker to the counts if it is running.
 func (c *workerCounts) count(worker *worker, classes []Class) { c.add(worker, classes, 1) }
 
-// uncount takes off a worker that was counted. Its fields must be what they were then, but for ejected,
-// which setEjected keeps in step.
+// uncount removes a worker that was counted. Its fields must be unchanged since then, except for ejected:
+// setEjected updates the counts itself.
 func (c *workerCounts) uncount(worker *worker, classes []Class) { c.add(worker, classes, -1) }
 
 func (c *workerCounts) add(worker *worker, classes []Class, n int) {
@@ -183,12 +186,12 @@
 	}
 }
 
-// eligibleShare is the part of the running workers that may run the class.
+// eligibleShare is the fraction of the running workers that may run the class.
 func (c *workerCounts) eligibleShare(class *Class) float64 {
 	return float64(c.eligible[class]) / float64(max(c.running, 1))
 }
 
-// setSuspended suspends workers, or resumes them. Attempts there continue.
+// setSuspended suspends workers, or resumes them. Outstanding attempts at them continue.
 func (m *Machine) setSuspended(endpoints []Endpoint, suspended bool) {
 	for _, endpoint := range endpoints {
 		worker := m.workers[endpoint.Name]
@@ -204,7 +207,7 @@
 	}
 }
 
-// allSuspended reports whether there are suspended workers and no running one may be sent to.
+// allSuspended reports whether there are suspended workers and all running workers are suspended.
 func (m *Machine) allSuspended() bool {
 	if m.counts.suspended == 0 {
 		return false
--- a/decision/endpoints_test.go
+++ b/decision/endpoints_test.go
@@ -18,7 +18,7 @@
 	}
 	rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListSnapshot})
 	if rig.send(0) != "" {
-		t.Fatal("sent to a worker that a complete list lacks")
+		t.Fatal("sent to a worker that is not in a complete list")
 	}
 }
 
@@ -44,15 +44,15 @@
 	}
 	rig.handle(rig.now, Event{Kind: TimerFired, Timer: subscribeTimer})
 	if findAction(rig.actions, Subscribe) == nil {
-		t.Fatal("not asked again")
+		t.Fatal("did not subscribe again")
 	}
 	if rig.send(0) != "w0" {
 		t.Fatal("the old list is no longer in force")
 	}
 }
 
-// The wait before a call for the endpoint list must not grow with the number of dispatchers beyond all
-// bounds. However many they are, all have called early enough for two more calls within ListPollInterval.
+// The wait before a call for the endpoint list must not grow without limit with the number of dispatchers.
+// For any number, all have called early enough for two more calls within ListPollInterval.
 func TestSubscribeDelayIsBounded(t *testing.T) {
 	settings := testSettings()
 	settings.ListBySubscription = true
@@ -83,9 +83,9 @@
 	}
 }
 
-// Thirty-six dispatchers that start together, or lose their subscription together, do not call together: a
-// service that answers seven calls a second lets few of them wait for the two seconds after which a call
-// fails, and those that fail call again after a growing backoff.
+// Thirty-six dispatchers that start together, or lose their subscription together, spread their calls over
+// time. At a service that answers seven calls per second, few calls then take the two seconds after which a
+// call fails, and dispatchers whose calls fail call again after a growing backoff.
 func TestLargeFleetSpreadsItsCalls(t *testing.T) {
 	const peers = 36
 	for _, first := range []ListKind{ListCached, ListFailed} {
@@ -100,17 +100,17 @@
 	}
 }
 
-// callingFleet is dispatchers that call a list service, which serves one call at a time.
+// callingFleet simulates dispatchers that call a list service, which serves one call at a time.
 type callingFleet struct {
 	rigs         []*rig
-	calls        []time.Duration // when each dispatcher calls next; math.MaxInt64: it was served
-	freeAt       time.Duration   // when the service has served all calls so far
+	calls        []time.Duration // when each dispatcher calls next; math.MaxInt64 once it was served
+	freeAt       time.Duration   // when the service has finished all calls so far
 	served       int
 	failed       int
 	lastServedAt time.Duration
 }
 
-// newCallingFleet starts dispatchers that were served by an initial list, or whose first call has failed.
+// newCallingFleet starts dispatchers that have only an initial list, or whose first call has failed.
 func newCallingFleet(t *testing.T, peers int, first ListKind) *callingFleet {
 	t.Helper()
 	settings := testSettings()
@@ -123,7 +123,7 @@
 			rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListFailed})
 		}
 		if rig.send(0) == "" {
-			t.Fatal("the initial list does not serve meanwhile")
+			t.Fatal("the initial list is not used until the first call")
 		}
 		rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: first})
 		action := findAction(rig.actions, SetTimer)
@@ -136,8 +136,8 @@
 	return fleet
 }
 
-// serveNextCall serves the earliest call, or lets it fail if it would wait for too long. Such a call takes
-// the service's time all the same.
+// serveNextCall serves the earliest call, or lets it fail if it would wait for too long. A failed call
+// occupies the service for the same time.
 func (f *callingFleet) serveNextCall() {
 	const serviceTime = time.Second / 7
 	const callTimeout = 2 * time.Second
@@ -157,7 +157,7 @@
 	f.calls[next] = failedAt + findAction(rig.actions, SetTimer).Delay
 }
 
-// Lists may be long, name workers twice, or shrink to nothing; none of it may break the counts.
+// Lists may be long, name workers twice, or become empty; the counts must stay correct.
 func TestListsWithRepeatedOrNoEntries(t *testing.T) {
 	rig := newRig(t, testSettings(), 0)
 	var list []Endpoint
@@ -186,7 +186,7 @@
 	if rig.send(0) != "" ||
 		len(rig.candidates.warm)+len(rig.candidates.localWarm) != 0 ||
 		rig.counts.running+len(rig.counts.eligible) != 0 {
-		t.Fatal("an empty list leaves workers behind")
+		t.Fatal("workers remain after an empty list")
 	}
 	rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: list[:1]})
 	if rig.send(0) != "w0" {
@@ -194,14 +194,14 @@
 	}
 }
 
-// A new process of a worker has nothing of the old one's failures or speed.
+// A restarted worker does not inherit the failures or the speed of its previous process.
 func TestRestartedWorkerIsUnknown(t *testing.T) {
 	rig := newRig(t, testSettings(), 3)
 	worker := rig.fleet[0]
-	rig.setFailureScore(worker, 1, attemptsFail)
+	rig.setFailureScore(worker, 1, reasonAttemptsFail)
 	worker.runTimeRatio = 9
 	rig.updateList(Endpoint{Name: "w0", State: Running, StartedAt: rig.now - 20*time.Second})
 	if worker.ejected || worker.runTimeRatio != 0 {
-		t.Fatal("the old process is remembered")
+		t.Fatal("the state of the previous process was kept")
 	}
 }
--- a/decision/estimates_test.go
+++ b/decision/estimates_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Where no hints come, the run time of a class is learned. Otherwise requests would be rejected that can be
-// in time.
+// Without hints, the run time of a class is learned. Otherwise requests that can be in time would be
+// rejected.
 func TestRunTimesAreLearnedWithoutHints(t *testing.T) {
 	rig := newRig(t, settingsWithoutHints(), 4)
 	arrive := func(work time.Duration) *request {
@@ -20,7 +20,7 @@
 		rig.handle(
 			rig.now+time.Second,
 			Event{Kind: AttemptStarted, Request: request.id, Worker: rig.assignedTo(request.id)},
-		) // waits are no part of it
+		) // the wait for the start must not count as run time
 		rig.endAttempt(request.id, 0, Completed, 300*time.Millisecond)
 	}
 	if got := arrive(0).work; got < 0.29 || got > 0.45 {
--- a/decision/event.go
+++ b/decision/event.go
@@ -9,7 +9,7 @@
 const (
 	ListUpdated        EventKind = iota // ListKind, Endpoints
 	RequestArrived                      // Request, Class, Tenant, Slots, Work, TimeLeft, ClientRetry, Key
-	FirstByte                           // Request, Attempt, Worker: the client has the head of a stream
+	FirstByte                           // Request, Attempt, Worker: the client has the beginning of a stream
 	AttemptEnded                        // Request, Attempt, Worker, Outcome, Answered, Load
 	AttemptStarted                      // Request, Attempt, Worker
 	AttemptProgressed                   // Request, Attempt, Worker, Fraction
@@ -36,21 +36,21 @@
 	Slots       float64
 	Work        time.Duration // hinted run time on a standard core; 0: no hint
 	TimeLeft    time.Duration // time until the client gives up this try
-	ClientRetry bool          // the client marked it as a retry
-	Key         string        // what the request concerns; may be empty
+	ClientRetry bool          // the client marked the request as a retry
+	Key         string        // identifies what the request concerns; may be empty
 	Outcome     AttemptOutcome
 	Answered    bool // the request has its final answer
 	Load        LoadReport
-	Fraction    float64 // part of the work that is done, 0 to 1
-	Reservation float64 // part of a worker's slow-start budget, in hinted slot-seconds
+	Fraction    float64 // fraction of the work that is done, 0 to 1
+	Reservation float64 // amount taken from a worker's slow-start budget, in hinted slot-seconds
 	Timer       uint64
 	ListKind    ListKind
 	Endpoints   []Endpoint
 
 	// Settings hold new values of TenantQuotas, OverQuotaWeight and MaxRetryAfter, and of the
-	// PriorityWeight, LateWeight, LatencyObjective and ObjectiveStretch of Classes; all else in them is
-	// ignored. Open requests keep the value and the objective that they came with. Settings that New would
-	// refuse, or with other numbers of classes or tenants, change nothing.
+	// PriorityWeight, LateWeight, LatencyObjective and ObjectiveStretch of Classes; all other fields are
+	// ignored. Open requests keep the value and the objective that they were admitted with. Settings that
+	// New would refuse, or that change the number of classes or tenants, have no effect.
 	Settings *Settings
 }
 
@@ -62,17 +62,17 @@
 const (
 	Completed AttemptOutcome = iota
 	Failed
-	Saturated // the worker is full, or does not take the class
+	Saturated // the worker is full, or does not serve the class
 	TimedOut
 	ConnectionRefused
 	ConnectionLost
 	Cancelled
 	NotSent
-	InvalidRequest // the worker says that the request itself is at fault
+	InvalidRequest // the worker reported that the request itself is invalid
 )
 
-// String returns the name that recordings and the simulator's wire use; these spellings are stored and must
-// stay.
+// String returns the name that recordings and the simulator's protocol use. Stored recordings contain these
+// names, so they must not change.
 func (o AttemptOutcome) String() string {
 	return [...]string{
 		"completed", "errored", "saturated", "overdue", "refused",
@@ -85,12 +85,13 @@
 	return o.notAccepted() && !(o == Saturated && settings.SaturatedMayHaveRun)
 }
 
-// notAccepted reports whether the worker did not take the attempt, so that its slots and work are free again.
+// notAccepted reports whether the worker did not accept the attempt, so that its slots and work are free
+// again.
 func (o AttemptOutcome) notAccepted() bool {
 	return o == Saturated || o == ConnectionRefused || o == NotSent
 }
 
-// mayStillRun reports whether the worker may continue the attempt though its connection is gone.
+// mayStillRun reports whether the worker may continue the attempt although its connection is closed.
 func (o AttemptOutcome) mayStillRun() bool {
 	return o == TimedOut || o == ConnectionLost || o == Cancelled
 }
@@ -100,24 +101,24 @@
 	return o == Completed || o == Failed || o == Saturated || o == InvalidRequest
 }
 
-// ListKind determines how the endpoints of a ListUpdated event are meant.
+// ListKind determines how the endpoints of a ListUpdated event are applied.
 type ListKind uint8
 
 // The kinds of lists.
 const (
 	ListDelta    ListKind = iota // changed endpoints only
-	ListSnapshot                 // workers that are absent are gone
-	ListCached                   // complete, as last known; may be out of date
+	ListSnapshot                 // complete: workers that are absent are removed
+	ListCached                   // complete, but from a cache; may be out of date
 	ListFailed                   // a call failed or the subscription broke; no endpoints
 )
 
-// WorkerState is what the list says of a worker.
+// WorkerState is the state of a worker by the endpoint list.
 type WorkerState uint8
 
 // The states of a listed worker.
 const (
 	Running  WorkerState = iota
-	Draining             // finishes what it has and gets nothing new
+	Draining             // finishes its outstanding requests and gets no new ones
 	Removed
 )
 
@@ -128,16 +129,16 @@
 	Kind      int // machine kind
 	Cell      int // deduplication cell within the zone
 	State     WorkerState
-	StartedAt time.Duration // time of the last start, on the scale of Handle's; 0: long ago
-	Weight    float64       // size; with LoadAdjustedWeights divided by 1 + the requests it holds per core
+	StartedAt time.Duration // time of the last start, on the time scale of Handle; 0: long ago
+	Weight    float64       // size; with LoadAdjustedWeights, size / (1 + requests held per core)
 }
 
-// LoadReport is what a worker reports of its load, as far as a decision rests on it.
+// LoadReport is the part of a worker's load report that decisions use.
 type LoadReport struct {
 	FreeSlots      float64
 	HasFreeSlots   bool
 	Outstanding    float64 // requests in flight there, of all dispatchers
 	HasOutstanding bool
-	Backlog        float64 // requests that wait there; counts as load where Outstanding is missing
+	Backlog        float64 // requests that wait there; used as the load if Outstanding is missing
 	HasBacklog     bool
 }
--- a/decision/hedge.go
+++ b/decision/hedge.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// superviseAttempt looks after the only outstanding attempt of a request.
+// superviseAttempt checks the only outstanding attempt of a request.
 //
-// It ejects a worker that has fallen silent, which is the only sign of a machine that has crashed. It hedges
-// an attempt that is stuck: its worker or zone looks gone, its connection is unresponsive, or it waits long
+// It ejects a worker that has stopped reporting, since silence is the only sign of a crashed machine. It
+// hedges the attempt if its worker or zone looks gone, its connection is unresponsive, or it has waited long
 // for its start.
 func (m *Machine) superviseAttempt(request *request, attempt *attempt) {
 	if m.workerSilent(attempt) {
-		m.setFailureScore(attempt.worker, 1, reportsNoMore)
+		m.setFailureScore(attempt.worker, 1, reasonSilent)
 	}
 	gone := m.workerLooksGone(attempt)
 	unresponsive := m.connectionUnresponsive(request, attempt)
@@ -22,8 +22,8 @@
 	}
 }
 
-// workerSilent reports whether two progress reports of the attempt's worker are missing. An attempt that
-// waits in its worker's queue has none.
+// workerSilent reports whether two progress reports of the attempt's worker are missing. There are no
+// reports on an attempt that still waits in its worker's queue, so it does not count.
 func (m *Machine) workerSilent(attempt *attempt) bool {
 	mayRun := attempt.startedAt > 0 || !m.settings.StartNotices
 	if m.settings.ProgressInterval <= 0 || !mayRun || attempt.worker.ejected {
@@ -33,8 +33,8 @@
 	return m.now-max(attempt.lastSeen, attempt.worker.lastSeen) > limit
 }
 
-// workerLooksGone reports whether there was no report on an attempt for a sweep interval, while its worker is
-// ejected, its zone is unreachable or its connection may have been dead from the start.
+// workerLooksGone reports whether there was no report on an attempt for a sweep interval, while its worker
+// is ejected, its zone is unreachable or its connection may have been dead from the start.
 func (m *Machine) workerLooksGone(attempt *attempt) bool {
 	if m.now-attempt.lastSeen <= m.sweepInterval {
 		return false
@@ -44,16 +44,17 @@
 }
 
 // waitsLongForStart reports whether an attempt that can still be in time has waited for its start for more
-// than half a sweep interval. It does so only where the first attempt to start has the other cancelled, so
-// that a hedge costs little.
+// than half a sweep interval. It is false unless starts are reported and attempts can be cancelled: then the
+// first attempt to start cancels the other one, so that a hedge costs little.
 func (m *Machine) waitsLongForStart(request *request, attempt *attempt) bool {
 	return attempt.startedAt == 0 && !request.late && m.settings.StartNotices && m.settings.Cancellation &&
-		m.now-attempt.sentAt > m.sweepInterval/2
+		m.now-attempt.assignedAt > m.sweepInterval/2
 }
 
-// connectionUnresponsive reports whether the connection of an attempt looks dead though its worker lives.
-// After the start, progress reports are overdue. Before it, the start is overdue although a load report since
-// says that nothing waits at the worker; where there is no such report, it asks for one.
+// connectionUnresponsive reports whether the connection of an attempt looks dead although its worker is
+// alive. After the start of the attempt, that is the case if progress reports are overdue. Before it, that
+// is the case if the start is overdue and a later load report says that nothing waits at the worker; if
+// there is no such report, connectionUnresponsive requests one.
 func (m *Machine) connectionUnresponsive(request *request, attempt *attempt) bool {
 	if m.settings.ProgressInterval <= 0 || !m.settings.StartNotices || attempt.unresponsive {
 		return attempt.unresponsive
@@ -63,11 +64,11 @@
 		return m.now-attempt.lastSeen > m.settings.ProgressInterval+grace
 	}
 	scarce := m.prices.positive() || len(m.queue.waiting) > 0
-	if !m.settings.StartsInOrder || m.now-attempt.sentAt <= grace || scarce {
+	if !m.settings.StartsInOrder || m.now-attempt.assignedAt <= grace || scarce {
 		return false
 	}
 	worker := attempt.worker
-	if worker.load.backlogAt <= attempt.sentAt+m.settings.ConnectTimeout {
+	if worker.load.backlogAt <= attempt.assignedAt+m.settings.ConnectTimeout {
 		m.checkBacklog(worker, grace)
 		return false
 	}
@@ -78,8 +79,8 @@
 	return attempt.unresponsive
 }
 
-// checkBacklog asks a worker for its load, unless it was asked within the interval. The interval grows with
-// the number of dispatchers, which may all ask.
+// checkBacklog requests a worker's load, unless it was requested within the interval. The interval grows
+// with the number of dispatchers, since all of them may ask the same worker.
 func (m *Machine) checkBacklog(worker *worker, interval time.Duration) {
 	interval *= time.Duration(max(m.settings.Peers/largeFleetThreshold, 1))
 	if !m.settings.HealthChecks || m.now-worker.healthCheckedAt <= interval {
@@ -89,9 +90,9 @@
 	m.emit(Action{Kind: CheckHealth, Worker: worker.Name})
 }
 
-// cancelOtherAttempts leaves a request one attempt, after a report that the one with that number runs. Others
-// that have not started are cancelled. This one is cancelled if another one started before it, at a worker
-// that is trusted.
+// cancelOtherAttempts cancels superfluous attempts of a request after a report that the attempt with that
+// number runs. Other attempts that have not started are cancelled. The attempt itself is cancelled if
+// another one started earlier, at a worker that is not ejected and on a connection that is not unresponsive.
 func (m *Machine) cancelOtherAttempts(request *request, number int) {
 	if !m.settings.StartNotices || !m.settings.Cancellation || request.class.Streaming {
 		return
--- a/decision/hedge_test.go
+++ b/decision/hedge_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A machine that has crashed sends nothing: the request is hedged, and the worker is ejected.
+// A crashed machine sends no reports: the request is hedged, and the worker is ejected.
 func TestSilentWorkerIsEjectedAndHedged(t *testing.T) {
 	rig := newRig(t, testSettings(), 4)
 	id := rig.arrive(0)
@@ -18,14 +18,15 @@
 	}
 }
 
-// One connection may fall silent while its worker lives: progress reports stop, or the start is not reported
-// though nothing waits there. An idempotent request is then hedged, and the worker is neither ejected nor
-// kept from other requests. Where requests wait, a missing start proves nothing.
+// A single connection may become unresponsive while its worker is alive: progress reports stop, or the start
+// is not reported although nothing waits at the worker. An idempotent request is then hedged, and the worker
+// is not ejected and still gets other requests. If requests wait at the worker, a missing start proves
+// nothing.
 func TestUnresponsiveConnectionIsHedged(t *testing.T) {
 	for name, test := range map[string]struct {
 		class, backlog int
 		started        bool
-		want           int // attempts in the end
+		want           int // total number of attempts
 	}{
 		"progress stops":                 {0, 5, true, 2},
 		"no start, nothing waits":        {0, 0, false, 2},
@@ -53,7 +54,7 @@
 			t.Errorf("%s: %d health checks", name, checks)
 		}
 		if blocked := worker.unstarted > 0; !test.started && blocked != (test.backlog > 0) {
-			t.Errorf("%s: %d starts are waited for", name, worker.unstarted)
+			t.Errorf("%s: %d attempts count as waiting for their start", name, worker.unstarted)
 		}
 		rig.handle(rig.now, Event{Kind: ClientDisconnected, Request: id})
 		for n := range rig.requests[id].attempts {
@@ -61,15 +62,15 @@
 		}
 		inFlight := rig.ceilings.inFlight
 		if worker.unstarted != 0 || worker.outstanding != 0 || inFlight != 0 {
-			t.Errorf("%s: in the end %d starts are waited for, %v slots out, %v in flight",
+			t.Errorf("%s: at the end %d attempts wait for their start, %v slots outstanding, %v in flight",
 				name, worker.unstarted, worker.outstanding, inFlight)
 		}
 	}
 }
 
-// waitSilently lets 1.9 seconds pass in which nothing comes on the connection of an attempt, while its
-// worker is seen on another one. Health checks of the worker are answered with the backlog; it returns their
-// number.
+// waitSilently lets 1.9 seconds pass in which nothing arrives on the connection of an attempt, while its
+// worker is seen on another connection. Health checks of the worker are answered with the backlog;
+// waitSilently returns their number.
 func (r *rig) waitSilently(worker *worker, backlog int) (checks int) {
 	for end := r.now + 1900*time.Millisecond; r.now < end; {
 		r.nextSweep()
@@ -87,8 +88,8 @@
 	return checks
 }
 
-// Where starts are reported, there are no reports on an attempt in a worker's queue: that proves nothing, and
-// a hedge that could not be cancelled would only fill another queue.
+// If starts are reported, there are no reports on an attempt in a worker's queue. That does not make the
+// worker silent, and a hedge that could not be cancelled would only fill another worker's queue.
 func TestUnstartedAttemptIsNotSilence(t *testing.T) {
 	settings := testSettings()
 	settings.StartNotices = true
@@ -104,12 +105,12 @@
 		t.Fatalf("ejected %v, %d attempts for a request that waits in a queue", worker.ejected, attempts)
 	}
 	if next := rig.arrive(0); rig.assignedTo(next) == worker.Name {
-		t.Fatal("more work behind an attempt that has not started")
+		t.Fatal("a request was sent to a worker whose queue has an attempt that has not started")
 	}
 }
 
-// With 300 dispatchers each has hardly any knowledge of the workers' queues. An attempt that waits and may be
-// repeated is hedged, and the first of the two to start has the other cancelled.
+// With 300 dispatchers, each knows little about the workers' queues. An attempt that waits and may be
+// repeated is hedged, and when the first of the two starts, the other one is cancelled.
 func TestFirstAttemptToStartCancelsTheOther(t *testing.T) {
 	for first := range 2 {
 		rig, id := newWaitingRequest(t, 0)
@@ -142,7 +143,7 @@
 func TestWaitingNonIdempotentAttemptIsNotHedged(t *testing.T) {
 	rig, id := newWaitingRequest(t, 1)
 	if len(rig.requests[id].attempts) != 1 {
-		t.Error("a hedge of a request that must not run twice")
+		t.Error("a request that must not run twice was hedged")
 	}
 }
 
@@ -154,12 +155,12 @@
 	rig.requests[id].late = true
 	rig.nextSweep()
 	if len(rig.requests[id].attempts) != 1 {
-		t.Error("a hedge of a request that is late")
+		t.Error("a late request was hedged")
 	}
 }
 
-// newWaitingRequest returns a rig with a request of the class, whose start was not reported until the next
-// sweep.
+// newWaitingRequest returns a rig with a request of the class, whose start has not been reported by the
+// first sweep.
 func newWaitingRequest(t *testing.T, class int) (*rig, uint64) {
 	t.Helper()
 	settings := testSettings()
@@ -180,7 +181,7 @@
 	})
 }
 
-// cancelledAttempts returns the numbers of the attempts that the last event has cancelled.
+// cancelledAttempts returns the numbers of the attempts that were cancelled after the last event.
 func (r *rig) cancelledAttempts() (numbers []int) {
 	for _, action := range r.actions {
 		if action.Kind == CancelAttempt {
--- a/decision/lists.go
+++ b/decision/lists.go
@@ -2,8 +2,8 @@
 
 import "math/rand/v2"
 
-// listID names a list of workers. Each worker knows its position in each list, so that it leaves one
-// without a search.
+// listID identifies a list of workers. Each worker stores its position in each list, so that it can be
+// removed without a search.
 type listID int
 
 const (
@@ -11,22 +11,23 @@
 	inWarm
 	inLocalWarm
 	inWarmingUp
-	inOwners // of a key: the list is made for one use, and positions in it mean nothing
+	inOwners // the owners of a key: a temporary list, in which positions are not maintained
 	listCount
 )
 
 // candidateLists are the lists that picks draw workers from, each in random order. The first subsetSize
-// workers of a list, or of the part of warmingUp that a pick may draw, are drawn first: the subset.
+// workers of a list, or of the section of warmingUp that a pick may draw from, form the subset, which is
+// drawn first.
 type candidateLists struct {
-	warm            []*worker // those that have warmed up
-	localWarm       []*worker // those of them in the dispatcher's own zone
-	warmingUp       []*worker // those in slow start
-	warmingUpNext   int       // index at which the next pick begins to draw them
+	warm            []*worker // workers that have warmed up
+	localWarm       []*worker // warm workers in the dispatcher's own zone
+	warmingUp       []*worker // workers in slow start
+	warmingUpNext   int       // index in warmingUp at which the next pick begins to draw
 	subsetSize      int
-	healthCheckNext int // counts the health checks, to go round the subset
+	healthCheckNext int // number of health checks so far, which selects the next worker of the subset
 }
 
-// placeInLists puts a worker into the candidate lists where it belongs, and takes it out of the others.
+// placeInLists puts a worker into the candidate lists where it belongs, and removes it from the others.
 func (m *Machine) placeInLists(worker *worker) {
 	warm := m.capacityFraction(worker) >= 1
 	local := warm && worker.Zone == m.settings.Zone
@@ -36,7 +37,7 @@
 	c.localWarm = setMembership(c.localWarm, inLocalWarm, worker, local, m.random)
 }
 
-// remove takes a worker out of all candidate lists.
+// remove removes a worker from all candidate lists.
 func (c *candidateLists) remove(worker *worker) {
 	c.warm = removeFromList(c.warm, inWarm, worker)
 	c.localWarm = removeFromList(c.localWarm, inLocalWarm, worker)
@@ -44,7 +45,7 @@
 }
 
 // nextWarmingUp returns the workers in slow start that the next pick may draw. Their number is bounded, and
-// successive calls go round the list.
+// successive calls cycle through the list.
 func (c *candidateLists) nextWarmingUp() []*worker {
 	if c.warmingUpNext >= len(c.warmingUp) {
 		c.warmingUpNext = 0
@@ -54,7 +55,7 @@
 	return c.warmingUp[first:c.warmingUpNext]
 }
 
-// setMembership puts a worker into a list, at a random position, or takes it out.
+// setMembership puts a worker into a list, at a random position, or removes it.
 func setMembership(list []*worker, id listID, worker *worker, member bool, random *rand.Rand) []*worker {
 	if !member {
 		return removeFromList(list, id, worker)
@@ -73,7 +74,8 @@
 	return list
 }
 
-// removeFromList takes a worker out of a list, if it is there. The last one takes its position.
+// removeFromList removes a worker from a list if it is there. The last worker of the list takes its
+// position.
 func removeFromList(list []*worker, id listID, worker *worker) []*worker {
 	i := worker.positions[id] - 1
 	if i < 0 {
@@ -86,7 +88,7 @@
 	return list[:last]
 }
 
-// swapInList exchanges two workers of a list, or of a part of one.
+// swapInList swaps two workers of a list, or of a section of one.
 func swapInList(list []*worker, id listID, i, j int) {
 	a := list[i]
 	b := list[j]
--- a/decision/load.go
+++ b/decision/load.go
@@ -5,8 +5,8 @@
 // healthChecksPerArrival is the number of workers that are asked for their load at each arrival.
 const healthChecksPerArrival = 2
 
-// requestHealthChecks asks workers of the subset for their load, one after the other, where load reports come
-// with health checks only. Where no worker is warm, it asks those in slow start.
+// requestHealthChecks requests the load of workers in the subset, in turn, if load reports come with health
+// checks only. If no worker is warm, it uses the workers in slow start.
 func (m *Machine) requestHealthChecks() {
 	if !m.settings.HealthChecks || !m.settings.LoadByHealthCheck {
 		return
@@ -24,24 +24,24 @@
 	}
 }
 
-// workerLoad is the load of a worker by its latest reports. Each figure has the time of its report, since a
-// report need not have all of them.
+// workerLoad is the load of a worker by its latest reports. Each number has the time of its report, since a
+// report need not contain all of them.
 type workerLoad struct {
-	freeSlots           float64 // less what was sent since
+	freeSlots           float64 // reported free slots, adjusted for attempts sent and ended since
 	freeSlotsAt         time.Duration
 	backlog             float64 // requests that wait there
 	backlogAt           time.Duration
-	othersOutstanding   float64 // requests of other dispatchers; also by a load-adjusted weight
+	othersOutstanding   float64 // requests of other dispatchers, from a report or a load-adjusted weight
 	othersOutstandingAt time.Duration
 }
 
-// setOthersOutstanding records how many requests of other dispatchers the worker has.
+// setOthersOutstanding records how many requests of other dispatchers are outstanding at the worker.
 func (l *workerLoad) setOthersOutstanding(requests float64, now time.Duration) {
 	l.othersOutstanding = requests
 	l.othersOutstandingAt = now
 }
 
-// recordLoad records a worker's report of its load, if the event has one.
+// recordLoad records the load report of an event, if it has one.
 func (m *Machine) recordLoad(event Event) {
 	worker := m.workers[event.Worker]
 	if worker == nil {
--- a/decision/load_test.go
+++ b/decision/load_test.go
@@ -4,7 +4,8 @@
 	"testing"
 )
 
-// What other dispatchers have outstanding at a worker delays a request there as much as own attempts do.
+// Requests that other dispatchers have outstanding at a worker delay a request there as much as the
+// dispatcher's own attempts do.
 func TestOthersOutstandingCounts(t *testing.T) {
 	rig := newRig(t, testSettings(), 2)
 	rig.ceilings.concurrencyPerWorker = 100
@@ -14,25 +15,25 @@
 	)
 	for range 3 {
 		if rig.send(0) != "w1" {
-			t.Fatal("a worker with five requests of others was taken before an idle one")
+			t.Fatal("a worker with five requests of other dispatchers was chosen instead of an idle one")
 		}
 	}
 }
 
-// Load-adjusted weights are the only source for the load of other dispatchers at workers that this one has
-// not used lately.
+// For workers that this dispatcher has not used recently, load-adjusted weights are the only source for the
+// load from other dispatchers.
 func TestLoadAdjustedWeightsCountAsOthersLoad(t *testing.T) {
 	settings := testSettings()
 	settings.LoadAdjustedWeights = true
 	rig := newRig(t, settings, 2)
 	rig.updateList(
-		Endpoint{Name: "w0", Weight: 2}, // it holds two requests a core, and did so at the start
+		Endpoint{Name: "w0", Weight: 2}, // a third of the largest weight: it holds two requests per core
 		Endpoint{Name: "w1", Weight: 6},
 	)
-	rig.expectAllAt("w1", "sent to the worker that others load")
+	rig.expectAllAt("w1", "sent to the worker with the load of other dispatchers")
 }
 
-// A reported backlog is others' load too.
+// A reported backlog counts as load of other dispatchers.
 func TestReportedBacklogCounts(t *testing.T) {
 	rig := newRig(t, testSettings(), 2)
 	rig.handle(
--- a/decision/machine.go
+++ b/decision/machine.go
@@ -11,8 +11,8 @@
 type Machine struct {
 	settings Settings
 	random   *rand.Rand
-	now      time.Duration // time of the present event
-	actions  []Action      // for the present event, so far
+	now      time.Duration // time of the current event
+	actions  []Action      // actions for the current event so far
 
 	planningHorizon time.Duration // span over which the recent past is averaged
 	sweepInterval   time.Duration
@@ -20,7 +20,7 @@
 
 	list       endpointList       // see endpoints.go
 	workers    map[string]*worker // by name
-	fleet      []*worker          // all of them
+	fleet      []*worker          // all workers
 	counts     workerCounts       // see endpoints.go
 	candidates candidateLists     // see lists.go
 	ring       hashRing           // owners of keys: see ring.go
@@ -28,8 +28,8 @@
 	zones      zoneTable          // see zone.go
 
 	requests    map[uint64]*request // by id
-	unanswered  []*request          // by arrival; answered ones leave with the next sweep
-	queue       requestQueue        // those that wait for a worker: see queue.go
+	unanswered  []*request          // by arrival; answered ones are removed by the next sweep
+	queue       requestQueue        // requests that wait for a worker: see queue.go
 	serializer  serializer          // requests with one key: see serialization.go
 	retryBudget retryBudget         // see retry.go
 
@@ -43,11 +43,11 @@
 
 	estimates   estimates       // run times and waits: see estimates.go
 	connections connectionReuse // see connection.go
-	workRates   warmWorkRates   // what slow-start budgets are measured by: see slowstart.go
+	workRates   warmWorkRates   // from which slow-start budgets are derived: see slowstart.go
 }
 
-// New returns a machine that knows no worker yet, or an error that names the field of the settings which is
-// wrong. The seed determines all random choices.
+// New returns a machine that knows no worker yet, or an error that names the invalid field of the settings.
+// The seed determines all random choices.
 func New(settings Settings, seed uint64) (*Machine, error) {
 	if err := settings.normalize(); err != nil {
 		return nil, err
@@ -102,12 +102,12 @@
 	case AttemptSent:
 		m.handleSent(event)
 		m.actions = nil
-		return out // it frees nothing that a waiting request could use
+		return out // it frees no capacity, so the queue need not be dispatched
 	case AttemptStarted, AttemptProgressed:
 		m.handleProgress(event)
 	case HealthChecked:
 		m.recordLoad(event)
-	case FirstByte, ClientDisconnected: // the client has its answer, or wants none
+	case FirstByte, ClientDisconnected: // the client has its answer, or no longer needs one
 		if request := m.requests[event.Request]; request != nil {
 			m.finish(request)
 		}
--- a/decision/machine_test.go
+++ b/decision/machine_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// disconnect lets a client go, and ends the attempts that its request still has.
+// disconnect reports that a client has disconnected, and ends the outstanding attempts of its request.
 func (r *rig) disconnect(id uint64) {
 	request := r.requests[id]
 	r.handle(r.now, Event{Kind: ClientDisconnected, Request: id})
@@ -17,7 +17,8 @@
 	}
 }
 
-// All state of a request is released in the end, over many thousands and over restarts of workers.
+// All state of a request is released once it is over. The test runs thousands of requests, while workers are
+// removed and added again.
 func TestNothingLeaks(t *testing.T) {
 	outcomes := []AttemptOutcome{Completed, Completed, Completed, Failed, Saturated, ConnectionLost}
 	rig := newRig(t, testSettings(), 6)
--- a/decision/mix.go
+++ b/decision/mix.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	maxRequestGroups  = 48   // groups of the mix; solving for prices takes the cube of their number
-	fadedRequestCount = 0.01 // requests left of a group below which it is dropped
+	maxRequestGroups = 48   // groups of the mix; computing prices takes time proportional to their cube
+	minGroupCount    = 0.01 // a group is dropped when its decayed number of requests falls below this
 )
 
-// requestMix is the recent demand: sums over groups of like requests, which fade over a span of time that
-// the caller gives, the same at each call.
+// requestMix is the recent demand: sums over groups of similar requests. The sums decay over a span of time
+// that the caller passes, which must be the same in all calls.
 type requestMix struct {
 	groups []requestGroup
 }
 
-// requestGroup is a group of like requests of the recent mix. All four are sums over its requests.
+// requestGroup is a group of similar requests of the recent mix. Its values are sums over its requests.
 type requestGroup struct {
 	key      requestGroupKey
 	count    decayingValue
@@ -26,7 +26,7 @@
 	holdTime decayingValue
 }
 
-// requestGroupKey identifies the requests that are alike.
+// requestGroupKey identifies a group: requests with the same key count as similar.
 type requestGroupKey struct {
 	class     int
 	overQuota bool
@@ -34,15 +34,15 @@
 	work      int // logarithm to base 4, rounded
 }
 
-// bid is the total value, cost and hold time of a group of like requests.
+// bid is the total value, cost and hold time of a group of similar requests.
 type bid struct {
 	value    float64
 	cost     float64 // slot-seconds of work
 	holdTime float64 // seconds
 }
 
-// add counts a first try. Where the mix has its largest number of groups, the request joins the one of its
-// class that is nearest in size.
+// add adds a first try to the mix. If the mix already has the maximum number of groups, the request joins
+// the group of its class that is nearest in size.
 func (x *requestMix) add(now, span time.Duration, request *request, key requestGroupKey) {
 	nearest, distance := x.nearestGroup(key)
 	if nearest < 0 || distance > 0 && len(x.groups) < maxRequestGroups {
@@ -74,10 +74,10 @@
 
 func abs(x int) int { return max(x, -x) }
 
-// bids returns the mix as bids, and how many requests are in it. It drops the groups that have faded away.
+// bids returns the mix as bids, and how many requests are in it. It drops groups below minGroupCount.
 func (x *requestMix) bids(now, span time.Duration) (bids []bid, count float64) {
 	x.groups = slices.DeleteFunc(x.groups, func(group requestGroup) bool {
-		return group.count.get(now, span) < fadedRequestCount
+		return group.count.get(now, span) < minGroupCount
 	})
 	for i := range x.groups {
 		group := &x.groups[i]
--- a/decision/outlier_test.go
+++ b/decision/outlier_test.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// An attempt stuck at a silent machine must not keep its worker from a trial.
+// An attempt that is stuck at a silent worker must not prevent a trial of that worker.
 func TestEjectedWorkerWithStuckAttemptGetsATrial(t *testing.T) {
 	rig := newRig(t, testSettings(), 3)
 	id := rig.arrive(1)
 	worker := rig.workers[rig.assignedTo(id)]
-	rig.setFailureScore(worker, 1, reportsNoMore)
+	rig.setFailureScore(worker, 1, reasonSilent)
 	rig.now += worker.ejectionBackoff
 	if !rig.usable(&request{class: &rig.settings.Classes[0]}, worker) {
-		t.Fatal("no trial while an attempt is stuck there")
+		t.Fatal("no trial while an attempt is stuck at the worker")
 	}
 }
 
-// A worker that fails fast is ejected, however quick it looks, and gets trials sparingly.
+// A worker that fails quickly is ejected even if its responses are fast, and gets one trial at a time.
 func TestFailingWorkerIsEjected(t *testing.T) {
 	rig := newRig(t, testSettings(), 4)
 	id := rig.arrive(0)
@@ -49,8 +49,8 @@
 	}
 }
 
-// Attempts stuck at ejected workers must not exhaust a ceiling that is scaled to the ready ones. In panic all
-// slots count: otherwise ejecting workers would raise the ceiling.
+// Attempts that are stuck at ejected workers must not exhaust a ceiling that is scaled to the ready ones. In
+// panic all slots count: otherwise ejecting workers would raise the ceiling.
 func TestSlotsAtEjectedWorkersDoNotCount(t *testing.T) {
 	rig := newRig(t, testSettings(), 3)
 	rig.ceilings.concurrencyPerWorker = (6 - concurrencyHeadroom) / 3
@@ -60,11 +60,11 @@
 	}
 	ejected := rig.fleet[0]
 	atEjected := ejected.outstanding
-	rig.setFailureScore(ejected, 1, reportsNoMore)
+	rig.setFailureScore(ejected, 1, reasonSilent)
 	if rig.ceilings.inFlight != 6 || atEjected == 0 || rig.countedInFlight() != 6-atEjected {
 		t.Fatalf("%v of 6 slots count though an ejected worker holds %v", rig.countedInFlight(), atEjected)
 	}
-	rig.setFailureScore(rig.fleet[1], 1, reportsNoMore)
+	rig.setFailureScore(rig.fleet[1], 1, reasonSilent)
 	if rig.countedInFlight() != 6 || rig.readyWorkers() != 3 || rig.send(0) != "" {
 		t.Fatalf(
 			"%v of 6 slots and %v of 3 workers count in panic",
@@ -73,7 +73,7 @@
 		)
 	}
 	rig.handle(rig.now, Event{Kind: ClientDisconnected, Request: rig.next - 1})
-	rig.setFailureScore(rig.fleet[1], 0, answersAgain)
+	rig.setFailureScore(rig.fleet[1], 0, reasonRecovered)
 	rig.updateList(Endpoint{Name: ejected.Name, State: Running, StartedAt: rig.now})
 	for _, id := range stuck {
 		rig.endAttempt(id, 0, Completed, 0)
@@ -85,20 +85,20 @@
 	}
 }
 
-// In panic, when most workers look bad, the fault is not theirs, and all are used.
+// In panic, when most workers are ejected, the workers are unlikely to be the cause, and all are used.
 func TestPanicUsesEjectedWorkers(t *testing.T) {
 	rig := newRig(t, testSettings(), 4)
 	for _, worker := range rig.fleet[:3] {
-		rig.setFailureScore(worker, 1, attemptsFail)
+		rig.setFailureScore(worker, 1, reasonAttemptsFail)
 	}
 	rig.fleet[3].saturatedUntil = rig.now + time.Hour
 	if rig.send(0) == "" {
-		t.Fatal("nothing was sent though most look bad")
+		t.Fatal("nothing was sent though most workers are ejected")
 	}
 }
 
-// Ejected names the workers that get no requests, until they answer again; a trial meanwhile does not change
-// that.
+// Ejected names a worker from its ejection until it answers successfully again; a trial that has not ended
+// does not change that.
 func TestEjectedNamesAWorkerUntilItAnswers(t *testing.T) {
 	rig := newRig(t, testSettings(), 5)
 	rig.setCeilings(1000, 1e6)
@@ -106,11 +106,11 @@
 	if rig.Ejected() != nil {
 		t.Fatalf("%v are ejected at the start", rig.Ejected())
 	}
-	rig.setFailureScore(ejected, 1, attemptsFail)
+	rig.setFailureScore(ejected, 1, reasonAttemptsFail)
 	for range 30 {
 		id := rig.arrive(0)
 		if rig.assignedTo(id) == ejected.Name || len(rig.Ejected()) != 1 || rig.Ejected()[0] != ejected.Name {
-			t.Fatalf("%v are ejected, and %s gets work", rig.Ejected(), rig.assignedTo(id))
+			t.Fatalf("%v are ejected, and %s gets a request", rig.Ejected(), rig.assignedTo(id))
 		}
 		rig.endAttempt(id, 0, Completed, time.Millisecond)
 	}
@@ -136,26 +136,26 @@
 func TestEjectedNamesNoneInPanicAndNoneThatDrains(t *testing.T) {
 	rig := newRig(t, testSettings(), 5)
 	for _, worker := range rig.fleet[:3] {
-		rig.setFailureScore(worker, 1, attemptsFail)
+		rig.setFailureScore(worker, 1, reasonAttemptsFail)
 	}
 	if rig.Ejected() != nil {
-		t.Fatalf("%v are ejected while most look bad", rig.Ejected())
+		t.Fatalf("%v are reported as ejected in panic", rig.Ejected())
 	}
 	running := rig.fleet[1]
 	draining := rig.fleet[2]
-	rig.setFailureScore(rig.fleet[0], 0, answersAgain)
+	rig.setFailureScore(rig.fleet[0], 0, reasonRecovered)
 	rig.updateList(Endpoint{Name: draining.Name, State: Draining})
 	if !slices.Equal(rig.Ejected(), []string{running.Name}) {
-		t.Fatalf("%v are ejected, want %s; %s drains", rig.Ejected(), running.Name, draining.Name)
+		t.Fatalf("Ejected returns %v, want %s; %s is draining", rig.Ejected(), running.Name, draining.Name)
 	}
-	rig.setFailureScore(running, 0, answersAgain)
+	rig.setFailureScore(running, 0, reasonRecovered)
 	if rig.Ejected() != nil {
-		t.Fatalf("%v are ejected, and drain", rig.Ejected())
+		t.Fatalf("%v are reported as ejected, though draining", rig.Ejected())
 	}
 }
 
-// A worker crashes while calls for the endpoint list fail. Its silence alone must keep new requests away, and
-// the next list must not bring it back into use, since it names no new start.
+// A worker crashes while calls for the endpoint list fail. Its silence alone must lead to its ejection, and
+// the next list must not return it to service, since the list shows no restart.
 func TestSilentWorkerIsAvoidedWhileTheListFails(t *testing.T) {
 	rig := newRig(t, testSettings(), 3)
 	lost := rig.assignedTo(rig.arrive(0))
@@ -170,11 +170,11 @@
 	}
 	rig.handle(rig.now, Event{Kind: ListUpdated, ListKind: ListSnapshot, Endpoints: []Endpoint{{Name: lost}}})
 	if worker := rig.workers[lost]; !worker.ejected || len(rig.fleet) != 1 {
-		t.Fatal("the list took back a silent worker that has not started again")
+		t.Fatal("the list returned a silent worker to service that has not restarted")
 	}
 }
 
-// A worker that only gets requests which must not run twice does not stay ejected for ever.
+// A worker that gets only requests that must not run twice does not stay ejected forever.
 func TestFailureScoreFades(t *testing.T) {
 	rig := newRig(t, testSettings(), 3)
 	id := rig.arrive(1)
@@ -190,8 +190,8 @@
 	}
 }
 
-// A request that a worker calls invalid fails at once: it is not tried elsewhere, and neither that worker nor
-// the fleet is blamed.
+// A request that a worker reports as invalid fails at once: it is not sent to another worker, and it counts
+// neither against that worker nor against the fleet.
 func TestInvalidRequestBlamesNoWorker(t *testing.T) {
 	rig := newRig(t, testSettings(), 3)
 	before := rig.ceilings.concurrencyPerWorker
@@ -215,7 +215,8 @@
 	}
 }
 
-// A worker that calls all requests invalid is at fault itself: it is ejected, and its request is retried.
+// A worker that reports all requests as invalid counts as failing: it is ejected, and its request is
+// retried.
 func TestWorkerThatCallsAllRequestsInvalidIsEjected(t *testing.T) {
 	rig := newRig(t, testSettings(), 3)
 	first := rig.arrive(0)
@@ -229,6 +230,6 @@
 	}
 	rig.endAttempt(id, 0, InvalidRequest, time.Millisecond)
 	if rig.requests[id] == nil || !worker.ejected {
-		t.Error("a worker that calls all requests invalid is believed")
+		t.Error("a worker that reports all requests as invalid is not ejected, or the request is not retried")
 	}
 }
--- a/decision/pricing.go
+++ b/decision/pricing.go
@@ -2,11 +2,12 @@
 
 import "math"
 
-// minPricedRequests is the number of recent requests below which nothing is priced: so few do not show the
-// demand.
+// minPricedRequests is the number of recent requests below which all prices are 0: so few requests are too
+// small a sample of the demand.
 const minPricedRequests = 20
 
-// priceTolerance is the relative error within which values count as equal: that of sums in floating point.
+// priceTolerance is the relative difference within which values count as equal, to allow for rounding
+// errors.
 const priceTolerance = 1e-9
 
 // prices are shadow prices: the value that a request must have to be admitted. Both are 0 while capacity is
@@ -22,11 +23,12 @@
 	return request.value >= (p.work*request.cost+p.slot*request.holdTime)*(1-priceTolerance)
 }
 
-// positive reports whether anything has a price, since capacity is scarce.
+// positive reports whether any price is above 0, which means that capacity is scarce.
 func (p prices) positive() bool { return p.work+p.slot > 0 }
 
-// solvePrices sets the prices from the recent mix, for what the token bucket and the concurrency ceiling
-// admit in the same span, and sizes the subset of workers by the number of recent requests.
+// solvePrices computes the prices at which the recent mix fits into what the token bucket and the
+// concurrency ceiling admit in the same span. It also sets the size of the worker subset from the number of
+// recent requests.
 func (m *Machine) solvePrices() {
 	bids, recent := m.mix.bids(m.now, m.planningHorizon)
 	m.candidates.subsetSize = max(int(recent/subsetRequestsPerWorker), minSubsetSize)
@@ -42,9 +44,9 @@
 //
 //	workBudget*workPrice + slotBudget*slotPrice + sum of max(0, value - workPrice*cost - slotPrice*holdTime)
 //
-// over prices that are not negative. The dual is convex and piecewise linear, so that some vertex of the
-// bids' lines is a minimum; of several the one with the highest sum of prices is taken. The time taken grows
-// with the cube of the number of bids.
+// over prices that are not negative. The dual is convex and piecewise linear, so that it has a minimum at a
+// vertex of the bids' lines; if there are several, the one with the highest sum of prices is returned. The
+// running time grows with the cube of the number of bids.
 func solveDual(bids []bid, workBudget, slotBudget float64) (solution prices) {
 	best := math.MaxFloat64
 	try := func(work, slot float64) {
--- a/decision/pricing_test.go
+++ b/decision/pricing_test.go
@@ -17,7 +17,7 @@
 		t.Fatalf("weight 1 at price 2 was not rejected: %v", rig.actions)
 	}
 	if rig.ceilings.inFlight != inFlight || rig.bucket.tokens != tokens {
-		t.Fatal("a rejected request was debited")
+		t.Fatal("a rejected request used slots or tokens")
 	}
 	rig.arrive(1)
 	if findAction(rig.actions, Assign) == nil {
@@ -26,12 +26,12 @@
 	rig.prices = prices{work: 1, slot: 2}
 	rig.arrive(1)
 	if findAction(rig.actions, Assign) == nil {
-		t.Fatal("a value equal to the prices is admitted")
+		t.Fatal("a request whose value equals the prices was not admitted")
 	}
 	rig.prices.slot = 2.1
 	rig.arrive(1)
 	if findAction(rig.actions, Reject) == nil {
-		t.Fatal("hold time is not priced")
+		t.Fatal("a request whose value does not cover the price of its hold time was not rejected")
 	}
 }
 
@@ -40,11 +40,12 @@
 	rig.prices.slot = 100
 	rig.offer(Event{Request: 1, Slots: 1, TimeLeft: 5 * time.Second})
 	if findAction(rig.actions, Assign) == nil {
-		t.Fatal("an unhinted request pays no slot price")
+		t.Fatal("a slot price was applied to a request without a hint")
 	}
 }
 
-// Prices for a smaller budget than the concurrency ceiling admits would reject work beside idle workers.
+// The slot budget for prices includes the headroom of the concurrency ceiling. A smaller budget would reject
+// requests while workers are idle.
 func TestPricesCountConcurrencyHeadroom(t *testing.T) {
 	rig := newRig(t, testSettings(), 4)
 	rig.ceilings.concurrencyPerWorker = 0
@@ -55,7 +56,7 @@
 	}
 	rig.solvePrices()
 	if rig.prices.work+rig.prices.slot > 0 {
-		t.Fatalf("prices %+v though the headroom holds all of the mix", rig.prices)
+		t.Fatalf("prices %+v though the whole mix fits into the headroom", rig.prices)
 	}
 }
 
@@ -66,13 +67,13 @@
 	for i := range 3 * minPricedRequests {
 		rig.arrive(0)
 		rig.solvePrices()
-		// What has faded a little already does not count in full.
+		// Earlier requests have decayed a little and do not count in full.
 		if priced := rig.prices.work+rig.prices.slot > 0; priced && i < minPricedRequests-1 {
 			t.Fatalf("priced from %d requests", i+1)
 		}
 	}
 	if rig.prices.work+rig.prices.slot == 0 {
-		t.Fatal("scarcity is not priced")
+		t.Fatal("prices are 0 though capacity is scarce")
 	}
 }
 
@@ -90,8 +91,8 @@
 	}
 }
 
-// The groups of the mix must not grow with the number of sizes ever seen, since solving for prices takes
-// the cube of their number.
+// The number of groups of the mix must not grow with the number of sizes ever seen, since the time to
+// compute prices grows with the cube of that number.
 func TestMixIsBoundedAndPruned(t *testing.T) {
 	rig := newRig(t, testSettings(), 2)
 	const requests = 300
@@ -108,12 +109,11 @@
 	rig.now += 12 * rig.planningHorizon
 	rig.arrive(0)
 	if bids, _ := rig.recentBids(); len(bids) != 1 {
-		t.Fatalf("%d groups are left of a mix that has faded away", len(bids)-1)
+		t.Fatalf("%d groups are left of a mix that has decayed", len(bids)-1)
 	}
 }
 
-// The prices fall to zero again when nothing is scarce: among ties of the dual the vertex at zero must be
-// found.
+// The prices return to zero when capacity is no longer scarce: the dual must be evaluated at zero, too.
 func TestPricesFallToZero(t *testing.T) {
 	rig := newRig(t, testSettings(), 2)
 	for range 2 * minPricedRequests {
@@ -123,6 +123,6 @@
 	rig.bucket.ratePerWorker = 1e6
 	rig.solvePrices()
 	if rig.prices != (prices{}) {
-		t.Fatalf("prices %+v with budgets to spare", rig.prices)
+		t.Fatalf("prices %+v though the budgets exceed the demand", rig.prices)
 	}
 }
--- a/decision/queue_test.go
+++ b/decision/queue_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Requests for a kind of worker that is gone must not fill the head of the queue so that nothing behind
-// them is tried.
+// Requests for a kind of worker that no longer exists must not block the head of the queue, so that later
+// requests are not tried.
 func TestRequestsWithoutAWorkerHoldUpNoOthers(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[1] = Class{
@@ -26,7 +26,8 @@
 	}
 }
 
-// A request that becomes late while it waits has less value and must fall behind those still in time.
+// A request that becomes late while it waits has less value and must move behind requests that can be in
+// time.
 func TestLateRequestFallsBackInTheQueue(t *testing.T) {
 	rig := newRig(t, testSettings(), 1)
 	rig.fleet[0].saturatedUntil = rig.now + time.Hour
@@ -37,6 +38,6 @@
 	rig.sweep()
 	waiting := rig.queue.waiting
 	if len(waiting) != 2 || waiting[0].id != low {
-		t.Fatal("the late request keeps its place")
+		t.Fatal("the late request was not moved behind the other one")
 	}
 }
--- a/decision/quota.go
+++ b/decision/quota.go
@@ -7,14 +7,14 @@
 
 // tenant is a token bucket for one tenant's traffic at this dispatcher.
 type tenant struct {
-	tokens     float64 // arrivals left inside the quota
+	tokens     float64 // further arrivals that are within the quota
 	refilledAt time.Duration
 	arrivals   decayingValue // first tries
 }
 
-// overQuota reports whether an arrival is beyond its tenant's quota, and counts it. The dispatcher grants an
-// even share of the quota, or the share of all traffic that arrives here if that is more. A client's retry is
-// not counted, since its first try was.
+// overQuota reports whether an arrival is beyond its tenant's quota, and counts it. This dispatcher grants
+// an even share of the quota, or, if that is more, a share equal to its share of all tenants' traffic. A
+// client's retry is not counted, since its first try was.
 func (m *Machine) overQuota(tenant int, isRetry bool) bool {
 	if tenant < 0 || tenant >= len(m.tenants) {
 		return false
@@ -45,8 +45,8 @@
 	return true
 }
 
-// tenantTraffic returns the requests a second of all tenants that arrive here, and the sum of their quotas,
-// which are for all dispatchers together.
+// tenantTraffic returns the requests per second of all tenants that arrive at this dispatcher, and the sum
+// of their quotas, which apply to all dispatchers together.
 func (m *Machine) tenantTraffic() (arrivals, quotas float64) {
 	for i := range m.tenants {
 		arrivals += m.tenants[i].arrivals.get(m.now, m.planningHorizon) / m.planningHorizon.Seconds()
--- a/decision/reconfigure.go
+++ b/decision/reconfigure.go
@@ -2,9 +2,10 @@
 
 import "slices"
 
-// reconfigure takes over the settings that may change while running: see Event.Settings. Classes keep their
-// addresses, since open requests, rejections and counts refer to them. Of what is derived from settings
-// only the sweep interval depends on these, and follows with the next sweep; what was learned stays.
+// reconfigure applies the settings that may change while running: see Event.Settings. Classes keep their
+// addresses, since open requests, rejections and counts refer to them. The sweep interval is the only
+// derived value that depends on these settings; it takes effect with the next sweep. Learned values are
+// kept.
 func (m *Machine) reconfigure(settings *Settings) {
 	if settings == nil || len(settings.Classes) != len(m.settings.Classes) ||
 		len(settings.TenantQuotas) != len(m.settings.TenantQuotas) {
--- a/decision/reconfigure_test.go
+++ b/decision/reconfigure_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// New settings hold for what comes; open requests keep their class, value and objective.
+// New settings apply to later requests; open requests keep their class, value and objective.
 func TestReconfigureWhileRequestsAreOpen(t *testing.T) {
 	rig := newRig(t, testSettings(), 2)
 	open := rig.requests[rig.arrive(0)]
@@ -26,12 +26,12 @@
 	}
 	later := rig.requests[rig.arrive(0)]
 	if later.class != class || later.value != 7*value || later.objective != objective-160*time.Millisecond {
-		t.Errorf("a later request has value %v and objective %v; the former %v and %v",
+		t.Errorf("a later request has value %v and objective %v; the earlier one had %v and %v",
 			later.value, later.objective, value, objective)
 	}
 	if rig.sweepInterval >= sweepInterval || rig.sweepInterval != rig.settings.sweepInterval() ||
 		rig.settings.MaxRetryAfter != time.Second {
-		t.Errorf("a sweep each %v, before %v; Retry-After of %v at the most",
+		t.Errorf("sweep interval %v, before %v; largest Retry-After %v",
 			rig.sweepInterval, sweepInterval, rig.settings.MaxRetryAfter)
 	}
 	rig.endAttempt(open.id, 0, Completed, time.Second)
@@ -40,7 +40,7 @@
 	}
 }
 
-// A quota holds from the change on, higher or lower.
+// A new quota, higher or lower, applies from the change on.
 func TestReconfiguredQuota(t *testing.T) {
 	settings := testSettings()
 	settings.Peers = 1
@@ -66,22 +66,22 @@
 		next := settings
 		next.TenantQuotas = []float64{test.quota, 1000}
 		rig.handle(rig.now, Event{Kind: SettingsChanged, Settings: &next})
-		next.TenantQuotas[0] = -1 // the caller's own slice is the caller's
+		next.TenantQuotas[0] = -1 // changes of the caller's slice must have no effect afterwards
 		if n := over(); n < test.min || n > test.max {
-			t.Errorf("a quota of %v a second: %d of 100 in a second are beyond it", test.quota, n)
+			t.Errorf("a quota of %v per second: %d of 100 requests in a second are beyond it", test.quota, n)
 		}
 	}
 }
 
-// Settings that are wrong, or have other numbers of classes or tenants, change nothing.
+// Settings that are invalid, or that change the number of classes or tenants, have no effect.
 func TestReconfigureRejectsWrongSettings(t *testing.T) {
 	for name, change := range map[string]func(settings *Settings) *Settings{
 		"none": func(*Settings) *Settings { return nil },
-		"a class more": func(settings *Settings) *Settings {
+		"an additional class": func(settings *Settings) *Settings {
 			settings.Classes = append(settings.Classes, settings.Classes[0])
 			return settings
 		},
-		"a tenant": func(settings *Settings) *Settings {
+		"an additional tenant": func(settings *Settings) *Settings {
 			settings.TenantQuotas = []float64{1}
 			return settings
 		},
--- a/decision/recount_test.go
+++ b/decision/recount_test.go
@@ -10,9 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// What is kept incrementally must be what a recount gives, whatever the lists say: names that stand twice,
-// restarts, workers that go and come, unknown ones that are gone, complete lists between deltas. Two
-// machines with one seed do the same, the ring included.
+// The counts and lists of workers that are kept incrementally must agree with a recount for any sequence of
+// endpoint lists: names listed twice, restarts, workers removed and added again, removals of unknown workers,
+// complete lists between deltas. Two machines with the same seed must return the same actions.
 func TestIncrementalCountsAgreeWithARecount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pair := newMachinePair(t)
@@ -34,7 +34,7 @@
 	})
 }
 
-// machinePair is two machines with one seed, which are fed the same events.
+// machinePair is two machines with the same seed, which are fed the same events.
 type machinePair struct {
 	t    *rapid.T
 	a, b *Machine
@@ -57,16 +57,16 @@
 	return &machinePair{t: t, a: a, b: b, now: time.Hour}
 }
 
-// handle feeds an event to both and fails unless they do the same.
+// handle feeds an event to both machines and fails unless they return the same actions.
 func (p *machinePair) handle(event Event) []Action {
-	did := p.a.Handle(p.now, event, nil)
-	if other := p.b.Handle(p.now, event, nil); !slices.Equal(did, other) {
-		p.t.Fatalf("one seed, two ways: %v and %v", did, other)
+	actions := p.a.Handle(p.now, event, nil)
+	if other := p.b.Handle(p.now, event, nil); !slices.Equal(actions, other) {
+		p.t.Fatalf("different actions with the same seed: %v and %v", actions, other)
 	}
-	return did
+	return actions
 }
 
-// changeList brings a list, complete or not, that names some of so many workers.
+// changeList delivers a list, complete or a delta, with some of the names.
 func (p *machinePair) changeList(names int) {
 	t := p.t
 	var entries []Endpoint
@@ -89,14 +89,14 @@
 func (p *machinePair) ejectOne() {
 	i := rapid.IntRange(0, len(p.a.fleet)-1).Draw(p.t, "which")
 	for _, machine := range []*Machine{p.a, p.b} {
-		machine.setFailureScore(machine.fleet[i], 1, attemptsFail)
+		machine.setFailureScore(machine.fleet[i], 1, reasonAttemptsFail)
 		machine.actions = nil
 	}
 }
 
-// arrive brings a request, which may be answered at once.
+// arrive delivers a request, which may be answered at once.
 func (p *machinePair) arrive(id uint64) {
-	did := p.handle(Event{
+	actions := p.handle(Event{
 		Kind:     RequestArrived,
 		Request:  id,
 		Slots:    1,
@@ -104,7 +104,7 @@
 		TimeLeft: 5 * time.Second,
 		Key:      rapid.SampledFrom([]string{"", "a", "b"}).Draw(p.t, "key"),
 	})
-	assigned := findAction(did, Assign)
+	assigned := findAction(actions, Assign)
 	if assigned == nil || !rapid.Bool().Draw(p.t, "answered") {
 		return
 	}
@@ -129,12 +129,12 @@
 func recountFleet(t *rapid.T, machine *Machine) {
 	t.Helper()
 	if len(machine.fleet) != len(machine.workers) {
-		t.Fatalf("%d in the fleet, %d known", len(machine.fleet), len(machine.workers))
+		t.Fatalf("%d workers in the fleet, %d by name", len(machine.fleet), len(machine.workers))
 	}
 	want := workerCounts{eligible: map[*Class]int{}}
 	for _, worker := range machine.fleet {
 		if machine.workers[worker.Name] != worker || worker.State == Removed {
-			t.Fatalf("in the fleet and not known, or gone: %+v", worker.Endpoint)
+			t.Fatalf("in the fleet, but not found by name, or removed: %+v", worker.Endpoint)
 		}
 		checkCandidateLists(t, machine, worker)
 		if worker.State != Running {
@@ -157,8 +157,8 @@
 	}
 }
 
-// checkCandidateLists checks that a worker is in the candidate lists where it belongs. It leaves the list
-// of those in slow start with the next sweep only, though it may have warmed up.
+// checkCandidateLists checks that a worker is in the candidate lists where it belongs. A worker that has
+// warmed up may still be in the list of those in slow start, which it leaves only with the next sweep.
 func checkCandidateLists(t *rapid.T, machine *Machine, worker *worker) {
 	t.Helper()
 	warming := worker.positions[inWarmingUp] > 0
@@ -170,13 +170,13 @@
 	}
 }
 
-// checkListPositions checks that each member of a list knows its position there.
+// checkListPositions checks that each worker's stored position in a list is its actual position.
 func checkListPositions(t *rapid.T, machine *Machine) {
 	t.Helper()
 	for id, members := range listsOf(machine) {
 		for i, worker := range members {
 			if worker.positions[id] != i+1 || machine.workers[worker.Name] != worker {
-				t.Fatalf("list %v: %s stands at %d and takes itself to be at %d",
+				t.Fatalf("list %v: %s is at position %d, but its stored position is %d",
 					id, worker.Name, i, worker.positions[id]-1)
 			}
 		}
@@ -190,16 +190,16 @@
 	ring := machine.ring.sorted
 	sorted := slices.IsSortedFunc(ring, compareByHash)
 	if len(ring) != len(machine.fleet) || !sorted {
-		t.Fatalf("%d on the ring, of %d; in order: %v", len(ring), len(machine.fleet), sorted)
+		t.Fatalf("%d workers on the ring, want %d; sorted: %v", len(ring), len(machine.fleet), sorted)
 	}
 	for _, worker := range ring {
 		if machine.workers[worker.Name] != worker {
-			t.Fatalf("%s is on the ring and not known", worker.Name)
+			t.Fatalf("%s is on the ring, but not found by name", worker.Name)
 		}
 	}
 }
 
-// listsOf returns the lists in which each worker knows its position.
+// listsOf returns the lists whose positions the workers store.
 func listsOf(machine *Machine) map[listID][]*worker {
 	return map[listID][]*worker{
 		inFleet:     machine.fleet,
--- a/decision/request.go
+++ b/decision/request.go
@@ -5,34 +5,36 @@
 	"time"
 )
 
-// request is a client's request, until it has its answer and all its attempts have ended.
+// request is a client's request. It is kept until it has its answer and all its attempts have ended.
 type request struct {
 	id            uint64
 	class         *Class
 	slots         float64
-	work          float64 // hinted run time in seconds, else the recent mean of its class
-	classMeanWork float64 // that mean when it arrived
+	work          float64 // hinted run time in seconds, or without a hint the recent mean of its class
+	classMeanWork float64 // recent mean run time of its class when it arrived, seconds
 	value         float64 // what an answer earns now
 	cost          float64 // slots times work: slot-seconds
-	holdTime      float64 // hinted run time in seconds; 0: no hint, the slot is not priced
+	holdTime      float64 // hinted run time in seconds; 0 without a hint, so that no slot price applies
 	objective     time.Duration
 	deadline      time.Duration
-	keyQueue      *keyQueue     // of a serialized request
-	keyHash       uint64        // places the request at its key's owners; 0: anywhere
+	keyQueue      *keyQueue     // queue of its key, if the request is serialized
+	keyHash       uint64        // hash for finding the owners of its key; 0 if any worker will do
 	notBefore     time.Duration // the next attempt waits until then
 	attempts      []attempt
 	outstanding   int  // attempts that have not ended
 	queued        bool // it waits in the queue
-	late          bool // it can hardly meet its objective
-	countedAsBad  bool // the ceilings were cut for it
-	ended         bool // it has its answer, or needs none
+	late          bool // it will probably miss its objective
+	countedAsBad  bool // it was already counted as a bad outcome for the ceilings
+	ended         bool // it has its answer, or no longer needs one
 }
 
-// maxUnsentAttempts is how many attempts that never left do not count among a request's MaxAttempts, so that
-// one for which no worker can be asked does not go round the whole fleet.
+// maxUnsentAttempts is how many attempts that were never sent are not counted toward a request's
+// MaxAttempts. The limit keeps a request that cannot be sent to any worker from being tried at the whole
+// fleet.
 const maxUnsentAttempts = 5
 
-// attemptsMade counts the attempts that have left, or still may: they count among MaxAttempts.
+// attemptsMade returns the number of attempts that count toward MaxAttempts: those that were sent, or may
+// still be, and those that were never sent beyond maxUnsentAttempts.
 func (r *request) attemptsMade() int {
 	unsent := 0
 	for i := range r.attempts {
@@ -69,8 +71,8 @@
 	return nil
 }
 
-// finish marks a request that needs no further decision, and cancels its outstanding attempts. A stream runs
-// on until its client disconnects.
+// finish marks a request that needs no further decision, and cancels its outstanding attempts. A stream is
+// not cancelled: it continues until its client disconnects.
 func (m *Machine) finish(request *request) {
 	request.ended = true
 	for i := range request.attempts {
@@ -78,11 +80,11 @@
 			m.emit(Action{Kind: CancelAttempt, Request: request.id, Attempt: i})
 		}
 	}
-	m.forgetIfOver(request)
+	m.dropIfOver(request)
 }
 
-// forgetIfOver drops a request that has ended and has no outstanding attempt.
-func (m *Machine) forgetIfOver(request *request) {
+// dropIfOver drops a request that is over: it has ended and has no outstanding attempt.
+func (m *Machine) dropIfOver(request *request) {
 	if !request.ended || request.outstanding > 0 {
 		return
 	}
--- a/decision/retry.go
+++ b/decision/retry.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// retryAfterJitter is the smallest part of the mean latency that Reject names as its delay; the largest is
-// one more. It keeps clients apart that were rejected together.
+// retryAfterJitter is the smallest delay of a Reject, as a multiple of the mean latency; the largest is one
+// mean latency more. The random delay in between keeps clients that were rejected together from returning
+// together.
 const retryAfterJitter = 0.5
 
-// retryBudget bounds the retries and hedges in any span of Settings.RetryBudgetWindow, in proportion to the
-// requests that arrived in it. With a window of 0 it is off.
+// retryBudget limits the retries and hedges in any span of Settings.RetryBudgetWindow, in proportion to the
+// requests that arrived in it. With a window of 0 there is no limit.
 type retryBudget struct {
-	arrivals []time.Duration // of requests, in the latest window
-	retries  []time.Duration // attempts beyond a request's first in the latest window
+	arrivals []time.Duration // times of the requests in the latest window
+	retries  []time.Duration // times of the attempts beyond a request's first in the latest window
 }
 
-// countArrival counts a request, whatever becomes of it.
+// countArrival counts a request, whether or not it is admitted.
 func (b *retryBudget) countArrival(now time.Duration, settings *Settings) {
 	if settings.RetryBudgetWindow > 0 {
 		b.arrivals = append(dropBefore(b.arrivals, now-settings.RetryBudgetWindow), now)
@@ -31,7 +32,7 @@
 }
 
 // allowsRetry reports whether one more retry is within the budget. Arrivals leave the window a tick early
-// and retries a tick late, since clocks have that resolution.
+// and retries a tick late, since a tick is the resolution of the clock.
 func (b *retryBudget) allowsRetry(now time.Duration, settings *Settings) bool {
 	if settings.RetryBudgetWindow <= 0 {
 		return true
@@ -43,20 +44,21 @@
 	return float64(len(b.retries)+1) <= budget
 }
 
-// dropBefore drops the times before from. The times ascend.
+// dropBefore drops the times before from. The times must be in ascending order.
 func dropBefore(times []time.Duration, from time.Duration) []time.Duration {
 	i, _ := slices.BinarySearch(times, from)
 	return times[i:]
 }
 
-// withinRetryBudget reports whether the retry budget allows the next attempt at the request. The first one
+// withinRetryBudget reports whether the retry budget allows the next attempt at the request. A first attempt
 // needs no budget.
 func (m *Machine) withinRetryBudget(request *request) bool {
 	return request.attemptsMade() == 0 || m.retryBudget.allowsRetry(m.now, &m.settings)
 }
 
-// mustNotRepeat reports whether no further attempt is allowed since an earlier one may have run: the class
-// is NonIdempotent, or the workers no longer discard a repeat.
+// mustNotRepeat reports whether a further attempt is forbidden because an earlier one may have run and
+// either the class is NonIdempotent or the dedup window is over, so that workers would no longer discard a
+// repeat.
 func (m *Machine) mustNotRepeat(request *request) bool {
 	if request.class.Idempotency == Idempotent {
 		return false
@@ -66,7 +68,7 @@
 		if attempt.neverRan {
 			continue
 		}
-		forgotten := m.now-attempt.sentAt >= request.class.DedupWindow-m.settings.Tick
+		forgotten := m.now-attempt.assignedAt >= request.class.DedupWindow-m.settings.Tick
 		if request.class.Idempotency == NonIdempotent || forgotten {
 			return true
 		}
@@ -74,9 +76,9 @@
 	return false
 }
 
-// retry lets a request whose attempts have failed wait for another, as far as its class and the retry
-// budget allow. From the third attempt on they are spread over the time left, so that not all are spent in a
-// burst while workers are full.
+// retry queues a request whose attempts have failed for another one, if its class and the retry budget allow
+// it; otherwise it gives the final answer. From the third attempt on, attempts are spread over the time
+// left, so that they are not all used up in a burst while workers are full.
 func (m *Machine) retry(request *request) {
 	made := request.attemptsMade()
 	left := m.settings.MaxAttempts - made
@@ -92,8 +94,9 @@
 	m.queue.add(request)
 }
 
-// rejectOrFail gives a request its final answer: Reject where a repeat by the client is safe, else Fail. A
-// rejected client waits for about a mean latency, in which by Little's law a slot comes free.
+// rejectOrFail gives a request its final answer: Reject if a repeat by the client is safe, else Fail. A
+// rejected client is told to wait for about a mean latency, within which, by Little's law, a slot becomes
+// free.
 func (m *Machine) rejectOrFail(request *request) {
 	if m.clientMayRepeat(request) {
 		wait := seconds(m.latencyEstimate() * (retryAfterJitter + m.random.Float64()))
@@ -105,7 +108,8 @@
 	m.finish(request)
 }
 
-// clientMayRepeat reports whether the client can send the request again without an effect that happens twice.
+// clientMayRepeat reports whether the client can send the request again without the risk that an effect
+// happens twice.
 func (m *Machine) clientMayRepeat(request *request) bool {
 	switch {
 	case request.class.Idempotency == Idempotent:
--- a/decision/retry_test.go
+++ b/decision/retry_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// While most workers are full, a request's attempts are spread over its time, not spent in a burst.
+// While most workers are full, the attempts of a request are spread over the time left, not made in a burst.
 func TestAttemptsAreSpreadOverTimeLeft(t *testing.T) {
 	rig := newRig(t, testSettings(), 20)
 	id := rig.arrive(0)
@@ -28,12 +28,13 @@
 	rig.endAttempt(id, 1, Saturated, time.Millisecond)
 	request := rig.requests[id]
 	if request == nil || !request.queued || request.notBefore < rig.now+100*time.Millisecond {
-		t.Fatalf("third attempt not held: %+v", request)
+		t.Fatalf("the third attempt is not delayed: %+v", request)
 	}
 }
 
-// dedupAnswers are the final answers of a Deduplicated request that may have run and whose DedupWindow is
-// over: it is rejected where any worker would discard a repeat by the client, and failed elsewhere.
+// dedupAnswers are the final answers to a Deduplicated request that may have run and whose DedupWindow is
+// over: it is rejected if its DedupScope includes all workers, so that the client may repeat it, and failed
+// otherwise.
 var dedupAnswers = map[DedupScope]ActionKind{
 	DedupEverywhere: Reject,
 	DedupWithinZone: Fail,
@@ -57,7 +58,7 @@
 func TestWaitingRequestIsAnsweredAtTheEndOfItsDedupWindow(t *testing.T) {
 	for scope, want := range dedupAnswers {
 		rig, id := newDedupRig(t, scope)
-		sent := rig.requests[id].attempts[0].sentAt
+		sent := rig.requests[id].attempts[0].assignedAt
 		for _, worker := range rig.fleet {
 			worker.saturatedUntil = rig.now + time.Hour
 		}
@@ -65,7 +66,7 @@
 		for findAction(rig.actions, want) == nil {
 			rig.nextSweep()
 			if rig.now > sent+2*time.Second {
-				t.Fatalf("scope %d: still waiting after its window", scope)
+				t.Fatalf("scope %d: still waiting after the dedup window", scope)
 			}
 			if findAction(rig.actions, Assign) != nil {
 				t.Fatalf("scope %d: retried after its window", scope)
@@ -77,14 +78,14 @@
 	}
 }
 
-// A retry is sent in time, and rejected by its worker after the window.
+// A retry is sent within the dedup window, and its worker rejects it after the window.
 func TestRetryThatEndsAfterTheDedupWindowIsAnsweredAtOnce(t *testing.T) {
 	for scope, want := range dedupAnswers {
 		rig, id := newDedupRig(t, scope)
-		sent := rig.requests[id].attempts[0].sentAt
+		sent := rig.requests[id].attempts[0].assignedAt
 		rig.endAttempt(id, 0, Failed, 100*time.Millisecond)
 		if request := rig.requests[id]; request == nil || len(request.attempts) != 2 {
-			t.Fatalf("scope %d: not retried in time", scope)
+			t.Fatalf("scope %d: not retried within the dedup window", scope)
 		}
 		rig.endAttempt(id, 1, Saturated, 1500*time.Millisecond)
 		if findAction(rig.actions, want) == nil {
@@ -99,8 +100,8 @@
 	}
 }
 
-// Once the retry budget is spent, a failed request is answered at once rather than retried, and a window
-// later there is budget again.
+// Once the retry budget is spent, a failed request is answered at once instead of retried. A window later
+// there is budget again.
 func TestRetryBudgetBoundsRetriesInAWindow(t *testing.T) {
 	settings := testSettings()
 	settings.RetryBudgetWindow = 10 * time.Second
@@ -119,7 +120,7 @@
 		}
 	}
 	if retried < 1 || retried > 3 {
-		t.Fatalf("%d further attempts for 8 requests", retried)
+		t.Fatalf("%d retries for 8 requests", retried)
 	}
 	rig.now += settings.RetryBudgetWindow + 2*settings.Tick
 	id := rig.arrive(0)
@@ -129,8 +130,8 @@
 	}
 }
 
-// A class bound to a kind or a zone is sent there only, also when all its workers are full; and where
-// Saturated is no proof, a request that must not run twice is failed at once.
+// A class that is bound to a kind or a zone is sent only there, even if all workers there are full. If
+// Saturated does not prove that an attempt never ran, a request that must not run twice is failed at once.
 func TestPlacementAndSaturationWithoutProof(t *testing.T) {
 	settings := testSettings()
 	settings.SaturatedMayHaveRun = true
--- a/decision/rig_test.go
+++ b/decision/rig_test.go
@@ -9,24 +9,24 @@
 // initialCeiling is the ceiling per worker that a dispatcher of testSettings starts with.
 const initialCeiling = initialSlotsPerWorker / 2
 
-// rig drives one dispatcher by hand.
+// rig drives the machine of one dispatcher, event by event.
 type rig struct {
 	*Machine
 	t       *testing.T
-	actions []Action // of the last event
-	next    uint64
+	actions []Action // returned for the last event
+	next    uint64   // ID of the next request
 }
 
-// handle feeds an event and keeps the actions.
+// handle feeds an event and stores the actions.
 func (r *rig) handle(now time.Duration, event Event) []Action {
 	r.actions = r.Handle(now, event, nil)
 	return r.actions
 }
 
-// arrive brings a request of the class with a hint of one second and returns its id.
+// arrive delivers a request of the class with a hint of one second, and returns its id.
 func (r *rig) arrive(class int) uint64 { return r.arriveWithKey(class, "") }
 
-// arriveWithKey brings one with a key.
+// arriveWithKey delivers such a request with a key.
 func (r *rig) arriveWithKey(class int, key string) uint64 {
 	id := r.next
 	r.next++
@@ -37,18 +37,18 @@
 	return id
 }
 
-// offer brings the request that the event describes, at the present time.
+// offer delivers the request that the event describes, at the current time.
 func (r *rig) offer(event Event) []Action {
 	event.Kind = RequestArrived
 	return r.handle(r.now, event)
 }
 
-// updateList brings a delta of the endpoint list.
+// updateList delivers a delta of the endpoint list.
 func (r *rig) updateList(entries ...Endpoint) []Action {
 	return r.handle(r.now, Event{Kind: ListUpdated, ListKind: ListDelta, Endpoints: entries})
 }
 
-// sweepAt fires the sweep timer at a moment.
+// sweepAt fires the sweep timer at the given time.
 func (r *rig) sweepAt(now time.Duration) []Action {
 	return r.handle(now, Event{Kind: TimerFired, Timer: sweepTimer})
 }
@@ -56,12 +56,12 @@
 // nextSweep lets a sweep interval pass and fires the sweep timer.
 func (r *rig) nextSweep() []Action { return r.sweepAt(r.now + r.sweepInterval) }
 
-// reportStart reports, at the present time, that the latest attempt of a request has started.
+// reportStart reports, at the current time, that the first attempt of a request has started.
 func (r *rig) reportStart(id uint64) []Action {
 	return r.handle(r.now, Event{Kind: AttemptStarted, Request: id, Worker: r.assignedTo(id)})
 }
 
-// endAttempt ends the attempt with that number; a completed one is the answer.
+// endAttempt ends the attempt with that number; a completed attempt answers the request.
 func (r *rig) endAttempt(id uint64, n int, outcome AttemptOutcome, after time.Duration) []Action {
 	worker := r.requests[id].attempts[n].worker
 	return r.handle(r.now+after, Event{
@@ -70,7 +70,7 @@
 	})
 }
 
-// assignedTo returns the worker of a request's latest attempt; empty if there is none.
+// assignedTo returns the name of the worker of a request's latest attempt, or "" if there is none.
 func (r *rig) assignedTo(id uint64) string {
 	request := r.requests[id]
 	if request == nil || len(request.attempts) == 0 {
@@ -79,16 +79,16 @@
 	return request.attempts[len(request.attempts)-1].worker.Name
 }
 
-// send brings a request of the class and returns the worker it was sent to, if any.
+// send delivers a request of the class and returns the name of the worker that it was sent to, if any.
 func (r *rig) send(class int) string { return r.assignedTo(r.arrive(class)) }
 
-// expectAllAt brings requests one after another and fails unless each goes to the worker.
-func (r *rig) expectAllAt(worker, complaint string) {
+// expectAllAt delivers requests one after another and fails with the message unless each goes to the worker.
+func (r *rig) expectAllAt(worker, message string) {
 	r.t.Helper()
 	for range 10 {
 		id := r.arrive(0)
 		if r.assignedTo(id) != worker {
-			r.t.Fatal(complaint)
+			r.t.Fatal(message)
 		}
 		r.endAttempt(id, 0, Completed, time.Second)
 	}
@@ -104,7 +104,8 @@
 // recentBids returns the recent mix as bids, and how many requests are in it.
 func (r *rig) recentBids() (bids []bid, count float64) { return r.mix.bids(r.now, r.planningHorizon) }
 
-// testSettings has a class of idempotent requests and one of those that must not run twice.
+// testSettings returns settings with a class of idempotent requests and a class of requests that must not run
+// twice.
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
@@ -133,13 +134,13 @@
 	}
 }
 
-// newRig starts a dispatcher with so many workers.
+// newRig starts a dispatcher with that many workers.
 func newRig(t *testing.T, settings Settings, workers int) *rig {
 	t.Helper()
 	return newSeededRig(t, settings, workers, 1)
 }
 
-// newSeededRig is the same with a seed of its own.
+// newSeededRig is newRig with a given seed.
 func newSeededRig(t *testing.T, settings Settings, workers int, seed uint64) *rig {
 	t.Helper()
 	machine, err := New(settings, seed)
--- a/decision/ring.go
+++ b/decision/ring.go
@@ -6,26 +6,26 @@
 	"slices"
 )
 
-// Requests with one key go to its owners, so that what the key names is cached there. The owners are a few
-// workers that follow the key on a ring of hashes (consistent hashing). The ring is the same at every
-// dispatcher.
+// Requests with the same key go to the key's owners, which are likely to have the data that the key
+// identifies in their cache. The owners are a few workers that follow the key on a ring of hashes
+// (consistent hashing). The ring is the same at every dispatcher.
 const (
-	minOwners = 2 // owners looked at first, where a cache miss has a price
-	maxOwners = 8 // and at most; at once where it has none
-	// ringRebuildFraction is the inverse of the part of the ring whose change makes it built anew.
-	ringRebuildFraction = 16
+	minOwners = 2 // owners considered first if CacheMissCost is set
+	maxOwners = 8 // owners considered at most; without CacheMissCost all of them are considered at once
+	// ringRebuildDivisor is the inverse of the fraction of the ring that may change before it is rebuilt.
+	ringRebuildDivisor = 16
 )
 
-// Constants of hashName's last step: the golden ratio in 64 bits, as in Fibonacci hashing, and shifts that
-// mix the high bits into the low ones. All dispatchers of a fleet must agree on them.
+// Constants of hashName's final mixing step: the golden ratio in 64 bits, as in Fibonacci hashing, and
+// shifts that mix the high bits into the low ones. They must be the same at all dispatchers of a fleet.
 const (
 	hashMultiplier  = 0x9e3779b97f4a7c15
 	hashFirstShift  = 32
 	hashSecondShift = 29
 )
 
-// hashName is the FNV-1a hash of a name, never 0, with its bits mixed once more since names often differ
-// only at their end.
+// hashName is the FNV-1a hash of a name, never 0, with an additional mixing step, since names often differ
+// only in their last characters.
 func hashName(name string) uint64 {
 	f := fnv.New64a()
 	f.Write([]byte(name))
@@ -34,12 +34,12 @@
 	return h ^ h>>hashSecondShift | 1
 }
 
-// ownerHash records the key of a request, and returns the hash by which the request goes to the key's
-// owners; 0 if it goes anywhere.
+// ownerHash records the key of a request, and returns the hash by which the key's owners are found; 0 if any
+// worker will do.
 //
-// Where a cache miss has no price, only rare keys have owners: a frequent one would overload them, and is
-// cached everywhere. While there is a fault no key has, since what is known of workers then counts for more
-// than their caches.
+// Without CacheMissCost only rare keys have owners: a frequent key would overload its owners, and is cached
+// everywhere anyway. While a worker is ejected or many outcomes are bad, no key has owners without
+// CacheMissCost, since the state of the workers then matters more than their caches.
 func (m *Machine) ownerHash(key string) uint64 {
 	hash, recent := m.recentKeys.record(key, max(len(m.fleet)/maxOwners, 1))
 	healthy := m.counts.ejected == 0 && m.ceilings.badRatio < overloadBadRatio
@@ -52,9 +52,9 @@
 // recentKeys holds the hashes of the latest requests' keys, the oldest first.
 type recentKeys []uint64
 
-// record notes the key of a request, and returns its hash, 0 for none, and whether it is among the latest
-// ones. Those are at most limit: so many that a key seen twice makes up about as much of all work as its
-// owners can carry.
+// record adds the key of a request, and returns its hash, 0 for an empty key, and whether the key was among
+// the latest ones already. At most limit keys are kept. The limit is chosen such that a key that occurs
+// twice among them makes up about as much of all work as its owners can carry.
 func (k *recentKeys) record(key string, limit int) (hash uint64, recent bool) {
 	if key == "" {
 		return 0, false
@@ -69,7 +69,7 @@
 	return hash, recent
 }
 
-// initialOwners is the number of a key's owners that are looked at first.
+// initialOwners is the number of a key's owners that are considered first.
 func (s *Settings) initialOwners() int {
 	if s.CacheMissCost > 0 {
 		return minOwners
@@ -77,11 +77,10 @@
 	return maxOwners
 }
 
-// hashRing holds the fleet in the order of the hashes of the workers' names. It is brought up to date when
-// it is used.
+// hashRing holds the fleet in the order of the hashes of the workers' names. It is updated when it is used.
 type hashRing struct {
-	sorted  []*worker // by compareByHash, but for changes; empty: to be built anew
-	changes []*worker // that came or went since the last use
+	sorted  []*worker // in the order of compareByHash, without changes; empty if it must be rebuilt
+	changes []*worker // workers added or removed since the last use
 	owners  []*worker // the latest result of ownersOf
 }
 
@@ -102,17 +101,18 @@
 	return cmp.Or(cmp.Compare(a.nameHash, b.nameHash), cmp.Compare(a.Name, b.Name))
 }
 
-// noteChange notes that a worker has come or gone. After many of them the ring is built anew at its next
+// noteChange records that a worker was added or removed. After many changes the ring is rebuilt at its next
 // use.
 func (r *hashRing) noteChange(worker *worker) {
 	r.changes = append(r.changes, worker)
-	if len(r.changes) > len(r.sorted)/ringRebuildFraction {
+	if len(r.changes) > len(r.sorted)/ringRebuildDivisor {
 		r.sorted = nil
 		r.changes = nil
 	}
 }
 
-// update brings the ring up to date with the workers that came or went since its last use.
+// update applies the workers that were added or removed since the last use, and rebuilds the ring if it is
+// empty.
 func (r *hashRing) update(fleet []*worker) {
 	if len(r.sorted) == 0 {
 		r.sorted = slices.SortedFunc(slices.Values(fleet), compareByHash)
--- a/decision/ring_test.go
+++ b/decision/ring_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Where a cache miss has a price, all dispatchers send a key to the same few workers, and elsewhere when
-// those are full.
+// With CacheMissCost, all dispatchers send the requests with a key to the same few workers, and to other
+// workers only if those are full.
 func TestAllDispatchersSendAKeyToItsOwners(t *testing.T) {
 	settings := testSettings()
 	settings.CacheMissCost = 0.15
@@ -18,7 +18,7 @@
 		owners[keyed()] = true
 	}
 	if len(owners) > 2 {
-		t.Fatalf("20 dispatchers send one key to %d workers", len(owners))
+		t.Fatalf("20 dispatchers send one key to %d workers, want 2 at most", len(owners))
 	}
 	for _, worker := range rig.ring.sorted {
 		if owners[worker.Name] {
@@ -30,15 +30,15 @@
 	}
 }
 
-// Where a cache miss has no price, rare keys go to the same eight workers from every dispatcher. A frequent
-// key would overload these, and is cached everywhere. During a fault, what is known of workers counts for
-// more than their caches.
+// Without CacheMissCost, every dispatcher sends a rare key to the same eight workers. A frequent key would
+// overload these, and is cached everywhere anyway. While a worker is ejected or many outcomes are bad, a rare
+// key is sent to any worker, since the state of the workers then matters more than their caches.
 func TestOnlyRareKeysHaveOwnersWhereAMissHasNoPrice(t *testing.T) {
 	owners := map[string]bool{}
 	frequent := map[string]bool{}
 	faulty := map[string]bool{}
 	faults := map[string]func(*rig){
-		"an ejected worker": func(rig *rig) { rig.setFailureScore(rig.fleet[0], 1, attemptsFail) },
+		"an ejected worker": func(rig *rig) { rig.setFailureScore(rig.fleet[0], 1, reasonAttemptsFail) },
 		"many bad outcomes": func(rig *rig) { rig.ceilings.badRatio = overloadBadRatio },
 	}
 	for seed := range uint64(60) {
@@ -57,7 +57,7 @@
 		}
 	}
 	if len(owners) > maxOwners || len(owners) < maxOwners/2 {
-		t.Fatalf("60 dispatchers send a rare key to %d workers", len(owners))
+		t.Fatalf("60 dispatchers send a rare key to %d workers, want maxOwners/2 to maxOwners", len(owners))
 	}
 	if len(faulty) < 2*3*maxOwners {
 		t.Fatalf("during a fault they send a rare key to %d workers", len(faulty)/2)
--- a/decision/routing.go
+++ b/decision/routing.go
@@ -5,28 +5,28 @@
 	"math"
 )
 
-// A pick draws workers at random until two can take the request, and takes the one with the shorter expected
-// delay (power of two choices). It draws from the dispatcher's subset first: a dispatcher that spread few
-// requests over a large fleet would have no recent knowledge of any worker.
+// A pick draws workers at random until two can take the request, and chooses the one with the shorter
+// expected delay (power of two choices). It draws from the dispatcher's subset first: a dispatcher that
+// spread few requests over a large fleet would have no recent knowledge of any worker.
 //
-// The figures were inherited with the decision machine. unknownWorkerWaits and zoneCostWeight were chosen by
+// The values were inherited with the decision machine. unknownWorkerWaits and zoneCostWeight were chosen by
 // the mean score of simulated runs; defaultOwnerBias was added later.
 const (
-	maxWarmDraws            = 32               // warm workers looked at for one pick, to bound its work
-	maxWarmingUpDraws       = 4 * maxWarmDraws // workers in slow start looked at; few of them have budget
+	maxWarmDraws            = 32               // warm workers examined for one pick, to limit its cost
+	maxWarmingUpDraws       = 4 * maxWarmDraws // workers in slow start examined; few of them have budget
 	subsetRequestsPerWorker = 2                // recent requests for each worker of the subset
 	minSubsetSize           = 4
-	unknownWorkerWaits      = 4   // mean waits that are expected at a worker without recent knowledge
-	zoneCostWeight          = 4   // fraction of the time left for a unit of CrossZoneCost
-	cacheMissCostWeight     = 4   // fraction of the time left for a unit of CacheMissCost
-	defaultOwnerBias        = 0.1 // smallest such fraction: a miss takes time even where it has no price
-	unstartedPatience       = 4   // ticks that an attempt may wait for its start before its worker is busy
+	unknownWorkerWaits      = 4   // expected wait at a worker without recent knowledge, in mean waits
+	zoneCostWeight          = 4   // own-zone bias: fraction of the time left per unit of CrossZoneCost
+	cacheMissCostWeight     = 4   // owner bias: fraction of the time left per unit of CacheMissCost
+	defaultOwnerBias        = 0.1 // smallest owner bias, since a miss takes time even without CacheMissCost
+	maxUnstartedWaitTicks   = 4   // a worker is busy if an attempt has waited there for its start for longer
 )
 
 // pickWorker returns the worker for a request, nil if there is none. A worker in slow start that has budget
-// comes first: few dispatchers draw it, and it would idle until it has warmed up. Otherwise an owner of the
-// request's key, and then a worker of the dispatcher's zone, is preferred, unless it costs too much of the
-// time left.
+// is preferred: few dispatchers draw it, and otherwise it would idle until it has warmed up. Next, an owner
+// of the request's key is preferred, and then a worker of the dispatcher's zone, unless the additional
+// expected delay takes too much of the time left.
 func (m *Machine) pickWorker(request *request) *worker {
 	if worker := m.pickFrom(request, m.candidates.nextWarmingUp(), inWarmingUp); worker != nil {
 		return worker
@@ -49,7 +49,7 @@
 	return worker
 }
 
-// preferred reports whether to take a candidate, if there is one, rather than another worker: its expected
+// preferred reports whether to choose a candidate, if there is one, rather than another worker: its expected
 // delay must exceed the other's by less than the bias, in seconds.
 func (m *Machine) preferred(request *request, candidate, other *worker, bias float64) bool {
 	if candidate == nil || other == nil {
@@ -58,8 +58,8 @@
 	return m.expectedDelay(request, candidate)-m.expectedDelay(request, other) < bias
 }
 
-// pickOwner returns an owner of the request's key that can take it. It looks at twice as many owners each
-// time, up to maxOwners.
+// pickOwner returns an owner of the request's key that can take it. It starts with initialOwners and doubles
+// the number of owners, up to maxOwners, until one can.
 func (m *Machine) pickOwner(request *request) *worker {
 	if request.keyHash == 0 {
 		return nil
@@ -74,9 +74,10 @@
 }
 
 // pickFrom draws workers from a list until two can take the request, and returns the one with the shorter
-// expected delay. A worker in slow start that can take it is returned at once, since its budget may have
-// been spent on a draw. The subset, at the head of the list, is drawn before the rest. What is drawn moves
-// to the front, so that the head stays a random but stable part of the fleet.
+// expected delay. A worker in slow start that can take the request is returned at once, since it may have
+// won a random draw for its budget, which would be wasted. The subset, at the head of the list, is drawn
+// before the rest. Drawn workers move to the front, so that the head remains a random but stable part of the
+// fleet.
 func (m *Machine) pickFrom(request *request, from []*worker, id listID) (best *worker) {
 	found := 0
 	drawnWarm := 0
@@ -105,24 +106,26 @@
 	return best
 }
 
-// canTake reports whether a worker may have the request now. The slow-start budget is checked last, since
-// that check may spend it.
+// canTake reports whether a worker may get the request now. The slow-start budget is checked last, since the
+// check may spend it.
 func (m *Machine) canTake(request *request, worker *worker) bool {
 	return m.mayAssign(request, worker) && !m.busy(request, worker) &&
 		m.usable(request, worker) && m.withinSlowStartBudget(request, worker)
 }
 
-// expectedDelay is the number of seconds after which the request can be expected to end at a worker: the
-// slots outstanding there, from this and other dispatchers, times the run time, and the wait for a start.
+// expectedDelay is the expected number of seconds until the request ends at a worker: the slots outstanding
+// there, from this and other dispatchers and for the request itself, times the run time, plus the wait for a
+// start.
 //
-// Knowledge of a worker fades over the planning horizon, and a multiple of the mean wait takes its place.
-// Otherwise workers without recent knowledge would look idle to all dispatchers.
+// Confidence in the last report of a worker decays over the planning horizon. As it decays, a multiple of
+// the mean wait replaces the reported load. Otherwise workers without recent reports would look idle to all
+// dispatchers.
 func (m *Machine) expectedDelay(request *request, worker *worker) float64 {
 	knownAt := max(worker.startWait.at, worker.load.othersOutstandingAt)
-	known := math.Exp((knownAt - m.now).Seconds() / m.planningHorizon.Seconds())
-	slots := worker.outstanding + worker.load.othersOutstanding*known + request.slots
+	confidence := math.Exp((knownAt - m.now).Seconds() / m.planningHorizon.Seconds())
+	slots := worker.outstanding + worker.load.othersOutstanding*confidence + request.slots
 	return slots*m.expectedRunTime(request, worker) +
-		m.expectedStartWait(worker) + unknownWorkerWaits*m.estimates.meanStartWait*(1-known)
+		m.expectedStartWait(worker) + unknownWorkerWaits*m.estimates.meanStartWait*(1-confidence)
 }
 
 // expectedRunTime is the run time of the request at a worker, in seconds.
@@ -131,8 +134,9 @@
 	return request.work * ratio / m.capacityFraction(worker)
 }
 
-// expectedStartWait is the wait for a start at a worker, in seconds. It is the learned wait, which fades, but
-// at least the time for which the oldest of this dispatcher's attempts has waited there already.
+// expectedStartWait is the expected wait for a start at a worker, in seconds. It is the learned wait, which
+// decays, but at least the time that the oldest unstarted attempt of this dispatcher has waited there
+// already.
 func (m *Machine) expectedStartWait(worker *worker) float64 {
 	wait := worker.startWait.get(m.now, m.planningHorizon/4)
 	if m.settings.StartNotices && worker.unstarted > 0 {
@@ -141,9 +145,9 @@
 	return wait
 }
 
-// mayAssign reports whether the rules allow an attempt at a worker: it is running and not suspended, is open
-// to the class, and no effect can happen twice. A worker that had the request lately does not get it again,
-// unless it is the only one.
+// mayAssign reports whether an attempt at a worker is permitted: the worker is running and not suspended,
+// may run the class, and no effect can happen twice. A worker to which the request was assigned within the
+// planning horizon does not get it again, unless it is the only worker.
 func (m *Machine) mayAssign(request *request, worker *worker) bool {
 	class := request.class
 	if worker.State != Running || worker.suspended || !class.mayRunOn(worker) || m.mustNotRepeat(request) {
@@ -151,7 +155,7 @@
 	}
 	for i := range request.attempts {
 		attempt := &request.attempts[i]
-		if attempt.worker == worker && m.now-attempt.sentAt < m.planningHorizon && len(m.fleet) > 1 {
+		if attempt.worker == worker && m.now-attempt.assignedAt < m.planningHorizon && len(m.fleet) > 1 {
 			return false
 		}
 		mayRepeat := class.Idempotency != Deduplicated || class.DedupScope.covers(attempt.worker, worker)
@@ -162,14 +166,14 @@
 	return true
 }
 
-// busy reports whether the request would wait at the worker for too long. It had better wait in this
-// dispatcher's queue, from which the first worker with capacity can take it.
+// busy reports whether the request would wait at the worker for too long. Then it is better to keep it in
+// this dispatcher's queue, from which it goes to the first worker with capacity.
 func (m *Machine) busy(request *request, worker *worker) bool {
 	if m.saturated(request, worker) {
 		return true
 	}
-	patience := unstartedPatience * m.settings.Tick
-	if m.settings.StartNotices && worker.unstarted > 0 && m.now-worker.unstartedSince > patience {
+	maxWait := maxUnstartedWaitTicks * m.settings.Tick
+	if m.settings.StartNotices && worker.unstarted > 0 && m.now-worker.unstartedSince > maxWait {
 		return true
 	}
 	timeLeft := (request.objective - m.now).Seconds() - m.expectedRunTime(request, worker)
--- a/decision/routing_test.go
+++ b/decision/routing_test.go
@@ -14,7 +14,7 @@
 	rig.ceilings.concurrencyPerWorker = 100
 	for range 3 {
 		if rig.send(0) != "w1" {
-			t.Fatal("the slower of two idle workers was taken")
+			t.Fatal("the slower of two idle workers was chosen")
 		}
 	}
 	rig.fleet[1].outstanding = 10
@@ -23,7 +23,8 @@
 	}
 }
 
-// Where crossing zones has a cost, the dispatcher's own zone is preferred until its delay outweighs that.
+// With CrossZoneCost, the dispatcher's own zone is preferred unless its expected delay is longer by more than
+// the bias.
 func TestOwnZoneIsPreferredWithinItsBias(t *testing.T) {
 	settings := testSettings()
 	settings.CrossZoneCost = 0.05
@@ -32,16 +33,17 @@
 	rig.fleet[0].runTimeRatio = 1
 	rig.fleet[1].runTimeRatio = 0.9
 	if rig.send(0) != "w0" {
-		t.Fatal("crossed for little")
+		t.Fatal("sent to another zone for a small gain")
 	}
 	rig.fleet[0].outstanding = 5
 	if rig.send(0) != "w1" {
-		t.Fatal("own zone preferred at any delay")
+		t.Fatal("sent to the own zone though the delay there is long")
 	}
 }
 
-// Knowledge of a worker fades: one without a recent report counts as loaded as the mean. Otherwise workers
-// without reports would look idle, get a third of all requests and let them wait.
+// Confidence in the report of a worker decays: a worker without a recent report counts as loaded like the
+// mean. Otherwise workers without reports would look idle and get a third of all requests, which would wait
+// there.
 func TestKnowledgeOfWorkersFades(t *testing.T) {
 	settings := testSettings()
 	settings.StartNotices = true
@@ -72,11 +74,11 @@
 	rig.handle(rig.now+time.Second, Event{Kind: AttemptStarted, Request: id, Worker: rig.assignedTo(id)})
 	got := rig.estimates.meanStartWait
 	if want := 2.0 / minPricedRequests; math.Abs(got-want) > 1e-9 {
-		t.Errorf("after a first wait of a second the mean is %v, not %v", got, want)
+		t.Errorf("after a first wait of a second the mean is %v, want %v", got, want)
 	}
 }
 
-// The work for a pick must not grow with the fleet.
+// The cost of a pick must not grow with the fleet.
 func TestPickDrawsAreBounded(t *testing.T) {
 	rig := newRig(t, testSettings(), 300)
 	rig.setCeilings(100, 1e6)
@@ -98,8 +100,9 @@
 	}
 }
 
-// A dispatcher with few requests that spread them over a large fleet would know nothing recent of any
-// worker, and open a connection for each. It keeps to a subset, unless that cannot take the request.
+// A dispatcher with few requests that spread them over a large fleet would have no recent reports of any
+// worker, and would open a connection for each request. It sends them to its subset, unless the subset cannot
+// take them.
 func TestFewRequestsKeepToTheSubset(t *testing.T) {
 	rig := newRig(t, testSettings(), 200)
 	used := map[string]bool{}
@@ -127,11 +130,11 @@
 		}
 	}
 	if moved > 1 {
-		t.Fatalf("one new worker moved %d others in the order of draws", moved)
+		t.Fatalf("one new worker moved %d others in the list", moved)
 	}
 }
 
-// Each dispatcher must have another subset: the same for all would overload a few workers.
+// The subsets of dispatchers must differ: if all had the same subset, its few workers would be overloaded.
 func TestSubsetsDiffer(t *testing.T) {
 	var heads []string
 	for seed := range uint64(8) {
@@ -140,11 +143,11 @@
 	}
 	slices.Sort(heads)
 	if len(slices.Compact(heads)) < 5 {
-		t.Fatalf("8 dispatchers begin with %v", heads)
+		t.Fatalf("8 dispatchers draw these workers first, want at least 5 different ones: %v", heads)
 	}
 }
 
-// The work for a request must not grow with the fleet: counted by allocations, at fleets of a hundred to
+// The cost of a request, counted in allocations, must not grow from a fleet of a hundred workers to one of
 // several thousand.
 func TestWorkPerRequestDoesNotGrowWithTheFleet(t *testing.T) {
 	counts := map[int]float64{}
--- a/decision/rules_test.go
+++ b/decision/rules_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever clients, workers and discovery do, each action keeps the rules, each request gets its answer,
-// and nothing is held once all has ended.
+// For any behaviour of clients, workers and discovery, each action keeps the rules, each request gets its
+// answer, and no state is held once all requests and attempts have ended.
 func TestRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim := newSimulation(t)
@@ -35,7 +35,7 @@
 	})
 }
 
-// check fails for an action that breaks a rule, and records it.
+// check fails the test if an action breaks a rule; otherwise it records the action.
 func (s *simulation) check(action Action) {
 	request := s.requests[action.Request]
 	switch action.Kind {
@@ -63,12 +63,12 @@
 		}
 		s.timers = append(s.timers, simTimer{s.now + action.Delay, action.Timer})
 	case Subscribe:
-		if s.watching || !s.settings.ListBySubscription {
-			s.t.Fatal("subscribed twice, or where the list is pushed")
+		if s.subscribed || !s.settings.ListBySubscription {
+			s.t.Fatal("subscribed twice, or though the list comes without a subscription")
 		}
-		s.watching = true
+		s.subscribed = true
 	case CheckHealth:
-		s.t.Fatal("a health check where they are not allowed")
+		s.t.Fatal("a health check though health checks are not allowed")
 	}
 }
 
@@ -84,18 +84,18 @@
 	return true
 }
 
-// checkAssign fails for an attempt that breaks a rule, and records it.
+// checkAssign fails the test if an attempt breaks a rule; otherwise it records the attempt.
 func (s *simulation) checkAssign(request *simRequest, action Action) {
 	if request == nil || request.answered {
-		s.t.Fatalf("work sent for a request that is answered or unknown: %+v", action)
+		s.t.Fatalf("an attempt for a request that is answered or unknown: %+v", action)
 	}
 	endpoint, ok := s.listed[action.Worker]
 	if !ok || endpoint.State != Running {
-		s.t.Fatalf("work sent to a worker that is draining or gone: %+v %+v", action, endpoint)
+		s.t.Fatalf("an attempt at a worker that is draining or removed: %+v %+v", action, endpoint)
 	}
 	if request.class.Kinds != nil && request.class.Kinds[0] != endpoint.Kind ||
 		request.class.Zones != nil && request.class.Zones[0] != endpoint.Zone {
-		s.t.Fatalf("a worker that is not open to the class: %+v", action)
+		s.t.Fatalf("an attempt at a worker that may not run the class: %+v", action)
 	}
 	s.checkSerialization(request)
 	if len(request.attempts) > 0 {
@@ -107,15 +107,15 @@
 	}
 	for _, attempt := range request.attempts {
 		if !attempt.done && !s.settings.Hedging {
-			s.t.Fatalf("a second attempt: %+v", action)
+			s.t.Fatalf("a second outstanding attempt without hedging: %+v", action)
 		}
 		s.checkRepeat(request, attempt, endpoint)
 	}
 	request.attempts = append(request.attempts, simAttempt{worker: endpoint, at: s.now})
 }
 
-// checkRetryBudget checks the attempts beyond the first in the latest window against the requests that
-// arrived in it.
+// checkRetryBudget checks the number of attempts beyond a request's first in the latest window against the
+// number of requests that arrived in it.
 func (s *simulation) checkRetryBudget() {
 	window := s.settings.RetryBudgetWindow
 	if window <= 0 {
@@ -134,7 +134,7 @@
 		}
 	}
 	if float64(retries) > s.settings.RetryBudgetFloor+s.settings.RetryBudgetRatio*float64(arrivals) {
-		s.t.Fatalf("%d further attempts for %d requests", retries, arrivals)
+		s.t.Fatalf("%d retries for %d requests", retries, arrivals)
 	}
 }
 
@@ -154,8 +154,8 @@
 	}
 }
 
-// checkSerialization checks the order by key: all earlier requests of the key are over, and so is its
-// cooldown.
+// checkSerialization checks the order of requests with the same key: all earlier requests of the key are
+// over, and so is its cooldown.
 func (s *simulation) checkSerialization(request *simRequest) {
 	if request.key == "" || !request.class.Serialized {
 		return
--- a/decision/saturation.go
+++ b/decision/saturation.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// saturationLatencies is the fraction of the mean latency for which a saturated worker gets no requests. It
-// was inherited with the decision machine.
-const saturationLatencies = 0.25
+// saturatedLatencyFraction is the fraction of the mean latency for which a saturated worker gets no
+// requests. It was inherited with the decision machine.
+const saturatedLatencyFraction = 0.25
 
-// classRejections records how a worker rejects requests of one class.
+// classRejections records a worker's rejections of requests of one class.
 type classRejections struct {
-	lastAcceptedAt  time.Duration // when the latest request that it accepted was sent
-	count           int           // requests rejected since
-	firstRejectedAt time.Duration // when the first of those was rejected
+	lastAcceptedAt  time.Duration // when the latest request that the worker accepted was assigned
+	count           int           // requests rejected since the latest accepted one
+	firstRejectedAt time.Duration // when the first of them was rejected
 	backoff         time.Duration
-	blockedUntil    time.Duration // it gets none of the class until then
+	blockedUntil    time.Duration // until then the worker gets no requests of the class
 }
 
-// rejectionsOf returns the record of a class.
+// rejectionsOf returns the worker's record for a class.
 func (w *worker) rejectionsOf(class *Class) *classRejections {
 	if w.rejections[class] == nil {
 		if w.rejections == nil {
@@ -26,16 +26,16 @@
 	return w.rejections[class]
 }
 
-// recordAccepted records that the worker has accepted the attempt, at a request of the class.
+// recordAccepted records that the worker has accepted the attempt, whose request is of the class.
 func (a *attempt) recordAccepted(class *Class) {
 	rejections := a.worker.rejectionsOf(class)
-	if a.sentAt > rejections.lastAcceptedAt {
-		*rejections = classRejections{lastAcceptedAt: a.sentAt}
+	if a.assignedAt > rejections.lastAcceptedAt {
+		*rejections = classRejections{lastAcceptedAt: a.assignedAt}
 	}
 }
 
-// acceptsOtherClasses reports whether the worker has accepted requests of other classes that were sent after
-// a moment.
+// acceptsOtherClasses reports whether the worker has accepted a request of another class that was assigned
+// after the given time.
 func (w *worker) acceptsOtherClasses(class *Class, after time.Duration) bool {
 	for other, rejections := range w.rejections {
 		if other != class && rejections.lastAcceptedAt > after {
@@ -45,9 +45,9 @@
 	return false
 }
 
-// recordSaturated records that a worker has rejected a request. It is taken for full for a moment. Where it
-// has accepted other classes meanwhile, it is taken not to serve this one, which is blocked there for a
-// backoff that doubles.
+// recordSaturated records that a worker has rejected a request. The worker counts as full for a short time.
+// If it has accepted other classes since it began to reject this one, it is assumed not to serve the class;
+// then only the class is blocked there, for a backoff that doubles each time.
 func (m *Machine) recordSaturated(worker *worker, class *Class) {
 	rejections := worker.rejectionsOf(class)
 	rejections.count++
@@ -55,7 +55,7 @@
 		rejections.firstRejectedAt = m.now
 	}
 	if rejections.count == 1 || !worker.acceptsOtherClasses(class, rejections.firstRejectedAt) {
-		worker.saturatedUntil = m.now + seconds(m.estimates.meanLatency*saturationLatencies)
+		worker.saturatedUntil = m.now + seconds(m.estimates.meanLatency*saturatedLatencyFraction)
 		return
 	}
 	rejections.backoff = m.nextBackoff(rejections.backoff)
--- a/decision/saturation_test.go
+++ b/decision/saturation_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// A worker that rejects all requests of one class while it accepts others is sent that class more and more
-// rarely, and the others as before. Once it accepts the class again, it is no longer blocked.
+// A worker that rejects all requests of one class while it accepts others gets that class at increasing
+// intervals, and the other classes as before. Once it accepts the class again, the class is no longer
+// blocked.
 func TestClassThatAWorkerRejectsGoesElsewhere(t *testing.T) {
 	settings := testSettings()
 	settings.StartNotices = true
@@ -25,7 +26,7 @@
 	rig.now += 5 * time.Second
 	rig.selective = false
 	for range 40 {
-		for range 4 { // so many at a time that the two best known workers cannot serve them all
+		for range 4 { // more at a time than the two workers that accepted the class before can serve
 			rig.arrive(1)
 		}
 		rig.serve()
@@ -45,7 +46,7 @@
 	rejections int
 }
 
-// serve ends all outstanding attempts, and those that are assigned meanwhile.
+// serve ends all outstanding attempts, including those that are assigned meanwhile.
 func (r *selectiveRig) serve() {
 	for _, id := range slices.Sorted(maps.Keys(r.requests)) {
 		for number := 0; r.requests[id] != nil && number < len(r.requests[id].attempts); number++ {
@@ -56,7 +57,7 @@
 	}
 }
 
-// serveAttempt lets a worker reject an attempt or complete it.
+// serveAttempt ends an attempt: its worker rejects or completes it.
 func (r *selectiveRig) serveAttempt(id uint64, number int) {
 	request := r.requests[id]
 	worker := request.attempts[number].worker.Name
--- a/decision/serialization.go
+++ b/decision/serialization.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// serializer orders the requests of Serialized classes: those with one key run one at a time, in the order
-// of their arrival.
+// serializer orders the requests of Serialized classes: those with the same key run one at a time, in the
+// order of their arrival.
 type serializer struct {
 	queues      map[string]*keyQueue // by key
-	coolingDown []*keyQueue          // by the end of the cooldown
+	coolingDown []*keyQueue          // ordered by the end of the cooldown
 }
 
 // keyQueue is the queue of one key.
 type keyQueue struct {
 	key           string
-	requests      []*request // that are not over, by arrival
+	requests      []*request // requests that are not over, by arrival
 	cooldownUntil time.Duration
 }
 
-// join puts a request last among those of its key.
+// join appends a request to the queue of its key.
 func (s *serializer) join(request *request, key string) {
 	queue := s.queues[key]
 	if queue == nil {
@@ -30,14 +30,14 @@
 	queue.requests = append(queue.requests, request)
 }
 
-// leave takes out a request that is over.
+// leave removes a request that is over from the queue of its key.
 func (s *serializer) leave(over *request, now time.Duration) {
 	queue := over.keyQueue
 	queue.requests = slices.DeleteFunc(queue.requests, func(request *request) bool { return request == over })
 	s.dropIfIdle(queue, now)
 }
 
-// endCooldowns forgets the idle keys whose cooldown is over.
+// endCooldowns drops the idle keys whose cooldown is over.
 func (s *serializer) endCooldowns(now time.Duration) {
 	for len(s.coolingDown) > 0 && now >= s.coolingDown[0].cooldownUntil {
 		s.dropIfIdle(s.coolingDown[0], now)
@@ -45,15 +45,15 @@
 	}
 }
 
-// dropIfIdle forgets a key that has no request and no cooldown.
+// dropIfIdle drops a key that has no request and no cooldown.
 func (s *serializer) dropIfIdle(queue *keyQueue, now time.Duration) {
 	if len(queue.requests) == 0 && now >= queue.cooldownUntil && s.queues[queue.key] == queue {
 		delete(s.queues, queue.key)
 	}
 }
 
-// awaitsKey reports whether a request must wait for its key: an earlier request is not over, or, if this one
-// has had no attempt yet, an attempt at an earlier one may still run.
+// awaitsKey reports whether a request must wait for its key: an earlier request of the key is not over, or
+// this request has had no attempt yet and the key's cooldown is not over.
 func (r *request) awaitsKey(now time.Duration) bool {
 	queue := r.keyQueue
 	if queue == nil {
@@ -62,7 +62,7 @@
 	return queue.requests[0] != r || len(r.attempts) == 0 && now < queue.cooldownUntil
 }
 
-// startCooldown holds back the next request of a key, since an attempt at an earlier one may still run.
+// startCooldown delays the next request of a key, since an attempt at an earlier one may still run.
 func (m *Machine) startCooldown(queue *keyQueue) {
 	span := m.settings.KeyCooldown + m.settings.Tick
 	queue.cooldownUntil = m.now + span
--- a/decision/serialization_test.go
+++ b/decision/serialization_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Serialized requests with one key run one at a time, in the order of their arrival. After a connection was
-// lost the key has a cooldown. Requests without a key, or with another one, do not wait.
+// Serialized requests with the same key run one at a time, in the order of their arrival. After a lost
+// connection, the key has a cooldown. Requests without a key, or with another key, do not wait.
 func TestSerializedKeysRunOneAtATime(t *testing.T) {
 	settings := testSettings()
 	settings.KeyCooldown = 300 * time.Millisecond
@@ -16,18 +16,18 @@
 	first := send("a")
 	second := send("a")
 	if rig.assignedTo(first) == "" || rig.assignedTo(second) != "" {
-		t.Fatal("two of a key at once")
+		t.Fatal("the first request was not sent, or the second one with the same key was sent at once")
 	}
 	if rig.assignedTo(send("b")) == "" || rig.assignedTo(send("")) == "" {
-		t.Fatal("another key waits as well")
+		t.Fatal("a request with another key, or without a key, waits")
 	}
 	rig.endAttempt(first, 0, ConnectionLost, time.Millisecond)
 	rig.handle(rig.now+299*time.Millisecond, Event{Kind: TimerFired, Timer: 1})
 	if rig.assignedTo(second) != "" {
-		t.Fatal("the key's cooldown is not over")
+		t.Fatal("sent before the key's cooldown was over")
 	}
 	rig.handle(rig.now+2*time.Millisecond, Event{Kind: TimerFired, Timer: cooldownTimer})
 	if rig.assignedTo(second) == "" {
-		t.Fatal("not sent when its turn came")
+		t.Fatal("not sent after the key's cooldown")
 	}
 }
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -15,7 +15,7 @@
 // The values of Idempotency.
 const (
 	Idempotent    Idempotency = iota // may run any number of times
-	Deduplicated                     // workers of one DedupScope discard repeats for a while
+	Deduplicated                     // workers within the DedupScope discard repeats during the DedupWindow
 	NonIdempotent                    // must never run twice
 )
 
@@ -37,52 +37,52 @@
 // Class describes one class of requests. An answer within the latency objective, LatencyObjective +
 // ObjectiveStretch * work after the first try, earns PriorityWeight; a later one earns LateWeight of it.
 type Class struct {
-	Name             string  // for logs and wires; no decision rests on it
+	Name             string  // for logs and protocols; no decision depends on it
 	PriorityWeight   float64 // what an answer within the latency objective earns
 	LateWeight       float64 // fraction of PriorityWeight that a later answer earns
 	LatencyObjective time.Duration
-	ObjectiveStretch float64       // with LatencyObjective 0 as well, the objective is Deadline
-	Deadline         time.Duration // how long a client waits in all
+	ObjectiveStretch float64       // if this and LatencyObjective are 0, the objective is Deadline
+	Deadline         time.Duration // how long a client waits in total
 	Idempotency      Idempotency
 	DedupScope       DedupScope    // for Deduplicated
 	DedupWindow      time.Duration // for Deduplicated: how long the workers remember a request
 	Kinds            []int         // the only machine kinds that may run the class; nil: any
-	Zones            []int         // the only zones in which it may run; nil: any
-	Serialized       bool          // requests of such classes with one key run one at a time, by arrival
-	Streaming        bool          // the answer is a stream, announced by FirstByte
+	Zones            []int         // the only zones in which the class may run; nil: any
+	Serialized       bool          // requests of such classes with the same key run one at a time, by arrival
+	Streaming        bool          // the answer is a stream, whose beginning FirstByte reports
 }
 
-// mayRunOn reports whether a worker is open to the class, by its kind and zone in the latest list.
+// mayRunOn reports whether the class may run on a worker, by the worker's kind and zone in the latest list.
 func (c *Class) mayRunOn(worker *worker) bool {
 	return (c.Kinds == nil || slices.Contains(c.Kinds, worker.Kind)) &&
 		(c.Zones == nil || slices.Contains(c.Zones, worker.Zone))
 }
 
-// Settings are fixed when a dispatcher starts, but for those of a SettingsChanged event. Only Classes is
-// required, with the Deadline of each; for the rest the zero value is a safe default: what is not allowed
-// is not done, and a rule whose span is 0 is off.
+// Settings are fixed when a dispatcher starts, except for those that a SettingsChanged event may change.
+// Only Classes is required, with the Deadline of each. For all other fields the zero value is a safe
+// default: optional actions are not taken, and rules with a duration or window of 0 are disabled.
 type Settings struct {
 	Classes         []Class
-	TenantQuotas    []float64     // requests a second over all dispatchers, by tenant; empty: no tenants
+	TenantQuotas    []float64     // requests per second over all dispatchers, by tenant; empty: no tenants
 	OverQuotaWeight float64       // fraction of its weight that a request beyond its tenant's quota keeps
-	WeightByWork    bool          // PriorityWeight counts per unit of work, not per request
+	WeightByWork    bool          // PriorityWeight is per second of work, not per request
 	Zone            int           // zone of this dispatcher
 	Peers           int           // dispatchers in this tier, itself included
 	Tick            time.Duration // resolution of the caller's clock and timers
 
-	ListBySubscription bool          // the endpoint list comes only after Subscribe
+	ListBySubscription bool          // updates of the endpoint list come only after Subscribe
 	ListPollInterval   time.Duration // the longest time without a call before the list counts as stale
 
-	SlowStartFloor    float64       // part of its capacity that a worker has when it has just started
-	SlowStartDuration time.Duration // it has all of it after this time
-	OverloadMultiple  float64       // in slow start it is overloaded when sent this multiple of its capacity
-	OverloadWindow    time.Duration // within a window of this length
+	SlowStartFloor    float64       // fraction of its capacity that a worker has when it has just started
+	SlowStartDuration time.Duration // time after which a started worker has its full capacity
+	OverloadMultiple  float64       // multiple of its capacity that overloads a worker in slow start
+	OverloadWindow    time.Duration // length of the window in which that work is counted
 
 	SaturatedMayHaveRun bool          // Saturated does not prove that an attempt never ran
-	KeyCooldown         time.Duration // a key waits this long after an attempt that may still be running
-	RetryBudgetWindow   time.Duration // in any such span, retries and hedges number at most RetryBudgetFloor
-	RetryBudgetFloor    float64       // plus RetryBudgetRatio for each request that arrived in the span;
-	RetryBudgetRatio    float64       // with a window of 0 they are not bounded
+	KeyCooldown         time.Duration // how long a key waits after an attempt that may still be running
+	RetryBudgetWindow   time.Duration // window in which retries and hedges are limited; 0: no limit
+	RetryBudgetFloor    float64       // retries and hedges that are allowed in any window
+	RetryBudgetRatio    float64       // further ones that are allowed per request that arrived in the window
 
 	MaxAttempts           int           // of one request, hedges included
 	Hedging               bool          // a request may have two attempts outstanding at once
@@ -91,34 +91,35 @@
 	LoadByHealthCheck     bool          // load reports come with health checks only
 	MaxRetryAfter         time.Duration // the longest Delay of Reject
 	ConnectTimeout        time.Duration
-	ConnectionIdleTimeout time.Duration // connections unused for so long are closed by workers; 0: unknown
-	SendNotices           bool          // AttemptSent says when the last byte has left; else Assign sends
+	ConnectionIdleTimeout time.Duration // idle time after which workers close a connection; 0: unknown
+	SendNotices           bool          // AttemptSent reports the last byte sent; else Assign counts as sent
 	StartNotices          bool          // workers report when a request starts to run
-	StartsInOrder         bool          // workers start waiting requests in the order in which they came
-	ProgressInterval      time.Duration // interval of progress reports; 0: none
+	StartsInOrder         bool          // workers start waiting requests in the order of their arrival
+	ProgressInterval      time.Duration // interval of progress reports; 0: there are none
 	CrossZoneCost         float64       // score lost when every attempt crosses zones
 	CacheMissCost         float64       // score lost when each request's key misses the worker's cache
 	ClientsMarkRetries    bool          // clients mark their own retries
-	LoadAdjustedWeights   bool          // the list's weights fall with the load
+	LoadAdjustedWeights   bool          // the weights in the endpoint list decrease with the workers' load
 
-	// What follows serves those who carry out the actions; no decision rests on it.
+	// The following fields are for the code that carries out the actions; no decision depends on them.
 
 	ZoneNames  []string      // names of zones by their number
 	KindNames  []string      // names of machine kinds by their number
-	FreeSlots  string        // the field of a load report that gives the free slots; empty: none
-	DrainGrace time.Duration // how long after it is known to drain a worker may still be sent to
+	FreeSlots  string        // name of the load report's field with the free slots; empty if there is none
+	DrainGrace time.Duration // how long a worker may still be sent to after it is known to be draining
 }
 
 // largeFleetThreshold is the largest number of dispatchers that may call for the endpoint list at the same
-// moment: a list service that answers seven calls a second, and fails a call after two seconds, still
-// serves that many.
+// moment: a list service that answers seven calls per second, and fails a call after two seconds, can still
+// serve that many.
 const largeFleetThreshold = 8
 
 // LargeFleet reports whether there are so many dispatchers that their calls for the endpoint list must be
-// spread over time. The initial endpoint list serves meanwhile.
+// spread over time. Until its first call, a dispatcher uses the initial endpoint list.
 func (s *Settings) LargeFleet() bool { return s.Peers > largeFleetThreshold }
 
-// normalize checks the settings and fills in what must not be zero. The caller's Classes stay as they are.
+// normalize checks the settings and replaces zero values that are not usable. It does not modify the
+// caller's Classes.
 func (s *Settings) normalize() error {
 	if len(s.Classes) == 0 {
 		return errors.New("settings: Classes is empty")
@@ -152,7 +153,8 @@
 	return nil
 }
 
-// normalize checks the class with that index in Settings.Classes, and gives it a latency objective.
+// normalize checks the class with that index in Settings.Classes, and sets its latency objective if it has
+// none.
 func (c *Class) normalize(index int) error {
 	if c.Deadline <= 0 {
 		return fmt.Errorf("settings: Classes[%d].Deadline must be positive", index)
@@ -199,7 +201,7 @@
 	return nil
 }
 
-// checkPlacement refuses a list of kinds or zones that is empty but not nil, or has a negative number.
+// checkPlacement refuses a list of kinds or zones that is empty but not nil, or that has a negative number.
 func checkPlacement(class int, field string, list []int) error {
 	if list != nil && (len(list) == 0 || slices.Min(list) < 0) {
 		return fmt.Errorf("settings: Classes[%d].%s must name one at least, or be nil", class, field)
--- a/decision/settings_test.go
+++ b/decision/settings_test.go
@@ -39,6 +39,6 @@
 	}
 	got := machine.Handle(1, Event{Kind: RequestArrived, Request: 1, TimeLeft: time.Second}, nil)
 	if findAction(got, SetTimer) == nil {
-		t.Fatalf("bare settings: %v", got)
+		t.Fatalf("a request was not admitted with minimal settings: %v", got)
 	}
 }
--- a/decision/simulation_test.go
+++ b/decision/simulation_test.go
@@ -7,23 +7,23 @@
 	"pgregory.net/rapid"
 )
 
-// simulation takes the part of clients, workers and discovery for one dispatcher, and checks its actions
-// against the rules. Its record of what was sent and reported is independent of the machine's.
+// simulation plays the clients, the workers and discovery for one dispatcher, and checks the dispatcher's
+// actions against the rules. Its record of what was sent and reported is independent of the machine's.
 type simulation struct {
 	t             *rapid.T
 	settings      Settings
 	machine       *Machine
 	now           time.Duration
-	listed        map[string]Endpoint // as last listed, gone ones included
+	listed        map[string]Endpoint // each worker as last listed, including removed ones
 	names         []string
-	stall         time.Duration // how long it may have stood still
+	stall         time.Duration // longest stall of the process whose late answers must be tolerated
 	requests      map[uint64]*simRequest
 	arrivalOrder  []uint64
 	nextID        uint64
 	timers        []simTimer
-	watching      bool
-	arrivals      []time.Duration          // of requests, since the start
-	retries       []time.Duration          // attempts beyond a request's first, since the start
+	subscribed    bool
+	arrivals      []time.Duration          // times of the requests since the start
+	retries       []time.Duration          // times of the attempts beyond a request's first since the start
 	cooldownUntil map[string]time.Duration // by key
 }
 
@@ -39,7 +39,7 @@
 	key      string
 	class    Class
 	deadline time.Duration
-	answered bool // by a completed attempt or by the dispatcher
+	answered bool // by a completed attempt or by the dispatcher, or the client has disconnected
 	attempts []simAttempt
 }
 
@@ -110,7 +110,7 @@
 	return settings
 }
 
-// drawClasses draws a class for each kind of idempotency; all but one are serialized if any are.
+// drawClasses draws a class for each kind of idempotency. If serialized, all classes but one are serialized.
 func drawClasses(t *rapid.T, serialized bool) []Class {
 	classes := []Class{
 		{Idempotency: Idempotent},
@@ -139,7 +139,7 @@
 	return classes
 }
 
-// restart replaces the dispatcher by one that knows nothing of the requests so far.
+// restart replaces the dispatcher by one that does not know the requests so far.
 func (s *simulation) restart() {
 	machine, err := New(s.settings, rapid.Uint64().Draw(s.t, "seed"))
 	if err != nil {
@@ -150,14 +150,14 @@
 	s.arrivalOrder = nil
 	s.timers = nil
 
-	s.watching = false
+	s.subscribed = false
 	s.arrivals = nil
 	s.retries = nil
 	s.cooldownUntil = map[string]time.Duration{}
 	s.handle(Event{Kind: ListUpdated, ListKind: ListCached, Endpoints: s.entries()})
 }
 
-// entries returns the workers that are listed now.
+// entries returns the endpoint list as it is now, without removed workers.
 func (s *simulation) entries() (list []Endpoint) {
 	for _, name := range s.names {
 		if endpoint := s.listed[name]; endpoint.State != Removed {
@@ -174,7 +174,7 @@
 	}
 }
 
-// advance moves the clock in ticks; deadlines and timers come due on the way.
+// advance moves the clock in ticks, and handles the deadlines and timers that become due.
 func (s *simulation) advance(span time.Duration) {
 	for end := s.now + span; s.now < end; {
 		s.now += s.settings.Tick
@@ -186,7 +186,8 @@
 	}
 }
 
-// attemptsTimedOut ends the outstanding attempts of the requests whose deadline is over.
+// attemptsTimedOut ends the outstanding attempts of the requests whose deadline has passed, and returns the
+// events.
 func (s *simulation) attemptsTimedOut() (events []Event) {
 	for _, id := range s.arrivalOrder {
 		request := s.requests[id]
@@ -202,7 +203,7 @@
 	return events
 }
 
-// timersDue takes out the timers that are due.
+// timersDue removes the timers that are due, and returns their events.
 func (s *simulation) timersDue() (events []Event) {
 	var left []simTimer
 	for _, timer := range s.timers {
@@ -216,11 +217,11 @@
 	return events
 }
 
-// checkAllAnswered checks that each request whose deadline is over has its answer.
+// checkAllAnswered checks that each request whose deadline has passed, with some tolerance, has its answer.
 func (s *simulation) checkAllAnswered() {
 	for _, id := range s.arrivalOrder {
 		if request := s.requests[id]; !request.answered && s.now >= request.deadline+answerSlack+s.stall {
-			s.t.Fatalf("request lost: %+v", request)
+			s.t.Fatalf("no answer after the deadline: %+v", request)
 		}
 	}
 }
@@ -245,7 +246,8 @@
 	}
 }
 
-// drawOutstanding draws one of the attempts outstanding, if there is any: its request and its number.
+// drawOutstanding draws one of the outstanding attempts, if there are any, and returns its request and its
+// number.
 func (s *simulation) drawOutstanding() (request *simRequest, n int, ok bool) {
 	type outstanding struct {
 		request *simRequest
@@ -267,7 +269,7 @@
 	return drawn.request, drawn.attempt, true
 }
 
-// step lets one thing happen.
+// step simulates one random event.
 func (s *simulation) step() {
 	t := s.t
 	switch rapid.IntRange(0, 16).Draw(t, "step") {
@@ -289,7 +291,7 @@
 		s.handle(Event{Kind: AttemptEnded, Request: 1 << 50, Worker: "unknown"})
 		s.handle(Event{Kind: TimerFired, Timer: 1 << 50})
 	case 16:
-		s.standStill()
+		s.stallProcess()
 	default:
 		s.advance(time.Duration(rapid.SampledFrom([]int{1, 5, 50, 400}).Draw(t, "ticks")) * s.settings.Tick)
 	}
@@ -315,7 +317,7 @@
 		event.Answered = true
 	}
 	s.handle(event)
-	s.handle(event) // a late duplicate must change nothing
+	s.handle(event) // a duplicate of the event must have no effect
 }
 
 // reportProgress reports on an outstanding attempt.
@@ -336,15 +338,15 @@
 
 // breakSubscription ends the subscription to the list, if there is one.
 func (s *simulation) breakSubscription() {
-	if s.settings.ListBySubscription && s.watching {
-		s.watching = false
+	if s.settings.ListBySubscription && s.subscribed {
+		s.subscribed = false
 		s.handle(Event{Kind: ListUpdated, ListKind: ListFailed})
 	}
 }
 
-// standStill lets the process stand still for a while. Then all that came meanwhile is handled at once,
-// with the timers that are due first or last.
-func (s *simulation) standStill() {
+// stallProcess simulates a stall of the process. Afterwards all events that arrived meanwhile are handled at
+// once. The timers that are due come before or after them.
+func (s *simulation) stallProcess() {
 	stall := time.Duration(rapid.IntRange(1, 200).Draw(s.t, "stall")) * s.settings.Tick
 	s.now += stall
 	if rapid.Bool().Draw(s.t, "timers first") {
@@ -364,7 +366,7 @@
 	}
 }
 
-// arrive brings a burst of requests of one class.
+// arrive delivers a burst of requests of one class.
 func (s *simulation) arrive() {
 	t := s.t
 	n := rapid.IntRange(0, len(s.settings.Classes)-1).Draw(t, "class")
@@ -391,9 +393,9 @@
 	}
 }
 
-// changeList changes what is listed of one worker, and tells the dispatcher.
+// changeList changes the list entry of one worker, and delivers the list to the dispatcher.
 func (s *simulation) changeList() {
-	if s.settings.ListBySubscription && !s.watching {
+	if s.settings.ListBySubscription && !s.subscribed {
 		return
 	}
 	name := rapid.SampledFrom(s.names).Draw(s.t, "worker")
--- a/decision/slowstart_fleet_test.go
+++ b/decision/slowstart_fleet_test.go
@@ -10,18 +10,19 @@
 	"pgregory.net/rapid"
 )
 
-// The steps of a run of slowStartFleet.
+// The duration of a step of slowStartFleet, and the steps at which something changes.
 const (
 	fleetStep      = 10 * time.Millisecond
 	joinStep       = 500 // a worker joins
-	burstStep      = 550 // the rate of requests rises
-	replaceStep    = 600 // each process is replaced; some of them are killed, the others hand over
-	handedOverStep = 700 // the replaced processes are gone
+	burstStep      = 550 // the request rate rises
+	replaceStep    = 600 // each process is replaced; some are killed, the others hand over
+	handedOverStep = 700 // the replaced processes have ended
 	endStep        = 1200
 )
 
-// What 20 to 30 dispatchers together send a worker in slow start keeps, in any window, to the budget that
-// the settings give and an allowance for chance, also in a burst and while their processes start anew.
+// In any window, the work that 20 to 30 dispatchers together send a worker in slow start stays within the
+// budget of the settings plus a tolerance for randomness, even in a burst and while the processes are
+// replaced.
 func TestSlowStartBudgetOfAllDispatchers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := newSlowStartFleet(t)
@@ -35,34 +36,34 @@
 			case handedOverStep:
 				fleet.endHandovers()
 			}
-			fleet.bringRequests(step >= burstStep)
-			if step >= joinStep && fleet.warmth() < 1 {
+			fleet.generateRequests(step >= burstStep)
+			if step >= joinStep && fleet.capacityFraction() < 1 {
 				fleet.checkBudget(step)
 			}
 		}
 	})
 }
 
-// slowStartFleet is 20 to 30 dispatchers before warm workers and one in slow start, in steps of
-// virtual time.
+// slowStartFleet simulates 20 to 30 dispatchers that send requests to warm workers and to one in slow start,
+// in steps of virtual time.
 type slowStartFleet struct {
 	t        *rapid.T
 	settings Settings
 	random   *rand.Rand
 	now      time.Duration
 	members  []*fleetMember
-	due      map[time.Duration][]func() // by step
+	due      map[time.Duration][]func() // scheduled calls by their time
 	entries  []Endpoint                 // the first is the worker that joins
 	hints    bool
-	mean     float64 // work of a request, seconds
-	rate     float64 // requests a second
-	burst    float64 // by how much the rate rises
-	capacity float64 // of a worker, seconds of work a second
+	mean     float64 // mean work of a request, seconds
+	rate     float64 // requests per second
+	burst    float64 // factor by which the rate rises
+	capacity float64 // of a worker, seconds of work per second
 	sent     []workSent
-	next     uint64
+	next     uint64 // ID of the latest request
 }
 
-// fleetMember is one dispatcher: its process, and during a handover the one that it replaces.
+// fleetMember is one dispatcher: its process and, during a handover, the process that it replaces.
 type fleetMember struct{ process, predecessor *Machine }
 
 // newSlowStartFleet draws the fleet and starts its dispatchers.
@@ -104,7 +105,7 @@
 	return fleet
 }
 
-// advance moves the clock by a step and does what is due.
+// advance moves the clock by a step and runs the scheduled calls that are due.
 func (f *slowStartFleet) advance() {
 	f.now += fleetStep
 	for _, callback := range f.due[f.now] {
@@ -119,7 +120,7 @@
 	f.due[at] = append(f.due[at], callback)
 }
 
-// start returns a process that knows the list and nothing else.
+// start returns a new process that knows only the endpoint list.
 func (f *slowStartFleet) start() *Machine {
 	machine, err := New(f.settings, f.random.Uint64())
 	if err != nil {
@@ -129,7 +130,7 @@
 	return machine
 }
 
-// join starts a worker, of which all dispatchers hear at once.
+// join starts a worker. All dispatchers learn of it at once.
 func (f *slowStartFleet) join() {
 	f.entries[0] = Endpoint{Name: "new", StartedAt: f.now}
 	for _, member := range f.members {
@@ -149,14 +150,14 @@
 	}
 }
 
-// endHandovers ends the processes that have handed over.
+// endHandovers ends the processes that were replaced.
 func (f *slowStartFleet) endHandovers() {
 	for _, member := range f.members {
 		member.predecessor = nil
 	}
 }
 
-// handle feeds a process and carries out what it wants; work is the request's at hand.
+// handle feeds an event to a process and carries out the actions; work is the work of the event's request.
 func (f *slowStartFleet) handle(member *fleetMember, machine *Machine, event Event, work float64) {
 	for _, action := range machine.Handle(f.now, event, nil) {
 		switch action.Kind {
@@ -170,12 +171,12 @@
 	}
 }
 
-// assign runs a request at its worker; none of them queues.
+// assign runs a request at its worker; all requests start at once.
 func (f *slowStartFleet) assign(member *fleetMember, machine *Machine, action Action, work float64) {
 	run := work
 	if action.Worker == "new" {
 		f.sent = append(f.sent, workSent{f.now, work})
-		run /= f.warmth()
+		run /= f.capacityFraction()
 		f.forwardReservation(member, machine, action)
 	}
 	f.handle(member, machine, Event{Kind: AttemptStarted, Request: action.Request, Worker: action.Worker}, 0)
@@ -190,7 +191,7 @@
 	})
 }
 
-// forwardReservation passes on, during a handover, what one process has reserved to the other one.
+// forwardReservation reports, during a handover, what one process has reserved to the other one.
 func (f *slowStartFleet) forwardReservation(member *fleetMember, machine *Machine, action Action) {
 	if member.predecessor == nil {
 		return
@@ -203,14 +204,14 @@
 	f.handle(member, other, reserved, 0)
 }
 
-// warmth is the part of its capacity that the worker in slow start has now.
-func (f *slowStartFleet) warmth() float64 {
+// capacityFraction is the fraction of its capacity that the worker in slow start has now.
+func (f *slowStartFleet) capacityFraction() float64 {
 	age := (f.now - f.entries[0].StartedAt).Seconds() / f.settings.SlowStartDuration.Seconds()
 	return min(f.settings.SlowStartFloor+(1-f.settings.SlowStartFloor)*age, 1)
 }
 
-// bringRequests brings the requests of one step.
-func (f *slowStartFleet) bringRequests(burst bool) {
+// generateRequests delivers the requests of one step.
+func (f *slowStartFleet) generateRequests(burst bool) {
 	rate := f.rate
 	if burst {
 		rate *= f.burst
@@ -222,7 +223,7 @@
 	}
 }
 
-// arrive hands a request to one member.
+// arrive delivers a request to a random member.
 func (f *slowStartFleet) arrive() {
 	member := f.members[f.random.IntN(len(f.members))]
 	work := f.mean * f.random.ExpFloat64()
@@ -231,18 +232,19 @@
 	if f.hints {
 		event.Work = seconds(work)
 	} else {
-		work = f.mean // which no hint tells
+		work = f.mean // without hints all requests take the mean
 	}
 	f.handle(member, member.process, event, work)
 }
 
-// checkBudget checks what all members have sent the worker in slow start in the latest window, counted in
-// requests of mean work: at most N, the budget, and 2 times its root and 2 more for chance.
+// checkBudget checks the work that all members have sent the worker in slow start in the latest window,
+// counted in requests of mean work. It must be at most N + 2*sqrt(N) + 2, where N is the budget; the rest is
+// for randomness.
 func (f *slowStartFleet) checkBudget(step int) {
 	window := f.settings.OverloadWindow
 	sum := workAfter(f.sent, f.now-window) / f.mean
-	budget := f.settings.OverloadMultiple * f.warmth() * f.capacity * window.Seconds() / f.mean
+	budget := f.settings.OverloadMultiple * f.capacityFraction() * f.capacity * window.Seconds() / f.mean
 	if sum > budget+2*math.Sqrt(budget)+2 {
-		f.t.Fatalf("step %d: sent %.1f requests of mean work, N is %.1f", step, sum, budget)
+		f.t.Fatalf("step %d: sent %.1f requests of mean work, the budget is %.1f", step, sum, budget)
 	}
 }
