--- a/decision/slowstart_largefleet_test.go
+++ b/decision/slowstart_largefleet_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A pick must draw a bounded number of workers in slow start, however many there are, and all of them in
-// turn.
+// A pick must draw a bounded number of workers in slow start, however many there are, and successive picks
+// must draw all of them in turn.
 func TestDrawsInSlowStartAreBoundedAndFair(t *testing.T) {
 	machine, _ := newLargeFleet(t, 21000, 1)
 	drawn := map[*worker]int{}
@@ -44,8 +44,8 @@
 	}
 }
 
-// Every new worker must get requests before it has warmed up, where there is traffic enough, however many
-// new ones there are.
+// If there is enough traffic, every new worker must get requests before it has warmed up, however many new
+// workers there are.
 func TestEveryWorkerGetsRequestsInSlowStart(t *testing.T) {
 	const workers = 2100
 	settings := testSettings()
@@ -76,16 +76,16 @@
 	}
 }
 
-// steadyTraffic is requests at an even rate, each answered at once.
+// steadyTraffic generates requests at an even rate, each of which is answered at once.
 type steadyTraffic struct {
 	machine   *Machine
 	now       time.Duration
 	nextSweep time.Duration
-	requests  uint64         // so far
+	requests  uint64         // number of requests so far
 	served    map[string]int // by worker
 }
 
-// run brings requests until a moment.
+// run generates requests until the given time.
 func (s *steadyTraffic) run(until time.Duration) {
 	const perSecond = 2000
 	for ; s.now < until; s.now += time.Second / perSecond {
@@ -99,14 +99,14 @@
 
 func (s *steadyTraffic) arrive() {
 	s.requests++
-	did := s.machine.Handle(s.now, Event{
+	actions := s.machine.Handle(s.now, Event{
 		Kind:     RequestArrived,
 		Request:  s.requests,
 		Slots:    1,
 		Work:     50 * time.Millisecond,
 		TimeLeft: 5 * time.Second,
 	}, nil)
-	assigned := findAction(did, Assign)
+	assigned := findAction(actions, Assign)
 	if assigned == nil {
 		return
 	}
@@ -123,12 +123,12 @@
 // near reports whether a is within a thousandth of b.
 func near(a, b float64) bool { return a > b*0.999 && a < b*1.001 }
 
-// What warm workers take is computed over some sweeps where they are many: no sweep interval looks at more
-// than scanWorkersPerSweep of them, and the rates come to what all of them take.
+// In a large fleet, the work rates of warm workers are computed over several sweep intervals: none of these
+// scans more than scanWorkersPerSweep workers, and the resulting rates are those of all workers.
 func TestWorkRatesOfALargeFleetAreScannedInParts(t *testing.T) {
 	const workers = 21000
 	machine, _ := newLargeFleet(t, workers, 10)
-	machine.planningHorizon = 1000 * time.Hour // what was sent does not fade meanwhile
+	machine.planningHorizon = 1000 * time.Hour // so that recentWork does not decay meanwhile
 	take := func(seconds float64) (share float64) {
 		for _, worker := range machine.fleet {
 			worker.recentWork = decayingValue{seconds, machine.now}
@@ -137,21 +137,21 @@
 	}
 	first := take(100)
 	if got := machine.warmWorkRate(0); !near(got, first) {
-		t.Fatalf("at first %v, not %v", got, first)
+		t.Fatalf("at first %v, want %v", got, first)
 	}
 	second := take(300)
 	sweeps := 0
 	for ; !near(machine.warmWorkRate(0), second); sweeps++ {
 		if sweeps > 2*workers/scanWorkersPerSweep+2 {
-			t.Fatalf("%v after %d sweeps, not %v", machine.warmWorkRate(0), sweeps, second)
+			t.Fatalf("%v after %d sweeps, want %v", machine.warmWorkRate(0), sweeps, second)
 		}
 		if at := machine.workRates.scan.next; at%scanWorkersPerSweep != 0 || at > workers {
-			t.Fatalf("%d workers were looked at after %d sweeps", at, sweeps)
+			t.Fatalf("%d workers were scanned after %d sweeps", at, sweeps)
 		}
 		machine.now += machine.sweepInterval
 	}
 	if sweeps < workers/scanWorkersPerSweep {
-		t.Errorf("%d sweeps for %d workers, of which one looks at %d", sweeps, workers, scanWorkersPerSweep)
+		t.Errorf("%d sweeps for %d workers, at most %d per sweep", sweeps, workers, scanWorkersPerSweep)
 	}
 }
 
@@ -163,6 +163,6 @@
 	}
 	small.now += small.sweepInterval
 	if got, want := small.warmWorkRate(0), 100/small.planningHorizon.Seconds(); !near(got, want) {
-		t.Errorf("a fleet that one sweep looks at whole has %v, not %v", got, want)
+		t.Errorf("the rate of a fleet that is scanned in one sweep is %v, want %v", got, want)
 	}
 }
--- a/decision/slowstart_overload_test.go
+++ b/decision/slowstart_overload_test.go
@@ -10,11 +10,11 @@
 // overloadTick is the step of virtual time of dispatcherGroup.
 const overloadTick = 10 * time.Millisecond
 
-// dispatcherGroup is several dispatchers before the same workers, in steps of virtual time.
+// dispatcherGroup simulates several dispatchers that send to the same workers, in steps of virtual time.
 type dispatcherGroup struct {
 	rigs     []*rig
 	now      time.Duration
-	attempts []groupAttempt // outstanding, in the order in which they were sent
+	attempts []groupAttempt // outstanding attempts, in the order in which they were sent
 	// run returns when and how an attempt ends that a dispatcher has just sent to a worker.
 	run func(request *request, worker string) (endsAt time.Duration, outcome AttemptOutcome)
 }
@@ -55,7 +55,7 @@
 	}
 }
 
-// arrive brings a request with that hint to a dispatcher.
+// arrive delivers a request, with a hint of its work, to a dispatcher.
 func (g *dispatcherGroup) arrive(rig *rig, work time.Duration) {
 	rig.next++
 	g.handle(rig, Event{
@@ -67,7 +67,7 @@
 	})
 }
 
-// endAttempts ends the attempts that are over, and calls ended for each worker that is free of one.
+// endAttempts ends the attempts whose end is due, and calls ended with the worker of each.
 func (g *dispatcherGroup) endAttempts(ended func(worker string)) {
 	var due []groupAttempt
 	var left []groupAttempt
@@ -102,10 +102,11 @@
 	}
 }
 
-// Four dispatchers under the same overload see a worker start at the same moment. Work that warm workers
-// reject must not enlarge the budget, nor a fast kind's work rate a slow kind's.
+// Four dispatchers under the same overload learn of a started worker at the same moment. Work that warm
+// workers reject must not enlarge its budget, and the work rate of a fast kind must not enlarge the budget of
+// a slow kind.
 func TestWorkerInSlowStartIsNotOverloaded(t *testing.T) {
-	const peers, capacity = 4, 4.0 // capacity in hinted seconds a second
+	const peers, capacity = 4, 4.0 // capacity in hinted seconds per second
 	const start = time.Hour + 20*time.Second
 	settings := testSettings()
 	settings.Peers = peers
@@ -137,20 +138,20 @@
 		}
 		group.endAttempts(func(worker string) { load[worker]-- })
 		for i, rig := range group.rigs {
-			if int(group.now/overloadTick)%10 == i { // ten requests a second each: far beyond the capacity
+			if int(group.now/overloadTick)%10 == i { // ten requests per second each: far beyond the capacity
 				group.arrive(rig, time.Duration(300+rig.random.IntN(2000))*time.Millisecond)
 			}
 			group.sweepIfDue(rig)
 		}
 	}
 	if len(sends) == 0 {
-		t.Fatal("a worker in slow start got nothing at all")
+		t.Fatal("a worker in slow start got no requests")
 	}
 	failIfOverloaded(t, settings, capacity, start, sends)
 }
 
-// newRigOfTwoKinds returns a rig with six workers, those with even numbers of kind 0 and the others of
-// kind 1.
+// newRigOfTwoKinds returns a rig with six workers: those with even numbers are of kind 0, the others of kind
+// 1.
 func newRigOfTwoKinds(t *testing.T, settings Settings, seed uint64) *rig {
 	t.Helper()
 	machine, err := New(settings, seed)
@@ -166,9 +167,9 @@
 	return rig
 }
 
-// A fleet doubles under a hundred dispatchers, and then a surge comes. New workers must carry load during
-// slow start, though each dispatcher's part of the budget is far below one request, and what the parts have
-// saved must not overload one in the surge.
+// The number of workers under a hundred dispatchers doubles, and then the load surges. New workers must carry
+// load during slow start, although each dispatcher's window allowance is far below the cost of one request.
+// The balances that the dispatchers have saved must not overload a worker in the surge.
 func TestSlowStartCarriesLoadUnderManyDispatchers(t *testing.T) {
 	const peers, workers, capacity = 100, 20, 4.0
 	const start = time.Hour + 10*time.Second
@@ -232,7 +233,7 @@
 	work float64
 }
 
-// workAfter returns the sum of what was sent after a moment.
+// workAfter returns the sum of the work that was sent after the given time.
 func workAfter(sends []workSent, from time.Duration) (sum float64) {
 	for _, sent := range sends {
 		if sent.at > from {
@@ -242,8 +243,8 @@
 	return sum
 }
 
-// failIfOverloaded checks every overload window that ends with a send to a worker of that capacity and
-// start.
+// failIfOverloaded checks every overload window that ends with a send to a worker with that capacity and
+// start time.
 func failIfOverloaded(
 	t *testing.T,
 	settings Settings,
@@ -256,8 +257,8 @@
 		sum := workAfter(sends[:i+1], last.at-settings.OverloadWindow)
 		age := (last.at - start).Seconds()
 		floor := settings.SlowStartFloor
-		warmth := floor + (1-floor)*age/settings.SlowStartDuration.Seconds()
-		budget := settings.OverloadMultiple * warmth * capacity * settings.OverloadWindow.Seconds()
+		capacityFraction := floor + (1-floor)*age/settings.SlowStartDuration.Seconds()
+		budget := settings.OverloadMultiple * capacityFraction * capacity * settings.OverloadWindow.Seconds()
 		if sum > budget {
 			t.Fatalf("%.2f s of work in a window whose budget is %.2f, %v after the start",
 				sum, budget, last.at-start)
--- a/decision/slowstart_test.go
+++ b/decision/slowstart_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// What a warm worker has taken is counted by the time for which its requests ran, not by the estimate that
-// was used before: slow-start budgets follow from it, and 20 to 30 dispatchers that have just started all
-// begin with the same estimate.
+// The recent work of a warm worker is the actual run time of its requests, not the estimate that was used
+// before they ended. Slow-start budgets are derived from it, and 20 to 30 dispatchers that have just started
+// all begin with the same estimate.
 func TestSlowStartBudgetsFollowRunTimes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		objective := time.Duration(rapid.IntRange(500, 3000).Draw(t, "objective in ms")) * time.Millisecond
@@ -55,18 +55,18 @@
 		machine.workRates.scannedAt = 0 // scan anew
 		took := (time.Duration(requests) * run).Seconds() / machine.planningHorizon.Seconds()
 		if rate := machine.warmWorkRate(0); rate > took*1.001 {
-			t.Errorf("%d requests of %v count as %.3f of a slot, and took %.3f", requests, run, rate, took)
+			t.Errorf("%d requests of %v count as %.3f of a slot, but took %.3f", requests, run, rate, took)
 		}
 	})
 }
 
-// What all dispatchers together may reserve at a worker in slow start within any window stays within what the
-// settings allow, however busy warm workers are: each has saved at most a window's part, gets one more, and
-// may overdraw its budget by half of one. Requests larger than a part, and the first one, need a random draw,
-// for which the rule has an allowance.
+// What all dispatchers together may reserve at a worker in slow start within any window stays within the
+// budget of the settings, however busy warm workers are: each dispatcher has saved at most a window
+// allowance, gets one more, and may overdraw its balance by half of one. Requests that cost more than an
+// allowance, and the first request, need a random draw, for which the rule tolerates an excess.
 func TestSlowStartReservationsStayWithinTheBudget(t *testing.T) {
 	if sum := 2.5 * slowStartSafety; sum > 1+1e-9 {
-		t.Errorf("a saved part, a window's and half of one come to %.2f of the budget", sum)
+		t.Errorf("a saved allowance, the window's and half of one add up to %.2f of the budget", sum)
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		run := newReservationRun(t)
@@ -88,7 +88,7 @@
 	t        *rapid.T
 	machine  *Machine
 	worker   *worker
-	workRate float64 // work a second that a warm worker takes
+	workRate float64 // work per second that a warm worker takes
 	sent     []workSent
 }
 
@@ -121,19 +121,19 @@
 }
 
 // windowBudget is what all dispatchers together may send the worker within a window that ends now, if they
-// use that part of the budget. The factors stand in the machine's order: a request that is larger than a
-// part by a rounding error would be a matter of chance.
+// use that fraction of the budget. The factors are multiplied in the same order as in the machine: a request
+// that exceeded the window allowance by a rounding error would need a random draw.
 func (r *reservationRun) windowBudget(used float64) float64 {
 	settings := &r.machine.settings
 	capacity := r.machine.capacityFraction(r.worker)
 	return used * settings.OverloadMultiple * capacity * r.workRate * settings.OverloadWindow.Seconds()
 }
 
-// offerRequest offers the worker a request, and checks that the budget is overdrawn by half a part at most.
-// The work of the request is given in parts: what the dispatcher may send in a window.
-func (r *reservationRun) offerRequest(parts float64) {
-	part := r.windowBudget(slowStartSafety)
-	work := parts * part
+// offerRequest offers the worker a request, and checks that the balance is overdrawn by at most half a window
+// allowance. The work of the request is given in window allowances.
+func (r *reservationRun) offerRequest(allowances float64) {
+	allowance := r.windowBudget(slowStartSafety)
+	work := allowances * allowance
 	request := &request{
 		class:         &r.machine.settings.Classes[0],
 		slots:         1,
@@ -146,9 +146,9 @@
 		return
 	}
 	budget := &r.worker.budget
-	budget.saved -= request.slowStartCost()
-	if budget.saved < -part/2*(1+1e-9) {
-		r.t.Fatalf("%.3f of a part beyond what was saved, want half of one at the most", -budget.saved/part)
+	budget.balance -= request.slowStartCost()
+	if budget.balance < -allowance/2*(1+1e-9) {
+		r.t.Fatalf("overdrawn by %.3f of an allowance, want half of one at most", -budget.balance/allowance)
 	}
 	r.sent = append(r.sent, workSent{r.machine.now, request.slowStartCost()})
 }
@@ -157,12 +157,12 @@
 func (r *reservationRun) checkWindow() {
 	sum := workAfter(r.sent, r.machine.now-r.machine.settings.OverloadWindow)
 	if budget := r.windowBudget(1); sum > budget*(1+1e-9) {
-		r.t.Fatalf("%.3f of the budget in a window", sum/budget)
+		r.t.Fatalf("%.3f times the budget in a window", sum/budget)
 	}
 }
 
-// While a process is replaced, the predecessor and its successor have one budget for a worker in slow start:
-// each reports what it reserves, and the other takes that off its own budget.
+// While a process is replaced, the predecessor and its successor share one budget for a worker in slow start:
+// each reports what it reserves, and the other subtracts that from its own balance.
 func TestReservationsOfBothProcessesAddUp(t *testing.T) {
 	budget := func(other float64) (sent int, reserved float64) {
 		settings := testSettings()
@@ -191,16 +191,16 @@
 		return sent, reserved
 	}
 	alone, reserved := budget(0)
-	beside, _ := budget(reserved / 200 / 2) // the other process sends half of what one may
+	beside, _ := budget(reserved / 200 / 2) // the other process sends half of what one process may send alone
 	if alone < 10 || beside >= alone*3/4 || beside == 0 || reserved <= 0 {
-		t.Fatalf("%d sent alone, reserved %v; %d beside one that sends half as much", alone, reserved, beside)
+		t.Fatalf("%d sent alone, reserved %v; %d while another sends half as much", alone, reserved, beside)
 	}
 }
 
-// Where requests are larger than a window's part, a slow-start budget is saved for two windows, so that a
-// dispatcher with a request a second does not lose part of it. Where they are small it is saved for one, so
-// that few dispatchers that spend all at once stay within the rule: a saved part and the part that comes in
-// are 0.8 of what it allows.
+// If requests cost more than a window allowance, two window allowances may be saved, so that a dispatcher
+// with one request per second does not lose budget. If requests are small, only one may be saved, so that few
+// dispatchers that spend everything at once stay within the rule: a saved allowance and the allowance of the
+// window are 0.8 of what the rule allows.
 func TestSlowStartBudgetIsSavedForTwoWindowsAtMost(t *testing.T) {
 	settings := testSettings()
 	settings.Peers = 300
@@ -210,7 +210,7 @@
 		warm := rig.workers["w1"]
 		warm.recentWork.add(rig.now, rig.planningHorizon, 2)
 		worker.StartedAt = rig.now
-		worker.budget = slowStartBudget{savedAt: rig.now}
+		worker.budget = slowStartBudget{updatedAt: rig.now}
 		rig.workRates.scannedAt = 0
 		worker.recentWork.add(rig.now, rig.planningHorizon, 0)
 		rig.now += settings.OverloadWindow * 3
@@ -225,8 +225,8 @@
 		}
 		rig.withinSlowStartBudget(request, worker)
 		window := settings.OverloadMultiple * capacity * workRate * settings.OverloadWindow.Seconds()
-		if got := worker.budget.saved / window / slowStartSafety; math.Abs(got-test.windows) > 0.01 {
-			t.Errorf("requests of %g s: the budget of %.2f windows is saved, want %v",
+		if got := worker.budget.balance / window / slowStartSafety; math.Abs(got-test.windows) > 0.01 {
+			t.Errorf("requests of %g s: %.2f window allowances are saved, want %v",
 				test.work, got, test.windows)
 		}
 	}
@@ -235,7 +235,7 @@
 	}
 }
 
-// With an OverloadWindow of 0 the rule is off: workers in slow start get requests.
+// With an OverloadWindow of 0 the rule is disabled: workers in slow start get requests without a budget.
 func TestSlowStartWithoutOverloadWindowIsNotBounded(t *testing.T) {
 	settings := testSettings()
 	settings.OverloadWindow = 0
@@ -244,12 +244,13 @@
 	rig := newRig(t, settings, 1)
 	rig.updateList(Endpoint{Name: "w0", StartedAt: rig.now})
 	if rig.send(0) != "w0" {
-		t.Fatal("a worker in slow start gets nothing though no rule bounds it")
+		t.Fatal("a worker in slow start gets no requests though the rule is disabled")
 	}
 }
 
-// A busy dispatcher assumes that all its peers are as busy. A request of many times the mean must not go to a
-// worker that has just started, though the parts of all dispatchers together would then allow it.
+// A busy dispatcher assumes that all its peers are as busy as it is. A request of more than twice the mean
+// must not go to a worker that has just started, although the window allowances of all dispatchers together
+// would allow it under that assumption.
 func TestLargeRequestDoesNotGoToAWorkerThatHasJustStarted(t *testing.T) {
 	settings := testSettings()
 	settings.Peers = 80
@@ -259,7 +260,7 @@
 	}{{0.9, true}, {1.1, false}} {
 		rig := newRig(t, settings, 2)
 		worker := rig.fleet[0]
-		oneSlot := rig.planningHorizon.Seconds() // a slot-second a second from this dispatcher alone
+		oneSlot := rig.planningHorizon.Seconds() // a slot-second per second from this dispatcher alone
 		rig.fleet[1].recentWork.add(rig.now, rig.planningHorizon, oneSlot)
 		request := &request{
 			class:         &rig.settings.Classes[0],
@@ -271,7 +272,7 @@
 		taken := false
 		for range 1000 {
 			worker.StartedAt = rig.now
-			worker.budget = slowStartBudget{saved: 0.1, savedAt: rig.now}
+			worker.budget = slowStartBudget{balance: 0.1, updatedAt: rig.now}
 			rig.workRates.scannedAt = 0
 			taken = taken || rig.withinSlowStartBudget(request, worker)
 		}
@@ -282,15 +283,15 @@
 	}
 }
 
-// Requests that are chosen for a small, rough hint run for many times the hint. They take more of the budget
-// than their hints say.
+// With imprecise hints, requests that are chosen for a small hint run for many times the hinted time.
+// Therefore they cost more of the slow-start budget than their hints say.
 func TestSmallHintsCostMoreInSlowStart(t *testing.T) {
 	small := &request{slots: 1, work: 0.008, cost: 0.008, classMeanWork: 0.14}
 	if cost := small.slowStartCost(); cost < 0.03 {
-		t.Fatalf("a request that ran for 40 ms and more takes %v s", cost)
+		t.Fatalf("a request with a hint of 8 ms and a mean of 140 ms costs %v s, want 0.03 s at least", cost)
 	}
 	large := &request{slots: 2, work: 0.2, cost: 0.4, classMeanWork: 0.14}
 	if large.slowStartCost() != large.cost {
-		t.Fatal("a large hint is taken as it is")
+		t.Fatal("the cost of a request with a hint above the mean differs from its hint")
 	}
 }
--- a/decision/solvedual_test.go
+++ b/decision/solvedual_test.go
@@ -9,8 +9,8 @@
 	"gonum.org/v1/gonum/optimize/convex/lp"
 )
 
-// solvePrimal solves the fluid LP itself with gonum's simplex: the most value of admitted shares x of the
-// bids, 0 <= x <= 1, within both budgets. It shares nothing with solveDual.
+// solvePrimal solves the primal of the fluid linear program with gonum's simplex: the largest value of
+// admitted shares x of the bids, 0 <= x <= 1, within both budgets. It shares no code with solveDual.
 func solvePrimal(t *testing.T, bids []bid, workBudget, slotBudget float64) float64 {
 	t.Helper()
 	n := len(bids)
@@ -37,7 +37,7 @@
 	return -z
 }
 
-// dualAt is the dual at the given prices.
+// dualAt is the value of the dual at the given prices.
 func dualAt(bids []bid, workBudget, slotBudget float64, at prices) float64 {
 	sum := workBudget*at.work + slotBudget*at.slot
 	for _, b := range bids {
@@ -46,15 +46,15 @@
 	return sum
 }
 
-// solveDual agrees with an independent solver of the linear program, and breaks ties toward the most
-// selective prices.
+// solveDual agrees with an independent solver of the linear program, and breaks ties toward the highest sum
+// of prices, which is the most selective.
 func TestSolveDualMatchesSimplex(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 400 {
 		n := 1 + rng.IntN(12)
 		bids := make([]bid, n)
 		for i := range bids {
-			// Small whole numbers make ties and degenerate mixes common.
+			// Small integers make ties and degenerate mixes common.
 			bids[i] = bid{float64(rng.IntN(5)), float64(1 + rng.IntN(4)), float64(rng.IntN(4))}
 		}
 		workBudget := float64(rng.IntN(3 * n))
@@ -68,8 +68,8 @@
 		if math.Abs(got-want) > 1e-6*(1+want) {
 			t.Fatalf("dual %v, simplex %v for %v, budgets %v, %v", got, want, bids, workBudget, slotBudget)
 		}
-		// Ties go to the most selective prices: on a grid that holds every lone bid's vertex none with
-		// the same dual is higher.
+		// Ties go to the most selective prices: among the vertices of single bids, none with the same dual
+		// has a higher sum of prices.
 		for _, p := range bids {
 			for _, vertex := range []prices{{work: p.value / p.cost}, {slot: p.value / p.holdTime}} {
 				if math.IsInf(vertex.slot, 0) || math.IsNaN(vertex.slot) {
@@ -84,7 +84,7 @@
 	}
 }
 
-// Of prices with the same dual the most selective are taken.
+// Among prices with the same dual, solveDual returns the most selective ones.
 func TestSolveDualTies(t *testing.T) {
 	same := []bid{{2, 1, 1}, {2, 1, 1}, {2, 1, 1}}
 	for _, test := range []struct {
@@ -94,10 +94,10 @@
 		want                   prices
 	}{
 		{"no bids", nil, 1, 1, prices{0, 0}},
-		{"plenty", same, 10, 10, prices{0, 0}},
+		{"budgets above the demand", same, 10, 10, prices{0, 0}},
 		{"exactly enough for one of three equal bids", same, 1, 10, prices{2, 0}},
-		{"exactly enough for all: the highest price that still clears", same, 3, 10, prices{2, 0}},
-		{"concurrency binds", same, 10, 1, prices{0, 2}},
+		{"exactly enough for all: the highest price at which all are admitted", same, 3, 10, prices{2, 0}},
+		{"slot budget below the demand", same, 10, 1, prices{0, 2}},
 		{"no budget, no hold times", []bid{{3, 1, 0}, {1, 1, 0}}, 0, 0, prices{3, 0}},
 		{"worthless and free requests", []bid{{0, 0, 0}, {0, 1, 1}}, 1, 1, prices{0, 0}},
 	} {
--- a/decision/sweep.go
+++ b/decision/sweep.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// pricingsPerHorizon is how often in a planning horizon the prices are solved again.
+	// pricingsPerHorizon is how often the prices are recomputed within a planning horizon.
 	pricingsPerHorizon = 8
 	// sweepsPerObjective is the number of sweeps within the shortest latency objective.
 	sweepsPerObjective = 2
-	// minObjectivePart is the inverse of the part of its deadline that the latency objective of a class is
-	// taken to be at least.
-	minObjectivePart = 50
+	// minObjectiveDivisor limits how short sweep intervals become: a latency objective counts as at least
+	// the deadline of its class divided by this.
+	minObjectiveDivisor = 50
 )
 
 // sweepInterval derives the interval of the sweep from the shortest latency objective.
@@ -21,13 +21,13 @@
 	shortest := time.Duration(math.MaxInt64)
 	for i := range s.Classes {
 		class := &s.Classes[i]
-		shortest = min(shortest, max(class.LatencyObjective, class.Deadline/minObjectivePart))
+		shortest = min(shortest, max(class.LatencyObjective, class.Deadline/minObjectiveDivisor))
 	}
 	return max(shortest/sweepsPerObjective, s.Tick)
 }
 
-// scheduleSweep sets the timer of the next sweep, unless it is set. Without unanswered requests there is no
-// sweep.
+// scheduleSweep sets the timer of the next sweep, unless it is already set. There are no sweeps while no
+// request is unanswered.
 func (m *Machine) scheduleSweep() {
 	if !m.sweepScheduled {
 		m.sweepScheduled = true
@@ -35,8 +35,8 @@
 	}
 }
 
-// sweep decides what follows from the passing of time alone: which requests are late, stuck or without any
-// value left, which workers have warmed up, and the prices.
+// sweep makes the decisions that depend on the passing of time alone: which requests are late, stuck or
+// without remaining value, which workers have warmed up, and, at longer intervals, the prices.
 func (m *Machine) sweep() {
 	m.unanswered = slices.DeleteFunc(m.unanswered, func(request *request) bool { return request.ended })
 	for _, request := range m.unanswered {
@@ -55,7 +55,7 @@
 	}
 }
 
-// sweepRequest looks after one unanswered request.
+// sweepRequest makes the decisions about one unanswered request.
 func (m *Machine) sweepRequest(request *request) {
 	switch {
 	case !request.late && m.probablyLate(request):
@@ -71,32 +71,31 @@
 	}
 }
 
-// probablyLate reports whether the request would miss its objective if it started now, or with the next
-// sweep.
+// probablyLate reports whether the request would miss its objective if it started at the next sweep.
 func (m *Machine) probablyLate(request *request) bool {
 	return m.now+seconds(request.work)+m.sweepInterval >= request.objective
 }
 
-// markLate marks a request that can hardly be in time, and lowers its value to that of a late answer. It is
-// rejected at once if it waits while capacity is scarce, or if it delays others.
+// markLate marks a request that will probably be late, and lowers its value to that of a late answer. The
+// request is rejected at once if it waits while capacity is scarce, or if it delays others.
 //
-// Where starts are reported, an attempt that has not started by now shows overload, much earlier than its end
-// would, and the ceilings are cut. The exception is an attempt whose connection may be dead.
+// If starts are reported, an attempt that has not started by now indicates overload, much earlier than its
+// end would, and the ceilings are cut. The exception is an attempt whose connection may be dead.
 func (m *Machine) markLate(request *request) {
 	request.late = true
 	if request.outstanding > 1 && m.settings.StartNotices && !request.countedAsBad && !request.hasStarted() {
-		m.cutCeilings(request, request.attempts[0].sentAt)
+		m.cutCeilings(request, request.attempts[0].assignedAt)
 	}
 	unstarted := request.unstartedAttempt()
 	if unstarted != nil && m.settings.StartNotices {
 		switch {
-		case unstarted.leftAt > 0 && unstarted.connectionIdle > m.connections.safeIdleTime:
+		case unstarted.sentAt > 0 && unstarted.connectionIdle > m.connections.safeIdleTime:
 			m.rejectOrFail(request)
 			return
 		case unstarted.connectionIdle > m.sweepInterval && m.settings.StartsInOrder:
 			m.markPossiblyLost(request, unstarted)
 		default:
-			m.cutCeilings(request, unstarted.sentAt)
+			m.cutCeilings(request, unstarted.assignedAt)
 		}
 	}
 	request.value *= request.class.LateWeight
@@ -105,14 +104,15 @@
 	}
 }
 
-// capacityScarce reports whether a waiting request has little hope of a worker soon.
+// capacityScarce reports whether a waiting request is unlikely to get a worker soon: something has a price,
+// the concurrency ceiling is exhausted, or all running workers are suspended.
 func (m *Machine) capacityScarce(request *request) bool {
 	return m.prices.positive() || !m.withinConcurrency(request) || m.allSuspended()
 }
 
-// delaysOthers reports whether a request delays others in its worker's queue for little: it can hardly be in
-// time, has not started, and earns nothing late, or less than in time while many outcomes are bad. In the
-// latter case it must be Idempotent.
+// delaysOthers reports whether a request would delay others in its worker's queue for little value: it will
+// probably be late, has not started, and a late answer to it earns nothing. While many outcomes are bad, it
+// is enough that a late answer earns less than one in time, if the request is Idempotent.
 func (m *Machine) delaysOthers(request *request) bool {
 	earnsNothing := request.class.LateWeight <= 0
 	repeatable := request.class.Idempotency == Idempotent && request.class.LateWeight < 1
--- a/decision/sweep_test.go
+++ b/decision/sweep_test.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// While many outcomes are bad, a request that can hardly be in time delays others in its worker's queue for
-// a part of its weight. It is cancelled before it starts and rejected; so is a client's retry that comes too
-// late. One that has started, or must not run twice, goes on, and so do all while few outcomes are bad.
+// While many outcomes are bad, a request that will probably be late would delay others in its worker's queue
+// for a fraction of its weight. It is cancelled before it starts and rejected, and a client's retry that
+// comes too late is rejected. A request that has started, or must not run twice, continues. While few
+// outcomes are bad, all continue.
 func TestLateRequestIsCancelledUnderOverload(t *testing.T) {
 	for name, test := range map[string]struct {
-		class         int
-		badRatio      float64
-		from          int // sweeps after which badRatio is so high
-		started, away bool
+		class                 int
+		badRatio              float64
+		highFrom              int // sweeps after which badRatio is so high
+		started, wantRejected bool
 	}{
 		"overloaded":                 {0, 0.4, 0, false, true},
 		"calm":                       {0, 0.1, 0, false, false},
@@ -32,18 +33,18 @@
 		cancelled := false
 		for sweep := range 20 {
 			rig.ceilings.badRatio = 0
-			if sweep >= test.from {
+			if sweep >= test.highFrom {
 				rig.ceilings.badRatio = test.badRatio
 			}
-			if sweep == 16 && test.from > 0 && !rig.requests[id].late {
-				t.Fatal("it is not late yet")
+			if sweep == 16 && test.highFrom > 0 && !rig.requests[id].late {
+				t.Fatal("the request is not late after 16 sweeps")
 			}
 			rig.nextSweep()
 			rejected = rejected || findAction(rig.actions, Reject) != nil
 			cancelled = cancelled || findAction(rig.actions, CancelAttempt) != nil
 		}
-		if rejected != test.away || cancelled != test.away {
-			t.Errorf("%s: rejected %v, cancelled %v, want %v", name, rejected, cancelled, test.away)
+		if rejected != test.wantRejected || cancelled != test.wantRejected {
+			t.Errorf("%s: rejected %v, cancelled %v, want %v", name, rejected, cancelled, test.wantRejected)
 		}
 		rig.ceilings.badRatio = test.badRatio
 		const fullTime = 5 * time.Second
@@ -72,7 +73,8 @@
 	}
 }
 
-// At full ceilings and prices of zero, late requests must not stay in the queue and make fresh ones late.
+// If the ceiling is exhausted while prices are zero, late requests must not stay in the queue, where they
+// would make new requests late.
 func TestLateRequestIsRejectedAtFullCeiling(t *testing.T) {
 	rig := newRig(t, testSettings(), 2)
 	rig.ceilings.concurrencyPerWorker = (2 - concurrencyHeadroom) / 2
@@ -80,11 +82,11 @@
 	rig.arrive(0)
 	waits := rig.requests[rig.arrive(0)]
 	if !waits.queued || rig.prices.work+rig.prices.slot > 0 {
-		t.Fatal("the third request should wait, unpriced")
+		t.Fatal("the third request does not wait, or prices are not zero")
 	}
 	rig.sweepAt(waits.objective - seconds(waits.work))
 	if !waits.ended || findAction(rig.actions, Reject) == nil {
-		t.Fatal("a request that can hardly be in time waits on, though the ceiling is full")
+		t.Fatal("a request that will probably be late still waits, though the ceiling is exhausted")
 	}
 }
 
@@ -113,7 +115,7 @@
 	for class, answer := range []ActionKind{Reject, Fail} {
 		for _, started := range []bool{false, true} {
 			rig := newRig(t, settingsWithoutHints(), 1)
-			id := rig.arrive(class) // runs for 1 s, and has 1 s + 2 x 1 s
+			id := rig.arrive(class) // runs for 1 s; the latency objective is 1 s + 2 * 1 s
 			if rig.assignedTo(id) == "" {
 				t.Fatal("not sent")
 			}
@@ -139,8 +141,8 @@
 	}
 }
 
-// settingsWithoutHints returns settings for clients that give no hints, and for which an answer that is late
-// earns nothing.
+// settingsWithoutHints returns settings for clients that send no hints, with classes whose late answers earn
+// nothing.
 func settingsWithoutHints() Settings {
 	settings := testSettings()
 	settings.StartNotices = true
--- a/decision/timer.go
+++ b/decision/timer.go
@@ -7,11 +7,11 @@
 const (
 	sweepTimer     = uint64(1) << 62
 	subscribeTimer = sweepTimer + 1 // renews the subscription to the endpoint list
-	cooldownTimer  = sweepTimer + 2 // a key's cooldown is over: the queue is looked at, as after each event
+	cooldownTimer  = sweepTimer + 2 // a key's cooldown is over; as after each event, the queue is dispatched
 )
 
-// handleTimer acts on a timer that has fired. At a request's deadline it gets its answer, whatever is
-// outstanding.
+// handleTimer handles a timer that has fired. At its deadline a request gets its final answer, even if
+// attempts are outstanding.
 func (m *Machine) handleTimer(id uint64) {
 	switch id {
 	case sweepTimer:
@@ -27,5 +27,5 @@
 	}
 }
 
-// seconds converts from seconds.
+// seconds converts a number of seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/decision/zone.go
+++ b/decision/zone.go
@@ -6,28 +6,28 @@
 )
 
 const (
-	// unreachableZoneConnects is the number of failed connects in a row from which a zone looks
-	// unreachable. Measured in a rehearsal of 80 dispatchers: without this rule each of them ran into a
-	// time-out at each worker of an unreachable zone.
+	// unreachableZoneConnects is the number of failed connects in a row from which a zone counts as
+	// unreachable. In a rehearsal of 80 dispatchers without this rule, each of them ran into a connect
+	// timeout at each worker of an unreachable zone.
 	unreachableZoneConnects = 2
 	// maxTrialDoublings bounds how often the interval between trials of an unreachable zone is doubled.
 	maxTrialDoublings = 8
 )
 
-// zoneTable holds what is known of all zones.
+// zoneTable holds what is known about all zones.
 type zoneTable struct {
 	byNumber map[int]*zone
-	lastSeen time.Duration // when a worker of any zone last showed that it lives
+	lastSeen time.Duration // when a worker of any zone last gave a sign of life
 }
 
-// zone is what is known of the workers of one zone together.
+// zone is what is known about the workers of one zone together.
 type zone struct {
-	failedConnects int           // in a row, since any of its workers was seen
-	firstFailureAt time.Duration // when the first of them failed
-	lastAttemptAt  time.Duration // when the last of them failed, or a request was sent there since
+	failedConnects int           // connects in a row that failed since one of its workers was last seen
+	firstFailureAt time.Duration // when the first of these connects failed
+	lastAttemptAt  time.Duration // time of the last failed connect or, if later, of the last request sent
 }
 
-// get returns what is known of the zone with that number.
+// get returns the state of the zone with that number.
 func (t *zoneTable) get(number int) *zone {
 	if t.byNumber[number] == nil {
 		t.byNumber[number] = &zone{}
@@ -35,9 +35,9 @@
 	return t.byNumber[number]
 }
 
-// zoneUnreachable reports whether a worker's zone gets no requests: connects there have failed in a row, and
-// workers of other zones have been seen since. One request at a time is sent as a trial, at intervals that
-// double.
+// zoneUnreachable reports whether a worker's zone gets no requests because it looks unreachable: several
+// connects in a row have failed there, and workers of other zones have been seen since. The zone gets one
+// request at a time as a trial, at intervals that double.
 func (m *Machine) zoneUnreachable(worker *worker) bool {
 	zone := m.zones.get(worker.Zone)
 	doublings := min(zone.failedConnects, maxTrialDoublings)
@@ -47,7 +47,7 @@
 		m.zones.lastSeen > zone.firstFailureAt
 }
 
-// markSeen records that a worker has shown that it lives.
+// markSeen records a sign of life of a worker.
 func (m *Machine) markSeen(worker *worker) {
 	worker.lastSeen = m.now
 	m.zones.lastSeen = m.now
@@ -63,7 +63,7 @@
 	zone.failedConnects = 0
 }
 
-// recordConnectFailure records that a connection to a worker was refused or timed out.
+// recordConnectFailure records that a connect to a worker was refused or timed out.
 func (m *Machine) recordConnectFailure(worker *worker) {
 	zone := m.zones.get(worker.Zone)
 	zone.failedConnects++
@@ -77,7 +77,7 @@
 	zone.lastAttemptAt = m.now
 }
 
-// zoneName is what the settings call a zone, else its number.
+// zoneName is the name of a zone in the settings, or its number if it has none.
 func (m *Machine) zoneName(number int) string {
 	if number >= 0 && number < len(m.settings.ZoneNames) {
 		return m.settings.ZoneNames[number]
--- a/decision/zone_test.go
+++ b/decision/zone_test.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// Workers of an unreachable zone let connects time out, one after the other, at each dispatcher, until the
-// endpoint list removes them. Two such failures in a row are enough while workers of other zones are seen;
-// one request at a time finds out whether the zone is back.
+// Without the rule for unreachable zones, each dispatcher runs into a connect timeout at one worker of the
+// zone after the other, until the endpoint list removes them. With it, two failed connects in a row are
+// enough while workers of other zones are seen; then one request at a time is sent as a trial, to find out
+// whether the zone is reachable again.
 
 // zoneRig is a rig with four workers in each of three zones.
 type zoneRig struct {
@@ -17,7 +18,7 @@
 	logs    []string
 }
 
-// forZoneRigs runs a test with rigs of ten seeds.
+// forZoneRigs runs a test with a rig for each of ten seeds.
 func forZoneRigs(t *testing.T, test func(t *testing.T, rig *zoneRig)) {
 	t.Helper()
 	settings := testSettings()
@@ -43,13 +44,13 @@
 	return workers
 }
 
-// seeZone records that a worker of the zone has shown that it lives.
-func (r *zoneRig) seeZone(number int) { r.markSeen(r.inZone(number)[0]) }
+// markZoneSeen records a sign of life of a worker of the zone.
+func (r *zoneRig) markZoneSeen(number int) { r.markSeen(r.inZone(number)[0]) }
 
-// unreachable reports whether a zone is taken for unreachable.
+// unreachable reports whether a zone counts as unreachable.
 func (r *zoneRig) unreachable(number int) bool { return r.zoneUnreachable(r.inZone(number)[3]) }
 
-// countUnreachable returns the number of zones that are taken for unreachable.
+// countUnreachable returns the number of zones that count as unreachable.
 func (r *zoneRig) countUnreachable() (n int) {
 	for number := range 3 {
 		if r.unreachable(number) {
@@ -59,7 +60,7 @@
 	return n
 }
 
-// refuseConnect sends a request to a worker, whose connect fails.
+// refuseConnect sends a request to a worker and lets the connect fail.
 func (r *zoneRig) refuseConnect(worker *worker) {
 	request := &request{
 		id:       r.next,
@@ -95,12 +96,12 @@
 func TestZoneIsUnreachableAfterTwoFailedConnects(t *testing.T) {
 	forZoneRigs(t, func(t *testing.T, rig *zoneRig) {
 		rig.refuseConnect(rig.inZone(1)[0])
-		rig.seeZone(0)
+		rig.markZoneSeen(0)
 		if rig.countUnreachable() != 0 {
 			t.Fatal("one failed connect makes a zone unreachable")
 		}
 		rig.refuseConnect(rig.inZone(1)[1])
-		rig.seeZone(0)
+		rig.markZoneSeen(0)
 		logged := slices.Contains(rig.logs, "zone russeifa looks unreachable: 2 connects failed in a row")
 		if rig.countUnreachable() != 1 || !rig.unreachable(1) || !logged {
 			t.Fatalf("a zone is not unreachable after two failed connects in a row: %q", rig.logs)
@@ -116,29 +117,29 @@
 func TestTrialsOfAnUnreachableZoneBecomeRarer(t *testing.T) {
 	forZoneRigs(t, func(t *testing.T, rig *zoneRig) {
 		rig.refuseTwice(1)
-		rig.seeZone(0)
+		rig.markZoneSeen(0)
 		fourTimeouts := 4*rig.settings.ConnectTimeout + time.Millisecond
 		rig.now += fourTimeouts
 		if rig.countUnreachable() != 0 {
-			t.Fatal("no trial is due after four time-outs")
+			t.Fatal("no trial is due after four connect timeouts")
 		}
 		rig.refuseConnect(rig.inZone(1)[2]) // the trial fails: the next one comes later
 		rig.now += fourTimeouts
-		rig.seeZone(0)
+		rig.markZoneSeen(0)
 		if rig.countUnreachable() != 1 {
-			t.Fatal("trials do not become rarer")
+			t.Fatal("the interval between trials does not grow")
 		}
 	})
 }
 
-// What a zone was taken for before, failed trials included, does not count once it was seen.
+// Once a worker of a zone was seen, earlier failures, including failed trials, no longer count.
 func TestZoneThatWasSeenIsReachable(t *testing.T) {
 	forZoneRigs(t, func(t *testing.T, rig *zoneRig) {
 		rig.refuseTwice(1)
-		rig.seeZone(0)
+		rig.markZoneSeen(0)
 		rig.now += 4*rig.settings.ConnectTimeout + time.Millisecond
 		rig.refuseConnect(rig.inZone(1)[2]) // a trial
-		rig.seeZone(0)
+		rig.markZoneSeen(0)
 		if rig.countUnreachable() != 1 {
 			t.Fatal("a zone is not unreachable after two failed connects in a row")
 		}
@@ -150,28 +151,29 @@
 		if rig.countUnreachable() != 0 || log == nil || log.Text != "zone russeifa is reachable again" {
 			t.Fatalf("a zone that was seen is still unreachable: %+v", actions)
 		}
-		rig.refuseTwice(0, 1, 2) // as if there had been no outage before
+		rig.refuseTwice(0, 1, 2) // the earlier failures must not count
 		if rig.countUnreachable() != 0 {
 			t.Fatal("all zones are unreachable at once")
 		}
-		rig.seeZone(0)
+		rig.markZoneSeen(0)
 		if rig.countUnreachable() != 2 {
-			t.Fatal("one zone is back, the other two are not unreachable")
+			t.Fatal("one zone is reachable again, and the other two are not unreachable")
 		}
 	})
 }
 
-// Where nothing is heard of any zone any more, the fault is at the dispatcher.
+// If no worker of any zone is seen any more, the fault is probably at the dispatcher, and no zone counts as
+// unreachable.
 func TestNotAllZonesAreUnreachableAtOnce(t *testing.T) {
 	forZoneRigs(t, func(t *testing.T, rig *zoneRig) {
-		rig.seeZone(0)
+		rig.markZoneSeen(0)
 		rig.refuseTwice(0, 1, 2)
 		if rig.countUnreachable() != 0 {
 			t.Fatal("all zones are unreachable at once")
 		}
-		rig.seeZone(0)
+		rig.markZoneSeen(0)
 		if rig.countUnreachable() != 2 {
-			t.Fatal("one zone is back, the other two are not unreachable")
+			t.Fatal("one zone is reachable again, and the other two are not unreachable")
 		}
 		rig.entries[1].StartedAt = rig.now
 		started := rig.entries[1:2]
@@ -185,7 +187,7 @@
 func TestUnreachableZoneGetsOneTrialAtATime(t *testing.T) {
 	forZoneRigs(t, func(t *testing.T, rig *zoneRig) {
 		rig.refuseTwice(2)
-		rig.seeZone(0)
+		rig.markZoneSeen(0)
 		if !rig.unreachable(2) {
 			t.Fatal("a zone is not unreachable after two failed connects in a row")
 		}
@@ -193,7 +195,7 @@
 		if rig.unreachable(2) {
 			t.Fatal("no trial is due after a horizon")
 		}
-		rig.seeZone(0)
+		rig.markZoneSeen(0)
 		rig.startAttempt(&request{class: &rig.settings.Classes[0], slots: 1, work: 1}, rig.inZone(2)[0])
 		if !rig.unreachable(2) {
 			t.Fatal("two trials at once")
@@ -201,13 +203,13 @@
 	})
 }
 
-// A request that runs in an unreachable zone and may be repeated is hedged: without progress reports its
-// worker counts as silent only after two seconds.
+// A request that runs in an unreachable zone and may be repeated is hedged at once. Otherwise it would be
+// hedged only when its worker counts as silent, which takes two seconds without progress reports.
 func TestAttemptInUnreachableZoneIsHedged(t *testing.T) {
 	forZoneRigs(t, func(t *testing.T, rig *zoneRig) {
 		rig.refuseTwice(2)
 		rig.now += rig.planningHorizon
-		rig.seeZone(0)
+		rig.markZoneSeen(0)
 		request := &request{
 			id:        rig.next,
 			class:     &rig.settings.Classes[0],
