--- a/internal/invariant/claim.go
+++ b/internal/invariant/claim.go
@@ -5,48 +5,48 @@
 	"time"
 )
 
-// Reported is the most that a worker client has reported of an attempt so far.
+// Reported is the furthest progress of an attempt that a worker client has reported so far.
 type Reported uint8
 
-// What may have been reported.
+// The progress that may have been reported.
 const (
 	NothingReported Reported = iota
 	SentReported             // its last byte was sent
 	StartReported            // its worker has begun to run it
 )
 
-// String returns what was reported, as it is written in logs.
+// String describes the reported progress, as it is written in logs.
 func (r Reported) String() string {
 	return [...]string{"nothing was reported", "its last byte was reported as sent", "its worker was reported to run it"}[r]
 }
 
-// ClaimKind says what a worker client does with an attempt of which it claims that it was never sent.
+// ClaimKind says why a worker client claims that an attempt was never sent.
 type ClaimKind string
 
 // The kinds of claims.
 const (
-	ClaimEnded     ClaimKind = "ended"     // it reports the end of the attempt
-	ClaimCancelled ClaimKind = "cancelled" // it was asked to stop the attempt
-	ClaimMoved     ClaimKind = "moved"     // it sends the attempt on another connection
+	ClaimEnded     ClaimKind = "ended"     // the client reports the end of the attempt
+	ClaimCancelled ClaimKind = "cancelled" // the client was asked to cancel the attempt
+	ClaimMoved     ClaimKind = "moved"     // the client sends the attempt on another connection
 )
 
-// Evidence is what a claim rests on: the state of the connection that had the attempt. Offsets count the bytes of the
-// connection.
+// Evidence supports a claim: the state of the connection to which the attempt was assigned. Offsets are counted in
+// bytes from the beginning of the connection.
 type Evidence struct {
-	Connection string // how far its exchange was
-	Sending    string // what its latest request is
-	LocalPort  int    // 0: the connection never opened
-	RequestEnd int64  // behind the last byte of the latest request
-	Written    int64  // behind what was given to the connection
-	Flushed    int64  // behind what the kernel has taken
+	Connection string // phase of the connection's current exchange
+	Sending    string // kind of the connection's latest request
+	LocalPort  int    // 0 if the connection was never opened
+	RequestEnd int64  // offset after the last byte of the latest request
+	Written    int64  // offset after the last byte that was written to the connection
+	Flushed    int64  // offset after the last byte that the kernel has accepted
 }
 
-// Claim is a worker client's statement that an attempt was never sent, so that another one may be.
+// Claim is a worker client's statement that an attempt was never sent, so that another attempt may be sent.
 type Claim struct {
-	At       time.Duration // of the dispatcher's clock
+	At       time.Duration // time of the dispatcher's clock
 	Kind     ClaimKind
-	Request  string // the ID that its client has given it
-	Attempt  int    // number of the attempt among those of its request
+	Request  string // ID that the client has given the request
+	Attempt  int    // number of the attempt within its request
 	Worker   string
 	Evidence Evidence
 }
@@ -58,16 +58,16 @@
 		c.At, c.Attempt, c.Worker, c.Kind, e.Connection, e.Sending, e.LocalPort, e.RequestEnd, e.Written, e.Flushed)
 }
 
-// maxClaims is how many claims a ClaimLog holds: those of some minutes, where few attempts are not sent.
+// maxClaims is how many claims a ClaimLog holds: those of several minutes, if only few attempts are never sent.
 const maxClaims = 1024
 
 // ClaimLog holds the latest claims. The zero value is ready to use. A ClaimLog is not safe for concurrent use.
 type ClaimLog struct {
-	claims []Claim // a ring once it has maxClaims
-	next   int     // where the next claim goes
+	claims []Claim // ring buffer once it holds maxClaims
+	next   int     // index at which the next claim is stored once the log is full
 }
 
-// Add records a claim, in place of the oldest one if the log is full.
+// Add records a claim. If the log is full, it replaces the oldest claim.
 func (l *ClaimLog) Add(claim Claim) {
 	if len(l.claims) < maxClaims {
 		l.claims = append(l.claims, claim)
--- a/internal/invariant/claim_test.go
+++ b/internal/invariant/claim_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Guards against a record that grows without end or loses the newest claims.
+// Guards against a log that grows without limit or loses the newest claims.
 func TestClaimLogKeepsTheLatest(t *testing.T) {
 	var log ClaimLog
 	const added = maxClaims + 10
@@ -23,11 +23,11 @@
 		}
 	}
 	if len(log.Of("r2")) > 0 {
-		t.Error("claims of a request that made none")
+		t.Error("claims were found for a request without claims")
 	}
 }
 
-// Guards against a claim of 'never sent' that is believed after a report to the contrary.
+// Guards against believing a claim that an attempt was never sent after a report that it was sent or started.
 func TestCheckNeverSentCountsContradictions(t *testing.T) {
 	var guard Guard
 	for reported, want := range map[Reported]bool{NothingReported: true, SentReported: false, StartReported: false} {
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,7 +1,7 @@
-// Package invariant holds the rules that every start of an attempt, every send and every close of a client connection
-// must keep, whatever the decision machine and the protocols do. A [Guard] checks them twice: before an action, which it
-// then prevents, and after it, where a broken rule is a defect of the program. Violations are counted and reported; they
-// never stop the service.
+// Package invariant defines the rules that every start of an attempt, every send and every close of a client connection
+// must keep, independent of what the decision machine and the protocols do. A [Guard] checks them twice: before an
+// action, which it prevents if the action would break a rule, and after it, when a broken rule is a defect of the
+// program. Violations are counted and reported; they never stop the service.
 //
 // The package does no I/O and takes the time as an argument. It does not choose workers.
 package invariant
@@ -14,21 +14,21 @@
 // The rules.
 const (
 	None          Rule = iota // no rule is broken
-	Drain                     // nothing is sent to a draining or removed worker beyond its grace
-	ListStale                 // nothing is sent by an endpoint list that may be stale
+	Drain                     // nothing is sent to a draining or removed worker after its grace period
+	ListStale                 // nothing is sent while the endpoint list that names the worker may be stale
 	Deadline                  // nothing is sent after the client has given up
-	DedupWindow               // no repeat arrives after workers have forgotten the first attempt
-	Duplicate                 // a non-idempotent request has one attempt at most that may have run
+	DedupWindow               // no repeat is sent so late that workers may no longer know the first attempt
+	Duplicate                 // a non-idempotent request has at most one attempt that may have run
 	Answered                  // nothing is sent for a request that has its final response
-	Unanswered                // no client connection is closed while a response is owed
-	Contradiction             // an attempt that has left is not claimed never to have been sent
+	Unanswered                // no client connection is closed while a response is outstanding
+	Contradiction             // no attempt that was reported as sent or started is claimed never to have been sent
 	numRules
 )
 
-// String returns the rule as it is written in the admin API and in logs.
+// String returns the name of the rule in the admin API and in logs.
 func (r Rule) String() string { return ruleNames[r] }
 
-// ruleNames are keys of the admin API's JSON.
+// ruleNames are used as keys in the JSON of the admin API.
 var ruleNames = [numRules]string{
 	None:          "none",
 	Drain:         "drain",
@@ -45,10 +45,10 @@
 type Send struct {
 	Now          time.Duration
 	Deadline     time.Duration // when the client gives up
-	RetryBy      time.Duration // when a repeat must have been sent; 0: no bound
+	RetryBy      time.Duration // time by which a repeat must have been sent; 0: no limit
 	Leaving      bool          // the worker is draining or was removed
-	LeavingSince time.Duration // when that was reported
-	Grace        time.Duration // how long after that it may still be sent to
+	LeavingSince time.Duration // when the worker was reported as draining or removed
+	Grace        time.Duration // how long after LeavingSince the worker may still be sent to
 	ListStale    bool          // the endpoint list that names the worker may be stale
 }
 
@@ -89,10 +89,11 @@
 	return None
 }
 
-// Guard checks the rules and counts what it prevented and what happened nevertheless. The zero value is ready to use. A
-// Guard is not safe for concurrent use.
+// Guard checks the rules, and counts the actions that it prevented and the violations that happened nevertheless. The
+// zero value is ready to use. A Guard is not safe for concurrent use.
 type Guard struct {
-	// Report is called with each violation and what it concerns; nil: violations are only counted.
+	// Report is called with each violation and a description of what it concerns. If it is nil, violations are only
+	// counted.
 	Report func(rule Rule, subject string)
 
 	prevented [numRules]uint64
@@ -107,7 +108,7 @@
 	return g.prevent(start.brokenRule())
 }
 
-// prevent counts an action that would break a rule.
+// prevent counts an action that is prevented because it would break the rule. With None it allows the action.
 func (g *Guard) prevent(rule Rule) (broken Rule, allowed bool) {
 	if rule == None {
 		return None, true
@@ -116,8 +117,8 @@
 	return rule, false
 }
 
-// CheckSent checks an attempt whose last byte was sent: all rules for its start and, of those for a send, Drain. It
-// returns whether it kept them.
+// CheckSent checks an attempt whose last byte was sent against all rules for a start and, of the rules for a send,
+// against Drain. It returns whether the attempt kept these rules.
 func (g *Guard) CheckSent(start Start, send Send, subject string) (kept bool) {
 	kept = g.check(start.brokenRule(), subject)
 	if rule := send.brokenRule(); rule == Drain {
@@ -126,8 +127,8 @@
 	return kept
 }
 
-// CheckNeverSent checks a claim that an attempt was never sent against what was reported of the attempt before. It
-// returns whether the claim may be believed.
+// CheckNeverSent checks a claim that an attempt was never sent against what was reported about the attempt before. It
+// returns whether the claim may be believed: it may not if the attempt was reported as sent or started.
 func (g *Guard) CheckNeverSent(reported Reported, subject string) (believed bool) {
 	if reported == NothingReported {
 		return true
@@ -136,14 +137,15 @@
 	return false
 }
 
-// CheckClosed checks a client connection that the dispatcher closed. unanswered says that a response was still owed there.
+// CheckClosed checks a client connection that the dispatcher has closed. unanswered says that a response was still
+// outstanding on it.
 func (g *Guard) CheckClosed(unanswered bool, subject string) {
 	if unanswered {
 		g.check(Unanswered, subject)
 	}
 }
 
-// check counts and reports a broken rule. It returns whether there is none.
+// check counts and reports a broken rule. It returns true if the rule is None.
 func (g *Guard) check(rule Rule, subject string) (kept bool) {
 	if rule == None {
 		return true
@@ -155,13 +157,13 @@
 	return false
 }
 
-// Counts are numbers by the text of their rule; rules without any are left out.
+// Counts are numbers by the name of their rule. Rules with a count of 0 are omitted.
 type Counts map[string]uint64
 
 // Prevented returns how many actions the guard has prevented.
 func (g *Guard) Prevented() Counts { return countsByName(&g.prevented) }
 
-// Violated returns how many actions broke a rule nevertheless.
+// Violated returns how many actions have broken a rule.
 func (g *Guard) Violated() Counts { return countsByName(&g.violated) }
 
 func countsByName(numbers *[numRules]uint64) Counts {
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -28,9 +28,9 @@
 		"draining, within the grace": {leaving(9500 * millisecond), None},
 		"draining, beyond the grace": {leaving(9499 * millisecond), Drain},
 		"at its deadline":            {func(s *Send) { s.Deadline = 10 * second }, Deadline},
-		"a repeat in its window":     {func(s *Send) { s.RetryBy = 11 * second }, None},
-		"a repeat at its end":        {func(s *Send) { s.RetryBy = 10 * second }, DedupWindow},
-		"by a stale list":            {func(s *Send) { s.ListStale = true }, ListStale},
+		"repeat before RetryBy":      {func(s *Send) { s.RetryBy = 11 * second }, None},
+		"repeat at RetryBy":          {func(s *Send) { s.RetryBy = 10 * second }, DedupWindow},
+		"stale endpoint list":        {func(s *Send) { s.ListStale = true }, ListStale},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var guard Guard
@@ -94,7 +94,7 @@
 		t.Errorf("reported %q, want %s", reported, want)
 	}
 	if len(guard.Prevented()) > 0 {
-		t.Errorf("prevented %v, want nothing: a check comes after the action", guard.Prevented())
+		t.Errorf("prevented %v, want nothing: a check after the action cannot prevent it", guard.Prevented())
 	}
 }
 
