--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -1,9 +1,9 @@
-// Package freshness decides whether an endpoint list is still fresh enough to act on. A [Tracker] knows when the list was
-// last confirmed by its source, and how the calls to the source have ended since.
+// Package freshness decides whether an endpoint list is still fresh enough to act on. A [Tracker] records when the list
+// was last confirmed by its source, and how the calls to the source have ended since.
 //
-// By the protocol, dispatchers count as notified of a change of the list a fixed time after its source had the change and
-// could be reached, whatever became of their calls meanwhile. This bound holds over all calls together. It is therefore
-// measured from the last confirmation, and no call and no failure of one extends it.
+// By the protocol, dispatchers count as notified of a change of the list a fixed time (NotificationBound) after its
+// source had the change and could be reached, regardless of how their calls ended meanwhile. The bound applies to all
+// calls together. It is therefore measured from the last confirmation, and neither a call nor its failure extends it.
 //
 // The package does no I/O and takes the time as an argument.
 package freshness
@@ -14,26 +14,26 @@
 type Knowledge uint8
 
 const (
-	// Current: dispatchers cannot count as notified yet of any change that the list lacks.
+	// Current: dispatchers do not yet count as notified of any change that is missing in the list.
 	Current Knowledge = iota
-	// Unconfirmed: the list may be stale. A worker may be sent to if a health check shows that it still serves; where there
-	// are no health checks, the list is used as it is.
+	// Unconfirmed: the list may be stale. A worker may be sent to if a health check shows that it still serves requests.
+	// If workers have no health checks, the list is used as it is.
 	Unconfirmed
-	// Unknown: the list may be stale, and nothing else tells which workers may have been removed. Nothing may be sent.
+	// Unknown: the list may be stale, and nothing else shows which workers may have been removed. Nothing may be sent.
 	Unknown
 )
 
 // String returns the name of the state in lower case.
 func (k Knowledge) String() string { return [...]string{"current", "unconfirmed", "unknown"}[k] }
 
-// Failure says how far a call to the source got that brought no update.
+// Failure says how far a call to the source got before it ended without an update.
 type Failure uint8
 
 const (
-	// NotReached: no connection, a reset or a refusal before a response began, or a response that says that the source is
-	// down or overloaded. They cannot be distinguished.
+	// NotReached: there was no connection, or a reset or a refusal before a response began, or a response which says that
+	// the source is down or overloaded. These cases cannot be distinguished.
 	NotReached Failure = iota
-	// BrokenOff: the source accepted the call and sent nothing, or an incomplete response.
+	// BrokenOff: the source accepted the call, but sent no response or an incomplete one.
 	BrokenOff
 )
 
@@ -42,40 +42,42 @@
 	// it and could be reached.
 	NotificationBound = 6 * time.Second
 
-	// staleMargin is how long before the bound the list ceases to be current. The grace that the protocol gives a removed
-	// worker beyond the bound is left to what is under way.
+	// staleMargin is how long before the bound the list stops being current. The grace period after the bound, during
+	// which the protocol still allows sending to a removed worker, is reserved for requests that are already being sent.
 	staleMargin = 100 * time.Millisecond
 
-	// failureValidity is how long a failed call says something about the source. Calls begin within 3.8 s of the last
-	// contact and take 3 s at most.
+	// failureValidity is how long a failed call shows that the source cannot be reached. Calls begin within 3.8 s of the
+	// last contact and take 3 s at most.
 	failureValidity = 8 * time.Second
 
-	// startupWait is how long after its start a process waits for its source, also where calls fail. The list that it was
-	// given may be of any age, and workers that are restarted after their removal respond before they are listed again.
+	// startupWait is how long after its start a process waits for its source, even if calls fail. The initial list may be
+	// of any age, and workers that are restarted after their removal respond before they are listed again.
 	startupWait = 4 * time.Second
 
-	// maxStartupWait is how long it waits whatever becomes of its calls: it must be ready within 10 s.
+	// maxStartupWait is how long a process waits for its source at most, however its calls end: the process must be ready
+	// within 10 s.
 	maxStartupWait = 8 * time.Second
 
-	// stallRecoveryTime is how long after a stall of the process what is read may have been sent before the stall.
+	// stallRecoveryTime is how long after a stall of the process a message that is read may have been sent before the
+	// stall.
 	stallRecoveryTime = 100 * time.Millisecond
 )
 
-// Tracker follows the age of one endpoint list. Its zero value was confirmed at time 0. A Tracker is not safe for
-// concurrent use.
+// Tracker tracks the age of one endpoint list. The zero value is a list that was confirmed at time 0. A Tracker is not
+// safe for concurrent use.
 type Tracker struct {
 	CanCheckHealth bool // workers have health checks
 
 	startedAt      time.Duration
-	neverConfirmed bool          // since the start
-	confirmedAt    time.Duration // all changes up to then are in the list
-	failed         bool          // a call has failed since
+	neverConfirmed bool          // the list was not confirmed since the start
+	confirmedAt    time.Duration // the list has all changes up to this time
+	failed         bool          // a call has failed since confirmedAt
 	lastFailure    Failure
-	failedAt       time.Duration // of lastFailure
-	stallEndedAt   time.Duration // 0: there was no stall
+	failedAt       time.Duration // time of lastFailure
+	stallEndedAt   time.Duration // end of the last stall; 0 if there was none
 }
 
-// Start begins with a list of unknown age.
+// Start resets the tracker to a list of unknown age.
 func (t *Tracker) Start(now time.Duration) {
 	*t = Tracker{
 		CanCheckHealth: t.CanCheckHealth,
@@ -85,8 +87,8 @@
 	}
 }
 
-// Confirmed reports that a complete message of the source has arrived: an update, or that there is none. A message that
-// is read right after a stall of the process may have been queued for long, and confirms nothing.
+// Confirmed records that a complete message of the source has arrived: an update, or the statement that there is none.
+// A message that is read right after a stall of the process may have been queued for a long time, and is ignored.
 func (t *Tracker) Confirmed(now time.Duration) {
 	if t.stallEndedAt > 0 && now < t.stallEndedAt+stallRecoveryTime {
 		return
@@ -96,8 +98,8 @@
 	t.neverConfirmed = false
 }
 
-// HandedOver reports that another process of the same dispatcher has handed over its list, and how long ago that process
-// had it confirmed.
+// HandedOver records that another process of the same dispatcher has handed over its list, which was confirmed to that
+// process age ago.
 func (t *Tracker) HandedOver(now, age time.Duration) {
 	confirmedAt := now - age
 	if confirmedAt <= t.confirmedAt || age >= NotificationBound {
@@ -107,29 +109,29 @@
 	t.neverConfirmed = false
 }
 
-// Stalled reports that the process was held up until now.
+// Stalled records that the process was stalled until now.
 func (t *Tracker) Stalled(now time.Duration) { t.stallEndedAt = now }
 
-// Failed reports that a call or watch has ended without an update.
+// Failed records that a call or watch has ended without an update.
 func (t *Tracker) Failed(now time.Duration, failure Failure) {
 	t.failed = true
 	t.lastFailure = failure
 	t.failedAt = now
 }
 
-// StaleAt returns when the list ceases to be current, unless it is confirmed before.
+// StaleAt returns when the list stops being current, unless it is confirmed before then.
 func (t *Tracker) StaleAt() time.Duration { return t.confirmedAt + NotificationBound - staleMargin }
 
-// LastContact returns the time up to which all changes are in the list.
+// LastContact returns the time up to which the list has all changes.
 func (t *Tracker) LastContact() time.Duration { return t.confirmedAt }
 
 // Knowledge returns what the list may be used for now:
 //
 //   - Current until StaleAt;
-//   - after that, for a list that was never confirmed since the start: Unknown during startupWait; then Unconfirmed once a
-//     call has failed to reach the source, and at the latest after maxStartupWait;
-//   - after that, for a list that was confirmed: Unconfirmed if workers have health checks, or the last call has failed
-//     to reach the source within failureValidity; otherwise Unknown.
+//   - after StaleAt, for a list that was not confirmed since the start: Unknown during startupWait; then Unconfirmed
+//     while the last call has failed to reach the source within failureValidity, and in any case after maxStartupWait;
+//   - after StaleAt, for a list that was confirmed: Unconfirmed if workers have health checks, or if the last call has
+//     failed to reach the source within failureValidity; otherwise Unknown.
 func (t *Tracker) Knowledge(now time.Duration) Knowledge {
 	switch {
 	case now < t.StaleAt():
@@ -144,12 +146,12 @@
 	return Unknown
 }
 
-// sourceUnreachable reports whether the last call has failed lately because the source could not be reached.
+// sourceUnreachable reports whether the last call has failed to reach the source within failureValidity.
 func (t *Tracker) sourceUnreachable(now time.Duration) bool {
 	return t.failed && t.lastFailure == NotReached && now < t.failedAt+failureValidity
 }
 
-// NextChange returns when Knowledge may change by the passing of time alone; 0: it will not.
+// NextChange returns the next time at which Knowledge may change by the passing of time alone, or 0 if there is none.
 func (t *Tracker) NextChange(now time.Duration) time.Duration {
 	next := time.Duration(0)
 	for _, at := range []time.Duration{
@@ -165,19 +167,19 @@
 	return next
 }
 
-// HealthEvidence says whether a health check of one worker can still prove that the worker is listed. The zero value says
-// that it can. A HealthEvidence is not safe for concurrent use.
+// HealthEvidence says whether a successful health check of one worker still proves that the worker is listed. By the
+// zero value it does. A HealthEvidence is not safe for concurrent use.
 type HealthEvidence struct {
 	denied      bool
-	confirmedAt time.Duration // of the list, when the worker was denied
+	confirmedAt time.Duration // the list's LastContact at the time of the denial
 }
 
-// Denied reports that the worker could not be reached, or said that it does not serve.
+// Denied records that the worker could not be reached, or reported that it does not serve requests.
 func (e *HealthEvidence) Denied(t *Tracker) {
 	e.denied = true
 	e.confirmedAt = t.LastContact()
 }
 
-// Holds reports whether the worker may still be asked. One that was denied may have been removed and restarted since: its
-// health checks prove nothing until the list is confirmed again.
+// Holds reports whether health checks of the worker still count as proof. A worker for which Denied was called may have
+// been removed and restarted since: its health checks prove nothing until the list is confirmed again.
 func (e *HealthEvidence) Holds(t *Tracker) bool { return !e.denied || e.confirmedAt != t.LastContact() }
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -12,7 +12,7 @@
 	millisecond = time.Millisecond
 )
 
-// event is what a step of a test reports to the Tracker; nil: nothing.
+// event records something in the Tracker; it is nil in steps in which only time passes.
 type event func(t *Tracker, now time.Duration)
 
 func confirmed(t *Tracker, now time.Duration)  { t.Confirmed(now) }
@@ -20,7 +20,7 @@
 func brokenOff(t *Tracker, now time.Duration)  { t.Failed(now, BrokenOff) }
 func stalled(t *Tracker, now time.Duration)    { t.Stalled(now) }
 
-// step is one step of a scenario: what happens at a time, and what the list may be used for right after.
+// step is one step of a scenario: an event at a time, and the expected Knowledge right after it.
 type step struct {
 	at    time.Duration
 	event event
@@ -34,11 +34,11 @@
 		{10 * second, nil, Current},
 		{10900 * millisecond, nil, Unknown},
 	},
-	"silence": {
+	"no messages and no failed calls": {
 		{5800 * millisecond, nil, Current},
 		{6 * second, nil, Unknown},
 	},
-	"calls that break off extend nothing": {
+	"calls that break off do not extend the bound": {
 		{3 * second, brokenOff, Current},
 		{5800 * millisecond, brokenOff, Current},
 		{6 * second, nil, Unknown},
@@ -60,7 +60,7 @@
 		{5 * second, brokenOff, Current},
 		{7 * second, notReached, Unconfirmed},
 	},
-	"what is read right after a stall may be old": {
+	"a message read right after a stall confirms nothing": {
 		{10 * second, stalled, Unknown},
 		{10*second + millisecond, confirmed, Unknown},
 		{11 * second, confirmed, Current},
@@ -73,7 +73,7 @@
 	},
 }
 
-// What a list may be used for follows from the time and from how the calls to its source have ended.
+// Checks the Knowledge after sequences of confirmations, failed calls and stalls.
 func TestKnowledge(t *testing.T) {
 	for name, steps := range knowledgeScenarios {
 		t.Run(name, func(t *testing.T) {
@@ -85,22 +85,22 @@
 					step.event(&tracker, step.at)
 				}
 				if got := tracker.Knowledge(step.at); got != step.want {
-					t.Errorf("step %d, at %v: %v, not %v", i, step.at, got, step.want)
+					t.Errorf("step %d, at %v: %v, want %v", i, step.at, got, step.want)
 				}
 			}
 		})
 	}
 }
 
-// The list that a process starts with is unknown until its source has confirmed it; if the source does not respond, it
-// becomes unconfirmed after a while.
+// The initial list of a process is Unknown until its source has confirmed it. If the source does not respond, the list
+// becomes Unconfirmed: after startupWait if a call failed to reach the source, otherwise after maxStartupWait.
 func TestStartBeginsUnknown(t *testing.T) {
 	const start = 100 * second
 	var confirmed, refused, silent Tracker
 	for _, tracker := range []*Tracker{&confirmed, &refused, &silent} {
 		tracker.Start(start)
 		if got := tracker.Knowledge(start); got != Unknown {
-			t.Errorf("at the start: %v, not %v", got, Unknown)
+			t.Errorf("at the start: %v, want %v", got, Unknown)
 		}
 	}
 	confirmed.Confirmed(start + second)
@@ -113,39 +113,39 @@
 		at := start + after
 		got := [3]Knowledge{confirmed.Knowledge(at), refused.Knowledge(at), silent.Knowledge(at)}
 		if got != want {
-			t.Errorf("%v after the start: %v, not %v", after, got, want)
+			t.Errorf("%v after the start: %v, want %v", after, got, want)
 		}
 	}
 }
 
-// Where workers have health checks, a list that was confirmed once never becomes unknown.
+// If workers have health checks, a list that was confirmed once never becomes Unknown.
 func TestHealthChecksKeepListUsable(t *testing.T) {
 	tracker := Tracker{CanCheckHealth: true}
 	tracker.Start(0)
 	tracker.Confirmed(second)
 	tracker.Failed(5*second, BrokenOff)
 	if got := tracker.Knowledge(8 * second); got != Unconfirmed {
-		t.Errorf("%v, not %v", got, Unconfirmed)
+		t.Errorf("%v, want %v", got, Unconfirmed)
 	}
 }
 
-// A list that another process hands over is as old as it was there.
+// A list that another process hands over keeps its age.
 func TestHandedOver(t *testing.T) {
 	var tracker Tracker
 	tracker.Start(100 * second)
 	tracker.HandedOver(100*second, 7*second)
 	if got := tracker.Knowledge(100 * second); got != Unknown {
-		t.Errorf("a list that was stale already: %v, not %v", got, Unknown)
+		t.Errorf("a list that was already stale: %v, want %v", got, Unknown)
 	}
 	tracker.HandedOver(101*second, 2*second)
 	before := tracker.Knowledge(104 * second)
 	after := tracker.Knowledge(105 * second)
 	if before != Current || after != Unknown {
-		t.Errorf("a list confirmed 2 s before: %v, then %v; not %v, then %v", before, after, Current, Unknown)
+		t.Errorf("a list confirmed 2 s before: %v, then %v; want %v, then %v", before, after, Current, Unknown)
 	}
 }
 
-// Whatever calls fail, in any order, the list is never current beyond the bound.
+// For any sequence of failed calls and stalls, the list is never Current beyond the bound.
 func TestNoFailureExtendsTheBound(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 0))
@@ -160,13 +160,13 @@
 				tracker.Stalled(now)
 			}
 			if tracker.Knowledge(now) == Current && now >= NotificationBound {
-				t.Fatalf("seed %d: current at %v, though nothing was confirmed since the start", seed, now)
+				t.Fatalf("seed %d: current at %v, though the list was last confirmed at 0", seed, now)
 			}
 		}
 	}
 }
 
-// A worker that was denied proves nothing until the list is confirmed again.
+// After Denied, health checks of the worker prove nothing until the list is confirmed again.
 func TestHealthEvidence(t *testing.T) {
 	var tracker Tracker
 	tracker.Confirmed(0)
@@ -178,7 +178,7 @@
 	}
 	tracker.Confirmed(31 * second)
 	if !denied.Holds(&tracker) {
-		t.Error("does not hold, though the list was confirmed since")
+		t.Error("does not hold, though the list was confirmed again")
 	}
 }
 
