--- a/internal/slotmap/slotmap_test.go
+++ b/internal/slotmap/slotmap_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A handle that was removed finds nothing, though its slot is in use again.
+// A handle whose value was removed finds nothing, even after its slot is in use again.
 func TestStaleHandleFindsNothing(t *testing.T) {
 	var m Map[int]
 	one, two := 1, 2
