--- a/decision/endpoints.go
+++ b/decision/endpoints.go
@@ -13,7 +13,7 @@
 	minListBackoffDivisor  = 20    // the smallest backoff is ListPollInterval divided by this
 	maxListBackoffDivisor  = 2     // the largest backoff is ListPollInterval divided by this
 	listBackoffJitter      = 0.5   // a wait is a random fraction of the backoff, from this value to 1
-	subscribeSpreadPerPeer = 0.008 // fraction of ListPollInterval per peer above largeFleetThreshold
+	subscribeSpreadPerPeer = 0.008 // fraction of ListPollInterval per peer above manyDispatchersThreshold
 	maxSubscribeSpread     = 0.25  // largest spread, as a fraction of ListPollInterval
 )
 
@@ -68,7 +68,7 @@
 	if !m.settings.LargeFleet() {
 		return 0
 	}
-	part := min(float64(m.settings.Peers-largeFleetThreshold)*subscribeSpreadPerPeer, maxSubscribeSpread)
+	part := min(float64(m.settings.Peers-manyDispatchersThreshold)*subscribeSpreadPerPeer, maxSubscribeSpread)
 	return seconds(part * m.settings.ListPollInterval.Seconds() * m.random.Float64())
 }
 
--- a/decision/endpoints_test.go
+++ b/decision/endpoints_test.go
@@ -76,7 +76,7 @@
 func TestFewDispatchersCallForTheListAtOnce(t *testing.T) {
 	settings := testSettings()
 	settings.ListBySubscription = true
-	settings.Peers = largeFleetThreshold
+	settings.Peers = manyDispatchersThreshold
 	rig := newRig(t, settings, 1)
 	if findAction(rig.actions, Subscribe) == nil || findAction(rig.actions, SetTimer) != nil {
 		t.Fatalf("few dispatchers do not call at once: %v", rig.actions)
--- a/decision/hedge.go
+++ b/decision/hedge.go
@@ -82,7 +82,7 @@
 // checkBacklog requests a worker's load, unless it was requested within the interval. The interval grows
 // with the number of dispatchers, since all of them may ask the same worker.
 func (m *Machine) checkBacklog(worker *worker, interval time.Duration) {
-	interval *= time.Duration(max(m.settings.Peers/largeFleetThreshold, 1))
+	interval *= time.Duration(max(m.settings.Peers/manyDispatchersThreshold, 1))
 	if !m.settings.HealthChecks || m.now-worker.healthCheckedAt <= interval {
 		return
 	}
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -109,14 +109,14 @@
 	DrainGrace time.Duration // how long a worker may still be sent to after it is known to be draining
 }
 
-// largeFleetThreshold is the largest number of dispatchers that may call for the endpoint list at the same
-// moment: a list service that answers seven calls per second, and fails a call after two seconds, can still
-// serve that many.
-const largeFleetThreshold = 8
+// manyDispatchersThreshold is the largest number of dispatchers that may call for the endpoint list at the
+// same moment: a list service that answers seven calls per second, and fails a call after two seconds, can
+// still serve that many.
+const manyDispatchersThreshold = 8
 
 // LargeFleet reports whether there are so many dispatchers that their calls for the endpoint list must be
 // spread over time. Until its first call, a dispatcher uses the initial endpoint list.
-func (s *Settings) LargeFleet() bool { return s.Peers > largeFleetThreshold }
+func (s *Settings) LargeFleet() bool { return s.Peers > manyDispatchersThreshold }
 
 // normalize checks the settings and replaces zero values that are not usable. It does not modify the
 // caller's Classes.
--- a/decision/zone_test.go
+++ b/decision/zone_test.go
@@ -203,8 +203,9 @@
 	})
 }
 
-// A request that runs in an unreachable zone and may be repeated is hedged at once. Otherwise it would be
-// hedged only when its worker counts as silent, which takes two seconds without progress reports.
+// A request that runs in an unreachable zone and may be repeated is hedged after a sweep interval without a
+// report. Otherwise it would be hedged only when its worker counts as silent, which takes over two seconds
+// without progress reports.
 func TestAttemptInUnreachableZoneIsHedged(t *testing.T) {
 	forZoneRigs(t, func(t *testing.T, rig *zoneRig) {
 		rig.refuseTwice(2)
