--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -9,27 +9,28 @@
 
 // openAttempt is an attempt that has not ended.
 type openAttempt struct {
-	requestHandle uint64 // handle of its request
-	number        int    // index in the attempts of its request
+	requestHandle uint64 // handle of the request
+	number        int    // index in openRequest.attempts
 	worker        string
 	client        WorkerClient
 	phase         attemptPhase
-	sent          bool   // its last byte was sent; a reported start makes it delivered, too
-	started       bool   // its worker has reported its start
-	fence         uint64 // fencing token of its lease; 0: it has none
+	sent          bool   // the worker client has reported that the last byte was sent
+	started       bool   // the worker has reported that it began to run the attempt
+	fence         uint64 // fencing token of the attempt's lease; 0 if it has no lease
 }
 
-// attemptPhase is how far an open attempt has come on its way to its worker.
+// attemptPhase is how far the delivery of an open attempt to its worker has come.
 type attemptPhase uint8
 
-// The phases, in their order. An attempt without a lease begins as handedOver.
+// The phases, in the order in which an attempt passes them. An attempt that needs no lease begins as handedOver.
 const (
-	awaitingLease attemptPhase = iota // its worker client does not know of it yet
-	handedOver                        // its worker client has it
-	delivered                         // its last byte was sent, or its worker has reported its start
+	awaitingLease attemptPhase = iota // a lease was requested; the worker client does not know the attempt yet
+	handedOver                        // the worker client has the attempt
+	delivered                         // the last byte was sent, or the worker has reported the start
 )
 
-// assign starts the next attempt of a request, unless a rule forbids it.
+// assign starts the next attempt of a request at a worker. If the guard forbids it, the worker is not listed any more
+// or the request has used up its attempts, the attempt is reported to the machine as not sent.
 func (d *Dispatcher) assign(requestHandle uint64, worker string, reservation float64) {
 	request := d.requests.Get(requestHandle)
 	if request == nil {
@@ -39,7 +40,7 @@
 	number := len(request.attempts)
 	client := d.clientOf(worker)
 	if !request.answered {
-		d.cancelIfClientLeft(request) // its front end may not have handled the disconnect yet
+		d.cancelIfClientLeft(request) // the front end may not have handled the client's disconnect yet
 	}
 	_, allowed := d.Guard.MayStart(d.startFacts(request, number))
 	if !allowed || client == nil || request.attemptsMade() >= max(d.Settings.MaxAttempts, 1) {
@@ -49,7 +50,8 @@
 	d.startAttempt(request, worker, client, reservation)
 }
 
-// startFacts returns what the guard must know before attempt number of a request, counted from 0.
+// startFacts returns the facts by which the guard decides whether the attempt with this number, counted from 0, may
+// start.
 func (d *Dispatcher) startFacts(request *openRequest, number int) invariant.Start {
 	return invariant.Start{
 		Now:           d.Loop.Now(),
@@ -60,7 +62,7 @@
 	}
 }
 
-// skipAttempt reports an attempt to the machine as never sent.
+// skipAttempt records an attempt that is not started, and reports it to the machine as not sent.
 func (d *Dispatcher) skipAttempt(request *openRequest, worker string) {
 	number := len(request.attempts)
 	request.attempts = append(request.attempts, attemptRecord{neverRan: true, unsent: true})
@@ -74,7 +76,8 @@
 	})
 }
 
-// startAttempt hands an attempt to a worker client, once it has its lease if it needs one.
+// startAttempt opens an attempt and hands it to a worker client. If the request needs a lease, the attempt waits for
+// the lease first.
 func (d *Dispatcher) startAttempt(request *openRequest, worker string, client WorkerClient, reservation float64) {
 	number := len(request.attempts)
 	attempt := &openAttempt{requestHandle: request.handle, number: number, worker: worker, client: client, phase: handedOver}
@@ -102,7 +105,8 @@
 	client.Start(start)
 }
 
-// startLeased asks for the lease of an attempt and starts the attempt when it is granted.
+// startLeased asks for the lease of an attempt and starts the attempt when the lease is granted. If the lease is
+// refused, the attempt ends as not sent.
 func (d *Dispatcher) startLeased(request *openRequest, attempt *openAttempt, start Attempt) {
 	attempt.phase = awaitingLease
 	request.Leaser.Acquire(&request.Request, attempt.worker, func(fence uint64) (wanted bool) {
@@ -111,7 +115,7 @@
 		}
 		attempt.phase = handedOver
 		attempt.fence = fence
-		if fence == 0 { // refused
+		if fence == 0 { // the lease was refused
 			d.AttemptEnded(start.Handle, decision.NotSent, decision.LoadReport{}, nil)
 			return true
 		}
@@ -121,27 +125,28 @@
 	})
 }
 
-// RetryBy returns the clock time by which an open attempt must have been sent, or 0 where there is no bound now. It may
-// have got one since its start: an attempt that was started after it may have been sent before it.
+// RetryBy returns the clock time by which an open attempt must have been sent, or 0 if there is no bound at present.
+// The bound can appear after the attempt was started: an attempt that was started later may have been sent earlier.
 func (d *Dispatcher) RetryBy(attemptHandle uint64) time.Duration {
 	attempt := d.attempts.Get(attemptHandle)
 	if attempt == nil {
 		return 0
 	}
 	request := d.requests.Get(attempt.requestHandle)
-	return d.retryByBeside(request, attempt.number)
+	return d.retryByGivenOthers(request, attempt.number)
 }
 
-// retryBy returns the clock time by which the next attempt of a request must have been sent, or 0 where there is no bound.
+// retryBy returns the clock time by which the next attempt of a request must have been sent, or 0 if there is no bound.
 func (d *Dispatcher) retryBy(request *openRequest) time.Duration {
-	return d.retryByBeside(request, len(request.attempts))
+	return d.retryByGivenOthers(request, len(request.attempts))
 }
 
-// retryByBeside returns the clock time by which the attempt with a number must have been sent, beside the others.
-// Workers discard a duplicate that arrives within the window of the first attempt that may have run. The window is
-// counted from when that attempt was assigned, which is before it was sent, and half of the connect timeout, which covers
-// a round trip, is left for the way to the worker.
-func (d *Dispatcher) retryByBeside(request *openRequest, number int) time.Duration {
+// retryByGivenOthers returns the clock time by which the attempt with this number must have been sent, given the other
+// attempts of the request, or 0 if there is no bound. Workers discard a duplicate that arrives within the dedup window
+// of the first attempt that may have run. The window is counted from the time at which that attempt was assigned, which
+// is before it was sent. The bound lies half of the connect timeout before the end of the window, to leave time for the
+// transfer to the worker: the connect timeout covers a round trip.
+func (d *Dispatcher) retryByGivenOthers(request *openRequest, number int) time.Duration {
 	class := &d.Settings.Classes[request.Class]
 	if class.Idempotency != decision.Deduplicated {
 		return 0
--- a/internal/dispatch/attempt_test.go
+++ b/internal/dispatch/attempt_test.go
@@ -8,22 +8,23 @@
 	"hollyyoke.example/hollyyoke/internal/eventloop"
 )
 
-// dedupWindow and connectTimeout are the settings of the tests of RetryBy.
+// Settings for the tests of RetryBy.
 const (
 	dedupWindow    = 2 * time.Second
 	connectTimeout = 200 * time.Millisecond
 )
 
-// retryByCase is a request whose attempts end in turn; the attempt after the last of them stays open.
+// retryByCase is a request whose attempts end one after the other with the given outcomes. One more attempt follows,
+// which stays open.
 type retryByCase struct {
 	name        string
 	idempotency decision.Idempotency
 	outcomes    []decision.AttemptOutcome
-	boundBy     []int // by attempt: the earlier attempt whose window bounds it; -1: none
+	boundBy     []int // for each attempt, the earlier attempt whose dedup window bounds it, or -1 if there is no bound
 }
 
-// A retry must be sent within the window of the first attempt that may have run, less the way to the worker; an attempt
-// that never ran opens no window. Requests of other classes have no bound.
+// A retry must be sent within the dedup window of the first attempt that may have run, less the time for the transfer
+// to the worker. An attempt that never ran sets no bound, and neither do the attempts of requests of other classes.
 func TestRetryMustBeSentWithinDedupWindow(t *testing.T) {
 	for _, c := range []retryByCase{
 		{"may have run", decision.Deduplicated, []decision.AttemptOutcome{decision.Failed}, []int{-1, 0}},
@@ -93,7 +94,8 @@
 	}
 }
 
-// checkRetryByOfReorderedAttempts checks the bound after attempts that were assigned in another order than they would be.
+// checkRetryByOfReorderedAttempts checks the bound for attempts whose assignment times are not in the order of their
+// numbers.
 func checkRetryByOfReorderedAttempts(t *testing.T, d *Dispatcher, idempotency decision.Idempotency) {
 	t.Helper()
 	neverRan := attemptRecord{assignedAt: 9, neverRan: true}
--- a/internal/dispatch/attemptreport.go
+++ b/internal/dispatch/attemptreport.go
@@ -5,9 +5,9 @@
 	"hollyyoke.example/hollyyoke/internal/invariant"
 )
 
-// The methods below are what a worker client reports of an attempt. For an attempt that is not open they do nothing.
+// A worker client calls the methods below to report on an attempt. They do nothing if the attempt is not open.
 
-// AttemptSent reports that the last byte of an attempt was sent. Further calls for the attempt do nothing.
+// AttemptSent reports that the last byte of an attempt was sent. Only the first call for an attempt has an effect.
 func (d *Dispatcher) AttemptSent(attemptHandle uint64) {
 	attempt := d.attempts.Get(attemptHandle)
 	if attempt == nil || attempt.sent {
@@ -26,7 +26,8 @@
 	})
 }
 
-// checkSent has the guard check an attempt after its last byte was sent.
+// checkSent has the guard check an attempt whose last byte has just been sent, and logs the recorded claims about the
+// request if the attempt breaks a rule.
 func (d *Dispatcher) checkSent(attempt *openAttempt) {
 	request := d.requests.Get(attempt.requestHandle)
 	if request == nil {
@@ -63,7 +64,7 @@
 	})
 }
 
-// AttemptProgressed reports which fraction of an attempt is done, from 0 to 1.
+// AttemptProgressed reports the fraction of an attempt's work that is done, from 0 to 1.
 func (d *Dispatcher) AttemptProgressed(attemptHandle uint64, fraction float64) {
 	attempt := d.attempts.Get(attemptHandle)
 	if attempt == nil {
@@ -78,7 +79,8 @@
 	})
 }
 
-// AttemptEnded reports how an attempt ended. result is the response body of a completed one, valid during the call only.
+// AttemptEnded reports how an attempt ended. result is the response body of a completed attempt; it is valid only
+// during the call.
 func (d *Dispatcher) AttemptEnded(
 	attemptHandle uint64, outcome decision.AttemptOutcome, load decision.LoadReport, result []byte,
 ) {
@@ -100,7 +102,7 @@
 	switch {
 	case outcome == decision.Completed:
 		d.respond(request, Response{Outcome: Served, Body: result})
-	case attempt.fence != 0 && !neverRan: // see Leaser: the job is not retried as the same request
+	case attempt.fence != 0 && !neverRan: // the request of a leased job ends with its first attempt that may have run
 		d.respond(request, Response{Outcome: Failed})
 	}
 	d.handle(decision.Event{
--- a/internal/dispatch/cancellation.go
+++ b/internal/dispatch/cancellation.go
@@ -2,7 +2,8 @@
 
 import "hollyyoke.example/hollyyoke/decision"
 
-// Cancel withdraws a request: its client wants no response any more. It returns whether the request may have run by then.
+// Cancel withdraws a request whose client does not want a response any more. It returns whether some attempt of the
+// request may have run.
 func (d *Dispatcher) Cancel(requestHandle uint64) (mayHaveRun bool) {
 	request := d.requests.Get(requestHandle)
 	if request == nil || request.answered {
@@ -12,17 +13,18 @@
 	d.traceCancelled(request)
 	d.resolve(request)
 	d.withdraw(request)
-	return request.mayHaveRun() // only now: to stop an attempt may show that it never ran
+	return request.mayHaveRun() // evaluated after withdraw: stopping an attempt can show that it never ran
 }
 
-// withdraw ends a request that has been resolved without the machine.
+// withdraw tells the machine that a request, which was resolved without it, is over, and cleans the request up.
 func (d *Dispatcher) withdraw(request *openRequest) {
 	d.handle(decision.Event{Kind: decision.ClientDisconnected, Request: request.handle})
 	d.cleanUp(request)
 }
 
-// ClientGone reports whether the client of an attempt's request has disconnected. If so, the request was cancelled and
-// the attempt stopped. A worker client asks right before it sends the bytes that let the worker begin.
+// ClientGone reports whether the client of an attempt's request has disconnected. If so, it has cancelled the request
+// and stopped the attempt. It also returns true if the attempt is not open any more. A worker client calls it right
+// before it sends the bytes that let the worker begin.
 func (d *Dispatcher) ClientGone(attemptHandle uint64) bool {
 	attempt := d.attempts.Get(attemptHandle)
 	if attempt == nil {
@@ -32,8 +34,8 @@
 	return !request.answered && d.cancelIfClientLeft(request)
 }
 
-// cancelIfClientLeft cancels a request whose client has disconnected, and reports whether it did. A leased job is wanted
-// whether its client waits or not.
+// cancelIfClientLeft cancels a request whose client has disconnected, and reports whether it did so. It never cancels
+// the request of a leased job, which is to run whether or not its client waits.
 func (d *Dispatcher) cancelIfClientLeft(request *openRequest) bool {
 	watcher, ok := request.frontEnd.(ClientWatcher)
 	if !ok || request.Leaser != nil || !watcher.ClientLeft(request.token) {
@@ -44,16 +46,16 @@
 	return true
 }
 
-// ExpireAll makes all open requests expire now.
+// ExpireAll ends all open requests now, as at their deadlines.
 func (d *Dispatcher) ExpireAll() {
 	d.requests.ForEach(func(_ uint64, request *openRequest) { d.expire(request) })
 }
 
-// expire ends a request at its deadline: its open attempts have timed out, and if that leaves it without a response, it
-// has failed. No request goes unanswered, whatever the machine does.
+// expire ends a request at its deadline: it stops the open attempts as timed out and, if the request still has no
+// response then, answers it as failed. So every request is answered, whatever the machine does.
 func (d *Dispatcher) expire(request *openRequest) {
-	request.deadline = min(request.deadline, d.Loop.Now()) // it may be before its time; nothing is started any more
-	// A stopped attempt is reported to the machine, which may assign another or conclude the request.
+	request.deadline = min(request.deadline, d.Loop.Now()) // ExpireAll comes early; the guard now forbids new attempts
+	// The end of each stopped attempt is reported to the machine, which may assign another one or conclude the request.
 	for i := 0; i < len(request.attempts) && d.isOpen(request); i++ {
 		d.stopAttempt(request.attempts[i].handle, decision.TimedOut)
 	}
@@ -64,7 +66,7 @@
 	d.withdraw(request)
 }
 
-// cancelAttempt stops an attempt that the machine does not need any more.
+// cancelAttempt stops an attempt that the machine has cancelled.
 func (d *Dispatcher) cancelAttempt(requestHandle uint64, number int) {
 	request := d.requests.Get(requestHandle)
 	if request != nil && number < len(request.attempts) {
@@ -72,11 +74,11 @@
 	}
 }
 
-// stopUndelivered stops the attempts that have not been delivered to their workers, also where the settings allow no
-// cancellation. An attempt that has its lease continues: the job is wanted whether its client waits or not, and it is
-// the front end that ends it.
+// stopUndelivered stops the attempts of a request that have not been delivered to their workers, even if the settings
+// disable cancellation. An attempt that has been granted its lease continues: the job is to run whether or not its
+// client waits, and the front end ends it.
 func (d *Dispatcher) stopUndelivered(request *openRequest) {
-	for i := 0; i < len(request.attempts); i++ { // stopping one may add another
+	for i := 0; i < len(request.attempts); i++ { // stopping an attempt may append another one
 		handle := request.attempts[i].handle
 		attempt := d.attempts.Get(handle)
 		if attempt == nil {
@@ -89,7 +91,8 @@
 	}
 }
 
-// stopAttempt ends an attempt if it is open. It is reported as not sent if it is certain that it never ran.
+// stopAttempt ends an attempt with the given outcome, or as not sent if it is certain that it never ran. It does
+// nothing if the attempt is not open.
 func (d *Dispatcher) stopAttempt(attemptHandle uint64, outcome decision.AttemptOutcome) {
 	attempt := d.attempts.Get(attemptHandle)
 	if attempt == nil {
--- a/internal/dispatch/claim.go
+++ b/internal/dispatch/claim.go
@@ -5,8 +5,9 @@
 	"hollyyoke.example/hollyyoke/internal/invariant"
 )
 
-// ClaimNeverSent records what a worker client's claim rests on that an attempt was never sent, where the request must
-// not run twice. A worker client makes it before it reports the end of the attempt, stops it or moves it.
+// ClaimNeverSent records a worker client's claim that an attempt was never sent, with the evidence for it. Claims about
+// idempotent requests are not recorded. A worker client makes the claim before it reports the end of the attempt, stops
+// the attempt or moves it to another connection.
 func (d *Dispatcher) ClaimNeverSent(attemptHandle uint64, kind invariant.ClaimKind, evidence invariant.Evidence) {
 	attempt := d.attempts.Get(attemptHandle)
 	if attempt == nil {
@@ -31,36 +32,39 @@
 }
 
 // MayMove reports whether a worker client may send an attempt on another connection, after it has claimed that the
-// attempt was never sent. It may not where the attempt has ended meanwhile. Where the attempt was reported as sent, the
-// claim is a defect, and the attempt ends as one that may have run.
+// attempt was never sent. It returns false if the attempt has ended meanwhile. If an earlier report contradicts the
+// claim, the claim is wrong: MayMove then ends the attempt as one that may have run, and returns false.
 func (d *Dispatcher) MayMove(attemptHandle uint64) bool {
 	attempt := d.attempts.Get(attemptHandle)
 	if attempt == nil {
 		return false
 	}
 	request := d.requests.Get(attempt.requestHandle)
-	if d.believesNeverSent(request, attempt, "is moved") {
+	if d.acceptNeverSentClaim(request, attempt, "is moved") {
 		return true
 	}
 	d.AttemptEnded(attemptHandle, decision.ConnectionLost, decision.LoadReport{}, nil)
 	return false
 }
 
-// checkOutcome returns the outcome that counts for an attempt: the reported one, unless it says that the attempt was
-// never sent and an earlier report says otherwise. Of two claims the safer one counts: the attempt may have run.
+// checkOutcome returns the outcome to be used for an attempt: the reported one, unless that says that the attempt was
+// never sent and an earlier report contradicts it. Of two contradictory reports the safer one is used, by which the
+// attempt may have run.
 func (d *Dispatcher) checkOutcome(
 	request *openRequest, attempt *openAttempt, outcome decision.AttemptOutcome,
 ) decision.AttemptOutcome {
 	neverSent := outcome == decision.NotSent || outcome == decision.ConnectionRefused
-	if !neverSent || d.believesNeverSent(request, attempt, "ended as "+outcome.String()) {
+	if !neverSent || d.acceptNeverSentClaim(request, attempt, "ended as "+outcome.String()) {
 		return outcome
 	}
 	return decision.ConnectionLost
 }
 
-// believesNeverSent reports whether nothing that was reported of an attempt contradicts a claim that it was never sent.
-// The worker of a leased attempt may hand it back unstarted after it was handed out, which is no contradiction.
-func (d *Dispatcher) believesNeverSent(request *openRequest, attempt *openAttempt, claim string) bool {
+// acceptNeverSentClaim reports whether a claim that an attempt was never sent is consistent with the earlier reports on
+// the attempt. A contradiction is a violated invariant, and the recorded claims about the request are logged. A
+// reported start does not contradict the claim if the attempt is leased, since its worker may return the job without
+// having run it.
+func (d *Dispatcher) acceptNeverSentClaim(request *openRequest, attempt *openAttempt, claim string) bool {
 	reported := invariant.NothingReported
 	switch {
 	case attempt.sent:
@@ -75,14 +79,14 @@
 	return false
 }
 
-// logClaims logs the recorded claims about a request of which a rule was broken.
+// logClaims logs the recorded claims about a request for which an invariant was violated.
 func (d *Dispatcher) logClaims(request *openRequest) {
 	for _, claim := range d.claims.Of(request.ID) {
 		d.Log("request " + request.ID + " " + claim.String())
 	}
 }
 
-// subjectOf names an attempt in reports of the guard.
+// subjectOf returns the name of an attempt for the reports of the guard.
 func subjectOf(request *openRequest, attempt *openAttempt) string {
 	return "request " + request.ID + " to " + attempt.worker
 }
--- a/internal/dispatch/contradiction_test.go
+++ b/internal/dispatch/contradiction_test.go
@@ -12,13 +12,14 @@
 	"hollyyoke.example/hollyyoke/internal/invariant"
 )
 
-// contradictionTest is a dispatcher with one open renewal at the first of two workers.
+// contradictionTest is a dispatcher with two workers and one open non-idempotent request, a renewal, whose first
+// attempt has been assigned.
 type contradictionTest struct {
 	dispatcher *Dispatcher
 	client     *dialingClient
 	responses  responseRecorder
 	log        []string
-	first      uint64 // the handle of its first attempt
+	firstAttempt      uint64 // handle of the first attempt of the renewal
 }
 
 func newContradictionTest(t *testing.T) *contradictionTest {
@@ -41,16 +42,17 @@
 	test.dispatcher.AddSource(test.client)
 	test.dispatcher.UpdateWorkers(test.client, decision.ListDelta, []decision.Endpoint{{Name: "w1"}, {Name: "w2"}})
 	test.dispatcher.Accept(test.responses, 1, Request{ID: "renewal-1", Work: 20 * time.Millisecond})
-	test.first = test.client.lastStarted()
+	test.firstAttempt = test.client.lastStarted()
 	return test
 }
 
 // end reports the end of the first attempt.
 func (c *contradictionTest) end(outcome decision.AttemptOutcome) {
-	c.dispatcher.AttemptEnded(c.first, outcome, decision.LoadReport{}, nil)
+	c.dispatcher.AttemptEnded(c.firstAttempt, outcome, decision.LoadReport{}, nil)
 }
 
-// checkFailedOnce checks that the renewal failed as one that may have run, and that no second attempt was started.
+// checkFailedOnce checks that the renewal got one response, a failure that may have run, and that no second attempt was
+// started.
 func (c *contradictionTest) checkFailedOnce(t *testing.T) {
 	t.Helper()
 	if len(c.client.started) != 1 {
@@ -62,25 +64,25 @@
 	}
 }
 
-// Guards against a renewal that is paid twice: a connection that claims after the last byte has left that nothing was
-// sent was believed, and the renewal went to a second worker.
-func TestClaimAfterTheLastByteLeftIsNotBelieved(t *testing.T) {
+// Guards against a renewal that is charged twice: a worker connection that had sent the last byte of an attempt claimed
+// afterwards that nothing was sent. The claim was accepted, and the renewal was retried at a second worker.
+func TestNeverSentClaimAfterLastByteIsRejected(t *testing.T) {
 	for name, claim := range map[string]func(*contradictionTest){
 		"sent, then not sent": func(c *contradictionTest) {
-			c.dispatcher.AttemptSent(c.first)
+			c.dispatcher.AttemptSent(c.firstAttempt)
 			c.end(decision.NotSent)
 		},
 		"sent, then refused": func(c *contradictionTest) {
-			c.dispatcher.AttemptSent(c.first)
+			c.dispatcher.AttemptSent(c.firstAttempt)
 			c.end(decision.ConnectionRefused)
 		},
 		"started, then not sent": func(c *contradictionTest) {
-			c.dispatcher.AttemptStarted(c.first)
+			c.dispatcher.AttemptStarted(c.firstAttempt)
 			c.end(decision.NotSent)
 		},
 		"sent, then moved": func(c *contradictionTest) {
-			c.dispatcher.AttemptSent(c.first)
-			if c.dispatcher.MayMove(c.first) {
+			c.dispatcher.AttemptSent(c.firstAttempt)
+			if c.dispatcher.MayMove(c.firstAttempt) {
 				t.Error("an attempt that was sent may be sent again")
 			}
 		},
@@ -96,13 +98,14 @@
 	}
 }
 
-// Guards against a violation that cannot be explained afterwards: the log has what each claim rested on.
+// Guards against violations that cannot be diagnosed afterwards: the report names both contradictory claims, and the
+// log contains the evidence for the claim that the attempt was never sent.
 func TestContradictionIsLoggedWithBothClaims(t *testing.T) {
 	test := newContradictionTest(t)
 	var reported string
 	test.dispatcher.Guard.Report = func(_ invariant.Rule, subject string) { reported = subject }
-	test.dispatcher.AttemptSent(test.first)
-	test.dispatcher.ClaimNeverSent(test.first, invariant.ClaimEnded, invariant.Evidence{LocalPort: 4711, Flushed: 99})
+	test.dispatcher.AttemptSent(test.firstAttempt)
+	test.dispatcher.ClaimNeverSent(test.firstAttempt, invariant.ClaimEnded, invariant.Evidence{LocalPort: 4711, Flushed: 99})
 	test.end(decision.NotSent)
 	if !strings.Contains(reported, "superseded") || !strings.Contains(reported, "reported as sent before") {
 		t.Errorf("reported %q, want both claims", reported)
@@ -115,11 +118,12 @@
 	}
 }
 
-// Guards against an attempt that goes out after its end: one that has ended may not be moved, which breaks no rule.
+// Guards against an attempt that is sent after its end: an attempt that has ended may not be moved to another
+// connection. To ask for such a move violates no invariant.
 func TestEndedAttemptIsNotMoved(t *testing.T) {
 	test := newContradictionTest(t)
 	test.end(decision.ConnectionLost)
-	if test.dispatcher.MayMove(test.first) {
+	if test.dispatcher.MayMove(test.firstAttempt) {
 		t.Error("an attempt that has ended may be sent again")
 	}
 	if got := test.dispatcher.Guard.Violated(); len(got) > 0 {
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -10,35 +10,37 @@
 	"hollyyoke.example/hollyyoke/internal/slotmap"
 )
 
-// Dispatcher owns the open requests, their attempts and the workers listed. Its methods belong to the loop's goroutine.
+// Dispatcher owns the open requests, their attempts and the listed workers. Its methods may only be called from the
+// goroutine of its loop.
 type Dispatcher struct {
-	// What New was given. Others only read it; Reconfigure replaces Settings.
+	// The arguments of New. Other packages only read these fields. Reconfigure replaces Settings.
 	Loop     *eventloop.Loop
 	Settings decision.Settings
-	Seed     uint64 // of the process, for what worker clients draw at random
+	Seed     uint64 // seed of the random numbers of the worker clients
 
-	// Log writes a line to the log of the process. It is set before the first request.
+	// Log writes a line to the log of the process. It must be set before the first request.
 	Log func(text string)
 
-	// Trace is called at each step of each request, with the client's ID of the request and with keys and values; see
-	// StepAccepted and the others. nil: tracing is off.
+	// Trace is called at each step of each request, with the ID that the client gave the request, the name of the step
+	// and alternating keys and values; see StepAccepted and the other steps. If it is nil, tracing is off.
 	Trace func(id, step string, more ...any)
 
-	// OnAccepted and OnReserved pass on what a second process of the same dispatcher must know; nil: there is none.
-	OnAccepted func(idHash uint64)                      // a request with that hashed ID was accepted
-	OnReserved func(worker string, reservation float64) // an attempt took that much of a worker's slow-start budget
+	// OnAccepted and OnReserved pass on what a second process of the same dispatcher must know. They are nil if there
+	// is no second process.
+	OnAccepted func(idHash uint64)                      // called when a request with this hashed ID was accepted
+	OnReserved func(worker string, reservation float64) // called when an attempt has used up slow-start budget of a worker
 
-	// Guard checks each start, send, retry and close.
+	// Guard checks that each start, send, retry and close keeps the rules of package invariant.
 	Guard  invariant.Guard
-	claims invariant.ClaimLog // of requests that must not run twice
+	claims invariant.ClaimLog // recent claims about requests that are not idempotent
 
-	// ClientOverride takes all attempts in place of the sources of the workers; nil: the sources take them. Measurements
-	// without workers use it.
+	// ClientOverride, if not nil, gets all attempts in place of the sources of the workers. It is for measurements
+	// without workers.
 	ClientOverride WorkerClient
 
 	driver  machineDriver
 	workers workerList
-	sources []WorkerClient // each owns a part of workers
+	sources []WorkerClient // each provides the endpoint list of some of the workers
 
 	requests slotmap.Map[openRequest]
 	attempts slotmap.Map[openAttempt]
@@ -46,7 +48,7 @@
 	counters requestCounters
 }
 
-// New returns a Dispatcher that knows no workers. It returns an error if the settings are invalid.
+// New returns a Dispatcher without workers. It returns an error if the settings are invalid.
 func New(loop *eventloop.Loop, config decision.Settings, seed uint64) (*Dispatcher, error) {
 	config.SendNotices = true
 	machine, err := decision.New(config, seed)
@@ -65,8 +67,8 @@
 	}, nil
 }
 
-// Reconfigure applies changes of the settings, all or none; an error names the key that was refused. Open requests keep
-// what was decided for them.
+// Reconfigure applies either all of the changes to the settings or none of them. The error names the key that was
+// refused. Decisions that were made for open requests stay as they are.
 func (d *Dispatcher) Reconfigure(changes []settings.Change) error {
 	changed := d.Settings
 	if err := settings.Apply(&changed, changes); err != nil {
@@ -77,7 +79,8 @@
 	return nil
 }
 
-// setTimer sets a timer of the machine. One whose number is the handle of an open request belongs to that request.
+// setTimer sets a timer of the machine. If its number is the handle of an open request, it is the timer of that
+// request, which is replaced if it was set before and ignored if the request has been answered.
 func (d *Dispatcher) setTimer(number uint64, at time.Duration) {
 	request := d.requests.Get(number)
 	if request == nil {
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -12,7 +12,7 @@
 	"hollyyoke.example/hollyyoke/internal/settings"
 )
 
-// Changes of the settings are applied together, or not at all.
+// Changes of the settings are applied together or not at all.
 func TestReconfigureIsAllOrNothing(t *testing.T) {
 	d := newTestDispatcher(t, eventloop.New(), decision.Settings{
 		Classes:      []decision.Class{{PriorityWeight: 1, Deadline: time.Second}},
--- a/internal/dispatch/example_test.go
+++ b/internal/dispatch/example_test.go
@@ -16,7 +16,7 @@
 	fmt.Printf("request %d: %v, %s\n", token, response.Outcome, response.Body)
 }
 
-// echoClient is a worker client whose workers complete each attempt at once with the body of its request.
+// echoClient is a worker client that completes each attempt at once, with the request's body as the result.
 type echoClient struct{ dispatcher *dispatch.Dispatcher }
 
 func (c echoClient) Start(attempt dispatch.Attempt) {
@@ -30,7 +30,7 @@
 func (echoClient) CheckHealth(string)            {}
 func (echoClient) Subscribe()                    {}
 
-// A request goes from its front end to a worker, and the response back.
+// A request goes from its front end to a worker, and the response goes back to the front end.
 func Example() {
 	now := time.Hour
 	loop := eventloop.NewVirtual(func() time.Duration { return now })
--- a/internal/dispatch/frontend.go
+++ b/internal/dispatch/frontend.go
@@ -1,15 +1,15 @@
 package dispatch
 
-// FrontEnd hands in requests and answers its clients. A front end chooses the token of a request; it means nothing to
-// the Dispatcher.
+// FrontEnd hands in the requests of its clients and passes the responses on to them. It identifies each request by a
+// token of its choice, which the Dispatcher does not interpret.
 type FrontEnd interface {
 	// Respond delivers the final response to the request with this token. It is called once for each request that was
 	// accepted, unless the front end cancelled the request first.
 	Respond(token uint64, response Response)
 }
 
-// ClientWatcher is implemented by a FrontEnd that can see that a client has disconnected before it has handled the event
-// that says so: the loop may be busy, or the end of the connection may lie behind bytes that are not read yet.
+// ClientWatcher is implemented by a FrontEnd that can detect that a client has disconnected before it has handled the
+// event for it: the loop may be busy, or there may be unread bytes before the end of the connection.
 type ClientWatcher interface {
 	// ClientLeft reports whether the client of the request with this token has disconnected.
 	ClientLeft(token uint64) bool
--- a/internal/dispatch/leaser_test.go
+++ b/internal/dispatch/leaser_test.go
@@ -15,8 +15,8 @@
 
 func (l *pendingLeaser) Ended(*Request, uint64, decision.AttemptOutcome, bool, []byte) {}
 
-// A request that is cancelled while an attempt waits for its lease gets neither the lease nor the attempt, also where the
-// settings allow no cancellation.
+// If a request is cancelled while an attempt waits for its lease, the lease is not taken and the attempt is not
+// started, even if the settings disable cancellation.
 func TestCancelWhileLeaseIsPending(t *testing.T) {
 	for _, cancellation := range []bool{true, false} {
 		now := time.Hour
--- a/internal/dispatch/machine.go
+++ b/internal/dispatch/machine.go
@@ -2,13 +2,13 @@
 
 import "hollyyoke.example/hollyyoke/decision"
 
-// machineDriver is the decision machine with the queue of its events. The machine handles one event at a time: what its
-// actions bring about waits in the queue.
+// machineDriver contains the decision machine and the queue of its events. The machine handles one event at a time:
+// events that arise while its actions are carried out wait in the queue.
 type machineDriver struct {
 	machine  *decision.Machine
 	queue    []decision.Event  // in the order in which they arose
-	actions  []decision.Action // of the event handled now; reused
-	handling bool              // a call of Dispatcher.handle is under way
+	actions  []decision.Action // actions for the event that is being handled; the slice is reused
+	handling bool              // whether a call of Dispatcher.handle is in progress
 }
 
 // nextEvent removes the first event of the queue.
@@ -18,14 +18,14 @@
 	return next
 }
 
-// handle feeds an event to the machine and carries out its actions. Events that these bring about are queued, and handled
-// by the outermost call.
+// handle passes an event to the machine and carries out the actions that the machine returns. If these cause further
+// events, the nested calls of handle only queue them, and the outermost call handles them.
 func (d *Dispatcher) handle(event decision.Event) {
 	driver := &d.driver
 	nested := driver.handling
 	if !nested {
 		driver.handling = true
-		d.refreshSources() // the events of this come first
+		d.refreshSources() // the events that the sources report here are handled before this event
 	}
 	driver.queue = append(driver.queue, event)
 	if nested {
@@ -35,14 +35,14 @@
 		next := driver.nextEvent()
 		driver.actions = driver.machine.Handle(d.Loop.Now(), next, driver.actions[:0])
 		for i := range driver.actions {
-			d.act(&driver.actions[i])
+			d.execute(&driver.actions[i])
 		}
 	}
 	driver.handling = false
 }
 
-// act carries out one action of the machine.
-func (d *Dispatcher) act(action *decision.Action) {
+// execute carries out one action of the machine.
+func (d *Dispatcher) execute(action *decision.Action) {
 	switch action.Kind {
 	case decision.Assign:
 		d.assign(action.Request, action.Worker, action.Reservation)
--- a/internal/dispatch/neversent_test.go
+++ b/internal/dispatch/neversent_test.go
@@ -8,11 +8,11 @@
 	"hollyyoke.example/hollyyoke/internal/eventloop"
 )
 
-// A renewal that is still being dialed gives up its place once it can only be late and an answer that is late earns
-// nothing. It was answered as failed and perhaps run, though no byte of it had left: a member whose renewal could have
-// been sent again at once was told to look whether it had been charged. The cause is that of
-// TestOvertakenRequestThatWasNeverSentIsRejected: the machine counts what is assigned as sent. The response recorded was
-// "failed, may have run: true" for an attempt of which the worker client had sent nothing.
+// The machine gives up a renewal that can only complete late if a late response has no value. If the connection for the
+// renewal is still being dialed then, the renewal must be rejected as never run, so that the client can send it again
+// at once. It was answered with "failed, may have run: true" although the worker client had sent nothing, so that the
+// member was told to check whether the renewal had been charged. The cause is that of
+// TestOvertakenRequestThatWasNeverSentIsRejected: the machine counts an attempt as sent when it is assigned.
 func TestLateRequestThatWasNeverSentIsRejected(t *testing.T) {
 	now := time.Hour
 	client := &dialingClient{sent: map[uint64]bool{}}
@@ -39,9 +39,9 @@
 		return client.lastStarted()
 	}
 	accept(1)
-	handedToKernel := accept(2)
-	client.sent[handedToKernel] = true
-	dispatcher.AttemptSent(handedToKernel)
+	sentAttempt := accept(2)
+	client.sent[sentAttempt] = true
+	dispatcher.AttemptSent(sentAttempt)
 	for end := now + time.Second; now < end; now += time.Millisecond {
 		loop.RunOnce()
 	}
--- a/internal/dispatch/overtaken_test.go
+++ b/internal/dispatch/overtaken_test.go
@@ -8,7 +8,8 @@
 	"hollyyoke.example/hollyyoke/internal/eventloop"
 )
 
-// dialingClient is a worker client whose attempts are not sent before the test says so, as while it dials.
+// dialingClient is a worker client that behaves as if it were still dialing: an attempt counts as sent only when the
+// test marks it so.
 type dialingClient struct {
 	started []Attempt
 	sent    map[uint64]bool
@@ -22,10 +23,10 @@
 func (c *dialingClient) CheckHealth(string) {}
 func (c *dialingClient) Subscribe()         {}
 
-// lastStarted returns the handle of the latest attempt.
+// lastStarted returns the handle of the attempt started last.
 func (c *dialingClient) lastStarted() uint64 { return c.started[len(c.started)-1].Handle }
 
-// responseRecorder is a front end that records the responses by token.
+// responseRecorder is a front end that records the responses to each request, by token.
 type responseRecorder map[uint64][]Response
 
 func (r responseRecorder) Respond(token uint64, response Response) {
@@ -35,8 +36,8 @@
 // overtakingDeadline is the deadline of the requests of an overtakingTest.
 const overtakingDeadline = 8 * time.Second
 
-// overtakingTest is a dispatcher of non-idempotent requests, in virtual time, with one worker that starts requests in the
-// order in which they came.
+// overtakingTest is a dispatcher in virtual time, with one class of non-idempotent requests and one worker, which
+// starts requests in the order of their arrival.
 type overtakingTest struct {
 	now        time.Duration
 	dispatcher *Dispatcher
@@ -74,7 +75,7 @@
 	return test
 }
 
-// accept hands in a request, which is assigned at once.
+// accept hands in a request, which the machine assigns at once.
 func (o *overtakingTest) accept(token uint64) {
 	o.dispatcher.Accept(o.responses, token, Request{Work: 20 * time.Millisecond})
 }
@@ -94,28 +95,29 @@
 	o.dispatcher.AttemptStarted(handle)
 }
 
-// A non-idempotent request whose attempt has never been sent, since its connection is still being dialed, has not run. It
-// must not fail as one that may have run when a later request starts at the same worker before it.
+// A non-idempotent request whose attempt has never been sent, since its connection is still being dialed, has not run.
+// It must not fail as one that may have run when a later request starts at the same worker before it.
 //
-// It did: a renewal was answered with 502 in 1 of 60 runs of TestServesOverFailingSystemCalls beside load. The daemon's
-// trace showed "assigned", five "dial retried" within 110 ms and no "request written" before the 502. The cause: the
-// machine counted an attempt as sent when it was assigned, took it for one on an idle connection since it counts those,
-// too, that a worker has announced to close, and took the later request's start as proof that the connection was dead.
+// This happened in 1 of 60 runs of TestServesOverFailingSystemCalls on a loaded machine: a renewal was answered with
+// 502. The trace of the daemon showed "assigned", five "dial retried" within 110 ms and no "request written" before the
+// 502. The machine counted the attempt as sent when it was assigned. It assumed that the attempt used an idle
+// connection, since it also counts idle connections that the worker has announced to close, and took the start of the
+// later request as proof that this connection was dead.
 func TestOvertakenRequestThatWasNeverSentIsRejected(t *testing.T) {
 	test := newOvertakingTest(t)
-	test.accept(1) // leaves a connection that the machine counts as idle, though the worker may have closed it
+	test.accept(1) // leaves a connection that the machine counts as idle although the worker may have closed it
 	first := test.client.lastStarted()
 	test.sendAndStart(first)
 	test.dispatcher.AttemptEnded(first, decision.Completed, decision.LoadReport{}, nil)
 	test.advance(time.Second)
-	test.accept(2) // its attempt is still being dialed when it becomes late
+	test.accept(2) // the connection for its attempt is still being dialed when the request becomes late
 	test.advance(150 * time.Millisecond)
 	test.accept(3)
 	if started := len(test.client.started); started != 3 {
 		t.Fatalf("%d attempts were started, want 3", started)
 	}
 	test.sendAndStart(test.client.lastStarted())
-	test.advance(overtakingDeadline) // by then each request has its response
+	test.advance(overtakingDeadline) // after this each request has its response
 
 	if responses := len(test.responses[2]); responses != 1 {
 		t.Fatalf("%d responses to the request that was never sent, want one", responses)
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -8,26 +8,26 @@
 	"hollyyoke.example/hollyyoke/internal/eventloop"
 )
 
-// responseMargin is how long before the client gives up the final response leaves at the latest. It covers the way to the
-// client and a late timer on a shared core.
+// responseMargin is the time between the latest moment at which the final response leaves and the moment at which the
+// client stops waiting. It covers the transfer to the client and a timer that fires late on a shared core.
 const responseMargin = 12 * time.Millisecond
 
-// Request is what a client asks for, independent of the protocol that it uses.
+// Request is a client's request, independent of the client protocol.
 type Request struct {
 	ID             string // chosen by the client
 	Class          int    // index in decision.Settings.Classes
-	Key            string // what the request concerns; may be empty
-	Target         string // path and query as the client wrote them; empty where its protocol has none
+	Key            string // identifies the object that the request concerns; may be empty
+	Target         string // path and query as the client wrote them; empty if the client protocol has no target
 	IdempotencyKey string // by which workers recognize a duplicate; may be empty
-	Body           []byte // valid until Release
+	Body           []byte // valid until Release is called
 	Slots          float64
-	Work           time.Duration // hinted run time; 0: no hint
-	TimeLeft       time.Duration // how long the client waits from ReceivedAt on; 0: as long as the class allows
-	ReceivedAt     time.Duration // clock time; 0: now
-	ClientRetry    bool          // the client has marked it as a retry
+	Work           time.Duration // run time according to the client's hint; 0 if there is no hint
+	TimeLeft       time.Duration // how long the client waits, counted from ReceivedAt; 0 means as long as the class allows
+	ReceivedAt     time.Duration // clock time; 0 means the time of Accept
+	ClientRetry    bool          // the client has marked the request as a retry
 
 	Release func() // called once, when Body is not needed any more; may be nil
-	Leaser  Leaser // asked for a lease before each attempt of a durable job; nil: the request needs none
+	Leaser  Leaser // grants a lease before each attempt of a durable job; nil if the request needs no lease
 }
 
 // openRequest is a request that has no final response yet, or has attempts in flight.
@@ -35,28 +35,29 @@
 	Request
 	handle   uint64
 	idHash   uint64
-	deadline time.Duration // clock time by which the final response leaves
+	deadline time.Duration // clock time by which the final response must leave
 
 	frontEnd FrontEnd
-	token    uint64 // by which frontEnd knows the request
-	answered bool   // it has its final response, or was cancelled
+	token    uint64 // the token by which frontEnd identifies the request
+	answered bool   // the request has its final response or was cancelled
 
-	attempts     []attemptRecord // all that were assigned, by number
-	openAttempts int             // of them, those that have not ended
+	attempts     []attemptRecord // all attempts that were assigned, by number
+	openAttempts int             // number of attempts that have not ended
 
-	timer  eventloop.Deadline // of the machine, under the request's handle
-	expiry eventloop.Deadline // at deadline
+	timer  eventloop.Deadline // the machine's timer whose number is the request's handle
+	expiry eventloop.Deadline // set to deadline
 }
 
-// attemptRecord is what remains known of an attempt for as long as its request is open.
+// attemptRecord is the information on an attempt that is kept as long as its request is open.
 type attemptRecord struct {
-	handle     uint64        // 0: the attempt was never started
-	assignedAt time.Duration // clock time; the attempt is sent later
+	handle     uint64        // 0 if the attempt was never started
+	assignedAt time.Duration // clock time, which is before the attempt is sent
 	neverRan   bool
-	unsent     bool // it ended before its last byte had left, and does not count among MaxAttempts
+	unsent     bool // the attempt ended before its last byte was sent; it does not count towards MaxAttempts
 }
 
-// attemptsMade returns how many attempts have left, or still may.
+// attemptsMade returns the number of attempts that count towards MaxAttempts: those that were sent or may still be
+// sent.
 func (r *openRequest) attemptsMade() (made int) {
 	for _, attempt := range r.attempts {
 		if !attempt.unsent {
@@ -66,15 +67,15 @@
 	return made
 }
 
-// mayHaveRun reports whether some attempt may have had an effect.
+// mayHaveRun reports whether some attempt of the request may have run, and so may have had an effect.
 func (r *openRequest) mayHaveRun() bool { return anyMayHaveRun(r.attempts) }
 
 func anyMayHaveRun(attempts []attemptRecord) bool {
 	return slices.ContainsFunc(attempts, func(a attemptRecord) bool { return !a.neverRan })
 }
 
-// Accept takes a request on: from now on its front end is owed one final response under the token, which may come before
-// Accept returns. It returns the handle of the request, for Cancel.
+// Accept accepts a request. Its front end will get exactly one final response, with the token, unless it cancels the
+// request before; the response may come before Accept returns. Accept returns the handle of the request, for Cancel.
 func (d *Dispatcher) Accept(frontEnd FrontEnd, token uint64, request Request) (requestHandle uint64) {
 	now := d.Loop.Now()
 	open := d.openRequest(frontEnd, token, request, now)
@@ -94,7 +95,8 @@
 	return open.handle
 }
 
-// openRequest gives a request its handle and its deadline, and makes its ID known.
+// openRequest creates the record of an accepted request, with its handle and its deadline, and adds its ID to the known
+// IDs.
 func (d *Dispatcher) openRequest(frontEnd FrontEnd, token uint64, request Request, now time.Duration) *openRequest {
 	open := &openRequest{frontEnd: frontEnd, token: token, Request: request}
 	open.deadline = d.deadlineOf(&request, now)
@@ -110,7 +112,7 @@
 	return open
 }
 
-// deadlineOf returns the clock time by which the final response to a request must leave.
+// deadlineOf returns the clock time by which the final response to a request must leave. It is not before now.
 func (d *Dispatcher) deadlineOf(request *Request, now time.Duration) time.Duration {
 	timeLeft := d.Settings.Classes[request.Class].Deadline
 	if request.TimeLeft > 0 {
@@ -123,13 +125,13 @@
 	return max(receivedAt+timeLeft-responseMargin, now)
 }
 
-// isOpen reports whether a request still has its handle.
+// isOpen reports whether a request has not been removed yet.
 func (d *Dispatcher) isOpen(request *openRequest) bool {
 	return d.requests.Get(request.handle) == request
 }
 
-// cleanUp stops what an answered request does not need any more, and removes the request once it has no open attempt.
-// Until then its expiry stays set, which ends an attempt that continues after the response.
+// cleanUp stops the undelivered attempts of an answered request, and removes the request if it has no open attempt
+// left. Until the request is removed its expiry stays set, which ends attempts that continue after the response.
 func (d *Dispatcher) cleanUp(request *openRequest) {
 	if !request.answered {
 		return
--- a/internal/dispatch/request_test.go
+++ b/internal/dispatch/request_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// FuzzRequests checks random steps against the model: each request gets one final response, nothing that may have run is
-// retried or rejected against its class, and no request or attempt is left over.
+// FuzzRequests applies random steps to a Dispatcher and checks it against the model: each request gets one final
+// response, no non-idempotent request that may have run is retried or rejected, and no request or attempt remains at
+// the end.
 func FuzzRequests(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 1, 1, 2, 0, 9, 0})
 	f.Add([]byte{1, 0, 1, 0, 0, 0, 2, 4, 2, 5, 0, 1, 3, 0, 9, 60, 9, 250})
--- a/internal/dispatch/requestids.go
+++ b/internal/dispatch/requestids.go
@@ -12,14 +12,14 @@
 // usualIDLength is the length in bytes up to which a request ID is hashed without an allocation.
 const usualIDLength = 128
 
-// requestIDs remembers the hashed IDs of the open requests and of the latest that ended. A client never uses an ID for
+// requestIDs contains the hashed IDs of the open requests and of those that ended last. A client never uses an ID for
 // two requests, so another request with one of these IDs is a duplicate.
 type requestIDs struct {
-	key    [16]byte       // of the hash; unknown to clients, and shared with a successor process
-	open   map[uint64]int // number of open requests by hashed ID
-	recent map[uint64]struct{}
-	ring   []uint64 // the recent ones, in the order in which they ended
-	oldest int      // index in ring, once it is full
+	key    [16]byte            // key of the hash; unknown to clients, and shared with a successor process
+	open   map[uint64]int      // number of open requests by hashed ID
+	recent map[uint64]struct{} // hashed IDs of the requests that ended last
+	ring   []uint64            // the elements of recent in the order in which the requests ended
+	oldest int                 // index in ring of the oldest element, used once ring is full
 }
 
 func newRequestIDs() requestIDs {
@@ -35,10 +35,10 @@
 	return binary.LittleEndian.Uint64(sum[:])
 }
 
-// add counts an open request.
+// add adds the ID of an open request.
 func (s *requestIDs) add(hash uint64) { s.open[hash]++ }
 
-// end counts an open request as ended and remembers its ID.
+// end moves the ID of a request that has ended from the open to the recent IDs.
 func (s *requestIDs) end(hash uint64) {
 	s.open[hash]--
 	if s.open[hash] <= 0 {
@@ -47,7 +47,7 @@
 	s.remember(hash)
 }
 
-// remember remembers an ID as recent, and forgets the oldest one where there are too many.
+// remember adds an ID to the recent IDs, and removes the oldest one if there are more than maxRecentIDs.
 func (s *requestIDs) remember(hash uint64) {
 	if _, ok := s.recent[hash]; ok {
 		return
@@ -67,12 +67,13 @@
 	return recent || s.open[hash] > 0
 }
 
-// IsKnownID reports whether a request with this ID is open or ended lately. A front end must reject another one: workers
-// would discard it as a duplicate, and the response to either could be taken for the response to the other.
+// IsKnownID reports whether a request with this ID is open or has ended recently. A front end must reject another
+// request with such an ID: workers would discard it as a duplicate, and the response to either of the two requests
+// could be taken for the response to the other.
 func (d *Dispatcher) IsKnownID(id string) bool { return d.ids.known(d.ids.hash(id)) }
 
-// RequestIDs returns the key under which request IDs are hashed, and the hashed IDs of the open and the recent requests.
-// A successor process takes them over with AdoptIDKey and BlockIDs.
+// RequestIDs returns the key under which request IDs are hashed, and the hashed IDs of the open and the recent
+// requests. A successor process takes them over with AdoptIDKey and BlockIDs.
 func (d *Dispatcher) RequestIDs() (key []byte, hashes []uint64) {
 	for hash := range d.ids.open {
 		hashes = append(hashes, hash)
@@ -80,10 +81,11 @@
 	return d.ids.key[:], append(hashes, d.ids.ring...)
 }
 
-// AdoptIDKey takes over the key under which another process hashes request IDs. No request may have been accepted yet.
+// AdoptIDKey takes over the key under which another process hashes request IDs. It must be called before the first
+// request is accepted.
 func (d *Dispatcher) AdoptIDKey(key []byte) { copy(d.ids.key[:], key) }
 
-// BlockIDs makes these hashed IDs known: another process has or had requests with them.
+// BlockIDs adds these hashed IDs to the known IDs, since another process has or had requests with them.
 func (d *Dispatcher) BlockIDs(hashes []uint64) {
 	for _, hash := range hashes {
 		d.ids.remember(hash)
--- a/internal/dispatch/requestids_test.go
+++ b/internal/dispatch/requestids_test.go
@@ -8,7 +8,7 @@
 	"hollyyoke.example/hollyyoke/internal/eventloop"
 )
 
-// The latest request IDs stay known after their requests ended; the number remembered is bounded.
+// The IDs of the latest requests stay known after the requests have ended; the number of known IDs is bounded.
 func TestRecentIDsAreBounded(t *testing.T) {
 	d := newTestDispatcher(t, eventloop.New(), decision.Settings{Classes: []decision.Class{{Deadline: time.Second}}})
 	id := func(i int) string { return string(rune('a'+i%20)) + time.Duration(i).String() }
@@ -26,7 +26,7 @@
 	}
 }
 
-// acceptAndEnd accepts a request and cancels it, unless it is answered at once.
+// acceptAndEnd hands in a request and cancels it, unless it is answered at once.
 func acceptAndEnd(t *testing.T, d *Dispatcher, number int, id string) {
 	t.Helper()
 	responses := 0
--- a/internal/dispatch/requestmodel_test.go
+++ b/internal/dispatch/requestmodel_test.go
@@ -9,7 +9,8 @@
 	"hollyyoke.example/hollyyoke/internal/eventloop"
 )
 
-// requestModel follows the requests of one Dispatcher, whose front end and worker client it is.
+// requestModel is both the front end and the worker client of one Dispatcher. It tracks the requests and attempts, and
+// checks the calls of the Dispatcher against them.
 type requestModel struct {
 	t          *testing.T
 	now        time.Duration // the loop's clock
@@ -76,7 +77,7 @@
 	return m
 }
 
-// Respond checks a response against what is known of the request.
+// Respond checks a response against the state of the request.
 func (m *requestModel) Respond(token uint64, response Response) {
 	r := m.requests[token]
 	r.responses++
@@ -92,17 +93,17 @@
 	}
 }
 
-// Start checks an attempt against what is known of its worker and its request.
+// Start checks an attempt against the state of its worker and of its request.
 func (m *requestModel) Start(attempt Attempt) {
 	r := m.requests[attempt.Request.Body[0]]
 	if m.states[attempt.Worker] != decision.Running {
-		m.t.Fatalf("an attempt for %s, which is %v", attempt.Worker, m.states[attempt.Worker])
+		m.t.Fatalf("attempt started at %s, which is %v", attempt.Worker, m.states[attempt.Worker])
 	}
 	if r.class == nonIdempotentClass && r.mayHaveRun() {
-		m.t.Fatalf("a non-idempotent request retried: %d ran, %d in flight", r.ran, r.inFlight)
+		m.t.Fatalf("non-idempotent request retried: %d attempts ran, %d are in flight", r.ran, r.inFlight)
 	}
 	if r.responses > 0 || r.cancelled || r.released > 0 {
-		m.t.Fatalf("an attempt for a request that is over")
+		m.t.Fatalf("attempt started for a request that was answered, cancelled or released")
 	}
 	r.inFlight++
 	m.attempts[attempt.Handle] = r
@@ -121,7 +122,7 @@
 func (m *requestModel) Cancel(handle uint64) bool {
 	r := m.remove(handle)
 	if handle%3 == 0 {
-		return true // as if it had not been sent
+		return true // behaves as if the attempt had not been sent
 	}
 	r.ran++
 	return false
@@ -150,7 +151,7 @@
 	m.dispatcher.Cancel(r.handle)
 }
 
-// endAttempt reports the end of an attempt twice; the second report must change nothing.
+// endAttempt reports the end of an attempt twice. The second report must have no effect.
 func (m *requestModel) endAttempt(handle uint64, outcome decision.AttemptOutcome) {
 	r := m.remove(handle)
 	if outcome != decision.Saturated && outcome != decision.ConnectionRefused {
@@ -170,11 +171,11 @@
 	m.dispatcher.Loop.RunOnce()
 }
 
-// maxModelRequests bounds the requests of one run, so that a byte names each.
+// maxModelRequests bounds the number of requests of one run, so that a request's token fits in a byte.
 const maxModelRequests = 201
 
-// Operations of step. The numbers stand in the fuzzer's seeds; those that are missing repeat the operation before, which
-// makes it more frequent.
+// Operations of step. The fuzzer's seeds contain these numbers. A number that is missing here means the same operation
+// as the number before it, so that the fuzzer chooses that operation more often.
 const (
 	opAccept     = 0
 	opEndAttempt = 1
@@ -186,7 +187,7 @@
 	operations   = 10
 )
 
-// endOutcomes are the outcomes that a worker client reports.
+// endOutcomes are the outcomes with which step ends attempts.
 var endOutcomes = []decision.AttemptOutcome{
 	decision.Completed,
 	decision.Failed,
@@ -197,7 +198,8 @@
 	decision.InvalidRequest,
 }
 
-// step does what one pair of bytes of the fuzzer says: the operation, and x, which selects what it is done to.
+// step executes the operation that one pair of the fuzzer's bytes stands for: the first selects the operation, x its
+// object or argument.
 func (m *requestModel) step(operation byte, x int) {
 	switch operation % operations {
 	case opAccept:
@@ -228,7 +230,8 @@
 	}
 }
 
-// finish lets all deadlines pass, ends what is still in flight and checks that nothing is left.
+// finish lets all deadlines pass, ends the attempts that are still in flight and checks that no request or attempt
+// remains.
 func (m *requestModel) finish() {
 	for range 8 {
 		m.advance(1000)
--- a/internal/dispatch/response.go
+++ b/internal/dispatch/response.go
@@ -7,9 +7,9 @@
 
 // The outcomes of a request.
 const (
-	Served   Outcome = iota // a worker has completed it
-	Rejected                // not admitted: no attempt of it has run, and the client may retry
-	Failed                  // not completed, with no promise about its attempts
+	Served   Outcome = iota // a worker has completed the request
+	Rejected                // the request was not executed, and the client may retry it
+	Failed                  // the request was not completed; its attempts may have run or not
 )
 
 // String returns the outcome as it is written in traces.
@@ -18,28 +18,29 @@
 // Response is the final response to a request.
 type Response struct {
 	Outcome    Outcome
-	Body       []byte        // from the worker; valid during the call only
-	RetryAfter time.Duration // of a rejection: how long the client should wait before it retries; 0: not said
-	MayHaveRun bool          // some attempt of the request may have had an effect
+	Body       []byte        // the worker's response body; valid only during the call
+	RetryAfter time.Duration // how long the client should wait before it retries a rejected request; 0 if not specified
+	MayHaveRun bool          // some attempt of the request may have run, and so may have had an effect
 }
 
-// conclude gives a request the final response that the machine decided on.
+// conclude gives a request the final response that the machine has decided on. A failure becomes a rejection if it
+// turns out that no attempt of the request ran.
 func (d *Dispatcher) conclude(requestHandle uint64, response Response) {
 	request := d.requests.Get(requestHandle)
 	if request == nil {
 		return
 	}
-	if response.Outcome == Failed && d.provesUnsent(request) {
+	if response.Outcome == Failed && d.proveNeverRan(request) {
 		response = Response{Outcome: Rejected, RetryAfter: d.Settings.MaxRetryAfter}
 	}
 	d.respond(request, response)
 	d.cleanUp(request)
 }
 
-// provesUnsent stops the attempts of a request that has failed by the machine's word and were never delivered. It
-// reports whether that shows that nothing of the request ran. The machine counts each outstanding attempt as one that
-// may have run; whether its last byte has left is known here alone.
-func (d *Dispatcher) provesUnsent(request *openRequest) bool {
+// proveNeverRan stops the undelivered attempts of a request that the machine has failed, and reports whether that shows
+// that no attempt of the request ran. The machine counts each outstanding attempt as one that may have run; only the
+// worker clients know whether its last byte has been sent.
+func (d *Dispatcher) proveNeverRan(request *openRequest) bool {
 	if request.answered || !request.mayHaveRun() {
 		return false
 	}
@@ -47,7 +48,7 @@
 	return !request.mayHaveRun()
 }
 
-// respond gives a request its final response, if it has none yet.
+// respond gives a request its final response, if it has not been answered or cancelled yet.
 func (d *Dispatcher) respond(request *openRequest, response Response) {
 	if request.answered {
 		return
--- a/internal/dispatch/testutil_test.go
+++ b/internal/dispatch/testutil_test.go
@@ -25,8 +25,8 @@
 // discardResponses is a FrontEnd that ignores all responses.
 var discardResponses = respondFunc(func(Response) {})
 
-// recordingClient is a WorkerClient that records the attempts started and never ends one. None of its tests lets an
-// attempt be cancelled.
+// recordingClient is a WorkerClient that records the attempts started and never ends one. It panics if an attempt is
+// cancelled, since none of its tests allows that.
 type recordingClient struct{ started []Attempt }
 
 func (c *recordingClient) Start(attempt Attempt) { c.started = append(c.started, attempt) }
--- a/internal/dispatch/trace.go
+++ b/internal/dispatch/trace.go
@@ -2,26 +2,28 @@
 
 import "hollyyoke.example/hollyyoke/decision"
 
-// The steps of Dispatcher.Trace and their keys. The step of a final response is its Outcome.
+// The steps that are passed to Dispatcher.Trace. The comments list the keys of each step. The step of a final response
+// is the text of its Outcome.
 const (
 	StepAccepted       = "accepted"              // class, time_left, work, unanswered
-	StepAssigned       = "attempt assigned"      // number, worker, reservation (of the worker's slow-start budget)
+	StepAssigned       = "attempt assigned"      // number, worker, reservation (from the worker's slow-start budget)
 	StepSent           = "attempt sent"          // number, worker
 	StepStarted        = "attempt started"       // number, worker
 	StepNeverSent      = "attempt never sent"    // claim
 	StepEnded          = "attempt ended"         // number, worker, outcome, sent, load
 	StepCancelled      = "cancelled"             // attempts
-	StepWorkersUpdated = "endpoint list updated" // kind, endpoints; the number of endpoints comes last
+	StepWorkersUpdated = "endpoint list updated" // kind, endpoints (the number of endpoints in the update)
 )
 
-// TraceStep reports a step of the request with this ID, or of none if id is empty, to Trace.
+// TraceStep reports a step to Trace, if tracing is on. id is the ID of the request that the step concerns, or empty if
+// it concerns none.
 func (d *Dispatcher) TraceStep(id, step string, more ...any) {
 	if d.Trace != nil {
 		d.Trace(id, step, more...)
 	}
 }
 
-// The methods below test Trace before they collect its arguments, since that allocates.
+// The methods below check whether Trace is set before they collect its arguments, since collecting them allocates.
 
 func (d *Dispatcher) traceAccepted(request *openRequest) {
 	if d.Trace == nil {
@@ -55,7 +57,7 @@
 	}
 }
 
-// traceAttempt reports a step of an attempt that has no values of its own.
+// traceAttempt reports a step of an attempt that has only the keys number and worker.
 func (d *Dispatcher) traceAttempt(attempt *openAttempt, step string) {
 	if d.Trace == nil {
 		return
--- a/internal/dispatch/unsent_test.go
+++ b/internal/dispatch/unsent_test.go
@@ -9,18 +9,19 @@
 	"hollyyoke.example/hollyyoke/internal/eventloop"
 )
 
-// While discovery is crowded each worker must show that it serves before it gets a request, and one that does not is
-// given nothing. Such an attempt counted among the three that a request has: after three workers that could not be asked
-// the request was rejected, though nothing of it had ever been sent and others were free. The cause: both the decision
-// machine and the dispatcher counted what was assigned (three attempts "not sent", then a rejection after 3 ms of 4 s).
+// While discovery is overloaded, a worker is sent a request only after it has shown that it serves; otherwise the
+// attempt ends as not sent. Such attempts used to count towards the three attempts of a request: after three of them
+// the request was rejected, 3 ms into its 4 s, although nothing of it had been sent and other workers were free. The
+// cause was that both the decision machine and the dispatcher counted the assigned attempts instead of those that were
+// sent.
 
-// outcomeClient is a worker client whose attempts end one after the other with given outcomes, the last of which
-// repeats. All but those that end as not sent leave first.
+// outcomeClient is a worker client whose attempts end with the given outcomes, in the order of their start; the last
+// outcome repeats. An attempt is reported as sent before it ends, unless it ends as not sent.
 type outcomeClient struct {
 	dialingClient
 	dispatcher *Dispatcher
 	outcomes   []decision.AttemptOutcome
-	left       int // attempts whose last byte has left
+	sentCount  int // attempts whose last byte was sent
 }
 
 func (c *outcomeClient) Start(attempt Attempt) {
@@ -28,7 +29,7 @@
 	outcome := c.outcomes[min(len(c.started), len(c.outcomes))-1]
 	c.dispatcher.Loop.After(time.Millisecond, func() {
 		if outcome != decision.NotSent {
-			c.left++
+			c.sentCount++
 			c.sent[attempt.Handle] = true
 			c.dispatcher.AttemptSent(attempt.Handle)
 		}
@@ -44,10 +45,10 @@
 		outcomes []decision.AttemptOutcome
 		want     Outcome
 	}{
-		{"three workers could not be asked", []decision.AttemptOutcome{notSent, notSent, notSent, completed}, Served},
-		{"two could not, and two fail", []decision.AttemptOutcome{notSent, lost, notSent, lost, completed}, Served},
-		{"all that are sent fail", []decision.AttemptOutcome{notSent, lost}, Rejected},
-		{"no worker can be asked", []decision.AttemptOutcome{notSent}, Rejected},
+		{"three attempts not sent", []decision.AttemptOutcome{notSent, notSent, notSent, completed}, Served},
+		{"two not sent and two lost", []decision.AttemptOutcome{notSent, lost, notSent, lost, completed}, Served},
+		{"all sent attempts lost", []decision.AttemptOutcome{notSent, lost}, Rejected},
+		{"no attempt sent", []decision.AttemptOutcome{notSent}, Rejected},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			now := time.Hour
@@ -74,11 +75,11 @@
 			if len(responses[1]) != 1 || responses[1][0].Outcome != test.want {
 				t.Errorf("answered with %+v, want %v once", responses[1], test.want)
 			}
-			if client.left > maxAttempts {
-				t.Errorf("%d attempts were sent, at most %d", client.left, maxAttempts)
+			if client.sentCount > maxAttempts {
+				t.Errorf("%d attempts were sent, want at most %d", client.sentCount, maxAttempts)
 			}
 			if len(client.started) > 4*maxAttempts {
-				t.Errorf("%d attempts for one request: it goes round for ever", len(client.started))
+				t.Errorf("%d attempts were started for one request, want at most %d", len(client.started), 4*maxAttempts)
 			}
 		})
 	}
--- a/internal/dispatch/workerlist.go
+++ b/internal/dispatch/workerlist.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// maxLeaving is the number of leaving workers above which old ones are forgotten.
+	// maxLeaving is the number of leaving workers above which those that left long ago are removed.
 	maxLeaving = 4096
-	// leavingRetention is how long a leaving worker is remembered at least. Only one that left lately can still be sent to
-	// by mistake.
+	// leavingRetention is the minimum time for which a leaving worker is kept. An attempt can be sent by mistake only
+	// to a worker that left recently.
 	leavingRetention = time.Minute
 )
 
@@ -22,18 +22,19 @@
 	source   WorkerClient
 }
 
-// workerList is the endpoint lists of all sources, and the workers that have lately begun to drain or were removed.
+// workerList contains the endpoint lists of all sources, and the leaving workers: those that have recently begun to
+// drain or were removed.
 type workerList struct {
-	listed       map[string]listedWorker  // by name
-	ready        int                      // workers listed that take new work
-	leavingSince map[string]time.Duration // clock time at which a worker was first reported as draining or removed, by name
+	listed       map[string]listedWorker  // by name of the worker
+	ready        int                      // number of listed workers that take new work
+	leavingSince map[string]time.Duration // clock time of the first report that a worker drains or was removed, by its name
 }
 
 func newWorkerList() workerList {
 	return workerList{listed: map[string]listedWorker{}, leavingSince: map[string]time.Duration{}}
 }
 
-// update enters an endpoint of a source in the list, or removes it from there, by its state.
+// update adds or replaces an endpoint of a source in the list, or removes it if its state is Removed.
 func (l *workerList) update(now time.Duration, source WorkerClient, endpoint decision.Endpoint) {
 	l.remove(endpoint.Name)
 	l.recordLeaving(now, endpoint)
@@ -54,7 +55,7 @@
 	delete(l.listed, name)
 }
 
-// removeSource removes all workers of a source. They count as leaving.
+// removeSource removes all workers of a source from the list and records them as leaving.
 func (l *workerList) removeSource(now time.Duration, source WorkerClient) {
 	for name, worker := range l.listed {
 		if worker.source == source {
@@ -64,7 +65,8 @@
 	}
 }
 
-// endpoints returns the endpoints listed, by name: in the order of the map, runs would differ.
+// endpoints returns the listed endpoints, sorted by name. In the random order of the map, runs would not be
+// reproducible.
 func (l *workerList) endpoints() []decision.Endpoint {
 	var endpoints []decision.Endpoint
 	for _, worker := range l.listed {
@@ -74,7 +76,8 @@
 	return endpoints
 }
 
-// recordLeaving records when a worker was first reported as draining or removed, or that it runs again.
+// recordLeaving records when a worker was first reported as draining or removed, and deletes that record if the worker
+// is running again.
 func (l *workerList) recordLeaving(now time.Duration, endpoint decision.Endpoint) {
 	if endpoint.State == decision.Running {
 		delete(l.leavingSince, endpoint.Name)
@@ -86,7 +89,7 @@
 	}
 }
 
-// forgetLeaving forgets the workers that left long ago.
+// forgetLeaving deletes the records of workers that have been leaving for longer than leavingRetention.
 func (l *workerList) forgetLeaving(now time.Duration) {
 	for name, since := range l.leavingSince {
 		if now-since > leavingRetention {
--- a/internal/dispatch/workers.go
+++ b/internal/dispatch/workers.go
@@ -6,17 +6,18 @@
 	"hollyyoke.example/hollyyoke/decision"
 )
 
-// AddSource makes a worker client a source of workers: it is asked to subscribe and, as a Refresher, to refresh.
+// AddSource adds a worker client as a source of workers. Its Subscribe is called when the machine asks for it and, if
+// it is a Refresher, its Refresh is called before events are handled.
 func (d *Dispatcher) AddSource(source WorkerClient) { d.sources = append(d.sources, source) }
 
-// UpdateWorkers applies an update of a source's endpoint list. The lists of other sources stay as they are: a snapshot
+// UpdateWorkers applies an update of a source's endpoint list. The lists of other sources stay unchanged: a snapshot
 // is complete for its own source only.
 func (d *Dispatcher) UpdateWorkers(source WorkerClient, kind decision.ListKind, endpoints []decision.Endpoint) {
 	now := d.Loop.Now()
 	event := decision.Event{Kind: decision.ListUpdated, ListKind: kind, Endpoints: endpoints}
 	if kind == decision.ListSnapshot || kind == decision.ListCached {
 		d.workers.removeSource(now, source)
-		// The machine knows one list, that of all sources.
+		// The machine has one list for all sources, so a snapshot for it must include the endpoints of the others.
 		event.Endpoints = append(slices.Clone(endpoints), d.workers.endpoints()...)
 	}
 	d.traceWorkersUpdated(kind, len(endpoints))
@@ -26,13 +27,13 @@
 	d.handle(event)
 }
 
-// SuspendWorkers reports that a source cannot vouch for these workers of its list for now: they get no attempts until
-// ResumeWorkers. Attempts that are in flight there continue.
+// SuspendWorkers reports that a source does not know at present whether these workers of its list are still valid. They
+// get no attempts until ResumeWorkers is called. Their attempts in flight continue.
 func (d *Dispatcher) SuspendWorkers(source WorkerClient, workers []string) {
 	d.changeSuspension(decision.WorkersSuspended, source, workers)
 }
 
-// ResumeWorkers ends a suspension.
+// ResumeWorkers ends the suspension of these workers.
 func (d *Dispatcher) ResumeWorkers(source WorkerClient, workers []string) {
 	d.changeSuspension(decision.WorkersResumed, source, workers)
 }
@@ -49,7 +50,7 @@
 	}
 }
 
-// refreshSources lets the sources suspend and resume workers by the present age of their lists.
+// refreshSources lets the sources suspend and resume workers according to the present age of their lists.
 func (d *Dispatcher) refreshSources() {
 	for _, source := range d.sources {
 		if refresher, ok := source.(Refresher); ok {
@@ -58,7 +59,7 @@
 	}
 }
 
-// clientOf returns the worker client that takes attempts to a worker, or nil if the worker is not listed.
+// clientOf returns the worker client that sends attempts to a worker, or nil if the worker is not listed.
 func (d *Dispatcher) clientOf(name string) WorkerClient {
 	worker, ok := d.workers.listed[name]
 	switch {
@@ -70,17 +71,19 @@
 	return worker.source
 }
 
-// HealthChecked reports the load of a worker, whether it was asked for or not.
+// HealthChecked reports the result of a health check of a worker, with the worker's load. A worker client may also call
+// it for a load report that was not requested.
 func (d *Dispatcher) HealthChecked(worker string, outcome decision.AttemptOutcome, load decision.LoadReport) {
 	d.handle(decision.Event{Kind: decision.HealthChecked, Worker: worker, Outcome: outcome, Load: load})
 }
 
-// ReservedElsewhere reports what another process of the same dispatcher took of a worker's slow-start budget.
+// ReservedElsewhere reports how much of a worker's slow-start budget another process of the same dispatcher has
+// reserved.
 func (d *Dispatcher) ReservedElsewhere(worker string, reservation float64) {
 	d.handle(decision.Event{Kind: decision.ReservedElsewhere, Worker: worker, Reservation: reservation})
 }
 
-// WorkerCount returns the number of workers that a source has listed, including draining ones.
+// WorkerCount returns the number of workers that a source lists, including draining ones.
 func (d *Dispatcher) WorkerCount(source WorkerClient) int {
 	count := 0
 	for _, worker := range d.workers.listed {
--- a/internal/dispatch/workers_test.go
+++ b/internal/dispatch/workers_test.go
@@ -8,7 +8,7 @@
 	"hollyyoke.example/hollyyoke/internal/eventloop"
 )
 
-// Two sources of workers do not overwrite each other's lists.
+// A snapshot from one source does not change the workers of another source.
 func TestSnapshotLeavesOtherSourcesAlone(t *testing.T) {
 	d := newTestDispatcher(t, eventloop.New(), decision.Settings{Classes: []decision.Class{{Deadline: time.Second}}})
 	a, b := &recordingClient{}, &recordingClient{}
@@ -24,7 +24,7 @@
 	}
 }
 
-// The number of ready workers is updated with each change; it must equal the number found by counting.
+// The number of ready workers, which each update adjusts, equals the number of running workers in the list.
 func TestReadyWorkersMatchesList(t *testing.T) {
 	d := newTestDispatcher(t, eventloop.New(), decision.Settings{Classes: []decision.Class{{Deadline: time.Second}}})
 	one, other := &recordingClient{}, &recordingClient{}
