--- a/internal/eventloop/deadline.go
+++ b/internal/eventloop/deadline.go
@@ -5,18 +5,20 @@
 	"time"
 )
 
-// Deadline calls Fire on the loop's goroutine at a time set with Loop.Set. Its owner embeds it and may set it again,
-// before or after it has fired. The zero value is not set.
+// Deadline calls Fire on the loop's goroutine when the time given to Loop.Set is reached. It can be embedded in the
+// object to which it belongs, and can be set again before or after it has fired. The zero value is a deadline that is
+// not set.
 type Deadline struct {
 	Fire func()
 
 	at       time.Duration
-	sequence uint64 // of Loop.Set; orders deadlines of the same time
-	position int    // index in the heap plus 1; 0: not set
+	sequence uint64 // sequence number of the last call of Loop.Set; orders deadlines with the same time
+	position int    // index in the heap plus 1, or 0 if the deadline is not set
 }
 
-// Set sets a deadline to the clock time at, or moves it there. A time in the past counts as that of the present turn, so
-// that an owner that sets its deadline again and again does not go before all others.
+// Set sets a deadline to the clock time at, or moves it there if it is set already. A time before the last firing of
+// deadlines is replaced by the time of that firing, so that a deadline that is set to the past again and again does not
+// always fire before all others.
 func (l *Loop) Set(d *Deadline, at time.Duration) {
 	l.lastSequence++
 	d.at = max(at, l.firedAt)
@@ -28,19 +30,19 @@
 	heap.Push(&l.deadlines, d)
 }
 
-// Clear withdraws a deadline if it is set.
+// Clear cancels a deadline if it is set.
 func (l *Loop) Clear(d *Deadline) {
 	if d.position > 0 {
 		heap.Remove(&l.deadlines, d.position-1)
 	}
 }
 
-// After calls f once, after a delay.
+// After calls f once on the loop's goroutine, after a delay.
 func (l *Loop) After(delay time.Duration, f func()) {
 	l.Set(&Deadline{Fire: f}, l.Now()+delay)
 }
 
-// fireDeadlines fires what is due now; what is set meanwhile is left to the next turn.
+// fireDeadlines fires the deadlines that are due now. Those that are set meanwhile are left to the next turn.
 func (l *Loop) fireDeadlines() {
 	now := l.Now()
 	lastSetBefore := l.lastSequence
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,9 +1,10 @@
 // Package eventloop runs callbacks and deadlines on one goroutine, in real or in virtual time. State that only its
-// callbacks touch needs no locks.
+// callbacks access needs no locks.
 //
 // Other goroutines hand work over with [Loop.Post]. Within the loop, a [Deadline] calls a function at a time of the
-// loop's clock: never before it, in the order of the times, and in the order of setting where times are equal. The loop
-// also notices when its process was held up, which [Loop.QueuedSince] accounts for.
+// loop's clock. Deadlines never fire early. They fire in the order of their times, and in the order in which they were
+// set where the times are equal. The loop also detects stalls, in which it or its process was held up;
+// [Loop.QueuedSince] takes them into account.
 package eventloop
 
 import (
@@ -11,32 +12,33 @@
 	"time"
 )
 
-// maxSleep is how long Run sleeps where nothing is due. Post and Stop wake it before. It is short so that a hold-up of the
-// process is noticed where no deadline would show it.
+// maxSleep is the longest time for which Run sleeps if nothing is due. Post and Stop wake it earlier. It is short so
+// that a stall of the process is detected even if no deadline fires late.
 const maxSleep = 40 * time.Millisecond
 
-// Loop runs callbacks and deadlines. Post, Now and Stop may be called from any goroutine; all else belongs to the loop's
-// own goroutine, which is the one that calls Run or RunOnce.
+// Loop runs callbacks and deadlines. Post, Now and Stop may be called from any goroutine. Everything else may be used
+// only on the loop's goroutine, which is the one that calls Run or RunOnce.
 type Loop struct {
-	// OnStall is called at the beginning of a turn that finds that the loop was held up; nil: nothing is called.
+	// OnStall, if not nil, is called when a stall of more than half a second is detected: at the beginning of the turn
+	// after the stall, or at the end of a turn that took so long.
 	OnStall func()
 
 	started     time.Time
 	startedUnix time.Duration        // started, as Unix time
-	clock       func() time.Duration // of virtual time; nil: the system's monotonic clock
+	clock       func() time.Duration // clock of virtual time; nil in real time
 
 	mu      sync.Mutex // guards posted and stopped
-	posted  []func()   // calls that the next turn makes, in their order
+	posted  []func()   // functions that the next turn calls, in this order
 	stopped bool
-	wake    chan struct{} // of capacity 1; holds a value when Run is to look at posted and stopped
-	spare   []func()      // the emptied slice of the turn before, reused for posted
+	wake    chan struct{} // has capacity 1; holds a value when Run must check posted and stopped
+	spare   []func()      // the emptied slice of the previous turn, reused for posted
 
 	deadlines    deadlineHeap
-	lastSequence uint64        // of Set; see Deadline.sequence
+	lastSequence uint64        // sequence number of the last call of Set; see Deadline.sequence
 	firedAt      time.Duration // when deadlines were last fired
 
-	turnBeganAt time.Duration // of the last turn, from which a stall counts
-	wakeAt      time.Duration // when Run meant to wake; 0: it has not slept since the last turn
+	turnBeganAt time.Duration // when the last turn began, which is taken as the beginning of a stall
+	wakeAt      time.Duration // when Run intended to wake up; 0 if it has not slept since the last turn
 	lastStall   stall
 }
 
@@ -46,14 +48,15 @@
 	return &Loop{started: now, startedUnix: time.Duration(now.UnixNano()), wake: make(chan struct{}, 1)}
 }
 
-// NewVirtual returns a loop in virtual time. Its driver owns the clock and calls RunOnce whenever NextDue says so, instead
-// of Run.
+// NewVirtual returns a loop in virtual time. The caller controls the clock and, instead of Run, calls RunOnce whenever
+// the clock has reached the time that NextDue returns.
 func NewVirtual(clock func() time.Duration) *Loop {
 	return &Loop{clock: clock, wake: make(chan struct{}, 1)}
 }
 
-// Now returns the time of the loop's clock: Unix time when the loop was made, plus what has passed since by the monotonic
-// clock. It compares with times of other machines and is not affected by steps of the wall clock.
+// Now returns the time of the loop's clock. In real time this is the Unix time at which the loop was created, plus the
+// time since then by the monotonic clock. So it can be compared with times of other machines, and steps of the wall
+// clock do not affect it.
 func (l *Loop) Now() time.Duration {
 	if l.clock != nil {
 		return l.clock()
@@ -61,7 +64,7 @@
 	return l.startedUnix + time.Since(l.started)
 }
 
-// Post calls f on the loop's goroutine, after what was posted before.
+// Post calls f on the loop's goroutine, after the functions that were posted before.
 func (l *Loop) Post(f func()) {
 	l.mu.Lock()
 	l.posted = append(l.posted, f)
@@ -80,11 +83,11 @@
 func (l *Loop) wakeUp() {
 	select {
 	case l.wake <- struct{}{}:
-	default: // it is awake already
+	default: // a wake-up is pending already
 	}
 }
 
-// Run runs turns until Stop, and sleeps where nothing is due.
+// Run runs turns until Stop is called, and sleeps between them while nothing is due.
 func (l *Loop) Run() {
 	timer := time.NewTimer(maxSleep)
 	defer timer.Stop()
@@ -106,8 +109,9 @@
 	}
 }
 
-// RunOnce runs one turn: it calls what was posted and then fires the deadlines that are due. What is posted meanwhile, and
-// what is set while deadlines fire, is left to the next turn. After Stop it does nothing and returns true.
+// RunOnce runs one turn: it calls the posted functions and then fires the deadlines that are due. Functions that are
+// posted during the turn, and deadlines that are set while deadlines fire, are left to the next turn. After Stop it
+// does nothing and returns true.
 func (l *Loop) RunOnce() (stopped bool) {
 	calls, stopped := l.takePosted()
 	if stopped {
@@ -119,14 +123,14 @@
 	for _, f := range calls {
 		f()
 	}
-	clear(calls) // so that the spare slice keeps nothing alive
+	clear(calls) // so that the spare slice does not keep the functions alive
 	l.spare = calls[:0]
 	l.fireDeadlines()
 	l.detectLongTurn()
 	return false
 }
 
-// takePosted removes and returns what was posted, and returns whether the loop was stopped.
+// takePosted removes and returns the posted functions, and returns whether the loop was stopped.
 func (l *Loop) takePosted() (calls []func(), stopped bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -135,13 +139,14 @@
 	return calls, l.stopped
 }
 
-// NextDue returns when the next turn has something to do; ok is false if nothing is posted or set.
+// NextDue returns the clock time at which the next turn is due; ok is false if no function is posted and no deadline is
+// set.
 func (l *Loop) NextDue() (at time.Duration, ok bool) {
 	l.mu.Lock()
-	busy := len(l.posted) > 0 || l.stopped
+	pending := len(l.posted) > 0 || l.stopped
 	l.mu.Unlock()
 	switch {
-	case busy:
+	case pending:
 		return l.Now(), true
 	case len(l.deadlines) == 0:
 		return 0, false
@@ -149,7 +154,7 @@
 	return max(l.deadlines[0].at, l.Now()), true
 }
 
-// untilNextDue returns how long there is nothing to do, at most maxSleep where nothing is set.
+// untilNextDue returns the time until the next turn is due, at most maxSleep.
 func (l *Loop) untilNextDue() time.Duration {
 	at, ok := l.NextDue()
 	if !ok {
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// What other goroutines post runs in order, and a deadline wakes the loop.
+// Functions that another goroutine posts run in order, and a deadline wakes the loop.
 func TestRunCallsPostedFunctionsInOrder(t *testing.T) {
 	loop := New()
 	var got []int
@@ -23,7 +23,7 @@
 	}
 }
 
-// In virtual time the driver moves the clock to what is due next.
+// In virtual time the caller advances the clock to the time at which the next turn is due.
 func ExampleNewVirtual() {
 	now := time.Duration(0)
 	loop := NewVirtual(func() time.Duration { return now })
--- a/internal/eventloop/shortstall_test.go
+++ b/internal/eventloop/shortstall_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Guards against requests that are taken for new though they waited while the process was held up: a stall of less than
-// 0.5 s counted as none.
+// Guards against requests that are treated as new although they waited while the process was held up: stalls of less
+// than 0.5 s were ignored.
 func TestQueuedSinceAfterShortStall(t *testing.T) {
 	now := time.Hour
 	loop := NewVirtual(func() time.Duration { return now })
@@ -20,7 +20,7 @@
 	}
 }
 
-// Guards against the same where the loop itself is held up, within a turn.
+// Guards against the same failure if the loop is held up by a function within a turn.
 func TestQueuedSinceAfterLongTurn(t *testing.T) {
 	now := time.Hour
 	loop := NewVirtual(func() time.Duration { return now })
--- a/internal/eventloop/stall.go
+++ b/internal/eventloop/stall.go
@@ -3,23 +3,24 @@
 import "time"
 
 const (
-	// stallThreshold is the lateness of a turn above which the loop counts as held up: the process was stopped, or got no
-	// processor. A worker may be told 150 ms too much; what is left of that is for the way of a request.
+	// stallThreshold is the delay of a turn above which the loop is regarded as stalled: the process was stopped, or
+	// got no processor time. The remaining time that a worker is told may be too long by 150 ms at most; the difference
+	// from that is for the transfer of a request.
 	stallThreshold = 100 * time.Millisecond
 
-	// longStall is the length of a stall from which OnStall is called.
+	// longStall is the length of a stall above which OnStall is called.
 	longStall = 500 * time.Millisecond
-	// stallRecoveryTime is how long after a stall what is read may still have been queued during it.
+	// stallRecoveryTime is how long after a stall the input that is read may still have been queued during the stall.
 	stallRecoveryTime = 100 * time.Millisecond
 )
 
-// stall is a span in which the loop was held up. The zero value is none.
+// stall is a span in which the loop was held up. The zero value means that there was none.
 type stall struct {
-	begin, end time.Duration // clock times; it may have begun later
+	begin, end time.Duration // clock times; begin is the earliest possible beginning
 }
 
-// detectStall records a stall if a turn that begins now should have begun long ago: for the earliest deadline, or since
-// Run meant to wake.
+// detectStall records a stall if the turn that begins now is late by more than the threshold, with respect to the
+// earliest deadline or to the time at which Run intended to wake up.
 func (l *Loop) detectStall() {
 	now := l.Now()
 	due := now
@@ -32,25 +33,25 @@
 	l.recordStall(now-due, now)
 }
 
-// detectLongTurn records a stall if the turn that ends now has taken long.
+// detectLongTurn records a stall if the turn that ends now has taken longer than the threshold.
 func (l *Loop) detectLongTurn() {
 	now := l.Now()
 	l.recordStall(now-l.turnBeganAt, now)
 }
 
-// recordStall records a stall that ends now, if the loop is late by more than the threshold.
-func (l *Loop) recordStall(late, now time.Duration) {
-	if late <= stallThreshold {
+// recordStall records a stall that ends now if the delay of the loop is above the threshold.
+func (l *Loop) recordStall(delay, now time.Duration) {
+	if delay <= stallThreshold {
 		return
 	}
 	l.lastStall = stall{begin: l.turnBeganAt, end: now}
-	if late > longStall && l.OnStall != nil {
+	if delay > longStall && l.OnStall != nil {
 		l.OnStall()
 	}
 }
 
-// QueuedSince returns since when input that is read now may have been queued: since now, but right after a stall since
-// its beginning.
+// QueuedSince returns the earliest clock time at which input that is read now may have been queued. This is the
+// beginning of the last stall if that has just ended, and the present time otherwise.
 func (l *Loop) QueuedSince() time.Duration {
 	now := l.Now()
 	if l.lastStall.end > 0 && now < l.lastStall.end+stallRecoveryTime {
--- a/internal/eventloop/stall_test.go
+++ b/internal/eventloop/stall_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// What is read right after a stall may have been queued since the stall began.
+// Input that is read right after a stall may have been queued since the stall began.
 func TestQueuedSinceAfterStall(t *testing.T) {
 	var now time.Duration
 	loop := NewVirtual(func() time.Duration { return now })
