--- a/internal/transport/accept.go
+++ b/internal/transport/accept.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// acceptRetryPause is the pause after an accept that failed, against spinning.
+// acceptRetryPause is the pause after a failed accept. It prevents a busy loop.
 const acceptRetryPause = 20 * time.Millisecond
 
 // Acceptor accepts connections from one listener. Its methods may be called from
@@ -15,7 +15,7 @@
 	engine     *Engine
 	listener   net.Listener
 	group      *connGroup
-	fixedLimit bool // Resize does not change its limit; guarded by the engine's mutex
+	fixedLimit bool // Resize does not change the limit; guarded by Engine.mu
 }
 
 // Addr returns the address that the acceptor accepts on.
@@ -24,55 +24,59 @@
 // String returns the text of Addr.
 func (a *Acceptor) String() string { return a.listener.Addr().String() }
 
-// Close accepts no more. Where another process has the same listening socket,
-// that one continues, and connections in the backlog are left to it.
+// Close stops accepting connections. If another process has the same listening
+// socket, that process continues to accept and gets the connections in the backlog.
 func (a *Acceptor) Close() {
 	_ = a.listener.Close()
 	a.group.close()
 }
 
-// OpenConnections returns how many of the acceptor's connections have not ended,
-// those that linger included. Before Close, it may count the place of the next
-// one.
+// OpenConnections returns the number of the acceptor's connections that have not
+// ended, including lingering ones. Before Close, the result may be one too high: it
+// includes the connection for which the acceptor is waiting.
 func (a *Acceptor) OpenConnections() int { return a.group.openConnections() }
 
-// FixLimit keeps Resize from changing the acceptor's limit, and returns the acceptor.
+// FixLimit sets the acceptor's limit to its full value and prevents Resize from
+// changing it. It returns the acceptor.
 func (a *Acceptor) FixLimit() *Acceptor {
-	a.engine.mu.Lock() // a resize that has begun would shrink the limit afterwards
+	a.engine.mu.Lock() // otherwise a Resize in progress could shrink the limit afterwards
 	defer a.engine.mu.Unlock()
 	a.fixedLimit = true
 	a.group.resize(1)
 	return a
 }
 
-// AcceptOptions say how the connections of a listener are accepted. Their functions
-// run on the loop's goroutine.
+// AcceptOptions are the options for accepting the connections of a listener. The
+// functions are called on the loop's goroutine.
 type AcceptOptions struct {
-	// NewHandler returns the handler of a connection, or nil to close it.
+	// NewHandler returns the handler of a new connection, or nil to close the
+	// connection.
 	NewHandler func(*Conn) Handler
 
-	// SingleBuffer hands over one buffer of a connection at a time, so that a handler
-	// that pauses gets no more; what a peer sent just before it closed may be lost.
+	// SingleBuffer passes the buffers of a connection to its handler one at a time, so
+	// that the handler gets no more after it has paused the connection. Bytes that a
+	// peer sent just before it closed may be lost.
 	SingleBuffer bool
 
-	// Limit is how many connections may be open at a time, at least one.
-	// ServeWithAdmission does not use it, nor OnFull.
+	// Limit is the maximum number of open connections, at least one.
+	// ServeWithAdmission uses neither Limit nor OnFull.
 	Limit int
 
-	// OnFull is called when a connection waits since the limit is reached, or since
-	// no descriptor is left; nil: nothing is called.
+	// OnFull, if not nil, is called when accepting must wait because the limit is
+	// reached or no descriptor is left.
 	OnFull func()
 }
 
-// window returns how many buffers of a connection may be on their way to its handler.
+// window returns the maximum number of buffers of a connection that may be in
+// transit to its handler.
 func (o *AcceptOptions) window() int {
 	if o.SingleBuffer {
-		return narrowWindow
+		return singleBufferWindow
 	}
-	return wideWindow
+	return multiBufferWindow
 }
 
-// Listen accepts connections on an address as Serve does.
+// Listen listens on a TCP address and accepts connections as Serve does.
 func (e *Engine) Listen(addr string, options AcceptOptions) (*Acceptor, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -81,7 +85,7 @@
 	return e.Serve(listener, options), nil
 }
 
-// Serve accepts connections from a listener, up to a limit.
+// Serve accepts connections from a listener, up to options.Limit at a time.
 func (e *Engine) Serve(listener net.Listener, options AcceptOptions) *Acceptor {
 	a := &Acceptor{engine: e, listener: listener, group: newConnGroup(options.Limit, options.window())}
 	e.mu.Lock()
@@ -92,8 +96,8 @@
 	return a
 }
 
-// acceptUpToLimit accepts connections until the listener is closed, none while
-// the limit is reached.
+// acceptUpToLimit accepts connections until the listener is closed. While the limit
+// is reached it waits.
 func (e *Engine) acceptUpToLimit(acceptor *Acceptor, options AcceptOptions) {
 	reportFull := func() {
 		if options.OnFull != nil {
--- a/internal/transport/accept_test.go
+++ b/internal/transport/accept_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// No more connections than the limit are open; OnFull is called for one that
-// waits, and it is accepted once another has ended.
+// At most as many connections as the limit are open. OnFull is called when a
+// connection must wait, and the connection is accepted once another one has ended.
 func TestConnectionLimit(t *testing.T) {
 	engine := startEngine(t, 100)
 	handler := newRecordingHandler(engine)
@@ -32,7 +32,7 @@
 	receive(t, server.opened)
 }
 
-// No more connections are dialed than there are descriptors for.
+// A dial fails with ErrNoDescriptor when all descriptors for dials are in use.
 func TestDialLimit(t *testing.T) {
 	engine := startEngine(t, 100)
 	handler := newRecordingHandler(engine)
@@ -43,13 +43,14 @@
 	}
 	result := receive(t, dial(engine, server.String(), handler))
 	if dials != engine.dials.limit || result.err != ErrNoDescriptor {
-		t.Errorf("after %d dials: %v, want %v after %d", dials, result.err, ErrNoDescriptor, engine.dials.limit)
+		t.Errorf("after %d dials: error %v, want %v after %d dials", dials, result.err, ErrNoDescriptor, engine.dials.limit)
 	}
 }
 
-// A process with a smaller share of the descriptors for a while accepts fewer
-// connections, closes none for it, and then accepts as many as before. A fixed
-// limit stays as it is, and a listener that is added later gets the share.
+// A process that has a smaller share of the descriptors for a while accepts fewer
+// connections meanwhile, without closing any, and then as many as before. A fixed
+// limit does not change, and the limit of a listener that is added later is reduced
+// by the same share.
 func TestResize(t *testing.T) {
 	engine := startEngine(t, 124)
 	handler := newRecordingHandler(engine)
@@ -71,7 +72,7 @@
 	fixed := serveUpTo(4)
 	fixed.FixLimit()
 
-	engine.Resize(24 + 50) // half of what is usable
+	engine.Resize(24 + 50) // half of the descriptors for connections, besides the overhead of 24
 	connect(resizable, 7)
 	connect(fixed, 4)
 	receiveOpened(resizable, 5)
@@ -79,10 +80,10 @@
 	later := serveUpTo(6)
 	connect(later, 4)
 	receiveOpened(later, 3)
-	time.Sleep(20 * time.Millisecond) // time for one too many to be accepted
+	time.Sleep(20 * time.Millisecond) // time in which a connection beyond the limits could be accepted
 	tooMany := len(resizable.opened) + len(fixed.opened) + len(later.opened)
 	if tooMany > 0 || engine.dials.limit != 20 {
-		t.Fatalf("%d more than half were accepted, want none; the limit of dials is %d, want 20",
+		t.Fatalf("%d connections above the halved limits were accepted, want 0; the limit of dials is %d, want 20",
 			tooMany, engine.dials.limit)
 	}
 
@@ -96,8 +97,8 @@
 	}
 }
 
-// A closed acceptor counts its connections down to 0, whether it had reached its
-// limit when it was closed or waited for a connection.
+// The connection count of a closed acceptor falls to 0, whether the acceptor had
+// reached its limit when it was closed or was waiting for a connection.
 func TestOpenConnectionsAfterClose(t *testing.T) {
 	for _, limit := range []int{1, 5} {
 		engine := startEngine(t, 100)
@@ -111,11 +112,11 @@
 		})
 		peer, _ := server.open(t)
 		if limit == 1 {
-			receive(t, full) // it waits for a connection to end
+			receive(t, full) // the acceptor waits for a connection to end
 		}
 		server.Close()
 		if n := server.OpenConnections(); n < 1 {
-			t.Errorf("limit %d: %d connections counted, one is open", limit, n)
+			t.Errorf("limit %d: OpenConnections is %d, but one connection is open", limit, n)
 		}
 		peer.Close()
 		handler.waitClosed(t)
@@ -123,13 +124,13 @@
 	}
 }
 
-// waitForNoConnections waits until a server counts no connection.
+// waitForNoConnections waits until OpenConnections of a server is 0.
 func waitForNoConnections(t *testing.T, server *testServer) {
 	t.Helper()
 	end := time.Now().Add(testTimeout)
 	for server.OpenConnections() > 0 {
 		if time.Now().After(end) {
-			t.Fatalf("%d connections counted, none is open", server.OpenConnections())
+			t.Fatalf("OpenConnections is %d, but no connection is open", server.OpenConnections())
 		}
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/transport/admissionaccept.go
+++ b/internal/transport/admissionaccept.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// admissionRetryPause is the pause after an accept that failed. It is short, since
-	// connections that will be admitted wait in the kernel's queue with the others.
+	// admissionRetryPause is the pause after a failed accept. It is short, since the
+	// kernel's queue also contains connections that will be admitted.
 	admissionRetryPause = time.Millisecond
 
-	// exhaustedRetryPause is the pause between attempts to get a spare descriptor.
+	// exhaustedRetryPause is the pause between two attempts to get a spare descriptor.
 	exhaustedRetryPause = 5 * time.Millisecond
 )
 
 // ServeWithAdmission accepts connections from a listener and serves those that
-// the engine's Admission admits.
+// the engine's Admission admits. SetAdmission must have been called.
 func (e *Engine) ServeWithAdmission(listener net.Listener, options AcceptOptions) *Acceptor {
 	group := newConnGroup(unlimited, options.window())
 	group.quota.Release = e.admission.Release
@@ -29,18 +29,18 @@
 	return acceptor
 }
 
-// acceptWithAdmission accepts as fast as the kernel hands out connections, so that
-// none waits behind those that will be rejected: in the kernel's queue all are
-// alike.
+// acceptWithAdmission accepts connections as fast as the kernel returns them, so
+// that a connection does not wait in the kernel's queue behind connections that will
+// be rejected. The kernel's queue makes no difference between them.
 func (e *Engine) acceptWithAdmission(acceptor *Acceptor, newHandler func(*Conn) Handler) {
-	// Where no descriptor is left, the spare one is given up for a moment to reject
-	// a connection with.
+	// If no descriptor is left, the spare one is closed for a moment, so that a
+	// connection can be accepted and rejected.
 	spare := openSpareDescriptor()
 	defer func() { spare.Close() }()
 	for {
 		conn, err := acceptor.listener.Accept()
 		switch {
-		case err == nil && spare == nil: // its descriptor is the first that could be had
+		case err == nil && spare == nil: // use the first descriptor that is free again as the spare
 			conn.Close()
 			spare = openSpareDescriptor()
 		case err == nil:
@@ -53,20 +53,22 @@
 			if spare == nil { // another goroutine or process took the descriptor
 				time.Sleep(exhaustedRetryPause)
 			}
-		default: // accept(2): a network error of the new connection, or want of memory
+		default: // accept(2): a network error of the new connection, or not enough memory
 			time.Sleep(admissionRetryPause)
 		}
 	}
 }
 
-// openSpareDescriptor opens a file that stands for a descriptor; nil: there is none.
+// openSpareDescriptor opens a file only to occupy a descriptor. It returns nil if no
+// descriptor is left.
 func openSpareDescriptor() *os.File {
-	file, _ := os.Open(os.DevNull) // nil with an error
+	file, _ := os.Open(os.DevNull) // returns nil with an error
 	return file
 }
 
-// rejectOne accepts and closes one connection with the descriptor of spare, which
-// may be nil, and returns a new spare or nil.
+// rejectOne closes spare and uses its descriptor to accept and close one connection.
+// If spare is nil, it accepts none. It returns a new spare, or nil if no descriptor
+// is left.
 func (a *Acceptor) rejectOne(spare *os.File) *os.File {
 	if spare != nil {
 		spare.Close()
@@ -78,7 +80,8 @@
 	return openSpareDescriptor()
 }
 
-// admit asks the Admission about a connection and registers an admitted one.
+// admit registers a connection if the Admission admits it. If the Admission defers
+// its decision, a new goroutine waits for it.
 func (e *Engine) admit(acceptor *Acceptor, conn net.Conn, newHandler func(*Conn) Handler) {
 	result := e.admission.Admit(conn)
 	if result.Outcome != Deferred {
@@ -91,7 +94,7 @@
 	}()
 }
 
-// registerAdmitted registers a connection, if it was admitted.
+// registerAdmitted registers a connection if it was admitted.
 func (e *Engine) registerAdmitted(
 	acceptor *Acceptor, conn net.Conn, result AdmissionResult, newHandler func(*Conn) Handler,
 ) {
--- a/internal/transport/buffer.go
+++ b/internal/transport/buffer.go
@@ -6,15 +6,15 @@
 	"syscall"
 )
 
-// BufferSize is the size of every buffer in bytes: a body of 64 KiB with its
-// head, and the chunk lines of a chunked one.
+// BufferSize is the size of every buffer in bytes. A message with a body of 64 KiB
+// fits, with its head and the chunk lines of a chunked body.
 const BufferSize = 72 << 10
 
 const (
-	pageSize             = 4 << 10  // bytes that the kernel makes resident at a time
-	buffersPerMapping    = 16       // buffers that the pool maps with one mmap(2)
-	minResidentBytes     = pageSize // of a free buffer that always stay resident
-	maxFreeResidentBytes = 1 << 20  // beyond minResidentBytes, of all free buffers together
+	pageSize             = 4 << 10  // unit in which the kernel makes memory resident, in bytes
+	buffersPerMapping    = 16       // number of buffers that the pool maps with one call of mmap(2)
+	minResidentBytes     = pageSize // bytes at the beginning of each free buffer that stay resident
+	maxFreeResidentBytes = 1 << 20  // resident bytes of all free buffers together, beyond minResidentBytes each
 )
 
 // Buffer is a byte buffer of BufferSize that belongs to a Pool. It has one owner
@@ -23,13 +23,13 @@
 	pool     *Pool
 	array    []byte
 	length   int
-	resident int // bytes of array that take up memory, in complete pages
+	resident int // bytes of array that are resident in memory, in complete pages
 }
 
-// Bytes returns the buffer's contents, valid until its next change.
+// Bytes returns the buffer's contents. The slice is valid until the buffer changes.
 func (b *Buffer) Bytes() []byte { return b.array[:b.length] }
 
-// Append appends p if there is space for all of it, and reports whether it did.
+// Append appends p if there is space for all of it, and reports whether it has done so.
 func (b *Buffer) Append(p []byte) bool {
 	if len(p) > BufferSize-b.length {
 		return false
@@ -45,7 +45,8 @@
 	return n
 }
 
-// extend counts n bytes that were written behind the contents.
+// extend adds n bytes, which were written to array after the contents, to the
+// contents.
 func (b *Buffer) extend(n int) {
 	b.length += n
 	touched := (b.length + pageSize - 1) / pageSize * pageSize
@@ -55,24 +56,25 @@
 	}
 }
 
-// Consume drops the first n bytes.
+// Consume removes the first n bytes.
 func (b *Buffer) Consume(n int) { b.length = copy(b.array, b.array[n:b.length]) }
 
-// Pool hands out buffers and takes them back; its methods may be called from
+// Pool hands out buffers and takes them back. Its methods may be called from
 // any goroutine, and its zero value is ready for use.
 //
-// Buffers lie outside the Go heap. A buffer takes up the pages that were written
-// to, not its size, and returns them to the kernel when it is free: most messages
-// are small, and hundreds of half-read ones must not cost BufferSize each.
+// The memory of the buffers is outside the Go heap. A buffer occupies only the pages
+// that were written to, and a free buffer returns its pages to the kernel if free
+// buffers occupy too much memory. Most messages are small, and hundreds of half-read
+// ones must not occupy BufferSize each.
 type Pool struct {
 	mu           sync.Mutex
 	free         []*Buffer
-	freeResident int    // bytes beyond minResidentBytes that free buffers take up
-	unused       []byte // the part of the last mapping that no buffer uses yet
+	freeResident int    // resident bytes of the free buffers, beyond minResidentBytes each
+	unused       []byte // the part of the last mapping that has not been assigned to a buffer
 	bytesInUse   atomic.Int64
 }
 
-// BytesInUse returns how many bytes of memory the buffers in use take up.
+// BytesInUse returns the number of resident bytes of the buffers in use.
 func (p *Pool) BytesInUse() int { return int(p.bytesInUse.Load()) }
 
 // Get returns an empty buffer.
@@ -94,22 +96,22 @@
 	return b
 }
 
-// mapBuffers maps memory for further buffers. It returns false where mmap(2)
-// fails, with ENOMEM for example.
+// mapBuffers maps memory for more buffers. It returns false if mmap(2) fails, for
+// example with ENOMEM.
 func (p *Pool) mapBuffers() bool {
 	mapping, err := syscall.Mmap(-1, 0, buffersPerMapping*BufferSize, syscall.PROT_READ|syscall.PROT_WRITE,
 		syscall.MAP_ANON|syscall.MAP_PRIVATE)
 	if err != nil {
 		return false
 	}
-	// madvise(2): the kernel makes a huge page resident as one, however little of
-	// it is written to. The advice may fail; then buffers only cost more.
+	// madvise(2): without this advice, writing to any part of a huge page would make
+	// all of it resident. If the call fails, buffers only occupy more memory.
 	_ = syscall.Madvise(mapping, syscall.MADV_NOHUGEPAGE)
 	p.unused = mapping
 	return true
 }
 
-// Put takes a buffer back; nil is ignored.
+// Put returns a buffer to the pool; nil is ignored.
 func (p *Pool) Put(b *Buffer) {
 	if b == nil {
 		return
@@ -122,8 +124,8 @@
 	p.free = append(p.free, b)
 }
 
-// Collect adds received bytes to *into and takes over their buffer, which becomes *into where that is nil. It returns
-// false if they do not fit; they are lost then.
+// Collect adds received bytes to *into and takes over the ownership of their buffer. If *into is nil, the received
+// buffer becomes *into. Collect returns false if the bytes do not fit; they are then lost.
 func (p *Pool) Collect(into **Buffer, received *Buffer) bool {
 	if *into == nil {
 		*into = received
@@ -134,7 +136,8 @@
 	return fits
 }
 
-// Consume drops the first n bytes of *from, and puts it back and sets it to nil once it is empty.
+// Consume removes the first n bytes of *from. If the buffer is then empty, it is returned to the pool and *from is set
+// to nil.
 func (p *Pool) Consume(from **Buffer, n int) {
 	(*from).Consume(n)
 	if len((*from).Bytes()) == 0 {
@@ -143,8 +146,9 @@
 	}
 }
 
-// Detach returns the buffer *from, whose first n bytes are a complete message, and moves what follows to a new *from,
-// nil if nothing does. The caller owns the buffer that is returned.
+// Detach returns the buffer *from, whose first n bytes are a complete message, and copies the bytes after the message
+// to a new buffer in *from, or sets *from to nil if there are none. The caller owns the returned buffer, which still
+// contains those bytes.
 func (p *Pool) Detach(from **Buffer, n int) *Buffer {
 	message := *from
 	*from = nil
@@ -155,8 +159,9 @@
 	return message
 }
 
-// trim returns the memory of a buffer that becomes free to the kernel, but for
-// its first pages, where free buffers together would keep too much of it.
+// trim returns the memory of a buffer that becomes free to the kernel, except for its
+// first minResidentBytes, if the free buffers together would otherwise keep more than
+// maxFreeResidentBytes resident.
 func (p *Pool) trim(b *Buffer) {
 	excess := b.resident - minResidentBytes
 	if excess <= 0 {
@@ -166,8 +171,9 @@
 		p.freeResident += excess
 		return
 	}
-	// madvise(2), MADV_DONTNEED: the pages read as zeros from now on. Where it
-	// fails they stay resident, and are counted again when the buffer is used.
+	// madvise(2), MADV_DONTNEED: the pages are released and read as zeros from now on.
+	// If the call fails they stay resident, and are counted as such when the buffer is
+	// used again.
 	if syscall.Madvise(b.array[minResidentBytes:], syscall.MADV_DONTNEED) == nil {
 		b.resident = minResidentBytes
 	}
--- a/internal/transport/close.go
+++ b/internal/transport/close.go
@@ -6,21 +6,23 @@
 )
 
 const (
-	// shutdownTimeout is the time in which the poller closes a connection that was
-	// shut down, until it is closed without an event.
+	// shutdownTimeout is how long the poller has to close a connection that was shut
+	// down. After it the connection is closed without waiting for a poller event.
 	shutdownTimeout = 200 * time.Millisecond
 
-	lingerTimeout  = time.Second          // of CloseGracefully
-	lingerInterval = 5 * time.Millisecond // between reads of bytes that are dropped
+	lingerTimeout  = time.Second          // longest time for which CloseGracefully waits for the peer
+	lingerInterval = 5 * time.Millisecond // time between reads of bytes that are discarded
 
-	// LingerTime is the longest time for which an ended connection stays open.
+	// LingerTime is the longest time for which the socket of an ended connection stays
+	// open.
 	LingerTime = lingerTimeout + 2*shutdownTimeout
 
-	// abortAttempts is how often SO_LINGER is set, which may fail for a moment.
+	// abortAttempts is the maximum number of attempts to set SO_LINGER, since
+	// setsockopt(2) may fail temporarily.
 	abortAttempts = 3
 )
 
-// Close closes the connection at once. No more of it reaches its handler.
+// Close closes the connection at once. The handler gets no more events.
 func (c *Conn) Close() {
 	if !c.connected() {
 		return
@@ -29,15 +31,15 @@
 	c.shutDown()
 }
 
-// Abort closes the connection at once by a reset, so that nothing arrives any more
-// of what the peer has not received. After an orderly close the kernel goes on
-// sending what it holds, for minutes, and delivers it once an interrupted path
-// works again. Where the kernel refuses the reset, the close is an orderly one.
+// Abort closes the connection at once with a reset, so that written bytes that the
+// peer has not received yet are not delivered later. After an orderly close the
+// kernel keeps sending such bytes for minutes, and delivers them when an interrupted
+// network path works again. If the kernel refuses the reset, the close is orderly.
 func (c *Conn) Abort() {
 	if !c.connected() {
 		return
 	}
-	c.control(func(fd int) {
+	c.withDescriptor(func(fd int) {
 		for range abortAttempts {
 			// setsockopt(2): with l_onoff set and l_linger 0, close(2) sends a reset.
 			err := syscall.SetsockoptLinger(fd, syscall.SOL_SOCKET, syscall.SO_LINGER, &syscall.Linger{Onoff: 1})
@@ -49,30 +51,32 @@
 	c.Close()
 }
 
-// shutDown ends the connection with shutdown(2) and leaves its descriptor to nbio's
-// poller, which gets an event for it at once and closes it. If it were closed here
-// while the poller still had an event for it, that event would close the next
-// connection that gets the same descriptor.
+// shutDown ends the connection with shutdown(2). nbio's poller gets an event for that
+// at once, and closes the descriptor. If the descriptor were closed here while the
+// poller still had an event for it, that event would close the next connection that
+// gets the same descriptor.
 func (c *Conn) shutDown() {
 	open := false
-	c.control(func(fd int) {
-		_ = syscall.Shutdown(fd, syscall.SHUT_RDWR) // ENOTCONN: the peer has reset it
+	c.withDescriptor(func(fd int) {
+		_ = syscall.Shutdown(fd, syscall.SHUT_RDWR) // fails with ENOTCONN if the peer has reset the connection
 		open = true
 	})
 	if !open {
 		return
 	}
-	// After a reset, for example, no event may be left to come.
+	// There may be no further event, for example after a reset. Then the timer closes the socket.
 	c.closeTimer.Fire = func() { _ = c.socket.Close() }
 	c.engine.Loop.Set(&c.closeTimer, c.engine.Loop.Now()+shutdownTimeout)
 }
 
-// CloseGracefully closes the connection once all that was written has been sent
-// and the peer has closed too, or after a second. No more of it reaches its handler.
+// CloseGracefully closes the connection when all written bytes have been sent and the
+// peer has closed its side too, or after lingerTimeout. The handler gets no more
+// events.
 //
-// What the peer still sends is read and dropped, one buffer an interval, so that a
-// peer that sends without end costs little: the kernel would answer bytes that
-// nobody reads by a reset, which may overtake the last answer.
+// Bytes that the peer still sends are read and discarded: if the socket were closed
+// with unread bytes, the kernel would send a reset, which can overtake the last
+// response. At most one buffer is read in each lingerInterval, so that a peer that
+// sends without end takes little processor time.
 func (c *Conn) CloseGracefully() {
 	if c.state != stateOpen {
 		return
@@ -81,12 +85,12 @@
 	c.Handler = discardHandler{&c.engine.Pool}
 	c.Pause()
 	c.lingerDeadline = c.engine.Loop.Now() + lingerTimeout
-	c.closeTimer.Fire = c.linger
-	c.linger()
+	c.closeTimer.Fire = c.lingerStep
+	c.lingerStep()
 }
 
-// linger does one interval of CloseGracefully.
-func (c *Conn) linger() {
+// lingerStep is the step of CloseGracefully that runs once in each lingerInterval.
+func (c *Conn) lingerStep() {
 	now := c.engine.Loop.Now()
 	if now >= c.lingerDeadline {
 		c.Close()
@@ -99,35 +103,36 @@
 	}
 	if !c.sendingClosed && c.Flushed(c.writeOffset) {
 		c.sendingClosed = true
-		c.control(func(fd int) { _ = syscall.Shutdown(fd, syscall.SHUT_WR) })
+		c.withDescriptor(func(fd int) { _ = syscall.Shutdown(fd, syscall.SHUT_WR) })
 	}
 	c.engine.Loop.Set(&c.closeTimer, min(now+lingerInterval, c.lingerDeadline))
 }
 
-// Discard drops what the peer sends from now on, one buffer an interval and at
-// most limit bytes. None of it reaches the handler, but OnClosed does when the
-// peer closes, which would not be seen behind bytes that nobody reads.
+// Discard reads and discards what the peer sends from now on, at most one buffer in
+// each lingerInterval and about limit bytes in all. The handler gets no more data, but
+// OnClosed is called when the peer closes. The poller would not notice that if there
+// were unread bytes before the end.
 func (c *Conn) Discard(limit int) {
 	if c.state != stateOpen || c.discarding {
 		return
 	}
 	c.discarding = true
 	c.Pause()
-	c.closeTimer.Fire = func() { c.discard(limit) }
-	c.discard(limit)
+	c.closeTimer.Fire = func() { c.discardStep(limit) }
+	c.discardStep(limit)
 }
 
-// discard does one interval of Discard.
-func (c *Conn) discard(limit int) {
+// discardStep is the step of Discard that runs once in each lingerInterval.
+func (c *Conn) discardStep(limit int) {
 	n, more := c.discardBuffer()
 	c.discardedBytes += n
-	if more && c.discardedBytes < limit { // the poller reports the end
+	if more && c.discardedBytes < limit { // if there is no more, the poller reports the end
 		c.engine.Loop.Set(&c.closeTimer, c.engine.Loop.Now()+lingerInterval)
 	}
 }
 
-// discardBuffer reads at most one buffer and drops it. more is false once the
-// peer's end has been read.
+// discardBuffer reads at most one buffer of bytes and discards them. more is false if
+// the end of the connection has been reached.
 func (c *Conn) discardBuffer() (n int, more bool) {
 	b := c.engine.Pool.Get()
 	n, err := c.socket.Read(b.array)
@@ -137,6 +142,7 @@
 	return n, n > 0 || isTransient(err)
 }
 
-// isTransient reports whether read(2) failed without an end of the connection:
-// EAGAIN, nothing is there, or EINTR, a signal came first.
+// isTransient reports whether an error of read(2) does not mean the end of the
+// connection: EAGAIN, there is nothing to read, or EINTR, a signal interrupted the
+// call.
 func isTransient(err error) bool { return err == syscall.EAGAIN || err == syscall.EINTR }
--- a/internal/transport/close_test.go
+++ b/internal/transport/close_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Flushed and SentBytes report what has gone to the socket, which decides whether
-// a request may have been processed. CloseGracefully sends all that was written
-// before the connection closes.
+// Flushed and SentBytes report which bytes have been written to the socket, by which
+// callers decide whether a request may have been processed. CloseGracefully sends all
+// written bytes before it closes the connection.
 func TestPartialWritesAndGracefulClose(t *testing.T) {
 	engine := startEngine(t, 100)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -25,22 +25,22 @@
 	}
 	defer conn.Close()
 	c := receive(t, got).conn
-	large := bytes.Repeat([]byte("x"), 32<<20) // more than any socket buffer takes
+	large := bytes.Repeat([]byte("x"), 32<<20) // more than fits in a socket buffer
 	runOnLoop(engine, func() {
 		c.Write(large)
 		if c.Flushed(c.WriteOffset()) || !c.Flushed(5) {
-			t.Errorf("%d of %d bytes were sent, want 5 at least but not all", c.SentBytes(), c.WriteOffset())
+			t.Errorf("%d of %d bytes were sent, want at least 5 but not all", c.SentBytes(), c.WriteOffset())
 		}
 		c.CloseGracefully()
 	})
-	// CloseGracefully waits for at most lingerTimeout, so this peer reads at once.
+	// CloseGracefully waits at most lingerTimeout, so the peer must read at once.
 	n, err := io.Copy(io.Discard, conn)
 	if n != int64(len(large)+5) || err != nil {
 		t.Errorf("%d bytes arrived, error %v; want %d", n, err, len(large)+5)
 	}
 }
 
-// setInTransit sets how many buffers the poller counts as on their way to handlers.
+// setInTransit sets the engine's number of buffers in transit to handlers.
 func setInTransit(engine *Engine, buffers int) {
 	engine.transitMu.Lock()
 	engine.inTransit = buffers
@@ -48,8 +48,9 @@
 	engine.transitCond.Signal()
 }
 
-// closeOnLoop closes connections on the loop, which then is busy until resume is
-// closed. The channel that it returns is closed once they are.
+// closeOnLoop closes connections on the loop's goroutine and then blocks the loop
+// until resume is closed. The returned channel is closed when the connections have
+// been closed.
 func closeOnLoop(engine *Engine, conns []*Conn, resume chan bool) (closed chan bool) {
 	closed = make(chan bool)
 	engine.Loop.Post(func() {
@@ -62,9 +63,10 @@
 	return closed
 }
 
-// A connection that is closed while the poller still has an event for it must not
-// free its descriptor for the next connection: the event closed that one, unread.
-// The poller is blocked between two events here, as by a busy loop.
+// Guards against the reuse of a descriptor for which the poller still has an event:
+// a connection was closed while the poller had an event for it, the next connection
+// got the same descriptor, and the event closed that connection before anything was
+// read from it. Here the poller is blocked between two events, as by a busy loop.
 func TestCloseKeepsDescriptorFromReuse(t *testing.T) {
 	engine := startEngine(t, 100)
 	handler := newRecordingHandler(engine)
@@ -81,8 +83,8 @@
 		conns = append(conns, c)
 	}
 
-	// The poller waits before it reads the first connection, and will wait before the
-	// second, while it has the events of the others' ends.
+	// The poller waits before it reads the first connection, and later before it reads
+	// the second one. Meanwhile it has events for the ends of the other connections.
 	setInTransit(engine, maxBuffersInTransit)
 	first.Write([]byte("first"))
 	time.Sleep(20 * time.Millisecond)
@@ -99,7 +101,7 @@
 	for range 3 {
 		next = append(next, server.connect(t))
 	}
-	time.Sleep(50 * time.Millisecond) // for them to be accepted; where they are not, the test checks less
+	time.Sleep(50 * time.Millisecond) // lets them be accepted; if they are not, the test checks less
 	close(resumeLoop)
 	setInTransit(engine, 0)
 	for range next {
@@ -114,15 +116,15 @@
 		received[receive(t, handler.data)]++
 	}
 	if received["first"] != 1 || received["second"] != 1 || received["next"] != 3 || len(handler.closed) > 0 {
-		t.Errorf("received %v, want first, second and three times next; %d connections were closed unread",
+		t.Errorf("received %v, want first once, second once and next three times; %d connections were closed",
 			received, len(handler.closed))
 	}
 }
 
-// discardLimit is the limit of the tests of Discard.
+// discardLimit is the limit that the tests pass to Discard.
 const discardLimit = 1 << 20
 
-// serveDiscarding starts a server that discards what it receives.
+// serveDiscarding starts a server that calls Discard on each connection.
 func serveDiscarding(t *testing.T, engine *Engine, handler *recordingHandler) *testServer {
 	t.Helper()
 	discard := func(c *Conn) Handler {
@@ -132,8 +134,8 @@
 	return serve(t, engine, AcceptOptions{NewHandler: discard, SingleBuffer: true, Limit: 20})
 }
 
-// sendAndClose sends zeros and closes the connection, and then passes on how many
-// were sent.
+// sendAndClose starts a goroutine that sends size zero bytes and closes the
+// connection. The channel gets the number of bytes that were sent.
 func sendAndClose(peer net.Conn, size int) (sent chan int) {
 	sent = make(chan int, 1)
 	go func() {
@@ -144,7 +146,8 @@
 	return sent
 }
 
-// What Discard drops reaches no handler; the peer's end, which comes behind it, does.
+// The handler does not get the bytes that Discard reads, but it is told of the end of
+// the connection that follows them.
 func TestDiscardReachesEnd(t *testing.T) {
 	engine := startEngine(t, 100)
 	handler := newRecordingHandler(engine)
@@ -154,12 +157,13 @@
 		sent := sendAndClose(peer, size)
 		handler.waitClosed(t)
 		if n := receive(t, sent); n != size || len(handler.data) > 0 {
-			t.Errorf("%d of %d bytes sent, the handler got %d buffers, want none", n, size, len(handler.data))
+			t.Errorf("%d of %d bytes were sent; the handler got %d buffers, want 0", n, size, len(handler.data))
 		}
 	}
 }
 
-// Discard stops for good at its limit, so that the peer fills the kernel's buffers.
+// Discard stops permanently at its limit. The peer can then only fill the kernel's
+// buffers.
 func TestDiscardIsBounded(t *testing.T) {
 	engine := startEngine(t, 100)
 	handler := newRecordingHandler(engine)
@@ -174,8 +178,8 @@
 	receive(t, sent)
 }
 
-// waitUntilDiscardStops waits until a connection has reached the limit and discards
-// no more.
+// waitUntilDiscardStops waits until a connection has discarded discardLimit bytes and
+// has stopped discarding.
 func waitUntilDiscardStops(t *testing.T, engine *Engine, c *Conn) {
 	t.Helper()
 	deadline := time.Now().Add(testTimeout)
@@ -189,12 +193,12 @@
 			lastChange = time.Now()
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("%d bytes were discarded, and it does not stop", last)
+			t.Fatalf("Discard has not stopped after %d bytes", last)
 		}
 	}
 }
 
-// discardedBytes returns how many bytes a connection has discarded so far.
+// discardedBytes returns the number of bytes that a connection has discarded so far.
 func discardedBytes(engine *Engine, c *Conn) (n int) {
 	runOnLoop(engine, func() { n = c.discardedBytes })
 	return n
--- a/internal/transport/collect_test.go
+++ b/internal/transport/collect_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Pieces are collected in one buffer, consumed, and detached as a message with what follows left over.
+// Received pieces are collected in one buffer, bytes are consumed from it, and a message is detached from it so that
+// the bytes after the message remain.
 func TestCollectConsumeDetach(t *testing.T) {
 	var pool Pool
 	received := func(text string) *Buffer {
@@ -16,13 +17,13 @@
 	var input *Buffer
 	first := received("abc")
 	if !pool.Collect(&input, first) || input != first {
-		t.Error("the first buffer is not taken over")
+		t.Error("the first buffer does not become the input buffer")
 	}
 	if !pool.Collect(&input, received("defg")) || string(input.Bytes()) != "abcdefg" {
 		t.Errorf("collected %q", input.Bytes())
 	}
 	if pool.Collect(&input, received(string(bytes.Repeat([]byte("x"), BufferSize)))) || string(input.Bytes()) != "abcdefg" {
-		t.Errorf("what does not fit changed the buffer: %d bytes", len(input.Bytes()))
+		t.Errorf("bytes that do not fit changed the buffer, which has %d bytes", len(input.Bytes()))
 	}
 	pool.Consume(&input, 2)
 	message := pool.Detach(&input, 3)
@@ -32,12 +33,12 @@
 	pool.Put(message)
 	pool.Consume(&input, 2)
 	if input != nil {
-		t.Error("an empty buffer is kept")
+		t.Error("the empty buffer was not returned to the pool")
 	}
 	input = received("hi")
 	message = pool.Detach(&input, 2)
 	if input != nil {
-		t.Error("a buffer without a rest is kept")
+		t.Error("there is an input buffer though no bytes follow the message")
 	}
 	pool.Put(message)
 	if used := pool.BytesInUse(); used != 0 {
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -17,51 +17,53 @@
 	// OnData passes a buffer of received bytes, which the handler owns from now on.
 	OnData(c *Conn, b *Buffer)
 
-	// OnClosed is called once, and last, when the connection has ended other than
-	// by a call of its own: io.EOF after the peer's orderly end.
+	// OnClosed is called once, as the last event, when the connection has ended other
+	// than by a call of Close, Abort or CloseGracefully. err is io.EOF if the peer has
+	// closed in an orderly way.
 	OnClosed(c *Conn, err error)
 }
 
-// Conn is one connection. Its fields and methods belong to the loop's goroutine.
+// Conn is a connection. Its fields and methods may be used only on the loop's
+// goroutine.
 type Conn struct {
-	Handle         uint64 // its slot; 0 until it is open and after it is closed
+	Handle         uint64 // handle of the connection's slot; 0 before it is open and after it is closed
 	Handler        Handler
-	Opened         time.Duration  // when it was opened, by the loop's clock
-	AdmissionToken AdmissionToken // 0: no Admission was asked
+	Opened         time.Duration  // clock time at which the connection was opened
+	AdmissionToken AdmissionToken // 0 if the connection did not need an admission
 
 	engine     *Engine
 	group      *connGroup
 	peer       netip.Addr
-	socket     *nbio.Conn          // nil where nbio could not duplicate the descriptor
-	newHandler func(*Conn) Handler // nil once it has been called
+	socket     *nbio.Conn          // nil if nbio could not duplicate the descriptor
+	newHandler func(*Conn) Handler // nil after it has been called
 	state      connState
 
-	writeOffset int64        // bytes given to Write
-	sentBytes   atomic.Int64 // bytes that went to the socket
+	writeOffset int64        // number of bytes passed to Write
+	sentBytes   atomic.Int64 // number of bytes written to the socket
 
-	closeTimer     eventloop.Deadline // of lingering, of Discard, or of the end of shutDown
-	lingerDeadline time.Duration      // until which it lingers
-	sendingClosed  bool               // while it lingers: the sending side of the socket is shut down
-	discarding     bool               // Discard was called: received bytes are dropped
+	closeTimer     eventloop.Deadline // for the steps of CloseGracefully and Discard, and for the timeout of shutDown
+	lingerDeadline time.Duration      // clock time at which lingering ends
+	sendingClosed  bool               // while lingering: the sending side of the socket has been shut down
+	discarding     bool               // Discard was called: received bytes are discarded
 	discardedBytes int
 
-	readMu      sync.Mutex // guards what follows
-	inTransit   int        // buffers on their way to the handler
-	paused      bool       // the handler wants no more for now
-	mayHaveMore bool       // the last read left off before the socket was empty; the poller does not report that again
+	readMu      sync.Mutex // guards the fields below
+	inTransit   int        // buffers in transit to the handler
+	paused      bool       // Pause was called last, not Resume
+	mayHaveMore bool       // unread bytes may be left in the socket, which the poller does not report again
 }
 
-// discardHandler drops received bytes.
+// discardHandler ignores all events of a connection.
 type discardHandler struct{ pool *Pool }
 
 func (d discardHandler) OnData(_ *Conn, b *Buffer) { d.pool.Put(b) }
 func (d discardHandler) OnClosed(*Conn, error)     {}
 
-// register gives a connection that the group counts already to nbio.
+// register hands a connection, which is already counted in the group, over to nbio.
 //
-// Its slot is taken on the loop's goroutine before any of its data, since both
-// are posted in order. Only nbio can say when it is open: a connection that it
-// does not hold yet cannot be written to.
+// The loop's goroutine assigns the slot before it handles data of the connection,
+// since both are posted in this order. The connection counts as open only when nbio
+// reports it, since a connection that nbio has not registered cannot be written to.
 func (e *Engine) register(conn net.Conn, group *connGroup, token AdmissionToken, newHandler func(*Conn) Handler) {
 	connection := &Conn{engine: e, group: group, AdmissionToken: token, newHandler: newHandler}
 	tcp, ok := conn.RemoteAddr().(*net.TCPAddr)
@@ -80,10 +82,10 @@
 	socket.SetSession(connection)
 	connection.socket = socket
 	e.sessionMu.Unlock()
-	_, _ = e.poller.AddConn(socket) // on an error nbio has closed it and calls onClosed
+	_, _ = e.poller.AddConn(socket) // on an error nbio has closed the connection and calls onClosed
 }
 
-// onRegisterFailed notifies the handler of a connection that never opened.
+// onRegisterFailed tells the handler of a connection that it could not be opened.
 func (c *Conn) onRegisterFailed(err error) {
 	c.state = stateClosed
 	c.Handler = c.newHandler(c)
@@ -92,10 +94,10 @@
 	}
 }
 
-// onOpen takes the connection's slot and asks for its handler.
+// onOpen assigns a slot and a handler to the connection.
 func (c *Conn) onOpen() {
 	newHandler := c.newHandler
-	c.newHandler = nil // the connection may outlive what it refers to
+	c.newHandler = nil // so that the connection does not keep alive what the function refers to
 	c.takeSlot()
 	c.Opened = c.engine.Loop.Now()
 	c.Handler = newHandler(c)
@@ -105,7 +107,8 @@
 	}
 }
 
-// onSocketClosed frees the connection after nbio has closed its descriptor.
+// onSocketClosed frees the connection's slot, if it has one, after nbio has closed the
+// descriptor, and reports the end to the handler or to the Admission.
 func (c *Conn) onSocketClosed(err error) {
 	c.engine.Loop.Clear(&c.closeTimer)
 	switch c.state {
@@ -120,10 +123,10 @@
 	}
 }
 
-// Peer returns the address of the other end.
+// Peer returns the IP address of the peer.
 func (c *Conn) Peer() netip.Addr { return c.peer }
 
-// LocalPort returns the port of this end; 0 where there is none.
+// LocalPort returns the local port, or 0 if it is unknown.
 func (c *Conn) LocalPort() int {
 	if c.socket == nil {
 		return 0
@@ -135,9 +138,9 @@
 	return local.Port
 }
 
-// control calls operate with the descriptor unless nbio has closed it. The
-// descriptor stays this connection's until operate returns.
-func (c *Conn) control(operate func(fd int)) {
+// withDescriptor calls operate with the connection's descriptor, unless nbio has closed it.
+// The descriptor is not closed before operate returns.
+func (c *Conn) withDescriptor(operate func(fd int)) {
 	c.socket.Lock()
 	defer c.socket.Unlock()
 	closed, _ := c.socket.IsClosed()
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Dial reaches the address that it is given, which nbio's own dial did not, and
-// reports a refused connection; the slot is free again when the connection ends.
+// Dial connects to the given address, unlike nbio's own dial, and reports a refused
+// connection. The slot is free again after the connection has ended.
 func TestDial(t *testing.T) {
 	engine := startEngine(t, 100)
 	listener, err := net.Listen("tcp", "127.5.6.7:0")
@@ -22,7 +22,7 @@
 	}
 	c := receive(t, got).conn
 	if c == nil || c.Handle == 0 {
-		t.Fatal("no connection")
+		t.Fatal("Dial opened no connection")
 	}
 	sent := make([]byte, len("first"))
 	if _, err := io.ReadFull(conn, sent); err != nil || string(sent) != "first" {
@@ -36,7 +36,7 @@
 	handler.waitClosed(t)
 	runOnLoop(engine, func() {
 		if c.Handle != 0 || engine.OpenConnections() != 0 || c.Write([]byte("x")) {
-			t.Error("the connection is still there after the peer has closed it")
+			t.Error("the connection is still open after the peer has closed it")
 		}
 	})
 	listener.Close()
--- a/internal/transport/conngroup.go
+++ b/internal/transport/conngroup.go
@@ -3,32 +3,32 @@
 import "sync"
 
 const (
-	// wideWindow lets the last bytes of a peer through, which come in pieces,
-	// before its end: nbio closes on that end at once, and what was not read by
-	// then is lost.
-	wideWindow = 8
+	// multiBufferWindow allows the last bytes of a peer, which may arrive in several pieces,
+	// to be read before its end: nbio closes the connection at once when it sees the
+	// end, and bytes that have not been read by then are lost.
+	multiBufferWindow = 8
 
-	// narrowWindow hands over one buffer at a time, so that a handler that pauses
-	// gets no more.
-	narrowWindow = 1
+	// singleBufferWindow allows one buffer in transit, so that a handler that has paused the
+	// connection gets no more.
+	singleBufferWindow = 1
 )
 
-// connGroup bounds the connections of one kind, as those of one listener or
-// those that we dial. It is a counting semaphore whose limit can be changed. Its
-// methods may be called from any goroutine.
+// connGroup bounds the number of connections of one kind, such as those of one
+// listener or the dialed ones. It is a counting semaphore whose limit can be changed.
+// Its methods may be called from any goroutine.
 type connGroup struct {
 	mu        sync.Mutex
-	cond      sync.Cond // signals that open fell, limit rose or closed was set
-	open      int
-	fullLimit int // the limit where this process has all descriptors
-	limit     int // the limit now
+	cond      sync.Cond // signals that open has decreased, limit has increased or closed was set
+	open      int       // number of connections that are counted
+	fullLimit int       // the limit if this process has all descriptors
+	limit     int       // the present limit
 	closed    bool
 
-	window int   // buffers of one connection that may be in transit to its handler
-	quota  Quota // beyond the limit; its functions may be nil
+	window int   // maximum number of buffers of one connection that may be in transit to its handler
+	quota  Quota // applies in addition to the limit; its functions may be nil
 }
 
-// newConnGroup returns a group of at most limit connections, at least one.
+// newConnGroup returns a group with the given limit, which is at least one.
 func newConnGroup(limit, window int) *connGroup {
 	limit = max(limit, 1)
 	g := &connGroup{fullLimit: limit, limit: limit, window: window}
@@ -36,8 +36,8 @@
 	return g
 }
 
-// resize changes the limit to a share of the full one. Connections that are open
-// above it stay.
+// resize changes the limit to a share of the full limit. Connections that are already
+// open stay open, even above the new limit.
 func (g *connGroup) resize(share float64) {
 	g.mu.Lock()
 	g.limit = max(int(share*float64(g.fullLimit)), 1)
@@ -45,7 +45,8 @@
 	g.cond.Broadcast()
 }
 
-// tryAcquire counts another connection if the limit and the quota allow it.
+// tryAcquire counts another connection if the limit and the quota allow it, and
+// reports whether it has done so.
 func (g *connGroup) tryAcquire() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -59,8 +60,9 @@
 	return true
 }
 
-// acquire counts another connection as soon as the limit allows it, and returns
-// false once the group is closed. It calls onFull, once, if it must wait.
+// acquire waits until the limit allows another connection, counts it and returns true.
+// It returns false if the group is closed while it waits. If it must wait, it calls
+// onFull once.
 func (g *connGroup) acquire(onFull func()) bool {
 	if g.tryAcquire() {
 		return true
@@ -78,14 +80,15 @@
 	return true
 }
 
-// add counts a connection that was admitted by other means.
+// add counts a connection without checking the limit, since an Admission has admitted
+// it.
 func (g *connGroup) add() {
 	g.mu.Lock()
 	g.open++
 	g.mu.Unlock()
 }
 
-// release counts a connection as ended.
+// release ends the count of a connection, which has ended or was not opened.
 func (g *connGroup) release() {
 	g.mu.Lock()
 	g.open--
@@ -96,14 +99,14 @@
 	g.cond.Signal()
 }
 
-// openConnections returns how many connections are counted.
+// openConnections returns the number of connections that are counted.
 func (g *connGroup) openConnections() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.open
 }
 
-// close ends the wait of acquire.
+// close makes a waiting acquire return false.
 func (g *connGroup) close() {
 	g.mu.Lock()
 	g.closed = true
--- a/internal/transport/descriptors.go
+++ b/internal/transport/descriptors.go
@@ -1,29 +1,32 @@
 package transport
 
-// How the descriptors that the process may use are divided. Of those that are
-// left for connections, the larger part is for accepted ones.
+// Division of the descriptors that the process may use. Most of the descriptors for
+// connections are for accepted ones.
 const (
-	// overheadDescriptors are for the run time, epoll, listeners, the reserved
-	// dials and the duplicate that a connection has for a moment when nbio takes it
-	// over.
+	// overheadDescriptors is the number of descriptors for the Go runtime, epoll, the
+	// listeners, the reserved dials, and the duplicate that a connection has for a
+	// moment when nbio takes it over.
 	overheadDescriptors = 24
 
-	// minConnectionDescriptors are for connections, however few are allowed in all.
+	// minConnectionDescriptors is the number of descriptors that are at least used for
+	// connections, even if the limit on descriptors is low.
 	minConnectionDescriptors = 8
 
-	// reservedDials is one connection, and one that was closed a moment ago.
+	// reservedDials is the number of reserved descriptors for dials: one for a
+	// connection, and one for a connection that was closed a moment ago.
 	reservedDials = 2
 
-	// acceptedFraction is the part of the connections' descriptors that accepted
-	// ones may take.
+	// acceptedFraction is the fraction of the descriptors for connections that accepted
+	// connections may use.
 	acceptedFraction = 0.6
 
-	// nbioTableMargin is the number of entries of nbio's table of connections, which
-	// descriptors index, beyond the descriptors allowed: a raised limit needs them.
+	// nbioTableMargin is the number of entries in nbio's table of connections beyond the
+	// limit on descriptors. The table is indexed by descriptor, and the limit may be
+	// raised later.
 	nbioTableMargin = 4096
 )
 
-// AcceptedShare returns how many of the given number of descriptors accepted connections may take.
+// AcceptedShare returns how many of the given number of descriptors accepted connections may use.
 func AcceptedShare(descriptors int) int {
 	return int(acceptedFraction * float64(ConnectionDescriptors(descriptors)))
 }
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Adopt takes over a connection that was opened elsewhere. On ErrNoDescriptor it
-// has closed the connection.
+// Adopt takes over a connection that was opened by other code and counts it as a
+// dialed one. If the limit of dialed connections is reached, it closes the connection
+// and returns ErrNoDescriptor.
 func (e *Engine) Adopt(conn net.Conn, newHandler func(*Conn) Handler) error {
 	if !e.dials.tryAcquire() {
 		_ = conn.Close()
@@ -17,13 +18,13 @@
 }
 
 // Dial opens a connection and calls onDone on the loop's goroutine, with the
-// connection or with an error: ErrNoDescriptor or one of net.Dial. Where handler
-// is nil, received bytes are dropped.
+// connection or with an error: ErrNoDescriptor or an error of net.Dial. If handler is
+// nil, received bytes are discarded.
 //
-// nbio's DialAsync is not used: it reads an IPv4 address out of the first four
-// bytes of a 16-byte one, and so reached 0.0.0.0 for any address; nor does it
-// tell a refused connection from an open one. A blocking dial has neither fault,
-// and waits on a goroutine.
+// nbio's DialAsync is not used, since it has two defects. It takes the first four
+// bytes of a 16-byte address as an IPv4 address, and so connects to 0.0.0.0 for any
+// address. It also does not distinguish a refused connection from an open one. The
+// blocking dial that is used instead runs on a separate goroutine.
 func (e *Engine) Dial(addr string, timeout time.Duration, handler Handler, onDone func(*Conn, error)) {
 	if !e.dials.tryAcquire() {
 		e.Loop.Post(func() { onDone(nil, ErrNoDescriptor) })
@@ -32,18 +33,18 @@
 	e.dialInGroup(e.dials, addr, timeout, handler, onDone)
 }
 
-// DialReserved is Dial with a descriptor that other connections cannot take,
-// where one of those is free. It is for the connection that everything else
-// depends on, one at a time.
+// DialReserved does the same as Dial, but with a descriptor that is reserved for such
+// connections, if one is free. It is meant for the one connection on which everything
+// else depends; only one such connection is needed at a time.
 func (e *Engine) DialReserved(addr string, timeout time.Duration, handler Handler, onDone func(*Conn, error)) {
 	if e.reserved.tryAcquire() {
 		e.dialInGroup(e.reserved, addr, timeout, handler, onDone)
 		return
 	}
-	e.Dial(addr, timeout, handler, onDone) // earlier dials that were given up have not ended yet
+	e.Dial(addr, timeout, handler, onDone) // abandoned earlier dials still hold the reserved descriptors
 }
 
-// dialInGroup opens a connection that the group counts already.
+// dialInGroup opens a connection that is already counted in the group.
 func (e *Engine) dialInGroup(
 	group *connGroup, addr string, timeout time.Duration, handler Handler, onDone func(*Conn, error),
 ) {
--- a/internal/transport/engine.go
+++ b/internal/transport/engine.go
@@ -1,13 +1,14 @@
-// Package transport owns the sockets: listeners, connections in numbered slots,
-// and pooled buffers of one size. It carries bytes and reports how far they got.
+// Package transport manages listeners, connections, which are identified by handles,
+// and pooled buffers of one size. It sends and receives bytes, and reports how many of
+// the written bytes have been sent.
 //
-// An Engine runs all connections of the program on nbio. What happens to a
-// connection is passed to its Handler on the goroutine of an event loop, to which
-// the state of a Conn belongs. Reading stops while a handler has not taken in
-// what was read, so that a fast peer cannot fill the memory.
+// An Engine runs all connections of the program on nbio. It passes the events of a
+// connection to the connection's Handler on the goroutine of an event loop. The state
+// of a Conn belongs to that goroutine. A connection is not read while its handler has
+// not processed what was read before, so that a fast peer cannot fill the memory.
 //
-// The package parses no protocol and does not decide what a broken connection
-// means for a request.
+// The package does not parse protocols, and does not decide what the loss of a
+// connection means for a request.
 package transport
 
 import (
@@ -22,52 +23,52 @@
 )
 
 const (
-	// maxBuffersInTransit bounds the buffers on their way to handlers, of all
-	// connections. Beyond it the poller waits for the loop.
+	// maxBuffersInTransit is the number of buffers in transit to handlers, of all
+	// connections together, from which on the poller waits for the loop.
 	maxBuffersInTransit = 32
 
-	// unlimited is the limit of a group that is bounded by other means.
+	// unlimited is the limit of a group that is bounded by an Admission or a Quota.
 	unlimited = math.MaxInt32
 )
 
-// Engine runs all connections of the program. Methods may be called from any
-// goroutine unless they say otherwise.
+// Engine runs all connections of the program. Its methods may be called from any
+// goroutine unless their comments say otherwise.
 type Engine struct {
-	Loop *eventloop.Loop // on whose goroutine handlers are called
-	Pool Pool            // of all buffers that handlers get
+	Loop *eventloop.Loop // handlers are called on its goroutine
+	Pool Pool            // the pool of the buffers that are passed to handlers
 
 	admission Admission
 
 	poller *nbio.Engine
 	conns  slotmap.Map[Conn] // belongs to the loop's goroutine
 
-	dials       *connGroup // connections that this process opens
-	reserved    *connGroup // those of them whose descriptors no other connection can take
-	descriptors int        // allowed in all, with no other process beside this one
+	dials       *connGroup // dialed connections, except those in reserved
+	reserved    *connGroup // dialed connections that use reserved descriptors
+	descriptors int        // maximum number of descriptors while no other process of the dispatcher runs
 
-	// sessionMu orders the writes of register before the reads of nbio's callbacks.
-	// The kernel orders them already, which the race detector cannot see.
+	// sessionMu orders the writes in register before the reads in nbio's callbacks. The
+	// kernel orders them already, but the race detector does not know that.
 	sessionMu sync.Mutex
 
-	mu        sync.Mutex // guards what follows
-	share     float64    // of the descriptors, that is this process's now
+	mu        sync.Mutex // guards the two fields below
+	share     float64    // share of the descriptors that this process may use at present
 	acceptors []*Acceptor
 
 	transitMu   sync.Mutex // guards inTransit
-	transitCond sync.Cond  // signals that inTransit changed
-	inTransit   int        // buffers on their way to handlers
+	transitCond sync.Cond  // signals that inTransit has changed
+	inTransit   int        // buffers in transit to handlers
 }
 
-// NewEngine starts an engine that uses at most so many descriptors in all. An
-// error is that of epoll_create(2) or another call of nbio's start.
+// NewEngine starts an engine that uses at most the given number of descriptors. It
+// returns an error if epoll_create(2) or another system call fails when nbio starts.
 func NewEngine(loop *eventloop.Loop, descriptors int) (*Engine, error) {
 	accepted := AcceptedShare(descriptors)
 	engine := &Engine{
 		Loop:        loop,
 		descriptors: descriptors,
 		share:       1,
-		dials:       newConnGroup(ConnectionDescriptors(descriptors)-accepted, wideWindow),
-		reserved:    newConnGroup(reservedDials, wideWindow),
+		dials:       newConnGroup(ConnectionDescriptors(descriptors)-accepted, multiBufferWindow),
+		reserved:    newConnGroup(reservedDials, multiBufferWindow),
 	}
 	engine.transitCond.L = &engine.transitMu
 	logging.SetLevel(logging.LevelNone)
@@ -75,8 +76,8 @@
 	engine.poller = nbio.NewEngine(nbio.Config{
 		Name:     "hollyyoke",
 		NPoller:  1,
-		EpollMod: nbio.EPOLLET, // level-triggered, nbio spins on a writable connection until its first partial write
-		// nbio's own reads are replaced by those of Conn.read.
+		EpollMod: nbio.EPOLLET, // level-triggered, nbio would loop on a writable connection until the first partial write
+		// Conn.read replaces nbio's own reads.
 		ReadBufferSize: BufferSize,
 	})
 	engine.poller.OnOpen(engine.onOpen)
@@ -86,7 +87,8 @@
 	return engine, engine.poller.Start()
 }
 
-// connOf returns the connection that nbio calls back about; nil: not one of ours.
+// connOf returns the connection to which a socket of an nbio callback belongs, or nil
+// if the socket was not registered by this engine.
 func (e *Engine) connOf(socket *nbio.Conn) *Conn {
 	e.sessionMu.Lock()
 	defer e.sessionMu.Unlock()
@@ -94,8 +96,8 @@
 	return c
 }
 
-// onOpen, onReadable, onWritten and onClosed are called by nbio, on its poller's
-// goroutine or on that of AddConn.
+// nbio calls onOpen, onReadable, onWritten and onClosed, either on the goroutine of its
+// poller or on the one that calls AddConn.
 
 func (e *Engine) onOpen(socket *nbio.Conn) {
 	c := e.connOf(socket)
@@ -132,7 +134,7 @@
 	e.Loop.Post(func() { c.onSocketClosed(err) })
 }
 
-// waitForTransit waits while too many buffers are on their way to handlers.
+// waitForTransit waits while too many buffers are in transit to handlers.
 func (e *Engine) waitForTransit() {
 	e.transitMu.Lock()
 	for e.inTransit >= maxBuffersInTransit {
@@ -141,7 +143,7 @@
 	e.transitMu.Unlock()
 }
 
-// addInTransit changes the number of buffers on their way to handlers.
+// addInTransit adds n to the number of buffers in transit to handlers.
 func (e *Engine) addInTransit(n int) {
 	e.transitMu.Lock()
 	e.inTransit += n
@@ -149,14 +151,14 @@
 	e.transitCond.Signal()
 }
 
-// OpenConnections returns the number of connections that have a slot. It belongs
-// to the loop's goroutine.
+// OpenConnections returns the number of connections that have a slot. It may be called
+// only on the loop's goroutine.
 func (e *Engine) OpenConnections() int { return e.conns.Len() }
 
-// Resize makes the engine use another number of descriptors in all, while another
-// process of the same dispatcher has the rest. Limits change in proportion, except
-// fixed ones, and never above those of the start; connections that are open above
-// a limit stay.
+// Resize changes the number of descriptors that the engine may use, while another
+// process of the same dispatcher uses the rest. All limits except fixed ones change in
+// proportion, but do not exceed their initial values. Connections that are already open
+// stay open, even above the new limits.
 func (e *Engine) Resize(descriptors int) {
 	share := float64(ConnectionDescriptors(descriptors)) / float64(ConnectionDescriptors(e.descriptors))
 	share = min(share, 1)
--- a/internal/transport/example_test.go
+++ b/internal/transport/example_test.go
@@ -9,7 +9,7 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-// echo sends back what it receives, and closes the connection.
+// echo sends back the first bytes that it receives, and closes the connection.
 type echo struct{ pool *transport.Pool }
 
 func (e echo) OnData(c *transport.Conn, b *transport.Buffer) {
--- a/internal/transport/fixlimit_test.go
+++ b/internal/transport/fixlimit_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// An acceptor whose limit is fixed while another goroutine resizes the engine keeps the limit that it was given. FixLimit
-// wrote without the lock under which Resize reads, so that a resize which had begun could shrink it afterwards, for good.
+// An acceptor whose limit is fixed while another goroutine resizes the engine keeps its full limit. FixLimit used to
+// write without holding the lock under which Resize reads, so that a Resize in progress could shrink the limit
+// permanently.
 func TestFixLimitBesideResize(t *testing.T) {
 	const descriptors, limit = 200, 100
 	engine := startEngine(t, descriptors)
--- a/internal/transport/helpers_test.go
+++ b/internal/transport/helpers_test.go
@@ -17,7 +17,7 @@
 	engine *Engine
 }
 
-// newRecordingHandler returns a handler whose channels take a thousand events.
+// newRecordingHandler returns a handler whose channels have a capacity of 1000 events.
 func newRecordingHandler(engine *Engine) *recordingHandler {
 	return &recordingHandler{make(chan string, 1000), make(chan error, 1000), engine}
 }
@@ -29,10 +29,12 @@
 
 func (h *recordingHandler) OnClosed(_ *Conn, err error) { h.closed <- err }
 
-// accept is the NewHandler of a listener all of whose connections have this handler.
+// accept can be used as AcceptOptions.NewHandler; all connections then share this
+// handler.
 func (h *recordingHandler) accept(*Conn) Handler { return h }
 
-// waitClosed waits until a connection has ended, and returns how.
+// waitClosed waits until a connection has ended, and returns the error passed to
+// OnClosed.
 func (h *recordingHandler) waitClosed(t *testing.T) error {
 	t.Helper()
 	return receive(t, h.closed)
@@ -49,7 +51,7 @@
 	return v
 }
 
-// testServer is an acceptor that passes on the connections it opens.
+// testServer is an acceptor that sends the connections it accepts to a channel.
 type testServer struct {
 	*Acceptor
 	opened chan *Conn
@@ -91,7 +93,7 @@
 	return peer, receive(t, s.opened)
 }
 
-// startEngine starts an engine and its loop until the end of the test.
+// startEngine starts an engine and its loop, which both run until the end of the test.
 func startEngine(t *testing.T, descriptors int) *Engine {
 	t.Helper()
 	loop := eventloop.New()
@@ -112,7 +114,7 @@
 	return engine
 }
 
-// runOnLoop runs f on the loop's goroutine.
+// runOnLoop runs f on the loop's goroutine and waits until it has returned.
 func runOnLoop(engine *Engine, f func()) {
 	done := make(chan struct{})
 	engine.Loop.Post(func() {
@@ -127,12 +129,12 @@
 	err  error
 }
 
-// dial opens a connection and writes to it at once.
+// dial opens a connection and writes "first" to it at once.
 func dial(engine *Engine, addr string, handler Handler) chan dialResult {
 	got := make(chan dialResult, 1)
 	engine.Dial(addr, testTimeout, handler, func(c *Conn, err error) {
 		if c != nil {
-			c.Write([]byte("first")) // crashed once, where nbio did not hold the connection yet
+			c.Write([]byte("first")) // used to crash if nbio had not registered the connection yet
 		}
 		got <- dialResult{c, err}
 	})
--- a/internal/transport/inheritedlistener.go
+++ b/internal/transport/inheritedlistener.go
@@ -7,9 +7,9 @@
 	"syscall"
 )
 
-// ListenerFromDescriptor returns the TCP listener that a descriptor of this
-// process refers to. Closing it leaves the socket to the other processes that
-// have it.
+// ListenerFromDescriptor returns the TCP listener to which a descriptor of this process
+// refers. When the listener is closed, other processes that have the socket can still
+// use it.
 func ListenerFromDescriptor(descriptor int) (net.Listener, error) {
 	file := os.NewFile(uintptr(descriptor), "inherited listener")
 	if file == nil {
@@ -28,13 +28,13 @@
 	return &inheritedListener{tcp}, nil
 }
 
-// inheritedListener is a listener whose socket other processes have too. They
-// share its file status flags with us, O_NONBLOCK among them, and whoever starts
-// a process may clear that: accept(2) then blocks in the kernel, and a close
-// waits for it without end.
+// inheritedListener is a listener whose socket is shared with other processes, and with
+// it the file status flags such as O_NONBLOCK. Another process may clear that flag:
+// accept(2) then blocks in the kernel, and closing the listener would wait for accept(2)
+// forever.
 type inheritedListener struct{ *net.TCPListener }
 
-// Accept sets O_NONBLOCK before it accepts, so that Close can interrupt it.
+// Accept sets O_NONBLOCK before it accepts a connection, so that Close can interrupt it.
 func (l *inheritedListener) Accept() (net.Conn, error) {
 	raw, err := l.SyscallConn()
 	if err == nil {
@@ -43,8 +43,8 @@
 	return l.TCPListener.Accept()
 }
 
-// Close returns at once, also where an accept blocks all the same. A connection
-// that this one still accepts is served.
+// Close returns at once, even if an Accept blocks in spite of O_NONBLOCK being set. A
+// connection that this Accept still returns is served.
 func (l *inheritedListener) Close() error {
 	go l.TCPListener.Close()
 	return nil
--- a/internal/transport/read.go
+++ b/internal/transport/read.go
@@ -5,13 +5,13 @@
 	"syscall"
 )
 
-// read reads one buffer if the handler has taken in what came before and wants
-// more. It returns an error once the connection has ended. It may be called from
-// any goroutine.
+// read reads one buffer and posts it to the handler, unless the connection is paused
+// or too many of its buffers are in transit. It returns an error if the connection has
+// ended. It may be called from any goroutine.
 //
-// It replaces nbio's own reading, which went on for as long as a peer kept
-// sending: each piece waited for the loop in a buffer of its own, and other
-// connections waited their turn.
+// It replaces nbio's own reading, which continued for as long as the peer kept sending:
+// each piece waited for the loop in a buffer of its own, and other connections were not
+// read meanwhile.
 func (c *Conn) read() error {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
@@ -33,12 +33,12 @@
 	return err
 }
 
-// fill reads until nothing more is there or space is full. It returns how much it
-// read, and how the connection ended, if it has: io.EOF or an error of read(2).
+// fill reads until the socket is empty or space is full. It returns the number of bytes
+// read and, if the connection has ended, io.EOF or an error of read(2).
 //
-// Edge-triggered, the poller does not report bytes again that were left, and it
-// closes on the peer's end at once. A read may fall short of what is there: only
-// EAGAIN says that there is no more.
+// It must read until EAGAIN, since a read may return fewer bytes than there are. The
+// edge-triggered poller does not report unread bytes again, and it closes the connection
+// at once when it sees the peer's end.
 func (c *Conn) fill(space []byte) (filled int, err error) {
 	for filled < len(space) {
 		received, err := c.socket.Read(space[filled:])
@@ -57,7 +57,7 @@
 	return filled, nil
 }
 
-// deliver passes a buffer to the handler and reads on.
+// deliver passes a buffer to the handler and continues to read.
 func (c *Conn) deliver(b *Buffer) {
 	if c.connected() {
 		c.Handler.OnData(c, b)
@@ -68,7 +68,8 @@
 	c.changeAndRead(func() { c.inTransit-- })
 }
 
-// changeAndRead changes what readMu guards and reads what may be left to read.
+// changeAndRead calls change with readMu held, and then reads if unread bytes may be
+// left in the socket.
 func (c *Conn) changeAndRead(change func()) {
 	c.readMu.Lock()
 	change()
@@ -83,15 +84,15 @@
 	}
 }
 
-// Pause stops reading until Resume. OnClosed is called all the same when the peer
-// closes.
+// Pause stops reading until Resume is called. OnClosed is still called when the peer
+// closes the connection.
 func (c *Conn) Pause() {
 	c.readMu.Lock()
 	c.paused = true
 	c.readMu.Unlock()
 }
 
-// Resume reads on after Pause. It has no effect after Discard.
+// Resume continues reading after Pause. It has no effect after Discard.
 func (c *Conn) Resume() {
 	if c.discarding {
 		return
--- a/internal/transport/read_test.go
+++ b/internal/transport/read_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// No more is read from a connection than its handler takes in: a peer that sent as
-// fast as it could once filled the memory with what waited for the loop.
+// A connection is read only as fast as its handler processes the data. Guards against
+// a peer that sends as fast as it can and fills the memory with buffers that wait for
+// the loop.
 func TestReadBackpressure(t *testing.T) {
 	engine := startEngine(t, 100)
 	handler := newRecordingHandler(engine)
@@ -45,8 +46,8 @@
 	handler.waitClosed(t)
 }
 
-// What a peer sent before it closed still arrives where several buffers are handed
-// over, also while the loop is busy elsewhere.
+// Bytes that a peer sent before it closed still arrive if several buffers may be in
+// transit, even if the loop is busy meanwhile.
 func TestBytesBeforeEndArrive(t *testing.T) {
 	engine := startEngine(t, 100)
 	handler := newRecordingHandler(engine)
@@ -71,16 +72,17 @@
 	}
 }
 
-// idleCase is what a peer does on an idle connection, and what follows.
+// idleCase is an action of the peer on an idle connection, and the expected results of
+// Idle and AllRead after it.
 type idleCase struct {
 	name    string
-	act     func(*net.TCPConn) // on loopback its effect has arrived when the call returns
+	act     func(*net.TCPConn) // on the loopback interface its effect has arrived when the call returns
 	idle    bool
 	allRead bool
 }
 
-// A connection is idle only while its handler has got all that has arrived: there
-// are no bytes, read or unread, and no end.
+// A connection is idle only if its handler has got everything that has arrived: neither
+// bytes, read or unread, nor the end of the connection are pending.
 func TestIdle(t *testing.T) {
 	reset := func(c *net.TCPConn) {
 		c.SetLinger(0)
@@ -107,7 +109,7 @@
 			c.Pause()
 		}
 		if !c.Idle() || !c.AllRead() {
-			t.Error("it is not idle at first")
+			t.Error("the connection is not idle at first")
 		}
 		want.act(peer.(*net.TCPConn))
 		if c.Idle() != want.idle {
--- a/internal/transport/socketstate.go
+++ b/internal/transport/socketstate.go
@@ -6,33 +6,33 @@
 	"unsafe"
 )
 
-// States of a TCP socket as getsockopt(2) with TCP_INFO returns them; see
-// tcp_states.h of Linux.
+// States of a TCP socket, as returned by getsockopt(2) with TCP_INFO; see tcp_states.h
+// of Linux.
 const (
-	tcpClosed    = 7 // TCP_CLOSE: reset, or closed on both sides
-	tcpCloseWait = 8 // TCP_CLOSE_WAIT: the peer has closed its side, and we have not
+	tcpClosed    = 7 // TCP_CLOSE: the connection was reset or closed on both sides
+	tcpCloseWait = 8 // TCP_CLOSE_WAIT: the peer has closed its side, this process has not
 )
 
-// AllRead reports whether no byte of the peer's waits for the handler, in a
-// buffer or in the socket: a close now loses nothing that has arrived.
+// AllRead reports whether the handler has got all bytes that have arrived: none is in
+// transit or unread in the socket. Closing the connection then loses no received bytes.
 func (c *Conn) AllRead() bool { return c.unread() != unreadBytes }
 
-// Idle reports whether the connection is open and neither bytes of the peer's
-// nor its end wait for the handler: a request that is sent now cannot be answered
-// by what came before it.
+// Idle reports whether the connection is open and the handler has got everything that
+// has arrived: neither bytes nor the end of the connection are pending. So no input that
+// arrived earlier can be taken for the response to a request that is sent now.
 func (c *Conn) Idle() bool { return c.unread() == unreadNothing }
 
-// unreadInput is what of the peer's waits for the handler next.
+// unreadInput is the next input of a connection that its handler has not got yet.
 type unreadInput uint8
 
 const (
 	unreadNothing unreadInput = iota
 	unreadBytes
-	unreadEnd // the connection is at its end, and no bytes are before it
+	unreadEnd // the end of the connection, with no bytes before it
 )
 
-// unread returns what of the peer's waits for the handler, in a buffer or in the
-// socket.
+// unread returns the next input that the handler has not got yet, in a buffer or in
+// the socket.
 func (c *Conn) unread() unreadInput {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
@@ -42,12 +42,12 @@
 	if c.inTransit > 0 {
 		return unreadBytes
 	}
-	unread := unreadEnd // unless there is a descriptor to ask
-	c.control(func(fd int) { unread = peek(fd) })
+	unread := unreadEnd // if the descriptor is closed already
+	c.withDescriptor(func(fd int) { unread = peek(fd) })
 	return unread
 }
 
-// peek returns what recv(2) would read next.
+// peek returns what recv(2) would read next from a socket.
 func peek(fd int) unreadInput {
 	peeked, _, err := syscall.Recvfrom(fd, make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	switch {
@@ -56,19 +56,19 @@
 	case err == syscall.EAGAIN:
 		return unreadNothing
 	}
-	return unreadEnd // 0 bytes: the peer has closed; an error: the connection has broken
+	return unreadEnd // 0 bytes mean that the peer has closed, an error means that the connection is broken
 }
 
-// PeerClosed reports whether the peer has closed its side or the connection has
-// broken. It asks the kernel, so that it sees this before the poller does, and
-// also behind bytes that nobody has read.
+// PeerClosed reports whether the peer has closed its side or the connection is broken.
+// It asks the kernel, and so detects this before the poller does, even if there are
+// unread bytes before the end.
 func (c *Conn) PeerClosed() bool {
 	if !c.connected() {
 		return true
 	}
-	peerClosed := true // unless there is a descriptor to ask
-	c.control(func(fd int) {
-		// TCP_INFO begins with the state, in one byte; an int reads four of them.
+	peerClosed := true // if the descriptor is closed already
+	c.withDescriptor(func(fd int) {
+		// The first byte of TCP_INFO is the state; GetsockoptInt reads the first four bytes.
 		info, err := syscall.GetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_INFO)
 		var bytes [4]byte
 		binary.NativeEndian.PutUint32(bytes[:], uint32(info))
@@ -78,19 +78,20 @@
 	return peerClosed
 }
 
-// Unacknowledged returns how many of the written bytes the peer's kernel has not
-// acknowledged; 0 also where the kernel does not tell.
+// Unacknowledged returns the number of written bytes that the peer's kernel has not
+// acknowledged. Bytes in the kernel's send queue are not counted if their number cannot
+// be read; the result is 0 if the connection is closed.
 func (c *Conn) Unacknowledged() int {
 	if !c.connected() {
 		return 0
 	}
 	queued := 0
-	c.control(func(fd int) { queued = sendQueueBytes(fd) })
+	c.withDescriptor(func(fd int) { queued = sendQueueBytes(fd) })
 	return queued + int(c.UnsentBytes())
 }
 
-// sendQueueBytes returns how many bytes are in a socket's send queue: tcp(7) calls
-// the request SIOCOUTQ, which is the number of TIOCOUTQ. 0 on an error.
+// sendQueueBytes returns the number of bytes in a socket's send queue, or 0 on an
+// error. The ioctl(2) request, SIOCOUTQ in tcp(7), has the same number as TIOCOUTQ.
 func sendQueueBytes(fd int) int {
 	var queued int32
 	_, _, errno := syscall.Syscall(syscall.SYS_IOCTL, uintptr(fd), syscall.TIOCOUTQ, uintptr(unsafe.Pointer(&queued)))
--- a/internal/transport/write.go
+++ b/internal/transport/write.go
@@ -5,8 +5,8 @@
 	"syscall"
 )
 
-// Write sends p and keeps a copy of what the socket cannot take now. It returns
-// false if the connection is closed or has just broken.
+// Write sends p, and queues a copy of the bytes that do not fit in the socket's send
+// buffer at present. It returns false if the connection is closed or the write fails.
 func (c *Conn) Write(p []byte) bool {
 	if !c.connected() {
 		return false
@@ -28,21 +28,22 @@
 	return err == nil
 }
 
-// writeToSocket writes until the socket has taken all of p or is full, and returns
-// how much it took.
+// writeToSocket writes p until all of it is written or the socket's send buffer is
+// full, and returns the number of bytes written.
 //
-// nbio waits for the socket to become writable with what a write of its own left
-// over. It is edge-triggered, so that it would wait without end where write(2) was
-// short or interrupted while the socket is not full.
+// nbio's own write is not sufficient: it calls write(2) once and waits for the socket to
+// become writable before it writes the rest. The poller is edge-triggered, so nbio would
+// wait forever after a write that was short or interrupted while the send buffer was not
+// full.
 func (c *Conn) writeToSocket(p []byte) (n int, err error) {
-	err = net.ErrClosed // unless there is a descriptor
-	c.control(func(fd int) { n, err = writeUntilFull(fd, p) })
+	err = net.ErrClosed // if the descriptor is closed already
+	c.withDescriptor(func(fd int) { n, err = writeUntilFull(fd, p) })
 	c.sentBytes.Add(int64(n))
 	return n, err
 }
 
-// writeUntilFull calls write(2) until all of p is taken, or it returns EAGAIN: the
-// send buffer is full.
+// writeUntilFull calls write(2) until all of p is written or write(2) returns EAGAIN,
+// since the send buffer is full.
 func writeUntilFull(fd int, p []byte) (n int, err error) {
 	for n < len(p) {
 		written, err := syscall.Write(fd, p[n:])
@@ -59,15 +60,16 @@
 	return n, nil
 }
 
-// WriteOffset returns the position behind the last byte given to Write.
+// WriteOffset returns the number of bytes passed to Write so far.
 func (c *Conn) WriteOffset() int64 { return c.writeOffset }
 
-// Flushed reports whether all bytes before a WriteOffset have gone to the socket.
+// Flushed reports whether all bytes before a WriteOffset have been written to the
+// socket.
 func (c *Conn) Flushed(offset int64) bool { return c.sentBytes.Load() >= offset }
 
-// UnsentBytes returns how many bytes given to Write have not gone to the socket,
-// since the peer has not made room for them.
+// UnsentBytes returns the number of bytes that were passed to Write but not written to
+// the socket, since its send buffer is full.
 func (c *Conn) UnsentBytes() int64 { return c.writeOffset - c.sentBytes.Load() }
 
-// SentBytes returns how many bytes have gone to the socket.
+// SentBytes returns the number of bytes that were written to the socket.
 func (c *Conn) SentBytes() int64 { return c.sentBytes.Load() }
