--- a/internal/dispatch/contradiction_test.go
+++ b/internal/dispatch/contradiction_test.go
@@ -15,11 +15,11 @@
 // contradictionTest is a dispatcher with two workers and one open non-idempotent request, a renewal, whose first
 // attempt has been assigned.
 type contradictionTest struct {
-	dispatcher *Dispatcher
-	client     *dialingClient
-	responses  responseRecorder
-	log        []string
-	firstAttempt      uint64 // handle of the first attempt of the renewal
+	dispatcher   *Dispatcher
+	client       *dialingClient
+	responses    responseRecorder
+	log          []string
+	firstAttempt uint64 // handle of the first attempt of the renewal
 }
 
 func newContradictionTest(t *testing.T) *contradictionTest {
--- a/internal/dispatch/unsent_test.go
+++ b/internal/dispatch/unsent_test.go
@@ -79,7 +79,7 @@
 				t.Errorf("%d attempts were sent, want at most %d", client.sentCount, maxAttempts)
 			}
 			if len(client.started) > 4*maxAttempts {
-				t.Errorf("%d attempts were started for one request, want at most %d", len(client.started), 4*maxAttempts)
+				t.Errorf("%d attempts were started for one request, which seem to have no limit", len(client.started))
 			}
 		})
 	}
