--- a/internal/connlimit/admission.go
+++ b/internal/connlimit/admission.go
@@ -5,43 +5,44 @@
 	"time"
 )
 
-// An unknown address that was rejected for lack of capacity, and comes again within
-// a while, is a retry. A part of the capacity is kept for retries: against a flood
-// of other addresses, which mostly do not come again, it gets one that keeps its
-// limits admitted.
+// A connection of an unknown address is a retry if the address was rejected for lack
+// of capacity between minRetryDelay and maxRetryDelay ago. A part of the capacity is
+// kept for retries. During a flood from other addresses, most of which do not retry,
+// this part lets an address that keeps its limits be admitted.
 const (
-	retryDivisor  = 20                     // of the unreserved capacity, one part is for retries
-	minRetryDelay = 200 * time.Millisecond // after a rejection
-	maxRetryDelay = 10 * time.Second
+	retryDivisor  = 20                     // 1/20 of the unreserved capacity is kept for retries
+	minRetryDelay = 200 * time.Millisecond // shortest time between the rejection and a retry
+	maxRetryDelay = 10 * time.Second       // the time between the rejection and a retry is shorter than this
 )
 
-// decision is the outcome for a new connection.
+// decision is the decision on a new connection.
 type decision struct {
 	reason  Reason
 	trust   Trust
-	address int32 // indexes of its entries; noIndex: its address is not counted
-	prefix  int32
-	isRetry bool // it is admitted on the part for retries
+	address int32 // index of the address's entry, or noIndex if the connection is not counted for its address
+	prefix  int32 // index of the prefix's entry, or noIndex
+	isRetry bool  // the connection uses the capacity that is kept for retries
 }
 
 func rejected(reason Reason) decision {
 	return decision{reason: reason, address: noIndex, prefix: noIndex}
 }
 
-// uncounted returns a decision to admit a connection whose address is not counted.
+// uncounted returns a decision to admit a connection that is not counted for its
+// address and prefix.
 func uncounted(trust Trust) decision {
 	return decision{trust: trust, address: noIndex, prefix: noIndex}
 }
 
-// Admit decides on a connection that was accepted. token may be NoToken. Where the
-// reason is not Allowed, the ID is 0 and the caller closes the connection.
+// Admit decides on a connection that was accepted. token may be NoToken. If the
+// reason is not Allowed, the ID is 0 and the caller must close the connection.
 func (l *Limiter) Admit(now time.Duration, addr netip.Addr, token Token) (ID, Reason) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	addr = addr.Unmap()
-	if l.proxies.contains(addr) { // its limits are those of its client
+	if l.proxies.contains(addr) { // the limits are applied to the proxy's client, by Identify
 		if !l.hasCapacity(TrustedProxy, false) {
-			return 0, l.reject(FullKnown)
+			return 0, l.reject(FullTrusted)
 		}
 		return l.add(now, token, uncounted(TrustedProxy)), Allowed
 	}
@@ -52,17 +53,17 @@
 	return l.add(now, token, outcome), Allowed
 }
 
-// Adopt adds a connection without a decision, for listeners that bound theirs by
-// other means; its address is not counted.
+// Adopt adds a connection without deciding on it, for listeners that bound the number
+// of their connections by other means. The connection is not counted for its address.
 func (l *Limiter) Adopt(now time.Duration, token Token) ID {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.add(now, token, uncounted(Unknown))
 }
 
-// Identify decides on the client of a trusted proxy's connection, whose address the
-// PROXY header gave. Where the reason is not Allowed, the caller closes the
-// connection and calls Closed.
+// Identify decides on a trusted proxy's connection by the address of its client, which
+// the PROXY header contained. If the reason is not Allowed, the caller must close the
+// connection and call Closed.
 func (l *Limiter) Identify(now time.Duration, id ID, addr netip.Addr) Reason {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -70,7 +71,7 @@
 	if connection == nil || connection.trust != TrustedProxy {
 		return Allowed
 	}
-	l.openByTrust[TrustedProxy]-- // it takes no capacity from itself
+	l.openByTrust[TrustedProxy]-- // the connection must not be counted against itself
 	outcome := l.decide(now, addr.Unmap())
 	l.openByTrust[TrustedProxy]++
 	if outcome.reason != Allowed {
@@ -80,8 +81,8 @@
 	return Allowed
 }
 
-// setClient counts a trusted proxy's connection as one of its client, which was
-// admitted.
+// setClient changes a trusted proxy's connection to one of its client, which was
+// admitted, and counts it for the client's address.
 func (l *Limiter) setClient(now time.Duration, index int32, admitted decision) {
 	connection := &l.connections[index]
 	stage := connection.stage
@@ -96,28 +97,28 @@
 	}
 	l.openByTrust[connection.trust]++
 	l.countOpen(connection, 1)
-	if stage == Silent { // l.silent counts it already
+	if stage == Silent { // l.silent includes the connection already
 		l.countOpening(connection, 1)
 	}
 	l.addToStage(index, stage, now)
 }
 
-// decide decides on a connection of an address, and counts it as an arrival if it
-// is admitted.
+// decide decides on a new connection of an address. If the connection is admitted, it
+// is counted for the rates of the address and its prefix.
 func (l *Limiter) decide(now time.Duration, addr netip.Addr) decision {
 	if l.isBlocked(now, addr) {
 		return rejected(Blocked)
 	}
 	addressKey := keyOf(addr)
 	prefixKey := keyOf(l.config.prefixOf(addr).Addr())
-	// Both lookups come before the use of either: waiting for memory is most of what
-	// a decision costs, and so it waits for both at once.
+	// Both lookups are made before either entry is used, so that the memory accesses
+	// overlap: most of the time for a decision is spent waiting for memory.
 	address := l.addresses.find(addressKey)
 	prefix := l.prefixes.find(prefixKey)
 	addressEntry := l.addresses.entryAt(address)
 	trust := l.trustOf(now, addr, addressEntry)
 	prefixEntry := l.prefixes.entryAt(prefix)
-	if trust != Known { // the operator vouches for known addresses
+	if trust != Known { // limits do not apply to addresses that the operator has configured as known
 		reason := l.exceededLimits(now, addressEntry, prefixEntry)
 		if reason != Allowed {
 			return rejected(reason)
@@ -126,7 +127,7 @@
 	isRetry := l.isRetry(now, addressEntry)
 	if !l.hasCapacity(trust, isRetry) {
 		if trust != Unknown {
-			return rejected(FullKnown)
+			return rejected(FullTrusted)
 		}
 		l.rememberRejection(now, addressKey, address)
 		return rejected(Full)
@@ -155,8 +156,8 @@
 	return decision{trust: trust, address: address, prefix: prefix, isRetry: isRetry && trust == Unknown}
 }
 
-// exceededLimits returns the limit of an address or of its prefix that another
-// connection would exceed; the entries may be nil.
+// exceededLimits returns the reason for the limit of an address or of its prefix that
+// another connection would exceed, or Allowed. The entries may be nil.
 func (l *Limiter) exceededLimits(now time.Duration, address, prefix *tableEntry) Reason {
 	reason := exceededLimit(now, &l.config.Address, address, &addressReasons)
 	if reason != Allowed {
@@ -165,8 +166,8 @@
 	return exceededLimit(now, &l.config.Prefix, prefix, &prefixReasons)
 }
 
-// exceededLimit returns the limit that another connection of an entry, which may be
-// nil, would exceed.
+// exceededLimit returns the reason for the limit that another connection of an entry
+// would exceed, or Allowed. The entry may be nil.
 func exceededLimit(now time.Duration, limits *Limits, entry *tableEntry, reasons *limitReasons) Reason {
 	open := 0
 	opening := 0
@@ -187,7 +188,8 @@
 	return Allowed
 }
 
-// isRetry reports whether a new connection of an entry, which may be nil, is a retry.
+// isRetry reports whether a new connection of an address is a retry. The address's
+// entry may be nil.
 func (l *Limiter) isRetry(now time.Duration, entry *tableEntry) bool {
 	if entry == nil || entry.firstRejected == 0 || entry.open > 0 {
 		return false
@@ -196,8 +198,8 @@
 	return delay >= minRetryDelay && delay < maxRetryDelay
 }
 
-// rememberRejection notes when an unknown address was first rejected for lack of
-// capacity. index is its entry's, or noIndex.
+// rememberRejection records when an unknown address was first rejected for lack of
+// capacity. index is the index of the address's entry, or noIndex.
 func (l *Limiter) rememberRejection(now time.Duration, k key, index int32) {
 	if index == noIndex {
 		index = l.addresses.insert(k)
@@ -215,10 +217,11 @@
 
 // hasCapacity reports whether there is capacity for one more connection.
 //
-// Unknown addresses leave free what is unused of the reserve. Learned ones may use
-// their part of the reserve and leave the rest to known ones, and newcomers their
-// share of what is unreserved. Both leave the part for retries free, unless the
-// connection is one.
+// Connections of unknown addresses may not use the reserve. Those of learned addresses
+// may use the learned addresses' part of the reserve, but neither the rest of it, which
+// is for known addresses, nor the share of the unreserved capacity that is kept for
+// unknown addresses. Neither may use the capacity that is kept for retries, unless the
+// connection is a retry.
 func (l *Limiter) hasCapacity(trust Trust, isRetry bool) bool {
 	config := &l.config
 	openKnown := l.openByTrust[Known] + l.openByTrust[TrustedProxy]
@@ -238,8 +241,8 @@
 	return taken < config.Capacity
 }
 
-// checkUnknown returns why a connection of an unknown address, whose entry may be
-// nil, is rejected though there is capacity for it.
+// checkUnknown returns the reason why a connection of an unknown address is rejected
+// although there is capacity for it, or Allowed. The address's entry may be nil.
 func (l *Limiter) checkUnknown(now time.Duration, entry *tableEntry) Reason {
 	if l.pressure > PressureLow {
 		return NoDescriptors
@@ -254,5 +257,6 @@
 	return Allowed
 }
 
-// fairShare returns how many connections an unknown address may have under pressure.
+// fairShare returns the number of connections that an unknown address may have under
+// pressure.
 func (l *Limiter) fairShare() int { return max(l.config.unreserved()/(l.activeAddresses+1), 1) }
--- a/internal/connlimit/bench_test.go
+++ b/internal/connlimit/bench_test.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// BenchmarkDecision decides on connections of a million addresses in random order,
-// with all of them remembered and with the default tables, which fit the
-// processor's caches: rejected is a decision alone, admitted one with its Closed.
+// BenchmarkDecision measures decisions on connections of a million addresses in random
+// order. The cases "million" use tables that hold all addresses, the cases "default"
+// use the default tables, which fit in the processor's caches. In the cases "rejected"
+// only the decision is made; in the cases "admitted" the connection is also closed.
 func BenchmarkDecision(b *testing.B) {
 	for _, benchmark := range []struct {
 		name    string
--- a/internal/connlimit/block.go
+++ b/internal/connlimit/block.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-const maxBlocks = 1024 // prefixes at a time
+const maxBlocks = 1024 // number of prefixes that can be blocked at the same time
 
-// Errors of Block. Their texts are answers of the admin API.
+// Errors of Block. The admin API returns their texts.
 var (
 	ErrInvalidBlock  = errors.New("a prefix and a time to come are needed")
 	ErrTooManyBlocks = fmt.Errorf("%d prefixes are barred already", maxBlocks)
 )
 
-// block rejects the connections of a prefix for a while.
+// block is a prefix whose new connections are rejected until a time.
 type block struct {
 	prefix netip.Prefix
 	until  time.Duration
 }
 
-// Block rejects new connections of a prefix until a time; those that are open stay.
-// It returns ErrInvalidBlock or ErrTooManyBlocks.
+// Block rejects new connections of a prefix until a time. Connections that are already
+// open stay open. An error is ErrInvalidBlock or ErrTooManyBlocks.
 func (l *Limiter) Block(now time.Duration, prefix netip.Prefix, until time.Duration) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -55,13 +55,13 @@
 	return true
 }
 
-// blockIndex returns the index of a prefix's block; -1: there is none.
+// blockIndex returns the index of a prefix's block, or -1 if the prefix is not blocked.
 func (l *Limiter) blockIndex(prefix netip.Prefix) int {
 	return slices.IndexFunc(l.blocks, func(b block) bool { return b.prefix == prefix })
 }
 
-// isBlocked reports whether a block holds for an address, and forgets blocks that
-// are over as far as it looks.
+// isBlocked reports whether an address is blocked. It also removes the expired blocks
+// that it meets in its search.
 func (l *Limiter) isBlocked(now time.Duration, addr netip.Addr) bool {
 	for i := 0; i < len(l.blocks); {
 		b := &l.blocks[i]
--- a/internal/connlimit/block_test.go
+++ b/internal/connlimit/block_test.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// A block holds for new connections and for the clients of trusted proxies; those
-// that are open stay, and can be found.
+// A block applies to new connections and to the clients of trusted proxies.
+// Connections that are already open stay open, and NotBusyWithin returns them.
 func TestBlockHoldsForClientsOfTrustedProxies(t *testing.T) {
 	limiter := newProxyLimiter(t)
 	admitUnderPressure(t, limiter)
 	client := netip.MustParseAddr("10.0.0.2")
 	proxied := admit(t, limiter, 0, trustedProxyAddr, Allowed)
 	if trust := limiter.TrustOf(proxied); trust != TrustedProxy {
-		t.Errorf("a proxy's connection has the trust %v, want %v", trust, TrustedProxy)
+		t.Errorf("a proxy's connection has trust %v, want %v", trust, TrustedProxy)
 	}
 	if reason := limiter.Identify(0, proxied, client); reason != Allowed || limiter.TrustOf(proxied) != Unknown {
-		t.Errorf("its client: %v, trust %v; want it allowed, and unknown", reason, limiter.TrustOf(proxied))
+		t.Errorf("the proxy's client: %v, trust %v; want it allowed and unknown", reason, limiter.TrustOf(proxied))
 	}
 	second := admit(t, limiter, 0, trustedProxyAddr, Allowed)
 	if err := limiter.Block(0, netip.MustParsePrefix("10.0.0.9/24"), time.Minute); err != nil {
@@ -28,7 +28,7 @@
 	}
 	limiter.Closed(second)
 	admit(t, limiter, time.Second, "10.0.0.7", Blocked)
-	if idle := limiter.IdleWithin(netip.MustParsePrefix("10.0.0.0/24")); len(idle) != 9 {
+	if idle := limiter.NotBusyWithin(netip.MustParsePrefix("10.0.0.0/24")); len(idle) != 9 {
 		t.Errorf("%d idle connections within the prefix, want 9", len(idle))
 	}
 	view := limiter.Snapshot(time.Second)
@@ -41,16 +41,17 @@
 	checkInvariants(t, limiter)
 }
 
-// A block ends by Unblock, once, or when its time is over.
+// A block ends when Unblock is called or when its time has passed. Unblock returns
+// false if the prefix is not blocked any more.
 func TestBlockEnds(t *testing.T) {
 	limiter := newProxyLimiter(t)
-	admitUnderPressure(t, limiter) // open connections of the prefix
+	admitUnderPressure(t, limiter) // opens connections of the prefix
 	prefix := netip.MustParsePrefix("10.0.0.0/24")
 	if err := limiter.Block(0, netip.MustParsePrefix("10.0.0.9/24"), time.Minute); err != nil {
 		t.Fatal(err)
 	}
 	if !limiter.Unblock(prefix) || limiter.Unblock(prefix) {
-		t.Error("Unblock does not end the block, or ends it twice")
+		t.Error("the first Unblock does not end the block, or the second one reports that it did")
 	}
 	if err := limiter.Block(0, prefix, time.Second); err != nil {
 		t.Fatal(err)
--- a/internal/connlimit/config.go
+++ b/internal/connlimit/config.go
@@ -24,65 +24,66 @@
 )
 
 const (
-	maxPrefixes = 4096 // of Config.Known, and of Config.TrustedProxies
+	maxPrefixes = 4096 // maximum length of Config.Known and of Config.TrustedProxies
 	maxV4Bits   = 32
 	maxV6Bits   = 128
 
-	entriesBeyondCapacity = 1 // a connection needs an entry while it is decided on
-	anonymousTableEntries = 1 // where no address is remembered
+	entriesBeyondCapacity = 1 // a new connection needs an entry during the decision on it
+	anonymousTableEntries = 1 // size of the tables if Config.Anonymous is set
 )
 
-// Limits bound what one address, or all addresses of one prefix, may have. 0 is no
-// bound.
+// Limits are the limits for one address, or for all addresses of one prefix together.
+// A limit of 0 means that there is no limit.
 type Limits struct {
-	Open      int     // connections
-	Opening   int     // of them, those on which no byte has arrived yet
-	PerSecond float64 // new connections
-	Burst     int     // that may arrive at once, within PerSecond; 0: as many as in a second
-	HalfRead  int     // requests that are half read
-	Bytes     int     // that their half-read requests hold
+	Open      int     // open connections
+	Opening   int     // open connections on which no byte has arrived yet
+	PerSecond float64 // new connections per second
+	Burst     int     // new connections that may arrive at once; 0 means as many as PerSecond allows in a second
+	HalfRead  int     // half-read requests
+	Bytes     int     // buffered bytes of half-read requests
 }
 
 func (l *Limits) negative() bool {
 	return l.Open < 0 || l.Opening < 0 || l.PerSecond < 0 || l.Burst < 0 || l.HalfRead < 0 || l.Bytes < 0
 }
 
-// LearnConfig configures whether addresses become trusted by the requests of theirs that
-// were served.
+// LearnConfig configures whether addresses become Learned when enough of their
+// requests were served.
 type LearnConfig struct {
 	Enabled  bool
-	HalfLife time.Duration // of the count of served requests; default 10 min
-	After    float64       // served requests, so decayed, from which on an address is Learned; default 20
-	Share    float64       // of the reserve that learned addresses may use; default 0.5
-	Newcomer float64       // share of the capacity outside the reserve that they leave to unknown ones; default 0.1
+	HalfLife time.Duration // time in which the count of served requests decays to a half; default 10 min
+	After    float64       // decayed count of served requests from which on an address is Learned; default 20
+	Share    float64       // share of the reserve that learned addresses may use; default 0.5
+	Newcomer float64       // share of the unreserved capacity that is kept for unknown addresses; default 0.1
 }
 
-// Config configures a Limiter. With Capacity alone there are no limits, and only
-// the order of eviction is decided.
+// Config configures a Limiter. If only Capacity is set, there are no other limits, and
+// the Limiter only determines the order of eviction.
 type Config struct {
-	Capacity int     // connections at a time
-	Reserve  int     // of them, that unknown addresses cannot use
-	Rate     float64 // new connections a second of all unknown addresses together; 0: no bound
-
-	Address, Prefix Limits // of one address, and of all addresses of a prefix
-	V4Bits, V6Bits  int    // length of a prefix; defaults 24 and 64
-	Known           []netip.Prefix
-	TrustedProxies  []netip.Prefix // whose PROXY header is believed
+	Capacity int     // maximum number of open connections
+	Reserve  int     // part of Capacity that unknown addresses cannot use
+	Rate     float64 // new connections per second of all unknown addresses together; 0 means no limit
+
+	Address, Prefix Limits         // limits for one address, and for all addresses of a prefix together
+	V4Bits, V6Bits  int            // lengths of the prefixes to which Prefix applies; defaults 24 and 64
+	Known           []netip.Prefix // addresses that the operator trusts
+	TrustedProxies  []netip.Prefix // proxies whose PROXY headers are accepted
 	Learn           LearnConfig
 
-	Addresses, Prefixes int    // that are remembered; defaults 16384 and 4096, always more than Capacity
-	Seed                uint64 // of the hash tables; secret, so that clients cannot provoke collisions
-	Anonymous           bool   // connections are added by Adopt alone, and no address is remembered
+	Addresses, Prefixes int    // sizes of the tables; defaults 16384 and 4096, always more than Capacity
+	Seed                uint64 // seed of the hash tables; must be secret, so that clients cannot provoke collisions
+	Anonymous           bool   // connections are only added by Adopt, and no addresses are remembered
 
-	Grace       time.Duration // in which a connection is not evicted for being silent or half read; default 1 s
-	SilentGrace time.Duration // the same of a silent one; default Grace
-	SilentTime  time.Duration // the same where more than half of the capacity is silent; default 2.5 s
+	Grace       time.Duration // for how long a half-read connection is not evicted, except ForMemory; default 1 s
+	SilentGrace time.Duration // for how long a connection that becomes silent is not evicted; default Grace
+	SilentTime  time.Duration // replaces SilentGrace while TooManySilent, for ForSilence; default 2.5 s
 
-	MinRate   float64       // bytes a second of a request that is half read; 0: no bound
-	RateGrace time.Duration // from the request's first byte on, before MinRate holds; default 500 ms
+	MinRate   float64       // minimum rate of a half-read request in bytes per second; 0 means no limit
+	RateGrace time.Duration // time from the request's first byte until MinRate applies; default 500 ms
 }
 
-// Check fills in defaults. An error names the field that is wrong.
+// Check sets the defaults of fields that are not set, and checks the configuration. An
+// error names the field that is wrong.
 func (c *Config) Check() error {
 	c.setDefaults()
 	switch {
@@ -125,12 +126,12 @@
 	setDefault(&c.Learn.Newcomer, defaultNewcomerShare)
 }
 
-// setDefault sets a field that is not given.
+// setDefault sets a field to a value if it has the zero value.
 func setDefault[T comparable](field *T, value T) { *field = cmp.Or(*field, value) }
 
-// prefixOf returns the prefix that the limits of an address's prefix hold for.
+// prefixOf returns the prefix of an address to which the limits Config.Prefix apply.
 func (c *Config) prefixOf(addr netip.Addr) netip.Prefix {
-	prefix, _ := addr.Prefix(c.prefixBits(addr)) // Check keeps the bits within bounds
+	prefix, _ := addr.Prefix(c.prefixBits(addr)) // cannot fail, since Check checks the number of bits
 	return prefix
 }
 
@@ -141,8 +142,9 @@
 	return c.V6Bits
 }
 
-// learnedReserve returns how many connections of the reserve learned addresses may use.
+// learnedReserve returns the part of the reserve that learned addresses may use.
 func (c *Config) learnedReserve() int { return int(c.Learn.Share * float64(c.Reserve)) }
 
-// unreserved returns how many connections unknown addresses may have.
+// unreserved returns the capacity outside the reserve, which is the maximum number of
+// connections of unknown addresses.
 func (c *Config) unreserved() int { return c.Capacity - c.Reserve }
--- a/internal/connlimit/config_test.go
+++ b/internal/connlimit/config_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A configuration with a value out of bounds is rejected.
+// A configuration with a value out of range is rejected.
 func TestInvalidConfigIsRejected(t *testing.T) {
 	for _, config := range []Config{
 		{},
--- a/internal/connlimit/descriptorbudget.go
+++ b/internal/connlimit/descriptorbudget.go
@@ -5,20 +5,20 @@
 	"sync"
 )
 
-// DescriptorKind is what descriptors are used for.
+// DescriptorKind is the purpose for which a descriptor is used.
 type DescriptorKind uint8
 
 // The kinds of descriptors.
 const (
-	ClientConnections    DescriptorKind = iota // of all front ends
-	WorkerConnections                          // opened to workers
-	DiscoveryConnections                       // opened to the endpoint list and relays
-	AdminConnections                           // of the admin API
-	StoreFiles                                 // files of stores
+	ClientConnections    DescriptorKind = iota // client connections of all front ends
+	WorkerConnections                          // connections to workers
+	DiscoveryConnections                       // connections to the discovery service and relays
+	AdminConnections                           // connections to the admin API
+	StoreFiles                                 // files of the stores
 	DescriptorKinds                            // the number of kinds
 )
 
-// kindNames are keys of the admin API's JSON.
+// kindNames are the keys of the kinds in the admin API's JSON.
 var kindNames = [DescriptorKinds]string{
 	ClientConnections:    "sessions",
 	WorkerConnections:    "backends",
@@ -38,11 +38,11 @@
 	defaultHysteresis   = 0.05
 )
 
-// Watermarks are the shares of the descriptors in use at which the levels of
-// pressure begin. 0 is the default.
+// Watermarks are the shares of the descriptors that must be in use for the levels of
+// pressure. A value of 0 means the default.
 type Watermarks struct {
-	Low, High, Critical float64 // of PressureLow, PressureHigh, PressureCritical; defaults 0.8, 0.9, 0.97
-	Hysteresis          float64 // how far below its mark a level ends; default 0.05
+	Low, High, Critical float64 // PressureLow, PressureHigh and PressureCritical begin here; defaults 0.8, 0.9, 0.97
+	Hysteresis          float64 // distance below its watermark at which a level ends; default 0.05
 }
 
 func (w *Watermarks) setDefaults() {
@@ -64,28 +64,29 @@
 	return nil
 }
 
-// DescriptorBudget counts the descriptors of each kind and keeps a floor for each:
-// one kind never takes what others' floors hold. Its methods may be called from any
-// goroutine.
+// DescriptorBudget counts the descriptors of each kind, and reserves a minimum number
+// for each kind, its floor, which other kinds cannot use. Its methods may be called
+// from any goroutine.
 type DescriptorBudget struct {
 	mu          sync.Mutex
 	total       int
 	floors      [DescriptorKinds]int
 	used        [DescriptorKinds]int
 	watermarks  Watermarks
-	level       Pressure // by what is used
-	forcedLevel Pressure // the least one, whatever is used
+	level       Pressure // level according to the number of descriptors in use
+	forcedLevel Pressure // minimum level set by ForcePressure
 }
 
-// NewDescriptorBudget returns a budget of so many descriptors in all. An error names
-// the floor or watermark that is wrong.
+// NewDescriptorBudget returns a budget of total descriptors. An error names the floor
+// or watermark that is wrong.
 func NewDescriptorBudget(total int, floors [DescriptorKinds]int, watermarks Watermarks) (*DescriptorBudget, error) {
 	b := &DescriptorBudget{}
 	return b, b.Reconfigure(total, floors, watermarks)
 }
 
-// Reconfigure changes the total, floors and watermarks. What is in use stays so. An
-// error names the floor or watermark that is wrong, and changes nothing.
+// Reconfigure changes the total, the floors and the watermarks. Descriptors in use stay
+// in use, even above the new total. If there is an error, which names the floor or
+// watermark that is wrong, nothing is changed.
 func (b *DescriptorBudget) Reconfigure(total int, floors [DescriptorKinds]int, watermarks Watermarks) error {
 	watermarks.setDefaults()
 	err := checkFloors(floors, total)
@@ -119,8 +120,8 @@
 	return nil
 }
 
-// Acquire takes a descriptor, and returns false where that would take another
-// kind's floor.
+// Acquire takes a descriptor. It returns false if none is left that is not reserved by
+// the floors of other kinds.
 func (b *DescriptorBudget) Acquire(kind DescriptorKind) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -132,8 +133,8 @@
 	return true
 }
 
-// reservedForOthers returns how many descriptors the kinds but one use, or have as
-// their floors where those are higher.
+// reservedForOthers returns the number of descriptors that all other kinds use or
+// reserve: for each kind, the number in use or the floor, whichever is higher.
 func (b *DescriptorBudget) reservedForOthers(kind DescriptorKind) int {
 	reserved := 0
 	for other := range DescriptorKinds {
@@ -144,7 +145,7 @@
 	return reserved
 }
 
-// Release returns a descriptor.
+// Release returns a descriptor to the budget.
 func (b *DescriptorBudget) Release(kind DescriptorKind) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -152,8 +153,8 @@
 	b.updateLevel()
 }
 
-// ForcePressure sets a least level of pressure, for when the kernel has no descriptor
-// left whatever the budget counts. PressureNone ends that.
+// ForcePressure sets a minimum level of pressure. It is used when the kernel has no
+// descriptor left although the budget has. PressureNone ends this.
 func (b *DescriptorBudget) ForcePressure(level Pressure) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -161,8 +162,9 @@
 	b.updateLevel()
 }
 
-// updateLevel computes the level: it rises at a watermark, and falls only once the
-// use is by the hysteresis below it.
+// updateLevel computes the level of pressure. The level rises when the share of
+// descriptors in use reaches a watermark, and falls when the share is below the
+// watermark by more than the hysteresis.
 func (b *DescriptorBudget) updateLevel() {
 	used := 0
 	for _, n := range b.used {
@@ -191,14 +193,14 @@
 	return max(b.level, b.forcedLevel)
 }
 
-// DescriptorUsage is how a DescriptorBudget is used.
+// DescriptorUsage is the present use of a DescriptorBudget.
 type DescriptorUsage struct {
-	Used   [DescriptorKinds]int // in use, by kind
+	Used   [DescriptorKinds]int // descriptors in use, by kind
 	Floors [DescriptorKinds]int
-	Total  int // in use or free, of all kinds
+	Total  int // descriptors of all kinds, in use or free
 }
 
-// Usage returns how the budget is used now.
+// Usage returns the present use of the budget.
 func (b *DescriptorBudget) Usage() DescriptorUsage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/connlimit/descriptorbudget_test.go
+++ b/internal/connlimit/descriptorbudget_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// budgetFloors leave 68 of 100 descriptors to all kinds.
+// budgetFloors reserve 32 of the 100 descriptors.
 var budgetFloors = [DescriptorKinds]int{ClientConnections: 10, WorkerConnections: 20, DiscoveryConnections: 2}
 
 // newBudget returns a budget of 100 descriptors.
@@ -18,8 +18,8 @@
 	return budget
 }
 
-// acquireClients takes all descriptors that client connections may have, and returns
-// how many and the levels of pressure on the way.
+// acquireClients takes all descriptors that client connections may have. It returns
+// their number and the successive levels of pressure.
 func acquireClients(budget *DescriptorBudget) (acquired int, levels []Pressure) {
 	for budget.Acquire(ClientConnections) {
 		acquired++
@@ -37,11 +37,11 @@
 	acquireClients(budget)
 	for range 20 {
 		if !budget.Acquire(WorkerConnections) {
-			t.Fatal("a floor is not kept")
+			t.Fatal("Acquire returns false below the floor of the kind")
 		}
 	}
 	if budget.Acquire(WorkerConnections) || !budget.Acquire(DiscoveryConnections) {
-		t.Error("worker connections get more than their floor, or discovery less")
+		t.Error("worker connections can use more than their floor, or discovery connections cannot use theirs")
 	}
 }
 
@@ -58,16 +58,17 @@
 	}
 }
 
-// One kind takes all that others' floors do not hold.
+// One kind can take all descriptors except those in the floors of the other kinds.
 func TestDescriptorFloorsAreKept(t *testing.T) {
 	budget := newBudget(t)
 	acquired, levels := acquireClients(budget)
 	if acquired != 78 || !slices.Equal(levels, []Pressure{PressureNone}) {
-		t.Errorf("%d client connections, levels %v; want 78, without pressure: the others' floors are 22", acquired, levels)
+		t.Errorf("%d client connections, levels %v; want 78, since the other floors are 22, and no pressure", acquired, levels)
 	}
 }
 
-// The level of pressure falls only by the hysteresis below its mark.
+// The level of pressure falls only when the use is below the watermark by more than the
+// hysteresis.
 func TestPressureFallsWithHysteresis(t *testing.T) {
 	budget := newBudget(t)
 	fillBudget(t, budget)
@@ -78,7 +79,8 @@
 	wantPressure(t, budget, "91 in use", PressureHigh)
 }
 
-// A forced level holds whatever is in use, and ends when it is withdrawn.
+// A forced level applies whatever the number of descriptors in use, until PressureNone
+// is forced.
 func TestForcedPressure(t *testing.T) {
 	budget := newBudget(t)
 	fillBudget(t, budget)
@@ -86,11 +88,11 @@
 	budget.ForcePressure(PressureHigh)
 	wantPressure(t, budget, "forced, 61 in use", PressureHigh)
 	budget.ForcePressure(PressureNone)
-	wantPressure(t, budget, "no more forced, 61 in use", PressureNone)
+	wantPressure(t, budget, "not forced any more, 61 in use", PressureNone)
 }
 
-// Reconfigure counts the pressure anew, and rejects floors and watermarks that make
-// no sense.
+// Reconfigure computes the level of pressure for the new total, and rejects invalid
+// floors and watermarks.
 func TestReconfigureBudget(t *testing.T) {
 	budget := newBudget(t)
 	fillBudget(t, budget)
@@ -101,9 +103,9 @@
 		t.Errorf("half of the descriptors: error %v, level %d, want some pressure", err, budget.Pressure())
 	}
 	if budget.Reconfigure(10, budgetFloors, Watermarks{}) == nil {
-		t.Error("floors above the total are taken")
+		t.Error("floors above the total are accepted")
 	}
 	if budget.Reconfigure(100, budgetFloors, Watermarks{Low: 0.9, High: 0.8}) == nil {
-		t.Error("watermarks that do not rise are taken")
+		t.Error("watermarks that are not in ascending order are accepted")
 	}
 }
--- a/internal/connlimit/eviction.go
+++ b/internal/connlimit/eviction.go
@@ -6,18 +6,19 @@
 	"time"
 )
 
-// EvictionReason is why a connection is to be evicted, which decides which ones may be.
+// EvictionReason is the reason for an eviction. It determines which connections may be
+// evicted.
 type EvictionReason uint8
 
 // The reasons for an eviction.
 const (
-	ForUnknown EvictionReason = iota // for a new connection of an unknown client: any may be evicted
-	ForKnown                         // for one of a trusted client: only those of unknown clients are evicted
-	ForSilence                       // there are too many silent connections: only those are evicted
-	ForMemory                        // buffers are short: only connections with a half-read request are evicted
+	ForUnknown EvictionReason = iota // for a connection of an unknown client: any connection may be evicted
+	ForTrusted                       // for a connection of a trusted client: only those of unknown clients are evicted
+	ForSilence                       // too many connections are silent: only silent ones are evicted
+	ForMemory                        // buffers are scarce: only connections with a half-read request are evicted
 )
 
-// evictionOrder leaves out Busy: an answer is owed.
+// evictionOrder does not contain Busy, since a response is owed on such a connection.
 var evictionOrder = [...]Stage{Unserved, Silent, Proven, HalfRead}
 
 // Candidate is a connection that may be evicted.
@@ -26,22 +27,24 @@
 	Stage Stage
 }
 
-// Spared says which connections are not candidates. The zero value spares none.
+// Spared selects connections that are not candidates for eviction. The zero value
+// selects none.
 type Spared struct {
-	Proven bool             // all in the stage Proven
-	Single func(Token) bool // those for which it returns true; nil: no others
+	Proven bool             // spares all connections in the stage Proven
+	Single func(Token) bool // if not nil, spares the connections for which it returns true
 }
 
-// spares reports whether a connection is not a candidate.
+// spares reports whether Single spares a connection.
 func (s Spared) spares(connection *conn) bool { return s.Single != nil && s.Single(connection.token) }
 
-// EvictionCandidate returns the connection to be evicted first, and false if there
-// is none.
+// EvictionCandidate returns the connection to be evicted next, or false if there is
+// none.
 //
-// Unknown addresses come before trusted ones; of each, the stages come in their
-// order, and in a stage the connection that has been in it the longest.
-// Connections that are silent or half read are not candidates for a while after
-// they became so, since a request is on its way.
+// Connections of unknown addresses are evicted before those of trusted ones. Within
+// these groups they are evicted in the order of evictionOrder, and within a stage the
+// connection that has been in the stage the longest is evicted first. A connection that
+// has become silent or half read is not a candidate during its grace period, since a
+// request is probably on its way.
 func (l *Limiter) EvictionCandidate(now time.Duration, need EvictionReason, spared Spared) (Candidate, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,7 +52,7 @@
 		return Candidate{}, false
 	}
 	for side := range l.stageLists {
-		if need == ForKnown && side == trustedSide {
+		if need == ForTrusted && side == trustedSide {
 			break
 		}
 		for _, stage := range evictionOrder {
@@ -66,7 +69,7 @@
 	return Candidate{}, false
 }
 
-// mayEvict reports whether evicting connections of a stage helps a need.
+// mayEvict reports whether connections in a stage may be evicted for a reason.
 func mayEvict(need EvictionReason, stage Stage) bool {
 	switch need {
 	case ForSilence:
@@ -77,8 +80,8 @@
 	return true
 }
 
-// latestEvictable returns since when at the latest a connection must have been in a
-// stage to be evicted.
+// latestEvictable returns the latest time at which a connection may have entered a
+// stage if it is to be evicted now.
 func (l *Limiter) latestEvictable(now time.Duration, need EvictionReason, stage Stage) time.Duration {
 	switch {
 	case stage != Silent && stage != HalfRead || need == ForMemory:
@@ -91,13 +94,13 @@
 	return now - l.config.Grace
 }
 
-// firstEvictable returns the first connection of a list that may be evicted, of
-// those in it since latest or before; nil: there is none.
+// firstEvictable returns the first connection of a list that may be evicted and has
+// been in the stage since latest or longer, or nil if there is none.
 func (l *Limiter) firstEvictable(list *stageList, latest time.Duration, spared Spared) *conn {
 	for index := list.first; index != noIndex; index = l.connections[index].next {
 		connection := &l.connections[index]
 		if connection.stageSince > latest {
-			return nil // so are all that follow
+			return nil // the connections that follow entered the stage even later
 		}
 		if connection.hasToken && !spared.spares(connection) {
 			return connection
@@ -106,8 +109,9 @@
 	return nil
 }
 
-// TooManySilent reports whether more connections are silent than clients that
-// connect before they have a request would leave so.
+// TooManySilent reports whether more than half of the capacity is used by silent
+// connections, which is more than clients cause that connect before they have a
+// request.
 func (l *Limiter) TooManySilent() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -116,9 +120,9 @@
 
 func (l *Limiter) tooManySilent() bool { return l.silent > l.config.Capacity/2 }
 
-// IdleWithin returns the tokens of a prefix's connections on which no answer is
-// owed, for a block that ends them.
-func (l *Limiter) IdleWithin(prefix netip.Prefix) (tokens []Token) {
+// NotBusyWithin returns the tokens of a prefix's connections on which no response is owed.
+// They can be closed when the prefix is blocked.
+func (l *Limiter) NotBusyWithin(prefix netip.Prefix) (tokens []Token) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for index := range l.connections {
--- a/internal/connlimit/eviction_test.go
+++ b/internal/connlimit/eviction_test.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// evictionTest is a Limiter whose connections are in known stages.
+// evictionTest is a Limiter with connections in all stages.
 type evictionTest struct {
 	t       *testing.T
 	limiter *Limiter
 	ids     map[Token]ID
 }
 
-// newEvictionTest returns a Limiter of 20 connections, with a known client's one and
-// those of unknown clients in all stages.
+// newEvictionTest returns a Limiter with a capacity of 20, one connection of a known
+// client, and connections of unknown clients in all stages.
 func newEvictionTest(t *testing.T) *evictionTest {
 	t.Helper()
 	config := Config{Capacity: 20, Reserve: 5, Known: []netip.Prefix{netip.MustParsePrefix("127.9.0.0/24")}}
@@ -32,7 +32,7 @@
 	return e
 }
 
-// admit admits a connection and brings it into a stage.
+// admit admits a connection and puts it into a stage.
 func (e *evictionTest) admit(token Token, addr string, stage Stage, now time.Duration) {
 	e.t.Helper()
 	id, reason := e.limiter.Admit(now, netip.MustParseAddr(addr), token)
@@ -50,7 +50,8 @@
 	}
 }
 
-// evictAll closes candidates until there is none, and returns their tokens.
+// evictAll closes the candidate for eviction until there is none left, and returns the
+// tokens in the order of eviction.
 func (e *evictionTest) evictAll(now time.Duration, need EvictionReason) (order []Token) {
 	for {
 		candidate, ok := e.limiter.EvictionCandidate(now, need, Spared{})
@@ -62,7 +63,8 @@
 	}
 }
 
-// wantCandidate checks which connection is to be evicted first; NoToken: none is.
+// wantCandidate checks which connection is the candidate for eviction. NoToken means
+// that there must be none.
 func (e *evictionTest) wantCandidate(now time.Duration, need EvictionReason, spared Spared, want Token) {
 	e.t.Helper()
 	candidate, ok := e.limiter.EvictionCandidate(now, need, spared)
@@ -78,32 +80,35 @@
 	}
 }
 
-// graceOfLatest is the last moment at which the connection 8 is within its grace.
+// graceOfLatest is the last moment of the grace period of connection 8, the latest one.
 const graceOfLatest = 10*time.Second - 1
 
-// Unknown addresses are evicted before known ones, by stage, the longest in it
-// first; new connections and those on which an answer is owed never.
+// Connections of unknown addresses are evicted before those of known ones, in the order
+// of the stages, and within a stage the one that has been in it the longest first. New
+// connections and those on which a response is owed are not evicted.
 func TestEvictionOrder(t *testing.T) {
 	e := newEvictionTest(t)
 	order := e.evictAll(graceOfLatest, ForUnknown)
 	if want := []Token{6, 7, 5, 4, 3, 1}; !slices.Equal(order, want) {
 		t.Errorf("evicted %v, want %v", order, want)
 	}
-	e.wantCandidate(graceOfLatest, ForKnown, Spared{}, NoToken)
+	e.wantCandidate(graceOfLatest, ForTrusted, Spared{}, NoToken)
 	e.checkInvariants()
 }
 
-// A silent connection is a candidate after its grace, unless the caller spares it.
+// A silent connection is a candidate after its grace period, unless the caller spares
+// it.
 func TestEvictionAfterGrace(t *testing.T) {
 	e := newEvictionTest(t)
 	e.evictAll(graceOfLatest, ForUnknown)
-	e.wantCandidate(11*time.Second, ForKnown, Spared{Proven: true}, 8)
+	e.wantCandidate(11*time.Second, ForTrusted, Spared{Proven: true}, 8)
 	spareLatest := func(token Token) bool { return token == 8 }
-	e.wantCandidate(11*time.Second, ForKnown, Spared{Proven: true, Single: spareLatest}, NoToken)
+	e.wantCandidate(11*time.Second, ForTrusted, Spared{Proven: true, Single: spareLatest}, NoToken)
 	e.checkInvariants()
 }
 
-// Where more than half of the capacity is silent, the longest silent one is evicted.
+// If more than half of the capacity is used by silent connections, the one that has
+// been silent the longest is evicted.
 func TestEvictionOfTooManySilent(t *testing.T) {
 	e := newEvictionTest(t)
 	e.evictAll(graceOfLatest, ForUnknown)
@@ -111,7 +116,7 @@
 		e.admit(Token(20+i), fmt.Sprintf("10.0.1.%d", i), Silent, 12*time.Second)
 	}
 	if !e.limiter.TooManySilent() {
-		t.Error("13 of 20 silent connections are not too many")
+		t.Error("TooManySilent is false with 13 silent connections and a capacity of 20")
 	}
 	e.wantCandidate(12*time.Second, ForSilence, Spared{}, 8)
 	e.checkInvariants()
--- a/internal/connlimit/example_test.go
+++ b/internal/connlimit/example_test.go
@@ -8,8 +8,8 @@
 	"hollyyoke.example/hollyyoke/internal/connlimit"
 )
 
-// A connection is admitted within the limits, passes through its stages as it is
-// used, and is evicted when it is idle and its place is needed.
+// A connection is admitted within the limits, changes its stage as it is used, and is
+// the candidate for eviction when it is idle and capacity is needed.
 func ExampleLimiter() {
 	limiter, err := connlimit.New(connlimit.Config{Capacity: 2, Address: connlimit.Limits{Open: 1}})
 	if err != nil {
--- a/internal/connlimit/golden_test.go
+++ b/internal/connlimit/golden_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// The names of reasons, levels of trust, stages and kinds of descriptors are keys
-// of the admin API's JSON.
+// The names of reasons, levels of trust, stages and kinds of descriptors do not change:
+// they are keys in the admin API's JSON.
 func TestNamesInJSON(t *testing.T) {
 	var names []string
 	for reason := range NumReasons {
--- a/internal/connlimit/invariants_test.go
+++ b/internal/connlimit/invariants_test.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// entryCounts are the counts of an entry, for comparison.
+// entryCounts contains the counts of a tableEntry, for comparison.
 type entryCounts struct{ open, opening, halfRead, bufferedBytes, openUnknown int32 }
 
 func (e *tableEntry) counts() entryCounts {
@@ -23,16 +23,17 @@
 	n.bufferedBytes += connection.bufferedBytes
 }
 
-// connectionCounts are the counts that follow from the connections alone.
+// connectionCounts contains counts that are computed from the connections alone.
 type connectionCounts struct {
 	openByTrust [numTrusts]int
 	silent      int
-	byAddress   map[int32]entryCounts // by the entry's index
-	byPrefix    map[int32]entryCounts
+	byAddress   map[int32]entryCounts // by index of the address's entry
+	byPrefix    map[int32]entryCounts // by index of the prefix's entry
 }
 
 // CheckInvariants checks all counts and tables against the connections, and returns
-// the first difference. It takes time in proportion to the size of the tables.
+// an error for the first difference. Its run time is proportional to the size of the
+// tables.
 func (l *Limiter) CheckInvariants() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -41,10 +42,10 @@
 		return err
 	}
 	if counts.openByTrust != l.openByTrust || counts.silent != l.silent {
-		return fmt.Errorf("counted %v and %d silent, there are %v and %d",
+		return fmt.Errorf("the Limiter counts %v open by trust and %d silent, there are %v and %d",
 			l.openByTrust, l.silent, counts.openByTrust, counts.silent)
 	}
-	for index, n := range counts.byPrefix { // only addresses count it
+	for index, n := range counts.byPrefix { // openUnknown is only counted for addresses
 		n.openUnknown = 0
 		counts.byPrefix[index] = n
 	}
@@ -63,7 +64,7 @@
 		}
 	}
 	if active != l.activeAddresses {
-		return fmt.Errorf("%d active addresses counted, there are %d", l.activeAddresses, active)
+		return fmt.Errorf("the Limiter counts %d active addresses, there are %d", l.activeAddresses, active)
 	}
 	return nil
 }
@@ -95,7 +96,8 @@
 	return counts, nil
 }
 
-// check compares the entries with what the connections count, by index.
+// check compares the entries of a table with the counts that were computed from the
+// connections, by index of the entry.
 func (t *table) check(name string, counts map[int32]entryCounts) error {
 	used := 0
 	for i := range t.entries {
@@ -104,7 +106,7 @@
 		want := counts[index]
 		if !entry.used {
 			if want != (entryCounts{}) {
-				return fmt.Errorf("entry %d of %s was forgotten while it has connections", index, name)
+				return fmt.Errorf("entry %d of %s was removed while it has connections", index, name)
 			}
 			continue
 		}
--- a/internal/connlimit/limiter.go
+++ b/internal/connlimit/limiter.go
@@ -1,14 +1,15 @@
-// Package connlimit decides which client connections are admitted, which stay and
-// whose bytes are processed next. It has limits by address and by prefix, a reserve
-// for trusted clients, an order of eviction for when capacity runs short, a budget of
-// descriptors with levels of pressure, and a round robin of addresses.
+// Package connlimit decides which client connections are admitted, which are evicted
+// and whose bytes are processed next. It contains limits by address and by prefix, a
+// reserve for trusted clients, an order of eviction for when capacity is short, a
+// budget of descriptors with levels of pressure, and a round robin over addresses.
 //
-// It does no I/O, starts no goroutine and reads no clock: methods take the time as
-// an argument, and given the same calls and times they decide the same.
+// It does no I/O, starts no goroutine and reads no clock. Methods get the time as an
+// argument, so that the same calls with the same times lead to the same decisions.
 //
-// A trusted client always gets what its reserve holds. An address that has
-// connections is never forgotten for new ones, and a connection on which an answer
-// is owed is never evicted. Memory does not grow with the number of addresses seen.
+// A trusted client can always use its part of the reserve. The entry of an address that has
+// connections is never removed to make room for a new one. A connection on which a
+// response is owed is never evicted. The use of memory does not depend on the number
+// of addresses seen.
 package connlimit
 
 import (
@@ -16,15 +17,16 @@
 	"time"
 )
 
-// ID identifies a connection; 0 is none. It holds the connection's index and a
-// generation, so that the ID of a closed connection is never that of another.
+// ID identifies a connection; 0 is not a valid ID. It contains the index of the
+// connection and a generation, so that the ID of a closed connection is not used again
+// for another one.
 type ID uint64
 
-// Token is the caller's own name for a connection, by which EvictionCandidate and
-// IdleWithin return it. A connection without one cannot be evicted.
+// Token is the caller's identifier of a connection, which EvictionCandidate and
+// NotBusyWithin return. A connection without a token cannot be evicted.
 type Token uint64
 
-// NoToken is what Admit is given where SetToken follows.
+// NoToken is passed to Admit if the token will be set later with SetToken.
 const NoToken Token = 0
 
 const generationShift = 32
@@ -33,38 +35,38 @@
 	return ID(uint64(generation)<<generationShift | uint64(index+1))
 }
 
-// index returns the connection's index; noIndex for 0.
+// index returns the index of the connection, or noIndex for the ID 0.
 func (id ID) index() int32 { return int32(uint32(id)) - 1 }
 
 func (id ID) generation() uint32 { return uint32(id >> generationShift) }
 
-// Limiter decides on connections. Its methods may be called from any goroutine;
-// each holds one lock.
+// Limiter decides which connections are admitted and which are evicted. Its methods
+// may be called from any goroutine; all of them hold the same lock.
 type Limiter struct {
-	mu       sync.Mutex // guards all
+	mu       sync.Mutex // guards all fields
 	config   Config
-	known    prefixSet // of Config.Known
-	proxies  prefixSet // of Config.TrustedProxies
+	known    prefixSet // set of Config.Known
+	proxies  prefixSet // set of Config.TrustedProxies
 	blocks   []block
 	pressure Pressure
 
-	// What is remembered of clients.
-	epoch     time.Duration // when ticks begin; 0: not set yet
+	// Addresses and prefixes of clients.
+	epoch     time.Duration // the time at which ticks begin; 0 if not set yet
 	addresses table
 	prefixes  table
 
-	// The connections, closed ones among them, whose places are used again.
+	// The connections, including closed ones, whose elements are reused.
 	connections []conn
-	firstFree   int32 // linked by next; noIndex: none
+	firstFree   int32 // index of the first closed connection, linked by next; noIndex if there is none
 	stageLists  [numSides][numStages]stageList
 
 	// Counts of the open connections.
 	openByTrust     [numTrusts]int
-	silent          int // in the stage Silent
-	openRetries     int // admitted as retries
-	activeAddresses int // addresses with connections that count as unknown
+	silent          int // connections in the stage Silent
+	openRetries     int // connections that were admitted as retries
+	activeAddresses int // addresses that have connections counted as Unknown
 
-	unknownRate gcra // of Config.Rate
+	unknownRate gcra // rate limiter for Config.Rate
 
 	// Counts since the start.
 	rejections [NumReasons]uint64
@@ -75,22 +77,22 @@
 type conn struct {
 	token          Token
 	generation     uint32
-	address        int32 // index of its entry; noIndex: its address is not counted
-	prefix         int32
-	previous, next int32 // of its stage's list
+	address        int32 // index of the address's entry; noIndex if the connection is not counted for its address
+	prefix         int32 // index of the prefix's entry, or noIndex
+	previous, next int32 // neighbours in the stage's list
 	trust          Trust
 	stage          Stage
-	listed         bool // it is in a stage's list
+	listed         bool // the connection is in the list of its stage
 	open           bool
-	served         bool // a request of it was served
+	served         bool // a request on the connection was served
 	halfRead       bool
-	isRetry        bool  // it was admitted on the part for retries
-	hasToken       bool  // the caller has set the token, so that it can be evicted
-	bufferedBytes  int32 // of its half-read request
+	isRetry        bool  // the connection uses the capacity that is kept for retries
+	hasToken       bool  // the token is set, so that the connection can be evicted
+	bufferedBytes  int32 // buffered bytes of the half-read request
 	stageSince     time.Duration
 }
 
-// counted reports whether the connection counts for its address and prefix.
+// counted reports whether the connection is counted for its address and prefix.
 func (c *conn) counted() bool { return c.address != noIndex }
 
 // New returns a Limiter. An error names the field of the configuration that is wrong.
@@ -111,8 +113,8 @@
 	return limiter, nil
 }
 
-// Reconfigure changes the configuration. Connections stay, also above lowered
-// limits; the number of addresses that are remembered stays that of New.
+// Reconfigure changes the configuration. Open connections stay open, even above the new
+// limits. The sizes of the tables of addresses and prefixes do not change.
 func (l *Limiter) Reconfigure(config Config) error {
 	err := config.Check()
 	if err != nil {
@@ -130,8 +132,8 @@
 	l.proxies = newPrefixSet(config.TrustedProxies)
 }
 
-// SetCapacity changes the capacity alone, and lowers the reserve where it would
-// leave nothing to unknown addresses.
+// SetCapacity changes only the capacity, and lowers the reserve if it would otherwise
+// leave no capacity for unknown addresses.
 func (l *Limiter) SetCapacity(capacity int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -147,7 +149,7 @@
 	l.mu.Unlock()
 }
 
-// ticksAt converts a time to the unit of the tables.
+// ticksAt converts a time to ticks, the unit that the tables use.
 func (l *Limiter) ticksAt(now time.Duration) ticks {
 	if l.epoch == 0 {
 		l.epoch = max(now, 1)
@@ -180,7 +182,7 @@
 	return newID(index, connection.generation)
 }
 
-// allocate returns the index of a connection that is not open.
+// allocate returns the index of an element of connections that is not in use.
 func (l *Limiter) allocate() int32 {
 	index := l.firstFree
 	if index == noIndex {
@@ -191,7 +193,8 @@
 	return index
 }
 
-// find returns an open connection and its index; nil: it is closed.
+// find returns the open connection with an ID and its index, or noIndex and nil if the
+// connection is closed.
 func (l *Limiter) find(id ID) (int32, *conn) {
 	index := id.index()
 	if index < 0 || int(index) >= len(l.connections) {
@@ -215,7 +218,7 @@
 	}
 }
 
-// Closed removes a connection. An ID that is closed already is ignored.
+// Closed removes a connection. It does nothing if the connection was removed before.
 func (l *Limiter) Closed(id ID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -239,7 +242,8 @@
 	l.firstFree = index
 }
 
-// countOpen adds delta to the connections of a connection's address and prefix.
+// countOpen adds delta to the counts of open connections of a connection's address and
+// prefix.
 func (l *Limiter) countOpen(connection *conn, delta int32) {
 	if !connection.counted() {
 		return
@@ -257,15 +261,15 @@
 	l.prefixes.countOpen(connection.prefix, delta)
 }
 
-// countSilent adds delta to the silent connections, of all and of a connection's
-// address and prefix.
+// countSilent adds delta to the counts of silent connections: the total, and those of a
+// connection's address and prefix.
 func (l *Limiter) countSilent(connection *conn, delta int32) {
 	l.silent += int(delta)
 	l.countOpening(connection, delta)
 }
 
-// countOpening adds delta to the silent connections of a connection's address and
-// prefix.
+// countOpening adds delta to the counts of silent connections of a connection's address
+// and prefix.
 func (l *Limiter) countOpening(connection *conn, delta int32) {
 	if connection.counted() {
 		address, prefix := l.entriesOf(connection)
@@ -274,7 +278,8 @@
 	}
 }
 
-// entriesOf returns the entries of a counted connection's address and prefix.
+// entriesOf returns the entries of the address and prefix of a connection that is
+// counted.
 func (l *Limiter) entriesOf(connection *conn) (address, prefix *tableEntry) {
 	return &l.addresses.entries[connection.address], &l.prefixes.entries[connection.prefix]
 }
--- a/internal/connlimit/model_test.go
+++ b/internal/connlimit/model_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// modelRun drives a Limiter and its model through the same random steps.
+// modelRun applies the same random steps to a Limiter and to its model.
 type modelRun struct {
 	t       *rapid.T
 	config  Config
@@ -17,7 +17,7 @@
 	model   *modelLimiter
 	now     time.Duration
 	step    int
-	open    []ID // in the order of admission
+	open    []ID // open connections in the order of admission
 }
 
 func newModelRun(t *rapid.T) *modelRun {
@@ -46,7 +46,7 @@
 	return &modelRun{t: t, config: config, limiter: limiter, model: model}
 }
 
-// Actions of a step; those below actionClose open a connection.
+// Actions of a step. All values below actionClose open a connection.
 const (
 	actionClose         = 4
 	actionStartRequest  = 6
@@ -55,7 +55,7 @@
 	actionSetPressure   = 9
 )
 
-// takeStep lets some time pass and does one action.
+// takeStep lets some time pass and applies one action.
 func (r *modelRun) takeStep() {
 	r.now += time.Duration(rapid.IntRange(0, 300).Draw(r.t, "ms")) * time.Millisecond
 	action := rapid.IntRange(0, actionSetPressure).Draw(r.t, "action")
@@ -64,10 +64,10 @@
 		return
 	}
 	which := rapid.IntRange(0, len(r.open)-1).Draw(r.t, "which")
-	r.act(action, which)
+	r.applyAction(action, which)
 }
 
-// admit compares the decisions on a new connection.
+// admit compares the decisions of the Limiter and the model on a new connection.
 func (r *modelRun) admit() {
 	network := byte(rapid.IntRange(0, 3).Draw(r.t, "net"))
 	host := byte(rapid.IntRange(1, 4).Draw(r.t, "host"))
@@ -75,7 +75,7 @@
 	want := r.model.admit(r.now, addr)
 	id, got := r.limiter.Admit(r.now, addr, Token(r.step+1))
 	if got != want {
-		r.t.Fatalf("step %d: %v at %v: %v, the model says %v", r.step, addr, r.now, got, want)
+		r.t.Fatalf("step %d: %v at %v: %v, want %v as the model decides", r.step, addr, r.now, got, want)
 	}
 	if got != Allowed {
 		return
@@ -90,12 +90,12 @@
 	r.open = append(r.open, id)
 }
 
-// act does something to an open connection, or changes the pressure.
-func (r *modelRun) act(action, which int) {
+// applyAction applies an action to an open connection, or changes the pressure.
+func (r *modelRun) applyAction(action, which int) {
 	id := r.open[which]
 	conn := r.model.connections[id]
 	switch action {
-	case actionClose, actionClose + 1: // twice as often as the others
+	case actionClose, actionClose + 1: // closing is chosen twice as often as the other actions
 		r.limiter.Closed(id)
 		delete(r.model.connections, id)
 		r.open = slices.Delete(r.open, which, which+1)
@@ -114,7 +114,8 @@
 	}
 }
 
-// check checks the Limiter's counts, and that neither capacity nor reserve is exceeded.
+// check checks the Limiter's counts, and that neither the capacity is exceeded nor the
+// reserve is used by unknown addresses.
 func (r *modelRun) check() {
 	if err := r.limiter.CheckInvariants(); err != nil {
 		r.t.Fatalf("step %d: %v", r.step, err)
@@ -122,13 +123,13 @@
 	unknown := r.model.count(func(c *modelConn) bool { return c.trust == Unknown })
 	total := len(r.model.connections)
 	if unknown > r.config.Capacity-r.config.Reserve || total > r.config.Capacity {
-		r.t.Fatalf("step %d: %d unknown of %d, capacity %d, reserve %d",
+		r.t.Fatalf("step %d: %d unknown of %d connections, capacity %d, reserve %d",
 			r.step, unknown, total, r.config.Capacity, r.config.Reserve)
 	}
 }
 
-// randomSteps compares a Limiter with the model over random steps, and checks its
-// invariants after each.
+// randomSteps compares a Limiter with the model over random steps, and checks the
+// Limiter's invariants after each step.
 func randomSteps(t *rapid.T) {
 	run := newModelRun(t)
 	for run.step = range rapid.IntRange(1, 150).Draw(t, "steps") {
--- a/internal/connlimit/modellimiter_test.go
+++ b/internal/connlimit/modellimiter_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// modelLimiter decides as a Limiter does, but remembers everything and searches all
-// connections for each decision.
+// modelLimiter makes the same decisions as a Limiter in a simple way: it never forgets
+// an address, and it counts all connections anew for each decision.
 type modelLimiter struct {
 	config         Config
 	connections    map[ID]*modelConn
-	nextConforming map[string]time.Duration // by address or prefix, as gcra's theoretical arrival
+	nextConforming map[string]time.Duration // theoretical arrival time as in gcra, by address or prefix
 	pressure       Pressure
 }
 
@@ -22,7 +22,7 @@
 	stage        Stage
 }
 
-// count returns how many connections match.
+// count returns the number of connections for which matches returns true.
 func (m *modelLimiter) count(matches func(*modelConn) bool) (n int) {
 	for _, c := range m.connections {
 		if matches(c) {
@@ -40,7 +40,7 @@
 	ofAddress := func(c *modelConn) bool { return c.addr == address }
 	ofPrefix := func(c *modelConn) bool { return c.prefix == prefix }
 	trust := m.trustOf(addr)
-	if trust != Known { // the operator vouches for known addresses
+	if trust != Known { // limits do not apply to addresses that the operator has configured as known
 		reason := m.exceededLimit(now, m.config.Address, address, ofAddress,
 			limitReasons{open: AddressOpen, opening: AddressOpening, rate: AddressRate})
 		if reason == Allowed {
@@ -64,7 +64,8 @@
 	return Allowed
 }
 
-// checkCapacity returns why there is no capacity for a connection.
+// checkCapacity returns Full or FullTrusted if there is no capacity for another
+// connection, or Allowed.
 func (m *modelLimiter) checkCapacity(trust Trust) Reason {
 	total := len(m.connections)
 	openKnown := m.count(func(c *modelConn) bool { return c.trust == Known })
@@ -72,13 +73,13 @@
 		return Full
 	}
 	if trust == Known && total >= m.config.Capacity {
-		return FullKnown
+		return FullTrusted
 	}
 	return Allowed
 }
 
-// checkPressure returns why a connection of an unknown address, whose other ones
-// match, is rejected under pressure.
+// checkPressure returns the reason why a connection of an unknown address is rejected
+// under pressure, or Allowed. ofAddress selects the connections of the address.
 func (m *modelLimiter) checkPressure(ofAddress func(*modelConn) bool) Reason {
 	if m.pressure > PressureLow {
 		return NoDescriptors
@@ -100,7 +101,7 @@
 	return Allowed
 }
 
-// countArrival counts an admitted connection of an address or a prefix for its rate.
+// countArrival counts an admitted connection for the rate of an address or a prefix.
 func (m *modelLimiter) countArrival(now time.Duration, name string, limits Limits) {
 	if limits.PerSecond > 0 && m.conforms(now, name, limits) {
 		interval := time.Duration(float64(time.Second) / limits.PerSecond)
@@ -108,7 +109,8 @@
 	}
 }
 
-// conforms reports whether a connection of an address or a prefix keeps its rate.
+// conforms reports whether a new connection conforms to the rate of an address or a
+// prefix.
 func (m *modelLimiter) conforms(now time.Duration, name string, limits Limits) bool {
 	interval := time.Duration(float64(time.Second) / limits.PerSecond)
 	return m.nextConforming[name] <= now+interval*time.Duration(limits.Burst-1)
@@ -121,8 +123,9 @@
 	return Unknown
 }
 
-// exceededLimit returns the limit that another connection of an address or a prefix
-// would exceed, whose connections match.
+// exceededLimit returns the reason for the limit that another connection of an address
+// or a prefix would exceed, or Allowed. matches selects the connections of the address
+// or prefix.
 func (m *modelLimiter) exceededLimit(
 	now time.Duration, limits Limits, name string, matches func(*modelConn) bool, reasons limitReasons,
 ) Reason {
--- a/internal/connlimit/prefixset.go
+++ b/internal/connlimit/prefixset.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// prefixSet finds whether one of some prefixes contains an address, by a map lookup
-// for each length of prefix in it.
+// prefixSet is a set of prefixes. It finds out whether a prefix of the set contains an
+// address with one map lookup for each length of prefix in the set.
 type prefixSet struct {
 	v4Lengths []int
 	v6Lengths []int
--- a/internal/connlimit/pressure.go
+++ b/internal/connlimit/pressure.go
@@ -1,9 +1,11 @@
 package connlimit
 
-// Pressure is how scarce descriptors are, by how many of them are in use.
+// Pressure is the level of scarcity of descriptors, according to how many of them are
+// in use.
 type Pressure int
 
-// The levels of pressure. Each includes what those below it do.
+// The levels of pressure. The measures of the lower levels also apply at the higher
+// ones.
 const (
 	PressureNone     Pressure = iota
 	PressureLow               // idle connections of unknown addresses are evicted
--- a/internal/connlimit/pressure_test.go
+++ b/internal/connlimit/pressure_test.go
@@ -7,7 +7,7 @@
 
 const trustedProxyAddr = "127.8.0.1"
 
-// newProxyLimiter returns a Limiter of 12 connections that trusts a proxy.
+// newProxyLimiter returns a Limiter with a capacity of 12 that trusts a proxy.
 func newProxyLimiter(t *testing.T) *Limiter {
 	t.Helper()
 	return newLimiter(t, Config{
@@ -17,11 +17,11 @@
 	})
 }
 
-// admitUnderPressure opens seven connections of 10.0.0.1 and one of 10.0.0.2, under
-// rising pressure and then without any.
+// admitUnderPressure opens seven connections of 10.0.0.1 and one of 10.0.0.2, first
+// under rising pressure and then without pressure.
 func admitUnderPressure(t *testing.T, limiter *Limiter) {
 	t.Helper()
-	limiter.SetPressure(PressureLow) // a fair share is 12 by one address, and one more that may arrive
+	limiter.SetPressure(PressureLow) // the fair share is 12 / 2: one active address, plus one that may arrive
 	for range 6 {
 		admit(t, limiter, 0, "10.0.0.1", Allowed)
 	}
@@ -33,7 +33,8 @@
 	admit(t, limiter, 0, "10.0.0.1", Allowed)
 }
 
-// Pressure rejects unknown addresses beyond their fair share, and then all of them.
+// Under low pressure, unknown addresses are rejected above their fair share; under high
+// pressure all unknown addresses are rejected.
 func TestPressureRejectsUnknownAddresses(t *testing.T) {
 	limiter := newProxyLimiter(t)
 	admitUnderPressure(t, limiter)
--- a/internal/connlimit/reason.go
+++ b/internal/connlimit/reason.go
@@ -5,31 +5,31 @@
 
 // The reasons.
 const (
-	Allowed         Reason = iota // it is not rejected
-	Blocked                       // by Block
-	AddressOpen                   // Limits.Open of the address
-	AddressOpening                // Limits.Opening
-	AddressRate                   // Limits.PerSecond and Burst
-	AddressHalfRead               // Limits.HalfRead
-	AddressBytes                  // Limits.Bytes
-	PrefixOpen                    // Limits.Open of the prefix, and so on
+	Allowed         Reason = iota // the connection or request is not rejected
+	Blocked                       // the address is blocked by Block
+	AddressOpen                   // Limits.Open of the address is exceeded
+	AddressOpening                // Limits.Opening of the address
+	AddressRate                   // Limits.PerSecond and Burst of the address
+	AddressHalfRead               // Limits.HalfRead of the address
+	AddressBytes                  // Limits.Bytes of the address
+	PrefixOpen                    // Limits.Open of the prefix is exceeded, and so on
 	PrefixOpening
 	PrefixRate
 	PrefixHalfRead
 	PrefixBytes
-	FairShare     // more than an equal share, under pressure
+	FairShare     // under pressure, the address has its fair share of connections already
 	Full          // no capacity for an unknown address
-	FullKnown     // none for a trusted one, which may be admitted once another is evicted
-	TotalRate     // Config.Rate
-	NoDescriptors // the descriptors are exhausted, or nearly
-	BadHeader     // no readable PROXY header from a trusted proxy
-	Slow          // a request arrives below Config.MinRate
-	Stalled       // the client does not read its answers
+	FullTrusted   // no capacity for a trusted address, which may be admitted after an eviction
+	TotalRate     // Config.Rate is exceeded
+	NoDescriptors // no descriptors, or almost none, are left
+	BadHeader     // a trusted proxy has not sent a valid PROXY header
+	Slow          // a request arrives at less than Config.MinRate
+	Stalled       // the client does not read its responses
 	Greedy        // the client uses more memory than its share
 	NumReasons    // the number of reasons
 )
 
-// reasonNames are keys of the admin API's JSON.
+// reasonNames are the keys of the reasons in the admin API's JSON.
 var reasonNames = [NumReasons]string{
 	Allowed:         "fine",
 	Blocked:         "barred",
@@ -45,7 +45,7 @@
 	PrefixBytes:     "prefix_bytes",
 	FairShare:       "fair_share",
 	Full:            "full",
-	FullKnown:       "full_known",
+	FullTrusted:     "full_known",
 	TotalRate:       "total_rate",
 	NoDescriptors:   "descriptors",
 	BadHeader:       "bad_proxy_header",
@@ -57,7 +57,8 @@
 // String returns the reason's key in the admin API's JSON.
 func (r Reason) String() string { return reasonNames[r] }
 
-// limitReasons are the reasons that stand for the fields of Limits on connections.
+// limitReasons contains the reasons for the limits on connections, which are fields of
+// Limits.
 type limitReasons struct{ open, opening, rate Reason }
 
 var (
@@ -65,7 +66,7 @@
 	prefixReasons  = limitReasons{PrefixOpen, PrefixOpening, PrefixRate}
 )
 
-// CountReason counts a rejection that the Limiter does not decide on.
+// CountReason counts a rejection that was not decided by the Limiter.
 func (l *Limiter) CountReason(reason Reason) {
 	l.mu.Lock()
 	l.rejections[reason]++
--- a/internal/connlimit/request.go
+++ b/internal/connlimit/request.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// RequestStarted notes that the first byte of a request has arrived. Where the
-// reason is not Allowed, the request exceeds a limit, but is counted all the same.
+// RequestStarted records that the first byte of a request has arrived. If the request
+// exceeds a limit, the reason is not Allowed, but the request is still counted.
 func (l *Limiter) RequestStarted(now time.Duration, id ID) Reason {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -31,8 +31,8 @@
 	return Allowed
 }
 
-// SetBuffered notes how many bytes of a half-read request are buffered. Where the
-// reason is not Allowed, they exceed a limit, but are counted all the same.
+// SetBuffered records the number of buffered bytes of a half-read request. If they
+// exceed a limit, the reason is not Allowed, but the bytes are still counted.
 func (l *Limiter) SetBuffered(id ID, bytes int) Reason {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -57,10 +57,12 @@
 	return Allowed
 }
 
-// exceeds reports whether a count is above a limit; a limit of 0 is none.
+// exceeds reports whether a count is above a limit. A limit of 0 means that there is no
+// limit.
 func exceeds(count int32, limit int) bool { return limit > 0 && int(count) > limit }
 
-// clearHalfRead uncounts a connection's half-read request.
+// clearHalfRead removes a connection's half-read request, if there is one, from the
+// counts.
 func (l *Limiter) clearHalfRead(connection *conn) {
 	if connection.counted() {
 		address, prefix := l.entriesOf(connection)
@@ -75,7 +77,7 @@
 	connection.bufferedBytes = 0
 }
 
-// RequestComplete notes that a request is complete and an answer is owed.
+// RequestComplete records that a request has arrived completely and a response is owed.
 func (l *Limiter) RequestComplete(now time.Duration, id ID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -87,8 +89,9 @@
 	l.setStage(index, Busy, now)
 }
 
-// BecameIdle notes that no answer is owed on a connection, and no byte of a request
-// has arrived. served says that a request of it was served just now.
+// BecameIdle records that no response is owed on a connection and no byte of another
+// request has arrived. served is true if a request on the connection was served just
+// now.
 func (l *Limiter) BecameIdle(now time.Duration, id ID, served bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -108,9 +111,10 @@
 	l.setStage(index, stage, now)
 }
 
-// TooSlow reports whether a request whose first byte arrived at since, and of which
-// so many bytes have arrived, is slower than Config.MinRate. If it is not,
-// checkAgain is when to ask again; 0: never.
+// TooSlow reports whether a request arrives at less than Config.MinRate. Its first byte
+// arrived at the time since, and the given number of bytes have arrived so far. If the
+// request is not too slow, checkAgain is the time at which it must be checked again, or
+// 0 if there is no minimum rate.
 func (l *Limiter) TooSlow(now, since time.Duration, bytes int) (slow bool, checkAgain time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/connlimit/request_test.go
+++ b/internal/connlimit/request_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A request is too slow once its bytes took longer than the least rate allows, after
-// its grace; else the time of the next check is given.
+// A request is too slow if its bytes have taken longer than the minimum rate allows and
+// RateGrace has passed. Otherwise TooSlow returns the time of the next check.
 func TestTooSlow(t *testing.T) {
 	limiter := newLimiter(t, Config{Capacity: 1, MinRate: 100})
 	for _, c := range []struct {
--- a/internal/connlimit/reserve_test.go
+++ b/internal/connlimit/reserve_test.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// learnedAddr is the address that learns trust in these tests.
+// learnedAddr is the address that becomes Learned in these tests.
 const learnedAddr = "10.1.0.1"
 
-// newReserveLimiter returns a Limiter of 38 connections, 20 of them reserved, of
-// which addresses that are learned after three requests may use a half.
+// newReserveLimiter returns a Limiter with a capacity of 38, of which 20 are reserved.
+// Addresses become Learned after three requests, and may use half of the reserve.
 func newReserveLimiter(t *testing.T) *Limiter {
 	t.Helper()
 	return newLimiter(t, Config{
@@ -22,7 +22,8 @@
 	})
 }
 
-// serveRequests has a connection's client become learned.
+// serveRequests serves three requests on a connection, so that its address becomes
+// Learned.
 func serveRequests(limiter *Limiter, id ID) {
 	for range 3 {
 		limiter.RequestStarted(0, id)
@@ -31,15 +32,15 @@
 	}
 }
 
-// fillWithLearned admits connections of learnedAddr until one is rejected, and
-// returns how many and the last.
+// fillWithLearned admits connections of learnedAddr until one is rejected. It returns
+// the number of admitted connections and the last of them.
 func fillWithLearned(t *testing.T, limiter *Limiter) (admitted int, last ID) {
 	t.Helper()
 	for {
 		id, reason := limiter.Admit(0, netip.MustParseAddr(learnedAddr), 1)
 		if reason != Allowed {
-			if reason != FullKnown {
-				t.Errorf("a learned address is rejected: %v, want %v", reason, FullKnown)
+			if reason != FullTrusted {
+				t.Errorf("a learned address is rejected with %v, want %v", reason, FullTrusted)
 			}
 			return admitted, last
 		}
@@ -48,8 +49,8 @@
 	}
 }
 
-// fillRest admits as many newcomers and known clients as there is capacity for beside
-// the learned ones.
+// fillRest admits connections of unknown and known addresses in the capacity that the
+// learned address cannot use.
 func fillRest(t *testing.T, limiter *Limiter) {
 	t.Helper()
 	for i := range 2 {
@@ -60,7 +61,7 @@
 	}
 }
 
-// Unknown addresses never use the reserve, and known ones all of it.
+// Unknown addresses cannot use the reserve, and known ones can use all of it.
 func TestReserveIsKeptFromUnknown(t *testing.T) {
 	limiter := newReserveLimiter(t)
 	for i := range 18 {
@@ -70,32 +71,34 @@
 	for i := range 20 {
 		admit(t, limiter, 0, fmt.Sprintf("127.9.0.%d", i%3+1), Allowed)
 	}
-	admit(t, limiter, 0, "127.9.0.1", FullKnown)
+	admit(t, limiter, 0, "127.9.0.1", FullTrusted)
 	view := limiter.Snapshot(0)
 	if view.InReserve != 20 || view.Trust["known"] != 20 || view.Trust["unknown"] != 18 {
-		t.Errorf("%+v; want 20 known connections in the reserve, and 18 unknown ones", view)
+		t.Errorf("got %+v, want 20 known connections in the reserve and 18 unknown ones", view)
 	}
 }
 
-// Learned addresses use a part of the reserve and leave newcomers their share; known
-// ones get what is left of it.
+// Learned addresses can use a part of the reserve, but not the share of the capacity
+// that is kept for unknown addresses. Known addresses can use the rest of the reserve.
 func TestReserveOfLearned(t *testing.T) {
 	limiter := newReserveLimiter(t)
 	serveRequests(limiter, admit(t, limiter, 0, learnedAddr, Allowed))
 	learned, last := fillWithLearned(t, limiter)
-	// 38 without the 10 of the reserve that are not theirs, and the 3 for newcomers. The
-	// learned address's first connection counts as one of those: it was unknown then.
+	// The capacity of 38 less the 10 of the reserve that learned addresses cannot use and
+	// the 3 for unknown addresses. The first connection of the learned address is counted
+	// among those 3, since the address was unknown when it was admitted.
 	if learned != 38-10-3 {
-		t.Errorf("%d learned connections are admitted, want %d", learned, 38-10-3)
+		t.Errorf("%d learned connections were admitted, want %d", learned, 38-10-3)
 	}
 	fillRest(t, limiter)
 	if limiter.TrustOf(last) != Learned {
-		t.Errorf("the address is %v, want it learned", limiter.TrustOf(last))
+		t.Errorf("the connection has trust %v, want learned", limiter.TrustOf(last))
 	}
 	checkInvariants(t, limiter)
 }
 
-// An address that abuses its place is unknown at once, and is not learned again soon.
+// An address becomes Unknown when abuse is reported, and does not become Learned again
+// soon.
 func TestAbuseEndsLearnedTrust(t *testing.T) {
 	limiter := newReserveLimiter(t)
 	serveRequests(limiter, admit(t, limiter, 0, learnedAddr, Allowed))
@@ -103,18 +106,18 @@
 	fillRest(t, limiter)
 	limiter.ReportAbuse(0, last, Slow)
 	_, reason := limiter.Admit(0, netip.MustParseAddr(learnedAddr), 1)
-	if limiter.TrustOf(last) != Unknown || reason == FullKnown {
-		t.Errorf("after abuse: trust %v, want unknown; another connection: %v, want any but %v",
-			limiter.TrustOf(last), reason, FullKnown)
+	if limiter.TrustOf(last) != Unknown || reason == FullTrusted {
+		t.Errorf("after abuse: trust %v, want unknown; another connection: %v, want any reason but %v",
+			limiter.TrustOf(last), reason, FullTrusted)
 	}
 	limiter.BecameIdle(time.Second, last, true)
-	if limiter.IsKnown(time.Second, netip.MustParseAddr(learnedAddr)) {
-		t.Error("the address is learned again at once after abuse")
+	if limiter.IsTrusted(time.Second, netip.MustParseAddr(learnedAddr)) {
+		t.Error("the address becomes learned again 1 s after abuse")
 	}
 	checkInvariants(t, limiter)
 }
 
-// The score that makes an address learned decays by its half-life.
+// The score by which an address is Learned decays with the configured half-life.
 func TestLearnedTrustDecays(t *testing.T) {
 	limiter := newLimiter(t, Config{Capacity: 10, Learn: LearnConfig{Enabled: true, After: 2, HalfLife: time.Minute}})
 	id := admit(t, limiter, 0, learnedAddr, Allowed)
@@ -122,8 +125,8 @@
 		limiter.BecameIdle(0, id, true)
 	}
 	addr := netip.MustParseAddr(learnedAddr)
-	if !limiter.IsKnown(30*time.Second, addr) || limiter.IsKnown(2*time.Minute, addr) {
+	if !limiter.IsTrusted(30*time.Second, addr) || limiter.IsTrusted(2*time.Minute, addr) {
 		t.Errorf("a score of 3 with a half-life of a minute: learned %v after 30 s and %v after 2 min, want true and false",
-			limiter.IsKnown(30*time.Second, addr), limiter.IsKnown(2*time.Minute, addr))
+			limiter.IsTrusted(30*time.Second, addr), limiter.IsTrusted(2*time.Minute, addr))
 	}
 }
--- a/internal/connlimit/roundrobin.go
+++ b/internal/connlimit/roundrobin.go
@@ -2,23 +2,23 @@
 
 import "net/netip"
 
-// RoundRobin hands out tokens by turns of their addresses: each address has one
-// turn a round, however many of its tokens wait. The zero value is empty. It
-// belongs to one goroutine.
+// RoundRobin is a queue of tokens with fairness between addresses: in each round every
+// address gets one turn, however many of its tokens are waiting. The zero value is
+// empty. A RoundRobin must be used by one goroutine only.
 type RoundRobin struct {
 	byAddress map[netip.Addr]*tokenQueue
-	round     []*tokenQueue // the next turn first
-	free      []*tokenQueue
-	size      int
+	round     []*tokenQueue // queues with waiting tokens, in the order of their turns
+	free      []*tokenQueue // empty queues for reuse
+	size      int           // number of waiting tokens
 }
 
-// tokenQueue is the tokens of one address, in the order of Add.
+// tokenQueue contains the tokens of one address, in the order in which they were added.
 type tokenQueue struct {
 	addr   netip.Addr
 	tokens []uint64
 }
 
-// Add puts a token at the end of its address's queue.
+// Add adds a token to the end of an address's queue.
 func (r *RoundRobin) Add(addr netip.Addr, token uint64) {
 	queue := r.byAddress[addr]
 	if queue == nil {
@@ -28,7 +28,7 @@
 	r.size++
 }
 
-// addQueue puts an address at the end of the round.
+// addQueue adds an empty queue for an address to the end of the round.
 func (r *RoundRobin) addQueue(addr netip.Addr) *tokenQueue {
 	if r.byAddress == nil {
 		r.byAddress = map[netip.Addr]*tokenQueue{}
@@ -46,7 +46,8 @@
 	return queue
 }
 
-// Next removes and returns the first token of the address whose turn it is.
+// Next removes and returns the first token of the address whose turn it is. ok is false
+// if no token is waiting.
 func (r *RoundRobin) Next() (token uint64, ok bool) {
 	if len(r.round) == 0 {
 		return 0, false
@@ -63,8 +64,8 @@
 	return token, true
 }
 
-// removeFirst removes a slice's first element in place, so that it is not
-// reallocated as it moves on.
+// removeFirst removes the first element of a slice in place and returns it. The slice
+// keeps its start, so that later appends do not reallocate it.
 func removeFirst[T any](slice *[]T) T {
 	s := *slice
 	first := s[0]
@@ -73,5 +74,5 @@
 	return first
 }
 
-// Len returns how many tokens wait.
+// Len returns the number of waiting tokens.
 func (r *RoundRobin) Len() int { return r.size }
--- a/internal/connlimit/scale_test.go
+++ b/internal/connlimit/scale_test.go
@@ -12,22 +12,22 @@
 const (
 	scaleAddresses = 1_000_000
 	scaleSeconds   = 10_000 // of virtual time
-	arrivalsPerS   = 400    // of unknown addresses
+	arrivalsPerS   = 400    // connections of unknown addresses per second
 	scaleCapacity  = 1000
 	scaleReserve   = 200
 
-	longestOpen   = 8 * time.Second // for which a connection stays open
-	retryInterval = time.Second     // between two attempts of the address that keeps its limits
+	longestOpen   = 8 * time.Second // longest time for which a connection stays open
+	retryInterval = time.Second     // time between two attempts of the address that keeps its limits
 	longestWait   = longestOpen + retryInterval
 
 	minDistinctAddresses = 970_000
 	maxHeapBytes         = 8 << 20
 )
 
-// A million addresses in 10,000 s of virtual time: memory stays bounded, addresses
-// with connections are never forgotten, unknown ones never use the reserve, and an
-// address that keeps its limits is admitted within the bound that
-// docs/connections.md states: the longest time for which a connection stays, and
+// A million addresses connect in 10,000 s of virtual time. Memory stays bounded, the
+// entries of addresses with connections are not removed, and unknown addresses do not
+// use the reserve. An address that keeps its limits is admitted within the bound that
+// docs/connections.md states: the longest time for which a connection stays open, plus
 // the time between two attempts.
 func TestMillionAddresses(t *testing.T) {
 	if raceEnabled {
@@ -63,7 +63,7 @@
 	runtime.KeepAlive(s.limiter)
 }
 
-// heapBytes returns the size of all that is reachable on the heap.
+// heapBytes returns the size of all reachable objects on the heap.
 func heapBytes() uint64 {
 	var stats runtime.MemStats
 	runtime.GC()
@@ -71,8 +71,8 @@
 	return stats.HeapAlloc
 }
 
-// scaleTest is a Limiter under the load of TestMillionAddresses, and what is known
-// of its connections.
+// scaleTest is a Limiter under the load of TestMillionAddresses, with the state of the
+// simulated clients.
 type scaleTest struct {
 	t       *testing.T
 	limiter *Limiter
@@ -81,23 +81,23 @@
 
 	lastToken Token
 	open      []scaleConnection
-	byToken   map[Token]ID // also of connections that have ended
+	byToken   map[Token]ID // IDs of connections, including some that have ended
 
-	seen          []uint64 // a bit for each address
-	distinct      int      // addresses seen
+	seen          []uint64 // bit set of the addresses that have connected
+	distinct      int      // number of addresses that have connected
 	attempts      int
 	admitted      int
 	knownRejected int
 
-	// wellBehaved is the address that keeps its limits.
+	// wellBehaved is the state of the address that keeps its limits.
 	wellBehaved struct {
 		waiting bool
-		since   time.Duration
-		worst   time.Duration // the longest wait
+		since   time.Duration // when it began to wait
+		worst   time.Duration // its longest wait so far
 	}
 }
 
-// scaleConnection is a connection that ends by itself.
+// scaleConnection is a connection that is closed at a given time.
 type scaleConnection struct {
 	id   ID
 	ends time.Duration
@@ -121,18 +121,18 @@
 	}
 }
 
-// unknownAddr returns the address with a number below a million.
+// unknownAddr returns the unknown address number n, which is below a million.
 func unknownAddr(n int) netip.Addr {
 	return netip.AddrFrom4([4]byte{11, byte(n >> 16), byte(n >> 8), byte(n)})
 }
 
-// admit opens a connection and begins a request on it, which is answered at once
-// unless busy. The connection ends after the span.
+// admit opens a connection and sends a request on it. If busy is true, the request
+// stays unanswered, otherwise it is answered at once. The connection ends after span.
 func (s *scaleTest) admit(addr netip.Addr, span time.Duration, busy bool) Reason {
 	s.attempts++
 	s.lastToken++
 	id, reason := s.limiter.Admit(s.now, addr, s.lastToken)
-	if reason == Full || reason == FullKnown { // as the listener does: the candidate is evicted
+	if reason == Full || reason == FullTrusted { // evicts the candidate and retries, as the listener does
 		if s.evictFor(reason) {
 			id, reason = s.limiter.Admit(s.now, addr, s.lastToken)
 		}
@@ -152,12 +152,12 @@
 	return Allowed
 }
 
-// evictFor evicts a connection for one that was rejected, and returns false if there
-// is no candidate.
+// evictFor evicts a connection in favour of one that was rejected for a reason. It
+// returns false if there is no candidate.
 func (s *scaleTest) evictFor(reason Reason) bool {
 	need := ForUnknown
-	if reason == FullKnown {
-		need = ForKnown
+	if reason == FullTrusted {
+		need = ForTrusted
 	}
 	candidate, ok := s.limiter.EvictionCandidate(s.now, need, Spared{})
 	if ok {
@@ -167,7 +167,7 @@
 	return ok
 }
 
-// closeEnded closes the connections whose span is over.
+// closeEnded closes the connections that end by now.
 func (s *scaleTest) closeEnded() {
 	stillOpen := s.open[:0]
 	for _, connection := range s.open {
@@ -189,12 +189,12 @@
 	}
 }
 
-// admitUnknown opens a second's connections of unknown addresses.
+// admitUnknown opens the connections of unknown addresses that arrive in one second.
 func (s *scaleTest) admitUnknown(second int) {
 	for range arrivalsPerS {
 		n := s.random.IntN(scaleAddresses)
 		if second%7 == 0 && s.random.IntN(2) == 0 {
-			n = s.random.IntN(20) // some that retry again and again, fewer than the part for retries
+			n = s.random.IntN(20) // a few addresses that retry often, fewer than the capacity kept for retries
 		}
 		s.countDistinct(n)
 		span := time.Duration(1+s.random.IntN(7)) * time.Second
@@ -211,7 +211,7 @@
 	}
 }
 
-// admitKnown opens connections of known addresses, which are never rejected.
+// admitKnown opens connections of known addresses, and counts those that are rejected.
 func (s *scaleTest) admitKnown() {
 	for i := range 5 {
 		addr := netip.AddrFrom4([4]byte{10, 255, 0, byte(s.random.IntN(40))})
@@ -222,8 +222,8 @@
 	}
 }
 
-// admitWellBehaved opens a connection of the address that keeps its limits, and
-// checks how long it waits.
+// admitWellBehaved tries to open a connection of the address that keeps its limits, and
+// checks how long the address has been waiting.
 func (s *scaleTest) admitWellBehaved() {
 	client := &s.wellBehaved
 	if !client.waiting {
@@ -237,19 +237,19 @@
 		return
 	}
 	if s.now-client.since > longestWait {
-		s.t.Fatalf("an address that keeps its limits waits since %v at %v: %v; open %v, retries among them %d",
+		s.t.Fatalf("an address that keeps its limits has waited since %v at %v: %v; open %v, among them %d retries",
 			client.since, s.now, reason, s.limiter.openByTrust, s.limiter.openRetries)
 	}
 }
 
-// checkReserve checks that unknown addresses use none of the reserve, and learned
-// ones their half at most.
+// checkReserve checks that unknown addresses do not use the reserve, and that learned
+// addresses use at most half of it.
 func (s *scaleTest) checkReserve() {
 	const unreserved = scaleCapacity - scaleReserve
 	unknown := s.limiter.openByTrust[Unknown]
 	learned := s.limiter.openByTrust[Learned]
 	if unknown+learned > unreserved+scaleReserve/2 || unknown > unreserved {
-		s.t.Fatalf("%v: open by trust %v, of %d unreserved and %d reserved",
+		s.t.Fatalf("%v: open connections by trust: %v; capacity: %d unreserved and %d reserved",
 			s.now, s.limiter.openByTrust, unreserved, scaleReserve)
 	}
 }
@@ -260,7 +260,7 @@
 	}
 }
 
-// freeOwnMemory frees all but the Limiter.
+// freeOwnMemory frees the memory of the test, except for the Limiter.
 func (s *scaleTest) freeOwnMemory() {
 	s.byToken = nil
 	s.open = nil
--- a/internal/connlimit/snapshot.go
+++ b/internal/connlimit/snapshot.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// View is the state of a Limiter as the admin API returns it. Counts are those at
-// the time of the call, but Admitted and Rejections, which count since the start.
+// View is the state of a Limiter as the admin API returns it. Admitted and Rejections
+// count since the start; all other counts are present values.
 type View struct {
-	Open       map[string]int    `json:"open"`     // connections by Stage
-	Trust      map[string]int    `json:"standing"` // connections by Trust
+	Open       map[string]int    `json:"open"`     // open connections by Stage
+	Trust      map[string]int    `json:"standing"` // open connections by Trust
 	Capacity   int               `json:"room"`     // Config.Capacity
 	Reserve    int               `json:"reserve"`
-	InReserve  int               `json:"reserve_used"` // by trusted connections
+	InReserve  int               `json:"reserve_used"` // part of the reserve that trusted connections use
 	Pressure   Pressure          `json:"pressure"`
 	Admitted   uint64            `json:"admitted"`
 	Rejections map[string]uint64 `json:"refused"` // rejections by Reason
 	Addresses  int               `json:"addresses_remembered"`
 	Learned    int               `json:"addresses_learned"`
-	Prefixes   []PrefixView      `json:"top_prefixes"` // those with the most connections
+	Prefixes   []PrefixView      `json:"top_prefixes"` // the prefixes with the most connections
 	Blocks     []BlockView       `json:"bars"`
 }
 
-// PrefixView is what the connections of a prefix use.
+// PrefixView contains the counts of a prefix.
 type PrefixView struct {
 	Prefix   string `json:"prefix"`
 	Open     int    `json:"open"`
@@ -36,10 +36,10 @@
 // BlockView is a prefix that is blocked.
 type BlockView struct {
 	Prefix string  `json:"prefix"`
-	ForS   float64 `json:"for_s"` // seconds that are left of it
+	ForS   float64 `json:"for_s"` // seconds until the block ends
 }
 
-const maxTopPrefixes = 10 // of View.Prefixes
+const maxTopPrefixes = 10 // maximum length of View.Prefixes
 
 // Snapshot returns the state of the Limiter.
 func (l *Limiter) Snapshot(now time.Duration) View {
--- a/internal/connlimit/stage.go
+++ b/internal/connlimit/stage.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// Stage is what a connection has sent and what it does now.
+// Stage is the present stage of a connection in its sequence of requests.
 type Stage uint8
 
-// The stages. Connections are evicted in this order; those that are Busy never are.
+// The stages. Connections are evicted in this order, except Busy ones, which are never
+// evicted.
 const (
-	Unserved Stage = iota // idle, and none of its requests was served
+	Unserved Stage = iota // idle, and no request on the connection was served yet
 	Silent                // no byte has arrived yet
-	Proven                // idle, and a request of it was served
+	Proven                // idle, and a request on the connection was served
 	HalfRead              // a part of a request has arrived
-	Busy                  // an answer is owed
+	Busy                  // a response is owed
 	numStages
 )
 
-// stageNames are keys of the admin API's JSON.
+// stageNames are the keys of the stages in the admin API's JSON.
 var stageNames = [numStages]string{
 	Unserved: "asking",
 	Silent:   "silent",
@@ -27,14 +28,14 @@
 // String returns the stage's key in the admin API's JSON.
 func (s Stage) String() string { return stageNames[s] }
 
-const noIndex int32 = -1 // of a connection or an entry
+const noIndex int32 = -1 // means that there is no such connection or entry
 
-// stageList is the doubly linked list of the connections of one stage, the one
-// that has been in it the longest first.
+// stageList is the doubly linked list of the connections in one stage. The connection
+// that has been in the stage the longest is first.
 type stageList struct{ first, last int32 }
 
-// Connections of unknown addresses are in other lists than trusted ones, and are
-// evicted before them.
+// Connections of unknown addresses and those of trusted addresses are in separate lists.
+// The former are evicted first.
 const (
 	unknownSide = iota
 	trustedSide
@@ -48,7 +49,7 @@
 	return trustedSide
 }
 
-// addToStage puts a connection that is in no list at the end of a stage's list.
+// addToStage appends a connection that is not in any list to the list of a stage.
 func (l *Limiter) addToStage(index int32, stage Stage, now time.Duration) {
 	connection := &l.connections[index]
 	connection.stage = stage
@@ -65,7 +66,7 @@
 	list.last = index
 }
 
-// removeFromStage takes a connection out of its stage's list.
+// removeFromStage removes a connection from the list of its stage.
 func (l *Limiter) removeFromStage(index int32) {
 	connection := &l.connections[index]
 	if !connection.listed {
@@ -85,7 +86,8 @@
 	connection.listed = false
 }
 
-// setStage moves a connection to the end of another stage's list, or of its own.
+// setStage sets the stage of a connection and moves it to the end of that stage's list,
+// even if the stage does not change.
 func (l *Limiter) setStage(index int32, stage Stage, now time.Duration) {
 	connection := &l.connections[index]
 	l.removeFromStage(index)
--- a/internal/connlimit/table.go
+++ b/internal/connlimit/table.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// key is an address, or the first address of a prefix, as its 16-byte form.
+// key is the 16-byte form of an address, or of the first address of a prefix.
 type key struct{ high, low uint64 }
 
 func keyOf(addr netip.Addr) key {
@@ -23,48 +23,49 @@
 	return netip.AddrFrom16(b).Unmap()
 }
 
-// Multipliers of hash: odd, with bits set evenly.
+// Multipliers of hash. They are odd, and their set bits are spread evenly.
 const (
 	hashMultiplier1 = 0x9e3779b97f4a7c15 // 2^64 divided by the golden ratio
 	hashMultiplier2 = 0xd6e8feb86659fd93
 )
 
-// hash mixes the key with the table's seed: whoever chooses addresses must not be
-// able to choose slots.
+// hash returns a hash of the key with the table's seed, so that somebody who chooses
+// addresses cannot choose their slots in the table.
 func (k key) hash(seed uint64) uint32 {
 	high, low := bits.Mul64(k.high^seed, hashMultiplier1)
 	high, low = bits.Mul64(high^low^k.low^seed, hashMultiplier2)
 	return uint32(high ^ low)
 }
 
-// ticks is a time in units of tickLength since the Limiter's first one, from 1 on;
-// 0 is never. It wraps after 497 days, and is compared by difference.
+// ticks is a time in units of tickLength, counted from 1 at the first time that the
+// Limiter has seen. 0 means never. The value wraps around after 497 days, so times are
+// compared by their difference.
 type ticks uint32
 
 const tickLength = 10 * time.Millisecond
 
 func (t ticks) since(earlier ticks) time.Duration { return time.Duration(t-earlier) * tickLength }
 
-// tableEntry is what is remembered of an address or a prefix. It is one cache line of 64
-// bytes: with many entries, loading them is most of what a decision costs.
+// tableEntry is the state of an address or a prefix. It fits in one cache line of 64
+// bytes: if there are many entries, a decision mostly waits for entries to be loaded.
 type tableEntry struct {
 	key           key
-	rate          gcra    // of Limits.PerSecond
-	score         float32 // served requests, decayed
-	scoredAt      ticks   // the time that score is decayed to
-	abusedAt      ticks   // when it was last abused
-	firstRejected ticks   // when it was first rejected for lack of capacity since it was last admitted
-	open          int32   // connections
-	opening       int32   // of them, silent ones
-	halfRead      int32   // requests
-	bufferedBytes int32   // of half-read requests
-	openUnknown   int32   // of open, those counted as Unknown
+	rate          gcra    // rate limiter for Limits.PerSecond
+	score         float32 // decayed count of served requests
+	scoredAt      ticks   // the time up to which score is decayed
+	abusedAt      ticks   // when abuse was last reported
+	firstRejected ticks   // time of the first rejection for lack of capacity since the last admission
+	open          int32   // open connections
+	opening       int32   // open connections that are silent
+	halfRead      int32   // half-read requests
+	bufferedBytes int32   // buffered bytes of half-read requests
+	openUnknown   int32   // open connections that are counted as Unknown
 	learned       bool
-	used          bool // it holds a key
-	recentlyUsed  bool // since the clock hand last passed
+	used          bool // the entry contains a key
+	recentlyUsed  bool // the entry was used since the clock hand last passed it
 }
 
-// scoreAt returns the score decayed to a time.
+// scoreAt returns the score, decayed up to the time now.
 func (e *tableEntry) scoreAt(now ticks, halfLife time.Duration) float64 {
 	if e.score == 0 {
 		return 0
@@ -72,31 +73,32 @@
 	return float64(e.score) * math.Exp2(-float64(now.since(e.scoredAt))/float64(halfLife))
 }
 
-// countArrival counts a new connection for the rate.
+// countArrival counts a new connection for the rate limit, if there is one.
 func (e *tableEntry) countArrival(limits *Limits, now time.Duration) {
 	if limits.PerSecond > 0 {
 		e.rate.take(now, limits.PerSecond, limits.Burst)
 	}
 }
 
-// slot refers to an entry, with its key's hash so that few entries are loaded.
+// slot refers to an entry. It contains the hash of the entry's key, so that most entries
+// with other keys are skipped without loading them.
 type slot struct {
-	number int32 // the entry's index and one more; 0: the slot is empty
-	hash   uint32
+	indexPlusOne int32 // the entry's index plus 1, or 0 if the slot is empty
+	hash         uint32
 }
 
-// table is a fixed number of entries, found by a hash table with linear probing.
-// When all are used, the clock algorithm chooses one that is forgotten: never one
-// with connections, and a learned one only where there is no other.
+// table contains a fixed number of entries, which are found by a hash table with linear
+// probing. If all entries are used, the clock algorithm chooses the one to be replaced:
+// never one with connections, and a learned one only if there is no other.
 type table struct {
-	entries []tableEntry
-	slots   []slot // a power of two of them, at least twice the entries
-	mask    uint32
-	seed    uint64
-	hand    int32 // of the clock algorithm
-	unused  int32 // index of the first entry that was never used
-	learned int   // entries
-	size    int   // used entries
+	entries    []tableEntry
+	slots      []slot // the length is a power of two and at least twice the number of entries
+	mask       uint32 // len(slots) - 1
+	seed       uint64 // seed of the hash
+	clockHand  int32  // position of the clock algorithm's hand
+	nextUnused int32  // index of the first entry that was never used
+	learned    int    // number of learned entries
+	size       int    // number of used entries
 }
 
 func (t *table) init(capacity int, seed uint64) {
@@ -107,21 +109,21 @@
 	t.seed = seed
 }
 
-// find returns the index of a key's entry; noIndex: there is none.
+// find returns the index of a key's entry, or noIndex if there is none.
 func (t *table) find(k key) int32 {
 	hash := k.hash(t.seed)
 	for i := hash & t.mask; ; i = (i + 1) & t.mask {
 		s := t.slots[i]
-		if s.number == 0 {
+		if s.indexPlusOne == 0 {
 			return noIndex
 		}
-		if s.hash == hash && t.entries[s.number-1].key == k {
-			return s.number - 1
+		if s.hash == hash && t.entries[s.indexPlusOne-1].key == k {
+			return s.indexPlusOne - 1
 		}
 	}
 }
 
-// entryAt returns the entry with an index; nil for noIndex.
+// entryAt returns the entry with an index, or nil for noIndex.
 func (t *table) entryAt(index int32) *tableEntry {
 	if index == noIndex {
 		return nil
@@ -129,8 +131,8 @@
 	return &t.entries[index]
 }
 
-// insert makes an entry for a key that has none, and returns its index; noIndex:
-// all entries have connections.
+// insert creates an entry for a key that has none, and returns its index. It returns
+// noIndex if all entries have connections.
 func (t *table) insert(k key) int32 {
 	index := t.freeEntry()
 	if index == noIndex {
@@ -139,7 +141,7 @@
 	t.entries[index] = tableEntry{key: k, used: true, recentlyUsed: true}
 	hash := k.hash(t.seed)
 	i := hash & t.mask
-	for t.slots[i].number != 0 {
+	for t.slots[i].indexPlusOne != 0 {
 		i = (i + 1) & t.mask
 	}
 	t.slots[i] = slot{index + 1, hash}
@@ -147,30 +149,31 @@
 	return index
 }
 
-// freeEntry returns an entry without a key; noIndex: all entries have connections.
+// freeEntry returns the index of an entry without a key, which it frees if necessary.
+// It returns noIndex if all entries have connections.
 func (t *table) freeEntry() int32 {
-	if int(t.unused) < len(t.entries) {
-		t.unused++
-		return t.unused - 1
+	if int(t.nextUnused) < len(t.entries) {
+		t.nextUnused++
+		return t.nextUnused - 1
 	}
-	index := t.nextForgotten()
+	index := t.entryToReplace()
 	if index != noIndex {
 		t.remove(index)
 	}
 	return index
 }
 
-// nextForgotten returns the entry to be forgotten: without connections, and not
-// used since the clock hand last passed; a learned one only where there is no
-// other. noIndex: all entries have connections.
-func (t *table) nextForgotten() int32 {
+// entryToReplace returns the index of the entry to be replaced: one that has no
+// connections and was not used since the clock hand last passed it. A learned entry is
+// returned only if there is no other. It returns noIndex if all entries have connections.
+func (t *table) entryToReplace() int32 {
 	total := int32(len(t.entries))
 	learned := noIndex
-	for range 2*total + 1 { // the first round may only clear recentlyUsed
-		index := t.hand
-		t.hand++
-		if t.hand == total {
-			t.hand = 0
+	for range 2*total + 1 { // the first round may do nothing but clear recentlyUsed
+		index := t.clockHand
+		t.clockHand++
+		if t.clockHand == total {
+			t.clockHand = 0
 		}
 		entry := &t.entries[index]
 		switch {
@@ -188,14 +191,14 @@
 	return learned
 }
 
-// remove takes an entry's key out of the table.
+// remove removes an entry's key from the table.
 func (t *table) remove(index int32) {
 	entry := &t.entries[index]
 	if entry.learned {
 		t.learned--
 	}
 	i := entry.key.hash(t.seed) & t.mask
-	for t.slots[i].number != index+1 {
+	for t.slots[i].indexPlusOne != index+1 {
 		i = (i + 1) & t.mask
 	}
 	t.emptySlot(i)
@@ -203,15 +206,15 @@
 	t.size--
 }
 
-// emptySlot empties a slot, and moves those that follow back so that find, which
-// stops at an empty slot, still reaches them.
+// emptySlot empties a slot, and moves following slots back into the gap, so that find,
+// which stops at an empty slot, still reaches them.
 func (t *table) emptySlot(empty uint32) {
 	t.slots[empty] = slot{}
-	for i := (empty + 1) & t.mask; t.slots[i].number != 0; i = (i + 1) & t.mask {
+	for i := (empty + 1) & t.mask; t.slots[i].indexPlusOne != 0; i = (i + 1) & t.mask {
 		home := t.slots[i].hash & t.mask
 		probes := (i - home) & t.mask
 		distance := (i - empty) & t.mask
-		if probes >= distance { // its probing passes the empty slot
+		if probes >= distance { // a search for slot i passes the empty slot
 			t.slots[empty] = t.slots[i]
 			t.slots[i] = slot{}
 			empty = i
@@ -219,15 +222,15 @@
 	}
 }
 
-// countOpen adds delta to an entry's connections.
+// countOpen adds delta to an entry's count of open connections.
 func (t *table) countOpen(index, delta int32) {
 	entry := &t.entries[index]
 	entry.open += delta
 	entry.recentlyUsed = true
 }
 
-// setLearned marks an entry as learned or not. At most half of the entries are
-// learned; beyond that it has no effect.
+// setLearned marks an entry as learned or not. At most half of the entries can be
+// learned; a call that would exceed that has no effect.
 func (t *table) setLearned(index int32, learned bool) {
 	entry := &t.entries[index]
 	if learned == entry.learned {
--- a/internal/connlimit/trust.go
+++ b/internal/connlimit/trust.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// Trust is what is known of an address.
+// Trust is the trust in an address, under which its connections are counted.
 type Trust uint8
 
 // The levels of trust.
 const (
 	Unknown      Trust = iota
-	Learned            // enough of its requests were served of late
-	Known              // the configuration names it
-	TrustedProxy       // a proxy whose PROXY header has not named its client yet
+	Learned            // enough requests of the address were served recently
+	Known              // the address is in Config.Known
+	TrustedProxy       // the connection is a proxy's whose PROXY header has not named the client yet
 	numTrusts
 )
 
-// trustNames are keys of the admin API's JSON.
+// trustNames are the keys of the levels of trust in the admin API's JSON.
 var trustNames = [numTrusts]string{Unknown: "unknown", Learned: "learned", Known: "known", TrustedProxy: "front"}
 
 // String returns the trust's key in the admin API's JSON.
 func (t Trust) String() string { return trustNames[t] }
 
 const (
-	abusePeriod = time.Minute // after abuse, in which an address learns nothing
-	maxScore    = 1e6         // served requests, which bounds how long a score takes to decay
+	abusePeriod = time.Minute // time after abuse in which served requests of the address are not counted
+	maxScore    = 1e6         // maximum score, which bounds the time that a score takes to decay
 )
 
-// trustOf returns the trust in an address whose entry may be nil.
+// trustOf returns the trust in an address. Its entry may be nil.
 func (l *Limiter) trustOf(now time.Duration, addr netip.Addr, entry *tableEntry) Trust {
 	if l.known.contains(addr) {
 		return Known
@@ -40,17 +40,17 @@
 	return Unknown
 }
 
-// IsKnown reports whether an address is trusted: a known or learned one, or a
-// trusted proxy.
-func (l *Limiter) IsKnown(now time.Duration, addr netip.Addr) bool {
+// IsTrusted reports whether an address is trusted, which means that it is known, learned
+// or a trusted proxy's.
+func (l *Limiter) IsTrusted(now time.Duration, addr netip.Addr) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	entry := l.addresses.entryAt(l.addresses.find(keyOf(addr)))
 	return l.proxies.contains(addr) || l.trustOf(now, addr, entry) != Unknown
 }
 
-// TrustOf returns the trust that a connection is counted under, and Unknown for a
-// connection that is closed.
+// TrustOf returns the trust under which a connection is counted, or Unknown if the
+// connection is closed.
 func (l *Limiter) TrustOf(id ID) Trust {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -61,7 +61,8 @@
 	return connection.trust
 }
 
-// countServed counts a served request for the trust in a connection's address.
+// countServed counts a served request for the score of a connection's address, and
+// marks the address as learned if the score is high enough.
 func (l *Limiter) countServed(now time.Duration, connection *conn) {
 	learn := &l.config.Learn
 	if !learn.Enabled || !connection.counted() {
@@ -78,8 +79,9 @@
 	l.addresses.setLearned(connection.address, float64(entry.score) >= learn.After)
 }
 
-// ReportAbuse counts a reason for which a connection's client abuses its place. An
-// address that is Learned becomes Unknown, and cannot be learned for a minute.
+// ReportAbuse counts a rejection for a reason that is an abuse by the connection's
+// client. If the address is Learned, it becomes Unknown. Its served requests are not
+// counted for the next minute.
 func (l *Limiter) ReportAbuse(now time.Duration, id ID, reason Reason) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -95,12 +97,12 @@
 	entry.abusedAt = t
 	l.addresses.setLearned(connection.address, false)
 	if connection.trust == Learned {
-		l.demote(now, index)
+		l.demoteToUnknown(now, index)
 	}
 }
 
-// demote counts a learned connection as an unknown one.
-func (l *Limiter) demote(now time.Duration, index int32) {
+// demoteToUnknown changes the trust under which a connection is counted from Learned to Unknown.
+func (l *Limiter) demoteToUnknown(now time.Duration, index int32) {
 	connection := &l.connections[index]
 	l.removeFromStage(index)
 	l.openByTrust[Learned]--
--- a/internal/listener/admission.go
+++ b/internal/listener/admission.go
@@ -38,7 +38,7 @@
 	if reason == connlimit.Allowed {
 		return admitted(id)
 	}
-	if reason == connlimit.FullKnown && g.startWaiting() {
+	if reason == connlimit.FullTrusted && g.startWaiting() {
 		return transport.AdmissionResult{Outcome: transport.Deferred}
 	}
 	return g.reject(conn, addr, reason)
@@ -58,8 +58,8 @@
 		return g.admitWithDescriptor(addr)
 	}
 	g.Limiter.CountReason(connlimit.NoDescriptors)
-	if g.Limiter.IsKnown(g.loop.Now(), addr) {
-		return 0, connlimit.FullKnown
+	if g.Limiter.IsTrusted(g.loop.Now(), addr) {
+		return 0, connlimit.FullTrusted
 	}
 	return 0, connlimit.NoDescriptors
 }
@@ -89,7 +89,7 @@
 	defer g.waiting.Add(-1)
 	addr := peerAddr(conn)
 	for range evictionAttempts {
-		g.loop.Post(func() { g.EvictOne(connlimit.ForKnown) })
+		g.loop.Post(func() { g.EvictOne(connlimit.ForTrusted) })
 		time.Sleep(evictionInterval)
 		if !g.Budget.Acquire(connlimit.ClientConnections) {
 			continue
@@ -99,7 +99,7 @@
 			return admitted(id)
 		}
 	}
-	return g.reject(conn, addr, connlimit.FullKnown)
+	return g.reject(conn, addr, connlimit.FullTrusted)
 }
 
 // Abandoned removes an admitted connection that no front end got.
--- a/internal/listener/frontend.go
+++ b/internal/listener/frontend.go
@@ -66,7 +66,7 @@
 // EvictPrefix closes the connections of a prefix on which no answer is owed, and
 // returns how many.
 func (g *Gate) EvictPrefix(prefix netip.Prefix) int {
-	tokens := g.Limiter.IdleWithin(prefix)
+	tokens := g.Limiter.NotBusyWithin(prefix)
 	for _, token := range tokens {
 		g.CloseConnection(token)
 	}
--- a/internal/listener/pressure.go
+++ b/internal/listener/pressure.go
@@ -55,7 +55,7 @@
 		return
 	}
 	for range evictionsPerRecheck {
-		if !g.EvictOne(connlimit.ForKnown) {
+		if !g.EvictOne(connlimit.ForTrusted) {
 			break
 		}
 	}
