--- a/internal/listener/admission.go
+++ b/internal/listener/admission.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	maxWaiting        = 32                   // trusted connections for which others are evicted, at a time
-	evictionInterval  = 2 * time.Millisecond // between evictions for one of them
-	evictionAttempts  = 100                  // for one of them, until it is rejected
-	rejectionDeadline = time.Millisecond     // of the 503 response, which fits an empty socket at once or not at all
+	maxWaiting        = 32                   // maximum number of trusted connections in WaitForCapacity
+	evictionInterval  = 2 * time.Millisecond // time between two evictions for a waiting connection
+	evictionAttempts  = 100                  // number of evictions before a waiting connection is rejected
+	rejectionDeadline = time.Millisecond     // for writing the 503 response; an empty socket buffer takes it at once
 
 	rejectionResponse = "HTTP/1.1 503 Service Unavailable\r\n" +
 		"Retry-After: 1\r\n" +
@@ -21,7 +21,7 @@
 		"Content-Length: 0\r\n\r\n"
 )
 
-// peerAddr returns the address of a connection's other end.
+// peerAddr returns the IP address of a connection's peer.
 func peerAddr(conn net.Conn) netip.Addr {
 	tcp, ok := conn.RemoteAddr().(*net.TCPAddr)
 	if !ok {
@@ -31,7 +31,8 @@
 	return addr.Unmap()
 }
 
-// Admit decides on a connection that was accepted, as transport.Admission says.
+// Admit implements transport.Admission. It defers the decision on a connection of a
+// trusted client for which there is no capacity, unless too many connections wait.
 func (g *Gate) Admit(conn net.Conn) transport.AdmissionResult {
 	addr := peerAddr(conn)
 	id, reason := g.tryAdmit(addr)
@@ -44,13 +45,14 @@
 	return g.reject(conn, addr, reason)
 }
 
-// admitted returns the result for an admitted connection: its token is its ID in
-// the Limiter.
+// admitted returns the result for an admitted connection. Its token is the connection's
+// ID in the Limiter.
 func admitted(id connlimit.ID) transport.AdmissionResult {
 	return transport.AdmissionResult{Outcome: transport.Admitted, Token: transport.AdmissionToken(id)}
 }
 
-// tryAdmit asks the budget and the limiter about a connection of an address.
+// tryAdmit admits a connection of an address if the budget has a descriptor and the
+// Limiter allows the connection. Otherwise it returns the reason of the rejection.
 func (g *Gate) tryAdmit(addr netip.Addr) (connlimit.ID, connlimit.Reason) {
 	acquired := g.Budget.Acquire(connlimit.ClientConnections)
 	g.updatePressure()
@@ -64,8 +66,8 @@
 	return 0, connlimit.NoDescriptors
 }
 
-// admitWithDescriptor asks the limiter, and releases the descriptor that was
-// acquired unless the connection is admitted.
+// admitWithDescriptor admits a connection for which a descriptor was acquired, if the
+// Limiter allows it. Otherwise it releases the descriptor.
 func (g *Gate) admitWithDescriptor(addr netip.Addr) (connlimit.ID, connlimit.Reason) {
 	id, reason := g.Limiter.Admit(g.loop.Now(), addr, connlimit.NoToken)
 	if reason != connlimit.Allowed {
@@ -74,7 +76,8 @@
 	return id, reason
 }
 
-// startWaiting counts a connection that waits, if not too many do.
+// startWaiting counts another waiting connection, and returns false if maxWaiting
+// connections wait already.
 func (g *Gate) startWaiting() bool {
 	if g.waiting.Add(1) <= maxWaiting {
 		return true
@@ -83,8 +86,8 @@
 	return false
 }
 
-// WaitForCapacity evicts connections until conn can be admitted, as
-// transport.Admission says.
+// WaitForCapacity implements transport.Admission. It evicts other connections until
+// conn can be admitted or evictionAttempts is reached.
 func (g *Gate) WaitForCapacity(conn net.Conn) transport.AdmissionResult {
 	defer g.waiting.Add(-1)
 	addr := peerAddr(conn)
@@ -102,13 +105,14 @@
 	return g.reject(conn, addr, connlimit.FullTrusted)
 }
 
-// Abandoned removes an admitted connection that no front end got.
+// Abandoned removes an admitted connection that ended before a front end got it.
 func (g *Gate) Abandoned(token transport.AdmissionToken) { g.Limiter.Closed(connlimit.ID(token)) }
 
 // Release returns the descriptor of an admitted connection.
 func (g *Gate) Release() { g.Budget.Release(connlimit.ClientConnections) }
 
-// reject answers and closes a connection that is not admitted.
+// reject closes a connection that is not admitted, after a 503 response if that is
+// configured, and logs the rejection.
 func (g *Gate) reject(conn net.Conn, addr netip.Addr, reason connlimit.Reason) transport.AdmissionResult {
 	tcp, ok := conn.(*net.TCPConn)
 	if ok && g.respond503.Load() {
--- a/internal/listener/bench_test.go
+++ b/internal/listener/bench_test.go
@@ -13,8 +13,9 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-// BenchmarkAccept opens and closes connections as fast as possible, with admission
-// and without, in turns within one run: the ratio is what counts.
+// BenchmarkAccept opens and closes connections as fast as possible, alternately with and
+// without admission. Its main result is the ratio of the two rates, which are measured
+// in the same run.
 func BenchmarkAccept(b *testing.B) {
 	withAdmission := 0.0
 	without := 0.0
@@ -29,12 +30,12 @@
 	b.ReportMetric(withAdmission/without, "ratio")
 }
 
-// serveFunc serves a listener and counts what it accepts.
+// serveFunc serves a listener and counts the accepted connections.
 type serveFunc func(
 	b *testing.B, engine *transport.Engine, listener net.Listener, accepted *atomic.Int64,
 ) *transport.Acceptor
 
-// acceptRate returns how many connections a second are accepted.
+// acceptRate returns the number of connections that are accepted per second.
 func acceptRate(b *testing.B, serve serveFunc) float64 {
 	loop := eventloop.New()
 	engine, err := transport.NewEngine(loop, 4096)
@@ -55,7 +56,7 @@
 	return float64(accepted.Load()) / time.Since(begin).Seconds()
 }
 
-// connectUntil opens and resets connections until a deadline.
+// connectUntil opens and resets connections until the deadline.
 func connectUntil(deadline time.Time, addr string) {
 	var clients sync.WaitGroup
 	for range 4 {
--- a/internal/listener/frontend.go
+++ b/internal/listener/frontend.go
@@ -9,11 +9,12 @@
 
 // FrontEnd serves client connections of one protocol.
 type FrontEnd interface {
-	// Evict closes one of its connections at once, on which no answer is owed.
+	// Evict closes the connection with this token at once. No response is owed on it.
 	Evict(token uint64)
 }
 
-// A connlimit.Token is the front end's own token with its number in the top bit.
+// A connlimit.Token consists of the number of the front end, in the top bit, and the
+// front end's own token.
 const (
 	maxFrontEnds  = 2
 	frontEndShift = 63
@@ -24,12 +25,14 @@
 	return connlimit.Token(token | uint64(frontEnd)<<frontEndShift)
 }
 
-// AddFrontEnd sets the front end with a number, 0 or 1, which its tokens carry.
+// AddFrontEnd sets the front end with a number, 0 or 1. The number is part of the tokens
+// of its connections.
 func (g *Gate) AddFrontEnd(number int, frontEnd FrontEnd) { g.frontEnds[number] = frontEnd }
 
-// Accepted passes a connection to the front end with a number, under the front
-// end's own token. admissionToken is that of transport.Conn; 0: it was accepted
-// without Admit.
+// Accepted records that the front end with a number has got a connection, which it
+// identifies by its own token, and returns the connection's ID in the Limiter.
+// admissionToken is that of the transport.Conn, which is 0 if the connection was
+// accepted without Admit.
 func (g *Gate) Accepted(number int, token uint64, admissionToken transport.AdmissionToken) connlimit.ID {
 	if admissionToken == 0 {
 		return g.Limiter.Adopt(g.loop.Now(), limiterToken(number, token))
@@ -39,13 +42,13 @@
 	return id
 }
 
-// EvictionCandidate returns the connection to be evicted first, for CloseConnection;
-// see connlimit.Limiter.EvictionCandidate.
+// EvictionCandidate returns the connection to be evicted next, which can be passed to
+// CloseConnection. See connlimit.Limiter.EvictionCandidate.
 func (g *Gate) EvictionCandidate(need connlimit.EvictionReason, spared connlimit.Spared) (connlimit.Candidate, bool) {
 	return g.Limiter.EvictionCandidate(g.loop.Now(), need, spared)
 }
 
-// CloseConnection closes a connection that EvictionCandidate returned.
+// CloseConnection has its front end close a connection that EvictionCandidate returned.
 func (g *Gate) CloseConnection(token connlimit.Token) {
 	frontEnd := g.frontEnds[token>>frontEndShift]
 	if frontEnd != nil {
@@ -53,8 +56,7 @@
 	}
 }
 
-// EvictOne closes the connection to be evicted first, and returns false if there is
-// none.
+// EvictOne closes the connection to be evicted next, and returns false if there is none.
 func (g *Gate) EvictOne(need connlimit.EvictionReason) bool {
 	candidate, found := g.EvictionCandidate(need, connlimit.Spared{})
 	if found {
@@ -63,8 +65,8 @@
 	return found
 }
 
-// EvictPrefix closes the connections of a prefix on which no answer is owed, and
-// returns how many.
+// EvictPrefix closes the connections of a prefix on which no response is owed, and
+// returns their number.
 func (g *Gate) EvictPrefix(prefix netip.Prefix) int {
 	tokens := g.Limiter.NotBusyWithin(prefix)
 	for _, token := range tokens {
--- a/internal/listener/gate.go
+++ b/internal/listener/gate.go
@@ -1,7 +1,8 @@
 // Package listener applies the decisions of package connlimit to connections. Its
-// Gate is the Admission of a transport.Engine: it asks a Limiter about connections
-// as they are accepted, evicts others where that makes capacity, reacts to pressure on
-// the descriptors, and answers and logs rejections. It also parses PROXY headers.
+// Gate is the Admission of a transport.Engine. It asks a Limiter whether to admit
+// accepted connections, evicts other connections to free capacity, reacts to pressure
+// on the descriptors, and answers and logs rejections. The package also parses PROXY
+// headers.
 //
 // Decisions on accepted connections are made off the event loop, so that a busy
 // loop does not delay the next accept.
@@ -23,52 +24,53 @@
 	Limits           connlimit.Config
 	DescriptorFloors [connlimit.DescriptorKinds]int
 	Watermarks       connlimit.Watermarks
-	Respond503       bool          // rejected connections get a 503 response; else they are closed
-	WriteStall       time.Duration // for which a client may leave answers unread; 0: no bound
+	Respond503       bool          // rejected connections get a 503 response before they are closed
+	WriteStall       time.Duration // how long a client may leave responses unread; 0 means no limit
 }
 
 const (
-	minShare       = 0.05 // of SetShare
-	minDescriptors = 8    // of the budget, however small the share
+	minShare       = 0.05 // minimum share that SetShare applies
+	minDescriptors = 8    // minimum number of descriptors that SetShare sets
 )
 
-// Gate admits, evicts and rejects the connections of one process. Its exported
-// fields are set before the first connection. The methods of transport.Admission
-// and LogRejection may be called from any goroutine; all others belong to the
-// loop's.
+// Gate admits, evicts and rejects the client connections of one process. Its exported
+// fields must be set before the first connection. The methods of transport.Admission
+// and LogRejection may be called from any goroutine, all other methods only on the
+// loop's goroutine.
 type Gate struct {
 	Limiter          *connlimit.Limiter
-	Budget           *connlimit.DescriptorBudget // nil: the engine bounds the descriptors
+	Budget           *connlimit.DescriptorBudget // nil if only the engine limits the descriptors
 	CloseIdleWorkers func()                      // closes idle connections to workers
 
 	loop        *eventloop.Loop
-	logger      *slog.Logger // nil: nothing is logged
+	logger      *slog.Logger // nil if nothing is logged
 	config      Config
-	enabled     bool // New made it
-	descriptors int  // with no other process beside this one
+	enabled     bool // the Gate was created by New
+	descriptors int  // number of descriptors for connections while no other process of the dispatcher runs
 	frontEnds   [maxFrontEnds]FrontEnd
 
-	// Of admission, for any goroutine.
+	// State of the admission, which any goroutine may use.
 	respond503   atomic.Bool  // Config.Respond503
-	waiting      atomic.Int32 // connections in WaitForCapacity
+	waiting      atomic.Int32 // number of connections in WaitForCapacity
 	rejectionLog rejectionLog
 
-	// Of the pressure on descriptors.
-	pressure        atomic.Int32       // the connlimit.Pressure that was last passed on
-	exhaustedAt     atomic.Int64       // when the kernel last had no descriptor, by the loop's clock; 0: it has
-	relieving       atomic.Bool        // relievePressure is posted, or will run again
+	// State of the pressure on descriptors.
+	pressure        atomic.Int32       // the connlimit.Pressure that was last passed to the Limiter
+	exhaustedAt     atomic.Int64       // clock time at which the kernel last had no descriptor; 0 if that is over
+	relieving       atomic.Bool        // relievePressure is posted or scheduled
 	pressureRecheck eventloop.Deadline // runs relievePressure again
 }
 
 var _ transport.Admission = (*Gate)(nil)
 
-// SilentGrace is how long a connection may be silent, where NewUnlimited made the Gate, before it is evicted for one that
-// waits. A client that has a request sends it with the end of the handshake. All that wait in the kernel's queue are
-// alike, and behind a crowd that sends nothing a client waits so long for each time that the crowd fills the connections.
+// SilentGrace is how long a connection may be silent, if NewUnlimited created the Gate, before it may be evicted for a
+// waiting one. A client that has a request sends it together with the end of the handshake, so the time can be short. It
+// should be short, since the kernel's queue does not distinguish connections: behind a crowd of clients that send nothing,
+// another client waits for SilentGrace each time that the crowd fills all connections.
 const SilentGrace = 40 * time.Millisecond
 
-// NewUnlimited returns a Gate that keeps the order of eviction alone; the engine
-// bounds how many connections there are.
+// NewUnlimited returns a Gate that only determines the order of eviction. The engine
+// limits the number of connections.
 func NewUnlimited(loop *eventloop.Loop) *Gate {
 	limiter, err := connlimit.New(connlimit.Config{Capacity: 1, Anonymous: true, SilentGrace: SilentGrace})
 	if err != nil {
@@ -78,8 +80,8 @@
 }
 
 // New returns a Gate that decides on each connection, and sets it as the engine's
-// Admission. descriptors is how many there are for connections. An error names the
-// field of the configuration that is wrong.
+// Admission. descriptors is the number of descriptors for connections. An error names
+// the field of the configuration that is wrong.
 func New(
 	loop *eventloop.Loop, engine *transport.Engine, config Config, descriptors int, logger *slog.Logger,
 ) (*Gate, error) {
@@ -107,7 +109,7 @@
 	return gate, nil
 }
 
-// quota returns the budget of one kind of descriptors.
+// quota returns a Quota that takes descriptors of one kind from the budget.
 func (g *Gate) quota(kind connlimit.DescriptorKind) transport.Quota {
 	return transport.Quota{
 		Acquire: func() bool { return g.Budget.Acquire(kind) },
@@ -115,14 +117,15 @@
 	}
 }
 
-// Enabled reports whether New made the Gate, so that connections are decided on.
+// Enabled reports whether the Gate decides on connections, which is so if New created
+// it.
 func (g *Gate) Enabled() bool { return g.enabled }
 
-// WriteStall returns how long a client may leave answers unread; 0: no bound.
+// WriteStall returns how long a client may leave responses unread. 0 means no limit.
 func (g *Gate) WriteStall() time.Duration { return g.config.WriteStall }
 
-// Reconfigure changes the configuration of a Gate that is Enabled. Connections
-// stay. An error names the field that is wrong.
+// Reconfigure changes the configuration of a Gate that is Enabled. Open connections
+// stay open. An error names the field that is wrong.
 func (g *Gate) Reconfigure(config Config, descriptors int) error {
 	err := g.Budget.Reconfigure(descriptors, config.DescriptorFloors, config.Watermarks)
 	if err != nil {
@@ -138,9 +141,9 @@
 	return nil
 }
 
-// SetShare bounds a Gate that is Enabled to a share of its descriptors and its
-// capacity, while another process of the same dispatcher has the rest. Connections
-// stay.
+// SetShare limits a Gate that is Enabled to a share of its descriptors and of its
+// capacity, while another process of the same dispatcher uses the rest. Open connections
+// stay open.
 func (g *Gate) SetShare(share float64) {
 	share = min(max(share, minShare), 1)
 	floors := g.config.DescriptorFloors
@@ -148,7 +151,7 @@
 		floors[kind] = int(share * float64(floors[kind]))
 	}
 	descriptors := max(int(share*float64(g.descriptors)), minDescriptors)
-	_ = g.Budget.Reconfigure(descriptors, floors, g.config.Watermarks) // what is valid is so in proportion
+	_ = g.Budget.Reconfigure(descriptors, floors, g.config.Watermarks) // scaled floors are valid if the full ones are
 	g.Limiter.SetCapacity(int(share * float64(g.config.Limits.Capacity)))
 	g.updatePressure()
 }
--- a/internal/listener/pressure.go
+++ b/internal/listener/pressure.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	pressureRecheckInterval = 20 * time.Millisecond  // while there is pressure
-	evictionsPerRecheck     = 8                      // connections at most
-	exhaustedPeriod         = 300 * time.Millisecond // after the kernel had no descriptor, in which pressure is high
+	pressureRecheckInterval = 20 * time.Millisecond  // time between two runs of relievePressure while there is pressure
+	evictionsPerRecheck     = 8                      // maximum number of connections that one run evicts
+	exhaustedPeriod         = 300 * time.Millisecond // for how long pressure stays high after the kernel had no descriptor
 )
 
-// Exhausted raises the pressure since the kernel had no descriptor left, whatever
-// the budget counts.
+// Exhausted implements transport.Admission. It raises the pressure, since the kernel
+// had no descriptor left although the budget may have.
 func (g *Gate) Exhausted() {
 	g.Budget.ForcePressure(connlimit.PressureHigh)
 	g.exhaustedAt.Store(int64(g.loop.Now()))
@@ -28,8 +28,8 @@
 	return connlimit.Pressure(g.pressure.Load())
 }
 
-// updatePressure passes the budget's level of pressure on, and has it relieved on
-// the loop.
+// updatePressure passes the budget's level of pressure to the Limiter. If there is
+// pressure, it has relievePressure run on the loop's goroutine.
 func (g *Gate) updatePressure() {
 	level := g.Budget.Pressure()
 	if level == connlimit.PressureNone && g.Pressure() == connlimit.PressureNone {
@@ -42,9 +42,8 @@
 	}
 }
 
-// relievePressure evicts idle connections of unknown addresses and, at the critical
-// level, closes idle connections to workers. It runs again until there is no
-// pressure.
+// relievePressure evicts connections of unknown addresses and, at the critical level,
+// closes idle connections to workers. It is repeated until there is no pressure.
 func (g *Gate) relievePressure() {
 	now := g.loop.Now()
 	g.endExhaustion(now)
@@ -65,7 +64,8 @@
 	g.loop.Set(&g.pressureRecheck, now+pressureRecheckInterval)
 }
 
-// endExhaustion ends what Exhausted began once its period is over.
+// endExhaustion ends the pressure that Exhausted has forced, when exhaustedPeriod has
+// passed.
 func (g *Gate) endExhaustion(now time.Duration) {
 	exhaustedAt := time.Duration(g.exhaustedAt.Load())
 	if exhaustedAt != 0 && now-exhaustedAt > exhaustedPeriod {
@@ -74,15 +74,15 @@
 	}
 }
 
-// stopRelieving lets the next pressure start relievePressure anew.
+// stopRelieving allows the next pressure to start relievePressure again.
 func (g *Gate) stopRelieving() {
 	g.relieving.Store(false)
-	if g.Budget.Pressure() > connlimit.PressureNone { // it rose just now, and another goroutine saw relieving still set
+	if g.Budget.Pressure() > connlimit.PressureNone { // another goroutine may have raised it while relieving was still set
 		g.updatePressure()
 	}
 }
 
-// setPressure passes a level on and logs a change.
+// setPressure passes a level of pressure to the Limiter and logs it if it has changed.
 func (g *Gate) setPressure(level connlimit.Pressure) {
 	g.Limiter.SetPressure(level)
 	previous := connlimit.Pressure(g.pressure.Swap(int32(level)))
--- a/internal/listener/proxyheader.go
+++ b/internal/listener/proxyheader.go
@@ -11,35 +11,35 @@
 	"github.com/pires/go-proxyproto"
 )
 
-// ErrProxyHeader is returned where bytes do not begin with a PROXY header that
-// names a TCP client.
+// ErrProxyHeader is returned if bytes do not begin with a valid PROXY header, either for
+// a TCP client or for a connection of the proxy itself.
 var ErrProxyHeader = errors.New("no PROXY header that can be read")
 
-// Forms of a header, from the PROXY protocol's specification.
+// Constants from the specification of the PROXY protocol, except maxV2Extension.
 const (
 	v1Signature = "PROXY "
 	v1End       = "\r\n"
-	maxV1Header = 107 // with its line end
+	maxV1Header = 107 // maximum length with the line end
 
 	v2Signature    = "\r\n\r\n\x00\r\nQUIT\n"
-	v2LengthOffset = 14   // of the length of what follows the fixed part
-	v2FixedLength  = 16   // of the signature, version, command and length
-	maxV2Extension = 1024 // our bound on what follows; the longest address takes 216
+	v2LengthOffset = 14   // offset of the length of the bytes after the fixed part
+	v2FixedLength  = 16   // length of the signature, version, command, address family and length field
+	maxV2Extension = 1024 // own limit on the bytes after the fixed part; the longest addresses take 216
 	maxV2Header    = v2FixedLength + maxV2Extension
 )
 
-// ProxyHeader is what a PROXY header says. The zero value is one that has not
-// arrived completely.
+// ProxyHeader contains the information of a PROXY header. The zero value means that the
+// header has not arrived completely.
 type ProxyHeader struct {
-	Client netip.Addr // invalid where the proxy itself is the client, for a health check
-	Length int        // in bytes; the client's own follow
+	Client netip.Addr // invalid if the proxy itself is the client, as in a health check
+	Length int        // length of the header in bytes; the client's own bytes follow it
 }
 
-// Complete reports whether all of the header has arrived.
+// Complete reports whether the header has arrived completely.
 func (h ProxyHeader) Complete() bool { return h.Length > 0 }
 
-// ParseProxyHeader reads a PROXY header, of version 1 or 2, off the front of b. A
-// header that is not Complete is no error. The error is ErrProxyHeader.
+// ParseProxyHeader parses a PROXY header of version 1 or 2 at the beginning of b. If the
+// header is not Complete, the error is nil. An error is always ErrProxyHeader.
 func ParseProxyHeader(b []byte) (ProxyHeader, error) {
 	length, err := proxyHeaderLength(b)
 	if err != nil || length == 0 {
@@ -63,8 +63,8 @@
 	return ProxyHeader{Client: client.Unmap(), Length: length}, nil
 }
 
-// proxyHeaderLength returns the length of a header that is complete; 0: more must
-// arrive first.
+// proxyHeaderLength returns the length of the header at the beginning of b, or 0 if more
+// bytes must arrive first.
 func proxyHeaderLength(b []byte) (int, error) {
 	switch {
 	case beginsLike(b, v2Signature):
@@ -75,7 +75,7 @@
 	return 0, ErrProxyHeader
 }
 
-// beginsLike reports whether b begins with a signature, or is the beginning of one.
+// beginsLike reports whether b begins with a signature or is the beginning of it.
 func beginsLike(b []byte, signature string) bool {
 	n := min(len(b), len(signature))
 	return string(b[:n]) == signature[:n]
--- a/internal/listener/proxyheader_test.go
+++ b/internal/listener/proxyheader_test.go
@@ -9,7 +9,7 @@
 	"github.com/pires/go-proxyproto"
 )
 
-// formatV2Header returns a header of version 2 for a client's address.
+// formatV2Header returns a header of version 2 with the client address from.
 func formatV2Header(t testing.TB, from string) []byte {
 	source := &net.TCPAddr{IP: net.ParseIP(from), Port: 7}
 	destination := &net.TCPAddr{IP: net.ParseIP(from), Port: 8}
@@ -21,17 +21,17 @@
 	return text
 }
 
-// afterV2Signature returns a header of version 2 whose fixed part ends with these bytes.
+// afterV2Signature returns a header of version 2 in which rest follows the signature.
 func afterV2Signature(rest ...byte) []byte {
 	return append([]byte(v2Signature), rest...)
 }
 
-// A header is read when it is complete, however its bytes arrive.
+// A header is incomplete until all of its bytes have arrived, and is then parsed.
 func TestParseProxyHeader(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		text   []byte
-		client string // empty: the proxy itself
+		client string // empty if the proxy itself is the client
 	}{
 		{"version 1, IPv4", []byte("PROXY TCP4 10.0.0.1 10.0.0.2 5 6\r\n"), "10.0.0.1"},
 		{"version 1, IPv6", []byte("PROXY TCP6 2001:db8::1 2001:db8::2 5 6\r\n"), "2001:db8::1"},
@@ -58,15 +58,16 @@
 	}
 }
 
-// What is no header, or names no client, is an error or the proxy's own connection.
+// Bytes that are not a valid header, or a header that does not name a client, lead to an
+// error or to a header without a client.
 func TestInvalidProxyHeader(t *testing.T) {
 	for _, text := range [][]byte{
 		[]byte("GET / HTTP/1.1\r\n"),
 		[]byte("PROXY what\r\n"),
 		[]byte("PROXY " + strings.Repeat("x", 200)),
-		afterV2Signature(0x21, 0x11, 0xff, 0xff), // too long
+		afterV2Signature(0x21, 0x11, 0xff, 0xff), // the length exceeds maxV2Extension
 		[]byte("PROXY UNKNOWN\r\n"),
-		afterV2Signature(0x41, 0x11, 0, 0), // an unknown version
+		afterV2Signature(0x41, 0x11, 0, 0), // unknown version
 	} {
 		header, err := ParseProxyHeader(text)
 		if err == nil && (!header.Complete() || header.Client.IsValid()) {
@@ -75,8 +76,8 @@
 	}
 }
 
-// A length is within the bytes; a header that is too long is an error; and what is
-// an error stays one as more bytes arrive.
+// The length of a header is not greater than the number of bytes. A header that is too
+// long is an error. Bytes that are an error remain one when more bytes arrive.
 func FuzzParseProxyHeader(f *testing.F) {
 	f.Add([]byte("PROXY TCP4 10.0.0.1 10.0.0.2 5 6\r\nGET /"))
 	f.Add(formatV2Header(f, "10.0.0.1"))
@@ -87,11 +88,11 @@
 			t.Fatalf("length %d of %d bytes, error %v", header.Length, len(text), err)
 		}
 		if err == nil && !header.Complete() && len(text) >= maxV2Header {
-			t.Fatal("it waits for more than the longest header")
+			t.Fatal("the header is still incomplete after as many bytes as the longest header has")
 		}
 		for n := range min(len(text), 64) {
 			if _, early := ParseProxyHeader(text[:n]); early != nil && err == nil {
-				t.Fatalf("an error at %d of %d bytes, and none later: %v", n, len(text), early)
+				t.Fatalf("an error after %d of %d bytes, but none after all of them: %v", n, len(text), early)
 			}
 		}
 	})
--- a/internal/listener/rejectlog.go
+++ b/internal/listener/rejectlog.go
@@ -8,23 +8,23 @@
 	"hollyyoke.example/hollyyoke/internal/connlimit"
 )
 
-// rejectionLogInterval is the time between two log lines for one reason.
+// rejectionLogInterval is the minimum time between two log lines for the same reason.
 const rejectionLogInterval = 5 * time.Second
 
-// rejectionLog bounds the rate of log lines by reason.
+// rejectionLog limits the rate of log lines for each reason.
 type rejectionLog struct {
 	mu       sync.Mutex
 	byReason [connlimit.NumReasons]reasonLog
 }
 
-// reasonLog is the last log line for a reason.
+// reasonLog is the state of the log lines for one reason.
 type reasonLog struct {
-	loggedAt   time.Duration // 0: never
-	suppressed int           // rejections since then
+	loggedAt   time.Duration // clock time of the last log line; 0 if there was none
+	suppressed int           // number of rejections since then that were not logged
 }
 
-// allow reports whether a rejection now is logged, and how many were not since the
-// last line.
+// allow reports whether a rejection for a reason may be logged now. If so, suppressed is
+// the number of rejections that were not logged since the last log line.
 func (r *rejectionLog) allow(now time.Duration, reason connlimit.Reason) (suppressed int, allowed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -38,7 +38,7 @@
 	return suppressed, true
 }
 
-// LogRejection logs a rejection, those of one reason at a bounded rate.
+// LogRejection logs a rejection. The rate of log lines for each reason is limited.
 func (g *Gate) LogRejection(reason connlimit.Reason, addr netip.Addr) {
 	if g.logger == nil {
 		return
--- a/internal/listener/rejectlog_test.go
+++ b/internal/listener/rejectlog_test.go
@@ -11,7 +11,7 @@
 	"hollyyoke.example/hollyyoke/internal/eventloop"
 )
 
-// Rejections are logged at a bounded rate, each reason by itself.
+// The rate of log lines is limited for each reason separately.
 func TestLogRejectionRate(t *testing.T) {
 	var out bytes.Buffer
 	gate := NewUnlimited(eventloop.New())
