--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -133,20 +133,20 @@
 		return 0
 	}
 	request := d.requests.Get(attempt.requestHandle)
-	return d.retryByGivenOthers(request, attempt.number)
+	return d.retryByForAttempt(request, attempt.number)
 }
 
 // retryBy returns the clock time by which the next attempt of a request must have been sent, or 0 if there is no bound.
 func (d *Dispatcher) retryBy(request *openRequest) time.Duration {
-	return d.retryByGivenOthers(request, len(request.attempts))
+	return d.retryByForAttempt(request, len(request.attempts))
 }
 
-// retryByGivenOthers returns the clock time by which the attempt with this number must have been sent, given the other
+// retryByForAttempt returns the clock time by which the attempt with this number must have been sent, given the other
 // attempts of the request, or 0 if there is no bound. Workers discard a duplicate that arrives within the dedup window
 // of the first attempt that may have run. The window is counted from the time at which that attempt was assigned, which
 // is before it was sent. The bound lies half of the connect timeout before the end of the window, to leave time for the
 // transfer to the worker: the connect timeout covers a round trip.
-func (d *Dispatcher) retryByGivenOthers(request *openRequest, number int) time.Duration {
+func (d *Dispatcher) retryByForAttempt(request *openRequest, number int) time.Duration {
 	class := &d.Settings.Classes[request.Class]
 	if class.Idempotency != decision.Deduplicated {
 		return 0
--- a/internal/dispatch/attemptreport.go
+++ b/internal/dispatch/attemptreport.go
@@ -42,7 +42,7 @@
 		LeavingSince: since,
 		Grace:        d.Settings.DrainGrace,
 	}
-	if !d.Guard.CheckSent(start, send, subjectOf(request, attempt)) {
+	if !d.Guard.CheckSent(start, send, describeAttempt(request, attempt)) {
 		d.logClaims(request)
 	}
 }
--- a/internal/dispatch/cancellation.go
+++ b/internal/dispatch/cancellation.go
@@ -11,12 +11,13 @@
 	}
 	d.counters.total.Cancelled++
 	d.traceCancelled(request)
-	d.resolve(request)
+	d.markAnswered(request)
 	d.withdraw(request)
 	return request.mayHaveRun() // evaluated after withdraw: stopping an attempt can show that it never ran
 }
 
-// withdraw tells the machine that a request, which was resolved without it, is over, and cleans the request up.
+// withdraw tells the machine that a request is over, which was answered or cancelled without the machine, and cleans it
+// up.
 func (d *Dispatcher) withdraw(request *openRequest) {
 	d.handle(decision.Event{Kind: decision.ClientDisconnected, Request: request.handle})
 	d.cleanUp(request)
--- a/internal/dispatch/claim.go
+++ b/internal/dispatch/claim.go
@@ -72,7 +72,7 @@
 	case attempt.started && attempt.fence == 0:
 		reported = invariant.StartReported
 	}
-	if d.Guard.CheckNeverSent(reported, subjectOf(request, attempt)+" "+claim) {
+	if d.Guard.CheckNeverSent(reported, describeAttempt(request, attempt)+" "+claim) {
 		return true
 	}
 	d.logClaims(request)
@@ -86,7 +86,7 @@
 	}
 }
 
-// subjectOf returns the name of an attempt for the reports of the guard.
-func subjectOf(request *openRequest, attempt *openAttempt) string {
+// describeAttempt returns the name of an attempt for the reports of the guard.
+func describeAttempt(request *openRequest, attempt *openAttempt) string {
 	return "request " + request.ID + " to " + attempt.worker
 }
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -28,7 +28,7 @@
 	// OnAccepted and OnReserved pass on what a second process of the same dispatcher must know. They are nil if there
 	// is no second process.
 	OnAccepted func(idHash uint64)                      // called when a request with this hashed ID was accepted
-	OnReserved func(worker string, reservation float64) // called when an attempt has used up slow-start budget of a worker
+	OnReserved func(worker string, reservation float64) // called when an attempt has used slow-start budget of a worker
 
 	// Guard checks that each start, send, retry and close keeps the rules of package invariant.
 	Guard  invariant.Guard
--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -19,8 +19,8 @@
 //  2. The machine rejects it, queues it or assigns it to a worker. The guard checks the assigned attempt. If the
 //     request has a [Leaser], the attempt waits for its lease. Then it goes to [WorkerClient.Start].
 //  3. The worker client reports on the attempt with [Dispatcher.AttemptSent], [Dispatcher.AttemptStarted],
-//     [Dispatcher.AttemptProgressed] and, once, [Dispatcher.AttemptEnded]. As far as the class allows it, the machine may
-//     assign a hedge while the attempt runs, or a retry after its end.
+//     [Dispatcher.AttemptProgressed] and, once, [Dispatcher.AttemptEnded]. As far as the class allows it, the machine
+//     may assign a hedge while the attempt runs, or a retry after its end.
 //  4. [FrontEnd.Respond] gets the final response as soon as an attempt has completed, a leased attempt that may have run
 //     has failed, the machine rejects or fails the request, or the deadline is reached. Attempts that have not been
 //     delivered are then stopped, others as far as the settings allow it. The request is removed when its last attempt
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -22,7 +22,7 @@
 	Body           []byte // valid until Release is called
 	Slots          float64
 	Work           time.Duration // run time according to the client's hint; 0 if there is no hint
-	TimeLeft       time.Duration // how long the client waits, counted from ReceivedAt; 0 means as long as the class allows
+	TimeLeft       time.Duration // how long the client waits from ReceivedAt on; 0 means as long as the class allows
 	ReceivedAt     time.Duration // clock time; 0 means the time of Accept
 	ClientRetry    bool          // the client has marked the request as a retry
 
@@ -78,7 +78,7 @@
 // request before; the response may come before Accept returns. Accept returns the handle of the request, for Cancel.
 func (d *Dispatcher) Accept(frontEnd FrontEnd, token uint64, request Request) (requestHandle uint64) {
 	now := d.Loop.Now()
-	open := d.openRequest(frontEnd, token, request, now)
+	open := d.addRequest(frontEnd, token, request, now)
 	d.counters.unanswered++
 	d.counters.total.Accepted++
 	d.traceAccepted(open)
@@ -95,9 +95,9 @@
 	return open.handle
 }
 
-// openRequest creates the record of an accepted request, with its handle and its deadline, and adds its ID to the known
+// addRequest creates the record of an accepted request, with its handle and its deadline, and adds its ID to the known
 // IDs.
-func (d *Dispatcher) openRequest(frontEnd FrontEnd, token uint64, request Request, now time.Duration) *openRequest {
+func (d *Dispatcher) addRequest(frontEnd FrontEnd, token uint64, request Request, now time.Duration) *openRequest {
 	open := &openRequest{frontEnd: frontEnd, token: token, Request: request}
 	open.deadline = d.deadlineOf(&request, now)
 	open.handle = d.requests.Insert(open)
--- a/internal/dispatch/response.go
+++ b/internal/dispatch/response.go
@@ -8,7 +8,7 @@
 // The outcomes of a request.
 const (
 	Served   Outcome = iota // a worker has completed the request
-	Rejected                // the request was not executed, and the client may retry it
+	Rejected                // the client may retry the request; if it is non-idempotent, no attempt of it has run
 	Failed                  // the request was not completed; its attempts may have run or not
 )
 
@@ -56,12 +56,12 @@
 	response.MayHaveRun = request.mayHaveRun()
 	d.countOutcome(request.Class, response.Outcome)
 	d.traceResponse(request, response)
-	d.resolve(request)
+	d.markAnswered(request)
 	request.frontEnd.Respond(request.token, response)
 }
 
-// resolve marks a request as answered or cancelled.
-func (d *Dispatcher) resolve(request *openRequest) {
+// markAnswered marks a request as answered or cancelled.
+func (d *Dispatcher) markAnswered(request *openRequest) {
 	request.answered = true
 	d.counters.unanswered--
 	d.Loop.Clear(&request.timer)
--- a/internal/dispatch/workerlist.go
+++ b/internal/dispatch/workerlist.go
@@ -27,7 +27,7 @@
 type workerList struct {
 	listed       map[string]listedWorker  // by name of the worker
 	ready        int                      // number of listed workers that take new work
-	leavingSince map[string]time.Duration // clock time of the first report that a worker drains or was removed, by its name
+	leavingSince map[string]time.Duration // clock time of the first report that a worker drains or was removed, by name
 }
 
 func newWorkerList() workerList {
