--- a/internal/eventloop/deadline.go
+++ b/internal/eventloop/deadline.go
@@ -21,7 +21,7 @@
 // always fire before all others.
 func (l *Loop) Set(d *Deadline, at time.Duration) {
 	l.lastSequence++
-	d.at = max(at, l.firedAt)
+	d.at = max(at, l.lastFiredAt)
 	d.sequence = l.lastSequence
 	if d.position > 0 {
 		heap.Fix(&l.deadlines, d.position-1)
@@ -46,7 +46,7 @@
 func (l *Loop) fireDeadlines() {
 	now := l.Now()
 	lastSetBefore := l.lastSequence
-	l.firedAt = now
+	l.lastFiredAt = now
 	for len(l.deadlines) > 0 {
 		d := l.deadlines[0]
 		if d.at > now || d.sequence > lastSetBefore {
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -35,7 +35,7 @@
 
 	deadlines    deadlineHeap
 	lastSequence uint64        // sequence number of the last call of Set; see Deadline.sequence
-	firedAt      time.Duration // when deadlines were last fired
+	lastFiredAt  time.Duration // when deadlines were last fired
 
 	turnBeganAt time.Duration // when the last turn began, which is taken as the beginning of a stall
 	wakeAt      time.Duration // when Run intended to wake up; 0 if it has not slept since the last turn
--- a/internal/eventloop/stall.go
+++ b/internal/eventloop/stall.go
@@ -4,8 +4,8 @@
 
 const (
 	// stallThreshold is the delay of a turn above which the loop is regarded as stalled: the process was stopped, or
-	// got no processor time. The remaining time that a worker is told may be too long by 150 ms at most; the difference
-	// from that is for the transfer of a request.
+	// got no processor time. The remaining time that a worker is told may be too long by at most 150 ms; the 50 ms
+	// above the threshold are for the transfer of a request.
 	stallThreshold = 100 * time.Millisecond
 
 	// longStall is the length of a stall above which OnStall is called.
