--- a/internal/transport/engine.go
+++ b/internal/transport/engine.go
@@ -76,7 +76,7 @@
 	engine.poller = nbio.NewEngine(nbio.Config{
 		Name:     "hollyyoke",
 		NPoller:  1,
-		EpollMod: nbio.EPOLLET, // level-triggered, nbio would loop on a writable connection until the first partial write
+		EpollMod: nbio.EPOLLET, // level-triggered, nbio loops on a writable connection until its first partial write
 		// Conn.read replaces nbio's own reads.
 		ReadBufferSize: BufferSize,
 	})
