--- a/internal/connlimit/eviction.go
+++ b/internal/connlimit/eviction.go
@@ -51,8 +51,8 @@
 	if need == ForSilence && !l.tooManySilent() {
 		return Candidate{}, false
 	}
-	for side := range l.stageLists {
-		if need == ForTrusted && side == trustedSide {
+	for group := range l.stageLists {
+		if need == ForTrusted && group == trustedGroup {
 			break
 		}
 		for _, stage := range evictionOrder {
@@ -60,7 +60,7 @@
 				continue
 			}
 			latest := l.latestEvictable(now, need, stage)
-			connection := l.firstEvictable(&l.stageLists[side][stage], latest, spared)
+			connection := l.firstEvictable(&l.stageLists[group][stage], latest, spared)
 			if connection != nil {
 				return Candidate{Token: connection.token, Stage: stage}, true
 			}
--- a/internal/connlimit/limiter.go
+++ b/internal/connlimit/limiter.go
@@ -58,7 +58,7 @@
 	// The connections, including closed ones, whose elements are reused.
 	connections []conn
 	firstFree   int32 // index of the first closed connection, linked by next; noIndex if there is none
-	stageLists  [numSides][numStages]stageList
+	stageLists  [numTrustGroups][numStages]stageList
 
 	// Counts of the open connections.
 	openByTrust     [numTrusts]int
@@ -102,9 +102,9 @@
 		return nil, err
 	}
 	limiter := &Limiter{firstFree: noIndex}
-	for side := range limiter.stageLists {
-		for stage := range limiter.stageLists[side] {
-			limiter.stageLists[side][stage] = stageList{noIndex, noIndex}
+	for group := range limiter.stageLists {
+		for stage := range limiter.stageLists[group] {
+			limiter.stageLists[group][stage] = stageList{noIndex, noIndex}
 		}
 	}
 	limiter.addresses.init(config.Addresses, config.Seed)
--- a/internal/connlimit/reserve_test.go
+++ b/internal/connlimit/reserve_test.go
@@ -73,7 +73,7 @@
 	}
 	admit(t, limiter, 0, "127.9.0.1", FullTrusted)
 	view := limiter.Snapshot(0)
-	if view.InReserve != 20 || view.Trust["known"] != 20 || view.Trust["unknown"] != 18 {
+	if view.ReserveUsed != 20 || view.Trust["known"] != 20 || view.Trust["unknown"] != 18 {
 		t.Errorf("got %+v, want 20 known connections in the reserve and 18 unknown ones", view)
 	}
 }
--- a/internal/connlimit/snapshot.go
+++ b/internal/connlimit/snapshot.go
@@ -10,18 +10,18 @@
 // View is the state of a Limiter as the admin API returns it. Admitted and Rejections
 // count since the start; all other counts are present values.
 type View struct {
-	Open       map[string]int    `json:"open"`     // open connections by Stage
-	Trust      map[string]int    `json:"standing"` // open connections by Trust
-	Capacity   int               `json:"room"`     // Config.Capacity
-	Reserve    int               `json:"reserve"`
-	InReserve  int               `json:"reserve_used"` // part of the reserve that trusted connections use
-	Pressure   Pressure          `json:"pressure"`
-	Admitted   uint64            `json:"admitted"`
-	Rejections map[string]uint64 `json:"refused"` // rejections by Reason
-	Addresses  int               `json:"addresses_remembered"`
-	Learned    int               `json:"addresses_learned"`
-	Prefixes   []PrefixView      `json:"top_prefixes"` // the prefixes with the most connections
-	Blocks     []BlockView       `json:"bars"`
+	Open        map[string]int    `json:"open"`     // open connections by Stage
+	Trust       map[string]int    `json:"standing"` // open connections by Trust
+	Capacity    int               `json:"room"`     // Config.Capacity
+	Reserve     int               `json:"reserve"`
+	ReserveUsed int               `json:"reserve_used"` // part of the reserve that trusted connections use
+	Pressure    Pressure          `json:"pressure"`
+	Admitted    uint64            `json:"admitted"`
+	Rejections  map[string]uint64 `json:"refused"` // rejections by Reason
+	Addresses   int               `json:"addresses_remembered"`
+	Learned     int               `json:"addresses_learned"`
+	Prefixes    []PrefixView      `json:"top_prefixes"` // the prefixes with the most connections
+	Blocks      []BlockView       `json:"bars"`
 }
 
 // PrefixView contains the counts of a prefix.
@@ -35,8 +35,8 @@
 
 // BlockView is a prefix that is blocked.
 type BlockView struct {
-	Prefix string  `json:"prefix"`
-	ForS   float64 `json:"for_s"` // seconds until the block ends
+	Prefix     string  `json:"prefix"`
+	RemainingS float64 `json:"for_s"` // seconds until the block ends
 }
 
 const maxTopPrefixes = 10 // maximum length of View.Prefixes
@@ -47,18 +47,18 @@
 	defer l.mu.Unlock()
 	openTrusted := l.openByTrust[Known] + l.openByTrust[TrustedProxy] + min(l.openByTrust[Learned], l.config.learnedReserve())
 	return View{
-		Open:       l.openByStage(),
-		Trust:      l.openByTrustName(),
-		Capacity:   l.config.Capacity,
-		Reserve:    l.config.Reserve,
-		InReserve:  min(l.config.Reserve, openTrusted),
-		Pressure:   l.pressure,
-		Admitted:   l.admitted,
-		Rejections: l.rejectionsByName(),
-		Addresses:  l.addresses.size,
-		Learned:    l.addresses.learned,
-		Prefixes:   l.topPrefixes(),
-		Blocks:     l.activeBlocks(now),
+		Open:        l.openByStage(),
+		Trust:       l.openByTrustName(),
+		Capacity:    l.config.Capacity,
+		Reserve:     l.config.Reserve,
+		ReserveUsed: min(l.config.Reserve, openTrusted),
+		Pressure:    l.pressure,
+		Admitted:    l.admitted,
+		Rejections:  l.rejectionsByName(),
+		Addresses:   l.addresses.size,
+		Learned:     l.addresses.learned,
+		Prefixes:    l.topPrefixes(),
+		Blocks:      l.activeBlocks(now),
 	}
 }
 
--- a/internal/connlimit/stage.go
+++ b/internal/connlimit/stage.go
@@ -37,16 +37,16 @@
 // Connections of unknown addresses and those of trusted addresses are in separate lists.
 // The former are evicted first.
 const (
-	unknownSide = iota
-	trustedSide
-	numSides
+	unknownGroup = iota
+	trustedGroup
+	numTrustGroups
 )
 
-func sideOf(trust Trust) int {
+func trustGroupOf(trust Trust) int {
 	if trust == Unknown {
-		return unknownSide
+		return unknownGroup
 	}
-	return trustedSide
+	return trustedGroup
 }
 
 // addToStage appends a connection that is not in any list to the list of a stage.
@@ -55,7 +55,7 @@
 	connection.stage = stage
 	connection.stageSince = now
 	connection.listed = true
-	list := &l.stageLists[sideOf(connection.trust)][stage]
+	list := &l.stageLists[trustGroupOf(connection.trust)][stage]
 	connection.previous = list.last
 	connection.next = noIndex
 	if list.last == noIndex {
@@ -72,7 +72,7 @@
 	if !connection.listed {
 		return
 	}
-	list := &l.stageLists[sideOf(connection.trust)][connection.stage]
+	list := &l.stageLists[trustGroupOf(connection.trust)][connection.stage]
 	if connection.previous == noIndex {
 		list.first = connection.next
 	} else {
