--- a/internal/listener/gate.go
+++ b/internal/listener/gate.go
@@ -64,9 +64,9 @@
 var _ transport.Admission = (*Gate)(nil)
 
 // SilentGrace is how long a connection may be silent, if NewUnlimited created the Gate, before it may be evicted for a
-// waiting one. A client that has a request sends it together with the end of the handshake, so the time can be short. It
-// should be short, since the kernel's queue does not distinguish connections: behind a crowd of clients that send nothing,
-// another client waits for SilentGrace each time that the crowd fills all connections.
+// waiting one. A client that has a request sends it together with the end of the handshake, so the time can be short.
+// It should be short, since the kernel's queue does not distinguish connections: behind a crowd of clients that send
+// nothing, another client waits for SilentGrace each time that the crowd fills all connections.
 const SilentGrace = 40 * time.Millisecond
 
 // NewUnlimited returns a Gate that only determines the order of eviction. The engine
--- a/internal/listener/pressure.go
+++ b/internal/listener/pressure.go
@@ -9,7 +9,7 @@
 const (
 	pressureRecheckInterval = 20 * time.Millisecond  // time between two runs of relievePressure while there is pressure
 	evictionsPerRecheck     = 8                      // maximum number of connections that one run evicts
-	exhaustedPeriod         = 300 * time.Millisecond // for how long pressure stays high after the kernel had no descriptor
+	exhaustedPeriod         = 300 * time.Millisecond // how long pressure stays high after the kernel had no descriptor
 )
 
 // Exhausted implements transport.Admission. It raises the pressure, since the kernel
@@ -77,7 +77,7 @@
 // stopRelieving allows the next pressure to start relievePressure again.
 func (g *Gate) stopRelieving() {
 	g.relieving.Store(false)
-	if g.Budget.Pressure() > connlimit.PressureNone { // another goroutine may have raised it while relieving was still set
+	if g.Budget.Pressure() > connlimit.PressureNone { // another goroutine raised it while relieving was still set
 		g.updatePressure()
 	}
 }
--- a/internal/listener/proxyheader.go
+++ b/internal/listener/proxyheader.go
@@ -67,16 +67,16 @@
 // bytes must arrive first.
 func proxyHeaderLength(b []byte) (int, error) {
 	switch {
-	case beginsLike(b, v2Signature):
+	case matchesSignature(b, v2Signature):
 		return v2HeaderLength(b)
-	case beginsLike(b, v1Signature):
+	case matchesSignature(b, v1Signature):
 		return v1HeaderLength(b)
 	}
 	return 0, ErrProxyHeader
 }
 
-// beginsLike reports whether b begins with a signature or is the beginning of it.
-func beginsLike(b []byte, signature string) bool {
+// matchesSignature reports whether b begins with a signature or is the beginning of it.
+func matchesSignature(b []byte, signature string) bool {
 	n := min(len(b), len(signature))
 	return string(b[:n]) == signature[:n]
 }
