--- a/internal/listener/gate.go
+++ b/internal/listener/gate.go
@@ -117,8 +117,8 @@
 	}
 }
 
-// Enabled reports whether the Gate decides on connections, which is so if New created
-// it.
+// Enabled reports whether the Gate decides on connections, which means that it was
+// created by New and not by NewUnlimited.
 func (g *Gate) Enabled() bool { return g.enabled }
 
 // WriteStall returns how long a client may leave responses unread. 0 means no limit.
