--- a/internal/httpfront/clientleaves_test.go
+++ b/internal/httpfront/clientleaves_test.go
@@ -14,25 +14,25 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-// A client that closes while its request waits is noticed, whatever it has sent behind that request: its close cannot
-// be read behind bytes that nobody reads.
-func TestClientLeavesBehindUnreadBytes(t *testing.T) {
-	for _, bytesBehind := range []int{0, 1, 300, 3 * transport.BufferSize, moreThanSocketTakes} {
+// Checks that the close of a client whose request is being served is detected, however many bytes the client has sent
+// after that request. A close is not seen by reading while there are unread bytes before it.
+func TestClientCloseIsDetectedAfterUnreadBytes(t *testing.T) {
+	for _, trailingBytes := range []int{0, 1, 300, 3 * transport.BufferSize, moreThanSocketBuffers} {
 		front := startHoldingFrontEnd(t)
-		conn, _ := testkit.Connect(t, front.addr, testkit.RequestWithID("leaves")+strings.Repeat("x", bytesBehind))
+		conn, _ := testkit.Connect(t, front.addr, testkit.RequestWithID("leaves")+strings.Repeat("x", trailingBytes))
 		front.awaitAttempt()
 		conn.Close()
-		front.waitForCancelled(fmt.Sprintf("the client's close behind %d bytes is noticed", bytesBehind))
+		front.waitForCancelled(fmt.Sprintf("the client's close after %d bytes is detected", trailingBytes))
 	}
 }
 
-// The same where the client closes while its socket still holds a part of what it has sent.
-func TestClientLeavesBehindUnsentBytes(t *testing.T) {
+// Checks that the close is also detected if the client's socket still holds a part of what the client has sent.
+func TestClientCloseIsDetectedAfterUnsentBytes(t *testing.T) {
 	front := startHoldingFrontEnd(t)
 	conn, _ := testkit.Connect(t, front.addr, testkit.RequestWithID("leaves"))
 	front.awaitAttempt()
-	release := front.BlockLoop() // so that nothing is read and dropped
-	go io.WriteString(conn, strings.Repeat("x", moreThanSocketTakes))
+	release := front.BlockLoop() // keeps the front end from reading and discarding the bytes
+	go io.WriteString(conn, strings.Repeat("x", moreThanSocketBuffers))
 	const settled = 20 * time.Millisecond
 	testkit.Until(t, "the kernel takes no more", func() bool {
 		before := unsentBytes(t, conn)
@@ -41,13 +41,14 @@
 	})
 	conn.Close()
 	release()
-	front.waitForCancelled("the client's close behind unsent bytes is noticed")
+	front.waitForCancelled("the client's close after unsent bytes is detected")
 }
 
-// moreThanSocketTakes is how many bytes a front end's socket does not take while nobody reads them.
-const moreThanSocketTakes = 400 << 10
+// moreThanSocketBuffers is a number of bytes that does not fit into the socket buffers while nobody reads.
+const moreThanSocketBuffers = 400 << 10
 
-// waitForCancelled waits until the front end's only request is cancelled and its connection has ended.
+// waitForCancelled waits until the front end's only request is cancelled and its connection is closed. what describes
+// the condition in the failure message.
 func (h *holdingFrontEnd) waitForCancelled(what string) {
 	h.t.Helper()
 	testkit.Until(h.t, what, func() (noticed bool) {
@@ -56,7 +57,7 @@
 	})
 }
 
-// unsentBytes returns how many bytes the other end's kernel has not acknowledged.
+// unsentBytes returns how many bytes in the send queue of a connection the peer's kernel has not acknowledged.
 func unsentBytes(t *testing.T, conn net.Conn) (unsent int) {
 	t.Helper()
 	raw, err := conn.(*net.TCPConn).SyscallConn()
--- a/internal/httpfront/connection.go
+++ b/internal/httpfront/connection.go
@@ -8,20 +8,20 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-// clientConnection is a client's connection. It reads a request, waits for its response, and reads on. Requests that the
-// client sends ahead wait in the input meanwhile.
+// clientConnection is a client's connection. It reads a request, waits for its response, and then reads the next one.
+// Requests that the client pipelines stay in the input buffer until the responses before them have been written.
 type clientConnection struct {
 	frontEnd  *FrontEnd
 	conn      *transport.Conn
-	token     uint64 // among the front end's connections
+	token     uint64 // identifies the connection in FrontEnd.connections
 	limiterID connlimit.ID
-	peer      netip.Addr         // the client's address, whose turn its input waits for
-	timer     eventloop.Deadline // of the idle connection, or of the request that has begun
+	peer      netip.Addr         // the client's address, by which the input is queued for fair reading
+	timer     eventloop.Deadline // the idle timeout, or the timeout of a request that has begun to arrive
 
-	awaitsProxyHeader  bool // it comes from a trusted proxy, whose PROXY header is due
-	hasSent            bool // a byte has come
-	proven             bool // one of its requests has been served
-	closeAfterResponse bool // it ends with the next response
+	awaitsProxyHeader  bool // it comes from a trusted proxy, whose PROXY header has not been read yet
+	hasSent            bool // at least one byte has been received
+	proven             bool // a worker has served at least one of its requests
+	closeAfterResponse bool // it is closed after the next response
 	closed             bool
 
 	input    inputBuffer
@@ -31,7 +31,7 @@
 	stall    stallWatch
 }
 
-// newClientConnection returns a connection that has been accepted, which is not among the front end's yet.
+// newClientConnection returns a connection for an accepted conn. The caller adds it to the front end's connections.
 func newClientConnection(frontEnd *FrontEnd, conn *transport.Conn) *clientConnection {
 	connection := &clientConnection{frontEnd: frontEnd, conn: conn}
 	connection.input.pool = &frontEnd.engine.Pool
@@ -48,7 +48,7 @@
 	case c.closed:
 		frontEnd.engine.Pool.Put(b)
 		return
-	case c.response.pending && c.closeAfterResponse: // no request can follow; only the client's close matters
+	case c.response.pending && c.closeAfterResponse: // no other request is read; only the client's close matters
 		frontEnd.engine.Pool.Put(b)
 		c.conn.Discard(maxDiscardedBytes)
 		return
@@ -59,12 +59,12 @@
 	if c.input.empty() && !c.response.pending {
 		c.startRequest()
 	}
-	if !c.input.add(b) { // cannot happen before the overflow has found room, since the connection is paused until then
+	if !c.input.add(b) { // not expected: reading is paused while there is overflow
 		c.closeAfterResponse = true
 	}
 	if frontEnd.gate.Enabled() {
-		if !c.response.pending && !c.input.empty() && c.incoming.capExceeded == connlimit.Allowed {
-			c.incoming.capExceeded = frontEnd.gate.Limiter.SetBuffered(c.limiterID, len(c.input.bytes()))
+		if !c.response.pending && !c.input.empty() && c.incoming.limitExceeded == connlimit.Allowed {
+			c.incoming.limitExceeded = frontEnd.gate.Limiter.SetBuffered(c.limiterID, len(c.input.bytes()))
 		}
 		if frontEnd.gate.Pressure() > 0 || frontEnd.turns.queue.Len() > 0 {
 			frontEnd.queueForTurn(c)
@@ -75,7 +75,8 @@
 	frontEnd.freeMemory()
 }
 
-// OnClosed is called when the client has closed the connection, or it broke. It implements transport.Handler.
+// OnClosed is called when the client has closed the connection, or the connection was lost. It implements
+// transport.Handler.
 func (c *clientConnection) OnClosed(*transport.Conn, error) {
 	response := c.response
 	c.release()
@@ -84,14 +85,14 @@
 	}
 }
 
-// ClientLeft reports whether the client of a request has closed its connection, even if the event of it has not been
-// handled yet. It implements dispatch.ClientWatcher.
+// ClientLeft reports whether the client of a request has closed its connection, even if the event loop has not handled
+// the close event yet. It implements dispatch.ClientWatcher.
 func (f *FrontEnd) ClientLeft(token uint64) bool {
 	c := f.connections.Get(token)
 	return c == nil || c.conn.PeerClosed()
 }
 
-// RequestCancelled implements dispatch.ClientWatcher. It does nothing: the connection is released when OnClosed comes.
+// RequestCancelled implements dispatch.ClientWatcher. It does nothing, since OnClosed releases the connection.
 func (f *FrontEnd) RequestCancelled(uint64, bool) {}
 
 // betweenRequests reports whether no request has begun and no response is pending.
@@ -99,14 +100,14 @@
 	return !c.response.pending && !c.closed && c.input.empty()
 }
 
-// closeNow closes a connection on which no response is pending, at once.
+// closeNow immediately closes a connection on which no response is pending.
 func (c *clientConnection) closeNow() {
 	c.checkNoResponsePending()
 	c.release()
 	c.conn.Close()
 }
 
-// closeGracefully closes a connection on which no response is pending, once the client has got all that was written.
+// closeGracefully closes a connection on which no response is pending, once all written bytes have reached the client.
 func (c *clientConnection) closeGracefully() {
 	c.checkNoResponsePending()
 	c.release()
@@ -118,7 +119,8 @@
 	c.frontEnd.dispatcher.Guard.CheckClosed(c.response.pending && !c.closed, "client connection")
 }
 
-// release gives back all that the connection holds.
+// release marks the connection as closed and releases its resources: its place in the limiter and among the front
+// end's connections, its timers and its input buffers.
 func (c *clientConnection) release() {
 	frontEnd := c.frontEnd
 	if !c.closed {
@@ -132,7 +134,7 @@
 	c.closed = true
 }
 
-// reportAbuse reports to the gate what the client has done.
+// reportAbuse reports to the gate that the client has misbehaved, and how.
 func (c *clientConnection) reportAbuse(reason connlimit.Reason) {
 	gate := c.frontEnd.gate
 	if gate.Enabled() {
--- a/internal/httpfront/drain_test.go
+++ b/internal/httpfront/drain_test.go
@@ -12,13 +12,13 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// A byte of FuzzDrain is a step: its last three bits are what happens, those before them on which connection.
+// Each input byte of FuzzDrain is a step: its low three bits select the action, the next two the connection.
 const (
 	drainConnections = 4
 	maxDrainSteps    = 60
 )
 
-// drainStep is what happens in one step of FuzzDrain.
+// drainStep is the action of one step of FuzzDrain.
 type drainStep byte
 
 const (
@@ -30,14 +30,14 @@
 	passNoticeTime
 	passIdleTime
 	endDrain
-	drainSteps // the number of the steps above
+	drainSteps // number of the actions above
 )
 
-// FuzzDrain checks client connections against a model of a drain. A byte is a step on one of four connections: open it,
-// ask for health, send half a request or the rest of one; or on the front end: drain it, let the notice time pass, let
-// the idle time pass, end the drain. Each complete request has its one response, which ends the connection where the
-// model says so; /healthz says 503 during the drain; and only an idle connection may end without a response, after the
-// idle time.
+// FuzzDrain checks client connections against a model of a drain. Each byte is a step, either on one of four
+// connections (open it, request /healthz, send the first part of a request or its rest) or on the front end (start a
+// drain, let the notice time or the idle time pass, end the drain). Each complete request must get exactly one response,
+// after which the connection is closed if the model says so. /healthz must return 503 during the drain. Only an idle
+// connection may be closed without a response, and only after the idle time.
 func FuzzDrain(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3, 4, 1, 3, 5, 1, 8, 10, 11, 16, 17})
 	f.Add([]byte{0, 2, 8, 9, 16, 18, 4, 5, 6, 3, 9, 19, 7, 24, 25, 26, 27})
@@ -51,22 +51,22 @@
 		defer model.closeAll()
 		for i, step := range steps[:min(len(steps), maxDrainSteps)] {
 			model.index = i
-			model.take(drainStep(step)%drainSteps, int(step/byte(drainSteps)%drainConnections))
+			model.applyStep(drainStep(step)%drainSteps, int(step/byte(drainSteps)%drainConnections))
 		}
 	})
 }
 
-// drainModel is what clients must see of a front end that is drained.
+// drainModel is a model of what clients must observe while a front end is drained.
 type drainModel struct {
 	t        *testing.T
 	rig      *testkit.Rig
 	frontEnd *FrontEnd
 	addr     string
 	steps    []byte
-	index    int  // of the present step
-	requests *int // the number of requests so far, in all runs
+	index    int  // of the current step
+	requests *int // number of requests so far, in all runs of the fuzz function
 
-	clients            [drainConnections]*drainClient // nil: not connected
+	clients            [drainConnections]*drainClient // nil where no client is connected
 	opened             []net.Conn
 	draining           bool
 	closeAfterResponse bool
@@ -77,11 +77,12 @@
 type drainClient struct {
 	net.Conn
 	reader *bufio.Reader
-	rest   string // what remains to be sent of the request that was begun
+	rest   string // the unsent part of a request that was begun
 }
 
-// take takes a step on a connection or on the front end, if it is possible now.
-func (m *drainModel) take(step drainStep, number int) {
+// applyStep performs a step on a connection or on the front end, if it is possible in the current state. number is the
+// index of the connection.
+func (m *drainModel) applyStep(step drainStep, number int) {
 	m.t.Helper()
 	client := m.clients[number]
 	between := client != nil && client.rest == ""
@@ -101,13 +102,13 @@
 		client.rest = ""
 		m.exchange(number, rest, 200)
 	case step == beginDrain:
-		m.onLoop(m.frontEnd.Drain)
+		m.doWithoutDrainTimer(m.frontEnd.Drain)
 		m.draining = true
 	case step == passNoticeTime && m.draining:
-		m.onLoop(m.frontEnd.continueDrain)
+		m.doWithoutDrainTimer(m.frontEnd.continueDrain)
 		m.closeAfterResponse = true
 	case step == passIdleTime && m.draining:
-		m.onLoop(func() {
+		m.doWithoutDrainTimer(func() {
 			m.frontEnd.drain.startedAt -= drainIdleTime
 			m.frontEnd.continueDrain()
 		})
@@ -120,15 +121,16 @@
 	}
 }
 
-// onLoop calls a function of the front end. The drain goes on only when a step says so.
-func (m *drainModel) onLoop(call func()) {
+// doWithoutDrainTimer calls a function of the front end on the event loop, and stops the drain timer that it may have
+// set, so that the drain continues only when a step says so.
+func (m *drainModel) doWithoutDrainTimer(call func()) {
 	m.rig.Do(func() {
 		call()
 		m.rig.Dispatcher.Loop.Clear(&m.frontEnd.drain.timer)
 	})
 }
 
-// open opens a connection.
+// open opens the connection with the given index.
 func (m *drainModel) open(number int) {
 	m.t.Helper()
 	conn, err := net.Dial("tcp", m.addr)
@@ -147,7 +149,7 @@
 	}
 }
 
-// sendHalf sends a part of a request.
+// sendHalf sends the first part of a request, and keeps the rest in client.rest.
 func (m *drainModel) sendHalf(client *drainClient) {
 	*m.requests++
 	text := testkit.RequestWithID(fmt.Sprint("drain", *m.requests))
@@ -156,11 +158,12 @@
 	client.rest = text[cut:]
 }
 
-// exchange sends a text, which completes a request, and checks its response.
+// exchange sends a text that completes a request, and checks the response's status and whether the connection is closed
+// after it.
 func (m *drainModel) exchange(number int, text string, status int) {
 	m.t.Helper()
 	client := m.clients[number]
-	fmt.Fprint(client, text) // may fail if an idle connection has been closed
+	fmt.Fprint(client, text) // may fail if the front end has closed the idle connection
 	response, err := http.ReadResponse(client.reader, nil)
 	if err != nil {
 		if !m.idleMayClose {
@@ -171,14 +174,14 @@
 	}
 	io.Copy(io.Discard, response.Body)
 	if response.StatusCode != status || response.Close != m.closeAfterResponse {
-		m.t.Fatalf("step %d of %v: %d, ends: %v; want %d, %v",
+		m.t.Fatalf("step %d of %v: status %d, close %v; want %d, %v",
 			m.index, m.steps, response.StatusCode, response.Close, status, m.closeAfterResponse)
 	}
 	if !m.closeAfterResponse {
 		return
 	}
 	if _, err := client.reader.ReadByte(); err != io.EOF {
-		m.t.Fatalf("step %d of %v: behind the last response: %v", m.index, m.steps, err)
+		m.t.Fatalf("step %d of %v: after the last response: %v, want EOF", m.index, m.steps, err)
 	}
 	m.clients[number] = nil
 }
--- a/internal/httpfront/eviction.go
+++ b/internal/httpfront/eviction.go
@@ -10,24 +10,24 @@
 
 const (
 	silenceInterval    = 50 * time.Millisecond // between attempts to evict silent connections
-	capacityInterval   = 10 * time.Millisecond // between attempts to evict connections for new ones that wait
-	evictionsPerCall   = 8                     // of evictForCapacity
-	memoryShortDivisor = 2                     // memory is short when this part of the limit is in use
+	capacityInterval   = 10 * time.Millisecond // between attempts to evict connections in favor of waiting new ones
+	evictionsPerCall   = 8                     // maximum number of evictions in one call of evictForCapacity
+	memoryShortDivisor = 2                     // memory is short when more than limit/memoryShortDivisor is in use
 
-	// provenGrace is how long proven connections are spared when there is no other candidate. By then those that are
-	// silent now have become candidates.
+	// provenGrace is how long proven connections are spared when there is no other candidate for eviction. When it is
+	// over, connections that are silent at its start have become candidates.
 	provenGrace = listener.SilentGrace + capacityInterval
 )
 
-// evictionState is what the front end does to find room for new connections.
+// evictionState is the state of the evictions that make room for new connections.
 type evictionState struct {
-	capacityExhausted bool               // new connections wait, and none could be closed for them
-	provenSparedUntil time.Duration      // proven connections are spared until then; 0: none was chosen yet
-	retryTimer        eventloop.Deadline // of evictForCapacity
-	silenceTimer      eventloop.Deadline // of evictSilent
+	capacityExhausted bool               // new connections wait, and no connection could be evicted for them
+	provenSparedUntil time.Duration      // when proven connections may be evicted; 0 if none has been a candidate yet
+	retryTimer        eventloop.Deadline // of the next attempt of evictForCapacity
+	silenceTimer      eventloop.Deadline // of the next attempt of evictSilent
 }
 
-// Evict closes a connection that the gate has chosen, unless a response is pending on it. It implements
+// Evict closes the connection that the gate has chosen, unless a response is pending on it. It implements
 // listener.FrontEnd.
 func (f *FrontEnd) Evict(token uint64) {
 	c := f.connections.Get(token)
@@ -36,9 +36,9 @@
 	}
 }
 
-// evictSilent closes connections on which nothing has come, while there are more than usual clients open ahead of
-// their requests. Those that have been silent longest go first, and none that is new: a close that crosses a
-// connection's first request loses it.
+// evictSilent closes connections on which no byte has been received, while there are more of them than well-behaved
+// clients open before they send requests. The connection that has been silent longest is closed first. New connections
+// are spared, because a close that crosses the first request of a connection loses that request.
 func (f *FrontEnd) evictSilent() {
 	for f.gate.Limiter.TooManySilent() {
 		candidate, found := f.gate.EvictionCandidate(connlimit.ForSilence, connlimit.Spared{Single: f.hasUnreadRequest})
@@ -50,17 +50,17 @@
 	}
 }
 
-// hasUnreadRequest reports whether bytes have come on a connection between requests that were not read yet, as after the
-// loop was held up: it is not evicted, since a request is there.
+// hasUnreadRequest reports whether a connection between requests has bytes in its socket that have not been read yet, as
+// happens when the event loop was delayed. Such a connection is not evicted, since a request has arrived on it.
 func (f *FrontEnd) hasUnreadRequest(token connlimit.Token) bool {
 	c := f.connections.Get(uint64(token))
 	return c != nil && c.betweenRequests() && !c.conn.AllRead()
 }
 
-// evictForCapacity evicts some connections for new ones that wait, and continues until one of those has been accepted.
-// If there is none to evict, connections end with their next responses.
+// evictForCapacity evicts some connections to make room for new ones that wait, and is repeated until one of those has
+// been accepted. If there is no connection to evict, connections are closed after their next responses.
 func (f *FrontEnd) evictForCapacity() {
-	spareProven := f.listenerShared // the other process has capacity
+	spareProven := f.listenerShared // the process that shares the listener can accept the new connections
 	spared := connlimit.Spared{Proven: spareProven, Single: f.hasUnreadRequest}
 	for evicted := range evictionsPerCall {
 		candidate, found := f.gate.EvictionCandidate(connlimit.ForUnknown, spared)
@@ -68,21 +68,21 @@
 			f.eviction.capacityExhausted = evicted == 0 && !spareProven
 			break
 		}
-		if candidate.Stage == connlimit.Proven && evicted > 0 { // there is capacity already
+		if candidate.Stage == connlimit.Proven && evicted > 0 { // the evictions so far have made room
 			break
 		}
 		if candidate.Stage == connlimit.Proven && f.sparesProven() {
 			f.loop().Set(&f.eviction.retryTimer, f.loop().Now()+capacityInterval)
 			return
 		}
-		f.gate.CloseConnection(candidate.Token) // at once: one that closes gracefully keeps its descriptor for a while
+		f.gate.CloseConnection(candidate.Token) // not gracefully, which would occupy the descriptor for a while
 	}
 	if f.eviction.capacityExhausted {
 		f.loop().Set(&f.eviction.retryTimer, f.loop().Now()+capacityInterval)
 	}
 }
 
-// sparesProven reports whether a proven connection that was chosen is spared for now.
+// sparesProven reports whether a proven connection that is the candidate for eviction is spared for now.
 func (f *FrontEnd) sparesProven() bool {
 	now := f.loop().Now()
 	if f.eviction.provenSparedUntil == 0 {
@@ -91,14 +91,14 @@
 	return now < f.eviction.provenSparedUntil
 }
 
-// retryEviction evicts again if no connection has been accepted since the last time.
+// retryEviction repeats evictForCapacity if no connection has been accepted since its last call.
 func (f *FrontEnd) retryEviction() {
 	if f.eviction.capacityExhausted || f.eviction.provenSparedUntil != 0 {
 		f.evictForCapacity()
 	}
 }
 
-// freeMemory rejects incomplete requests while buffers take up more than the memory limit, the oldest first.
+// freeMemory rejects incomplete requests, the oldest first, until buffers take up no more than the memory limit.
 func (f *FrontEnd) freeMemory() {
 	for f.memoryExhausted() {
 		var chosen *clientConnection
@@ -114,11 +114,11 @@
 		if !found {
 			return
 		}
-		chosen.reject(errMemory)
+		chosen.reject(errMemoryExhausted)
 	}
 }
 
-// memoryShort reports whether buffers take up so much memory that no request is read ahead.
+// memoryShort reports whether buffers take up so much memory that pipelined requests are not read ahead.
 func (f *FrontEnd) memoryShort() bool {
 	return memoryShortDivisor*f.engine.Pool.BytesInUse() > f.memoryLimit
 }
--- a/internal/httpfront/eviction_test.go
+++ b/internal/httpfront/eviction_test.go
@@ -11,7 +11,8 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-// Incomplete requests cannot exhaust the memory: the oldest are rejected, and usual clients are served meanwhile.
+// Checks that incomplete requests cannot exhaust the memory: the oldest are rejected, while clients that send complete
+// requests are served.
 func TestIncompleteRequestsAreEvictedForMemory(t *testing.T) {
 	const buffers = 8
 	addr := startEchoFrontEnd(t, buffers*transport.BufferSize, 100)
@@ -23,12 +24,13 @@
 			oldest = reader
 		}
 		_, usual := testkit.Connect(t, addr, testkit.RequestWithID(fmt.Sprint("usual-", i)))
-		requireStatus(t, fmt.Sprintf("a usual request beside %d incomplete ones", i), usual, 200)
+		requireStatus(t, fmt.Sprintf("a complete request beside %d incomplete ones", i), usual, 200)
 	}
 	checkStatus(t, "the oldest incomplete request", oldest, 503)
 }
 
-// Connections whose requests have not been served are evicted first, and a proven one stays, even if it is older.
+// Checks that connections on which no request has been served are evicted first, and that a proven connection stays open
+// even if it is older.
 func TestEvictionSparesProvenConnections(t *testing.T) {
 	const maxConnections = 4
 	addr := startEchoFrontEnd(t, ampleMemory, maxConnections)
@@ -38,22 +40,22 @@
 		_, unproven := testkit.Connect(t, addr, healthRequest)
 		requireStatus(t, "an unproven connection", unproven, 200)
 	}
-	for i := range 2 * maxConnections { // each needs the place of an unproven one
+	for i := range 2 * maxConnections { // each is accepted only once an unproven one is evicted
 		_, unproven := testkit.Connect(t, addr, healthRequest)
 		requireStatus(t, fmt.Sprint("beyond the limit, connection ", i), unproven, 200)
 	}
 	io.WriteString(proven, testkit.RequestWithID("second"))
 	checkStatus(t, "the proven connection", provenReader, 200)
 
-	// A silent one is evicted when there is no room, but not at once.
+	// Silent connections are evicted when the limit is reached, but only after a grace period.
 	for range 6 {
 		testkit.Connect(t, addr, "")
 	}
 	_, last := testkit.Connect(t, addr, healthRequest)
-	checkStatus(t, "a connection behind silent ones", last, 200)
+	checkStatus(t, "a connection opened after silent ones", last, 200)
 }
 
-// A connection on which a response is pending is never evicted for memory.
+// Checks that a connection on which a response is pending is never evicted to free memory.
 func TestFreeMemorySparesPendingResponses(t *testing.T) {
 	front := startHoldingFrontEnd(t)
 	_, reader := testkit.Connect(t, front.addr, testkit.RequestWithID("first")+"POST /renewal/k HTTP/1.1\r\n")
--- a/internal/httpfront/fairness.go
+++ b/internal/httpfront/fairness.go
@@ -2,18 +2,20 @@
 
 import "hollyyoke.example/hollyyoke/internal/connlimit"
 
-// connectionsPerTurn is how many connections are read in a row, one of each address, before the loop continues.
+// connectionsPerTurn is how many connections, in round-robin order of their addresses, are read before the event loop
+// handles other events.
 const connectionsPerTurn = 8
 
-// turnState is whose input is read next, where clients' addresses take turns.
+// turnState is the state of fair reading, in which the input of connections is read in round-robin order of the clients'
+// addresses.
 type turnState struct {
-	queue   connlimit.RoundRobin // connections whose input waits for their address's turn
+	queue   connlimit.RoundRobin // connections with unhandled input, by client address
 	posted  bool                 // takeTurns is in the loop's queue
-	reading uint64               // token of the connection that is being read
+	reading uint64               // token of the connection that is being read, 0 if none is
 }
 
-// queueForTurn makes a connection's input wait for its address's turn, so that an address with a thousand connections
-// gets no more turns than one with a single connection.
+// queueForTurn queues a connection's input until it is the turn of the client's address, so that an address with a
+// thousand connections gets no more turns than an address with one.
 func (f *FrontEnd) queueForTurn(c *clientConnection) {
 	if !c.reading.queued {
 		c.reading.queued = true
@@ -22,7 +24,7 @@
 	f.postTurns()
 }
 
-// postTurns posts takeTurns to the loop, unless it is there already.
+// postTurns posts takeTurns to the loop, unless it is already posted.
 func (f *FrontEnd) postTurns() {
 	if !f.turns.posted {
 		f.turns.posted = true
@@ -30,7 +32,7 @@
 	}
 }
 
-// takeTurns reads some of the connections that wait, in the order of their addresses' turns.
+// takeTurns reads up to connectionsPerTurn queued connections, in round-robin order of their addresses.
 func (f *FrontEnd) takeTurns() {
 	f.turns.posted = false
 	for range connectionsPerTurn {
--- a/internal/httpfront/frontend.go
+++ b/internal/httpfront/frontend.go
@@ -2,8 +2,8 @@
 // dispatcher and writes their responses.
 //
 // A FrontEnd belongs to the event loop's goroutine; none of its methods may be called from another one. It does not
-// decide where a request goes or whether it is retried. It never closes a connection on which a response is pending, and
-// never writes two responses to one request. What one client sends must not keep others from being served.
+// decide to which worker a request goes or whether it is retried. It never closes a connection on which a response is
+// pending, and never writes two responses to one request. No client can keep others from being served by what it sends.
 package httpfront
 
 import (
@@ -18,44 +18,46 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-// frontEndNumber is this front end's number at the gate.
+// frontEndNumber identifies this front end at the gate, which may serve several front ends.
 const frontEndNumber = 0
 
 // FrontEnd serves HTTP/1.1 clients.
 type FrontEnd struct {
-	dispatcher  *dispatch.Dispatcher
-	engine      *transport.Engine
-	gate        *listener.Gate
-	acceptor    *transport.Acceptor // nil until Serve
-	classes     map[string]int      // by their names
-	connections slotmap.Map[clientConnection]
-	out         []byte      // scratch space in which a response is put together
-	ready       func() bool // whether workers are known
-	memoryLimit int         // bytes that buffers may take up before incomplete requests are rejected
+	dispatcher     *dispatch.Dispatcher
+	engine         *transport.Engine
+	gate           *listener.Gate
+	acceptor       *transport.Acceptor // nil before Serve is called
+	classes        map[string]int      // indexes of the classes by their names
+	connections    slotmap.Map[clientConnection]
+	responseBuffer []byte      // scratch space in which a response is assembled
+	ready          func() bool // whether workers are known
+	memoryLimit    int         // bytes that buffers may take up before incomplete requests are rejected
 
 	turns    turnState
 	drain    drainState
 	eviction evictionState
 
-	closeAfterResponse bool // connections end with their next response
-	shuttingDown       bool // a restart has begun: not ready any more
-	handedOver         bool // a successor accepts, so that the service is ready
+	closeAfterResponse bool // connections are closed after their next responses
+	shuttingDown       bool // a restart has begun, so /healthz reports not ready unless handedOver is set
+	handedOver         bool // a successor accepts connections, so /healthz reports ready
 	readingStopped     bool // nothing is read from clients any more
 	listenerShared     bool // another process accepts on the same listener
 
-	durable        *durable.Service // nil: none, or not there yet
-	durableClasses []bool           // by class; nil: none is durable
+	durable        *durable.Service // nil if there is none, or while another process has the store
+	durableClasses []bool           // by class, whether it is durable; nil if no class is
 }
 
-// The dispatcher and the gate ask a front end for these interfaces, the first of them at run time.
+// The interfaces through which the dispatcher and the gate use a front end. The dispatcher checks for
+// dispatch.ClientWatcher with a type assertion at run time.
 var (
 	_ dispatch.ClientWatcher = (*FrontEnd)(nil)
 	_ dispatch.FrontEnd      = (*FrontEnd)(nil)
 	_ listener.FrontEnd      = (*FrontEnd)(nil)
 )
 
-// New returns a front end that accepts connections once Listen or Serve is called. The buffers of the engine, which
-// others may share, should not take up more than memoryLimit bytes. ready reports whether workers are known.
+// New returns a front end that accepts connections once Listen or Serve is called. It rejects incomplete requests while
+// the buffers of the engine, which other components may share, take up more than memoryLimit bytes. ready reports
+// whether workers are known.
 func New(dispatcher *dispatch.Dispatcher, engine *transport.Engine, memoryLimit int, ready func() bool) *FrontEnd {
 	frontEnd := &FrontEnd{
 		dispatcher:  dispatcher,
@@ -105,7 +107,7 @@
 
 // accept takes over a connection that the acceptor has accepted, and returns its handler.
 func (f *FrontEnd) accept(conn *transport.Conn) transport.Handler {
-	if f.readingStopped { // it was in the loop's queue
+	if f.readingStopped { // the connection was accepted before StopReading and was still in the loop's queue
 		conn.CloseGracefully()
 		return conn.Handler
 	}
@@ -123,7 +125,7 @@
 	return connection
 }
 
-// StopAccepting accepts no more connections; those in the backlog wait for the next process.
+// StopAccepting stops accepting connections; those in the listener's backlog wait for the next process.
 func (f *FrontEnd) StopAccepting() {
 	if f.acceptor != nil {
 		f.acceptor.Close()
@@ -139,10 +141,10 @@
 // Ready reports whether workers are known, so that requests can be forwarded.
 func (f *FrontEnd) Ready() bool { return f.ready() }
 
-// ConnectionCount returns the number of connections on which requests may come or responses are pending.
+// ConnectionCount returns the number of connections on which requests can arrive or responses are pending.
 func (f *FrontEnd) ConnectionCount() int { return f.connections.Len() }
 
-// OpenConnections returns the number of connections that have not been closed entirely, those included whose client
+// OpenConnections returns the number of connections that have not been closed entirely, including those whose client
 // has yet to read the last response.
 func (f *FrontEnd) OpenConnections() int {
 	if f.acceptor == nil {
--- a/internal/httpfront/frontend_test.go
+++ b/internal/httpfront/frontend_test.go
@@ -13,9 +13,9 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// FuzzClientConnection checks a client connection against a model: whatever the requests, and wherever their bytes are
-// split, each gets its one response, in order, until one ends the connection. Two bytes are a step: the request, and
-// where to split it.
+// FuzzClientConnection checks a client connection against a model: whatever the requests are, and wherever their bytes
+// are split, each gets exactly one response, in order, until a response ends the connection. Every two input bytes are a
+// step: the first selects the request, the second where to split it.
 func FuzzClientConnection(f *testing.F) {
 	const maxSteps = 20
 	f.Add([]byte{0, 0, 1, 0, 2, 0, 3, 0, 4, 0, 5, 0, 6, 0, 7, 0, 8, 0, 9, 0, 0, 0})
@@ -84,8 +84,8 @@
 	}
 }
 
-// A correlation ID that an open or recent request has is rejected: such a request would be forwarded to worker after
-// worker, each of which rejects it, and they would count as faulty.
+// Checks that a request is rejected if its correlation ID is that of an open or recent request. Otherwise it would be
+// forwarded to one worker after another, each of which would reject it, and those workers would count as faulty.
 func TestCorrelationIDInUse(t *testing.T) {
 	front := startHoldingFrontEnd(t)
 	first := postWithID(front.addr, "one")
@@ -105,8 +105,8 @@
 	}
 }
 
-// postWithID sends a request with a correlation ID, on a connection of the standard client. The channel gets the status
-// code of the response, and is closed.
+// postWithID sends a request with a correlation ID through http.DefaultClient. The channel receives the status code of
+// the response, unless the request fails, and is then closed.
 func postWithID(addr, id string) chan int {
 	status := make(chan int, 1)
 	go func() {
@@ -123,10 +123,10 @@
 	return status
 }
 
-// Hundreds of pipelined requests are served in order, and other connections are served in between.
+// Checks that hundreds of pipelined requests are served in order, and that other connections are served in between.
 func TestPipeline(t *testing.T) {
 	const requests = 500
-	const otherAfter = 100 // responses
+	const otherAfter = 100 // number of responses after which another client sends its request
 	addr := startEchoFrontEnd(t, ampleMemory, 20)
 	conn, reader := testkit.Connect(t, addr, "")
 	go func() {
@@ -143,7 +143,7 @@
 	}
 }
 
-// longRequestWithID returns a request with a body of 2000 bytes that an echo client completes.
+// longRequestWithID returns a request with a body of 2000 bytes that an echo worker client completes.
 func longRequestWithID(id string) string {
 	padded := "2000\r\n\r\ndone" + strings.Repeat(" ", 1996)
 	return strings.Replace(testkit.RequestWithID(id), "4\r\n\r\ndone", padded, 1)
--- a/internal/httpfront/golden_test.go
+++ b/internal/httpfront/golden_test.go
@@ -19,13 +19,14 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// lastExchange ends a connection in order. Its response is not written to the golden file.
+// closingRequest is a request after whose response the front end closes the connection. roundTripKeptAlive removes that
+// response from what it returns.
 const (
-	lastExchange = "GET /healthz HTTP/1.0\r\n\r\n"
-	lastResponse = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\nConnection: close\r\n\r\nready\n"
+	closingRequest  = "GET /healthz HTTP/1.0\r\n\r\n"
+	closingResponse = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\nConnection: close\r\n\r\nready\n"
 )
 
-// Each response that the front end gives by itself, byte for byte.
+// Compares all responses that the front end gives by itself, byte for byte.
 func TestGoldenResponses(t *testing.T) {
 	rig := testkit.NewRig(t)
 	ready := true
@@ -35,26 +36,26 @@
 	for i, exchange := range testkit.Exchanges {
 		request := testkit.WithID(exchange.Request, fmt.Sprintf("id%06d", i))
 		if exchange.Ends {
-			text.WriteString(record(request, roundTrip(t, addr, request)))
+			text.WriteString(formatExchange(request, roundTrip(t, addr, request)))
 		} else {
-			text.WriteString(record(request, roundTripKeptAlive(t, addr, request)))
+			text.WriteString(formatExchange(request, roundTripKeptAlive(t, addr, request)))
 		}
 	}
-	for _, request := range []string{ // each ends its connection
+	for _, request := range []string{ // the connection is closed after each of them
 		"HEAD /healthz HTTP/1.1\r\n\r\n",
 		"HEAD / HTTP/1.1\r\n\r\n",
-		"POST /renewal/k HTTP/1.1\r\nX-Correlation-Id: head-1\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n", // 408 in the end
+		"POST /renewal/k HTTP/1.1\r\nX-Correlation-Id: head-1\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n", // gets 408 when the request times out
 		"POST /renewal/k HTTP/1.1\r\nX-Correlation-Id: head-2",
 		"GET / HTTP/1.1\r\n\r\nGET /healthz HTTP/1.1\r\nConnection: close\r\n\r\n",
 	} {
-		text.WriteString(record(request, roundTrip(t, addr, request)))
+		text.WriteString(formatExchange(request, roundTrip(t, addr, request)))
 	}
 	rig.Do(func() { ready = false })
-	text.WriteString(record(lastExchange, roundTrip(t, addr, lastExchange)))
+	text.WriteString(formatExchange(closingRequest, roundTrip(t, addr, closingRequest)))
 	goldentest.CompareHTTP(t, "answers.golden", text.String())
 }
 
-// roundTrip sends a text on a connection of its own, and returns all that comes until the connection ends.
+// roundTrip sends a text on a new connection, and returns all that it receives until the connection ends.
 func roundTrip(t *testing.T, addr, text string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -64,30 +65,31 @@
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(testkit.Patience))
 	io.WriteString(conn, text)
-	response, _ := io.ReadAll(conn) // a reset behind the response does not matter
+	response, _ := io.ReadAll(conn) // a connection reset after the response does not matter
 	return string(response)
 }
 
-// roundTripKeptAlive is roundTrip for a request that does not end its connection, which it checks by another one.
+// roundTripKeptAlive is like roundTrip, but for a request that must leave its connection open. It checks this by sending
+// closingRequest after it, whose response it does not return.
 func roundTripKeptAlive(t *testing.T, addr, request string) string {
 	t.Helper()
-	responses := roundTrip(t, addr, request+lastExchange)
-	response, keptAlive := strings.CutSuffix(responses, lastResponse)
+	responses := roundTrip(t, addr, request+closingRequest)
+	response, keptAlive := strings.CutSuffix(responses, closingResponse)
 	if !keptAlive {
 		t.Errorf("%q ended the connection: %q", request, responses)
 	}
 	return response
 }
 
-// record returns a request and its response as the golden file holds them.
-func record(request, response string) string {
+// formatExchange returns a request and its response in the format of the golden file.
+func formatExchange(request, response string) string {
 	shown := regexp.MustCompile(`x{100,}`).ReplaceAllStringFunc(request, func(many string) string {
 		return fmt.Sprintf("(%d times x)", len(many))
 	})
 	return "> " + strings.ReplaceAll(shown, "\n", "\n> ") + "\n" + testkit.MaskVolatile(response) + "\n"
 }
 
-// The status line of each status, and the head of a response with each part.
+// Compares the status line of each status, and the heads of responses with each optional field.
 func TestGoldenStatuses(t *testing.T) {
 	var text []byte
 	for _, status := range []int{200, 400, 404, 405, 408, 409, 413, 431, 500, 502, 503} {
@@ -98,7 +100,7 @@
 	goldentest.CompareHTTP(t, "statuses.golden", string(text))
 }
 
-// The responses to durable requests.
+// Compares the responses to durable requests.
 func TestGoldenDurableRequests(t *testing.T) {
 	rig := testkit.NewRig(t, func(settings *decision.Settings) { settings.Classes[testkit.Renewal].Deadline = time.Second })
 	service := openDurableService(t, rig)
@@ -132,8 +134,8 @@
 	goldentest.CompareHTTP(t, "kept.golden", text)
 }
 
-// openDurableService opens a service whose jobs end as the first word of their body says: done, discard or lost. One
-// that says hold does not end.
+// openDurableService opens a durable service whose jobs end as the first word of their body says: done, discard or lost.
+// A job whose body starts with hold does not end.
 func openDurableService(t *testing.T, rig *testkit.Rig) *durable.Service {
 	t.Helper()
 	config := durable.Config{
@@ -162,8 +164,8 @@
 	return service
 }
 
-// durableRoundTrip sends a request with an idempotency key, and returns it with its response as the golden file holds
-// them.
+// durableRoundTrip sends a request with an idempotency key, and returns the key, the body and the response in the format
+// of the golden file.
 func durableRoundTrip(t *testing.T, addr, key, body string) string {
 	t.Helper()
 	request := fmt.Sprintf("POST /renewal/k HTTP/1.1\r\nX-Correlation-Id: id\r\nConnection: close\r\n"+
--- a/internal/httpfront/helpers_test.go
+++ b/internal/httpfront/helpers_test.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// ampleMemory is the memory limit of tests that are not about it.
+	// ampleMemory is the memory limit of tests in which no request may be rejected for lack of memory.
 	ampleMemory = 64 << 20
 
-	// healthRequest asks for /healthz.
+	// healthRequest is a request for /healthz.
 	healthRequest = "GET /healthz HTTP/1.1\r\n\r\n"
 )
 
-// alwaysReady tells a front end that workers are known.
+// alwaysReady is the ready function of front ends that count as ready from the start.
 func alwaysReady() bool { return true }
 
-// newFrontEnd starts a front end on a rig, whose dispatcher gives attempts to a worker client.
+// newFrontEnd starts a front end on a rig whose dispatcher gives attempts to the worker client.
 func newFrontEnd(
 	t testing.TB, rig *testkit.Rig, worker dispatch.WorkerClient, memoryLimit, maxConnections int, ready func() bool,
 ) (frontEnd *FrontEnd, addr string) {
@@ -39,7 +39,7 @@
 	return frontEnd, addr
 }
 
-// newEchoFrontEnd starts a front end with an echo client on a rig.
+// newEchoFrontEnd starts a front end on a rig whose dispatcher gives attempts to an echo worker client.
 func newEchoFrontEnd(
 	t testing.TB, rig *testkit.Rig, memoryLimit, maxConnections int, ready func() bool,
 ) (frontEnd *FrontEnd, addr string) {
@@ -48,24 +48,24 @@
 	return newFrontEnd(t, rig, worker, memoryLimit, maxConnections, ready)
 }
 
-// startEchoFrontEnd starts a rig and a front end with an echo client, and returns its address.
+// startEchoFrontEnd starts a rig and a front end with an echo worker client, and returns the front end's address.
 func startEchoFrontEnd(t *testing.T, memoryLimit, maxConnections int) string {
 	t.Helper()
 	_, addr := newEchoFrontEnd(t, testkit.NewRig(t), memoryLimit, maxConnections, alwaysReady)
 	return addr
 }
 
-// acceptNamedRequests accepts the requests whose IDs testkit.Exchanges use: one that is completed, and one that stays
-// open.
+// acceptNamedRequests hands the dispatcher the two requests to whose IDs testkit.Exchanges refers: one that is completed,
+// and one that stays open.
 func acceptNamedRequests(rig *testkit.Rig) {
 	responses := make(testkit.Responses, 2)
-	rig.Do(func() { // in one turn of the loop
+	rig.Do(func() { // both in one turn of the event loop
 		rig.Dispatcher.Accept(responses, 0, dispatch.Request{ID: "former", Body: []byte("done")})
 		rig.Dispatcher.Accept(responses, 0, dispatch.Request{ID: "open", Body: []byte("hold")})
 	})
 }
 
-// holdingFrontEnd is a front end whose attempts end when the test says so.
+// holdingFrontEnd is a front end whose attempts end only when the test completes them.
 type holdingFrontEnd struct {
 	*testkit.Rig
 	*FrontEnd
@@ -74,7 +74,7 @@
 	worker testkit.HoldingWorkerClient
 }
 
-// startHoldingFrontEnd starts a rig and a front end whose attempts end when the test says so.
+// startHoldingFrontEnd starts a rig and a front end whose attempts end only when the test completes them.
 func startHoldingFrontEnd(t *testing.T) *holdingFrontEnd {
 	t.Helper()
 	rig := testkit.NewRig(t)
@@ -86,7 +86,7 @@
 	return &holdingFrontEnd{Rig: rig, FrontEnd: frontEnd, t: t, addr: addr, worker: worker}
 }
 
-// awaitAttempt waits until a request has been forwarded.
+// awaitAttempt waits until a request has been forwarded, and returns its attempt.
 func (h *holdingFrontEnd) awaitAttempt() dispatch.Attempt {
 	h.t.Helper()
 	return testkit.Receive(h.t, h.worker.Started)
@@ -105,8 +105,8 @@
 	h.complete(h.awaitAttempt())
 }
 
-// waitForHandled waits until the event loop has handled what is in its queue now.
-func (h *holdingFrontEnd) waitForHandled() { h.Do(func() {}) }
+// waitForLoop waits until the event loop has handled the events that are in its queue now.
+func (h *holdingFrontEnd) waitForLoop() { h.Do(func() {}) }
 
 // checkStatus reads a client's next response and checks its status code. what names the request.
 func checkStatus(t *testing.T, what string, reader *bufio.Reader, want int) {
@@ -117,7 +117,7 @@
 	}
 }
 
-// requireStatus is checkStatus for a response without which the test can't go on.
+// requireStatus is like checkStatus, but ends the test if the status code is wrong.
 func requireStatus(t *testing.T, what string, reader *bufio.Reader, want int) {
 	t.Helper()
 	got := testkit.ReadStatus(reader)
@@ -126,8 +126,8 @@
 	}
 }
 
-// endsInOrder reports whether a connection ends by an orderly close, not by a reset.
-func endsInOrder(reader *bufio.Reader) bool {
+// closesGracefully reports whether a connection ends with a graceful close rather than with a reset.
+func closesGracefully(reader *bufio.Reader) bool {
 	_, err := reader.ReadByte()
 	return err == io.EOF
 }
--- a/internal/httpfront/idempotency.go
+++ b/internal/httpfront/idempotency.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// durableResponseMargin is how long before the client's deadline a response says that its job is not done.
+	// durableResponseMargin is how long before the client's deadline the response is written that a job is not done yet.
 	durableResponseMargin = 20 * time.Millisecond
-	// durableRetryAfter is when a client may ask again for a job that is not done, or that could not be stored.
+	// durableRetryAfter is the Retry-After of responses for a job that is not done yet or could not be stored.
 	durableRetryAfter = time.Second
 )
 
-// SetDurable makes requests with an idempotency key durable, in the classes for which durableClasses, by class, holds
-// true. They are stored as jobs: a request with the same key is for the same run, also after a restart. service may be
-// nil while another process has the store; such requests are rejected until it is set.
+// SetDurable makes requests with an idempotency key durable in the classes for which durableClasses, indexed by class, is
+// true. Such requests are stored as jobs: requests with the same key get the result of the same job, even after a
+// restart. service may be nil while another process has the store; durable requests are rejected until it is set.
 func (f *FrontEnd) SetDurable(service *durable.Service, durableClasses []bool) {
 	f.durable = service
 	f.durableClasses = durableClasses
@@ -32,8 +32,8 @@
 	return f.durableClasses != nil && f.durableClasses[class]
 }
 
-// admitDurable stores a request as a job and responds with the job's result, or before the client's deadline that the
-// job is not done yet.
+// admitDurable stores a request as a job and responds with the job's result. If the job is not done shortly before the
+// client's deadline, the response says so.
 func (c *clientConnection) admitDurable(message *httpwire.Message, request dispatch.Request, key string) {
 	frontEnd := c.frontEnd
 	if !httpwire.IsIdentifier([]byte(durable.RequestID(key))) {
@@ -42,14 +42,14 @@
 		return
 	}
 	if frontEnd.durable == nil {
-		c.rejectForNow(message, request.Class, "the other process has the store\n", durableRetryAfter)
+		c.rejectTemporarily(message, request.Class, "the other process has the store\n", durableRetryAfter)
 		return
 	}
 	job := frontEnd.durableJob(request, message.Body, key)
 	c.input.consume(message.Size)
-	c.response.durableNumber++
+	c.response.durableCount++
 	c.beginService()
-	response := durableResponse{connection: c, number: c.response.durableNumber}
+	response := durableResponse{connection: c, number: c.response.durableCount}
 	untilResponse := request.ReceivedAt + frontEnd.clientTimeout(request) - durableResponseMargin - frontEnd.loop().Now()
 	frontEnd.loop().After(max(untilResponse, 0), response.notDone)
 	frontEnd.durable.Push(job, 0, func(err error) {
@@ -61,7 +61,7 @@
 	})
 }
 
-// durableJob returns the job that a request is stored as.
+// durableJob returns the job as which a request is stored.
 func (f *FrontEnd) durableJob(request dispatch.Request, body []byte, key string) jobs.Job {
 	class := f.dispatcher.Settings.Classes[request.Class]
 	stored := durable.Request{
@@ -74,7 +74,7 @@
 	return stored.Job(key, class.Name, class.Idempotency != decision.Idempotent)
 }
 
-// clientTimeout returns how long the client of a request waits in all.
+// clientTimeout returns how long the client of a request waits for the response, counted from the request's arrival.
 func (f *FrontEnd) clientTimeout(request dispatch.Request) time.Duration {
 	timeout := f.dispatcher.Settings.Classes[request.Class].Deadline
 	if request.TimeLeft > 0 {
@@ -83,17 +83,17 @@
 	return timeout
 }
 
-// durableResponse is the response to a durable request, of which only the first that is written counts.
+// durableResponse writes the response to a durable request. Only its first write has an effect.
 type durableResponse struct {
 	connection *clientConnection
-	number     uint64 // of the request among the connection's durable ones
+	number     uint64 // sequence number of the request among the connection's durable requests
 }
 
 // write writes the response, if it is still pending.
 func (r durableResponse) write(status int, body []byte, retryAfter time.Duration) {
 	c := r.connection
 	connected := c.frontEnd.connections.Get(c.token) == c
-	if !connected || !c.response.pending || c.response.durableNumber != r.number {
+	if !connected || !c.response.pending || c.response.durableCount != r.number {
 		return
 	}
 	c.completeService(httpResponse{
@@ -104,7 +104,7 @@
 	})
 }
 
-// notDone responds that the job is stored and not done yet.
+// notDone responds that the job is stored but not done yet.
 func (r durableResponse) notDone() {
 	r.write(httpwire.StatusAccepted, []byte("the job is kept and not over yet: ask again with the same key\n"), durableRetryAfter)
 }
@@ -118,12 +118,13 @@
 	r.write(httpwire.StatusServiceUnavailable, []byte(err.Error()+"\n"), durableRetryAfter)
 }
 
-// ended responds with the result of a job that has ended, or that is handed over to a successor with its store.
+// ended responds with the result of a job that has ended. If the job has not ended, because its store is being handed
+// over to a successor, it responds that the job is not done yet.
 func (r durableResponse) ended(job jobs.Job) {
 	switch job.State {
 	case jobs.Done:
 		r.write(httpwire.StatusOK, job.Result, 0)
-	case jobs.Accepted, jobs.Scheduled, jobs.Ready, jobs.Leased, jobs.Started, jobs.Waiting: // the store is handed over
+	case jobs.Accepted, jobs.Scheduled, jobs.Ready, jobs.Leased, jobs.Started, jobs.Waiting: // the store is being handed over
 		r.notDone()
 	case jobs.InDoubt:
 		r.write(httpwire.StatusConflict, []byte("in doubt, an operator settles it: "+string(job.Reason)+"\n"), 0)
--- a/internal/httpfront/input.go
+++ b/internal/httpfront/input.go
@@ -10,34 +10,34 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-// maxRequestsPerTurn is how many requests of one connection are read before the loop continues with others.
+// maxRequestsPerTurn is how many requests of one connection are handled before the event loop handles other events.
 const maxRequestsPerTurn = 16
 
-// incomingRequest is the next request on a connection, as far as it has come.
+// incomingRequest is the state of the request that a connection is receiving.
 type incomingRequest struct {
-	scan         httpwire.ScanState // how far it has been parsed
-	continueSent bool               // 100 Continue has been sent for it
-	startedAt    time.Duration      // when its first byte came
-	deadline     time.Duration      // when it must be complete
-	capExceeded  connlimit.Reason   // the limit that it exceeds while it is incomplete
+	scan          httpwire.ScanState // how far it has been parsed
+	continueSent  bool               // 100 Continue has been sent for it
+	startedAt     time.Duration      // when its first byte arrived
+	deadline      time.Duration      // when it must be complete
+	limitExceeded connlimit.Reason   // the limit on incomplete requests that it exceeds, if any
 }
 
-// readingState is what keeps the input of a connection from being handled, or read from the socket, at once.
+// readingState tells whether handling a connection's input, or reading from its socket, is delayed.
 type readingState struct {
-	queued     bool               // the input waits for its address's turn
-	posted     bool               // read is in the loop's queue
-	paused     bool               // nothing more is read from the socket for now
-	floodTimer eventloop.Deadline // of a paused connection: the next check for more input than fits into the buffers
+	queued     bool               // the input waits for the turn of the client's address
+	posted     bool               // a call of read is in the loop's queue
+	paused     bool               // nothing is read from the socket for now
+	floodTimer eventloop.Deadline // of the next call of checkFlood while the connection is paused
 }
 
-// read handles the requests in the input, until one is incomplete or must be waited for.
+// read handles the requests in the input until one is incomplete or a response is pending.
 func (c *clientConnection) read() {
 	frontEnd := c.frontEnd
 	frontEnd.turns.reading = c.token
 	defer func() { frontEnd.turns.reading = 0 }()
-	if c.incoming.capExceeded != connlimit.Allowed && !c.response.pending && !c.input.empty() {
-		frontEnd.gate.LogRejection(c.incoming.capExceeded, c.peer)
-		c.reject(errCaps)
+	if c.incoming.limitExceeded != connlimit.Allowed && !c.response.pending && !c.input.empty() {
+		frontEnd.gate.LogRejection(c.incoming.limitExceeded, c.peer)
+		c.reject(errLimitExceeded)
 		return
 	}
 	err := c.readRequests()
@@ -48,7 +48,7 @@
 	c.updatePause()
 }
 
-// readRequests handles requests until one is incomplete, a response is pending, or the others must have their turn.
+// readRequests handles requests until one is incomplete, a response is pending, or maxRequestsPerTurn have been handled.
 func (c *clientConnection) readRequests() error {
 	for count := 0; !c.input.empty() && !c.response.pending && !c.closed; count++ {
 		if count == maxRequestsPerTurn {
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// parseRequest parses the request at the start of the input. If its client waits for 100 Continue, it sends that.
+// parseRequest parses the request at the start of the input. If the client waits for 100 Continue, it sends that.
 func (c *clientConnection) parseRequest(message *httpwire.Message) (complete bool, err error) {
 	input := c.input.bytes()
 	progress, err := httpwire.ParseRequest(input, message, &c.incoming.scan)
@@ -81,7 +81,7 @@
 	if progress == httpwire.Complete {
 		return true, nil
 	}
-	if len(input) == transport.BufferSize { // chunked, and with so much framing that it can never fit
+	if len(input) == transport.BufferSize { // a chunked body with so much framing that the buffer cannot hold it
 		return false, httpwire.ErrBodyTooLong
 	}
 	if progress == httpwire.AwaitingContinue && !c.incoming.continueSent {
@@ -91,7 +91,7 @@
 	return false, nil
 }
 
-// wantsKeepAlive reports whether the client means to send more requests on the connection.
+// wantsKeepAlive reports whether the request asks for the connection to stay open after the response.
 func wantsKeepAlive(message *httpwire.Message) bool {
 	if message.HasToken("Connection", "close") {
 		return false
@@ -99,7 +99,7 @@
 	return !bytes.Equal(message.Version(), []byte("HTTP/1.0")) || message.HasToken("Connection", "keep-alive")
 }
 
-// updatePause stops reading from the socket while there is input that cannot be handled yet, or resumes it.
+// updatePause pauses reading from the socket while there is input that cannot be handled yet, and resumes it otherwise.
 func (c *clientConnection) updatePause() {
 	frontEnd := c.frontEnd
 	discarding := c.response.pending && c.closeAfterResponse
@@ -120,7 +120,7 @@
 	frontEnd.loop().Set(&c.reading.floodTimer, frontEnd.loop().Now()+floodCheckInterval)
 }
 
-// postRead continues to read once the loop has handled what is in its queue.
+// postRead posts a call of read to the loop, behind the events that are already in its queue.
 func (c *clientConnection) postRead() {
 	if c.reading.posted {
 		return
--- a/internal/httpfront/inputbuffer.go
+++ b/internal/httpfront/inputbuffer.go
@@ -2,23 +2,24 @@
 
 import "hollyyoke.example/hollyyoke/internal/transport"
 
-// inputBuffer holds the bytes that a client has sent and that no request has taken yet.
+// inputBuffer holds the bytes that a client has sent and that do not belong to a request that was already removed.
 type inputBuffer struct {
 	pool     *transport.Pool
-	first    *transport.Buffer // begins with the next request; nil: empty
-	overflow *transport.Buffer // what did not fit into first; nil: nothing
+	first    *transport.Buffer // starts with the next request; nil if no bytes are buffered
+	overflow *transport.Buffer // the bytes that did not fit into first; nil if there are none
 }
 
-// empty reports whether nothing of a next request has come.
+// empty reports whether no byte of a next request is buffered.
 func (b *inputBuffer) empty() bool { return b.first == nil }
 
-// overflowing reports whether there are bytes that do not fit beside the next request.
+// overflowing reports whether there are bytes that do not fit into the buffer of the next request.
 func (b *inputBuffer) overflowing() bool { return b.overflow != nil }
 
-// bytes returns what begins with the next request, without the overflow. The buffer must not be empty.
+// bytes returns the buffered bytes from the start of the next request, without the overflow. The buffer must not be
+// empty.
 func (b *inputBuffer) bytes() []byte { return b.first.Bytes() }
 
-// add adds received bytes and takes over their buffer. It returns false if there is no room; they are lost then.
+// add adds received bytes and takes ownership of their buffer. If there is no room, it drops them and returns false.
 func (b *inputBuffer) add(received *transport.Buffer) bool {
 	switch {
 	case b.first == nil:
@@ -33,25 +34,26 @@
 	return true
 }
 
-// addContiguous is add for bytes that are needed in one piece with those before them: none may overflow.
+// addContiguous is like add, but keeps all bytes in one buffer, without overflow. It returns false if they do not fit.
 func (b *inputBuffer) addContiguous(received *transport.Buffer) bool {
 	return b.pool.Collect(&b.first, received)
 }
 
-// consume removes a request of a number of bytes.
+// consume removes the first size bytes, which a request takes up.
 func (b *inputBuffer) consume(size int) {
 	b.pool.Consume(&b.first, size)
 	b.refill()
 }
 
-// detach removes a request of a number of bytes, and returns the buffer in which it lies, which the caller owns.
+// detach removes the first size bytes, which a request takes up, and returns the buffer that holds them. The caller owns
+// the buffer.
 func (b *inputBuffer) detach(size int) *transport.Buffer {
 	request := b.pool.Detach(&b.first, size)
 	b.refill()
 	return request
 }
 
-// detachAll removes all bytes, of which none may overflow, and returns their buffer, which the caller owns.
+// detachAll removes all bytes and returns their buffer, which the caller owns. There must be no overflow.
 func (b *inputBuffer) detachAll() *transport.Buffer {
 	all := b.first
 	b.first = nil
@@ -66,7 +68,7 @@
 	b.overflow = nil
 }
 
-// refill moves bytes from the overflow to where there is room now.
+// refill moves bytes from the overflow into the free space of the first buffer.
 func (b *inputBuffer) refill() {
 	if b.overflow == nil {
 		return
--- a/internal/httpfront/pipelinedhead_test.go
+++ b/internal/httpfront/pipelinedhead_test.go
@@ -8,10 +8,11 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// A request that the front end answers by itself, with a pipelined HEAD behind it, got the answer of a HEAD: without its
-// body, and with a close, so that the HEAD had no answer. The cause: the method was read from the input after the request
-// had been removed from it, where the next one's stands then (404 with "" and "unexpected EOF" for the HEAD).
-func TestPipelinedHeadLeavesTheAnswerBeforeItAlone(t *testing.T) {
+// Guards against a wrong response to a request that the front end answers by itself and that is followed by a pipelined
+// HEAD request: it was written without its body and closed the connection, so that the HEAD got no response (404 with ""
+// and "unexpected EOF" for the HEAD). The method was read from the input after the request had been removed from it, when
+// the HEAD had taken its place.
+func TestPipelinedHeadKeepsPreviousResponse(t *testing.T) {
 	for _, test := range []struct {
 		name, request string
 		status        int
@@ -31,14 +32,14 @@
 			}
 			body, _ := io.ReadAll(first.Body)
 			if first.StatusCode != test.status || string(body) != test.body {
-				t.Errorf("answered with %d %q, want %d %q", first.StatusCode, body, test.status, test.body)
+				t.Errorf("response is %d %q, want %d %q", first.StatusCode, body, test.status, test.body)
 			}
 			second, err := http.ReadResponse(reader, &http.Request{Method: http.MethodHead})
 			if err != nil {
-				t.Fatalf("the HEAD behind it: %v", err)
+				t.Fatalf("the HEAD after it: %v", err)
 			}
 			if second.StatusCode != http.StatusOK {
-				t.Errorf("the HEAD behind it: %d", second.StatusCode)
+				t.Errorf("the HEAD after it: status %d", second.StatusCode)
 			}
 		})
 	}
--- a/internal/httpfront/request.go
+++ b/internal/httpfront/request.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// memoryRetryAfter is when a client may try again whose request found no memory.
+	// memoryRetryAfter is the Retry-After of responses to requests that were rejected for lack of memory.
 	memoryRetryAfter = time.Second
-	// maxWeightHint is the least X-Weight-Hint, in microseconds, that is too large to be one.
+	// maxWeightHint is the value, in microseconds, from which on an X-Weight-Hint is ignored as too large.
 	maxWeightHint = 1e12
 )
 
-// Errors of requests whose header fields cannot be used. Clients get their texts.
+// Errors of requests whose header fields are missing or invalid. Their texts are sent to clients.
 var (
 	errNoCorrelationID      = errors.New("no X-Correlation-Id")
 	errInvalidCorrelationID = errors.New("X-Correlation-Id is not of 1 to 128 letters, digits or -._:~+/=@")
@@ -58,26 +58,26 @@
 		c.admitDurable(message, request, string(key))
 		return
 	}
-	if frontEnd.dispatcher.IsKnownID(request.ID) { // it may be another client's request
+	if frontEnd.dispatcher.IsKnownID(request.ID) { // the request with this ID may be another client's
 		c.rejectInvalid(message, class, httpwire.StatusConflict, "X-Correlation-Id names another request\n")
 		return
 	}
 	frontEnd.freeMemory()
 	if frontEnd.memoryExhausted() {
-		c.rejectForNow(message, class, errMemory.Error()+"\n", memoryRetryAfter)
+		c.rejectTemporarily(message, class, errMemoryExhausted.Error()+"\n", memoryRetryAfter)
 		return
 	}
 	c.dispatch(message, request)
 }
 
-// rejectInvalid responds to a request for a class that cannot be served as it is.
+// rejectInvalid rejects a request for a class that would be rejected again if it were sent unchanged.
 func (c *clientConnection) rejectInvalid(message *httpwire.Message, class, status int, text string) {
 	c.frontEnd.dispatcher.CountResponse(class, dispatch.Failed)
 	c.respondDirectly(message, textResponse(status, text))
 }
 
-// rejectForNow responds to a request for a class that may be served if it is sent again later.
-func (c *clientConnection) rejectForNow(message *httpwire.Message, class int, text string, retryAfter time.Duration) {
+// rejectTemporarily rejects a request for a class that may be served if it is sent again later.
+func (c *clientConnection) rejectTemporarily(message *httpwire.Message, class int, text string, retryAfter time.Duration) {
 	c.frontEnd.dispatcher.CountResponse(class, dispatch.Rejected)
 	response := textResponse(httpwire.StatusServiceUnavailable, text)
 	response.retryAfter = retryAfter
@@ -85,7 +85,7 @@
 	c.writeResponse(response)
 }
 
-// classOf returns the class that a path names by its first segment.
+// classOf returns the class whose name is the first segment of a path.
 func (f *FrontEnd) classOf(path []byte) (class int, known bool) {
 	if len(path) < 2 || path[0] != '/' {
 		return 0, false
@@ -95,7 +95,7 @@
 	return class, known
 }
 
-// parseRequestFields returns what the request line and the header fields state.
+// parseRequestFields returns a request with the values from the request line and the header fields.
 func parseRequestFields(message *httpwire.Message) (dispatch.Request, error) {
 	id := message.Get("X-Correlation-Id")
 	if len(id) == 0 {
@@ -120,7 +120,8 @@
 	}, nil
 }
 
-// keyOf returns the key in a target: the last segment of its path, if that is not the class.
+// keyOf returns the key in a target, which is the last segment of its path, or "" if the path has only one segment, the
+// class.
 func keyOf(target []byte) string {
 	path, _, _ := bytes.Cut(target, []byte("?"))
 	i := bytes.LastIndexByte(path, '/')
@@ -130,7 +131,7 @@
 	return string(path[i+1:])
 }
 
-// parseTimeLeft returns how long the client still waits, at least a nanosecond, or 0 if it does not state that.
+// parseTimeLeft returns how long the client still waits, at least a nanosecond, or 0 if the request does not state it.
 func parseTimeLeft(message *httpwire.Message) (time.Duration, error) {
 	if message.Count("X-Time-Left-Ms") == 0 {
 		return 0, nil
@@ -142,16 +143,17 @@
 	return max(time.Duration(milliseconds)*time.Millisecond, time.Nanosecond), nil
 }
 
-// parseWeightHint returns the hinted run time, or 0 if the field holds none.
+// parseWeightHint returns the client's estimate of the run time, or 0 if the field holds no valid one.
 func parseWeightHint(field []byte) time.Duration {
 	microseconds, err := strconv.ParseFloat(string(field), 64)
-	if err != nil || !(microseconds > 0 && microseconds < maxWeightHint) { // NaN is no hint either
+	if err != nil || !(microseconds > 0 && microseconds < maxWeightHint) { // also false for NaN
 		return 0
 	}
 	return time.Duration(microseconds * float64(time.Microsecond))
 }
 
-// parseSlots returns the number of slots that the last of the facts "slots" and "needs" states, or 0.
+// parseSlots returns the number of slots that X-Facts states as "slots" or "needs", or 0 if it states neither. The last
+// of several wins.
 func parseSlots(facts []byte) float64 {
 	slots := 0.0
 	for fact := range bytes.SplitSeq(facts, []byte(",")) {
@@ -164,7 +166,8 @@
 	return slots
 }
 
-// dispatch hands a request to the dispatcher. The input's buffer goes with it; what came behind moves to a new one.
+// dispatch hands a request to the dispatcher, together with the input buffer that holds its body. Bytes after the request
+// move to a new buffer.
 func (c *clientConnection) dispatch(message *httpwire.Message, request dispatch.Request) {
 	frontEnd := c.frontEnd
 	buffer := c.input.detach(message.Size)
@@ -177,7 +180,7 @@
 	}
 }
 
-// beginService notes that a request is complete and its response is pending.
+// beginService marks the response as pending, stops the timer, and tells the limiter that the request is complete.
 func (c *clientConnection) beginService() {
 	frontEnd := c.frontEnd
 	c.response.pending = true
--- a/internal/httpfront/response.go
+++ b/internal/httpfront/response.go
@@ -8,31 +8,31 @@
 	"hollyyoke.example/hollyyoke/internal/httpwire"
 )
 
-// maxUnsentBytes is how many bytes of responses a client may leave unread.
+// maxUnsentBytes is how many bytes of responses may wait to be sent because the client does not read them.
 const maxUnsentBytes = 256 << 10
 
 // httpResponse is a response to a client.
 type httpResponse struct {
 	status     int
 	body       []byte
-	retryAfter time.Duration // 0: not stated
+	retryAfter time.Duration // written as Retry-After if positive
 	fields     string        // further header fields, each with its line end
 	served     bool          // a worker has served the request
 }
 
-// pendingResponse is the response that a client waits for, if any.
+// pendingResponse is the state of the response that a client waits for, if any.
 type pendingResponse struct {
-	pending       bool   // a request is being served
-	handle        uint64 // of the request; 0: the dispatcher has not returned it yet, or the request is durable
-	durableNumber uint64 // the number of durable requests so far; late responses to earlier ones are ignored by it
+	pending      bool   // a request is being served
+	handle       uint64 // of the request; 0 until the dispatcher has returned it, and for a durable request
+	durableCount uint64 // number of durable requests so far, by which late responses to earlier ones are recognized
 }
 
-// textResponse returns a response with a text that the front end gives by itself.
+// textResponse returns a response of the front end itself, with a text as its body.
 func textResponse(status int, text string) httpResponse {
 	return httpResponse{status: status, body: []byte(text)}
 }
 
-// methodNotAllowed returns the response to a request for a target that allows one method only.
+// methodNotAllowed returns the response to a request with another method than the one that its target allows.
 func methodNotAllowed(allowed string) httpResponse {
 	response := textResponse(httpwire.StatusMethodNotAllowed, allowed+" only\n")
 	response.fields = "Allow: " + allowed + "\r\n"
@@ -61,7 +61,7 @@
 	c.closeAfterResponse = c.closeAfterResponse || c.frontEnd.closeAfterResponse
 	c.writeResponse(response)
 	if (c.reading.paused || !c.input.empty()) && !c.closed {
-		c.postRead() // not now, since the dispatcher may be the caller
+		c.postRead() // not read directly, since the dispatcher may be the caller
 	}
 }
 
@@ -81,29 +81,29 @@
 
 // respondDirectly removes a request from the input and responds to it.
 func (c *clientConnection) respondDirectly(message *httpwire.Message, response httpResponse) {
-	isHead := bytes.Equal(message.Method(), []byte("HEAD")) // before consume: message lies in the input
+	isHead := bytes.Equal(message.Method(), []byte("HEAD")) // before consume, since message refers to the input buffer
 	c.input.consume(message.Size)
-	if isHead { // its response has no body, so that the length would mislead
+	if isHead { // the response has no body, so its Content-Length does not say where a next response would begin
 		c.closeAfterResponse = true
 		response.body = nil
 	}
 	c.writeResponse(response)
 }
 
-// reject responds to a request that cannot be read to its end, and closes the connection: where the next request would
-// begin is not known.
+// reject responds to a request that cannot be read to its end, and closes the connection, because it is not known where
+// the next request would begin.
 func (c *clientConnection) reject(err error) {
 	c.closeAfterResponse = true
-	c.writeResponse(textResponse(statusOf(err), err.Error()+"\n"))
+	c.writeResponse(textResponse(statusOfError(err), err.Error()+"\n"))
 }
 
 // writeResponse writes a response, and makes the connection ready for the next request or closes it.
 func (c *clientConnection) writeResponse(response httpResponse) {
 	frontEnd := c.frontEnd
 	c.closeAfterResponse = c.closeAfterResponse || frontEnd.eviction.capacityExhausted
-	frontEnd.out = httpwire.AppendResponse(
-		frontEnd.out[:0], response.status, response.body, response.retryAfter, c.closeAfterResponse, response.fields)
-	c.conn.Write(frontEnd.out)
+	frontEnd.responseBuffer = httpwire.AppendResponse(
+		frontEnd.responseBuffer[:0], response.status, response.body, response.retryAfter, c.closeAfterResponse, response.fields)
+	c.conn.Write(frontEnd.responseBuffer)
 	switch {
 	case c.closeAfterResponse:
 		c.closeGracefully()
--- a/internal/httpfront/stopreading_test.go
+++ b/internal/httpfront/stopreading_test.go
@@ -11,10 +11,10 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// These tests force two events into one turn of the event loop: it is blocked while the client writes, and goes on once
-// the poller shows that this has arrived. None of them relies on a sleep.
+// These tests force two events into one turn of the event loop: the loop is blocked while the client writes, and is
+// released once the poller has received the bytes. None of the tests relies on a sleep.
 
-// A request that was read before StopReading is served.
+// Checks that a request that was read before StopReading is served.
 func TestRequestReadBeforeStopReadingIsServed(t *testing.T) {
 	testStopReading(t, 200, func(front *holdingFrontEnd, conn net.Conn) {
 		release := front.BlockLoop()
@@ -24,7 +24,7 @@
 	})
 }
 
-// A request that the poller has read, and the loop has not handled yet, is served.
+// Checks that a request is served if the poller has read it but the loop has not handled it yet.
 func TestRequestUnhandledAtStopReadingIsServed(t *testing.T) {
 	testStopReading(t, 200, func(front *holdingFrontEnd, conn net.Conn) {
 		release := front.BlockLoop()
@@ -34,16 +34,16 @@
 	})
 }
 
-// A request that comes after StopReading is never forwarded.
+// Checks that a request that arrives after StopReading is never forwarded.
 func TestRequestAfterStopReadingIsNotForwarded(t *testing.T) {
 	testStopReading(t, noResponse, func(front *holdingFrontEnd, conn net.Conn) {
 		front.Do(front.StopReading)
-		front.waitForHandled()
+		front.waitForLoop()
 		io.WriteString(conn, testkit.RequestWithID("crossing"))
 	})
 }
 
-// A request of which only a half was read before StopReading is rejected.
+// Checks that a request of which only a part was read before StopReading is rejected.
 func TestHalfRequestAtStopReadingIsRejected(t *testing.T) {
 	testStopReading(t, 503, func(front *holdingFrontEnd, conn net.Conn) {
 		release := front.BlockLoop()
@@ -58,26 +58,26 @@
 // noResponse is the status of a request that must get no response.
 const noResponse = 0
 
-// testStopReading stops reading while a usual client, whose connection is idle, sends a request, in the order that
-// cross says. It checks that the client gets a response with a status, that its connection is closed in order, and that
-// no other request is forwarded.
-func testStopReading(t *testing.T, status int, cross func(front *holdingFrontEnd, conn net.Conn)) {
+// testStopReading calls sendAndStop, which stops reading and sends a request on an idle connection, in the order under
+// test. It checks that the client gets a response with the status (none if that is noResponse), that its connection is
+// closed gracefully, and that no other request is forwarded.
+func testStopReading(t *testing.T, status int, sendAndStop func(front *holdingFrontEnd, conn net.Conn)) {
 	t.Helper()
 	front := startHoldingFrontEnd(t)
 	conn, reader := testkit.Connect(t, front.addr, testkit.RequestWithID("first"))
 	front.completeNext()
 	requireStatus(t, "the first request", reader, 200)
-	cross(front, conn)
+	sendAndStop(front, conn)
 	if status == 200 {
 		front.completeNext()
 	}
 	if status != noResponse {
 		checkLastResponse(t, reader, status)
 	}
-	if !endsInOrder(reader) {
-		t.Error("the connection is not closed in order")
+	if !closesGracefully(reader) {
+		t.Error("the connection is not closed gracefully")
 	}
-	front.waitForHandled()
+	front.waitForLoop()
 	if forwarded := len(front.worker.Started); forwarded != 0 {
 		t.Errorf("%d requests were forwarded after StopReading", forwarded)
 	}
@@ -87,17 +87,17 @@
 	})
 }
 
-// checkLastResponse reads a response and checks its status code, and that it says that the connection ends.
+// checkLastResponse reads a response, and checks its status code and that it announces the close of the connection.
 func checkLastResponse(t *testing.T, reader *bufio.Reader, status int) {
 	t.Helper()
 	response, err := http.ReadResponse(reader, nil)
 	if err != nil || response.StatusCode != status || !response.Close {
-		t.Fatalf("%+v, %v; want %d and the connection's end", response, err, status)
+		t.Fatalf("%+v, %v; want status %d and Connection: close", response, err, status)
 	}
 	io.Copy(io.Discard, response.Body)
 }
 
-// A client that sends without end delays neither its own response nor the shutdown.
+// Checks that a client that never stops sending delays neither its own response nor the shutdown.
 func TestStopReadingWithAFloodingClient(t *testing.T) {
 	front := startHoldingFrontEnd(t)
 	conn, reader := testkit.Connect(t, front.addr, testkit.RequestWithID("first"))
--- a/internal/httpfront/timeouts.go
+++ b/internal/httpfront/timeouts.go
@@ -8,37 +8,37 @@
 )
 
 const (
-	// firstRequestTimeout is how long after the accept a connection's first request must be complete, if its first byte
-	// has come.
+	// firstRequestTimeout is how long after the accept the first request of a connection must be complete, once its first
+	// byte has arrived.
 	firstRequestTimeout = 2800 * time.Millisecond
-	// requestTimeout is how long after its first byte a request must be complete, however its bytes trickle in.
+	// requestTimeout is how long after its first byte a request must be complete, even if its bytes keep arriving slowly.
 	requestTimeout = 2 * time.Second
-	// lateRequestTimeout is the least that a connection's first request has from its first byte on, if the client was
-	// silent before.
+	// lateRequestTimeout is the minimum time that the first request of a connection has after its first byte, if the
+	// client sent nothing for a while after it had connected.
 	lateRequestTimeout = time.Second
-	// unreadGrace is how long a connection stays beyond its idle timeout if a request is in the socket's buffer.
+	// unreadGrace is how long a connection stays open beyond its idle timeout if its socket buffer holds unread bytes.
 	unreadGrace = time.Second
-	// minRateInterval is the least time between two checks of a request's rate.
+	// minRateInterval is the minimum time between two checks of the rate at which a request arrives.
 	minRateInterval = time.Millisecond
 
-	// idleTimeout is how long a connection may be idle that is new or proven.
+	// idleTimeout is how long a new connection, or a proven one, may be idle.
 	idleTimeout = 5 * time.Minute
-	// unprovenIdleTimeout is how long another connection may be idle.
+	// unprovenIdleTimeout is how long a connection may be idle that has sent requests of which no worker has served any.
 	unprovenIdleTimeout = 5 * time.Second
 
-	// floodCheckInterval is the time between checks whether a client sends more than fits into its buffers.
+	// floodCheckInterval is the time between two checks whether a client sends more than fits into its buffers.
 	floodCheckInterval = 50 * time.Millisecond
-	// maxDiscardedBytes is how much input is discarded to find the client's close behind it.
+	// maxDiscardedBytes is how many bytes of input are discarded to detect the client's close after them.
 	maxDiscardedBytes = 8 << 20
 )
 
-// stallWatch finds out whether a client reads its responses.
+// stallWatch detects clients that do not read their responses.
 type stallWatch struct {
 	timer      eventloop.Deadline
-	sentBefore int64 // bytes that had been sent when the timer was set
+	sentBefore int64 // number of bytes that had been sent when the timer was set
 }
 
-// becomeIdle sets how long the connection may stay idle, after a response.
+// becomeIdle marks the connection as idle after a response, and sets its idle timeout.
 func (c *clientConnection) becomeIdle(served bool) {
 	frontEnd := c.frontEnd
 	c.proven = c.proven || served
@@ -51,7 +51,7 @@
 	frontEnd.loop().Set(&c.timer, now+timeout)
 }
 
-// startRequest is called at the first byte of a request, and sets when the request must be complete.
+// startRequest is called at the first byte of a request. It sets the time by which the request must be complete.
 func (c *clientConnection) startRequest() {
 	frontEnd := c.frontEnd
 	now := frontEnd.loop().Now()
@@ -70,25 +70,25 @@
 	frontEnd.loop().Set(&c.timer, checkAt)
 	reason := frontEnd.gate.Limiter.RequestStarted(now, c.limiterID)
 	if reason != connlimit.Allowed {
-		c.incoming.capExceeded = reason
+		c.incoming.limitExceeded = reason
 	}
 }
 
-// onTimer is called when the connection has been idle for long enough, or a request is to be checked.
+// onTimer is called when the connection's idle timeout is over, or when an incomplete request is to be checked.
 func (c *clientConnection) onTimer() {
 	loop := c.frontEnd.loop()
 	switch {
 	case c.response.pending:
 	case !c.input.empty():
 		c.checkIncomplete()
-	case !c.conn.AllRead(): // a request has come, though it has not been read
+	case !c.conn.AllRead(): // a request has arrived, but has not been read yet
 		loop.Set(&c.timer, loop.Now()+unreadGrace)
 	default:
 		c.closeGracefully()
 	}
 }
 
-// checkIncomplete rejects a request that has not come in time, or comes more slowly than the least rate.
+// checkIncomplete rejects a request that is not complete in time, or arrives more slowly than the minimum rate.
 func (c *clientConnection) checkIncomplete() {
 	frontEnd := c.frontEnd
 	now := frontEnd.loop().Now()
@@ -100,12 +100,12 @@
 		}
 		c.reportAbuse(connlimit.Slow)
 	}
-	c.reject(errSlow)
+	c.reject(errRequestTimeout)
 }
 
 // checkFlood checks whether the client of a paused connection has sent more than fits into its buffers. The client's
-// close would not be noticed behind bytes that nobody reads, and its request would be forwarded for nobody. So the rest
-// is discarded, and the connection ends with its response.
+// close cannot be detected while there are unread bytes before it, so its request would be forwarded although nobody
+// waits for the response. Therefore the bytes are discarded, and the connection is closed after the pending response.
 func (c *clientConnection) checkFlood() {
 	loop := c.frontEnd.loop()
 	switch {
@@ -119,7 +119,7 @@
 	}
 }
 
-// watchStall sets the timer that checks whether the client reads its responses.
+// watchStall sets the timer of checkStall if responses wait to be sent.
 func (c *clientConnection) watchStall() {
 	timeout := c.frontEnd.gate.WriteStall()
 	if timeout > 0 && c.conn.UnsentBytes() > 0 {
@@ -129,7 +129,8 @@
 	}
 }
 
-// checkStall closes the connection if the client has read nothing since the timer was set, unless a response is pending.
+// checkStall closes the connection if no byte has been sent since the timer was set, because the client does not read,
+// unless a response is pending.
 func (c *clientConnection) checkStall() {
 	switch {
 	case c.closed || c.conn.UnsentBytes() == 0:
--- a/internal/httpfront/timeouts_test.go
+++ b/internal/httpfront/timeouts_test.go
@@ -8,7 +8,7 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// A request that does not become complete in time is rejected, however its bytes trickle in.
+// Checks that a request that is not complete in time is rejected, even if its bytes keep arriving slowly.
 func TestTricklingRequestTimesOut(t *testing.T) {
 	addr := startEchoFrontEnd(t, ampleMemory, 20)
 	for _, start := range []string{
@@ -32,7 +32,8 @@
 	}
 }
 
-// A connection's idle timeout ends in the turn of the loop in which its next request comes: the request is served.
+// Checks that a request is served if it arrives in the same turn of the event loop in which the idle timeout of its
+// connection ends.
 func TestIdleTimeoutAsARequestComes(t *testing.T) {
 	front := startHoldingFrontEnd(t)
 	conn, reader := testkit.Connect(t, front.addr, testkit.RequestWithID("first"))
