--- a/internal/httpwire/chunked.go
+++ b/internal/httpwire/chunked.go
@@ -5,25 +5,26 @@
 	"strconv"
 )
 
-// maxChunkLine bounds the line before a chunk: its size and extensions.
+// maxChunkLine is the maximum length in bytes of the line before a chunk, which holds the chunk's size and extensions.
 const maxChunkLine = 128
 
 // ChunkReader decodes a chunked body piece by piece. Its zero value is ready for the first byte of a body.
 type ChunkReader struct {
-	remaining  int  // bytes of the present chunk that are still to come
-	lineEndDue bool // the line end behind a chunk comes next
-	inTrailer  bool // the last chunk has come
-	done       bool
+	remaining  int  // bytes of the current chunk that have not been read yet
+	lineEndDue bool // the line end after a chunk's data comes next
+	inTrailer  bool // the last chunk has been read, and the trailer follows
+	done       bool // the trailer has ended, and with it the body
 }
 
 // Done reports whether the body has ended.
 func (c *ChunkReader) Done() bool { return c.done }
 
-// MidChunk reports whether a chunk has begun and not ended.
+// MidChunk reports whether a part of the current chunk's data has not been read yet.
 func (c *ChunkReader) MidChunk() bool { return c.remaining > 0 }
 
-// Next takes what it can from the start of b and returns how many bytes that were: a piece of data, or bytes of the
-// framing alone. used 0 without an error means that more bytes are needed, or that the body has ended.
+// Next reads the next part of the body from the start of b: either data, which it returns, or a line of the framing, for
+// which data is nil. used is the number of bytes it has read. If used is 0 without an error, more bytes are needed or
+// the body has ended.
 func (c *ChunkReader) Next(b []byte) (data []byte, used int, err error) {
 	if c.done {
 		return nil, 0, nil
@@ -41,15 +42,15 @@
 		}
 		return nil, 0, nil
 	}
-	if err := c.line(b[:end]); err != nil {
+	if err := c.parseFramingLine(b[:end]); err != nil {
 		return nil, 0, err
 	}
 	return nil, end + len("\r\n"), nil
 }
 
-// line parses a line of the framing.
-func (c *ChunkReader) line(line []byte) error {
-	if bytes.ContainsAny(line, "\r\n") { // where a line ends, the peer must agree
+// parseFramingLine parses a line of the framing: the line end after a chunk, a trailer line, or a chunk's size.
+func (c *ChunkReader) parseFramingLine(line []byte) error {
+	if bytes.ContainsAny(line, "\r\n") { // another parser might take a bare CR or LF for the end of the line
 		return ErrMalformed
 	}
 	switch {
--- a/internal/httpwire/example_test.go
+++ b/internal/httpwire/example_test.go
@@ -7,7 +7,7 @@
 	"hollyyoke.example/hollyyoke/internal/httpwire"
 )
 
-// A request that comes in two pieces is parsed once both are there.
+// A request that arrives in two pieces is complete once both have been received.
 func ExampleParseRequest() {
 	var message httpwire.Message
 	var state httpwire.ScanState
--- a/internal/httpwire/head.go
+++ b/internal/httpwire/head.go
@@ -1,6 +1,6 @@
 // Package httpwire parses and writes HTTP/1.1 messages for the front end, the worker client, discovery and the
-// admin API. It works on bytes that its callers hold, keeps no connection and no goroutine, and must never
-// panic on any input. Slices that it returns lie in the buffer that was parsed and are valid as long as that is.
+// admin API. It works on buffers of its callers, has no connections or goroutines of its own, and must never
+// panic on any input. Slices that it returns refer to the parsed buffer and are valid only as long as its bytes are.
 package httpwire
 
 import (
@@ -8,16 +8,17 @@
 	"errors"
 )
 
-// Bounds of a message.
+// Limits of a message.
 const (
-	maxHead   = 6 << 10  // bytes of a head: its start line and fields
-	maxBody   = 64 << 10 // bytes of a request's body
-	maxFields = 64
+	maxHeadBytes = 6 << 10  // size of a head: its start line and header fields
+	maxBodyBytes = 64 << 10 // size of a request's body
+	maxFields    = 64       // number of header fields
 )
 
-// Errors of messages that cannot be read. Nothing behind such a message on its connection can be understood.
+// Errors of messages that cannot be read. What follows such a message on its connection cannot be parsed, since the
+// message's end is not known.
 var (
-	// ErrMalformed is returned for a message that is not HTTP/1.x, or whose end is in doubt.
+	// ErrMalformed is returned for a message that is not HTTP/1.x, or whose end is ambiguous.
 	ErrMalformed = errors.New("malformed HTTP")
 	// ErrHeadTooLong is returned for a head of more than maxHead bytes.
 	ErrHeadTooLong = errors.New("head too long")
@@ -25,14 +26,14 @@
 	ErrBodyTooLong = errors.New("body too long")
 )
 
-// headerField is one header field. Its parts lie in the buffer that was parsed.
+// headerField is one header field. Its slices refer to the parsed buffer.
 type headerField struct{ name, value []byte }
 
 // Head is the head of a request or of a response.
 type Head struct {
-	Size int // bytes, the blank line included
+	Size int // in bytes, including the blank line at the end
 
-	first, second, third []byte // of a request: method, target, version; of a response: version, status, reason
+	first, second, third []byte // parts of the start line: method, target, version, or version, status, reason phrase
 	fields               [maxFields]headerField
 	fieldCount           int
 }
@@ -46,13 +47,14 @@
 // Version returns the protocol version of a request, such as HTTP/1.1.
 func (h *Head) Version() []byte { return h.third }
 
-// Status returns the status code of a response. It is not valid if there is none, or if this is no HTTP/1 response.
+// Status returns the status code of a response. valid is false if the head has no status code or is not of an HTTP/1
+// response.
 func (h *Head) Status() (code int, valid bool) {
 	code, valid = ParseNumber(h.second)
 	return code, valid && bytes.HasPrefix(h.first, []byte("HTTP/1."))
 }
 
-// Get returns the value of a field, nil if there is none.
+// Get returns the value of the first header field with a name, or nil if there is none.
 func (h *Head) Get(name string) []byte {
 	for i := range h.fields[:h.fieldCount] {
 		if EqualFold(h.fields[i].name, name) {
@@ -62,7 +64,7 @@
 	return nil
 }
 
-// Count returns how often a field occurs.
+// Count returns the number of header fields with a name.
 func (h *Head) Count(name string) int {
 	count := 0
 	for i := range h.fields[:h.fieldCount] {
@@ -73,7 +75,7 @@
 	return count
 }
 
-// HasToken reports whether the comma-separated list in a field holds a token.
+// HasToken reports whether a header field with a name has a comma-separated list that contains a token.
 func (h *Head) HasToken(name, token string) bool {
 	for i := range h.fields[:h.fieldCount] {
 		if EqualFold(h.fields[i].name, name) && listHasToken(h.fields[i].value, token) {
@@ -83,7 +85,7 @@
 	return false
 }
 
-// listHasToken reports whether a comma-separated list holds a token.
+// listHasToken reports whether a comma-separated list contains a token.
 func listHasToken(list []byte, token string) bool {
 	for part := range bytes.SplitSeq(list, []byte(",")) {
 		if EqualFold(bytes.TrimSpace(part), token) {
@@ -93,8 +95,9 @@
 	return false
 }
 
-// Framing returns how the body ends: after length bytes, with its last chunk, or, with length -1 and not chunked,
-// as neither field says. Two lengths are an error: one peer would see another message than the other.
+// Framing returns how the end of the body is determined: by its length in bytes or by chunked encoding. If neither
+// header field is present, length is -1 and chunked is false. More than one length, or a length beside chunked encoding,
+// is an error, because the two peers could see different ends of the message.
 func (h *Head) Framing() (length int, chunked bool, err error) {
 	length = -1
 	for i := range h.fields[:h.fieldCount] {
@@ -119,9 +122,9 @@
 	return length, chunked, nil
 }
 
-// ParseHead parses a head at the start of b. It returns false without an error while b holds only a part of it.
-// scanned is the number of bytes of b in which no end was found; it starts at 0 and goes with b from
-// call to call, so that bytes which trickle in are searched once.
+// ParseHead parses a head at the start of b. It returns false without an error while b holds only a part of the head.
+// scanned is the number of bytes at the start of b that are known not to contain the end of the head. The caller sets it
+// to 0 for a new head and passes it again when b has grown, so that no byte is searched repeatedly.
 func ParseHead(b []byte, head *Head, scanned *int) (complete bool, err error) {
 	const end = "\r\n\r\n"
 	from := max(*scanned-(len(end)-1), 0)
@@ -130,7 +133,7 @@
 		return false, scanPartialHead(b, scanned)
 	}
 	index += from
-	if index > maxHead {
+	if index > maxHeadBytes {
 		return false, ErrHeadTooLong
 	}
 	*head = Head{Size: index + len(end)}
@@ -144,13 +147,13 @@
 	return true, nil
 }
 
-// scanPartialHead checks the part of a head that is there. Without the check for bare line ends a head that can
-// have no end would be awaited.
+// scanPartialHead checks the part of a head that has been received. It rejects bare line ends, because the caller would
+// otherwise wait for the end of a head that can never become complete.
 func scanPartialHead(b []byte, scanned *int) error {
-	if len(b) > maxHead {
+	if len(b) > maxHeadBytes {
 		return ErrHeadTooLong
 	}
-	if *scanned > 0 && b[*scanned-1] == '\r' { // its line feed may be there by now
+	if *scanned > 0 && b[*scanned-1] == '\r' { // the line feed after it may have arrived since
 		*scanned--
 	}
 	if hasBareLineEnd(b[*scanned:]) {
@@ -172,13 +175,13 @@
 	if len(h.first) == 0 || len(h.second) == 0 || bytes.ContainsAny(line, "\r\n\x00") {
 		return ErrMalformed
 	}
-	if !hasThird && !bytes.HasPrefix(h.first, []byte("HTTP/")) { // a response may lack its reason
+	if !hasThird && !bytes.HasPrefix(h.first, []byte("HTTP/")) { // only a response may omit the third part, its reason phrase
 		return ErrMalformed
 	}
 	return nil
 }
 
-// parseHeaderFields parses the lines behind the start line.
+// parseHeaderFields parses the lines after the start line.
 func (h *Head) parseHeaderFields(lines []byte) error {
 	for len(lines) > 0 {
 		var line []byte
@@ -193,7 +196,8 @@
 	return nil
 }
 
-// hasBareLineEnd reports whether a CR or LF stands alone. A CR at the very end may still get its LF.
+// hasBareLineEnd reports whether b contains a CR without an LF after it, or an LF without a CR before it. A CR as the
+// last byte does not count, since its LF may still arrive.
 func hasBareLineEnd(b []byte) bool {
 	for i := 0; ; i += 2 {
 		lineFeed := bytes.IndexByte(b[i:], '\n')
--- a/internal/httpwire/parse_test.go
+++ b/internal/httpwire/parse_test.go
@@ -9,8 +9,8 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-// FuzzParseRequest checks that no input makes the parsers panic, that a body fits its message, and that input which
-// comes byte by byte is parsed as if it came at once.
+// FuzzParseRequest checks that no input makes the parsers panic, that a body is no larger than its message, and that
+// input that arrives byte by byte gives the same result as input that arrives at once.
 func FuzzParseRequest(f *testing.F) {
 	for _, exchange := range testkit.Exchanges {
 		f.Add([]byte(exchange.Request))
@@ -24,7 +24,7 @@
 			return
 		}
 		checkSizes(t, input)
-		checkPieces(t, input)
+		checkByteByByte(t, input)
 		var head Head
 		if complete, _ := ParseHead(input, &head, new(int)); complete {
 			head.Framing()
@@ -33,7 +33,7 @@
 	})
 }
 
-// parseCopy parses a copy of an input, since a chunked body is put together in place.
+// parseCopy parses a copy of an input, since ParseRequest moves the data of a chunked body within its buffer.
 func parseCopy(input []byte, state *ScanState) (Message, Progress, error) {
 	var message Message
 	progress, err := ParseRequest(slices.Clone(input), &message, state)
@@ -47,14 +47,14 @@
 	if progress != Complete {
 		return
 	}
-	if err != nil || message.Size > len(input) || len(message.Body) > message.Size || len(message.Body) > maxBody {
+	if err != nil || message.Size > len(input) || len(message.Body) > message.Size || len(message.Body) > maxBodyBytes {
 		t.Fatalf("size %d, body %d of %d bytes, %v", message.Size, len(message.Body), len(input), err)
 	}
 }
 
-// checkPieces checks that an input which comes byte by byte is parsed as if it came at once, and that what has been
-// scanned is not scanned again.
-func checkPieces(t *testing.T, input []byte) {
+// checkByteByByte checks that an input that arrives byte by byte gives the same result as one that arrives at once, and
+// that no byte is scanned twice, except a CR at the end of the received part of a head.
+func checkByteByByte(t *testing.T, input []byte) {
 	t.Helper()
 	const maxPieces = 700
 	var state ScanState
--- a/internal/httpwire/request.go
+++ b/internal/httpwire/request.go
@@ -6,38 +6,40 @@
 type Message struct {
 	Head
 	Body []byte
-	Size int // bytes that the message takes in the buffer, head and framing included
+	Size int // in bytes, including the head and the framing of the body
 }
 
-// Progress says how much of a request has come.
+// Progress is how much of a request has been received.
 type Progress uint8
 
 const (
 	// Incomplete means that more bytes are needed.
 	Incomplete Progress = iota
-	// AwaitingContinue means that the head is there, and that the client waits for 100 Continue before it sends the body.
+	// AwaitingContinue means that the head is complete, and that the client waits for 100 Continue before it sends the
+	// body.
 	AwaitingContinue
-	// Complete means that all of the request is there.
+	// Complete means that the whole request has been received.
 	Complete
 )
 
-// ScanState is how far a request has been parsed, so that bytes which trickle in are not parsed again and again.
-// Its zero value belongs to a request that has not begun.
+// ScanState is how far a request has been parsed, so that bytes that arrive one after another are not parsed repeatedly.
+// Its zero value is the state for a request of which nothing has been parsed.
 type ScanState struct {
-	headScanned int // bytes that hold no end of the head
-	needed      int // bytes that the request has, once its head has said so
+	headScanned int // number of bytes that are known not to contain the end of the head
+	needed      int // size of the request in bytes, 0 until the head has stated it; stays 0 for a chunked body
 
 	chunked     bool
 	chunks      ChunkReader
-	bodyScanned int // offset up to which a chunked body has been parsed
-	bodyLength  int // bytes of data found there
+	bodyScanned int // offset in the buffer up to which a chunked body has been parsed
+	bodyLength  int // bytes of data in the parsed part of a chunked body
 }
 
-// singleFields must not be repeated: different readers would take different ones for the request's.
+// singleFields are the header fields that must not be repeated, because different parsers would use different values.
 var singleFields = []string{"X-Correlation-Id", "X-Time-Left-Ms", "Idempotency-Key"}
 
-// ParseRequest parses a request at the start of b. While b holds only a part of it, state goes with b to the next call.
-// A chunked body is put together in place. With an error, the request is Incomplete and stays so.
+// ParseRequest parses a request at the start of b. While b holds only a part of the request, the caller passes the same
+// state again once b has grown. The data of a chunked body is moved together within b. If an error is returned, the
+// progress is Incomplete, and the request can never become complete.
 func ParseRequest(b []byte, message *Message, state *ScanState) (Progress, error) {
 	if len(b) < state.needed {
 		return Incomplete, nil
@@ -59,7 +61,7 @@
 	if err != nil {
 		return Incomplete, err
 	}
-	if length > maxBody {
+	if length > maxBodyBytes {
 		return Incomplete, ErrBodyTooLong
 	}
 	message.Body = nil
@@ -70,14 +72,14 @@
 	length = max(length, 0)
 	state.needed = message.Size + length
 	if len(b) < state.needed {
-		return message.progressWithoutBody(b), nil
+		return message.progressBeforeBody(b), nil
 	}
 	message.Body = b[message.Size : message.Size+length]
 	message.Size += length
 	return Complete, nil
 }
 
-// checkRequestHead checks what a head has beyond a well-formed one if it is a request's.
+// checkRequestHead checks the requirements for the head of a request that ParseHead does not check.
 func (m *Message) checkRequestHead() error {
 	version := string(m.Version())
 	if version != "HTTP/1.1" && version != "HTTP/1.0" || !isToken(m.Method()) || !isTarget(m.Target()) {
@@ -91,16 +93,16 @@
 	return nil
 }
 
-// progressWithoutBody returns how much of a request has come whose head is there, and whose body is not complete.
-func (m *Message) progressWithoutBody(b []byte) Progress {
-	headAlone := len(b) == m.Head.Size
-	if headAlone && m.HasToken("Expect", "100-continue") {
+// progressBeforeBody returns the progress of a request whose head is complete and whose body is not.
+func (m *Message) progressBeforeBody(b []byte) Progress {
+	onlyHead := len(b) == m.Head.Size
+	if onlyHead && m.HasToken("Expect", "100-continue") {
 		return AwaitingContinue
 	}
 	return Incomplete
 }
 
-// scanChunks continues with a chunked body from where it stopped, without moving its data.
+// scanChunks continues to parse a chunked body at bodyScanned, without moving its data.
 func (s *ScanState) scanChunks(b []byte) (done bool, err error) {
 	for !s.chunks.Done() {
 		data, used, err := s.chunks.Next(b[s.bodyScanned:])
@@ -108,7 +110,7 @@
 			return false, err
 		}
 		s.bodyLength += len(data)
-		if s.bodyLength > maxBody {
+		if s.bodyLength > maxBodyBytes {
 			return false, ErrBodyTooLong
 		}
 		if used == 0 {
@@ -119,7 +121,7 @@
 	return true, nil
 }
 
-// parseChunkedBody parses a chunked body behind the head in b, and puts it together in place once all of it is there.
+// parseChunkedBody parses a chunked body after the head in b, and moves its data together once all of it is there.
 func (m *Message) parseChunkedBody(b []byte, state *ScanState) (Progress, error) {
 	if !state.chunked {
 		state.chunked = true
@@ -130,12 +132,12 @@
 		return Incomplete, err
 	}
 	if !done {
-		return m.progressWithoutBody(b), nil
+		return m.progressBeforeBody(b), nil
 	}
 	var chunks ChunkReader
 	from := m.Head.Size
 	bodyEnd := m.Head.Size
-	for !chunks.Done() { // all of it is there and has been scanned, so nothing fails any more
+	for !chunks.Done() { // scanChunks has parsed the whole body without an error
 		data, used, _ := chunks.Next(b[from:])
 		bodyEnd += copy(b[bodyEnd:], data)
 		from += used
@@ -145,14 +147,14 @@
 	return Complete, nil
 }
 
-// Call is a complete request as the admin API needs it: a copy, without its body.
+// Call holds the parts of a request that the admin API needs. They are copies, independent of the parsed buffer.
 type Call struct{ Method, Path, Query string }
 
-// CallReader reads one call, however its bytes come. Its zero value is ready for use.
+// CallReader reads one request to the admin API, whose bytes may arrive in pieces. Its zero value is ready for use.
 type CallReader struct{ state ScanState }
 
-// Read parses the call at the start of b, which holds all that has come so far. It returns false without an error
-// while b holds only a part of it.
+// Read parses the request at the start of b, which holds all bytes received so far. It returns false without an error
+// while b holds only a part of the request.
 func (r *CallReader) Read(b []byte) (Call, bool, error) {
 	var message Message
 	progress, err := ParseRequest(b, &message, &r.state)
--- a/internal/httpwire/status.go
+++ b/internal/httpwire/status.go
@@ -2,7 +2,8 @@
 
 import "errors"
 
-// Status codes, named after their reason phrases in RFC 9110. The daemon does not link net/http, which has them too.
+// Status codes, named after their reason phrases in RFC 9110. They are defined here because the daemon does not link
+// net/http.
 const (
 	StatusOK                          = 200
 	StatusAccepted                    = 202
@@ -20,7 +21,7 @@
 	StatusGatewayTimeout              = 504
 )
 
-// reasonPhrases are those of the status codes that this program answers with.
+// reasonPhrases are the reason phrases of the status codes that AppendResponse is used with.
 var reasonPhrases = map[int]string{
 	StatusOK:                          "OK",
 	StatusAccepted:                    "Accepted",
@@ -37,7 +38,7 @@
 	StatusServiceUnavailable:          "Service Unavailable",
 }
 
-// StatusOf returns the status code that answers a message which could not be read.
+// StatusOf returns the status code of the response to a message that could not be parsed because of err.
 func StatusOf(err error) int {
 	switch {
 	case errors.Is(err, ErrBodyTooLong):
--- a/internal/httpwire/text.go
+++ b/internal/httpwire/text.go
@@ -3,11 +3,11 @@
 import "bytes"
 
 const (
-	maxIdentifier = 128 // bytes
-	maxDigits     = 12  // of a number: it fits an int, and no length or time is longer
+	maxIdentifierBytes = 128
+	maxDigits          = 12 // of a number: enough for any length or time, and few enough to fit into an int
 )
 
-// EqualFold reports whether b and s are equal but for the case of ASCII letters.
+// EqualFold reports whether b and s are equal, ignoring the case of ASCII letters.
 func EqualFold(b []byte, s string) bool {
 	if len(b) != len(s) {
 		return false
@@ -27,15 +27,15 @@
 	return c
 }
 
-// IsIdentifier reports whether b can be a request's correlation ID or idempotency key, and go into a field as it is:
-// 1 to 128 letters, digits or -._:~+/=@.
+// IsIdentifier reports whether b can be a request's correlation ID or idempotency key, and can be written to a header
+// field without escaping: 1 to 128 letters, digits or -._:~+/=@.
 func IsIdentifier(b []byte) bool {
 	for _, c := range b {
 		if !isAlphanumeric(c) && bytes.IndexByte([]byte("-._:~+/=@"), c) < 0 {
 			return false
 		}
 	}
-	return len(b) > 0 && len(b) <= maxIdentifier
+	return len(b) > 0 && len(b) <= maxIdentifierBytes
 }
 
 func isAlphanumeric(c byte) bool {
@@ -43,7 +43,7 @@
 	return 'a' <= c && c <= 'z' || '0' <= c && c <= '9'
 }
 
-// isTarget reports whether a request's target is a path that can be forwarded as it is.
+// isTarget reports whether a request's target is a path that can be forwarded without escaping.
 func isTarget(b []byte) bool {
 	for _, c := range b {
 		if c <= ' ' || c >= 0x7f {
@@ -63,7 +63,8 @@
 	return len(b) > 0
 }
 
-// ParseNumber reads a decimal number that consists of digits alone.
+// ParseNumber parses a decimal number without a sign. ok is false if b has another character than a digit, no digit, or
+// more than maxDigits digits.
 func ParseNumber(b []byte) (n int, ok bool) {
 	if len(b) == 0 || len(b) > maxDigits {
 		return 0, false
