--- a/internal/workerclient/claim.go
+++ b/internal/workerclient/claim.go
@@ -2,14 +2,15 @@
 
 import "hollyyoke.example/hollyyoke/internal/invariant"
 
-// claimNeverSent records what the claim rests on that the connection's attempt was never sent.
+// claimNeverSent reports to the dispatcher the claim that the connection's attempt was never sent, together with the
+// state of the connection as evidence for it. It does nothing if the connection carries no attempt.
 func (c *connection) claimNeverSent(kind invariant.ClaimKind) {
 	if !c.hasAttempt() {
 		return
 	}
 	evidence := invariant.Evidence{
 		Connection: c.state.String(),
-		Sending:    c.sending(),
+		Sending:    c.describeRequest(),
 		RequestEnd: c.request.end,
 	}
 	if c.conn != nil {
@@ -20,8 +21,8 @@
 	c.client.dispatcher.ClaimNeverSent(c.handle, kind, evidence)
 }
 
-// sending names what the latest request of the connection is.
-func (c *connection) sending() string {
+// describeRequest describes the connection's latest request, for the evidence of a claim.
+func (c *connection) describeRequest() string {
 	switch {
 	case c.request.kind == confirmation:
 		return "the health check before the attempt"
--- a/internal/workerclient/client.go
+++ b/internal/workerclient/client.go
@@ -1,9 +1,9 @@
 // Package workerclient carries attempts to workers over HTTP/1.1: it owns the connections to workers, sends requests
 // and health checks, and reports to the dispatcher how each ended.
 //
-// A Client belongs to the event loop's goroutine; none of its methods may be called from another one. It never sends a
-// request again on its own once the last byte of it may have left, and never takes a response for one that belongs to
-// another request.
+// A Client belongs to the event loop's goroutine; none of its methods may be called from another one. Once the last byte
+// of a request may have been sent, it does not resend the request on its own. It never matches a response to another
+// request than the one that the worker responded to.
 package workerclient
 
 import (
@@ -23,19 +23,19 @@
 	engine     *transport.Engine
 	registry   *discovery.Registry
 
-	connections map[uint64]*connection              // by the handle of the attempt that runs on them
-	idle        map[*discovery.Worker][]*connection // the connection used last is at the end
-	out         []byte                              // scratch space in which a request is put together
+	connections map[uint64]*connection              // by the handle of the attempt that they carry
+	idle        map[*discovery.Worker][]*connection // by worker, the most recently used connection last
+	out         []byte                              // scratch space in which a request is assembled
 
 	holdLastByteUntil time.Duration // until then, requests are sent with their last byte held back
-	lastByteDelay     time.Duration // defaultLastByteDelay; tests that play a worker need more
-	reuseDelay        time.Duration // defaultReuseDelay, but in tests
+	lastByteDelay     time.Duration // defaultLastByteDelay, or longer in tests, which must act as the worker within it
+	reuseDelay        time.Duration // defaultReuseDelay, except in tests
 }
 
-// The dispatcher asks a worker client for this interface at run time.
+// The dispatcher checks for this interface with a type assertion at run time.
 var _ dispatch.Refresher = (*Client)(nil)
 
-// New returns a client for the workers that a registry lists, and makes it the dispatcher's.
+// New returns a client for the workers that a registry lists, and adds it to the dispatcher.
 func New(dispatcher *dispatch.Dispatcher, engine *transport.Engine, registry *discovery.Registry) *Client {
 	client := &Client{
 		dispatcher:    dispatcher,
@@ -51,14 +51,14 @@
 	return client
 }
 
-// Refresh makes the registry check which workers its list still allows requests to.
+// Refresh makes the registry check to which workers its endpoint list still allows requests.
 func (c *Client) Refresh() { c.registry.Refresh() }
 
-// Subscribe asks the registry for list changes from now on.
+// Subscribe makes the registry subscribe to changes of the endpoint list.
 func (c *Client) Subscribe() { c.registry.Subscribe() }
 
-// Start sends an attempt on an idle connection to its worker, or on a new one. An attempt for a worker that is not
-// listed ends at once.
+// Start sends an attempt on an idle connection to its worker, or on a new one. If the worker is not listed, the attempt
+// ends immediately.
 func (c *Client) Start(attempt dispatch.Attempt) {
 	worker := c.registry.Worker(attempt.Worker)
 	if worker == nil {
@@ -72,19 +72,19 @@
 	}
 }
 
-// Cancel abandons an attempt, whose outcome is not reported any more. It returns true if the attempt has certainly
-// never run, since its request had not left entirely.
+// Cancel abandons an attempt. Its outcome is not reported afterwards. Cancel returns true if the attempt has certainly
+// never run, because its request was not sent completely.
 func (c *Client) Cancel(handle uint64) (neverRan bool) {
 	conn := c.connections[handle]
 	if conn == nil {
 		return false
 	}
 	conn.reportSent()
-	if conn.state == stateDialing { // once it is open, the connection may serve another attempt
-		conn.dial.unwanted = true
+	if conn.state == stateDialing { // the dial continues, so that the open connection can carry another attempt
+		conn.dial.abandoned = true
 		neverRan = true
 	} else {
-		conn.close() // before asking what was flushed: until then, buffered bytes may still leave on another goroutine
+		conn.close() // before requestFlushed: until the close, another goroutine may still send buffered bytes
 		neverRan = conn.state == stateIdle || conn.request.kind == confirmation || !conn.requestFlushed()
 	}
 	if neverRan {
--- a/internal/workerclient/client_test.go
+++ b/internal/workerclient/client_test.go
@@ -14,9 +14,9 @@
 )
 
 // FuzzWorkerResponses checks a worker connection against a model: whatever the worker responds, and wherever the bytes
-// are split, the request ends as the protocol's table says, and it arrives at most once, also where the connection
-// reused from the request before has just been closed. Two bytes are a step: the response, with closeBefore if the
-// worker closes its connections first, and where to split the response.
+// are split, the request ends with the outcome that testkit.WorkerResponses states, and it arrives at most once, even if
+// the worker has just closed the connection that would be reused. Every two input bytes are a step: the first selects the
+// response, and whether the worker closes its connections before it (closeBefore); the second selects where to split it.
 func FuzzWorkerResponses(f *testing.F) {
 	const (
 		closeBefore = 64
@@ -31,7 +31,7 @@
 	worker := testkit.NewScriptedWorker(f)
 	rig.Do(func() {
 		client := newWorkerClient(f, rig, listedWorker{Name: soleWorker, Address: worker.Addr(), Zone: "here", Health: "ready"})
-		client.reuseDelay = reuseAtOnce
+		client.reuseDelay = noReuseDelay
 	})
 	number := 0
 	f.Fuzz(func(t *testing.T, steps []byte) {
@@ -44,13 +44,13 @@
 			}
 			worker.SetScripts(response.Script)
 			worker.SplitResponses(int(steps[i+1]))
-			checkWorkerResponse(t, rig, worker, response, closed, fmt.Sprintf("id%06d", number)) // as long as what it replaces
+			checkWorkerResponse(t, rig, worker, response, closed, fmt.Sprintf("id%06d", number)) // as long as the ID in the script that it replaces
 		}
 	})
 }
 
-// checkWorkerResponse sends a request to a worker, which gives a response. closed reports whether the worker has just
-// closed its connections.
+// checkWorkerResponse sends a request to a worker that gives a response, and checks the outcome. closed states whether
+// the worker has just closed its connections.
 func checkWorkerResponse(
 	t *testing.T, rig *testkit.Rig, worker *testkit.ScriptedWorker, response testkit.WorkerResponse, closed bool, id string,
 ) {
@@ -65,7 +65,7 @@
 		t.Fatalf("no response to %q", response.Script)
 	}
 	arrivals := worker.Arrivals(id)
-	// A reused connection that has just been closed may cost the request, but never cause a second run.
+	// The request may fail if it was sent on a reused connection that had just been closed, but it must not run twice.
 	lostWithConnection := closed && got.Outcome == dispatch.Failed && arrivals <= 1
 	if got.Outcome != response.Want && !lostWithConnection || arrivals > 1 {
 		t.Fatalf("%q: %v, want %v; arrived %d times", response.Script, got.Outcome, response.Want, arrivals)
@@ -75,7 +75,7 @@
 	}
 }
 
-// The worker gets a client's idempotency key unchanged.
+// Checks that the worker gets a client's idempotency key unchanged.
 func TestIdempotencyKeyIsPassedOn(t *testing.T) {
 	rig := testkit.NewRig(t)
 	worker := testkit.Listen(t)
@@ -96,7 +96,7 @@
 	}
 }
 
-// requestWithKey returns a client's request with an idempotency key, unless that is empty.
+// requestWithKey returns the text of a client's request with an idempotency key, or without one if key is empty.
 func requestWithKey(id, key string) string {
 	field := ""
 	if key != "" {
@@ -114,17 +114,18 @@
 	}
 }
 
-// A response that never ends is cut: behind its last object the connection has a second, and carries no other request.
-// An object that never ends is no response.
+// Checks that responses that never end are cut off. After the final job update, the connection is closed within
+// responseEndTimeout, and it carries no other request until then. A head or a line that never ends is an invalid
+// response, and the request fails.
 func TestEndlessResponses(t *testing.T) {
 	rig := testkit.NewRig(t)
 	worker := testkit.Listen(t)
-	startSoleWorkerClient(t, rig, worker.Addr(), reuseAtOnce)
+	startSoleWorkerClient(t, rig, worker.Addr(), noReuseDelay)
 	endlessTrail := strings.TrimSuffix(testkit.ChunkedResponse(testkit.DoneLine), "0\r\n\r\n")
 	for i, test := range []struct {
 		name   string
 		start  string
-		repeat string // without end
+		repeat string // sent after start, again and again
 		want   dispatch.Outcome
 	}{
 		{"lines behind the result", endlessTrail, testkit.Chunk("more\n"), dispatch.Served},
@@ -155,7 +156,8 @@
 	}
 }
 
-// writeEndlessly writes a text again and again. The channel gets the number of bytes once the connection has ended.
+// writeEndlessly writes a text again and again until the connection is closed. The channel then receives the number of
+// bytes written.
 func writeEndlessly(conn *testkit.AcceptedConn, text string) (cut chan int) {
 	cut = make(chan int, 1)
 	go func() {
--- a/internal/workerclient/clientleaves_test.go
+++ b/internal/workerclient/clientleaves_test.go
@@ -10,24 +10,25 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// These tests let a client close its connection while the event loop is busy, just before the loop handles an event by
-// which an attempt of its request would begin. The kernel knows of the close by then, so no attempt may begin.
+// In these tests, a client closes its connection while the event loop is blocked, just before the loop handles an event
+// that would start or send an attempt of the client's request. The kernel has received the close by then, so the attempt
+// must not be sent.
 
-// The client closes while the first attempt of its request is due.
+// The client closes just before the first attempt of its request would be started.
 func TestClientLeavesBeforeFirstAttempt(t *testing.T) {
-	for _, bytesBehind := range []int{0, 300} {
+	for _, trailingBytes := range []int{0, 300} {
 		stack := newStack(t, 1, withRetries)
 		release := stack.blockLoop()
-		client := stack.connectClient("id000001", bytesBehind)
+		client := stack.connectClient("id000001", trailingBytes)
 		stack.closeClient(client)
 		release()
 		if sent := stack.awaitCancelled(); sent > 0 {
-			t.Errorf("%d bytes behind: %d attempts for a client that had left", bytesBehind, sent)
+			t.Errorf("%d trailing bytes: %d attempts for a client that had left", trailingBytes, sent)
 		}
 	}
 }
 
-// The client closes while its request waits for another with the same key, which ends just then.
+// The client closes while its request waits for another request with the same key, just before that one ends.
 func TestClientLeavesWhileSerialized(t *testing.T) {
 	stack := newStack(t, 1, func(settings *decision.Settings) { settings.Classes[testkit.StatusCheck].Serialized = true })
 	stack.connectClient("id000001", 0)
@@ -56,7 +57,7 @@
 	t.Cleanup(release)
 	stack.Do(func() {
 		stack.Dispatcher.Trace = func(_, step string, _ ...any) {
-			if step == dispatch.StepAssigned { // before the event that the connection is open
+			if step == dispatch.StepAssigned { // posted ahead of the event that reports the open connection
 				stack.Dispatcher.Loop.Post(func() {
 					close(loopBlocked)
 					<-released
@@ -67,7 +68,7 @@
 	client := stack.connectClient("id000001", 0)
 	<-loopBlocked
 	stack.workers[0].Accept()
-	time.Sleep(100 * time.Millisecond) // for the poller to post that event; if it is slower, the test only shows less
+	time.Sleep(100 * time.Millisecond) // lets the poller post that event; if it is slower, the test covers less, but passes
 	stack.closeClient(client)
 	release()
 	if sent := stack.awaitCancelled(); sent > 0 {
@@ -75,11 +76,11 @@
 	}
 }
 
-// The client closes when an attempt has failed and a retry is due.
+// The client closes just before the failure of an attempt is handled, after which a retry would be sent.
 func TestClientLeavesBeforeRetry(t *testing.T) {
-	for _, bytesBehind := range []int{0, 300} {
+	for _, trailingBytes := range []int{0, 300} {
 		stack := newStack(t, 2, withRetries)
-		client := stack.connectClient("id000001", bytesBehind)
+		client := stack.connectClient("id000001", trailingBytes)
 		workerConn := testkit.AcceptAny(stack.workers...)
 		workerConn.ParseRequest()
 		release := stack.blockLoop()
@@ -87,12 +88,12 @@
 		stack.closeClient(client)
 		release()
 		if sent := stack.awaitCancelled(); sent != 1 {
-			t.Errorf("%d bytes behind: %d attempts, want the first only", bytesBehind, sent)
+			t.Errorf("%d trailing bytes: %d attempts, want the first only", trailingBytes, sent)
 		}
 	}
 }
 
-// The client closes while a hedge is due, since the first attempt does not start.
+// The client closes just before a hedge would be sent because the worker has not started the first attempt.
 func TestClientLeavesBeforeHedge(t *testing.T) {
 	stack := newStack(t, 2, func(settings *decision.Settings) {
 		settings.MaxAttempts = 3
@@ -102,7 +103,7 @@
 	testkit.AcceptAny(stack.workers...).ParseRequest()
 	release := stack.blockLoop()
 	stack.closeClient(client)
-	time.Sleep(300 * time.Millisecond) // beyond the sweep's interval: the hedge is due whatever the machine does
+	time.Sleep(300 * time.Millisecond) // longer than the dispatcher's sweep interval, so that the hedge is due in any case
 	release()
 	if sent := stack.awaitCancelled(); sent > 1 {
 		t.Errorf("%d attempts, want the first only", sent)
@@ -117,7 +118,7 @@
 	stack.workers[0].Accept().AwaitFirstByte()
 	release := stack.blockLoop()
 	stack.closeClient(client)
-	time.Sleep(220 * time.Millisecond) // the last byte is due, whatever the machine does
+	time.Sleep(220 * time.Millisecond) // longer than the delay of the last byte, so that it is due in any case
 	release()
 	if sent := stack.awaitCancelled(); sent > 0 {
 		t.Errorf("%d attempts for a client that had left", sent)
--- a/internal/workerclient/connection.go
+++ b/internal/workerclient/connection.go
@@ -9,14 +9,14 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-// connectionState is what a connection is doing. Traces and claims show its name.
+// connectionState is the state of a connection to a worker. Its name appears in traces and in the evidence of claims.
 type connectionState uint8
 
 const (
-	stateIdle         connectionState = iota // open, and no request is on it
-	stateAwaitingHead                        // a request has been sent, entirely or but for its last byte
-	stateReadingBody                         // the head of the response has come
-	stateDialing                             // not open yet; if the dial fails, the connection never leaves this state
+	stateIdle         connectionState = iota // open, without a request
+	stateAwaitingHead                        // a request has been sent, possibly without its last byte
+	stateReadingBody                         // the head of the response has been parsed
+	stateDialing                             // not open yet; if the dial fails, the connection stays in this state
 )
 
 // String returns the name of the state.
@@ -24,18 +24,20 @@
 	return [...]string{"idle", "awaiting head", "reading body", "dialing"}[s]
 }
 
-// connection is a connection to a worker. It carries one request at a time: that of an attempt, or a health check.
+// connection is a connection to a worker. It carries one request at a time, which is that of an attempt or a health check.
 //
-//	state         next, and by what                                            its timer
-//	dialing       idle: onDialed                                               the connect timeout
-//	idle          awaiting head: write                                         the idle timeout
-//	awaiting head reading body: handleHead                                     of a health check: its timeout; else: when the
-//	                                                                           held last byte is due, then when a retry is too late
-//	reading body  idle: release, or endExchange after a confirmation           as before, since a worker may respond before
-//	                                                                           all has left; once the result has been
-//	                                                                           reported: the response's end
+//	state         next state, set by                                           what the timer is set for
+//	dialing       idle, by onDialed                                            the connect timeout
+//	idle          awaiting head, by write                                      the idle timeout
+//	awaiting head reading body, by handleHead                                  for a health check its timeout, else the time
+//	                                                                           to send the held last byte, then the time by
+//	                                                                           which a retry must have been sent
+//	reading body  idle, by release, or by endExchange after a confirmation     as in awaiting head, since a worker may respond
+//	                                                                           before the whole request has been sent; after
+//	                                                                           the result was reported, the time by which
+//	                                                                           the response must end
 //
-// close and OnClosed end the connection in each state but dialing, and leave the state as it is.
+// close and OnClosed end the connection in every state except dialing, and do not change the state.
 type connection struct {
 	client *Client
 	worker *discovery.Worker
@@ -43,20 +45,20 @@
 	state  connectionState
 	timer  eventloop.Deadline
 
-	handle              uint64           // of the attempt whose outcome is to be reported; 0: none
-	attempt             dispatch.Attempt // the latest
-	newConnectionFailed bool             // a new connection has broken under the attempt before
+	handle              uint64           // of the attempt whose outcome is still to be reported; 0 if there is none
+	attempt             dispatch.Attempt // the latest attempt
+	newConnectionFailed bool             // the attempt was moved here after a new connection had failed under it
 
 	dial     dialProgress
 	idle     idleTimes
-	reused   bool // it has been idle, so the worker may have closed it unnoticed
+	reused   bool // the connection has been idle, so the worker may have closed it without this being detected yet
 	request  outgoingRequest
 	response response
 
-	closeAfterResponse bool // it cannot be used again after the present response
+	closeAfterResponse bool // the connection cannot be reused after the current response
 }
 
-// attemptResult is how an attempt ended, as the worker stated it.
+// attemptResult is the result of an attempt.
 type attemptResult struct {
 	outcome decision.AttemptOutcome
 	load    decision.LoadReport
@@ -75,7 +77,7 @@
 // hasAttempt reports whether the connection carries an attempt whose outcome is to be reported.
 func (c *connection) hasAttempt() bool { return c.handle != 0 }
 
-// assign gives an attempt to the connection.
+// assign makes the connection carry an attempt.
 func (c *connection) assign(attempt dispatch.Attempt) {
 	c.handle = attempt.Handle
 	c.attempt = attempt
@@ -83,14 +85,14 @@
 	c.client.connections[c.handle] = c
 }
 
-// unassign takes its attempt from the connection.
+// unassign removes the attempt from the connection.
 func (c *connection) unassign() {
 	delete(c.client.connections, c.handle)
 	c.handle = 0
 }
 
-// moveAttempt moves the attempt, of which nothing has run, to another connection to the same worker, unless it has
-// ended. newConnectionFailed reports whether it has now lost a new connection.
+// moveAttempt moves the attempt, which has not run, to another connection to the same worker, unless it has ended.
+// newConnectionFailed states whether a new connection, rather than only reused ones, has failed under the attempt.
 func (c *connection) moveAttempt(newConnectionFailed bool) {
 	handle := c.handle
 	if handle == 0 {
@@ -109,7 +111,7 @@
 	}
 }
 
-// correlationID returns the ID of the attempt's request for the trace; a health check has none.
+// correlationID returns the ID of the attempt's request for the trace, or "" for a health check.
 func (c *connection) correlationID() string {
 	if c.attempt.Request == nil || c.request.isHealthCheck() {
 		return ""
@@ -117,10 +119,10 @@
 	return c.attempt.Request.ID
 }
 
-// onTimer is called when the time for what the connection waits for is over.
+// onTimer is called when the timer expires. What it was set for depends on the connection's state.
 func (c *connection) onTimer() {
 	switch {
-	case c.state == stateDialing && c.dial.failedLocally: // nothing ran, and the worker is not to blame
+	case c.state == stateDialing && c.dial.failedLocally: // the attempt has not run, and this is no failure of the worker
 		c.fail(decision.NotSent)
 	case c.state == stateDialing:
 		c.fail(decision.ConnectionRefused)
@@ -140,9 +142,9 @@
 	}
 }
 
-// fail reports the outcome of the health check and the attempt, where one is still to be reported.
+// fail reports an outcome for the health check and the attempt, as far as theirs are still to be reported.
 func (c *connection) fail(outcome decision.AttemptOutcome) {
-	c.dial.unwanted = true
+	c.dial.abandoned = true
 	if c.request.kind == confirmation {
 		c.confirmationFailed()
 		return
@@ -151,13 +153,13 @@
 		c.client.registry.ConnectFailed(c.worker)
 	}
 	if c.request.kind == healthCheck {
-		c.request.kind = noHealthCheck
+		c.request.kind = attemptRequest
 		c.client.dispatcher.HealthChecked(c.worker.Name, outcome, decision.LoadReport{})
 	}
 	c.complete(attemptResult{outcome: outcome})
 }
 
-// complete reports the result of the attempt, if there is one that has not ended yet.
+// complete reports the result of the connection's attempt, if it carries one.
 func (c *connection) complete(result attemptResult) {
 	handle := c.handle
 	if handle == 0 {
@@ -170,19 +172,20 @@
 	c.client.dispatcher.AttemptEnded(handle, result.outcome, result.load, result.body)
 }
 
-// retryUnsent is called when the connection broke before the last byte of the request had left, so that nothing ran.
-// The attempt continues on another connection if this one was reused, since the worker may have closed it long ago, and
-// likewise once if it was new. Otherwise the worker counts as unreachable.
+// retryUnsent is called when the connection failed before the last byte of the request was sent, so that the request has
+// not run. The attempt is moved to another connection if this one was reused, since the worker may have closed it long
+// ago, or if this is the first new connection that failed. Otherwise the worker counts as unreachable.
 func (c *connection) retryUnsent() {
 	if !c.reused && c.newConnectionFailed || !c.hasAttempt() {
 		c.fail(decision.ConnectionRefused)
 		return
 	}
-	c.request.kind = noHealthCheck
+	c.request.kind = attemptRequest
 	c.moveAttempt(c.newConnectionFailed || !c.reused)
 }
 
-// OnClosed is called when the worker has closed the connection, or it broke. It implements transport.Handler.
+// OnClosed is called when the worker has closed the connection, or the connection was lost. It implements
+// transport.Handler.
 func (c *connection) OnClosed(closed *transport.Conn, _ error) {
 	loop := c.client.loop()
 	loop.Clear(&c.timer)
@@ -203,8 +206,8 @@
 	c.fail(decision.ConnectionLost)
 }
 
-// close closes the connection. If the worker has not begun to respond, it does so by a reset, so that no part of the
-// request arrives later.
+// close closes the connection. If the worker has not begun to respond, the connection is reset, so that no more bytes of
+// the request are delivered.
 func (c *connection) close() {
 	c.client.loop().Clear(&c.timer)
 	c.response.freeBuffers()
--- a/internal/workerclient/dial.go
+++ b/internal/workerclient/dial.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	defaultConnectTimeout = 250 * time.Millisecond // where the settings give none
-	dialTimeoutMargin     = 50 * time.Millisecond  // by which the system's timeout is longer than the client's own
+	defaultConnectTimeout = 250 * time.Millisecond // used if the settings state no connect timeout
+	dialTimeoutMargin     = 50 * time.Millisecond  // the dial's own timeout is longer than the connect timeout by this
 
-	// A dial that fails for a reason of this machine is retried after minRedialBackoff, doubled each time up to
+	// A dial that fails for a local reason is retried after minRedialBackoff, which is doubled with each retry up to
 	// maxRedialBackoff.
 	minRedialBackoff = 5 * time.Millisecond
 	maxRedialBackoff = 40 * time.Millisecond
 )
 
-// dialProgress is what has become of the dial of a connection. It is of use until the connection is open.
+// dialProgress is the state of the dial of a connection. It is not used once the connection is open.
 type dialProgress struct {
-	unwanted      bool          // what it was dialed for has ended
-	failedLocally bool          // the latest dial failed for a reason of this machine
-	backoff       time.Duration // before the latest retry of the dial
+	abandoned     bool          // the attempt or health check that needed the connection has ended
+	failedLocally bool          // the latest dial failed for a local reason, such as a lack of descriptors
+	backoff       time.Duration // delay before the latest retry of the dial, 0 if there was none
 }
 
 // connectTimeout returns how long a connect may take.
@@ -34,8 +34,8 @@
 	return defaultConnectTimeout
 }
 
-// dial returns a new connection to a worker, which is not open yet. It fails if it is not open within the connect
-// timeout.
+// dial returns a new connection to a worker, which is not open yet. The connection fails if it is not open within the
+// connect timeout.
 func (c *Client) dial(worker *discovery.Worker) *connection {
 	conn := newConnection(c, worker)
 	c.loop().Set(&conn.timer, c.loop().Now()+c.connectTimeout())
@@ -43,9 +43,9 @@
 	return conn
 }
 
-// connect dials for the connection, unless nobody wants it any more.
+// connect starts a dial for the connection, unless what needed the connection has ended.
 func (c *connection) connect() {
-	if c.dial.unwanted {
+	if c.dial.abandoned {
 		return
 	}
 	timeout := c.client.connectTimeout() + dialTimeoutMargin
@@ -67,8 +67,8 @@
 	c.conn = opened
 	c.state = stateIdle
 	switch {
-	case c.dial.unwanted || !c.hasAttempt() && !c.request.isHealthCheck():
-		c.dial.unwanted = false
+	case c.dial.abandoned || !c.hasAttempt() && !c.request.isHealthCheck():
+		c.dial.abandoned = false
 		c.release()
 	case c.hasAttempt() && c.client.dispatcher.ClientGone(c.handle): // the dispatcher has cancelled the attempt
 	default:
@@ -76,8 +76,8 @@
 	}
 }
 
-// redial dials again after a failure of this machine, which says nothing of the worker. If no descriptor was free, it
-// closes the idle connections first.
+// redial retries the dial after a local failure, which does not mean that the worker is unreachable. If no descriptor
+// was free, it first closes all idle connections.
 func (c *connection) redial(err error) {
 	if errors.Is(err, transport.ErrNoDescriptor) {
 		c.client.CloseAllIdle()
--- a/internal/workerclient/dial_test.go
+++ b/internal/workerclient/dial_test.go
@@ -10,12 +10,13 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-// An attempt for which no descriptor is free, since there are idle connections to another worker, is sent once those
-// are closed: a shortage of this process says nothing of the worker, and must not end the attempt.
+// Checks that an attempt is sent if no descriptor is free for its connection because idle connections to another worker
+// use them. The client must close those and retry the dial: a lack of descriptors in this process does not mean that the
+// worker is unreachable, and must not end the attempt.
 func TestAttemptWaitsForADescriptor(t *testing.T) {
 	const (
 		descriptors    = 64
-		ownDescriptors = 24 // of them that neither clients nor workers get
+		ownDescriptors = 24 // those of the descriptors that are used neither for clients nor for workers
 	)
 	maxDials := descriptors - ownDescriptors - transport.AcceptedShare(descriptors)
 	rig := testkit.NewRig(t).WithSubscription(t, 1, 10*time.Second)
--- a/internal/workerclient/drain.go
+++ b/internal/workerclient/drain.go
@@ -9,25 +9,26 @@
 	"hollyyoke.example/hollyyoke/internal/discovery"
 )
 
-// drainSlack is how long before the end of a drain's grace the last request is sent, so that it arrives within it.
-const drainSlack = 100 * time.Millisecond
+// drainSendMargin is how long before the end of the drain grace the last request may be sent, so that it arrives within
+// the grace.
+const drainSendMargin = 100 * time.Millisecond
 
-// sendGrace returns how long requests may still be sent to a worker that is draining or was removed.
-func sendGrace(drainGrace time.Duration) time.Duration { return max(drainGrace-drainSlack, 0) }
+// sendGrace returns how long after a worker began to drain or was removed requests may still be sent to it.
+func sendGrace(drainGrace time.Duration) time.Duration { return max(drainGrace-drainSendMargin, 0) }
 
-// graceOver reports whether a worker has been draining or removed for so long that no request may be sent to it.
+// graceOver reports whether a worker has been draining or removed for so long that no more requests may be sent to it.
 func graceOver(worker *discovery.Worker, now, drainGrace time.Duration) bool {
 	return worker.State != decision.Running && now-worker.StateSince > sendGrace(drainGrace)
 }
 
-// WorkerLeaving is called when a worker begins to drain or is removed. Once the grace is over, requests that have not
-// reached the worker are abandoned: they would else arrive when a network partition heals. Of a removed worker, only a
-// response shows that a request has arrived.
+// WorkerLeaving is called when a worker begins to drain or is removed. Once the grace is over, it abandons requests that
+// have not reached the worker, because they could otherwise arrive later, when a network partition heals. A request has
+// reached a draining worker if the worker's kernel has acknowledged all bytes, and a removed worker only if it responds.
 func (c *Client) WorkerLeaving(worker *discovery.Worker) {
-	const margin = time.Millisecond // graceOver asks for more than the grace itself
+	const margin = time.Millisecond // since graceOver is false until more than the grace has passed
 	drainGrace := c.dispatcher.Settings.DrainGrace
 	c.loop().After(sendGrace(drainGrace)+margin, func() {
-		if !graceOver(worker, c.loop().Now(), drainGrace) { // it is running again, or left again later
+		if !graceOver(worker, c.loop().Now(), drainGrace) { // the worker runs again, or has begun to leave again since
 			return
 		}
 		for _, conn := range c.connectionsTo(worker) {
@@ -38,7 +39,7 @@
 	})
 }
 
-// connectionsTo returns the open connections that carry attempts to a worker, in the order of the attempts.
+// connectionsTo returns the open connections that carry attempts to a worker, in the order of the attempts' handles.
 func (c *Client) connectionsTo(worker *discovery.Worker) []*connection {
 	var found []*connection
 	for _, conn := range c.connections {
@@ -50,11 +51,11 @@
 	return found
 }
 
-// abandonRequest ends an attempt whose request may not have arrived entirely. It may have run if all of the request
-// was handed to the kernel, or if its worker has begun to respond.
+// abandonRequest ends an attempt whose request may not have arrived completely. The attempt may have run if the whole
+// request was handed to the kernel, or if the worker has begun to respond.
 func (c *connection) abandonRequest() {
 	c.reportSent()
-	c.close() // before asking what was flushed: until then, buffered bytes may still leave on another goroutine
+	c.close() // before requestFlushed: until the close, another goroutine may still send buffered bytes
 	outcome := decision.NotSent
 	mayHaveRun := c.requestFlushed() || c.state == stateReadingBody
 	if mayHaveRun && c.request.kind != confirmation {
--- a/internal/workerclient/drain_test.go
+++ b/internal/workerclient/drain_test.go
@@ -10,9 +10,9 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// heldRenewal is a renewal whose worker begins to drain, with a grace of 500 ms, while the last byte is held back.
+// heldRenewal is a renewal whose last byte is held back while its worker begins to drain, with a grace of 500 ms.
 type heldRenewal struct {
-	conn      *testkit.AcceptedConn // at the worker, which has the first byte
+	conn      *testkit.AcceptedConn // the worker's end of the connection, which has received the first byte
 	responses testkit.Responses
 }
 
@@ -20,7 +20,7 @@
 	t.Helper()
 	rig := testkit.NewRig(t, func(settings *decision.Settings) { settings.DrainGrace = 500 * time.Millisecond })
 	worker := testkit.Listen(t)
-	client := startSoleWorkerClient(t, rig, worker.Addr(), reuseAtOnce)
+	client := startSoleWorkerClient(t, rig, worker.Addr(), noReuseDelay)
 	holdLastBytes(rig, client, held)
 	responses := post(rig, testkit.Renewal, "id000001")
 	conn := worker.Accept()
@@ -33,15 +33,15 @@
 	return heldRenewal{conn: conn, responses: responses}
 }
 
-// Guards against a grace that keeps requests from workers which may still have them.
+// Guards against a drain grace that is too short, so that requests are withheld that may still be sent to the worker.
 func TestRequestWithinDrainGraceIsSent(t *testing.T) {
 	renewal := startHeldRenewal(t, 100*time.Millisecond)
 	renewal.conn.ServeRequest()
 	checkOutcome(t, "sent within the grace", renewal.responses, dispatch.Served)
 }
 
-// Guards against a request that comes to a draining worker beyond the grace: a last byte that was due 0.3 s after it left
-// all the same when the grace was taken as 0.45 s longer, and no test failed.
+// Guards against a request that is sent to a draining worker after the grace. When the grace was taken as 0.45 s longer
+// than it is, a last byte that was due 0.3 s after the end of the grace was sent, and no other test failed.
 func TestRequestBeyondDrainGraceIsNotSent(t *testing.T) {
 	renewal := startHeldRenewal(t, 800*time.Millisecond)
 	text, err := renewal.conn.ReadRest()
--- a/internal/workerclient/golden_test.go
+++ b/internal/workerclient/golden_test.go
@@ -10,7 +10,8 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// The requests that a worker gets: attempts with and without a target, with an idempotency key, and a health check.
+// Compares the requests that a worker receives: attempts with and without a target, one with an idempotency key, and a
+// health check.
 func TestGoldenRequests(t *testing.T) {
 	const doneAndClose = testkit.StatusLineOK + "Connection: close\r\n\r\n" + testkit.DoneText
 	rig := testkit.NewRig(t)
--- a/internal/workerclient/healthcheck.go
+++ b/internal/workerclient/healthcheck.go
@@ -8,10 +8,11 @@
 	"hollyyoke.example/hollyyoke/internal/settings"
 )
 
-// defaultHealthCheckTimeout is how long a worker may take to respond to a health check that no attempt waits for.
+// defaultHealthCheckTimeout is how long a worker may take to respond to a health check for which no attempt waits.
 const defaultHealthCheckTimeout = time.Second
 
-// CheckHealth asks a worker, given by its name, for its load report.
+// CheckHealth sends a health check to the worker with a name. The response is the worker's load report. It does nothing
+// if the worker is not listed.
 func (c *Client) CheckHealth(name string) {
 	worker := c.registry.Worker(name)
 	if worker == nil {
@@ -24,7 +25,7 @@
 	}
 }
 
-// healthCheckTimeout returns how long the worker may take to respond to the present health check.
+// healthCheckTimeout returns how long the worker may take to respond to the current health check.
 func (c *connection) healthCheckTimeout() time.Duration {
 	if c.request.kind == confirmation {
 		return c.client.connectTimeout()
@@ -39,14 +40,14 @@
 	return append(out, "\r\n\r\n"...)
 }
 
-// finishHealthCheck handles the response to a health check, which has ended.
+// finishHealthCheck handles the end of the response to a health check.
 func (c *connection) finishHealthCheck() {
 	c.client.loop().Clear(&c.timer)
 	c.response.complete = true
-	if c.request.kind == confirmation { // confirmationAnswered follows
+	if c.request.kind == confirmation { // responseCompleted calls confirmationAnswered next
 		return
 	}
-	c.request.kind = noHealthCheck
+	c.request.kind = attemptRequest
 	outcome := decision.Failed
 	var load decision.LoadReport
 	if c.response.parser.status == httpwire.StatusOK {
@@ -58,14 +59,15 @@
 	c.client.dispatcher.HealthChecked(c.worker.Name, outcome, load)
 }
 
-// confirmHealth sends a health check, which must succeed before the attempt's request is sent.
+// confirmHealth sends a health check that must succeed before the attempt's request is sent.
 func (c *connection) confirmHealth(now time.Duration) {
 	c.request.kind = confirmation
 	c.request.sentAt = now
 	c.write(now)
 }
 
-// confirmationAnswered continues the attempt once the worker has responded to the health check sent for it.
+// confirmationAnswered is called when the worker has responded to the health check that precedes the attempt's request.
+// It sends the request if the worker is healthy, and otherwise ends the attempt.
 func (c *connection) confirmationAnswered() {
 	healthy := c.response.parser.status == httpwire.StatusOK
 	reusable := !c.closeAfterResponse
@@ -88,10 +90,10 @@
 	c.close()
 }
 
-// confirmationFailed is called when the worker has not responded to the health check sent for an attempt. If the
-// connection was reused, the worker may have closed it long ago, so the attempt continues on another.
+// confirmationFailed is called when the worker has not responded to the health check that precedes the attempt's request.
+// If the connection was reused, the worker may have closed it long ago, so the attempt is moved to another connection.
 func (c *connection) confirmationFailed() {
-	c.request.kind = noHealthCheck
+	c.request.kind = attemptRequest
 	if c.reused {
 		c.moveAttempt(c.newConnectionFailed)
 		return
@@ -99,7 +101,7 @@
 	c.rejectUnconfirmed()
 }
 
-// rejectUnconfirmed ends an attempt whose worker has not shown that it serves.
+// rejectUnconfirmed ends an attempt whose worker did not respond to the preceding health check, or not with status 200.
 func (c *connection) rejectUnconfirmed() {
 	c.client.registry.HealthDenied(c.worker)
 	c.complete(attemptResult{outcome: decision.NotSent})
--- a/internal/workerclient/healthcheck_test.go
+++ b/internal/workerclient/healthcheck_test.go
@@ -8,8 +8,8 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// A health check that gets no response times out, also on a new connection. One that gets a response leaves its
-// connection to an attempt.
+// Checks that a health check without a response times out, also on a new connection, and that the connection of a health
+// check with a response is reused for an attempt.
 func TestHealthChecks(t *testing.T) {
 	rig := testkit.NewRig(t)
 	worker := testkit.NewScriptedWorker(t)
@@ -20,7 +20,7 @@
 			listedWorker{Name: soleWorker, Address: worker.Addr(), Health: "ready"},
 			listedWorker{Name: "silent", Address: silentWorker.Addr(), Health: "draining"},
 		)
-		client.reuseDelay = reuseAtOnce
+		client.reuseDelay = noReuseDelay
 		client.CheckHealth("silent")
 		client.CheckHealth("unlisted")
 	})
--- a/internal/workerclient/helpers_test.go
+++ b/internal/workerclient/helpers_test.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// soleWorker is the name under which tests with one worker list it.
+	// soleWorker is the name of the worker in tests with only one.
 	soleWorker = "s"
 
-	// testWork is the work that test requests state.
+	// testWork is the expected run time that test requests state.
 	testWork = time.Millisecond
 
-	// reuseAtOnce is the reuse delay of tests in which a connection is used again at once.
-	reuseAtOnce = time.Duration(0)
+	// noReuseDelay is the reuse delay of tests in which every connection may be reused immediately.
+	noReuseDelay = time.Duration(0)
 )
 
-// listedWorker is a worker as an endpoint list names it.
+// listedWorker is the entry of a worker in an endpoint list.
 type listedWorker struct {
 	Name    string `json:"host"`
 	Address string `json:"dial"`
@@ -31,7 +31,7 @@
 	Health  string `json:"health"`
 }
 
-// newWorkerClient returns a worker client whose registry lists some workers. It must be called on the event loop.
+// newWorkerClient returns a worker client whose registry lists the given workers. It must be called on the event loop.
 func newWorkerClient(t testing.TB, rig *testkit.Rig, workers ...listedWorker) *Client {
 	t.Helper()
 	client := New(rig.Dispatcher, rig.Engine, discovery.New(rig.Dispatcher, rig.Engine, ""))
@@ -45,8 +45,8 @@
 	return client
 }
 
-// startSoleWorkerClient returns a worker client that knows one worker, to which it sends unsafe requests on connections
-// that have been idle for the reuse delay.
+// startSoleWorkerClient returns a worker client whose registry lists one worker. The client sends requests that are
+// unsafe to retry only on connections that have been idle for the reuse delay, or on new ones.
 func startSoleWorkerClient(t testing.TB, rig *testkit.Rig, address string, reuseDelay time.Duration) (client *Client) {
 	t.Helper()
 	rig.Do(func() {
@@ -82,7 +82,7 @@
 	}
 }
 
-// post hands a request of a class to the dispatcher, without waiting for the event loop.
+// post posts a request of a class to the dispatcher, without waiting until the event loop has accepted it.
 func post(rig *testkit.Rig, class int, id string) testkit.Responses {
 	return rig.PostRequest(newRequest(rig, class, id))
 }
@@ -96,7 +96,7 @@
 	}
 }
 
-// requireOutcome is checkOutcome for a response without which the test can't go on.
+// requireOutcome is like checkOutcome, but ends the test if the outcome is wrong.
 func requireOutcome(t *testing.T, what string, responses testkit.Responses, want dispatch.Outcome) {
 	t.Helper()
 	got := testkit.Receive(t, responses).Outcome
@@ -114,13 +114,13 @@
 	}
 }
 
-// idleConnections returns how many connections to a worker are idle.
+// idleConnections returns the number of idle connections to the worker with a name.
 func idleConnections(rig *testkit.Rig, client *Client, worker string) (count int) {
 	rig.Do(func() { count = len(client.idle[client.registry.Worker(worker)]) })
 	return count
 }
 
-// holdLastBytes makes the client hold the last byte of each request for a time.
+// holdLastBytes makes the client hold back the last byte of each request for a time.
 func holdLastBytes(rig *testkit.Rig, client *Client, delay time.Duration) {
 	rig.Do(func() {
 		client.holdLastByteUntil = rig.Dispatcher.Loop.Now() + time.Hour
@@ -128,16 +128,16 @@
 	})
 }
 
-// transfer is the index of the class that withDeduplicatedClass adds.
-const transfer = testkit.Renewal + 1
+// transferClass is the index of the class that withDeduplicatedClass adds.
+const transferClass = testkit.Renewal + 1
 
-// withDeduplicatedClass adds a class whose workers recognize retries for a window, and sets the connect timeout.
+// withDeduplicatedClass adds a class whose workers recognize retries within a dedup window, and sets the connect timeout.
 func withDeduplicatedClass(window, connectTimeout time.Duration) func(*decision.Settings) {
 	return func(settings *decision.Settings) {
 		settings.Classes = append(settings.Classes, decision.Class{
 			Name:             "transfer",
 			PriorityWeight:   4,
-			LateWeight:       1, // worth waiting for to its end
+			LateWeight:       1, // a late response has full weight, so that waiting until the deadline is worthwhile
 			LatencyObjective: 8 * time.Second,
 			Deadline:         8 * time.Second,
 			Idempotency:      decision.Deduplicated,
--- a/internal/workerclient/jobupdate.go
+++ b/internal/workerclient/jobupdate.go
@@ -18,11 +18,11 @@
 	jobRunning  jobState = "running"
 	jobDone     jobState = "done"
 	jobFailed   jobState = "failed"
-	jobReturned jobState = "returned" // the worker had no capacity; it has not run
-	jobLost     jobState = "lost"     // it may have run
+	jobReturned jobState = "returned" // the worker had no capacity, and the job has not run
+	jobLost     jobState = "lost"     // the job may have run
 )
 
-// jobUpdate is one line of a worker's response.
+// jobUpdate is one line in the body of a worker's response.
 type jobUpdate struct {
 	ID       string          `json:"id"` // of the request
 	State    jobState        `json:"state"`
@@ -31,8 +31,9 @@
 	Load     json.RawMessage `json:"load"`
 }
 
-// handleUpdate handles a line with a job update, which may be empty: it reports the job's start or progress, and keeps
-// the result of a job that has ended. An update for another request, or with an unknown state, is an error.
+// handleUpdate handles a line with a job update. It reports the job's start or progress to the dispatcher, and stores the
+// result of a job that has ended. An empty line is ignored. An update for another request, or with an unknown state, is
+// an error.
 func (c *connection) handleUpdate(line []byte) error {
 	line = bytes.TrimSpace(line)
 	if len(line) == 0 {
@@ -69,7 +70,8 @@
 	return nil
 }
 
-// resultBody returns the body of the response to the client: the text of a JSON string, any other value as it is.
+// resultBody returns the body of the response to the client: the decoded text if the result is a JSON string, and the
+// JSON text otherwise.
 func resultBody(result json.RawMessage) []byte {
 	var text string
 	if json.Unmarshal(result, &text) == nil {
--- a/internal/workerclient/lastbyte.go
+++ b/internal/workerclient/lastbyte.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// A connection that its worker has closed, or closes on a request, usually shows it at once. A request that breaks off
-// before its last byte has not run, so it can be sent elsewhere, even if it is not idempotent. Therefore the last byte
-// is held back for a moment. Since that costs time, it is done only for a while after a worker has closed a connection
-// unexpectedly.
+// If a worker has closed a connection, or closes it when a request arrives, this is usually detected immediately after
+// the request is sent. A request of which the last byte was not sent has not run, so it can be sent on another
+// connection, even if it is not idempotent. Therefore the last byte is held back for a short time. Since this adds
+// latency, it is done only for a period after a worker has closed a connection unexpectedly.
 const (
 	defaultLastByteDelay = 2 * time.Millisecond
-	holdLastBytePeriod   = 10 * time.Second // after a connection was closed unexpectedly
+	holdLastBytePeriod   = 10 * time.Second // counted from the latest unexpected close of a connection
 
-	// maxLastByteLateness is how late the held last byte may leave, since the head has stated how much time is left.
-	// Beyond it, the request is sent anew.
+	// maxLastByteLateness is how late the held last byte may be sent. The head of the request has stated the time left,
+	// which is wrong if the last byte is sent later. Beyond this limit the request is resent on another connection.
 	maxLastByteLateness = 50 * time.Millisecond
 )
 
 // lastByte is the last byte of the request, if it is held back.
 type lastByte struct {
-	held  bool // it has not been sent yet
+	held  bool // the byte has not been sent yet
 	value byte
-	due   time.Duration // when it is to be sent; the time left that the request states counts from here
+	due   time.Duration // when the byte is to be sent, and from when the request's X-Time-Left-Ms is counted
 }
 
 // planLastByte decides whether the last byte of the request is held back, and when it is to be sent.
@@ -30,7 +30,7 @@
 	}
 }
 
-// sendLastByte sends the held last byte of a request, unless the attempt is over or the byte is too late.
+// sendLastByte sends the held last byte of a request, unless the attempt has ended or the byte is too late.
 func (c *connection) sendLastByte() {
 	c.request.lastByte.held = false
 	now := c.client.loop().Now()
--- a/internal/workerclient/lastbyte_test.go
+++ b/internal/workerclient/lastbyte_test.go
@@ -10,13 +10,14 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// A connection that breaks under a request does not cost the request, even if it is not idempotent: its last byte is
-// held back until the connection has shown that it is open. A worker that responds before that byte never gets it.
+// Checks that a request does not fail when its connection is lost while the request is being sent, even if the request
+// is not idempotent: its last byte is held back for a while, so it can be sent on another connection. A worker that
+// responds before the last byte never gets that byte.
 func TestLastByteIsHeldBack(t *testing.T) {
 	rig := testkit.NewRig(t)
 	worker := testkit.Listen(t)
-	client := startSoleWorkerClient(t, rig, worker.Addr(), reuseAtOnce)
-	rig.Do(func() { client.lastByteDelay = 400 * time.Millisecond }) // this end must act within it, however busy the machine is
+	client := startSoleWorkerClient(t, rig, worker.Addr(), noReuseDelay)
+	rig.Do(func() { client.lastByteDelay = 400 * time.Millisecond }) // the test must act within it, even on a busy machine
 	serve := func(conn *testkit.AcceptedConn) {
 		t.Helper()
 		if _, body := conn.ServeRequest(); body != "body" {
@@ -24,13 +25,13 @@
 		}
 	}
 
-	// From an unexpected close on, last bytes are held back.
+	// After an unexpected close, last bytes are held back.
 	first := post(rig, testkit.Renewal, "id000001")
 	conn := worker.Accept()
 	serve(conn)
 	requireOutcome(t, "the first request", first, dispatch.Served)
 	conn.Close()
-	testkit.Until(t, "the unexpected close of a connection is noticed", func() (holding bool) {
+	testkit.Until(t, "the unexpected close of a connection is detected", func() (holding bool) {
 		rig.Do(func() { holding = client.holdLastByteUntil > 0 })
 		return holding
 	})
@@ -39,7 +40,7 @@
 	serve(conn)
 	requireOutcome(t, "the request after the close", afterClose, dispatch.Served)
 
-	// The reused connection is reset at the request's first byte.
+	// The worker resets the reused connection when it has received the first byte of the request.
 	second := post(rig, testkit.Renewal, "id000002")
 	if _, err := conn.Reader.ReadByte(); err != nil {
 		t.Fatal(err)
@@ -60,11 +61,11 @@
 	}
 }
 
-const timeLeftAtSend = 3 * time.Second // that the requests of the next two tests state
+const timeLeftAtSend = 3 * time.Second // the time left that the requests of the next two tests state
 
-// A last byte that was held back for longer than planned is not sent, since the time left that the request states would
-// not hold any more. The request is sent anew, with what is left then.
-func TestTimeLeftHoldsAtLateLastByte(t *testing.T) {
+// Checks that a last byte that was held back for longer than planned is not sent, since the request states more time
+// than is left by then. The request is resent on another connection, with the time that is left then.
+func TestLateLastByteIsReplacedByNewRequest(t *testing.T) {
 	const heldFor = time.Second
 	stack, responses, startedAt := holdLastByteFor(t, heldFor)
 	retryConn := stack.workers[0].Accept()
@@ -73,20 +74,20 @@
 	remaining := timeLeftAtSend - time.Since(startedAt)
 	stated := time.Duration(statedMs) * time.Millisecond
 	if err != nil || stated > timeLeftAtSend-heldFor || remaining < 0 {
-		t.Errorf("X-Time-Left-Ms is %d where less than %v was left, %v", statedMs, timeLeftAtSend-heldFor, err)
+		t.Errorf("X-Time-Left-Ms is %d when less than %v was left, %v", statedMs, timeLeftAtSend-heldFor, err)
 	}
 	retryConn.WriteDone("id000001")
-	checkOutcome(t, "sent anew", responses, dispatch.Served)
+	checkOutcome(t, "resent on another connection", responses, dispatch.Served)
 }
 
-// A request whose last byte was held back until its deadline ends without being sent.
+// Checks that a request whose last byte was held back until its deadline ends without being sent completely.
 func TestLastByteIsNotSentAfterDeadline(t *testing.T) {
 	_, responses, _ := holdLastByteFor(t, timeLeftAtSend)
 	checkNotServed(t, "after its deadline", responses)
 }
 
-// holdLastByteFor sends a request whose last byte is due after 100 ms, blocks the event loop until a time after the
-// start, and checks that the last byte does not come on that connection.
+// holdLastByteFor sends a request whose last byte is due after 100 ms, blocks the event loop until heldFor after the
+// start, and checks that the last byte does not arrive on that connection.
 func holdLastByteFor(t *testing.T, heldFor time.Duration) (stack *testStack, responses testkit.Responses, startedAt time.Time) {
 	t.Helper()
 	stack = newStack(t, 1, withRetries)
--- a/internal/workerclient/overtakenrepeat_test.go
+++ b/internal/workerclient/overtakenattempt_test.go
@@ -8,11 +8,12 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// Guards against a deduplicated request that runs twice: a first attempt which was held up had no time by which it must
-// leave, though a later one had left before it and workers had forgotten that one.
-func TestAttemptThatWasOvertakenLeavesWithinTheWindowOfTheOther(t *testing.T) {
+// Guards against a deduplicated request that runs twice. The first attempt was delayed and a later attempt was sent before
+// it. The first attempt had no time limit for being sent, so it could be sent after the dedup window of the later one,
+// when workers no longer recognized it as a duplicate.
+func TestOvertakenAttemptIsNotSentAfterDedupWindow(t *testing.T) {
 	const window = 600 * time.Millisecond
-	const heldUp = 2 * time.Second
+	const lastByteDelay = 2 * time.Second
 	rig := testkit.NewRig(t, withDeduplicatedClass(window, 100*time.Millisecond), func(settings *decision.Settings) {
 		settings.Hedging = true
 	})
@@ -24,17 +25,17 @@
 			listedWorker{Name: "other", Address: worker.Addr(), Health: "ready"},
 		)
 	})
-	holdLastBytes(rig, client, heldUp)
-	responses := post(rig, transfer, "id000001")
+	holdLastBytes(rig, client, lastByteDelay)
+	responses := post(rig, transferClass, "id000001")
 	first := worker.Accept()
 	first.AwaitFirstByte()
 	rig.Do(func() { client.holdLastByteUntil = 0 })
 	hedge := worker.Accept()
 	hedge.ParseRequest()
-	hedge.Write(runMayHaveHappened)
+	hedge.Write(internalErrorResponse)
 	text, err := first.ReadRest()
 	if err != nil || len(text) == 0 || text[len(text)-len("body"):] == "body" {
 		t.Errorf("the first attempt is %q, %v; want all but the last byte", text, err)
 	}
-	checkNotServed(t, "forgotten by its worker", responses)
+	checkNotServed(t, "after the dedup window", responses)
 }
--- a/internal/workerclient/pool.go
+++ b/internal/workerclient/pool.go
@@ -9,33 +9,34 @@
 )
 
 const (
-	// fleetIdleConnections is how many idle connections a worker holds for all dispatchers together.
-	fleetIdleConnections = 96
+	// maxWorkerIdleConnections is how many idle connections all dispatchers together keep open to one worker.
+	maxWorkerIdleConnections = 96
 
-	// idleMargin is how long before the worker's own idle timeout a connection is closed.
+	// idleMargin is how long before the worker's own idle timeout an idle connection is closed.
 	idleMargin = time.Second
 
-	// defaultReuseDelay is how long a connection must have been idle before a request is sent on it that must not run
-	// twice. A second response to the request before may come some milliseconds late, and where it says that nothing
-	// ran it does not name its request.
+	// defaultReuseDelay is how long a connection must have been idle before a request that is unsafe to retry is sent on
+	// it. A second response to the previous request may arrive some milliseconds late. If that response states that
+	// nothing ran, it does not name its request, and would be taken for the response to the new one.
 	defaultReuseDelay = 20 * time.Millisecond
 )
 
 // maxIdlePerWorker returns how many idle connections this dispatcher may keep to a worker.
 func (c *Client) maxIdlePerWorker() int {
-	return max(fleetIdleConnections/max(c.dispatcher.Settings.Peers, 1), 1)
+	return max(maxWorkerIdleConnections/max(c.dispatcher.Settings.Peers, 1), 1)
 }
 
-// idleTimes are the times of a connection's latest idle period.
+// idleTimes are the start and the end of a connection's latest idle period.
 type idleTimes struct {
 	since time.Duration
-	until time.Duration // when the connection is closed for being idle; 0: never
+	until time.Duration // when the idle connection is closed; 0 if there is no idle timeout
 }
 
-// expired reports whether the connection may not be used any more at the time now.
+// expired reports whether the idle timeout is over at the time now, so that the connection must not be reused.
 func (t idleTimes) expired(now time.Duration) bool { return t.until > 0 && now >= t.until }
 
-// acquire returns an idle connection to a worker, or else a new one, which is still being dialed.
+// acquire returns an idle connection to a worker or, if there is none, a new one that is still being dialed. retryUnsafe
+// states that the connection is for a request that is unsafe to retry.
 func (c *Client) acquire(worker *discovery.Worker, retryUnsafe bool) *connection {
 	conn := c.takeIdle(worker, retryUnsafe)
 	if conn == nil {
@@ -44,9 +45,9 @@
 	return conn
 }
 
-// takeIdle removes the connection used last from the idle ones and returns it, or nil if there is none. For a request
-// that is unsafe to retry, it passes over connections used less than the reuse delay ago. Connections that the worker
-// may have closed, or has sent something on, are closed.
+// takeIdle removes the most recently used connection to a worker from the idle ones and returns it, or nil if there is
+// none. For a request that is unsafe to retry, it skips connections used less than the reuse delay ago. It closes
+// connections that the worker may have closed, or on which it has sent data.
 func (c *Client) takeIdle(worker *discovery.Worker, retryUnsafe bool) *connection {
 	idleConnections := c.idle[worker]
 	for i := len(idleConnections) - 1; i >= 0; i-- {
@@ -81,7 +82,7 @@
 	delete(c.idle, worker)
 }
 
-// release makes the connection idle, so that the next attempt can use it, or closes it if none may.
+// release makes the connection idle, so that another attempt can use it, or closes it if it must not be reused.
 func (c *connection) release() {
 	c.endExchange()
 	if c.conn.Handle == 0 {
--- a/internal/workerclient/pool_test.go
+++ b/internal/workerclient/pool_test.go
@@ -13,13 +13,13 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// A worker holds a limited number of idle connections for all dispatchers together: the more dispatchers there are, the
-// fewer each keeps.
+// Checks that the limit of idle connections to a worker is divided among all dispatchers: the more dispatchers there
+// are, the fewer idle connections each of them keeps.
 func TestIdleConnectionsScaleWithDispatchers(t *testing.T) {
-	const opened = 5 // connections, one for each of as many health checks
+	const opened = 5 // number of health checks, for each of which a connection is opened
 	for _, test := range []struct{ peers, maxIdle int }{
-		{peers: fleetIdleConnections / 3, maxIdle: 3},
-		{peers: 48 * fleetIdleConnections, maxIdle: 1},
+		{peers: maxWorkerIdleConnections / 3, maxIdle: 3},
+		{peers: 48 * maxWorkerIdleConnections, maxIdle: 1},
 	} {
 		rig := testkit.NewRig(t)
 		worker := testkit.NewScriptedWorker(t)
@@ -52,9 +52,9 @@
 	}
 }
 
-// What comes on an idle connection is no response to the next request, and its close does not end the next attempt,
-// also where the loop handles both at once.
-func TestIdleConnectionIsNotTakenForAResponse(t *testing.T) {
+// Checks that bytes that arrive on an idle connection are not taken for the response to the next request, and that its
+// close does not end the next attempt, even if the loop handles the event and the request in the same turn.
+func TestInputOnIdleConnectionIsNotAResponse(t *testing.T) {
 	writes := func(text string) func(*testing.T, *testkit.Rig, *testkit.AcceptedConn) {
 		return func(t *testing.T, rig *testkit.Rig, conn *testkit.AcceptedConn) { rig.Write(t, conn.Conn, text) }
 	}
@@ -69,7 +69,7 @@
 			t.Run(fmt.Sprintf("%s, the loop knows: %v", name, !requestFirst), func(t *testing.T) {
 				rig := testkit.NewRig(t)
 				worker := testkit.Listen(t)
-				startSoleWorkerClient(t, rig, worker.Addr(), reuseAtOnce)
+				startSoleWorkerClient(t, rig, worker.Addr(), noReuseDelay)
 				first := post(rig, testkit.Renewal, "id000001")
 				conn := worker.Accept()
 				conn.ServeRequest()
@@ -92,9 +92,9 @@
 	}
 }
 
-// A second response that comes late does not name its request where it says that nothing ran. A request that must not
-// run twice is therefore sent on a connection that has been idle for the reuse delay, or on a new one. Others may use
-// the connection at once.
+// Checks that a request that is unsafe to retry is sent only on a connection that has been idle for the reuse delay, or
+// on a new one. A late second response to the previous request does not name its request if it states that nothing ran,
+// so it could be taken for the response to the new one. Idempotent requests may use the connection immediately.
 func TestUnsafeRequestWaitsForReuseDelay(t *testing.T) {
 	rig := testkit.NewRig(t, func(settings *decision.Settings) {
 		settings.Classes = append(settings.Classes, decision.Class{
@@ -112,33 +112,34 @@
 	conn := worker.Accept()
 	conn.ServeRequest()
 	requireOutcome(t, "the first request", first, dispatch.Served)
-	for class, id := range map[int]string{testkit.Renewal: "id000002", transfer: "id000003"} {
+	for class, id := range map[int]string{testkit.Renewal: "id000002", transferClass: "id000003"} {
 		unsafe := post(rig, class, id)
 		otherConn := worker.Accept()
 		otherConn.ServeRequest()
 		checkOutcome(t, id, unsafe, dispatch.Served)
 		otherConn.Close()
 	}
-	testkit.Until(t, "the others' closes are noticed", func() bool { return idleConnections(rig, client, soleWorker) == 1 })
+	testkit.Until(t, "the others' closes are detected", func() bool { return idleConnections(rig, client, soleWorker) == 1 })
 
 	safe := post(rig, testkit.StatusCheck, "id000004")
 	conn.ServeRequest()
 	checkOutcome(t, "an idempotent request", safe, dispatch.Served)
-	rig.Do(func() { client.reuseDelay = reuseAtOnce })
+	rig.Do(func() { client.reuseDelay = noReuseDelay })
 	later := post(rig, testkit.Renewal, "id000005")
 	conn.ServeRequest()
 	checkOutcome(t, "on a connection that has been idle for longer", later, dispatch.Served)
 }
 
-// A connection is not reused after its idle timeout, even if a late event loop has not closed it yet.
+// Checks that a connection is not reused after its idle timeout, even if the event loop was delayed and has not closed it
+// yet.
 func TestExpiredIdleConnectionIsNotReused(t *testing.T) {
 	rig := testkit.NewRig(t, func(settings *decision.Settings) { settings.ConnectionIdleTimeout = 200 * time.Millisecond })
 	worker := testkit.Listen(t)
-	client := startSoleWorkerClient(t, rig, worker.Addr(), reuseAtOnce)
+	client := startSoleWorkerClient(t, rig, worker.Addr(), noReuseDelay)
 	first := make(testkit.Responses, 1)
 	second := make(testkit.Responses, 1)
 	loopBlocked := make(chan struct{})
-	acceptSecondLate := func() { // the first request's connection is idle by now, and its time passes in this turn of the loop
+	acceptSecondLate := func() { // the connection is idle by now, and its idle timeout ends during this turn of the loop
 		idleUntil := client.idle[client.registry.Worker(soleWorker)][0].idle.until
 		close(loopBlocked)
 		for rig.Dispatcher.Loop.Now() <= idleUntil {
--- a/internal/workerclient/request.go
+++ b/internal/workerclient/request.go
@@ -9,28 +9,28 @@
 	"hollyyoke.example/hollyyoke/internal/dispatch"
 )
 
-// requestKind is what a connection sends to its worker.
+// requestKind is the kind of request that a connection sends to its worker.
 type requestKind uint8
 
 const (
-	noHealthCheck requestKind = iota // the request of an attempt, or nothing
-	healthCheck                      // a health check that the dispatcher asked for
-	confirmation                     // a health check that precedes the attempt's request, which is sent once it has succeeded
+	attemptRequest requestKind = iota // the request of an attempt; also the value while there is no request
+	healthCheck                       // a health check that the dispatcher asked for
+	confirmation                      // a health check that must succeed before the attempt's request is sent
 )
 
-// outgoingRequest is the request that a connection sends, or has sent last.
+// outgoingRequest is the request that a connection is sending or has sent last.
 type outgoingRequest struct {
 	kind     requestKind
-	sentAt   time.Duration // of a confirmation
-	end      int64         // write offset behind its last byte
+	sentAt   time.Duration // when the latest confirmation was sent
+	end      int64         // write offset of the connection after the request's last byte
 	lastByte lastByte
 }
 
-// isHealthCheck reports whether the request is a health check, of whichever kind.
-func (r *outgoingRequest) isHealthCheck() bool { return r.kind != noHealthCheck }
+// isHealthCheck reports whether the request is a health check of either kind.
+func (r *outgoingRequest) isHealthCheck() bool { return r.kind != attemptRequest }
 
-// send sends the request of the connection's attempt, or its health check. Where the worker must first show that it
-// serves, it sends a health check before the attempt's request.
+// send sends the request of the connection's attempt, or its health check. If the registry requires a health check of
+// the worker before a request, it sends that first.
 func (c *connection) send() {
 	now := c.client.loop().Now()
 	if c.hasAttempt() && !c.permitSend(now) {
@@ -44,13 +44,13 @@
 	c.write(now)
 }
 
-// write writes the health check or the attempt's request, of which the last byte may be held back.
+// write writes the health check or the attempt's request. The last byte of the latter may be held back.
 func (c *connection) write(now time.Duration) {
 	loop := c.client.loop()
 	c.planLastByte(now)
 	var out []byte
 	if c.request.isHealthCheck() {
-		loop.Set(&c.timer, now+c.healthCheckTimeout()) // here, so that it holds on a new connection too
+		loop.Set(&c.timer, now+c.healthCheckTimeout()) // set here, since a new connection's health check is sent from here too
 		out = c.appendHealthCheck(c.client.out[:0])
 	} else {
 		out = c.appendRequest(c.client.out[:0])
@@ -72,8 +72,8 @@
 	c.reportSent()
 }
 
-// writeToSocket hands a request to the socket, but for a last byte that is held back. It returns false if the
-// connection is broken.
+// writeToSocket hands a request to the socket, without the last byte if that is held back. It returns false if the
+// connection has failed.
 func (c *connection) writeToSocket(out []byte) bool {
 	if !c.request.lastByte.held {
 		written := c.conn.Write(out)
@@ -87,7 +87,7 @@
 	return written
 }
 
-// traceWrite traces that a request is written.
+// traceWrite writes a trace step that a request of size bytes is written.
 func (c *connection) traceWrite(now time.Duration, size int) {
 	dispatcher := c.client.dispatcher
 	if dispatcher.Trace == nil {
@@ -119,8 +119,8 @@
 	return append(out, request.Body...)
 }
 
-// appendTarget appends a request's target: the one that its client gave or, where the client's protocol has none, one
-// made of the class and the key.
+// appendTarget appends a request's target: the client's target or, if the client's protocol has no targets, a path of
+// the class and the key.
 func appendTarget(out []byte, request *dispatch.Request, class string) []byte {
 	if request.Target != "" {
 		return append(out, request.Target...)
@@ -134,7 +134,7 @@
 	return appendPathEscaped(out, request.Key)
 }
 
-// appendPathEscaped appends a path segment, percent-encoded where a path needs it.
+// appendPathEscaped appends a path segment, with the bytes percent-encoded that cannot stand in a path segment.
 func appendPathEscaped(out []byte, segment string) []byte {
 	const hexDigits = "0123456789ABCDEF"
 	for i := range len(segment) {
@@ -149,8 +149,8 @@
 	return out
 }
 
-// setRetryDeadline sets the timer by which a retry must have left entirely, if the socket has not taken all of it: the
-// rest would leave whenever the worker makes room.
+// setRetryDeadline sets the timer to the time by which a retry must have been sent completely, if the socket has not
+// taken all of it. Without the timer, the rest would be sent whenever the worker's receive buffer has room.
 func (c *connection) setRetryDeadline() {
 	if c.hasAttempt() && c.attempt.RetryBy > 0 && !c.requestFlushed() {
 		c.client.loop().Set(&c.timer, c.attempt.RetryBy)
@@ -160,13 +160,13 @@
 // requestFlushed reports whether the socket has taken all of the latest request.
 func (c *connection) requestFlushed() bool { return c.conn.Flushed(c.request.end) }
 
-// reportSent reports that the last byte of the attempt's request has left, if it has.
+// reportSent reports to the dispatcher that the attempt's request has been sent completely, if it has.
 func (c *connection) reportSent() {
 	if !c.hasAttempt() || c.request.kind == confirmation || c.request.lastByte.held {
 		return
 	}
-	onTheWay := c.state == stateAwaitingHead || c.state == stateReadingBody
-	if onTheWay && c.requestFlushed() {
+	requestWritten := c.state == stateAwaitingHead || c.state == stateReadingBody
+	if requestWritten && c.requestFlushed() {
 		c.client.dispatcher.AttemptSent(c.handle)
 	}
 }
--- a/internal/workerclient/response.go
+++ b/internal/workerclient/response.go
@@ -10,15 +10,15 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-// responseEndTimeout is how long the rest of a response may take once the attempt's outcome is known.
+// responseEndTimeout is how long the rest of a response may take to arrive once the attempt's result was reported.
 const responseEndTimeout = time.Second
 
-// response is the response to the request on a connection.
+// response is the state of the response to the request on a connection.
 type response struct {
 	parser   responseParser
-	line     lineBuffer     // of a body's line, or the body of a health check's response
-	complete bool           // all of it has been parsed
-	result   *attemptResult // not reported until the received bytes have been parsed
+	line     lineBuffer     // an incomplete line of the body, or the body of the response to a health check
+	complete bool           // the whole response has been parsed
+	result   *attemptResult // stated by the response and not reported yet; reported after all received bytes are parsed
 }
 
 // freeBuffers returns the buffers to their pool.
@@ -29,7 +29,7 @@
 
 // OnData handles bytes that the worker has sent. It implements transport.Handler.
 func (c *connection) OnData(_ *transport.Conn, b *transport.Buffer) {
-	if c.state == stateIdle { // no request was sent, so this is no response
+	if c.state == stateIdle { // no request is pending, so these bytes are not a response
 		c.client.engine.Pool.Put(b)
 		c.removeIdle()
 		c.close()
@@ -48,22 +48,22 @@
 	c.reportResult()
 }
 
-// responseCompleted ends the exchange once all of the response has been parsed.
+// responseCompleted is called once the whole response has been parsed. It releases the connection and reports the result.
 func (c *connection) responseCompleted() {
 	c.client.loop().Clear(&c.timer)
-	bytesBehind := len(c.response.parser.unparsed()) > 0
-	c.closeAfterResponse = c.closeAfterResponse || bytesBehind
+	hasTrailingBytes := len(c.response.parser.unparsed()) > 0
+	c.closeAfterResponse = c.closeAfterResponse || hasTrailingBytes
 	if c.request.kind == confirmation {
 		c.confirmationAnswered()
 		return
 	}
-	lastByteUnwanted := c.request.lastByte.held // the worker must not get the rest of the request any more
-	c.closeAfterResponse = c.closeAfterResponse || lastByteUnwanted
-	c.release() // before the report: an attempt that it starts can use the connection
+	lastByteUnsent := c.request.lastByte.held // it must not be sent any more, so the connection cannot be reused
+	c.closeAfterResponse = c.closeAfterResponse || lastByteUnsent
+	c.release() // before the report, so that an attempt that the report starts can use the connection
 	c.reportResult()
 }
 
-// parseInput parses as much of the input as it can.
+// parseInput parses and handles the received bytes as far as possible.
 func (c *connection) parseInput() error {
 	for !c.response.complete && len(c.response.parser.unparsed()) > 0 {
 		progress, err := c.parseNext()
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// parseNext parses and handles the next piece of the response. It returns false if more bytes are needed for that.
+// parseNext parses and handles the next part of the response. It returns false if more bytes are needed.
 func (c *connection) parseNext() (progress bool, err error) {
 	if c.state == stateAwaitingHead {
 		var head httpwire.Head
@@ -95,14 +95,14 @@
 	return true, err
 }
 
-// reportResult reports the attempt's result, if the response has stated it.
+// reportResult reports the attempt's result if the response has stated one that was not reported yet.
 func (c *connection) reportResult() {
 	result := c.response.result
 	c.response.result = nil
 	if result == nil {
 		return
 	}
-	if c.request.lastByte.held { // an attempt that is reported as ended must not begin
+	if c.request.lastByte.held { // the attempt is reported as ended, so its request must not be completed
 		c.close()
 	}
 	if c.state != stateIdle && c.conn.Handle != 0 {
@@ -112,24 +112,24 @@
 	c.complete(*result)
 }
 
-// failMalformed closes a connection whose bytes are no valid response. The attempt may have run.
+// failMalformed closes a connection on which the worker has sent no valid response. The attempt may have run.
 func (c *connection) failMalformed() {
 	c.close()
 	c.reportResult()
 	c.fail(decision.ConnectionLost)
 }
 
-// endExchange makes the connection ready for the next request, if it is still open.
+// endExchange resets the state of the request and its response, so that the connection is ready for another request.
 func (c *connection) endExchange() {
 	c.state = stateIdle
-	c.request.kind = noHealthCheck
+	c.request.kind = attemptRequest
 	c.request.lastByte.held = false
 	c.response.complete = false
 	c.response.parser.status = 0
 	c.response.freeBuffers()
 }
 
-// handleHead handles the head of a response. Each status but 200 states the attempt's result by itself.
+// handleHead handles the head of a response. Any status other than 200 determines the attempt's result without the body.
 func (c *connection) handleHead(head *httpwire.Head) error {
 	parser := &c.response.parser
 	c.closeAfterResponse = parser.endsWithConnection() || head.HasToken("Connection", "close")
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// outcomeOfStatus returns the outcome that a response other than 200 states.
+// outcomeOfStatus returns the outcome of an attempt whose response has a status other than 200.
 func outcomeOfStatus(status int, head *httpwire.Head) decision.AttemptOutcome {
 	unprocessed := bytes.Equal(head.Get("X-Unprocessed"), []byte("1"))
 	unavailable := status == httpwire.StatusServiceUnavailable || status == httpwire.StatusGatewayTimeout
@@ -152,12 +152,12 @@
 		return decision.Saturated
 	case status >= httpwire.StatusBadRequest && status < httpwire.StatusInternalServerError:
 		return decision.InvalidRequest
-	default: // 500, and what the protocol does not define: the attempt may have run
+	default: // 500 and responses that the protocol does not define, after which the attempt may have run
 		return decision.Failed
 	}
 }
 
-// loadOfHead returns the load report in a response's head, if any.
+// loadOfHead returns the load report in the head of a response, or an empty one if there is none.
 func (c *connection) loadOfHead(head *httpwire.Head) decision.LoadReport {
 	report := head.Get("X-Backend-Load")
 	if report == nil {
@@ -166,8 +166,8 @@
 	return settings.ReadLoadReport(&c.client.dispatcher.Settings, report)
 }
 
-// handleBody handles a piece of the body. That of a health check's response is its load report; each line in that of a
-// 200 is a job update; any other is ignored.
+// handleBody handles a part of the body. The body of a response to a health check is a load report. Each line of the
+// body of a 200 response to an attempt is a job update. All other bodies are ignored.
 func (c *connection) handleBody(data []byte) error {
 	if c.request.isHealthCheck() {
 		return c.response.line.add(data)
@@ -189,7 +189,7 @@
 	return nil
 }
 
-// handleLine handles the end of a line, whose beginning may be buffered.
+// handleLine handles a line of which end is the last part. The parts before it, if any, are buffered.
 func (c *connection) handleLine(end []byte) error {
 	line := end
 	if !c.response.line.empty() {
@@ -204,7 +204,8 @@
 	return err
 }
 
-// finishResponse is called at the end of the response. An attempt whose result it has not stated counts as lost.
+// finishResponse is called at the end of the response. If the response has not stated a result for the attempt, the
+// connection counts as lost.
 func (c *connection) finishResponse() error {
 	if c.request.isHealthCheck() {
 		c.finishHealthCheck()
--- a/internal/workerclient/responseparser.go
+++ b/internal/workerclient/responseparser.go
@@ -5,31 +5,31 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-// firstFinalStatus is the lowest status code of a final response; those below it are interim ones.
+// firstFinalStatus is the lowest status code of a final response. Lower codes are those of interim responses.
 const firstFinalStatus = 200
 
-// responseParser parses the response to one request from the bytes that have come of it: its head, then the pieces of
-// its body. It knows nothing of the request. What it returns lies in its buffer, and holds until the next call of
-// dropParsed or free.
+// responseParser parses the response to one request from the bytes received so far: first the head, then the parts of
+// the body. It does not depend on the request. Slices that it returns refer to its buffer, and are valid until the next
+// call of dropParsed or free.
 type responseParser struct {
 	pool   *transport.Pool
-	input  *transport.Buffer // bytes that have not been dropped yet; nil: none
-	parsed int               // bytes of input that have been parsed
+	input  *transport.Buffer // received bytes that have not been dropped yet; nil if there are none
+	parsed int               // number of bytes at the start of input that have been parsed
 
-	headScanned int // bytes of input that hold no end of a head
-	status      int // of the final response; 0: its head has not come
+	headScanned int // number of unparsed bytes that are known not to contain the end of a head
+	status      int // of the final response; 0 until its head has been parsed
 	chunked     bool
 	chunks      httpwire.ChunkReader
-	bodyLeft    int // bytes of a body of known length; -1: it ends with the connection
+	bodyLeft    int // bytes left of a body that is not chunked; -1 if the body ends with the connection
 }
 
-// bodyPiece is a piece of a body, without its framing.
+// bodyPiece is a part of a body, without its framing.
 type bodyPiece struct {
 	data []byte
-	last bool // the response ends with it
+	last bool // the response ends after this part
 }
 
-// add adds bytes that have been received and takes over their buffer. It returns false if they do not fit.
+// add adds received bytes and takes ownership of their buffer. It returns false if they do not fit.
 func (p *responseParser) add(received *transport.Buffer) bool {
 	return p.pool.Collect(&p.input, received)
 }
@@ -42,8 +42,8 @@
 	return p.input.Bytes()[p.parsed:]
 }
 
-// parseHead parses the head of the final response into head, and skips those of interim ones. It returns false if more
-// bytes are needed for that.
+// parseHead parses the head of the final response into head, and skips interim responses. It returns false if more bytes
+// are needed.
 func (p *responseParser) parseHead(head *httpwire.Head) (complete bool, err error) {
 	for len(p.unparsed()) > 0 {
 		headComplete, err := httpwire.ParseHead(p.unparsed(), head, &p.headScanned)
@@ -63,7 +63,7 @@
 	return false, nil
 }
 
-// startBody prepares for the body that follows a head.
+// startBody prepares the parser for the body that follows a head.
 func (p *responseParser) startBody(status int, head *httpwire.Head) error {
 	length, chunked, err := head.Framing()
 	if err != nil {
@@ -76,14 +76,14 @@
 	return nil
 }
 
-// bodyEmpty reports whether the head says that the response has no body.
+// bodyEmpty reports whether no bytes of the body are to come, as after a head that states a length of 0.
 func (p *responseParser) bodyEmpty() bool { return !p.chunked && p.bodyLeft == 0 }
 
-// endsWithConnection reports whether only the end of the connection ends the body.
+// endsWithConnection reports whether the body ends only when the connection ends.
 func (p *responseParser) endsWithConnection() bool { return !p.chunked && p.bodyLeft < 0 }
 
-// parseBody parses the next piece of the body. It returns false if more bytes are needed for that. It must not be
-// called after the last piece.
+// parseBody parses the next part of the body. It returns false if more bytes are needed. It must not be called after the
+// last part.
 func (p *responseParser) parseBody() (piece bodyPiece, progress bool, err error) {
 	if p.chunked {
 		return p.parseChunk()
@@ -107,7 +107,8 @@
 	return bodyPiece{data: data, last: p.chunks.Done()}, used > 0, nil
 }
 
-// dropParsed drops what has been parsed, once for all pieces: each removal moves all bytes behind it.
+// dropParsed drops the parsed bytes. It is called once for all parts of a response that were parsed, because each call
+// moves all bytes that follow.
 func (p *responseParser) dropParsed() {
 	parsed := p.parsed
 	p.parsed = 0
@@ -116,7 +117,7 @@
 	}
 }
 
-// free returns the buffer to its pool. The status and the framing of the response stay known.
+// free returns the buffer to its pool. The status and the framing of the response are kept.
 func (p *responseParser) free() {
 	p.pool.Put(p.input)
 	p.input = nil
--- a/internal/workerclient/responseparser_test.go
+++ b/internal/workerclient/responseparser_test.go
@@ -9,7 +9,7 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-// parsedResponse is what a responseParser made of some bytes.
+// parsedResponse is the result of parsing some bytes with a responseParser.
 type parsedResponse struct {
 	status   int
 	body     string
@@ -17,7 +17,7 @@
 	failed   bool
 }
 
-// parseInPieces gives a text to a parser in pieces of a size, and parses as far as it can after each.
+// parseInPieces passes a text to a parser in pieces of size bytes, and parses as much as possible after each.
 func parseInPieces(text string, size int) parsedResponse {
 	parser := responseParser{pool: new(transport.Pool)}
 	defer parser.free()
@@ -37,7 +37,7 @@
 	return got
 }
 
-// parseRest parses as much of the parser's input as it can.
+// parseRest parses as much of the parser's input as possible, and adds it to the result.
 func (r *parsedResponse) parseRest(parser *responseParser) {
 	if parser.status == 0 {
 		var head httpwire.Head
@@ -60,7 +60,7 @@
 	}
 }
 
-// A response is parsed alike however its bytes are split, and what follows it is left alone.
+// Checks that a response is parsed in the same way wherever its bytes are split, and that bytes after it are not parsed.
 func TestResponseParser(t *testing.T) {
 	const chunked = testkit.WatchHead
 	tests := map[string]struct {
--- a/internal/workerclient/retrytimer_test.go
+++ b/internal/workerclient/retrytimer_test.go
@@ -8,41 +8,41 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// A retry whose bytes the socket could not take at once has a timer by which it must have left entirely. When all of it
-// had left and its worker had begun to respond, the timer closed the connection, and no outcome was reported: the
-// request hung until its deadline, and failed. The cause: the timer was read as one of a connection that is idle as soon
-// as the head had come. The request was answered 7.99 s after its first attempt, at its deadline of 8 s.
+// Guards against a retry that hangs until its deadline. A retry that the socket cannot take at once has a timer by which
+// it must have been sent completely. Once the head of the response had arrived, the expired timer was handled like that
+// of an idle connection, although the retry had been sent in time: the connection was closed, and no outcome was
+// reported. The request failed 7.99 s after its first attempt, at its deadline of 8 s.
 func TestRetryThatRunsBeyondItsWindowIsServed(t *testing.T) {
 	const window = time.Second
 	rig := testkit.NewRig(t, withDeduplicatedClass(window, 100*time.Millisecond))
 	worker := testkit.ListenWithSmallBuffers(t)
-	startSoleWorkerClient(t, rig, worker.Addr(), time.Hour) // each attempt has a connection of its own
-	responses := rig.Accept(newLargeRequest(rig, transfer))
+	startSoleWorkerClient(t, rig, worker.Addr(), time.Hour) // so that each attempt has its own connection
+	responses := rig.Accept(newLargeRequest(rig, transferClass))
 	conn := worker.Accept()
 	conn.ParseRequest()
-	firstReceivedAt := rig.Dispatcher.Loop.Now() // it was assigned before
-	conn.Write(runMayHaveHappened)
+	firstReceivedAt := rig.Dispatcher.Loop.Now() // the first attempt was assigned before this time
+	conn.Write(internalErrorResponse)
 	retryConn := worker.Accept()
 	retryConn.ParseRequest()
 	retryConn.Write(testkit.WatchHead + testkit.Chunk(`{"id":"id000001","state":"started"}`+"\n"))
 	testkit.Until(t, "the window is over", func() bool { return rig.Dispatcher.Loop.Now() > firstReceivedAt+window })
 	retryConn.Write(testkit.Chunk(`{"id":"id000001","state":"done","result":"made"}`+"\n") + "0\r\n\r\n")
-	checkOutcome(t, "a retry that left in time and ran on", responses, dispatch.Served)
+	checkOutcome(t, "a retry that was sent in time and ran beyond the window", responses, dispatch.Served)
 }
 
-// A worker that begins to respond before all of the retry has left does not let the rest leave after the window, and
-// the attempt has an outcome at once: the request does not hang until its deadline.
-func TestRetryAnsweredBeforeItHasLeftEndsWithItsWindow(t *testing.T) {
+// Checks a retry whose worker begins to respond before the retry has been sent completely. The rest must not be sent
+// after the dedup window, and the attempt must end when the window ends: the request must not hang until its deadline.
+func TestPartlySentRetryEndsWithDedupWindow(t *testing.T) {
 	const window = time.Second
 	rig := testkit.NewRig(t, withDeduplicatedClass(window, 100*time.Millisecond))
 	worker := testkit.ListenWithSmallBuffers(t)
 	worker.ReadAhead = 16 // the rest of the request stays in the socket
 	startSoleWorkerClient(t, rig, worker.Addr(), time.Hour)
-	responses := rig.Accept(newLargeRequest(rig, transfer))
+	responses := rig.Accept(newLargeRequest(rig, transferClass))
 	conn := worker.Accept()
 	conn.ParseRequest()
-	firstReceivedAt := rig.Dispatcher.Loop.Now() // it was assigned before
-	conn.Write(runMayHaveHappened)
+	firstReceivedAt := rig.Dispatcher.Loop.Now() // the first attempt was assigned before this time
+	conn.Write(internalErrorResponse)
 	retryConn := worker.Accept()
 	retryConn.AwaitFirstByte()
 	retryConn.Write(testkit.WatchHead)
--- a/internal/workerclient/sendguard_test.go
+++ b/internal/workerclient/sendguard_test.go
@@ -11,7 +11,8 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// largeBody is the size of a body that a socket of testkit.ListenWithSmallBuffers does not take entirely.
+// largeBody is the size of a body that does not fit into the socket buffers of a testkit.ListenWithSmallBuffers
+// connection.
 const largeBody = 64 << 10
 
 // newLargeRequest returns a request of a class with a large body.
@@ -21,41 +22,42 @@
 	return request
 }
 
-// sentEntirely reports whether the text that a worker got holds all of a request with a large body.
+// sentEntirely reports whether the text that a worker has received contains a complete request with a large body.
 func sentEntirely(text string) bool {
 	_, body, _ := strings.Cut(text, "\r\n\r\n")
 	return len(body) >= largeBody
 }
 
-// runMayHaveHappened is a response after which a deduplicated request is retried within its window.
-const runMayHaveHappened = "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"
+// internalErrorResponse is a response after which the request may have run. A deduplicated request is then retried, but
+// only within its dedup window.
+const internalErrorResponse = "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"
 
-// A retry within the dedup window is sent.
+// Checks that a retry within the dedup window is sent.
 func TestRetryWithinDedupWindowIsSent(t *testing.T) {
 	rig := testkit.NewRig(t, withDeduplicatedClass(4*time.Second, 2*time.Second))
 	worker := testkit.Listen(t)
-	startSoleWorkerClient(t, rig, worker.Addr(), time.Hour) // each attempt has a connection of its own
-	responses := post(rig, transfer, "id000001")
+	startSoleWorkerClient(t, rig, worker.Addr(), time.Hour) // so that each attempt has its own connection
+	responses := post(rig, transferClass, "id000001")
 	conn := worker.Accept()
 	conn.ParseRequest()
-	conn.Write(runMayHaveHappened)
+	conn.Write(internalErrorResponse)
 	worker.Accept().ServeRequest()
 	checkOutcome(t, "retried in time", responses, dispatch.Served)
 }
 
-// The dedup window ends while the connection for a retry is being opened: the retry is not sent.
+// Checks that a retry is not sent if the dedup window ends while the connection for it is being opened.
 func TestDedupWindowEndsBeforeRetryIsSent(t *testing.T) {
 	const window = 2 * time.Second
-	const connectTimeout = 3900 * time.Millisecond // the connect may take longer than the window
+	const connectTimeout = 3900 * time.Millisecond // longer than the window, so that the connect does not time out before
 	rig := testkit.NewRig(t, withDeduplicatedClass(window, connectTimeout))
 	worker := testkit.Listen(t)
-	client := startSoleWorkerClient(t, rig, worker.Addr(), time.Hour) // each attempt has a connection of its own
+	client := startSoleWorkerClient(t, rig, worker.Addr(), time.Hour) // so that each attempt has its own connection
 	rig.Do(func() {
 		rig.Dispatcher.Trace = func(_, step string, more ...any) {
 			if step != dispatch.StepAssigned || more[1] != 1 {
 				return
 			}
-			firstAssignedAt := rig.Dispatcher.Loop.Now() // no attempt came later
+			firstAssignedAt := rig.Dispatcher.Loop.Now() // at or after the time of the first assignment
 			rig.Dispatcher.Loop.Post(func() {
 				for rig.Dispatcher.Loop.Now() < firstAssignedAt+window {
 					time.Sleep(time.Millisecond)
@@ -63,42 +65,42 @@
 			})
 		}
 	})
-	responses := post(rig, transfer, "id000001")
+	responses := post(rig, transferClass, "id000001")
 	conn := worker.Accept()
 	conn.ParseRequest()
-	conn.Write(runMayHaveHappened)
+	conn.Write(internalErrorResponse)
 	retryConn := worker.Accept()
-	checkNotServed(t, "after the window", responses) // all workers know a retry, so it may be rejected too
+	checkNotServed(t, "after the window", responses) // all workers recognize retries of this class, so it may also be rejected
 	rig.Do(func() { client.CloseAllIdle() })
 	text, err := retryConn.ReadRest()
 	if len(text) > 0 || err != nil {
-		t.Errorf("the retry was sent all the same: %q, %v", text, err)
+		t.Errorf("the retry was sent after the window: %q, %v", text, err)
 	}
 }
 
-// A retry of which the kernel has taken a part is abandoned when its dedup window ends: the rest would leave whenever
-// the worker makes room.
+// Checks that a retry of which the kernel has taken only a part is abandoned when the dedup window ends. Otherwise the
+// rest would be sent whenever the worker's receive buffer has room.
 func TestDedupWindowEndsDuringRetry(t *testing.T) {
 	const window = time.Second
 	rig := testkit.NewRig(t, withDeduplicatedClass(window, 100*time.Millisecond))
 	worker := testkit.ListenWithSmallBuffers(t)
 	startSoleWorkerClient(t, rig, worker.Addr(), time.Hour)
-	responses := rig.Accept(newLargeRequest(rig, transfer))
+	responses := rig.Accept(newLargeRequest(rig, transferClass))
 	conn := worker.Accept()
 	conn.ParseRequest()
-	firstReceivedAt := rig.Dispatcher.Loop.Now() // it was assigned before
-	conn.Write(runMayHaveHappened)
+	firstReceivedAt := rig.Dispatcher.Loop.Now() // the first attempt was assigned before this time
+	conn.Write(internalErrorResponse)
 	retryConn := worker.Accept()
 	testkit.Until(t, "the window is over", func() bool { return rig.Dispatcher.Loop.Now() > firstReceivedAt+window })
-	text, _ := retryConn.ReadRest() // nothing was read of it up to now
+	text, _ := retryConn.ReadRest() // the worker has read nothing of the retry before
 	checkNotServed(t, "after the window", responses)
 	if sentEntirely(text) {
 		t.Errorf("the retry was sent entirely: %d bytes", len(text))
 	}
 }
 
-// A request that has ended is not forwarded after a connect, a held last byte or a full socket has delayed it, even if
-// the settings allow no attempt to be cancelled.
+// Checks that a request that has ended is not sent after a connect, a held last byte or a full socket has delayed it,
+// even if the settings do not allow attempts to be cancelled.
 func TestCompletedRequestIsNotSent(t *testing.T) {
 	for name, end := range map[string]func(*testkit.Rig, uint64){
 		"its client left":   func(rig *testkit.Rig, handle uint64) { rig.Dispatcher.Cancel(handle) },
@@ -109,7 +111,7 @@
 			request.rig.Do(func() {
 				request.rig.Dispatcher.Trace = func(_, step string, _ ...any) {
 					if step == dispatch.StepAssigned {
-						request.rig.Dispatcher.Loop.Post(request.finish) // before the event that the connection is open
+						request.rig.Dispatcher.Loop.Post(request.finish) // ahead of the event that reports the open connection
 					}
 				}
 			})
@@ -117,7 +119,7 @@
 			if text := request.readSent(request.worker.Accept()); len(text) > 0 {
 				t.Errorf("%d bytes were sent of a request that has ended", len(text))
 			}
-			request.checkForgotten()
+			request.waitForForgotten()
 		})
 		t.Run(name+", last byte held", func(t *testing.T) {
 			request := newDelayedRequest(t, testkit.Listen(t), end)
@@ -130,7 +132,7 @@
 	}
 }
 
-// delayedRequest is a request that ends before all of it has left.
+// delayedRequest is a request that ends before it has been sent completely.
 type delayedRequest struct {
 	t      *testing.T
 	rig    *testkit.Rig
@@ -141,11 +143,11 @@
 	ended  chan struct{}
 }
 
-// newDelayedRequest returns a request to a worker that is not accepted yet. The settings allow no attempt to be
-// cancelled.
+// newDelayedRequest returns a request to a worker, which the dispatcher has not accepted yet. The settings do not allow
+// attempts to be cancelled.
 func newDelayedRequest(t *testing.T, worker *testkit.Listener, end func(*testkit.Rig, uint64)) *delayedRequest {
 	t.Helper()
-	worker.ReadAhead = 16 // the rest of the request stays in the socket
+	worker.ReadAhead = 16 // bytes, so that the rest of the request stays in the socket
 	rig := testkit.NewRig(t, func(settings *decision.Settings) {
 		settings.Cancellation = false
 		settings.StartNotices = false
@@ -174,8 +176,8 @@
 	d.ended <- struct{}{}
 }
 
-// finishOnFirstByte ends the request once its first byte has come to the worker, and checks that it does not come
-// entirely.
+// finishOnFirstByte ends the request once the worker has received its first byte, and checks that the worker does not
+// receive the whole request.
 func (d *delayedRequest) finishOnFirstByte() {
 	d.t.Helper()
 	d.accept()
@@ -185,22 +187,22 @@
 	if text := d.readSent(conn); sentEntirely(text) {
 		d.t.Errorf("%d bytes were sent of a request that has ended", len(text))
 	}
-	d.checkForgotten()
+	d.waitForForgotten()
 }
 
-// readSent waits until the request has ended, and returns what the worker has got of it.
+// readSent waits until the request has ended, and returns the part of it that the worker has received.
 func (d *delayedRequest) readSent(conn *testkit.AcceptedConn) string {
 	d.t.Helper()
 	testkit.Receive(d.t, d.ended)
-	go d.rig.Do(func() { // a connection that was opened for nothing becomes idle; it is closed then
+	go d.rig.Do(func() { // closes a connection that has become idle unused, since ReadRest waits for the close
 		d.rig.Dispatcher.Loop.After(time.Second, func() { d.client.CloseAllIdle() })
 	})
 	text, _ := conn.ReadRest()
 	return text
 }
 
-// checkForgotten waits until neither the dispatcher nor the client knows the request any more.
-func (d *delayedRequest) checkForgotten() {
+// waitForForgotten waits until neither the dispatcher nor the client has state for the request.
+func (d *delayedRequest) waitForForgotten() {
 	d.t.Helper()
 	testkit.Until(d.t, "the request is forgotten", func() (forgotten bool) {
 		d.rig.Do(func() { forgotten = d.rig.Dispatcher.Unanswered() == 0 && len(d.client.connections) == 0 })
--- a/internal/workerclient/stack_test.go
+++ b/internal/workerclient/stack_test.go
@@ -13,7 +13,7 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// testStack is a dispatcher with an HTTP front end and a worker client, whose clients and workers the test plays.
+// testStack is a dispatcher with an HTTP front end and a worker client. The test acts as the clients and the workers.
 type testStack struct {
 	*testkit.Rig
 	t       *testing.T
@@ -22,7 +22,7 @@
 	workers []*testkit.Listener
 }
 
-// newStack starts a stack with a number of workers. change changes its settings.
+// newStack starts a stack with a number of workers. change modifies the default settings of the rig.
 func newStack(t *testing.T, workers int, change func(*decision.Settings)) *testStack {
 	t.Helper()
 	stack := &testStack{Rig: testkit.NewRig(t, change), t: t}
@@ -37,7 +37,7 @@
 	return stack
 }
 
-// withRetries allows three attempts of a request.
+// withRetries allows three attempts per request.
 func withRetries(settings *decision.Settings) { settings.MaxAttempts = 3 }
 
 // blockLoop blocks the event loop until release is called, or until the test ends.
@@ -47,15 +47,15 @@
 	return release
 }
 
-// connectClient connects a client that sends a status check, and a number of bytes behind it.
-func (s *testStack) connectClient(id string, bytesBehind int) net.Conn {
+// connectClient connects a client that sends a status check, followed by a number of other bytes.
+func (s *testStack) connectClient(id string, trailingBytes int) net.Conn {
 	s.t.Helper()
 	request := "POST /status-check/k HTTP/1.1\r\nX-Correlation-Id: " + id + "\r\nX-Weight-Hint: 1000\r\nContent-Length: 4\r\n\r\nbody"
-	conn, _ := testkit.Connect(s.t, s.addr, request+strings.Repeat("x", bytesBehind))
+	conn, _ := testkit.Connect(s.t, s.addr, request+strings.Repeat("x", trailingBytes))
 	return conn
 }
 
-// closeClient closes a client's connection and waits until the kernel at the front end's side knows of it.
+// closeClient closes a client's connection, and waits until the kernel has processed the close at the front end's end.
 func (s *testStack) closeClient(conn net.Conn) {
 	s.t.Helper()
 	clientAddr := conn.LocalAddr().String()
@@ -63,7 +63,7 @@
 	testkit.Until(s.t, "the client's close arrives", func() bool { return !isEstablished(s.t, s.addr, clientAddr) })
 }
 
-// awaitCancelled waits until a client's request has been cancelled, and returns how many attempts were sent entirely.
+// awaitCancelled waits until a client's request has been cancelled, and returns how many attempts were sent completely.
 func (s *testStack) awaitCancelled() (sent uint64) {
 	s.t.Helper()
 	testkit.Until(s.t, "the request is cancelled", func() (cancelled bool) {
@@ -77,7 +77,7 @@
 	return sent
 }
 
-// isEstablished reports whether the kernel lists the connection between two addresses as open at the local one.
+// isEstablished reports whether the kernel lists the connection between two addresses as established at the local end.
 func isEstablished(t *testing.T, localAddr, remoteAddr string) bool {
 	t.Helper()
 	const (
@@ -102,7 +102,7 @@
 	return false
 }
 
-// hexPort returns the end of an address as the kernel lists it.
+// hexPort returns the port of an address in the format of /proc/net/tcp, in hexadecimal after a colon.
 func hexPort(addr string) string {
 	_, port, _ := net.SplitHostPort(addr)
 	number, _ := strconv.Atoi(port)
