--- a/internal/settings/connections.go
+++ b/internal/settings/connections.go
@@ -11,25 +11,25 @@
 )
 
 // Connections is the table [connections]: which client connections are admitted and
-// stay, and how many descriptors each kind may use.
+// kept open, and how many descriptors each kind of connection may use.
 type Connections struct {
-	Enabled bool `toml:"on" help:"decide on each connection; false: the table is checked and not used"`
+	Enabled bool `toml:"on" help:"whether the table is used to admit connections; if false, it is only checked"`
 
-	Known          []string `toml:"known" help:"prefixes of known clients, as 10.1.0.0/16: they have the reserve, and no caps"`
-	TrustedProxies []string `toml:"fronts" help:"prefixes of fronts that send a PROXY header (v1 or v2): caps hold for the clients it names"`
+	Known          []string `toml:"known" help:"prefixes of known clients, such as 10.1.0.0/16, which may use the reserve and have no limits per address or prefix"`
+	TrustedProxies []string `toml:"fronts" help:"prefixes of proxies that send a PROXY header (v1 or v2); the limits apply to the clients that it names"`
 
-	Capacity         int     `toml:"sessions_connections" help:"sessions at a time; 0: six tenths of the descriptors"`
-	Reserve          int     `toml:"reserve_connections" help:"of them, that unknown clients cannot use; 0: a quarter of them where clients are known"`
-	UnknownPerSecond float64 `toml:"unknown_new_per_s" help:"new connections a second of all unknown clients together; 0: no bound"`
+	Capacity         int     `toml:"sessions_connections" help:"maximum number of client connections; 0 means six tenths of the descriptors"`
+	Reserve          int     `toml:"reserve_connections" help:"how many of them unknown clients cannot use; 0 means a quarter of them if there are known or learned clients"`
+	UnknownPerSecond float64 `toml:"unknown_new_per_s" help:"new connections per second of all unknown clients together; 0 means no limit"`
 
-	AddressOpen      int     `toml:"address_open_connections" help:"open connections of one address; 0: no bound"`
-	AddressOpening   int     `toml:"address_opening_connections" help:"of them, those on which not a byte has come; 0: no bound"`
-	AddressPerSecond float64 `toml:"address_new_per_s" help:"new connections a second of one address; 0: no bound"`
-	AddressBurst     int     `toml:"address_new_burst" help:"that may come at once; 0: a second's"`
-	AddressHalfRead  int     `toml:"address_half_read_requests" help:"half-read requests of one address; 0: no bound"`
-	AddressBytes     int     `toml:"address_buffered_bytes" help:"that half-read requests of one address hold; 0: no bound"`
+	AddressOpen      int     `toml:"address_open_connections" help:"open connections of one address; 0 means no limit"`
+	AddressOpening   int     `toml:"address_opening_connections" help:"open connections of one address on which no byte has been received; 0 means no limit"`
+	AddressPerSecond float64 `toml:"address_new_per_s" help:"new connections per second of one address; 0 means no limit"`
+	AddressBurst     int     `toml:"address_new_burst" help:"new connections of one address that may come at once; 0 means those of one second"`
+	AddressHalfRead  int     `toml:"address_half_read_requests" help:"incomplete requests of one address; 0 means no limit"`
+	AddressBytes     int     `toml:"address_buffered_bytes" help:"buffered bytes of the incomplete requests of one address; 0 means no limit"`
 
-	PrefixOpen      int     `toml:"prefix_open_connections" help:"the same of all addresses of one prefix"`
+	PrefixOpen      int     `toml:"prefix_open_connections" help:"open connections of all addresses of one prefix; the following keys also limit these addresses together"`
 	PrefixOpening   int     `toml:"prefix_opening_connections"`
 	PrefixPerSecond float64 `toml:"prefix_new_per_s"`
 	PrefixBurst     int     `toml:"prefix_new_burst"`
@@ -38,39 +38,39 @@
 	V4Bits          int     `toml:"prefix_v4_bits" help:"length of an IPv4 prefix; default 24"`
 	V6Bits          int     `toml:"prefix_v6_bits" help:"length of an IPv6 prefix; default 64"`
 
-	Learn                bool    `toml:"learn" help:"addresses whose jobs are served become known"`
-	LearnAfterJobs       float64 `toml:"learn_after_jobs" help:"served jobs, decayed, from which on; default 20"`
-	LearnHalfLifeSeconds float64 `toml:"learn_half_life_s" help:"of what is remembered; default 600"`
-	LearnShare           float64 `toml:"learn_reserve_share" help:"share of the reserve that learned ones may use; default 0.5"`
-	NewcomerShare        float64 `toml:"newcomer_share" help:"share of the other room that learned ones leave to newcomers; default 0.1"`
-	RememberedAddresses  int     `toml:"remembered_addresses" help:"default 16384; only a restart changes it"`
-	RememberedPrefixes   int     `toml:"remembered_prefixes" help:"default 4096; only a restart changes it"`
-
-	MinRate      float64 `toml:"min_bytes_per_s" help:"of a request on its way; 0: no bound but the 2 s in which it must be whole"`
-	RateGraceMs  float64 `toml:"min_rate_after_ms" help:"from its first byte on; default 500"`
-	WriteStallMs float64 `toml:"write_stall_ms" help:"for which answers may wait to be read; 0: no bound"`
-
-	RejectWith     string  `toml:"refuse" help:"how: close (default) or 503"`
-	LowMark        float64 `toml:"low_mark" help:"share of descriptors at which idle unknown sessions go; default 0.8"`
-	HighMark       float64 `toml:"high_mark" help:"at which unknown arrivals end at once; default 0.9"`
-	CriticalMark   float64 `toml:"critical_mark" help:"at which even idle connections to workers go; default 0.97"`
-	MarkHysteresis float64 `toml:"mark_hysteresis" help:"so far below its mark a level ends; default 0.05"`
-	FloorClients   int     `toml:"floor_sessions_descriptors" help:"that no other kind can take; default 32"`
-	FloorWorkers   int     `toml:"floor_backends_descriptors" help:"default a quarter"`
-	FloorDiscovery int     `toml:"floor_discovery_descriptors" help:"default 2"`
-	FloorStores    int     `toml:"floor_stores_descriptors" help:"default 0"`
+	Learn                bool    `toml:"learn" help:"whether addresses whose jobs are served become known clients"`
+	LearnAfterJobs       float64 `toml:"learn_after_jobs" help:"number of served jobs, with decay, after which an address is learned; default 20"`
+	LearnHalfLifeSeconds float64 `toml:"learn_half_life_s" help:"half-life of the number of served jobs; default 600"`
+	LearnShare           float64 `toml:"learn_reserve_share" help:"share of the reserve that learned clients may use; default 0.5"`
+	NewcomerShare        float64 `toml:"newcomer_share" help:"share of the connections outside the reserve that learned clients leave to new ones; default 0.1"`
+	RememberedAddresses  int     `toml:"remembered_addresses" help:"number of addresses that are remembered; default 16384; only a restart changes it"`
+	RememberedPrefixes   int     `toml:"remembered_prefixes" help:"number of prefixes that are remembered; default 4096; only a restart changes it"`
+
+	MinRate      float64 `toml:"min_bytes_per_s" help:"minimum rate at which a request must arrive; 0 means no minimum, but it must still be complete within 2 s"`
+	RateGraceMs  float64 `toml:"min_rate_after_ms" help:"time after the first byte of a request from which on the minimum rate applies; default 500"`
+	WriteStallMs float64 `toml:"write_stall_ms" help:"how long responses may wait to be read by the client; 0 means no limit"`
+
+	RejectWith     string  `toml:"refuse" help:"how connections are rejected: close (default) or 503"`
+	LowMark        float64 `toml:"low_mark" help:"share of the descriptors in use at which idle connections of unknown clients are closed; default 0.8"`
+	HighMark       float64 `toml:"high_mark" help:"share of the descriptors in use at which new connections of unknown clients are closed at once; default 0.9"`
+	CriticalMark   float64 `toml:"critical_mark" help:"share of the descriptors in use at which even idle connections to workers are closed; default 0.97"`
+	MarkHysteresis float64 `toml:"mark_hysteresis" help:"how far the share must fall below a mark until its measures end; default 0.05"`
+	FloorClients   int     `toml:"floor_sessions_descriptors" help:"descriptors for client connections that no other kind can use; default 32"`
+	FloorWorkers   int     `toml:"floor_backends_descriptors" help:"descriptors for connections to workers that no other kind can use; default a quarter of all"`
+	FloorDiscovery int     `toml:"floor_discovery_descriptors" help:"descriptors for discovery that no other kind can use; default 2"`
+	FloorStores    int     `toml:"floor_stores_descriptors" help:"descriptors for stores that no other kind can use; default 0"`
 }
 
 // Defaults of the descriptor floors, the capacity and the reserve.
 const (
 	maxDefaultClientFloor = 32 // descriptors
 	defaultDiscoveryFloor = 2  // descriptors
-	defaultFloorDivisor   = 4  // a quarter of the descriptors
-	defaultReserveDivisor = 4  // a quarter of the capacity
-	capacityTenths        = 6  // six tenths of the descriptors
+	defaultFloorDivisor   = 4  // the floors of clients (at most) and workers are a quarter of the descriptors
+	defaultReserveDivisor = 4  // the reserve is a quarter of the capacity
+	capacityTenths        = 6  // the capacity is six tenths of the descriptors
 )
 
-// maxAmount is the limit of values that have no other.
+// maxAmount is the upper limit of values that have no limit of their own.
 const maxAmount = 1e9
 
 // Values of the key refuse.
@@ -85,12 +85,12 @@
 	Admission        connlimit.Config // which connections are admitted and evicted
 	DescriptorFloors [connlimit.DescriptorKinds]int
 	Watermarks       connlimit.Watermarks
-	WriteStall       time.Duration // how long responses may wait to be read; 0: unbounded
-	Respond503       bool          // rejected connections get a 503 response; else they are closed
+	WriteStall       time.Duration // how long responses may wait to be read; 0 means no limit
+	Respond503       bool          // rejected connections get a 503 response instead of a close alone
 }
 
-// LimitsFor converts the table for a process that may use a number of descriptors
-// for its connections. An error names the key.
+// LimitsFor converts and checks the table for a process that may use a number of
+// descriptors for its connections. Errors name the key.
 func (c *Connections) LimitsFor(descriptors int) (ConnectionLimits, error) {
 	admission, err := c.admission(descriptors)
 	if err != nil {
@@ -103,7 +103,7 @@
 		WriteStall:       milliseconds(c.WriteStallMs),
 		Respond503:       c.RejectWith == rejectWith503,
 	}
-	if err := admission.Check(); err != nil { // it fills in defaults, in this copy only
+	if err := admission.Check(); err != nil { // fills in defaults, but only in this local copy
 		return ConnectionLimits{}, err
 	}
 	if _, err := connlimit.NewDescriptorBudget(descriptors, limits.DescriptorFloors, limits.Watermarks); err != nil {
@@ -112,7 +112,8 @@
 	return limits, nil
 }
 
-// admission returns which connections the table admits.
+// admission converts the part of the table that decides which connections are
+// admitted and evicted.
 func (c *Connections) admission(descriptors int) (connlimit.Config, error) {
 	known, err := parsePrefixes("known", c.Known)
 	if err != nil {
@@ -180,7 +181,7 @@
 	}
 }
 
-// descriptorFloors returns the descriptors that each kind has to itself.
+// descriptorFloors returns how many descriptors are reserved for each kind of use.
 func (c *Connections) descriptorFloors(descriptors int) (floors [connlimit.DescriptorKinds]int) {
 	quarter := descriptors / defaultFloorDivisor
 	floors[connlimit.ClientConnections] = cmp.Or(c.FloorClients, min(maxDefaultClientFloor, quarter))
@@ -190,7 +191,7 @@
 	return floors
 }
 
-// checkValues checks what connlimit does not.
+// checkValues checks the values that connlimit does not check.
 func (c *Connections) checkValues() error {
 	switch c.RejectWith {
 	case "", rejectByClosing, rejectWith503:
@@ -230,5 +231,5 @@
 	return prefixes, nil
 }
 
-// Explain writes a line for each key, with its value and a description.
+// Explain writes a line for each key of the table, with its value and a description.
 func (c *Connections) Explain(w io.Writer) { explain(w, "connections", *c) }
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -13,7 +13,8 @@
 	"hollyyoke.example/hollyyoke/internal/goldentest"
 )
 
-// fullSettings returns settings in which every key has a value other than its default.
+// fullSettings returns a settings object in which every key has a value other than its
+// default.
 func fullSettings(t *testing.T) map[string]any {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "settings-full.json"))
@@ -27,13 +28,14 @@
 	return document
 }
 
-// The effect of every key of the settings.
+// Compares the effect of every key of the settings object on the decoded settings.
 func TestGoldenSettings(t *testing.T) {
 	decode := func(text []byte) (any, error) { return Read(text) }
 	goldentest.Compare(t, "settings.golden", goldentest.Effects(t, fullSettings(t), json.Marshal, decode))
 }
 
-// The values of enumerations, and the errors for invalid ones.
+// Compares the results of decoding the values of enumerations, and the errors for
+// invalid values.
 func TestGoldenSettingsValues(t *testing.T) {
 	var lines []string
 	for _, text := range []string{
@@ -68,7 +70,7 @@
 	goldentest.Compare(t, "settings-values.golden", goldentest.Lines(lines))
 }
 
-// Load reports are read by the settings' names and by the common ones.
+// Compares load reports with the value names of the settings and with the common names.
 func TestGoldenLoadReports(t *testing.T) {
 	var lines []string
 	reports := []string{
@@ -98,13 +100,14 @@
 	goldentest.Compare(t, "load.golden", goldentest.Lines(lines))
 }
 
-// The keys of the operator's tables.
+// Compares the keys of the tables of the operator's file.
 func TestGoldenOperatorKeys(t *testing.T) {
 	goldentest.Compare(t, "connections-keys.golden", goldentest.Lines(goldentest.Keys(reflect.TypeFor[Connections](), "toml")))
 	goldentest.Compare(t, "membership-keys.golden", goldentest.Lines(goldentest.Keys(reflect.TypeFor[Membership](), "toml")))
 }
 
-// The errors for invalid operator's files, and the values of the deployed one.
+// Compares the errors for invalid operator's files, and the values of the file under
+// deploy.
 func TestGoldenOperatorFiles(t *testing.T) {
 	var lines []string
 	read := func(name, text string) Operator {
@@ -143,7 +146,7 @@
 	goldentest.Compare(t, "operator.golden", goldentest.Lines(lines))
 }
 
-// explainedValues returns the values that Explain prints, sorted, without their
+// explainedValues returns the lines that Explain writes, sorted and without the
 // descriptions.
 func explainedValues(operator Operator) []string {
 	var output strings.Builder
--- a/internal/settings/live.go
+++ b/internal/settings/live.go
@@ -12,14 +12,15 @@
 	"hollyyoke.example/hollyyoke/decision"
 )
 
-// Change is the new value of one setting, while the dispatcher runs.
+// Change is a new value for one setting, to be applied while the dispatcher runs.
 type Change struct {
 	Key   string // the setting's path in the settings object, such as projects[3].quota_per_s
 	Value json.RawMessage
 }
 
-// Apply applies all changes, or none: an error names the key that is rejected. Of
-// two changes of one key the last wins. Slices of s are replaced, not written to.
+// Apply applies all changes, or none of them if one is rejected; the error names its
+// key. If a key is changed more than once, the last change wins. Slices of s are
+// replaced rather than modified, since others may share them.
 func Apply(s *decision.Settings, changes []Change) error {
 	next := *s
 	next.Classes = slices.Clone(s.Classes)
@@ -46,27 +47,29 @@
 	return nil
 }
 
-// settingField points to a setting: a number, or a span in microseconds.
+// settingField points to a setting, which is either a number or a duration. The other
+// pointer is nil.
 type settingField struct {
-	number *float64
-	span   *time.Duration
+	number   *float64
+	duration *time.Duration // changed by a value in microseconds
 }
 
 func (f settingField) set(value float64) {
-	if f.span != nil {
-		*f.span = Microseconds(value)
+	if f.duration != nil {
+		*f.duration = Microseconds(value)
 		return
 	}
 	*f.number = value
 }
 
-// field finds the setting that the key names.
+// field returns the setting that the key names, or an error if there is none that may
+// change at run time.
 func (c Change) field(settings *decision.Settings) (settingField, error) {
 	switch c.Key {
 	case "over_share_worth":
 		return settingField{number: &settings.OverQuotaWeight}, nil
 	case "limits.max_retry_after_us":
-		return settingField{span: &settings.MaxRetryAfter}, nil
+		return settingField{duration: &settings.MaxRetryAfter}, nil
 	}
 	element, ok := parseElementKey(c.Key)
 	if !ok {
@@ -103,7 +106,8 @@
 
 var changeableClassFields = []string{"worth", "late_worth", "slo_us", "aim_stretch"}
 
-// classField returns the field that one of changeableClassFields names.
+// classField returns the field of a class whose key is name, one of
+// changeableClassFields.
 func classField(class *decision.Class, name string) settingField {
 	switch name {
 	case "worth":
@@ -113,7 +117,7 @@
 	case "aim_stretch":
 		return settingField{number: &class.ObjectiveStretch}
 	default:
-		return settingField{span: &class.LatencyObjective}
+		return settingField{duration: &class.LatencyObjective}
 	}
 }
 
@@ -132,7 +136,7 @@
 	return elementKey{list, index, field}, isCanonical
 }
 
-// parseAmount reads a number that must be finite and not negative.
+// parseAmount parses a JSON number, which must be finite and not negative.
 func parseAmount(raw json.RawMessage) (float64, error) {
 	var value *float64
 	if err := json.Unmarshal(raw, &value); err != nil || value == nil {
--- a/internal/settings/live_test.go
+++ b/internal/settings/live_test.go
@@ -15,7 +15,7 @@
 	"hollyyoke.example/hollyyoke/decision"
 )
 
-// TestMain has rapid draw the same cases on each run.
+// TestMain sets rapid's flags, so that it generates the same cases in each run.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "21", "rapid.nofailfile": "true", "rapid.checks": "300"} {
@@ -26,7 +26,7 @@
 	os.Exit(m.Run())
 }
 
-// testSettings returns settings with tenants and without.
+// testSettings returns settings with tenants and settings without, by name.
 func testSettings() map[string]decision.Settings {
 	class := decision.Class{
 		PriorityWeight:   1,
@@ -41,14 +41,15 @@
 	}
 }
 
-// A change sets the field that its key names, or is rejected and changes nothing.
+// Checks that a change sets the field that its key names, or is rejected and changes
+// nothing.
 func TestApplyByKey(t *testing.T) {
 	for _, test := range []struct {
-		settings string // of testSettings
+		settings string // name in testSettings
 		key      string
 		value    string
-		rejected string                     // a part of the error; empty: it is applied
-		want     func(s *decision.Settings) // what is changed; nil: nothing
+		rejected string                     // a part of the error; empty if the change is applied
+		want     func(s *decision.Settings) // makes the expected change; nil if nothing changes
 	}{
 		{"tenants", "projects[2].quota_per_s", "12.5", "", func(s *decision.Settings) { s.TenantQuotas[2] = 12.5 }},
 		{"tenants", "over_share_worth", "0", "", func(s *decision.Settings) { s.OverQuotaWeight = 0 }},
@@ -92,7 +93,7 @@
 	}
 }
 
-// isOneLineWith reports whether text is one line that has all parts.
+// isOneLineWith reports whether text is one line that contains all parts.
 func isOneLineWith(text string, parts ...string) bool {
 	for _, part := range parts {
 		if !strings.Contains(text, part) {
@@ -102,7 +103,7 @@
 	return !strings.Contains(text, "\n")
 }
 
-// drawChange draws a change that may be valid or not.
+// drawChange generates a change, which may be invalid.
 func drawChange(t *rapid.T) Change {
 	key := rapid.SampledFrom([]string{
 		"projects[%d].quota_per_s",
@@ -117,8 +118,8 @@
 	return Change{fmt.Sprintf(key, index), json.RawMessage(value)}
 }
 
-// A set of changes is applied completely or not at all, and settings that share
-// memory with the changed ones stay as they were.
+// Checks that a set of changes is applied completely or not at all, and that settings
+// that share memory with the changed ones are not modified.
 func TestApplyIsAtomic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name := rapid.SampledFrom([]string{"tenants", "no tenants"}).Draw(t, "shape")
@@ -138,7 +139,7 @@
 		}
 		err := Apply(&applied, changes)
 		if (err != nil) != oneIsRejected {
-			t.Fatalf("%v: %v, of which one alone is rejected: %v", changes, err, oneIsRejected)
+			t.Fatalf("%v: error %v; one of the changes is rejected on its own: %v", changes, err, oneIsRejected)
 		}
 		if err != nil && !reflect.DeepEqual(applied, original) {
 			t.Fatalf("%v is rejected (%v) and changes something: %+v", changes, err, applied)
--- a/internal/settings/loadreport.go
+++ b/internal/settings/loadreport.go
@@ -6,9 +6,10 @@
 	"hollyyoke.example/hollyyoke/decision"
 )
 
-// ReadLoadReport reads a worker's load report. The names of its values are those of the
-// settings, or the common ones that workers use. Values that no decision uses are
-// ignored, and a report that cannot be read is an empty one.
+// ReadLoadReport reads a worker's load report, a JSON object. The settings name the
+// value that counts free slots; the other values have the names that workers commonly
+// use. Values that no decision uses are ignored. A report that cannot be read counts
+// as an empty one.
 func ReadLoadReport(settings *decision.Settings, raw []byte) decision.LoadReport {
 	var report map[string]any
 	if err := json.Unmarshal(raw, &report); err != nil {
@@ -23,7 +24,7 @@
 	return load
 }
 
-// firstNumber returns the first of the named values that is a number.
+// firstNumber returns the first of the named values of a report that is a number.
 func firstNumber(report map[string]any, names ...string) (number float64, found bool) {
 	for _, name := range names {
 		number, found = report[name].(float64)
--- a/internal/settings/membership.go
+++ b/internal/settings/membership.go
@@ -12,16 +12,16 @@
 	"hollyyoke.example/hollyyoke/internal/membership"
 )
 
-// Membership is the table [membership]: from which servers the dispatcher follows
+// Membership is the table [membership]: from which servers the dispatcher receives
 // versioned changes of the endpoint list and of its settings.
 type Membership struct {
-	Enabled       bool               `toml:"on" help:"follow versioned changes in place of the discovery watch; only a restart turns it on or off"`
-	Zone          string             `toml:"zone" help:"whose servers come first; default: the zone of the settings"`
-	AcknowledgeMs float64            `toml:"acknowledge_ms" help:"least time between acknowledgements of a version; default 1000"`
-	Servers       []MembershipServer `toml:"servers" help:"relays, and origins to fall back on: zone and address of each"`
+	Enabled       bool               `toml:"on" help:"whether versioned changes are followed instead of the discovery watch; only a restart turns it on or off"`
+	Zone          string             `toml:"zone" help:"zone whose servers are preferred; default: the zone of the settings"`
+	AcknowledgeMs float64            `toml:"acknowledge_ms" help:"minimum time between acknowledgements of a version; default 1000"`
+	Servers       []MembershipServer `toml:"servers" help:"zone and address of each relay, and of each origin to fall back on"`
 }
 
-// MembershipServer is one server of versioned changes.
+// MembershipServer is one server that sends versioned changes.
 type MembershipServer struct {
 	Zone    string `toml:"zone"`
 	Address string `toml:"address"`
@@ -29,10 +29,10 @@
 
 const (
 	defaultAcknowledge = time.Second
-	maxAcknowledgeMs   = 30_000 // beyond it a subscriber might be counted as gone
+	maxAcknowledgeMs   = 30_000 // with a longer time, a server might count the subscriber as gone
 )
 
-// Check checks the table, also where it is off. An error names the key.
+// Check checks the table, even if it is not enabled. Errors name the key.
 func (m *Membership) Check() error {
 	if m.AcknowledgeMs < 0 || m.AcknowledgeMs > maxAcknowledgeMs {
 		return fmt.Errorf("acknowledge_ms: %g is not between 0 and %d", m.AcknowledgeMs, maxAcknowledgeMs)
@@ -66,16 +66,16 @@
 	return nil
 }
 
-// MembershipSources is the table [membership], converted for a dispatcher: where it
-// gets versioned changes.
+// MembershipSources is the table [membership], converted for a dispatcher: from which
+// servers it receives versioned changes.
 type MembershipSources struct {
-	PreferredZone       string // its servers come first; empty: none is preferred
+	PreferredZone       string // the zone whose servers are preferred; empty if there is none
 	Servers             []membership.Server
 	AcknowledgeInterval time.Duration // minimum time between acknowledgements of a version
 }
 
-// SourcesFor converts the table for a dispatcher with those settings. An error names
-// a zone that the settings do not have.
+// SourcesFor converts the table for a dispatcher with the given settings. It returns an
+// error if the table names a zone that the settings do not have.
 func (m *Membership) SourcesFor(settings *decision.Settings) (MembershipSources, error) {
 	if !hasZone(settings, m.Zone) {
 		return MembershipSources{}, fmt.Errorf("zone: the settings have no zone %q", m.Zone)
@@ -96,7 +96,7 @@
 	return sources, nil
 }
 
-// preferredZone returns the table's zone or, where it has none, the dispatcher's own.
+// preferredZone returns the table's zone or, if it has none, the dispatcher's own zone.
 func (m *Membership) preferredZone(settings *decision.Settings) string {
 	isOwnZoneNamed := settings.Zone >= 0 && settings.Zone < len(settings.ZoneNames)
 	if m.Zone == "" && isOwnZoneNamed {
@@ -105,11 +105,11 @@
 	return m.Zone
 }
 
-// hasZone reports whether the settings have a zone. Settings without zone names
-// have every zone.
+// hasZone reports whether the settings have a zone with a name. An empty name is
+// accepted, and so is every name if the settings have no zone names.
 func hasZone(s *decision.Settings, name string) bool {
 	return name == "" || len(s.ZoneNames) == 0 || slices.Contains(s.ZoneNames, name)
 }
 
-// Explain writes a line for each key, with its value and a description.
+// Explain writes a line for each key of the table, with its value and a description.
 func (m *Membership) Explain(w io.Writer) { explain(w, "membership", *m) }
--- a/internal/settings/operator.go
+++ b/internal/settings/operator.go
@@ -12,29 +12,29 @@
 	"hollyyoke.example/hollyyoke/internal/tomlfile"
 )
 
-// Operator is the operator's file: a TOML file with a table for each subsystem.
-// Keys have their units in their names; their descriptions and defaults are in the
-// tags of the tables' fields.
+// Operator is the content of the operator's file, a TOML file with a table for each
+// subsystem. Names of keys include their units. The tags of the tables' fields hold
+// the descriptions and defaults of the keys.
 type Operator struct {
 	Connections Connections
 	Membership  Membership
 	HasFaktory  bool // the file has a table [faktory]
 }
 
-// operatorFile is the form of the operator's file.
+// operatorFile is the structure of the operator's file.
 type operatorFile struct {
 	Connections Connections     `toml:"connections"`
 	Membership  Membership      `toml:"membership"`
 	Faktory     *toml.Primitive `toml:"faktory"`
 }
 
-// checkDescriptors is the number of descriptors with which the table [connections]
-// is checked, before the process's own number is known.
-const checkDescriptors = 1000
+// nominalDescriptors is the number of descriptors for which the table [connections]
+// is checked when the file is read, before the process's actual number is known.
+const nominalDescriptors = 1000
 
 // ReadOperator reads and checks the operator's file. Its table [faktory], if there
-// is one, is decoded into faktory; nil ignores its content. An error is one line
-// that names the key; an unknown key is an error.
+// is one, is decoded into faktory, or ignored if faktory is nil. Unknown keys are
+// errors. The text of an error is one line that names the key.
 func ReadOperator(path string, faktory any) (Operator, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -61,7 +61,7 @@
 	if err := tomlfile.CheckKeys(meta); err != nil {
 		return Operator{}, err
 	}
-	if _, err := operator.Connections.LimitsFor(checkDescriptors); err != nil {
+	if _, err := operator.Connections.LimitsFor(nominalDescriptors); err != nil {
 		return Operator{}, fmt.Errorf("connections.%w", err)
 	}
 	if err := operator.Membership.Check(); err != nil {
@@ -81,7 +81,7 @@
 		field := fields.Type().Field(i)
 		help := field.Tag.Get("help")
 		if help == "" {
-			help = "(as for an address)"
+			help = "(like the key for one address, but for all addresses of one prefix)"
 		}
 		fmt.Fprintf(w, "%s.%s = %v  # %s\n", table, field.Tag.Get("toml"), fields.Field(i).Interface(), help)
 	}
--- a/internal/settings/operator_test.go
+++ b/internal/settings/operator_test.go
@@ -22,7 +22,7 @@
 	return path
 }
 
-// An error in the table names the key, also while the table is off.
+// Checks that an error in the table names the key, even if the table is not enabled.
 func TestMembershipTableNamesTheKey(t *testing.T) {
 	const server = "[[membership.servers]]\naddress = "
 	for text, want := range map[string]string{
@@ -44,8 +44,8 @@
 	}
 }
 
-// The table [membership] is converted with the dispatcher's own zone first; zones that
-// the settings do not have are errors.
+// Checks that the conversion of the table [membership] prefers the dispatcher's own
+// zone, and that zones that the settings do not have are errors.
 func TestMembershipTable(t *testing.T) {
 	operator, err := ReadOperator(writeOperatorFile(t, `
 [membership]
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,8 +1,8 @@
-// Package settings reads the settings of a dispatcher. It decodes the JSON object
-// that the platform and the simulator pass into decision.Settings, applies changes
-// of single settings at run time, reads workers' load reports, and reads the
-// operator's TOML file. It is the only reader of these forms; it keeps no settings
-// of its own beyond what decoding needs.
+// Package settings reads the settings of a dispatcher. It decodes the settings object,
+// a JSON object from the platform or the simulator, into decision.Settings, applies
+// changes of single settings at run time, and reads workers' load reports and the
+// operator's TOML file. No other package reads these formats. The package stores no
+// settings; its types hold only what decoding needs.
 package settings
 
 import (
@@ -29,29 +29,30 @@
 	"cell": decision.DedupWithinCell,
 }
 
-// Values on the wire.
+// Values in the settings object.
 const (
-	weightByWork       = "work"
-	listBySubscription = "ask"
-	loadByHealthCheck  = "probe"
-	loadAdjusted       = "live"
-	firstInFirstOut    = "fifo"
-	freeSlotsReport    = "free slots"
-	firstReportedValue = "x0"
-	otherReportedValue = "x1"
+	weightByWork        = "work"
+	listBySubscription  = "ask"
+	loadByHealthCheck   = "probe"
+	loadAdjusted        = "live"
+	firstInFirstOut     = "fifo"
+	freeSlotsReport     = "free slots"
+	firstReportedValue  = "x0"
+	secondReportedValue = "x1"
 )
 
-// maxMicroseconds bounds spans on the wire, so that sums of a few do not overflow.
+// maxMicroseconds is the limit to which durations in the settings object are clamped,
+// so that the sum of a few of them does not overflow.
 const maxMicroseconds = float64(math.MaxInt64 / 4000)
 
-// Microseconds converts a span on the wire, in possibly fractional microseconds, to
-// a time.Duration, truncated to microseconds. Spans out of range are clamped.
-func Microseconds(span float64) time.Duration {
-	return time.Duration(min(max(span, -maxMicroseconds), maxMicroseconds)) * time.Microsecond
+// Microseconds converts a number of microseconds, which may have a fraction, to a
+// time.Duration of whole microseconds. Values out of range are clamped.
+func Microseconds(number float64) time.Duration {
+	return time.Duration(min(max(number, -maxMicroseconds), maxMicroseconds)) * time.Microsecond
 }
 
-// Read reads the settings object. Unknown keys are ignored. An error names the
-// key, and no settings are returned with it.
+// Read decodes the settings object. Unknown keys are ignored. If a value is invalid,
+// Read returns an error that names the key.
 func Read(raw []byte) (decision.Settings, error) {
 	var wire wireSettings
 	if err := json.Unmarshal(raw, &wire); err != nil {
@@ -71,7 +72,8 @@
 	return settings, nil
 }
 
-// DecodeError returns an error of encoding/json that names the key, where a value has the wrong type.
+// DecodeError converts an error of encoding/json: if a value has the wrong type, the returned error names the key.
+// Other errors are returned unchanged.
 func DecodeError(err error) error {
 	var typeError *json.UnmarshalTypeError
 	if errors.As(err, &typeError) && typeError.Field != "" {
@@ -80,7 +82,7 @@
 	return err
 }
 
-// settings returns the settings without tenants and classes.
+// settings returns the decoded settings, without those of the tenants and the classes.
 func (w *wireSettings) settings() decision.Settings {
 	return decision.Settings{
 		OverQuotaWeight:       w.OverQuotaWeight,
@@ -121,19 +123,19 @@
 	}
 }
 
-// freeSlots returns the name of the reported value that counts free slots; empty
-// where none does.
+// freeSlots returns the name of the value in load reports that counts free slots, or
+// "" if there is none.
 func (d *wireDomain) freeSlots() string {
 	switch {
-	case d.FirstReport == freeSlotsReport:
+	case d.FirstReportMeaning == freeSlotsReport:
 		return firstReportedValue
-	case d.OtherReport == freeSlotsReport:
-		return otherReportedValue
+	case d.SecondReportMeaning == freeSlotsReport:
+		return secondReportedValue
 	}
 	return ""
 }
 
-// class returns the class of that index.
+// class returns the decoded class with an index.
 func (w *wireSettings) class(index int) (decision.Class, error) {
 	wire := &w.Classes[index]
 	idempotency, known := idempotencyByName[wire.Idempotency]
@@ -161,8 +163,8 @@
 	}, nil
 }
 
-// kinds returns the kinds of worker that a class may run on; nil: all. The class
-// and the domain may each restrict them, and both restrictions hold.
+// kinds returns the kinds of workers on which a class may run, or nil for all kinds.
+// If both the class and the domain restrict them, both restrictions apply.
 func (w *wireSettings) kinds(class int) []int {
 	kinds := w.Classes[class].Kinds
 	if class >= len(w.Domain.KindByClass) || w.Domain.KindByClass[class] < 0 {
@@ -175,7 +177,8 @@
 	return slices.DeleteFunc(kinds, func(other int) bool { return other != kind })
 }
 
-// objectiveStretch returns the class's own value, or else the domain's for it.
+// objectiveStretch returns the stretch that the class states or, if it states none,
+// the stretch that the domain states for the class.
 func (w *wireSettings) objectiveStretch(class int) float64 {
 	own := w.Classes[class].ObjectiveStretch
 	switch {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,7 +7,8 @@
 	"hollyyoke.example/hollyyoke/decision"
 )
 
-// The error for a value of the wrong type names the key; unknown keys are ignored.
+// Checks that the error for an invalid value names the key, and that unknown keys are
+// ignored.
 func TestReadNamesTheField(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"limits":{"max_attempts":"three"}}`:            "limits.max_attempts",
@@ -26,7 +27,8 @@
 	}
 }
 
-// A load report is read by either set of names; an unreadable one is empty.
+// Checks that a load report may use either set of names for its values, and that an
+// invalid report counts as empty.
 func TestReadLoadReport(t *testing.T) {
 	settings := decision.Settings{FreeSlots: "x0"}
 	full := decision.LoadReport{
--- a/internal/settings/wire.go
+++ b/internal/settings/wire.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// microseconds is a span on the wire, possibly fractional.
+// microseconds is a duration in the settings object. It may have a fraction.
 type microseconds float64
 
 func (m microseconds) duration() time.Duration { return Microseconds(float64(m)) }
 
-// wireSettings is the settings object. Numbers that are used as integers are
-// decoded as floats, since the wire writes both forms.
+// wireSettings is the settings object. Numbers that are used as integers are decoded
+// as floats, since senders write them with or without a fraction.
 type wireSettings struct {
-	ZoneNames       []string      `json:"areas"`
-	KindNames       []string      `json:"kinds"`
-	OverQuotaWeight float64       `json:"over_share_worth"`
-	WeightBy        string        `json:"worth_by"`
-	Zone            float64       `json:"my_zone"`
-	Peers           float64       `json:"peers_total"`
-	Tick            microseconds  `json:"tick_us"`
-	Discovery       string        `json:"discovery"`
-	Weights         string        `json:"weights"`
-	Rules           wireRules     `json:"rules"`
-	Limits          wireLimits    `json:"limits"`
-	Reporting       wireReporting `json:"reporting"`
-	Prices          wirePrices    `json:"prices"`
-	ClientHabits    wireHabits    `json:"client_habits"`
-	Domain          wireDomain    `json:"domain"`
-	Projects        []wireProject `json:"projects"`
-	Classes         []wireClass   `json:"classes"`
+	ZoneNames       []string         `json:"areas"`
+	KindNames       []string         `json:"kinds"`
+	OverQuotaWeight float64          `json:"over_share_worth"`
+	WeightBy        string           `json:"worth_by"`
+	Zone            float64          `json:"my_zone"`
+	Peers           float64          `json:"peers_total"`
+	Tick            microseconds     `json:"tick_us"`
+	Discovery       string           `json:"discovery"`
+	Weights         string           `json:"weights"`
+	Rules           wireRules        `json:"rules"`
+	Limits          wireLimits       `json:"limits"`
+	Reporting       wireReporting    `json:"reporting"`
+	Prices          wirePrices       `json:"prices"`
+	ClientHabits    wireClientHabits `json:"client_habits"`
+	Domain          wireDomain       `json:"domain"`
+	Projects        []wireProject    `json:"projects"`
+	Classes         []wireClass      `json:"classes"`
 }
 
 type wireRules struct {
@@ -62,18 +62,18 @@
 	CacheMiss float64 `json:"origin"`
 }
 
-type wireHabits struct {
+type wireClientHabits struct {
 	MarkRetries bool `json:"marks_retry"`
 }
 
 type wireDomain struct {
-	KindByClass      []float64    `json:"class_kind"` // negative: any
-	StretchByClass   []float64    `json:"class_stretch"`
-	ProgressInterval microseconds `json:"progress_us"`
-	QueueOrder       string       `json:"queue_order"`
-	StartNotices     bool         `json:"tells_start"`
-	FirstReport      string       `json:"report_x0"` // what a load report's x0 means
-	OtherReport      string       `json:"report_x1"`
+	KindByClass         []float64    `json:"class_kind"` // negative for any kind
+	StretchByClass      []float64    `json:"class_stretch"`
+	ProgressInterval    microseconds `json:"progress_us"`
+	QueueOrder          string       `json:"queue_order"`
+	StartNotices        bool         `json:"tells_start"`
+	FirstReportMeaning  string       `json:"report_x0"` // what the value x0 of load reports means
+	SecondReportMeaning string       `json:"report_x1"` // what the value x1 of load reports means
 }
 
 type wireProject struct {
