--- a/internal/httpfront/drain.go
+++ b/internal/httpfront/drain.go
@@ -86,9 +86,9 @@
 	f.StopAccepting()
 }
 
-// StopReading is the irreversible step of a shutdown. From then on nothing is read from clients, so that no request that
-// arrives later is forwarded. Requests that were read before are served, including those that the poller has read and the
-// loop has not handled yet; incomplete ones are rejected. It does nothing if it has been called before.
+// StopReading is the irreversible step of a shutdown. From then on nothing is read from clients, so that no request
+// that arrives later is forwarded. Requests that were read before are served, including those that the poller has read
+// and the loop has not handled yet; incomplete ones are rejected. It does nothing if it has been called before.
 func (f *FrontEnd) StopReading() {
 	if f.readingStopped {
 		return
--- a/internal/httpfront/drain_test.go
+++ b/internal/httpfront/drain_test.go
@@ -35,9 +35,9 @@
 
 // FuzzDrain checks client connections against a model of a drain. Each byte is a step, either on one of four
 // connections (open it, request /healthz, send the first part of a request or its rest) or on the front end (start a
-// drain, let the notice time or the idle time pass, end the drain). Each complete request must get exactly one response,
-// after which the connection is closed if the model says so. /healthz must return 503 during the drain. Only an idle
-// connection may be closed without a response, and only after the idle time.
+// drain, let the notice time or the idle time pass, end the drain). Each complete request must get exactly one
+// response, after which the connection is closed if the model says so. /healthz must return 503 during the drain. Only
+// an idle connection may be closed without a response, and only after the idle time.
 func FuzzDrain(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3, 4, 1, 3, 5, 1, 8, 10, 11, 16, 17})
 	f.Add([]byte{0, 2, 8, 9, 16, 18, 4, 5, 6, 3, 9, 19, 7, 24, 25, 26, 27})
--- a/internal/httpfront/eviction.go
+++ b/internal/httpfront/eviction.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// hasUnreadRequest reports whether a connection between requests has bytes in its socket that have not been read yet, as
-// happens when the event loop was delayed. Such a connection is not evicted, since a request has arrived on it.
+// hasUnreadRequest reports whether a connection between requests has bytes in its socket that have not been read yet,
+// as happens when the event loop was delayed. Such a connection is not evicted, since a request has arrived on it.
 func (f *FrontEnd) hasUnreadRequest(token connlimit.Token) bool {
 	c := f.connections.Get(uint64(token))
 	return c != nil && c.betweenRequests() && !c.conn.AllRead()
--- a/internal/httpfront/eviction_test.go
+++ b/internal/httpfront/eviction_test.go
@@ -29,8 +29,8 @@
 	checkStatus(t, "the oldest incomplete request", oldest, 503)
 }
 
-// Checks that connections on which no request has been served are evicted first, and that a proven connection stays open
-// even if it is older.
+// Checks that connections on which no request has been served are evicted first, and that a proven connection stays
+// open even if it is older.
 func TestEvictionSparesProvenConnections(t *testing.T) {
 	const maxConnections = 4
 	addr := startEchoFrontEnd(t, ampleMemory, maxConnections)
--- a/internal/httpfront/fairness.go
+++ b/internal/httpfront/fairness.go
@@ -6,8 +6,8 @@
 // handles other events.
 const connectionsPerTurn = 8
 
-// turnState is the state of fair reading, in which the input of connections is read in round-robin order of the clients'
-// addresses.
+// turnState is the state of fair reading, in which the input of connections is read in round-robin order of the
+// clients' addresses.
 type turnState struct {
 	queue   connlimit.RoundRobin // connections with unhandled input, by client address
 	posted  bool                 // takeTurns is in the loop's queue
--- a/internal/httpfront/frontend_test.go
+++ b/internal/httpfront/frontend_test.go
@@ -14,8 +14,8 @@
 )
 
 // FuzzClientConnection checks a client connection against a model: whatever the requests are, and wherever their bytes
-// are split, each gets exactly one response, in order, until a response ends the connection. Every two input bytes are a
-// step: the first selects the request, the second where to split it.
+// are split, each gets exactly one response, in order, until a response ends the connection. Every two input bytes are
+// a step: the first selects the request, the second where to split it.
 func FuzzClientConnection(f *testing.F) {
 	const maxSteps = 20
 	f.Add([]byte{0, 0, 1, 0, 2, 0, 3, 0, 4, 0, 5, 0, 6, 0, 7, 0, 8, 0, 9, 0, 0, 0})
--- a/internal/httpfront/golden_test.go
+++ b/internal/httpfront/golden_test.go
@@ -69,8 +69,8 @@
 	return string(response)
 }
 
-// roundTripKeptAlive is like roundTrip, but for a request that must leave its connection open. It checks this by sending
-// closingRequest after it, whose response it does not return.
+// roundTripKeptAlive is like roundTrip, but for a request that must leave its connection open. It checks this by
+// sending closingRequest after it, whose response it does not return.
 func roundTripKeptAlive(t *testing.T, addr, request string) string {
 	t.Helper()
 	responses := roundTrip(t, addr, request+closingRequest)
@@ -134,8 +134,8 @@
 	goldentest.CompareHTTP(t, "kept.golden", text)
 }
 
-// openDurableService opens a durable service whose jobs end as the first word of their body says: done, discard or lost.
-// A job whose body starts with hold does not end.
+// openDurableService opens a durable service whose jobs end as the first word of their body says: done, discard or
+// lost. A job whose body starts with hold does not end.
 func openDurableService(t *testing.T, rig *testkit.Rig) *durable.Service {
 	t.Helper()
 	config := durable.Config{
@@ -164,8 +164,8 @@
 	return service
 }
 
-// durableRoundTrip sends a request with an idempotency key, and returns the key, the body and the response in the format
-// of the golden file.
+// durableRoundTrip sends a request with an idempotency key, and returns the key, the body and the response in the
+// format of the golden file.
 func durableRoundTrip(t *testing.T, addr, key, body string) string {
 	t.Helper()
 	request := fmt.Sprintf("POST /renewal/k HTTP/1.1\r\nX-Correlation-Id: id\r\nConnection: close\r\n"+
--- a/internal/httpfront/helpers_test.go
+++ b/internal/httpfront/helpers_test.go
@@ -55,8 +55,8 @@
 	return addr
 }
 
-// acceptNamedRequests hands the dispatcher the two requests to whose IDs testkit.Exchanges refers: one that is completed,
-// and one that stays open.
+// acceptNamedRequests hands the dispatcher the two requests to whose IDs testkit.Exchanges refers: one that is
+// completed, and one that stays open.
 func acceptNamedRequests(rig *testkit.Rig) {
 	responses := make(testkit.Responses, 2)
 	rig.Do(func() { // both in one turn of the event loop
--- a/internal/httpfront/idempotency.go
+++ b/internal/httpfront/idempotency.go
@@ -13,14 +13,15 @@
 )
 
 const (
-	// durableResponseMargin is how long before the client's deadline the response is written that a job is not done yet.
+	// durableResponseMargin is how long before the client's deadline the response is written that a job is not done
+	// yet.
 	durableResponseMargin = 20 * time.Millisecond
 	// durableRetryAfter is the Retry-After of responses for a job that is not done yet or could not be stored.
 	durableRetryAfter = time.Second
 )
 
-// SetDurable makes requests with an idempotency key durable in the classes for which durableClasses, indexed by class, is
-// true. Such requests are stored as jobs: requests with the same key get the result of the same job, even after a
+// SetDurable makes requests with an idempotency key durable in the classes for which durableClasses, indexed by class,
+// is true. Such requests are stored as jobs: requests with the same key get the result of the same job, even after a
 // restart. service may be nil while another process has the store; durable requests are rejected until it is set.
 func (f *FrontEnd) SetDurable(service *durable.Service, durableClasses []bool) {
 	f.durable = service
--- a/internal/httpfront/input.go
+++ b/internal/httpfront/input.go
@@ -48,7 +48,8 @@
 	c.updatePause()
 }
 
-// readRequests handles requests until one is incomplete, a response is pending, or maxRequestsPerTurn have been handled.
+// readRequests handles requests until one is incomplete, a response is pending, or maxRequestsPerTurn have been
+// handled.
 func (c *clientConnection) readRequests() error {
 	for count := 0; !c.input.empty() && !c.response.pending && !c.closed; count++ {
 		if count == maxRequestsPerTurn {
--- a/internal/httpfront/inputbuffer.go
+++ b/internal/httpfront/inputbuffer.go
@@ -45,8 +45,8 @@
 	b.refill()
 }
 
-// detach removes the first size bytes, which a request takes up, and returns the buffer that holds them. The caller owns
-// the buffer.
+// detach removes the first size bytes, which a request takes up, and returns the buffer that holds them. The caller
+// owns the buffer.
 func (b *inputBuffer) detach(size int) *transport.Buffer {
 	request := b.pool.Detach(&b.first, size)
 	b.refill()
--- a/internal/httpfront/proxyheader.go
+++ b/internal/httpfront/proxyheader.go
@@ -6,8 +6,8 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-// readProxyHeader reads the PROXY header that a trusted proxy sends first on a connection, and which states the client's
-// address. The bytes after the header are handled as the client's input.
+// readProxyHeader reads the PROXY header that a trusted proxy sends first on a connection, and which states the
+// client's address. The bytes after the header are handled as the client's input.
 func (c *clientConnection) readProxyHeader(b *transport.Buffer) {
 	frontEnd := c.frontEnd
 	if !c.input.addContiguous(b) {
--- a/internal/httpfront/request.go
+++ b/internal/httpfront/request.go
@@ -166,8 +166,8 @@
 	return slots
 }
 
-// dispatch hands a request to the dispatcher, together with the input buffer that holds its body. Bytes after the request
-// move to a new buffer.
+// dispatch hands a request to the dispatcher, together with the input buffer that holds its body. Bytes after the
+// request move to a new buffer.
 func (c *clientConnection) dispatch(message *httpwire.Message, request dispatch.Request) {
 	frontEnd := c.frontEnd
 	buffer := c.input.detach(message.Size)
--- a/internal/httpfront/timeouts.go
+++ b/internal/httpfront/timeouts.go
@@ -8,10 +8,11 @@
 )
 
 const (
-	// firstRequestTimeout is how long after the accept the first request of a connection must be complete, once its first
-	// byte has arrived.
+	// firstRequestTimeout is how long after the accept the first request of a connection must be complete, once its
+	// first byte has arrived.
 	firstRequestTimeout = 2800 * time.Millisecond
-	// requestTimeout is how long after its first byte a request must be complete, even if its bytes keep arriving slowly.
+	// requestTimeout is how long after its first byte a request must be complete, even if its bytes keep arriving
+	// slowly.
 	requestTimeout = 2 * time.Second
 	// lateRequestTimeout is the minimum time that the first request of a connection has after its first byte, if the
 	// client sent nothing for a while after it had connected.
@@ -23,7 +24,8 @@
 
 	// idleTimeout is how long a new connection, or a proven one, may be idle.
 	idleTimeout = 5 * time.Minute
-	// unprovenIdleTimeout is how long a connection may be idle that has sent requests of which no worker has served any.
+	// unprovenIdleTimeout is how long a connection may be idle that has sent requests of which no worker has served
+	// any.
 	unprovenIdleTimeout = 5 * time.Second
 
 	// floodCheckInterval is the time between two checks whether a client sends more than fits into its buffers.
--- a/internal/httpwire/chunked.go
+++ b/internal/httpwire/chunked.go
@@ -22,9 +22,9 @@
 // MidChunk reports whether a part of the current chunk's data has not been read yet.
 func (c *ChunkReader) MidChunk() bool { return c.remaining > 0 }
 
-// Next reads the next part of the body from the start of b: either data, which it returns, or a line of the framing, for
-// which data is nil. used is the number of bytes it has read. If used is 0 without an error, more bytes are needed or
-// the body has ended.
+// Next reads the next part of the body from the start of b: either data, which it returns, or a line of the framing,
+// for which data is nil. used is the number of bytes it has read. If used is 0 without an error, more bytes are needed
+// or the body has ended.
 func (c *ChunkReader) Next(b []byte) (data []byte, used int, err error) {
 	if c.done {
 		return nil, 0, nil
--- a/internal/httpwire/head.go
+++ b/internal/httpwire/head.go
@@ -96,8 +96,8 @@
 }
 
 // Framing returns how the end of the body is determined: by its length in bytes or by chunked encoding. If neither
-// header field is present, length is -1 and chunked is false. More than one length, or a length beside chunked encoding,
-// is an error, because the two peers could see different ends of the message.
+// header field is present, length is -1 and chunked is false. More than one length, or a length beside chunked
+// encoding, is an error, because the two peers could see different ends of the message.
 func (h *Head) Framing() (length int, chunked bool, err error) {
 	length = -1
 	for i := range h.fields[:h.fieldCount] {
@@ -123,8 +123,8 @@
 }
 
 // ParseHead parses a head at the start of b. It returns false without an error while b holds only a part of the head.
-// scanned is the number of bytes at the start of b that are known not to contain the end of the head. The caller sets it
-// to 0 for a new head and passes it again when b has grown, so that no byte is searched repeatedly.
+// scanned is the number of bytes at the start of b that are known not to contain the end of the head. The caller sets
+// it to 0 for a new head and passes it again when b has grown, so that no byte is searched repeatedly.
 func ParseHead(b []byte, head *Head, scanned *int) (complete bool, err error) {
 	const end = "\r\n\r\n"
 	from := max(*scanned-(len(end)-1), 0)
--- a/internal/httpwire/request.go
+++ b/internal/httpwire/request.go
@@ -22,8 +22,8 @@
 	Complete
 )
 
-// ScanState is how far a request has been parsed, so that bytes that arrive one after another are not parsed repeatedly.
-// Its zero value is the state for a request of which nothing has been parsed.
+// ScanState is how far a request has been parsed, so that bytes that arrive one after another are not parsed
+// repeatedly. Its zero value is the state for a request of which nothing has been parsed.
 type ScanState struct {
 	headScanned int // number of bytes that are known not to contain the end of the head
 	needed      int // size of the request in bytes, 0 until the head has stated it; stays 0 for a chunked body
--- a/internal/httpwire/response.go
+++ b/internal/httpwire/response.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// AppendResponse appends a complete response to out and returns the extended slice. retryAfter is written as Retry-After,
-// in seconds, if it is positive; closing adds Connection: close. fields are further header fields, each with its line
-// end.
+// AppendResponse appends a complete response to out and returns the extended slice. retryAfter is written as
+// Retry-After, in seconds, if it is positive; closing adds Connection: close. fields are further header fields, each
+// with its line end.
 func AppendResponse(out []byte, status int, body []byte, retryAfter time.Duration, closing bool, fields string) []byte {
 	out = append(out, "HTTP/1.1 "...)
 	out = strconv.AppendInt(out, int64(status), 10)
--- a/internal/settings/connections.go
+++ b/internal/settings/connections.go
@@ -22,21 +22,21 @@
 	Reserve          int     `toml:"reserve_connections" help:"how many of them unknown clients cannot use; 0 means a quarter of them if there are known or learned clients"`
 	UnknownPerSecond float64 `toml:"unknown_new_per_s" help:"new connections per second of all unknown clients together; 0 means no limit"`
 
-	AddressOpen      int     `toml:"address_open_connections" help:"open connections of one address; 0 means no limit"`
-	AddressOpening   int     `toml:"address_opening_connections" help:"open connections of one address on which no byte has been received; 0 means no limit"`
-	AddressPerSecond float64 `toml:"address_new_per_s" help:"new connections per second of one address; 0 means no limit"`
-	AddressBurst     int     `toml:"address_new_burst" help:"new connections of one address that may come at once; 0 means those of one second"`
-	AddressHalfRead  int     `toml:"address_half_read_requests" help:"incomplete requests of one address; 0 means no limit"`
-	AddressBytes     int     `toml:"address_buffered_bytes" help:"buffered bytes of the incomplete requests of one address; 0 means no limit"`
-
-	PrefixOpen      int     `toml:"prefix_open_connections" help:"open connections of all addresses of one prefix; the following keys also limit these addresses together"`
-	PrefixOpening   int     `toml:"prefix_opening_connections"`
-	PrefixPerSecond float64 `toml:"prefix_new_per_s"`
-	PrefixBurst     int     `toml:"prefix_new_burst"`
-	PrefixHalfRead  int     `toml:"prefix_half_read_requests"`
-	PrefixBytes     int     `toml:"prefix_buffered_bytes"`
-	V4Bits          int     `toml:"prefix_v4_bits" help:"length of an IPv4 prefix; default 24"`
-	V6Bits          int     `toml:"prefix_v6_bits" help:"length of an IPv6 prefix; default 64"`
+	AddressOpen               int     `toml:"address_open_connections" help:"open connections of one address; 0 means no limit"`
+	AddressSilent             int     `toml:"address_opening_connections" help:"open connections of one address on which no byte has been received; 0 means no limit"`
+	AddressPerSecond          float64 `toml:"address_new_per_s" help:"new connections per second of one address; 0 means no limit"`
+	AddressBurst              int     `toml:"address_new_burst" help:"new connections of one address that may come at once; 0 means those of one second"`
+	AddressIncompleteRequests int     `toml:"address_half_read_requests" help:"incomplete requests of one address; 0 means no limit"`
+	AddressBufferedBytes      int     `toml:"address_buffered_bytes" help:"buffered bytes of the incomplete requests of one address; 0 means no limit"`
+
+	PrefixOpen               int     `toml:"prefix_open_connections" help:"open connections of all addresses of one prefix; 0 means no limit"`
+	PrefixSilent             int     `toml:"prefix_opening_connections"`
+	PrefixPerSecond          float64 `toml:"prefix_new_per_s"`
+	PrefixBurst              int     `toml:"prefix_new_burst"`
+	PrefixIncompleteRequests int     `toml:"prefix_half_read_requests"`
+	PrefixBufferedBytes      int     `toml:"prefix_buffered_bytes"`
+	V4Bits                   int     `toml:"prefix_v4_bits" help:"length of an IPv4 prefix; default 24"`
+	V6Bits                   int     `toml:"prefix_v6_bits" help:"length of an IPv6 prefix; default 64"`
 
 	Learn                bool    `toml:"learn" help:"whether addresses whose jobs are served become known clients"`
 	LearnAfterJobs       float64 `toml:"learn_after_jobs" help:"number of served jobs, with decay, after which an address is learned; default 20"`
@@ -152,22 +152,22 @@
 func (c *Connections) addressLimits() connlimit.Limits {
 	return connlimit.Limits{
 		Open:      c.AddressOpen,
-		Opening:   c.AddressOpening,
+		Opening:   c.AddressSilent,
 		PerSecond: c.AddressPerSecond,
 		Burst:     c.AddressBurst,
-		HalfRead:  c.AddressHalfRead,
-		Bytes:     c.AddressBytes,
+		HalfRead:  c.AddressIncompleteRequests,
+		Bytes:     c.AddressBufferedBytes,
 	}
 }
 
 func (c *Connections) prefixLimits() connlimit.Limits {
 	return connlimit.Limits{
 		Open:      c.PrefixOpen,
-		Opening:   c.PrefixOpening,
+		Opening:   c.PrefixSilent,
 		PerSecond: c.PrefixPerSecond,
 		Burst:     c.PrefixBurst,
-		HalfRead:  c.PrefixHalfRead,
-		Bytes:     c.PrefixBytes,
+		HalfRead:  c.PrefixIncompleteRequests,
+		Bytes:     c.PrefixBufferedBytes,
 	}
 }
 
--- a/internal/workerclient/client.go
+++ b/internal/workerclient/client.go
@@ -1,9 +1,9 @@
 // Package workerclient carries attempts to workers over HTTP/1.1: it owns the connections to workers, sends requests
 // and health checks, and reports to the dispatcher how each ended.
 //
-// A Client belongs to the event loop's goroutine; none of its methods may be called from another one. Once the last byte
-// of a request may have been sent, it does not resend the request on its own. It never matches a response to another
-// request than the one that the worker responded to.
+// A Client belongs to the event loop's goroutine; none of its methods may be called from another one. Once the last
+// byte of a request may have been sent, it does not resend the request on its own. It never matches a response to
+// another request than the one that the worker responded to.
 package workerclient
 
 import (
@@ -23,9 +23,9 @@
 	engine     *transport.Engine
 	registry   *discovery.Registry
 
-	connections map[uint64]*connection              // by the handle of the attempt that they carry
-	idle        map[*discovery.Worker][]*connection // by worker, the most recently used connection last
-	out         []byte                              // scratch space in which a request is assembled
+	connections   map[uint64]*connection              // by the handle of the attempt that they carry
+	idle          map[*discovery.Worker][]*connection // by worker, the most recently used connection last
+	requestBuffer []byte                              // scratch space in which a request is assembled
 
 	holdLastByteUntil time.Duration // until then, requests are sent with their last byte held back
 	lastByteDelay     time.Duration // defaultLastByteDelay, or longer in tests, which must act as the worker within it
--- a/internal/workerclient/client_test.go
+++ b/internal/workerclient/client_test.go
@@ -14,9 +14,10 @@
 )
 
 // FuzzWorkerResponses checks a worker connection against a model: whatever the worker responds, and wherever the bytes
-// are split, the request ends with the outcome that testkit.WorkerResponses states, and it arrives at most once, even if
-// the worker has just closed the connection that would be reused. Every two input bytes are a step: the first selects the
-// response, and whether the worker closes its connections before it (closeBefore); the second selects where to split it.
+// are split, the request ends with the outcome that testkit.WorkerResponses states, and it arrives at most once, even
+// if the worker has just closed the connection that would be reused. Every two input bytes are a step: the first
+// selects the response, and whether the worker closes its connections before it (closeBefore); the second selects where
+// to split it.
 func FuzzWorkerResponses(f *testing.F) {
 	const (
 		closeBefore = 64
--- a/internal/workerclient/clientleaves_test.go
+++ b/internal/workerclient/clientleaves_test.go
@@ -11,8 +11,8 @@
 )
 
 // In these tests, a client closes its connection while the event loop is blocked, just before the loop handles an event
-// that would start or send an attempt of the client's request. The kernel has received the close by then, so the attempt
-// must not be sent.
+// that would start or send an attempt of the client's request. The kernel has received the close by then, so the
+// attempt must not be sent.
 
 // The client closes just before the first attempt of its request would be started.
 func TestClientLeavesBeforeFirstAttempt(t *testing.T) {
--- a/internal/workerclient/connection.go
+++ b/internal/workerclient/connection.go
@@ -24,7 +24,8 @@
 	return [...]string{"idle", "awaiting head", "reading body", "dialing"}[s]
 }
 
-// connection is a connection to a worker. It carries one request at a time, which is that of an attempt or a health check.
+// connection is a connection to a worker. It carries one request at a time, which is that of an attempt or a health
+// check.
 //
 //	state         next state, set by                                           what the timer is set for
 //	dialing       idle, by onDialed                                            the connect timeout
@@ -172,9 +173,9 @@
 	c.client.dispatcher.AttemptEnded(handle, result.outcome, result.load, result.body)
 }
 
-// retryUnsent is called when the connection failed before the last byte of the request was sent, so that the request has
-// not run. The attempt is moved to another connection if this one was reused, since the worker may have closed it long
-// ago, or if this is the first new connection that failed. Otherwise the worker counts as unreachable.
+// retryUnsent is called when the connection failed before the last byte of the request was sent, so that the request
+// has not run. The attempt is moved to another connection if this one was reused, since the worker may have closed it
+// long ago, or if this is the first new connection that failed. Otherwise the worker counts as unreachable.
 func (c *connection) retryUnsent() {
 	if !c.reused && c.newConnectionFailed || !c.hasAttempt() {
 		c.fail(decision.ConnectionRefused)
@@ -206,8 +207,8 @@
 	c.fail(decision.ConnectionLost)
 }
 
-// close closes the connection. If the worker has not begun to respond, the connection is reset, so that no more bytes of
-// the request are delivered.
+// close closes the connection. If the worker has not begun to respond, the connection is reset, so that no more bytes
+// of the request are delivered.
 func (c *connection) close() {
 	c.client.loop().Clear(&c.timer)
 	c.response.freeBuffers()
--- a/internal/workerclient/dial_test.go
+++ b/internal/workerclient/dial_test.go
@@ -11,8 +11,8 @@
 )
 
 // Checks that an attempt is sent if no descriptor is free for its connection because idle connections to another worker
-// use them. The client must close those and retry the dial: a lack of descriptors in this process does not mean that the
-// worker is unreachable, and must not end the attempt.
+// use them. The client must close those and retry the dial: a lack of descriptors in this process does not mean that
+// the worker is unreachable, and must not end the attempt.
 func TestAttemptWaitsForADescriptor(t *testing.T) {
 	const (
 		descriptors    = 64
--- a/internal/workerclient/drain.go
+++ b/internal/workerclient/drain.go
@@ -21,9 +21,10 @@
 	return worker.State != decision.Running && now-worker.StateSince > sendGrace(drainGrace)
 }
 
-// WorkerLeaving is called when a worker begins to drain or is removed. Once the grace is over, it abandons requests that
-// have not reached the worker, because they could otherwise arrive later, when a network partition heals. A request has
-// reached a draining worker if the worker's kernel has acknowledged all bytes, and a removed worker only if it responds.
+// WorkerLeaving is called when a worker begins to drain or is removed. Once the grace is over, it abandons requests
+// that have not reached the worker, because they could otherwise arrive later, when a network partition heals. A
+// request has reached a draining worker if the worker's kernel has acknowledged all bytes, and a removed worker only if
+// it responds.
 func (c *Client) WorkerLeaving(worker *discovery.Worker) {
 	const margin = time.Millisecond // since graceOver is false until more than the grace has passed
 	drainGrace := c.dispatcher.Settings.DrainGrace
--- a/internal/workerclient/healthcheck.go
+++ b/internal/workerclient/healthcheck.go
@@ -90,8 +90,9 @@
 	c.close()
 }
 
-// confirmationFailed is called when the worker has not responded to the health check that precedes the attempt's request.
-// If the connection was reused, the worker may have closed it long ago, so the attempt is moved to another connection.
+// confirmationFailed is called when the worker has not responded to the health check that precedes the attempt's
+// request. If the connection was reused, the worker may have closed it long ago, so the attempt is moved to another
+// connection.
 func (c *connection) confirmationFailed() {
 	c.request.kind = attemptRequest
 	if c.reused {
--- a/internal/workerclient/healthcheck_test.go
+++ b/internal/workerclient/healthcheck_test.go
@@ -8,8 +8,8 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// Checks that a health check without a response times out, also on a new connection, and that the connection of a health
-// check with a response is reused for an attempt.
+// Checks that a health check without a response times out, also on a new connection, and that the connection of a
+// health check with a response is reused for an attempt.
 func TestHealthChecks(t *testing.T) {
 	rig := testkit.NewRig(t)
 	worker := testkit.NewScriptedWorker(t)
--- a/internal/workerclient/helpers_test.go
+++ b/internal/workerclient/helpers_test.go
@@ -131,7 +131,8 @@
 // transferClass is the index of the class that withDeduplicatedClass adds.
 const transferClass = testkit.Renewal + 1
 
-// withDeduplicatedClass adds a class whose workers recognize retries within a dedup window, and sets the connect timeout.
+// withDeduplicatedClass adds a class whose workers recognize retries within a dedup window, and sets the connect
+// timeout.
 func withDeduplicatedClass(window, connectTimeout time.Duration) func(*decision.Settings) {
 	return func(settings *decision.Settings) {
 		settings.Classes = append(settings.Classes, decision.Class{
--- a/internal/workerclient/jobupdate.go
+++ b/internal/workerclient/jobupdate.go
@@ -31,9 +31,9 @@
 	Load     json.RawMessage `json:"load"`
 }
 
-// handleUpdate handles a line with a job update. It reports the job's start or progress to the dispatcher, and stores the
-// result of a job that has ended. An empty line is ignored. An update for another request, or with an unknown state, is
-// an error.
+// handleUpdate handles a line with a job update. It reports the job's start or progress to the dispatcher, and stores
+// the result of a job that has ended. An empty line is ignored. An update for another request, or with an unknown
+// state, is an error.
 func (c *connection) handleUpdate(line []byte) error {
 	line = bytes.TrimSpace(line)
 	if len(line) == 0 {
--- a/internal/workerclient/pool.go
+++ b/internal/workerclient/pool.go
@@ -15,8 +15,8 @@
 	// idleMargin is how long before the worker's own idle timeout an idle connection is closed.
 	idleMargin = time.Second
 
-	// defaultReuseDelay is how long a connection must have been idle before a request that is unsafe to retry is sent on
-	// it. A second response to the previous request may arrive some milliseconds late. If that response states that
+	// defaultReuseDelay is how long a connection must have been idle before a request that is unsafe to retry is sent
+	// on it. A second response to the previous request may arrive some milliseconds late. If that response states that
 	// nothing ran, it does not name its request, and would be taken for the response to the new one.
 	defaultReuseDelay = 20 * time.Millisecond
 )
@@ -35,8 +35,8 @@
 // expired reports whether the idle timeout is over at the time now, so that the connection must not be reused.
 func (t idleTimes) expired(now time.Duration) bool { return t.until > 0 && now >= t.until }
 
-// acquire returns an idle connection to a worker or, if there is none, a new one that is still being dialed. retryUnsafe
-// states that the connection is for a request that is unsafe to retry.
+// acquire returns an idle connection to a worker or, if there is none, a new one that is still being dialed.
+// retryUnsafe states that the connection is for a request that is unsafe to retry.
 func (c *Client) acquire(worker *discovery.Worker, retryUnsafe bool) *connection {
 	conn := c.takeIdle(worker, retryUnsafe)
 	if conn == nil {
--- a/internal/workerclient/pool_test.go
+++ b/internal/workerclient/pool_test.go
@@ -130,8 +130,8 @@
 	checkOutcome(t, "on a connection that has been idle for longer", later, dispatch.Served)
 }
 
-// Checks that a connection is not reused after its idle timeout, even if the event loop was delayed and has not closed it
-// yet.
+// Checks that a connection is not reused after its idle timeout, even if the event loop was delayed and has not closed
+// it yet.
 func TestExpiredIdleConnectionIsNotReused(t *testing.T) {
 	rig := testkit.NewRig(t, func(settings *decision.Settings) { settings.ConnectionIdleTimeout = 200 * time.Millisecond })
 	worker := testkit.Listen(t)
--- a/internal/workerclient/request.go
+++ b/internal/workerclient/request.go
@@ -51,11 +51,11 @@
 	var out []byte
 	if c.request.isHealthCheck() {
 		loop.Set(&c.timer, now+c.healthCheckTimeout()) // set here, since a new connection's health check is sent from here too
-		out = c.appendHealthCheck(c.client.out[:0])
+		out = c.appendHealthCheck(c.client.requestBuffer[:0])
 	} else {
-		out = c.appendRequest(c.client.out[:0])
+		out = c.appendRequest(c.client.requestBuffer[:0])
 	}
-	c.client.out = out
+	c.client.requestBuffer = out
 	c.traceWrite(now, len(out))
 	c.state = stateAwaitingHead
 	if !c.writeToSocket(out) {
--- a/internal/workerclient/response.go
+++ b/internal/workerclient/response.go
@@ -48,7 +48,8 @@
 	c.reportResult()
 }
 
-// responseCompleted is called once the whole response has been parsed. It releases the connection and reports the result.
+// responseCompleted is called once the whole response has been parsed. It releases the connection and reports the
+// result.
 func (c *connection) responseCompleted() {
 	c.client.loop().Clear(&c.timer)
 	hasTrailingBytes := len(c.response.parser.unparsed()) > 0
@@ -129,7 +130,8 @@
 	c.response.freeBuffers()
 }
 
-// handleHead handles the head of a response. Any status other than 200 determines the attempt's result without the body.
+// handleHead handles the head of a response. Any status other than 200 determines the attempt's result without the
+// body.
 func (c *connection) handleHead(head *httpwire.Head) error {
 	parser := &c.response.parser
 	c.closeAfterResponse = parser.endsWithConnection() || head.HasToken("Connection", "close")
--- a/internal/workerclient/responseparser.go
+++ b/internal/workerclient/responseparser.go
@@ -42,8 +42,8 @@
 	return p.input.Bytes()[p.parsed:]
 }
 
-// parseHead parses the head of the final response into head, and skips interim responses. It returns false if more bytes
-// are needed.
+// parseHead parses the head of the final response into head, and skips interim responses. It returns false if more
+// bytes are needed.
 func (p *responseParser) parseHead(head *httpwire.Head) (complete bool, err error) {
 	for len(p.unparsed()) > 0 {
 		headComplete, err := httpwire.ParseHead(p.unparsed(), head, &p.headScanned)
@@ -82,8 +82,8 @@
 // endsWithConnection reports whether the body ends only when the connection ends.
 func (p *responseParser) endsWithConnection() bool { return !p.chunked && p.bodyLeft < 0 }
 
-// parseBody parses the next part of the body. It returns false if more bytes are needed. It must not be called after the
-// last part.
+// parseBody parses the next part of the body. It returns false if more bytes are needed. It must not be called after
+// the last part.
 func (p *responseParser) parseBody() (piece bodyPiece, progress bool, err error) {
 	if p.chunked {
 		return p.parseChunk()
--- a/internal/workerclient/responseparser_test.go
+++ b/internal/workerclient/responseparser_test.go
@@ -60,7 +60,8 @@
 	}
 }
 
-// Checks that a response is parsed in the same way wherever its bytes are split, and that bytes after it are not parsed.
+// Checks that a response is parsed in the same way wherever its bytes are split, and that bytes after it are not
+// parsed.
 func TestResponseParser(t *testing.T) {
 	const chunked = testkit.WatchHead
 	tests := map[string]struct {
--- a/internal/workerclient/sendguard.go
+++ b/internal/workerclient/sendguard.go
@@ -8,9 +8,9 @@
 	"hollyyoke.example/hollyyoke/internal/invariant"
 )
 
-// permitSend reports whether the request of the connection's attempt, or its last byte, may be sent now. If not, it ends
-// the attempt, which has never run. The conditions for sending are checked again here because they may have changed since
-// the attempt was started, for example while the connection was being opened.
+// permitSend reports whether the request of the connection's attempt, or its last byte, may be sent now. If not, it
+// ends the attempt, which has never run. The conditions for sending are checked again here because they may have
+// changed since the attempt was started, for example while the connection was being opened.
 func (c *connection) permitSend(now time.Duration) bool {
 	dispatcher := c.client.dispatcher
 	c.attempt.RetryBy = dispatcher.RetryBy(c.handle)
--- a/internal/workerclient/stack_test.go
+++ b/internal/workerclient/stack_test.go
@@ -17,7 +17,7 @@
 type testStack struct {
 	*testkit.Rig
 	t       *testing.T
-	addr    string // of the front end
+	addr    string // address of the front end
 	client  *Client
 	workers []*testkit.Listener
 }
--- a/internal/workerclient/wholerequest_test.go
+++ b/internal/workerclient/wholerequest_test.go
@@ -7,8 +7,8 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// Guards against a claim that an attempt was never sent, made after the whole request was sent. The invariant guard would
-// not accept the claim, but no other test failed when it was made.
+// Guards against a claim that an attempt was never sent, made after the whole request was sent. The invariant guard
+// would not accept the claim, but no other test failed when it was made.
 func TestResetAfterWholeRequestMakesNoNeverSentClaim(t *testing.T) {
 	rig := testkit.NewRig(t)
 	worker := testkit.Listen(t)
