--- a/internal/rehearsal/faultinject/descriptor.go
+++ b/internal/rehearsal/faultinject/descriptor.go
@@ -21,8 +21,8 @@
 	return p.cachedPeerPort(inode, fd) == port
 }
 
-// isFile reports whether a descriptor of the process is a file that it has opened
-// itself; its standard output and error are not.
+// isFile reports whether a descriptor of the process is a file that the process has
+// opened itself. Its standard streams and the files below /dev are not.
 func (p *Process) isFile(fd uint64) bool {
 	if fd <= uint64(syscall.Stderr) {
 		return false
@@ -31,28 +31,28 @@
 	return strings.HasPrefix(target, "/") && !strings.HasPrefix(target, "/dev/")
 }
 
-// descriptorTarget returns what a descriptor refers to, as proc(5) shows it; empty
-// if the descriptor is not open.
+// descriptorTarget returns what a descriptor refers to, as /proc/PID/fd shows it, or an
+// empty string if the descriptor is not open.
 func (p *Process) descriptorTarget(fd uint64) string {
 	target, _ := os.Readlink(fmt.Sprintf("/proc/%d/fd/%d", p.PID, fd))
 	return target
 }
 
-// cachedPeerPort returns the port of a socket's peer; 0: it has none yet.
+// cachedPeerPort returns the port of a socket's peer, or 0 if the socket has no peer yet.
 func (p *Process) cachedPeerPort(inode string, fd uint64) int {
-	port, cached := p.peers[inode]
+	port, cached := p.peerPorts[inode]
 	if cached {
 		return port
 	}
 	port = peerPort(p.PID, int(fd))
 	if port != 0 {
-		p.peers[inode] = port
+		p.peerPorts[inode] = port
 	}
 	return port
 }
 
-// peerPort returns the port of the IPv4 peer of a socket that another process has
-// open; 0: there is none.
+// peerPort returns the port of the IPv4 peer of a socket that another process has open,
+// or 0 if it has none.
 func peerPort(pid, fd int) int {
 	process, err := unix.PidfdOpen(pid, 0)
 	if err != nil {
--- a/internal/rehearsal/faultinject/memory.go
+++ b/internal/rehearsal/faultinject/memory.go
@@ -11,7 +11,7 @@
 // wordBytes is the size of a machine word on amd64.
 const wordBytes = 8
 
-// peek reads a word of the memory of a stopped thread.
+// peek reads one word of a stopped thread's memory.
 func peek(tid int, addr uintptr) (uint64, error) {
 	var word [wordBytes]byte
 	if _, err := syscall.PtracePeekData(tid, addr, word[:]); err != nil {
@@ -20,7 +20,7 @@
 	return binary.LittleEndian.Uint64(word[:]), nil
 }
 
-// poke writes a word to the memory of a stopped thread.
+// poke writes one word to a stopped thread's memory.
 func poke(tid int, addr uintptr, value uint64) error {
 	var word [wordBytes]byte
 	binary.LittleEndian.PutUint64(word[:], value)
--- a/internal/rehearsal/faultinject/plan.go
+++ b/internal/rehearsal/faultinject/plan.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// Call is a group of system calls that fail alike.
+// Call identifies a group of system calls to which a rule applies.
 type Call int
 
-// The calls that a rule may name. SocketRead and SocketWrite do not apply to files;
-// FileWrite and Sync apply to files only.
+// The groups of calls that a rule can name. SocketRead and SocketWrite apply to sockets
+// only, FileWrite and Sync to files only.
 const (
 	SocketRead Call = iota
 	SocketWrite
@@ -22,7 +22,7 @@
 	SetOption
 	FileWrite
 	Sync
-	callCount // the number of groups
+	callCount // number of groups
 )
 
 var callNames = [callCount]string{
@@ -37,18 +37,18 @@
 	Sync:        "sync",
 }
 
-// String returns the name of the system call that the group stands for.
+// String returns the name of the group.
 func (c Call) String() string { return callNames[c] }
 
-// Rule describes how calls of a group fail while the rule is in force.
+// Rule describes how the calls of one group fail while the rule is in force.
 type Rule struct {
 	Call        Call
-	Probability float64       // that a call is affected; 1: every call is
-	Error       syscall.Errno // the call is skipped and returns this error; 0: it is made
-	Short       int           // the most bytes that a read or write transfers, if Error is 0
-	Peer        int           // only connections to this TCP port are affected; 0: all are
-	After       time.Duration // when the rule takes effect, from the start of the program
-	For         time.Duration // how long it is in force; 0: to the end
+	Probability float64       // probability that a matching call is affected; 1 affects every call
+	Error       syscall.Errno // error that the call returns without being made; if 0, the call is made
+	Short       int           // upper limit of the bytes that a read or write transfers; used if Error is 0
+	Peer        int           // the TCP port to which the affected connections lead; 0 affects all connections
+	After       time.Duration // time from the start of the program until the rule takes effect
+	For         time.Duration // how long the rule is in force; 0 keeps it in force until the program ends
 }
 
 // inForce reports whether the rule applies when the program has run for elapsed.
@@ -56,19 +56,19 @@
 	return elapsed >= r.After && (r.For == 0 || elapsed < r.After+r.For)
 }
 
-// Step sets the offset of the wall clock from the true time. It replaces the offset
-// of the step before.
+// Step sets the offset of the program's wall clock from the true time. It replaces the
+// offset of the preceding step.
 type Step struct {
-	After  time.Duration // from the start of the program
+	After  time.Duration // time from the start of the program until the step
 	Offset time.Duration
 }
 
-// Plan lists the faults of a traced program. The seed fixes the sequence of random
-// numbers, but which call each number decides on depends on the machine.
+// Plan lists the faults of a traced program. The seed determines the sequence of random
+// numbers. Which call each number applies to also depends on the timing of the threads.
 type Plan struct {
 	Seed  uint64
-	Rules []Rule // the first one that matches a call and is drawn applies
-	Steps []Step // in the order of their times
+	Rules []Rule // tried in order; the first one that matches a call and is drawn applies
+	Steps []Step // in ascending order of After
 }
 
 // clockOffset returns the offset of the wall clock when the program has run for elapsed.
--- a/internal/rehearsal/faultinject/plan_test.go
+++ b/internal/rehearsal/faultinject/plan_test.go
@@ -20,10 +20,10 @@
 		{2 * time.Second, false, true},
 	} {
 		if got := bounded.inForce(test.elapsed); got != test.bounded {
-			t.Errorf("a bounded rule after %v: %v", test.elapsed, got)
+			t.Errorf("a rule with an end is in force after %v: %v", test.elapsed, got)
 		}
 		if got := unbounded.inForce(test.elapsed); got != test.unbounded {
-			t.Errorf("a rule without end after %v: %v", test.elapsed, got)
+			t.Errorf("a rule without an end is in force after %v: %v", test.elapsed, got)
 		}
 	}
 }
@@ -34,7 +34,7 @@
 		0: 0, time.Second: time.Hour, 2 * time.Second: time.Hour, 3 * time.Second: -time.Minute,
 	} {
 		if got := plan.clockOffset(elapsed); got != want {
-			t.Errorf("the offset after %v is %v, not %v", elapsed, got, want)
+			t.Errorf("the clock offset after %v is %v, want %v", elapsed, got, want)
 		}
 	}
 }
@@ -44,7 +44,7 @@
 	for call := range callCount {
 		name := call.String()
 		if name == "" || seen[name] {
-			t.Errorf("call %d is named %q", int(call), name)
+			t.Errorf("call %d has the empty or duplicate name %q", int(call), name)
 		}
 		seen[name] = true
 	}
--- a/internal/rehearsal/faultinject/process.go
+++ b/internal/rehearsal/faultinject/process.go
@@ -10,33 +10,34 @@
 	"time"
 )
 
-// Process is a program that runs under a plan. Its methods are safe for concurrent use.
+// Process is a traced program that runs under a plan. Its methods are safe for concurrent use.
 type Process struct {
 	PID int // set once Start has returned
 
 	plan       Plan
-	injections [callCount]atomic.Int64 // calls that were made fail or transfer less
+	injections [callCount]atomic.Int64 // by group, number of calls that the plan affected
 
-	// Of the goroutine that runs trace.
-	random  *rand.Rand
-	started time.Time
-	threads map[int]*thread // by thread ID
-	peers   map[string]int  // ports of sockets' peers, by the socket's inode
+	// The fields below are used only by the goroutine that runs trace.
+	random    *rand.Rand
+	started   time.Time
+	threads   map[int]*thread // by thread ID
+	peerPorts map[string]int  // port of each socket's peer, by the socket's inode
 
 	done     chan struct{}      // closed after status and traceErr are set
 	status   syscall.WaitStatus // how the process ended
-	traceErr error              // why tracing ended before the process did
+	traceErr error              // error that ended tracing before the process ended
 }
 
 // Start starts command under plan. The standard output and error of command must be
-// files: with pipes, os/exec would wait for the process, which the tracer must do.
+// files, because only the tracer may wait for the process: with pipes, os/exec would
+// have to wait for it too.
 func Start(command *exec.Cmd, plan Plan) (*Process, error) {
 	p := &Process{
-		plan:    plan,
-		random:  rand.New(rand.NewPCG(plan.Seed, 0)),
-		threads: map[int]*thread{},
-		peers:   map[string]int{},
-		done:    make(chan struct{}),
+		plan:      plan,
+		random:    rand.New(rand.NewPCG(plan.Seed, 0)),
+		threads:   map[int]*thread{},
+		peerPorts: map[string]int{},
+		done:      make(chan struct{}),
 	}
 	started := make(chan error)
 	go p.trace(command, started)
@@ -46,18 +47,18 @@
 	return p, nil
 }
 
-// Injected returns how many calls of a group the plan has made fail or transfer less.
+// Injected returns how many calls of a group the plan has made fail or transfer fewer bytes.
 func (p *Process) Injected(call Call) int64 { return p.injections[call].Load() }
 
 // Done returns a channel that is closed once the process has ended.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Status returns how the process ended, or why it could not be traced to its end.
-// It must not be called before the channel of Done is closed.
+// Status returns how the process ended, or the error that ended tracing before the
+// process ended. It must not be called before the channel of Done is closed.
 func (p *Process) Status() (syscall.WaitStatus, error) { return p.status, p.traceErr }
 
-// Outcome describes how the process ended, or why it could not be traced to its end. It must not be called before
-// the channel of Done is closed.
+// Outcome describes how the process ended, or the error that ended tracing before the process ended. It must not be
+// called before the channel of Done is closed.
 func (p *Process) Outcome() string {
 	if p.traceErr != nil {
 		return p.traceErr.Error()
--- a/internal/rehearsal/faultinject/process_test.go
+++ b/internal/rehearsal/faultinject/process_test.go
@@ -17,7 +17,7 @@
 	"time"
 )
 
-// Environment of the test program when it runs as the traced program.
+// Environment variables of the test binary when it runs as the traced program, and the values of roleVariable.
 const (
 	roleVariable = "FAULTINJECT_ROLE"
 	addrVariable = "FAULTINJECT_ADDR"
@@ -28,7 +28,7 @@
 
 const programTimeout = 30 * time.Second
 
-// The test program itself is what runs under a plan; the environment names its role.
+// TestMain runs the tests, or the role that the environment names: the tests start this binary again as the traced program.
 func TestMain(m *testing.M) {
 	switch os.Getenv(roleVariable) {
 	case roleRead:
@@ -40,11 +40,11 @@
 	}
 }
 
-// manyReads is the number of reads that readToEnd tells from fewer.
-const manyReads = 100
+// minShortReads is the number of reads from which on readToEnd prints true.
+const minShortReads = 100
 
 // readToEnd reads from an address to the end and prints how many bytes arrived, and
-// whether that took at least manyReads reads.
+// whether that took at least minShortReads reads.
 func readToEnd() {
 	conn, err := net.Dial("tcp", os.Getenv(addrVariable))
 	if err != nil {
@@ -62,22 +62,23 @@
 		bytes += n
 		reads++
 	}
-	fmt.Printf("%d bytes, %v\n", bytes, reads >= manyReads)
+	fmt.Printf("%d bytes, %v\n", bytes, reads >= minShortReads)
 }
 
-// Times of the traced program that measures its clocks. The step comes late, so that a program which starts slowly on a
-// busy machine has read its clocks before; it waits for the step for longer than it takes to come.
+// Times for measureClocks. The clock steps late enough that the program has read its clocks before the step, even if it
+// starts slowly on a busy machine. The timeout exceeds the time until the step.
 const (
 	clockStepAfter   = 3 * time.Second
 	clockStepTimeout = 20 * time.Second
 	clockPoll        = 10 * time.Millisecond
 )
 
-// clockReport is what measureClocks prints: by how many seconds the wall clock is ahead of the monotonic clock, and by how
-// many milliseconds the monotonic clock has advanced.
+// clockReport is the format of what measureClocks prints: by how many seconds the wall clock is ahead of the monotonic
+// clock, and by how many milliseconds the monotonic clock has advanced.
 const clockReport = "wall clock ahead by %d s, monotonic clock advanced by %d ms\n"
 
-// measureClocks waits until the wall clock and the monotonic clock disagree by a second, and prints a clockReport then.
+// measureClocks waits until the wall clock and the monotonic clock differ by at least a second, or until a timeout, and
+// prints a clockReport.
 func measureClocks() {
 	start := time.Now()
 	var ahead, monotonic time.Duration
@@ -91,7 +92,7 @@
 	fmt.Printf(clockReport, int(math.Round(ahead.Seconds())), monotonic.Milliseconds())
 }
 
-// run runs the test program in a role under a plan and returns what it printed.
+// run runs the test binary in a role under a plan until it ends, and returns the process and what it printed.
 func run(t *testing.T, plan Plan, role, addr string) (*Process, string) {
 	t.Helper()
 	output, err := os.Create(filepath.Join(t.TempDir(), "output"))
@@ -111,7 +112,7 @@
 	case <-traced.Done():
 	case <-time.After(programTimeout):
 		traced.Signal(syscall.SIGKILL)
-		t.Fatal("the program does not end")
+		t.Fatal("the program has not ended in time")
 	}
 	status, err := traced.Status()
 	if err != nil || !status.Exited() || status.ExitStatus() != 0 {
@@ -124,8 +125,8 @@
 	return traced, string(text)
 }
 
-// startSender starts a server that sends a number of bytes on each connection, and
-// returns its address.
+// startSender starts a server that sends the given number of bytes on each connection
+// and closes it. It returns the server's address.
 func startSender(t *testing.T, bytes int) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -153,8 +154,8 @@
 	if output != "1000 bytes, true\n" {
 		t.Errorf("the program printed %q", output)
 	}
-	if shortened := traced.Injected(SocketRead); shortened < manyReads {
-		t.Errorf("%d reads were shortened, want at least %d", shortened, manyReads)
+	if shortened := traced.Injected(SocketRead); shortened < minShortReads {
+		t.Errorf("%d reads were shortened, want at least %d", shortened, minShortReads)
 	}
 }
 
@@ -213,7 +214,7 @@
 	select {
 	case <-traced.Done():
 	case <-time.After(programTimeout):
-		t.Fatal("the program does not end")
+		t.Fatal("the program has not ended in time")
 	}
 	if got, want := traced.Outcome(), "signal: killed"; got != want {
 		t.Errorf("outcome %q, want %q", got, want)
--- a/internal/rehearsal/faultinject/syscallstop.go
+++ b/internal/rehearsal/faultinject/syscallstop.go
@@ -4,10 +4,11 @@
 
 import "syscall"
 
-// noSyscall as the number of a call makes the kernel skip it.
+// noSyscall is a system call number that makes the kernel skip the call.
 const noSyscall = ^uint64(0)
 
-// handleSyscallStop handles the entry or the exit of a system call; they alternate.
+// handleSyscallStop handles a stop at the entry or at the exit of a system call. The
+// stops of a thread alternate between the two.
 func (p *Process) handleSyscallStop(tid int, stopped *thread) {
 	var registers syscall.PtraceRegs
 	if syscall.PtraceGetRegs(tid, &registers) != nil {
@@ -21,7 +22,8 @@
 	}
 }
 
-// enterSyscall applies the plan's rules to a call that a thread is about to make.
+// enterSyscall applies the plan's rules to a call that a thread is about to make, and
+// notes where a call that reads the wall clock will write it.
 func (p *Process) enterSyscall(tid int, stopped *thread, registers *syscall.PtraceRegs) {
 	stopped.injectedError = 0
 	stopped.timespecAddr = 0
@@ -45,8 +47,8 @@
 	_ = syscall.PtraceSetRegs(tid, registers)
 }
 
-// exitSyscall sets the result of a call that was made to fail, and shifts the wall
-// clock that a call has read.
+// exitSyscall sets the result of a call that the plan made fail, and adds the clock
+// offset to a wall-clock time that the call has read.
 func (p *Process) exitSyscall(tid int, stopped *thread, registers *syscall.PtraceRegs) {
 	if stopped.injectedError != 0 {
 		registers.Rax = uint64(-int64(stopped.injectedError))
@@ -62,7 +64,7 @@
 	}
 }
 
-// drawRule returns the rule that applies to the current call; nil: none does.
+// drawRule returns the rule that applies to the current call, or nil if none does.
 func (p *Process) drawRule(registers *syscall.PtraceRegs) *Rule {
 	elapsed := p.elapsed()
 	for i := range p.plan.Rules {
@@ -71,15 +73,15 @@
 			continue
 		}
 		if rule.Error == 0 && registers.Rdx <= uint64(rule.Short) {
-			return nil // the call is as short already
+			return nil // the call does not transfer more bytes than the rule allows
 		}
 		return rule
 	}
 	return nil
 }
 
-// matches reports whether the current call belongs to the rule's group and, for
-// reads and writes, whether its descriptor is one that the rule names.
+// matches reports whether the current call belongs to the rule's group and, if it reads
+// or writes, whether its descriptor is one to which the rule applies.
 func (p *Process) matches(rule *Rule, registers *syscall.PtraceRegs) bool {
 	number := registers.Orig_rax
 	firstArgument := registers.Rdi
--- a/internal/rehearsal/faultinject/tracer.go
+++ b/internal/rehearsal/faultinject/tracer.go
@@ -10,32 +10,32 @@
 	"time"
 )
 
-// Constants of ptrace(2) and wait(2) that package syscall does not have.
+// Constants of ptrace(2) and wait(2) that package syscall does not define.
 const (
 	ptraceOptionExitKill = 0x100000   // PTRACE_O_EXITKILL
 	waitNoThread         = 0x20000000 // __WNOTHREAD: only children of the calling thread
-	waitAll              = 0x40000000 // __WALL: children that are threads too
+	waitAll              = 0x40000000 // __WALL: also children that are threads
 )
 
 const (
-	// ptraceOptions also makes the tracee die with its tracer.
+	// ptraceOptions includes PTRACE_O_EXITKILL, so that the kernel kills the tracee if its tracer ends.
 	ptraceOptions = syscall.PTRACE_O_TRACESYSGOOD | syscall.PTRACE_O_TRACECLONE | syscall.PTRACE_O_TRACEEXEC | ptraceOptionExitKill
 
-	// syscallStop is the signal of a stop at a system call under PTRACE_O_TRACESYSGOOD.
+	// syscallStop is the signal by which PTRACE_O_TRACESYSGOOD marks a stop at a system call.
 	syscallStop = syscall.SIGTRAP | 0x80
 )
 
-// thread is the state of a traced thread between its stops.
+// thread is what the tracer remembers of a traced thread between its stops.
 type thread struct {
 	started       bool          // its first stop has been handled
-	inCall        bool          // it is between the entry and the exit of a system call
-	injectedError syscall.Errno // what the current call returns; 0: its own result
-	timespecAddr  uint64        // where the current call writes the wall clock; 0: it does not
+	inCall        bool          // the thread is between the entry and the exit of a system call
+	injectedError syscall.Errno // error to return from the current call; 0 leaves its result
+	timespecAddr  uint64        // address to which the current call writes the wall-clock time; 0 if it reads no wall clock
 }
 
-// trace starts the command, reports on started whether that succeeded, and handles
+// trace starts the command, sends the result to started, and handles
 // the stops of the process until it ends. It runs on one operating-system thread,
-// since ptrace binds a tracee to the thread that traces it.
+// because only the thread that attached to a tracee may trace it.
 func (p *Process) trace(command *exec.Cmd, started chan<- error) {
 	runtime.LockOSThread() // never unlocked: the thread ends with the goroutine
 	defer close(p.done)
@@ -57,7 +57,8 @@
 	p.traceErr = p.handleStops()
 }
 
-// attach handles the first stop, which follows the exec, and sets the options.
+// attach handles the first stop of the process, right after the exec, sets the ptrace
+// options and lets the process run.
 func (p *Process) attach() error {
 	var status syscall.WaitStatus
 	if _, err := syscall.Wait4(p.PID, &status, waitNoThread, nil); err != nil {
@@ -75,7 +76,7 @@
 	return syscall.PtraceSyscall(p.PID, 0)
 }
 
-// handleStops handles stops until the process has ended.
+// handleStops handles the stops of all threads until the process has ended.
 func (p *Process) handleStops() error {
 	for {
 		var status syscall.WaitStatus
@@ -95,11 +96,11 @@
 			continue
 		}
 		signal := p.handleStop(tid, status)
-		_ = syscall.PtraceSyscall(tid, int(signal)) // the thread may have been killed meanwhile
+		_ = syscall.PtraceSyscall(tid, int(signal)) // fails if the thread was killed in the meantime
 	}
 }
 
-// handleStop handles one stop and returns the signal to deliver to the thread; 0: none.
+// handleStop handles one stop and returns the signal to deliver to the thread, or 0 for none.
 func (p *Process) handleStop(tid int, status syscall.WaitStatus) syscall.Signal {
 	stopped := p.threads[tid]
 	if stopped == nil {
@@ -115,7 +116,7 @@
 	case signal == syscall.SIGTRAP && status.TrapCause() == syscall.PTRACE_EVENT_EXEC:
 		p.handleExec()
 		return 0
-	case signal == syscall.SIGTRAP && status.TrapCause() > 0: // a clone
+	case signal == syscall.SIGTRAP && status.TrapCause() > 0: // the thread has started another one
 		return 0
 	case signal == syscall.SIGSTOP && !stopped.started: // the first stop of a thread
 		stopped.started = true
@@ -124,11 +125,11 @@
 	return signal
 }
 
-// handleExec handles the stop inside an execve that has replaced the program. Only
-// the one thread is left.
+// handleExec handles the stop inside an execve that has replaced the program. Of the
+// process's threads, only one is left.
 func (p *Process) handleExec() {
 	p.threads = map[int]*thread{p.PID: {started: true, inCall: true}}
 	if len(p.plan.Steps) > 0 {
-		_ = p.hideVDSO() // if that fails, the program sees the true clock
+		_ = p.hideVDSO() // if this fails, the program reads the true time
 	}
 }
--- a/internal/rehearsal/faultinject/wallclock.go
+++ b/internal/rehearsal/faultinject/wallclock.go
@@ -21,19 +21,19 @@
 	auxSysinfoEHDR = 33 // AT_SYSINFO_EHDR: the address of the vDSO
 )
 
-// Layout of a new program's stack, see execve(2).
+// Layout of the initial stack of a program, see execve(2).
 const (
-	auxEntryBytes   = 2 * wordBytes // a type and a value
-	argumentVectors = 2             // the arguments and the environment, each ends with a null
+	auxEntryBytes   = 2 * wordBytes // size of an entry: a type and a value
+	argumentVectors = 2             // the arguments and the environment; a null pointer ends each
 )
 
-// isWallClock reports whether a clock of clock_gettime follows the wall clock.
+// isWallClock reports whether a clock ID of clock_gettime denotes a wall clock.
 func isWallClock(clock uint64) bool {
 	return clock == clockRealtime || clock == clockRealtimeCoarse
 }
 
-// shiftTimespec adds offset, which is in whole seconds, to the struct timespec at an
-// address of the thread's memory.
+// shiftTimespec adds the whole seconds of offset to the struct timespec at an address in
+// the thread's memory.
 func shiftTimespec(tid int, addr uintptr, offset time.Duration) {
 	seconds, err := peek(tid, addr)
 	if err != nil {
@@ -42,9 +42,9 @@
 	_ = poke(tid, addr, seconds+uint64(int64(offset/time.Second)))
 }
 
-// hideVDSO makes the program read its clocks by system calls: it marks the entry of
-// the auxiliary vector that names the vDSO as one to ignore. The process must have
-// stopped right after an exec, with the stack as the kernel has built it.
+// hideVDSO makes the program read its clocks by system calls, which can be traced: it
+// changes the type of the auxiliary vector's entry for the vDSO to AT_IGNORE. The process
+// must be stopped right after an exec, with the stack as the kernel has built it.
 func (p *Process) hideVDSO() error {
 	addr, err := p.auxiliaryVector()
 	if err != nil {
@@ -57,7 +57,7 @@
 		}
 		switch entryType {
 		case auxNull:
-			return nil // the program has no vDSO
+			return nil // the vector has no entry for a vDSO
 		case auxSysinfoEHDR:
 			return poke(p.PID, addr, auxIgnore)
 		}
@@ -65,8 +65,8 @@
 	}
 }
 
-// auxiliaryVector returns the address of the auxiliary vector. It follows the number
-// of arguments, the arguments and the environment on the stack.
+// auxiliaryVector returns the address of the auxiliary vector. On the stack, it follows
+// the number of arguments, the arguments and the environment.
 func (p *Process) auxiliaryVector() (uintptr, error) {
 	var registers syscall.PtraceRegs
 	if err := syscall.PtraceGetRegs(p.PID, &registers); err != nil {
