--- a/internal/rehearsal/childprocess/address.go
+++ b/internal/rehearsal/childprocess/address.go
@@ -9,14 +9,14 @@
 	"sync/atomic"
 )
 
-// Ports lie below those from which Linux picks one itself (32768 and up), so that no other listener or connection takes
-// a port between the choice and the bind of the child, nor while a child is started again.
+// The ports lie below Linux's default range of ephemeral ports, which begins at 32768. Therefore the kernel gives a chosen
+// port to no other listener or connection before the child binds it, nor while a child is restarted.
 const (
 	firstPort = 15000
 	lastPort  = 32000
 	portCount = lastPort - firstPort
 
-	// processStride spreads the first ports of processes that run at once.
+	// processStride, multiplied by the process ID, keeps the first ports of processes that run at the same time apart.
 	processStride = 7919
 )
 
@@ -26,14 +26,14 @@
 	errNoFreePort = errors.New("no port is free")
 )
 
-// reservations are UDP sockets on the ports that this process has chosen. A child's port is free while the child is
-// started again; by these, other processes that choose ports know that it is not theirs.
+// reservations holds a UDP socket for each port that this process has chosen. The TCP port is free while a child is
+// restarted. The UDP socket prevents other processes that use this package from choosing it in the meantime.
 var reservations struct {
 	mutex   sync.Mutex
-	sockets []net.PacketConn // never closed: garbage collection would end a reservation
+	sockets []net.PacketConn // kept open, and referenced here so that garbage collection does not close them
 }
 
-// reserve reserves a port for this process; false: it, or another process, has it.
+// reserve reserves the port of an address for this process. It returns false if this or another process holds the port.
 func reserve(address string) bool {
 	socket, err := net.ListenPacket("udp", address)
 	if err != nil {
@@ -45,8 +45,9 @@
 	return true
 }
 
-// FreeAddress returns a loopback address whose port was free a moment ago, and reserves it against other processes that
-// choose theirs by it. Within a process each port is returned once. It is safe for concurrent use.
+// FreeAddress returns a loopback address with a TCP port that was free when it was checked. It reserves the port, so that
+// FreeAddress in other processes does not return it. Within a process it returns no port twice. It is safe for concurrent
+// use.
 func FreeAddress() (string, error) {
 	start := int64(os.Getpid()) * processStride
 	for range portCount {
--- a/internal/rehearsal/childprocess/address_test.go
+++ b/internal/rehearsal/childprocess/address_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Addresses are free, and differ though none is listened on meanwhile.
+// The returned addresses can be listened on, and they differ although no listener stays open on any of them.
 func TestFreeAddressesDiffer(t *testing.T) {
 	seen := map[string]bool{}
 	for range 20 {
--- a/internal/rehearsal/childprocess/output.go
+++ b/internal/rehearsal/childprocess/output.go
@@ -1,6 +1,6 @@
 // Package childprocess runs programs of this project as child processes of the rehearsal kit and of tests: it starts and
-// stops them, collects their output, reads their memory and chooses addresses for them to listen on. It knows nothing of
-// what the programs do.
+// stops them, collects their output, reads their memory and chooses addresses for them to listen on. It does
+// not depend on what the programs do.
 package childprocess
 
 import (
@@ -8,10 +8,10 @@
 	"sync"
 )
 
-// Output collects the output of a process. It is safe for concurrent use. The zero value keeps everything.
+// Output collects the output of a process. It is safe for concurrent use. The zero value keeps all output.
 type Output struct {
-	// Limit in bytes ends what is kept: once it is reached, later writes are dropped. 0: no limit. It must not change
-	// after the first write.
+	// Limit is a size in bytes. Once the kept output has reached it, later writes are dropped; the write that reaches it
+	// is kept whole. 0 means no limit. It must not change after the first write.
 	Limit int
 
 	mutex sync.Mutex
--- a/internal/rehearsal/childprocess/output_test.go
+++ b/internal/rehearsal/childprocess/output_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Output keeps everything, or ends with the write that reaches its limit.
+// Output without a limit keeps all writes. With a limit, it keeps the writes up to the one that reaches the limit.
 func TestOutputLimit(t *testing.T) {
 	for limit, want := range map[int]string{0: "abcdef", 3: "abcd"} {
 		output := Output{Limit: limit}
--- a/internal/rehearsal/childprocess/process.go
+++ b/internal/rehearsal/childprocess/process.go
@@ -15,17 +15,17 @@
 	// Outcome describes how the process ended. It must not be called before the channel of Done is closed.
 	Outcome() string
 
-	// Signal sends a signal to the process. It returns an error if the process has ended.
+	// Signal sends a signal to the process. It fails if the process has ended.
 	Signal(signal syscall.Signal) error
 }
 
-// Process is a child process that Start has started. It implements Handle.
+// Process is a child process that was started by Start. It implements Handle.
 type Process struct {
 	command *exec.Cmd
 	done    chan struct{}
 }
 
-// Start starts command. The kernel kills the child if this process ends first.
+// Start starts command as a child process. The kernel kills the child if this process ends first.
 func Start(command *exec.Cmd) (*Process, error) {
 	if command.SysProcAttr == nil {
 		command.SysProcAttr = &syscall.SysProcAttr{}
@@ -40,9 +40,10 @@
 	return p, nil
 }
 
-// run starts the child and waits for its end, on a thread of its own, which ends with it. Pdeathsig counts the thread
-// that starts a child as its parent; and a tracer of package faultinject that came to run on that thread would reap the
-// child, whose outcome were lost.
+// run starts the child and waits for its end. It does so on an operating-system thread of its own, which ends when run
+// returns, for two reasons. The kernel sends Pdeathsig when the thread that started the child ends, not when the process
+// does. And a tracer of package faultinject that ran on the same thread would wait for the child as one of its own, so
+// that the child's outcome would be lost.
 func (p *Process) run(started chan<- error) {
 	runtime.LockOSThread()
 	err := p.command.Start()
@@ -54,20 +55,20 @@
 	_ = p.command.Wait() // Outcome describes the end
 }
 
-// PID is the process id.
+// PID returns the process ID.
 func (p *Process) PID() int { return p.command.Process.Pid }
 
 // Done implements Handle.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Outcome implements Handle. The description is that of os.ProcessState.
+// Outcome implements Handle. It returns the text of the os.ProcessState.
 func (p *Process) Outcome() string { return p.command.ProcessState.String() }
 
 // Signal implements Handle.
 func (p *Process) Signal(signal syscall.Signal) error { return p.command.Process.Signal(signal) }
 
-// Stop sends signal to a process and waits for its end. It kills the process, and reports true, if the process has not
-// ended by timeout.
+// Stop sends signal to a process and waits for its end. If the process has not ended after timeout, Stop kills it and
+// returns true.
 func Stop(process Handle, signal syscall.Signal, timeout time.Duration) (killed bool) {
 	_ = process.Signal(signal) // fails only if the process has ended
 	select {
--- a/internal/rehearsal/childprocess/process_test.go
+++ b/internal/rehearsal/childprocess/process_test.go
@@ -42,7 +42,7 @@
 		t.Errorf("outcome %q, want %q", got, want)
 	}
 	if err := process.Signal(syscall.SIGTERM); err == nil {
-		t.Error("a signal to a process that has ended gives no error")
+		t.Error("sending a signal to an ended process succeeded")
 	}
 }
 
@@ -55,7 +55,7 @@
 func TestStopBySignal(t *testing.T) {
 	process := startShell(t, "echo started; exec sleep 60")
 	if Stop(process, syscall.SIGTERM, testTimeout) {
-		t.Error("the process was killed, though SIGTERM ends it")
+		t.Error("the process was killed, although SIGTERM ends it")
 	}
 	if got, want := process.Outcome(), "signal: terminated"; got != want {
 		t.Errorf("outcome %q, want %q", got, want)
@@ -65,7 +65,7 @@
 func TestStopKillsAfterTimeout(t *testing.T) {
 	process := startShell(t, "trap '' TERM; echo started; while :; do sleep 0.05; done")
 	if !Stop(process, syscall.SIGTERM, 100*time.Millisecond) {
-		t.Error("the process ended by a signal that it ignores")
+		t.Error("a process that ignores SIGTERM was not killed")
 	}
 	if got, want := process.Outcome(), "signal: killed"; got != want {
 		t.Errorf("outcome %q, want %q", got, want)
@@ -74,11 +74,11 @@
 
 func TestResidentKiB(t *testing.T) {
 	if resident := ResidentKiB(os.Getpid()); resident <= 0 {
-		t.Errorf("this process has %d KiB of resident memory", resident)
+		t.Errorf("this process has %d KiB of resident memory, want more than 0", resident)
 	}
 	process := startShell(t, "echo started")
 	<-process.Done()
 	if resident := ResidentKiB(process.command.Process.Pid); resident != 0 {
-		t.Errorf("a process that has ended has %d KiB of resident memory", resident)
+		t.Errorf("an ended process has %d KiB of resident memory, want 0", resident)
 	}
 }
