--- a/internal/rehearsal/daemonprocess/daemonprocess.go
+++ b/internal/rehearsal/daemonprocess/daemonprocess.go
@@ -1,5 +1,5 @@
 // Package daemonprocess runs the daemon as a child process of a rehearsal: it starts it, waits until it is ready and
-// stops it. It writes none of the daemon's files. The kernel kills the daemon if this process is killed.
+// stops it. It writes none of the daemon's files. The kernel kills the daemon if this process ends first.
 package daemonprocess
 
 import (
@@ -18,16 +18,16 @@
 // shutdownTimeout is how long a graceful shutdown may take before the daemon is killed.
 const shutdownTimeout = 10 * time.Second
 
-// ErrNotReady says that the daemon was not ready in time.
+// ErrNotReady means that the daemon was not ready within the timeout.
 var ErrNotReady = errors.New("the daemon is not ready")
 
-// Config says how to start a daemon.
+// Config describes how to start a daemon.
 type Config struct {
-	Program     string // path
+	Program     string // path of the executable
 	Arguments   []string
-	Environment []string             // complete: this process's environment is not passed on
-	Files       []*os.File           // inherited, from descriptor 3 on
-	Log         *childprocess.Output // gets the daemon's output
+	Environment []string             // the whole environment; this process's environment is not passed on
+	Files       []*os.File           // files that the daemon inherits, as descriptors from 3 on
+	Log         *childprocess.Output // receives the daemon's standard output and error
 }
 
 // Process is a daemon that was started. Its methods are safe for concurrent use.
@@ -52,14 +52,14 @@
 	return &Process{child: child, log: config.Log, startedAt: startedAt}, nil
 }
 
-// PID is the process id.
+// PID returns the daemon's process ID.
 func (p *Process) PID() int { return p.child.PID() }
 
-// Ended returns a channel that is closed when the daemon has ended.
+// Ended returns a channel that is closed once the daemon has ended.
 func (p *Process) Ended() <-chan struct{} { return p.child.Done() }
 
-// WaitReady polls isReady until it reports true, and returns the time since the start. It fails if the daemon ends
-// before, or with ErrNotReady after the timeout, which counts from the start.
+// WaitReady calls isReady at the given interval until it returns true, and returns the time since the daemon was started.
+// It fails if the daemon ends first, and with ErrNotReady if the daemon is not ready within timeout of its start.
 func (p *Process) WaitReady(isReady func() bool, interval, timeout time.Duration) (time.Duration, error) {
 	for ; ; time.Sleep(interval) {
 		select {
@@ -89,9 +89,10 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// LoggedAddress returns the address that a log line has behind the given text; empty: no complete line has it yet.
-func LoggedAddress(log, before string) string {
-	_, rest, found := strings.Cut(log, before)
+// LoggedAddress returns the address that follows the first occurrence of prefix in a log. It returns an empty string if
+// the prefix was not logged, or the end of the address was not logged yet.
+func LoggedAddress(log, prefix string) string {
+	_, rest, found := strings.Cut(log, prefix)
 	if !found {
 		return ""
 	}
--- a/internal/rehearsal/daemonprocess/daemonprocess_test.go
+++ b/internal/rehearsal/daemonprocess/daemonprocess_test.go
@@ -12,7 +12,7 @@
 
 const pollInterval = time.Millisecond
 
-// startShell starts a shell script in the daemon's place.
+// startShell starts a shell that runs script instead of a daemon, and stops it when the test ends.
 func startShell(t *testing.T, script string) *Process {
 	t.Helper()
 	shell, err := exec.LookPath("sh")
@@ -32,7 +32,7 @@
 	return process
 }
 
-// A process is awaited until it is ready, and ends when it is stopped.
+// WaitReady returns once the process is ready, and Stop ends the process.
 func TestStartAndStop(t *testing.T) {
 	process := startShell(t, "echo 'listening on 127.0.0.1:1234'; exec sleep 60")
 	isReady := func() bool { return LoggedAddress(process.log.String(), "listening on ") == "127.0.0.1:1234" }
@@ -48,33 +48,33 @@
 	}
 }
 
-// A process that ends before it is ready is an error with its output.
+// WaitReady returns an error with the process's output if the process ends before it is ready.
 func TestWaitReadyOfEndedProcess(t *testing.T) {
 	process := startShell(t, "echo 'no such file'; exit 1")
 	<-process.Ended()
 	_, err := process.WaitReady(func() bool { return false }, pollInterval, 10*time.Second)
 	if err == nil || !strings.Contains(err.Error(), "the daemon has ended: no such file") {
-		t.Errorf("%v, want an error with the output", err)
+		t.Errorf("error %v, want one with the output", err)
 	}
 }
 
-// A process that is not ready in time is ErrNotReady.
+// WaitReady returns ErrNotReady if the process is not ready within the timeout.
 func TestWaitReadyTimesOut(t *testing.T) {
 	process := startShell(t, "exec sleep 60")
 	_, err := process.WaitReady(func() bool { return false }, pollInterval, 10*time.Millisecond)
 	if !errors.Is(err, ErrNotReady) {
-		t.Errorf("%v, want %v", err, ErrNotReady)
+		t.Errorf("error %v, want %v", err, ErrNotReady)
 	}
 }
 
-// A program that does not exist is an error of Start.
-func TestStartOfNoProgram(t *testing.T) {
+// Start fails if the program does not exist.
+func TestStartOfMissingProgram(t *testing.T) {
 	if _, err := Start(Config{Program: "/does/not/exist", Log: &childprocess.Output{}}); err == nil {
 		t.Error("a program that does not exist was started")
 	}
 }
 
-// An address is found once its line is complete.
+// An address is found once a character that ends it has been logged.
 func TestLoggedAddress(t *testing.T) {
 	for log, want := range map[string]string{
 		"":                                    "",
