--- a/internal/rehearsal/daemonconfig/daemonconfig.go
+++ b/internal/rehearsal/daemonconfig/daemonconfig.go
@@ -1,11 +1,12 @@
-// Package daemonconfig has the parts of the daemon's configuration file that several rehearsals write. It only describes
-// the file; reading and checking it belongs to the daemon and to package settings, whose names the fields have.
+// Package daemonconfig defines the parts of the daemon's configuration file that several rehearsals write. It only
+// describes the file. The daemon and package settings read and check it; the fields have the names that package settings
+// uses.
 //
-// Fields are in the alphabetical order of their keys, as the files have always been written. Keys that some rehearsals
-// leave out are omitted if they are zero. Durations are in microseconds, as the keys say.
+// The fields are in the alphabetical order of their keys, in which the files have always been written. Keys that some
+// rehearsals leave out are omitted if their values are zero. A field whose name ends in Us holds microseconds.
 package daemonconfig
 
-// Settings is the value of the configuration's key "settings".
+// Settings is the value of the key "settings" in the configuration file.
 type Settings struct {
 	ZoneNames []string      `json:"areas"`
 	Classes   []Class       `json:"classes"`
@@ -32,7 +33,7 @@
 	PriorityWeight     float64     `json:"worth"`
 }
 
-// Idempotency says whether the requests of a class may be retried after they may have run.
+// Idempotency tells whether a request of a class may be retried after an earlier attempt of it may have run.
 type Idempotency string
 
 // The values of Idempotency that rehearsals use.
@@ -41,12 +42,12 @@
 	Fragile   Idempotency = "fragile"
 )
 
-// Domain describes the workers' protocol.
+// Domain describes the protocol that the workers implement.
 type Domain struct {
 	ProgressIntervalUs int    `json:"progress_us,omitempty"`
 	QueueOrder         string `json:"queue_order"`
-	FirstReport        string `json:"report_x0"` // what a load report's x0 means
-	OtherReport        string `json:"report_x1,omitempty"`
+	FirstReport        string `json:"report_x0"`           // meaning of the field x0 of a load report
+	OtherReport        string `json:"report_x1,omitempty"` // meaning of the field x1
 	StartNotices       bool   `json:"tells_start"`
 }
 
@@ -61,7 +62,7 @@
 	Hedging                 bool `json:"second_copies"`
 }
 
-// Reporting says how workers send load reports.
+// Reporting describes how workers send load reports.
 type Reporting struct {
 	Fields []string `json:"fields"`
 	Via    string   `json:"via"`
--- a/internal/rehearsal/daemonconfig/daemonconfig_test.go
+++ b/internal/rehearsal/daemonconfig/daemonconfig_test.go
@@ -7,7 +7,7 @@
 	"hollyyoke.example/hollyyoke/internal/settings"
 )
 
-// The daemon reads settings as they were meant.
+// Package settings, with which the daemon reads its configuration, accepts encoded Settings.
 func TestSettingsAreReadByTheDaemon(t *testing.T) {
 	text, err := json.Marshal(Settings{
 		ZoneNames: []string{"a", "b"},
@@ -34,7 +34,7 @@
 	}
 }
 
-// Keys that a rehearsal does not set are left out.
+// Optional keys that a rehearsal does not set are omitted.
 func TestOptionalKeysAreOmitted(t *testing.T) {
 	text, err := json.Marshal(Settings{})
 	if err != nil {
@@ -46,7 +46,7 @@
 	}
 	for _, key := range []string{"discovery", "reporting", "worth_by"} {
 		if value, found := keys[key]; found {
-			t.Errorf("%s is written as %s", key, value)
+			t.Errorf("the unset key %s is written as %s", key, value)
 		}
 	}
 }
