--- a/internal/rehearsal/processusage/processusage.go
+++ b/internal/rehearsal/processusage/processusage.go
@@ -1,5 +1,5 @@
-// Package processusage reads what a process has used, from outside and by the kernel's accounts. It neither starts nor
-// stops a process.
+// Package processusage reads from the kernel how much processor time and memory another process uses. It neither starts
+// nor stops processes.
 package processusage
 
 import (
@@ -12,13 +12,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// cpuClockSched is the kernel's CPUCLOCK_SCHED: nanoseconds of processor time, over all threads of a process.
+// cpuClockSched is the kernel's CPUCLOCK_SCHED. It selects the clock that counts the processor time of all threads of a
+// process in nanoseconds.
 const cpuClockSched = 2
 
 // CPU returns the processor time that a process has used so far. It fails if there is no such process.
 func CPU(pid int) (time.Duration, error) {
-	// The clock of another process, as clock_getcpuclockid(3) computes it. /proc/PID/stat has the same value with a
-	// resolution of 10 ms.
+	// This is the clock ID that clock_getcpuclockid(3) computes for another process. /proc/PID/stat has the same time, but
+	// only with a resolution of 10 ms.
 	clock := int32(^pid<<3 | cpuClockSched)
 	var used unix.Timespec
 	if err := unix.ClockGettime(clock, &used); err != nil {
@@ -27,13 +28,13 @@
 	return time.Duration(used.Nano()), nil
 }
 
-// Memory is the resident memory of a process, in bytes. A value that the kernel does not give is 0.
+// Memory is the resident memory of a process in bytes. A value that the kernel does not report is 0.
 type Memory struct {
 	Resident     int64
-	PeakResident int64 // the largest so far
+	PeakResident int64 // largest value of Resident so far
 }
 
-// ReadMemory reads the memory of a process. It fails if there is no such process.
+// ReadMemory returns the resident memory of a process. It fails if there is no such process.
 func ReadMemory(pid int) (Memory, error) {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -46,7 +47,8 @@
 	return memory, nil
 }
 
-// statusBytes returns the value of a line of /proc/PID/status that is in kB, in bytes; 0: there is no such line.
+// statusBytes returns, in bytes, the value of a line of /proc/PID/status that is given in kB. It returns 0 if there is no
+// such line.
 func statusBytes(status []byte, key string) int64 {
 	_, rest, found := bytes.Cut(status, []byte("\n"+key))
 	if !found {
--- a/internal/rehearsal/processusage/processusage_test.go
+++ b/internal/rehearsal/processusage/processusage_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// noProcess is beyond the kernel's largest process id.
+// noProcess is larger than the largest process ID of the kernel.
 const noProcess = 1 << 23
 
-// The processor time and memory of this process are read.
+// The processor time and the memory of a running process are more than 0.
 func TestUsageOfThisProcess(t *testing.T) {
 	cpu, err := CPU(os.Getpid())
 	if err != nil || cpu <= 0 {
@@ -19,16 +19,16 @@
 		t.Fatal(err)
 	}
 	if memory.Resident <= 0 || memory.PeakResident < memory.Resident {
-		t.Errorf("%+v, want some memory and a peak of no less", memory)
+		t.Errorf("%+v, want resident memory above 0 and a peak of at least as much", memory)
 	}
 }
 
-// A process that does not exist is an error.
-func TestUsageOfNoProcess(t *testing.T) {
+// CPU and ReadMemory fail if the process does not exist.
+func TestUsageOfMissingProcess(t *testing.T) {
 	if cpu, err := CPU(noProcess); err == nil {
-		t.Errorf("processor time %v of no process", cpu)
+		t.Errorf("processor time %v of a missing process, want an error", cpu)
 	}
 	if memory, err := ReadMemory(noProcess); err == nil {
-		t.Errorf("memory %+v of no process", memory)
+		t.Errorf("memory %+v of a missing process, want an error", memory)
 	}
 }
