--- a/internal/rehearsal/rangecheck/rangecheck_test.go
+++ b/internal/rehearsal/rangecheck/rangecheck_test.go
@@ -17,15 +17,15 @@
 		math.Inf(-1): false,
 	} {
 		if err := Between("key", value, 1, 3); (err == nil) != valid {
-			t.Errorf("%g: %v, want valid %v", value, err, valid)
+			t.Errorf("%g: error %v, want valid %v", value, err, valid)
 		}
 	}
 }
 
-// NaN is not valid, and the error names the key and the limits.
+// NaN is invalid, and the error names the key and the limits.
 func TestErrorNamesKeyAndLimits(t *testing.T) {
 	const want = "net.jitter: NaN is not between 1 and 3"
 	if err := Between("net.jitter", math.NaN(), 1, 3); err == nil || err.Error() != want {
-		t.Errorf("%v, want %s", err, want)
+		t.Errorf("error %v, want %s", err, want)
 	}
 }
