--- a/internal/rehearsal/standin/challenge.go
+++ b/internal/rehearsal/standin/challenge.go
@@ -25,8 +25,9 @@
 
 var errNoAnswer = errors.New("no answer to the challenge")
 
-// signature is a worker's answer to a challenge: a MAC of the nonce, its name and both ends of
-// the connection as it sees them. A proxy that forwards the challenge has other ends.
+// signature returns the MAC by which a worker answers a challenge. It covers the nonce, the
+// worker's name and both addresses of the connection as the worker sees them. If a proxy forwards
+// the challenge, the addresses differ from those that the challenger sees.
 func signature(secret []byte, nonce, name, local, remote string) string {
 	mac := hmac.New(sha256.New, secret)
 	for _, part := range []string{"hollyyoke stand-in", nonce, name, local, remote} {
@@ -35,7 +36,7 @@
 	return hex.EncodeToString(mac.Sum(nil))
 }
 
-// answerChallenge is the worker's side of a challenge.
+// answerChallenge answers a challenge for the worker of the given name.
 func answerChallenge(out http.ResponseWriter, request *http.Request, secret []byte, name string) {
 	local, _ := request.Context().Value(http.LocalAddrContextKey).(net.Addr)
 	nonce := request.URL.Query().Get("nonce")
@@ -46,8 +47,8 @@
 	fmt.Fprintf(out, "%s\n%s\n", name, signature(secret, nonce, name, local.String(), request.RemoteAddr))
 }
 
-// Challenge verifies that the stand-in of the given name, started with the given secret, listens
-// at a loopback address, and that no proxy is in between.
+// Challenge verifies that addr is a loopback address at which the stand-in worker with the given
+// name and secret listens, and that no proxy is between this process and the worker.
 func Challenge(ctx context.Context, addr, name string, secret []byte) error {
 	host, _, err := net.SplitHostPort(addr)
 	hostAddress := net.ParseIP(host)
--- a/internal/rehearsal/standin/daemon.go
+++ b/internal/rehearsal/standin/daemon.go
@@ -17,11 +17,11 @@
 	healthCheckTimeout = time.Second
 	passwordBytes      = 16
 	filePermissions    = 0o600
-	maxOutputBytes     = 1 << 20 // that are kept of the daemon's output
+	maxOutputBytes     = 1 << 20 // the daemon's output is kept up to this size
 )
 
-// startDaemon starts the daemon and waits until it is ready. It inherits its listener, so that
-// nothing but this child can answer at the address.
+// startDaemon starts the daemon and waits until it is ready. The daemon inherits its listener from
+// this process, so that no other process can answer at the address.
 func (f *Fleet) startDaemon() error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -41,7 +41,7 @@
 	f.daemon, err = daemonprocess.Start(daemonprocess.Config{
 		Program:   f.FleetConfig.Daemon,
 		Arguments: arguments,
-		// Nothing else: this process's environment might name workers of others.
+		// This process's environment is not passed on: it might name workers that are no stand-ins.
 		Environment: []string{"BALANCER_FD=3", "TMPDIR=" + f.Dir},
 		Files:       []*os.File{socket},
 		Log:         &f.Log,
@@ -52,7 +52,7 @@
 	return f.awaitReady()
 }
 
-// writeDaemonFiles writes the daemon's files and returns its arguments.
+// writeDaemonFiles writes the daemon's configuration files and returns its command-line arguments.
 func (f *Fleet) writeDaemonFiles() (arguments []string, err error) {
 	text, err := f.config(f.Addr)
 	if err != nil {
--- a/internal/rehearsal/standin/daemonconfig.go
+++ b/internal/rehearsal/standin/daemonconfig.go
@@ -7,8 +7,8 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/daemonconfig"
 )
 
-// daemonConfig is the daemon's configuration file, with the keys that a rehearsal sets. Fields are
-// in the alphabetical order of their keys, as the file's have always been.
+// daemonConfig has the keys of the daemon's configuration file that a rehearsal sets. The fields
+// are in the alphabetical order of their keys, in which the file has always been written.
 type daemonConfig struct {
 	AdminAddr string                `json:"admin_addr"`
 	Discovery string                `json:"discovery"`
@@ -24,13 +24,13 @@
 	Descriptors int `json:"sockets"`
 }
 
-// Units of the settings, which are in microseconds.
+// Units of time for the settings, which are in microseconds.
 const (
 	millisecondUs = 1_000
 	secondUs      = 1_000 * millisecondUs
 )
 
-// config encodes the daemon's configuration.
+// config returns the daemon's configuration file, with listen as the address of the HTTP front end.
 func (f *Fleet) config(listen string) ([]byte, error) {
 	return json.Marshal(daemonConfig{
 		AdminAddr: "127.0.0.1:0",
@@ -43,10 +43,10 @@
 	})
 }
 
-// settings are the daemon's settings, as at the real site.
+// settings returns the daemon's settings, which are those of the production site.
 func (f *Fleet) settings() daemonconfig.Settings {
 	return daemonconfig.Settings{
-		ZoneNames: sites,
+		ZoneNames: zoneNames,
 		Classes:   f.classSettings(),
 		Domain: daemonconfig.Domain{
 			ProgressIntervalUs: secondUs,
@@ -81,8 +81,8 @@
 	}
 }
 
-// classSettings are the classes of the configuration: retryable ones have less weight and a
-// longer latency objective.
+// classSettings returns the settings of the classes. Retryable classes have lower priority weights
+// and longer latency objectives than the others.
 func (f *Fleet) classSettings() (classes []daemonconfig.Class) {
 	for _, class := range f.Classes {
 		settings := daemonconfig.Class{
--- a/internal/rehearsal/standin/discovery.go
+++ b/internal/rehearsal/standin/discovery.go
@@ -9,16 +9,16 @@
 	"time"
 )
 
-// Host is a listed worker in the JSON form of the discovery protocol.
+// Host is the entry of a worker in an endpoint list, in the JSON form of the discovery protocol.
 type Host struct {
-	Host   string  `json:"host"` // name
+	Host   string  `json:"host"` // name of the worker
 	Dial   string  `json:"dial"` // host:port
 	Site   string  `json:"site"`
 	Class  string  `json:"class"` // kind of machine
 	Block  int     `json:"block"`
 	Health string  `json:"health"` // HealthReady, HealthDraining or HealthGone
 	Share  float64 `json:"share"`
-	BornMs int64   `json:"born_ms"` // Unix time of its start; 0: not known
+	BornMs int64   `json:"born_ms"` // Unix time in milliseconds of the worker's start; 0 if it is unknown
 }
 
 // Values of Host.Health.
@@ -28,33 +28,33 @@
 	HealthGone     = "gone" // no longer listed
 )
 
-// listing is an answer of the discovery service: all workers, or those that changed.
+// listing is an answer of the discovery service. It has all workers, or those that have changed.
 type listing struct {
 	Version  int64  `json:"seq"`
 	Complete bool   `json:"whole"`
 	Hosts    []Host `json:"hosts"`
 }
 
-// Discovery is a running discovery service. It serves the list, watches of its changes, and
-// handles calls one at a time, as the real one does. Set changes the list. It is safe for
-// concurrent use; versions never go back.
+// Discovery is a running discovery service. It serves the endpoint list and watches of its changes.
+// It handles calls one at a time, as the production service does. Set changes the list, and each
+// change increases its version. A Discovery is safe for concurrent use.
 type Discovery struct {
 	Addr string
 
-	callTime     time.Duration // that a call takes
-	maxCallWait  time.Duration // that a call waits for others
-	callSlot     chan struct{} // holds an element while a call is handled
+	callTime     time.Duration // how long a call is handled
+	maxCallWait  time.Duration // how long a call waits until no other one is handled
+	callSlot     chan struct{} // contains an element while a call is handled
 	server       *http.Server
 	beforeChange func() // called before a change is published; may be nil
 
-	mutex    sync.Mutex
-	version  int64
-	hosts    map[string]Host
-	order    []string
-	changes  map[string]int64 // by host, the version that changed it last
-	gone     map[string]Host
-	changed  chan struct{} // closed at each change
-	disabled bool
+	mutex   sync.Mutex
+	version int64
+	hosts   map[string]Host  // by name, the listed workers
+	order   []string         // names in the order in which they were listed; may repeat
+	changes map[string]int64 // by name, the version of the list in which the worker changed last
+	gone    map[string]Host  // by name, the removed workers
+	changed chan struct{}    // closed and replaced at each change
+	down    bool
 }
 
 const (
@@ -64,7 +64,7 @@
 )
 
 // StartDiscovery starts a service with an empty list on a loopback port that the kernel chooses.
-// beforeChange, which may be nil, is called before each change is published.
+// Set calls beforeChange, which may be nil, before it changes the list.
 func StartDiscovery(beforeChange func()) (*Discovery, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -89,15 +89,15 @@
 // Close stops the service: watches end and new connections fail.
 func (d *Discovery) Close() error { return d.server.Close() }
 
-// SetDown makes calls fail and ends watches, until it is up again.
+// SetDown makes calls fail and ends all watches while down is true.
 func (d *Discovery) SetDown(down bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.disabled = down
+	d.down = down
 	d.publish()
 }
 
-// Set lists workers or changes how they are listed; HealthGone removes one.
+// Set lists workers or changes their entries. An entry with the health HealthGone removes its worker.
 func (d *Discovery) Set(hosts ...Host) {
 	if d.beforeChange != nil {
 		d.beforeChange()
@@ -124,7 +124,7 @@
 	d.publish()
 }
 
-// publish wakes all who wait for a change. The caller holds the lock.
+// publish wakes all goroutines that wait for a change. The caller holds the lock.
 func (d *Discovery) publish() {
 	close(d.changed)
 	d.changed = make(chan struct{})
@@ -137,14 +137,14 @@
 	return d.changed
 }
 
-// List is the list as it is published now.
+// List returns the workers that are listed now.
 func (d *Discovery) List() []Host {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.complete().Hosts
 }
 
-// complete lists all workers. The caller holds the lock.
+// complete returns a listing of all workers. The caller holds the lock.
 func (d *Discovery) complete() listing {
 	list := listing{Version: d.version, Complete: true, Hosts: []Host{}}
 	seen := map[string]bool{}
@@ -158,7 +158,8 @@
 	return list
 }
 
-// since lists the workers that changed after a version; 0: all. The caller holds the lock.
+// since returns a listing of the workers that changed after a version, or of all workers if the
+// version is 0. The caller holds the lock.
 func (d *Discovery) since(version int64) listing {
 	if version <= 0 {
 		return d.complete()
@@ -177,7 +178,7 @@
 	return list
 }
 
-// ServeHTTP serves the list and its watches.
+// ServeHTTP serves the endpoint list and watches of its changes.
 func (d *Discovery) ServeHTTP(out http.ResponseWriter, request *http.Request) {
 	if request.URL.Path != "/v1/servers" || request.Method != http.MethodGet {
 		http.NotFound(out, request)
@@ -189,10 +190,10 @@
 	time.Sleep(d.callTime)
 	<-d.callSlot
 	d.mutex.Lock()
-	disabled := d.disabled
+	down := d.down
 	list := d.complete()
 	d.mutex.Unlock()
-	if disabled {
+	if down {
 		http.Error(out, "down", http.StatusServiceUnavailable)
 		return
 	}
@@ -201,12 +202,12 @@
 		writeListing(out, list)
 		return
 	}
-	after, _ := strconv.ParseInt(request.URL.Query().Get("after"), 10, 64) // missing: 0, all
+	after, _ := strconv.ParseInt(request.URL.Query().Get("after"), 10, 64) // if it is missing, 0 asks for all workers
 	d.watch(out, request, after)
 }
 
-// takeCallSlot waits until no other call is handled. It reports false if the call has ended, with
-// an answer if it waited too long.
+// takeCallSlot waits until no other call is handled. It returns false if the caller has gone, or if
+// the call has waited too long and was answered with 503.
 func (d *Discovery) takeCallSlot(out http.ResponseWriter, request *http.Request) bool {
 	timeout := time.NewTimer(d.maxCallWait)
 	defer timeout.Stop()
@@ -220,7 +221,8 @@
 	return false
 }
 
-// watch writes the changes after a version as they are published, and blank lines as heartbeats.
+// watch writes the changes after a version, then each later change as it is published, and blank
+// lines as heartbeats.
 func (d *Discovery) watch(out http.ResponseWriter, request *http.Request, after int64) {
 	flush := out.(http.Flusher).Flush
 	heartbeat := time.NewTicker(heartbeatInterval)
@@ -229,9 +231,9 @@
 		d.mutex.Lock()
 		list := d.since(after)
 		changed := d.changed
-		disabled := d.disabled
+		down := d.down
 		d.mutex.Unlock()
-		if disabled {
+		if down {
 			return
 		}
 		if first || list.Version > after {
@@ -252,6 +254,6 @@
 
 // writeListing writes a listing as a line of JSON.
 func writeListing(out http.ResponseWriter, list listing) {
-	text, _ := json.Marshal(list) // strings and numbers always marshal
+	text, _ := json.Marshal(list) // cannot fail for strings and numbers
 	out.Write(append(text, '\n'))
 }
--- a/internal/rehearsal/standin/discovery_test.go
+++ b/internal/rehearsal/standin/discovery_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// startDiscovery starts a service with the workers a and b, until the test ends.
+// startDiscovery starts a service that lists the workers a and b, and stops it when the test ends.
 func startDiscovery(t *testing.T, beforeChange func()) *Discovery {
 	t.Helper()
 	service, err := StartDiscovery(beforeChange)
@@ -24,7 +24,7 @@
 	return service
 }
 
-// request calls a service.
+// request sends a request with the given query to a service.
 func request(t *testing.T, service *Discovery, query string) *http.Response {
 	t.Helper()
 	answer, err := http.Get("http://" + service.Addr + "/v1/servers" + query)
@@ -35,16 +35,16 @@
 	return answer
 }
 
-// watchLines reads the lines of a watch.
+// watchLines reads the lines that a watch receives.
 type watchLines struct{ *bufio.Scanner }
 
-// startWatch watches a service for changes after version 1.
+// startWatch starts a watch of a service for the changes after version 1.
 func startWatch(t *testing.T, service *Discovery) watchLines {
 	t.Helper()
 	return watchLines{bufio.NewScanner(request(t, service, "?watch=1&after=1").Body)}
 }
 
-// next returns the next listing, without the heartbeats before it.
+// next returns the next listing and skips the heartbeats before it.
 func (w watchLines) next(t *testing.T) (list listing) {
 	t.Helper()
 	for w.Scan() {
@@ -60,7 +60,7 @@
 	return listing{}
 }
 
-// A call without a watch gets all workers.
+// A call that is not a watch receives all workers.
 func TestDiscoveryLists(t *testing.T) {
 	service := startDiscovery(t, nil)
 	var list listing
@@ -72,7 +72,7 @@
 	}
 }
 
-// A watch gets each change, and the changes are announced before they are published.
+// A watch receives each change, and beforeChange is called for each change.
 func TestDiscoveryWatch(t *testing.T) {
 	notifications := 0
 	service := startDiscovery(t, func() { notifications++ })
--- a/internal/rehearsal/standin/doc.go
+++ b/internal/rehearsal/standin/doc.go
@@ -1,8 +1,8 @@
-// Package standin provides the surroundings of a dispatcher in a rehearsal, all on loopback
-// sockets: a discovery service, workers that execute jobs by spending their time, the ledger of
-// all executions, and the daemon as a child process.
+// Package standin provides the environment of a dispatcher in a rehearsal, all on loopback sockets:
+// a discovery service, workers that execute a job by waiting for its service time, a ledger of all
+// executions, and the daemon as a child process.
 //
-// It implements the protocols from their description on net/http, and shares no parser with the
-// front ends that it tests. It connects to loopback addresses only, and a worker executes no job
-// that was not announced to the ledger.
+// The package implements the protocols on net/http from their descriptions, and shares no parser
+// with the front ends under test. It connects to loopback addresses only. A worker executes only
+// jobs that were announced to the ledger.
 package standin
--- a/internal/rehearsal/standin/fleet.go
+++ b/internal/rehearsal/standin/fleet.go
@@ -14,26 +14,26 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/daemonprocess"
 )
 
-// ClassConfig is a class of the daemon's configuration.
+// ClassConfig describes a class of requests in the daemon's configuration.
 type ClassConfig struct {
 	Name      string
 	Retryable bool
-	Timeout   time.Duration // the longest that a client of it waits
+	Timeout   time.Duration // deadline of the class
 }
 
-// FleetConfig says what surroundings to start.
+// FleetConfig describes the environment that a Fleet starts.
 type FleetConfig struct {
-	Daemon      string // path of the program
-	Dir         string // for the daemon's files; it must exist
+	Daemon      string // path of the daemon's executable
+	Dir         string // existing directory for the daemon's files
 	Classes     []ClassConfig
-	Workers     int     // default 6; one in three is small and slow, as at the real site
-	Cores       float64 // of each worker; 0: by its kind
+	Workers     int     // number of workers, default 6; one in three is small and slow, as at the production site
+	Cores       float64 // of each worker; 0 uses the number of the worker's kind
 	Seed        uint64
-	Faktory     bool // start the Faktory front end too
-	Descriptors int  // that the daemon's configuration allows; default 4096
-	Noise       float64
+	Faktory     bool    // whether the daemon also starts its Faktory front end
+	Descriptors int     // limit of open descriptors in the daemon's configuration; default 4096
+	Noise       float64 // see WorkerConfig
 
-	Operator string // path of the daemon's operator file; empty: none
+	Operator string // path of the daemon's operator file, or empty for none
 }
 
 const (
@@ -42,44 +42,45 @@
 )
 
 // Fleet is a running rehearsal: workers, a discovery service that lists them, their ledger and
-// gate, and the daemon in front of them. The daemon's configuration and environment name no other
-// worker. It must be closed, and is for one goroutine, but for Ledger, Gate, Log and Discovery.
+// gate, and the daemon that dispatches to them. The daemon's configuration and environment name no
+// other workers. A Fleet must be closed. Only its Ledger, Gate, Log and Discovery are safe for
+// concurrent use.
 type Fleet struct {
 	FleetConfig
 	Ledger      Ledger
 	Gate        Gate
 	Discovery   *Discovery
 	Workers     []*Worker
-	Addr        string // of the HTTP front end
-	FaktoryAddr string // of the Faktory front end; empty: not started
-	Password    string // of the Faktory front end, random, so that no other worker can log in
+	Addr        string // address of the HTTP front end
+	FaktoryAddr string // address of the Faktory front end; empty if it was not started
+	Password    string // password of the Faktory front end; random, so that no worker of another run can log in
 	Log         childprocess.Output
 
 	secret []byte
-	daemon *daemonprocess.Process // nil: not started
+	daemon *daemonprocess.Process // nil until it was started
 	ctx    context.Context
 	cancel context.CancelFunc
 }
 
 const (
 	verifyInterval   = 2 * time.Second
-	warmup           = 6 * time.Second // of workers that are added with a warm-up
+	warmup           = 6 * time.Second // duration of the warm-up of workers that have one
 	workersPerBlock  = 4
 	fleetSecretBytes = 32
 )
 
-// workerKind is a kind of machine, with the figures of the real site.
+// workerKind is a kind of machine. The values are those of the production site.
 type workerKind struct {
 	name  string
-	cores float64
+	slots float64
 	speed float64
 }
 
 var workerKinds = []workerKind{{"standard", 3, 1}, {"standard", 3, 0.9}, {"small", 2, 0.6}}
 
-var sites = []string{"zarqa-east", "russeifa", "hashemiya"}
+var zoneNames = []string{"zarqa-east", "russeifa", "hashemiya"}
 
-// StartFleet starts everything and verifies the workers.
+// StartFleet starts the fleet and verifies its workers.
 func StartFleet(config FleetConfig) (*Fleet, error) {
 	if config.Workers == 0 {
 		config.Workers = defaultWorkers
@@ -119,19 +120,20 @@
 }
 
 // Add starts one more worker and lists it, which closes the gate until the workers are verified
-// again. warmupShare is the share of its speed at which it starts; 0: no warm-up.
+// again. warmupShare is the share of its full speed at which the worker starts; if it is 0, the
+// worker has no warm-up.
 func (f *Fleet) Add(warmupShare float64) (*Worker, error) {
 	index := len(f.Workers)
 	kind := workerKinds[index%len(workerKinds)]
-	cores := kind.cores
+	slots := kind.slots
 	if f.Cores > 0 {
-		cores = f.Cores
+		slots = f.Cores
 	}
 	worker, err := StartWorker(WorkerConfig{
 		Name:         fmt.Sprintf("s-%04d", index+1),
-		Site:         sites[index/len(workerKinds)%len(sites)],
-		Class:        kind.name,
-		Cores:        cores,
+		Zone:         zoneNames[index/len(workerKinds)%len(zoneNames)],
+		Kind:         kind.name,
+		Slots:        slots,
 		Speed:        kind.speed,
 		Noise:        f.Noise,
 		WarmupShare:  warmupShare,
@@ -146,8 +148,8 @@
 	host := Host{
 		Host:   worker.Name,
 		Dial:   worker.Addr,
-		Site:   worker.Site,
-		Class:  worker.Class,
+		Site:   worker.Zone,
+		Class:  worker.Kind,
 		Block:  index / workersPerBlock,
 		Health: HealthReady,
 	}
@@ -158,20 +160,21 @@
 	return worker, nil
 }
 
-// VerifyWorkers challenges all workers that are listed now.
+// VerifyWorkers verifies all workers that are listed now, and opens the gate if they pass.
 func (f *Fleet) VerifyWorkers() error { return f.Gate.Verify(f.ctx, f.Discovery.List(), f.secret) }
 
-// keepVerified verifies the workers again after each change of the list and at intervals.
+// keepVerified verifies the workers after each change of the list and at intervals, until the
+// fleet is closed, the daemon ends or a verification fails.
 func (f *Fleet) keepVerified() {
 	ticker := time.NewTicker(verifyInterval)
 	defer ticker.Stop()
 	for {
 		changed := f.Discovery.nextChange()
 		if f.VerifyWorkers() != nil {
-			return // the gate keeps the failure
+			return // the gate stays closed and reports the failure
 		}
 		select {
-		case <-changed: // during the verification
+		case <-changed: // the list changed during the verification
 			f.Gate.Close()
 			continue
 		default:
@@ -180,7 +183,7 @@
 		case <-f.ctx.Done():
 			return
 		case <-f.daemon.Ended():
-			f.Gate.CloseForGood(errors.New("the daemon has ended"))
+			f.Gate.ClosePermanently(errors.New("the daemon has ended"))
 			return
 		case <-changed:
 			f.Gate.Close()
@@ -189,19 +192,20 @@
 	}
 }
 
-// AdminAddress is the address of the daemon's admin API, from its log; empty: not known yet.
+// AdminAddress returns the address of the daemon's admin API, which it reads from the daemon's log.
+// It is empty if the daemon has not logged it yet.
 func (f *Fleet) AdminAddress() string {
 	_, rest, _ := strings.Cut(f.Log.String(), "admin API at ")
 	addr, _, _ := strings.Cut(rest, "\"")
 	return addr
 }
 
-// CPU is the processor time that the daemon has used; 0: not known.
+// CPU returns the processor time that the daemon has used, or 0 if it cannot be read.
 func (f *Fleet) CPU() time.Duration {
 	const (
 		clockTick   = 10 * time.Millisecond // USER_HZ is 100 on Linux
-		userField   = 11                    // of /proc/PID/stat, behind the command's name
-		systemField = 12
+		userField   = 11                    // index in /proc/PID/stat of the field utime, counted after the command name
+		systemField = 12                    // likewise of the field stime
 	)
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", f.PID()))
 	if err != nil {
@@ -217,10 +221,11 @@
 	return time.Duration(user+system) * clockTick
 }
 
-// PID is the daemon's process id.
+// PID returns the daemon's process ID.
 func (f *Fleet) PID() int { return f.daemon.PID() }
 
-// Close shuts the daemon down gracefully, or kills it if that takes too long, and stops the rest.
+// Close closes the gate, shuts the daemon down gracefully, or kills it if that takes too long, and
+// stops the workers and the discovery service.
 func (f *Fleet) Close() {
 	f.Gate.Close()
 	if f.daemon != nil {
--- a/internal/rehearsal/standin/gate.go
+++ b/internal/rehearsal/standin/gate.go
@@ -7,9 +7,10 @@
 	"sync/atomic"
 )
 
-// Gate says whether jobs that must never reach a real payment system may be sent: only while
-// every listed worker is verified to be a stand-in of this run. What has failed once is not
-// verified again in the same run. It is safe for concurrent use; the zero value is closed.
+// Gate controls whether jobs that must never reach a production payment system may be sent. It is
+// open only while every listed worker is verified to be a stand-in of this run. Once a verification
+// has failed, the gate stays closed for the rest of the run. It is safe for concurrent use. The zero
+// value is a closed gate.
 type Gate struct {
 	open    atomic.Bool
 	mutex   sync.Mutex
@@ -18,10 +19,10 @@
 
 var errNoWorkers = errors.New("no worker is listed")
 
-// IsOpen reports whether all workers behind the dispatcher are verified at this moment.
+// IsOpen reports whether all listed workers are verified now.
 func (g *Gate) IsOpen() bool { return g.open.Load() }
 
-// Failure is the error that closed the gate for the rest of the run; nil: none has.
+// Failure returns the error that closed the gate for the rest of the run, or nil if there is none.
 func (g *Gate) Failure() error {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -31,8 +32,8 @@
 // Close closes the gate until the workers are verified again.
 func (g *Gate) Close() { g.open.Store(false) }
 
-// CloseForGood closes the gate for the rest of the run. The first failure is kept.
-func (g *Gate) CloseForGood(failure error) {
+// ClosePermanently closes the gate for the rest of the run. Failure returns the failure of the first call.
+func (g *Gate) ClosePermanently(failure error) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if g.failure == nil {
@@ -41,14 +42,15 @@
 	g.open.Store(false)
 }
 
-// Verify challenges every listed worker at the address that the dispatcher is given. It opens the
-// gate if all are stand-ins, and otherwise closes it for good and returns the failure.
+// Verify challenges every listed worker at its listed address, which is the one that the dispatcher
+// uses. It opens the gate if all workers pass. Otherwise it closes the gate for the rest of the run
+// and returns the failure.
 func (g *Gate) Verify(ctx context.Context, listed []Host, secret []byte) error {
 	if failure := g.Failure(); failure != nil {
 		return failure
 	}
 	if err := challengeAll(ctx, listed, secret); err != nil {
-		g.CloseForGood(err)
+		g.ClosePermanently(err)
 		return err
 	}
 	g.mutex.Lock()
@@ -59,7 +61,7 @@
 	return g.failure
 }
 
-// challengeAll challenges all listed workers at once and returns the first error.
+// challengeAll challenges all listed workers concurrently and returns the first error.
 func challengeAll(ctx context.Context, listed []Host, secret []byte) error {
 	results := make(chan error, len(listed))
 	challenged := 0
--- a/internal/rehearsal/standin/gate_test.go
+++ b/internal/rehearsal/standin/gate_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// startProxy forwards connections to an address until the test ends.
+// startProxy starts a proxy that forwards connections to target, and returns its address. It stops
+// accepting connections when the test ends.
 func startProxy(t *testing.T, target string) (address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -35,7 +36,8 @@
 	return listener.Addr().String()
 }
 
-// Only the worker itself passes a challenge: not with another secret or name, nor through a proxy.
+// Only the worker itself passes a challenge: one with another secret or name fails, and so does one
+// through a proxy or at an address that is not on loopback.
 func TestChallenge(t *testing.T) {
 	worker, _ := startWorker(t, WorkerConfig{})
 	proxy := startProxy(t, worker.Addr)
@@ -59,7 +61,7 @@
 	}
 }
 
-// The gate opens when all listed workers are verified, and never again after one has failed.
+// The gate opens when all listed workers pass, and never opens again once a worker has failed.
 func TestGate(t *testing.T) {
 	worker, _ := startWorker(t, WorkerConfig{})
 	secret := []byte("secret")
@@ -67,25 +69,25 @@
 	listed := []Host{{Host: "s-1", Dial: worker.Addr, Health: HealthReady}}
 	var gate Gate
 	if gate.IsOpen() {
-		t.Error("the gate is open before a verification")
+		t.Error("the gate is open before the first verification")
 	}
 	if err := gate.Verify(ctx, listed, secret); err != nil || !gate.IsOpen() {
-		t.Errorf("the gate does not open after a verification: %v", err)
+		t.Errorf("the gate is closed after a successful verification: %v", err)
 	}
 	gate.Close()
 	behindProxy := Host{Host: "s-1", Dial: startProxy(t, worker.Addr), Health: HealthDraining}
 	if gate.Verify(ctx, append(listed, behindProxy), secret) == nil || gate.IsOpen() {
-		t.Error("the gate opens although one worker fails")
+		t.Error("the gate is open although one worker failed")
 	}
 	if gate.Verify(ctx, listed, secret) == nil || gate.IsOpen() {
-		t.Error("the gate opens again after it failed")
+		t.Error("the gate is open again after a failed verification")
 	}
 }
 
-// A list without workers is not verified.
+// The verification of an empty list fails.
 func TestGateStaysClosedWithoutWorkers(t *testing.T) {
 	var gate Gate
 	if gate.Verify(context.Background(), nil, nil) == nil || gate.IsOpen() {
-		t.Error("an empty list is verified")
+		t.Error("an empty list passes the verification")
 	}
 }
--- a/internal/rehearsal/standin/golden_test.go
+++ b/internal/rehearsal/standin/golden_test.go
@@ -10,7 +10,7 @@
 	"hollyyoke.example/hollyyoke/internal/goldentest"
 )
 
-// The JSON forms of the discovery protocol and of reports.
+// The keys of the JSON messages of the discovery protocol and of Findings match the golden files.
 func TestGoldenMessages(t *testing.T) {
 	for file, message := range map[string]reflect.Type{
 		"host":     reflect.TypeFor[Host](),
@@ -21,7 +21,7 @@
 	}
 }
 
-// The daemon's configuration file of a rehearsal.
+// The configuration file that a rehearsal writes for the daemon matches the golden file.
 func TestGoldenConfiguration(t *testing.T) {
 	fleet := Fleet{
 		FleetConfig: FleetConfig{
--- a/internal/rehearsal/standin/jobhandler.go
+++ b/internal/rehearsal/standin/jobhandler.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// maxBodyBytes bounds what is read of a request's body.
+// maxBodyBytes is the size of the longest request body that is read completely.
 const maxBodyBytes = 64 << 10
 
-// ServeHTTP takes jobs and challenges.
+// ServeHTTP handles requests for jobs and challenges.
 func (w *Worker) ServeHTTP(out http.ResponseWriter, request *http.Request) {
 	if request.URL.Path == challengePath {
 		answerChallenge(out, request, w.secret, w.Name)
@@ -27,7 +27,7 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(request.Body, maxBodyBytes+1))
 	if err != nil {
-		return // the request is incomplete: nothing is executed
+		return // an incomplete request is not executed
 	}
 	job, ok := w.ledger.accept(id, request.URL.EscapedPath(), len(body))
 	if !ok {
@@ -50,11 +50,12 @@
 	w.execute(request.Context(), job, updates)
 }
 
-// requestedSlots is the number of slots that a request asks for, by its header or its announcement.
+// requestedSlots returns the number of slots that a request asks for in its header, or that were
+// announced for its job if the header has none.
 func requestedSlots(header http.Header, job Job) float64 {
 	slots := max(job.Slots, 1)
-	for fact := range strings.SplitSeq(header.Get("X-Facts"), ",") {
-		name, value, _ := strings.Cut(fact, "=")
+	for property := range strings.SplitSeq(header.Get("X-Facts"), ",") {
+		name, value, _ := strings.Cut(property, "=")
 		if name != "slots" {
 			continue
 		}
@@ -65,8 +66,8 @@
 	return slots
 }
 
-// awaitStart waits until a queued job may start. It reports false if it is returned or its client
-// has left before.
+// awaitStart waits until a queued job may start. It returns false if the worker returns the job, or
+// if the request is canceled first.
 func (w *Worker) awaitStart(ctx context.Context, queued *queuedJob, updates *updateStream) bool {
 	select {
 	case start := <-queued.begin:
@@ -82,7 +83,7 @@
 	}
 }
 
-// execute runs a job and sends its updates.
+// execute runs a job, records it in the ledger and sends its updates.
 func (w *Worker) execute(ctx context.Context, job Job, updates *updateStream) {
 	run := w.ledger.startRun(job.ID, w.Name, time.Now())
 	updates.send(jobUpdate{State: stateStarted})
@@ -103,7 +104,7 @@
 
 // Values of jobUpdate.State.
 const (
-	stateReturned = "returned" // not executed
+	stateReturned = "returned" // the job was not executed
 	stateStarted  = "started"
 	stateRunning  = "running"
 	stateDone     = "done"
@@ -111,22 +112,22 @@
 
 // jobUpdate is a line of the answer to a request.
 type jobUpdate struct {
-	From   string          `json:"from"` // the worker
+	From   string          `json:"from"` // name of the worker
 	ID     string          `json:"id"`
 	Load   json.RawMessage `json:"load,omitempty"` // a loadReport
 	Result string          `json:"result,omitempty"`
-	Share  *float64        `json:"share,omitempty"` // completed
+	Share  *float64        `json:"share,omitempty"` // share of the job that is completed
 	State  string          `json:"state"`
 }
 
-// updateStream is an answer as it is streamed.
+// updateStream is the streamed answer to a request.
 type updateStream struct {
 	out    http.ResponseWriter
 	id     string
 	worker string
 }
 
-// startUpdates sends the header of an answer.
+// startUpdates sends the header of an answer and returns its stream.
 func startUpdates(out http.ResponseWriter, id, worker string) *updateStream {
 	out.Header().Set("Content-Type", "application/x-ndjson")
 	out.WriteHeader(http.StatusOK)
@@ -134,11 +135,11 @@
 	return &updateStream{out: out, id: id, worker: worker}
 }
 
-// send sends an update at once.
+// send sends an update without buffering it.
 func (s *updateStream) send(update jobUpdate) {
 	update.ID = s.id
 	update.From = s.worker
-	line, _ := json.Marshal(update) // strings and numbers always marshal
+	line, _ := json.Marshal(update) // cannot fail for strings, numbers and valid JSON
 	s.out.Write(append(line, '\n'))
 	s.out.(http.Flusher).Flush()
 }
--- a/internal/rehearsal/standin/jobqueue.go
+++ b/internal/rehearsal/standin/jobqueue.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// queuedJob is a job that waits for its slots.
+// queuedJob is a job that waits for free slots and memory.
 type queuedJob struct {
 	slots  float64
 	memory float64
-	begin  chan bool // true: start; false: returned by a draining worker
+	begin  chan bool // receives true when the job starts, or false when a draining worker returns it
 }
 
-// enqueue queues a job. It reports false if the worker has no capacity for it, now or ever.
+// enqueue queues a job. It returns false if the worker rejects the job: if the worker drains, its
+// queue is full, or the job needs more than the worker has.
 func (w *Worker) enqueue(slots float64) (*queuedJob, bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if w.draining || slots > w.Cores || slots > w.Memory || len(w.queue) >= w.QueueLimit {
+	if w.draining || slots > w.Slots || slots > w.Memory || len(w.queue) >= w.QueueLimit {
 		return nil, false
 	}
 	queued := &queuedJob{slots: slots, memory: slots, begin: make(chan bool, 1)}
@@ -25,11 +26,12 @@
 	return queued, true
 }
 
-// startQueued starts jobs in order until one does not fit. The caller holds the lock.
+// startQueued starts queued jobs in order until the next one does not fit. It starts none while the
+// worker is stalled. The caller holds the lock.
 func (w *Worker) startQueued() {
 	for len(w.queue) > 0 && !time.Now().Before(w.stalledUntil) {
 		first := w.queue[0]
-		if w.usedSlots+first.slots > w.Cores || w.usedMemory+first.memory > w.Memory {
+		if w.usedSlots+first.slots > w.Slots || w.usedMemory+first.memory > w.Memory {
 			return
 		}
 		w.queue = w.queue[1:]
@@ -39,7 +41,7 @@
 	}
 }
 
-// abandon takes a job out of the queue. It reports false if the job has been started or returned.
+// abandon removes a job from the queue. It returns false if the job was already started or returned.
 func (w *Worker) abandon(queued *queuedJob) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -52,7 +54,7 @@
 	return true
 }
 
-// release frees the capacity of a job that has ended.
+// release frees the slots and the memory of a job that has ended.
 func (w *Worker) release(slots float64) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -61,9 +63,9 @@
 	w.startQueued()
 }
 
-// Free returns the number of free slots and of queued jobs.
+// Free returns the number of free slots and the number of queued jobs.
 func (w *Worker) Free() (slots float64, queued int) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.Cores - w.usedSlots, len(w.queue)
+	return w.Slots - w.usedSlots, len(w.queue)
 }
--- a/internal/rehearsal/standin/ledger.go
+++ b/internal/rehearsal/standin/ledger.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// Job is a request as its sender announces it before sending it.
+// Job is a request, as its sender announces it before sending it.
 type Job struct {
 	ID          string
 	Class       string
 	Retryable   bool
-	Path        string        // as sent; it must arrive unchanged. Empty: not checked
-	BodyBytes   int           // must arrive unchanged
-	ServiceTime time.Duration // at speed 1
+	Path        string        // path of the request; if not empty, the path and BodyBytes must arrive unchanged
+	BodyBytes   int           // size of the request's body
+	ServiceTime time.Duration // duration of an execution at speed 1
 	Slots       float64
 }
 
-// Execution is one run of a job, as its worker observed it.
+// Execution is one execution of a job, as its worker observed it.
 type Execution struct {
 	Worker    string
 	Start     time.Time
 	End       time.Time
-	Completed bool // otherwise it was canceled or is still running
+	Completed bool // false if the execution was canceled or has not ended
 }
 
 // Ledger records every announced job and all its executions. It is safe for concurrent use, and
@@ -30,7 +30,7 @@
 type Ledger struct {
 	mutex      sync.Mutex
 	jobs       map[string]*jobRecord
-	unexpected []string // requests that were not announced, or modified on the way
+	unexpected []string // descriptions of requests that were not announced or arrived changed
 }
 
 type jobRecord struct {
@@ -38,10 +38,10 @@
 	runs []Execution
 }
 
-// maxUnexpected bounds the unexpected requests that are recorded.
+// maxUnexpected is the number of unexpected requests that are recorded; further ones are dropped.
 const maxUnexpected = 100
 
-// Announce records a job that will be sent. It reports false if the id is taken.
+// Announce records a job that will be sent. It returns false if a job with the same ID was announced.
 func (l *Ledger) Announce(job Job) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -55,15 +55,16 @@
 	return true
 }
 
-// recordUnexpected records a request that must not have arrived. The caller holds the lock.
+// recordUnexpected records a request that was not announced in the form in which it arrived. The
+// caller holds the lock.
 func (l *Ledger) recordUnexpected(description string) {
 	if len(l.unexpected) < maxUnexpected {
 		l.unexpected = append(l.unexpected, description)
 	}
 }
 
-// accept looks up the job of a request that a worker has received completely. It reports false
-// if the request was not announced in this form.
+// accept returns the job of a request that a worker has received completely. It returns false if
+// the request was not announced in this form.
 func (l *Ledger) accept(id, path string, bodyBytes int) (Job, bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -79,8 +80,8 @@
 	return record.Job, true
 }
 
-// startRun records the start of an execution and returns its index among those of the job, which
-// must have been announced.
+// startRun records the start of an execution and returns its index among the executions of the job,
+// which must have been announced.
 func (l *Ledger) startRun(id, worker string, at time.Time) int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -98,7 +99,7 @@
 	execution.Completed = completed
 }
 
-// Runs counts how often a job was started, and how often it completed.
+// Runs returns how often a job was started and how often it was completed.
 func (l *Ledger) Runs(id string) (started, completed int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -114,17 +115,17 @@
 	return len(record.runs), completed
 }
 
-// Findings summarise a ledger.
+// Findings summarize a ledger.
 type Findings struct {
-	Announced  int            `json:"announced"`
-	Executed   int            `json:"executed"`  // jobs that were started at least once
-	Duplicated []string       `json:"ran_twice"` // ids of jobs that must not be retried and were
-	Retried    int            `json:"repeated"`  // jobs that may be retried and were
-	Unexpected []string       `json:"unknown"`   // requests that were not announced in the form they had
-	ByWorker   map[string]int `json:"by_worker"` // executions
+	Announced  int            `json:"announced"` // number of jobs
+	Executed   int            `json:"executed"`  // number of jobs that were started at least once
+	Duplicated []string       `json:"ran_twice"` // IDs of jobs that were executed more than once although they must not be retried
+	Retried    int            `json:"repeated"`  // number of retryable jobs that were executed more than once
+	Unexpected []string       `json:"unknown"`   // requests that were not announced in the form in which they arrived
+	ByWorker   map[string]int `json:"by_worker"` // by worker, number of executions
 }
 
-// Check summarises the ledger.
+// Check returns a summary of the ledger.
 func (l *Ledger) Check() Findings {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -141,7 +142,7 @@
 	return findings
 }
 
-// add counts one job.
+// add adds one job to the findings.
 func (f *Findings) add(record *jobRecord) {
 	for _, run := range record.runs {
 		f.ByWorker[run.Worker]++
@@ -159,7 +160,7 @@
 	}
 }
 
-// ExecutedIDs lists the ids of all jobs that were started, sorted.
+// ExecutedIDs returns the sorted IDs of all jobs that were started.
 func (l *Ledger) ExecutedIDs() (ids []string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/rehearsal/standin/loadreport.go
+++ b/internal/rehearsal/standin/loadreport.go
@@ -8,20 +8,21 @@
 
 // loadReport is a worker's load report in the JSON form of its protocol.
 type loadReport struct {
-	Errors     float64 `json:"eps"` // per second; a stand-in has none
+	Errors     float64 `json:"eps"` // per second; always 0, because a stand-in has no errors
 	Queue      float64 `json:"queue"`
 	FreeSlots  float64 `json:"x0"`
 	FreeMemory float64 `json:"x1"`
 }
 
-// loadSnapshot is a load report and when it was made.
+// loadSnapshot is a load report with the time at which it was made.
 type loadSnapshot struct {
 	madeAt time.Time
 	report loadReport
 }
 
-// report returns the load report to send, which is as old as ReportLag says. ok is false if the
-// worker has stalled before it made one.
+// report returns the load report to send: the latest one that is at least ReportLag old, or the
+// oldest one if none is. It makes a new one if that is due and the worker is not stalled. ok is
+// false if there is none, because the worker has been stalled since before its first report.
 func (w *Worker) report() (report loadReport, ok bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -29,7 +30,7 @@
 	if w.reportIsDue(now) && !now.Before(w.stalledUntil) {
 		w.reports = append(w.reports, loadSnapshot{madeAt: now, report: loadReport{
 			Queue:      float64(len(w.queue)),
-			FreeSlots:  w.Cores - w.usedSlots,
+			FreeSlots:  w.Slots - w.usedSlots,
 			FreeMemory: w.Memory - w.usedMemory,
 		}})
 	}
@@ -51,13 +52,13 @@
 	return now.Sub(latest.madeAt) >= w.ReportInterval
 }
 
-// encodedReport is the load report as JSON; an empty object if there is none.
+// encodedReport returns the load report as JSON, or an empty object if there is none.
 func (w *Worker) encodedReport() json.RawMessage {
 	report, ok := w.report()
 	if !ok {
 		return json.RawMessage("{}")
 	}
-	text, _ := json.Marshal(report) // numbers always marshal
+	text, _ := json.Marshal(report) // cannot fail for finite numbers
 	return text
 }
 
--- a/internal/rehearsal/standin/worker.go
+++ b/internal/rehearsal/standin/worker.go
@@ -15,53 +15,54 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// WorkerConfig says how a worker behaves. Zero values mean the defaults given.
+// WorkerConfig describes how a worker behaves. A zero value stands for the default that the field's
+// comment gives.
 type WorkerConfig struct {
 	Name           string
-	Site           string
-	Class          string        // kind of machine
-	Cores          float64       // slots; default 3
-	Memory         float64       // units; default one for each slot
-	QueueLimit     int           // queued jobs; default 10 for each slot
-	Speed          float64       // default 1
-	Noise          float64       // coefficient of variation of the jobs' times; 0: none
-	WarmupShare    float64       // share of its speed right after its start; 0: no warm-up
-	Warmup         time.Duration // until it has its full speed
-	ReportInterval time.Duration // between load reports; default 1 s
-	ReportLag      time.Duration // age of the load reports it sends
+	Zone           string
+	Kind           string        // kind of machine
+	Slots          float64       // number of slots; default 3
+	Memory         float64       // units of memory, of which a job uses one for each slot; default one for each slot
+	QueueLimit     int           // number of jobs that can wait; default 10 for each slot
+	Speed          float64       // divides the service time of jobs; default 1
+	Noise          float64       // coefficient of variation of the duration of jobs; 0 for no variation
+	WarmupShare    float64       // share of the full speed at which the worker starts; 0 for no warm-up
+	Warmup         time.Duration // time from the start until the worker has its full speed
+	ReportInterval time.Duration // minimum time between two load reports; default 1 s
+	ReportLag      time.Duration // minimum age of the load report that is sent, if there is one so old
 	Seed           uint64
 	SendsReports   bool // whether answers contain load reports
 }
 
 const (
-	defaultCores          = 3
+	defaultSlots          = 3
 	defaultSpeed          = 1
-	queuePerSlot          = 10
+	queueLimitPerSlot     = 10
 	defaultReportInterval = time.Second
 )
 
-// setDefaults replaces zero values.
+// setDefaults replaces zero values by the defaults.
 func (c *WorkerConfig) setDefaults() {
-	if c.Cores == 0 {
-		c.Cores = defaultCores
+	if c.Slots == 0 {
+		c.Slots = defaultSlots
 	}
 	if c.Speed == 0 {
 		c.Speed = defaultSpeed
 	}
 	if c.Memory == 0 {
-		c.Memory = c.Cores
+		c.Memory = c.Slots
 	}
 	if c.QueueLimit == 0 {
-		c.QueueLimit = int(queuePerSlot * c.Cores)
+		c.QueueLimit = int(queueLimitPerSlot * c.Slots)
 	}
 	if c.ReportInterval == 0 {
 		c.ReportInterval = defaultReportInterval
 	}
 }
 
-// Worker is a running worker. It takes jobs over HTTP, starts them strictly in order as slots and
-// memory allow, and streams their progress. Every execution is in the ledger; a request is
-// executed once at most. It is safe for concurrent use.
+// Worker is a running worker. It accepts jobs over HTTP, starts them strictly in order as slots and
+// memory become free, and streams their progress. It records every execution in the ledger, and
+// executes a request at most once. It is safe for concurrent use.
 type Worker struct {
 	WorkerConfig
 	Addr    string
@@ -77,12 +78,12 @@
 	usedMemory   float64
 	draining     bool
 	stalledUntil time.Time
-	slowdown     float64 // factor of the time of jobs that start
+	slowdown     float64 // factor by which jobs that start take longer
 	reports      []loadSnapshot
 }
 
-// StartWorker starts a worker on a loopback port that the kernel chooses. secret is that of its
-// answers to challenges.
+// StartWorker starts a worker on a loopback port that the kernel chooses. The worker signs its
+// answers to challenges with secret.
 func StartWorker(config WorkerConfig, ledger *Ledger, secret []byte) (*Worker, error) {
 	config.setDefaults()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -102,7 +103,7 @@
 	return worker, nil
 }
 
-// newServer makes a server that does not write to the program's log.
+// newServer returns an HTTP server that does not write to the program's log.
 func newServer(handler http.Handler) *http.Server {
 	const (
 		readHeaderTimeout = 5 * time.Second
@@ -130,8 +131,8 @@
 	w.queue = nil
 }
 
-// Stall makes the worker stand still: running jobs make no progress, none is started, and its
-// load reports do not change.
+// Stall stalls the worker for the given time: running jobs make no progress after their current
+// progress interval, no job is started, and the load report does not change.
 func (w *Worker) Stall(duration time.Duration) {
 	w.mutex.Lock()
 	w.stalledUntil = time.Now().Add(duration)
@@ -143,7 +144,7 @@
 	})
 }
 
-// SlowDown multiplies the time of jobs that start from now on.
+// SlowDown multiplies the duration of jobs that start from now on by factor.
 func (w *Worker) SlowDown(factor float64) {
 	const minFactor = 0.01
 	w.mutex.Lock()
@@ -151,7 +152,7 @@
 	w.slowdown = max(factor, minFactor)
 }
 
-// currentSpeed is the worker's speed at this moment.
+// currentSpeed returns the worker's current speed.
 func (w *Worker) currentSpeed() float64 {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -162,8 +163,8 @@
 	return speed
 }
 
-// run spends the time of one execution of a job. onProgress is called with the completed share.
-// It reports false if ctx ended first.
+// run waits for the duration of one execution of a job, and regularly calls onProgress with the
+// completed share. It returns false if ctx ends first.
 func (w *Worker) run(ctx context.Context, job Job, run int, onProgress func(share float64)) bool {
 	const progressInterval = time.Second
 	total := w.runTime(job, run)
@@ -183,26 +184,27 @@
 	return true
 }
 
-// remainingStall is how long the worker still stands still; not positive: it does not.
+// remainingStall returns how long the worker stays stalled. It is not positive if the worker is not
+// stalled.
 func (w *Worker) remainingStall() time.Duration {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return time.Until(w.stalledUntil)
 }
 
-// runTime is the time of an execution in nanoseconds. It depends on the job's id and the number of
-// its earlier runs, and on the worker's speed at this moment.
+// runTime returns the duration of an execution in nanoseconds. It depends on the job's ID, on how
+// often the job was executed before, and on the worker's current speed.
 func (w *Worker) runTime(job Job, run int) float64 {
 	random := rand.New(rand.NewPCG(w.Seed, xxhash.Sum64String(job.ID)+uint64(run)))
 	total := float64(max(job.ServiceTime, time.Microsecond))
 	if w.Noise > 0 {
-		variance := math.Log(1 + w.Noise*w.Noise) // of the logarithm
+		variance := math.Log(1 + w.Noise*w.Noise) // variance of the logarithm of the duration
 		total *= math.Exp(random.NormFloat64()*math.Sqrt(variance) - variance/2)
 	}
 	return total / w.currentSpeed()
 }
 
-// sleep waits. It reports false if ctx ended first.
+// sleep waits for the given time. It returns false if ctx ends first.
 func sleep(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -214,5 +216,5 @@
 	}
 }
 
-// String names the worker and its address.
+// String returns the worker's name and address.
 func (w *Worker) String() string { return fmt.Sprintf("%s at %s", w.Name, w.Addr) }
--- a/internal/rehearsal/standin/worker_test.go
+++ b/internal/rehearsal/standin/worker_test.go
@@ -18,16 +18,17 @@
 	jobBody = "xy"
 )
 
-// runningJob is a job that was sent to a worker.
-type runningJob struct {
+// submittedJob is a job that was sent to a worker, with the answer that is being read.
+type submittedJob struct {
 	t      *testing.T
 	answer *http.Response
 	lines  *bufio.Scanner
-	cancel context.CancelFunc // as if the client had left
+	cancel context.CancelFunc // cancels the request, as when a client leaves
 }
 
 // submit sends a job to a worker and waits for the header of the answer.
-func submit(t *testing.T, worker *Worker, id string, slots float64) *runningJob {
+// The request is canceled when the test ends.
+func submit(t *testing.T, worker *Worker, id string, slots float64) *submittedJob {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -41,17 +42,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &runningJob{t: t, answer: answer, lines: bufio.NewScanner(answer.Body), cancel: cancel}
+	return &submittedJob{t: t, answer: answer, lines: bufio.NewScanner(answer.Body), cancel: cancel}
 }
 
-// receivedUpdate is an update as a client reads it.
+// receivedUpdate is a jobUpdate as a client decodes it.
 type receivedUpdate struct {
-	State string             `json:"state"` // empty behind the last update
+	State string             `json:"state"` // empty if there are no more updates
 	Load  map[string]float64 `json:"load"`
 }
 
-// next reads the next update.
-func (j *runningJob) next() (update receivedUpdate) {
+// next reads the next update. It returns an empty one at the end of the answer.
+func (j *submittedJob) next() (update receivedUpdate) {
 	j.t.Helper()
 	if !j.lines.Scan() {
 		return receivedUpdate{}
@@ -62,8 +63,9 @@
 	return update
 }
 
-// awaitState reads updates up to one of the given state, or to the last one, and returns it.
-func (j *runningJob) awaitState(state string) receivedUpdate {
+// awaitState reads updates until one has the given state, and returns it. It returns an empty one
+// if the answer ends first.
+func (j *submittedJob) awaitState(state string) receivedUpdate {
 	j.t.Helper()
 	for {
 		update := j.next()
@@ -73,7 +75,8 @@
 	}
 }
 
-// startWorker starts a worker until the test ends, and announces jobs to its ledger.
+// startWorker announces jobs to a new ledger and starts a worker with it. The worker is closed when
+// the test ends.
 func startWorker(t *testing.T, config WorkerConfig, jobs ...Job) (*Worker, *Ledger) {
 	t.Helper()
 	ledger := &Ledger{}
@@ -92,7 +95,8 @@
 	return worker, ledger
 }
 
-// reportedFreeSlots is the number of free slots in the worker's load report; -1: it has none.
+// reportedFreeSlots returns the number of free slots in the worker's load report, or -1 if there is
+// no report.
 func reportedFreeSlots(worker *Worker) float64 {
 	report, ok := worker.report()
 	if !ok {
@@ -101,12 +105,12 @@
 	return report.FreeSlots
 }
 
-// waitFor polls until a condition holds, and fails the test after 10 s.
+// waitFor polls until the condition holds, and fails the test after 10 s.
 func waitFor(t *testing.T, description string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("never:", description)
+			t.Fatal("not within 10 s:", description)
 		}
 	}
 }
@@ -120,18 +124,18 @@
 	})
 }
 
-// checkRejected checks that a job was answered as not processed.
-func checkRejected(t *testing.T, name string, job *runningJob) {
+// checkRejected checks that a job was rejected as not processed.
+func checkRejected(t *testing.T, name string, job *submittedJob) {
 	t.Helper()
 	if job.answer.StatusCode != http.StatusServiceUnavailable || job.answer.Header.Get("X-Unprocessed") != "1" {
 		t.Errorf("%s: %+v, want status 503 and X-Unprocessed", name, job.answer)
 	}
 }
 
-// Jobs start strictly in order: a large job that waits delays a small one that would fit. A job
-// that never fits, and one that finds the queue full, are rejected.
+// Jobs start strictly in order: a waiting large job delays a small one that would fit. A job that
+// needs more slots than the worker has is rejected, and so is a job that finds the queue full.
 func TestWorkerStartsJobsInOrder(t *testing.T) {
-	worker, ledger := startWorker(t, WorkerConfig{Cores: 2, QueueLimit: 2},
+	worker, ledger := startWorker(t, WorkerConfig{Slots: 2, QueueLimit: 2},
 		Job{ID: "first", ServiceTime: 300 * time.Millisecond},
 		Job{ID: "large", ServiceTime: time.Millisecond},
 		Job{ID: "small", ServiceTime: time.Millisecond},
@@ -151,7 +155,7 @@
 		t.Errorf("the rejection's load report is %q", report)
 	}
 	checkRejected(t, "a job that never fits", submit(t, worker, "huge", 3))
-	for _, job := range []*runningJob{first, large, small} {
+	for _, job := range []*submittedJob{first, large, small} {
 		if state := job.awaitState(stateDone).State; state != stateDone {
 			t.Fatalf("an answer ended without %q", stateDone)
 		}
@@ -165,9 +169,9 @@
 	}
 }
 
-// A draining worker returns its queued jobs, completes the running one and takes no other.
+// A draining worker returns its queued jobs, completes the running one and rejects new ones.
 func TestDrainingWorker(t *testing.T) {
-	worker, _ := startWorker(t, WorkerConfig{Cores: 1, ReportInterval: time.Millisecond},
+	worker, _ := startWorker(t, WorkerConfig{Slots: 1, ReportInterval: time.Millisecond},
 		Job{ID: "running", ServiceTime: 50 * time.Millisecond},
 		Job{ID: "queued", ServiceTime: time.Millisecond},
 		Job{ID: "late", ServiceTime: time.Hour},
@@ -184,18 +188,18 @@
 		t.Errorf("the running job: %+v, want %q with no free slot", update, stateDone)
 	}
 	if late := submit(t, worker, "late", 1); late.answer.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("a draining worker took a job: %+v", late.answer)
+		t.Errorf("a draining worker did not reject a job: %+v", late.answer)
 	}
 	waitFor(t, "a report of a free slot", func() bool { return reportedFreeSlots(worker) == 1 })
 }
 
-// A stalled worker starts nothing, and its load report does not change.
+// A stalled worker starts no job, and its load report does not change.
 func TestStalledWorker(t *testing.T) {
 	const (
 		stall     = 300 * time.Millisecond
 		tolerance = 10 * time.Millisecond
 	)
-	worker, _ := startWorker(t, WorkerConfig{Cores: 1, ReportInterval: time.Millisecond}, Job{ID: "a"})
+	worker, _ := startWorker(t, WorkerConfig{Slots: 1, ReportInterval: time.Millisecond}, Job{ID: "a"})
 	waitFor(t, "a report of a free slot", func() bool { return reportedFreeSlots(worker) == 1 })
 	stalledAt := time.Now()
 	worker.Stall(stall)
@@ -205,13 +209,14 @@
 	}
 	state := job.next().State
 	if startedAfter := time.Since(stalledAt); state != stateStarted || startedAfter < stall-tolerance {
-		t.Errorf("the job is %q %v after the begin of a stall of %v", state, startedAfter, stall)
+		t.Errorf("the job is %q %v after the beginning of a stall of %v", state, startedAfter, stall)
 	}
 }
 
-// A job that is canceled after its start counts as executed, and its slot is free again.
+// A job that is canceled after its start counts as started but not completed, and its slot becomes
+// free.
 func TestCanceledJob(t *testing.T) {
-	worker, ledger := startWorker(t, WorkerConfig{Cores: 1}, Job{ID: "a", ServiceTime: time.Hour})
+	worker, ledger := startWorker(t, WorkerConfig{Slots: 1}, Job{ID: "a", ServiceTime: time.Hour})
 	job := submit(t, worker, "a", 1)
 	job.next()
 	job.cancel()
@@ -224,8 +229,9 @@
 	}
 }
 
-// Speed, warm-up and slowdown change the time of a job; the ledger finds a second execution.
-func TestWorkerPace(t *testing.T) {
+// Speed, warm-up and slowdown change the duration of a job. The ledger reports a second execution of
+// a job that must not be retried.
+func TestWorkerSpeed(t *testing.T) {
 	const (
 		serviceTime = 50 * time.Millisecond
 		slowdown    = 4
@@ -242,17 +248,17 @@
 	}
 	runs := ledger.jobs["a"].runs
 	if warmingUp := runs[0].End.Sub(runs[0].Start); warmingUp < serviceTime {
-		t.Errorf("%v warming up at twice the speed, want at least %v", warmingUp, serviceTime)
+		t.Errorf("the run during the warm-up took %v, want at least %v", warmingUp, serviceTime)
 	}
 	if slowedDown := runs[1].End.Sub(runs[1].Start); slowedDown < slowdown*serviceTime*99/100 {
-		t.Errorf("%v at a quarter of the speed, want about %v at least", slowedDown, slowdown*serviceTime)
+		t.Errorf("the slowed-down run took %v, want about %v or more", slowedDown, slowdown*serviceTime)
 	}
 	if findings := ledger.Check(); !slices.Equal(findings.Duplicated, []string{"a"}) {
-		t.Errorf("%+v, want the job as duplicated", findings)
+		t.Errorf("%+v, want job a as duplicated", findings)
 	}
 }
 
-// A request that was not announced, or was modified on the way, is not executed and is recorded.
+// A request that was not announced, or that arrives changed, is recorded and not executed.
 func TestUnexpectedJobs(t *testing.T) {
 	worker, ledger := startWorker(t, WorkerConfig{}, Job{ID: "a"})
 	if status := submit(t, worker, "unknown", 1).answer.StatusCode; status != http.StatusBadRequest {
