--- a/internal/rehearsal/soak/claim.go
+++ b/internal/rehearsal/soak/claim.go
@@ -2,10 +2,10 @@
 
 import "sync/atomic"
 
-// claim gives a dispatcher or a worker to one fault at a time. It is safe for concurrent use.
+// claim ensures that at most one fault at a time affects a dispatcher or a worker. It is safe for concurrent use.
 type claim struct{ taken atomic.Bool }
 
-// tryClaim takes the claim. It reports false if another fault has it.
+// tryClaim takes the claim without waiting. It returns false if another fault holds the claim.
 func (c *claim) tryClaim() bool { return c.taken.CompareAndSwap(false, true) }
 
 func (c *claim) release() { c.taken.Store(false) }
--- a/internal/rehearsal/soak/clients.go
+++ b/internal/rehearsal/soak/clients.go
@@ -11,61 +11,64 @@
 	"time"
 )
 
-// The classes of the requests, as the dispatchers' settings list them.
+// The classes of the requests and their timeouts. They must match the dispatchers' settings.
 const (
 	classStatusCheck = "status-check"
 	classRenewal     = "renewal"  // must not be retried
-	classTransfer    = "transfer" // workers recognize a repeat for a while
+	classTransfer    = "transfer" // may be retried within dedupWindow, in which workers recognize a repeated attempt
 
 	statusCheckTimeout = 3 * time.Second
 	renewalTimeout     = 4 * time.Second
 	transferTimeout    = 3 * time.Second
 )
 
-// Headers of requests to the dispatcher and of its attempts.
+// Headers of the requests to a dispatcher and of its attempts at workers.
 const (
 	correlationHeader = "X-Correlation-Id"
 	timeLeftHeader    = "X-Time-Left-Ms"
 )
 
+// Each share is the average number of requests or clients of which one has the property.
 const (
-	renewalShare       = 3           // one in so many requests is a renewal
-	transferShare      = 4           // one in so many of the others is a transfer
-	newConnectionShare = 4           // one in so many comes on a new connection
-	leavingShare       = 5           // one in so many clients closes its connection early,
-	maxLeaveTime       = time.Second // within this time
-	extraBytesShare    = 2           // one in so many of those writes more behind its request before:
-	floodShare         = 2           // one in so many of these up to
-	maxFloodBytes      = 250_000     // bytes, else the beginning of another request
-	largeBodyShare     = 50          // one in so many requests has a large body
-	keys               = 20          // that requests concern
-	dialTimeout        = time.Second
-
-	// unansweredWait is how much longer clients wait than the rules allow, so that what is late is reported as such.
-	unansweredWait = 4 * time.Second
+	renewalShare        = 3           // one request in renewalShare is a renewal
+	transferShare       = 4           // one of the other requests in transferShare is a transfer
+	newConnectionShare  = 4           // one request in newConnectionShare is sent on a new connection
+	earlyCloseShare     = 5           // one client in earlyCloseShare closes its connection early
+	maxEarlyCloseTime   = time.Second // longest time after sending at which such a client closes it
+	extraBytesShare     = 2           // one such client in extraBytesShare writes more bytes after its request
+	manyExtraBytesShare = 2           // one of these in manyExtraBytesShare writes up to maxExtraBytes,
+	maxExtraBytes       = 250_000     // and the others as many as the beginning of a request has
+	largeBodyShare      = 50          // one request in largeBodyShare has a large body
+	keyCount            = 20          // number of keys that the requests use
+	dialTimeout         = time.Second
+
+	// extraAnswerWait is how much longer clients wait than the rules allow, so that a late answer is reported as late
+	// instead of missing.
+	extraAnswerWait = 4 * time.Second
 )
 
-// clientPlan is what one client is to do.
+// clientPlan describes what one client does.
 type clientPlan struct {
 	request       request
-	newConnection bool          // it opens one even where one is idle
-	leaveAfter    time.Duration // the time after which the client closes the connection; 0: it waits for the answer
+	newConnection bool          // the client opens a connection even if an idle one exists
+	closeAfter    time.Duration // time after sending at which the client closes the connection; 0 if it waits for the answer
 }
 
-// largeBodyBytes is the size of a large body: within the protocol's bound, and more than a small receive buffer.
+// largeBodyBytes is the size of a large body. It is within the protocol's limit and exceeds receiveBufferBytes.
 const largeBodyBytes = 48 << 10
 
-// endingRateFactor is how much more often clients send while a dispatcher ends.
-const endingRateFactor = 10
+// shutdownRateFactor multiplies the rate of requests while a dispatcher shuts down.
+const shutdownRateFactor = 10
 
-// sendRequests sends requests to one dispatcher in an open loop, and waits for all answers.
+// sendRequests sends requests to one dispatcher at random intervals, independently of its answers, until ctx ends. It then
+// waits for all answers.
 func (r *run) sendRequests(ctx context.Context, target *daemon, random *rand.Rand) {
 	var clients sync.WaitGroup
 	defer clients.Wait()
 	for number := 0; ; number++ {
 		rate := r.config.Rate
-		if target.isEnding() {
-			rate *= endingRateFactor
+		if target.isShuttingDown() {
+			rate *= shutdownRateFactor
 		}
 		if target.surges.Load() > 0 {
 			rate *= surgeFactor
@@ -79,7 +82,8 @@
 	}
 }
 
-// drawClientPlan draws the class of a request, whether it comes on a new connection, and whether its client leaves early.
+// drawClientPlan draws the class, the key and the size of a request, whether it is sent on a new connection, and whether
+// its client closes the connection early.
 func drawClientPlan(id string, target *daemon, random *rand.Rand) clientPlan {
 	plan := clientPlan{request: request{id: id, class: classStatusCheck, daemon: target, timeout: statusCheckTimeout}}
 	if random.IntN(renewalShare) == 0 {
@@ -90,18 +94,20 @@
 		plan.request.timeout = transferTimeout
 	}
 	plan.newConnection = random.IntN(newConnectionShare) == 0
-	if random.IntN(leavingShare) == 0 {
-		plan.leaveAfter = time.Duration(random.Int64N(int64(maxLeaveTime)))
+	if random.IntN(earlyCloseShare) == 0 {
+		plan.closeAfter = time.Duration(random.Int64N(int64(maxEarlyCloseTime)))
 		plan.request.extraBytes = drawExtraBytes(random)
 	}
-	plan.request.key = random.IntN(keys)
+	plan.request.key = random.IntN(keyCount)
 	large := random.IntN(largeBodyShare) == 0
-	plan.request.largeBody = large && target.tracer == nil // a traced one writes it in some thousand calls, which take seconds
+	// A traced dispatcher would write a large body in some thousand system calls, which take seconds.
+	plan.request.largeBody = large && target.tracer == nil
 	return plan
 }
 
-// runClient sends a request and records it. One that was closed with no answer is sent once more, under an ID of its
-// own, on a new connection: it may have crossed a close.
+// runClient sends a request and records it. If the connection was closed without an answer, runClient sends the request
+// once more, with an ID of its own on a new connection, because the dispatcher may have closed the connection before the
+// request arrived.
 func (r *run) runClient(plan clientPlan) {
 	sent, attempted := plan.execute()
 	if !attempted {
@@ -115,13 +121,13 @@
 	again.request.id += "-again"
 	again.request.resent = true
 	again.newConnection = true
-	again.leaveAfter = 0
+	again.closeAfter = 0
 	again.request.extraBytes = 0
 	r.runClient(again)
 }
 
-// execute sends the request and returns it with what the client observed. attempted is false where the client has no
-// connection and opens none, since its dispatcher is not offered any more.
+// execute sends the request and returns it with what the client observed. attempted is false if the request was not sent
+// because there is no idle connection and the dispatcher accepts no new ones.
 func (p *clientPlan) execute() (sent request, attempted bool) {
 	sent = p.request
 	target := sent.daemon
@@ -130,7 +136,7 @@
 		conn = target.connections.take()
 	}
 	if conn == nil {
-		if !target.admitsNew() {
+		if !target.acceptsNewConnections() {
 			return sent, false
 		}
 		var err error
@@ -144,7 +150,7 @@
 	conn.exchange(&sent, p.waitTime())
 	switch {
 	case conn.isClosed():
-		if p.leaveAfter > 0 && sent.status == 0 && sent.closedAt.IsZero() {
+		if p.closeAfter > 0 && sent.status == 0 && sent.closedAt.IsZero() {
 			sent.clientLeftAt = time.Now()
 		}
 	default:
@@ -153,16 +159,16 @@
 	return sent, true
 }
 
-// waitTime is how long the client waits for an answer. A client that does not leave early waits
-// longer than the rules allow, so that late and missing answers are reported as what they are.
+// waitTime returns how long the client waits for an answer. A client that does not close the
+// connection early waits longer than the rules allow, so that a late answer is reported as late.
 func (p *clientPlan) waitTime() time.Duration {
-	if p.leaveAfter > 0 {
-		return p.leaveAfter
+	if p.closeAfter > 0 {
+		return p.closeAfter
 	}
-	return p.request.timeout + answerSlack + unansweredWait
+	return p.request.timeout + answerSlack + extraAnswerWait
 }
 
-// writeRequest writes a request; readAnswer notices a failure.
+// writeRequest writes a request. It ignores errors, since reading the answer then fails too.
 func writeRequest(conn net.Conn, sent *request) {
 	body := "job"
 	if sent.largeBody {
@@ -175,19 +181,19 @@
 	}
 }
 
-// drawExtraBytes draws how many bytes a client that leaves writes behind its request.
+// drawExtraBytes draws how many bytes a client that closes its connection early writes after its request.
 func drawExtraBytes(random *rand.Rand) int {
 	const beginningOfRequest = 10
 	switch {
 	case random.IntN(extraBytesShare) > 0:
 		return 0
-	case random.IntN(floodShare) > 0:
+	case random.IntN(manyExtraBytesShare) > 0:
 		return beginningOfRequest
 	}
-	return random.IntN(maxFloodBytes)
+	return random.IntN(maxExtraBytes)
 }
 
-// sleep waits. It reports false if ctx ended first.
+// sleep waits for the given time. It returns false if ctx ends first.
 func sleep(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/internal/rehearsal/soak/connection.go
+++ b/internal/rehearsal/soak/connection.go
@@ -12,11 +12,11 @@
 	"time"
 )
 
-// clientConnection is a connection that a client keeps for its next requests.
+// clientConnection is a connection of clients to a dispatcher. It can be reused for several requests.
 type clientConnection struct {
 	conn   net.Conn
 	reader *bufio.Reader
-	served bool // a request on it was answered
+	served bool // a request on the connection was answered
 }
 
 // dialClient opens a new connection to a dispatcher.
@@ -28,7 +28,7 @@
 	return &clientConnection{conn: conn, reader: bufio.NewReader(conn)}, nil
 }
 
-// isOpen reports whether the dispatcher has not ended the connection so far, without waiting.
+// isOpen reports whether the connection is open and has no unread input. It does not wait.
 func (c *clientConnection) isOpen() bool {
 	raw, err := c.conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -44,10 +44,11 @@
 	return open
 }
 
-// exchange sends a request and reads its answer.
+// exchange sends a request, reads the answer and records the result in the request. It closes the connection if it cannot
+// be reused.
 func (c *clientConnection) exchange(sent *request, wait time.Duration) {
 	sent.sentAt = time.Now()
-	sent.kept = c.served
+	sent.reusedConnection = c.served
 	c.conn.SetDeadline(sent.sentAt.Add(wait))
 	writeRequest(c.conn, sent)
 	status, reusable, err := c.readAnswer()
@@ -65,7 +66,7 @@
 	}
 }
 
-// readAnswer reads an answer to its end. reusable reports whether the connection stays open.
+// readAnswer reads an answer to its end. reusable tells whether the dispatcher keeps the connection open.
 func (c *clientConnection) readAnswer() (status int, reusable bool, err error) {
 	answer, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
@@ -82,20 +83,20 @@
 	c.conn = nil
 }
 
-// isClosed reports whether this side has closed the connection.
+// isClosed reports whether the client has closed the connection.
 func (c *clientConnection) isClosed() bool { return c.conn == nil }
 
-// maxKeptConnections is how many idle connections the clients of a dispatcher keep.
-const maxKeptConnections = 10
+// maxIdleConnections is the largest number of idle connections in a connectionPool.
+const maxIdleConnections = 10
 
-// connectionPool holds the idle connections of the clients of one dispatcher. Those at its bottom rest until the
-// dispatcher ends them. It is safe for concurrent use.
+// connectionPool holds the idle connections of the clients of one dispatcher. The connection that was used last is reused
+// first, so that the others can stay idle until the dispatcher closes them. A connectionPool is safe for concurrent use.
 type connectionPool struct {
 	mutex sync.Mutex
 	idle  []*clientConnection
 }
 
-// take removes the connection that was used last and is still open; nil: there is none.
+// take removes and returns the connection that was used last and is still open, or nil if there is none.
 func (p *connectionPool) take() *clientConnection {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -110,11 +111,11 @@
 	return nil
 }
 
-// put keeps a connection for the next request.
+// put adds a connection to the pool, or closes it if the pool is full.
 func (p *connectionPool) put(conn *clientConnection) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if len(p.idle) == maxKeptConnections {
+	if len(p.idle) == maxIdleConnections {
 		conn.close()
 		return
 	}
--- a/internal/rehearsal/soak/daemon.go
+++ b/internal/rehearsal/soak/daemon.go
@@ -17,50 +17,50 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/childprocess"
 )
 
-// daemon is one dispatcher over all its processes. It is safe for concurrent use, but only the
-// fault that has its claim may launch or end it.
+// daemon is one dispatcher with all the processes that it has had in a run. It is safe for concurrent
+// use, but only the fault that holds its claim may start or end its process.
 type daemon struct {
 	claim
 	name    string
-	address string // of the HTTP front end
-	dir     string // for its files
+	address string // address of the HTTP front end
+	dir     string // directory of its files
 	config  daemonConfig
 	program string
-	tracer  tracer   // starts its processes with failing system calls; nil: they run untraced
-	options []string // of its command line, beside its configuration
+	tracer  tracer   // starts its processes so that system calls fail; nil if they are not traced
+	options []string // command-line options besides the configuration
 
-	isHealthy func() bool // whether it accepts clients now
-	onLaunch  func()      // called before each process
+	isHealthy func() bool // reports whether the dispatcher accepts clients now
+	onLaunch  func()      // called before each start of a process
 
-	timeline                    // what the run does to it
-	connections  connectionPool // of its clients
-	loop         latenessLog    // of its event loop
-	accepts      latenessLog    // of requests on new connections, where it is traced
-	surges       atomic.Int32   // that give it many times its requests now
-	replacements atomic.Int32   // of its processes by successors
-	inherited    *os.File       // the listener of its processes, where they are replaced; nil: each opens its own
+	timeline                         // what the run does to the dispatcher
+	connections       connectionPool // idle connections of its clients
+	loopLateness      latenessLog    // lateness of its event loop
+	acceptLateness    latenessLog    // lateness of answers on new connections; measured only if it is traced
+	surges            atomic.Int32   // number of networkSurge faults in force
+	replacements      atomic.Int32   // number of its processes that were replaced by successors
+	inheritedListener *os.File       // listener that its processes inherit; nil if each process opens its own
 
 	mutex      sync.Mutex
-	process    *daemonProcess    // the current or last one; nil: none was launched
-	logPaths   []string          // of all its processes
-	crashes    []string          // descriptions
-	invariants []invariantCounts // of its processes, as far as they answered
-	waiters    sync.WaitGroup    // the goroutines that wait for its processes
+	process    *daemonProcess    // latest process; nil if none was launched
+	logPaths   []string          // paths of the logs of all its processes
+	crashes    []string          // descriptions of its crashes
+	invariants []invariantCounts // counts of those processes that answered
+	waiters    sync.WaitGroup    // goroutines that wait for the ends of its processes
 }
 
 // daemonProcess is one process of a dispatcher.
 type daemonProcess struct {
 	childprocess.Handle
 	logPath      string
-	endRequested bool // by the run; guarded by the daemon's mutex
+	endRequested bool // the run has requested the end; guarded by the daemon's mutex
 }
 
-// invariantCounts are the violations that a dispatcher has counted itself.
+// invariantCounts holds the number of violations of each invariant that a dispatcher has counted itself.
 type invariantCounts struct {
 	Violated map[string]int `json:"violated"`
 }
 
-// tracer starts a command so that its system calls fail.
+// tracer starts a command under a tracer that makes system calls fail.
 type tracer func(command *exec.Cmd) (childprocess.Handle, error)
 
 const (
@@ -68,11 +68,11 @@
 	healthCheckTimeout = time.Second
 	invariantsTimeout  = 2 * time.Second
 	endTimeout         = 15 * time.Second
-	shownLogBytes      = 1500
+	logTailBytes       = 1500
 	filePermissions    = 0o600
 )
 
-// Resource limits of each dispatcher's process.
+// Resource limits in each dispatcher's configuration.
 const (
 	daemonCores       = 1
 	daemonMemoryMB    = 192
@@ -82,7 +82,8 @@
 // traceOption makes a dispatcher log each step of each request.
 const traceOption = "-trace"
 
-// newDaemon prepares a dispatcher without launching it. If traced, its system calls fail by the seed.
+// newDaemon prepares a dispatcher without starting a process. If traced is true, system calls of its processes fail by a
+// plan that follows from the seed.
 func (r *run) newDaemon(number int, traced bool, seed uint64) (*daemon, error) {
 	address, err := childprocess.FreeAddress()
 	if err != nil {
@@ -99,7 +100,7 @@
 	}
 	d := &daemon{name: name, address: address, dir: r.dir, program: r.config.Program}
 	d.isHealthy = d.passesHealthCheck
-	d.onLaunch = func() { r.discovery.forgetTold(name) }
+	d.onLaunch = func() { r.discovery.resetNotifications(name) }
 	d.config = daemonConfig{
 		AdminAddress: adminAddress,
 		Discovery:    discoveryAddress,
@@ -113,12 +114,12 @@
 	if traced {
 		d.tracer = newTracer(seed, r.config.Duration)
 	} else {
-		d.options = []string{traceOption} // not of one whose system calls fail: each line is one
+		d.options = []string{traceOption} // not for a traced dispatcher, since writing each line takes a system call
 	}
 	return d, nil
 }
 
-// launch starts a process, with the same initial endpoint list each time.
+// launch starts a process of the dispatcher. All processes start with the same initial endpoint list.
 func (d *daemon) launch() error {
 	configPath := filepath.Join(d.dir, d.name+".json")
 	config, err := json.Marshal(d.config)
@@ -135,8 +136,8 @@
 	defer log.Close()
 	command := exec.Command(d.program, append([]string{"--config", configPath}, d.options...)...)
 	command.Env = []string{"TMPDIR=" + d.dir}
-	if d.inherited != nil {
-		command.ExtraFiles = []*os.File{d.inherited}
+	if d.inheritedListener != nil {
+		command.ExtraFiles = []*os.File{d.inheritedListener}
 		command.Env = append(command.Env, fmt.Sprintf("BALANCER_FD=%d", firstInheritedDescriptor))
 	}
 	command.Stdout = log
@@ -155,7 +156,7 @@
 	return nil
 }
 
-// start starts a command, traced or not.
+// start starts a command, by the tracer if there is one.
 func (d *daemon) start(command *exec.Cmd) (childprocess.Handle, error) {
 	if d.tracer != nil {
 		return d.tracer(command)
@@ -163,38 +164,38 @@
 	return childprocess.Start(command)
 }
 
-// recordEnd waits for the end of a process and records it as a crash unless it was requested.
+// recordEnd waits for the end of a process, and records a crash if the run has not requested the end.
 func (d *daemon) recordEnd(process *daemonProcess) {
 	<-process.Done()
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if !process.endRequested {
-		d.crashes = append(d.crashes, fmt.Sprintf("%s ended by itself, %s: %s", d.name, process.Outcome(), process.endOfLog()))
+		d.crashes = append(d.crashes, fmt.Sprintf("%s ended by itself, %s: %s", d.name, process.Outcome(), process.logTail()))
 	}
 }
 
-// endOfLog returns the last bytes of the process's log; empty if it cannot be read.
-func (p *daemonProcess) endOfLog() string {
+// logTail returns the last bytes of the process's log, or an empty string if the log cannot be read.
+func (p *daemonProcess) logTail() string {
 	log, _ := os.ReadFile(p.logPath)
-	return string(log[max(len(log)-shownLogBytes, 0):])
+	return string(log[max(len(log)-logTailBytes, 0):])
 }
 
-// maxTraceLines bounds what is shown of the trace of a request.
+// maxTraceLines is the largest number of lines that logLinesWith returns.
 const maxTraceLines = 30
 
-// reportedViolations returns the lines of the dispatcher's logs about violations that it has counted, and about claims
+// reportedViolations returns the lines of the dispatcher's logs that report violations which it has counted, or that claim
 // that an attempt was never sent. The caller holds the lock.
 func (d *daemon) reportedViolations() (lines string) {
-	for _, line := range d.linesWith("invariant ", " as never sent") {
+	for _, line := range d.logLinesWith("invariant ", " as never sent") {
 		lines += "\n    " + line
 	}
 	return lines
 }
 
-// linesWith returns the first lines of the dispatcher's logs that have one of some texts. The caller holds the lock.
-func (d *daemon) linesWith(texts ...string) (lines []string) {
+// logLinesWith returns the first lines of the dispatcher's logs that contain one of the texts. The caller holds the lock.
+func (d *daemon) logLinesWith(texts ...string) (lines []string) {
 	for _, path := range d.logPaths {
-		log, _ := os.ReadFile(path) // none: nothing to show
+		log, _ := os.ReadFile(path) // a log that cannot be read has no lines
 		for line := range strings.Lines(string(log)) {
 			hasText := slices.ContainsFunc(texts, func(text string) bool { return strings.Contains(line, text) })
 			if hasText && len(lines) < maxTraceLines {
@@ -205,11 +206,11 @@
 	return lines
 }
 
-// traceOf returns the lines of the dispatcher's logs about a request.
+// traceOf returns the first lines of the dispatcher's logs that contain the ID of a request.
 func (d *daemon) traceOf(id string) (lines []string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.linesWith(id)
+	return d.logLinesWith(id)
 }
 
 func (d *daemon) currentProcess() *daemonProcess {
@@ -225,7 +226,7 @@
 	return d.config.AdminAddress
 }
 
-// setAdminAddress sets the address of the admin API of its next process.
+// setAdminAddress sets the address of the admin API for its next process.
 func (d *daemon) setAdminAddress(address string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -238,12 +239,12 @@
 	d.crashes = append(d.crashes, description)
 }
 
-// newHTTPClient makes a client that opens a connection for each request.
+// newHTTPClient returns a client that opens a new connection for each request.
 func newHTTPClient(timeout time.Duration) *http.Client {
 	return &http.Client{Timeout: timeout, Transport: &http.Transport{DisableKeepAlives: true}}
 }
 
-// awaitReady waits until the dispatcher accepts clients. It reports false after the timeout.
+// awaitReady waits until the dispatcher accepts clients. It returns false if that takes longer than the timeout.
 func (d *daemon) awaitReady(timeout time.Duration) bool {
 	deadline := time.Now().Add(timeout)
 	for time.Now().Before(deadline) {
@@ -255,7 +256,7 @@
 	return false
 }
 
-// passesHealthCheck reports whether the HTTP front end says that clients may come.
+// passesHealthCheck reports whether the health check of the HTTP front end succeeds.
 func (d *daemon) passesHealthCheck() bool {
 	response, err := newHTTPClient(healthCheckTimeout).Get("http://" + d.address + "/healthz")
 	if err != nil {
@@ -265,8 +266,8 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// end ends the current process by a signal and waits for it. One that does not end in time is
-// killed, which counts as a crash.
+// end sends a signal to the current process and waits for its end. A process that has not ended
+// after endTimeout is killed, which counts as a crash.
 func (d *daemon) end(signal syscall.Signal) {
 	d.mutex.Lock()
 	process := d.process
@@ -278,11 +279,11 @@
 	}
 }
 
-// fetchInvariants fetches the violations that the current process has counted. A process that is stopped or starting
-// does not answer; its counts are then left out.
+// fetchInvariants fetches and records the violations that the current process has counted. It records nothing if the
+// process does not answer, for example because it is stopped or just starting.
 func (d *daemon) fetchInvariants() { d.fetchInvariantsFrom(d.adminAddress()) }
 
-// fetchInvariantsFrom is fetchInvariants of the process with an admin address.
+// fetchInvariantsFrom does the same as fetchInvariants for the process with the given admin address.
 func (d *daemon) fetchInvariantsFrom(adminAddress string) {
 	response, err := newHTTPClient(invariantsTimeout).Get("http://" + adminAddress + "/control/invariants")
 	if err != nil {
@@ -298,10 +299,10 @@
 	d.invariants = append(d.invariants, counts)
 }
 
-// close kills the current process and waits for the end of all.
+// close kills the current process and waits for the end of all processes.
 func (d *daemon) close() {
-	if d.inherited != nil {
-		defer d.inherited.Close()
+	if d.inheritedListener != nil {
+		defer d.inheritedListener.Close()
 	}
 	if d.currentProcess() == nil {
 		return
@@ -311,7 +312,7 @@
 	d.waiters.Wait()
 }
 
-// violations lists the crashes and the violations that the dispatcher has counted itself.
+// violations returns descriptions of the dispatcher's crashes and of the violations that it has counted itself.
 func (d *daemon) violations() []string {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/rehearsal/soak/daemonconfig.go
+++ b/internal/rehearsal/soak/daemonconfig.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// daemonConfig is a dispatcher's configuration file, with the keys that a soak sets. Fields are in
+// daemonConfig has the keys of a dispatcher's configuration file that a soak sets. The fields are in
 // the alphabetical order of their keys.
 type daemonConfig struct {
 	AdminAddress string          `json:"admin_addr"`
@@ -25,27 +25,28 @@
 	Descriptors int `json:"sockets"`
 }
 
-// Connect timeouts of the settings. With the longer one, connects that come up late come up in time.
+// Connect timeouts of the settings. With the long one, connects that networkSlowConnect delays still succeed in time.
 const (
 	shortConnectTimeout = 250 * time.Millisecond
 	longConnectTimeout  = 1200 * time.Millisecond
-	longConnectShare    = 3 // one in so many seeds
+	longConnectShare    = 3 // one seed in so many has the long one
 )
 
-// Bounds of the settings that rules are checked by.
+// Limits in the settings that the rules check.
 const (
 	dedupWindow       = 2 * time.Second
 	retryBudgetWindow = 4 * time.Second
 	maxAttempts       = 3
 )
 
-// retryBudget is what the settings allow of repeats in any retryBudgetWindow.
+// retryBudget limits the repeated attempts in any retryBudgetWindow: floor, and ratio times the requests that arrive.
 type retryBudget struct {
 	floor int
-	ratio float64 // to the requests that arrive
+	ratio float64
 }
 
-// retryBudgetOf is the retry budget of a run. On odd seeds it binds; on even ones most attempts that fail are repeated.
+// retryBudgetOf returns the retry budget of a run. For odd seeds it is so small that it limits the repeated attempts; for
+// even seeds it allows a repetition of most failed attempts.
 func retryBudgetOf(seed uint64) retryBudget {
 	if seed%2 == 1 {
 		return retryBudget{floor: 1, ratio: 0.02}
@@ -53,9 +54,9 @@
 	return retryBudget{floor: 4, ratio: 0.2}
 }
 
-// settingsFormat has the settings of a deployment; its verbs are the number of dispatchers, the connect timeout, the dedup
-// window and what belongs to the retry budget. The classes and the graces in it must match the constants of clients.go and
-// rules.go.
+// settingsFormat is the format of the settings of a deployment. Its verbs stand for the number of dispatchers, the dedup
+// window, the connect timeout, the maximum number of attempts, and the window, the floor and the ratio of the retry budget.
+// Its classes and its drain grace must match the constants in clients.go and rules.go.
 const settingsFormat = `{"areas":["here"],"kinds":["m"],"my_zone":0,"peers_total":%d,"tick_us":2000,"discovery":"ask","worth_by":"work","classes":[
 {"name":"status-check","repeat":"retryable","worth":3,"late_worth":0.25,"slo_us":250000,"deadline_us":3000000},
 {"name":"renewal","repeat":"fragile","worth":5,"late_worth":0.5,"slo_us":200000,"deadline_us":4000000},
--- a/internal/rehearsal/soak/discovery.go
+++ b/internal/rehearsal/soak/discovery.go
@@ -27,11 +27,11 @@
 	BornUnixMs int64   `json:"born_ms"`
 }
 
-// endpointList is a line of the discovery protocol.
+// endpointList is a line of the discovery protocol: a complete endpoint list or the changes of one.
 type endpointList struct {
 	Endpoints []endpoint `json:"hosts"`
 	Version   int64      `json:"seq"`
-	Complete  bool       `json:"whole"` // otherwise only what has changed
+	Complete  bool       `json:"whole"` // if false, the list has only the endpoints that have changed
 }
 
 // healthChange is one change of a worker's health.
@@ -40,29 +40,29 @@
 	health    health
 }
 
-// discovery is the stand-in for the discovery service, with watches by version and faults that can
-// be switched on. It is safe for concurrent use.
+// discovery is the stand-in for the discovery service. It serves watches that begin at a version, and
+// has faults that can be switched on. It is safe for concurrent use.
 type discovery struct {
 	mutex     sync.Mutex
 	version   int64                     // of the list
 	endpoints map[string]endpoint       // by worker
-	changedIn map[string]int64          // by worker, the version that changed it last
-	history   map[string][]healthChange // by worker
+	changedIn map[string]int64          // by worker, the version of the list in which it changed last
+	history   map[string][]healthChange // by worker, in the order of their times
 	faults    [faultKinds]int           // number of faults in force, by kind
-	outages   []interval                // in which the service was down
+	outages   []interval                // times during which the service was down
 	changed   chan struct{}             // closed and replaced at each change of the list or the faults
 
-	listeners []net.Listener                       // one for each dispatcher that asks
-	told      map[string]map[string][]healthChange // by dispatcher and worker, what was written to the dispatcher
+	listeners []net.Listener                       // one for each dispatcher
+	notified  map[string]map[string][]healthChange // by dispatcher and worker, the changes that were sent to the dispatcher
 }
 
-// startDiscovery returns a service that lists nothing. It listens for each dispatcher: see listenFor.
+// startDiscovery returns a service that lists no workers. It listens on no address until listenFor is called.
 func startDiscovery() (*discovery, error) {
 	return &discovery{
 		endpoints: map[string]endpoint{},
 		changedIn: map[string]int64{},
 		history:   map[string][]healthChange{},
-		told:      map[string]map[string][]healthChange{},
+		notified:  map[string]map[string][]healthChange{},
 		changed:   make(chan struct{}),
 	}, nil
 }
@@ -73,7 +73,8 @@
 	}
 }
 
-// listenFor listens for the calls of one dispatcher, so that what it was told is known, and returns the address.
+// listenFor opens a listener for one dispatcher and returns its address. Each dispatcher has a listener of its own, so that
+// the service knows to which dispatcher it sends a list.
 func (d *discovery) listenFor(dispatcher string) (address string, err error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -84,9 +85,10 @@
 	return listener.Addr().String(), nil
 }
 
-// recordTold records that a list was written to a dispatcher. What a complete list leaves out is gone. The dispatcher may
-// know of a ready worker as soon as the write begins, and has to know of any other once it has ended.
-func (d *discovery) recordTold(dispatcher string, list endpointList, writing interval) {
+// recordNotification records that a list was sent to a dispatcher. A worker that a complete list does not contain counts as
+// gone. A ready worker counts as notified when the write begins, since the dispatcher may use it from then on. Any other
+// worker counts as notified when the write ends, since the dispatcher must stop using it only then.
+func (d *discovery) recordNotification(dispatcher string, list endpointList, writing interval) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	listed := map[string]health{}
@@ -101,36 +103,38 @@
 		if !isListed {
 			health = healthGone
 		}
-		told := writing.to
+		notifiedAt := writing.to
 		if health == healthReady {
-			told = writing.from
+			notifiedAt = writing.from
 		}
-		d.addTold(dispatcher, worker, healthChange{changedAt: told, health: health})
+		d.addNotification(dispatcher, worker, healthChange{changedAt: notifiedAt, health: health})
 	}
 }
 
-// forgetTold records that a new process of a dispatcher was told nothing so far.
-func (d *discovery) forgetTold(dispatcher string) {
+// resetNotifications records that a new process of a dispatcher starts, to which no list was sent yet. It marks all workers
+// as ready, so that the new process does not have to know of earlier changes.
+func (d *discovery) resetNotifications(dispatcher string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	for worker := range d.told[dispatcher] {
-		d.addTold(dispatcher, worker, healthChange{changedAt: time.Now(), health: healthReady})
+	for worker := range d.notified[dispatcher] {
+		d.addNotification(dispatcher, worker, healthChange{changedAt: time.Now(), health: healthReady})
 	}
 }
 
-// addTold adds to what a dispatcher was told. The caller holds the lock.
-func (d *discovery) addTold(dispatcher, worker string, change healthChange) {
-	if d.told[dispatcher] == nil {
-		d.told[dispatcher] = map[string][]healthChange{}
+// addNotification adds a change to those that were sent to a dispatcher. The caller holds the lock.
+func (d *discovery) addNotification(dispatcher, worker string, change healthChange) {
+	if d.notified[dispatcher] == nil {
+		d.notified[dispatcher] = map[string][]healthChange{}
 	}
-	d.told[dispatcher][worker] = append(d.told[dispatcher][worker], change)
+	d.notified[dispatcher][worker] = append(d.notified[dispatcher][worker], change)
 }
 
-// toldUnlistedSince returns since when a dispatcher had been told, at the given time, that a worker is not ready.
-func (d *discovery) toldUnlistedSince(dispatcher, worker string, moment time.Time) (since time.Time, unlisted bool) {
+// notifiedUnlistedSince returns when a dispatcher was notified that a worker is not ready. unlisted is false if, at the
+// given time, the last notification about the worker was that it is ready, or there was none.
+func (d *discovery) notifiedUnlistedSince(dispatcher, worker string, at time.Time) (since time.Time, unlisted bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return unlistedIn(d.told[dispatcher][worker], moment)
+	return unlistedIn(d.notified[dispatcher][worker], at)
 }
 
 // set changes how a worker is listed.
@@ -144,13 +148,13 @@
 	d.wakeWatches()
 }
 
-// wakeWatches lets all watches look at the service again. The caller holds the lock.
+// wakeWatches makes all watches check the state of the service again. The caller holds the lock.
 func (d *discovery) wakeWatches() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// beginFault puts a fault of the service in force, besides those that are.
+// beginFault begins a fault of the service. Several faults, also of the same kind, can be in force at a time.
 func (d *discovery) beginFault(kind faultKind) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -161,7 +165,7 @@
 	d.wakeWatches()
 }
 
-// endFault ends one fault that beginFault has put in force.
+// endFault ends one fault that beginFault has begun.
 func (d *discovery) endFault(kind faultKind) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -172,20 +176,20 @@
 	d.wakeWatches()
 }
 
-// initialList is the complete list as a dispatcher's configuration has it.
+// initialList returns the complete list in the form in which a dispatcher's configuration contains it.
 func (d *discovery) initialList() json.RawMessage {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.encodeSince(0)
 }
 
-// encodeSince encodes what listSince returns. The caller holds the lock.
+// encodeSince returns the result of listSince as JSON. The caller holds the lock.
 func (d *discovery) encodeSince(version int64) []byte {
-	text, _ := json.Marshal(d.listSince(version)) // strings and numbers always marshal
+	text, _ := json.Marshal(d.listSince(version)) // cannot fail for strings and numbers
 	return text
 }
 
-// listSince returns what has changed after a version; 0: the complete list. The caller holds the lock.
+// listSince returns the changes after a version, or the complete list if the version is 0. The caller holds the lock.
 func (d *discovery) listSince(version int64) endpointList {
 	list := endpointList{Endpoints: []endpoint{}, Version: d.version, Complete: version == 0}
 	for worker, changedIn := range d.changedIn {
@@ -197,19 +201,20 @@
 	return list
 }
 
-// unlistedSince returns since when a worker has not been listed as ready at the given time;
-// unlisted is false if it was.
-func (d *discovery) unlistedSince(worker string, moment time.Time) (since time.Time, unlisted bool) {
+// unlistedSince returns since when a worker has not been listed as ready, as of the given time.
+// unlisted is false if the worker was listed as ready then.
+func (d *discovery) unlistedSince(worker string, at time.Time) (since time.Time, unlisted bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return unlistedIn(d.history[worker], moment)
+	return unlistedIn(d.history[worker], at)
 }
 
-// unlistedIn returns since when a worker was not ready at a time, by the changes of its health.
-func unlistedIn(changes []healthChange, moment time.Time) (since time.Time, unlisted bool) {
+// unlistedIn returns since when a worker has not been ready as of the given time, according to the changes of its health.
+// unlisted is false if the worker was ready then.
+func unlistedIn(changes []healthChange, at time.Time) (since time.Time, unlisted bool) {
 	for _, change := range changes {
 		switch {
-		case change.changedAt.After(moment):
+		case change.changedAt.After(at):
 			return since, unlisted
 		case change.health == healthReady:
 			unlisted = false
@@ -221,11 +226,12 @@
 	return since, unlisted
 }
 
-// notificationDeadline is when a dispatcher must know of a change: notificationTime after the
-// change was made and the service was reachable. An outage that begins before that time is over
-// starts it anew at the outage's end.
+// notificationDeadline returns when a dispatcher must know of a change that was made at changedAt.
+// That is notificationTime after the change, or after the end of an outage of the service in which
+// the change falls. If another outage begins before the deadline, notificationTime counts from the
+// end of that outage.
 func (d *discovery) notificationDeadline(changedAt time.Time) time.Time {
-	const never = time.Hour // from now, longer than a run
+	const never = time.Hour // longer than any run
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	reachableSince := changedAt
--- a/internal/rehearsal/soak/discovery_test.go
+++ b/internal/rehearsal/soak/discovery_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Only an outage of the discovery service moves the notification deadline of a change.
+// An outage of the discovery service postpones the notification deadline of a change if the change falls in the outage, or
+// the outage begins before the deadline. Other outages do not.
 func TestNotificationDeadline(t *testing.T) {
 	start := time.Now()
 	second := func(number int) time.Time { return start.Add(time.Duration(number) * time.Second) }
--- a/internal/rehearsal/soak/disktracer_linux_amd64.go
+++ b/internal/rehearsal/soak/disktracer_linux_amd64.go
@@ -9,12 +9,12 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/faultinject"
 )
 
-// newDiskTracer makes a tracer that starts commands so that writes and syncs of their files fail in the middle of a run.
+// newDiskTracer returns a tracer that makes writes and syncs of the commands' files fail during the middle half of a run.
 func newDiskTracer(seed uint64, duration time.Duration) tracer {
 	const (
 		frequent   = 0.3 // probabilities
 		rare       = 0.1
-		shortBytes = 100
+		shortBytes = 100 // limit of shortened writes
 	)
 	rule := func(call faultinject.Call, probability float64, errno syscall.Errno, short int) faultinject.Rule {
 		return faultinject.Rule{
--- a/internal/rehearsal/soak/durable.go
+++ b/internal/rehearsal/soak/durable.go
@@ -15,22 +15,22 @@
 )
 
 const (
-	durableQueues    = 2 // dispatchers with a durable queue: one that is killed and restarted, one whose disk fails
-	durableProducers = 2 // of each
-	durableWorkers   = 2 // of each
+	durableQueues    = 2 // dispatchers with a durable queue: one is killed and restarted, the disk of the other fails
+	durableProducers = 2 // of each queue
+	durableWorkers   = 2 // of each queue
 
-	pushInterval  = 50 * time.Millisecond
-	rogueInterval = 15 * time.Millisecond
-	retryPause    = 20 * time.Millisecond // before a client connects again, or repeats a command
-	runTime       = 2 * time.Millisecond  // of a job
+	pushInterval          = 50 * time.Millisecond
+	invalidReportInterval = 15 * time.Millisecond
+	retryPause            = 20 * time.Millisecond // before a client reconnects or repeats a command
+	jobRunTime            = 2 * time.Millisecond
 
-	// stallTime is how long after the faults no job may run while accepted ones wait. How long all of them take is the
-	// disk's matter: each takes several syncs.
-	stallTime = 10 * time.Second
+	// noRunTimeout is how long, after the faults, no job may run although accepted jobs wait. There is no limit for the
+	// time that all of them take together: it depends on the disk, because each job takes several syncs.
+	noRunTimeout = 10 * time.Second
 
-	minRestartPause = 2 * time.Second // between two ends of a dispatcher
+	minRestartPause = 2 * time.Second // time that a dispatcher runs before it is ended
 	maxRestartPause = 6 * time.Second
-	maxRestartTime  = time.Second // that it is down
+	maxRestartTime  = time.Second // longest time until it is started again
 
 	durableLeaseSeconds = 1
 )
@@ -38,16 +38,17 @@
 // durableQueue is a dispatcher with a durable queue for renewals, and what its producers and workers observed.
 type durableQueue struct {
 	*daemon
-	address string // of the Faktory front end
+	address string // address of the Faktory front end
 
 	mutex    sync.Mutex
-	pushed   []string        // every jid that was pushed
-	accepted map[string]bool // by jid: its producer has +OK
-	runs     map[string]int  // by jid
+	pushed   []string        // every jid that was pushed, in order
+	accepted map[string]bool // by jid, whether the producer has received +OK
+	runs     map[string]int  // by jid, number of runs
 	lastRun  time.Time
 }
 
-// newDurableQueue prepares a dispatcher with a durable queue. If its disk fails, its system calls are traced.
+// newDurableQueue prepares a dispatcher with a durable queue. If diskFails is true, its writes and syncs of files fail by
+// tracing.
 func (r *run) newDurableQueue(number int, diskFails bool, seed uint64) (*durableQueue, error) {
 	daemon, err := r.newDaemon(r.config.Daemons+number, false, seed)
 	if err != nil {
@@ -55,7 +56,7 @@
 	}
 	daemon.name = fmt.Sprintf("q%02d", number)
 	daemon.config.Name = daemon.name
-	daemon.config.Discovery = "" // its workers fetch
+	daemon.config.Discovery = "" // it needs no list of workers, since its workers fetch jobs
 	daemon.config.InitialList = nil
 	address, err := childprocess.FreeAddress()
 	if err != nil {
@@ -88,44 +89,45 @@
 			return err
 		}
 		if !queue.awaitReady(startTimeout) {
-			return fmt.Errorf("%s is not ready after %v: %s", queue.name, startTimeout, queue.currentProcess().endOfLog())
+			return fmt.Errorf("%s is not ready after %v: %s", queue.name, startTimeout, queue.currentProcess().logTail())
 		}
 	}
 	return nil
 }
 
-// runDurable runs the producers, workers and faults of a queue until ctx ends, and then the workers until all accepted
-// jobs have run, or none runs any more.
+// runDurable runs the producers, workers and faults of a queue until ctx ends. It then continues to run the workers until
+// all accepted jobs have run, or no job has run for noRunTimeout.
 func (r *run) runDurable(ctx context.Context, number int, queue *durableQueue) {
 	random := func(stream uint64) *rand.Rand {
 		return rand.New(rand.NewPCG(r.config.Seed, durableSeedStream+uint64(number+1)*durableStreamStride+stream))
 	}
-	settled, settle := context.WithCancel(context.Background())
+	workersCtx, stopWorkers := context.WithCancel(context.Background())
 	var workers, others sync.WaitGroup
 	for i := range uint64(durableWorkers) {
-		workers.Go(func() { queue.runWorker(settled, fmt.Sprintf("w%d", i), random(i)) })
+		workers.Go(func() { queue.runWorker(workersCtx, fmt.Sprintf("w%d", i), random(i)) })
 	}
 	for i := range uint64(durableProducers) {
 		others.Go(func() { queue.runProducer(ctx, int(i), random(10+i)) })
 	}
-	others.Go(func() { queue.runRogue(ctx, "rogue", random(20)) })
-	others.Go(func() { queue.runRogue(ctx, "", random(21)) })
+	others.Go(func() { queue.runInvalidReporter(ctx, "rogue", random(20)) })
+	others.Go(func() { queue.runInvalidReporter(ctx, "", random(21)) })
 	if queue.tracer == nil {
 		others.Go(func() { queue.restartRepeatedly(ctx, random(30)) })
 	}
 	others.Wait()
-	for faultsEnd := time.Now(); !queue.allAcceptedRan() && !queue.stalledSince(faultsEnd); {
+	for faultsEnd := time.Now(); !queue.allAcceptedRan() && !queue.noRunSince(faultsEnd); {
 		time.Sleep(retryPause)
 	}
-	settle()
+	stopWorkers()
 	workers.Wait()
 }
 
-// restartRepeatedly ends the dispatcher by SIGKILL or by signals of a planned end, and starts it again.
+// restartRepeatedly ends the dispatcher by SIGKILL or by the signals of a graceful shutdown and starts it again, until ctx
+// ends.
 func (q *durableQueue) restartRepeatedly(ctx context.Context, random *rand.Rand) {
 	for sleep(ctx, minRestartPause+time.Duration(random.Int64N(int64(maxRestartPause-minRestartPause)))) {
 		if random.IntN(2) == 0 {
-			q.killed()
+			q.recordKill()
 			q.end(syscall.SIGKILL)
 		} else {
 			q.terminate(drawSignals(true, random))
@@ -135,7 +137,7 @@
 	}
 }
 
-// connect connects until it succeeds or ctx ends; nil: it has ended.
+// connect tries to connect until it succeeds. It returns nil if ctx ends first.
 func (q *durableQueue) connect(ctx context.Context, wid string) *faktoryConn {
 	for ctx.Err() == nil {
 		conn, err := dialFaktory(q.address, wid)
@@ -147,8 +149,9 @@
 	return nil
 }
 
-// repeat sends a command until it has a reply, over lost connections; false: ctx has ended before.
-func (q *durableQueue) repeat(ctx context.Context, wid, command string) (reply string, replied bool) {
+// sendUntilReply sends a command on a new connection, and repeats that until it receives a reply. replied is false if ctx
+// ends first.
+func (q *durableQueue) sendUntilReply(ctx context.Context, wid, command string) (reply string, replied bool) {
 	for {
 		conn := q.connect(ctx, wid)
 		if conn == nil {
@@ -165,9 +168,10 @@
 	}
 }
 
-// runProducer pushes renewals. Some producers leave before the reply; the others push until they have one that accepts.
+// runProducer pushes renewals until ctx ends. For some jobs it closes the connection before the reply. It pushes the others
+// until the reply is +OK.
 func (q *durableQueue) runProducer(ctx context.Context, producer int, random *rand.Rand) {
-	const leaveShare = 10 // one in so many pushes
+	const leaveShare = 10 // one push in so many is not awaited
 	for number := 0; sleep(ctx, pushInterval); number++ {
 		jid := fmt.Sprintf("%s-p%d-%05d", q.name, producer, number)
 		q.recordPush(jid)
@@ -180,7 +184,7 @@
 			continue
 		}
 		for {
-			reply, replied := q.repeat(ctx, "", command)
+			reply, replied := q.sendUntilReply(ctx, "", command)
 			if !replied {
 				return
 			}
@@ -195,12 +199,12 @@
 	}
 }
 
-// runWorker fetches jobs and runs each that it is granted to start. Now and then it leaves with a job that it has not
-// started, or reports one twice.
+// runWorker fetches jobs until ctx ends, and runs those that it is allowed to start. Sometimes it closes the connection
+// after it has fetched a job and before it starts the job, or reports a job twice.
 func (q *durableQueue) runWorker(ctx context.Context, wid string, random *rand.Rand) {
 	const (
-		leaveShare       = 20 // one in so many jobs
-		reportTwiceShare = 10
+		leaveShare       = 20 // one job in so many is not started
+		reportTwiceShare = 10 // one of the other jobs in so many is reported twice
 	)
 	for {
 		conn := q.connect(ctx, wid)
@@ -224,29 +228,30 @@
 	}
 }
 
-// runJob starts a job, runs it if the start is granted, and reports it.
+// runJob asks to start a job by START. If the reply is +OK, it runs the job and reports it by ACK.
 func (q *durableQueue) runJob(ctx context.Context, wid string, job fetchedJob, reportTwice bool) {
-	reply, replied := q.repeat(ctx, wid, "START "+job.report())
+	reply, replied := q.sendUntilReply(ctx, wid, "START "+job.report())
 	if !replied || reply != "+OK" {
 		return
 	}
 	q.recordRun(job.Jid)
-	time.Sleep(runTime)
-	q.repeat(ctx, wid, "ACK "+job.report())
+	time.Sleep(jobRunTime)
+	q.sendUntilReply(ctx, wid, "ACK "+job.report())
 	if reportTwice {
-		q.repeat(ctx, wid, "ACK "+job.report())
+		q.sendUntilReply(ctx, wid, "ACK "+job.report())
 	}
 }
 
-// runRogue reports jobs that it does not hold, in a session of its own: of a worker that never fetches, or of a producer.
-func (q *durableQueue) runRogue(ctx context.Context, wid string, random *rand.Rand) {
+// runInvalidReporter sends reports on jobs that it does not hold, until ctx ends. It does so as a worker that never fetches,
+// or as a producer if wid is empty.
+func (q *durableQueue) runInvalidReporter(ctx context.Context, wid string, random *rand.Rand) {
 	reports := []string{
 		`ACK {"jid":%q}`, `ACK {"jid":%q,"fence":1}`, `FAIL {"jid":%q}`, `FAIL {"jid":%q,"started":false}`,
 		`START {"jid":%q}`, `TRACK SET {"jid":%q,"percent":1,"reserve_until":"2999-01-01T00:00:00Z"}`,
 		`BEAT {"wid":"w0","current_state":"quiet","jid":%q}`,
 	}
 	conn := q.connect(ctx, wid)
-	for conn != nil && sleep(ctx, rogueInterval) {
+	for conn != nil && sleep(ctx, invalidReportInterval) {
 		jid := q.recentJid(random)
 		if jid == "" {
 			continue
@@ -280,7 +285,7 @@
 	q.lastRun = time.Now()
 }
 
-// recentJid draws one of the jids that were pushed last; empty: there is none.
+// recentJid draws one of the jids that were pushed last. It returns an empty string if none was pushed.
 func (q *durableQueue) recentJid(random *rand.Rand) string {
 	const recent = 20
 	q.mutex.Lock()
@@ -303,38 +308,40 @@
 	return true
 }
 
-// stalledSince reports whether no job has run for stallTime after a moment.
-func (q *durableQueue) stalledSince(moment time.Time) bool {
+// noRunSince reports whether no job has run for noRunTimeout, which counts from the given time at the earliest.
+func (q *durableQueue) noRunSince(start time.Time) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	last := moment
+	last := start
 	if q.lastRun.After(last) {
 		last = q.lastRun
 	}
-	return time.Since(last) > stallTime
+	return time.Since(last) > noRunTimeout
 }
 
-// askAfterwards sends a command once nothing else runs; empty: the dispatcher does not answer.
-func (q *durableQueue) askAfterwards(command string) string {
+// askAfterRun sends a command after the clients and faults have ended, and returns the reply. The reply is empty if the
+// dispatcher does not answer within endTimeout.
+func (q *durableQueue) askAfterRun(command string) string {
 	ctx, cancel := context.WithTimeout(context.Background(), endTimeout)
 	defer cancel()
-	reply, _ := q.repeat(ctx, "", command)
+	reply, _ := q.sendUntilReply(ctx, "", command)
 	return reply
 }
 
-// stateOf returns the state of a job by TRACK.
+// stateOf returns the state of a job according to TRACK GET.
 func (q *durableQueue) stateOf(jid string) string {
-	reply := q.askAfterwards("TRACK GET " + jid)
+	reply := q.askAfterRun("TRACK GET " + jid)
 	_, rest, _ := strings.Cut(reply, `"state":"`)
 	state, _, _ := strings.Cut(rest, `"`)
 	return state
 }
 
-// violations lists the jobs that ran twice, or were accepted and have not run, and the dispatcher's own violations.
+// violations returns a description of each job that ran more than once, and of each job that was accepted and has not run
+// unless its state is "in doubt", and the violations of the dispatcher itself.
 func (q *durableQueue) violations() []string {
 	found := q.daemon.violations()
-	if q.askAfterwards("INFO") == "" {
-		return append(found, fmt.Sprintf("%s: %s does not answer after the run; its log ends %s", ruleLost, q.name, q.currentProcess().endOfLog()))
+	if q.askAfterRun("INFO") == "" {
+		return append(found, fmt.Sprintf("%s: %s does not answer after the run; its log ends %s", ruleLost, q.name, q.currentProcess().logTail()))
 	}
 	for jid, runs := range q.runs {
 		if runs > 1 {
@@ -345,12 +352,12 @@
 	for jid := range q.accepted {
 		if state := q.stateOf(jid); q.runs[jid] == 0 && state != "in doubt" {
 			waiting++
-			found = append(found, fmt.Sprintf("%s: %s was accepted and has not run, though nothing else ran for %v; its state is %q", ruleLost, jid, stallTime, state))
+			found = append(found, fmt.Sprintf("%s: %s was accepted and has not run, though nothing else ran for %v; its state is %q", ruleLost, jid, noRunTimeout, state))
 		}
 	}
-	if waiting > 0 { // what tells why
-		info := q.askAfterwards("INFO")
-		found = append([]string{fmt.Sprintf("%s has %d accepted jobs that have not run; INFO %s; its log ends %s", q.name, waiting, info, q.currentProcess().endOfLog())}, found...)
+	if waiting > 0 { // adds what can explain the cause
+		info := q.askAfterRun("INFO")
+		found = append([]string{fmt.Sprintf("%s has %d accepted jobs that have not run; INFO %s; its log ends %s", q.name, waiting, info, q.currentProcess().logTail())}, found...)
 	}
 	return found
 }
--- a/internal/rehearsal/soak/faktory.go
+++ b/internal/rehearsal/soak/faktory.go
@@ -11,16 +11,19 @@
 	"time"
 )
 
-// faktoryTimeout is how long a client of the Faktory protocol waits for a reply. It is longer than a disk fails.
+// faktoryTimeout is how long a client of the Faktory protocol waits for a reply. It is longer than the time for which a disk
+// fails in a run.
 const faktoryTimeout = 30 * time.Second
 
-// faktoryConn is a connection of a producer or a worker. An error means that it is lost.
+// faktoryConn is a Faktory connection of a producer or a worker. After a method has returned an error, it can no longer be
+// used.
 type faktoryConn struct {
 	conn   net.Conn
 	reader *bufio.Reader
 }
 
-// dialFaktory connects and says HELLO, with a wid unless it is empty.
+// dialFaktory connects to a Faktory front end and sends HELLO: as a worker with the given wid, or as a producer if wid is
+// empty.
 func dialFaktory(address, wid string) (*faktoryConn, error) {
 	conn, err := net.DialTimeout("tcp", address, dialTimeout)
 	if err != nil {
@@ -42,7 +45,7 @@
 	return c, nil
 }
 
-// acceptsFaktory reports whether a dispatcher accepts producers and workers.
+// acceptsFaktory reports whether the Faktory front end at an address accepts connections.
 func acceptsFaktory(address string) bool {
 	conn, err := dialFaktory(address, "")
 	if err != nil {
@@ -60,7 +63,7 @@
 	return c.readReply()
 }
 
-// readReply returns a line, or the text of a bulk string.
+// readReply reads a reply and returns its line, or its text if it is a bulk string.
 func (c *faktoryConn) readReply() (string, error) {
 	c.conn.SetReadDeadline(time.Now().Add(faktoryTimeout))
 	line, err := c.reader.ReadString('\n')
@@ -77,18 +80,18 @@
 
 func (c *faktoryConn) close() { c.conn.Close() }
 
-// fetchedJob is a job as a worker fetches it.
+// fetchedJob has the fields of a fetched job that a worker uses.
 type fetchedJob struct {
 	Jid    string
 	Custom struct{ Fence uint64 }
 }
 
-// report is the argument of a report under the job's lease.
+// report returns the argument of a command that reports on the job, with the fence of its lease.
 func (j *fetchedJob) report() string {
 	return fmt.Sprintf(`{"jid":%q,"fence":%d}`, j.Jid, j.Custom.Fence)
 }
 
-// fetch fetches a job; found is false if there is none.
+// fetch fetches a job. found is false if the queue has none.
 func (c *faktoryConn) fetch() (job fetchedJob, found bool, err error) {
 	reply, err := c.do("FETCH " + classRenewal)
 	if err != nil {
--- a/internal/rehearsal/soak/faults.go
+++ b/internal/rehearsal/soak/faults.go
@@ -9,21 +9,21 @@
 type faultKind int
 
 const (
-	faultKill               faultKind = iota // SIGKILL, and a start with the endpoint list of the run's start
-	faultRestart                             // SIGHUP and SIGTERM in a series, SIGKILL when the time is over, and a start
-	faultReload                              // SIGHUP in a series
-	faultPause                               // SIGSTOP, and SIGCONT
-	faultDrain                               // a worker is listed as draining, then removed, then listed again
-	faultRemove                              // a worker is removed and listed again later
+	faultKill               faultKind = iota // SIGKILL; the dispatcher then starts with the endpoint list from the start of the run
+	faultRestart                             // a series of SIGHUP and SIGTERM, SIGKILL if the shutdown takes too long, and a start
+	faultReload                              // a series of SIGHUP
+	faultPause                               // SIGSTOP, and SIGCONT later
+	faultDrain                               // a worker is listed as draining, then removed, then listed as ready again
+	faultRemove                              // a worker is removed from the list, and listed again later
 	faultHang                                // a worker accepts requests and does not answer for a while
 	faultReset                               // a worker resets its connections
-	faultDiscoveryDown                       // requests fail or get 503, watches end
-	faultDiscoverySilent                     // watches fall silent, within a line or between two
-	faultDiscoveryTruncates                  // answers to requests fall silent within a line
-	faultBlindDrain                          // watches and answers fall silent, and workers drain and are removed meanwhile
-	faultRetire                              // a worker drains and is removed for long
-	faultCrowd                               // connections that send nothing fill a dispatcher's descriptors
-	faultKinds                               // the number of kinds
+	faultDiscoveryDown                       // requests to the discovery service get 503, and watches end
+	faultDiscoverySilent                     // watches stop sending in the middle of a line
+	faultDiscoveryTruncates                  // the answer to a new request stops in the middle of its first line
+	faultUnnotifiedDrain                     // both of these, while workers drain and are removed
+	faultRetire                              // like faultDrain, for a longer time
+	faultConnectionFlood                     // silent connections fill a dispatcher's descriptors
+	faultKinds                               // number of kinds
 )
 
 var faultNames = [faultKinds]string{
@@ -38,29 +38,29 @@
 	faultDiscoveryDown:      "discovery down",
 	faultDiscoverySilent:    "discovery silent",
 	faultDiscoveryTruncates: "discovery truncates",
-	faultBlindDrain:         "blind drain",
+	faultUnnotifiedDrain:    "blind drain",
 	faultRetire:             "retire",
-	faultCrowd:              "crowd",
+	faultConnectionFlood:    "crowd",
 }
 
-// String names the kind.
+// String returns the name of the kind.
 func (k faultKind) String() string { return faultNames[k] }
 
-// fault is one fault of a schedule.
+// fault is one fault of the schedule.
 type fault struct {
 	kind     faultKind
-	start    time.Duration // since the start of the run
+	start    time.Duration // time since the start of the run
 	duration time.Duration
 	target   int // index of a dispatcher or a worker
 
-	signals       signalSeries // of a restart or a reload
-	workersHang   bool         // through the whole of a restart
-	discoveryDown bool         // likewise
-	crowd         int          // connections
-	oneByOne      bool         // they come so, and else at once
+	signals          signalSeries // the signals of a restart or a reload
+	workersHang      bool         // during a restart, some workers hang
+	discoveryDown    bool         // during a restart, the discovery service is down
+	floodConnections int          // number of connections of a flood
+	oneByOne         bool         // the connections of a flood are opened one by one instead of at once
 }
 
-// maxDuration is the longest duration of a fault by its kind.
+// maxDuration has the longest duration of a fault, by kind. Kinds without an entry have no duration.
 var maxDuration = [faultKinds]time.Duration{
 	faultKill:               2 * time.Second,
 	faultRestart:            4 * time.Second,
@@ -71,19 +71,19 @@
 	faultDiscoveryDown:      9 * time.Second,
 	faultDiscoverySilent:    8 * time.Second,
 	faultDiscoveryTruncates: 8 * time.Second,
-	faultBlindDrain:         14 * time.Second,
+	faultUnnotifiedDrain:    14 * time.Second,
 	faultRetire:             20 * time.Second,
-	faultCrowd:              2 * time.Second,
+	faultConnectionFlood:    2 * time.Second,
 }
 
-// minBlindTime is the shortest duration of faultBlindDrain.
-const minBlindTime = 10 * time.Second
+// minUnnotifiedDrain is the shortest duration of a faultUnnotifiedDrain.
+const minUnnotifiedDrain = 10 * time.Second
 
 // maxFaultInterval is the longest time between the starts of two faults.
 const maxFaultInterval = 2 * time.Second
 
-// schedule draws the faults of a seed. They overlap: about one begins each second.
-func schedule(seed uint64, config Config) []fault {
+// scheduleFaults draws the faults of a seed. They overlap: on average, one begins each second.
+func scheduleFaults(seed uint64, config Config) []fault {
 	random := rand.New(rand.NewPCG(seed, faultScheduleStream))
 	var faults []fault
 	start := time.Duration(0)
@@ -101,10 +101,11 @@
 		drawn.duration = longest/10 + time.Duration(random.Int64N(int64(longest*9/10)))
 	}
 	switch drawn.kind {
-	case faultKill, faultRestart, faultReload, faultPause, faultCrowd:
-		drawn.target = config.Traced + random.IntN(config.Daemons-config.Traced) // signals interfere with ptrace
-	case faultDrain, faultRemove, faultHang, faultReset, faultRetire, faultBlindDrain:
-		drawn.target = random.IntN(config.Workers * 2 / 3) // the others stay, so that requests can be served
+	case faultKill, faultRestart, faultReload, faultPause, faultConnectionFlood:
+		// The first dispatchers are traced and left out, because signals interfere with ptrace.
+		drawn.target = config.TracedDaemons + random.IntN(config.Daemons-config.TracedDaemons)
+	case faultDrain, faultRemove, faultHang, faultReset, faultRetire, faultUnnotifiedDrain:
+		drawn.target = random.IntN(config.Workers * 2 / 3) // the other workers have no such faults, so that requests can be served
 	}
 	switch drawn.kind {
 	case faultRestart:
@@ -113,11 +114,11 @@
 		drawn.discoveryDown = random.IntN(4) == 0
 	case faultReload:
 		drawn.signals = drawSignals(false, random)
-	case faultCrowd:
-		drawn.crowd = minCrowd + random.IntN(maxCrowd-minCrowd)
+	case faultConnectionFlood:
+		drawn.floodConnections = minFloodConnections + random.IntN(maxFloodConnections-minFloodConnections)
 		drawn.oneByOne = random.IntN(2) == 0
-	case faultBlindDrain: // long enough for the notification to be due
-		drawn.duration = max(drawn.duration, minBlindTime)
+	case faultUnnotifiedDrain: // long enough for the dispatchers' notification deadline to pass
+		drawn.duration = max(drawn.duration, minUnnotifiedDrain)
 	}
 	return drawn
 }
--- a/internal/rehearsal/soak/faults_test.go
+++ b/internal/rehearsal/soak/faults_test.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// The same seed gives the same faults, and each kind occurs within some seeds.
+// The same seed gives the same schedule, and each kind of fault occurs in the schedules of a few seeds.
 func TestScheduleFollowsSeed(t *testing.T) {
 	config := Config{Duration: time.Minute}
 	config.setDefaults()
 	seen := map[faultKind]bool{}
 	for seed := range uint64(10) {
-		faults := schedule(seed, config)
-		if !slices.Equal(faults, schedule(seed, config)) {
-			t.Fatalf("seed %d gives two schedules", seed)
+		faults := scheduleFaults(seed, config)
+		if !slices.Equal(faults, scheduleFaults(seed, config)) {
+			t.Fatalf("seed %d gives two different schedules", seed)
 		}
 		for _, scheduled := range faults {
 			seen[scheduled.kind] = true
 			if scheduled.start >= config.Duration || scheduled.duration > maxDuration[scheduled.kind] {
-				t.Errorf("seed %d: %v at %v for %v", seed, scheduled.kind, scheduled.start, scheduled.duration)
+				t.Errorf("seed %d: fault %v at %v for %v is out of range", seed, scheduled.kind, scheduled.start, scheduled.duration)
 			}
 		}
 	}
--- a/internal/rehearsal/soak/foreign_test.go
+++ b/internal/rehearsal/soak/foreign_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Guards against a duplicate that no dispatcher has made: a request of another run, which had the same ID, counted as a
-// second attempt of this run's.
+// Guards against a reported duplicate that no dispatcher caused: a request of another run with the same ID was counted as a
+// second attempt of this run's request.
 func TestRequestOfAnotherRunIsNoDuplicate(t *testing.T) {
 	service, err := startDiscovery()
 	if err != nil {
@@ -21,6 +21,6 @@
 	r.records.attempts = []attempt{m.arrived(other, "s-here", 10, 3), m.arrived(own, "s-here", 10.1, 3.9)}
 	report := r.checkRules()
 	if len(report.Violations) != 1 || !strings.Contains(report.Violations[0], "foreign: "+other) {
-		t.Errorf("%v; want one violation, by the request of the other run", report)
+		t.Errorf("%v; want one violation, for the request of the other run", report)
 	}
 }
--- a/internal/rehearsal/soak/injection.go
+++ b/internal/rehearsal/soak/injection.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// injectFault injects one fault of the schedule, at its time. number is its place in the schedule.
+// injectFault waits for the time of a fault and injects it. number is the index of the fault in the schedule.
 func (r *run) injectFault(ctx context.Context, number int, injected fault) {
 	if !sleep(ctx, injected.start) {
 		return
 	}
-	r.records.strike()
+	r.records.recordFault()
 	switch injected.kind {
 	case faultKill:
 		killDaemon(ctx, r.daemons[injected.target], injected.duration)
@@ -22,8 +22,8 @@
 		r.reload(injected)
 	case faultPause:
 		pauseDaemon(ctx, r.daemons[injected.target], injected.duration)
-	case faultCrowd:
-		r.crowd(ctx, number, injected)
+	case faultConnectionFlood:
+		r.floodConnections(ctx, number, injected)
 	case faultDrain, faultRetire:
 		r.drainWorker(ctx, r.workers[injected.target], injected.duration)
 	case faultRemove:
@@ -36,16 +36,17 @@
 		r.discovery.beginFault(injected.kind)
 		sleep(ctx, injected.duration)
 		r.discovery.endFault(injected.kind)
-	case faultBlindDrain:
-		r.blindDrain(ctx, injected)
+	case faultUnnotifiedDrain:
+		r.drainUnnotified(ctx, injected)
 	}
 }
 
-// blindDrain lets watches and answers of discovery fall silent, and drains some workers meanwhile.
-func (r *run) blindDrain(ctx context.Context, injected fault) {
+// drainUnnotified makes the watches and answers of the discovery service stop in the middle of a line, and drains some
+// workers in the meantime, so that dispatchers are not notified.
+func (r *run) drainUnnotified(ctx context.Context, injected fault) {
 	const (
-		leadTime  = 200 * time.Millisecond // from the silence to the drain
-		drainedBy = 3                      // one in so many workers drains
+		leadTime     = 200 * time.Millisecond // time between the beginning of the discovery faults and the drains
+		drainedShare = 3                      // one worker in so many drains
 	)
 	kinds := []faultKind{faultDiscoverySilent, faultDiscoveryTruncates}
 	for _, kind := range kinds {
@@ -53,7 +54,7 @@
 	}
 	sleep(ctx, leadTime)
 	var drains sync.WaitGroup
-	for i := injected.target; i < len(r.workers); i += drainedBy {
+	for i := injected.target; i < len(r.workers); i += drainedShare {
 		drains.Go(func() { r.drainWorker(ctx, r.workers[i], injected.duration) })
 	}
 	drains.Wait()
@@ -62,33 +63,34 @@
 	}
 }
 
-// killDaemon kills a dispatcher and starts it again after a time, unless another fault has it.
+// killDaemon kills a dispatcher's process and starts a new one after downTime, unless another fault has claimed the
+// dispatcher.
 func killDaemon(ctx context.Context, target *daemon, downTime time.Duration) {
 	if !target.tryClaim() {
 		return
 	}
 	defer target.release()
-	target.killed()
+	target.recordKill()
 	target.end(syscall.SIGKILL)
 	sleep(ctx, downTime)
 	target.launchAndAwait()
 }
 
-// pauseDaemon stops a dispatcher's process for a time, unless another fault has it.
+// pauseDaemon stops a dispatcher's process by SIGSTOP for the given time, unless another fault has claimed the dispatcher.
 func pauseDaemon(ctx context.Context, target *daemon, duration time.Duration) {
 	if !target.tryClaim() {
 		return
 	}
 	defer target.release()
-	defer target.begin(&target.stops)()
+	defer target.beginInterval(&target.stops)()
 	process := target.currentProcess()
 	_ = process.Signal(syscall.SIGSTOP) // fails only if the process has crashed, which is recorded
 	sleep(ctx, duration)
 	_ = process.Signal(syscall.SIGCONT)
 }
 
-// drainWorker lists a worker as draining, removes it and lists it again as ready, unless another
-// fault has it. Its process runs all the time.
+// drainWorker lists a worker as draining, removes it from the list and lists it again as ready,
+// unless another fault has claimed the worker. The stand-in continues to run.
 func (r *run) drainWorker(ctx context.Context, target *worker, duration time.Duration) {
 	if !target.tryClaim() {
 		return
@@ -104,7 +106,7 @@
 }
 
 // removeWorker removes a worker from the list and lists it again after half of duration, unless
-// another fault has it. Its process runs all the time.
+// another fault has claimed the worker. The stand-in continues to run.
 func (r *run) removeWorker(ctx context.Context, target *worker, duration time.Duration) {
 	if !target.tryClaim() {
 		return
--- a/internal/rehearsal/soak/interval.go
+++ b/internal/rehearsal/soak/interval.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// interval is a span of time; a zero end means that it has not ended.
+// interval is the time between from and to. If to is zero, the interval has not ended.
 type interval struct{ from, to time.Time }
 
-// hasEnded reports whether the end of the interval is known.
+// hasEnded reports whether the interval has ended.
 func (i interval) hasEnded() bool { return !i.to.IsZero() }
 
-// contains reports whether a moment lies in the interval. Its end does not belong to it.
-func (i interval) contains(moment time.Time) bool {
-	return !moment.Before(i.from) && (!i.hasEnded() || moment.Before(i.to))
+// contains reports whether a time lies in the interval. The end of the interval does not belong to it.
+func (i interval) contains(at time.Time) bool {
+	return !at.Before(i.from) && (!i.hasEnded() || at.Before(i.to))
 }
 
-// overlaps reports whether the interval shares more than a moment with the span between two times.
+// overlaps reports whether the interval and the time between from and to overlap in more than a single instant.
 func (i interval) overlaps(from, to time.Time) bool {
 	return i.from.Before(to) && (!i.hasEnded() || i.to.After(from))
 }
--- a/internal/rehearsal/soak/lateness.go
+++ b/internal/rehearsal/soak/lateness.go
@@ -12,32 +12,32 @@
 )
 
 const (
-	// measurementInterval is the pause between two measurements of lateness, and so how much of it can go unseen.
+	// measurementInterval is the pause between two measurements of lateness. Lateness up to this length can go unmeasured.
 	measurementInterval = 20 * time.Millisecond
 
-	// loopProbeTimeout is longer than any time for which a dispatcher is stopped.
+	// loopProbeTimeout limits a measurement. It is longer than any time for which a dispatcher is stopped.
 	loopProbeTimeout = 20 * time.Second
 
-	// acceptMeasurementInterval is the pause between two measurements of a traced dispatcher's accept.
+	// acceptMeasurementInterval is the pause between two health checks of a traced dispatcher.
 	acceptMeasurementInterval = 50 * time.Millisecond
 )
 
-// latenessLog holds how late things happened, one after the other. It is safe for concurrent use. The zero value is
-// ready to use.
+// latenessLog holds successive measurements of lateness. It is safe for concurrent use. The zero value is an empty log.
 type latenessLog struct {
 	mutex   sync.Mutex
-	samples []interval // from when something was due to when it happened
+	samples []interval // each from the time when an event was due to the time when it happened
 }
 
-// add records that something due at one time happened at another.
+// add records when an event was due and when it happened.
 func (l *latenessLog) add(due, happened time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.samples = append(l.samples, interval{from: due, to: happened})
 }
 
-// around returns the largest lateness of what was due or happened between two times.
-func (l *latenessLog) around(from, to time.Time) (largest time.Duration) {
+// largestBetween returns the largest lateness of the events whose time from due to happened overlaps the time between from
+// and to.
+func (l *latenessLog) largestBetween(from, to time.Time) (largest time.Duration) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	first, _ := slices.BinarySearchFunc(l.samples, from, func(sample interval, at time.Time) int { return sample.to.Compare(at) })
@@ -50,7 +50,7 @@
 	return largest
 }
 
-// largest returns the largest lateness of all.
+// largest returns the largest lateness of all events.
 func (l *latenessLog) largest() (largest time.Duration) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -60,7 +60,7 @@
 	return largest
 }
 
-// measureTimers measures how late the timers of this process are, which are those of all stand-ins, until stop is closed.
+// measureTimers measures how late the timers of this process fire, until stop is closed. All stand-ins use these timers.
 func (r *run) measureTimers(stop <-chan struct{}) {
 	for {
 		due := time.Now().Add(measurementInterval)
@@ -69,17 +69,17 @@
 			return
 		case <-time.After(measurementInterval):
 		}
-		r.timers.add(due, time.Now())
+		r.timerLateness.add(due, time.Now())
 	}
 }
 
-// measureLoop measures how long the event loop of a dispatcher takes to answer its admin API, until stop is closed. While
-// it has no process, nothing is measured.
+// measureLoop measures how long the event loop of a dispatcher takes to answer a request to the admin API, until stop is
+// closed. It measures nothing while the dispatcher has no process.
 func (d *daemon) measureLoop(stop <-chan struct{}) {
 	for {
 		conn, err := net.DialTimeout("tcp", d.adminAddress(), dialTimeout)
 		if err == nil {
-			d.measureLoopBy(conn, stop)
+			d.measureLoopOver(conn, stop)
 			conn.Close()
 		}
 		select {
@@ -90,8 +90,8 @@
 	}
 }
 
-// measureLoopBy measures over one connection until it breaks or stop is closed.
-func (d *daemon) measureLoopBy(conn net.Conn, stop <-chan struct{}) {
+// measureLoopOver measures the event loop over one connection until the connection breaks or stop is closed.
+func (d *daemon) measureLoopOver(conn net.Conn, stop <-chan struct{}) {
 	input := bufio.NewReader(conn)
 	for {
 		asked := time.Now()
@@ -103,7 +103,7 @@
 		}
 		_, err = io.Copy(io.Discard, answer.Body)
 		answer.Body.Close()
-		d.loop.add(asked, time.Now())
+		d.loopLateness.add(asked, time.Now())
 		if err != nil || answer.Close {
 			return
 		}
@@ -116,7 +116,7 @@
 }
 
 // measureAccept measures how long a traced dispatcher takes to answer a health check on a new connection, until stop is
-// closed. What is traced is slow to accept and to read, which its loop does not show.
+// closed. A traced process is slow to accept and to read connections, which measureLoop does not show.
 func (d *daemon) measureAccept(stop <-chan struct{}) {
 	client := newHTTPClient(loopProbeTimeout)
 	for {
@@ -124,7 +124,7 @@
 		answer, err := client.Get("http://" + d.address + "/healthz")
 		if err == nil {
 			answer.Body.Close()
-			d.accepts.add(asked, time.Now())
+			d.acceptLateness.add(asked, time.Now())
 		}
 		select {
 		case <-stop:
@@ -134,9 +134,9 @@
 	}
 }
 
-// latenessAround returns what a bound for a dispatcher may be exceeded by between two times: the lateness of the
-// stand-ins and of the dispatcher's loop that was measured then, and what can go unseen of it.
-func (r *run) latenessAround(target *daemon, from, to time.Time) time.Duration {
-	dispatcher := max(target.loop.around(from, to), target.accepts.around(from, to))
-	return r.timers.around(from, to) + dispatcher + measurementInterval
+// latenessBetween returns by how much a limit for a dispatcher may be exceeded between two times: the lateness of the
+// stand-ins and of the dispatcher that was measured then, and the lateness that can go unmeasured.
+func (r *run) latenessBetween(target *daemon, from, to time.Time) time.Duration {
+	dispatcher := max(target.loopLateness.largestBetween(from, to), target.acceptLateness.largestBetween(from, to))
+	return r.timerLateness.largestBetween(from, to) + dispatcher + measurementInterval
 }
--- a/internal/rehearsal/soak/networkfault.go
+++ b/internal/rehearsal/soak/networkfault.go
@@ -6,49 +6,51 @@
 	"time"
 )
 
-// networkFaultKind is a kind of fault of connects and of load. These have a schedule of their own beside that of faults.
+// networkFaultKind is a kind of fault that concerns connection setup or load. These faults have a schedule of their own, in
+// addition to the schedule of the other faults.
 type networkFaultKind int
 
 const (
-	networkRefuse     networkFaultKind = iota // a worker refuses connections
-	networkHang                               // connects to a worker hang
-	networkLate                               // connects to a worker come up late
-	networkLateDrain                          // likewise, and the worker is listed as draining meanwhile
-	networkSurge                              // a dispatcher gets many times its requests
-	networkFaultKinds                         // the number of kinds
+	networkRefuse           networkFaultKind = iota // a worker refuses connections
+	networkHang                                     // connects to a worker are not answered for a while
+	networkSlowConnect                              // connects to a worker succeed late
+	networkSlowConnectDrain                         // connects to a worker succeed late, and it is listed as draining in the meantime
+	networkSurge                                    // a dispatcher receives surgeFactor times as many requests
+	networkFaultKinds                               // number of kinds
 )
 
 const (
-	networkScheduleStream = 3 // of the seed
+	networkFaultStream = 3 // random stream of the run's seed
 
 	maxNetworkFaultInterval = 1500 * time.Millisecond
 	maxRefuseTime           = time.Second
 	maxHangTime             = 3 * time.Second
 
-	// A connect whose first try is not answered is tried again by the kernel after a second.
-	lateAcceptTime = 600 * time.Millisecond
-	drainLeadTime  = 300 * time.Millisecond // from the hang to the drain
-	drainTime      = 4 * time.Second
+	// The kernel repeats an unanswered connect after 1 s. Therefore a connect that begins while a worker does not answer for
+	// this time succeeds 1 s after its beginning.
+	slowConnectTime = 600 * time.Millisecond
+	drainLeadTime   = 300 * time.Millisecond // from the time when connects are no longer answered to the drain
+	drainTime       = 4 * time.Second
 
 	surgeTime   = 2 * time.Second
 	surgeFactor = 8
 )
 
-// networkFault is one fault of the schedule.
+// networkFault is one fault of the schedule of network faults.
 type networkFault struct {
 	kind     networkFaultKind
-	start    time.Duration // since the start of the run
+	start    time.Duration // time since the start of the run
 	duration time.Duration
 	target   int // index of a dispatcher or a worker
 }
 
-// scheduleNetwork draws the faults of connects and load of a seed.
+// scheduleNetwork draws the network faults of a run's seed.
 func scheduleNetwork(config Config) (faults []networkFault) {
-	random := rand.New(rand.NewPCG(config.Seed, networkScheduleStream))
+	random := rand.New(rand.NewPCG(config.Seed, networkFaultStream))
 	start := time.Duration(0)
 	for start < config.Duration {
 		drawn := networkFault{kind: networkFaultKind(random.IntN(int(networkFaultKinds))), start: start}
-		drawn.target = random.IntN(config.Workers * 2 / 3) // the others stay, so that requests can be served
+		drawn.target = random.IntN(config.Workers * 2 / 3) // the other workers have no such faults, so that requests can be served
 		longest := maxRefuseTime
 		if drawn.kind == networkHang {
 			longest = maxHangTime
@@ -63,12 +65,12 @@
 	return faults
 }
 
-// injectNetworkFault injects one fault at its time.
+// injectNetworkFault waits for the time of a fault and injects it.
 func (r *run) injectNetworkFault(ctx context.Context, injected networkFault) {
 	if !sleep(ctx, injected.start) {
 		return
 	}
-	r.records.strike()
+	r.records.recordFault()
 	if injected.kind == networkSurge {
 		target := r.daemons[injected.target]
 		target.surges.Add(1)
@@ -90,24 +92,24 @@
 		resume := target.suspendAccept()
 		sleep(ctx, injected.duration)
 		resume()
-	case networkLate:
+	case networkSlowConnect:
 		target.reset()
 		resume := target.suspendAccept()
-		sleep(ctx, lateAcceptTime)
+		sleep(ctx, slowConnectTime)
 		resume()
-	case networkLateDrain:
-		r.lateDrain(ctx, target)
+	case networkSlowConnectDrain:
+		r.drainDuringSlowConnect(ctx, target)
 	}
 }
 
-// lateDrain lets connects to a worker come up late, and lists it as draining after they have begun.
-func (r *run) lateDrain(ctx context.Context, target *worker) {
+// drainDuringSlowConnect makes connects to a worker succeed late, and lists the worker as draining after they have begun.
+func (r *run) drainDuringSlowConnect(ctx context.Context, target *worker) {
 	target.reset() // so that requests need new connections
 	resume := target.suspendAccept()
 	sleep(ctx, drainLeadTime)
 	target.setDraining(true)
 	r.discovery.set(target.name, target.address, healthDraining)
-	sleep(ctx, lateAcceptTime-drainLeadTime)
+	sleep(ctx, slowConnectTime-drainLeadTime)
 	resume()
 	sleep(ctx, drainTime)
 	target.setDraining(false)
--- a/internal/rehearsal/soak/records.go
+++ b/internal/rehearsal/soak/records.go
@@ -6,84 +6,84 @@
 	"time"
 )
 
-// attempt is an attempt as its worker observed it.
+// attempt is an attempt, as its worker observed it.
 type attempt struct {
-	id         string // of its request
-	class      string
-	worker     string
-	from       string // the address of the dispatcher's end of the connection
-	connection int    // its number at the worker
-	arrivedAt  time.Time
-	timeLeft   time.Duration // according to the dispatcher
-	neverRan   bool          // the worker refuses it, or hands it back unstarted
-	stalled    bool          // the worker read it late, so that it may have arrived before arrivedAt
+	id            string // ID of the request
+	class         string
+	worker        string
+	remoteAddress string // address of the dispatcher's end of the connection
+	connection    int    // number of the connection at the worker
+	arrivedAt     time.Time
+	timeLeft      time.Duration // time that the client has left, according to the dispatcher
+	neverRan      bool          // the worker rejected the attempt, or returned it without starting it
+	readLate      bool          // the worker read the attempt late, so that it may have arrived before arrivedAt
 }
 
-// String describes the attempt in a violation.
+// String describes where the attempt arrived. Descriptions of violations contain it.
 func (a attempt) String() string {
-	return fmt.Sprintf("at %s, on its connection %d from %s", a.worker, a.connection, a.from)
+	return fmt.Sprintf("at %s, on its connection %d from %s", a.worker, a.connection, a.remoteAddress)
 }
 
-// request is a request as its client observed it.
+// request is a request, as its client observed it.
 type request struct {
-	id           string
-	class        string
-	daemon       *daemon
-	timeout      time.Duration
-	key          int  // what it concerns
-	largeBody    bool // its body does not fit a small buffer
-	extraBytes   int  // that its client writes behind it
-	sentAt       time.Time
-	clientLeftAt time.Time // when its client closed the connection; zero: it did not
-	kept         bool      // its connection had served a request before
-	resent       bool      // it is the second try of one that may have crossed a close
-	notConnected bool      // no connection could be opened for it
-	closedAt     time.Time // when its connection was closed with no answer; zero: it was not
-	status       int       // 0: no final answer
-	answeredAt   time.Time
+	id               string
+	class            string
+	daemon           *daemon
+	timeout          time.Duration
+	key              int  // number of the key in its path
+	largeBody        bool // its body has largeBodyBytes
+	extraBytes       int  // number of bytes that the client writes after the request
+	sentAt           time.Time
+	clientLeftAt     time.Time // when the client closed the connection; zero if it did not
+	reusedConnection bool      // an earlier request on the connection was answered
+	resent           bool      // it repeats a request whose connection was closed without an answer
+	notConnected     bool      // no connection could be opened for the request
+	closedAt         time.Time // when the dispatcher closed the connection without an answer; zero if it did not
+	status           int       // status of the final answer, or 0 if there was none
+	answeredAt       time.Time
 }
 
 // clientLeft reports whether the client closed the connection without an answer.
 func (r *request) clientLeft() bool { return !r.clientLeftAt.IsZero() }
 
-// records are the observations of clients and workers. Their methods are safe for concurrent use.
-// The fields are read without the lock once nothing is added any more.
+// records holds the observations of clients and workers. Its methods are safe for concurrent use.
+// The rules read its fields without the lock, after all clients and faults have ended.
 type records struct {
 	mutex      sync.Mutex
 	requests   []request
 	attempts   []attempt
-	incomplete int // requests that were cut off on their way to a worker
+	incomplete int // number of attempts that broke off before a worker had received them completely
 
-	attemptCounts map[string]int // by request
-	inFlight      int            // attempts at workers now
-	strikes       int            // faults, of requests too
-	struck        int            // attempts that were in flight when a fault came, over all faults
-	harnessErrors []string       // why the run itself is not what it should be
+	attemptCounts    map[string]int // by request ID, number of attempts that arrived at workers
+	inFlight         int            // number of attempts that workers handle now
+	faultCount       int            // number of faults so far, including those of single attempts
+	inFlightAtFaults int            // sum over all faults of inFlight at the time of the fault
+	harnessErrors    []string       // faults that the stand-ins could not inject
 }
 
-// attemptsOf returns how many attempts of a request have come to workers.
+// attemptsOf returns how many attempts of a request have arrived at workers.
 func (r *records) attemptsOf(id string) int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.attemptCounts[id]
 }
 
-// endAttempt records that a worker has done with an attempt.
+// endAttempt records that a worker has finished an attempt.
 func (r *records) endAttempt() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.inFlight--
 }
 
-// strike records that a fault comes.
-func (r *records) strike() {
+// recordFault records that a fault is injected now.
+func (r *records) recordFault() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.strikes++
-	r.struck += r.inFlight
+	r.faultCount++
+	r.inFlightAtFaults += r.inFlight
 }
 
-// addHarnessError records that a stand-in could not do what the schedule wants.
+// addHarnessError records that a stand-in could not inject a fault of the schedule.
 func (r *records) addHarnessError(err error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/rehearsal/soak/replacement.go
+++ b/internal/rehearsal/soak/replacement.go
@@ -15,18 +15,19 @@
 )
 
 const (
-	replacedDaemons          = 2 // dispatchers whose processes are replaced by successors, beside the others
-	replacementStreamBase    = 20_000
+	replacedDaemons          = 2               // additional dispatchers whose processes are replaced by successors
+	replacementStreamBase    = 20_000          // first random stream of these dispatchers
 	minReplacementPause      = 2 * time.Second // between two replacements
 	maxReplacementPause      = 5 * time.Second
-	successorTimeout         = 15 * time.Second // for a successor to accept clients
+	successorTimeout         = 15 * time.Second // time within which a successor must accept clients
 	firstInheritedDescriptor = 3
 
 	// successorServesText is what a predecessor logs once its successor accepts clients.
 	successorServesText = "successor is accepting clients"
 )
 
-// prepareReplaced prepares the dispatchers that are replaced. Their listener is this process's, as the platform's is.
+// prepareReplaced prepares the dispatchers whose processes are replaced. They inherit their listeners from this process, as
+// they do from the platform in production.
 func (r *run) prepareReplaced() error {
 	random := rand.New(rand.NewPCG(r.config.Seed, replacementStreamBase))
 	for number := range replacedDaemons {
@@ -42,7 +43,8 @@
 	return nil
 }
 
-// inheritListener opens the dispatcher's listener, which all its processes inherit, and makes the folder where they meet.
+// inheritListener opens the dispatcher's listener, which all its processes inherit, and creates a directory for its files,
+// through which predecessor and successor find each other.
 func (d *daemon) inheritListener(dir string) error {
 	d.dir = filepath.Join(dir, d.name)
 	if err := os.Mkdir(d.dir, 0o700); err != nil {
@@ -52,18 +54,19 @@
 	if err != nil {
 		return err
 	}
-	defer listener.Close() // the file is a duplicate
-	d.inherited, err = listener.(*net.TCPListener).File()
+	defer listener.Close() // File returns a duplicate of the descriptor
+	d.inheritedListener, err = listener.(*net.TCPListener).File()
 	return err
 }
 
-// replaceRepeatedly replaces the dispatcher's process by a successor now and then.
+// replaceRepeatedly replaces the dispatcher's process by a successor at random intervals, until ctx ends or a replacement
+// fails.
 func (r *run) replaceRepeatedly(ctx context.Context, target *daemon, random *rand.Rand) {
 	pause := func() time.Duration {
 		return minReplacementPause + time.Duration(random.Int64N(int64(maxReplacementPause-minReplacementPause)))
 	}
 	for sleep(ctx, pause()) {
-		r.records.strike()
+		r.records.recordFault()
 		if err := target.replace(drawSignals(true, random)); err != nil {
 			target.addCrash(fmt.Sprintf("%s: %v", target.name, err))
 			return
@@ -72,7 +75,7 @@
 	}
 }
 
-// replace starts a successor, and ends the predecessor by a series of signals once the successor accepts clients.
+// replace starts a successor. Once the successor accepts clients, it ends the predecessor by a series of signals.
 func (d *daemon) replace(series signalSeries) error {
 	predecessor, predecessorAdmin := d.currentProcess(), d.adminAddress()
 	adminAddress, err := childprocess.FreeAddress()
@@ -84,7 +87,7 @@
 		return err
 	}
 	if !predecessor.awaitLog(successorServesText, successorTimeout) {
-		return fmt.Errorf("no successor accepts clients after %v: %s", successorTimeout, predecessor.endOfLog())
+		return fmt.Errorf("no successor accepts clients after %v: %s", successorTimeout, predecessor.logTail())
 	}
 	d.fetchInvariantsFrom(predecessorAdmin)
 	d.mutex.Lock()
@@ -96,27 +99,28 @@
 		d.checkEnd(predecessor)
 	case <-time.After(killAfterTerm):
 		childprocess.Stop(predecessor, syscall.SIGKILL, endTimeout)
-		return fmt.Errorf("the predecessor does not end: %s", predecessor.endOfLog())
+		return fmt.Errorf("the predecessor does not end: %s", predecessor.logTail())
 	}
 	return nil
 }
 
-// countReplacements adds the replacements to the report. A run that is long enough for one of each dispatcher has it.
+// countReplacements adds the number of replacements to the report. If the run was long enough for a replacement of each
+// dispatcher, a dispatcher without one is a violation.
 func (c *ruleChecker) countReplacements() {
-	const leadTime = successorTimeout // of the first one
+	const leadTime = successorTimeout // time that the first replacement may take
 	for _, target := range c.run.replaced {
 		made := int(target.replacements.Load())
-		c.report.Replaced += made
+		c.report.Replacements += made
 		if made == 0 && c.run.config.Duration > maxReplacementPause+leadTime {
 			c.addViolation(ruleHarness, c.run.start, "%s was never replaced", target.name)
 		}
 	}
 }
 
-// awaitLog waits until the process has logged a text. It reports false after the timeout.
+// awaitLog waits until the process has logged a text. It returns false if that takes longer than the timeout.
 func (p *daemonProcess) awaitLog(text string, timeout time.Duration) bool {
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(readyPollInterval) {
-		log, _ := os.ReadFile(p.logPath) // none: it has logged nothing
+		log, _ := os.ReadFile(p.logPath) // a log that cannot be read counts as empty
 		if strings.Contains(string(log), text) {
 			return true
 		}
@@ -124,16 +128,16 @@
 	return false
 }
 
-// startReplaced launches the dispatchers that are replaced, and waits until they accept clients.
+// startReplaced starts the dispatchers whose processes are replaced, and waits until they accept clients.
 func (r *run) startReplaced() error {
 	for _, target := range r.replaced {
 		if err := target.launch(); err != nil {
 			return err
 		}
 		if !target.awaitReady(startTimeout) {
-			return fmt.Errorf("%s is not ready after %v: %s", target.name, startTimeout, target.currentProcess().endOfLog())
+			return fmt.Errorf("%s is not ready after %v: %s", target.name, startTimeout, target.currentProcess().logTail())
 		}
-		target.ready()
+		target.recordReady()
 	}
 	return nil
 }
--- a/internal/rehearsal/soak/rules.go
+++ b/internal/rehearsal/soak/rules.go
@@ -8,54 +8,55 @@
 	"time"
 )
 
-// Bounds of the rules, as the dispatchers' settings give them.
+// Time limits of the rules. Those that the dispatchers' settings contain must match them.
 const (
-	notificationTime  = 6 * time.Second // until a dispatcher must know a change of the list
+	notificationTime  = 6 * time.Second // time within which a dispatcher must know of a change of the list
 	drainGrace        = 500 * time.Millisecond
-	answerSlack       = 500 * time.Millisecond // an answer later than this after the timeout is lost
-	cancellationSlack = 100 * time.Millisecond // from a client's close to the last attempt that may begin
-	timeLeftSlack     = 150 * time.Millisecond
+	answerSlack       = 500 * time.Millisecond // an answer may come this long after the request's timeout
+	cancellationSlack = 100 * time.Millisecond // an attempt may arrive this long after its client has closed the connection
+	timeLeftSlack     = 150 * time.Millisecond // an attempt may be given this much more time than its client has left
 )
 
-// rule is a rule, as violations name it.
+// rule is the name of a rule in the descriptions of violations.
 type rule string
 
 const (
-	ruleLost      rule = "lost"      // each request has a final answer in time, and none is worked on after its client left
-	ruleDuplicate rule = "duplicate" // no renewal arrives at workers twice
+	ruleLost      rule = "lost"      // each request is answered in time, and no attempt of it arrives after its client has left
+	ruleDuplicate rule = "duplicate" // no renewal arrives again at a worker after an attempt of it that may have run
 	ruleDrain     rule = "drain"     // no attempt arrives at a worker that the dispatcher must know to be draining or removed
 	ruleTimeLeft  rule = "time left" // no attempt is given more time than its client has left
-	ruleWindow    rule = "window"    // no repeat of a transfer arrives once workers have forgotten the first attempt
-	ruleAttempts  rule = "attempts"  // no request comes to workers more often than the settings allow
-	ruleBudget    rule = "budget"    // no dispatcher makes more repeats than its retry budget allows
+	ruleWindow    rule = "window"    // no repeated attempt of a transfer arrives after the dedup window of the first one
+	ruleAttempts  rule = "attempts"  // no request has more attempts than the settings allow
+	ruleBudget    rule = "budget"    // no dispatcher makes more repeated attempts than its retry budget allows
 
-	// ruleForeign is broken by the machine, not by a dispatcher: what comes from another run proves nothing about this one.
-	ruleForeign rule = "foreign" // only requests of this run come to its workers
-	ruleHarness rule = "harness" // the stand-ins do what the schedule wants
+	// A violation of ruleForeign is caused by the machine and not by a dispatcher of this run: a request of another run
+	// shows nothing about this run.
+	ruleForeign rule = "foreign" // only requests of this run arrive at its workers
+	ruleHarness rule = "harness" // the stand-ins can inject the faults of the schedule
 )
 
-// checkRules checks the records against the rules, once no client and no fault runs any more.
+// checkRules checks the records against the rules. It must be called after all clients and faults have ended.
 func (r *run) checkRules() Report {
 	checker := ruleChecker{run: r, arrived: map[string]bool{}}
 	for _, arrived := range r.records.attempts {
 		checker.arrived[arrived.id] = true
 	}
 	checker.report = Report{
-		Excuses:    map[excuse]int{},
-		Seed:       r.config.Seed,
-		Requests:   len(r.records.requests),
-		Attempts:   len(r.records.attempts),
-		Incomplete: r.records.incomplete,
-		Lateness:   r.timers.largest(),
-		Faults:     len(schedule(r.config.Seed, r.config)) + len(scheduleNetwork(r.config)),
+		Excuses:          map[excuse]int{},
+		Seed:             r.config.Seed,
+		Requests:         len(r.records.requests),
+		Attempts:         len(r.records.attempts),
+		Incomplete:       r.records.incomplete,
+		MaxTimerLateness: r.timerLateness.largest(),
+		Faults:           len(scheduleFaults(r.config.Seed, r.config)) + len(scheduleNetwork(r.config)),
 	}
-	if r.records.strikes > 0 {
-		checker.report.InFlight = float64(r.records.struck) / float64(r.records.strikes)
+	if r.records.faultCount > 0 {
+		checker.report.MeanInFlight = float64(r.records.inFlightAtFaults) / float64(r.records.faultCount)
 	}
 	for _, description := range r.records.harnessErrors {
 		checker.addViolation(ruleHarness, r.start, "%s", description)
 	}
-	checker.addDaemonsOwnViolations()
+	checker.addSelfReportedViolations()
 	checker.checkRequests()
 	checker.checkAttempts()
 	checker.checkRetryBudgets()
@@ -63,40 +64,41 @@
 	return checker.report
 }
 
-// ruleChecker checks the records of a run. It counts and lists in report what it finds.
+// ruleChecker checks the records of a run and writes its findings to report.
 type ruleChecker struct {
 	run     *run
-	arrived map[string]bool // the requests that came to workers
+	arrived map[string]bool // IDs of the requests of which an attempt arrived at a worker
 	report  Report
 }
 
-// addViolation adds a violation with its time since the start of the run.
-func (c *ruleChecker) addViolation(violated rule, moment time.Time, format string, values ...any) {
+// addViolation adds the description of a violation, with the time since the start of the run.
+func (c *ruleChecker) addViolation(violated rule, at time.Time, format string, values ...any) {
 	description := fmt.Sprintf(format, values...)
-	second := moment.Sub(c.run.start).Seconds()
+	second := at.Sub(c.run.start).Seconds()
 	c.report.Violations = append(c.report.Violations, fmt.Sprintf("%.3f %s: %s", second, violated, description))
 }
 
-// exceeds reports whether a bound for a dispatcher is exceeded by more than the lateness that was measured between two
-// times. What keeps its bound by that lateness alone is counted.
+// exceeds reports whether a limit for a dispatcher is exceeded by more than the lateness that was measured between two
+// times. excess is the time beyond the limit. An excess that only this lateness allows is counted in the report.
 func (c *ruleChecker) exceeds(excess time.Duration, target *daemon, from, to time.Time) bool {
-	return c.exceedsBy(excess, c.run.latenessAround(target, from, to))
+	return c.exceedsAllowed(excess, c.run.latenessBetween(target, from, to))
 }
 
-// exceedsBy is exceeds with the lateness that is allowed.
-func (c *ruleChecker) exceedsBy(excess, lateness time.Duration) bool {
+// exceedsAllowed does the same as exceeds for a given lateness.
+func (c *ruleChecker) exceedsAllowed(excess, lateness time.Duration) bool {
 	switch {
 	case excess <= 0:
 		return false
 	case excess > lateness:
 		return true
 	}
-	c.report.ByLateness++
+	c.report.KeptByLateness++
 	return false
 }
 
-// addDaemonsOwnViolations adds the crashes of dispatchers and the violations that they have counted themselves.
-func (c *ruleChecker) addDaemonsOwnViolations() {
+// addSelfReportedViolations adds the crashes of dispatchers, the violations that they have counted themselves, and the
+// results of the durable queues.
+func (c *ruleChecker) addSelfReportedViolations() {
 	for _, daemon := range slices.Concat(c.run.daemons, c.run.replaced) {
 		daemon.fetchInvariants()
 		c.report.Violations = append(c.report.Violations, daemon.violations()...)
@@ -107,7 +109,7 @@
 		c.report.Pushed += len(queue.pushed)
 		c.report.Accepted += len(queue.accepted)
 		for _, runs := range queue.runs {
-			c.report.Ran += runs
+			c.report.Runs += runs
 		}
 	}
 }
@@ -118,7 +120,7 @@
 	}
 }
 
-// checkRequest checks that a client that waited has its answer in time, or is excused.
+// checkRequest checks that a request was answered in time if its client waited, unless a missing answer is excused.
 func (c *ruleChecker) checkRequest(sent *request) {
 	latest := sent.sentAt.Add(sent.timeout + answerSlack)
 	inTime := sent.status != 0 && !c.exceeds(sent.answeredAt.Sub(latest), sent.daemon, sent.sentAt, sent.answeredAt)
@@ -141,7 +143,7 @@
 	}
 }
 
-// countAnswered counts a request that was answered in time. Only a worker can have served it.
+// countAnswered counts a request that was answered in time. If its status is 200, an attempt must have arrived at a worker.
 func (c *ruleChecker) countAnswered(sent *request) {
 	c.report.Answered++
 	if sent.status != http.StatusOK {
@@ -164,17 +166,18 @@
 	c.addViolation(ruleLost, sent.sentAt, "%s could not connect", sent.id)
 }
 
-// checkClosed checks a request whose connection was closed with no answer. It is not lost if the dispatcher was killed
-// with it in flight, or if it crossed the close unread: on a kept connection, or beside a crowd on a new one, which may
-// then be shut unread. That it was read shows where it came to a worker.
+// checkClosed checks a request whose connection was closed without an answer. This is allowed if the dispatcher was killed
+// while the request was in flight, or if the dispatcher closed the connection before it read the request. It may close a
+// connection so only if the connection was reused, or during a flood of connections. If an attempt of the request arrived
+// at a worker, the dispatcher must have read the request.
 func (c *ruleChecker) checkClosed(sent *request) {
 	cutOff, killedAfterTerm := sent.daemon.killedAfterTerm(sent.sentAt, sent.closedAt)
-	mayCross := sent.kept || sent.daemon.wasCrowded(sent.sentAt, sent.closedAt)
+	mayCross := sent.reusedConnection || sent.daemon.wasFlooded(sent.sentAt, sent.closedAt)
 	switch {
 	case sent.daemon.wasKilled(sent.sentAt, sent.closedAt):
 		c.excuse(excuseKilledInFlight)
 	case killedAfterTerm:
-		c.addViolation(ruleLost, sent.sentAt, "%s came %v after SIGTERM and was unanswered at the kill", sent.id, sent.sentAt.Sub(cutOff.signaledAt))
+		c.addViolation(ruleLost, sent.sentAt, "%s came %v after SIGTERM and was unanswered at the kill", sent.id, sent.sentAt.Sub(cutOff.terminatedAt))
 	case c.arrived[sent.id]:
 		c.addViolation(ruleLost, sent.sentAt, "%s came to a worker, and its connection was closed with no answer", sent.id)
 	case !mayCross:
@@ -182,7 +185,7 @@
 	case sent.resent:
 		c.addViolation(ruleLost, sent.sentAt, "%s was closed with no answer for the second time", sent.id)
 	default:
-		c.report.Crossed++
+		c.report.CrossedClose++
 	}
 }
 
@@ -192,7 +195,7 @@
 		sent := &c.run.records.requests[i]
 		requests[sent.id] = sent
 	}
-	earlier := map[string][]attempt{} // by request
+	earlier := map[string][]attempt{} // by request ID
 	for _, arrived := range c.run.records.attempts {
 		if !strings.HasPrefix(arrived.id, c.run.idPrefix) {
 			c.addViolation(ruleForeign, arrived.arrivedAt, "%s of another run came to %s", arrived.id, arrived)
@@ -207,7 +210,7 @@
 	}
 }
 
-// checkRepeat checks an attempt against the earlier ones of its request.
+// checkRepeat checks an attempt against the earlier attempts of its request.
 func (c *ruleChecker) checkRepeat(sent *request, earlier []attempt, arrived attempt) {
 	mayHaveRun := slices.IndexFunc(earlier, func(one attempt) bool { return !one.neverRan })
 	if len(earlier) >= maxAttempts {
@@ -223,14 +226,14 @@
 		c.addViolation(ruleDuplicate, arrived.arrivedAt, "%s came again %s, %v after %s%s",
 			arrived.id, arrived, since, first, c.traceOf(sent))
 	case classTransfer:
-		if sent != nil && !arrived.stalled && c.exceeds(since-dedupWindow, sent.daemon, first.arrivedAt, arrived.arrivedAt) {
+		if sent != nil && !arrived.readLate && c.exceeds(since-dedupWindow, sent.daemon, first.arrivedAt, arrived.arrivedAt) {
 			c.addViolation(ruleWindow, arrived.arrivedAt, "%s came again %s, %v after %s%s",
 				arrived.id, arrived, since, first, c.traceOf(sent))
 		}
 	}
 }
 
-// traceOf returns what a request's dispatcher has logged of it, a line each.
+// traceOf returns the lines that a request's dispatcher has logged about it, for the description of a violation.
 func (c *ruleChecker) traceOf(sent *request) string {
 	if sent == nil {
 		return ""
@@ -238,18 +241,18 @@
 	return "\n    " + strings.Join(sent.daemon.traceOf(sent.id), "\n    ")
 }
 
-// checkAttempt checks that an attempt was allowed to begin at its worker when it did. Of what arrives while a dispatcher
-// is stopped, or was read late by its worker, only the rule on draining is checked: it may have arrived before.
+// checkAttempt checks that an attempt was allowed to arrive when it did. Only ruleDrain is checked if the dispatcher was
+// stopped in the meantime, or if the worker read the attempt late, since it may then have arrived earlier.
 func (c *ruleChecker) checkAttempt(sent *request, arrived attempt) {
 	c.checkDrain(sent, arrived)
 	wasStopped := sent.daemon.wasStopped(sent.sentAt, arrived.arrivedAt)
-	if wasStopped || arrived.stalled {
+	if wasStopped || arrived.readLate {
 		return
 	}
 	if sent.clientLeft() {
 		sinceClientLeft := arrived.arrivedAt.Sub(sent.clientLeftAt)
 		lateness := c.cancellationLateness(sent, arrived)
-		if c.exceedsBy(sinceClientLeft-cancellationSlack, lateness) {
+		if c.exceedsAllowed(sinceClientLeft-cancellationSlack, lateness) {
 			c.addViolation(ruleLost, arrived.arrivedAt, "%s came to %s %v after its client had left%s",
 				arrived.id, arrived, sinceClientLeft, c.traceOf(sent))
 		}
@@ -262,25 +265,27 @@
 	}
 }
 
-// cancellationLateness returns what is allowed beyond the bound for an attempt after its client has left. The lateness of
-// the dispatcher does not count, since it asks the kernel right before it sends, but for a traced one, whose calls between
-// the question and the send are slow.
+// cancellationLateness returns by how much an attempt that arrives after its client has left may exceed cancellationSlack.
+// The lateness of the dispatcher does not count, because right before it sends an attempt it asks the kernel whether the
+// client has left. It does count for a traced dispatcher, whose system calls between the question and the send are slow.
 func (c *ruleChecker) cancellationLateness(sent *request, arrived attempt) time.Duration {
 	if sent.daemon.tracer != nil {
-		return c.run.latenessAround(sent.daemon, sent.clientLeftAt, arrived.arrivedAt)
+		return c.run.latenessBetween(sent.daemon, sent.clientLeftAt, arrived.arrivedAt)
 	}
-	return c.run.timers.around(sent.clientLeftAt, arrived.arrivedAt) + measurementInterval
+	return c.run.timerLateness.largestBetween(sent.clientLeftAt, arrived.arrivedAt) + measurementInterval
 }
 
-// checkDrain checks that the worker of an attempt was listed as ready, or that its dispatcher did not have to know yet
-// that it was not: neither had it been told so, nor was the notification due.
+// checkDrain checks that the worker of an attempt was listed as ready, or that the dispatcher did not have to know yet that
+// it was not. The dispatcher has to know once it was notified, or the notification deadline of the change has passed, and
+// drainGrace after that.
 func (c *ruleChecker) checkDrain(sent *request, arrived attempt) {
 	dispatcher := sent.daemon
-	told, wasTold := c.run.discovery.toldUnlistedSince(dispatcher.name, arrived.worker, arrived.arrivedAt)
-	heldToTold := !arrived.stalled && dispatcher.inherited == nil // two processes are told apart from each other
-	if wasTold && heldToTold && !dispatcher.wasStopped(told, arrived.arrivedAt) {
-		late := arrived.arrivedAt.Sub(told) - drainGrace
-		if c.exceeds(late, dispatcher, told, arrived.arrivedAt) {
+	notifiedAt, wasNotified := c.run.discovery.notifiedUnlistedSince(dispatcher.name, arrived.worker, arrived.arrivedAt)
+	// A predecessor and its successor are notified separately. The records do not distinguish these notifications.
+	checkNotified := !arrived.readLate && dispatcher.inheritedListener == nil
+	if wasNotified && checkNotified && !dispatcher.wasStopped(notifiedAt, arrived.arrivedAt) {
+		late := arrived.arrivedAt.Sub(notifiedAt) - drainGrace
+		if c.exceeds(late, dispatcher, notifiedAt, arrived.arrivedAt) {
 			c.addViolation(ruleDrain, arrived.arrivedAt, "%s came to %s, %v beyond the grace after %s was told%s",
 				arrived.id, arrived, late, dispatcher.name, c.traceOf(sent))
 			return
--- a/internal/rehearsal/soak/rules_test.go
+++ b/internal/rehearsal/soak/rules_test.go
@@ -8,13 +8,14 @@
 	"time"
 )
 
-// recordMaker makes records of renewals that are all sent at second 10 of a run to one dispatcher and may take 4 s.
+// recordMaker creates records of renewals. All are sent to one dispatcher 10 s after the start of a run and have a timeout
+// of 4 s.
 type recordMaker struct {
 	start      time.Time
 	dispatcher *daemon
 }
 
-// second is a moment of the run.
+// second returns the time that is the given number of seconds after the start of the run.
 func (m recordMaker) second(number float64) time.Time {
 	return m.start.Add(time.Duration(number * float64(time.Second)))
 }
@@ -30,14 +31,14 @@
 	return sent
 }
 
-// abandoned is a request whose client closes the connection without an answer.
+// abandoned returns a request whose client closes the connection without an answer.
 func (m recordMaker) abandoned(id string, clientLeftAt float64) request {
 	sent := m.unanswered(id)
 	sent.clientLeftAt = m.second(clientLeftAt)
 	return sent
 }
 
-// arrived is an attempt with the seconds that its client had left according to the dispatcher.
+// arrived returns an attempt. timeLeft is the time in seconds that its client had left according to the dispatcher.
 func (m recordMaker) arrived(id, worker string, arrivedAt, timeLeft float64) attempt {
 	return attempt{
 		id:        id,
@@ -48,7 +49,8 @@
 	}
 }
 
-// violatingRun returns a run whose records contain one violation of each kind. The worker s-gone was removed at second 0.
+// violatingRun returns a run whose records contain several kinds of violations, one of each. The worker s-gone was removed
+// at the start of the run.
 func violatingRun(service *discovery) *run {
 	m := recordMaker{
 		start:      time.Now(),
@@ -82,7 +84,7 @@
 	return r
 }
 
-// Each kind of violation is found in records that contain one of each, and no other.
+// Each violation in the records of violatingRun is reported, and no other.
 func TestCheckRulesFindsEachViolation(t *testing.T) {
 	service, err := startDiscovery()
 	if err != nil {
@@ -94,7 +96,7 @@
 	for _, want := range wantViolations {
 		isWanted := func(violation string) bool { return strings.Contains(violation, want) }
 		if !slices.ContainsFunc(report.Violations, isWanted) {
-			t.Errorf("%q was not found", want)
+			t.Errorf("no violation contains %q", want)
 		}
 	}
 	if len(report.Violations) != len(wantViolations) || report.Answered != 4 {
--- a/internal/rehearsal/soak/shutdown.go
+++ b/internal/rehearsal/soak/shutdown.go
@@ -12,29 +12,30 @@
 )
 
 const (
-	// killAfterTerm is the earliest time of a SIGKILL after a SIGTERM: the longest deadline, 3 s at least, and 0.7 s.
+	// killAfterTerm is the shortest time after a SIGTERM at which the process may be killed: the longest deadline of a
+	// class, or 3 s if that is longer, and 0.7 s.
 	killAfterTerm = renewalTimeout + readAfterTerm
 
-	// readAfterTerm is until when after a SIGTERM what arrives must have its final answer.
+	// readAfterTerm is the time after a SIGTERM in which requests that arrive must still receive their final answers.
 	readAfterTerm = 700 * time.Millisecond
 
-	// New connections come for a time between these after a SIGTERM.
+	// After a SIGTERM, clients continue to open connections for a time between these.
 	minNewConnectionTime = 200 * time.Millisecond
 	maxNewConnectionTime = 400 * time.Millisecond
 
-	maxSignals     = 5                      // of one series
-	maxSignalPause = 400 * time.Millisecond // between two of them
+	maxSignals     = 5                      // largest number of signals in a series
+	maxSignalPause = 400 * time.Millisecond // longest pause before a signal
 )
 
 // signalSeries is a series of SIGHUP and SIGTERM.
 type signalSeries struct {
 	count    int
 	signals  [maxSignals]syscall.Signal
-	pauses   [maxSignals]time.Duration // before each of them
-	newConns time.Duration             // how long new connections come after the first SIGTERM
+	pauses   [maxSignals]time.Duration // pause before each signal
+	newConns time.Duration             // how long clients continue to open connections after the first SIGTERM
 }
 
-// drawSignals draws a series, which has a SIGTERM if terminates is set, and else none.
+// drawSignals draws a series. It contains a SIGTERM if terminates is true, and only SIGHUP otherwise.
 func drawSignals(terminates bool, random *rand.Rand) (series signalSeries) {
 	series.count = 1 + random.IntN(maxSignals)
 	series.newConns = minNewConnectionTime + time.Duration(random.Int64N(int64(maxNewConnectionTime-minNewConnectionTime)))
@@ -43,7 +44,7 @@
 		if terminates && random.IntN(2) == 0 {
 			series.signals[i] = syscall.SIGTERM
 		}
-		if random.IntN(3) > 0 { // else at once
+		if random.IntN(3) > 0 { // otherwise there is no pause
 			series.pauses[i] = time.Duration(random.Int64N(int64(maxSignalPause)))
 		}
 	}
@@ -53,7 +54,7 @@
 	return series
 }
 
-// send sends the series to a process. onTerm is called right before the first SIGTERM.
+// send sends the series to a process. It calls onTerm right before the first SIGTERM.
 func (s *signalSeries) send(process *daemonProcess, onTerm func()) {
 	terminated := false
 	for i := range s.count {
@@ -66,8 +67,8 @@
 	}
 }
 
-// terminate ends the current process as a planned restart does: by a series of signals, and by SIGKILL at the earliest
-// time that is allowed.
+// terminate ends the current process as a planned restart does: by a series of signals, and by SIGKILL if it has not ended
+// killAfterTerm after the first SIGTERM.
 func (d *daemon) terminate(series signalSeries) {
 	d.mutex.Lock()
 	process := d.process
@@ -76,28 +77,29 @@
 	d.fetchInvariants()
 	var deadline time.Time
 	series.send(process, func() {
-		d.terminated(series.newConns)
+		d.recordTerm(series.newConns)
 		deadline = time.Now().Add(killAfterTerm)
 	})
 	select {
 	case <-process.Done():
 		d.checkEnd(process)
 	case <-time.After(time.Until(deadline)):
-		d.outOfTime()
+		d.recordKillAfterTerm()
 		childprocess.Stop(process, syscall.SIGKILL, endTimeout)
 	}
 }
 
-// checkEnd records an end by itself after a SIGTERM as a crash, unless it is the orderly one.
+// checkEnd checks how a process ended after a SIGTERM. It records a crash unless the process has exited with status 0, or
+// was traced and exited by itself.
 func (d *daemon) checkEnd(process *daemonProcess) {
 	outcome := process.Outcome()
 	if outcome != "exit status 0" && !strings.HasSuffix(outcome, "exit status") {
-		d.addCrash(fmt.Sprintf("%s ended with %s after SIGTERM: %s", d.name, outcome, process.endOfLog()))
+		d.addCrash(fmt.Sprintf("%s ended with %s after SIGTERM: %s", d.name, outcome, process.logTail()))
 	}
 }
 
-// restart ends a dispatcher by a series of signals and starts it again after a time, unless another fault has it.
-// Workers may hang, and discovery may be down, through the whole of its end.
+// restart ends a dispatcher's process by a series of signals and starts a new one after a time, unless another fault has
+// claimed the dispatcher. Depending on the fault, some workers hang, or the discovery service is down, in the meantime.
 func (r *run) restart(ctx context.Context, injected fault) {
 	target := r.daemons[injected.target]
 	if !target.tryClaim() {
@@ -118,7 +120,7 @@
 	target.launchAndAwait()
 }
 
-// reload sends a dispatcher a series of SIGHUP, unless another fault has it.
+// reload sends a dispatcher a series of SIGHUP, unless another fault has claimed the dispatcher.
 func (r *run) reload(injected fault) {
 	target := r.daemons[injected.target]
 	if !target.tryClaim() {
@@ -128,7 +130,7 @@
 	injected.signals.send(target.currentProcess(), func() {})
 }
 
-// launchAndAwait starts a process and waits until clients may come.
+// launchAndAwait starts a process and waits until it accepts clients. It records a crash if that fails.
 func (d *daemon) launchAndAwait() {
 	if err := d.launch(); err != nil {
 		d.addCrash(err.Error())
@@ -138,5 +140,5 @@
 		d.addCrash(fmt.Sprintf("%s is not ready %v after its start", d.name, startTimeout))
 		return
 	}
-	d.ready()
+	d.recordReady()
 }
--- a/internal/rehearsal/soak/soak.go
+++ b/internal/rehearsal/soak/soak.go
@@ -1,7 +1,8 @@
-// Package soak runs a few dozen real dispatchers on loopback between stand-ins for the discovery
-// service, the workers and the clients, under random faults that overlap, and checks the rules
-// from what the stand-ins observed; a dispatcher's own counters only add violations. A seed
-// determines the schedule of the faults. All processes are children that end with the run.
+// Package soak runs a few dozen dispatcher processes on loopback, with stand-ins for the discovery
+// service, the workers and the clients, under random faults that overlap. It checks rules against
+// what the stand-ins observed. The violations that a dispatcher counts itself are added; its counters
+// never excuse a violation. A seed determines the schedule of the faults. All processes are children
+// of this process and end with the run.
 package soak
 
 import (
@@ -14,16 +15,16 @@
 	"time"
 )
 
-// Config says what to run. Zero values mean the defaults given.
+// Config describes a run. A zero value stands for the default that the field's comment gives.
 type Config struct {
-	Program  string        // path of dispatcher-serve; it has no default
-	Seed     uint64        // of the schedule of faults
-	Daemons  int           // default 24
-	Workers  int           // default 12
-	Duration time.Duration // of faults and clients; default 30 s
-	Rate     float64       // requests per second to each dispatcher; default 6
-	Traced   int           // dispatchers whose system calls fail and whose wall clock steps; default an eighth
-	Durable  bool          // two more dispatchers have durable queues; default on even seeds
+	Program       string        // path of dispatcher-serve; required
+	Seed          uint64        // seed of the schedule of faults
+	Daemons       int           // number of dispatchers; default 24
+	Workers       int           // number of workers; default 12
+	Duration      time.Duration // how long faults and clients run; default 30 s
+	Rate          float64       // requests per second to each dispatcher; default 6
+	TracedDaemons int           // number of dispatchers whose system calls fail and whose wall clocks step; default an eighth of Daemons
+	Durable       bool          // whether two more dispatchers have durable queues; always true for even seeds
 }
 
 const (
@@ -31,10 +32,10 @@
 	defaultWorkers  = 12
 	defaultDuration = 30 * time.Second
 	defaultRate     = 6
-	tracedShare     = 8 // one in so many dispatchers
+	tracedShare     = 8 // by default, one dispatcher in so many is traced
 )
 
-// setDefaults replaces zero values.
+// setDefaults replaces zero values by the defaults.
 func (c *Config) setDefaults() {
 	if c.Daemons == 0 {
 		c.Daemons = defaultDaemons
@@ -48,40 +49,40 @@
 	if c.Rate == 0 {
 		c.Rate = defaultRate
 	}
-	if c.Traced == 0 {
-		c.Traced = c.Daemons / tracedShare
+	if c.TracedDaemons == 0 {
+		c.TracedDaemons = c.Daemons / tracedShare
 	}
 	c.Durable = c.Durable || c.Seed%2 == 0
 }
 
-// Streams of the random sources that share a run's seed.
+// Stream numbers of the random sources that use the seed of a run.
 const (
 	daemonSeedStream    = 1
 	faultScheduleStream = 2
-	clientStreamBase    = 100 // the stream of the first dispatcher's clients; the others follow
+	clientStreamBase    = 100 // stream of the first dispatcher's clients; those of the others follow
 	durableSeedStream   = 10_000
-	durableStreamStride = 100 // between the streams of two durable queues
+	durableStreamStride = 100 // distance between the streams of two durable queues
 )
 
 const startTimeout = 30 * time.Second
 
-// run is one soak. Its fields are set before clients and faults run, but for what these record.
+// run is one soak. Its fields are set before the clients and faults start. Only records and timerLateness change after that.
 type run struct {
-	config    Config
-	dir       string // for the dispatchers' files
-	idPrefix  string // of the IDs of its requests; no other run has it
-	start     time.Time
-	discovery *discovery
-	workers   []*worker
-	daemons   []*daemon
-	queues    []*durableQueue
-	replaced  []*daemon // their processes are replaced by successors
-	records   records
-	timers    latenessLog // of this process
+	config        Config
+	dir           string // directory for the dispatchers' files
+	idPrefix      string // prefix of the IDs of its requests, different for each run
+	start         time.Time
+	discovery     *discovery
+	workers       []*worker
+	daemons       []*daemon
+	queues        []*durableQueue
+	replaced      []*daemon // dispatchers whose processes are replaced by successors
+	records       records
+	timerLateness latenessLog // lateness of the timers of this process
 }
 
-// Run runs a soak and reports what it found. The error says that it could not be run. A canceled
-// ctx ends the faults and the clients early.
+// Run runs a soak and returns its report. It fails if the soak could not be started. If ctx is
+// canceled, the faults and the clients end early.
 func Run(ctx context.Context, config Config) (Report, error) {
 	config.setDefaults()
 	dir, err := os.MkdirTemp("", "soak")
@@ -98,7 +99,7 @@
 	return r.checkRules(), nil
 }
 
-// newIDPrefix returns what the IDs of a run's requests begin with, which differs for two runs of one seed too.
+// newIDPrefix returns a prefix for the IDs of a run's requests. It differs even between two runs with the same seed.
 func newIDPrefix(seed uint64) string { return fmt.Sprintf("%d.%08x-", seed, rand.Uint32()) }
 
 // startAll starts the stand-ins and the dispatchers, and waits until the dispatchers accept clients.
@@ -145,11 +146,11 @@
 	return nil
 }
 
-// prepareDaemons prepares the dispatchers, each with a seed of its own. The first ones are traced.
+// prepareDaemons prepares the dispatchers, each with its own seed. The first ones are traced.
 func (r *run) prepareDaemons() error {
 	random := rand.New(rand.NewPCG(r.config.Seed, daemonSeedStream))
 	for i := range r.config.Daemons {
-		prepared, err := r.newDaemon(i, i < r.config.Traced, random.Uint64())
+		prepared, err := r.newDaemon(i, i < r.config.TracedDaemons, random.Uint64())
 		if err != nil {
 			return err
 		}
@@ -158,7 +159,8 @@
 	return nil
 }
 
-// launchDaemons launches all dispatchers at once and returns the error of the first one that has any.
+// launchDaemons starts the processes of all dispatchers concurrently, and returns the error of the first dispatcher that
+// has one.
 func (r *run) launchDaemons() error {
 	var launches sync.WaitGroup
 	errs := make([]error, len(r.daemons))
@@ -178,14 +180,14 @@
 func (r *run) awaitDaemonsReady() error {
 	for _, daemon := range r.daemons {
 		if !daemon.awaitReady(startTimeout) {
-			return fmt.Errorf("%s is not ready after %v: %s", daemon.name, startTimeout, daemon.currentProcess().endOfLog())
+			return fmt.Errorf("%s is not ready after %v: %s", daemon.name, startTimeout, daemon.currentProcess().logTail())
 		}
-		daemon.ready()
+		daemon.recordReady()
 	}
 	return nil
 }
 
-// runFaults runs clients and faults for the duration of the soak, and waits for all answers.
+// runFaults runs the clients and faults for the duration of the soak, and waits until all of them have ended.
 func (r *run) runFaults(ctx context.Context) {
 	r.start = time.Now()
 	stop := make(chan struct{})
@@ -214,10 +216,10 @@
 		running.Go(func() { r.replaceRepeatedly(ctx, target, replacements) })
 		go target.measureLoop(stop)
 	}
-	for number, scheduled := range schedule(r.config.Seed, r.config) {
+	for number, scheduled := range scheduleFaults(r.config.Seed, r.config) {
 		running.Go(func() { r.injectFault(ctx, number, scheduled) })
 	}
-	running.Go(func() { r.holdRepeatedly(ctx) })
+	running.Go(func() { r.stopBrieflyRepeatedly(ctx) })
 	for _, scheduled := range scheduleNetwork(r.config) {
 		running.Go(func() { r.injectNetworkFault(ctx, scheduled) })
 	}
--- a/internal/rehearsal/soak/soak_test.go
+++ b/internal/rehearsal/soak/soak_test.go
@@ -30,7 +30,7 @@
 	os.Exit(code)
 }
 
-// `make soak` runs many seeds with more dispatchers.
+// Guards against violations in a short run with one seed. `make soak` runs many seeds with more dispatchers.
 func TestShortSoak(t *testing.T) {
 	report, err := Run(context.Background(), Config{Program: program, Seed: 1, Daemons: 9, Duration: 15 * time.Second})
 	if err != nil {
@@ -46,7 +46,8 @@
 	}
 }
 
-// The same with durable queues, and long enough for restarts, crowds and the disk's faults.
+// Guards against violations in a run with durable queues. The run is long enough for restarts, floods of connections and
+// faults of the disk.
 func TestSoakWithDurableQueues(t *testing.T) {
 	report, err := Run(context.Background(), Config{Program: program, Seed: 2, Daemons: 12, Duration: 40 * time.Second, Durable: true})
 	if err != nil {
@@ -56,7 +57,7 @@
 	if len(report.Violations) > 0 {
 		t.Error("rules were violated")
 	}
-	if report.Served < report.Requests/2 || report.Accepted < report.Pushed/2 || report.Ran < report.Accepted {
-		t.Errorf("%d of %d requests were served, %d of %d jobs accepted, %d ran", report.Served, report.Requests, report.Accepted, report.Pushed, report.Ran)
+	if report.Served < report.Requests/2 || report.Accepted < report.Pushed/2 || report.Runs < report.Accepted {
+		t.Errorf("%d of %d requests were served, %d of %d jobs accepted, %d ran", report.Served, report.Requests, report.Accepted, report.Pushed, report.Runs)
 	}
 }
--- a/internal/rehearsal/soak/timeline.go
+++ b/internal/rehearsal/soak/timeline.go
@@ -5,79 +5,81 @@
 	"time"
 )
 
-// excuse is a cause for which a client may be without an answer in time.
+// excuse is a cause for which the rules accept that a request has no answer in time.
 type excuse string
 
-// The excuses: only SIGKILL and SIGSTOP excuse, and only what was in flight or could not be accepted.
+// The excuses. Only SIGKILL and SIGSTOP excuse a missing answer. SIGKILL excuses only requests that were in flight or for
+// which no connection could be opened.
 const (
 	excuseKilledInFlight excuse = "killed, in flight"
 	excuseKilledRefused  excuse = "killed, not accepted"
 	excuseStopped        excuse = "stopped"
 )
 
-// ending is the planned end of a dispatcher's process, by SIGTERM.
-type ending struct {
-	signaledAt time.Time // of the first SIGTERM
-	killedAt   time.Time // when its time was over and it was killed; zero: it ended by itself
+// shutdown is a graceful shutdown of a dispatcher's process by SIGTERM.
+type shutdown struct {
+	terminatedAt time.Time // time of the first SIGTERM
+	killedAt     time.Time // when the process was killed because its shutdown took too long; zero if it ended by itself
 }
 
-// timeline is what a run does to a dispatcher. It is safe for concurrent use.
+// timeline records what a run does to a dispatcher, and when. It is safe for concurrent use.
 type timeline struct {
-	mutex         sync.Mutex
-	acceptsNew    bool       // clients open new connections
-	acceptsUntil  time.Time  // and no longer than that; zero: no end is known
-	kills         []interval // from SIGKILL until the next process is ready
-	stops         []interval // from SIGSTOP to SIGCONT
-	crowds        []interval // connections that send nothing fill its descriptors
-	endings       []ending
-	currentEnding bool // a planned end is under way, or the next process is starting
+	mutex             sync.Mutex
+	clientsMayConnect bool       // whether clients may open new connections
+	connectUntil      time.Time  // when they must stop doing so; zero if no time is set
+	kills             []interval // from SIGKILL until the next process is ready
+	stops             []interval // from SIGSTOP to SIGCONT
+	floods            []interval // in which silent connections fill its descriptors
+	shutdowns         []shutdown
+	shuttingDown      bool // a graceful shutdown is in progress, or the next process is starting after one
 }
 
-// ready records that clients may come.
-func (t *timeline) ready() {
+// recordReady records that the dispatcher accepts clients.
+func (t *timeline) recordReady() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.acceptsNew = true
-	t.acceptsUntil = time.Time{}
-	t.currentEnding = false
+	t.clientsMayConnect = true
+	t.connectUntil = time.Time{}
+	t.shuttingDown = false
 	endLast(t.kills)
 }
 
-// endLast ends the last interval, if it is open.
+// endLast ends the last interval if it has not ended.
 func endLast(intervals []interval) {
 	if last := len(intervals) - 1; last >= 0 && !intervals[last].hasEnded() {
 		intervals[last].to = time.Now()
 	}
 }
 
-// killed records a SIGKILL. Clients notice after a while that the process is gone.
-func (t *timeline) killed() {
+// recordKill records a SIGKILL. Clients still try to open connections for a short time, until they have noticed that the
+// process is gone.
+func (t *timeline) recordKill() {
 	const noticeTime = 300 * time.Millisecond
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.kills = append(t.kills, interval{from: time.Now()})
-	t.acceptsUntil = time.Now().Add(noticeTime)
+	t.connectUntil = time.Now().Add(noticeTime)
 }
 
-// terminated records the first SIGTERM of a planned end. New connections come for a while longer.
-func (t *timeline) terminated(newConnectionsFor time.Duration) {
+// recordTerm records the first SIGTERM of a graceful shutdown. Clients continue to open connections for the given time.
+func (t *timeline) recordTerm(newConnectionsFor time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	now := time.Now()
-	t.endings = append(t.endings, ending{signaledAt: now})
-	t.acceptsUntil = now.Add(newConnectionsFor)
-	t.currentEnding = true
+	t.shutdowns = append(t.shutdowns, shutdown{terminatedAt: now})
+	t.connectUntil = now.Add(newConnectionsFor)
+	t.shuttingDown = true
 }
 
-// outOfTime records that a process whose planned end took too long is killed.
-func (t *timeline) outOfTime() {
+// recordKillAfterTerm records that the process is killed because its graceful shutdown takes too long.
+func (t *timeline) recordKillAfterTerm() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.endings[len(t.endings)-1].killedAt = time.Now()
+	t.shutdowns[len(t.shutdowns)-1].killedAt = time.Now()
 }
 
-// begin begins an interval of a list of the timeline, and returns the function that ends it.
-func (t *timeline) begin(list *[]interval) (end func()) {
+// beginInterval adds an interval that begins now to a list of the timeline, and returns a function that ends it.
+func (t *timeline) beginInterval(list *[]interval) (end func()) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	*list = append(*list, interval{from: time.Now()})
@@ -89,21 +91,21 @@
 	}
 }
 
-// admitsNew reports whether clients open new connections now.
-func (t *timeline) admitsNew() bool {
+// acceptsNewConnections reports whether clients may open new connections now.
+func (t *timeline) acceptsNewConnections() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.acceptsNew && (t.acceptsUntil.IsZero() || time.Now().Before(t.acceptsUntil))
+	return t.clientsMayConnect && (t.connectUntil.IsZero() || time.Now().Before(t.connectUntil))
 }
 
-// isEnding reports whether a planned end is under way.
-func (t *timeline) isEnding() bool {
+// isShuttingDown reports whether a graceful shutdown is in progress, or the next process is starting after one.
+func (t *timeline) isShuttingDown() bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.currentEnding
+	return t.shuttingDown
 }
 
-// overlapsAny reports whether any of the intervals overlaps a span.
+// overlapsAny reports whether any of the intervals overlaps the time between from and to.
 func (t *timeline) overlapsAny(intervals *[]interval, from, to time.Time) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -117,16 +119,16 @@
 
 func (t *timeline) wasKilled(from, to time.Time) bool  { return t.overlapsAny(&t.kills, from, to) }
 func (t *timeline) wasStopped(from, to time.Time) bool { return t.overlapsAny(&t.stops, from, to) }
-func (t *timeline) wasCrowded(from, to time.Time) bool { return t.overlapsAny(&t.crowds, from, to) }
+func (t *timeline) wasFlooded(from, to time.Time) bool { return t.overlapsAny(&t.floods, from, to) }
 
-// killedAfterTerm returns the planned end that was cut off by a kill between two times, if there is one.
-func (t *timeline) killedAfterTerm(from, to time.Time) (cutOff ending, found bool) {
+// killedAfterTerm returns the first shutdown that was cut off by a kill between from and to, if there is one.
+func (t *timeline) killedAfterTerm(from, to time.Time) (cutOff shutdown, found bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	for _, one := range t.endings {
+	for _, one := range t.shutdowns {
 		if !one.killedAt.IsZero() && !one.killedAt.Before(from) && !one.killedAt.After(to) {
 			return one, true
 		}
 	}
-	return ending{}, false
+	return shutdown{}, false
 }
--- a/internal/rehearsal/soak/tracer_linux_amd64.go
+++ b/internal/rehearsal/soak/tracer_linux_amd64.go
@@ -9,8 +9,8 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/faultinject"
 )
 
-// newTracer makes a tracer that starts commands under a plan of failing system calls in the
-// middle of a run, and of steps of the wall clock.
+// newTracer returns a tracer that makes system calls of the commands fail during the middle half of
+// a run, and their wall clocks step during the run.
 func newTracer(seed uint64, duration time.Duration) tracer {
 	plan := faultPlan(seed, duration)
 	return func(command *exec.Cmd) (childprocess.Handle, error) {
@@ -18,12 +18,12 @@
 	}
 }
 
-// faultPlan is the plan of a traced dispatcher for a run of the given duration.
+// faultPlan returns the plan of a traced dispatcher for a run of the given duration.
 func faultPlan(seed uint64, duration time.Duration) faultinject.Plan {
 	const (
 		frequent   = 0.2 // probabilities
 		rare       = 0.03
-		shortBytes = 50
+		shortBytes = 50 // limit of shortened reads and writes
 	)
 	failing := func(call faultinject.Call, probability float64, errno syscall.Errno) faultinject.Rule {
 		return faultinject.Rule{Call: call, Probability: probability, Error: errno, After: duration / 4, For: duration / 2}
--- a/internal/rehearsal/soak/tracer_other.go
+++ b/internal/rehearsal/soak/tracer_other.go
@@ -4,8 +4,8 @@
 
 import "time"
 
-// newTracer returns no tracer: system calls can be made to fail on Linux and amd64 only.
+// newTracer returns nil, since package faultinject works only on Linux on amd64.
 func newTracer(uint64, time.Duration) tracer { return nil }
 
-// newDiskTracer returns nil: system calls can't be made fail here.
+// newDiskTracer returns nil for the same reason.
 func newDiskTracer(uint64, time.Duration) tracer { return nil }
--- a/internal/rehearsal/soak/watch.go
+++ b/internal/rehearsal/soak/watch.go
@@ -9,21 +9,21 @@
 	"time"
 )
 
-// heartbeatInterval is how long a watch is silent at most while the service has no fault.
+// heartbeatInterval is the longest time for which a watch sends nothing while the service has no fault.
 const heartbeatInterval = 2 * time.Second
 
-// watchState is what a watch sees of the service at one moment.
+// watchState is a snapshot of the service for a watch.
 type watchState struct {
-	list      endpointList // the changes
-	line      string       // likewise, as a line of the protocol
+	list      endpointList // the changes since the version that the watch has sent
+	line      string       // the same changes as a line of the protocol
 	version   int64
-	changed   <-chan struct{} // closed once the state may be another
-	down      bool            // the faults in force
-	silent    bool
-	truncates bool
+	changed   <-chan struct{} // closed when the list or the faults change
+	down      bool            // whether faultDiscoveryDown is in force
+	silent    bool            // whether faultDiscoverySilent is in force
+	truncates bool            // whether faultDiscoveryTruncates is in force
 }
 
-// stateSince returns the state of the service with the changes after a version.
+// stateSince returns the current state of the service with the changes after a version.
 func (d *discovery) stateSince(version int64) watchState {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -38,20 +38,20 @@
 	}
 }
 
-// serve answers one request of a dispatcher with the list and a watch of its changes.
+// serve answers one request of a dispatcher with the endpoint list and a watch of its changes.
 func (d *discovery) serve(conn net.Conn, dispatcher string) {
 	defer conn.Close()
 	request, err := http.ReadRequest(bufio.NewReader(conn))
 	if err != nil {
 		return
 	}
-	after, _ := strconv.ParseInt(request.URL.Query().Get("after"), 10, 64) // missing: 0, the complete list
+	after, _ := strconv.ParseInt(request.URL.Query().Get("after"), 10, 64) // if it is missing, 0 asks for the complete list
 	state := d.stateSince(after)
 	if state.down {
 		io.WriteString(conn, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 		return
 	}
-	io.WriteString(conn, chunkedResponseHead)
+	io.WriteString(conn, chunkedResponseHeader)
 	closed := make(chan struct{})
 	go func() {
 		defer close(closed)
@@ -61,22 +61,22 @@
 		writeTruncated(conn, state.line, closed)
 		return
 	}
-	d.tell(conn, dispatcher, state)
+	d.sendList(conn, dispatcher, state)
 	d.watch(conn, dispatcher, state, closed)
 }
 
-// tell writes changes to a dispatcher and records them as told, if they could be written.
-func (d *discovery) tell(conn net.Conn, dispatcher string, state watchState) {
+// sendList sends changes to a dispatcher, and records the notification if they could be written.
+func (d *discovery) sendList(conn net.Conn, dispatcher string, state watchState) {
 	writing := interval{from: time.Now()}
 	_, err := io.WriteString(conn, encodeChunk(state.line))
 	writing.to = time.Now()
 	if err == nil {
-		d.recordTold(dispatcher, state.list, writing)
+		d.recordNotification(dispatcher, state.list, writing)
 	}
 }
 
-// watch writes changes as they are made, and blank lines as heartbeats, until the connection
-// is closed or a fault ends it.
+// watch sends changes as they are made, and blank lines as heartbeats, until the dispatcher closes
+// the connection or a fault ends the watch.
 func (d *discovery) watch(conn net.Conn, dispatcher string, state watchState, closed <-chan struct{}) {
 	for {
 		heartbeat := time.NewTimer(heartbeatInterval)
@@ -99,14 +99,14 @@
 			writeTruncated(conn, state.line, closed)
 			return
 		case state.version > sentVersion:
-			d.tell(conn, dispatcher, state)
+			d.sendList(conn, dispatcher, state)
 		case heartbeatDue:
 			io.WriteString(conn, encodeChunk("\n"))
 		}
 	}
 }
 
-// writeTruncated writes half a line and then nothing until the connection is closed.
+// writeTruncated writes half of a line, and then waits until the dispatcher closes the connection.
 func writeTruncated(conn net.Conn, line string, closed <-chan struct{}) {
 	io.WriteString(conn, encodeChunk(line)[:len(line)/2])
 	<-closed
--- a/internal/rehearsal/soak/worker.go
+++ b/internal/rehearsal/soak/worker.go
@@ -12,31 +12,31 @@
 )
 
 const (
-	workerSlots = 6 // jobs that a worker runs at a time
-	workerQueue = 8 // jobs that wait for a slot there
+	workerSlots = 6 // number of jobs that a worker runs at a time
+	workerQueue = 8 // number of jobs that can wait for a slot at a worker
 
 	receiveBufferBytes = 4 << 10
 )
 
-// worker is the stand-in for a worker. It executes requests also while it is listed as draining or gone: whether that was
-// allowed is checked from the records. It is safe for concurrent use.
+// worker is the stand-in for a worker. It executes requests even while it is listed as draining or gone. The records show
+// later whether the dispatcher was allowed to send them. A worker is safe for concurrent use.
 type worker struct {
 	claim
 	name    string
 	address string
 	run     *run
 
-	slots chan struct{} // holds a value for each job that runs
+	slots chan struct{} // contains a value for each running job
 
-	mutex       sync.Mutex
-	listener    net.Listener // nil while it refuses connections
-	connections map[net.Conn]bool
-	accepted    int // connections so far
-	waiting     int // jobs that wait for a slot
-	draining    bool
-	hangsUntil  time.Time     // it does not answer before
-	mayAccept   chan struct{} // closed while it accepts connections
-	resumedAt   time.Time     // when that began last
+	mutex         sync.Mutex
+	listener      net.Listener // nil while the worker refuses connections
+	connections   map[net.Conn]bool
+	accepted      int           // number of connections accepted so far
+	waiting       int           // number of jobs that wait for a slot
+	draining      bool          // whether health checks find the worker draining
+	hangsUntil    time.Time     // time before which the worker does not answer
+	acceptAllowed chan struct{} // closed while accepting connections is not suspended
+	resumedAt     time.Time     // end of the last suspension
 }
 
 func (r *run) startWorker(name string) (*worker, error) {
@@ -45,14 +45,14 @@
 		return nil, err
 	}
 	w := &worker{
-		name:        name,
-		address:     address,
-		run:         r,
-		slots:       make(chan struct{}, workerSlots),
-		connections: map[net.Conn]bool{},
-		mayAccept:   make(chan struct{}),
+		name:          name,
+		address:       address,
+		run:           r,
+		slots:         make(chan struct{}, workerSlots),
+		connections:   map[net.Conn]bool{},
+		acceptAllowed: make(chan struct{}),
 	}
-	close(w.mayAccept)
+	close(w.acceptAllowed)
 	return w, w.listen()
 }
 
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// shrinkReceiveBuffer gives a listener's connections a small receive buffer, so that a large request leaves in pieces where
-// its worker stalls.
+// shrinkReceiveBuffer sets a small receive buffer for the connections of a listener, so that the dispatcher must send a
+// large request in parts while the worker does not read.
 func shrinkReceiveBuffer(_, _ string, raw syscall.RawConn) error {
 	var failed error
 	err := raw.Control(func(fd uintptr) {
@@ -80,7 +80,7 @@
 	return cmp.Or(err, failed)
 }
 
-// acceptConnections accepts connections until the listener is closed, but none while that is suspended.
+// acceptConnections accepts connections until the listener is closed. While accepting is suspended, it serves none.
 func (w *worker) acceptConnections(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -88,10 +88,10 @@
 			return
 		}
 		w.mutex.Lock()
-		mayAccept := w.mayAccept
+		acceptAllowed := w.acceptAllowed
 		w.mutex.Unlock()
-		<-mayAccept
-		go w.serve(conn, w.resumedLately())
+		<-acceptAllowed
+		go w.serve(conn, w.resumedRecently())
 	}
 }
 
@@ -100,7 +100,7 @@
 	w.reset()
 }
 
-// stopListening ends the listener: connections are refused.
+// stopListening closes the listener, so that connections are refused.
 func (w *worker) stopListening() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -110,7 +110,7 @@
 	}
 }
 
-// reset resets all connections.
+// reset closes all connections by a TCP reset.
 func (w *worker) reset() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -120,7 +120,7 @@
 	}
 }
 
-// refuse refuses connections for a time.
+// refuse refuses connections for the given time.
 func (w *worker) refuse(duration time.Duration) error {
 	w.stopListening()
 	time.Sleep(duration)
@@ -131,19 +131,19 @@
 	noBacklog      = 0
 	defaultBacklog = 4096
 
-	maxFillers    = 8 // connections that fill a listener's queue
+	maxFillers    = 8 // largest number of connections that are opened to fill a listener's queue
 	fillerTimeout = 50 * time.Millisecond
 
-	// queuedAcceptTime is longer than it takes to accept what waits in a listener's queue.
+	// queuedAcceptTime is longer than it takes to accept the connections that wait in a listener's queue.
 	queuedAcceptTime = 200 * time.Millisecond
 )
 
-// suspendAccept makes the kernel answer no more connects, until resume is called. Those that have begun by then come up
-// when the peer's kernel asks again, 1 s after it asked first.
+// suspendAccept makes the kernel answer no connects until resume is called, by filling the listener's queue. A connect that
+// begins in the meantime succeeds when the peer's kernel repeats it, 1 s after its first try.
 func (w *worker) suspendAccept() (resume func()) {
-	mayAccept := make(chan struct{})
+	acceptAllowed := make(chan struct{})
 	w.mutex.Lock()
-	w.mayAccept = mayAccept
+	w.acceptAllowed = acceptAllowed
 	w.setBacklog(noBacklog)
 	w.mutex.Unlock()
 	var fillers []net.Conn
@@ -162,11 +162,11 @@
 			filler.Close()
 		}
 		w.resumedAt = time.Now()
-		close(mayAccept)
+		close(acceptAllowed)
 	}
 }
 
-// setBacklog sets how many connections wait in the kernel to be accepted. The caller holds the lock.
+// setBacklog sets how many connections can wait in the kernel to be accepted. The caller holds the lock.
 func (w *worker) setBacklog(backlog int) {
 	if w.listener == nil {
 		return
@@ -177,29 +177,30 @@
 	}
 }
 
-// setDraining sets whether health checks find the worker draining.
+// setDraining sets whether the worker answers health checks with 503.
 func (w *worker) setDraining(draining bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.draining = draining
 }
 
-// hang delays all answers for a time.
+// hang delays all answers until the given time has passed.
 func (w *worker) hang(duration time.Duration) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.hangsUntil = time.Now().Add(duration)
 }
 
-// state returns whether the worker is draining and how long it still hangs.
+// state returns whether the worker is draining, and how long it will not answer. hang is not positive if it answers now.
 func (w *worker) state() (draining bool, hang time.Duration) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.draining, time.Until(w.hangsUntil)
 }
 
-// resumedLately reports whether connections that are accepted now may have waited since before a suspension ended.
-func (w *worker) resumedLately() bool {
+// resumedRecently reports whether a connection that is accepted now may have waited in the queue since before the end of a
+// suspension.
+func (w *worker) resumedRecently() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return time.Since(w.resumedAt) < queuedAcceptTime
@@ -220,7 +221,7 @@
 	delete(w.connections, conn)
 }
 
-// admit counts a job as waiting for a slot. It reports false if too many wait.
+// admit counts a job as waiting for a slot. It returns false if too many jobs wait already.
 func (w *worker) admit() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -231,14 +232,14 @@
 	return true
 }
 
-// stopWaiting counts a job as not waiting any more.
+// stopWaiting counts a job as no longer waiting.
 func (w *worker) stopWaiting() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.waiting--
 }
 
-// load returns how many jobs run and how many wait.
+// load returns the number of jobs that run and of jobs that wait for a slot.
 func (w *worker) load() (running, waiting int) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
--- a/internal/rehearsal/soak/workerconnection.go
+++ b/internal/rehearsal/soak/workerconnection.go
@@ -11,24 +11,26 @@
 	"time"
 )
 
-// progressInterval is how often a worker reports a job that runs, as the dispatchers' settings say.
+// progressInterval is the interval at which a worker reports the progress of a running job. It must match the dispatchers'
+// settings.
 const progressInterval = time.Second
 
 // workerConnection is a dispatcher's connection to a worker.
 type workerConnection struct {
 	worker *worker
 	conn   net.Conn
-	number int // of the worker's connections
+	number int // number of the connection at the worker
 	input  *bufio.Reader
 
-	acceptedLate bool // the first attempt may have arrived before it is read
+	acceptedLate bool // the first attempt may have arrived long before it is read
 
-	// While a request is served, another goroutine waits for the peer's next byte or its end.
-	next chan struct{} // closed when it has come
-	gone bool          // it was the end; to be read once next is closed
+	// While a request is served, another goroutine waits for more input from the dispatcher or the end of the connection.
+	nextInput  chan struct{} // closed when either has arrived
+	peerClosed bool          // the connection has ended; valid once nextInput is closed
 }
 
-// serve serves a connection until it ends. acceptedLate says that what comes first on it may have come before.
+// serve serves a connection until it ends. acceptedLate tells that the first request may have arrived long before it is
+// read.
 func (w *worker) serve(conn net.Conn, acceptedLate bool) {
 	c := &workerConnection{
 		worker:       w,
@@ -43,7 +45,7 @@
 	}
 }
 
-// serveNext serves the next request. It reports false if the connection has ended.
+// serveNext serves the next request. It returns false if the connection has ended.
 func (c *workerConnection) serveNext() bool {
 	request, err := http.ReadRequest(c.input)
 	if err != nil {
@@ -67,29 +69,30 @@
 	fmt.Fprintf(c.conn, "HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, len(load), load)
 }
 
-// serveAttempt reads the body of an attempt, records and answers it. It reports false if the connection has ended.
+// serveAttempt reads the body of an attempt, records the attempt and answers it. It returns false if the connection has
+// ended.
 func (c *workerConnection) serveAttempt(request *http.Request) bool {
 	records := &c.worker.run.records
 	arrived := c.attemptOf(request)
-	arrived.stalled = c.acceptedLate
+	arrived.readLate = c.acceptedLate
 	c.acceptedLate = false
-	plan := drawJob(c.worker.run.config.Seed, arrived.id, arrived.class, records.attemptsOf(arrived.id))
+	plan := drawJobPlan(c.worker.run.config.Seed, arrived.id, arrived.class, records.attemptsOf(arrived.id))
 	switch plan.fault {
 	case breakBeforeBody:
-		return c.breakOff(plan)
+		return c.breakConnection(plan)
 	case answerEarly:
 		c.refuse("Connection: close\r\n")
-		return c.breakOff(jobPlan{})
+		return c.breakConnection(jobPlan{})
 	case stallReading:
-		arrived.stalled = true
+		arrived.readLate = true
 		time.Sleep(plan.pause)
 	}
 	if _, err := io.Copy(io.Discard, request.Body); err != nil {
-		records.addIncomplete() // the attempt has never arrived
+		records.addIncomplete() // the attempt has not arrived completely
 		return false
 	}
 	arrived.arrivedAt = time.Now()
-	c.awaitNext()
+	c.startReadingNext()
 	admitted := c.worker.admit()
 	arrived.neverRan = !admitted || plan.fault == answerReturned
 	records.addAttempt(arrived)
@@ -102,53 +105,54 @@
 		c.refuse("")
 	}
 	records.endAttempt()
-	return open && c.awaitEnd(plan)
+	return open && c.awaitNextRequest(plan)
 }
 
-// attemptOf returns the attempt that a request is.
+// attemptOf returns the attempt that a request contains.
 func (c *workerConnection) attemptOf(request *http.Request) attempt {
 	class, _, _ := strings.Cut(strings.TrimPrefix(request.URL.Path, "/"), "/")
 	timeLeftMs, _ := strconv.Atoi(request.Header.Get(timeLeftHeader))
 	return attempt{
-		id:         request.Header.Get(correlationHeader),
-		class:      class,
-		worker:     c.worker.name,
-		from:       c.conn.RemoteAddr().String(),
-		connection: c.number,
-		timeLeft:   time.Duration(timeLeftMs) * time.Millisecond,
+		id:            request.Header.Get(correlationHeader),
+		class:         class,
+		worker:        c.worker.name,
+		remoteAddress: c.conn.RemoteAddr().String(),
+		connection:    c.number,
+		timeLeft:      time.Duration(timeLeftMs) * time.Millisecond,
 	}
 }
 
-// refuse says that the worker has not taken the attempt.
-func (c *workerConnection) refuse(header string) {
+// refuse rejects the attempt, with additional header lines.
+func (c *workerConnection) refuse(headerLines string) {
 	fmt.Fprintf(c.conn, "HTTP/1.1 503 Busy\r\nX-Unprocessed: 1\r\nX-Backend-Load: %s\r\n%sContent-Length: 0\r\n\r\n",
-		strings.TrimSpace(c.worker.loadReport()), header)
+		strings.TrimSpace(c.worker.loadReport()), headerLines)
 }
 
-// loadReport is the load report of the worker, as a line.
+// loadReport returns the worker's load report as a line of JSON.
 func (w *worker) loadReport() string {
 	running, waiting := w.load()
 	return fmt.Sprintf(`{"inflight":%d,"queue":%d}`+"\n", running, waiting)
 }
 
-// execute runs an admitted job once it has a slot, and answers it. It reports false if the connection has ended.
+// execute waits for a slot for an admitted job, runs the job and answers the request. It returns false if the connection
+// has ended.
 func (c *workerConnection) execute(id string, plan jobPlan) bool {
 	hasSlot := c.acquireSlot()
 	c.worker.stopWaiting()
 	if !hasSlot {
-		return false // given up while it waited
+		return false // the dispatcher has ended the connection, or sent more, while the job waited
 	}
 	defer func() { <-c.worker.slots }()
-	if plan.fault == breakBeforeHead {
-		return c.breakOff(plan)
+	if plan.fault == breakBeforeHeader {
+		return c.breakConnection(plan)
 	}
 	head := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	if plan.fault == closeAfterResponse {
 		head = "HTTP/1.1 200 OK\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n"
 	}
-	if plan.fault == breakInsideHead {
+	if plan.fault == breakInsideHeader {
 		io.WriteString(c.conn, head[:len(head)/2])
-		return c.breakOff(plan)
+		return c.breakConnection(plan)
 	}
 	if plan.fault == answerReturned {
 		io.WriteString(c.conn, head+c.chunk(id, "returned", 0)+lastChunk)
@@ -156,50 +160,51 @@
 	}
 	io.WriteString(c.conn, head+c.chunk(id, "started", 0))
 	if plan.fault == breakAfterStart {
-		return c.breakOff(plan)
+		return c.breakConnection(plan)
 	}
 	if !c.runJob(id, plan.run) {
-		return false // given up while it ran
+		return false // the dispatcher has ended the connection, or sent more, while the job ran
 	}
 	return c.finish(id, plan)
 }
 
-// finish answers a job that has run.
+// finish sends the end of the response to a job that has run. It returns false if the connection has ended.
 func (c *workerConnection) finish(id string, plan jobPlan) bool {
 	done := c.chunk(id, "done", 1)
 	switch plan.fault {
 	case breakInsideLine:
 		io.WriteString(c.conn, done[:len(done)/2])
-		return c.breakOff(plan)
+		return c.breakConnection(plan)
 	case breakAfterEnd:
 		io.WriteString(c.conn, done)
-		return c.breakOff(plan)
+		return c.breakConnection(plan)
 	case answerFailed:
 		done = c.chunk(id, "failed", 1)
 	}
 	io.WriteString(c.conn, done+lastChunk)
 	if plan.fault == secondResponse {
 		time.Sleep(plan.pause)
-		io.WriteString(c.conn, chunkedResponseHead+done+lastChunk)
+		io.WriteString(c.conn, chunkedResponseHeader+done+lastChunk)
 	}
 	return true
 }
 
-// acquireSlot waits for a slot. It reports false if the dispatcher has given up before.
+// acquireSlot waits for a slot. It returns false if the dispatcher ends the connection, or sends more, first.
 func (c *workerConnection) acquireSlot() bool {
 	select {
 	case c.worker.slots <- struct{}{}:
 		return true
-	case <-c.next:
+	case <-c.nextInput:
 		return false
 	}
 }
 
-// runJob waits for the run time of a job, and reports its progress. It reports false if the dispatcher has given up before.
+// runJob waits for the run time of a job and reports its progress. It returns false if the dispatcher ends the connection,
+// or sends more, first.
 func (c *workerConnection) runJob(id string, duration time.Duration) bool {
 	for left := duration; left > 0; left -= progressInterval {
 		select {
-		case <-c.next:
+		case <-c.nextInput:
 			return false
 		case <-time.After(min(left, progressInterval)):
 		}
@@ -210,46 +215,46 @@
 	return true
 }
 
-// chunk is the chunk of a response that says which state a job has reached.
+// chunk returns the chunk of a response that reports the state of a job.
 func (c *workerConnection) chunk(id, state string, share float64) string {
 	return encodeChunk(fmt.Sprintf(`{"id":%q,"from":%q,"state":%q,"share":%.2f,"result":"r","load":%s}`+"\n",
 		id, c.worker.name, state, share, strings.TrimSpace(c.worker.loadReport())))
 }
 
-// awaitNext begins to wait for the next byte, or the end, of what the dispatcher sends.
-func (c *workerConnection) awaitNext() {
+// startReadingNext starts a goroutine that waits for more input from the dispatcher or the end of the connection.
+func (c *workerConnection) startReadingNext() {
 	next := make(chan struct{})
-	c.next = next
+	c.nextInput = next
 	go func() {
 		_, err := c.input.Peek(1)
-		c.gone = err != nil
+		c.peerClosed = err != nil
 		close(next)
 	}()
 }
 
-// awaitEnd waits, behind a response, until the next request comes. It reports false if the connection has ended, which it
-// does here by some faults.
-func (c *workerConnection) awaitEnd(plan jobPlan) bool {
+// awaitNextRequest waits, after a response, until the next request arrives. It returns false if the connection has ended,
+// either by the dispatcher or by a fault of the plan.
+func (c *workerConnection) awaitNextRequest(plan jobPlan) bool {
 	switch plan.fault {
 	case closeAfterResponse:
-		return c.breakOff(jobPlan{})
+		return c.breakConnection(jobPlan{})
 	case closeIdle:
 		select {
-		case <-c.next:
+		case <-c.nextInput:
 		case <-time.After(plan.pause):
 		}
-		return c.breakOff(plan)
+		return c.breakConnection(plan)
 	}
-	<-c.next
-	if plan.fault == breakAtNextRequest && !c.gone {
-		return c.breakOff(plan)
+	<-c.nextInput
+	if plan.fault == breakAtNextRequest && !c.peerClosed {
+		return c.breakConnection(plan)
 	}
-	return !c.gone
+	return !c.peerClosed
 }
 
-// breakOff ends the connection by a fault, and reports that it has ended.
-func (c *workerConnection) breakOff(plan jobPlan) (open bool) {
-	c.worker.run.records.strike()
+// breakConnection closes or resets the connection because of a fault, and returns false.
+func (c *workerConnection) breakConnection(plan jobPlan) (open bool) {
+	c.worker.run.records.recordFault()
 	if plan.reset {
 		c.conn.(*net.TCPConn).SetLinger(0)
 	}
