--- a/internal/rehearsal/faultinject/plan.go
+++ b/internal/rehearsal/faultinject/plan.go
@@ -64,7 +64,7 @@
 }
 
 // Plan lists the faults of a traced program. The seed determines the sequence of random
-// numbers. Which call each number applies to also depends on the timing of the threads.
+// numbers, but not which call each number decides on: that depends on the machine.
 type Plan struct {
 	Seed  uint64
 	Rules []Rule // tried in order; the first one that matches a call and is drawn applies
--- a/internal/rehearsal/standin/fleet.go
+++ b/internal/rehearsal/standin/fleet.go
@@ -18,7 +18,7 @@
 type ClassConfig struct {
 	Name      string
 	Retryable bool
-	Timeout   time.Duration // deadline of the class
+	Timeout   time.Duration // deadline of the class: the longest time that a client waits
 }
 
 // FleetConfig describes the environment that a Fleet starts.
--- a/internal/rehearsal/standin/worker_test.go
+++ b/internal/rehearsal/standin/worker_test.go
@@ -26,8 +26,8 @@
 	cancel context.CancelFunc // cancels the request, as when a client leaves
 }
 
-// submit sends a job to a worker and waits for the header of the answer.
-// The request is canceled when the test ends.
+// submit sends a job to a worker and waits for the header of the answer. The request is canceled
+// when the test ends.
 func submit(t *testing.T, worker *Worker, id string, slots float64) *submittedJob {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
