--- a/internal/rehearsal/soak/attemptfault.go
+++ b/internal/rehearsal/soak/attemptfault.go
@@ -33,10 +33,10 @@
 
 // jobPlan determines how a worker handles one attempt.
 type jobPlan struct {
-	fault attemptFault
-	reset bool          // a connection that breaks is reset; otherwise it is closed
-	run   time.Duration // run time of the job
-	pause time.Duration // time that closeIdle, stallReading and secondResponse wait
+	fault   attemptFault
+	reset   bool          // a connection that breaks is reset; otherwise it is closed
+	runTime time.Duration // run time of the job
+	delay   time.Duration // time that closeIdle, stallReading and secondResponse wait
 }
 
 // runTimes has, by class, the shortest and the longest run time. In between, the time that exceeds the shortest one is
@@ -58,14 +58,14 @@
 	hash := fnv.New64a()
 	hash.Write([]byte(id))
 	random := rand.New(rand.NewPCG(seed+uint64(earlierAttempts), hash.Sum64()))
-	plan := jobPlan{reset: random.IntN(2) == 0, pause: time.Duration(random.Int64N(int64(maxIdlePause)))}
+	plan := jobPlan{reset: random.IntN(2) == 0, delay: time.Duration(random.Int64N(int64(maxIdlePause)))}
 	times := runTimes[class]
-	plan.run = min(times.shortest+time.Duration(random.ExpFloat64()*float64(times.mean)), times.longest)
+	plan.runTime = min(times.shortest+time.Duration(random.ExpFloat64()*float64(times.mean)), times.longest)
 	if random.IntN(attemptsPerFault) == 0 {
 		plan.fault = 1 + attemptFault(random.IntN(int(attemptFaultKinds)-1))
 	}
 	if plan.fault == stallReading {
-		plan.pause = time.Duration(random.Int64N(int64(maxReadStall)))
+		plan.delay = time.Duration(random.Int64N(int64(maxReadStall)))
 	}
 	return plan
 }
--- a/internal/rehearsal/soak/networkfault.go
+++ b/internal/rehearsal/soak/networkfault.go
@@ -11,8 +11,8 @@
 type networkFaultKind int
 
 const (
-	networkRefuse           networkFaultKind = iota // a worker refuses connections
-	networkHang                                     // connects to a worker are not answered for a while
+	networkConnectRefuse    networkFaultKind = iota // a worker refuses connections
+	networkConnectHang                              // connects to a worker are not answered for a while
 	networkSlowConnect                              // connects to a worker succeed late
 	networkSlowConnectDrain                         // connects to a worker succeed late, and it is listed as draining in the meantime
 	networkSurge                                    // a dispatcher receives surgeFactor times as many requests
@@ -52,7 +52,7 @@
 		drawn := networkFault{kind: networkFaultKind(random.IntN(int(networkFaultKinds))), start: start}
 		drawn.target = random.IntN(config.Workers * 2 / 3) // the other workers have no such faults, so that requests can be served
 		longest := maxRefuseTime
-		if drawn.kind == networkHang {
+		if drawn.kind == networkConnectHang {
 			longest = maxHangTime
 		}
 		drawn.duration = time.Duration(random.Int64N(int64(longest)))
@@ -84,11 +84,11 @@
 	}
 	defer target.release()
 	switch injected.kind {
-	case networkRefuse:
+	case networkConnectRefuse:
 		if err := target.refuse(injected.duration); err != nil {
 			r.records.addHarnessError(err)
 		}
-	case networkHang:
+	case networkConnectHang:
 		resume := target.suspendAccept()
 		sleep(ctx, injected.duration)
 		resume()
--- a/internal/rehearsal/soak/workerconnection.go
+++ b/internal/rehearsal/soak/workerconnection.go
@@ -85,7 +85,7 @@
 		return c.breakConnection(jobPlan{})
 	case stallReading:
 		arrived.readLate = true
-		time.Sleep(plan.pause)
+		time.Sleep(plan.delay)
 	}
 	if _, err := io.Copy(io.Discard, request.Body); err != nil {
 		records.addIncomplete() // the attempt has not arrived completely
@@ -162,7 +162,7 @@
 	if plan.fault == breakAfterStart {
 		return c.breakConnection(plan)
 	}
-	if !c.runJob(id, plan.run) {
+	if !c.runJob(id, plan.runTime) {
 		return false // the dispatcher has ended the connection, or sent more, while the job ran
 	}
 	return c.finish(id, plan)
@@ -183,7 +183,7 @@
 	}
 	io.WriteString(c.conn, done+lastChunk)
 	if plan.fault == secondResponse {
-		time.Sleep(plan.pause)
+		time.Sleep(plan.delay)
 		io.WriteString(c.conn, chunkedResponseHeader+done+lastChunk)
 	}
 	return true
@@ -241,7 +241,7 @@
 	case closeIdle:
 		select {
 		case <-c.nextInput:
-		case <-time.After(plan.pause):
+		case <-time.After(plan.delay):
 		}
 		return c.breakConnection(plan)
 	}
