--- a/internal/rehearsal/recording/clock_test.go
+++ b/internal/rehearsal/recording/clock_test.go
@@ -10,18 +10,18 @@
 	"time"
 )
 
-// overlappingLogs are the logs of two sources, the second of whose clocks is behind.
+// overlappingLogs holds the logs of two sources. The clock of the second source is behind.
 type overlappingLogs struct {
 	first  string
 	second string
-	shared int       // requests that both logged
-	end    time.Time // of the last request
+	shared int       // number of requests that both logged
+	end    time.Time // completion of the last request
 }
 
-// logsWithOffset makes logs of two sources, a third of whose requests both logged. The clock of the
-// second one is behind by offset.
+// logsWithOffset returns the logs of two sources, which both logged a third of the requests. The clock
+// of the second source is behind by offset.
 func logsWithOffset(offset time.Duration) overlappingLogs {
-	const requests = 600 // in 800 lines
+	const requests = 600 // which give 800 lines
 	random := rand.New(rand.NewPCG(1, 2))
 	var first, second strings.Builder
 	shared := 0
@@ -43,14 +43,14 @@
 	return overlappingLogs{first: first.String(), second: second.String(), shared: shared, end: completed}
 }
 
-// Two sources whose clocks are 7 s apart logged some of the same requests: the offset is
-// estimated, and only those requests are merged.
+// If two sources whose clocks are 7 s apart logged some of the same requests, the offset is estimated
+// and the entries of these requests are merged, but no others.
 func TestClockOffsetIsEstimatedFromSharedRequests(t *testing.T) {
 	logs := logsWithOffset(7 * time.Second)
 	imported := importTexts(t, Options{Seed: 1}, logs.first, logs.second)
 	source := imported.report.Sources[1]
 	if !source.Estimated || source.OffsetUs < 6_000_000 || source.OffsetUs > 8_000_000 {
-		t.Errorf("estimated %v, offset %d µs, want an estimate of 7 s to a second", source.Estimated, source.OffsetUs)
+		t.Errorf("estimated %v, offset %d µs, want an estimate of 7 s ± 1 s", source.Estimated, source.OffsetUs)
 	}
 	if source.Pairs < 20 || source.SpreadUs <= 0 {
 		t.Errorf("%d pairs with spread %d µs, want at least 20 with a spread", source.Pairs, source.SpreadUs)
@@ -67,7 +67,7 @@
 	}
 }
 
-// An offset that is given replaces the estimate, and duplicates are kept on request.
+// A given offset replaces the estimate, and with KeepDuplicates duplicates are kept.
 func TestGivenClockOffset(t *testing.T) {
 	logs := logsWithOffset(7 * time.Second)
 	options := Options{Seed: 1, Offsets: map[string]time.Duration{"s1": 7 * time.Second}, KeepDuplicates: true}
@@ -78,7 +78,7 @@
 	}
 }
 
-// Sources without common requests get no offset.
+// No offset is estimated for sources without common requests.
 func TestNoClockOffsetWithoutSharedRequests(t *testing.T) {
 	logs := logsWithOffset(7 * time.Second)
 	others := strings.ReplaceAll(logs.second, "/members/", "/members/x")
@@ -92,16 +92,16 @@
 // clockStepLines is the number of lines of the logs in clockStepCases.
 const clockStepLines = 200
 
-// nthSecond is the time of a line when there is one a second.
+// nthSecond returns the time of a line of a log with one line per second.
 func nthSecond(line int) time.Time { return logStart.Add(time.Duration(line) * time.Second) }
 
-// clockStepCases has clocks that step, or seem to.
+// clockStepCases contains logs of clocks that step or that seem to step.
 var clockStepCases = map[string]struct {
 	completed func(line int) time.Time
 	steps     int
 	outliers  int
-	repaired  uint64 // entries with the repair of a step
-	span      time.Duration
+	repaired  uint64        // number of entries with the repair ClockStepped
+	span      time.Duration // of the recording
 }{
 	"an hour back": {
 		completed: func(line int) time.Time {
@@ -138,8 +138,8 @@
 	},
 }
 
-// A clock that steps back by an hour, and outliers among the timestamps: the order of the lines
-// is kept, both are counted, and the recording does not grow by an hour.
+// Steps of the clock and outliers among the timestamps are counted, the entries keep the order of their
+// lines, and the recording spans the actual time between the first and the last request.
 func TestClockSteps(t *testing.T) {
 	for name, test := range clockStepCases {
 		var text strings.Builder
@@ -160,7 +160,8 @@
 	}
 }
 
-// At the end of summer time an hour occurs twice in a log whose timestamps name no zone.
+// In a log of local times without a zone, the hour that occurs twice as summer time ends is recognised,
+// and is not taken for a step of the clock.
 func TestRepeatedHourAtTheEndOfSummerTime(t *testing.T) {
 	zone, err := time.LoadLocation("Europe/Berlin")
 	if err != nil {
@@ -175,14 +176,14 @@
 	options := Options{Format: "nginx:$time_iso8601 $request_method $request_uri", Zone: zone}
 	imported := importTexts(t, options, text.String())
 	if got := imported.report.Repairs["hour that came twice"]; got != 60 || imported.source().ClockSteps != 0 {
-		t.Errorf("%d entries in the second of the hours, want 60; source %+v, want no step", got, imported.source())
+		t.Errorf("%d entries in the second occurrence of the hour, want 60; source %+v, want no step", got, imported.source())
 	}
 	if count := len(imported.entries); count != 240 || imported.entries[count-1].Arrival > 4*time.Hour {
 		t.Errorf("%d entries, want 240, the last at %v, want at most 4 h", count, imported.entries[count-1].Arrival)
 	}
 }
 
-// Rotated files are read in the order of their timestamps.
+// The files of a rotated log are read in the order of their timestamps, not in the order given.
 func TestRotatedFiles(t *testing.T) {
 	linesFrom := func(first int) string {
 		var text strings.Builder
@@ -205,7 +206,8 @@
 	}
 }
 
-// Entries of whole seconds are spread evenly, in their order, and the same with the same seed.
+// Entries with timestamps of whole seconds are spread evenly over their second. The same seed gives the
+// same recording.
 func TestSpreadWithinSecond(t *testing.T) {
 	var text strings.Builder
 	for i := range 2000 {
@@ -215,7 +217,7 @@
 	again := importTexts(t, Options{Seed: 1}, text.String())
 	otherSeed := importTexts(t, Options{Seed: 2}, text.String())
 	if !bytes.Equal(imported.file, again.file) || bytes.Equal(imported.file, otherSeed.file) {
-		t.Error("the same seed does not give the same bytes, or another seed does")
+		t.Error("the same seed gives different files, or another seed gives the same file")
 	}
 	var entriesByTenth [10]int
 	for _, entry := range imported.entries {
@@ -232,7 +234,7 @@
 	}
 }
 
-// A second with more entries than a group is spread in parts, in the order of the entries.
+// The entries of a second with more entries than a group keep their order and stay within the second.
 func TestCrowdedSecond(t *testing.T) {
 	const entries = 3*maxSpreadGroup + 5
 	var spread []pendingEntry
@@ -244,8 +246,8 @@
 		spreader.add(pendingEntry{timestamp: 5_000_000, resolution: 1_000_000, sequence: uint64(i)})
 	}
 	spreader.flush()
-	if len(spread) != entries || spreader.CrowdedSeconds != 3 {
-		t.Errorf("%d entries in %d full groups, want %d in 3", len(spread), spreader.CrowdedSeconds, entries)
+	if len(spread) != entries || spreader.FullGroups != 3 {
+		t.Errorf("%d entries in %d full groups, want %d in 3", len(spread), spreader.FullGroups, entries)
 	}
 	inOrder := slices.IsSortedFunc(spread, func(a, b pendingEntry) int {
 		if a.timestamp > b.timestamp || a.sequence > b.sequence {
--- a/internal/rehearsal/recording/clockcorrector.go
+++ b/internal/rehearsal/recording/clockcorrector.go
@@ -4,48 +4,54 @@
 
 // Limits of a source's clock, in microseconds.
 const (
-	// maxCompletionDisorder is by how much the completions of a log's lines may go back, since
-	// the workers of a server write in turn.
+	// maxCompletionDisorder is by how much the completion of a line may be earlier than that of a
+	// line above it, since the worker processes of a server write to the log independently.
 	maxCompletionDisorder = 2 * second
-	// maxArrivalDisorder is the same where timestamps mark arrivals and no duration is recorded.
+	// maxArrivalDisorder is the same limit if timestamps mark arrivals and no duration is recorded,
+	// so that the completions are not known.
 	maxArrivalDisorder = 120 * second
-	// maxForwardJump is the longest gap that is not suspected of being an outlier; a night
-	// without entries may be longer, and is then confirmed by the entries that follow.
+	// maxForwardJump is the longest gap after which an entry is not suspected to be an outlier.
+	// The log of a night without requests may have a longer gap, which the entries after it
+	// confirm.
 	maxForwardJump = 6 * 3600 * second
-	// resumeWindow is how far behind the last good completion the clock may be found again.
+	// resumeWindow is how long after the last certain completion an entry may be that ends a
+	// suspicion: the suspects before it are then outliers.
 	resumeWindow = 3600 * second
 )
 
-// stepConfirmations is the number of entries that must agree before a step is accepted.
+// stepConfirmations is the number of suspects in sequence after which a step is accepted.
 const stepConfirmations = 8
 
-// clockCorrector makes the timestamps of one source continuous. It holds back a few entries
-// while it is not certain whether the clock has stepped or a timestamp is an outlier.
+// clockCorrector corrects the timestamps of one source for steps of its clock and for outliers. An
+// entry whose timestamp does not fit those before it is suspect: either the clock has stepped or the
+// timestamp is an outlier. Suspects are held back until the following entries show which.
 type clockCorrector struct {
 	emit           func(pendingEntry)
-	unordered      bool // the order of the source means nothing (HAR)
+	unordered      bool // the entries are in no particular order, as in HAR files, and are not corrected
 	started        bool
-	lastGood       int64 // latest completion that is certain
-	correction     int64 // added to all timestamps since the clock stepped back
+	lastGood       int64 // latest completion whose timestamp is certain
+	correction     int64 // added to all timestamps after steps back of the clock
 	suspects       []pendingEntry
-	suspectsBehind bool // the suspects are behind lastGood, not far ahead
+	suspectsBehind bool // the suspects are earlier than lastGood; otherwise far later
 
 	StepsBack           int
 	SteppedMicroseconds int64 // sum of the steps back
 	Outliers            int
 }
 
-// completion is the time by which lines are ordered: when they were written.
+// completion returns the time at which the line was written, which the order of lines follows: the end
+// of the request, or its arrival if no duration is recorded.
 func (p *pendingEntry) completion() int64 {
-	if p.stampsArrival && p.duration > 0 {
+	if p.timestampMarksArrival && p.duration > 0 {
 		return p.timestamp + p.duration
 	}
 	return p.timestamp
 }
 
-// tolerance is by how much the completion may go back without a step of the clock.
+// tolerance returns by how much the completion may be earlier than that of a previous entry without a
+// step of the clock.
 func (p *pendingEntry) tolerance() int64 {
-	if p.stampsArrival && p.duration < 0 {
+	if p.timestampMarksArrival && p.duration < 0 {
 		return maxArrivalDisorder
 	}
 	return maxCompletionDisorder
@@ -75,7 +81,7 @@
 			c.addSuspect(entry)
 			return
 		}
-		c.releaseOutliers() // the clock goes on from where it was before the suspects
+		c.releaseOutliers() // as this entry continues from lastGood
 	}
 	if behind || completion > c.lastGood+maxForwardJump {
 		c.suspectsBehind = behind
@@ -85,7 +91,7 @@
 	c.accept(entry)
 }
 
-// addSuspect adds an entry that confirms the suspects; enough of them are accepted as a step.
+// addSuspect adds a further suspect, and accepts the suspects once there are enough of them.
 func (c *clockCorrector) addSuspect(entry pendingEntry) {
 	c.suspects = append(c.suspects, entry)
 	if len(c.suspects) >= stepConfirmations {
@@ -93,7 +99,7 @@
 	}
 }
 
-// accept emits an entry whose timestamp is certain but for the correction.
+// accept corrects and emits an entry whose timestamp is certain.
 func (c *clockCorrector) accept(entry pendingEntry) {
 	entry.timestamp += c.correction
 	if c.correction != 0 {
@@ -103,13 +109,13 @@
 	c.emit(entry)
 }
 
-// releaseOutliers emits the suspects as outliers, at the last certain time.
+// releaseOutliers emits the suspects as outliers, whose completion is set to lastGood.
 func (c *clockCorrector) releaseOutliers() {
 	for _, entry := range c.suspects {
 		c.Outliers++
 		entry.repairs |= OutlierTimestamp
 		entry.timestamp = c.lastGood
-		if entry.stampsArrival && entry.duration > 0 {
+		if entry.timestampMarksArrival && entry.duration > 0 {
 			entry.timestamp -= entry.duration
 		}
 		c.emit(entry)
@@ -117,7 +123,8 @@
 	c.suspects = c.suspects[:0]
 }
 
-// acceptSuspects accepts the timestamps of the suspects: the clock has stepped, or time has passed.
+// acceptSuspects accepts the timestamps of the suspects. Either the clock has stepped back, which is
+// added to the correction, or there were no requests for a long time.
 func (c *clockCorrector) acceptSuspects() {
 	if len(c.suspects) == 0 {
 		return
@@ -132,16 +139,16 @@
 	}
 	suspects := slices.Clone(c.suspects)
 	c.suspects = c.suspects[:0]
-	for _, entry := range suspects { // a second step among them is found as one
+	for _, entry := range suspects { // so that a second step among them is detected
 		c.add(entry)
 	}
 }
 
-// finish emits what is still held back at the end of the source. Entries that agree are a step. A single one, which
-// nothing confirms, is an outlier; accepting a step may leave one.
+// finish emits the suspects that are held back at the end of a file. Several suspects are accepted. A
+// single one, which no other entry confirms, is an outlier; accepting several may leave one suspect.
 func (c *clockCorrector) finish() {
 	for len(c.suspects) > 1 {
-		c.acceptSuspects() // accepts the first of them at least
+		c.acceptSuspects() // accepts at least the first of them
 	}
 	c.releaseOutliers()
 }
--- a/internal/rehearsal/recording/clockend_test.go
+++ b/internal/rehearsal/recording/clockend_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Entries whose clock is in doubt when a log ends were taken for certain. One outlier on the last line counted as 73
-// years that had passed, and the recording could not be read again; and where accepting them raised a new doubt, the
-// last entry was lost.
-func TestClockInDoubtAtTheEnd(t *testing.T) {
+// Guards against accepting the timestamps of all suspects at the end of a log. An outlier on the last
+// line then made the recording 73 years long, which the reader rejects. And if accepting suspects left
+// a new suspect, that last entry was lost.
+func TestClockUncertainAtEndOfLog(t *testing.T) {
 	for name, test := range map[string]struct {
 		completed func(line int) time.Time
 		outliers  int
@@ -52,7 +52,7 @@
 				t.Errorf("%+v, want %d outliers and %d steps", source, test.outliers, test.steps)
 			}
 			if span := imported.entries[clockStepLines-1].Arrival; span > clockStepLines*time.Second {
-				t.Errorf("spans %v", span)
+				t.Errorf("the recording spans %v", span)
 			}
 		})
 	}
--- a/internal/rehearsal/recording/clockoffset.go
+++ b/internal/rehearsal/recording/clockoffset.go
@@ -2,18 +2,18 @@
 
 import "slices"
 
-// signatureSample remembers when a source logged the requests with certain signatures. Every
-// source's sample prefers the lowest signatures, so that the samples of two sources overlap
-// however many requests each has.
+// signatureSample stores when a source logged requests, for a sample of its requests. The sample of
+// each source consists of the requests with the lowest signatures, so that the samples of two sources
+// overlap however many requests each source has.
 type signatureSample struct {
 	seen         map[uint64]sighting
-	maxSignature uint64 // higher ones are not remembered
+	maxSignature uint64 // entries with higher signatures are not stored
 }
 
-// sighting is the last entry with a signature.
+// sighting is the last entry with a signature, and how many there are.
 type sighting struct {
 	timestamp int64
-	count     int32 // entries with the signature
+	count     int32 // number of entries with the signature
 }
 
 // maxSightings bounds the size of a sample.
@@ -39,23 +39,25 @@
 	}
 }
 
-// ClockOffset is how far the clock of a source is behind that of the first source.
+// ClockOffset says how far the clock of a source is behind that of the first source.
 type ClockOffset struct {
 	Microseconds int64 // to be added to the source's timestamps
-	Estimated    bool
-	Pairs        int   // requests that both sources logged
+	Estimated    bool  // from requests that both sources logged
+	Pairs        int   // number of requests that the estimate is based on
 	Spread       int64 // half of the interquartile range of the pairs' differences, µs
 }
 
 const (
 	minOffsetPairs = 5
-	// offsetPairWindow is how far apart, in microseconds, two differences may be that agree: two
-	// timestamps of whole seconds may each be off by one.
+	// offsetPairWindow is how far apart two timestamp differences that agree may be, in
+	// microseconds. Each difference is one of two timestamps, which may be of whole seconds and
+	// then are each off by up to one second.
 	offsetPairWindow = 2 * second
 )
 
-// estimateOffset estimates the offset of a source against a reference from the requests that
-// each logged once. ok is false if too few of them agree.
+// estimateOffset estimates the clock offset of a source against a reference from the requests that
+// each of the two logged exactly once. ok is false if the timestamp differences of too few of them
+// agree.
 func estimateOffset(reference, other *signatureSample) (offset ClockOffset, ok bool) {
 	differences := timestampDifferences(reference, other)
 	agreeing := largestCluster(differences, offsetPairWindow)
@@ -71,7 +73,8 @@
 	}, true
 }
 
-// timestampDifferences returns, sorted, the differences of the requests that each source logged once.
+// timestampDifferences returns by how much the reference's timestamp is later than the other's, for
+// each request that each of the two logged exactly once. The differences are sorted.
 func timestampDifferences(reference, other *signatureSample) []int64 {
 	var differences []int64
 	for signature, a := range reference.seen {
@@ -84,7 +87,7 @@
 	return differences
 }
 
-// largestCluster returns the longest part of the sorted values that fits in a window.
+// largestCluster returns the longest run of sorted values that differ by at most window.
 func largestCluster(sorted []int64, window int64) []int64 {
 	var largest []int64
 	start := 0
@@ -99,8 +102,8 @@
 	return largest
 }
 
-// mayAgreeByChance reports whether pairs of different requests, whose differences are uniformly
-// distributed, might give a cluster of the given size too.
+// mayAgreeByChance reports whether a cluster of the given size might also come about if the pairs
+// were of different requests, whose timestamp differences are uniformly distributed.
 func mayAgreeByChance(differences []int64, cluster int) bool {
 	width := differences[len(differences)-1] - differences[0]
 	if width <= offsetPairWindow {
--- a/internal/rehearsal/recording/detect.go
+++ b/internal/rehearsal/recording/detect.go
@@ -7,14 +7,14 @@
 	"github.com/valyala/fastjson"
 )
 
-// maxDetectionLines are looked at to find the format of a log.
+// maxDetectionLines is the number of lines from which the format of a log is detected.
 const maxDetectionLines = 32
 
-// byteOrderMark may precede a text in UTF-8.
+// byteOrderMark is the UTF-8 byte order mark, which may precede the content of a file.
 const byteOrderMark = "\xef\xbb\xbf"
 
-// detectFormat finds the format of a source from its first bytes. A log of no known format is
-// taken for Combined, so that each of its lines is reported as malformed.
+// detectFormat determines the format of a file from its first bytes. If no known format fits, it
+// returns Combined, so that each line is reported as malformed.
 func detectFormat(head string, zone *time.Location) (*Format, error) {
 	text := strings.TrimLeft(strings.TrimPrefix(head, byteOrderMark), " \t\r\n\x00")
 	lines := strings.Split(text, "\n")
@@ -31,7 +31,7 @@
 	return format, err
 }
 
-// detectJSON names the format of a source from its first line, which begins with a brace.
+// detectJSON returns the name of the format of a file whose first line begins with a brace.
 func detectJSON(line string) string {
 	compact := strings.ReplaceAll(line, " ", "")
 	switch {
@@ -45,7 +45,7 @@
 	return "json"
 }
 
-// detectTemplate finds the template that most lines fit; nil: none fits any.
+// detectTemplate returns the text format that can parse the most lines, or nil if none can parse any.
 func detectTemplate(lines []string, zone *time.Location) (*Format, error) {
 	var best *Format
 	bestParsed := 0
@@ -74,12 +74,12 @@
 // trialResult counts the lines that a format can parse.
 type trialResult struct {
 	parsed            int
-	endInSeconds      int // of those, the ones that end in a number with a fraction
-	endInMicroseconds int // of those, the ones that end in a whole number
+	endInSeconds      int // parsed lines that end in a number with a fraction
+	endInMicroseconds int // parsed lines that end in a whole number
 }
 
-// combinedVariant names the variant of Combined that most of the lines are in, by the durations at
-// their ends.
+// combinedVariant returns the name of the variant of Combined that most of the parsed lines have. A
+// fraction at the end of a line is a duration in seconds, a whole number one in microseconds.
 func (r *trialResult) combinedVariant() string {
 	switch {
 	case r.endInSeconds*2 > r.parsed:
--- a/internal/rehearsal/recording/emptyquery_test.go
+++ b/internal/rehearsal/recording/emptyquery_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Guards against a target with an empty query, which other formats drop: "?" and "?-" stand for none in JSON logs too.
+// Guards against targets that end in an empty query. In JSON logs, as in other formats, "?" and "?-" mean
+// that there is no query.
 func TestEmptyQueryOfJSONLogIsDropped(t *testing.T) {
 	for query, want := range map[string]string{"": "/a", "-": "/a", "?": "/a", "?-": "/a", "?x=1": "/a?x=1", "x=1": "/a?x=1"} {
 		line := `{"time":1796104801,"method":"GET","target":"/a","q":"` + query + `"}`
--- a/internal/rehearsal/recording/entry.go
+++ b/internal/rehearsal/recording/entry.go
@@ -10,32 +10,32 @@
 
 // Limits of a recording file, which the reader enforces.
 const (
-	blockEntries       = 1024             // in a block that is written
-	maxBlockEntries    = 4 * blockEntries // in a block that is read
+	blockEntries       = 1024             // per block that the writer writes
+	maxBlockEntries    = 4 * blockEntries // per block that the reader accepts
 	maxFrameBytes      = 1 << 20
-	zstdWindowBytes    = 1 << 20 // of files that are written
-	maxZstdWindowBytes = 8 << 20 // of files that are read
+	zstdWindowBytes    = 1 << 20 // window of the files that the writer writes
+	maxZstdWindowBytes = 8 << 20 // window that the reader accepts
 	maxRecordingLength = 10 * 366 * 24 * time.Hour
 	maxSlots           = 64
 	maxEffort          = 1000 * day // µs
 )
 
-// Entry is one arrival of a recording.
+// Entry is one recorded request and its arrival.
 type Entry struct {
 	Arrival   time.Duration // since the recording's start
 	Class     int           // index in the header's classes
-	Key       uint64        // pseudonym; 0: none
-	Duration  time.Duration // drawn if the log had none
-	Effort    time.Duration // estimate of the work
-	Timeout   time.Duration // how long the client waits
-	Slots     float64
-	BodyBytes int // of the request
-	Status    int // as recorded; 0: not known
-	Source    int // index in the header's sources
-	Repairs   Repair
+	Key       uint64        // pseudonym of the member; 0 if the request has no key
+	Duration  time.Duration // service time or, if it was not recorded, from arrival to completion; drawn if neither was recorded
+	Effort    time.Duration // estimated work of the request
+	Timeout   time.Duration // how long the client waits for the answer
+	Slots     float64       // slots of a worker that the job occupies
+	BodyBytes int           // size of the request's body
+	Status    int           // HTTP status as recorded; 0 if it is not known
+	Source    int           // index in the header's sources
+	Repairs   Repair        // corrections that the import made
 }
 
-// KeyText is the key as requests send it; empty: none.
+// KeyText returns the key in the form in which requests send it, or "" if the entry has no key.
 func (e *Entry) KeyText() string {
 	if e.Key == 0 {
 		return ""
--- a/internal/rehearsal/recording/file_test.go
+++ b/internal/rehearsal/recording/file_test.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// sampleLength is the number of entries of sampleRecording, which come every 10 ms.
+// sampleLength is the number of entries that most tests request from sampleRecording.
 const sampleLength = 3000
 
-// sampleRecording makes a recording with two classes.
+// sampleRecording returns a recording with two classes, whose entries are 10 ms apart.
 func sampleRecording(t testing.TB, entries int) []byte {
 	t.Helper()
 	var text strings.Builder
@@ -29,7 +29,7 @@
 	return importTexts(t, Options{Seed: 3}, text.String()).file
 }
 
-// verify reads a recording to its end.
+// verify reads a recording to its end and returns the first error.
 func verify(file []byte) error {
 	reader, err := NewReader(bytes.NewReader(file))
 	if err != nil {
@@ -43,7 +43,7 @@
 func TestDamagedFileIsRejected(t *testing.T) {
 	const (
 		positions  = 200
-		magicBytes = 8 // a change of the first bytes may leave a file that is read to its end
+		magicBytes = 8 // a file with a modified byte among the first ones may still be read to its end
 	)
 	file := sampleRecording(t, sampleLength)
 	if err := verify(file); err != nil {
@@ -65,7 +65,7 @@
 	}
 }
 
-// The error of a truncated file names the frame and the entries before it.
+// The error for a truncated file states the frame and the number of entries before it.
 func TestErrorOfTruncatedFileNamesPosition(t *testing.T) {
 	file := sampleRecording(t, sampleLength)
 	err := verify(file[:len(file)/2])
@@ -77,11 +77,12 @@
 	}
 }
 
-// A modification that was compressed again, which zstd's own check does not detect, is detected.
+// If the decompressed content is modified and compressed again, zstd's checksum is right, but that of
+// the recording is not.
 func TestModifiedContentFailsTheChecksum(t *testing.T) {
 	const (
-		endBytes = 40   // at least the length of the last frame
-		keyTag   = 0x19 // of an entry's key, which follows it
+		endBytes = 40   // at least the size of the last frame
+		keyTag   = 0x19 // protobuf tag that precedes an entry's key
 	)
 	plain := zstdDecompressed(t, sampleRecording(t, sampleLength))
 	tag := bytes.LastIndexByte(plain[:len(plain)-endBytes], keyTag)
@@ -109,7 +110,7 @@
 	}
 }
 
-// sliceAt splits a recording into the entries before and after a time.
+// sliceAt splits a recording into the entries before a time and the others.
 func sliceAt(t *testing.T, file []byte, middle time.Duration) (front, back []byte) {
 	t.Helper()
 	var frontOut, backOut bytes.Buffer
@@ -131,7 +132,7 @@
 	return out.Bytes()
 }
 
-// The two parts of a recording are merged to the same entries, whatever the order of the parts.
+// Merging the two parts of a recording, in reverse order, gives the entries of the recording again.
 func TestMergeRevertsSlice(t *testing.T) {
 	file := sampleRecording(t, sampleLength)
 	entries := readEntries(t, file)
@@ -139,7 +140,7 @@
 	merged := readEntries(t, merge(t, back, front, false))
 	for i, want := range entries {
 		got := merged[i]
-		got.Class = want.Class // an index in another header
+		got.Class = want.Class // indexes may differ between the headers
 		got.Source = want.Source
 		if got != want {
 			t.Fatalf("entry %d, sliced and merged: %+v, was %+v", i, got, want)
@@ -147,7 +148,7 @@
 	}
 }
 
-// A slice has the entries of its window alone, and starts where the window does.
+// A slice contains only the entries of its time range, and its times start where the range does.
 func TestSliceStartsAtItsWindow(t *testing.T) {
 	file := sampleRecording(t, sampleLength)
 	_, back := sliceAt(t, file, 11*time.Second)
@@ -160,7 +161,7 @@
 	}
 }
 
-// Recordings that are aligned start at the same time.
+// Merging with align lets the recordings start at the same time.
 func TestMergeAligned(t *testing.T) {
 	front, back := sliceAt(t, sampleRecording(t, sampleLength), 11*time.Second)
 	entries := readEntries(t, merge(t, front, back, true))
@@ -169,7 +170,7 @@
 	}
 }
 
-// Scale changes the number of entries by the rate and their times by the speed.
+// Scale multiplies the number of entries by the rate and divides their times by the speed.
 func TestScale(t *testing.T) {
 	file := sampleRecording(t, sampleLength)
 	for _, rate := range []float64{0.25, 1, 2.5} {
@@ -188,14 +189,14 @@
 	}
 }
 
-// Windows and factors out of range, and a merge of nothing, are rejected.
+// An empty time range, a factor out of range and a merge of no recordings are rejected.
 func TestInvalidTransforms(t *testing.T) {
 	const middle = 11 * time.Second
 	file := sampleRecording(t, sampleLength)
 	for name, err := range map[string]error{
-		"slice of an empty window": Slice(openRecording(t, file), io.Discard, middle, middle-1),
-		"scale by 0":               Scale(openRecording(t, file), io.Discard, 0, 1, 1),
-		"merge of nothing":         Merge(nil, io.Discard, false),
+		"slice of an empty time range": Slice(openRecording(t, file), io.Discard, middle, middle-1),
+		"scale by 0":                   Scale(openRecording(t, file), io.Discard, 0, 1, 1),
+		"merge of nothing":             Merge(nil, io.Discard, false),
 	} {
 		if err == nil {
 			t.Errorf("%s: no error", name)
@@ -203,7 +204,7 @@
 	}
 }
 
-// Whatever the bytes of a file, the reader returns valid entries or an error.
+// For arbitrary bytes the reader returns valid entries or an error.
 func FuzzRecordingFile(f *testing.F) {
 	file := sampleRecording(f, 30)
 	f.Add(file)
@@ -211,13 +212,14 @@
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, content []byte) {
 		checkArbitraryFile(t, content)
-		// As uncompressed frames too, since the decompression rejects most modifications.
+		// The content is also read as the frames of a valid zstd stream, since decompression rejects
+		// most modifications of a compressed file.
 		checkArbitraryFile(t, zstdCompressed(t, content))
 	})
 }
 
-// checkArbitraryFile reads a file and fails if an entry is invalid, or an end is accepted that does
-// not match the entries.
+// checkArbitraryFile reads a file. The test fails if an entry is invalid, or if the reader accepts the
+// file although the number of entries does not match.
 func checkArbitraryFile(t *testing.T, file []byte) {
 	t.Helper()
 	reader, err := NewReader(bytes.NewReader(file))
@@ -236,6 +238,6 @@
 		return nil
 	})
 	if err == nil && count != reader.count {
-		t.Fatalf("%d entries read of %d in the file, and no error", count, reader.count)
+		t.Fatalf("ForEach passed on %d entries, the reader counted %d, and there is no error", count, reader.count)
 	}
 }
--- a/internal/rehearsal/recording/firstpass.go
+++ b/internal/rehearsal/recording/firstpass.go
@@ -10,15 +10,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// readSource reads the files of a source to sorted runs on the spool.
+// readSource reads the files of a source and writes their entries to sorted runs on the spool.
 func (imp *importer) readSource(index int) error {
 	source := imp.sources[index]
-	source.sorter = sorter{spool: imp.options.Spool, nextRun: &imp.runs}
+	source.sorter = sorter{spool: imp.options.Spool, nextRun: &imp.nextRun}
 	source.spreader = secondSpreader{
 		random: newRandomStream(imp.options.Seed, fmt.Sprintf("seconds of source %d", index)),
 		emit:   func(entry pendingEntry) { imp.addArrival(source, entry) },
 	}
-	source.clock.emit = source.spreader.add
+	source.clockCorrector.emit = source.spreader.add
 	if len(imp.sources) > 1 {
 		source.signatures = newSignatureSample()
 	}
@@ -27,8 +27,8 @@
 		if err := imp.readFile(source, file); err != nil {
 			return err
 		}
-		digests.Write(file.digest.full.Sum(nil))
-		imp.report.InputBytes += file.digest.bytes
+		digests.Write(file.hasher.full.Sum(nil))
+		imp.report.InputBytes += file.hasher.bytesRead
 		imp.reportProgress(0, true)
 	}
 	source.reportRead(digests)
@@ -37,21 +37,21 @@
 	}
 	var err error
 	maxRuns := max(1, maxMergedRuns/len(imp.sources))
-	source.sorter.runs, err = compactRuns(imp.options.Spool, &imp.runs, source.sorter.runs, maxRuns)
+	source.sorter.runs, err = compactRuns(imp.options.Spool, &imp.nextRun, source.sorter.runs, maxRuns)
 	return err
 }
 
-// readFile reads one file. A fault of the file is reported as a truncation of its source; the
-// error returned is the spool's.
+// readFile reads one file. An error of the file is reported as a truncation of its source; the
+// returned error is one of the spool.
 func (imp *importer) readFile(source *logSource, file *inputFile) error {
 	report := source.report
 	report.Files = append(report.Files, file.File)
 	report.Format = file.format.Name
 	report.Stamp = stampEnd
-	if file.format.StampsArrival {
+	if file.format.TimestampsMarkArrival {
 		report.Stamp = stampArrival
 	}
-	source.clock.unordered = file.format.HAR
+	source.clockCorrector.unordered = file.format.HAR
 	handle := func(position entryPosition, raw *RawEntry, malformed error) error {
 		return imp.countEntry(source, file, position, raw, malformed)
 	}
@@ -66,20 +66,20 @@
 	if source.sorter.err != nil {
 		return source.sorter.err
 	}
-	_, remainderErr := io.Copy(io.Discard, file.digest) // all of the file is hashed
+	_, remainderErr := io.Copy(io.Discard, file.hasher) // so that the whole file is hashed
 	if err == nil {
 		err = remainderErr
 	}
 	if err != nil {
-		report.addTruncation(fmt.Sprintf("%s: %v, after %d bytes", file.File, err, file.digest.bytes))
+		report.addTruncation(fmt.Sprintf("%s: %v, after %d bytes", file.File, err, file.hasher.bytesRead))
 	}
-	source.clock.finish()
+	source.clockCorrector.finish()
 	source.spreader.flush()
 	return nil
 }
 
-// countEntry counts one entry as accepted, malformed, unmapped or ignored, and passes an
-// accepted one on to the clock of its source. The error returned is the spool's.
+// countEntry counts one entry as accepted, malformed, unmapped or ignored, and passes an accepted one
+// to the clock corrector of its source. The returned error is one of the spool.
 func (imp *importer) countEntry(source *logSource, file *inputFile, position entryPosition, raw *RawEntry, malformed error) error {
 	const typicalLineBytes = 256
 	counts := &source.report.Counts
@@ -101,7 +101,7 @@
 		return nil
 	}
 	counts.Accepted++
-	source.clock.add(imp.newPendingEntry(source, raw, rule, token))
+	source.clockCorrector.add(imp.newPendingEntry(source, raw, rule, token))
 	imp.reportProgress(typicalLineBytes, false)
 	return source.sorter.err
 }
@@ -117,22 +117,22 @@
 	}
 }
 
-// newPendingEntry reduces an accepted entry to what the recording needs: the key's token and
-// the target are kept as hashes alone.
+// newPendingEntry reduces an accepted entry to the values that the recording needs. Of the key's
+// token and of the target only hashes are kept.
 func (imp *importer) newPendingEntry(source *logSource, raw *RawEntry, rule int, token string) pendingEntry {
 	entry := pendingEntry{
-		timestamp:     raw.Timestamp,
-		sequence:      source.sequence,
-		signature:     raw.signature(),
-		duration:      raw.Duration,
-		serviceTime:   raw.ServiceTime,
-		resolution:    raw.Resolution,
-		class:         int32(rule),
-		status:        int32(raw.Status),
-		bodyBytes:     int32(min(raw.BodyBytes, math.MaxInt32)),
-		repairs:       raw.Repairs,
-		stampsArrival: raw.StampsArrival,
-		foldOffset:    raw.FoldOffset,
+		timestamp:             raw.Timestamp,
+		sequence:              source.sequence,
+		signature:             raw.signature(),
+		duration:              raw.Duration,
+		serviceTime:           raw.ServiceTime,
+		resolution:            raw.Resolution,
+		class:                 int32(rule),
+		status:                int32(raw.Status),
+		bodyBytes:             int32(min(raw.BodyBytes, math.MaxInt32)),
+		repairs:               raw.Repairs,
+		timestampMarksArrival: raw.TimestampMarksArrival,
+		foldOffset:            raw.FoldOffset,
 	}
 	source.sequence++
 	source.wholeSeconds = source.wholeSeconds || raw.Resolution >= second
@@ -147,25 +147,26 @@
 	return entry
 }
 
-// addArrival computes the arrival of an entry whose timestamp is final, and sorts it in.
+// addArrival computes the arrival of an entry whose timestamp has been corrected, counts the entry and
+// passes it to the sorter.
 func (imp *importer) addArrival(source *logSource, entry pendingEntry) {
-	if !entry.stampsArrival {
+	if !entry.timestampMarksArrival {
 		if entry.duration >= 0 {
 			entry.timestamp -= entry.duration
 		} else {
-			entry.repairs |= EndTakenAsArrival
+			entry.repairs |= CompletionTakenAsArrival
 		}
 	}
 	if source.signatures != nil {
 		source.signatures.add(entry.signature, entry.timestamp)
 	}
-	source.earliest = min(source.earliest, entry.timestamp)
-	source.latest = max(source.latest, entry.timestamp)
+	source.earliestArrival = min(source.earliestArrival, entry.timestamp)
+	source.latestArrival = max(source.latestArrival, entry.timestamp)
 	if len(imp.sources) == 1 {
 		imp.countWritten(source.report, &entry)
 	}
 	if base := entry.baseDuration(); base >= 0 {
-		imp.rules[entry.class].recorded.add(base, imp.random)
+		imp.statistics[entry.class].recorded.add(base, imp.reservoirRandom)
 	}
 	source.sorter.add(entry)
 }
--- a/internal/rehearsal/recording/foldoffset_test.go
+++ b/internal/rehearsal/recording/foldoffset_test.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// Guards against an entry whose time is certain and is moved by an hour all the same: the doubt of a local time as summer
-// time ends was kept for a number since 1970 behind it, whose time counts.
-func TestFoldOfLocalTimeEndsWithALaterEpoch(t *testing.T) {
+// If a line has an ambiguous local time and after it a time since 1970, the latter is the entry's time,
+// which is not ambiguous. Guards against keeping the FoldOffset of the local time, by which the clock
+// corrector might move the entry by an hour.
+func TestEpochTimeClearsFoldOffset(t *testing.T) {
 	zone, err := time.LoadLocation("Europe/Berlin")
 	if err != nil {
 		t.Fatal(err)
@@ -22,6 +23,6 @@
 		t.Fatal(err)
 	}
 	if raw.FoldOffset != 0 || raw.Timestamp != 1792891800*second {
-		t.Errorf("time %d, fold %d; want that of the number, and no fold", raw.Timestamp, raw.FoldOffset)
+		t.Errorf("timestamp %d, fold offset %d; want the time since 1970 and no fold offset", raw.Timestamp, raw.FoldOffset)
 	}
 }
--- a/internal/rehearsal/recording/format.go
+++ b/internal/rehearsal/recording/format.go
@@ -8,22 +8,22 @@
 	"github.com/valyala/fastjson"
 )
 
-// Format parses the lines of one kind of access log. Compile makes it. It keeps buffers
-// between lines and is not safe for concurrent use.
+// Format parses the lines of an access log in one format. Compile creates it. It reuses its buffers
+// from line to line and is not safe for concurrent use.
 type Format struct {
-	Name          string
-	HAR           bool
-	StampsArrival bool // timestamps mark the arrival; otherwise the completion
+	Name                  string
+	HAR                   bool
+	TimestampsMarkArrival bool // timestamps mark the arrival, otherwise the completion
 
-	template []templateField // for logs of a text template
-	lenient  bool            // text may follow the template's last field
-	state    templateState
+	template          []templateField // of text logs; empty for other formats
+	allowTrailingText bool            // text after the template's last field is ignored
+	state             templateState
 
-	jsonFields *jsonFields // for JSON lines
+	jsonFields *jsonFields // of JSON logs; nil for other formats
 	jsonParser fastjson.Parser
 
-	zone       *time.Location // of timestamps that name no zone
-	cachedText string         // the local timestamp parsed last
+	zone       *time.Location // of timestamps without a zone
+	cachedText string         // the last timestamp that parseLocalTime parsed
 	cachedTime int64          // its Unix time in microseconds
 }
 
@@ -34,7 +34,7 @@
 	apacheCombined = `%h %l %u %t \"%r\" %>s %b \"%{Referer}i\" \"%{User-agent}i\"`
 )
 
-// Formats describes the formats that Compile accepts, a line of help text each.
+// Formats describes the formats that Compile accepts. Each element is a line of the help text.
 var Formats = []string{
 	"auto                found out from the first lines",
 	"common, combined    the logs of that name, without durations",
@@ -49,8 +49,8 @@
 	"har                 HAR 1.2",
 }
 
-// Compile makes a Format from its description, which Formats explains. zone is that of
-// timestamps that name none; nil means UTC.
+// Compile creates a Format from its description; see Formats. zone applies to timestamps without a
+// zone; nil means UTC.
 func Compile(text string, zone *time.Location) (*Format, error) {
 	if zone == nil {
 		zone = time.UTC
@@ -68,28 +68,28 @@
 	return format, nil
 }
 
-// compileNamed compiles the format of the given name; known is false if there is none.
+// compileNamed compiles the format with the given name. known is false if there is no such format.
 func (f *Format) compileNamed(name, argument string) (known bool, err error) {
 	switch name {
 	case "", "auto":
 		f.Name = "auto"
 	case "har":
 		f.HAR = true
-		f.StampsArrival = true
+		f.TimestampsMarkArrival = true
 	case "common":
-		f.lenient = true
+		f.allowTrailingText = true
 		err = f.compileNGINX(nginxCommon)
 	case "combined":
-		f.lenient = true
+		f.allowTrailingText = true
 		err = f.compileNGINX(nginxCombined)
 	case "combined+s":
-		f.lenient = true
+		f.allowTrailingText = true
 		err = f.compileNGINX(nginxCombined + " $request_time")
 	case "combined+us":
-		f.lenient = true
+		f.allowTrailingText = true
 		err = f.compileApache(apacheCombined + " %D")
 	case "combined+ms":
-		f.lenient = true
+		f.allowTrailingText = true
 		err = f.compileApache(apacheCombined + " %{ms}T")
 	case "nginx":
 		err = f.compileNGINX(argument)
@@ -97,22 +97,22 @@
 		err = f.compileApache(argument)
 	case "json":
 		f.jsonFields, err = compileJSONFields(argument)
-		f.StampsArrival = err == nil && f.jsonFields.stampsArrival
+		f.TimestampsMarkArrival = err == nil && f.jsonFields.timestampsMarkArrival
 	case "caddy":
 		f.jsonFields = caddyJSONFields()
 	case "traefik":
 		f.jsonFields = traefikJSONFields()
-		f.StampsArrival = true
+		f.TimestampsMarkArrival = true
 	default:
 		return false, nil
 	}
 	return true, err
 }
 
-// Parse reads one line, with or without its newline, into raw. The error says what is
-// malformed without quoting any of the line.
+// Parse parses one line, without its newline, into raw. The error says what is malformed without
+// quoting any of the line.
 func (f *Format) Parse(line string, raw *RawEntry) error {
-	*raw = RawEntry{Duration: notRecorded, ServiceTime: notRecorded, StampsArrival: f.StampsArrival}
+	*raw = RawEntry{Duration: notRecorded, ServiceTime: notRecorded, TimestampMarksArrival: f.TimestampsMarkArrival}
 	if len(line) > 0 && line[0] == 0 {
 		line = strings.TrimLeft(line, "\x00")
 		raw.Repairs |= LeadingNUL
--- a/internal/rehearsal/recording/format_test.go
+++ b/internal/rehearsal/recording/format_test.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// lineTime is the time of the lines of TestFormats, some of which add a fraction of a second.
+// lineTime is the time of the lines in formatCases, without the fraction of a second that some have.
 var lineTime = time.Date(2026, 12, 1, 6, 0, 1, 0, time.UTC).UnixMicro()
 
 const quarterSecond = 250 * millisecond
 
-// formatCases has lines of all formats and what is read of them.
+// formatCases contains lines of all formats and the entries that are parsed from them.
 var formatCases = []struct {
 	format string
 	line   string
@@ -40,13 +40,13 @@
 		format: "combined+us",
 		line:   `h - - [01/Dec/2026:08:00:01 +0200] "GET /a HTTP/1.1" 200 5 "-" "-" 31000`,
 		want: RawEntry{Timestamp: lineTime, Resolution: second, Method: "GET", Target: "/a", Status: 200,
-			Duration: 31_000, ServiceTime: notRecorded, StampsArrival: true},
+			Duration: 31_000, ServiceTime: notRecorded, TimestampMarksArrival: true},
 	},
 	{
 		format: "combined+ms",
 		line:   `h - - [01/Dec/2026:08:00:01 +0200] "GET /a HTTP/1.1" 200 5 "-" "-" 31`,
 		want: RawEntry{Timestamp: lineTime, Resolution: second, Method: "GET", Target: "/a", Status: 200,
-			Duration: 31_000, ServiceTime: notRecorded, StampsArrival: true},
+			Duration: 31_000, ServiceTime: notRecorded, TimestampMarksArrival: true},
 	},
 	{
 		format: `nginx:$msec|$request_method|$request_uri|$status|$request_time|$upstream_response_time|$request_id`,
@@ -64,19 +64,19 @@
 		format: `apache:%h %l %u %t \"%r\" %>s %b %{ms}T`,
 		line:   `h - - [01/Dec/2026:06:00:01 +0000] "GET /a\"b HTTP/1.1" 200 - 12`,
 		want: RawEntry{Timestamp: lineTime, Resolution: second, Method: "GET", Target: `/a"b`, Status: 200,
-			Duration: 12_000, ServiceTime: notRecorded, StampsArrival: true},
+			Duration: 12_000, ServiceTime: notRecorded, TimestampMarksArrival: true},
 	},
 	{
 		format: `apache:[%{%d/%b/%Y:%T}t.%{msec_frac}t %{%z}t] %m %U%q %s %D`,
 		line:   `[01/Dec/2026:08:00:01.250 +0200] GET /a?x=1 200 900`,
 		want: RawEntry{Timestamp: lineTime + quarterSecond, Resolution: millisecond, Method: "GET", Target: "/a?x=1", Status: 200,
-			Duration: 900, ServiceTime: notRecorded, StampsArrival: true},
+			Duration: 900, ServiceTime: notRecorded, TimestampMarksArrival: true},
 	},
 	{
 		format: `apache:[%{%d/%b/%Y:%T}t.%{msec_frac}t %{%z}t] %m %U %q %s %D`,
 		line:   `[01/Dec/2026:08:00:01.250 +0200] GET /a ?x=1 200 900`,
 		want: RawEntry{Timestamp: lineTime + quarterSecond, Resolution: millisecond, Method: "GET", Target: "/a?x=1", Status: 200,
-			Duration: 900, ServiceTime: notRecorded, StampsArrival: true},
+			Duration: 900, ServiceTime: notRecorded, TimestampMarksArrival: true},
 	},
 	{
 		format: `apache:%{end:msec}t "%r" %T`,
@@ -94,7 +94,7 @@
 		format: "json:time=t.at,method=m,target=u,duration_us=d,stamp=arrival",
 		line:   `{"t":{"at":1796104801250},"m":"PUT","u":"https://h.example/a","d":77}`,
 		want: RawEntry{Timestamp: lineTime + quarterSecond, Resolution: millisecond, Method: "PUT", Target: "/a",
-			Duration: 77, ServiceTime: notRecorded, StampsArrival: true},
+			Duration: 77, ServiceTime: notRecorded, TimestampMarksArrival: true},
 	},
 	{
 		format: "caddy",
@@ -107,7 +107,7 @@
 		line: `{"StartUTC":"2026-12-01T06:00:01.25Z","RequestMethod":"GET","RequestPath":"/a","Duration":4000000,` +
 			`"OriginDuration":3000000,"DownstreamStatus":200}`,
 		want: RawEntry{Timestamp: lineTime + quarterSecond, Resolution: millisecond, Method: "GET", Target: "/a", Status: 200,
-			Duration: 4_000, ServiceTime: 3_000, StampsArrival: true},
+			Duration: 4_000, ServiceTime: 3_000, TimestampMarksArrival: true},
 	},
 	{
 		format: "common",
@@ -123,7 +123,7 @@
 	},
 }
 
-// Each format gives the time, the request and the durations of its lines.
+// Each format parses the time, the request and the durations of its lines.
 func TestFormats(t *testing.T) {
 	for _, test := range formatCases {
 		got, err := parseLine(t, test.format, test.line)
@@ -138,7 +138,7 @@
 	}
 }
 
-// parseLine parses one line of a format that must be valid.
+// parseLine parses one line. The test fails if the format is invalid.
 func parseLine(t *testing.T, format, line string) (RawEntry, error) {
 	t.Helper()
 	compiled, err := Compile(format, nil)
@@ -151,7 +151,7 @@
 	return raw, err
 }
 
-// The error of a malformed line says what is wrong with it.
+// The error for a malformed line says what is malformed.
 func TestMalformedLines(t *testing.T) {
 	for _, test := range []struct {
 		format string
@@ -173,7 +173,7 @@
 	}
 }
 
-// Descriptions of formats that are unknown, incomplete or ambiguous are rejected.
+// Descriptions of unknown, incomplete or ambiguous formats are rejected.
 func TestInvalidFormats(t *testing.T) {
 	for _, text := range []string{
 		"xml",
@@ -187,7 +187,7 @@
 	}
 }
 
-// The format of a log is found from its first lines.
+// The format of a log is detected from its first lines.
 func TestDetectFormat(t *testing.T) {
 	withSeconds := combinedLine(logStart, "GET", "/a", 0.1)
 	for want, head := range map[string]string{
--- a/internal/rehearsal/recording/golden_keys_test.go
+++ b/internal/rehearsal/recording/golden_keys_test.go
@@ -11,7 +11,7 @@
 	"hollyyoke.example/hollyyoke/internal/goldentest"
 )
 
-// The keys of the rules, their defaults and the errors.
+// The keys of the rules file, the defaults and the errors for invalid rules do not change.
 func TestGoldenRules(t *testing.T) {
 	lines := goldentest.Keys(reflect.TypeFor[Rules](), "toml")
 	committed, err := os.ReadFile(filepath.Join("..", "..", "..", "deploy", "rehearsal.toml"))
@@ -19,14 +19,14 @@
 		t.Fatal(err)
 	}
 	lines = append(lines, describeRules("deploy/rehearsal.toml", testRules(t, string(committed)))...)
-	lines = append(lines, describeErrorsOfRules()...)
+	lines = append(lines, describeRulesErrors()...)
 	for i, line := range lines {
 		lines[i] = strings.TrimSpace(line)
 	}
 	goldentest.Compare(t, "rules.golden", goldentest.Lines(lines))
 }
 
-// describeRules formats the values of rules, a line for each class and one for redacted members.
+// describeRules formats the values of rules: a line for each class and one for redacted members.
 func describeRules(name string, rules *Rules) (lines []string) {
 	for _, rule := range rules.Classes {
 		lines = append(lines, fmt.Sprintln(name, rule.Name, rule.Method, rule.Path, rule.Key, rule.KeySource, rule.TimeoutMs,
@@ -36,8 +36,8 @@
 	return append(lines, fmt.Sprintln(name, redacted.Members, redacted.Skew, redacted.Tokens))
 }
 
-// describeErrorsOfRules formats the errors of invalid rules, one for each check.
-func describeErrorsOfRules() (lines []string) {
+// describeRulesErrors formats the errors of ReadRules for invalid rules, one for each check.
+func describeRulesErrors() (lines []string) {
 	const class = "[[class]]\nname = \"a\"\nleft_ms = 5\n"
 	for _, text := range []string{
 		"",
@@ -65,7 +65,7 @@
 	return lines
 }
 
-// The keys of HAR entries.
+// The keys of HAR entries do not change.
 func TestGoldenHAR(t *testing.T) {
 	goldentest.Compare(t, "har.golden", goldentest.Lines(goldentest.Keys(reflect.TypeFor[harEntry](), "json")))
 }
--- a/internal/rehearsal/recording/golden_test.go
+++ b/internal/rehearsal/recording/golden_test.go
@@ -17,9 +17,9 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/recording/recordingpb"
 )
 
-// These tests fix the format of recordings: files of earlier builds must be read to the same
-// content, and the same import must give the same bytes. The flag -update rewrites the texts, but not
-// the recordings, which stand for those of earlier builds.
+// These tests detect changes of the file format: recordings of earlier builds must be read with the same
+// content, and the same import must give the same bytes. The flag -update rewrites the text files in
+// testdata, but not the recordings, which were made by an earlier build.
 
 // checkRecording compares a recording with one of an earlier build, byte for byte.
 func checkRecording(t *testing.T, name string, got []byte) {
@@ -43,14 +43,14 @@
 	return openRecording(t, readGolden(t, name))
 }
 
-// goldenImport is an import of the two short logs of the test data.
+// goldenImport is the result of an import of the two short logs in testdata.
 type goldenImport struct {
 	file    []byte
 	report  *Report
 	rejects []byte // as JSON lines
 }
 
-// importGoldenLogs imports the two short logs of the test data, which have some requests in common.
+// importGoldenLogs imports the two short logs in testdata, which have some requests in common.
 func importGoldenLogs(t *testing.T, secret string) goldenImport {
 	t.Helper()
 	rulesText := readGolden(t, "rules.toml")
@@ -82,7 +82,7 @@
 	return goldenImport{file: out.Bytes(), report: report, rejects: rejects.Bytes()}
 }
 
-// describeCounts formats counts independently of the field names.
+// describeCounts formats counts without the names of the fields.
 func describeCounts(counts *recordingpb.Counts) string {
 	return fmt.Sprintf("read %d, accepted %d, malformed %d, unmapped %d, ignored %d, repaired %d",
 		counts.GetRead(), counts.GetAccepted(), counts.GetMalformed(), counts.GetUnmapped(), counts.GetIgnored(), counts.GetRepaired())
@@ -118,7 +118,7 @@
 	return key + " " + work + " " + origin
 }
 
-// describeRecording formats all content of a recording.
+// describeRecording formats the whole content of a recording.
 func describeRecording(t *testing.T, reader *Reader) string {
 	t.Helper()
 	var out bytes.Buffer
@@ -133,8 +133,8 @@
 	return out.String()
 }
 
-// The same logs, rules and seed give the same recording, report and rejects; with a given secret
-// also the same pseudonyms.
+// The same logs, rules and seed give the same recording, report and rejects, both without and with a
+// given secret for the pseudonyms.
 func TestGoldenImport(t *testing.T) {
 	imported := importGoldenLogs(t, "")
 	checkRecording(t, "recording-version-1.rec", imported.file)
@@ -148,12 +148,12 @@
 	checkRecording(t, "recording-version-1-secret.rec", withSecret.file)
 }
 
-// A recording of an earlier build is read to the same content.
+// A recording of an earlier build is read with the same content.
 func TestGoldenRead(t *testing.T) {
 	goldentest.Compare(t, "recording.txt", describeRecording(t, openGolden(t, "recording-version-1.rec")))
 }
 
-// Slices, scaled and merged recordings have the same content.
+// Slice, Scale and Merge derive the same content from a recording of an earlier build.
 func TestGoldenDerived(t *testing.T) {
 	const name = "recording-version-1.rec"
 	for golden, derive := range map[string]func(out io.Writer) error{
@@ -173,8 +173,8 @@
 	}
 }
 
-// The sample of a class with more durations than are kept, and what is drawn from it, depend on
-// the seed alone.
+// If a class has more recorded durations than its reservoir holds, the reservoir and the durations that
+// are drawn from it depend only on the log and the seed.
 func TestGoldenSample(t *testing.T) {
 	const (
 		recorded = 9000
--- a/internal/rehearsal/recording/har.go
+++ b/internal/rehearsal/recording/har.go
@@ -10,7 +10,7 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// maxHAREntryBytes bounds what is kept of a HAR entry, which excludes headers and bodies.
+// maxHAREntryBytes bounds the members of a HAR entry that are kept. Headers and bodies are not.
 const maxHAREntryBytes = 8 << 20
 
 var (
@@ -18,11 +18,11 @@
 	errHAREntryTooLong   = errors.New("the entry is too long")
 )
 
-// handlerError distinguishes an error of the entry handler from one of the input.
+// handlerError wraps an error of the entry handler, to distinguish it from an error of the input.
 type handlerError struct{ error }
 
-// readHAR calls handle for each entry of a HAR file, which it reads as a stream. What precedes a
-// fault of the file is handled; the fault is then returned, described without quoting the file.
+// readHAR reads a HAR file as a stream and calls handle for each entry. If the file is faulty, it
+// handles the entries before the fault and then returns an error that does not quote the file.
 func readHAR(input *bufio.Reader, handle entryHandler) error {
 	if head, _ := input.Peek(len(byteOrderMark)); bytes.Equal(head, []byte(byteOrderMark)) {
 		input.Discard(len(byteOrderMark))
@@ -31,11 +31,11 @@
 		decoder: jsontext.NewDecoder(input, jsontext.AllowInvalidUTF8(true), jsontext.AllowDuplicateNames(true)),
 		handle:  handle,
 	}
-	err := readMembers(reader.decoder, reader.readRoot)
-	var ofHandler handlerError
+	err := readMembers(reader.decoder, reader.readRootMember)
+	var handlerErr handlerError
 	switch {
-	case errors.As(err, &ofHandler):
-		return ofHandler.error
+	case errors.As(err, &handlerErr):
+		return handlerErr.error
 	case err != nil:
 		return fmt.Errorf("HAR, at byte %d: %s", reader.decoder.InputOffset(), describeJSONError(err))
 	case !reader.entriesSeen:
@@ -46,26 +46,27 @@
 	return nil
 }
 
-// describeJSONError describes an error of the JSON decoder without any of the text it read.
+// describeJSONError describes an error of the JSON decoder without quoting the file.
 func describeJSONError(err error) string {
 	if errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF) {
-		return "the file ends early"
+		return "unexpected end of file"
 	}
 	var syntax *jsontext.SyntacticError
 	if errors.As(err, &syntax) {
-		return "no JSON that can be read"
+		return "invalid JSON"
 	}
-	return "it cannot be read: " + err.Error()
+	return "read error: " + err.Error()
 }
 
-// readMembers reads an object and calls handle with each name; handle reads the value.
+// readMembers reads an object and calls handle with the name of each member. handle must read the
+// member's value.
 func readMembers(decoder *jsontext.Decoder, handle func(name string) error) error {
 	token, err := decoder.ReadToken()
 	if err != nil {
 		return err
 	}
 	if token.Kind() != '{' {
-		return errors.New("no object where one belongs")
+		return errors.New("an object is expected here")
 	}
 	for decoder.PeekKind() != '}' {
 		token, err := decoder.ReadToken()
@@ -89,19 +90,19 @@
 	handle      entryHandler
 	version     string
 	entriesSeen bool
-	text        []byte // the members of the entry that are kept, as a JSON object
+	entryJSON   []byte // kept members of the current entry, as a JSON object
 }
 
-// readRoot reads a member of the file's outermost object.
-func (r *harReader) readRoot(name string) error {
+// readRootMember reads the value of a member of the file's outermost object.
+func (r *harReader) readRootMember(name string) error {
 	if name != "log" {
 		return r.decoder.SkipValue()
 	}
-	return readMembers(r.decoder, r.readLog)
+	return readMembers(r.decoder, r.readLogMember)
 }
 
-// readLog reads a member of the object "log".
-func (r *harReader) readLog(name string) error {
+// readLogMember reads the value of a member of the object "log".
+func (r *harReader) readLogMember(name string) error {
 	switch {
 	case name == "version" && r.decoder.PeekKind() == '"':
 		token, err := r.decoder.ReadToken()
@@ -118,11 +119,11 @@
 func (r *harReader) readEntries() error {
 	token, err := r.decoder.ReadToken()
 	if err != nil || token.Kind() != '[' {
-		return errors.Join(errors.New("log.entries is no array"), err)
+		return errors.Join(errors.New("log.entries is not an array"), err)
 	}
 	for position := (entryPosition{line: 1}); r.decoder.PeekKind() != ']'; position.line++ {
 		position.offset = r.decoder.InputOffset()
-		raw := &RawEntry{Duration: notRecorded, ServiceTime: notRecorded, StampsArrival: true}
+		raw := &RawEntry{Duration: notRecorded, ServiceTime: notRecorded, TimestampMarksArrival: true}
 		malformed, err := r.readEntry(raw)
 		if err != nil {
 			return err
@@ -138,23 +139,24 @@
 	return err
 }
 
-// readEntry reads one entry. malformed says what is wrong with the entry, err with the file.
+// readEntry reads one entry. malformed says why the entry is malformed. err is an error of the file,
+// after which no further entry can be read.
 func (r *harReader) readEntry(raw *RawEntry) (malformed, err error) {
 	if r.decoder.PeekKind() != '{' {
 		return errHAREntryNotObject, r.decoder.SkipValue()
 	}
-	r.text = append(r.text[:0], '{')
+	r.entryJSON = append(r.entryJSON[:0], '{')
 	if err := readMembers(r.decoder, r.copyMember); err != nil {
 		return nil, err
 	}
-	r.text = append(r.text, '}')
-	if len(r.text) > maxHAREntryBytes {
+	r.entryJSON = append(r.entryJSON, '}')
+	if len(r.entryJSON) > maxHAREntryBytes {
 		return errHAREntryTooLong, nil
 	}
-	return parseHAREntry(r.text, raw), nil
+	return parseHAREntry(r.entryJSON, raw), nil
 }
 
-// The members of an entry that are kept, and those of its inner objects.
+// The members of an entry and of its inner objects that are kept.
 var (
 	harEntryMembers = map[string]bool{"startedDateTime": true, "time": true, "_resourceType": true, "_fromCache": true, "_error": true}
 	harInnerMembers = map[string]map[string]bool{
@@ -164,7 +166,8 @@
 	}
 )
 
-// copyMember copies a member of an entry to r.text if it is one that is kept.
+// copyMember copies a member of an entry to r.text, or skips it if it is not kept. _webSocketMessages is
+// replaced by a _resourceType that marks the entry as one of a websocket.
 func (r *harReader) copyMember(name string) error {
 	if inner := harInnerMembers[name]; inner != nil && r.decoder.PeekKind() == '{' {
 		return r.copyInnerObject(name, inner)
@@ -172,7 +175,7 @@
 	switch {
 	case name == "_webSocketMessages":
 		r.appendComma()
-		r.text = append(r.text, `"_resourceType":"websocket"`...)
+		r.entryJSON = append(r.entryJSON, `"_resourceType":"websocket"`...)
 		return r.decoder.SkipValue()
 	case harEntryMembers[name]:
 		return r.copyValue(name)
@@ -182,41 +185,41 @@
 
 func (r *harReader) copyInnerObject(name string, wanted map[string]bool) error {
 	r.appendComma()
-	r.text = append(r.text, '"')
-	r.text = append(r.text, name...)
-	r.text = append(r.text, `":{`...)
+	r.entryJSON = append(r.entryJSON, '"')
+	r.entryJSON = append(r.entryJSON, name...)
+	r.entryJSON = append(r.entryJSON, `":{`...)
 	err := readMembers(r.decoder, func(name string) error {
 		if !wanted[name] {
 			return r.decoder.SkipValue()
 		}
 		return r.copyValue(name)
 	})
-	r.text = append(r.text, '}')
+	r.entryJSON = append(r.entryJSON, '}')
 	return err
 }
 
-// copyValue copies a member. What would exceed maxHAREntryBytes is replaced by padding, by which
-// readEntry recognises that the entry is too long.
+// copyValue copies a member to r.text. If r.text would exceed maxHAREntryBytes, it is padded beyond that
+// size instead, by which readEntry recognises that the entry is too long.
 func (r *harReader) copyValue(name string) error {
 	value, err := r.decoder.ReadValue()
 	if err != nil {
 		return err
 	}
-	if len(r.text)+len(value) <= maxHAREntryBytes {
+	if len(r.entryJSON)+len(value) <= maxHAREntryBytes {
 		r.appendComma()
-		r.text = append(r.text, '"')
-		r.text = append(r.text, name...)
-		r.text = append(r.text, '"', ':')
-		r.text = append(r.text, value...)
-	} else if len(r.text) <= maxHAREntryBytes {
-		r.text = append(r.text, make([]byte, maxHAREntryBytes)...)
+		r.entryJSON = append(r.entryJSON, '"')
+		r.entryJSON = append(r.entryJSON, name...)
+		r.entryJSON = append(r.entryJSON, '"', ':')
+		r.entryJSON = append(r.entryJSON, value...)
+	} else if len(r.entryJSON) <= maxHAREntryBytes {
+		r.entryJSON = append(r.entryJSON, make([]byte, maxHAREntryBytes)...)
 	}
 	return nil
 }
 
-// appendComma separates a member from the one before it.
+// appendComma appends a comma unless the next member is the first one of its object.
 func (r *harReader) appendComma() {
-	if r.text[len(r.text)-1] != '{' {
-		r.text = append(r.text, ',')
+	if r.entryJSON[len(r.entryJSON)-1] != '{' {
+		r.entryJSON = append(r.entryJSON, ',')
 	}
 }
--- a/internal/rehearsal/recording/har_test.go
+++ b/internal/rehearsal/recording/har_test.go
@@ -31,7 +31,7 @@
 	return importTexts(t, Options{Seed: 1}, harText)
 }
 
-// The entries of a HAR file are counted as the entries of logs are.
+// The entries of a HAR file are counted as accepted, malformed, unmapped or ignored.
 func TestReadHAR(t *testing.T) {
 	imported := importHAR(t)
 	want := Counts{Read: 10, Accepted: 3, Malformed: 3, Unmapped: 1, Ignored: 3, Repaired: 1}
@@ -47,7 +47,8 @@
 	}
 }
 
-// Durations are those of server and network, and entries come in the order of their times.
+// The duration of an entry is the time that server and network took, otherwise the entry's time.
+// Entries are sorted by their times.
 func TestEntriesOfHAR(t *testing.T) {
 	entries := importHAR(t).entries
 	if len(entries) != 3 {
@@ -70,8 +71,8 @@
 	}
 }
 
-// Of a HAR file that is truncated anywhere, what precedes the truncation counts and the
-// truncation is reported.
+// If a HAR file is truncated at any position, the entries before it are imported and the truncation is
+// reported.
 func TestTruncatedHAR(t *testing.T) {
 	endOfAccepted := strings.Index(harText, `{"startedDateTime":"soon"`)
 	for length := strings.Index(harText, "[\n{") + 2; length < len(harText)-10; length += 7 {
@@ -86,17 +87,17 @@
 	}
 }
 
-// Files without entries or of another version are faulty.
+// A HAR file without entries, of an unknown version or without a log object is reported as faulty.
 func TestFaultyHAR(t *testing.T) {
 	for _, text := range []string{`{"log":{"version":"1.2"}}`, `{"log":{"version":"9","entries":[]}}`, `{"log":[]}`} {
 		imported := importTexts(t, Options{Format: "har"}, text)
 		if imported.source().Truncation == "" {
-			t.Errorf("%s: no fault is reported", text)
+			t.Errorf("%s: no truncation is reported", text)
 		}
 	}
 }
 
-// largeHAR makes a HAR file of entries with bodies.
+// largeHAR returns a HAR file whose entries have bodies.
 func largeHAR(entries int) string {
 	const bodyBytes = 3000
 	random := rand.New(rand.NewPCG(1, 1))
--- a/internal/rehearsal/recording/harentry.go
+++ b/internal/rehearsal/recording/harentry.go
@@ -11,7 +11,7 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// harEntry is what is decoded of a HAR entry: neither headers nor bodies.
+// harEntry holds the members of a HAR entry that are decoded, which exclude headers and bodies.
 type harEntry struct {
 	Started      string      `json:"startedDateTime"`
 	Time         *float64    `json:"time"` // ms
@@ -24,7 +24,7 @@
 }
 
 type harResponse struct {
-	Status int `json:"status"` // 0: there was no answer
+	Status int `json:"status"` // 0 if there was no answer
 }
 
 type harRequest struct {
@@ -33,30 +33,30 @@
 	BodySize int    `json:"bodySize"`
 }
 
-// harTimings are in milliseconds; nil or negative: not known.
+// harTimings holds durations in milliseconds. A nil or negative one is not known.
 type harTimings struct {
 	Send    *float64 `json:"send"`
 	Wait    *float64 `json:"wait"`
 	Receive *float64 `json:"receive"`
 }
 
-// parseHAREntry reads one entry. The error quotes none of its text.
+// parseHAREntry parses one entry into raw. The error does not quote the entry's text.
 func parseHAREntry(text []byte, raw *RawEntry) error {
 	var entry harEntry
 	if err := json.Unmarshal(text, &entry, jsontext.AllowInvalidUTF8(true), jsontext.AllowDuplicateNames(true)); err != nil {
 		var semantic *json.SemanticError
 		if errors.As(err, &semantic) && semantic.JSONPointer != "" {
 			member := strings.ReplaceAll(string(semantic.JSONPointer)[1:], "/", ".")
-			return fmt.Errorf("%s: a value of the wrong kind", member)
+			return fmt.Errorf("%s: the value has the wrong type", member)
 		}
-		return errors.New("a value of the wrong kind")
+		return errors.New("a value has the wrong type")
 	}
 	started, err := time.Parse(time.RFC3339Nano, entry.Started)
 	if err != nil {
 		started, err = time.Parse("2006-01-02T15:04:05.999999999Z0700", entry.Started)
 	}
 	if err != nil || started.Year() < 1970 {
-		return errors.New("startedDateTime: no time")
+		return errors.New("startedDateTime: not a valid time")
 	}
 	raw.Timestamp = started.UnixMicro()
 	raw.Resolution = millisecond
@@ -78,18 +78,18 @@
 	return raw.normalize()
 }
 
-// ignoreReason says why the request did not reach a server; empty: it did.
+// ignoreReason returns why the request did not reach a server, or "" if it did.
 func (e *harEntry) ignoreReason() IgnoreReason {
 	scheme, _, _ := strings.Cut(e.Request.URL, ":")
 	scheme = strings.ToLower(scheme)
 	switch scheme {
 	case "data", "blob", "about", "file":
-		return IgnoredNotServed
+		return IgnoredNotSentToServer
 	case "ws", "wss":
 		return IgnoredWebSocket
 	}
 	if strings.HasSuffix(scheme, "-extension") {
-		return IgnoredNotServed
+		return IgnoredNotSentToServer
 	}
 	if e.ResourceType == "websocket" {
 		return IgnoredWebSocket
@@ -107,11 +107,11 @@
 	return ""
 }
 
-// target is the path and query of the request's URL.
+// target returns the path and query of the request's URL.
 func (e *harEntry) target() (string, error) {
 	address, err := url.Parse(e.Request.URL)
 	if err != nil || address.Scheme != "" && address.Host == "" || e.Request.URL == "" {
-		return "", errors.New("request.url: no URL that can be read")
+		return "", errors.New("request.url: not a valid URL")
 	}
 	target := address.EscapedPath()
 	if target == "" {
@@ -123,22 +123,23 @@
 	return target, nil
 }
 
-// duration is the time that the server and the network took, in microseconds, without the
-// browser's own queue; -1: not recorded, as with an answer that never came.
+// duration returns the time that the server and the network took, in microseconds and without the time
+// that the request waited in the browser. It returns notRecorded if the time is not known or there was
+// no answer.
 func (e *harEntry) duration() int64 {
 	switch {
 	case e.Response.Status == 0:
 		return notRecorded
 	case e.Timings.Wait != nil && *e.Timings.Wait >= 0:
-		return microsecondsOf(e.Timings.Send) + microsecondsOf(e.Timings.Wait) + microsecondsOf(e.Timings.Receive)
+		return microsecondsOrZero(e.Timings.Send) + microsecondsOrZero(e.Timings.Wait) + microsecondsOrZero(e.Timings.Receive)
 	case e.Time != nil && *e.Time >= 0:
-		return microsecondsOf(e.Time)
+		return microsecondsOrZero(e.Time)
 	}
 	return notRecorded
 }
 
-// microsecondsOf converts milliseconds; 0: not known, negative, or longer than a day.
-func microsecondsOf(milliseconds *float64) int64 {
+// microsecondsOrZero converts milliseconds. It returns 0 for nil, negative values and values above a day.
+func microsecondsOrZero(milliseconds *float64) int64 {
 	const dayMilliseconds = float64(day / millisecond)
 	if milliseconds == nil || *milliseconds < 0 || *milliseconds > dayMilliseconds {
 		return 0
--- a/internal/rehearsal/recording/helpers_test.go
+++ b/internal/rehearsal/recording/helpers_test.go
@@ -56,7 +56,7 @@
 	return io.NopCloser(bytes.NewReader(s.runs[run].Bytes())), nil
 }
 
-// testRules reads rules that must be valid.
+// testRules reads rules and fails the test if they are invalid.
 func testRules(t testing.TB, text string) *Rules {
 	t.Helper()
 	rules, err := ReadRules([]byte(text))
@@ -66,17 +66,17 @@
 	return &rules
 }
 
-// importResult is what an import gave. Without any entry, entries and file are nil.
+// importResult is the result of an import. If no entry was accepted, entries and file are nil.
 type importResult struct {
 	report  *Report
 	entries []Entry
 	file    []byte
 }
 
-// source is the report of the first source.
+// source returns the report of the first source.
 func (r *importResult) source() *SourceReport { return r.report.Sources[0] }
 
-// importTexts imports each text as a source of its own, with the checks of importInputs.
+// importTexts imports each text as a separate source, and checks what importInputs checks.
 func importTexts(t testing.TB, options Options, texts ...string) importResult {
 	t.Helper()
 	var inputs []Input
@@ -87,7 +87,8 @@
 	return importInputs(t, options, inputs)
 }
 
-// importInputs imports inputs and checks the invariants of every import.
+// importInputs imports inputs, with the rules in rulesText unless the options have others. It fails the
+// test if the counts of the report do not add up.
 func importInputs(t testing.TB, options Options, inputs []Input) importResult {
 	t.Helper()
 	if options.Rules == nil {
@@ -109,7 +110,8 @@
 	return importResult{report: report, entries: readEntries(t, out.Bytes()), file: out.Bytes()}
 }
 
-// openRecording opens a recording that must be valid, until the test ends.
+// openRecording opens a recording, which is closed when the test ends. The test fails if it cannot be
+// opened.
 func openRecording(t testing.TB, file []byte) *Reader {
 	t.Helper()
 	reader, err := NewReader(bytes.NewReader(file))
@@ -120,7 +122,7 @@
 	return reader
 }
 
-// readEntries reads all entries of a recording that must be valid.
+// readEntries reads all entries of a recording and fails the test if the recording is invalid.
 func readEntries(t testing.TB, file []byte) (entries []Entry) {
 	t.Helper()
 	reader := openRecording(t, file)
@@ -134,7 +136,8 @@
 	return entries
 }
 
-// combinedLine formats a line of Combined with $request_time; a negative duration means none.
+// combinedLine formats a line in the format combined+s. seconds is the duration; if it is negative, the
+// line has none.
 func combinedLine(completed time.Time, method, path string, seconds float64) string {
 	duration := "-"
 	if seconds >= 0 {
@@ -144,17 +147,17 @@
 		completed.Format("02/Jan/2006:15:04:05 -0700"), method, path, duration)
 }
 
-// statusLine formats a line of combinedLine for the status check of a member.
+// statusLine formats a line in the format combined+s for the status check of a member.
 func statusLine(completed time.Time, member any, seconds float64) string {
 	return combinedLine(completed, "GET", fmt.Sprintf("/members/%v/status", member), seconds)
 }
 
-// renewalLine formats a line of combinedLine for the renewal of a member.
+// renewalLine formats a line in the format combined+s for the renewal of a member.
 func renewalLine(completed time.Time, member any, seconds float64) string {
 	return combinedLine(completed, "POST", fmt.Sprintf("/members/%v/renew", member), seconds)
 }
 
-// gzipped compresses text.
+// gzipped compresses text with gzip.
 func gzipped(t testing.TB, text string) []byte {
 	t.Helper()
 	var out bytes.Buffer
@@ -168,7 +171,7 @@
 	return out.Bytes()
 }
 
-// zstdCompressed compresses bytes.
+// zstdCompressed compresses plain with zstd.
 func zstdCompressed(t testing.TB, plain []byte) []byte {
 	t.Helper()
 	var out bytes.Buffer
@@ -185,7 +188,7 @@
 	return out.Bytes()
 }
 
-// zstdDecompressed decompresses a recording.
+// zstdDecompressed decompresses a file that was compressed with zstd, such as a recording.
 func zstdDecompressed(t testing.TB, file []byte) []byte {
 	t.Helper()
 	decoder, err := zstd.NewReader(bytes.NewReader(file))
--- a/internal/rehearsal/recording/import_test.go
+++ b/internal/rehearsal/recording/import_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// logWithMissingDurations is a log of which every second entry has a duration, 10 or 20 ms in turn.
+// logWithMissingDurations returns a log in which every second entry has a duration, alternately 10 and
+// 20 ms.
 func logWithMissingDurations() string {
 	const lines = 400
 	recorded := []float64{0.010, 0.020}
@@ -50,7 +51,7 @@
 	}
 }
 
-// With none recorded, durations are drawn from the distribution in the rules.
+// If no duration is recorded, durations are drawn from the distribution in the rules.
 func TestMissingDurationsAreDrawnFromRules(t *testing.T) {
 	imported := importTexts(t, Options{Seed: 1, Format: "combined"}, logWithMissingDurations())
 	sum := time.Duration(0)
@@ -64,7 +65,7 @@
 	}
 }
 
-// Compressed logs are read, and of a truncated one what precedes the truncation.
+// Compressed logs are decompressed. If one is truncated, the lines before the truncation are imported.
 func TestCompressedLogs(t *testing.T) {
 	const lines = 3000
 	random := rand.New(rand.NewPCG(1, 1))
@@ -90,7 +91,7 @@
 	}
 }
 
-// A line that is too long is malformed, and the one behind it is read.
+// A line that is too long is malformed, and the line after it is read.
 func TestOverlongLine(t *testing.T) {
 	good := statusLine(logStart, 1, 0.01)
 	report := importTexts(t, Options{}, good+strings.Repeat("x", 10<<20)+"\n"+good).report
@@ -115,7 +116,7 @@
 	}
 }
 
-// Blank lines are not counted; lines that are cut off and comments are malformed.
+// Blank lines are not counted. Truncated lines and comments are malformed.
 func TestIncompleteLines(t *testing.T) {
 	good := statusLine(logStart, 1, 0.01)
 	report := importTexts(t, Options{}, good+"\n\n"+good[:40]+"\n# comment").report
@@ -124,7 +125,7 @@
 	}
 }
 
-// An empty input gives no recording.
+// An import of an empty input writes no recording.
 func TestEmptyInput(t *testing.T) {
 	imported := importTexts(t, Options{}, "")
 	if imported.file != nil || imported.report.Read != 0 {
@@ -132,8 +133,8 @@
 	}
 }
 
-// Whatever the bytes of two inputs, every entry is counted once and the recording has those that
-// were accepted.
+// For arbitrary inputs and any format, every entry is counted exactly once, and the recording contains
+// the accepted entries.
 func FuzzReaders(f *testing.F) {
 	formats := []string{
 		"auto", "common", "combined", "combined+s",
@@ -172,7 +173,7 @@
 			t.Fatalf("%+v with %d rejects, %v", report.Counts, rejects, err)
 		}
 		if err == nil && uint64(len(readEntries(t, out.Bytes()))) != report.Accepted {
-			t.Fatal("the file does not hold what was accepted")
+			t.Fatal("the recording does not contain as many entries as were accepted")
 		}
 	})
 }
--- a/internal/rehearsal/recording/importer.go
+++ b/internal/rehearsal/recording/importer.go
@@ -11,64 +11,64 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Input is one file of a source. Files with the same source name belong together, as a log and
-// its rotated parts do; they are read in the order of their first timestamps.
+// Input is one file of a source. Files with the same source name are parts of one log, such as its
+// rotated files; they are read in the order of their first timestamps.
 type Input struct {
 	Source string
-	File   string // its base name
+	File   string // base name, without a directory
 	Reader io.Reader
 }
 
 // Options configure an import.
 type Options struct {
 	Rules            *Rules
-	RulesText        []byte // its hash goes into the recording
+	RulesText        []byte // text that Rules were read from; its hash is stored in the recording
 	Seed             uint64
-	Format           string         // of all sources, as Compile takes it; empty: detected
-	Zone             *time.Location // of timestamps that name none; nil: UTC
-	Offsets          map[string]time.Duration
-	KeepDuplicates   bool   // keep both entries of a request that two sources logged
-	Secret           []byte // keys the pseudonyms, so that two imports agree; empty: derived from the input
+	Format           string                   // format of all sources, as for Compile; empty or "auto" to detect it for each file
+	Zone             *time.Location           // zone of timestamps without one; nil means UTC
+	Offsets          map[string]time.Duration // clock offsets by source; the others are estimated
+	KeepDuplicates   bool                     // keep all entries of a request that several sources logged
+	Secret           []byte                   // key of the pseudonyms; derived from the input if it is empty
 	Spool            Spool
 	OnReject         func(Reject)      // called for each malformed entry; may be nil
-	OnProgress       func(bytes int64) // called from time to time with the compressed bytes read; may be nil
-	MaxListedRejects int               // listed in the report; 0: 1000
+	OnProgress       func(bytes int64) // called at intervals with the number of compressed bytes read; may be nil
+	MaxListedRejects int               // bound of Report.Rejects; 0 means 1000
 }
 
 const defaultListedRejects = 1000
 
-// newRandomStream makes a random source for one purpose, so that an additional draw for one
-// purpose changes nothing for another.
+// newRandomStream creates the random source of one purpose. As each purpose has its own source, the
+// numbers that are drawn for one do not depend on how many are drawn for another.
 func newRandomStream(seed uint64, purpose string) *rand.Rand {
 	return rand.New(rand.NewPCG(seed, xxhash.Sum64String(purpose)))
 }
 
-// importer is the state of an import. The first pass reads the sources to sorted runs on the
-// spool, the second one merges the runs into the recording.
+// importer is the state of an import. The first pass reads the sources and writes sorted runs to the
+// spool, the second pass merges the runs into the recording.
 type importer struct {
-	options *Options
-	report  *Report
-	sources []*logSource
-	runs    int // on the spool
-	random  *rand.Rand
-	rules   []ruleStatistics // by the rule's index
+	options         *Options
+	report          *Report
+	sources         []*logSource
+	nextRun         int              // number of the next run on the spool
+	reservoirRandom *rand.Rand       // of the reservoirs of recorded durations
+	statistics      []ruleStatistics // by the rule's index
 
-	repaired [32]uint64 // by the bit of the repair
+	repairCounts [32]uint64 // number of entries by the bit of the repair
 
-	bytesRead     int64 // approximately, since the input was opened
-	bytesReported int64 // of those, at the last call of Options.OnProgress
+	bytesRead     int64 // approximate size of the accepted entries, decompressed
+	bytesReported int64 // value of bytesRead at the last call of Options.OnProgress
 }
 
-// ruleStatistics is what is counted of the entries that a rule matches.
+// ruleStatistics counts the entries that a rule matches.
 type ruleStatistics struct {
-	recorded      reservoir // durations
+	recorded      reservoir // recorded durations
 	entries       uint64
 	drawn         uint64 // entries without a duration
 	syntheticKeys uint64
 }
 
-// Import reads all inputs and writes the recording. The report is complete when the error is
-// nil or ErrNoEntries. It starts no goroutine and reads the inputs one after the other.
+// Import reads all inputs one after the other and writes the recording. The report is complete if the
+// error is nil or ErrNoEntries; with ErrNoEntries no recording is written.
 func Import(inputs []Input, options Options, out io.Writer) (*Report, error) {
 	if len(inputs) == 0 {
 		return nil, errors.New("no input")
@@ -102,20 +102,20 @@
 		report.Pseudonyms = "keyed by a given secret"
 	}
 	return &importer{
-		options: options,
-		report:  report,
-		random:  newRandomStream(options.Seed, "recorded durations"),
-		rules:   make([]ruleStatistics, len(options.Rules.Classes)),
+		options:         options,
+		report:          report,
+		reservoirRandom: newRandomStream(options.Seed, "recorded durations"),
+		statistics:      make([]ruleStatistics, len(options.Rules.Classes)),
 	}
 }
 
-// open finds the sources, the formats of their files and the order of these.
+// open opens the inputs, groups them by source and sorts the files of each source.
 func (imp *importer) open(inputs []Input) error {
 	byName := map[string]*logSource{}
 	for i, input := range inputs {
 		source := byName[input.Source]
 		if source == nil {
-			source = &logSource{report: &SourceReport{Name: input.Source}, earliest: math.MaxInt64}
+			source = &logSource{report: &SourceReport{Name: input.Source}, earliestArrival: math.MaxInt64}
 			byName[input.Source] = source
 			imp.sources = append(imp.sources, source)
 			imp.report.Sources = append(imp.report.Sources, source.report)
@@ -124,7 +124,7 @@
 		if err != nil {
 			return err
 		}
-		file.order = i
+		file.inputIndex = i
 		source.files = append(source.files, file)
 	}
 	for name := range imp.options.Offsets {
@@ -138,8 +138,8 @@
 	return nil
 }
 
-// reportProgress calls Options.OnProgress at the end of a file, or after some MiB of entries, of
-// which one more of approximately the given size was read.
+// reportProgress adds the approximate size of an entry that was read, and calls Options.OnProgress at
+// the end of a file or if more than progressInterval was read since its last call.
 func (imp *importer) reportProgress(bytes int64, endOfFile bool) {
 	const progressInterval = 8 << 20 // bytes
 	if imp.options.OnProgress == nil {
@@ -153,13 +153,14 @@
 	total := int64(0)
 	for _, source := range imp.sources {
 		for _, file := range source.files {
-			total += file.digest.bytes
+			total += file.hasher.bytesRead
 		}
 	}
 	imp.options.OnProgress(total)
 }
 
-// alignClocks finds how far the clocks of the sources are apart.
+// alignClocks determines the clock offset of each source: the one given in the options, otherwise an
+// estimate from the requests that it and an earlier source logged.
 func (imp *importer) alignClocks() {
 	for i, source := range imp.sources {
 		if given, ok := imp.options.Offsets[source.report.Name]; ok {
@@ -177,8 +178,8 @@
 	}
 }
 
-// estimateFrom estimates the offset of a source from the first reference that allows it; zero:
-// none does.
+// estimateFrom estimates the offset of a source against the first reference with which it shares
+// enough requests. It returns the zero ClockOffset if there is no such reference.
 func estimateFrom(references []*logSource, source *logSource) ClockOffset {
 	for _, reference := range references {
 		if offset, ok := estimateOffset(reference.signatures, source.signatures); ok {
--- a/internal/rehearsal/recording/inputfile.go
+++ b/internal/rehearsal/recording/inputfile.go
@@ -11,25 +11,25 @@
 // inputFile is an input that has been opened.
 type inputFile struct {
 	Input
-	digest         *hashingReader
-	reader         *bufio.Reader // decompressed
+	hasher         *hashingReader
+	reader         *bufio.Reader // of the decompressed content
 	format         *Format
-	openError      error // the file could not be read
-	firstTimestamp int64 // math.MaxInt64: not known
-	order          int   // among all inputs
+	openError      error // why the beginning of the file could not be read; nil if it could
+	firstTimestamp int64 // math.MaxInt64 if it is not known
+	inputIndex     int   // index among all inputs
 }
 
-// openInputFile opens an input and finds its format. A fault of the input is kept in openError;
-// the error returned is one of the options.
+// openInputFile opens an input and determines its format. An error of the input is stored in
+// openError; the returned error means that the format in the options is invalid.
 func openInputFile(input Input, options *Options) (*inputFile, error) {
-	file := &inputFile{Input: input, digest: newHashingReader(input.Reader)}
+	file := &inputFile{Input: input, hasher: newHashingReader(input.Reader)}
 	var head []byte
-	file.reader, file.openError = unpack(file.digest)
+	file.reader, file.openError = unpack(file.hasher)
 	if file.openError == nil {
 		head, file.openError = file.reader.Peek(detectionBytes)
 		atEnd := errors.Is(file.openError, io.EOF) && !errors.Is(file.openError, io.ErrUnexpectedEOF)
 		if atEnd || len(head) > 0 {
-			file.openError = nil // what there is will be read, and meets the fault again
+			file.openError = nil // readFile reads the content up to the fault and gets the same error
 		}
 	}
 	var err error
@@ -45,7 +45,8 @@
 	return file, nil
 }
 
-// firstTimestamp finds that of the first line that can be parsed; math.MaxInt64: none.
+// firstTimestamp returns the timestamp of the first line in head that can be parsed, or math.MaxInt64
+// if there is none.
 func firstTimestamp(head string, format *Format) int64 {
 	if format.HAR {
 		return math.MaxInt64
--- a/internal/rehearsal/recording/jsonlog.go
+++ b/internal/rehearsal/recording/jsonlog.go
@@ -9,33 +9,33 @@
 	"github.com/valyala/fastjson"
 )
 
-// jsonFields says which fields of JSON lines hold what. Of several names the first that is
-// present counts; a name with dots is a path into nested objects.
+// jsonFields holds the names of the fields of a JSON log. Of several names, the first one that a line
+// has is used. A name with dots is a path into nested objects.
 type jsonFields struct {
-	stampsArrival bool
-	time          []string
-	request       []string
-	method        []string
-	target        []string
-	query         []string
-	status        []string
-	client        []string
-	requestID     []string
-	bodyBytes     []string
-	durations     []durationField
-	serviceTimes  []durationField
+	timestampsMarkArrival bool
+	time                  []string
+	request               []string
+	method                []string
+	target                []string
+	query                 []string
+	status                []string
+	client                []string
+	requestID             []string
+	bodyBytes             []string
+	durations             []durationField
+	serviceTimes          []durationField
 }
 
-// durationField is a field with a duration.
+// durationField is a field that contains a duration.
 type durationField struct {
 	name  string
-	scale float64 // microseconds in a unit of the field's number
+	scale float64 // microseconds in the unit of the field's value
 }
 
-// microsecondsPerUnit are the units that a map of fields may name.
+// microsecondsPerUnit maps the units that json:MAP allows to their microseconds.
 var microsecondsPerUnit = map[string]float64{"s": 1e6, "ms": 1e3, "us": 1, "ns": 1e-3}
 
-// commonJSONFields are the names that logs of NGINX's escape=json and similar ones mostly use.
+// commonJSONFields returns the names that JSON logs of NGINX (escape=json) and similar ones mostly use.
 func commonJSONFields() *jsonFields {
 	return &jsonFields{
 		time:      []string{"msec", "time_iso8601", "@timestamp", "timestamp", "time", "ts", "time_local", "date"},
@@ -68,20 +68,20 @@
 
 func traefikJSONFields() *jsonFields {
 	return &jsonFields{
-		stampsArrival: true,
-		time:          []string{"StartUTC", "StartLocal"},
-		method:        []string{"RequestMethod"},
-		target:        []string{"RequestPath"},
-		client:        []string{"ClientHost"},
-		status:        []string{"DownstreamStatus", "OriginStatus"},
-		durations:     []durationField{{"Duration", 1e-3}},
-		serviceTimes:  []durationField{{"OriginDuration", 1e-3}},
-		bodyBytes:     []string{"RequestContentSize"},
+		timestampsMarkArrival: true,
+		time:                  []string{"StartUTC", "StartLocal"},
+		method:                []string{"RequestMethod"},
+		target:                []string{"RequestPath"},
+		client:                []string{"ClientHost"},
+		status:                []string{"DownstreamStatus", "OriginStatus"},
+		durations:             []durationField{{"Duration", 1e-3}},
+		serviceTimes:          []durationField{{"OriginDuration", 1e-3}},
+		bodyBytes:             []string{"RequestContentSize"},
 	}
 }
 
-// compileJSONFields reads a map of fields such as "time=A.B,duration_ms=C,stamp=arrival". What
-// it does not name is found by the common names.
+// compileJSONFields parses a map of fields such as "time=A.B,duration_ms=C,stamp=arrival". Fields that
+// are not in the map have the names in commonJSONFields.
 func compileJSONFields(text string) (*jsonFields, error) {
 	fields := commonJSONFields()
 	if text == "" {
@@ -105,7 +105,7 @@
 		scale, known := microsecondsPerUnit[unit]
 		switch {
 		case name == "stamp" && (value == "arrival" || value == "end"):
-			fields.stampsArrival = value == "arrival"
+			fields.timestampsMarkArrival = value == "arrival"
 		case kind == "duration" && known:
 			fields.durations = []durationField{{value, scale}}
 		case kind == "service" && known:
@@ -118,7 +118,7 @@
 	return fields, nil
 }
 
-// parseJSON reads a line that is a JSON object.
+// parseJSON parses a line that is a JSON object.
 func (f *Format) parseJSON(line string, raw *RawEntry) error {
 	object, err := f.jsonParser.Parse(line)
 	if err != nil || object.Type() != fastjson.TypeObject {
@@ -148,7 +148,7 @@
 	return err
 }
 
-// parseJSONTime reads the entry's time, a number since 1970 or a text.
+// parseJSONTime parses the entry's time, which is a number since 1970 or a timestamp in a string.
 func (f *Format) parseJSONTime(object *fastjson.Value, raw *RawEntry) error {
 	value := findJSON(object, f.jsonFields.time)
 	if value == nil {
@@ -161,7 +161,7 @@
 	return err
 }
 
-// parseJSONTimeText reads the text of a time, which may be a number in a string too.
+// parseJSONTimeText parses the text of a time. A string may contain a number, too.
 func (f *Format) parseJSONTimeText(text string, isNumber bool) (parsedTime, error) {
 	if isNumber || strings.Trim(text, "0123456789.") == "" {
 		number, scale := guessEpochUnit(text)
@@ -170,8 +170,8 @@
 	return parseTimestamp(text, f.zone)
 }
 
-// guessEpochUnit guesses from the length of a time since 1970 whether it is in seconds,
-// milliseconds, microseconds or nanoseconds, which it cuts to microseconds.
+// guessEpochUnit guesses the unit of a time since 1970 from its number of digits: seconds,
+// milliseconds, microseconds or nanoseconds. It truncates nanoseconds to microseconds.
 func guessEpochUnit(text string) (number string, scale float64) {
 	const (
 		millisecondDigits = 12
@@ -190,7 +190,7 @@
 	return text, 1e6
 }
 
-// parseRequest reads method and target, from fields of their own or from a request line.
+// parseRequest reads the method and the target, from their own fields or from a request line.
 func (f *jsonFields) parseRequest(object *fastjson.Value, raw *RawEntry) error {
 	raw.Method = scalarText(findJSON(object, f.method))
 	raw.Target = scalarText(findJSON(object, f.target))
@@ -209,7 +209,8 @@
 	return nil
 }
 
-// parseJSONDuration reads the first of the fields that is present, in microseconds; -1: none is.
+// parseJSONDuration parses the first of the fields that the object has, in microseconds. It returns
+// notRecorded if it has none of them.
 func parseJSONDuration(object *fastjson.Value, fields []durationField) (int64, error) {
 	for _, field := range fields {
 		value := findJSON(object, []string{field.name})
@@ -228,7 +229,8 @@
 	return notRecorded, nil
 }
 
-// parseDurationText reads a duration such as "0.031", "0.020, 0.011" or Go's "31ms".
+// parseDurationText parses a duration such as "0.031", "0.020, 0.011" or Go's "31ms". Numbers without
+// a unit are in units of scale microseconds, and several numbers are added.
 func parseDurationText(text string, scale float64) (int64, error) {
 	if duration, err := time.ParseDuration(text); err == nil && duration >= 0 {
 		return duration.Microseconds(), nil
@@ -240,8 +242,8 @@
 	return sum, err
 }
 
-// findJSON returns the first field that is present: one of the whole name, otherwise what the
-// name's dotted path leads to.
+// findJSON returns the value of the first of the named fields that the object has, or nil. A name with
+// dots is first looked up as a whole, then as a path into nested objects.
 func findJSON(object *fastjson.Value, names []string) *fastjson.Value {
 	for _, name := range names {
 		if value := object.Get(name); value != nil {
@@ -256,7 +258,7 @@
 	return nil
 }
 
-// scalarText is the text of a string or a number; empty for anything else.
+// scalarText returns the text of a string or a number, and "" for any other value.
 func scalarText(value *fastjson.Value) string {
 	if value == nil {
 		return ""
--- a/internal/rehearsal/recording/lines.go
+++ b/internal/rehearsal/recording/lines.go
@@ -8,18 +8,18 @@
 	"io"
 )
 
-// entryPosition is where a line or an entry is found.
+// entryPosition is the position of a log line or a HAR entry in its file.
 type entryPosition struct {
-	line   int   // from 1; in a HAR file the number of the entry
-	offset int64 // of the first byte, in the decompressed file
+	line   int   // number of the line or, in a HAR file, of the entry, from 1
+	offset int64 // of its first byte in the decompressed file
 }
 
-// entryHandler takes one entry; malformed says what is wrong with it, and raw is then nil. raw is
-// only valid during the call. An error ends the reading.
+// entryHandler handles one entry. If the entry is malformed, malformed says why and raw is nil. raw is
+// only valid during the call. If the handler returns an error, the reading stops.
 type entryHandler func(at entryPosition, raw *RawEntry, malformed error) error
 
-// readLines calls handle for each line of a log that is not blank. The error returned is the
-// input's or the handler's.
+// readLines calls handle for each line of a log that is not blank. It returns an error of the input or
+// of the handler.
 func readLines(input *bufio.Reader, format *Format, handle entryHandler) error {
 	var raw RawEntry
 	position := entryPosition{line: 1}
@@ -27,7 +27,7 @@
 		line, err := readLine(input)
 		if err != nil && !errors.Is(err, io.EOF) {
 			if line.size > 0 {
-				if handlerErr := handle(position, nil, fmt.Errorf("cut off: %w", err)); handlerErr != nil {
+				if handlerErr := handle(position, nil, fmt.Errorf("truncated: %w", err)); handlerErr != nil {
 					return handlerErr
 				}
 			}
@@ -44,15 +44,15 @@
 	}
 }
 
-// rawLine is a line as it is read.
+// rawLine is a line as it is read, before it is parsed.
 type rawLine struct {
-	text    []byte // the beginning, if the line is too long
-	size    int64  // bytes, with the newline
+	text    []byte // only the beginning if the line is too long
+	size    int64  // in bytes, including the newline
 	tooLong bool
 }
 
-// readLine reads the next line, and to its end if it is too long. The text is valid until the
-// next read.
+// readLine reads the next line. Of a line that is longer than the buffer of input it skips the rest.
+// The text is valid until the next read.
 func readLine(input *bufio.Reader) (rawLine, error) {
 	text, err := input.ReadSlice('\n')
 	line := rawLine{text: text, size: int64(len(text)), tooLong: errors.Is(err, bufio.ErrBufferFull)}
--- a/internal/rehearsal/recording/logsource.go
+++ b/internal/rehearsal/recording/logsource.go
@@ -7,42 +7,43 @@
 	"slices"
 )
 
-// logSource is one source while it is read.
+// logSource is the state of one source during an import.
 type logSource struct {
-	report       *SourceReport
-	files        []*inputFile
-	clock        clockCorrector
-	spreader     secondSpreader
-	sorter       sorter
-	signatures   *signatureSample // nil: there is no other source
-	earliest     int64            // arrival, µs
-	latest       int64            // arrival, µs
-	wholeSeconds bool             // some timestamps are of whole seconds
-	sequence     uint64           // of the next entry
-	offset       ClockOffset
+	report          *SourceReport
+	files           []*inputFile
+	clockCorrector  clockCorrector
+	spreader        secondSpreader
+	sorter          sorter
+	signatures      *signatureSample // nil if there is no other source, and once the offsets are known
+	earliestArrival int64            // earliest arrival, µs; math.MaxInt64 if there is no entry
+	latestArrival   int64            // latest arrival, µs
+	wholeSeconds    bool             // at least one accepted timestamp is of whole seconds
+	sequence        uint64           // of the next entry
+	offset          ClockOffset      // set by alignClocks
 }
 
-// sortFiles puts the files in the order of their first timestamps.
+// sortFiles sorts the files by their first timestamps, and reports whether that changed their order in
+// the source's report.
 func (s *logSource) sortFiles() {
 	slices.SortStableFunc(s.files, func(a, b *inputFile) int { return cmp.Compare(a.firstTimestamp, b.firstTimestamp) })
 	for i, file := range s.files {
-		if i > 0 && file.order < s.files[i-1].order {
+		if i > 0 && file.inputIndex < s.files[i-1].inputIndex {
 			s.report.Reordered = true
 		}
 	}
 }
 
-// reportRead completes the report of a source whose files have been read. digests has hashed the
-// digests of its files; the digest of a single file is reported as it is.
+// reportRead completes the report of a source once its files have been read. digests is a hash of the
+// digests of its files. For a single file the report has the file's own digest.
 func (s *logSource) reportRead(digests hash.Hash) {
 	digest := digests.Sum(nil)
 	if len(s.files) == 1 {
-		digest = s.files[0].digest.full.Sum(nil)
+		digest = s.files[0].hasher.full.Sum(nil)
 	}
 	s.report.SHA256 = hex.EncodeToString(digest)
-	s.report.ClockSteps = s.clock.StepsBack
-	s.report.SteppedUs = s.clock.SteppedMicroseconds
-	s.report.OutlierTimestamps = s.clock.Outliers
-	s.report.Spread = s.spreader.Spread
-	s.report.CrowdedSeconds = s.spreader.CrowdedSeconds
+	s.report.ClockSteps = s.clockCorrector.StepsBack
+	s.report.SteppedUs = s.clockCorrector.SteppedMicroseconds
+	s.report.OutlierTimestamps = s.clockCorrector.Outliers
+	s.report.Spread = s.spreader.SpreadEntries
+	s.report.CrowdedSeconds = s.spreader.FullGroups
 }
--- a/internal/rehearsal/recording/pseudonym.go
+++ b/internal/rehearsal/recording/pseudonym.go
@@ -9,22 +9,22 @@
 	"math/rand/v2"
 )
 
-// pseudonymizer turns hashed tokens into the keys of a recording. Without a given secret the
-// pseudonyms are keyed by a hash of parts of the input that the recording does not contain:
-// whoever has the recording alone cannot try out member numbers, and the same input gives the
-// same keys.
+// pseudonymizer turns the hashes of tokens into the keys of a recording. If no secret is given, the
+// pseudonyms are keyed by a hash of parts of the input, which the recording does not contain. So the
+// same input gives the same keys, but someone who has only the recording cannot find out a member's
+// number by computing the keys of all numbers.
 type pseudonymizer struct {
-	mac     hash.Hash
-	cache   [1 << 14]cachedPseudonym
-	buffer  []byte
-	random  *rand.Rand
-	zipf    *rand.Zipf // nil: synthetic members are uniformly distributed
-	members int        // synthetic ones
+	mac              hash.Hash
+	cache            [1 << 14]cachedPseudonym
+	buffer           []byte
+	random           *rand.Rand
+	zipf             *rand.Zipf // draws synthetic members; nil if they are uniformly distributed
+	syntheticMembers int        // number of synthetic members
 }
 
 type cachedPseudonym struct{ token, key uint64 }
 
-// keyDomain separates the pseudonyms of tokens from those of synthetic members.
+// keyDomain is hashed with a number, so that the keys of tokens and of synthetic members differ.
 type keyDomain byte
 
 const (
@@ -33,22 +33,22 @@
 )
 
 func newPseudonymizer(importer *importer) *pseudonymizer {
-	secret := sha256.New()
-	io.WriteString(secret, "hollyyoke: pseudonyms\n")
+	secretHash := sha256.New()
+	io.WriteString(secretHash, "hollyyoke: pseudonyms\n")
 	if len(importer.options.Secret) > 0 {
-		secret.Write(importer.options.Secret)
+		secretHash.Write(importer.options.Secret)
 	} else {
 		for _, source := range importer.sources {
 			for _, file := range source.files {
-				secret.Write(file.digest.secretSample.Sum(nil))
+				secretHash.Write(file.hasher.secretSample.Sum(nil))
 			}
 		}
 	}
 	redacted := &importer.options.Rules.Redacted
 	pseudonyms := &pseudonymizer{
-		mac:     hmac.New(sha256.New, secret.Sum(nil)),
-		random:  newRandomStream(importer.options.Seed, "made-up keys"),
-		members: redacted.Members,
+		mac:              hmac.New(sha256.New, secretHash.Sum(nil)),
+		random:           newRandomStream(importer.options.Seed, "made-up keys"),
+		syntheticMembers: redacted.Members,
 	}
 	if redacted.Skew > 1 {
 		pseudonyms.zipf = rand.NewZipf(pseudonyms.random, redacted.Skew, 1, uint64(redacted.Members-1))
@@ -56,7 +56,7 @@
 	return pseudonyms
 }
 
-// keyOf returns the key of an entry; 0: it has none.
+// keyOf returns the key of an entry, or 0 if the entry has no key.
 func (p *pseudonymizer) keyOf(entry *pendingEntry) uint64 {
 	switch {
 	case entry.noKey:
@@ -66,10 +66,10 @@
 	case p.zipf != nil:
 		return p.hash(p.zipf.Uint64(), domainSynthetic)
 	}
-	return p.hash(uint64(p.random.IntN(p.members)), domainSynthetic)
+	return p.hash(uint64(p.random.IntN(p.syntheticMembers)), domainSynthetic)
 }
 
-// tokenKey is hash for a token, with a cache.
+// tokenKey returns the key of a token, from the cache if possible.
 func (p *pseudonymizer) tokenKey(token uint64) uint64 {
 	cached := &p.cache[token%uint64(len(p.cache))]
 	if cached.token == token && cached.key != 0 {
@@ -81,7 +81,7 @@
 	return key
 }
 
-// hash returns the keyed hash of a token or a synthetic member, which is never 0.
+// hash returns the keyed hash of a token's hash or a synthetic member's number. It is never 0.
 func (p *pseudonymizer) hash(token uint64, domain keyDomain) uint64 {
 	var text [9]byte
 	binary.LittleEndian.PutUint64(text[:], token)
--- a/internal/rehearsal/recording/pseudonym_test.go
+++ b/internal/rehearsal/recording/pseudonym_test.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	tokenEntries    = 8   // at the start of memberLog
-	redactedEntries = 500 // behind them
+	tokenEntries    = 8   // number of entries with a token, at the start of memberLog
+	redactedEntries = 500 // number of entries with a redacted member, after them
 )
 
-// memberLog is a log with the tokens of three members and a partly masked one, entries whose member
-// is redacted, and a malformed line.
+// memberLog returns a log that contains the tokens of three members and a partly masked token, then
+// entries whose member is redacted, and then a malformed line.
 func memberLog() string {
 	var text strings.Builder
 	tokens := [tokenEntries]string{"880017", "880018", "880017", "a9f5e1c0d2", "a9f5e1c0d2", "88***", "88***", "880018"}
@@ -30,7 +30,7 @@
 	return text.String()
 }
 
-// Equal tokens have equal keys and other tokens have others.
+// Entries with equal tokens have equal keys, and entries with different tokens have different ones.
 func TestKeysFollowTokens(t *testing.T) {
 	entries := importTexts(t, Options{Seed: 1}, memberLog()).entries
 	var keys [tokenEntries]uint64
@@ -39,17 +39,17 @@
 	}
 	for _, pair := range [][2]int{{0, 2}, {1, 7}, {3, 4}, {5, 6}} {
 		if keys[pair[0]] != keys[pair[1]] {
-			t.Errorf("entries %d and %d have one token and the keys %x", pair[0], pair[1], keys)
+			t.Errorf("entries %d and %d have the same token, but different keys: %x", pair[0], pair[1], keys)
 		}
 	}
 	for _, pair := range [][2]int{{0, 1}, {5, 0}} {
 		if keys[pair[0]] == keys[pair[1]] {
-			t.Errorf("entries %d and %d have other tokens and the keys %x", pair[0], pair[1], keys)
+			t.Errorf("entries %d and %d have different tokens, but the same key: %x", pair[0], pair[1], keys)
 		}
 	}
 }
 
-// countKeys counts the entries of each synthetic key.
+// countKeys returns the number of entries by key. The test fails if an entry has no synthetic key.
 func countKeys(t *testing.T, entries []Entry) map[uint64]int {
 	t.Helper()
 	entriesByKey := map[uint64]int{}
@@ -62,7 +62,8 @@
 	return entriesByKey
 }
 
-// Redacted members get the keys of synthetic ones, which are uniformly distributed by default.
+// Entries with a redacted member get the keys of synthetic members, which are uniformly distributed by
+// default.
 func TestRedactedMembersGetSyntheticKeys(t *testing.T) {
 	imported := importTexts(t, Options{Seed: 1}, memberLog())
 	keys := countKeys(t, imported.entries[tokenEntries:])
@@ -88,8 +89,8 @@
 	}
 }
 
-// Neither the recording nor the report contains anything of a member, a query or an address.
-func TestNothingOfMembersIsKept(t *testing.T) {
+// Neither the recording nor the report contains a member's token, a query, a path or an address.
+func TestNoMemberDataIsKept(t *testing.T) {
 	imported := importTexts(t, Options{Seed: 1}, memberLog())
 	content := zstdDecompressed(t, imported.file)
 	reportText, err := json.Marshal(imported.report)
@@ -103,18 +104,18 @@
 	}
 }
 
-// Pseudonyms depend on the input, or on the secret alone if one is given.
+// Pseudonyms depend on the input or, if a secret is given, only on the secret.
 func TestPseudonymsAreKeyedByInputOrSecret(t *testing.T) {
 	text := memberLog()
 	otherText := text + "\n# more\n"
 	firstKey := func(options Options, text string) uint64 { return importTexts(t, options, text).entries[0].Key }
 	byInput := firstKey(Options{Seed: 1}, text)
 	if firstKey(Options{Seed: 1}, otherText) == byInput {
-		t.Error("pseudonyms are not keyed by the input")
+		t.Error("the pseudonyms of different inputs are equal")
 	}
 	withSecret := Options{Seed: 1, Secret: []byte("0123456789abcdef")}
 	bySecret := firstKey(withSecret, text)
 	if firstKey(withSecret, otherText) != bySecret || bySecret == byInput {
-		t.Error("pseudonyms do not follow the secret")
+		t.Error("the pseudonyms depend on something else than the given secret")
 	}
 }
--- a/internal/rehearsal/recording/reader.go
+++ b/internal/rehearsal/recording/reader.go
@@ -17,21 +17,21 @@
 )
 
 // Reader reads a recording file. A file that is truncated, modified or of another version is
-// rejected with an error that says what is wrong and where; what has been read of it by then is
-// not to be used.
+// rejected with an error that says what is wrong and where. The entries that were read before that
+// error must not be used.
 type Reader struct {
 	Header *recordingpb.Header
 
 	decoder     *zstd.Decoder
-	input       *bufio.Reader // decompressed
+	input       *bufio.Reader // decompressed frames
 	checksum    *xxhash.Digest
 	frames      int
-	offset      int64 // of the next frame, decompressed
+	offset      int64 // of the next frame in the decompressed file
 	block       recordingpb.Block
-	nextEntry   int // index in the block
+	nextEntry   int // index in the block of the entry that is returned next
 	lastArrival time.Duration
-	count       uint64
-	err         error // of the first call of Next that failed
+	count       uint64 // entries that were read
+	err         error  // of the first call to Next that failed
 	buffer      []byte
 }
 
@@ -64,7 +64,7 @@
 	}
 	r.Header = frame.GetHeader()
 	if r.Header == nil {
-		return errors.New("no recording: it does not begin with a header")
+		return errors.New("not a recording: the first frame is not a header")
 	}
 	if r.Header.Version != Version {
 		return fmt.Errorf("header: version %d; this program reads %d", r.Header.Version, Version)
@@ -72,21 +72,22 @@
 	names := map[string]bool{}
 	for i, class := range r.Header.Classes {
 		if class.GetName() == "" || names[class.Name] {
-			return fmt.Errorf("header: classes[%d]: no name, or one that was there", i)
+			return fmt.Errorf("header: classes[%d]: the name is empty or not unique", i)
 		}
 		names[class.Name] = true
 	}
 	return nil
 }
 
-// readFrame reads the next frame.
+// readFrame reads the next frame and adds it to the checksum. The checksum in an end frame must match
+// that of the frames before it.
 func (r *Reader) readFrame() (*recordingpb.Frame, error) {
 	size, err := binary.ReadUvarint(r.input)
 	if err != nil {
 		return nil, r.frameError(err)
 	}
 	if size > maxFrameBytes {
-		return nil, r.frameError(fmt.Errorf("%d bytes long, at most %d are read", size, maxFrameBytes))
+		return nil, r.frameError(fmt.Errorf("%d bytes long, the limit is %d", size, maxFrameBytes))
 	}
 	if uint64(cap(r.buffer)) < size {
 		r.buffer = make([]byte, size)
@@ -97,10 +98,10 @@
 	}
 	var frame recordingpb.Frame
 	if err := proto.Unmarshal(r.buffer, &frame); err != nil {
-		return nil, r.frameError(errors.New("no frame that can be read"))
+		return nil, r.frameError(errors.New("not a valid frame"))
 	}
 	if end := frame.GetEnd(); end != nil && end.Xxhash != r.checksum.Sum64() {
-		return nil, r.frameError(errors.New("the checksum is wrong: the file was changed"))
+		return nil, r.frameError(errors.New("the checksum is wrong: the file was modified"))
 	}
 	prefix := binary.AppendUvarint(nil, size)
 	r.checksum.Write(prefix)
@@ -110,16 +111,16 @@
 	return &frame, nil
 }
 
-// frameError adds the position of the next frame to an error.
+// frameError adds to an error the position of the frame that could not be read.
 func (r *Reader) frameError(err error) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-		err = errors.New("the file ends early")
+		err = errors.New("unexpected end of file")
 	}
-	return fmt.Errorf("frame %d, at byte %d unpacked, after %d entries: %w", r.frames+1, r.offset, r.count, err)
+	return fmt.Errorf("frame %d, at byte %d of the decompressed file, after %d entries: %w", r.frames+1, r.offset, r.count, err)
 }
 
-// Next reads the next entry. It returns io.EOF after the last one if the file is intact; once it
-// has failed it returns the same error again.
+// Next reads the next entry. After the last one it returns io.EOF if the file is intact. Once it has
+// returned an error, it returns the same error on every call.
 func (r *Reader) Next(entry *Entry) error {
 	if r.err == nil {
 		r.err = r.readEntry(entry)
@@ -127,8 +128,8 @@
 	return r.err
 }
 
-// ForEach calls handle for every entry up to the end of the file, which it verifies. An error of
-// handle ends it.
+// ForEach calls handle for every entry and returns nil if the file is intact up to its end. It stops
+// and returns the error if handle returns one.
 func (r *Reader) ForEach(handle func(entry *Entry) error) error {
 	var entry Entry
 	for {
@@ -178,7 +179,7 @@
 	return nil
 }
 
-// readBlock reads the next block, or verifies the end and returns io.EOF.
+// readBlock reads the next block, or verifies the end frame and returns io.EOF.
 func (r *Reader) readBlock() error {
 	frame, err := r.readFrame()
 	if err != nil {
@@ -188,24 +189,24 @@
 	case *recordingpb.Frame_Block:
 		entries := content.Block.GetEntries()
 		if len(entries) > maxBlockEntries {
-			return fmt.Errorf("frame %d: %d entries, at most %d are read", r.frames, len(entries), maxBlockEntries)
+			return fmt.Errorf("frame %d: %d entries, the limit is %d", r.frames, len(entries), maxBlockEntries)
 		}
 		r.block.Entries = entries
 		r.nextEntry = 0
 		return nil
 	case *recordingpb.Frame_End:
 		if content.End.Entries != r.count {
-			return fmt.Errorf("frame %d: %d entries were read, the end tells %d", r.frames, r.count, content.End.Entries)
+			return fmt.Errorf("frame %d: %d entries were read, the end frame states %d", r.frames, r.count, content.End.Entries)
 		}
 		if _, err := r.input.ReadByte(); !errors.Is(err, io.EOF) {
-			return fmt.Errorf("frame %d: something follows the end", r.frames)
+			return fmt.Errorf("frame %d: data follows the end frame", r.frames)
 		}
 		return io.EOF
 	}
-	return fmt.Errorf("frame %d: neither block nor end", r.frames)
+	return fmt.Errorf("frame %d: neither a block nor an end", r.frames)
 }
 
-// checkEntry checks the ranges of an entry, so that its users need not.
+// checkEntry rejects an entry with a value out of range, so that callers of Next need not check it.
 func (r *Reader) checkEntry(stored *recordingpb.Entry, arrival time.Duration) error {
 	switch {
 	case stored.AfterUs > uint64(maxRecordingLength.Microseconds()) || arrival > maxRecordingLength:
--- a/internal/rehearsal/recording/recordingpb/doc.go
+++ b/internal/rehearsal/recording/recordingpb/doc.go
@@ -1,4 +1,4 @@
-// Package recordingpb holds the protocol buffers of recording files, generated from
-// recording.proto. Package recording reads and writes them; the names and numbers of the fields
-// are the file format.
+// Package recordingpb contains the protocol buffer messages of recording files, generated from
+// recording.proto. Package recording reads and writes them. The names and numbers of the fields are part
+// of the file format.
 package recordingpb
--- a/internal/rehearsal/recording/report.go
+++ b/internal/rehearsal/recording/report.go
@@ -9,25 +9,25 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/recording/recordingpb"
 )
 
-// ErrNoEntries says that no entry was accepted; no recording was written.
+// ErrNoEntries means that no entry was accepted, so that no recording was written.
 var ErrNoEntries = errors.New("no entry that a rule fits")
 
-// Reject locates a malformed entry. It holds no text of the entry.
+// Reject gives the position of a malformed entry and the reason. It contains none of the entry's text.
 type Reject struct {
-	Source string `json:"source"` // the file's name
-	Line   int    `json:"line"`   // from 1; in a HAR file the number of the entry
-	Offset int64  `json:"offset"` // of the first byte, in the decompressed file
+	Source string `json:"source"` // base name of the file
+	Line   int    `json:"line"`   // number of the line or, in a HAR file, of the entry, from 1
+	Offset int64  `json:"offset"` // of its first byte in the decompressed file
 	Reason string `json:"why"`
 }
 
-// Counts are numbers of entries: Read = Accepted + Malformed + Unmapped + Ignored.
+// Counts holds numbers of entries. Read is the sum of Accepted, Malformed, Unmapped and Ignored.
 type Counts struct {
 	Read      uint64 `json:"read"`
 	Accepted  uint64 `json:"accepted"`
 	Malformed uint64 `json:"malformed"`
-	Unmapped  uint64 `json:"unmapped"` // no rule matches them
-	Ignored   uint64 `json:"ignored"`
-	Repaired  uint64 `json:"repaired"` // of the accepted ones
+	Unmapped  uint64 `json:"unmapped"` // matched by no rule
+	Ignored   uint64 `json:"ignored"`  // never sent to a server, or duplicates; see IgnoreReason
+	Repaired  uint64 `json:"repaired"` // accepted entries with a repair
 }
 
 // Balanced reports whether every entry that was read is accounted for.
@@ -57,25 +57,25 @@
 type SourceReport struct {
 	Name   string   `json:"name"`
 	Files  []string `json:"files"`
-	SHA256 string   `json:"sha256"`
+	SHA256 string   `json:"sha256"` // of the file, or of the digests of several files
 	Format string   `json:"format"`
 	Stamp  string   `json:"stamp"` // stampArrival or stampEnd
 	Counts
-	OffsetUs          int64  `json:"offset_us"` // of the source's clock
-	Estimated         bool   `json:"offset_estimated"`
-	Pairs             int    `json:"offset_pairs,omitempty"`
-	SpreadUs          int64  `json:"offset_spread_us,omitempty"`
-	ClockSteps        int    `json:"clock_steps"`
-	SteppedUs         int64  `json:"clock_stepped_us"`
-	OutlierTimestamps int    `json:"odd_stamps"`
-	Spread            int    `json:"spread_within_second"` // entries
-	CrowdedSeconds    int    `json:"crowded_seconds"`
-	Reordered         bool   `json:"files_put_in_order"`
-	Duplicates        uint64 `json:"seen_by_two_sources"`
-	Truncation        string `json:"cut,omitempty"` // why the source ended early; empty: it did not
+	OffsetUs          int64  `json:"offset_us"`                  // clock offset, added to the timestamps
+	Estimated         bool   `json:"offset_estimated"`           // the offset was estimated
+	Pairs             int    `json:"offset_pairs,omitempty"`     // see ClockOffset
+	SpreadUs          int64  `json:"offset_spread_us,omitempty"` // see ClockOffset
+	ClockSteps        int    `json:"clock_steps"`                // steps back of the clock
+	SteppedUs         int64  `json:"clock_stepped_us"`           // sum of the steps back
+	OutlierTimestamps int    `json:"odd_stamps"`                 // entries with an outlier timestamp
+	Spread            int    `json:"spread_within_second"`       // entries of whole seconds that were spread over their second
+	CrowdedSeconds    int    `json:"crowded_seconds"`            // full groups of entries of one second; see secondSpreader
+	Reordered         bool   `json:"files_put_in_order"`         // the files were not given in the order of their timestamps
+	Duplicates        uint64 `json:"seen_by_two_sources"`        // entries of requests that another source logged too
+	Truncation        string `json:"cut,omitempty"`              // why files of the source ended early; empty if none did
 }
 
-// addTruncation adds the reason why a file of the source ended early.
+// addTruncation appends the reason why a file of the source ended early.
 func (r *SourceReport) addTruncation(text string) {
 	if r.Truncation != "" {
 		r.Truncation += "; "
@@ -84,7 +84,7 @@
 }
 
 func (r *SourceReport) proto() *recordingpb.Source {
-	digest, _ := hex.DecodeString(r.SHA256) // the importer encoded it
+	digest, _ := hex.DecodeString(r.SHA256) // cannot fail, as reportRead encoded it
 	return &recordingpb.Source{
 		Name:      r.Name,
 		Sha256:    digest,
@@ -109,23 +109,23 @@
 // ClassReport counts the entries of one class.
 type ClassReport struct {
 	Entries       uint64 `json:"entries"`
-	Recorded      uint64 `json:"durations_recorded"`
-	DrawnRecorded uint64 `json:"durations_drawn_from_recorded"`
-	DrawnRules    uint64 `json:"durations_drawn_from_rules"`
-	SyntheticKeys uint64 `json:"keys_made_up"`
+	Recorded      uint64 `json:"durations_recorded"`            // entries with a recorded duration
+	DrawnRecorded uint64 `json:"durations_drawn_from_recorded"` // entries with a duration drawn from the recorded ones
+	DrawnRules    uint64 `json:"durations_drawn_from_rules"`    // entries with a duration drawn from the rule's distribution
+	SyntheticKeys uint64 `json:"keys_made_up"`                  // entries with a synthetic key
 }
 
 // Report describes an import.
 type Report struct {
 	Counts
-	Rejects         []Reject                `json:"rejects"`
-	UnlistedRejects uint64                  `json:"rejects_not_listed"`
-	Repairs         map[string]uint64       `json:"repairs"` // by the names of RepairNames
+	Rejects         []Reject                `json:"rejects"`            // at most Options.MaxListedRejects
+	UnlistedRejects uint64                  `json:"rejects_not_listed"` // malformed entries beyond these
+	Repairs         map[string]uint64       `json:"repairs"`            // number of entries by the names in RepairNames
 	IgnoredBy       map[IgnoreReason]uint64 `json:"ignored_by"`
 	Classes         map[string]*ClassReport `json:"classes"`
 	Sources         []*SourceReport         `json:"sources"`
-	SyntheticKeys   string                  `json:"made_up_keys"` // their distribution
-	Pseudonyms      string                  `json:"pseudonyms"`   // what they are keyed by
+	SyntheticKeys   string                  `json:"made_up_keys"` // distribution that they are drawn from
+	Pseudonyms      string                  `json:"pseudonyms"`   // what keys the pseudonyms: the input or a given secret
 	Start           time.Time               `json:"start"`
 	SpanSeconds     float64                 `json:"span_s"`
 	InputBytes      int64                   `json:"input_bytes"`
--- a/internal/rehearsal/recording/rules.go
+++ b/internal/rehearsal/recording/rules.go
@@ -11,22 +11,22 @@
 	"hollyyoke.example/hollyyoke/internal/tomlfile"
 )
 
-// Rules say which class the entries of a log belong to, what their keys are, and what replaces
-// information that the log does not contain. ReadRules makes them. An entry that no rule matches
-// is not replayed.
+// Rules determine the classes and the keys of a log's entries, and the values that replace
+// information that the log does not contain. ReadRules creates them. An entry that no rule matches is
+// not part of the recording.
 type Rules struct {
 	Classes  []Rule   `toml:"class"`
 	Redacted Redacted `toml:"redacted"`
 }
 
-// KeySource says where the key of an entry is taken from.
+// KeySource says what the key of an entry is taken from.
 type KeySource string
 
-// The sources of keys.
+// The values of KeySource. The empty string stands for KeyFromPath.
 const (
-	KeyFromPath   KeySource = "path" // also if the rule names none
-	KeyFromClient KeySource = "client"
-	KeyFromNone   KeySource = "none"
+	KeyFromPath   KeySource = "path"   // the request's path; see Rule.Key
+	KeyFromClient KeySource = "client" // the address of the client
+	KeyFromNone   KeySource = "none"   // nothing: the entries have no key
 )
 
 // RetryPolicy says whether the requests of a class may be retried.
@@ -35,37 +35,38 @@
 // The retry policies.
 const (
 	Retryable RetryPolicy = "retryable"
-	Fragile   RetryPolicy = "fragile" // replayed against verified stand-ins only
+	Fragile   RetryPolicy = "fragile" // must not be retried, and is replayed only against verified stand-ins
 )
 
-// Rule maps entries to a class. The first rule that matches an entry applies.
+// Rule assigns the entries that match Method and Path to a class. The first rule that matches an entry
+// applies.
 type Rule struct {
-	Name        string      `toml:"name"`     // of the class
-	Method      string      `toml:"method"`   // empty: any
-	Path        string      `toml:"path"`     // regular expression for the path without its query; empty: any
-	Key         string      `toml:"key"`      // regular expression for the path, whose first group is the key; empty: the last segment
-	KeySource   KeySource   `toml:"key_from"` // default KeyFromPath; KeyFromClient: the address of the peer
-	TimeoutMs   int         `toml:"left_ms"`  // how long the client waits, ms
+	Name        string      `toml:"name"`     // name of the class
+	Method      string      `toml:"method"`   // HTTP method; empty for any
+	Path        string      `toml:"path"`     // regular expression that the path without its query matches; empty for any
+	Key         string      `toml:"key"`      // regular expression whose first group is the key; empty for the last segment of the path
+	KeySource   KeySource   `toml:"key_from"` // default KeyFromPath
+	TimeoutMs   int         `toml:"left_ms"`  // how long the client waits for the answer, ms
 	RetryPolicy RetryPolicy `toml:"repeat"`   // default Fragile
 
-	Slots        float64 `toml:"slots"`         // that a job occupies; default 1
-	EffortFactor float64 `toml:"effort_factor"` // effort in units of the recorded duration; default 1
-	EffortMs     float64 `toml:"effort_ms"`     // fixed effort, ms; 0: from the duration
+	Slots        float64 `toml:"slots"`         // slots that a job occupies; default 1
+	EffortFactor float64 `toml:"effort_factor"` // ratio of the effort to the duration; default 1
+	EffortMs     float64 `toml:"effort_ms"`     // fixed effort, ms; 0 to compute it from the duration
 
-	DurationMs     float64 `toml:"duration_ms"`     // mean, if no entry of the class has a duration, ms; default 100
-	DurationSpread float64 `toml:"duration_spread"` // its coefficient of variation (lognormal); default 0.5
+	DurationMs     float64 `toml:"duration_ms"`     // mean duration, ms, if no entry of the rule has a recorded one; default 100
+	DurationSpread float64 `toml:"duration_spread"` // coefficient of variation of these lognormal durations; default 0.5
 
 	pathPattern *regexp.Regexp
 	keyPattern  *regexp.Regexp
-	pathMatcher *segmentPattern // replaces pathPattern if it is simple enough
-	keyMatcher  *segmentPattern // replaces keyPattern if it is simple enough
+	pathMatcher *segmentPattern // replaces pathPattern; nil if that is not a segment pattern
+	keyMatcher  *segmentPattern // replaces keyPattern; nil if that is not a segment pattern
 }
 
-// Redacted says which keys are generated for entries whose member is redacted.
+// Redacted says which entries have a redacted member, and which keys are generated for them.
 type Redacted struct {
 	Members int      `toml:"members"` // number of synthetic members; default 1000
-	Skew    float64  `toml:"skew"`    // 0: uniform; above 1: exponent of a Zipf distribution
-	Tokens  []string `toml:"tokens"`  // that mean redacted, in addition to the built-in ones
+	Skew    float64  `toml:"skew"`    // exponent of a Zipf distribution, above 1; 0 for a uniform distribution
+	Tokens  []string `toml:"tokens"`  // tokens that mean that the member is redacted, in addition to the built-in ones
 }
 
 const (
@@ -75,7 +76,7 @@
 	maxSkew             = 10
 )
 
-// Distribution describes the distribution of synthetic keys.
+// Distribution describes the distribution of the synthetic members.
 func (r *Redacted) Distribution() string {
 	if r.Skew > 1 {
 		return fmt.Sprintf("Zipf with exponent %g over %d members", r.Skew, r.Members)
@@ -83,7 +84,8 @@
 	return fmt.Sprintf("uniform over %d members", r.Members)
 }
 
-// ReadRules parses and validates a TOML file of rules. The error is one line that names the key.
+// ReadRules parses and validates a TOML file of rules. The error is a single line that names the
+// invalid key.
 func ReadRules(text []byte) (rules Rules, err error) {
 	if err := tomlfile.Decode(text, &rules); err != nil {
 		return rules, err
@@ -103,7 +105,7 @@
 	return rules, nil
 }
 
-// validate sets defaults and checks the values.
+// validate sets the defaults and checks the values.
 func (r *Redacted) validate() error {
 	if r.Members == 0 {
 		r.Members = defaultMembers
@@ -117,8 +119,8 @@
 	return nil
 }
 
-// validate sets defaults, checks the values and compiles the patterns. ruleKey names the rule in
-// errors; policies holds the retry policies of the classes before it.
+// validate sets the defaults, checks the values and compiles the patterns. ruleKey names the rule in
+// errors. policies holds the retry policies by class of the rules before it, to which validate adds.
 func (r *Rule) validate(ruleKey string, policies map[string]RetryPolicy) error {
 	if r.Name == "" || strings.ContainsAny(r.Name, "/ ?#\r\n\t") {
 		return fmt.Errorf("%s.name: %q is no name of a class", ruleKey, r.Name)
@@ -189,8 +191,9 @@
 	return nil
 }
 
-// Find returns the index of the first rule that matches and the token of the entry's key, which
-// is empty if the log contains none; -1: no rule matches. path is without its query.
+// Find returns the index of the first rule that matches, and the token that the entry's key is made
+// from, which is empty if the entry contains none. The index is -1 if no rule matches. path must not
+// include the query.
 func (r *Rules) Find(method, path, client string) (rule int, token string) {
 	for i := range r.Classes {
 		rule := &r.Classes[i]
@@ -212,7 +215,7 @@
 	return r.pathPattern.MatchString(path)
 }
 
-// keyToken extracts the text that the key of an entry is made from; empty: there is none.
+// keyToken returns the text that the key of an entry is made from, or "" if there is none.
 func (r *Rule) keyToken(path, client string) string {
 	switch {
 	case r.KeySource == KeyFromNone:
@@ -231,11 +234,11 @@
 	return ""
 }
 
-// timeout is how long a client of the rule waits.
+// timeout returns how long the client of a matching entry waits for the answer.
 func (r *Rule) timeout() time.Duration { return time.Duration(r.TimeoutMs) * time.Millisecond }
 
-// isRedacted reports whether a token says nothing about the member: it is empty, a dash, a word
-// for something removed, or made of characters that replace removed ones.
+// isRedacted reports whether a token does not identify a member: it is empty, a dash, a word such as
+// "redacted", one of Tokens, or consists only of characters such as * that replace removed ones.
 func (r *Redacted) isRedacted(token string) bool {
 	switch strings.ToLower(token) {
 	case "", "-", "redacted", "[redacted]", "%5bredacted%5d", "<redacted>", "hidden", "masked", "removed", "none", "null":
--- a/internal/rehearsal/recording/rules_test.go
+++ b/internal/rehearsal/recording/rules_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The error of invalid rules names the key.
+// The error for invalid rules names the invalid key.
 func TestInvalidRules(t *testing.T) {
 	for text, want := range map[string]string{
 		"":                                   "class: missing",
@@ -26,7 +26,7 @@
 	}
 }
 
-// Segment patterns match as the regexp package does.
+// A segment pattern gives the same result as the regexp package.
 func FuzzSegmentPatterns(f *testing.F) {
 	expressions := []string{
 		"^/members/[^/]+/renew$",
@@ -56,7 +56,8 @@
 	})
 }
 
-// ruleWithSegmentPattern makes a rule whose path must be simple enough for a segment pattern.
+// ruleWithSegmentPattern returns a rule with the given path. The test fails if that is not a segment
+// pattern.
 func ruleWithSegmentPattern(t testing.TB, expression string) Rule {
 	t.Helper()
 	rule := Rule{Name: "a", TimeoutMs: 1, Path: expression}
@@ -67,16 +68,17 @@
 		t.Fatal(err)
 	}
 	if rule.pathMatcher == nil {
-		t.Fatalf("%s is not compiled", expression)
+		t.Fatalf("%s is not compiled to a segment pattern", expression)
 	}
 	return rule
 }
 
-// Expressions that are not literals and segments in turn are left to the regexp package.
+// An expression that does not consist alternately of literals and whole segments is not compiled to a
+// segment pattern, so that the regexp package matches it.
 func TestOtherExpressionsAreNoSegmentPatterns(t *testing.T) {
 	for _, expression := range []string{"a", "^/a.b", "^/[^/]+x", "^/([^/]+", "^/a|b", "^/([^/]+)/([^/]+)/", "^/[^/]+"} {
 		if compileSegmentPattern(expression) != nil {
-			t.Errorf("%s is compiled", expression)
+			t.Errorf("%s is compiled to a segment pattern", expression)
 		}
 	}
 }
--- a/internal/rehearsal/recording/run.go
+++ b/internal/rehearsal/recording/run.go
@@ -9,7 +9,7 @@
 	"io"
 )
 
-// Flags of an entry on the spool; the repairs are shifted behind them.
+// Flags of an encoded entry, in the lowest bits of a varint. The bits above them are the repairs.
 const (
 	encodedNoKey        = 1 << 0
 	encodedWholeSeconds = 1 << 1
@@ -17,15 +17,15 @@
 )
 
 const (
-	encodedHashBytes = 16 // key and signature
+	encodedHashBytes = 16 // size of key and signature
 	// maxEncodedBytes is the largest size of an encoded entry.
 	maxEncodedBytes = 9*binary.MaxVarintLen64 + encodedHashBytes
 )
 
-var errSpoolTruncated = fmt.Errorf("the spool is cut off: %w", io.ErrUnexpectedEOF)
+var errSpoolTruncated = fmt.Errorf("the spool is truncated: %w", io.ErrUnexpectedEOF)
 
-// appendEncoded appends an entry in the form that runs have on the spool. previous is the
-// timestamp of the entry before it; 0 for the first one.
+// appendEncoded appends an entry in the encoding of runs on the spool. previous is the timestamp of
+// the previous entry of the run, or 0 for its first entry.
 func appendEncoded(b []byte, entry *pendingEntry, previous int64) []byte {
 	b = binary.AppendUvarint(b, uint64(entry.timestamp-previous))
 	b = binary.AppendUvarint(b, entry.sequence)
@@ -50,10 +50,10 @@
 type runReader struct {
 	input         *bufio.Reader
 	file          io.Closer
-	entry         pendingEntry // read last
-	lastTimestamp int64        // without the offset
-	source        int
-	offset        int64 // of the source's clock, µs
+	entry         pendingEntry // that readNext read last
+	lastTimestamp int64        // of that entry, without the offset
+	source        int          // index of the source
+	offset        int64        // of the source's clock, added to its timestamps, µs
 }
 
 func openRun(spool Spool, number, source int, offset int64) (*runReader, error) {
@@ -64,7 +64,7 @@
 	return &runReader{input: bufio.NewReaderSize(file, runBufferBytes), file: file, source: source, offset: offset}, nil
 }
 
-// readNext reads the next entry; io.EOF after the last one.
+// readNext reads the next entry. It returns io.EOF after the last one.
 func (r *runReader) readNext() error {
 	encoded, err := r.input.Peek(maxEncodedBytes)
 	if len(encoded) == 0 {
@@ -120,7 +120,7 @@
 	return r.entry.sequence < other.entry.sequence
 }
 
-// runHeap is a heap of runs, the one whose entry is next in the merged order first.
+// runHeap is a heap of runs. The first one is the run whose entry is next in the merged order.
 type runHeap []*runReader
 
 func (h runHeap) Len() int           { return len(h) }
@@ -134,8 +134,8 @@
 	return last
 }
 
-// mergeRuns calls handle with the run of each entry, in the order of all runs' entries, and
-// closes the runs.
+// mergeRuns merges the entries of several runs. For each entry, in the merged order, it calls handle
+// with the run whose entry it is. It closes the runs, also when it returns an error.
 func mergeRuns(runs []*runReader, handle func(run *runReader) error) error {
 	var open runHeap
 	defer func() {
@@ -175,13 +175,13 @@
 	return nil
 }
 
-// isEnd reports whether an error means the end of a run, not a run that is cut off.
+// isEnd reports whether an error means the regular end of a run, not a truncated run.
 func isEnd(err error) bool {
 	return errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF)
 }
 
-// compactRuns merges runs of one source until there are at most maxRuns. nextRun is the number
-// of the next run on the spool.
+// compactRuns merges the runs of one source until at most maxRuns are left, and returns the numbers of
+// these. nextRun is the number of the next run on the spool.
 func compactRuns(spool Spool, nextRun *int, runs []int, maxRuns int) ([]int, error) {
 	for len(runs) > maxRuns {
 		merged := runs[:min(maxMergedRuns, len(runs))]
@@ -194,7 +194,7 @@
 	return runs, nil
 }
 
-// rewriteRuns merges runs of one source into the spool's next run.
+// rewriteRuns merges runs of one source into a new run, the spool's next one.
 func rewriteRuns(spool Spool, runs []int) error {
 	var readers []*runReader
 	for _, number := range runs {
--- a/internal/rehearsal/recording/secondpass.go
+++ b/internal/rehearsal/recording/secondpass.go
@@ -43,19 +43,20 @@
 	return writer.Close()
 }
 
-// firstArrival is the time of the recording's start, in microseconds.
+// firstArrival returns the earliest arrival of all sources, at which the recording starts, in
+// microseconds of Unix time.
 func (imp *importer) firstArrival() int64 {
 	first := int64(math.MaxInt64)
 	for _, source := range imp.sources {
-		if source.earliest != math.MaxInt64 {
-			first = min(first, source.earliest+source.offset.Microseconds)
+		if source.earliestArrival != math.MaxInt64 {
+			first = min(first, source.earliestArrival+source.offset.Microseconds)
 		}
 	}
 	return first
 }
 
-// mergeSources calls handle with the entries of all sources in order. duplicate: another source
-// has logged the request already.
+// mergeSources calls handle for the entries of all sources, in the order of their corrected arrivals.
+// duplicate is set if an earlier entry of another source is of the same request.
 func (imp *importer) mergeSources(handle func(source int, entry *pendingEntry, duplicate bool) error) error {
 	var runs []*runReader
 	for i, source := range imp.sources {
@@ -67,14 +68,15 @@
 			runs = append(runs, run)
 		}
 	}
-	duplicates := duplicateFilter{windows: imp.duplicateWindows(), seen: map[uint64][]sourceEntry{}}
+	duplicates := duplicateFilter{windows: imp.duplicateWindows(), unmatched: map[uint64][]sourceEntry{}}
 	return mergeRuns(runs, func(run *runReader) error {
 		return handle(run.source, &run.entry, duplicates.isDuplicate(run.source, &run.entry))
 	})
 }
 
-// duplicateWindows says how far apart each source's entry of a request may be from another's, in
-// microseconds; 0: the source is not compared, as its clock's offset is not known.
+// duplicateWindows returns for each source how far apart in time its entry of a request and that of
+// another source may be, in microseconds. It is 0 for a source that is not compared with the others,
+// because its clock offset is not known, because it is the only source or because duplicates are kept.
 func (imp *importer) duplicateWindows() []int64 {
 	const minWindow = 250 * millisecond
 	windows := make([]int64, len(imp.sources))
@@ -94,11 +96,12 @@
 	return windows
 }
 
-// countMerged counts the entries that will be written and returns the last arrival. Of several
-// sources it must merge the runs, since only then the duplicates are known.
+// countMerged counts the entries that will be written and returns the last arrival. With several
+// sources it merges the runs to find the duplicates. With one source there are none, and addArrival
+// has already counted the entries.
 func (imp *importer) countMerged() (last int64, err error) {
 	if len(imp.sources) == 1 {
-		return imp.sources[0].latest, nil
+		return imp.sources[0].latestArrival, nil
 	}
 	err = imp.mergeSources(func(source int, entry *pendingEntry, duplicate bool) error {
 		report := imp.sources[source].report
@@ -106,7 +109,7 @@
 			report.Accepted--
 			report.Ignored++
 			report.Duplicates++
-			imp.report.IgnoredBy[IgnoredSeenElsewhere]++
+			imp.report.IgnoredBy[IgnoredDuplicate]++
 			return nil
 		}
 		imp.countWritten(report, entry)
@@ -118,7 +121,7 @@
 
 // countWritten counts an entry that will be written.
 func (imp *importer) countWritten(report *SourceReport, entry *pendingEntry) {
-	statistics := &imp.rules[entry.class]
+	statistics := &imp.statistics[entry.class]
 	repairs := entry.repairs
 	statistics.entries++
 	if entry.baseDuration() < 0 {
@@ -134,21 +137,21 @@
 	}
 	for bit := range RepairNames {
 		if repairs&(1<<bit) != 0 {
-			imp.repaired[bit]++
+			imp.repairCounts[bit]++
 		}
 	}
 }
 
-// reportClasses adds the rules' counts to the reports of their classes and returns the number of
-// all entries.
+// reportClasses adds the counts of each rule to the report of its class and returns the number of all
+// entries.
 func (imp *importer) reportClasses() (entries uint64) {
-	for rule := range imp.rules {
-		statistics := &imp.rules[rule]
+	for rule := range imp.statistics {
+		statistics := &imp.statistics[rule]
 		if statistics.entries == 0 {
 			continue
 		}
 		report := imp.classReport(rule)
-		if statistics.recorded.seen > 0 {
+		if statistics.recorded.added > 0 {
 			report.DrawnRecorded += statistics.drawn
 		} else {
 			report.DrawnRules += statistics.drawn
@@ -173,13 +176,14 @@
 
 func (imp *importer) reportRepairs() {
 	for bit, name := range RepairNames {
-		if imp.repaired[bit] > 0 {
-			imp.report.Repairs[name] = imp.repaired[bit]
+		if imp.repairCounts[bit] > 0 {
+			imp.report.Repairs[name] = imp.repairCounts[bit]
 		}
 	}
 }
 
-// newHeader makes the recording's header but for its classes. first is in microseconds.
+// newHeader creates the recording's header without the classes, which addClasses adds. first is the
+// recording's start in microseconds of Unix time.
 func (imp *importer) newHeader(first int64, entries uint64) *recordingpb.Header {
 	rulesDigest := sha256.Sum256(imp.options.RulesText)
 	header := &recordingpb.Header{
@@ -200,7 +204,8 @@
 	return header
 }
 
-// addClasses adds the rules' classes to the header and returns the index of each rule's class.
+// addClasses adds the classes of the rules to the header. It returns, by the index of the rule, the
+// index of its class in the header.
 func (imp *importer) addClasses(header *recordingpb.Header) (classOfRule []int) {
 	indexByName := map[string]int{}
 	for _, rule := range imp.options.Rules.Classes {
@@ -215,7 +220,7 @@
 	return classOfRule
 }
 
-// writeEntries merges the sources' entries, without duplicates, to the writer.
+// writeEntries merges the entries of all sources and writes those that are not duplicates.
 func (imp *importer) writeEntries(writer *Writer, first int64, classOfRule []int) error {
 	pseudonyms := newPseudonymizer(imp)
 	durations := newRandomStream(imp.options.Seed, "missing durations")
@@ -240,13 +245,13 @@
 	})
 }
 
-// setDurations sets the duration and the effort of an entry; a missing duration is drawn.
+// setDurations sets the duration and the effort of an entry. A missing duration is drawn at random.
 func (imp *importer) setDurations(entry *Entry, pending *pendingEntry, random *rand.Rand) {
 	rule := &imp.options.Rules.Classes[pending.class]
 	base := pending.baseDuration()
 	if base < 0 {
 		pending.repairs |= DrawnDuration
-		base = rule.drawDuration(&imp.rules[pending.class].recorded, random)
+		base = rule.drawDuration(&imp.statistics[pending.class].recorded, random)
 	}
 	base = max(base, 1)
 	entry.Duration = time.Duration(base) * time.Microsecond
--- a/internal/rehearsal/recording/secondspreader.go
+++ b/internal/rehearsal/recording/secondspreader.go
@@ -5,22 +5,22 @@
 	"slices"
 )
 
-// maxSpreadGroup is the number of entries of one second that are spread at once.
+// maxSpreadGroup is the largest number of entries of one second that are held back and spread together.
 const maxSpreadGroup = 1 << 16
 
-// secondSpreader spreads the entries whose timestamps are whole seconds over their second, in
-// their order. A second with too many entries is spread in parts: each full group takes half of
-// what is left of the second.
+// secondSpreader gives the entries whose timestamps are whole seconds random times within their second,
+// without changing their order. If a second has more than maxSpreadGroup entries, it is divided: each
+// full group is spread over half of the remaining part of the second.
 type secondSpreader struct {
-	emit         func(pendingEntry)
-	random       *rand.Rand
-	group        []pendingEntry
-	second       int64     // timestamp of the group
-	usedFraction float64   // of the second, by its earlier groups
-	fractions    []float64 // of the second, for the group's entries
+	emit           func(pendingEntry)
+	random         *rand.Rand
+	group          []pendingEntry // entries of the current second that are not emitted yet
+	groupTimestamp int64          // timestamp of the group
+	usedFraction   float64        // part of the second that earlier groups were spread over
+	fractions      []float64      // times of the group's entries, as fractions of the second
 
-	CrowdedSeconds int // groups that were too large for one part
-	Spread         int // entries
+	FullGroups    int // full groups; a second may have several
+	SpreadEntries int // entries that were spread
 }
 
 // add takes the next entry of the source.
@@ -30,18 +30,18 @@
 		s.emit(entry)
 		return
 	}
-	if len(s.group) > 0 && entry.timestamp != s.second {
+	if len(s.group) > 0 && entry.timestamp != s.groupTimestamp {
 		s.flush()
 	}
-	s.second = entry.timestamp
+	s.groupTimestamp = entry.timestamp
 	s.group = append(s.group, entry)
 	if len(s.group) == maxSpreadGroup {
-		s.CrowdedSeconds++
+		s.FullGroups++
 		s.spreadGroup(s.usedFraction + (1-s.usedFraction)/2)
 	}
 }
 
-// flush ends a second.
+// flush spreads the remaining entries of the current second and ends it.
 func (s *secondSpreader) flush() {
 	if len(s.group) > 0 {
 		s.spreadGroup(1)
@@ -49,7 +49,7 @@
 	s.usedFraction = 0
 }
 
-// spreadGroup emits the group, spread up to the given fraction of the second.
+// spreadGroup spreads the group over the part of the second from usedFraction to limit, and emits it.
 func (s *secondSpreader) spreadGroup(limit float64) {
 	const lastMicrosecond = second - 1
 	s.fractions = s.fractions[:0]
@@ -57,7 +57,7 @@
 		s.fractions = append(s.fractions, s.usedFraction+s.random.Float64()*(limit-s.usedFraction))
 	}
 	slices.Sort(s.fractions)
-	s.Spread += len(s.group)
+	s.SpreadEntries += len(s.group)
 	for i, entry := range s.group {
 		entry.timestamp += min(int64(s.fractions[i]*1e6), lastMicrosecond)
 		s.emit(entry)
--- a/internal/rehearsal/recording/segmentpattern.go
+++ b/internal/rehearsal/recording/segmentpattern.go
@@ -5,22 +5,23 @@
 	"strings"
 )
 
-// segmentPattern is a regular expression of the form that most rules have: literal text and
-// single path segments in turn. Matching it without the regexp package, which took two thirds of
-// an import's time, is much faster; all other expressions are left to that package.
+// segmentPattern matches paths like a regular expression that consists alternately of literal text and
+// of whole path segments, [^/]+ or [^/]*, as those of most rules do. Matching all paths with the regexp
+// package took two thirds of the time of an import; it now matches only the other expressions.
 type segmentPattern struct {
-	literals     []string // literals[0] segment literals[1] segment ... literals[n]
-	mayBeEmpty   []bool   // by segment
-	groupSegment int      // the segment that is the first group; -1: none
+	literals     []string // text before each segment, and after the last one
+	mayBeEmpty   []bool   // by segment: it is [^/]*
+	groupSegment int      // index of the segment in parentheses; -1 if there is none
 	anchoredEnd  bool     // the expression ends with $
 }
 
 const (
 	segmentClass      = "[^/]"
-	segmentExpression = segmentClass + "+" // or *
+	segmentExpression = segmentClass + "+" // or * in place of +, of the same length
 )
 
-// compileSegmentPattern compiles an expression; nil: it does not have the form.
+// compileSegmentPattern compiles a regular expression. It returns nil if the expression does not have
+// the form of a segment pattern.
 func compileSegmentPattern(expression string) *segmentPattern {
 	rest, ok := strings.CutPrefix(expression, "^")
 	if !ok {
@@ -47,7 +48,8 @@
 	return pattern
 }
 
-// addSegment adds a segment with the literal before it, and returns the rest of the expression.
+// addSegment adds a segment and the literal before it, and returns the rest of the expression. ok is
+// false if the expression does not have the form of a segment pattern.
 func (p *segmentPattern) addSegment(before string, repetition byte, after string) (rest string, ok bool) {
 	if repetition != '+' && repetition != '*' {
 		return "", false
@@ -60,7 +62,8 @@
 		after = after[1:]
 		p.groupSegment = len(p.literals)
 	}
-	// What follows a segment must begin where it ends, or there may be other matches.
+	// A segment must end at a slash or at the end of the path. Otherwise the regular expression could
+	// also match a shorter part of the segment.
 	if after != "" && after[0] != '/' || after == "" && !p.anchoredEnd {
 		return "", false
 	}
@@ -69,7 +72,7 @@
 	return after, true
 }
 
-// match matches a path; group is the text of the first group.
+// match reports whether the path matches. group is the text of the segment in parentheses.
 func (p *segmentPattern) match(path string) (group string, ok bool) {
 	for i, literal := range p.literals {
 		if !strings.HasPrefix(path, literal) {
--- a/internal/rehearsal/recording/sorter.go
+++ b/internal/rehearsal/recording/sorter.go
@@ -6,34 +6,34 @@
 	"io"
 )
 
-// Spool stores the sorted runs of an import until they are merged. Create starts the next run,
-// numbered from 0; Open reads one that has been closed. Runs are written and read one after the
-// other, but several may be open for reading.
+// Spool stores the sorted runs of an import until they are merged. Create starts the next run; runs
+// are numbered from 0. Open opens a run for reading that has been written and closed. Only one run is
+// written at a time, but several may be open for reading.
 type Spool interface {
 	Create() (io.WriteCloser, error)
 	Open(run int) (io.ReadCloser, error)
 }
 
 const (
-	maxSorterEntries = 1 << 12  // that are kept in memory
-	maxMergedRuns    = 64       // at once
-	runBufferBytes   = 32 << 10 // of each run that is open
+	maxSorterEntries = 1 << 12  // entries of a source that are kept in memory
+	maxMergedRuns    = 64       // runs that are open for reading at once
+	runBufferBytes   = 32 << 10 // buffer of each open run
 )
 
-// sorter writes the entries of one source as sorted runs (replacement selection): each time it
-// writes the earliest of the entries in memory that is not before the last one written, so that
-// an input that is nearly in order gives one run. After an error it ignores entries.
+// sorter writes the entries of one source as sorted runs by replacement selection: of the entries in
+// memory it writes the earliest one that is not earlier than the last one written. An input that is
+// nearly sorted therefore gives a single run. After an error, stored in err, it ignores entries.
 type sorter struct {
 	spool         Spool
-	nextRun       *int // number on the spool
-	runs          []int
-	current       entryHeap // of the run that is being written
-	following     entryHeap // of the run after it: before the last entry written
-	entries       []pendingEntry
-	freeSlots     []int32 // of entries
-	output        *bufio.Writer
+	nextRun       *int           // number of the next run on the spool, shared by the sources
+	runs          []int          // numbers of the runs that were written
+	currentRun    entryHeap      // entries of the run that is being written
+	followingRun  entryHeap      // entries of the run after it, which are earlier than the last entry written
+	entries       []pendingEntry // entries in memory, to which the items of the heaps refer
+	freeIndexes   []int32        // unused indexes of entries
+	output        *bufio.Writer  // of the run that is being written; nil if there is none
 	file          io.Closer
-	lastTimestamp int64 // of the current run
+	lastTimestamp int64 // of the last entry written to the current run
 	buffer        []byte
 	err           error
 }
@@ -42,37 +42,38 @@
 	if s.err != nil {
 		return
 	}
-	if len(s.current)+len(s.following) >= maxSorterEntries {
+	if len(s.currentRun)+len(s.followingRun) >= maxSorterEntries {
 		s.writeEarliest()
 	}
-	item := heapItem{timestamp: entry.timestamp, sequence: entry.sequence, slot: s.store(entry)}
+	item := heapItem{timestamp: entry.timestamp, sequence: entry.sequence, entryIndex: s.store(entry)}
 	if s.output != nil && entry.timestamp < s.lastTimestamp {
-		s.following.push(item)
+		s.followingRun.push(item)
 		return
 	}
-	s.current.push(item)
+	s.currentRun.push(item)
 }
 
-// store puts an entry into a free slot and returns its index.
+// store puts an entry at an unused index of entries and returns the index.
 func (s *sorter) store(entry pendingEntry) int32 {
-	free := len(s.freeSlots)
+	free := len(s.freeIndexes)
 	if free == 0 {
 		s.entries = append(s.entries, entry)
 		return int32(len(s.entries) - 1)
 	}
-	slot := s.freeSlots[free-1]
-	s.freeSlots = s.freeSlots[:free-1]
-	s.entries[slot] = entry
-	return slot
+	index := s.freeIndexes[free-1]
+	s.freeIndexes = s.freeIndexes[:free-1]
+	s.entries[index] = entry
+	return index
 }
 
-// writeEarliest writes the earliest entry that the current run can still take.
+// writeEarliest writes the earliest entry of the current run. If the run has no entries left, it ends
+// the run and starts the next one.
 func (s *sorter) writeEarliest() {
-	if len(s.current) == 0 {
+	if len(s.currentRun) == 0 {
 		s.endRun()
-		emptied := s.current[:0]
-		s.current = s.following
-		s.following = emptied
+		emptied := s.currentRun[:0]
+		s.currentRun = s.followingRun
+		s.followingRun = emptied
 	}
 	if s.output == nil {
 		file, err := s.spool.Create()
@@ -86,9 +87,9 @@
 		s.output = bufio.NewWriterSize(file, runBufferBytes)
 		s.lastTimestamp = 0
 	}
-	item := s.current.pop()
-	s.buffer = appendEncoded(s.buffer[:0], &s.entries[item.slot], s.lastTimestamp)
-	s.freeSlots = append(s.freeSlots, item.slot)
+	item := s.currentRun.pop()
+	s.buffer = appendEncoded(s.buffer[:0], &s.entries[item.entryIndex], s.lastTimestamp)
+	s.freeIndexes = append(s.freeIndexes, item.entryIndex)
 	s.lastTimestamp = item.timestamp
 	if _, err := s.output.Write(s.buffer); err != nil {
 		s.err = err
@@ -107,27 +108,27 @@
 	}
 }
 
-// close writes all entries and returns the first error.
+// close writes the entries in memory, ends the last run and returns the first error of the sorter.
 func (s *sorter) close() error {
-	for s.err == nil && len(s.current)+len(s.following) > 0 {
+	for s.err == nil && len(s.currentRun)+len(s.followingRun) > 0 {
 		s.writeEarliest()
 	}
 	s.endRun()
-	s.current = nil
-	s.following = nil
+	s.currentRun = nil
+	s.followingRun = nil
 	s.entries = nil
-	s.freeSlots = nil
+	s.freeIndexes = nil
 	return s.err
 }
 
-// entryHeap is a binary heap of the sorter's entries, which stay in their slots. Without the
-// interface of container/heap an import takes a tenth less time.
+// entryHeap is a binary heap of references to the sorter's entries. It does not use container/heap,
+// whose interface calls make an import take a tenth longer.
 type entryHeap []heapItem
 
 type heapItem struct {
-	timestamp int64
-	sequence  uint64
-	slot      int32
+	timestamp  int64
+	sequence   uint64
+	entryIndex int32 // index in sorter.entries
 }
 
 func (a heapItem) before(b heapItem) bool {
--- a/internal/rehearsal/recording/sorter_test.go
+++ b/internal/rehearsal/recording/sorter_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// The sorter and the merging of runs give the order of a sort in memory.
+// Sorting with the sorter and merging its runs gives the same order as sorting in memory.
 func FuzzSorter(f *testing.F) {
 	f.Add(uint64(1), uint16(1000), uint32(5))
 	f.Add(uint64(2), uint16(60000), uint32(1<<31))
@@ -32,7 +32,7 @@
 	})
 }
 
-// disorderedEntries returns entries whose timestamps go back by up to the given disorder.
+// disorderedEntries returns entries whose timestamps may go back by up to the given disorder.
 func disorderedEntries(seed uint64, count int, disorder uint32) (entries []pendingEntry) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	for i := range count {
@@ -48,7 +48,7 @@
 	return entries
 }
 
-// sortToRuns sorts entries to two runs at most and opens these.
+// sortToRuns sorts entries into at most two runs and opens these.
 func sortToRuns(t *testing.T, spool *memorySpool, entries []pendingEntry) (opened []*runReader) {
 	t.Helper()
 	const maxRuns = 2
--- a/internal/rehearsal/recording/syntheticlog.go
+++ b/internal/rehearsal/recording/syntheticlog.go
@@ -14,35 +14,35 @@
 const (
 	ShapeSteady  = "steady"  // a Poisson process
 	ShapeRush    = "rush"    // three times the rate in the middle third
-	ShapeMorning = "morning" // a rising rate with bursts
+	ShapeMorning = "morning" // a rising rate, with a random factor that changes every 0.25 to 0.75 s
 )
 
-// SyntheticLog specifies a log to generate for measurements and tests.
+// SyntheticLog specifies a log that GenerateLog generates for measurements and tests.
 type SyntheticLog struct {
-	Shape             string  // ShapeSteady, ShapeRush or ShapeMorning
-	Rate              float64 // entries per second, on average
-	Length            time.Duration
+	Shape             string        // ShapeSteady, ShapeRush or ShapeMorning
+	Rate              float64       // entries per second, on average
+	Length            time.Duration // from the start to the last arrival, at most
 	MeanDurationMs    float64
 	Members           int
 	Seed              uint64
-	MillisecondStamps bool // in SyntheticLogFormat; otherwise Combined and $request_time
+	MillisecondStamps bool // write SyntheticLogFormat; otherwise combined+s, with timestamps of whole seconds
 }
 
-// SyntheticLogFormat is the format of synthetic logs with timestamps of milliseconds.
+// SyntheticLogFormat is the format, as for Compile, of synthetic logs with timestamps of milliseconds.
 const SyntheticLogFormat = `nginx:$msec $remote_addr "$request" $status $request_time`
 
 const (
 	maxSyntheticRate = 1e6  // entries per second
-	statusShare      = 0.64 // of the requests; the others are renewals
-	durationSigma    = 0.6  // of the lognormal distribution of durations
-	durationShift    = 0.18 // half of its square, by which the mean is the one specified
+	statusShare      = 0.64 // share of status checks among the requests; the others are renewals
+	durationSigma    = 0.6  // standard deviation of the logarithm of the durations, which are lognormally distributed
+	durationShift    = 0.18 // durationSigma² / 2, subtracted so that the mean of the durations is MeanDurationMs
 )
 
-// syntheticStart is the time of a synthetic log's beginning.
+// syntheticStart is the time at which synthetic logs start.
 var syntheticStart = time.Date(2026, 11, 29, 6, 0, 0, 0, time.UTC)
 
-// GenerateLog writes a log and returns its number of lines, which are in the order of their
-// arrivals. The same specification gives the same log.
+// GenerateLog writes a log and returns its number of lines. The lines are in the order of the
+// arrivals, although their timestamps mark the completions. The same specification gives the same log.
 func GenerateLog(out io.Writer, spec SyntheticLog) (lines int, err error) {
 	if err := spec.validate(); err != nil {
 		return 0, err
@@ -50,7 +50,7 @@
 	const bufferBytes = 256 << 10
 	writer := bufio.NewWriterSize(out, bufferBytes)
 	random := newRandomStream(spec.Seed, "made up")
-	arrivals := syntheticArrivals{spec: &spec, random: random, burst: 1}
+	arrivals := syntheticArrivals{spec: &spec, random: random, burstFactor: 1}
 	for arrivals.next() {
 		if err := spec.writeLine(writer, arrivals.elapsed, random); err != nil {
 			return lines, err
@@ -74,19 +74,19 @@
 
 // syntheticArrivals draws the arrivals of a synthetic log.
 type syntheticArrivals struct {
-	spec     *SyntheticLog
-	random   *rand.Rand
-	elapsed  float64 // since the start, s
-	burst    float64 // factor of the rate, for ShapeMorning
-	burstEnd float64 // s
+	spec        *SyntheticLog
+	random      *rand.Rand
+	elapsed     float64 // time of the last arrival since the start, s
+	burstFactor float64 // current factor of the rate, for ShapeMorning
+	burstEnd    float64 // time at which the factor changes, s
 }
 
-// next advances to the next arrival; false: the log has ended.
+// next advances elapsed to the next arrival. It returns false if that is after the end of the log.
 func (a *syntheticArrivals) next() bool {
 	length := a.spec.Length.Seconds()
 	rate := a.spec.Rate
 	switch a.spec.Shape {
-	case ShapeRush: // 3/5, 9/5 and 3/5 of the average
+	case ShapeRush: // 3/5 of the average rate, 9/5 in the middle third
 		rate *= 0.6
 		if a.elapsed > length/3 && a.elapsed < length*2/3 {
 			rate *= 3
@@ -94,15 +94,15 @@
 	case ShapeMorning:
 		if a.elapsed >= a.burstEnd {
 			a.burstEnd = a.elapsed + 0.25 + a.random.Float64()/2
-			a.burst = a.random.ExpFloat64()/2 + 0.5
+			a.burstFactor = a.random.ExpFloat64()/2 + 0.5
 		}
-		rate *= a.burst * (0.7 + 0.6*a.elapsed/length)
+		rate *= a.burstFactor * (0.7 + 0.6*a.elapsed/length)
 	}
 	a.elapsed += a.random.ExpFloat64() / rate
 	return a.elapsed < length
 }
 
-// writeLine writes the line of a request that arrives at elapsed, in seconds since the start.
+// writeLine writes the line of a random request that arrives elapsed seconds after the start.
 func (s *SyntheticLog) writeLine(writer io.Writer, elapsed float64, random *rand.Rand) error {
 	member := random.IntN(s.Members)
 	request := fmt.Sprintf("GET /members/%d/status", member)
--- a/internal/rehearsal/recording/template.go
+++ b/internal/rehearsal/recording/template.go
@@ -15,10 +15,10 @@
 	fieldSkipped fieldKind = iota
 	fieldTimeLocal
 	fieldTimeISO
-	fieldTimeSeconds // since 1970, with or without a fraction
+	fieldTimeSeconds // seconds since 1970, with or without a fraction
 	fieldTimeMilliseconds
 	fieldTimeMicroseconds
-	fieldTimePiece // one of several fields that make up the time, in the field's layout
+	fieldTimePiece // a part of the time, in the field's layout; joinTime joins the parts
 	fieldFractionMilliseconds
 	fieldFractionMicroseconds
 	fieldRequestLine
@@ -30,16 +30,17 @@
 	fieldDurationSeconds
 	fieldDurationMilliseconds
 	fieldDurationMicroseconds
-	fieldServiceTimes // seconds, one number for each upstream server that was tried
+	fieldServiceTimes // in seconds, one number for each upstream server that was tried
 	fieldClient
 	fieldRequestID
 	fieldBodyBytes
 )
 
-// isTime reports whether a field of the kind gives the time of the entry.
+// isTime reports whether the field contains the time of the entry or a part of it, other than a fraction
+// of the second.
 func (k fieldKind) isTime() bool { return k >= fieldTimeLocal && k <= fieldTimePiece }
 
-// microseconds is the number of microseconds in a unit of the field's number.
+// microseconds returns the number of microseconds in the unit of the field's value.
 func (k fieldKind) microseconds() float64 {
 	switch k {
 	case fieldTimeMilliseconds, fieldDurationMilliseconds:
@@ -53,23 +54,23 @@
 // templateField is a field of a log template and the literal text around it.
 type templateField struct {
 	kind   fieldKind
-	layout string // of package time, for fieldTimePiece
-	before string // literal text in front of the field
-	quoted bool   // the field is in quotes, within which a backslash escapes
-	end    string // literal text behind the field; empty: it ends with the line
+	layout string // layout of package time, only for fieldTimePiece
+	prefix string // literal text before the field
+	quoted bool   // the field is in quotes, and a backslash escapes characters in it
+	suffix string // literal text after the field; empty if the field extends to the end of the line
 }
 
-// templateState is what has been read of a line beside its RawEntry.
+// templateState holds values of the current line that parseTemplate combines once all fields are parsed.
 type templateState struct {
-	timeSeen    bool
-	pieces      []string // values of fieldTimePiece
-	layouts     []string // their layouts
+	timeSeen    bool     // RawEntry.Timestamp is set
+	pieces      []string // values of the fieldTimePiece fields
+	layouts     []string // layouts of these fields
 	hasFraction bool
-	fraction    int64 // of the second, microseconds
+	fraction    int64 // fraction of the second, in microseconds
 	query       string
 }
 
-// reset prepares for the next line; the buffers are reused.
+// reset clears the state before the next line. It keeps the buffers.
 func (s *templateState) reset() {
 	s.timeSeen = false
 	s.pieces = s.pieces[:0]
@@ -78,37 +79,37 @@
 	s.query = ""
 }
 
-// appendField adds a field behind the literal text, which it empties.
+// appendField adds a field after the literal text, and resets that text.
 func (f *Format) appendField(kind fieldKind, layout string, literal *strings.Builder) {
 	var previous *templateField
 	if len(f.template) > 0 {
 		previous = &f.template[len(f.template)-1]
 	}
 	if previous != nil && previous.kind == fieldPath && kind == fieldQuery && literal.Len() == 0 {
-		previous.kind = fieldTarget // %U%q is one text
+		previous.kind = fieldTarget // Apache's %U%q is the whole target, without a separator
 		return
 	}
 	before := literal.String()
 	literal.Reset()
 	if previous != nil {
-		previous.end = before
+		previous.suffix = before
 	}
 	f.template = append(f.template, templateField{
-		kind: kind, layout: layout, before: before, quoted: strings.HasSuffix(before, `"`),
+		kind: kind, layout: layout, prefix: before, quoted: strings.HasSuffix(before, `"`),
 	})
 }
 
-// finishTemplate sets the text behind the last field and checks that the template can be
-// parsed and gives the time and the request.
+// finishTemplate sets the literal text after the last field. It checks that text separates the fields,
+// and that they include the time, the method and the target.
 func (f *Format) finishTemplate(end string) error {
 	if len(f.template) == 0 {
 		return errors.New("no field")
 	}
-	f.template[len(f.template)-1].end = end
+	f.template[len(f.template)-1].suffix = end
 	var hasTime, hasMethod, hasTarget bool
 	for i, field := range f.template {
-		if i > 0 && field.before == "" {
-			return fmt.Errorf("field %d: nothing parts it from the one before", i+1)
+		if i > 0 && field.prefix == "" {
+			return fmt.Errorf("field %d: no text separates it from the previous field", i+1)
 		}
 		hasTime = hasTime || field.kind.isTime()
 		hasMethod = hasMethod || field.kind == fieldRequestLine || field.kind == fieldMethod
@@ -116,19 +117,19 @@
 	}
 	switch {
 	case !hasTime:
-		return errors.New("no field tells the time")
+		return errors.New("no field contains the time")
 	case !hasMethod || !hasTarget:
-		return errors.New("no field tells the request, or its method and target")
+		return errors.New("no field contains the request line, or no fields contain the method and the target")
 	}
 	return nil
 }
 
-// parseTemplate reads a line field by field.
+// parseTemplate parses a line of a text log field by field.
 func (f *Format) parseTemplate(line string, raw *RawEntry) error {
 	f.state.reset()
-	rest, ok := strings.CutPrefix(line, f.template[0].before)
+	rest, ok := strings.CutPrefix(line, f.template[0].prefix)
 	if !ok {
-		return fmt.Errorf("no %q at the start", f.template[0].before)
+		return fmt.Errorf("no %q at the start", f.template[0].prefix)
 	}
 	for i := range f.template {
 		var value string
@@ -145,8 +146,8 @@
 			return err
 		}
 	}
-	if rest != "" && !f.lenient {
-		return errors.New("more text than the format has")
+	if rest != "" && !f.allowTrailingText {
+		return errors.New("unexpected text after the last field")
 	}
 	if err := f.joinTime(raw); err != nil {
 		return err
@@ -155,22 +156,23 @@
 	return nil
 }
 
-// cutField splits text into the value of the field with the given index and what follows it.
+// cutField splits text into the value of the field with the given index and the text after the
+// field's literal end.
 func (f *Format) cutField(index int, text string) (value, rest string, err error) {
 	field := &f.template[index]
 	switch {
-	case field.quoted && strings.HasPrefix(field.end, `"`):
+	case field.quoted && strings.HasPrefix(field.suffix, `"`):
 		return f.cutQuotedField(index, text)
-	case field.end == "":
-		if f.lenient {
+	case field.suffix == "":
+		if f.allowTrailingText {
 			value, rest, _ = strings.Cut(text, " ")
 			return value, rest, nil
 		}
 		return text, "", nil
 	}
-	value, rest, ok := strings.Cut(text, field.end)
+	value, rest, ok := strings.Cut(text, field.suffix)
 	if !ok {
-		return "", "", fmt.Errorf("field %d: no %q behind it", index+1, field.end)
+		return "", "", fmt.Errorf("field %d: no %q behind it", index+1, field.suffix)
 	}
 	return value, rest, nil
 }
@@ -180,17 +182,17 @@
 	field := &f.template[index]
 	end := closingQuote(text)
 	if end < 0 {
-		return "", "", fmt.Errorf("field %d: its quotes do not end", index+1)
+		return "", "", fmt.Errorf("field %d: no closing quote", index+1)
 	}
 	value = text[:end]
 	rest = text[end:]
-	if f.lenient && index == len(f.template)-1 {
+	if f.allowTrailingText && index == len(f.template)-1 {
 		rest = rest[1:]
 	} else {
 		var ok bool
-		rest, ok = strings.CutPrefix(rest, field.end)
+		rest, ok = strings.CutPrefix(rest, field.suffix)
 		if !ok {
-			return "", "", fmt.Errorf("field %d: no %q behind it", index+1, field.end)
+			return "", "", fmt.Errorf("field %d: no %q behind it", index+1, field.suffix)
 		}
 	}
 	if field.kind != fieldSkipped && strings.IndexByte(value, '\\') >= 0 {
@@ -199,7 +201,7 @@
 	return value, rest, nil
 }
 
-// parseField takes the value of one field into raw or the template's state.
+// parseField parses the value of one field and stores it in raw or in the template's state.
 func (f *Format) parseField(field *templateField, value string, raw *RawEntry) (err error) {
 	empty := value == "" || value == "-"
 	switch field.kind {
@@ -241,7 +243,7 @@
 	return err
 }
 
-// parseTimeField takes a field that gives the time or a part of it.
+// parseTimeField parses a field that contains the time or a part of it.
 func (f *Format) parseTimeField(field *templateField, value string, raw *RawEntry) (err error) {
 	var parsed parsedTime
 	switch field.kind {
@@ -266,7 +268,7 @@
 		f.state.pieces = append(f.state.pieces, value)
 		f.state.layouts = append(f.state.layouts, field.layout)
 	case fieldFractionMilliseconds, fieldFractionMicroseconds:
-		const fractionBits = 20 // up to 1_048_575
+		const fractionBits = 20 // accepts values up to 1_048_575
 		fraction, err := strconv.ParseUint(value, 10, fractionBits)
 		if err != nil {
 			return errTimestamp
@@ -280,7 +282,8 @@
 	return err
 }
 
-// parseLocalTime parses a time of the Common format. Neighbouring lines mostly have the same.
+// parseLocalTime parses a time in the layout of the Common format. It caches the last result, since
+// consecutive lines mostly have the same time.
 func (f *Format) parseLocalTime(text string) (int64, error) {
 	if text != f.cachedText {
 		parsed, err := time.ParseInLocation(commonTimeLayout, text, f.zone)
@@ -293,7 +296,7 @@
 	return f.cachedTime, nil
 }
 
-// joinTime completes the time of an entry from the fields that give parts of it.
+// joinTime sets the time of an entry from the fields that contain parts of it, if there are any.
 func (f *Format) joinTime(raw *RawEntry) error {
 	state := &f.state
 	if len(state.pieces) > 0 {
@@ -322,8 +325,8 @@
 	return nil
 }
 
-// closingQuote returns the index of the quote that ends a quoted text; -1: there is none. A quote
-// behind an odd number of backslashes is escaped.
+// closingQuote returns the index of the quote that ends a quoted text, or -1 if there is none. A quote
+// after an odd number of backslashes is escaped.
 func closingQuote(text string) int {
 	searchFrom := 0
 	for {
@@ -341,7 +344,7 @@
 	}
 }
 
-// unescape reverts the escapes of NGINX and Apache: \xHH, \", \\, \n, \t, \r.
+// unescape decodes the escape sequences that NGINX and Apache write: \xHH, \", \\, \n, \t, \r.
 func unescape(text string) string {
 	out := make([]byte, 0, len(text))
 	for i := 0; i < len(text); i++ {
@@ -362,10 +365,11 @@
 	return string(out)
 }
 
-// hexByteDigits is the number of digits behind \x.
+// hexByteDigits is the number of digits after \x.
 const hexByteDigits = 2
 
-// parseHexByte reads the two hexadecimal digits at the start of text; ok is false if there are none.
+// parseHexByte parses the two hexadecimal digits at the start of text. ok is false if text does not
+// start with two such digits.
 func parseHexByte(text string) (value byte, ok bool) {
 	if len(text) < hexByteDigits {
 		return 0, false
@@ -374,7 +378,8 @@
 	return byte(number), err == nil
 }
 
-// unescapedByte returns the byte that a backslash and a letter stand for; others stand for themselves.
+// unescapedByte returns the byte that a backslash followed by the given byte stands for. A byte other
+// than n, t and r stands for itself.
 func unescapedByte(letter byte) byte {
 	switch letter {
 	case 'n':
--- a/internal/rehearsal/recording/template_apache.go
+++ b/internal/rehearsal/recording/template_apache.go
@@ -6,20 +6,20 @@
 	"strings"
 )
 
-// strftimeLayouts maps the conversions of strftime to layouts of package time.
+// strftimeLayouts maps the conversion characters of strftime to layouts of package time.
 var strftimeLayouts = map[byte]string{
 	'd': "02", 'e': "_2", 'b': "Jan", 'h': "Jan", 'B': "January", 'Y': "2006", 'y': "06", 'm': "01",
 	'H': "15", 'I': "03", 'p': "PM", 'M': "04", 'S': "05", 'z': "-0700", 'Z': "MST", 'T': "15:04:05", 'F': "2006-01-02",
 	'D': "01/02/06", 'R': "15:04", 'a': "Mon", 'A': "Monday", 'n': " ", 't': "\t", '%': "%",
 }
 
-// apacheTimeFields maps the arguments of %{...}t that are no strftime format.
+// apacheTimeFields maps those arguments of %{...}t that are not strftime formats.
 var apacheTimeFields = map[string]fieldKind{
 	"sec": fieldTimeSeconds, "msec": fieldTimeMilliseconds, "usec": fieldTimeMicroseconds,
 	"msec_frac": fieldFractionMilliseconds, "usec_frac": fieldFractionMicroseconds,
 }
 
-// apacheFields maps the directives whose argument does not matter.
+// apacheFields maps the directives that do not depend on an argument. Other directives are skipped.
 var apacheFields = map[byte]fieldKind{
 	'h': fieldClient, 'a': fieldClient, 'r': fieldRequestLine, 'm': fieldMethod, 'U': fieldPath, 'q': fieldQuery,
 	's': fieldStatus, 'D': fieldDurationMicroseconds, 'L': fieldRequestID,
@@ -33,9 +33,9 @@
 	literal  strings.Builder
 }
 
-// compileApache compiles the text of a LogFormat directive.
+// compileApache compiles the text of Apache's LogFormat directive.
 func (f *Format) compileApache(text string) error {
-	f.StampsArrival = true
+	f.TimestampsMarkArrival = true
 	compiler := apacheCompiler{format: f, text: text}
 	for compiler.position < len(text) {
 		switch {
@@ -54,7 +54,8 @@
 	return f.finishTemplate(compiler.literal.String())
 }
 
-// readEscape reads a backslash and the byte behind it, as the configuration file writes them.
+// readEscape reads a backslash and the byte after it, which are an escape sequence of Apache's
+// configuration files.
 func (c *apacheCompiler) readEscape() {
 	switch escaped := c.text[c.position+1]; escaped {
 	case 't':
@@ -66,7 +67,7 @@
 	c.position += 2
 }
 
-// readDirective reads a directive from the byte behind its percent sign.
+// readDirective reads a directive. position is that of the byte after its percent sign.
 func (c *apacheCompiler) readDirective() error {
 	c.skipModifiers()
 	argument, err := c.readArgument()
@@ -74,7 +75,7 @@
 		return err
 	}
 	if c.position >= len(c.text) {
-		return errors.New("ends in the middle of a field")
+		return errors.New("the text ends in the middle of a directive")
 	}
 	directive := c.text[c.position]
 	c.position++
@@ -93,14 +94,14 @@
 	return nil
 }
 
-// skipModifiers skips status codes and the < and > of redirected requests.
+// skipModifiers skips the modifiers of a directive: status codes, and < and > for redirected requests.
 func (c *apacheCompiler) skipModifiers() {
 	for c.position < len(c.text) && (strings.IndexByte("<>!,", c.text[c.position]) >= 0 || c.text[c.position] >= '0' && c.text[c.position] <= '9') {
 		c.position++
 	}
 }
 
-// readArgument reads an argument in braces; empty: there is none.
+// readArgument reads the argument in braces, or returns "" if there is none.
 func (c *apacheCompiler) readArgument() (string, error) {
 	if c.position >= len(c.text) || c.text[c.position] != '{' {
 		return "", nil
@@ -114,11 +115,11 @@
 	return argument, nil
 }
 
-// addTime adds the field of %t or %{...}t.
+// addTime adds the field of a %t or %{...}t directive.
 func (c *apacheCompiler) addTime(argument string) error {
 	argument, completion := strings.CutPrefix(argument, "end:")
 	if completion {
-		c.format.StampsArrival = false
+		c.format.TimestampsMarkArrival = false
 	}
 	argument = strings.TrimPrefix(argument, "begin:")
 	if argument == "" {
@@ -139,7 +140,7 @@
 	return nil
 }
 
-// strftimeLayout translates a strftime format to a layout of package time.
+// strftimeLayout converts a strftime format to a layout of package time.
 func strftimeLayout(format string) (string, error) {
 	var layout strings.Builder
 	for i := 0; i < len(format); i++ {
@@ -150,14 +151,14 @@
 		i++
 		conversion, ok := strftimeLayouts[format[i]]
 		if !ok {
-			return "", fmt.Errorf("%%{...}t: %%%c is not known", format[i])
+			return "", fmt.Errorf("%%{...}t: unknown conversion %%%c", format[i])
 		}
 		layout.WriteString(conversion)
 	}
 	return layout.String(), nil
 }
 
-// apacheFieldKind maps a directive other than %t and %% to a field.
+// apacheFieldKind returns the kind of field of a directive other than %t and %%.
 func apacheFieldKind(directive byte, argument string) (fieldKind, error) {
 	switch directive {
 	case 'T':
@@ -169,7 +170,7 @@
 		case "us":
 			return fieldDurationMicroseconds, nil
 		}
-		return fieldSkipped, fmt.Errorf("%%{%s}T: no unit that is known", argument)
+		return fieldSkipped, fmt.Errorf("%%{%s}T: unknown unit", argument)
 	case 'e':
 		if strings.ToLower(argument) == "unique_id" {
 			return fieldRequestID, nil
--- a/internal/rehearsal/recording/template_nginx.go
+++ b/internal/rehearsal/recording/template_nginx.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// nginxFields maps NGINX's variables to fields; all others are skipped.
+// nginxFields maps NGINX variables to the kinds of fields. Other variables are skipped.
 var nginxFields = map[string]fieldKind{
 	"time_local": fieldTimeLocal, "time_iso8601": fieldTimeISO, "msec": fieldTimeSeconds,
 	"request": fieldRequestLine, "request_method": fieldMethod, "request_uri": fieldTarget,
@@ -16,7 +16,7 @@
 	"content_length": fieldBodyBytes,
 }
 
-// compileNGINX compiles the text of a log_format directive.
+// compileNGINX compiles the text of NGINX's log_format directive.
 func (f *Format) compileNGINX(text string) error {
 	var literal strings.Builder
 	for index := 0; index < len(text); {
@@ -35,8 +35,8 @@
 	return f.finishTemplate(literal.String())
 }
 
-// cutNGINXVariable reads the name of a variable, with or without braces, from the byte
-// behind its $ and returns the index of the byte behind the variable.
+// cutNGINXVariable parses a variable, with or without braces. start is the index of the byte after its
+// $. It returns the variable's name and the index of the byte after the variable.
 func cutNGINXVariable(text string, start int) (name string, end int, err error) {
 	braces := start < len(text) && text[start] == '{'
 	if braces {
--- a/internal/rehearsal/recording/timestamp.go
+++ b/internal/rehearsal/recording/timestamp.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// commonTimeLayout is that of the Common log format.
+// commonTimeLayout is the layout of timestamps in the Common log format.
 const commonTimeLayout = "02/Jan/2006:15:04:05 -0700"
 
-// The layouts in which logs write timestamps, with and without a zone.
+// The layouts of timestamps in logs, with and without a zone.
 var (
 	zonedLayouts = []string{time.RFC3339Nano, "2006-01-02T15:04:05.999999999Z0700", "2006-01-02 15:04:05.999999999Z07:00",
 		commonTimeLayout}
 	localLayouts = []string{"2006-01-02T15:04:05.999999999", "2006-01-02 15:04:05.999999999"}
 )
 
-// parseDuration reads a number of units, each of scale microseconds, as microseconds.
+// parseDuration parses a number of units of scale microseconds each and returns it in microseconds.
 func parseDuration(text string, scale float64) (int64, error) {
 	number, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(number) || number < 0 || number*scale > float64(day) {
@@ -26,8 +26,8 @@
 	return int64(math.Round(number * scale)), nil
 }
 
-// addServiceTimes adds the seconds that NGINX logs, one number for each upstream server, to
-// a sum in microseconds, of which -1 means none recorded.
+// addServiceTimes adds the numbers in text, which NGINX logs in seconds for each upstream server, to a
+// sum in microseconds. A sum of notRecorded means that there is none yet.
 func addServiceTimes(sum int64, text string) (int64, error) {
 	isSeparator := func(c rune) bool { return c == ',' || c == ':' || c == ' ' }
 	for number := range strings.FieldsFuncSeq(text, isSeparator) {
@@ -43,14 +43,14 @@
 	return sum, nil
 }
 
-// parsedTime is a time as it is read from a log, in microseconds.
+// parsedTime is a time that was read from a log, in microseconds.
 type parsedTime struct {
 	timestamp  int64 // Unix time
 	resolution int64
-	foldOffset int64 // as in RawEntry
+	foldOffset int64 // see RawEntry.FoldOffset
 }
 
-// parseEpoch reads a time since 1970 in units of scale microseconds.
+// parseEpoch parses a time since 1970 in units of scale microseconds.
 func parseEpoch(text string, scale float64) (parsedTime, error) {
 	const yearTenThousand = 253402300799e6 // the last second of the year 9999, µs
 	whole, fraction, hasFraction := strings.Cut(text, ".")
@@ -70,7 +70,7 @@
 	return parsed, nil
 }
 
-// parseTimestamp reads a timestamp in one of the layouts that logs use.
+// parseTimestamp parses a timestamp in one of zonedLayouts or localLayouts. zone applies to the latter.
 func parseTimestamp(text string, zone *time.Location) (parsedTime, error) {
 	var foldOffset int64
 	moment, err := parseLayouts(zonedLayouts, text, zone)
@@ -90,7 +90,7 @@
 	return parsed, nil
 }
 
-// parseLayouts parses text in the first layout that fits.
+// parseLayouts parses text with the first of the layouts that fits.
 func parseLayouts(layouts []string, text string, zone *time.Location) (parsed time.Time, err error) {
 	for _, layout := range layouts {
 		parsed, err = time.ParseInLocation(layout, text, zone)
@@ -101,8 +101,9 @@
 	return parsed, err
 }
 
-// resolveFold finds out whether a local time occurs twice as summer time ends. It returns the
-// first of the two moments and how much later the second one is; 0: the time occurs once.
+// resolveFold determines whether a local time occurs twice because summer time ends. If so, it returns
+// the first of the two times and how much later the second one is, in microseconds; otherwise the time
+// itself and 0.
 func resolveFold(local time.Time) (time.Time, int64) {
 	sameClock := func(t time.Time) bool { return t.Hour() == local.Hour() && t.Minute() == local.Minute() }
 	earlier := local.Add(-time.Hour)
@@ -115,7 +116,7 @@
 	return local, time.Hour.Microseconds()
 }
 
-// parseStatus reads an HTTP status of three digits.
+// parseStatus parses an HTTP status of three digits.
 func parseStatus(text string) (int, error) {
 	if len(text) != 3 || text[0] < '0' || text[0] > '9' {
 		return 0, errStatus
@@ -127,7 +128,7 @@
 	return status, nil
 }
 
-// parseBodyBytes reads a positive number of bytes; anything else leaves the size as it was.
+// parseBodyBytes parses a positive number of bytes. If text is anything else, it returns size.
 func parseBodyBytes(text string, size int) int {
 	if n, err := strconv.Atoi(text); err == nil && n > 0 {
 		return n
--- a/internal/rehearsal/recording/transform.go
+++ b/internal/rehearsal/recording/transform.go
@@ -13,7 +13,8 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/recording/recordingpb"
 )
 
-// deriveHeader copies the header for a recording made from this one. history describes how.
+// deriveHeader returns a copy of the header for a recording that is derived from this one. history says
+// how, and is appended to the header's history.
 func (r *Reader) deriveHeader(history string) *recordingpb.Header {
 	header := proto.Clone(r.Header).(*recordingpb.Header)
 	header.Entries = 0
@@ -21,8 +22,8 @@
 	return header
 }
 
-// Slice copies the entries that arrive at from or later and before until; 0 means the end. The
-// new recording starts at from.
+// Slice writes a recording of the entries that arrive at from or later and before until, where 0 means
+// the end of the recording. The new recording starts at from.
 func Slice(recording *Reader, out io.Writer, from, until time.Duration) error {
 	if from < 0 || until != 0 && until <= from {
 		return errors.New("slice: the window is empty")
@@ -47,10 +48,11 @@
 	return writer.Close()
 }
 
-// Merge combines recordings by their times or, if align is set, with all starts at once.
+// Merge writes a recording of the entries of all given recordings. The entries keep their absolute times
+// or, if align is set, their times since the start of their recording.
 func Merge(recordings []*Reader, out io.Writer, align bool) error {
 	if len(recordings) == 0 {
-		return errors.New("merge: nothing to merge")
+		return errors.New("merge: no recordings")
 	}
 	merger := merger{recordings: recordings, align: align}
 	if err := merger.mergeHeaders(); err != nil {
@@ -70,24 +72,24 @@
 		if err := writer.Add(&next.Entry); err != nil {
 			return err
 		}
-		if err := merger.readNext(int(next.order)); err != nil {
+		if err := merger.readNext(int(next.tieBreaker)); err != nil {
 			return err
 		}
 	}
 	return writer.Close()
 }
 
-// merger merges recordings.
+// merger is the state of Merge.
 type merger struct {
 	recordings  []*Reader
 	align       bool
 	header      *recordingpb.Header
-	classes     [][]int    // by recording and its class: the index in the header
-	firstSource []int      // by recording: the index in the header of its first source
-	queue       entryQueue // the next entry of each recording, which is its order
+	classes     [][]int    // by recording and index of the class in it: the index of the class in header
+	firstSource []int      // by recording: the index in header of its first source
+	queue       entryQueue // the next entry of each recording; tieBreaker is the index of the recording
 }
 
-// mergeHeaders makes the header of the merged recording.
+// mergeHeaders creates the header of the merged recording.
 func (m *merger) mergeHeaders() error {
 	m.header = m.recordings[0].deriveHeader(fmt.Sprintf("merge of %d", len(m.recordings)))
 	m.header.Classes = nil
@@ -113,7 +115,7 @@
 	return nil
 }
 
-// mergeClasses adds the classes of a recording and returns their indexes in the merged header.
+// mergeClasses adds the classes of a recording to the merged header and returns their indexes in it.
 func (m *merger) mergeClasses(header *recordingpb.Header, indexByName map[string]int) (indexes []int, err error) {
 	for _, class := range header.Classes {
 		index, ok := indexByName[class.Name]
@@ -138,7 +140,7 @@
 	sum.Repaired += counts.GetRepaired()
 }
 
-// readNext queues the next entry of a recording, unless it has ended.
+// readNext reads the next entry of a recording and adds it to the queue, unless there is none.
 func (m *merger) readNext(index int) error {
 	recording := m.recordings[index]
 	var entry Entry
@@ -158,17 +160,17 @@
 	return nil
 }
 
-// entryQueue is a heap of entries by their arrival, then order.
+// entryQueue is a heap of entries, ordered by arrival and then by tieBreaker.
 type entryQueue []queuedEntry
 
 type queuedEntry struct {
 	Entry
-	order uint64
+	tieBreaker uint64 // decides between entries with the same arrival
 }
 
 func (q entryQueue) Len() int { return len(q) }
 func (q entryQueue) Less(i, j int) bool {
-	return q[i].Arrival < q[j].Arrival || q[i].Arrival == q[j].Arrival && q[i].order < q[j].order
+	return q[i].Arrival < q[j].Arrival || q[i].Arrival == q[j].Arrival && q[i].tieBreaker < q[j].tieBreaker
 }
 func (q entryQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q *entryQueue) Push(x any)   { *q = append(*q, x.(queuedEntry)) }
@@ -178,9 +180,9 @@
 	return last
 }
 
-// Scale multiplies the rate of a recording, by dropping entries or adding copies with other keys
-// up to a second after their originals, and the speed at which its time passes. Durations and
-// efforts stay as they are.
+// Scale writes a recording with rate times as many entries, which arrive speed times as fast. For a rate
+// below 1 it drops entries at random. For a rate above 1 it adds copies of entries, with other keys and
+// up to a second after the originals. Durations and efforts are not changed.
 func Scale(recording *Reader, out io.Writer, rate, speed float64, seed uint64) error {
 	for _, factor := range []float64{rate, speed} {
 		if !(factor >= 0.001 && factor <= 1000) {
@@ -220,7 +222,7 @@
 	return writer.Close()
 }
 
-// keyOfCopy derives the key of a copy from the original's.
+// keyOfCopy derives the key of an entry's copy from the entry's key. index numbers the copies.
 func keyOfCopy(key uint64, index int) uint64 {
 	const goldenRatio = 0x9e3779b97f4a7c15 // 2^64 / φ
 	if key == 0 {
@@ -229,20 +231,20 @@
 	return (key + uint64(index)*goldenRatio) | 1
 }
 
-// scaler puts the copies of entries in order and writes them at the scaled speed.
+// scaler sorts the entries and their copies by arrival and writes them with scaled arrivals.
 type scaler struct {
-	writer *Writer
-	speed  float64
-	queue  entryQueue
-	order  uint64
+	writer         *Writer
+	speed          float64
+	queue          entryQueue // entries that are not written yet
+	lastTieBreaker uint64     // tieBreaker of the entry that was added last
 }
 
 func (s *scaler) add(entry Entry) {
-	s.order++
-	heap.Push(&s.queue, queuedEntry{entry, s.order})
+	s.lastTieBreaker++
+	heap.Push(&s.queue, queuedEntry{entry, s.lastTieBreaker})
 }
 
-// writeUntil writes the entries that arrive until the given time of the original.
+// writeUntil writes the queued entries whose arrival, before it is scaled, is at most until.
 func (s *scaler) writeUntil(until time.Duration) error {
 	for len(s.queue) > 0 && s.queue[0].Arrival <= until {
 		next := heap.Pop(&s.queue).(queuedEntry)
--- a/internal/rehearsal/recording/unpack.go
+++ b/internal/rehearsal/recording/unpack.go
@@ -15,17 +15,18 @@
 
 const (
 	maxLineBytes   = 256 << 10 // longer lines are malformed
-	detectionBytes = 64 << 10  // the format is detected from
-	maxZstdWindow  = 16 << 20  // bytes; input that needs more memory is rejected
+	detectionBytes = 64 << 10  // beginning of a file from which its format is detected
+	maxZstdWindow  = 16 << 20  // in bytes; input with a larger window is rejected
 )
 
-// hashingReader hashes what is read through it: SHA-256 of all, and a hash of samples that
-// nobody without the input can compute from the first.
+// hashingReader hashes the content that is read through it: full is the SHA-256 of all of it, and
+// secretSample that of a prefix and samples of the content. Who knows full but not the content
+// cannot compute secretSample.
 type hashingReader struct {
 	reader       io.Reader
 	full         hash.Hash
 	secretSample hash.Hash
-	bytes        int64
+	bytesRead    int64 // read so far
 }
 
 func newHashingReader(reader io.Reader) *hashingReader {
@@ -39,17 +40,17 @@
 	n, err := h.reader.Read(p)
 	h.full.Write(p[:n])
 	h.sample(p[:n])
-	h.bytes += int64(n)
+	h.bytesRead += int64(n)
 	return n, err
 }
 
-// sample hashes the part of data that lies in the first 64 KiB of each MiB of the input.
+// sample adds to secretSample those bytes of data that lie in the first 64 KiB of each MiB of the input.
 func (h *hashingReader) sample(data []byte) {
 	const (
 		sampleBytes = 64 << 10
 		stride      = 1 << 20
 	)
-	offset := h.bytes
+	offset := h.bytesRead
 	for len(data) > 0 {
 		inStride := offset % stride
 		step := min(int64(len(data)), stride-inStride)
@@ -67,8 +68,8 @@
 	zstdMagic = []byte{0x28, 0xb5, 0x2f, 0xfd}
 )
 
-// unpack decompresses gzip and zstd, which it recognises by their first bytes; anything else is
-// read as it is.
+// unpack returns a reader of the decompressed content of source. It recognises gzip and zstd by their
+// first bytes; other content is read unchanged.
 func unpack(source io.Reader) (*bufio.Reader, error) {
 	input := bufio.NewReaderSize(source, maxLineBytes)
 	head, err := input.Peek(len(zstdMagic))
--- a/internal/rehearsal/recording/writer.go
+++ b/internal/rehearsal/recording/writer.go
@@ -13,21 +13,22 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/recording/recordingpb"
 )
 
-// Writer writes a recording file: frames of a header, blocks of entries and an end with the
-// number of entries and a checksum, each preceded by its length, all compressed with zstd. Its
-// errors are those of the underlying writer, or an entry out of order.
+// Writer writes a recording file: a zstd stream of frames, each preceded by its length. The first frame
+// is the header, then come blocks of entries, and the last one is the end, with the number of entries
+// and a checksum. Its methods return an error if the underlying writer fails or an entry is out of
+// order.
 type Writer struct {
 	encoder     *zstd.Encoder
 	checksum    *xxhash.Digest
 	block       recordingpb.Block
-	entryPool   []recordingpb.Entry // of the block
+	entryPool   []recordingpb.Entry // memory of the block's entries, reused for each block
 	buffer      []byte
 	lastArrival time.Duration
 	count       uint64
 	header      *recordingpb.Header
 }
 
-// NewWriter starts a file by writing the header, which remains the caller's.
+// NewWriter starts a file by writing the header, which it does not modify.
 func NewWriter(out io.Writer, header *recordingpb.Header) (*Writer, error) {
 	encoder, err := zstd.NewWriter(out, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedFastest),
 		zstd.WithWindowSize(zstdWindowBytes), zstd.WithEncoderCRC(true))
@@ -50,10 +51,10 @@
 	return err
 }
 
-// Add writes an entry, which must not be earlier than the one before it.
+// Add adds an entry, which must not be earlier than the previous one.
 func (w *Writer) Add(entry *Entry) error {
 	if entry.Arrival < w.lastArrival {
-		return fmt.Errorf("entry %d comes before the one before it", w.count+1)
+		return fmt.Errorf("entry %d is earlier than the previous one", w.count+1)
 	}
 	arrival := entry.Arrival.Truncate(time.Microsecond)
 	stored := &w.entryPool[len(w.block.Entries)]
@@ -65,7 +66,7 @@
 	stored.LeftMs = uint32(entry.Timeout.Milliseconds())
 	stored.Slots = float32(entry.Slots)
 	if entry.Slots == 1 {
-		stored.Slots = 0 // the default
+		stored.Slots = 0 // means 1, and is not stored
 	}
 	stored.BodyBytes = uint32(entry.BodyBytes)
 	stored.Status = uint32(entry.Status)
@@ -89,8 +90,8 @@
 	return err
 }
 
-// Close writes the last block and the end. Readers reject a file without it. It does not close
-// the underlying writer.
+// Close writes the last block and the end frame, without which readers reject the file. It does not
+// close the underlying writer.
 func (w *Writer) Close() error {
 	if err := w.flushBlock(); err != nil {
 		return err
