--- a/internal/rehearsal/replay/faktory.go
+++ b/internal/rehearsal/replay/faktory.go
@@ -17,7 +17,7 @@
 	maxBulkBytes      = 1 << 20
 )
 
-// faktoryJob is a job of the Faktory protocol. Fields are in the alphabetical order of their keys.
+// faktoryJob is the JSON of a job in a PUSH command. Its fields are in the alphabetical order of their keys.
 type faktoryJob struct {
 	Args    []string      `json:"args"`
 	Custom  faktoryCustom `json:"custom"`
@@ -26,6 +26,7 @@
 	Queue   string        `json:"queue"`
 }
 
+// faktoryCustom is the "custom" object of a job, which carries the facts about the request.
 type faktoryCustom struct {
 	EffortUs   int64   `json:"effort_us"`
 	Key        string  `json:"key"`
@@ -33,26 +34,27 @@
 	TimeLeftMs int64   `json:"time_left_ms"`
 }
 
-// faktoryGreeting is the server's HI.
+// faktoryGreeting is the JSON of the server's HI.
 type faktoryGreeting struct {
-	Version    int    `json:"v"`
-	Salt       string `json:"s"` // empty: no password is needed
-	Iterations int    `json:"i"`
+	Version    int    `json:"v"` // of the protocol
+	Salt       string `json:"s"` // empty if no password is needed
+	Iterations int    `json:"i"` // of the password's hash
 }
 
-// faktoryHello is the client's HELLO.
+// faktoryHello is the JSON of the client's HELLO.
 type faktoryHello struct {
 	Hostname     string `json:"hostname"`
 	PasswordHash string `json:"pwdhash,omitempty"`
 	Version      int    `json:"v"`
 }
 
-// errProtocol means that what the server sent is not of the Faktory protocol, or of another version of it.
+// errProtocol means that the server's data does not follow the Faktory protocol, or follows another
+// version of it.
 var errProtocol = errors.New("not the Faktory protocol, version 2")
 
 // appendPush appends the request as a PUSH command.
 func appendPush(buffer []byte, next *request, body []byte) []byte {
-	text, _ := json.Marshal(faktoryJob{ // strings and numbers always marshal
+	text, _ := json.Marshal(faktoryJob{ // cannot fail for strings and finite numbers
 		Args: []string{string(body)},
 		Custom: faktoryCustom{
 			EffortUs:   next.Effort.Microseconds(),
@@ -84,7 +86,7 @@
 	return answer{outcome: Failed, reason: normalizeReason(line)}, nil
 }
 
-// readLine reads one line; of a bulk string its text.
+// readLine reads one line. If that is the length of a bulk string, it reads and returns the string.
 func (c *connection) readLine() (string, error) {
 	raw, err := c.input.ReadSlice('\n')
 	if err != nil {
@@ -99,7 +101,7 @@
 	if err != nil || textBytes > maxBulkBytes {
 		return "", errProtocol
 	}
-	if textBytes < 0 { // the null string
+	if textBytes < 0 { // the null bulk string
 		return "", nil
 	}
 	text := make([]byte, textBytes+len("\r\n"))
@@ -107,7 +109,7 @@
 	return string(text[:textBytes]), err
 }
 
-// handshake logs in as a producer.
+// handshake answers the server's HI with HELLO, as a producer, and reads the server's answer.
 func (c *connection) handshake(password string) error {
 	line, err := c.readLine()
 	if err != nil {
@@ -125,7 +127,7 @@
 	if greeting.Salt != "" {
 		hello.PasswordHash = hashPassword(password, greeting)
 	}
-	raw, _ := json.Marshal(hello) // strings and numbers always marshal
+	raw, _ := json.Marshal(hello) // cannot fail for strings and integers
 	if _, err := fmt.Fprintf(c.conn, "HELLO %s\r\n", raw); err != nil {
 		return err
 	}
@@ -139,7 +141,8 @@
 	return nil
 }
 
-// hashPassword hashes the password as the protocol demands: SHA-256 of it with the salt, iterated.
+// hashPassword hashes the password as the protocol demands: SHA-256 of the password and the salt, applied
+// again to its result until the server's number of iterations is reached.
 func hashPassword(password string, greeting faktoryGreeting) string {
 	sum := sha256.Sum256([]byte(password + greeting.Salt))
 	for range max(greeting.Iterations, 1) - 1 {
--- a/internal/rehearsal/replay/fidelity.go
+++ b/internal/rehearsal/replay/fidelity.go
@@ -5,31 +5,31 @@
 	"slices"
 )
 
-// Fidelity compares the times of the sends with those of the recording. Withheld entries count in
-// neither; late sends always count.
+// Fidelity compares the times at which entries were sent with their recorded times. Withheld entries are
+// not included. Entries that were sent late are, and so are those whose connection could not be opened.
 type Fidelity struct {
-	MaxSecondError   float64  `json:"max_second_error"` // largest difference in count of a second, as a share of its count or of 50, if that is more
+	MaxSecondError   float64  `json:"max_second_error"` // largest difference in count of a second, relative to the recorded count or minSecondCount
 	KS               float64  `json:"ks"`               // Kolmogorov-Smirnov distance of the arrival times
-	KSGaps           float64  `json:"ks_gaps"`          // and of the times between two arrivals
-	LatenessP50      int64    `json:"late_p50_us"`      // from the recorded time until an entry was written, or a connection begun for it
+	KSGaps           float64  `json:"ks_gaps"`          // Kolmogorov-Smirnov distance of the times between two arrivals
+	LatenessP50      int64    `json:"late_p50_us"`      // from due until written, or until opening a connection for it began
 	LatenessP99      int64    `json:"late_p99_us"`
 	LatenessMax      int64    `json:"late_max_us"`
-	WriteLatenessP99 int64    `json:"written_late_p99_us"` // until its first byte was written, with the time that the dispatcher took to accept a connection
+	WriteLatenessP99 int64    `json:"written_late_p99_us"` // from due until written, including the time to open a connection
 	Gaps             []GapRow `json:"gaps"`
-	Compared         int      `json:"compared"` // entries; those after the first four million are not
+	Compared         int      `json:"compared"` // number of entries in KS, KSGaps and Gaps, at most maxCompared
 }
 
-// GapRow is a quantile of the time between two arrivals, in microseconds.
+// GapRow holds a quantile of the times between two arrivals, in microseconds, as recorded and as sent.
 type GapRow struct {
 	Quantile float64 `json:"q"`
 	Recorded int64   `json:"recorded_us"`
 	Replayed int64   `json:"replayed_us"`
 }
 
-// gapQuantiles are those of Fidelity.Gaps.
+// gapQuantiles holds the quantiles in Fidelity.Gaps.
 var gapQuantiles = []float64{0.1, 0.5, 0.9, 0.99, 0.999}
 
-// gapRows returns the rows of the quantiles of two sorted samples of the same size; none if they are empty.
+// gapRows returns the gapQuantiles of two sorted samples of the same size, or nil if these are empty.
 func gapRows(recorded, replayed []int64) []GapRow {
 	if len(recorded) == 0 {
 		return nil
@@ -52,8 +52,8 @@
 	return gaps
 }
 
-// kolmogorovSmirnov is the Kolmogorov-Smirnov distance of two sorted samples: the largest
-// difference of their distribution functions.
+// kolmogorovSmirnov returns the Kolmogorov-Smirnov distance of two sorted samples: the largest difference
+// between their distribution functions.
 func kolmogorovSmirnov(first, second []int64) float64 {
 	distance := 0.0
 	i := 0
--- a/internal/rehearsal/replay/fidelity_test.go
+++ b/internal/rehearsal/replay/fidelity_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// Of 1000 entries in 10 s a tenth is sent half a second late.
+// If a tenth of 1000 entries in 10 s is sent half a second late, the lateness and the distances show it.
 func TestFidelityShowsLateSends(t *testing.T) {
 	times := newSeries()
 	for i := range 1000 {
@@ -38,6 +38,6 @@
 		t.Errorf("lateness of at most %d us, want 499000 or more; median %d us, want 10 or less", got.LatenessMax, got.LatenessP50)
 	}
 	if got.KS < 0.004 || got.MaxSecondError < 0.04 {
-		t.Errorf("distance %g, want 0.004 or more; worst second %g, want 0.04 or more", got.KS, got.MaxSecondError)
+		t.Errorf("distance %g, want 0.004 or more; largest error of a second %g, want 0.04 or more", got.KS, got.MaxSecondError)
 	}
 }
--- a/internal/rehearsal/replay/http.go
+++ b/internal/rehearsal/replay/http.go
@@ -10,7 +10,7 @@
 // maxAnswerBytes bounds the body of an answer that is read.
 const maxAnswerBytes = 1 << 20
 
-// appendHTTPRequest appends the request in the form of the HTTP front end.
+// appendHTTPRequest appends the request as an HTTP request to the HTTP front end.
 func appendHTTPRequest(buffer []byte, next *request, target string, body []byte) []byte {
 	buffer = fmt.Appendf(buffer, "POST %s HTTP/1.1\r\nHost: %s\r\nX-Correlation-Id: %s\r\nX-Time-Left-Ms: %d\r\n"+
 		"X-Weight-Hint: %d\r\nContent-Length: %d\r\n", next.path, target, next.id, next.Timeout.Milliseconds(),
@@ -36,12 +36,12 @@
 		return answer{}, err
 	}
 	if response.StatusCode == http.StatusOK {
-		return answer{outcome: Served, last: response.Close}, nil
+		return answer{outcome: Served, closesConnection: response.Close}, nil
 	}
 	reason := Reason(fmt.Sprintf("%d %s", response.StatusCode, normalizeReason(string(text))))
 	switch response.StatusCode {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		return answer{outcome: Rejected, reason: reason, last: response.Close}, nil
+		return answer{outcome: Rejected, reason: reason, closesConnection: response.Close}, nil
 	}
-	return answer{outcome: Failed, reason: reason, last: response.Close}, nil
+	return answer{outcome: Failed, reason: reason, closesConnection: response.Close}, nil
 }
--- a/internal/rehearsal/replay/pool.go
+++ b/internal/rehearsal/replay/pool.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// maxIdleConnections bounds a pool; further connections are closed.
+// maxIdleConnections is the largest number of idle connections; further ones are closed.
 const maxIdleConnections = 4096
 
 // pool holds the idle connections. It is safe for concurrent use.
@@ -11,7 +11,7 @@
 	idle  []*connection
 }
 
-// take removes the connection that became idle last and returns it; nil: there is none.
+// take removes and returns the connection that became idle last, or returns nil if there is none.
 func (p *pool) take() *connection {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -24,7 +24,7 @@
 	return taken
 }
 
-// put makes a connection idle.
+// put adds a connection that has become idle, or closes it if the pool is full.
 func (p *pool) put(c *connection) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -35,7 +35,7 @@
 	p.idle = append(p.idle, c)
 }
 
-// remove removes a connection that has ended; one that is not idle is left alone.
+// remove removes a connection that has ended, if it is idle.
 func (p *pool) remove(ended *connection) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/rehearsal/replay/reason.go
+++ b/internal/rehearsal/replay/reason.go
@@ -2,7 +2,8 @@
 
 import "strings"
 
-// Reason says why an entry was not served, in the dispatcher's words or in those of an error.
+// Reason says why an entry was not served: the text of the dispatcher's answer, the text of an error, or
+// one of the constants below.
 type Reason string
 
 // The reasons for which requests are lost or not sent.
@@ -14,12 +15,12 @@
 )
 
 const (
-	maxReasons     = 32 // further ones are counted together
-	maxReasonBytes = 120
+	maxReasons     = 32  // distinct reasons that are counted; further ones are counted as otherReasons
+	maxReasonBytes = 120 // longer reasons are truncated
 	otherReasons   = "others"
 )
 
-// countReason counts a reason by its class and first line.
+// countReason counts a reason under the class and the reason's first line.
 func countReason(counts map[string]int, class string, reason Reason) {
 	key, _, _ := strings.Cut(strings.TrimSpace(class+": "+string(reason)), "\n")
 	if len(key) > maxReasonBytes {
@@ -31,7 +32,8 @@
 	counts[key]++
 }
 
-// normalizeReason replaces numbers in the first line of a text by N, so that similar reasons are counted together.
+// normalizeReason returns the first line of a text with each number replaced by N, so that reasons that
+// differ only in numbers are counted together.
 func normalizeReason(text string) Reason {
 	firstLine, _, _ := strings.Cut(text, "\n")
 	var normalized strings.Builder
--- a/internal/rehearsal/replay/recorder.go
+++ b/internal/rehearsal/replay/recorder.go
@@ -10,22 +10,22 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/recording/recordingpb"
 )
 
-// recorder collects what becomes of the requests. Its methods are safe for concurrent use. Times are since the start
-// of the replay.
+// recorder records the outcomes and the times of the requests. Its methods are safe for concurrent use.
+// Times are since the start of the replay.
 type recorder struct {
-	latencyObjectives map[string]time.Duration // by class; none: no bound
+	latencyObjectives map[string]time.Duration // by class; without one, each served request counts as within the objective
 
-	mutex     sync.Mutex // for all below, and for the tallies of requests
+	mutex     sync.Mutex // protects the fields below and the tallies
 	result    *Result
 	series    *series
-	idsHash   uint64 // of the ids that were sent, whatever their order
-	completed int    // requests
+	idsHash   uint64 // hash of the set of the ids that were sent, independent of their order
+	completed int    // requests with an outcome
 }
 
 func newRecorder(classes []*recordingpb.Class, latencyObjectives map[string]time.Duration) *recorder {
 	result := &Result{Classes: map[string]*Tally{}, Rejections: map[string]int{}, Failures: map[string]int{}}
 	for _, class := range classes {
-		result.Classes[class.Name] = &Tally{intended: newHistogram(), actual: newHistogram()}
+		result.Classes[class.Name] = &Tally{latencyFromDue: newHistogram(), latencyFromWrite: newHistogram()}
 	}
 	return &recorder{latencyObjectives: latencyObjectives, result: result, series: newSeries()}
 }
@@ -33,7 +33,7 @@
 // tally returns the tally of a class.
 func (r *recorder) tally(class string) *Tally { return r.result.Classes[class] }
 
-// addWithheld counts a request that is not sent, as the workers are not verified.
+// addWithheld counts a request that is not sent because the workers are not verified to be stand-ins.
 func (r *recorder) addWithheld(withheld *request) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -48,7 +48,7 @@
 	r.idsHash ^= xxhash.Sum64String(sent.id)
 }
 
-// removeSent takes back what addSent has counted.
+// removeSent reverts addSent, for a request whose connection could not be opened.
 func (r *recorder) removeSent(unsent *request) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -63,21 +63,22 @@
 	retried.tally.Retried++
 }
 
-// addDuplicateAnswer counts a further answer to a request that has one.
+// addDuplicateAnswer counts a further answer to a request that has been answered.
 func (r *recorder) addDuplicateAnswer(answered *request) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	answered.tally.DuplicateAnswers++
 }
 
-// addStrayAnswer counts an answer on a connection on which nothing was sent.
+// addStrayAnswer counts an answer on a connection on which no request has been answered and none is pending.
 func (r *recorder) addStrayAnswer() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.result.StrayAnswers++
 }
 
-// addOutcome records the outcome of a request and returns the number of requests that have one.
+// addOutcome records the outcome of a request at the time now, and returns the number of requests that
+// have an outcome.
 func (r *recorder) addOutcome(done *request, outcome Outcome, reason Reason, now time.Duration) (completed int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -106,7 +107,7 @@
 	if outcome != Unsent {
 		r.series.addWritten(done.due, done.written)
 	}
-	r.series.add(done.due, done.begun)
+	r.series.add(done.due, done.sendBegan)
 	r.completed++
 	return r.completed
 }
@@ -117,10 +118,10 @@
 	if objective := r.latencyObjectives[served.class]; objective == 0 || latency <= objective {
 		served.tally.WithinObjective++
 	}
-	served.tally.intended.RecordValue(max(latency.Microseconds(), 1))
-	served.tally.actual.RecordValue(max((now - served.written).Microseconds(), 1))
+	served.tally.latencyFromDue.RecordValue(max(latency.Microseconds(), 1))
+	served.tally.latencyFromWrite.RecordValue(max((now - served.written).Microseconds(), 1))
 	dueSecond := r.series.second(served.due)
-	dueSecond.latency = append(dueSecond.latency, latency.Microseconds())
+	dueSecond.latencies = append(dueSecond.latencies, latency.Microseconds())
 	r.result.ServedIDs = append(r.result.ServedIDs, served.id)
 }
 
@@ -130,8 +131,8 @@
 	defer r.mutex.Unlock()
 	result := r.result
 	for _, tally := range result.Classes {
-		tally.Intended = quantiles(tally.intended)
-		tally.Actual = quantiles(tally.actual)
+		tally.Intended = quantiles(tally.latencyFromDue)
+		tally.Actual = quantiles(tally.latencyFromWrite)
 	}
 	result.IDsHash = fmt.Sprintf("%016x", r.idsHash)
 	result.Seconds = r.series.finishSeconds()
--- a/internal/rehearsal/replay/replay.go
+++ b/internal/rehearsal/replay/replay.go
@@ -1,7 +1,7 @@
-// Package replay sends a recording to a dispatcher in an open loop: each entry at its recorded
-// time, whatever has become of those before it. Latency is measured from that time. Sending never
-// waits for an answer or for a connection, and a job that must not be retried is sent only while
-// the workers are verified to be stand-ins.
+// Package replay sends the requests of a recording to a dispatcher in an open loop: each request is
+// sent at its recorded time, whether or not earlier ones have been answered, and latency is measured
+// from that time. Sending never waits for an answer or for a connection. A job that must not be retried
+// is sent only while the workers are verified to be stand-ins.
 package replay
 
 import (
@@ -17,21 +17,23 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/recording"
 )
 
-// Options say where and how a recording is sent. The functions are called by several goroutines.
+// Options configure a replay. The functions are called by several goroutines.
 type Options struct {
-	Target   string  // host:port on a loopback address
-	Faktory  bool    // through the Faktory front end; otherwise through the HTTP one
-	Password string  // of the Faktory front end
-	Seed     uint64  // of the ids; the same seed gives the same ids
-	Speed    float64 // of the recording's time; default 1
+	Target   string  // address of the dispatcher: host:port, on a loopback address
+	Faktory  bool    // use the Faktory front end instead of the HTTP one
+	Password string  // password for the Faktory front end
+	Seed     uint64  // seed of the requests' ids, which depend only on it and the entry's number
+	Speed    float64 // factor by which requests are sent faster than recorded; default 1
 
-	// LatencyObjectives are the latency objectives of the classes, by name. They are only counted.
+	// LatencyObjectives holds the latency objectives by the name of the class. They only decide which
+	// requests are counted in Tally.WithinObjective.
 	LatencyObjectives map[string]time.Duration
-	// LocalAddresses are loopback addresses that connections are opened from, in turn; none: any.
+	// LocalAddresses are loopback addresses that connections are opened from, in turn. If there are
+	// none, the system chooses the address.
 	LocalAddresses []netip.Addr
 
-	// Verified reports at each send whether a job that must not be retried may be sent. nil: no
-	// such job is sent, and nothing overrides that.
+	// Verified reports whether a job that must not be retried may be sent now; it is called before
+	// each such job. If it is nil, no such job is sent, and no other option changes that.
 	Verified func() bool
 	// OnSend is called for each job before it is sent; may be nil. It must not change the job's entry.
 	OnSend func(Job)
@@ -39,12 +41,12 @@
 	OnProgress func(completed int)
 }
 
-// Job is an entry of a recording as it is sent.
+// Job describes an entry of a recording that is sent as a job.
 type Job struct {
 	ID        string
 	Class     string
 	Retryable bool
-	Path      string // /CLASS/KEY, of its HTTP request; a Faktory job has both as fields
+	Path      string // /CLASS/KEY, the path of the HTTP request; a Faktory job has class and key as fields
 	Entry     *recording.Entry
 }
 
@@ -54,9 +56,9 @@
 	maxSpeed = 1000
 )
 
-// Run sends a recording and returns the result. It takes as long as the recording and the
-// longest timeout of its last clients. When ctx is canceled it stops sending and returns the
-// result so far with context.Canceled.
+// Run replays a recording and returns the result. It waits until each request that was sent is answered
+// or has timed out. If ctx is canceled, it stops sending and returns the result of the requests sent so
+// far and context.Canceled.
 func Run(ctx context.Context, reader *recording.Reader, options Options) (*Result, error) {
 	if err := CheckLoopback(options.Target); err != nil {
 		return nil, err
@@ -70,11 +72,11 @@
 	replayer := newReplayer(options, reader.Header.Classes)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	requests := make(chan *request, readAhead)
+	requests := make(chan *request, readAheadRequests)
 	var readErr error
-	// Entries are read ahead, so that decompression does not delay a send.
+	// Requests are read ahead, so that decompressing the recording does not delay a send.
 	go func() {
-		defer close(requests) // after readErr is set
+		defer close(requests) // after readErr is set, which is read once the channel is closed
 		readErr = replayer.readRequests(ctx, reader, requests)
 	}()
 	replayer.openWarmConnections()
@@ -94,7 +96,8 @@
 	return result, nil
 }
 
-// ID is the id of an entry by its number in the recording, in the form that clients use: 16 hexadecimal digits.
+// ID returns the id of the request of the entry with the given number in the recording, from 0. It has
+// the form that clients use: 16 hexadecimal digits.
 func ID(seed uint64, number int) string {
 	return fmt.Sprintf("%016x", xxhash.Sum64String(fmt.Sprintf("hollyyoke rehearsal %d %d", seed, number)))
 }
@@ -103,7 +106,7 @@
 func CheckLoopback(addr string) error {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
-		return fmt.Errorf("%q is no host:port", addr)
+		return fmt.Errorf("%q is not a host:port", addr)
 	}
 	if ip := net.ParseIP(host); host != "localhost" && (ip == nil || !ip.IsLoopback()) {
 		return fmt.Errorf("%s is not a loopback address", host)
--- a/internal/rehearsal/replay/replay_test.go
+++ b/internal/rehearsal/replay/replay_test.go
@@ -17,8 +17,8 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/recording/recordingpb"
 )
 
-// alternatingEntries makes a recording of entries that are interval apart, of the class
-// status-check, which may be retried, and the class renewal in turn.
+// alternatingEntries returns a recording of count entries that are interval apart. They alternate between
+// the class status-check, which may be retried, and the class renewal, which must not be.
 func alternatingEntries(t *testing.T, count int, interval time.Duration) *recording.Reader {
 	t.Helper()
 	var file bytes.Buffer
@@ -53,8 +53,8 @@
 	return reader
 }
 
-// startServer starts an HTTP server and returns its host:port. It reads each request, calls handle and then answers with
-// status 200.
+// startServer starts an HTTP server and returns its host:port. The server reads each request, calls handle
+// and then answers with status 200.
 func startServer(t *testing.T, handle func()) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, request *http.Request) {
@@ -65,7 +65,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// stall delays all who wait for it until a time after the first of them.
+// stall delays its callers until duration after the first call to wait.
 type stall struct {
 	duration time.Duration
 	once     sync.Once
@@ -77,8 +77,8 @@
 	time.Sleep(time.Until(s.end))
 }
 
-// A stall of the server does not slow the sending down, and shows in the latency: requests that
-// are due during the stall wait for the rest of it.
+// A stall of the server does not delay the sending. It shows in the latency, since requests that are due
+// during the stall wait until its end.
 func TestStallShowsInLatency(t *testing.T) {
 	const (
 		count         = 400
@@ -96,24 +96,26 @@
 	if served != count || result.Violated() {
 		t.Fatalf("%d of %d served: %+v", served, count, result)
 	}
-	// 120 of 400 arrive in the stall; the wait of the k-th is stallDuration - k*interval.
-	// Half of a class's 60 wait longer than half of it: 300 ms at the 85th percentile.
+	// 120 of the 400 requests are due during the stall. The k-th of them waits for
+	// stallDuration - k*interval. Of each class's 200 requests, 60 wait, and 30 of these wait for
+	// more than half of the stall, so that the 85th percentile is 300 ms.
 	stallUs := float64(stallDuration.Microseconds())
 	want := stallUs * (1 - 0.5)
 	for name, tally := range result.Classes {
-		got := float64(tally.intended.ValueAtQuantile(85))
+		got := float64(tally.latencyFromDue.ValueAtQuantile(85))
 		if math.Abs(got-want) > 0.2*stallUs {
-			t.Errorf("%s: 85th percentile %.0f us, the model says %.0f", name, got, want)
+			t.Errorf("%s: 85th percentile %.0f us, want about %.0f", name, got, want)
 		}
 		if tally.Intended.Max < stallDuration.Microseconds()*9/10 {
-			t.Errorf("%s: the longest wait is %d us of a stall of %.0f us", name, tally.Intended.Max, stallUs)
+			t.Errorf("%s: the longest latency is %d us, with a stall of %.0f us", name, tally.Intended.Max, stallUs)
 		}
 	}
 	if sent := result.Seconds[0].Replayed; sent < 150 {
-		t.Errorf("%d of 200 were sent in the first second: the stall slowed the sending down", sent)
+		t.Errorf("%d of 200 were sent in the first second: the stall delayed the sending", sent)
 	}
 }
 
+// Without Options.Verified, no job that must not be retried is sent.
 func TestWithholdsWithoutVerification(t *testing.T) {
 	target := startServer(t, func() {})
 	result, err := Run(context.Background(), alternatingEntries(t, 40, time.Millisecond), Options{Target: target})
@@ -129,6 +131,8 @@
 	}
 }
 
+// As soon as Options.Verified reports false, no further job that must not be retried is sent. Withheld
+// entries are not compared in Fidelity.
 func TestWithholdsOnceVerificationFails(t *testing.T) {
 	const verifiedSends = 7
 	target := startServer(t, func() {})
@@ -150,7 +154,8 @@
 	}
 }
 
-// answerOnce answers one request of a connection, and closes the connection on the next.
+// answerOnce answers the first request on a connection, and closes the connection when it receives the
+// second one.
 func answerOnce(conn net.Conn) {
 	defer conn.Close()
 	buffer := make([]byte, 4096)
@@ -161,7 +166,7 @@
 	conn.Read(buffer)
 }
 
-// A request on a reused connection that closes is sent once more, not twice.
+// If a reused connection closes before the answer, the request is sent once more, and only once.
 func TestRetriesOnce(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/rehearsal/replay/replayer.go
+++ b/internal/rehearsal/replay/replayer.go
@@ -15,46 +15,47 @@
 )
 
 const (
-	deadlineSlack   = 50 * time.Millisecond // that every timeout is longer on sockets
-	dialTimeout     = 2 * time.Second
-	readAhead       = 4096 // entries that are read before they are due
-	maxBodyBytes    = 60 << 10
-	warmConnections = 48                     // that are opened before the first entry
-	startDelay      = 300 * time.Millisecond // before the first entry
-	duplicateWindow = 200 * time.Millisecond // in which a second answer is still detected
+	deadlineSlack     = 50 * time.Millisecond // by which the timeout of a socket exceeds that of the client
+	dialTimeout       = 2 * time.Second
+	readAheadRequests = 4096 // entries that are read ahead
+	maxBodyBytes      = 60 << 10
+	warmConnections   = 48                     // connections that are opened before the first request
+	startDelay        = 300 * time.Millisecond // until the replay's start, after the connections are opened
+	duplicateWindow   = 200 * time.Millisecond // wait for further answers, at the end and on closing connections
 )
 
-// request is an entry that is being sent. Times are since the start of the replay.
+// request is the request of an entry of the recording. Times are since the start of the replay.
 type request struct {
 	recording.Entry
 	id        string
 	path      string
 	class     string
 	retryable bool
-	tally     *Tally // of its class
-	due       time.Duration
-	begun     time.Duration // when it was written, or a connection for it was begun
-	written   time.Duration // first
+	tally     *Tally        // of its class
+	due       time.Duration // recorded time, at the replay's speed
+	sendBegan time.Duration // when it was written or, with a new connection, when the opening of that began
+	written   time.Duration // when it was first written
 	retried   bool          // sent again on a new connection
 	completed atomic.Bool   // its outcome is recorded
 }
 
-// replayer is one replay. One goroutine sends the requests in their order; a new connection is opened, and what it waits
-// for sent, on a goroutine of its own. Answers arrive on one goroutine for each connection.
+// replayer is the state of one replay. One goroutine sends the requests in order. If a request needs a
+// new connection, a separate goroutine opens it and sends the request. Each connection has a goroutine
+// that reads its answers.
 type replayer struct {
 	options    Options
 	start      time.Time // set before the first request is sent
 	recorder   *recorder
 	pool       pool
-	dialed     atomic.Int64   // connections, to choose their local addresses in turn
-	unfinished sync.WaitGroup // the requests that were sent and have no outcome
+	dialCount  atomic.Int64   // number of connections opened so far, which selects the next local address
+	unfinished sync.WaitGroup // requests that were sent and have no outcome yet
 }
 
 func newReplayer(options Options, classes []*recordingpb.Class) *replayer {
 	return &replayer{options: options, recorder: newRecorder(classes, options.LatencyObjectives)}
 }
 
-// readRequests reads the recording's entries into the channel.
+// readRequests reads the entries of the recording and sends their requests to the channel.
 func (r *replayer) readRequests(ctx context.Context, reader *recording.Reader, requests chan<- *request) error {
 	count := 0
 	return reader.ForEach(func(entry *recording.Entry) error {
@@ -69,7 +70,7 @@
 	})
 }
 
-// newRequest makes the request of a recording's entry.
+// newRequest creates the request of an entry. number is the entry's number in the recording.
 func (r *replayer) newRequest(number int, entry *recording.Entry, class *recordingpb.Class) *request {
 	path := "/" + class.Name
 	if entry.Key != 0 {
@@ -86,11 +87,11 @@
 	}
 }
 
-// sendAll sends each request when it is due, and waits for nothing else.
+// sendAll sends each request when it is due. It waits only for that time and for the channel.
 func (r *replayer) sendAll(requests <-chan *request) {
-	// The sender must run when a request is due, whatever else this process does: it gets a
-	// thread and a processor of the Go runtime of its own, and, where the system permits,
-	// precedence over other threads.
+	// The sender must run when a request is due, whatever else this process does. So it is locked
+	// to its own thread, GOMAXPROCS is raised so that other goroutines do not occupy all processors
+	// of the Go runtime, and the thread gets a higher priority if the system permits that.
 	const (
 		processorFactor = 4
 		senderNice      = -15
@@ -107,10 +108,10 @@
 	}
 }
 
-// sendOrWithhold sends a request on an idle connection or a new one, or withholds it if it must not be retried and the
-// workers are not verified.
+// sendOrWithhold sends a request on an idle connection or a new one. It withholds the request if it must
+// not be retried and the workers are not verified to be stand-ins.
 func (r *replayer) sendOrWithhold(next *request) {
-	next.begun = time.Since(r.start)
+	next.sendBegan = time.Since(r.start)
 	if !next.retryable && !r.isVerified() {
 		r.recorder.addWithheld(next)
 		return
@@ -130,10 +131,10 @@
 // isVerified reports whether requests that must not be retried may be sent now.
 func (r *replayer) isVerified() bool { return r.options.Verified != nil && r.options.Verified() }
 
-// sleepUntil sleeps as precisely as the system can; Go's timers may be a millisecond late on an
-// idle machine.
+// sleepUntil sleeps until the given time, as precisely as the system permits. It does not use Go's timers,
+// which may be a millisecond late on an idle machine.
 func sleepUntil(moment time.Time) {
-	const spin = 60 * time.Microsecond // that are spent yielding
+	const spin = 60 * time.Microsecond // last part of the wait, in which the goroutine yields instead of sleeping
 	for {
 		left := time.Until(moment)
 		switch {
@@ -148,7 +149,7 @@
 	}
 }
 
-// openWarmConnections opens some connections before the first entry. Those that cannot be opened are left out.
+// openWarmConnections opens idle connections before the first request is sent. It ignores errors.
 func (r *replayer) openWarmConnections() {
 	var opening sync.WaitGroup
 	for range warmConnections {
@@ -162,11 +163,11 @@
 	opening.Wait()
 }
 
-// dial opens a connection and, for the Faktory front end, logs in.
+// dial opens a connection. For the Faktory front end it also performs the handshake.
 func (r *replayer) dial() (*connection, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	if addresses := r.options.LocalAddresses; len(addresses) > 0 {
-		turn := int(r.dialed.Add(1)) % len(addresses)
+		turn := int(r.dialCount.Add(1)) % len(addresses)
 		dialer.LocalAddr = &net.TCPAddr{IP: addresses[turn].AsSlice()}
 	}
 	conn, err := dialer.Dial("tcp", r.options.Target)
@@ -197,7 +198,7 @@
 	go opened.readAnswers()
 }
 
-// complete records the outcome of a request; only its first call has an effect.
+// complete records the outcome of a request. Only the first call for a request has an effect.
 func (r *replayer) complete(done *request, outcome Outcome, reason Reason) {
 	if done.completed.Swap(true) {
 		return
--- a/internal/rehearsal/replay/result.go
+++ b/internal/rehearsal/replay/result.go
@@ -2,7 +2,7 @@
 
 import "github.com/HdrHistogram/hdrhistogram-go"
 
-// Outcome is what became of an entry.
+// Outcome is the outcome of the request of an entry.
 type Outcome uint8
 
 // The outcomes.
@@ -10,31 +10,31 @@
 	Served Outcome = iota
 	Rejected
 	Failed
-	Lost   // no final answer before the client's timeout
+	Lost   // no readable final answer before the client's timeout or the end of the connection
 	Unsent // no connection could be opened
 )
 
-// Tally counts the entries of a class.
+// Tally counts the requests of a class by their outcomes.
 type Tally struct {
 	Sent             int `json:"sent"`
 	Served           int `json:"served"`
 	Rejected         int `json:"refused"`
 	Failed           int `json:"failed"`
-	Lost             int `json:"lost"`          // no final answer before the client's timeout
-	DuplicateAnswers int `json:"twice"`         // more than one answer
-	Withheld         int `json:"withheld"`      // must not be retried, and the workers were not verified
+	Lost             int `json:"lost"`          // no readable final answer before the timeout or the end of the connection
+	DuplicateAnswers int `json:"twice"`         // further answers to requests that were answered
+	Withheld         int `json:"withheld"`      // must not be retried, and the workers were not verified to be stand-ins
 	Unsent           int `json:"unsent"`        // no connection could be opened
-	WithinObjective  int `json:"within_wanted"` // served within the class's latency objective
-	Retried          int `json:"resent"`        // sent again on a new connection, as the reused one was closing
+	WithinObjective  int `json:"within_wanted"` // served within the class's latency objective, or without one
+	Retried          int `json:"resent"`        // sent again on a new connection, because the reused one ended before an answer
 
-	// Latency of the served entries, from the recorded time and from the actual send.
+	// Latency of the served requests, from when they were due and from when they were written.
 	Intended Quantiles `json:"latency_us"`
 	Actual   Quantiles `json:"latency_from_send_us"`
 
-	intended, actual *hdrhistogram.Histogram
+	latencyFromDue, latencyFromWrite *hdrhistogram.Histogram
 }
 
-// Quantiles of a histogram, in microseconds.
+// Quantiles holds quantiles of a histogram, in microseconds.
 type Quantiles struct {
 	P50  int64 `json:"p50"`
 	P90  int64 `json:"p90"`
@@ -53,7 +53,7 @@
 	}
 }
 
-// newHistogram makes a histogram of microseconds up to an hour.
+// newHistogram creates a histogram of durations of up to an hour, in microseconds.
 func newHistogram() *hdrhistogram.Histogram {
 	const (
 		hour              = 3_600_000_000
@@ -62,17 +62,17 @@
 	return hdrhistogram.New(1, hour, significantDigits)
 }
 
-// Second counts the entries of one second of the run.
+// Second counts the events of one second since the start of the replay.
 type Second struct {
-	Recorded int   `json:"recorded"` // arrivals in the recording, without those withheld
-	Replayed int   `json:"replayed"` // sent
-	Served   int   `json:"served"`   // by the time of the answer
+	Recorded int   `json:"recorded"` // entries that were due in it, without those withheld
+	Replayed int   `json:"replayed"` // entries whose sending began in it
+	Served   int   `json:"served"`   // outcomes are counted in the second in which they occur
 	Rejected int   `json:"refused"`
 	Failed   int   `json:"failed"`
 	Lost     int   `json:"lost"`
-	P99Us    int64 `json:"p99_us"` // latency of the served entries that were due in it
+	P99Us    int64 `json:"p99_us"` // 99th percentile of the latency of the served requests that were due in it
 
-	latency []int64 // µs
+	latencies []int64 // of the served requests that were due in it, µs
 }
 
 // Result is the result of a replay.
@@ -80,17 +80,17 @@
 	Classes      map[string]*Tally `json:"classes"`
 	Fidelity     Fidelity          `json:"fidelity"`
 	Seconds      []*Second         `json:"seconds"`
-	Rejections   map[string]int    `json:"refusals"` // by class and reason
-	Failures     map[string]int    `json:"failures"` // by class and reason, losses included
-	StrayAnswers int               `json:"stray"`    // answers to no request at all
-	IDsHash      string            `json:"booked"`   // of the set of ids that were sent
-	SpanSeconds  float64           `json:"span_s"`
+	Rejections   map[string]int    `json:"refusals"` // number by class and reason
+	Failures     map[string]int    `json:"failures"` // number of failed, lost and unsent requests by class and reason
+	StrayAnswers int               `json:"stray"`    // answers that belong to no request
+	IDsHash      string            `json:"booked"`   // hash of the set of the ids that were sent
+	SpanSeconds  float64           `json:"span_s"`   // number of Seconds
 
-	ServedIDs []string `json:"-"`
+	ServedIDs []string `json:"-"` // in the order of the answers
 }
 
-// Violated reports whether a rule was violated: each entry that is sent has one final answer
-// before its timeout.
+// Violated reports whether the rule was violated that each request that is sent gets exactly one final
+// answer before its timeout, and that there are no other answers.
 func (r *Result) Violated() bool {
 	for _, tally := range r.Classes {
 		if tally.Lost > 0 || tally.DuplicateAnswers > 0 {
@@ -100,7 +100,7 @@
 	return r.StrayAnswers > 0
 }
 
-// Sum adds up a count of all classes.
+// Sum returns the sum of a count over all classes.
 func (r *Result) Sum(count func(*Tally) int) (sum int) {
 	for _, tally := range r.Classes {
 		sum += count(tally)
--- a/internal/rehearsal/replay/series.go
+++ b/internal/rehearsal/replay/series.go
@@ -9,24 +9,25 @@
 )
 
 const (
-	maxCompared    = 4 << 20 // entries
-	minSecondCount = 50      // a smaller second's error is a share of this
+	maxCompared    = 4 << 20 // entries whose times are stored and compared
+	minSecondCount = 50      // replaces a lower recorded count of a second as the divisor of its difference
 )
 
-// series collects the times of a replay, since its start. It is not safe for concurrent use.
+// series collects the times at which entries were due and sent, since the start of the replay. It is not
+// safe for concurrent use.
 type series struct {
 	seconds       []*Second
-	due           []int64 // µs, of at most maxCompared entries
-	sent          []int64 // µs, of the same entries
-	lateness      *hdrhistogram.Histogram
-	writeLateness *hdrhistogram.Histogram
+	due           []int64                 // µs, of at most maxCompared entries
+	sent          []int64                 // µs, of the same entries
+	lateness      *hdrhistogram.Histogram // from due until sending began, µs
+	writeLateness *hdrhistogram.Histogram // from due until the request was written, µs
 }
 
 func newSeries() *series {
 	return &series{lateness: newHistogram(), writeLateness: newHistogram()}
 }
 
-// second returns the second that a time belongs to.
+// second returns the counts of the second that contains a time.
 func (s *series) second(moment time.Duration) *Second {
 	number := max(int(moment/time.Second), 0)
 	for len(s.seconds) <= number {
@@ -46,23 +47,24 @@
 	}
 }
 
-// addWritten adds the time at which an entry was written.
+// addWritten adds the time at which an entry that was due at the given time was written.
 func (s *series) addWritten(due, written time.Duration) {
 	s.writeLateness.RecordValue(max((written - due).Microseconds(), 0))
 }
 
-// finishSeconds computes the latency of each second and returns the seconds.
+// finishSeconds computes the latency quantile of each second and returns the seconds.
 func (s *series) finishSeconds() []*Second {
 	for _, second := range s.seconds {
-		slices.Sort(second.latency)
-		if count := len(second.latency); count > 0 {
-			second.P99Us = second.latency[(count-1)*99/100]
+		slices.Sort(second.latencies)
+		if count := len(second.latencies); count > 0 {
+			second.P99Us = second.latencies[(count-1)*99/100]
 		}
 	}
 	return s.seconds
 }
 
-// fidelity compares the times at which entries were due and sent. It sorts both, so nothing can be added afterwards.
+// fidelity compares the times at which entries were due and sent. It sorts both lists, so that no entry
+// may be added afterwards.
 func (s *series) fidelity() Fidelity {
 	slices.Sort(s.due)
 	slices.Sort(s.sent)
@@ -81,7 +83,7 @@
 	}
 }
 
-// maxSecondError is Fidelity.MaxSecondError.
+// maxSecondError computes Fidelity.MaxSecondError.
 func (s *series) maxSecondError() float64 {
 	largest := 0.0
 	for _, second := range s.seconds {
