--- a/internal/rehearsal/recording/clock_test.go
+++ b/internal/rehearsal/recording/clock_test.go
@@ -229,8 +229,8 @@
 		}
 	}
 	start := imported.report.Start.Sub(logStart)
-	if imported.source().Spread != 2000 || start > -490*time.Millisecond || start < -500*time.Millisecond {
-		t.Errorf("%d entries are spread, want 2000; the start is %v from the log's, want -0.5 s", imported.source().Spread, start)
+	if imported.source().SpreadEntries != 2000 || start > -490*time.Millisecond || start < -500*time.Millisecond {
+		t.Errorf("%d entries are spread, want 2000; the start is %v from the log's, want -0.5 s", imported.source().SpreadEntries, start)
 	}
 }
 
--- a/internal/rehearsal/recording/clockcorrector.go
+++ b/internal/rehearsal/recording/clockcorrector.go
@@ -26,13 +26,13 @@
 // entry whose timestamp does not fit those before it is suspect: either the clock has stepped or the
 // timestamp is an outlier. Suspects are held back until the following entries show which.
 type clockCorrector struct {
-	emit           func(pendingEntry)
-	unordered      bool // the entries are in no particular order, as in HAR files, and are not corrected
-	started        bool
-	lastGood       int64 // latest completion whose timestamp is certain
-	correction     int64 // added to all timestamps after steps back of the clock
-	suspects       []pendingEntry
-	suspectsBehind bool // the suspects are earlier than lastGood; otherwise far later
+	emit            func(pendingEntry)
+	unordered       bool // the entries are in no particular order, as in HAR files, and are not corrected
+	started         bool
+	lastCertain     int64 // latest completion whose timestamp is certain
+	correction      int64 // added to all timestamps after steps back of the clock
+	suspects        []pendingEntry
+	suspectsEarlier bool // the suspects are earlier than lastCertain; otherwise far later
 
 	StepsBack           int
 	SteppedMicroseconds int64 // sum of the steps back
@@ -66,9 +66,9 @@
 	completion := entry.completion() + c.correction
 	if !c.started {
 		c.started = true
-		c.lastGood = completion
+		c.lastCertain = completion
 	}
-	earliest := c.lastGood - entry.tolerance()
+	earliest := c.lastCertain - entry.tolerance()
 	if entry.foldOffset > 0 && completion < earliest && completion+entry.foldOffset >= earliest {
 		entry.timestamp += entry.foldOffset
 		completion += entry.foldOffset
@@ -77,14 +77,14 @@
 	entry.foldOffset = 0
 	behind := completion < earliest
 	if len(c.suspects) > 0 {
-		if behind || completion > c.lastGood+resumeWindow {
+		if behind || completion > c.lastCertain+resumeWindow {
 			c.addSuspect(entry)
 			return
 		}
-		c.releaseOutliers() // as this entry continues from lastGood
+		c.releaseOutliers() // as this entry continues from lastCertain
 	}
-	if behind || completion > c.lastGood+maxForwardJump {
-		c.suspectsBehind = behind
+	if behind || completion > c.lastCertain+maxForwardJump {
+		c.suspectsEarlier = behind
 		c.suspects = append(c.suspects, entry)
 		return
 	}
@@ -105,16 +105,16 @@
 	if c.correction != 0 {
 		entry.repairs |= ClockStepped
 	}
-	c.lastGood = max(c.lastGood, entry.completion())
+	c.lastCertain = max(c.lastCertain, entry.completion())
 	c.emit(entry)
 }
 
-// releaseOutliers emits the suspects as outliers, whose completion is set to lastGood.
+// releaseOutliers emits the suspects as outliers, whose completion is set to lastCertain.
 func (c *clockCorrector) releaseOutliers() {
 	for _, entry := range c.suspects {
 		c.Outliers++
 		entry.repairs |= OutlierTimestamp
-		entry.timestamp = c.lastGood
+		entry.timestamp = c.lastCertain
 		if entry.timestampMarksArrival && entry.duration > 0 {
 			entry.timestamp -= entry.duration
 		}
@@ -130,12 +130,12 @@
 		return
 	}
 	first := c.suspects[0].completion() + c.correction
-	if c.suspectsBehind {
+	if c.suspectsEarlier {
 		c.StepsBack++
-		c.SteppedMicroseconds += c.lastGood - first
-		c.correction += c.lastGood - first
+		c.SteppedMicroseconds += c.lastCertain - first
+		c.correction += c.lastCertain - first
 	} else {
-		c.lastGood = first
+		c.lastCertain = first
 	}
 	suspects := slices.Clone(c.suspects)
 	c.suspects = c.suspects[:0]
--- a/internal/rehearsal/recording/logsource.go
+++ b/internal/rehearsal/recording/logsource.go
@@ -44,6 +44,6 @@
 	s.report.ClockSteps = s.clockCorrector.StepsBack
 	s.report.SteppedUs = s.clockCorrector.SteppedMicroseconds
 	s.report.OutlierTimestamps = s.clockCorrector.Outliers
-	s.report.Spread = s.spreader.SpreadEntries
-	s.report.CrowdedSeconds = s.spreader.FullGroups
+	s.report.SpreadEntries = s.spreader.SpreadEntries
+	s.report.FullGroups = s.spreader.FullGroups
 }
--- a/internal/rehearsal/recording/pendingentry.go
+++ b/internal/rehearsal/recording/pendingentry.go
@@ -3,7 +3,7 @@
 // pendingEntry is an accepted entry between its parsing and its writing to the recording. Times are
 // in microseconds.
 type pendingEntry struct {
-	timestamp             int64  // as logged by the source; once addArrival has run, the arrival
+	timestamp             int64  // as logged, then corrected by the clock corrector and the spreader, then the arrival
 	sequence              uint64 // position within the source
 	key                   uint64 // hash of the key's token; 0 for a synthetic key or without a key
 	signature             uint64 // see RawEntry.signature
--- a/internal/rehearsal/recording/unpack.go
+++ b/internal/rehearsal/recording/unpack.go
@@ -19,9 +19,9 @@
 	maxZstdWindow  = 16 << 20  // in bytes; input with a larger window is rejected
 )
 
-// hashingReader hashes the content that is read through it: full is the SHA-256 of all of it, and
-// secretSample that of a prefix and samples of the content. Who knows full but not the content
-// cannot compute secretSample.
+// hashingReader hashes the content that is read through it. full is the SHA-256 of all of it, and
+// secretSample that of a prefix and samples of the content. Recordings contain full, from which
+// secretSample cannot be computed without the content.
 type hashingReader struct {
 	reader       io.Reader
 	full         hash.Hash
