--- a/internal/rehearsal/replay/recorder.go
+++ b/internal/rehearsal/replay/recorder.go
@@ -132,7 +132,7 @@
 	result := r.result
 	for _, tally := range result.Classes {
 		tally.Intended = quantiles(tally.latencyFromDue)
-		tally.Actual = quantiles(tally.latencyFromWrite)
+		tally.LatencyFromWrite = quantiles(tally.latencyFromWrite)
 	}
 	result.IDsHash = fmt.Sprintf("%016x", r.idsHash)
 	result.Seconds = r.series.finishSeconds()
--- a/internal/rehearsal/replay/result.go
+++ b/internal/rehearsal/replay/result.go
@@ -28,8 +28,8 @@
 	Retried          int `json:"resent"`        // sent again on a new connection, because the reused one ended before an answer
 
 	// Latency of the served requests, from when they were due and from when they were written.
-	Intended Quantiles `json:"latency_us"`
-	Actual   Quantiles `json:"latency_from_send_us"`
+	Intended         Quantiles `json:"latency_us"`
+	LatencyFromWrite Quantiles `json:"latency_from_send_us"`
 
 	latencyFromDue, latencyFromWrite *hdrhistogram.Histogram
 }
