--- a/internal/rehearsal/scale/chart.go
+++ b/internal/rehearsal/scale/chart.go
@@ -11,7 +11,7 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// lineColors are the colors of the mechanisms.
+// lineColors are the colors of the chart's lines, in the order of the runs.
 var lineColors = []color.Color{
 	color.RGBA{0xd9, 0x7b, 0x1c, 0xff}, color.RGBA{0x1f, 0x5f, 0x9e, 0xff}, color.RGBA{0x2e, 0x7d, 0x4f, 0xff},
 }
@@ -21,8 +21,8 @@
 	chartHeight = 6.4 * vg.Inch
 )
 
-// WriteChart writes a chart of runs of one scenario as SVG: bytes and processor time of a hollow dispatcher over the
-// run, a line for each mechanism.
+// WriteChart writes an SVG chart that compares runs of one scenario: bytes per second and processor time of a hollow
+// dispatcher over the time of the run, with one line for each run.
 func WriteChart(out io.Writer, runs []*Run) error {
 	bytes := newPlot("Bytes of a dispatcher a second, mean of the hollow ones", "bytes a second")
 	share := newPlot("Processor time of a dispatcher, mean of the hollow ones", "share of a core")
@@ -37,7 +37,7 @@
 			return sum / count
 		}
 		meanShare := func(s *sample) (sum float64) {
-			for process := range hollow.processes {
+			for process := range hollow.dispatchersByProcess {
 				sum += s.cpu[process].Seconds()
 			}
 			return sum / count
@@ -58,7 +58,7 @@
 	return err
 }
 
-// newPlot returns an empty plot over the time of the run.
+// newPlot returns an empty plot whose horizontal axis is the time since the start of the run.
 func newPlot(title, yLabel string) *plot.Plot {
 	created := plot.New()
 	created.Title.Text = title
@@ -70,7 +70,7 @@
 	return created
 }
 
-// addLine draws the rise of a count between samples, per second.
+// addLine adds a line to a plot: the increase of a count per second, between each sample and the next.
 func addLine(target *plot.Plot, run *Run, lineColor color.Color, count func(*sample) float64) error {
 	var points plotter.XYs
 	startedAt := run.samples[0].takenAt
@@ -79,7 +79,7 @@
 		after := &run.samples[i]
 		span := after.takenAt.Sub(before.takenAt).Seconds()
 		if span < sampleInterval.Seconds()/2 {
-			continue // the last sample follows soon after the one before
+			continue // the last sample is taken soon after the one before it
 		}
 		points = append(points, plotter.XY{X: after.takenAt.Sub(startedAt).Seconds(), Y: (count(after) - count(before)) / span})
 	}
--- a/internal/rehearsal/scale/child.go
+++ b/internal/rehearsal/scale/child.go
@@ -13,8 +13,8 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/childprocess"
 )
 
-// child is a running child process. Messages are JSON lines over its pipes. A child ends by itself when its input
-// ends, so that none outlives this process.
+// child is a running child process. Messages to and from it are lines of JSON on its standard input and output. A child
+// exits when its input is closed, so that none outlives this process.
 type child struct {
 	name       string
 	cmd        *exec.Cmd
@@ -24,10 +24,11 @@
 	stderr     childprocess.Output
 }
 
-// maxLineBytes bounds a message of a child.
+// maxLineBytes is the maximum length of one line of a child's output.
 const maxLineBytes = 64 << 20
 
-// startChild starts a command. onLine, which may be nil, gets each line of its output, on one goroutine.
+// startChild starts a command. onLine, which may be nil, is called with each line of its output; all calls come from one
+// goroutine.
 func startChild(name string, cmd *exec.Cmd, onLine func(line []byte)) (*child, error) {
 	started := &child{
 		name:   name,
@@ -45,7 +46,7 @@
 	}
 	started.input = input
 	cmd.Stderr = &started.stderr
-	// If this process is killed, the kernel ends the child.
+	// If this process is killed, the kernel kills the child.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		return nil, err
@@ -67,7 +68,7 @@
 
 func (c *child) pid() int { return c.cmd.Process.Pid }
 
-// send writes a message as a JSON line.
+// send writes a message to the child as a line of JSON.
 func (c *child) send(message any) error {
 	text, err := json.Marshal(message)
 	if err != nil {
@@ -79,13 +80,13 @@
 	return err
 }
 
-// kill kills the process and waits for its end.
+// kill kills the process and waits until it has exited.
 func (c *child) kill() {
-	c.cmd.Process.Signal(os.Kill) // no signal is sent to a process that has ended
+	c.cmd.Process.Signal(os.Kill) // does nothing if the process has already exited
 	<-c.exited
 }
 
-// stop asks the process to end, and kills it if it does not in time.
+// stop asks the process to exit, and kills it if it has not done so within stopTimeout.
 func (c *child) stop() {
 	c.input.Close()
 	c.cmd.Process.Signal(syscall.SIGTERM)
@@ -96,8 +97,8 @@
 	}
 }
 
-// stopTimeout is how long a child may take to end by itself.
+// stopTimeout is how long a child may take to exit after it is asked to.
 const stopTimeout = 3 * time.Second
 
-// maxLogBytes bounds the part of a child's log that is kept.
+// maxLogBytes is how much of a child's standard error is kept.
 const maxLogBytes = 64 << 10
--- a/internal/rehearsal/scale/cluster.go
+++ b/internal/rehearsal/scale/cluster.go
@@ -18,14 +18,14 @@
 
 // Programs are the commands that a run starts.
 type Programs struct {
-	Hollow []string // hidden commands of this program
-	Origin []string
-	Daemon string // dispatcher-serve
-	Relay  string // membership-relay
-	Env    []string
+	Hollow []string // command line of a process of hollow dispatchers: a hidden command of rehearse
+	Origin []string // command line of the origin: a hidden command of rehearse
+	Daemon string   // path of dispatcher-serve
+	Relay  string   // path of membership-relay
+	Env    []string // environment of the hollow dispatchers and the origin
 }
 
-// originName is the name of the origin in meters and logs.
+// originName is the name of the origin in samples, figures and errors.
 const originName = "origin"
 
 func hollowName(i int) string           { return fmt.Sprintf("hollow-%04d", i+1) }
@@ -33,29 +33,30 @@
 func relayName(zone int) string         { return "relay-" + ZoneName(zone) }
 func hollowProcessName(zone int) string { return "hollows-" + ZoneName(zone) }
 func hollowZone(i, zones int) int       { return i % zones }
-func daemonZone(i, zones int) int       { return (i + 1) % zones } // not the origin's zone first
+func daemonZone(i, zones int) int       { return (i + 1) % zones } // the first daemon is not in the origin's zone
 
-// cluster has all processes of one run: the origin, relays, hollow dispatchers and daemons. close ends all of them.
+// cluster holds all processes of one run: the origin, the relays, the hollow dispatchers and the daemons. close stops
+// all of them.
 type cluster struct {
 	scenario        *Scenario
 	plan            *Plan
 	mechanism       Mechanism
 	programs        Programs
 	dir             string
-	initialList     []byte // JSON of the list that dispatchers start with; nil: none
+	initialList     []byte // JSON of the endpoint list that dispatchers start with; nil if they start without one
 	network         *network
 	meter           *meter
 	origin          *originProcess
-	relays          map[int]*child
-	hollowProcesses map[int]*child // hollow dispatchers, a process for each zone
-	daemons         map[int]*child
-
-	mutex      sync.Mutex // guards what children report
-	tracker    *tracker
-	traffic    trafficCounts
-	errs       []error
-	ownCounts  ownCounts // sum over the processes that have reported since collectOwnCounts began
-	ownReports int       // number of those processes
+	relays          map[int]*child // by zone
+	hollowProcesses map[int]*child // by zone; one process runs all hollow dispatchers of its zone
+	daemons         map[int]*child // by number
+
+	mutex          sync.Mutex // guards the fields below, which are set from reports of the children
+	tracker        *tracker
+	requests       requestCounts
+	reportedErrors []error
+	counters       hollowCounters // sum over the processes that have reported since the start of collectCounters
+	counterReports int            // number of those processes
 }
 
 func newCluster(scenario *Scenario, plan *Plan, mechanism Mechanism, programs Programs, dir string) *cluster {
@@ -80,13 +81,13 @@
 	return cmd
 }
 
-// start starts everything. After an error the processes started so far run until close.
+// start starts all processes. After an error the processes started so far run until close.
 func (c *cluster) start() (err error) {
 	c.origin, err = startOriginProcess(c.command(c.programs.Origin), c.scenario.LogChanges)
 	if err != nil {
 		return fmt.Errorf("origin: %w", err)
 	}
-	c.meter.follow(originName, c.origin.pid())
+	c.meter.addProcess(originName, c.origin.pid())
 	initial := make([]Change, len(c.plan.Hosts))
 	for i, host := range c.plan.Hosts {
 		initial[i] = Change{Host: host}
@@ -99,7 +100,7 @@
 			return err
 		}
 	}
-	if c.mechanism == ByRelays {
+	if c.mechanism == MechanismRelays {
 		if err := c.startRelays(); err != nil {
 			return err
 		}
@@ -120,7 +121,7 @@
 	return nil
 }
 
-// writeInitialList writes the list that dispatchers start with to its file.
+// writeInitialList writes the endpoint list that dispatchers start with to a file, and keeps its JSON.
 func (c *cluster) writeInitialList() error {
 	list := initialList{Version: initialVersion, Complete: true, Hosts: c.plan.Hosts, Settings: []any{}}
 	text, err := json.Marshal(list)
@@ -131,8 +132,8 @@
 	return os.WriteFile(c.initialListFile(), text, 0o600)
 }
 
-// initialList is the list that dispatchers start with. A follower resumes from it only if it has settings, even if
-// none has changed.
+// initialList is the endpoint list that dispatchers start with. A dispatcher that follows membership servers resumes from it
+// only if it has the key settings, which is therefore written even though no setting has changed.
 type initialList struct {
 	Version  int64          `json:"seq"`
 	Complete bool           `json:"whole"`
@@ -140,18 +141,18 @@
 	Settings []any          `json:"settings"`
 }
 
-// initialVersion is the version of the list at the start.
+// initialVersion is the version of the endpoint list at the start of a run.
 const initialVersion = 1
 
 func (c *cluster) initialListFile() string { return filepath.Join(c.dir, "known.json") }
 
-// forgetInitialList makes dispatchers that start from now on do so without a list.
+// forgetInitialList makes dispatchers that are started from now on start without a list.
 func (c *cluster) forgetInitialList() { c.initialList = nil }
 
-// processes returns the number of processes, this one included.
+// processes returns the number of processes, including the origin and this process.
 func (c *cluster) processes() int { return len(c.relays) + len(c.hollowProcesses) + len(c.daemons) + 2 }
 
-// startRelays starts a relay for each zone, and opens a link from every zone to each.
+// startRelays starts a relay for each zone, and opens a link from every zone to each relay.
 func (c *cluster) startRelays() error {
 	for zone := range c.scenario.Zones {
 		upstream, err := c.network.open(zone, originZone, originName, c.origin.address, relayName(zone))
@@ -182,13 +183,13 @@
 		return "", err
 	}
 	c.relays[zone] = relay
-	c.meter.follow(name, relay.pid())
+	c.meter.addProcess(name, relay.pid())
 	return addr, nil
 }
 
-// restartRelay starts a zone's relay again, at another address.
+// restartRelay starts a zone's relay again. It listens at another address, to which the links to it are moved.
 func (c *cluster) restartRelay(zone int) error {
-	for _, link := range c.network.paths {
+	for _, link := range c.network.links {
 		if link.client == relayName(zone) {
 			addr, err := c.startRelay(zone, link.addr)
 			if err == nil {
@@ -203,23 +204,24 @@
 // killRelay kills a zone's relay, if it runs.
 func (c *cluster) killRelay(zone int) {
 	if relay := c.relays[zone]; relay != nil {
-		c.meter.unfollow(relayName(zone))
+		c.meter.removeProcess(relayName(zone))
 		relay.kill()
 		delete(c.relays, zone)
 	}
 }
 
-// upstreamOf returns where a dispatcher of a zone gets changes from.
+// upstreamOf returns where a dispatcher of a zone gets changes of the endpoint list from: a link to the origin of its
+// own, or the zone's links to all relays.
 func (c *cluster) upstreamOf(name string, zone int) (found upstream, err error) {
-	if c.mechanism == ByDiscovery {
-		link, err := c.discoveryPath(name, zone)
+	if c.mechanism == MechanismDiscovery {
+		link, err := c.discoveryLink(name, zone)
 		if err != nil {
 			return found, err
 		}
 		found.discovery = link.addr
 		return found, nil
 	}
-	for _, p := range c.network.paths {
+	for _, p := range c.network.links {
 		if p.fromZone == zone && p.client == "" {
 			found.servers = append(found.servers, membership.Server{Zone: ZoneName(p.toZone), Address: p.addr})
 		}
@@ -227,9 +229,10 @@
 	return found, nil
 }
 
-// discoveryPath returns a dispatcher's own link to the origin, which it keeps over a restart.
-func (c *cluster) discoveryPath(name string, zone int) (*path, error) {
-	for _, link := range c.network.paths {
+// discoveryLink returns a dispatcher's own link to the origin. It opens the link at the first call; a restarted
+// dispatcher uses the same link.
+func (c *cluster) discoveryLink(name string, zone int) (*zoneLink, error) {
+	for _, link := range c.network.links {
 		if link.client == name {
 			return link, nil
 		}
@@ -247,7 +250,7 @@
 	return names
 }
 
-// startHollowProcess starts the process of the hollow dispatchers of a zone, if it has any.
+// startHollowProcess starts the process that runs a zone's hollow dispatchers, if the zone has any.
 func (c *cluster) startHollowProcess(zone int) error {
 	names := c.hollowNames(zone)
 	if len(names) == 0 {
@@ -263,11 +266,11 @@
 		return err
 	}
 	c.hollowProcesses[zone] = process
-	c.meter.follow(processName, process.pid())
+	c.meter.addProcess(processName, process.pid())
 	return process.send(config)
 }
 
-// hollowConfig is the configuration of the process of a zone's hollow dispatchers.
+// hollowConfig returns the configuration of the process that runs a zone's hollow dispatchers.
 func (c *cluster) hollowConfig(zone int, names []string) (hollowConfig, error) {
 	scenario := c.scenario
 	config := hollowConfig{
@@ -291,11 +294,11 @@
 	return config, nil
 }
 
-// onReport handles a report of the hollow dispatchers with the names.
+// onReport handles a report of the process that runs the hollow dispatchers with the given names.
 func (c *cluster) onReport(names []string, line []byte) {
 	var report hollowReport
 	if err := json.Unmarshal(line, &report); err != nil {
-		report.Error = fmt.Sprintf("a hollow dispatcher's report: %v", err)
+		report.Error = fmt.Sprintf("invalid report of a hollow process: %v", err)
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -304,19 +307,19 @@
 			c.tracker.recordApplied(names[applied.Dispatcher], applied.Version, applied.AppliedAt)
 		}
 	}
-	if report.Traffic != nil {
-		c.traffic.add(*report.Traffic)
+	if report.Requests != nil {
+		c.requests.add(*report.Requests)
 	}
-	if report.Own != nil {
-		c.ownCounts.add(*report.Own)
-		c.ownReports++
+	if report.Counters != nil {
+		c.counters.add(*report.Counters)
+		c.counterReports++
 	}
 	if report.Error != "" {
-		c.errs = append(c.errs, errors.New(report.Error))
+		c.reportedErrors = append(c.reportedErrors, errors.New(report.Error))
 	}
 }
 
-// startDaemon starts a real daemon.
+// startDaemon starts a daemon: a real dispatcher-serve process.
 func (c *cluster) startDaemon(number int) error {
 	scenario := c.scenario
 	name := daemonName(number)
@@ -340,14 +343,14 @@
 		return err
 	}
 	c.daemons[number] = process
-	c.meter.follow(name, process.pid())
+	c.meter.addProcess(name, process.pid())
 	return nil
 }
 
 // restartZone kills a zone's dispatchers and starts them again.
 func (c *cluster) restartZone(zone int) error {
 	if process := c.hollowProcesses[zone]; process != nil {
-		c.meter.unfollow(hollowProcessName(zone))
+		c.meter.removeProcess(hollowProcessName(zone))
 		process.kill()
 	}
 	if err := c.startHollowProcess(zone); err != nil {
@@ -357,7 +360,7 @@
 		if daemonZone(i, c.scenario.Zones) != zone {
 			continue
 		}
-		c.meter.unfollow(daemonName(i))
+		c.meter.removeProcess(daemonName(i))
 		process.kill()
 		if err := c.startDaemon(i); err != nil {
 			return err
@@ -366,31 +369,31 @@
 	return nil
 }
 
-// childError returns an error if a process has ended by itself or reported an error.
+// childError returns an error if a relay, hollow process or daemon has exited, or a hollow process has reported an error.
 func (c *cluster) childError() error {
 	for _, group := range []map[int]*child{c.relays, c.hollowProcesses, c.daemons} {
 		for _, process := range group {
 			select {
 			case <-process.exited:
-				return fmt.Errorf("%s has ended: %s", process.name, strings.TrimSpace(process.stderr.String()))
+				return fmt.Errorf("%s has exited: %s", process.name, strings.TrimSpace(process.stderr.String()))
 			default:
 			}
 		}
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return errors.Join(c.errs...)
+	return errors.Join(c.reportedErrors...)
 }
 
-// sample reads all meters.
+// sample reads the usage of all processes and the counters of all links.
 func (c *cluster) sample() sample {
 	taken := c.meter.read()
-	taken.clientBytes = c.network.ledger.totals()
+	taken.clientBytes = c.network.byteCounters.totals()
 	taken.sentBytes, taken.connections = c.network.serverLoad()
 	return taken
 }
 
-// countBehind returns how many reachable hollow dispatchers lack a version.
+// countBehind returns how many reachable hollow dispatchers have not yet applied a version.
 func (c *cluster) countBehind(version int64) (count int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -402,9 +405,9 @@
 	return count
 }
 
-// silentDaemons returns how many daemons have not received a byte yet.
-func (c *cluster) silentDaemons() (count int) {
-	totals := c.network.ledger.totals()
+// countSilentDaemons returns how many daemons have not exchanged a byte with their upstream yet.
+func (c *cluster) countSilentDaemons() (count int) {
+	totals := c.network.byteCounters.totals()
 	for i := range c.scenario.Daemons {
 		if totals[daemonName(i)] == 0 {
 			count++
@@ -413,35 +416,35 @@
 	return count
 }
 
-// collectOwnCounts requests the counts of all processes of hollow dispatchers and returns their sum.
-func (c *cluster) collectOwnCounts(ctx context.Context) (ownCounts, error) {
+// collectCounters asks all processes of hollow dispatchers for their counters and returns the sum.
+func (c *cluster) collectCounters(ctx context.Context) (hollowCounters, error) {
 	c.mutex.Lock()
-	c.ownCounts = ownCounts{}
-	c.ownReports = 0
+	c.counters = hollowCounters{}
+	c.counterReports = 0
 	c.mutex.Unlock()
 	for _, process := range c.hollowProcesses {
 		if err := process.send("counts"); err != nil {
-			return ownCounts{}, err
+			return hollowCounters{}, err
 		}
 	}
 	for {
 		c.mutex.Lock()
-		counts := c.ownCounts
-		reports := c.ownReports
+		counters := c.counters
+		reports := c.counterReports
 		c.mutex.Unlock()
 		if reports >= len(c.hollowProcesses) {
-			return counts, nil
+			return counters, nil
 		}
 		if err := c.childError(); err != nil {
-			return counts, err
+			return counters, err
 		}
 		if err := sleep(ctx, pollInterval); err != nil {
-			return counts, err
+			return counters, err
 		}
 	}
 }
 
-// close ends all processes by their ids.
+// close stops all processes that the cluster started, and closes the links.
 func (c *cluster) close() {
 	var all []*child
 	for _, group := range []map[int]*child{c.daemons, c.hollowProcesses, c.relays} {
@@ -460,5 +463,5 @@
 	c.network.close()
 }
 
-// unixNow is the clock of all reports.
+// unixNow returns the present Unix time. All reports use Unix time, so that times of different processes compare.
 func unixNow() time.Duration { return time.Duration(time.Now().UnixNano()) }
--- a/internal/rehearsal/scale/dispatchersettings.go
+++ b/internal/rehearsal/scale/dispatchersettings.go
@@ -12,7 +12,7 @@
 	secondUs      = 1_000 * millisecondUs
 )
 
-// dispatcherSettings returns the settings of a dispatcher of a run, with or without sockets.
+// dispatcherSettings returns the settings of a dispatcher of a run. Hollow dispatchers and daemons have the same.
 func dispatcherSettings(scenario *Scenario, zones []string, zone int) json.RawMessage {
 	settings := daemonconfig.Settings{
 		ZoneNames: zones,
--- a/internal/rehearsal/scale/driver.go
+++ b/internal/rehearsal/scale/driver.go
@@ -10,21 +10,22 @@
 	"hollyyoke.example/hollyyoke/internal/eventloop"
 )
 
-// driver sends requests to one dispatcher as an open loop, without sockets. It belongs to the loop's goroutine.
+// driver generates an open-loop load of requests for one hollow dispatcher, which it calls directly, without sockets.
+// It must be used only on the goroutine of the dispatcher's event loop.
 type driver struct {
-	core        *dispatch.Dispatcher
-	traffic     Traffic
-	random      *rand.Rand
-	onCounts    func(more trafficCounts)
-	arrivalDue  eventloop.Deadline
-	nextArrival time.Duration
-	reportedAt  time.Duration
-	reported    dispatch.Counts // at the last report
-	acceptTime  time.Duration   // spent in accepting requests since the last report
-	lastToken   uint64
+	core           *dispatch.Dispatcher
+	traffic        Traffic
+	random         *rand.Rand
+	onCounts       func(more requestCounts)
+	arrivalDue     eventloop.Deadline
+	nextArrival    time.Duration
+	reportedAt     time.Duration
+	reportedCounts dispatch.Counts // counts at the last report
+	acceptTime     time.Duration   // time spent in accepting requests since the last report
+	lastToken      uint64
 }
 
-func newDriver(core *dispatch.Dispatcher, traffic Traffic, random *rand.Rand, onCounts func(trafficCounts)) *driver {
+func newDriver(core *dispatch.Dispatcher, traffic Traffic, random *rand.Rand, onCounts func(requestCounts)) *driver {
 	started := &driver{core: core, traffic: traffic, random: random, onCounts: onCounts}
 	started.arrivalDue.Fire = started.submitDue
 	core.ClientOverride = &hollowWorkers{
@@ -35,7 +36,8 @@
 	return started
 }
 
-// start waits until the dispatcher has workers, so that its start does not look like an overload.
+// start begins to send requests once the dispatcher has ready workers: earlier requests would be rejected, which would
+// look like an overload.
 func (d *driver) start() {
 	loop := d.core.Loop
 	if d.core.ReadyWorkers() == 0 {
@@ -48,7 +50,7 @@
 	d.submitDue()
 }
 
-// submitDue submits the requests that are due.
+// submitDue submits the requests that are due and sets the timer for the next one.
 func (d *driver) submitDue() {
 	loop := d.core.Loop
 	arrivedUntil := loop.Now()
@@ -79,14 +81,14 @@
 	})
 }
 
-// Respond does nothing: the dispatcher counts its answers.
+// Respond does nothing: the dispatcher itself counts its responses.
 func (d *driver) Respond(uint64, dispatch.Response) {}
 
-// report passes on the counts since the last report.
+// report passes the counts since the last report to onCounts.
 func (d *driver) report() {
 	current := d.core.Counts()
-	previous := d.reported
-	d.onCounts(trafficCounts{
+	previous := d.reportedCounts
+	d.onCounts(requestCounts{
 		Accepted:   current.Accepted - previous.Accepted,
 		Served:     current.Served - previous.Served,
 		Rejected:   current.Rejected - previous.Rejected,
@@ -94,18 +96,18 @@
 		Attempts:   current.Attempts - previous.Attempts,
 		AcceptTime: d.acceptTime,
 	})
-	d.reported = current
+	d.reportedCounts = current
 	d.acceptTime = 0
 }
 
 var _ dispatch.WorkerClient = (*hollowWorkers)(nil)
 
-// hollowWorkers is the dispatch.WorkerClient of a hollow dispatcher, without workers: each attempt starts at once, takes
-// as long as its work, and reports the worker's load.
+// hollowWorkers is the dispatch.WorkerClient of a hollow dispatcher. It simulates the workers: each attempt starts at
+// once, takes as long as its request's work, and ends with a load report of its worker.
 type hollowWorkers struct {
 	core             *dispatch.Dispatcher
 	running          map[uint64]*hollowAttempt
-	attemptsByWorker map[string]int // running attempts of this dispatcher
+	attemptsByWorker map[string]int // number of running attempts of this dispatcher
 }
 
 // hollowAttempt is a running attempt.
@@ -114,7 +116,7 @@
 	end    eventloop.Deadline
 }
 
-// Start starts an attempt.
+// Start starts a simulated attempt. The dispatcher is told later, by the event loop, that it was sent and has started.
 func (h *hollowWorkers) Start(attempt dispatch.Attempt) {
 	running := &hollowAttempt{worker: attempt.Worker}
 	running.end.Fire = func() { h.end(attempt.Handle, running) }
@@ -133,9 +135,9 @@
 	h.core.AttemptEnded(handle, decision.Completed, h.loadReport(ended.worker), nil)
 }
 
-// loadReport is the load that this dispatcher's attempts cause at a worker.
+// loadReport returns the load that this dispatcher's attempts alone cause at a worker.
 func (h *hollowWorkers) loadReport(worker string) decision.LoadReport {
-	free := float64(machineSlots - h.attemptsByWorker[worker])
+	free := float64(workerSlots - h.attemptsByWorker[worker])
 	return decision.LoadReport{FreeSlots: max(free, 0), HasFreeSlots: true}
 }
 
@@ -147,7 +149,7 @@
 	}
 }
 
-// Cancel cancels an attempt, which has begun by then.
+// Cancel cancels an attempt. It returns false, since every attempt starts at once and thus may have run.
 func (h *hollowWorkers) Cancel(handle uint64) (neverRan bool) {
 	if cancelled := h.running[handle]; cancelled != nil {
 		h.core.Loop.Clear(&cancelled.end)
@@ -159,11 +161,11 @@
 // CloseIdle does nothing: there are no connections.
 func (h *hollowWorkers) CloseIdle(string) {}
 
-// CheckHealth reports the load that this dispatcher's attempts cause.
+// CheckHealth reports the worker as healthy, with the load that this dispatcher's attempts cause.
 func (h *hollowWorkers) CheckHealth(worker string) {
 	load := h.loadReport(worker)
 	h.core.Loop.Post(func() { h.core.HealthChecked(worker, decision.Completed, load) })
 }
 
-// Subscribe does nothing: the registry subscribes.
+// Subscribe does nothing: the registry subscribes to the endpoint list.
 func (h *hollowWorkers) Subscribe() {}
--- a/internal/rehearsal/scale/figures.go
+++ b/internal/rehearsal/scale/figures.go
@@ -17,16 +17,16 @@
 	Kind  string  `json:"kind"` // always "measured"
 }
 
-// Figures are the figures of a run, in the order of the report.
+// Figures are the figures of one run, in the order in which reports show them.
 type Figures []Figure
 
-const measured = "measured"
+const kindMeasured = "measured"
 
 func (f *Figures) add(name, unit string, value float64) {
-	*f = append(*f, Figure{Name: name, Unit: unit, Value: value, Kind: measured})
+	*f = append(*f, Figure{Name: name, Unit: unit, Value: value, Kind: kindMeasured})
 }
 
-// Get returns the value of a figure; false if there is none of that name.
+// Get returns the value of the figure with a name, and whether there is one.
 func (f Figures) Get(name string) (float64, bool) {
 	i := slices.IndexFunc(f, func(figure Figure) bool { return figure.Name == name })
 	if i < 0 {
@@ -36,18 +36,18 @@
 }
 
 const (
-	minuteWindow = time.Minute
-	coreWindow   = 10 * time.Second
+	minuteWindow = time.Minute      // over which bytes per second are averaged
+	coreWindow   = 10 * time.Second // over which processor time is averaged
 	megabyte     = 1 << 20
 )
 
 // Figures computes all figures of the run.
 func (r *Run) Figures() (figures Figures) {
 	r.addRun(&figures)
-	r.addInForce(&figures)
+	r.addPropagationDelays(&figures)
 	r.addDispatchers(&figures)
 	r.addControl(&figures)
-	r.addTraffic(&figures)
+	r.addRequests(&figures)
 	return figures
 }
 
@@ -55,8 +55,8 @@
 	last := r.samples[len(r.samples)-1]
 	figures.add("run.span", "s", last.takenAt.Sub(r.samples[0].takenAt).Seconds())
 	figures.add("run.day_factor", "", r.Scenario.Background.TimeFactor)
-	figures.add("run.changes", "", float64(len(r.tracker.changes)))
-	figures.add("run.processes", "", float64(r.processes))
+	figures.add("run.changes", "", float64(len(r.tracker.publishedVersions)))
+	figures.add("run.processes", "", float64(r.processCount))
 	resident := int64(0)
 	for i := range r.samples {
 		resident = max(resident, r.samples[i].resident())
@@ -66,16 +66,16 @@
 	figures.add("run.went_back_to_older", "", float64(r.tracker.regressions))
 }
 
-func (r *Run) addInForce(figures *Figures) {
+func (r *Run) addPropagationDelays(figures *Figures) {
 	for _, phase := range r.tracker.phases() {
-		delays, missing := r.tracker.inForce(phase)
+		delays, missing := r.tracker.propagationDelays(phase)
 		r.addQuantiles(figures, "in_force."+phase, delays)
 		figures.add("in_force."+phase+".changes", "", float64(len(delays)))
 		if missing > 0 {
 			figures.add("in_force."+phase+".never", "", float64(missing))
 		}
 	}
-	caughtUp, missing := r.tracker.catchUp()
+	caughtUp, missing := r.tracker.catchUpDelays()
 	for _, phase := range slices.Sorted(maps.Keys(caughtUp)) {
 		r.addQuantiles(figures, "catch_up."+phase, caughtUp[phase])
 	}
@@ -93,23 +93,24 @@
 	figures.add(name+".max", "s", quantile(values, 1))
 }
 
-// group is a set of dispatchers whose figures are combined.
+// group is a set of dispatchers that have common figures.
 type group struct {
-	name      string
-	members   []string       // as clients of the links
-	processes map[string]int // number of them by process
+	name                 string
+	members              []string       // names of the dispatchers, by which links count their bytes
+	dispatchersByProcess map[string]int // number of dispatchers that each process runs
 }
 
+// groups returns the group of hollow dispatchers and, if the run has daemons, that of the daemons.
 func (r *Run) groups() []group {
-	hollow := group{name: "hollow", processes: map[string]int{}}
+	hollow := group{name: "hollow", dispatchersByProcess: map[string]int{}}
 	for i := range r.Scenario.Dispatchers {
 		hollow.members = append(hollow.members, hollowName(i))
-		hollow.processes[hollowProcessName(hollowZone(i, r.Scenario.Zones))]++
+		hollow.dispatchersByProcess[hollowProcessName(hollowZone(i, r.Scenario.Zones))]++
 	}
-	daemons := group{name: "real", processes: map[string]int{}}
+	daemons := group{name: "real", dispatchersByProcess: map[string]int{}}
 	for i := range r.Scenario.Daemons {
 		daemons.members = append(daemons.members, daemonName(i))
-		daemons.processes[daemonName(i)] = 1
+		daemons.dispatchersByProcess[daemonName(i)] = 1
 	}
 	if r.Scenario.Daemons == 0 {
 		return []group{hollow}
@@ -124,7 +125,7 @@
 		worstShare := 0.0
 		peakMemory := 0.0
 		worstBytes := 0.0
-		for process, count := range group.processes {
+		for process, count := range group.dispatchersByProcess {
 			worstShare = max(worstShare, r.worstCoreShare(process)/float64(count))
 			peakMemory = max(peakMemory, r.peakMemory(process)/float64(count))
 		}
@@ -140,12 +141,12 @@
 		figures.add(prefix+".bytes_worst_minute", "B/s", worstBytes)
 	}
 	for _, comparison := range r.Compare() {
-		figures.add("hollow_beside_real."+comparison.What+".apart", "", comparison.Deviation)
+		figures.add("hollow_beside_real."+comparison.Metric+".apart", "", comparison.Deviation)
 	}
-	r.addOwnCounts(figures)
+	r.addCounters(figures)
 }
 
-// peakMemory returns the largest memory of a process, in bytes.
+// peakMemory returns the peak resident memory of a process, in bytes.
 func (r *Run) peakMemory(process string) (peak float64) {
 	for i := range r.samples {
 		peak = max(peak, float64(r.samples[i].peakResident[process]))
@@ -153,29 +154,30 @@
 	return peak
 }
 
-// addOwnCounts adds the means of what hollow dispatchers have counted themselves. After a restart of some the counts
-// of the earlier processes are lost, so that there is nothing to add.
-func (r *Run) addOwnCounts(figures *Figures) {
+// addCounters adds means of the counters that the hollow dispatchers keep themselves. If the scenario restarts a zone it
+// adds none, since the counters of the killed processes are lost.
+func (r *Run) addCounters(figures *Figures) {
 	if slices.ContainsFunc(r.Scenario.Events, func(event Event) bool { return event.Kind == RestartZone }) {
 		return
 	}
 	dispatchers := float64(r.Scenario.Dispatchers)
-	if read := r.countsAtEnd.BytesRead - r.countsAtStart.BytesRead; read > 0 {
+	if read := r.countersAtEnd.BytesRead - r.countersAtStart.BytesRead; read > 0 {
 		span := r.samples[len(r.samples)-1].takenAt.Sub(r.samples[0].takenAt).Seconds()
-		figures.add("own_count.bytes", "B/s", float64(read+r.countsAtEnd.BytesWritten-r.countsAtStart.BytesWritten)/span/dispatchers)
+		figures.add("own_count.bytes", "B/s", float64(read+r.countersAtEnd.BytesWritten-r.countersAtStart.BytesWritten)/span/dispatchers)
 	}
 	if r.Scenario.CountEntries {
-		figures.add("own_count.lists", "", float64(r.countsAtEnd.ListUpdates-r.countsAtStart.ListUpdates)/dispatchers)
-		figures.add("own_count.entries", "", float64(r.countsAtEnd.Entries-r.countsAtStart.Entries)/dispatchers)
+		figures.add("own_count.lists", "", float64(r.countersAtEnd.ListUpdates-r.countersAtStart.ListUpdates)/dispatchers)
+		figures.add("own_count.entries", "", float64(r.countersAtEnd.Entries-r.countersAtStart.Entries)/dispatchers)
 	}
 }
 
-// worstCoreShare returns a process's share of a core in its busiest ten seconds.
+// worstCoreShare returns the largest share of a core that a process used over any coreWindow of the run.
 func (r *Run) worstCoreShare(process string) float64 {
 	return r.worstRate(coreWindow, func(s *sample) float64 { return s.cpu[process].Seconds() })
 }
 
-// worstRate returns the largest rise of a count per second in any window; the mean if the run is shorter.
+// worstRate returns the largest increase of a count per second over any window, or over the whole run if it is shorter
+// than the window.
 func (r *Run) worstRate(window time.Duration, count func(*sample) float64) float64 {
 	worst := 0.0
 	start := 0
@@ -191,12 +193,13 @@
 	return worst
 }
 
-// addControl adds figures of the origin and, where there are relays, of the busiest one: over the run, and from each
-// action to the next.
+// addControl adds the figures of the control machines over the run: of the origin and, if there are relays, of the one
+// with the largest worstCoreShare. For each action it also adds the maxima over the control machines, from that action to
+// the next.
 func (r *Run) addControl(figures *Figures) {
 	r.addMachine(figures, "origin", originName)
 	machines := []string{originName}
-	if r.Mechanism == ByRelays {
+	if r.Mechanism == MechanismRelays {
 		machines = nil
 		for zone := range r.Scenario.Zones {
 			machines = append(machines, relayName(zone))
@@ -214,7 +217,7 @@
 	}
 }
 
-// inRange returns the samples between two times.
+// inRange returns the samples that were taken between two times, both included.
 func (r *Run) inRange(from, to time.Time) (between []sample) {
 	for _, s := range r.samples {
 		if !s.takenAt.Before(from) && !s.takenAt.After(to) {
@@ -224,7 +227,7 @@
 	return between
 }
 
-// addBusiest adds the largest value of each figure over the control machines, from samples of one period.
+// addBusiest adds figures for the period of the samples, each of which is the largest over the given machines.
 func (r *Run) addBusiest(figures *Figures, prefix string, machines []string, samples []sample) {
 	if len(samples) < 2 {
 		return
@@ -247,6 +250,7 @@
 	figures.add(prefix+".connections", "", float64(open))
 }
 
+// addMachine adds the figures of one control machine over the run.
 func (r *Run) addMachine(figures *Figures, prefix, name string) {
 	first := r.samples[0]
 	last := r.samples[len(r.samples)-1]
@@ -264,8 +268,8 @@
 	figures.add(prefix+".memory_peak", "MB", r.peakMemory(name)/megabyte)
 }
 
-func (r *Run) addTraffic(figures *Figures) {
-	counts := r.traffic
+func (r *Run) addRequests(figures *Figures) {
+	counts := r.requests
 	if counts.Accepted == 0 {
 		return
 	}
@@ -275,29 +279,29 @@
 	figures.add("traffic.arrival", "us", float64(counts.AcceptTime.Microseconds())/float64(counts.Accepted))
 }
 
-// maxDeviation is the share by which a hollow dispatcher may differ from a daemon without a reason being printed.
+// maxDeviation is the relative difference between hollow dispatchers and daemons above which the report gives a reason.
 const maxDeviation = 0.2
 
-// deviationReasons tells why hollow dispatchers differ from daemons, by what is compared.
+// deviationReasons says why hollow dispatchers differ from daemons, for each compared metric.
 var deviationReasons = map[string]string{
-	"core_share": "the hollow ones of a process wake up together for a change and share its poller, collector and reports; " +
-		"a real one does so alone. What a process costs counts most where the share is small",
-	"memory": "the hollow ones of a process share one run time and the kit's larger program (some 20 MB); " +
-		"a real one has its own (some 8 MB). What a process costs counts most where the list is small",
-	"bytes": "dispatchers of a zone have the same changes, but each its own acknowledgements, and a restart is at other moments",
+	"core_share": "the hollow dispatchers of a process wake up together for a change and share its network poller, garbage collector and reports; " +
+		"a real dispatcher has these for itself. This fixed cost of a process matters most where the core share is small",
+	"memory": "the hollow dispatchers of a process share one Go runtime and the larger program of the test kit (some 20 MB); " +
+		"a real dispatcher has a runtime and program of its own (some 8 MB). This fixed cost of a process matters most where the endpoint list is small",
+	"bytes": "dispatchers of a zone receive the same changes, but each sends its own acknowledgements, and they are restarted at different times",
 }
 
-// Comparison compares a figure of hollow dispatchers with that of daemons.
+// Comparison compares one metric of hollow dispatchers with the same metric of daemons.
 type Comparison struct {
-	What      string
+	Metric    string
 	Hollow    float64
 	Real      float64
-	Deviation float64 // as a share of the daemon's figure
-	Reason    string  // text of the report; empty within maxDeviation
+	Deviation float64 // Hollow/Real - 1
+	Reason    string  // why they differ; empty if Deviation is within maxDeviation
 }
 
-// Compare compares daemons with the hollow dispatchers of the same zones. Where hollow dispatchers serve requests,
-// which daemons do not, only the bytes compare.
+// Compare compares daemons with the hollow dispatchers of the same zones. If hollow dispatchers serve requests it compares
+// the bytes only, since daemons serve none.
 func (r *Run) Compare() (comparisons []Comparison) {
 	hollowGroup := r.hollowInDaemonZones()
 	if r.Scenario.Daemons == 0 || len(hollowGroup.members) == 0 {
@@ -306,7 +310,7 @@
 	hollow := r.means(hollowGroup)
 	daemons := r.means(r.groups()[1])
 	for _, compared := range []struct {
-		what   string
+		metric string
 		hollow float64
 		real   float64
 	}{
@@ -314,29 +318,29 @@
 		{"memory", hollow.residentMB, daemons.residentMB},
 		{"bytes", hollow.bytesPerS, daemons.bytesPerS},
 	} {
-		if compared.real == 0 || r.Scenario.Traffic.RatePerS > 0 && compared.what != "bytes" {
+		if compared.real == 0 || r.Scenario.Traffic.RatePerS > 0 && compared.metric != "bytes" {
 			continue
 		}
-		comparison := Comparison{What: compared.what, Hollow: compared.hollow, Real: compared.real, Deviation: compared.hollow/compared.real - 1}
+		comparison := Comparison{Metric: compared.metric, Hollow: compared.hollow, Real: compared.real, Deviation: compared.hollow/compared.real - 1}
 		if math.Abs(comparison.Deviation) > maxDeviation {
-			comparison.Reason = deviationReasons[compared.what]
+			comparison.Reason = deviationReasons[compared.metric]
 		}
 		comparisons = append(comparisons, comparison)
 	}
 	return comparisons
 }
 
-// hollowInDaemonZones returns the hollow dispatchers of the zones that have a daemon.
+// hollowInDaemonZones returns the group of hollow dispatchers in the zones that have a daemon.
 func (r *Run) hollowInDaemonZones() group {
 	zones := map[int]bool{}
 	for i := range r.Scenario.Daemons {
 		zones[daemonZone(i, r.Scenario.Zones)] = true
 	}
-	hollow := group{name: "beside", processes: map[string]int{}}
+	hollow := group{name: "beside", dispatchersByProcess: map[string]int{}}
 	for i := range r.Scenario.Dispatchers {
 		if zone := hollowZone(i, r.Scenario.Zones); zones[zone] {
 			hollow.members = append(hollow.members, hollowName(i))
-			hollow.processes[hollowProcessName(zone)]++
+			hollow.dispatchersByProcess[hollowProcessName(zone)]++
 		}
 	}
 	return hollow
@@ -356,7 +360,7 @@
 	last := r.samples[len(r.samples)-1]
 	span := last.takenAt.Sub(first.takenAt).Seconds()
 	count := float64(len(dispatchers.members))
-	for process := range dispatchers.processes {
+	for process := range dispatchers.dispatchersByProcess {
 		means.coreShare += (last.cpu[process] - first.cpu[process]).Seconds() / span / count
 		means.residentMB += float64(last.residentBytes[process]) / megabyte / count
 	}
@@ -366,7 +370,7 @@
 	return means
 }
 
-// Violations describes what no run may show, whatever the bounds of its scenario.
+// Violations describes the invariants that the run violated. They hold in every run, whatever bounds its scenario has.
 func (r *Run) Violations() (violations []string) {
 	if r.tracker.regressions > 0 {
 		violations = append(violations, fmt.Sprintf("%s: %d times a dispatcher went back to an older version", r.Mechanism, r.tracker.regressions))
--- a/internal/rehearsal/scale/figures_test.go
+++ b/internal/rehearsal/scale/figures_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The worst rate is that of the busiest window, or the mean of a run that is shorter than the window.
+// worstRate returns the rate of the busiest window, or the mean rate of a run that is shorter than the window.
 func TestWorstRate(t *testing.T) {
 	run := &Run{}
 	startedAt := time.Unix(1000, 0)
--- a/internal/rehearsal/scale/golden_test.go
+++ b/internal/rehearsal/scale/golden_test.go
@@ -8,19 +8,19 @@
 	"hollyyoke.example/hollyyoke/internal/goldentest"
 )
 
-// Keys of scenario files, and the committed ones with their defaults.
+// Guards the keys of scenario files, and the values of the committed scenarios with their defaults.
 func TestGoldenScenarios(t *testing.T) {
 	goldentest.CompareScenarios(t, "../../../deploy/scenarios/scale/*.toml", ReadScenario,
 		"unknown = 1", "workers = 0", "mechanism = \"mail\"", "workers = true")
 }
 
-// JSON keys of messages to the daemon and the origin's clients, and of results. Messages between this program and its
-// children are internal.
+// Guards the JSON keys of results and of messages to the daemon and to the origin's clients. Messages between this program
+// and its own child processes are internal, and not compared.
 func TestGoldenMessages(t *testing.T) {
 	for file, message := range map[string]reflect.Type{
 		"daemon-config": reflect.TypeFor[daemonConfig](),
 		"known-list":    reflect.TypeFor[initialList](),
-		"listing":       reflect.TypeFor[listing](),
+		"listing":       reflect.TypeFor[listUpdate](),
 		"record":        reflect.TypeFor[Record](),
 		"figure":        reflect.TypeFor[Figure](),
 	} {
@@ -28,16 +28,16 @@
 	}
 }
 
-// The settings of a dispatcher, byte for byte.
+// Guards the settings of a dispatcher, byte for byte.
 func TestGoldenSettings(t *testing.T) {
 	scenario := &Scenario{Dispatchers: 3, Daemons: 2, SlowStartS: 1.5}
 	settings := dispatcherSettings(scenario, []string{"a", "b"}, 1)
 	goldentest.Compare(t, filepath.Join("json", "settings.golden"), string(settings)+"\n")
 }
 
-// The kinds and mechanisms that scenario files name.
+// Guards the names of mechanisms and of kinds of events in scenario files.
 func TestGoldenKinds(t *testing.T) {
-	lines := []string{"mechanism " + string(ByDiscovery), "mechanism " + string(ByRelays)}
+	lines := []string{"mechanism " + string(MechanismDiscovery), "mechanism " + string(MechanismRelays)}
 	for _, kind := range eventKinds {
 		lines = append(lines, "event "+string(kind))
 	}
--- a/internal/rehearsal/scale/hollowprocess.go
+++ b/internal/rehearsal/scale/hollowprocess.go
@@ -29,42 +29,43 @@
 	MemoryMB        float64            `json:"memory_mb"` // of each dispatcher
 	Dispatchers     []hollowDispatcher `json:"dispatchers"`
 	Traffic         Traffic            `json:"traffic"`
-	InitialListFile string             `json:"known"`   // of the list that they start with; empty: none
+	InitialListFile string             `json:"known"`   // path of the endpoint list to start with; empty if they start without one
 	CountEntries    bool               `json:"entries"` // count the entries of list updates
 }
 
-// hollowDispatcher is a hollow dispatcher and where it gets changes from.
+// hollowDispatcher configures one hollow dispatcher. It gets changes of the endpoint list from discovery or, if that is
+// empty, from membership servers.
 type hollowDispatcher struct {
 	Name      string              `json:"name"`
-	Discovery string              `json:"discovery,omitempty"` // empty: the servers are followed
+	Discovery string              `json:"discovery,omitempty"` // address
 	Servers   []membership.Server `json:"servers,omitempty"`
 }
 
-// hollowReport is a line that the process writes.
+// hollowReport is one line of the process's output.
 type hollowReport struct {
-	Applied []hollowApplied `json:"applied,omitempty"`
-	Traffic *trafficCounts  `json:"traffic,omitempty"`
-	Own     *ownCounts      `json:"own,omitempty"` // on request
-	Error   string          `json:"error,omitempty"`
+	Applied  []hollowApplied `json:"applied,omitempty"`
+	Requests *requestCounts  `json:"traffic,omitempty"`
+	Counters *hollowCounters `json:"own,omitempty"` // the reply to a line of input
+	Error    string          `json:"error,omitempty"`
 }
 
-// hollowApplied reports that a dispatcher has a version in force.
+// hollowApplied reports that a dispatcher has applied a version of the endpoint list.
 type hollowApplied struct {
-	Dispatcher int           `json:"d"`
+	Dispatcher int           `json:"d"` // index in hollowConfig.Dispatchers
 	Version    int64         `json:"v"`
 	AppliedAt  time.Duration `json:"t"` // Unix time
 }
 
-// ownCounts is what a process and its dispatchers have counted themselves since their start.
-type ownCounts struct {
+// hollowCounters are counters that a process of hollow dispatchers keeps from its start on, summed over its dispatchers.
+type hollowCounters struct {
 	BytesRead    int64  `json:"bytes_read"` // on control connections
 	BytesWritten int64  `json:"bytes_written"`
-	ListUpdates  int64  `json:"lists"` // counted only with Entries
-	Entries      int64  `json:"entries"`
-	Allocations  uint64 `json:"allocations"`
+	ListUpdates  int64  `json:"lists"`       // counted, like Entries, only if hollowConfig.CountEntries is set
+	Entries      int64  `json:"entries"`     // in these updates
+	Allocations  uint64 `json:"allocations"` // of heap objects, by the whole process
 }
 
-func (c *ownCounts) add(more ownCounts) {
+func (c *hollowCounters) add(more hollowCounters) {
 	c.BytesRead += more.BytesRead
 	c.BytesWritten += more.BytesWritten
 	c.ListUpdates += more.ListUpdates
@@ -72,8 +73,8 @@
 	c.Allocations += more.Allocations
 }
 
-// trafficCounts counts requests by outcome. The JSON keys are those of the earlier names.
-type trafficCounts struct {
+// requestCounts counts requests by outcome. The JSON keys keep the earlier names of these counts.
+type requestCounts struct {
 	Accepted   uint64        `json:"Taken"`
 	Served     uint64        `json:"Served"`
 	Rejected   uint64        `json:"Refused"`
@@ -82,36 +83,36 @@
 	AcceptTime time.Duration `json:"Busy"` // time spent in accepting requests
 }
 
-// heapShare is the share of the memory limit of a dispatcher that the heap may use.
+// heapShare is the share of a dispatcher's memory limit that the Go memory limit of the process allows for it.
 const heapShare = 0.3
 
 const (
-	hollowDescriptors     = 8192 // of a process; each dispatcher needs a few
-	reportDelay           = 20 * time.Millisecond
+	hollowDescriptors     = 8192                  // limit of a process, in which each dispatcher needs a few
+	reportDelay           = 20 * time.Millisecond // for which events are collected into one report
 	trafficReportInterval = time.Second
-	hollowProcessors      = 2 // a loop and the poller beside it
+	hollowProcessors      = 2 // GOMAXPROCS: the event loop and the network poller run in parallel
 )
 
-// hollowProcess is a running process of hollow dispatchers. Each has the real dispatcher, decision module and
-// registry, but neither clients nor workers. All of a process share one loop and one engine.
+// hollowProcess is a running process of hollow dispatchers. Each has the real dispatcher, decision module and registry,
+// but neither clients nor workers. All dispatchers of a process share one event loop and one transport engine.
 type hollowProcess struct {
 	config      hollowConfig
 	loop        *eventloop.Loop
 	wake        chan struct{} // signals that there is something to report
 	registries  []*discovery.Registry
-	listUpdates int64 // like entries, belongs to the loop's goroutine
+	listUpdates int64 // used, like entries, on the event loop's goroutine only
 	entries     int64
 	initialList []byte
 
 	outputMutex sync.Mutex // guards out
 	out         *json.Encoder
 
-	mutex   sync.Mutex // guards applied and traffic
-	applied []hollowApplied
-	traffic *trafficCounts
+	mutex    sync.Mutex // guards applied and requests, which are not reported yet
+	applied  []hollowApplied
+	requests *requestCounts
 }
 
-// RunHollow runs a process of hollow dispatchers until its input ends.
+// RunHollow runs a process of hollow dispatchers until its input is closed. The first line of input is its configuration.
 func RunHollow(input io.Reader, output io.Writer) error {
 	runtime.GOMAXPROCS(hollowProcessors)
 	reader := bufio.NewReader(input)
@@ -135,24 +136,25 @@
 		return err
 	}
 	process.loop.Post(func() { process.initialList = nil }) // after the dispatchers have read it
-	go process.serveRequests(reader)
+	go process.serveCounterRequests(reader)
 	go process.report()
 	process.loop.Run()
 	return nil
 }
 
-// serveRequests reports the counts for each line of the input, and stops the loop at its end.
-func (p *hollowProcess) serveRequests(input *bufio.Reader) {
+// serveCounterRequests writes a report of the counters for each line of the input, and stops the event loop when the
+// input is closed.
+func (p *hollowProcess) serveCounterRequests(input *bufio.Reader) {
 	for {
 		if _, err := input.ReadBytes('\n'); err != nil {
 			p.loop.Stop()
 			return
 		}
-		p.loop.Post(p.reportOwnCounts)
+		p.loop.Post(p.reportCounters)
 	}
 }
 
-// start creates the dispatchers; they are opened on the loop.
+// start creates the dispatchers. They connect later, on the event loop's goroutine.
 func (p *hollowProcess) start() error {
 	parsed, err := settings.Read(p.config.Settings)
 	if err != nil {
@@ -173,7 +175,7 @@
 	return nil
 }
 
-// open opens one dispatcher, on the loop's goroutine.
+// open connects one dispatcher to its upstream and starts its load of requests, on the event loop's goroutine.
 func (p *hollowProcess) open(number int, config hollowDispatcher, core *dispatch.Dispatcher, engine *transport.Engine, seed uint64) {
 	registry := discovery.New(core, engine, config.Discovery)
 	workerclient.New(core, engine, registry)
@@ -192,11 +194,11 @@
 		return
 	}
 	if p.config.Traffic.RatePerS > 0 {
-		newDriver(core, p.config.Traffic, rand.New(rand.NewPCG(seed, 2)), p.addTraffic).start()
+		newDriver(core, p.config.Traffic, rand.New(rand.NewPCG(seed, 2)), p.addRequestCounts).start()
 	}
 }
 
-// recordApplied records that a version is in force now.
+// recordApplied records that a dispatcher has just applied a version.
 func (p *hollowProcess) recordApplied(number int, version int64) {
 	p.mutex.Lock()
 	p.applied = append(p.applied, hollowApplied{Dispatcher: number, Version: version, AppliedAt: p.loop.Now()})
@@ -204,17 +206,17 @@
 	p.wakeReporter()
 }
 
-func (p *hollowProcess) addTraffic(more trafficCounts) {
+func (p *hollowProcess) addRequestCounts(more requestCounts) {
 	defer p.wakeReporter()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.traffic == nil {
-		p.traffic = &trafficCounts{}
+	if p.requests == nil {
+		p.requests = &requestCounts{}
 	}
-	p.traffic.add(more)
+	p.requests.add(more)
 }
 
-func (c *trafficCounts) add(more trafficCounts) {
+func (c *requestCounts) add(more requestCounts) {
 	c.Accepted += more.Accepted
 	c.Served += more.Served
 	c.Rejected += more.Rejected
@@ -223,7 +225,8 @@
 	c.AcceptTime += more.AcceptTime
 }
 
-// countEntries is a trace function that counts list updates and their entries.
+// countEntries is a trace function that counts updates of the endpoint list and their entries. The number of entries is
+// the last of the traced values.
 func (p *hollowProcess) countEntries(_, step string, keysAndValues ...any) {
 	if step != dispatch.StepWorkersUpdated {
 		return
@@ -234,16 +237,16 @@
 	}
 }
 
-// reportOwnCounts writes what the process has counted.
-func (p *hollowProcess) reportOwnCounts() {
+// reportCounters writes a report of the process's counters.
+func (p *hollowProcess) reportCounters() {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
-	own := ownCounts{ListUpdates: p.listUpdates, Entries: p.entries, Allocations: memory.Mallocs}
+	counters := hollowCounters{ListUpdates: p.listUpdates, Entries: p.entries, Allocations: memory.Mallocs}
 	for _, registry := range p.registries {
 		stats := registry.Stats()
-		own.add(ownCounts{BytesRead: stats.BytesRead, BytesWritten: stats.BytesWritten})
+		counters.add(hollowCounters{BytesRead: stats.BytesRead, BytesWritten: stats.BytesWritten})
 	}
-	p.write(hollowReport{Own: &own})
+	p.write(hollowReport{Counters: &counters})
 }
 
 func (p *hollowProcess) fail(err error) {
@@ -257,14 +260,15 @@
 	return p.out.Encode(report)
 }
 
-// report writes what has happened, with a short delay to collect more.
+// report writes the recorded versions and request counts each time it is woken, after reportDelay, so that one report
+// covers several events.
 func (p *hollowProcess) report() {
 	for range p.wake {
 		time.Sleep(reportDelay)
 		p.mutex.Lock()
-		report := hollowReport{Applied: p.applied, Traffic: p.traffic}
+		report := hollowReport{Applied: p.applied, Requests: p.requests}
 		p.applied = nil
-		p.traffic = nil
+		p.requests = nil
 		p.mutex.Unlock()
 		if err := p.write(report); err != nil {
 			return
@@ -272,10 +276,10 @@
 	}
 }
 
-// wakeReporter wakes the reporter.
+// wakeReporter wakes the goroutine that runs report.
 func (p *hollowProcess) wakeReporter() {
 	select {
 	case p.wake <- struct{}{}:
-	default: // it is already awake
+	default: // it has been woken already
 	}
 }
--- a/internal/rehearsal/scale/link.go
+++ b/internal/rehearsal/scale/link.go
@@ -7,35 +7,35 @@
 	"sync/atomic"
 )
 
-// clientTraffic counts the bytes of one client.
-type clientTraffic struct {
-	bytesDown atomic.Int64 // to the client
-	bytesUp   atomic.Int64 // from the client
+// byteCounter counts the bytes of one client.
+type byteCounter struct {
+	bytesDown atomic.Int64 // bytes sent to the client
+	bytesUp   atomic.Int64 // bytes received from the client
 }
 
-// ledger counts the traffic of all clients by name. It is safe for concurrent use.
-type ledger struct {
+// byteCounters holds a byteCounter for each client, by name. It is safe for concurrent use.
+type byteCounters struct {
 	mutex  sync.Mutex
-	byName map[string]*clientTraffic
+	byName map[string]*byteCounter
 }
 
-// client returns the counters of a client.
-func (l *ledger) client(name string) *clientTraffic {
+// client returns the counter of a client, which is created at the first call.
+func (l *byteCounters) client(name string) *byteCounter {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.byName == nil {
-		l.byName = map[string]*clientTraffic{}
+		l.byName = map[string]*byteCounter{}
 	}
 	counted := l.byName[name]
 	if counted == nil {
-		counted = &clientTraffic{}
+		counted = &byteCounter{}
 		l.byName[name] = counted
 	}
 	return counted
 }
 
-// totals returns the bytes of each client, both ways together.
-func (l *ledger) totals() map[string]int64 {
+// totals returns the number of bytes of each client, sent and received together.
+func (l *byteCounters) totals() map[string]int64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	totals := make(map[string]int64, len(l.byName))
@@ -45,51 +45,52 @@
 	return totals
 }
 
-// link is a loopback proxy that forwards control traffic unchanged. It counts the bytes of each client, and can be cut
-// like a network: open connections fall silent and new ones are not served. It is safe for concurrent use.
+// link is a loopback TCP proxy that forwards control traffic unchanged. It counts the bytes of each client, and can be cut
+// to simulate a network partition: open connections then carry no data, and new ones are accepted but not served. It is
+// safe for concurrent use.
 type link struct {
-	addr   string
-	ledger *ledger
-	client string // whose traffic it is; empty: each request names its client
+	addr         string // where clients connect
+	byteCounters *byteCounters
+	client       string // the client that uses the link; if empty, each request names its client in the query
 
 	listener    net.Listener
-	sent        atomic.Int64 // bytes sent by the server
-	connections atomic.Int64 // that are forwarded at present
+	bytesSent   atomic.Int64 // bytes sent by the server
+	connections atomic.Int64 // number of connections that are being forwarded
 
 	mutex  sync.Mutex
-	target string
+	target string // address of the server
 	cut    bool
-	conns  map[net.Conn]struct{} // both ends of those that are forwarded, and accepted ones that wait
-	healed chan struct{}         // closed while the link is not cut
+	conns  map[net.Conn]struct{} // connections to clients and to the server, including accepted ones that wait for the link to heal
+	healed chan struct{}         // a channel that is closed while the link is not cut
 }
 
-func newLink(target, client string, ledger *ledger) (*link, error) {
+func newLink(target, client string, counters *byteCounters) (*link, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	started := &link{
-		addr:     listener.Addr().String(),
-		ledger:   ledger,
-		client:   client,
-		listener: listener,
-		target:   target,
-		conns:    map[net.Conn]struct{}{},
-		healed:   make(chan struct{}),
+		addr:         listener.Addr().String(),
+		byteCounters: counters,
+		client:       client,
+		listener:     listener,
+		target:       target,
+		conns:        map[net.Conn]struct{}{},
+		healed:       make(chan struct{}),
 	}
 	close(started.healed)
 	go started.accept()
 	return started, nil
 }
 
-// setTarget sets the server.
+// setTarget sets the address of the server for new connections.
 func (l *link) setTarget(target string) {
 	l.mutex.Lock()
 	l.target = target
 	l.mutex.Unlock()
 }
 
-// setCut cuts the link or heals it. Healing resets the connections that were open or accepted while it was cut.
+// setCut cuts the link or heals it. Healing closes the connections that were open or were accepted while it was cut.
 func (l *link) setCut(cut bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -143,7 +144,8 @@
 	l.mutex.Unlock()
 }
 
-// waitHealed waits until the link is not cut. uncut is false if it had to wait.
+// waitHealed waits until the link is not cut. It returns the address of the server, and whether the link was not cut at the
+// time of the call.
 func (l *link) waitHealed() (target string, uncut bool) {
 	l.mutex.Lock()
 	healed := l.healed
@@ -154,7 +156,7 @@
 	return target, !cut
 }
 
-// serve forwards one connection. One that was accepted while the link was cut ends when it heals.
+// serve forwards one connection. A connection that was accepted while the link was cut is closed when the link heals.
 func (l *link) serve(client net.Conn) {
 	l.track(client)
 	defer l.untrack(client)
@@ -170,20 +172,20 @@
 	defer l.untrack(server)
 	l.connections.Add(1)
 	defer l.connections.Add(-1)
-	var counted atomic.Pointer[clientTraffic]
+	var counted atomic.Pointer[byteCounter]
 	if l.client != "" {
-		counted.Store(l.ledger.client(l.client))
+		counted.Store(l.byteCounters.client(l.client))
 	}
 	countUp := func(data []byte) {
 		if name := clientName(data); l.client == "" && name != "" {
-			counted.Store(l.ledger.client(name))
+			counted.Store(l.byteCounters.client(name))
 		}
 		if counter := counted.Load(); counter != nil {
 			counter.bytesUp.Add(int64(len(data)))
 		}
 	}
 	countDown := func(data []byte) {
-		l.sent.Add(int64(len(data)))
+		l.bytesSent.Add(int64(len(data)))
 		if counter := counted.Load(); counter != nil {
 			counter.bytesDown.Add(int64(len(data)))
 		}
@@ -199,7 +201,8 @@
 // forwardBufferSize is the size of the buffer for each direction, in bytes.
 const forwardBufferSize = 16 << 10
 
-// forward copies one way until either end closes. Data that is read while the link is cut is not forwarded.
+// forward copies data in one direction until either connection is closed, and calls onData before it writes. Data that is
+// read while the link is cut is not forwarded.
 func (l *link) forward(destination, source net.Conn, onData func([]byte)) {
 	buffer := make([]byte, forwardBufferSize)
 	for {
@@ -219,7 +222,7 @@
 	}
 }
 
-// clientName returns the name in the query of a request, or "".
+// clientName returns the parameter "name" in the query of an HTTP request that begins in data, or "" if there is none.
 func clientName(data []byte) string {
 	line, _, _ := bytes.Cut(data, []byte("\r\n"))
 	for _, key := range []string{"?name=", "&name="} {
--- a/internal/rehearsal/scale/link_test.go
+++ b/internal/rehearsal/scale/link_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-const testTimeout = 20 * time.Second // far beyond what any test needs
+const testTimeout = 20 * time.Second // reached only if a test fails
 
 // startEchoServer starts an echo server and returns its address.
 func startEchoServer(t *testing.T) string {
@@ -34,8 +34,8 @@
 	return listener.Addr().String()
 }
 
-// startLink starts a link to an echo server until the test ends.
-func startLink(t *testing.T, client string, counted *ledger) *link {
+// startLink starts a link to an echo server, and closes it when the test ends.
+func startLink(t *testing.T, client string, counted *byteCounters) *link {
 	t.Helper()
 	started, err := newLink(startEchoServer(t), client, counted)
 	if err != nil {
@@ -55,7 +55,7 @@
 	return conn
 }
 
-// echo sends a byte and reads it back.
+// echo sends a byte over a connection to an echo server and reads it back.
 func echo(conn net.Conn) error {
 	if _, err := conn.Write([]byte("x")); err != nil {
 		return err
@@ -64,9 +64,9 @@
 	return err
 }
 
-// A link without a client counts the bytes of each request's client by the name in the query.
+// A link without a client of its own counts the bytes of each request for the client that the query names.
 func TestLinkCountsByName(t *testing.T) {
-	var counted ledger
+	var counted byteCounters
 	link := startLink(t, "", &counted)
 	conn := dial(t, link.addr)
 	const request = "GET /v1/servers?watch=1&after=0&name=d-7 HTTP/1.1\r\n\r\n"
@@ -79,16 +79,16 @@
 	if got, want := counted.totals()["d-7"], 2*int64(len(request)); got != want {
 		t.Errorf("%d bytes are counted, want %d", got, want)
 	}
-	sent := link.sent.Load()
+	sent := link.bytesSent.Load()
 	open := link.connections.Load()
 	if sent != int64(len(request)) || open != 1 {
 		t.Errorf("%d bytes sent and %d connections, want %d and 1", sent, open, len(request))
 	}
 }
 
-// A cut link is silent to open and to new connections, and resets both when it heals.
+// A cut link carries no data on open and on new connections, and closes both when it heals.
 func TestCutLink(t *testing.T) {
-	var counted ledger
+	var counted byteCounters
 	link := startLink(t, "d", &counted)
 	before := dial(t, link.addr)
 	if err := echo(before); err != nil {
@@ -103,11 +103,11 @@
 		}
 		conn.SetDeadline(time.Now().Add(testTimeout))
 	}
-	awaitConnections(t, link, 3) // two ends of the open one, and the new one
+	awaitConnections(t, link, 3) // the open connection counts twice, to client and to server; the new one once
 	link.setCut(false)
 	for name, conn := range conns {
 		if _, err := conn.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("%s connection after the heal: %v, want its end", name, err)
+			t.Errorf("%s connection after the heal: %v, want it to be closed", name, err)
 		}
 	}
 	if err := echo(dial(t, link.addr)); err != nil {
@@ -115,7 +115,8 @@
 	}
 }
 
-// awaitConnections waits until a link has accepted so many connections: one that is accepted after the heal is served.
+// awaitConnections waits until a link holds at least count connections. A test must wait for this before it heals the link,
+// because a connection that is accepted afterwards is served.
 func awaitConnections(t *testing.T, link *link, count int) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
@@ -126,12 +127,12 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%d connections at the link, want %d", open, count)
+			t.Fatalf("the link has %d connections, want %d", open, count)
 		}
 	}
 }
 
-// checkConnected checks which zones can reach each other.
+// checkConnected checks whether each pair of zones can reach each other.
 func checkConnected(t *testing.T, network *network, fault string, want map[[2]int]bool) {
 	t.Helper()
 	for zones, connected := range want {
@@ -141,13 +142,13 @@
 	}
 }
 
-// A region that is cut off connects its own zones and the others theirs; a lost zone reaches none.
+// The zones of a region that is cut off reach each other but no other region. A lost zone reaches no zone, not even itself.
 func TestNetworkCuts(t *testing.T) {
 	network := newNetwork(&Scenario{Zones: 4, Regions: 2})
 	checkConnected(t, network, "no fault", map[[2]int]bool{{0, 3}: true, {2, 3}: true})
-	network.lostRegions[1] = true
+	network.isolatedRegions[1] = true
 	checkConnected(t, network, "region 1 cut off", map[[2]int]bool{{0, 3}: false, {2, 3}: true, {0, 1}: true})
-	delete(network.lostRegions, 1)
+	delete(network.isolatedRegions, 1)
 	network.lostZones[2] = true
 	checkConnected(t, network, "zone 2 lost", map[[2]int]bool{{2, 2}: false, {3, 2}: false, {3, 0}: true})
 }
--- a/internal/rehearsal/scale/meter.go
+++ b/internal/rehearsal/scale/meter.go
@@ -6,37 +6,40 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/processusage"
 )
 
-// sample is one reading of all meters. All counts rise from the start of the run.
+// sample holds the usage of all processes and links at one time. Processor time and bytes are totals since the start of the
+// run.
 type sample struct {
 	takenAt       time.Time
 	cpu           map[string]time.Duration // by process
-	residentBytes map[string]int64
-	peakResident  map[string]int64
-	clientBytes   map[string]int64 // by client of the links
-	sentBytes     map[string]int64 // by control machine
-	connections   map[string]int64 // by control machine
+	residentBytes map[string]int64         // by process
+	peakResident  map[string]int64         // by process
+	clientBytes   map[string]int64         // bytes sent and received, by client of the links
+	sentBytes     map[string]int64         // by control machine
+	connections   map[string]int64         // open connections, by control machine
 }
 
-// meter follows processes by name. The processor time of a restarted process continues that of the earlier one.
+// meter measures the usage of processes, by name. The processor time of a restarted process is added to that of the earlier
+// processes of the same name.
 type meter struct {
 	pids       map[string]int
-	earlierCPU map[string]time.Duration // processor time of earlier processes
-	latestCPU  map[string]time.Duration // of the present process
+	earlierCPU map[string]time.Duration // processor time of earlier processes of the same name
+	latestCPU  map[string]time.Duration // processor time of the present process, as last read
 }
 
 func newMeter() *meter {
 	return &meter{pids: map[string]int{}, earlierCPU: map[string]time.Duration{}, latestCPU: map[string]time.Duration{}}
 }
 
-// follow meters a process from now on.
-func (m *meter) follow(name string, pid int) {
-	m.unfollow(name)
+// addProcess starts to measure a process. An earlier process of the same name is no longer measured.
+func (m *meter) addProcess(name string, pid int) {
+	m.removeProcess(name)
 	m.pids[name] = pid
 }
 
-// unfollow stops metering a process. It must be called before the process ends.
-func (m *meter) unfollow(name string) {
-	if pid, followed := m.pids[name]; followed {
+// removeProcess stops measuring a process. It must be called before the process exits, because it reads the processor time
+// for the last time.
+func (m *meter) removeProcess(name string) {
+	if pid, found := m.pids[name]; found {
 		if cpu, err := processusage.CPU(pid); err == nil {
 			m.latestCPU[name] = cpu
 		}
@@ -46,7 +49,7 @@
 	delete(m.latestCPU, name)
 }
 
-// read reads the usage of all processes into a sample.
+// read returns a sample with the usage of all processes.
 func (m *meter) read() sample {
 	taken := sample{
 		takenAt:       time.Now(),
@@ -58,7 +61,7 @@
 		cpu, cpuErr := processusage.CPU(pid)
 		memory, memoryErr := processusage.ReadMemory(pid)
 		if cpuErr != nil || memoryErr != nil {
-			continue // it has just ended
+			continue // the process has just exited
 		}
 		m.latestCPU[name] = cpu
 		taken.residentBytes[name] = memory.Resident
@@ -70,7 +73,7 @@
 	return taken
 }
 
-// resident returns the memory of all processes in a sample.
+// resident returns the resident memory of all processes together, in bytes.
 func (s *sample) resident() (sum int64) {
 	for _, bytes := range s.residentBytes {
 		sum += bytes
--- a/internal/rehearsal/scale/network.go
+++ b/internal/rehearsal/scale/network.go
@@ -3,36 +3,37 @@
 // originZone is the zone of the origin.
 const originZone = 0
 
-// path is a link between two zones.
-type path struct {
+// zoneLink is a link from the clients of one zone to a server in the same or another zone.
+type zoneLink struct {
 	*link
 	fromZone int
 	toZone   int
-	server   string
+	server   string // name of the server
 }
 
-// network has all links of a run, through which all control traffic goes, and knows which of them are cut.
+// network holds all links of a run, through which all control traffic passes, and the zones and regions that are cut off.
 type network struct {
-	zones       int
-	regions     int
-	ledger      ledger
-	paths       []*path
-	lostZones   map[int]bool
-	lostRegions map[int]bool // cut off from the other regions
+	zones           int
+	regions         int
+	byteCounters    byteCounters
+	links           []*zoneLink
+	lostZones       map[int]bool // cut off from all zones
+	isolatedRegions map[int]bool // cut off from the other regions
 }
 
 func newNetwork(scenario *Scenario) *network {
-	return &network{zones: scenario.Zones, regions: scenario.Regions, lostZones: map[int]bool{}, lostRegions: map[int]bool{}}
+	return &network{zones: scenario.Zones, regions: scenario.Regions, lostZones: map[int]bool{}, isolatedRegions: map[int]bool{}}
 }
 
-// open opens a link to a server. client is the client whose traffic it carries; empty: requests name it.
-func (n *network) open(fromZone, toZone int, server, target, client string) (*path, error) {
-	started, err := newLink(target, client, &n.ledger)
+// open opens a link to a server at the address target. client is the name of the client that uses the link; if it is empty,
+// each request names its client.
+func (n *network) open(fromZone, toZone int, server, target, client string) (*zoneLink, error) {
+	started, err := newLink(target, client, &n.byteCounters)
 	if err != nil {
 		return nil, err
 	}
-	opened := &path{link: started, fromZone: fromZone, toZone: toZone, server: server}
-	n.paths = append(n.paths, opened)
+	opened := &zoneLink{link: started, fromZone: fromZone, toZone: toZone, server: server}
+	n.links = append(n.links, opened)
 	return opened, nil
 }
 
@@ -43,38 +44,38 @@
 	}
 	regionA := RegionOf(zoneA, n.zones, n.regions)
 	regionB := RegionOf(zoneB, n.zones, n.regions)
-	return regionA == regionB || !n.lostRegions[regionA] && !n.lostRegions[regionB]
+	return regionA == regionB || !n.isolatedRegions[regionA] && !n.isolatedRegions[regionB]
 }
 
-// update cuts and heals links by the lost zones and regions.
-func (n *network) update() {
-	for _, link := range n.paths {
+// applyCuts cuts the links between zones that cannot reach each other, and heals the others.
+func (n *network) applyCuts() {
+	for _, link := range n.links {
 		link.setCut(!n.connected(link.fromZone, link.toZone))
 	}
 }
 
-// retarget moves all links to a server to its new address.
+// retarget points all links to a server at its new address.
 func (n *network) retarget(server, target string) {
-	for _, link := range n.paths {
+	for _, link := range n.links {
 		if link.server == server {
 			link.setTarget(target)
 		}
 	}
 }
 
-// serverLoad returns the bytes that each server has sent and its open connections.
+// serverLoad returns, by server, how many bytes it has sent and how many connections to it are open.
 func (n *network) serverLoad() (sent, open map[string]int64) {
 	sent = map[string]int64{}
 	open = map[string]int64{}
-	for _, link := range n.paths {
-		sent[link.server] += link.sent.Load()
+	for _, link := range n.links {
+		sent[link.server] += link.bytesSent.Load()
 		open[link.server] += link.link.connections.Load()
 	}
 	return sent, open
 }
 
 func (n *network) close() {
-	for _, link := range n.paths {
+	for _, link := range n.links {
 		link.close()
 	}
 }
--- a/internal/rehearsal/scale/origin.go
+++ b/internal/rehearsal/scale/origin.go
@@ -14,40 +14,41 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/standin"
 )
 
-// listing is a snapshot or a delta on the wire.
-type listing struct {
+// listUpdate is a snapshot or a delta of the endpoint list as clients receive it.
+type listUpdate struct {
 	Version  int64          `json:"seq"`
 	Complete bool           `json:"whole"`
 	Hosts    []standin.Host `json:"hosts"`
 }
 
-func (l *listing) line() []byte {
+// line returns the update as a line of JSON.
+func (l *listUpdate) line() []byte {
 	text, _ := json.Marshal(l) // strings and numbers always marshal
 	return append(text, '\n')
 }
 
-// version is one change of the list.
-type version struct {
+// loggedVersion is one version in the origin's log: the changed workers, also as the line that is sent to clients.
+type loggedVersion struct {
 	line  []byte
 	hosts []standin.Host
 }
 
-// origin is a discovery service that lists tens of thousands of workers to thousands of watches. Each version is
-// marshalled once for all of them. It is safe for concurrent use.
+// origin is a discovery service that serves tens of thousands of workers to thousands of watches. Each version is
+// marshalled once for all watches. It is safe for concurrent use.
 type origin struct {
 	server      *http.Server
-	maxVersions int // in the log
+	maxVersions int // number of versions that the log keeps
 
 	mutex         sync.Mutex
 	latestVersion int64
-	hosts         []standin.Host // in the order of their first listing; removed ones stay
-	indexByName   map[string]int
-	log           []version     // the latest, up to seq
-	snapshot      []byte        // marshalled; nil: outdated
-	changed       chan struct{} // closed at the next change
+	hosts         []standin.Host  // in the order in which they were first listed; removed workers stay
+	indexByName   map[string]int  // indices into hosts
+	log           []loggedVersion // the latest versions, up to latestVersion
+	snapshot      []byte          // the marshalled snapshot; nil if it is out of date
+	changed       chan struct{}   // closed at the next change
 }
 
-// heartbeatInterval is the time between empty lines on an idle watch.
+// heartbeatInterval is the interval at which empty lines are sent on a watch.
 const heartbeatInterval = 2 * time.Second
 
 func startOrigin(maxVersions int) (*origin, string, error) {
@@ -63,7 +64,7 @@
 
 func (o *origin) close() { o.server.Close() }
 
-// change makes one version of changed workers and returns it.
+// change publishes the changed workers as one new version, and returns its number.
 func (o *origin) change(hosts []standin.Host) int64 {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -77,8 +78,8 @@
 		}
 		o.hosts[i] = host
 	}
-	update := listing{Version: o.latestVersion, Hosts: hosts}
-	o.log = append(o.log, version{line: update.line(), hosts: hosts})
+	update := listUpdate{Version: o.latestVersion, Hosts: hosts}
+	o.log = append(o.log, loggedVersion{line: update.line(), hosts: hosts})
 	if excess := len(o.log) - o.maxVersions; excess > 0 {
 		o.log = o.log[excess:]
 	}
@@ -88,12 +89,12 @@
 	return o.latestVersion
 }
 
-// snapshotLine returns the line of the snapshot. The caller holds the mutex.
+// snapshotLine returns the snapshot as a line, which it marshals if it is out of date. The caller holds the mutex.
 func (o *origin) snapshotLine() []byte {
 	if o.snapshot != nil {
 		return o.snapshot
 	}
-	snapshot := listing{Version: o.latestVersion, Complete: true, Hosts: []standin.Host{}}
+	snapshot := listUpdate{Version: o.latestVersion, Complete: true, Hosts: []standin.Host{}}
 	for _, host := range o.hosts {
 		if host.Health != standin.HealthGone {
 			snapshot.Hosts = append(snapshot.Hosts, host)
@@ -103,13 +104,15 @@
 	return o.snapshot
 }
 
-// hasVersionsAfter reports whether the log has all versions after one. The caller holds the mutex.
+// hasVersionsAfter reports whether the log has all versions after the given one, which the origin must have published. The
+// caller holds the mutex.
 func (o *origin) hasVersionsAfter(after int64) bool {
 	return after > 0 && after >= o.latestVersion-int64(len(o.log)) && after <= o.latestVersion
 }
 
-// updatesAfter returns what a watch gets next that has a version, a line for each later version, and the channel that
-// is closed at the next change.
+// updatesAfter returns the lines to send next on a watch whose client has the given version: one for each later version, or
+// the snapshot if the log does not have all of them. It also returns the latest version and the channel that is closed at
+// the next change.
 func (o *origin) updatesAfter(after int64) (text []byte, latest int64, changed chan struct{}) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -122,14 +125,15 @@
 	return text, o.latestVersion, o.changed
 }
 
-// mergedDelta returns the answer to a poll that has a version: each changed worker once.
+// mergedDelta returns the response to a poll whose client has the given version: one delta in which each worker that has
+// changed since appears once, or the snapshot if the log does not have all later versions.
 func (o *origin) mergedDelta(after int64) []byte {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	if !o.hasVersionsAfter(after) {
 		return o.snapshotLine()
 	}
-	delta := listing{Version: o.latestVersion, Hosts: []standin.Host{}}
+	delta := listUpdate{Version: o.latestVersion, Hosts: []standin.Host{}}
 	seen := map[string]bool{}
 	missed := o.log[len(o.log)-int(o.latestVersion-after):]
 	for i := len(missed) - 1; i >= 0; i-- {
@@ -150,7 +154,7 @@
 		return
 	}
 	query := request.URL.Query()
-	after, _ := strconv.ParseInt(query.Get("after"), 10, 64) // 0 if absent: a snapshot
+	after, _ := strconv.ParseInt(query.Get("after"), 10, 64) // 0 if the client has no version: it gets a snapshot
 	writer.Header().Set("Content-Type", "application/json")
 	switch {
 	case query.Get("watch") == "1":
@@ -168,7 +172,7 @@
 	return o.latestVersion
 }
 
-// respond answers a poll, compressed if the client accepts that.
+// respond answers a poll. The response is compressed by gzip if the client accepts that.
 func (o *origin) respond(writer http.ResponseWriter, request *http.Request, after int64) {
 	text := o.mergedDelta(after)
 	if strings.Contains(request.Header.Get("Accept-Encoding"), "gzip") {
@@ -183,7 +187,7 @@
 	writer.Write(text)
 }
 
-// watch sends each version from after on until the client leaves.
+// watch sends each version later than after as it is published, until the client disconnects.
 func (o *origin) watch(writer http.ResponseWriter, request *http.Request, after int64) {
 	flush := writer.(http.Flusher).Flush
 	heartbeat := time.NewTicker(heartbeatInterval)
@@ -191,7 +195,7 @@
 	for first := true; ; first = false {
 		text, latest, changed := o.updatesAfter(after)
 		if first && len(text) == 0 {
-			text = []byte("\n") // nothing has changed: the line shows that the watch is open
+			text = []byte("\n") // the client has the latest version: an empty line tells it that the watch is open
 		}
 		if len(text) > 0 {
 			writer.Write(text)
--- a/internal/rehearsal/scale/originprocess.go
+++ b/internal/rehearsal/scale/originprocess.go
@@ -16,25 +16,26 @@
 	LogChanges int `json:"log_changes"`
 }
 
-// originCommand asks for one version for each list of changes.
+// originCommand asks the origin process to publish one version for each list of changes.
 type originCommand struct {
 	Versions [][]Change `json:"versions"`
 }
 
-// originReport answers each line that the origin process reads.
+// originReport is the origin process's reply to a line of its input: the address to the configuration, the published
+// versions to a command.
 type originReport struct {
-	Address string          `json:"address,omitempty"`
-	Made    []originVersion `json:"made,omitempty"`
+	Address   string          `json:"address,omitempty"`
+	Published []originVersion `json:"made,omitempty"`
 }
 
-// originVersion is a version that was made.
+// originVersion is a version that the origin has published.
 type originVersion struct {
-	Version int64         `json:"version"`
-	MadeAt  time.Duration `json:"at"` // Unix time
+	Version     int64         `json:"version"`
+	PublishedAt time.Duration `json:"at"` // Unix time
 }
 
-// RunOrigin runs an origin until its input ends. It is a process of its own, so that its cost can be metered from
-// outside.
+// RunOrigin runs an origin until its input is closed. The origin runs in a process of its own, so that its processor time
+// and memory can be measured from outside.
 func RunOrigin(input io.Reader, output io.Writer) error {
 	decoder := json.NewDecoder(bufio.NewReader(input))
 	encoder := json.NewEncoder(output)
@@ -65,7 +66,7 @@
 	}
 }
 
-// apply carries out a command. Workers that have just started get the present time as their start.
+// apply executes a command. Workers that have just started get the present time as their start time.
 func (o *origin) apply(command originCommand) (report originReport) {
 	for _, changes := range command.Versions {
 		now := time.Now()
@@ -77,7 +78,7 @@
 			}
 		}
 		version := o.change(hosts)
-		report.Made = append(report.Made, originVersion{Version: version, MadeAt: time.Duration(now.UnixNano())})
+		report.Published = append(report.Published, originVersion{Version: version, PublishedAt: time.Duration(now.UnixNano())})
 	}
 	return report
 }
@@ -89,7 +90,7 @@
 	reports chan originReport
 }
 
-var errOriginEnded = errors.New("the origin has ended")
+var errOriginEnded = errors.New("the origin has exited")
 
 func startOriginProcess(cmd *exec.Cmd, logChanges int) (*originProcess, error) {
 	process := &originProcess{reports: make(chan originReport, 1)}
@@ -108,7 +109,7 @@
 	return process, err
 }
 
-// request sends a message and waits for its report.
+// request sends a message to the process and waits for its reply.
 func (p *originProcess) request(message any) (originReport, error) {
 	if err := p.send(message); err != nil {
 		return originReport{}, err
@@ -121,8 +122,8 @@
 	}
 }
 
-// change makes one version for each list of changes.
+// change publishes one version for each list of changes.
 func (p *originProcess) change(versions [][]Change) ([]originVersion, error) {
 	report, err := p.request(originCommand{Versions: versions})
-	return report.Made, err
+	return report.Published, err
 }
--- a/internal/rehearsal/scale/plan.go
+++ b/internal/rehearsal/scale/plan.go
@@ -11,37 +11,38 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/standin"
 )
 
-// Action is what a step does besides changes of the list.
+// Action is what a step does apart from changes of the endpoint list: a fault, or its repair.
 type Action struct {
-	Kind   EventKind // empty: none
+	Kind   EventKind // empty if the step has no action
 	Zone   int
 	Region int
 }
 
-// Step is one step of a run: changes, each of which becomes one version, or an action.
+// Step is one step of a run: an action, or lists of changes, each of which is published as one version.
 type Step struct {
 	DueAt   time.Duration
-	Phase   string // under which its changes are counted
+	Phase   string // the phase to which figures assign its changes
 	Changes [][]Change
 	Action  Action
 }
 
-// Change is a worker's new entry. A worker that has just started gets the time of the change as its start. The JSON
-// keys are those of messages to the origin process.
+// Change is a worker's new entry in the endpoint list. A worker that has just started gets the time of the change as its
+// start time. The JSON keys are those of messages to the origin process.
 type Change struct {
 	Host        standin.Host `json:"Host"`
 	JustStarted bool         `json:"Fresh"`
 }
 
-// Plan has the workers listed at the start and all steps of a run. It follows from the scenario and its seed alone.
+// Plan holds the workers listed at the start and all steps of a run. The same scenario with the same seed always gives the
+// same plan.
 type Plan struct {
 	Hosts []standin.Host
 	Steps []Step
-	Zones []string
+	Zones []string // names
 }
 
-// Changes returns how many versions the plan makes.
-func (p *Plan) Changes() (count int) {
+// VersionCount returns the number of versions that the steps of the plan publish.
+func (p *Plan) VersionCount() (count int) {
 	for _, step := range p.Steps {
 		count += len(step.Changes)
 	}
@@ -51,16 +52,16 @@
 // ZoneName returns the name of a zone.
 func ZoneName(zone int) string { return fmt.Sprintf("z%02d", zone+1) }
 
-// RegionOf returns the region of a zone. Neighbouring zones share one.
+// RegionOf returns the region of a zone. Zones with consecutive numbers share a region.
 func RegionOf(zone, zones, regions int) int { return zone * regions / zones }
 
-// phaseCalm is the phase of changes before the first event.
-const phaseCalm = "calm"
+// initialPhase is the name of the phase before the first event.
+const initialPhase = "calm"
 
 const (
-	machineSlots    = 4
-	restartTime     = 2 * time.Second // of a worker, from draining to its return
-	replacementTime = 4 * time.Second // of a failed worker, until its replacement
+	workerSlots     = 4
+	restartTime     = 2 * time.Second // from the drain of a worker until it has restarted
+	replacementTime = 4 * time.Second // from the failure of a worker until it is replaced
 	workersPerRack  = 40
 )
 
@@ -79,7 +80,7 @@
 	return planner.plan
 }
 
-// planner makes a plan.
+// planner builds a plan.
 type planner struct {
 	scenario      *Scenario
 	random        *rand.Rand
@@ -87,7 +88,7 @@
 	workersByZone [][]int // indices into plan.Hosts
 }
 
-// listWorkers draws the workers listed at the start.
+// listWorkers adds the workers that are listed at the start, with random names.
 func (p *planner) listWorkers() {
 	scenario := p.scenario
 	p.workersByZone = make([][]int, scenario.Zones)
@@ -107,46 +108,46 @@
 	}
 }
 
-// spread adds one step for each change, at even distances within a period.
-func (p *planner) spread(phase string, begin, period time.Duration, changes []Change) {
+// addSpread adds one step for each change, at even intervals over a period.
+func (p *planner) addSpread(phase string, begin, period time.Duration, changes []Change) {
 	for i, change := range changes {
 		offset := time.Duration(0)
 		if len(changes) > 1 {
 			offset = period * time.Duration(i) / time.Duration(len(changes))
 		}
-		p.add(Step{DueAt: begin + offset, Phase: phase, Changes: [][]Change{{change}}})
+		p.addStep(Step{DueAt: begin + offset, Phase: phase, Changes: [][]Change{{change}}})
 	}
 }
 
-func (p *planner) add(step Step) { p.plan.Steps = append(p.plan.Steps, step) }
+func (p *planner) addStep(step Step) { p.plan.Steps = append(p.plan.Steps, step) }
 
-// remove returns the change that removes a worker.
-func (p *planner) remove(worker int) Change {
+// removalOf returns the change that removes a worker.
+func (p *planner) removalOf(worker int) Change {
 	host := p.plan.Hosts[worker]
 	host.Health = standin.HealthGone
 	return Change{Host: host}
 }
 
-// drain returns the change that sets a worker to draining.
-func (p *planner) drain(worker int) Change {
+// drainOf returns the change that marks a worker as draining.
+func (p *planner) drainOf(worker int) Change {
 	host := p.plan.Hosts[worker]
 	host.Health = standin.HealthDraining
 	return Change{Host: host}
 }
 
-// start returns the change that lists a worker as just started.
-func (p *planner) start(worker int) Change {
+// startOf returns the change that lists a worker as just started.
+func (p *planner) startOf(worker int) Change {
 	return Change{Host: p.plan.Hosts[worker], JustStarted: true}
 }
 
-// reweight returns the change of a worker's share to a random one.
-func (p *planner) reweight(worker int) Change {
+// shareChangeOf returns the change that gives a worker a random share.
+func (p *planner) shareChangeOf(worker int) Change {
 	host := p.plan.Hosts[worker]
 	host.Share = float64(50+p.random.IntN(100)) / 100
 	return Change{Host: host}
 }
 
-// changesOf returns a change for each worker.
+// changesOf returns the change of each worker, which the function change creates.
 func changesOf(workers []int, change func(int) Change) (changes []Change) {
 	for _, worker := range workers {
 		changes = append(changes, change(worker))
@@ -154,7 +155,7 @@
 	return changes
 }
 
-// drawWorkers draws different workers.
+// drawWorkers returns distinct random workers: count of them, or all if there are fewer.
 func (p *planner) drawWorkers(count int) []int {
 	count = min(count, p.scenario.Workers)
 	return p.random.Perm(p.scenario.Workers)[:count]
@@ -167,33 +168,33 @@
 	phase := string(event.Kind)
 	action := Action{Kind: event.Kind, Zone: event.Zone, Region: event.Region}
 	switch event.Kind {
-	case Rack:
+	case RackLoss:
 		lost := p.workersByZone[event.Zone][:min(event.Count, len(p.workersByZone[event.Zone]))]
-		p.add(Step{DueAt: begin, Phase: phase, Changes: [][]Change{changesOf(lost, p.remove)}})
+		p.addStep(Step{DueAt: begin, Phase: phase, Changes: [][]Change{changesOf(lost, p.removalOf)}})
 		if event.ForS > 0 {
-			p.spread("rack_return", begin+seconds(event.ForS), period, changesOf(lost, p.start))
+			p.addSpread("rack_return", begin+seconds(event.ForS), period, changesOf(lost, p.startOf))
 		}
 	case ZoneLoss:
-		p.add(Step{DueAt: begin, Phase: phase, Action: action})
-		p.spread(phase, begin, period, changesOf(p.workersByZone[event.Zone], p.remove))
+		p.addStep(Step{DueAt: begin, Phase: phase, Action: action})
+		p.addSpread(phase, begin, period, changesOf(p.workersByZone[event.Zone], p.removalOf))
 	case ZoneReturn:
-		p.add(Step{DueAt: begin, Phase: phase, Action: action})
-		p.spread(phase, begin, period, changesOf(p.workersByZone[event.Zone], p.start))
-	case Changes:
+		p.addStep(Step{DueAt: begin, Phase: phase, Action: action})
+		p.addSpread(phase, begin, period, changesOf(p.workersByZone[event.Zone], p.startOf))
+	case ShareChanges:
 		var changes []Change
 		for range event.Count {
-			changes = append(changes, p.reweight(p.random.IntN(p.scenario.Workers)))
+			changes = append(changes, p.shareChangeOf(p.random.IntN(p.scenario.Workers)))
 		}
-		p.spread(phase, begin, period, changes)
+		p.addSpread(phase, begin, period, changes)
 	case WorkerStarts:
-		p.add(Step{DueAt: begin, Phase: phase, Changes: [][]Change{changesOf(p.drawWorkers(event.Count), p.start)}})
+		p.addStep(Step{DueAt: begin, Phase: phase, Changes: [][]Change{changesOf(p.drawWorkers(event.Count), p.startOf)}})
 	default:
-		p.add(Step{DueAt: begin, Phase: phase, Action: action})
+		p.addStep(Step{DueAt: begin, Phase: phase, Action: action})
 	}
 }
 
-// addBackground adds the changes that happen all the time. They leave out workers that an event removes, so that each
-// worker's entries follow from one cause.
+// addBackground adds the changes that happen throughout the run. It leaves out workers that an event removes, so that
+// background changes and events never change the same worker in conflicting ways.
 func (p *planner) addBackground() {
 	background := p.scenario.Background
 	candidates := p.neverRemoved()
@@ -202,17 +203,17 @@
 	}
 	pick := func() int { return candidates[p.random.IntN(len(candidates))] }
 	p.poisson(background.Changes, func(at time.Duration) {
-		p.add(Step{DueAt: at, Changes: [][]Change{{p.reweight(pick())}}})
+		p.addStep(Step{DueAt: at, Changes: [][]Change{{p.shareChangeOf(pick())}}})
 	})
 	p.poisson(background.Failures, func(at time.Duration) {
 		worker := pick()
-		p.add(Step{DueAt: at, Changes: [][]Change{{p.remove(worker)}}})
-		p.add(Step{DueAt: at + replacementTime, Changes: [][]Change{{p.start(worker)}}})
+		p.addStep(Step{DueAt: at, Changes: [][]Change{{p.removalOf(worker)}}})
+		p.addStep(Step{DueAt: at + replacementTime, Changes: [][]Change{{p.startOf(worker)}}})
 	})
 	p.poisson(background.Restarts, func(at time.Duration) {
 		worker := pick()
-		p.add(Step{DueAt: at, Changes: [][]Change{{p.drain(worker)}}})
-		p.add(Step{DueAt: at + restartTime, Changes: [][]Change{{p.start(worker)}}})
+		p.addStep(Step{DueAt: at, Changes: [][]Change{{p.drainOf(worker)}}})
+		p.addStep(Step{DueAt: at + restartTime, Changes: [][]Change{{p.startOf(worker)}}})
 	})
 }
 
@@ -234,7 +235,7 @@
 	return candidates
 }
 
-// poisson calls add at the times of a Poisson process with a rate per day.
+// poisson calls add for each time of a Poisson process with a mean of perDay events per day, sped up by the time factor.
 func (p *planner) poisson(perDay float64, add func(at time.Duration)) {
 	rate := perDay * p.scenario.Background.TimeFactor / (24 * time.Hour).Seconds()
 	if rate <= 0 {
@@ -247,14 +248,15 @@
 	}
 }
 
-// finish sorts the steps and sets the phase of each that has none to that of the latest event before it.
+// finish sorts the steps by time, and sets the phase of each background step to that of the latest event before it, or to
+// initialPhase if there is none.
 func (p *planner) finish() {
 	steps := p.plan.Steps
 	slices.SortStableFunc(steps, func(a, b Step) int {
 		// An event's action comes before changes at the same time.
 		return cmp.Or(cmp.Compare(a.DueAt, b.DueAt), -strings.Compare(string(a.Action.Kind), string(b.Action.Kind)))
 	})
-	phase := phaseCalm
+	phase := initialPhase
 	for i := range steps {
 		if steps[i].Phase == "" {
 			steps[i].Phase = phase
--- a/internal/rehearsal/scale/plan_test.go
+++ b/internal/rehearsal/scale/plan_test.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	lostZone          = 3  // of planScenario
-	workersOfZone     = 10 // of planScenario
-	restartedByEvents = 17 // workers of planScenario
+	lostZone          = 3  // the zone that planScenario loses
+	workersOfZone     = 10 // workers of each zone of planScenario
+	restartedByEvents = 17 // workers that the last event of planScenario restarts
 )
 
 // planScenario returns a scenario with a zone loss and background changes.
@@ -37,7 +37,7 @@
 	return scenario
 }
 
-// The same seed gives the same plan, and another seed another one.
+// The same seed gives the same plan, and another seed gives another plan.
 func TestPlanFollowsFromTheSeed(t *testing.T) {
 	scenario := planScenario(t)
 	plan := NewPlan(&scenario)
@@ -50,7 +50,7 @@
 	}
 }
 
-// Steps are in the order of their times, and the action of a zone loss comes before its changes.
+// Steps are sorted by time, and the action of a zone loss comes before its changes.
 func TestPlanIsInOrder(t *testing.T) {
 	scenario := planScenario(t)
 	steps := NewPlan(&scenario).Steps
@@ -64,12 +64,12 @@
 			continue
 		}
 		if next := steps[i+1]; next.Phase != string(ZoneLoss) || next.DueAt < step.DueAt {
-			t.Errorf("after the loss: %+v, want its changes", next)
+			t.Errorf("step after the action of the zone loss: %+v, want one of its changes", next)
 		}
 	}
 }
 
-// The workers of a lost zone change for no other cause, and all of them are removed and come back.
+// All workers of a lost zone are removed and listed again, and no background change concerns them.
 func TestPlanOfAZoneLoss(t *testing.T) {
 	scenario := planScenario(t)
 	type changeKind struct{ phase, health string }
@@ -77,12 +77,12 @@
 	for _, step := range NewPlan(&scenario).Steps {
 		for _, change := range step.Changes {
 			counts[changeKind{step.Phase, change[0].Host.Health}] += len(change)
-			if change[0].Host.Site == ZoneName(lostZone) && step.Phase == phaseCalm {
-				t.Errorf("a worker of the lost zone changes for another cause: %+v", change)
+			if change[0].Host.Site == ZoneName(lostZone) && step.Phase == initialPhase {
+				t.Errorf("a worker of the lost zone changes before the zone is lost: %+v", change)
 			}
 		}
 	}
-	// Background changes come on top of these.
+	// Background changes are counted, too, so that these are the lowest numbers.
 	for kind, want := range map[changeKind]int{
 		{"zone_loss", "gone"}:    workersOfZone,
 		{"zone_return", "ready"}: workersOfZone,
@@ -94,7 +94,7 @@
 	}
 }
 
-// Each region has two or three of 17 zones.
+// Seventeen zones are divided evenly among six regions: each region has two or three of them.
 func TestRegionsDivideZonesEvenly(t *testing.T) {
 	zonesByRegion := map[int]int{}
 	for zone := range 17 {
--- a/internal/rehearsal/scale/process.go
+++ b/internal/rehearsal/scale/process.go
@@ -30,20 +30,20 @@
 
 const (
 	daemonDescriptors = 1024
-	listenAny         = "127.0.0.1:0"
+	anyLoopbackPort   = "127.0.0.1:0"
 )
 
-// upstream is where a dispatcher gets changes from: discovery at an address, or the membership servers of its zone and
-// others.
+// upstream is where a dispatcher gets changes of the endpoint list from: discovery at an address, or the membership servers
+// of its own and other zones.
 type upstream struct {
 	discovery string
 	servers   []membership.Server
 }
 
-// daemonCommand writes the files of a daemon and returns its command.
+// daemonCommand writes the configuration files of a daemon and returns the command that starts it.
 func daemonCommand(program, dir, zone string, config daemonConfig, source upstream) (*exec.Cmd, error) {
 	name := config.Name
-	config.Listen = listenAny
+	config.Listen = anyLoopbackPort
 	config.Discovery = source.discovery
 	config.Seed = "1"
 	config.Limits.Descriptors = daemonDescriptors
@@ -68,7 +68,7 @@
 	return cmd, nil
 }
 
-// membershipTable returns the operator file of a dispatcher that follows servers.
+// membershipTable returns the operator file of a dispatcher that follows membership servers: its table membership.
 func membershipTable(zone string, servers []membership.Server) []byte {
 	var text strings.Builder
 	fmt.Fprintf(&text, "[membership]\non = true\nzone = %q\n", zone)
@@ -78,11 +78,11 @@
 	return []byte(text.String())
 }
 
-// relayCommand writes the file of a relay and returns its command.
+// relayCommand writes the operator file of a relay and returns the command that starts it.
 func relayCommand(program, dir, name, zone, origin string, logChanges int) (*exec.Cmd, error) {
 	path := filepath.Join(dir, name+".toml")
 	text := fmt.Sprintf("[relay]\nname = %q\nzone = %q\nlisten = %q\nadmin_addr = %q\nupstreams = [%q]\nlog_changes = %d\n",
-		name, zone, listenAny, listenAny, origin, logChanges)
+		name, zone, anyLoopbackPort, anyLoopbackPort, origin, logChanges)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		return nil, err
 	}
@@ -91,7 +91,7 @@
 	return cmd, nil
 }
 
-// loopbackAddress returns the loopback address in a line of output, or "".
+// loopbackAddress returns the loopback address with its port in a line of output, or "" if there is none.
 func loopbackAddress(line string) string {
 	_, rest, ok := strings.Cut(line, "127.0.0.1:")
 	if !ok {
@@ -110,7 +110,7 @@
 // startTimeout is how long a relay may take to log its address.
 const startTimeout = 20 * time.Second
 
-// startRelay starts a relay and waits until it logs where it listens.
+// startRelay starts a relay, waits until it logs the address that it listens at, and returns that address.
 func startRelay(name string, cmd *exec.Cmd) (started *child, addr string, err error) {
 	found := make(chan string, 1)
 	started, err = startChild(name, cmd, func(line []byte) {
@@ -128,7 +128,7 @@
 	case addr = <-found:
 		return started, addr, nil
 	case <-started.exited:
-		return nil, "", fmt.Errorf("%s has ended: %s", name, strings.TrimSpace(started.stderr.String()))
+		return nil, "", fmt.Errorf("%s has exited: %s", name, strings.TrimSpace(started.stderr.String()))
 	case <-time.After(startTimeout):
 		started.kill()
 		return nil, "", fmt.Errorf("%s has not logged its address within %v", name, startTimeout)
--- a/internal/rehearsal/scale/report.go
+++ b/internal/rehearsal/scale/report.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Record is one run as JSON. A file holds a list of them, one for each mechanism:
+// Record is the JSON form of one run. A file holds a list of records, one for each mechanism:
 //
 //	[{"command": "rehearse scale deploy/scenarios/scale/zone.toml",
 //	  "seed": 27, "workers": 21000, "dispatchers": 68, "real": 2,
@@ -27,13 +27,14 @@
 	Mechanism   Mechanism `json:"mechanism"`
 	Scenario    string    `json:"scenario"`
 	Figures     Figures   `json:"figures"`
-	Violations  []string  `json:"broken"` // of bounds and invariants
+	Violations  []string  `json:"broken"` // violated bounds and invariants
 }
 
-// Record evaluates a run against the bounds of its scenario. command is the command that repeats it.
+// Record returns the run's figures, and the violations of invariants and of its scenario's bounds. command is the command
+// line that repeats the run.
 func (r *Run) Record(command string) Record {
 	figures := r.Figures()
-	violations := append([]string{}, r.Violations()...) // not nil: null is no list in JSON
+	violations := append([]string{}, r.Violations()...) // not nil, which JSON would encode as null instead of an empty list
 	violations = append(violations, r.Scenario.Bounds.Violations(r.Mechanism, figures)...)
 	return Record{
 		Command:     command,
@@ -48,14 +49,15 @@
 	}
 }
 
-// WriteJSON writes records as an indented list.
+// WriteJSON writes records as an indented JSON list.
 func WriteJSON(out io.Writer, records []Record) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(records)
 }
 
-// WriteTable writes runs of one scenario side by side.
+// WriteTable writes a table of runs of one scenario, with a column for each run, and below it the comparison of hollow
+// dispatchers with daemons and the violations.
 func WriteTable(out io.Writer, runs []*Run, records []Record) {
 	scenario := &runs[0].Scenario
 	fmt.Fprintf(out, "%s: %d workers in %d zones of %d regions, %d hollow and %d real dispatchers, seed %d\n",
@@ -83,7 +85,7 @@
 	}
 }
 
-// writeRow writes the values of one figure.
+// writeRow writes the row of one figure, with a cell for each record.
 func writeRow(out io.Writer, name string, records []Record) {
 	unit := ""
 	cells := ""
@@ -99,7 +101,7 @@
 	fmt.Fprintf(out, "%s\t%s\t%s\n", name, unit, cells)
 }
 
-// figureNames returns the names of all figures, in the order of their first record.
+// figureNames returns the names of all figures of any record, in the order of their first occurrence.
 func figureNames(records []Record) (names []string) {
 	for _, record := range records {
 		for _, figure := range record.Figures {
@@ -111,10 +113,10 @@
 	return names
 }
 
-// writeComparisons writes how hollow dispatchers differ from daemons.
+// writeComparisons writes a line for each metric on how hollow dispatchers differ from daemons.
 func writeComparisons(out io.Writer, run *Run) {
 	for _, comparison := range run.Compare() {
-		fmt.Fprintf(out, "%s: %s of a hollow dispatcher %.4g, of a real one in its zone %.4g: %+.0f%%", run.Mechanism, comparison.What, comparison.Hollow, comparison.Real, 100*comparison.Deviation)
+		fmt.Fprintf(out, "%s: %s of a hollow dispatcher %.4g, of a real one in its zone %.4g: %+.0f%%", run.Mechanism, comparison.Metric, comparison.Hollow, comparison.Real, 100*comparison.Deviation)
 		if comparison.Reason != "" {
 			fmt.Fprintf(out, " DIFFERS: %s", comparison.Reason)
 		}
@@ -122,26 +124,27 @@
 	}
 }
 
-// WriteChanges writes each change of runs as a line of CSV: when it was made, and how long it took until the last
-// reachable dispatcher had it in force.
+// WriteChanges writes CSV with a line for each version of each run: when it was published, how long it took until the last
+// reachable dispatcher had applied it, and which dispatcher that was. If a reachable dispatcher never applied it the line
+// has "never" and names that dispatcher.
 func WriteChanges(out io.Writer, runs []*Run) error {
 	records := csv.NewWriter(out)
 	records.Write([]string{"mechanism", "version", "made_s", "phase", "in_force_s", "last_at"})
 	for _, run := range runs {
 		startedAt := time.Duration(run.samples[0].takenAt.UnixNano())
-		for _, change := range run.tracker.changes {
-			reached := run.tracker.propagationOf(change)
+		for _, published := range run.tracker.publishedVersions {
+			reached := run.tracker.propagationOf(published)
 			inForce := "never"
 			if reached.everywhere {
 				inForce = fmt.Sprintf("%.4f", reached.delay.Seconds())
 			}
 			records.Write([]string{
 				string(run.Mechanism),
-				strconv.FormatInt(change.version, 10),
-				fmt.Sprintf("%.4f", (change.madeAt - startedAt).Seconds()),
-				change.phase,
+				strconv.FormatInt(published.version, 10),
+				fmt.Sprintf("%.4f", (published.publishedAt - startedAt).Seconds()),
+				published.phase,
 				inForce,
-				reached.slowest,
+				reached.lastDispatcher,
 			})
 		}
 	}
--- a/internal/rehearsal/scale/run.go
+++ b/internal/rehearsal/scale/run.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// Run is a run that has ended.
+// Run is the record of a completed run of one scenario by one mechanism.
 type Run struct {
-	Scenario      Scenario
-	Mechanism     Mechanism
-	Plan          *Plan
-	samples       []sample
-	tracker       *tracker
-	traffic       trafficCounts
-	countsAtStart ownCounts // of all hollow dispatchers, when the list was there
-	countsAtEnd   ownCounts
-	behindAtEnd   int // reachable dispatchers without the last version at the end
-	processes     int
-	actions       []takenAction
+	Scenario        Scenario
+	Mechanism       Mechanism
+	Plan            *Plan
+	samples         []sample
+	tracker         *tracker
+	requests        requestCounts
+	countersAtStart hollowCounters // sum over all hollow dispatchers, when they had received the endpoint list
+	countersAtEnd   hollowCounters // sum over all hollow dispatchers, at the end of the run
+	behindAtEnd     int            // number of reachable hollow dispatchers that had not applied the last version at the end
+	processCount    int
+	actions         []takenAction
 }
 
 // takenAction is an action with the time at which it was taken.
@@ -30,16 +30,15 @@
 }
 
 const (
-	settleDelay    = 2 * time.Second // from the last dispatcher's readiness to the first step
-	sampleInterval = time.Second
-	pollInterval   = 20 * time.Millisecond
-	countTimeout   = 10 * time.Second     // for hollow dispatchers to report what they have counted
-	stepTolerance  = 5 * time.Millisecond // steps that are this close to each other are made at once
+	settleDelay    = 2 * time.Second       // from the time at which all dispatchers have the list until the first step
+	sampleInterval = time.Second           // between readings of the meters
+	pollInterval   = 20 * time.Millisecond // between checks of what the processes have reported
+	countTimeout   = 10 * time.Second      // for the hollow dispatchers to report their counters at the end
+	stepTolerance  = 5 * time.Millisecond  // a step that is due within this time is executed at once
 )
 
-// Execute runs a scenario by one mechanism: it starts the processes, makes the plan's steps when they are due and
-// samples the meters once a second. It ends at the scenario's deadline at the latest, and all its processes end with
-// it.
+// Execute runs a scenario by one mechanism: it starts the processes, executes the plan's steps when they are due and samples
+// the usage once a second. It returns at the scenario's deadline at the latest, and stops all its processes before.
 func Execute(ctx context.Context, scenario Scenario, mechanism Mechanism, programs Programs, log *slog.Logger) (*Run, error) {
 	ctx, cancel := context.WithTimeout(ctx, seconds(scenario.DeadlineS))
 	defer cancel()
@@ -70,12 +69,12 @@
 	startedAt     time.Time
 }
 
-// execute starts the processes and runs the scenario.
+// execute starts the processes, waits until all dispatchers have the endpoint list, and runs the scenario.
 func (r *runner) execute(ctx context.Context) error {
 	if err := r.cluster.start(); err != nil {
 		return err
 	}
-	// Once a dispatcher has this change, it follows the list.
+	// A dispatcher that has applied this change receives changes, and does not only have the list that it started with.
 	marker := Change{Host: r.run.Plan.Hosts[0]}
 	versions, err := r.cluster.origin.change([][]Change{{marker}})
 	if err != nil {
@@ -83,16 +82,16 @@
 	}
 	r.newestVersion = versions[0].Version
 	r.cluster.forgetInitialList()
-	r.run.processes = r.cluster.processes()
+	r.run.processCount = r.cluster.processes()
 	if err := r.waitReady(ctx); err != nil {
 		return err
 	}
-	r.run.countsAtStart, err = r.cluster.collectOwnCounts(ctx)
+	r.run.countersAtStart, err = r.cluster.collectCounters(ctx)
 	if err != nil {
 		return err
 	}
 	r.startedAt = time.Now()
-	r.log.Info("all dispatchers have the list", "workers", len(r.run.Plan.Hosts), "processes", r.run.processes)
+	r.log.Info("all dispatchers have the endpoint list", "workers", len(r.run.Plan.Hosts), "processes", r.run.processCount)
 	if err := r.sample(); err != nil {
 		return err
 	}
@@ -102,20 +101,21 @@
 	return r.finish(ctx)
 }
 
-// waitReady waits until all dispatchers have the list and are idle.
+// waitReady waits until all hollow dispatchers have the newest version and all daemons have exchanged data, and then for
+// settleDelay, so that they are idle.
 func (r *runner) waitReady(ctx context.Context) error {
-	for r.cluster.countBehind(r.newestVersion) > 0 || r.cluster.silentDaemons() > 0 {
+	for r.cluster.countBehind(r.newestVersion) > 0 || r.cluster.countSilentDaemons() > 0 {
 		if err := r.cluster.childError(); err != nil {
 			return err
 		}
 		if err := sleep(ctx, pollInterval); err != nil {
-			return fmt.Errorf("waiting for %d hollow and %d real dispatchers: %w", r.cluster.countBehind(r.newestVersion), r.cluster.silentDaemons(), err)
+			return fmt.Errorf("waiting for %d hollow and %d real dispatchers: %w", r.cluster.countBehind(r.newestVersion), r.cluster.countSilentDaemons(), err)
 		}
 	}
 	return sleep(ctx, settleDelay)
 }
 
-// sleep waits for a time or until the context ends, then with its error.
+// sleep waits for a time. If the context ends before, it returns the context's error.
 func sleep(ctx context.Context, span time.Duration) error {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
@@ -127,7 +127,7 @@
 	}
 }
 
-// waitUntil waits until a time of the run, and samples the meters meanwhile.
+// waitUntil waits until a time since the start of the run, and takes the samples that are due meanwhile.
 func (r *runner) waitUntil(ctx context.Context, offset time.Duration) error {
 	for {
 		nextSample := r.run.samples[len(r.run.samples)-1].takenAt.Add(sampleInterval)
@@ -144,7 +144,7 @@
 	}
 }
 
-// sample reads the meters and checks the limits.
+// sample takes a sample. It returns an error if the processes together exceed the memory limit, or if one has failed.
 func (r *runner) sample() error {
 	taken := r.cluster.sample()
 	r.run.samples = append(r.run.samples, taken)
@@ -154,7 +154,7 @@
 	return r.cluster.childError()
 }
 
-// runSteps makes the plan's steps and waits until the scenario's length has passed.
+// runSteps executes the plan's steps when they are due, and waits until the scenario's length has passed.
 func (r *runner) runSteps(ctx context.Context) error {
 	for _, step := range r.run.Plan.Steps {
 		if time.Until(r.startedAt.Add(step.DueAt)) > stepTolerance {
@@ -169,7 +169,7 @@
 	return r.waitUntil(ctx, seconds(r.run.Scenario.LengthS))
 }
 
-// runStep makes the changes of a step and takes its action.
+// runStep takes the action of a step, publishes its changes and records the versions.
 func (r *runner) runStep(step Step) error {
 	if step.Action.Kind != "" {
 		if err := r.takeAction(step.Action); err != nil {
@@ -186,13 +186,13 @@
 	r.cluster.mutex.Lock()
 	defer r.cluster.mutex.Unlock()
 	for _, version := range versions {
-		r.cluster.tracker.recordMade(version.Version, version.MadeAt, step.Phase)
+		r.cluster.tracker.recordPublished(version.Version, version.PublishedAt, step.Phase)
 		r.newestVersion = version.Version
 	}
 	return nil
 }
 
-// takeAction takes an action, and records which dispatchers are reachable before and after it.
+// takeAction takes an action, and records the hollow dispatchers that become unreachable or reachable by it.
 func (r *runner) takeAction(action Action) error {
 	cluster := r.cluster
 	r.run.actions = append(r.run.actions, takenAction{kind: action.Kind, takenAt: time.Now()})
@@ -202,20 +202,20 @@
 		r.changeNetwork(action.Kind, func() { cluster.network.lostZones[action.Zone] = true })
 		cluster.killRelay(action.Zone)
 	case ZoneReturn:
-		if cluster.mechanism == ByRelays {
+		if cluster.mechanism == MechanismRelays {
 			if err := cluster.restartRelay(action.Zone); err != nil {
 				return err
 			}
 		}
 		r.changeNetwork(action.Kind, func() { delete(cluster.network.lostZones, action.Zone) })
 	case RegionCut:
-		r.changeNetwork(action.Kind, func() { cluster.network.lostRegions[action.Region] = true })
+		r.changeNetwork(action.Kind, func() { cluster.network.isolatedRegions[action.Region] = true })
 	case RegionHeal:
-		r.changeNetwork(action.Kind, func() { delete(cluster.network.lostRegions, action.Region) })
+		r.changeNetwork(action.Kind, func() { delete(cluster.network.isolatedRegions, action.Region) })
 	case RelayDown:
 		cluster.killRelay(action.Zone)
 	case RelayUp:
-		if cluster.mechanism == ByRelays {
+		if cluster.mechanism == MechanismRelays {
 			return cluster.restartRelay(action.Zone)
 		}
 	case RestartZone:
@@ -224,7 +224,8 @@
 	return nil
 }
 
-// changeNetwork changes the lost zones and regions, and records which dispatchers are cut off or reachable again.
+// changeNetwork calls change, which changes the lost zones and regions, cuts and heals the links accordingly, and records
+// the hollow dispatchers that become unreachable or reachable.
 func (r *runner) changeNetwork(kind EventKind, change func()) {
 	cluster := r.cluster
 	before := make([]bool, cluster.scenario.Zones)
@@ -232,7 +233,7 @@
 		before[zone] = cluster.network.connected(zone, originZone)
 	}
 	change()
-	cluster.network.update()
+	cluster.network.applyCuts()
 	now := unixNow()
 	cluster.mutex.Lock()
 	defer cluster.mutex.Unlock()
@@ -241,38 +242,39 @@
 		for _, name := range cluster.hollowNames(zone) {
 			switch {
 			case before[zone] && !after:
-				cluster.tracker.recordCut(name, now)
+				cluster.tracker.recordUnreachable(name, now)
 			case !before[zone] && after:
-				cluster.tracker.recordHeal(name, now, string(kind), r.newestVersion)
+				cluster.tracker.recordReachable(name, now, string(kind), r.newestVersion)
 			}
 		}
 	}
 }
 
-// restartZone restarts a zone's dispatchers, which are unreachable meanwhile.
+// restartZone restarts a zone's dispatchers. The hollow ones count as unreachable meanwhile, and as reachable again from
+// the beginning of the restart, so that their catch-up delay includes it.
 func (r *runner) restartZone(action Action) error {
 	cluster := r.cluster
 	now := unixNow()
 	cluster.mutex.Lock()
 	for _, name := range cluster.hollowNames(action.Zone) {
-		cluster.tracker.recordCut(name, now)
+		cluster.tracker.recordUnreachable(name, now)
 	}
 	cluster.mutex.Unlock()
 	err := cluster.restartZone(action.Zone)
 	cluster.mutex.Lock()
 	defer cluster.mutex.Unlock()
 	for _, name := range cluster.hollowNames(action.Zone) {
-		cluster.tracker.recordHeal(name, now, string(action.Kind), r.newestVersion)
+		cluster.tracker.recordReachable(name, now, string(action.Kind), r.newestVersion)
 	}
 	return err
 }
 
-// finish waits until all reachable dispatchers have the newest version, and ends the run.
+// finish waits until all reachable hollow dispatchers have the newest version, and completes the record of the run.
 func (r *runner) finish(ctx context.Context) error {
 	for r.cluster.countBehind(r.newestVersion) > 0 {
 		err := r.waitUntil(ctx, time.Since(r.startedAt)+sampleInterval)
 		if ctx.Err() != nil {
-			break // the deadline: the run reports what is missing
+			break // at the deadline the run ends all the same, and reports the dispatchers that are behind
 		}
 		if err != nil {
 			return err
@@ -283,17 +285,17 @@
 	}
 	counting, cancel := context.WithTimeout(context.WithoutCancel(ctx), countTimeout)
 	defer cancel()
-	ownCounts, err := r.cluster.collectOwnCounts(counting)
+	counters, err := r.cluster.collectCounters(counting)
 	if err != nil {
 		return err
 	}
-	r.run.countsAtEnd = ownCounts
+	r.run.countersAtEnd = counters
 	cluster := r.cluster
 	r.run.behindAtEnd = cluster.countBehind(r.newestVersion)
 	cluster.mutex.Lock()
 	defer cluster.mutex.Unlock()
-	r.run.traffic = cluster.traffic
+	r.run.requests = cluster.requests
 	r.run.tracker = cluster.tracker
-	cluster.tracker = newTracker() // reports of processes that end do not count
+	cluster.tracker = newTracker() // reports that arrive while the processes are stopped are ignored
 	return nil
 }
--- a/internal/rehearsal/scale/run_test.go
+++ b/internal/rehearsal/scale/run_test.go
@@ -14,13 +14,14 @@
 	"time"
 )
 
-// childKind is the environment variable that makes the test binary a child process of a run.
-const childKind = "HOLLYYOKE_SCALE_CHILD"
+// childEnv is the environment variable by which the test binary, started as a child process of a run, is told
+// which kind of child to be.
+const childEnv = "HOLLYYOKE_SCALE_CHILD"
 
-// TestMain runs the tests, or a child process of a run.
+// TestMain runs the tests or, if the environment asks for it, a child process of a run.
 func TestMain(tests *testing.M) {
 	var err error
-	switch os.Getenv(childKind) {
+	switch os.Getenv(childEnv) {
 	case "hollow":
 		err = RunHollow(os.Stdin, os.Stdout)
 	case "origin":
@@ -34,13 +35,13 @@
 	}
 }
 
-// testPrograms runs the test binary as the children of a run.
+// testPrograms returns commands that start the test binary as the child processes of a run.
 func testPrograms() Programs {
-	kind := func(name string) []string { return []string{"/usr/bin/env", childKind + "=" + name, os.Args[0]} }
+	kind := func(name string) []string { return []string{"/usr/bin/env", childEnv + "=" + name, os.Args[0]} }
 	return Programs{Hollow: kind("hollow"), Origin: kind("origin"), Env: os.Environ()}
 }
 
-// execute runs a scenario without a log.
+// execute runs a scenario, without log output, and fails the test after an error.
 func execute(t *testing.T, scenario Scenario, mechanism Mechanism, programs Programs) *Run {
 	t.Helper()
 	run, err := Execute(context.Background(), scenario, mechanism, programs, slog.New(slog.DiscardHandler))
@@ -50,37 +51,38 @@
 	return run
 }
 
-// A small run has the planned counts. Durations are not asserted.
+// A small run in which dispatchers watch the origin has the planned numbers of versions, messages, bytes and allocations.
+// Durations depend on the machine and are not checked.
 func TestSmallRun(t *testing.T) {
-	run := execute(t, readScenario(t, "ci.toml"), ByDiscovery, testPrograms())
-	checkCourse(t, run)
+	run := execute(t, readScenario(t, "ci.toml"), MechanismDiscovery, testPrograms())
+	checkPropagation(t, run)
 	checkMessages(t, run)
 	checkBytes(t, run)
 	checkAllocations(t, run)
 	checkReport(t, run)
 }
 
-// checkCourse checks that each planned change was made and came into force everywhere.
-func checkCourse(t *testing.T, run *Run) {
+// checkPropagation checks that each planned version was published and applied by all reachable dispatchers.
+func checkPropagation(t *testing.T, run *Run) {
 	t.Helper()
-	made := len(run.tracker.changes)
-	planned := run.Plan.Changes()
+	made := len(run.tracker.publishedVersions)
+	planned := run.Plan.VersionCount()
 	if made != planned || planned < 20 {
-		t.Errorf("%d changes were made of %d planned", made, planned)
+		t.Errorf("%d versions were published of %d planned", made, planned)
 	}
 	if violations := run.Violations(); len(violations) > 0 {
 		t.Error(violations)
 	}
 	counted := 0
 	for _, phase := range run.tracker.phases() {
-		delays, missing := run.tracker.inForce(phase)
+		delays, missing := run.tracker.propagationDelays(phase)
 		counted += len(delays)
 		if missing > 0 {
-			t.Errorf("%d changes of phase %s never came into force everywhere", missing, phase)
+			t.Errorf("%d versions of phase %s were never applied by all reachable dispatchers", missing, phase)
 		}
 	}
-	if counted != run.Plan.Changes() {
-		t.Errorf("%d changes came into force of %d", counted, run.Plan.Changes())
+	if counted != run.Plan.VersionCount() {
+		t.Errorf("%d versions of %d were applied by all reachable dispatchers", counted, run.Plan.VersionCount())
 	}
 	if len(run.tracker.appliedVersions) != run.Scenario.Dispatchers {
 		t.Errorf("%d dispatchers reported of %d", len(run.tracker.appliedVersions), run.Scenario.Dispatchers)
@@ -98,13 +100,14 @@
 	return entries
 }
 
-// checkMessages checks that a dispatcher receives each change at most once, and updates only the entries that changed.
+// checkMessages checks that a dispatcher receives no more list updates than versions were published, and updates exactly
+// the entries that changed.
 func checkMessages(t *testing.T, run *Run) {
 	t.Helper()
 	dispatchers := int64(run.Scenario.Dispatchers)
-	updates := run.countsAtEnd.ListUpdates - run.countsAtStart.ListUpdates
-	entries := run.countsAtEnd.Entries - run.countsAtStart.Entries
-	maxUpdates := dispatchers * int64(run.Plan.Changes())
+	updates := run.countersAtEnd.ListUpdates - run.countersAtStart.ListUpdates
+	entries := run.countersAtEnd.Entries - run.countersAtStart.Entries
+	maxUpdates := dispatchers * int64(run.Plan.VersionCount())
 	if updates < dispatchers || updates > maxUpdates {
 		t.Errorf("%d list updates were received, not between %d and %d", updates, dispatchers, maxUpdates)
 	}
@@ -112,19 +115,19 @@
 		t.Errorf("%d entries were updated, %d changed", entries, want)
 	}
 	for name, versions := range run.tracker.appliedVersions {
-		if len(versions) > run.Plan.Changes()+1 { // and the list at the start
-			t.Errorf("%s had %d versions in force, one after the other", name, len(versions))
+		if len(versions) > run.Plan.VersionCount()+1 { // and the version at the start
+			t.Errorf("%s applied %d versions, more than were published", name, len(versions))
 		}
 	}
 }
 
-// Bytes of HTTP: the headers of a request and its response, and the framing of a line.
+// Overhead of HTTP in bytes, as an upper limit.
 const (
-	headBytes  = 400
-	frameBytes = 16
+	headBytes  = 400 // headers of a request and its response
+	frameBytes = 16  // chunked encoding of a line
 )
 
-// lineBytes returns the length on the wire of the list at the start, and of all changes.
+// lineBytes returns the number of bytes on the wire of the snapshot at the start and of the deltas of all steps.
 func lineBytes(plan *Plan) (snapshot, deltas int64) {
 	var initial []Change
 	for _, host := range plan.Hosts {
@@ -138,10 +141,10 @@
 	return versionBytes(initial), deltas
 }
 
-// versionBytes returns the length of the line of a version with the changes.
+// versionBytes returns the length of the line of a version with the given changes.
 func versionBytes(changes []Change) int64 {
-	const startMs = 1_800_000_000_000 // has as many digits as the times of the run
-	version := listing{Version: 1}
+	const startMs = 1_800_000_000_000 // has as many digits as the start times in the run
+	version := listUpdate{Version: 1}
 	for _, change := range changes {
 		host := change.Host
 		if change.JustStarted {
@@ -152,13 +155,14 @@
 	return int64(len(version.line()))
 }
 
-// checkBytes checks that a dispatcher receives the snapshot once, each change once, heartbeats, and no more.
+// checkBytes checks by the number of bytes that a dispatcher receives the snapshot once, each delta at most once, and
+// nothing else but heartbeats.
 func checkBytes(t *testing.T, run *Run) {
 	t.Helper()
 	snapshot, deltas := lineBytes(run.Plan)
 	last := run.samples[len(run.samples)-1]
 	span := last.takenAt.Sub(run.samples[0].takenAt)
-	heartbeats := int64(span/heartbeatInterval + 10) // those of the start and the end, too
+	heartbeats := int64(span/heartbeatInterval + 10) // ten more for the time before the first sample and after the last
 	minBytes := snapshot + deltas/2
 	maxBytes := snapshot + deltas + heartbeats*frameBytes + headBytes
 	for i := range run.Scenario.Dispatchers {
@@ -169,22 +173,22 @@
 	}
 }
 
-// checkAllocations checks that the allocations of a change are bounded by what changed and not by what is listed: far
-// fewer than one for each worker and change would be at any larger size.
+// checkAllocations checks that the number of heap allocations depends on the number of versions and not on that of listed
+// workers: with more workers, one allocation for each worker and version would exceed the limit by far.
 func checkAllocations(t *testing.T, run *Run) {
 	t.Helper()
 	const (
-		perChange = 250   // at one dispatcher, JSON decoding and reports included
-		perRun    = 1_000 // of one dispatcher: timers and heartbeats
+		perChange = 250   // for each version at one dispatcher, including JSON decoding and reports
+		perRun    = 1_000 // for each dispatcher over the run: timers and heartbeats
 	)
 	dispatchers := uint64(run.Scenario.Dispatchers)
-	limit := dispatchers * (perChange*uint64(run.Plan.Changes()) + perRun)
-	if got := run.countsAtEnd.Allocations - run.countsAtStart.Allocations; got > limit {
+	limit := dispatchers * (perChange*uint64(run.Plan.VersionCount()) + perRun)
+	if got := run.countersAtEnd.Allocations - run.countersAtStart.Allocations; got > limit {
 		t.Errorf("%d allocations, more than %d", got, limit)
 	}
 }
 
-// checkReport checks that the report can be read again and drawn.
+// checkReport checks that the run can be written as JSON, as a table and as a chart, and has no violations.
 func checkReport(t *testing.T, run *Run) {
 	t.Helper()
 	record := run.Record("command")
@@ -199,7 +203,7 @@
 	}
 }
 
-// checkJSON checks that a record that was written can be read again.
+// checkJSON checks that a written record can be read back.
 func checkJSON(t *testing.T, record Record) {
 	t.Helper()
 	var text bytes.Buffer
@@ -207,12 +211,12 @@
 		t.Fatal(err)
 	}
 	var read []Record
-	if err := json.Unmarshal(text.Bytes(), &read); err != nil || len(read) != 1 || read[0].Mechanism != ByDiscovery {
-		t.Errorf("%v: %s, want one record by %s", err, text.Bytes(), ByDiscovery)
+	if err := json.Unmarshal(text.Bytes(), &read); err != nil || len(read) != 1 || read[0].Mechanism != MechanismDiscovery {
+		t.Errorf("%v: %s, want one record by %s", err, text.Bytes(), MechanismDiscovery)
 	}
 }
 
-// checkTable checks that the table has the size of the run and its figures.
+// checkTable checks that the table shows the size of the scenario and the figures.
 func checkTable(t *testing.T, run *Run, record Record) {
 	t.Helper()
 	var table bytes.Buffer
@@ -224,8 +228,8 @@
 	}
 }
 
-// A small run by relays has the planned counts. The test binary is the origin and the hollow dispatchers; the relays
-// are built.
+// A small run by relays has the planned numbers of versions, messages, bytes and allocations, though a relay is killed and
+// restarted. The test binary runs as the origin and as the hollow dispatchers; the relay program is built by the test.
 func TestSmallRunByRelays(t *testing.T) {
 	programs := testPrograms()
 	programs.Relay = filepath.Join(t.TempDir(), "membership-relay")
@@ -238,8 +242,8 @@
 		Event{Kind: RelayDown, AtS: 0.8, Zone: 1},
 		Event{Kind: RelayUp, AtS: 1.6, Zone: 1},
 	)
-	run := execute(t, scenario, ByRelays, programs)
-	checkCourse(t, run)
+	run := execute(t, scenario, MechanismRelays, programs)
+	checkPropagation(t, run)
 	checkRelayedMessages(t, run)
 	checkAllocations(t, run)
 	if record := run.Record("command"); len(record.Violations) > 0 {
@@ -247,33 +251,34 @@
 	}
 }
 
-// checkRelayedMessages checks that no dispatcher receives more lists and entries than changed, though it moved to
-// another relay, nor more bytes than two snapshots, the changes and its acknowledgements. A restarted relay knows what
-// changed before, but not when: a dispatcher that comes back to it may get all of that again.
+// checkRelayedMessages checks that no dispatcher receives more list updates than versions were published, though it moves
+// to another relay, nor more bytes than two snapshots, the deltas and its acknowledgements. The dispatchers of the zone
+// whose relay is restarted may receive all changed entries twice: the restarted relay knows which entries changed, but not
+// by which version, and may send all of them again.
 func checkRelayedMessages(t *testing.T, run *Run) {
 	t.Helper()
-	const acknowledgementBytes = 500 // with its response
+	const acknowledgementBytes = 500 // one acknowledgement with its response
 	dispatchers := int64(run.Scenario.Dispatchers)
-	updates := run.countsAtEnd.ListUpdates - run.countsAtStart.ListUpdates
-	maxUpdates := dispatchers * int64(run.Plan.Changes())
+	updates := run.countersAtEnd.ListUpdates - run.countersAtStart.ListUpdates
+	maxUpdates := dispatchers * int64(run.Plan.VersionCount())
 	if updates < dispatchers || updates > maxUpdates {
 		t.Errorf("%d list updates were received, not between %d and %d", updates, dispatchers, maxUpdates)
 	}
 	cameBack := dispatchers / int64(run.Scenario.Zones)
-	entries := run.countsAtEnd.Entries - run.countsAtStart.Entries
+	entries := run.countersAtEnd.Entries - run.countersAtStart.Entries
 	maxEntries := (dispatchers + cameBack) * int64(entriesOf(run.Plan))
 	if entries < dispatchers || entries > maxEntries {
 		t.Errorf("%d entries were updated, not between %d and %d", entries, dispatchers, maxEntries)
 	}
 	last := run.samples[len(run.samples)-1]
 	span := last.takenAt.Sub(run.samples[0].takenAt)
-	acknowledgements := int64(span/time.Second) + 5 // one per second, and those of the start and of moves
+	acknowledgements := int64(span/time.Second) + 5 // one per second, and a few at the start and after a move to another relay
 	snapshot, deltas := lineBytes(run.Plan)
 	maxBytes := 2*snapshot + deltas + acknowledgements*acknowledgementBytes
 	for i := range run.Scenario.Dispatchers {
 		name := hollowName(i)
 		if got := last.clientBytes[name]; got == 0 || got > maxBytes {
-			t.Errorf("%s received and sent %d bytes: a snapshot has %d, the changes %d, %d acknowledgements",
+			t.Errorf("%s received and sent %d bytes, want some, and at most 2 snapshots of %d, deltas of %d and %d acknowledgements",
 				name, got, snapshot, deltas, acknowledgements)
 		}
 	}
--- a/internal/rehearsal/scale/scenario.go
+++ b/internal/rehearsal/scale/scenario.go
@@ -1,8 +1,10 @@
-// Package scale runs many dispatchers with their control machines on one machine and measures what control costs: real
-// daemons as processes, hollow dispatchers many to a process, an origin, and relays. It uses loopback only, and every
-// process that it starts ends with the run.
+// Package scale runs many dispatchers with their control plane on one machine, and measures the cost of control traffic and
+// how long changes of the endpoint list take to reach all dispatchers. A run consists of real daemons, one to a process,
+// hollow dispatchers, many to a process, an origin, which is the discovery service, and relays; the origin and the relays
+// are called control machines. It uses the loopback interface only, and stops every process that it starts at the end of
+// the run.
 //
-// A hollow dispatcher, like a hollow node of Kubernetes' kubemark, is the real control plane client without the rest: it
+// A hollow dispatcher, like a hollow node of Kubernetes' kubemark, is a real control plane client without a data plane: it
 // follows the endpoint list with the real dispatcher, decision module and registry, but has neither clients nor workers.
 // The listed workers do not exist. Hollow dispatchers are compared with real daemons of the same zones.
 package scale
@@ -19,16 +21,17 @@
 	"hollyyoke.example/hollyyoke/internal/tomlfile"
 )
 
-// Mechanism is how changes reach dispatchers.
+// Mechanism is how changes of the endpoint list reach dispatchers.
 type Mechanism string
 
 // The mechanisms.
 const (
-	ByDiscovery Mechanism = "discovery" // every dispatcher watches the origin
-	ByRelays    Mechanism = "relays"    // every dispatcher follows its zone's relay
+	MechanismDiscovery Mechanism = "discovery" // every dispatcher watches the origin
+	MechanismRelays    Mechanism = "relays"    // every dispatcher follows its zone's relay
 )
 
-// Mechanisms are the mechanisms that a scenario is run with, one after the other. Its file has one name or a list.
+// Mechanisms are the mechanisms with which a scenario is run, one after the other. A scenario file gives one name or a list
+// of names.
 type Mechanisms []Mechanism
 
 // UnmarshalTOML reads one name or a list of names.
@@ -40,15 +43,15 @@
 	for _, item := range list {
 		name, _ := item.(string)
 		mechanism := Mechanism(name)
-		if mechanism != ByDiscovery && mechanism != ByRelays {
-			return fmt.Errorf("mechanism: %v is neither %s nor %s", item, ByDiscovery, ByRelays)
+		if mechanism != MechanismDiscovery && mechanism != MechanismRelays {
+			return fmt.Errorf("mechanism: %v is neither %s nor %s", item, MechanismDiscovery, MechanismRelays)
 		}
 		*m = append(*m, mechanism)
 	}
 	return nil
 }
 
-// Scenario describes a run as its TOML file states it. Durations are in the unit that the name ends with.
+// Scenario is a scenario file. Names of durations end with the unit: S for seconds, Ms for milliseconds.
 type Scenario struct {
 	Name         string     `toml:"name"`
 	Seed         uint64     `toml:"seed"`
@@ -59,11 +62,11 @@
 	Daemons      int        `toml:"real"`
 	Mechanism    Mechanisms `toml:"mechanism"`
 	LengthS      float64    `toml:"length_s"`
-	DeadlineS    float64    `toml:"deadline_s"` // of one mechanism's run, which is then aborted
+	DeadlineS    float64    `toml:"deadline_s"` // after which the run of one mechanism is aborted
 	MemoryMB     float64    `toml:"memory_mb"`  // a dispatcher's memory limit
 	SlowStartS   float64    `toml:"warm_after_s"`
-	LogChanges   int        `toml:"log_changes"`   // versions in the logs of the origin and of each relay
-	InitialList  bool       `toml:"known"`         // dispatchers start with the list, but restart without it
+	LogChanges   int        `toml:"log_changes"`   // number of versions that the logs of the origin and of each relay keep
+	InitialList  bool       `toml:"known"`         // dispatchers have the endpoint list at the start of the run, but not when they are restarted
 	CountEntries bool       `toml:"count_entries"` // hollow dispatchers count the entries of list updates
 
 	Background BackgroundChanges `toml:"day"`
@@ -72,18 +75,19 @@
 	Bounds     Bounds            `toml:"bounds"`
 }
 
-// BackgroundChanges are the changes that happen all the time, per day. Time runs faster by TimeFactor.
+// BackgroundChanges are the changes that happen throughout the run, as numbers per day. TimeFactor is how many times faster
+// than real time they happen.
 type BackgroundChanges struct {
-	TimeFactor float64 `toml:"factor"` // 0: no such changes
-	Changes    float64 `toml:"changes"`
-	Failures   float64 `toml:"failures"`
-	Restarts   float64 `toml:"restarts"`
+	TimeFactor float64 `toml:"factor"`   // if 0, there are no background changes
+	Changes    float64 `toml:"changes"`  // of a worker's share
+	Failures   float64 `toml:"failures"` // of workers, each of which is replaced
+	Restarts   float64 `toml:"restarts"` // of workers
 }
 
-// Traffic describes the requests to hollow dispatchers.
+// Traffic is the load of requests to hollow dispatchers.
 type Traffic struct {
 	RatePerS float64 `toml:"rate_per_s" json:"RatePerS"` // of each dispatcher
-	WorkMs   float64 `toml:"work_ms" json:"WorkMs"`
+	WorkMs   float64 `toml:"work_ms" json:"WorkMs"`      // mean work of a request
 }
 
 // EventKind is the kind of an event.
@@ -91,44 +95,44 @@
 
 // The kinds of events.
 const (
-	Rack         EventKind = "rack"        // count workers of one zone are removed, and start again after for_s
-	ZoneLoss     EventKind = "zone_loss"   // all workers of a zone are removed, its dispatchers and relay cut off
-	ZoneReturn   EventKind = "zone_return" // the zone is reachable again, its workers start
+	RackLoss     EventKind = "rack"        // count workers of one zone are removed, and start again after for_s if that is set
+	ZoneLoss     EventKind = "zone_loss"   // all workers of a zone are removed, its dispatchers are cut off, its relay is killed
+	ZoneReturn   EventKind = "zone_return" // the zone is reachable again, its relay and its workers start
 	RegionCut    EventKind = "region_cut"  // a region's zones cannot reach other regions
 	RegionHeal   EventKind = "region_heal"
-	Changes      EventKind = "changes"      // count changes at once
+	ShareChanges EventKind = "changes"      // count random workers get another share, over over_s
 	RestartZone  EventKind = "restart_zone" // all dispatchers of a zone are restarted
-	WorkerStarts EventKind = "cold"         // count workers of all zones are restarted
+	WorkerStarts EventKind = "cold"         // count random workers of all zones are restarted at once
 	RelayDown    EventKind = "relay_down"   // a zone's relay is killed
 	RelayUp      EventKind = "relay_up"
 )
 
-var eventKinds = []EventKind{Rack, ZoneLoss, ZoneReturn, RegionCut, RegionHeal, Changes, RestartZone, WorkerStarts, RelayDown, RelayUp}
+var eventKinds = []EventKind{RackLoss, ZoneLoss, ZoneReturn, RegionCut, RegionHeal, ShareChanges, RestartZone, WorkerStarts, RelayDown, RelayUp}
 
-// Event is something that happens once.
+// Event happens once in a run.
 type Event struct {
 	Kind   EventKind `toml:"kind"`
-	AtS    float64   `toml:"at_s"`
+	AtS    float64   `toml:"at_s"`   // since the start of the run
 	OverS  float64   `toml:"over_s"` // period over which its changes are spread
-	ForS   float64   `toml:"for_s"`
+	ForS   float64   `toml:"for_s"`  // until the workers of a lost rack start again; if 0, they do not
 	Zone   int       `toml:"zone"`
 	Region int       `toml:"region"`
-	Count  int       `toml:"count"`
+	Count  int       `toml:"count"` // of workers or changes
 }
 
-// Bounds are the limits that a run must keep; 0: no limit.
+// Bounds are upper limits of a run's figures. A bound of 0 is not checked.
 type Bounds struct {
-	Mechanisms   Mechanisms `toml:"of"` // to which they apply; empty: all
-	InForceP99S  float64    `toml:"in_force_p99_s"`
+	Mechanisms   Mechanisms `toml:"of"`             // the mechanisms to which the bounds apply; all if empty
+	InForceP99S  float64    `toml:"in_force_p99_s"` // until all reachable dispatchers have applied a change
 	InForceMaxS  float64    `toml:"in_force_max_s"`
-	CatchUpMaxS  float64    `toml:"catch_up_max_s"`
-	BytesPerS    float64    `toml:"bytes_per_s"` // of a dispatcher, mean over its busiest minute
-	CoreShare    float64    `toml:"core_share"`  // of a dispatcher, mean of the run
-	CoreShare10S float64    `toml:"core_share_10s"`
-	MemoryMB     float64    `toml:"memory_mb"` // of a daemon, at its peak
+	CatchUpMaxS  float64    `toml:"catch_up_max_s"` // until a dispatcher that was unreachable is up to date
+	BytesPerS    float64    `toml:"bytes_per_s"`    // sent and received by a dispatcher, in its busiest minute
+	CoreShare    float64    `toml:"core_share"`     // of a dispatcher, mean over the run
+	CoreShare10S float64    `toml:"core_share_10s"` // of a dispatcher, in its busiest ten seconds
+	MemoryMB     float64    `toml:"memory_mb"`      // of a daemon, at its peak
 }
 
-// Values of absent keys.
+// Defaults of keys that a scenario file leaves out.
 const (
 	defaultMemoryMB   = 128
 	defaultSlowStartS = 8.6
@@ -136,22 +140,22 @@
 	defaultWorkMs     = 100
 )
 
-// Limits of one run, whatever its scenario says.
+// Limits of every run, which no scenario can raise.
 const (
-	maxProcesses = 300
-	maxMemory    = 12 << 30 // bytes, of all processes together
-	maxWorkers   = 50_000
-	maxHollow    = 3_000
+	maxProcesses   = 300
+	maxMemory      = 12 << 30 // bytes, of all processes together
+	maxWorkers     = 50_000
+	maxDispatchers = 3_000
 )
 
-// ReadScenario reads a scenario file and sets the defaults of absent keys. An error is one line that names the key at
-// fault.
+// ReadScenario reads and checks a scenario file, and sets the defaults of keys that it leaves out. The error of an invalid
+// file is one line that names the key.
 func ReadScenario(path string) (scenario Scenario, err error) {
 	err = tomlfile.ReadChecked(path, &scenario)
 	return scenario, err
 }
 
-// Check sets defaults and checks all values.
+// Check sets the defaults of keys that are left out, and checks all values.
 func (s *Scenario) Check() error {
 	s.setDefaults()
 	if err := s.checkRanges(); err != nil {
@@ -168,13 +172,13 @@
 	return nil
 }
 
-// checkRanges checks the numbers that stand outside of lists.
+// checkRanges checks the ranges of all numbers except those of events and bounds.
 func (s *Scenario) checkRanges() error {
 	return cmp.Or(
 		rangecheck.Between("workers", float64(s.Workers), 1, maxWorkers),
 		rangecheck.Between("zones", float64(s.Zones), 1, 64),
 		rangecheck.Between("regions", float64(s.Regions), 1, float64(s.Zones)),
-		rangecheck.Between("dispatchers", float64(s.Dispatchers), 1, maxHollow),
+		rangecheck.Between("dispatchers", float64(s.Dispatchers), 1, maxDispatchers),
 		rangecheck.Between("real", float64(s.Daemons), 0, 64),
 		rangecheck.Between("length_s", s.LengthS, 0.1, 600),
 		rangecheck.Between("deadline_s", s.DeadlineS, 1, 1200),
@@ -190,7 +194,7 @@
 	)
 }
 
-// setDefaults sets the defaults of absent keys.
+// setDefaults sets the defaults of keys that are left out.
 func (s *Scenario) setDefaults() {
 	if s.MemoryMB == 0 {
 		s.MemoryMB = defaultMemoryMB
@@ -205,11 +209,11 @@
 		s.Traffic.WorkMs = defaultWorkMs
 	}
 	if len(s.Mechanism) == 0 {
-		s.Mechanism = Mechanisms{ByDiscovery}
+		s.Mechanism = Mechanisms{MechanismDiscovery}
 	}
 }
 
-// checkEvent checks an event against the scenario.
+// checkEvent checks an event, whose times, zone and region must exist in the scenario.
 func (s *Scenario) checkEvent(event Event) error {
 	switch {
 	case !slices.Contains(eventKinds, event.Kind):
@@ -226,13 +230,14 @@
 		return fmt.Errorf("region: there is no region %d", event.Region)
 	case event.Count < 0 || event.Count > maxWorkers:
 		return fmt.Errorf("count: %d is not between 0 and %d", event.Count, maxWorkers)
-	case event.Count == 0 && slices.Contains([]EventKind{Rack, Changes, WorkerStarts}, event.Kind):
+	case event.Count == 0 && slices.Contains([]EventKind{RackLoss, ShareChanges, WorkerStarts}, event.Kind):
 		return errors.New("count: missing")
 	}
 	return nil
 }
 
-// Violations describes the bounds that figures exceed, for one mechanism.
+// Violations describes the bounds that the figures of a run by the mechanism exceed. There are none if the bounds do not
+// apply to the mechanism.
 func (b *Bounds) Violations(mechanism Mechanism, figures Figures) (violations []string) {
 	if len(b.Mechanisms) > 0 && !slices.Contains(b.Mechanisms, mechanism) {
 		return nil
--- a/internal/rehearsal/scale/scenario_test.go
+++ b/internal/rehearsal/scale/scenario_test.go
@@ -11,7 +11,7 @@
 const (
 	scenarioDir = "../../../deploy/scenarios/scale"
 
-	// minimalScenario has the keys that a scenario cannot leave out.
+	// minimalScenario has only the keys that a scenario must have.
 	minimalScenario = "name = \"x\"\nworkers = 10\nzones = 2\nregions = 1\ndispatchers = 2\nlength_s = 1\ndeadline_s = 9\n"
 )
 
@@ -25,7 +25,7 @@
 	return scenario
 }
 
-// readScenarioText reads a scenario from a file with the text.
+// readScenarioText writes text to a file and reads it as a scenario.
 func readScenarioText(t *testing.T, text string) (Scenario, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "scenario.toml")
@@ -48,7 +48,7 @@
 	}
 }
 
-// The error of an invalid scenario names the key.
+// The error of an invalid scenario names the invalid key.
 func TestInvalidScenarios(t *testing.T) {
 	for want, text := range map[string]string{
 		"colour: unknown key":      minimalScenario + "colour = 1\n",
@@ -66,12 +66,12 @@
 	}
 }
 
-// A scenario names one mechanism or a list; without the key it is discovery.
+// A scenario gives one mechanism or a list. Without the key, the mechanism is discovery.
 func TestMechanismIsNameOrList(t *testing.T) {
 	for text, want := range map[string]Mechanisms{
-		`mechanism = "relays"`:                {ByRelays},
-		`mechanism = ["discovery", "relays"]`: {ByDiscovery, ByRelays},
-		"":                                    {ByDiscovery},
+		`mechanism = "relays"`:                {MechanismRelays},
+		`mechanism = ["discovery", "relays"]`: {MechanismDiscovery, MechanismRelays},
+		"":                                    {MechanismDiscovery},
 	} {
 		scenario, err := readScenarioText(t, text+"\n"+minimalScenario)
 		if err != nil || !slices.Equal(scenario.Mechanism, want) {
@@ -80,7 +80,7 @@
 	}
 }
 
-// Bounds report the figures that exceed them, for the mechanisms that they apply to.
+// Violations names the figures that exceed a bound, and nothing for a mechanism to which the bounds do not apply.
 func TestBoundsReportViolations(t *testing.T) {
 	figures := Figures{
 		{Name: "in_force.calm.p99", Value: 3},
@@ -88,11 +88,11 @@
 		{Name: "dispatcher.real.memory_peak", Value: 130},
 		{Name: "dispatcher.hollow.core_share", Value: 0.01},
 	}
-	bounds := Bounds{Mechanisms: Mechanisms{ByRelays}, InForceP99S: 5, InForceMaxS: 10, MemoryMB: 128, CoreShare: 0.014}
-	if violations := bounds.Violations(ByDiscovery, figures); len(violations) != 0 {
+	bounds := Bounds{Mechanisms: Mechanisms{MechanismRelays}, InForceP99S: 5, InForceMaxS: 10, MemoryMB: 128, CoreShare: 0.014}
+	if violations := bounds.Violations(MechanismDiscovery, figures); len(violations) != 0 {
 		t.Errorf("bounds of another mechanism: %q, want none", violations)
 	}
-	violations := bounds.Violations(ByRelays, figures)
+	violations := bounds.Violations(MechanismRelays, figures)
 	if len(violations) != 2 {
 		t.Fatalf("%q, want 2 violations", violations)
 	}
--- a/internal/rehearsal/scale/tracker.go
+++ b/internal/rehearsal/scale/tracker.go
@@ -7,52 +7,52 @@
 	"time"
 )
 
-// madeVersion is a version that the origin has made.
-type madeVersion struct {
-	version int64
-	madeAt  time.Duration
-	phase   string
+// publishedVersion is a version that the origin has published, and the phase of the run in which it did.
+type publishedVersion struct {
+	version     int64
+	publishedAt time.Duration
+	phase       string
 }
 
-// appliedVersion is a version that a dispatcher had in force.
+// appliedVersion is a version that a dispatcher has applied.
 type appliedVersion struct {
 	version   int64
 	appliedAt time.Duration
 }
 
-// outage is a period in which a dispatcher cannot be reached.
+// outage is a period in which a dispatcher is unreachable.
 type outage struct {
-	from    time.Duration
-	until   time.Duration // outageLasts while it lasts
-	phase   string        // of the event that ended it
-	version int64         // the newest when it ended
+	from          time.Duration
+	until         time.Duration // outageOngoing while the outage lasts
+	phase         string        // of the event that ended it
+	newestVersion int64         // the newest published version when it ended
 }
 
 // never is later than any time of a run.
 const never = time.Duration(math.MaxInt64)
 
-// outageLasts is the end of an outage that has not ended.
-const outageLasts = never
+// outageOngoing is the value of outage.until for an outage that has not ended.
+const outageOngoing = never
 
-// tracker records when each version was made and when each dispatcher had it. It reads no clock; all times are Unix
-// time.
+// tracker records when each version was published and when each dispatcher applied it. It reads no clock: callers pass all
+// times, as Unix time.
 type tracker struct {
-	changes         []madeVersion
-	appliedVersions map[string][]appliedVersion // by dispatcher, in order
-	outages         map[string][]outage
-	regressions     int // times at which a dispatcher went back to an older version
+	publishedVersions []publishedVersion
+	appliedVersions   map[string][]appliedVersion // by dispatcher, in the order of the reports
+	outages           map[string][]outage         // by dispatcher, in order
+	regressions       int                         // how many times a dispatcher went back to an older version
 }
 
 func newTracker() *tracker {
 	return &tracker{appliedVersions: map[string][]appliedVersion{}, outages: map[string][]outage{}}
 }
 
-// recordMade records that the origin has made a version.
-func (t *tracker) recordMade(version int64, at time.Duration, phase string) {
-	t.changes = append(t.changes, madeVersion{version: version, madeAt: at, phase: phase})
+// recordPublished records that the origin has published a version.
+func (t *tracker) recordPublished(version int64, at time.Duration, phase string) {
+	t.publishedVersions = append(t.publishedVersions, publishedVersion{version: version, publishedAt: at, phase: phase})
 }
 
-// recordApplied records that a dispatcher has a version in force.
+// recordApplied records that a dispatcher has applied a version.
 func (t *tracker) recordApplied(name string, version int64, at time.Duration) {
 	if newest, _ := t.current(name); version < newest {
 		t.regressions++
@@ -60,37 +60,38 @@
 	t.appliedVersions[name] = append(t.appliedVersions[name], appliedVersion{version: version, appliedAt: at})
 }
 
-// recordCut records that a dispatcher cannot be reached from now on.
-func (t *tracker) recordCut(name string, at time.Duration) {
-	t.outages[name] = append(t.outages[name], outage{from: at, until: outageLasts})
+// recordUnreachable records that a dispatcher has become unreachable.
+func (t *tracker) recordUnreachable(name string, at time.Duration) {
+	t.outages[name] = append(t.outages[name], outage{from: at, until: outageOngoing})
 }
 
-// recordHeal records that a dispatcher can be reached again, and the newest version.
-func (t *tracker) recordHeal(name string, healedAt time.Duration, phase string, version int64) {
+// recordReachable records that a dispatcher has become reachable again by an event, and the newest published version at
+// that time. It does nothing if the dispatcher was not unreachable.
+func (t *tracker) recordReachable(name string, healedAt time.Duration, phase string, version int64) {
 	outages := t.outages[name]
 	if len(outages) == 0 {
 		return
 	}
 	latest := &outages[len(outages)-1]
-	if latest.until != outageLasts {
+	if latest.until != outageOngoing {
 		return
 	}
 	latest.until = healedAt
 	latest.phase = phase
-	latest.version = version
+	latest.newestVersion = version
 }
 
-// current returns a dispatcher's latest version, and whether it can be reached.
+// current returns the version that a dispatcher applied last, and whether it is reachable.
 func (t *tracker) current(name string) (version int64, reachable bool) {
 	if applied := t.appliedVersions[name]; len(applied) > 0 {
 		version = applied[len(applied)-1].version
 	}
 	outages := t.outages[name]
-	return version, len(outages) == 0 || outages[len(outages)-1].until < outageLasts
+	return version, len(outages) == 0 || outages[len(outages)-1].until < outageOngoing
 }
 
-// firstApplied returns the first time from a given one at which a dispatcher had a version or a later one; false if it
-// never had.
+// firstApplied returns when a dispatcher, at or after the time from, first applied the given version or a later one. It
+// returns false if the dispatcher never did.
 func (t *tracker) firstApplied(name string, version int64, from time.Duration) (time.Duration, bool) {
 	applied := t.appliedVersions[name]
 	i := sort.Search(len(applied), func(i int) bool { return applied[i].version >= version && applied[i].appliedAt >= from })
@@ -100,20 +101,20 @@
 	return applied[i].appliedAt, true
 }
 
-// reachableUntil reports whether a dispatcher could be reached from a change until it had it. One that was cut off
-// meanwhile counts as catching up instead.
+// reachableUntil reports whether a dispatcher was reachable all the time from the publication of a version until it applied
+// that version. A dispatcher that was unreachable meanwhile is counted by catchUpDelays instead.
 func (t *tracker) reachableUntil(name string, changedAt, appliedAt time.Duration) bool {
 	return !slices.ContainsFunc(t.outages[name], func(o outage) bool { return o.from <= appliedAt && changedAt <= o.until })
 }
 
-// inForce returns for each change of a phase how long it took, in seconds, until the last reachable dispatcher had it.
-// missing counts the changes that some reachable dispatcher never had.
-func (t *tracker) inForce(phase string) (delays []float64, missing int) {
-	for _, change := range t.changes {
-		if change.phase != phase {
+// propagationDelays returns, for each version of a phase, the time in seconds until the last reachable dispatcher had
+// applied it. missing is the number of versions that some reachable dispatcher never applied.
+func (t *tracker) propagationDelays(phase string) (delays []float64, missing int) {
+	for _, published := range t.publishedVersions {
+		if published.phase != phase {
 			continue
 		}
-		reached := t.propagationOf(change)
+		reached := t.propagationOf(published)
 		if !reached.everywhere {
 			missing++
 			continue
@@ -123,53 +124,54 @@
 	return delays, missing
 }
 
-// propagation is how a change reached the dispatchers.
+// propagation describes how a version reached the reachable dispatchers.
 type propagation struct {
-	everywhere bool          // every reachable dispatcher had it
-	delay      time.Duration // until the last of them had it
-	slowest    string        // that dispatcher; otherwise one that never had it
+	everywhere     bool          // every reachable dispatcher applied it
+	delay          time.Duration // from publication until the last of them applied it
+	lastDispatcher string        // the dispatcher that applied it last or, if not everywhere, one that never did
 }
 
-// propagationOf follows a change to the dispatchers that could be reached until they had it.
-func (t *tracker) propagationOf(change madeVersion) propagation {
+// propagationOf returns how a version reached the dispatchers that were reachable until they applied it.
+func (t *tracker) propagationOf(published publishedVersion) propagation {
 	reached := propagation{everywhere: true}
 	for name := range t.appliedVersions {
-		appliedAt, found := t.firstApplied(name, change.version, change.madeAt)
+		appliedAt, found := t.firstApplied(name, published.version, published.publishedAt)
 		if !found {
 			appliedAt = never
 		}
 		switch {
-		case !t.reachableUntil(name, change.madeAt, appliedAt):
+		case !t.reachableUntil(name, published.publishedAt, appliedAt):
 		case !found:
-			return propagation{slowest: name}
-		case appliedAt-change.madeAt > reached.delay:
-			reached.delay = appliedAt - change.madeAt
-			reached.slowest = name
+			return propagation{lastDispatcher: name}
+		case appliedAt-published.publishedAt > reached.delay:
+			reached.delay = appliedAt - published.publishedAt
+			reached.lastDispatcher = name
 		}
 	}
 	return reached
 }
 
-// phases returns the phases that have changes, in the order of their first.
+// phases returns the phases in which versions were published, in order.
 func (t *tracker) phases() (names []string) {
-	for _, change := range t.changes {
-		if !slices.Contains(names, change.phase) {
-			names = append(names, change.phase)
+	for _, published := range t.publishedVersions {
+		if !slices.Contains(names, published.phase) {
+			names = append(names, published.phase)
 		}
 	}
 	return names
 }
 
-// catchUp returns, by the event that ended outages, how long each dispatcher took from then until it had the version
-// that was the newest at that time. missing counts those that never had it.
-func (t *tracker) catchUp() (delays map[string][]float64, missing int) {
+// catchUpDelays returns how long each dispatcher took, in seconds, from the end of an outage until it applied the version
+// that was the newest at that time, by the event that ended the outage. missing is the number of outages after which the
+// dispatcher never applied it.
+func (t *tracker) catchUpDelays() (delays map[string][]float64, missing int) {
 	delays = map[string][]float64{}
 	for name, outages := range t.outages {
 		for _, outage := range outages {
-			if outage.until == outageLasts {
+			if outage.until == outageOngoing {
 				continue
 			}
-			appliedAt, found := t.firstApplied(name, outage.version, outage.until)
+			appliedAt, found := t.firstApplied(name, outage.newestVersion, outage.until)
 			if !found {
 				missing++
 				continue
@@ -180,7 +182,7 @@
 	return delays, missing
 }
 
-// quantile returns a quantile of values, by the nearest rank; 0 if there are none.
+// quantile returns a quantile of values by the nearest-rank method, or 0 if there are no values.
 func quantile(values []float64, share float64) float64 {
 	if len(values) == 0 {
 		return 0
