--- a/internal/rehearsal/capacity/assumptions.go
+++ b/internal/rehearsal/capacity/assumptions.go
@@ -8,7 +8,7 @@
 	"hollyyoke.example/hollyyoke/internal/tomlfile"
 )
 
-// Target has the sizes and limits that the operators have set.
+// Target holds the sizes and limits that the operators of the fleet have set.
 type Target struct {
 	Workers             float64 `toml:"workers"`
 	Accelerators        float64 `toml:"accelerators"`
@@ -35,23 +35,24 @@
 	ZoneLossWindow      float64 `toml:"zone_loss_window_s"`
 }
 
-// Assumption is a figure that the target does not give, with its origin.
+// Assumption is a figure that the target does not give.
 type Assumption struct {
 	Value  float64 `toml:"value"`
 	Unit   Unit    `toml:"unit"`
 	Mark   string  `toml:"mark"`
-	Origin string  `toml:"origin"`
+	Origin string  `toml:"origin"` // where the figure comes from
 
 	Name string `toml:"-"` // its key in the file
 }
 
-// Quantity returns the assumption as a quantity.
+// Quantity returns the assumption as a quantity whose source is the assumption's key.
 func (a Assumption) Quantity() Quantity {
-	mark, _ := ParseMark(a.Mark) // checked as the file was read
+	mark, _ := ParseMark(a.Mark) // the mark was checked when the file was read
 	return Quantity{Value: a.Value, Unit: a.Unit, Mark: mark, Sources: []string{a.Name}}
 }
 
-// Assumed has the assumptions. Dispatchers lists the numbers of dispatchers to compute with, the smallest first.
+// Assumed holds the assumptions. Dispatchers lists the numbers of dispatchers for which needs are computed, in ascending
+// order.
 type Assumed struct {
 	Dispatchers       []int      `toml:"dispatchers"`
 	FailureChanges    Assumption `toml:"changes_of_a_failure"`
@@ -69,7 +70,7 @@
 	LongestObject     Assumption `toml:"longest_object_bytes"`
 }
 
-// Mechanisms names the package that does each kind of control work, or mechanismMissing.
+// Mechanisms names the package that does each kind of control work, or is mechanismMissing where none does.
 type Mechanisms struct {
 	Membership      string `toml:"membership"`
 	Decisions       string `toml:"decisions"`
@@ -79,10 +80,11 @@
 	Acknowledgement string `toml:"acknowledgement"`
 }
 
-// mechanismMissing stands for a mechanism that does not exist.
+// mechanismMissing is written in place of a package if there is no mechanism.
 const mechanismMissing = "missing"
 
-// Assumptions is the assumptions file. Before has the mechanisms of the program that was measured first.
+// Assumptions is the content of the assumptions file. Before holds the mechanisms of the program that was measured first,
+// before its costs were reduced; Mechanisms holds those of the present program.
 type Assumptions struct {
 	Target     Target     `toml:"target"`
 	Assumed    Assumed    `toml:"assumed"`
@@ -90,8 +92,9 @@
 	Before     Mechanisms `toml:"mechanisms_before"`
 }
 
-// assumptions returns the assumptions in the order of the file and sets their names to the keys there.
-func (a *Assumed) assumptions() []*Assumption {
+// namedAssumptions sets the name of each assumption to its key in the file, and returns all of them in the order of the
+// file.
+func (a *Assumed) namedAssumptions() []*Assumption {
 	named := []struct {
 		key        string
 		assumption *Assumption
@@ -120,8 +123,8 @@
 
 var errNoDispatchers = errors.New("assumed.dispatchers is empty")
 
-// ReadAssumptions reads and checks an assumptions file. An error is one line that names the key at fault, also for an
-// assumption without an origin.
+// ReadAssumptions reads and checks an assumptions file. The error of an invalid file is one line that names the key. An
+// assumption without an origin is invalid.
 func ReadAssumptions(path string) (assumptions Assumptions, err error) {
 	text, err := os.ReadFile(path)
 	if err == nil {
@@ -140,7 +143,7 @@
 	if len(a.Assumed.Dispatchers) == 0 {
 		return errNoDispatchers
 	}
-	for _, assumption := range a.Assumed.assumptions() {
+	for _, assumption := range a.Assumed.namedAssumptions() {
 		_, err := ParseMark(assumption.Mark)
 		switch {
 		case err != nil:
--- a/internal/rehearsal/capacity/assumptions_test.go
+++ b/internal/rehearsal/capacity/assumptions_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Each named mechanism exists, and each one that is called missing does not.
+// Each mechanism that the assumptions name is a package, and relays are not called missing once their package exists.
 func TestMechanismsExist(t *testing.T) {
 	committed, err := ReadAssumptions(filepath.Join(dataDir, assumptionsFile))
 	if err != nil {
@@ -22,15 +22,15 @@
 			continue
 		}
 		if info, err := os.Stat(filepath.Join("../../..", name)); err != nil || !info.IsDir() {
-			t.Errorf("mechanism %q is no package", name)
+			t.Errorf("mechanism %q is not a package", name)
 		}
 	}
 	if _, err := os.Stat("../../relay"); err == nil && mechanisms.Relays == mechanismMissing {
-		t.Error("internal/relay exists and the page calls relays missing")
+		t.Error("internal/relay exists but the assumptions call relays missing")
 	}
 }
 
-// The error of invalid assumptions names the key.
+// The error of invalid assumptions names the invalid key.
 func TestInvalidAssumptions(t *testing.T) {
 	valid, err := os.ReadFile(filepath.Join(dataDir, assumptionsFile))
 	if err != nil {
--- a/internal/rehearsal/capacity/basis.go
+++ b/internal/rehearsal/capacity/basis.go
@@ -4,15 +4,16 @@
 	"fmt"
 )
 
-// Basis is what needs are computed from.
+// Basis is the data from which needs are computed: the assumptions, one file of slope runs and the scale runs.
 type Basis struct {
 	Assumptions
 	Slopes Slopes
-	File   string // the name of the file of slopes
+	File   string // name of the file of Slopes
 	Scale  []ScaleRun
 }
 
-// valueAt returns a series' value at a size: the median of the repetitions there, or the value of the fitted line.
+// valueAt returns the value of a series at a size: the median of the repetitions if that size was measured, otherwise the
+// value of the fitted line.
 func (b *Basis) valueAt(name SeriesName, size float64) (Quantity, error) {
 	series := b.Slopes.series(name)
 	if series == nil {
@@ -31,10 +32,11 @@
 	return Quantity{Value: fit.At(size), Unit: series.Unit, Mark: Extrapolated, Sources: source}, nil
 }
 
-// runSource returns a series as a source, in code type; assumptions have none.
+// runSource returns the name of a series as the page shows it among the sources of a figure. It is in backquotes, which
+// tell series from assumptions.
 func runSource(name SeriesName) string { return "`" + string(name) + "`" }
 
-// slopeOf returns a series' slope: what one more worker, team or task adds.
+// slopeOf returns the slope of the line fitted to a series: what one more worker, team or task adds.
 func (b *Basis) slopeOf(name SeriesName) (Quantity, error) {
 	series := b.Slopes.series(name)
 	if series == nil {
@@ -47,24 +49,25 @@
 	return Quantity{Value: fit.Slope, Unit: series.Unit, Mark: Extrapolated, Sources: []string{runSource(name)}}, nil
 }
 
-// measured has the figures of the runs at the target's size.
-type measured struct {
-	snapshot       Quantity // bytes
-	snapshotGzip   Quantity // bytes
-	delta          Quantity // bytes of a one-worker delta
-	idleBytes      Quantity // bytes per second
-	deltaCPU       Quantity // processor time of a one-worker delta
-	idleCPU        Quantity
-	startCPU       Quantity
-	zoneLossCPU    Quantity
-	peakResident   Quantity
-	workerBytes    Quantity // memory for one more worker
-	taskBytes      Quantity // memory for one more running task
-	arrivalWarm    Quantity // processor time of a request, all workers warm
-	arrivalWarming Quantity // the same, a tenth of the workers warming up
+// runFigures holds the figures of the slope runs at the target's number of workers.
+type runFigures struct {
+	snapshot            Quantity // bytes of the endpoint list
+	snapshotGzip        Quantity // bytes of the endpoint list compressed by gzip
+	delta               Quantity // bytes of a one-worker delta
+	idleBytes           Quantity // bytes per second while nothing changes
+	deltaCPU            Quantity // processor time of a one-worker delta
+	idleCPU             Quantity // processor time per second while nothing changes
+	startCPU            Quantity // processor time of a daemon's start
+	zoneLossCPU         Quantity // processor time for the loss of all workers of a zone
+	peakResident        Quantity // peak resident memory of a daemon
+	memoryPerWorker     Quantity // memory for one more worker
+	memoryPerTask       Quantity // memory for one more running task
+	requestCPU          Quantity // processor time of the decision on a request, with no worker in slow start
+	slowStartRequestCPU Quantity // the same, with a tenth of the workers in slow start
 }
 
-func (b *Basis) measured() (figures measured, err error) {
+// figuresAtTarget returns the figures of the slope runs at the target's number of workers.
+func (b *Basis) figuresAtTarget() (figures runFigures, err error) {
 	for _, figure := range []struct {
 		value  *Quantity
 		series SeriesName
@@ -78,23 +81,23 @@
 		{&figures.startCPU, StartCPU},
 		{&figures.zoneLossCPU, ZoneLossCPU},
 		{&figures.peakResident, PeakResident},
-		{&figures.arrivalWarm, ModuleWarm},
-		{&figures.arrivalWarming, ModuleCold},
+		{&figures.requestCPU, ModuleWarm},
+		{&figures.slowStartRequestCPU, ModuleCold},
 	} {
 		*figure.value, err = b.valueAt(figure.series, b.Target.Workers)
 		if err != nil {
 			return figures, err
 		}
 	}
-	figures.workerBytes, err = b.slopeOf(PeakResident)
+	figures.memoryPerWorker, err = b.slopeOf(PeakResident)
 	if err != nil {
 		return figures, err
 	}
-	figures.taskBytes, err = b.slopeOf(ModuleHeld)
+	figures.memoryPerTask, err = b.slopeOf(ModuleTaskMemory)
 	return figures, err
 }
 
-// dispatcherCount returns a number of dispatchers, which the target does not give.
+// dispatcherCount returns a number of dispatchers as a quantity, which is an assumption since the target does not give it.
 func (b *Basis) dispatcherCount(number int) Quantity {
 	return Quantity{Value: float64(number), Unit: UnitCount, Mark: ByAssumption, Sources: []string{"dispatchers"}}
 }
--- a/internal/rehearsal/capacity/basis_test.go
+++ b/internal/rehearsal/capacity/basis_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// assumed makes an assumption.
+// assumed returns an assumption.
 func assumed(value float64, unit Unit) Assumption {
 	return Assumption{Value: value, Unit: unit, Mark: "assumed", Origin: "test"}
 }
@@ -57,11 +57,11 @@
 			Acknowledgement: mechanismMissing,
 		},
 	}
-	assumptions.Assumed.assumptions() // sets the names
+	assumptions.Assumed.namedAssumptions() // sets the names
 	return assumptions
 }
 
-// testSlopes returns series that are proportional to the number of workers.
+// testSlopes returns slope runs in which every series is proportional to the number of workers.
 func testSlopes() Slopes {
 	slopes := Slopes{Command: "test", Date: "2026-12-02", Repetitions: 3, Sizes: []int{200, 2100, 21000}}
 	for _, series := range []struct {
@@ -80,7 +80,7 @@
 		{PeakResident, UnitBytes, 42e6},
 		{ModuleWarm, UnitSeconds, 5e-6},
 		{ModuleCold, UnitSeconds, 500e-6},
-		{ModuleHeld, UnitBytes, 21000 * 240},
+		{ModuleTaskMemory, UnitBytes, 21000 * 240},
 	} {
 		proportional := func(size float64) float64 { return series.largest * size / 21000 }
 		slopes.Series = append(slopes.Series, Series{
@@ -93,14 +93,15 @@
 	return slopes
 }
 
+// testBasis returns a basis of testAssumptions and testSlopes, without scale runs.
 func testBasis() Basis {
 	return Basis{Assumptions: testAssumptions(), Slopes: testSlopes(), File: "test.json"}
 }
 
-// near reports whether two figures are equal but for rounding.
+// near reports whether two figures are equal except for rounding errors.
 func near(got, want float64) bool { return math.Abs(got-want) <= 1e-9*math.Abs(want) }
 
-// A size that was not measured is taken from the line and marked as extrapolated.
+// The value of a series at a size that was not measured is taken from the fitted line and marked as extrapolated.
 func TestValueAtAnotherSizeIsExtrapolated(t *testing.T) {
 	basis := testBasis()
 	value, err := basis.valueAt(SnapshotBytes, 42000)
@@ -109,10 +110,10 @@
 	}
 }
 
-// A series that no run has is an error.
+// The value of a series that no run measured is an error.
 func TestValueOfUnmeasuredSeries(t *testing.T) {
 	basis := testBasis()
 	if value, err := basis.valueAt(ReadyTime, 21000); err == nil {
-		t.Errorf("a series that no run has: %+v", value)
+		t.Errorf("a series that no run measured has a value: %+v", value)
 	}
 }
--- a/internal/rehearsal/capacity/daemon.go
+++ b/internal/rehearsal/capacity/daemon.go
@@ -15,11 +15,11 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/processusage"
 )
 
-// daemon is a running dispatcher-serve, metered from outside.
+// daemon is a running dispatcher-serve, whose processor time and memory are measured from outside.
 type daemon struct {
-	process   *daemonprocess.Process
-	startTime time.Duration // from its start until it reported itself as ready
-	log       childprocess.Output
+	process     *daemonprocess.Process
+	timeToReady time.Duration // from its start until it reported that it is ready
+	log         childprocess.Output
 }
 
 const (
@@ -28,13 +28,13 @@
 	healthCheckTimeout = time.Second
 	filePermissions    = 0o600
 
-	daemonPeers       = 300 // dispatchers, by the settings of the daemon
-	daemonTeams       = 150
-	daemonMemoryMB    = 128 // the target's
+	daemonPeers       = 300 // number of dispatchers in the daemon's settings
+	daemonTeams       = 150 // number of teams, each with a quota, in the daemon's settings
+	daemonMemoryMB    = 128 // the target's memory limit of a dispatcher
 	daemonDescriptors = 4096
 )
 
-// startDaemon starts program with its files in dir and discovery at an address, and waits until it is ready.
+// startDaemon starts program, with its files in dir and with the address of its discovery, and waits until it is ready.
 func startDaemon(program, dir, discovery string) (*daemon, error) {
 	settings, err := settingsJSON(daemonPeers, daemonTeams)
 	if err != nil {
@@ -73,7 +73,7 @@
 	return started, nil
 }
 
-// waitReady polls the daemon's health until it is ready.
+// waitReady polls the daemon's health check until it is ready, and records how long that took.
 func (d *daemon) waitReady() error {
 	client := &http.Client{Timeout: healthCheckTimeout, Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
@@ -82,7 +82,7 @@
 		return address != "" && daemonprocess.IsHealthy(client, address)
 	}
 	var err error
-	d.startTime, err = d.process.WaitReady(isReady, readyPollInterval, readyTimeout)
+	d.timeToReady, err = d.process.WaitReady(isReady, readyPollInterval, readyTimeout)
 	if errors.Is(err, daemonprocess.ErrNotReady) {
 		return fmt.Errorf("%w: %s", err, strings.TrimSpace(d.log.String()))
 	}
@@ -92,17 +92,17 @@
 // stop shuts the daemon down gracefully, or kills it if that takes too long.
 func (d *daemon) stop() { d.process.Stop() }
 
-// cpu returns the processor time that the daemon has used so far.
+// cpu returns the processor time that the daemon has used since its start.
 func (d *daemon) cpu() (time.Duration, error) { return processusage.CPU(d.process.PID()) }
 
-// peakResident returns the largest resident memory that the daemon has had, in bytes.
+// peakResident returns the peak resident memory of the daemon since its start, in bytes.
 func (d *daemon) peakResident() (float64, error) {
 	memory, err := processusage.ReadMemory(d.process.PID())
 	if err != nil {
 		return 0, err
 	}
 	if memory.PeakResident == 0 {
-		return 0, fmt.Errorf("process %d: no peak of resident memory", d.process.PID())
+		return 0, fmt.Errorf("process %d: the kernel reports no peak of resident memory", d.process.PID())
 	}
 	return float64(memory.PeakResident), nil
 }
--- a/internal/rehearsal/capacity/daemonconfig.go
+++ b/internal/rehearsal/capacity/daemonconfig.go
@@ -23,8 +23,8 @@
 	Descriptors int `json:"sockets"`
 }
 
-// dispatcherSettings is the settings object. Fields have the names of package daemonconfig, but their keys are written in
-// another order, and with quotas of projects.
+// dispatcherSettings is the settings object of the daemon's configuration. Its fields are named as those of package
+// daemonconfig, from which it differs in that it has quotas of projects and writes its keys in another order.
 type dispatcherSettings struct {
 	ZoneNames []string        `json:"areas"`
 	KindNames []string        `json:"kinds"`
@@ -74,7 +74,7 @@
 	StartNotices       bool   `json:"tells_start"`
 	ProgressIntervalUs int    `json:"progress_us"`
 	QueueOrder         string `json:"queue_order"`
-	FirstReport        string `json:"report_x0"` // what a load report's x0 means
+	FirstReport        string `json:"report_x0"` // what the value x0 of a load report means
 }
 
 // Zones is the number of zones of the target.
@@ -95,10 +95,10 @@
 	secondUs      = 1_000 * millisecondUs
 )
 
-// teamQuota is the quota of each team in requests per second, which one dispatcher does not reach here.
+// teamQuota is the quota of each team in requests per second. The measurements do not reach it.
 const teamQuota = 1000
 
-// settingsJSON returns the settings of one of a number of dispatchers, with a quota for each team.
+// settingsJSON returns the settings of a dispatcher in a fleet of peers dispatchers, with a quota for each team.
 func settingsJSON(peers, teams int) (json.RawMessage, error) {
 	settings := dispatcherSettings{
 		ZoneNames: zoneNames(),
--- a/internal/rehearsal/capacity/daemonrun.go
+++ b/internal/rehearsal/capacity/daemonrun.go
@@ -11,30 +11,31 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/standin"
 )
 
-// daemonRun is a measured daemon with its discovery and the proxy between them.
+// daemonRun is one measurement of a daemon, which is connected to its discovery through a counting proxy.
 type daemonRun struct {
 	slopes    *Slopes
-	size      int
+	size      int // number of listed workers
 	daemon    *daemon
 	proxy     *CountingProxy
 	discovery *standin.Discovery
 	hosts     []standin.Host
 	idleCores float64 // processor time per second while nothing changes
-	idleBytes float64 // bytes per second in that time
+	idleBytes float64 // bytes per second while nothing changes
 }
 
+// record adds a value at the run's size to a series.
 func (r *daemonRun) record(name SeriesName, unit Unit, value float64) {
 	r.slopes.record(name, unit, AxisWorkers, r.size, value)
 }
 
-// daemonUsage is what the daemon has used in a span of time.
+// daemonUsage is what the daemon used in a period.
 type daemonUsage struct {
-	span  time.Duration
+	span  time.Duration // length of the period
 	cpu   time.Duration
-	bytes int64 // on the connection to discovery
+	bytes int64 // on the connection to discovery, in both directions
 }
 
-// meter runs activity and returns what the daemon used meanwhile.
+// meter calls activity and returns what the daemon used meanwhile.
 func (r *daemonRun) meter(activity func() error) (daemonUsage, error) {
 	cpuBefore, err := r.daemon.cpu()
 	if err != nil {
@@ -56,28 +57,28 @@
 	}, nil
 }
 
-// cpuBeyondIdle is the processor time in seconds that was used beyond what the daemon uses while nothing changes.
+// cpuBeyondIdle returns the used processor time in seconds, less what the daemon would have used had nothing changed.
 func (r *daemonRun) cpuBeyondIdle(used daemonUsage) float64 {
 	return used.cpu.Seconds() - r.idleCores*used.span.Seconds()
 }
 
-// waitSteady waits until the daemon is idle.
-func (r *daemonRun) waitSteady() error {
+// waitIdle waits until the daemon has used almost no processor time in several consecutive samples.
+func (r *daemonRun) waitIdle() error {
 	previous, err := r.daemon.cpu()
 	if err != nil {
 		return err
 	}
 	idleSamples := 0
-	for end := time.Now().Add(steadyTimeout); idleSamples < steadySamples; {
+	for end := time.Now().Add(idleTimeout); idleSamples < requiredIdleSamples; {
 		if time.Now().After(end) {
-			return errNotSteady
+			return errNotIdle
 		}
-		time.Sleep(steadySampleInterval)
+		time.Sleep(idleSampleInterval)
 		current, err := r.daemon.cpu()
 		if err != nil {
 			return err
 		}
-		if current-previous > maxSteadyCPU {
+		if current-previous > maxIdleCPU {
 			idleSamples = 0
 		} else {
 			idleSamples++
@@ -87,9 +88,9 @@
 	return nil
 }
 
-// measureStart records the cost of the start.
+// measureStart waits until the daemon is idle after its start, and records what the start cost.
 func (r *daemonRun) measureStart(Config) error {
-	if err := r.waitSteady(); err != nil {
+	if err := r.waitIdle(); err != nil {
 		return err
 	}
 	cpu, err := r.daemon.cpu()
@@ -100,7 +101,7 @@
 	if err != nil {
 		return err
 	}
-	r.record(ReadyTime, UnitSeconds, r.daemon.startTime.Seconds())
+	r.record(ReadyTime, UnitSeconds, r.daemon.timeToReady.Seconds())
 	r.record(StartCPU, UnitSeconds, cpu.Seconds())
 	r.record(StartResident, UnitBytes, peak)
 	r.record(SnapshotBytes, UnitBytes, float64(r.proxy.Bytes()))
@@ -112,7 +113,7 @@
 	return nil
 }
 
-// measureIdle records what the daemon costs while nothing changes.
+// measureIdle records the processor time and bytes that the daemon uses while nothing changes.
 func (r *daemonRun) measureIdle(config Config) error {
 	used, err := r.meter(func() error {
 		time.Sleep(config.IdleTime)
@@ -128,8 +129,8 @@
 	return nil
 }
 
-// measureDeltas changes one worker after another at an even rate: half of the changes set a worker to draining, the others
-// back to ready.
+// measureDeltas records the processor time and bytes of a one-worker delta. It changes one worker after another at an even
+// rate: half of the changes mark a worker as draining, the others mark it as ready again.
 func (r *daemonRun) measureDeltas(config Config) error {
 	count := int(config.DeltaRate * config.DeltaTime.Seconds())
 	used, err := r.meter(func() error { return r.makeDeltas(count, config.DeltaRate) })
@@ -141,7 +142,7 @@
 	return nil
 }
 
-// makeDeltas makes a number of deltas at a rate per second, and waits until the daemon is idle.
+// makeDeltas has discovery send a number of one-worker deltas, at a rate per second, and waits until the daemon is idle.
 func (r *daemonRun) makeDeltas(count int, rate float64) error {
 	tick := time.NewTicker(time.Duration(float64(time.Second) / rate))
 	defer tick.Stop()
@@ -156,22 +157,24 @@
 			return err
 		}
 	}
-	return r.waitSteady()
+	return r.waitIdle()
 }
 
-// changeWorker changes a worker and waits until the delta has passed to the daemon, so that it is not merged with the next.
+// changeWorker changes a worker in discovery and waits until the delta has passed the proxy, so that discovery does not merge
+// it with the next one.
 func (r *daemonRun) changeWorker(host standin.Host) error {
 	before := r.proxy.Versions()
 	r.discovery.Set(host)
 	for end := time.Now().Add(deltaTimeout); r.proxy.Versions() == before; time.Sleep(deltaPollInterval) {
 		if time.Now().After(end) {
-			return fmt.Errorf("the delta of %s has not arrived within %v", host.Host, deltaTimeout)
+			return fmt.Errorf("the delta of %s has not reached the daemon within %v", host.Host, deltaTimeout)
 		}
 	}
 	return nil
 }
 
-// measureZoneLoss removes all workers of a zone, one delta each, as fast as they pass.
+// measureZoneLoss records the processor time and the number of deltas for the removal of all workers of a zone, one by one
+// without a pause.
 func (r *daemonRun) measureZoneLoss(Config) error {
 	versionsBefore := r.proxy.Versions()
 	used, err := r.meter(r.removeZone)
@@ -183,7 +186,7 @@
 	return nil
 }
 
-// removeZone removes the workers of the zone that is lost, and waits until the daemon is idle.
+// removeZone removes the workers of the lost zone, each by a delta of its own, and waits until the daemon is idle.
 func (r *daemonRun) removeZone() error {
 	for i, host := range r.hosts {
 		if i%Zones != lostZone {
@@ -194,10 +197,10 @@
 			return err
 		}
 	}
-	return r.waitSteady()
+	return r.waitIdle()
 }
 
-// gzipSize returns the length of a list as compressed JSON.
+// gzipSize returns the length in bytes of a list as JSON compressed by gzip.
 func gzipSize(list []standin.Host) (int, error) {
 	var out bytes.Buffer
 	compressor := gzip.NewWriter(&out)
@@ -210,7 +213,7 @@
 	return out.Len(), nil
 }
 
-// measureDaemon measures a real daemon once at one size.
+// measureDaemon starts a daemon with a number of listed workers, measures it once and stops it.
 func measureDaemon(slopes *Slopes, config Config, size int) error {
 	dir, err := os.MkdirTemp("", "hollyyoke-slopes")
 	if err != nil {
--- a/internal/rehearsal/capacity/fit.go
+++ b/internal/rehearsal/capacity/fit.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Median returns the middle of the values, or the mean of the middle two.
+// Median returns the median of the values: the middle one, or the mean of the middle two. Without values it returns 0.
 func Median(values []float64) float64 {
 	sorted := slices.Sorted(slices.Values(values))
 	middle := len(sorted) / 2
@@ -19,7 +19,7 @@
 	return (sorted[middle-1] + sorted[middle]) / 2
 }
 
-// Spread returns the range of the values as a share of their median.
+// Spread returns the difference between the largest and the smallest value, divided by the median.
 func Spread(values []float64) float64 {
 	middle := Median(values)
 	if middle == 0 {
@@ -28,33 +28,34 @@
 	return (slices.Max(values) - slices.Min(values)) / math.Abs(middle)
 }
 
-// Fit is a line through the medians of a series: Fixed + Slope * size.
+// Fit is a line, Fixed + Slope * size, that is fitted to the medians of a series.
 type Fit struct {
 	Fixed    float64
 	Slope    float64
-	MinSize  int // of the measured sizes
-	MaxSize  int
-	Residual float64 // largest error of the line at a measured size, as a share of the median there
-	Spread   float64 // largest spread of the repetitions at a size
+	MinSize  int     // smallest measured size
+	MaxSize  int     // largest measured size
+	Residual float64 // largest deviation of the line from the median at a measured size, divided by that median
+	Spread   float64 // largest Spread of the repetitions at any size
 }
 
-// maxLinearResidual is the residual up to which a series counts as linear.
+// maxLinearResidual is the largest residual at which a series counts as linear.
 const maxLinearResidual = 0.15
 
-// Linear reports whether a line describes the series.
+// Linear reports whether the line describes the series well enough.
 func (f Fit) Linear() bool { return f.Residual <= maxLinearResidual }
 
 // At returns the line's value at a size.
 func (f Fit) At(size float64) float64 { return f.Fixed + f.Slope*size }
 
-// minFitPoints is the number of sizes below which a line has no residual.
+// minFitPoints is the smallest number of sizes at which a fitted line has a meaningful residual: a line always passes
+// through two points.
 const minFitPoints = 3
 
-var errFewPoints = errors.New("a line needs three sizes at least")
+var errFewPoints = errors.New("fitting a line needs at least three sizes")
 
-// FitSeries fits a line by least squares of the relative errors: each median is weighted by the inverse of its square,
-// since the sizes are decades apart and the largest would otherwise decide alone. Where a median is not positive all
-// weights are the same.
+// FitSeries fits a line by least squares of the relative errors: each median is weighted by the inverse of its square. The
+// sizes differ by orders of magnitude, so that without weights the largest alone would determine the line. If any median is
+// not positive, all weights are equal.
 func FitSeries(points []Point) (Fit, error) {
 	if len(points) < minFitPoints {
 		return Fit{}, errFewPoints
--- a/internal/rehearsal/capacity/fit_test.go
+++ b/internal/rehearsal/capacity/fit_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The spread is the range as a share of the median; without values both are 0.
+// Spread is the range of the values divided by their median. Median and Spread of no values are 0.
 func TestMedianAndSpread(t *testing.T) {
 	for _, test := range []struct {
 		values []float64
@@ -26,8 +26,8 @@
 	}
 }
 
-// seriesOf makes the points of a series whose medians are a function of the size. Each has three values, which spread by
-// 3%.
+// seriesOf returns the points of a series whose medians are the given function of the size. Each point has three values with
+// a spread of 3%.
 func seriesOf(median func(size float64) float64, sizes ...int) (points []Point) {
 	for _, size := range sizes {
 		value := median(float64(size))
@@ -36,7 +36,7 @@
 	return points
 }
 
-// fitOf fits a line to three sizes of a series.
+// fitOf fits a line to a series whose medians are the given function of the size, at three sizes.
 func fitOf(t *testing.T, median func(size float64) float64) Fit {
 	t.Helper()
 	fit, err := FitSeries(seriesOf(median, 200, 2100, 21000))
@@ -46,7 +46,7 @@
 	return fit
 }
 
-// A line is found, with its range of sizes and the spread of the repetitions.
+// The fit of a linear series is that line, with the range of its sizes and the spread of its repetitions.
 func TestFitOfALine(t *testing.T) {
 	fit := fitOf(t, func(size float64) float64 { return 7 + 0.5*size })
 	if math.Abs(fit.Fixed-7) > 1e-6 || math.Abs(fit.Slope-0.5) > 1e-9 {
@@ -60,14 +60,14 @@
 	}
 }
 
-// A square is not linear.
+// A quadratic series does not count as linear.
 func TestFitOfASquare(t *testing.T) {
 	if fit := fitOf(t, func(size float64) float64 { return size * size }); fit.Linear() {
-		t.Errorf("a square counts as linear: %+v", fit)
+		t.Errorf("a quadratic series counts as linear: %+v", fit)
 	}
 }
 
-// A series of zeros gives the line of zeros.
+// The fit of a series of zeros is zero everywhere.
 func TestFitOfZeros(t *testing.T) {
 	fit := fitOf(t, func(float64) float64 { return 0 })
 	if fit.Fixed != 0 || fit.Slope != 0 || fit.Residual != 0 {
@@ -75,9 +75,9 @@
 	}
 }
 
-// A line through two sizes would have no residual, and is not fitted.
+// No line is fitted to two sizes, since its residual would always be 0.
 func TestFitOfTwoSizes(t *testing.T) {
 	if fit, err := FitSeries(seriesOf(math.Sqrt, 200, 2100)); err == nil {
-		t.Errorf("two sizes are fitted: %+v", fit)
+		t.Errorf("a line was fitted to two sizes: %+v", fit)
 	}
 }
--- a/internal/rehearsal/capacity/load.go
+++ b/internal/rehearsal/capacity/load.go
@@ -2,64 +2,65 @@
 
 import "fmt"
 
-// Spans is a rate as the mean of a day, in the worst hour and at its peak.
-type Spans struct {
+// RateProfile is a rate as the mean of an ordinary day, as the mean of the worst hour, and at its peak.
+type RateProfile struct {
 	Mean      Quantity
 	WorstHour Quantity
 	Peak      Quantity
 }
 
-// times multiplies all three.
-func (s Spans) times(factor Quantity, unit Unit) Spans {
-	return Spans{
+// times returns the profile with all three rates multiplied by a factor.
+func (s RateProfile) times(factor Quantity, unit Unit) RateProfile {
+	return RateProfile{
 		Mean:      s.Mean.Times(factor, unit),
 		WorstHour: s.WorstHour.Times(factor, unit),
 		Peak:      s.Peak.Times(factor, unit),
 	}
 }
 
-// over divides all three.
-func (s Spans) over(divisor Quantity, unit Unit) Spans {
-	return Spans{
+// over returns the profile with all three rates divided by a divisor.
+func (s RateProfile) over(divisor Quantity, unit Unit) RateProfile {
+	return RateProfile{
 		Mean:      s.Mean.Over(divisor, unit),
 		WorstHour: s.WorstHour.Over(divisor, unit),
 		Peak:      s.Peak.Over(divisor, unit),
 	}
 }
 
-// plus adds all three.
-func (s Spans) plus(other Spans) Spans {
-	return Spans{
+// plus returns the sum of two profiles, rate by rate.
+func (s RateProfile) plus(other RateProfile) RateProfile {
+	return RateProfile{
 		Mean:      s.Mean.Plus(other.Mean),
 		WorstHour: s.WorstHour.Plus(other.WorstHour),
 		Peak:      s.Peak.Plus(other.Peak),
 	}
 }
 
-// Load is the messages and bytes per second that a role sends or receives.
+// Load is how many messages and bytes per second a role sends or receives.
 type Load struct {
 	Role      Role
-	With      string // which of the assumed numbers it holds for
-	Messages  Spans
-	Bytes     Spans
+	With      string // the conditions of the load, such as the number of dispatchers, as the page states them
+	Messages  RateProfile
+	Bytes     RateProfile
 	Mechanism string
 }
 
-// membershipRate returns the changes of the endpoint list per second.
-func (b *Basis) membershipRate(rates Rates) Spans {
+// membershipRate returns the number of changes of the endpoint list per second. In the worst hour a zone is lost and comes
+// back; at the peak a zone is lost within a minute.
+func (b *Basis) membershipRate(rates Rates) RateProfile {
 	hour := given(secondsPerHour, UnitSeconds)
 	minute := given(b.Target.MeanOver, UnitSeconds)
-	lostAndBack := rates.ZoneWorkers.Times(b.Assumed.FailureChanges.Quantity(), UnitCount)
-	return Spans{
+	zoneLossChanges := rates.ZoneWorkers.Times(b.Assumed.FailureChanges.Quantity(), UnitCount)
+	return RateProfile{
 		Mean:      rates.Membership,
-		WorstHour: rates.Membership.Plus(lostAndBack.Over(hour, UnitPerSecond)),
+		WorstHour: rates.Membership.Plus(zoneLossChanges.Over(hour, UnitPerSecond)),
 		Peak:      rates.Membership.Plus(rates.ZoneWorkers.Over(minute, UnitPerSecond)),
 	}
 }
 
-// configurationRate returns the changes of configuration per second.
-func (b *Basis) configurationRate(rates Rates) Spans {
-	return Spans{
+// configurationRate returns the number of changes of configuration per second.
+func (b *Basis) configurationRate(rates Rates) RateProfile {
+	return RateProfile{
 		Mean:      rates.Configuration,
 		WorstHour: rates.Configuration.Times(b.Assumed.ConfigPeakFactor.Quantity(), UnitPerSecond),
 		Peak:      b.Assumed.ConfigPeakRate.Quantity(),
@@ -68,20 +69,20 @@
 
 // Loads computes the loads of all roles.
 func (b *Basis) Loads() ([]Load, error) {
-	runs, err := b.measured()
+	measured, err := b.figuresAtTarget()
 	if err != nil {
 		return nil, err
 	}
 	rates := b.rates()
 	mechanisms := b.Mechanisms
-	flow := b.flow(runs, rates)
+	flow := b.flow(measured, rates)
 	membership := b.membershipRate(rates)
 	configuration := b.configurationRate(rates)
 	messages := membership.plus(configuration)
-	bytes := Spans{Mean: flow.Mean, WorstHour: flow.WorstHour, Peak: flow.PeakMinute}
+	bytes := RateProfile{Mean: flow.Mean, WorstHour: flow.WorstHour, Peak: flow.PeakMinute}
 	oneWorker := membership.over(count(b.Target.Workers), UnitPerSecond)
-	oneWorker.Peak = given(1, UnitCount).Over(given(b.Target.MeanOver, UnitSeconds), UnitPerSecond) // its zone is lost: one change in a minute
-	// loadOf is the load of a role that serves a number of dispatchers.
+	oneWorker.Peak = given(1, UnitCount).Over(given(b.Target.MeanOver, UnitSeconds), UnitPerSecond) // its zone is lost: the worker changes once within a minute
+	// loadOf returns the load of a role that serves a number of dispatchers.
 	loadOf := func(role Role, with string, dispatchers Quantity, mechanism string) Load {
 		return Load{
 			Role:      role,
@@ -100,23 +101,23 @@
 			Mechanism: mechanisms.Membership,
 		},
 		{
-			Role:      WorkerSeen,
+			Role:      ListedWorker,
 			With:      "each; its changes of state",
 			Messages:  oneWorker,
-			Bytes:     oneWorker.times(runs.delta, UnitBytesPerSecond),
+			Bytes:     oneWorker.times(measured.delta, UnitBytesPerSecond),
 			Mechanism: mechanisms.Membership,
 		},
 	}
 	for _, number := range b.Assumed.Dispatchers {
-		with := counted(number) + " dispatchers watch it"
+		with := formatCount(number) + " dispatchers watch it"
 		loads = append(loads, loadOf(Origin, with, b.dispatcherCount(number), mechanisms.Membership))
 	}
 	machines := count(b.Target.ControlMachines)
 	loads = append(loads, loadOf(Origin, "the control machines watch it, as relays", machines, mechanisms.Relays))
 	for _, number := range b.Assumed.Dispatchers {
-		part := b.dispatcherCount(number).Over(count(b.Target.ControlMachines-1), UnitCount)
-		with := "each; its part of " + counted(number) + " dispatchers, one machine down"
-		loads = append(loads, loadOf(ControlMachine, with, part, mechanisms.Relays))
+		dispatchersPerMachine := b.dispatcherCount(number).Over(count(b.Target.ControlMachines-1), UnitCount)
+		with := "each; its part of " + formatCount(number) + " dispatchers, one machine down"
+		loads = append(loads, loadOf(ControlMachine, with, dispatchersPerMachine, mechanisms.Relays))
 	}
 	return append(loads, Load{
 		Role:      Writer,
@@ -127,5 +128,5 @@
 	}), nil
 }
 
-// counted returns a whole number with commas.
-func counted(number int) string { return thousands(fmt.Sprint(number)) }
+// formatCount returns a whole number with commas between thousands.
+func formatCount(number int) string { return insertCommas(fmt.Sprint(number)) }
--- a/internal/rehearsal/capacity/load_test.go
+++ b/internal/rehearsal/capacity/load_test.go
@@ -2,14 +2,14 @@
 
 import "testing"
 
-// The loads of all roles agree with arithmetic by hand.
+// The mean numbers of messages of all roles equal those computed by hand.
 func TestLoads(t *testing.T) {
 	basis := testBasis()
 	loads, err := basis.Loads()
 	if err != nil {
 		t.Fatal(err)
 	}
-	const meanMessages = membershipRate + 1 // with configuration
+	const meanMessages = membershipRate + 1 // one change of configuration per second
 	want := map[string]float64{
 		"each; it watches list and configuration":                meanMessages,
 		"300 dispatchers watch it":                               300 * meanMessages,
@@ -31,6 +31,6 @@
 		}
 	}
 	if len(want) > 0 {
-		t.Errorf("not computed: %v", want)
+		t.Errorf("loads that are missing: %v", want)
 	}
 }
--- a/internal/rehearsal/capacity/measure.go
+++ b/internal/rehearsal/capacity/measure.go
@@ -9,34 +9,34 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/standin"
 )
 
-// Config says what Measure measures.
+// Config says what Measure measures, and for how long.
 type Config struct {
-	Program     string                     // the daemon, dispatcher-serve
-	Sizes       []int                      // listed workers
+	Program     string                     // path of the daemon, dispatcher-serve
+	Sizes       []int                      // numbers of listed workers to measure
 	Repetitions int                        // of each size
-	IdleTime    time.Duration              // how long nothing changes
-	DeltaTime   time.Duration              // how long workers change one by one
-	DeltaRate   float64                    // changes per second in that time
-	OnProgress  func(size, repetition int) // may be nil
+	IdleTime    time.Duration              // how long the daemon is measured while nothing changes
+	DeltaTime   time.Duration              // how long the daemon is measured while workers change one by one
+	DeltaRate   float64                    // changes per second during DeltaTime
+	OnProgress  func(size, repetition int) // called before each measurement; may be nil
 
 	ModuleOnly bool // measure the decision module only
 }
 
 const (
-	kindName             = "standard"
-	cellWorkers          = 40 // workers of a cell; no decision here depends on it
-	steadySampleInterval = 50 * time.Millisecond
-	steadySamples        = 4                     // consecutive samples at which the daemon is nearly idle
-	maxSteadyCPU         = time.Millisecond      // processor time in one of them
-	steadyTimeout        = 60 * time.Second      // until the daemon must be idle
-	deltaPollInterval    = 50 * time.Microsecond // between checks whether a delta has arrived
-	deltaTimeout         = 10 * time.Second
-	lostZone             = 3 // the number of the zone that is lost
+	kindName            = "standard"
+	cellWorkers         = 40 // number of workers in a cell; no decision in these measurements depends on it
+	idleSampleInterval  = 50 * time.Millisecond
+	requiredIdleSamples = 4                     // consecutive samples in which the daemon must be idle
+	maxIdleCPU          = time.Millisecond      // processor time between two samples up to which the daemon counts as idle
+	idleTimeout         = 60 * time.Second      // how long to wait for the daemon to become idle
+	deltaPollInterval   = 50 * time.Microsecond // between checks whether a delta has arrived
+	deltaTimeout        = 10 * time.Second
+	lostZone            = 3 // number of the zone whose loss is measured
 )
 
-var errNotSteady = errors.New("the daemon does not become idle")
+var errNotIdle = errors.New("the daemon does not become idle")
 
-// workerName names a worker of the list.
+// workerName returns the name of a listed worker.
 func workerName(number int) string { return fmt.Sprintf("worker-%05d", number) }
 
 // listedWorker returns a worker as discovery lists it.
@@ -54,8 +54,8 @@
 	}
 }
 
-// Measure runs a daemon without clients against a stand-in discovery at each size, and the decision module alone, and
-// returns the cost of what happens to them.
+// Measure measures, at each size and as often as configured, a daemon without clients that is connected to a stand-in
+// discovery, and the decision module without a daemon. It returns what starts, idle time, changes and requests cost them.
 func Measure(config Config) (Slopes, error) {
 	slopes := Slopes{
 		Date:        time.Now().Format(time.DateOnly),
--- a/internal/rehearsal/capacity/module.go
+++ b/internal/rehearsal/capacity/module.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	moduleDeltas    = 200
-	warmRequests    = 2000
-	warmingRequests = 200
-	warmingOneIn    = 10 // one worker in so many is warming up
+	moduleDeltas        = 200  // deltas in a measurement
+	requestsPerRun      = 2000 // requests in a measurement without workers in slow start
+	slowStartRequests   = 200  // requests in a measurement with workers in slow start
+	workersPerSlowStart = 10   // one in this many workers is in slow start
 
-	// requestInterval is the time between two requests at one of 300 dispatchers that together take the target's
-	// 8,000 per second.
+	// requestInterval is the time between two requests at one dispatcher if 300 dispatchers together receive the
+	// target's 8,000 requests per second.
 	requestInterval = time.Second * daemonPeers / 8000
 	taskTime        = 30 * time.Millisecond // from a request to its answer
 	clientDeadline  = 5 * time.Second
-	runStart        = time.Minute // on the module's clock; a start at 0 means long ago
+	runStart        = time.Minute // time of the module's clock at the start; not 0, because StartedAt 0 means that a worker started long ago
 
-	teamAxisWorkers = 2100 // listed workers while the number of teams varies
-	taskAxisWorkers = 21000
-	sweepTimerID    = uint64(1) << 62 // identifier of the sweep's timer; larger than that of any request
+	teamAxisWorkers = 2100            // number of listed workers while the number of teams varies
+	taskAxisWorkers = 21000           // number of listed workers while the number of running tasks varies
+	sweepTimerID    = uint64(1) << 62 // identifier of the decision module's sweep timer; it is larger than the number of any request
 )
 
 var (
@@ -31,22 +31,23 @@
 	taskCounts = []int{100, 1000, 10000}
 )
 
-// module drives a decision.Machine with time as an argument and without I/O, with the same settings as the daemon's.
+// module is a decision.Machine with a simulated clock, which is driven without I/O. Its settings are those of the daemon.
 type module struct {
 	*decision.Machine
 	now         time.Duration
-	sweepAt     time.Duration // when the sweep is due; 0: it is not scheduled
+	sweepAt     time.Duration // when the sweep is due; 0 if it is not scheduled
 	lastRequest uint64        // number of the latest request
 	actions     []decision.Action
 }
 
-// endpoint returns a worker as the module receives it.
+// endpoint returns a worker as the endpoint list gives it to the module.
 func endpoint(i int) decision.Endpoint {
 	return decision.Endpoint{Name: workerName(i), Zone: i % Zones, Cell: i / cellWorkers, State: decision.Running, Weight: 1}
 }
 
-// newModule starts a module with a number of listed workers, one in oneInWarming of which is warming up; 0: none is.
-func newModule(workers, oneInWarming, peers, teams int) (*module, error) {
+// newModule starts a module with a number of listed workers. One in perSlowStart of them is in slow start, or none if that
+// is 0.
+func newModule(workers, perSlowStart, peers, teams int) (*module, error) {
 	text, err := settingsJSON(peers, teams)
 	if err != nil {
 		return nil, err
@@ -63,7 +64,7 @@
 	endpoints := make([]decision.Endpoint, workers)
 	for i := range endpoints {
 		endpoints[i] = endpoint(i)
-		if oneInWarming > 0 && i%oneInWarming == 0 {
+		if perSlowStart > 0 && i%perSlowStart == 0 {
 			endpoints[i].StartedAt = runStart
 		}
 	}
@@ -71,7 +72,7 @@
 	return started, nil
 }
 
-// handle passes an event to the machine and records the timer of the sweep.
+// handle passes an event to the machine and records when the sweep is due.
 func (m *module) handle(event decision.Event) {
 	m.actions = m.Handle(m.now, event, m.actions[:0])
 	for _, action := range m.actions {
@@ -81,7 +82,7 @@
 	}
 }
 
-// advance moves the clock and runs the sweep if it is due.
+// advance moves the clock forward and runs the sweep if it has become due.
 func (m *module) advance(span time.Duration) {
 	m.now += span
 	if m.sweepAt > 0 && m.now >= m.sweepAt {
@@ -90,13 +91,14 @@
 	}
 }
 
-// request sends one request to the machine. It returns how long the decision took, and the assigned worker or "".
-func (m *module) request(tenant int, timeLeft time.Duration) (spent time.Duration, worker string) {
+// request passes one request to the machine. It returns how long the decision took, and the assigned worker, or "" if none
+// was assigned.
+func (m *module) request(tenant int, timeLeft time.Duration) (elapsed time.Duration, worker string) {
 	m.lastRequest++
 	event := decision.Event{Kind: decision.RequestArrived, Request: m.lastRequest, Tenant: tenant, Slots: 1, Work: taskTime, TimeLeft: timeLeft}
 	startedAt := time.Now()
 	m.actions = m.Handle(m.now, event, m.actions[:0])
-	spent = time.Since(startedAt)
+	elapsed = time.Since(startedAt)
 	for _, action := range m.actions {
 		switch {
 		case action.Kind == decision.Assign:
@@ -105,17 +107,17 @@
 			m.sweepAt = m.now + action.Delay
 		}
 	}
-	return spent, worker
+	return elapsed, worker
 }
 
-// measureRequests returns the mean and the median time of a decision, in seconds, over a number of requests, each answered
-// before the next.
+// measureRequests returns the mean and the median time of a decision, in seconds, over a number of requests. Each request
+// ends before the next one begins, and the tenant changes from request to request.
 func (m *module) measureRequests(count, teams int) (mean, median float64, err error) {
 	times := make([]float64, count)
 	for i := range times {
-		spent, worker := m.request(i%max(teams, 1), clientDeadline)
-		times[i] = spent.Seconds()
-		mean += spent.Seconds() / float64(count)
+		elapsed, worker := m.request(i%max(teams, 1), clientDeadline)
+		times[i] = elapsed.Seconds()
+		mean += elapsed.Seconds() / float64(count)
 		if worker == "" {
 			return 0, 0, fmt.Errorf("request %d of %d was not assigned to a worker", i+1, count)
 		}
--- a/internal/rehearsal/capacity/modulemeasure.go
+++ b/internal/rehearsal/capacity/modulemeasure.go
@@ -8,17 +8,17 @@
 	"hollyyoke.example/hollyyoke/decision"
 )
 
-// measureModule measures the decision module at one number of workers.
+// measureModule measures the decision module once with a number of listed workers.
 func measureModule(slopes *Slopes, workers int) error {
 	for _, requests := range []struct {
 		series       SeriesName
-		oneInWarming int // one worker in so many is warming up; 0: none
+		perSlowStart int // one in this many workers is in slow start; none if it is 0
 		count        int
 	}{
-		{series: ModuleWarm, count: warmRequests},
-		{series: ModuleCold, oneInWarming: warmingOneIn, count: warmingRequests},
+		{series: ModuleWarm, count: requestsPerRun},
+		{series: ModuleCold, perSlowStart: workersPerSlowStart, count: slowStartRequests},
 	} {
-		started, err := newModule(workers, requests.oneInWarming, daemonPeers, daemonTeams)
+		started, err := newModule(workers, requests.perSlowStart, daemonPeers, daemonTeams)
 		if err != nil {
 			return err
 		}
@@ -40,14 +40,14 @@
 	return nil
 }
 
-// measureAxes measures the decision module by the numbers of teams and of running tasks.
+// measureAxes measures how the cost of the decision module depends on the numbers of teams and of running tasks.
 func measureAxes(slopes *Slopes) error {
 	for _, teams := range teamCounts {
 		started, err := newModule(teamAxisWorkers, 0, daemonPeers, teams)
 		if err != nil {
 			return err
 		}
-		mean, _, err := started.measureRequests(warmRequests, teams)
+		mean, _, err := started.measureRequests(requestsPerRun, teams)
 		if err != nil {
 			return fmt.Errorf("%s: %w", ModuleTeams, err)
 		}
@@ -55,29 +55,30 @@
 	}
 	for _, tasks := range taskCounts {
 		if err := measureRunningTasks(slopes, tasks); err != nil {
-			return fmt.Errorf("%s: %w", ModuleHeld, err)
+			return fmt.Errorf("%s: %w", ModuleTaskMemory, err)
 		}
 	}
 	return nil
 }
 
-// measureRunningTasks measures what running tasks cost while nothing happens to them.
+// measureRunningTasks measures the memory that running tasks occupy in the decision module, and the time of a sweep over
+// them.
 func measureRunningTasks(slopes *Slopes, tasks int) error {
 	started, err := newModule(taskAxisWorkers, 0, 1, 1)
 	if err != nil {
 		return err
 	}
-	before := heap()
-	placed := 0
+	before := liveHeapBytes()
+	assigned := 0
 	for range tasks {
 		if _, worker := started.request(0, clientDeadline); worker != "" {
-			placed++
+			assigned++
 		}
 	}
-	if placed < tasks {
-		return fmt.Errorf("%d of %d tasks were assigned to a worker", placed, tasks)
+	if assigned < tasks {
+		return fmt.Errorf("%d of %d tasks were assigned to a worker", assigned, tasks)
 	}
-	slopes.record(ModuleHeld, UnitBytes, AxisTasks, tasks, heap()-before)
+	slopes.record(ModuleTaskMemory, UnitBytes, AxisTasks, tasks, liveHeapBytes()-before)
 	const sweeps = 20
 	startedAt := time.Now()
 	for range sweeps {
@@ -88,8 +89,8 @@
 	return nil
 }
 
-// heap returns the memory in use after a garbage collection, in bytes.
-func heap() float64 {
+// liveHeapBytes runs a garbage collection and returns the size of the heap after it, in bytes.
+func liveHeapBytes() float64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
--- a/internal/rehearsal/capacity/needs.go
+++ b/internal/rehearsal/capacity/needs.go
@@ -10,19 +10,19 @@
 	secondsPerHour = 3600
 )
 
-// Needs computes what the target needs of each role, the smallest headroom first.
+// Needs computes what the target needs from each role, sorted by headroom in ascending order.
 func (b *Basis) Needs() ([]Row, error) {
-	runs, err := b.measured()
+	measured, err := b.figuresAtTarget()
 	if err != nil {
 		return nil, err
 	}
 	rates := b.rates()
-	flow := b.flow(runs, rates)
+	flow := b.flow(measured, rates)
 	rows := slices.Concat(
-		b.dispatcherRows(runs, rates, flow),
-		b.workerRows(runs),
-		b.originRows(runs, flow),
-		b.machineRows(runs, flow),
+		b.dispatcherRows(measured, rates, flow),
+		b.workerRows(measured),
+		b.originRows(measured, flow),
+		b.machineRows(measured, flow),
 		b.writerRows(rates),
 		b.scaleRows(b.Scale),
 	)
@@ -31,7 +31,7 @@
 }
 
 // dispatcherRows returns the needs of one dispatcher.
-func (b *Basis) dispatcherRows(runs measured, rates Rates, flow Flow) []Row {
+func (b *Basis) dispatcherRows(measured runFigures, rates Rates, flow Flow) []Row {
 	target := b.Target
 	mechanisms := b.Mechanisms
 	bytesAllowed := given(target.DispatcherBytes, UnitBytesPerSecond)
@@ -40,9 +40,9 @@
 	fewest := b.Assumed.Dispatchers[0]
 	dispatchers := b.dispatcherCount(fewest)
 	starts := given(target.PeakStarts, UnitPerSecond).Over(dispatchers, UnitPerSecond)
-	tasks := count(target.RunningTasks).Over(dispatchers, UnitCount).Times(runs.taskBytes, UnitBytes)
+	tasks := count(target.RunningTasks).Over(dispatchers, UnitCount).Times(measured.memoryPerTask, UnitBytes)
 	core := Quantity{Value: 1, Unit: UnitCores, Mark: ByAssumption, Sources: []string{"one core for decisions"}}
-	suffix := fmt.Sprintf(" with %s dispatchers", counted(fewest))
+	suffix := fmt.Sprintf(" with %s dispatchers", formatCount(fewest))
 	rows := []Row{
 		Dispatcher.row("bytes a second, mean of a day", flow.Mean, bytesAllowed, mechanisms.Membership),
 		Dispatcher.row("bytes a second, worst hour: a zone lost and back, one snapshot",
@@ -52,26 +52,26 @@
 		Dispatcher.row("bytes a second, the whole list within a minute of a start",
 			flow.Snapshot, bytesAllowed, mechanisms.Membership),
 		Dispatcher.row("bytes a second, the whole list compressed within a minute of a start (made-up names)",
-			runs.snapshotGzip.Over(given(target.MeanOver, UnitSeconds), UnitBytesPerSecond), bytesAllowed, mechanisms.Relays),
+			measured.snapshotGzip.Over(given(target.MeanOver, UnitSeconds), UnitBytesPerSecond), bytesAllowed, mechanisms.Relays),
 		Dispatcher.row("bytes a second, the changes missed in an hour within a minute of the heal",
 			flow.CatchUp, bytesAllowed, mechanisms.Resume),
 		Dispatcher.row("length of the list as one object",
-			runs.snapshot, b.Assumed.LongestObject.Quantity(), mechanisms.Membership),
+			measured.snapshot, b.Assumed.LongestObject.Quantity(), mechanisms.Membership),
 		Dispatcher.row("processor time, mean of a day",
-			runs.idleCPU.Plus(rates.Membership.Times(runs.deltaCPU, UnitCores)), coresAllowed, mechanisms.Membership),
+			measured.idleCPU.Plus(rates.Membership.Times(measured.deltaCPU, UnitCores)), coresAllowed, mechanisms.Membership),
 		Dispatcher.row("processor time, a lost zone told within ten seconds, one delta a worker",
-			runs.zoneLossCPU.Over(b.Assumed.ZoneLossAnnounced.Quantity(), UnitCores), coresAllowed, mechanisms.Membership),
+			measured.zoneLossCPU.Over(b.Assumed.ZoneLossAnnounced.Quantity(), UnitCores), coresAllowed, mechanisms.Membership),
 		Dispatcher.row("processor time, its start within ten seconds",
-			runs.startCPU.Over(window, UnitCores), coresAllowed, mechanisms.Membership),
+			measured.startCPU.Over(window, UnitCores), coresAllowed, mechanisms.Membership),
 		Dispatcher.row("memory: peak of a play, and its share of the running tasks"+suffix,
-			runs.peakResident.Plus(tasks), given(target.DispatcherMemory, UnitBytes), mechanisms.Membership),
+			measured.peakResident.Plus(tasks), given(target.DispatcherMemory, UnitBytes), mechanisms.Membership),
 		Dispatcher.row("processor time of decisions at the peak"+suffix+", all workers warm",
-			starts.Times(runs.arrivalWarm, UnitCores), core, mechanisms.Decisions),
+			starts.Times(measured.requestCPU, UnitCores), core, mechanisms.Decisions),
 		Dispatcher.row("processor time of decisions at the peak"+suffix+", a tenth of the workers cold",
-			starts.Times(runs.arrivalWarming, UnitCores), core, mechanisms.Decisions),
+			starts.Times(measured.slowStartRequestCPU, UnitCores), core, mechanisms.Decisions),
 	}
-	if mechanisms.Configuration != mechanismMissing && b.inForceMeasured() {
-		return rows // a scale run has the figure
+	if mechanisms.Configuration != mechanismMissing && b.propagationMeasured() {
+		return rows // the scale rows have the measured time of a change
 	}
 	return append(rows, Row{
 		Role:      Dispatcher,
@@ -82,8 +82,9 @@
 	})
 }
 
-// inForceMeasured reports whether a scale run at the target's size timed changes.
-func (b *Basis) inForceMeasured() bool {
+// propagationMeasured reports whether a scale run with the target's number of workers measured how long changes take to
+// reach the dispatchers.
+func (b *Basis) propagationMeasured() bool {
 	for _, row := range b.scaleRows(b.Scale) {
 		if row.Need.Unit == UnitSeconds {
 			return true
@@ -92,36 +93,36 @@
 	return false
 }
 
-// workerRows returns what one worker costs a dispatcher.
-func (b *Basis) workerRows(runs measured) []Row {
+// workerRows returns the needs of one listed worker at a dispatcher.
+func (b *Basis) workerRows(measured runFigures) []Row {
 	workers := count(b.Target.Workers)
 	memory := given(b.Target.DispatcherMemory, UnitBytes).Over(workers, UnitBytes)
 	return []Row{
-		WorkerSeen.row("state: memory of a dispatcher for each listed worker",
-			runs.workerBytes, memory, b.Mechanisms.Membership),
+		ListedWorker.row("state: memory of a dispatcher for each listed worker",
+			measured.memoryPerWorker, memory, b.Mechanisms.Membership),
 	}
 }
 
-// originRows returns the needs of discovery where every dispatcher watches it.
-func (b *Basis) originRows(runs measured, flow Flow) (rows []Row) {
+// originRows returns the needs of discovery if every dispatcher watches it, for each assumed number of dispatchers.
+func (b *Basis) originRows(measured runFigures, flow Flow) (rows []Row) {
 	target := b.Target
 	mechanisms := b.Mechanisms
-	line := b.Assumed.MachineBytes.Quantity()
+	bytesAllowed := b.Assumed.MachineBytes.Quantity()
 	window := given(target.InForceWithin, UnitSeconds)
 	minute := given(target.MeanOver, UnitSeconds)
 	for _, number := range b.Assumed.Dispatchers {
 		all := b.dispatcherCount(number)
 		zone := all.Over(count(target.Zones), UnitCount)
-		suffix := fmt.Sprintf(", %s dispatchers that watch it", counted(number))
+		suffix := fmt.Sprintf(", %s dispatchers that watch it", formatCount(number))
 		rows = append(rows,
 			Origin.row("bytes a second, mean"+suffix,
-				all.Times(flow.Mean, UnitBytesPerSecond), line, mechanisms.Membership),
+				all.Times(flow.Mean, UnitBytesPerSecond), bytesAllowed, mechanisms.Membership),
 			Origin.row("bytes a second, peak minute"+suffix,
-				all.Times(flow.PeakMinute, UnitBytesPerSecond), line, mechanisms.Membership),
+				all.Times(flow.PeakMinute, UnitBytesPerSecond), bytesAllowed, mechanisms.Membership),
 			Origin.row("bytes a second, worst hour"+suffix,
-				all.Times(flow.WorstHour, UnitBytesPerSecond), line, mechanisms.Membership),
+				all.Times(flow.WorstHour, UnitBytesPerSecond), bytesAllowed, mechanisms.Membership),
 			Origin.row("bytes a second, all start within a minute"+suffix,
-				all.Times(runs.snapshot, UnitBytes).Over(minute, UnitBytesPerSecond), line, mechanisms.Membership),
+				all.Times(measured.snapshot, UnitBytes).Over(minute, UnitBytesPerSecond), bytesAllowed, mechanisms.Membership),
 			Origin.row("calls a second, a zone's dispatchers start within 10 s"+suffix,
 				zone.Over(window, UnitPerSecond), b.Assumed.CallsPerSecond.Quantity(), mechanisms.Membership),
 			Origin.row("calls a second, all start within 10 s"+suffix,
@@ -137,30 +138,31 @@
 	})
 }
 
-// machineRows returns the needs of one control machine that relays to its part of the dispatchers, with one machine down.
-func (b *Basis) machineRows(runs measured, flow Flow) (rows []Row) {
+// machineRows returns the needs of one control machine if the control machines relay to the dispatchers. One of them is
+// down, and each of the others serves an equal part of the dispatchers.
+func (b *Basis) machineRows(measured runFigures, flow Flow) (rows []Row) {
 	target := b.Target
-	line := b.Assumed.MachineBytes.Quantity()
+	bytesAllowed := b.Assumed.MachineBytes.Quantity()
 	minute := given(target.MeanOver, UnitSeconds)
 	remaining := count(target.ControlMachines - 1)
 	for _, number := range b.Assumed.Dispatchers {
-		part := b.dispatcherCount(number).Over(remaining, UnitCount)
-		suffix := fmt.Sprintf(", its part of %s dispatchers with one machine down", counted(number))
+		dispatchersPerMachine := b.dispatcherCount(number).Over(remaining, UnitCount)
+		suffix := fmt.Sprintf(", its part of %s dispatchers with one machine down", formatCount(number))
 		rows = append(rows,
 			ControlMachine.row("bytes a second, mean"+suffix,
-				part.Times(flow.Mean, UnitBytesPerSecond), line, b.Mechanisms.Relays),
+				dispatchersPerMachine.Times(flow.Mean, UnitBytesPerSecond), bytesAllowed, b.Mechanisms.Relays),
 			ControlMachine.row("bytes a second, peak minute"+suffix,
-				part.Times(flow.PeakMinute, UnitBytesPerSecond), line, b.Mechanisms.Relays),
+				dispatchersPerMachine.Times(flow.PeakMinute, UnitBytesPerSecond), bytesAllowed, b.Mechanisms.Relays),
 			ControlMachine.row("bytes a second, worst hour"+suffix,
-				part.Times(flow.WorstHour, UnitBytesPerSecond), line, b.Mechanisms.Relays),
+				dispatchersPerMachine.Times(flow.WorstHour, UnitBytesPerSecond), bytesAllowed, b.Mechanisms.Relays),
 			ControlMachine.row("bytes a second, snapshots, compressed, to all of them within a minute"+suffix,
-				part.Times(runs.snapshotGzip, UnitBytes).Over(minute, UnitBytesPerSecond), line, b.Mechanisms.Relays),
+				dispatchersPerMachine.Times(measured.snapshotGzip, UnitBytes).Over(minute, UnitBytesPerSecond), bytesAllowed, b.Mechanisms.Relays),
 		)
 	}
 	return rows
 }
 
-// writerRows returns the needs of the writer of configuration.
+// writerRows returns the needs of the process that writes configuration.
 func (b *Basis) writerRows(rates Rates) []Row {
 	mechanisms := b.Mechanisms
 	return []Row{
@@ -180,10 +182,10 @@
 	}
 }
 
-// unknownFor returns why a need that no run measures has no figure.
-func unknownFor(mechanism, without string) string {
+// unknownFor returns why a need has no figure: reasonIfMissing if there is no mechanism, otherwise that no run measured it.
+func unknownFor(mechanism, reasonIfMissing string) string {
 	if mechanism == mechanismMissing {
-		return without
+		return reasonIfMissing
 	}
 	return "no run has timed it"
 }
--- a/internal/rehearsal/capacity/needs_test.go
+++ b/internal/rehearsal/capacity/needs_test.go
@@ -5,14 +5,15 @@
 	"testing"
 )
 
-// Figures of testBasis by hand.
+// Figures that follow from testBasis, computed by hand.
 const (
 	zoneWorkers = 21000.0 / 17
 
-	// membershipRate is that of changes per second: failures, restarts, racks and zones.
+	// membershipRate is the number of changes of the endpoint list per second, by failures, restarts, and lost racks and
+	// zones.
 	membershipRate = (86400*2 + 43200*4 + 40*2/7.0 + zoneWorkers*2/60) / 86400
 
-	// Bytes per second of one dispatcher: idle, membership and configuration.
+	// Bytes per second of one dispatcher: those while idle, for membership and for configuration.
 	meanBytes      = 3 + membershipRate*200 + 100
 	peakBytes      = 3 + zoneWorkers*200/60 + 20*100
 	worstHourBytes = 3 + membershipRate*200 + 400 + (zoneWorkers*200*2+3e6)/3600
@@ -30,7 +31,7 @@
 	return rows
 }
 
-// findNeed returns the need of a role whose description begins with what.
+// findNeed returns the first need of a role whose description begins with what.
 func findNeed(t *testing.T, rows []Row, role Role, what string) Row {
 	t.Helper()
 	for _, row := range rows {
@@ -50,7 +51,7 @@
 	allowed float64
 }
 
-// checkNeeds compares needs and headrooms with those computed by hand.
+// checkNeeds compares the needs, limits and headrooms of testBasis with those computed by hand.
 func checkNeeds(t *testing.T, expected []expectedNeed) {
 	t.Helper()
 	rows := needsOf(t)
@@ -66,7 +67,7 @@
 	}
 }
 
-// The rates of change agree with arithmetic by hand.
+// The rates of change equal those computed by hand.
 func TestRates(t *testing.T) {
 	basis := testBasis()
 	rates := basis.rates()
@@ -75,7 +76,7 @@
 	}
 }
 
-// The needs of one dispatcher, one worker and the writer agree with arithmetic by hand.
+// The needs of one dispatcher, one worker and the writer equal those computed by hand.
 func TestNeedsOfOneProcess(t *testing.T) {
 	checkNeeds(t, []expectedNeed{
 		{Dispatcher, "bytes a second, mean of a day", meanBytes, 6000},
@@ -91,20 +92,20 @@
 		{Dispatcher, "memory", 42e6 + 1000*240, 128e6},
 		{Dispatcher, "processor time of decisions at the peak with 300 dispatchers, all", 8000 / 300.0 * 5e-6, 1},
 		{Dispatcher, "processor time of decisions at the peak with 300 dispatchers, a tenth", 8000 / 300.0 * 500e-6, 1},
-		{WorkerSeen, "state", 2000, 128e6 / 21000},
+		{ListedWorker, "state", 2000, 128e6 / 21000},
 		{Writer, "writes a second, worst hour", 4, 500},
 	})
 }
 
-// The needs of discovery and of a control machine agree with arithmetic by hand, at each number of dispatchers.
+// The needs of discovery and of a control machine equal those computed by hand, for each number of dispatchers.
 func TestNeedsByNumberOfDispatchers(t *testing.T) {
 	const (
 		remainingMachines = 16 // one is down
 		startWindow       = 10 // seconds
 	)
 	for _, dispatchers := range []float64{300, 3000, 21000} {
-		watching := ", " + counted(int(dispatchers)) + " dispatchers"
-		part := ", its part of " + counted(int(dispatchers)) + " dispatchers"
+		watching := ", " + formatCount(int(dispatchers)) + " dispatchers"
+		part := ", its part of " + formatCount(int(dispatchers)) + " dispatchers"
 		onOneMachine := dispatchers / remainingMachines
 		checkNeeds(t, []expectedNeed{
 			{Origin, "bytes a second, mean" + watching, dispatchers * meanBytes, 125e6},
@@ -121,7 +122,7 @@
 	}
 }
 
-// The smallest headroom comes first; what was not measured is at the end.
+// Needs are sorted by headroom in ascending order, and those that were not measured come last.
 func TestNeedsAreSortedByHeadroom(t *testing.T) {
 	const notMeasured = "not measured"
 	rows := needsOf(t)
@@ -138,7 +139,7 @@
 	}
 }
 
-// A missing mechanism has no headroom.
+// A need whose mechanism is missing has no headroom.
 func TestMissingMechanismHasNoHeadroom(t *testing.T) {
 	row := findNeed(t, needsOf(t), Dispatcher, "a change of configuration")
 	if row.HeadroomText() != mechanismMissing || row.Headroom() != 0 {
@@ -146,10 +147,10 @@
 	}
 }
 
-// What a run measured at the target's size is marked as measured.
+// A need that a run measured at the target's size is marked as measured.
 func TestNeedAtMeasuredSizeIsMeasured(t *testing.T) {
 	row := findNeed(t, needsOf(t), Dispatcher, "length of the list")
 	if row.Need.Mark != Measured {
-		t.Errorf("the list's length was measured at this size: %+v", row.Need)
+		t.Errorf("the length of the list at the target's size is not marked as measured: %+v", row.Need)
 	}
 }
--- a/internal/rehearsal/capacity/page.go
+++ b/internal/rehearsal/capacity/page.go
@@ -10,13 +10,13 @@
 	"text/template"
 )
 
-// The files of the data directory, beside the JSON of the runs.
+// The files of the data directory, apart from the JSON files of the runs.
 const (
 	assumptionsFile = "assumptions.toml"
 	templateFile    = "page.md.tmpl"
 )
 
-// Page is the data of the template, which refers to its fields and methods by name.
+// Page is the data of the page's template, which refers to the fields and methods by name.
 type Page struct {
 	Target           Target
 	Assumed          Assumed
@@ -24,56 +24,56 @@
 	Assumptions      []*Assumption
 	Rates            Rates
 	Flow             Flow
-	Rows             []ComparedRow
+	Rows             []ComparedRow // needs, in ascending order of headroom
 	Loads            []Load
-	Lines            []SlopeLine
-	Runs             []Slopes // the slope runs, the earliest first
-	Scale            []ScaleTable
-	MissedBytes      Quantity // bytes of the changes missed in an hour
-	MissedTime       Quantity // how long they take at the target's bytes per second
-	Snapshot         Quantity // bytes of a snapshot
-	SnapshotGzip     Quantity
-	SnapshotTime     Quantity // how long it takes at that rate
-	SnapshotGzipTime Quantity
-	TasksPerJob      Quantity // on average, by the assumed peak factor
-	TaskTime         Quantity // mean time of a task, by Little's law
+	Lines            []SlopeLine  // one for each series of the slope runs
+	Runs             []Slopes     // the slope runs, the earliest first
+	Scale            []ScaleTable // one for each scenario of the scale runs
+	MissedBytes      Quantity     // bytes of the changes that a dispatcher misses while its region is cut off
+	MissedTime       Quantity     // how long MissedBytes take at the target's bytes per second
+	Snapshot         Quantity     // bytes of a snapshot
+	SnapshotGzip     Quantity     // bytes of a snapshot compressed by gzip
+	SnapshotTime     Quantity     // how long Snapshot takes at the target's bytes per second
+	SnapshotGzipTime Quantity     // how long SnapshotGzip takes at the target's bytes per second
+	TasksPerJob      Quantity     // mean, from the assumed ratio of peak to mean starts
+	TaskTime         Quantity     // mean running time of a task, by Little's law
 }
 
-// ComparedRow is a need by the latest runs, with the headroom by the earlier ones.
+// ComparedRow is a need computed from the latest slope runs, together with the headroom computed from the earlier ones.
 type ComparedRow struct {
 	Row
-	Before string
+	Before string // headroom by the earlier runs
 }
 
-// SlopeLine is one series of slopes, before and after.
+// SlopeLine is the fit of one series in the earlier and in the latest slope runs.
 type SlopeLine struct {
 	Name   SeriesName
 	Axis   Axis
 	Before *SlopeFit
-	After  *SlopeFit // nil: measured once only
+	After  *SlopeFit // nil if the latest runs do not have the series
 }
 
-// SlopeFit is a fitted series with its value at the largest size.
+// SlopeFit is the line fitted to a series, with the measured value at the largest size.
 type SlopeFit struct {
 	Fit
 	Unit    Unit
 	Largest Quantity
 }
 
-// FixedText returns the part of the fit that does not depend on the size.
+// FixedText returns the part of the fit that does not depend on the size, as text.
 func (f *SlopeFit) FixedText() string {
 	return Quantity{Value: f.Fixed, Unit: f.Unit}.String()
 }
 
-// SlopeText returns the slope for a thousand more.
+// SlopeText returns what a thousand more workers, teams or tasks add, as text.
 func (f *SlopeFit) SlopeText() string {
 	const thousand = 1000
 	return Quantity{Value: f.Slope * thousand, Unit: f.Unit}.String()
 }
 
-// ResidualText returns the residual in percent.
+// ResidualText returns the residual in percent, and says so if the series is not linear.
 func (f *SlopeFit) ResidualText() string {
-	text := headroomText(f.Residual*100) + "%"
+	text := formatHeadroom(f.Residual*100) + "%"
 	if !f.Linear() {
 		text += ", not linear"
 	}
@@ -81,10 +81,10 @@
 }
 
 // SpreadText returns the spread of the repetitions in percent.
-func (f *SlopeFit) SpreadText() string { return headroomText(f.Spread*100) + "%" }
+func (f *SlopeFit) SpreadText() string { return formatHeadroom(f.Spread*100) + "%" }
 
-// fitOfSeries fits a line to a series.
-func fitOfSeries(series *Series) (*SlopeFit, error) {
+// fitSlope fits a line to a series and returns it with the median at the largest size.
+func fitSlope(series *Series) (*SlopeFit, error) {
 	fit, err := FitSeries(series.Points)
 	if err != nil {
 		return nil, err
@@ -98,17 +98,17 @@
 	return &SlopeFit{Fit: fit, Unit: series.Unit, Largest: Quantity{Value: Median(last.Values), Unit: series.Unit, Mark: Measured}}, nil
 }
 
-// slopeLines pairs the series of both files; after is nil where the later program was not measured.
+// slopeLines pairs the series of the earlier and the latest slope runs. after is nil if there are no later runs.
 func slopeLines(before, after *Slopes) (lines []SlopeLine, err error) {
 	for i := range before.Series {
 		series := &before.Series[i]
 		line := SlopeLine{Name: series.Name, Axis: series.Axis}
-		line.Before, err = fitOfSeries(series)
+		line.Before, err = fitSlope(series)
 		if err != nil {
 			return nil, err
 		}
 		if after != nil && after.series(series.Name) != nil {
-			line.After, err = fitOfSeries(after.series(series.Name))
+			line.After, err = fitSlope(after.series(series.Name))
 			if err != nil {
 				return nil, err
 			}
@@ -118,7 +118,7 @@
 	return lines, nil
 }
 
-// loadPage reads a data directory and computes the page.
+// loadPage reads a data directory and computes the data of the page.
 func loadPage(dir string) (Page, error) {
 	before, latest, err := readBases(dir)
 	if err != nil {
@@ -144,8 +144,8 @@
 	return page, nil
 }
 
-// readBases reads the data of the program before its slopes were improved, and the latest data, which has the scale runs.
-// Both have the same slopes if there is no later file of them.
+// readBases returns two bases: before, with the slope runs of the program before its costs were reduced, and latest, with
+// the latest slope runs and the scale runs. Both have the same slope runs if there is no file of later ones.
 func readBases(dir string) (before, latest Basis, err error) {
 	assumptions, err := ReadAssumptions(filepath.Join(dir, assumptionsFile))
 	if err != nil {
@@ -170,7 +170,7 @@
 	return before, latest, err
 }
 
-// comparedRows pairs the needs of the latest runs with the headroom of the earlier ones.
+// comparedRows returns the needs computed from the latest basis, each with its headroom computed from the earlier basis.
 func comparedRows(before, latest *Basis) (rows []ComparedRow, err error) {
 	previous, err := before.Needs()
 	if err != nil {
@@ -190,9 +190,9 @@
 	return rows, nil
 }
 
-// computeFigures computes the figures in the text of the page.
+// computeFigures sets the target, the assumptions and all figures that follow from the latest basis.
 func (p *Page) computeFigures(basis *Basis) (err error) {
-	runs, err := basis.measured()
+	measured, err := basis.figuresAtTarget()
 	if err != nil {
 		return err
 	}
@@ -203,23 +203,23 @@
 	p.Target = basis.Target
 	p.Assumed = basis.Assumed
 	p.Mechanisms = basis.Mechanisms
-	p.Assumptions = basis.Assumed.assumptions()
+	p.Assumptions = basis.Assumed.namedAssumptions()
 	p.Rates = basis.rates()
-	p.Flow = basis.flow(runs, p.Rates)
+	p.Flow = basis.flow(measured, p.Rates)
 	allowedRate := given(basis.Target.DispatcherBytes, UnitBytesPerSecond)
-	p.MissedBytes = basis.missedBytes(runs, p.Rates)
+	p.MissedBytes = basis.missedBytes(measured, p.Rates)
 	p.MissedTime = p.MissedBytes.Over(allowedRate, UnitSeconds)
-	p.Snapshot = runs.snapshot
-	p.SnapshotGzip = runs.snapshotGzip
-	p.SnapshotTime = runs.snapshot.Over(allowedRate, UnitSeconds)
-	p.SnapshotGzipTime = runs.snapshotGzip.Over(allowedRate, UnitSeconds)
+	p.Snapshot = measured.snapshot
+	p.SnapshotGzip = measured.snapshotGzip
+	p.SnapshotTime = measured.snapshot.Over(allowedRate, UnitSeconds)
+	p.SnapshotGzipTime = measured.snapshotGzip.Over(allowedRate, UnitSeconds)
 	meanStarts := given(basis.Target.PeakStarts, UnitPerSecond).Over(basis.Assumed.StartPeakFactor.Quantity(), UnitPerSecond)
 	p.TasksPerJob = meanStarts.Times(count(secondsPerDay), UnitPerDay).Over(given(basis.Target.JobsPerDay, UnitPerDay), UnitCount)
 	p.TaskTime = count(basis.Target.RunningTasks).Over(meanStarts, UnitSeconds)
 	return nil
 }
 
-// Write returns the page of a data directory. The same files give the same page, byte for byte.
+// Write returns the page for a data directory. The same files always give the same page, byte for byte.
 func Write(dir string) ([]byte, error) {
 	page, err := loadPage(dir)
 	if err != nil {
@@ -227,8 +227,8 @@
 	}
 	path := filepath.Join(dir, templateFile)
 	parsed, err := template.New(templateFile).Option("missingkey=error").Funcs(template.FuncMap{
-		"number":  exact,
-		"counted": counted,
+		"number":  formatExact,
+		"counted": formatCount,
 		"divided": func(a, b float64) float64 { return a / b },
 	}).ParseFiles(path)
 	if err != nil {
@@ -241,7 +241,7 @@
 	return out.Bytes(), nil
 }
 
-// Need returns the need of a role whose description begins with what.
+// Need returns the first need of a role whose description begins with what.
 func (p Page) Need(role Role, what string) (ComparedRow, error) {
 	for _, row := range p.Rows {
 		if row.Role == role && strings.HasPrefix(row.What, what) {
@@ -251,7 +251,8 @@
 	return ComparedRow{}, fmt.Errorf("no need of the %s begins with %q", role, what)
 }
 
-// ScaleNeed returns a need of a role by the scale runs, each mechanism on its own.
+// ScaleNeed returns, as text, the needs of a role by the scale runs whose description after the mechanism begins with what:
+// one for each mechanism.
 func (p Page) ScaleNeed(role Role, what string) string {
 	var found []string
 	for _, row := range p.Rows {
@@ -266,7 +267,7 @@
 	return strings.Join(found, "; ")
 }
 
-// ValueOf returns the value of a series of the latest run at its largest size.
+// ValueOf returns the value of a series at its largest size, from the latest runs that have the series.
 func (p Page) ValueOf(name SeriesName) (Quantity, error) {
 	for _, line := range p.Lines {
 		switch {
--- a/internal/rehearsal/capacity/page_test.go
+++ b/internal/rehearsal/capacity/page_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// dataDir has the committed runs and assumptions.
+// dataDir is the directory of the committed runs and assumptions.
 const dataDir = "../../../docs/capacity"
 
-// The committed page is what the committed runs and assumptions give.
+// The committed page is the one that the committed runs and assumptions give.
 func TestPageFollowsRuns(t *testing.T) {
 	want, err := Write(dataDir)
 	if err != nil {
@@ -20,6 +20,6 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Error("docs/CAPACITY.md is not what docs/capacity gives: run make capacity")
+		t.Error("docs/CAPACITY.md does not match the data in docs/capacity: run make capacity")
 	}
 }
--- a/internal/rehearsal/capacity/proxy.go
+++ b/internal/rehearsal/capacity/proxy.go
@@ -7,22 +7,22 @@
 	"sync/atomic"
 )
 
-// versionKey is a text that each object of discovery contains once.
+// versionKey is a text that each snapshot and each delta of discovery contains exactly once.
 var versionKey = []byte(`"seq":`)
 
-// CountingProxy forwards TCP connections to a server and counts the bytes that they carry, without the headers of TCP and
-// IP, and the versioned objects of discovery. It is safe for concurrent use.
+// CountingProxy forwards TCP connections to a server. It counts the bytes that they carry, not including TCP and IP headers,
+// and the snapshots and deltas that the server sends. It is safe for concurrent use.
 type CountingProxy struct {
-	Addr string // where clients dial
+	Addr string // where clients connect
 
-	target    string
+	target    string // address of the server
 	listener  net.Listener
 	bytesDown atomic.Int64 // from the server
 	bytesUp   atomic.Int64 // to the server
-	versions  atomic.Int64 // versioned objects from the server
+	versions  atomic.Int64 // snapshots and deltas from the server
 
 	mutex sync.Mutex
-	conns []net.Conn
+	conns []net.Conn // all that were ever opened, to clients and to the server
 }
 
 // Bytes returns the number of bytes forwarded in both directions.
@@ -60,25 +60,26 @@
 	}
 }
 
-// forward copies from source to destination until either closes, then closes both. versionCount may be nil.
+// forward copies from source to destination until either is closed, then closes both. It adds to byteCount the bytes that it
+// copies and to versionCount, unless that is nil, the snapshots and deltas among them.
 func (p *CountingProxy) forward(destination, source net.Conn, byteCount, versionCount *atomic.Int64) {
 	defer destination.Close()
 	defer source.Close()
 	const bufferSize = 64 << 10 // bytes
 	buffer := make([]byte, bufferSize)
-	carried := 0 // bytes of the previous read, in which a key may begin
+	keptBytes := 0 // number of bytes kept from the previous read, because versionKey may begin in them
 	for {
-		length, err := source.Read(buffer[carried:])
+		length, err := source.Read(buffer[keptBytes:])
 		if length > 0 {
-			read := buffer[carried : carried+length]
+			read := buffer[keptBytes : keptBytes+length]
 			if _, err := destination.Write(read); err != nil {
 				return
 			}
 			byteCount.Add(int64(length))
 			if versionCount != nil {
-				seen := buffer[:carried+length]
+				seen := buffer[:keptBytes+length]
 				versionCount.Add(int64(bytes.Count(seen, versionKey)))
-				carried = copy(buffer, seen[max(len(seen)-len(versionKey)+1, 0):])
+				keptBytes = copy(buffer, seen[max(len(seen)-len(versionKey)+1, 0):])
 			}
 		}
 		if err != nil {
@@ -87,7 +88,8 @@
 	}
 }
 
-// StartCountingProxy starts a proxy to a server on a loopback port that the kernel chooses.
+// StartCountingProxy starts a proxy to the server at the address target. It listens on a loopback port that the kernel
+// chooses.
 func StartCountingProxy(target string) (*CountingProxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/rehearsal/capacity/quantity.go
+++ b/internal/rehearsal/capacity/quantity.go
@@ -8,23 +8,23 @@
 	"strings"
 )
 
-// Mark says how a figure is known. The weaker marks are the larger ones.
+// Mark says how a figure is known. A larger mark stands for a less certain figure.
 type Mark int
 
 // The marks.
 const (
-	Given        Mark = iota // by the target
-	Measured                 // by a run at the same size
+	Given        Mark = iota // given by the target
+	Measured                 // measured by a run at the same size
 	Extrapolated             // computed from runs and the target
-	ByAssumption             // computed from an assumption, or an assumption
+	ByAssumption             // an assumption, or computed from one
 )
 
 var markNames = [...]string{"given", "measured", "extrapolated", "assumed"}
 
-// String returns the mark as it stands in files and on the page.
+// String returns the name of the mark in files and on the page.
 func (m Mark) String() string { return markNames[m] }
 
-// ParseMark returns the mark of a text.
+// ParseMark returns the mark with a name.
 func ParseMark(text string) (Mark, error) {
 	i := slices.Index(markNames[:], text)
 	if i < 0 {
@@ -33,7 +33,7 @@
 	return Mark(i), nil
 }
 
-// Further units, beside those of series.
+// The units of rates, which no series has.
 const (
 	UnitPerSecond Unit = "/s"
 	UnitPerDay    Unit = "/day"
@@ -44,10 +44,11 @@
 	Value   float64
 	Unit    Unit
 	Mark    Mark
-	Sources []string // runs and assumptions behind it, without duplicates
+	Sources []string // the runs and assumptions from which it is computed, without duplicates
 }
 
-// combined returns the mark and the sources of a figure that is computed from both.
+// combined returns the mark and the sources of a figure that is computed from two quantities. The mark is the less certain
+// one of both, but at least Extrapolated if one of them is measured.
 func (q Quantity) combined(other Quantity) (Mark, []string) {
 	mark := max(q.Mark, other.Mark)
 	if mark == Measured {
@@ -62,19 +63,19 @@
 	return mark, sources
 }
 
-// Times returns a product, in a unit that the caller gives.
+// Times returns the product of two quantities. The caller gives its unit.
 func (q Quantity) Times(other Quantity, unit Unit) Quantity {
 	mark, sources := q.combined(other)
 	return Quantity{Value: q.Value * other.Value, Unit: unit, Mark: mark, Sources: sources}
 }
 
-// Over returns a quotient, in a unit that the caller gives.
+// Over returns the quotient of two quantities. The caller gives its unit.
 func (q Quantity) Over(other Quantity, unit Unit) Quantity {
 	mark, sources := q.combined(other)
 	return Quantity{Value: q.Value / other.Value, Unit: unit, Mark: mark, Sources: sources}
 }
 
-// Plus returns a sum. It panics if the units differ.
+// Plus returns the sum of two quantities. It panics if their units differ.
 func (q Quantity) Plus(other Quantity) Quantity {
 	if q.Unit != other.Unit {
 		panic(fmt.Sprintf("capacity: %s added to %s", other.Unit, q.Unit))
@@ -83,14 +84,14 @@
 	return Quantity{Value: q.Value + other.Value, Unit: q.Unit, Mark: mark, Sources: sources}
 }
 
-// count returns a number that follows from the target or from arithmetic alone.
+// count returns a number without a unit that follows from the target or from arithmetic alone. Its mark is Given.
 func count(value float64) Quantity { return Quantity{Value: value, Unit: UnitCount} }
 
-// given returns a figure of the target in a unit.
+// given returns a figure that the target gives, or a constant, with its unit.
 func given(value float64, unit Unit) Quantity { return Quantity{Value: value, Unit: unit} }
 
-// significant rounds to three significant figures.
-func significant(value float64) string {
+// formatSignificant returns a value as text with three significant figures.
+func formatSignificant(value float64) string {
 	const figures = 3
 	if value == 0 {
 		return "0"
@@ -104,11 +105,11 @@
 	if digits > 0 {
 		text = strings.TrimRight(strings.TrimRight(text, "0"), ".")
 	}
-	return thousands(text)
+	return insertCommas(text)
 }
 
-// thousands inserts commas into the integer part of a number.
-func thousands(text string) string {
+// insertCommas inserts commas into the integer part of a number.
+func insertCommas(text string) string {
 	whole, rest, _ := strings.Cut(text, ".")
 	sign := ""
 	if strings.HasPrefix(whole, "-") {
@@ -124,10 +125,10 @@
 	return sign + whole
 }
 
-// unitPrefix is a unit with a decimal prefix.
+// unitPrefix is a unit with a decimal prefix, such as KB.
 type unitPrefix struct {
-	min    float64 // smallest amount that is written in it
-	factor float64
+	min    float64 // smallest absolute value that is written in this unit
+	factor float64 // from the base unit to this one
 	name   string
 }
 
@@ -136,51 +137,52 @@
 	secondPrefixes = []unitPrefix{{1, 1, "s"}, {1e-3, 1e3, "ms"}, {0, 1e6, "µs"}}
 )
 
-// withPrefix writes a value in the largest unit that fits it.
-func withPrefix(value float64, prefixes []unitPrefix) string {
+// formatWithPrefix returns a value as text in the first of the prefixes, which are in descending order, whose minimum it
+// reaches.
+func formatWithPrefix(value float64, prefixes []unitPrefix) string {
 	for _, prefix := range prefixes {
 		if math.Abs(value) >= prefix.min {
-			return significant(value*prefix.factor) + " " + prefix.name
+			return formatSignificant(value*prefix.factor) + " " + prefix.name
 		}
 	}
-	return significant(value)
+	return formatSignificant(value)
 }
 
 const (
-	minDecimal   = 1e-4 // smaller amounts are written with an exponent
-	minPerSecond = 1e-3 // rates below it are written per day
-	minWhole     = 100  // counts from here on are written exactly
+	minDecimal   = 1e-4 // smaller values are written with an exponent
+	minPerSecond = 1e-3 // smaller rates are written per day
+	minWhole     = 100  // counts that are at least this large are written with all digits
 )
 
-// exact writes a number with all its digits.
-func exact(value float64) string { return thousands(strconv.FormatFloat(value, 'f', -1, 64)) }
+// formatExact returns a number as text with all its digits.
+func formatExact(value float64) string { return insertCommas(strconv.FormatFloat(value, 'f', -1, 64)) }
 
-// String returns the value in a unit that fits it.
+// String returns the value as text, in a unit that suits its size.
 func (q Quantity) String() string {
 	switch q.Unit {
 	case UnitBytes:
-		return withPrefix(q.Value, bytePrefixes)
+		return formatWithPrefix(q.Value, bytePrefixes)
 	case UnitBytesPerSecond:
-		return withPrefix(q.Value, bytePrefixes) + "/s"
+		return formatWithPrefix(q.Value, bytePrefixes) + "/s"
 	case UnitSeconds:
-		return withPrefix(q.Value, secondPrefixes)
+		return formatWithPrefix(q.Value, secondPrefixes)
 	case UnitCores:
-		return significant(q.Value*100) + "% of a core"
+		return formatSignificant(q.Value*100) + "% of a core"
 	case UnitPerSecond:
 		if q.Value > 0 && q.Value < minPerSecond {
-			return significant(q.Value*secondsPerDay) + " a day"
+			return formatSignificant(q.Value*secondsPerDay) + " a day"
 		}
-		return significant(q.Value) + "/s"
+		return formatSignificant(q.Value) + "/s"
 	case UnitPerDay:
-		return significant(q.Value) + " a day"
+		return formatSignificant(q.Value) + " a day"
 	}
 	if q.Value >= minWhole {
-		return exact(math.Round(q.Value))
+		return formatExact(math.Round(q.Value))
 	}
-	return significant(q.Value)
+	return formatSignificant(q.Value)
 }
 
-// From returns the sources as text.
+// From returns the sources as text, or "target" if there are none.
 func (q Quantity) From() string {
 	if len(q.Sources) == 0 {
 		return "target"
--- a/internal/rehearsal/capacity/quantity_test.go
+++ b/internal/rehearsal/capacity/quantity_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// What is computed has the sources of both operands and the weaker of their marks; it is extrapolated where that would be
-// measured.
+// A computed quantity has the sources of both operands and the less certain one of their marks, or extrapolated if that mark
+// would be measured.
 func TestQuantities(t *testing.T) {
 	run := Quantity{Value: 200, Unit: UnitBytes, Mark: Measured, Sources: []string{"run"}}
 	assumption := Quantity{Value: 3, Unit: UnitPerSecond, Mark: ByAssumption, Sources: []string{"guess"}}
@@ -19,17 +19,17 @@
 	}
 }
 
-// A sum of different units panics.
+// Adding quantities of different units panics.
 func TestSumOfDifferentUnitsPanics(t *testing.T) {
 	defer func() {
 		if recover() == nil {
-			t.Error("bytes were added to bytes a second")
+			t.Error("bytes per second were added to bytes without a panic")
 		}
 	}()
 	given(1, UnitBytes).Plus(given(1, UnitBytesPerSecond))
 }
 
-// A quantity is written in a unit that fits it, with three significant figures.
+// A quantity is written in a unit that suits its size, with three significant figures.
 func TestQuantityText(t *testing.T) {
 	for _, test := range []struct {
 		value float64
--- a/internal/rehearsal/capacity/scaleneeds.go
+++ b/internal/rehearsal/capacity/scaleneeds.go
@@ -5,22 +5,22 @@
 	"strings"
 )
 
-// boundedFigure is a figure of scale runs that the target or an assumption limits.
+// boundedFigure describes a figure of scale runs for which the target or an assumption sets a limit.
 type boundedFigure struct {
-	role    Role
-	figure  string // its name, or a pattern with one *
-	what    string
-	factor  float64 // from the run's unit to this one
-	unit    Unit
-	allowed func(*Basis) Quantity
+	role        Role
+	namePattern string  // the figure's name, or a pattern with one * for any text
+	what        string  // description of the need
+	factor      float64 // from the unit in the scale run to unit
+	unit        Unit
+	allowed     func(*Basis) Quantity
 }
 
-// scaleNeedPrefix is the beginning of the description of a need by a scale run.
+// scaleNeedPrefix begins the description of every need that a scale run measured.
 const scaleNeedPrefix = "scale run by "
 
-const megabyte = 1 << 20 // of the scale runs' MB
+const megabyte = 1 << 20 // bytes in the unit MB of scale runs
 
-// The mechanisms of scale runs, as ScaleRun.Mechanism has them.
+// The values of ScaleRun.Mechanism.
 const (
 	byDiscovery = "discovery"
 	byRelays    = "relays"
@@ -32,75 +32,75 @@
 func allowedInForce(b *Basis) Quantity { return given(b.Target.InForceWithin, UnitSeconds) }
 func machineCores(b *Basis) Quantity   { return b.Assumed.MachineCores.Quantity() }
 func machineMemory(b *Basis) Quantity  { return b.Assumed.MachineMemory.Quantity() }
-func machineLine(b *Basis) Quantity    { return b.Assumed.MachineBytes.Quantity() }
+func machineBytes(b *Basis) Quantity   { return b.Assumed.MachineBytes.Quantity() }
 
-// boundedFigures lists the limited figures.
+// boundedFigures lists the figures of scale runs that have a limit.
 var boundedFigures = []boundedFigure{
 	{
-		role: Dispatcher, figure: "dispatcher.real.bytes", factor: 1, unit: UnitBytesPerSecond, allowed: allowedBytes,
+		role: Dispatcher, namePattern: "dispatcher.real.bytes", factor: 1, unit: UnitBytesPerSecond, allowed: allowedBytes,
 		what: "bytes a second over the run, a real daemon",
 	},
 	{
-		role: Dispatcher, figure: "dispatcher.real.bytes_worst_minute", factor: 1, unit: UnitBytesPerSecond, allowed: allowedBytes,
+		role: Dispatcher, namePattern: "dispatcher.real.bytes_worst_minute", factor: 1, unit: UnitBytesPerSecond, allowed: allowedBytes,
 		what: "bytes a second in the worst minute, a real daemon",
 	},
 	{
-		role: Dispatcher, figure: "dispatcher.hollow.bytes_worst_minute", factor: 1, unit: UnitBytesPerSecond, allowed: allowedBytes,
+		role: Dispatcher, namePattern: "dispatcher.hollow.bytes_worst_minute", factor: 1, unit: UnitBytesPerSecond, allowed: allowedBytes,
 		what: "bytes a second in the worst minute, a hollow dispatcher",
 	},
 	{
-		role: Dispatcher, figure: "dispatcher.real.core_share", factor: 1, unit: UnitCores, allowed: allowedCores,
+		role: Dispatcher, namePattern: "dispatcher.real.core_share", factor: 1, unit: UnitCores, allowed: allowedCores,
 		what: "processor time over the run, a real daemon",
 	},
 	{
-		role: Dispatcher, figure: "dispatcher.real.core_share_worst_10s", factor: 1, unit: UnitCores, allowed: allowedCores,
+		role: Dispatcher, namePattern: "dispatcher.real.core_share_worst_10s", factor: 1, unit: UnitCores, allowed: allowedCores,
 		what: "processor time in the worst ten seconds, a real daemon",
 	},
 	{
-		role: Dispatcher, figure: "dispatcher.real.memory_peak", factor: megabyte, unit: UnitBytes, allowed: allowedMemory,
+		role: Dispatcher, namePattern: "dispatcher.real.memory_peak", factor: megabyte, unit: UnitBytes, allowed: allowedMemory,
 		what: "memory at its peak, a real daemon",
 	},
 	{
-		role: Dispatcher, figure: "in_force.*.max", factor: 1, unit: UnitSeconds, allowed: allowedInForce,
+		role: Dispatcher, namePattern: "in_force.*.max", factor: 1, unit: UnitSeconds, allowed: allowedInForce,
 		what: "time until the last reachable dispatcher has a change",
 	},
 	{
-		role: Origin, figure: "origin.core_share_worst_10s", factor: 1, unit: UnitCores, allowed: machineCores,
+		role: Origin, namePattern: "origin.core_share_worst_10s", factor: 1, unit: UnitCores, allowed: machineCores,
 		what: "processor time in the worst ten seconds",
 	},
 	{
-		role: Origin, figure: "origin.bytes_out_worst_10s", factor: 1, unit: UnitBytesPerSecond, allowed: machineLine,
+		role: Origin, namePattern: "origin.bytes_out_worst_10s", factor: 1, unit: UnitBytesPerSecond, allowed: machineBytes,
 		what: "bytes a second in the worst ten seconds",
 	},
 	{
-		role: ControlMachine, figure: "relay.busiest.core_share_worst_10s", factor: 1, unit: UnitCores, allowed: machineCores,
+		role: ControlMachine, namePattern: "relay.busiest.core_share_worst_10s", factor: 1, unit: UnitCores, allowed: machineCores,
 		what: "processor time in the worst ten seconds, the busiest relay",
 	},
 	{
-		role: ControlMachine, figure: "relay.busiest.memory_peak", factor: megabyte, unit: UnitBytes, allowed: machineMemory,
+		role: ControlMachine, namePattern: "relay.busiest.memory_peak", factor: megabyte, unit: UnitBytes, allowed: machineMemory,
 		what: "memory at its peak, the busiest relay",
 	},
 	{
-		role: ControlMachine, figure: "relay.busiest.bytes_out_worst_10s", factor: 1, unit: UnitBytesPerSecond, allowed: machineLine,
+		role: ControlMachine, namePattern: "relay.busiest.bytes_out_worst_10s", factor: 1, unit: UnitBytesPerSecond, allowed: machineBytes,
 		what: "bytes a second in the worst ten seconds, the busiest relay",
 	},
 }
 
-// matches reports whether a figure of a run has the name.
+// matches reports whether name is the figure's name or matches its pattern.
 func (f boundedFigure) matches(name string) bool {
-	prefix, suffix, isPattern := strings.Cut(f.figure, "*")
+	prefix, suffix, isPattern := strings.Cut(f.namePattern, "*")
 	if !isPattern {
-		return name == f.figure
+		return name == f.namePattern
 	}
 	return len(name) > len(prefix)+len(suffix) && strings.HasPrefix(name, prefix) && strings.HasSuffix(name, suffix)
 }
 
-// scaleRows returns the needs by scale runs at the target's number of workers: for each limited figure and mechanism, the
-// run in which it was largest.
+// scaleRows returns the needs that scale runs with the target's number of workers measured: for each bounded figure and
+// mechanism, the largest value of any run.
 func (b *Basis) scaleRows(runs []ScaleRun) (rows []Row) {
 	for _, figure := range boundedFigures {
 		for _, mechanism := range []string{byDiscovery, byRelays} {
-			if row, ok := b.worstOf(figure, mechanism, runs); ok {
+			if row, ok := b.worstRow(figure, mechanism, runs); ok {
 				rows = append(rows, row)
 			}
 		}
@@ -108,8 +108,9 @@
 	return rows
 }
 
-// worstOf returns the row of the run in which a figure is largest.
-func (b *Basis) worstOf(figure boundedFigure, mechanism string, runs []ScaleRun) (row Row, ok bool) {
+// worstRow returns the row for the largest value of a figure in all runs by a mechanism with the target's number of workers,
+// and whether there is one.
+func (b *Basis) worstRow(figure boundedFigure, mechanism string, runs []ScaleRun) (row Row, ok bool) {
 	for _, run := range runs {
 		if run.Mechanism != mechanism || float64(run.Workers) != b.Target.Workers {
 			continue
@@ -126,19 +127,19 @@
 	return row, ok
 }
 
-// scaleRow returns the need that a figure of a run shows.
+// scaleRow returns the row for one figure of one run.
 func (b *Basis) scaleRow(bounded boundedFigure, run ScaleRun, figure ScaleFigure) Row {
-	carrier := b.Mechanisms.Membership
+	mechanism := b.Mechanisms.Membership
 	if run.Mechanism == byRelays {
-		carrier = b.Mechanisms.Relays
+		mechanism = b.Mechanisms.Relays
 	}
-	fleet := fmt.Sprintf("scenario %s, %s dispatchers", run.Scenario, counted(run.Dispatchers+run.Real))
+	fleet := fmt.Sprintf("scenario %s, %s dispatchers", run.Scenario, formatCount(run.Dispatchers+run.Real))
 	source := fmt.Sprintf("`%s` of `%s`", figure.Name, run.File)
 	return Row{
 		Role:      bounded.role,
 		What:      scaleNeedPrefix + run.Mechanism + ": " + bounded.what + " (" + fleet + ")",
 		Need:      Quantity{Value: figure.Value * bounded.factor, Unit: bounded.unit, Mark: Measured, Sources: []string{source}},
 		Allowed:   bounded.allowed(b),
-		Mechanism: carrier,
+		Mechanism: mechanism,
 	}
 }
--- a/internal/rehearsal/capacity/scalerun.go
+++ b/internal/rehearsal/capacity/scalerun.go
@@ -24,7 +24,7 @@
 	Kind  string  `json:"kind"`
 }
 
-// ScaleRun is one scenario run with one mechanism.
+// ScaleRun is one run of a scenario by one mechanism.
 type ScaleRun struct {
 	Command     string        `json:"command"`
 	Seed        uint64        `json:"seed"`
@@ -36,7 +36,7 @@
 	Figures     []ScaleFigure `json:"figures"`
 	Broken      []string      `json:"broken"` // limits and invariants that the run violated
 
-	File string `json:"-"`
+	File string `json:"-"` // name of the file from which it was read
 }
 
 // The files of slope runs; every other JSON file beside them is a scale run.
@@ -45,7 +45,7 @@
 	slopesFile       = "slopes.json"
 )
 
-// readScale reads all scale runs of a directory, by scenario and mechanism.
+// readScale reads all scale runs of a directory, sorted by scenario and mechanism.
 func readScale(dir string) (runs []ScaleRun, err error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.json"))
 	if err != nil {
@@ -78,22 +78,22 @@
 	return runs, nil
 }
 
-// ScaleTable compares the runs of one scenario.
+// ScaleTable compares the runs of one scenario, with one column for each run.
 type ScaleTable struct {
 	Scenario string
 	Runs     []ScaleRun
 	Lines    []ScaleLine
 }
 
-// ScaleLine is one figure of all runs of a scenario.
+// ScaleLine is one line of a ScaleTable: a figure in all runs of the scenario.
 type ScaleLine struct {
 	Name   string
 	Unit   string
 	Kind   string
-	Values []string // one for each run; empty where it has no such figure
+	Values []string // one for each run; empty if the run does not have the figure
 }
 
-// scaleTables groups runs, which are sorted by scenario, into tables.
+// scaleTables returns one table for each scenario. The runs must be sorted by scenario.
 func scaleTables(runs []ScaleRun) (tables []ScaleTable) {
 	for _, run := range runs {
 		isFirst := len(tables) == 0 || tables[len(tables)-1].Scenario != run.Scenario
@@ -109,16 +109,16 @@
 	return tables
 }
 
-// fill sets the lines, in the order in which the runs have their figures.
+// fill sets the lines of the table from its runs. Lines are in the order in which their figures first occur in the runs.
 func (t *ScaleTable) fill() {
 	for column, run := range t.Runs {
 		for _, figure := range run.Figures {
-			t.lineOf(figure).Values[column] = significant(figure.Value)
+			t.lineOf(figure).Values[column] = formatSignificant(figure.Value)
 		}
 	}
 }
 
-// lineOf returns the line of a figure, which is added if there is none.
+// lineOf returns the line of a figure, and adds it if the table has none.
 func (t *ScaleTable) lineOf(figure ScaleFigure) *ScaleLine {
 	for i := range t.Lines {
 		line := &t.Lines[i]
--- a/internal/rehearsal/capacity/scalerun_test.go
+++ b/internal/rehearsal/capacity/scalerun_test.go
@@ -20,19 +20,19 @@
 	return dir
 }
 
-// scaleRunJSON is a file of one run of the scenario day.
+// scaleRunJSON returns the content of a file with one run of the scenario day.
 func scaleRunJSON(mechanism, figures string) string {
 	const format = `[{"command":"scale day","seed":1,"workers":200,"dispatchers":3,"mechanism":%q,"scenario":"day","figures":[%s]}]`
 	return fmt.Sprintf(format, mechanism, figures)
 }
 
-// The runs of a scenario stand side by side, a line for each figure of any of them.
+// The runs of one scenario are the columns of one table, which has a line for each figure that any of them has.
 func TestScaleTables(t *testing.T) {
 	dir := writeFiles(t, map[string]string{
 		"day-discovery.json": scaleRunJSON(byDiscovery, `{"name":"bytes","unit":"B/s","value":12345.6,"kind":"real"}`),
 		"day-relays.json": scaleRunJSON(byRelays,
 			`{"name":"bytes","unit":"B/s","value":2,"kind":"real"},{"name":"p99","unit":"s","value":0.25,"kind":"hollow"}`),
-		slopesFile: `{}`, // is no scale run
+		slopesFile: `{}`, // not a scale run, and not read
 	})
 	runs, err := readScale(dir)
 	if err != nil {
@@ -49,15 +49,15 @@
 	}
 }
 
-// A run without its command is rejected.
+// A file with a run that has no command is rejected.
 func TestScaleRunWithoutCommand(t *testing.T) {
 	dir := writeFiles(t, map[string]string{"broken.json": `[{"scenario":"x"}]`})
 	if _, err := readScale(dir); err == nil {
-		t.Error("a run without its command was read")
+		t.Error("a run without a command was read")
 	}
 }
 
-// scaleRun is a run of 68 dispatchers.
+// scaleRun returns a run with 66 hollow dispatchers and 2 daemons.
 func scaleRun(mechanism string, workers int, scenario string, figures ...ScaleFigure) ScaleRun {
 	return ScaleRun{
 		Command:     "c",
@@ -71,7 +71,7 @@
 	}
 }
 
-// Of each limited figure the worst run counts, only at the target's number of workers and by mechanism.
+// For each bounded figure and mechanism there is one need: the largest value of the runs with the target's number of workers.
 func TestScaleNeeds(t *testing.T) {
 	basis := testBasis()
 	basis.Scale = []ScaleRun{
--- a/internal/rehearsal/capacity/slopes.go
+++ b/internal/rehearsal/capacity/slopes.go
@@ -1,6 +1,6 @@
-// Package capacity measures what a dispatcher's control work costs by the size of the fleet, fits lines to it, and writes
-// docs/CAPACITY.md from the runs. Every figure on that page is measured by a run in the data, computed from such figures,
-// or listed as an assumption.
+// Package capacity measures how the cost of a dispatcher's control work depends on the size of the fleet, fits lines to the
+// measured values, and generates docs/CAPACITY.md from the stored runs. Every figure on that page is measured by a stored
+// run, computed from such figures, given by the target, or listed as an assumption.
 package capacity
 
 import (
@@ -31,27 +31,28 @@
 // SeriesName names what a series measures.
 type SeriesName string
 
-// The series of a slope run. Of the daemon, metered from outside:
+// The series of a slope run. Those that begin with Module measure the decision module alone; the others measure the daemon,
+// from outside.
 const (
-	ReadyTime      SeriesName = "ready"             // from its start until it is ready
-	StartCPU       SeriesName = "start_cpu"         // processor time of the start
-	StartResident  SeriesName = "start_resident"    // peak of resident memory after the start
-	PeakResident   SeriesName = "peak_resident"     // the same at the end of a repetition
-	SnapshotBytes  SeriesName = "snapshot_bytes"    // on the connection
-	SnapshotGzip   SeriesName = "snapshot_gzip"     // the same list compressed by gzip, at its default level
-	IdleCPU        SeriesName = "idle_cpu"          // processor time per second while nothing changes
-	IdleBytes      SeriesName = "idle_bytes"        // bytes per second while nothing changes
-	DeltaCPU       SeriesName = "delta_cpu"         // processor time per one-worker delta, without the idle part
-	DeltaBytes     SeriesName = "delta_bytes"       // bytes per one-worker delta, without the idle part
-	ZoneLossCPU    SeriesName = "zone_loss_cpu"     // processor time for the loss of a zone's workers, one delta each
-	ZoneLossDeltas SeriesName = "zone_loss_deltas"  // number of deltas for it
-	ModuleDelta    SeriesName = "module_delta"      // a one-worker delta in the module alone
-	ModuleWarm     SeriesName = "module_arrival"    // a request there, all workers warm
-	ModuleCold     SeriesName = "module_cold"       // a request there, a tenth of the workers warming up
-	ModulePick     SeriesName = "module_cold_pick"  // the median of the same requests
-	ModuleTeams    SeriesName = "module_teams"      // a request there, by the number of teams with quotas
-	ModuleHeld     SeriesName = "module_held_bytes" // memory there, by the running tasks
-	ModuleSweep    SeriesName = "module_sweep"      // one sweep there, by the running tasks
+	ReadyTime        SeriesName = "ready"             // time from the daemon's start until it is ready
+	StartCPU         SeriesName = "start_cpu"         // processor time of the start
+	StartResident    SeriesName = "start_resident"    // peak resident memory after the start
+	PeakResident     SeriesName = "peak_resident"     // peak resident memory at the end of the measurement
+	SnapshotBytes    SeriesName = "snapshot_bytes"    // bytes on the connection to discovery during the start
+	SnapshotGzip     SeriesName = "snapshot_gzip"     // bytes of the endpoint list compressed by gzip, at its default level
+	IdleCPU          SeriesName = "idle_cpu"          // processor time per second while nothing changes
+	IdleBytes        SeriesName = "idle_bytes"        // bytes per second while nothing changes
+	DeltaCPU         SeriesName = "delta_cpu"         // processor time per one-worker delta, without the idle part
+	DeltaBytes       SeriesName = "delta_bytes"       // bytes per one-worker delta, without the idle part
+	ZoneLossCPU      SeriesName = "zone_loss_cpu"     // processor time for the loss of a zone's workers, one delta each
+	ZoneLossDeltas   SeriesName = "zone_loss_deltas"  // number of deltas for the loss of a zone's workers
+	ModuleDelta      SeriesName = "module_delta"      // time of a one-worker delta
+	ModuleWarm       SeriesName = "module_arrival"    // mean time of the decision on a request, no worker in slow start
+	ModuleCold       SeriesName = "module_cold"       // mean time of the decision on a request, a tenth of the workers in slow start
+	ModulePick       SeriesName = "module_cold_pick"  // median time of the same decisions as in ModuleCold
+	ModuleTeams      SeriesName = "module_teams"      // mean time of the decision on a request, by the number of teams with quotas
+	ModuleTaskMemory SeriesName = "module_held_bytes" // memory of the running tasks, by their number
+	ModuleSweep      SeriesName = "module_sweep"      // time of one sweep, by the number of running tasks
 )
 
 // Unit is the unit of a value.
@@ -76,13 +77,13 @@
 	AxisTasks   Axis = "tasks"
 )
 
-// Point has the values at one size, one for each repetition.
+// Point holds the values of a series at one size, one for each repetition.
 type Point struct {
 	Size   int       `json:"size"`
 	Values []float64 `json:"plays"`
 }
 
-// Series is one quantity by size.
+// Series holds the values of one measured quantity at several sizes.
 type Series struct {
 	Name   SeriesName `json:"name"`
 	Unit   Unit       `json:"unit"`
@@ -90,7 +91,7 @@
 	Points []Point    `json:"points"`
 }
 
-// Slopes is one file of slope runs.
+// Slopes is the content of one file of slope runs.
 type Slopes struct {
 	Command     string   `json:"command"`
 	Date        string   `json:"date"`
@@ -151,7 +152,7 @@
 	return &s.Series[i]
 }
 
-// record adds the value of one repetition.
+// record adds the value of one repetition to a series, and adds the series and the size if they are new.
 func (s *Slopes) record(name SeriesName, unit Unit, axis Axis, size int, value float64) {
 	series := s.series(name)
 	if series == nil {
@@ -166,10 +167,11 @@
 	series.Points[i].Values = append(series.Points[i].Values, value)
 }
 
-// Replace replaces the series that another run of the same program also has, and adds the others of that run.
+// Replace takes over all series of another run of the same program: it replaces those that this run has, too, and adds the
+// others.
 func (s *Slopes) Replace(other Slopes) error {
 	if s.Version != other.Version || s.Repetitions != other.Repetitions || !slices.Equal(s.Sizes, other.Sizes) {
-		return fmt.Errorf("runs differ: version %s, %d plays, sizes %v beside version %s, %d plays, sizes %v",
+		return fmt.Errorf("runs differ: version %s, %d plays, sizes %v and version %s, %d plays, sizes %v",
 			s.Version, s.Repetitions, s.Sizes, other.Version, other.Repetitions, other.Sizes)
 	}
 	for _, series := range other.Series {
@@ -187,7 +189,7 @@
 // Merge adds the repetitions of another run of the same program at the same sizes.
 func (s *Slopes) Merge(other Slopes) error {
 	if s.Version != other.Version || s.Cores != other.Cores || !slices.Equal(s.Sizes, other.Sizes) {
-		return fmt.Errorf("runs differ: version %s, %d cores, sizes %v beside version %s, %d cores, sizes %v",
+		return fmt.Errorf("runs differ: version %s, %d cores, sizes %v and version %s, %d cores, sizes %v",
 			s.Version, s.Cores, s.Sizes, other.Version, other.Cores, other.Sizes)
 	}
 	for _, series := range other.Series {
--- a/internal/rehearsal/capacity/slopes_test.go
+++ b/internal/rehearsal/capacity/slopes_test.go
@@ -8,25 +8,25 @@
 	"testing"
 )
 
-// oneRepetition is a file of slope runs with one value.
+// oneRepetition returns slope runs of a version, with one repetition of one value.
 func oneRepetition(version string) Slopes {
 	slopes := Slopes{Command: "c", Date: "2026-12-02", Version: version, Cores: 8, Repetitions: 1, Sizes: []int{200}}
 	slopes.record(ReadyTime, UnitSeconds, AxisWorkers, 200, 0.02)
 	return slopes
 }
 
-// Repetitions of one program are merged, and those of two are not.
+// Repetitions of the same version of the program are merged, and those of different versions are not.
 func TestMerge(t *testing.T) {
 	slopes := oneRepetition("a")
 	if err := slopes.Merge(oneRepetition("a")); err != nil || slopes.Repetitions != 2 || len(slopes.Series[0].Points[0].Values) != 2 {
 		t.Errorf("%+v, %v, want 2 repetitions", slopes, err)
 	}
 	if err := slopes.Merge(oneRepetition("b")); err == nil {
-		t.Error("repetitions of two programs were merged")
+		t.Error("repetitions of two versions were merged")
 	}
 }
 
-// Series of another run replace those of the same name and are added otherwise.
+// Each series of another run replaces the series of the same name, or is added if there is none.
 func TestReplace(t *testing.T) {
 	slopes := oneRepetition("a")
 	other := oneRepetition("a")
@@ -37,7 +37,7 @@
 	}
 }
 
-// A run with another number of repetitions replaces nothing.
+// Series of a run with another number of repetitions are not taken over.
 func TestReplaceOfOtherRepetitions(t *testing.T) {
 	twice := oneRepetition("a")
 	if err := twice.Merge(oneRepetition("a")); err != nil {
@@ -45,11 +45,11 @@
 	}
 	slopes := oneRepetition("a")
 	if err := slopes.Replace(twice); err == nil {
-		t.Error("a series of two repetitions replaced one of one")
+		t.Error("a series of two repetitions replaced one of a single repetition")
 	}
 }
 
-// A file in which a repetition is missing or too many is rejected.
+// A file in which a point has not exactly one value for each repetition is rejected.
 func TestReadSlopesChecksRepetitions(t *testing.T) {
 	slopes := testSlopes()
 	slopes.Repetitions = 2
@@ -62,6 +62,6 @@
 		t.Fatal(err)
 	}
 	if _, err := ReadSlopes(path); err == nil || !strings.Contains(err.Error(), "3 values for 2 plays") {
-		t.Errorf("%v, want an error of 3 values for 2", err)
+		t.Errorf("%v, want an error that names 3 values for 2 plays", err)
 	}
 }
