--- a/internal/daemon/check.go
+++ b/internal/daemon/check.go
@@ -12,8 +12,9 @@
 	"hollyyoke.example/hollyyoke/internal/eventloop"
 )
 
-// Check reads and checks the files that Serve would read, and prints what they
-// configure. Nothing is started. An error names the file and the key that is wrong.
+// Check reads and validates the files that Serve would read, and prints what they
+// configure. It opens no socket and starts nothing. An error names the file and the key
+// that is wrong.
 func Check(files Files, env func(string) string, out io.Writer) error {
 	loaded, err := load(files, env)
 	if err != nil {
@@ -38,7 +39,8 @@
 	return nil
 }
 
-// explainConfig prints what the configuration file says.
+// explainConfig prints a summary of the configuration: the addresses, the resource
+// limits, and a line for each class.
 func (l *loadedFiles) explainConfig(out io.Writer) {
 	fileConfig := &l.config
 	fmt.Fprintf(out, "name %s, listen %s, discovery %s, admin API %s\n", fileConfig.Name,
@@ -53,7 +55,8 @@
 	}
 }
 
-// explainFaktory prints the addresses and the durable queues of the Faktory front end.
+// explainFaktory prints the addresses and the durable queues of the Faktory front end, if
+// it is on.
 func (l *loadedFiles) explainFaktory(out io.Writer) {
 	if !l.hasFaktory {
 		return
@@ -64,7 +67,8 @@
 	fmt.Fprintf(out, "Faktory front end: listen %s, upstream %s\n", cmp.Or(l.faktory.Listen, "(off)"), cmp.Or(l.faktory.Source.Address, "(off)"))
 }
 
-// explainOperator checks and prints the operator's tables.
+// explainOperator validates and prints the tables [connections] and [membership] of the
+// operator's file.
 func (l *loadedFiles) explainOperator(out io.Writer) error {
 	if _, err := gateConfig(&l.connections, l.config.connectionDescriptors()); err != nil {
 		return err
--- a/internal/daemon/drain.go
+++ b/internal/daemon/drain.go
@@ -6,13 +6,14 @@
 	"hollyyoke.example/hollyyoke/internal/handover"
 )
 
-// Errors of setOutOfService. The admin API answers with their texts.
+// Errors of setOutOfService. The admin API sends their texts to the caller.
 var (
 	errStopping      = errors.New("the dispatcher is ending and does not come back into service")
 	errNoHealthCheck = errors.New("the Faktory front alone tells no health, and cannot be taken out of service")
 )
 
-// ready reports whether this process accepts clients.
+// ready reports whether this process accepts clients and, if the HTTP front end is on,
+// whether a worker is known to which requests can be sent.
 func (p *process) ready() bool {
 	if p.phase != serving {
 		return false
@@ -20,8 +21,8 @@
 	return p.frontEnds.http == nil || p.frontEnds.http.Ready()
 }
 
-// setOutOfService begins or ends a drain, here and in the peer process. To repeat a
-// call changes nothing.
+// setOutOfService begins or ends a drain, in this process and in its peer process.
+// Repeating a call has no effect.
 func (p *process) setOutOfService(out bool) error {
 	switch {
 	case p.phase == stopping && !out:
@@ -34,8 +35,8 @@
 	return nil
 }
 
-// setDraining begins or ends a drain of this process. One that stops is drained
-// already, and stays so.
+// setDraining begins or ends a drain of this process. It does nothing during a shutdown,
+// which has taken the process out of service for good.
 func (p *process) setDraining(draining bool) {
 	switch {
 	case p.phase == stopping:
--- a/internal/daemon/golden_config_test.go
+++ b/internal/daemon/golden_config_test.go
@@ -14,13 +14,13 @@
 	"hollyyoke.example/hollyyoke/internal/goldentest"
 )
 
-// Keys of the main configuration, its errors, and the variables of the environment with
-// the keys that they override.
+// The keys of the configuration file, the errors for invalid ones, and which environment
+// variable overrides which key must stay the same.
 func TestGoldenConfiguration(t *testing.T) {
 	lines := goldentest.Keys(reflect.TypeFor[config](), "json")
 	const settings = `"settings":{"classes":[{"name":"a","repeat":"retryable"}]}`
-	requested := map[string]bool{} // variables of the environment
-	read := func(text string, when occasion, environment map[string]string) {
+	requested := map[string]bool{} // environment variables that were read
+	read := func(text string, trigger loadTrigger, environment map[string]string) {
 		path := filepath.Join(t.TempDir(), "config.json")
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
@@ -29,7 +29,7 @@
 			requested[name] = true
 			return environment[name]
 		}
-		loaded, _, err := readConfig(path, env, when)
+		loaded, _, err := readConfig(path, env, trigger)
 		values, _ := json.Marshal([]any{
 			loaded.Name,
 			loaded.Listen,
@@ -40,7 +40,7 @@
 			loaded.Limits.Sockets,
 			string(loaded.Known),
 		})
-		lines = append(lines, fmt.Sprintf("%s again=%v %v: %s; %v", text, when == atReload, environment, values, err))
+		lines = append(lines, fmt.Sprintf("%s again=%v %v: %s; %v", text, trigger == atReload, environment, values, err))
 	}
 	for _, text := range []string{
 		`{}`,
@@ -59,10 +59,10 @@
 	}
 	names := slices.Sorted(maps.Keys(requested))
 	for _, name := range names {
-		for _, when := range []occasion{atStart, atReload} {
+		for _, trigger := range []loadTrigger{atStart, atReload} {
 			environment := map[string]string{name: "e:9"}
-			read(`{`+settings+`}`, when, environment)
-			read(`{"name":"n","listen":"l","discovery":"d:1","admin_addr":"a",`+settings+`}`, when, environment)
+			read(`{`+settings+`}`, trigger, environment)
+			read(`{"name":"n","listen":"l","discovery":"d:1","admin_addr":"a",`+settings+`}`, trigger, environment)
 		}
 	}
 	_, err := openListener(func(name string) string {
@@ -73,7 +73,8 @@
 	goldentest.Compare(t, "config.golden", goldentest.Lines(lines))
 }
 
-// A seed is hexadecimal digits, or any text.
+// A configured seed may be a hexadecimal number or any other text. Each must give the
+// same seed in every build.
 func TestGoldenSeed(t *testing.T) {
 	var lines []string
 	for _, seed := range []any{"0000000000000001", "ff", "any text", 12.0, nil} {
--- a/internal/daemon/handover.go
+++ b/internal/daemon/handover.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	// handoverIdleTimeout is how long after SIGTERM idle connections are kept.
+	// handoverIdleTimeout is how long idle connections are kept open after SIGTERM.
 	handoverIdleTimeout = 1500 * time.Millisecond
 
-	// The platform sends SIGKILL killDelay after the longest deadline of a class,
-	// which counts as maxKillDeadline at most. What is still unanswered killMargin
-	// before it is answered then.
+	// The time from SIGTERM to the platform's SIGKILL is the longest deadline of any
+	// class, but at most maxKillDeadline, plus killDelay. Requests that are still
+	// unanswered killMargin before SIGKILL are answered then.
 	killDelay       = 700 * time.Millisecond
 	maxKillDeadline = 3 * time.Second
 	killMargin      = 250 * time.Millisecond
 
-	handoverPoll = 10 * time.Millisecond // between checks whether all is handed over
+	handoverPoll = 10 * time.Millisecond // between checks whether the handover is complete
 )
 
-// handOver shuts this process down beside a successor that accepts clients. From now on
-// this process accepts nothing. Connections end with their next answer; those that stay
-// idle are closed after handoverIdleTimeout. Requests that are unanswered shortly before
-// SIGKILL are answered then.
+// handOver shuts this process down after its successor has begun to accept clients. This
+// process stops accepting connections. Each open connection is closed after its next
+// response, or after handoverIdleTimeout if it stays idle. Requests that are still
+// unanswered shortly before SIGKILL are answered with an error then.
 func (p *process) handOver() {
 	began := p.dispatcher.Loop.Now()
 	p.dispatcher.Log("handing over to the successor")
@@ -34,15 +34,15 @@
 		p.sendToPeer(handover.Message{StoreReleased: true})
 	})
 	p.sendLimits()
-	remaining := &handoverRemainder{
-		process:   p,
-		idleAfter: began + handoverIdleTimeout,
-		expireAt:  began + p.killTime() - killMargin,
+	pending := &pendingHandover{
+		process:          p,
+		closeIdleAt:      began + handoverIdleTimeout,
+		expireRequestsAt: began + p.killTime() - killMargin,
 	}
-	p.stopWhen(remaining.advance, handoverPoll)
+	p.stopWhen(pending.advance, handoverPoll)
 }
 
-// killTime returns after which time from SIGTERM the platform sends SIGKILL.
+// killTime returns the time from SIGTERM to the platform's SIGKILL.
 func (p *process) killTime() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range p.dispatcher.Settings.Classes {
@@ -51,34 +51,35 @@
 	return min(longest, maxKillDeadline) + killDelay
 }
 
-// handoverRemainder is what a process that hands over still has to do: its answers, and
-// the release of its durable jobs.
-type handoverRemainder struct {
-	process   *process
-	idleAfter time.Duration // idle connections are closed from then on
-	expireAt  time.Duration // all requests end then
+// pendingHandover is a handover that is not complete: requests are unanswered, the store
+// of durable jobs is not released, or connections are open.
+type pendingHandover struct {
+	process          *process
+	closeIdleAt      time.Duration // loop time from which idle connections are closed
+	expireRequestsAt time.Duration // loop time at which all open requests are answered as expired
 }
 
-// advance closes what may be closed, and reports whether the process may exit.
-func (r *handoverRemainder) advance() (finished bool) {
+// advance closes connections and ends requests that have reached their time, and reports
+// whether the process may exit.
+func (r *pendingHandover) advance() (finished bool) {
 	p := r.process
 	now := p.dispatcher.Loop.Now()
-	if now >= r.idleAfter {
+	if now >= r.closeIdleAt {
 		p.frontEnds.closeIdle()
 	}
-	if now >= r.expireAt {
+	if now >= r.expireRequestsAt {
 		p.frontEnds.http.StopReading()
 		p.dispatcher.ExpireAll()
 	}
 	return r.finished(now)
 }
 
-// finished reports whether nothing is left to do. Clients have half of the margin
-// before SIGKILL to read the last answers.
-func (r *handoverRemainder) finished(now time.Duration) bool {
+// finished reports whether the handover is complete. Connections on which the client has
+// not read the last response do not count once half of killMargin is left until SIGKILL.
+func (r *pendingHandover) finished(now time.Duration) bool {
 	p := r.process
 	if !p.replacement.storeReleased || p.dispatcher.Unanswered() > 0 || p.frontEnds.faktory.Busy() {
 		return false
 	}
-	return p.frontEnds.http.OpenConnections() == 0 || now >= r.expireAt+killMargin/2
+	return p.frontEnds.http.OpenConnections() == 0 || now >= r.expireRequestsAt+killMargin/2
 }
--- a/internal/daemon/listen.go
+++ b/internal/daemon/listen.go
@@ -17,16 +17,16 @@
 
 // This file opens the front ends and the admin API.
 
-// maxClients returns how many connections of clients each front end may have.
+// maxClients returns how many client connections each front end may have open.
 func (l *loadedFiles) maxClients() int {
 	share := transport.AcceptedShare(l.config.connectionDescriptors())
 	if l.hasFaktory && l.config.Listen != "" {
-		return share / 2 // half for either front end
+		return share / 2 // each of the two front ends gets half
 	}
 	return share
 }
 
-// openHTTP opens the HTTP front end's listener, if it is on.
+// openHTTP creates the HTTP front end and opens its listener, if it is on.
 func (p *process) openHTTP(env func(string) string) (err error) {
 	if p.config.Listen == "" {
 		return nil
@@ -43,7 +43,8 @@
 	return nil
 }
 
-// hasWorkers reports whether requests can be served by the endpoint list.
+// hasWorkers reports whether the endpoint list is usable and has a worker that accepts
+// requests.
 func (p *process) hasWorkers() bool {
 	if p.dispatcher.ReadyWorkers() == 0 && !p.registry.HasRunning() {
 		return false
@@ -51,8 +52,8 @@
 	return p.registry.Usable()
 }
 
-// openListener returns the listener for clients: the socket that the platform keeps
-// and numbers in the environment, or a new one at addr.
+// openListener returns the listener for clients: the inherited socket whose descriptor
+// number the platform has set in the environment, or else a new one at addr.
 func openListener(env func(string) string, addr string) (net.Listener, error) {
 	text := env(envListenerDescriptor)
 	if text == "" {
@@ -69,20 +70,20 @@
 	return inherited, nil
 }
 
-// inheritListener returns the listener of a descriptor's number.
+// inheritListener returns the listener on the inherited descriptor whose number is text.
 func inheritListener(text string) (net.Listener, error) {
 	descriptor, err := strconv.Atoi(text)
 	if err != nil {
 		return nil, err
 	}
 	if descriptor < 0 {
-		return nil, errors.New("a descriptor is not negative")
+		return nil, errors.New("descriptor number is negative")
 	}
 	return transport.ListenerFromDescriptor(descriptor)
 }
 
-// setUpFaktory opens the Faktory front end, if it is on; beside a predecessor, which
-// has its address and its store, it prepares to open it later.
+// setUpFaktory opens the Faktory front end, if it is on. If there is a predecessor, which
+// has the address and the store open, the front end is opened later, by takeOverFaktory.
 func (p *process) setUpFaktory(hasPredecessor bool, log *slog.Logger) error {
 	if !p.loaded.hasFaktory {
 		return nil
@@ -107,8 +108,8 @@
 	return nil
 }
 
-// openFaktory opens the Faktory front end, and lets the HTTP front end use its
-// store.
+// openFaktory opens the Faktory front end, and gives the HTTP front end access to its
+// durable jobs.
 func (p *process) openFaktory(c faktory.Config) (err error) {
 	p.frontEnds.faktory, err = faktory.Open(p.dispatcher, p.engine, c, p.frontEnds.maxClients, p.gate)
 	if err != nil {
--- a/internal/daemon/load.go
+++ b/internal/daemon/load.go
@@ -12,26 +12,26 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-// Files are the paths of the files that a process reads, and how it logs.
+// Files are the paths of the files that a process reads, and whether it logs a trace.
 type Files struct {
-	Config   string // the configuration; empty: BALANCER_CONFIG names it
-	Faktory  string // operator's file of the Faktory front end; empty: none
-	Operator string // operator's file, a table for each subsystem; empty: none
+	Config   string // configuration file; if empty, the path is in BALANCER_CONFIG
+	Faktory  string // operator's file for the Faktory front end alone; empty if there is none
+	Operator string // operator's file with a table for each subsystem; empty if there is none
 	Trace    bool   // log each step of each request
 }
 
-// loadedFiles is the checked content of the files.
+// loadedFiles is the validated content of the files.
 type loadedFiles struct {
 	config             config
-	configuredSettings decision.Settings // as the configuration file has them
-	settings           decision.Settings // in force: the Faktory front end adds to them
+	configuredSettings decision.Settings // as in the configuration file
+	settings           decision.Settings // in force: configuredSettings with the Faktory front end's additions
 	faktory            faktory.Config
 	hasFaktory         bool
 	connections        settings.Connections
 	membership         settings.Membership
 }
 
-// load reads and checks all files.
+// load reads and validates all files.
 func load(files Files, env func(string) string) (l loadedFiles, err error) {
 	l.config, l.configuredSettings, err = readConfig(files.Config, env, atStart)
 	if err != nil {
@@ -95,8 +95,8 @@
 	return nil
 }
 
-// gateConfig converts the operator's table [connections] for a gate that has a
-// number of descriptors.
+// gateConfig converts the operator's table [connections] to the configuration of a gate
+// that may use the given number of descriptors.
 func gateConfig(table *settings.Connections, descriptors int) (listener.Config, error) {
 	limits, err := table.LimitsFor(transport.ConnectionDescriptors(descriptors))
 	if err != nil {
@@ -111,7 +111,8 @@
 	}, nil
 }
 
-// followConfig converts the operator's table [membership].
+// followConfig converts the operator's table [membership] to the configuration with which
+// the registry follows versioned changes of the endpoint list.
 func followConfig(table *settings.Membership, current *config, configured *decision.Settings) (discovery.FollowConfig, error) {
 	sources, err := table.SourcesFor(configured)
 	if err != nil {
--- a/internal/daemon/log.go
+++ b/internal/daemon/log.go
@@ -5,8 +5,8 @@
 	"log/slog"
 )
 
-// NewLogger returns a process's logger, in the form json, or as text for any other
-// form.
+// NewLogger returns the logger of a process, which writes to w. Lines are JSON if form is
+// "json", and text for any other form.
 func NewLogger(w io.Writer, form string) *slog.Logger {
 	if form == "json" {
 		return slog.New(slog.NewJSONHandler(w, nil))
--- a/internal/daemon/peer.go
+++ b/internal/daemon/peer.go
@@ -7,15 +7,15 @@
 	"hollyyoke.example/hollyyoke/internal/handover"
 )
 
-// This file is what a process does with its peer, whichever of them is the successor.
+// This file has what a process does in both roles, as predecessor and as successor.
 
-// replacement is the state of the replacement of one process by another. A process may
-// be a successor first and a predecessor later, never both at a time.
+// replacement is the state of the replacement of one process by another. A process may be
+// a successor first and a predecessor later, but never both at the same time.
 type replacement struct {
-	enabled     bool               // the listener is the platform's, and other processes have it
-	socketPath  string             // of the handover socket
-	link        *handover.Link     // to the peer process; nil: there is none
-	limitsTimer eventloop.Deadline // for the next message about the limits
+	enabled     bool               // the listener is inherited from the platform, so that a successor can share it
+	socketPath  string             // path of the handover socket
+	link        *handover.Link     // to the peer process; nil if there is none
+	limitsTimer eventloop.Deadline // when the next Limits message is due
 
 	successorRole
 	predecessorRole
@@ -28,8 +28,9 @@
 	}
 }
 
-// shareWithPeer reports accepted request ids and slow-start reservations to the peer
-// process, which must not repeat them.
+// shareWithPeer makes the dispatcher report each accepted request id and each slow-start
+// reservation to the peer process, which must reject the same id and must not use the
+// same slow-start capacity again.
 func (p *process) shareWithPeer() {
 	p.dispatcher.OnAccepted = p.replacement.link.SendAccepted
 	p.dispatcher.OnReserved = func(worker string, amount float64) {
@@ -37,8 +38,8 @@
 	}
 }
 
-// receive handles the messages that either process may send.
-func (p *process) receive(message handover.Message) {
+// receiveFromPeer handles the fields of a message that either process may send.
+func (p *process) receiveFromPeer(message handover.Message) {
 	if message.IDs != "" {
 		ids, err := message.ReadIDs()
 		if err != nil {
@@ -59,7 +60,8 @@
 	}
 }
 
-// peerEnded returns to a single process, which has all descriptors and memory.
+// peerEnded makes this process work alone again: nothing is reported to a peer, and it uses
+// all descriptors and memory.
 func (p *process) peerEnded() {
 	p.replacement.link = nil
 	p.replacement.successorServing = false
@@ -73,7 +75,7 @@
 	}
 }
 
-// logListError logs why an endpoint list from the predecessor is not used.
+// logListError logs why an endpoint list from the predecessor was not applied.
 func (p *process) logListError(err error) {
 	p.dispatcher.Log(fmt.Sprintf("handover: endpoint list: %v", err))
 }
--- a/internal/daemon/predecessor.go
+++ b/internal/daemon/predecessor.go
@@ -8,22 +8,23 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-// This file is this process as the predecessor of another. handover.go has its end.
+// This file has what this process does as the predecessor of another. Its shutdown in this
+// role is in handover.go.
 
 const (
-	limitsInterval = 100 * time.Millisecond // between messages about the limits
-	limitsReserve  = 8                      // descriptors that may be opened between two of them
+	limitsInterval = 100 * time.Millisecond // between two Limits messages
+	limitsReserve  = 8                      // descriptors that may be opened between two Limits messages
 )
 
 // predecessorRole is the state of a process that a successor may replace.
 type predecessorRole struct {
-	acceptor         *transport.Acceptor // of the handover socket; nil: no successor can connect
+	acceptor         *transport.Acceptor // of the handover socket; nil if no successor can connect
 	successorServing bool                // the successor accepts clients
 	storeReleased    bool                // the successor may open the store of durable jobs
 }
 
-// listenForSuccessor opens the handover socket, where the platform keeps the listener
-// for a successor.
+// listenForSuccessor opens the handover socket, if the listener is inherited from the
+// platform and a successor can share it.
 func (p *process) listenForSuccessor() {
 	if !p.replacement.enabled {
 		return
@@ -37,14 +38,17 @@
 	p.replacement.acceptor = p.engine.Serve(socket, options).FixLimit()
 }
 
-// closeHandoverSocket ends listenForSuccessor. A successor that is connected stays so.
+// closeHandoverSocket accepts no more successors. The link to one that has connected stays
+// open.
 func (p *process) closeHandoverSocket() {
 	if p.replacement.acceptor != nil {
 		p.replacement.acceptor.Close()
 	}
 }
 
-// acceptSuccessor sends a successor the state of this process.
+// acceptSuccessor makes a link of a successor's connection and sends it the state of this
+// process: the greeting, the accepted request ids and the limits. It rejects the connection
+// during a shutdown, or if there is a peer process already.
 func (p *process) acceptSuccessor(connection *transport.Conn) transport.Handler {
 	if p.phase == stopping || p.replacement.link != nil {
 		return nil
@@ -79,7 +83,7 @@
 
 // receiveFromSuccessor handles a message of the successor.
 func (p *process) receiveFromSuccessor(message handover.Message) {
-	p.receive(message)
+	p.receiveFromPeer(message)
 	if message.Ready {
 		p.dispatcher.Log("successor is accepting clients")
 		p.replacement.successorServing = true
@@ -88,14 +92,15 @@
 	}
 }
 
-// successorEnded is called when the successor has ended.
+// successorEnded is called when the link to the successor has ended.
 func (p *process) successorEnded() {
 	p.dispatcher.Log("successor has ended")
 	p.peerEnded()
 }
 
-// sendLimits reports to the successor, at intervals, what this process uses of the
-// descriptors and the memory, and keeps to it unless it is stopping.
+// sendLimits tells the successor how many descriptors and how much memory this process
+// uses, and sets the timer to do so again after limitsInterval. Unless this process is
+// stopping, it also applies these numbers as its own limits.
 func (p *process) sendLimits() {
 	if p.replacement.link == nil {
 		return
@@ -108,9 +113,10 @@
 	p.dispatcher.Loop.Set(&p.replacement.limitsTimer, p.dispatcher.Loop.Now()+limitsInterval)
 }
 
-// ownLimits returns what this process uses beside its successor: most of the
-// descriptors while the successor starts, half once it accepts clients, and in the end
-// only what is in use.
+// ownLimits returns what this process may use while it has a successor: three quarters of
+// the descriptors while the successor starts, half once it accepts clients, and during the
+// shutdown only what is in use. Of the memory it is half, and during the shutdown what is
+// resident. It is never less than what is in use.
 func (p *process) ownLimits() handover.Limits {
 	used, resident := resourceUsage()
 	used += limitsReserve
--- a/internal/daemon/process.go
+++ b/internal/daemon/process.go
@@ -15,45 +15,46 @@
 // process is the running dispatcher. After the start it belongs to the loop's
 // goroutine.
 type process struct {
-	// What the start has read. It does not change.
+	// Set at the start and not changed afterwards.
 	files  Files
 	loaded loadedFiles
 
-	// config is in force. A reload or the peer process may move its discovery address.
+	// config is the configuration in force. A reload or the peer process may change its
+	// discovery address, and nothing else.
 	config config
 
-	// Components that newProcess makes.
+	// Components, created by newProcess.
 	dispatcher *dispatch.Dispatcher
 	engine     *transport.Engine
 	registry   *discovery.Registry
 	workers    *workerclient.Client
-	gate       *listener.Gate // admits connections; nil: all are admitted
+	gate       *listener.Gate // admits connections; nil if all are admitted
 
 	frontEnds   frontEnds
 	phase       phase
 	replacement replacement
 }
 
-// phase is a part of a process's life. The phases follow in the order of the constants.
-// A drain is not a phase: it may begin and end in any of them but stopping.
+// phase is a phase of a process's life cycle. The phases follow each other in the order of
+// the constants. A drain is not a phase: it may begin and end in any phase but stopping.
 type phase int
 
 const (
-	starting phase = iota // clients are not accepted yet; a predecessor may serve them
+	starting phase = iota // clients are not accepted yet; if there is a predecessor, it serves them
 	serving               // clients are accepted
 	stopping              // the graceful shutdown has begun
 )
 
-// frontEnds are those that are on.
+// frontEnds are the front ends that are on.
 type frontEnds struct {
-	http         *httpfront.FrontEnd // nil: off
-	httpListener net.Listener        // nil: the HTTP front end is off
+	http         *httpfront.FrontEnd // nil if the HTTP front end is off
+	httpListener net.Listener        // nil if the HTTP front end is off
 	faktory      faktory.FrontEnd
-	maxClients   int // connections of clients at a time, for each front end
+	maxClients   int // client connections that each front end may have open
 }
 
-// beginShutdown makes the health check fail and stops the supply of stored and upstream
-// jobs. Clients are still accepted.
+// beginShutdown makes the health check fail. No more durable jobs are offered to workers,
+// and no more jobs are fetched from an upstream server. Clients are still accepted.
 func (f *frontEnds) beginShutdown() {
 	if f.http != nil {
 		f.http.BeginShutdown()
@@ -61,16 +62,16 @@
 	f.faktory.Stop()
 }
 
-// stopAccepting closes the listener for HTTP clients: what arrives later waits in the
-// backlog, which a successor shares, or is rejected by the system.
+// stopAccepting closes the listener for HTTP clients. Later connections wait in the backlog
+// if a successor shares the socket; otherwise the kernel refuses them.
 func (f *frontEnds) stopAccepting() {
 	if f.http != nil {
 		f.http.StopAccepting()
 	}
 }
 
-// closeIdle closes the connections on which nothing is owed, and reports whether
-// none is left.
+// closeIdle closes the connections on which no request is open, and reports whether none
+// is left.
 func (f *frontEnds) closeIdle() bool {
 	idle := f.faktory.CloseIdle()
 	if f.http != nil {
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -12,14 +12,16 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-// reloadedFiles is what a reload reads: the configuration and the operator's file.
+// reloadedFiles is the content of the files that a reload reads: the configuration file
+// and the operator's file.
 type reloadedFiles struct {
 	config   config
 	settings decision.Settings
 	operator settings.Operator
 }
 
-// readForReload reads the files again, off the loop's goroutine.
+// readForReload reads the files again. It is called outside the loop's goroutine, since
+// reading blocks.
 func readForReload(files Files, env func(string) string) (r reloadedFiles, err error) {
 	r.config, r.settings, err = readConfig(files.Config, env, atReload)
 	if err != nil || files.Operator == "" {
@@ -32,9 +34,10 @@
 	return r, nil
 }
 
-// reload applies what can change while the process runs: the discovery address, the
-// limits on connections, and the servers from which versioned changes are followed.
-// What needs a restart is logged. An error in any part leaves all as it was.
+// reload applies the keys that can change while the process runs: the discovery address,
+// the limits on connections, and the servers whose versioned changes are followed. It logs
+// the names of changed keys that need a restart. If any part has an error, nothing is
+// applied.
 func (p *process) reload(next *reloadedFiles) error {
 	if err := p.checkReload(next); err != nil {
 		return err
@@ -43,7 +46,7 @@
 	if err != nil {
 		return err
 	}
-	err = p.reloadGate(&next.operator.Connections) // the last that can fail, since it also applies
+	err = p.reloadGate(&next.operator.Connections) // the last step that can fail, and the first that changes something
 	if err != nil {
 		return err
 	}
@@ -58,7 +61,8 @@
 	return nil
 }
 
-// checkReload reports what is wrong with the new configuration.
+// checkReload returns an error if the new configuration is invalid, or turns membership on
+// or off, which needs a restart.
 func (p *process) checkReload(next *reloadedFiles) error {
 	if err := p.registry.CheckList(next.config.Known); err != nil {
 		return err
@@ -72,8 +76,8 @@
 	return nil
 }
 
-// reloadGate applies the limits on connections, if the gate is on; a table with an
-// error changes nothing.
+// reloadGate applies the limits on connections, if the gate is on. If the table has an
+// error, nothing changes.
 func (p *process) reloadGate(table *settings.Connections) error {
 	if p.gate == nil {
 		return nil
@@ -88,23 +92,24 @@
 	return p.gate.Reconfigure(gateLimits, transport.ConnectionDescriptors(p.config.connectionDescriptors()))
 }
 
-// reloadDiscovery follows the discovery address, here and in the peer process, and
-// logs it with the keys that need a restart.
+// reloadDiscovery moves the discovery watch to the configured address, in this process and
+// in its peer process. It logs the address, and the changed keys that need a restart.
 func (p *process) reloadDiscovery(next *reloadedFiles) {
-	text := "reload: discovery stays at " + p.config.Discovery
+	message := "reload: discovery stays at " + p.config.Discovery
 	if next.config.Discovery != p.config.Discovery {
-		text = "reload: discovery moves to " + next.config.Discovery
+		message = "reload: discovery moves to " + next.config.Discovery
 		p.registry.MoveTo(next.config.Discovery)
 		p.sendToPeer(handover.Message{DiscoveryMoved: next.config.Discovery})
 	}
 	if keys := p.restartKeys(next); len(keys) > 0 {
-		text += "; changed, but a restart is needed: " + strings.Join(keys, ", ")
+		message += "; changed, but a restart is needed: " + strings.Join(keys, ", ")
 	}
-	p.dispatcher.Log(text)
+	p.dispatcher.Log(message)
 	p.config.Discovery = next.config.Discovery
 }
 
-// restartKeys returns the changed keys, sorted, that only a restart applies.
+// restartKeys returns the names of the keys that have changed but take effect only at a
+// restart, sorted.
 func (p *process) restartKeys(next *reloadedFiles) []string {
 	var changed []string
 	for _, key := range []struct {
--- a/internal/daemon/resources.go
+++ b/internal/daemon/resources.go
@@ -13,22 +13,22 @@
 const (
 	bytesPerMB = 1 << 20
 
-	// bufferShare and heapShare are the parts of the memory limit for buffers, which
-	// lie outside the Go heap, and for the heap. The rest is for the runtime.
+	// bufferShare and heapShare are the fractions of the memory limit for buffers, which
+	// are outside the Go heap, and for the heap. The rest is left to the runtime.
 	bufferShare = 0.3
 	heapShare   = 0.6 - bufferShare
 
-	defaultBufferMemory = 64 * bytesPerMB // without a memory limit
+	defaultBufferMemory = 64 * bytesPerMB // if memory is not limited
 
-	defaultDescriptors = 1024    // where the system sets no limit
-	maxDescriptorLimit = 1 << 20 // a system limit from here on counts as none
+	defaultDescriptors = 1024    // if the system sets no limit
+	maxDescriptorLimit = 1 << 20 // a system limit of this or more counts as no limit
 
 	// adminDescriptors are reserved for the admin API: its calls and its listener.
 	adminDescriptors = admin.MaxCalls + 1
 )
 
-// descriptors returns how many file descriptors all processes of the dispatcher may
-// have together: the smaller of the configured limit and the system's.
+// descriptors returns how many file descriptors all processes of the dispatcher may have
+// open together: the smaller of the configured limit and the system's limit.
 func (c *config) descriptors() int {
 	descriptors := defaultDescriptors
 	var limit syscall.Rlimit
@@ -41,8 +41,8 @@
 	return descriptors
 }
 
-// connectionDescriptors returns how many of the descriptors are for clients and
-// workers: all but those of the admin API.
+// connectionDescriptors returns how many of the descriptors are for connections to
+// clients and workers: all but those reserved for the admin API.
 func (c *config) connectionDescriptors() int {
 	if c.Admin == "" {
 		return c.descriptors()
@@ -50,10 +50,10 @@
 	return c.descriptors() - adminDescriptors
 }
 
-// hasMemoryLimit reports whether memory is limited.
+// hasMemoryLimit reports whether the configuration limits memory.
 func (c *config) hasMemoryLimit() bool { return c.Limits.MemoryMB >= 1 }
 
-// memory returns the limit in bytes for all processes of the dispatcher together.
+// memory returns the memory limit in bytes for all processes of the dispatcher together.
 func (c *config) memory() int64 { return int64(c.Limits.MemoryMB * bytesPerMB) }
 
 // bufferMemory returns how many bytes buffers may take up.
@@ -64,8 +64,8 @@
 	return int(c.Limits.MemoryMB * bufferShare * bytesPerMB)
 }
 
-// limitHeap sets the garbage collector's limit for the start, and gives back what
-// reading the command line and the files took.
+// limitHeap sets the Go runtime's memory limit to the heap's share, and returns the memory
+// that parsing the command line and the files has taken to the system.
 func (c *config) limitHeap() {
 	if c.hasMemoryLimit() {
 		debug.SetMemoryLimit(int64(c.Limits.MemoryMB * heapShare * bytesPerMB))
@@ -73,8 +73,8 @@
 	debug.FreeOSMemory()
 }
 
-// useLimits makes this process keep to a number of descriptors and of bytes, while a
-// peer process has the rest.
+// useLimits limits this process to a number of descriptors and bytes of memory, while a
+// peer process uses the rest.
 func (p *process) useLimits(descriptors int, memory int64) {
 	reserved := p.config.descriptors() - p.config.connectionDescriptors()
 	p.engine.Resize(descriptors - reserved)
@@ -90,11 +90,11 @@
 	}
 }
 
-// useAllLimits makes this process use all descriptors and memory.
+// useAllLimits allows this process all descriptors and memory of the dispatcher.
 func (p *process) useAllLimits() { p.useLimits(p.config.descriptors(), p.config.memory()) }
 
-// resourceUsage returns how many descriptors the process has open and how many bytes
-// are resident, as /proc reports; a value that cannot be read is 0.
+// resourceUsage returns how many descriptors the process has open and how many bytes of
+// its memory are resident, as /proc reports them. A value that cannot be read is 0.
 func resourceUsage() (descriptors int, resident int64) {
 	if list, err := os.ReadDir("/proc/self/fd"); err == nil {
 		descriptors = len(list)
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -15,9 +15,9 @@
 	"hollyyoke.example/hollyyoke/internal/workerclient"
 )
 
-// Serve runs the dispatcher until its graceful end, and returns nil then. An error
-// says why it did not start. It uses one processor, as one goroutine owns all state
-// and the machine is shared with others, unless there are durable queues.
+// Serve runs the dispatcher until a graceful shutdown is complete, and then returns nil.
+// An error says why the dispatcher could not start. It sets GOMAXPROCS to 1, since one
+// goroutine owns all state and other programs share the machine. Durable queues raise it.
 func Serve(files Files, env func(string) string, log *slog.Logger) error {
 	runtime.GOMAXPROCS(1)
 	caught := catchSignals()
@@ -43,22 +43,22 @@
 		return err
 	}
 	daemon.start(predecessor)
-	go daemon.handleReloads(env, caught.reload)
-	go daemon.handleStops(caught.stop)
-	daemon.dispatcher.Loop.Run() // until the end of shutdown
-	daemon.end()
+	go daemon.handleReloadSignals(env, caught.reload)
+	go daemon.handleStopSignals(caught.stop)
+	daemon.dispatcher.Loop.Run() // returns when the shutdown is complete
+	daemon.closeStoreAndLogTotals()
 	return nil
 }
 
-// newProcess builds dispatcher, registry, worker client and gate. No socket is open
-// after that.
+// newProcess creates the dispatcher, the registry, the worker client and the gate. It
+// opens no socket.
 func newProcess(files Files, loaded loadedFiles, log *slog.Logger) (*process, error) {
 	fileConfig := loaded.config
 	dispatcher, err := dispatch.New(eventloop.New(), loaded.settings, fileConfig.seed())
 	if err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	logFrom(dispatcher, log, files.Trace)
+	setUpLog(dispatcher, log, files.Trace)
 	engine, err := transport.NewEngine(dispatcher.Loop, fileConfig.connectionDescriptors())
 	if err != nil {
 		return nil, err
@@ -84,15 +84,15 @@
 	return daemon, nil
 }
 
-// logFrom has a dispatcher log messages, violated invariants and, where trace is set,
+// setUpLog makes a dispatcher log its messages, violated invariants and, if trace is set,
 // the steps of each request.
-func logFrom(dispatcher *dispatch.Dispatcher, log *slog.Logger, trace bool) {
+func setUpLog(dispatcher *dispatch.Dispatcher, log *slog.Logger, trace bool) {
 	dispatcher.Log = func(text string) { log.Info(text) }
 	dispatcher.Guard.Report = func(rule invariant.Rule, subject string) {
 		dispatcher.Log(fmt.Sprintf("invariant %v violated: %s", rule, subject))
 	}
 	if trace {
-		dispatcher.Trace = func(id, step string, more ...any) { log.Info(step, append(more, "id", id)...) }
+		dispatcher.Trace = func(id, step string, attributes ...any) { log.Info(step, append(attributes, "id", id)...) }
 	}
 }
 
@@ -121,20 +121,21 @@
 	return nil
 }
 
-// start accepts clients; beside a predecessor, only once they can be served.
+// start makes the process accept clients: at once if there is no predecessor, and
+// otherwise once requests can be served.
 func (p *process) start(predecessor net.Conn) {
 	p.replacement.limitsTimer.Fire = p.sendLimits
 	if predecessor != nil && p.startAsSuccessor(predecessor) == nil {
 		return
 	}
-	p.replacement.greetingDone = true // there is none to wait for
+	p.replacement.greetingDone = true // no predecessor will send a greeting
 	p.loadInitialList(nil)
 	p.serve()
 	p.listenForSuccessor()
 }
 
-// loadInitialList starts from an endpoint list: the predecessor's or, where it has
-// none or it cannot be used, the configuration's.
+// loadInitialList sets the endpoint list with which the process starts: the predecessor's
+// or, if that is missing or invalid, the configuration's.
 func (p *process) loadInitialList(predecessorList []byte) {
 	if len(predecessorList) > 0 {
 		err := p.registry.LoadInitial(predecessorList)
@@ -143,12 +144,12 @@
 		}
 		p.logListError(err)
 	}
-	if err := p.registry.LoadInitial(p.config.Known); err != nil { // it was checked at the start
+	if err := p.registry.LoadInitial(p.config.Known); err != nil { // not expected: newProcess has checked the list
 		p.dispatcher.Log(err.Error())
 	}
 }
 
-// serve accepts clients from now on.
+// serve begins to accept clients.
 func (p *process) serve() {
 	p.phase = serving
 	if p.frontEnds.http != nil {
--- a/internal/daemon/shutdown.go
+++ b/internal/daemon/shutdown.go
@@ -8,24 +8,27 @@
 )
 
 const (
-	// arrivalWindow is how long new connections and requests are served after
-	// SIGTERM: 0.4 s by the platform's page, and some for a slow machine.
+	// arrivalWindow is how long new connections and requests are served after SIGTERM.
+	// The platform requires 0.4 s; the rest is a margin for a slow machine.
 	arrivalWindow = 600 * time.Millisecond
-	// readWindow is how long after that requests on their way may be read. What came
-	// 0.7 s after SIGTERM and SIGKILL finds unanswered is lost.
+	// readWindow is how long after the arrival window requests in transit are still read.
+	// It ends before 0.7 s after SIGTERM: a request that arrives later and is unanswered
+	// at SIGKILL is lost.
 	readWindow = 60 * time.Millisecond
-	// upstreamTimeout is for an upstream Faktory server to accept the last reports.
+	// upstreamTimeout limits the time in which an upstream Faktory server must accept the
+	// last reports.
 	upstreamTimeout = 8 * time.Second
-	// shutdownPoll is the time between checks whether all is answered.
+	// shutdownPoll is the time between checks whether all requests are answered.
 	shutdownPoll = 5 * time.Millisecond
-	// flushTime is for the sockets' last bytes before the process exits.
+	// flushTime is the time left for sending the last bytes before the process exits.
 	flushTime = 50 * time.Millisecond
 )
 
-// shutdown ends the process gracefully. Beside a successor that accepts clients it
-// hands over. Otherwise all that arrives in the arrival window is served as before;
-// then no HTTP client is accepted, connections end between requests, and after the read
-// window nothing is read. The last answer stops the loop, and Serve calls end.
+// shutdown begins a graceful shutdown. If a successor accepts clients, it hands over to
+// it. Otherwise new connections and requests are served as before during the arrival
+// window. After that no HTTP client is accepted and idle connections are closed; after the
+// read window nothing more is read. Once all requests are answered the loop stops, and
+// Serve calls closeStoreAndLogTotals.
 func (p *process) shutdown() {
 	p.phase = stopping
 	p.closeHandoverSocket()
@@ -40,8 +43,8 @@
 	})
 }
 
-// stopWhen calls advance now and at intervals until it reports that nothing is left to
-// do, and stops the loop then.
+// stopWhen calls advance now and at intervals until it returns true, and stops the loop
+// flushTime later.
 func (p *process) stopWhen(advance func() (finished bool), interval time.Duration) {
 	loop := p.dispatcher.Loop
 	if advance() {
@@ -51,32 +54,33 @@
 	loop.After(interval, func() { p.stopWhen(advance, interval) })
 }
 
-// lastAnswers is the part of a shutdown after the arrival window. Requests that were
-// read are answered, and each connection is closed after its last answer.
+// lastAnswers is the part of a shutdown after the arrival window. Requests that have been
+// read are answered, and each connection is closed after its last response.
 type lastAnswers struct {
 	process       *process
-	stopReading   time.Duration // nothing is read from then on
-	lingerUntil   time.Duration // for clients to read their answers; moves while answers are owed
-	upstreamUntil time.Duration // for the upstream server to accept the last reports
+	stopReadingAt time.Duration // loop time from which nothing is read from HTTP clients
+	lingerUntil   time.Duration // clients may read their responses until then; extended while requests are unanswered
+	upstreamUntil time.Duration // the upstream server may accept the last reports until then
 }
 
-// newLastAnswers begins the part now.
+// newLastAnswers returns a lastAnswers whose times count from now.
 func newLastAnswers(p *process) *lastAnswers {
 	now := p.dispatcher.Loop.Now()
 	return &lastAnswers{
 		process:       p,
-		stopReading:   now + readWindow,
+		stopReadingAt: now + readWindow,
 		lingerUntil:   now + readWindow + transport.LingerTime,
 		upstreamUntil: now + upstreamTimeout,
 	}
 }
 
-// advance closes what is idle, and reports whether the process may exit.
+// advance closes idle connections, stops reading when the time has come, and reports
+// whether the process may exit.
 func (a *lastAnswers) advance() (finished bool) {
 	frontEnds := &a.process.frontEnds
 	idle := frontEnds.closeIdle()
 	now := a.process.dispatcher.Loop.Now()
-	if frontEnds.http != nil && now >= a.stopReading {
+	if frontEnds.http != nil && now >= a.stopReadingAt {
 		frontEnds.http.StopReading()
 		idle = idle && frontEnds.http.OpenConnections() == 0
 	}
@@ -86,10 +90,11 @@
 	return a.finished(now, idle)
 }
 
-// finished reports whether nothing is owed any more. idle says that no connection is
-// left.
+// finished reports whether the process may exit: all requests are answered, and either no
+// connection is left (idle is true) or the time to wait for clients and for the upstream
+// server has passed.
 func (a *lastAnswers) finished(now time.Duration, idle bool) bool {
-	if now < a.stopReading || a.process.dispatcher.Unanswered() > 0 {
+	if now < a.stopReadingAt || a.process.dispatcher.Unanswered() > 0 {
 		return false
 	}
 	if idle || now > a.upstreamUntil {
@@ -98,13 +103,13 @@
 	return now > a.lingerUntil && !a.process.frontEnds.faktory.Busy()
 }
 
-// end closes the store and logs what the process has done. It is called after the loop
-// has stopped.
-func (p *process) end() {
+// closeStoreAndLogTotals closes the store of durable jobs and logs the total counts of the
+// process. It is called after the loop has stopped.
+func (p *process) closeStoreAndLogTotals() {
 	if err := p.frontEnds.faktory.Close(); err != nil {
 		p.dispatcher.Log(fmt.Sprintf("durable job store: %v", err))
 	}
-	sum := p.dispatcher.Counts()
+	totals := p.dispatcher.Counts()
 	p.dispatcher.Log(fmt.Sprintf("stopped: accepted %d, served %d, rejected %d, failed %d, cancelled %d, attempts %d",
-		sum.Accepted, sum.Served, sum.Rejected, sum.Failed, sum.Cancelled, sum.Attempts))
+		totals.Accepted, totals.Served, totals.Rejected, totals.Failed, totals.Cancelled, totals.Attempts))
 }
--- a/internal/daemon/signals.go
+++ b/internal/daemon/signals.go
@@ -7,31 +7,32 @@
 	"syscall"
 )
 
-// signalQueue is how many signals to stop may wait while the process starts.
-const signalQueue = 4
+// stopSignalBuffer is how many SIGTERM and SIGINT signals may be pending while the process
+// starts.
+const stopSignalBuffer = 4
 
-// signals are those that the process handles. They are caught from the first moment
-// on: without that, a SIGHUP or SIGTERM during the start would kill the process.
+// signals are the signals that the process handles. They are caught before anything else is
+// done: without that, a SIGHUP or SIGTERM during the start would kill the process.
 type signals struct {
-	reload chan os.Signal // SIGHUP; those that arrive while one is handled count once
-	stop   chan os.Signal // SIGTERM, SIGINT
+	reload chan os.Signal // SIGHUP; several that arrive while one is handled cause one reload
+	stop   chan os.Signal // SIGTERM and SIGINT
 }
 
 func catchSignals() signals {
-	caught := signals{reload: make(chan os.Signal, 1), stop: make(chan os.Signal, signalQueue)}
+	caught := signals{reload: make(chan os.Signal, 1), stop: make(chan os.Signal, stopSignalBuffer)}
 	signal.Notify(caught.reload, syscall.SIGHUP)
 	signal.Notify(caught.stop, syscall.SIGTERM, syscall.SIGINT)
 	return caught
 }
 
-// release gives the signals back their default effects.
+// release restores the default actions of the signals.
 func (s signals) release() {
 	signal.Stop(s.stop)
 	signal.Stop(s.reload)
 }
 
-// handleReloads reads the files again on each SIGHUP. It never returns.
-func (p *process) handleReloads(env func(string) string, reloads <-chan os.Signal) {
+// handleReloadSignals reloads the configuration on each SIGHUP. It never returns.
+func (p *process) handleReloadSignals(env func(string) string, reloads <-chan os.Signal) {
 	for range reloads {
 		next, err := readForReload(p.files, env)
 		p.dispatcher.Loop.Post(func() {
@@ -45,10 +46,9 @@
 	}
 }
 
-// handleStops begins the graceful end on the first signal. A later SIGINT exits at
-// once, since someone at a terminal insists; a later SIGTERM changes nothing. It
-// never returns.
-func (p *process) handleStops(stops <-chan os.Signal) {
+// handleStopSignals begins the graceful shutdown on the first signal. A later SIGINT, which
+// a user at a terminal sends, exits at once; a later SIGTERM has no effect. It never returns.
+func (p *process) handleStopSignals(stops <-chan os.Signal) {
 	<-stops
 	p.dispatcher.Loop.Post(p.shutdown)
 	for sig := range stops {
--- a/internal/daemon/successor.go
+++ b/internal/daemon/successor.go
@@ -10,26 +10,26 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-// This file is this process as the successor of another.
+// This file has what this process does as the successor of another.
 
 const (
-	dialTimeout     = 300 * time.Millisecond // for the predecessor to accept the connection
-	greetingTimeout = time.Second            // for its greeting
-	workersTimeout  = 3 * time.Second        // then clients are accepted, though no worker is ready
+	dialTimeout     = 300 * time.Millisecond // for connecting to the predecessor
+	greetingTimeout = time.Second            // for receiving the predecessor's greeting
+	workersTimeout  = 3 * time.Second        // after it, clients are accepted even if no worker is ready
 	readyPoll       = 10 * time.Millisecond  // between checks whether clients can be accepted
 
-	takeoverTimeout = 10 * time.Second // for the predecessor's Faktory address and store to become free
-	takeoverPoll    = 20 * time.Millisecond
+	takeoverTimeout = 10 * time.Second      // for the predecessor's Faktory address and store to become free
+	takeoverPoll    = 20 * time.Millisecond // between attempts to open them
 )
 
 // successorRole is the state of a process that replaces a predecessor.
 type successorRole struct {
-	greetingDone bool         // the predecessor has sent its greeting, or its time is over
-	openFaktory  func() error // opens the Faktory front end that the predecessor has; nil: nothing to open
+	greetingDone bool         // the greeting was received, or is not waited for any more
+	openFaktory  func() error // opens the Faktory front end that the predecessor holds; nil if there is none to open
 }
 
-// dialPredecessor connects to the process that this one may replace; nil: there is
-// none.
+// dialPredecessor connects to the process that this one is to replace, and returns nil if
+// there is none.
 func (p *process) dialPredecessor(env func(string) string) net.Conn {
 	p.replacement.enabled = env(envListenerDescriptor) != "" && p.frontEnds.httpListener != nil
 	if !p.replacement.enabled {
@@ -43,8 +43,9 @@
 	return conn
 }
 
-// startAsSuccessor starts with a small part of the resources, and waits for the
-// predecessor's greeting. Where it returns an error, it has changed nothing.
+// startAsSuccessor makes a link of the connection to the predecessor, and limits this
+// process to a quarter of the resources. The start goes on in handleGreeting. If it
+// returns an error, nothing has changed.
 func (p *process) startAsSuccessor(predecessor net.Conn) error {
 	p.useLimits(p.config.descriptors()/4, p.config.memory()/4)
 	err := p.engine.Adopt(predecessor, func(c *transport.Conn) transport.Handler {
@@ -65,7 +66,7 @@
 	if message.Greeting != nil {
 		p.handleGreeting(message.Greeting)
 	}
-	p.receive(message)
+	p.receiveFromPeer(message)
 	if message.StoreReleased {
 		p.takeOverFaktory(p.dispatcher.Loop.Now() + takeoverTimeout)
 	}
@@ -79,8 +80,9 @@
 	}
 }
 
-// handleGreeting starts from the predecessor's state, or without it where greeting is
-// nil: the predecessor has ended or has sent none in time. Only the first call counts.
+// handleGreeting continues the start with the state of the predecessor. A nil greeting
+// means that the predecessor has ended or has sent none in time; the start then continues
+// without its state. Only the first call has an effect.
 func (p *process) handleGreeting(greeting *handover.Greeting) {
 	if p.replacement.greetingDone {
 		return
@@ -101,8 +103,8 @@
 	p.serveWhenReady(p.dispatcher.Loop.Now() + workersTimeout)
 }
 
-// serveWhenReady accepts clients once discovery has answered and a worker is ready,
-// or from latest on with the initial endpoint list. Until then the predecessor serves.
+// serveWhenReady accepts clients once discovery has answered and a worker is ready, or at
+// the loop time latest with the initial endpoint list. Until then the predecessor serves.
 func (p *process) serveWhenReady(latest time.Duration) {
 	if p.phase == stopping {
 		return
@@ -121,7 +123,8 @@
 	p.sendToPeer(handover.Message{Ready: true})
 }
 
-// predecessorEnded is called when the predecessor has ended, as planned or not.
+// predecessorEnded is called when the link to the predecessor has ended, after a handover
+// or because it has crashed.
 func (p *process) predecessorEnded() {
 	p.dispatcher.Log("predecessor has ended")
 	p.peerEnded()
@@ -132,8 +135,8 @@
 	}
 }
 
-// takeOverFaktory opens the Faktory front end that the predecessor has released, and
-// tries again until latest while its address or its store is still in use.
+// takeOverFaktory opens the Faktory front end that the predecessor has released. While its
+// address or its store is still in use it tries again, until the loop time latest.
 func (p *process) takeOverFaktory(latest time.Duration) {
 	if p.replacement.openFaktory == nil {
 		return
