--- a/internal/admin/api_test.go
+++ b/internal/admin/api_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// calls are calls with their statuses while the process is ready.
+// calls are calls with the status that each is answered with while the process is ready.
 var calls = []struct {
 	text   string
 	status int
@@ -35,15 +35,16 @@
 	{"GET /control/ready HTTP/1.1\r\nX-Long: " + strings.Repeat("x", 7000) + "\r\n\r\n", 431},
 }
 
-// Steps of FuzzAPI beside the calls.
+// Steps of FuzzAPI other than the index of a call.
 const (
-	silentStep     = 255 // a connection that sends nothing
-	incompleteStep = 254 // an incomplete call
+	silentStep     = 255 // open a connection and send nothing
+	incompleteStep = 254 // send an incomplete call
 )
 
-// FuzzAPI checks the API against its table: whatever the calls, wherever their bytes
-// are cut, and however many connections are held open meanwhile, each call has its one
-// answer. Two bytes are a step: what is sent, and where to cut.
+// FuzzAPI checks that each call gets exactly one response with the status of the table
+// calls, in whatever order calls are made, wherever their bytes are split, and however many
+// silent or incomplete connections are open. A step of the input has two bytes: what is
+// sent, and where it is split.
 func FuzzAPI(f *testing.F) {
 	for i := range calls {
 		f.Add([]byte{byte(i), byte(i * 14)})
@@ -72,12 +73,12 @@
 	})
 }
 
-// The API refuses what its operations refuse, and passes on what is asked for.
+// The API passes calls to its operations, and responds with an error if they refuse.
 func TestServiceAndReady(t *testing.T) {
 	api := newTestAPI(t)
-	api.do(func() {
+	api.runOnLoop(func() {
 		api.ready = false
-		api.refusal = errors.New("it is ending")
+		api.setOutOfServiceError = errors.New("it is ending")
 	})
 	if status, _ := api.call(t, calls[0].text); status != 503 {
 		t.Errorf("not ready: %d", status)
@@ -87,14 +88,15 @@
 			t.Errorf("refused: %d %q", status, body)
 		}
 	}
-	api.do(func() {
+	api.runOnLoop(func() {
 		if fmt.Sprint(api.outOfService) != "[true false]" {
 			t.Errorf("calls of SetOutOfService: %v", api.outOfService)
 		}
 	})
 }
 
-// An incomplete call is answered in the end, and a silent connection is closed.
+// At the timeout of a call, an incomplete call is answered with an error, and a connection
+// that has sent nothing is closed.
 func TestIncompleteCall(t *testing.T) {
 	api := newTestAPI(t)
 	incomplete := api.dial(t)
--- a/internal/admin/call.go
+++ b/internal/admin/call.go
@@ -25,18 +25,18 @@
 
 const jsonHeader = "Content-Type: application/json\r\n"
 
-// call is one connection, until its call is answered.
+// call is the one call of a connection.
 type call struct {
 	api     *API
-	token   uint64       // in api.calls
+	token   uint64       // in api.openCalls
 	id      connlimit.ID // in api.limiter
 	conn    *transport.Conn
-	input   *transport.Buffer // what has arrived; nil: nothing
+	input   *transport.Buffer // received bytes; nil if there are none
 	reader  httpwire.CallReader
 	timeout eventloop.Deadline
 }
 
-// OnData reads what has arrived, and answers the call once it is complete.
+// OnData adds the received bytes to the call, and answers it once it is complete.
 func (c *call) OnData(_ *transport.Conn, b *transport.Buffer) {
 	if c.input == nil {
 		c.api.limiter.RequestStarted(c.api.dispatcher.Loop.Now(), c.id)
@@ -54,10 +54,11 @@
 	}
 }
 
-// OnClosed is called when the caller has closed the connection.
+// OnClosed releases the call when the caller has closed the connection.
 func (c *call) OnClosed(*transport.Conn, error) { c.release() }
 
-// expire ends a call that is not complete in time.
+// expire ends a call that is not complete at its timeout: it closes the connection if
+// nothing has been received, and otherwise responds with an error.
 func (c *call) expire() {
 	if c.input == nil {
 		c.release()
@@ -67,17 +68,17 @@
 	c.respond(statusRequestTimeout, "the call did not come in time\n", "")
 }
 
-// release gives back what an unanswered call holds.
+// release frees the resources of an unanswered call: its entries, its timer and its buffer.
 func (c *call) release() {
 	c.api.limiter.Closed(c.id)
-	c.api.calls.Remove(c.token)
+	c.api.openCalls.Remove(c.token)
 	c.api.dispatcher.Loop.Clear(&c.timeout)
 	c.api.engine.Pool.Put(c.input)
 	c.input = nil
 }
 
-// respond sends the one response and closes the connection. headers are further
-// header fields, each with its line end.
+// respond sends the response and closes the connection. headers are additional header
+// fields, each with its line end.
 func (c *call) respond(status int, body, headers string) {
 	c.release()
 	c.conn.Write(httpwire.AppendResponse(nil, status, []byte(body), 0, true, headers))
@@ -85,9 +86,9 @@
 	a := c.api
 	a.removeClosed()
 	now := a.dispatcher.Loop.Now()
-	c.id = a.limiter.Adopt(now, connlimit.Token(c.token)) // as a connection that is idle after its answer
+	c.id = a.limiter.Adopt(now, connlimit.Token(c.token)) // now as a connection that is idle after a response
 	a.limiter.BecameIdle(now, c.id, true)
-	a.answered = append(a.answered, c)
+	a.answeredCalls = append(a.answeredCalls, c)
 }
 
 // respondError responds with an error's text.
@@ -103,11 +104,11 @@
 	c.respond(statusOK, string(text)+"\n", jsonHeader)
 }
 
-// respondDone responds to a call whose operation has ended, with err where it failed,
-// if the caller is still there.
-func (c *call) respondDone(err error) {
+// respondResult responds to a call whose operation has ended: with err if it is not nil,
+// and otherwise with "done". It does nothing if the call has been released meanwhile.
+func (c *call) respondResult(err error) {
 	switch {
-	case c.api.calls.Get(c.token) != c:
+	case c.api.openCalls.Get(c.token) != c:
 	case err != nil:
 		c.respondError(statusInternalError, err)
 	default:
--- a/internal/admin/connections.go
+++ b/internal/admin/connections.go
@@ -26,8 +26,8 @@
 	Used  int `json:"used"`
 }
 
-// gate returns the gate that admits connections; where there is none, it responds and
-// returns nil.
+// gate returns the gate that admits connections. If there is none, it responds with an
+// error and returns nil.
 func (c *call) gate() *listener.Gate {
 	if c.api.operations.Gate == nil {
 		c.respond(statusConflict, "connections are not decided on: no operator's file says so\n", "")
@@ -35,7 +35,8 @@
 	return c.api.operations.Gate
 }
 
-// getConnections responds with the connections that are open and those rejected.
+// getConnections responds with the state of the connection limits and with the descriptors
+// in use.
 func (c *call) getConnections(string) {
 	gate := c.gate()
 	if gate == nil {
@@ -53,8 +54,8 @@
 	c.respondJSON(view)
 }
 
-// putBlock rejects the connections of a prefix for a time, and closes those on which
-// nothing is owed.
+// putBlock rejects new connections from an address prefix for a time, and closes the open
+// ones on which no request is running.
 func (c *call) putBlock(query string) {
 	gate := c.gate()
 	if gate == nil {
@@ -64,22 +65,22 @@
 	if !ok {
 		return
 	}
-	span, err := time.ParseDuration(values.Get("for"))
-	if err != nil || span <= 0 || span > maxBlockTime {
+	duration, err := time.ParseDuration(values.Get("for"))
+	if err != nil || duration <= 0 || duration > maxBlockTime {
 		c.respond(statusBadRequest, "for: not a time such as 15m, up to 168h\n", "")
 		return
 	}
 	now := c.api.dispatcher.Loop.Now()
-	if err := gate.Limiter.Block(now, prefix, now+span); err != nil {
+	if err := gate.Limiter.Block(now, prefix, now+duration); err != nil {
 		c.respondError(statusConflict, err)
 		return
 	}
 	closed := gate.EvictPrefix(prefix.Masked())
-	c.api.dispatcher.Log(fmt.Sprintf("connections blocked for %v: %s, %d closed", span, prefix.Masked(), closed))
+	c.api.dispatcher.Log(fmt.Sprintf("connections blocked for %v: %s, %d closed", duration, prefix.Masked(), closed))
 	c.respond(statusOK, fmt.Sprintf("barred, %d sessions ended\n", closed), "")
 }
 
-// putUnblock admits the connections of a blocked prefix again.
+// putUnblock admits connections from a blocked prefix again.
 func (c *call) putUnblock(query string) {
 	gate := c.gate()
 	if gate == nil {
@@ -97,8 +98,8 @@
 	c.respond(statusOK, "let in again\n", "")
 }
 
-// readPrefix reads a query and its parameter prefix, an address or a prefix. Where it
-// is wrong, readPrefix responds and returns false.
+// readPrefix parses a query and its parameter prefix, which is an address or an address
+// prefix. If it is invalid, readPrefix responds with an error and returns false.
 func (c *call) readPrefix(query string) (values url.Values, prefix netip.Prefix, ok bool) {
 	values, err := url.ParseQuery(query)
 	if err == nil {
@@ -111,8 +112,8 @@
 	return values, prefix, true
 }
 
-// parsePrefix parses an address, which stands for the prefix of itself alone, or a
-// prefix.
+// parsePrefix parses an address prefix, or an address, for which it returns the prefix that
+// contains only this address.
 func parsePrefix(text string) (netip.Prefix, error) {
 	if addr, err := netip.ParseAddr(text); err == nil {
 		return netip.PrefixFrom(addr, addr.BitLen()), nil
--- a/internal/admin/counters.go
+++ b/internal/admin/counters.go
@@ -4,10 +4,10 @@
 
 // countersView is the answer to /control/counters.
 type countersView struct {
-	Succeeded  map[string]uint64 `json:"succeeded"` // final answers, by class
+	Succeeded  map[string]uint64 `json:"succeeded"` // requests by class and final response, as the next two
 	Rejected   map[string]uint64 `json:"declined"`
 	Failed     map[string]uint64 `json:"aborted"`
-	Attempts   uint64            `json:"forwards"` // that were sent
+	Attempts   uint64            `json:"forwards"` // attempts that were sent to a worker
 	Unanswered int               `json:"outstanding"`
 	Workers    int               `json:"discovered"`
 	Ejected    int               `json:"ejected"`
@@ -34,7 +34,7 @@
 	c.respondJSON(view)
 }
 
-// invariantsView is the answer to /control/invariants, by rule.
+// invariantsView is the answer to /control/invariants. The counts are by rule.
 type invariantsView struct {
 	Prevented invariant.Counts `json:"prevented"` // violations that the guard prevented
 	Violated  invariant.Counts `json:"violated"`  // violations that happened
--- a/internal/admin/counters_test.go
+++ b/internal/admin/counters_test.go
@@ -11,12 +11,12 @@
 	"hollyyoke.example/hollyyoke/internal/invariant"
 )
 
-// Each final answer counts once under its class, those of the front ends' own too;
-// forwards are attempts that were sent, not those assigned; and only the client workers
-// are discovered.
+// Each final response counts once under its class, also one that a front end gives without
+// the dispatcher. Attempts count once they are sent, not when they are assigned. Only
+// workers of the API's own source count as discovered.
 func TestCounters(t *testing.T) {
 	api := newTestAPI(t)
-	api.do(func() {
+	api.runOnLoop(func() {
 		dispatcher := api.dispatcher
 		api.addScriptedWorkers()
 		other := otherWorkers{scriptedWorkers{dispatcher}}
@@ -38,10 +38,10 @@
 	}
 }
 
-// The guard's counts are by rule, apart from the counters, whose keys stay.
+// The counts of prevented and of violated invariants are reported by rule.
 func TestInvariants(t *testing.T) {
 	api := newTestAPI(t)
-	api.do(func() {
+	api.runOnLoop(func() {
 		api.dispatcher.Guard.MaySend(invariant.Send{Now: 2, Deadline: 1})
 		api.dispatcher.Guard.CheckClosed(true, "a connection")
 	})
--- a/internal/admin/fulltestapi_test.go
+++ b/internal/admin/fulltestapi_test.go
@@ -16,8 +16,8 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-// fullTestAPI is an API with all that a daemon may have: a gate for connections, durable
-// jobs, and a versioned endpoint list.
+// fullTestAPI is an API with all optional components: a gate that admits connections,
+// durable jobs, and statistics of a versioned endpoint list.
 type fullTestAPI struct {
 	*testAPI
 	service *durable.Service
@@ -29,12 +29,12 @@
 	api.openJobs(t)
 	var engine *transport.Engine
 	var err error
-	api.do(func() { engine, err = transport.NewEngine(api.dispatcher.Loop, 200) })
+	api.runOnLoop(func() { engine, err = transport.NewEngine(api.dispatcher.Loop, 200) })
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(engine.StopListening)
-	api.do(func() {
+	api.runOnLoop(func() {
 		api.service.Start()
 		var gate *listener.Gate
 		gate, err = api.newGate(engine)
@@ -56,7 +56,7 @@
 	return api
 }
 
-// openJobs opens a store of durable jobs, whose leases expire soon.
+// openJobs opens a store of durable jobs whose leases expire after 50 ms.
 func (a *fullTestAPI) openJobs(t *testing.T) {
 	t.Helper()
 	config := durable.Config{
@@ -67,12 +67,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { a.do(func() { service.Close() }) })
+	t.Cleanup(func() { a.runOnLoop(func() { service.Close() }) })
 	service.OnRunnable = func(jobs.Job) {}
 	a.service = service
 }
 
-// newGate returns a gate that has admitted two connections and rejected others.
+// newGate returns a gate that has decided on four connections from two addresses. The limit
+// is two open connections for each address.
 func (a *fullTestAPI) newGate(engine *transport.Engine) (*listener.Gate, error) {
 	const descriptors = 100
 	config := listener.Config{
@@ -96,7 +97,8 @@
 	return gate, nil
 }
 
-// numberedStats returns statistics with another number in each field.
+// numberedStats returns statistics with a different number in each field, so that swapped
+// fields are detected.
 func numberedStats() discovery.Stats {
 	return discovery.Stats{
 		BytesRead:    1,
@@ -112,11 +114,12 @@
 	}
 }
 
-// mustStore runs an operation on the jobs, and waits until it is stored.
+// mustStore runs an operation on the loop and waits until it calls done. It fails the test
+// if the operation fails.
 func (a *fullTestAPI) mustStore(t *testing.T, what string, operation func(done func(error))) {
 	t.Helper()
 	result := make(chan error, 1)
-	a.do(func() { operation(func(err error) { result <- err }) })
+	a.runOnLoop(func() { operation(func(err error) { result <- err }) })
 	if err := <-result; err != nil {
 		t.Fatalf("%s: %v", what, err)
 	}
@@ -127,7 +130,7 @@
 	a.mustStore(t, "push "+job.ID, func(done func(error)) { a.service.Push(job, notBefore, done) })
 }
 
-// pushRenewal pushes a job that is run now and must not run twice.
+// pushRenewal pushes a job that is ready now and must not run twice.
 func (a *fullTestAPI) pushRenewal(t *testing.T, id string) {
 	t.Helper()
 	a.push(t, jobs.Job{ID: id, Class: "renewal", NonIdempotent: true, Payload: []byte(`{}`)}, 0)
@@ -144,26 +147,27 @@
 	return leased
 }
 
-// waitUntilInDoubt waits until the leases of jobs have expired.
+// waitUntilInDoubt waits until as many jobs are in doubt, because their leases have
+// expired.
 func (a *fullTestAPI) waitUntilInDoubt(t *testing.T, want int) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
 		inDoubt := 0
-		a.do(func() { inDoubt = a.service.Counts()[jobs.InDoubt] })
+		a.runOnLoop(func() { inDoubt = a.service.Counts()[jobs.InDoubt] })
 		if inDoubt == want {
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatal("no job is in doubt")
+			t.Fatal("too few jobs are in doubt")
 		}
 	}
 }
 
-// pushNumbered pushes jobs, and waits until all are stored.
+// pushNumbered pushes jobs whose ids are numbered, and waits until all are stored.
 func (a *fullTestAPI) pushNumbered(t *testing.T, count int) {
 	t.Helper()
 	results := make(chan error, count)
-	a.do(func() {
+	a.runOnLoop(func() {
 		for i := range count {
 			a.service.Push(jobs.Job{ID: fmt.Sprintf("job-%03d", i), Class: "c"}, 0, func(err error) { results <- err })
 		}
--- a/internal/admin/golden_full_test.go
+++ b/internal/admin/golden_full_test.go
@@ -27,7 +27,7 @@
 	))
 }
 
-// pushInAllStates pushes jobs and brings them into the states that their ids name.
+// pushInAllStates pushes jobs and brings each into the state that its id names.
 func (a *fullTestAPI) pushInAllStates(t *testing.T) {
 	t.Helper()
 	later := time.Duration(time.Date(2099, 1, 2, 3, 4, 5, 600e6, time.UTC).UnixNano())
@@ -81,7 +81,7 @@
 	))
 }
 
-// A full page has the number at which the next begins.
+// A page that is not the last has the number after which the next page begins.
 func TestGoldenJobsPage(t *testing.T) {
 	api := newFullTestAPI(t)
 	api.pushNumbered(t, maxPageJobs+1)
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -11,14 +11,15 @@
 )
 
 var (
-	// varyingFields differ from run to run: future times, and the rest of a block's time.
+	// varyingFields match fields that differ between runs: due times, and the remaining
+	// time of a block.
 	varyingFields = regexp.MustCompile(`"due":"20[2-8][^"]*"|"for_s":[0-9.]+`)
 
 	contentLength = regexp.MustCompile(`Content-Length: \d+`)
 )
 
-// maskVarying replaces the values of varyingFields in a response and, where there are
-// any, the length of its body, which may differ too.
+// maskVarying replaces the values of varyingFields in a response. If it has any, the length
+// of its body may differ too, and is also replaced.
 func maskVarying(response string) string {
 	masked := varyingFields.ReplaceAllStringFunc(response, func(field string) string {
 		key, _, _ := strings.Cut(field, ":")
@@ -30,7 +31,7 @@
 	return contentLength.ReplaceAllString(masked, "Content-Length: MASKED")
 }
 
-// transcript makes calls one after the other and returns the bytes of both sides.
+// transcript makes calls one after the other, and returns each call with its response.
 func (a *testAPI) transcript(t *testing.T, calls ...string) string {
 	t.Helper()
 	var text strings.Builder
@@ -51,7 +52,7 @@
 	return text.String()
 }
 
-// The answers where all subsystems are off, and those to wrong calls.
+// Responses to all calls while the optional components are off, and to invalid calls.
 func TestGoldenCalls(t *testing.T) {
 	api := newTestAPI(t)
 	longField := strings.Repeat("x", 7000)
@@ -97,9 +98,9 @@
 		"PUT /control/ready HTTP/1.1\r\nContent-Length: 70000\r\nX:",
 	)
 	text = strings.ReplaceAll(text, longField, "(7000 times x)")
-	api.do(func() {
+	api.runOnLoop(func() {
 		api.ready = false
-		api.refusal = io.ErrClosedPipe
+		api.setOutOfServiceError = io.ErrClosedPipe
 	})
 	text += api.transcript(t, "GET /control/ready", "PUT /control/out-of-service", "PUT /control/in-service")
 	incomplete := api.dial(t)
@@ -111,41 +112,42 @@
 	goldentest.CompareHTTP(t, "calls.golden", text+"> half a call\n"+string(response))
 }
 
-// The counters and the guard's counts, with something in each field. Each rule is
-// violated another number of times, so that names cannot change places.
+// Counters and invariant counts, with a value in each field. Each rule is violated a
+// different number of times, so that swapped names are detected.
 func TestGoldenCounters(t *testing.T) {
 	api := newTestAPI(t)
-	api.do(func() {
+	api.runOnLoop(func() {
 		api.addScriptedWorkers()
 		api.acceptScripted()
-		breakRules(&api.dispatcher.Guard)
+		violateRules(&api.dispatcher.Guard)
 	})
 	goldentest.CompareHTTP(t, "figures.golden", api.transcript(t, "GET /control/counters", "GET /control/invariants"))
 }
 
-// breakRules has a guard prevent and find violations of each rule, of the n-th n times.
-func breakRules(guard *invariant.Guard) {
-	repeat := func(times int, breakRule func()) {
+// violateRules makes a guard count prevented and detected violations of each rule: n of the
+// n-th rule.
+func violateRules(guard *invariant.Guard) {
+	repeat := func(times int, violate func()) {
 		for range times {
-			breakRule()
+			violate()
 		}
 	}
-	leaving := invariant.Send{Leaving: true, Now: 2, Deadline: 9}
-	duplicate := invariant.Start{Deadline: 9, NonIdempotent: true, MayHaveRun: true}
-	answered := invariant.Start{Deadline: 9, Answered: true}
-	repeat(1, func() { guard.MaySend(leaving) })
+	leavingSend := invariant.Send{Leaving: true, Now: 2, Deadline: 9}
+	duplicateStart := invariant.Start{Deadline: 9, NonIdempotent: true, MayHaveRun: true}
+	answeredStart := invariant.Start{Deadline: 9, Answered: true}
+	repeat(1, func() { guard.MaySend(leavingSend) })
 	repeat(2, func() { guard.MaySend(invariant.Send{Deadline: 9, ListStale: true}) })
 	repeat(3, func() { guard.MaySend(invariant.Send{Now: 2, Deadline: 1}) })
 	repeat(4, func() { guard.MaySend(invariant.Send{Now: 2, Deadline: 9, RetryBy: 1}) })
-	repeat(5, func() { guard.MayStart(duplicate) })
-	repeat(6, func() { guard.MayStart(answered) })
+	repeat(5, func() { guard.MayStart(duplicateStart) })
+	repeat(6, func() { guard.MayStart(answeredStart) })
 
-	allowed := invariant.Start{Deadline: 9}
-	late := invariant.Start{Now: 2, Deadline: 1}
-	inTime := invariant.Send{Deadline: 9}
-	repeat(1, func() { guard.CheckSent(allowed, leaving, "s") })
-	repeat(3, func() { guard.CheckSent(late, inTime, "s") })
-	repeat(5, func() { guard.CheckSent(duplicate, inTime, "s") })
-	repeat(6, func() { guard.CheckSent(answered, inTime, "s") })
+	allowedStart := invariant.Start{Deadline: 9}
+	lateStart := invariant.Start{Now: 2, Deadline: 1}
+	allowedSend := invariant.Send{Deadline: 9}
+	repeat(1, func() { guard.CheckSent(allowedStart, leavingSend, "s") })
+	repeat(3, func() { guard.CheckSent(lateStart, allowedSend, "s") })
+	repeat(5, func() { guard.CheckSent(duplicateStart, allowedSend, "s") })
+	repeat(6, func() { guard.CheckSent(answeredStart, allowedSend, "s") })
 	repeat(7, func() { guard.CheckClosed(true, "s") })
 }
--- a/internal/admin/jobs.go
+++ b/internal/admin/jobs.go
@@ -9,19 +9,19 @@
 	"hollyyoke.example/hollyyoke/internal/jobs"
 )
 
-// Limits of one page of jobs, so that a million jobs do not hold up the loop.
+// Limits of one page of jobs. They keep a store of a million jobs from blocking the loop.
 const (
-	maxPageJobs    = 100    // in the answer
-	maxPageScanned = 20_000 // jobs looked at for it
+	maxPageJobs    = 100    // jobs in the response
+	maxPageScanned = 20_000 // jobs that are matched against the filter
 )
 
 // jobsPage is the answer to /control/jobs.
 type jobsPage struct {
 	Jobs []durable.View `json:"jobs"`
-	Next uint64         `json:"next,omitempty"` // the next page's parameter after; 0: there is none
+	Next uint64         `json:"next,omitempty"` // value of the parameter after for the next page; 0 if this is the last
 }
 
-// jobService returns the service of durable jobs; nil: there is none.
+// jobService returns the service of durable jobs, or nil if there is none.
 func (c *call) jobService() *durable.Service {
 	if c.api.operations.Jobs == nil {
 		return nil
@@ -29,7 +29,8 @@
 	return c.api.operations.Jobs()
 }
 
-// getJobs responds with a page of durable jobs.
+// getJobs responds with a page of the durable jobs that match the parameters state and
+// class.
 func (c *call) getJobs(query string) {
 	values, err := url.ParseQuery(query)
 	var after uint64
@@ -50,7 +51,7 @@
 	c.respondJSON(page)
 }
 
-// getJob responds with one job, with its payload.
+// getJob responds with one job, including its payload.
 func (c *call) getJob(query string) {
 	values, _ := url.ParseQuery(query)
 	job, found := c.jobService().Get(values.Get("id"))
@@ -61,23 +62,23 @@
 	c.respondJSON(durable.NewView(job, true))
 }
 
-// putSnapshot writes a copy of the store. The call has no timeout; a caller that
-// leaves does not end the copy.
+// putSnapshot writes a copy of the store, and responds when it is complete. This call has
+// no timeout, and the copy continues if the caller disconnects.
 func (c *call) putSnapshot(query string) {
 	values, _ := url.ParseQuery(query)
 	c.api.dispatcher.Loop.Clear(&c.timeout)
-	c.jobService().Snapshot(values.Get("name"), c.respondDone)
+	c.jobService().Snapshot(values.Get("name"), c.respondResult)
 }
 
-// jobOperation is an operator's decision about a job.
+// jobOperation has the parameters of an operation on one job.
 type jobOperation struct {
 	values url.Values
 	id     string
 	reason jobs.Reason
 }
 
-// readJobOperation reads the parameters id and reason. Where one is missing, it
-// responds and returns false.
+// readJobOperation reads the parameters id and reason. If one is missing, it responds with
+// an error and returns false.
 func (c *call) readJobOperation(query string) (o jobOperation, ok bool) {
 	values, err := url.ParseQuery(query)
 	o = jobOperation{values: values, id: values.Get("id"), reason: jobs.Reason(values.Get("reason"))}
@@ -88,7 +89,7 @@
 	return o, true
 }
 
-// putResolve resolves the doubt about a job: it ran, or it did not.
+// putResolve resolves a job that is in doubt: the parameter ran says whether it ran.
 func (c *call) putResolve(query string) {
 	o, ok := c.readJobOperation(query)
 	if !ok {
@@ -105,7 +106,7 @@
 // putRetry queues a job again.
 func (c *call) putRetry(query string) { c.moveJob(query, jobs.Requeue) }
 
-// putDiscard discards a job.
+// putDiscard discards a job, so that it does not run.
 func (c *call) putDiscard(query string) { c.moveJob(query, jobs.Discard) }
 
 func (c *call) moveJob(query string, move jobs.Move) {
@@ -116,12 +117,12 @@
 	c.respondWhenStored(c.jobService().Move(o.id, move, o.reason, true))
 }
 
-// respondWhenStored responds to an operation on a job: with its error, or once it is
-// on disk.
+// respondWhenStored responds to an operation on a job: at once with err if it is not nil,
+// and otherwise when the change is on disk.
 func (c *call) respondWhenStored(err error) {
 	if err != nil {
 		c.respondError(statusConflict, err)
 		return
 	}
-	c.jobService().AfterSync(c.respondDone)
+	c.jobService().AfterSync(c.respondResult)
 }
--- a/internal/admin/routes.go
+++ b/internal/admin/routes.go
@@ -7,14 +7,14 @@
 	methodPut = "PUT"
 )
 
-// route is what a path offers.
+// route is the method and the handler of a path.
 type route struct {
 	method    string
-	needsJobs bool // the path exists only where jobs are durable
+	needsJobs bool // calls are rejected unless there are durable jobs
 	handle    func(c *call, query string)
 }
 
-// routes are the paths of the API.
+// routes are the routes of the API by path.
 var routes = map[string]route{
 	"/control/ready":          {method: methodGet, handle: (*call).getReady},
 	"/control/out-of-service": {method: methodPut, handle: (*call).putOutOfService},
@@ -36,17 +36,17 @@
 	"/control/jobs/discard":  {method: methodPut, needsJobs: true, handle: (*call).putDiscard},
 }
 
-// serve answers a complete call.
+// serve passes a complete call to the handler of its path.
 func (c *call) serve(request httpwire.Call) {
-	target, found := routes[request.Path]
+	matched, found := routes[request.Path]
 	switch {
 	case !found:
 		c.respond(statusNotFound, "no such call\n", "")
-	case request.Method != target.method:
-		c.respond(statusMethodNotAllowed, target.method+" only\n", "Allow: "+target.method+"\r\n")
-	case target.needsJobs && c.jobService() == nil:
+	case request.Method != matched.method:
+		c.respond(statusMethodNotAllowed, matched.method+" only\n", "Allow: "+matched.method+"\r\n")
+	case matched.needsJobs && c.jobService() == nil:
 		c.respond(statusConflict, "no queue is durable here: no operator's file says so\n", "")
 	default:
-		target.handle(c, request.Query)
+		matched.handle(c, request.Query)
 	}
 }
--- a/internal/admin/testapi_test.go
+++ b/internal/admin/testapi_test.go
@@ -14,15 +14,15 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-const testTimeout = 20 * time.Second // no test waits that long unless something is broken
+const testTimeout = 20 * time.Second // reached only if a test fails
 
-// scriptedWorkers end an attempt at once as the first four letters of the request's id
-// say; other ids stay open.
+// scriptedWorkers is a source of workers. The first four letters of a request's id say how
+// an attempt ends; attempts for other ids stay open.
 type scriptedWorkers struct{ dispatcher *dispatch.Dispatcher }
 
 func (w scriptedWorkers) Start(attempt dispatch.Attempt) {
 	w.dispatcher.AttemptSent(attempt.Handle)
-	w.dispatcher.AttemptSent(attempt.Handle) // reported twice, it counts once
+	w.dispatcher.AttemptSent(attempt.Handle) // reported twice, but must count once
 	switch attempt.Request.ID[:4] {
 	case "done":
 		w.dispatcher.AttemptEnded(attempt.Handle, decision.Completed, decision.LoadReport{}, nil)
@@ -41,7 +41,7 @@
 
 func (scriptedWorkers) Subscribe() {}
 
-// otherWorkers are of another source than the client workers.
+// otherWorkers is another source of workers than the one the API reports on.
 type otherWorkers struct{ scriptedWorkers }
 
 // discardResponses is a front end that drops its responses.
@@ -49,13 +49,13 @@
 
 func (discardResponses) Respond(uint64, dispatch.Response) {}
 
-// testAPI is an API on a loop of its own.
+// testAPI is an API with its own loop and no optional components.
 type testAPI struct {
-	dispatcher   *dispatch.Dispatcher
-	addr         string
-	ready        bool
-	outOfService []bool // the calls of SetOutOfService
-	refusal      error  // what SetOutOfService returns
+	dispatcher           *dispatch.Dispatcher
+	addr                 string
+	ready                bool
+	outOfService         []bool // arguments of the calls to SetOutOfService
+	setOutOfServiceError error  // returned by SetOutOfService
 }
 
 func newTestAPI(t testing.TB) *testAPI {
@@ -109,13 +109,13 @@
 	return api
 }
 
-// setOutOfService records a call, and refuses it where refusal is set.
+// setOutOfService records a call, and returns setOutOfServiceError.
 func (a *testAPI) setOutOfService(out bool) error {
 	a.outOfService = append(a.outOfService, out)
-	return a.refusal
+	return a.setOutOfServiceError
 }
 
-// addScriptedWorkers adds two workers and one that is draining. It runs on the loop.
+// addScriptedWorkers adds two workers and one that is draining. It must run on the loop.
 func (a *testAPI) addScriptedWorkers() {
 	a.dispatcher.UpdateWorkers(scriptedWorkers{a.dispatcher}, decision.ListSnapshot, []decision.Endpoint{
 		{Name: "a"},
@@ -124,7 +124,7 @@
 	})
 }
 
-// acceptScripted accepts requests that end as their ids say. It runs on the loop.
+// acceptScripted accepts requests that end as their ids say. It must run on the loop.
 func (a *testAPI) acceptScripted() {
 	for i, id := range []string{"done-1", "done-2", "full-1", "hold-1", "hold-2"} {
 		a.dispatcher.Accept(discardResponses{}, uint64(i), dispatch.Request{ID: id, Class: i % 2})
@@ -132,8 +132,8 @@
 	a.dispatcher.Accept(discardResponses{}, 9, dispatch.Request{ID: "fail-1", Class: 1})
 }
 
-// do runs f on the loop.
-func (a *testAPI) do(f func()) {
+// runOnLoop runs f on the loop, and waits for its end.
+func (a *testAPI) runOnLoop(f func()) {
 	done := make(chan struct{})
 	a.dispatcher.Loop.Post(func() {
 		f()
@@ -153,8 +153,8 @@
 	return conn
 }
 
-// call sends a call's bytes, in parts that end at the cuts, and returns the response.
-// Nothing else may come until the connection ends.
+// call sends the bytes of a call, split at the cuts, and returns the response. The test
+// fails if anything follows the response before the connection ends.
 func (a *testAPI) call(t testing.TB, text string, cuts ...int) (status int, body string) {
 	t.Helper()
 	conn := a.dial(t)
@@ -175,7 +175,7 @@
 		t.Errorf("%q: %v, closes: %v", text, err, response.Close)
 	}
 	if rest, _ := io.ReadAll(reader); len(rest) > 0 {
-		t.Errorf("%q: behind the answer: %q", text, rest)
+		t.Errorf("%q: bytes after the response: %q", text, rest)
 	}
 	return response.StatusCode, string(answer)
 }
