--- a/internal/handover/doc.go
+++ b/internal/handover/doc.go
@@ -1,9 +1,10 @@
-// Package handover connects a process of the dispatcher with its successor, the
-// process that replaces it. Both open a unix socket in a directory that they share
-// and exchange messages, each one JSON object on a line.
+// Package handover connects a process of the dispatcher, the predecessor, to the process
+// that replaces it, the successor. The predecessor listens on a unix socket in a directory
+// that both use, and the successor connects to it. They exchange messages, each of which is
+// a JSON object on one line.
 //
-// Peers may be of different builds: the names of the socket's file and of the JSON
-// keys are fixed, unknown keys are ignored, and what a message does not say is left
-// out of it. The package does not decide what a process does with a message, and
-// neither process waits for the other.
+// The two processes may be of different builds: the name of the socket file and the JSON
+// keys must not change, unknown keys are ignored, and empty fields are left out of a
+// message. The package does not decide what a process does with a message, and neither
+// process blocks until the other one answers.
 package handover
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -13,7 +13,7 @@
 	"hollyyoke.example/hollyyoke/internal/goldentest"
 )
 
-// goldenMessages are messages of every kind, in the order of the golden file.
+// goldenMessages returns messages of every kind, in the order of the golden file.
 func goldenMessages() []Message {
 	outOfService := true
 	inService := false
@@ -33,11 +33,11 @@
 	}
 }
 
-// goldenIDs are request ids that are sent at once and read again.
+// goldenIDs are request ids that are sent in one message.
 var goldenIDs = []uint64{1, 0x0123456789abcdef, 1<<64 - 1}
 
-// Messages of all kinds are written byte for byte as the golden file has them, and
-// read back equal: the peer process may be of an older build or a newer one.
+// Messages of all kinds are written exactly as in the golden file, and the golden file is
+// read back as the same messages, since the peer process may be of an older or newer build.
 func TestGoldenMessages(t *testing.T) {
 	peer := newTestPeer(t, SocketPath(t.TempDir(), "n"))
 	conn, link := peer.connect(t)
@@ -66,28 +66,29 @@
 		t.Fatal(err)
 	}
 	for i, want := range goldenMessages() {
-		if got := receive(t, peer.received); !reflect.DeepEqual(got, want) {
+		if got := receiveValue(t, peer.received); !reflect.DeepEqual(got, want) {
 			t.Errorf("message %d is read as %+v, want %+v", i, got, want)
 		}
 	}
-	last := receive(t, peer.received)
+	last := receiveValue(t, peer.received)
 	if ids, err := last.ReadIDs(); err != nil || !reflect.DeepEqual(ids, goldenIDs) {
 		t.Errorf("ids %x, %v", ids, err)
 	}
 }
 
-// Keys that a newer build may add are ignored.
+// Unknown keys, which a newer build may send, are ignored.
 func TestGoldenUnknownKeys(t *testing.T) {
 	peer := newTestPeer(t, SocketPath(t.TempDir(), "n"))
 	conn, _ := peer.connect(t)
 	defer conn.Close()
 	fmt.Fprintln(conn, `{"a_key_to_come":{"x":1},"ready":true}`)
-	if got := receive(t, peer.received); !reflect.DeepEqual(got, Message{Ready: true}) {
+	if got := receiveValue(t, peer.received); !reflect.DeepEqual(got, Message{Ready: true}) {
 		t.Errorf("read as %+v", got)
 	}
 }
 
-// Older and newer builds agree on the name of the socket.
+// The name of the socket file must not change, so that older and newer builds find each
+// other.
 func TestGoldenSocketPath(t *testing.T) {
 	for dispatcher, want := range map[string]string{
 		"n0 127.0.0.1:80": "/run/d/hollyyoke-abebc10f165f0118.sock",
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -12,50 +12,52 @@
 )
 
 const (
-	idsDelay      = 10 * time.Millisecond // request ids accepted within it are sent together
-	maxIDsPerLine = 2000                  // so that a line fits in the peer's buffer
+	idsBatchDelay = 10 * time.Millisecond // request ids accepted within this time are sent together
+	maxIDsPerLine = 2000                  // so that a line fits into one buffer of the peer
 
-	// maxLineBytes bounds a line: an endpoint list takes some 250 bytes a worker.
+	// maxLineBytes limits the length of a line, and so the memory that it takes. An endpoint
+	// list takes some 250 bytes for each worker.
 	maxLineBytes = 16 << 20
 
-	// lineStart begins every message.
+	// lineStart is the first byte of every message.
 	lineStart = '{'
 )
 
-// Link is the connection with the peer process. It belongs to the loop's goroutine.
+// Link is the connection to the peer process. It is used only on the loop's goroutine.
 type Link struct {
 	engine    *transport.Engine
 	conn      *transport.Conn
-	input     []byte // what has arrived and is not handled yet
-	scanned   int    // bytes of input that hold no end of a line
+	input     []byte // received bytes that are not handled yet
+	scanned   int    // number of bytes at the start of input that are known to hold no newline
 	onMessage func(Message)
 	onLost    func()
 	ids       []byte // accepted request ids that have not been sent yet
 	idsTimer  eventloop.Deadline
 }
 
-// NewLink returns the handler of a connection with the peer process. onMessage is
-// called for each message, in their order. onLost is called once: when the connection
-// has ended, or when a line is too long or no message. Both are called on the loop.
+// NewLink returns the handler of a connection to the peer process. onMessage is called for
+// each message, in the order in which they were sent. onLost is called once: when the peer
+// has closed the connection, or when a line is too long or is not a message. Both are called
+// on the loop.
 func NewLink(engine *transport.Engine, conn *transport.Conn, onMessage func(Message), onLost func()) *Link {
 	link := &Link{engine: engine, conn: conn, onMessage: onMessage, onLost: onLost}
 	link.idsTimer.Fire = link.flushIDs
 	return link
 }
 
-// Send sends a message. One to a process that has ended is lost.
+// Send sends a message. If the peer process has ended, the message is lost without an error.
 func (l *Link) Send(m Message) {
 	text, err := json.Marshal(m)
 	if err != nil {
-		return // no message holds anything that JSON cannot express
+		return // cannot happen: every value of a message can be encoded as JSON
 	}
 	l.conn.Write(append(text, '\n'))
 }
 
-// SendAccepted sends a hashed request id, within idsDelay.
+// SendAccepted sends a hashed request id within idsBatchDelay, together with others.
 func (l *Link) SendAccepted(id uint64) {
 	if len(l.ids) == 0 {
-		l.engine.Loop.Set(&l.idsTimer, l.engine.Loop.Now()+idsDelay)
+		l.engine.Loop.Set(&l.idsTimer, l.engine.Loop.Now()+idsBatchDelay)
 	}
 	l.ids = binary.LittleEndian.AppendUint64(l.ids, id)
 }
@@ -68,7 +70,7 @@
 	l.flushIDs()
 }
 
-// flushIDs sends the request ids that wait.
+// flushIDs sends the request ids that have not been sent yet.
 func (l *Link) flushIDs() {
 	for len(l.ids) > 0 {
 		n := min(len(l.ids), idSize*maxIDsPerLine)
@@ -77,13 +79,14 @@
 	}
 }
 
-// Close ends the link; onLost is not called.
+// Close closes the connection. onLost is not called.
 func (l *Link) Close() {
 	l.release()
 	l.conn.Close()
 }
 
-// release gives back what the link holds. No callback is called after it.
+// release clears the timer, the buffers and the callbacks of the link. onMessage and onLost
+// are not called after it.
 func (l *Link) release() {
 	l.engine.Loop.Clear(&l.idsTimer)
 	l.input = nil
@@ -93,21 +96,21 @@
 	l.onLost = func() {}
 }
 
-// OnClosed is called when the peer process has ended the connection.
+// OnClosed is called when the peer process has closed the connection.
 func (l *Link) OnClosed(*transport.Conn, error) {
 	onLost := l.onLost
 	l.release()
 	onLost()
 }
 
-// fail closes a link on which something arrived that is no message.
+// fail closes the link after an invalid message, and calls onLost.
 func (l *Link) fail() {
 	onLost := l.onLost
 	l.Close()
 	onLost()
 }
 
-// OnData handles the messages that are complete. It owns b.
+// OnData handles all messages that are complete. It owns b.
 func (l *Link) OnData(_ *transport.Conn, b *transport.Buffer) {
 	l.input = append(l.input, b.Bytes()...)
 	l.engine.Pool.Put(b)
@@ -126,8 +129,9 @@
 	}
 }
 
-// nextLine returns the first line without its end. Where none is complete, it returns
-// false, and fails if what has arrived is too long or cannot become a message.
+// nextLine returns the first line without its newline. If no line is complete it returns
+// false, and it closes the link if the received bytes are too long or do not begin as a
+// message does.
 func (l *Link) nextLine() ([]byte, bool) {
 	end := bytes.IndexByte(l.input[l.scanned:], '\n')
 	if end >= 0 {
@@ -140,7 +144,8 @@
 	return nil, false
 }
 
-// consume drops n bytes of input, and the memory of a long line.
+// consume removes the first n bytes of input. If input is then empty and its buffer has
+// grown for a long line, the buffer is freed.
 func (l *Link) consume(n int) {
 	rest := l.input[n:]
 	l.input = append(l.input[:0], rest...)
--- a/internal/handover/link_test.go
+++ b/internal/handover/link_test.go
@@ -14,10 +14,10 @@
 	"hollyyoke.example/hollyyoke/internal/transport"
 )
 
-const testTimeout = 20 * time.Second // no test waits that long unless something is broken
+const testTimeout = 20 * time.Second // reached only if a test fails
 
-// receive returns the next value of a channel, and fails the test after testTimeout.
-func receive[T any](t testing.TB, values <-chan T) (value T) {
+// receiveValue returns the next value of a channel, and fails the test after testTimeout.
+func receiveValue[T any](t testing.TB, values <-chan T) (value T) {
 	t.Helper()
 	select {
 	case value = <-values:
@@ -27,7 +27,8 @@
 	return value
 }
 
-// testPeer is a process that listens for a successor, which the test is.
+// testPeer has the part of a predecessor, which listens for a successor. The test has the
+// part of the successor.
 type testPeer struct {
 	loop     *eventloop.Loop
 	engine   *transport.Engine
@@ -69,7 +70,7 @@
 	return peer
 }
 
-// accept makes a link of a connection. It runs on the loop.
+// accept returns a link for a new connection. It runs on the loop.
 func (p *testPeer) accept(conn *transport.Conn) transport.Handler {
 	onMessage := func(message Message) { p.received <- message }
 	onLost := func() { p.lost <- struct{}{} }
@@ -78,7 +79,7 @@
 	return link
 }
 
-// connect connects as the successor, and returns the link of the other end too.
+// connect connects as the successor, and returns the connection and the predecessor's link.
 func (p *testPeer) connect(t testing.TB) (net.Conn, *Link) {
 	t.Helper()
 	conn, err := Dial(p.path, testTimeout)
@@ -86,10 +87,11 @@
 		t.Fatal(err)
 	}
 	conn.SetDeadline(time.Now().Add(testTimeout))
-	return conn, receive(t, p.links)
+	return conn, receiveValue(t, p.links)
 }
 
-// Request ids arrive complete, however many; other text is rejected.
+// All request ids arrive, even if they need several lines. Text that does not encode ids is
+// rejected.
 func TestRequestIDs(t *testing.T) {
 	peer := newTestPeer(t, SocketPath(t.TempDir(), "n"))
 	conn, link := peer.connect(t)
@@ -101,7 +103,7 @@
 	}
 	peer.loop.Post(func() {
 		link.SendIDs(sent[:sentAtOnce])
-		link.SendAccepted(sent[sentAtOnce]) // sent after idsDelay
+		link.SendAccepted(sent[sentAtOnce]) // sent after idsBatchDelay
 	})
 	var received []uint64
 	decoder := json.NewDecoder(conn)
@@ -117,7 +119,7 @@
 		received = append(received, ids...)
 	}
 	if !reflect.DeepEqual(received, sent) {
-		t.Error("other ids were received")
+		t.Error("the ids received differ from those sent")
 	}
 	for _, bad := range []string{"x", "AAAA"} {
 		if _, err := (&Message{IDs: bad}).ReadIDs(); !errors.Is(err, ErrInvalidIDs) {
@@ -145,9 +147,9 @@
 	}
 }
 
-// fuzzStep is a step of FuzzLink: three bits for the message, where one more than there
-// are is a line that is no JSON, and five for where its line is cut. From 128 on there is a
-// pause at the cut.
+// fuzzStep is a step of FuzzLink. The lower three bits are the index of a message; the index
+// after the last message stands for a line that is not JSON. The upper five bits say where
+// the line is split. If the highest bit is set, there is a pause between the two parts.
 type fuzzStep byte
 
 func (s fuzzStep) message() int { return int(s % 8) }
@@ -156,7 +158,7 @@
 
 func (s fuzzStep) pauses() bool { return s >= 128 }
 
-// write writes a line in two parts.
+// write writes a line in two parts, with a pause between them if the step has one.
 func (s fuzzStep) write(conn net.Conn, line []byte) {
 	cut := s.cut(len(line))
 	conn.Write(line[:cut])
@@ -166,9 +168,8 @@
 	conn.Write(line[cut:])
 }
 
-// FuzzLink checks what a link receives: the messages sent, in order and once each,
-// wherever their bytes are cut, until one is no JSON, which ends the link as the end
-// of the peer process does.
+// FuzzLink checks that a link receives each message once and in order, wherever its bytes
+// are split. A line that is not JSON ends the link, as the end of the peer process does.
 func FuzzLink(f *testing.F) {
 	const maxSteps = 40
 	f.Add([]byte{0, 17, 34, 51, 68, 85, 200})
@@ -189,23 +190,23 @@
 			line, _ := json.Marshal(message)
 			step.write(conn, append(line, '\n'))
 			sent++
-			if got := receive(t, peer.received); !reflect.DeepEqual(got, message) {
+			if got := receiveValue(t, peer.received); !reflect.DeepEqual(got, message) {
 				t.Fatalf("received %+v, sent %+v", got, message)
 			}
 		}
 		conn.Close()
-		receive(t, peer.lost)
+		receiveValue(t, peer.lost)
 		if more := len(peer.received); more > 0 {
 			t.Fatalf("%d messages more than the %d sent", more, sent)
 		}
 	})
 }
 
-// A line longer than a buffer ends the link.
-func TestLineTooLong(t *testing.T) {
+// Bytes that cannot become a message end the link before the end of their line.
+func TestInvalidLineEndsTheLink(t *testing.T) {
 	peer := newTestPeer(t, SocketPath(t.TempDir(), "n"))
 	conn, _ := peer.connect(t)
 	defer conn.Close()
 	go conn.Write([]byte(strings.Repeat("x", 2*transport.BufferSize)))
-	receive(t, peer.lost)
+	receiveValue(t, peer.lost)
 }
--- a/internal/handover/longline_test.go
+++ b/internal/handover/longline_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// Guards against a successor that starts without its predecessor, both with all limits: the endpoint list of some 400
-// workers was longer than a buffer, and ended the link.
+// Guards against a link that ends because of a long endpoint list: the list of some 400 workers was longer than a
+// buffer, and ended the link. The successor then started without its predecessor, and both processes used all limits.
 func TestEndpointListOfALargeFleetArrives(t *testing.T) {
 	const workers = 3200
 	var hosts []string
@@ -30,7 +30,7 @@
 		select {
 		case got := <-peer.received:
 			if message.Greeting != nil && (got.Greeting == nil || !bytes.Equal(got.Greeting.List, list)) || got.Ready != message.Ready {
-				t.Errorf("received another message than the %d bytes sent", len(line))
+				t.Errorf("the message received differs from the %d bytes sent", len(line))
 			}
 		case <-peer.lost:
 			t.Fatalf("the link ended with a line of %d bytes", len(line))
@@ -38,7 +38,7 @@
 	}
 }
 
-// Guards against a peer that takes memory without end.
+// Guards against a peer that makes this process buffer a line without end.
 func TestEndlessMessageEndsTheLink(t *testing.T) {
 	peer := newTestPeer(t, SocketPath(t.TempDir(), "n"))
 	conn, _ := peer.connect(t)
@@ -51,8 +51,8 @@
 			}
 		}
 	}()
-	receive(t, peer.lost)
+	receiveValue(t, peer.lost)
 }
 
-// filler is a part of a message without an end.
+// filler is a part of a line that never ends.
 var filler = bytes.Repeat([]byte("x"), 1<<16)
--- a/internal/handover/messages.go
+++ b/internal/handover/messages.go
@@ -8,12 +8,12 @@
 )
 
 // Message is one line on the link. Fields that are nil or empty are not sent. The
-// predecessor is the older of the two processes, the successor the newer.
+// predecessor is the process that is replaced, the successor the one that replaces it.
 type Message struct {
 	Greeting       *Greeting       `json:"hello,omitempty"`          // first message of the predecessor
 	IDs            string          `json:"names,omitempty"`          // accepted request ids, hashed; see ReadIDs
 	Ready          bool            `json:"ready,omitempty"`          // the successor accepts clients
-	Limits         *Limits         `json:"room,omitempty"`           // what the predecessor uses of the limits
+	Limits         *Limits         `json:"room,omitempty"`           // what the predecessor uses of the shared limits
 	DiscoveryMoved string          `json:"discovery,omitempty"`      // new address of discovery
 	List           json.RawMessage `json:"list,omitempty"`           // endpoint list in force
 	OutOfService   *bool           `json:"out_of_service,omitempty"` // a drain has begun or ended
@@ -21,33 +21,33 @@
 	StoreReleased  bool            `json:"kept,omitempty"`           // the successor may open the store of durable jobs
 }
 
-// Greeting is the state from which the successor starts.
+// Greeting is the state of the predecessor with which the successor starts.
 type Greeting struct {
-	Discovery    string          `json:"discovery"`      // address of discovery; empty: none
+	Discovery    string          `json:"discovery"`      // address of discovery; empty if there is none
 	List         json.RawMessage `json:"list"`           // endpoint list in force
 	OutOfService bool            `json:"out_of_service"` // the predecessor is drained
 	IDKey        []byte          `json:"key"`            // key of the hash of request ids
 }
 
-// Limits is what a process uses of the limits that both share.
+// Limits is what a process uses of the limits that both processes share.
 type Limits struct {
 	Descriptors int   `json:"descriptors"`
 	Memory      int64 `json:"memory"` // bytes
 }
 
-// Reservation is what an attempt takes of the budget of a worker in slow start.
+// Reservation is the part of a worker's slow-start budget that an attempt takes.
 type Reservation struct {
 	Worker string  `json:"backend"`
-	Amount float64 `json:"amount"` // as dispatch.Dispatcher.OnReserved gives it
+	Amount float64 `json:"amount"` // as passed to dispatch.Dispatcher.OnReserved
 }
 
-// ErrInvalidIDs is returned by ReadIDs for text that encodes no request ids.
+// ErrInvalidIDs is returned by ReadIDs if the text does not encode request ids.
 var ErrInvalidIDs = errors.New("request ids cannot be decoded")
 
 // idSize is the size in bytes of a hashed request id.
 const idSize = 8
 
-// ReadIDs returns the hashed request ids of a message.
+// ReadIDs decodes the hashed request ids of a message.
 func (m *Message) ReadIDs() (ids []uint64, err error) {
 	encoded, err := base64.StdEncoding.DecodeString(m.IDs)
 	if err != nil || len(encoded)%idSize != 0 {
--- a/internal/handover/socket.go
+++ b/internal/handover/socket.go
@@ -12,16 +12,17 @@
 	"time"
 )
 
-// ErrNoDirectory is returned where there is no directory for the socket.
+// ErrNoDirectory is returned if the path of the socket is empty, since no directory is
+// configured for it.
 var ErrNoDirectory = errors.New("no directory for the handover socket")
 
-// maxSocketPath is the longest path used for a unix socket as it is. Linux takes
-// 107 bytes.
+// maxSocketPath is the longest path that is passed to the kernel unchanged. Linux allows
+// 107 bytes for the path of a unix socket.
 const maxSocketPath = 100
 
-// SocketPath returns the path of the socket of a dispatcher in a directory; the name
-// distinguishes the dispatchers that share the directory. It is empty without a
-// directory.
+// SocketPath returns the path of the handover socket of a dispatcher. dispatcher is a name
+// that distinguishes the dispatchers that share the directory. If directory is empty, so is
+// the path.
 func SocketPath(directory, dispatcher string) string {
 	if directory == "" {
 		return ""
@@ -31,8 +32,8 @@
 	return filepath.Join(directory, fmt.Sprintf("hollyyoke-%016x.sock", hash.Sum64()))
 }
 
-// withShortPath calls use with a path of the same file that is short enough for a
-// unix socket. The path is valid during the call only.
+// withShortPath calls use with a path to the same file that is short enough for a unix
+// socket. The path is valid only during the call.
 func withShortPath(path string, use func(string) error) error {
 	if len(path) <= maxSocketPath {
 		return use(path)
@@ -45,8 +46,8 @@
 	return use("/proc/self/fd/" + strconv.Itoa(int(directory.Fd())) + "/" + filepath.Base(path))
 }
 
-// Dial connects to the process that listens at path. It returns an error where there
-// is none: no file, or one that a process left behind when it died.
+// Dial connects to the process that listens at path. It returns an error if no process
+// listens: the file does not exist, or was left behind by a process that has ended.
 func Dial(path string, timeout time.Duration) (conn net.Conn, err error) {
 	if path == "" {
 		return nil, ErrNoDirectory
@@ -58,8 +59,8 @@
 	return conn, err
 }
 
-// Listen listens for a successor at path, and replaces a file that is there. The
-// file outlives the listener: by then it may be the successor's.
+// Listen listens for a successor at path, and replaces an existing file. Closing the
+// listener does not remove the file, since by then it may be the successor's socket.
 func Listen(path string) (ln net.Listener, err error) {
 	if path == "" {
 		return nil, ErrNoDirectory
--- a/internal/handover/socket_test.go
+++ b/internal/handover/socket_test.go
@@ -8,31 +8,31 @@
 	"testing"
 )
 
-// Dial reaches a listener whatever the length of its path, and one that replaced the
-// file of a dead process; it fails without a listener or a directory.
+// Dial reaches a listener whose path is short or long, also one that has replaced the file
+// of a dead process. It fails if there is no listener or no directory.
 func TestDialAndListen(t *testing.T) {
-	short, err := os.MkdirTemp("", "y")
+	shortDirectory, err := os.MkdirTemp("", "y")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer os.RemoveAll(short)
-	long := filepath.Join(short, strings.Repeat("long-", 30))
-	os.Mkdir(long, 0o700)
-	for _, directory := range []string{short, long} {
+	defer os.RemoveAll(shortDirectory)
+	longDirectory := filepath.Join(shortDirectory, strings.Repeat("long-", 30))
+	os.Mkdir(longDirectory, 0o700)
+	for _, directory := range []string{shortDirectory, longDirectory} {
 		path := SocketPath(directory, "n0 127.0.0.1:80")
 		if path == SocketPath(directory, "n1 127.0.0.1:80") {
-			t.Error("two dispatchers have one socket")
+			t.Error("two dispatchers have the same socket path")
 		}
 		if _, err := Dial(path, testTimeout); err == nil {
 			t.Errorf("%s: connected without a listener", path)
 		}
-		dead, err := Listen(path)
+		deadListener, err := Listen(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		dead.Close()
+		deadListener.Close()
 		if _, err := os.Lstat(path); err != nil {
-			t.Fatalf("the file is gone with its process: %v", err)
+			t.Fatalf("the file was removed when its listener was closed: %v", err)
 		}
 		if _, err := Dial(path, testTimeout); err == nil {
 			t.Errorf("%s: connected to a dead process", path)
@@ -40,10 +40,10 @@
 		peer := newTestPeer(t, path)
 		conn, _ := peer.connect(t)
 		conn.Close()
-		receive(t, peer.lost)
+		receiveValue(t, peer.lost)
 	}
 	if SocketPath("", "n0") != "" {
-		t.Error("a path without a directory")
+		t.Error("SocketPath returns a path without a directory")
 	}
 	if _, err := Dial("", testTimeout); !errors.Is(err, ErrNoDirectory) {
 		t.Errorf("Dial without a directory: %v", err)
