--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,4 +1,5 @@
-// Package tomlfile decodes TOML files of operators. Its errors take one line, and keys that nobody reads are errors.
+// Package tomlfile decodes TOML files of operators. The text of its errors is a single line, and an unknown key is an
+// error.
 package tomlfile
 
 import (
@@ -12,14 +13,14 @@
 
 // UnknownKeyError is returned for a key that the decoded value does not have.
 type UnknownKeyError struct {
-	Key string // with the tables that it stands in, separated by dots
+	Key string // full name, with the tables that contain the key, separated by dots
 }
 
 // Error names the key.
 func (e *UnknownKeyError) Error() string { return e.Key + ": unknown key" }
 
-// Decode decodes TOML into value, a pointer. An error takes one line; keys that value does not have are an
-// *UnknownKeyError.
+// Decode decodes TOML into value, which must be a pointer. The text of an error is a single line. For a key that value
+// does not have, the error is an *UnknownKeyError.
 func Decode(text []byte, value any) error {
 	meta, err := toml.Decode(string(text), value)
 	if err != nil {
@@ -36,18 +37,19 @@
 	return nil
 }
 
-// OneLine returns an error with the first line of err's text, which says what is wrong.
+// OneLine returns an error with only the first line of err's text, which says what is wrong.
 func OneLine(err error) error {
 	line, _, _ := strings.Cut(err.Error(), "\n")
 	return errors.New(line)
 }
 
-// Checker is a value that checks what was decoded into it, and sets defaults.
+// Checker is a value that can be decoded from a file. Check validates what was decoded, and sets defaults.
 type Checker interface {
 	Check() error
 }
 
-// ReadChecked decodes a file into value and checks it. An error takes one line, and names the path where it names a key.
+// ReadChecked decodes a file into value and checks it. Errors of the decoder are a single line without the path; those
+// for unknown keys and of Check begin with the path.
 func ReadChecked(path string, value Checker) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -22,11 +22,11 @@
 	return nil
 }
 
-// Errors take one line and name the key. The decoder's own do not have the path.
+// Errors are a single line and name the key. Unlike the others, errors of the decoder do not begin with the path.
 func TestErrors(t *testing.T) {
 	for _, test := range []struct {
 		text string
-		want string // PATH stands for the file's path; empty: no error
+		want string // text of the error, with PATH in place of the file's path; empty if there must be no error
 	}{
 		{"count = 1\n[inner]\nname = \"a\"", ""},
 		{"[inner]\nother = 1", "PATH: inner.other: unknown key"},
@@ -48,7 +48,7 @@
 	}
 }
 
-// A file that cannot be read is an error of package os.
+// For a file that does not exist, the error is os.ErrNotExist.
 func TestMissing(t *testing.T) {
 	err := ReadChecked(filepath.Join(t.TempDir(), "none"), &table{})
 	if !errors.Is(err, os.ErrNotExist) {
@@ -56,7 +56,7 @@
 	}
 }
 
-// A key that nobody reads is an error of its own type.
+// For an unknown key, the error is an *UnknownKeyError with the key's name.
 func TestUnknownKey(t *testing.T) {
 	err := Decode([]byte("x = 1"), &table{})
 	var unknown *UnknownKeyError
