--- a/cmd/dispatcher-serve/golden_test.go
+++ b/cmd/dispatcher-serve/golden_test.go
@@ -10,12 +10,13 @@
 	"hollyyoke.example/hollyyoke/internal/goldentest"
 )
 
-// printFlags makes this test's program print the flags that main declares.
-const printFlags = "HOLLYYOKE_TEST_TELL_FLAGS"
+// printFlagsVariable is the environment variable that makes the test binary print the flags
+// that main declares.
+const printFlagsVariable = "HOLLYYOKE_TEST_TELL_FLAGS"
 
-// TestMain runs the tests, or prints the flags in a process that a test starts.
+// TestMain runs the tests, or prints the flags if printFlagsVariable is set.
 func TestMain(m *testing.M) {
-	if os.Getenv(printFlags) == "" {
+	if os.Getenv(printFlagsVariable) == "" {
 		os.Exit(m.Run())
 	}
 	flag.CommandLine = flag.NewFlagSet("", flag.ExitOnError)
@@ -29,11 +30,11 @@
 	main()
 }
 
-// Command dispatcher and units that start dispatcher-serve directly depend on its
-// command line.
+// The command line must not change: command dispatcher uses it, and so do operators' units
+// that start dispatcher-serve directly.
 func TestGoldenCommandLine(t *testing.T) {
 	child := exec.Command(os.Args[0])
-	child.Env = append(os.Environ(), printFlags+"=1")
+	child.Env = append(os.Environ(), printFlagsVariable+"=1")
 	out, err := child.Output()
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/dispatcher-serve/main.go
+++ b/cmd/dispatcher-serve/main.go
@@ -1,6 +1,7 @@
-// Command dispatcher-serve runs the dispatcher's process and nothing else. Command
-// dispatcher replaces itself with it, and units may start it directly. It does not link
-// the command line's library or the rehearsal kit, which keeps its memory small.
+// Command dispatcher-serve runs the dispatcher and has no other subcommands. Command
+// dispatcher replaces itself with this program (execve), and operators' units may start it
+// directly. It links neither the command line library nor the rehearsal packages, which
+// keeps its memory use small.
 package main
 
 import (
