--- a/cmd/membership-relay/bench_test.go
+++ b/cmd/membership-relay/bench_test.go
@@ -13,16 +13,17 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/standin"
 )
 
-// BenchmarkRelay measures a relay's process from outside: the cost of a change of
-// one worker in a list of 21,000, by the number of subscribers, and the peak
-// resident memory.
+// BenchmarkRelay measures a relay in its own process, for different numbers of
+// subscribers: the CPU time and the bytes sent for each change of one worker in a list of
+// 21,000, and the peak resident memory.
 func BenchmarkRelay(b *testing.B) {
 	for _, subscribers := range []int{13, 130, 1300} {
 		b.Run(strconv.Itoa(subscribers), func(b *testing.B) { benchmarkRelay(b, subscribers) })
 	}
 }
 
-// benchmarkWorkers returns a list of the size of the fleet, whose names sort in another order.
+// benchmarkWorkers returns a list of 21,000 workers, the size of the fleet. The order of the list is not the order of
+// the names.
 func benchmarkWorkers() []standin.Host {
 	workers := make([]standin.Host, 21_000)
 	for i := range workers {
@@ -40,19 +41,19 @@
 	return workers
 }
 
-// benchmarkRelay measures a relay with a number of subscribers.
+// benchmarkRelay runs the benchmark with one number of subscribers.
 func benchmarkRelay(b *testing.B, subscribers int) {
 	workers := benchmarkWorkers()
 	origin := startDiscovery(b)
 	origin.Set(workers...)
 	p := startRelay(b, optionsText(origin.Addr))
-	eventually(b, "snapshot", func() bool { return p.status().Version == 1 })
+	waitUntil(b, "snapshot", func() bool { return p.status().Version == 1 })
 	arrived := make(chan struct{}, subscribers)
 	for i := range subscribers {
 		followChanges(b, p.address, i, arrived)
 	}
-	before := p.status()
-	used := processCPUTime(b, p.command.Process.Pid)
+	statusBefore := p.status()
+	cpuTime := processCPUTime(b, p.command.Process.Pid)
 	b.ResetTimer()
 	for i := range b.N {
 		workers[0].BornMs = int64(i)
@@ -62,15 +63,15 @@
 		}
 	}
 	b.StopTimer()
-	used = processCPUTime(b, p.command.Process.Pid) - used
-	after := p.status()
-	b.ReportMetric(float64(used.Microseconds())/float64(b.N), "cpu-µs/change")
-	b.ReportMetric(float64(after.SentBytes-before.SentBytes)/float64(b.N*subscribers), "B/change/subscriber")
+	cpuTime = processCPUTime(b, p.command.Process.Pid) - cpuTime
+	statusAfter := p.status()
+	b.ReportMetric(float64(cpuTime.Microseconds())/float64(b.N), "cpu-µs/change")
+	b.ReportMetric(float64(statusAfter.SentBytes-statusBefore.SentBytes)/float64(b.N*subscribers), "B/change/subscriber")
 	b.ReportMetric(peakMemoryBytes(b, p.command.Process.Pid)/1e6, "peak-MB")
 }
 
-// followChanges opens the watch of a dispatcher that has just started, and signals
-// each change that it brings.
+// followChanges opens a watch as a dispatcher does after its start, and sends a value to
+// arrived for each change that it receives.
 func followChanges(b *testing.B, address string, number int, arrived chan<- struct{}) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -87,7 +88,7 @@
 			}
 		}
 	}
-	if err := nextLine(); err != nil { // the first one is empty
+	if err := nextLine(); err != nil { // the first line has no changes
 		b.Fatal(err)
 	}
 	go func() {
@@ -103,11 +104,11 @@
 	if err != nil {
 		b.Skip(err)
 	}
-	_, rest, _ := strings.Cut(string(text), ") ") // after the name
+	_, rest, _ := strings.Cut(string(text), ") ") // the fields after the process name
 	fields := strings.Fields(rest)
 	const (
-		userField   = 11 // of the fields after the name, see proc_pid_stat(5)
-		systemField = 12
+		userField   = 11 // index of utime in rest, see proc_pid_stat(5)
+		systemField = 12 // index of stime
 		tick        = 10 * time.Millisecond
 	)
 	ticks := 0
@@ -121,7 +122,7 @@
 	return time.Duration(ticks) * tick
 }
 
-// peakMemoryBytes returns the maximum resident memory of a process.
+// peakMemoryBytes returns the peak resident memory of a process.
 func peakMemoryBytes(b *testing.B, pid int) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
--- a/cmd/membership-relay/golden_test.go
+++ b/cmd/membership-relay/golden_test.go
@@ -8,8 +8,8 @@
 	"hollyyoke.example/hollyyoke/internal/goldentest"
 )
 
-// The command line is what operators' units and scripts are written against, and
-// its names are derived from Go's.
+// The command line must not change, since operators' units and scripts use it. The library
+// kong derives its names from those of Go fields.
 func TestGoldenCommandLine(t *testing.T) {
 	parser, err := kong.New(&cli{})
 	if err != nil {
--- a/cmd/membership-relay/main.go
+++ b/cmd/membership-relay/main.go
@@ -1,6 +1,6 @@
 // Command membership-relay relays membership and configuration from discovery to
 // the dispatchers of a zone. It has the subcommands serve (the default) and check.
-// SIGHUP reloads the list of upstreams, SIGTERM and SIGINT shut it down.
+// SIGHUP reloads the list of upstreams; SIGTERM and SIGINT shut the relay down.
 package main
 
 import (
@@ -26,10 +26,10 @@
 	}
 }
 
-// signalBuffer is how many signals may wait to be handled.
+// signalBuffer is how many signals may be pending.
 const signalBuffer = 4
 
-// cli is the command line.
+// cli is the command line: its options and subcommands.
 type cli struct {
 	OptionsFile string `name:"operator" required:"" placeholder:"FILE" help:"Options file with the table [relay]; deploy/relay.toml explains it."`
 	Debug       bool   `help:"Log each failed call to an upstream."`
@@ -38,7 +38,8 @@
 	Check struct{} `cmd:"" help:"Check the options file and print every option, without starting anything."`
 }
 
-// runCommand runs a command line, until a signal ends it.
+// runCommand parses and runs a command line. The subcommand serve runs until a signal ends
+// it.
 func runCommand(args []string, signals <-chan os.Signal, out, errorOutput io.Writer) error {
 	var options cli
 	helpPrinted := false
@@ -70,7 +71,7 @@
 	return serve(options.OptionsFile, config, log, signals, out)
 }
 
-// serve runs the relay until SIGTERM or SIGINT.
+// serve runs the relay until SIGTERM or SIGINT. On SIGHUP it reloads the upstreams.
 func serve(path string, config relay.Config, log *slog.Logger, signals <-chan os.Signal, out io.Writer) error {
 	running, err := relay.Start(config, log)
 	if err != nil {
@@ -94,7 +95,8 @@
 	return errors.Join(errors.New("signal channel closed"), running.Close())
 }
 
-// reload applies the upstreams of the options file. All other options need a restart.
+// reload reads the options file and applies its upstreams. Changes of all other options
+// need a restart.
 func reload(path string, running *relay.Relay) error {
 	config, err := relay.Load(path)
 	if err != nil {
--- a/cmd/membership-relay/main_test.go
+++ b/cmd/membership-relay/main_test.go
@@ -24,7 +24,7 @@
 // runAsRelayVariable is the environment variable that makes the test binary run as the relay.
 const runAsRelayVariable = "HOLLYYOKE_TEST_AS_RELAY"
 
-// TestMain runs the relay in place of the tests where runAsRelayVariable is set.
+// TestMain runs the tests, or the relay if runAsRelayVariable is set.
 func TestMain(m *testing.M) {
 	if os.Getenv(runAsRelayVariable) != "" {
 		main()
@@ -33,32 +33,33 @@
 	os.Exit(m.Run())
 }
 
-// testTimeout is how long a condition may take. It is generous, since the machine may be loaded.
+// testTimeout is how long a test waits for a condition. It is long, since the machine may be loaded.
 const testTimeout = 60 * time.Second
 
-// eventually waits for a condition.
-func eventually(t testing.TB, what string, condition func() bool) {
+// waitUntil waits until a condition holds, and fails the test after testTimeout.
+func waitUntil(t testing.TB, what string, condition func() bool) {
 	t.Helper()
 	end := time.Now().Add(testTimeout)
 	for !condition() {
 		if time.Now().After(end) {
-			t.Fatalf("not in time: %s", what)
+			t.Fatalf("timeout: %s", what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// relayProcess is a relay in a process of its own.
+// relayProcess is a relay that runs in its own process.
 type relayProcess struct {
 	t       testing.TB
 	command *exec.Cmd
-	options string // path of its options file
+	options string // path of the options file
 	address string
-	admin   string // address of its admin API
+	admin   string // address of the admin API
 	log     childprocess.Output
 }
 
-// optionsText returns an options file with upstreams and free ports.
+// optionsText returns the text of an options file with the given upstreams. The relay listens on ports that the kernel
+// chooses.
 func optionsText(upstreams ...string) string {
 	list, _ := json.Marshal(upstreams) // strings always marshal
 	return fmt.Sprintf(`[relay]
@@ -69,7 +70,7 @@
 `, list)
 }
 
-// startRelay starts a relay with an options file and waits until it listens.
+// startRelay starts a relay with the text of an options file, and waits until it listens.
 func startRelay(t testing.TB, options string) *relayProcess {
 	t.Helper()
 	p := &relayProcess{t: t, options: filepath.Join(t.TempDir(), "relay.toml")}
@@ -93,18 +94,18 @@
 	return p
 }
 
-// relayCommand returns a command that runs the relay in a process of its own.
+// relayCommand returns a command that runs the test binary as the relay.
 func relayCommand(args ...string) *exec.Cmd {
 	command := exec.Command(os.Args[0], args...)
 	command.Env = append(os.Environ(), runAsRelayVariable+"=1")
 	return command
 }
 
-// readAddress returns the address on the next line of output, after a prefix.
+// readAddress reads the next line of the relay's output, and returns the address that follows a prefix.
 func (p *relayProcess) readAddress(lines *bufio.Scanner, prefix string) string {
 	p.t.Helper()
 	if !lines.Scan() {
-		p.t.Fatalf("no line %q: %s", prefix, &p.log)
+		p.t.Fatalf("the relay did not print %q: %s", prefix, &p.log)
 	}
 	return strings.TrimPrefix(lines.Text(), prefix)
 }
@@ -116,7 +117,7 @@
 	}
 }
 
-// status returns the status from the admin API.
+// status returns the relay's status, as reported by its admin API.
 func (p *relayProcess) status() (status relay.Status) {
 	p.t.Helper()
 	response, err := http.Get("http://" + p.admin + "/control/membership")
@@ -130,7 +131,8 @@
 	return status
 }
 
-// startDiscovery starts a stand-in of discovery that lists workers, one version after the other.
+// startDiscovery starts a stand-in for discovery. Each worker is added by a change of its own, so that the version of
+// the list is the number of workers.
 func startDiscovery(t testing.TB, workers ...string) *standin.Discovery {
 	t.Helper()
 	discovery, err := standin.StartDiscovery(nil)
@@ -144,10 +146,10 @@
 	return discovery
 }
 
-// SIGTERM ends watches with a complete response, and the process with exit code 0.
+// SIGTERM completes the responses of open watches and ends the process with exit code 0.
 func TestTerminateEndsWatchesCompletely(t *testing.T) {
 	p := startRelay(t, optionsText(startDiscovery(t, "x").Addr))
-	eventually(t, "snapshot", func() bool { return p.status().Version == 1 })
+	waitUntil(t, "snapshot", func() bool { return p.status().Version == 1 })
 	response, err := http.Get("http://" + p.address + "/v1/servers?watch=1&after=0&name=d1")
 	if err != nil {
 		t.Fatal(err)
@@ -166,15 +168,15 @@
 	}
 }
 
-// SIGHUP reloads the upstreams; an invalid file changes nothing.
+// SIGHUP reloads the upstreams. If the options file is invalid, nothing changes.
 func TestHangupReloadsUpstreams(t *testing.T) {
 	first := startDiscovery(t, "x")
 	second := startDiscovery(t, "x", "y")
 	p := startRelay(t, optionsText(first.Addr))
-	eventually(t, "first upstream", func() bool { return p.status().Upstream == first.Addr })
+	waitUntil(t, "first upstream", func() bool { return p.status().Upstream == first.Addr })
 	p.writeOptions(optionsText(second.Addr) + "batch = 3\n")
 	p.command.Process.Signal(syscall.SIGHUP)
-	eventually(t, "line in the log", func() bool {
+	waitUntil(t, "the error is in the log", func() bool {
 		return strings.Contains(p.log.String(), "relay.batch: unknown key")
 	})
 	if status := p.status(); status.Upstream != first.Addr || status.Version != 1 {
@@ -182,13 +184,13 @@
 	}
 	p.writeOptions(optionsText(second.Addr))
 	p.command.Process.Signal(syscall.SIGHUP)
-	eventually(t, "other upstream", func() bool {
+	waitUntil(t, "second upstream", func() bool {
 		status := p.status()
 		return status.Upstream == second.Addr && status.Version == 2
 	})
 }
 
-// An invalid options file prints one line and exits with code 1, for check and serve.
+// With an invalid options file, check and serve print one line and exit with code 1.
 func TestInvalidOptions(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "relay.toml")
 	if err := os.WriteFile(path, []byte(optionsText("127.0.0.1:1")+"bytes_per_s = 0\n"), 0o600); err != nil {
@@ -207,7 +209,7 @@
 	}
 }
 
-// The subcommand check prints each option with its description.
+// The subcommand check prints every option with its description.
 func TestCheckPrintsOptions(t *testing.T) {
 	var out, errorOutput bytes.Buffer
 	args := []string{"check", "--operator", "../../deploy/relay.toml"}
