--- a/cmd/dispatcher/admin_test.go
+++ b/cmd/dispatcher/admin_test.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// adminLogLine is what the log has before the address of the admin API.
+// adminLogLine is the text before the address of the admin API in the log.
 const adminLogLine = "admin API at "
 
-// adminAddress returns the address of the admin API, once the program has logged it.
+// adminAddress waits until the program has logged the address of its admin API, and returns it.
 func (d *testDaemon) adminAddress() string {
 	d.t.Helper()
 	d.waitForLog(adminLogLine)
@@ -23,7 +23,7 @@
 	return address
 }
 
-// callAdmin makes a call to the admin API, and returns status 0 where it is not answered.
+// callAdmin makes a call to the admin API. It returns status 0 if the call is not answered.
 func (d *testDaemon) callAdmin(method, path string) (status int, body string) {
 	d.t.Helper()
 	request, _ := http.NewRequest(method, "http://"+d.adminAddress()+path, nil)
@@ -36,7 +36,7 @@
 	return response.StatusCode, string(text)
 }
 
-// ready reports whether the admin API says that the process accepts clients.
+// ready reports whether, according to the admin API, the process accepts clients.
 func (d *testDaemon) ready() bool {
 	status, _ := d.callAdmin(http.MethodGet, "/control/ready")
 	return status == http.StatusOK
@@ -56,8 +56,7 @@
 	return status
 }
 
-// adminCounters are the counters of the admin API that the tests check. Those of
-// requests are by class.
+// adminCounters are the counters of the admin API. Those in maps are by class.
 type adminCounters struct {
 	Succeeded, Declined, Aborted               map[string]int
 	Forwards, Outstanding, Discovered, Ejected int
--- a/cmd/dispatcher/client_test.go
+++ b/cmd/dispatcher/client_test.go
@@ -11,13 +11,13 @@
 	"time"
 )
 
-// newConnectionClient returns a client that opens a connection for each request.
+// newConnectionClient returns a client that opens a new connection for each request.
 func newConnectionClient() *http.Client {
 	return &http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 }
 
-// post sends a request and returns status, body and Retry-After. leftMs is the time
-// that the client has left, in milliseconds; 0: it does not say.
+// post sends a request and returns status, body and Retry-After. leftMs is the time that the
+// client has left, in milliseconds; if it is 0, the request does not say.
 func (d *testDaemon) post(class, id, body string, leftMs int) (status int, text, retryAfter string) {
 	d.t.Helper()
 	request, _ := http.NewRequest(http.MethodPost, "http://"+d.listen+"/"+class+"/key-1?x=y", strings.NewReader(body))
@@ -36,8 +36,8 @@
 	return response.StatusCode, string(answer), response.Header.Get("Retry-After")
 }
 
-// postStatus sends a request with a short body and no deadline of its own, and returns
-// the status.
+// postStatus sends a request with a short body and without a time left, and returns the
+// status.
 func (d *testDaemon) postStatus(class, id string) int {
 	d.t.Helper()
 	status, _, _ := d.post(class, id, "x", 0)
@@ -52,8 +52,8 @@
 	return status
 }
 
-// postUntil sends status-checks one after the other until a condition holds, or the test
-// takes too long. leftMs is as for post.
+// postUntil sends status-checks one after the other until a condition holds or testTimeout
+// has passed. leftMs is as for post.
 func (d *testDaemon) postUntil(holds func() bool, idPrefix string, leftMs int) {
 	d.t.Helper()
 	end := time.Now().Add(testTimeout)
@@ -62,7 +62,7 @@
 	}
 }
 
-// health returns the status of healthz, or 0 where it is not answered.
+// health returns the status of /healthz, or 0 if the request is not answered.
 func (d *testDaemon) health() int {
 	response, err := d.client.Get("http://" + d.listen + "/healthz")
 	if err != nil {
@@ -72,8 +72,8 @@
 	return response.StatusCode
 }
 
-// waitUntilUnhealthy waits until healthz answers 503: a signal is handled some time
-// after it is sent.
+// waitUntilUnhealthy waits until /healthz responds with 503. This shows that a signal has been
+// handled, which happens some time after it is sent.
 func (d *testDaemon) waitUntilUnhealthy() {
 	d.t.Helper()
 	for began := time.Now(); time.Since(began) < testTimeout; time.Sleep(time.Millisecond) {
@@ -95,7 +95,7 @@
 	reader *bufio.Reader
 }
 
-// connect opens a connection for a client, with a deadline for the whole test.
+// connect opens a client's connection, whose deadline is testTimeout from now.
 func (d *testDaemon) connect() *clientConn {
 	d.t.Helper()
 	conn, err := net.Dial("tcp", d.listen)
@@ -107,7 +107,7 @@
 	return &clientConn{conn, bufio.NewReader(conn)}
 }
 
-// requestText returns a request as a client writes it.
+// requestText returns the bytes of a request.
 func requestText(class, id, body string) string {
 	return fmt.Sprintf("POST /%s/k HTTP/1.1\r\nX-Correlation-Id: %s\r\nContent-Length: %d\r\n\r\n%s", class, id, len(body), body)
 }
@@ -115,7 +115,8 @@
 // send sends a renewal with a short body.
 func (c *clientConn) send(id string) { io.WriteString(c, requestText("renewal", id, "x")) }
 
-// readResponse reads a response, and returns whether the connection ends with it.
+// readResponse reads a response. ends reports whether the response says that the connection
+// will be closed.
 func (c *clientConn) readResponse(t *testing.T) (status int, ends bool) {
 	t.Helper()
 	response, err := http.ReadResponse(c.reader, nil)
@@ -126,8 +127,8 @@
 	return response.StatusCode, response.Close
 }
 
-// closed waits for the next byte, and reports whether the daemon closes the connection
-// in its place.
+// closed waits until the daemon sends a byte or closes the connection, and reports whether it
+// has closed it.
 func (c *clientConn) closed() bool {
 	_, err := c.reader.ReadByte()
 	return err == io.EOF
--- a/cmd/dispatcher/crowd_test.go
+++ b/cmd/dispatcher/crowd_test.go
@@ -11,25 +11,26 @@
 	"time"
 )
 
-// A crowd of connections that send nothing takes all descriptors. Clients with little time left that connected right
-// after it were answered after 1.22 to 1.29 s, or not within their time plus a second: late, which is lost. A silent
-// newcomer must not hold up a client who writes.
+// These tests guard against silent connections that delay clients. A crowd of connections that send nothing took all
+// descriptors, and clients with little time left that connected right after it were answered after 1.22 to 1.29 s, or
+// not within their time plus a second.
 //
-// The cause: new connections wait in the kernel's queue while all that may be open are, and a silent one was not evicted
-// in its first second. Proven connections were, so that kept clients had to wait in that queue, too. The wait follows
-// that span: answers came 1.00 to 1.04 s after their requests, and after 1.49 s where it was set to 1.5 s on a copy.
+// The cause: when the limit of open connections is reached, new connections wait in the kernel's queue, and a silent
+// connection was not evicted in its first second. Proven connections were evicted instead, so that clients with open
+// connections had to wait in that queue, too. The delay followed this grace time: answers came 1.00 to 1.04 s after
+// their requests, and after 1.49 s when the grace time was set to 1.5 s in a trial.
 
 const (
 	crowdDescriptors = 512
 	crowdClients     = 12
 	crowdTimeLeft    = 400 * time.Millisecond
-	answerSlack      = 500 * time.Millisecond // after its time an answer earns nothing; later it is lost
+	answerSlack      = 500 * time.Millisecond // an answer that is later than its time by more than this fails the test
 )
 
-// crowdClient sends requests with little time left, on a connection that it keeps.
+// crowdClient sends requests with little time left, on a connection that it keeps open.
 type crowdClient struct {
 	address string
-	conn    net.Conn // nil: it has none
+	conn    net.Conn // nil if not connected
 	reader  *bufio.Reader
 }
 
@@ -44,8 +45,8 @@
 	return nil
 }
 
-// request sends a request and returns why it is lost, or nil. A request on a connection that is closed without a byte
-// of an answer has crossed the close, and is sent once more, on a new connection.
+// request sends a request, and returns an error if it is not answered in time. If the connection is closed before the
+// first byte of an answer, the request may have crossed the close, and is sent once more, on a new connection.
 func (c *crowdClient) request(id string) error {
 	var err error
 	for try := range 2 {
@@ -54,22 +55,23 @@
 				return err
 			}
 		}
-		var crossed bool
-		crossed, err = c.exchange(fmt.Sprint(id, "-", try))
+		var closedUnanswered bool
+		closedUnanswered, err = c.exchange(fmt.Sprint(id, "-", try))
 		if err == nil {
 			return nil
 		}
 		c.conn.Close()
 		c.conn = nil
-		if !crossed {
+		if !closedUnanswered {
 			return err
 		}
 	}
 	return err
 }
 
-// exchange sends a request and reads its answer. crossed reports that the connection was closed with no answer.
-func (c *crowdClient) exchange(id string) (crossed bool, err error) {
+// exchange sends a request and reads its answer. closedUnanswered reports that the connection was closed before the
+// first byte of an answer.
+func (c *crowdClient) exchange(id string) (closedUnanswered bool, err error) {
 	head := fmt.Sprintf("POST /status-check/k HTTP/1.1\r\nX-Correlation-Id: %s\r\nX-Time-Left-Ms: %d\r\nContent-Length: 1\r\n\r\nx",
 		id, crowdTimeLeft.Milliseconds())
 	if _, err := io.WriteString(c.conn, head); err != nil {
@@ -98,8 +100,8 @@
 	return false, nil
 }
 
-// openCrowd opens connections that send nothing, with a pause between two of them, and returns once all are connected or
-// the daemon has ended them.
+// openCrowd opens connections that send nothing, with a pause after each, and returns once all are connected or the
+// daemon has closed them.
 func openCrowd(t *testing.T, address string, size int, pause time.Duration) {
 	t.Helper()
 	var opened sync.WaitGroup
@@ -107,7 +109,7 @@
 		opened.Go(func() {
 			conn, err := net.DialTimeout("tcp", address, testTimeout)
 			if err != nil {
-				t.Errorf("the crowd: %v", err)
+				t.Errorf("a connection of the crowd: %v", err)
 				return
 			}
 			t.Cleanup(func() { conn.Close() })
@@ -117,15 +119,16 @@
 	opened.Wait()
 }
 
-// crowdTest says how a crowd comes.
+// crowdTest says how many connections a crowd has and when they are opened.
 type crowdTest struct {
-	name  string
-	size  int
-	pause time.Duration // between two of its connections
-	lead  time.Duration // of the crowd before the clients' first requests on new connections
+	name      string
+	size      int
+	pause     time.Duration // after each connection
+	headStart time.Duration // from the last connection of the crowd to the clients' first requests on new connections
 }
 
-// Clients beside a crowd of silent connections get their answers in time, on connections that they keep and on new ones.
+// While a crowd of silent connections is open, clients get their answers in time, on connections that they keep open
+// and on new ones.
 func TestSilentCrowdHoldsNobodyUp(t *testing.T) {
 	for _, test := range []crowdTest{
 		{"400 at once", 400, 0, 0},
@@ -137,22 +140,23 @@
 	}
 }
 
-// runCrowd opens a crowd beside clients on kept connections, and has clients with new connections ask after it.
+// runCrowd opens a crowd while clients send on connections that they keep open. After it, other clients send on new
+// connections.
 func runCrowd(t *testing.T, test crowdTest) {
 	daemon := &testDaemon{t: t, config: limitedDescriptors(crowdDescriptors)}
 	daemon.addWorker("s-1", respondDone)
 	daemon.addWorker("s-2", respondDone)
 	daemon.start()
 	var clients sync.WaitGroup
-	crowdCame := make(chan struct{})
+	crowdConnected := make(chan struct{})
 	for number := range crowdClients {
 		kept := &crowdClient{address: daemon.listen}
 		if err := kept.request(fmt.Sprintf("before-%d", number)); err != nil {
 			t.Fatalf("client %d before the crowd: %v", number, err)
 		}
-		clients.Go(func() { runKeptClient(t, number, kept, crowdCame) })
+		clients.Go(func() { runKeptClient(t, number, kept, crowdConnected) })
 		clients.Go(func() {
-			<-crowdCame
+			<-crowdConnected
 			newcomer := &crowdClient{address: daemon.listen}
 			if err := newcomer.request(fmt.Sprintf("first-%d", number)); err != nil {
 				t.Errorf("the first request on the new connection %d: %v", number, err)
@@ -160,16 +164,17 @@
 		})
 	}
 	openCrowd(t, daemon.listen, test.size, test.pause)
-	time.Sleep(test.lead)
-	close(crowdCame)
+	time.Sleep(test.headStart)
+	close(crowdConnected)
 	clients.Wait()
 	if descriptors := daemon.openDescriptors(); descriptors > crowdDescriptors {
 		t.Errorf("%d descriptors, at most %d", descriptors, crowdDescriptors)
 	}
 }
 
-// runKeptClient sends requests on a kept connection, before, beside and for a second after the crowd.
-func runKeptClient(t *testing.T, number int, client *crowdClient, crowdCame <-chan struct{}) {
+// runKeptClient sends requests on a connection that it keeps open, from before the crowd until a second after it is
+// complete.
+func runKeptClient(t *testing.T, number int, client *crowdClient, crowdConnected <-chan struct{}) {
 	const pause = 20 * time.Millisecond
 	end := time.Time{}
 	for i := 0; end.IsZero() || time.Now().Before(end); i++ {
@@ -178,8 +183,8 @@
 		}
 		time.Sleep(pause)
 		select {
-		case <-crowdCame:
-			crowdCame = nil
+		case <-crowdConnected:
+			crowdConnected = nil
 			end = time.Now().Add(time.Second)
 		default:
 		}
--- a/cmd/dispatcher/daemon_test.go
+++ b/cmd/dispatcher/daemon_test.go
@@ -19,10 +19,11 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/faultinject"
 )
 
-const testTimeout = 30 * time.Second // no test waits that long unless something is broken
+const testTimeout = 30 * time.Second // reached only if a test fails
 
-// settingsText are the settings of the tests. CONN_IDLE stands for how long a connection
-// to a worker may be idle, in microseconds. Tests replace other values by their text.
+// settingsText is the value of the key settings in the tests. CONN_IDLE is a placeholder for
+// how long a connection to a worker may be idle, in microseconds. Some tests replace other
+// parts of the text.
 const settingsText = `{
 	"areas":["here","there"],
 	"kinds":["m"],
@@ -74,7 +75,7 @@
 	"reporting":{"via":"answers"}
 }`
 
-// defaultConnectionIdle is longer than a test leaves a connection to a worker idle.
+// defaultConnectionIdle is longer than any test leaves a connection to a worker idle.
 const defaultConnectionIdle = 10 * time.Second
 
 // settingsWithIdle returns the settings with a limit on how long a connection to a
@@ -87,22 +88,22 @@
 // workers and discovery, and a client.
 type testDaemon struct {
 	t         *testing.T
-	workers   []*testWorker  // all that are added before start are in the initial endpoint list
-	discovery *testDiscovery // nil: start makes one
+	workers   []*testWorker  // those added before start are in the initial endpoint list
+	discovery *testDiscovery // if nil, start creates one
 
-	// How it is started.
-	program        string         // the program to start; empty: the one under test
-	listen         string         // address for clients; empty: start chooses one
-	config         map[string]any // keys that go before those of defaultConfig; after start, all keys
-	configPath     string         // of the configuration file
-	env            []string       // variables beside those of environment
-	inheritedFiles []*os.File     // descriptors from 3 on
-	skipReadyWait  bool           // start does not wait until healthz answers 200
-	startProcess   func()         // starts cmd in place of its own Start
+	// How the process is started.
+	program        string         // path of the program; if empty, builtProgram
+	listen         string         // address for clients; if empty, start chooses one
+	config         map[string]any // keys that override those of defaultConfig; after start, all keys
+	configPath     string         // path of the configuration file
+	env            []string       // variables in addition to those of environment
+	inheritedFiles []*os.File     // inherited descriptors, from number 3 on
+	skipReadyWait  bool           // start does not wait until /healthz responds with 200
+	startProcess   func()         // if not nil, starts cmd in place of cmd.Start
 
 	// The running process.
 	cmd    *exec.Cmd
-	traced *faultinject.Process // the same, where its system calls fail
+	traced *faultinject.Process // the running process, if faults are injected into its system calls
 	log    childprocess.Output
 	client *http.Client
 }
@@ -151,7 +152,7 @@
 	}
 }
 
-// waitUntilHealthy waits until healthz answers 200.
+// waitUntilHealthy waits until /healthz responds with 200.
 func (d *testDaemon) waitUntilHealthy() {
 	d.t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
@@ -163,7 +164,7 @@
 			}
 		}
 		if time.Now().After(end) {
-			d.t.Fatalf("it does not start: %v, %v", response, err)
+			d.t.Fatalf("the program is not healthy in time: %v, %v", response, err)
 		}
 	}
 }
@@ -188,7 +189,7 @@
 			d.cmd.Wait()
 		}
 		if d.t.Failed() {
-			d.t.Logf("its log:\n%s", d.log.String())
+			d.t.Logf("the program's log:\n%s", d.log.String())
 		}
 	})
 }
@@ -225,13 +226,13 @@
 	}
 }
 
-// kill ends the process by SIGKILL, and waits for its end.
+// kill sends SIGKILL to the process, and waits until it has ended.
 func (d *testDaemon) kill() {
 	d.cmd.Process.Kill()
 	d.cmd.Wait()
 }
 
-// waitForExit waits for the program's end and returns its exit code.
+// waitForExit waits until the program has ended, and returns its exit code.
 func (d *testDaemon) waitForExit() int {
 	d.t.Helper()
 	ended := make(chan struct{})
@@ -242,9 +243,9 @@
 	select {
 	case <-ended:
 	case <-time.After(testTimeout):
-		d.cmd.Process.Signal(syscall.SIGQUIT) // the log then has all goroutines
+		d.cmd.Process.Signal(syscall.SIGQUIT) // makes the program log the stacks of all goroutines
 		<-ended
-		d.t.Fatal("it does not end")
+		d.t.Fatal("the program does not end")
 	}
 	return d.cmd.ProcessState.ExitCode()
 }
@@ -254,7 +255,7 @@
 	d.t.Helper()
 	for end := time.Now().Add(testTimeout); !d.hasLogged(text); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			d.t.Fatalf("it does not log %q", text)
+			d.t.Fatalf("the program does not log %q", text)
 		}
 	}
 }
@@ -299,7 +300,7 @@
 	return listener
 }
 
-// acceptConnections serves each connection of a listener in a goroutine of its own, until the
+// acceptConnections serves each connection of a listener in its own goroutine, until the
 // listener is closed.
 func acceptConnections(listener net.Listener, serve func(net.Conn)) {
 	for {
--- a/cmd/dispatcher/discovery_test.go
+++ b/cmd/dispatcher/discovery_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// Endpoint changes apply: a draining worker gets nothing new, one that is back does. A
-// watch without heartbeats is closed and opened again while the list stays; so is one
-// that ends or sends invalid lines.
+// Changes of the endpoint list are applied: a draining worker gets no new requests, and gets
+// some again when it is ready again. A watch without heartbeats, one that ends and one that
+// sends invalid lines are opened again, while the list stays in force.
 func TestDiscovery(t *testing.T) {
 	daemon := &testDaemon{t: t}
 	draining := daemon.addWorker("s-a", respondDone)
@@ -19,7 +19,7 @@
 	daemon.start()
 	daemon.discovery.waitForWatch()
 	daemon.discovery.sendChange(42, draining.listEntry("draining"))
-	// The change has arrived once a response that needs it has been given.
+	// The change has arrived once a request has gone to the other worker.
 	daemon.postUntil(func() bool { return len(other.requests()) > 0 }, "probe-", 0)
 	time.Sleep(100 * time.Millisecond)
 
@@ -39,7 +39,7 @@
 			t.Errorf("after %q: watch %q", fault, query)
 		}
 		if status := daemon.postStatus("renewal", fmt.Sprint("kept-", i)); status != 200 {
-			t.Errorf("after %q: the list is lost: %d", fault, status)
+			t.Errorf("after %q: a request with the list in force: %d", fault, status)
 		}
 	}
 	if count := len(draining.requests()); count != before {
@@ -51,14 +51,14 @@
 	for i := 0; len(draining.requests()) == before; i++ {
 		status := daemon.postStatus("status-check", fmt.Sprint("back-", i))
 		if status != 200 || time.Now().After(end) {
-			t.Fatalf("the one worker listed: %d", status)
+			t.Fatalf("a request to the only worker listed: %d", status)
 		}
 	}
 }
 
-// SIGHUP reloads the configuration: the watch moves to the discovery that the file names,
-// whatever the environment says, while the list and the running request stay; an
-// invalid file changes nothing; close to SIGTERM it does no harm.
+// SIGHUP reloads the configuration. The watch moves to the discovery address in the file, even
+// if the environment has another one, while the list and running requests stay. An invalid
+// file changes nothing. A SIGHUP right before or after SIGTERM has no effect on the shutdown.
 func TestReload(t *testing.T) {
 	daemon := &testDaemon{t: t}
 	release := make(chan struct{})
@@ -71,7 +71,7 @@
 	running := daemon.postInBackground("renewal", "held")
 	for end := time.Now().Add(testTimeout); len(worker.requests()) == 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the request does not arrive")
+			t.Fatal("the request does not reach the worker")
 		}
 	}
 
@@ -93,7 +93,7 @@
 	moved.sendChange(42, added.listEntry("ready"))
 	daemon.postUntil(func() bool { return len(added.requests()) > 0 }, "new-", 200)
 	if len(added.requests()) == 0 {
-		t.Error("the new discovery is not used")
+		t.Error("a change from the new discovery is not applied")
 	}
 
 	daemon.signal(syscall.SIGHUP)
@@ -108,8 +108,8 @@
 	}
 }
 
-// reloadWith has the daemon reload its configuration with some keys changed. Those that
-// an earlier call has changed are as they were at the start.
+// reloadWith makes the daemon reload its configuration with some keys changed. All other keys
+// have the values from the start, also those that an earlier call has changed.
 func (d *testDaemon) reloadWith(changes map[string]any) {
 	d.t.Helper()
 	atStart := d.config
@@ -120,8 +120,9 @@
 	d.signal(syscall.SIGHUP)
 }
 
-// checkInvalidReloads checks that the log names the key of an invalid configuration. All
-// have another address of discovery, which must not be used.
+// checkInvalidReloads reloads invalid configurations and checks that the log names the invalid
+// key. Unless that key is discovery, the configuration also has another discovery address,
+// which must not be used.
 func (d *testDaemon) checkInvalidReloads(unusedDiscovery string) {
 	d.t.Helper()
 	for key, invalid := range map[string]any{"discovery": "nowhere", "settings": map[string]any{}, "known": 5} {
@@ -132,8 +133,8 @@
 	}
 }
 
-// The initial endpoint list may be stale. The program accepts requests at once, since
-// clients have no other dispatcher, but sends none by that list until discovery has
+// The initial endpoint list may be stale. The program accepts requests at once, since clients
+// have no other dispatcher, but sends none of them to workers of that list until discovery has
 // answered.
 func TestStartWithStaleList(t *testing.T) {
 	daemon := &testDaemon{
@@ -144,7 +145,7 @@
 	stale := daemon.addWorker("s-old", respondDone)
 	daemon.start()
 	if status := daemon.health(); status != 503 {
-		t.Errorf("before the list is known to be good: healthz says %d", status)
+		t.Errorf("before discovery has confirmed the list: healthz returns %d", status)
 	}
 	added := daemon.addWorker("s-new", respondDone)
 	const early = 4 // requests
@@ -152,7 +153,7 @@
 	for i := range early {
 		go func() { statuses <- daemon.postStatus("renewal", fmt.Sprint("early-", i)) }()
 	}
-	time.Sleep(50 * time.Millisecond) // for the requests to wait; the test holds without it too
+	time.Sleep(50 * time.Millisecond) // so that the requests are probably waiting; the test passes without it too
 	daemon.discovery.firstLines <- endpointList(42, false, added.listEntry("ready"), stale.listEntry("draining"))
 	for range early {
 		if status := <-statuses; status != 200 {
@@ -162,9 +163,9 @@
 	toStale := len(stale.requests())
 	toAdded := len(added.requests())
 	if toStale != 0 || toAdded != early {
-		t.Errorf("the stale list's worker got %d, the new one %d", toStale, toAdded)
+		t.Errorf("the worker of the stale list got %d requests, the added worker %d", toStale, toAdded)
 	}
 	if status := daemon.health(); status != 200 {
-		t.Errorf("afterwards: healthz says %d", status)
+		t.Errorf("after discovery has answered: healthz returns %d", status)
 	}
 }
--- a/cmd/dispatcher/drain_test.go
+++ b/cmd/dispatcher/drain_test.go
@@ -8,27 +8,28 @@
 
 // drainedClients are the connections that are open when a drain begins.
 type drainedClients struct {
-	health *clientConn // asks for the health only
-	idle   *clientConn // has had an answer
-	silent *clientConn // has sent nothing
-	long   *clientConn // its request is still running
+	health  *clientConn // requests only /healthz
+	idle    *clientConn // has got a response
+	silent  *clientConn // has sent nothing
+	running *clientConn // its request is still running
 }
 
 func (d *testDaemon) connectDrainedClients() drainedClients {
-	return drainedClients{health: d.connect(), idle: d.connect(), silent: d.connect(), long: d.connect()}
+	return drainedClients{health: d.connect(), idle: d.connect(), silent: d.connect(), running: d.connect()}
 }
 
-// askHealth asks for the health on a connection that stays open.
-func (c *clientConn) askHealth(t *testing.T) int {
+// requestHealth requests /healthz on an open connection, and returns the status.
+func (c *clientConn) requestHealth(t *testing.T) int {
 	t.Helper()
 	fmt.Fprint(c, "GET /healthz HTTP/1.1\r\n\r\n")
 	status, _ := c.readResponse(t)
 	return status
 }
 
-// A drain: healthz answers 503 at once, on open connections too; requests are still
-// served; connections end, idle and silent ones too; a new one is served once. Back in
-// service all is as before. To repeat either call changes nothing.
+// During a drain, /healthz responds with 503 at once, also on open connections. Requests are
+// still served, and every connection is closed, including idle and silent ones; a new
+// connection is closed after one response. After the drain all is as before. Repeating
+// either call has no effect.
 func TestDrain(t *testing.T) {
 	daemon := newDaemonWithAdmin(t, nil)
 	release := make(chan struct{})
@@ -38,10 +39,10 @@
 
 	clients := daemon.connectDrainedClients()
 	clients.idle.send("idle")
-	if status, ends := clients.idle.readResponse(t); status != 200 || ends || clients.health.askHealth(t) != 200 {
+	if status, ends := clients.idle.readResponse(t); status != 200 || ends || clients.health.requestHealth(t) != 200 {
 		t.Errorf("in service: %d, ends: %v", status, ends)
 	}
-	clients.long.send("long")
+	clients.running.send("long")
 	<-arrived
 
 	for range 2 {
@@ -51,8 +52,8 @@
 	}
 	daemon.checkDrained(clients)
 	close(release)
-	if status, ends := clients.long.readResponse(t); status != 200 || !ends {
-		t.Errorf("a request from before: %d, ends: %v", status, ends)
+	if status, ends := clients.running.readResponse(t); status != 200 || !ends {
+		t.Errorf("a request from before the drain: %d, ends: %v", status, ends)
 	}
 
 	for range 2 {
@@ -81,18 +82,18 @@
 func (d *testDaemon) checkDrained(clients drainedClients) {
 	t := d.t
 	t.Helper()
-	if status := clients.health.askHealth(t); status != 503 {
+	if status := clients.health.requestHealth(t); status != 503 {
 		t.Errorf("healthz of a drained dispatcher: %d", status)
 	}
 	fresh := d.connect()
 	fresh.send("fresh")
 	if status, _ := fresh.readResponse(t); status != 200 {
-		t.Errorf("while the platform still sends: %d", status)
+		t.Errorf("a request during the drain: %d", status)
 	}
 	ending := map[string]*clientConn{"idle": clients.idle, "silent": clients.silent, "health": clients.health, "fresh": fresh}
 	for name, client := range ending {
 		if !client.closed() {
-			t.Errorf("the %s connection does not end by itself", name)
+			t.Errorf("the %s connection is not closed", name)
 		}
 	}
 	late := d.connect()
@@ -101,6 +102,6 @@
 		t.Errorf("a new connection: %d, ends: %v", status, ends)
 	}
 	if !d.connect().closed() {
-		t.Error("a new connection that sends nothing stays")
+		t.Error("a new connection that sends nothing is not closed")
 	}
 }
--- a/cmd/dispatcher/durabledaemon_test.go
+++ b/cmd/dispatcher/durabledaemon_test.go
@@ -14,12 +14,12 @@
 // Files in the directory of a dispatcher with durable queues.
 const (
 	storeFileName          = "jobs.db"
-	faktoryAddressFileName = "addr"  // the address of its Faktory front end, for dialFaktory
-	adminAddressFileName   = "admin" // the address of its admin API
+	faktoryAddressFileName = "addr"  // contains the address of the Faktory front end, for dialFaktory
+	adminAddressFileName   = "admin" // contains the address of the admin API
 )
 
-// writeDurableConfig writes the files of a dispatcher with a durable queue; lease is in
-// seconds.
+// writeDurableConfig writes the configuration files of a dispatcher with a durable queue. lease
+// is the length of leases in seconds.
 func writeDurableConfig(t *testing.T, dir string, lease float64) {
 	t.Helper()
 	writeFile(t, dir, "config.json", `{"admin_addr":"127.0.0.1:0","settings":`+settingsWithIdle(time.Second)+`}`)
@@ -28,7 +28,8 @@
 		filepath.Join(dir, storeFileName), lease, lease))
 }
 
-// startDurable starts a dispatcher, and writes its addresses to files for its clients.
+// startDurable starts a dispatcher with the files of writeDurableConfig, and writes its
+// addresses to files for its clients.
 func startDurable(t *testing.T, program, dir string) *exec.Cmd {
 	t.Helper()
 	process := exec.Command(program, "serve",
@@ -49,7 +50,7 @@
 		if address, found := loggedAddress(line, "faktory: listening on "); found {
 			publishFaktoryAddress(dir, address)
 		}
-		if address, found := loggedAddress(line, adminLogLine); found { // the last line of the start
+		if address, found := loggedAddress(line, adminLogLine); found { // logged last during the start
 			os.WriteFile(filepath.Join(dir, adminAddressFileName), []byte(address), 0o600)
 			go drainLines(lines)
 			return process
@@ -59,14 +60,14 @@
 	return nil
 }
 
-// loggedAddress returns the address that follows a text in a line of the log.
+// loggedAddress returns the address that follows a text in a log line.
 func loggedAddress(line, text string) (address string, found bool) {
 	_, rest, found := strings.Cut(line, text)
 	address, _, _ = strings.Cut(rest, `"`)
 	return address, found
 }
 
-// publishFaktoryAddress replaces the file with the address at once, since clients read
+// publishFaktoryAddress replaces the file with the address atomically, since clients may read
 // it at any time.
 func publishFaktoryAddress(dir, address string) {
 	temporary := filepath.Join(dir, faktoryAddressFileName+".new")
@@ -74,7 +75,7 @@
 	os.Rename(temporary, filepath.Join(dir, faktoryAddressFileName))
 }
 
-// drainLines reads lines until there are no more, so that their writer is not blocked.
+// drainLines reads and discards all further lines, so that their writer does not block.
 func drainLines(lines *bufio.Scanner) {
 	for lines.Scan() {
 	}
--- a/cmd/dispatcher/durablehandover_test.go
+++ b/cmd/dispatcher/durablehandover_test.go
@@ -16,9 +16,9 @@
 type handedOverDaemon struct {
 	*testDaemon
 	worker      *testWorker
-	directory   string        // with the address for dialFaktory
-	newClient   *http.Client  // opens a connection for each request
-	slowArrived chan struct{} // the request that is held has reached the worker
+	directory   string        // contains the file with the address for dialFaktory
+	newClient   *http.Client  // opens a new connection for each request
+	slowArrived chan struct{} // receives a value when the held request has reached the worker
 }
 
 // handedOverKey is the idempotency key of the request that the HTTP worker holds during
@@ -26,8 +26,8 @@
 const handedOverKey = "slow-2"
 
 // startHandedOverDaemon starts the dispatcher. The HTTP worker holds the request with
-// handedOverKey until the test ends, and rejects all others: they are for a Faktory
-// worker.
+// handedOverKey until the test ends. It rejects all other requests, so that a Faktory worker
+// gets them.
 func startHandedOverDaemon(t *testing.T) *handedOverDaemon {
 	t.Helper()
 	daemon := &handedOverDaemon{
@@ -55,11 +55,11 @@
 	return daemon
 }
 
-// connectFaktory connects a worker, or a producer if workerID is empty, as soon as the
-// dispatcher accepts it.
+// connectFaktory connects a worker, or a producer if workerID is empty. It retries until the
+// dispatcher accepts the connection.
 func (d *handedOverDaemon) connectFaktory(workerID string) (client *faktoryClient) {
 	d.t.Helper()
-	d.waitUntil("a session", func() bool {
+	d.waitUntil("connected to the Faktory front end", func() bool {
 		var err error
 		client, err = dialFaktory(d.directory, faktoryHello(workerID))
 		return err == nil
@@ -67,7 +67,7 @@
 	return client
 }
 
-// renewOnNewConnection sends the request that is held, and returns the status, or 0 where
+// renewOnNewConnection sends the request with handedOverKey, and returns the status, or 0 if
 // it is not answered.
 func (d *handedOverDaemon) renewOnNewConnection() int {
 	request, _ := http.NewRequest(http.MethodPost, "http://"+d.listen+"/renewal/m?x=y", strings.NewReader("x"))
@@ -83,9 +83,9 @@
 	return response.StatusCode
 }
 
-// pushUntilLeased pushes jobs until the Faktory worker has one, and returns its id. A job
-// may go to a worker of either protocol: the HTTP worker rejects it, the Faktory worker
-// holds it.
+// pushUntilLeased pushes jobs until the Faktory worker has leased one, and returns its id. A
+// job may go to a worker of either protocol: the HTTP worker rejects it, the Faktory worker
+// keeps it.
 func (d *handedOverDaemon) pushUntilLeased(producer, worker *faktoryClient) (id string) {
 	d.t.Helper()
 	producer.expect(d.t, pushRenewal("moved-001", "[1]", ""), "+OK")
@@ -100,13 +100,13 @@
 			return "moved-" + number
 		}
 	}
-	d.t.Fatal("the worker got nothing")
+	d.t.Fatal("the Faktory worker got no job")
 	return ""
 }
 
-// checkBothAnswer sends the request that is held until both processes have answered: the
-// predecessor, which holds it, with 202, and the successor, whose store is not open yet,
-// with 503.
+// checkBothAnswer sends the request with handedOverKey until both processes have answered it:
+// the predecessor, in which it is running, with 202, and the successor, which has not opened
+// the store yet, with 503.
 func (d *handedOverDaemon) checkBothAnswer() {
 	d.t.Helper()
 	answers := map[int]int{} // by status
@@ -115,17 +115,18 @@
 		answers[d.renewOnNewConnection()]++
 	}
 	if answers[202] == 0 || answers[503] == 0 || answers[202]+answers[503] != sent {
-		d.t.Errorf("beside each other: %v", answers)
+		d.t.Errorf("answers of both processes by status: %v", answers)
 	}
 }
 
-// A process with durable queues is replaced while jobs run: its successor has the
-// address, the store and the leases, workers reconnect with the jobs that they hold,
-// and a request with an idempotency key is never run by both.
+// A process with durable queues is replaced while jobs run. The successor takes over the
+// address of the Faktory front end, the store and the leases. Workers reconnect and can
+// acknowledge the jobs that they hold, and a request with an idempotency key never runs in
+// both processes.
 func TestDurableJobsAreHandedOver(t *testing.T) {
 	daemon := startHandedOverDaemon(t)
 	if status := daemon.renewOnNewConnection(); status != 202 {
-		t.Fatalf("not over in time: %d", status)
+		t.Fatalf("a request that does not end in its time: %d", status)
 	}
 	<-daemon.slowArrived
 	producer := daemon.connectFaktory("")
@@ -136,7 +137,7 @@
 	successor := daemon.startSuccessor()
 	successor.waitUntil("the successor is ready", successor.ready)
 	if job, _ := producer.do("TRACK GET " + leased); !strings.Contains(job, "working") {
-		t.Errorf("the predecessor still has it: %q", job)
+		t.Errorf("the state of the leased job in the predecessor: %q", job)
 	}
 	daemon.checkBothAnswer()
 	daemon.signal(syscall.SIGTERM)
--- a/cmd/dispatcher/faktoryclient_test.go
+++ b/cmd/dispatcher/faktoryclient_test.go
@@ -14,15 +14,15 @@
 	"time"
 )
 
-// faktoryClient is a client of the Faktory protocol. Every error means that the
-// connection is lost.
+// faktoryClient is a client of the Faktory protocol. After any error its connection cannot be
+// used any more.
 type faktoryClient struct {
 	conn   net.Conn
 	reader *bufio.Reader
 }
 
-// dialFaktory connects to the dispatcher whose address is in a file of dir, with the
-// fields of hello.
+// dialFaktory connects to the dispatcher whose address is in a file in dir, and sends HELLO
+// with the fields of hello.
 func dialFaktory(dir string, hello map[string]any) (*faktoryClient, error) {
 	address, err := os.ReadFile(filepath.Join(dir, faktoryAddressFileName))
 	if err != nil {
@@ -45,7 +45,7 @@
 	return client, err
 }
 
-// faktoryHello returns the fields of HELLO of a worker, or of a producer if workerID is
+// faktoryHello returns the fields of a worker's HELLO, or of a producer's if workerID is
 // empty.
 func faktoryHello(workerID string, labels ...string) map[string]any {
 	hello := map[string]any{"labels": append([]string{"born_ms:1"}, labels...)}
@@ -63,7 +63,7 @@
 	return c.readReply()
 }
 
-// readReply returns a line, or the text of a bulk string.
+// readReply reads a reply, and returns its line or, for a bulk string, its text.
 func (c *faktoryClient) readReply() (string, error) {
 	c.conn.SetDeadline(time.Now().Add(testTimeout))
 	line, err := c.reader.ReadString('\n')
@@ -78,7 +78,7 @@
 	return string(text[:size]), err
 }
 
-// expect sends a command whose reply must begin with a text.
+// expect sends a command, and fails the test unless the reply begins with a text.
 func (c *faktoryClient) expect(t *testing.T, command, reply string) {
 	t.Helper()
 	got, err := c.do(command)
@@ -87,8 +87,8 @@
 	}
 }
 
-// pushRenewal returns the command that pushes a renewal; fields are further ones, each
-// after a comma.
+// pushRenewal returns the command that pushes a renewal. fields are additional JSON fields of
+// the job, each after a comma.
 func pushRenewal(id, arguments, fields string) string {
 	return fmt.Sprintf(`PUSH {"jid":%q,"queue":"renewal","jobtype":"renewal","args":%s%s}`, id, arguments, fields)
 }
--- a/cmd/dispatcher/follow_test.go
+++ b/cmd/dispatcher/follow_test.go
@@ -11,11 +11,11 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/standin"
 )
 
-// startOrigin starts a source of versioned changes with a list of workers. It makes a
-// change for each, after versionsAhead empty ones.
+// startOrigin starts a source of versioned changes. It makes versionsAhead empty changes, and
+// then one change for each worker, which adds it to the list.
 func startOrigin(t *testing.T, workers ...*testWorker) *standin.Discovery {
 	t.Helper()
-	const versionsAhead = 50 // so that it is ahead of the initial endpoint list
+	const versionsAhead = 50 // so that its version is higher than that of the initial endpoint list
 	origin, err := standin.StartDiscovery(nil)
 	if err != nil {
 		t.Fatal(err)
@@ -39,7 +39,7 @@
 	return host
 }
 
-// followTable returns the operator's keys for following one origin.
+// followTable returns the keys of the operator's table [membership] for following one origin.
 func followTable(origin *standin.Discovery) string {
 	return fmt.Sprintf("on = true\n[[membership.servers]]\naddress = %q\n", origin.Addr)
 }
@@ -60,9 +60,9 @@
 	d.waitUntil(fmt.Sprintf("version %d of %s is in force", version, origin.Addr), func() bool { return d.follows(origin, version) })
 }
 
-// A dispatcher with membership servers in its operator's file follows their versioned
-// changes. SIGHUP changes the servers; an invalid table changes nothing; and the admin
-// API has the version in force.
+// A dispatcher with membership servers in its operator's file applies their versioned
+// changes, and does not watch discovery. SIGHUP changes the servers; an invalid table changes
+// nothing. The admin API reports the version in force.
 func TestFollowsVersionedChanges(t *testing.T) {
 	daemon := newDaemonWithAdmin(t, newPlatformListener(t))
 	removed := daemon.addWorker("s-1", respondDone)
@@ -88,7 +88,7 @@
 		daemon.waitForLog(want)
 	}
 	if !daemon.follows(first, 51) {
-		t.Error("an invalid table has changed something")
+		t.Error("after invalid tables the first origin is not followed any more")
 	}
 	writeTable(followTable(second))
 	daemon.signal(syscall.SIGHUP)
--- a/cmd/dispatcher/golden_test.go
+++ b/cmd/dispatcher/golden_test.go
@@ -13,8 +13,8 @@
 	"hollyyoke.example/hollyyoke/internal/goldentest"
 )
 
-// Operators' units and scripts depend on the command line, whose names kong derives
-// from those of Go fields.
+// The command line must not change, since operators' units and scripts use it. The library
+// kong derives its names from those of Go fields.
 func TestGoldenCommandLine(t *testing.T) {
 	parser, err := kong.New(&cli{})
 	if err != nil {
@@ -23,13 +23,14 @@
 	goldentest.Compare(t, "commandline.golden", goldentest.Lines(goldentest.Commands(parser.Model)))
 }
 
-// These options may be written with one dash, as dispatcher-serve has them.
+// The options that may be written with a single dash, as those of dispatcher-serve are, must
+// not change.
 func TestGoldenSingleDashOptions(t *testing.T) {
 	goldentest.Compare(t, "singledash.golden", goldentest.Lines(slices.Sorted(slices.Values(singleDashOptions))))
 }
 
-// The command line and the check read these environment variables; where one names a
-// file that does not exist, the error has its path.
+// The environment variables that the subcommand check reads must not change. If one of them
+// names a file that does not exist, the error has its path.
 func TestGoldenEnvironment(t *testing.T) {
 	configuration := filepath.Join("..", "..", "deploy", "faktory-config.json")
 	requested := map[string]bool{}
@@ -38,8 +39,8 @@
 		return ""
 	}
 	var output bytes.Buffer
-	if err := command([]string{"check", configuration}, recordRequested, &output, &output); err == nil {
-		t.Error("a configuration without anything to listen on is accepted")
+	if err := runCommand([]string{"check", configuration}, recordRequested, &output, &output); err == nil {
+		t.Error("a configuration without an address to listen on is accepted")
 	}
 	names := slices.Sorted(maps.Keys(requested))
 	lines := slices.Clone(names)
@@ -51,9 +52,9 @@
 			return ""
 		}
 		output.Reset()
-		err := command([]string{"check"}, env, &output, &output)
+		err := runCommand([]string{"check"}, env, &output, &output)
 		lines = append(lines, fmt.Sprintf("%s=/nowhere: %v", name, err))
-		err = command([]string{"check", configuration}, env, &output, &output)
+		err = runCommand([]string{"check", configuration}, env, &output, &output)
 		lines = append(lines, fmt.Sprintf("%s=/nowhere and a configuration: %v", name, err))
 	}
 	goldentest.Compare(t, "environment.golden", goldentest.Lines(lines)+output.String())
--- a/cmd/dispatcher/handover_golden_test.go
+++ b/cmd/dispatcher/handover_golden_test.go
@@ -15,10 +15,10 @@
 	"hollyyoke.example/hollyyoke/internal/handover"
 )
 
-// These tests are one side of a handover, with the messages that earlier builds send;
-// the program under test is the other side.
+// In these tests the program under test is one side of a handover. The test is the other
+// side, and sends the messages that earlier builds send.
 
-// maskedValues are the parts of messages that differ from run to run.
+// maskedValues are the parts of messages that differ between runs.
 var maskedValues = []struct {
 	text *regexp.Regexp
 	mask string
@@ -38,7 +38,7 @@
 	return line
 }
 
-// testPeer is the peer process of the program under test.
+// testPeer has the part of the peer process of the program under test.
 type testPeer struct {
 	t          *testing.T
 	conn       net.Conn
@@ -61,8 +61,8 @@
 	}
 }
 
-// receive reads up to a message whose first key is given, and adds it to the
-// transcript, masked. Other messages may come at any time.
+// receive reads messages until one begins with a key, and adds this one to the transcript,
+// masked. It ignores the others, since they may arrive at any time.
 func (p *testPeer) receive(key string) {
 	p.t.Helper()
 	for {
@@ -85,16 +85,17 @@
 			return directory
 		}
 	}
-	d.t.Fatal("no directory")
+	d.t.Fatal("TMPDIR is not set")
 	return ""
 }
 
-// connectAsSuccessor connects to the one handover socket in the daemon's directory.
+// connectAsSuccessor connects to the handover socket in the daemon's directory, as a successor
+// does.
 func (d *testDaemon) connectAsSuccessor() *testPeer {
 	d.t.Helper()
 	sockets, err := filepath.Glob(filepath.Join(d.runtimeDirectory(), "hollyyoke-*.sock"))
 	if err != nil || len(sockets) != 1 {
-		d.t.Fatalf("its socket is %q, %v", sockets, err)
+		d.t.Fatalf("handover sockets: %q, %v; want one", sockets, err)
 	}
 	conn, err := net.Dial("unix", sockets[0])
 	if err != nil {
@@ -103,7 +104,7 @@
 	return newPeer(d.t, conn)
 }
 
-// startAsSuccessor starts the daemon beside a predecessor, which is the test.
+// startAsSuccessor starts the daemon as a successor. The returned peer is its predecessor.
 func (d *testDaemon) startAsSuccessor() (predecessor *testPeer) {
 	d.t.Helper()
 	listener, err := net.Listen("unix", handover.SocketPath(d.runtimeDirectory(), "n0 "+d.listen))
@@ -120,7 +121,8 @@
 	return newPeer(d.t, conn)
 }
 
-// The messages of a predecessor to its successor, from the first to the last.
+// A predecessor sends the messages in the golden file to its successor, from its connecting to
+// the shutdown.
 func TestGoldenPredecessor(t *testing.T) {
 	daemon := newDaemonWithAdmin(t, newPlatformListener(t))
 	first := daemon.addWorker("s-1", respondDone)
@@ -154,11 +156,12 @@
 	goldentest.Compare(t, "handover-predecessor.jsonl", successor.transcript.String())
 }
 
-// What a successor does with a predecessor's messages, and those that it sends.
+// A successor applies each message of its predecessor, and sends the messages in the golden
+// file.
 func TestGoldenSuccessor(t *testing.T) {
 	daemon := newDaemonWithAdmin(t, newPlatformListener(t))
 	greeted := daemon.addWorker("s-1", respondDone)
-	listed := (&testDaemon{t: t}).addWorker("s-2", respondDone) // in no initial list
+	listed := (&testDaemon{t: t}).addWorker("s-2", respondDone) // not in the daemon's initial endpoint list
 	silent := listenLocal(t)
 	moved := listenLocal(t)
 	list := func(worker *testWorker) string {
@@ -181,7 +184,7 @@
 	daemon.waitUntil("in service", func() bool { return daemon.health() == 200 })
 	status := daemon.postStatus("renewal", "by-the-list")
 	if status != 200 || len(greeted.requests()) != 0 || len(listed.requests()) != 1 {
-		t.Errorf("by the list handed over: %d; %q, %q", status, greeted.requests(), listed.requests())
+		t.Errorf("a request after the new list: %d; the workers got %q and %q", status, greeted.requests(), listed.requests())
 	}
 	predecessor.receive("names")
 	predecessor.send(`{"discovery":"` + moved.Addr().String() + `"}`)
@@ -193,8 +196,8 @@
 	predecessor.conn.Close()
 	daemon.waitForLog("predecessor has ended")
 	daemon.waitForLog("accepting clients")
-	if strings.Contains(daemon.log.String(), "handover: ") { // the prefix of all errors in messages
-		t.Error("it could not read the messages")
+	if strings.Contains(daemon.log.String(), "handover: ") { // the prefix of all log lines about invalid messages
+		t.Error("the program has logged an invalid message")
 	}
 	goldentest.Compare(t, "handover-successor.jsonl", predecessor.transcript.String())
 }
--- a/cmd/dispatcher/idempotency_test.go
+++ b/cmd/dispatcher/idempotency_test.go
@@ -16,7 +16,7 @@
 // keyedRenewal is a request with an idempotency key.
 type keyedRenewal struct {
 	key, body string
-	leftMs    int // the time that the client has left, in milliseconds
+	leftMs    int // time that the client has left, in milliseconds
 }
 
 // renew sends a renewal and returns status and body. It may be called from any
@@ -46,7 +46,7 @@
 	return result
 }
 
-// expectRenewal sends a renewal with time enough, and checks status and body.
+// expectRenewal sends a renewal with 8 s left, and checks status and body.
 func (d *testDaemon) expectRenewal(key, body string, status int, text string) {
 	d.t.Helper()
 	gotStatus, got := d.renew(keyedRenewal{key: key, body: body, leftMs: 8000})
@@ -55,9 +55,9 @@
 	}
 }
 
-// idempotentDaemon is a daemon whose renewals with an idempotency key are stored. The
-// worker begins a slow request when it writes to arrived, and ends it when release is
-// read.
+// idempotentDaemon is a daemon that stores renewals with an idempotency key. Its worker sends
+// a value to arrived when it begins the slow request, and ends that request when it receives
+// a value from release.
 type idempotentDaemon struct {
 	*testDaemon
 	worker       *testWorker
@@ -84,7 +84,7 @@
 	return daemon
 }
 
-// setSlow makes the request with an id the slow one.
+// setSlow sets the id of the slow request.
 func (d *idempotentDaemon) setSlow(id string) {
 	d.worker.setRespond(respondWhenReleased(id, d.arrived, d.release))
 }
@@ -103,14 +103,14 @@
 			}
 		}
 		if time.Now().After(end) {
-			d.t.Fatal("not ready again")
+			d.t.Fatal("the restarted program is not ready in time")
 		}
 	}
 }
 
-// A renewal with an idempotency key: the same key gets the first run's result, after a
-// restart too; one that ran when the dispatcher was killed is in doubt until an
-// operator resolves it, and is never run again for a client.
+// A renewal with an idempotency key that was used before gets the result of the first run,
+// also after a restart. A renewal that was running when the dispatcher was killed is in doubt
+// until an operator resolves it, and a client's request never makes it run again.
 func TestIdempotencyKey(t *testing.T) {
 	daemon := startIdempotentDaemon(t, "idem:slow-1")
 	daemon.expectRenewal("k-1", "gold", 200, "made for idem:k-1")
@@ -123,7 +123,7 @@
 	slow := daemon.renewInBackground(keyedRenewal{key: "slow-1", body: "gold", leftMs: 300})
 	<-daemon.arrived
 	if status := <-slow; status != 202 {
-		t.Errorf("not over in time: %d", status)
+		t.Errorf("a request that does not end in its time: %d", status)
 	}
 
 	daemon.restartAfterKill()
@@ -132,7 +132,7 @@
 	daemon.expectRenewal("slow-1", "gold", 409, "in doubt")
 	runs := daemon.worker.runsByID()
 	if runs["idem:k-1"] != 1 || runs["idem:slow-1"] != 1 {
-		t.Errorf("ran: %q", daemon.worker.requests())
+		t.Errorf("the worker got: %q", daemon.worker.requests())
 	}
 
 	daemon.signal(syscall.SIGTERM)
@@ -141,13 +141,13 @@
 	}
 	var output bytes.Buffer
 	arguments := []string{"jobs", "--store", daemon.store, "settle", "idem:slow-1", "--ran", "--reason", "the till shows it"}
-	if err := command(arguments, os.Getenv, &output, &output); err != nil {
+	if err := runCommand(arguments, os.Getenv, &output, &output); err != nil {
 		t.Error(err)
 	}
 }
 
-// checkDeadlinePerRequest checks that a request goes on waiting when the deadline of the
-// one before it on its connection passes.
+// checkDeadlinePerRequest checks that a request is not ended by the deadline of the previous
+// request on the same connection.
 func (d *idempotentDaemon) checkDeadlinePerRequest() {
 	d.t.Helper()
 	d.setSlow("idem:timer-1")
@@ -159,6 +159,6 @@
 	time.Sleep(400 * time.Millisecond)
 	d.release <- struct{}{}
 	if status := <-waiting; status != 200 {
-		d.t.Errorf("it waited until its own deadline: %d", status)
+		d.t.Errorf("a request that ends after the previous request's deadline: %d", status)
 	}
 }
--- a/cmd/dispatcher/jobs.go
+++ b/cmd/dispatcher/jobs.go
@@ -14,46 +14,46 @@
 )
 
 // jobsCmd is the command line of the commands on durable jobs. They work on the store file of a stopped dispatcher, or
-// through the admin API of a running one. Each change of a job needs a reason, which is kept in the audit.
+// through the admin API of a running one. Each change of a job needs a reason, which is kept in the audit log.
 type jobsCmd struct {
-	Store        string `placeholder:"FILE" help:"The file of a stopped dispatcher."`
-	AdminAddress string `name:"door" placeholder:"HOST:PORT" help:"Address of the admin API of a running one."`
+	Store        string `placeholder:"FILE" help:"Store file of a stopped dispatcher."`
+	AdminAddress string `name:"door" placeholder:"HOST:PORT" help:"Address of the admin API of a running dispatcher."`
 
 	List struct {
-		State string `help:"Only in this state, as 'in doubt'."`
-		Class string `help:"Only of this class."`
-		Limit int    `default:"0" help:"So many at the most; 0: all."`
-	} `cmd:"" help:"List jobs, a line each, oldest first."`
+		State string `help:"List only jobs in this state, such as 'in doubt'."`
+		Class string `help:"List only jobs of this class."`
+		Limit int    `default:"0" help:"Maximum number of jobs to list; 0 lists all."`
+	} `cmd:"" help:"List jobs, one on each line, oldest first."`
 	Show struct {
 		ID string `arg:""`
-	} `cmd:"" help:"All that is known of one, as JSON."`
+	} `cmd:"" help:"Print one job with its payload, as JSON."`
 	Retry struct {
 		ID     string `arg:""`
-		Reason string `required:"" help:"For the audit."`
-	} `cmd:"" help:"Let one that waits or is dead run now, one that must not run twice too."`
+		Reason string `required:"" help:"Reason, for the audit log."`
+	} `cmd:"" help:"Run a waiting or dead job now, even if it must not run twice."`
 	Discard struct {
 		ID     string `arg:""`
-		Reason string `required:"" help:"For the audit."`
-	} `cmd:"" help:"Let one that waits or is dead not run."`
+		Reason string `required:"" help:"Reason, for the audit log."`
+	} `cmd:"" help:"Discard a waiting or dead job, so that it does not run."`
 	Resolve struct {
 		ID     string `arg:""`
-		Ran    bool   `xor:"fate" required:"" help:"It ran: it is done."`
-		NotRan bool   `xor:"fate" required:"" help:"It did not run: it runs now."`
-		Reason string `required:"" help:"For the audit: how you know."`
-	} `cmd:"" name:"settle" help:"End the doubt about one."`
-	Export   struct{} `cmd:"" help:"All jobs with what they ask for, a line of JSON each."`
-	Audit    struct{} `cmd:"" help:"What was done to jobs and by whose word, a line of JSON each; of a stopped dispatcher."`
+		Ran    bool   `xor:"fate" required:"" help:"The job ran: it is marked as done."`
+		NotRan bool   `xor:"fate" required:"" help:"The job did not run: it runs now."`
+		Reason string `required:"" help:"Reason, for the audit log: how you know."`
+	} `cmd:"" name:"settle" help:"Resolve a job that is in doubt."`
+	Export   struct{} `cmd:"" help:"Print all jobs with their payloads, one JSON object on each line."`
+	Audit    struct{} `cmd:"" help:"Print the audit log: what was done to jobs and for which reason, one JSON object on each line. Needs a stopped dispatcher."`
 	Snapshot struct {
 		Name string `arg:""`
-	} `cmd:"" help:"A copy of the file as it is at one moment, under that name beside it."`
-	Compact struct{} `cmd:"" help:"Write the file anew without the room that is free inside it; of a stopped dispatcher."`
-	Verify  struct{} `cmd:"" help:"Check the file's structure and every record; of a stopped dispatcher."`
+	} `cmd:"" help:"Write a consistent copy of the store file, under this name in the same directory."`
+	Compact struct{} `cmd:"" help:"Rewrite the store file without its unused space. Needs a stopped dispatcher."`
+	Verify  struct{} `cmd:"" help:"Check the structure of the store file and every record. Needs a stopped dispatcher."`
 }
 
-// compactTimeout is how long compact waits for another process to close the file.
+// compactTimeout is how long compact waits for another process to close the store file.
 const compactTimeout = time.Second
 
-// jobsVerb is the name of a command on jobs, as the command line has it.
+// jobsVerb is the name of a command on jobs, as on the command line.
 type jobsVerb string
 
 const (
@@ -68,7 +68,7 @@
 	verbVerify   jobsVerb = "verify"
 )
 
-// changeKind is what an operator decides about a job. Its text is the admin API's path.
+// changeKind is the kind of a change of a job. Its text is the last element of the admin API's path.
 type changeKind string
 
 const (
@@ -82,27 +82,27 @@
 	kind   changeKind
 	id     string
 	reason jobs.Reason
-	ran    bool // of resolveJob: the job ran
+	ran    bool // for resolveJob: whether the job ran
 }
 
-// jobsFilter says which jobs are listed, and how.
+// jobsFilter says which jobs are listed, and whether with their payloads.
 type jobsFilter struct {
-	state       string // empty: all
-	class       string // empty: all
+	state       string // empty for all states
+	class       string // empty for all classes
 	withPayload bool
 }
 
-// jobsBackend is where the commands look for jobs: a store file or the admin API.
+// jobsBackend gives the commands access to jobs: through a store file or through the admin API.
 type jobsBackend interface {
-	// page lists some jobs, those that were accepted after a sequence number; next is the one to continue after; 0:
-	// there are no more.
+	// page lists a page of the jobs that were accepted after the one with sequence number after. next is the sequence
+	// number after which the next page begins, or 0 if there are no more jobs.
 	page(filter jobsFilter, after uint64) (list []durable.View, next uint64, err error)
 	show(id string) (durable.View, error)
 	change(change jobChange) error
 	snapshot(name string) error
 }
 
-// run carries out one of the commands.
+// run runs one of the commands.
 func (c *jobsCmd) run(verb jobsVerb, out io.Writer) error {
 	if (c.Store == "") == (c.AdminAddress == "") {
 		return errors.New("jobs: either --store or --door is needed")
@@ -122,7 +122,7 @@
 	return c.runOnBackend(storeFile{offline, c.Store}, verb, out)
 }
 
-// runOnStore carries out the commands that need the store of a stopped dispatcher.
+// runOnStore runs the commands that need the store file of a stopped dispatcher.
 func (c *jobsCmd) runOnStore(verb jobsVerb, out io.Writer) error {
 	if c.Store == "" {
 		return fmt.Errorf("jobs: %s needs --store: the file of a stopped dispatcher", verb)
@@ -133,11 +133,11 @@
 	case verbVerify:
 		return verifyStore(c.Store, out)
 	default:
-		return printAudits(c.Store, out)
+		return printAuditLog(c.Store, out)
 	}
 }
 
-// runOnBackend carries out the other commands.
+// runOnBackend runs the commands that work on either backend.
 func (c *jobsCmd) runOnBackend(backend jobsBackend, verb jobsVerb, out io.Writer) error {
 	switch verb {
 	case verbList:
@@ -170,7 +170,7 @@
 	}
 }
 
-// list prints a line for each job that is asked for.
+// list prints a line for each job that matches the command line.
 func (c *jobsCmd) list(backend jobsBackend, out io.Writer) error {
 	filter := jobsFilter{state: c.List.State, class: c.List.Class}
 	listed := 0
@@ -182,7 +182,7 @@
 	})
 }
 
-// exportJobs prints all jobs with their payloads.
+// exportJobs prints all jobs with their payloads, as one JSON object on each line.
 func exportJobs(backend jobsBackend, out io.Writer) error {
 	encoder := json.NewEncoder(out)
 	var encodeErr error
@@ -203,7 +203,7 @@
 	return err
 }
 
-// forEachJob visits the jobs that the filter selects, until visit returns false.
+// forEachJob calls visit for each job that the filter selects, until visit returns false.
 func forEachJob(backend jobsBackend, filter jobsFilter, visit func(durable.View) (more bool)) error {
 	after := uint64(0)
 	for {
@@ -246,7 +246,7 @@
 	return nil
 }
 
-func printAudits(path string, out io.Writer) error {
+func printAuditLog(path string, out io.Writer) error {
 	offline, err := openOffline(path)
 	if err != nil {
 		return err
--- a/cmd/dispatcher/jobs_admin.go
+++ b/cmd/dispatcher/jobs_admin.go
@@ -12,15 +12,15 @@
 	"hollyyoke.example/hollyyoke/internal/durable"
 )
 
-// adminAPI is the admin API of a running dispatcher, by its address; it implements jobsBackend.
+// adminAPI is the address of the admin API of a running dispatcher. It implements jobsBackend.
 type adminAPI string
 
 var _ jobsBackend = adminAPI("")
 
-// adminTimeout bounds one call; the snapshot of a large store takes its time.
+// adminTimeout limits one call. It is long, since a snapshot of a large store takes long.
 const adminTimeout = 60 * time.Second
 
-// call calls the API below /control/jobs and decodes the JSON of its answer into result, which may be nil.
+// call makes a call to a path below /control/jobs, and decodes the JSON of the response into result unless that is nil.
 func (a adminAPI) call(method, path string, query url.Values, result any) error {
 	request, err := http.NewRequest(method, "http://"+string(a)+"/control/jobs"+path+"?"+query.Encode(), nil)
 	if err != nil {
--- a/cmd/dispatcher/jobs_commands_test.go
+++ b/cmd/dispatcher/jobs_commands_test.go
@@ -12,30 +12,30 @@
 	"time"
 )
 
-// Jobs that the test of the commands pushes.
+// Numbers of jobs that TestJobsCommands pushes.
 const (
-	scheduledJobs = 250
-	jobCount      = scheduledJobs + 3
+	scheduledJobs = 250               // those with ids from later-1000 on
+	jobCount      = scheduledJobs + 3 // all
 )
 
-// jobsTest is a dispatcher with a durable queue, and the commands on its jobs.
+// jobsTest is a dispatcher with a durable queue, on whose jobs commands are run.
 type jobsTest struct {
 	t            *testing.T
 	dir          string
 	dispatcher   *exec.Cmd
-	adminAddress string // of the dispatcher that was started last
+	adminAddress string // of the admin API of the dispatcher that was started last
 	producer     *faktoryClient
 }
 
-// jobsTarget is what the commands work on.
+// jobsTarget says what a command works on.
 type jobsTarget string
 
 const (
-	runningDispatcher jobsTarget = "admin" // through its admin API
-	stoppedDispatcher jobsTarget = "file"  // its store file
+	runningDispatcher jobsTarget = "admin" // a running dispatcher, through its admin API
+	stoppedDispatcher jobsTarget = "file"  // the store file of a stopped dispatcher
 )
 
-// start starts the dispatcher, with a lease in seconds.
+// start starts the dispatcher. lease is the length of leases in seconds.
 func (j *jobsTest) start(lease float64) {
 	j.t.Helper()
 	writeDurableConfig(j.t, j.dir, lease)
@@ -49,7 +49,7 @@
 
 func (j *jobsTest) storePath() string { return filepath.Join(j.dir, storeFileName) }
 
-// run runs a command on jobs, and returns what it prints.
+// run runs a command on jobs, and returns its output.
 func (j *jobsTest) run(target jobsTarget, args ...string) (string, error) {
 	targetFlag := []string{"--door", j.adminAddress}
 	if target == stoppedDispatcher {
@@ -58,11 +58,12 @@
 	commandLine := append([]string{"jobs"}, targetFlag...)
 	commandLine = append(commandLine, args...)
 	var output bytes.Buffer
-	err := command(commandLine, func(string) string { return "" }, &output, &output)
+	err := runCommand(commandLine, func(string) string { return "" }, &output, &output)
 	return output.String(), err
 }
 
-// mustPrint runs a command that must print a text, and returns all that it prints.
+// mustPrint runs a command, and fails the test unless the command succeeds and prints want. It
+// returns the whole output.
 func (j *jobsTest) mustPrint(want string, target jobsTarget, args ...string) string {
 	j.t.Helper()
 	got, err := j.run(target, args...)
@@ -72,13 +73,14 @@
 	return got
 }
 
-// must runs a command that must not fail.
+// must runs a command, and fails the test if the command fails. It returns the output.
 func (j *jobsTest) must(target jobsTarget, args ...string) string {
 	j.t.Helper()
 	return j.mustPrint("", target, args...)
 }
 
-// mustFail runs a command that must fail with an error that has a text.
+// mustFail runs a command, and fails the test unless the command fails with an error that
+// contains want.
 func (j *jobsTest) mustFail(want string, target jobsTarget, args ...string) {
 	j.t.Helper()
 	got, err := j.run(target, args...)
@@ -97,7 +99,7 @@
 	return client
 }
 
-// push pushes a renewal; fields are further ones, each after a comma.
+// push pushes a renewal. fields are as for pushRenewal.
 func (j *jobsTest) push(id, fields string) {
 	j.t.Helper()
 	command := pushRenewal(id, `["member 7"]`, fields)
@@ -107,7 +109,7 @@
 	}
 }
 
-// fetch waits until a worker has got a job.
+// fetch sends FETCH until the worker gets a job.
 func (j *jobsTest) fetch(worker *faktoryClient) {
 	j.t.Helper()
 	for end := time.Now().Add(testTimeout); ; {
@@ -121,7 +123,7 @@
 	}
 }
 
-// waitUntilInDoubt waits until the leases of jobs have expired.
+// waitUntilInDoubt waits until as many jobs are in doubt, because their leases have expired.
 func (j *jobsTest) waitUntilInDoubt(count int) {
 	j.t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
@@ -130,13 +132,13 @@
 			return
 		}
 		if time.Now().After(end) {
-			j.t.Fatal("not in doubt in time")
+			j.t.Fatal("the jobs are not in doubt in time")
 		}
 	}
 }
 
-// The operators' commands, through the admin API of a running dispatcher and on the
-// store of a stopped one; each operation is in the audit log with its reason.
+// The commands on jobs work through the admin API of a running dispatcher and on the store
+// file of a stopped one. Each change is in the audit log with its reason.
 func TestJobsCommands(t *testing.T) {
 	jobs := &jobsTest{t: t, dir: t.TempDir()}
 	jobs.start(0.2)
@@ -161,7 +163,8 @@
 	jobs.checkDamagedRecord()
 }
 
-// checkCommandsOfRunning checks the commands that go through the admin API.
+// checkCommandsOfRunning checks the commands through the admin API of the running dispatcher,
+// and that commands on its store file are rejected.
 func (j *jobsTest) checkCommandsOfRunning() {
 	j.t.Helper()
 	j.mustPrint(`"member 7"`, runningDispatcher, "show", "doubt-0001")
@@ -175,10 +178,10 @@
 	j.mustPrint("done", runningDispatcher, "list", "--state", "done")
 	j.must(runningDispatcher, "discard", "later-0001", "--reason", "asked twice")
 	if list := j.must(runningDispatcher, "list"); strings.Count(list, "\n") != jobCount {
-		j.t.Errorf("the list over pages has %d lines", strings.Count(list, "\n"))
+		j.t.Errorf("the list, which takes several pages, has %d lines", strings.Count(list, "\n"))
 	}
 	if list := j.must(runningDispatcher, "list", "--limit", "3"); strings.Count(list, "\n") != 3 || !strings.HasPrefix(list, "doubt-0001") {
-		j.t.Errorf("three are %q", list)
+		j.t.Errorf("the list of three is %q", list)
 	}
 	j.mustFail("another process has it open", stoppedDispatcher, "list")
 	j.mustFail("another process has it open", stoppedDispatcher, "compact")
@@ -187,7 +190,7 @@
 	j.mustFail("no plain file name", runningDispatcher, "snapshot", "../copy.db")
 }
 
-// checkCommandsOfStopped checks the commands on the store file.
+// checkCommandsOfStopped checks the commands on the store file of the stopped dispatcher.
 func (j *jobsTest) checkCommandsOfStopped() {
 	j.t.Helper()
 	j.mustPrint("whole", stoppedDispatcher, "verify")
@@ -196,7 +199,7 @@
 	j.must(stoppedDispatcher, "snapshot", "second.db")
 	for _, name := range []string{storeFileName, "copy.db", "second.db"} {
 		var output bytes.Buffer
-		err := command([]string{"jobs", "--store", filepath.Join(j.dir, name), "list"}, os.Getenv, &output, &output)
+		err := runCommand([]string{"jobs", "--store", filepath.Join(j.dir, name), "list"}, os.Getenv, &output, &output)
 		if err != nil || output.String() != list {
 			j.t.Errorf("%s: %v; %d lines, want %d", name, err, strings.Count(output.String(), "\n"), strings.Count(list, "\n"))
 		}
@@ -211,16 +214,16 @@
 	audit := j.must(stoppedDispatcher, "audit")
 	for _, want := range []string{"in doubt", "the till shows it", "settled: it did not run", "asked twice", "the member waits"} {
 		if !strings.Contains(audit, want) {
-			j.t.Errorf("the audit lacks %q: %s", want, audit)
+			j.t.Errorf("the audit log lacks %q: %s", want, audit)
 		}
 	}
 }
 
-// checkResolvedJobsRun checks that what was resolved or retried in the store file runs
-// after the next start.
+// checkResolvedJobsRun checks that jobs that were resolved or retried in the store file are
+// leased to workers after the next start.
 func (j *jobsTest) checkResolvedJobsRun() {
 	j.t.Helper()
-	j.start(60) // no lease expires from here on, however slow the machine is
+	j.start(60) // so long that no lease expires even on a slow machine
 	j.fetch(j.connect("w3"))
 	j.fetch(j.connect("w4"))
 	leased := j.must(runningDispatcher, "list", "--state", "leased")
@@ -231,7 +234,8 @@
 	j.dispatcher.Wait()
 }
 
-// checkDamagedRecord checks that a damaged record is reported, and nothing is skipped.
+// checkDamagedRecord checks that a damaged record makes commands fail with its id, and is not
+// skipped.
 func (j *jobsTest) checkDamagedRecord() {
 	j.t.Helper()
 	text, err := os.ReadFile(j.storePath())
--- a/cmd/dispatcher/jobs_golden_test.go
+++ b/cmd/dispatcher/jobs_golden_test.go
@@ -10,10 +10,11 @@
 	"hollyyoke.example/hollyyoke/internal/goldentest"
 )
 
-// leaseEnd is the due time of a job that is held: by the clock, a grace time from now.
+// leaseEnd matches the due time of a leased job. When the store is opened, this is set to a
+// grace time from now, so it differs between runs.
 var leaseEnd = regexp.MustCompile(`("state": ?"(?:leased|started)".*?"due": ?)"[^"]*"`)
 
-// The commands on the store file of an earlier build print what they always have.
+// On a store file of an earlier build, the commands print what the golden files have.
 func TestGoldenJobsCommands(t *testing.T) {
 	store := goldentest.Unpack(t, filepath.Join("../../internal/durable/testdata", "jobs-schema-1.db.gz"))
 	for name, args := range map[string][]string{
@@ -38,12 +39,12 @@
 	}
 }
 
-// runJobs runs a command on a store file, and returns what it prints.
+// runJobs runs a command on a store file, and returns its output.
 func runJobs(t *testing.T, store string, args ...string) string {
 	t.Helper()
 	commandLine := append([]string{"jobs", "--store", store}, args...)
 	var output bytes.Buffer
-	if err := command(commandLine, os.Getenv, &output, &output); err != nil {
+	if err := runCommand(commandLine, os.Getenv, &output, &output); err != nil {
 		t.Fatal(err)
 	}
 	return output.String()
--- a/cmd/dispatcher/jobs_store.go
+++ b/cmd/dispatcher/jobs_store.go
@@ -8,13 +8,13 @@
 	"hollyyoke.example/hollyyoke/internal/jobs"
 )
 
-// Bounds of one page of jobs of a store file.
+// Limits of one page of jobs of a store file.
 const (
-	storePageSize    = 1000
-	storePageMaxScan = 1_000_000
+	storePageSize    = 1000      // jobs listed
+	storePageMaxScan = 1_000_000 // jobs matched against the filter
 )
 
-// storeFile is the store of a stopped dispatcher; it implements jobsBackend.
+// storeFile is the store file of a stopped dispatcher. It implements jobsBackend.
 type storeFile struct {
 	*durable.OfflineStore
 	path string
--- a/cmd/dispatcher/kill_test.go
+++ b/cmd/dispatcher/kill_test.go
@@ -6,22 +6,23 @@
 	"testing"
 )
 
-// The kill test: the dispatcher and its workers, each a process, are killed at
-// seeded moments while renewals are pushed and run. The workers write to a ledger file,
-// which a kill does not touch, what ran; the calls of each process and their answers are
-// a history, which porcupine checks for linearizability against the rules of leases. A
+// In the kill test the dispatcher and its workers, each of which is a process, are killed at
+// times that a seed determines, while renewals are pushed and run. The workers record each
+// run in a ledger file, which survives a kill. The calls of all processes and their answers
+// form a history, which porcupine checks for linearizability against the rules of leases. A
 // build without the check of fences must fail both checks.
 
-// Bounds of the kill test.
+// Parameters of the kill test.
 const (
 	defaultKills    = 12
 	defaultRenewals = 200
 	longRunRenewals = 2000
-	slowShare       = 0.02 // of the jobs, before which a worker pauses
+	pauseShare      = 0.02 // share of the jobs before which a worker pauses
 	firstKillSeed   = 7
 )
 
-// Three kinds of workers are killed with the dispatcher at seeded moments.
+// Over kills of the dispatcher and its workers no job runs twice or is lost, whatever the
+// workers guarantee.
 func TestKills(t *testing.T) {
 	maxKills := defaultKills
 	renewals := defaultRenewals
@@ -29,26 +30,26 @@
 		maxKills = kills
 		renewals = longRunRenewals
 	}
-	for i, promise := range []string{promiseNothing, promiseFences, promiseIdempotent} {
+	for i, guarantee := range []string{guaranteeNone, guaranteeFences, guaranteeIdempotent} {
 		report := runKills(t, killOptions{
-			promise:  promise,
-			seed:     firstKillSeed + uint64(i),
-			maxKills: maxKills,
-			renewals: renewals,
-			slow:     slowShare,
+			guarantee:  guarantee,
+			seed:       firstKillSeed + uint64(i),
+			maxKills:   maxKills,
+			renewals:   renewals,
+			pauseShare: pauseShare,
 		})
-		t.Logf("workers that promise %q: %d kills, %d renewals in %.0f s: %d done, %d in doubt (%d ran), %d dead; %d ran twice, %d never, %d histories illegal",
-			promise, report.kills, report.jobs, report.seconds, report.done, report.inDoubt, report.inDoubtRan, report.dead, report.ranTwice, report.neverRan, report.illegal)
+		t.Logf("workers with guarantee %q: %d kills, %d renewals in %.0f s: %d done, %d in doubt (%d ran), %d dead; %d ran twice, %d never, %d histories not linearizable",
+			guarantee, report.kills, report.jobs, report.seconds, report.done, report.inDoubt, report.inDoubtRan, report.dead, report.ranTwice, report.neverRan, report.notLinearizable)
 		switch {
 		case report.kills < maxKills || report.jobs < renewals:
-			t.Errorf("%q: the run is too short: %+v", promise, report)
-		case report.ranTwice+report.neverRan+report.dead+report.illegal > 0:
-			t.Errorf("%q: %+v", promise, report)
-		case report.inDoubt > 8*maxKills || promise == promiseIdempotent && report.inDoubt > 0:
-			t.Errorf("%q: too many are in doubt: %+v", promise, report)
+			t.Errorf("%q: the run is too short: %+v", guarantee, report)
+		case report.ranTwice+report.neverRan+report.dead+report.notLinearizable > 0:
+			t.Errorf("%q: %+v", guarantee, report)
+		case report.inDoubt > 8*maxKills || guarantee == guaranteeIdempotent && report.inDoubt > 0:
+			t.Errorf("%q: too many are in doubt: %+v", guarantee, report)
 		}
 		if report.done < report.jobs*8/10 {
-			t.Errorf("%q: only %d of %d done", promise, report.done, report.jobs)
+			t.Errorf("%q: only %d of %d done", guarantee, report.done, report.jobs)
 		}
 	}
 }
--- a/cmd/dispatcher/killhistory_test.go
+++ b/cmd/dispatcher/killhistory_test.go
@@ -10,7 +10,7 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// callKind is what a call asks for.
+// callKind is the operation of a call.
 type callKind string
 
 const (
@@ -20,21 +20,22 @@
 	callAck   callKind = "ack"
 )
 
-// historyCall is one call of a client, by the client's clock in nanoseconds.
+// historyCall is one call of a client. Times are by the client's clock, in nanoseconds.
 type historyCall struct {
 	Client int
 	Kind   callKind
 	Jid    string
 	Fence  uint64
 	Began  int64
-	Ended  int64 // 0: it was not answered
-	OK     bool
+	Ended  int64 // 0 if the call was not answered
+	OK     bool  // the call was granted
 }
 
-// answered reports whether the client has the answer.
+// answered reports whether the client has received the answer.
 func (c historyCall) answered() bool { return c.Ended != 0 }
 
-// readHistory reads a worker's calls: each is written as it begins, and once more as it ends.
+// readHistory reads the calls of a worker from its file, which has a line for the beginning of each call and another one
+// for its end.
 func readHistory(t *testing.T, name string) (calls []historyCall) {
 	t.Helper()
 	text, err := os.ReadFile(name)
@@ -45,7 +46,7 @@
 	for line := range bytes.Lines(text) {
 		var call historyCall
 		if json.Unmarshal(line, &call) != nil {
-			continue // cut off by a kill
+			continue // the worker was killed while it wrote the line
 		}
 		last, found := lastByClient[call.Client]
 		endsLast := found && !calls[last].answered() && call.answered() && calls[last].Began == call.Began
@@ -62,12 +63,12 @@
 // leaseState is the model's state of a job.
 type leaseState struct {
 	pushed, started, done bool
-	fence                 uint64 // of the last lease; 0: it was not leased
+	fence                 uint64 // of the last lease; 0 if the job was never leased
 }
 
-// apply returns the state after a call that is granted, and whether the rules of leases
-// allow to grant it.
-func (s leaseState) apply(promise string, call historyCall) (after leaseState, allowed bool) {
+// apply returns the state after a call has been granted, and whether the rules of leases
+// allow granting it.
+func (s leaseState) apply(guarantee string, call historyCall) (after leaseState, allowed bool) {
 	after = s
 	switch call.Kind {
 	case callPush:
@@ -75,7 +76,7 @@
 		allowed = true
 	case callLease:
 		after.fence = call.Fence
-		allowed = s.pushed && !s.done && call.Fence > s.fence && s.mayBeLeased(promise)
+		allowed = s.pushed && !s.done && call.Fence > s.fence && s.mayBeLeased(guarantee)
 	case callStart:
 		after.started = true
 		allowed = call.Fence == s.fence && !s.done
@@ -86,40 +87,40 @@
 	return after, allowed
 }
 
-// mayBeLeased reports whether a job may be leased to a worker with a promise, though it
-// may have been leased before.
-func (s leaseState) mayBeLeased(promise string) bool {
-	switch promise {
-	case promiseIdempotent:
+// mayBeLeased reports whether a job, which may have been leased before, may be leased to a
+// worker with a guarantee.
+func (s leaseState) mayBeLeased(guarantee string) bool {
+	switch guarantee {
+	case guaranteeIdempotent:
 		return true
-	case promiseFences:
+	case guaranteeFences:
 		return !s.started
 	default:
 		return !s.started && s.fence == 0
 	}
 }
 
-// next returns the states in which a job can be after a call. Of leases only those that
-// were answered are recorded.
-func (s leaseState) next(promise string, call historyCall) []any {
-	after, allowed := s.apply(promise, call)
+// next returns the states in which a job can be after a call; none if the call must not have
+// been granted. A lease is recorded only if it was answered.
+func (s leaseState) next(guarantee string, call historyCall) []any {
+	after, allowed := s.apply(guarantee, call)
 	switch {
 	case call.answered() && call.OK && allowed:
 		return []any{after}
 	case call.answered() && call.OK:
 		return nil
-	case !call.answered() && allowed: // it may have been handled or not
+	case !call.answered() && allowed: // the dispatcher may or may not have handled the call
 		return []any{s, after}
 	}
 	return []any{s}
 }
 
-// linearizable reports whether a job's calls can have happened one after the other, each
-// between its beginning and its end, by the rules of leases.
-func linearizable(promise string, calls []historyCall) bool {
+// linearizable reports whether, by the rules of leases, a job's calls can have taken effect
+// one after the other, each at a time between its beginning and its end.
+func linearizable(guarantee string, calls []historyCall) bool {
 	model := porcupine.NondeterministicModel{
 		Init:  func() []any { return []any{leaseState{}} },
-		Step:  func(state, input, _ any) []any { return state.(leaseState).next(promise, input.(historyCall)) },
+		Step:  func(state, input, _ any) []any { return state.(leaseState).next(guarantee, input.(historyCall)) },
 		Equal: func(a, b any) bool { return a == b },
 	}
 	var operations []porcupine.Operation
--- a/cmd/dispatcher/killrun_test.go
+++ b/cmd/dispatcher/killrun_test.go
@@ -15,36 +15,36 @@
 	"time"
 )
 
-// killOptions say how long a run of the kill test is, and what its workers are.
+// killOptions are the parameters of a run of the kill test.
 type killOptions struct {
-	promise  string  // of the workers
-	slow     float64 // share of the jobs before which a worker pauses
-	seed     uint64
-	maxKills int
-	renewals int // that are pushed at least
+	guarantee  string  // guarantee of the workers
+	pauseShare float64 // share of the jobs before which a worker pauses
+	seed       uint64
+	maxKills   int
+	renewals   int // minimum number of renewals that are pushed
 }
 
 // killReport is the result of a run.
 type killReport struct {
-	kills      int
-	jobs       int
-	seconds    float64
-	done       int
-	dead       int
-	inDoubt    int
-	inDoubtRan int // of those in doubt
-	ranTwice   int
-	neverRan   int
-	illegal    int // histories that are not linearizable
-	faults     []string
+	kills           int
+	jobs            int
+	seconds         float64
+	done            int
+	dead            int
+	inDoubt         int
+	inDoubtRan      int // jobs in doubt that ran
+	ranTwice        int
+	neverRan        int
+	notLinearizable int // histories that are not linearizable
+	faults          []string
 }
 
 // maxReportedHistories is how many histories that are not linearizable are reported in full.
 const maxReportedHistories = 3
 
 const (
-	killWorkers   = 4   // processes
-	killProducers = 4   // clients
+	killWorkers   = 4   // worker processes
+	killProducers = 4   // clients that push jobs
 	killLease     = 0.3 // seconds
 )
 
@@ -56,19 +56,20 @@
 	random  *rand.Rand
 	report  killReport
 
-	dispatcher *exec.Cmd
-	workers    [killWorkers]*exec.Cmd
-	started    int // workers so far
+	dispatcher     *exec.Cmd
+	workers        [killWorkers]*exec.Cmd
+	startedWorkers int // number of workers started so far
 
 	producers sync.WaitGroup
 	killsOver chan struct{}
 
 	mu         sync.Mutex // protects nextNumber and history while producers run
-	nextNumber int        // of the next job
+	nextNumber int        // number of the next job
 	history    []historyCall
 }
 
-// runKills runs jobs until there have been enough kills and renewals.
+// runKills pushes and runs jobs until there have been enough kills and renewals, and checks
+// the result.
 func runKills(t *testing.T, options killOptions) killReport {
 	t.Helper()
 	run := &killRun{
@@ -91,7 +92,7 @@
 		go run.produce(-1 - i)
 	}
 	for run.report.kills < options.maxKills {
-		run.killSome()
+		run.killAndRestart()
 	}
 	close(run.killsOver)
 	run.producers.Wait()
@@ -105,17 +106,18 @@
 
 func (r *killRun) startDispatcher() { r.dispatcher = startDurable(r.t, builtProgram, r.dir) }
 
-// startWorker starts a worker process: this test's program, whose TestMain runs it.
+// startWorker starts a worker process, which is the test binary with the variables that make
+// TestMain run a worker.
 func (r *killRun) startWorker(i int) {
 	r.t.Helper()
-	r.started++
+	r.startedWorkers++
 	worker := exec.Command(os.Args[0])
 	worker.Env = append(os.Environ(),
 		killWorkerDirectory+"="+r.dir,
-		fmt.Sprintf("%s=w%d", killWorkerID, r.started),
-		killWorkerPromise+"="+r.options.promise,
-		fmt.Sprintf("%s=%d", killWorkerSeed, r.started),
-		fmt.Sprintf("%s=%v", killWorkerSlow, r.options.slow),
+		fmt.Sprintf("%s=w%d", killWorkerID, r.startedWorkers),
+		killWorkerGuarantee+"="+r.options.guarantee,
+		fmt.Sprintf("%s=%d", killWorkerSeed, r.startedWorkers),
+		fmt.Sprintf("%s=%v", killWorkerPauseShare, r.options.pauseShare),
 	)
 	worker.Stderr = os.Stderr
 	if err := worker.Start(); err != nil {
@@ -124,7 +126,7 @@
 	r.workers[i] = worker
 }
 
-// end ends all processes.
+// end kills all processes.
 func (r *killRun) end() {
 	for _, process := range append(r.workers[:], r.dispatcher) {
 		if process != nil {
@@ -134,15 +136,16 @@
 	}
 }
 
-// kill kills a process and counts it.
+// kill kills a process and counts the kill.
 func (r *killRun) kill(process *exec.Cmd) {
 	process.Process.Signal(syscall.SIGKILL)
 	process.Wait()
 	r.report.kills++
 }
 
-// killSome kills the dispatcher, a worker or both, after a while, and starts them again.
-func (r *killRun) killSome() {
+// killAndRestart kills the dispatcher, a worker or both after a random time, and starts them
+// again.
+func (r *killRun) killAndRestart() {
 	time.Sleep(time.Duration(20+r.random.IntN(100)) * time.Millisecond)
 	worker := r.random.IntN(killWorkers)
 	switch r.random.IntN(5) {
@@ -161,7 +164,8 @@
 	}
 }
 
-// produce pushes jobs, each until it is accepted; client is its number in the history.
+// produce pushes jobs until there are no more kills and enough renewals. client is the
+// producer's number in the history.
 func (r *killRun) produce(client int) {
 	defer r.producers.Done()
 	var conn *faktoryClient
@@ -171,11 +175,11 @@
 			return
 		}
 		conn = r.push(conn, client, fmt.Sprintf("paid-%06d", number), number)
-		time.Sleep(2 * time.Millisecond) // or the backlog grows past all workers
+		time.Sleep(2 * time.Millisecond) // so that the workers keep up
 	}
 }
 
-// takeNumber returns the number of the next job.
+// takeNumber returns the number of the next job, each number once.
 func (r *killRun) takeNumber() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -200,7 +204,8 @@
 	}
 }
 
-// push pushes a job until it is accepted, and returns the connection that is open then.
+// push pushes a job until it is accepted, on new connections if need be. It returns the
+// connection that is open at the end.
 func (r *killRun) push(conn *faktoryClient, client int, jid string, number int) *faktoryClient {
 	for {
 		if conn == nil {
@@ -227,7 +232,7 @@
 	}
 }
 
-// pushedIDs returns the ids of all jobs that were pushed, sorted.
+// pushedIDs returns the sorted ids of all jobs that were pushed, and counts them.
 func (r *killRun) pushedIDs() []string {
 	var ids []string
 	for _, call := range r.history {
@@ -247,15 +252,15 @@
 		r.t.Fatal(err)
 	}
 	states := map[string]string{}
-	limit := time.Now().Add(3 * testTimeout)
+	deadline := time.Now().Add(3 * testTimeout)
 	for _, id := range ids {
-		states[id] = r.finalState(conn, id, limit)
+		states[id] = r.finalState(conn, id, deadline)
 	}
 	return states
 }
 
 // finalState waits until a job has ended, and returns its state.
-func (r *killRun) finalState(conn *faktoryClient, id string, limit time.Time) string {
+func (r *killRun) finalState(conn *faktoryClient, id string, deadline time.Time) string {
 	r.t.Helper()
 	for {
 		reply, err := conn.do("TRACK GET " + id)
@@ -269,14 +274,14 @@
 		if job.State == "success" || job.State == "in doubt" || job.State == "dead" {
 			return job.State
 		}
-		if time.Now().After(limit) {
+		if time.Now().After(deadline) {
 			r.t.Fatalf("%s stays %s", id, job.State)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// runs returns how often each job ran, by the ledger and the results.
+// runs returns how often each job ran, according to the ledger and the result files.
 func (r *killRun) runs() map[string]int {
 	runs := map[string]int{}
 	ledger, _ := os.ReadFile(filepath.Join(r.dir, ledgerFile))
@@ -291,7 +296,7 @@
 	return runs
 }
 
-// checkRuns counts the states, and finds the jobs that ran twice or never.
+// checkRuns counts the jobs in each state, and those that ran twice or never.
 func (r *killRun) checkRuns(ids []string, states map[string]string) {
 	runs := r.runs()
 	for _, id := range ids {
@@ -316,7 +321,7 @@
 	}
 }
 
-// checkHistories finds the jobs whose calls are not linearizable.
+// checkHistories counts the jobs whose calls are not linearizable.
 func (r *killRun) checkHistories(ids []string) {
 	r.t.Helper()
 	history := r.history
@@ -329,11 +334,11 @@
 		byJob[call.Jid] = append(byJob[call.Jid], call)
 	}
 	for _, id := range ids {
-		if linearizable(r.options.promise, byJob[id]) {
+		if linearizable(r.options.guarantee, byJob[id]) {
 			continue
 		}
-		r.report.illegal++
-		if r.report.illegal <= maxReportedHistories {
+		r.report.notLinearizable++
+		if r.report.notLinearizable <= maxReportedHistories {
 			r.report.faults = append(r.report.faults, fmt.Sprintf("%s: %+v", id, byJob[id]))
 		}
 	}
--- a/cmd/dispatcher/killworker_test.go
+++ b/cmd/dispatcher/killworker_test.go
@@ -10,20 +10,20 @@
 	"time"
 )
 
-// Environment variables of a worker process.
+// Environment variables of a worker process of the kill test.
 const (
-	killWorkerDirectory = "KILL_WORKER" // where this is set, TestMain runs a worker
-	killWorkerID        = "KILL_WID"
-	killWorkerPromise   = "KILL_PROMISE"
-	killWorkerSeed      = "KILL_SEED"
-	killWorkerSlow      = "KILL_SLOW"
+	killWorkerDirectory  = "KILL_WORKER" // directory of the kill test; if set, TestMain runs a worker
+	killWorkerID         = "KILL_WID"
+	killWorkerGuarantee  = "KILL_PROMISE"
+	killWorkerSeed       = "KILL_SEED"
+	killWorkerPauseShare = "KILL_SLOW"
 )
 
-// What a worker of the kill test guarantees, as its label in HELLO has it.
+// What a worker of the kill test guarantees, as the label that it sends in HELLO.
 const (
-	promiseNothing    = ""             // it has no label
-	promiseFences     = "fences:1"     // it reports the start, and runs a job only if the start is granted
-	promiseIdempotent = "idempotent:1" // a job that runs twice has the effect of one run
+	guaranteeNone       = ""             // it has no label
+	guaranteeFences     = "fences:1"     // it reports the start, and runs a job only if the start is granted
+	guaranteeIdempotent = "idempotent:1" // a job that runs twice has the effect of one run
 )
 
 // Files of a kill test's directory.
@@ -34,33 +34,33 @@
 )
 
 const (
-	redialPause = 3 * time.Millisecond // before a client dials again
-	maxDials    = 1000                 // and commands, until an answer
+	redialPause = 3 * time.Millisecond // before a client connects again
+	maxDials    = 1000                 // attempts to connect and send a command, until it is answered
 )
 
 // killWorker is a worker process of the kill test.
 type killWorker struct {
-	dir     string
-	id      string
-	promise string
-	slow    float64 // share of the jobs before which the worker pauses
-	ledger  *os.File
-	history *os.File
+	dir        string
+	id         string
+	guarantee  string
+	pauseShare float64 // share of the jobs before which the worker pauses
+	ledger     *os.File
+	history    *os.File
 }
 
-// killSlots is how many jobs a worker runs at a time.
+// killSlots is how many jobs a worker runs at the same time.
 const killSlots = 2
 
-// runKillWorker runs the worker that the environment configures. It writes what it ran
-// to the ledger, and its calls to a history of its own. It does not return.
+// runKillWorker runs a worker that is configured by the environment. The worker writes the
+// jobs that it ran to the ledger, and its calls to its own history file. It does not return.
 func runKillWorker() {
 	seed, _ := strconv.ParseUint(os.Getenv(killWorkerSeed), 10, 64)
-	slow, _ := strconv.ParseFloat(os.Getenv(killWorkerSlow), 64)
+	pauseShare, _ := strconv.ParseFloat(os.Getenv(killWorkerPauseShare), 64)
 	worker := &killWorker{
-		dir:     os.Getenv(killWorkerDirectory),
-		id:      os.Getenv(killWorkerID),
-		promise: os.Getenv(killWorkerPromise),
-		slow:    slow,
+		dir:        os.Getenv(killWorkerDirectory),
+		id:         os.Getenv(killWorkerID),
+		guarantee:  os.Getenv(killWorkerGuarantee),
+		pauseShare: pauseShare,
 	}
 	worker.ledger = worker.openForAppend(ledgerFile)
 	worker.history = worker.openForAppend(historyPrefix + worker.id)
@@ -89,38 +89,38 @@
 	w.history.Write(append(text, '\n'))
 }
 
-// killSlot runs one job at a time.
+// killSlot is a slot of a worker, which runs one job at a time.
 type killSlot struct {
 	*killWorker
-	client int // its number in the history
+	client int // number of the slot in the history
 	random *rand.Rand
-	conn   *faktoryClient // nil: not connected
+	conn   *faktoryClient // nil if not connected
 }
 
-// run leases and runs jobs for ever.
+// run leases and runs jobs without end.
 func (s *killSlot) run() {
 	for {
 		s.runJob()
 	}
 }
 
-// killLeased is a leased job.
-type killLeased struct {
+// leasedJob is a leased job.
+type leasedJob struct {
 	jid   string
 	fence uint64
 }
 
-// runJob leases a job, runs it and reports its end.
+// runJob leases a job, runs it and acknowledges it.
 func (s *killSlot) runJob() {
 	job, leased := s.lease()
 	if !leased {
 		return
 	}
 	arguments := fmt.Sprintf(`{"jid":%q,"fence":%d}`, job.jid, job.fence)
-	if s.random.Float64() < s.slow { // half of these longer than the lease
+	if s.random.Float64() < s.pauseShare { // about half of these pauses are longer than the lease
 		time.Sleep(time.Duration(s.random.IntN(600)) * time.Millisecond)
 	}
-	if s.promise == promiseFences {
+	if s.guarantee == guaranteeFences {
 		reply, answered := s.call(callStart, job, "START "+arguments)
 		if !answered || reply != "+OK" {
 			return
@@ -131,16 +131,16 @@
 	s.call(callAck, job, "ACK "+arguments)
 }
 
-// lease fetches a job.
-func (s *killSlot) lease() (leased killLeased, found bool) {
+// lease fetches a job, and records the lease if there is one.
+func (s *killSlot) lease() (leased leasedJob, found bool) {
 	began := time.Now().UnixNano()
-	reply, answered := s.call(callLease, killLeased{}, "FETCH renewal")
+	reply, answered := s.call(callLease, leasedJob{}, "FETCH renewal")
 	var job struct {
 		Jid    string
 		Custom struct{ Fence uint64 }
 	}
 	if !answered || json.Unmarshal([]byte(reply), &job) != nil || job.Jid == "" {
-		return killLeased{}, false
+		return leasedJob{}, false
 	}
 	s.record(historyCall{
 		Client: s.client,
@@ -151,25 +151,26 @@
 		Ended:  time.Now().UnixNano(),
 		OK:     true,
 	})
-	return killLeased{job.Jid, job.Custom.Fence}, true
+	return leasedJob{job.Jid, job.Custom.Fence}, true
 }
 
-// recordRun writes that a job ran.
-func (s *killSlot) recordRun(job killLeased) {
-	if s.promise != promiseIdempotent {
+// recordRun writes to the ledger that a job ran or, for a worker whose jobs are idempotent,
+// creates the job's result file.
+func (s *killSlot) recordRun(job leasedJob) {
+	if s.guarantee != guaranteeIdempotent {
 		fmt.Fprintf(s.ledger, "%s %d %s\n", job.jid, job.fence, s.id)
 		return
 	}
 	file, err := os.OpenFile(filepath.Join(s.dir, resultsDirectory, job.jid), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 	if err == nil {
-		file.Close() // the file says that it ran
+		file.Close() // the existence of the file says that the job ran
 	}
 }
 
-// call repeats a command until it is answered, over restarts of the dispatcher; a lease
-// is requested once on a connection. All calls but leases are recorded, as they begin
-// and as they end.
-func (s *killSlot) call(kind callKind, job killLeased, command string) (reply string, answered bool) {
+// call repeats a command until it is answered, also after restarts of the dispatcher. A FETCH
+// is not repeated after an error. All calls except FETCH are recorded at their beginning and
+// at their end.
+func (s *killSlot) call(kind callKind, job leasedJob, command string) (reply string, answered bool) {
 	isLease := kind == callLease
 	for range maxDials {
 		if !s.connect() {
@@ -178,7 +179,7 @@
 		}
 		call := historyCall{Client: s.client, Kind: kind, Jid: job.jid, Fence: job.fence, Began: time.Now().UnixNano()}
 		if !isLease {
-			s.record(call) // a kill leaves it without an end
+			s.record(call) // if the worker is killed, no end is recorded
 		}
 		reply, err := s.conn.do(command)
 		if err != nil {
@@ -199,14 +200,15 @@
 	return "", false
 }
 
-// connect connects to the dispatcher, unless it is connected already.
+// connect connects to the dispatcher unless the slot is connected, and reports whether it is
+// connected then.
 func (s *killSlot) connect() bool {
 	if s.conn != nil {
 		return true
 	}
 	var labels []string
-	if s.promise != promiseNothing {
-		labels = append(labels, s.promise)
+	if s.guarantee != guaranteeNone {
+		labels = append(labels, s.guarantee)
 	}
 	conn, err := dialFaktory(s.dir, faktoryHello(s.id, labels...))
 	if err != nil {
--- a/cmd/dispatcher/latestart_test.go
+++ b/cmd/dispatcher/latestart_test.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// lateJobID is the id of the one job of the test of late starts.
+// lateJobID is the id of the only job in TestLateStart.
 const lateJobID = "late-0001"
 
-// leaseHistory is a dispatcher and the calls of its clients on one job.
+// leaseHistory is a dispatcher, and the history of its clients' calls on one job.
 type leaseHistory struct {
 	t     *testing.T
 	dir   string
 	calls []historyCall
-	ran   int // starts that were granted
+	ran   int // number of starts that were granted
 }
 
-// startLeaseHistory starts a dispatcher whose leases expire after a second.
+// startLeaseHistory starts a dispatcher whose leases expire after one second.
 func startLeaseHistory(t *testing.T, program string) *leaseHistory {
 	t.Helper()
 	history := &leaseHistory{t: t, dir: t.TempDir()}
@@ -36,7 +36,7 @@
 // connect connects a worker that reports its starts, or a producer if workerID is empty.
 func (h *leaseHistory) connect(workerID string) *faktoryClient {
 	h.t.Helper()
-	client, err := dialFaktory(h.dir, faktoryHello(workerID, promiseFences))
+	client, err := dialFaktory(h.dir, faktoryHello(workerID, guaranteeFences))
 	if err != nil {
 		h.t.Fatal(err)
 	}
@@ -53,7 +53,7 @@
 	return reply
 }
 
-// call sends a command and records it. It returns whether it was granted.
+// call sends a command, records it, and returns whether it was granted.
 func (h *leaseHistory) call(client *faktoryClient, kind callKind, fence uint64, command string) (granted bool) {
 	h.t.Helper()
 	call := historyCall{Kind: kind, Jid: lateJobID, Fence: fence, Began: time.Now().UnixNano()}
@@ -70,7 +70,7 @@
 	h.call(producer, callPush, 0, pushRenewal(lateJobID, "[]", ""))
 }
 
-// lease fetches until the worker has the job, and returns the lease's fence.
+// lease sends FETCH until the worker gets the job, and returns the fence of the lease.
 func (h *leaseHistory) lease(worker *faktoryClient) (fence uint64) {
 	h.t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
@@ -89,7 +89,7 @@
 	return 0
 }
 
-// start reports a start under a lease, and runs the job if it is granted.
+// start reports the start of the job under a lease, and counts a run if the start is granted.
 func (h *leaseHistory) start(worker *faktoryClient, fence uint64) {
 	h.t.Helper()
 	if h.call(worker, callStart, fence, fmt.Sprintf(`START {"jid":%q,"fence":%d}`, lateJobID, fence)) {
@@ -114,9 +114,9 @@
 	return program
 }
 
-// A worker that reports a start after its lease has expired, and the job is leased to
-// another, is refused. A build without the check of fences lets both run, and the
-// history shows it.
+// A start is refused if the worker's lease has expired and the job is leased to another
+// worker. A build without the check of fences lets both workers run the job, and its history
+// is not linearizable.
 func TestLateStart(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -137,7 +137,7 @@
 		history.start(late, lateFence)
 		history.start(prompt, promptFence)
 		history.acknowledge(prompt, promptFence)
-		legal := linearizable(promiseFences, history.calls)
+		legal := linearizable(guaranteeFences, history.calls)
 		if history.ran != test.ran || legal != test.legal {
 			t.Errorf("%s: %d ran, want %d; history legal %v, want %v: %+v",
 				test.name, history.ran, test.ran, legal, test.legal, history.calls)
--- a/cmd/dispatcher/leftover_test.go
+++ b/cmd/dispatcher/leftover_test.go
@@ -15,22 +15,22 @@
 	"time"
 )
 
-// These tests cut a worker off in the middle of a request, as a network partition does:
-// what the daemon wrote stays in its kernel, which goes on sending it when the partition
-// ends. An attempt that was abandoned meanwhile must not arrive then.
+// These tests cut off a worker in the middle of a request, as a network partition does. What
+// the daemon has written stays in the send buffer of its kernel, which sends it when the
+// partition ends. If the attempt has been abandoned meanwhile, it must not arrive then.
 
-// unreadWorker is a worker whose machine receives only the start of a request until it
-// is released.
-type unreadWorker struct {
+// blockedWorker is a worker whose machine receives only the beginning of a request until the
+// worker is released.
+type blockedWorker struct {
 	*testWorker
 	release   chan struct{}
-	connected chan struct{} // one value for each connection
+	connected chan struct{} // receives a value for each connection
 
 	mu          sync.Mutex
-	completeIDs []string // of the requests that arrived completely
+	completeIDs []string // ids of the requests that have arrived completely
 }
 
-// minReceiveBuffer sets the smallest receive buffer that the kernel allows.
+// minReceiveBuffer sets the receive buffer of a socket to the kernel's minimum.
 func minReceiveBuffer(_, _ string, raw syscall.RawConn) (err error) {
 	const size = 1 // the kernel raises it to its minimum
 	controlErr := raw.Control(func(fd uintptr) {
@@ -42,7 +42,7 @@
 	return err
 }
 
-func (d *testDaemon) addUnreadWorker(name string) *unreadWorker {
+func (d *testDaemon) addBlockedWorker(name string) *blockedWorker {
 	d.t.Helper()
 	config := net.ListenConfig{Control: minReceiveBuffer}
 	listener, err := config.Listen(context.Background(), "tcp", "127.0.0.1:0")
@@ -50,7 +50,7 @@
 		d.t.Fatal(err)
 	}
 	d.t.Cleanup(func() { listener.Close() })
-	worker := &unreadWorker{
+	worker := &blockedWorker{
 		testWorker: &testWorker{name: name, listener: listener},
 		release:    make(chan struct{}),
 		connected:  make(chan struct{}, 100),
@@ -60,7 +60,7 @@
 	return worker
 }
 
-func (w *unreadWorker) serve(conn net.Conn) {
+func (w *blockedWorker) serve(conn net.Conn) {
 	defer conn.Close()
 	w.connected <- struct{}{}
 	<-w.release
@@ -77,14 +77,14 @@
 	}
 }
 
-func (w *unreadWorker) addComplete(id string) {
+func (w *blockedWorker) addComplete(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.completeIDs = append(w.completeIDs, id)
 }
 
-// complete returns the ids of the requests that arrived completely.
-func (w *unreadWorker) complete() []string {
+// complete returns the ids of the requests that have arrived completely.
+func (w *blockedWorker) complete() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Clone(w.completeIDs)
@@ -93,22 +93,22 @@
 // stuckBody is larger than the receive window and smaller than the daemon's send buffer.
 var stuckBody = strings.Repeat("x", 8<<10)
 
-// resetTimeout is the time within which an abandoned connection has been reset: the
-// poller closes it in its next turn, or a timer after 0.2 s.
+// resetTimeout is the time within which the daemon resets an abandoned connection: the poller
+// closes it in its next turn, or else a timer does so after 0.2 s.
 const resetTimeout = 300 * time.Millisecond
 
-// releaseAndWait releases the worker, gives the rest time to arrive, and returns the ids
-// of the complete requests.
-func (w *unreadWorker) releaseAndWait() []string {
+// releaseAndWait releases the worker, waits until the rest of its requests would have
+// arrived, and returns the ids of the complete requests.
+func (w *blockedWorker) releaseAndWait() []string {
 	time.Sleep(resetTimeout)
 	close(w.release)
-	time.Sleep(time.Second) // the kernel tries a closed window again after 0.2, 0.4 and 0.8 s
+	time.Sleep(time.Second) // the kernel probes a closed TCP window after 0.2, 0.4 and 0.8 s
 	return w.complete()
 }
 
-// postStuck sends a request that the worker does not read, and returns a channel for the
-// status. leftMs is as for post.
-func (d *testDaemon) postStuck(worker *unreadWorker, leftMs int) (status <-chan int) {
+// postStuck sends a request of which the worker receives only the beginning, and returns a
+// channel for the status. leftMs is as for post.
+func (d *testDaemon) postStuck(worker *blockedWorker, leftMs int) (status <-chan int) {
 	result := make(chan int, 1)
 	go func() {
 		got, _, _ := d.post("renewal", "stuck", stuckBody, leftMs)
@@ -118,13 +118,13 @@
 	return result
 }
 
-// abandonAtDeadline has an attempt abandoned by its deadline.
-func abandonAtDeadline(daemon *testDaemon, worker *unreadWorker) {
+// abandonAtDeadline makes the daemon abandon an attempt at its deadline.
+func abandonAtDeadline(daemon *testDaemon, worker *blockedWorker) {
 	<-daemon.postStuck(worker, 500)
 }
 
-// abandonByClient has an attempt abandoned by its client.
-func abandonByClient(daemon *testDaemon, worker *unreadWorker) {
+// abandonByClient makes the daemon abandon an attempt by closing the client's connection.
+func abandonByClient(daemon *testDaemon, worker *blockedWorker) {
 	conn, err := net.Dial("tcp", daemon.listen)
 	if err != nil {
 		daemon.t.Error(err)
@@ -137,34 +137,36 @@
 	time.Sleep(300 * time.Millisecond)
 }
 
-// abandonByRemoval has an attempt abandoned by the removal of its worker.
-func abandonByRemoval(daemon *testDaemon, worker *unreadWorker) {
+// abandonByRemoval makes the daemon abandon an attempt by removing its worker from the
+// endpoint list.
+func abandonByRemoval(daemon *testDaemon, worker *blockedWorker) {
 	status := daemon.postStuck(worker, 0)
 	daemon.discovery.sendChange(42, worker.listEntry("gone"))
 	select {
 	case got := <-status:
 		if got != 502 {
-			daemon.t.Errorf("its worker is removed: the client has %d", got)
+			daemon.t.Errorf("the worker is removed: the client gets %d", got)
 		}
 	case <-time.After(drainGrace + time.Second):
-		daemon.t.Error("its worker is removed: the client waits for it")
+		daemon.t.Error("the worker is removed: the client gets no answer")
 	}
 }
 
-// An attempt is abandoned at its deadline, when its client leaves, and when its worker is
-// removed and the grace has passed. The partition ends later.
+// A request whose attempt was abandoned does not reach the worker when the partition ends. An
+// attempt is abandoned at its deadline, when its client disconnects, and when its worker has
+// been removed for longer than the drain grace.
 func TestAbandonedRequestNeverArrives(t *testing.T) {
 	var scenarios sync.WaitGroup
 	for _, scenario := range []struct {
 		name    string
-		abandon func(*testDaemon, *unreadWorker)
+		abandon func(*testDaemon, *blockedWorker)
 	}{
 		{"its deadline passes", abandonAtDeadline},
 		{"its client leaves", abandonByClient},
 		{"its worker is removed", abandonByRemoval},
 	} {
 		daemon := &testDaemon{t: t}
-		worker := daemon.addUnreadWorker("s-cut")
+		worker := daemon.addBlockedWorker("s-cut")
 		daemon.start()
 		scenarios.Go(func() {
 			scenario.abandon(daemon, worker)
--- a/cmd/dispatcher/limits_test.go
+++ b/cmd/dispatcher/limits_test.go
@@ -12,12 +12,13 @@
 	"time"
 )
 
-// limitedDescriptors is a configuration that limits the descriptors.
+// limitedDescriptors returns configuration keys that limit the descriptors.
 func limitedDescriptors(limit int) map[string]any {
 	return map[string]any{"limits": map[string]any{"sockets": limit, "memory_mb": 192}}
 }
 
-// Idle connections to a worker are closed before the worker may close them.
+// The daemon closes an idle connection to a worker before the end of its idle time, after
+// which the worker may close it.
 func TestIdleConnectionsCloseFirst(t *testing.T) {
 	const idleTime = 3 * time.Second
 	daemon := &testDaemon{t: t}
@@ -33,11 +34,11 @@
 	daemon.start()
 	daemon.postStatus("renewal", "one")
 	if err := <-closed; err != io.EOF {
-		t.Errorf("at the end of the idle time: %v", err)
+		t.Errorf("the read until the end of the idle time: %v, want EOF", err)
 	}
 }
 
-// Near the limit of descriptors idle client connections are closed for new ones.
+// Near the limit of descriptors, idle client connections are closed to accept new ones.
 func TestDescriptorLimit(t *testing.T) {
 	const limit = 64
 	daemon := &testDaemon{t: t, config: limitedDescriptors(limit)}
@@ -56,8 +57,8 @@
 	}
 }
 
-// More clients at once than there are descriptors wait: each gets a complete answer,
-// though connections must end to free descriptors.
+// If there are more clients at the same time than descriptors, some clients wait. Each gets a
+// complete answer, although other connections must be closed first.
 func TestMoreClientsThanDescriptors(t *testing.T) {
 	daemon := &testDaemon{t: t, config: limitedDescriptors(64)}
 	daemon.addWorker("s-1", func(id string, conn net.Conn) bool {
@@ -79,8 +80,9 @@
 	clients.Wait()
 }
 
-// With all descriptors of clients in use, and more connections to the admin API that
-// send nothing or half a call than it holds, a call is answered; and the limit holds.
+// A call to the admin API is answered while clients use all their descriptors, and while more
+// connections than the API holds have sent nothing or half a call. The limit of descriptors
+// holds.
 func TestAdminAtDescriptorLimit(t *testing.T) {
 	const limit = 80
 	daemon := newDaemonWithAdmin(t, nil)
@@ -107,7 +109,7 @@
 		}
 		status, text := daemon.callAdmin("GET", "/control/counters")
 		if status != 200 || !strings.Contains(text, `"discovered":1`) {
-			t.Fatalf("after %d callers: %d %q", i, status, text)
+			t.Fatalf("a call after %d other connections: %d %q", i, status, text)
 		}
 	}
 }
--- a/cmd/dispatcher/link_test.go
+++ b/cmd/dispatcher/link_test.go
@@ -13,12 +13,13 @@
 	"github.com/BurntSushi/toml"
 )
 
-// externalLinking are the options that link a program against the C library.
+// externalLinking is the option of go build that links a program against the C library.
 const externalLinking = "-ldflags=-linkmode=external"
 
-// The fleet's platform loads a library of its own into the dispatcher, which a static
-// program would not take, and starts no second process: build links against the C
-// library, and run ends by exec in the binary that serves.
+// The platform of the fleet loads its own library into the dispatcher, which is impossible for
+// a statically linked program, and starts no second process. Therefore the command build of
+// the deploy file must link against the C library, and its command run must be an exec of the
+// program that serves.
 func TestDeployedBinary(t *testing.T) {
 	root := filepath.Join("..", "..")
 	name := deployedProgram(t, root)
@@ -31,7 +32,7 @@
 	}
 	checkDynamicLinking(t, filepath.Join(directory, name))
 
-	// And it serves, though the directory of the handover socket cannot be used.
+	// The program serves even if the directory of the handover socket does not exist.
 	platform := newPlatformListener(t)
 	platform.directory = filepath.Join(directory, "nowhere")
 	daemon := newDaemonWithAdmin(t, platform)
@@ -40,8 +41,8 @@
 	daemon.start()
 }
 
-// deployedProgram returns the name of the program that the deploy file runs, and checks
-// that the Makefile builds it as the deploy file does.
+// deployedProgram returns the name of the program that the deploy file runs, and checks that
+// the Makefile builds it in the same way as the deploy file.
 func deployedProgram(t *testing.T, root string) (name string) {
 	t.Helper()
 	var deploy struct{ Build, Run string }
@@ -63,7 +64,7 @@
 	return name
 }
 
-// checkDynamicLinking checks that a program needs the C library and a loader.
+// checkDynamicLinking checks that a program needs the C library and a dynamic loader.
 func checkDynamicLinking(t *testing.T, program string) {
 	t.Helper()
 	file, err := elf.Open(program)
@@ -78,6 +79,6 @@
 	}
 	isInterpreter := func(header *elf.Prog) bool { return header.Type == elf.PT_INTERP }
 	if !slices.ContainsFunc(file.Progs, isInterpreter) {
-		t.Errorf("%s names no loader: it is linked statically", program)
+		t.Errorf("%s has no dynamic loader: it is linked statically", program)
 	}
 }
--- a/cmd/dispatcher/load_test.go
+++ b/cmd/dispatcher/load_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// clientLoad is clients that send without a pause.
+// clientLoad is a number of clients, each of which sends renewals one after the other.
 type clientLoad struct {
 	address string
 	stop    chan struct{}
@@ -28,7 +28,8 @@
 	return load
 }
 
-// runClient sends until the load is stopped, at times on a new connection.
+// runClient sends renewals until the load is stopped, and opens a new connection after each
+// requestsPerConnection.
 func (l *clientLoad) runClient(number int) {
 	const requestsPerConnection = 20
 	client := &http.Client{Timeout: testTimeout, Transport: &http.Transport{}}
@@ -48,7 +49,8 @@
 	}
 }
 
-// record counts a request that was answered, or has failed.
+// record counts a request that has ended, and records it as failed unless it was answered with
+// 200.
 func (l *clientLoad) record(id string, status int, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -58,7 +60,7 @@
 	}
 }
 
-// sentSoFar is how many requests have been answered, or have failed.
+// sentSoFar returns how many requests have ended.
 func (l *clientLoad) sentSoFar() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -73,7 +75,7 @@
 	return l.sent, l.failed
 }
 
-// sendRenewal sends a renewal, under an idempotency key unless it is empty.
+// sendRenewal sends a renewal, with an idempotency key unless key is empty.
 func sendRenewal(client *http.Client, address, id, key string) (status int, err error) {
 	request, err := http.NewRequest(http.MethodPost, "http://"+address+"/renewal/k", strings.NewReader("x"))
 	if err != nil {
--- a/cmd/dispatcher/main.go
+++ b/cmd/dispatcher/main.go
@@ -1,9 +1,9 @@
-// Command dispatcher is the dispatcher's command line: serve, check, jobs and version.
+// Command dispatcher is the dispatcher's command line, with the subcommands serve, check,
+// jobs and version.
 //
-// To serve, it replaces itself (execve) with dispatcher-serve where that program lies
-// in the same directory: dispatcher-serve does without the command line's library,
-// which would take two megabytes for as long as the dispatcher runs. No second process
-// is started.
+// For serve, it replaces itself (execve) with dispatcher-serve if that program is in the
+// same directory. dispatcher-serve does not link the command line library, which would take
+// two megabytes of memory for as long as the dispatcher runs. No second process is started.
 package main
 
 import (
@@ -24,54 +24,54 @@
 )
 
 func main() {
-	if err := command(os.Args[1:], os.Getenv, os.Stdout, os.Stderr); err != nil {
+	if err := runCommand(os.Args[1:], os.Getenv, os.Stdout, os.Stderr); err != nil {
 		fmt.Fprintln(os.Stderr, "dispatcher:", err)
 		os.Exit(1)
 	}
 }
 
-// cli is the command line. The options may be written with one dash too.
+// cli is the command line. Its options may also be written with a single dash.
 type cli struct {
-	Faktory   string `placeholder:"FILE" help:"Operator's file of the Faktory front end; HOLLYYOKE_FAKTORY where not given; off without."`
-	Operator  string `placeholder:"FILE" help:"Operator's file, a table for each subsystem; HOLLYYOKE_OPERATOR where not given; off without."`
-	Trace     bool   `help:"Log each step of each request, under the id that the client gave: one line a step."`
-	LogFormat string `enum:"text,json" default:"text" help:"Form of the log on standard error: text or json."`
+	Faktory   string `placeholder:"FILE" help:"Operator's file for the Faktory front end alone; default: the file that HOLLYYOKE_FAKTORY names. Not needed if the other operator's file has the table [faktory]; off without either."`
+	Operator  string `placeholder:"FILE" help:"Operator's file with a table for each subsystem; default: the file that HOLLYYOKE_OPERATOR names. Without a file these subsystems are off."`
+	Trace     bool   `help:"Log each step of each request on its own line, with the id that the client gave."`
+	LogFormat string `enum:"text,json" default:"text" help:"Format of the log on standard error: text or json."`
 
 	Serve   serveCmd   `cmd:"" default:"withargs" help:"Run the dispatcher (the default)."`
-	Check   checkCmd   `cmd:"" help:"Check a configuration and print what it says, without starting anything."`
-	Jobs    jobsCmd    `cmd:"" help:"Look at durable jobs and decide on them, in the file of a stopped dispatcher or through the admin API of a running one."`
+	Check   checkCmd   `cmd:"" help:"Check a configuration and print a summary of it, without starting anything."`
+	Jobs    jobsCmd    `cmd:"" help:"List, show, resolve, retry and discard durable jobs, in the store file of a stopped dispatcher or through the admin API of a running one."`
 	Version versionCmd `cmd:"" help:"Print the version."`
 }
 
 type serveCmd struct {
-	Config string `placeholder:"FILE" help:"Configuration, as JSON; BALANCER_CONFIG where not given."`
+	Config string `placeholder:"FILE" help:"Configuration file, as JSON; default: the file that BALANCER_CONFIG names."`
 }
 
 type checkCmd struct {
-	File string `arg:"" optional:"" help:"Configuration, as JSON; BALANCER_CONFIG where not given."`
+	File string `arg:"" optional:"" help:"Configuration file, as JSON; default: the file that BALANCER_CONFIG names."`
 }
 
 type versionCmd struct{}
 
-// singleDashOptions are the long options that may be written with one dash, as
-// dispatcher-serve has them.
+// singleDashOptions are the long options that may be written with a single dash, as those
+// of dispatcher-serve are.
 var singleDashOptions = []string{"config", "faktory", "operator", "log-format", "trace", "help"}
 
-// Environment variables that name files where no option does.
+// Environment variables that name the operator's files if the options do not.
 const (
 	envFaktory  = "HOLLYYOKE_FAKTORY"
 	envOperator = "HOLLYYOKE_OPERATOR"
 )
 
-// command runs a command line and returns once the command has ended. The process's
+// runCommand runs a runCommand line and returns once the runCommand has ended. The process's
 // exit code is 0 unless an error is returned.
-func command(args []string, env func(string) string, out, errs io.Writer) error {
+func runCommand(args []string, env func(string) string, out, errorOutput io.Writer) error {
 	var c cli
 	helpPrinted := false
 	parser, err := kong.New(&c,
 		kong.Name("dispatcher"),
 		kong.Description("The dispatcher: takes jobs from clients and has workers run them."),
-		kong.Writers(out, errs),
+		kong.Writers(out, errorOutput),
 		kong.Exit(func(int) { helpPrinted = true }),
 	)
 	if err != nil {
@@ -90,7 +90,7 @@
 	case "version":
 		printVersion(out)
 		return nil
-	case "check", "check <file>":
+	case "check", "check <file>": // without and with the argument
 		files.Config = c.Check.File
 		return daemon.Check(files, env, out)
 	default:
@@ -99,11 +99,12 @@
 			return c.Jobs.run(jobsVerb(verb), out)
 		}
 		files.Config = c.Serve.Config
-		return serve(files, c.LogFormat, env, errs)
+		return serve(files, c.LogFormat, env, errorOutput)
 	}
 }
 
-// doubleDashes returns args with two dashes before the long options that have one.
+// doubleDashes returns args with a second dash added to the long options that are written
+// with a single dash.
 func doubleDashes(args []string) []string {
 	args = slices.Clone(args)
 	for i, arg := range args {
@@ -116,7 +117,7 @@
 	return args
 }
 
-// printVersion prints the version of the module.
+// printVersion prints the version of the module that this program was built from.
 func printVersion(out io.Writer) {
 	version := "(devel)"
 	if info, ok := debug.ReadBuildInfo(); ok {
@@ -125,12 +126,12 @@
 	fmt.Fprintln(out, "hollyyoke", version)
 }
 
-// serve runs the dispatcher: as dispatcher-serve, which this process becomes, or in
-// this program where there is none.
-func serve(files daemon.Files, logFormat string, env func(string) string, errs io.Writer) error {
+// serve runs the dispatcher. It replaces this process with dispatcher-serve or, if that
+// program is not installed, runs the dispatcher in this process.
+func serve(files daemon.Files, logFormat string, env func(string) string, errorOutput io.Writer) error {
 	path := servePath()
 	if path == "" {
-		return daemon.Serve(files, env, daemon.NewLogger(errs, logFormat))
+		return daemon.Serve(files, env, daemon.NewLogger(errorOutput, logFormat))
 	}
 	args := []string{
 		path,
@@ -144,11 +145,11 @@
 	if err := syscall.Exec(path, args, os.Environ()); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	return nil // not reached: Exec returns errors only
+	return nil // not reached: Exec returns only if it fails
 }
 
-// servePath returns the path of dispatcher-serve, if it is an executable file in this
-// program's directory; empty: it is not.
+// servePath returns the path of dispatcher-serve, or an empty string if there is no such
+// executable file in this program's directory.
 func servePath() string {
 	self, err := os.Executable()
 	if err != nil {
--- a/cmd/dispatcher/main_test.go
+++ b/cmd/dispatcher/main_test.go
@@ -9,10 +9,11 @@
 )
 
 // The tests of this package start the program and use it over sockets, with stand-ins
-// for discovery and the workers. The ports of daemons are chosen by childprocess.FreeAddress,
-// all others by the kernel.
+// for discovery and the workers. The ports on which daemons listen are chosen by
+// childprocess.FreeAddress, all others by the kernel.
 
-// builtProgram is the path of the program under test. dispatcher-serve lies beside it.
+// builtProgram is the path of the program under test. dispatcher-serve is in the same
+// directory.
 var builtProgram string
 
 func TestMain(m *testing.M) {
--- a/cmd/dispatcher/membership_test.go
+++ b/cmd/dispatcher/membership_test.go
@@ -8,9 +8,9 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/standin"
 )
 
-// Changes go from the origin through a relay to a dispatcher: once the dispatcher has
-// acknowledged a drain, the draining worker gets no more requests, and the end of the
-// relay leaves the list in force.
+// A dispatcher applies the changes that an origin sends through a relay. Once it has
+// acknowledged a drain, the draining worker gets no more requests. When the relay ends, the
+// list stays in force.
 func TestDrainThroughARelay(t *testing.T) {
 	daemon := &testDaemon{t: t}
 	draining := daemon.addWorker("s-a", respondDone)
@@ -27,7 +27,7 @@
 	daemon.config = map[string]any{"known": map[string]any{"seq": 0, "whole": true, "hosts": []any{}}}
 	daemon.start("--operator", operatorFile)
 	relay.waitForStatus("the snapshot is in force", acknowledged(1))
-	for i := 0; len(draining.requests()) == 0; i++ { // both are used
+	for i := 0; len(draining.requests()) == 0; i++ { // the worker gets requests before its drain
 		if status := daemon.postStatus("status-check", fmt.Sprint("before-", i)); status != 200 || i > 10_000 {
 			t.Fatalf("%d: %d", i, status)
 		}
@@ -49,7 +49,7 @@
 
 	relay.process.Process.Signal(syscall.SIGTERM)
 	if err := relay.process.Wait(); err != nil {
-		t.Errorf("the relay's end: %v", err)
+		t.Errorf("the relay does not end with exit code 0: %v", err)
 	}
 	for i := range 20 {
 		if status := daemon.postStatus("renewal", fmt.Sprint("alone-", i)); status != 200 {
--- a/cmd/dispatcher/notified_test.go
+++ b/cmd/dispatcher/notified_test.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// These tests check the time limit on endpoint changes: whatever happens to the calls to
-// discovery, no request goes to a removed worker once 6 s and the grace of 0.5 s have
-// passed since discovery had the removal.
+// These tests check the time limit on endpoint changes: 6 s and the drain grace of 0.5 s after
+// discovery has the removal of a worker, no request goes to this worker any more, whatever
+// happens to the calls to discovery.
 
-// removeOverBrokenCalls removes a worker while the watch stops in the middle of the line
-// with the removal, and stays open; so do the calls after it, brokenCalls in all.
-func removeOverBrokenCalls(t *testing.T, brokenCalls int) *removalTest {
+// removeDuringBrokenCalls removes a worker. The first brokenCalls calls to discovery stop in
+// the middle of the line with the removal, and their connections stay open.
+func removeDuringBrokenCalls(t *testing.T, brokenCalls int) *removalTest {
 	t.Parallel()
 	remove := make(chan struct{})
-	received := make(chan struct{}) // a call was answered with the complete removal
+	received := make(chan struct{}) // closed when a call was answered with the complete removal
 	removal := newRemoval(t, func(r *removalTest, call int, conn net.Conn) {
 		io.WriteString(conn, watchHead)
 		switch {
@@ -40,22 +40,22 @@
 	select {
 	case <-received:
 		time.Sleep(drainGrace)
-	case <-time.After(notifiedAfter + drainGrace + 5*time.Second):
+	case <-time.After(notificationLimit + drainGrace + 5*time.Second):
 	}
 	stopLoad()
-	removal.checkBound()
+	removal.checkRemovalLimit()
 	return removal
 }
 
-func TestNotifiedInTimeOverOneBrokenCall(t *testing.T) { removeOverBrokenCalls(t, 1) }
+func TestNotifiedInTimeOverOneBrokenCall(t *testing.T) { removeDuringBrokenCalls(t, 1) }
 
 // Each call has a timeout, and the limit holds over all of them.
-func TestNotifiedInTimeOverBrokenCalls(t *testing.T) { removeOverBrokenCalls(t, 3) }
+func TestNotifiedInTimeOverBrokenCalls(t *testing.T) { removeDuringBrokenCalls(t, 3) }
 
-// Where no call brings the list within the limit, any worker may have been removed:
-// nothing is sent, and requests are rejected or wait.
+// If no call brings a list within the limit, any worker may have been removed. Requests are
+// then not sent to workers, but rejected or kept waiting.
 func TestNothingIsSentByAListThatMayBeOld(t *testing.T) {
-	if removal := removeOverBrokenCalls(t, 100); removal.answered(503) == 0 {
-		t.Error("no request was rejected, though nothing may be sent")
+	if removal := removeDuringBrokenCalls(t, 100); removal.answered(503) == 0 {
+		t.Error("no request was rejected while the list may be out of date")
 	}
 }
--- a/cmd/dispatcher/platform_test.go
+++ b/cmd/dispatcher/platform_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// platformListener is a listening socket that every process inherits, as the platform
-// keeps one, and the directory of the handover socket.
+// platformListener is a listening socket that all processes of a dispatcher inherit, as from
+// the platform, and the directory of their handover socket.
 type platformListener struct {
 	file      *os.File
 	directory string
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { file.Close() })
-	directory, err := os.MkdirTemp("", "y") // short, since the path of a unix socket is
+	directory, err := os.MkdirTemp("", "y") // short, since the path of a unix socket is limited
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,8 +40,8 @@
 	return listener.Addr().String()
 }
 
-// newDaemonWithAdmin returns a daemon with an admin API, which inherits the platform's
-// listener if there is one.
+// newDaemonWithAdmin returns a daemon with an admin API, which is not started. It inherits the
+// platform's listener if platform is not nil.
 func newDaemonWithAdmin(t *testing.T, platform *platformListener) *testDaemon {
 	t.Helper()
 	daemon := &testDaemon{t: t, env: []string{"BALANCER_ADMIN_ADDR=127.0.0.1:0"}}
@@ -60,8 +60,8 @@
 	return d.startSuccessorProgram(d.program)
 }
 
-// startSuccessorProgram is startSuccessor with a program of its own; empty: the one
-// under test.
+// startSuccessorProgram is as startSuccessor, but starts another program. If program is empty,
+// it is the one under test.
 func (d *testDaemon) startSuccessorProgram(program string) *testDaemon {
 	d.t.Helper()
 	successor := &testDaemon{
--- a/cmd/dispatcher/ready_test.go
+++ b/cmd/dispatcher/ready_test.go
@@ -14,12 +14,13 @@
 	"hollyyoke.example/hollyyoke/internal/testkit"
 )
 
-// These tests start the program while discovery does not answer: it is ready by its
-// initial endpoint list, and serves.
+// These tests start the program while discovery does not answer. The program is ready and
+// serves with its initial endpoint list.
 
-// settingsOf returns the settings of one of several dispatchers, which call discovery
-// themselves ("ask") or have an agent that pushes the endpoint list ("push").
-func settingsOf(peers int, discovery string) json.RawMessage {
+// settingsWithPeers returns the settings of a dispatcher in a fleet of peers. discovery says
+// whether the dispatchers call discovery themselves ("ask") or have an agent that pushes the
+// endpoint list ("push").
+func settingsWithPeers(peers int, discovery string) json.RawMessage {
 	text := strings.NewReplacer(
 		`"peers_total":1,`, fmt.Sprintf(`"peers_total":%d,`, peers),
 		`"discovery":"ask"`, fmt.Sprintf(`"discovery":%q`, discovery),
@@ -27,23 +28,24 @@
 	return json.RawMessage(text)
 }
 
-// startOutage starts a discovery that has end carried out on each call. Connections that
-// end leaves open stay so until the end of the test.
-func startOutage(t *testing.T, end func(net.Conn)) (address string) {
+// startFailingDiscovery starts a discovery that calls fail with the connection of each call.
+// Connections that fail leaves open are closed at the end of the test.
+func startFailingDiscovery(t *testing.T, fail func(net.Conn)) (address string) {
 	t.Helper()
 	listener := listenLocal(t)
 	go acceptConnections(listener, func(conn net.Conn) {
 		t.Cleanup(func() { conn.Close() })
 		if _, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
-			end(conn)
+			fail(conn)
 		}
 	})
 	return listener.Addr().String()
 }
 
-// A process that knows a worker is ready and serves, however its calls to discovery end.
+// A process whose initial endpoint list has a ready worker is ready and serves, however its
+// calls to discovery fail.
 func TestReadyWithoutDiscovery(t *testing.T) {
-	for name, end := range map[string]func(net.Conn){
+	for name, fail := range map[string]func(net.Conn){
 		"down":   nil,
 		"silent": func(net.Conn) {},
 		"late":   func(conn net.Conn) { fmt.Fprint(conn, watchHead) },
@@ -60,13 +62,13 @@
 				t.Run(fmt.Sprintf("%s/%d/%s", name, peers, discovery), func(t *testing.T) {
 					t.Parallel()
 					address := ""
-					if end == nil {
+					if fail == nil {
 						address = testkit.RefusingAddress(t)
 					} else {
-						address = startOutage(t, end)
+						address = startFailingDiscovery(t, fail)
 					}
 					daemon := &testDaemon{t: t}
-					daemon.config = map[string]any{"discovery": address, "settings": settingsOf(peers, discovery)}
+					daemon.config = map[string]any{"discovery": address, "settings": settingsWithPeers(peers, discovery)}
 					daemon.addWorker("s-1", respondDone)
 					daemon.start()
 					for i := range 3 {
@@ -80,7 +82,8 @@
 	}
 }
 
-// A process that knows no worker is not ready until discovery, which is late, has one.
+// A process whose initial endpoint list has no ready worker is not ready until discovery sends
+// one.
 func TestNotReadyWithoutWorkers(t *testing.T) {
 	const draining = `[{"host":"s-0","dial":"127.0.0.1:9","site":"here","class":"m","health":"draining","share":1}]`
 	for _, test := range []struct{ hosts, discovery string }{
@@ -96,7 +99,7 @@
 				listen:    unusedAddress(t),
 				config: map[string]any{
 					"known":    json.RawMessage(`{"seq":41,"whole":true,"hosts":` + test.hosts + `}`),
-					"settings": settingsOf(300, test.discovery),
+					"settings": settingsWithPeers(300, test.discovery),
 				},
 			}
 			worker := daemon.addWorker("s-1", respondDone)
@@ -107,7 +110,7 @@
 			}()
 			daemon.start()
 			if status := <-earlyStatus; status != 503 {
-				t.Errorf("healthz says %d while no worker is known", status)
+				t.Errorf("healthz returns %d while no worker is known", status)
 			}
 			if status := daemon.postStatus("renewal", "one"); status != 200 {
 				t.Errorf("status %d", status)
@@ -116,7 +119,7 @@
 	}
 }
 
-// waitForHealthz returns the first status of healthz, as soon as an address is served.
+// waitForHealthz requests /healthz until it is answered, and returns the status.
 func waitForHealthz(address string) int {
 	for {
 		response, err := http.Get("http://" + address + "/healthz")
@@ -127,15 +130,17 @@
 	}
 }
 
-// sendFirstLines sends a line on whichever watches are open or will be.
+// sendFirstLines makes a line the first line of all watches to come. A watch that is open and
+// waits for its first line gets it too.
 func (s *testDiscovery) sendFirstLines(line string) {
 	for range cap(s.firstLines) {
 		s.firstLines <- line
 	}
 }
 
-// Idle clients use all descriptors that they can get while discovery is down. The process
-// is ready, serves, gets its workers once discovery is back, and keeps to its limit.
+// While discovery does not answer, idle clients use all descriptors that they can get. The
+// process is ready and serves, does not exceed its limit of descriptors, and applies the list
+// once discovery answers again.
 func TestReadyBesideIdleClients(t *testing.T) {
 	const descriptorLimit = 64
 	var discoveryIsBack atomic.Bool
@@ -161,10 +166,10 @@
 			t.Errorf("%d descriptors", descriptors)
 		}
 		if status := daemon.health(); status != 200 {
-			t.Errorf("beside %d clients: healthz says %d", i, status)
+			t.Errorf("with %d idle clients: healthz returns %d", i, status)
 		}
 		if status := daemon.postStatus("renewal", fmt.Sprint("beside-", i)); status != 200 {
-			t.Errorf("beside %d clients: %d", i, status)
+			t.Errorf("a request with %d idle clients: %d", i, status)
 		}
 	}
 
--- a/cmd/dispatcher/relayprocess_test.go
+++ b/cmd/dispatcher/relayprocess_test.go
@@ -14,15 +14,15 @@
 	"hollyyoke.example/hollyyoke/internal/relay"
 )
 
-// relayProcess is a relay in a process of its own.
+// relayProcess is a relay that runs in its own process.
 type relayProcess struct {
 	t       *testing.T
 	process *exec.Cmd
 	address string
-	admin   string
+	admin   string // address of the admin API
 }
 
-// startRelay builds and starts a relay.
+// startRelay builds the program of the relay and starts it.
 func startRelay(t *testing.T, upstream string) *relayProcess {
 	t.Helper()
 	directory := t.TempDir()
@@ -51,16 +51,17 @@
 	return started
 }
 
-// readAddress reads a line that must be a prefix and an address.
+// readAddress reads a line, and returns the address that follows a prefix. It fails the test
+// if the line does not begin with the prefix.
 func (r *relayProcess) readAddress(lines *bufio.Scanner, prefix string) (address string) {
 	r.t.Helper()
 	if !lines.Scan() || !strings.HasPrefix(lines.Text(), prefix) {
-		r.t.Fatalf("%q in place of %q", lines.Text(), prefix)
+		r.t.Fatalf("the relay printed %q, want a line that begins with %q", lines.Text(), prefix)
 	}
 	return strings.TrimPrefix(lines.Text(), prefix)
 }
 
-// waitForStatus waits until the relay's status is as required.
+// waitForStatus waits until reached returns true for the relay's status.
 func (r *relayProcess) waitForStatus(what string, reached func(relay.Status) bool) {
 	r.t.Helper()
 	var status relay.Status
@@ -70,7 +71,7 @@
 			return
 		}
 	}
-	r.t.Fatalf("not in time: %s: %+v", what, status)
+	r.t.Fatalf("timeout: %s: %+v", what, status)
 }
 
 func (r *relayProcess) status() (status relay.Status) {
@@ -86,7 +87,8 @@
 	return status
 }
 
-// acknowledged returns whether the one dispatcher has a version in force.
+// acknowledged returns a function that reports whether the relay has a version and its only
+// dispatcher has acknowledged it.
 func acknowledged(version int64) func(relay.Status) bool {
 	return func(status relay.Status) bool {
 		return status.Subscribers == 1 && int64(status.LowestAcknowledged) == version && int64(status.Version) == version
--- a/cmd/dispatcher/removal_test.go
+++ b/cmd/dispatcher/removal_test.go
@@ -12,41 +12,42 @@
 
 // Limits on how long a removed worker may get requests.
 const (
-	notifiedAfter = 6 * time.Second        // from when discovery had the removal
-	drainGrace    = 500 * time.Millisecond // as in settingsText
-	ruleSlack     = 50 * time.Millisecond  // added to each limit
+	notificationLimit = 6 * time.Second        // from the removal at discovery until the dispatcher has it
+	drainGrace        = 500 * time.Millisecond // as drain_grace_us in settingsText
+	limitSlack        = 50 * time.Millisecond  // tolerance of the test
 )
 
 const (
-	responseDelay = 100 * time.Millisecond // of a request at the worker that remains
+	responseDelay = 100 * time.Millisecond // of the worker that remains
 	loadInterval  = 20 * time.Millisecond  // between requests
 )
 
-// removalTest is a daemon one of whose two workers is removed while discovery fails.
+// removalTest is a daemon with two workers, one of which is removed while calls to discovery
+// fail.
 type removalTest struct {
 	*testDaemon
 	remaining *testWorker
 	removed   *testWorker
 	removedAt time.Time // when discovery had the removal
 
-	lastAtRemoved atomic.Int64 // when the removed worker got its last request, in Unix nanoseconds; 0: none
-	calls         atomic.Int32 // to discovery
+	lastRequestAtRemoved atomic.Int64 // time of the last request to the removed worker, in Unix nanoseconds; 0 if none
+	calls                atomic.Int32 // number of calls to discovery
 
 	mu      sync.Mutex
-	answers map[int]int // requests by status
+	answers map[int]int // number of requests by status
 }
 
-// newRemoval returns a daemon that is not started; answerCall answers each call to
-// discovery, by its number from 0 on.
+// newRemoval returns a daemon that is not started. answerCall answers each call to discovery;
+// calls are numbered from 0 on.
 func newRemoval(t *testing.T, answerCall func(r *removalTest, call int, conn net.Conn)) *removalTest {
 	t.Helper()
 	removal := &removalTest{testDaemon: &testDaemon{t: t}, answers: map[int]int{}}
 	removal.remaining = removal.addWorker("s-kept", func(id string, conn net.Conn) bool {
-		time.Sleep(responseDelay) // so that the other one is the better choice as long as it is listed
+		time.Sleep(responseDelay) // so that the other worker is preferred as long as it is listed
 		return respondDone(id, conn)
 	})
 	removal.removed = removal.addWorker("s-removed", func(id string, conn net.Conn) bool {
-		removal.lastAtRemoved.Store(time.Now().UnixNano())
+		removal.lastRequestAtRemoved.Store(time.Now().UnixNano())
 		return respondDone(id, conn)
 	})
 	removal.discovery = &testDiscovery{t: t, answer: func(conn net.Conn) {
@@ -56,7 +57,8 @@
 	return removal
 }
 
-// writeHeartbeats writes empty lines until stop is closed or the connection ends.
+// writeHeartbeats writes the empty lines of a watch, until stop is closed or the connection
+// ends.
 func writeHeartbeats(conn net.Conn, stop <-chan struct{}) {
 	for {
 		if _, err := io.WriteString(conn, "1\r\n\n\r\n"); err != nil {
@@ -70,10 +72,10 @@
 	}
 }
 
-// waitUntilClosed waits until the other side has closed a connection.
+// waitUntilClosed waits until the peer has closed a connection.
 func waitUntilClosed(conn net.Conn) { io.Copy(io.Discard, conn) }
 
-// change returns the line with the removal, as a chunk.
+// change returns the line with the removal, as a chunk of the watch's response.
 func (r *removalTest) change() string {
 	line := endpointList(42, false, r.removed.listEntry("gone")) + "\n"
 	return fmt.Sprintf("%x\r\n%s\r\n", len(line), line)
@@ -85,8 +87,8 @@
 	return change[:len(change)/2]
 }
 
-// startLoad sends idempotent requests at intervals. The function that it returns ends
-// that, and waits for all answers.
+// startLoad begins to send idempotent requests at intervals. The function that it returns
+// stops sending, and waits for all answers.
 func (r *removalTest) startLoad() (stop func()) {
 	stopping := make(chan struct{})
 	stopped := make(chan struct{})
@@ -123,29 +125,31 @@
 	r.answers[status]++
 }
 
-// answered returns how many requests had an answer with a status; 0: had none.
+// answered returns how many requests were answered with a status. Requests without an answer
+// have status 0.
 func (r *removalTest) answered(status int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.answers[status]
 }
 
-// waitUntilRemovedIsUsed waits until the worker to be removed has got a request.
+// waitUntilRemovedIsUsed waits until the worker that is to be removed has got a request.
 func (r *removalTest) waitUntilRemovedIsUsed() {
 	r.t.Helper()
-	r.waitUntil("the worker to be removed is used", func() bool { return r.lastAtRemoved.Load() > 0 })
+	r.waitUntil("the worker to be removed is used", func() bool { return r.lastRequestAtRemoved.Load() > 0 })
 }
 
-// checkBound checks when the removed worker got its last request.
-func (r *removalTest) checkBound() {
+// checkRemovalLimit checks that the removed worker got its last request within the limits, and
+// that no request failed.
+func (r *removalTest) checkRemovalLimit() {
 	r.t.Helper()
-	allowed := notifiedAfter + drainGrace + ruleSlack
-	last := time.Unix(0, r.lastAtRemoved.Load()).Sub(r.removedAt)
+	allowed := notificationLimit + drainGrace + limitSlack
+	last := time.Unix(0, r.lastRequestAtRemoved.Load()).Sub(r.removedAt)
 	r.t.Logf("the last request to the removed worker came %v after its removal; answers 200: %d, 503: %d", last, r.answered(200), r.answered(503))
 	if last > allowed {
-		r.t.Errorf("requests went to the removed worker for %v, %v are allowed", last, allowed)
+		r.t.Errorf("requests went to the removed worker for %v after its removal, at most %v is allowed", last, allowed)
 	}
 	if r.answered(502) > 0 || r.answered(0) > 0 {
-		r.t.Errorf("%d requests failed and %d had no answer, though a worker was there", r.answered(502), r.answered(0))
+		r.t.Errorf("%d requests failed and %d had no answer, although a worker was available", r.answered(502), r.answered(0))
 	}
 }
--- a/cmd/dispatcher/replacement_test.go
+++ b/cmd/dispatcher/replacement_test.go
@@ -10,11 +10,12 @@
 	"testing"
 )
 
-// refusingAddress is an address at which nothing listens.
+// refusingAddress is an address on which nothing listens.
 const refusingAddress = "127.0.0.1:1"
 
-// moveDiscovery moves the running daemon to another discovery. The configuration file
-// then has a stale address, so that a successor needs its predecessor's.
+// moveDiscovery makes the running daemon use another discovery, and then writes a stale
+// address to the configuration file, so that a successor must get the address from its
+// predecessor.
 func (d *testDaemon) moveDiscovery() (moved *testDiscovery) {
 	d.t.Helper()
 	d.discovery.waitForWatch()
@@ -28,15 +29,16 @@
 	return moved
 }
 
-// replaceBySuccessor replaces a predecessor by a successor, which it returns, and checks
-// both on the way.
+// replaceBySuccessor replaces the daemon by a successor, which it returns. It checks that the
+// successor uses the predecessor's discovery, that both together keep to the limit of
+// descriptors, and that the predecessor ends with exit code 0.
 func (d *testDaemon) replaceBySuccessor(round int, discovery *testDiscovery, descriptorLimit int) (successor *testDaemon) {
 	t := d.t
 	t.Helper()
 	successor = d.startSuccessor()
 	successor.waitUntil("the successor is ready", successor.ready)
 	if query := discovery.waitForWatch(); !strings.HasPrefix(query, "watch=1") {
-		t.Errorf("watch %q where discovery has moved", query)
+		t.Errorf("watch %q at the discovery to which the predecessor was moved", query)
 	}
 	successor.waitForLog("accepting clients")
 	if descriptors := d.openDescriptors() + successor.openDescriptors(); descriptors > descriptorLimit {
@@ -51,11 +53,11 @@
 	return successor
 }
 
-// A process is replaced while clients send without a pause: none of them sees a
-// refused or an unread connection, each request has one answer, and none runs twice.
-// The successor uses the discovery to which the predecessor was moved, is drained if
-// the predecessor is, rejects ids that the predecessor accepted, and is replaced in its
-// turn; both together keep to the limit of descriptors.
+// A process is replaced while clients send requests. No connection is refused or closed with
+// an unread request, each request has one answer, and none runs twice. The successor uses the
+// discovery to which the predecessor was moved, is drained if the predecessor is, rejects ids
+// that the predecessor accepted, and can be replaced itself. Both together keep to the limit
+// of descriptors.
 func TestReplacement(t *testing.T) {
 	const descriptorLimit = 256
 	first := newDaemonWithAdmin(t, newPlatformListener(t))
@@ -71,7 +73,7 @@
 	}
 	sent, failed := load.stopAndReport()
 	for _, failure := range failed {
-		t.Errorf("a client: %s", failure)
+		t.Errorf("a request failed: %s", failure)
 	}
 	runs := worker.runsByID()
 	for id, count := range runs {
@@ -80,7 +82,7 @@
 		}
 	}
 	if len(runs) != sent || sent < 20 {
-		t.Errorf("%d requests ran of %d", len(runs), sent)
+		t.Errorf("%d requests ran of %d sent", len(runs), sent)
 	}
 
 	if status := current.postStatus("renewal", "load-0-0"); status != 409 {
@@ -89,9 +91,9 @@
 	checkDrainedReplacement(t, current)
 }
 
-// checkDrainedReplacement checks that predecessor and successor are one dispatcher: both
-// are drained, both come back into service, and if the successor dies, the predecessor
-// goes on.
+// checkDrainedReplacement checks that the successor of a drained process is drained too, that
+// ending the drain in one process ends it in both, and that the predecessor serves on if the
+// successor dies.
 func checkDrainedReplacement(t *testing.T, predecessor *testDaemon) {
 	t.Helper()
 	if status := predecessor.setOutOfService(); status != 200 {
@@ -100,7 +102,7 @@
 	successor := predecessor.startSuccessor()
 	successor.waitUntil("the drained dispatcher's successor is ready", successor.ready)
 	if successor.health() != 503 || predecessor.health() != 503 {
-		t.Error("the successor of a drained process says it is healthy")
+		t.Error("a process is healthy during a drain")
 	}
 	if status := successor.setInService(); status != 200 {
 		t.Errorf("in service: %d", status)
@@ -114,8 +116,9 @@
 	}
 }
 
-// Processes that cannot connect work each for itself: without a directory, and with one
-// that does not exist. A path longer than a socket's may be is no hindrance.
+// If the directory of the handover socket is not set or does not exist, the two processes
+// cannot connect, and each serves on its own. A directory whose path is longer than that of a
+// unix socket may be works.
 func TestHandoverSocketDirectories(t *testing.T) {
 	platform := newPlatformListener(t)
 	long := filepath.Join(platform.directory, strings.Repeat("long-", 25))
@@ -144,9 +147,9 @@
 	}
 }
 
-// A successor has its predecessor's list where discovery does not answer, also after the
-// predecessor has died before its shutdown. The file that a dead process has left does
-// not keep the next one from starting.
+// If discovery does not answer, a successor uses the endpoint list of its predecessor, also
+// after the predecessor has died without a shutdown. A process starts even if a dead process
+// has left its handover socket's file behind.
 func TestSuccessorUsesListOfDeadPredecessor(t *testing.T) {
 	daemon := newDaemonWithAdmin(t, newPlatformListener(t))
 	removed := daemon.addWorker("s-1", respondDone)
@@ -163,27 +166,27 @@
 	daemon.waitForLog("discovery moves to")
 
 	successor := daemon.startSuccessor()
-	successor.waitUntil("ready by the list handed over", successor.ready)
+	successor.waitUntil("ready with the list handed over", successor.ready)
 	daemon.cmd.Process.Kill()
 	daemon.waitForExit()
 	successor.waitForLog("predecessor has ended")
 	for i := range 10 {
 		if status := successor.postStatus("renewal", fmt.Sprint("list-", i)); status != 200 {
-			t.Errorf("by the list handed over: %d", status)
+			t.Errorf("a request with the list handed over: %d", status)
 		}
 	}
 	if len(removed.requests()) != before {
-		t.Error("the configuration's stale list was used")
+		t.Error("a request went to the worker of the configuration's stale list")
 	}
 
-	successor.cmd.Process.Kill() // it leaves its file
+	successor.cmd.Process.Kill() // leaves the file of its handover socket behind
 	successor.waitForExit()
 	last := daemon.startSuccessor()
-	last.waitUntil("ready beside a dead process's file", last.ready)
+	last.waitUntil("ready with the file of a dead process", last.ready)
 }
 
-// A Faktory front end with a direct queue cannot be handed over: a successor with one
-// ends with an error, and the predecessor goes on.
+// A Faktory front end with a queue that is not durable cannot be handed over: a successor with
+// one ends with an error, and the predecessor serves on.
 func TestDirectFaktoryQueueIsNotHandedOver(t *testing.T) {
 	daemon := newDaemonWithAdmin(t, newPlatformListener(t))
 	daemon.addWorker("s-1", respondDone)
--- a/cmd/dispatcher/serving_test.go
+++ b/cmd/dispatcher/serving_test.go
@@ -31,13 +31,13 @@
 	}
 }
 
-// A renewal that may have run is never sent again: not after a reset, not after a
-// timeout, not on an idle connection that turns out to be closed. A status-check is.
+// A renewal that may have run is never sent again: neither after a reset, nor after a timeout,
+// nor when an idle connection turns out to be closed. A status-check is sent again.
 func TestRenewalIsNeverSentTwice(t *testing.T) {
 	daemon := &testDaemon{t: t}
 	worker := daemon.addWorker("s-1", respondDone)
 	daemon.start()
-	daemon.postStatus("renewal", "warm-up") // its connection stays open
+	daemon.postStatus("renewal", "warm-up") // leaves a connection to the worker open
 
 	worker.setRespond(closeUnanswered)
 	if status := daemon.postStatus("renewal", "reset"); status != 502 {
@@ -45,7 +45,7 @@
 	}
 	worker.setRespond(respondNever)
 	if status, _, _ := daemon.post("renewal", "silent", "x", 1500); status != 502 {
-		t.Errorf("after silence: %d", status)
+		t.Errorf("after a timeout: %d", status)
 	}
 	var attempts atomic.Int32
 	worker.setRespond(func(id string, conn net.Conn) bool {
@@ -64,7 +64,7 @@
 	}
 }
 
-// A request that no worker can take is rejected before its deadline, with Retry-After.
+// A request that no worker accepts is rejected before its deadline, with Retry-After.
 func TestRejectionHasRetryAfter(t *testing.T) {
 	daemon := &testDaemon{t: t}
 	daemon.addWorker("s-1", respondUnprocessed)
@@ -79,7 +79,7 @@
 	}
 }
 
-// The attempt of a client that closes its connection is cancelled.
+// When a client closes its connection, the attempt of its request is cancelled.
 func TestCancelReachesWorker(t *testing.T) {
 	daemon := &testDaemon{t: t}
 	arrived := make(chan struct{})
@@ -98,11 +98,11 @@
 	select {
 	case <-cancelled:
 	case <-time.After(testTimeout):
-		t.Error("the worker still has it")
+		t.Error("the worker still runs the request")
 	}
 }
 
-// The Faktory front end runs beside the HTTP front end, on the same workers.
+// The Faktory front end runs together with the HTTP front end, and uses the same workers.
 func TestFaktoryFrontEnd(t *testing.T) {
 	daemon := &testDaemon{t: t}
 	worker := daemon.addWorker("s-1", respondDone)
--- a/cmd/dispatcher/shortreads_test.go
+++ b/cmd/dispatcher/shortreads_test.go
@@ -15,7 +15,7 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/faultinject"
 )
 
-// trace runs the daemon under a plan of failing system calls.
+// trace makes start run the daemon with a plan of faults in its system calls.
 func (d *testDaemon) trace(plan faultinject.Plan) {
 	d.startProcess = func() {
 		t := d.t
@@ -34,7 +34,7 @@
 			process.Signal(syscall.SIGKILL)
 			<-process.Done()
 			if text, _ := os.ReadFile(log.Name()); t.Failed() {
-				t.Logf("its log:\n%s", text)
+				t.Logf("the program's log:\n%s", text)
 			}
 			log.Close()
 		})
@@ -55,11 +55,12 @@
 	return number
 }
 
-// Reads of the watch are short, so that a part of a change stays in the socket, and then
-// nothing more arrives. Unread bytes must not delay the detection of the silence.
+// Reads of the watch return few bytes at a time, so that a part of a change stays in the
+// socket's buffer, and then nothing more arrives. The unread bytes must not delay the
+// detection that the watch is silent.
 func TestNotifiedInTimeOverShortReads(t *testing.T) {
 	const (
-		faultAfter = 2 * time.Second // from the start
+		faultAfter = 2 * time.Second // after the start of the process
 		shortRead  = 7               // bytes
 	)
 	remove := make(chan struct{})
@@ -89,9 +90,9 @@
 	removal.waitUntilRemovedIsUsed()
 	time.Sleep(time.Until(began.Add(faultAfter + 100*time.Millisecond)))
 	close(remove)
-	time.Sleep(notifiedAfter + drainGrace + 3*time.Second)
+	time.Sleep(notificationLimit + drainGrace + 3*time.Second)
 	stopLoad()
-	removal.checkBound()
+	removal.checkRemovalLimit()
 	if removal.traced.Injected(faultinject.SocketRead) == 0 {
 		t.Error("no read was short")
 	}
--- a/cmd/dispatcher/shutdown_test.go
+++ b/cmd/dispatcher/shutdown_test.go
@@ -11,11 +11,11 @@
 	"time"
 )
 
-// arrivalWindow is how long the program serves new requests after SIGTERM.
+// arrivalWindow is how long the program accepts new requests after SIGTERM.
 const arrivalWindow = 600 * time.Millisecond
 
-// At a graceful shutdown what has been accepted is answered, what arrives in the window
-// is served, and the program exits with 0 only after that.
+// During a graceful shutdown, requests that were accepted before are answered, and requests
+// that arrive in the arrival window are served. Only then does the program exit, with code 0.
 func TestGracefulShutdown(t *testing.T) {
 	daemon := &testDaemon{t: t}
 	release := make(chan struct{})
@@ -25,11 +25,11 @@
 	slow := daemon.postInBackground("renewal", "slow")
 	<-arrived
 	daemon.signal(syscall.SIGTERM)
-	daemon.signal(syscall.SIGTERM) // a second one changes nothing
+	daemon.signal(syscall.SIGTERM) // a second one has no effect
 
 	withOpenConnection := daemon.client
 	daemon.client = newConnectionClient()
-	daemon.waitUntilUnhealthy() // the signal has been handled, so that what follows comes after it
+	daemon.waitUntilUnhealthy() // the signal has been handled, so that the following requests come after it
 	if status := daemon.postStatus("status-check", "new"); status != 200 {
 		t.Errorf("a new connection after SIGTERM: %d", status)
 	}
@@ -41,7 +41,7 @@
 		t.Errorf("healthz after SIGTERM: %d", status)
 	}
 
-	time.Sleep(arrivalWindow + 200*time.Millisecond) // past the window, an answer is still owed
+	time.Sleep(arrivalWindow + 200*time.Millisecond) // past the window, while a request is still unanswered
 	close(release)
 	if status := <-slow; status != 200 {
 		t.Errorf("the running request: %d", status)
@@ -50,16 +50,16 @@
 		t.Errorf("exit code %d", code)
 	}
 	if _, err := net.Dial("tcp", daemon.listen); err == nil {
-		t.Error("it still listens")
+		t.Error("the address still accepts connections")
 	}
 }
 
-// SIGTERM while the program still reads its configuration is a graceful shutdown too: the
-// configuration comes through a pipe here, and only after the signal.
+// SIGTERM while the program reads its configuration causes a graceful shutdown, too. The test
+// passes the configuration through a pipe, and writes it only after the signal.
 func TestSignalDuringStart(t *testing.T) {
 	daemon := &testDaemon{t: t}
 	daemon.addWorker("s-1", respondDone)
-	daemon.start() // writes a complete configuration
+	daemon.start() // writes the configuration file
 	daemon.kill()
 	config, err := os.ReadFile(daemon.configPath)
 	if err != nil {
@@ -71,25 +71,25 @@
 		t.Fatal(err)
 	}
 	daemon.launch()
-	pipe, err := os.OpenFile(daemon.configPath, os.O_WRONLY, 0) // goes on once the program reads
+	pipe, err := os.OpenFile(daemon.configPath, os.O_WRONLY, 0) // blocks until the program opens the pipe for reading
 	if err != nil {
 		t.Fatal(err)
 	}
 	daemon.signal(syscall.SIGTERM)
 	daemon.signal(syscall.SIGHUP)
 	daemon.waitForPendingSignals()
-	pipe.Write(config) // fails where the signal has ended the program
+	pipe.Write(config) // fails if the signal has killed the program
 	pipe.Close()
 
 	if code := daemon.waitForExit(); code != 0 {
 		t.Errorf("exit code %d, want a graceful shutdown", code)
 	}
 	if !strings.Contains(daemon.log.String(), "stopped: accepted 0") {
-		t.Error("it did not shut down gracefully")
+		t.Error("the program did not log the totals of a graceful shutdown")
 	}
 }
 
-// waitForPendingSignals waits until the program has received all signals, or has ended.
+// waitForPendingSignals waits until no signal is pending for the program, or it has ended.
 func (d *testDaemon) waitForPendingSignals() {
 	d.t.Helper()
 	statusFile := fmt.Sprintf("/proc/%d/status", d.cmd.Process.Pid)
@@ -99,12 +99,13 @@
 			return
 		}
 		if time.Now().After(end) {
-			d.t.Fatal("the signals do not reach it")
+			d.t.Fatal("the signals do not reach the program")
 		}
 	}
 }
 
-// signalPending reports whether a signal is pending, by the text of /proc/PID/status.
+// signalPending reports whether a signal is pending, according to the text of
+// /proc/PID/status.
 func signalPending(status []byte) bool {
 	for line := range strings.Lines(string(status)) {
 		name, bits, _ := strings.Cut(line, ":")
--- a/cmd/dispatcher/shutdownload_test.go
+++ b/cmd/dispatcher/shutdownload_test.go
@@ -11,11 +11,11 @@
 	"time"
 )
 
-// largeResult is too large to leave in one write.
+// largeResult is too large to be sent in one write.
 var largeResult = strings.Repeat("made ", 12<<10)
 
-// respondLargeWhenReleased answers requests whose ids begin with slow with largeResult
-// once they are released, and all others at once.
+// respondLargeWhenReleased returns a responder that answers requests whose ids begin with slow
+// with largeResult once release is closed, and all others at once.
 func respondLargeWhenReleased(arrived chan<- struct{}, release <-chan struct{}) responder {
 	return func(id string, conn net.Conn) bool {
 		if !strings.HasPrefix(id, "slow") {
@@ -29,7 +29,7 @@
 	}
 }
 
-// sendWithoutPause sends bytes that are no request until the connection ends.
+// sendWithoutPause sends bytes that are not a request, until the connection ends.
 func (c *clientConn) sendWithoutPause() {
 	junk := make([]byte, 4<<10)
 	for {
@@ -57,12 +57,12 @@
 		}
 		conn.Close()
 		if time.Now().After(end) {
-			d.t.Fatal("it goes on listening")
+			d.t.Fatal("the program does not close its listener")
 		}
 	}
 }
 
-// checkLargeResult checks that a client gets its complete answer.
+// checkLargeResult checks that a client gets the complete largeResult.
 func (c *clientConn) checkLargeResult(t *testing.T, name string) {
 	t.Helper()
 	response, err := http.ReadResponse(c.reader, nil)
@@ -76,9 +76,9 @@
 	}
 }
 
-// At a graceful shutdown an answer that is owed reaches a client that goes on sending,
-// and one that reads it late; an idle client sees an orderly close; nothing that
-// arrives after the window reaches a worker.
+// During a graceful shutdown, the answer to an open request reaches a client that goes on
+// sending, and one that reads it late. The connection of an idle client is closed without a
+// reset. Nothing that arrives after the arrival window reaches a worker.
 func TestGracefulShutdownUnderLoad(t *testing.T) {
 	daemon := &testDaemon{t: t}
 	release := make(chan struct{})
@@ -102,10 +102,10 @@
 
 	daemon.signal(syscall.SIGTERM)
 	response, err = http.ReadResponse(incomplete.reader, nil)
-	if err != nil || response.StatusCode != 503 { // not 408, which comes 2 s after it began
+	if err != nil || response.StatusCode != 503 { // not 408, which the client would get 2 s after its first byte
 		t.Errorf("half a request: %+v, %v", response, err)
 	}
-	if _, err := idle.reader.ReadByte(); err != io.EOF { // the window is over
+	if _, err := idle.reader.ReadByte(); err != io.EOF { // returns at the end of the arrival window
 		t.Errorf("an idle connection ends with %v", err)
 	}
 	daemon.waitUntilRefused()
@@ -115,20 +115,20 @@
 		client.checkLargeResult(t, name)
 	}
 	if _, err := late.reader.ReadByte(); err != io.EOF {
-		t.Errorf("behind the last answer: %v", err)
+		t.Errorf("after the last answer: %v", err)
 	}
 
-	answered := time.Now() // the client has not closed: the program waits for it
+	answered := time.Now() // the client has not closed its connection, so the program waits for it
 	if code := daemon.waitForExit(); code != 0 {
 		t.Errorf("exit code %d", code)
 	}
 	if span := time.Since(answered); span < 200*time.Millisecond {
-		t.Errorf("it ended %v after an answer of which it could not know that it was read", span)
+		t.Errorf("the program ended %v after the last answer, without waiting for the client to close", span)
 	}
 	for _, worker := range workers {
 		for _, request := range worker.requests() {
 			if strings.HasPrefix(request, "after") {
-				t.Errorf("forwarded after the end: %s", request)
+				t.Errorf("forwarded after the arrival window: %s", request)
 			}
 		}
 	}
--- a/cmd/dispatcher/start_test.go
+++ b/cmd/dispatcher/start_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// An invalid configuration ends the start with one line that names the field.
+// With an invalid configuration the program ends, and prints one line that names the invalid
+// field.
 func TestBadStart(t *testing.T) {
 	dir := t.TempDir()
 	valid := settingsWithIdle(time.Microsecond)
@@ -39,7 +40,8 @@
 	}
 }
 
-// A BALANCER_FD that is no listener ends the start with a line that names it.
+// If BALANCER_FD does not name a listening socket, the program ends, and prints a line that
+// names the variable and its value.
 func TestBadInheritedListener(t *testing.T) {
 	daemon := newDaemonWithAdmin(t, nil)
 	daemon.env = append(daemon.env, "BALANCER_FD=77")
--- a/cmd/dispatcher/syscalls_test.go
+++ b/cmd/dispatcher/syscalls_test.go
@@ -14,9 +14,10 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/faultinject"
 )
 
-// momentary returns rules for temporary failures that Linux documents for a server's
-// system calls.
-func momentary(probability float64, after, span time.Duration) (rules []faultinject.Rule) {
+// temporaryFailures returns rules for temporary failures that Linux documents for the
+// system calls of a server, and for short reads and writes. The rules apply from after until
+// span later.
+func temporaryFailures(probability float64, after, span time.Duration) (rules []faultinject.Rule) {
 	errors := map[faultinject.Call][]syscall.Errno{
 		faultinject.Accept:     {syscall.ECONNABORTED, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO},
 		faultinject.Socket:     {syscall.ENFILE, syscall.ENOBUFS},
@@ -26,8 +27,8 @@
 		faultinject.SetOption: {syscall.ENOBUFS},
 	}
 	for call := faultinject.SocketRead; call <= faultinject.SetOption; call++ {
-		for _, e := range errors[call] {
-			rules = append(rules, faultinject.Rule{Call: call, Probability: probability, Error: e, After: after, For: span})
+		for _, errno := range errors[call] {
+			rules = append(rules, faultinject.Rule{Call: call, Probability: probability, Error: errno, After: after, For: span})
 		}
 	}
 	return append(rules,
@@ -35,54 +36,54 @@
 		faultinject.Rule{Call: faultinject.SocketWrite, Probability: 0.5, Short: 40, After: after, For: span})
 }
 
-// All clients get their answers while system calls fail for a moment, are short or are
-// interrupted; no renewal runs twice, and all is served afterwards.
+// All clients get answers while system calls fail temporarily, transfer few bytes or are
+// interrupted. No renewal runs twice, and all requests are served afterwards.
 func TestServesOverFailingSystemCalls(t *testing.T) {
 	const after, span = time.Second, 4 * time.Second
-	d := &testDaemon{t: t}
-	workers := []*testWorker{d.addWorker("s-1", respondDoneAndClose), d.addWorker("s-2", respondDoneAndClose)}
-	d.trace(faultinject.Plan{Seed: 1, Rules: momentary(0.1, after, span)})
-	begun := time.Now()
-	d.start()
-	faultsEnd := time.Now().Add(after + span) // or earlier: the window runs from the process's start
-	d.client = &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	var open sync.WaitGroup
+	daemon := &testDaemon{t: t}
+	workers := []*testWorker{daemon.addWorker("s-1", respondDoneAndClose), daemon.addWorker("s-2", respondDoneAndClose)}
+	daemon.trace(faultinject.Plan{Seed: 1, Rules: temporaryFailures(0.1, after, span)})
+	startedAt := time.Now()
+	daemon.start()
+	faultsEnd := time.Now().Add(after + span) // at the latest: the time of the faults counts from the start of the process
+	daemon.client = &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+	var openRequests sync.WaitGroup
 	var mu sync.Mutex
 	answers := map[int]int{}
 	send := func(class, id string) {
-		defer open.Done()
-		status, body, _ := d.post(class, id, "body", 4000)
+		defer openRequests.Done()
+		status, body, _ := daemon.post(class, id, "body", 4000)
 		mu.Lock()
 		defer mu.Unlock()
 		if answers[status]++; status == 200 && body != "made for "+id {
 			t.Errorf("%s: %q", id, body)
 		}
 	}
-	for i := 0; time.Since(begun) < after+span; i++ {
-		open.Add(1)
+	for i := 0; time.Since(startedAt) < after+span; i++ {
+		openRequests.Add(1)
 		go send([]string{"status-check", "renewal"}[i%2], fmt.Sprint("id-", i))
 		time.Sleep(20 * time.Millisecond)
 	}
-	open.Wait()
+	openRequests.Wait()
 	t.Logf("answers: %v; read %d, write %d, accept %d, socket %d, connect %d, wait %d, setsockopt %d calls failed or were short", answers,
-		d.traced.Injected(faultinject.SocketRead), d.traced.Injected(faultinject.SocketWrite), d.traced.Injected(faultinject.Accept),
-		d.traced.Injected(faultinject.Socket), d.traced.Injected(faultinject.Connect), d.traced.Injected(faultinject.Wait), d.traced.Injected(faultinject.SetOption))
+		daemon.traced.Injected(faultinject.SocketRead), daemon.traced.Injected(faultinject.SocketWrite), daemon.traced.Injected(faultinject.Accept),
+		daemon.traced.Injected(faultinject.Socket), daemon.traced.Injected(faultinject.Connect), daemon.traced.Injected(faultinject.Wait), daemon.traced.Injected(faultinject.SetOption))
 	for call := faultinject.SocketRead; call <= faultinject.SetOption; call++ {
-		if d.traced.Injected(call) == 0 {
-			t.Errorf("no %v failed", call)
+		if daemon.traced.Injected(call) == 0 {
+			t.Errorf("no fault was injected into %v", call)
 		}
 	}
-	for status, n := range answers {
+	for status, count := range answers {
 		if status != 200 && status != 503 {
-			t.Errorf("%d requests ended with %d", n, status)
+			t.Errorf("%d requests ended with %d", count, status)
 		}
 	}
 	if answers[200] < 20*answers[503] {
 		t.Errorf("%d served, %d rejected", answers[200], answers[503])
 	}
 	runs := map[string]int{}
-	for _, b := range workers {
-		for _, id := range b.requests() {
+	for _, worker := range workers {
+		for _, id := range worker.requests() {
 			if runs[id]++; runs[id] > 1 && strings.Contains(id, "/renewal/") {
 				t.Errorf("%s ran %d times", id, runs[id])
 			}
@@ -90,41 +91,42 @@
 	}
 	time.Sleep(time.Until(faultsEnd))
 	for i := range 20 {
-		if status, _, _ := d.post("renewal", fmt.Sprint("after-", i), "x", 0); status != 200 {
-			t.Errorf("afterwards: %d", status)
+		if status, _, _ := daemon.post("renewal", fmt.Sprint("after-", i), "x", 0); status != 200 {
+			t.Errorf("a request after the faults: %d", status)
 		}
 	}
 }
 
-// A connection that was reset may be reported as timed out or unreachable.
+// Reads from a worker's connection fail with the errors with which the kernel reports a broken
+// connection. No renewal runs twice, and requests are served afterwards.
 func TestBrokenConnectionsUnderOtherNames(t *testing.T) {
 	const after, span = time.Second, 2 * time.Second
-	for _, e := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET} {
-		t.Run(e.Error(), func(t *testing.T) {
-			d := &testDaemon{t: t}
-			b := d.addWorker("s-1", respondDone)
-			d.trace(faultinject.Plan{Seed: 2, Rules: []faultinject.Rule{
-				{Call: faultinject.SocketRead, Probability: 0.3, Error: e, Peer: port(t, b.listener.Addr().String()), After: after, For: span},
+	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET} {
+		t.Run(errno.Error(), func(t *testing.T) {
+			daemon := &testDaemon{t: t}
+			worker := daemon.addWorker("s-1", respondDone)
+			daemon.trace(faultinject.Plan{Seed: 2, Rules: []faultinject.Rule{
+				{Call: faultinject.SocketRead, Probability: 0.3, Error: errno, Peer: port(t, worker.listener.Addr().String()), After: after, For: span},
 			}})
-			begun := time.Now()
-			d.start()
-			faultsEnd := time.Now().Add(after + span) // or earlier: the window runs from the process's start
-			d.client.Timeout = 10 * time.Second
-			for i := 0; time.Since(begun) < after+span; i++ {
-				d.post("renewal", fmt.Sprint("id-", i), "x", 0)
+			startedAt := time.Now()
+			daemon.start()
+			faultsEnd := time.Now().Add(after + span) // at the latest: the time of the faults counts from the start of the process
+			daemon.client.Timeout = 10 * time.Second
+			for i := 0; time.Since(startedAt) < after+span; i++ {
+				daemon.post("renewal", fmt.Sprint("id-", i), "x", 0)
 			}
-			if d.traced.Injected(faultinject.SocketRead) == 0 {
+			if daemon.traced.Injected(faultinject.SocketRead) == 0 {
 				t.Error("no read failed")
 			}
 			runs := map[string]int{}
-			for _, id := range b.requests() {
+			for _, id := range worker.requests() {
 				if runs[id]++; runs[id] > 1 {
 					t.Errorf("%s ran %d times", id, runs[id])
 				}
 			}
 			time.Sleep(time.Until(faultsEnd))
-			if status, _, _ := d.post("renewal", "after", "x", 0); status != 200 {
-				t.Errorf("afterwards: %d", status)
+			if status, _, _ := daemon.post("renewal", "after", "x", 0); status != 200 {
+				t.Errorf("a request after the faults: %d", status)
 			}
 		})
 	}
--- a/cmd/dispatcher/testdiscovery_test.go
+++ b/cmd/dispatcher/testdiscovery_test.go
@@ -14,26 +14,26 @@
 // heartbeatInterval is the time between the empty lines of a watch.
 const heartbeatInterval = 500 * time.Millisecond
 
-// watchHead begins the response to a watch call.
+// watchHead is the head of the response to a watch call.
 const watchHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// watchEvent is what happens on the open watch: watchFallsSilent, watchEnds, or a line
-// that is sent.
+// watchEvent is what the stand-in does on the open watch: it stops sending
+// (watchFallsSilent), ends the response (watchEnds), or sends the text as a line.
 type watchEvent string
 
 const (
-	watchFallsSilent watchEvent = "(silence)" // nothing is sent until the daemon closes the watch
-	watchEnds        watchEvent = "(end)"
+	watchFallsSilent watchEvent = "(silence)" // send nothing until the daemon closes the connection
+	watchEnds        watchEvent = "(end)"     // close the connection
 )
 
 // testDiscovery is a stand-in for discovery.
 type testDiscovery struct {
 	t          *testing.T
-	address    string              // empty: it is not started
-	firstLines chan string         // the first line of each watch; nil: an empty one
-	answer     func(conn net.Conn) // answers each call; nil: answerWatch does
+	address    string              // empty until it is started
+	firstLines chan string         // the first line of each watch; if nil, an empty line
+	answer     func(conn net.Conn) // answers each call; if nil, answerWatch does
 
-	watches chan string // the query of each watch call
+	watches chan string // receives the query of each watch call
 	events  chan watchEvent
 }
 
@@ -65,7 +65,8 @@
 	}
 }
 
-// answerWatch answers a watch call with a query.
+// answerWatch answers a watch call that has a query: it sends the first line, and then
+// heartbeats and events.
 func (s *testDiscovery) answerWatch(conn net.Conn, query string) {
 	fmt.Fprint(conn, watchHead)
 	firstLine := ""
@@ -82,8 +83,8 @@
 	s.sendEvents(conn, closed)
 }
 
-// sendEvents sends heartbeats and events until the watch ends. closed is closed once the
-// daemon has closed the connection.
+// sendEvents sends heartbeats and events until the watch ends. The channel closed is closed
+// when the daemon has closed the connection.
 func (s *testDiscovery) sendEvents(conn net.Conn, closed <-chan struct{}) {
 	for {
 		select {
@@ -104,7 +105,7 @@
 	}
 }
 
-// writeWatchLine writes a line of a watch; an empty one is a heartbeat.
+// writeWatchLine writes a line of a watch. An empty line is a heartbeat.
 func writeWatchLine(conn net.Conn, line string) {
 	fmt.Fprintf(conn, "%x\r\n%s\n\r\n", len(line)+1, line)
 }
@@ -131,8 +132,8 @@
 	}
 }
 
-// endpointList returns a version of the endpoint list, or of the entries that have
-// changed if it is not complete.
+// endpointList returns a version of the endpoint list as JSON: the complete list, or only the
+// entries that have changed.
 func endpointList(version int, complete bool, entries ...string) string {
 	return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`, version, complete, strings.Join(entries, ","))
 }
--- a/cmd/dispatcher/versions_test.go
+++ b/cmd/dispatcher/versions_test.go
@@ -9,20 +9,22 @@
 	"testing"
 )
 
-// These tests replace a process by one of another build. The programs are taken
-// from the environment; where a variable is unset it is the program under test:
+// These tests replace a process by one of another build. Environment variables name the two
+// programs; if a variable is not set, it is the program under test:
 //
 //	HOLLYYOKE_TEST_PREDECESSOR=/path/to/older/hollyyoke go test -run AcrossVersions ./cmd/dispatcher
 //	HOLLYYOKE_TEST_SUCCESSOR=/path/to/newer/hollyyoke go test -run AcrossVersions ./cmd/dispatcher
 //
-// dispatcher-serve of the same build must lie beside each, or it serves itself.
+// dispatcher-serve of the same build must be in the same directory as each program. If it is
+// missing, the program serves in its own process.
 
 const (
 	predecessorVariable = "HOLLYYOKE_TEST_PREDECESSOR"
 	successorVariable   = "HOLLYYOKE_TEST_SUCCESSOR"
 )
 
-// earlierLogLines are log lines as builds from before their rename have them.
+// earlierLogLines are the texts of log lines in builds from before they were reworded, by
+// their present texts.
 var earlierLogLines = map[string]string{
 	adminLogLine:                     "operators' door at ",
 	"successor has connected":        "a successor has started",
@@ -31,8 +33,8 @@
 	"durable jobs taken over":        "has the durable jobs",
 }
 
-// hasLogged reports whether the program has logged a text; a program of another build
-// may have the earlier one.
+// hasLogged reports whether the program has logged a text. A program of another build may have
+// logged the text that earlierLogLines has for it.
 func (d *testDaemon) hasLogged(text string) bool {
 	log := d.log.String()
 	if strings.Contains(log, text) {
@@ -42,7 +44,7 @@
 	return d.program != "" && earlier != "" && strings.Contains(log, earlier)
 }
 
-// newPredecessor returns a daemon of the build that is to be replaced.
+// newPredecessor returns a daemon of the build that is to be replaced. It is not started.
 func newPredecessor(t *testing.T) *testDaemon {
 	t.Helper()
 	predecessor := newDaemonWithAdmin(t, newPlatformListener(t))
@@ -50,8 +52,7 @@
 	return predecessor
 }
 
-// startReadySuccessor starts a successor of the other build, and waits until it accepts
-// clients.
+// startReadySuccessor starts a successor of the other build, and waits until it is ready.
 func (d *testDaemon) startReadySuccessor() *testDaemon {
 	d.t.Helper()
 	successor := d.startSuccessorProgram(os.Getenv(successorVariable))
@@ -59,16 +60,16 @@
 	return successor
 }
 
-// waitForMore waits until more requests have been sent than now.
+// waitForMore waits until more than the given number of further requests have ended.
 func (l *clientLoad) waitForMore(d *testDaemon, when string, more int) {
 	d.t.Helper()
 	before := l.sentSoFar()
 	d.waitUntil("requests "+when, func() bool { return l.sentSoFar() > before+more })
 }
 
-// A process is replaced by one of another build while clients send without a
-// pause: none of their requests is lost, rejected or run twice, the successor rejects
-// the ids that its predecessor accepted, and has the address of discovery from it.
+// A process is replaced by one of another build while clients send requests. No request is
+// lost, rejected or run twice. The successor rejects the ids that its predecessor accepted,
+// and uses its predecessor's address of discovery.
 func TestReplacementAcrossVersions(t *testing.T) {
 	predecessor := newPredecessor(t)
 	worker := predecessor.addWorker("s-1", respondDone)
@@ -81,7 +82,7 @@
 	moved.waitForWatch()
 	predecessor.waitForLog("successor has connected")
 	predecessor.waitForLog("successor is accepting clients")
-	load.waitForMore(predecessor, "beside each other", 50)
+	load.waitForMore(predecessor, "while both accept clients", 50)
 	predecessor.signal(syscall.SIGTERM)
 	if code := predecessor.waitForExit(); code != 0 {
 		t.Errorf("the predecessor's exit code: %d", code)
@@ -108,8 +109,8 @@
 	t.Logf("%d requests, none lost", sent)
 }
 
-// A drained process is replaced by one of another build, which is drained too;
-// and a drain that ends on either side ends on the other.
+// A drained process is replaced by one of another build, which is drained too. A drain that
+// begins or ends in one process begins or ends in the other.
 func TestDrainAcrossVersions(t *testing.T) {
 	predecessor := newPredecessor(t)
 	predecessor.addWorker("s-1", respondDone)
@@ -119,7 +120,7 @@
 	}
 	successor := predecessor.startReadySuccessor()
 	if predecessor.health() != 503 || successor.health() != 503 {
-		t.Error("the successor of a drained process is healthy")
+		t.Error("a process is healthy during a drain")
 	}
 	if status := successor.setInService(); status != 200 {
 		t.Errorf("in service: %d", status)
@@ -132,8 +133,8 @@
 	successor.waitUntil("both are drained", func() bool { return predecessor.health() == 503 && successor.health() == 503 })
 }
 
-// The store of durable jobs goes from a process to one of another build: what was
-// done is known to be done, and a job for later is there with its payload.
+// A process of another build takes over the store of durable jobs. A request that was done is
+// not run again, and a scheduled job is listed as before, with its payload.
 func TestDurableJobsAcrossVersions(t *testing.T) {
 	predecessor := newPredecessor(t)
 	worker := predecessor.addWorker("s-1", respondDone)
@@ -145,7 +146,7 @@
 	predecessor.env = append(predecessor.env, "HOLLYYOKE_FAKTORY="+operatorFile)
 	predecessor.start()
 	if status, err := sendRenewal(predecessor.client, predecessor.listen, "before", "paid-1"); status != 200 {
-		t.Fatalf("a request under an idempotency key: %d, %v", status, err)
+		t.Fatalf("a request with an idempotency key: %d, %v", status, err)
 	}
 	producer, err := dialFaktory(directory, faktoryHello(""))
 	if err != nil {
@@ -166,7 +167,7 @@
 		t.Errorf("the successor's jobs:\n%s\nthe predecessor's:\n%s", jobsAfter, jobsBefore)
 	}
 	if status, err := sendRenewal(successor.client, successor.listen, "after", "paid-1"); status != 200 {
-		t.Errorf("sent again under the key: %d, %v", status, err)
+		t.Errorf("another request with the key: %d, %v", status, err)
 	}
 	if count := worker.runsByID()["idem:paid-1"]; count != 1 {
 		t.Errorf("the request ran %d times", count)
--- a/cmd/dispatcher/worker_test.go
+++ b/cmd/dispatcher/worker_test.go
@@ -11,8 +11,8 @@
 	"sync"
 )
 
-// responder answers the request with an id, and returns whether the connection stays
-// open.
+// responder answers the request with an id on a connection, and returns whether the
+// connection stays open.
 type responder func(id string, conn net.Conn) (keepOpen bool)
 
 // testWorker is a stand-in for a worker.
@@ -21,11 +21,11 @@
 	listener net.Listener
 
 	mu       sync.Mutex
-	received []string // id, method, URI and body of each request
+	received []string // as requests returns them
 	respond  responder
 }
 
-// addWorker starts a worker of the daemon.
+// addWorker starts a worker, and adds it to the daemon's workers.
 func (d *testDaemon) addWorker(name string, respond responder) *testWorker {
 	d.t.Helper()
 	worker := &testWorker{name: name, listener: listenLocal(d.t), respond: respond}
@@ -51,7 +51,7 @@
 	}
 }
 
-// receive records a request, and returns who answers it.
+// receive records a request, and returns the responder that answers it.
 func (w *testWorker) receive(id, request string) responder {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -59,14 +59,14 @@
 	return w.respond
 }
 
-// requests returns the requests so far: id, method, URI and body of each.
+// requests returns the requests received so far: id, method, URI and body of each.
 func (w *testWorker) requests() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Clone(w.received)
 }
 
-// runsByID returns how often each request has arrived.
+// runsByID returns how often each request has been received, by id.
 func (w *testWorker) runsByID() map[string]int {
 	runs := map[string]int{}
 	for _, request := range w.requests() {
@@ -93,25 +93,26 @@
 }
 
 // respondDoneAndClose answers a request and announces that it closes the connection, so that the next request needs a
-// new one. A close that is not announced may cross a request, which then may have run.
+// new one. Without the announcement, a request could be in transit when the connection is closed, and then it would be
+// unknown whether it has run.
 func respondDoneAndClose(id string, conn net.Conn) bool {
 	writeDone(id, conn, "Connection: close\r\n")
 	return false
 }
 
-// respondUnprocessed says that the worker has no free slot and has not begun the request.
+// respondUnprocessed answers that the worker has no free slot and has not begun the request.
 func respondUnprocessed(_ string, conn net.Conn) bool {
 	io.WriteString(conn, "HTTP/1.1 503 Full\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n")
 	return true
 }
 
-// respondNever reads what the daemon sends until it closes the connection.
+// respondNever sends no answer, and waits until the daemon closes the connection.
 func respondNever(_ string, conn net.Conn) bool {
 	io.Copy(io.Discard, conn)
 	return false
 }
 
-// closeUnanswered closes the connection in place of an answer.
+// closeUnanswered closes the connection without an answer.
 func closeUnanswered(string, net.Conn) bool { return false }
 
 func writeDone(id string, conn net.Conn, headers string) {
@@ -119,14 +120,16 @@
 	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\n%sTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", headers, len(text), text)
 }
 
-// respondWhenReleased answers one request once it is released, and all others at once.
+// respondWhenReleased returns a responder that answers the request with slowID once it
+// receives from release, and all others at once. It sends a value to arrived when it has begun
+// the request with slowID.
 func respondWhenReleased(slowID string, arrived chan<- struct{}, release <-chan struct{}) responder {
 	return func(id string, conn net.Conn) bool {
 		if id != slowID {
 			return respondDone(id, conn)
 		}
 		fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-		writeState(id, conn, "started") // or the worker counts as one that starts nothing
+		writeState(id, conn, "started") // otherwise the daemon takes the worker for one that does not start requests
 		arrived <- struct{}{}
 		<-release
 		writeState(id, conn, "done")
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -16,7 +16,7 @@
 )
 
 // Environment variables that the platform sets. envName, envListen, envAdminAddress and
-// envDiscovery override the key of the configuration file that is named beside them.
+// envDiscovery each override a key of the configuration file, which their comments name.
 const (
 	envConfig             = "BALANCER_CONFIG"     // path of the configuration file
 	envName               = "BALANCER_NAME"       // name
