--- a/internal/admin/api.go
+++ b/internal/admin/api.go
@@ -37,8 +37,8 @@
 	engine        *transport.Engine
 	workers       dispatch.WorkerClient
 	operations    Operations
-	openCalls     slotmap.Map[call]  // not answered yet
-	answeredCalls []*call            // on their way out
+	openCalls     slotmap.Map[call]  // calls that are not answered yet
+	answeredCalls []*call            // calls whose response is sent, until their connection is closed
 	limiter       *connlimit.Limiter // chooses which connection is closed for a new one
 }
 
--- a/internal/admin/membership.go
+++ b/internal/admin/membership.go
@@ -1,7 +1,7 @@
 package admin
 
 // getMembership responds with the version of the endpoint list in force, and with counts of
-// the snapshots, deltas and bytes received.
+// what was received and applied.
 func (c *call) getMembership(string) {
 	if c.api.operations.Membership == nil {
 		c.respond(statusConflict, "membership is not told here\n", "")
