--- a/cmd/dispatcher/heldup_test.go
+++ b/cmd/dispatcher/heldup_test.go
@@ -41,7 +41,7 @@
 
 // Guards against a worker that gets more time than its client has left: a process that was stopped for less than 0.5 s,
 // or had nothing to do meanwhile, took requests that had arrived meanwhile for new ones, and sent some 0.3 s too much.
-func TestHeldUpProcessTellsTheTimeThatIsLeft(t *testing.T) {
+func TestStoppedProcessSendsRemainingTime(t *testing.T) {
 	const (
 		timeLeft  = 2 * time.Second
 		stallTime = 300 * time.Millisecond
--- a/cmd/dispatcher/killworker_test.go
+++ b/cmd/dispatcher/killworker_test.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// leasedJob is a leased job.
+// leasedJob identifies a leased job and its lease.
 type leasedJob struct {
 	jid   string
 	fence uint64
--- a/cmd/dispatcher/main.go
+++ b/cmd/dispatcher/main.go
@@ -63,8 +63,8 @@
 	envOperator = "HOLLYYOKE_OPERATOR"
 )
 
-// runCommand runs a runCommand line and returns once the runCommand has ended. The process's
-// exit code is 0 unless an error is returned.
+// runCommand parses and runs a command line, and returns when the command has ended. If it
+// returns an error, the exit code of the process is not 0.
 func runCommand(args []string, env func(string) string, out, errorOutput io.Writer) error {
 	var c cli
 	helpPrinted := false
--- a/cmd/dispatcher/notified_test.go
+++ b/cmd/dispatcher/notified_test.go
@@ -47,14 +47,14 @@
 	return removal
 }
 
-func TestNotifiedInTimeOverOneBrokenCall(t *testing.T) { removeDuringBrokenCalls(t, 1) }
+func TestRemovalIsAppliedInTimeWithOneBrokenCall(t *testing.T) { removeDuringBrokenCalls(t, 1) }
 
 // Each call has a timeout, and the limit holds over all of them.
-func TestNotifiedInTimeOverBrokenCalls(t *testing.T) { removeDuringBrokenCalls(t, 3) }
+func TestRemovalIsAppliedInTimeWithBrokenCalls(t *testing.T) { removeDuringBrokenCalls(t, 3) }
 
 // If no call brings a list within the limit, any worker may have been removed. Requests are
 // then not sent to workers, but rejected or kept waiting.
-func TestNothingIsSentByAListThatMayBeOld(t *testing.T) {
+func TestNothingIsSentWithAnOutdatedList(t *testing.T) {
 	if removal := removeDuringBrokenCalls(t, 100); removal.answered(503) == 0 {
 		t.Error("no request was rejected while the list may be out of date")
 	}
--- a/cmd/dispatcher/platform_test.go
+++ b/cmd/dispatcher/platform_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// platformListener is a listening socket that all processes of a dispatcher inherit, as from
-// the platform, and the directory of their handover socket.
+// platformListener stands in for the platform: it has a listening socket, which all processes
+// of a dispatcher inherit, and the directory of their handover socket.
 type platformListener struct {
 	file      *os.File
 	directory string
--- a/cmd/dispatcher/shortreads_test.go
+++ b/cmd/dispatcher/shortreads_test.go
@@ -58,7 +58,7 @@
 // Reads of the watch return few bytes at a time, so that a part of a change stays in the
 // socket's buffer, and then nothing more arrives. The unread bytes must not delay the
 // detection that the watch is silent.
-func TestNotifiedInTimeOverShortReads(t *testing.T) {
+func TestRemovalIsAppliedInTimeWithShortReads(t *testing.T) {
 	const (
 		faultAfter = 2 * time.Second // after the start of the process
 		shortRead  = 7               // bytes
--- a/cmd/dispatcher/startlist_test.go
+++ b/cmd/dispatcher/startlist_test.go
@@ -12,7 +12,7 @@
 // machine still runs. This worker must get no request, neither before discovery has answered
 // nor afterwards, however large the fleet is, and whether the dispatchers call discovery
 // themselves ("ask") or have an agent ("push").
-func TestStartsByAnOldList(t *testing.T) {
+func TestStartWithRemovedWorkerInInitialList(t *testing.T) {
 	for _, peers := range []int{1, 300} {
 		for _, discovery := range []string{"ask", "push"} {
 			t.Run(fmt.Sprintf("%d %s", peers, discovery), func(t *testing.T) {
--- a/cmd/dispatcher/syscalls_test.go
+++ b/cmd/dispatcher/syscalls_test.go
@@ -99,7 +99,7 @@
 
 // Reads from a worker's connection fail with the errors with which the kernel reports a broken
 // connection. No renewal runs twice, and requests are served afterwards.
-func TestBrokenConnectionsUnderOtherNames(t *testing.T) {
+func TestBrokenConnectionErrors(t *testing.T) {
 	const after, span = time.Second, 2 * time.Second
 	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET} {
 		t.Run(errno.Error(), func(t *testing.T) {
