--- a/internal/rehearsal/simulator/batch_test.go
+++ b/internal/rehearsal/simulator/batch_test.go
@@ -42,7 +42,7 @@
 		t.Error("the results differ by the number of cores")
 	}
 	if onOneCore[0][1].Seed != 6 || onOneCore[1][0].Scenario != "faults" {
-		t.Errorf("out of place: %+v", onOneCore[0][1])
+		t.Errorf("results are not in the order of scenarios and seeds: %+v", onOneCore[0][1])
 	}
 }
 
@@ -60,7 +60,7 @@
 	}
 }
 
-// A scenario that dispatchers cannot be made for is an error.
+// RunAll returns an error for a scenario for which no dispatcher can be created.
 func TestRunAllWithoutClasses(t *testing.T) {
 	scenario := readScenario(t, "day")
 	scenario.Classes = nil
--- a/internal/rehearsal/simulator/client.go
+++ b/internal/rehearsal/simulator/client.go
@@ -13,44 +13,44 @@
 // minClientBackoff is the shortest wait of a client between two attempts.
 const minClientBackoff = 10 * time.Millisecond
 
-// request is what one client asks for, over all its attempts.
+// request is one request of a client, with all the attempts that the client makes for it.
 type request struct {
 	id           string
 	class        int
 	work         time.Duration
 	arrivedAt    time.Duration
 	outcome      dispatch.Outcome
-	answeredAt   time.Duration // 0: unanswered
+	answeredAt   time.Duration // 0 while it is unanswered
 	attemptsLeft int
 }
 
-// finish records the final answer.
+// finish records the outcome of the request and the time of its final answer.
 func (r *request) finish(outcome dispatch.Outcome, at time.Duration) {
 	r.outcome = outcome
 	r.answeredAt = at
 }
 
-// arrivals generates the requests of one dispatcher's clients. They are an open loop: requests arrive whether or not
+// arrivals generates the requests of one dispatcher's clients. The load is an open loop: requests arrive whether or not
 // earlier ones are answered.
 type arrivals struct {
 	dispatcher *dispatcher
 	random     *rand.Rand
-	meanRate   float64 // per second
-	count      int     // requests so far
+	meanRate   float64 // requests per second
+	count      int     // requests generated so far
 }
 
 // startArrivals starts the clients of the dispatcher.
 func (d *dispatcher) startArrivals() {
 	scenario := &d.simulation.scenario
-	started := &arrivals{
+	generator := &arrivals{
 		dispatcher: d,
 		random:     d.simulation.randomStream(fmt.Sprint("arrivals ", d.number)),
 		meanRate:   scenario.Load.Rate / float64(scenario.Dispatchers),
 	}
-	started.scheduleNext(started.meanRate)
+	generator.scheduleNext(generator.meanRate)
 }
 
-// scheduleNext schedules the next request of a Poisson process.
+// scheduleNext schedules the next request of a Poisson process with the given rate, in requests per second.
 func (a *arrivals) scheduleNext(rate float64) {
 	interval := time.Duration(a.random.ExpFloat64() / rate * float64(time.Second))
 	a.dispatcher.simulation.scheduleAfter(interval, a.arrive)
@@ -84,7 +84,8 @@
 	return drawn
 }
 
-// submit sends a client's next attempt to the dispatcher.
+// submit sends a client's next attempt to the dispatcher. It sends nothing once the request is past its deadline, and the
+// request fails if the dispatcher is down.
 func (d *dispatcher) submit(submitted *request) {
 	simulation := d.simulation
 	submitted.attemptsLeft--
@@ -120,8 +121,8 @@
 	d.scheduleTurn()
 }
 
-// Respond receives the final answer to an attempt of a client. A rejected client retries after the Retry-After of the
-// answer while it has attempts and time left.
+// Respond receives the final answer to an attempt of a client. A rejected client retries after the answer's Retry-After
+// as long as it has attempts and time left.
 func (d *dispatcher) Respond(token uint64, response dispatch.Response) {
 	simulation := d.simulation
 	answered := d.unanswered[token]
--- a/internal/rehearsal/simulator/clock.go
+++ b/internal/rehearsal/simulator/clock.go
@@ -37,7 +37,7 @@
 	return last
 }
 
-// clock is virtual time. It moves only when an event is due.
+// clock is a virtual clock with its queue of events. Its time advances only in runUntil.
 type clock struct {
 	now          time.Duration
 	queue        eventQueue
@@ -45,18 +45,18 @@
 	eventCount   uint64 // events run so far
 }
 
-// scheduleAt schedules callback at a virtual time, or now if that has passed.
+// scheduleAt schedules callback at a virtual time, or now if that time has passed.
 func (c *clock) scheduleAt(due time.Duration, callback func()) {
 	c.lastSequence++
 	heap.Push(&c.queue, event{dueAt: max(due, c.now), sequence: c.lastSequence, callback: callback})
 }
 
-// scheduleAfter schedules callback when span has passed.
+// scheduleAfter schedules callback for the time when span has passed.
 func (c *clock) scheduleAfter(span time.Duration, callback func()) {
 	c.scheduleAt(c.now+span, callback)
 }
 
-// runUntil runs all events that are due until a virtual time, which is then the present.
+// runUntil runs all events that are due by a virtual time, in order, and then sets the clock to that time.
 func (c *clock) runUntil(until time.Duration) {
 	for len(c.queue) > 0 && c.queue[0].dueAt <= until {
 		next := heap.Pop(&c.queue).(event)
--- a/internal/rehearsal/simulator/comparison.go
+++ b/internal/rehearsal/simulator/comparison.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// bootstrapResamples is how many resamples the confidence interval of a comparison rests on.
+// bootstrapResamples is the number of resamples from which the confidence interval of a comparison is computed.
 const bootstrapResamples = 10_000
 
 // Comparison is the outcome of a paired comparison of two scenarios, A and B.
@@ -14,7 +14,7 @@
 	Pairs          int
 	MeanA          float64 // mean scores
 	MeanB          float64
-	MeanDifference float64 // of B's score less A's, pair by pair
+	MeanDifference float64 // mean over the pairs of B's score minus A's
 	Low            float64 // 95% confidence interval of MeanDifference, by bootstrap
 	High           float64
 	ABetter        int  // pairs in which A scored higher
@@ -22,7 +22,8 @@
 	Inconclusive   bool // the interval contains 0
 }
 
-// Compare compares the scores of two lists of results pair by pair. The same lists give the same interval.
+// Compare compares the scores of two lists of results pair by pair. The same lists always give the same interval, since the
+// bootstrap has a fixed seed.
 func Compare(resultsA, resultsB []Result) Comparison {
 	comparison := Comparison{Pairs: min(len(resultsA), len(resultsB))}
 	differences := make([]float64, comparison.Pairs)
@@ -45,7 +46,7 @@
 	return comparison
 }
 
-// bootstrapMeans returns the sorted means of resamples with replacement.
+// bootstrapMeans draws bootstrapResamples resamples of values with replacement and returns their means, sorted.
 func bootstrapMeans(values []float64) []float64 {
 	random := rand.New(rand.NewPCG(1, 1))
 	means := make([]float64, bootstrapResamples)
--- a/internal/rehearsal/simulator/comparison_test.go
+++ b/internal/rehearsal/simulator/comparison_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// resultsWithScores makes results that differ by their scores alone.
+// resultsWithScores makes results that have nothing but a score.
 func resultsWithScores(scores ...float64) (results []Result) {
 	for _, score := range scores {
 		results = append(results, Result{Score: score})
@@ -13,7 +13,7 @@
 	return results
 }
 
-// The same scores are even.
+// Equal scores make every pair even and the comparison inconclusive.
 func TestCompareSameScores(t *testing.T) {
 	results := resultsWithScores(0.5, 0.6, 0.7, 0.8, 0.55, 0.65)
 	comparison := Compare(results, results)
--- a/internal/rehearsal/simulator/dispatcher.go
+++ b/internal/rehearsal/simulator/dispatcher.go
@@ -8,30 +8,30 @@
 	"hollyyoke.example/hollyyoke/internal/eventloop"
 )
 
-// dispatcher is a real dispatch.Dispatcher on an event loop in virtual time. It is also the front end that the
-// dispatcher answers to (client.go) and its only worker source (source.go).
+// dispatcher runs a real dispatch.Dispatcher on an event loop in virtual time. It also implements the front end that the
+// dispatch.Dispatcher responds to (client.go) and its only source of workers (source.go).
 type dispatcher struct {
 	simulation    *Simulation
 	number        int
 	zone          int
 	loop          *eventloop.Loop
 	core          *dispatch.Dispatcher
-	nextTurn      time.Duration       // when the loop runs next; 0: nothing is scheduled
-	unanswered    map[uint64]*request // by token
+	nextTurn      time.Duration       // when the loop runs next, or 0 if no run is scheduled
+	unanswered    map[uint64]*request // requests that have no answer yet, by token
 	lastToken     uint64
-	attempts      map[uint64]*attempt // sent and not ended, by handle
+	attempts      map[uint64]*attempt // attempts that were sent and have not ended, by handle
 	subscribed    bool                // to discovery
 	workerUpdates map[string]workerUpdate
 
-	down            bool // its process was killed
+	down            bool // its process was killed and has not been restarted
 	restarts        int
-	cachedEndpoints []decision.Endpoint // initial endpoint list of the next process
+	cachedEndpoints []decision.Endpoint // the next process starts with this endpoint list
 }
 
-// workerUpdate is the latest state of a worker that a dispatcher has from discovery.
+// workerUpdate is the latest state of a worker that a dispatcher received from discovery.
 type workerUpdate struct {
 	startedAt        time.Duration
-	unavailableSince time.Duration // since when the worker is draining or removed; 0: it is running
+	unavailableSince time.Duration // when the worker was first reported as draining or removed, or 0 if it is running
 }
 
 func newDispatcher(simulation *Simulation, number int) (*dispatcher, error) {
@@ -49,7 +49,7 @@
 	return created, nil
 }
 
-// startProcess gives the dispatcher a process without state.
+// startProcess starts a new process of the dispatcher, without any state.
 func (d *dispatcher) startProcess(seed uint64) error {
 	simulation := d.simulation
 	settings := simulation.settings
@@ -67,7 +67,8 @@
 	return nil
 }
 
-// kill ends the dispatcher's process. Its clients see their connections break; attempts that were sent go on.
+// kill ends the dispatcher's process. Requests that were not answered fail, since their connections break. Workers continue
+// with the attempts that were sent to them.
 func (d *dispatcher) kill() {
 	simulation := d.simulation
 	simulation.logEvent(d.number, "killed", "")
@@ -82,7 +83,7 @@
 	d.cacheEndpoints()
 }
 
-// cacheEndpoints saves the workers that discovery reported as running.
+// cacheEndpoints saves the workers that were running by the latest update from discovery.
 func (d *dispatcher) cacheEndpoints() {
 	for _, endpoint := range d.simulation.endpoints() {
 		update, known := d.workerUpdates[endpoint.Name]
@@ -95,7 +96,7 @@
 	}
 }
 
-// restart starts the next process with the cached endpoint list. It knows nothing of attempts that were sent before.
+// restart starts the next process with the cached endpoint list. It does not know the attempts that were sent before.
 func (d *dispatcher) restart() {
 	simulation := d.simulation
 	simulation.logEvent(d.number, "restarted", "")
@@ -110,7 +111,8 @@
 	d.cachedEndpoints = nil
 }
 
-// scheduleTurn schedules the loop's next turn. It is called after anything that may have changed when that is.
+// scheduleTurn schedules the next run of the event loop. It must be called after every action that may have made the loop
+// due earlier.
 func (d *dispatcher) scheduleTurn() {
 	next, scheduled := d.loop.NextDue()
 	if !scheduled || d.nextTurn != 0 && d.nextTurn <= next {
@@ -118,7 +120,7 @@
 	}
 	d.nextTurn = next
 	d.simulation.scheduleAt(next, func() {
-		if d.nextTurn != next { // superseded by an earlier turn
+		if d.nextTurn != next { // superseded by an earlier run
 			return
 		}
 		d.nextTurn = 0
--- a/internal/rehearsal/simulator/fault.go
+++ b/internal/rehearsal/simulator/fault.go
@@ -6,31 +6,31 @@
 	"strings"
 )
 
-// FaultKind is what a fault does. Its texts are those of scenario files and of the event log.
+// FaultKind is what a fault does. Its values are written in scenario files and in the event log.
 type FaultKind string
 
 // The kinds of faults.
 const (
-	FaultSlow    FaultKind = "slow"    // workers run at a share of their speed
-	FaultPause   FaultKind = "pause"   // workers run nothing and report nothing of it
-	FaultKill    FaultKind = "kill"    // workers' processes end, and start again afterwards
+	FaultSlow    FaultKind = "slow"    // workers run at a fraction of their speed
+	FaultPause   FaultKind = "pause"   // workers stop executing attempts, without reporting it
+	FaultKill    FaultKind = "kill"    // workers' processes end, and start again at the end of the fault
 	FaultDrain   FaultKind = "drain"   // workers are draining
-	FaultJoin    FaultKind = "join"    // workers are absent before and start cold
+	FaultJoin    FaultKind = "join"    // workers are down until the fault begins, and then start cold
 	FaultBurst   FaultKind = "burst"   // clients send more requests
-	FaultRestart FaultKind = "restart" // dispatchers' processes end, and start again afterwards
+	FaultRestart FaultKind = "restart" // dispatchers' processes end, and start again at the end of the fault
 )
 
 var faultKinds = []FaultKind{FaultSlow, FaultPause, FaultKill, FaultDrain, FaultJoin, FaultBurst, FaultRestart}
 
-// Fault is a fault that lasts for a time.
+// Fault is one fault of a scenario.
 type Fault struct {
 	Kind        FaultKind `toml:"kind"`
-	AtS         float64   `toml:"at_s"`
-	ForS        float64   `toml:"for_s"`
-	Workers     int       `toml:"workers"`     // how many, drawn by the seed
-	Zone        string    `toml:"zone"`        // only workers of this zone; with workers absent: all of them
-	Dispatchers int       `toml:"dispatchers"` // of restart: how many, drawn by the seed
-	Factor      float64   `toml:"factor"`      // of slow and burst
+	AtS         float64   `toml:"at_s"`        // beginning, in seconds since the start of the run
+	ForS        float64   `toml:"for_s"`       // duration, in seconds
+	Workers     int       `toml:"workers"`     // number of workers, which are drawn by the seed
+	Zone        string    `toml:"zone"`        // restricts the fault to workers of this zone; all of them if workers is absent
+	Dispatchers int       `toml:"dispatchers"` // for restart: number of dispatchers, which are drawn by the seed
+	Factor      float64   `toml:"factor"`      // for slow: factor on the speed; for burst: factor on the rate of requests
 }
 
 // affectsWorkers reports whether the fault affects workers rather than dispatchers or the load.
@@ -44,7 +44,7 @@
 	return strings.Join(names, ", ")
 }
 
-// scheduleFault schedules the begin and the end of a fault.
+// scheduleFault schedules the beginning and the end of a fault.
 func (s *Simulation) scheduleFault(number int, fault Fault) {
 	random := s.randomStream(fmt.Sprint("fault ", number))
 	begin := runStart + seconds(fault.AtS)
--- a/internal/rehearsal/simulator/recorded_test.go
+++ b/internal/rehearsal/simulator/recorded_test.go
@@ -16,9 +16,9 @@
 	recordedSeeds = 10
 )
 
-// TestRecordedResults holds the results of every scenario in deploy/scenarios on ten seeds, with the hash of
-// all events. Time is virtual, so that a change which is meant to alter no behaviour alters no number here. A
-// change which is meant to alter behaviour rewrites the file with -update-recorded.
+// TestRecordedResults compares the results of every scenario in deploy/scenarios with ten seeds, including the
+// hash of all events, with the recorded ones. Time is virtual, so a change that is not meant to alter behaviour
+// must not alter any number. For a change that is, -update-recorded rewrites the file.
 func TestRecordedResults(t *testing.T) {
 	got := runRecordedScenarios(t)
 	if *updateRecorded {
@@ -44,7 +44,7 @@
 	}
 }
 
-// runRecordedScenarios returns the JSON of each result by the scenario's file and the seed.
+// runRecordedScenarios runs the scenarios and returns the JSON of each result by the scenario's file name and the seed.
 func runRecordedScenarios(t *testing.T) map[string]json.RawMessage {
 	t.Helper()
 	paths, err := filepath.Glob("../../../deploy/scenarios/*.toml")
@@ -76,7 +76,7 @@
 	return got
 }
 
-// writeRecorded writes a result a line, in the order of their names, so that differences are easy to read.
+// writeRecorded writes the results as one JSON object, sorted by name.
 func writeRecorded(t *testing.T, got map[string]json.RawMessage) {
 	t.Helper()
 	text, err := json.Marshal(got)
--- a/internal/rehearsal/simulator/result.go
+++ b/internal/rehearsal/simulator/result.go
@@ -34,7 +34,7 @@
 	Events        uint64        `json:"Events"`
 	Hash          string        `json:"Hash"`     // of the event log
 	Violations    []string      `json:"Broken"`   // invariants that did not hold
-	Executed      int           `json:"Executed"` // attempts that a worker began
+	Executed      int           `json:"Executed"` // attempts that workers began to execute
 	SlowStartPeak float64       `json:"ColdPeak"` // largest load of a warming worker, as a share of its budget; it crashes above 1
 }
 
@@ -66,7 +66,7 @@
 	return result
 }
 
-// classScore is the result of a class with the sums of priority weights that it rests on.
+// classScore is the result of a class with the sums of priority weights from which its WeightShare is computed.
 type classScore struct {
 	ClassResult
 	earned    float64
@@ -114,7 +114,7 @@
 	return result
 }
 
-// checkInvariants checks what only a whole run shows: one final answer for each attempt of a client, and at most one
+// checkInvariants checks the invariants of a whole run: one final answer for each attempt of a client, and at most one
 // execution of a request that is not idempotent. Drains are checked at each send (checkDrainGrace), slow starts at each
 // arrival (overloadedBy).
 func (s *Simulation) checkInvariants() {
@@ -139,7 +139,7 @@
 	}
 }
 
-// quantileMs returns a quantile of sorted latencies in milliseconds, by the nearest rank; 0 if there are none.
+// quantileMs returns a quantile of sorted latencies in milliseconds, by the nearest rank, or 0 if there are none.
 func quantileMs(sorted []time.Duration, quantile float64) float64 {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/rehearsal/simulator/scenario.go
+++ b/internal/rehearsal/simulator/scenario.go
@@ -18,10 +18,10 @@
 	defaultOverloadMultiple = 4
 	defaultOverloadWindowS  = 1
 	maxBurstFactor          = 100
-	maxShareError           = 1e-6 // of the sum of the classes' shares
+	maxShareError           = 1e-6 // largest deviation from 1 of the sum of the classes' shares
 )
 
-// Scenario is one run as its TOML file states it. Durations are in the unit that the name ends with.
+// Scenario describes a run, as read from a TOML file. The suffix of a duration's name is its unit.
 type Scenario struct {
 	Name        string  `toml:"name"`
 	LengthS     float64 `toml:"length_s"`
@@ -38,9 +38,9 @@
 // Network describes the zones and the one-way delays between them.
 type Network struct {
 	Zones   []string `toml:"zones"`
-	SameMs  float64  `toml:"same_ms"`  // within a zone
-	CrossMs float64  `toml:"cross_ms"` // between zones
-	Jitter  float64  `toml:"jitter"`   // largest addition, as a share of the delay
+	SameMs  float64  `toml:"same_ms"`  // delay within a zone
+	CrossMs float64  `toml:"cross_ms"` // delay between zones
+	Jitter  float64  `toml:"jitter"`   // largest random addition to a delay, as a share of it
 }
 
 // Discovery describes the service that announces workers.
@@ -52,45 +52,45 @@
 type Workers struct {
 	Count              int     `toml:"count"`
 	Slots              int     `toml:"slots"`
-	Speed              float64 `toml:"speed"` // work per second in a slot
+	Speed              float64 `toml:"speed"` // seconds of work that a slot does per second
 	Queue              int     `toml:"queue"`
-	SlowStartFloor     float64 `toml:"cold_from"`    // share of the speed right after a start
-	SlowStartDurationS float64 `toml:"warm_after_s"` // until the speed is reached
+	SlowStartFloor     float64 `toml:"cold_from"`    // share of the speed that a worker has right after its start
+	SlowStartDurationS float64 `toml:"warm_after_s"` // time from the start until the full speed is reached
 
 	// A warming worker crashes for good when the work sent to it within the window exceeds this multiple of what
-	// it can do.
-	OverloadMultiple float64 `toml:"fall_multiple"` // 4 where absent
-	OverloadWindowS  float64 `toml:"fall_s"`        // 1 where absent
+	// it can do in that time.
+	OverloadMultiple float64 `toml:"fall_multiple"` // default 4
+	OverloadWindowS  float64 `toml:"fall_s"`        // default 1
 }
 
 // Load describes the clients' requests.
 type Load struct {
-	Rate         float64 `toml:"rate_per_s"`   // of all dispatchers together
-	MaxAttempts  int     `toml:"tries"`        // of a client, while it has time
-	Swing        float64 `toml:"swing"`        // amplitude of a sine on the rate, as a share of it
-	SwingPeriodS float64 `toml:"swing_each_s"` // of that sine
+	Rate         float64 `toml:"rate_per_s"`   // requests of all dispatchers' clients together
+	MaxAttempts  int     `toml:"tries"`        // attempts that a client makes for a request before its deadline
+	Swing        float64 `toml:"swing"`        // amplitude of a sine wave that modulates the rate, as a share of it
+	SwingPeriodS float64 `toml:"swing_each_s"` // period of that sine wave
 
-	NoHints bool `toml:"no_hints"` // clients do not say how much work a request is
+	NoHints bool `toml:"no_hints"` // clients do not state the work of a request
 }
 
-// The distributions of work.
+// The distributions of the work of requests.
 const (
 	Exponential = "exponential" // the default
 	Constant    = "constant"
-	Lognormal   = "lognormal" // of sigma 1
+	Lognormal   = "lognormal" // with a sigma of 1
 )
 
 // ScenarioClass describes one class of requests.
 type ScenarioClass struct {
 	Name           string  `toml:"name"`
-	Share          float64 `toml:"share"` // of all requests
-	Idempotent     bool    `toml:"repeat"`
+	Share          float64 `toml:"share"`  // of all requests
+	Idempotent     bool    `toml:"repeat"` // the requests may be executed more than once
 	PriorityWeight float64 `toml:"worth"`
 	LateWeight     float64 `toml:"late_worth"` // share of the weight that a late answer earns
 	ObjectiveMs    float64 `toml:"aim_ms"`     // latency objective
 	DeadlineMs     float64 `toml:"deadline_ms"`
 	WorkMs         float64 `toml:"work_ms"` // mean
-	Distribution   string  `toml:"law"`     // of the work
+	Distribution   string  `toml:"law"`     // of the work; default exponential
 }
 
 // ReadScenario reads and checks a scenario file. An error is one line that names the key at fault.
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// checkRanges checks the numbers that stand outside of lists.
+// checkRanges checks the numbers outside of the lists of classes and faults.
 func (s *Scenario) checkRanges() error {
 	return cmp.Or(
 		rangecheck.Between("length_s", s.LengthS, 0.001, 86400),
@@ -187,7 +187,7 @@
 	return nil
 }
 
-// settings returns the settings of each dispatcher.
+// settings returns the settings that every dispatcher is created with, except for its zone.
 func (s *Scenario) settings() decision.Settings {
 	settings := decision.Settings{
 		Peers:              s.Dispatchers,
@@ -236,7 +236,7 @@
 	return mean
 }
 
-// classAt returns the number of the class that a draw from [0, 1) falls on.
+// classAt returns the number of the class for a uniform draw from [0, 1), by the classes' shares.
 func (s *Scenario) classAt(draw float64) int {
 	number := 0
 	for i, class := range s.Classes {
@@ -262,7 +262,8 @@
 	return max(seconds(mean), time.Microsecond)
 }
 
-// rateAt is the rate of arrivals at a time since the start of the run, meanRate being its average without bursts.
+// rateAt returns the rate of arrivals when a time has elapsed since the start of the run. meanRate is the average rate
+// without bursts.
 func (s *Scenario) rateAt(elapsed time.Duration, meanRate float64) float64 {
 	rate := meanRate
 	if load := &s.Load; load.SwingPeriodS > 0 {
--- a/internal/rehearsal/simulator/scenario_test.go
+++ b/internal/rehearsal/simulator/scenario_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// An invalid scenario file is refused with an error that names the key.
+// An invalid scenario file is rejected with an error that names the key at fault.
 func TestInvalidScenarios(t *testing.T) {
 	valid, err := os.ReadFile("../../../deploy/scenarios/faults.toml")
 	if err != nil {
--- a/internal/rehearsal/simulator/shrink.go
+++ b/internal/rehearsal/simulator/shrink.go
@@ -5,8 +5,9 @@
 // minShrunkS is the length, in seconds, below which a run or a fault is not shortened further.
 const minShrunkS = 0.5
 
-// Shrink reduces a scenario as long as its run with the seed is still bad: a fault, dispatcher or worker less, a shorter
-// run, fewer requests, simpler parts. runs is how many runs that took.
+// Shrink reduces a scenario step by step. It removes faults, dispatchers and workers, shortens the run and the faults, and
+// simplifies the load and the network. It keeps each step with which the run of the seed is still bad, until no further
+// step is possible. runs is the number of runs that this took.
 func Shrink(scenario Scenario, seed uint64, bad func(Result) bool) (small Scenario, runs int, err error) {
 	stillBad := func(next Scenario) (bool, error) {
 		if next.Check() != nil {
@@ -36,13 +37,13 @@
 	return small, runs, nil
 }
 
-// reducer collects scenarios that are one step smaller than another.
+// reducer collects scenarios that are one step smaller than its scenario.
 type reducer struct {
 	scenario   Scenario
 	reductions []Scenario
 }
 
-// add adds a copy of the scenario that change makes smaller.
+// add collects a copy of the scenario, reduced by change.
 func (r *reducer) add(change func(*Scenario)) {
 	next := r.scenario
 	next.Faults = slices.Clone(r.scenario.Faults)
@@ -65,7 +66,7 @@
 	return r.reductions
 }
 
-// reduceFleet reduces the number of dispatchers, and that of workers.
+// reduceFleet collects a scenario with fewer dispatchers and one with fewer workers.
 func (r *reducer) reduceFleet(reduce func(count int) int) {
 	dispatchers := reduce(r.scenario.Dispatchers)
 	if dispatchers >= 1 && dispatchers < r.scenario.Dispatchers {
@@ -73,7 +74,7 @@
 	}
 	workers := reduce(r.scenario.Workers.Count)
 	if workers >= 1 && workers < r.scenario.Workers.Count {
-		r.add(func(s *Scenario) { // with their part of the load, so that the cause stays the same
+		r.add(func(s *Scenario) { // keeps the load per worker, so that the run stays bad for the same cause
 			s.Load.Rate *= float64(workers) / float64(s.Workers.Count)
 			s.Workers.Count = workers
 		})
@@ -103,7 +104,7 @@
 	}
 }
 
-// weakenFaults reduces the workers and the length of each fault.
+// weakenFaults reduces the number of workers and the duration of each fault.
 func (r *reducer) weakenFaults() {
 	for i, fault := range r.scenario.Faults {
 		if fault.Workers > 1 {
--- a/internal/rehearsal/simulator/shrink_test.go
+++ b/internal/rehearsal/simulator/shrink_test.go
@@ -4,11 +4,11 @@
 	"testing"
 )
 
-// A bad run is reduced to its cause: of four faults the one that kills, and a small fleet. The reduced scenario is bad
-// when it is run again.
+// A bad run is reduced to its cause: at most one of four faults, a small fleet and a shorter run. The reduced scenario is
+// still bad when it is run again.
 func TestShrink(t *testing.T) {
 	scenario := readScenario(t, "faults")
-	scenario.Load.Rate = 15 // few fail but by a kill
+	scenario.Load.Rate = 15 // at this rate few requests fail unless a worker is killed
 	isBad := func(result Result) bool { return result.Classes[1].Failed > 0 }
 	seed := firstBadSeed(t, scenario, isBad)
 	small, runs, err := Shrink(scenario, seed, isBad)
--- a/internal/rehearsal/simulator/simulation.go
+++ b/internal/rehearsal/simulator/simulation.go
@@ -18,13 +18,13 @@
 	"hollyyoke.example/hollyyoke/decision"
 )
 
-// timingSlack is how far a limit on time may be exceeded on sockets before it counts as violated.
+// timingSlack is by how much a time limit may be exceeded, as it may be on sockets, before that counts as a violation.
 const timingSlack = 50 * time.Millisecond
 
-// maxViolations bounds the violations that a run keeps.
+// maxViolations is the number of violations that a run records; later ones are dropped.
 const maxViolations = 100
 
-// workerSource is the number under which the event log has what happens at workers.
+// workerSource is the source, in the event log, of events at workers. The source of other events is a dispatcher's number.
 const workerSource = -1
 
 // Simulation is one run of a scenario. It is not safe for concurrent use.
@@ -38,15 +38,15 @@
 	workersByName map[string]*worker
 	requests      []*request
 	workByRequest map[string]time.Duration
-	latency       *rand.Rand
-	log           io.Writer // one line for each event; nil: only the hash is kept
+	delayRandom   *rand.Rand
+	log           io.Writer // receives a line for each event; if nil, only the hash is kept
 	hash          *xxhash.Digest
 	lineBuffer    []byte
 	violations    []string // invariants that did not hold, with the time
 	slowStartPeak float64  // largest load of a warming worker, as a share of its budget
 }
 
-// New prepares a run. log gets the event log and may be nil.
+// New prepares a run. log receives the event log and may be nil.
 func New(scenario Scenario, seed uint64, log io.Writer) (*Simulation, error) {
 	simulation := &Simulation{
 		scenario:      scenario,
@@ -58,7 +58,7 @@
 		hash:          xxhash.New(),
 	}
 	simulation.now = runStart
-	simulation.latency = simulation.randomStream("latency")
+	simulation.delayRandom = simulation.randomStream("latency")
 	for i := range scenario.Workers.Count {
 		created := newWorker(simulation, i)
 		simulation.workers = append(simulation.workers, created)
@@ -81,7 +81,7 @@
 	return simulation, nil
 }
 
-// Run runs the scenario to its end, until every request is past its deadline, and evaluates it.
+// Run runs the scenario until every request is past its deadline, and evaluates the run.
 func (s *Simulation) Run() Result {
 	longestDeadline := time.Duration(0)
 	for _, class := range s.settings.Classes {
@@ -92,7 +92,8 @@
 	return s.result()
 }
 
-// randomStream returns the random numbers of one model; the models do not influence each other's.
+// randomStream returns the random number generator of one model. Each model has its own, derived from the seed and its
+// name, so that a change of one model does not change the random numbers of the others.
 func (s *Simulation) randomStream(name string) *rand.Rand {
 	hash := fnv.New64a()
 	io.WriteString(hash, name)
@@ -128,10 +129,10 @@
 	if from != to {
 		ms = s.scenario.Net.CrossMs
 	}
-	return time.Duration(ms * (1 + s.scenario.Net.Jitter*s.latency.Float64()) * float64(time.Millisecond))
+	return time.Duration(ms * (1 + s.scenario.Net.Jitter*s.delayRandom.Float64()) * float64(time.Millisecond))
 }
 
-// endpoints lists all workers as discovery has them now.
+// endpoints lists all workers in their present state.
 func (s *Simulation) endpoints() []decision.Endpoint {
 	endpoints := make([]decision.Endpoint, 0, len(s.workers))
 	for _, w := range s.workers {
@@ -140,7 +141,7 @@
 	return endpoints
 }
 
-// discoveryLag is the time from a change until subscribers have it.
+// discoveryLag is the time from a change of a worker until subscribers are informed of it.
 func (s *Simulation) discoveryLag() time.Duration { return seconds(s.scenario.Discovery.LagMs / 1000) }
 
 // announceChange sends a worker's present state to all subscribers.
--- a/internal/rehearsal/simulator/simulation_test.go
+++ b/internal/rehearsal/simulator/simulation_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// checkResult checks that a run has no violations, ran much and answered every request.
+// checkResult checks that a run has no violations, executed many attempts and answered every request.
 func checkResult(t *testing.T, name string, result Result) {
 	t.Helper()
 	if len(result.Violations) > 0 || result.Score < 0.7 || result.Events < 1000 || result.Executed < 1000 {
@@ -107,7 +107,7 @@
 	return scenario
 }
 
-// violationCases breaks an invariant each; the keys are texts of the violations.
+// violationCases are functions that violate one invariant each, by a part of the text of the violation that is reported.
 var violationCases = map[string]func(*Simulation){
 	"a second answer to a request": answerTwice,
 	"ran twice":                    repeatExecution,
@@ -140,7 +140,8 @@
 	})
 }
 
-// sendToDrainedWorker sends an attempt at the last moment that is allowed after the drain of a worker, and one after it.
+// sendToDrainedWorker sends one attempt at the last moment that is allowed after the drain of a worker, and one after it.
+// The text of a violation contains the id of its attempt.
 func sendToDrainedWorker(simulation *Simulation) {
 	simulation.scheduleAt(runStart+4*time.Second, func() {
 		sender := simulation.dispatchers[0]
@@ -156,7 +157,7 @@
 	})
 }
 
-// acceptTooLate accepts a request that the run ends before it can answer.
+// acceptTooLate accepts a request so late that the run ends before it is answered.
 func acceptTooLate(simulation *Simulation) {
 	simulation.scheduleAt(runStart+20*time.Second, func() {
 		receiver := simulation.dispatchers[1]
@@ -165,7 +166,7 @@
 	simulation.scenario.LengthS = 11
 }
 
-// Each violation of an invariant is reported, with the seed.
+// A violation of each invariant is reported, with the seed.
 func TestViolationsAreReported(t *testing.T) {
 	scenario := readScenario(t, "day")
 	scenario.LengthS = 5
--- a/internal/rehearsal/simulator/source.go
+++ b/internal/rehearsal/simulator/source.go
@@ -17,16 +17,17 @@
 	work       time.Duration
 	handle     uint64
 	dispatcher *dispatcher
-	worker     *worker // that has it; nil: it is on its way
-	cancelled  bool    // while it was on its way
+	worker     *worker // worker that received it, or nil while it is on its way
+	cancelled  bool    // it was cancelled while on its way
 	remaining  float64 // seconds of work left at advancedAt
 	advancedAt time.Duration
 
-	// completionVersion counts the scheduled completions. It invalidates earlier ones when the worker's pace changes.
+	// completionVersion counts the scheduled completions. A completion of an earlier version is ignored, since the worker's
+	// pace has changed after it was scheduled.
 	completionVersion uint64
 }
 
-// Subscribe subscribes to discovery: a snapshot now, then each change.
+// Subscribe subscribes to discovery: a snapshot arrives after the discovery lag, and then a delta for each change.
 func (d *dispatcher) Subscribe() {
 	if d.subscribed {
 		return
@@ -40,7 +41,7 @@
 	})
 }
 
-// updateWorkers passes an update of discovery to the dispatcher.
+// updateWorkers records an update from discovery and passes it to the dispatcher.
 func (d *dispatcher) updateWorkers(kind decision.ListKind, endpoints []decision.Endpoint) {
 	for _, endpoint := range endpoints {
 		previous := d.workerUpdates[endpoint.Name]
@@ -94,7 +95,8 @@
 	})
 }
 
-// reportSent reports to the attempt's dispatcher that all of it has left, which it has not where its worker is down.
+// reportSent reports to the attempt's dispatcher that the whole attempt was sent. It is not called for an attempt whose
+// worker is down, because nothing of it is sent.
 func (a *attempt) reportSent() {
 	d := a.dispatcher
 	if d.attempts[a.handle] == a {
@@ -102,7 +104,7 @@
 	}
 }
 
-// end reports the attempt's outcome to its dispatcher.
+// end reports the attempt's outcome and the worker's load to its dispatcher.
 func (a *attempt) end(from *worker, outcome decision.AttemptOutcome) {
 	load := from.loadReport()
 	a.notifyDispatcher(from, func(d *dispatcher) {
--- a/internal/rehearsal/simulator/worker.go
+++ b/internal/rehearsal/simulator/worker.go
@@ -12,38 +12,38 @@
 const (
 	// warmingRefresh is how often the completion of an attempt is rescheduled while the worker's pace rises.
 	warmingRefresh = 100 * time.Millisecond
-	// workEpsilon is the remainder of work, in seconds, that counts as done.
+	// workEpsilon is the remaining work, in seconds, up to which an attempt counts as done.
 	workEpsilon = 1e-9
 )
 
-// worker models a worker: a number of slots, a first-in first-out queue and a slow start. Its executions are the truth
-// about what ran. It knows nothing of what a dispatcher assumes of it.
+// worker models a worker: a number of slots, a first-in first-out queue and a slow start. Its executions record what
+// actually ran; they are independent of what dispatchers assume about the worker.
 type worker struct {
 	simulation     *Simulation
 	name           string
 	zone           int
 	slots          int
-	speed          float64 // work per second in a slot
+	speed          float64 // seconds of work that a slot does per second
 	queue          []*attempt
 	running        []*attempt
-	startedAt      time.Duration // latest start; 0: long ago
-	speedFactor    float64       // of a fault; 1: none
-	paused         bool          // it runs nothing and reports nothing of that
+	startedAt      time.Duration // latest start, or 0 if that is long ago
+	speedFactor    float64       // factor on the speed; below 1 during a slow fault
+	paused         bool          // it executes nothing, without reporting it
 	down           bool
 	draining       bool
 	executions     []execution
-	recentArrivals []arrival // within the overload window while warming up
-	crashed        bool      // by overload, for good
+	recentArrivals []arrival // arrivals within the overload window while warming up
+	crashed        bool      // by overload; it is not restarted
 }
 
-// arrival is work that was sent to a warming worker.
+// arrival is an attempt that arrived at a warming worker.
 type arrival struct {
 	arrivedAt  time.Duration
 	work       float64 // seconds
-	startKnown bool    // the dispatcher had the worker's start from discovery
+	startKnown bool    // the dispatcher had learned of the worker's start from discovery
 }
 
-// execution is the begin of an attempt at a worker.
+// execution records that a worker began to execute an attempt.
 type execution struct {
 	id        string
 	class     int
@@ -61,7 +61,7 @@
 	}
 }
 
-// endpoint is the worker as discovery lists it.
+// endpoint returns the worker as discovery lists it.
 func (w *worker) endpoint() decision.Endpoint {
 	endpoint := decision.Endpoint{Name: w.name, Zone: w.zone, Weight: 1, StartedAt: w.startedAt}
 	switch {
@@ -77,7 +77,7 @@
 	return decision.LoadReport{FreeSlots: float64(w.slots - len(w.running)), HasFreeSlots: true}
 }
 
-// warmUpTime is how long a worker takes to reach its speed after a start.
+// warmUpTime is how long a worker takes after its start to reach its full speed.
 func (w *worker) warmUpTime() time.Duration {
 	return seconds(w.simulation.scenario.Workers.SlowStartDurationS)
 }
@@ -98,7 +98,7 @@
 	return pace
 }
 
-// receive takes an attempt that arrives: it is queued, or ends at once.
+// receive receives an attempt, which is queued or ends at once. A cancelled attempt is dropped.
 func (w *worker) receive(received *attempt) {
 	switch {
 	case received.cancelled:
@@ -121,10 +121,11 @@
 	w.startQueued()
 }
 
-// overloadedBy counts an attempt that is sent to a warming worker, also one that the worker will reject, and crashes the
-// worker if that exceeds its budget. The budget is N requests of mean work within the window, N being what
-// the overload multiple of the present pace allows, plus chanceAllowance. The slow start counts as violated if more than
-// two thirds of the work came from dispatchers that knew of the worker's start.
+// overloadedBy accounts for an attempt that arrives at a warming worker, including one that the worker will reject, and
+// crashes the worker if the work that arrived within the overload window exceeds a limit. The limit is the overload multiple
+// of what the worker can do within the window at its present pace, in requests of mean work, plus chanceAllowance. The
+// crash is reported as a violation if more than two thirds of the work came from dispatchers that knew of the worker's
+// start.
 func (w *worker) overloadedBy(received *attempt) bool {
 	simulation := w.simulation
 	if !w.warmingUp() {
@@ -153,7 +154,7 @@
 	return true
 }
 
-// recordArrival adds an attempt to recentArrivals and forgets those before the window.
+// recordArrival adds an attempt to recentArrivals and removes those before the window.
 func (w *worker) recordArrival(received *attempt, window time.Duration) {
 	now := w.simulation.now
 	startKnown := received.dispatcher.workerUpdates[w.name].startedAt == w.startedAt
@@ -172,7 +173,7 @@
 	return total, known
 }
 
-// chanceAllowance is how many requests beyond a slow-start budget are attributed to chance.
+// chanceAllowance is the number of requests beyond a slow-start budget that are attributed to chance.
 func chanceAllowance(budget float64) float64 { return 2*math.Sqrt(budget) + 2 }
 
 // startQueued starts queued attempts in free slots.
@@ -222,13 +223,14 @@
 	w.startQueued()
 }
 
-// advance accounts for the work done at a pace since the last call.
+// advance subtracts the work that an attempt has done at a pace since the last call.
 func (w *worker) advance(running *attempt, pace float64) {
 	running.remaining -= (w.simulation.now - running.advancedAt).Seconds() * pace
 	running.advancedAt = w.simulation.now
 }
 
-// changePace applies a change that affects the worker's pace.
+// changePace applies a change that affects the worker's pace. Running attempts are credited with the work done at the pace
+// before it, and their completions are rescheduled.
 func (w *worker) changePace(change func()) {
 	pace := w.pace()
 	if w.paused {
@@ -244,12 +246,12 @@
 	w.startQueued()
 }
 
-// dequeue drops an attempt that has not begun.
+// dequeue drops an attempt if it is still queued.
 func (w *worker) dequeue(cancelled *attempt) {
 	w.queue = slices.DeleteFunc(w.queue, func(queued *attempt) bool { return queued == cancelled })
 }
 
-// kill ends the worker's process with its running and queued attempts.
+// kill ends the worker's process. The connections of its running and queued attempts are lost.
 func (w *worker) kill() {
 	w.down = true
 	lost := append(slices.Clone(w.running), w.queue...)
@@ -261,7 +263,7 @@
 	}
 }
 
-// start starts the worker's process, cold, unless it crashed for good.
+// start starts the worker's process, which is then warming up. A worker that crashed by overload stays down.
 func (w *worker) start() {
 	if w.crashed {
 		return
--- a/internal/rehearsal/simulator/worker_test.go
+++ b/internal/rehearsal/simulator/worker_test.go
@@ -16,7 +16,7 @@
 	return scenario
 }
 
-// newIdleSimulation prepares a run in which nothing is scheduled.
+// newIdleSimulation prepares a run in which no event is scheduled.
 func newIdleSimulation(t *testing.T, scenario Scenario, seed uint64) *Simulation {
 	t.Helper()
 	simulation, err := New(scenario, seed, nil)
@@ -27,7 +27,7 @@
 	return simulation
 }
 
-// queueModel is a queue of queueing theory: Poisson arrivals at one worker, which serves them in their order.
+// queueModel is a model of queueing theory: Poisson arrivals at one worker, which serves them in order of arrival.
 type queueModel struct {
 	name         string
 	slots        int
@@ -39,7 +39,7 @@
 // serviceTime is the mean service time of all models, in seconds.
 const serviceTime = 0.1
 
-// meanWait runs a model with a number of arrivals and nothing else, and returns the mean wait in seconds.
+// meanWait simulates a number of arrivals at a worker, without dispatchers, and returns the mean wait in seconds.
 func (m *queueModel) meanWait(t *testing.T, arrivals int) float64 {
 	t.Helper()
 	scenario := loneWorkerScenario(t)
@@ -65,13 +65,13 @@
 		t.Fatalf("%d of %d ran", len(server.executions), arrivals)
 	}
 	sum := 0.0
-	for i, run := range server.executions { // in order: the first in is the first to start
+	for i, run := range server.executions { // executions are in order of arrival
 		sum += (run.startedAt - arrivedAt[i]).Seconds()
 	}
 	return sum / float64(arrivals)
 }
 
-// erlangMeanWait is the mean wait of M/M/c by Erlang's C formula.
+// erlangMeanWait is the mean wait in an M/M/c queue by the Erlang C formula.
 func erlangMeanWait(servers int, rate float64) float64 {
 	load := rate * serviceTime
 	sum := 0.0
@@ -84,7 +84,7 @@
 	return waiting / (sum + waiting) * serviceTime / (float64(servers) - load)
 }
 
-// pollaczekKhinchineMeanWait is the mean wait of M/G/1. secondMoment is that of the service time.
+// pollaczekKhinchineMeanWait is the mean wait in an M/G/1 queue. secondMoment is the second moment of the service time.
 func pollaczekKhinchineMeanWait(rate, secondMoment float64) float64 {
 	return rate * secondMoment / (2 * (1 - rate*serviceTime))
 }
@@ -111,7 +111,8 @@
 	}
 }
 
-// endOfAttempt sends an attempt of 2 s of work to a worker with a fault and returns when it ends; -1: not within a minute.
+// endOfAttempt sends an attempt of 2 s of work to a worker with a fault and returns the time since the start of the run at
+// which it ends, or -1 if it does not end within a minute.
 func endOfAttempt(t *testing.T, fault Fault, sentAt time.Duration) time.Duration {
 	t.Helper()
 	const (
@@ -138,7 +139,7 @@
 	return -1
 }
 
-// Each fault delays a running attempt by as much as it should, within 2%.
+// With each fault, an attempt ends when it should, within 2%.
 func TestFaultsDelayAttempt(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -171,7 +172,7 @@
 			want:   5500 * time.Millisecond,
 		},
 		{
-			// The pace rises linearly from half at 2 s to all at 12 s: 0.5 t + t*t/40 = 2 at t = 3.416.
+			// The pace rises linearly from 0.5 at 2 s to 1 at 12 s. t s after the start, 0.5 t + t*t/40 s of work are done: 2 s at t = 3.416.
 			name:   "warming up",
 			fault:  Fault{Kind: FaultKill, AtS: 1, ForS: 1, Workers: 1},
 			sentAt: 2 * time.Second,
@@ -193,8 +194,8 @@
 	}
 }
 
-// A warming worker crashes for good when too much is sent to it; that is a violation if those who sent it knew of its
-// start.
+// A warming worker crashes for good when too much work is sent to it. That is a violation if more than two thirds of the
+// work came from dispatchers that knew of its start.
 func TestWarmingWorkerCrashes(t *testing.T) {
 	// Four slots at a third of their pace carry 4 * 0.33 / 0.572 requests of mean work per second; four times that plus
 	// the chance allowance is 17.3.
