--- a/internal/rehearsal/hostileload/behavior.go
+++ b/internal/rehearsal/hostileload/behavior.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	byteInterval   = 250 * time.Millisecond // between the bytes of a slow request
+	byteInterval   = 250 * time.Millisecond // pause after each byte of a slow request
 	slowBodyLength = 5000                   // bytes
 
 	batchRequests     = 64 // requests in one write of a flooding client
@@ -20,10 +20,10 @@
 	readBuffer       = 512 // bytes
 	slowReadBuffer   = 256 // bytes that a slow reader takes at a time
 	slowReadInterval = 5 * time.Millisecond
-	fullSpeed        = time.Duration(0) // as a read interval: no pause
+	fullSpeed        = time.Duration(0) // a read interval without a pause
 )
 
-// The requests as they are sent.
+// The requests that are sent.
 const (
 	pathVariants      = 1000
 	headFormat        = "POST /%s/m%d HTTP/1.1\r\nHost: kiosk\r\nX-Correlation-Id: %016x\r\nX-Time-Left-Ms: 5000\r\n"
@@ -57,19 +57,20 @@
 	return 0
 }
 
-// stayIdle sends nothing until the connection ends.
+// stayIdle sends nothing until the connection ends, and returns the number of bytes
+// received.
 func stayIdle(ctx context.Context, conn net.Conn) int64 {
 	responses := startReceiver(ctx, conn, readBuffer, fullSpeed)
 	<-responses.ended
 	return responses.received.Load()
 }
 
-// trickle sends prompt at once and then slow one byte at a time, and waits for the
-// end of the connection.
-func trickle(ctx context.Context, conn net.Conn, prompt, slow string) int64 {
+// trickle sends immediate at once and then slow one byte at a time, and waits for the
+// end of the connection. It returns the number of bytes received.
+func trickle(ctx context.Context, conn net.Conn, immediate, slow string) int64 {
 	responses := startReceiver(ctx, conn, readBuffer, fullSpeed)
-	if prompt != "" {
-		_, err := io.WriteString(conn, prompt)
+	if immediate != "" {
+		_, err := io.WriteString(conn, immediate)
 		if err != nil {
 			return responses.received.Load()
 		}
@@ -107,8 +108,8 @@
 	}
 }
 
-// receiver reads and discards what arrives on a connection, so that the end of the
-// connection is noticed.
+// receiver reads, counts and discards the bytes that arrive on a connection, so that
+// the end of the connection is noticed.
 type receiver struct {
 	received atomic.Int64  // bytes
 	ended    chan struct{} // closed once a read has failed
--- a/internal/rehearsal/hostileload/client.go
+++ b/internal/rehearsal/hostileload/client.go
@@ -13,7 +13,7 @@
 
 const (
 	dialTimeout       = 3 * time.Second
-	rampUp            = 500 * time.Millisecond // the first connections are spread over this span
+	rampUp            = 500 * time.Millisecond // span over which the clients' first connections are spread
 	minReconnectDelay = 400 * time.Millisecond
 	maxReconnectDelay = 1600 * time.Millisecond
 )
@@ -44,7 +44,7 @@
 	}
 }
 
-// run connects again and again until ctx ends.
+// run connects again after each connection has ended, until ctx ends.
 func (c *client) run(ctx context.Context) {
 	sleep(ctx, c.randomDuration(rampUp))
 	for ctx.Err() == nil {
--- a/internal/rehearsal/hostileload/load.go
+++ b/internal/rehearsal/hostileload/load.go
@@ -24,10 +24,10 @@
 	defaultClass       = "status-check"
 )
 
-// defaultKinds are the kinds that a Config without any gets.
+// defaultKinds are the kinds of clients where Config.Kinds is empty.
 var defaultKinds = []Kind{Silent, SlowHead, SlowBody, Flooding, Disconnecting}
 
-// Errors of a Config that Run refuses.
+// Errors of an invalid Config.
 var (
 	errNotPositive    = errors.New("clients, sources and for must be positive")
 	errBeyondLoopback = errors.New("the sources reach beyond loopback")
@@ -41,11 +41,11 @@
 	Sources     int           // the number of addresses that they connect from
 	FirstSource netip.Addr    // the first of these addresses; default 127.64.0.1
 	Duration    time.Duration // how long the clients run
-	Kinds       []Kind        // assigned to the clients in turn; default the first five
+	Kinds       []Kind        // assigned to the clients in turn; default all but NeverReading
 	Class       string        // the job class in the requests' paths; default status-check
 }
 
-// validate checks what the caller must set.
+// validate checks the fields that have no default.
 func (c *Config) validate() error {
 	host, _, err := net.SplitHostPort(c.Target)
 	ip := net.ParseIP(host)
@@ -95,7 +95,7 @@
 	ByKind       map[string]int64 `json:"attempted_by_kind"`
 }
 
-// counters are Counts while the clients run. They are safe for concurrent use.
+// counters count while the clients run. They are safe for concurrent use.
 type counters struct {
 	attempted    atomic.Int64
 	connected    atomic.Int64
--- a/internal/rehearsal/hostileload/load_test.go
+++ b/internal/rehearsal/hostileload/load_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// Every kind connects, from the addresses that the configuration gives, and stops in time.
+// Clients of every kind connect from the configured addresses, and stop when the duration is over.
 func TestRunCountsEveryKind(t *testing.T) {
 	var mu sync.Mutex
 	seen := map[string]bool{}
@@ -90,7 +90,7 @@
 		t.Errorf("a run of a second took %v", elapsed)
 	}
 	if counts.Attempted != counts.Connected+counts.Failed || counts.Connected < 12 {
-		t.Errorf("got %+v; want at least 12 connections, and each attempt connected or failed", counts)
+		t.Errorf("got %+v; want at least 12 connections, and each attempt either connected or failed", counts)
 	}
 	for _, kind := range kinds {
 		if counts.ByKind[kind.String()] < 2 {
@@ -149,7 +149,7 @@
 	return paths
 }
 
-// A batch of a flooding client consists of well-formed requests, the same for the same seed.
+// A flooding client's batch consists of well-formed requests, which are the same for the same seed.
 func TestFloodSendsRequests(t *testing.T) {
 	first := floodedPaths(t, 7)
 	second := floodedPaths(t, 7)
@@ -160,7 +160,7 @@
 	}
 }
 
-// A slow request ends as soon as the server closes the connection.
+// A slow client stops sending as soon as the server closes the connection.
 func TestTrickleStopsWithConnection(t *testing.T) {
 	clientEnd, serverEnd := net.Pipe()
 	go func() {
