--- a/internal/rehearsal/report/chart.go
+++ b/internal/rehearsal/report/chart.go
@@ -29,14 +29,14 @@
 	chartWidth  = 9 * vg.Inch
 	chartHeight = 3.2 * vg.Inch
 
-	maxLinePoints = 1200 // longer series are drawn as the means of neighbouring values
+	maxLinePoints = 1200 // longer series are reduced to the means of neighbouring values
 	lineWidth     = 1.5  // points, as all widths and lengths below
 	dashLength    = 5
 	dashGap       = 3
-	barGroupWidth = 90 // of the bars of one percentile
+	barGroupWidth = 90 // width of all bars of one percentile
 )
 
-// newChart makes an empty chart whose values begin at zero.
+// newChart makes an empty chart whose vertical axis begins at zero.
 func newChart(xLabel, yLabel string) *plot.Plot {
 	chart := plot.New()
 	chart.X.Label.Text = xLabel
@@ -55,7 +55,7 @@
 	value  func(second *replay.Second) int
 }
 
-// addLine adds a line with a value for each second; without seconds it adds none.
+// addLine adds a line with a value for each second. It adds nothing if there are no seconds.
 func addLine(chart *plot.Plot, drawn series, seconds []*replay.Second) error {
 	points := meanPoints(seconds, drawn.value)
 	if len(points) == 0 {
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// meanPoints reduces a series to at most maxLinePoints points.
+// meanPoints returns the points of a series, at most maxLinePoints. In a longer series each point is the mean of several seconds.
 func meanPoints(seconds []*replay.Second, value func(*replay.Second) int) plotter.XYs {
 	step := max((len(seconds)+maxLinePoints-1)/maxLinePoints, 1)
 	var points plotter.XYs
--- a/internal/rehearsal/report/page.go
+++ b/internal/rehearsal/report/page.go
@@ -31,7 +31,7 @@
 	SVG     template.HTML
 }
 
-// WriteHTML writes the report as one file that needs no other.
+// WriteHTML writes the report as one HTML page that needs no other file.
 func (r *Report) WriteHTML(w io.Writer) error {
 	data := pageData{Report: r}
 	for _, chart := range []struct {
@@ -40,7 +40,7 @@
 		draw    func() (*plot.Plot, error)
 	}{
 		{"Arrivals", "Requests in each second: as recorded, and as they were sent.", r.arrivalsChart},
-		{"Latency", "Of the served requests, from the moment at which the recording has them arrive.", r.latencyChart},
+		{"Latency", "Latency of served requests, counted from their arrival times in the recording.", r.latencyChart},
 		{"Outcomes", "Final answers in each second.", r.outcomesChart},
 	} {
 		svg, err := drawSVG(chart.draw)
--- a/internal/rehearsal/report/report.go
+++ b/internal/rehearsal/report/report.go
@@ -1,7 +1,7 @@
 // Package report describes the result of a rehearsal: a table for the terminal, JSON for
-// programs, and an HTML page that includes its charts and needs no other file. It evaluates the
-// rules from the result of the replay and the ledger of the stand-ins. Of a recording it shows
-// counts only, never a request or a key.
+// programs, and an HTML page that includes its charts and needs no other file. It checks the
+// rules by the result of the replay and the ledger of the stand-ins. It shows only counts of a
+// recording, never a request or a key.
 package report
 
 import (
@@ -24,7 +24,7 @@
 	Speed     float64           `json:"speed"`
 	Start     time.Time         `json:"recorded_from"`
 	Import    *Import           `json:"import"`
-	Findings  *standin.Findings `json:"books,omitempty"` // nil: the kit did not start the stand-ins
+	Findings  *standin.Findings `json:"books,omitempty"` // nil if this program did not start the stand-ins
 	Workers   int               `json:"workers"`
 
 	*replay.Result
@@ -37,8 +37,8 @@
 	Passed         bool   `json:"kept"`
 }
 
-// Import is what the recording's header says about its import. Counts are of lines or entries of the sources, by what
-// became of them.
+// Import is what the recording's header says about its import. Counts are the numbers of lines or entries of the sources,
+// by how the import treated them.
 type Import struct {
 	Counts        map[string]uint64 `json:"counts"`
 	Repairs       map[string]uint64 `json:"repairs"`
@@ -53,14 +53,14 @@
 	Format        string  `json:"format"`
 	Accepted      uint64  `json:"accepted"` // entries
 	Read          uint64  `json:"read"`     // entries
-	OffsetSeconds float64 `json:"offset_s"` // of its clock
+	OffsetSeconds float64 `json:"offset_s"` // offset of the source's clock
 	SpreadSeconds float64 `json:"offset_spread_s"`
 	Pairs         uint32  `json:"offset_pairs"`
 	Estimated     bool    `json:"offset_estimated"`
-	Truncation    string  `json:"cut,omitempty"` // why it ended early; empty: it did not
+	Truncation    string  `json:"cut,omitempty"` // why the source ended early; empty if it did not
 }
 
-// FromHeader reads a recording's header.
+// FromHeader returns what a recording's header says about its import.
 func FromHeader(header *recordingpb.Header) *Import {
 	const microsecondsPerSecond = 1e6
 	counts := header.GetCounts()
@@ -99,8 +99,8 @@
 	passedWithoutLedger = "all rules kept that can be seen from outside: every entry sent had one final answer in time"
 )
 
-// Evaluate checks the rules and sets the conclusion. ledger is nil if the kit did not start the
-// stand-ins; the jobs' executions are then not checked.
+// Evaluate checks the rules and sets the conclusion. ledger is nil if this program did not start
+// the stand-ins; the executions of jobs are then not checked.
 func (r *Report) Evaluate(ledger *standin.Ledger) {
 	var violations []string
 	check := func(count int, violation string) {
@@ -128,7 +128,7 @@
 	}
 }
 
-// evaluateExecutions compares the answers with the executions in the ledger.
+// evaluateExecutions checks the executions in the ledger and compares the answers with them.
 func (r *Report) evaluateExecutions(ledger *standin.Ledger) {
 	findings := ledger.Check()
 	r.Findings = &findings
@@ -143,5 +143,5 @@
 // ClassNames are the names of the classes, sorted.
 func (r *Report) ClassNames() []string { return slices.Sorted(maps.Keys(r.Classes)) }
 
-// milliseconds converts microseconds.
+// milliseconds converts microseconds to milliseconds.
 func milliseconds(microseconds int64) float64 { return float64(microseconds) / 1000 }
--- a/internal/rehearsal/report/report_test.go
+++ b/internal/rehearsal/report/report_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// Text and page show the recording's classes, the reasons and the conclusion.
+// The text and the page show the recording's classes, the reasons of rejections and the conclusion.
 func TestTextAndPage(t *testing.T) {
 	shown := newReport(replay.Tally{Sent: 3, Served: 2, Rejected: 1})
 	shown.Rejections = map[string]int{"renewal: 503 overloaded": 1}
--- a/internal/rehearsal/report/text.go
+++ b/internal/rehearsal/report/text.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// writeFidelity writes how far the times of the sends are from those of the recording.
+// writeFidelity writes how far the times at which requests were sent are from those in the recording.
 func writeFidelity(w io.Writer, fidelity replay.Fidelity) {
 	fmt.Fprintf(w, "fidelity: worst second off by %.2f%%, KS of arrivals %.4f, of gaps %.4f; late p50 %.2f ms, p99 %.2f ms, max %.2f ms; written p99 %.2f ms\n",
 		100*fidelity.MaxSecondError, fidelity.KS, fidelity.KSGaps, milliseconds(fidelity.LatenessP50), milliseconds(fidelity.LatenessP99),
