--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -9,7 +9,7 @@
 	"hollyyoke.example/hollyyoke/decision"
 )
 
-// maxTimer is the longest timer of the protocol.
+// maxTimer is the longest timer that the protocol allows.
 const maxTimer = 71 * time.Minute
 
 // commandNames are the names of actions on the wire.
@@ -31,7 +31,7 @@
 	hasAction bool
 }
 
-// Begin starts the reply to the batch of that number.
+// Begin starts the reply to the batch with the number turn.
 func (e *Encoder) Begin(turn int64) {
 	e.buffer = append(e.buffer[:0], `{"turn":`...)
 	e.buffer = strconv.AppendInt(e.buffer, turn, 10)
@@ -89,7 +89,7 @@
 	e.buffer = append(e.buffer, '}')
 }
 
-// appendName appends the name of a further field.
+// appendName appends a comma and the name of the next field.
 func (e *Encoder) appendName(name string) {
 	e.buffer = append(e.buffer, `,"`...)
 	e.buffer = append(e.buffer, name...)
@@ -116,7 +116,7 @@
 	e.buffer = append(e.buffer, '"')
 }
 
-// needsEscapes reports whether a text cannot stand between quotes as it is.
+// needsEscapes reports whether a text has characters that must be escaped in a JSON string.
 func needsEscapes(text string) bool {
 	for i := range len(text) {
 		char := text[i]
@@ -127,7 +127,7 @@
 	return false
 }
 
-// microsecondsUp rounds up, so that a timer never fires early.
+// microsecondsUp converts a span to microseconds, rounded up so that a timer never fires early.
 func microsecondsUp(span time.Duration) uint64 {
 	if span <= 0 {
 		return 0
--- a/internal/simwire/field.go
+++ b/internal/simwire/field.go
@@ -18,7 +18,7 @@
 	return field, nil
 }
 
-// readOptionalNumber returns a number; false where it is absent.
+// readOptionalNumber returns a number, and whether it is present.
 func readOptionalNumber(object *fastjson.Value, name string) (float64, bool) {
 	field := object.Get(name)
 	if field == nil || field.Type() != fastjson.TypeNumber {
@@ -45,7 +45,7 @@
 	return field.Uint64()
 }
 
-// readSpan returns a span given in possibly fractional microseconds; 0 where it is
+// readSpan returns a span that is given in microseconds, which may have a fraction, or 0 if it is
 // absent.
 func readSpan(object *fastjson.Value, name string) time.Duration {
 	return settings.Microseconds(object.GetFloat64(name))
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -10,13 +10,13 @@
 	"hollyyoke.example/hollyyoke/internal/settings"
 )
 
-// Kinds of an interim message.
+// Kinds of interim messages.
 const (
 	interimStarted    = 1
 	interimProgressed = 2
 )
 
-// readMessage decodes one message; isDelivered is false where it is for no instance.
+// readMessage decodes one message. isDelivered is false if it is not to be passed to an instance.
 func (d *Decoder) readMessage(value *fastjson.Value, message *Message) (isDelivered bool, err error) {
 	if value.Type() != fastjson.TypeObject {
 		return false, errors.New("not an object")
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// readEvent decodes an event; isDelivered is false for an interim message of
+// readEvent decodes an event. isDelivered is false for an interim message of an
 // unknown kind.
 func (d *Decoder) readEvent(command []byte, value *fastjson.Value, message *Message) (isDelivered bool, err error) {
 	event := &message.Event
@@ -76,8 +76,8 @@
 	return d.readRequestEvent(command, value, message)
 }
 
-// readRequestEvent decodes an event of a request; isDelivered is false for an interim
-// message of unknown kind.
+// readRequestEvent decodes an event of a request. isDelivered is false for an interim
+// message of an unknown kind.
 func (d *Decoder) readRequestEvent(command []byte, value *fastjson.Value, message *Message) (isDelivered bool, err error) {
 	event := &message.Event
 	switch string(command) {
@@ -129,7 +129,7 @@
 	return err
 }
 
-// readInterim decodes a start or progress notice; false for any other kind.
+// readInterim decodes a start or progress notice, and returns false for any other kind.
 func readInterim(value *fastjson.Value, event *decision.Event) bool {
 	switch value.GetInt("kind") {
 	case interimStarted:
@@ -164,7 +164,7 @@
 	"superseded":   decision.NotSent,
 }
 
-// parseOutcome returns the outcome with a name.
+// parseOutcome returns the outcome with a name on the wire.
 func parseOutcome(name []byte) (decision.AttemptOutcome, error) {
 	outcome, known := outcomeByName[string(name)]
 	if !known {
@@ -173,7 +173,7 @@
 	return outcome, nil
 }
 
-// readLoad reads a load report. Values that no decision uses are ignored.
+// readLoad reads a load report, which may be nil. Values that no decision uses are ignored.
 func (d *Decoder) readLoad(instance int64, report *fastjson.Value) (load decision.LoadReport) {
 	if report == nil {
 		return load
@@ -187,8 +187,8 @@
 	return load
 }
 
-// intern returns the one copy of a worker's name, so that a known name is not
-// allocated again.
+// intern returns the Decoder's copy of a worker's name, so that a name is allocated
+// only once.
 func (d *Decoder) intern(name []byte) string {
 	known, ok := d.workerNames[string(name)]
 	if ok {
--- a/internal/simwire/table.go
+++ b/internal/simwire/table.go
@@ -9,7 +9,7 @@
 	"hollyyoke.example/hollyyoke/decision"
 )
 
-// tableCount is the number of endpoint tables of the protocol.
+// tableCount is the number of endpoint tables that the protocol has.
 const tableCount = 16
 
 // endpointTable is a numbered list of endpoints, to which list updates refer.
@@ -25,7 +25,7 @@
 		return err
 	}
 	elements := value.GetArray("elements")
-	// Always a new slice: instances may still read the one that it replaces.
+	// The slice is always a new one: instances may still read the one that it replaces.
 	endpoints := make([]decision.Endpoint, 0, len(elements))
 	for _, element := range elements {
 		endpoint, err := d.readEndpoint(element)
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// parseWorkerState returns the state that an entry's readiness names.
+// parseWorkerState returns the worker state for the readiness of an entry.
 func parseWorkerState(readiness []byte) (decision.WorkerState, error) {
 	switch string(readiness) {
 	case "Running":
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -9,7 +9,7 @@
 	"hollyyoke.example/hollyyoke/decision"
 )
 
-// bootLine starts an instance with all settings that the wire has, fills a table and refers to it.
+// bootLine starts an instance with all settings of the protocol, fills a table, and sends a list update that refers to it.
 const bootLine = `{"moment_us":5000000,"turn":1,"msgs":[{"cmd":"boot","dispatcher":3,"rng_seed":77,"params":{` +
 	`"areas":["a","b"],"my_zone":1,"peers_total":4,"tick_us":2000,"discovery":"ask","worth_by":"work",` +
 	`"over_share_worth":0.1,"unheard_of":[1,{"x":2}],` +
@@ -38,7 +38,7 @@
 	return batch, messages, err
 }
 
-// Each setting of the wire comes to the setting of package decision that it means, and unknown ones are ignored.
+// Each setting on the wire is decoded to its field of decision.Settings, and unknown ones are ignored.
 func TestDecodeBoot(t *testing.T) {
 	batch, got, err := decode(t, NewDecoder(), bootLine)
 	if err != nil {
@@ -68,7 +68,7 @@
 	}
 }
 
-// bootSettings returns the settings that bootLine means.
+// bootSettings returns the settings that bootLine encodes.
 func bootSettings() decision.Settings {
 	return decision.Settings{
 		Classes: []decision.Class{
@@ -131,7 +131,7 @@
 	}
 }
 
-// Each message comes to the event that it means.
+// Each message is decoded to its event.
 func TestDecodeEvents(t *testing.T) {
 	decoder := NewDecoder()
 	if _, _, err := decode(t, decoder, bootLine); err != nil {
@@ -178,8 +178,8 @@
 	}
 }
 
-// A table's number may be reused within a batch: each list update refers to the
-// table before it.
+// A table's number may be reused within a batch: each list update refers to the latest
+// table of its number before it.
 func TestDecodeTableReuse(t *testing.T) {
 	table := func(worker string) string {
 		return `{"cmd":"table","table":0,"elements":[{"worker":"` + worker + `","readiness":"Running"}]}`
@@ -197,7 +197,7 @@
 	}
 }
 
-// A line that is no batch, or that holds a message which cannot be meant, is an error.
+// A line that is not a batch, or that has an invalid message, is an error.
 func TestDecodeErrors(t *testing.T) {
 	for _, line := range []string{
 		``, `x`, `[]`, `{}`, `{"moment_us":1,"turn":1}`, `{"moment_us":"1","turn":1,"msgs":[]}`,
@@ -218,7 +218,7 @@
 	}
 }
 
-// Each action has its command on the wire.
+// Each action is encoded as its command on the wire.
 func TestEncode(t *testing.T) {
 	var encoder Encoder
 	encoder.Begin(12)
