--- a/internal/testkit/acceptedconn.go
+++ b/internal/testkit/acceptedconn.go
@@ -12,11 +12,11 @@
 	"time"
 )
 
-// Listener lets a test play a worker or a server by hand: the test accepts each connection, reads each request and
+// Listener lets a test act as a worker or a server: the test accepts each connection, reads each request and
 // writes each response itself, and so decides in which order events happen.
 type Listener struct {
-	// ReadAhead is how many bytes accepted connections read from the socket at once, where a test must leave the rest in
-	// the socket's buffer; 0: as bufio does by default.
+	// ReadAhead is how many bytes accepted connections read from the socket at once. A test sets it if it must leave the
+	// rest in the socket's buffer; 0 selects the default of bufio.
 	ReadAhead int
 
 	t        *testing.T
@@ -29,8 +29,8 @@
 	return ListenWith(t, net.ListenConfig{})
 }
 
-// ListenWithSmallBuffers is Listen for tests that need a full socket: the kernel takes only a part of a request that
-// the test does not read.
+// ListenWithSmallBuffers is Listen for tests in which a socket must be full: the kernel accepts only a part of a request
+// while the test does not read it.
 func ListenWithSmallBuffers(t *testing.T) *Listener {
 	t.Helper()
 	const (
@@ -56,7 +56,7 @@
 	return &Listener{t: t, listener: listener.(*net.TCPListener)}
 }
 
-// Addr returns the address that tests give to the code under test as a worker's or a server's.
+// Addr returns the address that tests give to the code under test as that of a worker or a server.
 func (l *Listener) Addr() string { return l.listener.Addr().String() }
 
 // Accept waits for the next connection, and fails the test if none comes within Patience.
@@ -79,7 +79,7 @@
 	accepted := make(chan *AcceptedConn, len(listeners))
 	for _, listener := range listeners {
 		go func() {
-			if conn, err := listener.listener.Accept(); err == nil { // or the test has ended
+			if conn, err := listener.listener.Accept(); err == nil { // an error means that the test has ended
 				accepted <- listener.wrap(conn)
 			}
 		}()
@@ -110,14 +110,14 @@
 // step by step. Reads and writes fail after Patience.
 type AcceptedConn struct {
 	Conn   net.Conn
-	Reader *bufio.Reader // of what comes on Conn
+	Reader *bufio.Reader // reads from Conn
 
 	t    *testing.T
 	addr string // of the listener
 }
 
-// ReadRequest reads the head of a request and a body of bodySize bytes, and returns their text without what changes
-// from run to run. Tests compare it with a golden file.
+// ReadRequest reads the head of a request and a body of bodySize bytes, and returns their text, in which what changes
+// from run to run is masked. Tests compare it with a golden file.
 func (c *AcceptedConn) ReadRequest(bodySize int) string {
 	c.t.Helper()
 	var text strings.Builder
@@ -149,7 +149,7 @@
 	return request, string(content)
 }
 
-// AwaitFirstByte waits until a request has begun to come, and leaves it unread.
+// AwaitFirstByte waits until the first byte of a request has arrived, and leaves the request unread.
 func (c *AcceptedConn) AwaitFirstByte() {
 	c.t.Helper()
 	if _, err := c.Reader.Peek(1); err != nil {
@@ -157,13 +157,13 @@
 	}
 }
 
-// Write writes a response or a part of it. An error is ignored: tests check what the far end makes of it.
+// Write writes a response or a part of it. Errors are ignored, since tests check the effect at the other end.
 func (c *AcceptedConn) Write(text string) { io.WriteString(c.Conn, text) }
 
-// WriteDone responds to the request with a correlation ID that it is done.
+// WriteDone writes the response that completes the request with a correlation ID.
 func (c *AcceptedConn) WriteDone(id string) { c.Write(DoneResponse(id)) }
 
-// ServeRequest reads a request, responds that it is done, and returns both the request and its body.
+// ServeRequest reads a request, writes the response that completes it, and returns the request and its body.
 func (c *AcceptedConn) ServeRequest() (request *http.Request, body string) {
 	c.t.Helper()
 	request, body = c.ParseRequest()
@@ -171,16 +171,16 @@
 	return request, body
 }
 
-// ReadRest reads what comes until the far end closes the connection. Tests see by it what was sent of a request.
+// ReadRest reads until the other end closes the connection. Tests use it to see how much of a request was sent.
 func (c *AcceptedConn) ReadRest() (string, error) {
 	rest, err := io.ReadAll(c.Reader)
 	return string(rest), err
 }
 
-// Close closes the connection in order, as a worker does with idle ones.
+// Close closes the connection normally, as a worker does with idle ones.
 func (c *AcceptedConn) Close() { c.Conn.Close() }
 
-// Reset breaks the connection by a reset, as a crashed worker's kernel does.
+// Reset closes the connection with a TCP reset, as the kernel of a crashed worker does.
 func (c *AcceptedConn) Reset() {
 	c.Conn.(*net.TCPConn).SetLinger(0)
 	c.Conn.Close()
--- a/internal/testkit/address.go
+++ b/internal/testkit/address.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// RefusingAddress returns an address that refuses connections until the end of the test: its port is bound, and nothing
-// listens there. Tests use it for a server that is down.
+// RefusingAddress returns an address that refuses connections until the end of the test: its port is bound, but nothing
+// listens on it. Tests use it for a server that is down.
 func RefusingAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
--- a/internal/testkit/exchanges.go
+++ b/internal/testkit/exchanges.go
@@ -2,16 +2,16 @@
 
 import "strings"
 
-// Exchange is a request of a client, by which tests check the front end's parser and its responses.
+// Exchange is a request of a client and the response that is expected, for tests of the front end's parser.
 type Exchange struct {
-	Request string // IDENTITY in it stands for the request's ID; WithID replaces it
-	Status  int    // of the response that must come
-	Ends    bool   // the connection must end with that response
+	Request string // contains IDENTITY in place of the request's ID; WithID replaces it
+	Status  int    // expected status of the response
+	Ends    bool   // the connection is expected to end after the response
 }
 
-// Exchanges are requests to a front end whose workers are an EchoWorkerClient. Tests send them in fixed and in random
-// orders, split anywhere, and seed fuzz tests with them. The IDs "former" and "open" belong to other requests, which the
-// test must have made: one that is completed, and one that stays open.
+// Exchanges are requests to a front end whose worker client is an EchoWorkerClient. Tests send them in fixed and in random
+// order, split anywhere, and seed fuzz tests with them. The IDs "former" and "open" belong to two other requests, which the
+// test must have sent before: "former" to one that is completed, "open" to one that stays open.
 var Exchanges = []Exchange{
 	{"POST /status-check/k HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: IDENTITY\r\nContent-Length: 6\r\n\r\ndone 1", 200, false},
 	{"POST /renewal/k?q=1 HTTP/1.1\r\nx-correlation-id: IDENTITY\r\nContent-Length: 6\r\n\r\nfailed", 502, false},
--- a/internal/testkit/rig.go
+++ b/internal/testkit/rig.go
@@ -1,5 +1,5 @@
-// Package testkit holds what the tests of the front end, the worker client and discovery share: a dispatcher on an
-// event loop of its own, stand-ins for clients and workers, and tables of requests and responses. Only tests import it.
+// Package testkit has the helpers that tests of the front end, the worker client and discovery share: a dispatcher on its
+// own event loop, stubs of clients and workers, and tables of requests and responses. Only tests import it.
 package testkit
 
 import (
@@ -15,21 +15,21 @@
 )
 
 const (
-	// Patience is how long a test waits for anything. None takes that long unless something is broken.
+	// Patience is the time limit of each wait in a test. It is reached only if something is broken.
 	Patience = 20 * time.Second
 
 	pollInterval       = 100 * time.Microsecond
-	defaultDescriptors = 900 // of a rig's engine
+	defaultDescriptors = 900 // descriptor limit of a rig's engine
 )
 
 // Classes of a rig, by their indexes in its settings.
 const (
-	StatusCheck = iota // idempotent: tests expect retries and hedges of it
-	Renewal            // non-idempotent: tests expect that it never runs twice
+	StatusCheck = iota // idempotent, so that requests may be retried and hedged
+	Renewal            // non-idempotent, so that a request must never run twice
 )
 
-// Rig is a dispatcher with its transport engine, on an event loop of its own. Tests add to it what they are about: a
-// front end, a worker client or a registry.
+// Rig is a dispatcher with its transport engine, on its own event loop. Tests add the component that they test: a front
+// end, a worker client or a registry.
 type Rig struct {
 	Dispatcher *dispatch.Dispatcher
 	Engine     *transport.Engine
@@ -92,7 +92,7 @@
 	}
 }
 
-// Do runs f on the event loop and waits for its end. Tests use it for all that belongs to the loop's goroutine.
+// Do runs f on the event loop and waits until it returns. Tests use it for everything that only the loop's goroutine may do.
 func (r *Rig) Do(f func()) {
 	done := make(chan struct{})
 	r.Dispatcher.Loop.Post(func() {
@@ -102,8 +102,8 @@
 	<-done
 }
 
-// BlockLoop blocks the event loop until release is called, which must be once. Tests use it to force events into one
-// turn of the loop.
+// BlockLoop blocks the event loop until release is called, which must happen exactly once. Tests use it to have several
+// events handled in one turn of the loop.
 func (r *Rig) BlockLoop() (release func()) {
 	blocked := make(chan struct{})
 	released := make(chan struct{})
@@ -115,7 +115,7 @@
 	return func() { close(released) }
 }
 
-// Accept hands a request to the dispatcher, and returns once it has been handled; the response comes from the channel.
+// Accept passes a request to the dispatcher and returns once the dispatcher has handled it. The channel receives the response.
 func (r *Rig) Accept(request dispatch.Request) Responses {
 	responses := make(Responses, 1)
 	r.Do(func() { r.Dispatcher.Accept(responses, 0, request) })
@@ -129,8 +129,8 @@
 	return responses
 }
 
-// Write writes a text to a connection and waits until the rig's poller has read some of it. Tests use it while the
-// event loop is blocked, so that the text is there once it goes on.
+// Write writes text to a connection and waits until the rig's poller has read some of it. Tests use it while the event
+// loop is blocked, so that the loop finds the text when it continues.
 func (r *Rig) Write(t *testing.T, conn net.Conn, text string) {
 	t.Helper()
 	inUse := r.Engine.Pool.BytesInUse()
@@ -140,8 +140,8 @@
 	Until(t, "the poller reads", func() bool { return r.Engine.Pool.BytesInUse() > inUse })
 }
 
-// WithSubscription returns another rig, on the loop and the engine of r, whose dispatcher is one of a number of peers
-// and polls for its endpoint list, for tests of discovery.
+// WithSubscription returns another rig, on the loop and the engine of r, for tests of discovery. Its dispatcher is one of
+// a number of peers, and polls for its endpoint list.
 func (r *Rig) WithSubscription(t *testing.T, peers int, pollInterval time.Duration) *Rig {
 	t.Helper()
 	settings := r.Dispatcher.Settings
@@ -155,8 +155,8 @@
 	return &Rig{Dispatcher: dispatcher, Engine: r.Engine}
 }
 
-// FillDescriptors opens connections to an address until no descriptor is left for them, and returns their number. Tests
-// use it to see what still works then.
+// FillDescriptors opens connections to an address until no descriptor is left for another one, and returns their number.
+// Tests use it to check what still works in this state.
 func (r *Rig) FillDescriptors(t *testing.T, addr string) (opened int) {
 	t.Helper()
 	for {
@@ -171,7 +171,7 @@
 	}
 }
 
-// LimitDescriptors gives the rig a new engine, which keeps to a number of descriptors, for tests of their shortage.
+// LimitDescriptors gives the rig a new engine with a limit on descriptors, for tests in which descriptors run out.
 func (r *Rig) LimitDescriptors(t testing.TB, descriptors int) {
 	t.Helper()
 	engine, err := transport.NewEngine(r.Dispatcher.Loop, descriptors)
@@ -182,7 +182,7 @@
 	r.Engine = engine
 }
 
-// Until waits until a condition holds, which what describes, and fails the test if that takes longer than Patience.
+// Until waits until holds returns true, and fails the test after Patience. what describes the condition.
 func Until(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	end := time.Now().Add(Patience)
@@ -194,7 +194,7 @@
 	}
 }
 
-// Receive returns what comes from a channel, and fails the test if nothing comes within Patience.
+// Receive returns the next value from a channel, and fails the test if there is none within Patience.
 func Receive[T any](t *testing.T, c chan T) (value T) {
 	t.Helper()
 	select {
--- a/internal/testkit/scriptedworker.go
+++ b/internal/testkit/scriptedworker.go
@@ -14,16 +14,16 @@
 // splitSteps is the number of places at which a response can be split.
 const splitSteps = 256
 
-// ScriptedWorker is a worker that responds to its n-th request with its n-th script, whatever the request, for tests in
-// which the order of events does not matter; where it does, they play the worker by a Listener. Its methods may be
-// called from any goroutine.
+// ScriptedWorker is a worker that responds to its n-th request with its n-th script, whatever the request is. It is for
+// tests in which the order of events does not matter; tests in which it does use a Listener. Its methods may be called
+// from any goroutine.
 type ScriptedWorker struct {
 	listener net.Listener
 
 	mutex       sync.Mutex
 	scripts     []string
 	split       int
-	arrivals    map[string]int // by correlation ID
+	arrivals    map[string]int // number of requests by correlation ID
 	connections []net.Conn     // accepted since the latest HangUp
 }
 
@@ -45,8 +45,9 @@
 // Addr returns the address at which the worker accepts connections.
 func (w *ScriptedWorker) Addr() string { return w.listener.Addr().String() }
 
-// SetScripts sets the responses to the next requests. IDENTITY in them stands for the request's correlation ID. The
-// worker closes the connection after one that has no head or that holds HangUpField, and when no script is left.
+// SetScripts sets the responses to the next requests. IDENTITY in them is replaced by the request's correlation ID. The
+// worker closes the connection after a response that has no complete head or that contains HangUpField, and when a request
+// arrives for which no script is left.
 func (w *ScriptedWorker) SetScripts(scripts ...string) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -61,15 +62,15 @@
 	w.split = split
 }
 
-// Arrivals returns how many requests with a correlation ID have come. Tests check by it that none is sent twice.
+// Arrivals returns how many requests with a correlation ID have arrived. Tests use it to check that none is sent twice.
 func (w *ScriptedWorker) Arrivals(id string) int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.arrivals[id]
 }
 
-// ConnectionsAccepted returns how many connections have been accepted since the latest HangUp. Tests check by it whether
-// a connection was reused.
+// ConnectionsAccepted returns how many connections have been accepted since the latest HangUp. Tests use it to check
+// whether a connection was reused.
 func (w *ScriptedWorker) ConnectionsAccepted() int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -116,7 +117,7 @@
 		}
 		conn.Write([]byte(response[:split]))
 		if split%2 == 1 {
-			time.Sleep(time.Millisecond) // so that the parts arrive apart, sometimes
+			time.Sleep(time.Millisecond) // for every other split, so that the parts arrive separately
 		}
 		conn.Write([]byte(response[split:]))
 		if strings.Contains(response, HangUpField) || !strings.Contains(response, "\r\n\r\n") {
--- a/internal/testkit/stubs.go
+++ b/internal/testkit/stubs.go
@@ -8,7 +8,7 @@
 	"hollyyoke.example/hollyyoke/internal/dispatch"
 )
 
-// The stubs take the place of a worker client and of a front end.
+// The stubs replace a worker client or a front end.
 var (
 	_ dispatch.WorkerClient = EchoWorkerClient{}
 	_ dispatch.WorkerClient = HoldingWorkerClient{}
@@ -16,12 +16,12 @@
 	_ dispatch.FrontEnd     = RespondFunc(nil)
 )
 
-// EchoWorkerClient is a worker client for tests of a front end. Its attempts end at once, as the first word of the
-// request's body says: done, failed or returned. One that says hold starts and does not end: an attempt that does not
-// start either would keep other requests from the worker.
+// EchoWorkerClient is a worker client for tests of a front end. Its attempts end at once, with the outcome that the first
+// word of the request's body names: done, failed or returned. With the word hold, an attempt starts and does not end. It
+// is reported as started because an attempt that has not started would keep other requests from the worker.
 type EchoWorkerClient struct{ Dispatcher *dispatch.Dispatcher }
 
-// Start reports the attempt's outcome, with the request's body behind "made " as the result.
+// Start reports the attempt's outcome. The result is "made " followed by the request's body.
 func (e EchoWorkerClient) Start(attempt dispatch.Attempt) {
 	word, _, _ := bytes.Cut(attempt.Request.Body, []byte(" "))
 	if string(word) == "hold" {
@@ -35,7 +35,7 @@
 	e.Dispatcher.AttemptEnded(attempt.Handle, outcome, decision.LoadReport{}, result)
 }
 
-// Cancel says that the attempt may have run.
+// Cancel reports that the attempt may have run.
 func (EchoWorkerClient) Cancel(uint64) (neverRan bool) { return false }
 
 // CloseIdle does nothing: there are no connections.
@@ -44,21 +44,21 @@
 // CheckHealth does nothing: no outcome is reported.
 func (EchoWorkerClient) CheckHealth(string) {}
 
-// Subscribe does nothing: the test gives the endpoint list.
+// Subscribe does nothing: the test passes the endpoint list to the dispatcher.
 func (EchoWorkerClient) Subscribe() {}
 
-// HoldingWorkerClient is a worker client whose attempts end when the test reports it, for tests in which something
-// happens while a response is pending.
+// HoldingWorkerClient is a worker client whose attempts end only when the test reports their outcome, for tests in which
+// something happens while a response is pending.
 type HoldingWorkerClient struct {
 	EchoWorkerClient
-	Started chan dispatch.Attempt // gets each attempt; it must have room for all
+	Started chan dispatch.Attempt // receives each attempt; its buffer must have room for all of them
 }
 
 // Start passes the attempt to the test.
 func (h HoldingWorkerClient) Start(attempt dispatch.Attempt) { h.Started <- attempt }
 
-// Responses is a front end that collects its responses, for tests that call the dispatcher without HTTP. It must have
-// room for all.
+// Responses is a front end that collects its responses, for tests that call the dispatcher without HTTP. Its buffer must
+// have room for all of them.
 type Responses chan dispatch.Response
 
 // Respond adds a response with a copy of its body.
@@ -67,7 +67,7 @@
 	r <- response
 }
 
-// RespondFunc is a front end that calls a function with each response, for tests that act on the event loop right then.
+// RespondFunc is a front end that calls a function with each response, on the event loop, for tests that act at that moment.
 type RespondFunc func(dispatch.Response)
 
 // Respond calls the function.
--- a/internal/testkit/workerresponses.go
+++ b/internal/testkit/workerresponses.go
@@ -7,14 +7,14 @@
 	"hollyyoke.example/hollyyoke/internal/dispatch"
 )
 
-// WorkerResponse is what a worker may answer, by which tests check the worker client.
+// WorkerResponse is a response of a worker and the outcome that is expected, for tests of the worker client.
 type WorkerResponse struct {
-	Script string           // of a ScriptedWorker; IDENTITY in it stands for the request's ID
-	Want   dispatch.Outcome // what must become of a non-idempotent request
+	Script string           // for a ScriptedWorker; contains IDENTITY in place of the request's ID
+	Want   dispatch.Outcome // expected outcome of a non-idempotent request
 }
 
-// WorkerResponses is the protocol's table of responses. Tests of the worker client send them in random orders, split
-// anywhere; the parser's fuzz test is seeded with them.
+// WorkerResponses are the responses of the worker protocol, valid and invalid. Tests of the worker client send them in
+// random order, split anywhere; the parser's fuzz test is seeded with them.
 var WorkerResponses = []WorkerResponse{
 	{ChunkedResponse(DoneLine), dispatch.Served},
 	{ChunkedResponse(`{"id":"IDENTITY","state":"started"}`, `{"id":"IDENTITY","state":"running","share":0.5}`, "", DoneLine), dispatch.Served},
@@ -40,7 +40,7 @@
 	{"HTTP/1.1 100 Continue\r\n\r\n" + StatusLineOK + "Connection: close\r\n" + HangUpField + "\r\n" + DoneText + "\n", dispatch.Served},
 }
 
-// ChunkedResponse returns a worker's response with a chunk for each line, which tests give as job updates.
+// ChunkedResponse returns a worker's response whose body has a chunk for each line. The lines are job updates.
 func ChunkedResponse(lines ...string) string {
 	text := WatchHead
 	for _, line := range lines {
@@ -49,13 +49,13 @@
 	return text + "0\r\n\r\n"
 }
 
-// Parts of responses. IDENTITY stands for the request's ID.
+// Parts of responses. IDENTITY is in place of the request's ID.
 const (
 	// StatusLineOK is the status line of a 200, to which tests add header fields and a body.
 	StatusLineOK = "HTTP/1.1 200 OK\r\n"
-	// WatchHead is the head of a chunked 200: of a worker's response, or of a watch, which tests of discovery answer.
+	// WatchHead is the head of a chunked 200 response: a worker's to a request, or that of discovery to a watch.
 	WatchHead = StatusLineOK + "Transfer-Encoding: chunked\r\n\r\n"
-	// HangUpField makes a ScriptedWorker close the connection behind the response.
+	// HangUpField is a header field that makes a ScriptedWorker close the connection after the response.
 	HangUpField = "X-Note: HANG UP\r\n"
 	// DoneLine is a job update that completes a request with the result "made" and a load report.
 	DoneLine = `{"id":"IDENTITY","from":"s","state":"done","result":"made","load":{"x0":1.5,"backlog":2}}`
@@ -68,8 +68,8 @@
 // DoneResponse returns a worker's response that completes the request with a correlation ID.
 func DoneResponse(id string) string { return WithID(ChunkedResponse(DoneLine), id) }
 
-// WithID returns the text of a request or a response with a correlation ID in place of IDENTITY.
+// WithID returns the text of a request or a response, with IDENTITY replaced by a correlation ID.
 func WithID(text, id string) string { return strings.ReplaceAll(text, "IDENTITY", id) }
 
-// Chunk returns a chunk of a chunked body, for tests that write a body piece by piece or break it off.
+// Chunk returns a chunk of a chunked body, for tests that write a body piece by piece or only a part of it.
 func Chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
