--- a/internal/goldentest/commands.go
+++ b/internal/goldentest/commands.go
@@ -10,16 +10,16 @@
 	"github.com/alecthomas/kong"
 )
 
-// Commands lists a command line, sorted: each command with its flags and arguments,
-// and of each all that decides how it is written. Tests compare it with a golden
-// file; the program's name and the help texts, which may change, do not occur.
+// Commands lists the commands, flags and arguments of a command line, sorted, each with
+// everything that decides how it is written. Tests compare the list with a golden file.
+// The program's name and the help texts may change and are not listed.
 func Commands(app *kong.Application) []string {
 	lines := appendCommandLines(nil, "", app.Node)
 	slices.Sort(lines)
 	return lines
 }
 
-// appendCommandLines appends the lines of a command at a path, and of those below it.
+// appendCommandLines appends the lines of the command at a path and of its subcommands.
 func appendCommandLines(lines []string, path string, command *kong.Node) []string {
 	for _, flag := range command.Flags {
 		lines = append(lines, strings.TrimSpace(path+" "+flagLine(flag)))
@@ -35,7 +35,7 @@
 	return lines
 }
 
-// commandLine formats what is particular to a command.
+// commandLine formats the properties of a command.
 func commandLine(parent, command *kong.Node) string {
 	line := ""
 	if parent.DefaultCmd == command {
@@ -77,7 +77,7 @@
 	return line
 }
 
-// valueLine formats what flags and arguments have in common.
+// valueLine formats the properties that flags and arguments have in common.
 func valueLine(value *kong.Value) string {
 	line := value.Name + " " + valueKind(value.Target.Type())
 	if value.Required {
@@ -97,7 +97,7 @@
 	return line
 }
 
-// valueKind is how a value is written on the command line.
+// valueKind returns the kind of a value, which decides how it is written on the command line.
 func valueKind(t reflect.Type) string {
 	switch {
 	case t == reflect.TypeFor[time.Duration]():
--- a/internal/goldentest/effects.go
+++ b/internal/goldentest/effects.go
@@ -8,12 +8,13 @@
 	"testing"
 )
 
-// Effects lists what each key of a document does, for tests that hold the meaning of
-// keys in a golden file. It decodes the document, which must give every key a value
-// other than its default, then once for each key without it, and formats the decoded
-// values that become others. Values alone are listed, not the Go fields that hold
-// them. A key without an effect is listed as such, and one that cannot be left out
-// with the error. encode writes a document as its file has it, decode reads it.
+// Effects lists the effect of each key of a document, for tests that compare the
+// meaning of keys with a golden file. It decodes the document, in which every key must
+// have a value other than its default, and then decodes it again without each key in
+// turn, and lists the decoded values that differ. Only values are listed, not the Go
+// fields that hold them. A key without an effect is listed as such, and a key that
+// cannot be left out with the error. encode encodes a document as in its file, decode
+// decodes it.
 func Effects(
 	t *testing.T, document map[string]any, encode func(any) ([]byte, error), decode func([]byte) (any, error),
 ) string {
@@ -31,7 +32,7 @@
 		t.Fatal(err)
 	}
 	var lines []string
-	eachKey("", document, func(path string) {
+	withoutEachKey("", document, func(path string) {
 		without, err := read()
 		if err != nil {
 			lines = append(lines, path+": error: "+err.Error())
@@ -42,9 +43,10 @@
 	return Lines(lines)
 }
 
-// eachKey removes each key of an object, calls a function with its path, and puts the
-// key back, in the order of the keys; then it does the same inside the key's value.
-func eachKey(path string, object map[string]any, whileRemoved func(path string)) {
+// withoutEachKey does the following for each key of an object, in order: it removes the
+// key, calls whileRemoved with the key's path, puts the key back, and continues with the
+// keys inside its value.
+func withoutEachKey(path string, object map[string]any, whileRemoved func(path string)) {
 	for _, key := range slices.Sorted(maps.Keys(object)) {
 		keyPath := strings.TrimPrefix(path+"."+key, ".")
 		value := object[key]
@@ -53,22 +55,22 @@
 		object[key] = value
 		switch value := value.(type) {
 		case map[string]any:
-			eachKey(keyPath, value, whileRemoved)
+			withoutEachKey(keyPath, value, whileRemoved)
 		case []map[string]any:
 			for i, item := range value {
-				eachKey(fmt.Sprintf("%s[%d]", keyPath, i), item, whileRemoved)
+				withoutEachKey(fmt.Sprintf("%s[%d]", keyPath, i), item, whileRemoved)
 			}
 		case []any:
 			for i, item := range value {
 				if item, ok := item.(map[string]any); ok {
-					eachKey(fmt.Sprintf("%s[%d]", keyPath, i), item, whileRemoved)
+					withoutEachKey(fmt.Sprintf("%s[%d]", keyPath, i), item, whileRemoved)
 				}
 			}
 		}
 	}
 }
 
-// changes formats the values that differ, sorted. Both maps are by the values' places.
+// changes formats the values that differ, sorted. Both maps have values by their places.
 func changes(before, after map[string]string) string {
 	const none = "none"
 	var list []string
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -1,8 +1,8 @@
-// Package goldentest compares forms that others depend on, such as command lines,
-// keys of files and their defaults, with golden files: a change of Go names that
-// changes such a form fails a test. A golden file holds names of the outside form
-// alone, so that it is the same whatever the Go declarations behind it are called.
-// Only tests import this package.
+// Package goldentest compares external interfaces, such as command lines, keys of files
+// and their defaults, with golden files, so that a test fails if a change of Go names
+// changes such an interface. A golden file has only the names of the external interface,
+// and is the same whatever the Go declarations behind it are called. Only tests import
+// this package.
 package goldentest
 
 import (
@@ -34,20 +34,20 @@
 		t.Fatal(err)
 	}
 	if difference := Difference(string(text), got); difference != "" {
-		t.Errorf("%s: an outside form has changed; golden lines are marked -, today's +:\n%s", path, difference)
+		t.Errorf("%s: an external interface has changed; lines of the golden file are marked -, present lines +:\n%s", path, difference)
 	}
 }
 
-// CompareHTTP is Compare for tests of HTTP messages: in the golden file a carriage
-// return is written as \r, so that the file has the line ends of a text.
+// CompareHTTP is Compare for HTTP messages. In the golden file a carriage return is
+// written as \r, so that the file has ordinary line ends.
 func CompareHTTP(t *testing.T, file, got string) {
 	t.Helper()
 	Compare(t, file, strings.ReplaceAll(got, "\r", `\r`))
 }
 
 // Difference lists the lines that only one of two texts has, those of want marked
-// with - and those of got with +. It is empty only where the texts are equal. Tests
-// that keep their texts elsewhere print it when they fail.
+// with - and those of got with +. It is empty only if the texts are equal. Tests that
+// keep their expected texts elsewhere print it when they fail.
 func Difference(want, got string) string {
 	if want == got {
 		return ""
@@ -59,8 +59,8 @@
 	return difference
 }
 
-// linesMissing returns the lines of a text that another has not, or not as often, each
-// with a mark.
+// linesMissing returns the lines of a text that another text does not have, or has less
+// often, each with a mark.
 func linesMissing(text, other, mark string) string {
 	unmatched := map[string]int{}
 	for line := range strings.Lines(other) {
@@ -76,7 +76,7 @@
 	return missing.String()
 }
 
-// Lines joins the lines that a test has gathered into the text of a golden file.
+// Lines joins lines to the text of a golden file.
 func Lines(lines []string) string {
 	if len(lines) == 0 {
 		return ""
--- a/internal/goldentest/goldentest_test.go
+++ b/internal/goldentest/goldentest_test.go
@@ -11,7 +11,7 @@
 	"github.com/alecthomas/kong"
 )
 
-// The types below have what encoders treat in ways of their own.
+// The types below have the kinds of fields that encoders treat in a special way.
 
 type inner struct {
 	Deep  float64 `json:"deep" toml:"deeper"`
@@ -33,7 +33,7 @@
 	hidden  int
 }
 
-// Keys names what the encoder of a tag writes, by the tag's names.
+// Keys lists the keys that an encoder writes, by the names in its struct tags.
 func TestKeysAreThoseOfTheEncoder(t *testing.T) {
 	got := strings.Join(Keys(reflect.TypeFor[sample](), "json"), "\n")
 	want := strings.Join([]string{
@@ -54,7 +54,7 @@
 	}
 }
 
-// Effects names what becomes of values without a key, and no Go fields.
+// Effects lists how values change without a key, and names no Go fields.
 func TestEffectsNameValuesNotFields(t *testing.T) {
 	decode := func(text []byte) (any, error) {
 		decoded := sample{hidden: 3}
@@ -69,7 +69,7 @@
 	}
 }
 
-// Commands has all that decides how flags, arguments and commands are written.
+// Commands lists everything that decides how flags, arguments and commands are written.
 func TestCommandsListFlagsAndArguments(t *testing.T) {
 	var commandLine struct {
 		Mode string        `enum:"a,b" default:"a" env:"MODE" short:"m" placeholder:"M"`
@@ -95,7 +95,7 @@
 	}
 }
 
-// Difference shows the lines of both texts, and tells equal lines in another order from equal texts.
+// Difference shows the lines of both texts, and reports equal lines in another order.
 func TestDifferenceShowsBothSides(t *testing.T) {
 	for _, test := range []struct{ want, got, difference string }{
 		{"a\nb\n", "a\nb\n", ""},
--- a/internal/goldentest/keys.go
+++ b/internal/goldentest/keys.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// Keys lists the key paths under which an encoder that reads the struct tag named
-// tag, as json or toml, writes and reads a value of type t, each with the kind of
-// its value, sorted. Elements of lists are named [], those of maps {}. Tests compare
-// it with a golden file; the type's own name, and names of fields that have a tag,
-// which may change, do not occur.
+// Keys lists the key paths of a value of type t, as written and read by the encoder that
+// uses the struct tag named tag, such as json or toml. The list is sorted and has the
+// kind of each value. Elements of lists are named [], those of maps {}. Tests compare it
+// with a golden file. The name of the type and the names of fields that have a tag may
+// change and are not listed.
 func Keys(t reflect.Type, tag string) []string {
 	paths := keyPaths{tag: tag}
 	paths.add("", "", t, nil)
@@ -21,13 +21,13 @@
 	return paths.lines
 }
 
-// keyPaths gathers the key paths of one type.
+// keyPaths collects the key paths of one type.
 type keyPaths struct {
 	tag   string
 	lines []string
 }
 
-// The interfaces of types that write or read their own TOML.
+// The interfaces of types with their own encoding in TOML.
 type (
 	tomlMarshaler   interface{ MarshalTOML() ([]byte, error) }
 	tomlUnmarshaler interface{ UnmarshalTOML(any) error }
@@ -44,33 +44,33 @@
 	}
 )
 
-// add adds the lines of a value of type t at a path; outer are the structs around it.
+// add adds the lines of a value of type t at a path. outer are the types of the structs that contain it.
 func (k *keyPaths) add(path, options string, t reflect.Type, outer []reflect.Type) {
 	for t.Kind() == reflect.Pointer {
 		t = t.Elem()
 	}
-	if kind := k.special(t); kind != "" {
-		k.line(path, kind, options)
+	if kind := k.opaqueKind(t); kind != "" {
+		k.addLine(path, kind, options)
 		return
 	}
 	switch t.Kind() {
 	case reflect.Struct:
 		if slices.Contains(outer, t) {
-			k.line(path, "nested again", options)
+			k.addLine(path, "nested again", options)
 			return
 		}
-		k.fields(path, t, append(slices.Clone(outer), t))
+		k.addFields(path, t, append(slices.Clone(outer), t))
 	case reflect.Slice, reflect.Array:
 		k.add(path+"[]", options, t.Elem(), outer)
 	case reflect.Map:
 		k.add(path+"{}", options, t.Elem(), outer)
 	default:
-		k.line(path, scalar(t.Kind()), options)
+		k.addLine(path, scalarKind(t.Kind()), options)
 	}
 }
 
-// special returns the kind of a type that the encoder does not take apart; empty for others.
-func (k *keyPaths) special(t reflect.Type) string {
+// opaqueKind returns the kind of a type whose parts the encoder does not encode one by one. It is empty for other types.
+func (k *keyPaths) opaqueKind(t reflect.Type) string {
 	switch {
 	case t == timeType:
 		return "time"
@@ -93,19 +93,19 @@
 	})
 }
 
-// fields adds the lines of a struct's fields.
-func (k *keyPaths) fields(path string, t reflect.Type, outer []reflect.Type) {
+// addFields adds the lines of a struct's fields.
+func (k *keyPaths) addFields(path string, t reflect.Type, outer []reflect.Type) {
 	for field := range t.Fields() {
 		name, options, _ := strings.Cut(field.Tag.Get(k.tag), ",")
 		inner := field.Type
 		if inner.Kind() == reflect.Pointer {
 			inner = inner.Elem()
 		}
-		promoted := field.Anonymous && name == "" && inner.Kind() == reflect.Struct && k.special(inner) == ""
+		promoted := field.Anonymous && name == "" && inner.Kind() == reflect.Struct && k.opaqueKind(inner) == ""
 		switch {
 		case name == "-" && options == "":
 		case promoted:
-			k.fields(path, inner, outer)
+			k.addFields(path, inner, outer)
 		case !field.IsExported():
 		default:
 			if name == "" {
@@ -119,16 +119,16 @@
 	}
 }
 
-// line adds one line.
-func (k *keyPaths) line(path, kind, options string) {
+// addLine adds one line.
+func (k *keyPaths) addLine(path, kind, options string) {
 	if options != "" {
 		kind += ", " + options
 	}
 	k.lines = append(k.lines, path+": "+kind)
 }
 
-// scalar returns the kind of an encoded value that has no parts.
-func scalar(kind reflect.Kind) string {
+// scalarKind returns the kind of an encoded value that has no parts.
+func scalarKind(kind reflect.Kind) string {
 	switch kind {
 	case reflect.Bool:
 		return "boolean"
--- a/internal/goldentest/scenarios.go
+++ b/internal/goldentest/scenarios.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-// CompareScenarios compares a kind of scenario file with testdata/scenarios.golden: its keys, the files that pattern
-// matches as they are read with defaults, and the errors of faulty texts. It is the whole test of such a kind.
-func CompareScenarios[T any](t *testing.T, pattern string, read func(path string) (T, error), faulty ...string) {
+// CompareScenarios compares a kind of scenario file with testdata/scenarios.golden: its keys, the content of the files that
+// match pattern, with defaults, and the errors for invalid texts. A test of the format of such a file needs nothing else.
+func CompareScenarios[T any](t *testing.T, pattern string, read func(path string) (T, error), invalid ...string) {
 	t.Helper()
 	lines := Keys(reflect.TypeFor[T](), "toml")
 	paths, err := filepath.Glob(pattern)
@@ -25,7 +25,7 @@
 		}
 		lines = append(lines, filepath.Base(path)+": "+Document(t, scenario))
 	}
-	for _, text := range faulty {
+	for _, text := range invalid {
 		path := filepath.Join(t.TempDir(), "scenario.toml")
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
--- a/internal/goldentest/unpack.go
+++ b/internal/goldentest/unpack.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-// Unpack writes the content of a gzip file to a directory of the test, under the file's name without .gz, and returns
-// the path. Tests use it for stored data that must stay readable: such a file was written by an earlier build, and no
-// flag writes it again.
+// Unpack writes the content of a gzip file to a temporary directory, under the file's name without .gz, and returns the
+// path. Tests use it for stored data that must stay readable: such a file was written by an earlier build, and no flag
+// rewrites it.
 func Unpack(t *testing.T, packed string) (path string) {
 	t.Helper()
 	file, err := os.Open(packed)
--- a/internal/goldentest/values.go
+++ b/internal/goldentest/values.go
@@ -13,9 +13,9 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Values formats all values that a Go value holds that are not zero, sorted, on one
-// line, without the names of the fields that hold them. Tests use it for what a file
-// or a command line is decoded into, so that Go fields may be renamed.
+// Values formats all nonzero values that a Go value holds, sorted, on one line, without
+// the names of the fields that hold them. Tests use it for the value that a file or a
+// command line is decoded into, so that Go fields may be renamed.
 func Values(value any) string {
 	var list []string
 	for _, leaf := range leaves(value) {
@@ -27,8 +27,8 @@
 	return strings.Join(list, " ")
 }
 
-// Document formats a value that a TOML file is decoded into as such a file, its keys
-// sorted, on one line. Tests use it for files as they are read with their defaults.
+// Document formats the value that a TOML file is decoded into, by the keys of the file,
+// which are sorted, on one line. Tests use it for the content of files with its defaults.
 func Document(t *testing.T, value any) string {
 	t.Helper()
 	var text strings.Builder
@@ -48,7 +48,7 @@
 
 // leaf is one value without parts.
 type leaf struct {
-	place string // where it lies in the outermost value, by numbers of fields and elements
+	place string // path from the outermost value, by indexes of fields and elements and by keys of maps
 	text  string
 	zero  bool
 }
@@ -69,7 +69,7 @@
 	return list
 }
 
-// leafList gathers the leaves of a value.
+// leafList collects the leaves of a value.
 type leafList []leaf
 
 // add adds the leaves of the value at a place.
@@ -95,7 +95,7 @@
 	}
 }
 
-// addElements adds the leaves of a slice or an array. One of bytes is a leaf itself.
+// addElements adds the leaves of a slice or an array. A slice or an array of bytes is one leaf.
 func (l *leafList) addElements(place string, value reflect.Value) {
 	if value.Type().Elem().Kind() == reflect.Uint8 {
 		*l = append(*l, leaf{place: place, text: fmt.Sprintf("%q", value), zero: value.Len() == 0})
@@ -120,7 +120,7 @@
 		return time.Duration(value.Int()).String()
 	case value.Kind() == reflect.String:
 		return strconv.Quote(value.String())
-	case value.CanInt(): // a number, also where its type has a String method
+	case value.CanInt(): // formatted as a number even if its type has a String method
 		return strconv.FormatInt(value.Int(), 10)
 	case value.CanUint():
 		return strconv.FormatUint(value.Uint(), 10)
