--- a/cmd/simulator-adapter/golden_test.go
+++ b/cmd/simulator-adapter/golden_test.go
@@ -9,9 +9,9 @@
 	"hollyyoke.example/hollyyoke/internal/goldentest"
 )
 
-// A recorded conversation of two dispatchers with the simulator gets the recorded
-// replies, byte for byte. It has every command but release, which TestEncode of
-// package simwire covers.
+// The input of a recorded conversation of two dispatchers with the simulator gets the
+// recorded replies, byte for byte. The replies have every command except release, which
+// TestEncode of package simwire covers.
 func TestConversation(t *testing.T) {
 	input, err := os.ReadFile(filepath.Join("testdata", "conversation.in"))
 	if err != nil {
--- a/cmd/simulator-adapter/main.go
+++ b/cmd/simulator-adapter/main.go
@@ -1,5 +1,5 @@
-// Command simulator-adapter hosts dispatchers on the simulator's wire: it reads
-// batches of events on standard input and writes their actions to standard output.
+// Command simulator-adapter hosts dispatchers for the simulator: it reads batches of
+// events from standard input and writes the dispatchers' actions to standard output.
 package main
 
 import (
@@ -59,8 +59,8 @@
 	long   []byte // collects a line that is longer than the reader's buffer
 }
 
-// next returns the next line, which is valid until the next call; io.EOF where
-// there is none. The last line need not have a line end.
+// next returns the next line, which is valid until the next call, or io.EOF if there
+// is none. The last line may lack a line end.
 func (r *lineReader) next() ([]byte, error) {
 	r.long = r.long[:0]
 	for {
@@ -80,13 +80,13 @@
 	}
 }
 
-// host holds the instances. They share nothing but the decoder's tables.
+// host has the dispatcher instances. They share only the decoder's tables.
 type host struct {
 	decoder  *simwire.Decoder
 	encoder  simwire.Encoder
 	machines map[int64]*decision.Machine // by instance; nil after it has exited
-	batch    simwire.Batch               // the present one
-	actions  []decision.Action           // scratch space for those of one event
+	batch    simwire.Batch               // the batch that is being handled
+	actions  []decision.Action           // actions of the latest event; reused to save allocations
 }
 
 // answer returns the reply to a line, which is valid until the next call.
@@ -95,13 +95,13 @@
 	return h.encoder.End(), err
 }
 
-// begin begins the reply to a batch.
+// begin stores a batch and begins the reply to it.
 func (h *host) begin(batch simwire.Batch) {
 	h.batch = batch
 	h.encoder.Begin(batch.Turn)
 }
 
-// handle handles a message and adds its actions to the reply.
+// handle handles a message and adds the resulting actions to the reply.
 func (h *host) handle(message *simwire.Message) error {
 	switch message.Operation {
 	case simwire.Boot:
--- a/cmd/simulator-adapter/main_test.go
+++ b/cmd/simulator-adapter/main_test.go
@@ -13,7 +13,7 @@
 	`{"cmd":"table","table":0,"elements":[{"worker":"w:1","readiness":"Running"}]},` +
 	`{"cmd":"roster_change","dispatcher":0,"how":"Persisted","table":0}]}` + "\n"
 
-// Each batch gets its reply, also the last one if it has no line end.
+// Each batch gets a reply, including a last one without a line end.
 func TestRunServes(t *testing.T) {
 	input := `{"moment_us":1,"turn":0,"msgs":[]}` + "\n" + startLine +
 		`{"moment_us":2000,"turn":2,"msgs":[{"cmd":"ingress","dispatcher":0,"corr":9,"class":0,"needs":1,"left_us":5000000}]}` + "\n" +
@@ -31,7 +31,7 @@
 	}
 }
 
-// Input that cannot be read, or that cannot be meant, ends the run without a reply.
+// Malformed or invalid input ends the run without a reply.
 func TestRunRejectsInvalidInput(t *testing.T) {
 	for _, input := range []string{
 		"nonsense\n",
