--- a/cmd/rehearse/capacity.go
+++ b/cmd/rehearse/capacity.go
@@ -6,10 +6,10 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/capacity"
 )
 
-// capacityCmd writes the capacity page from the runs.
+// capacityCmd writes the capacity page from measured runs and assumptions.
 type capacityCmd struct {
 	Data   string `default:"docs/capacity" help:"Directory with the runs, the assumptions and the template."`
-	Output string `short:"o" default:"docs/CAPACITY.md" help:"The page."`
+	Output string `short:"o" default:"docs/CAPACITY.md" help:"The page to write."`
 }
 
 // Run writes the page.
--- a/cmd/rehearse/connectionadmin_test.go
+++ b/cmd/rehearse/connectionadmin_test.go
@@ -50,7 +50,7 @@
 	return &limitedFleet{Fleet: fleet, t: t, operatorFile: operatorFile}
 }
 
-// dial connects from an address.
+// dial opens a connection to the daemon from an address.
 func (f *limitedFleet) dial(from string) net.Conn {
 	f.t.Helper()
 	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(from)}, Timeout: connectionTimeout}
@@ -65,7 +65,7 @@
 // isServed reports whether a health check on a connection is answered with 200.
 func isServed(conn net.Conn) bool { return isServedAfter(conn, "") }
 
-// isServedAfter is isServed with a prefix that is sent before the request.
+// isServedAfter is isServed with a prefix that is sent before the health check.
 func isServedAfter(conn net.Conn, prefix string) bool {
 	conn.SetDeadline(time.Now().Add(connectionTimeout))
 	fmt.Fprintf(conn, "%sGET /healthz HTTP/1.1\r\nHost: x\r\n\r\n", prefix)
@@ -105,7 +105,7 @@
 	return response.StatusCode, string(text)
 }
 
-// reload replaces the operator file, sends SIGHUP and waits until the daemon has logged a line once more.
+// reload replaces the operator file, sends SIGHUP and waits until the daemon has logged wantLogged once more.
 func (f *limitedFleet) reload(operatorFile, wantLogged string) {
 	f.t.Helper()
 	if err := os.WriteFile(f.operatorFile, []byte(operatorFile), 0o600); err != nil {
@@ -195,7 +195,7 @@
 	for path, want := range map[string]int{
 		"unbar?prefix=127.0.0.0/29": http.StatusConflict, // not blocked
 		"bar?prefix=x&for=1h":       http.StatusBadRequest,
-		"bar?prefix=127.0.0.6":      http.StatusBadRequest, // for how long is missing
+		"bar?prefix=127.0.0.6":      http.StatusBadRequest, // the duration is missing
 	} {
 		status, body := fleet.callAdmin("PUT", "/control/connections/"+path)
 		if status != want {
@@ -204,7 +204,7 @@
 	}
 }
 
-// SIGHUP lowers limits; open connections stay; an invalid file changes nothing.
+// A limit that is lowered by SIGHUP applies to new connections; open ones stay. An invalid file changes nothing.
 func TestReloadLowersConnectionLimit(t *testing.T) {
 	const address = "127.0.0.40"
 	fleet := startLimitedFleet(t)
--- a/cmd/rehearse/earlier.go
+++ b/cmd/rehearse/earlier.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// earlierFlags are the flags of earlier versions, which had a single dash.
+// earlierFlags are the flags of earlier versions, which were written with a single dash.
 var earlierFlags = []string{"in", "rules", "to", "front", "password", "limit", "span", "json"}
 
-// translateEarlier translates command lines of earlier versions and returns all others as they are. Earlier versions
-// had no commands, but flags with single dashes; later their command scale is what rescale is now.
+// translateEarlier translates command lines of earlier versions and returns all others unchanged. The first versions
+// had no commands, and flags with a single dash. Later versions had a command scale that is now called rescale.
 func translateEarlier(args []string) []string {
 	if len(args) > 0 && args[0] == "scale" && slices.ContainsFunc(args, isOutputFlag) {
 		return append([]string{"rescale"}, args[1:]...)
@@ -27,7 +27,7 @@
 	return args
 }
 
-// doubleDash adds the second dash to a flag of earlier versions and returns all other arguments as they are.
+// doubleDash adds the second dash to a flag of earlier versions and returns all other arguments unchanged.
 func doubleDash(arg string) string {
 	name, _, _ := strings.Cut(strings.TrimLeft(arg, "-"), "=")
 	hasSingleDash := strings.HasPrefix(arg, "-") && !strings.HasPrefix(arg, "--")
@@ -37,12 +37,13 @@
 	return arg
 }
 
-// isReplayFlag reports whether an argument is a flag that only a replay without a command's name begins with.
+// isReplayFlag reports whether an argument is a flag that shows that a command line without the name of a command is a
+// replay.
 func isReplayFlag(arg string) bool {
 	return strings.HasPrefix(arg, "--in") || strings.HasPrefix(arg, "--rules") || strings.HasPrefix(arg, "--to")
 }
 
-// isOutputFlag reports whether an argument names an output file, as those of commands on recordings do.
+// isOutputFlag reports whether an argument is the flag for the output file that commands on recordings have.
 func isOutputFlag(arg string) bool {
 	return strings.HasPrefix(arg, "-o") || strings.HasPrefix(arg, "--output")
 }
--- a/cmd/rehearse/files.go
+++ b/cmd/rehearse/files.go
@@ -11,7 +11,7 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/recording"
 )
 
-// writeAtomically writes a temporary file and renames it to path when it is complete, so that nobody finds a partial
+// writeAtomically writes a temporary file and renames it to path when it is complete, so that path never has a partial
 // file.
 func writeAtomically(path string, write func(io.Writer) error) (err error) {
 	file, err := os.CreateTemp(filepath.Dir(path), "."+filepath.Base(path)+".*")
@@ -35,7 +35,7 @@
 	return os.Rename(file.Name(), path)
 }
 
-// openRecording opens a recording. closeAll releases it.
+// openRecording opens a recording. closeAll closes the reader and the file.
 func openRecording(path string) (reader *recording.Reader, closeAll func(), err error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/cmd/rehearse/flood.go
+++ b/cmd/rehearse/flood.go
@@ -19,23 +19,23 @@
 	renewalObjective = 200 * time.Millisecond
 	renewalDeadline  = 8 * time.Second
 	renewalWork      = 40 * time.Millisecond
-	renewalShare     = 4 // one in so many requests is a renewal
+	renewalShare     = 4 // one in this many requests is a renewal
 )
 
 // floodCmd sends requests of known clients together with hostile load, with connection admission on and off. It fails only
-// if a rule was violated; how good the service was is for the reader to judge.
+// if a rule was violated. It reports the quality of service and does not judge it.
 type floodCmd struct {
-	Operator           string        `default:"deploy/operator.toml" help:"The daemon's operator file, whose known prefixes must hold 127.9.0.0/24."`
-	Hostile            int           `default:"5000" help:"Hostile clients at a time."`
-	Sources            int           `default:"250" help:"Addresses that they come from."`
-	Descriptors        int           `name:"sockets" default:"1024" help:"Descriptors that the daemon has."`
-	Clients            int           `default:"20" help:"Addresses of known clients."`
-	Rate               float64       `default:"80" help:"Their requests a second."`
-	Duration           time.Duration `name:"for" default:"15s" help:"How long each part takes."`
+	Operator           string        `default:"deploy/operator.toml" help:"The daemon's operator file, whose known prefixes must include 127.9.0.0/24."`
+	Hostile            int           `default:"5000" help:"Number of concurrent hostile clients."`
+	Sources            int           `default:"250" help:"Number of addresses that hostile clients connect from."`
+	Descriptors        int           `name:"sockets" default:"1024" help:"The daemon's limit on descriptors."`
+	Clients            int           `default:"20" help:"Number of addresses that known clients connect from."`
+	Rate               float64       `default:"80" help:"Requests per second of all known clients."`
+	Duration           time.Duration `name:"for" default:"15s" help:"How long known clients send in each part."`
 	Seed               uint64        `default:"1"`
-	Alone              bool          `help:"Also without any hostile client."`
-	ExhaustDescriptors bool          `name:"starve" help:"Instead: twice the rate with few hostile clients, once with all descriptors and once with none left in the middle third."`
-	Daemon             string        `help:"The daemon's program; not given: dispatcher beside this one."`
+	Alone              bool          `help:"Add a part without hostile clients."`
+	ExhaustDescriptors bool          `name:"starve" help:"Run two other parts instead, with twice the rate and few hostile clients: one with all descriptors, one with none left in the middle third."`
+	Daemon             string        `help:"The daemon's program; by default dispatcher in the directory of this program."`
 	JSON               bool          `name:"json" help:"Print as JSON."`
 }
 
@@ -76,11 +76,11 @@
 	exhaustionHostileDivisor = 25
 )
 
-// runExhaustion compares the service with all descriptors and with none left in the middle third.
+// runExhaustion compares the service with all descriptors and with none left in the middle third of the run.
 func (c *floodCmd) runExhaustion(env *environment) error {
 	c.Rate *= exhaustionRateFactor
 	hostileClients := c.Hostile / exhaustionHostileDivisor
-	var normalCPU, exhaustedCPU time.Duration // in the middle third
+	var normalCPU, exhaustedCPU time.Duration // of the daemon, in the middle third of the run
 	results, err := c.runParts([]floodPart{
 		{name: "whole", operatorFile: c.Operator, hostileClients: hostileClients, during: c.measureMiddleThird(&normalCPU)},
 		{name: "starved", operatorFile: c.Operator, hostileClients: hostileClients, during: c.exhaustMiddleThird(&exhaustedCPU)},
@@ -98,7 +98,7 @@
 	return checkFloodRules(results)
 }
 
-// runParts runs the parts one after the other.
+// runParts runs the parts one after another.
 func (c *floodCmd) runParts(parts []floodPart) ([]floodResult, error) {
 	var results []floodResult
 	for _, part := range parts {
--- a/cmd/rehearse/flood_test.go
+++ b/cmd/rehearse/flood_test.go
@@ -25,8 +25,8 @@
 	return &floodCmd{Hostile: 700, Sources: 64, Descriptors: 220, Clients: 8, Rate: 60, Duration: 4 * time.Second, Seed: 1, Daemon: daemon}
 }
 
-// Known clients are served during a flood if connection admission is on, and not if it is off; every accepted request has
-// one final answer.
+// During a flood, known clients are served in time if connection admission is on, and less often if it is off. Every
+// accepted request has one final answer.
 func TestFlood(t *testing.T) {
 	flood := smallFlood()
 	on, err := flood.runPart(floodPart{name: "on", operatorFile: smallReserveFile(t), hostileClients: flood.Hostile})
@@ -47,7 +47,7 @@
 	checkFloodConnections(t, on.Connections)
 }
 
-// checkFloodConnections checks what the admin API shows of the connections during a flood.
+// checkFloodConnections checks the admin API's view of the connections during a flood.
 func checkFloodConnections(t *testing.T, raw json.RawMessage) {
 	t.Helper()
 	var connections struct {
@@ -65,8 +65,8 @@
 	}
 }
 
-// The system's descriptor limit falls below what is open under load, and rises again: no accepted request is lost, the
-// daemon does not spin, and service recovers.
+// The daemon's descriptor limit is lowered under load, below the number of open descriptors, and restored later: no
+// accepted request is lost, the daemon does not spin, and service recovers.
 func TestDescriptorsRunOut(t *testing.T) {
 	flood := smallFlood()
 	flood.Hostile = 200
@@ -105,7 +105,7 @@
 		t.Logf("second %d: sent %d, served %d, rejected %d, failed %d, lost %d",
 			i, second.Replayed, second.Served, second.Rejected, second.Failed, second.Lost)
 	}
-	last := result.seconds[6] // the last complete second of sending, two after the limit rose
+	last := result.seconds[6] // the last complete second in which requests are sent, two after the limit is restored
 	if last.Served < last.Replayed*9/10 || last.Replayed < 80 {
 		t.Errorf("two seconds after the limit rose %d were sent and %d served, want at least 80 and nine tenths of them", last.Replayed, last.Served)
 	}
--- a/cmd/rehearse/floodpart.go
+++ b/cmd/rehearse/floodpart.go
@@ -23,22 +23,22 @@
 const (
 	firstKnownClient   = "127.9.0.1"
 	floodWorkers       = 9
-	floodLead          = time.Second     // before the first request of known clients
-	hostileOverrun     = 2 * time.Second // that hostile clients run longer than known ones send
-	knownKeys          = 997             // different keys of known clients' requests
-	exhaustedLimit     = 16              // descriptors left while they are exhausted
+	floodLead          = time.Second     // time from the start of a part to the first request of known clients
+	hostileOverrun     = 2 * time.Second // by how much longer hostile clients run than known clients send
+	knownKeys          = 997             // number of different keys of known clients' requests
+	exhaustedLimit     = 16              // the daemon's descriptor limit while descriptors are exhausted
 	maxConnectionsJSON = 64 << 10        // bytes of the admin API's answer
 )
 
-// floodPart is one part of the run.
+// floodPart is one part of a flood run: one daemon under load.
 type floodPart struct {
 	name           string
-	operatorFile   string // empty: admission is off
+	operatorFile   string // empty if admission is off
 	hostileClients int
-	during         func(*standin.Fleet) // runs beside the load, which the part waits for; may be nil
+	during         func(*standin.Fleet) // runs concurrently with the load; the part waits until it returns; may be nil
 }
 
-// runPart runs one part.
+// runPart runs one part with a new daemon and returns its result.
 func (c *floodCmd) runPart(part floodPart) (floodResult, error) {
 	dir, err := os.MkdirTemp("", "hollyyoke-flood")
 	if err != nil {
@@ -80,7 +80,8 @@
 	return result, nil
 }
 
-// knownLoad returns a recording of the known clients' requests, at even distances: three status checks, then a renewal.
+// knownLoad returns a recording of the known clients' requests at regular intervals: three status checks, then a
+// renewal.
 func (c *floodCmd) knownLoad() (*recording.Reader, error) {
 	var file bytes.Buffer
 	writer, err := recording.NewWriter(&file, &recordingpb.Header{
@@ -103,7 +104,7 @@
 	return recording.NewReader(&file)
 }
 
-// knownEntry is one request of known clients.
+// knownEntry returns the known clients' request with a number, from 0.
 func (c *floodCmd) knownEntry(number int) recording.Entry {
 	entry := recording.Entry{
 		Arrival:  floodLead + time.Duration(float64(number)/c.Rate*float64(time.Second)),
@@ -148,7 +149,7 @@
 	})
 }
 
-// startHostile starts the hostile clients and returns the channel that gets their counts.
+// startHostile starts the hostile clients and returns a channel that receives their counts when they have stopped.
 func (c *floodCmd) startHostile(target string, clients int) <-chan hostileload.Counts {
 	counts := make(chan hostileload.Counts, 1)
 	if clients == 0 {
@@ -196,7 +197,7 @@
 	})
 }
 
-// connectionsJSON returns the admin API's view of the connections; nil if it does not answer.
+// connectionsJSON returns the admin API's view of the connections, or nil if the API does not answer.
 func connectionsJSON(fleet *standin.Fleet) json.RawMessage {
 	response, err := http.Get("http://" + fleet.AdminAddress() + "/control/connections")
 	if err != nil {
@@ -218,7 +219,7 @@
 	}
 }
 
-// exhaustMiddleThird is measureMiddleThird with the daemon's descriptor limit lowered for that third. Where the limit
+// exhaustMiddleThird is measureMiddleThird with the daemon's descriptor limit lowered for that third. If the limit
 // cannot be read, nothing is measured.
 func (c *floodCmd) exhaustMiddleThird(spent *time.Duration) func(*standin.Fleet) {
 	return func(fleet *standin.Fleet) {
--- a/cmd/rehearse/floodresult.go
+++ b/cmd/rehearse/floodresult.go
@@ -32,7 +32,7 @@
 	Rejections map[string]int `json:"Refusals"`
 	Failures   map[string]int `json:"Failures"`
 	seconds    []*replay.Second
-	lost       int // or answered twice
+	lost       int // requests that were lost or answered twice
 }
 
 // percent returns a count as a percentage of the requests sent.
@@ -60,7 +60,7 @@
 	r.MaxMs = float64(latency.Max) / 1000
 }
 
-// writeFlood writes a table of the parts.
+// writeFlood writes a table with a row for each part, followed by its reasons of rejections and failures.
 func writeFlood(out io.Writer, results []floodResult) {
 	fmt.Fprintf(out, "%-14s %6s %9s %9s %9s %8s %8s %8s %9s %10s %10s\n",
 		"known clients", "sent", "answered", "served", "in time", "p50 ms", "p99 ms", "max ms", "CPU ms/s", "hostile", "rejected")
@@ -77,14 +77,14 @@
 	}
 }
 
-// writeReasons writes how often each reason was given.
+// writeReasons writes how often each reason occurred, sorted by reason.
 func writeReasons(out io.Writer, outcome string, counts map[string]int) {
 	for _, reason := range slices.Sorted(maps.Keys(counts)) {
 		fmt.Fprintf(out, "  %s: %d  %s\n", outcome, counts[reason], reason)
 	}
 }
 
-// writeRecovery writes the seconds around the one in which the descriptors are back.
+// writeRecovery writes the seconds around the one in which descriptors are available again.
 func writeRecovery(out io.Writer, seconds []*replay.Second, recoverySecond int) {
 	const (
 		shownBefore = 1
--- a/cmd/rehearse/fulldisk_test.go
+++ b/cmd/rehearse/fulldisk_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// A file that cannot be written to its end is an error. It was lost, and the command succeeded: the result that the
-// deferred close set was another variable of the same name.
+// A command fails if an output file cannot be written completely. Such an error was once lost, and the command
+// succeeded, because the deferred close assigned it to a variable that shadowed the result of the same name.
 func TestFullDiskIsReported(t *testing.T) {
 	const fullDisk = "/dev/full"
 	if _, err := os.Stat(fullDisk); err != nil {
@@ -30,7 +30,7 @@
 	}
 }
 
-// Reasons are printed in one order in all runs.
+// Reasons are printed in the same order in all runs, sorted.
 func TestFloodReasonsHaveOneOrder(t *testing.T) {
 	counts := map[string]int{"c": 1, "a": 1, "b": 7, "e": 1, "d": 1}
 	for range 20 {
--- a/cmd/rehearse/generate.go
+++ b/cmd/rehearse/generate.go
@@ -7,15 +7,15 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/recording"
 )
 
-// generateCmd generates a log.
+// generateCmd generates a synthetic log.
 type generateCmd struct {
-	Shape    string        `enum:"steady,rush,morning" default:"steady" help:"steady, rush or morning."`
+	Shape    string        `enum:"steady,rush,morning" default:"steady" help:"Shape of the rate over time: steady, rush or morning."`
 	Rate     float64       `default:"100" help:"Entries per second, on average."`
-	Duration time.Duration `name:"for" default:"60s" help:"How long."`
-	MeanMs   float64       `default:"30" help:"Mean duration, ms."`
-	Members  int           `default:"100000" help:"Different members."`
+	Duration time.Duration `name:"for" default:"60s" help:"Length of the log."`
+	MeanMs   float64       `default:"30" help:"Mean duration of a request, in ms."`
+	Members  int           `default:"100000" help:"Number of different members."`
 	Seed     uint64        `default:"1"`
-	Precise  bool          `help:"Stamps of milliseconds, to be imported with the format that is logged on standard error."`
+	Precise  bool          `help:"Write timestamps in milliseconds. The format to import the log with is logged on standard error."`
 }
 
 // Run writes the log to standard output.
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// formatsCmd lists the formats of inputs.
+// formatsCmd lists the formats that import reads.
 type formatsCmd struct{}
 
 // Run lists the formats.
--- a/cmd/rehearse/golden_test.go
+++ b/cmd/rehearse/golden_test.go
@@ -18,7 +18,7 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/simulator"
 )
 
-// Operators' units and scripts depend on the command line, whose names are derived from Go names.
+// Operators' service units and scripts depend on the command line, whose names are derived from Go names.
 func TestGoldenCommandLine(t *testing.T) {
 	parser, err := kong.New(&cli{})
 	if err != nil {
--- a/cmd/rehearse/import.go
+++ b/cmd/rehearse/import.go
@@ -9,19 +9,19 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/recording"
 )
 
-// importCmd imports logs into a recording. It leaves neither a partial recording nor its temporary files behind.
+// importCmd imports logs into a recording. It leaves no temporary files behind, and no partial recording if it fails.
 type importCmd struct {
-	Rules          string            `required:"" help:"The file of rules that map entries to classes."`
-	Seed           uint64            `default:"1" help:"Of everything that is drawn."`
+	Rules          string            `required:"" help:"File with the rules that map entries to classes."`
+	Seed           uint64            `default:"1" help:"Seed of all random values."`
 	Format         string            `default:"auto" help:"The inputs' format; 'formats' lists them."`
-	Zone           string            `default:"UTC" help:"Time zone of stamps that name none."`
-	Offset         map[string]string `help:"Added to a source's stamps: NAME=7s or NAME=-1.5s; else it is estimated."`
-	KeepDuplicates bool              `help:"Keep both of a request that two sources saw."`
-	Secret         string            `help:"File whose content keys the pseudonyms, so that imports of several days agree."`
+	Zone           string            `default:"UTC" help:"Time zone of timestamps that have none."`
+	Offset         map[string]string `help:"Offset to add to a source's timestamps, as NAME=7s or NAME=-1.5s; by default it is estimated."`
+	KeepDuplicates bool              `help:"Keep both entries of a request that two sources have logged."`
+	Secret         string            `help:"File with the secret key of the pseudonyms, so that imports of several days use the same ones."`
 	Strict         bool              `help:"End with 1 if any entry is malformed or a source is cut."`
-	Rejects        string            `help:"File for every malformed entry, as JSON lines."`
+	Rejects        string            `help:"File to write all malformed entries to, as JSON lines."`
 	JSON           bool              `name:"json" help:"Print the report as JSON."`
-	Output         string            `short:"o" required:"" help:"The recording."`
+	Output         string            `short:"o" required:"" help:"The recording to write."`
 	Inputs         []string          `arg:"" name:"in" help:"Files, plain or packed by gzip or zstd; - is standard input; NAME=FILE names the source. Parts of one rotated log are one source."`
 }
 
@@ -38,10 +38,10 @@
 	return &rules, text, nil
 }
 
-// minSecretBytes is the length below which a secret is rejected.
+// minSecretBytes is the minimum length of a secret.
 const minSecretBytes = 16
 
-// options returns the options of the import that the flags give.
+// options returns the options of the import, as set by the flags.
 func (c *importCmd) options() (recording.Options, error) {
 	options := recording.Options{Seed: c.Seed, Format: c.Format, KeepDuplicates: c.KeepDuplicates, Offsets: map[string]time.Duration{}}
 	var err error
@@ -67,12 +67,12 @@
 		return options, err
 	}
 	if len(options.Secret) < minSecretBytes {
-		return options, fmt.Errorf("%s: fewer than %d bytes are no secret", c.Secret, minSecretBytes)
+		return options, fmt.Errorf("%s: the secret has fewer than %d bytes", c.Secret, minSecretBytes)
 	}
 	return options, nil
 }
 
-// importTo imports the inputs into a file. Where it returns both a report and an error, the report is valid.
+// importTo imports the inputs into a file. If it returns both a report and an error, the report is valid.
 func (c *importCmd) importTo(env *environment, path string) (report *recording.Report, err error) {
 	options, err := c.options()
 	if err != nil {
@@ -90,7 +90,7 @@
 	defer os.RemoveAll(dir)
 	options.Spool = &spool{dir: dir}
 	if c.Rejects != "" {
-		rejects, createErr := createRejects(c.Rejects) // not err: the result, which the deferred close sets
+		rejects, createErr := createRejects(c.Rejects) // not named err, so that the deferred function sets the result
 		if createErr != nil {
 			return nil, createErr
 		}
@@ -136,7 +136,7 @@
 	return nil
 }
 
-// checkStrict returns a violationError if an entry is malformed or a source is cut.
+// checkStrict returns a violationError if an entry is malformed or a source is truncated.
 func checkStrict(report *recording.Report) error {
 	switch {
 	case report.Truncated():
--- a/cmd/rehearse/import_test.go
+++ b/cmd/rehearse/import_test.go
@@ -32,7 +32,7 @@
 	return content
 }
 
-// The sample has one malformed line, which the report and the file of rejects show alike.
+// The sample has one malformed line. The report and the file of rejects have the same description of it.
 func TestImportReport(t *testing.T) {
 	rejectsPath := filepath.Join(t.TempDir(), "rejects")
 	path := filepath.Join(t.TempDir(), "a.rec")
@@ -53,7 +53,7 @@
 	}
 }
 
-// What else an import writes does not change the recording.
+// The same input, rules and seed give the same recording, whether or not the import also writes rejects and JSON.
 func TestImportFollowsSeed(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "a.rec")
@@ -88,7 +88,7 @@
 	}
 }
 
-// Errors say what is wrong, and commands that fail leave no output behind.
+// Errors say what is wrong, and commands that fail leave no output file.
 func TestCommandErrors(t *testing.T) {
 	sample := importSample(t)
 	content := readFile(t, sample)
@@ -126,7 +126,7 @@
 	}
 }
 
-// The commands on recordings work on each other's output. The command scale of earlier versions is one of them.
+// The commands on recordings accept each other's output. They include the command scale of earlier versions.
 func TestRecordingCommands(t *testing.T) {
 	sample := importSample(t)
 	dir := t.TempDir()
--- a/cmd/rehearse/importfiles.go
+++ b/cmd/rehearse/importfiles.go
@@ -12,10 +12,10 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/recording"
 )
 
-// spool stores the sorted runs of an import as files of a directory.
+// spool stores the sorted runs of an import as files in a directory.
 type spool struct {
 	dir   string
-	count int // of runs created
+	count int // number of runs created
 }
 
 func (s *spool) path(number int) string { return filepath.Join(s.dir, strconv.Itoa(number)) }
@@ -35,7 +35,7 @@
 	file    *os.File
 	buffer  *bufio.Writer
 	encoder *json.Encoder
-	err     error // the first of add
+	err     error // first error of add
 }
 
 func createRejects(path string) (*rejectsFile, error) {
@@ -47,7 +47,7 @@
 	return &rejectsFile{file: file, buffer: buffer, encoder: json.NewEncoder(buffer)}, nil
 }
 
-// add writes an entry. An error is kept for close.
+// add writes an entry. Its first error is returned by close.
 func (f *rejectsFile) add(reject recording.Reject) {
 	err := f.encoder.Encode(reject)
 	if f.err == nil {
--- a/cmd/rehearse/importinputs.go
+++ b/cmd/rehearse/importinputs.go
@@ -16,10 +16,10 @@
 	stdinSource   = "stdin"
 )
 
-// rotationSuffix is what log rotation and packing add to the name of a file.
+// rotationSuffix matches the suffixes that log rotation and compression add to the name of a file.
 var rotationSuffix = regexp.MustCompile(`(\.[0-9]+|[.-][0-9]{4}-?[0-9]{2}-?[0-9]{2})?(\.(gz|zst|zstd))?$`)
 
-// sourceName returns the name of the source of a file: its name without what log rotation adds.
+// sourceName returns the name of the source of a file: the file's name without the suffixes of log rotation.
 func sourceName(path string) string {
 	name := filepath.Base(path)
 	if short := rotationSuffix.ReplaceAllString(name, ""); short != "" {
@@ -28,8 +28,8 @@
 	return name
 }
 
-// splitInput splits an input as the command line gives it into the name of its source and the path of its file. The
-// name is empty unless the input has the form NAME=FILE and is not a file itself.
+// splitInput splits an input of the command line into the name of its source and the path of its file. The name is
+// empty unless the argument has the form NAME=FILE and no file has the whole argument as its path.
 func splitInput(argument string) (source, path string) {
 	if _, err := os.Stat(argument); err == nil {
 		return "", argument
--- a/cmd/rehearse/importreport.go
+++ b/cmd/rehearse/importreport.go
@@ -10,7 +10,7 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/recording"
 )
 
-// maxListedRejects is how many malformed entries a report lists.
+// maxListedRejects is the number of malformed entries that a report in text form lists.
 const maxListedRejects = 20
 
 // writeImportReport writes the report of an import as text.
@@ -32,7 +32,7 @@
 		fmt.Fprintf(w, "made-up keys: %s\n", report.SyntheticKeys)
 	}
 	for i, source := range report.Sources {
-		isReference := i == 0 // of the others' clock offsets
+		isReference := i == 0 // clock offsets of the other sources are relative to the first
 		writeImportedSource(w, source, isReference)
 	}
 	writeRejects(w, report)
--- a/cmd/rehearse/inspect.go
+++ b/cmd/rehearse/inspect.go
@@ -11,7 +11,7 @@
 
 // inspectCmd checks a recording and writes its contents.
 type inspectCmd struct {
-	JSON bool   `name:"json" help:"As JSON."`
+	JSON bool   `name:"json" help:"Print as JSON."`
 	File string `arg:"" help:"The recording."`
 }
 
@@ -34,10 +34,10 @@
 	return nil
 }
 
-// maxCountedKeys bounds the memory for counting different keys.
+// maxCountedKeys limits the number of different keys that are counted, and thus the memory for them.
 const maxCountedKeys = 1_000_000
 
-// readContents reads a recording to its end. Header is left empty.
+// readContents reads a recording to its end. It leaves the field Header empty.
 func readContents(reader *recording.Reader) (recordingContents, error) {
 	contents := recordingContents{
 		Version: reader.Header.Version,
@@ -46,7 +46,7 @@
 	}
 	keys := map[uint64]struct{}{}
 	currentSecond := time.Duration(-1)
-	inSecond := 0 // entries of the current second
+	inSecond := 0 // number of entries in the current second
 	err := reader.ForEach(func(entry *recording.Entry) error {
 		contents.Entries++
 		contents.SpanS = entry.Arrival.Seconds()
@@ -104,7 +104,7 @@
 	}
 }
 
-// writeClass writes the part of one class as text.
+// writeClass writes the counts of one class as text.
 func writeClass(out io.Writer, name string, counts *classContents) {
 	idempotency := "not idempotent: replayed only to proven stand-ins"
 	if counts.Retryable {
@@ -129,7 +129,7 @@
 	}
 }
 
-// secondsFromMicroseconds converts microseconds.
+// secondsFromMicroseconds converts microseconds to seconds.
 func secondsFromMicroseconds(microseconds int64) float64 { return float64(microseconds) / 1e6 }
 
 // recordingContents is the output of inspect.
@@ -144,7 +144,7 @@
 	Header   any                       `json:"header"`
 }
 
-// classContents is the part of one class.
+// classContents are the counts of one class.
 type classContents struct {
 	Entries        int     `json:"entries"`
 	Retryable      bool    `json:"retryable"`
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -1,6 +1,7 @@
-// Command rehearse turns access logs and HAR files into canonical recordings and replays them: to a dispatcher that it
-// starts with stand-ins around it, or to one that runs already. It also runs the simulator, the scale, slope and soak runs
-// and the connection floods of the dispatcher. Every command fails if a rule was violated.
+// Command rehearse turns access logs and HAR files into canonical recordings and replays them to a dispatcher: to one
+// that it starts together with stand-ins for everything around it, or to one that runs already. It also runs the
+// simulator, and scale runs, slope runs, soak runs and connection floods of the dispatcher. Every command fails if a
+// rule was violated.
 package main
 
 import (
@@ -26,7 +27,7 @@
 
 func (v violationError) Error() string { return v.message }
 
-// environment has what commands read from and write to.
+// environment has the streams and the log of a command.
 type environment struct {
 	in            io.Reader
 	out, errOut   io.Writer
@@ -43,7 +44,7 @@
 	return &environment{in: in, out: out, errOut: errOut, log: slog.New(handler), errIsTerminal: isTerminal(errOut)}
 }
 
-// isTerminal reports whether what is written appears on a terminal.
+// isTerminal reports whether a writer is a terminal.
 func isTerminal(w io.Writer) bool {
 	file, isFile := w.(*os.File)
 	if !isFile {
@@ -56,30 +57,31 @@
 // cli has the global flags and the commands. kong derives the names of commands, flags and arguments from the names of
 // fields, except where a tag gives them.
 type cli struct {
-	LogFormat string `enum:"text,json" default:"text" help:"Form of the log on standard error: text or json."`
+	LogFormat string `enum:"text,json" default:"text" help:"Format of the log on standard error: text or json."`
 
-	Import   importCmd   `cmd:"" help:"Make a canonical recording of access logs and HAR files."`
-	Inspect  inspectCmd  `cmd:"" help:"Check a recording and write what it contains."`
+	Import   importCmd   `cmd:"" help:"Make a canonical recording from access logs and HAR files."`
+	Inspect  inspectCmd  `cmd:"" help:"Check a recording and print what it contains."`
 	Slice    sliceCmd    `cmd:"" help:"Cut a window of time out of a recording."`
-	Merge    mergeCmd    `cmd:"" help:"Put recordings together."`
+	Merge    mergeCmd    `cmd:"" help:"Merge recordings into one."`
 	Rescale  rescaleCmd  `cmd:"" help:"Change a recording's rate or speed."`
-	Run      runCmd      `cmd:"" help:"Start the daemon and stand-ins, replay a recording, check the ledger, report."`
+	Run      runCmd      `cmd:"" help:"Start the daemon and stand-ins, replay a recording, check the ledger and write a report."`
 	Replay   replayCmd   `cmd:"" help:"Replay a recording to a daemon that runs already; requests that are not idempotent are withheld."`
 	Generate generateCmd `cmd:"" help:"Generate a log of a known shape, for measurements."`
 	Flood    floodCmd    `cmd:"" help:"Send known clients' requests together with hostile load, with connection admission on and off."`
 	Sim      simCmd      `cmd:"" help:"Simulate a fleet in virtual time; the same seed gives the same run."`
-	Slopes   slopesCmd   `cmd:"" help:"Measure what one daemon costs by the number of listed workers."`
+	Slopes   slopesCmd   `cmd:"" help:"Measure the cost of one daemon by the number of listed workers."`
 	Capacity capacityCmd `cmd:"" help:"Write docs/CAPACITY.md from the runs and assumptions in docs/capacity."`
-	Scale    scaleCmd    `cmd:"" help:"Run many dispatchers with their control machines, and measure what control costs."`
+	Scale    scaleCmd    `cmd:"" help:"Run many dispatchers with their control machines, and measure the cost of control."`
 	Soak     soakCmd     `cmd:"" help:"Run dispatchers under random overlapping faults, and check from outside whether the rules hold."`
 	Formats  formatsCmd  `cmd:"" help:"List the formats that import reads."`
 	Version  versionCmd  `cmd:"" help:"Print the version."`
 
-	ScaleHollow scaleHollowCmd `cmd:"" hidden:"" help:"Run a process of hollow dispatchers, for scale."`
-	ScaleOrigin scaleOriginCmd `cmd:"" hidden:"" help:"Run the origin, for scale."`
+	ScaleHollow scaleHollowCmd `cmd:"" hidden:"" help:"Run a process of hollow dispatchers for the scale command."`
+	ScaleOrigin scaleOriginCmd `cmd:"" hidden:"" help:"Run the origin for the scale command."`
 }
 
-// importMemoryLimit keeps an import below 64 MB whatever it reads. Commands that need more lift it.
+// importMemoryLimit is the limit for the Go runtime that keeps an import below 64 MB, whatever its input. Commands that
+// need more memory lift the limit.
 const importMemoryLimit = 48 << 20
 
 // main runs the command line of the process.
@@ -101,7 +103,7 @@
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}),
 	)
 	if err != nil {
-		panic(err) // the declarations above are wrong
+		panic(err) // the declarations in cli are invalid
 	}
 	parsed, err := parser.Parse(translateEarlier(args))
 	if exitCode >= 0 {
--- a/cmd/rehearse/main_test.go
+++ b/cmd/rehearse/main_test.go
@@ -17,7 +17,7 @@
 	sampleLog = "../../deploy/sample/access.log"
 )
 
-// daemon is the path of the daemon's program, which TestMain builds. dispatcher-serve stands beside it.
+// daemon is the path of the daemon's program, which TestMain builds. The same directory has dispatcher-serve.
 var daemon string
 
 func TestMain(m *testing.M) {
@@ -37,7 +37,7 @@
 	os.Exit(code)
 }
 
-// commandResult is what a command line left behind.
+// commandResult is the exit code and the output of a command line.
 type commandResult struct {
 	args     []string
 	exitCode int
@@ -57,7 +57,7 @@
 	return fmt.Sprintf("%q: exit code %d\n%s%s", r.args, r.exitCode, r.out, r.errOut)
 }
 
-// writeFile writes a file in a directory of its own and returns its path.
+// writeFile writes a file to a new temporary directory and returns its path.
 func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
--- a/cmd/rehearse/process.go
+++ b/cmd/rehearse/process.go
@@ -8,7 +8,7 @@
 	"syscall"
 )
 
-// The programs of this project that commands start, as they stand beside this one.
+// The programs of this project that commands start. They are expected in the directory of this program.
 const (
 	daemonProgram      = "dispatcher"
 	daemonServeProgram = "dispatcher-serve"
@@ -17,8 +17,8 @@
 
 var errNoDaemon = errors.New("no daemon beside this program: build it, or name it by --daemon")
 
-// siblingProgram returns the given program or, if none is given, the one of that name beside this program. The
-// program need not exist.
+// siblingProgram returns the given program or, if none is given, the path of the program with a name in the directory
+// of this program. It does not check that this program exists.
 func siblingProgram(given, name string) (string, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -27,7 +27,8 @@
 	return cmp.Or(given, filepath.Join(filepath.Dir(self), name)), nil
 }
 
-// daemonPath returns the given program or, if none is given, the daemon beside this program, which must exist.
+// daemonPath returns the given program or, if none is given, the daemon in the directory of this program. That daemon
+// must exist.
 func daemonPath(given string) (string, error) {
 	if given != "" {
 		return given, nil
@@ -42,8 +43,8 @@
 	return path, nil
 }
 
-// raiseDescriptorLimit raises the soft limit on descriptors to the hard one. If that fails, fewer connections can be
-// open.
+// raiseDescriptorLimit raises the soft limit on descriptors to the hard limit. An error is ignored; fewer connections
+// can then be open.
 func raiseDescriptorLimit() {
 	var limit syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit) != nil || limit.Cur >= limit.Max {
--- a/cmd/rehearse/progress.go
+++ b/cmd/rehearse/progress.go
@@ -11,7 +11,7 @@
 // progressInterval is the shortest time between two updates of a progress bar.
 const progressInterval = 200 * time.Millisecond
 
-// progressBar returns a function that shows how much of a total is done; nil if standard error is no terminal.
+// progressBar returns a function that shows how much of a total is done, or nil if standard error is not a terminal.
 func progressBar(env *environment, total int) func(done int) {
 	if !env.errIsTerminal {
 		return nil
@@ -24,7 +24,7 @@
 	return func(done int) { bar.Set(done) }
 }
 
-// importProgressBar returns a bar over the bytes of the inputs of an import, which may be named as NAME=FILE.
+// importProgressBar returns a bar for the bytes of an import's inputs, which may have the form NAME=FILE.
 func importProgressBar(env *environment, inputs []string) *progressbar.ProgressBar {
 	total := int64(0)
 	for _, path := range inputs {
--- a/cmd/rehearse/recordingload.go
+++ b/cmd/rehearse/recordingload.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	loadWindowS     = 10          // length in seconds of the windows of which the busiest counts
-	minClassTimeout = time.Second // of a class in the daemon's configuration
+	loadWindowS     = 10          // length, in seconds, of the windows of which the busiest determines the load
+	minClassTimeout = time.Second // shortest timeout of a class in the daemon's configuration
 )
 
-// recordingLoad is the load that a recording is for workers.
+// recordingLoad is the load that a recording puts on workers.
 type recordingLoad struct {
 	entries  int
 	workRate float64 // slots times seconds of work per second, in the busiest window
 	classes  []standin.ClassConfig
 }
 
-// measureRecording reads a recording to its end and returns its load at a speed.
+// measureRecording reads a recording to its end and returns its load when it is replayed at a speed.
 func measureRecording(path string, speed float64) (recordingLoad, error) {
 	reader, closeAll, err := openRecording(path)
 	if err != nil {
--- a/cmd/rehearse/replay.go
+++ b/cmd/rehearse/replay.go
@@ -25,19 +25,19 @@
 // replayCmd replays a recording, or a log that it imports, to a daemon that runs already. Requests that are not
 // idempotent are withheld.
 type replayCmd struct {
-	Recording string  `help:"The recording."`
-	Target    string  `name:"to" required:"" help:"The daemon, host:port on a loopback address."`
-	FrontEnd  string  `name:"front" default:"platform" help:"The front end that it has: platform or faktory."`
-	Password  string  `help:"Of the Faktory front end."`
-	Seed      uint64  `default:"0" help:"Of the ids; 0: new ones each time, as a daemon takes an id only once."`
-	Speed     float64 `default:"1" help:"Times as fast."`
+	Recording string  `help:"The recording to replay."`
+	Target    string  `name:"to" required:"" help:"The daemon's address, as host:port on a loopback address."`
+	FrontEnd  string  `name:"front" default:"platform" help:"The daemon's front end: platform or faktory."`
+	Password  string  `help:"Password of the Faktory front end."`
+	Seed      uint64  `default:"0" help:"Seed of the ids; with 0 they are new each time, since a daemon accepts an id only once."`
+	Speed     float64 `default:"1" help:"Factor on the recording's speed."`
 	Report    string  `help:"Directory for report.json and report.html."`
 	JSON      bool    `name:"json" help:"Print the report as JSON."`
 
-	Input string        `name:"in" help:"Instead of a recording: a log or HAR file, imported on the way (with --rules)."`
-	Rules string        `help:"The file of rules for --in."`
-	Limit int           `default:"0" hidden:"" help:"Of earlier versions; without effect."`
-	Span  time.Duration `default:"0" help:"Of --in: replay no more than this from its start on; 0: all."`
+	Input string        `name:"in" help:"Log or HAR file to import and replay instead of a recording; needs --rules."`
+	Rules string        `help:"File with the rules for --in."`
+	Limit int           `default:"0" hidden:"" help:"A flag of earlier versions, without effect."`
+	Span  time.Duration `default:"0" help:"How much of --in to replay, from its start; with 0 all of it."`
 }
 
 // Run replays the recording.
@@ -127,7 +127,7 @@
 	defer stop()
 	result, err := replay.Run(ctx, reader, options)
 	if errors.Is(err, context.Canceled) {
-		return nil, errors.New("stopped before its end")
+		return nil, errors.New("the replay was interrupted before its end")
 	}
 	if err != nil {
 		return nil, err
@@ -142,8 +142,8 @@
 	}, nil
 }
 
-// finishReport writes an evaluated report, to dir too unless that is empty. It returns a violationError if a rule was
-// violated, and another error if requests could not be sent.
+// finishReport writes an evaluated report to standard output and, unless dir is empty, to files in dir. It returns a
+// violationError if a rule was violated, and another error if requests could not be sent.
 func finishReport(env *environment, evaluated *report.Report, asJSON bool, dir string) error {
 	if dir != "" {
 		if err := writeReportFiles(dir, evaluated); err != nil {
--- a/cmd/rehearse/replay_test.go
+++ b/cmd/rehearse/replay_test.go
@@ -37,8 +37,8 @@
 	return got, result
 }
 
-// With a daemon that this program did not start, renewals are withheld, whatever the flags; the earlier command line still
-// works.
+// Renewals are withheld from a daemon that this program did not start, whatever the flags are. The command line of
+// earlier versions still works.
 func TestReplayWithholdsRenewals(t *testing.T) {
 	fleet, err := standin.StartFleet(standin.FleetConfig{
 		Daemon:  daemon,
@@ -113,7 +113,8 @@
 	return listener.Addr().String()
 }
 
-// A dispatcher that answers twice or closes the connection without an answer violates a rule.
+// A dispatcher violates a rule if it answers twice, does not answer before it closes the connection, or does not send
+// HTTP.
 func TestReplayFindsRuleViolations(t *testing.T) {
 	path := importedRecording(t, 3, 100)
 	for name, answer := range map[string]string{
--- a/cmd/rehearse/run.go
+++ b/cmd/rehearse/run.go
@@ -11,18 +11,18 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/standin"
 )
 
-// runCmd replays a recording to a daemon that it starts with stand-ins. It alone sends requests that are not
-// idempotent, and only while the stand-ins are proven to be the only workers; no flag changes that.
+// runCmd replays a recording to a daemon that it starts with stand-ins. It is the only command that replays requests
+// that are not idempotent, and only while the stand-ins are proven to be the only workers. No flag changes that.
 type runCmd struct {
-	Recording string  `required:"" help:"The recording."`
-	Seed      uint64  `default:"1" help:"Of ids, service times and the daemon."`
-	Speed     float64 `default:"1" help:"Times as fast."`
+	Recording string  `required:"" help:"The recording to replay."`
+	Seed      uint64  `default:"1" help:"Seed of the ids, the service times and the daemon."`
+	Speed     float64 `default:"1" help:"Factor on the recording's speed."`
 	Report    string  `help:"Directory for report.json and report.html."`
-	FrontEnd  string  `name:"front" enum:"platform,faktory" default:"platform" help:"The front end that is sent to: platform or faktory."`
-	Workers   int     `default:"0" help:"Stand-in workers; 0: as many as the recording's work needs."`
-	Cores     float64 `default:"0" help:"Slots of each worker; 0: 3, and 2 of every third."`
+	FrontEnd  string  `name:"front" enum:"platform,faktory" default:"platform" help:"The front end to send requests to: platform or faktory."`
+	Workers   int     `default:"0" help:"Number of stand-in workers; with 0 as many as the recording's work needs."`
+	Cores     float64 `default:"0" help:"Slots of each worker; with 0, every third worker has 2 and the others have 3."`
 	Noise     float64 `default:"0.1" help:"Coefficient of variation of service times."`
-	Daemon    string  `help:"The daemon's program; not given: dispatcher beside this one."`
+	Daemon    string  `help:"The daemon's program; by default dispatcher in the directory of this program."`
 	JSON      bool    `name:"json" help:"Print the report as JSON."`
 }
 
@@ -36,21 +36,21 @@
 }
 
 const (
-	targetUtilization = 0.6  // of the workers' capacity, in the busiest window
-	meanWorkerSpeed   = 2.3  // slots times speed of a worker, mean of the stand-ins' mixture
-	meanSlotSpeed     = 0.83 // speed of a slot, mean of that mixture
+	targetUtilization = 0.6  // share of the workers' capacity that is used in the busiest window
+	meanWorkerSpeed   = 2.3  // slots times speed of a worker, mean over the kinds of stand-ins
+	meanSlotSpeed     = 0.83 // speed of a slot, mean over the kinds of stand-ins
 	minWorkers        = 3
 	maxWorkers        = 80
-	maxAnnouncedBody  = 60 << 10 // bytes
+	maxAnnouncedBody  = 60 << 10 // largest body size that is announced to the ledger, in bytes
 )
 
-// workerSize is a number of workers and the slots of each; 0 slots: by the kind of the worker.
+// workerSize is a number of workers and the slots of each. With 0 slots, each worker has the slots of its kind.
 type workerSize struct {
 	count int
 	slots float64
 }
 
-// workerSize returns the workers as the flags give them, or enough for the load.
+// workerSize returns the size that the flags set, or one that is enough for the load.
 func (c *runCmd) workerSize(load recordingLoad) workerSize {
 	if c.Workers != 0 {
 		return workerSize{count: c.Workers, slots: c.Cores}
@@ -63,8 +63,8 @@
 	return size
 }
 
-// rehearse runs the daemon and replays the recording. beforeSending, which may be nil, is called before the first
-// request.
+// rehearse starts the daemon and its stand-ins, replays the recording and returns the evaluated report. beforeSending,
+// which may be nil, is called before the first request is sent.
 func (c *runCmd) rehearse(env *environment, beforeSending func(*standin.Fleet)) (*report.Report, error) {
 	debug.SetMemoryLimit(math.MaxInt64)
 	raiseDescriptorLimit()
@@ -119,7 +119,8 @@
 	})
 }
 
-// replayOptions says how the recording is sent to the daemon of a fleet. Every job is announced to the ledger.
+// replayOptions returns the options of the replay to the daemon of a fleet. Every job is announced to the fleet's
+// ledger.
 func (c *runCmd) replayOptions(env *environment, fleet *standin.Fleet, load recordingLoad) replay.Options {
 	options := replay.Options{
 		Target:     fleet.Addr,
@@ -143,7 +144,7 @@
 			ServiceTime: sent.Entry.Duration,
 			Slots:       sent.Entry.Slots,
 		}
-		if options.Faktory { // the body becomes arguments, which the Faktory tests check
+		if options.Faktory { // the body is sent as job arguments, which the tests of Faktory check
 			job.Path = ""
 		}
 		fleet.Ledger.Announce(job)
--- a/cmd/rehearse/run_test.go
+++ b/cmd/rehearse/run_test.go
@@ -19,8 +19,8 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/standin"
 )
 
-// With each front end every entry is served once, the ledger agrees, the report is complete, and the same seed gives
-// the same set of requests.
+// With each front end, every entry is served once, as the ledger confirms, and the report is complete. The same seed
+// gives the same set of requests.
 func TestRunServesEachEntryOnce(t *testing.T) {
 	path := importedRecording(t, 120, 100)
 	idsHashes := map[string]bool{}
@@ -67,7 +67,7 @@
 	}
 }
 
-// checkReportFiles checks that the report's files are there, and that the page has its charts and loads no other file.
+// checkReportFiles checks that the report's files exist, and that the page has its charts and loads no other file.
 func checkReportFiles(t *testing.T, dir string, got *report.Report) {
 	t.Helper()
 	html, err := os.ReadFile(filepath.Join(dir, reportHTMLFile))
@@ -102,7 +102,8 @@
 	return evaluated
 }
 
-// countingProxy poses as a stand-in: it forwards everything to a real one, the challenge too, and counts the renewals.
+// countingProxy acts as a stand-in: it forwards everything to a real one, including the challenge, and counts the
+// renewals.
 type countingProxy struct {
 	listener net.Listener
 	target   string
@@ -153,12 +154,12 @@
 	}
 }
 
-// entry lists the proxy in place of a worker.
+// entry returns the discovery entry that lists the proxy in place of a worker.
 func (p *countingProxy) entry(worker *standin.Worker) standin.Host {
 	return standin.Host{Host: worker.Name, Dial: p.listener.Addr().String(), Site: "russeifa", Class: "standard", Health: "ready"}
 }
 
-// checkProxied checks the report of 50 renewals and 100 status checks in which a proxy was detected.
+// checkProxied checks the report of a replay of 50 renewals and 100 status checks during which a proxy was detected.
 func checkProxied(t *testing.T, got *report.Report, proxy *countingProxy) {
 	t.Helper()
 	renewals := got.Classes["renewal"]
@@ -177,7 +178,7 @@
 	}
 }
 
-// A proxy to a real stand-in that is listed from the start gets no renewal, nor does any other worker.
+// If a proxy to a real stand-in is listed from the start, neither it nor any other worker gets a renewal.
 func TestProxyListedFromStart(t *testing.T) {
 	path := importedRecording(t, 150, 100)
 	var proxy *countingProxy
@@ -196,7 +197,8 @@
 	}
 }
 
-// A proxy to a real stand-in that is listed midway gets no renewal, and none is sent from then on; status checks go on.
+// If a proxy to a real stand-in is listed during the replay, it gets no renewal, and no further renewal is sent to any
+// worker. Status checks continue.
 func TestProxyListedMidway(t *testing.T) {
 	path := importedRecording(t, 150, 100)
 	var proxy *countingProxy
@@ -216,7 +218,8 @@
 	}
 }
 
-// The daemon is killed during the replay: what it had is lost, the rest is withheld or not sent, and the report says so.
+// The daemon is killed during the replay: the requests that it has not answered are lost, the remaining ones are
+// withheld or not sent, and the report gives the reason.
 func TestDaemonKilled(t *testing.T) {
 	path := importedRecording(t, 150, 100)
 	var killing sync.WaitGroup
--- a/cmd/rehearse/scale.go
+++ b/cmd/rehearse/scale.go
@@ -14,19 +14,19 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/scale"
 )
 
-// scaleCmd runs a scale scenario by one mechanism or several, and fails if a bound of the scenario was exceeded.
+// scaleCmd runs a scale scenario with one or more mechanisms, and fails if a bound of the scenario was exceeded.
 type scaleCmd struct {
-	Scenario    string `arg:"" help:"Scenario file, of deploy/scenarios/scale."`
-	Workers     int    `help:"Workers listed; 0: as the scenario says."`
-	Dispatchers int    `help:"Hollow dispatchers; 0: as the scenario says."`
-	Daemons     int    `name:"real" help:"Real daemons; below 0: as the scenario says." default:"-1"`
-	Seed        uint64 `help:"0: as the scenario says."`
-	Mechanism   string `enum:",discovery,relays" default:"" help:"discovery or relays alone; not given: as the scenario says."`
-	JSON        string `name:"json" placeholder:"FILE" help:"Write the figures as JSON."`
-	Chart       string `placeholder:"FILE" help:"Write a chart as SVG."`
-	Changes     string `placeholder:"FILE" help:"Write each change, and how long it took to be in force, as CSV."`
-	Daemon      string `help:"The daemon's program; not given: dispatcher-serve beside this one."`
-	Relay       string `help:"The relay's program; not given: membership-relay beside this one."`
+	Scenario    string `arg:"" help:"Scenario file, such as those in deploy/scenarios/scale."`
+	Workers     int    `help:"Number of listed workers; with 0 that of the scenario."`
+	Dispatchers int    `help:"Number of hollow dispatchers; with 0 that of the scenario."`
+	Daemons     int    `name:"real" help:"Number of real daemons; below 0 that of the scenario." default:"-1"`
+	Seed        uint64 `help:"Seed; with 0 that of the scenario."`
+	Mechanism   string `enum:",discovery,relays" default:"" help:"Run only one mechanism, discovery or relays; by default those of the scenario."`
+	JSON        string `name:"json" placeholder:"FILE" help:"File to write the figures to, as JSON."`
+	Chart       string `placeholder:"FILE" help:"File to write a chart to, as SVG."`
+	Changes     string `placeholder:"FILE" help:"File to write each change and the time until it was in force to, as CSV."`
+	Daemon      string `help:"The daemon's program; by default dispatcher-serve in the directory of this program."`
+	Relay       string `help:"The relay's program; by default membership-relay in the directory of this program."`
 }
 
 // Run runs the scenario.
@@ -83,7 +83,7 @@
 	return scenario, nil
 }
 
-// programs returns the programs of a run. Hollow dispatchers and the origin are hidden commands of this one.
+// programs returns the programs of a run. Hollow dispatchers and the origin are hidden commands of this program.
 func (c *scaleCmd) programs() (scale.Programs, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -121,7 +121,7 @@
 	return strings.Join(args, " ")
 }
 
-// writeResults writes the table and the requested files.
+// writeResults writes the table and the requested files. It returns a violationError if a bound was exceeded.
 func (c *scaleCmd) writeResults(env *environment, runs []*scale.Run, records []scale.Record) error {
 	scale.WriteTable(env.out, runs, records)
 	for _, file := range []struct {
@@ -156,7 +156,7 @@
 	return scale.RunHollow(env.in, env.out)
 }
 
-// scaleOriginCmd runs the origin.
+// scaleOriginCmd runs the process of the origin.
 type scaleOriginCmd struct{}
 
 // Run runs the process until its input ends.
--- a/cmd/rehearse/scale_test.go
+++ b/cmd/rehearse/scale_test.go
@@ -51,7 +51,7 @@
 	return command.ProcessState.ExitCode(), string(output)
 }
 
-// The output of the command as a program, and its exit code where a bound is exceeded.
+// The scale command writes its results, and fails if a bound is exceeded or the scenario is invalid.
 func TestScaleProgram(t *testing.T) {
 	program := buildProgram(t)
 	t.Run("results", func(t *testing.T) {
--- a/cmd/rehearse/sim.go
+++ b/cmd/rehearse/sim.go
@@ -12,7 +12,7 @@
 	Run     simRunCmd     `cmd:"" help:"Run a scenario in virtual time, and check its invariants."`
 	Hunt    simHuntCmd    `cmd:"" help:"Run scenarios with many seeds on all cores, and list the worst runs."`
 	Compare simCompareCmd `cmd:"" help:"Run two scenarios with the same seeds, and report whether they differ."`
-	Shrink  simShrinkCmd  `cmd:"" help:"Reduce a scenario to the smallest whose run with that seed is still bad."`
+	Shrink  simShrinkCmd  `cmd:"" help:"Reduce a scenario as far as possible while its run with a seed is still bad."`
 }
 
 // readScenarios reads scenario files and lifts the memory limit for their runs.
--- a/cmd/rehearse/sim_test.go
+++ b/cmd/rehearse/sim_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// writeScenario writes a variant of the shipped scenario of faults, with the text old replaced, and returns its path.
+// writeScenario writes a shortened copy of the shipped scenario "faults" in which old is replaced, and returns its
+// path.
 func writeScenario(t *testing.T, name, old, replacement string) string {
 	t.Helper()
 	text, err := os.ReadFile("../../deploy/scenarios/faults.toml")
@@ -20,13 +21,13 @@
 	return writeFile(t, name, strings.Replace(short, old, replacement, 1))
 }
 
-// calmScenario is the shipped scenario, called a.
+// calmScenario writes the shipped scenario with the name "a" and returns its path.
 func calmScenario(t *testing.T) string {
 	t.Helper()
 	return writeScenario(t, "a.toml", `name = "faults"`, `name = "a"`)
 }
 
-// busyScenario has nearly twice the requests of calmScenario.
+// busyScenario writes a scenario with nearly twice the requests of calmScenario and returns its path.
 func busyScenario(t *testing.T) string {
 	t.Helper()
 	return writeScenario(t, "b.toml", "rate_per_s = 40", "rate_per_s = 75")
@@ -43,7 +44,7 @@
 	return result.out
 }
 
-// The same scenario and seed give the same events, with a log or without.
+// The same scenario and seed give the same events, whether or not a log is written.
 func TestSimRunFollowsSeed(t *testing.T) {
 	scenario := calmScenario(t)
 	logPath := filepath.Join(t.TempDir(), "log")
--- a/cmd/rehearse/simcompare.go
+++ b/cmd/rehearse/simcompare.go
@@ -9,8 +9,8 @@
 // simCompareCmd compares two scenarios.
 type simCompareCmd struct {
 	ScenarioA string `arg:"" name:"a" help:"Scenario file."`
-	ScenarioB string `arg:"" name:"b" help:"The other."`
-	Seeds     int    `default:"100" help:"Pairs of runs."`
+	ScenarioB string `arg:"" name:"b" help:"Scenario file to compare it with."`
+	Seeds     int    `default:"100" help:"Number of pairs of runs, each with the next seed."`
 	FirstSeed uint64 `name:"from" default:"1" help:"The first seed."`
 }
 
--- a/cmd/rehearse/simhunt.go
+++ b/cmd/rehearse/simhunt.go
@@ -8,12 +8,12 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/simulator"
 )
 
-// simHuntCmd looks for bad runs.
+// simHuntCmd runs scenarios with many seeds and lists the worst runs.
 type simHuntCmd struct {
 	Scenarios []string `arg:"" name:"scenario" help:"Scenario files."`
-	Seeds     int      `default:"100" help:"Runs of each."`
+	Seeds     int      `default:"100" help:"Number of runs of each scenario, each with the next seed."`
 	FirstSeed uint64   `name:"from" default:"1" help:"The first seed."`
-	Worst     int      `default:"10" help:"Runs to list."`
+	Worst     int      `default:"10" help:"Number of runs to list."`
 }
 
 // Run runs the scenarios and fails if an invariant was violated.
--- a/cmd/rehearse/simrun.go
+++ b/cmd/rehearse/simrun.go
@@ -14,10 +14,10 @@
 
 // simRunCmd runs one scenario.
 type simRunCmd struct {
-	Scenario string `arg:"" help:"Scenario file, as deploy/scenarios/day.toml."`
-	Seed     uint64 `default:"1" help:"Of all randomness; the same scenario and seed give the same events."`
-	Log      string `placeholder:"FILE" help:"Write every event, a line each: nanosecond, dispatcher (-1: a worker), step, id, details."`
-	JSON     bool   `name:"json" help:"The result as JSON."`
+	Scenario string `arg:"" help:"Scenario file, such as deploy/scenarios/day.toml."`
+	Seed     uint64 `default:"1" help:"Seed of all random numbers; the same scenario and seed give the same events."`
+	Log      string `placeholder:"FILE" help:"File to write every event to, a line each: nanosecond, dispatcher (-1 for a worker), step, id, details."`
+	JSON     bool   `name:"json" help:"Print the result as JSON."`
 }
 
 // Run runs the scenario and fails if an invariant was violated.
@@ -26,9 +26,9 @@
 	if err != nil {
 		return err
 	}
-	var log io.Writer // nil: no log
+	var log io.Writer // nil if no log is written
 	if c.Log != "" {
-		file, createErr := os.Create(c.Log) // not err: the result, which the deferred close sets
+		file, createErr := os.Create(c.Log) // not named err, so that the deferred function sets the result
 		if createErr != nil {
 			return createErr
 		}
--- a/cmd/rehearse/simshrink.go
+++ b/cmd/rehearse/simshrink.go
@@ -10,7 +10,7 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/simulator"
 )
 
-// Values of --when that are compared; the other one is late.
+// Values of --when that the code compares with. The remaining value is late.
 const (
 	whenViolated = "broken"
 	whenFailed   = "failed"
@@ -20,9 +20,9 @@
 // simShrinkCmd reduces a scenario.
 type simShrinkCmd struct {
 	Scenario string `arg:"" help:"Scenario file."`
-	Seed     uint64 `default:"1" help:"Of the bad run."`
+	Seed     uint64 `default:"1" help:"Seed of the bad run."`
 	When     string `enum:"broken,failed,refused,late" default:"broken" help:"What makes a run bad: a violated invariant, or a request that failed, was rejected or was late."`
-	Output   string `name:"out" short:"o" placeholder:"FILE" help:"Where the small scenario goes; standard output if absent."`
+	Output   string `name:"out" short:"o" placeholder:"FILE" help:"File to write the reduced scenario to; by default standard output."`
 }
 
 // isBad reports whether a run is bad by --when.
--- a/cmd/rehearse/slopes.go
+++ b/cmd/rehearse/slopes.go
@@ -15,21 +15,21 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/capacity"
 )
 
-// slopesCmd measures what one daemon costs by the size of the fleet.
+// slopesCmd measures the cost of one daemon by the number of listed workers.
 type slopesCmd struct {
-	Sizes          []int         `default:"200,660,2100,6600,21000" help:"Listed workers, one size after another."`
-	Repetitions    int           `name:"plays" default:"3" help:"How often each size is measured."`
-	IdleSpan       time.Duration `default:"6s" help:"How long nothing changes."`
-	DeltaSpan      time.Duration `default:"20s" help:"How long workers change one by one."`
-	DeltaRate      float64       `default:"20" help:"Changes a second in that time."`
-	Daemon         string        `help:"The daemon's program; not given: dispatcher-serve beside this one."`
-	ProgramVersion string        `help:"The version of that program, for the file; not given: this one's."`
+	Sizes          []int         `default:"200,660,2100,6600,21000" help:"Numbers of listed workers to measure, one after another."`
+	Repetitions    int           `name:"plays" default:"3" help:"How many times each size is measured."`
+	IdleSpan       time.Duration `default:"6s" help:"How long to measure while nothing changes."`
+	DeltaSpan      time.Duration `default:"20s" help:"How long to measure while workers change one by one."`
+	DeltaRate      float64       `default:"20" help:"Changes per second while workers change."`
+	Daemon         string        `help:"The daemon's program; by default dispatcher-serve in the directory of this program."`
+	ProgramVersion string        `help:"Version of the daemon's program to write to the file; by default that of this program."`
 	Append         bool          `help:"Add the repetitions to those in the file."`
-	ModuleOnly     bool          `name:"module" help:"Only the decision module; its series replace those in the file."`
-	Output         string        `short:"o" required:"" help:"The JSON file."`
+	ModuleOnly     bool          `name:"module" help:"Measure only the decision module; its series replace those in the file."`
+	Output         string        `short:"o" required:"" help:"The JSON file to write."`
 }
 
-// commandLine returns the command that repeats the run, with the flags that matter.
+// commandLine returns the command that repeats the run, with the flags that affect the results.
 func (c *slopesCmd) commandLine() string {
 	var sizes []string
 	for _, size := range c.Sizes {
@@ -39,7 +39,8 @@
 		strings.Join(sizes, ","), c.IdleSpan, c.DeltaSpan, c.DeltaRate)
 }
 
-// program returns the program to measure. The one beside this program is taken only if the daemon stands there too.
+// program returns the program to measure. The default is in the directory of this program, which must also have the
+// daemon.
 func (c *slopesCmd) program() (string, error) {
 	if c.Daemon != "" {
 		return c.Daemon, nil
@@ -51,7 +52,7 @@
 	return filepath.Join(filepath.Dir(daemon), daemonServeProgram), nil
 }
 
-// Run measures and writes the file.
+// Run measures the daemon and writes the file.
 func (c *slopesCmd) Run(env *environment) error {
 	debug.SetMemoryLimit(math.MaxInt64) // the stand-in's lists are large
 	program, err := c.program()
@@ -85,8 +86,8 @@
 	return writeAtomically(c.Output, func(w io.Writer) error { return writeJSON(w, combined) })
 }
 
-// combine returns the measurements to write: those of this run, or those of the output file with this run's added or
-// replaced as the flags say.
+// combine returns the measurements to write: those of this run, or, depending on the flags, those of the output file to
+// which this run's are added or in which they replace series.
 func (c *slopesCmd) combine(measured capacity.Slopes) (capacity.Slopes, error) {
 	if !c.Append && !c.ModuleOnly {
 		return measured, nil
--- a/cmd/rehearse/slopes_test.go
+++ b/cmd/rehearse/slopes_test.go
@@ -10,7 +10,7 @@
 	"hollyyoke.example/hollyyoke/internal/rehearsal/capacity"
 )
 
-// slopeZones is the number of zones in which the listed workers of a slope run stand.
+// slopeZones is the number of zones of the listed workers in a slope run.
 const slopeZones = 17
 
 // positiveSeries are series whose values depend on the machine, but are never zero.
@@ -30,8 +30,8 @@
 	capacity.ModuleSweep:   true,
 }
 
-// A small slope run with the daemon: every series has its values, and those that do not depend on the machine are right.
-// Two runs are merged.
+// In a small slope run with the daemon, every series has values, and those that do not depend on the machine are right.
+// The results of two runs are merged.
 func TestSlopes(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "slopes.json")
 	program := filepath.Join(filepath.Dir(daemon), daemonServeProgram)
--- a/cmd/rehearse/soak.go
+++ b/cmd/rehearse/soak.go
@@ -10,11 +10,11 @@
 
 // soakCmd runs dispatchers under random overlapping faults, one run for each seed.
 type soakCmd struct {
-	Daemon   string        `help:"The program; dispatcher-serve beside this one where not given." type:"path"`
-	Seed     uint64        `default:"1" help:"Of the first run's faults."`
-	Seeds    int           `default:"1" help:"Runs, each with the next seed."`
-	Daemons  int           `default:"24" help:"Dispatchers."`
-	Duration time.Duration `name:"for" default:"30s" help:"How long faults go on in each run."`
+	Daemon   string        `help:"The daemon's program; by default dispatcher-serve in the directory of this program." type:"path"`
+	Seed     uint64        `default:"1" help:"Seed of the first run."`
+	Seeds    int           `default:"1" help:"Number of runs, each with the next seed."`
+	Daemons  int           `default:"24" help:"Number of dispatchers."`
+	Duration time.Duration `name:"for" default:"30s" help:"How long faults occur in each run."`
 }
 
 // Run runs the soaks and fails if a rule was violated; the report names the seed.
--- a/cmd/rehearse/transform.go
+++ b/cmd/rehearse/transform.go
@@ -9,8 +9,8 @@
 
 // sliceCmd cuts a window out of a recording.
 type sliceCmd struct {
-	Start  time.Duration `name:"from" help:"Start of the window, from the recording's start on." default:"0"`
-	End    time.Duration `name:"to" help:"End of the window; 0: the recording's end." default:"0"`
+	Start  time.Duration `name:"from" help:"Start of the window, counted from the recording's start." default:"0"`
+	End    time.Duration `name:"to" help:"End of the window, counted from the recording's start; 0 is the recording's end." default:"0"`
 	Output string        `short:"o" required:"" help:"The new recording."`
 	File   string        `arg:"" help:"The recording."`
 }
@@ -27,9 +27,9 @@
 
 // mergeCmd merges recordings.
 type mergeCmd struct {
-	Align  bool     `help:"Let all start at once, not by their clocks."`
+	Align  bool     `help:"Let all recordings start at the same time, instead of when they were recorded."`
 	Output string   `short:"o" required:"" help:"The new recording."`
-	Files  []string `arg:"" help:"The recordings."`
+	Files  []string `arg:"" help:"The recordings to merge."`
 }
 
 // Run writes the entries of all recordings as a new one.
@@ -48,9 +48,9 @@
 
 // rescaleCmd changes a recording's rate or speed.
 type rescaleCmd struct {
-	Rate   float64 `help:"Times as many entries: below 1 some are left out, above 1 copies are added." default:"1"`
-	Speed  float64 `help:"Times as fast." default:"1"`
-	Seed   uint64  `help:"Of what is left out or added." default:"1"`
+	Rate   float64 `help:"Factor on the number of entries: below 1 some are left out, above 1 copies are added." default:"1"`
+	Speed  float64 `help:"Factor on the recording's speed." default:"1"`
+	Seed   uint64  `help:"Seed of the choice of entries that are left out or copied." default:"1"`
 	Output string  `short:"o" required:"" help:"The new recording."`
 	File   string  `arg:"" help:"The recording."`
 }
