--- a/internal/goldentest/keys.go
+++ b/internal/goldentest/keys.go
@@ -69,7 +69,8 @@
 	}
 }
 
-// opaqueKind returns the kind of a type whose parts the encoder does not encode one by one. It is empty for other types.
+// opaqueKind returns the kind of a type whose parts the encoder does not encode one by one. It is empty for other
+// types.
 func (k *keyPaths) opaqueKind(t reflect.Type) string {
 	switch {
 	case t == timeType:
--- a/internal/goldentest/scenarios.go
+++ b/internal/goldentest/scenarios.go
@@ -9,8 +9,9 @@
 	"testing"
 )
 
-// CompareScenarios compares a kind of scenario file with testdata/scenarios.golden: its keys, the content of the files that
-// match pattern, with defaults, and the errors for invalid texts. A test of the format of such a file needs nothing else.
+// CompareScenarios compares a kind of scenario file with testdata/scenarios.golden: its keys, the content of the files
+// that match pattern, with defaults, and the errors for invalid texts. A test of the format of such a file needs
+// nothing else.
 func CompareScenarios[T any](t *testing.T, pattern string, read func(path string) (T, error), invalid ...string) {
 	t.Helper()
 	lines := Keys(reflect.TypeFor[T](), "toml")
--- a/internal/rehearsal/report/chart.go
+++ b/internal/rehearsal/report/chart.go
@@ -75,7 +75,8 @@
 	return nil
 }
 
-// meanPoints returns the points of a series, at most maxLinePoints. In a longer series each point is the mean of several seconds.
+// meanPoints returns the points of a series, at most maxLinePoints. In a longer series each point is the mean of
+// several seconds.
 func meanPoints(seconds []*replay.Second, value func(*replay.Second) int) plotter.XYs {
 	step := max((len(seconds)+maxLinePoints-1)/maxLinePoints, 1)
 	var points plotter.XYs
--- a/internal/rehearsal/report/report.go
+++ b/internal/rehearsal/report/report.go
@@ -37,8 +37,8 @@
 	Passed         bool   `json:"kept"`
 }
 
-// Import is what the recording's header says about its import. Counts are the numbers of lines or entries of the sources,
-// by how the import treated them.
+// Import is what the recording's header says about its import. Counts are the numbers of lines or entries of the
+// sources, by how the import treated them.
 type Import struct {
 	Counts        map[string]uint64 `json:"counts"`
 	Repairs       map[string]uint64 `json:"repairs"`
--- a/internal/rehearsal/simulator/client.go
+++ b/internal/rehearsal/simulator/client.go
@@ -84,8 +84,8 @@
 	return drawn
 }
 
-// submit sends a client's next attempt to the dispatcher. It sends nothing once the request is past its deadline, and the
-// request fails if the dispatcher is down.
+// submit sends a client's next attempt to the dispatcher. It sends nothing once the request is past its deadline, and
+// the request fails if the dispatcher is down.
 func (d *dispatcher) submit(submitted *request) {
 	simulation := d.simulation
 	submitted.attemptsLeft--
--- a/internal/rehearsal/simulator/comparison.go
+++ b/internal/rehearsal/simulator/comparison.go
@@ -22,8 +22,8 @@
 	Inconclusive   bool // the interval contains 0
 }
 
-// Compare compares the scores of two lists of results pair by pair. The same lists always give the same interval, since the
-// bootstrap has a fixed seed.
+// Compare compares the scores of two lists of results pair by pair. The same lists always give the same interval, since
+// the bootstrap has a fixed seed.
 func Compare(resultsA, resultsB []Result) Comparison {
 	comparison := Comparison{Pairs: min(len(resultsA), len(resultsB))}
 	differences := make([]float64, comparison.Pairs)
--- a/internal/rehearsal/simulator/dispatcher.go
+++ b/internal/rehearsal/simulator/dispatcher.go
@@ -8,8 +8,8 @@
 	"hollyyoke.example/hollyyoke/internal/eventloop"
 )
 
-// dispatcher runs a real dispatch.Dispatcher on an event loop in virtual time. It also implements the front end that the
-// dispatch.Dispatcher responds to (client.go) and its only source of workers (source.go).
+// dispatcher runs a real dispatch.Dispatcher on an event loop in virtual time. It also implements the front end that
+// the dispatch.Dispatcher responds to (client.go) and its only source of workers (source.go).
 type dispatcher struct {
 	simulation    *Simulation
 	number        int
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// kill ends the dispatcher's process. Requests that were not answered fail, since their connections break. Workers continue
-// with the attempts that were sent to them.
+// kill ends the dispatcher's process. Requests that were not answered fail, since their connections break. Workers
+// continue with the attempts that were sent to them.
 func (d *dispatcher) kill() {
 	simulation := d.simulation
 	simulation.logEvent(d.number, "killed", "")
@@ -111,8 +111,8 @@
 	d.cachedEndpoints = nil
 }
 
-// scheduleTurn schedules the next run of the event loop. It must be called after every action that may have made the loop
-// due earlier.
+// scheduleTurn schedules the next run of the event loop. It must be called after every action that may have made the
+// loop due earlier.
 func (d *dispatcher) scheduleTurn() {
 	next, scheduled := d.loop.NextDue()
 	if !scheduled || d.nextTurn != 0 && d.nextTurn <= next {
--- a/internal/rehearsal/simulator/scenario.go
+++ b/internal/rehearsal/simulator/scenario.go
@@ -66,7 +66,7 @@
 // Load describes the clients' requests.
 type Load struct {
 	Rate         float64 `toml:"rate_per_s"`   // requests of all dispatchers' clients together
-	MaxAttempts  int     `toml:"tries"`        // attempts that a client makes for a request before its deadline
+	MaxAttempts  int     `toml:"tries"`        // most attempts that a client makes for a request, within its deadline
 	Swing        float64 `toml:"swing"`        // amplitude of a sine wave that modulates the rate, as a share of it
 	SwingPeriodS float64 `toml:"swing_each_s"` // period of that sine wave
 
--- a/internal/rehearsal/simulator/shrink.go
+++ b/internal/rehearsal/simulator/shrink.go
@@ -5,9 +5,9 @@
 // minShrunkS is the length, in seconds, below which a run or a fault is not shortened further.
 const minShrunkS = 0.5
 
-// Shrink reduces a scenario step by step. It removes faults, dispatchers and workers, shortens the run and the faults, and
-// simplifies the load and the network. It keeps each step with which the run of the seed is still bad, until no further
-// step is possible. runs is the number of runs that this took.
+// Shrink reduces a scenario step by step. It removes faults, dispatchers and workers, shortens the run and the faults,
+// and simplifies the load and the network. It keeps each step with which the run of the seed is still bad, until no
+// further step is possible. runs is the number of runs that this took.
 func Shrink(scenario Scenario, seed uint64, bad func(Result) bool) (small Scenario, runs int, err error) {
 	stillBad := func(next Scenario) (bool, error) {
 		if next.Check() != nil {
--- a/internal/rehearsal/simulator/shrink_test.go
+++ b/internal/rehearsal/simulator/shrink_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// A bad run is reduced to its cause: at most one of four faults, a small fleet and a shorter run. The reduced scenario is
-// still bad when it is run again.
+// A bad run is reduced to its cause: at most one of four faults, a small fleet and a shorter run. The reduced scenario
+// is still bad when it is run again.
 func TestShrink(t *testing.T) {
 	scenario := readScenario(t, "faults")
 	scenario.Load.Rate = 15 // at this rate few requests fail unless a worker is killed
--- a/internal/rehearsal/simulator/simulation.go
+++ b/internal/rehearsal/simulator/simulation.go
@@ -24,7 +24,8 @@
 // maxViolations is the number of violations that a run records; later ones are dropped.
 const maxViolations = 100
 
-// workerSource is the source, in the event log, of events at workers. The source of other events is a dispatcher's number.
+// workerSource is the source, in the event log, of events at workers. The source of other events is a dispatcher's
+// number.
 const workerSource = -1
 
 // Simulation is one run of a scenario. It is not safe for concurrent use.
--- a/internal/rehearsal/simulator/simulation_test.go
+++ b/internal/rehearsal/simulator/simulation_test.go
@@ -107,7 +107,8 @@
 	return scenario
 }
 
-// violationCases are functions that violate one invariant each, by a part of the text of the violation that is reported.
+// violationCases are functions that violate one invariant each. The key is a part of the text of the violation that
+// must be reported.
 var violationCases = map[string]func(*Simulation){
 	"a second answer to a request": answerTwice,
 	"ran twice":                    repeatExecution,
@@ -140,8 +141,8 @@
 	})
 }
 
-// sendToDrainedWorker sends one attempt at the last moment that is allowed after the drain of a worker, and one after it.
-// The text of a violation contains the id of its attempt.
+// sendToDrainedWorker sends one attempt at the last moment that is allowed after the drain of a worker, and one after
+// it. The text of a violation contains the id of its attempt.
 func sendToDrainedWorker(simulation *Simulation) {
 	simulation.scheduleAt(runStart+4*time.Second, func() {
 		sender := simulation.dispatchers[0]
--- a/internal/rehearsal/simulator/source.go
+++ b/internal/rehearsal/simulator/source.go
@@ -22,8 +22,8 @@
 	remaining  float64 // seconds of work left at advancedAt
 	advancedAt time.Duration
 
-	// completionVersion counts the scheduled completions. A completion of an earlier version is ignored, since the worker's
-	// pace has changed after it was scheduled.
+	// completionVersion counts the scheduled completions. A completion of an earlier version is ignored: since it was
+	// scheduled, the worker's pace has changed or the worker was killed.
 	completionVersion uint64
 }
 
--- a/internal/rehearsal/simulator/worker.go
+++ b/internal/rehearsal/simulator/worker.go
@@ -122,10 +122,10 @@
 }
 
 // overloadedBy accounts for an attempt that arrives at a warming worker, including one that the worker will reject, and
-// crashes the worker if the work that arrived within the overload window exceeds a limit. The limit is the overload multiple
-// of what the worker can do within the window at its present pace, in requests of mean work, plus chanceAllowance. The
-// crash is reported as a violation if more than two thirds of the work came from dispatchers that knew of the worker's
-// start.
+// crashes the worker if the work that arrived within the overload window exceeds a limit. The limit is the overload
+// multiple of what the worker can do within the window at its present pace, in requests of mean work, plus
+// chanceAllowance. The crash is reported as a violation if more than two thirds of the work came from dispatchers that
+// knew of the worker's start.
 func (w *worker) overloadedBy(received *attempt) bool {
 	simulation := w.simulation
 	if !w.warmingUp() {
@@ -229,8 +229,8 @@
 	running.advancedAt = w.simulation.now
 }
 
-// changePace applies a change that affects the worker's pace. Running attempts are credited with the work done at the pace
-// before it, and their completions are rescheduled.
+// changePace applies a change that affects the worker's pace. Running attempts are credited with the work done at the
+// pace before it, and their completions are rescheduled.
 func (w *worker) changePace(change func()) {
 	pace := w.pace()
 	if w.paused {
--- a/internal/rehearsal/simulator/worker_test.go
+++ b/internal/rehearsal/simulator/worker_test.go
@@ -111,8 +111,8 @@
 	}
 }
 
-// endOfAttempt sends an attempt of 2 s of work to a worker with a fault and returns the time since the start of the run at
-// which it ends, or -1 if it does not end within a minute.
+// endOfAttempt sends an attempt of 2 s of work to a worker with a fault and returns the time since the start of the run
+// at which it ends, or -1 if it does not end within a minute.
 func endOfAttempt(t *testing.T, fault Fault, sentAt time.Duration) time.Duration {
 	t.Helper()
 	const (
@@ -172,7 +172,8 @@
 			want:   5500 * time.Millisecond,
 		},
 		{
-			// The pace rises linearly from 0.5 at 2 s to 1 at 12 s. t s after the start, 0.5 t + t*t/40 s of work are done: 2 s at t = 3.416.
+			// The pace rises linearly from 0.5 at 2 s to 1 at 12 s. t s after the start, 0.5 t + t*t/40 s of work are
+			// done: 2 s at t = 3.416.
 			name:   "warming up",
 			fault:  Fault{Kind: FaultKill, AtS: 1, ForS: 1, Workers: 1},
 			sentAt: 2 * time.Second,
@@ -194,8 +195,8 @@
 	}
 }
 
-// A warming worker crashes for good when too much work is sent to it. That is a violation if more than two thirds of the
-// work came from dispatchers that knew of its start.
+// A warming worker crashes for good when too much work is sent to it. That is a violation if more than two thirds of
+// the work came from dispatchers that knew of its start.
 func TestWarmingWorkerCrashes(t *testing.T) {
 	// Four slots at a third of their pace carry 4 * 0.33 / 0.572 requests of mean work per second; four times that plus
 	// the chance allowance is 17.3.
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -9,7 +9,8 @@
 	"hollyyoke.example/hollyyoke/decision"
 )
 
-// bootLine starts an instance with all settings of the protocol, fills a table, and sends a list update that refers to it.
+// bootLine starts an instance with all settings of the protocol, fills a table, and sends a list update that refers to
+// it.
 const bootLine = `{"moment_us":5000000,"turn":1,"msgs":[{"cmd":"boot","dispatcher":3,"rng_seed":77,"params":{` +
 	`"areas":["a","b"],"my_zone":1,"peers_total":4,"tick_us":2000,"discovery":"ask","worth_by":"work",` +
 	`"over_share_worth":0.1,"unheard_of":[1,{"x":2}],` +
--- a/internal/testkit/acceptedconn.go
+++ b/internal/testkit/acceptedconn.go
@@ -15,8 +15,8 @@
 // Listener lets a test act as a worker or a server: the test accepts each connection, reads each request and
 // writes each response itself, and so decides in which order events happen.
 type Listener struct {
-	// ReadAhead is how many bytes accepted connections read from the socket at once. A test sets it if it must leave the
-	// rest in the socket's buffer; 0 selects the default of bufio.
+	// ReadAhead is how many bytes accepted connections read from the socket at once. A test sets it if it must leave
+	// the rest in the socket's buffer; 0 selects the default of bufio.
 	ReadAhead int
 
 	t        *testing.T
@@ -29,8 +29,8 @@
 	return ListenWith(t, net.ListenConfig{})
 }
 
-// ListenWithSmallBuffers is Listen for tests in which a socket must be full: the kernel accepts only a part of a request
-// while the test does not read it.
+// ListenWithSmallBuffers is Listen for tests in which a socket must be full: the kernel accepts only a part of a
+// request while the test does not read it.
 func ListenWithSmallBuffers(t *testing.T) *Listener {
 	t.Helper()
 	const (
--- a/internal/testkit/exchanges.go
+++ b/internal/testkit/exchanges.go
@@ -9,9 +9,9 @@
 	Ends    bool   // the connection is expected to end after the response
 }
 
-// Exchanges are requests to a front end whose worker client is an EchoWorkerClient. Tests send them in fixed and in random
-// order, split anywhere, and seed fuzz tests with them. The IDs "former" and "open" belong to two other requests, which the
-// test must have sent before: "former" to one that is completed, "open" to one that stays open.
+// Exchanges are requests to a front end whose worker client is an EchoWorkerClient. Tests send them in fixed and in
+// random order, split anywhere, and seed fuzz tests with them. The IDs "former" and "open" belong to two other
+// requests, which the test must have sent before: "former" to one that is completed, "open" to one that stays open.
 var Exchanges = []Exchange{
 	{"POST /status-check/k HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: IDENTITY\r\nContent-Length: 6\r\n\r\ndone 1", 200, false},
 	{"POST /renewal/k?q=1 HTTP/1.1\r\nx-correlation-id: IDENTITY\r\nContent-Length: 6\r\n\r\nfailed", 502, false},
--- a/internal/testkit/rig.go
+++ b/internal/testkit/rig.go
@@ -1,5 +1,5 @@
-// Package testkit has the helpers that tests of the front end, the worker client and discovery share: a dispatcher on its
-// own event loop, stubs of clients and workers, and tables of requests and responses. Only tests import it.
+// Package testkit has the helpers that tests of the front end, the worker client and discovery share: a dispatcher on
+// its own event loop, stubs of clients and workers, and tables of requests and responses. Only tests import it.
 package testkit
 
 import (
@@ -92,7 +92,8 @@
 	}
 }
 
-// Do runs f on the event loop and waits until it returns. Tests use it for everything that only the loop's goroutine may do.
+// Do runs f on the event loop and waits until it returns. Tests use it for everything that only the loop's goroutine
+// may do.
 func (r *Rig) Do(f func()) {
 	done := make(chan struct{})
 	r.Dispatcher.Loop.Post(func() {
@@ -115,7 +116,8 @@
 	return func() { close(released) }
 }
 
-// Accept passes a request to the dispatcher and returns once the dispatcher has handled it. The channel receives the response.
+// Accept passes a request to the dispatcher and returns once the dispatcher has handled it. The channel receives the
+// response.
 func (r *Rig) Accept(request dispatch.Request) Responses {
 	responses := make(Responses, 1)
 	r.Do(func() { r.Dispatcher.Accept(responses, 0, request) })
@@ -140,8 +142,8 @@
 	Until(t, "the poller reads", func() bool { return r.Engine.Pool.BytesInUse() > inUse })
 }
 
-// WithSubscription returns another rig, on the loop and the engine of r, for tests of discovery. Its dispatcher is one of
-// a number of peers, and polls for its endpoint list.
+// WithSubscription returns another rig, on the loop and the engine of r, for tests of discovery. Its dispatcher is one
+// of a number of peers, and polls for its endpoint list.
 func (r *Rig) WithSubscription(t *testing.T, peers int, pollInterval time.Duration) *Rig {
 	t.Helper()
 	settings := r.Dispatcher.Settings
@@ -155,8 +157,8 @@
 	return &Rig{Dispatcher: dispatcher, Engine: r.Engine}
 }
 
-// FillDescriptors opens connections to an address until no descriptor is left for another one, and returns their number.
-// Tests use it to check what still works in this state.
+// FillDescriptors opens connections to an address until no descriptor is left for another one, and returns their
+// number. Tests use it to check what still works in this state.
 func (r *Rig) FillDescriptors(t *testing.T, addr string) (opened int) {
 	t.Helper()
 	for {
--- a/internal/testkit/scriptedworker.go
+++ b/internal/testkit/scriptedworker.go
@@ -46,8 +46,8 @@
 func (w *ScriptedWorker) Addr() string { return w.listener.Addr().String() }
 
 // SetScripts sets the responses to the next requests. IDENTITY in them is replaced by the request's correlation ID. The
-// worker closes the connection after a response that has no complete head or that contains HangUpField, and when a request
-// arrives for which no script is left.
+// worker closes the connection after a response that has no complete head or that contains HangUpField, and when a
+// request arrives for which no script is left.
 func (w *ScriptedWorker) SetScripts(scripts ...string) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
--- a/internal/testkit/stubs.go
+++ b/internal/testkit/stubs.go
@@ -16,9 +16,9 @@
 	_ dispatch.FrontEnd     = RespondFunc(nil)
 )
 
-// EchoWorkerClient is a worker client for tests of a front end. Its attempts end at once, with the outcome that the first
-// word of the request's body names: done, failed or returned. With the word hold, an attempt starts and does not end. It
-// is reported as started because an attempt that has not started would keep other requests from the worker.
+// EchoWorkerClient is a worker client for tests of a front end. Its attempts end at once, with the outcome that the
+// first word of the request's body names: done, failed or returned. With the word hold, an attempt starts and does not
+// end. It is reported as started because an attempt that has not started would keep other requests from the worker.
 type EchoWorkerClient struct{ Dispatcher *dispatch.Dispatcher }
 
 // Start reports the attempt's outcome. The result is "made " followed by the request's body.
@@ -47,8 +47,8 @@
 // Subscribe does nothing: the test passes the endpoint list to the dispatcher.
 func (EchoWorkerClient) Subscribe() {}
 
-// HoldingWorkerClient is a worker client whose attempts end only when the test reports their outcome, for tests in which
-// something happens while a response is pending.
+// HoldingWorkerClient is a worker client whose attempts end only when the test reports their outcome, for tests in
+// which something happens while a response is pending.
 type HoldingWorkerClient struct {
 	EchoWorkerClient
 	Started chan dispatch.Attempt // receives each attempt; its buffer must have room for all of them
@@ -57,8 +57,8 @@
 // Start passes the attempt to the test.
 func (h HoldingWorkerClient) Start(attempt dispatch.Attempt) { h.Started <- attempt }
 
-// Responses is a front end that collects its responses, for tests that call the dispatcher without HTTP. Its buffer must
-// have room for all of them.
+// Responses is a front end that collects its responses, for tests that call the dispatcher without HTTP. Its buffer
+// must have room for all of them.
 type Responses chan dispatch.Response
 
 // Respond adds a response with a copy of its body.
@@ -67,7 +67,8 @@
 	r <- response
 }
 
-// RespondFunc is a front end that calls a function with each response, on the event loop, for tests that act at that moment.
+// RespondFunc is a front end that calls a function with each response, on the event loop, for tests that act at that
+// moment.
 type RespondFunc func(dispatch.Response)
 
 // Respond calls the function.
--- a/internal/tools/importrules/main.go
+++ b/internal/tools/importrules/main.go
@@ -1,5 +1,6 @@
-// Command importrules checks the import rules of the project. For each rule it asks `go list` for the imports of the rule's
-// packages, and prints every import that the rule forbids. It fails if there is one. It must run in the repository's root.
+// Command importrules checks the import rules of the project. For each rule it asks `go list` for the imports of the
+// rule's packages, and prints every import that the rule forbids. It fails if there is one. It must run in the
+// repository's root.
 package main
 
 import (
