--- a/internal/goldentest/effects.go
+++ b/internal/goldentest/effects.go
@@ -38,7 +38,7 @@
 			lines = append(lines, path+": error: "+err.Error())
 			return
 		}
-		lines = append(lines, path+": "+changes(whole, without))
+		lines = append(lines, path+": "+formatChanges(whole, without))
 	})
 	return Lines(lines)
 }
@@ -70,8 +70,8 @@
 	}
 }
 
-// changes formats the values that differ, sorted. Both maps have values by their places.
-func changes(before, after map[string]string) string {
+// formatChanges formats the values that differ, sorted. Both maps have values by their places.
+func formatChanges(before, after map[string]string) string {
 	const none = "none"
 	var list []string
 	for place, value := range before {
--- a/internal/rehearsal/simulator/client.go
+++ b/internal/rehearsal/simulator/client.go
@@ -30,9 +30,9 @@
 	r.answeredAt = at
 }
 
-// arrivals generates the requests of one dispatcher's clients. The load is an open loop: requests arrive whether or not
-// earlier ones are answered.
-type arrivals struct {
+// arrivalGenerator generates the requests of one dispatcher's clients. The load is an open loop: requests arrive
+// whether or not earlier ones are answered.
+type arrivalGenerator struct {
 	dispatcher *dispatcher
 	random     *rand.Rand
 	meanRate   float64 // requests per second
@@ -42,7 +42,7 @@
 // startArrivals starts the clients of the dispatcher.
 func (d *dispatcher) startArrivals() {
 	scenario := &d.simulation.scenario
-	generator := &arrivals{
+	generator := &arrivalGenerator{
 		dispatcher: d,
 		random:     d.simulation.randomStream(fmt.Sprint("arrivals ", d.number)),
 		meanRate:   scenario.Load.Rate / float64(scenario.Dispatchers),
@@ -51,13 +51,13 @@
 }
 
 // scheduleNext schedules the next request of a Poisson process with the given rate, in requests per second.
-func (a *arrivals) scheduleNext(rate float64) {
+func (a *arrivalGenerator) scheduleNext(rate float64) {
 	interval := time.Duration(a.random.ExpFloat64() / rate * float64(time.Second))
 	a.dispatcher.simulation.scheduleAfter(interval, a.arrive)
 }
 
 // arrive submits a request and schedules the next, until the end of the run.
-func (a *arrivals) arrive() {
+func (a *arrivalGenerator) arrive() {
 	simulation := a.dispatcher.simulation
 	elapsed := simulation.now - runStart
 	if elapsed >= seconds(simulation.scenario.LengthS) {
@@ -71,7 +71,7 @@
 }
 
 // newRequest draws the class and the work of a request, in this order.
-func (a *arrivals) newRequest() *request {
+func (a *arrivalGenerator) newRequest() *request {
 	simulation := a.dispatcher.simulation
 	a.count++
 	drawn := &request{
--- a/internal/rehearsal/simulator/worker_test.go
+++ b/internal/rehearsal/simulator/worker_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// loneWorkerScenario is a scenario with one dispatcher and one worker.
-func loneWorkerScenario(t *testing.T) Scenario {
+// singleWorkerScenario is a scenario with one dispatcher and one worker.
+func singleWorkerScenario(t *testing.T) Scenario {
 	t.Helper()
 	scenario := readScenario(t, "day")
 	scenario.Dispatchers = 1
@@ -42,7 +42,7 @@
 // meanWait simulates a number of arrivals at a worker, without dispatchers, and returns the mean wait in seconds.
 func (m *queueModel) meanWait(t *testing.T, arrivals int) float64 {
 	t.Helper()
-	scenario := loneWorkerScenario(t)
+	scenario := singleWorkerScenario(t)
 	scenario.Workers.Slots = m.slots
 	scenario.Workers.Queue = 1e6
 	simulation := newIdleSimulation(t, scenario, 5)
@@ -111,16 +111,16 @@
 	}
 }
 
-// endOfAttempt sends an attempt of 2 s of work to a worker with a fault and returns the time since the start of the run
-// at which it ends, or -1 if it does not end within a minute.
-func endOfAttempt(t *testing.T, fault Fault, sentAt time.Duration) time.Duration {
+// attemptEndTime sends an attempt of 2 s of work to a worker with a fault and returns the time since the start of the
+// run at which it ends, or -1 if it does not end within a minute.
+func attemptEndTime(t *testing.T, fault Fault, sentAt time.Duration) time.Duration {
 	t.Helper()
 	const (
 		work     = 2 * time.Second
 		maxSpan  = 60 * time.Second
 		stepSize = time.Millisecond
 	)
-	scenario := loneWorkerScenario(t)
+	scenario := singleWorkerScenario(t)
 	scenario.Workers.Slots = 1
 	scenario.Workers.SlowStartFloor = 0.5
 	scenario.Workers.SlowStartDurationS = 10
@@ -180,7 +180,7 @@
 			want:   5416 * time.Millisecond,
 		},
 	} {
-		got := endOfAttempt(t, test.fault, test.sentAt)
+		got := attemptEndTime(t, test.fault, test.sentAt)
 		if slack := test.want / 50; got < test.want-slack || got > test.want+slack {
 			t.Errorf("%s: ends at %v, want %v", test.name, got, test.want)
 		}
@@ -190,7 +190,7 @@
 // An attempt ends when its worker is killed.
 func TestKillEndsAttempt(t *testing.T) {
 	fault := Fault{Kind: FaultKill, AtS: 2, ForS: 100, Workers: 1}
-	if got := endOfAttempt(t, fault, time.Second); got != 2*time.Second {
+	if got := attemptEndTime(t, fault, time.Second); got != 2*time.Second {
 		t.Errorf("killed at 2 s: ended at %v", got)
 	}
 }
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -69,7 +69,7 @@
 	case decision.Reject:
 		e.appendNumber("corr", action.Request)
 		if action.Delay > 0 {
-			e.appendNumber("come_back_us", microsecondsUp(action.Delay))
+			e.appendNumber("come_back_us", microsecondsRoundedUp(action.Delay))
 		}
 	case decision.Fail:
 		e.appendNumber("corr", action.Request)
@@ -78,7 +78,7 @@
 		e.appendNumber("trial", uint64(action.Attempt))
 	case decision.SetTimer:
 		e.appendNumber("handle", action.Timer)
-		e.appendNumber("span_us", microsecondsUp(min(action.Delay, maxTimer)))
+		e.appendNumber("span_us", microsecondsRoundedUp(min(action.Delay, maxTimer)))
 	case decision.CheckHealth, decision.CloseIdle:
 		e.appendText("worker", action.Worker)
 	case decision.Subscribe:
@@ -127,8 +127,8 @@
 	return false
 }
 
-// microsecondsUp converts a span to microseconds, rounded up so that a timer never fires early.
-func microsecondsUp(span time.Duration) uint64 {
+// microsecondsRoundedUp converts a span to microseconds, rounded up so that a timer never fires early.
+func microsecondsRoundedUp(span time.Duration) uint64 {
 	if span <= 0 {
 		return 0
 	}
--- a/internal/simwire/field.go
+++ b/internal/simwire/field.go
@@ -36,8 +36,8 @@
 	return field.Int64()
 }
 
-// readIdentity returns a request ID or timer handle, which must be present.
-func readIdentity(object *fastjson.Value, name string) (uint64, error) {
+// readIdentifier returns a request ID or timer handle, which must be present.
+func readIdentifier(object *fastjson.Value, name string) (uint64, error) {
 	field, err := readNumber(object, name)
 	if err != nil {
 		return 0, err
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -67,7 +67,7 @@
 		return true, d.readHealthCheck(value, message.Instance, event)
 	case "due":
 		event.Kind = decision.TimerFired
-		event.Timer, err = readIdentity(value, "handle")
+		event.Timer, err = readIdentifier(value, "handle")
 		return true, err
 	case "peer_data":
 		event.Kind = decision.PeerMessage
@@ -99,7 +99,7 @@
 	default:
 		return false, fmt.Errorf("unknown message %q", command)
 	}
-	event.Request, err = readIdentity(value, "corr")
+	event.Request, err = readIdentifier(value, "corr")
 	if err != nil {
 		return false, fmt.Errorf("%q: %w", command, err)
 	}
--- a/internal/tools/importrules/main_test.go
+++ b/internal/tools/importrules/main_test.go
@@ -11,8 +11,8 @@
 // imports are the direct imports of a package, and the packages that it imports only indirectly.
 type imports struct{ direct, indirect []string }
 
-// listOf returns a lister of some packages. All other packages have no imports.
-func listOf(packages map[string]imports) lister {
+// listerOf returns a lister of some packages. All other packages have no imports.
+func listerOf(packages map[string]imports) lister {
 	return func(pkg string, direct bool) ([]string, error) {
 		known := packages[pkg]
 		if direct {
@@ -51,7 +51,7 @@
 		{"the relay may use the relay's package", "./cmd/membership-relay", imports{indirect: []string{project + "internal/relay"}}, ""},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			err := check(rules, listOf(map[string]imports{test.pkg: test.imports}))
+			err := check(rules, listerOf(map[string]imports{test.pkg: test.imports}))
 			switch {
 			case test.violated == "" && err != nil:
 				t.Errorf("unexpected violation: %v", err)
