--- a/cmd/rehearse/flood.go
+++ b/cmd/rehearse/flood.go
@@ -82,8 +82,8 @@
 	hostileClients := c.Hostile / exhaustionHostileDivisor
 	var normalCPU, exhaustedCPU time.Duration // of the daemon, in the middle third of the run
 	results, err := c.runParts([]floodPart{
-		{name: "whole", operatorFile: c.Operator, hostileClients: hostileClients, during: c.measureMiddleThird(&normalCPU)},
-		{name: "starved", operatorFile: c.Operator, hostileClients: hostileClients, during: c.exhaustMiddleThird(&exhaustedCPU)},
+		{name: "whole", operatorFile: c.Operator, hostileClients: hostileClients, duringLoad: c.measureMiddleThird(&normalCPU)},
+		{name: "starved", operatorFile: c.Operator, hostileClients: hostileClients, duringLoad: c.exhaustMiddleThird(&exhaustedCPU)},
 	})
 	if err != nil {
 		return err
--- a/cmd/rehearse/flood_test.go
+++ b/cmd/rehearse/flood_test.go
@@ -86,7 +86,7 @@
 		time.Sleep(2 * time.Second)
 		cpuAfter = fleet.CPU()
 	}
-	result, err := flood.runPart(floodPart{name: "exhausted", operatorFile: smallReserveFile(t), hostileClients: flood.Hostile, during: exhaust})
+	result, err := flood.runPart(floodPart{name: "exhausted", operatorFile: smallReserveFile(t), hostileClients: flood.Hostile, duringLoad: exhaust})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/rehearse/floodpart.go
+++ b/cmd/rehearse/floodpart.go
@@ -35,7 +35,7 @@
 	name           string
 	operatorFile   string // empty if admission is off
 	hostileClients int
-	during         func(*standin.Fleet) // runs concurrently with the load; the part waits until it returns; may be nil
+	duringLoad     func(*standin.Fleet) // runs concurrently with the load; the part waits until it returns; may be nil
 }
 
 // runPart runs one part with a new daemon and returns its result.
@@ -59,8 +59,8 @@
 	duringDone := make(chan struct{})
 	go func() {
 		defer close(duringDone)
-		if part.during != nil {
-			part.during(fleet)
+		if part.duringLoad != nil {
+			part.duringLoad(fleet)
 		}
 	}()
 	startedAt := time.Now()
@@ -208,8 +208,8 @@
 	return text
 }
 
-// measureMiddleThird returns a function for floodPart.during that stores the processor time that the daemon uses in the
-// middle third.
+// measureMiddleThird returns a function for floodPart.duringLoad that stores the processor time that the daemon uses in
+// the middle third.
 func (c *floodCmd) measureMiddleThird(spent *time.Duration) func(*standin.Fleet) {
 	return func(fleet *standin.Fleet) {
 		time.Sleep(floodLead + c.Duration/3)
